--- a/crates/coordination/src/answers.rs
+++ b/crates/coordination/src/answers.rs
@@ -67,7 +67,9 @@
     pub fn unfinished(&self, id: &JobId, now: u64) -> Option<Answer> {
         if self.mirror.waiting.contains_key(id) {
             return match self.chain_standing(id) {
-                Standing::Waits(_) | Standing::Ready(_) => Some(Answer::Unfinished(Phase::Queued, 0, 0, String::new())),
+                Standing::Waits(_) | Standing::Ready(_) => {
+                    Some(Answer::Unfinished(Phase::Queued, 0, 0, String::new()))
+                }
                 _ => None,
             };
         }
--- a/crates/coordination/src/budget.rs
+++ b/crates/coordination/src/budget.rs
@@ -1,6 +1,8 @@
 //! This node's share of a limit that all nodes have in common.
 
-use lemonweir_model::constants::{BUDGET_FALL, BUDGET_RISE, QUESTIONS_SHARE, WHOLE_FALL, WHOLE_RISE};
+use lemonweir_model::constants::{
+    BUDGET_FALL, BUDGET_RISE, QUESTIONS_SHARE, WHOLE_FALL, WHOLE_RISE,
+};
 
 /// Tokens that refill with time; callers wait for theirs.
 ///
@@ -25,12 +27,23 @@
     /// A bucket for one of `nodes` that share `whole` a second.
     pub fn new(whole: f64, nodes: usize, now_us: u64) -> Self {
         let share = whole / nodes as f64;
-        Self { share, whole, promised: whole, least: whole, per_s: share, tokens: share.max(1.0), at: now_us }
+        Self {
+            share,
+            whole,
+            promised: whole,
+            least: whole,
+            per_s: share,
+            tokens: share.max(1.0),
+            at: now_us,
+        }
     }
 
     /// The same where the whole may fall to `least` without notice.
     pub fn falling_to(self, least: f64) -> Self {
-        Self { least: least.min(self.whole), ..self }
+        Self {
+            least: least.min(self.whole),
+            ..self
+        }
     }
 
     /// Takes `n` tokens, going into debt; returns how long to wait for them, µs.
@@ -46,7 +59,11 @@
         self.tokens = (self.tokens + past_s * self.per_s).min(self.per_s.max(1.0));
         self.at = now_us;
         self.tokens -= n;
-        if self.tokens >= 0.0 { 0 } else { (-self.tokens / self.per_s * 1e6) as u64 }
+        if self.tokens >= 0.0 {
+            0
+        } else {
+            (-self.tokens / self.per_s * 1e6) as u64
+        }
     }
 
     /// How long something taken now would have to wait, µs.
@@ -100,7 +117,10 @@
 impl Requests {
     /// The share of one of `nodes` of `whole` a second.
     pub fn new(whole: f64, nodes: usize, now_us: u64) -> Self {
-        Self { all: Bucket::new(whole, nodes, now_us), kept: Bucket::new(whole / nodes as f64 * QUESTIONS_SHARE, 1, now_us) }
+        Self {
+            all: Bucket::new(whole, nodes, now_us),
+            kept: Bucket::new(whole / nodes as f64 * QUESTIONS_SHARE, 1, now_us),
+        }
     }
 
     /// Takes a request's turn; returns how long to wait for it, µs.
--- a/crates/coordination/src/chains.rs
+++ b/crates/coordination/src/chains.rs
@@ -105,13 +105,17 @@
 
 /// The same, by the jobs that it names alone.
 fn direct_standing(mirror: &Mirror, id: &JobId) -> Standing {
-    let Some(awaits) = mirror.awaits(id) else { return Standing::Unread(Vec::new()) };
+    let Some(awaits) = mirror.awaits(id) else {
+        return Standing::Unread(Vec::new());
+    };
     let (mut done, mut waits, mut unread) = (Vec::new(), Vec::new(), Vec::new());
     for awaited in &awaits {
         match mirror.end(awaited) {
             Some(end) if end.phase == Phase::Done => done.push((awaited.clone(), end.version)),
             Some(end) => return Standing::Cancelled(end),
-            None if mirror.jobs.contains_key(awaited) || mirror.waiting.contains_key(awaited) => waits.push(awaited.clone()),
+            None if mirror.jobs.contains_key(awaited) || mirror.waiting.contains_key(awaited) => {
+                waits.push(awaited.clone())
+            }
             None => unread.push(awaited.clone()),
         }
     }
@@ -139,7 +143,13 @@
     let mut cancelled: HashMap<JobId, SettledEnd> = HashMap::new();
     while let Some((id, end)) = queue.pop() {
         if cancelled.insert(id.clone(), end).is_none() {
-            queue.extend(needed_by.get(id).into_iter().flatten().map(|next| (*next, end)));
+            queue.extend(
+                needed_by
+                    .get(id)
+                    .into_iter()
+                    .flatten()
+                    .map(|next| (*next, end)),
+            );
         }
     }
     cancelled
@@ -177,7 +187,9 @@
     let mut lent: HashMap<JobId, Rank> = HashMap::new();
     let mut queue: Vec<JobId> = mirror.waiting.keys().cloned().collect();
     while let Some(id) = queue.pop() {
-        let Some(waiting) = mirror.waiting.get(&id) else { continue };
+        let Some(waiting) = mirror.waiting.get(&id) else {
+            continue;
+        };
         let own = waiting.record.spec.rank;
         let rank = lent.get(&id).map_or(own, |lent| own.min(*lent));
         for awaited in mirror.awaits(&id).unwrap_or_default() {
@@ -209,7 +221,12 @@
 
     /// What becomes of a submission whose job is not known here, at this time of day.
     pub fn admit(&self, spec: &JobSpec, at: u64) -> Admission {
-        let unknown: Vec<JobId> = spec.awaits.iter().filter(|id| !self.mirror.knows(id)).cloned().collect();
+        let unknown: Vec<JobId> = spec
+            .awaits
+            .iter()
+            .filter(|id| !self.mirror.knows(id))
+            .cloned()
+            .collect();
         if !unknown.is_empty() {
             return Admission::Unknown(unknown);
         }
@@ -227,8 +244,17 @@
         }
         // Ends never change: what is done need not be awaited, but its end is still to be
         // confirmed by the store, unless nothing else is awaited.
-        let record = JobRecord { spec: spec.clone(), at, withdrawn: false, awaited: 0 };
-        let txns = if spec.awaits.is_empty() { vec![accept_job(&record)] } else { accept_waiting(&record, self.config.txn_ops) };
+        let record = JobRecord {
+            spec: spec.clone(),
+            at,
+            withdrawn: false,
+            awaited: 0,
+        };
+        let txns = if spec.awaits.is_empty() {
+            vec![accept_job(&record)]
+        } else {
+            accept_waiting(&record, self.config.txn_ops)
+        };
         Admission::Accept(txns, Phase::Queued)
     }
 
@@ -238,7 +264,10 @@
         if let Some(job) = self.mirror.jobs.get(id) {
             return (!job.record.withdrawn).then(|| withdraw_job(&job.record, job.version));
         }
-        self.mirror.waiting.get(id).map(|waiting| cancel_waiting(id, waiting.version))
+        self.mirror
+            .waiting
+            .get(id)
+            .map(|waiting| cancel_waiting(id, waiting.version))
     }
 
     /// The priority that a job is placed with here, if this node places it.
@@ -254,8 +283,15 @@
         self.chains.seen = self.mirror.waiting_changes;
         let before = std::mem::replace(&mut self.chains.lent, lent_priorities(&self.mirror));
         let lent = &self.chains.lent;
-        let ids: BTreeSet<&JobId> = before.keys().chain(lent.keys()).filter(|id| before.get(*id) != lent.get(*id)).collect();
-        ids.into_iter().filter(|id| self.mirror.jobs.contains_key(*id)).cloned().collect()
+        let ids: BTreeSet<&JobId> = before
+            .keys()
+            .chain(lent.keys())
+            .filter(|id| before.get(*id) != lent.get(*id))
+            .collect();
+        ids.into_iter()
+            .filter(|id| self.mirror.jobs.contains_key(*id))
+            .cloned()
+            .collect()
     }
 
     /// True if this node moves the waiting jobs of a team: it leads the team's shard, or
@@ -264,24 +300,38 @@
         let part = Self::team_part(&self.mirror, &self.config, team);
         match self.mirror.parts.get(&part) {
             Some(_) => self.parts.contains_key(&part),
-            None => self.mirror.nodes.keys().next().is_some_and(|host| *host == own_host(&self.config)),
+            None => self
+                .mirror
+                .nodes
+                .keys()
+                .next()
+                .is_some_and(|host| *host == own_host(&self.config)),
         }
     }
 
     /// What is due for waiting jobs: ends to be read, and one transaction at a time.
     pub(crate) fn pump_chains(&mut self, now: u64, effects: &mut Vec<Effect>) {
-        if self.mirror.waiting.is_empty() && self.mirror.stray_pages().next().is_none() || now < self.chains.not_before {
+        if self.mirror.waiting.is_empty() && self.mirror.stray_pages().next().is_none()
+            || now < self.chains.not_before
+        {
             return;
         }
         // Guards against a look at thousands of waiting jobs at every event.
         let changes = self.mirror.chain_changes();
-        let looked = |(before, at): (u64, u64)| now < at + CHAIN_LOOK_MS || before == changes && now < at + COPY_REFRESH_MS;
+        let looked = |(before, at): (u64, u64)| {
+            now < at + CHAIN_LOOK_MS || before == changes && now < at + COPY_REFRESH_MS
+        };
         if self.chains.pending.is_some() || self.chains.surveyed.is_some_and(looked) {
             return;
         }
         self.chains.surveyed = Some((changes, now));
-        let kept: Vec<JobId> =
-            self.mirror.waiting.iter().filter(|(_, w)| self.keeps_chains_of(&w.record.spec.team)).map(|(id, _)| id.clone()).collect();
+        let kept: Vec<JobId> = self
+            .mirror
+            .waiting
+            .iter()
+            .filter(|(_, w)| self.keeps_chains_of(&w.record.spec.team))
+            .map(|(id, _)| id.clone())
+            .collect();
         let with_cancelled = cancelled_with(&self.mirror);
         let mut unread = BTreeSet::new();
         let mut ready = Vec::new();
@@ -298,7 +348,11 @@
                 Standing::Waits(_) => {}
             }
         }
-        let wanted: Vec<JobId> = unread.into_iter().filter(|id| !self.chains.reading.contains(id)).take(ENDS_READ_AT_ONCE).collect();
+        let wanted: Vec<JobId> = unread
+            .into_iter()
+            .filter(|id| !self.chains.reading.contains(id))
+            .take(ENDS_READ_AT_ONCE)
+            .collect();
         if !wanted.is_empty() {
             self.chains.reading.extend(wanted.iter().cloned());
             effects.push(Effect::ReadEnds(wanted));
@@ -311,18 +365,34 @@
 
     /// One transaction for as many waiting jobs as it holds: those that may start go
     /// first.
-    fn chain_txn(&self, ready: &[(JobId, Vec<(JobId, u64)>)], cancelled: &[JobId]) -> Option<(Txn, Pending)> {
+    fn chain_txn(
+        &self,
+        ready: &[(JobId, Vec<(JobId, u64)>)],
+        cancelled: &[JobId],
+    ) -> Option<(Txn, Pending)> {
         let most_writes = self.config.txn_ops;
         let most_conditions = CONDITIONS_A_CHANGE * most_writes;
         let (mut txn, mut pending) = (Txn::default(), Pending::default());
         for (id, done) in ready {
-            let Some(waiting) = self.mirror.waiting.get(id) else { continue };
-            let unverified: Vec<(JobId, u64)> = done.iter().filter(|(id, _)| !self.chains.verified.contains(id)).cloned().collect();
+            let Some(waiting) = self.mirror.waiting.get(id) else {
+                continue;
+            };
+            let unverified: Vec<(JobId, u64)> = done
+                .iter()
+                .filter(|(id, _)| !self.chains.verified.contains(id))
+                .cloned()
+                .collect();
             if unverified.len() >= most_conditions {
                 // More than one transaction holds: first some of them by themselves.
                 if txn == Txn::default() {
                     let some = &unverified[..most_conditions];
-                    return Some((ends_stand(some), Pending { verified: some.iter().map(|(id, _)| id.clone()).collect(), ..pending }));
+                    return Some((
+                        ends_stand(some),
+                        Pending {
+                            verified: some.iter().map(|(id, _)| id.clone()).collect(),
+                            ..pending
+                        },
+                    ));
                 }
                 break;
             }
@@ -333,16 +403,28 @@
             pending.released.push(id.clone());
         }
         for id in cancelled {
-            let Some(waiting) = self.mirror.waiting.get(id) else { continue };
-            if !join(&mut txn, cancel_waiting(id, waiting.version), most_writes, most_conditions) {
+            let Some(waiting) = self.mirror.waiting.get(id) else {
+                continue;
+            };
+            if !join(
+                &mut txn,
+                cancel_waiting(id, waiting.version),
+                most_writes,
+                most_conditions,
+            ) {
                 break;
             }
             pending.cancelled.push(id.clone());
         }
         for (id, page) in self.mirror.stray_pages() {
             let gone = Txn {
-                conditions: vec![Condition { key: chain_key(id), version: 0 }],
-                writes: vec![Write::Delete { key: awaits_key(id, *page) }],
+                conditions: vec![Condition {
+                    key: chain_key(id),
+                    version: 0,
+                }],
+                writes: vec![Write::Delete {
+                    key: awaits_key(id, *page),
+                }],
             };
             if self.mirror.knows(id) && !join(&mut txn, gone, most_writes, most_conditions) {
                 break;
@@ -353,7 +435,9 @@
 
     /// The transaction of [`Effect::Chain`] ended.
     pub fn chain_done(&mut self, outcome: TxnOutcome, now: u64) {
-        let Some(pending) = self.chains.pending.take() else { return };
+        let Some(pending) = self.chains.pending.take() else {
+            return;
+        };
         self.chains.surveyed = None;
         let TxnOutcome::Done(revision) = outcome else {
             // What it was made of has changed: a newer copy tells.
@@ -393,23 +477,37 @@
 
 /// Why a job waits, in plain words.
 fn waits_for(standing: &Standing) -> String {
-    let Standing::Waits(ids) = standing else { return "all jobs that it awaits are done; it is about to be placed".into() };
+    let Standing::Waits(ids) = standing else {
+        return "all jobs that it awaits are done; it is about to be placed".into();
+    };
     let named: Vec<&str> = ids.iter().take(AWAITS_NAMED).map(JobId::as_str).collect();
     let more = ids.len().saturating_sub(named.len());
-    let more = if more > 0 { format!(" and {more} more") } else { String::new() };
+    let more = if more > 0 {
+        format!(" and {more} more")
+    } else {
+        String::new()
+    };
     format!("waits for {}{more}", named.join(", "))
 }
 
 /// Adds a transaction to another if both together stay within the limits, or the first
 /// is empty.
 fn join(txn: &mut Txn, next: Txn, most_writes: usize, most_conditions: usize) -> bool {
-    let fits = txn.writes.len() + next.writes.len() <= most_writes && txn.conditions.len() + next.conditions.len() <= most_conditions;
+    let fits = txn.writes.len() + next.writes.len() <= most_writes
+        && txn.conditions.len() + next.conditions.len() <= most_conditions;
     if !fits && !txn.writes.is_empty() {
         return false;
     }
-    let mut known: BTreeMap<String, u64> = txn.conditions.iter().map(|c| (c.key.clone(), c.version)).collect();
+    let mut known: BTreeMap<String, u64> = txn
+        .conditions
+        .iter()
+        .map(|c| (c.key.clone(), c.version))
+        .collect();
     for condition in next.conditions {
-        if known.insert(condition.key.clone(), condition.version).is_none() {
+        if known
+            .insert(condition.key.clone(), condition.version)
+            .is_none()
+        {
             txn.conditions.push(condition);
         }
     }
--- a/crates/coordination/src/changes.rs
+++ b/crates/coordination/src/changes.rs
@@ -19,7 +19,12 @@
 
 impl<K, V> Default for ChangeLog<K, V> {
     fn default() -> Self {
-        Self { last: 0, state: HashMap::new(), order: BTreeMap::new(), ends: BTreeSet::new() }
+        Self {
+            last: 0,
+            state: HashMap::new(),
+            order: BTreeMap::new(),
+            ends: BTreeSet::new(),
+        }
     }
 }
 
@@ -36,7 +41,11 @@
 
     /// Notes a value; the same value again is no change.
     pub fn put(&mut self, key: &K, value: V) {
-        if self.state.get(key).is_some_and(|(_, old)| old.as_ref() == Some(&value)) {
+        if self
+            .state
+            .get(key)
+            .is_some_and(|(_, old)| old.as_ref() == Some(&value))
+        {
             return;
         }
         self.note(key, Some(value));
@@ -44,7 +53,11 @@
 
     /// Notes that a key is gone.
     pub fn remove(&mut self, key: &K) {
-        if self.state.get(key).is_some_and(|(_, value)| value.is_some()) {
+        if self
+            .state
+            .get(key)
+            .is_some_and(|(_, value)| value.is_some())
+        {
             self.note(key, None);
         }
     }
@@ -81,7 +94,12 @@
     /// Values that are newer than a number.
     pub fn beyond(&self, upto: u64) -> impl Iterator<Item = (&K, &V)> {
         let newer = self.order.range((Bound::Excluded(upto), Bound::Unbounded));
-        newer.filter_map(|(_, key)| self.state.get(key).and_then(|(_, v)| v.as_ref()).map(|v| (key, v)))
+        newer.filter_map(|(_, key)| {
+            self.state
+                .get(key)
+                .and_then(|(_, v)| v.as_ref())
+                .map(|v| (key, v))
+        })
     }
 
     /// Changes since a number, oldest first, as far as `room` bytes by `size`
@@ -93,7 +111,11 @@
         size: impl Fn(&K, Option<&V>) -> usize,
     ) -> (Span, Vec<(&'a K, Option<&'a V>)>) {
         let mut changes = Vec::new();
-        let mut span = Span { since, upto: self.last.max(since), last: true };
+        let mut span = Span {
+            since,
+            upto: self.last.max(since),
+            last: true,
+        };
         let mut upto = since;
         for (&at, key) in self.order.range((Bound::Excluded(since), Bound::Unbounded)) {
             let value = self.state.get(key).and_then(|(_, v)| v.as_ref());
@@ -102,7 +124,11 @@
             }
             let bytes = size(key, value);
             if bytes > *room && !changes.is_empty() {
-                span = Span { since, upto, last: false };
+                span = Span {
+                    since,
+                    upto,
+                    last: false,
+                };
                 break;
             }
             *room = room.saturating_sub(bytes);
--- a/crates/coordination/src/config.rs
+++ b/crates/coordination/src/config.rs
@@ -54,23 +54,52 @@
     /// Derives the facts from the settings.
     pub fn new(settings: &Settings) -> Self {
         let members = settings.members();
-        let me = members.iter().position(|m| m.host == settings.host_name).unwrap_or(0) as u16;
+        let me = members
+            .iter()
+            .position(|m| m.host == settings.host_name)
+            .unwrap_or(0) as u16;
         let w = &settings.cluster.workers;
         let ms = |s: f64| (s * 1000.0) as u64;
         let objectives = &settings.cluster.objectives;
         let value_bytes = (settings.cluster.state.least_value_kb() * 1024.0) as usize;
         let txn_ops = settings.cluster.state.least_txn_ops();
-        let mut teams: Vec<String> = settings.cluster.teams.iter().map(|t| t.name.clone()).collect();
+        let mut teams: Vec<String> = settings
+            .cluster
+            .teams
+            .iter()
+            .map(|t| t.name.clone())
+            .collect();
         teams.sort_unstable();
         Self {
-            limits: settings.cluster.teams.iter().map(|t| (t.name.clone(), team_limit(t))).collect(),
-            guarantees: settings.cluster.teams.iter().map(|t| (t.name.clone(), Room::offer(t.cpus, t.gpus, 0.0))).collect(),
-            start_within: objectives.iter().filter(|o| o.kind == "wait").filter_map(|o| Some((o.class.clone()?, o.within_s?))).collect(),
-            guarantee_within: objectives.iter().filter(|o| o.kind == "guarantee").filter_map(|o| o.within_s).fold(f64::MAX, f64::min),
+            limits: settings
+                .cluster
+                .teams
+                .iter()
+                .map(|t| (t.name.clone(), team_limit(t)))
+                .collect(),
+            guarantees: settings
+                .cluster
+                .teams
+                .iter()
+                .map(|t| (t.name.clone(), Room::offer(t.cpus, t.gpus, 0.0)))
+                .collect(),
+            start_within: objectives
+                .iter()
+                .filter(|o| o.kind == "wait")
+                .filter_map(|o| Some((o.class.clone()?, o.within_s?)))
+                .collect(),
+            guarantee_within: objectives
+                .iter()
+                .filter(|o| o.kind == "guarantee")
+                .filter_map(|o| o.within_s)
+                .fold(f64::MAX, f64::min),
             zones: settings.cluster.zones.clone(),
             teams,
             gang_wait_ms: ms(w.gang_wait_s),
-            timing: Timing { lease_ms: ms(w.lease_s), report_ms: ms(w.report_s) },
+            timing: Timing {
+                lease_ms: ms(w.lease_s),
+                report_ms: ms(w.report_s),
+            },
             // A node of an earlier format tells of a cancellation before its
             // tasks have ended. One told right after our last word from the
             // store must still be carried out in time: whatever we keep alive
@@ -80,7 +109,9 @@
             wall_offset_ms: 0,
             clock_off_ms: settings.cluster.clock_off_ms.ceil() as u64,
             txn_ops,
-            idle_writes: (settings.cluster.state.least_write_rps() * IDLE_WRITES_SHARE / members.len().max(1) as f64).ceil() as usize,
+            idle_writes: (settings.cluster.state.least_write_rps() * IDLE_WRITES_SHARE
+                / members.len().max(1) as f64)
+                .ceil() as usize,
             // Half of what would just fit: the other fields of a message take
             // some, and one change may be larger than another.
             mail_bytes: MAIL_BYTES.min(mail_piece_bytes(value_bytes) * txn_ops / 2),
@@ -92,8 +123,15 @@
 
     /// The part that a machine belongs to: one of its zone's, by its name.
     pub fn part_of(&self, zone: &str, machine: &MachineId) -> u16 {
-        let local: Vec<u16> = (0..self.members.len() as u16).filter(|&i| self.members[usize::from(i)].zone == zone).collect();
-        let hash = machine.as_str().bytes().fold(0xcbf2_9ce4_8422_2325u64, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3));
+        let local: Vec<u16> = (0..self.members.len() as u16)
+            .filter(|&i| self.members[usize::from(i)].zone == zone)
+            .collect();
+        let hash = machine
+            .as_str()
+            .bytes()
+            .fold(0xcbf2_9ce4_8422_2325u64, |h, b| {
+                (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3)
+            });
         match local.len() {
             0 => (hash % self.members.len() as u64) as u16,
             n => local[(hash % n as u64) as usize],
@@ -110,5 +148,9 @@
 /// Bytes of a peer message that fit one value of the store: base64 makes four
 /// bytes of three.
 pub fn mail_piece_bytes(value_bytes: usize) -> usize {
-    value_bytes.saturating_sub(MAIL_OVERHEAD_BYTES).max(MAIL_OVERHEAD_BYTES) / 4 * 3
+    value_bytes
+        .saturating_sub(MAIL_OVERHEAD_BYTES)
+        .max(MAIL_OVERHEAD_BYTES)
+        / 4
+        * 3
 }
--- a/crates/coordination/src/effects.rs
+++ b/crates/coordination/src/effects.rs
@@ -72,7 +72,11 @@
     if conflicts.contains(&part_key(lot.part)) {
         return Vec::new();
     }
-    conflicts.iter().map(String::as_str).filter(|key| parse_run_key(key).is_some()).collect()
+    conflicts
+        .iter()
+        .map(String::as_str)
+        .filter(|key| parse_run_key(key).is_some())
+        .collect()
 }
 
 /// What to answer to a worker's report.
--- a/crates/coordination/src/evidence.rs
+++ b/crates/coordination/src/evidence.rs
@@ -32,16 +32,28 @@
 impl Strays {
     /// None yet; each counts for two report intervals.
     pub(crate) fn new(timing: &Timing) -> Self {
-        Self { keep_ms: 2 * timing.report_ms, by_part: BTreeMap::new() }
+        Self {
+            keep_ms: 2 * timing.report_ms,
+            by_part: BTreeMap::new(),
+        }
     }
 
     /// A machine came: whether it had come a moment ago, so that it could not reach
     /// the holder, and whether this is news. Guards against a machine that seems to
     /// come since copies of its reports do.
-    pub(crate) fn came(&mut self, part: u16, machine: &MachineId, numbers: SequenceNumber, now: u64) -> (bool, bool) {
+    pub(crate) fn came(
+        &mut self,
+        part: u16,
+        machine: &MachineId,
+        numbers: SequenceNumber,
+        now: u64,
+    ) -> (bool, bool) {
         let here = self.by_part.entry(part).or_default();
         let before = here.get(machine).filter(|(at, _)| now < at + self.keep_ms);
-        let (again, news) = (before.is_some(), before.is_none_or(|(_, newest)| numbers > *newest));
+        let (again, news) = (
+            before.is_some(),
+            before.is_none_or(|(_, newest)| numbers > *newest),
+        );
         if news {
             here.insert(machine.clone(), (now, numbers));
         }
@@ -55,7 +67,9 @@
 
     /// True if some came of late. Asked at every pump, so it counts none.
     pub(crate) fn any(&mut self, part: u16, now: u64) -> bool {
-        let Some(strays) = self.by_part.get(&part) else { return false };
+        let Some(strays) = self.by_part.get(&part) else {
+            return false;
+        };
         let some = strays.values().any(|(at, _)| now <= at + self.keep_ms);
         if !some {
             self.forget(part);
@@ -65,7 +79,9 @@
 
     /// How many came of late.
     pub(crate) fn count(&mut self, part: u16, now: u64) -> u32 {
-        let Some(strays) = self.by_part.get_mut(&part) else { return 0 };
+        let Some(strays) = self.by_part.get_mut(&part) else {
+            return 0;
+        };
         strays.retain(|_, (at, _)| now <= *at + self.keep_ms);
         strays.len() as u32
     }
@@ -124,7 +140,12 @@
     /// The sight of an owner that takes its part now.
     pub(crate) fn new(timing: Timing, silent_ms: u64, now: u64) -> Self {
         let silent_ms = silent_ms.max(2 * timing.report_ms + SILENT_SLACK_MS);
-        Self { started: now, timing, silent_ms, zones: BTreeMap::new() }
+        Self {
+            started: now,
+            timing,
+            silent_ms,
+            zones: BTreeMap::new(),
+        }
     }
 
     /// This process stood still: silence meanwhile proves nothing.
@@ -134,13 +155,20 @@
 
     /// ms since a machine last showed a sign of life; `None`: it never did.
     fn silence(m: &Machine, zone: &Zone, now: u64) -> Option<u64> {
-        m.heard.or(m.ran).map(|at| now.saturating_sub(at.max(zone.floor)))
+        m.heard
+            .or(m.ran)
+            .map(|at| now.saturating_sub(at.max(zone.floor)))
     }
 
     /// When its lease has surely run out, if no other owner takes the part.
     fn over_at(&self, m: &Machine) -> u64 {
-        let answered = m.worker_session.deaf_since().or(m.worker_session.leased_at());
-        answered.map_or(self.started + self.timing.inherited_ms(), |at| at + self.timing.dead_after_ms())
+        let answered = m
+            .worker_session
+            .deaf_since()
+            .or(m.worker_session.leased_at());
+        answered.map_or(self.started + self.timing.inherited_ms(), |at| {
+            at + self.timing.dead_after_ms()
+        })
     }
 
     /// Looks at all machines again.
@@ -154,8 +182,12 @@
             if !self.zones.contains_key(&m.zone) {
                 self.zones.insert(m.zone.clone(), Zone::default());
             }
-            let Some(zone) = self.zones.get_mut(&m.zone) else { continue };
-            let Some(silence) = Self::silence(m, zone, now) else { continue };
+            let Some(zone) = self.zones.get_mut(&m.zone) else {
+                continue;
+            };
+            let Some(silence) = Self::silence(m, zone, now) else {
+                continue;
+            };
             zone.ran += 1;
             let late = silence > late_ms;
             zone.late += usize::from(late);
@@ -171,11 +203,21 @@
             let out = zone.lost > MASS_SILENT && zone.lost * 2 > zone.ran;
             match (zone.hidden, out) {
                 (None, true) => {
-                    info!(zone = name, lost = zone.lost, of = zone.ran, "zone is out of sight");
+                    info!(
+                        zone = name,
+                        lost = zone.lost,
+                        of = zone.ran,
+                        "zone is out of sight"
+                    );
                     zone.hidden = Some(now.saturating_sub(late_ms));
                 }
                 (Some(since), false) => {
-                    info!(zone = name, lost = zone.lost, of = zone.ran, "zone is in sight again");
+                    info!(
+                        zone = name,
+                        lost = zone.lost,
+                        of = zone.ran,
+                        "zone is in sight again"
+                    );
                     zone.hidden = None;
                     zone.returned = Some(now);
                     zone.longest_ms = zone.longest_ms.max(now.saturating_sub(since));
@@ -190,7 +232,10 @@
 
     /// Machines with a sign of life, if most of them missed a report.
     pub(crate) fn dark(&self) -> Option<usize> {
-        let (ran, late) = self.zones.values().fold((0, 0), |(ran, late), z| (ran + z.ran, late + z.late));
+        let (ran, late) = self
+            .zones
+            .values()
+            .fold((0, 0), |(ran, late), z| (ran + z.ran, late + z.late));
         (late > MASS_SILENT && late * 2 > ran).then_some(ran)
     }
 
@@ -200,7 +245,11 @@
     /// fetch: who waits for as long as that costs pays at most twice the least,
     /// whenever the cut ends; and no less than the longest cut that was seen.
     fn wait_ms(&self, m: &Machine, zone: &Zone, rebuild_ms: u64) -> u64 {
-        let over_ms = if m.heard.is_some() { self.timing.dead_after_ms() } else { self.timing.inherited_ms() };
+        let over_ms = if m.heard.is_some() {
+            self.timing.dead_after_ms()
+        } else {
+            self.timing.inherited_ms()
+        };
         over_ms + (2 * rebuild_ms).max(zone.longest_ms)
     }
 
@@ -211,14 +260,27 @@
         let zone = self.zones.get(&m.zone).unwrap_or(&fallback);
         let ordinary_ms = self.timing.dead_after_ms() + 2 * self.silent_ms;
         if m.hearsay() {
-            let first = m.worker_session.only_heard_of().map_or(now, |(first, _)| first);
-            return if now > first + ordinary_ms { Judgement::GiveBack } else { Judgement::Hearsay };
+            let first = m
+                .worker_session
+                .only_heard_of()
+                .map_or(now, |(first, _)| first);
+            return if now > first + ordinary_ms {
+                Judgement::GiveBack
+            } else {
+                Judgement::Hearsay
+            };
         }
-        let Some(silence) = Self::silence(m, zone, now) else { return Judgement::Booting };
+        let Some(silence) = Self::silence(m, zone, now) else {
+            return Judgement::Booting;
+        };
         // Its reports show that it was not taken. Work for it has ended with its
         // lease; until then it is waited for as for one that is silent.
         if let Some(since) = m.worker_session.deaf_since() {
-            let patience = if zone.hidden.is_some() { self.wait_ms(m, zone, rebuild_ms) } else { ordinary_ms };
+            let patience = if zone.hidden.is_some() {
+                self.wait_ms(m, zone, rebuild_ms)
+            } else {
+                ordinary_ms
+            };
             return match now.saturating_sub(since.max(zone.floor)) {
                 ms if ms > patience => Judgement::GiveBack,
                 _ if silence <= self.silent_ms => Judgement::Deaf,
@@ -232,20 +294,31 @@
         // A spot machine that is silent was mostly taken without notice. An
         // ordinary one mostly lost its network: its tasks go on until their
         // lease ends, and it may come back with its images.
-        let heard_of = m.worker_session.only_heard_of().is_some_and(|(_, last)| now <= last + self.silent_ms);
+        let heard_of = m
+            .worker_session
+            .only_heard_of()
+            .is_some_and(|(_, last)| now <= last + self.silent_ms);
         let (patience, state) = match zone.hidden {
             Some(_) => (self.wait_ms(m, zone, rebuild_ms), Judgement::Hidden),
             None if m.spot && !heard_of => (self.silent_ms, Judgement::Silent),
             None => (ordinary_ms, Judgement::Silent),
         };
-        if silence > patience { Judgement::GiveBack } else { state }
+        if silence > patience {
+            Judgement::GiveBack
+        } else {
+            state
+        }
     }
 
     /// True for a machine whose zone came back a moment ago, or that ran before
     /// this owner took the part a moment ago and may know of no cut: work that was
     /// lost there is about to begin anew, so that it is empty says nothing yet.
     pub(crate) fn recovering(&self, m: &Machine, now: u64) -> bool {
-        let returned = self.zones.get(&m.zone).and_then(|z| z.returned).is_some_and(|at| now < at + RETURN_KEEP_MS);
+        let returned = self
+            .zones
+            .get(&m.zone)
+            .and_then(|z| z.returned)
+            .is_some_and(|at| now < at + RETURN_KEEP_MS);
         returned || m.ran.is_some() && now < self.started + RETURN_KEEP_MS
     }
 
@@ -253,7 +326,11 @@
     pub(crate) fn hidden(&self, now: u64) -> Vec<Hidden> {
         let told = |(name, z): (&String, &Zone)| {
             let since = z.hidden?;
-            Some(Hidden { zone: name.clone(), for_ms: now.saturating_sub(since), over_in_ms: z.over_at.saturating_sub(now) })
+            Some(Hidden {
+                zone: name.clone(),
+                for_ms: now.saturating_sub(since),
+                over_in_ms: z.over_at.saturating_sub(now),
+            })
         };
         self.zones.iter().filter_map(told).collect()
     }
--- a/crates/coordination/src/fault_attribution.rs
+++ b/crates/coordination/src/fault_attribution.rs
@@ -71,7 +71,10 @@
 /// Notes a failure; one repeated counts at its last time. Returns the place of
 /// what it replaced or pushed out.
 fn note<T: PartialEq + Clone>(failed: &mut Failures<T>, with: &T, at: u64) -> Option<usize> {
-    let gone = failed.iter().position(|(t, _)| t == with).or((failed.len() >= BLAME_PAIRS).then_some(0));
+    let gone = failed
+        .iter()
+        .position(|(t, _)| t == with)
+        .or((failed.len() >= BLAME_PAIRS).then_some(0));
     if let Some(i) = gone {
         failed.remove(i);
     }
@@ -98,7 +101,11 @@
         if note(&mut of_job.failed, machine, at).is_some_and(|gone| gone < of_job.cleared) {
             of_job.cleared -= 1;
         }
-        note(&mut self.machines.entry(machine.clone()).or_default().failed, job, at);
+        note(
+            &mut self.machines.entry(machine.clone()).or_default().failed,
+            job,
+            at,
+        );
         self.touched(job, machine)
     }
 
@@ -113,7 +120,11 @@
         }
         let m = self.machines.entry(machine.clone()).or_default();
         m.failed.retain(|(_, at)| *at > since);
-        let known = m.ran.iter().position(|(_, by)| by == job).map(|i| m.ran.remove(i).0);
+        let known = m
+            .ran
+            .iter()
+            .position(|(_, by)| by == job)
+            .map(|i| m.ran.remove(i).0);
         m.ran.push((since.max(known.unwrap_or(0)), job.clone()));
         m.ran.sort_by_key(|(at, _)| std::cmp::Reverse(*at));
         m.ran.truncate(2);
@@ -128,15 +139,25 @@
             touched.jobs.extend(m.failed.iter().map(|(j, _)| j.clone()));
         }
         for job in &touched.jobs {
-            touched.machines.extend(self.jobs.get(job).into_iter().flat_map(|j| &j.failed).map(|(m, _)| m.clone()));
+            touched.machines.extend(
+                self.jobs
+                    .get(job)
+                    .into_iter()
+                    .flat_map(|j| &j.failed)
+                    .map(|(m, _)| m.clone()),
+            );
         }
         touched
     }
 
     /// True if another job ran well on the machine at about that time, or later.
     fn vouched(&self, job: &JobId, machine: &MachineId, at: u64) -> bool {
-        let Some(m) = self.machines.get(machine) else { return false };
-        m.ran.iter().any(|(ran, by)| by != job && ran + VOUCHED_MS >= at)
+        let Some(m) = self.machines.get(machine) else {
+            return false;
+        };
+        m.ran
+            .iter()
+            .any(|(ran, by)| by != job && ran + VOUCHED_MS >= at)
     }
 
     /// On how many machines a job failed that run other jobs, if that makes it
@@ -146,14 +167,27 @@
         let failed = || of_job.failed.iter().skip(of_job.cleared);
         let vouched = failed().filter(|(m, at)| self.vouched(job, m, *at)).count();
         // On so many machines, with no success, it is the job whoever vouches.
-        (vouched >= SUSPECT_MACHINES || failed().count() >= SUSPECT_ANYWHERE).then_some(vouched as u32)
+        (vouched >= SUSPECT_MACHINES || failed().count() >= SUSPECT_ANYWHERE)
+            .then_some(vouched as u32)
     }
 
     /// What is held against a machine.
     pub fn verdict(&self, machine: &MachineId) -> Verdict {
-        let Some(m) = self.machines.get(machine) else { return Verdict::Sound };
-        let counted: Vec<&JobId> = m.failed.iter().map(|(j, _)| j).filter(|j| self.suspect(j).is_none()).collect();
-        let elsewhere = |j: &&&JobId| self.jobs.get(**j).and_then(|o| o.ran.as_ref()).is_some_and(|(_, on)| on != machine);
+        let Some(m) = self.machines.get(machine) else {
+            return Verdict::Sound;
+        };
+        let counted: Vec<&JobId> = m
+            .failed
+            .iter()
+            .map(|(j, _)| j)
+            .filter(|j| self.suspect(j).is_none())
+            .collect();
+        let elsewhere = |j: &&&JobId| {
+            self.jobs
+                .get(**j)
+                .and_then(|o| o.ran.as_ref())
+                .is_some_and(|(_, on)| on != machine)
+        };
         if counted.len() < QUARANTINE_ERRORS {
             Verdict::Sound
         } else if counted.iter().filter(elsewhere).count() >= QUARANTINE_ERRORS {
@@ -165,13 +199,24 @@
 
     /// The jobs that failed on a machine, for its operators.
     pub fn against(&self, machine: &MachineId) -> Vec<&JobId> {
-        self.machines.get(machine).into_iter().flat_map(|m| &m.failed).map(|(j, _)| j).collect()
+        self.machines
+            .get(machine)
+            .into_iter()
+            .flat_map(|m| &m.failed)
+            .map(|(j, _)| j)
+            .collect()
     }
 
     /// Machines on which something ran well of late and nothing failed since.
     pub fn trusted(&self, now: u64) -> BTreeSet<MachineId> {
-        let good = |m: &&MachineFailures| m.failed.is_empty() && m.ran.first().is_some_and(|(at, _)| now <= at + VOUCHED_MS);
-        self.machines.iter().filter(|(_, m)| good(m)).map(|(id, _)| id.clone()).collect()
+        let good = |m: &&MachineFailures| {
+            m.failed.is_empty() && m.ran.first().is_some_and(|(at, _)| now <= at + VOUCHED_MS)
+        };
+        self.machines
+            .iter()
+            .filter(|(_, m)| good(m))
+            .map(|(id, _)| id.clone())
+            .collect()
     }
 
     /// A machine is no more.
@@ -199,11 +244,21 @@
             blame.ran(&job(n), &machine(n), 1_000);
         }
         // Three jobs with a mistake meet on two machines.
-        for (at, (j, m)) in (2_000..).zip([(100, 0), (101, 0), (102, 1), (100, 1), (101, 1), (102, 0)]) {
+        for (at, (j, m)) in
+            (2_000..).zip([(100, 0), (101, 0), (102, 1), (100, 1), (101, 1), (102, 0)])
+        {
             blame.failed(&job(j), &machine(m), at);
         }
-        assert_eq!((100..103).filter(|j| blame.suspect(&job(*j)) == Some(2)).count(), 3);
-        assert_eq!([blame.verdict(&machine(0)), blame.verdict(&machine(1))], [Verdict::Sound; 2]);
+        assert_eq!(
+            (100..103)
+                .filter(|j| blame.suspect(&job(*j)) == Some(2))
+                .count(),
+            3
+        );
+        assert_eq!(
+            [blame.verdict(&machine(0)), blame.verdict(&machine(1))],
+            [Verdict::Sound; 2]
+        );
     }
 
     #[test]
@@ -216,7 +271,10 @@
         blame.ran(&job(1), &machine(1), 7_000);
         blame.ran(&job(2), &machine(2), 7_000);
         assert_eq!(blame.verdict(&machine(0)), Verdict::Faulty);
-        assert_eq!((blame.suspect(&job(1)), blame.suspect(&job(2))), (None, None));
+        assert_eq!(
+            (blame.suspect(&job(1)), blame.suspect(&job(2))),
+            (None, None)
+        );
         // What began before the failures proves nothing; a trial after them does.
         blame.ran(&job(3), &machine(0), 4_000);
         assert_eq!(blame.verdict(&machine(0)), Verdict::Faulty);
@@ -243,7 +301,12 @@
             blame.failed(&job(n), &machine(n % 7), n as u64);
         }
         assert!(blame.jobs.len() <= BLAME_JOBS && blame.order.len() <= BLAME_JOBS);
-        assert!(blame.machines.values().all(|m| m.failed.len() <= BLAME_PAIRS));
+        assert!(
+            blame
+                .machines
+                .values()
+                .all(|m| m.failed.len() <= BLAME_PAIRS)
+        );
         (0..7).for_each(|n| blame.forget(&machine(n)));
         assert!(blame.machines.is_empty());
     }
--- a/crates/coordination/src/fleet.rs
+++ b/crates/coordination/src/fleet.rs
@@ -51,17 +51,25 @@
 impl Shortage {
     /// Notes a refusal.
     pub fn note(&mut self, rental: &Rental, now: u64) {
-        self.0.insert((rental.kind.clone(), rental.zone.clone(), rental.spot), now + NO_CAPACITY_MS);
+        self.0.insert(
+            (rental.kind.clone(), rental.zone.clone(), rental.spot),
+            now + NO_CAPACITY_MS,
+        );
     }
 
     /// What the cloud has had none of, of late.
     pub(crate) fn closed(&self, now: u64) -> Vec<String> {
         let shut = self.0.iter().filter(|(_, until)| now < **until);
-        shut.map(|((kind, zone, spot), _)| format!("{kind} in {zone}{}", if *spot { " (spot)" } else { "" })).collect()
+        shut.map(|((kind, zone, spot), _)| {
+            format!("{kind} in {zone}{}", if *spot { " (spot)" } else { "" })
+        })
+        .collect()
     }
 
     fn open(&self, kind: &str, zone: &str, spot: bool, now: u64) -> bool {
-        self.0.get(&(kind.to_owned(), zone.to_owned(), spot)).is_none_or(|&until| now >= until)
+        self.0
+            .get(&(kind.to_owned(), zone.to_owned(), spot))
+            .is_none_or(|&until| now >= until)
     }
 }
 
@@ -79,7 +87,13 @@
             *all += 1;
         }
         let fails = |(late, all): &(usize, usize)| *late >= FAILING_LEAST && late * 2 > *all;
-        Self(counts.into_iter().filter(|(_, n)| fails(n)).map(|((k, z, s), _)| (k.to_owned(), z.to_owned(), s)).collect())
+        Self(
+            counts
+                .into_iter()
+                .filter(|(_, n)| fails(n))
+                .map(|((k, z, s), _)| (k.to_owned(), z.to_owned(), s))
+                .collect(),
+        )
     }
 
     fn has(&self, kind: &str, zone: &str, spot: bool) -> bool {
@@ -115,7 +129,12 @@
     market: &Market<'_>,
     now: u64,
 ) -> Vec<(String, String, bool, u32)> {
-    let Market { hidden, failing, catalog, shortage } = market;
+    let Market {
+        hidden,
+        failing,
+        catalog,
+        shortage,
+    } = market;
     let mut bins: Vec<Bin> = booting.to_vec();
     let known = bins.len();
     let mut zones_used = count_by_zone.clone();
@@ -123,13 +142,25 @@
         let mut forced = d.zone.clone();
         if d.one_zone && d.count > 1 && forced.is_none() {
             // The whole gang goes where most of it fits already.
-            let fit =
-                |zone: &str| bins.iter().filter(|b| b.zone == zone && (d.spot || !b.spot)).map(|b| tasks_in(&b.free, &d.need)).sum::<u64>();
+            let fit = |zone: &str| {
+                bins.iter()
+                    .filter(|b| b.zone == zone && (d.spot || !b.spot))
+                    .map(|b| tasks_in(&b.free, &d.need))
+                    .sum::<u64>()
+            };
             let mut zones: Vec<&String> = catalog.values().flat_map(|t| &t.zones).collect();
             zones.retain(|z| !hidden.contains(z.as_str()));
             zones.sort_unstable();
             zones.dedup();
-            forced = zones.into_iter().max_by_key(|z| (fit(z), std::cmp::Reverse(zones_used.get(*z).copied().unwrap_or(0)))).cloned();
+            forced = zones
+                .into_iter()
+                .max_by_key(|z| {
+                    (
+                        fit(z),
+                        std::cmp::Reverse(zones_used.get(*z).copied().unwrap_or(0)),
+                    )
+                })
+                .cloned();
         }
         let mut left = u64::from(d.count);
         // Cheap room first for those who may use it.
@@ -137,7 +168,10 @@
             if spot && !d.spot {
                 continue;
             }
-            for b in bins.iter_mut().filter(|b| b.spot == spot && b.free.covers(&d.need)) {
+            for b in bins
+                .iter_mut()
+                .filter(|b| b.spot == spot && b.free.covers(&d.need))
+            {
                 if left == 0 {
                     break;
                 }
@@ -156,46 +190,73 @@
         while left > 0 {
             let mut offers: Vec<Offer<'_>> = Vec::new();
             for t in catalog.values() {
-                if d.types.as_ref().is_some_and(|types| !types.contains(&t.name)) || !t.room.covers(&d.need) {
+                if d.types
+                    .as_ref()
+                    .is_some_and(|types| !types.contains(&t.name))
+                    || !t.room.covers(&d.need)
+                {
                     continue;
                 }
                 for zone in &t.zones {
-                    if hidden.contains(zone.as_str()) || forced.as_ref().is_some_and(|z| z != zone) {
+                    if hidden.contains(zone.as_str()) || forced.as_ref().is_some_and(|z| z != zone)
+                    {
                         continue;
                     }
                     for spot in [true, false] {
                         if !spot && d.only_spot {
                             continue;
                         }
-                        if spot && (!d.spot || t.spot_price <= 0.0) || !shortage.open(&t.name, zone, spot, now) {
+                        if spot && (!d.spot || t.spot_price <= 0.0)
+                            || !shortage.open(&t.name, zone, spot, now)
+                        {
                             continue;
                         }
                         let price = if spot { t.spot_price } else { t.price };
                         let fit = tasks_in(&t.room, &d.need).min(u64::from(d.count)).max(1);
                         let fails = failing.has(&t.name, zone, spot);
-                        offers.push((fails, price / fit as f64, zones_used.get(zone).copied().unwrap_or(0), &t.name, zone, spot, t.room));
+                        offers.push((
+                            fails,
+                            price / fit as f64,
+                            zones_used.get(zone).copied().unwrap_or(0),
+                            &t.name,
+                            zone,
+                            spot,
+                            t.room,
+                        ));
                     }
                 }
             }
-            let best = offers.into_iter().min_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)).then(a.2.cmp(&b.2)));
+            let best = offers
+                .into_iter()
+                .min_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)).then(a.2.cmp(&b.2)));
             let Some((_, _, _, kind, zone, spot, room)) = best else {
                 break;
             };
             *zones_used.entry(zone.to_owned()).or_default() += 1;
             let n = tasks_in(&room, &d.need).clamp(1, left);
             left -= n;
-            bins.push(Bin { kind: kind.to_owned(), zone: zone.to_owned(), spot, free: room.minus(&d.need.times(n)) });
+            bins.push(Bin {
+                kind: kind.to_owned(),
+                zone: zone.to_owned(),
+                spot,
+                free: room.minus(&d.need.times(n)),
+            });
         }
     }
     let mut counts: BTreeMap<(String, String, bool), u32> = BTreeMap::new();
     for b in bins.into_iter().skip(known) {
         *counts.entry((b.kind, b.zone, b.spot)).or_default() += 1;
     }
-    counts.into_iter().map(|((k, z, s), n)| (k, z, s, n.min(MAX_RENT))).collect()
+    counts
+        .into_iter()
+        .map(|((k, z, s), n)| (k, z, s, n.min(MAX_RENT)))
+        .collect()
 }
 
 /// How many tasks of this need fit.
 pub(crate) fn tasks_in(room: &Room, need: &Room) -> u64 {
     let ratio = |have: u64, need: u64| have.checked_div(need).unwrap_or(u64::MAX);
-    ratio(room.cpus, need.cpus).min(ratio(room.gpus, need.gpus)).min(ratio(room.memory, need.memory))
+    ratio(room.cpus, need.cpus)
+        .min(ratio(room.gpus, need.gpus))
+        .min(ratio(room.memory, need.memory))
 }
--- a/crates/coordination/src/job.rs
+++ b/crates/coordination/src/job.rs
@@ -191,7 +191,10 @@
 
     /// A job that a placer first hears of now.
     pub(super) fn known(now: u64) -> Self {
-        Self { known_at: now, ..Self::empty() }
+        Self {
+            known_at: now,
+            ..Self::empty()
+        }
     }
 
     pub(super) fn spec(&self) -> Option<&JobSpec> {
@@ -261,7 +264,10 @@
     pub(super) fn turn(&self) -> u64 {
         const AGE_BITS: u32 = 44;
         match self.urgency() {
-            Urgency::Unbegun => MAX_TASKS.saturating_sub(u64::from(self.tasks)) << AGE_BITS | self.at() & ((1 << AGE_BITS) - 1),
+            Urgency::Unbegun => {
+                MAX_TASKS.saturating_sub(u64::from(self.tasks)) << AGE_BITS
+                    | self.at() & ((1 << AGE_BITS) - 1)
+            }
             _ => self.at(),
         }
     }
@@ -269,7 +275,10 @@
     /// ms since it was submitted, by the time of day, or since this placer knows of
     /// it: a change of hands does not begin its wait anew.
     pub(super) fn waited(&self, now: u64, time_of_day: u64) -> u64 {
-        let since = self.record.as_ref().map_or(0, |r| time_of_day.saturating_sub(r.at));
+        let since = self
+            .record
+            .as_ref()
+            .map_or(0, |r| time_of_day.saturating_sub(r.at));
         since.max(now.saturating_sub(self.known_at))
     }
 
@@ -300,7 +309,11 @@
 
     /// Tasks that run, and why the others wait, if some do.
     pub(super) fn progress(&self) -> (u32, &'static str) {
-        let running = self.live.values().filter(|l| l.standing == Some(Standing::Running)).count() as u32;
+        let running = self
+            .live
+            .values()
+            .filter(|l| l.standing == Some(Standing::Running))
+            .count() as u32;
         let unwritten = || self.live.iter().any(|(&task, l)| !self.recorded(task, l));
         let reason = if self.stopping() {
             "withdrawn; its last attempts are being stopped"
@@ -330,7 +343,10 @@
 
     /// Attempts that are where this one is, itself included.
     pub(super) fn beside<K: PartialEq>(&self, live: &Live, place: impl Fn(&Live) -> &K) -> u32 {
-        self.live.values().filter(|l| place(l) == place(live)).count() as u32
+        self.live
+            .values()
+            .filter(|l| place(l) == place(live))
+            .count() as u32
     }
 
     /// Notes a change of a task's chunk.
@@ -346,7 +362,9 @@
     }
 
     pub(super) fn recorded(&self, task: u32, live: &Live) -> bool {
-        self.chunks.get(&(task / CHUNK_TASKS)).is_some_and(|c| c.saved >= live.change)
+        self.chunks
+            .get(&(task / CHUNK_TASKS))
+            .is_some_and(|c| c.saved >= live.change)
     }
 
     pub(super) fn chunk_record(&self, chunk: u32) -> ChunkRecord {
@@ -361,16 +379,35 @@
         let live: Vec<LiveRecord> = self
             .live
             .range(first..end)
-            .map(|(&t, l)| LiveRecord { t, a: l.attempt, m: l.machine.clone(), p: l.part, z: l.zone.clone() })
+            .map(|(&t, l)| LiveRecord {
+                t,
+                a: l.attempt,
+                m: l.machine.clone(),
+                p: l.part,
+                z: l.zone.clone(),
+            })
             .collect();
-        let gang = self.admission.as_ref().filter(|a| live.iter().any(|l| l.a == a.attempt)).map(Admission::record);
-        ChunkRecord { team: self.team.clone(), need: self.need, next: self.next, done, live, gang }
+        let gang = self
+            .admission
+            .as_ref()
+            .filter(|a| live.iter().any(|l| l.a == a.attempt))
+            .map(Admission::record);
+        ChunkRecord {
+            team: self.team.clone(),
+            need: self.need,
+            next: self.next,
+            done,
+            live,
+            gang,
+        }
     }
 
     /// How many tasks neither run nor are done. The tasks of a gang that is
     /// done may be both for a moment.
     pub(super) fn waiting(&self) -> u32 {
-        self.tasks.saturating_sub(self.done_count).saturating_sub(self.live.len() as u32)
+        self.tasks
+            .saturating_sub(self.done_count)
+            .saturating_sub(self.live.len() as u32)
     }
 
     /// A try failed now, of what was placed at `placed`: how long to wait before
@@ -431,7 +468,10 @@
 
     /// True if nothing of it is left anywhere.
     pub(super) fn vanished(&self) -> bool {
-        self.over && self.live.is_empty() && self.ending.is_empty() && self.chunks.values().all(|c| c.version == 0 && !c.unsure)
+        self.over
+            && self.live.is_empty()
+            && self.ending.is_empty()
+            && self.chunks.values().all(|c| c.version == 0 && !c.unsure)
     }
 
     /// True if it has waited for so long, with less than half of it begun, that it
@@ -447,7 +487,8 @@
 
     /// Tasks of a starved job that lack to half of it.
     pub(super) fn to_half(&self) -> u64 {
-        u64::from(self.tasks.div_ceil(2)).saturating_sub(u64::from(self.done_count) + self.live.len() as u64)
+        u64::from(self.tasks.div_ceil(2))
+            .saturating_sub(u64::from(self.done_count) + self.live.len() as u64)
     }
 
     /// True if some task of it can be placed now.
@@ -461,7 +502,11 @@
     /// Chunks of a job that is over are removed once nothing is live there.
     pub(super) fn clear_chunks(&mut self) {
         let live = &self.live;
-        for (&index, c) in self.chunks.iter_mut().filter(|(_, c)| c.version > 0 && !c.unsaved()) {
+        for (&index, c) in self
+            .chunks
+            .iter_mut()
+            .filter(|(_, c)| c.version > 0 && !c.unsaved())
+        {
             let (first, end) = (index * CHUNK_TASKS, (index + 1) * CHUNK_TASKS);
             if live.range(first..end).next().is_none() {
                 c.change += 1;
@@ -483,10 +528,24 @@
         if !self.gang() || self.admission.is_some() || self.live.is_empty() {
             return;
         }
-        let carried = |(task, l): (&u32, &Live)| (l.attempt, self.chunks.get(&(task / CHUNK_TASKS)).and_then(|c| c.loaded.as_ref()));
-        let Some((step, at, attempt)) = ledger::inherited(self.live.iter().map(carried)) else { return };
+        let carried = |(task, l): (&u32, &Live)| {
+            (
+                l.attempt,
+                self.chunks
+                    .get(&(task / CHUNK_TASKS))
+                    .and_then(|c| c.loaded.as_ref()),
+            )
+        };
+        let Some((step, at, attempt)) = ledger::inherited(self.live.iter().map(carried)) else {
+            return;
+        };
         let since = ledger::counts_from(step, wall.saturating_sub(at), gang_wait_ms, now);
-        self.admission = Some(Admission { step, at, attempt, since: Some(since) });
+        self.admission = Some(Admission {
+            step,
+            at,
+            attempt,
+            since: Some(since),
+        });
         if step == GangStep::Released {
             self.stop_all();
         }
@@ -502,7 +561,10 @@
 
     /// Its members together.
     pub(super) fn members(&self) -> Members {
-        let mut members = Members { needed: self.tasks.saturating_sub(self.done_count), ..Members::default() };
+        let mut members = Members {
+            needed: self.tasks.saturating_sub(self.done_count),
+            ..Members::default()
+        };
         for l in self.live.values() {
             members.add(l.standing, l.kill.is_some());
         }
@@ -511,7 +573,9 @@
 
     /// Goes on to a step, in all chunks with members.
     pub(super) fn go_on(&mut self, step: GangStep, wall: u64) {
-        let Some(admission) = &mut self.admission else { return };
+        let Some(admission) = &mut self.admission else {
+            return;
+        };
         admission.go_on(step, wall);
         let chunks: BTreeSet<u32> = self.live.keys().map(|t| t / CHUNK_TASKS).collect();
         for index in chunks {
@@ -531,6 +595,9 @@
     /// launch that a successor of this placer knows nothing of, and against one of
     /// a gang that is not admitted in all of its chunks.
     pub(super) fn admitted(&self) -> bool {
-        self.admission.as_ref().is_some_and(|a| matches!(a.step, GangStep::Admitted | GangStep::Other)) && !self.step_unwritten()
+        self.admission
+            .as_ref()
+            .is_some_and(|a| matches!(a.step, GangStep::Admitted | GangStep::Other))
+            && !self.step_unwritten()
     }
 }
--- a/crates/coordination/src/ledger/mod.rs
+++ b/crates/coordination/src/ledger/mod.rs
@@ -32,7 +32,12 @@
 impl Admission {
     /// A gang that is about to be recorded with its first step.
     pub fn planned(attempt: u32, at: u64) -> Self {
-        Self { step: GangStep::Planned, at, attempt, since: None }
+        Self {
+            step: GangStep::Planned,
+            at,
+            attempt,
+            since: None,
+        }
     }
 
     /// Goes on to a step that is not written yet.
@@ -42,14 +47,20 @@
 
     /// What its chunks carry.
     pub fn record(&self) -> GangRecord {
-        GangRecord { step: self.step, at: self.at, a: self.attempt }
+        GangRecord {
+            step: self.step,
+            at: self.at,
+            a: self.attempt,
+        }
     }
 }
 
 /// The step that an earlier holder of the part left a gang at, read from its
 /// chunks with live members: each one's attempt numbers, and what it carries of
 /// the ledger. The least step of all counts.
-pub fn inherited<'a>(chunks: impl Iterator<Item = (u32, Option<&'a GangRecord>)>) -> Option<(GangStep, u64, u32)> {
+pub fn inherited<'a>(
+    chunks: impl Iterator<Item = (u32, Option<&'a GangRecord>)>,
+) -> Option<(GangStep, u64, u32)> {
     let mut found: Option<(GangStep, u64, u32)> = None;
     for (attempt, record) in chunks {
         // One without a step was written by an earlier version: its gang may have
@@ -64,7 +75,9 @@
             // Guards against members of two attempts, as a placer leaves them that
             // ended between two transactions of one very large gang: they never
             // find one another.
-            Some((_, at_before, a)) if a != attempt => (GangStep::Released, at.max(at_before), a.max(attempt)),
+            Some((_, at_before, a)) if a != attempt => {
+                (GangStep::Released, at.max(at_before), a.max(attempt))
+            }
             Some((before, at_before, a)) => (least(before, step), at.max(at_before), a),
         });
     }
@@ -74,7 +87,11 @@
 /// Of two steps that chunks of one gang carry, the one that counts: a release
 /// that began is gone on with, and what is not admitted everywhere isn't.
 fn least(a: GangStep, b: GangStep) -> GangStep {
-    if a == GangStep::Released || b == GangStep::Released { GangStep::Released } else { a.min(b) }
+    if a == GangStep::Released || b == GangStep::Released {
+        GangStep::Released
+    } else {
+        a.min(b)
+    }
 }
 
 /// What a gang's members look like together.
@@ -100,7 +117,10 @@
         self.live += 1;
         self.stopped += u32::from(stopped);
         self.granted += u32::from(standing.is_some_and(|s| !s.ended()));
-        self.launched += u32::from(matches!(standing, Some(Standing::Preparing | Standing::Running)));
+        self.launched += u32::from(matches!(
+            standing,
+            Some(Standing::Preparing | Standing::Running)
+        ));
         self.running += u32::from(standing == Some(Standing::Running));
     }
 }
@@ -138,13 +158,21 @@
         // The end of a member was recorded, and its placer ended before it could
         // stop the rest: they would wait for it for ever.
         _ if members.live < members.needed => Verdict::Release(Why::NotWhole),
-        GangStep::Planned if admission.since.is_some() && members.stopped == 0 && members.granted == members.live => Verdict::Admit,
+        GangStep::Planned
+            if admission.since.is_some()
+                && members.stopped == 0
+                && members.granted == members.live =>
+        {
+            Verdict::Admit
+        }
         // A controller of an earlier version went on from here.
         _ if members.running > 0 => Verdict::Wait(None),
         GangStep::Planned => bounded(admission.since, GANG_GRANT_MS, Why::NotGranted),
-        GangStep::Admitted | GangStep::Other if members.launched < members.needed => {
-            bounded(admission.since, gang_wait_ms.max(GANG_HEAR_MS), Why::NotWhole)
-        }
+        GangStep::Admitted | GangStep::Other if members.launched < members.needed => bounded(
+            admission.since,
+            gang_wait_ms.max(GANG_HEAR_MS),
+            Why::NotWhole,
+        ),
         _ => Verdict::Wait(None),
     }
 }
@@ -154,7 +182,9 @@
 /// became of it meanwhile.
 pub fn counts_from(step: GangStep, age_ms: u64, gang_wait_ms: u64, now: u64) -> u64 {
     match step {
-        GangStep::Admitted | GangStep::Other => now.saturating_sub(age_ms.min(gang_wait_ms.saturating_sub(GANG_HEAR_MS))),
+        GangStep::Admitted | GangStep::Other => {
+            now.saturating_sub(age_ms.min(gang_wait_ms.saturating_sub(GANG_HEAR_MS)))
+        }
         _ => now,
     }
 }
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -99,8 +99,17 @@
     /// told what is wanted: what the one refused the other may have started, so that
     /// it would run twice, or on after its job is told to be withdrawn.
     fn take_view(&mut self, view: View, now: u64) {
-        if self.placer.wants_told_to(view.part).is_some_and(|token| view.token < token) {
-            debug!(part = self.lot.part, from = view.part, token = view.token, "its successor was told since; not taken");
+        if self
+            .placer
+            .wants_told_to(view.part)
+            .is_some_and(|token| view.token < token)
+        {
+            debug!(
+                part = self.lot.part,
+                from = view.part,
+                token = view.token,
+                "its successor was told since; not taken"
+            );
             return;
         }
         self.placer.take_view(view, now);
@@ -118,7 +127,10 @@
         Some(rank) => {
             let mut record = (*job.record).clone();
             record.spec.rank = rank;
-            MirroredJob { record: Arc::new(record), ..job.clone() }
+            MirroredJob {
+                record: Arc::new(record),
+                ..job.clone()
+            }
         }
         None => job.clone(),
     }
@@ -149,7 +161,12 @@
     /// A node without parts.
     pub fn new(config: Config, policy: Policy) -> Self {
         Self {
-            links: Links::new(config.me, config.members.iter().map(|m| m.host.clone()).collect(), &config.timing, config.wall_offset_ms),
+            links: Links::new(
+                config.me,
+                config.members.iter().map(|m| m.host.clone()).collect(),
+                &config.timing,
+                config.wall_offset_ms,
+            ),
             config,
             mirror: Mirror::default(),
             catalog: None,
@@ -171,9 +188,22 @@
     }
 
     /// Takes a part, with its task records.
-    pub fn adopt(&mut self, lot: Lot, chunks: &[(JobId, u32, ChunkRecord, u64)], images: Vec<ImagesRecord>, now: u64) {
+    pub fn adopt(
+        &mut self,
+        lot: Lot,
+        chunks: &[(JobId, u32, ChunkRecord, u64)],
+        images: Vec<ImagesRecord>,
+        now: u64,
+    ) {
         let parts = self.config.members.len() as u16;
-        let mut owner = Owner::new(lot.part, lot.token, parts, self.config.timing, self.policy.clone(), now);
+        let mut owner = Owner::new(
+            lot.part,
+            lot.token,
+            parts,
+            self.config.timing,
+            self.policy.clone(),
+            now,
+        );
         owner.learn_images(images);
         if let Some(catalog) = &self.catalog {
             owner.set_types(catalog.values());
@@ -191,12 +221,21 @@
         };
         let mut placer = Placer::new(lot.part, lot.token, parts, terms, now);
         if let Some(catalog) = &self.catalog {
-            placer.expect(&self.config.start_within, self.config.guarantee_within, catalog);
+            placer.expect(
+                &self.config.start_within,
+                self.config.guarantee_within,
+                catalog,
+            );
         }
         for (id, chunk, record, version) in chunks {
             placer.load_chunk(id, *chunk, record, *version);
         }
-        info!(part = lot.part, token = lot.token, chunks = chunks.len(), "part taken");
+        info!(
+            part = lot.part,
+            token = lot.token,
+            chunks = chunks.len(),
+            "part taken"
+        );
         self.links.note(now, format!("part {} taken", lot.part));
         self.parts.insert(
             lot.part,
@@ -225,7 +264,8 @@
             for (id, job) in &mirror.jobs {
                 part.placer.book.note(id, uses(job));
                 if Self::team_part(mirror, config, &job.record.spec.team) == lot.part {
-                    part.placer.set_job(id, Some(&with_rank(job, chains.lent(id))), now);
+                    part.placer
+                        .set_job(id, Some(&with_rank(job, chains.lent(id))), now);
                 }
             }
             part.know_needs();
@@ -248,7 +288,11 @@
     pub fn set_catalog(&mut self, catalog: Catalog) {
         for part in self.parts.values_mut() {
             part.owner.set_types(catalog.values());
-            part.placer.expect(&self.config.start_within, self.config.guarantee_within, &catalog);
+            part.placer.expect(
+                &self.config.start_within,
+                self.config.guarantee_within,
+                &catalog,
+            );
         }
         self.catalog = Some(catalog);
     }
@@ -263,7 +307,14 @@
         let lost: Vec<u16> = self
             .parts
             .values()
-            .filter(|p| revision >= p.lot.token && self.mirror.parts.get(&p.lot.part).is_none_or(|h| h.token != p.lot.token))
+            .filter(|p| {
+                revision >= p.lot.token
+                    && self
+                        .mirror
+                        .parts
+                        .get(&p.lot.part)
+                        .is_none_or(|h| h.token != p.lot.token)
+            })
             .map(|p| p.lot.part)
             .collect();
         for part in lost {
@@ -273,7 +324,12 @@
     }
 
     fn team_part(mirror: &Mirror, config: &Config, team: &str) -> u16 {
-        mirror.teams.get(team).copied().filter(|&p| usize::from(p) < config.members.len()).unwrap_or_else(|| config.default_part(team))
+        mirror
+            .teams
+            .get(team)
+            .copied()
+            .filter(|&p| usize::from(p) < config.members.len())
+            .unwrap_or_else(|| config.default_part(team))
     }
 
     fn jobs_changed(&mut self, now: u64) {
@@ -288,7 +344,8 @@
                     }
                     let index = Self::team_part(mirror, config, &job.record.spec.team);
                     if let Some(part) = self.parts.get_mut(&index) {
-                        part.placer.set_job(&id, Some(&with_rank(job, chains.lent(&id))), now);
+                        part.placer
+                            .set_job(&id, Some(&with_rank(job, chains.lent(&id))), now);
                     }
                 }
                 None => {
@@ -306,22 +363,49 @@
     /// Phase and counts of an unfinished job, as far as this node knows.
     pub fn progress(&self, id: &JobId, now: u64) -> (Phase, u64, u64, String) {
         let own = self.parts.values().find_map(|p| p.placer.job_note(id, now));
-        let lost = if own.is_none() { self.lost_placer(id, now) } else { None };
+        let lost = if own.is_none() {
+            self.lost_placer(id, now)
+        } else {
+            None
+        };
         let (done, running, reason) = own
-            .or_else(|| self.notes.get(id).map(|n| (u64::from(n.done), u64::from(n.running), n.reason.clone())))
+            .or_else(|| {
+                self.notes
+                    .get(id)
+                    .map(|n| (u64::from(n.done), u64::from(n.running), n.reason.clone()))
+            })
             .unwrap_or_else(|| (0, 0, "its team's controller has not taken it up yet".into()));
-        (if running > 0 { Phase::Running } else { Phase::Queued }, done, running, lost.unwrap_or(reason))
+        (
+            if running > 0 {
+                Phase::Running
+            } else {
+                Phase::Queued
+            },
+            done,
+            running,
+            lost.unwrap_or(reason),
+        )
     }
 
     /// Why this node can't know how a job stands: nobody places for its team, or
     /// who does can't be reached.
     fn lost_placer(&self, id: &JobId, now: u64) -> Option<String> {
         let team = &self.mirror.jobs.get(id)?.record.spec.team;
-        let Some(holder) = self.mirror.parts.get(&Self::team_part(&self.mirror, &self.config, team)) else {
-            return Some(format!("no controller places for {team}; another takes over within seconds"));
+        let Some(holder) =
+            self.mirror
+                .parts
+                .get(&Self::team_part(&self.mirror, &self.config, team))
+        else {
+            return Some(format!(
+                "no controller places for {team}; another takes over within seconds"
+            ));
         };
         let since = self.links.lost_since(&holder.host)?;
-        Some(format!("{}, which places for {team}, can't be reached from here since {} s", holder.host, now.saturating_sub(since) / 1_000))
+        Some(format!(
+            "{}, which places for {team}, can't be reached from here since {} s",
+            holder.host,
+            now.saturating_sub(since) / 1_000
+        ))
     }
 
     // ---- events ------------------------------------------------------------
@@ -331,9 +415,19 @@
         self.awake(now);
         // Guards against a controller that the store refuses alone and that
         // goes on answering its workers, while its successor waits for them.
-        if let Some(holder) = self.mirror.parts.get(&sync.from).filter(|h| h.token > sync.from_token) {
+        if let Some(holder) = self
+            .mirror
+            .parts
+            .get(&sync.from)
+            .filter(|h| h.token > sync.from_token)
+        {
             let (token, host) = (holder.token, holder.host.clone());
-            return Err(SyncRefusal::Superseded(Superseded { version: PEER_VERSION, part: sync.from, token, host }));
+            return Err(SyncRefusal::Superseded(Superseded {
+                version: PEER_VERSION,
+                part: sync.from,
+                token,
+                host,
+            }));
         }
         for note in &sync.notes {
             if self.mirror.jobs.contains_key(&note.job) {
@@ -347,7 +441,10 @@
         self.links.other_heard(sync.store_age_ms, now);
         let store_age_ms = self.links.store_age(now);
         let part = self.parts.get_mut(&sync.to).ok_or(SyncRefusal::Token)?;
-        part.owner.sync(sync, room, now).map(|view| View { store_age_ms, ..view })
+        part.owner.sync(sync, room, now).map(|view| View {
+            store_age_ms,
+            ..view
+        })
     }
 
     /// Another node says who holds a part now; if that is ours by an older
@@ -357,11 +454,25 @@
         if by.token <= known || usize::from(by.part) >= self.config.members.len() {
             return;
         }
-        if self.parts.get(&by.part).is_some_and(|p| p.lot.token < by.token) {
-            info!(part = by.part, host = by.host, "another controller has taken the part");
+        if self
+            .parts
+            .get(&by.part)
+            .is_some_and(|p| p.lot.token < by.token)
+        {
+            info!(
+                part = by.part,
+                host = by.host,
+                "another controller has taken the part"
+            );
             self.abandon(by.part, now);
         }
-        self.mirror.parts.insert(by.part, Holder { host: by.host, token: by.token });
+        self.mirror.parts.insert(
+            by.part,
+            Holder {
+                host: by.host,
+                token: by.token,
+            },
+        );
     }
 
     /// An owner on another node answered, or did not.
@@ -381,7 +492,10 @@
                     part.placer.lost(to);
                     line.failures += 1;
                     if line.failures == MAIL_AFTER_FAILURES {
-                        info!(part = lot.part, to, "no direct way to the owner; syncing through the store");
+                        info!(
+                            part = lot.part,
+                            to, "no direct way to the owner; syncing through the store"
+                        );
                     }
                 }
             }
@@ -399,16 +513,22 @@
             }
             match line.kind {
                 MailKind::Sync => match peer::read::<Sync>(&bytes) {
-                    Ok(sync) if sync.to == line.to => match self.sync_to(&sync, self.config.mail_bytes, now) {
-                        Ok(view) => effects.push(Effect::MailView(sync.from, view)),
-                        Err(refusal) => debug!(from = sync.from, to = sync.to, %refusal, "mailed sync not taken"),
-                    },
+                    Ok(sync) if sync.to == line.to => {
+                        match self.sync_to(&sync, self.config.mail_bytes, now) {
+                            Ok(view) => effects.push(Effect::MailView(sync.from, view)),
+                            Err(refusal) => {
+                                debug!(from = sync.from, to = sync.to, %refusal, "mailed sync not taken")
+                            }
+                        }
+                    }
                     _ => info!(from = line.from, to = line.to, "mailed sync not understood"),
                 },
-                MailKind::View => match (peer::read::<View>(&bytes), self.parts.get_mut(&line.to)) {
-                    (Ok(view), Some(part)) => part.take_view(view, now),
-                    _ => info!(from = line.from, to = line.to, "mailed view not understood"),
-                },
+                MailKind::View => {
+                    match (peer::read::<View>(&bytes), self.parts.get_mut(&line.to)) {
+                        (Ok(view), Some(part)) => part.take_view(view, now),
+                        _ => info!(from = line.from, to = line.to, "mailed view not understood"),
+                    }
+                }
             }
         }
         effects
@@ -416,7 +536,11 @@
 
     /// An owner on another node has news for one of our parts.
     pub fn nudged(&mut self, part: u16, from: u16) {
-        if let Some(line) = self.parts.get_mut(&part).and_then(|p| p.lines.get_mut(usize::from(from))) {
+        if let Some(line) = self
+            .parts
+            .get_mut(&part)
+            .and_then(|p| p.lines.get_mut(usize::from(from)))
+        {
             line.dirty = true;
         }
     }
@@ -427,7 +551,11 @@
         let Some(part) = self.part(lot) else {
             return TxnVerdict::Fine;
         };
-        let revision = if let TxnOutcome::Done(revision) = outcome { revision } else { 0 };
+        let revision = if let TxnOutcome::Done(revision) = outcome {
+            revision
+        } else {
+            0
+        };
         let (verdict, ends) = part.placer.txn_done(outcome, now);
         for (id, phase) in ends {
             self.mirror.settle(&id, phase, revision, now);
@@ -466,7 +594,10 @@
             _ => Vec::new(),
         };
         let Some(part) = self.part(lot) else { return };
-        let under_way = part.rentals.iter().position(|(r, _)| r.booking == rental.booking);
+        let under_way = part
+            .rentals
+            .iter()
+            .position(|(r, _)| r.booking == rental.booking);
         if let Some(i) = under_way {
             match &result {
                 RentResult::Again => part.rentals[i].1 = false,
@@ -493,7 +624,13 @@
                 }
             }
             RentResult::NoCapacity => {
-                info!(part = lot.part, kind = rental.kind, zone = rental.zone, spot = rental.spot, "no capacity");
+                info!(
+                    part = lot.part,
+                    kind = rental.kind,
+                    zone = rental.zone,
+                    spot = rental.spot,
+                    "no capacity"
+                );
                 part.shortage.note(rental, now);
             }
             RentResult::Again => part.rent_after = now + CLOUD_TROUBLE_MS,
@@ -511,10 +648,14 @@
     pub fn listed(&mut self, entries: &[RentalEntry], now: u64) {
         let mut by_part: BTreeMap<u16, Vec<RentalEntry>> = BTreeMap::new();
         for e in entries {
-            by_part.entry(self.config.part_of(&e.zone, &e.id)).or_default().push(e.clone());
+            by_part
+                .entry(self.config.part_of(&e.zone, &e.id))
+                .or_default()
+                .push(e.clone());
         }
         for (index, part) in &mut self.parts {
-            part.owner.listed(by_part.get(index).map_or(&[], Vec::as_slice), now);
+            part.owner
+                .listed(by_part.get(index).map_or(&[], Vec::as_slice), now);
         }
     }
 
@@ -527,14 +668,19 @@
 
     /// True if an owner is told through the store: news of it come that way too.
     pub fn mailing(&self) -> bool {
-        self.parts.values().any(|p| p.lines.iter().any(|l| l.failures >= MAIL_AFTER_FAILURES))
+        self.parts
+            .values()
+            .any(|p| p.lines.iter().any(|l| l.failures >= MAIL_AFTER_FAILURES))
     }
 
     /// True if something only waits for one of the short gaps to pass.
     pub fn hurried(&self, now: u64) -> bool {
-        self.parts
-            .values()
-            .any(|p| p.placer.wants_pass(now) || p.lines.iter().any(|l| l.dirty && !l.busy && l.failures < MAIL_AFTER_FAILURES))
+        self.parts.values().any(|p| {
+            p.placer.wants_pass(now)
+                || p.lines
+                    .iter()
+                    .any(|l| l.dirty && !l.busy && l.failures < MAIL_AFTER_FAILURES)
+        })
     }
 
     /// Work and judgements of the parts held, counted since each was taken;
@@ -542,7 +688,11 @@
     pub fn tally(&self) -> Tally {
         self.parts.values().fold(Tally::default(), |sum, part| {
             let (refused, pushed_out) = part.owner.judged();
-            Tally { looked: sum.looked + part.placer.looked(), refused: sum.refused + refused, pushed_out: sum.pushed_out + pushed_out }
+            Tally {
+                looked: sum.looked + part.placer.looked(),
+                refused: sum.refused + refused,
+                pushed_out: sum.pushed_out + pushed_out,
+            }
         })
     }
 }
--- a/crates/coordination/src/links/mod.rs
+++ b/crates/coordination/src/links/mod.rs
@@ -130,7 +130,13 @@
 
     /// The history, oldest first.
     pub fn events(&self) -> Vec<EventRow> {
-        self.events.iter().map(|(at, text)| EventRow { at: at + self.wall_offset_ms, text: text.clone() }).collect()
+        self.events
+            .iter()
+            .map(|(at, text)| EventRow {
+                at: at + self.wall_offset_ms,
+                text: text.clone(),
+            })
+            .collect()
     }
 
     /// This process stood still for so long: silence meanwhile tells nothing of a
@@ -138,7 +144,10 @@
     pub(crate) fn stood_still(&mut self, gap: u64, now: u64) {
         self.rousing_until = now + STOOD_STILL_MS;
         self.zones.values_mut().for_each(|at| *at += gap);
-        self.peers.iter_mut().filter_map(|p| p.heard.as_mut()).for_each(|at| *at += gap);
+        self.peers
+            .iter_mut()
+            .filter_map(|p| p.heard.as_mut())
+            .for_each(|at| *at += gap);
     }
 
     // ---- the store's word ----------------------------------------------------
@@ -155,7 +164,8 @@
 
     /// ms since then.
     pub(crate) fn store_age(&self, now: u64) -> u64 {
-        self.store_heard.map_or(u64::MAX, |at| now.saturating_sub(at))
+        self.store_heard
+            .map_or(u64::MAX, |at| now.saturating_sub(at))
     }
 
     /// True if the store was heard so lately, on whatever way, that a question to it
@@ -183,14 +193,17 @@
         // fails for all: the others' word must be newer by more than the
         // moments by which readings differ.
         let others = self.others_heard.is_some_and(|others| {
-            now <= others + UNREADY_MS + COPY_REFRESH_MS && self.store_heard.is_none_or(|own| others > own + UNREADY_MS)
+            now <= others + UNREADY_MS + COPY_REFRESH_MS
+                && self.store_heard.is_none_or(|own| others > own + UNREADY_MS)
         });
         others || self.store_age(now) > self.unready_ms() && self.apart(now)
     }
 
     /// True if there are other controllers and none is in touch with this one.
     pub(crate) fn apart(&self, now: u64) -> bool {
-        let mut others = (0..self.hosts.len() as u16).filter(|h| *h != self.me).peekable();
+        let mut others = (0..self.hosts.len() as u16)
+            .filter(|h| *h != self.me)
+            .peekable();
         others.peek().is_some() && others.all(|h| self.peer(h, now) == Standing::Down)
     }
 
@@ -235,7 +248,11 @@
         let before = way.carrier();
         let by = way.route(large, &able, now);
         if let Some(host) = by.filter(|_| by != before) {
-            let text = format!("what goes to the {} is carried by {}", name(service), self.hosts[usize::from(host)]);
+            let text = format!(
+                "what goes to the {} is carried by {}",
+                name(service),
+                self.hosts[usize::from(host)]
+            );
             self.note(now, text);
         }
         by
@@ -273,7 +290,10 @@
 
     /// Services whose direct way should be tried now.
     pub(crate) fn probes(&mut self, now: u64) -> Vec<Service> {
-        [Service::Store, Service::Cloud].into_iter().filter(|s| self.way(*s).probe(now)).collect()
+        [Service::Store, Service::Cloud]
+            .into_iter()
+            .filter(|s| self.way(*s).probe(now))
+            .collect()
     }
 
     /// An answer of a service took so long, by itself or carried.
@@ -295,16 +315,36 @@
             host: self.me,
             store_ms: age(self.store.word()),
             cloud_ms: age(self.cloud.word()),
-            peers: peers.map(|(host, p)| (host, self.peer(host, now), now.saturating_sub(p.out.since()))).collect(),
-            zones: self.zones.iter().map(|(zone, at)| (zone.clone(), now.saturating_sub(*at))).collect(),
+            peers: peers
+                .map(|(host, p)| {
+                    (
+                        host,
+                        self.peer(host, now),
+                        now.saturating_sub(p.out.since()),
+                    )
+                })
+                .collect(),
+            zones: self
+                .zones
+                .iter()
+                .map(|(zone, at)| (zone.clone(), now.saturating_sub(*at)))
+                .collect(),
         }
     }
 
     /// Controllers that are to be told now, and what.
     pub(crate) fn hails(&mut self, now: u64) -> Vec<(u16, Word)> {
         let me = self.me;
-        let due: Vec<u16> = (0..).zip(&self.peers).filter(|(h, p)| *h != me && !p.hailing && now >= p.hail_at).map(|(h, _)| h).collect();
-        let word = if due.is_empty() { Word::default() } else { self.word(now) };
+        let due: Vec<u16> = (0..)
+            .zip(&self.peers)
+            .filter(|(h, p)| *h != me && !p.hailing && now >= p.hail_at)
+            .map(|(h, _)| h)
+            .collect();
+        let word = if due.is_empty() {
+            Word::default()
+        } else {
+            self.word(now)
+        };
         for host in &due {
             let peer = &mut self.peers[usize::from(*host)];
             (peer.hailing, peer.hail_at) = (true, now + HAIL_MS);
@@ -318,7 +358,10 @@
         if let Some(peer) = self.peers.get_mut(usize::from(host)) {
             peer.hailing = false;
             if answered {
-                peer.times.record(now.saturating_sub(peer.hail_at.saturating_sub(HAIL_MS)), now);
+                peer.times.record(
+                    now.saturating_sub(peer.hail_at.saturating_sub(HAIL_MS)),
+                    now,
+                );
             }
         }
         if let Some(word) = word.filter(|w| w.host == host) {
@@ -334,7 +377,11 @@
     }
 
     fn said(&mut self, word: Word, now: u64) {
-        if let Some(peer) = self.peers.get_mut(usize::from(word.host)).filter(|_| word.host != self.me) {
+        if let Some(peer) = self
+            .peers
+            .get_mut(usize::from(word.host))
+            .filter(|_| word.host != self.me)
+        {
             peer.heard = Some(now);
             peer.said = Some((now, word));
         }
@@ -345,16 +392,25 @@
         if !good && now < self.rousing_until {
             return;
         }
-        let Some(peer) = self.peers.get_mut(usize::from(host)) else { return };
+        let Some(peer) = self.peers.get_mut(usize::from(host)) else {
+            return;
+        };
         let (before, was_down) = (peer.out.since(), peer.out.down());
-        let changed = if good { peer.out.answer(now) } else { peer.out.miss(now) };
+        let changed = if good {
+            peer.out.answer(now)
+        } else {
+            peer.out.miss(now)
+        };
         if !changed {
             return;
         }
         let name = &self.hosts[usize::from(host)];
         let text = match (good, peer.out.down()) {
             (false, true) => format!("{name} does not answer"),
-            (true, _) if was_down => format!("{name} answers again after {} s", now.saturating_sub(before) / 1_000),
+            (true, _) if was_down => format!(
+                "{name} answers again after {} s",
+                now.saturating_sub(before) / 1_000
+            ),
             _ => return,
         };
         self.note(now, text);
@@ -362,7 +418,9 @@
 
     /// How the link to another controller stands.
     pub(crate) fn peer(&self, host: u16, now: u64) -> Standing {
-        let Some(peer) = self.peers.get(usize::from(host)) else { return Standing::Unknown };
+        let Some(peer) = self.peers.get(usize::from(host)) else {
+            return Standing::Unknown;
+        };
         match peer.out.standing() {
             Standing::Down if peer.heard.is_some_and(|at| now <= at + HEARD_MS) => Standing::OneWay,
             standing => standing,
@@ -400,19 +458,35 @@
     /// while that says nothing: all may have gone to other controllers.
     pub(crate) fn hears_nobody(&self, now: u64) -> bool {
         let newest = self.zones.values().max().copied().unwrap_or(0);
-        self.reports > MASS_SILENT as u64 && now > newest + self.unheard_ms() && now < newest + DEAF_MS
+        self.reports > MASS_SILENT as u64
+            && now > newest + self.unheard_ms()
+            && now < newest + DEAF_MS
     }
 
     /// How to answer a worker whose part another controller holds.
     pub(crate) fn stray(&mut self, r: &StrayReport, now: u64) -> Stray {
-        let (unheard_ms, reachable) = (self.unheard_ms(), matches!(self.peer(r.holder, now), Standing::Up | Standing::Late));
-        let word = self.peers.get(usize::from(r.holder)).and_then(|p| p.said.as_ref()).filter(|(at, _)| now <= at + HEARD_MS);
+        let (unheard_ms, reachable) = (
+            self.unheard_ms(),
+            matches!(self.peer(r.holder, now), Standing::Up | Standing::Late),
+        );
+        let word = self
+            .peers
+            .get(usize::from(r.holder))
+            .and_then(|p| p.said.as_ref())
+            .filter(|(at, _)| now <= at + HEARD_MS);
         let Some((_, word)) = word.filter(|_| reachable) else {
             // One that comes from the holder, or is back so soon, is not sent there
             // once more, but tries whoever is next: that may reach the holder.
-            return if r.again || r.knows { Stray::Unable } else { Stray::Send };
+            return if r.again || r.knows {
+                Stray::Unable
+            } else {
+                Stray::Send
+            };
         };
-        let heard = word.zones.iter().any(|(zone, ms)| zone == r.zone && *ms <= unheard_ms);
+        let heard = word
+            .zones
+            .iter()
+            .any(|(zone, ms)| zone == r.zone && *ms <= unheard_ms);
         self.carriage.choose(r, r.knows || r.again, heard, now)
     }
 
@@ -437,7 +511,10 @@
             said_s: 0,
         };
         for (service, way) in [(Service::Store, &self.store), (Service::Cloud, &self.cloud)] {
-            let carried = way.carrier().filter(|_| way.small.down() || way.large.down()).map(host);
+            let carried = way
+                .carrier()
+                .filter(|_| way.small.down() || way.large.down())
+                .map(host);
             rows.push(own(
                 name(service).to_owned(),
                 way.small.standing(),
@@ -447,11 +524,29 @@
             ));
         }
         for (h, peer) in (0..).zip(&self.peers).filter(|(h, _)| *h != self.me) {
-            rows.push(own(host(h), self.peer(h, now), peer.out.since(), None, peer.times.spread()));
+            rows.push(own(
+                host(h),
+                self.peer(h, now),
+                peer.out.since(),
+                None,
+                peer.times.spread(),
+            ));
         }
-        let zone_standing = |silent_ms: u64| if silent_ms <= self.unheard_ms() { Standing::Up } else { Standing::Unknown };
+        let zone_standing = |silent_ms: u64| {
+            if silent_ms <= self.unheard_ms() {
+                Standing::Up
+            } else {
+                Standing::Unknown
+            }
+        };
         for (zone, at) in &self.zones {
-            rows.push(own(format!("workers of {zone}"), zone_standing(now.saturating_sub(*at)), *at, None, None));
+            rows.push(own(
+                format!("workers of {zone}"),
+                zone_standing(now.saturating_sub(*at)),
+                *at,
+                None,
+                None,
+            ));
         }
         for (at, word) in self.peers.iter().filter_map(|p| p.said.as_ref()) {
             let said_s = now.saturating_sub(*at) / 1_000;
@@ -466,11 +561,25 @@
             };
             for service in [Service::Store, Service::Cloud] {
                 let age = word.age_ms(service);
-                let standing = age.map_or(Standing::Unknown, |ms| if ms <= fresh_ms(service) { Standing::Up } else { Standing::Down });
+                let standing = age.map_or(Standing::Unknown, |ms| {
+                    if ms <= fresh_ms(service) {
+                        Standing::Up
+                    } else {
+                        Standing::Down
+                    }
+                });
                 rows.push(row(name(service).to_owned(), standing, age.unwrap_or(0)));
             }
-            rows.extend(word.peers.iter().map(|(h, standing, ms)| row(host(*h), *standing, *ms)));
-            rows.extend(word.zones.iter().map(|(zone, ms)| row(format!("workers of {zone}"), zone_standing(*ms), *ms)));
+            rows.extend(
+                word.peers
+                    .iter()
+                    .map(|(h, standing, ms)| row(host(*h), *standing, *ms)),
+            );
+            rows.extend(
+                word.zones
+                    .iter()
+                    .map(|(zone, ms)| row(format!("workers of {zone}"), zone_standing(*ms), *ms)),
+            );
         }
         rows
     }
--- a/crates/coordination/src/links/outward.rs
+++ b/crates/coordination/src/links/outward.rs
@@ -52,8 +52,13 @@
         }
         // In an outage for all nobody's word is newer than ours, so that
         // nothing is carried in a circle of those who have none.
-        let newer = |at: u64| large_down || self.word().is_none_or(|own| at > own + CARRIER_NEWER_MS);
-        let fit: Vec<u16> = able.iter().filter(|(_, at)| newer(*at)).map(|(host, _)| *host).collect();
+        let newer =
+            |at: u64| large_down || self.word().is_none_or(|own| at > own + CARRIER_NEWER_MS);
+        let fit: Vec<u16> = able
+            .iter()
+            .filter(|(_, at)| newer(*at))
+            .map(|(host, _)| *host)
+            .collect();
         let rested = |host: &u16| self.resting.get(host).is_none_or(|until| now >= *until);
         // Who carries goes on, so that a route does not swing between two.
         let same = self.carrier.filter(|c| fit.contains(c) && rested(c));
@@ -63,13 +68,21 @@
 
     /// The direct way was tried; true if the way changes by it.
     pub(crate) fn tried(&mut self, large: bool, good: bool, now: u64) -> bool {
-        let gauge = if large { &mut self.large } else { &mut self.small };
+        let gauge = if large {
+            &mut self.large
+        } else {
+            &mut self.small
+        };
         if !good {
             self.good_since = None;
             let fell = gauge.miss(now) && gauge.down();
             if fell {
                 let flaps = self.fell_at.is_some_and(|at| now < at + FLAPPING_MS);
-                self.patience_ms = if flaps { (2 * self.patience_ms).min(DIRECT_AGAIN_MOST_MS) } else { DIRECT_AGAIN_MS };
+                self.patience_ms = if flaps {
+                    (2 * self.patience_ms).min(DIRECT_AGAIN_MOST_MS)
+                } else {
+                    DIRECT_AGAIN_MS
+                };
                 self.fell_at = Some(now);
                 self.probe_at = now + PROBE_MS;
                 self.large_trial = now + LARGE_TRIAL_MS;
@@ -136,7 +149,10 @@
     fn an_outage_for_all_is_carried_by_nobody() {
         let mut way = fallen(1_000);
         // The others' last words are as old as ours.
-        assert_eq!(way.route(false, &[(1, 1_000 + CARRIER_NEWER_MS), (2, 900)], 3_600), None);
+        assert_eq!(
+            way.route(false, &[(1, 1_000 + CARRIER_NEWER_MS), (2, 900)], 3_600),
+            None
+        );
     }
 
     #[test]
@@ -147,7 +163,10 @@
         for _ in 0..4 {
             assert_eq!(way.route(false, &[(1, now)], now), Some(1));
             let began = now;
-            while way.route(false, &[(1, now + CARRIER_NEWER_MS + 1)], now).is_some() {
+            while way
+                .route(false, &[(1, now + CARRIER_NEWER_MS + 1)], now)
+                .is_some()
+            {
                 now += 500;
                 way.tried(false, true, now);
             }
--- a/crates/coordination/src/links/relay.rs
+++ b/crates/coordination/src/links/relay.rs
@@ -41,14 +41,28 @@
     /// can't reach that owner, whose token it shows or to whom it was sent a moment
     /// ago. `heard`: workers of its zone come to the owner by themselves, as that
     /// says.
-    pub(crate) fn choose(&mut self, r: &StrayReport, in_vain: bool, heard: bool, now: u64) -> Stray {
+    pub(crate) fn choose(
+        &mut self,
+        r: &StrayReport,
+        in_vain: bool,
+        heard: bool,
+        now: u64,
+    ) -> Stray {
         self.sweep(now);
         if !in_vain {
             self.riders.remove(r.machine);
             return Stray::Send;
         }
         let Some(rider) = self.riders.get_mut(r.machine) else {
-            self.riders.insert(r.machine.clone(), RelayedRequest { tried: false, since: now, carried_ms: CARRIED_MS, seen: now });
+            self.riders.insert(
+                r.machine.clone(),
+                RelayedRequest {
+                    tried: false,
+                    since: now,
+                    carried_ms: CARRIED_MS,
+                    seen: now,
+                },
+            );
             return Stray::Carry;
         };
         rider.seen = now;
@@ -57,7 +71,10 @@
             rider.carried_ms = (2 * rider.carried_ms).min(CARRIED_MOST_MS);
             return Stray::Carry;
         }
-        let scout = self.scouts.entry((r.part, r.zone.to_owned())).or_insert(now);
+        let scout = self
+            .scouts
+            .entry((r.part, r.zone.to_owned()))
+            .or_insert(now);
         if now < rider.since + rider.carried_ms || !heard && now < *scout {
             return Stray::Carry;
         }
@@ -68,7 +85,10 @@
 
     /// Number of workers carried of late.
     pub(crate) fn riders(&self, now: u64) -> usize {
-        self.riders.values().filter(|r| now < r.seen + CARRIED_MS).count()
+        self.riders
+            .values()
+            .filter(|r| now < r.seen + CARRIED_MS)
+            .count()
     }
 
     fn sweep(&mut self, now: u64) {
@@ -87,7 +107,19 @@
 
     fn come(c: &mut Carriage, machine: &str, in_vain: bool, heard: bool, now: u64) -> Stray {
         let machine = MachineId::from(machine);
-        c.choose(&StrayReport { part: 0, holder: 1, zone: "north", machine: &machine, again: false, knows: false }, in_vain, heard, now)
+        c.choose(
+            &StrayReport {
+                part: 0,
+                holder: 1,
+                zone: "north",
+                machine: &machine,
+                again: false,
+                knows: false,
+            },
+            in_vain,
+            heard,
+            now,
+        )
     }
 
     #[test]
@@ -119,7 +151,10 @@
         now += CARRIED_MOST_MS - 5_000;
         let mut back = 0;
         for step in 0..8 {
-            back += names.iter().filter(|n| come(&mut c, n, true, true, now + step * 5_000) == Stray::Send).count();
+            back += names
+                .iter()
+                .filter(|n| come(&mut c, n, true, true, now + step * 5_000) == Stray::Send)
+                .count();
         }
         assert!(back >= names.len(), "{back}");
     }
--- a/crates/coordination/src/links/times.rs
+++ b/crates/coordination/src/links/times.rs
@@ -17,8 +17,14 @@
     fn default() -> Self {
         // Two digits between 1 ms and the longest wait: some KiB. The bounds
         // are constants that the library accepts; `unwrap_or_else` names them.
-        let new = || Histogram::new_with_bounds(1, TIMES_MOST_MS, 2).unwrap_or_else(|e| unreachable!("{e}"));
-        Self { now: new(), before: new(), began: 0 }
+        let new = || {
+            Histogram::new_with_bounds(1, TIMES_MOST_MS, 2).unwrap_or_else(|e| unreachable!("{e}"))
+        };
+        Self {
+            now: new(),
+            before: new(),
+            began: 0,
+        }
     }
 }
 
--- a/crates/coordination/src/machine.rs
+++ b/crates/coordination/src/machine.rs
@@ -70,7 +70,13 @@
 impl Aside {
     /// Set aside from now on.
     pub(super) fn new(faulty: bool, now: u64) -> Self {
-        Self { until: now + TRIAL_MS, failed: 0, ready: false, trial: None, faulty }
+        Self {
+            until: now + TRIAL_MS,
+            failed: 0,
+            ready: false,
+            trial: None,
+            faulty,
+        }
     }
 
     /// It takes the one task that is its trial.
@@ -189,7 +195,10 @@
 
     /// Nobody but a report or two that may be old tells of it.
     pub(super) fn hearsay(&self) -> bool {
-        self.heard.is_none() && self.ran.is_none() && !self.announced && self.worker_session.only_heard_of().is_some()
+        self.heard.is_none()
+            && self.ran.is_none()
+            && !self.announced
+            && self.worker_session.only_heard_of().is_some()
     }
 
     /// No order that could start something is of unknown fate.
@@ -201,7 +210,9 @@
     pub(super) fn fetch_ms(&self, gb_per_s: Option<f64>) -> u64 {
         let sum: u64 = self.images.iter().map(|(_, mb)| mb).sum();
         let usual = sum as f64 / self.images.len().max(1) as f64;
-        gb_per_s.filter(|r| *r > 0.0).map_or(0, |r| (usual / r) as u64)
+        gb_per_s
+            .filter(|r| *r > 0.0)
+            .map_or(0, |r| (usual / r) as u64)
     }
 
     /// Notes the use of an image. The worker keeps the most recently used
@@ -232,6 +243,8 @@
     /// its successor keeps the machine's tasks alive: only a `word` from the
     /// store that began after the lease's end shows that nobody else answered.
     pub(super) fn dead(&self, word: u64, timing: &Timing) -> bool {
-        self.worker_session.leased_at().is_some_and(|at| word > at + timing.dead_after_ms())
+        self.worker_session
+            .leased_at()
+            .is_some_and(|at| word > at + timing.dead_after_ms())
     }
 }
--- a/crates/coordination/src/membership.rs
+++ b/crates/coordination/src/membership.rs
@@ -42,7 +42,10 @@
 impl Membership {
     /// Knows nothing yet of this many parts.
     pub fn new(parts: usize) -> Self {
-        Self { empty_since: vec![None; parts], left: BTreeMap::new() }
+        Self {
+            empty_since: vec![None; parts],
+            left: BTreeMap::new(),
+        }
     }
 
     /// Number of parts.
@@ -61,7 +64,11 @@
         if core.links.hears_nobody(now) && (leaves_some || !core.held().is_empty()) {
             return (0..self.parts()).collect();
         }
-        self.left.iter().filter(|(_, (until, _))| now < *until).map(|(part, _)| *part).collect()
+        self.left
+            .iter()
+            .filter(|(_, (until, _))| now < *until)
+            .map(|(part, _)| *part)
+            .collect()
     }
 
     /// What this node's presence has to say that it leaves, if it says otherwise or
@@ -70,7 +77,11 @@
     pub fn unshown(&self, core: &Core, now: u64) -> Option<Vec<u16>> {
         let me = &core.config.members[usize::from(core.config.me)].host;
         let left = self.left(core, now);
-        core.mirror.nodes.get(me).is_none_or(|n| n.deaf != left).then_some(left)
+        core.mirror
+            .nodes
+            .get(me)
+            .is_none_or(|n| n.deaf != left)
+            .then_some(left)
     }
 
     /// What to do about one part, as far as the node's copy shows. Call it for
@@ -83,31 +94,48 @@
         let members = &core.config.members;
         let home = &members.get(usize::from(part))?.host;
         let me = &members[usize::from(core.config.me)].host;
-        let leaves = |host: &str| core.mirror.nodes.get(host).is_some_and(|n| n.deaf.contains(&part));
+        let leaves = |host: &str| {
+            core.mirror
+                .nodes
+                .get(host)
+                .is_some_and(|n| n.deaf.contains(&part))
+        };
         let home_serves = core.mirror.nodes.contains_key(home) && !leaves(home);
         // Where all that live leave it, somebody must hold it all the same.
-        let spared = self.left(core, now).contains(&part) && core.mirror.nodes.keys().any(|n| n != me && !leaves(n));
+        let spared = self.left(core, now).contains(&part)
+            && core.mirror.nodes.keys().any(|n| n != me && !leaves(n));
         // Its home lives and can't serve it, nor can anybody else: no use waiting.
-        let alone = core.mirror.nodes.contains_key(home) && core.mirror.nodes.keys().all(|n| n == me || leaves(n));
+        let alone = core.mirror.nodes.contains_key(home)
+            && core.mirror.nodes.keys().all(|n| n == me || leaves(n));
         let held = core.held();
         let lot = held.iter().find(|l| l.part == part).copied();
         let slot = self.empty_since.get_mut(usize::from(part))?;
         match (core.mirror.parts.get(&part), lot) {
             (None, None) => {
                 let since = *slot.get_or_insert(now);
-                let wait = if alone { 0 } else { TAKEOVER_WAIT_MS + HEIR_STEP_MS * heirs_before(core, part, held.len()) };
+                let wait = if alone {
+                    0
+                } else {
+                    TAKEOVER_WAIT_MS + HEIR_STEP_MS * heirs_before(core, part, held.len())
+                };
                 let mine = home == me || !home_serves && now >= since + wait;
                 (mine && !spared).then_some(Claim::Take { part, version: 0 })
             }
             // Left by an earlier process of this name, which is no more.
-            (Some(h), None) if h.host == *me => Some(Claim::Take { part, version: h.token }),
+            (Some(h), None) if h.host == *me => Some(Claim::Take {
+                part,
+                version: h.token,
+            }),
             (Some(_), Some(lot)) if home != me && home_serves => {
                 *slot = None;
                 Some(Claim::HandBack(lot))
             }
             // Guards against a whole part whose leases run out since its holder
             // alone is cut from the workers.
-            (Some(_), Some(lot)) if core.deaf(part, now) && core.mirror.nodes.keys().any(|n| n != me && !leaves(n)) => {
+            (Some(_), Some(lot))
+                if core.deaf(part, now)
+                    && core.mirror.nodes.keys().any(|n| n != me && !leaves(n)) =>
+            {
                 *slot = None;
                 // Guards against a longer time for each try that got no answer: what it
                 // was left for last counts once that is over.
@@ -139,10 +167,26 @@
         (held, members[at].zone != members[home].zone, turn)
     };
     let mine = rank(usize::from(core.config.me), held);
-    let holds = |host: &str| core.mirror.parts.values().filter(|h| h.host == host).count();
-    let willing = |host: &str| core.mirror.nodes.get(host).is_some_and(|n| !n.deaf.contains(&part));
-    let others = members.iter().enumerate().filter(|(at, m)| *at != usize::from(core.config.me) && *at != home && willing(&m.host));
-    others.filter(|(at, m)| rank(*at, holds(&m.host)) < mine).count() as u64
+    let holds = |host: &str| {
+        core.mirror
+            .parts
+            .values()
+            .filter(|h| h.host == host)
+            .count()
+    };
+    let willing = |host: &str| {
+        core.mirror
+            .nodes
+            .get(host)
+            .is_some_and(|n| !n.deaf.contains(&part))
+    };
+    let others = members
+        .iter()
+        .enumerate()
+        .filter(|(at, m)| *at != usize::from(core.config.me) && *at != home && willing(&m.host));
+    others
+        .filter(|(at, m)| rank(*at, holds(&m.host)) < mine)
+        .count() as u64
 }
 
 impl Core {
@@ -154,14 +198,26 @@
     pub fn version_txn(&self) -> Option<Txn> {
         let (version, key_version) = self.mirror.records_version;
         let reads = |host: &str| self.mirror.nodes.get(host).map_or(0, |node| node.reads);
-        let all = self.config.members.iter().map(|member| reads(&member.host)).min().unwrap_or(0);
+        let all = self
+            .config
+            .members
+            .iter()
+            .map(|member| reads(&member.host))
+            .min()
+            .unwrap_or(0);
         (all > version).then(|| raise_version(all, key_version))
     }
 
     /// Teams that no record assigns to a part yet, with the part that each
     /// should have, as many as one transaction can write.
     pub fn unassigned_teams(&self) -> Vec<(String, u16)> {
-        let new = self.config.teams.iter().filter(|t| !self.mirror.teams.contains_key(*t));
-        new.map(|t| (t.clone(), self.config.default_part(t))).take(self.config.txn_ops).collect()
+        let new = self
+            .config
+            .teams
+            .iter()
+            .filter(|t| !self.mirror.teams.contains_key(*t));
+        new.map(|t| (t.clone(), self.config.default_part(t)))
+            .take(self.config.txn_ops)
+            .collect()
     }
 }
--- a/crates/coordination/src/owner/copies.rs
+++ b/crates/coordination/src/owner/copies.rs
@@ -24,9 +24,19 @@
         }
         let mut only: HashMap<(&str, &str), Option<&MachineId>> = HashMap::new();
         // What leaves anyway keeps nothing.
-        for (id, m) in self.machines.iter().filter(|(_, m)| m.heard.is_some() && !(m.closing || m.release_wanted || m.notice)) {
-            for (image, _) in m.images.iter().filter(|(image, _)| self.needed.contains(image)) {
-                only.entry((m.zone.as_str(), image.as_str())).and_modify(|one| *one = None).or_insert(Some(id));
+        for (id, m) in self
+            .machines
+            .iter()
+            .filter(|(_, m)| m.heard.is_some() && !(m.closing || m.release_wanted || m.notice))
+        {
+            for (image, _) in m
+                .images
+                .iter()
+                .filter(|(image, _)| self.needed.contains(image))
+            {
+                only.entry((m.zone.as_str(), image.as_str()))
+                    .and_modify(|one| *one = None)
+                    .or_insert(Some(id));
             }
         }
         self.last_copies = only.into_values().flatten().cloned().collect();
@@ -36,12 +46,25 @@
     /// of its type, zone and kind that has none: as many are given back as before,
     /// and the weights stay.
     pub(super) fn spare_last_copies(&mut self) {
-        let spared: Vec<MachineId> = self.to_close.iter().filter(|id| self.last_copies.contains(*id)).cloned().collect();
+        let spared: Vec<MachineId> = self
+            .to_close
+            .iter()
+            .filter(|id| self.last_copies.contains(*id))
+            .cloned()
+            .collect();
         for id in spared {
-            let Some(m) = self.machines.get(&id).filter(|m| !hopeless(m)) else { continue };
-            let alike = |o: &Machine| (&o.kind, &o.zone, o.spot) == (&m.kind, &m.zone, m.spot) && o.open();
-            let others = self.machines.iter().filter(|(other, o)| o.idle_since.is_some() && alike(o) && !self.last_copies.contains(*other));
-            let Some((other, since)) = others.map(|(other, o)| (other.clone(), o.idle_since)).min_by_key(|(_, since)| *since) else {
+            let Some(m) = self.machines.get(&id).filter(|m| !hopeless(m)) else {
+                continue;
+            };
+            let alike =
+                |o: &Machine| (&o.kind, &o.zone, o.spot) == (&m.kind, &m.zone, m.spot) && o.open();
+            let others = self.machines.iter().filter(|(other, o)| {
+                o.idle_since.is_some() && alike(o) && !self.last_copies.contains(*other)
+            });
+            let Some((other, since)) = others
+                .map(|(other, o)| (other.clone(), o.idle_since))
+                .min_by_key(|(_, since)| *since)
+            else {
                 continue;
             };
             info!(machine = %id, instead = %other, part = self.part, "last copy of a service's weights in its zone; another machine goes");
--- a/crates/coordination/src/owner/eviction.rs
+++ b/crates/coordination/src/owner/eviction.rs
@@ -7,9 +7,15 @@
     /// for it: what is over its guarantee first, then the lowest priority, then
     /// those past their start, and of these the youngest, who lose least.
     pub(super) fn push_out(&mut self, id: &AttemptId, now: u64) -> bool {
-        let Some(held) = self.held.get(id) else { return false };
+        let Some(held) = self.held.get(id) else {
+            return false;
+        };
         let want = held.want.clone();
-        let Some(m) = self.machines.get(&want.machine).filter(|m| m.open() && m.worker_session.session() > m.dead_session) else {
+        let Some(m) = self
+            .machines
+            .get(&want.machine)
+            .filter(|m| m.open() && m.worker_session.session() > m.dead_session)
+        else {
             return false;
         };
         if self.crowded(m) {
@@ -29,12 +35,23 @@
             .here(&want.machine)
             .filter(|(_, h)| matches!(h.stage, Stage::Accepted { .. }) && h.ending().is_none())
             .filter(|(_, h)| want.evict.allows(&want.team, want.rank, &h.want))
-            .map(|(id, h)| (h.want.over, h.want.rank, now > h.since + FRESH_START_MS, h.since, id.clone(), h.want.need))
+            .map(|(id, h)| {
+                (
+                    h.want.over,
+                    h.want.rank,
+                    now > h.since + FRESH_START_MS,
+                    h.since,
+                    id.clone(),
+                    h.want.need,
+                )
+            })
             .collect();
         candidates.sort_unstable();
         let mut victims = Vec::new();
         while !free.covers(&want.need) {
-            let Some((_, _, _, _, victim, room)) = candidates.pop() else { return false };
+            let Some((_, _, _, _, victim, room)) = candidates.pop() else {
+                return false;
+            };
             free = free.plus(&room);
             victims.push(victim);
         }
@@ -42,7 +59,11 @@
         for victim in victims {
             if let Some(h) = self.held.get_mut(&victim) {
                 info!(attempt = %victim, machine = %want.machine, part = self.part, by = %id, "pushed out");
-                let grace = if want.rank == Rank::Production { 0 } else { h.want.grace };
+                let grace = if want.rank == Rank::Production {
+                    0
+                } else {
+                    h.want.grace
+                };
                 h.evicted = Some(grace);
                 h.killed_at = None;
             }
@@ -53,12 +74,16 @@
 
     /// True if a task is on the machine that nobody has claimed yet.
     pub(super) fn crowded(&self, m: &Machine) -> bool {
-        m.tasks.iter().any(|(id, seen)| seen.phase != TaskPhase::Exited && !self.held.contains_key(id))
+        m.tasks
+            .iter()
+            .any(|(id, seen)| seen.phase != TaskPhase::Exited && !self.held.contains_key(id))
     }
 
     /// Room not taken by the accepted attempts other than this one.
     pub(super) fn room_without(&self, machine: &MachineId, id: &AttemptId) -> Room {
-        let Some(m) = self.machines.get(machine).filter(|m| !self.crowded(m)) else { return Room::default() };
+        let Some(m) = self.machines.get(machine).filter(|m| !self.crowded(m)) else {
+            return Room::default();
+        };
         let taken = self
             .here(machine)
             .filter(|(other, h)| *other != id && matches!(h.stage, Stage::Accepted { .. }))
@@ -70,13 +95,18 @@
     /// what teams run beyond their guarantees.
     pub(super) fn soft(&self, machine: &MachineId) -> ([Room; 3], [Room; 3]) {
         let (mut lower, mut over) = ([Room::default(); 3], [Room::default(); 3]);
-        for (_, h) in self.here(machine).filter(|(_, h)| matches!(h.stage, Stage::Accepted { .. }) && h.ending().is_none()) {
+        for (_, h) in self
+            .here(machine)
+            .filter(|(_, h)| matches!(h.stage, Stage::Accepted { .. }) && h.ending().is_none())
+        {
             for rank in 0..3 {
                 let below = h.want.rank.index() > rank;
                 if below && h.want.over {
                     lower[rank] = lower[rank].plus(&h.want.need);
                 }
-                if below || h.want.over && h.want.rank.index() == rank && h.want.rank != Rank::Production {
+                if below
+                    || h.want.over && h.want.rank.index() == rank && h.want.rank != Rank::Production
+                {
                     over[rank] = over[rank].plus(&h.want.need);
                 }
             }
@@ -87,23 +117,33 @@
     /// Room not taken by accepted attempts. Tasks that nobody has claimed yet
     /// have unknown needs, so a machine with such a task has no room.
     pub(super) fn free(&self, machine: &MachineId) -> Room {
-        let Some(m) = self.machines.get(machine).filter(|m| !self.crowded(m)) else { return Room::default() };
+        let Some(m) = self.machines.get(machine).filter(|m| !self.crowded(m)) else {
+            return Room::default();
+        };
         self.here(machine)
             .filter(|(_, h)| matches!(h.stage, Stage::Accepted { .. } | Stage::Waiting(_)))
             .fold(m.room, |free, (_, h)| free.minus(&h.want.need))
     }
 
     pub(super) fn busy(&self, machine: &MachineId) -> usize {
-        let held = self.here(machine).filter(|(_, h)| !matches!(h.stage, Stage::Ended(_))).count();
-        let unclaimed = self
-            .machines
-            .get(machine)
-            .map_or(0, |m| m.tasks.iter().filter(|(id, seen)| seen.phase != TaskPhase::Exited && !self.held.contains_key(id)).count());
+        let held = self
+            .here(machine)
+            .filter(|(_, h)| !matches!(h.stage, Stage::Ended(_)))
+            .count();
+        let unclaimed = self.machines.get(machine).map_or(0, |m| {
+            m.tasks
+                .iter()
+                .filter(|(id, seen)| seen.phase != TaskPhase::Exited && !self.held.contains_key(id))
+                .count()
+        });
         held + unclaimed
     }
 
     pub(super) fn lasting(&self, machine: &MachineId) -> u16 {
-        let count = self.here(machine).filter(|(_, h)| h.want.lasting && !matches!(h.stage, Stage::Ended(_))).count();
+        let count = self
+            .here(machine)
+            .filter(|(_, h)| h.want.lasting && !matches!(h.stage, Stage::Ended(_)))
+            .count();
         count.min(usize::from(u16::MAX)) as u16
     }
 }
--- a/crates/coordination/src/owner/mod.rs
+++ b/crates/coordination/src/owner/mod.rs
@@ -36,7 +36,10 @@
 use lemonweir_model::policy::Policy;
 use lemonweir_model::{AttemptId, MachineId, Rank, Room};
 use lemonweir_protocol::cloud::RentalEntry;
-use lemonweir_protocol::peer::{AttemptView, Cause, Follow, MachineView, Rented, Standing, Superseded, Sync, View, Want, written};
+use lemonweir_protocol::peer::{
+    AttemptView, Cause, Follow, MachineView, Rented, Standing, Superseded, Sync, View, Want,
+    written,
+};
 use lemonweir_protocol::worker::{Commands, Order, Report, ReportReply, TaskPhase, Verb};
 use lemonweir_storage::records::ImagesRecord;
 
@@ -246,7 +249,14 @@
 
 impl Owner {
     /// An owner that has just got its part with this token.
-    pub fn new(part: u16, token: u64, parts: u16, timing: Timing, policy: Policy, now: u64) -> Self {
+    pub fn new(
+        part: u16,
+        token: u64,
+        parts: u16,
+        timing: Timing,
+        policy: Policy,
+        now: u64,
+    ) -> Self {
         Self {
             part,
             token,
@@ -309,9 +319,11 @@
     pub fn set_types<'a>(&mut self, types: impl Iterator<Item = &'a lemonweir_model::MachineType>) {
         for t in types {
             self.rooms.insert(t.name.clone(), t.room);
-            self.boot_ms.insert(t.name.clone(), (t.boot_s * 1000.0) as u64);
+            self.boot_ms
+                .insert(t.name.clone(), (t.boot_s * 1000.0) as u64);
             self.fetch.insert(t.name.clone(), t.fetch_gb_per_s);
-            self.caches.insert(t.name.clone(), (t.cache_gb * 1000.0) as u64);
+            self.caches
+                .insert(t.name.clone(), (t.cache_gb * 1000.0) as u64);
         }
         for m in self.machines.values_mut() {
             m.room = self.rooms.get(&m.kind).copied().unwrap_or_default();
@@ -321,7 +333,11 @@
 
     /// Attempts held on a machine.
     fn here(&self, machine: &MachineId) -> impl Iterator<Item = (&AttemptId, &Held)> {
-        self.on.get(machine).into_iter().flatten().filter_map(|id| self.held.get(id).map(|h| (id, h)))
+        self.on
+            .get(machine)
+            .into_iter()
+            .flatten()
+            .filter_map(|id| self.held.get(id).map(|h| (id, h)))
     }
 
     /// Notes that a machine may look different from outside, or need a call.
@@ -335,7 +351,10 @@
         let held = self.held.remove(id)?;
         let machine = held.want.machine;
         // Guards against a trial that waits for an attempt that nobody wants.
-        if let Some(aside) = self.machines.get_mut(&machine).and_then(|m| m.aside.as_mut())
+        if let Some(aside) = self
+            .machines
+            .get_mut(&machine)
+            .and_then(|m| m.aside.as_mut())
             && aside.trial.as_ref() == Some(id)
         {
             aside.trial = None;
@@ -365,11 +384,20 @@
     /// are late, and as many have come to the peer; or most have been carried
     /// for so long that giving the part up costs less.
     pub fn deaf(&self, now: u64) -> bool {
-        let long = |m: &&Machine| m.carried.is_some_and(|(_, since)| now > since + CARRIED_PART_MS);
+        let long = |m: &&Machine| {
+            m.carried
+                .is_some_and(|(_, since)| now > since + CARRIED_PART_MS)
+        };
         if self.machines.values().filter(long).count() * 2 > self.machines.len() {
             return true;
         }
-        let heard = self.strays.values().filter(|(_, at)| now <= at + VOUCH_MS).map(|(n, _)| *n as usize).max().unwrap_or(0);
+        let heard = self
+            .strays
+            .values()
+            .filter(|(_, at)| now <= at + VOUCH_MS)
+            .map(|(n, _)| *n as usize)
+            .max()
+            .unwrap_or(0);
         now > self.started + DEAF_AFTER_MS && self.sight.dark().is_some_and(|ran| heard * 2 > ran)
     }
 
@@ -384,10 +412,18 @@
     /// True if a report tells how its machine is now: only that shows that its zone's
     /// workers come here.
     pub(crate) fn is_news(&self, report: &Report) -> bool {
-        let freshness = |m: &Machine| m.worker_session.weigh(SequenceNumber::of(report), report.token, Origin::Report(None));
+        let freshness = |m: &Machine| {
+            m.worker_session.weigh(
+                SequenceNumber::of(report),
+                report.token,
+                Origin::Report(None),
+            )
+        };
         self.machines
             .get(&report.machine)
-            .map_or(report.token >> FENCE_BITS == self.token, |m| matches!(freshness(m), Freshness::Current | Freshness::Restarted))
+            .map_or(report.token >> FENCE_BITS == self.token, |m| {
+                matches!(freshness(m), Freshness::Current | Freshness::Restarted)
+            })
     }
 
     /// A report came in, `by` another controller or by itself; `None` means that
@@ -407,7 +443,8 @@
         if report.session <= m.dead_session && m.worker_session.ours(report.token) {
             return None;
         }
-        m.worker_session.answered(SequenceNumber::of(report), report.token, by, now);
+        m.worker_session
+            .answered(SequenceNumber::of(report), report.token, by, now);
         if newer || m.heard.is_none() {
             // Orders go the way that the newest report came.
             m.carried = by.map(|carrier| (carrier, m.carried.map_or(now, |(_, since)| since)));
@@ -415,7 +452,10 @@
         // A late report may still be waited for, if the answer to a call came
         // before it, and so may one of a worker that has not shown our token:
         // both answers prolong the lease, so both carry the stops.
-        let by = match (newer && m.worker_session.fresh(), m.ambiguous.is_some() && !m.calling) {
+        let by = match (
+            newer && m.worker_session.fresh(),
+            m.ambiguous.is_some() && !m.calling,
+        ) {
             (true, true) => Carrier::AnswerWithStarts,
             (true, false) => Carrier::Answer,
             (false, _) => Carrier::LateAnswer,
@@ -425,7 +465,10 @@
         if orders.iter().any(|o| o.verb == Verb::Launch) {
             m.answered_with_starts = Some(report.seq);
         }
-        Some(ReportReply { token: m.worker_session.answer_token(), orders })
+        Some(ReportReply {
+            token: m.worker_session.answer_token(),
+            orders,
+        })
     }
 
     /// Takes a report of any origin; true if it tells how its machine is now.
@@ -433,12 +476,18 @@
         let room = self.rooms.get(&report.kind).copied().unwrap_or_default();
         let (base, numbers) = (self.base(), SequenceNumber::of(report));
         let (missing, earlier) = (&self.missing, &self.earlier);
-        let m = self.machines.entry(report.machine.clone()).or_insert_with(|| {
-            let mut m = Machine::new(&report.kind, &report.zone, report.spot, room, base, now);
-            // An attempt there or a note of its images: it ran before.
-            m.ran = missing.get(&report.machine).copied().or(earlier.contains_key(&report.machine).then_some(now));
-            m
-        });
+        let m = self
+            .machines
+            .entry(report.machine.clone())
+            .or_insert_with(|| {
+                let mut m = Machine::new(&report.kind, &report.zone, report.spot, room, base, now);
+                // An attempt there or a note of its images: it ran before.
+                m.ran = missing
+                    .get(&report.machine)
+                    .copied()
+                    .or(earlier.contains_key(&report.machine).then_some(now));
+                m
+            });
         self.missing.remove(&report.machine);
         let freshness = m.worker_session.weigh(numbers, report.token, origin);
         match freshness {
@@ -456,8 +505,11 @@
             Freshness::Stale | Freshness::Unverified => {
                 let mut ask = false;
                 if let Origin::Report(way) = origin {
-                    m.worker_session.overtaken(numbers, report.token, way, &self.timing, now);
-                    ask = m.worker_session.suspect(numbers, report.token, &self.timing, now);
+                    m.worker_session
+                        .overtaken(numbers, report.token, way, &self.timing, now);
+                    ask = m
+                        .worker_session
+                        .suspect(numbers, report.token, &self.timing, now);
                 }
                 if m.worker_session.heard_of(numbers, now) {
                     m.addr = report.address.parse().ok();
@@ -497,7 +549,8 @@
             }
         }
         let heard = m.worker_session.hears();
-        m.worker_session.take(numbers, report.token, origin, &self.timing, now);
+        m.worker_session
+            .take(numbers, report.token, origin, &self.timing, now);
         if m.worker_session.hears() != heard {
             info!(machine = %report.machine, part = self.part, hears = !heard, "whether answers reach the machine");
         }
@@ -514,15 +567,24 @@
         if m.ambiguous.is_some_and(|t| m.worker_session.shown() > t) {
             (m.ambiguous, m.lost_start) = (None, None);
         }
-        if matches!(origin, Origin::Report(_)) && m.answered_with_starts.is_some_and(|seq| report.seq > seq) {
+        if matches!(origin, Origin::Report(_))
+            && m.answered_with_starts.is_some_and(|seq| report.seq > seq)
+        {
             m.answered_with_starts = None;
         }
         m.tasks.clear();
         for t in &report.tasks {
             match AttemptId::parse(&t.piece, t.attempt) {
                 Some(id) => {
-                    let cause = (t.phase == TaskPhase::Exited).then(|| Cause::read(t.cause.as_deref()));
-                    m.tasks.insert(id, Seen { phase: t.phase, cause });
+                    let cause =
+                        (t.phase == TaskPhase::Exited).then(|| Cause::read(t.cause.as_deref()));
+                    m.tasks.insert(
+                        id,
+                        Seen {
+                            phase: t.phase,
+                            cause,
+                        },
+                    );
                 }
                 None => {
                     warn!(machine = %report.machine, piece = t.piece, "task name not understood")
@@ -536,5 +598,8 @@
 
 /// Attempts of one placer.
 fn asker_attempts(held: &HashMap<AttemptId, Held>, from: u16) -> HashSet<AttemptId> {
-    held.iter().filter(|(_, h)| h.from == from).map(|(id, _)| id.clone()).collect()
+    held.iter()
+        .filter(|(_, h)| h.from == from)
+        .map(|(id, _)| id.clone())
+        .collect()
 }
--- a/crates/coordination/src/owner/orders.rs
+++ b/crates/coordination/src/owner/orders.rs
@@ -19,30 +19,46 @@
         let Some(m) = self.machines.get(machine) else {
             return Vec::new();
         };
-        let order = |verb, id: &AttemptId, grace_s| Order { verb, piece: id.piece(), attempt: id.attempt, grace_s };
+        let order = |verb, id: &AttemptId, grace_s| Order {
+            verb,
+            piece: id.piece(),
+            attempt: id.attempt,
+            grace_s,
+        };
         let mut orders = Vec::new();
         let mut started = Vec::new();
         let mut killed = Vec::new();
         for (id, seen) in &m.tasks {
             match self.held.get(id) {
                 Some(h) => {
-                    let due = by.is_answer() || h.killed_at.is_none_or(|at| now >= at + KILL_REPEAT_MS);
+                    let due =
+                        by.is_answer() || h.killed_at.is_none_or(|at| now >= at + KILL_REPEAT_MS);
                     if let Some(grace) = h.ending()
                         && seen.phase != TaskPhase::Exited
                         && due
                     {
                         // A task that is saving must not be told again with
                         // less grace, which would end it.
-                        let grace = if seen.phase == TaskPhase::Saving { grace.max(1) } else { grace };
+                        let grace = if seen.phase == TaskPhase::Saving {
+                            grace.max(1)
+                        } else {
+                            grace
+                        };
                         orders.push(order(Verb::Kill, id, Some(grace)));
                         killed.push(id.clone());
                     }
                 }
                 // Nobody wants it, and everybody has spoken.
-                None if seen.phase != TaskPhase::Exited && all_heard => orders.push(order(Verb::Kill, id, Some(0))),
+                None if seen.phase != TaskPhase::Exited && all_heard => {
+                    orders.push(order(Verb::Kill, id, Some(0)))
+                }
                 // Guards against a start that is repeated after its attempt
                 // was forgotten, which would run it again.
-                None if seen.phase == TaskPhase::Exited && all_heard && by.forgets() && m.settled() => {
+                None if seen.phase == TaskPhase::Exited
+                    && all_heard
+                    && by.forgets()
+                    && m.settled() =>
+                {
                     orders.push(order(Verb::Forget, id, None))
                 }
                 None => {}
@@ -61,7 +77,10 @@
         let session = m.worker_session.session();
         for id in started {
             if let Some(h) = self.held.get_mut(&id) {
-                h.stage = Stage::Accepted { sent: Some(session), seen: false };
+                h.stage = Stage::Accepted {
+                    sent: Some(session),
+                    seen: false,
+                };
             }
         }
         if by == Carrier::Call {
@@ -84,7 +103,9 @@
                 self.attention.insert(id);
                 continue;
             }
-            let Some(m) = self.machines.get(&id) else { continue };
+            let Some(m) = self.machines.get(&id) else {
+                continue;
+            };
             // A silent machine would hold a call's place until it times out;
             // what it is owed is in the answer to its next report.
             let heard = m.heard.is_some() && m.worker_session.session() > m.dead_session;
@@ -100,7 +121,10 @@
             }
             // A token that can't rise could not fence a call of unknown fate.
             let deaf = !m.worker_session.hears();
-            if now < m.call_after || !m.worker_session.fences() || deaf && self.deaf_calls >= DEAF_CALLS {
+            if now < m.call_after
+                || !m.worker_session.fences()
+                || deaf && self.deaf_calls >= DEAF_CALLS
+            {
                 // What was only heard of is asked once for each word of it.
                 if heard {
                     self.attention.insert(id);
@@ -109,7 +133,11 @@
             }
             let Some(addr) = m.addr else { continue };
             let fresh = m.worker_session.fresh();
-            let orders = if fresh { self.orders(&id, now, Carrier::Call) } else { Vec::new() };
+            let orders = if fresh {
+                self.orders(&id, now, Carrier::Call)
+            } else {
+                Vec::new()
+            };
             if fresh && orders.is_empty() {
                 if self.stops_pending(&id) || self.starts_pending(&id) {
                     self.attention.insert(id);
@@ -125,7 +153,11 @@
             calls.push(CommandCall {
                 machine: id.clone(),
                 addr,
-                commands: Commands { token: m.worker_session.call(), session: m.worker_session.session_to_ask(), orders },
+                commands: Commands {
+                    token: m.worker_session.call(),
+                    session: m.worker_session.session_to_ask(),
+                    orders,
+                },
                 through: m.carried.map(|(by, _)| by),
             });
         }
@@ -137,7 +169,9 @@
     fn starts_pending(&self, machine: &MachineId) -> bool {
         self.machines.get(machine).is_some_and(|m| {
             let held = self.starts_held || !m.worker_session.may_start(self.word);
-            m.worker_session.hears() && held && self.here(machine).any(|(id, h)| h.awaits_start(id, m))
+            m.worker_session.hears()
+                && held
+                && self.here(machine).any(|(id, h)| h.awaits_start(id, m))
         })
     }
 
@@ -145,7 +179,10 @@
     /// after a while.
     pub(super) fn stops_pending(&self, machine: &MachineId) -> bool {
         self.machines.get(machine).is_some_and(|m| {
-            m.tasks.iter().any(|(id, seen)| seen.phase != TaskPhase::Exited && self.held.get(id).is_none_or(|h| h.ending().is_some()))
+            m.tasks.iter().any(|(id, seen)| {
+                seen.phase != TaskPhase::Exited
+                    && self.held.get(id).is_none_or(|h| h.ending().is_some())
+            })
         })
     }
 
@@ -153,7 +190,9 @@
     pub fn call_done(&mut self, call: &CommandCall, result: CommandResult, now: u64) {
         // Guards against an address that another machine has by now.
         let result = match result {
-            CommandResult::Executed(report) | CommandResult::Refused(report) if report.machine != call.machine => {
+            CommandResult::Executed(report) | CommandResult::Refused(report)
+                if report.machine != call.machine =>
+            {
                 warn!(machine = %call.machine, found = %report.machine, "another machine has its address");
                 CommandResult::Unknown
             }
@@ -170,9 +209,12 @@
         self.deaf_calls -= usize::from(std::mem::take(&mut m.deaf_call));
         if failed {
             // One that has seen a newer token than the call is called again at once.
-            let overtaken =
-                matches!(&result, CommandResult::Refused(r) if r.token > call.commands.token && r.token >> FENCE_BITS == self.token);
-            let wait = if m.heard.is_some() { COMMAND_RETRY_MS } else { 2 * self.timing.report_ms };
+            let overtaken = matches!(&result, CommandResult::Refused(r) if r.token > call.commands.token && r.token >> FENCE_BITS == self.token);
+            let wait = if m.heard.is_some() {
+                COMMAND_RETRY_MS
+            } else {
+                2 * self.timing.report_ms
+            };
             m.call_after = if overtaken { now } else { now + wait };
         }
         match result {
@@ -205,7 +247,9 @@
     /// due again as soon as the machine may be called.
     fn untell(&mut self, call: &CommandCall) {
         for o in call.commands.orders.iter().filter(|o| o.verb == Verb::Kill) {
-            if let Some(h) = AttemptId::parse(&o.piece, o.attempt).and_then(|id| self.held.get_mut(&id)) {
+            if let Some(h) =
+                AttemptId::parse(&o.piece, o.attempt).and_then(|id| self.held.get_mut(&id))
+            {
                 h.killed_at = None;
             }
         }
@@ -213,16 +257,27 @@
 
     /// Takes back the notes of starts that were surely not executed.
     pub(super) fn unsend(&mut self, call: &CommandCall) {
-        let ambiguous = self.machines.get(&call.machine).is_some_and(|m| m.ambiguous.is_some());
+        let ambiguous = self
+            .machines
+            .get(&call.machine)
+            .is_some_and(|m| m.ambiguous.is_some());
         if ambiguous {
             return;
         }
-        for o in call.commands.orders.iter().filter(|o| o.verb == Verb::Launch) {
+        for o in call
+            .commands
+            .orders
+            .iter()
+            .filter(|o| o.verb == Verb::Launch)
+        {
             if let Some(id) = AttemptId::parse(&o.piece, o.attempt)
                 && let Some(h) = self.held.get_mut(&id)
                 && matches!(h.stage, Stage::Accepted { seen: false, .. })
             {
-                h.stage = Stage::Accepted { sent: None, seen: false };
+                h.stage = Stage::Accepted {
+                    sent: None,
+                    seen: false,
+                };
             }
         }
     }
--- a/crates/coordination/src/owner/orphans.rs
+++ b/crates/coordination/src/owner/orphans.rs
@@ -11,12 +11,17 @@
     /// reading must be at least as new as the token.
     pub fn watch_placers(&mut self, holders: &BTreeMap<u16, Holder>, revision: u64, now: u64) {
         for (part, asker) in &mut self.askers {
-            let lost = revision >= asker.token && holders.get(part).is_none_or(|h| h.token != asker.token);
+            let lost =
+                revision >= asker.token && holders.get(part).is_none_or(|h| h.token != asker.token);
             if !lost {
                 asker.lost = None;
             } else if asker.lost.is_none() {
                 asker.lost = Some(now);
-                info!(part = self.part, placer = part, "its placer has lost its part");
+                info!(
+                    part = self.part,
+                    placer = part,
+                    "its placer has lost its part"
+                );
             }
         }
     }
@@ -28,16 +33,41 @@
     /// machine's proof alone.
     pub(super) fn free_orphans(&mut self, now: u64) {
         let due = |a: &Asker| a.lost.is_some_and(|at| now >= at + ORPHAN_ROOM_MS);
-        let lost: BTreeSet<u16> = self.askers.iter().filter(|(_, a)| due(a)).map(|(part, _)| *part).collect();
+        let lost: BTreeSet<u16> = self
+            .askers
+            .iter()
+            .filter(|(_, a)| due(a))
+            .map(|(part, _)| *part)
+            .collect();
         if lost.is_empty() {
             return;
         }
-        let unused = |h: &Held| !h.want.go && matches!(h.stage, Stage::Waiting(_) | Stage::Accepted { sent: None, seen: false });
-        let here = |id: &AttemptId, h: &Held| self.machines.get(&h.want.machine).is_some_and(|m| m.tasks.contains_key(id));
-        let orphans: Vec<AttemptId> =
-            self.held.iter().filter(|(id, h)| lost.contains(&h.from) && unused(h) && !here(id, h)).map(|(id, _)| id.clone()).collect();
+        let unused = |h: &Held| {
+            !h.want.go
+                && matches!(
+                    h.stage,
+                    Stage::Waiting(_)
+                        | Stage::Accepted {
+                            sent: None,
+                            seen: false
+                        }
+                )
+        };
+        let here = |id: &AttemptId, h: &Held| {
+            self.machines
+                .get(&h.want.machine)
+                .is_some_and(|m| m.tasks.contains_key(id))
+        };
+        let orphans: Vec<AttemptId> = self
+            .held
+            .iter()
+            .filter(|(id, h)| lost.contains(&h.from) && unused(h) && !here(id, h))
+            .map(|(id, _)| id.clone())
+            .collect();
         for id in orphans {
-            let Some(held) = self.held.get_mut(&id) else { continue };
+            let Some(held) = self.held.get_mut(&id) else {
+                continue;
+            };
             info!(attempt = %id, machine = %held.want.machine, part = self.part, "its placer is gone; its room is free");
             held.stage = Stage::Ended(Standing::Refused);
             let (machine, from) = (held.want.machine.clone(), held.from);
--- a/crates/coordination/src/owner/proof.rs
+++ b/crates/coordination/src/owner/proof.rs
@@ -6,13 +6,23 @@
     /// Re-judges all attempts of a machine.
     pub(super) fn judge(&mut self, machine: &MachineId, now: u64) {
         self.touch(machine);
-        let ids: Vec<AttemptId> = self.on.get(machine).into_iter().flatten().cloned().collect();
+        let ids: Vec<AttemptId> = self
+            .on
+            .get(machine)
+            .into_iter()
+            .flatten()
+            .cloned()
+            .collect();
         for id in &ids {
             self.judge_one(id, now);
         }
         // Those who wait may have got their room from an end just found.
         for id in &ids {
-            if self.held.get(id).is_some_and(|h| matches!(h.stage, Stage::Waiting(_))) {
+            if self
+                .held
+                .get(id)
+                .is_some_and(|h| matches!(h.stage, Stage::Waiting(_)))
+            {
                 self.judge_one(id, now);
             }
         }
@@ -28,17 +38,34 @@
         }
         let machine = held.want.machine.clone();
         let mut stage = self.next_stage(id, held, now);
-        if held.stage == Stage::Unjudged && stage == Stage::Ended(Standing::Refused) && self.push_out(id, now) {
+        if held.stage == Stage::Unjudged
+            && stage == Stage::Ended(Standing::Refused)
+            && self.push_out(id, now)
+        {
             stage = Stage::Waiting(now);
         }
-        let Some(held) = self.held.get(id) else { return };
-        let (image, mb, from, same) = (held.want.image.clone(), held.want.image_mb, held.from, stage == held.stage);
+        let Some(held) = self.held.get(id) else {
+            return;
+        };
+        let (image, mb, from, same) = (
+            held.want.image.clone(),
+            held.want.image_mb,
+            held.from,
+            stage == held.stage,
+        );
         // A fetch that is given up leaves nothing: only a task that got past it
         // shows that the machine has the image.
         let past_fetch = |m: &Machine| {
-            m.tasks.get(id).is_some_and(|t| t.cause == Some(Cause::Done) || !matches!(t.phase, TaskPhase::Fetching | TaskPhase::Exited))
+            m.tasks.get(id).is_some_and(|t| {
+                t.cause == Some(Cause::Done)
+                    || !matches!(t.phase, TaskPhase::Fetching | TaskPhase::Exited)
+            })
+        };
+        let fetches = |m: &Machine| {
+            m.tasks
+                .get(id)
+                .is_some_and(|t| t.phase == TaskPhase::Fetching)
         };
-        let fetches = |m: &Machine| m.tasks.get(id).is_some_and(|t| t.phase == TaskPhase::Fetching);
         if let Some(m) = self.machines.get_mut(&machine) {
             if past_fetch(m) {
                 let cache_mb = self.caches.get(&m.kind).copied().unwrap_or(u64::MAX);
@@ -48,19 +75,34 @@
                 self.stale.insert(machine.clone());
             }
         }
-        if self.machines.get(&machine).and_then(|m| m.tasks.get(id)).is_some_and(|t| t.phase == TaskPhase::Running) {
+        if self
+            .machines
+            .get(&machine)
+            .and_then(|m| m.tasks.get(id))
+            .is_some_and(|t| t.phase == TaskPhase::Running)
+        {
             self.note_running(&machine, id, now);
         }
         if same {
             return;
         }
-        if matches!(stage, Stage::Accepted { sent: None, seen: false }) {
+        if matches!(
+            stage,
+            Stage::Accepted {
+                sent: None,
+                seen: false
+            }
+        ) {
             // Idle work is always there: it does not tell that the part is busy.
             if self.held.get(id).is_some_and(|h| h.want.rank != Rank::Low) {
                 self.accepted_at = now;
             }
             // Guards against a whole array on a machine that is on trial.
-            if let Some(aside) = self.machines.get_mut(&machine).and_then(|m| m.aside.as_mut()) {
+            if let Some(aside) = self
+                .machines
+                .get_mut(&machine)
+                .and_then(|m| m.aside.as_mut())
+            {
                 aside.trial = Some(id.clone());
                 self.stale.insert(machine.clone());
             }
@@ -81,18 +123,32 @@
             return Stage::Ended(Standing::Gone);
         }
         let inherited = self.sight.inherited_over(self.word);
-        let when = |over: bool| if over { Stage::Ended(Standing::Gone) } else { held.stage };
-        let Some(m) = self.machines.get(&held.want.machine) else { return when(inherited) };
+        let when = |over: bool| {
+            if over {
+                Stage::Ended(Standing::Gone)
+            } else {
+                held.stage
+            }
+        };
+        let Some(m) = self.machines.get(&held.want.machine) else {
+            return when(inherited);
+        };
         // Nobody of ours ever spoke to it: what ran there was kept alive by
         // earlier owners, whose answers have all run out after a while. So have
         // ours to what may have been its reports.
         if m.heard.is_none() {
-            return when(inherited && (m.worker_session.leased_at().is_none() || m.dead(self.word, &self.timing)));
+            return when(
+                inherited
+                    && (m.worker_session.leased_at().is_none() || m.dead(self.word, &self.timing)),
+            );
         }
         if let Some(seen) = m.tasks.get(id) {
             return match seen.cause {
                 Some(cause) => Stage::Ended(Standing::Exited(cause)),
-                None => Stage::Accepted { sent: Some(m.worker_session.session()), seen: true },
+                None => Stage::Accepted {
+                    sent: Some(m.worker_session.session()),
+                    seen: true,
+                },
             };
         }
         // Absence proves something only once the worker has shown our token:
@@ -103,37 +159,84 @@
         match held.stage {
             Stage::Unjudged if held.ending().is_some() => Stage::Ended(Standing::Gone),
             Stage::Unjudged => {
-                let fits = m.open() && m.worker_session.session() > m.dead_session && self.free(&held.want.machine).covers(&held.want.need);
-                if fits { Stage::Accepted { sent: None, seen: false } } else { Stage::Ended(Standing::Refused) }
+                let fits = m.open()
+                    && m.worker_session.session() > m.dead_session
+                    && self.free(&held.want.machine).covers(&held.want.need);
+                if fits {
+                    Stage::Accepted {
+                        sent: None,
+                        seen: false,
+                    }
+                } else {
+                    Stage::Ended(Standing::Refused)
+                }
             }
             Stage::Waiting(_) if held.ending().is_some() => Stage::Ended(Standing::Gone),
             Stage::Waiting(since) => {
-                if !m.open() || m.worker_session.session() <= m.dead_session || now > since + EVICT_WAIT_MS {
+                if !m.open()
+                    || m.worker_session.session() <= m.dead_session
+                    || now > since + EVICT_WAIT_MS
+                {
                     return Stage::Ended(Standing::Refused);
                 }
                 // Its own claim is part of what is taken.
                 let free = self.room_without(&held.want.machine, id);
-                if free.covers(&held.want.need) { Stage::Accepted { sent: None, seen: false } } else { held.stage }
+                if free.covers(&held.want.need) {
+                    Stage::Accepted {
+                        sent: None,
+                        seen: false,
+                    }
+                } else {
+                    held.stage
+                }
+            }
+            Stage::Accepted { sent: None, .. } if held.ending().is_some() => {
+                Stage::Ended(Standing::Gone)
+            }
+            Stage::Accepted { sent: None, .. } if m.dead(self.word, &self.timing) => {
+                Stage::Ended(Standing::Gone)
             }
-            Stage::Accepted { sent: None, .. } if held.ending().is_some() => Stage::Ended(Standing::Gone),
-            Stage::Accepted { sent: None, .. } if m.dead(self.word, &self.timing) => Stage::Ended(Standing::Gone),
             // It would wait for a machine that hears nothing; nothing was sent.
-            Stage::Accepted { sent: None, .. } if m.worker_session.deaf_since().is_some() => Stage::Ended(Standing::Gone),
-            Stage::Accepted { sent: Some(session), .. } if session < m.worker_session.session() => Stage::Ended(Standing::Gone),
+            Stage::Accepted { sent: None, .. } if m.worker_session.deaf_since().is_some() => {
+                Stage::Ended(Standing::Gone)
+            }
+            Stage::Accepted {
+                sent: Some(session),
+                ..
+            } if session < m.worker_session.session() => Stage::Ended(Standing::Gone),
             // Guards against a start that a new life took which nobody has heard yet: its
             // lease began after our last answer, though before the call.
-            Stage::Accepted { sent: Some(session), seen } if session <= m.dead_session => when(seen || m.lost_start.is_none()),
-            Stage::Accepted { sent: Some(_), seen } if m.settled() => {
+            Stage::Accepted {
+                sent: Some(session),
+                seen,
+            } if session <= m.dead_session => when(seen || m.lost_start.is_none()),
+            Stage::Accepted {
+                sent: Some(_),
+                seen,
+            } if m.settled() => {
                 // Guards against a start order that arrives late: only a
                 // machine with no order of unknown fate proves absence.
-                if seen || held.ending().is_some() { Stage::Ended(Standing::Gone) } else { Stage::Accepted { sent: None, seen: false } }
+                if seen || held.ending().is_some() {
+                    Stage::Ended(Standing::Gone)
+                } else {
+                    Stage::Accepted {
+                        sent: None,
+                        seen: false,
+                    }
+                }
             }
             stage => stage,
         }
     }
 
     /// Notes what an attempt's end says of its job and its machine.
-    pub(super) fn note_end(&mut self, machine: &MachineId, id: &AttemptId, standing: Standing, now: u64) {
+    pub(super) fn note_end(
+        &mut self,
+        machine: &MachineId,
+        id: &AttemptId,
+        standing: Standing,
+        now: u64,
+    ) {
         let touched = match standing {
             Standing::Exited(Cause::Error) => self.faults.failed(&id.job, machine, now).machines,
             Standing::Exited(Cause::Done) => {
@@ -142,8 +245,12 @@
             }
             _ => BTreeSet::from([machine.clone()]),
         };
-        let own_fault = standing == Standing::Exited(Cause::Error) && self.faults.suspect(&id.job).is_none();
-        if let Some(aside) = self.machines.get_mut(machine).and_then(|m| m.aside.as_mut())
+        let own_fault =
+            standing == Standing::Exited(Cause::Error) && self.faults.suspect(&id.job).is_none();
+        if let Some(aside) = self
+            .machines
+            .get_mut(machine)
+            .and_then(|m| m.aside.as_mut())
             && aside.trial.as_ref() == Some(id)
         {
             aside.trial = None;
@@ -156,7 +263,9 @@
 
     /// An attempt that has run for long went well, though it may never end.
     pub(super) fn note_running(&mut self, machine: &MachineId, id: &AttemptId, now: u64) {
-        let Some(held) = self.held.get_mut(id) else { return };
+        let Some(held) = self.held.get_mut(id) else {
+            return;
+        };
         let since = *held.ran.get_or_insert(now);
         if held.well || now < since + WELL_AFTER_MS {
             return;
@@ -170,7 +279,9 @@
     fn weigh(&mut self, machines: BTreeSet<MachineId>, now: u64) {
         for id in machines {
             let verdict = self.faults.verdict(&id);
-            let Some(m) = self.machines.get_mut(&id) else { continue };
+            let Some(m) = self.machines.get_mut(&id) else {
+                continue;
+            };
             match (&mut m.aside, verdict) {
                 (None, Verdict::Sound) => continue,
                 (Some(_), Verdict::Sound) => {
--- a/crates/coordination/src/owner/telling.rs
+++ b/crates/coordination/src/owner/telling.rs
@@ -51,7 +51,9 @@
     /// Takes the changes of a placer's wants; tells the state that we now have
     /// of them, 0 if something is missing between.
     pub(super) fn take_wants(&mut self, sync: &Sync, now: u64) -> u64 {
-        let Some(asker) = self.askers.get_mut(&sync.from) else { return 0 };
+        let Some(asker) = self.askers.get_mut(&sync.from) else {
+            return 0;
+        };
         match sync.span.follows(asker.at) {
             Some(Follow::Anew) => {
                 asker.at = 0;
@@ -79,19 +81,30 @@
             }
         }
         for (id, grace) in &sync.stops {
-            if let Some(held) = self.held.get_mut(id).filter(|h| h.from == sync.from && h.want.kill.is_none()) {
+            if let Some(held) = self
+                .held
+                .get_mut(id)
+                .filter(|h| h.from == sync.from && h.want.kill.is_none())
+            {
                 held.want.kill = Some(*grace);
                 held.killed_at = None;
                 touched.insert(held.want.machine.clone());
             }
         }
         for w in &sync.wants {
-            if self.held.get(&w.id).is_some_and(|h| h.want.machine != w.machine || h.from != sync.from) {
+            if self
+                .held
+                .get(&w.id)
+                .is_some_and(|h| h.want.machine != w.machine || h.from != sync.from)
+            {
                 warn!(attempt = %w.id, from = sync.from, "an attempt can't change its machine or its part; not taken");
                 continue;
             }
             if !self.held.contains_key(&w.id) {
-                self.on.entry(w.machine.clone()).or_default().insert(w.id.clone());
+                self.on
+                    .entry(w.machine.clone())
+                    .or_default()
+                    .insert(w.id.clone());
                 let held = Held {
                     from: sync.from,
                     want: w.clone(),
@@ -140,8 +153,13 @@
                 None => self.views.remove(&id),
             }
             for attempt in self.on.get(&id).into_iter().flatten() {
-                let Some(held) = self.held.get(attempt) else { continue };
-                if let (Some(standing), Some(asker)) = (self.standing(attempt, held), self.askers.get_mut(&held.from)) {
+                let Some(held) = self.held.get(attempt) else {
+                    continue;
+                };
+                if let (Some(standing), Some(asker)) = (
+                    self.standing(attempt, held),
+                    self.askers.get_mut(&held.from),
+                ) {
                     asker.told.put(attempt, standing);
                 }
             }
@@ -155,7 +173,9 @@
             kind: m.kind.clone(),
             zone: m.zone.clone(),
             spot: m.spot,
-            up: m.heard.is_some() && m.worker_session.fresh() && m.worker_session.session() > m.dead_session,
+            up: m.heard.is_some()
+                && m.worker_session.fresh()
+                && m.worker_session.session() > m.dead_session,
             open: m.open(),
             // A machine that fails what it starts may go on with what runs.
             leaving: m.notice,
@@ -178,7 +198,12 @@
             // until then none of it is launched.
             Stage::Waiting(_) if !held.want.go => return None,
             Stage::Waiting(_) => Standing::Accepted,
-            Stage::Accepted { .. } => match self.machines.get(&held.want.machine).and_then(|m| m.tasks.get(id)).map(|s| s.phase) {
+            Stage::Accepted { .. } => match self
+                .machines
+                .get(&held.want.machine)
+                .and_then(|m| m.tasks.get(id))
+                .map(|s| s.phase)
+            {
                 Some(TaskPhase::Running | TaskPhase::Saving) => Standing::Running,
                 Some(_) => Standing::Preparing,
                 None => Standing::Accepted,
@@ -192,12 +217,25 @@
         self.refresh();
         if self.askers.len() >= usize::from(self.parts) {
             // A placer that comes anew is told all from nothing.
-            self.views.forget(self.askers.values().map(|a| a.have).min().unwrap_or(0));
+            self.views
+                .forget(self.askers.values().map(|a| a.have).min().unwrap_or(0));
         }
         let told = self.askers.entry(sync.from).or_default();
-        let (attempts_span, attempts) = told.told.since(sync.have.attempts, &mut room, |_, _| ATTEMPT_BYTES);
-        let attempts = attempts.into_iter().filter_map(|(id, s)| s.map(|&standing| AttemptView { id: id.clone(), standing })).collect();
-        let (machines_span, changes) = self.views.since(sync.have.machines, &mut room, |_, m| m.map_or(ATTEMPT_BYTES, written));
+        let (attempts_span, attempts) = told
+            .told
+            .since(sync.have.attempts, &mut room, |_, _| ATTEMPT_BYTES);
+        let attempts = attempts
+            .into_iter()
+            .filter_map(|(id, s)| {
+                s.map(|&standing| AttemptView {
+                    id: id.clone(),
+                    standing,
+                })
+            })
+            .collect();
+        let (machines_span, changes) = self.views.since(sync.have.machines, &mut room, |_, m| {
+            m.map_or(ATTEMPT_BYTES, written)
+        });
         let (mut machines, mut gone) = (Vec::new(), Vec::new());
         for (id, m) in changes {
             match m {
@@ -224,8 +262,13 @@
     /// Images that a machine fetches.
     pub(super) fn coming(&self, id: &MachineId, m: &Machine) -> Vec<String> {
         let mut names: Vec<String> = Vec::new();
-        for (_, h) in self.here(id).filter(|(_, h)| matches!(h.stage, Stage::Accepted { .. }) && h.ending().is_none()) {
-            if !names.contains(&h.want.image) && !m.images.iter().any(|(name, _)| *name == h.want.image) {
+        for (_, h) in self
+            .here(id)
+            .filter(|(_, h)| matches!(h.stage, Stage::Accepted { .. }) && h.ending().is_none())
+        {
+            if !names.contains(&h.want.image)
+                && !m.images.iter().any(|(name, _)| *name == h.want.image)
+            {
                 names.push(h.want.image.clone());
             }
         }
--- a/crates/coordination/src/owner/upkeep.rs
+++ b/crates/coordination/src/owner/upkeep.rs
@@ -17,13 +17,19 @@
         let room = self.rooms.get(&said.kind).copied().unwrap_or_default();
         let base = self.base();
         let (stale, missing, earlier) = (&mut self.stale, &self.missing, &self.earlier);
-        let m = self.machines.entry(said.machine.clone()).or_insert_with(|| {
-            stale.insert(said.machine.clone());
-            let mut m = Machine::new(&said.kind, &said.zone, said.spot, room, base, now);
-            // An attempt there or a note of its images: it ran before.
-            m.ran = missing.get(&said.machine).copied().or(earlier.contains_key(&said.machine).then_some(now));
-            m
-        });
+        let m = self
+            .machines
+            .entry(said.machine.clone())
+            .or_insert_with(|| {
+                stale.insert(said.machine.clone());
+                let mut m = Machine::new(&said.kind, &said.zone, said.spot, room, base, now);
+                // An attempt there or a note of its images: it ran before.
+                m.ran = missing
+                    .get(&said.machine)
+                    .copied()
+                    .or(earlier.contains_key(&said.machine).then_some(now));
+                m
+            });
         // New, or so far only heard of.
         if m.heard.is_none() && !m.announced {
             m.booked = now.saturating_sub(said.age_ms);
@@ -52,7 +58,9 @@
                 spot: e.spot,
                 age_ms: (e.age_s * 1000.0) as u64,
             };
-            let Some(m) = self.introduce(&said, now) else { continue };
+            let Some(m) = self.introduce(&said, now) else {
+                continue;
+            };
             if e.phase == "running" && m.heard.is_none() {
                 // Guards against waiting for machines that are no more: the
                 // list lags, and a restarted owner does not know what its
@@ -96,7 +104,12 @@
         self.last_tick = now;
         self.summarize(now);
         self.free_orphans(now);
-        self.sight.survey(self.machines.values().filter(|m| !m.release_wanted && !m.hearsay()), now);
+        self.sight.survey(
+            self.machines
+                .values()
+                .filter(|m| !m.release_wanted && !m.hearsay()),
+            now,
+        );
         let dead_after = self.timing.dead_after_ms();
         let (mut dead, mut late, mut judge) = (Vec::new(), Vec::new(), Vec::new());
         self.look_for_copies(now);
@@ -109,7 +122,11 @@
             if m.releasing || m.release_wanted {
                 continue;
             }
-            let listed_ms = self.boot_ms.get(&m.kind).copied().unwrap_or(BOOT_UNKNOWN_MS);
+            let listed_ms = self
+                .boot_ms
+                .get(&m.kind)
+                .copied()
+                .unwrap_or(BOOT_UNKNOWN_MS);
             let boot_ms = self.boots.usual_ms(&m.kind, &m.zone, m.spot, listed_ms);
             let restart = boot_ms + m.fetch_ms(self.fetch.get(&m.kind).copied());
             let judgement = self.sight.judge(m, restart, now);
@@ -124,9 +141,16 @@
             }
             // Machines that come in a second were rented among others that don't.
             let patience = (boot_ms.max(listed_ms) as f64 * self.policy.boot_patience) as u64;
-            let since = m.booked.max(self.started.saturating_sub(patience)).max(m.since.saturating_sub(patience));
-            let unborn = judgement == Judgement::Booting && now > since + patience + self.timing.lease_ms;
-            if sure && judgement == Judgement::Booting && now > since + self.boots.overdue_ms(&m.kind, &m.zone, m.spot, listed_ms) {
+            let since = m
+                .booked
+                .max(self.started.saturating_sub(patience))
+                .max(m.since.saturating_sub(patience));
+            let unborn =
+                judgement == Judgement::Booting && now > since + patience + self.timing.lease_ms;
+            if sure
+                && judgement == Judgement::Booting
+                && now > since + self.boots.overdue_ms(&m.kind, &m.zone, m.spot, listed_ms)
+            {
                 late.push((since, id.clone(), m.overdue));
             }
             if sure && (unborn || judgement == Judgement::GiveBack) {
@@ -141,7 +165,9 @@
             }
             // Whoever kept it alive: none of its answers can do so any longer.
             if m.dead(word, &self.timing) {
-                if (m.worker_session.fresh() || inherited_over) && m.dead_session < m.worker_session.session() {
+                if (m.worker_session.fresh() || inherited_over)
+                    && m.dead_session < m.worker_session.session()
+                {
                     dead.push(id.clone());
                 } else if m.heard.is_none() && inherited_over {
                     // Nor does what may have been its reports, which were answered.
@@ -153,9 +179,21 @@
                 // What is out of sight is not idle, nor what has just come back.
                 continue;
             }
-            let lull = if now > self.accepted_at + LULL_MS || surplus.contains(id) { LULL_KEEP } else { 1.0 };
-            let keep = (restart as f64 * lull * if m.spot { self.policy.idle_spot } else { self.policy.idle }) as u64;
-            if m.idle_since.is_some_and(|at| now > at + keep) || hopeless(m) && m.idle_since.is_some() {
+            let lull = if now > self.accepted_at + LULL_MS || surplus.contains(id) {
+                LULL_KEEP
+            } else {
+                1.0
+            };
+            let keep = (restart as f64
+                * lull
+                * if m.spot {
+                    self.policy.idle_spot
+                } else {
+                    self.policy.idle
+                }) as u64;
+            if m.idle_since.is_some_and(|at| now > at + keep)
+                || hopeless(m) && m.idle_since.is_some()
+            {
                 m.closing = true;
                 self.to_close.insert(id.clone());
                 self.stale.insert(id.clone());
@@ -177,8 +215,12 @@
         }
         if inherited_over && !self.inherited_judged {
             self.inherited_judged = true;
-            let unheard: Vec<MachineId> =
-                self.on.keys().filter(|id| self.machines.get(*id).is_none_or(|m| m.heard.is_none())).cloned().collect();
+            let unheard: Vec<MachineId> = self
+                .on
+                .keys()
+                .filter(|id| self.machines.get(*id).is_none_or(|m| m.heard.is_none()))
+                .cloned()
+                .collect();
             for id in unheard {
                 self.judge(&id, now);
             }
@@ -187,8 +229,18 @@
         // only the cloud's answer proves that it is gone. Without a list it may
         // only be out of sight.
         for (id, since) in &self.missing {
-            if now > since + dead_after && self.listed_at > *since && !self.machines.contains_key(id) {
-                let mut m = Machine::new("", "", false, Room::default(), self.token << FENCE_BITS, now);
+            if now > since + dead_after
+                && self.listed_at > *since
+                && !self.machines.contains_key(id)
+            {
+                let mut m = Machine::new(
+                    "",
+                    "",
+                    false,
+                    Room::default(),
+                    self.token << FENCE_BITS,
+                    now,
+                );
                 m.release_wanted = true;
                 self.machines.insert(id.clone(), m);
             }
@@ -224,8 +276,11 @@
     /// services' weights are what is kept first.
     pub(super) fn surplus(&self) -> HashSet<MachineId> {
         let last = |id: &MachineId| self.last_copies.contains(id);
-        let mut empty: Vec<(bool, u64, &MachineId)> =
-            self.machines.iter().filter_map(|(id, m)| Some((last(id), m.idle_since?, id))).collect();
+        let mut empty: Vec<(bool, u64, &MachineId)> = self
+            .machines
+            .iter()
+            .filter_map(|(id, m)| Some((last(id), m.idle_since?, id)))
+            .collect();
         let kept = SPARE_MACHINES.max(self.machines.len() / SPARE_MACHINES_OF);
         if empty.len() <= kept {
             return HashSet::new();
@@ -242,8 +297,14 @@
         }
         self.summed_at = now;
         self.refresh();
-        let (mut up, mut empty, mut spot, mut free, mut free_in_use) = (0, 0, 0, Room::default(), Room::default());
-        for view in self.machines.keys().filter_map(|id| self.views.get(id)).filter(|v| v.up) {
+        let (mut up, mut empty, mut spot, mut free, mut free_in_use) =
+            (0, 0, 0, Room::default(), Room::default());
+        for view in self
+            .machines
+            .keys()
+            .filter_map(|id| self.views.get(id))
+            .filter(|v| v.up)
+        {
             up += 1;
             empty += usize::from(view.busy == 0);
             spot += usize::from(view.spot);
@@ -319,13 +380,22 @@
         if let Some(m) = self.machines.get_mut(machine)
             && m.heard.is_some()
         {
-            m.idle_since = if busy > 0 { None } else { m.idle_since.or(Some(now)) };
+            m.idle_since = if busy > 0 {
+                None
+            } else {
+                m.idle_since.or(Some(now))
+            };
         }
     }
 
     /// Pages of the note of what machines have which images that changed since
     /// the last one, if that is old enough; `None`: a page that is no more.
-    pub fn images_note(&mut self, now: u64, value_bytes: usize, pages: usize) -> Vec<(usize, Option<ImagesRecord>)> {
+    pub fn images_note(
+        &mut self,
+        now: u64,
+        value_bytes: usize,
+        pages: usize,
+    ) -> Vec<(usize, Option<ImagesRecord>)> {
         if now < self.noted_at + IMAGES_EVERY_MS {
             return Vec::new();
         }
@@ -333,7 +403,11 @@
         let mut all = vec![ImagesRecord::default()];
         let mut bytes = 0;
         for (id, m) in self.machines.iter().filter(|(_, m)| !m.images.is_empty()) {
-            let names: usize = m.images.iter().map(|(name, _)| name.len() + IMAGE_NAME_BYTES).sum();
+            let names: usize = m
+                .images
+                .iter()
+                .map(|(name, _)| name.len() + IMAGE_NAME_BYTES)
+                .sum();
             if bytes + names + IMAGE_NOTE_BYTES > value_bytes {
                 all.push(ImagesRecord::default());
                 bytes = 0;
@@ -353,7 +427,10 @@
         }
         let most = all.len().max(self.noted.len());
         let mut changed = Vec::new();
-        for page in (0..most).filter(|&p| all.get(p) != self.noted.get(p)).take(pages) {
+        for page in (0..most)
+            .filter(|&p| all.get(p) != self.noted.get(p))
+            .take(pages)
+        {
             changed.push((page, all.get(page).cloned()));
         }
         // What did not fit this transaction is still unlike what is noted.
@@ -371,7 +448,10 @@
     pub fn learn_images(&mut self, pages: Vec<ImagesRecord>) {
         for page in &pages {
             for (id, have) in &page.m {
-                let images = have.iter().filter_map(|&at| page.n.get(usize::from(at)).cloned()).collect();
+                let images = have
+                    .iter()
+                    .filter_map(|&at| page.n.get(usize::from(at)).cloned())
+                    .collect();
                 self.earlier.insert(id.clone(), images);
             }
         }
--- a/crates/coordination/src/pause.rs
+++ b/crates/coordination/src/pause.rs
@@ -20,7 +20,9 @@
 impl Pause {
     /// Something happens now; how long the process stood still before, if it did.
     pub(crate) fn pass(&mut self, now: u64) -> Option<u64> {
-        let before = self.last.replace(self.last.map_or(now, |last| last.max(now)))?;
+        let before = self
+            .last
+            .replace(self.last.map_or(now, |last| last.max(now)))?;
         let gap = now.saturating_sub(before);
         (gap > STOOD_STILL_MS).then(|| self.stood(gap, now))
     }
--- a/crates/coordination/src/placement.rs
+++ b/crates/coordination/src/placement.rs
@@ -41,7 +41,9 @@
     }
 
     pub(crate) fn has(&self, i: usize) -> bool {
-        self.0.get(i / 64).is_some_and(|word| word >> (i % 64) & 1 == 1)
+        self.0
+            .get(i / 64)
+            .is_some_and(|word| word >> (i % 64) & 1 == 1)
     }
 
     fn put(&mut self, i: usize, on: bool) {
@@ -217,7 +219,10 @@
     /// placers that spread at the same time and all take the first machine of a zone,
     /// where their fetches then share its rate: each begins elsewhere.
     pub fn begins_at(after: usize, of: usize) -> Self {
-        Self { begins: (after, of), ..Self::default() }
+        Self {
+            begins: (after, of),
+            ..Self::default()
+        }
     }
 
     /// Takes what an owner tells of a machine.
@@ -277,7 +282,12 @@
     fn wipe(&mut self, i: usize) {
         self.ready.clear(i);
         self.spot.clear(i);
-        for rows in [&mut self.types, &mut self.zones, &mut self.images, &mut self.coming] {
+        for rows in [
+            &mut self.types,
+            &mut self.zones,
+            &mut self.images,
+            &mut self.coming,
+        ] {
             rows.values_mut().for_each(|row| row.clear(i));
         }
     }
@@ -293,7 +303,9 @@
 
     /// Undoes what was taken on a machine since it was told.
     pub fn restore(&mut self, i: usize) {
-        let Some(m) = self.told.get(i).and_then(Option::as_ref) else { return };
+        let Some(m) = self.told.get(i).and_then(Option::as_ref) else {
+            return;
+        };
         self.slots[i] = Slot::of(m);
         self.slots[i].spare_mb = self.spares[i];
         self.coming.values_mut().for_each(|row| row.clear(i));
@@ -326,7 +338,10 @@
     /// Machines of these zones.
     pub(crate) fn zones_row(&self, zones: &[&str]) -> Bits {
         let mut row = Bits::zeros(self.slots.len());
-        zones.iter().filter_map(|z| self.zones.get(*z)).for_each(|r| row.or(r));
+        zones
+            .iter()
+            .filter_map(|z| self.zones.get(*z))
+            .for_each(|r| row.or(r));
         row
     }
 
@@ -354,7 +369,9 @@
         }
         if let Some(only) = ask.only {
             let mut row = Bits::zeros(self.slots.len());
-            only.iter().filter_map(|id| self.find(id)).for_each(|i| row.set(i));
+            only.iter()
+                .filter_map(|id| self.find(id))
+                .for_each(|i| row.set(i));
             bits.and(&row);
         }
         if !ask.avoid.is_empty() {
@@ -376,7 +393,9 @@
                 here.into_iter().for_each(|r| row.without(r));
             }
             (Near::Here | Near::Coming, _) => return Bits::default(),
-            (Near::Away | Near::Beside | Near::Crowded | Near::Anywhere, rows) => rows.into_iter().flatten().for_each(|r| row.without(r)),
+            (Near::Away | Near::Beside | Near::Crowded | Near::Anywhere, rows) => {
+                rows.into_iter().flatten().for_each(|r| row.without(r))
+            }
         }
         match near {
             Near::Away => row.without(&self.fetching),
@@ -392,7 +411,13 @@
 
     /// The first machine of a class with room, among those of a row: the best packed
     /// one. Those without room leave the row.
-    pub(crate) fn first_of(&self, ask: &Ask<'_>, row: &mut Bits, class: &Class, kindred: Option<&Kindred>) -> Option<usize> {
+    pub(crate) fn first_of(
+        &self,
+        ask: &Ask<'_>,
+        row: &mut Bits,
+        class: &Class,
+        kindred: Option<&Kindred>,
+    ) -> Option<usize> {
         let anywhere = !matches!(class.near, Near::Here | Near::Coming);
         let mut best = None;
         for w in 0..row.0.len() {
@@ -416,10 +441,16 @@
                 }
             };
             if let Some(strands) = class.strands {
-                word &= if strands { self.gpus.word(w) } else { !self.gpus.word(w) };
+                word &= if strands {
+                    self.gpus.word(w)
+                } else {
+                    !self.gpus.word(w)
+                };
             }
             if let Some(kin) = class.kin {
-                let (some, more, most) = kindred.map_or((0, 0, 0), |k| (k.some.word(w), k.more.word(w), k.most.word(w)));
+                let (some, more, most) = kindred.map_or((0, 0, 0), |k| {
+                    (k.some.word(w), k.more.word(w), k.most.word(w))
+                });
                 word &= match kin {
                     Kin::Nobody => !some,
                     Kin::One => some & !more & !most,
@@ -427,7 +458,9 @@
                     Kin::Most => most,
                 };
             }
-            if let (Some(light), Some(zones)) = (class.light, kindred.and_then(|k| k.light.as_ref())) {
+            if let (Some(light), Some(zones)) =
+                (class.light, kindred.and_then(|k| k.light.as_ref()))
+            {
                 word &= if light { zones.word(w) } else { !zones.word(w) };
             }
             while word != 0 {
@@ -468,9 +501,21 @@
         // What needs no accelerator goes where none is left idle beside it.
         let strands = ask.need.gpus == 0 && slot.free.gpus > 0;
         let (after, of) = self.begins;
-        let begin = if ask.lasting { self.slots.len() * after / of.max(1) } else { 0 };
+        let begin = if ask.lasting {
+            self.slots.len() * after / of.max(1)
+        } else {
+            0
+        };
         let turn = (i + self.slots.len() - begin) % self.slots.len();
-        (strands, ask.spot && !slot.spot, slot.busy == 0, drops, fetches, std::cmp::Reverse((company, slot.busy)), turn)
+        (
+            strands,
+            ask.spot && !slot.spot,
+            slot.busy == 0,
+            drops,
+            fetches,
+            std::cmp::Reverse((company, slot.busy)),
+            turn,
+        )
     }
 
     /// The first machine that fits, wherever the image is.
@@ -481,13 +526,22 @@
             self.look(1);
             self.fits(ask, i)
         };
-        bits.ones().filter(fits).min_by_key(|&i| self.packing(ask, i, true))
+        bits.ones()
+            .filter(fits)
+            .min_by_key(|&i| self.packing(ask, i, true))
     }
 
     /// The machine on which least must be pushed out, among those where that
     /// suffices; one that has the image goes first, then one that fetches least, then
     /// one without replicas of the same job.
-    pub fn evict_fit(&self, ask: &Ask<'_>, rank: Rank, over: bool, with_image: bool, kindred: Option<&Kindred>) -> Option<usize> {
+    pub fn evict_fit(
+        &self,
+        ask: &Ask<'_>,
+        rank: Rank,
+        over: bool,
+        with_image: bool,
+        kindred: Option<&Kindred>,
+    ) -> Option<usize> {
         let rank = rank.index();
         let image = self.images.get(ask.image);
         let has_image = |i: usize| image.is_some_and(|row| row.has(i));
@@ -503,8 +557,15 @@
                 // One fetch more would share the machine's rate.
                 let fetches = if has_image(i) { 0 } else { slot.fetches };
                 let kin = kindred.is_some_and(|k| k.some.has(i));
-                let rest = (std::cmp::Reverse(fetches), !kin, std::cmp::Reverse(ask.need.minus(&slot.free)));
-                slot.free.plus(room).covers(&ask.need).then(|| (has_image(i), rest, i))
+                let rest = (
+                    std::cmp::Reverse(fetches),
+                    !kin,
+                    std::cmp::Reverse(ask.need.minus(&slot.free)),
+                );
+                slot.free
+                    .plus(room)
+                    .covers(&ask.need)
+                    .then(|| (has_image(i), rest, i))
             })
             .max_by_key(|(image, rest, i)| (*image, *rest, std::cmp::Reverse(*i)))
             .map(|(_, _, i)| i)
@@ -518,8 +579,15 @@
         if let Some(row) = self.images.get(ask.image) {
             bits.and(row);
         }
-        let room = |j: usize| if j == i { self.slots[j].free.minus(&ask.need) } else { self.slots[j].free };
-        bits.ones().any(|j| self.slots[j].busy > 0 && room(j).covers(&ask.need))
+        let room = |j: usize| {
+            if j == i {
+                self.slots[j].free.minus(&ask.need)
+            } else {
+                self.slots[j].free
+            }
+        };
+        bits.ones()
+            .any(|j| self.slots[j].busy > 0 && room(j).covers(&ask.need))
     }
 
     /// Takes room on a machine.
--- a/crates/coordination/src/placer/expectation.rs
+++ b/crates/coordination/src/placer/expectation.rs
@@ -10,7 +10,10 @@
             return spec.tasks;
         }
         let guarantee = self.guarantees.get(&spec.team);
-        (1..=spec.tasks.min(u64::from(CHUNK_TASKS))).take_while(|&n| within(&spec.need().times(n), guarantee)).last().unwrap_or(0)
+        (1..=spec.tasks.min(u64::from(CHUNK_TASKS)))
+            .take_while(|&n| within(&spec.need().times(n), guarantee))
+            .last()
+            .unwrap_or(0)
     }
 
     /// Counts the work that is expected to come while a machine boots, for
@@ -18,11 +21,17 @@
     /// kept, and what finds no room is asked for like waiting work.
     pub(super) fn add_spare(&mut self, now: u64) -> Vec<Demand> {
         let mut lacking = Vec::new();
-        while self.arrivals.front().is_some_and(|(at, _)| now > at + ARRIVALS_MS) {
+        while self
+            .arrivals
+            .front()
+            .is_some_and(|(at, _)| now > at + ARRIVALS_MS)
+        {
             self.arrivals.pop_front();
         }
         self.keep.clear();
-        let seen_ms = now.saturating_sub(self.started + SETTLE_MS).clamp(1, ARRIVALS_MS);
+        let seen_ms = now
+            .saturating_sub(self.started + SETTLE_MS)
+            .clamp(1, ARRIVALS_MS);
         if self.spare <= 0.0 || seen_ms < ARRIVALS_MS / 3 {
             return lacking;
         }
@@ -32,9 +41,16 @@
             let spec = &record.spec;
             let restart_ms = self.boot_ms as f64 + spec.image_gb / self.fetch_gb_per_s * 1000.0;
             // Room that costs less is kept for more.
-            let share = if spec.spot { self.spare * self.spot_discount } else { self.spare };
+            let share = if spec.spot {
+                self.spare * self.spot_discount
+            } else {
+                self.spare
+            };
             let expected = self.awaited(spec) as f64 * restart_ms / seen_ms as f64 * share;
-            groups.entry((spec.need(), spec.spot)).or_insert_with(|| (0.0, record.clone())).0 += expected;
+            groups
+                .entry((spec.need(), spec.spot))
+                .or_insert_with(|| (0.0, record.clone()))
+                .0 += expected;
         }
         // As many as a fleet of this size can be expected to need at once.
         let most = SPARE_MOST.max(self.machines().count() as u32 / SPARE_FLEET);
@@ -57,7 +73,9 @@
                     frugal: false,
                 };
                 let found = self.fields.iter().enumerate().find_map(|(p, field)| {
-                    let fit = field.first_fit(&ask).or_else(|| field.evict_fit(&ask, spec.rank, false, false, None));
+                    let fit = field
+                        .first_fit(&ask)
+                        .or_else(|| field.evict_fit(&ask, spec.rank, false, false, None));
                     fit.map(|i| (p, i))
                 });
                 let Some((p, i)) = found else {
--- a/crates/coordination/src/placer/gangs.rs
+++ b/crates/coordination/src/placer/gangs.rs
@@ -9,7 +9,12 @@
     /// come. `wall_offset_ms`: the time of day at the steady clock's zero.
     pub fn keep_ledger(&mut self, now: u64, wall_offset_ms: u64) {
         self.wall_offset_ms = wall_offset_ms;
-        while let Some((at, id)) = self.gang_times.first().filter(|(at, _)| now >= *at).cloned() {
+        while let Some((at, id)) = self
+            .gang_times
+            .first()
+            .filter(|(at, _)| now >= *at)
+            .cloned()
+        {
             self.gang_times.remove(&(at, id.clone()));
             self.gangs.insert(id);
         }
@@ -19,13 +24,17 @@
     }
 
     fn look_at_gang(&mut self, id: &JobId, now: u64) {
-        let Some(job) = self.jobs.get_mut(id).filter(|j| j.gang() && !j.stopping()) else { return };
+        let Some(job) = self.jobs.get_mut(id).filter(|j| j.gang() && !j.stopping()) else {
+            return;
+        };
         if job.live.is_empty() {
             job.admission = None;
             return;
         }
         let unwritten = job.step_unwritten();
-        let Some(admission) = job.admission.as_mut() else { return };
+        let Some(admission) = job.admission.as_mut() else {
+            return;
+        };
         if !unwritten && admission.since.is_none() {
             admission.since = Some(now);
         }
@@ -46,9 +55,15 @@
     /// end of each member is proven.
     fn release_gang(&mut self, id: &JobId, why: Why, now: u64) {
         let wall = now + self.wall_offset_ms;
-        let Some(job) = self.jobs.get_mut(id) else { return };
-        let late: Vec<MachineId> =
-            job.live.values().filter(|l| !matches!(l.standing, Some(s) if !s.ended())).map(|l| l.machine.clone()).collect();
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        let late: Vec<MachineId> = job
+            .live
+            .values()
+            .filter(|l| !matches!(l.standing, Some(s) if !s.ended()))
+            .map(|l| l.machine.clone())
+            .collect();
         info!(job = %id, part = self.part, ?why, live = job.live.len(), late = late.len(), "gang is released");
         job.go_on(GangStep::Released, wall);
         job.stop_all();
@@ -60,6 +75,11 @@
     /// Gangs that stand at a step which is not written yet go first: their owners
     /// hold room for them that nobody can use.
     pub(super) fn ledger_first(job: &Job) -> bool {
-        !job.stopping() && job.step_unwritten() && job.admission.as_ref().is_some_and(|a| a.step != GangStep::Planned)
+        !job.stopping()
+            && job.step_unwritten()
+            && job
+                .admission
+                .as_ref()
+                .is_some_and(|a| a.step != GangStep::Planned)
     }
 }
