--- a/crates/coordination/tests/chains.rs
+++ b/crates/coordination/tests/chains.rs
@@ -18,14 +18,22 @@
 use lemonweir_storage::records::*;
 use support::*;
 
-const LOT: Lot = Lot { part: 0, token: TOKEN };
+const LOT: Lot = Lot {
+    part: 0,
+    token: TOKEN,
+};
 
 fn id(n: usize) -> JobId {
     JobId::from(format!("req-{n:06}").as_str())
 }
 
 fn spec(n: usize, awaits: &[usize]) -> JobSpec {
-    JobSpec { id: id(n), team: "amber".into(), awaits: awaits.iter().map(|n| id(*n)).collect(), ..array(1) }
+    JobSpec {
+        id: id(n),
+        team: "amber".into(),
+        awaits: awaits.iter().map(|n| id(*n)).collect(),
+        ..array(1)
+    }
 }
 
 /// Controller 0 with its own shard, and the store's keys that it follows.
@@ -37,13 +45,24 @@
 
 impl Leader {
     fn new() -> Self {
-        let mut core = Core::new(Config::new(&settings(0)), lemonweir_policy::embedded().expect("policy"));
+        let mut core = Core::new(
+            Config::new(&settings(0)),
+            lemonweir_policy::embedded().expect("policy"),
+        );
         core.set_catalog([(kind().name, kind())].into_iter().collect());
-        let holder = Entry { key: part_key(0), value: to_value(&PartRecord { host: "h0".into() }), version: TOKEN };
+        let holder = Entry {
+            key: part_key(0),
+            value: to_value(&PartRecord { host: "h0".into() }),
+            version: TOKEN,
+        };
         core.mirror.replace(&[holder], 100);
         core.refreshed(10, true);
         core.adopt(LOT, &[], Vec::new(), 10);
-        Self { core, revision: 100, now: 1_000 }
+        Self {
+            core,
+            revision: 100,
+            now: 1_000,
+        }
     }
 
     /// The store makes a transaction, and the controller reads what changed; the revision.
@@ -51,10 +70,26 @@
         self.revision += 1;
         let version = self.revision;
         let change = |write: &Write| match write {
-            Write::Put { key, value, .. } => Change { set: Some(key.clone()), drop: None, value: Some(value.clone()), version },
-            Write::Delete { key } => Change { set: None, drop: Some(key.clone()), value: None, version },
+            Write::Put { key, value, .. } => Change {
+                set: Some(key.clone()),
+                drop: None,
+                value: Some(value.clone()),
+                version,
+            },
+            Write::Delete { key } => Change {
+                set: None,
+                drop: Some(key.clone()),
+                value: None,
+                version,
+            },
+        };
+        let followed = |change: &Change| {
+            change
+                .set
+                .iter()
+                .chain(&change.drop)
+                .all(|key| key.starts_with(FOLLOWED))
         };
-        let followed = |change: &Change| change.set.iter().chain(&change.drop).all(|key| key.starts_with(FOLLOWED));
         let changes: Vec<Change> = txn.writes.iter().map(change).filter(followed).collect();
         self.core.mirror.apply(&changes, version, self.now);
         self.core.refreshed(self.now, true);
@@ -62,22 +97,49 @@
     }
 
     fn accept(&mut self, spec: &JobSpec) -> u64 {
-        let record = JobRecord { spec: spec.clone(), at: 1, withdrawn: false, awaited: 0 };
-        let txns = if spec.awaits.is_empty() { vec![accept_job(&record)] } else { accept_waiting(&record, self.core.config.txn_ops) };
-        txns.iter().map(|txn| self.make(txn)).last().expect("a transaction")
+        let record = JobRecord {
+            spec: spec.clone(),
+            at: 1,
+            withdrawn: false,
+            awaited: 0,
+        };
+        let txns = if spec.awaits.is_empty() {
+            vec![accept_job(&record)]
+        } else {
+            accept_waiting(&record, self.core.config.txn_ops)
+        };
+        txns.iter()
+            .map(|txn| self.make(txn))
+            .last()
+            .expect("a transaction")
     }
 
     /// A job ends, as far as the followed keys tell.
     fn ends(&mut self, n: usize) -> u64 {
-        self.make(&Txn { conditions: Vec::new(), writes: vec![Write::Delete { key: job_key(&id(n)) }] })
+        self.make(&Txn {
+            conditions: Vec::new(),
+            writes: vec![Write::Delete {
+                key: job_key(&id(n)),
+            }],
+        })
     }
 
     /// A job's user asks to cancel it, and its end says so.
     fn cancelled(&mut self, n: usize) {
-        let record = JobRecord { spec: spec(n, &[]), at: 1, withdrawn: true, awaited: 0 };
-        self.make(&Txn { conditions: Vec::new(), writes: vec![Write::put(job_key(&id(n)), &record)] });
+        let record = JobRecord {
+            spec: spec(n, &[]),
+            at: 1,
+            withdrawn: true,
+            awaited: 0,
+        };
+        self.make(&Txn {
+            conditions: Vec::new(),
+            writes: vec![Write::put(job_key(&id(n)), &record)],
+        });
         let revision = self.ends(n);
-        self.core.mirror.settle(&id(n), Phase::Withdrawn, revision, self.now);
+        self.core
+            .mirror
+            .settle(&id(n), Phase::Withdrawn, revision, self.now);
     }
 
     /// The next transaction for waiting jobs, and the ends that are to be read.
@@ -97,11 +159,16 @@
 }
 
 fn sets(txn: &Txn, key: &str) -> bool {
-    txn.writes.iter().any(|write| matches!(write, Write::Put { key: set, .. } if set == key))
+    txn.writes
+        .iter()
+        .any(|write| matches!(write, Write::Put { key: set, .. } if set == key))
 }
 
 fn end_at(n: usize, version: u64) -> Condition {
-    Condition { key: end_key(&id(n)), version }
+    Condition {
+        key: end_key(&id(n)),
+        version,
+    }
 }
 
 /// What makes a job start demands each awaited end, under the version that says done, and
@@ -113,20 +180,35 @@
     leader.accept(&spec(2, &[]));
     let own = leader.accept(&spec(3, &[1, 2]));
     assert_eq!(leader.due(), (None, Vec::new()));
-    assert_eq!(leader.core.chain_standing(&id(3)), Standing::Waits(vec![id(1), id(2)]));
+    assert_eq!(
+        leader.core.chain_standing(&id(3)),
+        Standing::Waits(vec![id(1), id(2)])
+    );
     let first = leader.ends(1);
     assert_eq!(leader.due(), (None, Vec::new()), "one is not enough");
     let second = leader.ends(2);
     let (txn, _) = leader.due();
     let txn = txn.expect("it may start");
-    let wanted = vec![Condition { key: chain_key(&id(3)), version: own }, end_at(1, first), end_at(2, second)];
+    let wanted = vec![
+        Condition {
+            key: chain_key(&id(3)),
+            version: own,
+        },
+        end_at(1, first),
+        end_at(2, second),
+    ];
     assert_eq!(txn.conditions, wanted);
-    assert!(sets(&txn, &job_key(&id(3))) && !leader.core.mirror.jobs.contains_key(&id(3)), "no placer has it before");
+    assert!(
+        sets(&txn, &job_key(&id(3))) && !leader.core.mirror.jobs.contains_key(&id(3)),
+        "no placer has it before"
+    );
     // Its answer is lost: nothing but the same is tried again, once the copy was read.
     leader.core.chain_done(TxnOutcome::Again, leader.now);
     assert_eq!(leader.due().0, Some(txn.clone()));
     let revision = leader.make(&txn);
-    leader.core.chain_done(TxnOutcome::Done(revision), leader.now);
+    leader
+        .core
+        .chain_done(TxnOutcome::Done(revision), leader.now);
     assert!(leader.core.mirror.jobs.contains_key(&id(3)));
     assert_eq!(leader.due(), (None, Vec::new()));
 }
@@ -137,13 +219,26 @@
     let mut leader = Leader::new();
     leader.accept(&spec(3, &[1, 2]));
     assert_eq!(leader.due(), (None, vec![id(1), id(2)]));
-    assert_eq!(leader.core.answer(&id(3), leader.now), Answer::Ends(vec![id(1), id(2)]));
+    assert_eq!(
+        leader.core.answer(&id(3), leader.now),
+        Answer::Ends(vec![id(1), id(2)])
+    );
     assert_eq!(leader.due(), (None, Vec::new()), "once at a time");
     for n in [1, 2] {
-        leader.core.mirror.settle(&id(n), Phase::Done, 40 + n as u64, leader.now);
+        leader
+            .core
+            .mirror
+            .settle(&id(n), Phase::Done, 40 + n as u64, leader.now);
     }
     leader.core.ends_read(&[id(1), id(2)], leader.now);
-    assert!(leader.due().0.expect("it may start").conditions.contains(&end_at(2, 42)));
+    assert!(
+        leader
+            .due()
+            .0
+            .expect("it may start")
+            .conditions
+            .contains(&end_at(2, 42))
+    );
 }
 
 /// Whatever needs a cancelled job counts as cancelled once a node may tell of that end,
@@ -163,17 +258,35 @@
     let all = [1, LONG / 2, LONG, LONG + 1, LONG + WIDE];
     leader.now += 1;
     leader.core.refreshed(leader.now, false);
-    assert!(all.iter().all(|n| matches!(leader.core.answer(&id(*n), leader.now), Answer::Unfinished(Phase::Queued, ..))));
+    assert!(all.iter().all(|n| matches!(
+        leader.core.answer(&id(*n), leader.now),
+        Answer::Unfinished(Phase::Queued, ..)
+    )));
     leader.cancelled(0);
     for n in all {
-        assert_eq!(leader.core.answer(&id(n), leader.now), Answer::OverIn(TOLD_AFTER_MS), "{n}");
-        assert_eq!(leader.core.answer(&id(n), leader.now + TOLD_AFTER_MS), Answer::Over(Phase::Withdrawn), "{n}");
+        assert_eq!(
+            leader.core.answer(&id(n), leader.now),
+            Answer::OverIn(TOLD_AFTER_MS),
+            "{n}"
+        );
+        assert_eq!(
+            leader.core.answer(&id(n), leader.now + TOLD_AFTER_MS),
+            Answer::Over(Phase::Withdrawn),
+            "{n}"
+        );
     }
     // Their own ends are written as fast as transactions hold them, each under its key.
     let (txn, _) = leader.due();
     let txn = txn.expect("some are written");
-    assert!(txn.writes.len() <= leader.core.config.txn_ops && txn.writes.len() > leader.core.config.txn_ops - 2);
-    assert!(txn.writes.iter().all(|write| !matches!(write, Write::Put { key, .. } if !key.starts_with(END_PREFIX))));
+    assert!(
+        txn.writes.len() <= leader.core.config.txn_ops
+            && txn.writes.len() > leader.core.config.txn_ops - 2
+    );
+    assert!(
+        txn.writes
+            .iter()
+            .all(|write| !matches!(write, Write::Put { key, .. } if !key.starts_with(END_PREFIX)))
+    );
 }
 
 /// More awaited jobs than a record and a transaction hold: none is left out.
@@ -186,7 +299,14 @@
     }
     let awaits: Vec<usize> = (0..MANY).collect();
     leader.accept(&spec(MANY, &awaits));
-    assert_eq!(leader.core.mirror.awaits(&id(MANY)).map(|awaits| awaits.len()), Some(MANY));
+    assert_eq!(
+        leader
+            .core
+            .mirror
+            .awaits(&id(MANY))
+            .map(|awaits| awaits.len()),
+        Some(MANY)
+    );
     let missing = awaits_key(&id(MANY), 3);
     let mut versions = Vec::new();
     for n in 0..MANY {
@@ -197,14 +317,25 @@
     for _ in 0..MANY {
         let txn = leader.due().0.expect("it goes on");
         assert!(txn.conditions.len() <= CONDITIONS_A_CHANGE * leader.core.config.txn_ops);
-        confirmed.extend(txn.conditions.iter().filter(|c| c.key.starts_with(END_PREFIX)).cloned());
+        confirmed.extend(
+            txn.conditions
+                .iter()
+                .filter(|c| c.key.starts_with(END_PREFIX))
+                .cloned(),
+        );
         let revision = leader.make(&txn);
-        leader.core.chain_done(TxnOutcome::Done(revision), leader.now);
+        leader
+            .core
+            .chain_done(TxnOutcome::Done(revision), leader.now);
         if sets(&txn, &job_key(&id(MANY))) {
             break;
         }
     }
-    let wanted: Vec<Condition> = versions.iter().enumerate().map(|(n, version)| end_at(n, *version)).collect();
+    let wanted: Vec<Condition> = versions
+        .iter()
+        .enumerate()
+        .map(|(n, version)| end_at(n, *version))
+        .collect();
     assert_eq!(confirmed, wanted, "each end was confirmed once");
     // The pages mean nothing any more, and go.
     let gone = leader.due().0.expect("pages are removed");
@@ -215,7 +346,10 @@
 /// others, for as long as they wait for it, and never with a lower one than its own.
 #[test]
 fn the_jobs_before_an_urgent_one_come_first() {
-    let rank = |n, awaits: &[usize], rank| JobSpec { rank, ..spec(n, awaits) };
+    let rank = |n, awaits: &[usize], rank| JobSpec {
+        rank,
+        ..spec(n, awaits)
+    };
     let mut leader = Leader::new();
     leader.accept(&rank(1, &[], Rank::Low));
     leader.accept(&rank(2, &[], Rank::Production));
@@ -226,12 +360,26 @@
         leader.core.pump(leader.now);
         [1, 2].map(|n| leader.core.placed_rank(&id(n)))
     };
-    assert_eq!(order(&mut leader), [Some(Rank::Low), Some(Rank::Production)]);
+    assert_eq!(
+        order(&mut leader),
+        [Some(Rank::Low), Some(Rank::Production)]
+    );
     leader.accept(&rank(4, &[3, 2], Rank::High));
-    assert_eq!(order(&mut leader), [Some(Rank::High), Some(Rank::Production)]);
+    assert_eq!(
+        order(&mut leader),
+        [Some(Rank::High), Some(Rank::Production)]
+    );
     // Who needed it is cancelled.
-    leader.make(&Txn { conditions: Vec::new(), writes: vec![Write::Delete { key: chain_key(&id(4)) }] });
-    assert_eq!(order(&mut leader), [Some(Rank::Low), Some(Rank::Production)]);
+    leader.make(&Txn {
+        conditions: Vec::new(),
+        writes: vec![Write::Delete {
+            key: chain_key(&id(4)),
+        }],
+    });
+    assert_eq!(
+        order(&mut leader),
+        [Some(Rank::Low), Some(Rank::Production)]
+    );
 }
 
 /// What a submission gets, by what is known of the jobs that it names.
@@ -241,12 +389,23 @@
     leader.accept(&spec(1, &[]));
     leader.accept(&spec(2, &[1]));
     let admit = |leader: &Leader, awaits: &[usize]| leader.core.admit(&spec(9, awaits), 1);
-    assert_eq!(admit(&leader, &[1, 7, 9]), Admission::Unknown(vec![id(7), id(9)]), "the store is asked before 422");
-    let Admission::Accept(txns, Phase::Queued) = admit(&leader, &[1, 2]) else { panic!("accepted") };
-    assert!(sets(txns.last().expect("one"), &chain_key(&id(9))) && txns.iter().all(|txn| !sets(txn, &job_key(&id(9)))));
+    assert_eq!(
+        admit(&leader, &[1, 7, 9]),
+        Admission::Unknown(vec![id(7), id(9)]),
+        "the store is asked before 422"
+    );
+    let Admission::Accept(txns, Phase::Queued) = admit(&leader, &[1, 2]) else {
+        panic!("accepted")
+    };
+    assert!(
+        sets(txns.last().expect("one"), &chain_key(&id(9)))
+            && txns.iter().all(|txn| !sets(txn, &job_key(&id(9))))
+    );
     // Done or not is for the store to say: it waits all the same.
     leader.ends(1);
-    let Admission::Accept(txns, Phase::Queued) = admit(&leader, &[1]) else { panic!("accepted") };
+    let Admission::Accept(txns, Phase::Queued) = admit(&leader, &[1]) else {
+        panic!("accepted")
+    };
     assert!(sets(&txns[0], &chain_key(&id(9))));
     // With a cancelled job before it, at whatever distance, it is cancelled from the start.
     let mut leader = Leader::new();
@@ -254,7 +413,9 @@
     leader.accept(&spec(2, &[1]));
     leader.cancelled(1);
     for awaits in [[1], [2]] {
-        let Admission::Accept(txns, Phase::Withdrawn) = admit(&leader, &awaits) else { panic!("cancelled") };
+        let Admission::Accept(txns, Phase::Withdrawn) = admit(&leader, &awaits) else {
+            panic!("cancelled")
+        };
         assert!(sets(&txns[0], &end_key(&id(9))));
     }
 }
--- a/crates/coordination/tests/changes.rs
+++ b/crates/coordination/tests/changes.rs
@@ -95,7 +95,11 @@
 
 fn message(log: &ChangeLog<u8, u32>, acked: u64, seq: u64, mut room: usize) -> Message {
     let (span, changes) = log.since(acked, &mut room, |_, _| 1);
-    (seq, span, changes.into_iter().map(|(k, v)| (*k, v.copied())).collect())
+    (
+        seq,
+        span,
+        changes.into_iter().map(|(k, v)| (*k, v.copied())).collect(),
+    )
 }
 
 proptest! {
@@ -172,17 +176,57 @@
 fn a_start_costs_the_same_in_a_large_fleet() {
     for machines in [10, 1_000] {
         let mut owner = fleet(machines);
-        let first = owner.sync(&sync(1, Span { since: 0, upto: 0, last: true }, Vec::new(), Have::default()), ROOM, 20).expect("taken");
+        let first = owner
+            .sync(
+                &sync(
+                    1,
+                    Span {
+                        since: 0,
+                        upto: 0,
+                        last: true,
+                    },
+                    Vec::new(),
+                    Have::default(),
+                ),
+                ROOM,
+                20,
+            )
+            .expect("taken");
         assert_eq!(first.machines.len(), machines);
         assert!(owner.calls(20, ROOM).is_empty());
-        let span = Span { since: 0, upto: 1, last: true };
-        let view = owner.sync(&sync(2, span, vec![want(0, 3)], have(&first)), ROOM, 30).expect("taken");
-        assert_eq!((view.machines.len(), view.attempts.len()), (1, 1), "{machines} machines");
+        let span = Span {
+            since: 0,
+            upto: 1,
+            last: true,
+        };
+        let view = owner
+            .sync(&sync(2, span, vec![want(0, 3)], have(&first)), ROOM, 30)
+            .expect("taken");
+        assert_eq!(
+            (view.machines.len(), view.attempts.len()),
+            (1, 1),
+            "{machines} machines"
+        );
         assert_eq!(view.wants_at, 1);
         assert_eq!(owner.calls(30, ROOM).len(), 1);
         // A report that says nothing new is no news.
         assert!(owner.report(&report(7, 2), None, 40).is_some());
-        let quiet = owner.sync(&sync(3, Span { since: 1, upto: 1, last: true }, Vec::new(), have(&view)), ROOM, 50).expect("taken");
+        let quiet = owner
+            .sync(
+                &sync(
+                    3,
+                    Span {
+                        since: 1,
+                        upto: 1,
+                        last: true,
+                    },
+                    Vec::new(),
+                    have(&view),
+                ),
+                ROOM,
+                50,
+            )
+            .expect("taken");
         assert_eq!((quiet.machines.len(), quiet.attempts.len()), (0, 0));
     }
 }
@@ -191,19 +235,79 @@
 #[test]
 fn stops_overtake_what_has_no_room() {
     let mut owner = fleet(3);
-    let two = Span { since: 0, upto: 2, last: true };
-    owner.sync(&sync(1, two, vec![want(0, 0), want(1, 1)], Have::default()), ROOM, 20).expect("taken");
+    let two = Span {
+        since: 0,
+        upto: 2,
+        last: true,
+    };
+    owner
+        .sync(
+            &sync(1, two, vec![want(0, 0), want(1, 1)], Have::default()),
+            ROOM,
+            20,
+        )
+        .expect("taken");
     assert_eq!(owner.calls(20, ROOM).len(), 2);
     for n in 0..2 {
-        assert!(owner.report(&Report { tasks: vec![running_task(n)], ..report(n, 2) }, None, 30).is_some());
+        assert!(
+            owner
+                .report(
+                    &Report {
+                        tasks: vec![running_task(n)],
+                        ..report(n, 2)
+                    },
+                    None,
+                    30
+                )
+                .is_some()
+        );
     }
-    let mut piece = sync(2, Span { since: 2, upto: 3, last: false }, vec![want(2, 2)], Have::default());
+    let mut piece = sync(
+        2,
+        Span {
+            since: 2,
+            upto: 3,
+            last: false,
+        },
+        vec![want(2, 2)],
+        Have::default(),
+    );
     // One of ours, and one that this placer does not have.
-    piece.stops = vec![(want(1, 1).id, 0), (AttemptId { attempt: 9, ..want(1, 1).id }, 0)];
+    piece.stops = vec![
+        (want(1, 1).id, 0),
+        (
+            AttemptId {
+                attempt: 9,
+                ..want(1, 1).id
+            },
+            0,
+        ),
+    ];
     owner.sync(&piece, ROOM, 40).expect("taken");
-    let reply = owner.report(&Report { tasks: vec![running_task(1)], ..report(1, 3) }, None, 50).expect("answered");
-    assert_eq!(reply.orders.iter().map(|o| o.verb).collect::<Vec<_>>(), vec![Verb::Kill]);
-    let reply = owner.report(&Report { tasks: vec![running_task(0)], ..report(0, 3) }, None, 50).expect("answered");
+    let reply = owner
+        .report(
+            &Report {
+                tasks: vec![running_task(1)],
+                ..report(1, 3)
+            },
+            None,
+            50,
+        )
+        .expect("answered");
+    assert_eq!(
+        reply.orders.iter().map(|o| o.verb).collect::<Vec<_>>(),
+        vec![Verb::Kill]
+    );
+    let reply = owner
+        .report(
+            &Report {
+                tasks: vec![running_task(0)],
+                ..report(0, 3)
+            },
+            None,
+            50,
+        )
+        .expect("answered");
     assert!(reply.orders.is_empty());
 }
 
@@ -215,8 +319,26 @@
     let mut seen = BTreeMap::new();
     let mut pieces = 0;
     for seq in 1..100 {
-        let view = owner.sync(&sync(seq, Span { since: 0, upto: 0, last: true }, Vec::new(), at), 8 * 1024, 20).expect("taken");
-        assert!(lemonweir_protocol::peer::write(&view).len() < 9 * 1024, "a message keeps to its room");
+        let view = owner
+            .sync(
+                &sync(
+                    seq,
+                    Span {
+                        since: 0,
+                        upto: 0,
+                        last: true,
+                    },
+                    Vec::new(),
+                    at,
+                ),
+                8 * 1024,
+                20,
+            )
+            .expect("taken");
+        assert!(
+            lemonweir_protocol::peer::write(&view).len() < 9 * 1024,
+            "a message keeps to its room"
+        );
         pieces += 1;
         at = have(&view);
         seen.extend(view.machines.iter().map(|m| (m.id.clone(), m.free)));
@@ -237,23 +359,90 @@
     const VALUE: usize = 4 * 1024;
     let mut owner = fleet(MACHINES);
     let image = |n: usize| format!("img-{:02}", n % 20);
-    let wants: Vec<Want> = (0..MACHINES).map(|n| Want { image: image(n), ..want(n as u32, n) }).collect();
-    owner.sync(&sync(1, Span { since: 0, upto: 400, last: true }, wants, Have::default()), ROOM, 20).expect("taken");
+    let wants: Vec<Want> = (0..MACHINES)
+        .map(|n| Want {
+            image: image(n),
+            ..want(n as u32, n)
+        })
+        .collect();
+    owner
+        .sync(
+            &sync(
+                1,
+                Span {
+                    since: 0,
+                    upto: 400,
+                    last: true,
+                },
+                wants,
+                Have::default(),
+            ),
+            ROOM,
+            20,
+        )
+        .expect("taken");
     for n in 0..MACHINES {
-        assert!(owner.report(&Report { tasks: vec![running_task(n)], ..report(n, 2) }, None, 30).is_some());
+        assert!(
+            owner
+                .report(
+                    &Report {
+                        tasks: vec![running_task(n)],
+                        ..report(n, 2)
+                    },
+                    None,
+                    30
+                )
+                .is_some()
+        );
     }
     let pages = owner.images_note(60_000, VALUE, 12);
     assert!(pages.len() > 1, "this fleet needs several pages");
-    let pages: Vec<ImagesRecord> = pages.into_iter().map(|(_, page)| page.expect("written")).collect();
-    assert!(pages.iter().all(|p| lemonweir_protocol::encode(p).len() <= VALUE));
-    assert!(owner.images_note(120_000, VALUE, 12).is_empty(), "nothing new, nothing written");
-    let mut next = Owner::new(0, TOKEN + 1, 1, TIMING, lemonweir_policy::embedded().expect("policy"), 0);
+    let pages: Vec<ImagesRecord> = pages
+        .into_iter()
+        .map(|(_, page)| page.expect("written"))
+        .collect();
+    assert!(
+        pages
+            .iter()
+            .all(|p| lemonweir_protocol::encode(p).len() <= VALUE)
+    );
+    assert!(
+        owner.images_note(120_000, VALUE, 12).is_empty(),
+        "nothing new, nothing written"
+    );
+    let mut next = Owner::new(
+        0,
+        TOKEN + 1,
+        1,
+        TIMING,
+        lemonweir_policy::embedded().expect("policy"),
+        0,
+    );
     next.learn_images(pages);
     for n in 0..MACHINES {
         let token = (TOKEN + 1) << lemonweir_model::constants::FENCE_BITS;
-        assert!(next.report(&Report { token, ..report(n, 3) }, None, 40).is_some());
+        assert!(
+            next.report(
+                &Report {
+                    token,
+                    ..report(n, 3)
+                },
+                None,
+                40
+            )
+            .is_some()
+        );
     }
-    let mut first = sync(2, Span { since: 0, upto: 0, last: true }, Vec::new(), Have::default());
+    let mut first = sync(
+        2,
+        Span {
+            since: 0,
+            upto: 0,
+            last: true,
+        },
+        Vec::new(),
+        Have::default(),
+    );
     first.to_token = TOKEN + 1;
     let view = next.sync(&first, ROOM, 50).expect("taken");
     assert_eq!(view.machines.len(), MACHINES);
@@ -285,14 +474,64 @@
         }
         placer.sync_for(0, TOKEN, ROOM, false, 0).wants
     };
-    let first = tell(vec![machine(4)], Span { since: 0, upto: 1, last: true }, Vec::new());
+    let first = tell(
+        vec![machine(4)],
+        Span {
+            since: 0,
+            upto: 1,
+            last: true,
+        },
+        Vec::new(),
+    );
     assert_eq!(first.len(), 4);
-    let taken: Vec<AttemptView> = first.iter().map(|w| AttemptView { id: w.id.clone(), standing: Standing::Accepted }).collect();
+    let taken: Vec<AttemptView> = first
+        .iter()
+        .map(|w| AttemptView {
+            id: w.id.clone(),
+            standing: Standing::Accepted,
+        })
+        .collect();
     // The attempts have room; what is left on their machine is not told yet.
-    assert_eq!(tell(Vec::new(), Span { since: 1, upto: 1, last: false }, taken.clone()).len(), 4);
-    assert_eq!(tell(vec![machine(0)], Span { since: 1, upto: 2, last: false }, taken.clone()).len(), 4);
+    assert_eq!(
+        tell(
+            Vec::new(),
+            Span {
+                since: 1,
+                upto: 1,
+                last: false
+            },
+            taken.clone()
+        )
+        .len(),
+        4
+    );
+    assert_eq!(
+        tell(
+            vec![machine(0)],
+            Span {
+                since: 1,
+                upto: 2,
+                last: false
+            },
+            taken.clone()
+        )
+        .len(),
+        4
+    );
     // One of another's has ended.
-    assert_eq!(tell(vec![machine(1)], Span { since: 2, upto: 3, last: true }, taken).len(), 5);
+    assert_eq!(
+        tell(
+            vec![machine(1)],
+            Span {
+                since: 2,
+                upto: 3,
+                last: true
+            },
+            taken
+        )
+        .len(),
+        5
+    );
 }
 
 /// Found on rough of zeltplatz-rechen-grown: after a crash the list still named
@@ -312,8 +551,26 @@
     let mut seq = 0;
     let mut open = |owner: &mut Owner| {
         seq += 1;
-        let view = owner.sync(&sync(seq, Span { since: 0, upto: 0, last: true }, Vec::new(), Have::default()), ROOM, 20).expect("taken");
-        view.machines.iter().find(|m| m.id == machine(5)).map(|m| m.open)
+        let view = owner
+            .sync(
+                &sync(
+                    seq,
+                    Span {
+                        since: 0,
+                        upto: 0,
+                        last: true,
+                    },
+                    Vec::new(),
+                    Have::default(),
+                ),
+                ROOM,
+                20,
+            )
+            .expect("taken");
+        view.machines
+            .iter()
+            .find(|m| m.id == machine(5))
+            .map(|m| m.open)
     };
     owner.listed(&[entry("starting")], 1_000);
     owner.tick(30_000, 30_000);
@@ -321,7 +578,9 @@
     owner.listed(&[entry("running")], 30_000);
     owner.tick(31_000, 31_000);
     assert_eq!(open(&mut owner), Some(true), "it may just be up");
-    (31_000..45_000).step_by(500).for_each(|now| owner.tick(now, now));
+    (31_000..45_000)
+        .step_by(500)
+        .for_each(|now| owner.tick(now, now));
     assert_eq!(open(&mut owner), Some(false));
     assert!(owner.report(&report(5, 1), None, 46_000).is_some());
     assert_eq!(open(&mut owner), Some(true), "it was only late");
@@ -330,11 +589,22 @@
 #[test]
 fn numbers_that_make_no_sense_change_nothing() {
     let mut owner = fleet(3);
-    let whole = Span { since: 0, upto: 5, last: true };
-    owner.sync(&sync(5, whole, vec![want(0, 1)], Have::default()), ROOM, 20).expect("taken");
+    let whole = Span {
+        since: 0,
+        upto: 5,
+        last: true,
+    };
+    owner
+        .sync(&sync(5, whole, vec![want(0, 1)], Have::default()), ROOM, 20)
+        .expect("taken");
     assert!(owner.calls(20, ROOM).len() == 1);
     // Late, of another token, of a part that there is not.
-    assert_eq!(owner.sync(&sync(5, whole, Vec::new(), Have::default()), ROOM, 21).err(), Some(SyncRefusal::Stale));
+    assert_eq!(
+        owner
+            .sync(&sync(5, whole, Vec::new(), Have::default()), ROOM, 21)
+            .err(),
+        Some(SyncRefusal::Stale)
+    );
     let mut other = sync(6, whole, Vec::new(), Have::default());
     other.to_token = TOKEN + 1;
     assert_eq!(owner.sync(&other, ROOM, 21).err(), Some(SyncRefusal::Token));
@@ -343,8 +613,31 @@
     assert_eq!(owner.sync(&other, ROOM, 21).err(), Some(SyncRefusal::Part));
     // A gap, and a span that ends before it begins: all is asked for again, and
     // the attempt is still held.
-    for (seq, span) in [(6, Span { since: 9, upto: 12, last: true }), (7, Span { since: 4, upto: 2, last: true })] {
-        let view = owner.sync(&sync(seq, span, vec![want(1, 2)], Have::default()), ROOM, 22).expect("answered");
+    for (seq, span) in [
+        (
+            6,
+            Span {
+                since: 9,
+                upto: 12,
+                last: true,
+            },
+        ),
+        (
+            7,
+            Span {
+                since: 4,
+                upto: 2,
+                last: true,
+            },
+        ),
+    ] {
+        let view = owner
+            .sync(
+                &sync(seq, span, vec![want(1, 2)], Have::default()),
+                ROOM,
+                22,
+            )
+            .expect("answered");
         assert_eq!(view.wants_at, 0);
         assert_eq!(view.attempts.len(), 1, "only the first attempt is known");
         assert_eq!(view.attempts[0].standing, Standing::Accepted);
@@ -352,13 +645,40 @@
     // An attempt can't move to another machine under the same name.
     let mut moved = want(0, 2);
     moved.need = Room::offer(16.0, 4.0, 64.0);
-    let on = Span { since: 5, upto: 6, last: true };
-    let view = owner.sync(&sync(8, on, vec![moved], Have::default()), ROOM, 23).expect("answered");
-    let free = |n: usize| view.machines.iter().find(|m| m.id == machine(n)).map(|m| m.free);
+    let on = Span {
+        since: 5,
+        upto: 6,
+        last: true,
+    };
+    let view = owner
+        .sync(&sync(8, on, vec![moved], Have::default()), ROOM, 23)
+        .expect("answered");
+    let free = |n: usize| {
+        view.machines
+            .iter()
+            .find(|m| m.id == machine(n))
+            .map(|m| m.free)
+    };
     assert_eq!(free(2), Some(Room::offer(16.0, 4.0, 64.0)));
     assert_eq!(free(1), Some(Room::offer(12.0, 3.0, 56.0)));
     // States that were never told: nothing follows, nothing ends.
-    let ahead = Have { machines: u64::MAX, attempts: u64::MAX };
-    let view = owner.sync(&sync(9, Span { since: 6, upto: 6, last: true }, Vec::new(), ahead), ROOM, 24);
+    let ahead = Have {
+        machines: u64::MAX,
+        attempts: u64::MAX,
+    };
+    let view = owner.sync(
+        &sync(
+            9,
+            Span {
+                since: 6,
+                upto: 6,
+                last: true,
+            },
+            Vec::new(),
+            ahead,
+        ),
+        ROOM,
+        24,
+    );
     assert!(view.is_ok_and(|v| v.machines.is_empty() && v.attempts.is_empty()));
 }
--- a/crates/coordination/tests/elections.rs
+++ b/crates/coordination/tests/elections.rs
@@ -17,7 +17,8 @@
 const HOSTS: u16 = 3;
 
 fn core(me: u16) -> Core {
-    static POLICY: LazyLock<Policy> = LazyLock::new(|| lemonweir_policy::embedded().expect("policy"));
+    static POLICY: LazyLock<Policy> =
+        LazyLock::new(|| lemonweir_policy::embedded().expect("policy"));
     let seed = |n: u16| serde_json::json!({"host_name": format!("h{n}"), "zone": "north", "address": format!("10.0.0.{n}:8081")});
     let seeds: Vec<_> = (0..HOSTS).filter(|n| *n != me).map(seed).collect();
     let value = serde_json::json!({
@@ -38,17 +39,39 @@
 }
 
 fn taken(part: u16, host: u16, version: u64) -> Change {
-    let value = to_value(&PartRecord { host: format!("h{host}") });
-    Change { set: Some(part_key(part)), drop: None, value: Some(value), version }
+    let value = to_value(&PartRecord {
+        host: format!("h{host}"),
+    });
+    Change {
+        set: Some(part_key(part)),
+        drop: None,
+        value: Some(value),
+        version,
+    }
 }
 
 fn given_up(part: u16, version: u64) -> Change {
-    Change { set: None, drop: Some(part_key(part)), value: None, version }
+    Change {
+        set: None,
+        drop: Some(part_key(part)),
+        value: None,
+        version,
+    }
 }
 
 fn lives(host: u16, version: u64) -> Change {
-    let value = to_value(&NodeRecord { zone: "north".into(), format: PEER_VERSION, deaf: Vec::new(), reads: 0 });
-    Change { set: Some(node_key(&format!("h{host}"))), drop: None, value: Some(value), version }
+    let value = to_value(&NodeRecord {
+        zone: "north".into(),
+        format: PEER_VERSION,
+        deaf: Vec::new(),
+        reads: 0,
+    });
+    Change {
+        set: Some(node_key(&format!("h{host}"))),
+        drop: None,
+        value: Some(value),
+        version,
+    }
 }
 
 /// A reading that began at `now` shows these changes.
@@ -60,7 +83,12 @@
 /// The controller of this number, which has read that it and two others live.
 fn among(me: u16) -> Core {
     let mut core = core(me);
-    read(&mut core, &[lives(0, 1), lives(1, 2), lives(2, 3)], 3, 1_000);
+    read(
+        &mut core,
+        &[lives(0, 1), lives(1, 2), lives(2, 3)],
+        3,
+        1_000,
+    );
     core
 }
 
@@ -81,9 +109,25 @@
 fn who_lost_its_part_and_got_it_back_within_a_reading_begins_anew() {
     let mut core = among(0);
     holds(&mut core, 0, 10, 2_000);
-    read(&mut core, &[given_up(0, 20), taken(0, 1, 21), given_up(0, 22), taken(0, 0, 23)], 24, 3_000);
+    read(
+        &mut core,
+        &[
+            given_up(0, 20),
+            taken(0, 1, 21),
+            given_up(0, 22),
+            taken(0, 0, 23),
+        ],
+        24,
+        3_000,
+    );
     assert_eq!(core.held(), Vec::new());
-    assert_eq!(membership().claim(&core, 0, 3_100), Some(Claim::Take { part: 0, version: 23 }));
+    assert_eq!(
+        membership().claim(&core, 0, 3_100),
+        Some(Claim::Take {
+            part: 0,
+            version: 23
+        })
+    );
     // Nor does the taking of an earlier life count as its own.
     read(&mut core, &[taken(0, 0, 30)], 30, 3_200);
     core.adopt(Lot { part: 0, token: 30 }, &[], Vec::new(), 3_200);
@@ -99,9 +143,18 @@
     read(&mut core, &[taken(0, 1, 12)], 12, 2_000);
     assert_eq!(core.held(), Vec::new(), "it has not decided to hold it");
     let mut membership = membership();
-    assert_eq!(membership.claim(&core, 0, 2_100), Some(Claim::Take { part: 0, version: 12 }));
+    assert_eq!(
+        membership.claim(&core, 0, 2_100),
+        Some(Claim::Take {
+            part: 0,
+            version: 12
+        })
+    );
     holds(&mut core, 0, 13, 2_200);
-    assert_eq!(membership.claim(&core, 0, 2_300), Some(Claim::HandBack(Lot { part: 0, token: 13 })));
+    assert_eq!(
+        membership.claim(&core, 0, 2_300),
+        Some(Claim::HandBack(Lot { part: 0, token: 13 }))
+    );
 }
 
 /// All controllers end, and one returns while the others' holds live on: it leaves their
@@ -109,18 +162,61 @@
 #[test]
 fn who_returns_alone_takes_the_others_parts_once_their_holds_are_over() {
     let mut core = among(1);
-    read(&mut core, &[taken(0, 0, 10), taken(1, 1, 11), taken(2, 2, 12)], 12, 2_000);
+    read(
+        &mut core,
+        &[taken(0, 0, 10), taken(1, 1, 11), taken(2, 2, 12)],
+        12,
+        2_000,
+    );
     let mut membership = membership();
-    let claims = |membership: &mut Membership, core: &Core, now| (0..HOSTS).map(|p| membership.claim(core, p, now)).collect::<Vec<_>>();
-    assert_eq!(claims(&mut membership, &core, 2_000), [None, Some(Claim::Take { part: 1, version: 11 }), None]);
+    let claims = |membership: &mut Membership, core: &Core, now| {
+        (0..HOSTS)
+            .map(|p| membership.claim(core, p, now))
+            .collect::<Vec<_>>()
+    };
+    assert_eq!(
+        claims(&mut membership, &core, 2_000),
+        [
+            None,
+            Some(Claim::Take {
+                part: 1,
+                version: 11
+            }),
+            None
+        ]
+    );
     holds(&mut core, 1, 13, 2_100);
-    let ended = |host: u16, version| Change { set: None, drop: Some(node_key(&format!("h{host}"))), value: None, version };
-    read(&mut core, &[given_up(0, 14), ended(0, 14), given_up(2, 15), ended(2, 15)], 15, 9_000);
-    assert_eq!(claims(&mut membership, &core, 9_000), [None, None, None], "their homes go first");
+    let ended = |host: u16, version| Change {
+        set: None,
+        drop: Some(node_key(&format!("h{host}"))),
+        value: None,
+        version,
+    };
+    read(
+        &mut core,
+        &[given_up(0, 14), ended(0, 14), given_up(2, 15), ended(2, 15)],
+        15,
+        9_000,
+    );
+    assert_eq!(
+        claims(&mut membership, &core, 9_000),
+        [None, None, None],
+        "their homes go first"
+    );
     let later = 9_000 + TAKEOVER_WAIT_MS + HEIR_STEP_MS * u64::from(HOSTS);
     assert_eq!(
         claims(&mut membership, &core, later),
-        [Some(Claim::Take { part: 0, version: 0 }), None, Some(Claim::Take { part: 2, version: 0 })]
+        [
+            Some(Claim::Take {
+                part: 0,
+                version: 0
+            }),
+            None,
+            Some(Claim::Take {
+                part: 2,
+                version: 0
+            })
+        ]
     );
 }
 
@@ -133,7 +229,11 @@
         to_token,
         seq: 1,
         store_age_ms: 0,
-        span: Span { since: 0, upto: 0, last: true },
+        span: Span {
+            since: 0,
+            upto: 0,
+            last: true,
+        },
         wants: Vec::new(),
         dropped: Vec::new(),
         stops: Vec::new(),
@@ -153,11 +253,23 @@
     let mut core = among(1);
     holds(&mut core, 1, 10, 2_000);
     read(&mut core, &[taken(0, 0, 11)], 11, 2_100);
-    core.superseded(Superseded { version: PEER_VERSION, part: 0, token: 50, host: "h2".into() }, 2_200);
+    core.superseded(
+        Superseded {
+            version: PEER_VERSION,
+            part: 0,
+            token: 50,
+            host: "h2".into(),
+        },
+        2_200,
+    );
     read(&mut core, &[given_up(0, 20), taken(0, 0, 30)], 31, 2_300);
-    assert!(matches!(core.sync_in(&sync(0, 30, 1, 10), 2_400), Err(SyncRefusal::Superseded(by)) if by.token == 50));
+    assert!(
+        matches!(core.sync_in(&sync(0, 30, 1, 10), 2_400), Err(SyncRefusal::Superseded(by)) if by.token == 50)
+    );
     read(&mut core, &[given_up(0, 40)], 41, 2_500);
-    assert!(matches!(core.sync_in(&sync(0, 30, 1, 10), 2_600), Err(SyncRefusal::Superseded(by)) if by.token == 50));
+    assert!(
+        matches!(core.sync_in(&sync(0, 30, 1, 10), 2_600), Err(SyncRefusal::Superseded(by)) if by.token == 50)
+    );
     assert!(core.sync_in(&sync(0, 50, 1, 10), 2_700).is_ok());
 }
 
@@ -167,12 +279,28 @@
 fn who_is_superseded_does_not_take_its_part_by_an_earlier_taking() {
     let mut core = among(0);
     holds(&mut core, 0, 10, 2_000);
-    core.superseded(Superseded { version: PEER_VERSION, part: 0, token: 50, host: "h1".into() }, 2_100);
+    core.superseded(
+        Superseded {
+            version: PEER_VERSION,
+            part: 0,
+            token: 50,
+            host: "h1".into(),
+        },
+        2_100,
+    );
     assert_eq!(core.held(), Vec::new());
     read(&mut core, &[given_up(0, 20), taken(0, 0, 30)], 31, 2_200);
     assert_eq!(membership().claim(&core, 0, 2_300), None);
     // Late word of an earlier holder changes nothing.
-    core.superseded(Superseded { version: PEER_VERSION, part: 0, token: 40, host: "h2".into() }, 2_400);
+    core.superseded(
+        Superseded {
+            version: PEER_VERSION,
+            part: 0,
+            token: 40,
+            host: "h2".into(),
+        },
+        2_400,
+    );
     assert_eq!(core.mirror.parts.get(&0).map(|h| h.token), Some(50));
 }
 
@@ -180,17 +308,34 @@
 /// first page is not judged by it, one that was lost before is given up.
 #[test]
 fn a_full_reading_judges_only_what_it_is_new_enough_for() {
-    let entry =
-        |part: u16, host: u16, version| Entry { key: part_key(part), value: to_value(&PartRecord { host: format!("h{host}") }), version };
+    let entry = |part: u16, host: u16, version| Entry {
+        key: part_key(part),
+        value: to_value(&PartRecord {
+            host: format!("h{host}"),
+        }),
+        version,
+    };
     let mut core = among(0);
     holds(&mut core, 0, 10, 2_000);
     holds(&mut core, 1, 110, 2_100);
     // The first page is of revision 100, the parts' page of one before part 1 was taken.
     core.mirror.replace(&[entry(0, 2, 90), entry(1, 1, 5)], 100);
     core.refreshed(2_200, true);
-    assert_eq!(core.held(), vec![Lot { part: 1, token: 110 }]);
+    assert_eq!(
+        core.held(),
+        vec![Lot {
+            part: 1,
+            token: 110
+        }]
+    );
     read(&mut core, &[given_up(1, 105), taken(1, 0, 110)], 111, 2_300);
-    assert_eq!(core.held(), vec![Lot { part: 1, token: 110 }]);
+    assert_eq!(
+        core.held(),
+        vec![Lot {
+            part: 1,
+            token: 110
+        }]
+    );
 }
 
 /// A holder that can't hear its machines leaves the part, and has no answer: it tries
@@ -199,9 +344,15 @@
 fn a_leaving_that_is_tried_again_is_one_leaving() {
     let mut core = among(0);
     holds(&mut core, 0, 10, 2_000);
-    let ours = |n: &u32| core.config.part_of("north", &format!("n-{n:06}").as_str().into()) == 0;
+    let ours = |n: &u32| {
+        core.config
+            .part_of("north", &format!("n-{n:06}").as_str().into())
+            == 0
+    };
     let report = Report {
-        machine: format!("n-{:06}", (0..400).find(ours).expect("some")).as_str().into(),
+        machine: format!("n-{:06}", (0..400).find(ours).expect("some"))
+            .as_str()
+            .into(),
         address: "10.1.0.1:9000".into(),
         kind: "box".into(),
         zone: "north".into(),
@@ -217,19 +368,31 @@
     let since = 2_100 + CARRIED_PART_MS + 1;
     read(&mut core, &[lives(0, 11)], 11, since);
     for again in 0..5 {
-        assert_eq!(membership.claim(&core, 0, since + 1_700 * again), Some(Claim::Leave(Lot { part: 0, token: 10 })));
+        assert_eq!(
+            membership.claim(&core, 0, since + 1_700 * again),
+            Some(Claim::Leave(Lot { part: 0, token: 10 }))
+        );
     }
     core.abandon(0, since + 8_000);
     assert!(membership.left(&core, since + 8_000).contains(&0));
-    assert_eq!(membership.left(&core, since + 8_000 + DEAF_MS), Vec::<u16>::new());
+    assert_eq!(
+        membership.left(&core, since + 8_000 + DEAF_MS),
+        Vec::<u16>::new()
+    );
     // The next time it is for twice as long.
     read(&mut core, &[given_up(0, 12)], 12, since + 10_000 + DEAF_MS);
     holds(&mut core, 0, 20, since + 10_000 + DEAF_MS);
     core.carried_report(&Report { seq: 2, ..report }, 1, since + 10_000 + DEAF_MS);
     let anew = since + 10_000 + DEAF_MS + CARRIED_PART_MS + 1;
     read(&mut core, &[lives(0, 21)], 21, anew);
-    assert_eq!(membership.claim(&core, 0, anew), Some(Claim::Leave(Lot { part: 0, token: 20 })));
+    assert_eq!(
+        membership.claim(&core, 0, anew),
+        Some(Claim::Leave(Lot { part: 0, token: 20 }))
+    );
     core.abandon(0, anew);
     assert!(membership.left(&core, anew + 2 * DEAF_MS - 1).contains(&0));
-    assert_eq!(membership.left(&core, anew + 2 * DEAF_MS), Vec::<u16>::new());
+    assert_eq!(
+        membership.left(&core, anew + 2 * DEAF_MS),
+        Vec::<u16>::new()
+    );
 }
--- a/crates/coordination/tests/ends.rs
+++ b/crates/coordination/tests/ends.rs
@@ -16,7 +16,9 @@
 use lemonweir_protocol::users::Phase;
 use lemonweir_protocol::worker::{Order, Report, TaskPhase, TaskReport, Verb};
 use lemonweir_storage::mirror::{Holder, MirroredJob};
-use lemonweir_storage::records::{ChunkRecord, EndRecord, JobRecord, end_key, job_key, parse_run_key, part_key, run_key};
+use lemonweir_storage::records::{
+    ChunkRecord, EndRecord, JobRecord, end_key, job_key, parse_run_key, part_key, run_key,
+};
 use proptest::prelude::*;
 use support::*;
 
@@ -149,7 +151,14 @@
     }
 
     fn put(&mut self, key: String, value: rmpv::Value) {
-        self.store.insert(key.clone(), Entry { key, value, version: self.revision });
+        self.store.insert(
+            key.clone(),
+            Entry {
+                key,
+                value,
+                version: self.revision,
+            },
+        );
     }
 
     fn version(&self, key: &str) -> u64 {
@@ -157,7 +166,12 @@
     }
 
     fn submit(&mut self, part: usize, spec: JobSpec) {
-        let record = JobRecord { spec: spec.clone(), at: self.now, withdrawn: false, awaited: 0 };
+        let record = JobRecord {
+            spec: spec.clone(),
+            at: self.now,
+            withdrawn: false,
+            awaited: 0,
+        };
         self.revision += 1;
         self.put(job_key(&spec.id), to_value(&record));
         self.jobs.push((part, Arc::new(spec)));
@@ -165,8 +179,13 @@
     }
 
     fn withdraw(&mut self, id: &JobId) {
-        let Some(entry) = self.store.get(&job_key(id)) else { return };
-        let record = JobRecord { withdrawn: true, ..from_value(&entry.value).expect("a job") };
+        let Some(entry) = self.store.get(&job_key(id)) else {
+            return;
+        };
+        let record = JobRecord {
+            withdrawn: true,
+            ..from_value(&entry.value).expect("a job")
+        };
         self.revision += 1;
         self.put(job_key(id), to_value(&record));
         self.tell_jobs();
@@ -175,10 +194,10 @@
     /// What the followed keys say reaches every holder.
     fn tell_jobs(&mut self) {
         for (part, spec) in &self.jobs {
-            let mirrored = self
-                .store
-                .get(&job_key(&spec.id))
-                .map(|e| MirroredJob { record: Arc::new(from_value(&e.value).expect("a job")), version: e.version });
+            let mirrored = self.store.get(&job_key(&spec.id)).map(|e| MirroredJob {
+                record: Arc::new(from_value(&e.value).expect("a job")),
+                version: e.version,
+            });
             if let Some(leader) = self.leaders[*part].as_mut() {
                 leader.placer.set_job(&spec.id, mirrored.as_ref(), self.now);
             }
@@ -189,46 +208,98 @@
     fn take(&mut self, part: usize) {
         self.revision += 1;
         let token = self.revision;
-        self.holders.insert(part as u16, Holder { host: format!("h{token}"), token });
+        self.holders.insert(
+            part as u16,
+            Holder {
+                host: format!("h{token}"),
+                token,
+            },
+        );
         self.put(part_key(part as u16), to_value(&0));
-        let policy = Policy { idle: 1e6, idle_spot: 1e6, ..lemonweir_policy::embedded().expect("policy") };
+        let policy = Policy {
+            idle: 1e6,
+            idle_spot: 1e6,
+            ..lemonweir_policy::embedded().expect("policy")
+        };
         let mut owner = Owner::new(part as u16, token, PARTS as u16, TIMING, policy, self.now);
         owner.set_types([kind()].iter());
         let mut placer = Placer::new(part as u16, token, PARTS as u16, terms(), self.now);
-        placer.expect(&HashMap::new(), f64::MAX, &[(kind().name, kind())].into_iter().collect());
-        for (key, e) in self.store.range(format!("run/{part}/")..).take_while(|(k, _)| k.starts_with(&format!("run/{part}/"))) {
+        placer.expect(
+            &HashMap::new(),
+            f64::MAX,
+            &[(kind().name, kind())].into_iter().collect(),
+        );
+        for (key, e) in self
+            .store
+            .range(format!("run/{part}/")..)
+            .take_while(|(k, _)| k.starts_with(&format!("run/{part}/")))
+        {
             let (id, chunk) = parse_run_key(key).expect("a key");
-            placer.load_chunk(&id, chunk, &from_value::<ChunkRecord>(&e.value).expect("a chunk"), e.version);
+            placer.load_chunk(
+                &id,
+                chunk,
+                &from_value::<ChunkRecord>(&e.value).expect("a chunk"),
+                e.version,
+            );
         }
         let known: Vec<JobId> = placer.known().cloned().collect();
-        for id in known.iter().filter(|id| !self.store.contains_key(&job_key(id))) {
+        for id in known
+            .iter()
+            .filter(|id| !self.store.contains_key(&job_key(id)))
+        {
             placer.set_job(id, None, self.now);
         }
-        self.leaders[part] = Some(Leader { token, placer, owner, flight: None, pause: 0, passed: 0, word: self.now, other: 0 });
+        self.leaders[part] = Some(Leader {
+            token,
+            placer,
+            owner,
+            flight: None,
+            pause: 0,
+            passed: 0,
+            word: self.now,
+            other: 0,
+        });
         self.tell_jobs();
     }
 
     /// The holder of a part ends, or is superseded without knowing for so long.
     fn end(&mut self, part: usize, away: u64, knows_nothing: u64) {
-        let Some(mut leader) = self.leaders[part].take() else { return };
+        let Some(mut leader) = self.leaders[part].take() else {
+            return;
+        };
         self.back[part] = self.now + away;
         if let Some(flight) = leader.flight.take().filter(|f| f.outcome.is_none()) {
             self.late.push((flight.at, flight.txn));
         }
         if knows_nothing > 0 {
-            self.superseded.push((part, leader, self.now + away + knows_nothing));
+            self.superseded
+                .push((part, leader, self.now + away + knows_nothing));
         }
     }
 
     /// True if it stands in the store that a task is done.
     fn done_written(&self, id: &JobId, task: u32) -> bool {
-        let chunk = |part: usize| self.store.get(&run_key(part as u16, id, task / CHUNK_TASKS));
-        let done = |e: &Entry| from_value::<ChunkRecord>(&e.value).expect("a chunk").done.iter().any(|r| (r.0..=r.1).contains(&task));
+        let chunk = |part: usize| {
+            self.store
+                .get(&run_key(part as u16, id, task / CHUNK_TASKS))
+        };
+        let done = |e: &Entry| {
+            from_value::<ChunkRecord>(&e.value)
+                .expect("a chunk")
+                .done
+                .iter()
+                .any(|r| (r.0..=r.1).contains(&task))
+        };
         self.store.contains_key(&end_key(id)) || (0..PARTS).filter_map(chunk).any(done)
     }
 
     fn apply(&mut self, txn: &Txn) -> TxnOutcome {
-        let failed: Vec<String> = txn.conditions.iter().filter(|c| self.version(&c.key) != c.version).map(|c| c.key.clone()).collect();
+        let failed: Vec<String> = txn
+            .conditions
+            .iter()
+            .filter(|c| self.version(&c.key) != c.version)
+            .map(|c| c.key.clone())
+            .collect();
         if !failed.is_empty() {
             return TxnOutcome::Conflict(failed);
         }
@@ -240,12 +311,23 @@
                         let id = JobId::from(id);
                         let record: EndRecord = from_value(value).expect("an end");
                         if record.phase == Phase::Withdrawn {
-                            let live = |b: &Box_| b.tasks.iter().any(|(i, t)| i.job == id && t.phase != TaskPhase::Exited);
-                            assert!(!self.boxes.iter().any(live), "{id} is told withdrawn and runs");
+                            let live = |b: &Box_| {
+                                b.tasks
+                                    .iter()
+                                    .any(|(i, t)| i.job == id && t.phase != TaskPhase::Exited)
+                            };
+                            assert!(
+                                !self.boxes.iter().any(live),
+                                "{id} is told withdrawn and runs"
+                            );
                             self.put(key.clone(), value.clone());
                             continue;
                         }
-                        let tasks = self.jobs.iter().find(|(_, s)| s.id == id).map_or(0, |(_, s)| s.tasks as u32);
+                        let tasks = self
+                            .jobs
+                            .iter()
+                            .find(|(_, s)| s.id == id)
+                            .map_or(0, |(_, s)| s.tasks as u32);
                         let all = (0..tasks).all(|t| self.completed.contains_key(&(id.clone(), t)));
                         assert!(all, "{id} is told done and is not: {:?}", self.completed);
                     }
@@ -261,9 +343,13 @@
     /// A placer's turn: its answer comes, and it writes.
     fn placer_turn(&mut self, part: usize) {
         let now = self.now;
-        let Some(mut leader) = self.leaders[part].take() else { return };
+        let Some(mut leader) = self.leaders[part].take() else {
+            return;
+        };
         if leader.flight.as_ref().is_some_and(|f| now >= f.at) {
-            let Some(flight) = leader.flight.take() else { unreachable!("looked at") };
+            let Some(flight) = leader.flight.take() else {
+                unreachable!("looked at")
+            };
             // A reading may show the end before its answer comes.
             self.leaders[part] = Some(leader);
             let outcome = flight.outcome.unwrap_or_else(|| self.apply(&flight.txn));
@@ -275,7 +361,11 @@
             leader.passed = now;
             leader.placer.place(now);
         }
-        let txn = if leader.flight.is_none() && now >= leader.pause { leader.placer.next_txn(now) } else { None };
+        let txn = if leader.flight.is_none() && now >= leader.pause {
+            leader.placer.next_txn(now)
+        } else {
+            None
+        };
         self.leaders[part] = Some(leader);
         let Some(txn) = txn else { return };
         let fate = self.fates.pop_front().unwrap_or(Fate::Slow(0));
@@ -304,12 +394,15 @@
     fn answered(&mut self, part: usize, outcome: TxnOutcome) {
         let now = self.now;
         let reread: Vec<(JobId, u32, u64)> = match &outcome {
-            TxnOutcome::Conflict(keys) => {
-                keys.iter().filter_map(|k| parse_run_key(k).map(|(id, chunk)| (id, chunk, self.version(k)))).collect()
-            }
+            TxnOutcome::Conflict(keys) => keys
+                .iter()
+                .filter_map(|k| parse_run_key(k).map(|(id, chunk)| (id, chunk, self.version(k))))
+                .collect(),
             _ => Vec::new(),
         };
-        let Some(leader) = self.leaders[part].as_mut() else { return };
+        let Some(leader) = self.leaders[part].as_mut() else {
+            return;
+        };
         if matches!(outcome, TxnOutcome::Again) {
             leader.pause = now + 2 * TICK_MS;
         }
@@ -317,18 +410,28 @@
             leader.placer.reread(&id, chunk, version);
         }
         let (verdict, _) = leader.placer.txn_done(outcome, now);
-        assert_eq!(verdict, TxnVerdict::Fine, "only a superseded holder loses its part");
+        assert_eq!(
+            verdict,
+            TxnVerdict::Fine,
+            "only a superseded holder loses its part"
+        );
     }
 
     fn sync(&mut self, from: usize, to: usize) {
         let now = self.now;
-        let Some(mut leader) = self.leaders[from].take() else { return };
+        let Some(mut leader) = self.leaders[from].take() else {
+            return;
+        };
         if from == to {
-            let sync = leader.placer.sync_for(to as u16, leader.token, ROOM, false, now);
+            let sync = leader
+                .placer
+                .sync_for(to as u16, leader.token, ROOM, false, now);
             let view = leader.owner.sync(&sync, ROOM, now).expect("its own");
             leader.placer.take_view(view, now);
         } else if let Some(other) = self.leaders[to].as_mut() {
-            let sync = leader.placer.sync_for(to as u16, other.token, ROOM, false, now);
+            let sync = leader
+                .placer
+                .sync_for(to as u16, other.token, ROOM, false, now);
             match other.owner.sync(&sync, ROOM, now) {
                 Ok(view) => drop(leader.placer.take_view(view, now)),
                 Err(_) => leader.placer.lost(to as u16),
@@ -345,14 +448,18 @@
         all.retain(|(_, _, until)| now < *until);
         for (part, leader, _) in &mut all {
             leader.owner.tick(now, leader.word);
-            let sync = leader.placer.sync_for(*part as u16, leader.token, ROOM, false, now);
+            let sync = leader
+                .placer
+                .sync_for(*part as u16, leader.token, ROOM, false, now);
             if let Ok(view) = leader.owner.sync(&sync, ROOM, now) {
                 leader.placer.take_view(view, now);
             }
             let to = 1 - *part;
             if let Some(other) = self.leaders[to].as_mut() {
                 // It names the owner that its last reading showed.
-                let sync = leader.placer.sync_for(to as u16, leader.other, ROOM, false, now);
+                let sync = leader
+                    .placer
+                    .sync_for(to as u16, leader.other, ROOM, false, now);
                 match other.owner.sync(&sync, ROOM, now) {
                     Ok(view) => drop(leader.placer.take_view(view, now)),
                     Err(_) => leader.placer.lost(to as u16),
@@ -382,7 +489,13 @@
             cause: t.cause.map(str::to_owned),
             saved: None,
         });
-        Report { session: b.session, token: b.token, tasks: tasks.collect(), spot: (b.name / 2).is_multiple_of(2), ..report(b.name, b.seq) }
+        Report {
+            session: b.session,
+            token: b.token,
+            tasks: tasks.collect(),
+            spot: (b.name / 2).is_multiple_of(2),
+            ..report(b.name, b.seq)
+        }
     }
 
     fn execute(&mut self, n: usize, orders: &[Order]) {
@@ -391,17 +504,36 @@
             match o.verb {
                 Verb::Launch if self.boxes[n].tasks.contains_key(&id) => {}
                 Verb::Launch => {
-                    let twice =
-                        |b: &Box_| b.tasks.iter().any(|(i, t)| (&i.job, i.task) == (&id.job, id.task) && t.phase != TaskPhase::Exited);
+                    let twice = |b: &Box_| {
+                        b.tasks.iter().any(|(i, t)| {
+                            (&i.job, i.task) == (&id.job, id.task) && t.phase != TaskPhase::Exited
+                        })
+                    };
                     assert!(!self.boxes.iter().any(twice), "{id} is on two machines");
-                    assert!(!self.done_written(&id.job, id.task), "{id} starts though its end is written");
+                    assert!(
+                        !self.done_written(&id.job, id.task),
+                        "{id} starts though its end is written"
+                    );
                     self.launches += 1;
-                    self.boxes[n].tasks.insert(id, Task { phase: TaskPhase::Fetching, cause: None, since: self.now });
+                    self.boxes[n].tasks.insert(
+                        id,
+                        Task {
+                            phase: TaskPhase::Fetching,
+                            cause: None,
+                            since: self.now,
+                        },
+                    );
                 }
                 Verb::Kill => self.exit(n, &id, "stopped"),
                 Verb::Forget => {
-                    let done = self.boxes[n].tasks.remove(&id).is_some_and(|t| t.cause == Some("done"));
-                    assert!(!done || self.done_written(&id.job, id.task), "{id} is forgotten before its end is written");
+                    let done = self.boxes[n]
+                        .tasks
+                        .remove(&id)
+                        .is_some_and(|t| t.cause == Some("done"));
+                    assert!(
+                        !done || self.done_written(&id.job, id.task),
+                        "{id} is forgotten before its end is written"
+                    );
                 }
             }
             self.boxes[n].changed = true;
@@ -409,7 +541,11 @@
     }
 
     fn exit(&mut self, n: usize, id: &AttemptId, cause: &'static str) {
-        if let Some(t) = self.boxes[n].tasks.get_mut(id).filter(|t| t.phase != TaskPhase::Exited) {
+        if let Some(t) = self.boxes[n]
+            .tasks
+            .get_mut(id)
+            .filter(|t| t.phase != TaskPhase::Exited)
+        {
             (t.phase, t.cause) = (TaskPhase::Exited, Some(cause));
             self.boxes[n].changed = true;
             if cause == "done" {
@@ -424,9 +560,17 @@
         let report = self.report_of(n);
         self.boxes[n].reported = now;
         self.boxes[n].changed = false;
-        let old = self.superseded.iter_mut().find(|(p, _, _)| *p == part && superseded).map(|(_, l, _)| l);
-        let Some(leader) = old.or(self.leaders[part].as_mut()) else { return };
-        let Some(reply) = leader.owner.report(&report, None, now) else { return };
+        let old = self
+            .superseded
+            .iter_mut()
+            .find(|(p, _, _)| *p == part && superseded)
+            .map(|(_, l, _)| l);
+        let Some(leader) = old.or(self.leaders[part].as_mut()) else {
+            return;
+        };
+        let Some(reply) = leader.owner.report(&report, None, now) else {
+            return;
+        };
         if reply.token < self.boxes[n].token {
             return;
         }
@@ -435,7 +579,9 @@
     }
 
     fn calls(&mut self, part: usize) {
-        let Some(leader) = self.leaders[part].as_mut() else { return };
+        let Some(leader) = self.leaders[part].as_mut() else {
+            return;
+        };
         // What is given back is replaced.
         let names = leader.owner.releases();
         if !names.is_empty() {
@@ -447,7 +593,9 @@
                 self.names += 1;
             }
         }
-        let Some(leader) = self.leaders[part].as_mut() else { return };
+        let Some(leader) = self.leaders[part].as_mut() else {
+            return;
+        };
         for call in leader.owner.calls(self.now, 64) {
             let result = self.call(&call);
             if let Some(leader) = self.leaders[part].as_mut() {
@@ -457,7 +605,9 @@
     }
 
     fn call(&mut self, call: &CommandCall) -> CommandResult {
-        let Some(n) = (0..BOXES).find(|n| machine(self.boxes[*n].name) == call.machine) else { return CommandResult::NotSent };
+        let Some(n) = (0..BOXES).find(|n| machine(self.boxes[*n].name) == call.machine) else {
+            return CommandResult::NotSent;
+        };
         let b = &mut self.boxes[n];
         if self.now < b.mute_until {
             b.held.push(call.clone());
@@ -472,12 +622,25 @@
     }
 
     fn is_gang(&self, id: &JobId) -> Option<u64> {
-        self.jobs.iter().find(|(_, s)| s.id == *id && s.shape == Shape::Gang).map(|(_, s)| s.tasks)
+        self.jobs
+            .iter()
+            .find(|(_, s)| s.id == *id && s.shape == Shape::Gang)
+            .map(|(_, s)| s.tasks)
     }
 
     fn running(&self) -> Vec<(usize, AttemptId)> {
-        let all = self.boxes.iter().enumerate().filter(|(_, b)| self.now >= b.mute_until);
-        all.flat_map(|(n, b)| b.tasks.iter().filter(|(_, t)| t.phase == TaskPhase::Running).map(move |(id, _)| (n, id.clone()))).collect()
+        let all = self
+            .boxes
+            .iter()
+            .enumerate()
+            .filter(|(_, b)| self.now >= b.mute_until);
+        all.flat_map(|(n, b)| {
+            b.tasks
+                .iter()
+                .filter(|(_, t)| t.phase == TaskPhase::Running)
+                .map(move |(id, _)| (n, id.clone()))
+        })
+        .collect()
     }
 
     /// A task completes; of a gang, all do.
@@ -486,9 +649,17 @@
             return self.exit(n, id, "done");
         }
         // Also those that nothing reaches now.
-        let all = self.boxes.iter().enumerate().flat_map(|(n, b)| b.tasks.keys().map(move |i| (n, i.clone())));
-        let members: Vec<(usize, AttemptId)> = all.filter(|(_, i)| (&i.job, i.attempt) == (&id.job, id.attempt)).collect();
-        members.into_iter().for_each(|(n, id)| self.exit(n, &id, "done"));
+        let all = self
+            .boxes
+            .iter()
+            .enumerate()
+            .flat_map(|(n, b)| b.tasks.keys().map(move |i| (n, i.clone())));
+        let members: Vec<(usize, AttemptId)> = all
+            .filter(|(_, i)| (&i.job, i.attempt) == (&id.job, id.attempt))
+            .collect();
+        members
+            .into_iter()
+            .for_each(|(n, id)| self.exit(n, &id, "done"));
     }
 
     /// What machines do by themselves: fetch, gather, lose their lease.
@@ -512,15 +683,23 @@
                 *there.entry((id.job.clone(), id.attempt)).or_default() += 1;
             }
         }
-        let gangs: BTreeMap<JobId, u64> =
-            self.jobs.iter().filter(|(_, s)| s.shape == Shape::Gang).map(|(_, s)| (s.id.clone(), s.tasks)).collect();
+        let gangs: BTreeMap<JobId, u64> = self
+            .jobs
+            .iter()
+            .filter(|(_, s)| s.shape == Shape::Gang)
+            .map(|(_, s)| (s.id.clone(), s.tasks))
+            .collect();
         for b in &mut self.boxes {
             for (id, t) in &mut b.tasks {
-                let whole = gangs.get(&id.job).is_none_or(|n| there.get(&(id.job.clone(), id.attempt)) == Some(n));
+                let whole = gangs
+                    .get(&id.job)
+                    .is_none_or(|n| there.get(&(id.job.clone(), id.attempt)) == Some(n));
                 let next = match t.phase {
                     TaskPhase::Fetching if now >= t.since + 300 => (TaskPhase::Gathering, None),
                     TaskPhase::Gathering if whole => (TaskPhase::Running, None),
-                    TaskPhase::Gathering if now >= t.since + 50_000 => (TaskPhase::Exited, Some("alone")),
+                    TaskPhase::Gathering if now >= t.since + 50_000 => {
+                        (TaskPhase::Exited, Some("alone"))
+                    }
                     TaskPhase::Running if !whole => (TaskPhase::Exited, Some("peers")),
                     _ => continue,
                 };
@@ -530,7 +709,11 @@
         }
         if self.runs_ms > 0 {
             for (n, id) in self.running() {
-                if self.boxes[n].tasks.get(&id).is_some_and(|t| t.phase == TaskPhase::Running && now >= t.since + self.runs_ms) {
+                if self.boxes[n]
+                    .tasks
+                    .get(&id)
+                    .is_some_and(|t| t.phase == TaskPhase::Running && now >= t.since + self.runs_ms)
+                {
                     self.complete(n, &id);
                 }
             }
@@ -542,7 +725,9 @@
         self.now += BEAT_MS;
         let now = self.now;
         self.machines_go_on();
-        let (due, later) = std::mem::take(&mut self.late).into_iter().partition(|(at, _)| now >= *at);
+        let (due, later) = std::mem::take(&mut self.late)
+            .into_iter()
+            .partition(|(at, _)| now >= *at);
         self.late = later;
         for (_, txn) in due {
             self.apply(&txn);
@@ -554,7 +739,9 @@
             if let Some(leader) = self.leaders[part].as_mut() {
                 leader.word = now;
                 leader.other = self.holders.get(&(1 - part as u16)).map_or(0, |h| h.token);
-                leader.owner.watch_placers(&self.holders, self.revision, now);
+                leader
+                    .owner
+                    .watch_placers(&self.holders, self.revision, now);
                 leader.owner.tick(now, now);
             }
             self.calls(part);
@@ -580,7 +767,10 @@
     }
 
     fn run_keys(&self) -> Vec<&String> {
-        self.store.keys().filter(|k| k.starts_with("run/")).collect()
+        self.store
+            .keys()
+            .filter(|k| k.starts_with("run/"))
+            .collect()
     }
 
     /// All troubles are over: everything becomes done, and nothing is left.
@@ -601,27 +791,70 @@
         while self.now < end && !settled(self) {
             self.beat();
         }
-        let left: Vec<&JobId> = self.jobs.iter().map(|(_, s)| &s.id).filter(|id| !self.over(id)).collect();
-        let told = |id: &JobId| self.leaders.iter().flatten().find_map(|l| l.placer.job_note(id, self.now));
-        let told: Vec<_> = left.iter().map(|id| (id, told(id), self.store.get(&run_key(0, id, 0)))).collect();
-        let there: Vec<_> = self.boxes.iter().flat_map(|b| b.tasks.iter().map(|(id, t)| (id, t.phase, t.cause, t.since))).collect();
-        assert!(left.is_empty(), "not over: {told:?}, on machines: {there:?}, at {}", self.now);
-        assert!(self.run_keys().is_empty(), "left over: {:?}", self.run_keys());
+        let left: Vec<&JobId> = self
+            .jobs
+            .iter()
+            .map(|(_, s)| &s.id)
+            .filter(|id| !self.over(id))
+            .collect();
+        let told = |id: &JobId| {
+            self.leaders
+                .iter()
+                .flatten()
+                .find_map(|l| l.placer.job_note(id, self.now))
+        };
+        let told: Vec<_> = left
+            .iter()
+            .map(|id| (id, told(id), self.store.get(&run_key(0, id, 0))))
+            .collect();
+        let there: Vec<_> = self
+            .boxes
+            .iter()
+            .flat_map(|b| {
+                b.tasks
+                    .iter()
+                    .map(|(id, t)| (id, t.phase, t.cause, t.since))
+            })
+            .collect();
+        assert!(
+            left.is_empty(),
+            "not over: {told:?}, on machines: {there:?}, at {}",
+            self.now
+        );
+        assert!(
+            self.run_keys().is_empty(),
+            "left over: {:?}",
+            self.run_keys()
+        );
         // A holder that is away comes back, and hears its machines.
         (0..200).for_each(|_| self.beat());
-        assert!(self.boxes.iter().all(|b| b.tasks.is_empty()), "all is forgotten");
+        assert!(
+            self.boxes.iter().all(|b| b.tasks.is_empty()),
+            "all is forgotten"
+        );
         for leader in self.leaders.iter().flatten() {
-            assert_eq!(leader.placer.known().count(), 0, "part {:?} knows of none", leader.token);
+            assert_eq!(
+                leader.placer.known().count(),
+                0,
+                "part {:?} knows of none",
+                leader.token
+            );
         }
     }
 }
 
 fn job(n: u32, tasks: u64) -> JobSpec {
-    JobSpec { id: JobId::from(format!("req-{n:06}").as_str()), ..array(tasks) }
+    JobSpec {
+        id: JobId::from(format!("req-{n:06}").as_str()),
+        ..array(tasks)
+    }
 }
 
 fn gang(n: u32, tasks: u64) -> JobSpec {
-    JobSpec { shape: Shape::Gang, ..job(n, tasks) }
+    JobSpec {
+        shape: Shape::Gang,
+        ..job(n, tasks)
+    }
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -732,7 +965,11 @@
 }
 
 fn complete(site: &mut Site, n: u32, task: u32) {
-    let (at, attempt) = site.running().into_iter().find(|(_, i)| i.job == id(n) && i.task == task).expect("it runs");
+    let (at, attempt) = site
+        .running()
+        .into_iter()
+        .find(|(_, i)| i.job == id(n) && i.task == task)
+        .expect("it runs");
     site.complete(at, &attempt);
 }
 
@@ -742,12 +979,22 @@
 /// in turn, before or after it heard of it, and if the end was told and not written.
 #[test]
 fn an_end_that_is_not_written_is_told_again_to_each_successor() {
-    for (beats, successors, knows) in [(0, 1, 0), (3, 1, 0), (25, 1, 0), (3, 2, 0), (25, 3, 0), (3, 2, 2_000), (25, 3, 2_000)] {
+    for (beats, successors, knows) in [
+        (0, 1, 0),
+        (3, 1, 0),
+        (25, 1, 0),
+        (3, 2, 0),
+        (25, 3, 0),
+        (3, 2, 2_000),
+        (25, 3, 2_000),
+    ] {
         let mut site = ready();
         site.submit(0, job(1, 3));
         until(&mut site, "all run", |s| s.running().len() == 3);
         complete(&mut site, 1, 0);
-        until(&mut site, "the first end is written", |s| s.done_written(&id(1), 0));
+        until(&mut site, "the first end is written", |s| {
+            s.done_written(&id(1), 0)
+        });
         let kept = |s: &Site| s.boxes.iter().any(|b| b.tasks.keys().any(|i| i.task == 0));
         until(&mut site, "it is forgotten", |s| !kept(s));
         complete(&mut site, 1, 1);
@@ -756,11 +1003,16 @@
             site.end(0, 800, knows);
         }
         assert!(!site.done_written(&id(1), 1), "its end waits for company");
-        until(&mut site, "the second end is written", |s| s.done_written(&id(1), 1));
+        until(&mut site, "the second end is written", |s| {
+            s.done_written(&id(1), 1)
+        });
         assert!(!site.over(&id(1)));
         complete(&mut site, 1, 2);
         until(&mut site, "it is over", |s| s.over(&id(1)));
-        assert_eq!(site.launches, 3, "{beats} {successors} {knows}: nothing starts again");
+        assert_eq!(
+            site.launches, 3,
+            "{beats} {successors} {knows}: nothing starts again"
+        );
         site.settle();
     }
 }
@@ -773,7 +1025,11 @@
     site.submit(0, job(1, 2));
     until(&mut site, "both run", |s| s.running().len() == 2);
     complete(&mut site, 1, 0);
-    let kept = site.boxes.iter().position(|b| b.tasks.keys().any(|i| i.task == 0)).expect("there");
+    let kept = site
+        .boxes
+        .iter()
+        .position(|b| b.tasks.keys().any(|i| i.task == 0))
+        .expect("there");
     site.end(0, 800, 0);
     site.boxes[kept].mute_until = u64::MAX;
     site.boxes[kept].tasks.clear();
@@ -796,7 +1052,9 @@
     site.fates.push_back(Fate::Late(1_000));
     site.submit(0, job(1, 2));
     site.runs_ms = 500;
-    until(&mut site, "it is over", |s| s.over(&id(1)) && s.run_keys().is_empty());
+    until(&mut site, "it is over", |s| {
+        s.over(&id(1)) && s.run_keys().is_empty()
+    });
     let (_, late) = site.late.pop().expect("still to come");
     assert!(matches!(site.apply(&late), TxnOutcome::Conflict(keys) if keys == [job_key(&id(1))]));
     site.settle();
@@ -832,11 +1090,20 @@
     let mut placer = Placer::new(0, TOKEN, 1, terms(), 0);
     submit(&mut placer, job(1, 1), 0, 0);
     let seq = placer.sync_for(0, TOKEN, ROOM, false, 0).seq;
-    let whole = lemonweir_protocol::peer::Span { since: 0, upto: 1, last: true };
+    let whole = lemonweir_protocol::peer::Span {
+        since: 0,
+        upto: 1,
+        last: true,
+    };
     placer.take_view(view(seq, whole, vec![shown(0, 4)], Vec::new()), 0);
     placer.place(0);
     let first = placer.next_txn(0).expect("its start");
-    assert!(first.conditions.iter().any(|c| c.key == job_key(&id(1)) && c.version == 1));
+    assert!(
+        first
+            .conditions
+            .iter()
+            .any(|c| c.key == job_key(&id(1)) && c.version == 1)
+    );
     placer.txn_done(TxnOutcome::Conflict(vec![job_key(&id(1))]), 0);
     assert!(placer.next_txn(10).is_none(), "nothing new is known");
     submit(&mut placer, job(2, 1), 0, 20);
@@ -844,10 +1111,26 @@
     let other = placer.next_txn(20).expect("another job's start");
     assert!(other.conditions.iter().all(|c| c.key != job_key(&id(1))));
     placer.txn_done(TxnOutcome::Done(50), 20);
-    let asked = JobRecord { spec: job(1, 1), at: 0, withdrawn: true, awaited: 0 };
-    placer.set_job(&id(1), Some(&MirroredJob { record: Arc::new(asked), version: 2 }), 30);
+    let asked = JobRecord {
+        spec: job(1, 1),
+        at: 0,
+        withdrawn: true,
+        awaited: 0,
+    };
+    placer.set_job(
+        &id(1),
+        Some(&MirroredJob {
+            record: Arc::new(asked),
+            version: 2,
+        }),
+        30,
+    );
     let end = placer.next_txn(30).expect("its end");
-    assert!(end.writes.iter().any(|w| matches!(w, Write::Put { key, .. } if *key == end_key(&id(1)))));
+    assert!(
+        end.writes
+            .iter()
+            .any(|w| matches!(w, Write::Put { key, .. } if *key == end_key(&id(1))))
+    );
 }
 
 /// What a successor loads is not written again: of an array with two finished chunks
@@ -858,13 +1141,24 @@
     for (n, chunk) in [(1, 0), (1, 1), (2, 0)] {
         let done = vec![(chunk * CHUNK_TASKS, chunk * CHUNK_TASKS + CHUNK_TASKS - 1)];
         let need = job(n, 1).need();
-        let record = ChunkRecord { team: "red".into(), need, next: 65, done, live: Vec::new(), gang: None };
+        let record = ChunkRecord {
+            team: "red".into(),
+            need,
+            next: 65,
+            done,
+            live: Vec::new(),
+            gang: None,
+        };
         placer.load_chunk(&id(n), chunk, &record, 30 + u64::from(chunk));
     }
     submit(&mut placer, job(1, 150), 0, 0);
     placer.set_job(&id(2), None, 0);
     let txn = placer.next_txn(2 * END_LAG_MS).expect("one goes");
-    assert!(matches!(&txn.writes[..], [Write::Delete { key }] if *key == run_key(0, &id(2), 0)), "{:?}", txn.writes);
+    assert!(
+        matches!(&txn.writes[..], [Write::Delete { key }] if *key == run_key(0, &id(2), 0)),
+        "{:?}",
+        txn.writes
+    );
     placer.txn_done(TxnOutcome::Done(60), 2 * END_LAG_MS);
     assert!(placer.next_txn(4 * END_LAG_MS).is_none());
     assert_eq!(placer.job_note(&id(1), 0).map(|n| n.0), Some(128));
@@ -874,32 +1168,73 @@
 /// no answer: no owner has heard of it, so its end is the next that is written.
 #[test]
 fn a_start_under_way_does_not_hold_up_a_cancellation() {
-    for outcome in [TxnOutcome::Conflict(vec![job_key(&id(1))]), TxnOutcome::Again] {
+    for outcome in [
+        TxnOutcome::Conflict(vec![job_key(&id(1))]),
+        TxnOutcome::Again,
+    ] {
         let unknown = matches!(outcome, TxnOutcome::Again);
         let mut placer = Placer::new(0, TOKEN, 1, terms(), 0);
         submit(&mut placer, job(1, 2), 0, 0);
         let seq = placer.sync_for(0, TOKEN, ROOM, false, 0).seq;
-        let whole = lemonweir_protocol::peer::Span { since: 0, upto: 1, last: true };
+        let whole = lemonweir_protocol::peer::Span {
+            since: 0,
+            upto: 1,
+            last: true,
+        };
         placer.take_view(view(seq, whole, vec![shown(0, 4)], Vec::new()), 0);
         placer.place(0);
         placer.next_txn(0).expect("its starts");
-        let asked = JobRecord { spec: job(1, 2), at: 0, withdrawn: true, awaited: 0 };
-        placer.set_job(&id(1), Some(&MirroredJob { record: Arc::new(asked), version: 2 }), 30);
+        let asked = JobRecord {
+            spec: job(1, 2),
+            at: 0,
+            withdrawn: true,
+            awaited: 0,
+        };
+        placer.set_job(
+            &id(1),
+            Some(&MirroredJob {
+                record: Arc::new(asked),
+                version: 2,
+            }),
+            30,
+        );
         placer.txn_done(outcome, 40);
         let end = placer.next_txn(40).expect("its end");
-        assert!(end.writes.contains(&Write::Delete { key: job_key(&id(1)) }), "{end:?}");
-        assert!(end.conditions.contains(&Condition { key: job_key(&id(1)), version: 2 }));
+        assert!(
+            end.writes.contains(&Write::Delete {
+                key: job_key(&id(1))
+            }),
+            "{end:?}"
+        );
+        assert!(end.conditions.contains(&Condition {
+            key: job_key(&id(1)),
+            version: 2
+        }));
         placer.txn_done(TxnOutcome::Done(50), 50);
         // What may have been made is asked for; a refusal tells that it was.
         assert_eq!(placer.known().count(), usize::from(unknown));
         assert!(placer.sync_for(0, TOKEN, ROOM, false, 60).wants.is_empty());
         if unknown {
             let absent = placer.next_txn(60 + END_LAG_MS).expect("a question");
-            assert!(absent.writes.is_empty() && absent.conditions.contains(&Condition { key: run_key(0, &id(1), 0), version: 0 }));
+            assert!(
+                absent.writes.is_empty()
+                    && absent.conditions.contains(&Condition {
+                        key: run_key(0, &id(1), 0),
+                        version: 0
+                    })
+            );
             placer.reread(&id(1), 0, 45);
-            placer.txn_done(TxnOutcome::Conflict(vec![run_key(0, &id(1), 0)]), 70 + END_LAG_MS);
+            placer.txn_done(
+                TxnOutcome::Conflict(vec![run_key(0, &id(1), 0)]),
+                70 + END_LAG_MS,
+            );
             let gone = placer.next_txn(70 + END_LAG_MS).expect("its removal");
-            assert_eq!(gone.writes, [Write::Delete { key: run_key(0, &id(1), 0) }]);
+            assert_eq!(
+                gone.writes,
+                [Write::Delete {
+                    key: run_key(0, &id(1), 0)
+                }]
+            );
             placer.txn_done(TxnOutcome::Done(51), 80 + END_LAG_MS);
             assert_eq!(placer.known().count(), 0);
         }
--- a/crates/coordination/tests/evidence.rs
+++ b/crates/coordination/tests/evidence.rs
@@ -7,7 +7,9 @@
 
 use lemonweir_coordination::owner::Owner;
 use lemonweir_model::MachineId;
-use lemonweir_model::constants::{BLIND_MOST_MS, DRIFT_PER_MILLE, FENCE_BITS, LEASE_MARGIN_MS, RETURN_KEEP_MS};
+use lemonweir_model::constants::{
+    BLIND_MOST_MS, DRIFT_PER_MILLE, FENCE_BITS, LEASE_MARGIN_MS, RETURN_KEEP_MS,
+};
 use lemonweir_protocol::cloud::RentalEntry;
 use lemonweir_protocol::peer::{Have, Span, Standing, View};
 use lemonweir_protocol::worker::Report;
@@ -20,7 +22,14 @@
 const LIST_MS: u64 = 4_000;
 
 fn entry(n: usize) -> RentalEntry {
-    RentalEntry { id: machine(n), kind: "box".into(), zone: "north".into(), spot: false, phase: "running".into(), age_s: 500.0 }
+    RentalEntry {
+        id: machine(n),
+        kind: "box".into(),
+        zone: "north".into(),
+        spot: false,
+        phase: "running".into(),
+        age_s: 500.0,
+    }
 }
 
 /// A successor whose placer wants one attempt on each of 40 machines, none of
@@ -42,7 +51,14 @@
 
 impl Day {
     fn new(cloud: bool) -> Self {
-        let mut owner = Owner::new(0, NEXT, 1, TIMING, lemonweir_policy::embedded().expect("policy"), 0);
+        let mut owner = Owner::new(
+            0,
+            NEXT,
+            1,
+            TIMING,
+            lemonweir_policy::embedded().expect("policy"),
+            0,
+        );
         owner.set_types([kind()].iter());
         let mut day = Self {
             owner,
@@ -56,16 +72,30 @@
             heard: BTreeSet::new(),
         };
         let wants = (0..MACHINES).map(|n| want(n as u32, n)).collect();
-        day.tell(Span { since: 0, upto: 40, last: true }, wants);
+        day.tell(
+            Span {
+                since: 0,
+                upto: 40,
+                last: true,
+            },
+            wants,
+        );
         day
     }
 
     fn tell(&mut self, span: Span, wants: Vec<lemonweir_protocol::peer::Want>) -> View {
         self.seq += 1;
-        let message = lemonweir_protocol::peer::Sync { to_token: NEXT, ..sync(self.seq, span, wants, self.have) };
+        let message = lemonweir_protocol::peer::Sync {
+            to_token: NEXT,
+            ..sync(self.seq, span, wants, self.have)
+        };
         let view = self.owner.sync(&message, ROOM, self.now).expect("taken");
         self.have = have(&view);
-        if let Some(a) = view.attempts.iter().find(|a| a.id == want(0, 0).id && a.standing.ended()) {
+        if let Some(a) = view
+            .attempts
+            .iter()
+            .find(|a| a.id == want(0, 0).id && a.standing.ended())
+        {
             self.ended.get_or_insert((self.now, a.standing));
         }
         view
@@ -91,9 +121,19 @@
                     if kept {
                         self.heard.insert(n);
                     }
-                    let tasks = if kept { vec![running_task(n)] } else { Vec::new() };
+                    let tasks = if kept {
+                        vec![running_task(n)]
+                    } else {
+                        Vec::new()
+                    };
                     let session = if kept { 1 } else { 2 };
-                    let said = Report { seq: self.now, token: NEXT << FENCE_BITS, session, tasks, ..report(n, 0) };
+                    let said = Report {
+                        seq: self.now,
+                        token: NEXT << FENCE_BITS,
+                        session,
+                        tasks,
+                        ..report(n, 0)
+                    };
                     self.owner.report(&said, None, self.now);
                 }
             }
@@ -101,10 +141,18 @@
             self.owner.tick(self.now, word);
             let names = self.owner.releases();
             if !names.is_empty() {
-                self.released.extend(names.iter().map(|id| (self.now, id.clone())));
+                self.released
+                    .extend(names.iter().map(|id| (self.now, id.clone())));
                 self.owner.released(&names, true, self.now);
             }
-            self.tell(Span { since: 40, upto: 40, last: true }, Vec::new());
+            self.tell(
+                Span {
+                    since: 40,
+                    upto: 40,
+                    last: true,
+                },
+                Vec::new(),
+            );
         }
     }
 }
@@ -155,7 +203,10 @@
     assert_eq!(day.released.len(), MACHINES);
     let (first, last) = (day.released[0].0, day.released[MACHINES - 1].0);
     let over = BLIND_MOST_MS + TIMING.lease_ms;
-    assert!(first > over + 2 * 20_000, "it may run on behind the cut, and costs a boot each: {first} ms");
+    assert!(
+        first > over + 2 * 20_000,
+        "it may run on behind the cut, and costs a boot each: {first} ms"
+    );
     assert!(last < over + 3 * 20_000, "{last} ms");
 
     let mut day = Day::new(true);
@@ -171,7 +222,13 @@
     day.pass(100_000, |n| n > 1);
     let names: Vec<&MachineId> = day.released.iter().map(|(_, id)| id).collect();
     assert_eq!(names, [&machine(0), &machine(1)]);
-    assert!(day.released.iter().all(|(at, _)| (15_000..50_000).contains(at)), "{:?}", day.released);
+    assert!(
+        day.released
+            .iter()
+            .all(|(at, _)| (15_000..50_000).contains(at)),
+        "{:?}",
+        day.released
+    );
 }
 
 /// The proof from time: not before every answer of earlier owners has run out,
@@ -184,7 +241,10 @@
     let least = drifted(BLIND_MOST_MS) + drifted(TIMING.lease_ms) + LEASE_MARGIN_MS;
     let (at, standing) = day.ended.expect("ended");
     assert_eq!(standing, Standing::Gone);
-    assert!((least..least + 300).contains(&at), "at {at} ms, least {least} ms");
+    assert!(
+        (least..least + 300).contains(&at),
+        "at {at} ms, least {least} ms"
+    );
     assert_eq!(day.released, [], "the machine itself is still waited for");
 
     let mut day = Day::new(true);
@@ -210,7 +270,10 @@
     let mut day = Day::new(true);
     day.word = false;
     day.pass(110_000, nobody);
-    assert_eq!(day.ended, None, "the same for what earlier owners kept alive");
+    assert_eq!(
+        day.ended, None,
+        "the same for what earlier owners kept alive"
+    );
 }
 
 /// A zone out of sight is told with the time until its work is proven over.
@@ -218,13 +281,33 @@
 fn what_is_out_of_sight_is_told() {
     let mut day = Day::new(true);
     day.pass(30_000, nobody);
-    let view = day.tell(Span { since: 40, upto: 40, last: true }, Vec::new());
-    let [zone] = view.hidden.as_slice() else { panic!("{:?}", view.hidden) };
+    let view = day.tell(
+        Span {
+            since: 40,
+            upto: 40,
+            last: true,
+        },
+        Vec::new(),
+    );
+    let [zone] = view.hidden.as_slice() else {
+        panic!("{:?}", view.hidden)
+    };
     assert_eq!(zone.zone, "north");
     assert!((29_000..=30_000).contains(&zone.for_ms), "{zone:?}");
     assert!((40_000..60_000).contains(&zone.over_in_ms), "{zone:?}");
     day.pass(40_000, all);
-    assert_eq!(day.tell(Span { since: 40, upto: 40, last: true }, Vec::new()).hidden, []);
+    assert_eq!(
+        day.tell(
+            Span {
+                since: 40,
+                upto: 40,
+                last: true
+            },
+            Vec::new()
+        )
+        .hidden,
+        []
+    );
 }
 
 /// Found on zone of zeltplatz-rechen-fleet: a controller that had just taken its
@@ -232,7 +315,14 @@
 #[test]
 fn what_ran_before_a_part_was_taken_is_not_given_back_at_once() {
     let first_given_back = |ran: bool| {
-        let mut owner = Owner::new(0, NEXT, 1, TIMING, lemonweir_policy::embedded().expect("policy"), 0);
+        let mut owner = Owner::new(
+            0,
+            NEXT,
+            1,
+            TIMING,
+            lemonweir_policy::embedded().expect("policy"),
+            0,
+        );
         owner.set_types([kind()].iter());
         if ran {
             // The cloud's list shows that they ran before this owner came.
@@ -241,7 +331,10 @@
         (1..700u64).map(|n| n * 100).find(|&now| {
             if now % 3_000 == 200 {
                 for n in 0..MACHINES {
-                    let said = Report { token: NEXT << FENCE_BITS, ..report(n, now) };
+                    let said = Report {
+                        token: NEXT << FENCE_BITS,
+                        ..report(n, now)
+                    };
                     assert!(owner.report(&said, None, now).is_some());
                 }
             }
@@ -251,5 +344,8 @@
     };
     let (late, soon) = (first_given_back(true), first_given_back(false));
     assert!(late.is_some_and(|at| at >= RETURN_KEEP_MS), "{late:?}");
-    assert!(soon.is_some_and(|at| at < RETURN_KEEP_MS), "machines that are new are kept as briefly as before: {soon:?}");
+    assert!(
+        soon.is_some_and(|at| at < RETURN_KEEP_MS),
+        "machines that are new are kept as briefly as before: {soon:?}"
+    );
 }
--- a/crates/coordination/tests/fault_attribution.rs
+++ b/crates/coordination/tests/fault_attribution.rs
@@ -22,8 +22,21 @@
 }
 
 fn events() -> impl Strategy<Value = Vec<Event>> {
-    let event = (0..JOBS, 0..MACHINES, prop::option::of(0..600_000u64), 0..200_000u64);
-    prop::collection::vec(event.prop_map(|(job, machine, ran_for, gap)| Event { job, machine, ran_for, gap }), 0..60)
+    let event = (
+        0..JOBS,
+        0..MACHINES,
+        prop::option::of(0..600_000u64),
+        0..200_000u64,
+    );
+    prop::collection::vec(
+        event.prop_map(|(job, machine, ran_for, gap)| Event {
+            job,
+            machine,
+            ran_for,
+            gap,
+        }),
+        0..60,
+    )
 }
 
 /// The whole history; each question walks all of it.
@@ -33,21 +46,34 @@
 impl Plain {
     /// Runs that went well: job, machine, when they began, and their place in the history.
     fn runs(&self) -> impl Iterator<Item = (usize, usize, u64, usize)> + '_ {
-        self.0.iter().enumerate().filter_map(|(i, (at, e))| Some((e.job, e.machine, at.saturating_sub(e.ran_for?), i)))
+        self.0
+            .iter()
+            .enumerate()
+            .filter_map(|(i, (at, e))| Some((e.job, e.machine, at.saturating_sub(e.ran_for?), i)))
     }
 
     /// Failures: job, machine, when, and their place in the history.
     fn failures(&self) -> impl Iterator<Item = (usize, usize, u64, usize)> + '_ {
-        self.0.iter().enumerate().filter(|(_, (_, e))| e.ran_for.is_none()).map(|(i, (at, e))| (e.job, e.machine, *at, i))
+        self.0
+            .iter()
+            .enumerate()
+            .filter(|(_, (_, e))| e.ran_for.is_none())
+            .map(|(i, (at, e))| (e.job, e.machine, *at, i))
     }
 
     /// A job is the suspect by its failures after its last success, one a machine.
     fn suspect(&self, job: usize) -> Option<u32> {
         let cleared = self.runs().filter(|r| r.0 == job).map(|r| r.3).max();
-        let since = || self.failures().filter(|f| f.0 == job && cleared.is_none_or(|c| f.3 > c));
+        let since = || {
+            self.failures()
+                .filter(|f| f.0 == job && cleared.is_none_or(|c| f.3 > c))
+        };
         let last = |machine: usize| since().filter(|f| f.1 == machine).map(|f| f.2).max();
         let failed: Vec<(usize, u64)> = (0..MACHINES).filter_map(|m| Some((m, last(m)?))).collect();
-        let vouched = |m: usize, at: u64| self.runs().any(|r| r.1 == m && r.0 != job && r.2 + VOUCHED_MS >= at);
+        let vouched = |m: usize, at: u64| {
+            self.runs()
+                .any(|r| r.1 == m && r.0 != job && r.2 + VOUCHED_MS >= at)
+        };
         let count = failed.iter().filter(|(m, at)| vouched(*m, *at)).count();
         (count >= SUSPECT_MACHINES || failed.len() >= SUSPECT_ANYWHERE).then_some(count as u32)
     }
@@ -56,16 +82,29 @@
     /// known to go well by then, and that are no suspects.
     fn verdict(&self, machine: usize) -> Verdict {
         let failed = |job: usize| {
-            let (_, _, at, i) = self.failures().filter(|f| f.0 == job && f.1 == machine).last()?;
-            self.runs().all(|r| r.1 != machine || r.3 < i || r.2 < at).then_some(())
+            let (_, _, at, i) = self
+                .failures()
+                .filter(|f| f.0 == job && f.1 == machine)
+                .last()?;
+            self.runs()
+                .all(|r| r.1 != machine || r.3 < i || r.2 < at)
+                .then_some(())
         };
-        let counted: Vec<usize> = (0..JOBS).filter(|j| failed(*j).is_some() && self.suspect(*j).is_none()).collect();
+        let counted: Vec<usize> = (0..JOBS)
+            .filter(|j| failed(*j).is_some() && self.suspect(*j).is_none())
+            .collect();
         let elsewhere = |job: &&usize| {
             // The newest run, of equally new ones the one told last.
-            let newest = self.runs().filter(|r| r.0 == **job).max_by_key(|r| (r.2, r.3));
+            let newest = self
+                .runs()
+                .filter(|r| r.0 == **job)
+                .max_by_key(|r| (r.2, r.3));
             newest.is_some_and(|r| r.1 != machine)
         };
-        match (counted.len() >= QUARANTINE_ERRORS, counted.iter().filter(elsewhere).count() >= QUARANTINE_ERRORS) {
+        match (
+            counted.len() >= QUARANTINE_ERRORS,
+            counted.iter().filter(elsewhere).count() >= QUARANTINE_ERRORS,
+        ) {
             (false, _) => Verdict::Sound,
             (true, true) => Verdict::Faulty,
             (true, false) => Verdict::Doubtful,
--- a/crates/coordination/tests/largest.rs
+++ b/crates/coordination/tests/largest.rs
@@ -16,16 +16,35 @@
 }
 
 fn placer(limit: Option<Room>, now: u64) -> Placer {
-    let limits = limit.map(|room| ("red".to_owned(), room)).into_iter().collect();
-    let terms = Terms { limits, idle_writes: 1_000, ..terms() };
+    let limits = limit
+        .map(|room| ("red".to_owned(), room))
+        .into_iter()
+        .collect();
+    let terms = Terms {
+        limits,
+        idle_writes: 1_000,
+        ..terms()
+    };
     let mut placer = Placer::new(0, TOKEN, 1, terms, now);
-    let catalog: Catalog = [(kind().name.clone(), MachineType { boot_s: 40.0, ..kind() })].into();
+    let catalog: Catalog = [(
+        kind().name.clone(),
+        MachineType {
+            boot_s: 40.0,
+            ..kind()
+        },
+    )]
+    .into();
     placer.expect(&Default::default(), f64::MAX, &catalog);
     placer
 }
 
 fn idle(n: u64, tasks: u64) -> JobSpec {
-    JobSpec { id: id(n), rank: Rank::Low, spot: false, ..array(tasks) }
+    JobSpec {
+        id: id(n),
+        rank: Rank::Low,
+        spot: false,
+        ..array(tasks)
+    }
 }
 
 /// A machine for so many tasks is there; the jobs of which it then holds something,
@@ -34,8 +53,24 @@
     let seq = placer.sync_for(0, TOKEN, ROOM, false, now).seq;
     let free = Room::offer(4.0 * tasks as f64, tasks as f64, 16.0 * tasks as f64);
     // Some other work is on it.
-    let machine = lemonweir_protocol::peer::MachineView { free, busy: 1, ..shown(1, 4) };
-    placer.take_view(view(seq, Span { since: 0, upto: 1, last: true }, vec![machine], Vec::new()), now);
+    let machine = lemonweir_protocol::peer::MachineView {
+        free,
+        busy: 1,
+        ..shown(1, 4)
+    };
+    placer.take_view(
+        view(
+            seq,
+            Span {
+                since: 0,
+                upto: 1,
+                last: true,
+            },
+            vec![machine],
+            Vec::new(),
+        ),
+        now,
+    );
     pass(placer, now);
     let mut on = BTreeMap::new();
     for want in placer.sync_for(0, TOKEN, ROOM, false, now).wants {
@@ -59,11 +94,20 @@
 fn drawn(seed: u64) -> Vec<(u64, u64, u64)> {
     let mut x = seed;
     let mut draw = |n: u64| {
-        x = x.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        x = x
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
         (x >> 33) % n
     };
-    let times: Vec<(u64, u64, u64)> =
-        (0..12).map(|n| (n, 1 + draw(2) * draw(if seed.is_multiple_of(2) { 9 } else { 40_000 }), draw(300_000))).collect();
+    let times: Vec<(u64, u64, u64)> = (0..12)
+        .map(|n| {
+            (
+                n,
+                1 + draw(2) * draw(if seed.is_multiple_of(2) { 9 } else { 40_000 }),
+                draw(300_000),
+            )
+        })
+        .collect();
     times
 }
 
@@ -90,14 +134,19 @@
             for whole in [false, true] {
                 for (n, tasks, _) in &order {
                     let wanted = if whole { *tasks } else { tasks.div_ceil(2) };
-                    let more = left.min(wanted.saturating_sub(model.get(&id(*n)).map_or(0, |n| *n as u64)));
+                    let more = left
+                        .min(wanted.saturating_sub(model.get(&id(*n)).map_or(0, |n| *n as u64)));
                     left -= more;
                     if more > 0 {
                         *model.entry(id(*n)).or_default() += more as usize;
                     }
                 }
             }
-            assert_eq!(room_for(&mut placer, room, 300_000), model, "seed {seed}, room for {room}: {jobs:?}");
+            assert_eq!(
+                room_for(&mut placer, room, 300_000),
+                model,
+                "seed {seed}, room for {room}: {jobs:?}"
+            );
         }
     }
 }
@@ -115,22 +164,59 @@
             // This placer has just taken the part.
             let mut placer = placer(None, now);
             for (n, tasks, at) in &jobs {
-                let shape = if n % 5 == 0 { Shape::Gang } else { Shape::Array };
-                submit(&mut placer, JobSpec { shape, ..idle(*n, (*tasks).min(300)) }, *at, now);
+                let shape = if n % 5 == 0 {
+                    Shape::Gang
+                } else {
+                    Shape::Array
+                };
+                submit(
+                    &mut placer,
+                    JobSpec {
+                        shape,
+                        ..idle(*n, (*tasks).min(300))
+                    },
+                    *at,
+                    now,
+                );
             }
             if others {
-                submit(&mut placer, JobSpec { id: id(99), ..array(9) }, 0, now);
+                submit(
+                    &mut placer,
+                    JobSpec {
+                        id: id(99),
+                        ..array(9)
+                    },
+                    0,
+                    now,
+                );
             }
             pass(&mut placer, now);
-            let mut late: Vec<(u64, u64, u64)> =
-                jobs.iter().filter(|(_, _, at)| now >= at + patience).map(|(n, tasks, at)| (*n, (*tasks).min(300), *at)).collect();
+            let mut late: Vec<(u64, u64, u64)> = jobs
+                .iter()
+                .filter(|(_, _, at)| now >= at + patience)
+                .map(|(n, tasks, at)| (*n, (*tasks).min(300), *at))
+                .collect();
             late.sort_by_key(|(n, tasks, at)| (std::cmp::Reverse(*tasks), *at, id(*n)));
-            let units: Vec<u64> = late.iter().map(|(n, tasks, _)| if n % 5 == 0 { *tasks } else { 1 }).collect();
-            let first: Vec<u64> = placer.lacking.iter().filter(|d| d.first).map(|d| u64::from(d.count)).collect();
+            let units: Vec<u64> = late
+                .iter()
+                .map(|(n, tasks, _)| if n % 5 == 0 { *tasks } else { 1 })
+                .collect();
+            let first: Vec<u64> = placer
+                .lacking
+                .iter()
+                .filter(|d| d.first)
+                .map(|d| u64::from(d.count))
+                .collect();
             assert_eq!(first, units, "seed {seed}: {jobs:?}");
             assert!(placer.lacking.iter().all(|d| !d.only_spot));
-            assert_eq!(placer.lacking.iter().filter(|d| !d.idle).count(), usize::from(others));
-            assert!(placer.lacking.is_sorted_by_key(|d| d.first), "others come before");
+            assert_eq!(
+                placer.lacking.iter().filter(|d| !d.idle).count(),
+                usize::from(others)
+            );
+            assert!(
+                placer.lacking.is_sorted_by_key(|d| d.first),
+                "others come before"
+            );
         }
     }
 }
@@ -153,13 +239,47 @@
 /// a gang that can't be whole for nothing.
 #[test]
 fn a_service_begins_within_its_teams_limit() {
-    for (shape, want) in [(Shape::Service, Some(8)), (Shape::Array, Some(8)), (Shape::Gang, None)] {
-        let mut placer = placer(Some(Room { cpus: u64::MAX, gpus: Room::offer(0.0, 12.0, 0.0).gpus, memory: u64::MAX }), 0);
-        submit(&mut placer, JobSpec { rank: Rank::Production, shape: Shape::Service, ..array(4) }, 0, 0);
+    for (shape, want) in [
+        (Shape::Service, Some(8)),
+        (Shape::Array, Some(8)),
+        (Shape::Gang, None),
+    ] {
+        let mut placer = placer(
+            Some(Room {
+                cpus: u64::MAX,
+                gpus: Room::offer(0.0, 12.0, 0.0).gpus,
+                memory: u64::MAX,
+            }),
+            0,
+        );
+        submit(
+            &mut placer,
+            JobSpec {
+                rank: Rank::Production,
+                shape: Shape::Service,
+                ..array(4)
+            },
+            0,
+            0,
+        );
         assert_eq!(room_for(&mut placer, 4, 0).len(), 1);
-        submit(&mut placer, JobSpec { id: id(2), rank: Rank::Production, shape, ..array(12) }, 1, 0);
+        submit(
+            &mut placer,
+            JobSpec {
+                id: id(2),
+                rank: Rank::Production,
+                shape,
+                ..array(12)
+            },
+            1,
+            0,
+        );
         pass(&mut placer, 0);
-        assert_eq!(placer.lacking.iter().map(|d| d.count).next(), want, "{shape:?}");
+        assert_eq!(
+            placer.lacking.iter().map(|d| d.count).next(),
+            want,
+            "{shape:?}"
+        );
     }
 }
 
@@ -168,15 +288,54 @@
 #[test]
 fn a_huge_array_leaves_others_their_turn() {
     let mut placer = placer(None, 0);
-    submit(&mut placer, JobSpec { id: id(1), cores: 0.1, gpus: 0.0, ram_gb: 0.1, ..array(MAX_TASKS) }, 0, 0);
+    submit(
+        &mut placer,
+        JobSpec {
+            id: id(1),
+            cores: 0.1,
+            gpus: 0.0,
+            ram_gb: 0.1,
+            ..array(MAX_TASKS)
+        },
+        0,
+        0,
+    );
     for n in 2..20 {
-        submit(&mut placer, JobSpec { id: id(n), cores: 0.1, gpus: 0.0, ram_gb: 0.1, ..array(1) }, n, 0);
+        submit(
+            &mut placer,
+            JobSpec {
+                id: id(n),
+                cores: 0.1,
+                gpus: 0.0,
+                ram_gb: 0.1,
+                ..array(1)
+            },
+            n,
+            0,
+        );
     }
-    let seen =
-        |placer: &mut Placer| placer.known().filter(|j| placer.job_note(j, 0).is_some_and(|(_, _, why)| why.contains("written"))).count();
+    let seen = |placer: &mut Placer| {
+        placer
+            .known()
+            .filter(|j| {
+                placer
+                    .job_note(j, 0)
+                    .is_some_and(|(_, _, why)| why.contains("written"))
+            })
+            .count()
+    };
     let seq = placer.sync_for(0, TOKEN, ROOM, false, 0).seq;
-    let span = Span { since: 0, upto: 1, last: true };
-    let machines = (0..40).map(|n| lemonweir_protocol::peer::MachineView { free: Room::offer(100.0, 0.0, 400.0), ..shown(n, 4) }).collect();
+    let span = Span {
+        since: 0,
+        upto: 1,
+        last: true,
+    };
+    let machines = (0..40)
+        .map(|n| lemonweir_protocol::peer::MachineView {
+            free: Room::offer(100.0, 0.0, 400.0),
+            ..shown(n, 4)
+        })
+        .collect();
     placer.take_view(view(seq, span, machines, Vec::new()), 0);
     placer.place(0);
     assert_eq!(seen(&mut placer), 18, "all small ones");
@@ -187,6 +346,13 @@
         }
         placer.place(0);
     }
-    let all: u64 = placer.known().filter_map(|j| placer.job_note(j, 0)).map(|(_, _, why)| u64::from(why.contains("room"))).sum();
-    assert_eq!(all, 1, "40,000 of the array's fit, and nothing is left to do");
+    let all: u64 = placer
+        .known()
+        .filter_map(|j| placer.job_note(j, 0))
+        .map(|(_, _, why)| u64::from(why.contains("room")))
+        .sum();
+    assert_eq!(
+        all, 1,
+        "40,000 of the array's fit, and nothing is left to do"
+    );
 }
--- a/crates/coordination/tests/late_orders.rs
+++ b/crates/coordination/tests/late_orders.rs
@@ -26,7 +26,8 @@
 const DAY_MS: u64 = 1_790_000_000_000;
 
 fn core(me: usize) -> Core {
-    static POLICY: LazyLock<Policy> = LazyLock::new(|| lemonweir_policy::embedded().expect("policy"));
+    static POLICY: LazyLock<Policy> =
+        LazyLock::new(|| lemonweir_policy::embedded().expect("policy"));
     let zone = |n: usize| if n == 0 { "north" } else { "south" };
     let seed = |n: usize| serde_json::json!({"host_name": format!("h{n}"), "zone": zone(n), "address": format!("10.0.0.{n}:8081")});
     let seeds: Vec<_> = (0..HOSTS).filter(|n| *n != me).map(seed).collect();
@@ -43,7 +44,10 @@
             "clock_off_ms": 250.0
         }
     });
-    let mut core = Core::new(Config::new(&serde_json::from_value(value).expect("settings")), POLICY.clone());
+    let mut core = Core::new(
+        Config::new(&serde_json::from_value(value).expect("settings")),
+        POLICY.clone(),
+    );
     core.set_catalog(BTreeMap::from([("box".to_owned(), kind())]));
     core
 }
@@ -53,7 +57,10 @@
 
 impl Dice {
     fn below(&mut self, n: u64) -> u64 {
-        self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        self.0 = self
+            .0
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
         (self.0 >> 33) % n
     }
 
@@ -107,7 +114,13 @@
             cause: (*phase == TaskPhase::Exited).then(|| "stopped".to_owned()),
             saved: None,
         };
-        Report { session: self.session, seq: self.seq, token: self.token, tasks: self.tasks.iter().map(task).collect(), ..report(0, 0) }
+        Report {
+            session: self.session,
+            seq: self.seq,
+            token: self.token,
+            tasks: self.tasks.iter().map(task).collect(),
+            ..report(0, 0)
+        }
     }
 
     fn execute(&mut self, orders: &[Order]) {
@@ -136,14 +149,38 @@
 #[derive(Clone)]
 enum Message {
     /// A report to a controller, carried on by another; not the original: `copy`.
-    Report { report: Report, life: u64, sent: u64, host: usize, by: Option<u16>, copy: bool },
+    Report {
+        report: Report,
+        life: u64,
+        sent: u64,
+        host: usize,
+        by: Option<u16>,
+        copy: bool,
+    },
     /// What a worker is answered; `None`: that it can't be, or a controller's number.
-    Answer { life: u64, session: u64, seq: u64, sent: u64, answer: Result<ReportReply, Option<usize>> },
+    Answer {
+        life: u64,
+        session: u64,
+        seq: u64,
+        sent: u64,
+        answer: Result<ReportReply, Option<usize>>,
+    },
     /// A call; `to` is the life of the worker that it was sent to: a connection ends
     /// with that. `heard`: its sender had heard that life.
-    Orders { number: u64, call: CommandCall, to: u64, heard: bool, answered: bool },
+    Orders {
+        number: u64,
+        call: CommandCall,
+        to: u64,
+        heard: bool,
+        answered: bool,
+    },
     /// A call's answer, or the end of the wait for it.
-    Done { number: u64, result: Option<Report>, executed: bool, sent: bool },
+    Done {
+        number: u64,
+        result: Option<Report>,
+        executed: bool,
+        sent: bool,
+    },
 }
 
 /// A call that a process has made.
@@ -313,8 +350,18 @@
         if self.now > self.worker.lease_from + LEASE_MS {
             return;
         }
-        for id in self.worker.tasks.iter().filter(|(_, p)| **p != TaskPhase::Exited).map(|(id, _)| id) {
-            assert!(!self.over.contains(id), "{id} runs at {} ms and was told to be over", self.now);
+        for id in self
+            .worker
+            .tasks
+            .iter()
+            .filter(|(_, p)| **p != TaskPhase::Exited)
+            .map(|(id, _)| id)
+        {
+            assert!(
+                !self.over.contains(id),
+                "{id} runs at {} ms and was told to be over",
+                self.now
+            );
         }
     }
 
@@ -323,11 +370,18 @@
     fn take(&mut self, n: usize) {
         let now = self.now;
         let host = &mut self.hosts[n];
-        if host.core.is_none() || now < host.stands_until || now < host.cut_until || host.taken.is_some() {
+        if host.core.is_none()
+            || now < host.stands_until
+            || now < host.cut_until
+            || host.taken.is_some()
+        {
             return;
         }
         self.revision += 1;
-        self.holder = Some(Holder { host: format!("h{n}"), token: self.revision });
+        self.holder = Some(Holder {
+            host: format!("h{n}"),
+            token: self.revision,
+        });
         let wait = 20 + self.dice.below(600);
         self.hosts[n].taken = Some((self.revision, now + wait));
         let token = self.revision;
@@ -347,10 +401,16 @@
     fn read_store(&mut self) {
         let (now, slow) = (self.now, self.now < self.slow_store);
         for n in 0..HOSTS {
-            let wait = if slow { 10 + self.dice.below(1_490) } else { 5 + self.dice.below(30) };
+            let wait = if slow {
+                10 + self.dice.below(1_490)
+            } else {
+                5 + self.dice.below(30)
+            };
             let holder = self.holder.clone();
             let host = &mut self.hosts[n];
-            let Some(core) = host.core.as_mut() else { continue };
+            let Some(core) = host.core.as_mut() else {
+                continue;
+            };
             if now < host.stands_until {
                 continue;
             }
@@ -375,9 +435,19 @@
         // Who finds itself the holder without knowing takes the part anew.
         for n in 0..HOSTS {
             let host = &self.hosts[n];
-            let Some(core) = host.core.as_ref() else { continue };
-            let ours = core.mirror.parts.get(&0).is_some_and(|h| h.host == format!("h{n}"));
-            if ours && core.held().is_empty() && host.taken.is_none() && self.holder.as_ref() == core.mirror.parts.get(&0) {
+            let Some(core) = host.core.as_ref() else {
+                continue;
+            };
+            let ours = core
+                .mirror
+                .parts
+                .get(&0)
+                .is_some_and(|h| h.host == format!("h{n}"));
+            if ours
+                && core.held().is_empty()
+                && host.taken.is_none()
+                && self.holder.as_ref() == core.mirror.parts.get(&0)
+            {
                 self.take(n);
             }
         }
@@ -401,8 +471,21 @@
             _ => {}
         }
         match message {
-            Message::Report { report, life, sent, host, by, copy } => self.report_arrives(report, life, sent, host, by, copy),
-            Message::Answer { life, session, seq, sent, answer } => {
+            Message::Report {
+                report,
+                life,
+                sent,
+                host,
+                by,
+                copy,
+            } => self.report_arrives(report, life, sent, host, by, copy),
+            Message::Answer {
+                life,
+                session,
+                seq,
+                sent,
+                answer,
+            } => {
                 let pick = self.dice.below(1_500);
                 let w = &mut self.worker;
                 if w.life != life || w.waits != Some((seq, sent)) {
@@ -430,7 +513,13 @@
                 w.execute(&reply.orders);
                 self.note(|| format!("answer to {session}/{seq}: {reply:?}"));
             }
-            Message::Orders { number, call, to, heard, answered } => {
+            Message::Orders {
+                number,
+                call,
+                to,
+                heard,
+                answered,
+            } => {
                 let w = &mut self.worker;
                 // Assumed (`docs/design.md`, statement 12): what was sent to a life that
                 // its sender had not heard yet is not held back until that life is in a
@@ -444,16 +533,38 @@
                     w.execute(&call.commands.orders);
                 }
                 let report = w.report();
-                self.note(|| format!("call {number} executed: {executed}, {:?}; {report:?}", call.commands));
+                self.note(|| {
+                    format!(
+                        "call {number} executed: {executed}, {:?}; {report:?}",
+                        call.commands
+                    )
+                });
                 if answered {
                     let most = if self.dice.chance(15) { 3_000 } else { 30 };
-                    self.post(most, Message::Done { number, result: Some(report), executed, sent: true });
+                    self.post(
+                        most,
+                        Message::Done {
+                            number,
+                            result: Some(report),
+                            executed,
+                            sent: true,
+                        },
+                    );
                 }
             }
-            Message::Done { number, result, executed, sent } => {
-                let Some(p) = self.calls.remove(&number) else { return };
+            Message::Done {
+                number,
+                result,
+                executed,
+                sent,
+            } => {
+                let Some(p) = self.calls.remove(&number) else {
+                    return;
+                };
                 let host = &mut self.hosts[p.host];
-                let Some(core) = host.core.as_mut().filter(|_| host.process == p.process) else { return };
+                let Some(core) = host.core.as_mut().filter(|_| host.process == p.process) else {
+                    return;
+                };
                 let result = match result {
                     Some(report) if executed => CommandResult::Executed(report),
                     Some(report) => CommandResult::Refused(report),
@@ -467,7 +578,15 @@
         self.check();
     }
 
-    fn report_arrives(&mut self, report: Report, life: u64, sent: u64, host: usize, by: Option<u16>, copy: bool) {
+    fn report_arrives(
+        &mut self,
+        report: Report,
+        life: u64,
+        sent: u64,
+        host: usize,
+        by: Option<u16>,
+        copy: bool,
+    ) {
         let now = self.now;
         let answer = match self.hosts[host].core.as_mut() {
             None => ReportAnswer::Unable,
@@ -476,7 +595,11 @@
                 Some(by) => core.carried_report(&report, by, now),
             },
         };
-        if self.hosts[host].core.as_ref().is_some_and(|c| !c.held().is_empty()) {
+        if self.hosts[host]
+            .core
+            .as_ref()
+            .is_some_and(|c| !c.held().is_empty())
+        {
             self.hosts[host].heard = self.hosts[host].heard.max(life);
         }
         self.note(|| format!("h{host} hears {report:?} by {by:?}, copy {copy}: {answer:?}"));
@@ -484,23 +607,43 @@
         let answer = match answer {
             ReportAnswer::Orders(reply) => Ok(reply),
             ReportAnswer::Carry(to) => {
-                let report = Message::Report { report, life, sent, host: usize::from(to), by: Some(host as u16), copy };
+                let report = Message::Report {
+                    report,
+                    life,
+                    sent,
+                    host: usize::from(to),
+                    by: Some(host as u16),
+                    copy,
+                };
                 return self.post(40, report);
             }
             ReportAnswer::Elsewhere(name) => Err(name[1..].parse().ok()),
             ReportAnswer::Unable => Err(None),
         };
-        let lost = now < self.answers_lost || now < self.unreachable || now < self.hosts[host].deaf_until && by.is_none();
+        let lost = now < self.answers_lost
+            || now < self.unreachable
+            || now < self.hosts[host].deaf_until && by.is_none();
         if copy || lost {
             return;
         }
         let most = if now < self.answers_slow { 6_000 } else { 40 };
-        self.post(most, Message::Answer { life, session: report.session, seq: report.seq, sent, answer });
+        self.post(
+            most,
+            Message::Answer {
+                life,
+                session: report.session,
+                seq: report.seq,
+                sent,
+                answer,
+            },
+        );
     }
 
     fn pump(&mut self, n: usize) {
         let now = self.now;
-        let Some(core) = self.hosts[n].runs(now) else { return };
+        let Some(core) = self.hosts[n].runs(now) else {
+            return;
+        };
         for effect in core.pump(now) {
             match effect {
                 Effect::Command(lot, call) => self.call(n, lot, call),
@@ -520,7 +663,9 @@
 
     fn hail(&mut self, from: usize, to: usize, word: Word) {
         let now = self.now;
-        let answer = self.hosts[to].runs(now).map(|core| core.links.hail_in(word, now));
+        let answer = self.hosts[to]
+            .runs(now)
+            .map(|core| core.links.hail_in(word, now));
         if let Some(core) = self.hosts[from].core.as_mut() {
             core.links.hailed(to as u16, answer.is_some(), answer, now);
         }
@@ -530,18 +675,59 @@
         let now = self.now;
         self.called += 1;
         let number = self.called;
-        self.starts += call.commands.orders.iter().filter(|o| o.verb == Verb::Launch).count() as u64;
+        self.starts += call
+            .commands
+            .orders
+            .iter()
+            .filter(|o| o.verb == Verb::Launch)
+            .count() as u64;
         let (to, process) = (self.worker.life, self.hosts[host].process);
-        self.note(|| format!("h{host} calls ({number}): {:?} through {:?}", call.commands, call.through));
-        self.calls.insert(number, Pending { host, process, lot, call: call.clone() });
-        let apart = now < self.unreachable || now < self.hosts[host].deaf_until && call.through.is_none();
+        self.note(|| {
+            format!(
+                "h{host} calls ({number}): {:?} through {:?}",
+                call.commands, call.through
+            )
+        });
+        self.calls.insert(
+            number,
+            Pending {
+                host,
+                process,
+                lot,
+                call: call.clone(),
+            },
+        );
+        let apart =
+            now < self.unreachable || now < self.hosts[host].deaf_until && call.through.is_none();
         if apart && self.dice.chance(50) || self.dice.chance(3) {
-            return self.post_at(now + CONNECT_MS, Message::Done { number, result: None, executed: false, sent: false });
+            return self.post_at(
+                now + CONNECT_MS,
+                Message::Done {
+                    number,
+                    result: None,
+                    executed: false,
+                    sent: false,
+                },
+            );
         }
-        self.post_at(now + COMMAND_TIMEOUT_MS, Message::Done { number, result: None, executed: false, sent: true });
+        self.post_at(
+            now + COMMAND_TIMEOUT_MS,
+            Message::Done {
+                number,
+                result: None,
+                executed: false,
+                sent: true,
+            },
+        );
         let held = now < self.calls_held || apart;
         let heard = self.hosts[host].heard >= to;
-        let message = |answered| Message::Orders { number, call: call.clone(), to, heard, answered };
+        let message = |answered| Message::Orders {
+            number,
+            call: call.clone(),
+            to,
+            heard,
+            answered,
+        };
         if held || self.dice.chance(5) {
             if now < self.calls_lost || self.dice.chance(20) {
                 return;
@@ -575,7 +761,9 @@
             self.deliver(message);
         }
         let w = &mut self.worker;
-        if w.waits.is_some_and(|(_, sent)| now >= sent + WORKER_PATIENCE_MS) {
+        if w.waits
+            .is_some_and(|(_, sent)| now >= sent + WORKER_PATIENCE_MS)
+        {
             w.turns(now);
         }
         if w.waits.is_some() || now < w.next {
@@ -590,13 +778,23 @@
         let report = w.report();
         w.waits = Some((report.seq, now));
         let (life, host) = (w.life, w.node);
-        let message = |host, copy| Message::Report { report: report.clone(), life, sent: now, host, by: None, copy };
+        let message = |host, copy| Message::Report {
+            report: report.clone(),
+            life,
+            sent: now,
+            host,
+            by: None,
+            copy,
+        };
         if self.dice.chance(self.copies) {
             let at = now + 200 + self.dice.below(4 * LEASE_MS);
             let host = self.dice.below(HOSTS as u64) as usize;
             self.post_at(at, message(host, true));
         }
-        if now < self.unreachable || now < self.hosts[host].deaf_until || self.hosts[host].core.is_none() {
+        if now < self.unreachable
+            || now < self.hosts[host].deaf_until
+            || self.hosts[host].core.is_none()
+        {
             return match self.dice.chance(50) {
                 // Refused at once, or held back until long after.
                 true => self.worker.turns(now),
@@ -632,16 +830,40 @@
             self.to = newest;
         }
         let (now, to) = (self.now, self.to);
-        let at = |h: &Host| h.core.as_ref().is_some_and(|c| c.held().contains(&Lot { part: 0, token: to })) && now >= h.stands_until;
-        let Some(n) = self.hosts.iter().position(at) else { return };
+        let at = |h: &Host| {
+            h.core
+                .as_ref()
+                .is_some_and(|c| c.held().contains(&Lot { part: 0, token: to }))
+                && now >= h.stands_until
+        };
+        let Some(n) = self.hosts.iter().position(at) else {
+            return;
+        };
         for from in [2, 1] {
             self.sync += 1;
-            let wants = if from == 1 { self.wanted.values().cloned().collect() } else { Vec::new() };
-            let span = Span { since: 0, upto: self.sync, last: true };
-            let message =
-                Sync { from, from_token: 39, to_token: to, keep: vec![machine(0)], ..sync(self.sync, span, wants, Have::default()) };
-            let Some(core) = self.hosts[n].core.as_mut() else { return };
-            let Ok(view) = core.sync_in(&message, now) else { return };
+            let wants = if from == 1 {
+                self.wanted.values().cloned().collect()
+            } else {
+                Vec::new()
+            };
+            let span = Span {
+                since: 0,
+                upto: self.sync,
+                last: true,
+            };
+            let message = Sync {
+                from,
+                from_token: 39,
+                to_token: to,
+                keep: vec![machine(0)],
+                ..sync(self.sync, span, wants, Have::default())
+            };
+            let Some(core) = self.hosts[n].core.as_mut() else {
+                return;
+            };
+            let Ok(view) = core.sync_in(&message, now) else {
+                return;
+            };
             // An answer may be lost.
             if from != 1 || self.dice.chance(10) {
                 continue;
@@ -681,7 +903,8 @@
             Trouble::Take(n) => self.take(*n),
             Trouble::Crash(n) => {
                 let host = &mut self.hosts[*n];
-                (host.core, host.reading, host.taken, host.back_at) = (None, None, None, self.now + for_ms / 8);
+                (host.core, host.reading, host.taken, host.back_at) =
+                    (None, None, None, self.now + for_ms / 8);
                 host.held.clear();
                 self.calls.retain(|_, p| p.host != *n);
             }
@@ -694,8 +917,18 @@
                 self.worker = Worker::new(life, self.now + 100);
             }
             Trouble::Quiet => {
-                (self.calls_held, self.calls_lost, self.reports_held, self.answers_lost) = (0, 0, 0, 0);
-                (self.answers_slow, self.slow_store, self.unreachable, self.copies) = (0, 0, 0, 0);
+                (
+                    self.calls_held,
+                    self.calls_lost,
+                    self.reports_held,
+                    self.answers_lost,
+                ) = (0, 0, 0, 0);
+                (
+                    self.answers_slow,
+                    self.slow_store,
+                    self.unreachable,
+                    self.copies,
+                ) = (0, 0, 0, 0);
                 for host in &mut self.hosts {
                     (host.cut_until, host.deaf_until) = (0, 0);
                 }
@@ -723,7 +956,8 @@
                     }
                 }
             }
-            let mut due: Vec<(u64, u64, Message)> = self.mail.extract_if(.., |(at, _, _)| *at <= now).collect();
+            let mut due: Vec<(u64, u64, Message)> =
+                self.mail.extract_if(.., |(at, _, _)| *at <= now).collect();
             due.sort_by_key(|(at, n, _)| (*at, *n));
             due.into_iter().for_each(|(_, _, m)| self.deliver(m));
             self.work();
@@ -773,7 +1007,10 @@
 
 fn steps(lives: bool) -> impl Strategy<Value = (u64, Vec<Step>)> {
     let long = prop_oneof![3 => 500u64..8_000, 2 => 8_000u64..30_000, 1 => 30_000u64..120_000];
-    (any::<u64>(), prop::collection::vec((trouble(lives), long, 20..9_000u64), 1..30))
+    (
+        any::<u64>(),
+        prop::collection::vec((trouble(lives), long, 20..9_000u64), 1..30),
+    )
 }
 
 fn play(seed: u64, steps: &[Step]) -> World {
@@ -817,8 +1054,12 @@
 #[test]
 fn histories_start_and_end_tasks_and_leave_the_machine_in_use() {
     use proptest::strategy::ValueTree;
-    let rng = proptest::test_runner::TestRng::from_seed(proptest::test_runner::RngAlgorithm::ChaCha, &[7; 32]);
-    let mut runner = proptest::test_runner::TestRunner::new_with_rng(ProptestConfig::default(), rng);
+    let rng = proptest::test_runner::TestRng::from_seed(
+        proptest::test_runner::RngAlgorithm::ChaCha,
+        &[7; 32],
+    );
+    let mut runner =
+        proptest::test_runner::TestRunner::new_with_rng(ProptestConfig::default(), rng);
     let (mut starts, mut over, mut used, mut kept) = (0, 0, 0, 0);
     for _ in 0..40 {
         let (seed, steps) = steps(true).new_tree(&mut runner).expect("drawn").current();
@@ -830,8 +1071,14 @@
             used += usize::from(world.open);
         }
     }
-    assert!(starts > 500 && over > 500, "{starts} starts, {over} told to be over");
-    assert!(kept > 20 && used == kept, "{used} of {kept} machines in use");
+    assert!(
+        starts > 500 && over > 500,
+        "{starts} starts, {over} told to be over"
+    );
+    assert!(
+        kept > 20 && used == kept,
+        "{used} of {kept} machines in use"
+    );
 }
 
 // ---- orders given by hand ------------------------------------------------------------
@@ -839,10 +1086,20 @@
 const BASE: u64 = TOKEN << FENCE_BITS;
 
 fn tell(owner: &mut Owner, seq: u64, wants: Vec<Want>, now: u64) -> Vec<(AttemptId, Standing)> {
-    let span = Span { since: 0, upto: seq, last: true };
-    let message = Sync { keep: vec![machine(0)], ..sync(seq, span, wants, Have::default()) };
+    let span = Span {
+        since: 0,
+        upto: seq,
+        last: true,
+    };
+    let message = Sync {
+        keep: vec![machine(0)],
+        ..sync(seq, span, wants, Have::default())
+    };
     let view = owner.sync(&message, ROOM, now).expect("taken");
-    view.attempts.into_iter().map(|a| (a.id, a.standing)).collect()
+    view.attempts
+        .into_iter()
+        .map(|a| (a.id, a.standing))
+        .collect()
 }
 
 /// Drawn by an earlier form of the histories above: a machine came back under an owner that had just taken the
@@ -853,30 +1110,58 @@
 #[test]
 fn the_first_report_of_a_new_life_is_answered_with_a_token_that_the_earlier_one_never_saw() {
     let mut owner = fleet(1);
-    let before = |seq, tasks| Report { session: 3, tasks, ..report(0, seq) };
+    let before = |seq, tasks| Report {
+        session: 3,
+        tasks,
+        ..report(0, seq)
+    };
     assert!(owner.report(&before(54, Vec::new()), None, 3_000).is_some());
     owner.tick(3_100, 3_100);
     tell(&mut owner, 1, vec![want(0, 0)], 3_200);
     // It is back, and counts from the start.
-    let first = owner.report(&Report { token: 0, ..report(0, 1) }, None, 3_300).expect("answered");
+    let first = owner
+        .report(
+            &Report {
+                token: 0,
+                ..report(0, 1)
+            },
+            None,
+            3_300,
+        )
+        .expect("answered");
     assert!(first.token > BASE, "only the new life will show this one");
     let question = owner.calls(3_310, 4).pop().expect("it is asked");
-    assert!(question.commands.orders.is_empty(), "nothing is started on what may be another");
+    assert!(
+        question.commands.orders.is_empty(),
+        "nothing is started on what may be another"
+    );
     owner.call_done(&question, CommandResult::NotSent, 3_320);
     // What the earlier life said last comes now.
     let late = before(60, vec![running_task(0)]);
     assert!(owner.report(&late, None, 3_400).is_some());
     let told = tell(&mut owner, 2, vec![want(0, 0)], 3_450);
-    assert!(told.iter().all(|(_, s)| *s == Standing::Accepted), "that is not believed: {told:?}");
+    assert!(
+        told.iter().all(|(_, s)| *s == Standing::Accepted),
+        "that is not believed: {told:?}"
+    );
     let mut token = first.token;
     for seq in 2..5 {
-        let said = Report { token, ..report(0, seq) };
-        token = owner.report(&said, None, 3_400 + 500 * seq).expect("answered").token;
+        let said = Report {
+            token,
+            ..report(0, seq)
+        };
+        token = owner
+            .report(&said, None, 3_400 + 500 * seq)
+            .expect("answered")
+            .token;
     }
     owner.tick(6_000, 6_000);
     tell(&mut owner, 3, vec![want(0, 0)], 6_000);
     let start = owner.calls(6_000, 4).pop().expect("a start");
-    assert_eq!((start.commands.session, start.commands.orders.len()), (1, 1));
+    assert_eq!(
+        (start.commands.session, start.commands.orders.len()),
+        (1, 1)
+    );
 }
 
 /// A copy of a worker's first report costs a question, and what runs goes on.
@@ -885,12 +1170,32 @@
     let mut owner = fleet(1);
     tell(&mut owner, 1, vec![want(0, 0)], 20);
     let start = owner.calls(20, 4).pop().expect("a start");
-    let seen = |seq, token| Report { token, tasks: vec![running_task(0)], ..report(0, seq) };
+    let seen = |seq, token| Report {
+        token,
+        tasks: vec![running_task(0)],
+        ..report(0, seq)
+    };
     owner.call_done(&start, CommandResult::Executed(seen(3, BASE)), 40);
     assert!(owner.calls(4_900, 4).is_empty(), "nothing is due");
-    assert!(owner.report(&Report { token: 0, ..report(0, 1) }, None, 5_000).is_some(), "a copy");
+    assert!(
+        owner
+            .report(
+                &Report {
+                    token: 0,
+                    ..report(0, 1)
+                },
+                None,
+                5_000
+            )
+            .is_some(),
+        "a copy"
+    );
     let question = owner.calls(5_000, 4).pop().expect("a question");
-    owner.call_done(&question, CommandResult::Executed(seen(4, question.commands.token)), 5_020);
+    owner.call_done(
+        &question,
+        CommandResult::Executed(seen(4, question.commands.token)),
+        5_020,
+    );
     assert!(owner.calls(5_100, 4).is_empty());
     let told = tell(&mut owner, 2, vec![want(0, 0)], 5_100);
     assert_eq!(told, [(want(0, 0).id, Standing::Running)]);
@@ -911,7 +1216,9 @@
     for step in 2u64..400 {
         let now = 8_500 + step * 100;
         owner.tick(now, now);
-        let ended = tell(&mut owner, step, vec![want(0, 0)], now).iter().any(|(_, s)| s.ended());
+        let ended = tell(&mut owner, step, vec![want(0, 0)], now)
+            .iter()
+            .any(|(_, s)| s.ended());
         over_at = over_at.or(ended.then_some(now));
     }
     let over_at = over_at.expect("in the end it is over");
@@ -928,7 +1235,10 @@
 }
 
 fn stopped(n: u32) -> Want {
-    Want { kill: Some(0), ..want(n, 0) }
+    Want {
+        kill: Some(0),
+        ..want(n, 0)
+    }
 }
 
 fn ended(told: &[(AttemptId, Standing)], n: u32) -> bool {
@@ -941,20 +1251,38 @@
 fn nothing_is_forgotten_while_an_order_that_would_start_it_again_may_arrive() {
     let (mut owner, first) = with_a_lost_start();
     let again = owner.calls(4_000, 4).pop().expect("it is started again");
-    assert!(again.commands.token > first, "who takes the second refuses the first");
+    assert!(
+        again.commands.token > first,
+        "who takes the second refuses the first"
+    );
     owner.call_done(&again, CommandResult::Unknown, 6_500);
     // The first was executed; the second is still on its way.
-    let exited = TaskReport { phase: TaskPhase::Exited, cause: Some("done".into()), ..running_task(0) };
-    let said = |seq, token| Report { token, tasks: vec![exited.clone()], ..report(0, seq) };
+    let exited = TaskReport {
+        phase: TaskPhase::Exited,
+        cause: Some("done".into()),
+        ..running_task(0)
+    };
+    let said = |seq, token| Report {
+        token,
+        tasks: vec![exited.clone()],
+        ..report(0, seq)
+    };
     assert!(owner.report(&said(3, first), None, 6_600).is_some());
     assert!(ended(&tell(&mut owner, 2, vec![want(0, 0)], 6_700), 0));
     tell(&mut owner, 3, Vec::new(), 6_800);
     // The only placer wants nothing more; the lost start alone keeps it.
-    let reply = owner.report(&said(4, first), None, 9_600).expect("answered");
+    let reply = owner
+        .report(&said(4, first), None, 9_600)
+        .expect("answered");
     assert_eq!(reply.orders, [], "the second would start it anew");
     assert!(reply.token > again.commands.token);
-    let reply = owner.report(&said(5, reply.token), None, 10_100).expect("answered");
-    assert!(reply.orders.iter().any(|o| o.verb == Verb::Forget), "from now on it is refused: {reply:?}");
+    let reply = owner
+        .report(&said(5, reply.token), None, 10_100)
+        .expect("answered");
+    assert!(
+        reply.orders.iter().any(|o| o.verb == Verb::Forget),
+        "from now on it is refused: {reply:?}"
+    );
 }
 
 /// A second call that surely never left tells nothing of the first.
@@ -963,11 +1291,34 @@
     let (mut owner, _) = with_a_lost_start();
     let again = owner.calls(4_000, 4).pop().expect("it is started again");
     owner.call_done(&again, CommandResult::NotSent, 4_100);
-    assert!(!ended(&tell(&mut owner, 2, vec![stopped(0)], 4_200), 0), "the first may arrive");
-    let token = owner.report(&report(0, 3), None, 4_300).expect("answered").token;
-    assert!(!ended(&tell(&mut owner, 3, vec![stopped(0)], 4_400), 0), "and still");
-    assert!(owner.report(&Report { token, ..report(0, 4) }, None, 4_900).is_some());
-    assert!(ended(&tell(&mut owner, 4, vec![stopped(0)], 5_000), 0), "now it is refused");
+    assert!(
+        !ended(&tell(&mut owner, 2, vec![stopped(0)], 4_200), 0),
+        "the first may arrive"
+    );
+    let token = owner
+        .report(&report(0, 3), None, 4_300)
+        .expect("answered")
+        .token;
+    assert!(
+        !ended(&tell(&mut owner, 3, vec![stopped(0)], 4_400), 0),
+        "and still"
+    );
+    assert!(
+        owner
+            .report(
+                &Report {
+                    token,
+                    ..report(0, 4)
+                },
+                None,
+                4_900
+            )
+            .is_some()
+    );
+    assert!(
+        ended(&tell(&mut owner, 4, vec![stopped(0)], 5_000), 0),
+        "now it is refused"
+    );
 }
 
 /// A start went out in an answer that is held up for up to 4 s: until the worker's next
@@ -977,23 +1328,66 @@
 fn a_start_in_an_answer_is_open_until_the_next_report() {
     let (mut owner, _) = with_a_lost_start();
     let reply = owner.report(&report(0, 3), None, 2_700).expect("answered");
-    assert!(reply.orders.iter().any(|o| o.verb == Verb::Launch), "{reply:?}");
+    assert!(
+        reply.orders.iter().any(|o| o.verb == Verb::Launch),
+        "{reply:?}"
+    );
     tell(&mut owner, 2, vec![stopped(0), want(1, 0)], 3_000);
     for now in (3_000..6_700).step_by(100) {
-        assert!(owner.calls(now, 4).is_empty(), "its answer would show task 0 absent");
+        assert!(
+            owner.calls(now, 4).is_empty(),
+            "its answer would show task 0 absent"
+        );
     }
-    assert!(!ended(&tell(&mut owner, 3, vec![stopped(0), want(1, 0)], 6_700), 0));
-    owner.report(&Report { token: reply.token, ..report(0, 4) }, None, 6_800).expect("answered");
-    assert!(ended(&tell(&mut owner, 4, vec![stopped(0), want(1, 0)], 6_900), 0));
+    assert!(!ended(
+        &tell(&mut owner, 3, vec![stopped(0), want(1, 0)], 6_700),
+        0
+    ));
+    owner
+        .report(
+            &Report {
+                token: reply.token,
+                ..report(0, 4)
+            },
+            None,
+            6_800,
+        )
+        .expect("answered");
+    assert!(ended(
+        &tell(&mut owner, 4, vec![stopped(0), want(1, 0)], 6_900),
+        0
+    ));
 }
 
 /// What may be another life proves no absence, though nothing was started there by us.
 #[test]
 fn a_machine_under_suspicion_proves_no_absence() {
     let mut owner = fleet(1);
-    let token = owner.report(&Report { token: 0, ..report(0, 1) }, None, 3_000).expect("answered").token;
-    assert!(!ended(&tell(&mut owner, 1, vec![stopped(0)], 3_100), 0), "an earlier owner may have started it");
-    owner.report(&Report { token, ..report(0, 2) }, None, 3_500).expect("answered");
+    let token = owner
+        .report(
+            &Report {
+                token: 0,
+                ..report(0, 1)
+            },
+            None,
+            3_000,
+        )
+        .expect("answered")
+        .token;
+    assert!(
+        !ended(&tell(&mut owner, 1, vec![stopped(0)], 3_100), 0),
+        "an earlier owner may have started it"
+    );
+    owner
+        .report(
+            &Report {
+                token,
+                ..report(0, 2)
+            },
+            None,
+            3_500,
+        )
+        .expect("answered");
     assert!(ended(&tell(&mut owner, 2, vec![stopped(0)], 3_600), 0));
 }
 
@@ -1002,14 +1396,28 @@
 /// after its last answer.
 #[test]
 fn a_machine_that_never_shows_our_token_may_live_by_our_answers() {
-    let mut owner = Owner::new(0, TOKEN, 1, TIMING, lemonweir_policy::embedded().expect("policy"), 0);
+    let mut owner = Owner::new(
+        0,
+        TOKEN,
+        1,
+        TIMING,
+        lemonweir_policy::embedded().expect("policy"),
+        0,
+    );
     owner.set_types([kind()].iter());
     tell(&mut owner, 1, vec![want(0, 0)], 10);
-    let said = Report { token: (TOKEN - 1) << FENCE_BITS, tasks: vec![running_task(0)], ..report(0, 70) };
+    let said = Report {
+        token: (TOKEN - 1) << FENCE_BITS,
+        tasks: vec![running_task(0)],
+        ..report(0, 70)
+    };
     assert!(owner.report(&said, None, 70_000).is_some());
     owner.tick(80_000, 80_000);
     assert!(TIMING.inherited_ms() < 80_000);
-    assert!(!ended(&tell(&mut owner, 2, vec![want(0, 0)], 80_000), 0), "its lease may run until 84 s");
+    assert!(
+        !ended(&tell(&mut owner, 2, vec![want(0, 0)], 80_000), 0),
+        "its lease may run until 84 s"
+    );
     owner.tick(85_000, 85_000);
     assert!(ended(&tell(&mut owner, 3, vec![want(0, 0)], 85_000), 0));
 }
@@ -1018,7 +1426,13 @@
 #[test]
 fn a_worker_that_has_seen_a_later_owner_is_not_answered() {
     let mut owner = fleet(1);
-    let later = Report { token: (TOKEN + 1) << FENCE_BITS, ..report(0, 9) };
+    let later = Report {
+        token: (TOKEN + 1) << FENCE_BITS,
+        ..report(0, 9)
+    };
     assert!(owner.report(&later, None, 3_000).is_none());
-    assert!(owner.report(&report(0, 10), None, 3_100).is_some(), "and the report told nothing");
+    assert!(
+        owner.report(&report(0, 10), None, 3_100).is_some(),
+        "and the report told nothing"
+    );
 }
--- a/crates/coordination/tests/late_transactions.rs
+++ b/crates/coordination/tests/late_transactions.rs
@@ -15,7 +15,8 @@
 use lemonweir_protocol::users::Phase;
 use lemonweir_storage::mirror::MirroredJob;
 use lemonweir_storage::records::{
-    ChunkRecord, EndRecord, JobRecord, PartRecord, end_key, job_key, parse_run_key, part_key, run_key, run_prefix, withdraw_job,
+    ChunkRecord, EndRecord, JobRecord, PartRecord, end_key, job_key, parse_run_key, part_key,
+    run_key, run_prefix, withdraw_job,
 };
 use rmpv::Value;
 use support::{ROOM, TOKEN, array, shown, terms, view};
@@ -30,7 +31,10 @@
 impl Store {
     /// Part 0 is held under [`TOKEN`].
     fn new() -> Self {
-        let mut store = Store { revision: TOKEN - 1, keys: BTreeMap::new() };
+        let mut store = Store {
+            revision: TOKEN - 1,
+            keys: BTreeMap::new(),
+        };
         store.put(part_key(0), to_value(&PartRecord { host: "h0".into() }));
         store
     }
@@ -50,19 +54,32 @@
     }
 
     fn ended(&self, id: &JobId) -> Option<Phase> {
-        self.value(&end_key(id)).and_then(from_value::<EndRecord>).map(|e| e.phase)
+        self.value(&end_key(id))
+            .and_then(from_value::<EndRecord>)
+            .map(|e| e.phase)
     }
 
     fn txn(&mut self, txn: &Txn) -> TxnOutcome {
-        assert!(txn.writes.len() <= terms().txn_ops && txn.conditions.len() <= 4 * terms().txn_ops, "more than a transaction may hold");
-        let failed: Vec<String> = txn.conditions.iter().filter(|c| self.version(&c.key) != c.version).map(|c| c.key.clone()).collect();
+        assert!(
+            txn.writes.len() <= terms().txn_ops && txn.conditions.len() <= 4 * terms().txn_ops,
+            "more than a transaction may hold"
+        );
+        let failed: Vec<String> = txn
+            .conditions
+            .iter()
+            .filter(|c| self.version(&c.key) != c.version)
+            .map(|c| c.key.clone())
+            .collect();
         if !failed.is_empty() {
             return TxnOutcome::Conflict(failed);
         }
         self.revision += 1;
         for write in &txn.writes {
             match write {
-                Write::Put { key, value, .. } => drop(self.keys.insert(key.clone(), (value.clone(), self.revision))),
+                Write::Put { key, value, .. } => drop(
+                    self.keys
+                        .insert(key.clone(), (value.clone(), self.revision)),
+                ),
                 Write::Delete { key } => drop(self.keys.remove(key)),
             }
         }
@@ -75,11 +92,18 @@
 
     /// Jobs of the records of tasks.
     fn recorded(&self) -> BTreeSet<JobId> {
-        self.keys.keys().filter(|k| k.starts_with(&run_prefix(0))).filter_map(|k| parse_run_key(k)).map(|(job, _)| job).collect()
+        self.keys
+            .keys()
+            .filter(|k| k.starts_with(&run_prefix(0)))
+            .filter_map(|k| parse_run_key(k))
+            .map(|(job, _)| job)
+            .collect()
     }
 
     fn live(&self, id: &AttemptId) -> bool {
-        let record = self.value(&run_key(0, &id.job, id.task / CHUNK_TASKS)).and_then(from_value::<ChunkRecord>);
+        let record = self
+            .value(&run_key(0, &id.job, id.task / CHUNK_TASKS))
+            .and_then(from_value::<ChunkRecord>);
         record.is_some_and(|r| r.live.iter().any(|l| (l.t, l.a) == (id.task, id.attempt)))
     }
 }
@@ -99,25 +123,52 @@
 impl Night {
     fn new() -> Self {
         let placer = Placer::new(0, TOKEN, 1, terms(), 0);
-        let mut night = Night { store: Store::new(), placer, now: 100, wanted: BTreeSet::new(), told: BTreeSet::new() };
+        let mut night = Night {
+            store: Store::new(),
+            placer,
+            now: 100,
+            wanted: BTreeSet::new(),
+            told: BTreeSet::new(),
+        };
         night.sync(&[]);
         night
     }
 
     fn submit(&mut self, spec: &JobSpec) {
-        self.store.put(job_key(&spec.id), to_value(&JobRecord { spec: spec.clone(), at: 0, withdrawn: false, awaited: 0 }));
+        self.store.put(
+            job_key(&spec.id),
+            to_value(&JobRecord {
+                spec: spec.clone(),
+                at: 0,
+                withdrawn: false,
+                awaited: 0,
+            }),
+        );
         self.copy(&spec.id);
     }
 
     /// The copy of the followed keys shows how a job stands.
     fn copy(&mut self, id: &JobId) {
-        let job = self.store.value(&job_key(id)).and_then(from_value::<JobRecord>);
-        let job = job.map(|record| MirroredJob { record: Arc::new(record), version: self.store.version(&job_key(id)) });
+        let job = self
+            .store
+            .value(&job_key(id))
+            .and_then(from_value::<JobRecord>);
+        let job = job.map(|record| MirroredJob {
+            record: Arc::new(record),
+            version: self.store.version(&job_key(id)),
+        });
         self.placer.set_job(id, job.as_ref(), self.now);
     }
 
     fn withdraw(&mut self, id: &JobId) {
-        let Some(record) = self.store.value(&job_key(id)).and_then(from_value::<JobRecord>).filter(|r| !r.withdrawn) else { return };
+        let Some(record) = self
+            .store
+            .value(&job_key(id))
+            .and_then(from_value::<JobRecord>)
+            .filter(|r| !r.withdrawn)
+        else {
+            return;
+        };
         let version = self.store.version(&job_key(id));
         assert!(self.store.makes(&withdraw_job(&record, version)));
     }
@@ -125,13 +176,38 @@
     /// The owner of four machines is told what is wanted, and tells this.
     fn sync(&mut self, attempts: &[(AttemptId, Standing)]) {
         let sync = self.placer.sync_for(0, TOKEN, ROOM, false, self.now);
-        assert!(sync.span.since == 0 && sync.span.last, "all is told anew each time");
+        assert!(
+            sync.span.since == 0 && sync.span.last,
+            "all is told anew each time"
+        );
         self.told = sync.wants.iter().map(|w| w.id.clone()).collect();
-        self.wanted = sync.wants.iter().filter(|w| w.kill.is_none()).map(|w| w.id.clone()).collect();
-        let attempts: Vec<AttemptView> =
-            attempts.iter().map(|(id, standing)| AttemptView { id: id.clone(), standing: *standing }).collect();
+        self.wanted = sync
+            .wants
+            .iter()
+            .filter(|w| w.kill.is_none())
+            .map(|w| w.id.clone())
+            .collect();
+        let attempts: Vec<AttemptView> = attempts
+            .iter()
+            .map(|(id, standing)| AttemptView {
+                id: id.clone(),
+                standing: *standing,
+            })
+            .collect();
         let machines: Vec<_> = (0..4).map(|n| shown(n, 4)).collect();
-        self.placer.take_view(view(sync.seq, Span { since: 0, upto: 1, last: true }, machines, attempts), self.now);
+        self.placer.take_view(
+            view(
+                sync.seq,
+                Span {
+                    since: 0,
+                    upto: 1,
+                    last: true,
+                },
+                machines,
+                attempts,
+            ),
+            self.now,
+        );
     }
 
     fn place(&mut self) {
@@ -169,7 +245,11 @@
 }
 
 fn attempt(job: &JobId, task: u32, attempt: u32) -> AttemptId {
-    AttemptId { job: job.clone(), task, attempt }
+    AttemptId {
+        job: job.clone(),
+        task,
+        attempt,
+    }
 }
 
 /// A start without an answer, never made so far; its job is withdrawn and ends; then
@@ -188,7 +268,10 @@
     night.copy(&spec.id);
     let txn = night.next(1).expect("its end");
     let outcome = night.store.txn(&txn);
-    assert_eq!(night.end(outcome), vec![(spec.id.clone(), Phase::Withdrawn)]);
+    assert_eq!(
+        night.end(outcome),
+        vec![(spec.id.clone(), Phase::Withdrawn)]
+    );
     night.write();
     assert_eq!(night.placer.known().count(), 0);
     assert!(!night.store.makes(&late));
@@ -245,7 +328,9 @@
         let outcome = night.store.txn(&txn);
         night.end(outcome);
         night.copy(&spec.id);
-        let asked = night.next(END_LAG_MS + 1).expect("whether there is a record");
+        let asked = night
+            .next(END_LAG_MS + 1)
+            .expect("whether there is a record");
         assert!(asked.writes.is_empty());
         night.end(TxnOutcome::Again);
         assert_eq!(night.placer.known().count(), 1, "no answer tells nothing");
@@ -261,7 +346,10 @@
 fn a_start_that_a_withdrawal_refuses_does_not_keep_others_from_starting() {
     let mut night = Night::new();
     let first = array(1);
-    let second = JobSpec { id: JobId::from("req-000002"), ..array(1) };
+    let second = JobSpec {
+        id: JobId::from("req-000002"),
+        ..array(1)
+    };
     night.submit(&first);
     night.submit(&second);
     night.place();
@@ -269,13 +357,19 @@
     let txn = night.next(1).expect("two starts");
     assert_eq!(txn.writes.len(), 2);
     let outcome = night.store.txn(&txn);
-    assert!(matches!(&outcome, TxnOutcome::Conflict(keys) if *keys == vec![job_key(&first.id)]), "{outcome:?}");
+    assert!(
+        matches!(&outcome, TxnOutcome::Conflict(keys) if *keys == vec![job_key(&first.id)]),
+        "{outcome:?}"
+    );
     night.end(outcome);
     let txn = night.next(1).expect("the other's start");
     assert_eq!(txn.writes.len(), 1);
     let outcome = night.store.txn(&txn);
     night.end(outcome);
-    assert!(night.next(END_LAG_MS + 1).is_none(), "what would be refused again");
+    assert!(
+        night.next(END_LAG_MS + 1).is_none(),
+        "what would be refused again"
+    );
     night.sync(&[]);
     assert_eq!(night.wanted, BTreeSet::from([attempt(&second.id, 0, 1)]));
     night.copy(&first.id);
@@ -301,7 +395,10 @@
         night.sync(&[(all[0].clone(), Standing::Exited(Cause::Done))]);
         let late = night.next(END_LAG_MS + 1).expect("an end");
         night.end(TxnOutcome::Again);
-        night.sync(&[(all[0].clone(), Standing::Exited(Cause::Done)), (all[1].clone(), Standing::Exited(Cause::Done))]);
+        night.sync(&[
+            (all[0].clone(), Standing::Exited(Cause::Done)),
+            (all[1].clone(), Standing::Exited(Cause::Done)),
+        ]);
         let txn = night.next(END_LAG_MS + 1).expect("two ends");
         let key = run_key(0, &spec.id, 0);
         let read = night.store.version(&key);
@@ -319,7 +416,11 @@
             assert!(!night.store.makes(&late), "its version is no more");
         }
         night.write();
-        let record = night.store.value(&key).and_then(from_value::<ChunkRecord>).expect("a record");
+        let record = night
+            .store
+            .value(&key)
+            .and_then(from_value::<ChunkRecord>)
+            .expect("a record");
         assert_eq!(record.done, vec![(0, 1)], "between: {between}");
     }
 }
@@ -330,8 +431,20 @@
 #[test]
 fn a_late_answer_to_an_earlier_holder_is_not_taken() {
     let mut earlier = Placer::new(0, TOKEN, 1, terms(), 0);
-    let seq = (0..3).map(|_| earlier.sync_for(0, TOKEN, ROOM, false, 0).seq).last().expect("some");
-    let late = view(seq, Span { since: 0, upto: 4, last: true }, vec![shown(0, 4)], Vec::new());
+    let seq = (0..3)
+        .map(|_| earlier.sync_for(0, TOKEN, ROOM, false, 0).seq)
+        .last()
+        .expect("some");
+    let late = view(
+        seq,
+        Span {
+            since: 0,
+            upto: 4,
+            last: true,
+        },
+        vec![shown(0, 4)],
+        Vec::new(),
+    );
     let mut placer = Placer::new(0, TOKEN + 1, 1, terms(), 0);
     let first = placer.sync_for(0, TOKEN, ROOM, false, 0).seq;
     for _ in 0..5 {
@@ -339,7 +452,16 @@
     }
     assert!(!placer.take_view(late, 100));
     assert_eq!(placer.sync_for(0, TOKEN, ROOM, false, 0).have.machines, 0);
-    let answer = view(first, Span { since: 0, upto: 1, last: true }, vec![shown(0, 4)], Vec::new());
+    let answer = view(
+        first,
+        Span {
+            since: 0,
+            upto: 1,
+            last: true,
+        },
+        vec![shown(0, 4)],
+        Vec::new(),
+    );
     assert!(placer.take_view(answer, 200), "its own is");
 }
 
@@ -367,8 +489,12 @@
         let mut night = Night::new();
         let mut late: Vec<Txn> = Vec::new();
         let mut ends: BTreeMap<JobId, Phase> = BTreeMap::new();
-        let specs: Vec<JobSpec> =
-            (1..=4).map(|n| JobSpec { id: JobId::from(format!("req-{n:06}").as_str()), ..array(1 + draw.below(70)) }).collect();
+        let specs: Vec<JobSpec> = (1..=4)
+            .map(|n| JobSpec {
+                id: JobId::from(format!("req-{n:06}").as_str()),
+                ..array(1 + draw.below(70))
+            })
+            .collect();
         for spec in &specs {
             night.submit(spec);
         }
@@ -380,7 +506,9 @@
             match draw.below(9) {
                 0 => night.placer.place(night.now),
                 1..=3 => {
-                    let Some(txn) = night.next(draw.below(END_LAG_MS)) else { continue };
+                    let Some(txn) = night.next(draw.below(END_LAG_MS)) else {
+                        continue;
+                    };
                     let outcome = match draw.below(if calm { 1 } else { 5 }) {
                         0 | 1 => night.store.txn(&txn),
                         2 => {
@@ -394,12 +522,19 @@
                         _ => TxnOutcome::Again,
                     };
                     // A late one may be made while the keys are read.
-                    if matches!(outcome, TxnOutcome::Conflict(_)) && !late.is_empty() && draw.below(2) == 0 {
+                    if matches!(outcome, TxnOutcome::Conflict(_))
+                        && !late.is_empty()
+                        && draw.below(2) == 0
+                    {
                         let txn = late.remove(draw.below(late.len() as u64) as usize);
                         late_made += usize::from(night.store.makes(&txn));
                     }
                     for (id, phase) in night.end(outcome) {
-                        assert_eq!(ends.insert(id.clone(), phase), None, "seed {seed}: {id} ends once");
+                        assert_eq!(
+                            ends.insert(id.clone(), phase),
+                            None,
+                            "seed {seed}: {id} ends once"
+                        );
                     }
                 }
                 4 if !late.is_empty() => {
@@ -407,16 +542,30 @@
                     late_made += usize::from(night.store.makes(&txn));
                 }
                 5 => specs.iter().for_each(|spec| night.copy(&spec.id)),
-                6 if draw.below(20) == 0 || step == 520 => night.withdraw(&specs[draw.below(4) as usize].id.clone()),
+                6 if draw.below(20) == 0 || step == 520 => {
+                    night.withdraw(&specs[draw.below(4) as usize].id.clone())
+                }
                 _ => {
-                    let now: Vec<(AttemptId, Standing)> = standing.iter().map(|(id, s)| (id.clone(), *s)).collect();
+                    let now: Vec<(AttemptId, Standing)> =
+                        standing.iter().map(|(id, s)| (id.clone(), *s)).collect();
                     night.sync(&now);
                     for id in &night.wanted {
-                        assert!(night.store.live(id) || standing.get(id).is_some_and(|s| s.ended()), "seed {seed}: {id} is not recorded");
+                        assert!(
+                            night.store.live(id) || standing.get(id).is_some_and(|s| s.ended()),
+                            "seed {seed}: {id} is not recorded"
+                        );
                     }
                     for id in night.told.clone() {
-                        let end = if night.wanted.contains(&id) { Standing::Exited(Cause::Done) } else { Standing::Gone };
-                        let next = if draw.below(3) == 0 { end } else { Standing::Running };
+                        let end = if night.wanted.contains(&id) {
+                            Standing::Exited(Cause::Done)
+                        } else {
+                            Standing::Gone
+                        };
+                        let next = if draw.below(3) == 0 {
+                            end
+                        } else {
+                            Standing::Running
+                        };
                         let before = standing.get(&id).copied();
                         if before.is_none_or(|s| !s.ended()) {
                             standing.insert(id, next);
@@ -434,7 +583,16 @@
             let gone: Vec<(AttemptId, Standing)> = night
                 .told
                 .iter()
-                .map(|id| (id.clone(), standing.get(id).copied().filter(|s| s.ended()).unwrap_or(Standing::Gone)))
+                .map(|id| {
+                    (
+                        id.clone(),
+                        standing
+                            .get(id)
+                            .copied()
+                            .filter(|s| s.ended())
+                            .unwrap_or(Standing::Gone),
+                    )
+                })
                 .collect();
             night.sync(&gone);
             night.write();
@@ -442,11 +600,22 @@
         for txn in late {
             late_made += usize::from(night.store.makes(&txn));
         }
-        over += specs.iter().filter(|spec| night.store.version(&end_key(&spec.id)) > 0).count();
+        over += specs
+            .iter()
+            .filter(|spec| night.store.version(&end_key(&spec.id)) > 0)
+            .count();
         for spec in &specs {
-            assert!(night.store.version(&end_key(&spec.id)) > 0, "seed {seed}: {} is over", spec.id);
+            assert!(
+                night.store.version(&end_key(&spec.id)) > 0,
+                "seed {seed}: {} is over",
+                spec.id
+            );
         }
-        assert!(night.store.recorded().is_empty(), "seed {seed}: {:?} came back", night.store.recorded());
+        assert!(
+            night.store.recorded().is_empty(),
+            "seed {seed}: {:?} came back",
+            night.store.recorded()
+        );
         for (id, phase) in &ends {
             assert_eq!(night.store.ended(id), Some(*phase), "seed {seed}");
         }
