--- a/crates/coordination/tests/ledger.rs
+++ b/crates/coordination/tests/ledger.rs
@@ -17,14 +17,22 @@
 use lemonweir_protocol::state::{Entry, Txn, Write, from_value, to_value};
 use lemonweir_protocol::worker::{Order, Report, TaskPhase, TaskReport, Verb};
 use lemonweir_storage::mirror::{Holder, MirroredJob};
-use lemonweir_storage::records::{ChunkRecord, GangRecord, GangStep, JobRecord, job_key, parse_run_key, part_key};
+use lemonweir_storage::records::{
+    ChunkRecord, GangRecord, GangStep, JobRecord, job_key, parse_run_key, part_key,
+};
 use support::*;
 
 // ---- the rule -----------------------------------------------------------------
 
 /// What must follow, said the long way round: of each step, when it was written,
 /// how many members stand where.
-fn plain_verdict(step: GangStep, since: Option<u64>, m: &Members, wait: u64, now: u64) -> &'static str {
+fn plain_verdict(
+    step: GangStep,
+    since: Option<u64>,
+    m: &Members,
+    wait: u64,
+    now: u64,
+) -> &'static str {
     let over = |most: u64| since.is_some_and(|s| now >= s + most);
     if step == GangStep::Released {
         return "wait";
@@ -42,21 +50,37 @@
             () => "wait",
         };
     }
-    if m.running > 0 || m.launched >= m.needed || !over(wait) { "wait" } else { "release" }
+    if m.running > 0 || m.launched >= m.needed || !over(wait) {
+        "wait"
+    } else {
+        "release"
+    }
 }
 
 #[test]
 fn the_rule_is_the_plain_models_in_every_case() {
-    let steps = [GangStep::Planned, GangStep::Admitted, GangStep::Released, GangStep::Other];
+    let steps = [
+        GangStep::Planned,
+        GangStep::Admitted,
+        GangStep::Released,
+        GangStep::Other,
+    ];
     let wait = 50_000;
     let (mut seen, mut cases) = (BTreeSet::new(), 0);
     for step in steps {
         for since in [None, Some(1_000)] {
-            for now in [1_000, 1_000 + GANG_GRANT_MS - 1, 1_000 + GANG_GRANT_MS, 1_000 + wait - 1, 1_000 + wait] {
+            for now in [
+                1_000,
+                1_000 + GANG_GRANT_MS - 1,
+                1_000 + GANG_GRANT_MS,
+                1_000 + wait - 1,
+                1_000 + wait,
+            ] {
                 // Every distribution of 3 members over: none, stopped, granted,
                 // launched, running, over.
                 for kinds in (0..6u32.pow(3)).map(|n| [n % 6, n / 6 % 6, n / 36]) {
-                    let count = |from: u32| kinds.iter().filter(|k| **k >= from && **k < 5).count() as u32;
+                    let count =
+                        |from: u32| kinds.iter().filter(|k| **k >= from && **k < 5).count() as u32;
                     let m = Members {
                         needed: 3,
                         live: kinds.iter().filter(|k| **k < 5).count() as u32,
@@ -65,13 +89,22 @@
                         launched: count(3),
                         running: count(4),
                     };
-                    let admission = Admission { step, at: 7, attempt: 1, since };
+                    let admission = Admission {
+                        step,
+                        at: 7,
+                        attempt: 1,
+                        since,
+                    };
                     let got = match verdict(&admission, &m, wait, now) {
                         Verdict::Wait(_) => "wait",
                         Verdict::Admit => "admit",
                         Verdict::Release(_) => "release",
                     };
-                    assert_eq!(got, plain_verdict(step, since, &m, wait, now), "{step:?} {since:?} {now} {m:?}");
+                    assert_eq!(
+                        got,
+                        plain_verdict(step, since, &m, wait, now),
+                        "{step:?} {since:?} {now} {m:?}"
+                    );
                     seen.insert(got);
                     cases += 1;
                 }
@@ -85,11 +118,27 @@
 /// order, and a release that began is gone on with.
 #[test]
 fn a_successor_reads_the_least_step_of_all_chunks() {
-    let kinds = [None, Some(GangStep::Planned), Some(GangStep::Admitted), Some(GangStep::Released), Some(GangStep::Other)];
+    let kinds = [
+        None,
+        Some(GangStep::Planned),
+        Some(GangStep::Admitted),
+        Some(GangStep::Released),
+        Some(GangStep::Other),
+    ];
     for picks in (0..625usize).map(|n| [n % 5, n / 5 % 5, n / 25 % 5, n / 125]) {
-        let records: Vec<Option<GangRecord>> =
-            picks.iter().enumerate().map(|(i, k)| kinds[*k].map(|step| GangRecord { step, at: i as u64, a: 4 })).collect();
-        let (step, _, attempt) = inherited(records.iter().map(|r| (4, r.as_ref()))).expect("chunks");
+        let records: Vec<Option<GangRecord>> = picks
+            .iter()
+            .enumerate()
+            .map(|(i, k)| {
+                kinds[*k].map(|step| GangRecord {
+                    step,
+                    at: i as u64,
+                    a: 4,
+                })
+            })
+            .collect();
+        let (step, _, attempt) =
+            inherited(records.iter().map(|r| (4, r.as_ref()))).expect("chunks");
         let has = |kind: GangStep| records.iter().flatten().any(|r| r.step == kind);
         let plain = match () {
             () if has(GangStep::Released) => GangStep::Released,
@@ -99,7 +148,11 @@
         assert_eq!((step, attempt), (plain, 4), "{picks:?}");
     }
     let (step, ..) = inherited([(1, None), (2, None)].into_iter()).expect("chunks");
-    assert_eq!(step, GangStep::Released, "members of two attempts never find one another");
+    assert_eq!(
+        step,
+        GangStep::Released,
+        "members of two attempts never find one another"
+    );
 }
 
 // ---- real placers and owners under random histories ------------------------------
@@ -184,9 +237,24 @@
             trouble,
             revision: 40,
             store: BTreeMap::new(),
-            parts: (0..PARTS).map(|_| Part { placer: None, owner: None, back: 0, owner_back: 0, passed: 0 }).collect(),
+            parts: (0..PARTS)
+                .map(|_| Part {
+                    placer: None,
+                    owner: None,
+                    back: 0,
+                    owner_back: 0,
+                    passed: 0,
+                })
+                .collect(),
             boxes: (0..BOXES)
-                .map(|n| Box_ { part: n % PARTS, session: 1, seq: 0, token: 0, answered: 100, tasks: BTreeMap::new() })
+                .map(|n| Box_ {
+                    part: n % PARTS,
+                    session: 1,
+                    seq: 0,
+                    token: 0,
+                    answered: 100,
+                    tasks: BTreeMap::new(),
+                })
                 .collect(),
             holders: BTreeMap::new(),
             jobs: Vec::new(),
@@ -203,7 +271,13 @@
     }
 
     fn put(&mut self, entry: Entry) {
-        self.store.insert(entry.key.clone(), Entry { version: self.revision, ..entry });
+        self.store.insert(
+            entry.key.clone(),
+            Entry {
+                version: self.revision,
+                ..entry
+            },
+        );
     }
 
     fn version(&self, key: &str) -> u64 {
@@ -211,9 +285,18 @@
     }
 
     fn submit(&mut self, part: usize, spec: JobSpec) {
-        let record = JobRecord { spec: spec.clone(), at: self.now, withdrawn: false, awaited: 0 };
+        let record = JobRecord {
+            spec: spec.clone(),
+            at: self.now,
+            withdrawn: false,
+            awaited: 0,
+        };
         self.revision += 1;
-        self.put(Entry { key: job_key(&spec.id), value: to_value(&record), version: 0 });
+        self.put(Entry {
+            key: job_key(&spec.id),
+            value: to_value(&record),
+            version: 0,
+        });
         self.jobs.push((part, Arc::new(spec)));
         self.tell_jobs();
     }
@@ -221,9 +304,16 @@
     fn withdraw(&mut self, id: &JobId) {
         let key = job_key(id);
         if let Some(entry) = self.store.get(&key) {
-            let record = JobRecord { withdrawn: true, ..from_value(&entry.value).expect("a job") };
+            let record = JobRecord {
+                withdrawn: true,
+                ..from_value(&entry.value).expect("a job")
+            };
             self.revision += 1;
-            self.put(Entry { key, value: to_value(&record), version: 0 });
+            self.put(Entry {
+                key,
+                value: to_value(&record),
+                version: 0,
+            });
             self.tell_jobs();
         }
     }
@@ -231,10 +321,10 @@
     /// What the followed keys say reaches every placer.
     fn tell_jobs(&mut self) {
         for (part, spec) in &self.jobs {
-            let mirrored = self
-                .store
-                .get(&job_key(&spec.id))
-                .map(|e| MirroredJob { record: Arc::new(from_value(&e.value).expect("a job")), version: e.version });
+            let mirrored = self.store.get(&job_key(&spec.id)).map(|e| MirroredJob {
+                record: Arc::new(from_value(&e.value).expect("a job")),
+                version: e.version,
+            });
             if let Some((placer, _)) = self.parts[*part].placer.as_mut() {
                 placer.set_job(&spec.id, mirrored.as_ref(), self.now);
             }
@@ -244,8 +334,19 @@
     fn revive_owner(&mut self, part: usize) {
         self.revision += 1;
         // Nothing is given back: the fleet is fixed.
-        let policy = Policy { idle: 1e6, idle_spot: 1e6, ..lemonweir_policy::embedded().expect("policy") };
-        let mut owner = Owner::new(part as u16, self.revision, PARTS as u16, TIMING, policy, self.now);
+        let policy = Policy {
+            idle: 1e6,
+            idle_spot: 1e6,
+            ..lemonweir_policy::embedded().expect("policy")
+        };
+        let mut owner = Owner::new(
+            part as u16,
+            self.revision,
+            PARTS as u16,
+            TIMING,
+            policy,
+            self.now,
+        );
         owner.set_types([kind()].iter());
         self.parts[part].owner = Some((owner, self.revision));
     }
@@ -253,18 +354,53 @@
     fn revive_placer(&mut self, part: usize) {
         self.revision += 1;
         let token = self.revision;
-        self.holders.insert(part as u16, Holder { host: format!("h{part}"), token });
-        self.put(Entry { key: part_key(part as u16), value: to_value(&0), version: 0 });
-        let terms = Terms { gang_wait_ms: GANG_WAIT_MS, wall_offset_ms: 1_000_000, ..terms() };
+        self.holders.insert(
+            part as u16,
+            Holder {
+                host: format!("h{part}"),
+                token,
+            },
+        );
+        self.put(Entry {
+            key: part_key(part as u16),
+            value: to_value(&0),
+            version: 0,
+        });
+        let terms = Terms {
+            gang_wait_ms: GANG_WAIT_MS,
+            wall_offset_ms: 1_000_000,
+            ..terms()
+        };
         let mut placer = Placer::new(part as u16, token, PARTS as u16, terms, self.now);
-        placer.expect(&HashMap::new(), f64::MAX, &[(kind().name, kind())].into_iter().collect());
-        for (key, e) in self.store.range(format!("run/{part}/")..).take_while(|(k, _)| k.starts_with(&format!("run/{part}/"))) {
+        placer.expect(
+            &HashMap::new(),
+            f64::MAX,
+            &[(kind().name, kind())].into_iter().collect(),
+        );
+        for (key, e) in self
+            .store
+            .range(format!("run/{part}/")..)
+            .take_while(|(k, _)| k.starts_with(&format!("run/{part}/")))
+        {
             let (id, chunk) = parse_run_key(key).expect("a key");
-            placer.load_chunk(&id, chunk, &from_value::<ChunkRecord>(&e.value).expect("a chunk"), e.version);
+            placer.load_chunk(
+                &id,
+                chunk,
+                &from_value::<ChunkRecord>(&e.value).expect("a chunk"),
+                e.version,
+            );
         }
         self.parts[part].placer = Some((placer, token));
-        let over: Vec<JobId> = self.jobs.iter().filter(|(p, _)| *p == part).map(|(_, s)| s.id.clone()).collect();
-        for id in over.iter().filter(|id| !self.store.contains_key(&job_key(id))) {
+        let over: Vec<JobId> = self
+            .jobs
+            .iter()
+            .filter(|(p, _)| *p == part)
+            .map(|(_, s)| s.id.clone())
+            .collect();
+        for id in over
+            .iter()
+            .filter(|id| !self.store.contains_key(&job_key(id)))
+        {
             if let Some((placer, _)) = self.parts[part].placer.as_mut() {
                 placer.set_job(id, None, self.now);
             }
@@ -289,14 +425,23 @@
     }
 
     fn apply(&mut self, txn: &Txn) -> TxnOutcome {
-        let failed: Vec<String> = txn.conditions.iter().filter(|c| self.version(&c.key) != c.version).map(|c| c.key.clone()).collect();
+        let failed: Vec<String> = txn
+            .conditions
+            .iter()
+            .filter(|c| self.version(&c.key) != c.version)
+            .map(|c| c.key.clone())
+            .collect();
         if !failed.is_empty() {
             return TxnOutcome::Conflict(failed);
         }
         self.revision += 1;
         for w in &txn.writes {
             match w {
-                Write::Put { key, value, .. } => self.put(Entry { key: key.clone(), value: value.clone(), version: 0 }),
+                Write::Put { key, value, .. } => self.put(Entry {
+                    key: key.clone(),
+                    value: value.clone(),
+                    version: 0,
+                }),
                 Write::Delete { key } => drop(self.store.remove(key)),
             }
             let (Write::Put { key, .. } | Write::Delete { key }) = w;
@@ -306,15 +451,26 @@
         }
         // Which gangs are admitted now: every chunk with members says so.
         let mut steps: BTreeMap<JobId, Vec<(u32, Option<GangStep>)>> = BTreeMap::new();
-        for (key, e) in self.store.range("run/".to_owned()..).take_while(|(k, _)| k.starts_with("run/")) {
+        for (key, e) in self
+            .store
+            .range("run/".to_owned()..)
+            .take_while(|(k, _)| k.starts_with("run/"))
+        {
             let (id, _) = parse_run_key(key).expect("a key");
             let record: ChunkRecord = from_value(&e.value).expect("a chunk");
             let step = record.gang.as_ref().map(|g| g.step);
-            steps.entry(id).or_default().extend(record.live.iter().map(|l| (l.a, step)));
+            steps
+                .entry(id)
+                .or_default()
+                .extend(record.live.iter().map(|l| (l.a, step)));
         }
         for (id, members) in steps {
             let first = members.first().map_or(0, |m| m.0);
-            if !members.is_empty() && members.iter().all(|(a, step)| *a == first && *step == Some(GangStep::Admitted)) {
+            if !members.is_empty()
+                && members
+                    .iter()
+                    .all(|(a, step)| *a == first && *step == Some(GangStep::Admitted))
+            {
                 self.admitted.insert((id, first));
             }
         }
@@ -324,14 +480,23 @@
 
     fn placer_turn(&mut self, part: usize) {
         let now = self.now;
-        let Part { placer: Some((placer, token)), passed, .. } = &mut self.parts[part] else { return };
+        let Part {
+            placer: Some((placer, token)),
+            passed,
+            ..
+        } = &mut self.parts[part]
+        else {
+            return;
+        };
         let token = *token;
         placer.keep_ledger(now, 1_000_000);
         if placer.wants_pass(now) && now >= *passed + PLACE_GAP_MS {
             *passed = now;
             placer.place(now);
         }
-        let Some(txn) = placer.next_txn(now) else { return };
+        let Some(txn) = placer.next_txn(now) else {
+            return;
+        };
         let trouble = self.trouble > 0 && self.draws.one_in(self.trouble);
         let outcome = match (trouble, self.draws.below(3)) {
             (false, _) => self.apply(&txn),
@@ -347,12 +512,19 @@
             }
         };
         let reread: Vec<(JobId, u32, u64)> = match &outcome {
-            TxnOutcome::Conflict(keys) => {
-                keys.iter().filter_map(|k| parse_run_key(k).map(|(id, chunk)| (id, chunk, self.version(k)))).collect()
-            }
+            TxnOutcome::Conflict(keys) => keys
+                .iter()
+                .filter_map(|k| parse_run_key(k).map(|(id, chunk)| (id, chunk, self.version(k))))
+                .collect(),
             _ => Vec::new(),
         };
-        let Some((placer, _)) = self.parts[part].placer.as_mut().filter(|(_, t)| *t == token) else { return };
+        let Some((placer, _)) = self.parts[part]
+            .placer
+            .as_mut()
+            .filter(|(_, t)| *t == token)
+        else {
+            return;
+        };
         for (id, chunk, version) in reread {
             placer.reread(&id, chunk, version);
         }
@@ -362,11 +534,18 @@
     }
 
     fn sync(&mut self, from: usize, to: usize) {
-        let Some((_, to_token)) = self.parts[to].owner.as_ref() else { return };
+        let Some((_, to_token)) = self.parts[to].owner.as_ref() else {
+            return;
+        };
         let to_token = *to_token;
-        let Some((placer, _)) = self.parts[from].placer.as_mut() else { return };
+        let Some((placer, _)) = self.parts[from].placer.as_mut() else {
+            return;
+        };
         let sync = placer.sync_for(to as u16, to_token, ROOM, false, self.now);
-        match (self.trouble > 0 && self.draws.one_in(self.trouble), self.draws.below(3)) {
+        match (
+            self.trouble > 0 && self.draws.one_in(self.trouble),
+            self.draws.below(3),
+        ) {
             (false, _) => self.deliver(to, &sync, true),
             (true, 0) => self.lose(from, to),
             (true, 1) => {
@@ -388,8 +567,12 @@
 
     fn deliver(&mut self, to: usize, sync: &Sync, answered: bool) {
         let from = usize::from(sync.from);
-        let Some((owner, _)) = self.parts[to].owner.as_mut() else { return };
-        let Ok(view) = owner.sync(sync, ROOM, self.now) else { return };
+        let Some((owner, _)) = self.parts[to].owner.as_mut() else {
+            return;
+        };
+        let Ok(view) = owner.sync(sync, ROOM, self.now) else {
+            return;
+        };
         if !answered || self.trouble > 0 && self.draws.one_in(self.trouble) {
             self.late.push_back(Late::View(from, view));
         } else if let Some((placer, _)) = self.parts[from].placer.as_mut() {
@@ -407,7 +590,12 @@
             cause: t.cause.map(str::to_owned),
             saved: None,
         });
-        Report { session: b.session, token: b.token, tasks: tasks.collect(), ..report(n, b.seq) }
+        Report {
+            session: b.session,
+            token: b.token,
+            tasks: tasks.collect(),
+            ..report(n, b.seq)
+        }
     }
 
     fn execute(&mut self, n: usize, orders: &[Order]) {
@@ -417,16 +605,36 @@
                 Verb::Launch if self.boxes[n].tasks.contains_key(&id) => {}
                 Verb::Launch => {
                     self.launches += 1;
-                    let gang = self.jobs.iter().any(|(_, s)| s.id == id.job && s.shape == Shape::Gang && s.tasks > 1);
-                    assert!(!gang || self.admitted.contains(&(id.job.clone(), id.attempt)), "{id} is launched and not admitted");
-                    let twice =
-                        |b: &Box_| b.tasks.iter().any(|(i, t)| (&i.job, i.task) == (&id.job, id.task) && t.phase != TaskPhase::Exited);
+                    let gang = self
+                        .jobs
+                        .iter()
+                        .any(|(_, s)| s.id == id.job && s.shape == Shape::Gang && s.tasks > 1);
+                    assert!(
+                        !gang || self.admitted.contains(&(id.job.clone(), id.attempt)),
+                        "{id} is launched and not admitted"
+                    );
+                    let twice = |b: &Box_| {
+                        b.tasks.iter().any(|(i, t)| {
+                            (&i.job, i.task) == (&id.job, id.task) && t.phase != TaskPhase::Exited
+                        })
+                    };
                     assert!(!self.boxes.iter().any(twice), "{id} is on two machines");
-                    self.boxes[n].tasks.insert(id, Task { phase: TaskPhase::Fetching, cause: None, since: self.now });
+                    self.boxes[n].tasks.insert(
+                        id,
+                        Task {
+                            phase: TaskPhase::Fetching,
+                            cause: None,
+                            since: self.now,
+                        },
+                    );
                 }
                 // It saves for a while.
                 Verb::Kill if o.grace_s.is_some_and(|s| s > 0) => {
-                    if let Some(t) = self.boxes[n].tasks.get_mut(&id).filter(|t| t.phase == TaskPhase::Running) {
+                    if let Some(t) = self.boxes[n]
+                        .tasks
+                        .get_mut(&id)
+                        .filter(|t| t.phase == TaskPhase::Running)
+                    {
                         (t.phase, t.since) = (TaskPhase::Saving, self.now);
                     }
                 }
@@ -438,7 +646,11 @@
     }
 
     fn exit(&mut self, n: usize, id: &AttemptId, cause: &'static str) {
-        if let Some(t) = self.boxes[n].tasks.get_mut(id).filter(|t| t.phase != TaskPhase::Exited) {
+        if let Some(t) = self.boxes[n]
+            .tasks
+            .get_mut(id)
+            .filter(|t| t.phase != TaskPhase::Exited)
+        {
             (t.phase, t.cause) = (TaskPhase::Exited, Some(cause));
         }
     }
@@ -447,7 +659,10 @@
     fn check_members(&self) {
         let mut attempts: BTreeMap<&JobId, u32> = BTreeMap::new();
         for (id, t) in self.boxes.iter().flat_map(|b| &b.tasks) {
-            let gang = self.jobs.iter().any(|(_, s)| s.id == id.job && s.shape == Shape::Gang);
+            let gang = self
+                .jobs
+                .iter()
+                .any(|(_, s)| s.id == id.job && s.shape == Shape::Gang);
             if gang && t.phase != TaskPhase::Exited {
                 let first = *attempts.entry(&id.job).or_insert(id.attempt);
                 assert_eq!(first, id.attempt, "{}: members of two attempts", id.job);
@@ -458,9 +673,14 @@
     fn hello(&mut self, n: usize) {
         let part = self.boxes[n].part;
         let report = self.report_of(n);
-        let Some((owner, _)) = self.parts[part].owner.as_mut() else { return };
-        let Some(reply) = owner.report(&report, None, self.now) else { return };
-        if self.trouble > 0 && self.draws.one_in(self.trouble) || reply.token < self.boxes[n].token {
+        let Some((owner, _)) = self.parts[part].owner.as_mut() else {
+            return;
+        };
+        let Some(reply) = owner.report(&report, None, self.now) else {
+            return;
+        };
+        if self.trouble > 0 && self.draws.one_in(self.trouble) || reply.token < self.boxes[n].token
+        {
             return;
         }
         (self.boxes[n].token, self.boxes[n].answered) = (reply.token, self.now);
@@ -468,7 +688,9 @@
     }
 
     fn calls(&mut self, part: usize) {
-        let Some((owner, _)) = self.parts[part].owner.as_mut() else { return };
+        let Some((owner, _)) = self.parts[part].owner.as_mut() else {
+            return;
+        };
         for call in owner.calls(self.now, 64) {
             let trouble = self.trouble > 0 && self.draws.one_in(self.trouble);
             let result = match (trouble, self.draws.below(3)) {
@@ -490,7 +712,9 @@
     }
 
     fn call(&mut self, call: &CommandCall) -> CommandResult {
-        let n = (0..BOXES).find(|n| machine(*n) == call.machine).expect("a machine");
+        let n = (0..BOXES)
+            .find(|n| machine(*n) == call.machine)
+            .expect("a machine");
         let b = &mut self.boxes[n];
         if call.commands.token < b.token || call.commands.session != b.session {
             return CommandResult::Refused(self.report_of(n));
@@ -505,24 +729,43 @@
         let now = self.now;
         let mut there: HashMap<(JobId, u32), (usize, bool)> = HashMap::new();
         for (id, t) in self.boxes.iter().flat_map(|b| &b.tasks) {
-            let group = there.entry((id.job.clone(), id.attempt)).or_insert((0, true));
+            let group = there
+                .entry((id.job.clone(), id.attempt))
+                .or_insert((0, true));
             group.0 += usize::from(matches!(t.phase, TaskPhase::Gathering | TaskPhase::Running));
             group.1 &= t.phase != TaskPhase::Exited || t.cause == Some("done");
         }
-        let tasks_of =
-            |id: &JobId| self.jobs.iter().find(|(_, s)| s.id == *id).map_or(1, |(_, s)| if s.shape == Shape::Gang { s.tasks } else { 1 });
-        let needed: HashMap<JobId, u64> = there.keys().map(|(id, _)| (id.clone(), tasks_of(id))).collect();
+        let tasks_of = |id: &JobId| {
+            self.jobs
+                .iter()
+                .find(|(_, s)| s.id == *id)
+                .map_or(1, |(_, s)| if s.shape == Shape::Gang { s.tasks } else { 1 })
+        };
+        let needed: HashMap<JobId, u64> = there
+            .keys()
+            .map(|(id, _)| (id.clone(), tasks_of(id)))
+            .collect();
         for b in &mut self.boxes {
             for (id, t) in &mut b.tasks {
                 let (count, sound) = there[&(id.job.clone(), id.attempt)];
                 let whole = count as u64 >= needed[&id.job];
                 let gang = needed[&id.job] > 1;
                 match t.phase {
-                    TaskPhase::Fetching if now >= t.since + 600 => (t.phase, t.since) = (TaskPhase::Gathering, now),
-                    TaskPhase::Gathering if whole || !gang => (t.phase, t.since) = (TaskPhase::Running, now),
-                    TaskPhase::Gathering if now >= t.since + GANG_WAIT_MS => (t.phase, t.cause) = (TaskPhase::Exited, Some("alone")),
-                    TaskPhase::Saving if now >= t.since + 2_000 => (t.phase, t.cause) = (TaskPhase::Exited, Some("stopped")),
-                    TaskPhase::Running if gang && !(whole && sound) => (t.phase, t.cause) = (TaskPhase::Exited, Some("peers")),
+                    TaskPhase::Fetching if now >= t.since + 600 => {
+                        (t.phase, t.since) = (TaskPhase::Gathering, now)
+                    }
+                    TaskPhase::Gathering if whole || !gang => {
+                        (t.phase, t.since) = (TaskPhase::Running, now)
+                    }
+                    TaskPhase::Gathering if now >= t.since + GANG_WAIT_MS => {
+                        (t.phase, t.cause) = (TaskPhase::Exited, Some("alone"))
+                    }
+                    TaskPhase::Saving if now >= t.since + 2_000 => {
+                        (t.phase, t.cause) = (TaskPhase::Exited, Some("stopped"))
+                    }
+                    TaskPhase::Running if gang && !(whole && sound) => {
+                        (t.phase, t.cause) = (TaskPhase::Exited, Some("peers"))
+                    }
                     _ => {}
                 }
             }
@@ -538,13 +781,22 @@
             let all = needed[&id.job] > 1;
             for b in &mut self.boxes {
                 for (_, t) in b.tasks.iter_mut().filter(|(i, t)| {
-                    t.phase == TaskPhase::Running && if all { (&i.job, i.attempt) == (&id.job, id.attempt) } else { **i == id }
+                    t.phase == TaskPhase::Running
+                        && if all {
+                            (&i.job, i.attempt) == (&id.job, id.attempt)
+                        } else {
+                            **i == id
+                        }
                 }) {
                     (t.phase, t.cause) = (TaskPhase::Exited, Some("done"));
                 }
             }
         }
-        for b in self.boxes.iter_mut().filter(|b| now > b.answered + TIMING.lease_ms) {
+        for b in self
+            .boxes
+            .iter_mut()
+            .filter(|b| now > b.answered + TIMING.lease_ms)
+        {
             (b.session, b.answered) = (b.session + 1, now);
             b.tasks.clear();
         }
@@ -608,7 +860,13 @@
 }
 
 fn gang(n: u32, tasks: u64, gpus: f64) -> JobSpec {
-    JobSpec { id: JobId::from(format!("req-{n:06}").as_str()), shape: Shape::Gang, gpus, cores: gpus * 4.0, ..array(tasks) }
+    JobSpec {
+        id: JobId::from(format!("req-{n:06}").as_str()),
+        shape: Shape::Gang,
+        gpus,
+        cores: gpus * 4.0,
+        ..array(tasks)
+    }
 }
 
 /// Two gangs that each need nearly every machine, small work between, and placers
@@ -627,7 +885,13 @@
                 site.submit(1, gang(2, 7, 4.0));
             }
             if step > 30 && step % 40 == 0 {
-                site.submit(2, JobSpec { id: JobId::from(format!("req-{:06}", 100 + step).as_str()), ..array(3) });
+                site.submit(
+                    2,
+                    JobSpec {
+                        id: JobId::from(format!("req-{:06}", 100 + step).as_str()),
+                        ..array(3)
+                    },
+                );
             }
             if step == 300 && seed % 3 == 0 {
                 site.withdraw(&JobId::from("req-000001"));
@@ -646,13 +910,25 @@
         for _ in 0..2_000 {
             site.step();
         }
-        let left: Vec<&JobId> = site.jobs.iter().map(|(_, s)| &s.id).filter(|id| !site.over(id)).collect();
+        let left: Vec<&JobId> = site
+            .jobs
+            .iter()
+            .map(|(_, s)| &s.id)
+            .filter(|id| !site.over(id))
+            .collect();
         assert!(left.is_empty(), "seed {seed}: {left:?} are not over");
-        assert!(site.boxes.iter().all(|b| b.tasks.values().all(|t| t.phase == TaskPhase::Exited)));
+        assert!(
+            site.boxes
+                .iter()
+                .all(|b| b.tasks.values().all(|t| t.phase == TaskPhase::Exited))
+        );
         launches += site.launches;
         admitted += site.admitted.len();
     }
-    assert!(launches > 400 && admitted > 25, "{launches} launches, {admitted} admissions");
+    assert!(
+        launches > 400 && admitted > 25,
+        "{launches} launches, {admitted} admissions"
+    );
 }
 
 // ---- single steps -------------------------------------------------------------------
@@ -661,7 +937,8 @@
 
 /// What the store says of the gang: its step, and how many members it names.
 fn step_of(site: &Site) -> Option<(GangStep, usize)> {
-    let chunk: ChunkRecord = from_value(&site.store.get("run/0/req-000001/0")?.value).expect("a chunk");
+    let chunk: ChunkRecord =
+        from_value(&site.store.get("run/0/req-000001/0")?.value).expect("a chunk");
     chunk.gang.map(|g| (g.step, chunk.live.len()))
 }
 
@@ -680,7 +957,11 @@
 }
 
 fn running(site: &Site) -> usize {
-    site.boxes.iter().flat_map(|b| b.tasks.values()).filter(|t| t.phase == TaskPhase::Running).count()
+    site.boxes
+        .iter()
+        .flat_map(|b| b.tasks.values())
+        .filter(|t| t.phase == TaskPhase::Running)
+        .count()
 }
 
 /// A gang takes one change more than an array with as many tasks in its chunk, and
@@ -698,18 +979,43 @@
         }
         site.changes[&id]
     };
-    let array = written(JobSpec { gpus: 4.0, cores: 16.0, ..array(8) });
+    let array = written(JobSpec {
+        gpus: 4.0,
+        cores: 16.0,
+        ..array(8)
+    });
     assert_eq!(written(gang(1, 8, 4.0)), array + 1);
-    assert_eq!(written(gang(1, 1, 4.0)), array, "one task needs no admission");
+    assert_eq!(
+        written(gang(1, 1, 4.0)),
+        array,
+        "one task needs no admission"
+    );
 }
 
 /// 700 members are recorded and admitted in one transaction each, however much else
 /// is to be written.
 #[test]
 fn seven_hundred_members_go_in_one_transaction() {
-    let mut placer = Placer::new(0, TOKEN, 1, Terms { gang_wait_ms: GANG_WAIT_MS, ..terms() }, 0);
+    let mut placer = Placer::new(
+        0,
+        TOKEN,
+        1,
+        Terms {
+            gang_wait_ms: GANG_WAIT_MS,
+            ..terms()
+        },
+        0,
+    );
     for n in 0..7u64 {
-        submit(&mut placer, JobSpec { id: JobId::from(format!("req-{:06}", 50 + n).as_str()), ..array(1) }, n, 0);
+        submit(
+            &mut placer,
+            JobSpec {
+                id: JobId::from(format!("req-{:06}", 50 + n).as_str()),
+                ..array(1)
+            },
+            n,
+            0,
+        );
     }
     submit(&mut placer, gang(90, 700, 1.0), 100, 0);
     let mut owner = fleet(190);
@@ -726,7 +1032,9 @@
                 .writes
                 .iter()
                 .filter_map(|w| match w {
-                    Write::Put { value, .. } => from_value::<ChunkRecord>(value)?.gang.map(|g| g.step),
+                    Write::Put { value, .. } => {
+                        from_value::<ChunkRecord>(value)?.gang.map(|g| g.step)
+                    }
                     Write::Delete { .. } => None,
                 })
                 .collect();
@@ -760,8 +1068,16 @@
         let written = site.changes[&JobId::from(ONE)];
         site.end_placer(0, 3_000);
         (0..60).for_each(|_| site.step());
-        assert_eq!((step_of(&site), site.launches), (Some((GangStep::Admitted, 8)), 8), "{granted} {admitted}");
-        assert_eq!(site.changes[&JobId::from(ONE)], written + usize::from(!admitted), "its one decision");
+        assert_eq!(
+            (step_of(&site), site.launches),
+            (Some((GangStep::Admitted, 8)), 8),
+            "{granted} {admitted}"
+        );
+        assert_eq!(
+            site.changes[&JobId::from(ONE)],
+            written + usize::from(!admitted),
+            "its one decision"
+        );
         assert!(site.admitted.contains(&(JobId::from(ONE), 1)));
         (0..100).for_each(|_| site.step());
         assert!(site.over(&JobId::from(ONE)));
@@ -785,9 +1101,19 @@
     assert_eq!(step_of(&site).map(|s| s.0), Some(GangStep::Released));
     for part in 0..2 {
         let (placer, _) = site.parts[1].placer.as_ref().expect("there");
-        let there =
-            |m: &&lemonweir_protocol::peer::MachineView| site.boxes.iter().enumerate().any(|(n, b)| b.part == part && machine(n) == m.id);
-        assert!(placer.machines().filter(there).all(|m| m.free.gpus == 4_000), "part {part}");
+        let there = |m: &&lemonweir_protocol::peer::MachineView| {
+            site.boxes
+                .iter()
+                .enumerate()
+                .any(|(n, b)| b.part == part && machine(n) == m.id)
+        };
+        assert!(
+            placer
+                .machines()
+                .filter(there)
+                .all(|m| m.free.gpus == 4_000),
+            "part {part}"
+        );
     }
     (0..400).for_each(|_| site.step());
     assert!(site.over(&JobId::from(ONE)));
@@ -799,7 +1125,14 @@
 fn nothing_is_launched_before_those_who_make_way_are_gone() {
     let mut site = Site::new(4, 0);
     (0..30).for_each(|_| site.step());
-    let low = JobSpec { id: JobId::from("req-000007"), checkpoint_s: 60.0, save_s: 2.0, gpus: 4.0, cores: 16.0, ..array(5) };
+    let low = JobSpec {
+        id: JobId::from("req-000007"),
+        checkpoint_s: 60.0,
+        save_s: 2.0,
+        gpus: 4.0,
+        cores: 16.0,
+        ..array(5)
+    };
     site.submit(1, low);
     let full = |site: &Site| running(site) == 5;
     let limit = site.now + 6_000;
@@ -808,12 +1141,23 @@
     }
     assert!(full(&site), "{} of {}", running(&site), site.launches);
     (0..10).for_each(|_| site.step());
-    site.submit(0, JobSpec { rank: Rank::High, ..gang(1, 8, 4.0) });
+    site.submit(
+        0,
+        JobSpec {
+            rank: Rank::High,
+            ..gang(1, 8, 4.0)
+        },
+    );
     let before = site.launches;
     let mut most_leaving = 0;
     let limit = site.now + EVICT_WAIT_MS;
     while site.launches == before && site.now < limit {
-        let leaving = site.boxes.iter().flat_map(|b| b.tasks.values()).filter(|t| t.phase == TaskPhase::Saving).count();
+        let leaving = site
+            .boxes
+            .iter()
+            .flat_map(|b| b.tasks.values())
+            .filter(|t| t.phase == TaskPhase::Saving)
+            .count();
         most_leaving = most_leaving.max(leaving);
         site.step();
     }
@@ -836,7 +1180,12 @@
         site.placer_turn(0);
     }
     let token = site.parts[1].owner.as_ref().expect("there").1;
-    let late = site.parts[0].placer.as_mut().expect("there").0.sync_for(1, token, ROOM, false, site.now);
+    let late = site.parts[0]
+        .placer
+        .as_mut()
+        .expect("there")
+        .0
+        .sync_for(1, token, ROOM, false, site.now);
     assert!(late.wants.iter().all(|w| w.go) && !late.wants.is_empty());
     site.end_placer(0, 600_000);
     let ended = site.now;
--- a/crates/coordination/tests/links.rs
+++ b/crates/coordination/tests/links.rs
@@ -33,21 +33,45 @@
 
 /// The controller of number 1; part 0 is held by number 0, with [`TOKEN`].
 fn core() -> Core {
-    let mut core = Core::new(Config::new(&settings()), lemonweir_policy::embedded().expect("policy"));
+    let mut core = Core::new(
+        Config::new(&settings()),
+        lemonweir_policy::embedded().expect("policy"),
+    );
     let holder = PartRecord { host: "h0".into() };
-    core.mirror.replace(&[Entry { key: part_key(0), value: to_value(&holder), version: TOKEN }], 50);
+    core.mirror.replace(
+        &[Entry {
+            key: part_key(0),
+            value: to_value(&holder),
+            version: TOKEN,
+        }],
+        50,
+    );
     core.refreshed(0, true);
     core
 }
 
 fn word(host: u16, store_ms: Option<u64>, north_ms: Option<u64>) -> Word {
-    let zones = north_ms.map(|ms| ("north".to_owned(), ms)).into_iter().collect();
-    Word { version: LINKS_VERSION, host, store_ms, cloud_ms: store_ms, peers: Vec::new(), zones }
+    let zones = north_ms
+        .map(|ms| ("north".to_owned(), ms))
+        .into_iter()
+        .collect();
+    Word {
+        version: LINKS_VERSION,
+        host,
+        store_ms,
+        cloud_ms: store_ms,
+        peers: Vec::new(),
+        zones,
+    }
 }
 
 /// Reports of machines that belong to part 0.
 fn of_part_0(core: &Core, token: u64) -> impl Iterator<Item = Report> + use<> {
-    let ours = |n: &u32| core.config.part_of("north", &format!("n-{n:06}").as_str().into()) == 0;
+    let ours = |n: &u32| {
+        core.config
+            .part_of("north", &format!("n-{n:06}").as_str().into())
+            == 0
+    };
     let numbers: Vec<u32> = (0..400).filter(ours).collect();
     numbers.into_iter().map(move |n| Report {
         machine: format!("n-{n:06}").as_str().into(),
@@ -66,15 +90,26 @@
 #[test]
 fn who_comes_from_its_owner_is_carried_and_who_is_new_is_sent_there() {
     let mut core = core();
-    core.links.hailed(0, true, Some(word(0, Some(50), None)), 1_000);
+    core.links
+        .hailed(0, true, Some(word(0, Some(50), None)), 1_000);
     let new = of_part_0(&core, 0).next().expect("some");
     assert!(matches!(core.report(&new, 1_100), ReportAnswer::Elsewhere(host) if host == "h0"));
-    let known = of_part_0(&core, TOKEN << FENCE_BITS | 3).nth(1).expect("some");
+    let known = of_part_0(&core, TOKEN << FENCE_BITS | 3)
+        .nth(1)
+        .expect("some");
     assert!(matches!(core.report(&known, 1_200), ReportAnswer::Carry(0)));
     // One that knows only an earlier owner has not been there yet.
-    let earlier = of_part_0(&core, (TOKEN - 1) << FENCE_BITS).nth(2).expect("some");
-    assert!(matches!(core.report(&earlier, 1_300), ReportAnswer::Elsewhere(_)));
-    assert!(matches!(core.report(&earlier, 4_000), ReportAnswer::Carry(0)), "it came back: in vain");
+    let earlier = of_part_0(&core, (TOKEN - 1) << FENCE_BITS)
+        .nth(2)
+        .expect("some");
+    assert!(matches!(
+        core.report(&earlier, 1_300),
+        ReportAnswer::Elsewhere(_)
+    ));
+    assert!(
+        matches!(core.report(&earlier, 4_000), ReportAnswer::Carry(0)),
+        "it came back: in vain"
+    );
 }
 
 #[test]
@@ -86,7 +121,10 @@
             core.links.hailed(0, answered, None, at);
         }
         let known = of_part_0(&core, TOKEN << FENCE_BITS).next().expect("some");
-        assert!(matches!(core.report(&known, 3_100), ReportAnswer::Unable), "it tries whoever is next");
+        assert!(
+            matches!(core.report(&known, 3_100), ReportAnswer::Unable),
+            "it tries whoever is next"
+        );
     }
 }
 
@@ -94,18 +132,34 @@
 fn a_zone_that_nobody_knows_is_no_link() {
     let mut core = core();
     let stray = of_part_0(&core, 0).next().expect("some");
-    core.report(&Report { zone: "nowhere".into(), ..stray.clone() }, 1_000);
+    core.report(
+        &Report {
+            zone: "nowhere".into(),
+            ..stray.clone()
+        },
+        1_000,
+    );
     core.report(&Report { seq: 2, ..stray }, 1_100);
-    let zones: Vec<String> = core.links.rows(1_200).into_iter().map(|r| r.to).filter(|to| to.starts_with("workers")).collect();
+    let zones: Vec<String> = core
+        .links
+        .rows(1_200)
+        .into_iter()
+        .map(|r| r.to)
+        .filter(|to| to.starts_with("workers"))
+        .collect();
     assert_eq!(zones, ["workers of north"]);
 }
 
 #[test]
 fn a_carried_report_is_answered_by_an_owner_only() {
     let mut core = core();
-    core.links.hailed(0, true, Some(word(0, Some(50), None)), 1_000);
+    core.links
+        .hailed(0, true, Some(word(0, Some(50), None)), 1_000);
     let known = of_part_0(&core, TOKEN << FENCE_BITS).next().expect("some");
-    assert!(matches!(core.carried_report(&known, 2, 1_100), ReportAnswer::Unable), "nothing is carried on");
+    assert!(
+        matches!(core.carried_report(&known, 2, 1_100), ReportAnswer::Unable),
+        "nothing is carried on"
+    );
 }
 
 /// Two that have lost the store, each with the other's old word.
@@ -140,10 +194,22 @@
 fn each_other_controller_is_told_every_two_seconds_and_one_at_a_time() {
     let mut core = core();
     let hails = |core: &mut Core, now| -> Vec<u16> {
-        core.pump(now).into_iter().filter_map(|e| if let Effect::Hail(host, _) = e { Some(host) } else { None }).collect()
+        core.pump(now)
+            .into_iter()
+            .filter_map(|e| {
+                if let Effect::Hail(host, _) = e {
+                    Some(host)
+                } else {
+                    None
+                }
+            })
+            .collect()
     };
     assert_eq!(hails(&mut core, 1_000), [0, 2]);
-    assert!(hails(&mut core, 1_000 + HAIL_MS).is_empty(), "neither has answered yet");
+    assert!(
+        hails(&mut core, 1_000 + HAIL_MS).is_empty(),
+        "neither has answered yet"
+    );
     core.links.hailed(0, false, None, 2_500);
     assert_eq!(hails(&mut core, 1_000 + HAIL_MS), [0]);
 }
@@ -158,12 +224,29 @@
     let mut core = core();
     let present = |host: &str, deaf: Vec<u16>| Entry {
         key: node_key(host),
-        value: to_value(&NodeRecord { zone: "north".into(), format: PEER_VERSION, deaf, reads: 0 }),
+        value: to_value(&NodeRecord {
+            zone: "north".into(),
+            format: PEER_VERSION,
+            deaf,
+            reads: 0,
+        }),
         version: 60,
     };
     let own = PartRecord { host: "h1".into() };
-    let part = |version| Entry { key: part_key(1), value: to_value(&own), version };
-    core.mirror.replace(&[present("h0", vec![0]), present("h1", Vec::new()), present("h2", Vec::new()), part(55)], 70);
+    let part = |version| Entry {
+        key: part_key(1),
+        value: to_value(&own),
+        version,
+    };
+    core.mirror.replace(
+        &[
+            present("h0", vec![0]),
+            present("h1", Vec::new()),
+            present("h2", Vec::new()),
+            part(55),
+        ],
+        70,
+    );
     core.refreshed(0, true);
     core.adopt(Lot { part: 1, token: 55 }, &[], Vec::new(), 0);
     let token = 55 << FENCE_BITS;
@@ -175,14 +258,49 @@
     let mut membership = Membership::new(3);
     assert_eq!(membership.claim(&core, 0, 3_000), None, "not at once");
     let waits = TAKEOVER_WAIT_MS + HEIR_STEP_MS;
-    assert_eq!(membership.claim(&core, 0, 3_000 + waits - 1), None, "one that holds nothing goes first");
-    assert_eq!(membership.claim(&core, 0, 3_000 + waits), Some(Claim::Take { part: 0, version: 0 }));
+    assert_eq!(
+        membership.claim(&core, 0, 3_000 + waits - 1),
+        None,
+        "one that holds nothing goes first"
+    );
+    assert_eq!(
+        membership.claim(&core, 0, 3_000 + waits),
+        Some(Claim::Take {
+            part: 0,
+            version: 0
+        })
+    );
     let deaf_at = 1_000 + 2 * 3_000 + SILENT_SLACK_MS + 1;
     assert_eq!(membership.left(&core, deaf_at), [0, 1, 2]);
-    assert_eq!(membership.claim(&core, 0, deaf_at), None, "another lives that may hear");
+    assert_eq!(
+        membership.claim(&core, 0, deaf_at),
+        None,
+        "another lives that may hear"
+    );
     // Only it could: then there is no use in waiting.
-    core.mirror.replace(&[present("h0", vec![0]), present("h1", Vec::new()), present("h2", vec![0]), part(55)], 80);
+    core.mirror.replace(
+        &[
+            present("h0", vec![0]),
+            present("h1", Vec::new()),
+            present("h2", vec![0]),
+            part(55),
+        ],
+        80,
+    );
     let mut membership = Membership::new(3);
-    assert_eq!(membership.claim(&core, 0, 3_000), Some(Claim::Take { part: 0, version: 0 }));
-    assert_eq!(core.links.rows(deaf_at).iter().find(|r| r.to == "workers of north").map(|r| r.standing), Some(Standing::Unknown));
+    assert_eq!(
+        membership.claim(&core, 0, 3_000),
+        Some(Claim::Take {
+            part: 0,
+            version: 0
+        })
+    );
+    assert_eq!(
+        core.links
+            .rows(deaf_at)
+            .iter()
+            .find(|r| r.to == "workers of north")
+            .map(|r| r.standing),
+        Some(Standing::Unknown)
+    );
 }
--- a/crates/coordination/tests/nights.rs
+++ b/crates/coordination/tests/nights.rs
@@ -33,17 +33,35 @@
 impl Part {
     fn new(machines: usize) -> Self {
         let (reports, tokens) = (vec![1; machines], vec![TOKEN << FENCE_BITS; machines]);
-        Self { owner: fleet(machines), now: 20, seq: 0, state: 0, have: Have::default(), views: Vec::new(), reports, tokens }
+        Self {
+            owner: fleet(machines),
+            now: 20,
+            seq: 0,
+            state: 0,
+            have: Have::default(),
+            views: Vec::new(),
+            reports,
+            tokens,
+        }
     }
 
     fn tell(&mut self, wants: Vec<Want>, dropped: Vec<AttemptId>, rented: Vec<Rented>) -> View {
         self.seq += 1;
         let since = self.state;
         self.state += 1;
-        let span = Span { since, upto: self.state, last: true };
+        let span = Span {
+            since,
+            upto: self.state,
+            last: true,
+        };
         // Nothing is given back for being empty.
         let keep = (0..self.reports.len()).map(machine).collect();
-        let message = lemonweir_protocol::peer::Sync { dropped, rented, keep, ..sync(self.seq, span, wants, self.have) };
+        let message = lemonweir_protocol::peer::Sync {
+            dropped,
+            rented,
+            keep,
+            ..sync(self.seq, span, wants, self.have)
+        };
         let view = self.owner.sync(&message, ROOM, self.now).expect("taken");
         self.have = have(&view);
         for m in &view.machines {
@@ -55,7 +73,11 @@
 
     fn open(&mut self, n: usize) -> bool {
         self.tell(Vec::new(), Vec::new(), Vec::new());
-        self.views.iter().find(|v| v.id == machine(n)).expect("told").open
+        self.views
+            .iter()
+            .find(|v| v.id == machine(n))
+            .expect("told")
+            .open
     }
 
     fn pass(&mut self, ms: u64) {
@@ -73,15 +95,37 @@
 
     fn report(&mut self, n: usize, tasks: Vec<TaskReport>) {
         self.reports[n] += 1;
-        let said = Report { tasks, token: self.tokens[n], ..report(n, self.reports[n]) };
-        self.tokens[n] = self.owner.report(&said, None, self.now).expect("answered").token;
+        let said = Report {
+            tasks,
+            token: self.tokens[n],
+            ..report(n, self.reports[n])
+        };
+        self.tokens[n] = self
+            .owner
+            .report(&said, None, self.now)
+            .expect("answered")
+            .token;
     }
 
     /// A job's task on a machine ends so, or is refused there.
     fn run(&mut self, job: usize, n: usize, cause: &str) -> bool {
-        let id = AttemptId { job: JobId::from(format!("req-{job:06}").as_str()), task: 0, attempt: self.state as u32 + 1 };
-        let view = self.tell(vec![Want { id: id.clone(), ..want(0, n) }], Vec::new(), Vec::new());
-        let took = view.attempts.iter().any(|a| a.id == id && !a.standing.ended());
+        let id = AttemptId {
+            job: JobId::from(format!("req-{job:06}").as_str()),
+            task: 0,
+            attempt: self.state as u32 + 1,
+        };
+        let view = self.tell(
+            vec![Want {
+                id: id.clone(),
+                ..want(0, n)
+            }],
+            Vec::new(),
+            Vec::new(),
+        );
+        let took = view
+            .attempts
+            .iter()
+            .any(|a| a.id == id && !a.standing.ended());
         if took {
             let seen = |phase, cause: Option<&str>| TaskReport {
                 piece: id.piece(),
@@ -131,8 +175,21 @@
     part.pass(TRIAL_MS + 3_000);
     assert!(part.open(0), "it may show itself");
     // The first is the trial; while it runs there is room for no other.
-    let id = |n: usize| AttemptId { job: JobId::from(format!("req-{n:06}").as_str()), task: 0, attempt: 900 };
-    let view = part.tell((3..6).map(|n| Want { id: id(n), ..want(0, 0) }).collect(), Vec::new(), Vec::new());
+    let id = |n: usize| AttemptId {
+        job: JobId::from(format!("req-{n:06}").as_str()),
+        task: 0,
+        attempt: 900,
+    };
+    let view = part.tell(
+        (3..6)
+            .map(|n| Want {
+                id: id(n),
+                ..want(0, 0)
+            })
+            .collect(),
+        Vec::new(),
+        Vec::new(),
+    );
     let taken = view.attempts.iter().filter(|a| !a.standing.ended()).count();
     assert_eq!((view.attempts.len(), taken), (3, 1));
     part.tell(Vec::new(), (3..6).map(id).collect(), Vec::new());
@@ -149,22 +206,42 @@
 fn overdue_machines_are_replaced_within_bounds_and_used_when_they_come() {
     let mut part = Part::new(8);
     let late: Vec<usize> = (100..124).collect();
-    let rented = |n: &usize| Rented { machine: machine(*n), kind: "box".into(), zone: "north".into(), spot: false, age_ms: 0 };
+    let rented = |n: &usize| Rented {
+        machine: machine(*n),
+        kind: "box".into(),
+        zone: "north".into(),
+        spot: false,
+        age_ms: 0,
+    };
     part.tell(Vec::new(), Vec::new(), late.iter().map(rented).collect());
     part.pass(25_000);
-    assert!(late.iter().all(|n| part.open(*n)), "they may take 1.5 times as long as listed");
+    assert!(
+        late.iter().all(|n| part.open(*n)),
+        "they may take 1.5 times as long as listed"
+    );
     part.pass(10_000);
     let counted = late.iter().filter(|n| part.open(**n)).count();
-    assert_eq!(late.len() - counted, OVERDUE_LEAST.max(32 / OVERDUE_OF), "so many are replaced at a time");
+    assert_eq!(
+        late.len() - counted,
+        OVERDUE_LEAST.max(32 / OVERDUE_OF),
+        "so many are replaced at a time"
+    );
     let overdue = *late.iter().find(|n| !part.open(**n)).expect("some");
-    assert!(part.owner.report(&report(overdue, 1), None, part.now).is_some());
+    assert!(
+        part.owner
+            .report(&report(overdue, 1), None, part.now)
+            .is_some()
+    );
     assert!(part.open(overdue), "what comes after all is used");
     for seq in 2..18 {
         part.pass(3_000);
         part.owner.report(&report(overdue, seq), None, part.now);
     }
     let released: BTreeSet<_> = part.owner.releases().into_iter().collect();
-    let never = late.iter().filter(|n| **n != overdue && released.contains(&machine(**n))).count();
+    let never = late
+        .iter()
+        .filter(|n| **n != overdue && released.contains(&machine(**n)))
+        .count();
     assert_eq!(never, 23, "the rest never came");
 }
 
@@ -179,7 +256,13 @@
     part.report(1, Vec::new());
     part.report(1, Vec::new());
     assert!(part.open(1) && part.run(1, 1, "done"));
-    let told = Rented { machine: machine(1), kind: "box".into(), zone: "north".into(), spot: false, age_ms: 1_500 };
+    let told = Rented {
+        machine: machine(1),
+        kind: "box".into(),
+        zone: "north".into(),
+        spot: false,
+        age_ms: 1_500,
+    };
     part.tell(Vec::new(), Vec::new(), vec![told]);
     assert!(part.open(1) && part.run(2, 1, "done"));
 }
@@ -206,20 +289,55 @@
 
 /// A core that holds its part, with one unfinished job, withdrawn or not.
 fn core(withdrawn: bool) -> (Core, JobId) {
-    let mut core = Core::new(Config::new(&settings()), lemonweir_policy::embedded().expect("policy"));
+    let mut core = Core::new(
+        Config::new(&settings()),
+        lemonweir_policy::embedded().expect("policy"),
+    );
     let spec = array(3);
     let job = spec.id.clone();
-    let record = JobRecord { spec, at: 1, withdrawn, awaited: 0 };
+    let record = JobRecord {
+        spec,
+        at: 1,
+        withdrawn,
+        awaited: 0,
+    };
     let part = PartRecord { host: "h0".into() };
-    let job_entry = Entry { key: job_key(&job), value: to_value(&record), version: 41 };
-    core.mirror.replace(&[job_entry, Entry { key: part_key(0), value: to_value(&part), version: TOKEN }], 50);
+    let job_entry = Entry {
+        key: job_key(&job),
+        value: to_value(&record),
+        version: 41,
+    };
+    core.mirror.replace(
+        &[
+            job_entry,
+            Entry {
+                key: part_key(0),
+                value: to_value(&part),
+                version: TOKEN,
+            },
+        ],
+        50,
+    );
     core.refreshed(1_000, true);
-    core.adopt(lemonweir_coordination::Lot { part: 0, token: TOKEN }, &[], Vec::new(), 1_000);
+    core.adopt(
+        lemonweir_coordination::Lot {
+            part: 0,
+            token: TOKEN,
+        },
+        &[],
+        Vec::new(),
+        1_000,
+    );
     (core, job)
 }
 
 fn left(job: &JobId) -> Change {
-    Change { set: None, drop: Some(job_key(job)), value: None, version: 51 }
+    Change {
+        set: None,
+        drop: Some(job_key(job)),
+        value: None,
+        version: 51,
+    }
 }
 
 /// From memory for as long as no other node can have told of its end; and the end
@@ -227,15 +345,24 @@
 #[test]
 fn polls_are_answered_from_memory_and_ends_told_after_it() {
     let (mut core, job) = core(false);
-    assert!(matches!(core.answer(&job, 1_000 + MEMORY_MS), Answer::Unfinished(Phase::Queued, 0, 0, _)));
+    assert!(matches!(
+        core.answer(&job, 1_000 + MEMORY_MS),
+        Answer::Unfinished(Phase::Queued, 0, 0, _)
+    ));
     assert_eq!(core.answer(&job, 1_001 + MEMORY_MS), Answer::Reading);
-    assert_eq!(core.answer(&JobId::from("req-999999"), 1_100), Answer::Unknown);
+    assert_eq!(
+        core.answer(&JobId::from("req-999999"), 1_100),
+        Answer::Unknown
+    );
     core.mirror.apply(&[left(&job)], 51, 2_000);
     core.refreshed(1_990, true);
     // Nobody asked for its withdrawal: it can only be done.
     assert_eq!(core.answer(&job, 2_000), Answer::OverIn(TOLD_AFTER_MS));
     assert_eq!(core.answer(&job, 1_999 + TOLD_AFTER_MS), Answer::OverIn(1));
-    assert_eq!(core.answer(&job, 2_000 + TOLD_AFTER_MS), Answer::Over(Phase::Done));
+    assert_eq!(
+        core.answer(&job, 2_000 + TOLD_AFTER_MS),
+        Answer::Over(Phase::Done)
+    );
     // Learned again later, it is told as before.
     core.mirror.settle(&job, Phase::Done, 1, 9_000);
     assert_eq!(core.answer(&job, 9_001), Answer::Over(Phase::Done));
@@ -264,7 +391,10 @@
             core.pump(now);
         }
         core.refreshed(now, false);
-        assert!(matches!(core.report(&report(0, 1), now), ReportAnswer::Orders(_)));
+        assert!(matches!(
+            core.report(&report(0, 1), now),
+            ReportAnswer::Orders(_)
+        ));
         let pause = HOLD_TTL_MS + 5_000;
         if stood {
             now += 100;
@@ -272,16 +402,37 @@
         } else {
             now += pause;
         }
-        assert!(matches!(core.report(&report(0, 2), now), ReportAnswer::Unable), "stood: {stood}");
+        assert!(
+            matches!(core.report(&report(0, 2), now), ReportAnswer::Unable),
+            "stood: {stood}"
+        );
         assert!(core.unproven());
-        let effects: BTreeSet<String> = core.pump(now).iter().map(|e| format!("{e:?}").chars().take(7).collect()).collect();
-        assert!(!effects.iter().any(|e| e.starts_with("Command") || e.starts_with("Rent") || e.starts_with("Release")), "{effects:?}");
+        let effects: BTreeSet<String> = core
+            .pump(now)
+            .iter()
+            .map(|e| format!("{e:?}").chars().take(7).collect())
+            .collect();
+        assert!(
+            !effects.iter().any(|e| e.starts_with("Command")
+                || e.starts_with("Rent")
+                || e.starts_with("Release")),
+            "{effects:?}"
+        );
         core.refreshed(now - 1, false);
-        assert!(matches!(core.report(&report(0, 3), now), ReportAnswer::Unable), "that reading began before");
+        assert!(
+            matches!(core.report(&report(0, 3), now), ReportAnswer::Unable),
+            "that reading began before"
+        );
         core.refreshed(now + 1, false);
-        assert!(matches!(core.report(&report(0, 4), now + 5), ReportAnswer::Orders(_)));
+        assert!(matches!(
+            core.report(&report(0, 4), now + 5),
+            ReportAnswer::Orders(_)
+        ));
         // A short one needs no proof: no hold ends in it.
         now += 4_000;
-        assert!(matches!(core.report(&report(0, 5), now), ReportAnswer::Orders(_)));
+        assert!(matches!(
+            core.report(&report(0, 5), now),
+            ReportAnswer::Orders(_)
+        ));
     }
 }
--- a/crates/coordination/tests/placement.rs
+++ b/crates/coordination/tests/placement.rs
@@ -12,28 +12,48 @@
 const IMAGES: [&str; 3] = ["x", "y", "z"];
 
 fn room() -> impl Strategy<Value = Room> {
-    (0..9u64, 0..3u64, 0..5u64).prop_map(|(c, g, m)| Room { cpus: c * 500, gpus: g * 1000, memory: m * 4000 })
+    (0..9u64, 0..3u64, 0..5u64).prop_map(|(c, g, m)| Room {
+        cpus: c * 500,
+        gpus: g * 1000,
+        memory: m * 4000,
+    })
 }
 
 fn machine(n: usize) -> impl Strategy<Value = MachineView> {
-    (room(), room(), 0..3usize, 0..2usize, any::<[bool; 3]>(), 0..3u16, 0..3u16, prop::sample::subsequence(IMAGES.to_vec(), 0..=3))
-        .prop_map(move |(free, soft, zone, kind, [spot, up, open], busy, lasting, images)| MachineView {
-            id: named(n),
-            kind: KINDS[kind].into(),
-            zone: ZONES[zone].into(),
-            spot,
-            up,
-            open,
-            leaving: false,
-            free,
-            soft: [soft, soft, Room::default()],
-            soft_over: [soft; 3],
-            busy,
-            lasting,
-            coming: IMAGES.iter().filter(|i| !images.contains(i)).take(usize::from(busy) % 2).map(|i| (*i).to_owned()).collect(),
-            images: images.into_iter().map(str::to_owned).collect(),
-            renter: None,
-        })
+    (
+        room(),
+        room(),
+        0..3usize,
+        0..2usize,
+        any::<[bool; 3]>(),
+        0..3u16,
+        0..3u16,
+        prop::sample::subsequence(IMAGES.to_vec(), 0..=3),
+    )
+        .prop_map(
+            move |(free, soft, zone, kind, [spot, up, open], busy, lasting, images)| MachineView {
+                id: named(n),
+                kind: KINDS[kind].into(),
+                zone: ZONES[zone].into(),
+                spot,
+                up,
+                open,
+                leaving: false,
+                free,
+                soft: [soft, soft, Room::default()],
+                soft_over: [soft; 3],
+                busy,
+                lasting,
+                coming: IMAGES
+                    .iter()
+                    .filter(|i| !images.contains(i))
+                    .take(usize::from(busy) % 2)
+                    .map(|i| (*i).to_owned())
+                    .collect(),
+                images: images.into_iter().map(str::to_owned).collect(),
+                renter: None,
+            },
+        )
 }
 
 fn named(n: usize) -> MachineId {
@@ -67,17 +87,19 @@
         prop::collection::vec(0..80usize, 0..3),
         prop::option::weighted(0.2, prop::collection::btree_set(0..80usize, 0..20)),
     )
-        .prop_map(|(need, types, zones, [spot, lasting, frugal], image, avoid, only)| Wish {
-            need,
-            types: types.map(|t| t.into_iter().map(str::to_owned).collect()),
-            zones,
-            spot,
-            lasting,
-            image,
-            avoid: avoid.into_iter().map(named).collect(),
-            only: only.map(|only| only.into_iter().map(named).collect()),
-            frugal,
-        })
+        .prop_map(
+            |(need, types, zones, [spot, lasting, frugal], image, avoid, only)| Wish {
+                need,
+                types: types.map(|t| t.into_iter().map(str::to_owned).collect()),
+                zones,
+                spot,
+                lasting,
+                image,
+                avoid: avoid.into_iter().map(named).collect(),
+                only: only.map(|only| only.into_iter().map(named).collect()),
+                frugal,
+            },
+        )
 }
 
 impl Wish {
@@ -100,7 +122,10 @@
         m.up && m.open
             && (self.spot || !m.spot)
             && self.types.as_ref().is_none_or(|t| t.contains(&m.kind))
-            && self.zones.as_ref().is_none_or(|z| z.contains(&m.zone.as_str()))
+            && self
+                .zones
+                .as_ref()
+                .is_none_or(|z| z.contains(&m.zone.as_str()))
             && !self.avoid.contains(&m.id)
             && self.only.as_ref().is_none_or(|o| o.contains(&m.id))
     }
--- a/crates/coordination/tests/recovery.rs
+++ b/crates/coordination/tests/recovery.rs
@@ -28,21 +28,57 @@
         submit(&mut placer, array(20), 1, 0);
         for n in 0..services {
             let id = JobId::from(format!("req-0001{n:02}").as_str());
-            submit(&mut placer, JobSpec { id, shape: Shape::Service, rank: Rank::Production, ..array(4) }, 10 + n as u64, 0);
+            submit(
+                &mut placer,
+                JobSpec {
+                    id,
+                    shape: Shape::Service,
+                    rank: Rank::Production,
+                    ..array(4)
+                },
+                10 + n as u64,
+                0,
+            );
+        }
+        Self {
+            placer,
+            machines: Vec::new(),
+            revision: 1,
+            state: 0,
+            number: 0,
+            told: 0,
         }
-        Self { placer, machines: Vec::new(), revision: 1, state: 0, number: 0, told: 0 }
     }
 
     /// All that runs is lost, with its machines.
     fn lose_all(&mut self) {
         let all = self.placer.sync_for(0, TOKEN, ROOM, false, 0).wants;
         for standing in [Standing::Running, Standing::Gone] {
-            let attempts = all.iter().map(|w| AttemptView { id: w.id.clone(), standing }).collect();
-            let gone = if standing == Standing::Gone { std::mem::take(&mut self.machines) } else { Vec::new() };
+            let attempts = all
+                .iter()
+                .map(|w| AttemptView {
+                    id: w.id.clone(),
+                    standing,
+                })
+                .collect();
+            let gone = if standing == Standing::Gone {
+                std::mem::take(&mut self.machines)
+            } else {
+                Vec::new()
+            };
             self.told += all.len() as u64;
-            let full = |m: &MachineView| MachineView { free: Room::default(), busy: 4, ..m.clone() };
+            let full = |m: &MachineView| MachineView {
+                free: Room::default(),
+                busy: 4,
+                ..m.clone()
+            };
             let machines = self.machines.iter().map(full).collect();
-            self.tell(machines, gone.into_iter().map(|m| m.id).collect(), attempts, Vec::new());
+            self.tell(
+                machines,
+                gone.into_iter().map(|m| m.id).collect(),
+                attempts,
+                Vec::new(),
+            );
         }
     }
 
@@ -54,10 +90,20 @@
         self.tell(vec![view], Vec::new(), Vec::new(), hidden);
         let wants = self.placer.sync_for(0, TOKEN, ROOM, false, 0).wants;
         let last = &self.machines[self.machines.len() - 1].id;
-        wants.into_iter().filter(|w| w.machine == *last).map(|w| (w.id.job, w.id.task)).collect()
+        wants
+            .into_iter()
+            .filter(|w| w.machine == *last)
+            .map(|w| (w.id.job, w.id.task))
+            .collect()
     }
 
-    fn tell(&mut self, machines: Vec<MachineView>, gone: Vec<MachineId>, attempts: Vec<AttemptView>, hidden: Vec<Hidden>) {
+    fn tell(
+        &mut self,
+        machines: Vec<MachineView>,
+        gone: Vec<MachineId>,
+        attempts: Vec<AttemptView>,
+        hidden: Vec<Hidden>,
+    ) {
         let seq = self.placer.sync_for(0, TOKEN, ROOM, false, 0).seq;
         let since = self.state;
         self.state += 1;
@@ -69,10 +115,18 @@
             store_age_ms: 0,
             wants_at: 0,
             hidden,
-            machines_span: Span { since, upto: self.state, last: true },
+            machines_span: Span {
+                since,
+                upto: self.state,
+                last: true,
+            },
             machines,
             gone,
-            attempts_span: Span { since: 0, upto: self.told, last: true },
+            attempts_span: Span {
+                since: 0,
+                upto: self.told,
+                last: true,
+            },
             attempts,
         };
         self.placer.take_view(view, 0);
@@ -90,7 +144,11 @@
 fn services_reach_half_before_any_is_whole() {
     let mut site = Site::new(6);
     for _ in 0..6 {
-        assert_eq!(site.one_more(Vec::new()).len(), 4, "new services come by age, and batch work after them");
+        assert_eq!(
+            site.one_more(Vec::new()).len(),
+            4,
+            "new services come by age, and batch work after them"
+        );
     }
     site.lose_all();
     let mut up: BTreeMap<JobId, usize> = BTreeMap::new();
@@ -99,13 +157,29 @@
         for (job, _) in site.one_more(Vec::new()) {
             *up.entry(job).or_default() += 1;
         }
-        assert!(!up.contains_key(&JobId::from("req-000001")), "batch work takes no room that a replica lacks");
-        let least = if up.len() < 6 { 0 } else { up.values().copied().min().unwrap_or(0) };
+        assert!(
+            !up.contains_key(&JobId::from("req-000001")),
+            "batch work takes no room that a replica lacks"
+        );
+        let least = if up.len() < 6 {
+            0
+        } else {
+            up.values().copied().min().unwrap_or(0)
+        };
         least_and_most.push((least, up.values().copied().max().unwrap_or(0)));
     }
-    assert_eq!(least_and_most, [(0, 2), (0, 2), (2, 2), (2, 4), (2, 4), (4, 4)]);
+    assert_eq!(
+        least_and_most,
+        [(0, 2), (0, 2), (2, 2), (2, 4), (2, 4), (4, 4)]
+    );
     let then = site.one_more(Vec::new());
-    assert_eq!(then.iter().filter(|(job, _)| *job == JobId::from("req-000001")).count(), 4, "then the array: {then:?}");
+    assert_eq!(
+        then.iter()
+            .filter(|(job, _)| *job == JobId::from("req-000001"))
+            .count(),
+        4,
+        "then the array: {then:?}"
+    );
 }
 
 /// A waiting job says that its zone is out of sight, since when, and until when
@@ -116,9 +190,16 @@
     assert_eq!(site.one_more(Vec::new()).len(), 4);
     let id = JobId::from("req-000100");
     assert_eq!(site.placer.job_note(&id, 0), Some((0, 0, String::new())));
-    site.one_more(vec![Hidden { zone: "north".into(), for_ms: 12_400, over_in_ms: 30_100 }]);
+    site.one_more(vec![Hidden {
+        zone: "north".into(),
+        for_ms: 12_400,
+        over_in_ms: 30_100,
+    }]);
     let said = site.placer.job_note(&id, 15_000).expect("known").2;
-    assert_eq!(said, "zone north out of sight since 15 s, its attempts there end by proof in at most 16 s");
+    assert_eq!(
+        said,
+        "zone north out of sight since 15 s, its attempts there end by proof in at most 16 s"
+    );
     site.one_more(Vec::new());
     assert_eq!(site.placer.job_note(&id, 0), Some((0, 0, String::new())));
 }
--- a/crates/coordination/tests/sessions.rs
+++ b/crates/coordination/tests/sessions.rs
@@ -16,7 +16,22 @@
 fn a_session_that_a_call_shows_lives_for_a_lease_from_its_begin() {
     let mut owner = fleet(1);
     let tell = |owner: &mut lemonweir_coordination::owner::Owner, seq, since, upto, wants, now| {
-        owner.sync(&sync(seq, Span { since, upto, last: true }, wants, Have::default()), ROOM, now).expect("taken")
+        owner
+            .sync(
+                &sync(
+                    seq,
+                    Span {
+                        since,
+                        upto,
+                        last: true,
+                    },
+                    wants,
+                    Have::default(),
+                ),
+                ROOM,
+                now,
+            )
+            .expect("taken")
     };
     // Answered, but the answer is lost.
     assert!(owner.report(&report(0, 3), None, 3_000).is_some());
@@ -24,20 +39,39 @@
     tell(&mut owner, 1, 0, 1, vec![want(0, 0)], 14_500);
     let call = owner.calls(14_500, 1).pop().expect("a call");
     let base = TOKEN << FENCE_BITS;
-    let second = |seq, tasks| Report { session: 2, token: base, tasks, ..report(0, seq) };
+    let second = |seq, tasks| Report {
+        session: 2,
+        token: base,
+        tasks,
+        ..report(0, seq)
+    };
     owner.call_done(&call, CommandResult::Refused(second(5, Vec::new())), 14_510);
-    let call = owner.calls(16_000, 1).pop().expect("a call in the new session");
+    let call = owner
+        .calls(16_000, 1)
+        .pop()
+        .expect("a call in the new session");
     assert_eq!(call.commands.session, 2);
-    owner.call_done(&call, CommandResult::Executed(second(6, vec![running_task(0)])), 16_010);
+    owner.call_done(
+        &call,
+        CommandResult::Executed(second(6, vec![running_task(0)])),
+        16_010,
+    );
     for now in (16_100..28_000).step_by(100) {
         owner.tick(now, now);
         let view = tell(&mut owner, now, 1, 1, Vec::new(), now);
         let ended = view.attempts.iter().find(|a| a.standing.ended());
-        assert!(ended.is_none(), "{now} ms: {ended:?}, and its lease runs until 28 s");
+        assert!(
+            ended.is_none(),
+            "{now} ms: {ended:?}, and its lease runs until 28 s"
+        );
     }
     for now in (28_000..32_000).step_by(100) {
         owner.tick(now, now);
     }
     let view = tell(&mut owner, 40_000, 1, 1, Vec::new(), 32_000);
-    assert!(view.attempts.iter().any(|a| a.standing.ended()), "and no longer: {:?}", view.attempts);
+    assert!(
+        view.attempts.iter().any(|a| a.standing.ended()),
+        "and no longer: {:?}",
+        view.attempts
+    );
 }
--- a/crates/coordination/tests/slow_store.rs
+++ b/crates/coordination/tests/slow_store.rs
@@ -10,7 +10,10 @@
 use lemonweir_protocol::links::Service;
 
 fn core() -> Core {
-    let mut core = Core::new(Config::new(&settings(1)), lemonweir_policy::embedded().expect("policy"));
+    let mut core = Core::new(
+        Config::new(&settings(1)),
+        lemonweir_policy::embedded().expect("policy"),
+    );
     core.mirror.replace(&[], 50);
     core.set_catalog(Default::default());
     core
@@ -70,11 +73,19 @@
     let mut core = core();
     core.refreshed(20_000, false);
     core.links.took(Service::Store, STATE_TIMEOUT_MS, 24_000);
-    assert!(!core.links.store_told(20_000 + UNREADY_MS + STATE_TIMEOUT_MS + 1));
+    assert!(
+        !core
+            .links
+            .store_told(20_000 + UNREADY_MS + STATE_TIMEOUT_MS + 1)
+    );
     core.refreshed(30_000, false);
     core.refreshed(26_000, false);
     assert!(core.links.store_told(30_000 + UNREADY_MS));
     // A carried answer that took longer than anybody waits for one counts no more.
     core.links.took(Service::Store, 60_000, 31_000);
-    assert!(!core.links.store_told(30_000 + UNREADY_MS + STATE_TIMEOUT_MS + 1));
+    assert!(
+        !core
+            .links
+            .store_told(30_000 + UNREADY_MS + STATE_TIMEOUT_MS + 1)
+    );
 }
--- a/crates/coordination/tests/starts.rs
+++ b/crates/coordination/tests/starts.rs
@@ -15,28 +15,62 @@
 use lemonweir_storage::records::*;
 use support::*;
 
-const LOT: Lot = Lot { part: 0, token: TOKEN };
+const LOT: Lot = Lot {
+    part: 0,
+    token: TOKEN,
+};
 
 fn launches(orders: &[Order]) -> usize {
-    orders.iter().filter(|order| order.verb == Verb::Launch).count()
+    orders
+        .iter()
+        .filter(|order| order.verb == Verb::Launch)
+        .count()
 }
 
 /// Starts that the controller orders by calls within 200 ms from `now` on.
 fn called(core: &mut Core, now: u64) -> usize {
-    let effects: Vec<Effect> = (now..now + 200).step_by(10).flat_map(|now| core.pump(now)).collect();
-    let orders = |effect: &Effect| if let Effect::Command(_, call) = effect { launches(&call.commands.orders) } else { 0 };
+    let effects: Vec<Effect> = (now..now + 200)
+        .step_by(10)
+        .flat_map(|now| core.pump(now))
+        .collect();
+    let orders = |effect: &Effect| {
+        if let Effect::Command(_, call) = effect {
+            launches(&call.commands.orders)
+        } else {
+            0
+        }
+    };
     effects.iter().map(orders).sum()
 }
 
 /// Controller 0 with its own shard, a machine that it has heard, and a job that waits;
 /// nothing of the store is read after `now`. With the token that the machine was given.
 fn with_waiting_job(now: u64) -> (Core, u64) {
-    let mut core = Core::new(Config::new(&settings(0)), lemonweir_policy::embedded().expect("policy"));
+    let mut core = Core::new(
+        Config::new(&settings(0)),
+        lemonweir_policy::embedded().expect("policy"),
+    );
     core.set_catalog([(kind().name, kind())].into_iter().collect());
-    let spec = JobSpec { team: "amber".into(), ..array(1) };
-    let record = JobRecord { spec: spec.clone(), at: 1, withdrawn: false, awaited: 0 };
-    let holder = Entry { key: part_key(0), value: to_value(&PartRecord { host: "h0".into() }), version: TOKEN };
-    let job = Entry { key: job_key(&spec.id), value: to_value(&record), version: 46 };
+    let spec = JobSpec {
+        team: "amber".into(),
+        ..array(1)
+    };
+    let record = JobRecord {
+        spec: spec.clone(),
+        at: 1,
+        withdrawn: false,
+        awaited: 0,
+    };
+    let holder = Entry {
+        key: part_key(0),
+        value: to_value(&PartRecord { host: "h0".into() }),
+        version: TOKEN,
+    };
+    let job = Entry {
+        key: job_key(&spec.id),
+        value: to_value(&record),
+        version: 46,
+    };
     core.mirror.replace(&[job, holder], 100);
     core.refreshed(10, true);
     core.adopt(LOT, &[], Vec::new(), 10);
@@ -47,13 +81,17 @@
 }
 
 fn reported(core: &mut Core, report: &Report, now: u64) -> ReportReply {
-    let ReportAnswer::Orders(reply) = core.report(report, now) else { panic!("not answered at {now}") };
+    let ReportAnswer::Orders(reply) = core.report(report, now) else {
+        panic!("not answered at {now}")
+    };
     reply
 }
 
 /// A machine of the controller's own shard.
 fn own_machine(core: &Core) -> usize {
-    (0..).find(|n| core.config.part_of("north", &machine(*n)) == LOT.part).expect("one of all")
+    (0..)
+        .find(|n| core.config.part_of("north", &machine(*n)) == LOT.part)
+        .expect("one of all")
 }
 
 /// The machine reports as ever until `at`, when the answer to the transaction with the
@@ -61,11 +99,18 @@
 fn recorded(core: &mut Core, mut token: u64, at: u64) -> usize {
     let (mut written, mut answered) = (false, 0);
     for (seq, now) in (2..).zip((1_000..at).step_by(1_000).chain([at])) {
-        written |= (now - 1_000..now).step_by(50).any(|now| core.pump(now).iter().any(|effect| matches!(effect, Effect::Txn(..))));
+        written |= (now - 1_000..now).step_by(50).any(|now| {
+            core.pump(now)
+                .iter()
+                .any(|effect| matches!(effect, Effect::Txn(..)))
+        });
         if now == at {
             core.txn_done(LOT, TxnOutcome::Done(200), at);
         }
-        let next = Report { token, ..report(own_machine(core), seq) };
+        let next = Report {
+            token,
+            ..report(own_machine(core), seq)
+        };
         let reply = reported(core, &next, now);
         (token, answered) = (reply.token, launches(&reply.orders));
     }
@@ -82,7 +127,11 @@
         let (mut core, token) = with_waiting_job(100);
         let at = 100 + age;
         let answered = recorded(&mut core, token, at);
-        assert_eq!(answered + called(&mut core, at + 1), starts, "{age} ms after the last word");
+        assert_eq!(
+            answered + called(&mut core, at + 1),
+            starts,
+            "{age} ms after the last word"
+        );
         // With word from the store it goes on.
         core.refreshed(at + 220, false);
         assert_eq!(called(&mut core, at + 230), 1 - starts);
@@ -95,7 +144,13 @@
 fn a_lost_shard_reads_no_records_again() {
     let chunk = run_key(0, &array(1).id, 0);
     let job = job_key(&array(1).id);
-    assert_eq!(keys_to_reread(LOT, &[chunk.clone(), job.clone()]), [chunk.as_str()]);
+    assert_eq!(
+        keys_to_reread(LOT, &[chunk.clone(), job.clone()]),
+        [chunk.as_str()]
+    );
     assert!(keys_to_reread(LOT, &[part_key(0), chunk.clone(), job]).is_empty());
-    assert_eq!(keys_to_reread(LOT, &[part_key(1), chunk.clone()]), [chunk.as_str()]);
+    assert_eq!(
+        keys_to_reread(LOT, &[part_key(1), chunk.clone()]),
+        [chunk.as_str()]
+    );
 }
--- a/crates/coordination/tests/stops.rs
+++ b/crates/coordination/tests/stops.rs
@@ -12,12 +12,34 @@
 /// An owner with one task on its machine 0 that shall end.
 fn stopping(now: u64) -> Owner {
     let mut owner = fleet(1);
-    let on = |since, upto| Span { since, upto, last: true };
-    owner.sync(&sync(1, on(0, 1), vec![want(0, 0)], Have::default()), ROOM, now).expect("taken");
+    let on = |since, upto| Span {
+        since,
+        upto,
+        last: true,
+    };
+    owner
+        .sync(
+            &sync(1, on(0, 1), vec![want(0, 0)], Have::default()),
+            ROOM,
+            now,
+        )
+        .expect("taken");
     let start = owner.calls(now, ROOM).pop().expect("started");
-    owner.call_done(&start, CommandResult::Executed(Report { tasks: vec![running_task(0)], ..report(0, 2) }), now);
-    let stop = Want { kill: Some(0), ..want(0, 0) };
-    owner.sync(&sync(2, on(1, 2), vec![stop], Have::default()), ROOM, now).expect("taken");
+    owner.call_done(
+        &start,
+        CommandResult::Executed(Report {
+            tasks: vec![running_task(0)],
+            ..report(0, 2)
+        }),
+        now,
+    );
+    let stop = Want {
+        kill: Some(0),
+        ..want(0, 0)
+    };
+    owner
+        .sync(&sync(2, on(1, 2), vec![stop], Have::default()), ROOM, now)
+        .expect("taken");
     owner
 }
 
@@ -39,7 +61,16 @@
         }
         if now % 5_000 == 0 {
             seq += 1;
-            let reply = owner.report(&Report { tasks: vec![running_task(0)], ..report(0, seq) }, None, now).expect("answered");
+            let reply = owner
+                .report(
+                    &Report {
+                        tasks: vec![running_task(0)],
+                        ..report(0, seq)
+                    },
+                    None,
+                    now,
+                )
+                .expect("answered");
             assert!(stops(&reply), "at {now} ms, after {tries} tries");
         }
     }
@@ -116,7 +147,22 @@
 fn calls_wait_for_room_and_all_are_made() {
     let mut owner = fleet(50);
     let wants = (0..50).map(|n| want(n, n as usize)).collect();
-    owner.sync(&sync(1, Span { since: 0, upto: 50, last: true }, wants, Have::default()), ROOM, 20).expect("taken");
+    owner
+        .sync(
+            &sync(
+                1,
+                Span {
+                    since: 0,
+                    upto: 50,
+                    last: true,
+                },
+                wants,
+                Have::default(),
+            ),
+            ROOM,
+            20,
+        )
+        .expect("taken");
     let mut called = Vec::new();
     for turn in 0..20 {
         let now = 20 + turn * 100;
@@ -124,7 +170,14 @@
         assert!(calls.len() <= 7);
         for call in calls {
             let n: usize = call.machine.as_str()[2..].parse().expect("number");
-            owner.call_done(&call, CommandResult::Executed(Report { tasks: vec![running_task(n)], ..report(n, 2) }), now);
+            owner.call_done(
+                &call,
+                CommandResult::Executed(Report {
+                    tasks: vec![running_task(n)],
+                    ..report(n, 2)
+                }),
+                now,
+            );
             called.push(n);
         }
     }
--- a/crates/coordination/tests/support/controllers.rs
+++ b/crates/coordination/tests/support/controllers.rs
@@ -63,7 +63,9 @@
 
 impl Box_ {
     pub fn runs(&self, job: &JobId) -> bool {
-        self.tasks.iter().any(|(id, (_, cause))| id.job == *job && cause.is_none())
+        self.tasks
+            .iter()
+            .any(|(id, (_, cause))| id.job == *job && cause.is_none())
     }
 }
 
@@ -155,11 +157,20 @@
 /// A controller that has just started.
 pub fn process(me: usize, now: u64) -> Node {
     // Nothing is given back for being empty.
-    let policy = Policy { idle: 1e6, idle_spot: 1e6, ..lemonweir_policy::embedded().expect("policy") };
+    let policy = Policy {
+        idle: 1e6,
+        idle_spot: 1e6,
+        ..lemonweir_policy::embedded().expect("policy")
+    };
     let mut core = Core::new(Config::new(&settings(me)), policy);
     core.set_catalog([(kind().name, kind())].into_iter().collect());
     core.set_clock(now, 1_000_000 + now);
-    Node { core, membership: Membership::new(CORES), hold: None, renewed: 0 }
+    Node {
+        core,
+        membership: Membership::new(CORES),
+        hold: None,
+        renewed: 0,
+    }
 }
 
 impl Site {
@@ -229,13 +240,30 @@
 
     pub fn set(&mut self, key: &str, value: rmpv::Value) {
         let version = self.revision;
-        self.store.insert(key.to_owned(), Entry { key: key.to_owned(), value: value.clone(), version });
-        self.changes.push(Change { set: Some(key.to_owned()), drop: None, value: Some(value), version });
+        self.store.insert(
+            key.to_owned(),
+            Entry {
+                key: key.to_owned(),
+                value: value.clone(),
+                version,
+            },
+        );
+        self.changes.push(Change {
+            set: Some(key.to_owned()),
+            drop: None,
+            value: Some(value),
+            version,
+        });
     }
 
     pub fn drop_key(&mut self, key: &str) {
         if self.store.remove(key).is_some() {
-            self.changes.push(Change { set: None, drop: Some(key.to_owned()), value: None, version: self.revision });
+            self.changes.push(Change {
+                set: None,
+                drop: Some(key.to_owned()),
+                value: None,
+                version: self.revision,
+            });
         }
     }
 
@@ -244,7 +272,12 @@
         if !txn.writes.iter().all(lives) {
             return TxnOutcome::Again;
         }
-        let failed: Vec<String> = txn.conditions.iter().filter(|c| self.version(&c.key) != c.version).map(|c| c.key.clone()).collect();
+        let failed: Vec<String> = txn
+            .conditions
+            .iter()
+            .filter(|c| self.version(&c.key) != c.version)
+            .map(|c| c.key.clone())
+            .collect();
         if !failed.is_empty() {
             return TxnOutcome::Conflict(failed);
         }
@@ -293,10 +326,20 @@
             self.holds.values_mut().for_each(|end| *end = full);
             return;
         }
-        let over: Vec<u64> = self.holds.iter().filter(|(_, end)| self.now > **end).map(|(id, _)| *id).collect();
+        let over: Vec<u64> = self
+            .holds
+            .iter()
+            .filter(|(_, end)| self.now > **end)
+            .map(|(id, _)| *id)
+            .collect();
         for id in over {
             self.holds.remove(&id);
-            let keys: Vec<String> = self.tied.iter().filter(|(_, h)| **h == id).map(|(k, _)| k.clone()).collect();
+            let keys: Vec<String> = self
+                .tied
+                .iter()
+                .filter(|(_, h)| **h == id)
+                .map(|(k, _)| k.clone())
+                .collect();
             self.revision += 1;
             for key in keys {
                 self.tied.remove(&key);
@@ -315,12 +358,21 @@
         match self.end(id) {
             Some(Phase::Withdrawn) => {
                 for (n, b) in self.boxes.iter().enumerate() {
-                    assert!(!b.runs(id), "at {}: {id} is withdrawn and on machine {n}; {:?}", self.now, self.days);
+                    assert!(
+                        !b.runs(id),
+                        "at {}: {id} is withdrawn and on machine {n}; {:?}",
+                        self.now,
+                        self.days
+                    );
                 }
             }
             Some(Phase::Done) => {
                 let done = self.done.iter().filter(|(job, _)| job == id).count();
-                assert_eq!(done, TASKS as usize, "at {}: {id} counts as done; {:?}", self.now, self.days);
+                assert_eq!(
+                    done, TASKS as usize,
+                    "at {}: {id} counts as done; {:?}",
+                    self.now, self.days
+                );
             }
             _ => {}
         }
@@ -336,13 +388,23 @@
         let core = &mut self.nodes[node].core;
         let changed = match core.mirror.revision {
             None => {
-                let entries: Vec<Entry> =
-                    self.store.range("w/".to_owned()..).take_while(|(k, _)| k.starts_with("w/")).map(|(_, e)| e.clone()).collect();
+                let entries: Vec<Entry> = self
+                    .store
+                    .range("w/".to_owned()..)
+                    .take_while(|(k, _)| k.starts_with("w/"))
+                    .map(|(_, e)| e.clone())
+                    .collect();
                 core.mirror.replace(&entries, revision);
                 true
             }
             Some(after) => {
-                let of = |c: &&Change| c.version > after && c.set.as_ref().or(c.drop.as_ref()).is_some_and(|k| k.starts_with("w/"));
+                let of = |c: &&Change| {
+                    c.version > after
+                        && c.set
+                            .as_ref()
+                            .or(c.drop.as_ref())
+                            .is_some_and(|k| k.starts_with("w/"))
+                };
                 let changes: Vec<Change> = self.changes.iter().filter(of).cloned().collect();
                 core.mirror.apply(&changes, revision, now);
                 !changes.is_empty()
@@ -379,12 +441,18 @@
             self.read(node);
         }
         for part in 0..CORES as u16 {
-            let Node { core, membership, .. } = &mut self.nodes[node];
-            let Some(claim) = membership.claim(core, part, now) else { continue };
+            let Node {
+                core, membership, ..
+            } = &mut self.nodes[node];
+            let Some(claim) = membership.claim(core, part, now) else {
+                continue;
+            };
             let left = membership.left(core, now);
             let txn = core.claim_txn(&claim, hold, left, now);
             match (claim, self.apply(&txn)) {
-                (Claim::Take { part, .. }, TxnOutcome::Done(token)) => self.acquire(node, Lot { part, token }),
+                (Claim::Take { part, .. }, TxnOutcome::Done(token)) => {
+                    self.acquire(node, Lot { part, token })
+                }
                 (Claim::HandBack(lot) | Claim::Leave(lot), TxnOutcome::Done(_)) => {
                     self.nodes[node].core.abandon(lot.part, now);
                     self.read(node);
@@ -392,7 +460,9 @@
                 _ => self.read(node),
             }
         }
-        let Node { core, membership, .. } = &self.nodes[node];
+        let Node {
+            core, membership, ..
+        } = &self.nodes[node];
         if let Some(left) = membership.unshown(core, now) {
             self.apply(&show_node(&format!("h{node}"), "north", hold, left));
             self.read(node);
@@ -413,7 +483,12 @@
         self.read(node);
         let now = self.now;
         let core = &mut self.nodes[node].core;
-        if core.mirror.parts.get(&lot.part).is_some_and(|h| h.token == lot.token) {
+        if core
+            .mirror
+            .parts
+            .get(&lot.part)
+            .is_some_and(|h| h.token == lot.token)
+        {
             core.adopt(lot, &chunks, Vec::new(), now);
         }
     }
@@ -437,7 +512,8 @@
                 let outcome = self.transact(node, &txn);
                 if let TxnOutcome::Conflict(keys) = &outcome {
                     for key in keys_to_reread(lot, keys) {
-                        let (version, (job, chunk)) = (self.version(key), parse_run_key(key).expect("a key"));
+                        let (version, (job, chunk)) =
+                            (self.version(key), parse_run_key(key).expect("a key"));
                         self.nodes[node].core.reread(lot, &job, chunk, version);
                     }
                 }
@@ -463,20 +539,38 @@
             }
             Effect::Sync(lot, sync) => self.sync(node, lot, sync),
             Effect::MailSync(sync) => {
-                let line = MailLine { kind: MailKind::Sync, from: sync.from, to: sync.to };
+                let line = MailLine {
+                    kind: MailKind::Sync,
+                    from: sync.from,
+                    to: sync.to,
+                };
                 self.mail(node, line, (sync.from_token, sync.seq), &peer::write(&sync));
             }
             Effect::MailView(to, view) => {
-                let line = MailLine { kind: MailKind::View, from: view.part, to };
+                let line = MailLine {
+                    kind: MailKind::View,
+                    from: view.part,
+                    to,
+                };
                 self.mail(node, line, (view.token, view.seq), &peer::write(&view));
             }
             Effect::Nudge(part) => {
                 if let Some(to) = self.holder(node, part).filter(|to| !self.apart(node, *to)) {
-                    let from: Vec<u16> = self.nodes[node].core.held().iter().map(|l| l.part).collect();
-                    from.into_iter().for_each(|from| self.nodes[to].core.nudged(part, from));
+                    let from: Vec<u16> = self.nodes[node]
+                        .core
+                        .held()
+                        .iter()
+                        .map(|l| l.part)
+                        .collect();
+                    from.into_iter()
+                        .for_each(|from| self.nodes[to].core.nudged(part, from));
                 }
             }
-            Effect::Rent(lot, rental) => self.nodes[node].core.rented(lot, &rental, RentResult::NoCapacity, now),
+            Effect::Rent(lot, rental) => {
+                self.nodes[node]
+                    .core
+                    .rented(lot, &rental, RentResult::NoCapacity, now)
+            }
             Effect::Release(lot, machines) => {
                 for id in &machines {
                     let n = (0..BOXES).find(|n| machine(*n) == *id).expect("a machine");
@@ -487,22 +581,30 @@
             }
             Effect::Hail(to, word) => {
                 let to = usize::from(to);
-                let answer = (!self.apart(node, to)).then(|| self.nodes[to].core.links.hail_in(word, now));
-                self.nodes[node].core.links.hailed(to as u16, answer.is_some(), answer, now);
+                let answer =
+                    (!self.apart(node, to)).then(|| self.nodes[to].core.links.hail_in(word, now));
+                self.nodes[node]
+                    .core
+                    .links
+                    .hailed(to as u16, answer.is_some(), answer, now);
             }
             Effect::Probe(_) => {}
         }
     }
 
     pub fn mail(&mut self, node: usize, line: MailLine, id: (u64, u64), bytes: &[u8]) {
-        let Some(hold) = self.nodes[node].hold else { return };
+        let Some(hold) = self.nodes[node].hold else {
+            return;
+        };
         let txn = post(line, id, bytes, 6_000, hold);
         self.transact(node, &txn);
     }
 
     pub fn sync(&mut self, node: usize, lot: Lot, sync: Sync) {
         let now = self.now;
-        let to = self.holder(node, sync.to).filter(|to| !self.apart(node, *to));
+        let to = self
+            .holder(node, sync.to)
+            .filter(|to| !self.apart(node, *to));
         let view = match (to, self.trouble(), self.draws.below(3)) {
             (None, ..) | (Some(_), true, 0) => None,
             (Some(to), true, 1) => {
@@ -527,7 +629,10 @@
     }
 
     pub fn command(&mut self, node: usize, call: &CommandCall) -> CommandResult {
-        if call.through.is_some_and(|by| self.apart(node, usize::from(by))) {
+        if call
+            .through
+            .is_some_and(|by| self.apart(node, usize::from(by)))
+        {
             return CommandResult::NotSent;
         }
         match (self.trouble(), self.draws.below(3)) {
@@ -546,7 +651,9 @@
 
     pub fn deliver_late(&mut self) {
         let now = self.now;
-        let (due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.late).into_iter().partition(|(at, _)| now >= *at);
+        let (due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.late)
+            .into_iter()
+            .partition(|(at, _)| now >= *at);
         self.late = later;
         for (_, late) in due {
             match late {
@@ -571,11 +678,20 @@
         let tasks = b.tasks.iter().map(|(id, (_, cause))| TaskReport {
             piece: id.piece(),
             attempt: id.attempt,
-            phase: if cause.is_some() { TaskPhase::Exited } else { TaskPhase::Running },
+            phase: if cause.is_some() {
+                TaskPhase::Exited
+            } else {
+                TaskPhase::Running
+            },
             cause: cause.map(str::to_owned),
             saved: None,
         });
-        Report { session: b.session, token: b.token, tasks: tasks.collect(), ..report(n, b.seq) }
+        Report {
+            session: b.session,
+            token: b.token,
+            tasks: tasks.collect(),
+            ..report(n, b.seq)
+        }
     }
 
     pub fn execute(&mut self, n: usize, orders: &[Order]) {
@@ -584,19 +700,35 @@
             match o.verb {
                 Verb::Launch if self.boxes[n].tasks.contains_key(&id) => {}
                 Verb::Launch => {
-                    let same = |b: &Box_| b.tasks.iter().any(|(i, (_, c))| (&i.job, i.task) == (&id.job, id.task) && c.is_none());
-                    assert!(!self.boxes.iter().any(same), "at {}: {id} runs twice; {:?}", self.now, self.days);
+                    let same = |b: &Box_| {
+                        b.tasks.iter().any(|(i, (_, c))| {
+                            (&i.job, i.task) == (&id.job, id.task) && c.is_none()
+                        })
+                    };
+                    assert!(
+                        !self.boxes.iter().any(same),
+                        "at {}: {id} runs twice; {:?}",
+                        self.now,
+                        self.days
+                    );
                     self.boxes[n].tasks.insert(id.clone(), (self.now, None));
                     self.check_end(&id.job);
                 }
-                Verb::Kill => drop(self.boxes[n].tasks.get_mut(&id).map(|(_, c)| c.get_or_insert("stopped"))),
+                Verb::Kill => drop(
+                    self.boxes[n]
+                        .tasks
+                        .get_mut(&id)
+                        .map(|(_, c)| c.get_or_insert("stopped")),
+                ),
                 Verb::Forget => drop(self.boxes[n].tasks.remove(&id)),
             }
         }
     }
 
     pub fn execute_call(&mut self, call: &CommandCall) -> CommandResult {
-        let n = (0..BOXES).find(|n| machine(*n) == call.machine).expect("a machine");
+        let n = (0..BOXES)
+            .find(|n| machine(*n) == call.machine)
+            .expect("a machine");
         let b = &mut self.boxes[n];
         if b.gone {
             return CommandResult::Unknown;
@@ -614,9 +746,10 @@
         let (at, report) = (self.boxes[n].at, self.report_of(n));
         let lost = self.trouble();
         let answer = match self.nodes[at].core.report(&report, now) {
-            ReportAnswer::Carry(to) if !self.apart(at, usize::from(to)) => {
-                self.nodes[usize::from(to)].core.carried_report(&report, at as u16, now)
-            }
+            ReportAnswer::Carry(to) if !self.apart(at, usize::from(to)) => self.nodes
+                [usize::from(to)]
+            .core
+            .carried_report(&report, at as u16, now),
             answer => answer,
         };
         let b = &mut self.boxes[n];
@@ -644,7 +777,11 @@
                 continue;
             }
             let now = self.now;
-            for (id, (_, cause)) in b.tasks.iter_mut().filter(|(_, (began, cause))| cause.is_none() && now >= began + self.lasts) {
+            for (id, (_, cause)) in b
+                .tasks
+                .iter_mut()
+                .filter(|(_, (began, cause))| cause.is_none() && now >= began + self.lasts)
+            {
                 *cause = Some("done");
                 self.done.insert((id.job.clone(), id.task));
             }
@@ -662,15 +799,31 @@
 
     pub fn submit(&mut self, n: u32) -> JobId {
         let team = TEAMS[n as usize % TEAMS.len()];
-        let spec = JobSpec { id: JobId::from(format!("req-{n:06}").as_str()), team: team.into(), ..array(TASKS) };
+        let spec = JobSpec {
+            id: JobId::from(format!("req-{n:06}").as_str()),
+            team: team.into(),
+            ..array(TASKS)
+        };
         let id = spec.id.clone();
-        self.apply(&accept_job(&JobRecord { spec, at: 1_000_000 + self.now, withdrawn: false, awaited: 0 }));
+        self.apply(&accept_job(&JobRecord {
+            spec,
+            at: 1_000_000 + self.now,
+            withdrawn: false,
+            awaited: 0,
+        }));
         id
     }
 
     /// A user withdraws a job from then on, asking again each second.
     pub fn withdraws(&mut self, job: &JobId, asks: u64) {
-        self.users.push(User { job: job.clone(), asks, next: asks, at: 1, told: None, stopped: None });
+        self.users.push(User {
+            job: job.clone(),
+            asks,
+            next: asks,
+            at: 1,
+            told: None,
+            stopped: None,
+        });
     }
 
     pub fn users_ask(&mut self) {
@@ -684,14 +837,22 @@
             }
             self.users[u].next = now + 1_000;
             // The load balancer leaves out who can take no requests.
-            let at = (1..=CORES).map(|k| (self.users[u].at + k) % CORES).find(|n| self.nodes[*n].core.ready(now)).unwrap_or(1);
+            let at = (1..=CORES)
+                .map(|k| (self.users[u].at + k) % CORES)
+                .find(|n| self.nodes[*n].core.ready(now))
+                .unwrap_or(1);
             self.users[u].at = at;
             if !self.has_store(at) {
                 continue;
             }
             let core = &self.nodes[at].core;
             if let Answer::Over(phase) = core.answer(&id, now) {
-                assert_eq!(Some(phase), self.end(&id), "at {now}: {id} ended otherwise; {:?}", self.days);
+                assert_eq!(
+                    Some(phase),
+                    self.end(&id),
+                    "at {now}: {id} ended otherwise; {:?}",
+                    self.days
+                );
                 self.users[u].told = Some((now, phase));
                 self.check_end(&id);
                 continue;
@@ -736,8 +897,13 @@
                 phase: "running".into(),
                 age_s: 500.0,
             };
-            let list: Vec<RentalEntry> = (0..BOXES).filter(|n| !self.boxes[*n].gone).map(entry).collect();
-            self.nodes.iter_mut().for_each(|node| node.core.listed(&list, now));
+            let list: Vec<RentalEntry> = (0..BOXES)
+                .filter(|n| !self.boxes[*n].gone)
+                .map(entry)
+                .collect();
+            self.nodes
+                .iter_mut()
+                .for_each(|node| node.core.listed(&list, now));
         }
         self.users_ask();
     }
--- a/crates/coordination/tests/support/mod.rs
+++ b/crates/coordination/tests/support/mod.rs
@@ -11,7 +11,10 @@
 use lemonweir_storage::mirror::MirroredJob;
 use lemonweir_storage::records::JobRecord;
 
-pub const TIMING: Timing = Timing { lease_ms: 14_000, report_ms: 3_000 };
+pub const TIMING: Timing = Timing {
+    lease_ms: 14_000,
+    report_ms: 3_000,
+};
 pub const TOKEN: u64 = 40;
 
 pub fn machine(n: usize) -> MachineId {
@@ -48,7 +51,14 @@
 }
 
 pub fn fleet(machines: usize) -> Owner {
-    let mut owner = Owner::new(0, TOKEN, 1, TIMING, lemonweir_policy::embedded().expect("policy"), 0);
+    let mut owner = Owner::new(
+        0,
+        TOKEN,
+        1,
+        TIMING,
+        lemonweir_policy::embedded().expect("policy"),
+        0,
+    );
     owner.set_types([kind()].iter());
     for n in 0..machines {
         assert!(owner.report(&report(n, 1), None, 10).is_some());
@@ -60,7 +70,11 @@
 
 pub fn want(n: u32, on: usize) -> Want {
     Want {
-        id: AttemptId { job: JobId::from("req-000001"), task: n, attempt: 1 },
+        id: AttemptId {
+            job: JobId::from("req-000001"),
+            task: n,
+            attempt: 1,
+        },
         machine: machine(on),
         need: Room::offer(4.0, 1.0, 8.0),
         image: "img".into(),
@@ -98,13 +112,22 @@
 }
 
 pub fn have(view: &View) -> Have {
-    Have { machines: view.machines_span.upto, attempts: view.attempts_span.upto }
+    Have {
+        machines: view.machines_span.upto,
+        attempts: view.attempts_span.upto,
+    }
 }
 
 pub const ROOM: usize = 1 << 20;
 
 pub fn running_task(n: usize) -> TaskReport {
-    TaskReport { piece: format!("req-000001/{n}"), attempt: 1, phase: TaskPhase::Running, cause: None, saved: None }
+    TaskReport {
+        piece: format!("req-000001/{n}"),
+        attempt: 1,
+        phase: TaskPhase::Running,
+        cause: None,
+        saved: None,
+    }
 }
 
 /// A machine that is up, as its owner tells it, with so many of its accelerators
@@ -146,13 +169,26 @@
 
 /// A placer hears of a job that was submitted at that time of day.
 pub fn submit(placer: &mut Placer, spec: JobSpec, at: u64, now: u64) {
-    let job = MirroredJob { record: Arc::new(JobRecord { spec: spec.clone(), at, withdrawn: false, awaited: 0 }), version: 1 };
+    let job = MirroredJob {
+        record: Arc::new(JobRecord {
+            spec: spec.clone(),
+            at,
+            withdrawn: false,
+            awaited: 0,
+        }),
+        version: 1,
+    };
     placer.set_job(&spec.id, Some(&job), now);
 }
 
 /// What the owner of part 0 tells: these changes of its machines, and all that became
 /// of the asker's attempts.
-pub fn view(seq: u64, machines_span: Span, machines: Vec<MachineView>, attempts: Vec<AttemptView>) -> View {
+pub fn view(
+    seq: u64,
+    machines_span: Span,
+    machines: Vec<MachineView>,
+    attempts: Vec<AttemptView>,
+) -> View {
     View {
         version: lemonweir_model::constants::PEER_VERSION,
         part: 0,
@@ -164,7 +200,11 @@
         machines_span,
         machines,
         gone: Vec::new(),
-        attempts_span: Span { since: 0, upto: attempts.len() as u64, last: true },
+        attempts_span: Span {
+            since: 0,
+            upto: attempts.len() as u64,
+            last: true,
+        },
         attempts,
     }
 }
--- a/crates/coordination/tests/turns.rs
+++ b/crates/coordination/tests/turns.rs
@@ -32,22 +32,57 @@
     let mut placer = Placer::new(0, TOKEN, 1, terms(), 0);
     let seq = placer.sync_for(0, TOKEN, ROOM, false, 0).seq;
     let machines: Vec<_> = (0..200).map(|n| shown(n, 4)).collect();
-    placer.take_view(view(seq, Span { since: 0, upto: 200, last: true }, machines, Vec::new()), 1);
+    placer.take_view(
+        view(
+            seq,
+            Span {
+                since: 0,
+                upto: 200,
+                last: true,
+            },
+            machines,
+            Vec::new(),
+        ),
+        1,
+    );
     for n in 100..140 {
-        submit(&mut placer, JobSpec { id: id(n), rank: Rank::Production, ..array(20) }, 0, 2);
+        submit(
+            &mut placer,
+            JobSpec {
+                id: id(n),
+                rank: Rank::Production,
+                ..array(20)
+            },
+            0,
+            2,
+        );
     }
     placer.keep_ledger(3, 0);
     placer.place(3);
     // The higher the number the sooner it was withdrawn, of whatever priority.
     let ranks = [Rank::Low, Rank::Normal, Rank::High, Rank::Production];
     for (n, at) in (0..20).rev().zip(10..) {
-        let spec = JobSpec { id: id(n), rank: ranks[n as usize % 4], ..array(2) };
-        let job = MirroredJob { record: Arc::new(JobRecord { spec: spec.clone(), at: 0, withdrawn: true, awaited: 0 }), version: 7 };
+        let spec = JobSpec {
+            id: id(n),
+            rank: ranks[n as usize % 4],
+            ..array(2)
+        };
+        let job = MirroredJob {
+            record: Arc::new(JobRecord {
+                spec: spec.clone(),
+                at: 0,
+                withdrawn: true,
+                awaited: 0,
+            }),
+            version: 7,
+        };
         placer.set_job(&spec.id, Some(&job), at);
     }
     let (mut written, mut starts) = (Vec::new(), 0);
     for revision in 50..70 {
-        let Some(txn) = placer.next_txn(100) else { break };
+        let Some(txn) = placer.next_txn(100) else {
+            break;
+        };
         for key in keys(&txn.writes) {
             match key.strip_prefix("end/") {
                 Some(job) => {
@@ -71,12 +106,26 @@
 fn a_message_stays_below_twice_its_room() {
     let mut placer = Placer::new(0, TOKEN, 2, terms(), 0);
     for n in 0..500 {
-        let rented = Rented { machine: machine(n), kind: "box".into(), zone: "north".into(), spot: false, age_ms: 0 };
-        placer.promises.push(Promise { rented, part: 1, at: 1 });
+        let rented = Rented {
+            machine: machine(n),
+            kind: "box".into(),
+            zone: "north".into(),
+            spot: false,
+            age_ms: 0,
+        };
+        placer.promises.push(Promise {
+            rented,
+            part: 1,
+            at: 1,
+        });
     }
     for room in [700, 2_700, 24_000] {
         let sync = placer.sync_for(1, TOKEN, room, false, 10);
-        assert!(peer::write(&sync).len() <= 2 * room, "{room}: {}", peer::write(&sync).len());
+        assert!(
+            peer::write(&sync).len() <= 2 * room,
+            "{room}: {}",
+            peer::write(&sync).len()
+        );
         assert!(!sync.rented.is_empty(), "{room}");
     }
 }
--- a/crates/coordination/tests/watch.rs
+++ b/crates/coordination/tests/watch.rs
@@ -13,14 +13,17 @@
 use lemonweir_model::settings::Settings;
 use lemonweir_protocol::state::{Change as Changed, Entry, Txn, Write, from_value, to_value};
 use lemonweir_storage::Mirror;
-use lemonweir_storage::handovers::{Change, Closing, HandoverRecord, handover_key, parse_handover_key};
+use lemonweir_storage::handovers::{
+    Change, Closing, HandoverRecord, handover_key, parse_handover_key,
+};
 use lemonweir_storage::records::{PartRecord, part_key, show_node};
 use rmpv::Value;
 
 const HOSTS: u16 = 3;
 
 fn core(me: u16) -> Core {
-    static POLICY: LazyLock<Policy> = LazyLock::new(|| lemonweir_policy::embedded().expect("policy"));
+    static POLICY: LazyLock<Policy> =
+        LazyLock::new(|| lemonweir_policy::embedded().expect("policy"));
     let seed = |n: u16| serde_json::json!({"host_name": format!("h{n}"), "zone": "north", "address": format!("10.0.0.{n}:8081")});
     let seeds: Vec<_> = (0..HOSTS).filter(|n| *n != me).map(seed).collect();
     let value = serde_json::json!({
@@ -72,11 +75,26 @@
     /// The revision at which it was made.
     fn txn(&mut self, txn: &Txn) -> Option<u64> {
         assert!(txn.writes.len() <= 4, "more than a transaction may hold");
-        let hold = |w: &Write| if let Write::Put { hold, .. } = w { *hold } else { None };
-        if txn.writes.iter().filter_map(hold).any(|h| !self.holds.contains(&h)) {
+        let hold = |w: &Write| {
+            if let Write::Put { hold, .. } = w {
+                *hold
+            } else {
+                None
+            }
+        };
+        if txn
+            .writes
+            .iter()
+            .filter_map(hold)
+            .any(|h| !self.holds.contains(&h))
+        {
             return None;
         }
-        if txn.conditions.iter().any(|c| self.version(&c.key) != c.version) {
+        if txn
+            .conditions
+            .iter()
+            .any(|c| self.version(&c.key) != c.version)
+        {
             return None;
         }
         self.revision += 1;
@@ -84,8 +102,10 @@
             self.note(write);
             match write {
                 Write::Put { key, value, hold } => {
-                    self.log.push(set(key.clone(), value.clone(), self.revision));
-                    self.keys.insert(key.clone(), (value.clone(), self.revision, *hold));
+                    self.log
+                        .push(set(key.clone(), value.clone(), self.revision));
+                    self.keys
+                        .insert(key.clone(), (value.clone(), self.revision, *hold));
                 }
                 Write::Delete { key } => self.remove(key),
             }
@@ -98,33 +118,60 @@
             Write::Put { key, .. } | Write::Delete { key } => key,
         };
         if let Some(part) = key.strip_prefix("w/part/") {
-            self.changes.push((part.parse().expect("a part"), self.revision));
+            self.changes
+                .push((part.parse().expect("a part"), self.revision));
         }
-        let (Some(rest), Write::Put { value, .. }) = (key.strip_prefix("w/hand/"), write) else { return };
+        let (Some(rest), Write::Put { value, .. }) = (key.strip_prefix("w/hand/"), write) else {
+            return;
+        };
         let (part, slot) = parse_handover_key(rest).expect("a slot");
         let record: HandoverRecord = from_value(value).expect("an entry");
         assert_eq!(record.n % HANDOVERS_KEPT, slot);
-        let before = self.keys.get(key).and_then(|(v, _, _)| from_value::<HandoverRecord>(v));
+        let before = self
+            .keys
+            .get(key)
+            .and_then(|(v, _, _)| from_value::<HandoverRecord>(v));
         let Some(closed) = &record.closed else {
             self.opened.push((part, self.revision, record));
             return;
         };
         let before = before.expect("what is closed was open");
         assert!(before.open(), "closed once: {before:?}");
-        assert_eq!(HandoverRecord { closed: None, ..record.clone() }, before, "closing changes nothing else");
-        assert_eq!(closed.token, Some(self.version(key)), "with the part's token");
+        assert_eq!(
+            HandoverRecord {
+                closed: None,
+                ..record.clone()
+            },
+            before,
+            "closing changes nothing else"
+        );
+        assert_eq!(
+            closed.token,
+            Some(self.version(key)),
+            "with the part's token"
+        );
         self.closings += 1;
     }
 
     fn remove(&mut self, key: &str) {
-        self.log.push(Changed { set: None, drop: Some(key.to_owned()), value: None, version: self.revision });
+        self.log.push(Changed {
+            set: None,
+            drop: Some(key.to_owned()),
+            value: None,
+            version: self.revision,
+        });
         self.keys.remove(key);
     }
 
     fn end_hold(&mut self, hold: u64) {
         self.holds.retain(|h| *h != hold);
         self.revision += 1;
-        let with: Vec<String> = self.keys.iter().filter(|(_, k)| k.2 == Some(hold)).map(|(key, _)| key.clone()).collect();
+        let with: Vec<String> = self
+            .keys
+            .iter()
+            .filter(|(_, k)| k.2 == Some(hold))
+            .map(|(key, _)| key.clone())
+            .collect();
         with.iter().for_each(|key| self.remove(key));
     }
 }
@@ -148,7 +195,14 @@
     }
 
     fn fate(&mut self) -> Fate {
-        [Fate::Answered, Fate::Answered, Fate::Answered, Fate::AnswerLost, Fate::Late, Fate::Refused][self.below(6) as usize]
+        [
+            Fate::Answered,
+            Fate::Answered,
+            Fate::Answered,
+            Fate::AnswerLost,
+            Fate::Late,
+            Fate::Refused,
+        ][self.below(6) as usize]
     }
 }
 
@@ -163,23 +217,42 @@
 impl Night {
     fn new() -> Self {
         let processes = (0..HOSTS).map(|_| None).collect();
-        Self { store: Store::default(), processes, late: Vec::new(), holds: 0, now: 1_000 }
+        Self {
+            store: Store::default(),
+            processes,
+            late: Vec::new(),
+            holds: 0,
+            now: 1_000,
+        }
     }
 
     fn start(&mut self, h: usize) {
         self.holds += 1;
         self.store.holds.push(self.holds);
-        self.store.txn(&show_node(&format!("h{h}"), "north", self.holds, Vec::new()));
-        let process = Process { core: core(h as u16), membership: Membership::new(usize::from(HOSTS)), hold: self.holds };
+        self.store.txn(&show_node(
+            &format!("h{h}"),
+            "north",
+            self.holds,
+            Vec::new(),
+        ));
+        let process = Process {
+            core: core(h as u16),
+            membership: Membership::new(usize::from(HOSTS)),
+            hold: self.holds,
+        };
         self.processes[h] = Some(process);
         self.read(h);
     }
 
     fn read(&mut self, h: usize) {
-        let Some(p) = &mut self.processes[h] else { return };
+        let Some(p) = &mut self.processes[h] else {
+            return;
+        };
         let after = p.core.mirror.revision.unwrap_or(0);
         let from = self.store.log.partition_point(|c| c.version <= after);
-        p.core.mirror.apply(&self.store.log[from..], self.store.revision, self.now);
+        p.core
+            .mirror
+            .apply(&self.store.log[from..], self.store.revision, self.now);
         p.core.refreshed(self.now, true);
     }
 
@@ -199,7 +272,9 @@
     /// A process does what it would do about a part, or leaves it for no reason.
     fn act(&mut self, h: usize, part: u16, leave: bool, fate: Fate) {
         let now = self.now;
-        let Some(p) = &mut self.processes[h] else { return };
+        let Some(p) = &mut self.processes[h] else {
+            return;
+        };
         let lot = p.core.held().into_iter().find(|l| l.part == part);
         let claim = match lot.filter(|_| leave) {
             Some(lot) => Some(Claim::Leave(lot)),
@@ -207,14 +282,29 @@
         };
         let Some(claim) = claim else { return };
         let txn = p.core.claim_txn(&claim, p.hold, Vec::new(), now);
-        let Some(revision) = self.send(txn, fate) else { return };
+        let Some(revision) = self.send(txn, fate) else {
+            return;
+        };
         let p = self.processes[h].as_mut().expect("it acts");
         match claim {
             Claim::Take { part, .. } => {
                 self.read(h);
                 let p = self.processes[h].as_mut().expect("it acts");
-                if p.core.mirror.parts.get(&part).is_some_and(|holder| holder.token == revision) {
-                    p.core.adopt(Lot { part, token: revision }, &[], Vec::new(), now);
+                if p.core
+                    .mirror
+                    .parts
+                    .get(&part)
+                    .is_some_and(|holder| holder.token == revision)
+                {
+                    p.core.adopt(
+                        Lot {
+                            part,
+                            token: revision,
+                        },
+                        &[],
+                        Vec::new(),
+                        now,
+                    );
                 }
             }
             Claim::HandBack(lot) | Claim::Leave(lot) => p.core.abandon(lot.part, now),
@@ -223,7 +313,9 @@
 
     fn pump(&mut self, h: usize, fate: Fate) {
         let now = self.now;
-        let Some(p) = &mut self.processes[h] else { return };
+        let Some(p) = &mut self.processes[h] else {
+            return;
+        };
         for effect in p.core.pump(now) {
             if let Effect::Note(txn) = effect {
                 self.send(txn, fate);
@@ -232,13 +324,25 @@
     }
 
     fn check(&mut self, seed: u64) {
-        let opened: Vec<(u16, u64)> = self.store.opened.iter().map(|(part, revision, _)| (*part, *revision)).collect();
-        assert_eq!(opened, self.store.changes, "seed {seed}: one entry with each change, and none without");
+        let opened: Vec<(u16, u64)> = self
+            .store
+            .opened
+            .iter()
+            .map(|(part, revision, _)| (*part, *revision))
+            .collect();
+        assert_eq!(
+            opened, self.store.changes,
+            "seed {seed}: one entry with each change, and none without"
+        );
         for part in 0..HOSTS {
             let entries = self.store.opened.iter().filter(|(p, _, _)| *p == part);
             let mut holder: Option<String> = None;
             for (i, (_, _, record)) in entries.enumerate() {
-                assert_eq!(record.n, i as u64 + 1, "seed {seed}: no number twice, and none left out");
+                assert_eq!(
+                    record.n,
+                    i as u64 + 1,
+                    "seed {seed}: no number twice, and none left out"
+                );
                 assert_eq!(record.from, holder, "seed {seed}: {record:?}");
                 holder = record.to.clone().or(holder);
             }
@@ -267,7 +371,12 @@
                 0..=7 => night.read(h),
                 8..=16 => {
                     let fate = draw.fate();
-                    night.act(h, draw.below(u64::from(HOSTS)) as u16, draw.below(12) == 0, fate);
+                    night.act(
+                        h,
+                        draw.below(u64::from(HOSTS)) as u16,
+                        draw.below(12) == 0,
+                        fate,
+                    );
                 }
                 17 | 18 => {
                     let fate = draw.fate();
@@ -275,7 +384,9 @@
                 }
                 19 => night.now += 100_000,
                 20 | 21 if !night.late.is_empty() => {
-                    let txn = night.late.remove(draw.below(night.late.len() as u64) as usize);
+                    let txn = night
+                        .late
+                        .remove(draw.below(night.late.len() as u64) as usize);
                     night.store.txn(&txn);
                 }
                 22 => {
@@ -298,20 +409,44 @@
         night.check(seed);
         changes += night.store.changes.len();
         closings += night.store.closings;
-        longest = longest.max(night.store.opened.iter().map(|(_, _, r)| r.n).max().unwrap_or(0));
+        longest = longest.max(
+            night
+                .store
+                .opened
+                .iter()
+                .map(|(_, _, r)| r.n)
+                .max()
+                .unwrap_or(0),
+        );
     }
-    assert!(changes > 2_000 && closings > 300, "{changes} changes of hands, {closings} closed");
+    assert!(
+        changes > 2_000 && closings > 300,
+        "{changes} changes of hands, {closings} closed"
+    );
     assert!(longest > HANDOVERS_KEPT, "a ring came round: {longest}");
 }
 
 // ---- the ring ----------------------------------------------------------------------
 
 fn record(n: u64, to: Option<&str>, closed: Option<Closing>) -> HandoverRecord {
-    HandoverRecord { n, from: None, to: to.map(str::to_owned), how: Change::Vacant, at: n * 1_000, up: None, closed }
+    HandoverRecord {
+        n,
+        from: None,
+        to: to.map(str::to_owned),
+        how: Change::Vacant,
+        at: n * 1_000,
+        up: None,
+        closed,
+    }
 }
 
 fn set(key: String, value: Value, version: u64) -> Changed {
-    Changed { set: Some(key), drop: None, value: Some(value), version }
+    Changed {
+        set: Some(key),
+        drop: None,
+        value: Some(value),
+        version,
+    }
 }
 
 /// The first entry of a new part; of a full ring the next takes the oldest's slot,
@@ -321,12 +456,32 @@
     let mut mirror = Mirror::default();
     assert_eq!(mirror.handovers.next(4), (1, 0));
     for n in 1..=HANDOVERS_KEPT {
-        mirror.apply(&[set(handover_key(4, n), to_value(&record(n, Some("a"), None)), 100 + n)], 100 + n, 0);
-        let next = if n == HANDOVERS_KEPT { (n + 1, 101) } else { (n + 1, 0) };
+        mirror.apply(
+            &[set(
+                handover_key(4, n),
+                to_value(&record(n, Some("a"), None)),
+                100 + n,
+            )],
+            100 + n,
+            0,
+        );
+        let next = if n == HANDOVERS_KEPT {
+            (n + 1, 101)
+        } else {
+            (n + 1, 0)
+        };
         assert_eq!(mirror.handovers.next(4), next);
     }
     let n = HANDOVERS_KEPT + 1;
-    mirror.apply(&[set(handover_key(4, n), to_value(&record(n, Some("a"), None)), 900)], 900, 0);
+    mirror.apply(
+        &[set(
+            handover_key(4, n),
+            to_value(&record(n, Some("a"), None)),
+            900,
+        )],
+        900,
+        0,
+    );
     assert_eq!(mirror.handovers.of(4).len() as u64, HANDOVERS_KEPT);
     assert_eq!(mirror.handovers.next(4), (n + 1, 102));
     assert!(mirror.handovers.again(4, 1).is_none(), "overwritten");
@@ -344,20 +499,36 @@
             set(handover_key(1, 3), good(7), 12),
             set("w/hand/1/99".into(), good(99), 13),
             set("w/hand/x".into(), good(1), 14),
-            set(handover_key(1, 4), to_value(&record((1 << 50) + 4, None, None)), 15),
+            set(
+                handover_key(1, 4),
+                to_value(&record((1 << 50) + 4, None, None)),
+                15,
+            ),
         ],
         20,
         0,
     );
     assert_eq!(mirror.handovers.of(1).len(), 1);
-    assert_eq!(mirror.handovers.next(1), (5, 0), "slots 2 to 4 are left to who can read them");
+    assert_eq!(
+        mirror.handovers.next(1),
+        (5, 0),
+        "slots 2 to 4 are left to who can read them"
+    );
     // One that nothing but the unreadable is left in takes a slot all the same.
-    let odd: Vec<Changed> = (0..HANDOVERS_KEPT).map(|n| set(handover_key(1, n), Value::Nil, 30 + n)).collect();
+    let odd: Vec<Changed> = (0..HANDOVERS_KEPT)
+        .map(|n| set(handover_key(1, n), Value::Nil, 30 + n))
+        .collect();
     mirror.apply(&odd, 70, 0);
     assert_eq!(mirror.handovers.next(1), (1, 31));
     // A later version's way of changing hands is read, with what else it knows.
-    let Value::Map(mut fields) = good(6) else { panic!("a map") };
-    fields.iter_mut().find(|(k, _)| k.as_str() == Some("how")).expect("how").1 = "by_vote".into();
+    let Value::Map(mut fields) = good(6) else {
+        panic!("a map")
+    };
+    fields
+        .iter_mut()
+        .find(|(k, _)| k.as_str() == Some("how"))
+        .expect("how")
+        .1 = "by_vote".into();
     fields.push(("votes".into(), 3.into()));
     mirror.apply(&[set(handover_key(1, 6), Value::Map(fields), 80)], 80, 0);
     assert_eq!(mirror.handovers.of(1)[0].0.how, Change::Other);
@@ -369,40 +540,79 @@
 fn what_was_left_open_is_closed_with_what_can_be_known() {
     let mut core = core(0);
     let own = PartRecord { host: "h0".into() };
-    let entry = |key: String, value: Value, version| Entry { key, value, version };
+    let entry = |key: String, value: Value, version| Entry {
+        key,
+        value,
+        version,
+    };
     let mut entries = vec![entry(part_key(0), to_value(&own), 14)];
     for (n, version) in [(1, 11), (2, 12), (3, 13), (4, 14)] {
-        entries.push(entry(handover_key(0, n), to_value(&record(n, Some("h0"), None)), version));
+        entries.push(entry(
+            handover_key(0, n),
+            to_value(&record(n, Some("h0"), None)),
+            version,
+        ));
     }
     core.mirror.replace(&entries, 20);
     core.refreshed(5_000, true);
     core.adopt(Lot { part: 0, token: 14 }, &[], Vec::new(), 5_000);
     let notes = |core: &mut Core, now| {
-        let notes = core.pump(now).into_iter().filter_map(|e| if let Effect::Note(txn) = e { Some(txn) } else { None });
-        notes.filter(|t| t.writes.iter().any(|w| matches!(w, Write::Put { key, .. } if key.starts_with("w/hand/")))).collect::<Vec<_>>()
+        let notes = core.pump(now).into_iter().filter_map(|e| {
+            if let Effect::Note(txn) = e {
+                Some(txn)
+            } else {
+                None
+            }
+        });
+        notes
+            .filter(|t| {
+                t.writes
+                    .iter()
+                    .any(|w| matches!(w, Write::Put { key, .. } if key.starts_with("w/hand/")))
+            })
+            .collect::<Vec<_>>()
     };
-    assert!(notes(&mut core, 6_000).is_empty(), "nothing has started yet");
+    assert!(
+        notes(&mut core, 6_000).is_empty(),
+        "nothing has started yet"
+    );
     let due = 4_000 + CLOSE_MOST_MS;
     let txn = notes(&mut core, due).remove(0);
     assert_eq!(txn.writes.len(), 4, "its own and three others");
     let told: Vec<HandoverRecord> = txn
         .writes
         .iter()
-        .map(|w| if let Write::Put { value, .. } = w { from_value(value).expect("an entry") } else { panic!("a delete") })
+        .map(|w| {
+            if let Write::Put { value, .. } = w {
+                from_value(value).expect("an entry")
+            } else {
+                panic!("a delete")
+            }
+        })
         .collect();
     let own = told[0].closed.as_ref().expect("closed");
-    assert_eq!((told[0].n, own.whole_ms, own.first_start_ms, own.token), (4, Some(1_000), None, Some(14)));
+    assert_eq!(
+        (told[0].n, own.whole_ms, own.first_start_ms, own.token),
+        (4, Some(1_000), None, Some(14))
+    );
     assert!(own.unknown.iter().any(|u| u.starts_with("the first start")));
     for (n, left) in told[1..].iter().enumerate() {
         let closed = left.closed.as_ref().expect("closed");
-        assert_eq!((left.n, closed.held_ms, closed.token, closed.unknown.len()), (n as u64 + 1, Some(1_000), Some(11 + n as u64), 3));
+        assert_eq!(
+            (left.n, closed.held_ms, closed.token, closed.unknown.len()),
+            (n as u64 + 1, Some(1_000), Some(11 + n as u64), 3)
+        );
     }
     // Refused: again after a while, not at once.
     assert!(notes(&mut core, due + CLOSE_RETRY_MS - 100).is_empty());
     assert_eq!(notes(&mut core, due + CLOSE_RETRY_MS).len(), 1);
     // Once the copy shows it closed, it is not written again.
     for (record, version) in told.iter().zip(30..) {
-        core.mirror.apply(&[set(handover_key(0, record.n), to_value(record), version)], version, 0);
+        core.mirror.apply(
+            &[set(handover_key(0, record.n), to_value(record), version)],
+            version,
+            0,
+        );
     }
     assert!(notes(&mut core, due + 3 * CLOSE_RETRY_MS).is_empty());
 }
@@ -414,7 +624,12 @@
 
 /// Since when something has been so without a break, as its story tells.
 fn since(story: &Story, is: impl Fn(&Seen) -> bool) -> Option<u64> {
-    story.iter().rev().take_while(|(_, seen)| is(seen)).last().map(|(at, _)| *at)
+    story
+        .iter()
+        .rev()
+        .take_while(|(_, seen)| is(seen))
+        .last()
+        .map(|(at, _)| *at)
 }
 
 /// When what is done should have worked: from its first moment on, or since one
@@ -425,7 +640,10 @@
         return None;
     }
     let mut from = story.len() - 1;
-    while from > 0 && story[from - 1].1.doing == last.doing && story[from - 1].1.up >= story[from].1.up {
+    while from > 0
+        && story[from - 1].1.doing == last.doing
+        && story[from - 1].1.up >= story[from].1.up
+    {
         from -= 1;
     }
     story[from].1.within.map(|ms| story[from].0 + ms)
@@ -450,32 +668,69 @@
             } else {
                 let promised = 1 + (id.as_str().len() as u32 + 3) % 5;
                 let up = draw.below(u64::from(promised) + 1) as u32;
-                let doing = if up == promised { Nothing } else { [Room, Starting, Limit][draw.below(3) as usize] };
-                let seen = Seen { promised, up, doing, within: (doing != Limit).then_some(4_000) };
+                let doing = if up == promised {
+                    Nothing
+                } else {
+                    [Room, Starting, Limit][draw.below(3) as usize]
+                };
+                let seen = Seen {
+                    promised,
+                    up,
+                    doing,
+                    within: (doing != Limit).then_some(4_000),
+                };
                 services.set(&id, Some(seen.clone()), now);
                 stories.entry(id.clone()).or_default().push((now, seen));
             }
             for (id, story) in &stories {
                 let service = services.get(id).expect("watched");
-                assert_eq!(service.short_since, since(story, |s| s.up < s.promised), "seed {seed}");
-                assert_eq!(service.below_half_since, since(story, |s| 2 * s.up < s.promised), "seed {seed}");
+                assert_eq!(
+                    service.short_since,
+                    since(story, |s| s.up < s.promised),
+                    "seed {seed}"
+                );
+                assert_eq!(
+                    service.below_half_since,
+                    since(story, |s| 2 * s.up < s.promised),
+                    "seed {seed}"
+                );
                 assert_eq!(service.by, due(story), "seed {seed}: {story:?}");
             }
-            let short: BTreeSet<JobId> =
-                stories.iter().filter(|(_, s)| s.last().is_some_and(|(_, l)| l.up < l.promised)).map(|(id, _)| id.clone()).collect();
+            let short: BTreeSet<JobId> = stories
+                .iter()
+                .filter(|(_, s)| s.last().is_some_and(|(_, l)| l.up < l.promised))
+                .map(|(id, _)| id.clone())
+                .collect();
             assert_eq!(services.short(), &short, "seed {seed}");
             for id in services.late(now, 3) {
                 let due = due(&stories[&id]).expect("it is due");
                 assert!(due <= now, "seed {seed}: not before its time");
                 late += 1;
                 let what = format!("at {now}");
-                services.looked(&id, vec![Try { rung: PreemptionStep::Elsewhere, at: now, what }], now);
+                services.looked(
+                    &id,
+                    vec![Try {
+                        rung: PreemptionStep::Elsewhere,
+                        at: now,
+                        what,
+                    }],
+                    now,
+                );
                 assert!(!services.late(now, 99).contains(&id), "not at once again");
                 let service = services.get(&id).expect("watched");
                 tried = tried.max(service.tries.len());
-                assert!(service.tries.iter().all(|t| Some(t.at) >= service.short_since), "only what was tried since it is short");
+                assert!(
+                    service
+                        .tries
+                        .iter()
+                        .all(|t| Some(t.at) >= service.short_since),
+                    "only what was tried since it is short"
+                );
             }
         }
     }
-    assert!(late > 200 && tried == TRIES_KEPT, "{late} late, {tried} tries");
+    assert!(
+        late > 200 && tried == TRIES_KEPT,
+        "{late} late, {tried} tries"
+    );
 }
--- a/crates/coordination/tests/weights.rs
+++ b/crates/coordination/tests/weights.rs
@@ -48,10 +48,23 @@
             (0..n)
                 .map(|_| {
                     at += 1;
-                    let gpus = if rng.random::<f64>() < full { 0 } else { rng.random_range(0..=4) };
-                    let busy: u16 = if gpus == 4 { rng.random_range(0..2) } else { 4 - gpus as u16 };
+                    let gpus = if rng.random::<f64>() < full {
+                        0
+                    } else {
+                        rng.random_range(0..=4)
+                    };
+                    let busy: u16 = if gpus == 4 {
+                        rng.random_range(0..2)
+                    } else {
+                        4 - gpus as u16
+                    };
                     let mut m = support::shown(at, gpus);
-                    m.zone = ZONES[if rng.random::<f64>() < 0.8 { p } else { rng.random_range(0..3) }].into();
+                    m.zone = ZONES[if rng.random::<f64>() < 0.8 {
+                        p
+                    } else {
+                        rng.random_range(0..3)
+                    }]
+                    .into();
                     m.spot = spots && rng.random();
                     m.open = rng.random::<f64>() < 0.95;
                     m.busy = busy;
@@ -73,13 +86,24 @@
     let live = (0..rng.random_range(0..tasks)).filter_map(|_| {
         // Few machines, so that some have several.
         let m = all.get(rng.random_range(0..all.len().clamp(1, 12)))?;
-        Some((m.id.clone(), ZONES[ZONES.iter().position(|z| *z == m.zone)?]))
+        Some((
+            m.id.clone(),
+            ZONES[ZONES.iter().position(|z| *z == m.zone)?],
+        ))
     });
     let live = live.collect();
     let weight = |rng: &mut ChaCha8Rng| [0.0, 0.3, 1.0, 20.0][rng.random_range(0..4usize)];
     let pin_s = [0.0, 8.0, 40.0][rng.random_range(0..3usize)];
-    let trade = Trade { machine: weight(rng), zone: weight(rng), one_zone: weight(rng), pin_s, move_s: 1.0 };
-    let mut order: Vec<(usize, bool)> = (0..parts.len()).map(|p| (p, rng.random::<f64>() < 0.2)).collect();
+    let trade = Trade {
+        machine: weight(rng),
+        zone: weight(rng),
+        one_zone: weight(rng),
+        pin_s,
+        move_s: 1.0,
+    };
+    let mut order: Vec<(usize, bool)> = (0..parts.len())
+        .map(|p| (p, rng.random::<f64>() < 0.2))
+        .collect();
     order.sort_by_key(|(_, mail)| *mail);
     Draw {
         order,
@@ -112,7 +136,12 @@
     }
 
     fn stakes(&self) -> Stakes {
-        let zones: std::collections::BTreeSet<&str> = self.parts.iter().flatten().map(|m| m.zone.as_str()).collect();
+        let zones: std::collections::BTreeSet<&str> = self
+            .parts
+            .iter()
+            .flatten()
+            .map(|m| m.zone.as_str())
+            .collect();
         let kin = !self.live.is_empty();
         let on_spot = |id: &MachineId| self.parts.iter().flatten().any(|m| m.id == *id && m.spot);
         Stakes {
@@ -121,10 +150,16 @@
             fetch_s: FETCH_S,
             coming_s: FETCH_S / 2.0,
             spot: self.spot,
-            wave: self.spot && kin && 2 * self.live.iter().filter(|(id, _)| on_spot(id)).count() as u32 >= self.tasks,
+            wave: self.spot
+                && kin
+                && 2 * self.live.iter().filter(|(id, _)| on_spot(id)).count() as u32 >= self.tasks,
             plain: self.need.gpus == 0,
             kin,
-            zones: if kin && zones.len() > 1 { zones.len() as u32 } else { 0 },
+            zones: if kin && zones.len() > 1 {
+                zones.len() as u32
+            } else {
+                0
+            },
             one_zone: self.live.iter().all(|(_, z)| *z == self.live[0].1),
             mail: self.order.iter().any(|(_, mail)| *mail),
             here_first: self.here_first,
@@ -132,8 +167,15 @@
     }
 
     fn light(&self, stakes: &Stakes) -> Vec<&'static str> {
-        let fair = if stakes.one_zone { 1 } else { stakes.fair() as usize };
-        ZONES.into_iter().filter(|z| self.live.iter().filter(|(_, zone)| zone == z).count() < fair).collect()
+        let fair = if stakes.one_zone {
+            1
+        } else {
+            stakes.fair() as usize
+        };
+        ZONES
+            .into_iter()
+            .filter(|z| self.live.iter().filter(|(_, zone)| zone == z).count() < fair)
+            .collect()
     }
 
     /// Where the classes lead: the walk, and the looks that it took.
@@ -142,10 +184,17 @@
         let stakes = self.stakes();
         let light = self.light(&stakes);
         let light = (stakes.zones > 1).then_some(light.as_slice());
-        let kindred: Vec<Kindred> = fields.iter().map(|f| Kindred::of(f, &stakes, self.live.iter().map(|(id, _)| id), light)).collect();
+        let kindred: Vec<Kindred> = fields
+            .iter()
+            .map(|f| Kindred::of(f, &stakes, self.live.iter().map(|(id, _)| id), light))
+            .collect();
         let ask = self.ask();
-        let found = Walk::new(&fields, &self.order, &ask, &kindred).find(&classes(&self.trade, &stakes));
-        (found.map(|(p, i, _)| (p, i)), fields.iter().map(Field::looked).sum())
+        let found =
+            Walk::new(&fields, &self.order, &ask, &kindred).find(&classes(&self.trade, &stakes));
+        (
+            found.map(|(p, i, _)| (p, i)),
+            fields.iter().map(Field::looked).sum(),
+        )
     }
 
     fn has_room(&self, m: &MachineView) -> bool {
@@ -154,7 +203,10 @@
 
     /// Seconds that a place costs, straight from the words of the policy.
     fn score(&self, m: &MachineView, mail: bool) -> f64 {
-        let (here, coming) = (m.images.iter().any(|i| i == "img"), m.coming.iter().any(|i| i == "img"));
+        let (here, coming) = (
+            m.images.iter().any(|i| i == "img"),
+            m.coming.iter().any(|i| i == "img"),
+        );
         let wait = match (here, coming, m.coming.len()) {
             (true, _, _) => 0.0,
             (_, true, _) => FETCH_S / 2.0,
@@ -180,12 +232,24 @@
             (true, false) if in_zone >= stakes.fair() => beyond,
             _ => 0.0,
         };
-        let wave = if stakes.wave && m.spot { self.trade.zone * lost * (f64::from(self.tasks / 2 + 1) / tasks).min(1.0) } else { 0.0 };
+        let wave = if stakes.wave && m.spot {
+            self.trade.zone * lost * (f64::from(self.tasks / 2 + 1) / tasks).min(1.0)
+        } else {
+            0.0
+        };
         let pin = self.trade.pin_s;
-        let pay =
-            if m.spot { 0.0 } else { pin * [0.0, 1.0, 2.0][usize::from(m.lasting == 0) + usize::from(m.lasting == 0 && m.busy == 0)] };
+        let pay = if m.spot {
+            0.0
+        } else {
+            pin * [0.0, 1.0, 2.0]
+                [usize::from(m.lasting == 0) + usize::from(m.lasting == 0 && m.busy == 0)]
+        };
         let ordinary = if self.spot && !m.spot { pin } else { 0.0 };
-        let strands = if self.need.gpus == 0 && m.free.gpus > 0 { 2.0 * pin } else { 0.0 };
+        let strands = if self.need.gpus == 0 && m.free.gpus > 0 {
+            2.0 * pin
+        } else {
+            0.0
+        };
         wait + machine + zone + wave + pay + ordinary + strands + if mail { 2.0 } else { 0.0 }
     }
 
@@ -204,12 +268,23 @@
                 };
                 let open = |m: &&MachineView| m.up && m.open && (self.spot || !m.spot);
                 looks += machines.iter().filter(of).filter(open).count() as u64;
-                let best = machines.iter().enumerate().filter(|(_, m)| of(m) && self.has_room(m)).min_by_key(|(i, m)| {
-                    let company = if self.lasting { m.lasting } else { 0 };
-                    let fetches = if near == 2 { m.coming.len() } else { 0 };
-                    let strands = self.need.gpus == 0 && m.free.gpus > 0;
-                    (strands, self.spot && !m.spot, m.busy == 0, fetches, Reverse((company, m.busy)), *i)
-                });
+                let best = machines
+                    .iter()
+                    .enumerate()
+                    .filter(|(_, m)| of(m) && self.has_room(m))
+                    .min_by_key(|(i, m)| {
+                        let company = if self.lasting { m.lasting } else { 0 };
+                        let fetches = if near == 2 { m.coming.len() } else { 0 };
+                        let strands = self.need.gpus == 0 && m.free.gpus > 0;
+                        (
+                            strands,
+                            self.spot && !m.spot,
+                            m.busy == 0,
+                            fetches,
+                            Reverse((company, m.busy)),
+                            *i,
+                        )
+                    });
                 if let Some((i, _)) = best {
                     return (Some((p, i)), looks);
                 }
@@ -232,7 +307,10 @@
         let mut least: Option<(bool, f64)> = None;
         for &(p, mail) in &d.order {
             for m in d.parts[p].iter().filter(|m| d.has_room(m)) {
-                let one = (d.here_first && !m.images.iter().any(|i| i == "img"), d.score(m, mail));
+                let one = (
+                    d.here_first && !m.images.iter().any(|i| i == "img"),
+                    d.score(m, mail),
+                );
                 least = Some(least.filter(|l| *l <= one).unwrap_or(one));
             }
         }
@@ -242,7 +320,11 @@
                 let mail = d.order.iter().any(|(q, mail)| *q == p && *mail);
                 assert!(d.has_room(m));
                 let here = m.images.iter().any(|i| i == "img");
-                assert!((d.score(m, mail) - least).abs() < 1e-9, "score {} of {least}", d.score(m, mail));
+                assert!(
+                    (d.score(m, mail) - least).abs() < 1e-9,
+                    "score {} of {least}",
+                    d.score(m, mail)
+                );
                 assert!(!d.here_first || here != late);
                 found += 1;
                 risky += usize::from(d.live.iter().any(|(id, _)| *id == m.id));
@@ -251,7 +333,10 @@
             (place, least) => panic!("{place:?} and {least:?}"),
         }
     }
-    assert!(found > 1_000 && risky > 20, "{found} places, {risky} beside others of the job");
+    assert!(
+        found > 1_000 && risky > 20,
+        "{found} places, {risky} beside others of the job"
+    );
 }
 
 /// What runs until it is done goes where it went before, and no placement looks at
@@ -271,23 +356,69 @@
         looks[usize::from(d.lasting)] += now;
         before[usize::from(d.lasting)] += was;
     }
-    assert!(looks[0] <= before[0] && looks[1] <= before[1], "{looks:?} of {before:?}");
+    assert!(
+        looks[0] <= before[0] && looks[1] <= before[1],
+        "{looks:?} of {before:?}"
+    );
     println!("looks a placement: {looks:?}, before {before:?}");
 }
 
 /// With weights that only know one side the order is that side's.
 #[test]
 fn each_weight_alone_decides_alone() {
-    let stakes = Stakes { lasting: true, tasks: 4, fetch_s: 5.0, coming_s: 2.5, kin: true, zones: 2, ..Stakes::default() };
-    let locality = classes(&Trade { machine: 0.0, zone: 0.0, one_zone: 0.0, pin_s: 0.0, move_s: 1.0 }, &stakes);
-    assert_eq!(locality.iter().map(|c| c.near).collect::<Vec<_>>(), [Near::Here, Near::Coming, Near::Away, Near::Beside, Near::Crowded]);
-    let spread = classes(&Trade { machine: TRADE_MOST, zone: TRADE_MOST, one_zone: TRADE_MOST, pin_s: 0.0, move_s: 1.0 }, &stakes);
+    let stakes = Stakes {
+        lasting: true,
+        tasks: 4,
+        fetch_s: 5.0,
+        coming_s: 2.5,
+        kin: true,
+        zones: 2,
+        ..Stakes::default()
+    };
+    let locality = classes(
+        &Trade {
+            machine: 0.0,
+            zone: 0.0,
+            one_zone: 0.0,
+            pin_s: 0.0,
+            move_s: 1.0,
+        },
+        &stakes,
+    );
+    assert_eq!(
+        locality.iter().map(|c| c.near).collect::<Vec<_>>(),
+        [
+            Near::Here,
+            Near::Coming,
+            Near::Away,
+            Near::Beside,
+            Near::Crowded
+        ]
+    );
+    let spread = classes(
+        &Trade {
+            machine: TRADE_MOST,
+            zone: TRADE_MOST,
+            one_zone: TRADE_MOST,
+            pin_s: 0.0,
+            move_s: 1.0,
+        },
+        &stakes,
+    );
     let of = |c: &Class| (c.kin, c.light);
     let firsts: Vec<_> = spread.iter().take(5).map(of).collect();
-    assert_eq!(firsts, [(Some(Kin::Nobody), Some(true)); 5], "spread first, then near");
+    assert_eq!(
+        firsts,
+        [(Some(Kin::Nobody), Some(true)); 5],
+        "spread first, then near"
+    );
     // By default: in use and warm, beside one of its own, before a machine that is pinned anew.
     let usual = classes(&Trade::default(), &stakes);
-    let at = |kin, hold| usual.iter().position(|c| (c.near, c.kin, c.light, c.hold) == (Near::Here, Some(kin), Some(true), Some(hold)));
+    let at = |kin, hold| {
+        usual.iter().position(|c| {
+            (c.near, c.kin, c.light, c.hold) == (Near::Here, Some(kin), Some(true), Some(hold))
+        })
+    };
     assert!(at(Kin::Nobody, Hold::Settled) < at(Kin::One, Hold::Settled));
     assert!(at(Kin::One, Hold::Settled) < at(Kin::Nobody, Hold::Used));
     assert!(at(Kin::Nobody, Hold::Used) < at(Kin::Nobody, Hold::Empty));
@@ -297,17 +428,47 @@
 /// with another name is named, and nothing else is taken from that script.
 #[test]
 fn the_policys_weights_are_checked() {
-    assert_eq!(lemonweir_policy::embedded().expect("fine").trade, Trade::default());
-    let with = |from: &str, to: &str| lemonweir_policy::evaluate(&lemonweir_policy::DEFAULT_POLICY.replace(from, to));
+    assert_eq!(
+        lemonweir_policy::embedded().expect("fine").trade,
+        Trade::default()
+    );
+    let with = |from: &str, to: &str| {
+        lemonweir_policy::evaluate(&lemonweir_policy::DEFAULT_POLICY.replace(from, to))
+    };
     let faults = with("risk_machine = 0.25", "risk_machine = -1").expect_err("out of range");
-    assert_eq!(faults, ["policy: risk_machine must be a number from 0 to 1000"]);
-    assert_eq!(with("pin_s = 6", "pin_s = 4000").expect_err("too long").len(), 1);
-    assert_eq!(with("risk_zone = 0.1", "risk_zonne = 0.3").expect_err("unknown and missing").len(), 2);
-    assert_eq!(with("risk_one_zone = 3", "risk_one_zone = 0").expect("never mind").trade.one_zone, 0.0);
+    assert_eq!(
+        faults,
+        ["policy: risk_machine must be a number from 0 to 1000"]
+    );
+    assert_eq!(
+        with("pin_s = 6", "pin_s = 4000")
+            .expect_err("too long")
+            .len(),
+        1
+    );
+    assert_eq!(
+        with("risk_zone = 0.1", "risk_zonne = 0.3")
+            .expect_err("unknown and missing")
+            .len(),
+        2
+    );
+    assert_eq!(
+        with("risk_one_zone = 3", "risk_one_zone = 0")
+            .expect("never mind")
+            .trade
+            .one_zone,
+        0.0
+    );
 }
 
 fn spec(n: usize, image: &str, gb: f64, shape: Shape) -> JobSpec {
-    JobSpec { id: JobId::from(format!("req-{n:06}").as_str()), image: image.into(), image_gb: gb, shape, ..support::array(1) }
+    JobSpec {
+        id: JobId::from(format!("req-{n:06}").as_str()),
+        image: image.into(),
+        image_gb: gb,
+        shape,
+        ..support::array(1)
+    }
 }
 
 /// A cache that holds two of three models: what comes drops the one used least of
@@ -315,14 +476,22 @@
 #[test]
 fn a_cache_that_holds_two_of_three_models() {
     let mut book = Book::default();
-    let jobs = [spec(1, "one", 40.0, Shape::Service), spec(2, "two", 40.0, Shape::Service), spec(3, "three", 20.0, Shape::Array)];
+    let jobs = [
+        spec(1, "one", 40.0, Shape::Service),
+        spec(2, "two", 40.0, Shape::Service),
+        spec(3, "three", 20.0, Shape::Array),
+    ];
     jobs.iter().for_each(|s| book.note(&s.id, Some(s)));
     let cached = |names: &[&str]| names.iter().map(|n| (*n).to_owned()).collect::<Vec<_>>();
     assert_eq!(book.take_needed().map(|n| n.len()), Some(2));
     assert_eq!(book.take_needed(), None, "told once");
     assert_eq!(book.spare_mb(&cached(&["one", "two"]), 100_000), 20_000);
     assert_eq!(book.spare_mb(&cached(&["old", "one"]), 100_000), 60_000);
-    assert_eq!(book.spare_mb(&cached(&["one", "old"]), 100_000), 60_000, "nobody misses the last");
+    assert_eq!(
+        book.spare_mb(&cached(&["one", "old"]), 100_000),
+        60_000,
+        "nobody misses the last"
+    );
     // Of two machines alike the third model goes where it drops nothing.
     let mut machines = [support::shown(1, 2), support::shown(2, 2)];
     machines[0].images = cached(&["one", "two"]);
@@ -333,9 +502,19 @@
     }
     let mut d = draw(&mut ChaCha8Rng::seed_from_u64(1), 2);
     (d.need, d.spot, d.lasting) = (Room::offer(4.0, 1.0, 8.0), false, false);
-    let place = |mb| field.first_fit(&Ask { image: "third", image_mb: mb, ..d.ask() });
+    let place = |mb| {
+        field.first_fit(&Ask {
+            image: "third",
+            image_mb: mb,
+            ..d.ask()
+        })
+    };
     assert_eq!(place(20_000), Some(0));
-    assert_eq!(place(30_000), Some(1), "the first would drop what a service uses");
+    assert_eq!(
+        place(30_000),
+        Some(1),
+        "the first would drop what a service uses"
+    );
     // A job that ends is missed by nobody; the size stays known.
     book.note(&jobs[1].id, None);
     assert_eq!(book.spare_mb(&cached(&["one", "two"]), 100_000), 60_000);
@@ -348,23 +527,58 @@
 
 /// Runs a job's only task on a machine to its end, with this image.
 fn run_once(owner: &mut Owner, n: usize, job: usize, image: &str, state: &mut u64, now: u64) {
-    let id = AttemptId { job: JobId::from(format!("req-{job:06}").as_str()), task: 0, attempt: 1 };
-    let wanted = Want { id: id.clone(), image: image.into(), ..support::want(0, n) };
+    let id = AttemptId {
+        job: JobId::from(format!("req-{job:06}").as_str()),
+        task: 0,
+        attempt: 1,
+    };
+    let wanted = Want {
+        id: id.clone(),
+        image: image.into(),
+        ..support::want(0, n)
+    };
     let mut tell = |owner: &mut Owner, wants, dropped| {
         *state += 1;
-        let span = Span { since: *state - 1, upto: *state, last: true };
-        let message = Sync { dropped, ..support::sync(*state, span, wants, Have::default()) };
+        let span = Span {
+            since: *state - 1,
+            upto: *state,
+            last: true,
+        };
+        let message = Sync {
+            dropped,
+            ..support::sync(*state, span, wants, Have::default())
+        };
         owner.sync(&message, support::ROOM, now).expect("taken");
     };
     tell(owner, vec![wanted], Vec::new());
     drop(owner.calls(now, support::ROOM));
-    for (k, phase) in [TaskPhase::Running, TaskPhase::Exited].into_iter().enumerate() {
+    for (k, phase) in [TaskPhase::Running, TaskPhase::Exited]
+        .into_iter()
+        .enumerate()
+    {
         let cause = (phase == TaskPhase::Exited).then(|| "done".to_owned());
-        let task = TaskReport { piece: id.piece(), attempt: 1, phase, cause, saved: None };
-        owner.report(&Report { tasks: vec![task], ..support::report(n, now + k as u64) }, None, now).expect("answered");
+        let task = TaskReport {
+            piece: id.piece(),
+            attempt: 1,
+            phase,
+            cause,
+            saved: None,
+        };
+        owner
+            .report(
+                &Report {
+                    tasks: vec![task],
+                    ..support::report(n, now + k as u64)
+                },
+                None,
+                now,
+            )
+            .expect("answered");
     }
     tell(owner, Vec::new(), vec![id]);
-    owner.report(&support::report(n, now + 2), None, now).expect("answered");
+    owner
+        .report(&support::report(n, now + 2), None, now)
+        .expect("answered");
 }
 
 /// Who is given back first, of machines that all ran empty, the one with a service's
@@ -396,7 +610,11 @@
 /// The last copy of a service's weights goes last; nothing is kept that went before.
 #[test]
 fn the_last_copy_is_given_back_last() {
-    assert_eq!(given_back_first(&[]), (support::machine(0), 3), "it was empty longest");
+    assert_eq!(
+        given_back_first(&[]),
+        (support::machine(0), 3),
+        "it was empty longest"
+    );
     let (first, given) = given_back_first(&["model"]);
     assert_ne!(first, support::machine(0));
     assert_eq!(given, 3, "no machine is kept for it");
--- a/crates/coordination/tests/worker_sessions.rs
+++ b/crates/coordination/tests/worker_sessions.rs
@@ -25,27 +25,54 @@
 impl Part {
     fn new(machines: usize) -> Self {
         let (seqs, tokens) = (vec![1; machines], vec![BASE; machines]);
-        Self { owner: fleet(machines), token: TOKEN, now: 20, state: 0, strays: 0, seqs, tokens }
+        Self {
+            owner: fleet(machines),
+            token: TOKEN,
+            now: 20,
+            state: 0,
+            strays: 0,
+            seqs,
+            tokens,
+        }
     }
 
     /// Another takes the part and knows nothing.
     fn next_owner(&mut self) {
         self.token += 1;
-        self.owner = Owner::new(0, self.token, 1, TIMING, lemonweir_policy::embedded().expect("policy"), self.now);
+        self.owner = Owner::new(
+            0,
+            self.token,
+            1,
+            TIMING,
+            lemonweir_policy::embedded().expect("policy"),
+            self.now,
+        );
         self.owner.set_types([kind()].iter());
     }
 
     fn tell(&mut self, wants: Vec<Want>) -> View {
         self.state += 1;
-        let span = Span { since: 0, upto: self.state, last: true };
+        let span = Span {
+            since: 0,
+            upto: self.state,
+            last: true,
+        };
         // Nothing is given back for being empty.
         let keep = (0..self.seqs.len()).map(machine).collect();
-        let message = Sync { keep, strays: self.strays, to_token: self.token, ..sync(self.state, span, wants, Have::default()) };
+        let message = Sync {
+            keep,
+            strays: self.strays,
+            to_token: self.token,
+            ..sync(self.state, span, wants, Have::default())
+        };
         self.owner.sync(&message, ROOM, self.now).expect("taken")
     }
 
     fn view(&mut self, n: usize, wants: Vec<Want>) -> Option<MachineView> {
-        self.tell(wants).machines.into_iter().find(|m| m.id == machine(n))
+        self.tell(wants)
+            .machines
+            .into_iter()
+            .find(|m| m.id == machine(n))
     }
 
     fn open(&mut self, n: usize) -> bool {
@@ -60,7 +87,11 @@
     /// A report of a machine; it takes the answer if that reaches it.
     fn report(&mut self, n: usize, by: Option<u16>, reaches: bool, tasks: Vec<TaskReport>) {
         self.seqs[n] += 1;
-        let said = Report { token: self.tokens[n], tasks, ..report(n, self.seqs[n]) };
+        let said = Report {
+            token: self.tokens[n],
+            tasks,
+            ..report(n, self.seqs[n])
+        };
         let reply = self.owner.report(&said, by, self.now).expect("answered");
         if reaches {
             self.tokens[n] = self.tokens[n].max(reply.token);
@@ -76,7 +107,10 @@
 }
 
 fn standing(view: &View, n: u32) -> Option<Standing> {
-    view.attempts.iter().find(|a| a.id == want(n, 0).id).map(|a| a.standing)
+    view.attempts
+        .iter()
+        .find(|a| a.id == want(n, 0).id)
+        .map(|a| a.standing)
 }
 
 #[test]
@@ -109,16 +143,26 @@
     part.report(0, None, false, Vec::new());
     part.pass(8_050);
     part.report(0, Some(1), false, vec![running_task(0)]);
-    let stopped = Want { kill: Some(0), ..want(0, 0) };
+    let stopped = Want {
+        kill: Some(0),
+        ..want(0, 0)
+    };
     part.tell(vec![stopped.clone()]);
     for _ in 0..3 {
         let Some(call) = part.call() else { break };
-        assert!(call.commands.orders.iter().all(|o| o.verb == Verb::Kill), "a withdrawal is told by call");
+        assert!(
+            call.commands.orders.iter().all(|o| o.verb == Verb::Kill),
+            "a withdrawal is told by call"
+        );
         part.tokens[0] = part.tokens[0].max(call.commands.token);
         part.seqs[0] += 1;
-        let said = Report { token: part.tokens[0], ..report(0, part.seqs[0]) };
+        let said = Report {
+            token: part.tokens[0],
+            ..report(0, part.seqs[0])
+        };
         part.now += 20;
-        part.owner.call_done(&call, CommandResult::Executed(said), part.now);
+        part.owner
+            .call_done(&call, CommandResult::Executed(said), part.now);
         assert!(!part.open(0));
     }
     assert_eq!(standing(&part.tell(vec![stopped]), 0), Some(Standing::Gone));
@@ -129,17 +173,27 @@
 #[test]
 fn what_waits_on_a_deaf_machine_is_over_unstarted() {
     let mut part = Part::new(1);
-    let member = Want { go: false, ..want(0, 0) };
+    let member = Want {
+        go: false,
+        ..want(0, 0)
+    };
     part.tell(vec![member.clone()]);
     part.pass(3_000);
     part.report(0, None, false, Vec::new());
     part.pass(8_050);
     part.report(0, Some(1), false, Vec::new());
-    assert_eq!(standing(&part.tell(vec![member.clone()]), 0), Some(Standing::Accepted), "it may have been one lost answer");
+    assert_eq!(
+        standing(&part.tell(vec![member.clone()]), 0),
+        Some(Standing::Accepted),
+        "it may have been one lost answer"
+    );
     assert!(part.call().is_none());
     part.pass(13_100);
     part.report(0, Some(2), false, Vec::new());
-    assert_eq!(standing(&part.tell(vec![member.clone()]), 0), Some(Standing::Gone));
+    assert_eq!(
+        standing(&part.tell(vec![member.clone()]), 0),
+        Some(Standing::Gone)
+    );
     part.tell(vec![Want { go: true, ..member }]);
     assert!(part.call().is_none_or(|c| c.commands.orders.is_empty()));
 }
@@ -169,16 +223,34 @@
 /// by the first. It starts, ends and rents nothing, and ends with a question.
 #[test]
 fn a_copy_of_long_ago_is_a_hint() {
-    let exited = TaskReport { phase: TaskPhase::Exited, cause: Some("error".into()), ..running_task(1) };
-    let copy = Report { token: BASE | 5, notice_s: Some(20.0), tasks: vec![running_task(0), exited], ..report(0, 70) };
+    let exited = TaskReport {
+        phase: TaskPhase::Exited,
+        cause: Some("error".into()),
+        ..running_task(1)
+    };
+    let copy = Report {
+        token: BASE | 5,
+        notice_s: Some(20.0),
+        tasks: vec![running_task(0), exited],
+        ..report(0, 70)
+    };
     for wanted in [false, true] {
         let mut part = Part::new(0);
         part.next_owner();
         part.next_owner();
-        let wants = || if wanted { vec![want(0, 0), want(1, 0)] } else { Vec::new() };
+        let wants = || {
+            if wanted {
+                vec![want(0, 0), want(1, 0)]
+            } else {
+                Vec::new()
+            }
+        };
         part.pass(3 * TIMING.lease_ms);
         part.tell(wants());
-        assert!(part.owner.report(&copy, None, part.now).is_some(), "it may be a live one");
+        assert!(
+            part.owner.report(&copy, None, part.now).is_some(),
+            "it may be a live one"
+        );
         let mut asked = 0;
         let mut released = None;
         for step in 0..500 {
@@ -189,12 +261,23 @@
             for call in part.owner.calls(part.now, 4) {
                 assert!(call.commands.orders.is_empty(), "a question has no orders");
                 asked += 1;
-                part.owner.call_done(&call, CommandResult::NotSent, part.now);
+                part.owner
+                    .call_done(&call, CommandResult::NotSent, part.now);
             }
             let view = part.tell(wants());
-            assert!(view.machines.iter().all(|m| !m.up && !m.leaving), "{:?}", view.machines);
+            assert!(
+                view.machines.iter().all(|m| !m.up && !m.leaving),
+                "{:?}",
+                view.machines
+            );
             assert!(wanted || view.machines.is_empty(), "no room that boots");
-            assert!(view.attempts.iter().all(|a| a.standing == Standing::Gone && released.is_some()), "{:?}", view.attempts);
+            assert!(
+                view.attempts
+                    .iter()
+                    .all(|a| a.standing == Standing::Gone && released.is_some()),
+                "{:?}",
+                view.attempts
+            );
             let names = part.owner.releases();
             if !names.is_empty() {
                 released = Some(part.now);
@@ -203,7 +286,10 @@
         }
         assert!((1..=12).contains(&asked), "{asked} questions");
         assert!(released.is_some(), "nobody keeps it in mind for ever");
-        assert!(part.owner.report(&copy, None, part.now).is_none(), "it is gone");
+        assert!(
+            part.owner.report(&copy, None, part.now).is_none(),
+            "it is gone"
+        );
     }
 }
 
@@ -214,36 +300,61 @@
     let mut part = Part::new(1);
     part.tell(vec![want(0, 0)]);
     let mut said = Vec::new();
-    let done = TaskReport { phase: TaskPhase::Exited, cause: Some("done".into()), ..running_task(0) };
+    let done = TaskReport {
+        phase: TaskPhase::Exited,
+        cause: Some("done".into()),
+        ..running_task(0)
+    };
     for k in 0..40u64 {
         part.pass(3_000 * (k + 1));
-        let tasks = if (5..30).contains(&k) { vec![running_task(0)] } else { vec![done.clone()] };
+        let tasks = if (5..30).contains(&k) {
+            vec![running_task(0)]
+        } else {
+            vec![done.clone()]
+        };
         // Before its start it is not there.
         let tasks = if k < 5 { Vec::new() } else { tasks };
-        said.push(Report { token: part.tokens[0], tasks: tasks.clone(), ..report(0, part.seqs[0] + 1) });
+        said.push(Report {
+            token: part.tokens[0],
+            tasks: tasks.clone(),
+            ..report(0, part.seqs[0] + 1)
+        });
         part.report(0, None, true, tasks);
         part.tell(vec![want(0, 0)]);
     }
-    assert_eq!(standing(&part.tell(vec![want(0, 0)]), 0), Some(Standing::Exited(Cause::Done)));
+    assert_eq!(
+        standing(&part.tell(vec![want(0, 0)]), 0),
+        Some(Standing::Exited(Cause::Done))
+    );
     let mut order: Vec<usize> = (0..40).collect();
     order.sort_by_key(|k| k * 7_919 % 41);
     for &k in &order {
         part.now += 10;
         part.owner.report(&said[k], None, part.now);
         assert!(part.view(0, vec![want(0, 0)]).is_some_and(|m| m.open));
-        assert_eq!(standing(&part.tell(vec![want(0, 0)]), 0), Some(Standing::Exited(Cause::Done)));
+        assert_eq!(
+            standing(&part.tell(vec![want(0, 0)]), 0),
+            Some(Standing::Exited(Cause::Done))
+        );
     }
     part.next_owner();
     for &k in &order {
         part.now += 10;
         assert!(part.owner.report(&said[k], None, part.now).is_some());
         let view = part.tell(vec![want(0, 0)]);
-        assert!(view.attempts.is_empty(), "not judged from copies: {:?}", view.attempts);
+        assert!(
+            view.attempts.is_empty(),
+            "not judged from copies: {:?}",
+            view.attempts
+        );
     }
     // The machine's own next report is the first that shows the new token.
     part.report(0, None, true, vec![done.clone()]);
     part.report(0, None, true, vec![done]);
-    assert_eq!(standing(&part.tell(vec![want(0, 0)]), 0), Some(Standing::Exited(Cause::Done)));
+    assert_eq!(
+        standing(&part.tell(vec![want(0, 0)]), 0),
+        Some(Standing::Exited(Cause::Done))
+    );
 }
 
 /// Back at once and empty: believed with its second report, whichever session and
@@ -255,23 +366,59 @@
         part.tell(vec![want(0, 0)]);
         part.seqs[0] = 80;
         part.pass(3_000);
-        let before = |seq| Report { session, token: BASE, tasks: vec![running_task(0)], ..report(0, seq) };
+        let before = |seq| Report {
+            session,
+            token: BASE,
+            tasks: vec![running_task(0)],
+            ..report(0, seq)
+        };
         assert!(part.owner.report(&before(81), None, part.now).is_some());
-        assert_eq!(standing(&part.tell(vec![want(0, 0)]), 0), Some(Standing::Running));
+        assert_eq!(
+            standing(&part.tell(vec![want(0, 0)]), 0),
+            Some(Standing::Running)
+        );
         part.pass(if dead { 20_000 } else { 10_000 });
         // With no token, as a new worker; its answer gives one.
-        let token = part.owner.report(&report_with(1, 0), None, part.now).expect("answered").token;
+        let token = part
+            .owner
+            .report(&report_with(1, 0), None, part.now)
+            .expect("answered")
+            .token;
         part.now += 500;
-        let token = part.owner.report(&report_with(2, token), None, part.now).expect("answered").token;
+        let token = part
+            .owner
+            .report(&report_with(2, token), None, part.now)
+            .expect("answered")
+            .token;
         part.now += 500;
-        part.owner.report(&report_with(3, token), None, part.now).expect("answered");
+        part.owner
+            .report(&report_with(3, token), None, part.now)
+            .expect("answered");
         part.pass(part.now + 100);
-        assert_eq!(standing(&part.tell(vec![want(0, 0)]), 0), Some(Standing::Gone), "session {session}, dead {dead}");
-        assert!(part.view(0, vec![want(0, 0)]).is_some_and(|m| m.up && m.open));
+        assert_eq!(
+            standing(&part.tell(vec![want(0, 0)]), 0),
+            Some(Standing::Gone),
+            "session {session}, dead {dead}"
+        );
+        assert!(
+            part.view(0, vec![want(0, 0)])
+                .is_some_and(|m| m.up && m.open)
+        );
         // Its earlier life speaks up once more.
         part.owner.report(&before(90), None, part.now);
-        assert!(part.tell(vec![want(0, 0)]).attempts.iter().all(|a| a.standing == Standing::Gone));
-        let next = Want { id: lemonweir_model::AttemptId { attempt: 2, ..want(0, 0).id }, ..want(0, 0) };
+        assert!(
+            part.tell(vec![want(0, 0)])
+                .attempts
+                .iter()
+                .all(|a| a.standing == Standing::Gone)
+        );
+        let next = Want {
+            id: lemonweir_model::AttemptId {
+                attempt: 2,
+                ..want(0, 0).id
+            },
+            ..want(0, 0)
+        };
         part.tell(vec![next]);
         let call = part.call().expect("a start");
         assert_eq!((call.commands.session, call.commands.orders.len()), (1, 1));
@@ -280,7 +427,10 @@
 }
 
 fn report_with(seq: u64, token: u64) -> Report {
-    Report { token, ..report(0, seq) }
+    Report {
+        token,
+        ..report(0, seq)
+    }
 }
 
 /// The machine itself is asked where its second report doesn't come.
@@ -291,13 +441,29 @@
     part.pass(3_000);
     part.seqs[0] = 50;
     part.report(0, None, true, vec![running_task(0)]);
-    part.tell(vec![Want { kill: Some(0), ..want(0, 0) }]);
+    part.tell(vec![Want {
+        kill: Some(0),
+        ..want(0, 0)
+    }]);
     let call = part.call().expect("a stop");
-    part.owner.call_done(&call, CommandResult::Executed(report_with(1, call.commands.token)), part.now);
-    let question = part.call().expect("with a token that its earlier life can't have seen");
+    part.owner.call_done(
+        &call,
+        CommandResult::Executed(report_with(1, call.commands.token)),
+        part.now,
+    );
+    let question = part
+        .call()
+        .expect("with a token that its earlier life can't have seen");
     assert!(question.commands.token > call.commands.token);
-    part.owner.call_done(&question, CommandResult::Executed(report_with(2, question.commands.token)), part.now);
-    assert_eq!(standing(&part.tell(vec![want(0, 0)]), 0), Some(Standing::Gone));
+    part.owner.call_done(
+        &question,
+        CommandResult::Executed(report_with(2, question.commands.token)),
+        part.now,
+    );
+    assert_eq!(
+        standing(&part.tell(vec![want(0, 0)]), 0),
+        Some(Standing::Gone)
+    );
 }
 
 /// A new life has no token that would refuse an owner that was superseded: nothing is
@@ -324,7 +490,10 @@
 #[test]
 fn a_deaf_machine_that_goes_leaves_its_call_to_others() {
     let mut part = Part::new(2 * DEAF_CALLS);
-    let stopped = |n: usize| Want { kill: Some(0), ..want(n as u32, n) };
+    let stopped = |n: usize| Want {
+        kill: Some(0),
+        ..want(n as u32, n)
+    };
     let all: Vec<Want> = (0..2 * DEAF_CALLS).map(stopped).collect();
     for at in [3_000, 8_050, 13_100] {
         part.pass(at);
--- a/crates/lab/src/baseline.rs
+++ b/crates/lab/src/baseline.rs
@@ -90,8 +90,14 @@
     let machines: Vec<Machine> = scenario
         .kinds
         .iter()
-        .flat_map(|k| std::iter::repeat_n(k.machine.room, k.at_start as usize * scenario.zones.len()))
-        .map(|room| Machine { room, free: room, queue: VecDeque::new() })
+        .flat_map(|k| {
+            std::iter::repeat_n(k.machine.room, k.at_start as usize * scenario.zones.len())
+        })
+        .map(|room| Machine {
+            room,
+            free: room,
+            queue: VecDeque::new(),
+        })
         .collect();
     let mut run = Run {
         known: machines.iter().map(|m| m.room).collect(),
@@ -124,14 +130,21 @@
     }
     let end = (scenario.duration_s * 1e6) as u64;
     let mut events = 0;
-    while let Some(Reverse((at, _, event))) = run.queue.pop().filter(|Reverse((at, _, _))| *at <= end) {
+    while let Some(Reverse((at, _, event))) =
+        run.queue.pop().filter(|Reverse((at, _, _))| *at <= end)
+    {
         run.now = at;
         events += 1;
         run.handle(kind, event);
     }
     run.now = end;
     let (report, allocation) = run.report(kind, seed);
-    Outcome { report, allocation, events, wall_s: began.elapsed().as_secs_f64() }
+    Outcome {
+        report,
+        allocation,
+        events,
+        wall_s: began.elapsed().as_secs_f64(),
+    }
 }
 
 impl Run<'_> {
@@ -151,7 +164,8 @@
     }
 
     fn charge(&mut self, messages: u64, looks: u64) {
-        let us = (messages * self.scenario.costs.message_ns + looks * self.scenario.costs.look_ns) / 1_000;
+        let us = (messages * self.scenario.costs.message_ns + looks * self.scenario.costs.look_ns)
+            / 1_000;
         self.busy_until = self.busy_until.max(self.now) + us;
         self.busy_us += us;
         self.work.looks += looks;
@@ -167,7 +181,8 @@
                 self.wake(at);
             }
             (Event::Arrives(job), Kind::Sampler(d)) => {
-                self.history.note(self.now, "submit", &self.load[job].load.spec.id, &"");
+                self.history
+                    .note(self.now, "submit", &self.load[job].load.spec.id, &"");
                 (0..self.left[job]).for_each(|task| self.sample(job, task, d));
             }
             (Event::Place, _) => {
@@ -188,8 +203,14 @@
             (Event::Withdrawn(job), _) => {
                 self.withdrawn[job] = true;
                 self.waiting.remove(&(self.load[job].load.spec.rank, job));
-                let tasks: Vec<((usize, u32), usize)> = self.running.range((job, 0)..(job + 1, 0)).map(|(k, m)| (*k, *m)).collect();
-                tasks.into_iter().for_each(|((job, task), m)| self.end(kind, job, task, m));
+                let tasks: Vec<((usize, u32), usize)> = self
+                    .running
+                    .range((job, 0)..(job + 1, 0))
+                    .map(|(k, m)| (*k, *m))
+                    .collect();
+                tasks
+                    .into_iter()
+                    .for_each(|((job, task), m)| self.end(kind, job, task, m));
             }
         }
     }
@@ -216,7 +237,8 @@
             let mut chosen = Vec::new();
             while next < tasks {
                 let found = self.known.iter().position(|free| free.covers(&need));
-                let looked = found.map_or(self.known.len(), |i| i + 1) as u64 + self.known.len() as u64 / 64;
+                let looked =
+                    found.map_or(self.known.len(), |i| i + 1) as u64 + self.known.len() as u64 / 64;
                 self.charge(1, looked);
                 let Some(m) = found else { break };
                 self.known[m] = self.known[m].minus(&need);
@@ -255,7 +277,8 @@
             let there = self.travel();
             back = back.max(self.now + there + self.travel());
             if self.machines[m].room.covers(&need) {
-                let length = self.machines[m].queue.len() + usize::from(!self.machines[m].free.covers(&need));
+                let length = self.machines[m].queue.len()
+                    + usize::from(!self.machines[m].free.covers(&need));
                 best = best.min(Some((length, m))).or(Some((length, m)));
             }
         }
@@ -292,13 +315,17 @@
             return self.push(self.now, Event::Freed(job, m));
         }
         if !self.machines[m].free.covers(&need) {
-            self.broken.push(format!("{} ms: room given twice on machine {m}", self.now / 1_000));
+            self.broken.push(format!(
+                "{} ms: room given twice on machine {m}",
+                self.now / 1_000
+            ));
         }
         self.machines[m].free = self.machines[m].free.minus(&need);
         self.launched.insert((job, task), self.now);
         self.running.insert((job, task), m);
         let load = &self.load[job].load;
-        self.history.note(self.now, "up", &format!("{}/{task}", load.spec.id), &m);
+        self.history
+            .note(self.now, "up", &format!("{}/{task}", load.spec.id), &m);
         if load.spec.shape != Shape::Service {
             self.push(self.now + load.run_us(task), Event::Ends(job, task, m));
         }
@@ -311,7 +338,8 @@
         self.machines[m].free = self.machines[m].free.plus(&self.need(job));
         self.left[job] -= 1;
         if self.left[job] == 0 {
-            self.history.note(self.now, "ended", &self.load[job].load.spec.id, &"");
+            self.history
+                .note(self.now, "ended", &self.load[job].load.spec.id, &"");
             self.finished.insert(job, self.now);
         }
         match kind {
@@ -325,17 +353,25 @@
 
     fn report(self, kind: Kind, seed: u64) -> (Report, hdrhistogram::Histogram<u64>) {
         let mut whole = histogram();
-        let (mut pieces, mut waiting, mut finished) = (Named::default(), Named::default(), Named::default());
+        let (mut pieces, mut waiting, mut finished) =
+            (Named::default(), Named::default(), Named::default());
         for ((job, task), &at) in &self.launched {
             let planned = &self.load[*job];
             let (sent, pass) = self.sent.get(&(*job, *task)).copied().unwrap_or_default();
-            pieces.record("2 queueing", sent.saturating_sub(pass).saturating_sub(planned.at_us));
+            pieces.record(
+                "2 queueing",
+                sent.saturating_sub(pass).saturating_sub(planned.at_us),
+            );
             pieces.record("3 processing", pass);
             pieces.record("5 ordering", at.saturating_sub(sent));
             whole.record_us(at - planned.at_us);
             waiting.record(&planned.load.spec.class, at - planned.at_us);
         }
-        for (job, at) in self.finished.iter().filter(|(j, _)| self.load[**j].load.spec.shape != Shape::Service) {
+        for (job, at) in self
+            .finished
+            .iter()
+            .filter(|(j, _)| self.load[**j].load.spec.shape != Shape::Service)
+        {
             let planned = &self.load[*job];
             finished.record(&planned.load.spec.class, at - planned.at_us);
         }
@@ -347,7 +383,12 @@
             seed,
             simulated_s: self.now as f64 / 1e6,
             controllers: 1,
-            jobs: Jobs { submitted, accepted: submitted, refused: 0, over: self.finished.len() as u64 },
+            jobs: Jobs {
+                submitted,
+                accepted: submitted,
+                refused: 0,
+                over: self.finished.len() as u64,
+            },
             starts: self.launched.len() as u64,
             allocation: Spread::of(&whole),
             pieces: pieces.spreads(),
@@ -358,7 +399,10 @@
             killed_by_lease: 0,
             money: 0.0,
             useful: 0.0,
-            work: WorkReport { busiest: self.busy_us as f64 / self.now.max(1) as f64, ..self.work },
+            work: WorkReport {
+                busiest: self.busy_us as f64 / self.now.max(1) as f64,
+                ..self.work
+            },
             series: Vec::new(),
             broken: self.broken,
             lines,
--- a/crates/lab/src/checker.rs
+++ b/crates/lab/src/checker.rs
@@ -57,7 +57,11 @@
 impl Checker {
     /// A checker of these limits of teams.
     pub fn new(limits: BTreeMap<String, Room>, cancel_us: u64) -> Self {
-        Self { limits, cancel_us, ..Self::default() }
+        Self {
+            limits,
+            cancel_us,
+            ..Self::default()
+        }
     }
 
     fn fault(&mut self, now: u64, text: String) {
@@ -81,15 +85,26 @@
 
     /// True if so many more tasks of a job stay within its team's limit.
     pub fn within_limit(&self, spec: &JobSpec, tasks: u64) -> bool {
-        let used = self.used.get(&spec.team).copied().unwrap_or_default().plus(&spec.need().times(tasks));
-        self.limits.get(&spec.team).is_none_or(|limit| used.cpus <= limit.cpus && used.gpus <= limit.gpus)
+        let used = self
+            .used
+            .get(&spec.team)
+            .copied()
+            .unwrap_or_default()
+            .plus(&spec.need().times(tasks));
+        self.limits
+            .get(&spec.team)
+            .is_none_or(|limit| used.cpus <= limit.cpus && used.gpus <= limit.gpus)
     }
 
     /// True if no more tasks of a job may be in a zone.
     pub fn zone_is_full(&self, spec: &JobSpec, zone: &str) -> bool {
-        let Some(zones) = self.zones.get(&spec.id) else { return false };
+        let Some(zones) = self.zones.get(&spec.id) else {
+            return false;
+        };
         let here = u64::from(zones.get(zone).copied().unwrap_or(0));
-        let elsewhere = zones.iter().any(|(other, tasks)| other != zone && *tasks > 0);
+        let elsewhere = zones
+            .iter()
+            .any(|(other, tasks)| other != zone && *tasks > 0);
         spec.spread && here >= spec.tasks.div_ceil(2) || spec.one_zone && elsewhere
     }
 
@@ -109,21 +124,45 @@
     }
 
     /// A user who asked at `asked` was told something of a job; `None`: 404.
-    pub fn told(&mut self, job: &JobId, phase: Option<Phase>, accepted: bool, asked: u64, now: u64) {
-        let before = self.told.get(job).filter(|(_, at)| *at <= asked).map(|(phase, _)| *phase);
+    pub fn told(
+        &mut self,
+        job: &JobId,
+        phase: Option<Phase>,
+        accepted: bool,
+        asked: u64,
+        now: u64,
+    ) {
+        let before = self
+            .told
+            .get(job)
+            .filter(|(_, at)| *at <= asked)
+            .map(|(phase, _)| *phase);
         match phase {
             Some(Phase::Queued | Phase::Running) if self.orphaned(job, asked) => {
-                self.fault(now, format!("orphaned: {job} is called {phase:?}, and a job that it needs is cancelled"));
+                self.fault(
+                    now,
+                    format!(
+                        "orphaned: {job} is called {phase:?}, and a job that it needs is cancelled"
+                    ),
+                );
             }
             None if accepted => self.fault(now, format!("forgotten: {job} got 404")),
             Some(_) if !self.specs.contains_key(job) => self.fault(now, format!("invented: {job}")),
             Some(phase) if before.is_some_and(|o| o != phase) => {
-                self.fault(now, format!("went_back: {job} was called {before:?} and is called {phase:?}"));
+                self.fault(
+                    now,
+                    format!("went_back: {job} was called {before:?} and is called {phase:?}"),
+                );
             }
             Some(Phase::Done) if self.over.get(job) != Some(&Phase::Done) => {
-                self.fault(now, format!("not_done: {job} is called done, but its end is not written"));
+                self.fault(
+                    now,
+                    format!("not_done: {job} is called done, but its end is not written"),
+                );
+            }
+            Some(phase @ (Phase::Done | Phase::Withdrawn)) => {
+                drop(self.told.entry(job.clone()).or_insert((phase, now)))
             }
-            Some(phase @ (Phase::Done | Phase::Withdrawn)) => drop(self.told.entry(job.clone()).or_insert((phase, now))),
             _ => {}
         }
     }
@@ -133,8 +172,18 @@
     fn orphaned(&self, job: &JobId, asked: u64) -> bool {
         let (mut queue, mut seen) = (vec![job], BTreeSet::new());
         while let Some(job) = queue.pop() {
-            for awaited in self.specs.get(job).into_iter().flat_map(|spec| &spec.awaits).filter(|awaited| seen.insert(*awaited)) {
-                if self.withdrawn.get(awaited).is_some_and(|at| asked > at + self.cancel_us) {
+            for awaited in self
+                .specs
+                .get(job)
+                .into_iter()
+                .flat_map(|spec| &spec.awaits)
+                .filter(|awaited| seen.insert(*awaited))
+            {
+                if self
+                    .withdrawn
+                    .get(awaited)
+                    .is_some_and(|at| asked > at + self.cancel_us)
+                {
                     return true;
                 }
                 queue.push(awaited);
@@ -151,15 +200,27 @@
     /// A transaction was made: ends of jobs must be true.
     pub fn written(&mut self, txn: &Txn, now: u64) {
         for w in &txn.writes {
-            let Write::Put { key, value, .. } = w else { continue };
-            let Some(id) = key.strip_prefix("end/").map(JobId::from) else { continue };
+            let Write::Put { key, value, .. } = w else {
+                continue;
+            };
+            let Some(id) = key.strip_prefix("end/").map(JobId::from) else {
+                continue;
+            };
             match from_value(value) {
                 Some(EndRecord { phase: Phase::Done }) => {}
-                Some(EndRecord { phase: Phase::Withdrawn }) => {
+                Some(EndRecord {
+                    phase: Phase::Withdrawn,
+                }) => {
                     // Any node may tell it from now on. Stricter than the page:
                     // nothing of it may be on a machine even now.
                     if self.tasks_on(&id) > 0 {
-                        self.fault(now, format!("ran_cancelled: {id} is called withdrawn with {} tasks on machines", self.tasks_on(&id)));
+                        self.fault(
+                            now,
+                            format!(
+                                "ran_cancelled: {id} is called withdrawn with {} tasks on machines",
+                                self.tasks_on(&id)
+                            ),
+                        );
                     }
                     self.withdrawn(&id, now);
                     continue;
@@ -169,7 +230,10 @@
             let tasks = self.specs.get(&id).map_or(0, |s| s.tasks);
             let done = self.done.remove(&id).map_or(0, |d| d.len() as u64);
             if done < tasks {
-                self.fault(now, format!("not_done: {id} is called done with {done} of {tasks} tasks"));
+                self.fault(
+                    now,
+                    format!("not_done: {id} is called done with {done} of {tasks} tasks"),
+                );
             }
             if self.over.insert(id.clone(), Phase::Done) == Some(Phase::Withdrawn) {
                 self.fault(now, format!("went_back: {id} was withdrawn and is done"));
@@ -190,39 +254,74 @@
         self.last_start.insert(job.clone(), now);
         let key = (job.clone(), task);
         if self.on.get(&key).is_some_and(|places| !places.is_empty()) {
-            self.fault(now, format!("ran_twice: {job}/{task} starts on {}, is on {:?}", place.machine, self.on[&key]));
+            self.fault(
+                now,
+                format!(
+                    "ran_twice: {job}/{task} starts on {}, is on {:?}",
+                    place.machine, self.on[&key]
+                ),
+            );
         }
         // Stricter than the page, which allows it for `cancel_s`.
         if self.withdrawn.contains_key(job) {
-            self.fault(now, format!("ran_cancelled: {job}/{task} starts after its cancellation was confirmed"));
+            self.fault(
+                now,
+                format!("ran_cancelled: {job}/{task} starts after its cancellation was confirmed"),
+            );
         }
-        let Some(spec) = self.specs.get(job).cloned() else { return self.fault(now, format!("unknown job {job}")) };
-        if let Some(awaited) = spec.awaits.iter().find(|awaited| self.over.get(*awaited) != Some(&Phase::Done)) {
-            self.fault(now, format!("too_early: {job}/{task} starts before {awaited} is done"));
+        let Some(spec) = self.specs.get(job).cloned() else {
+            return self.fault(now, format!("unknown job {job}"));
+        };
+        if let Some(awaited) = spec
+            .awaits
+            .iter()
+            .find(|awaited| self.over.get(*awaited) != Some(&Phase::Done))
+        {
+            self.fault(
+                now,
+                format!("too_early: {job}/{task} starts before {awaited} is done"),
+            );
         }
         let zones = self.zones.entry(job.clone()).or_default();
         let elsewhere = zones.iter().any(|(z, n)| z != place.zone && *n > 0);
         let here = zones.entry(place.zone.to_owned()).or_default();
         *here += 1;
         let crowded = spec.spread && u64::from(*here) > spec.tasks.div_ceil(2);
-        let other_type = spec.types.as_ref().is_some_and(|t| !t.iter().any(|t| t == place.kind));
+        let other_type = spec
+            .types
+            .as_ref()
+            .is_some_and(|t| !t.iter().any(|t| t == place.kind));
         let wrong = other_type
             .then_some("type")
-            .or(spec.zone.as_ref().is_some_and(|z| z != place.zone).then_some("zone"))
+            .or(spec
+                .zone
+                .as_ref()
+                .is_some_and(|z| z != place.zone)
+                .then_some("zone"))
             .or((place.spot && !spec.spot).then_some("kind"))
             .or((spec.one_zone && elsewhere).then_some("zone, given the others,"))
             .or(crowded.then_some("zone: one too many"));
         if let Some(what) = wrong {
-            self.fault(now, format!("wrong_place: {job}/{task} starts on a wrong {what}"));
+            self.fault(
+                now,
+                format!("wrong_place: {job}/{task} starts on a wrong {what}"),
+            );
         }
-        self.on.entry(key).or_default().push((place.machine, place.zone.to_owned()));
+        self.on
+            .entry(key)
+            .or_default()
+            .push((place.machine, place.zone.to_owned()));
         if self.withdrawn.contains_key(job) {
             self.lingering.insert(job.clone());
         }
         let used = self.used.entry(spec.team.clone()).or_default();
         *used = used.plus(&spec.need());
         let used = *used;
-        if self.limits.get(&spec.team).is_some_and(|l| used.cpus > l.cpus || used.gpus > l.gpus) {
+        if self
+            .limits
+            .get(&spec.team)
+            .is_some_and(|l| used.cpus > l.cpus || used.gpus > l.gpus)
+        {
             self.fault(now, format!("quota: team {} uses {used:?}", spec.team));
         }
     }
@@ -230,8 +329,12 @@
     /// A task left its machine.
     pub fn left(&mut self, job: &JobId, task: u32, machine: usize) {
         let key = (job.clone(), task);
-        let Some(places) = self.on.get_mut(&key) else { return };
-        let Some(i) = places.iter().position(|(m, _)| *m == machine) else { return };
+        let Some(places) = self.on.get_mut(&key) else {
+            return;
+        };
+        let Some(i) = places.iter().position(|(m, _)| *m == machine) else {
+            return;
+        };
         let (_, zone) = places.swap_remove(i);
         if places.is_empty() {
             self.on.remove(&key);
@@ -252,20 +355,29 @@
 
     /// A task's start order was taken: no other attempt of its gang may be live.
     pub fn launched(&mut self, id: &AttemptId, now: u64) {
-        if self.specs.get(&id.job).is_none_or(|s| s.shape != Shape::Gang || s.tasks < 2) {
+        if self
+            .specs
+            .get(&id.job)
+            .is_none_or(|s| s.shape != Shape::Gang || s.tasks < 2)
+        {
             return;
         }
         let attempts = self.gangs.entry(id.job.clone()).or_default();
         *attempts.entry(id.attempt).or_default() += 1;
         if attempts.len() > 1 {
-            let text = format!("two_attempts: {} starts with {attempts:?} of its gang live", id.piece());
+            let text = format!(
+                "two_attempts: {} starts with {attempts:?} of its gang live",
+                id.piece()
+            );
             self.fault(now, text);
         }
     }
 
     /// A task exited, or is gone with its machine.
     pub fn gang_task_over(&mut self, id: &AttemptId) {
-        let Some(attempts) = self.gangs.get_mut(&id.job) else { return };
+        let Some(attempts) = self.gangs.get_mut(&id.job) else {
+            return;
+        };
         if let Some(n) = attempts.get_mut(&id.attempt) {
             *n -= 1;
         }
@@ -285,18 +397,36 @@
     /// With all troubles over since `calm`, no job goes without an answer.
     pub fn check_answers(&mut self, calm: u64, now: u64) {
         let late = |at: &u64| (*at).max(calm) + FORGOTTEN_US < now;
-        let mut forgotten: Vec<JobId> = self.asked.iter().filter(|(_, at)| late(at)).map(|(job, _)| job.clone()).collect();
+        let mut forgotten: Vec<JobId> = self
+            .asked
+            .iter()
+            .filter(|(_, at)| late(at))
+            .map(|(job, _)| job.clone())
+            .collect();
         forgotten.sort_unstable();
         for job in forgotten {
             self.asked.remove(&job);
-            self.fault(now, format!("forgotten: no question about {job} is answered for 75 s"));
+            self.fault(
+                now,
+                format!("forgotten: no question about {job} is answered for 75 s"),
+            );
         }
     }
 
     /// Tasks of withdrawn jobs must be gone in time.
     pub fn check_time(&mut self, now: u64) {
-        let late = |job: &&JobId| self.withdrawn.get(*job).is_some_and(|&at| now > at + self.cancel_us);
-        for job in self.lingering.iter().filter(late).cloned().collect::<Vec<_>>() {
+        let late = |job: &&JobId| {
+            self.withdrawn
+                .get(*job)
+                .is_some_and(|&at| now > at + self.cancel_us)
+        };
+        for job in self
+            .lingering
+            .iter()
+            .filter(late)
+            .cloned()
+            .collect::<Vec<_>>()
+        {
             self.fault(now, format!("ran_cancelled: {job} still runs"));
             self.lingering.remove(&job);
         }
--- a/crates/lab/src/cloud.rs
+++ b/crates/lab/src/cloud.rs
@@ -39,27 +39,64 @@
 impl Cloud {
     /// A cloud with the scenario's types.
     pub fn new(scenario: &Scenario) -> Self {
-        let prices = scenario.kinds.iter().map(|k| (k.machine.price, k.machine.spot_price)).collect();
-        Self { down: false, bookings: HashMap::new(), machines: BTreeMap::new(), prices, spent: 0.0, count: BTreeMap::new() }
+        let prices = scenario
+            .kinds
+            .iter()
+            .map(|k| (k.machine.price, k.machine.spot_price))
+            .collect();
+        Self {
+            down: false,
+            bookings: HashMap::new(),
+            machines: BTreeMap::new(),
+            prices,
+            spent: 0.0,
+            count: BTreeMap::new(),
+        }
     }
 
     /// Machines of a kind that can still be rented in a zone.
     pub fn left(&self, kind: usize, zone: &str, spot: bool, scenario: &Scenario) -> u32 {
         let (ordinary, cheap) = scenario.kinds[kind].capacity;
         let most = if spot { cheap } else { ordinary };
-        most.saturating_sub(self.count.get(&(kind, zone.to_owned(), spot)).copied().unwrap_or(0))
+        most.saturating_sub(
+            self.count
+                .get(&(kind, zone.to_owned(), spot))
+                .copied()
+                .unwrap_or(0),
+        )
     }
 
     /// A machine was rented.
     #[allow(clippy::too_many_arguments)]
-    pub fn add(&mut self, number: usize, kind: usize, zone: &str, spot: bool, from: u64, up_at: u64, id: MachineId) {
+    pub fn add(
+        &mut self,
+        number: usize,
+        kind: usize,
+        zone: &str,
+        spot: bool,
+        from: u64,
+        up_at: u64,
+        id: MachineId,
+    ) {
         *self.count.entry((kind, zone.to_owned(), spot)).or_default() += 1;
-        self.machines.insert(number, Rented { id, kind, zone: zone.to_owned(), spot, from, up_at, gone: None });
+        self.machines.insert(
+            number,
+            Rented {
+                id,
+                kind,
+                zone: zone.to_owned(),
+                spot,
+                from,
+                up_at,
+                gone: None,
+            },
+        );
     }
 
     /// A machine is no more.
     pub fn gone(&mut self, number: usize, now: u64) {
-        self.machines.retain(|_, m| m.gone.is_none_or(|at| now < at + KEEP_GONE_US));
+        self.machines
+            .retain(|_, m| m.gone.is_none_or(|at| now < at + KEEP_GONE_US));
         if let Some(m) = self.machines.get_mut(&number)
             && m.gone.is_none()
         {
@@ -73,7 +110,13 @@
 
     /// Money spent until now.
     pub fn spent(&self, now: u64) -> f64 {
-        self.spent + self.machines.values().filter(|m| m.gone.is_none()).map(|m| cost(&self.prices, m, now)).sum::<f64>()
+        self.spent
+            + self
+                .machines
+                .values()
+                .filter(|m| m.gone.is_none())
+                .map(|m| cost(&self.prices, m, now))
+                .sum::<f64>()
     }
 
     /// Machines that a list holds.
@@ -98,6 +141,7 @@
 
 fn cost(prices: &[(f64, f64)], m: &Rented, now: u64) -> f64 {
     let (price, spot_price) = prices[m.kind];
-    let held_s = (now.saturating_sub(m.from) as f64 / 1e6).max(if m.gone.is_some() { LEAST_S } else { 0.0 });
+    let held_s =
+        (now.saturating_sub(m.from) as f64 / 1e6).max(if m.gone.is_some() { LEAST_S } else { 0.0 });
     held_s / 3_600.0 * if m.spot { spot_price } else { price }
 }
