--- a/crates/lab/src/compare.rs
+++ b/crates/lab/src/compare.rs
@@ -27,7 +27,9 @@
             None => (number(text)?, number(text)?),
         };
         if last < first || last - first >= 100_000 {
-            return Err(format!("{text}: must be FIRST..LAST, at most 100,000 seeds"));
+            return Err(format!(
+                "{text}: must be FIRST..LAST, at most 100,000 seeds"
+            ));
         }
         Ok(Self((first..=last).collect()))
     }
@@ -37,7 +39,10 @@
 /// seeds, whatever the threads.
 pub fn each<T: Send>(seeds: &Seeds, jobs: usize, work: impl Fn(u64) -> T + Sync) -> Vec<T> {
     let bar = ProgressBar::new(seeds.0.len() as u64);
-    bar.set_style(ProgressStyle::with_template("{bar:30} {pos}/{len} runs, {eta} left").unwrap_or_else(|_| ProgressStyle::default_bar()));
+    bar.set_style(
+        ProgressStyle::with_template("{bar:30} {pos}/{len} runs, {eta} left")
+            .unwrap_or_else(|_| ProgressStyle::default_bar()),
+    );
     let next = AtomicUsize::new(0);
     let done: Mutex<Vec<(usize, T)>> = Mutex::new(Vec::new());
     std::thread::scope(|scope| {
@@ -48,7 +53,9 @@
                     let Some(&seed) = seeds.0.get(i) else { return };
                     let result = work(seed);
                     bar.inc(1);
-                    done.lock().unwrap_or_else(|e| e.into_inner()).push((i, result));
+                    done.lock()
+                        .unwrap_or_else(|e| e.into_inner())
+                        .push((i, result));
                 }
             });
         }
@@ -68,7 +75,11 @@
     jobs: usize,
 ) -> Result<Vec<Outcome>, String> {
     let source = || workload.map_or(Source::Synthetic, |w| Source::Workload(w.clone()));
-    each(seeds, jobs, |seed| run::once(scenario.clone(), source(), placer, seed, None)).into_iter().collect()
+    each(seeds, jobs, |seed| {
+        run::once(scenario.clone(), source(), placer, seed, None)
+    })
+    .into_iter()
+    .collect()
 }
 
 /// The figures that runs are compared by.
@@ -112,7 +123,12 @@
 pub fn summary(outcomes: &[Outcome]) -> String {
     let mut out = String::new();
     let rows: Vec<Vec<(String, f64)>> = outcomes.iter().map(|o| figures(&o.report)).collect();
-    let names: Vec<&String> = rows.first().into_iter().flatten().map(|(name, _)| name).collect();
+    let names: Vec<&String> = rows
+        .first()
+        .into_iter()
+        .flatten()
+        .map(|(name, _)| name)
+        .collect();
     for name in names {
         let (mean, half) = confidence(&column(&rows, name));
         let _ = writeln!(out, "  {name:<32} {mean:>14.3} ± {half:.3}");
@@ -121,7 +137,9 @@
 }
 
 fn column(rows: &[Vec<(String, f64)>], name: &str) -> Vec<f64> {
-    rows.iter().filter_map(|row| row.iter().find(|(n, _)| n == name).map(|(_, x)| *x)).collect()
+    rows.iter()
+        .filter_map(|row| row.iter().find(|(n, _)| n == name).map(|(_, x)| *x))
+        .collect()
 }
 
 /// Two sweeps of the same seeds side by side, with the difference seed by seed.
@@ -129,17 +147,34 @@
     let mut out = String::new();
     let rows = |list: &[Outcome]| list.iter().map(|o| figures(&o.report)).collect::<Vec<_>>();
     let (left, right) = (rows(a), rows(b));
-    let names: Vec<&String> = left.first().into_iter().flatten().map(|(name, _)| name).collect();
-    let _ = writeln!(out, "  {:<32} {:>14} {:>14} {:>14}   95 % of the difference", "", "A", "B", "B - A");
+    let names: Vec<&String> = left
+        .first()
+        .into_iter()
+        .flatten()
+        .map(|(name, _)| name)
+        .collect();
+    let _ = writeln!(
+        out,
+        "  {:<32} {:>14} {:>14} {:>14}   95 % of the difference",
+        "", "A", "B", "B - A"
+    );
     for name in names {
         let (x, y) = (column(&left, name), column(&right, name));
         if x.len() != y.len() {
             continue;
         }
         let by_seed: Vec<f64> = x.iter().zip(&y).map(|(x, y)| y - x).collect();
-        let ((ma, _), (mb, _), (diff, half)) = (confidence(&x), confidence(&y), confidence(&by_seed));
-        let sure = if diff.abs() >= half { "" } else { "  (not sure)" };
-        let _ = writeln!(out, "  {name:<32} {ma:>14.3} {mb:>14.3} {diff:>14.3}   ± {half:.3}{sure}");
+        let ((ma, _), (mb, _), (diff, half)) =
+            (confidence(&x), confidence(&y), confidence(&by_seed));
+        let sure = if diff.abs() >= half {
+            ""
+        } else {
+            "  (not sure)"
+        };
+        let _ = writeln!(
+            out,
+            "  {name:<32} {ma:>14.3} {mb:>14.3} {diff:>14.3}   ± {half:.3}{sure}"
+        );
     }
     out
 }
--- a/crates/lab/src/fields.rs
+++ b/crates/lab/src/fields.rs
@@ -16,13 +16,19 @@
 impl<'a> Faults<'a> {
     /// Of a file of this name and text.
     pub fn new(file: &'a str, text: &'a str) -> Self {
-        Self { file, text, list: RefCell::default() }
+        Self {
+            file,
+            text,
+            list: RefCell::default(),
+        }
     }
 
     /// Notes a fault at a byte of the file.
     pub fn note(&self, at: usize, field: &str, what: &str) {
         let line = self.text[..at.min(self.text.len())].matches('\n').count() + 1;
-        self.list.borrow_mut().push((line, format!("{}:{line}: {field}: {what}", self.file)));
+        self.list
+            .borrow_mut()
+            .push((line, format!("{}:{line}: {field}: {what}", self.file)));
     }
 
     /// All of them in the order of their lines.
@@ -45,16 +51,29 @@
 impl<'a> Section<'a> {
     /// The file's own table.
     pub fn root(faults: &'a Faults<'a>, table: &'a DeTable<'a>) -> Self {
-        Self { faults, path: String::new(), at: 0, table: Some(table), asked: RefCell::default() }
+        Self {
+            faults,
+            path: String::new(),
+            at: 0,
+            table: Some(table),
+            asked: RefCell::default(),
+        }
     }
 
     fn full(&self, name: &str) -> String {
-        if self.path.is_empty() { name.to_owned() } else { format!("{}.{name}", self.path) }
+        if self.path.is_empty() {
+            name.to_owned()
+        } else {
+            format!("{}.{name}", self.path)
+        }
     }
 
     fn find(&self, name: &str) -> Option<(usize, &'a DeValue<'a>)> {
         self.asked.borrow_mut().insert(name.to_owned());
-        let (_, value) = self.table?.iter().find(|(key, _)| key.get_ref().as_ref() == name)?;
+        let (_, value) = self
+            .table?
+            .iter()
+            .find(|(key, _)| key.get_ref().as_ref() == name)?;
         Some((value.span().start, value.get_ref()))
     }
 
@@ -84,7 +103,9 @@
         };
         match as_number(value).filter(|x| (low..=high).contains(x)) {
             Some(x) => x,
-            None => self.wrong(at, name, &format!("must be a number from {low} to {high}")).unwrap_or(low),
+            None => self
+                .wrong(at, name, &format!("must be a number from {low} to {high}"))
+                .unwrap_or(low),
         }
     }
 
@@ -136,10 +157,26 @@
 
     /// A list of texts.
     pub fn texts(&self, name: &str) -> Vec<String> {
-        let Some((at, value)) = self.find(name) else { return Vec::new() };
-        let DeValue::Array(list) = value else { return self.wrong(at, name, "must be a list of texts").unwrap_or_default() };
-        let text = |v: &DeValue<'_>| if let DeValue::String(s) = v { Some(s.to_string()) } else { None };
-        list.iter().filter_map(|v| text(v.get_ref()).or_else(|| self.wrong(v.span().start, name, "must be a text"))).collect()
+        let Some((at, value)) = self.find(name) else {
+            return Vec::new();
+        };
+        let DeValue::Array(list) = value else {
+            return self
+                .wrong(at, name, "must be a list of texts")
+                .unwrap_or_default();
+        };
+        let text = |v: &DeValue<'_>| {
+            if let DeValue::String(s) = v {
+                Some(s.to_string())
+            } else {
+                None
+            }
+        };
+        list.iter()
+            .filter_map(|v| {
+                text(v.get_ref()).or_else(|| self.wrong(v.span().start, name, "must be a text"))
+            })
+            .collect()
     }
 
     /// A table; an empty one if it is absent.
@@ -149,17 +186,35 @@
             Some((at, _)) => (at, self.wrong(at, name, "must be a table")),
             None => (self.at, None),
         };
-        Section { faults: self.faults, path: self.full(name), at, table, asked: RefCell::default() }
+        Section {
+            faults: self.faults,
+            path: self.full(name),
+            at,
+            table,
+            asked: RefCell::default(),
+        }
     }
 
     /// A list of tables.
     pub fn tables(&self, name: &str) -> Vec<Section<'a>> {
-        let Some((at, value)) = self.find(name) else { return Vec::new() };
-        let DeValue::Array(list) = value else { return self.wrong(at, name, "must be a list of tables").unwrap_or_default() };
+        let Some((at, value)) = self.find(name) else {
+            return Vec::new();
+        };
+        let DeValue::Array(list) = value else {
+            return self
+                .wrong(at, name, "must be a list of tables")
+                .unwrap_or_default();
+        };
         let section = |(i, v): (usize, &'a toml::Spanned<DeValue<'a>>)| match v.get_ref() {
             DeValue::Table(t) => {
                 let path = format!("{}[{i}]", self.full(name));
-                Some(Section { faults: self.faults, path, at: v.span().start, table: Some(t), asked: RefCell::default() })
+                Some(Section {
+                    faults: self.faults,
+                    path,
+                    at: v.span().start,
+                    table: Some(t),
+                    asked: RefCell::default(),
+                })
             }
             _ => self.wrong(v.span().start, name, "must be a table"),
         };
@@ -175,8 +230,14 @@
 impl Drop for Section<'_> {
     fn drop(&mut self) {
         let asked = self.asked.borrow();
-        for (key, _) in self.table.into_iter().flat_map(|t| t.iter()).filter(|(k, _)| !asked.contains(k.get_ref().as_ref())) {
-            self.faults.note(key.span().start, &self.full(key.get_ref()), "unknown field");
+        for (key, _) in self
+            .table
+            .into_iter()
+            .flat_map(|t| t.iter())
+            .filter(|(k, _)| !asked.contains(k.get_ref().as_ref()))
+        {
+            self.faults
+                .note(key.span().start, &self.full(key.get_ref()), "unknown field");
         }
     }
 }
@@ -184,7 +245,9 @@
 /// A number of either kind.
 pub fn as_number(value: &DeValue<'_>) -> Option<f64> {
     match value {
-        DeValue::Integer(i) => i64::from_str_radix(i.as_str(), i.radix()).ok().map(|x| x as f64),
+        DeValue::Integer(i) => i64::from_str_radix(i.as_str(), i.radix())
+            .ok()
+            .map(|x| x as f64),
         DeValue::Float(f) => f.as_str().parse().ok().filter(|x: &f64| x.is_finite()),
         _ => None,
     }
--- a/crates/lab/src/ground.rs
+++ b/crates/lab/src/ground.rs
@@ -24,7 +24,10 @@
 impl Load {
     /// Run time of one task, µs.
     pub fn run_us(&self, task: u32) -> u64 {
-        self.run_us.get(task as usize % self.run_us.len().max(1)).copied().unwrap_or(0)
+        self.run_us
+            .get(task as usize % self.run_us.len().max(1))
+            .copied()
+            .unwrap_or(0)
     }
 }
 
@@ -43,7 +46,10 @@
 impl Gang {
     /// Its tasks that are there, with their machines.
     fn members(&self) -> Vec<(u32, usize)> {
-        self.present.iter().map(|(task, machine)| (*task, *machine)).collect()
+        self.present
+            .iter()
+            .map(|(task, machine)| (*task, *machine))
+            .collect()
     }
 }
 
@@ -122,12 +128,21 @@
     }
 
     pub(crate) fn gang(&mut self, id: &AttemptId) -> Option<&mut Gang> {
-        let gang = self.jobs.get(&id.job).is_some_and(|l| l.spec.shape == Shape::Gang && l.spec.tasks > 1);
-        if gang { Some(self.gangs.entry((id.job.clone(), id.attempt)).or_default()) } else { None }
+        let gang = self
+            .jobs
+            .get(&id.job)
+            .is_some_and(|l| l.spec.shape == Shape::Gang && l.spec.tasks > 1);
+        if gang {
+            Some(self.gangs.entry((id.job.clone(), id.attempt)).or_default())
+        } else {
+            None
+        }
     }
 
     pub(crate) fn finished(&mut self, id: &AttemptId, worked_us: u64) {
-        let Some(load) = self.jobs.get(&id.job) else { return };
+        let Some(load) = self.jobs.get(&id.job) else {
+            return;
+        };
         let (need, tasks) = (load.spec.need(), load.spec.tasks as u32);
         self.useful += u128::from(worked_us) * u128::from(need.cpus);
         if load.spec.shape == Shape::Gang && tasks > 1 {
@@ -158,9 +173,15 @@
 
     /// A gang's task is there with its image; the last one starts all.
     pub(crate) fn gather(&mut self, id: &AttemptId, machine: usize, speed: f64, now: u64) {
-        let Some(load) = self.jobs.get(&id.job) else { return };
+        let Some(load) = self.jobs.get(&id.job) else {
+            return;
+        };
         let (tasks, work) = (load.spec.tasks as usize, load.run_us(0));
-        let base = self.saved.get(&(id.job.clone(), WHOLE)).copied().unwrap_or(0);
+        let base = self
+            .saved
+            .get(&(id.job.clone(), WHOLE))
+            .copied()
+            .unwrap_or(0);
         let Some(gang) = self.gang(id) else { return };
         gang.present.insert(id.task, machine);
         // The slowest machine's speed: it is kept with the gang as tasks gather.
@@ -173,7 +194,11 @@
         let until = now + ((work.saturating_sub(base)) as f64 / slowest) as u64;
         let members = gang.members();
         self.begun.entry(id.job.clone()).or_insert(now);
-        self.calls.extend(members.into_iter().map(|(task, m)| Call::Run(m, AttemptId { task, ..id.clone() }, until)));
+        self.calls.extend(
+            members
+                .into_iter()
+                .map(|(task, m)| Call::Run(m, AttemptId { task, ..id.clone() }, until)),
+        );
     }
 
     /// A gang's task is no more on its machine, or was stopped without saving.
@@ -182,7 +207,12 @@
         let spec = self.jobs.get(&id.job).map(|l| l.spec.clone());
         let Some(gang) = self.gang(id) else { return };
         let there = gang.present.remove(&id.task).is_some();
-        let Some((at, base, speed)) = gang.started.filter(|(at, _, _)| *at != NEVER && there && !gang.over) else { return };
+        let Some((at, base, speed)) = gang
+            .started
+            .filter(|(at, _, _)| *at != NEVER && there && !gang.over)
+        else {
+            return;
+        };
         gang.over = true;
         let end = gang.stopping.unwrap_or(now);
         let members = gang.members();
@@ -193,7 +223,11 @@
         }
         // They notice at some time within the bound, spread over their numbers.
         let notice = |task: u32| now + peer_us * u64::from(task % 7 + 1) / 7;
-        self.calls.extend(members.into_iter().map(|(task, m)| Call::Peers(m, AttemptId { task, ..id.clone() }, notice(task))));
+        self.calls.extend(
+            members
+                .into_iter()
+                .map(|(task, m)| Call::Peers(m, AttemptId { task, ..id.clone() }, notice(task))),
+        );
     }
 
     /// A running gang's task was told to stop with enough time to save.
@@ -207,11 +241,22 @@
         let complete = members.iter().all(|(t, _)| gang.told.contains(t));
         if complete && now <= first + peer_us && !gang.over {
             gang.over = true;
-            let progress = gang.started.map_or(0, |(at, base, speed)| base + (first.saturating_sub(at) as f64 * speed) as u64);
+            let progress = gang.started.map_or(0, |(at, base, speed)| {
+                base + (first.saturating_sub(at) as f64 * speed) as u64
+            });
             self.saved.insert((id.job.clone(), WHOLE), progress);
-            self.calls.extend(members.into_iter().map(|(t, m)| Call::Stopped(m, whole(t), now + flush_us, true)));
+            self.calls.extend(
+                members
+                    .into_iter()
+                    .map(|(t, m)| Call::Stopped(m, whole(t), now + flush_us, true)),
+            );
         } else if first == now {
-            self.calls.extend(members.into_iter().filter(|(t, _)| *t != id.task).map(|(t, m)| Call::Pause(m, whole(t))));
+            self.calls.extend(
+                members
+                    .into_iter()
+                    .filter(|(t, _)| *t != id.task)
+                    .map(|(t, m)| Call::Pause(m, whole(t))),
+            );
             self.calls.push(Call::Look(id.clone(), first + peer_us));
         }
     }
@@ -227,7 +272,11 @@
         self.lose(id, now);
         for (task, m) in members {
             let id = AttemptId { task, ..id.clone() };
-            self.calls.push(if told.contains(&task) { Call::Stopped(m, id, now, false) } else { Call::Peers(m, id, now) });
+            self.calls.push(if told.contains(&task) {
+                Call::Stopped(m, id, now, false)
+            } else {
+                Call::Peers(m, id, now)
+            });
         }
     }
 }
--- a/crates/lab/src/history.rs
+++ b/crates/lab/src/history.rs
@@ -13,7 +13,11 @@
 impl History {
     /// An empty history, written to `sink` as it grows, if there is one.
     pub fn new(sink: Option<Box<dyn Write + Send>>) -> Self {
-        Self { hasher: blake3::Hasher::new(), lines: 0, sink }
+        Self {
+            hasher: blake3::Hasher::new(),
+            lines: 0,
+            sink,
+        }
     }
 
     /// Notes that something happened at `at` µs.
--- a/crates/lab/src/host.rs
+++ b/crates/lab/src/host.rs
@@ -216,10 +216,19 @@
 
     /// Its process starts.
     pub fn boot(&mut self, scenario: &Scenario, number: usize, now: u64) {
-        let mut core = Core::new(Config::new(&scenario.settings(number)), scenario.policy.clone());
+        let mut core = Core::new(
+            Config::new(&scenario.settings(number)),
+            scenario.policy.clone(),
+        );
         core.set_catalog(scenario.catalog());
         let (life, work) = (self.life + 1, self.work);
-        *self = Self { core: Some(core), life, work, busy_until: now, ..Self::new(scenario) };
+        *self = Self {
+            core: Some(core),
+            life,
+            work,
+            busy_until: now,
+            ..Self::new(scenario)
+        };
     }
 
     /// Its process ends.
@@ -231,6 +240,8 @@
 
     /// Parts that it holds.
     pub fn holds(&self, part: u16) -> bool {
-        self.core.as_ref().is_some_and(|c| c.held().iter().any(|l| l.part == part))
+        self.core
+            .as_ref()
+            .is_some_and(|c| c.held().iter().any(|l| l.part == part))
     }
 }
--- a/crates/lab/src/hunt.rs
+++ b/crates/lab/src/hunt.rs
@@ -107,9 +107,17 @@
     // Some days bring a guest, and jobs with a mistake.
     let mut guest = String::new();
     if rng.random_range(0..3) == 0 {
-        let _ = write!(guest, "[[class]]\nteams = ['guest']\n{}", guests(&mut rng, machines));
+        let _ = write!(
+            guest,
+            "[[class]]\nteams = ['guest']\n{}",
+            guests(&mut rng, machines)
+        );
     }
-    let broken = if rng.random_range(0..2) == 0 { 0.04 } else { 0.0 };
+    let broken = if rng.random_range(0..2) == 0 {
+        0.04
+    } else {
+        0.0
+    };
     for class in classes {
         let _ = write!(
             w,
@@ -124,8 +132,14 @@
     let one = |rng: &mut ChaCha8Rng, at: f64, length: f64| {
         let (a, b, zone) = (host(rng), host(rng), rng.random_range(0..zones));
         let share = rng.random_range(0.05..0.5f64);
-        let flap = if rng.random_range(0..4) == 0 { format!("\nflap_s = {:.1}", rng.random_range(1.0..8.0f64)) } else { String::new() };
-        let mut only = ["", "\nonly = 'answers'", "\nonly = 'commands'"].choose(rng).map_or(String::new(), |o| (*o).to_owned());
+        let flap = if rng.random_range(0..4) == 0 {
+            format!("\nflap_s = {:.1}", rng.random_range(1.0..8.0f64))
+        } else {
+            String::new()
+        };
+        let mut only = ["", "\nonly = 'answers'", "\nonly = 'commands'"]
+            .choose(rng)
+            .map_or(String::new(), |o| (*o).to_owned());
         if rng.random_range(0..3) == 0 {
             let _ = write!(only, "\ncontroller = {b}");
         }
@@ -138,13 +152,22 @@
             format!("kind = 'store_down'\nfor_s = {length:.1}"),
             format!("kind = 'refused'\ncontroller = {a}\nfor_s = {length:.1}{flap}"),
             format!("kind = 'cloud_down'\nfor_s = {length:.1}"),
-            format!("kind = 'cut_controllers'\ncontroller = {a}\nother = {b}\nfor_s = {length:.1}{flap}"),
+            format!(
+                "kind = 'cut_controllers'\ncontroller = {a}\nother = {b}\nfor_s = {length:.1}{flap}"
+            ),
             format!("kind = 'cut_workers'\ncontroller = {a}\nfor_s = {length:.1}{flap}"),
-            format!("kind = 'cut_workers'\ncontroller = {a}\nzone = 'z{zone}'\nfor_s = {length:.1}{flap}"),
-            format!("kind = 'cut_one_way'\ncontroller = {a}\nother = {b}\nfor_s = {length:.1}{flap}"),
+            format!(
+                "kind = 'cut_workers'\ncontroller = {a}\nzone = 'z{zone}'\nfor_s = {length:.1}{flap}"
+            ),
+            format!(
+                "kind = 'cut_one_way'\ncontroller = {a}\nother = {b}\nfor_s = {length:.1}{flap}"
+            ),
             format!("kind = 'cut_cloud'\ncontroller = {a}\nfor_s = {length:.1}"),
             format!("kind = 'cut_users'\ncontroller = {a}\nfor_s = {length:.1}"),
-            format!("kind = 'freeze'\ncontroller = {a}\nfor_s = {:.1}", length.min(40.0)),
+            format!(
+                "kind = 'freeze'\ncontroller = {a}\nfor_s = {:.1}",
+                length.min(40.0)
+            ),
             format!("kind = 'cut_zone'\nzone = 'z{zone}'\nfor_s = {length:.1}"),
             format!("kind = 'cut_zone'\nzone = 'z{zone}'\nfor_s = {length:.1}"),
             format!("kind = 'silent'\nshare = {share:.2}\nfor_s = {length:.1}"),
@@ -155,25 +178,54 @@
                 [0.03, 8.0].choose(rng).unwrap_or(&1.0),
                 share / 2.0
             ),
-            format!("kind = 'polls'\nfactor = {}\nfor_s = {length:.1}", [8, 50].choose(rng).unwrap_or(&8)),
+            format!(
+                "kind = 'polls'\nfactor = {}\nfor_s = {length:.1}",
+                [8, 50].choose(rng).unwrap_or(&8)
+            ),
             format!("kind = 'die'\nshare = {:.2}\nfor_s = 1", share / 2.0),
-            format!("kind = 'take_spot'\nshare = {share:.2}\nnotice_s = {}", [0, 8].choose(rng).unwrap_or(&0)),
+            format!(
+                "kind = 'take_spot'\nshare = {share:.2}\nnotice_s = {}",
+                [0, 8].choose(rng).unwrap_or(&0)
+            ),
             format!("kind = 'deaf'\nshare = {share:.2}\nfor_s = {length:.1}{only}"),
             format!("kind = 'deaf'\nzone = 'z{zone}'\nfor_s = {length:.1}{only}"),
-            format!("kind = 'late_copies'\nshare = {:.2}\nfor_s = {length:.1}\nlow_s = {low:.1}\nhigh_s = {high:.1}", 2.0 * share),
+            format!(
+                "kind = 'late_copies'\nshare = {:.2}\nfor_s = {length:.1}\nlow_s = {low:.1}\nhigh_s = {high:.1}",
+                2.0 * share
+            ),
             format!("kind = 'alone'\ncontroller = {a}\nfor_s = {length:.1}"),
             format!("kind = 'reborn'\nshare = {share:.2}\nfor_s = 1"),
             format!("kind = 'late_writes'\nshare = {share:.2}\nfor_s = {length:.1}"),
-            format!("kind = 'store_slow'\nfor_s = {length:.1}\nlow_s = {:.2}\nhigh_s = {:.2}", 0.3 * short, 3.0 * short),
-            format!("kind = 'held_orders'\nshare = {share:.2}\nfor_s = {length:.1}\nlow_s = {low:.1}\nhigh_s = {high:.1}"),
-            format!("kind = 'late_writes'\nat_once = true\nshare = {share:.2}\nfor_s = {length:.1}"),
-            format!("kind = 'late_copies'\nfor_next = true\nshare = {:.2}\nfor_s = {length:.1}", 2.0 * share),
+            format!(
+                "kind = 'store_slow'\nfor_s = {length:.1}\nlow_s = {:.2}\nhigh_s = {:.2}",
+                0.3 * short,
+                3.0 * short
+            ),
+            format!(
+                "kind = 'held_orders'\nshare = {share:.2}\nfor_s = {length:.1}\nlow_s = {low:.1}\nhigh_s = {high:.1}"
+            ),
+            format!(
+                "kind = 'late_writes'\nat_once = true\nshare = {share:.2}\nfor_s = {length:.1}"
+            ),
+            format!(
+                "kind = 'late_copies'\nfor_next = true\nshare = {:.2}\nfor_s = {length:.1}",
+                2.0 * share
+            ),
             format!("kind = 'mute'\nshare = {share:.2}\nfor_s = {length:.1}"),
             format!("kind = 'mute'\nzone = 'z{zone}'\nfor_s = {length:.1}"),
             format!("kind = 'close_looks'\nfor_s = {length:.1}"),
-            format!("kind = 'cancel_at_end'\nshare = {:.2}\nfor_s = {length:.1}", 2.0 * share),
-            format!("kind = 'cancel_now'\ncount = {}\nfor_s = 1", 1 + machines / 8),
-            format!("kind = 'cancel_now'\ncount = {}\nhang_s = {length:.1}\nfor_s = 1", 1 + machines / 8),
+            format!(
+                "kind = 'cancel_at_end'\nshare = {:.2}\nfor_s = {length:.1}",
+                2.0 * share
+            ),
+            format!(
+                "kind = 'cancel_now'\ncount = {}\nfor_s = 1",
+                1 + machines / 8
+            ),
+            format!(
+                "kind = 'cancel_now'\ncount = {}\nhang_s = {length:.1}\nfor_s = 1",
+                1 + machines / 8
+            ),
             format!("kind = 'odd_requests'\nfor_s = {length:.1}"),
             "kind = 'state_limits'\nfor_s = 1".to_owned(),
             format!("kind = 'refused'\ncontroller = {a}\ncarried = true\nfor_s = {length:.1}"),
@@ -202,7 +254,10 @@
         troubles.push(one(&mut rng, second, length));
     }
     if rng.random_range(0..2) == 0 {
-        let (at, length) = (CALM_S + rng.random::<f64>() * TROUBLES_S, rng.random_range(3.0..LONGEST_S));
+        let (at, length) = (
+            CALM_S + rng.random::<f64>() * TROUBLES_S,
+            rng.random_range(3.0..LONGEST_S),
+        );
         troubles.push(one(&mut rng, at, length));
     }
     (w, troubles)
@@ -225,8 +280,14 @@
 /// array, many tiny jobs, or long idle work.
 fn guests(rng: &mut ChaCha8Rng, machines: u32) -> String {
     match rng.random_range(0..3) {
-        0 => format!("name = 'huge'\ncpus = 1\nmemory_gb = 1\ntasks = {}\nrun_s = 10\nat_start = 1\n", 20 * machines),
-        1 => format!("name = 'tiny'\ncpus = 0.5\nmemory_gb = 0.5\nrun_s = 4\nat_start = {}\n", 2 * machines),
+        0 => format!(
+            "name = 'huge'\ncpus = 1\nmemory_gb = 1\ntasks = {}\nrun_s = 10\nat_start = 1\n",
+            20 * machines
+        ),
+        1 => format!(
+            "name = 'tiny'\ncpus = 0.5\nmemory_gb = 0.5\nrun_s = 4\nat_start = {}\n",
+            2 * machines
+        ),
         _ => format!(
             "name = 'idle'\npriority = 'low'\nspot = true\ncpus = 5\nmemory_gb = 8\ncheckpoint_s = 30\nsave_s = 3\nrun_s = 120\n\
              tasks = {}\nat_start = 2\n",
@@ -240,9 +301,16 @@
     let mut faults = world.ground.checker.broken.clone();
     let (submitted, accepted) = world.measures.taken();
     if accepted * 2 < submitted {
-        faults.push(format!("{accepted} of {submitted} submissions were accepted"));
+        faults.push(format!(
+            "{accepted} of {submitted} submissions were accepted"
+        ));
     }
-    for (name, (up, of)) in world.measures.served(world).into_iter().filter(|(_, (up, of))| up * 2 < *of) {
+    for (name, (up, of)) in world
+        .measures
+        .served(world)
+        .into_iter()
+        .filter(|(_, (up, of))| up * 2 < *of)
+    {
         faults.push(format!("{name}: {up} of {of} tasks were started"));
     }
     faults.extend(world.measures.late(world));
@@ -264,11 +332,23 @@
     let live = world.live();
     let (mut up, mut wanted) = (0, 0);
     // A service with a mistake is up nowhere, whatever the controllers do.
-    for (id, job) in world.ground.jobs.iter().filter(|(_, l)| l.spec.shape == Shape::Service && !l.broken) {
-        let record: Option<JobRecord> = world.store.get(&job_key(id)).and_then(|(v, _)| from_value(v));
+    for (id, job) in world
+        .ground
+        .jobs
+        .iter()
+        .filter(|(_, l)| l.spec.shape == Shape::Service && !l.broken)
+    {
+        let record: Option<JobRecord> = world
+            .store
+            .get(&job_key(id))
+            .and_then(|(v, _)| from_value(v));
         if record.is_some_and(|r| !r.withdrawn && r.at + 60_000 < ms) {
             wanted += job.spec.tasks as usize;
-            up += live.get(id).copied().unwrap_or(0).min(job.spec.tasks as usize);
+            up += live
+                .get(id)
+                .copied()
+                .unwrap_or(0)
+                .min(job.spec.tasks as usize);
         }
     }
     if (up as f64) < UP * wanted as f64 {
@@ -293,5 +373,11 @@
             (troubles, faults) = (fewer, still);
         }
     }
-    Day { seed, world, troubles, faults, starts }
+    Day {
+        seed,
+        world,
+        troubles,
+        faults,
+        starts,
+    }
 }
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -23,7 +23,11 @@
         rng.set_stream(c as u64 + 1);
         let mut times = vec![0; class.at_start as usize];
         let mut at = 0.0;
-        let gap = Dist::Exp(if class.per_min > 0.0 { 60.0 / class.per_min } else { f64::MAX });
+        let gap = Dist::Exp(if class.per_min > 0.0 {
+            60.0 / class.per_min
+        } else {
+            f64::MAX
+        });
         loop {
             at += gap.draw(&mut rng);
             if at >= scenario.duration_s {
@@ -32,10 +36,14 @@
             times.push((at * 1e6) as u64);
         }
         if !class.awaits.is_empty() {
-            let awaited: Vec<&Vec<u64>> = awaited_classes(scenario, class).map(|of| &times_of[of]).collect();
+            let awaited: Vec<&Vec<u64>> = awaited_classes(scenario, class)
+                .map(|of| &times_of[of])
+                .collect();
             let chains = awaited.iter().map(|times| times.len()).min().unwrap_or(0);
             let last = |n: usize| awaited.iter().map(|times| times[n]).max().unwrap_or(0);
-            times = (0..chains).map(|n| last(n) + (class.later_s.draw(&mut rng) * 1e6) as u64).collect();
+            times = (0..chains)
+                .map(|n| last(n) + (class.later_s.draw(&mut rng) * 1e6) as u64)
+                .collect();
         }
         for (n, &at) in times.iter().enumerate() {
             jobs.push((at, c, draw(class, n, at, &mut rng)));
@@ -49,12 +57,23 @@
         ids[i] = job_id(n);
     }
     // Jobs stand class by class: where each class begins.
-    let begins: Vec<usize> = times_of.iter().scan(0, |sum, times| Some(std::mem::replace(sum, *sum + times.len()))).collect();
+    let begins: Vec<usize> = times_of
+        .iter()
+        .scan(0, |sum, times| {
+            Some(std::mem::replace(sum, *sum + times.len()))
+        })
+        .collect();
     let mut planned = Vec::new();
     for &i in &order {
         let (_, c, job) = &mut jobs[i];
-        let awaits = awaited_classes(scenario, &scenario.classes[*c]).map(|of| ids[begins[of] + i - begins[*c]].clone()).collect();
-        job.load.spec = Arc::new(JobSpec { id: ids[i].clone(), awaits, ..(*job.load.spec).clone() });
+        let awaits = awaited_classes(scenario, &scenario.classes[*c])
+            .map(|of| ids[begins[of] + i - begins[*c]].clone())
+            .collect();
+        job.load.spec = Arc::new(JobSpec {
+            id: ids[i].clone(),
+            awaits,
+            ..(*job.load.spec).clone()
+        });
         planned.push(i);
     }
     let mut jobs: Vec<Option<Planned>> = jobs.into_iter().map(|(_, _, job)| Some(job)).collect();
@@ -62,14 +81,25 @@
 }
 
 /// The numbers of the classes that a class's jobs await.
-fn awaited_classes<'a>(scenario: &'a Scenario, class: &'a Class) -> impl Iterator<Item = usize> + 'a {
-    class.awaits.iter().filter_map(|name| scenario.classes.iter().position(|class| class.name == *name))
+fn awaited_classes<'a>(
+    scenario: &'a Scenario,
+    class: &'a Class,
+) -> impl Iterator<Item = usize> + 'a {
+    class.awaits.iter().filter_map(|name| {
+        scenario
+            .classes
+            .iter()
+            .position(|class| class.name == *name)
+    })
 }
 
 /// The jobs of a workload file. A team that the scenario does not know is one of its teams, the
 /// same one every time; constraints on attributes that its machines don't have
 /// are left out and counted.
-pub fn replay(replayed: &Replayed, scenario: &Scenario) -> Result<(Vec<Planned>, u64), WorkloadError> {
+pub fn replay(
+    replayed: &Replayed,
+    scenario: &Scenario,
+) -> Result<(Vec<Planned>, u64), WorkloadError> {
     let (mut jobs, mut unknown, mut first) = (Vec::new(), 0, None);
     let copies = u64::from(replayed.copies.max(1));
     workload::read(&replayed.file, |e| {
@@ -95,8 +125,13 @@
     let service = e.shape == Shape::Service;
     let named = e.team.as_deref().unwrap_or_default();
     let hash = blake3::hash(named.as_bytes());
-    let pick = usize::from(u16::from_le_bytes([hash.as_bytes()[0], hash.as_bytes()[1]])) % scenario.teams.len().max(1);
-    let known = scenario.teams.iter().find(|t| t.name == named).or(scenario.teams.get(pick));
+    let pick = usize::from(u16::from_le_bytes([hash.as_bytes()[0], hash.as_bytes()[1]]))
+        % scenario.teams.len().max(1);
+    let known = scenario
+        .teams
+        .iter()
+        .find(|t| t.name == named)
+        .or(scenario.teams.get(pick));
     let amount = |milli: u64| milli as f64 / 1e3;
     let spec = JobSpec {
         id: job_id(n),
@@ -123,7 +158,15 @@
         awaits: Vec::new(),
     };
     let withdraw_us = (service && mean > 0).then(|| at_us + mean);
-    Planned { at_us, load: Load { spec: Arc::new(spec), run_us, broken: false }, withdraw_us }
+    Planned {
+        at_us,
+        load: Load {
+            spec: Arc::new(spec),
+            run_us,
+            broken: false,
+        },
+        withdraw_us,
+    }
 }
 
 /// Id of the n-th job.
@@ -132,14 +175,19 @@
 }
 
 fn draw(class: &Class, n: usize, at: u64, rng: &mut ChaCha8Rng) -> Planned {
-    let tasks = (class.tasks.draw(rng).round() as u64).clamp(1, lemonweir_model::constants::MAX_TASKS);
+    let tasks =
+        (class.tasks.draw(rng).round() as u64).clamp(1, lemonweir_model::constants::MAX_TASKS);
     let service = class.shape == Shape::Service;
     let gang = class.shape == Shape::Gang;
     let runs = if service || gang { 1 } else { tasks };
     let run_s: Vec<f64> = (0..runs).map(|_| class.run_s.draw(rng)).collect();
     let mean = run_s.iter().sum::<f64>() / run_s.len() as f64;
     let off = 1.0 + class.estimate_off * rng.random::<f64>();
-    let estimate_s = if rng.random::<bool>() { mean * off } else { mean / off };
+    let estimate_s = if rng.random::<bool>() {
+        mean * off
+    } else {
+        mean / off
+    };
     let image = rng.random_range(0..class.images.0);
     let spec = JobSpec {
         id: job_id(0),
@@ -169,7 +217,16 @@
     let broken = class.broken > 0.0 && rng.random::<f64>() < class.broken;
     let given_up = broken.then(|| at + (rng.random_range(20.0..200.0) * 1e6) as u64);
     let cancelled = class.cancelled > 0.0 && rng.random::<f64>() < class.cancelled;
-    let given_up = given_up.or_else(|| cancelled.then(|| at + (mean * 1e6 * rng.random_range(0.1..1.1)) as u64));
+    let given_up = given_up
+        .or_else(|| cancelled.then(|| at + (mean * 1e6 * rng.random_range(0.1..1.1)) as u64));
     let withdraw_us = given_up.or(service.then(|| at + (mean * 1e6) as u64));
-    Planned { at_us: at, load: Load { spec: Arc::new(spec), run_us, broken }, withdraw_us }
+    Planned {
+        at_us: at,
+        load: Load {
+            spec: Arc::new(spec),
+            run_us,
+            broken,
+        },
+        withdraw_us,
+    }
 }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -124,8 +124,15 @@
 }
 
 fn log(format: LogFormat) {
-    let level = std::env::var("LOG_LEVEL").ok().and_then(|l| l.parse().ok()).unwrap_or(tracing::Level::ERROR);
-    let builder = tracing_subscriber::fmt().with_max_level(level).with_writer(std::io::stderr).without_time().with_target(false);
+    let level = std::env::var("LOG_LEVEL")
+        .ok()
+        .and_then(|l| l.parse().ok())
+        .unwrap_or(tracing::Level::ERROR);
+    let builder = tracing_subscriber::fmt()
+        .with_max_level(level)
+        .with_writer(std::io::stderr)
+        .without_time()
+        .with_target(false);
     match format {
         LogFormat::Json => builder.json().init(),
         LogFormat::Text => builder.with_ansi(false).init(),
@@ -135,12 +142,22 @@
 /// A scenario, made larger if wanted.
 fn sized(file: &Path, size: Size) -> Result<Arc<Scenario>, Vec<String>> {
     if !(size.scale > 0.0 && size.scale <= 1e5) {
-        return Err(vec![format!("--scale: {} must be over 0 and at most 100,000", size.scale)]);
+        return Err(vec![format!(
+            "--scale: {} must be over 0 and at most 100,000",
+            size.scale
+        )]);
     }
     if !(size.load > 0.0 && size.load <= 1e5) {
-        return Err(vec![format!("--load: {} must be over 0 and at most 100,000", size.load)]);
+        return Err(vec![format!(
+            "--load: {} must be over 0 and at most 100,000",
+            size.load
+        )]);
     }
-    Ok(Arc::new(load(file)?.scaled(size.scale, size.load, size.controllers)))
+    Ok(Arc::new(load(file)?.scaled(
+        size.scale,
+        size.load,
+        size.controllers,
+    )))
 }
 
 /// A workload, if one is given.
@@ -148,7 +165,11 @@
     if !(speed.is_finite() && speed > 0.0) {
         return Err(vec![format!("--speed: {speed} must be over 0")]);
     }
-    Ok(run::Replayed { file, speed, copies: size.scale.round().max(1.0) as u32 })
+    Ok(run::Replayed {
+        file,
+        speed,
+        copies: size.scale.round().max(1.0) as u32,
+    })
 }
 
 fn load(file: &Path) -> Result<Scenario, Vec<String>> {
@@ -160,15 +181,32 @@
 fn execute(command: Command) -> Result<ExitCode, Vec<String>> {
     match command {
         Command::Check { files } => {
-            let faults: Vec<String> = files.iter().filter_map(|f| load(f).err()).flatten().collect();
+            let faults: Vec<String> = files
+                .iter()
+                .filter_map(|f| load(f).err())
+                .flatten()
+                .collect();
             if faults.is_empty() {
                 println!("{} scenarios are fine", files.len());
                 return Ok(ExitCode::SUCCESS);
             }
             Err(faults)
         }
-        Command::Run { file, seed, placer, size, out } => {
-            let result = run::once(sized(&file, size)?, run::Source::Synthetic, placer, seed, out.as_deref()).map_err(|e| vec![e])?;
+        Command::Run {
+            file,
+            seed,
+            placer,
+            size,
+            out,
+        } => {
+            let result = run::once(
+                sized(&file, size)?,
+                run::Source::Synthetic,
+                placer,
+                seed,
+                out.as_deref(),
+            )
+            .map_err(|e| vec![e])?;
             finish(&result, out.as_deref())
         }
         Command::Sweep { file, many, placer } => {
@@ -184,30 +222,85 @@
             print!("{}", compare::side_by_side(&left, &right));
             close(&[(&a, &left), (&b, &right)], many.out.as_deref())
         }
-        Command::Hunt { seeds, machines, jobs } => {
+        Command::Hunt {
+            seeds,
+            machines,
+            jobs,
+        } => {
             let days = compare::each(&seeds, jobs, |seed| hunt::day(seed, machines));
             let starts: u64 = days.iter().map(|d| d.starts).sum();
             let failed: Vec<&hunt::Day> = days.iter().filter(|d| !d.faults.is_empty()).collect();
-            println!("{} days, {starts} starts, {} failed", days.len(), failed.len());
+            println!(
+                "{} days, {starts} starts, {} failed",
+                days.len(),
+                failed.len()
+            );
             for day in &failed {
                 let faults: Vec<&str> = day.faults.iter().take(3).map(String::as_str).collect();
-                println!("seed {}: {}\n{}{}", day.seed, faults.join("; "), day.world, day.troubles.concat());
+                println!(
+                    "seed {}: {}\n{}{}",
+                    day.seed,
+                    faults.join("; "),
+                    day.world,
+                    day.troubles.concat()
+                );
             }
-            Ok(if failed.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+            Ok(if failed.is_empty() {
+                ExitCode::SUCCESS
+            } else {
+                ExitCode::FAILURE
+            })
         }
-        Command::Trace { command: TraceCommand::Check { files } } => Ok(traces::check(&files)),
-        Command::Trace { command: TraceCommand::Import { files, on_fault, out } } => Ok(traces::import(&files, on_fault, &out)),
-        Command::Trace { command: TraceCommand::Show { file, plot } } => Ok(traces::show(&file, plot.as_deref())),
-        Command::Trace { command: TraceCommand::Replay { file, scenario, seed, speed, placer, size, out } } => {
+        Command::Trace {
+            command: TraceCommand::Check { files },
+        } => Ok(traces::check(&files)),
+        Command::Trace {
+            command:
+                TraceCommand::Import {
+                    files,
+                    on_fault,
+                    out,
+                },
+        } => Ok(traces::import(&files, on_fault, &out)),
+        Command::Trace {
+            command: TraceCommand::Show { file, plot },
+        } => Ok(traces::show(&file, plot.as_deref())),
+        Command::Trace {
+            command:
+                TraceCommand::Replay {
+                    file,
+                    scenario,
+                    seed,
+                    speed,
+                    placer,
+                    size,
+                    out,
+                },
+        } => {
             let source = run::Source::Workload(replayed(file, speed, size)?);
-            let result = run::once(sized(&scenario, size)?, source, placer, seed, out.as_deref()).map_err(|e| vec![e])?;
+            let result = run::once(
+                sized(&scenario, size)?,
+                source,
+                placer,
+                seed,
+                out.as_deref(),
+            )
+            .map_err(|e| vec![e])?;
             finish(&result, out.as_deref())
         }
     }
 }
 
-fn sweep(scenario: &Arc<Scenario>, placer: run::Placer, many: &Many) -> Result<Vec<run::Outcome>, Vec<String>> {
-    let workload = many.workload.clone().map(|file| replayed(file, many.speed, many.size)).transpose()?;
+fn sweep(
+    scenario: &Arc<Scenario>,
+    placer: run::Placer,
+    many: &Many,
+) -> Result<Vec<run::Outcome>, Vec<String>> {
+    let workload = many
+        .workload
+        .clone()
+        .map(|file| replayed(file, many.speed, many.size))
+        .transpose()?;
     compare::sweep(scenario, placer, workload.as_ref(), &many.seeds, many.jobs).map_err(|e| vec![e])
 }
 
@@ -219,7 +312,10 @@
 }
 
 /// Writes what many runs gave; a broken rule in any of them is a failure.
-fn close(sides: &[(&String, &Vec<run::Outcome>)], out: Option<&Path>) -> Result<ExitCode, Vec<String>> {
+fn close(
+    sides: &[(&String, &Vec<run::Outcome>)],
+    out: Option<&Path>,
+) -> Result<ExitCode, Vec<String>> {
     if let Some(dir) = out {
         output::write_all(sides, dir).map_err(|e| vec![format!("{}: {e}", dir.display())])?;
         println!("reports and plots are in {}", dir.display());
@@ -227,9 +323,18 @@
     let broken: Vec<String> = sides
         .iter()
         .flat_map(|(_, outcomes)| outcomes.iter())
-        .flat_map(|o| o.report.broken.iter().map(|b| format!("seed {}: rule broken: {b}", o.report.seed)))
+        .flat_map(|o| {
+            o.report
+                .broken
+                .iter()
+                .map(|b| format!("seed {}: rule broken: {b}", o.report.seed))
+        })
         .collect();
-    if broken.is_empty() { Ok(ExitCode::SUCCESS) } else { Err(broken) }
+    if broken.is_empty() {
+        Ok(ExitCode::SUCCESS)
+    } else {
+        Err(broken)
+    }
 }
 
 /// Prints a run's figures; a broken rule is a failure.
@@ -243,5 +348,10 @@
     if result.report.broken.is_empty() {
         return Ok(ExitCode::SUCCESS);
     }
-    Err(result.report.broken.iter().map(|b| format!("rule broken: {b}")).collect())
+    Err(result
+        .report
+        .broken
+        .iter()
+        .map(|b| format!("rule broken: {b}"))
+        .collect())
 }
--- a/crates/lab/src/measures.rs
+++ b/crates/lab/src/measures.rs
@@ -60,7 +60,10 @@
 
     /// All of them in figures.
     pub fn spreads(&self) -> BTreeMap<String, Spread> {
-        self.0.iter().map(|(name, h)| (name.clone(), Spread::of(h))).collect()
+        self.0
+            .iter()
+            .map(|(name, h)| (name.clone(), Spread::of(h)))
+            .collect()
     }
 }
 
@@ -120,7 +123,15 @@
     pub fn of(h: &Histogram<u64>) -> Self {
         let ms = |x: u64| x as f64 / 1e3;
         let q = |q: f64| ms(h.value_at_quantile(q));
-        Self { count: h.len(), mean: h.mean() / 1e3, p50: q(0.5), p90: q(0.9), p99: q(0.99), p999: q(0.999), max: ms(h.max()) }
+        Self {
+            count: h.len(),
+            mean: h.mean() / 1e3,
+            p50: q(0.5),
+            p90: q(0.9),
+            p99: q(0.99),
+            p999: q(0.999),
+            max: ms(h.max()),
+        }
     }
 }
 
@@ -256,7 +267,13 @@
     pub fn accepted(&mut self, id: &JobId, first_try: u64, now: u64, spec: Option<&JobSpec>) {
         let Some(spec) = spec else { return };
         let service = spec.shape == Shape::Service;
-        let times = JobTimes { first_try, accepted: now, class: spec.class.clone(), service, ended: None };
+        let times = JobTimes {
+            first_try,
+            accepted: now,
+            class: spec.class.clone(),
+            service,
+            ended: None,
+        };
         self.jobs.entry(id.clone()).or_insert(times);
     }
 
@@ -282,7 +299,11 @@
     /// at `leaves`.
     pub fn written(&mut self, txn: &Txn, now: u64, leaves: u64) {
         Self::each_live(txn, |key| {
-            self.tasks.entry(key).or_insert(Stages { written: leaves, pass_us: leaves - now, recorded: 0 });
+            self.tasks.entry(key).or_insert(Stages {
+                written: leaves,
+                pass_us: leaves - now,
+                recorded: 0,
+            });
         });
     }
 
@@ -304,8 +325,15 @@
         self.sampled_at = Some(now);
         let counts = || hosts.iter().map(|h| h.work.messages);
         let messages = (counts().max().unwrap_or(0), counts().sum());
-        let mut sample =
-            Sample { at_s: now as f64 / 1e6, machines: 0, up: 0, used_cpus: 0.0, cpus: 0.0, money: cloud.spent(now), messages };
+        let mut sample = Sample {
+            at_s: now as f64 / 1e6,
+            machines: 0,
+            up: 0,
+            used_cpus: 0.0,
+            cpus: 0.0,
+            money: cloud.spent(now),
+            messages,
+        };
         for w in workers.iter().flatten() {
             sample.machines += 1;
             if w.up_at <= now {
@@ -321,14 +349,27 @@
     fn largest(world: &World) -> BTreeSet<&JobId> {
         let mut by_class: BTreeMap<&str, Vec<(u64, &JobId)>> = BTreeMap::new();
         // How long a job waits for others is not its controllers' doing.
-        for (id, load) in world.ground.jobs.iter().filter(|(_, l)| !l.broken && l.spec.awaits.is_empty()) {
-            by_class.entry(&load.spec.class).or_default().push((load.spec.tasks, id));
+        for (id, load) in world
+            .ground
+            .jobs
+            .iter()
+            .filter(|(_, l)| !l.broken && l.spec.awaits.is_empty())
+        {
+            by_class
+                .entry(&load.spec.class)
+                .or_default()
+                .push((load.spec.tasks, id));
         }
         let mut largest = BTreeSet::new();
         for mut jobs in by_class.into_values() {
             jobs.sort_unstable_by(|a, b| b.cmp(a));
             let (most, tenth) = (jobs[0].0, jobs.len().div_ceil(10));
-            largest.extend(jobs.iter().enumerate().filter(|(i, (tasks, _))| *i < tenth || *tasks == most).map(|(_, (_, id))| *id));
+            largest.extend(
+                jobs.iter()
+                    .enumerate()
+                    .filter(|(i, (tasks, _))| *i < tenth || *tasks == most)
+                    .map(|(_, (_, id))| *id),
+            );
         }
         largest
     }
@@ -336,16 +377,25 @@
     /// The largest jobs of each class that had not begun within 240 s.
     pub fn late(&self, world: &World) -> Vec<String> {
         let late = |id: &&JobId| {
-            let Some(job) = self.jobs.get(*id) else { return false };
+            let Some(job) = self.jobs.get(*id) else {
+                return false;
+            };
             let by = job.first_try + BEGUN_US;
             let begun = world.ground.begun.get(*id).is_some_and(|at| *at <= by);
             !begun && by <= world.now && world.withdrawal(id).is_none_or(|at| at > by)
         };
         let text = |id: &JobId| {
             let spec = &world.ground.jobs[id].spec;
-            format!("{id} ({}, {} tasks) had not begun after 240 s", spec.class, spec.tasks)
+            format!(
+                "{id} ({}, {} tasks) had not begun after 240 s",
+                spec.class, spec.tasks
+            )
         };
-        Self::largest(world).into_iter().filter(late).map(text).collect()
+        Self::largest(world)
+            .into_iter()
+            .filter(late)
+            .map(text)
+            .collect()
     }
 
     /// Tasks started of those that came, by class, by team, and of the largest jobs
@@ -355,13 +405,29 @@
         let mut served: BTreeMap<String, (u64, u64)> = BTreeMap::new();
         let largest = Self::largest(world);
         for (id, load) in world.ground.jobs.iter().filter(|(_, l)| !l.broken) {
-            let cancelled = load.spec.shape != Shape::Service && (world.withdrawal(id).is_some() || world.ground.checker.is_cancelled(id));
-            if cancelled || self.jobs.get(id).is_some_and(|j| j.first_try + FRESH_US > world.now) {
+            let cancelled = load.spec.shape != Shape::Service
+                && (world.withdrawal(id).is_some() || world.ground.checker.is_cancelled(id));
+            if cancelled
+                || self
+                    .jobs
+                    .get(id)
+                    .is_some_and(|j| j.first_try + FRESH_US > world.now)
+            {
                 continue;
             }
-            let started = (0..load.spec.tasks as u32).filter(|t| world.ground.up.contains_key(&(id.clone(), *t))).count() as u64;
-            let large = largest.contains(id).then(|| format!("largest of {}", load.spec.class));
-            for name in [format!("class {}", load.spec.class), format!("team {}", load.spec.team)].into_iter().chain(large) {
+            let started = (0..load.spec.tasks as u32)
+                .filter(|t| world.ground.up.contains_key(&(id.clone(), *t)))
+                .count() as u64;
+            let large = largest
+                .contains(id)
+                .then(|| format!("largest of {}", load.spec.class));
+            for name in [
+                format!("class {}", load.spec.class),
+                format!("team {}", load.spec.team),
+            ]
+            .into_iter()
+            .chain(large)
+            {
                 let (up, of) = served.entry(name).or_default();
                 (*up, *of) = (*up + started, *of + load.spec.tasks);
             }
@@ -373,10 +439,17 @@
         let mut whole = histogram();
         let (mut pieces, mut waiting) = (Named::default(), Named::default());
         for (key, &launched) in &ground.launched {
-            let (Some(job), Some(stages)) = (self.jobs.get(&key.0), self.tasks.get(key)) else { continue };
-            let mut note = |name: &str, from: u64, to: u64| pieces.record(name, to.saturating_sub(from));
+            let (Some(job), Some(stages)) = (self.jobs.get(&key.0), self.tasks.get(key)) else {
+                continue;
+            };
+            let mut note =
+                |name: &str, from: u64, to: u64| pieces.record(name, to.saturating_sub(from));
             note("1 accepting", job.first_try, job.accepted);
-            note("2 queueing", job.accepted, stages.written.saturating_sub(stages.pass_us));
+            note(
+                "2 queueing",
+                job.accepted,
+                stages.written.saturating_sub(stages.pass_us),
+            );
             note("3 processing", 0, stages.pass_us);
             note("4 recording", stages.written, stages.recorded);
             note("5 ordering", stages.recorded, launched);
@@ -400,8 +473,17 @@
         }
     }
     let (lines, digest) = world.ground.history.digest();
-    let paid: f64 = m.series.windows(2).map(|w| w[0].cpus * (w[1].at_s - w[0].at_s)).sum();
-    let serving: u128 = world.workers.iter().flatten().map(|w| w.serving(world.now, &world.ground)).sum();
+    let paid: f64 = m
+        .series
+        .windows(2)
+        .map(|w| w[0].cpus * (w[1].at_s - w[0].at_s))
+        .sum();
+    let serving: u128 = world
+        .workers
+        .iter()
+        .flatten()
+        .map(|w| w.serving(world.now, &world.ground))
+        .sum();
     let useful = (world.ground.useful + serving) as f64 / 1e9;
     let busy = |h: &crate::host::Host| h.work.busy_us as f64 / world.now.max(1) as f64;
     let report = Report {
--- a/crates/lab/src/output.rs
+++ b/crates/lab/src/output.rs
@@ -19,16 +19,30 @@
 
 fn row(out: &mut String, name: &str, s: &Spread) {
     let cells = [s.p50, s.p90, s.p99, s.p999, s.max].map(time);
-    let _ = writeln!(out, "  {name:<24} {:>8} {}", s.count, cells.map(|c| format!("{c:>10}")).join(" "));
+    let _ = writeln!(
+        out,
+        "  {name:<24} {:>8} {}",
+        s.count,
+        cells.map(|c| format!("{c:>10}")).join(" ")
+    );
 }
 
 /// A report as a table.
 pub fn table(r: &Report) -> String {
     let mut out = String::new();
-    let head = format!("{:>8} {}", "count", ["50 %", "90 %", "99 %", "99.9 %", "most"].map(|c| format!("{c:>10}")).join(" "));
+    let head = format!(
+        "{:>8} {}",
+        "count",
+        ["50 %", "90 %", "99 %", "99.9 %", "most"]
+            .map(|c| format!("{c:>10}"))
+            .join(" ")
+    );
     // Writing into a text can't fail.
-    let _ =
-        writeln!(out, "{} by {}, seed {}, {} controllers, {:.0} simulated s", r.scenario, r.placer, r.seed, r.controllers, r.simulated_s);
+    let _ = writeln!(
+        out,
+        "{} by {}, seed {}, {} controllers, {:.0} simulated s",
+        r.scenario, r.placer, r.seed, r.controllers, r.simulated_s
+    );
     let j = r.jobs;
     let _ = writeln!(
         out,
@@ -72,7 +86,13 @@
         w.store_requests,
         w.store_writes
     );
-    let _ = writeln!(out, "rules broken: {}; history of {} lines, digest {}", r.broken.len(), r.lines, r.digest);
+    let _ = writeln!(
+        out,
+        "rules broken: {}; history of {} lines, digest {}",
+        r.broken.len(),
+        r.lines,
+        r.digest
+    );
     out
 }
 
@@ -88,7 +108,10 @@
 
 /// Writes `report.json`, `report.txt` and the plots.
 pub fn write(o: &Outcome, dir: &Path) -> std::io::Result<()> {
-    std::fs::write(dir.join("report.json"), serde_json::to_string_pretty(&o.report)?)?;
+    std::fs::write(
+        dir.join("report.json"),
+        serde_json::to_string_pretty(&o.report)?,
+    )?;
     std::fs::write(dir.join("report.txt"), table(&o.report))?;
     let other = |e: Box<dyn std::error::Error>| std::io::Error::other(e.to_string());
     let line = [("allocation", plots::distribution(&o.allocation))];
@@ -105,10 +128,23 @@
 /// Writes the reports of many runs, and a plot of each side's allocation times.
 pub fn write_all(sides: &[(&String, &Vec<Outcome>)], dir: &Path) -> std::io::Result<()> {
     std::fs::create_dir_all(dir)?;
-    let reports: Vec<&Report> = sides.iter().flat_map(|(_, outcomes)| outcomes.iter().map(|o| &o.report)).collect();
-    std::fs::write(dir.join("reports.json"), serde_json::to_string_pretty(&reports)?)?;
-    let lines: Vec<(&str, Vec<(f64, f64)>)> =
-        sides.iter().map(|(name, outcomes)| (name.as_str(), plots::distribution(&compare::merged(outcomes)))).collect();
+    let reports: Vec<&Report> = sides
+        .iter()
+        .flat_map(|(_, outcomes)| outcomes.iter().map(|o| &o.report))
+        .collect();
+    std::fs::write(
+        dir.join("reports.json"),
+        serde_json::to_string_pretty(&reports)?,
+    )?;
+    let lines: Vec<(&str, Vec<(f64, f64)>)> = sides
+        .iter()
+        .map(|(name, outcomes)| {
+            (
+                name.as_str(),
+                plots::distribution(&compare::merged(outcomes)),
+            )
+        })
+        .collect();
     for kind in ["svg", "png"] {
         let file = dir.join(format!("allocation.{kind}"));
         plots::allocation(&lines, &file).map_err(|e| std::io::Error::other(e.to_string()))?;
--- a/crates/lab/src/plots.rs
+++ b/crates/lab/src/plots.rs
@@ -13,12 +13,22 @@
 type Line<'a> = (&'a str, Vec<(f64, f64)>);
 
 const SIZE: (u32, u32) = (800, 420);
-const COLOURS: [RGBColor; 5] =
-    [RGBColor(31, 119, 180), RGBColor(214, 90, 20), RGBColor(44, 140, 60), RGBColor(150, 60, 160), RGBColor(120, 120, 120)];
+const COLOURS: [RGBColor; 5] = [
+    RGBColor(31, 119, 180),
+    RGBColor(214, 90, 20),
+    RGBColor(44, 140, 60),
+    RGBColor(150, 60, 160),
+    RGBColor(120, 120, 120),
+];
 
 /// A font that is part of the program, so that plots are the same anywhere.
 fn font() -> Result<(), Fault> {
-    register_font("sans-serif", FontStyle::Normal, epaint_default_fonts::UBUNTU_LIGHT).map_err(|_| "the built-in font can't be read".into())
+    register_font(
+        "sans-serif",
+        FontStyle::Normal,
+        epaint_default_fonts::UBUNTU_LIGHT,
+    )
+    .map_err(|_| "the built-in font can't be read".into())
 }
 
 /// What a plot shows beside its lines.
@@ -33,13 +43,21 @@
 fn lines(path: &Path, frame: &Frame<'_>, all: &[Line<'_>]) -> Result<(), Fault> {
     font()?;
     if path.extension().is_some_and(|e| e == "png") {
-        draw(&BitMapBackend::new(path, SIZE).into_drawing_area(), frame, all)
+        draw(
+            &BitMapBackend::new(path, SIZE).into_drawing_area(),
+            frame,
+            all,
+        )
     } else {
         draw(&SVGBackend::new(path, SIZE).into_drawing_area(), frame, all)
     }
 }
 
-fn draw<B: DrawingBackend>(root: &DrawingArea<B, Shift>, frame: &Frame<'_>, all: &[Line<'_>]) -> Result<(), Fault>
+fn draw<B: DrawingBackend>(
+    root: &DrawingArea<B, Shift>,
+    frame: &Frame<'_>,
+    all: &[Line<'_>],
+) -> Result<(), Fault>
 where
     B::ErrorType: 'static,
 {
@@ -48,11 +66,20 @@
     let (x_most, y_most) = (most(|p| p.0).max(1e-3), most(|p| p.1).max(1e-3) * 1.05);
     root.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(root);
-    chart.caption(frame.title, ("sans-serif", 18)).margin(12).x_label_area_size(42).y_label_area_size(64);
+    chart
+        .caption(frame.title, ("sans-serif", 18))
+        .margin(12)
+        .x_label_area_size(42)
+        .y_label_area_size(64);
     macro_rules! finish {
         ($chart:expr) => {{
             let mut chart = $chart;
-            chart.configure_mesh().x_desc(frame.x).y_desc(frame.y).light_line_style(WHITE).draw()?;
+            chart
+                .configure_mesh()
+                .x_desc(frame.x)
+                .y_desc(frame.y)
+                .light_line_style(WHITE)
+                .draw()?;
             for (i, (name, line)) in all.iter().enumerate() {
                 let colour = COLOURS[i % COLOURS.len()];
                 let series = LineSeries::new(line.iter().copied(), colour.stroke_width(2));
@@ -60,12 +87,19 @@
                 chart.draw_series(series)?.label(*name).legend(key);
             }
             if all.len() > 1 {
-                chart.configure_series_labels().background_style(WHITE.mix(0.8)).border_style(BLACK.mix(0.3)).draw()?;
+                chart
+                    .configure_series_labels()
+                    .background_style(WHITE.mix(0.8))
+                    .border_style(BLACK.mix(0.3))
+                    .draw()?;
             }
         }};
     }
     if frame.log_x {
-        let least = points().map(|p| p.0).filter(|x| *x > 0.0).fold(x_most, f64::min);
+        let least = points()
+            .map(|p| p.0)
+            .filter(|x| *x > 0.0)
+            .fold(x_most, f64::min);
         finish!(chart.build_cartesian_2d((least..x_most).log_scale(), 0.0..y_most)?);
     } else {
         finish!(chart.build_cartesian_2d(0.0..x_most, 0.0..y_most)?);
@@ -80,49 +114,122 @@
     let mut sum = 0;
     let point = |v: hdrhistogram::iterators::IterationValue<u64>| {
         sum += v.count_since_last_iteration();
-        (v.value_iterated_to().max(1) as f64 / 1e3, sum as f64 / total * 100.0)
+        (
+            v.value_iterated_to().max(1) as f64 / 1e3,
+            sum as f64 / total * 100.0,
+        )
     };
     h.iter_recorded().map(point).collect()
 }
 
 /// The distribution of allocation times, of one run or several.
 pub fn allocation(all: &[Line<'_>], path: &Path) -> Result<(), Fault> {
-    let frame = Frame { title: "From submission to the start order", x: "ms", y: "% of starts", log_x: true };
+    let frame = Frame {
+        title: "From submission to the start order",
+        x: "ms",
+        y: "% of starts",
+        log_x: true,
+    };
     lines(path, &frame, all)
 }
 
 /// Fleet and use over time, and money.
 pub fn fleet(report: &Report, path: &Path) -> Result<(), Fault> {
-    let line = |f: &dyn Fn(&Sample) -> f64| report.series.iter().map(|s| (s.at_s, f(s))).collect::<Vec<_>>();
+    let line = |f: &dyn Fn(&Sample) -> f64| {
+        report
+            .series
+            .iter()
+            .map(|s| (s.at_s, f(s)))
+            .collect::<Vec<_>>()
+    };
     let all = [
         ("machines rented", line(&|s| s.machines as f64)),
         ("machines up", line(&|s| s.up as f64)),
-        ("up and in use, in machines", line(&|s| if s.cpus > 0.0 { s.up as f64 * s.used_cpus / s.cpus } else { 0.0 })),
+        (
+            "up and in use, in machines",
+            line(&|s| {
+                if s.cpus > 0.0 {
+                    s.up as f64 * s.used_cpus / s.cpus
+                } else {
+                    0.0
+                }
+            }),
+        ),
         ("money", line(&|s| s.money)),
     ];
-    lines(path, &Frame { title: "Fleet and money", x: "s", y: "machines, money", log_x: false }, &all)
+    lines(
+        path,
+        &Frame {
+            title: "Fleet and money",
+            x: "s",
+            y: "machines, money",
+            log_x: false,
+        },
+        &all,
+    )
 }
 
 /// Messages a second of all controllers together, and of the busiest.
 pub fn messages(report: &Report, path: &Path) -> Result<(), Fault> {
     let rate = |f: &dyn Fn(&Sample) -> u64| {
-        let between = |w: &[Sample]| (w[1].at_s, f(&w[1]).saturating_sub(f(&w[0])) as f64 / (w[1].at_s - w[0].at_s));
+        let between = |w: &[Sample]| {
+            (
+                w[1].at_s,
+                f(&w[1]).saturating_sub(f(&w[0])) as f64 / (w[1].at_s - w[0].at_s),
+            )
+        };
         report.series.windows(2).map(between).collect::<Vec<_>>()
     };
-    let all = [("all controllers", rate(&|s| s.messages.1)), ("the busiest", rate(&|s| s.messages.0))];
-    lines(path, &Frame { title: "Controllers' messages", x: "s", y: "messages a second", log_x: false }, &all)
+    let all = [
+        ("all controllers", rate(&|s| s.messages.1)),
+        ("the busiest", rate(&|s| s.messages.0)),
+    ];
+    lines(
+        path,
+        &Frame {
+            title: "Controllers' messages",
+            x: "s",
+            y: "messages a second",
+            log_x: false,
+        },
+        &all,
+    )
 }
 
 /// Half and 90 % of the waiting of each class.
 pub fn waiting(report: &Report, path: &Path) -> Result<(), Fault> {
-    let steps =
-        |s: &crate::measures::Spread| vec![(s.p50.max(1.0), 50.0), (s.p90.max(1.0), 90.0), (s.p99.max(1.0), 99.0), (s.max.max(1.0), 100.0)];
-    let all: Vec<Line<'_>> = report.waiting.iter().map(|(class, s)| (class.as_str(), steps(s))).collect();
-    lines(path, &Frame { title: "From submission to the start, by class", x: "ms", y: "% of starts", log_x: true }, &all)
+    let steps = |s: &crate::measures::Spread| {
+        vec![
+            (s.p50.max(1.0), 50.0),
+            (s.p90.max(1.0), 90.0),
+            (s.p99.max(1.0), 99.0),
+            (s.max.max(1.0), 100.0),
+        ]
+    };
+    let all: Vec<Line<'_>> = report
+        .waiting
+        .iter()
+        .map(|(class, s)| (class.as_str(), steps(s)))
+        .collect();
+    lines(
+        path,
+        &Frame {
+            title: "From submission to the start, by class",
+            x: "ms",
+            y: "% of starts",
+            log_x: true,
+        },
+        &all,
+    )
 }
 
 /// What a workload's tasks would take if none of them waited.
 pub fn load(line: &[(f64, f64)], path: &Path) -> Result<(), Fault> {
-    let frame = Frame { title: "Load if nothing waited", x: "s", y: "processors (accelerators where more)", log_x: false };
+    let frame = Frame {
+        title: "Load if nothing waited",
+        x: "s",
+        y: "processors (accelerators where more)",
+        log_x: false,
+    };
     lines(path, &frame, &[("load", line.to_vec())])
 }
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -72,7 +72,13 @@
 
 /// Runs a scenario; the history goes to `out/history.txt` if there is a
 /// directory.
-pub fn once(scenario: Arc<Scenario>, source: Source, placer: Placer, seed: u64, out: Option<&Path>) -> Result<Outcome, String> {
+pub fn once(
+    scenario: Arc<Scenario>,
+    source: Source,
+    placer: Placer,
+    seed: u64,
+    out: Option<&Path>,
+) -> Result<Outcome, String> {
     let sink = match out {
         None => None,
         Some(dir) => {
@@ -87,7 +93,10 @@
         Source::Workload(replayed) => {
             let (jobs, unknown) = load::replay(&replayed, &scenario).map_err(|e| e.to_string())?;
             if unknown > 0 {
-                tracing::warn!(unknown, "constraints on attributes that the scenario's machines don't have are left out");
+                tracing::warn!(
+                    unknown,
+                    "constraints on attributes that the scenario's machines don't have are left out"
+                );
             }
             jobs
         }
@@ -100,5 +109,10 @@
     let mut world = World::new(scenario, load, seed, History::new(sink));
     world.run(ms);
     let (report, allocation) = report(&world, seed);
-    Ok(Outcome { report, allocation, events: world.events, wall_s: began.elapsed().as_secs_f64() })
+    Ok(Outcome {
+        report,
+        allocation,
+        events: world.events,
+        wall_s: began.elapsed().as_secs_f64(),
+    })
 }
--- a/crates/lab/src/sample.rs
+++ b/crates/lab/src/sample.rs
@@ -13,7 +13,10 @@
          boot_s = 20\nordinary = {capacity}\nspot = {capacity}\n\
          [[team]]\nname = 'red'\ngpus = 4\ngpus_max = 12\n[[team]]\nname = 'blue'\n"
     );
-    Scenario { chances, ..Scenario::parse("rules", &text).unwrap_or_else(|faults| unreachable!("{faults:?}")) }
+    Scenario {
+        chances,
+        ..Scenario::parse("rules", &text).unwrap_or_else(|faults| unreachable!("{faults:?}"))
+    }
 }
 
 /// Id of the n-th job.
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -3,7 +3,8 @@
 use lemonweir_model::constants::BLIND_MOST_MS;
 use lemonweir_model::policy::{Policy, Trade};
 use lemonweir_model::settings::{
-    CloudLimits, Cluster, Limits, NextStateLimits, Objective, Seed, Services, Settings, StateLimits, Team, Workers,
+    CloudLimits, Cluster, Limits, NextStateLimits, Objective, Seed, Services, Settings,
+    StateLimits, Team, Workers,
 };
 use lemonweir_model::{Catalog, MachineType, Rank, Room, Shape};
 use rand::RngExt;
@@ -41,7 +42,9 @@
             Dist::Fixed(x) => x,
             Dist::Uniform(low, high) => low + (high - low) * rng.random::<f64>(),
             Dist::Exp(mean) => Exp::new(1.0 / mean).map_or(mean, |d| d.sample(rng)),
-            Dist::LogNormal(median, sigma) => LogNormal::new(median.ln(), sigma).map_or(median, |d| d.sample(rng)),
+            Dist::LogNormal(median, sigma) => {
+                LogNormal::new(median.ln(), sigma).map_or(median, |d| d.sample(rng))
+            }
             Dist::Pareto(low, shape) => Pareto::new(low, shape).map_or(low, |d| d.sample(rng)),
         };
         x.max(0.0)
@@ -192,7 +195,11 @@
         };
         let scenario = read(&Section::root(&faults, doc.get_ref()));
         let lines = faults.into_lines();
-        if lines.is_empty() { Ok(scenario) } else { Err(lines) }
+        if lines.is_empty() {
+            Ok(scenario)
+        } else {
+            Err(lines)
+        }
     }
 
     /// The same with `factor` times the machines, the teams' amounts and the
@@ -209,7 +216,12 @@
             class.at_start = (f64::from(class.at_start) * factor * load).round() as u32;
         }
         for team in &mut self.teams {
-            for amount in [&mut team.cpus, &mut team.cpus_max, &mut team.gpus, &mut team.gpus_max] {
+            for amount in [
+                &mut team.cpus,
+                &mut team.cpus_max,
+                &mut team.gpus,
+                &mut team.gpus_max,
+            ] {
                 *amount *= factor;
             }
         }
@@ -219,12 +231,18 @@
 
     /// When all troubles are over, s.
     pub fn calm_s(&self) -> f64 {
-        self.faults.iter().map(|f| f.over_s(self.parts)).fold(0.0, f64::max)
+        self.faults
+            .iter()
+            .map(|f| f.over_s(self.parts))
+            .fold(0.0, f64::max)
     }
 
     /// The catalog that the cloud tells.
     pub fn catalog(&self) -> Catalog {
-        self.kinds.iter().map(|k| (k.machine.name.clone(), k.machine.clone())).collect()
+        self.kinds
+            .iter()
+            .map(|k| (k.machine.name.clone(), k.machine.clone()))
+            .collect()
     }
 
     /// Zone of a controller.
@@ -234,17 +252,33 @@
 
     /// The settings of one controller, as the platform would hand them over.
     pub fn settings(&self, host: usize) -> Settings {
-        let address = |i: usize, port: u16| std::net::SocketAddr::from(([10, 0, (i / 250) as u8, (i % 250 + 1) as u8], port));
-        let seed = |i: usize| Seed { host_name: host_name(i), zone: self.zone_of(i).to_owned(), address: address(i, 81) };
+        let address = |i: usize, port: u16| {
+            std::net::SocketAddr::from(([10, 0, (i / 250) as u8, (i % 250 + 1) as u8], port))
+        };
+        let seed = |i: usize| Seed {
+            host_name: host_name(i),
+            zone: self.zone_of(i).to_owned(),
+            address: address(i, 81),
+        };
         let awaited = self.classes.iter().filter(|c| c.start_within_s > 0.0);
-        let objective = |c: &Class| Objective { kind: "wait".into(), class: Some(c.name.clone()), within_s: Some(c.start_within_s) };
+        let objective = |c: &Class| Objective {
+            kind: "wait".into(),
+            class: Some(c.name.clone()),
+            within_s: Some(c.start_within_s),
+        };
         Settings {
             host_name: host_name(host),
             zone: self.zone_of(host).to_owned(),
             listen: address(host, 80),
             internal_addr: address(host, 81),
-            seeds: (0..usize::from(self.parts)).filter(|&i| i != host).map(seed).collect(),
-            services: Services { cloud: address(1_000, 1), state: address(1_000, 2) },
+            seeds: (0..usize::from(self.parts))
+                .filter(|&i| i != host)
+                .map(seed)
+                .collect(),
+            services: Services {
+                cloud: address(1_000, 1),
+                state: address(1_000, 2),
+            },
             cluster: Cluster {
                 zones: self.zones.clone(),
                 teams: self.teams.clone(),
@@ -252,7 +286,11 @@
                 workers: self.workers.clone(),
                 state: self.state.clone(),
                 cloud: self.cloud.clone(),
-                limits: Limits { cpu_share: 1.0, mem_mb: 4_096.0, fd_limit: 65_536 },
+                limits: Limits {
+                    cpu_share: 1.0,
+                    mem_mb: 4_096.0,
+                    fd_limit: 65_536,
+                },
                 clock_off_ms: 0.0,
             },
         }
@@ -296,13 +334,17 @@
             txn_ops: s.whole("txn_ops", 4, 100_000, Some(32)) as usize,
             next: s.has("next").then(|| next_limits(&s.table("next"))),
         },
-        cloud: CloudLimits { rps: c.number("rps", 0.1, 1e9, Some(4.0)), list_lag_s: c.number("list_lag_s", 0.0, 600.0, Some(10.0)) },
+        cloud: CloudLimits {
+            rps: c.number("rps", 0.1, 1e9, Some(4.0)),
+            list_lag_s: c.number("list_lag_s", 0.0, 600.0, Some(10.0)),
+        },
         policy: Policy {
             idle: p.number("idle", 0.0, 1e6, Some(0.75)),
             idle_spot: p.number("idle_spot", 0.0, 1e6, Some(1.5)),
             silent_ms: (p.number("silent_s", 1.0, 3_600.0, Some(9.0)) * 1_000.0) as u64,
             boot_patience: p.number("boot_patience", 1.5, 100.0, Some(3.0)),
-            blind_ms: (p.number("blind_s", 0.0, BLIND_MOST_MS as f64 / 1_000.0, Some(60.0)) * 1_000.0) as u64,
+            blind_ms: (p.number("blind_s", 0.0, BLIND_MOST_MS as f64 / 1_000.0, Some(60.0))
+                * 1_000.0) as u64,
             spare: p.number("spare", 0.0, 10.0, Some(0.5)),
             trade: Trade::default(),
         },
@@ -314,9 +356,19 @@
             lost_sync: chance("lost_sync"),
             late_sync: chance("late_sync"),
         },
-        costs: Costs { message_ns: o.whole("message_ns", 0, 1_000_000_000, Some(0)), look_ns: o.whole("look_ns", 0, 1_000_000, Some(0)) },
-        latency: Latency { low_us: l.whole("low_us", 1, 10_000_000, Some(500)), high_us: l.whole("high_us", 1, 10_000_000, Some(3_000)) },
-        kinds: top.tables("machine_type").iter().map(|t| kind(t, &zones)).collect(),
+        costs: Costs {
+            message_ns: o.whole("message_ns", 0, 1_000_000_000, Some(0)),
+            look_ns: o.whole("look_ns", 0, 1_000_000, Some(0)),
+        },
+        latency: Latency {
+            low_us: l.whole("low_us", 1, 10_000_000, Some(500)),
+            high_us: l.whole("high_us", 1, 10_000_000, Some(3_000)),
+        },
+        kinds: top
+            .tables("machine_type")
+            .iter()
+            .map(|t| kind(t, &zones))
+            .collect(),
         teams: top.tables("team").iter().map(team).collect(),
         classes: Vec::new(),
         faults: Vec::new(),
@@ -341,13 +393,28 @@
     for t in top.tables("class") {
         let class = class(&t, &scenario);
         // Only classes before it, so that no chain is a circle.
-        for awaited in class.awaits.iter().filter(|awaited| !classes.iter().any(|before| before.name == **awaited)) {
-            t.fault("awaits", &format!("no class before this one is called {awaited}"));
+        for awaited in class
+            .awaits
+            .iter()
+            .filter(|awaited| !classes.iter().any(|before| before.name == **awaited))
+        {
+            t.fault(
+                "awaits",
+                &format!("no class before this one is called {awaited}"),
+            );
         }
         classes.push(class);
     }
-    let faults = top.tables("fault").iter().filter_map(|t| trouble::fault(t, &scenario)).collect();
-    Scenario { classes, faults, ..scenario }
+    let faults = top
+        .tables("fault")
+        .iter()
+        .filter_map(|t| trouble::fault(t, &scenario))
+        .collect();
+    Scenario {
+        classes,
+        faults,
+        ..scenario
+    }
 }
 
 fn next_limits(t: &Section<'_>) -> NextStateLimits {
@@ -356,7 +423,9 @@
         rps: number("rps", 1.0),
         write_rps: number("write_rps", 1.0),
         value_kb: number("value_kb", 1.0),
-        txn_ops: t.has("txn_ops").then(|| t.whole("txn_ops", 4, 100_000, None) as usize),
+        txn_ops: t
+            .has("txn_ops")
+            .then(|| t.whole("txn_ops", 4, 100_000, None) as usize),
     }
 }
 
@@ -377,7 +446,10 @@
             boot_s: t.number("boot_s", 0.0, 1e6, Some(30.0)),
             zones: zones.to_vec(),
         },
-        capacity: (t.whole("ordinary", 0, 1_000_000, Some(1_000)) as u32, t.whole("spot", 0, 1_000_000, Some(0)) as u32),
+        capacity: (
+            t.whole("ordinary", 0, 1_000_000, Some(1_000)) as u32,
+            t.whole("spot", 0, 1_000_000, Some(0)) as u32,
+        ),
         at_start: t.whole("at_start", 0, 1_000_000, Some(0)) as u32,
     }
 }
@@ -394,16 +466,32 @@
 }
 
 fn class(t: &Section<'_>, scenario: &Scenario) -> Class {
-    let shapes = [("array", Shape::Array), ("gang", Shape::Gang), ("service", Shape::Service)];
-    let ranks = [("production", Rank::Production), ("high", Rank::High), ("normal", Rank::Normal), ("low", Rank::Low)];
+    let shapes = [
+        ("array", Shape::Array),
+        ("gang", Shape::Gang),
+        ("service", Shape::Service),
+    ];
+    let ranks = [
+        ("production", Rank::Production),
+        ("high", Rank::High),
+        ("normal", Rank::Normal),
+        ("low", Rank::Low),
+    ];
     let mut teams = t.texts("teams");
-    for name in teams.iter().filter(|n| !scenario.teams.iter().any(|team| team.name == **n)) {
+    for name in teams
+        .iter()
+        .filter(|n| !scenario.teams.iter().any(|team| team.name == **n))
+    {
         t.fault("teams", &format!("no team is called {name}"));
     }
     if teams.is_empty() {
         teams = scenario.teams.iter().map(|t| t.name.clone()).collect();
     }
-    let need = (t.number("cpus", 0.0, 1e6, None), t.number("gpus", 0.0, 1e4, Some(0.0)), t.number("memory_gb", 0.0, 1e7, Some(0.0)));
+    let need = (
+        t.number("cpus", 0.0, 1e6, None),
+        t.number("gpus", 0.0, 1e4, Some(0.0)),
+        t.number("memory_gb", 0.0, 1e7, Some(0.0)),
+    );
     let room = Room::need(need.0, need.1, need.2);
     if !scenario.kinds.iter().any(|k| k.machine.room.covers(&room)) {
         t.fault("cpus", "a task fits no machine type");
@@ -411,20 +499,30 @@
     Class {
         name: t.text("name", None),
         teams,
-        shape: t.word("shape", &shapes, Some(Shape::Array)).unwrap_or(Shape::Array),
-        rank: t.word("priority", &ranks, Some(Rank::Normal)).unwrap_or(Rank::Normal),
+        shape: t
+            .word("shape", &shapes, Some(Shape::Array))
+            .unwrap_or(Shape::Array),
+        rank: t
+            .word("priority", &ranks, Some(Rank::Normal))
+            .unwrap_or(Rank::Normal),
         tasks: dist(t, "tasks", Some(1.0)),
         need,
         run_s: dist(t, "run_s", None),
         estimate_off: t.number("estimate_off", 0.0, 10.0, Some(0.5)),
-        images: (t.whole("images", 1, 100_000, Some(1)) as u32, t.number("image_gb", 0.0, 10_000.0, Some(0.0))),
+        images: (
+            t.whole("images", 1, 100_000, Some(1)) as u32,
+            t.number("image_gb", 0.0, 10_000.0, Some(0.0)),
+        ),
         per_min: t.number("per_min", 0.0, 1e6, Some(0.0)),
         at_start: t.whole("at_start", 0, 1_000_000, Some(0)) as u32,
         zone: t.has("zone").then(|| trouble::known_zone(t, scenario)),
         one_zone: t.flag("one_zone", false),
         spread: t.flag("spread", false),
         spot: t.flag("spot", false),
-        save: (t.number("checkpoint_s", 0.0, 1e6, Some(0.0)), t.number("save_s", 0.0, 1e6, Some(0.0))),
+        save: (
+            t.number("checkpoint_s", 0.0, 1e6, Some(0.0)),
+            t.number("save_s", 0.0, 1e6, Some(0.0)),
+        ),
         start_within_s: t.number("start_within_s", 0.0, 1e6, Some(0.0)),
         broken: t.number("broken", 0.0, 1.0, Some(0.0)),
         awaits: t.texts("awaits"),
@@ -437,22 +535,42 @@
 fn dist(t: &Section<'_>, name: &str, or: Option<f64>) -> Dist {
     match t.raw(name) {
         Some(DeValue::Table(_)) => {}
-        Some(value) if as_number(value).is_some() => return Dist::Fixed(t.number(name, 0.0, 1e9, None)),
+        Some(value) if as_number(value).is_some() => {
+            return Dist::Fixed(t.number(name, 0.0, 1e9, None));
+        }
         _ => return Dist::Fixed(t.number(name, 0.0, 1e9, or)),
     }
     let d = t.table(name);
     let most = 1e9;
-    match d.word("dist", &[("uniform", 0), ("exponential", 1), ("lognormal", 2), ("pareto", 3)], None) {
+    match d.word(
+        "dist",
+        &[
+            ("uniform", 0),
+            ("exponential", 1),
+            ("lognormal", 2),
+            ("pareto", 3),
+        ],
+        None,
+    ) {
         Some(0) => {
-            let (low, high) = (d.number("low", 0.0, most, None), d.number("high", 0.0, most, None));
+            let (low, high) = (
+                d.number("low", 0.0, most, None),
+                d.number("high", 0.0, most, None),
+            );
             if high < low {
                 d.fault("high", "is below low");
             }
             Dist::Uniform(low, high)
         }
         Some(1) => Dist::Exp(d.number("mean", 1e-9, most, None)),
-        Some(2) => Dist::LogNormal(d.number("median", 1e-9, most, None), d.number("sigma", 0.0, 10.0, None)),
-        Some(3) => Dist::Pareto(d.number("least", 1e-9, most, None), d.number("shape", 0.01, 100.0, None)),
+        Some(2) => Dist::LogNormal(
+            d.number("median", 1e-9, most, None),
+            d.number("sigma", 0.0, 10.0, None),
+        ),
+        Some(3) => Dist::Pareto(
+            d.number("least", 1e-9, most, None),
+            d.number("shape", 0.01, 100.0, None),
+        ),
         _ => Dist::Fixed(0.0),
     }
 }
--- a/crates/lab/src/scenario/trouble.rs
+++ b/crates/lab/src/scenario/trouble.rs
@@ -3,10 +3,16 @@
 use super::{Scenario, Section};
 
 /// How much later a write is carried out that got no answer.
-pub const LATE_WRITES: Seconds = Seconds { low: 2.0, high: 12.0 };
+pub const LATE_WRITES: Seconds = Seconds {
+    low: 2.0,
+    high: 12.0,
+};
 /// When kept copies of reports arrive after a shard has a new leader, if the scenario
 /// does not say.
-const KEPT_COPIES: Seconds = Seconds { low: 0.0, high: 1.0 };
+const KEPT_COPIES: Seconds = Seconds {
+    low: 0.0,
+    high: 1.0,
+};
 
 /// What goes wrong at a time.
 #[derive(Clone, Debug, PartialEq)]
@@ -142,7 +148,10 @@
 
     fn read_or(t: &Section<'_>, usual: Option<Self>) -> Self {
         let low = t.number("low_s", 0.0, 3_600.0, usual.map(|s| s.low));
-        Self { low, high: t.number("high_s", low, 3_600.0, usual.map(|s| s.high)) }
+        Self {
+            low,
+            high: t.number("high_s", low, 3_600.0, usual.map(|s| s.high)),
+        }
     }
 
     /// The same in µs.
@@ -171,7 +180,9 @@
     pub(super) fn over_s(&self, hosts: u16) -> f64 {
         let more = match self.trouble {
             Trouble::Roll => self.for_s * f64::from(hosts),
-            Trouble::LateCopies { seconds, .. } | Trouble::StoreSlow { seconds } | Trouble::HeldOrders { seconds } => seconds.high,
+            Trouble::LateCopies { seconds, .. }
+            | Trouble::StoreSlow { seconds }
+            | Trouble::HeldOrders { seconds } => seconds.high,
             Trouble::LateWrites { at_once: false } => LATE_WRITES.high,
             Trouble::CancelNow { hang_s, .. } => hang_s,
             Trouble::TakeSpot { notice_s } => 1.5 * notice_s,
@@ -241,7 +252,13 @@
 pub(super) fn known_zone(t: &Section<'_>, scenario: &Scenario) -> String {
     let zone = t.text("zone", None);
     if !scenario.zones.contains(&zone) {
-        t.fault("zone", &format!("no zone is called {zone}: must be one of {}", scenario.zones.join(", ")));
+        t.fault(
+            "zone",
+            &format!(
+                "no zone is called {zone}: must be one of {}",
+                scenario.zones.join(", ")
+            ),
+        );
     }
     zone
 }
@@ -252,7 +269,9 @@
     let at_s = t.number("at_s", 0.0, scenario.duration_s, None);
     let for_s = t.number("for_s", 0.0, scenario.duration_s - at_s, Some(5.0));
     let trouble = match t.word("kind", &KINDS.map(|kind| (kind, kind)), None)? {
-        "crash" => Trouble::Crash { host: t.has("controller").then(|| host("controller")) },
+        "crash" => Trouble::Crash {
+            host: t.has("controller").then(|| host("controller")),
+        },
         "roll" => Trouble::Roll,
         "store_down" => Trouble::StoreDown,
         "refused" if t.flag("carried", false) => Trouble::Cut(Link::Barred(host("controller"))),
@@ -265,20 +284,32 @@
         "silent" => Trouble::Silent,
         "hang" => Trouble::Hang,
         "faulty" => Trouble::Faulty,
-        "cut_zone" => Trouble::CutZone { zone: known_zone(t, scenario) },
-        "cut_workers" if t.has("zone") => Trouble::Cut(Link::Zone(host("controller"), known_zone(t, scenario))),
+        "cut_zone" => Trouble::CutZone {
+            zone: known_zone(t, scenario),
+        },
+        "cut_workers" if t.has("zone") => {
+            Trouble::Cut(Link::Zone(host("controller"), known_zone(t, scenario)))
+        }
         "cut_workers" => Trouble::Cut(Link::Workers(host("controller"))),
-        "freeze" => Trouble::Freeze { host: host("controller") },
+        "freeze" => Trouble::Freeze {
+            host: host("controller"),
+        },
         "die" => Trouble::Die,
         "cut_cloud" => Trouble::Cut(Link::Cloud(host("controller"))),
         "cut_one_way" => Trouble::Cut(Link::OneWay(host("controller"), host("other"))),
         "cut_users" => Trouble::Cut(Link::Users(host("controller"))),
-        "boots" => {
-            Trouble::Boots { factor: t.number("factor", 0.001, 1_000.0, Some(1.0)), zone: t.has("zone").then(|| known_zone(t, scenario)) }
-        }
-        "polls" => Trouble::Polls { factor: t.number("factor", 1.0, 1_000.0, None) },
+        "boots" => Trouble::Boots {
+            factor: t.number("factor", 0.001, 1_000.0, Some(1.0)),
+            zone: t.has("zone").then(|| known_zone(t, scenario)),
+        },
+        "polls" => Trouble::Polls {
+            factor: t.number("factor", 1.0, 1_000.0, None),
+        },
         "deaf" => {
-            let only = t.has("only").then(|| t.word("only", &[("answers", true), ("commands", false)], None)).flatten();
+            let only = t
+                .has("only")
+                .then(|| t.word("only", &[("answers", true), ("commands", false)], None))
+                .flatten();
             Trouble::Deaf {
                 zone: t.has("zone").then(|| known_zone(t, scenario)),
                 host: t.has("controller").then(|| host("controller")),
@@ -288,12 +319,21 @@
         }
         "late_copies" => {
             let for_next = t.flag("for_next", false);
-            Trouble::LateCopies { seconds: Seconds::read_or(t, for_next.then_some(KEPT_COPIES)), for_next }
+            Trouble::LateCopies {
+                seconds: Seconds::read_or(t, for_next.then_some(KEPT_COPIES)),
+                for_next,
+            }
         }
-        "alone" => Trouble::Alone { host: host("controller") },
+        "alone" => Trouble::Alone {
+            host: host("controller"),
+        },
         "reborn" => Trouble::Reborn,
-        "late_writes" => Trouble::LateWrites { at_once: t.flag("at_once", false) },
-        "mute" => Trouble::Mute { zone: t.has("zone").then(|| known_zone(t, scenario)) },
+        "late_writes" => Trouble::LateWrites {
+            at_once: t.flag("at_once", false),
+        },
+        "mute" => Trouble::Mute {
+            zone: t.has("zone").then(|| known_zone(t, scenario)),
+        },
         "close_looks" => Trouble::CloseLooks,
         "cancel_at_end" => Trouble::CancelAtEnd,
         "cancel_now" => Trouble::CancelNow {
@@ -302,11 +342,21 @@
         },
         "odd_requests" => Trouble::OddRequests,
         "state_limits" => Trouble::StateLimits,
-        "store_slow" => Trouble::StoreSlow { seconds: Seconds::read(t) },
-        "held_orders" => Trouble::HeldOrders { seconds: Seconds::read(t) },
-        _ => Trouble::TakeSpot { notice_s: t.number("notice_s", 0.0, 3_600.0, Some(0.0)) },
+        "store_slow" => Trouble::StoreSlow {
+            seconds: Seconds::read(t),
+        },
+        "held_orders" => Trouble::HeldOrders {
+            seconds: Seconds::read(t),
+        },
+        _ => Trouble::TakeSpot {
+            notice_s: t.number("notice_s", 0.0, 3_600.0, Some(0.0)),
+        },
+    };
+    let usual_share = if matches!(trouble, Trouble::Boots { .. }) {
+        0.0
+    } else {
+        0.1
     };
-    let usual_share = if matches!(trouble, Trouble::Boots { .. }) { 0.0 } else { 0.1 };
     Some(Fault {
         trouble,
         at_s,
--- a/crates/lab/src/store.rs
+++ b/crates/lab/src/store.rs
@@ -46,7 +46,8 @@
 
 impl Rate {
     fn take(&mut self, n: f64, now: u64) -> bool {
-        self.tokens = (self.tokens + now.saturating_sub(self.at_us) as f64 / 1e6 * self.per_s).min(self.per_s);
+        self.tokens = (self.tokens + now.saturating_sub(self.at_us) as f64 / 1e6 * self.per_s)
+            .min(self.per_s);
         self.at_us = now;
         let good = self.tokens >= n;
         if good {
@@ -78,7 +79,11 @@
 impl Store {
     /// An empty store with these limits.
     pub fn new(limits: &StateLimits) -> Self {
-        let rate = |per_s: f64| Rate { per_s, tokens: per_s, at_us: 0 };
+        let rate = |per_s: f64| Rate {
+            per_s,
+            tokens: per_s,
+            at_us: 0,
+        };
         Self {
             revision: 0,
             down: false,
@@ -105,13 +110,22 @@
     fn takes(&self, txn: &Txn) -> bool {
         // A value that can't be written as JSON has no size that counts.
         let bytes = |value: &Value| serde_json::to_vec(value).map_or(0, |text| text.len());
-        let fits = |write: &Write| if let Write::Put { value, .. } = write { bytes(value) <= self.value_bytes } else { true };
-        txn.writes.len() <= self.txn_ops && txn.conditions.len() <= CONDITIONS_A_CHANGE * self.txn_ops && txn.writes.iter().all(fits)
+        let fits = |write: &Write| {
+            if let Write::Put { value, .. } = write {
+                bytes(value) <= self.value_bytes
+            } else {
+                true
+            }
+        };
+        txn.writes.len() <= self.txn_ops
+            && txn.conditions.len() <= CONDITIONS_A_CHANGE * self.txn_ops
+            && txn.writes.iter().all(fits)
     }
 
     /// False: 429, the request is over the limits.
     pub fn admit(&mut self, writes: usize, now: u64) -> bool {
-        let good = self.requests.take(1.0, now) && (writes == 0 || self.writes.take(writes as f64, now));
+        let good =
+            self.requests.take(1.0, now) && (writes == 0 || self.writes.take(writes as f64, now));
         if good {
             self.served = (self.served.0 + 1, self.served.1 + writes as u64);
         }
@@ -125,8 +139,16 @@
 
     /// All keys with a prefix.
     pub fn list(&self, prefix: &str) -> Vec<Entry> {
-        let from = self.keys.range(prefix.to_owned()..).take_while(|(k, _)| k.starts_with(prefix));
-        from.map(|(k, h)| Entry { key: k.clone(), value: h.value.clone(), version: h.version }).collect()
+        let from = self
+            .keys
+            .range(prefix.to_owned()..)
+            .take_while(|(k, _)| k.starts_with(prefix));
+        from.map(|(k, h)| Entry {
+            key: k.clone(),
+            value: h.value.clone(),
+            version: h.version,
+        })
+        .collect()
     }
 
     /// The changes under a prefix since a revision; `None`: too old.
@@ -135,7 +157,12 @@
             return None;
         }
         let from = self.log.partition_point(|c| c.version <= after);
-        let under = |c: &&Change| c.set.as_ref().or(c.drop.as_ref()).is_some_and(|k| k.starts_with(prefix));
+        let under = |c: &&Change| {
+            c.set
+                .as_ref()
+                .or(c.drop.as_ref())
+                .is_some_and(|k| k.starts_with(prefix))
+        };
         Some(self.log.range(from..).filter(under).cloned().collect())
     }
 
@@ -159,14 +186,31 @@
         if let Some(h) = hold.and_then(|h| self.holds.get_mut(&h)) {
             h.keys.insert(key.to_owned());
         }
-        self.note(Change { set: Some(key.to_owned()), drop: None, value: Some(value.clone()), version: self.revision });
-        self.keys.insert(key.to_owned(), Held { value, version: self.revision, hold });
+        self.note(Change {
+            set: Some(key.to_owned()),
+            drop: None,
+            value: Some(value.clone()),
+            version: self.revision,
+        });
+        self.keys.insert(
+            key.to_owned(),
+            Held {
+                value,
+                version: self.revision,
+                hold,
+            },
+        );
     }
 
     fn remove(&mut self, key: &str) {
         self.detach(key);
         if self.keys.remove(key).is_some() {
-            self.note(Change { set: None, drop: Some(key.to_owned()), value: None, version: self.revision });
+            self.note(Change {
+                set: None,
+                drop: Some(key.to_owned()),
+                value: None,
+                version: self.revision,
+            });
         }
     }
 
@@ -175,12 +219,30 @@
         if !self.takes(txn) {
             return TxnAnswer::TooLarge;
         }
-        let hold = |w: &Write| if let Write::Put { hold, .. } = w { *hold } else { None };
-        if txn.writes.iter().filter_map(hold).any(|h| !self.holds.contains_key(&h)) {
+        let hold = |w: &Write| {
+            if let Write::Put { hold, .. } = w {
+                *hold
+            } else {
+                None
+            }
+        };
+        if txn
+            .writes
+            .iter()
+            .filter_map(hold)
+            .any(|h| !self.holds.contains_key(&h))
+        {
             return TxnAnswer::NoHold;
         }
-        let failed = |c: &&lemonweir_protocol::state::Condition| self.keys.get(&c.key).map_or(0, |k| k.version) != c.version;
-        let failed: Vec<String> = txn.conditions.iter().filter(failed).map(|c| c.key.clone()).collect();
+        let failed = |c: &&lemonweir_protocol::state::Condition| {
+            self.keys.get(&c.key).map_or(0, |k| k.version) != c.version
+        };
+        let failed: Vec<String> = txn
+            .conditions
+            .iter()
+            .filter(failed)
+            .map(|c| c.key.clone())
+            .collect();
         if !failed.is_empty() {
             return TxnAnswer::Conflict(failed);
         }
@@ -200,13 +262,23 @@
     pub fn hold(&mut self, ttl_ms: u64, now: u64) -> u64 {
         self.next_hold += 1;
         let ttl_us = ttl_ms * 1_000;
-        self.holds.insert(self.next_hold, Hold { ttl_us, ends_us: now + ttl_us, keys: BTreeSet::new() });
+        self.holds.insert(
+            self.next_hold,
+            Hold {
+                ttl_us,
+                ends_us: now + ttl_us,
+                keys: BTreeSet::new(),
+            },
+        );
         self.next_hold
     }
 
     /// Renews a hold; false: it has ended.
     pub fn renew(&mut self, hold: u64, now: u64) -> bool {
-        self.holds.get_mut(&hold).map(|h| h.ends_us = now + h.ttl_us).is_some()
+        self.holds
+            .get_mut(&hold)
+            .map(|h| h.ends_us = now + h.ttl_us)
+            .is_some()
     }
 
     /// Ends the holds whose time is over, with their keys.
@@ -214,7 +286,12 @@
         if self.down {
             return;
         }
-        let over: Vec<u64> = self.holds.iter().filter(|(_, h)| now > h.ends_us).map(|(id, _)| *id).collect();
+        let over: Vec<u64> = self
+            .holds
+            .iter()
+            .filter(|(_, h)| now > h.ends_us)
+            .map(|(id, _)| *id)
+            .collect();
         for id in over {
             let keys = self.holds.remove(&id).map(|h| h.keys).unwrap_or_default();
             if !keys.is_empty() {
@@ -229,6 +306,8 @@
     /// An outage is over: all holds get their full time back.
     pub fn recover(&mut self, now: u64) {
         self.down = false;
-        self.holds.values_mut().for_each(|h| h.ends_us = now + h.ttl_us);
+        self.holds
+            .values_mut()
+            .for_each(|h| h.ends_us = now + h.ttl_us);
     }
 }
--- a/crates/lab/src/traces.rs
+++ b/crates/lab/src/traces.rs
@@ -110,14 +110,24 @@
 
 fn format_of(text: &str) -> Result<Format, String> {
     let names = || Format::ALL.map(|(name, _)| name).join(", ");
-    Format::ALL.iter().find(|(name, _)| *name == text).map(|(_, f)| *f).ok_or_else(|| format!("must be one of {}", names()))
+    Format::ALL
+        .iter()
+        .find(|(name, _)| *name == text)
+        .map(|(_, f)| *f)
+        .ok_or_else(|| format!("must be one of {}", names()))
 }
 
 fn machine_of(text: &str) -> Result<Room, String> {
     let (mut cpus, mut gpus, mut memory) = (0.0, 0.0, 0.0);
     for part in text.split(',') {
-        let (name, value) = part.split_once('=').ok_or_else(|| format!("{part}: must be name=number"))?;
-        let x: f64 = value.parse().ok().filter(|x: &f64| x.is_finite() && *x >= 0.0).ok_or_else(|| format!("{value} is no amount"))?;
+        let (name, value) = part
+            .split_once('=')
+            .ok_or_else(|| format!("{part}: must be name=number"))?;
+        let x: f64 = value
+            .parse()
+            .ok()
+            .filter(|x: &f64| x.is_finite() && *x >= 0.0)
+            .ok_or_else(|| format!("{value} is no amount"))?;
         match name {
             "cpus" => cpus = x,
             "gpus" => gpus = x,
@@ -133,7 +143,10 @@
 
 /// Checks; exit code 1 on any fault, 2 on a file that can't be read.
 pub fn check(files: &Files) -> ExitCode {
-    report(lemonweir_trace::check(files.format, &files.files, files.machine, &mut tell), "no fault")
+    report(
+        lemonweir_trace::check(files.format, &files.files, files.machine, &mut tell),
+        "no fault",
+    )
 }
 
 /// Imports; with `stop` and a fault nothing is written.
@@ -142,10 +155,22 @@
         Rows::Stop => OnFault::Stop,
         Rows::Drop => OnFault::Drop,
     };
-    let result = lemonweir_trace::import(files.format, &files.files, files.machine, on_fault, out, &mut tell);
+    let result = lemonweir_trace::import(
+        files.format,
+        &files.files,
+        files.machine,
+        on_fault,
+        out,
+        &mut tell,
+    );
     match (&result, on_fault) {
         (Ok(r), OnFault::Drop) if r.faults > 0 => {
-            println!("{} jobs written to {}; {} faults, their rows left out", r.jobs, out.display(), r.faults);
+            println!(
+                "{} jobs written to {}; {} faults, their rows left out",
+                r.jobs,
+                out.display(),
+                r.faults
+            );
             ExitCode::SUCCESS
         }
         _ => report(result, &format!("written to {}", out.display())),
@@ -156,7 +181,10 @@
     println!("{fault}");
 }
 
-fn report<E: std::fmt::Display>(result: Result<lemonweir_trace::Imported, E>, well: &str) -> ExitCode {
+fn report<E: std::fmt::Display>(
+    result: Result<lemonweir_trace::Imported, E>,
+    well: &str,
+) -> ExitCode {
     match result {
         Ok(r) if r.faults == 0 => {
             println!("{} jobs, {well}", r.jobs);
@@ -183,10 +211,23 @@
             return ExitCode::from(UNREADABLE);
         }
     };
-    println!("{}: from {}, {} jobs, {} tasks", file.display(), header.source, seen.jobs, seen.tasks);
-    println!("  arrays {}, gangs {}, services {}", seen.shapes[0], seen.shapes[1], seen.shapes[2]);
+    println!(
+        "{}: from {}, {} jobs, {} tasks",
+        file.display(),
+        header.source,
+        seen.jobs,
+        seen.tasks
+    );
+    println!(
+        "  arrays {}, gangs {}, services {}",
+        seen.shapes[0], seen.shapes[1], seen.shapes[2]
+    );
     let line = |name: &str, (low, high): (u64, u64), unit: &str| {
-        println!("  {name:<14} {:.3} to {:.3} {unit}", low as f64 / 1e3, high as f64 / 1e3);
+        println!(
+            "  {name:<14} {:.3} to {:.3} {unit}",
+            low as f64 / 1e3,
+            high as f64 / 1e3
+        );
     };
     for (name, range, unit) in [
         ("submitted at", seen.at, "s"),
--- a/crates/lab/src/worker.rs
+++ b/crates/lab/src/worker.rs
@@ -5,7 +5,9 @@
 
 use lemonweir_model::settings::Workers;
 use lemonweir_model::{AttemptId, JobId, MachineId, MachineType, Room, Shape};
-use lemonweir_protocol::worker::{Commands, Order, Report, ReportReply, TaskPhase, TaskReport, Verb};
+use lemonweir_protocol::worker::{
+    Commands, Order, Report, ReportReply, TaskPhase, TaskReport, Verb,
+};
 
 use crate::checker::Place;
 use crate::ground::{Call, Ground};
@@ -113,7 +115,15 @@
 
 impl Worker {
     /// A machine that will be up at `up_at`.
-    pub fn new(number: usize, kind: &MachineType, zone: &str, spot: bool, up_at: u64, speed: f64, times: &Workers) -> Self {
+    pub fn new(
+        number: usize,
+        kind: &MachineType,
+        zone: &str,
+        spot: bool,
+        up_at: u64,
+        speed: f64,
+        times: &Workers,
+    ) -> Self {
         Self {
             id: machine_id(number),
             number,
@@ -149,19 +159,35 @@
 
     /// Tasks that have not exited.
     pub fn live(&self) -> usize {
-        self.tasks.values().filter(|t| t.phase != TaskPhase::Exited).count()
+        self.tasks
+            .values()
+            .filter(|t| t.phase != TaskPhase::Exited)
+            .count()
     }
 
     /// Jobs with a task that has not exited.
     pub fn live_jobs(&self) -> impl Iterator<Item = &JobId> {
-        self.tasks.iter().filter(|(_, t)| t.phase != TaskPhase::Exited).map(|(id, _)| &id.job)
+        self.tasks
+            .iter()
+            .filter(|(_, t)| t.phase != TaskPhase::Exited)
+            .map(|(id, _)| &id.job)
     }
 
     /// µs of run time of the replicas that run now, in thousandths of a processor.
     pub fn serving(&self, now: u64, ground: &Ground) -> u128 {
-        let service = |id: &AttemptId| ground.jobs.get(&id.job).is_some_and(|l| l.spec.shape == Shape::Service);
-        let running = self.tasks.iter().filter(|(id, t)| t.phase == TaskPhase::Running && service(id));
-        running.map(|(_, t)| u128::from(now.saturating_sub(t.ran_from)) * u128::from(t.need.cpus)).sum()
+        let service = |id: &AttemptId| {
+            ground
+                .jobs
+                .get(&id.job)
+                .is_some_and(|l| l.spec.shape == Shape::Service)
+        };
+        let running = self
+            .tasks
+            .iter()
+            .filter(|(id, t)| t.phase == TaskPhase::Running && service(id));
+        running
+            .map(|(_, t)| u128::from(now.saturating_sub(t.ran_from)) * u128::from(t.need.cpus))
+            .sum()
     }
 
     /// Room that is not taken.
@@ -204,9 +230,22 @@
     }
 
     fn next_inside(&self) -> u64 {
-        let tasks = self.tasks.values().filter_map(|t| t.next.map(|(at, _)| at)).min().unwrap_or(NEVER);
-        let least = self.fetches.iter().map(|f| f.left_gb).fold(f64::MAX, f64::min);
-        let fetch = if self.fetches.is_empty() { NEVER } else { self.fetched_at + (least.max(0.0) / self.fetch_rate()).ceil() as u64 };
+        let tasks = self
+            .tasks
+            .values()
+            .filter_map(|t| t.next.map(|(at, _)| at))
+            .min()
+            .unwrap_or(NEVER);
+        let least = self
+            .fetches
+            .iter()
+            .map(|f| f.left_gb)
+            .fold(f64::MAX, f64::min);
+        let fetch = if self.fetches.is_empty() {
+            NEVER
+        } else {
+            self.fetched_at + (least.max(0.0) / self.fetch_rate()).ceil() as u64
+        };
         tasks.min(fetch).min(self.lease_from + self.lease_us + 1)
     }
 
@@ -261,13 +300,25 @@
             return;
         }
         self.fetch_until(at);
-        let there: Vec<String> = self.fetches.iter().filter(|f| f.left_gb <= 1e-9).map(|f| f.image.clone()).collect();
+        let there: Vec<String> = self
+            .fetches
+            .iter()
+            .filter(|f| f.left_gb <= 1e-9)
+            .map(|f| f.image.clone())
+            .collect();
         for image in there {
             self.fetches.retain(|f| f.image != image);
             self.image_came(&image, at, ground);
         }
-        let due: Vec<(AttemptId, End)> =
-            self.tasks.iter().filter_map(|(id, t)| t.next.filter(|(when, _)| *when <= at).map(|(_, e)| (id.clone(), e))).collect();
+        let due: Vec<(AttemptId, End)> = self
+            .tasks
+            .iter()
+            .filter_map(|(id, t)| {
+                t.next
+                    .filter(|(when, _)| *when <= at)
+                    .map(|(_, e)| (id.clone(), e))
+            })
+            .collect();
         for (id, end) in due {
             self.exit(&id, end, at, ground);
         }
@@ -280,7 +331,12 @@
 
     /// Everything on it is gone.
     pub fn kill_all(&mut self, now: u64, ground: &mut Ground) {
-        let live: Vec<AttemptId> = self.tasks.iter().filter(|(_, t)| t.phase != TaskPhase::Exited).map(|(id, _)| id.clone()).collect();
+        let live: Vec<AttemptId> = self
+            .tasks
+            .iter()
+            .filter(|(_, t)| t.phase != TaskPhase::Exited)
+            .map(|(id, _)| id.clone())
+            .collect();
         for id in live {
             self.keep_checkpoint(&id, now, ground);
             ground.checker.left(&id.job, id.task, self.number);
@@ -299,7 +355,12 @@
         self.kill_all(now, ground);
         ground.history.note(now, "reborn", &self.id, &"");
         (self.session, self.seq, self.token, self.token_told) = (1, 0, 0, 0);
-        (self.lease_from, self.next_report, self.born, self.hung_until) = (now, now, now, 0);
+        (
+            self.lease_from,
+            self.next_report,
+            self.born,
+            self.hung_until,
+        ) = (now, now, now, 0);
         (self.in_flight, self.changed) = (None, false);
         self.images.clear();
         self.fetched_at = now;
@@ -307,7 +368,9 @@
 
     /// What a task that ends without saving keeps.
     fn keep_checkpoint(&self, id: &AttemptId, now: u64, ground: &mut Ground) {
-        let (Some(t), Some(load)) = (self.tasks.get(id), ground.jobs.get(&id.job)) else { return };
+        let (Some(t), Some(load)) = (self.tasks.get(id), ground.jobs.get(&id.job)) else {
+            return;
+        };
         let service = load.spec.shape == Shape::Service;
         if t.phase != TaskPhase::Running || load.spec.shape == Shape::Gang && load.spec.tasks > 1 {
             return;
@@ -326,7 +389,13 @@
         if matches!(end, End::Error | End::Peers | End::Stopped(false)) {
             self.keep_checkpoint(id, now, ground);
         }
-        let Some(t) = self.tasks.get_mut(id).filter(|t| t.phase != TaskPhase::Exited) else { return };
+        let Some(t) = self
+            .tasks
+            .get_mut(id)
+            .filter(|t| t.phase != TaskPhase::Exited)
+        else {
+            return;
+        };
         let was = t.phase;
         t.phase = TaskPhase::Exited;
         ground.checker.gang_task_over(id);
@@ -340,7 +409,12 @@
             && let Some(image) = ground.jobs.get(&id.job).map(|l| l.spec.image.clone())
         {
             // A fetch that nobody waits for any more is given up.
-            let wanted = |i: &AttemptId| ground.jobs.get(&i.job).is_some_and(|l| l.spec.image == image);
+            let wanted = |i: &AttemptId| {
+                ground
+                    .jobs
+                    .get(&i.job)
+                    .is_some_and(|l| l.spec.image == image)
+            };
             if !self.tasks.iter().any(|(i, t)| waits(t) && wanted(i)) {
                 self.fetches.retain(|f| f.image != image);
             }
@@ -350,16 +424,31 @@
         match end {
             End::Done => ground.finished(id, work),
             End::Error | End::Alone | End::Stopped(false) => ground.lose(id, now),
-            End::Stopped(true) | End::Peers => drop(ground.gang(id).map(|g| g.present.remove(&id.task))),
+            End::Stopped(true) | End::Peers => {
+                drop(ground.gang(id).map(|g| g.present.remove(&id.task)))
+            }
         }
         ground.history.note(now, end.cause(), id, &self.id);
     }
 
     fn image_came(&mut self, image: &str, now: u64, ground: &mut Ground) {
-        let of = |id: &AttemptId| ground.jobs.get(&id.job).is_some_and(|l| l.spec.image == image);
-        let waiting: Vec<AttemptId> =
-            self.tasks.iter().filter(|(id, t)| t.phase == TaskPhase::Fetching && of(id)).map(|(id, _)| id.clone()).collect();
-        if let Some(gb) = waiting.first().and_then(|id| ground.jobs.get(&id.job)).map(|l| l.spec.image_gb) {
+        let of = |id: &AttemptId| {
+            ground
+                .jobs
+                .get(&id.job)
+                .is_some_and(|l| l.spec.image == image)
+        };
+        let waiting: Vec<AttemptId> = self
+            .tasks
+            .iter()
+            .filter(|(id, t)| t.phase == TaskPhase::Fetching && of(id))
+            .map(|(id, _)| id.clone())
+            .collect();
+        if let Some(gb) = waiting
+            .first()
+            .and_then(|id| ground.jobs.get(&id.job))
+            .map(|l| l.spec.image_gb)
+        {
             self.cache(image, gb);
         }
         for id in waiting {
@@ -379,20 +468,33 @@
     }
 
     fn has_image(&mut self, id: &AttemptId, now: u64, ground: &mut Ground) {
-        let Some(load) = ground.jobs.get(&id.job) else { return };
+        let Some(load) = ground.jobs.get(&id.job) else {
+            return;
+        };
         let (spec, work, broken) = (load.spec.clone(), load.run_us(id.task), load.broken);
-        let place = Place { machine: self.number, kind: &self.kind.name, zone: &self.zone, spot: self.spot };
+        let place = Place {
+            machine: self.number,
+            kind: &self.kind.name,
+            zone: &self.zone,
+            spot: self.spot,
+        };
         ground.checker.started(&id.job, id.task, place, now);
         ground.history.note(now, "up", id, &self.id);
         ground.up.entry((id.job.clone(), id.task)).or_insert(now);
         self.changed = true;
         let done = ground.done.contains(&(id.job.clone(), id.task));
         let gang = spec.shape == Shape::Gang && spec.tasks > 1;
-        let base = ground.saved.get(&(id.job.clone(), id.task)).copied().unwrap_or(0);
+        let base = ground
+            .saved
+            .get(&(id.job.clone(), id.task))
+            .copied()
+            .unwrap_or(0);
         if !gang {
             ground.begun.entry(id.job.clone()).or_insert(now);
         }
-        let Some(t) = self.tasks.get_mut(id) else { return };
+        let Some(t) = self.tasks.get_mut(id) else {
+            return;
+        };
         if done {
             t.phase = TaskPhase::Running;
             t.next = Some((now, End::Done));
@@ -416,24 +518,44 @@
         match call {
             Call::Run(_, id, until) => {
                 let faulty = self.faulty || ground.jobs.get(&id.job).is_some_and(|l| l.broken);
-                if let Some(t) = self.tasks.get_mut(&id).filter(|t| t.phase == TaskPhase::Gathering) {
+                if let Some(t) = self
+                    .tasks
+                    .get_mut(&id)
+                    .filter(|t| t.phase == TaskPhase::Gathering)
+                {
                     t.phase = TaskPhase::Running;
-                    t.next = Some(if faulty { (until.min(now + FAILS_AFTER_US), End::Error) } else { (until, End::Done) });
+                    t.next = Some(if faulty {
+                        (until.min(now + FAILS_AFTER_US), End::Error)
+                    } else {
+                        (until, End::Done)
+                    });
                     self.changed = true;
                 }
             }
             Call::Peers(_, id, at) => {
-                if let Some(t) = self.tasks.get_mut(&id).filter(|t| t.phase != TaskPhase::Exited) {
+                if let Some(t) = self
+                    .tasks
+                    .get_mut(&id)
+                    .filter(|t| t.phase != TaskPhase::Exited)
+                {
                     t.next = Some((at, End::Peers));
                 }
             }
             Call::Stopped(_, id, at, saved) => {
-                if let Some(t) = self.tasks.get_mut(&id).filter(|t| t.phase != TaskPhase::Exited) {
+                if let Some(t) = self
+                    .tasks
+                    .get_mut(&id)
+                    .filter(|t| t.phase != TaskPhase::Exited)
+                {
                     t.next = Some((at, End::Stopped(saved)));
                 }
             }
             Call::Pause(_, id) => {
-                if let Some(t) = self.tasks.get_mut(&id).filter(|t| t.phase == TaskPhase::Running) {
+                if let Some(t) = self
+                    .tasks
+                    .get_mut(&id)
+                    .filter(|t| t.phase == TaskPhase::Running)
+                {
                     t.next = None;
                 }
             }
@@ -445,13 +567,19 @@
 
     fn execute(&mut self, orders: &[Order], now: u64, ground: &mut Ground) {
         for o in orders {
-            let Some(id) = AttemptId::parse(&o.piece, o.attempt) else { continue };
+            let Some(id) = AttemptId::parse(&o.piece, o.attempt) else {
+                continue;
+            };
             match o.verb {
                 Verb::Launch if !self.tasks.contains_key(&id) => self.launch(id, now, ground),
                 Verb::Launch => {}
                 Verb::Kill => self.kill(&id, o.grace_s.unwrap_or(0), now, ground),
                 Verb::Forget => {
-                    if self.tasks.get(&id).is_some_and(|t| t.phase == TaskPhase::Exited) {
+                    if self
+                        .tasks
+                        .get(&id)
+                        .is_some_and(|t| t.phase == TaskPhase::Exited)
+                    {
                         self.tasks.remove(&id);
                         self.changed = true;
                     }
@@ -461,21 +589,41 @@
     }
 
     fn launch(&mut self, id: AttemptId, now: u64, ground: &mut Ground) {
-        ground.launched.entry((id.job.clone(), id.task)).or_insert(now);
+        ground
+            .launched
+            .entry((id.job.clone(), id.task))
+            .or_insert(now);
         self.changed = true;
-        let load = ground.jobs.get(&id.job).filter(|l| u64::from(id.task) < l.spec.tasks).map(|l| l.spec.clone());
+        let load = ground
+            .jobs
+            .get(&id.job)
+            .filter(|l| u64::from(id.task) < l.spec.tasks)
+            .map(|l| l.spec.clone());
         let need = load.as_ref().map(|s| s.need()).unwrap_or_default();
-        let other = self.tasks.iter().any(|(i, t)| i.job == id.job && i.task == id.task && t.phase != TaskPhase::Exited);
+        let other = self
+            .tasks
+            .iter()
+            .any(|(i, t)| i.job == id.job && i.task == id.task && t.phase != TaskPhase::Exited);
         let refusal = match &load {
             None => Some("unknown"),
             Some(_) if other => Some("in_use"),
             Some(_) if !self.free.covers(&need) => Some("no_room"),
             Some(_) => None,
         };
-        let mut task = Task { phase: TaskPhase::Fetching, cause: refusal, saved: false, next: None, ran_from: now, base: 0, need };
+        let mut task = Task {
+            phase: TaskPhase::Fetching,
+            cause: refusal,
+            saved: false,
+            next: None,
+            ran_from: now,
+            base: 0,
+            need,
+        };
         if refusal.is_some() {
             task.phase = TaskPhase::Exited;
-            ground.history.note(now, refusal.unwrap_or_default(), &id, &self.id);
+            ground
+                .history
+                .note(now, refusal.unwrap_or_default(), &id, &self.id);
             self.tasks.insert(id, task);
             return;
         }
@@ -488,14 +636,23 @@
             self.has_image(&id, now, ground);
         } else if !self.fetches.iter().any(|f| f.image == spec.image) {
             self.fetch_until(now);
-            self.fetches.push(Fetch { image: spec.image.clone(), left_gb: spec.image_gb });
+            self.fetches.push(Fetch {
+                image: spec.image.clone(),
+                left_gb: spec.image_gb,
+            });
         }
     }
 
     fn kill(&mut self, id: &AttemptId, grace_s: u32, now: u64, ground: &mut Ground) {
-        let Some(t) = self.tasks.get_mut(id) else { return };
-        let Some(spec) = ground.jobs.get(&id.job).map(|l| l.spec.clone()) else { return };
-        let saves = spec.checkpoint_s > 0.0 && f64::from(grace_s) >= spec.save_s && spec.shape != Shape::Service;
+        let Some(t) = self.tasks.get_mut(id) else {
+            return;
+        };
+        let Some(spec) = ground.jobs.get(&id.job).map(|l| l.spec.clone()) else {
+            return;
+        };
+        let saves = spec.checkpoint_s > 0.0
+            && f64::from(grace_s) >= spec.save_s
+            && spec.shape != Shape::Service;
         match t.phase {
             TaskPhase::Exited => {}
             TaskPhase::Saving if grace_s > 0 => {}
@@ -562,13 +719,25 @@
     }
 
     /// The answer to a report that was sent at `sent` in `session`.
-    pub fn answered(&mut self, session: u64, sent: u64, reply: &ReportReply, next_us: u64, now: u64, ground: &mut Ground) {
+    pub fn answered(
+        &mut self,
+        session: u64,
+        sent: u64,
+        reply: &ReportReply,
+        next_us: u64,
+        now: u64,
+        ground: &mut Ground,
+    ) {
         self.advance(now, ground);
         if self.in_flight == Some(sent) {
             self.in_flight = None;
             self.next_report = sent + next_us;
         }
-        if reply.token < self.token || sent < self.born || session != self.session || now > sent + ANSWER_US {
+        if reply.token < self.token
+            || sent < self.born
+            || session != self.session
+            || now > sent + ANSWER_US
+        {
             return;
         }
         self.see_token(reply.token);
--- a/crates/lab/src/world.rs
+++ b/crates/lab/src/world.rs
@@ -24,7 +24,9 @@
 use lemonweir_coordination::membership::Claim;
 use lemonweir_coordination::owner::{CommandCall, CommandResult, SyncRefusal};
 use lemonweir_coordination::placer::TxnOutcome;
-use lemonweir_coordination::{Effect, Lot, RentResult, ReportAnswer, keys_to_reread, mail_piece_bytes};
+use lemonweir_coordination::{
+    Effect, Lot, RentResult, ReportAnswer, keys_to_reread, mail_piece_bytes,
+};
 use lemonweir_model::constants::*;
 use lemonweir_model::{JobId, MachineId};
 use lemonweir_protocol::cloud::Rental;
@@ -218,7 +220,11 @@
 impl World {
     /// A world at time 0, with its load to come.
     pub fn new(scenario: Arc<Scenario>, load: Vec<Planned>, seed: u64, history: History) -> Self {
-        let limits = scenario.teams.iter().map(|t| (t.name.clone(), team_limit(t))).collect();
+        let limits = scenario
+            .teams
+            .iter()
+            .map(|t| (t.name.clone(), team_limit(t)))
+            .collect();
         let checker = Checker::new(limits, (scenario.workers.cancel_s * 1e6) as u64);
         let mut world = Self {
             now: 0,
@@ -227,7 +233,9 @@
             workers: vec![None],
             cloud: Cloud::new(&scenario),
             ground: Ground::new(scenario.workers.clone(), checker, history),
-            hosts: (0..usize::from(scenario.parts)).map(|_| Host::new(&scenario)).collect(),
+            hosts: (0..usize::from(scenario.parts))
+                .map(|_| Host::new(&scenario))
+                .collect(),
             down: BTreeSet::new(),
             cut_zones: BTreeSet::new(),
             measures: Measures::default(),
@@ -291,14 +299,30 @@
         }
     }
 
-    fn add_machine(&mut self, kind: usize, zone: &str, spot: bool, rented: u64, up: u64) -> MachineId {
+    fn add_machine(
+        &mut self,
+        kind: usize,
+        zone: &str,
+        spot: bool,
+        rented: u64,
+        up: u64,
+    ) -> MachineId {
         let number = self.workers.len();
         let speed = 0.95 + 0.1 * self.rng.random::<f64>();
         let machine = &self.scenario.kinds[kind].machine;
-        let mut worker = Worker::new(number, machine, zone, spot, up, speed, &self.scenario.workers);
+        let mut worker = Worker::new(
+            number,
+            machine,
+            zone,
+            spot,
+            up,
+            speed,
+            &self.scenario.workers,
+        );
         worker.node = number % self.hosts.len();
         let id = worker.id.clone();
-        self.cloud.add(number, kind, zone, spot, rented, up, worker.id.clone());
+        self.cloud
+            .add(number, kind, zone, spot, rented, up, worker.id.clone());
         self.workers.push(Some(worker));
         self.wake_worker(number);
         id
@@ -308,7 +332,11 @@
 
     fn push(&mut self, at: u64, event: Event) {
         self.seq += 1;
-        self.queue.push(Reverse(Timed { at, seq: self.seq, event }));
+        self.queue.push(Reverse(Timed {
+            at,
+            seq: self.seq,
+            event,
+        }));
     }
 
     fn at(&mut self, delay: u64, event: Event) {
@@ -331,7 +359,9 @@
             if next.at > end {
                 break;
             }
-            let Some(Reverse(Timed { at, event, .. })) = self.queue.pop() else { break };
+            let Some(Reverse(Timed { at, event, .. })) = self.queue.pop() else {
+                break;
+            };
             self.now = self.now.max(at);
             self.events += 1;
             self.handle(event);
@@ -340,7 +370,9 @@
     }
 
     fn alive(&self, host: usize, life: u64) -> bool {
-        self.hosts.get(host).is_some_and(|h| h.life == life && h.core.is_some())
+        self.hosts
+            .get(host)
+            .is_some_and(|h| h.life == life && h.core.is_some())
     }
 
     fn handle(&mut self, event: Event) {
@@ -361,8 +393,14 @@
             Event::Tick(host, life) => {
                 if self.alive(host, life) {
                     self.deliver(host, Input::Tick);
-                    let hurried = self.hosts[host].core.as_ref().is_some_and(|c| c.hurried(now / MS));
-                    self.at(if hurried { SHORT_TICK_MS } else { TICK_MS } * MS, Event::Tick(host, life));
+                    let hurried = self.hosts[host]
+                        .core
+                        .as_ref()
+                        .is_some_and(|c| c.hurried(now / MS));
+                    self.at(
+                        if hurried { SHORT_TICK_MS } else { TICK_MS } * MS,
+                        Event::Tick(host, life),
+                    );
                 }
             }
             // What a process that stands still would have begun.
@@ -374,30 +412,48 @@
                 self.push(self.hosts[host].frozen_until, Event::Holds(host, life));
             }
             Event::Read(host, life) => {
-                if self.alive(host, life) && !self.hosts[host].reading && self.hosts[host].read_due == now {
+                if self.alive(host, life)
+                    && !self.hosts[host].reading
+                    && self.hosts[host].read_due == now
+                {
                     let h = &mut self.hosts[host];
                     (h.reading, h.read_wanted) = (true, false);
                     let wait = h.requests.take(1.0, now);
                     let after = h.core.as_ref().and_then(|c| c.mirror.revision);
                     let at = now + wait + self.travel();
                     let way = self.way(host, Service::Store, 0);
-                    self.push(at, Event::Ask(host, life, Request::Reading(after, now), way));
+                    self.push(
+                        at,
+                        Event::Ask(host, life, Request::Reading(after, now), way),
+                    );
                 }
             }
             Event::Holds(host, life) => self.holds(host, life),
             Event::Ask(host, life, request, way) => self.asked_of_store(host, life, request, way),
-            Event::Serve(host, life, request, answer_us) => self.serve(host, life, request, answer_us),
-            Event::Orders(host, life, lot, call, late) => self.orders_arrive(host, life, lot, *call, late),
+            Event::Serve(host, life, request, answer_us) => {
+                self.serve(host, life, request, answer_us)
+            }
+            Event::Orders(host, life, lot, call, late) => {
+                self.orders_arrive(host, life, lot, *call, late)
+            }
             Event::Worker(number) => self.worker_wakes(number),
             Event::Copy(number, host, report) => self.copy_arrives(number, host, *report),
-            Event::Answer(number, session, sent, answer) => self.worker_answered(number, session, sent, *answer),
-            Event::Call(Call::Look(id, at)) if at > now => self.push(at, Event::Call(Call::Look(id, at))),
+            Event::Answer(number, session, sent, answer) => {
+                self.worker_answered(number, session, sent, *answer)
+            }
+            Event::Call(Call::Look(id, at)) if at > now => {
+                self.push(at, Event::Call(Call::Look(id, at)))
+            }
             Event::Call(Call::Look(id, _)) => {
                 self.ground.look(&id, now);
                 self.pass_calls();
             }
             Event::Call(call) => {
-                let (Call::Run(number, ..) | Call::Peers(number, ..) | Call::Stopped(number, ..) | Call::Pause(number, _)) = &call else {
+                let (Call::Run(number, ..)
+                | Call::Peers(number, ..)
+                | Call::Stopped(number, ..)
+                | Call::Pause(number, _)) = &call
+                else {
                     return;
                 };
                 self.with_worker(*number, |w, ground| w.take_call(call, now, ground));
@@ -406,23 +462,34 @@
             Event::Release(host, life, lot, names, way) => {
                 if !self.served(host, life, way) {
                     let way = self.way(host, Service::Cloud, 0);
-                    return self.at(CLOUD_TROUBLE_MS * MS, Event::Release(host, life, lot, names, way));
+                    return self.at(
+                        CLOUD_TROUBLE_MS * MS,
+                        Event::Release(host, life, lot, names, way),
+                    );
                 }
                 for name in &names {
                     self.take_machine(machine_number(name));
                 }
                 let at = now + self.travel();
-                self.push(at, Event::To(host, life, Box::new(Input::Released(lot, names))));
+                self.push(
+                    at,
+                    Event::To(host, life, Box::new(Input::Released(lot, names))),
+                );
             }
             Event::ListSoon(host, life) => {
                 if self.alive(host, life) {
                     let wait = self.hosts[host].cloud.take(1.0, now);
                     let way = self.way(host, Service::Cloud, 0);
                     self.at(wait, Event::List(host, life, way));
-                    self.at(LIST_EVERY_MS.max((self.cloud.listed() as u64) * 4) * MS, Event::ListSoon(host, life));
+                    self.at(
+                        LIST_EVERY_MS.max((self.cloud.listed() as u64) * 4) * MS,
+                        Event::ListSoon(host, life),
+                    );
                 }
             }
-            Event::Probe(host, life, service) => drop(self.served(host, life, Way::direct(service))),
+            Event::Probe(host, life, service) => {
+                drop(self.served(host, life, Way::direct(service)))
+            }
             Event::List(host, life, way) => {
                 if self.served(host, life, way) {
                     let lag = (self.scenario.cloud.list_lag_s * 1e6) as u64;
@@ -438,11 +505,21 @@
                     let nobodys = format!("req-{:09}", self.rng.random_range(0..100_000_000));
                     self.ask(Input::Poll(JobId::from(nobodys.as_str())));
                 }
-                let (now, waits) = (self.now, self.users.get_mut(&id).filter(|u| !u.over && u.next == now));
+                let (now, waits) = (
+                    self.now,
+                    self.users.get_mut(&id).filter(|u| !u.over && u.next == now),
+                );
                 if let Some(user) = waits {
                     user.asked = now;
                     let sent = self.ask(Input::Poll(id.clone()));
-                    self.poll_in(id, if sent { ANSWER_US + self.poll_us() } else { 1_000 * MS });
+                    self.poll_in(
+                        id,
+                        if sent {
+                            ANSWER_US + self.poll_us()
+                        } else {
+                            1_000 * MS
+                        },
+                    );
                 }
             }
             Event::Withdraw(id) => {
@@ -471,7 +548,8 @@
                 }
                 self.ground.checker.check_answers(self.troubled_at, now);
                 self.look_at_waiting_jobs();
-                self.measures.sample(now, &self.workers, &self.cloud, &self.hosts);
+                self.measures
+                    .sample(now, &self.workers, &self.cloud, &self.hosts);
                 self.at(LOOK_US, Event::Look);
             }
         }
@@ -484,7 +562,10 @@
 
     /// What the store says of a job's end.
     pub fn phase(&self, id: &JobId) -> Option<Phase> {
-        self.store.get(&end_key(id)).and_then(|(v, _)| from_value::<EndRecord>(v)).map(|r| r.phase)
+        self.store
+            .get(&end_key(id))
+            .and_then(|(v, _)| from_value::<EndRecord>(v))
+            .map(|r| r.phase)
     }
 
     /// Tasks that have not exited, by job.
@@ -498,5 +579,8 @@
 }
 
 fn machine_number(id: &MachineId) -> usize {
-    id.as_str().get(2..).and_then(|n| n.parse().ok()).unwrap_or(0)
+    id.as_str()
+        .get(2..)
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(0)
 }
--- a/crates/lab/src/world/controllers.rs
+++ b/crates/lab/src/world/controllers.rs
@@ -9,13 +9,18 @@
             self.unheard(host, input);
         }
         self.hosts[host].end();
-        self.ground.history.note(self.now, "controller ends", &host, &"");
+        self.ground
+            .history
+            .note(self.now, "controller ends", &host, &"");
         self.at(back_us, Event::Boot(host));
     }
 
     /// True if a controller would take users' requests.
     pub fn ready(&self, host: usize) -> bool {
-        self.hosts[host].core.as_ref().is_some_and(|c| c.ready(self.now / MS))
+        self.hosts[host]
+            .core
+            .as_ref()
+            .is_some_and(|c| c.ready(self.now / MS))
     }
 
     pub(super) fn boot(&mut self, host: usize) {
@@ -24,7 +29,9 @@
             return;
         }
         self.hosts[host].boot(&scenario, host, now);
-        self.ground.history.note(now, "controller starts", &host, &"");
+        self.ground
+            .history
+            .note(now, "controller starts", &host, &"");
         let life = self.hosts[host].life;
         self.hosts[host].read_due = now;
         self.at(0, Event::Read(host, life));
@@ -75,7 +82,9 @@
     pub(super) fn wake(&mut self, host: usize) {
         let mut taken = 0;
         while taken < PUMP_EVERY {
-            let Some(input) = self.hosts[host].inbox.pop_front() else { break };
+            let Some(input) = self.hosts[host].inbox.pop_front() else {
+                break;
+            };
             taken += 1;
             let cost = !matches!(input, Input::Tick) as u64;
             self.take(host, input);
@@ -98,7 +107,9 @@
     pub(super) fn pump(&mut self, host: usize) {
         let ms = self.now / MS;
         self.hosts[host].poked = false;
-        let Some(core) = self.hosts[host].core.as_mut() else { return };
+        let Some(core) = self.hosts[host].core.as_mut() else {
+            return;
+        };
         let effects = core.pump(ms);
         let sent = effects.len() as u64;
         self.charge(host, sent);
@@ -121,31 +132,55 @@
             Effect::Command(lot, call) => self.send_orders(host, lot, call, at),
             Effect::Sync(lot, sync) => self.send_sync(host, lot, sync, at),
             Effect::MailSync(sync) => {
-                let line = MailLine { kind: MailKind::Sync, from: sync.from, to: sync.to };
+                let line = MailLine {
+                    kind: MailKind::Sync,
+                    from: sync.from,
+                    to: sync.to,
+                };
                 self.mail(host, line, (sync.from_token, sync.seq), &peer::write(&sync));
             }
             Effect::MailView(to, view) => {
-                let line = MailLine { kind: MailKind::View, from: view.part, to };
+                let line = MailLine {
+                    kind: MailKind::View,
+                    from: view.part,
+                    to,
+                };
                 self.mail(host, line, (view.token, view.seq), &peer::write(&view));
             }
             Effect::Nudge(part) => {
-                let held = self.hosts[host].core.as_ref().map(|c| c.held()).unwrap_or_default();
-                if let Some(to) = self.known_holder(host, part).filter(|to| !self.is_cut(host, *to)) {
+                let held = self.hosts[host]
+                    .core
+                    .as_ref()
+                    .map(|c| c.held())
+                    .unwrap_or_default();
+                if let Some(to) = self
+                    .known_holder(host, part)
+                    .filter(|to| !self.is_cut(host, *to))
+                {
                     let life = self.hosts[to].life;
                     for lot in held {
-                        self.push(at, Event::To(to, life, Box::new(Input::Nudge(part, lot.part))));
+                        self.push(
+                            at,
+                            Event::To(to, life, Box::new(Input::Nudge(part, lot.part))),
+                        );
                     }
                 }
             }
             Effect::Rent(lot, rental) => {
                 let wait = self.hosts[host].cloud.take(1.0, self.now);
                 let way = self.way(host, Service::Cloud, 0);
-                self.push(at + wait + 100 * MS, Event::Rent(host, life, lot, Box::new(rental), way));
+                self.push(
+                    at + wait + 100 * MS,
+                    Event::Rent(host, life, lot, Box::new(rental), way),
+                );
             }
             Effect::Release(lot, names) => {
                 let wait = self.hosts[host].cloud.take(1.0, self.now);
                 let way = self.way(host, Service::Cloud, 0);
-                self.push(at + wait + 100 * MS, Event::Release(host, life, lot, names, way));
+                self.push(
+                    at + wait + 100 * MS,
+                    Event::Release(host, life, lot, names, way),
+                );
             }
             Effect::Hail(to, word) => self.send_hail(host, to, word, at),
             Effect::Probe(service) => self.push(at, Event::Probe(host, life, service)),
@@ -208,9 +243,19 @@
                 let from = usize::from(word.host);
                 let answer = Box::new(core.links.hail_in(*word, ms));
                 let at = self.leaves(host) + self.travel();
-                self.push(at, Event::To(from, life, Box::new(Input::Hailed(host as u16, Some(answer)))));
+                self.push(
+                    at,
+                    Event::To(
+                        from,
+                        life,
+                        Box::new(Input::Hailed(host as u16, Some(answer))),
+                    ),
+                );
+            }
+            Input::Hailed(from, word) => {
+                core.links
+                    .hailed(from, word.is_some(), word.map(|w| *w), ms)
             }
-            Input::Hailed(from, word) => core.links.hailed(from, word.is_some(), word.map(|w| *w), ms),
             Input::Command(lot, call, result) => core.command_done(lot, &call, result, ms),
             Input::View(lot, to, view) => core.sync_done(lot, to, view.map(|v| *v), ms),
             Input::Rented(lot, rental, result) => core.rented(lot, &rental, result, ms),
@@ -226,7 +271,10 @@
                     && !self.is_cut(from, host)
                 {
                     let at = self.leaves(host) + self.travel();
-                    self.push(at, Event::To(from, life, Box::new(Input::Superseded(by.clone()))));
+                    self.push(
+                        at,
+                        Event::To(from, life, Box::new(Input::Superseded(by.clone()))),
+                    );
                 }
                 self.answer_sync(host, from, life, lot, sync.to, answer.ok());
             }
@@ -250,11 +298,21 @@
                 let answer = core.answer(&id, ms);
                 self.answer_late(host, id, true, answer);
             }
-            Input::Txn(whose, txn, outcome, versions) => self.txn_ended(host, whose, &txn, outcome, versions),
+            Input::Txn(whose, txn, outcome, versions) => {
+                self.txn_ended(host, whose, &txn, outcome, versions)
+            }
         }
     }
 
-    pub(super) fn answer_sync(&mut self, host: usize, from: usize, life: u64, lot: Lot, part: u16, view: Option<View>) {
+    pub(super) fn answer_sync(
+        &mut self,
+        host: usize,
+        from: usize,
+        life: u64,
+        lot: Lot,
+        part: u16,
+        view: Option<View>,
+    ) {
         if from >= self.hosts.len() {
             return;
         }
@@ -263,7 +321,14 @@
             self.hosts[host].work.peer_bytes += peer::written(view) as u64;
         }
         let at = self.leaves(host) + self.travel();
-        self.push(at, Event::To(from, life, Box::new(Input::View(lot, part, view.map(Box::new)))));
+        self.push(
+            at,
+            Event::To(
+                from,
+                life,
+                Box::new(Input::View(lot, part, view.map(Box::new))),
+            ),
+        );
     }
 
     pub(super) fn take_reading(&mut self, host: usize, began: u64, reading: Reading) {
@@ -284,11 +349,18 @@
             self.carry(host, effect);
         }
         let h = &mut self.hosts[host];
-        let (asked, later): (Vec<_>, Vec<_>) = std::mem::take(&mut h.waiting).into_iter().partition(|(at, _, _)| *at <= began);
+        let (asked, later): (Vec<_>, Vec<_>) = std::mem::take(&mut h.waiting)
+            .into_iter()
+            .partition(|(at, _, _)| *at <= began);
         h.waiting = later;
         let soon = h.read_wanted || mailing || !h.waiting.is_empty();
         let life = h.life;
-        h.read_due = now + if soon { REFRESH_BUSY_MS } else { REFRESH_IDLE_MS } * MS;
+        h.read_due = now
+            + if soon {
+                REFRESH_BUSY_MS
+            } else {
+                REFRESH_IDLE_MS
+            } * MS;
         let due = h.read_due;
         self.push(due, Event::Read(host, life));
         for (at, id, withdraw) in asked {
@@ -301,25 +373,48 @@
         // here at the same moment.
         if !self.reachable(host, Service::Store) {
             let life = self.hosts[host].life;
-            return self.at(TICK_MS * MS, Event::To(host, life, Box::new(Input::Adopt(lot, chunks, images))));
+            return self.at(
+                TICK_MS * MS,
+                Event::To(host, life, Box::new(Input::Adopt(lot, chunks, images))),
+            );
         }
         let chunks: Vec<(JobId, u32, ChunkRecord, u64)> = chunks
             .iter()
-            .filter_map(|e| parse_run_key(&e.key).and_then(|(j, c)| Some((j, c, read_chunk(&e.value, c)?, e.version))))
+            .filter_map(|e| {
+                parse_run_key(&e.key)
+                    .and_then(|(j, c)| Some((j, c, read_chunk(&e.value, c)?, e.version)))
+            })
+            .collect();
+        let images = images
+            .iter()
+            .filter_map(|e| from_value::<ImagesRecord>(&e.value))
             .collect();
-        let images = images.iter().filter_map(|e| from_value::<ImagesRecord>(&e.value)).collect();
         let ms = self.now / MS;
         self.hosts[host].keeping -= 1;
-        let Some(core) = self.hosts[host].core.as_mut() else { return };
+        let Some(core) = self.hosts[host].core.as_mut() else {
+            return;
+        };
         followed(&self.store, core.mirror.revision).apply(&mut core.mirror, ms);
         core.refreshed(ms, true);
-        if core.mirror.parts.get(&lot.part).is_some_and(|p| p.token == lot.token) {
+        if core
+            .mirror
+            .parts
+            .get(&lot.part)
+            .is_some_and(|p| p.token == lot.token)
+        {
             core.adopt(lot, &chunks, images, ms);
         }
     }
 
     /// A transaction ended; `None`: no answer came.
-    pub(super) fn txn_ended(&mut self, host: usize, whose: For, txn: &Txn, outcome: Option<TxnOutcome>, versions: Vec<(String, u64)>) {
+    pub(super) fn txn_ended(
+        &mut self,
+        host: usize,
+        whose: For,
+        txn: &Txn,
+        outcome: Option<TxnOutcome>,
+        versions: Vec<(String, u64)>,
+    ) {
         let ms = self.now / MS;
         let h = &mut self.hosts[host];
         let Some(core) = h.core.as_mut() else { return };
@@ -344,7 +439,9 @@
             For::Keeper(claim) => {
                 h.keeping -= 1;
                 // Given up here once it is given up in the store.
-                if let (Some(Claim::HandBack(lot) | Claim::Leave(lot)), Some(TxnOutcome::Done(_))) = (claim, outcome) {
+                if let (Some(Claim::HandBack(lot) | Claim::Leave(lot)), Some(TxnOutcome::Done(_))) =
+                    (claim, outcome)
+                {
                     core.abandon(lot.part, ms);
                 }
                 self.want_reading(host);
@@ -358,14 +455,29 @@
                 Some(TxnOutcome::Done(_)) => {
                     self.announce(host, &id);
                     // With a cancelled job that it needs it is cancelled from the start.
-                    let over = txn.writes.iter().any(|write| matches!(write, Write::Put { key, .. } if *key == end_key(&id)));
-                    self.reply(host, id, Some(if over { Phase::Withdrawn } else { Phase::Queued }), 201);
+                    let over = txn.writes.iter().any(
+                        |write| matches!(write, Write::Put { key, .. } if *key == end_key(&id)),
+                    );
+                    self.reply(
+                        host,
+                        id,
+                        Some(if over {
+                            Phase::Withdrawn
+                        } else {
+                            Phase::Queued
+                        }),
+                        201,
+                    );
                 }
                 // Made before, or changed meanwhile: what the store says now
                 // is the answer.
                 Some(TxnOutcome::Conflict(_)) => self.await_reading(host, id, withdraw),
-                None if withdraw && self.now < asked + USER_TIMEOUT_MS * MS => self.await_reading(host, id, withdraw),
-                None if self.now < asked + USER_TIMEOUT_MS * MS => self.send_txn(host, For::User(id, false, asked), txn.clone()),
+                None if withdraw && self.now < asked + USER_TIMEOUT_MS * MS => {
+                    self.await_reading(host, id, withdraw)
+                }
+                None if self.now < asked + USER_TIMEOUT_MS * MS => {
+                    self.send_txn(host, For::User(id, false, asked), txn.clone())
+                }
                 _ => self.reply(host, id, None, 503),
             },
         }
--- a/crates/lab/src/world/requests.rs
+++ b/crates/lab/src/world/requests.rs
@@ -20,11 +20,15 @@
 impl World {
     fn struck_share(&self, wanted: impl Fn(&Trouble) -> bool) -> Option<f64> {
         let faults = self.struck.keys().map(|i| &self.scenario.faults[*i]);
-        faults.filter(|fault| wanted(&fault.trouble)).map(|fault| fault.share).next()
+        faults
+            .filter(|fault| wanted(&fault.trouble))
+            .map(|fault| fault.share)
+            .next()
     }
 
     fn users_look_closely(&self) -> bool {
-        self.struck_share(|trouble| *trouble == Trouble::CloseLooks).is_some()
+        self.struck_share(|trouble| *trouble == Trouble::CloseLooks)
+            .is_some()
     }
 
     /// A job's user cancels it now, whatever it had planned.
@@ -37,8 +41,11 @@
     }
 
     fn controllers_for_users(&self) -> Vec<usize> {
-        let reached =
-            |host: &usize| self.hosts[*host].core.is_some() && !self.inside_cut(*host) && !self.down.contains(&Link::Users(*host));
+        let reached = |host: &usize| {
+            self.hosts[*host].core.is_some()
+                && !self.inside_cut(*host)
+                && !self.down.contains(&Link::Users(*host))
+        };
         (0..self.hosts.len()).filter(reached).collect()
     }
 
@@ -93,7 +100,11 @@
     /// Users cancel running jobs within a fifth of a second; some of their machines hang.
     pub(super) fn cancel_now(&mut self, count: usize, hang_us: u64) {
         let (now, mut running) = (self.now, self.live().into_keys().collect::<Vec<_>>());
-        running.retain(|id| self.users.get(id).is_some_and(|user| user.accepted.is_some() && !user.over && user.withdrew.is_none()));
+        running.retain(|id| {
+            self.users.get(id).is_some_and(|user| {
+                user.accepted.is_some() && !user.over && user.withdrew.is_none()
+            })
+        });
         let mut cancelled = Vec::new();
         while cancelled.len() < count && !running.is_empty() {
             cancelled.push(running.swap_remove(self.rng.random_range(0..running.len())));
@@ -107,7 +118,13 @@
         }
         if hang_us > 0 {
             let has_one = |worker: &&Worker| worker.live_jobs().any(|id| cancelled.contains(id));
-            let machines: Vec<usize> = self.workers.iter().flatten().filter(has_one).map(|worker| worker.number).collect();
+            let machines: Vec<usize> = self
+                .workers
+                .iter()
+                .flatten()
+                .filter(has_one)
+                .map(|worker| worker.number)
+                .collect();
             for number in machines.into_iter().take(HUNG_AT_MOST) {
                 self.strike(number, &Trouble::Hang, hang_us);
             }
@@ -121,8 +138,12 @@
         }
         self.at(ODD_EVERY_US, Event::OddRequests(fault));
         let of_users = |over: bool| {
-            let mut ids: Vec<&JobId> =
-                self.users.iter().filter(|(_, u)| u.accepted.is_some() && u.over == over).map(|(id, _)| id).collect();
+            let mut ids: Vec<&JobId> = self
+                .users
+                .iter()
+                .filter(|(_, u)| u.accepted.is_some() && u.over == over)
+                .map(|(id, _)| id)
+                .collect();
             ids.sort_unstable();
             ids.into_iter().cloned().collect::<Vec<_>>()
         };
@@ -137,13 +158,37 @@
 
     /// A job that is like another one, but fits no machine.
     fn submit_unfit(&mut self, like: &[JobId]) {
-        let Some(spec) = like.choose(&mut self.rng).and_then(|id| self.ground.jobs.get(id)).map(|load| load.spec.clone()) else { return };
+        let Some(spec) = like
+            .choose(&mut self.rng)
+            .and_then(|id| self.ground.jobs.get(id))
+            .map(|load| load.spec.clone())
+        else {
+            return;
+        };
         let id = JobId::from(format!("req-{:09}", 900_000_000 + self.seq % 100_000_000).as_str());
-        let most = self.scenario.kinds.iter().map(|kind| kind.machine.room.cpus).max().unwrap_or(0);
+        let most = self
+            .scenario
+            .kinds
+            .iter()
+            .map(|kind| kind.machine.room.cpus)
+            .max()
+            .unwrap_or(0);
         let cores = most as f64 / 1e3 * FITS_NONE;
-        let spec = Arc::new(lemonweir_model::JobSpec { id: id.clone(), cores, ..(*spec).clone() });
+        let spec = Arc::new(lemonweir_model::JobSpec {
+            id: id.clone(),
+            cores,
+            ..(*spec).clone()
+        });
         self.unfit.insert(id.clone());
-        let load = Load { spec, run_us: vec![1], broken: true };
-        self.submit_at(Planned { at_us: self.now, load, withdraw_us: None });
+        let load = Load {
+            spec,
+            run_us: vec![1],
+            broken: true,
+        };
+        self.submit_at(Planned {
+            at_us: self.now,
+            load,
+            withdraw_us: None,
+        });
     }
 }
--- a/crates/lab/src/world/sending.rs
+++ b/crates/lab/src/world/sending.rs
@@ -17,10 +17,15 @@
 
     /// True if a controller and a machine can't reach each other.
     pub(super) fn far(&self, host: usize, number: usize) -> bool {
-        let zone = self.workers.get(number).and_then(Option::as_ref).map(|w| w.zone.as_str());
+        let zone = self
+            .workers
+            .get(number)
+            .and_then(Option::as_ref)
+            .map(|w| w.zone.as_str());
         self.down.contains(&Link::Workers(host))
             || zone.is_some_and(|zone| {
-                self.parted(self.scenario.zone_of(host), zone) || self.down.contains(&Link::Zone(host, zone.to_owned()))
+                self.parted(self.scenario.zone_of(host), zone)
+                    || self.down.contains(&Link::Zone(host, zone.to_owned()))
             })
     }
 
@@ -39,22 +44,35 @@
     pub(super) fn send_txn(&mut self, host: usize, whose: For, txn: Txn) {
         let (now, life) = (self.now, self.hosts[host].life);
         let h = &mut self.hosts[host];
-        let wait = h.requests.take(1.0, now).max(h.writes.take(txn.writes.len() as f64, now));
+        let wait = h
+            .requests
+            .take(1.0, now)
+            .max(h.writes.take(txn.writes.len() as f64, now));
         if matches!(whose, For::Core(_)) {
             self.measures.written(&txn, now, self.leaves(host));
         }
         let at = self.leaves(host) + wait + self.travel();
         let way = self.way(host, Service::Store, ways::bytes(&txn));
-        self.push(at, Event::Ask(host, life, Request::Txn(whose, Box::new(txn)), way));
+        self.push(
+            at,
+            Event::Ask(host, life, Request::Txn(whose, Box::new(txn)), way),
+        );
     }
 
     pub(super) fn send_orders(&mut self, host: usize, lot: Lot, call: CommandCall, at: u64) {
         let life = self.hosts[host].life;
         let chances = self.scenario.chances;
         let number = machine_number(&call.machine);
-        let silent = self.workers.get(number).and_then(Option::as_ref).is_some_and(|w| w.silent || w.hung_until > self.now);
+        let silent = self
+            .workers
+            .get(number)
+            .and_then(Option::as_ref)
+            .is_some_and(|w| w.silent || w.hung_until > self.now);
         let deaf = self.deaf(call.through.map_or(host, usize::from), number, true);
-        let lost = silent || deaf || self.blocked(host, call.through, number) || self.chance(chances.lost_command);
+        let lost = silent
+            || deaf
+            || self.blocked(host, call.through, number)
+            || self.chance(chances.lost_command);
         let held = if lost { None } else { self.held() };
         let late = !lost && (held.is_some() || self.chance(chances.late_command));
         if !lost && !late {
@@ -64,10 +82,16 @@
         if late || self.chance(500) {
             // Held back: it may arrive much later.
             let later = held.unwrap_or_else(|| self.rng.random_range(3_000..90_000) * MS);
-            self.push(at + later, Event::Orders(host, life, lot, Box::new(call.clone()), true));
+            self.push(
+                at + later,
+                Event::Orders(host, life, lot, Box::new(call.clone()), true),
+            );
         }
         let unknown = Input::Command(lot, call, CommandResult::Unknown);
-        self.push(at + COMMAND_TIMEOUT_MS * MS, Event::To(host, life, Box::new(unknown)));
+        self.push(
+            at + COMMAND_TIMEOUT_MS * MS,
+            Event::To(host, life, Box::new(unknown)),
+        );
     }
 
     pub(super) fn send_sync(&mut self, host: usize, lot: Lot, sync: Sync, at: u64) {
@@ -75,7 +99,10 @@
         let part = sync.to;
         let failed = move |lot| Box::new(Input::View(lot, part, None));
         self.hosts[host].work.peer_bytes += peer::written(&sync) as u64;
-        let Some(to) = self.known_holder(host, part).filter(|to| self.hosts[*to].core.is_some()) else {
+        let Some(to) = self
+            .known_holder(host, part)
+            .filter(|to| self.hosts[*to].core.is_some())
+        else {
             self.push(at + 2 * MS, Event::To(host, life, failed(lot)));
             return;
         };
@@ -84,30 +111,53 @@
             if self.chance(self.scenario.chances.late_sync) {
                 let later = self.rng.random_range(2_000..60_000) * MS;
                 let (to_life, sync) = (self.hosts[to].life, Box::new(sync));
-                self.push(at + later, Event::To(to, to_life, Box::new(Input::Sync(usize::MAX, 0, lot, sync))));
+                self.push(
+                    at + later,
+                    Event::To(to, to_life, Box::new(Input::Sync(usize::MAX, 0, lot, sync))),
+                );
             }
-            self.push(at + SYNC_TIMEOUT_MS * MS, Event::To(host, life, failed(lot)));
+            self.push(
+                at + SYNC_TIMEOUT_MS * MS,
+                Event::To(host, life, failed(lot)),
+            );
         } else {
             let to_life = self.hosts[to].life;
-            self.push(at, Event::To(to, to_life, Box::new(Input::Sync(host, life, lot, Box::new(sync)))));
+            self.push(
+                at,
+                Event::To(
+                    to,
+                    to_life,
+                    Box::new(Input::Sync(host, life, lot, Box::new(sync))),
+                ),
+            );
         }
     }
 
     /// What was sent to a process that is no more has no answer.
     pub(super) fn unheard(&mut self, host: usize, input: Input) {
         let (to, life, failed) = match input {
-            Input::Sync(from, life, lot, sync) if from < self.hosts.len() => (from, life, Input::View(lot, sync.to, None)),
-            Input::Hail(life, word) => (usize::from(word.host), life, Input::Hailed(host as u16, None)),
-            Input::CarriedReport(number, report, sent, by, life) => {
-                (by, life, Input::CarriedAnswer(number, report.session, sent, host, None))
+            Input::Sync(from, life, lot, sync) if from < self.hosts.len() => {
+                (from, life, Input::View(lot, sync.to, None))
             }
+            Input::Hail(life, word) => (
+                usize::from(word.host),
+                life,
+                Input::Hailed(host as u16, None),
+            ),
+            Input::CarriedReport(number, report, sent, by, life) => (
+                by,
+                life,
+                Input::CarriedAnswer(number, report.session, sent, host, None),
+            ),
             _ => return,
         };
         self.at(SYNC_TIMEOUT_MS * MS, Event::To(to, life, Box::new(failed)));
     }
 
     pub(super) fn mail(&mut self, host: usize, line: MailLine, id: (u64, u64), bytes: &[u8]) {
-        let Some(hold) = self.hosts[host].hold else { return };
+        let Some(hold) = self.hosts[host].hold else {
+            return;
+        };
         self.largest_mail = self.largest_mail.max(bytes.len());
         let piece = mail_piece_bytes((self.scenario.state.least_value_kb() * 1024.0) as usize);
         let txn = post(line, id, bytes, piece, hold);
--- a/crates/lab/src/world/services.rs
+++ b/crates/lab/src/world/services.rs
@@ -4,13 +4,19 @@
 
 impl Request {
     fn writes(&self) -> usize {
-        if let Request::Txn(_, txn) = self { txn.writes.len() } else { 0 }
+        if let Request::Txn(_, txn) = self {
+            txn.writes.len()
+        } else {
+            0
+        }
     }
 
     /// What its controller is left with when no answer comes.
     fn unanswered(&self) -> Input {
         match self {
-            Request::Txn(whose, txn) => Input::Txn(whose.clone(), (**txn).clone(), None, Vec::new()),
+            Request::Txn(whose, txn) => {
+                Input::Txn(whose.clone(), (**txn).clone(), None, Vec::new())
+            }
             Request::Reading(_, began) => Input::Read(*began, Reading::Failed),
             Request::Hold(_) => Input::HoldUnknown,
         }
@@ -42,10 +48,14 @@
         let teams = core.unassigned_teams();
         let raised = core.version_txn();
         let unshown = h.membership.unshown(core, now / MS);
-        let claims: Vec<Claim> = (0..h.membership.parts()).filter_map(|part| h.membership.claim(core, part, now / MS)).collect();
+        let claims: Vec<Claim> = (0..h.membership.parts())
+            .filter_map(|part| h.membership.claim(core, part, now / MS))
+            .collect();
         let left = h.membership.left(core, now / MS);
         // One at a time: what it brings counts for the next.
-        let claimed = claims.first().map(|claim| (*claim, core.claim_txn(claim, hold, left, now / MS)));
+        let claimed = claims
+            .first()
+            .map(|claim| (*claim, core.claim_txn(claim, hold, left, now / MS)));
         if !teams.is_empty() {
             self.keep(host, None, assign_teams(&teams));
         }
@@ -67,7 +77,12 @@
     }
 
     fn presence(&self, host: usize, hold: u64, left: Vec<u16>) -> Txn {
-        show_node(&crate::scenario::host_name(host), self.scenario.zone_of(host), hold, left)
+        show_node(
+            &crate::scenario::host_name(host),
+            self.scenario.zone_of(host),
+            hold,
+            left,
+        )
     }
 
     /// The answer to a renewal, or a new hold: that begins with the node's presence.
@@ -105,8 +120,15 @@
                     let first = self.rng.random_range(0..=whole);
                     (before, after) = (before + first, after.map(|us| us + whole - first));
                 }
-                Trouble::LateWrites { at_once } if request.writes() > 0 && self.rng.random::<f64>() < scenario.faults[i].share => {
-                    let later = if at_once { 0 } else { self.rng.random_range(LATE_WRITES.us()) };
+                Trouble::LateWrites { at_once }
+                    if request.writes() > 0
+                        && self.rng.random::<f64>() < scenario.faults[i].share =>
+                {
+                    let later = if at_once {
+                        0
+                    } else {
+                        self.rng.random_range(LATE_WRITES.us())
+                    };
                     (before, after) = (before + later, None);
                     self.late_writes += 1;
                 }
@@ -120,16 +142,33 @@
     /// for is carried out all the same, also once its controller is no more.
     pub(super) fn asked_of_store(&mut self, host: usize, life: u64, request: Request, way: Way) {
         let passes = self.passes(host, way);
-        let (before, after) = if passes { self.pace(&request) } else { (0, Some(0)) };
+        let (before, after) = if passes {
+            self.pace(&request)
+        } else {
+            (0, Some(0))
+        };
         let patience = STATE_TIMEOUT_MS * MS;
         let answer_us = after.filter(|after| before + after < patience);
-        self.tried(host, life, way, passes && answer_us.is_some(), answer_us.map_or(patience, |after| before + after));
+        self.tried(
+            host,
+            life,
+            way,
+            passes && answer_us.is_some(),
+            answer_us.map_or(patience, |after| before + after),
+        );
         if !passes || !self.store.admit(request.writes(), self.now) {
             // Refused: the process waits before it tries again.
             let (input, wait) = match request {
                 Request::Txn(whose, txn) => {
-                    let wait = if matches!(whose, For::Core(_)) { 2 * TICK_MS * MS } else { 0 };
-                    (Input::Txn(whose, *txn, Some(TxnOutcome::Again), Vec::new()), wait)
+                    let wait = if matches!(whose, For::Core(_)) {
+                        2 * TICK_MS * MS
+                    } else {
+                        0
+                    };
+                    (
+                        Input::Txn(whose, *txn, Some(TxnOutcome::Again), Vec::new()),
+                        wait,
+                    )
                 }
                 other => (other.unanswered(), 0),
             };
@@ -137,7 +176,10 @@
             return self.push(at, Event::To(host, life, Box::new(input)));
         }
         if answer_us.is_none() {
-            self.at(patience, Event::To(host, life, Box::new(request.unanswered())));
+            self.at(
+                patience,
+                Event::To(host, life, Box::new(request.unanswered())),
+            );
         }
         if before == 0 {
             self.serve(host, life, request, answer_us);
@@ -147,7 +189,13 @@
     }
 
     /// The store carries a request out.
-    pub(super) fn serve(&mut self, host: usize, life: u64, request: Request, answer_us: Option<u64>) {
+    pub(super) fn serve(
+        &mut self,
+        host: usize,
+        life: u64,
+        request: Request,
+        answer_us: Option<u64>,
+    ) {
         let now = self.now;
         let answer = match request {
             Request::Reading(after, began) => Input::Read(began, followed(&self.store, after)),
@@ -170,7 +218,11 @@
             TxnAnswer::Conflict(keys) => {
                 let version = |key: &str| self.store.get(key).map_or(0, |(_, version)| version);
                 if let For::Core(lot) = whose {
-                    versions.extend(keys_to_reread(lot, &keys).into_iter().map(|key| (key.to_owned(), version(key))));
+                    versions.extend(
+                        keys_to_reread(lot, &keys)
+                            .into_iter()
+                            .map(|key| (key.to_owned(), version(key))),
+                    );
                 }
                 TxnOutcome::Conflict(keys)
             }
@@ -181,10 +233,19 @@
                 TxnOutcome::Done(revision)
             }
         };
-        if let (For::Keeper(Some(Claim::Take { part, .. })), TxnOutcome::Done(token)) = (&whose, &outcome) {
-            let lot = Lot { part: *part, token: *token };
+        if let (For::Keeper(Some(Claim::Take { part, .. })), TxnOutcome::Done(token)) =
+            (&whose, &outcome)
+        {
+            let lot = Lot {
+                part: *part,
+                token: *token,
+            };
             self.new_leader();
-            return Input::Adopt(lot, self.store.list(&run_prefix(*part)), self.store.list(&images_prefix(*part)));
+            return Input::Adopt(
+                lot,
+                self.store.list(&run_prefix(*part)),
+                self.store.list(&images_prefix(*part)),
+            );
         }
         Input::Txn(whose, txn, Some(outcome), versions)
     }
@@ -207,15 +268,29 @@
         } else if let Some(before) = self.cloud.bookings.get(&rental.booking) {
             RentResult::Rented(before.clone())
         } else {
-            let kind = self.scenario.kinds.iter().position(|k| k.machine.name == rental.kind);
-            let left = kind.map_or(0, |k| self.cloud.left(k, &rental.zone, rental.spot, &self.scenario));
+            let kind = self
+                .scenario
+                .kinds
+                .iter()
+                .position(|k| k.machine.name == rental.kind);
+            let left = kind.map_or(0, |k| {
+                self.cloud
+                    .left(k, &rental.zone, rental.spot, &self.scenario)
+            });
             let names: Vec<MachineId> = (0..rental.count.min(left).min(MAX_RENT))
                 .filter_map(|_| {
                     let kind = kind?;
-                    let boot = self.scenario.kinds[kind].machine.boot_s * (0.6 + 0.9 * self.rng.random::<f64>());
+                    let boot = self.scenario.kinds[kind].machine.boot_s
+                        * (0.6 + 0.9 * self.rng.random::<f64>());
                     let up = match &self.boots {
-                        Some((factor, fail, zone)) if zone.as_ref().is_none_or(|z| *z == rental.zone) => {
-                            if self.rng.random::<f64>() < *fail { now + NEVER_UP_US } else { now + (boot * factor * 1e6) as u64 }
+                        Some((factor, fail, zone))
+                            if zone.as_ref().is_none_or(|z| *z == rental.zone) =>
+                        {
+                            if self.rng.random::<f64>() < *fail {
+                                now + NEVER_UP_US
+                            } else {
+                                now + (boot * factor * 1e6) as u64
+                            }
                         }
                         _ => now + (boot * 1e6) as u64,
                     };
@@ -225,13 +300,20 @@
             if names.is_empty() {
                 RentResult::NoCapacity
             } else {
-                self.ground.history.note(now, "rented", &rental.booking, &names.len());
-                self.cloud.bookings.insert(rental.booking.clone(), names.clone());
+                self.ground
+                    .history
+                    .note(now, "rented", &rental.booking, &names.len());
+                self.cloud
+                    .bookings
+                    .insert(rental.booking.clone(), names.clone());
                 RentResult::Rented(names)
             }
         };
         let at = now + self.travel();
-        self.push(at, Event::To(host, life, Box::new(Input::Rented(lot, rental, result))));
+        self.push(
+            at,
+            Event::To(host, life, Box::new(Input::Rented(lot, rental, result))),
+        );
     }
 }
 
--- a/crates/lab/src/world/troubles.rs
+++ b/crates/lab/src/world/troubles.rs
@@ -12,7 +12,9 @@
         let scenario = self.scenario.clone();
         let fault = &scenario.faults[i];
         let for_us = (fault.for_s * 1e6) as u64;
-        self.ground.history.note(self.now, "trouble", &format!("{:?}", fault.trouble), &"");
+        self.ground
+            .history
+            .note(self.now, "trouble", &format!("{:?}", fault.trouble), &"");
         let hosts = self.hosts.len();
         let mut struck = Vec::new();
         match &fault.trouble {
@@ -39,7 +41,9 @@
                 self.down.extend(links);
             }
             Trouble::CloudDown => self.cloud.down = true,
-            Trouble::Boots { factor, zone } => self.boots = Some((*factor, fault.share, zone.clone())),
+            Trouble::Boots { factor, zone } => {
+                self.boots = Some((*factor, fault.share, zone.clone()))
+            }
             Trouble::Polls { factor } => self.asked_often = *factor,
             Trouble::CutZone { zone } => drop(self.cut_zones.insert(zone.clone())),
             Trouble::Freeze { host } => {
@@ -70,10 +74,21 @@
             | Trouble::Mute { .. }
             | Trouble::TakeSpot { .. } => {
                 let spot_only = matches!(fault.trouble, Trouble::TakeSpot { .. });
-                let up: Vec<usize> =
-                    self.workers.iter().flatten().filter(|w| w.up_at <= self.now && (w.spot || !spot_only)).map(|w| w.number).collect();
-                struck = up.into_iter().filter(|_| self.rng.random::<f64>() < fault.share).collect();
-                if matches!(fault.trouble, Trouble::LateCopies { .. } | Trouble::Deaf { .. } | Trouble::Mute { .. }) {
+                let up: Vec<usize> = self
+                    .workers
+                    .iter()
+                    .flatten()
+                    .filter(|w| w.up_at <= self.now && (w.spot || !spot_only))
+                    .map(|w| w.number)
+                    .collect();
+                struck = up
+                    .into_iter()
+                    .filter(|_| self.rng.random::<f64>() < fault.share)
+                    .collect();
+                if matches!(
+                    fault.trouble,
+                    Trouble::LateCopies { .. } | Trouble::Deaf { .. } | Trouble::Mute { .. }
+                ) {
                     self.struck.insert(i, struck.iter().copied().collect());
                 }
                 for &number in &struck {
@@ -97,7 +112,9 @@
                 self.with_worker(number, |w, ground| w.reborn(now, ground));
             }
             Trouble::Faulty => drop(self.with_worker(number, |w, _| w.faulty = true)),
-            Trouble::Hang => drop(self.with_worker(number, |w, ground| w.hang(now, now + for_us, ground))),
+            Trouble::Hang => {
+                drop(self.with_worker(number, |w, ground| w.hang(now, now + for_us, ground)))
+            }
             Trouble::TakeSpot { notice_s } => {
                 let at = now + (notice_s * 1e6 * (0.5 + self.rng.random::<f64>())) as u64;
                 self.with_worker(number, |w, _| w.notice = (*notice_s > 0.0).then_some(at));
@@ -110,7 +127,9 @@
     pub(super) fn fault_over(&mut self, i: usize, struck: &[usize]) {
         let scenario = self.scenario.clone();
         match &scenario.faults[i].trouble {
-            Trouble::Roll => struck.iter().for_each(|&h| self.crash(h, (scenario.faults[i].for_s * 1e6 / 3.0) as u64)),
+            Trouble::Roll => struck
+                .iter()
+                .for_each(|&h| self.crash(h, (scenario.faults[i].for_s * 1e6 / 3.0) as u64)),
             Trouble::StoreDown => self.store.recover(self.now),
             Trouble::Cut(link) => drop(self.down.remove(link)),
             Trouble::Alone { host } => {
@@ -136,15 +155,26 @@
     }
 
     fn all_but_workers(&self, host: usize) -> Vec<Link> {
-        let others = (0..self.hosts.len()).filter(|&o| o != host).map(|o| Link::Hosts(o.min(host), o.max(host)));
+        let others = (0..self.hosts.len())
+            .filter(|&o| o != host)
+            .map(|o| Link::Hosts(o.min(host), o.max(host)));
         others.chain([Link::Store(host)]).collect()
     }
 
     fn struck_by(&self, number: usize) -> impl Iterator<Item = &Trouble> {
-        let zone = self.workers.get(number).and_then(Option::as_ref).map(|w| &w.zone);
+        let zone = self
+            .workers
+            .get(number)
+            .and_then(Option::as_ref)
+            .map(|w| &w.zone);
         let here = move |trouble: &Trouble| matches!(trouble, Trouble::Deaf { zone: Some(z), .. } | Trouble::Mute { zone: Some(z) } if Some(z) == zone);
-        let faults = self.struck.iter().map(|(i, struck)| (&self.scenario.faults[*i].trouble, struck));
-        faults.filter(move |(trouble, struck)| struck.contains(&number) || here(trouble)).map(|(trouble, _)| trouble)
+        let faults = self
+            .struck
+            .iter()
+            .map(|(i, struck)| (&self.scenario.faults[*i].trouble, struck));
+        faults
+            .filter(move |(trouble, struck)| struck.contains(&number) || here(trouble))
+            .map(|(trouble, _)| trouble)
     }
 
     /// For how long a call to a machine or an answer to its report is held up, µs;
@@ -157,7 +187,11 @@
                 && self.rng.random::<f64>() < fault.share
             {
                 self.held += 1;
-                return Some(if self.chance(500) { 0 } else { self.rng.random_range(seconds.us()) });
+                return Some(if self.chance(500) {
+                    0
+                } else {
+                    self.rng.random_range(seconds.us())
+                });
             }
         }
         None
@@ -166,21 +200,29 @@
     /// True if what a controller answers to a machine, or commands it, is lost.
     pub(super) fn deaf(&self, host: usize, number: usize, command: bool) -> bool {
         self.struck_by(number).any(|trouble| match trouble {
-            Trouble::Deaf { host: only, answers, commands, .. } => {
-                only.is_none_or(|h| h == host) && if command { *commands } else { *answers }
-            }
+            Trouble::Deaf {
+                host: only,
+                answers,
+                commands,
+                ..
+            } => only.is_none_or(|h| h == host) && if command { *commands } else { *answers },
             _ => false,
         })
     }
 
     /// True if a machine reaches no controller by itself.
     pub(super) fn mute(&self, number: usize) -> bool {
-        self.struck_by(number).any(|trouble| matches!(trouble, Trouble::Mute { .. }))
+        self.struck_by(number)
+            .any(|trouble| matches!(trouble, Trouble::Mute { .. }))
     }
 
     /// A copy of a report is kept for the next leader: an old one stays.
     fn keep_report(&mut self, report: &Report) {
-        let kept_of_machine = self.kept_reports.iter().filter(|kept| kept.machine == report.machine).count();
+        let kept_of_machine = self
+            .kept_reports
+            .iter()
+            .filter(|kept| kept.machine == report.machine)
+            .count();
         if kept_of_machine < KEPT_OF_MACHINE && self.chance(KEPT_REPORTS) {
             self.kept_reports.push(report.clone());
         }
@@ -189,16 +231,31 @@
     /// A shard has a new leader: kept copies of reports reach every controller.
     pub(super) fn new_leader(&mut self) {
         let kept_for_next = |trouble: &Trouble| match trouble {
-            Trouble::LateCopies { seconds, for_next: true } => Some(seconds.us()),
+            Trouble::LateCopies {
+                seconds,
+                for_next: true,
+            } => Some(seconds.us()),
             _ => None,
         };
         let faults = self.scenario.faults.iter().map(|fault| &fault.trouble);
-        let Some(range) = faults.filter_map(kept_for_next).next() else { return };
+        let Some(range) = faults.filter_map(kept_for_next).next() else {
+            return;
+        };
         for report in std::mem::take(&mut self.kept_reports) {
             for host in 0..self.hosts.len() {
-                let (at, incarnation) = (self.now + self.rng.random_range(range.clone()), self.hosts[host].life);
+                let (at, incarnation) = (
+                    self.now + self.rng.random_range(range.clone()),
+                    self.hosts[host].life,
+                );
                 self.copies += 1;
-                self.push(at, Event::To(host, incarnation, Box::new(Input::Report(0, report.clone(), at))));
+                self.push(
+                    at,
+                    Event::To(
+                        host,
+                        incarnation,
+                        Box::new(Input::Report(0, report.clone(), at)),
+                    ),
+                );
             }
         }
     }
@@ -207,10 +264,16 @@
     /// answered to it goes nowhere.
     pub(super) fn copy_report(&mut self, number: usize, report: &Report, host: usize) {
         let late = |trouble: &Trouble| match trouble {
-            Trouble::LateCopies { seconds, for_next: false } => Some(seconds.us()),
+            Trouble::LateCopies {
+                seconds,
+                for_next: false,
+            } => Some(seconds.us()),
             _ => None,
         };
-        if self.struck_by(number).any(|trouble| matches!(trouble, Trouble::LateCopies { for_next: true, .. })) {
+        if self
+            .struck_by(number)
+            .any(|trouble| matches!(trouble, Trouble::LateCopies { for_next: true, .. }))
+        {
             self.keep_report(report);
         }
         for range in self.struck_by(number).filter_map(late).collect::<Vec<_>>() {
@@ -222,10 +285,20 @@
     /// To the controller that it was sent to, in whatever life, or to the one
     /// that its worker reports to by now.
     pub(super) fn copy_arrives(&mut self, number: usize, host: usize, report: Report) {
-        let now_to = self.workers.get(number).and_then(Option::as_ref).map_or(host, |w| w.node);
-        let to = if self.hosts[host].core.is_none() || self.chance(500) { now_to } else { host };
+        let now_to = self
+            .workers
+            .get(number)
+            .and_then(Option::as_ref)
+            .map_or(host, |w| w.node);
+        let to = if self.hosts[host].core.is_none() || self.chance(500) {
+            now_to
+        } else {
+            host
+        };
         self.copies += 1;
-        self.ground.history.note(self.now, "late copy", &report.machine, &to);
+        self.ground
+            .history
+            .note(self.now, "late copy", &report.machine, &to);
         self.deliver(to, Input::Report(0, report, self.now));
     }
 
@@ -237,8 +310,15 @@
             || self.cloud.down
             || !self.down.is_empty()
             || !self.cut_zones.is_empty()
-            || self.hosts.iter().any(|h| h.core.is_none() || h.frozen_until > now)
-            || self.workers.iter().flatten().any(|w| w.silent || w.hung_until > now)
+            || self
+                .hosts
+                .iter()
+                .any(|h| h.core.is_none() || h.frozen_until > now)
+            || self
+                .workers
+                .iter()
+                .flatten()
+                .any(|w| w.silent || w.hung_until > now)
     }
 
     pub(super) fn unsilence(&mut self, number: usize) {
--- a/crates/lab/src/world/users.rs
+++ b/crates/lab/src/world/users.rs
@@ -7,13 +7,17 @@
 
 impl World {
     pub(super) fn take_submission(&mut self, host: usize, id: JobId) {
-        let Some(planned) = self.plan.get(&id) else { return };
+        let Some(planned) = self.plan.get(&id) else {
+            return;
+        };
         let spec = planned.load.spec.clone();
         let h = &self.hosts[host];
         let Some(core) = h.core.as_ref() else { return };
         let known = core.mirror.knows(&id);
         let wait = h.writes.wait(self.now).max(h.requests.wait(self.now));
-        let never = |catalog| never_runs(&spec, &self.scenario.teams, &self.scenario.zones, catalog).is_some();
+        let never = |catalog| {
+            never_runs(&spec, &self.scenario.teams, &self.scenario.zones, catalog).is_some()
+        };
         if known {
             return match core.answer(&id, self.now / MS) {
                 Answer::Unfinished(phase, ..) => self.reply(host, id, Some(phase), 200),
@@ -28,7 +32,9 @@
             match core.admit(&spec, self.now / MS) {
                 Admission::Accept(txns, _) => {
                     // Further pages of what it awaits mean nothing by themselves.
-                    let (last, pages) = txns.split_last().expect("a job is accepted by a transaction");
+                    let (last, pages) = txns
+                        .split_last()
+                        .expect("a job is accepted by a transaction");
                     for page in pages {
                         self.send_txn(host, For::Nobody, page.clone());
                     }
@@ -44,14 +50,21 @@
         if !self.reachable(host, Service::Store) {
             return self.reply(host, id, None, 503);
         }
-        let accepted = |id: &JobId| [job_key(id), chain_key(id), end_key(id)].iter().any(|key| self.store.get(key).is_some());
+        let accepted = |id: &JobId| {
+            [job_key(id), chain_key(id), end_key(id)]
+                .iter()
+                .any(|key| self.store.get(key).is_some())
+        };
         if !ids.iter().all(accepted) {
             return self.reply(host, id, None, 422);
         }
         self.settle_ends(host, ids);
         self.want_reading(host);
         let life = self.hosts[host].life;
-        self.at(REFRESH_IDLE_MS * MS, Event::To(host, life, Box::new(Input::Submit(id))));
+        self.at(
+            REFRESH_IDLE_MS * MS,
+            Event::To(host, life, Box::new(Input::Submit(id))),
+        );
     }
 
     /// A controller learns the ends of jobs from the store, if it reaches it.
@@ -66,7 +79,8 @@
         let ends: Vec<(JobId, Phase, u64)> = ids.iter().filter_map(end).collect();
         let ms = self.now / MS;
         if let Some(core) = self.hosts[host].core.as_mut() {
-            ends.iter().for_each(|(id, phase, version)| core.mirror.settle(id, *phase, *version, ms));
+            ends.iter()
+                .for_each(|(id, phase, version)| core.mirror.settle(id, *phase, *version, ms));
         }
     }
 
@@ -80,7 +94,11 @@
             }
             Answer::OverIn(ms) => {
                 let life = self.hosts[host].life;
-                let again = if withdraw { Input::Withdraw(id) } else { Input::Poll(id) };
+                let again = if withdraw {
+                    Input::Withdraw(id)
+                } else {
+                    Input::Poll(id)
+                };
                 self.at(ms * MS, Event::To(host, life, Box::new(again)));
             }
             _ => self.await_reading(host, id, withdraw),
@@ -88,13 +106,26 @@
     }
 
     /// Answers a poll or a withdrawal from a reading that began after it.
-    pub(super) fn answer_user(&mut self, host: usize, id: JobId, withdraw: bool, good: bool, asked: u64) {
+    pub(super) fn answer_user(
+        &mut self,
+        host: usize,
+        id: JobId,
+        withdraw: bool,
+        good: bool,
+        asked: u64,
+    ) {
         if !good || !self.reachable(host, Service::Store) {
             return self.reply_to(host, id, None, 503, asked);
         }
-        let Some(core) = self.hosts[host].core.as_ref() else { return };
+        let Some(core) = self.hosts[host].core.as_ref() else {
+            return;
+        };
         if let Some(Answer::Unfinished(phase, ..)) = core.unfinished(&id, self.now / MS) {
-            let txn = if withdraw { core.cancellation(&id) } else { None };
+            let txn = if withdraw {
+                core.cancellation(&id)
+            } else {
+                None
+            };
             return match txn {
                 Some(txn) => self.send_txn(host, For::User(id, true, asked), txn),
                 None if withdraw => self.reply_to(host, id, None, 503, asked),
@@ -102,7 +133,11 @@
             };
         }
         self.settle_ends(host, std::slice::from_ref(&id));
-        if let Some(core) = self.hosts[host].core.as_ref().filter(|core| core.mirror.knows(&id)) {
+        if let Some(core) = self.hosts[host]
+            .core
+            .as_ref()
+            .filter(|core| core.mirror.knows(&id))
+        {
             let answer = core.answer(&id, self.now / MS);
             return self.answer_late(host, id, withdraw, answer);
         }
@@ -114,15 +149,31 @@
     }
 
     /// Answers a question that came at `asked`.
-    pub(super) fn reply_to(&mut self, host: usize, id: JobId, phase: Option<Phase>, status: u16, asked: u64) {
+    pub(super) fn reply_to(
+        &mut self,
+        host: usize,
+        id: JobId,
+        phase: Option<Phase>,
+        status: u16,
+        asked: u64,
+    ) {
         let at = self.leaves(host) + self.travel();
         self.push(at, Event::Reply(id, phase, status, asked));
     }
 
     pub(super) fn announce(&mut self, host: usize, id: &JobId) {
-        let Some(team) = self.plan.get(id).map(|p| p.load.spec.team.clone()) else { return };
-        let Some(core) = self.hosts[host].core.as_ref() else { return };
-        let part = core.mirror.teams.get(&team).copied().unwrap_or_else(|| core.config.default_part(&team));
+        let Some(team) = self.plan.get(id).map(|p| p.load.spec.team.clone()) else {
+            return;
+        };
+        let Some(core) = self.hosts[host].core.as_ref() else {
+            return;
+        };
+        let part = core
+            .mirror
+            .teams
+            .get(&team)
+            .copied()
+            .unwrap_or_else(|| core.config.default_part(&team));
         match self.known_holder(host, part).filter(|to| *to != host) {
             Some(to) if !self.is_cut(host, to) => {
                 let (at, life) = (self.leaves(host) + self.travel(), self.hosts[to].life);
@@ -137,14 +188,23 @@
     pub(super) fn pick_host(&mut self) -> Option<usize> {
         let ready: Vec<usize> = (0..self.hosts.len())
             .filter(|&h| {
-                self.ready(h) && !self.inside_cut(h) && !self.down.contains(&Link::Users(h)) && self.hosts[h].frozen_until <= self.now
+                self.ready(h)
+                    && !self.inside_cut(h)
+                    && !self.down.contains(&Link::Users(h))
+                    && self.hosts[h].frozen_until <= self.now
             })
             .collect();
-        if ready.is_empty() { None } else { Some(ready[self.rng.random_range(0..ready.len())]) }
+        if ready.is_empty() {
+            None
+        } else {
+            Some(ready[self.rng.random_range(0..ready.len())])
+        }
     }
 
     pub(super) fn ask(&mut self, input: Input) -> bool {
-        let Some(host) = self.pick_host() else { return false };
+        let Some(host) = self.pick_host() else {
+            return false;
+        };
         let (at, life) = (self.now + self.travel(), self.hosts[host].life);
         self.push(at, Event::To(host, life, Box::new(input)));
         true
@@ -157,7 +217,11 @@
     /// A user asks again after so long, or before that as was planned.
     pub(super) fn poll_in(&mut self, id: JobId, us: u64) {
         let at = self.now + us;
-        if let Some(user) = self.users.get_mut(&id).filter(|u| u.next <= self.now || at < u.next) {
+        if let Some(user) = self
+            .users
+            .get_mut(&id)
+            .filter(|u| u.next <= self.now || at < u.next)
+        {
             user.next = at;
             self.push(at, Event::Poll(id));
         }
@@ -176,13 +240,24 @@
             user.first_try = now;
             if let Some(planned) = self.plan.get_mut(&id) {
                 let run_us = std::mem::take(&mut planned.load.run_us);
-                let load = Load { spec: planned.load.spec.clone(), run_us, broken: planned.load.broken };
+                let load = Load {
+                    spec: planned.load.spec.clone(),
+                    run_us,
+                    broken: planned.load.broken,
+                };
                 self.ground.checker.submitted(&load.spec);
                 self.ground.jobs.insert(id.clone(), load);
             }
-            let awaits = self.ground.jobs.get(&id).map(|load| load.spec.awaits.clone()).unwrap_or_default();
+            let awaits = self
+                .ground
+                .jobs
+                .get(&id)
+                .map(|load| load.spec.awaits.clone())
+                .unwrap_or_default();
             let awaits: Vec<&str> = awaits.iter().map(JobId::as_str).collect();
-            self.ground.history.note(now, "submit", &id, &awaits.join(" "));
+            self.ground
+                .history
+                .note(now, "submit", &id, &awaits.join(" "));
             if !self.unfit.contains(&id) {
                 self.measures.submitted();
             }
@@ -199,8 +274,14 @@
     /// Users submit a job once those that it needs are accepted, and not at all where one
     /// was refused.
     fn awaited_accepted(&mut self, id: &JobId, tries: u64) -> bool {
-        let Some(planned) = self.plan.get(id).filter(|_| tries == 0) else { return true };
-        let of = |id: &JobId| self.users.get(id).map_or((false, false), |user| (user.accepted.is_some(), user.over));
+        let Some(planned) = self.plan.get(id).filter(|_| tries == 0) else {
+            return true;
+        };
+        let of = |id: &JobId| {
+            self.users
+                .get(id)
+                .map_or((false, false), |user| (user.accepted.is_some(), user.over))
+        };
         let awaited: Vec<(bool, bool)> = planned.load.spec.awaits.iter().map(of).collect();
         if awaited.iter().all(|(accepted, _)| *accepted) {
             return true;
@@ -226,12 +307,16 @@
             return self.ground.checker.told(&id, phase, false, asked, now);
         };
         if status < 300 && self.unfit.contains(&id) {
-            return self.ground.checker.broken.push(format!("{} ms: accepted_unfit: {id} fits no machine", now / MS));
+            return self.ground.checker.broken.push(format!(
+                "{} ms: accepted_unfit: {id} fits no machine",
+                now / MS
+            ));
         }
         let accepted = user.accepted.is_some_and(|at| at <= asked);
         if poll > 0
             && !user.over
-            && (user.accepted.is_none() && status < 300 || matches!(status, 200 | 404) && now <= user.asked + ANSWER_US)
+            && (user.accepted.is_none() && status < 300
+                || matches!(status, 200 | 404) && now <= user.asked + ANSWER_US)
         {
             self.ground.checker.answered(&id, now);
         }
@@ -240,7 +325,8 @@
                 user.accepted = Some(now);
                 self.ground.history.note(now, "accepted", &id, &"");
                 let spec = self.ground.jobs.get(&id).map(|l| l.spec.clone());
-                self.measures.accepted(&id, user.first_try, now, spec.as_deref());
+                self.measures
+                    .accepted(&id, user.first_try, now, spec.as_deref());
                 if poll > 0 {
                     self.poll_in(id.clone(), poll);
                 }
@@ -265,7 +351,9 @@
                         self.measures.withdrawal_told(now - at);
                     }
                     self.ground.checker.asked_last(&id);
-                    self.ground.history.note(now, "told over", &id, &format!("{phase:?}"));
+                    self.ground
+                        .history
+                        .note(now, "told over", &id, &format!("{phase:?}"));
                     if phase == Some(Phase::Withdrawn) {
                         self.ground.checker.withdrawn(&id, now);
                     }
--- a/crates/lab/src/world/waiting.rs
+++ b/crates/lab/src/world/waiting.rs
@@ -41,23 +41,37 @@
         let before = std::mem::take(&mut self.waiting.beside);
         let machines = self.usable_machines();
         for id in self.waiting_jobs() {
-            let Some(spec) = self.ground.jobs.get(&id).map(|load| load.spec.clone()) else { continue };
+            let Some(spec) = self.ground.jobs.get(&id).map(|load| load.spec.clone()) else {
+                continue;
+            };
             // A job whose tasks start one after the other is served.
             let served = self.ground.checker.last_start(&id);
             let beside = before.get(&id).filter(|beside| beside.since >= served);
             let same = beside.map(|beside| (beside.since, beside.machines.clone()));
             let (since, among) = same.unwrap_or_else(|| (now, machines.clone()));
-            let Some(machines) = self.room_for(&spec, &among) else { continue };
+            let Some(machines) = self.room_for(&spec, &among) else {
+                continue;
+            };
             if now >= since + WAIT_BESIDE_ROOM_US && self.waiting.named.insert(id.clone()) {
-                self.ground.checker.broken.push(format!("{} ms: waits_beside_room: {id} for 90 s", now / MS));
+                self.ground
+                    .checker
+                    .broken
+                    .push(format!("{} ms: waits_beside_room: {id} for 90 s", now / MS));
             }
             self.waiting.beside.insert(id, Beside { since, machines });
         }
     }
 
     fn usable_machines(&self) -> BTreeSet<usize> {
-        let usable = |worker: &&Worker| worker.up_at <= self.now && !worker.faulty && worker.notice.is_none();
-        self.workers.iter().flatten().filter(usable).map(|worker| worker.number).collect()
+        let usable = |worker: &&Worker| {
+            worker.up_at <= self.now && !worker.faulty && worker.notice.is_none()
+        };
+        self.workers
+            .iter()
+            .flatten()
+            .filter(usable)
+            .map(|worker| worker.number)
+            .collect()
     }
 
     /// Jobs that may start, and have a task that is nowhere.
@@ -65,9 +79,19 @@
         let live = self.live();
         let mut waiting = Vec::new();
         for (id, user) in &self.users {
-            let Some(load) = self.ground.jobs.get(id).filter(|load| !load.broken) else { continue };
-            let may_start = load.spec.awaits.iter().all(|awaited| self.phase(awaited) == Some(Phase::Done));
-            let unfinished = may_start && user.accepted.is_some() && user.withdrew.is_none() && !user.over && self.phase(id).is_none();
+            let Some(load) = self.ground.jobs.get(id).filter(|load| !load.broken) else {
+                continue;
+            };
+            let may_start = load
+                .spec
+                .awaits
+                .iter()
+                .all(|awaited| self.phase(awaited) == Some(Phase::Done));
+            let unfinished = may_start
+                && user.accepted.is_some()
+                && user.withdrew.is_none()
+                && !user.over
+                && self.phase(id).is_none();
             let here = live.get(id).copied().unwrap_or(0) as u64;
             if unfinished && here + self.ground.done_tasks(id) < load.spec.tasks {
                 waiting.push(id.clone());
@@ -80,18 +104,35 @@
     /// Those of some machines that have room for what must start together; `None`: there is
     /// not enough, or the team's limit does not allow it.
     fn room_for(&self, spec: &JobSpec, among: &BTreeSet<usize>) -> Option<BTreeSet<usize>> {
-        let (tasks, need) = (if spec.shape == Shape::Gang { spec.tasks } else { 1 }, spec.need());
+        let (tasks, need) = (
+            if spec.shape == Shape::Gang {
+                spec.tasks
+            } else {
+                1
+            },
+            spec.need(),
+        );
         if !self.ground.checker.within_limit(spec, tasks) {
             return None;
         }
         let mut fitting: BTreeMap<&str, u64> = BTreeMap::new();
         let mut machines = BTreeSet::new();
-        for worker in among.iter().filter_map(|number| self.workers.get(*number)?.as_ref()) {
-            let allowed = spec.types.as_ref().is_none_or(|types| types.contains(&worker.kind.name))
+        for worker in among
+            .iter()
+            .filter_map(|number| self.workers.get(*number)?.as_ref())
+        {
+            let allowed = spec
+                .types
+                .as_ref()
+                .is_none_or(|types| types.contains(&worker.kind.name))
                 && spec.zone.as_ref().is_none_or(|zone| *zone == worker.zone)
                 && (spec.spot || !worker.spot)
                 && !self.ground.checker.zone_is_full(spec, &worker.zone);
-            let room = if allowed { times(worker.free(), need).min(spec.tasks) } else { 0 };
+            let room = if allowed {
+                times(worker.free(), need).min(spec.tasks)
+            } else {
+                0
+            };
             if room > 0 {
                 machines.insert(worker.number);
                 *fitting.entry(&worker.zone).or_default() += room;
@@ -106,5 +147,7 @@
 /// How many times a need fits into some room.
 fn times(free: Room, need: Room) -> u64 {
     let by = |free: u64, need: u64| free.checked_div(need).unwrap_or(u64::MAX);
-    by(free.cpus, need.cpus).min(by(free.gpus, need.gpus)).min(by(free.memory, need.memory))
+    by(free.cpus, need.cpus)
+        .min(by(free.gpus, need.gpus))
+        .min(by(free.memory, need.memory))
 }
