--- a/crates/lab/src/world/ways.rs
+++ b/crates/lab/src/world/ways.rs
@@ -25,7 +25,11 @@
 
 impl Way {
     pub(super) fn direct(service: Service) -> Self {
-        Self { service, bytes: 0, by: None }
+        Self {
+            service,
+            bytes: 0,
+            by: None,
+        }
     }
 }
 
@@ -38,7 +42,10 @@
     /// The way that a controller's core names for a request.
     pub(super) fn way(&mut self, host: usize, service: Service, bytes: usize) -> Way {
         let ms = self.now / MS;
-        let by = self.hosts[host].core.as_mut().and_then(|c| c.links.route(service, bytes, ms));
+        let by = self.hosts[host]
+            .core
+            .as_mut()
+            .and_then(|c| c.links.route(service, bytes, ms));
         Way { service, bytes, by }
     }
 
@@ -52,7 +59,10 @@
 
     /// True if a controller can do something for another now.
     fn helps(&self, by: usize, host: usize) -> bool {
-        let there = self.hosts.get(by).is_some_and(|h| h.core.is_some() && h.frozen_until <= self.now);
+        let there = self
+            .hosts
+            .get(by)
+            .is_some_and(|h| h.core.is_some() && h.frozen_until <= self.now);
         there && !self.is_cut(host, by)
     }
 
@@ -60,8 +70,13 @@
         if way.service == Service::Store && self.down.contains(&Link::Barred(host)) {
             return false;
         }
-        let Some(by) = way.by.map(usize::from) else { return self.reaches(host, way.service) };
-        let willing = self.hosts[by].core.as_ref().is_some_and(|c| c.links.carries(way.service));
+        let Some(by) = way.by.map(usize::from) else {
+            return self.reaches(host, way.service);
+        };
+        let willing = self.hosts[by]
+            .core
+            .as_ref()
+            .is_some_and(|c| c.links.carries(way.service));
         self.helps(by, host) && willing && self.reaches(by, way.service)
     }
 
@@ -78,7 +93,14 @@
         if way.by.is_some() {
             self.hosts[host].work.messages += 1;
         }
-        self.push(at, Event::To(host, life, Box::new(Input::Tried(way.service, way.by, way.bytes, good))));
+        self.push(
+            at,
+            Event::To(
+                host,
+                life,
+                Box::new(Input::Tried(way.service, way.by, way.bytes, good)),
+            ),
+        );
     }
 
     /// True if some request of a controller would be served now.
@@ -96,22 +118,42 @@
     }
 
     /// A report goes on to the owner.
-    pub(super) fn carry_report(&mut self, host: usize, to: u16, number: usize, report: Report, sent: u64) {
+    pub(super) fn carry_report(
+        &mut self,
+        host: usize,
+        to: u16,
+        number: usize,
+        report: Report,
+        sent: u64,
+    ) {
         let (to, life) = (usize::from(to), self.hosts[host].life);
         let at = self.leaves(host) + GATHER_MS * MS + self.travel();
         let lost = !self.helps(to, host) || self.chance(self.scenario.chances.lost_sync);
         if lost && self.chance(self.scenario.chances.late_sync) {
             // Held back: its worker has long moved on when the answer comes.
-            let (later, to_life) = (self.rng.random_range(2_000..60_000) * MS, self.hosts[to].life);
+            let (later, to_life) = (
+                self.rng.random_range(2_000..60_000) * MS,
+                self.hosts[to].life,
+            );
             let held = Input::CarriedReport(number, report, sent, host, life);
             return self.push(at + later, Event::To(to, to_life, Box::new(held)));
         }
         if !lost {
             let to_life = self.hosts[to].life;
-            self.push(at, Event::To(to, to_life, Box::new(Input::CarriedReport(number, report, sent, host, life))));
+            self.push(
+                at,
+                Event::To(
+                    to,
+                    to_life,
+                    Box::new(Input::CarriedReport(number, report, sent, host, life)),
+                ),
+            );
         } else {
             let lost = Input::CarriedAnswer(number, report.session, sent, to, None);
-            self.push(at + CARRY_REPORT_MS * MS, Event::To(host, life, Box::new(lost)));
+            self.push(
+                at + CARRY_REPORT_MS * MS,
+                Event::To(host, life, Box::new(lost)),
+            );
         }
     }
 
@@ -135,9 +177,15 @@
         let (number, life) = (usize::from(to), self.hosts[host].life);
         if self.helps(number, host) {
             let to_life = self.hosts[number].life;
-            self.push(at, Event::To(number, to_life, Box::new(Input::Hail(life, Box::new(word)))));
+            self.push(
+                at,
+                Event::To(number, to_life, Box::new(Input::Hail(life, Box::new(word)))),
+            );
         } else {
-            self.push(at + SYNC_TIMEOUT_MS * MS, Event::To(host, life, Box::new(Input::Hailed(to, None))));
+            self.push(
+                at + SYNC_TIMEOUT_MS * MS,
+                Event::To(host, life, Box::new(Input::Hailed(to, None))),
+            );
         }
     }
 }
--- a/crates/lab/src/world/workers.rs
+++ b/crates/lab/src/world/workers.rs
@@ -4,7 +4,9 @@
 
 impl World {
     pub(super) fn wake_worker(&mut self, number: usize) {
-        let Some(w) = self.workers.get_mut(number).and_then(Option::as_mut) else { return };
+        let Some(w) = self.workers.get_mut(number).and_then(Option::as_mut) else {
+            return;
+        };
         let at = w.next_event().max(self.now);
         if at < w.wake_at && at != NEVER {
             w.wake_at = at;
@@ -22,7 +24,11 @@
     }
 
     /// Lets a machine and whom it reaches go on.
-    pub(super) fn with_worker<T>(&mut self, number: usize, work: impl FnOnce(&mut Worker, &mut Ground) -> T) -> Option<T> {
+    pub(super) fn with_worker<T>(
+        &mut self,
+        number: usize,
+        work: impl FnOnce(&mut Worker, &mut Ground) -> T,
+    ) -> Option<T> {
         let mut w = self.workers.get_mut(number)?.take()?;
         let result = work(&mut w, &mut self.ground);
         self.workers[number] = Some(w);
@@ -69,50 +75,91 @@
             return;
         }
         let life = self.hosts[host].life;
-        self.push(at, Event::To(host, life, Box::new(Input::Report(number, report, now))));
+        self.push(
+            at,
+            Event::To(host, life, Box::new(Input::Report(number, report, now))),
+        );
     }
 
     /// An answer goes to a machine, if it hears that controller.
-    pub(super) fn answer(&mut self, at: u64, host: usize, number: usize, session: u64, sent: u64, answer: ReportAnswer) {
+    pub(super) fn answer(
+        &mut self,
+        at: u64,
+        host: usize,
+        number: usize,
+        session: u64,
+        sent: u64,
+        answer: ReportAnswer,
+    ) {
         if !self.deaf(host, number, false) {
             let at = at + self.held().unwrap_or(0);
             self.push(at, Event::Answer(number, session, sent, Box::new(answer)));
         }
     }
 
-    pub(super) fn worker_answered(&mut self, number: usize, session: u64, sent: u64, answer: ReportAnswer) {
+    pub(super) fn worker_answered(
+        &mut self,
+        number: usize,
+        session: u64,
+        sent: u64,
+        answer: ReportAnswer,
+    ) {
         let (now, hosts) = (self.now, self.hosts.len());
         let spread = 0.75 + 0.5 * self.rng.random::<f64>();
         let next = (self.scenario.workers.report_s * 1e6 * spread) as u64;
-        let node = self.workers.get(number).and_then(Option::as_ref).filter(|w| !w.silent).map(|w| w.node);
+        let node = self
+            .workers
+            .get(number)
+            .and_then(Option::as_ref)
+            .filter(|w| !w.silent)
+            .map(|w| w.node);
         let Some(node) = node else { return };
         let elsewhere = |name: &str| (0..hosts).find(|h| crate::scenario::host_name(*h) == name);
         match answer {
             ReportAnswer::Orders(reply) => {
                 let reply: ReportReply = reply;
-                self.with_worker(number, |w, ground| w.answered(session, sent, &reply, next, now, ground));
+                self.with_worker(number, |w, ground| {
+                    w.answered(session, sent, &reply, next, now, ground)
+                });
             }
             ReportAnswer::Elsewhere(name) => {
                 let to = elsewhere(&name).unwrap_or((node + 1) % hosts);
                 self.with_worker(number, |w, _| w.turn_away(now, to, 100 * MS));
             }
             ReportAnswer::Unable | ReportAnswer::Carry(_) => {
-                self.with_worker(number, |w, _| w.turn_away(now, (node + 1) % hosts, 1_000 * MS));
+                self.with_worker(number, |w, _| {
+                    w.turn_away(now, (node + 1) % hosts, 1_000 * MS)
+                });
             }
         }
     }
 
-    pub(super) fn orders_arrive(&mut self, host: usize, life: u64, lot: Lot, call: CommandCall, late: bool) {
+    pub(super) fn orders_arrive(
+        &mut self,
+        host: usize,
+        life: u64,
+        lot: Lot,
+        call: CommandCall,
+        late: bool,
+    ) {
         let (now, number) = (self.now, machine_number(&call.machine));
         if late && self.deaf(call.through.map_or(host, usize::from), number, true) {
             return;
         }
-        let hung = self.workers.get(number).and_then(Option::as_ref).map(|w| w.hung_until).filter(|at| *at > now);
+        let hung = self
+            .workers
+            .get(number)
+            .and_then(Option::as_ref)
+            .map(|w| w.hung_until)
+            .filter(|at| *at > now);
         if let Some(at) = hung {
             // A machine that continues executes what came meanwhile.
             if !late {
                 let unknown = Input::Command(lot, call.clone(), CommandResult::Unknown);
-                self.at(COMMAND_TIMEOUT_MS * MS, Event::To(host, life, Box::new(unknown)));
+                self.at(
+                    COMMAND_TIMEOUT_MS * MS,
+                    Event::To(host, life, Box::new(unknown)),
+                );
             }
             return self.push(at, Event::Orders(host, life, lot, Box::new(call), true));
         }
@@ -124,7 +171,10 @@
         };
         if !late {
             let at = now + self.travel();
-            self.push(at, Event::To(host, life, Box::new(Input::Command(lot, call, result))));
+            self.push(
+                at,
+                Event::To(host, life, Box::new(Input::Command(lot, call, result))),
+            );
         }
     }
 
--- a/crates/lab/tests/largest.rs
+++ b/crates/lab/tests/largest.rs
@@ -11,7 +11,14 @@
 use lemonweir_model::constants::*;
 use lemonweir_model::{JobSpec, Rank, Shape};
 
-const NO_FAULTS: Chances = Chances { lost_txn_reply: 0, late_txn: 0, lost_command: 0, late_command: 0, lost_sync: 0, late_sync: 0 };
+const NO_FAULTS: Chances = Chances {
+    lost_txn_reply: 0,
+    late_txn: 0,
+    lost_command: 0,
+    late_command: 0,
+    lost_sync: 0,
+    late_sync: 0,
+};
 
 /// s within which the largest begin.
 const BEGUN_S: u64 = 200;
@@ -28,18 +35,37 @@
 }
 
 fn submit(world: &mut World, spec: JobSpec, run_s: u64) {
-    let load = Load { spec: Arc::new(spec), run_us: vec![run_s * 1_000_000], broken: false };
-    world.submit_at(Planned { at_us: world.now, load, withdraw_us: None });
+    let load = Load {
+        spec: Arc::new(spec),
+        run_us: vec![run_s * 1_000_000],
+        broken: false,
+    };
+    world.submit_at(Planned {
+        at_us: world.now,
+        load,
+        withdraw_us: None,
+    });
 }
 
 /// s from a submission to the job's first start, if there was one.
 fn begun(world: &World, n: u32, since_us: u64) -> Option<u64> {
-    let starts = world.ground.up.iter().filter(|((job, _), _)| *job == id(n)).map(|(_, at)| *at);
-    starts.min().map(|at| at.saturating_sub(since_us) / 1_000_000)
+    let starts = world
+        .ground
+        .up
+        .iter()
+        .filter(|((job, _), _)| *job == id(n))
+        .map(|(_, at)| *at);
+    starts
+        .min()
+        .map(|at| at.saturating_sub(since_us) / 1_000_000)
 }
 
 fn assert_kept(world: &World, what: &str) {
-    assert!(world.ground.checker.broken.is_empty(), "{what}: rules broken: {:#?}", world.ground.checker.broken);
+    assert!(
+        world.ground.checker.broken.is_empty(),
+        "{what}: rules broken: {:#?}",
+        world.ground.checker.broken
+    );
 }
 
 /// An idle array as large as the fleet, beside a burst that lacks room all the time
@@ -51,11 +77,23 @@
         let mut world = built(seed, dear(hosts, 80));
         world.run(10_000);
         let at = world.now;
-        submit(&mut world, JobSpec { rank: Rank::Low, ..job(900, "blue", Shape::Array, 600) }, 60);
+        submit(
+            &mut world,
+            JobSpec {
+                rank: Rank::Low,
+                ..job(900, "blue", Shape::Array, 600)
+            },
+            60,
+        );
         for step in 0..100u32 {
             // A growing burst of whole machines: something lacks room all the time.
             for k in 0..2 {
-                let spec = JobSpec { rank: Rank::High, cores: 16.0, gpus: 4.0, ..job(step * 2 + k, "blue", Shape::Array, 1) };
+                let spec = JobSpec {
+                    rank: Rank::High,
+                    cores: 16.0,
+                    gpus: 4.0,
+                    ..job(step * 2 + k, "blue", Shape::Array, 1)
+                };
                 submit(&mut world, spec, 40);
             }
             world.run(2_000);
@@ -68,7 +106,10 @@
             }
         }
         let began = begun(&world, 900, at);
-        assert!(began.is_some_and(|s| s <= BEGUN_S), "{hosts} controllers: it began after {began:?} s");
+        assert!(
+            began.is_some_and(|s| s <= BEGUN_S),
+            "{hosts} controllers: it began after {began:?} s"
+        );
         assert_kept(&world, "an idle array beside a burst");
     }
 }
@@ -80,19 +121,45 @@
     let mut world = built(3, dear(3, 80));
     world.run(10_000);
     for n in 0..400 {
-        submit(&mut world, JobSpec { rank: Rank::Low, ..job(n, "blue", Shape::Array, 1) }, 200);
+        submit(
+            &mut world,
+            JobSpec {
+                rank: Rank::Low,
+                ..job(n, "blue", Shape::Array, 1)
+            },
+            200,
+        );
     }
     world.run(1_000);
     let at = world.now;
-    submit(&mut world, JobSpec { rank: Rank::Low, class: "render".into(), ..job(900, "blue", Shape::Array, 3_000) }, 60);
-    submit(&mut world, JobSpec { rank: Rank::Low, class: "train".into(), ..job(901, "blue", Shape::Gang, 8) }, 60);
+    submit(
+        &mut world,
+        JobSpec {
+            rank: Rank::Low,
+            class: "render".into(),
+            ..job(900, "blue", Shape::Array, 3_000)
+        },
+        60,
+    );
+    submit(
+        &mut world,
+        JobSpec {
+            rank: Rank::Low,
+            class: "train".into(),
+            ..job(901, "blue", Shape::Gang, 8)
+        },
+        60,
+    );
     world.run(100_000);
     let machines = world.workers.iter().flatten().count();
     assert_eq!(machines, 0, "none is rented before its time");
     world.run(100_000);
     for n in [900, 901] {
         let began = begun(&world, n, at);
-        assert!(began.is_some_and(|s| s <= BEGUN_S), "{n} began after {began:?} s");
+        assert!(
+            began.is_some_and(|s| s <= BEGUN_S),
+            "{n} began after {began:?} s"
+        );
     }
     // Four tasks on a machine, and a few where the gang lies apart.
     let machines = world.workers.iter().flatten().count();
@@ -110,8 +177,20 @@
         let mut world = built(seed, dear(3, capacity));
         world.run(10_000);
         let at = world.now;
-        submit(&mut world, JobSpec { rank: Rank::Production, ..job(901, "red", Shape::Service, 12) }, 1);
-        let tiny = |n: u32, tasks: u64| JobSpec { cores: 0.1, gpus: 0.0, ram_gb: 0.05, ..job(n, "blue", Shape::Array, tasks) };
+        submit(
+            &mut world,
+            JobSpec {
+                rank: Rank::Production,
+                ..job(901, "red", Shape::Service, 12)
+            },
+            1,
+        );
+        let tiny = |n: u32, tasks: u64| JobSpec {
+            cores: 0.1,
+            gpus: 0.0,
+            ram_gb: 0.05,
+            ..job(n, "blue", Shape::Array, tasks)
+        };
         submit(&mut world, tiny(900, tasks), 150);
         world.run(5_000);
         world.crash(1, 300_000);
@@ -125,14 +204,25 @@
         world.run(60_000);
         for n in [900, 901] {
             let began = begun(&world, n, at);
-            assert!(began.is_some_and(|s| s <= 60), "{n} began after {began:?} s");
+            assert!(
+                began.is_some_and(|s| s <= 60),
+                "{n} began after {began:?} s"
+            );
         }
         if tasks < MAX_TASKS {
-            let started = world.ground.up.keys().filter(|(job, _)| *job == id(900)).count();
+            let started = world
+                .ground
+                .up
+                .keys()
+                .filter(|(job, _)| *job == id(900))
+                .count();
             assert!(started as u64 * 2 >= tasks, "{started} of {tasks}");
             for n in 0..10 {
                 let began = begun(&world, n, later);
-                assert!(began.is_some_and(|s| s <= 40), "{n} began after {began:?} s");
+                assert!(
+                    began.is_some_and(|s| s <= 40),
+                    "{n} began after {began:?} s"
+                );
             }
         }
         assert_kept(&world, "a huge array");
--- a/crates/lab/tests/ledger.rs
+++ b/crates/lab/tests/ledger.rs
@@ -29,24 +29,47 @@
 
 /// A gang of whole machines.
 fn gang(n: u32, team: &str, tasks: u64) -> JobSpec {
-    JobSpec { cores: 16.0, gpus: 4.0, class: "train".into(), ..job(n, team, Shape::Gang, tasks) }
+    JobSpec {
+        cores: 16.0,
+        gpus: 4.0,
+        class: "train".into(),
+        ..job(n, team, Shape::Gang, tasks)
+    }
 }
 
 fn submit(world: &mut World, spec: JobSpec, run_s: u64) {
-    let load = Load { spec: Arc::new(spec), run_us: vec![run_s * 1_000_000], broken: false };
-    world.submit_at(Planned { at_us: world.now, load, withdraw_us: None });
+    let load = Load {
+        spec: Arc::new(spec),
+        run_us: vec![run_s * 1_000_000],
+        broken: false,
+    };
+    world.submit_at(Planned {
+        at_us: world.now,
+        load,
+        withdraw_us: None,
+    });
 }
 
 fn assert_kept(world: &World, what: &str) {
-    assert!(world.ground.checker.broken.is_empty(), "{what}: rules broken: {:#?}", world.ground.checker.broken);
+    assert!(
+        world.ground.checker.broken.is_empty(),
+        "{what}: rules broken: {:#?}",
+        world.ground.checker.broken
+    );
 }
 
 /// What the store says of a gang: its least step, its attempt, members named.
 fn step_of(world: &World, id: &JobId) -> Option<(GangStep, u32, usize)> {
     let entries = (0..3).flat_map(|part| world.store.list(&format!("run/{part}/{id}/")));
     let read = |e: Entry| read_chunk(&e.value, parse_run_key(&e.key)?.1);
-    let chunks: Vec<_> = entries.filter_map(read).filter(|c| !c.live.is_empty()).collect();
-    let gang = chunks.iter().map(|c| c.gang.as_ref()).collect::<Option<Vec<_>>>()?;
+    let chunks: Vec<_> = entries
+        .filter_map(read)
+        .filter(|c| !c.live.is_empty())
+        .collect();
+    let gang = chunks
+        .iter()
+        .map(|c| c.gang.as_ref())
+        .collect::<Option<Vec<_>>>()?;
     let least = gang.iter().map(|g| g.step).min()?;
     Some((least, gang[0].a, chunks.iter().map(|c| c.live.len()).sum()))
 }
@@ -63,19 +86,32 @@
 
 impl Watch {
     fn new(n: u32, tasks: u32) -> Self {
-        Self { id: id(n), tasks, admitted: BTreeSet::new(), steps: Vec::new(), seen: 0 }
+        Self {
+            id: id(n),
+            tasks,
+            admitted: BTreeSet::new(),
+            steps: Vec::new(),
+            seen: 0,
+        }
     }
 
     fn launched(&self, world: &World) -> usize {
-        (0..self.tasks).filter(|t| world.ground.launched.contains_key(&(self.id.clone(), *t))).count()
+        (0..self.tasks)
+            .filter(|t| world.ground.launched.contains_key(&(self.id.clone(), *t)))
+            .count()
     }
 
     fn run(&mut self, world: &mut World, ms: u64, until: impl Fn(&World, &Self) -> bool) -> bool {
         let end = world.now + ms * 1_000;
         while world.now < end {
             // Once all is launched nothing is to be seen between two messages.
-            world.run(if self.launched(world) == self.tasks as usize { 100 } else { 1 });
-            let news = std::mem::replace(&mut self.seen, world.store.revision) != world.store.revision;
+            world.run(if self.launched(world) == self.tasks as usize {
+                100
+            } else {
+                1
+            });
+            let news =
+                std::mem::replace(&mut self.seen, world.store.revision) != world.store.revision;
             if let Some((step, attempt, _)) = news.then(|| step_of(world, &self.id)).flatten() {
                 if self.steps.last() != Some(&step) {
                     self.steps.push(step);
@@ -85,7 +121,11 @@
                 }
             }
             let launched = self.launched(world);
-            assert!(launched == 0 || !self.admitted.is_empty(), "{launched} tasks are launched, {:?}", self.steps);
+            assert!(
+                launched == 0 || !self.admitted.is_empty(),
+                "{launched} tasks are launched, {:?}",
+                self.steps
+            );
             if until(world, self) {
                 return true;
             }
@@ -140,13 +180,22 @@
 /// stays held.
 #[test]
 fn placer_or_owner_or_both_end_at_each_step() {
-    for (at, who, back_ms) in STEPS.into_iter().flat_map(|at| [(at, 0, 3_000), (at, 1, 3_000), (at, 2, 3_000), (at, 2, 600_000)]) {
+    for (at, who, back_ms) in STEPS.into_iter().flat_map(|at| {
+        [
+            (at, 0, 3_000),
+            (at, 1, 3_000),
+            (at, 2, 3_000),
+            (at, 2, 600_000),
+        ]
+    }) {
         let (mut world, mut watch) = brought_to(at, 1 + who as u64);
         let what = format!("{at:?}, {who}, back after {back_ms} ms");
         for host in struck(&world, who) {
             world.crash(host, back_ms * 1_000);
         }
-        let done = watch.run(&mut world, 130_000, |world, watch| world.phase(&watch.id) == Some(Phase::Done));
+        let done = watch.run(&mut world, 130_000, |world, watch| {
+            world.phase(&watch.id) == Some(Phase::Done)
+        });
         assert!(done, "{what}: {:?}", watch.steps);
         assert_kept(&world, &what);
         world.run(5_000);
@@ -166,7 +215,9 @@
                 let until = world.now + 30_000_000;
                 (world.hosts[host].frozen_until, world.hosts[host].busy_until) = (until, until);
             }
-            let done = watch.run(&mut world, 200_000, |world, watch| world.phase(&watch.id) == Some(Phase::Done));
+            let done = watch.run(&mut world, 200_000, |world, watch| {
+                world.phase(&watch.id) == Some(Phase::Done)
+            });
             assert!(done, "{what}: {:?}", watch.steps);
             assert_kept(&world, &what);
         }
@@ -179,7 +230,9 @@
     for at in STEPS {
         let (mut world, mut watch) = brought_to(at, 31);
         world.withdraw(&watch.id);
-        let gone = watch.run(&mut world, 40_000, |world, watch| world.phase(&watch.id) == Some(Phase::Withdrawn));
+        let gone = watch.run(&mut world, 40_000, |world, watch| {
+            world.phase(&watch.id) == Some(Phase::Withdrawn)
+        });
         assert!(gone, "{at:?}");
         assert_kept(&world, &format!("{at:?}"));
         assert!(world.live().is_empty(), "{at:?}");
--- a/crates/lab/tests/links.rs
+++ b/crates/lab/tests/links.rs
@@ -13,7 +13,14 @@
 use lemonweir_protocol::links::Standing;
 use lemonweir_protocol::users::Phase;
 
-const NO_FAULTS: Chances = Chances { lost_txn_reply: 0, late_txn: 0, lost_command: 0, late_command: 0, lost_sync: 0, late_sync: 0 };
+const NO_FAULTS: Chances = Chances {
+    lost_txn_reply: 0,
+    late_txn: 0,
+    lost_command: 0,
+    late_command: 0,
+    lost_sync: 0,
+    late_sync: 0,
+};
 /// Lease of the sample site's workers, s.
 const LEASE_S: u64 = 14;
 /// Replicas of the two services.
@@ -28,8 +35,20 @@
 fn built(seed: u64, site: Scenario, replicas: usize) -> World {
     let mut world = World::new(Arc::new(site), Vec::new(), seed, History::new(None));
     for (n, team) in [(0, "red"), (1, "blue")] {
-        let tasks = if team == "red" { 4 } else { replicas as u64 - 4 };
-        submit(&mut world, JobSpec { spread: true, spot: false, ..job(n, team, Shape::Service, tasks) }, 1);
+        let tasks = if team == "red" {
+            4
+        } else {
+            replicas as u64 - 4
+        };
+        submit(
+            &mut world,
+            JobSpec {
+                spread: true,
+                spot: false,
+                ..job(n, team, Shape::Service, tasks)
+            },
+            1,
+        );
     }
     world.run(55_000);
     assert_eq!(live(&world), replicas);
@@ -46,8 +65,16 @@
 }
 
 fn submit(world: &mut World, spec: JobSpec, run_s: u64) {
-    let load = Load { spec: Arc::new(spec), run_us: vec![run_s * 1_000_000], broken: false };
-    world.submit_at(Planned { at_us: world.now, load, withdraw_us: None });
+    let load = Load {
+        spec: Arc::new(spec),
+        run_us: vec![run_s * 1_000_000],
+        broken: false,
+    };
+    world.submit_at(Planned {
+        at_us: world.now,
+        load,
+        withdraw_us: None,
+    });
 }
 
 fn live(world: &World) -> usize {
@@ -71,11 +98,26 @@
 impl Cut {
     fn of(bits: u32, one_way: bool, length_s: u64) -> Self {
         let bit = |n: u32| bits & (1 << n) != 0;
-        Self { store: bit(0), cloud: bit(1), north: bit(2), south: bit(3), peers: [bit(4), bit(5)], users: bit(6), one_way, length_s }
+        Self {
+            store: bit(0),
+            cloud: bit(1),
+            north: bit(2),
+            south: bit(3),
+            peers: [bit(4), bit(5)],
+            users: bit(6),
+            one_way,
+            length_s,
+        }
     }
 
     fn strike(&self, world: &mut World) {
-        let peer = |p: usize| if self.one_way { Link::OneWay(0, p) } else { Link::Hosts(0, p) };
+        let peer = |p: usize| {
+            if self.one_way {
+                Link::OneWay(0, p)
+            } else {
+                Link::Hosts(0, p)
+            }
+        };
         let links = [
             (self.store, Link::Store(0)),
             (self.cloud, Link::Cloud(0)),
@@ -85,7 +127,12 @@
             (self.peers[1], peer(2)),
             (self.users, Link::Users(0)),
         ];
-        world.down.extend(links.into_iter().filter(|(cut, _)| *cut).map(|(_, link)| link));
+        world.down.extend(
+            links
+                .into_iter()
+                .filter(|(cut, _)| *cut)
+                .map(|(_, link)| link),
+        );
     }
 
     /// From the true links: a report of its workers reaches it with one hop, and
@@ -107,11 +154,18 @@
     submit(&mut world, array, 10);
     world.run(cut.length_s * 1_000 - 3_000);
     let killed = world.ground.killed_by_lease;
-    let (went_on, kept) = (world.phase(&id(2)) == Some(Phase::Done), world.hosts[0].holds(0));
+    let (went_on, kept) = (
+        world.phase(&id(2)) == Some(Phase::Done),
+        world.hosts[0].holds(0),
+    );
     world.down.clear();
     // What a controller lost that could neither hear its machines nor rent others has
     // to boot first.
-    world.run(if cut.could_go_on() || !cut.cloud { 30_000 } else { 60_000 });
+    world.run(if cut.could_go_on() || !cut.cloud {
+        30_000
+    } else {
+        60_000
+    });
     let mut faults = world.ground.checker.broken.clone();
     if cut.could_go_on() && killed > 0 {
         faults.push(format!("{killed} killed by their lease"));
@@ -146,12 +200,26 @@
         }
     }
     let lines = each(&cuts, |cut| play(*cut));
-    assert!(lines.is_empty(), "{} of {}:\n{}", lines.len(), cuts.len(), lines.join("\n"));
+    assert!(
+        lines.is_empty(),
+        "{} of {}:\n{}",
+        lines.len(),
+        cuts.len(),
+        lines.join("\n")
+    );
 }
 
 fn standing(world: &World, host: usize, to: &str) -> (Standing, Option<String>) {
-    let rows = world.hosts[host].core.as_ref().expect("alive").links.rows(world.now / 1_000);
-    let row = rows.into_iter().find(|r| r.said_s == 0 && r.to == to && r.from == host_name(host)).expect("a row");
+    let rows = world.hosts[host]
+        .core
+        .as_ref()
+        .expect("alive")
+        .links
+        .rows(world.now / 1_000);
+    let row = rows
+        .into_iter()
+        .find(|r| r.said_s == 0 && r.to == to && r.from == host_name(host))
+        .expect("a row");
     (row.standing, row.carried_by)
 }
 
@@ -168,13 +236,24 @@
     assert_eq!(standing(&world, 0, "state service"), (Standing::Down, None));
     world.down.remove(&Link::OneWay(0, 2));
     world.run(6_000);
-    assert_eq!(standing(&world, 0, "state service"), (Standing::Down, Some("h02".into())));
+    assert_eq!(
+        standing(&world, 0, "state service"),
+        (Standing::Down, Some("h02".into()))
+    );
     world.down.clear();
     world.run(10_000);
     assert_eq!(standing(&world, 0, "state service"), (Standing::Up, None));
     let events = world.hosts[0].core.as_ref().expect("alive").links.events();
-    for text in ["the state service does not answer", "carried by h02", "the state service answers", "h01 answers again"] {
-        assert!(events.iter().any(|e| e.text.contains(text)), "{text}: {events:?}");
+    for text in [
+        "the state service does not answer",
+        "carried by h02",
+        "the state service answers",
+        "h01 answers again",
+    ] {
+        assert!(
+            events.iter().any(|e| e.text.contains(text)),
+            "{text}: {events:?}"
+        );
     }
 }
 
@@ -190,7 +269,10 @@
             lines
         };
         let threads: Vec<_> = (0..8).map(|_| s.spawn(work)).collect();
-        threads.into_iter().flat_map(|t| t.join().expect("played")).collect()
+        threads
+            .into_iter()
+            .flat_map(|t| t.join().expect("played"))
+            .collect()
     })
 }
 
@@ -211,7 +293,14 @@
 #[test]
 fn cuts_over_one_another_with_failing_carriers_break_no_rule() {
     use Carriers::*;
-    const FAULTS: Chances = Chances { lost_txn_reply: 40, late_txn: 40, lost_command: 60, late_command: 60, lost_sync: 60, late_sync: 500 };
+    const FAULTS: Chances = Chances {
+        lost_txn_reply: 40,
+        late_txn: 40,
+        lost_command: 60,
+        late_command: 60,
+        lost_sync: 60,
+        late_sync: 500,
+    };
     let first = [0b000_0001, 0b000_0100, 0b000_0101, 0b001_1100, 0b111_1111];
     let mut days = Vec::new();
     for (n, bits) in (0..).zip(first) {
@@ -222,9 +311,16 @@
     let lines = each(&days, |(seed, cut, what)| {
         let mut world = world(*seed, FAULTS);
         for n in 10..14 {
-            submit(&mut world, job(n, if n % 2 == 0 { "red" } else { "blue" }, Shape::Array, 5), 20);
+            submit(
+                &mut world,
+                job(n, if n % 2 == 0 { "red" } else { "blue" }, Shape::Array, 5),
+                20,
+            );
         }
-        let gang = JobSpec { one_zone: true, ..job(14, "blue", Shape::Gang, 3) };
+        let gang = JobSpec {
+            one_zone: true,
+            ..job(14, "blue", Shape::Gang, 3)
+        };
         submit(&mut world, gang, 20);
         world.run(4_000);
         cut.strike(&mut world);
@@ -244,16 +340,27 @@
         world.down.clear();
         world.run(150_000);
         let mut faults = world.ground.checker.broken.clone();
-        let open: Vec<u32> = (11..15).filter(|n| world.phase(&id(*n)) != Some(Phase::Done)).collect();
+        let open: Vec<u32> = (11..15)
+            .filter(|n| world.phase(&id(*n)) != Some(Phase::Done))
+            .collect();
         if !open.is_empty() || world.phase(&id(10)).is_none() {
-            faults.push(format!("not over: {open:?}, withdrawn one {:?}", world.phase(&id(10))));
+            faults.push(format!(
+                "not over: {open:?}, withdrawn one {:?}",
+                world.phase(&id(10))
+            ));
         }
         if live(&world) < REPLICAS {
             faults.push(format!("{} replicas up", live(&world)));
         }
         (!faults.is_empty()).then(|| format!("{seed} {cut:?} {what:?}: {faults:?}"))
     });
-    assert!(lines.is_empty(), "{} of {}:\n{}", lines.len(), days.len(), lines.join("\n"));
+    assert!(
+        lines.is_empty(),
+        "{} of {}:\n{}",
+        lines.len(),
+        days.len(),
+        lines.join("\n")
+    );
 }
 
 /// Links that flap every few seconds: what they carry goes another way until
@@ -272,12 +379,27 @@
         world.run(1_000);
         assert_eq!(live(&world), REPLICAS, "at {second} s");
     }
-    assert!(world.ground.checker.broken.is_empty(), "{:?}", world.ground.checker.broken);
+    assert!(
+        world.ground.checker.broken.is_empty(),
+        "{:?}",
+        world.ground.checker.broken
+    );
     for host in 0..3 {
-        let events = world.hosts[host].core.as_ref().expect("alive").links.events();
-        let taken = events.iter().filter(|e| e.at > 55_000 && e.text.ends_with("taken")).count();
+        let events = world.hosts[host]
+            .core
+            .as_ref()
+            .expect("alive")
+            .links
+            .events();
+        let taken = events
+            .iter()
+            .filter(|e| e.at > 55_000 && e.text.ends_with("taken"))
+            .count();
         assert!(taken <= 4, "in two minutes: {events:?}");
-        let swings = events.iter().filter(|e| e.text.contains("the state service answers")).count();
+        let swings = events
+            .iter()
+            .filter(|e| e.text.contains("the state service answers"))
+            .count();
         assert!(swings <= 6, "its way is damped: {events:?}");
     }
 }
@@ -292,12 +414,24 @@
         world.run(12_000);
         world.crash(1, 3_000_000);
         world.run(37_000);
-        assert_eq!((world.ground.killed_by_lease, live(&world)), (0, HALLS), "seed {seed}");
+        assert_eq!(
+            (world.ground.killed_by_lease, live(&world)),
+            (0, HALLS),
+            "seed {seed}"
+        );
         world.cut_zones.clear();
         world.run(30_000);
-        assert_eq!((world.ground.killed_by_lease, live(&world)), (0, HALLS), "seed {seed}");
+        assert_eq!(
+            (world.ground.killed_by_lease, live(&world)),
+            (0, HALLS),
+            "seed {seed}"
+        );
         assert!(world.hosts[1].holds(1));
-        assert!(world.ground.checker.broken.is_empty(), "{:?}", world.ground.checker.broken);
+        assert!(
+            world.ground.checker.broken.is_empty(),
+            "{:?}",
+            world.ground.checker.broken
+        );
     }
 }
 
@@ -305,10 +439,24 @@
 /// once it has its proof, and none of them may still run behind the cut.
 #[test]
 fn what_was_promised_ends_before_a_successor_starts_anew() {
-    let days: Vec<(u64, u64, u64)> =
-        (0..24).map(|n| (940 + n, [1_000, 6_000, 15_000, 30_000, 55_000, 70_000][n as usize % 6], 100_000 + 10_000 * (n / 6))).collect();
+    let days: Vec<(u64, u64, u64)> = (0..24)
+        .map(|n| {
+            (
+                940 + n,
+                [1_000, 6_000, 15_000, 30_000, 55_000, 70_000][n as usize % 6],
+                100_000 + 10_000 * (n / 6),
+            )
+        })
+        .collect();
     let lines = each(&days, |(seed, crash_ms, length_ms)| {
-        let mut world = halls(*seed, Chances { late_command: 60, lost_command: 60, ..NO_FAULTS });
+        let mut world = halls(
+            *seed,
+            Chances {
+                late_command: 60,
+                lost_command: 60,
+                ..NO_FAULTS
+            },
+        );
         let spare = job(3, "blue", Shape::Service, 6);
         submit(&mut world, spare, 1);
         world.run(10_000);
@@ -328,7 +476,14 @@
         if live(&world) < HALLS + 6 {
             faults.push(format!("{} up", live(&world)));
         }
-        (!faults.is_empty()).then(|| format!("{seed} crash at {crash_ms}, cut for {length_ms}: {faults:?}"))
+        (!faults.is_empty())
+            .then(|| format!("{seed} crash at {crash_ms}, cut for {length_ms}: {faults:?}"))
     });
-    assert!(lines.is_empty(), "{} of {}:\n{}", lines.len(), days.len(), lines.join("\n"));
+    assert!(
+        lines.is_empty(),
+        "{} of {}:\n{}",
+        lines.len(),
+        days.len(),
+        lines.join("\n")
+    );
 }
--- a/crates/lab/tests/meetings.rs
+++ b/crates/lab/tests/meetings.rs
@@ -27,8 +27,16 @@
 
 /// s of the second trouble after the first.
 fn offsets(scenario: &Scenario) -> Vec<f64> {
-    let Workers { report_s, lease_s, cancel_s, .. } = scenario.workers;
-    let (hold, blind) = (HOLD_TTL_MS as f64 / 1e3, scenario.policy.blind_ms as f64 / 1e3);
+    let Workers {
+        report_s,
+        lease_s,
+        cancel_s,
+        ..
+    } = scenario.workers;
+    let (hold, blind) = (
+        HOLD_TTL_MS as f64 / 1e3,
+        scenario.policy.blind_ms as f64 / 1e3,
+    );
     let around = [report_s, hold, lease_s, cancel_s, blind];
     let mut all = vec![0.1];
     all.extend(around.into_iter().flat_map(|s| [s - 0.4, s + 0.9]));
@@ -39,9 +47,18 @@
 
 /// A scenario with these times, its later troubles moved by the second's offset.
 /// The first one lasts into them, but for a process that is back by then.
-fn moved(scenario: &Scenario, (report_s, lease_s, cancel_s): (f64, f64, f64), offset: f64) -> Scenario {
+fn moved(
+    scenario: &Scenario,
+    (report_s, lease_s, cancel_s): (f64, f64, f64),
+    offset: f64,
+) -> Scenario {
     let mut moved = scenario.clone();
-    moved.workers = Workers { report_s, lease_s, cancel_s, ..moved.workers };
+    moved.workers = Workers {
+        report_s,
+        lease_s,
+        cancel_s,
+        ..moved.workers
+    };
     let (first, later) = moved.faults.split_first_mut().expect("a trouble");
     let by = first.at_s + offset - later.first().map_or(first.at_s, |f| f.at_s);
     later.iter_mut().for_each(|f| f.at_s += by);
@@ -53,7 +70,8 @@
 }
 
 fn scenario(name: &str) -> Scenario {
-    let text = std::fs::read_to_string(directory().join(name).with_extension("toml")).expect("readable");
+    let text =
+        std::fs::read_to_string(directory().join(name).with_extension("toml")).expect("readable");
     Scenario::parse(name, &text).unwrap_or_else(|faults| panic!("{faults:?}"))
 }
 
@@ -84,19 +102,33 @@
         let mut lines = Vec::new();
         loop {
             let n = next.fetch_add(1, Ordering::Relaxed);
-            let Some((times, offset)) = days.get(n) else { return lines };
+            let Some((times, offset)) = days.get(n) else {
+                return lines;
+            };
             let seed = n as u64 + 1;
             let faults = play(moved(&scenario, *times, *offset), seed);
             if !faults.is_empty() {
-                lines.push(format!("seed {seed}, lease {} s, second trouble after {offset:.1} s: {faults:?}", times.1));
+                lines.push(format!(
+                    "seed {seed}, lease {} s, second trouble after {offset:.1} s: {faults:?}",
+                    times.1
+                ));
             }
         }
     };
     let lines: Vec<String> = std::thread::scope(|s| {
         let threads: Vec<_> = (0..THREADS).map(|_| s.spawn(work)).collect();
-        threads.into_iter().flat_map(|t| t.join().expect("played")).collect()
+        threads
+            .into_iter()
+            .flat_map(|t| t.join().expect("played"))
+            .collect()
     });
-    assert!(lines.is_empty(), "{name}: {} of {} days:\n{}", lines.len(), days.len(), lines.join("\n"));
+    assert!(
+        lines.is_empty(),
+        "{name}: {} of {} days:\n{}",
+        lines.len(),
+        days.len(),
+        lines.join("\n")
+    );
 }
 
 /// What the gap is: the part has another leader, ends that users asked for are written,
@@ -111,12 +143,20 @@
         world.run(78_000);
         let before = over(&world);
         world.run(5_000);
-        let holder = world.hosts[2].core.as_ref().and_then(|c| c.mirror.parts.get(&0)).map(|p| p.host.clone());
+        let holder = world.hosts[2]
+            .core
+            .as_ref()
+            .and_then(|c| c.mirror.parts.get(&0))
+            .map(|p| p.host.clone());
         assert!(holder.is_some_and(|host| host != "h00"), "{name}");
         assert_eq!(world.hosts[0].holds(0), untold, "{name}");
         let nodes: Vec<usize> = world.workers.iter().flatten().map(|w| w.node).collect();
         assert_eq!(nodes.contains(&0), untold, "{name}: {nodes:?}");
-        assert!(over(&world) > before && world.store.down, "{name}: {before}, {}", over(&world));
+        assert!(
+            over(&world) > before && world.store.down,
+            "{name}: {before}, {}",
+            over(&world)
+        );
     }
 }
 
--- a/crates/lab/tests/replay.rs
+++ b/crates/lab/tests/replay.rs
@@ -11,7 +11,9 @@
 use lemonweir_trace::{Format, OnFault, import};
 
 fn example(name: &str) -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples").join(name)
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("../../examples")
+        .join(name)
 }
 
 fn scenario(name: &str) -> Arc<Scenario> {
@@ -23,11 +25,23 @@
     let dir = tempfile::tempdir().expect("directory");
     let workload = dir.path().join("w.jsonl");
     let machine = Some(Room::offer(16.0, 4.0, 64.0));
-    let result = import(format, &[example(sample)], machine, OnFault::Stop, &workload, &mut |f| panic!("{f}")).expect("readable");
+    let result = import(
+        format,
+        &[example(sample)],
+        machine,
+        OnFault::Stop,
+        &workload,
+        &mut |f| panic!("{f}"),
+    )
+    .expect("readable");
     assert!(result.jobs > 0);
     run::once(
         scenario("scenarios/replay.toml"),
-        Source::Workload(Replayed { file: workload, speed: 1.0, copies: 1 }),
+        Source::Workload(Replayed {
+            file: workload,
+            speed: 1.0,
+            copies: 1,
+        }),
         Placer::Lemonweir,
         seed,
         None,
@@ -39,7 +53,11 @@
     let first = replay(format, sample, 1);
     let r = &first.report;
     assert!(r.broken.is_empty(), "{:?}", r.broken);
-    assert_eq!((r.jobs.accepted, r.jobs.over), (r.jobs.submitted, r.jobs.submitted), "every job is accepted and done");
+    assert_eq!(
+        (r.jobs.accepted, r.jobs.over),
+        (r.jobs.submitted, r.jobs.submitted),
+        "every job is accepted and done"
+    );
     assert_eq!(r.digest, digest, "{sample}");
     // At the same time on other threads: nothing is shared.
     let (again, other) = std::thread::scope(|s| {
@@ -53,7 +71,11 @@
 
 #[test]
 fn swf_replays() {
-    assert_replays(Format::Swf, "traces/small.swf", "a029c26447dc5541108a8d1d0bb7944542415cacbdad42f2cc87deeb11f1c74a");
+    assert_replays(
+        Format::Swf,
+        "traces/small.swf",
+        "a029c26447dc5541108a8d1d0bb7944542415cacbdad42f2cc87deeb11f1c74a",
+    );
 }
 
 #[test]
@@ -105,13 +127,24 @@
 #[test]
 fn a_sweep_is_the_same_on_any_number_of_threads() {
     let seeds: Seeds = "1..3".parse().expect("seeds");
-    let scenario = Arc::new((*scenario("scenarios/fairness.toml")).clone().scaled(0.1, 1.0, None));
+    let scenario = Arc::new(
+        (*scenario("scenarios/fairness.toml"))
+            .clone()
+            .scaled(0.1, 1.0, None),
+    );
     let digests = |jobs| {
-        let outcomes = compare::sweep(&scenario, Placer::Lemonweir, None, &seeds, jobs).expect("runs");
-        outcomes.iter().map(|o| (o.report.seed, o.report.digest.clone())).collect::<Vec<_>>()
+        let outcomes =
+            compare::sweep(&scenario, Placer::Lemonweir, None, &seeds, jobs).expect("runs");
+        outcomes
+            .iter()
+            .map(|o| (o.report.seed, o.report.digest.clone()))
+            .collect::<Vec<_>>()
     };
     let one = digests(1);
-    assert_eq!(one.iter().map(|(seed, _)| *seed).collect::<Vec<_>>(), [1, 2, 3]);
+    assert_eq!(
+        one.iter().map(|(seed, _)| *seed).collect::<Vec<_>>(),
+        [1, 2, 3]
+    );
     assert_eq!(digests(8), one);
     for text in ["3..1", "x", "1..", "1..1000000"] {
         assert!(text.parse::<Seeds>().is_err(), "{text}");
@@ -123,23 +156,41 @@
 #[test]
 fn confidence_is_students() {
     let (mean, half) = compare::confidence(&[1.0, 2.0, 3.0, 4.0, 5.0]);
-    assert!((mean - 3.0).abs() < 1e-12 && (half - 1.9632).abs() < 1e-3, "{mean} {half}");
-    assert!(compare::confidence(&[7.0]).1.is_infinite(), "one run tells nothing of the spread");
+    assert!(
+        (mean - 3.0).abs() < 1e-12 && (half - 1.9632).abs() < 1e-3,
+        "{mean} {half}"
+    );
+    assert!(
+        compare::confidence(&[7.0]).1.is_infinite(),
+        "one run tells nothing of the spread"
+    );
 }
 
 /// The baselines on a full fleet: the placer that sees everything wastes no
 /// room and no time, the sampler's tasks wait beside free machines.
 #[test]
 fn baselines_bound_what_can_be_had() {
-    let scenario = Arc::new((*scenario("scenarios/paper.toml")).clone().scaled(0.1, 1.0, None));
+    let scenario = Arc::new(
+        (*scenario("scenarios/paper.toml"))
+            .clone()
+            .scaled(0.1, 1.0, None),
+    );
     let run = |placer: &str| {
         let placer = placer.parse().expect("placer");
-        run::once(scenario.clone(), Source::Synthetic, placer, 3, None).expect("run").report
+        run::once(scenario.clone(), Source::Synthetic, placer, 3, None)
+            .expect("run")
+            .report
     };
     let (real, central, sampler) = (run("lemonweir"), run("central"), run("sampler:2"));
     assert!(central.starts >= real.starts && real.starts >= sampler.starts);
-    assert!(central.allocation.p99 < real.allocation.p99 && real.allocation.p99 < sampler.allocation.p99);
-    assert!(central.broken.is_empty() && sampler.broken.is_empty(), "no room is given twice");
+    assert!(
+        central.allocation.p99 < real.allocation.p99
+            && real.allocation.p99 < sampler.allocation.p99
+    );
+    assert!(
+        central.broken.is_empty() && sampler.broken.is_empty(),
+        "no room is given twice"
+    );
     assert_eq!(run("central").digest, central.digest);
     assert!("sampler:0".parse::<Placer>().is_err() && "best".parse::<Placer>().is_err());
 }
@@ -148,8 +199,19 @@
 #[test]
 fn the_sample_scenario_keeps_the_rules() {
     for seed in 1..4 {
-        let outcome = run::once(scenario("scenarios/morning.toml"), Source::Synthetic, Placer::Lemonweir, seed, None).expect("run");
-        assert!(outcome.report.broken.is_empty(), "seed {seed}: {:?}", outcome.report.broken);
+        let outcome = run::once(
+            scenario("scenarios/morning.toml"),
+            Source::Synthetic,
+            Placer::Lemonweir,
+            seed,
+            None,
+        )
+        .expect("run");
+        assert!(
+            outcome.report.broken.is_empty(),
+            "seed {seed}: {:?}",
+            outcome.report.broken
+        );
         assert!(outcome.report.starts > 300);
     }
 }
@@ -161,7 +223,16 @@
                 memory_gb = 'much'\n[[team]]\nname = 't'\n[[class]]\nname = 'c'\nteams = ['u']\ncpus = 99\nrun_s = { dist = 'bell' }\n\
                 shape = 'ring'\n[[fault]]\nkind = 'crash'\ncontroller = 3\nat_s = 1\n";
     let faults = Scenario::parse("s.toml", text).expect_err("faulty");
-    let places: Vec<String> = faults.iter().map(|f| f.splitn(4, ':').skip(1).take(2).collect::<Vec<_>>().join(":")).collect();
+    let places: Vec<String> = faults
+        .iter()
+        .map(|f| {
+            f.splitn(4, ':')
+                .skip(1)
+                .take(2)
+                .collect::<Vec<_>>()
+                .join(":")
+        })
+        .collect();
     let want = [
         "1: name",
         "2: duration_s",
@@ -177,7 +248,13 @@
         "23: fault[0].controller",
     ];
     for place in want {
-        assert!(places.iter().any(|p| p == place), "{place} is not among {faults:#?}");
+        assert!(
+            places.iter().any(|p| p == place),
+            "{place} is not among {faults:#?}"
+        );
     }
-    assert!(Scenario::parse("s.toml", "name = 'x'\n[[").expect_err("faulty")[0].starts_with("s.toml:2: file: "));
+    assert!(
+        Scenario::parse("s.toml", "name = 'x'\n[[").expect_err("faulty")[0]
+            .starts_with("s.toml:2: file: ")
+    );
 }
--- a/crates/lab/tests/rules.rs
+++ b/crates/lab/tests/rules.rs
@@ -13,23 +13,53 @@
 use lemonweir_protocol::users::Phase;
 use lemonweir_storage::records::{EndRecord, end_key};
 
-const NO_FAULTS: Chances = Chances { lost_txn_reply: 0, late_txn: 0, lost_command: 0, late_command: 0, lost_sync: 0, late_sync: 0 };
-const MANY_FAULTS: Chances =
-    Chances { lost_txn_reply: 60, late_txn: 60, lost_command: 80, late_command: 80, lost_sync: 80, late_sync: 500 };
+const NO_FAULTS: Chances = Chances {
+    lost_txn_reply: 0,
+    late_txn: 0,
+    lost_command: 0,
+    late_command: 0,
+    lost_sync: 0,
+    late_sync: 0,
+};
+const MANY_FAULTS: Chances = Chances {
+    lost_txn_reply: 60,
+    late_txn: 60,
+    lost_command: 80,
+    late_command: 80,
+    lost_sync: 80,
+    late_sync: 500,
+};
 
 fn world(seed: u64, hosts: u16, capacity: u32, chances: Chances) -> World {
-    World::new(Arc::new(site(hosts, capacity, chances)), Vec::new(), seed, History::new(None))
+    World::new(
+        Arc::new(site(hosts, capacity, chances)),
+        Vec::new(),
+        seed,
+        History::new(None),
+    )
 }
 
 /// Submits a job that runs for so many s, withdrawn after a while if wanted.
 fn submit(world: &mut World, spec: JobSpec, run_s: u64, withdraw_after_s: Option<u64>) {
-    let load = Load { spec: Arc::new(spec), run_us: vec![run_s * 1_000_000], broken: false };
+    let load = Load {
+        spec: Arc::new(spec),
+        run_us: vec![run_s * 1_000_000],
+        broken: false,
+    };
     let withdraw_us = withdraw_after_s.map(|s| world.now + s * 1_000_000);
-    world.submit_at(Planned { at_us: world.now + 1_000_000, load, withdraw_us });
+    world.submit_at(Planned {
+        at_us: world.now + 1_000_000,
+        load,
+        withdraw_us,
+    });
 }
 
 fn assert_kept(world: &World) {
-    assert!(world.ground.checker.broken.is_empty(), "rules broken: {:#?}", world.ground.checker.broken);
+    assert!(
+        world.ground.checker.broken.is_empty(),
+        "rules broken: {:#?}",
+        world.ground.checker.broken
+    );
 }
 
 fn live(world: &World) -> usize {
@@ -40,14 +70,32 @@
 fn mix(world: &mut World) -> Vec<JobId> {
     for n in 0..6 {
         let withdrawn = (n == 3).then_some(75);
-        submit(world, job(n, if n % 2 == 0 { "red" } else { "blue" }, Shape::Array, 3 + u64::from(n)), 15, withdrawn);
+        submit(
+            world,
+            job(
+                n,
+                if n % 2 == 0 { "red" } else { "blue" },
+                Shape::Array,
+                3 + u64::from(n),
+            ),
+            15,
+            withdrawn,
+        );
     }
     let mut spread = job(10, "blue", Shape::Service, 3);
     spread.spread = true;
     spread.spot = false;
     submit(world, spread, 15, Some(70));
     submit(world, job(11, "red", Shape::Gang, 1), 15, None);
-    submit(world, JobSpec { one_zone: true, ..job(12, "blue", Shape::Gang, 6) }, 40, None);
+    submit(
+        world,
+        JobSpec {
+            one_zone: true,
+            ..job(12, "blue", Shape::Gang, 6)
+        },
+        40,
+        None,
+    );
     [0, 1, 2, 4, 5, 11, 12].map(id).to_vec()
 }
 
@@ -59,13 +107,21 @@
     }
     world.run(40_000);
     assert_kept(world);
-    let open: Vec<&JobId> = must.iter().filter(|j| world.phase(j) != Some(Phase::Done)).collect();
+    let open: Vec<&JobId> = must
+        .iter()
+        .filter(|j| world.phase(j) != Some(Phase::Done))
+        .collect();
     assert!(open.is_empty(), "not done: {open:?}");
     assert!(world.ground.checker.starts > 20);
 }
 
 fn silence(world: &mut World, machines: usize, silent: bool) {
-    world.workers.iter_mut().flatten().take(machines).for_each(|w| w.silent = silent);
+    world
+        .workers
+        .iter_mut()
+        .flatten()
+        .take(machines)
+        .for_each(|w| w.silent = silent);
 }
 
 #[test]
@@ -95,7 +151,10 @@
         // Away for longer than its hold: another node takes the part.
         world.crash(1, 25_000_000);
         world.run(20_000);
-        assert!((0..3).any(|h| h != 1 && world.hosts[h].holds(1)), "the part is taken over");
+        assert!(
+            (0..3).any(|h| h != 1 && world.hosts[h].holds(1)),
+            "the part is taken over"
+        );
         world.run(20_000);
         assert!(world.hosts[1].holds(1), "the part is handed back");
         world.crash(2, 4_000_000);
@@ -107,7 +166,16 @@
 #[test]
 fn silent_machines_break_no_rule() {
     for seed in 40..46 {
-        let mut world = world(seed, 3, 12, Chances { late_command: 100, lost_command: 50, ..NO_FAULTS });
+        let mut world = world(
+            seed,
+            3,
+            12,
+            Chances {
+                late_command: 100,
+                lost_command: 50,
+                ..NO_FAULTS
+            },
+        );
         let must = mix(&mut world);
         world.run(50_000);
         silence(&mut world, 2, true);
@@ -138,7 +206,11 @@
     service.spread = true;
     submit(&mut world, service, 1, Some(75));
     world.run(60_000);
-    assert_eq!(live(&world), 4, "the service must be up on both sides of the cut");
+    assert_eq!(
+        live(&world),
+        4,
+        "the service must be up on both sides of the cut"
+    );
     world.down.insert(Link::Hosts(0, 1));
     world.run(75_000);
     assert_kept(&world);
@@ -164,7 +236,11 @@
     world.run(78_000);
     assert_kept(&world);
     assert_eq!(live(&world), 0);
-    assert!(world.largest_mail > 16 * 1024, "the fleet must be large enough to need pieces: {}", world.largest_mail);
+    assert!(
+        world.largest_mail > 16 * 1024,
+        "the fleet must be large enough to need pieces: {}",
+        world.largest_mail
+    );
     assert!(world.largest_mail <= 26 * 1024, "{}", world.largest_mail);
 }
 
@@ -200,7 +276,11 @@
 #[test]
 fn a_part_goes_to_who_hears_its_machines_where_nobody_can_carry() {
     let mut world = world(75, 3, 12, NO_FAULTS);
-    let service = JobSpec { spread: true, spot: false, ..job(1, "blue", Shape::Service, 40) };
+    let service = JobSpec {
+        spread: true,
+        spot: false,
+        ..job(1, "blue", Shape::Service, 40)
+    };
     submit(&mut world, service, 1, None);
     world.run(60_000);
     assert!(world.hosts[1].holds(1));
@@ -208,7 +288,10 @@
     for _ in 0..40 {
         world.run(1_000);
         assert_eq!(live(&world), 40);
-        assert!(world.hosts[1].holds(1), "what is carried needs no other holder");
+        assert!(
+            world.hosts[1].holds(1),
+            "what is carried needs no other holder"
+        );
     }
     world.down.clear();
     world.run(20_000);
@@ -222,7 +305,10 @@
         assert!(live(&world) >= 36);
     }
     assert_eq!(live(&world), 40);
-    assert!(world.hosts[0].holds(1) || world.hosts[2].holds(1), "another holds the part");
+    assert!(
+        world.hosts[0].holds(1) || world.hosts[2].holds(1),
+        "another holds the part"
+    );
     world.down.clear();
     world.run(40_000);
     assert!(world.hosts[1].holds(1), "it is handed back after a while");
@@ -233,17 +319,44 @@
 // ---- the checker itself ----------------------------------------------------
 
 fn checker() -> Checker {
-    let mut c = Checker::new([("red".to_owned(), Room { cpus: u64::MAX, gpus: 2_000, memory: u64::MAX })].into(), 34_000_000);
-    let spread = JobSpec { spread: true, ..job(1, "red", Shape::Service, 2) };
-    for spec in [spread, job(2, "blue", Shape::Array, 2), job(3, "red", Shape::Array, 2)] {
+    let mut c = Checker::new(
+        [(
+            "red".to_owned(),
+            Room {
+                cpus: u64::MAX,
+                gpus: 2_000,
+                memory: u64::MAX,
+            },
+        )]
+        .into(),
+        34_000_000,
+    );
+    let spread = JobSpec {
+        spread: true,
+        ..job(1, "red", Shape::Service, 2)
+    };
+    for spec in [
+        spread,
+        job(2, "blue", Shape::Array, 2),
+        job(3, "red", Shape::Array, 2),
+    ] {
         c.submitted(&Arc::new(spec));
     }
-    c.submitted(&Arc::new(JobSpec { spot: false, one_zone: true, ..job(4, "blue", Shape::Gang, 2) }));
+    c.submitted(&Arc::new(JobSpec {
+        spot: false,
+        one_zone: true,
+        ..job(4, "blue", Shape::Gang, 2)
+    }));
     c
 }
 
 fn on<'a>(machine: usize, zone: &'a str) -> Place<'a> {
-    Place { machine, kind: "box", zone, spot: false }
+    Place {
+        machine,
+        kind: "box",
+        zone,
+        spot: false,
+    }
 }
 
 fn first_fault(c: &Checker) -> &str {
@@ -270,7 +383,15 @@
     c.started(&id(4), 1, on(2, "south"), 1);
     assert!(first_fault(&c).contains("wrong_place"));
     let mut c = checker();
-    c.started(&id(4), 0, Place { spot: true, ..on(1, "north") }, 1);
+    c.started(
+        &id(4),
+        0,
+        Place {
+            spot: true,
+            ..on(1, "north")
+        },
+        1,
+    );
     assert!(first_fault(&c).contains("wrong_place"));
 
     let mut c = checker();
@@ -288,7 +409,13 @@
     c.check_time(34_000_011);
     assert!(first_fault(&c).contains("ran_cancelled"));
 
-    let done = |n| Txn { conditions: Vec::new(), writes: vec![Write::put(end_key(&id(n)), &EndRecord { phase: Phase::Done })] };
+    let done = |n| Txn {
+        conditions: Vec::new(),
+        writes: vec![Write::put(
+            end_key(&id(n)),
+            &EndRecord { phase: Phase::Done },
+        )],
+    };
     let mut c = checker();
     c.task_done(&id(2), 0);
     c.written(&done(2), 5);
@@ -332,9 +459,20 @@
     let mut world = one_box(80);
     submit(&mut world, job(1, "blue", Shape::Array, 4), 120, None);
     world.run(60_000);
-    submit(&mut world, JobSpec { rank: Rank::Production, ..job(2, "blue", Shape::Service, 1) }, 1, Some(8));
+    submit(
+        &mut world,
+        JobSpec {
+            rank: Rank::Production,
+            ..job(2, "blue", Shape::Service, 1)
+        },
+        1,
+        Some(8),
+    );
     world.run(7_000);
-    assert!(world.live().contains_key(&id(2)), "the replica has pushed a batch task out");
+    assert!(
+        world.live().contains_key(&id(2)),
+        "the replica has pushed a batch task out"
+    );
     world.run(400_000);
     assert_eq!(world.phase(&id(1)), Some(Phase::Done));
     assert_kept(&world);
@@ -354,12 +492,24 @@
 fn nobody_is_pushed_out_for_ever() {
     let mut world = one_box(81);
     // Blue has no guarantee but the higher priority; red is within its own.
-    submit(&mut world, JobSpec { rank: Rank::High, ..job(1, "blue", Shape::Array, 4) }, 20, None);
+    submit(
+        &mut world,
+        JobSpec {
+            rank: Rank::High,
+            ..job(1, "blue", Shape::Array, 4)
+        },
+        20,
+        None,
+    );
     world.run(40_000);
     submit(&mut world, job(2, "red", Shape::Array, 4), 20, None);
     world.run(200_000);
     assert_kept(&world);
-    assert!(world.ground.checker.starts <= 16, "{} starts for 8 tasks", world.ground.checker.starts);
+    assert!(
+        world.ground.checker.starts <= 16,
+        "{} starts for 8 tasks",
+        world.ground.checker.starts
+    );
     assert_eq!(world.phase(&id(1)), Some(Phase::Done));
     assert_eq!(world.phase(&id(2)), Some(Phase::Done));
 }
@@ -370,7 +520,11 @@
 /// controller 1 from the store and from the other one.
 fn cut_off(seed: u64) -> World {
     let mut world = world(seed, 2, 12, NO_FAULTS);
-    let service = JobSpec { spread: true, spot: false, ..job(1, "red", Shape::Service, 4) };
+    let service = JobSpec {
+        spread: true,
+        spot: false,
+        ..job(1, "red", Shape::Service, 4)
+    };
     submit(&mut world, service, 1, None);
     world.run(60_000);
     assert_eq!(live(&world), 4, "the service must be up on both sides");
@@ -387,7 +541,10 @@
     world.run(5_000);
     world.withdraw(&id(1));
     world.run(20_000);
-    assert!(live(&world) > 0, "behind the cut they go on: the owner there knows of nothing");
+    assert!(
+        live(&world) > 0,
+        "behind the cut they go on: the owner there knows of nothing"
+    );
     assert_eq!(world.phase(&id(1)), None, "so it is told to nobody");
     world.down.clear();
     world.run(20_000);
@@ -401,7 +558,10 @@
 #[test]
 fn an_outage_of_the_store_longer_than_a_lease_costs_no_task() {
     let mut world = world(74, 3, 12, NO_FAULTS);
-    let service = JobSpec { spot: false, ..job(1, "red", Shape::Service, 4) };
+    let service = JobSpec {
+        spot: false,
+        ..job(1, "red", Shape::Service, 4)
+    };
     submit(&mut world, service, 1, None);
     world.run(60_000);
     let starts = world.ground.checker.starts;
@@ -423,7 +583,12 @@
 fn drawn_days_break_no_rule_and_services_come_back() {
     for seed in 1..=12 {
         let day = lemonweir_lab::hunt::day(seed, 90);
-        assert!(day.faults.is_empty(), "seed {seed}: {:?} with\n{}", day.faults, day.troubles.concat());
+        assert!(
+            day.faults.is_empty(),
+            "seed {seed}: {:?} with\n{}",
+            day.faults,
+            day.troubles.concat()
+        );
         assert!(day.starts > 50, "seed {seed}: {} starts", day.starts);
     }
 }
--- a/crates/lab/tests/troubles.rs
+++ b/crates/lab/tests/troubles.rs
@@ -22,7 +22,9 @@
          [[team]]\nname = 'red'\n[[class]]\nname = 'serve'\nshape = 'service'\npriority = 'production'\ntasks = 2\n\
          run_s = 10000\ncpus = 8\nat_start = 6\n[[fault]]\nat_s = 60\nfor_s = 40\n{trouble}\n"
     );
-    let scenario = Arc::new(Scenario::parse("troubles", &text).unwrap_or_else(|faults| unreachable!("{faults:?}")));
+    let scenario = Arc::new(
+        Scenario::parse("troubles", &text).unwrap_or_else(|faults| unreachable!("{faults:?}")),
+    );
     let load = synthetic(&scenario, 1);
     World::new(scenario, load, 1, History::new(None))
 }
@@ -34,16 +36,30 @@
     let before = world.live().values().sum::<usize>();
     assert_eq!((before, world.ground.killed_by_lease), (12, 0));
     world.run(30_000);
-    assert!(world.ground.killed_by_lease >= 12, "{}", world.ground.killed_by_lease);
+    assert!(
+        world.ground.killed_by_lease >= 12,
+        "{}",
+        world.ground.killed_by_lease
+    );
     // Only one controller's answers: the others' reach them.
     let mut world = day("kind = 'deaf'\nzone = 'a'\ncontroller = 0\nonly = 'answers'");
     world.run(59_900);
     world.run(41_000);
-    assert!(world.ground.killed_by_lease <= 6, "{}", world.ground.killed_by_lease);
+    assert!(
+        world.ground.killed_by_lease <= 6,
+        "{}",
+        world.ground.killed_by_lease
+    );
     // Commands only: leases live on.
     let mut world = day("kind = 'deaf'\nshare = 1.0\nonly = 'commands'");
     world.run(100_000);
-    assert_eq!((world.live().values().sum::<usize>(), world.ground.killed_by_lease), (12, 0));
+    assert_eq!(
+        (
+            world.live().values().sum::<usize>(),
+            world.ground.killed_by_lease
+        ),
+        (12, 0)
+    );
 }
 
 #[test]
@@ -52,9 +68,23 @@
     world.run(60_000);
     world.run(1);
     assert!(world.live().is_empty());
-    let reports: Vec<_> = world.workers.iter_mut().flatten().map(|w| w.report(60_001_000)).collect();
-    assert!(reports.iter().all(|r| (r.session, r.token) == (1, 0) && r.seq <= 2 && r.tasks.is_empty()), "{reports:?}");
-    assert!(world.ground.checker.broken.is_empty(), "{:?}", world.ground.checker.broken);
+    let reports: Vec<_> = world
+        .workers
+        .iter_mut()
+        .flatten()
+        .map(|w| w.report(60_001_000))
+        .collect();
+    assert!(
+        reports
+            .iter()
+            .all(|r| (r.session, r.token) == (1, 0) && r.seq <= 2 && r.tasks.is_empty()),
+        "{reports:?}"
+    );
+    assert!(
+        world.ground.checker.broken.is_empty(),
+        "{:?}",
+        world.ground.checker.broken
+    );
 }
 
 #[test]
@@ -62,7 +92,11 @@
     let mut world = day("kind = 'late_copies'\nshare = 1.0\nlow_s = 1\nhigh_s = 90");
     world.run(300_000);
     assert!(world.copies > 60, "{}", world.copies);
-    assert!(world.ground.checker.broken.is_empty(), "{:?}", world.ground.checker.broken);
+    assert!(
+        world.ground.checker.broken.is_empty(),
+        "{:?}",
+        world.ground.checker.broken
+    );
 }
 
 /// Seed 514 of the hunt: a cut begins while a controller that stands still owes
@@ -75,8 +109,16 @@
             "kind = 'freeze'\ncontroller = {frozen}\n[[fault]]\nat_s = 62\nfor_s = 58\nkind = 'cut_controllers'\ncontroller = 0\nother = 1"
         ));
         world.run(300_000);
-        assert_eq!(world.live().values().sum::<usize>(), 12, "controller {frozen} stood still");
-        assert!(world.ground.checker.broken.is_empty(), "{:?}", world.ground.checker.broken);
+        assert_eq!(
+            world.live().values().sum::<usize>(),
+            12,
+            "controller {frozen} stood still"
+        );
+        assert!(
+            world.ground.checker.broken.is_empty(),
+            "{:?}",
+            world.ground.checker.broken
+        );
     }
 }
 
@@ -92,7 +134,10 @@
     checker.answered(&id(2), 260_000_000);
     checker.check_answers(200_000_000, 276_000_000);
     checker.check_answers(200_000_000, 277_000_000);
-    assert_eq!(checker.broken, ["276000 ms: forgotten: no question about req-000001 is answered for 75 s"]);
+    assert_eq!(
+        checker.broken,
+        ["276000 ms: forgotten: no question about req-000001 is answered for 75 s"]
+    );
 }
 
 #[test]
@@ -100,7 +145,11 @@
     let mut checker = Checker::new(BTreeMap::new(), 1);
     let gang = Arc::new(job(1, "red", Shape::Gang, 3));
     checker.submitted(&gang);
-    let task = |task, attempt| AttemptId { job: id(1), task, attempt };
+    let task = |task, attempt| AttemptId {
+        job: id(1),
+        task,
+        attempt,
+    };
     (0..3).for_each(|t| checker.launched(&task(t, 1), 1_000));
     // One task is replaced in the same attempt.
     checker.gang_task_over(&task(2, 1));
@@ -120,7 +169,10 @@
     let job = world.live().into_keys().next().expect("a service");
     world.withdraw(&job);
     let marked = |world: &World| {
-        let record = world.store.get(&job_key(&job)).and_then(|(value, _)| from_value::<JobRecord>(value));
+        let record = world
+            .store
+            .get(&job_key(&job))
+            .and_then(|(value, _)| from_value::<JobRecord>(value));
         record.is_none_or(|r| r.withdrawn)
     };
     let mut seen = (None, None);
@@ -130,7 +182,11 @@
         seen.0 = seen.0.or(marked(&world).then_some(ms));
         seen.1 = seen.1.or(world.phase(&job).map(|_| ms));
     }
-    assert!(world.ground.checker.broken.is_empty(), "{:?}", world.ground.checker.broken);
+    assert!(
+        world.ground.checker.broken.is_empty(),
+        "{:?}",
+        world.ground.checker.broken
+    );
     assert!(!world.live().contains_key(&job));
     (world, seen.0.expect("marked"), seen.1.expect("ended"))
 }
@@ -138,7 +194,10 @@
 #[test]
 fn late_writes_get_no_answer_and_are_carried_out_later() {
     let (world, marked, ended) = withdrawal("kind = 'late_writes'\nshare = 1.0");
-    assert!((2_000..=12_200).contains(&marked) && ended >= marked + 2_000, "{marked} ms, {ended} ms");
+    assert!(
+        (2_000..=12_200).contains(&marked) && ended >= marked + 2_000,
+        "{marked} ms, {ended} ms"
+    );
     assert!(world.late_writes > 2, "{}", world.late_writes);
     let (_, marked, ended) = withdrawal("kind = 'late_writes'\nshare = 0.0");
     assert!(marked <= 300 && ended <= 1_500, "{marked} ms, {ended} ms");
@@ -146,16 +205,24 @@
 
 /// True if the store's last word to a controller is new.
 fn told(world: &World, host: usize) -> bool {
-    world.hosts[host].core.as_ref().is_some_and(|c| c.links.store_told(world.now / 1_000))
+    world.hosts[host]
+        .core
+        .as_ref()
+        .is_some_and(|c| c.links.store_told(world.now / 1_000))
 }
 
 #[test]
 fn a_slow_store_answers_later_and_its_readings_count_from_when_they_were_asked_for() {
     let (_, marked, ended) = withdrawal("kind = 'store_slow'\nlow_s = 1.2\nhigh_s = 1.4");
-    assert!(marked >= 600 && ended >= marked + 600, "{marked} ms, {ended} ms");
+    assert!(
+        marked >= 600 && ended >= marked + 600,
+        "{marked} ms, {ended} ms"
+    );
     // Counted from its answer, the word of a reading would never be old.
     for (seconds, old) in [(0.6, false), (1.4, true)] {
-        let mut world = day(&format!("kind = 'store_slow'\nlow_s = {seconds}\nhigh_s = {seconds}"));
+        let mut world = day(&format!(
+            "kind = 'store_slow'\nlow_s = {seconds}\nhigh_s = {seconds}"
+        ));
         world.run(60_000);
         let untold = (0..300).filter(|_| {
             world.run(100);
@@ -166,30 +233,52 @@
     // Slower than anybody waits: its answers are none, and what was asked for is done.
     let mut world = day("kind = 'store_slow'\nlow_s = 2\nhigh_s = 4");
     world.run(90_000);
-    assert!((0..3).all(|host| !told(&world, host) && world.hosts[host].holds(host as u16)), "nobody loses its hold");
+    assert!(
+        (0..3).all(|host| !told(&world, host) && world.hosts[host].holds(host as u16)),
+        "nobody loses its hold"
+    );
     world.run(60_000);
     assert!((0..3).all(|host| told(&world, host)));
-    assert!(world.ground.checker.broken.is_empty(), "{:?}", world.ground.checker.broken);
+    assert!(
+        world.ground.checker.broken.is_empty(),
+        "{:?}",
+        world.ground.checker.broken
+    );
 }
 
 /// What another carries keeps the hold alive, unless the store refuses that too.
 #[test]
 fn a_controller_that_the_store_refuses_by_name_loses_its_hold() {
     for (carried, holders) in [(false, [true, false, false]), (true, [false, true, false])] {
-        let mut world = day(&format!("kind = 'refused'\ncontroller = 0\ncarried = {carried}"));
+        let mut world = day(&format!(
+            "kind = 'refused'\ncontroller = 0\ncarried = {carried}"
+        ));
         world.run(90_000);
-        let by_key = world.hosts[1].core.as_ref().and_then(|c| c.mirror.parts.get(&0)).map(|p| p.host.clone());
+        let by_key = world.hosts[1]
+            .core
+            .as_ref()
+            .and_then(|c| c.mirror.parts.get(&0))
+            .map(|p| p.host.clone());
         assert_eq!(by_key.as_deref() == Some("h00"), holders[0], "{by_key:?}");
         world.run(60_000);
         assert!(world.hosts[0].holds(0), "its part comes back");
-        assert!(world.ground.checker.broken.is_empty(), "{:?}", world.ground.checker.broken);
+        assert!(
+            world.ground.checker.broken.is_empty(),
+            "{:?}",
+            world.ground.checker.broken
+        );
     }
 }
 
 #[test]
 fn orders_that_are_held_up_reach_their_machine_later() {
-    let (world, marked, ended) = withdrawal("kind = 'held_orders'\nshare = 1.0\nlow_s = 5\nhigh_s = 5");
-    assert!(world.held > 10 && ended > marked + 2_000, "{} held, {marked} ms, {ended} ms", world.held);
+    let (world, marked, ended) =
+        withdrawal("kind = 'held_orders'\nshare = 1.0\nlow_s = 5\nhigh_s = 5");
+    assert!(
+        world.held > 10 && ended > marked + 2_000,
+        "{} held, {marked} ms, {ended} ms",
+        world.held
+    );
     assert!(ended < 40_000, "{ended} ms");
 }
 
@@ -199,19 +288,60 @@
     let head = "name = 'x'\nduration_s = 300\ncontrollers = 3\nzones = ['a', 'b']\n[[machine_type]]\nname = 'box'\ncpus = 16\n\
                 memory_gb = 64\n[[team]]\nname = 'red'\n[[fault]]\n";
     for (fault, said) in [
-        ("at_s = 9\nkind = 'late_writes'\nshare = 1.01", "x:14: fault[0].share: must be a number from 0 to 1"),
-        ("at_s = 9\nkind = 'held_orders'\nlow_s = 1\nhigh_s = 2\nshare = -0.1", "x:16: fault[0].share: must be a number from 0 to 1"),
-        ("at_s = 9\nkind = 'refused'\ncontroller = 3", "x:14: fault[0].controller: must be a number from 0 to 2"),
-        ("at_s = 9\nkind = 'cut_controllers'\ncontroller = 0\nother = 7", "x:15: fault[0].other: must be a number from 0 to 2"),
-        ("at_s = 9\nkind = 'cut_zone'\nzone = 'c'", "x:14: fault[0].zone: no zone is called c: must be one of a, b"),
-        ("at_s = 9\nkind = 'deaf'\nzone = 'c'", "x:14: fault[0].zone: no zone is called c: must be one of a, b"),
-        ("at_s = 301\nkind = 'store_down'", "x:12: fault[0].at_s: must be a number from 0 to 300"),
-        ("at_s = 290\nkind = 'store_down'\nfor_s = 11", "x:14: fault[0].for_s: must be a number from 0 to 10"),
-        ("at_s = 9\nkind = 'store_slow'\nlow_s = 2\nhigh_s = 1", "x:15: fault[0].high_s: must be a number from 2 to 3600"),
-        ("at_s = 9\nkind = 'late_wrights'", "x:13: fault[0].kind: must be one of crash, roll"),
+        (
+            "at_s = 9\nkind = 'late_writes'\nshare = 1.01",
+            "x:14: fault[0].share: must be a number from 0 to 1",
+        ),
+        (
+            "at_s = 9\nkind = 'held_orders'\nlow_s = 1\nhigh_s = 2\nshare = -0.1",
+            "x:16: fault[0].share: must be a number from 0 to 1",
+        ),
+        (
+            "at_s = 9\nkind = 'refused'\ncontroller = 3",
+            "x:14: fault[0].controller: must be a number from 0 to 2",
+        ),
+        (
+            "at_s = 9\nkind = 'cut_controllers'\ncontroller = 0\nother = 7",
+            "x:15: fault[0].other: must be a number from 0 to 2",
+        ),
+        (
+            "at_s = 9\nkind = 'cut_zone'\nzone = 'c'",
+            "x:14: fault[0].zone: no zone is called c: must be one of a, b",
+        ),
+        (
+            "at_s = 9\nkind = 'deaf'\nzone = 'c'",
+            "x:14: fault[0].zone: no zone is called c: must be one of a, b",
+        ),
+        (
+            "at_s = 301\nkind = 'store_down'",
+            "x:12: fault[0].at_s: must be a number from 0 to 300",
+        ),
+        (
+            "at_s = 290\nkind = 'store_down'\nfor_s = 11",
+            "x:14: fault[0].for_s: must be a number from 0 to 10",
+        ),
+        (
+            "at_s = 9\nkind = 'store_slow'\nlow_s = 2\nhigh_s = 1",
+            "x:15: fault[0].high_s: must be a number from 2 to 3600",
+        ),
+        (
+            "at_s = 9\nkind = 'late_wrights'",
+            "x:13: fault[0].kind: must be one of crash, roll",
+        ),
     ] {
-        let faults = Scenario::parse("x", &format!("{head}{fault}\n")).err().unwrap_or_default();
-        assert!(faults.len() == 1 && faults[0].starts_with(said), "{fault}: {faults:?}");
+        let faults = Scenario::parse("x", &format!("{head}{fault}\n"))
+            .err()
+            .unwrap_or_default();
+        assert!(
+            faults.len() == 1 && faults[0].starts_with(said),
+            "{fault}: {faults:?}"
+        );
     }
-    assert!(Scenario::parse("x", &format!("{head}at_s = 290\nkind = 'late_writes'\nshare = 1.0\nfor_s = 10\n")).is_ok());
+    assert!(
+        Scenario::parse(
+            "x",
+            &format!("{head}at_s = 290\nkind = 'late_writes'\nshare = 1.0\nfor_s = 10\n")
+        )
+        .is_ok()
+    );
 }
--- a/crates/lab/tests/watch.rs
+++ b/crates/lab/tests/watch.rs
@@ -14,9 +14,22 @@
 use lemonweir_storage::handovers::{Change, HandoverRecord, handover_key};
 use lemonweir_storage::records::{PartRecord, part_key};
 
-const NO_FAULTS: Chances = Chances { lost_txn_reply: 0, late_txn: 0, lost_command: 0, late_command: 0, lost_sync: 0, late_sync: 0 };
-const SOME_FAULTS: Chances =
-    Chances { lost_txn_reply: 60, late_txn: 60, lost_command: 40, late_command: 40, lost_sync: 40, late_sync: 300 };
+const NO_FAULTS: Chances = Chances {
+    lost_txn_reply: 0,
+    late_txn: 0,
+    lost_command: 0,
+    late_command: 0,
+    lost_sync: 0,
+    late_sync: 0,
+};
+const SOME_FAULTS: Chances = Chances {
+    lost_txn_reply: 60,
+    late_txn: 60,
+    lost_command: 40,
+    late_command: 40,
+    lost_sync: 40,
+    late_sync: 300,
+};
 /// Replicas of the two services.
 const REPLICAS: usize = 14;
 
@@ -28,7 +41,15 @@
 fn served(seed: u64, chances: Chances) -> World {
     let mut world = built(seed, site(3, 16, chances));
     for (n, team, tasks) in [(0, "red", 4), (1, "blue", 10)] {
-        submit(&mut world, JobSpec { spread: true, spot: false, ..job(n, team, Shape::Service, tasks) }, 1);
+        submit(
+            &mut world,
+            JobSpec {
+                spread: true,
+                spot: false,
+                ..job(n, team, Shape::Service, tasks)
+            },
+            1,
+        );
     }
     world.run(70_000);
     assert_eq!(live(&world), REPLICAS);
@@ -36,8 +57,16 @@
 }
 
 fn submit(world: &mut World, spec: JobSpec, run_s: u64) {
-    let load = Load { spec: Arc::new(spec), run_us: vec![run_s * 1_000_000], broken: false };
-    world.submit_at(Planned { at_us: world.now, load, withdraw_us: None });
+    let load = Load {
+        spec: Arc::new(spec),
+        run_us: vec![run_s * 1_000_000],
+        broken: false,
+    };
+    world.submit_at(Planned {
+        at_us: world.now,
+        load,
+        withdraw_us: None,
+    });
 }
 
 fn live(world: &World) -> usize {
@@ -46,12 +75,23 @@
 
 fn holder(world: &World, part: u16) -> Option<(String, u64)> {
     let (value, token) = world.store.get(&part_key(part))?;
-    Some((from_value::<PartRecord>(value).expect("a holder").host, token))
+    Some((
+        from_value::<PartRecord>(value).expect("a holder").host,
+        token,
+    ))
 }
 
 fn ring(world: &World, part: u16) -> Vec<(HandoverRecord, u64)> {
     let entries = world.store.list(&format!("w/hand/{part}/"));
-    let mut all: Vec<_> = entries.iter().map(|e| (from_value::<HandoverRecord>(&e.value).expect("an entry"), e.version)).collect();
+    let mut all: Vec<_> = entries
+        .iter()
+        .map(|e| {
+            (
+                from_value::<HandoverRecord>(&e.value).expect("an entry"),
+                e.version,
+            )
+        })
+        .collect();
     all.sort_by_key(|(r, _)| r.n);
     all
 }
@@ -62,21 +102,34 @@
         let ring = ring(world, part);
         for pair in ring.windows(2) {
             assert_eq!(pair[0].0.n + 1, pair[1].0.n, "{what}: part {part}");
-            assert_eq!(pair[0].0.last_holder(), pair[1].0.from.as_ref(), "{what}: part {part}");
+            assert_eq!(
+                pair[0].0.last_holder(),
+                pair[1].0.from.as_ref(),
+                "{what}: part {part}"
+            );
         }
         let (newest, version) = ring.last().expect("it was taken");
         let (host, token) = holder(world, part).expect("a holder");
         assert_eq!(newest.to.as_ref(), Some(&host), "{what}: part {part}");
-        assert_eq!(newest.closed.as_ref().map_or(Some(*version), |c| c.token), Some(token), "{what}: part {part}");
+        assert_eq!(
+            newest.closed.as_ref().map_or(Some(*version), |c| c.token),
+            Some(token),
+            "{what}: part {part}"
+        );
     }
-    assert!(world.ground.checker.broken.is_empty(), "{what}: {:#?}", world.ground.checker.broken);
+    assert!(
+        world.ground.checker.broken.is_empty(),
+        "{what}: {:#?}",
+        world.ground.checker.broken
+    );
 }
 
 /// Runs until another than its home holds the part.
 fn until_taken(world: &mut World, part: u16, not: &[usize]) -> usize {
     for _ in 0..600 {
         world.run(50);
-        let other = holder(world, part).and_then(|(host, _)| (0..3).find(|h| host_name(*h) == host));
+        let other =
+            holder(world, part).and_then(|(host, _)| (0..3).find(|h| host_name(*h) == host));
         if let Some(h) = other.filter(|h| !not.contains(h)) {
             return h;
         }
@@ -93,7 +146,14 @@
         let mut world = served(k as u64, if k % 2 == 0 { NO_FAULTS } else { SOME_FAULTS });
         world.crash(0, 60_000_000);
         // Something to start for the first who can.
-        submit(&mut world, JobSpec { rank: Rank::Normal, ..job(9, "blue", Shape::Array, 3) }, 30);
+        submit(
+            &mut world,
+            JobSpec {
+                rank: Rank::Normal,
+                ..job(9, "blue", Shape::Array, 3)
+            },
+            30,
+        );
         let second = until_taken(&mut world, 0, &[0]);
         world.run(after_ms);
         world.crash(second, 60_000_000);
@@ -104,12 +164,25 @@
         assert_eq!(live(&world), REPLICAS, "{what}");
         assert_entered(&world, &what);
         let entries = ring(&world, 0);
-        assert!(entries.len() >= 5, "{what}: first, two successors, back again: {entries:#?}");
-        assert!(entries.iter().all(|(r, _)| !r.open()), "{what}: all are closed: {entries:#?}");
-        let left = entries.iter().filter(|(r, _)| r.closed.as_ref().is_some_and(|c| c.held_ms.is_some())).count();
+        assert!(
+            entries.len() >= 5,
+            "{what}: first, two successors, back again: {entries:#?}"
+        );
+        assert!(
+            entries.iter().all(|(r, _)| !r.open()),
+            "{what}: all are closed: {entries:#?}"
+        );
+        let left = entries
+            .iter()
+            .filter(|(r, _)| r.closed.as_ref().is_some_and(|c| c.held_ms.is_some()))
+            .count();
         assert!(left >= 1 || after_ms == 6_000, "{what}: {entries:#?}");
         // No replica that ran is lost by it: none was started anew.
-        let anew: u32 = entries.iter().filter_map(|(r, _)| r.closed.as_ref()?.found).map(|(_, anew)| anew).sum();
+        let anew: u32 = entries
+            .iter()
+            .filter_map(|(r, _)| r.closed.as_ref()?.found)
+            .map(|(_, anew)| anew)
+            .sum();
         assert_eq!(anew, 0, "{what}: {entries:#?}");
     }
 }
@@ -128,8 +201,14 @@
         assert_eq!(live(&world), REPLICAS, "{what}");
         assert_entered(&world, &what);
         for part in 0..3 {
-            let reborn = ring(&world, part).iter().any(|(r, _)| r.how == Change::Reborn);
-            assert_eq!(reborn, back_ms < HOLD_TTL_MS - HOLD_RENEW_MS, "{what}: a hold outlives a short absence");
+            let reborn = ring(&world, part)
+                .iter()
+                .any(|(r, _)| r.how == Change::Reborn);
+            assert_eq!(
+                reborn,
+                back_ms < HOLD_TTL_MS - HOLD_RENEW_MS,
+                "{what}: a hold outlives a short absence"
+            );
         }
     }
 }
@@ -152,8 +231,16 @@
     world.run(30_000);
     let (record, _) = ring(&world, 0).pop().expect("an entry");
     let closed = record.closed.expect("closed");
-    assert_eq!((closed.by, closed.found), (host, Some((10, 0))), "the ten replicas of the part's service were found up");
-    assert!(closed.whole_ms.is_some_and(|ms| ms < 10_000) && closed.first_start_ms.is_some(), "{:?}", closed.unknown);
+    assert_eq!(
+        (closed.by, closed.found),
+        (host, Some((10, 0))),
+        "the ten replicas of the part's service were found up"
+    );
+    assert!(
+        closed.whole_ms.is_some_and(|ms| ms < 10_000) && closed.first_start_ms.is_some(),
+        "{:?}",
+        closed.unknown
+    );
     assert_entered(&world, "closed late");
 }
 
@@ -165,24 +252,46 @@
     let first = ring(&world, 0).pop().expect("an entry").0;
     let mut fill = Txn::default();
     for n in 2..=HANDOVERS_KEPT {
-        let record = HandoverRecord { n, from: Some(host_name(0)), to: Some(host_name(0)), closed: None, ..first.clone() };
+        let record = HandoverRecord {
+            n,
+            from: Some(host_name(0)),
+            to: Some(host_name(0)),
+            closed: None,
+            ..first.clone()
+        };
         fill.writes.push(Write::put(handover_key(0, n), &record));
     }
-    fill.writes.push(Write::Put { key: handover_key(0, 5), value: "what".into(), hold: None });
+    fill.writes.push(Write::Put {
+        key: handover_key(0, 5),
+        value: "what".into(),
+        hold: None,
+    });
     // The store takes so many at a time.
     for write in fill.writes {
-        world.store.txn(&Txn { writes: vec![write], ..Txn::default() });
+        world.store.txn(&Txn {
+            writes: vec![write],
+            ..Txn::default()
+        });
     }
     world.run(1_000);
     for n in 0..3 {
         world.crash(0, 3_000_000);
         world.run(40_000);
         let (host, _) = holder(&world, 0).expect("a holder");
-        let newest = world.store.get(&handover_key(0, HANDOVERS_KEPT + 1 + n)).and_then(|(v, _)| from_value::<HandoverRecord>(v));
+        let newest = world
+            .store
+            .get(&handover_key(0, HANDOVERS_KEPT + 1 + n))
+            .and_then(|(v, _)| from_value::<HandoverRecord>(v));
         assert_eq!(newest.expect("overwritten").n, HANDOVERS_KEPT + 1 + n);
         assert_eq!(host, host_name(0), "the part is held all the same");
     }
-    assert!(world.store.get(&handover_key(0, 5)).is_some_and(|(v, _)| v.as_str() == Some("what")), "left alone");
+    assert!(
+        world
+            .store
+            .get(&handover_key(0, 5))
+            .is_some_and(|(v, _)| v.as_str() == Some("what")),
+        "left alone"
+    );
 }
 
 /// The home is back 0.2 s before, while and after the two others bid for its part.
@@ -199,7 +308,11 @@
             world.crash(0, 200_000);
         }
         world.run(60_000);
-        assert_eq!(holder(&world, 0).map(|(host, _)| host), Some(host_name(0)), "{what}");
+        assert_eq!(
+            holder(&world, 0).map(|(host, _)| host),
+            Some(host_name(0)),
+            "{what}"
+        );
         assert_eq!(live(&world), REPLICAS, "{what}");
         assert_entered(&world, &what);
     }
@@ -214,29 +327,72 @@
     site.state.txn_ops = 32;
     let mut world = built(50, site);
     for n in 0..500 {
-        submit(&mut world, JobSpec { spot: false, cores: 1.0, gpus: 0.25, ram_gb: 1.0, ..job(n, "blue", Shape::Service, 2) }, 1);
+        submit(
+            &mut world,
+            JobSpec {
+                spot: false,
+                cores: 1.0,
+                gpus: 0.25,
+                ram_gb: 1.0,
+                ..job(n, "blue", Shape::Service, 2)
+            },
+            1,
+        );
     }
     world.run(150_000);
     assert_eq!(live(&world), 1_000);
     let core = world.hosts[0].core.as_ref().expect("it runs");
     let now = world.now / 1_000;
     let watch = core.watch(now);
-    assert_eq!((watch.services, watch.promised, watch.up, watch.short.len()), (500, 1_000, 1_000, 0));
+    assert_eq!(
+        (watch.services, watch.promised, watch.up, watch.short.len()),
+        (500, 1_000, 1_000, 0)
+    );
     let before = world.store.served.1;
     world.crash(0, 100_000_000);
     let second = until_taken(&mut world, 0, &[0]);
     world.run(40_000);
     // Its part, presence and hold, the entry and its closing: nothing a service.
-    assert!(world.store.served.1 - before < 40, "{} changes", world.store.served.1 - before);
+    assert!(
+        world.store.served.1 - before < 40,
+        "{} changes",
+        world.store.served.1 - before
+    );
     let (record, _) = ring(&world, 0).pop().expect("an entry");
     assert_eq!(record.from, Some(host_name(0)));
-    assert!(record.up.is_some_and(|(replicas, others, machines)| replicas > 100 && others == 0 && machines > 10), "{:?}", record.up);
-    let watch = world.hosts[second].core.as_ref().expect("it runs").watch(world.now / 1_000);
+    assert!(
+        record
+            .up
+            .is_some_and(|(replicas, others, machines)| replicas > 100
+                && others == 0
+                && machines > 10),
+        "{:?}",
+        record.up
+    );
+    let watch = world.hosts[second]
+        .core
+        .as_ref()
+        .expect("it runs")
+        .watch(world.now / 1_000);
     assert_eq!((watch.up, watch.short.len()), (1_000, 0));
-    assert_eq!(watch.parts[0].holder.as_deref(), Some(host_name(second).as_str()));
+    assert_eq!(
+        watch.parts[0].holder.as_deref(),
+        Some(host_name(second).as_str())
+    );
     let third = world.hosts[3 - second].core.as_ref().expect("it runs");
-    assert_eq!(third.watch(world.now / 1_000).up, 1_000, "any node shows it");
-    assert_eq!(third.handovers(world.now / 1_000).changes.first().and_then(|c| c.to.clone()), Some(host_name(second)));
+    assert_eq!(
+        third.watch(world.now / 1_000).up,
+        1_000,
+        "any node shows it"
+    );
+    assert_eq!(
+        third
+            .handovers(world.now / 1_000)
+            .changes
+            .first()
+            .and_then(|c| c.to.clone()),
+        Some(host_name(second))
+    );
     assert!(world.ground.checker.broken.is_empty());
 }
 
@@ -264,21 +420,53 @@
     let services = machines / 8;
     for n in 0..services {
         let team = ["red", "blue", "green"][n as usize % 3];
-        submit(&mut world, JobSpec { spread: true, spot: false, ..job(n, team, Shape::Service, 16) }, 1);
+        submit(
+            &mut world,
+            JobSpec {
+                spread: true,
+                spot: false,
+                ..job(n, team, Shape::Service, 16)
+            },
+            1,
+        );
     }
     // Room for what comes: machines that are partly free.
-    submit(&mut world, JobSpec { spot: false, ..job(services, "red", Shape::Service, 6) }, 1);
+    submit(
+        &mut world,
+        JobSpec {
+            spot: false,
+            ..job(services, "red", Shape::Service, 6)
+        },
+        1,
+    );
     world.run(40_000 + seed * 137 % 2_000);
     world.withdraw(&lemonweir_lab::sample::id(services));
     world.run(4_000);
-    let replicas =
-        |world: &World| world.live().iter().filter(|(id, _)| **id < lemonweir_lab::sample::id(services)).map(|(_, n)| n).sum::<usize>();
+    let replicas = |world: &World| {
+        world
+            .live()
+            .iter()
+            .filter(|(id, _)| **id < lemonweir_lab::sample::id(services))
+            .map(|(_, n)| n)
+            .sum::<usize>()
+    };
     let before = replicas(&world);
-    assert!(before >= services as usize * 16 * 9 / 10, "{before} replicas of {}", services * 16);
+    assert!(
+        before >= services as usize * 16 * 9 / 10,
+        "{before} replicas of {}",
+        services * 16
+    );
     let at = world.now;
     world.crash(0, 400_000_000);
     let (mut gone, mut taken, mut started) = (None, None, None);
-    submit(&mut world, JobSpec { spot: false, ..job(services + 1, "blue", Shape::Array, 4) }, 60);
+    submit(
+        &mut world,
+        JobSpec {
+            spot: false,
+            ..job(services + 1, "blue", Shape::Array, 4)
+        },
+        60,
+    );
     let mut whole = None;
     for _ in 0..4_000 {
         world.run(10);
@@ -290,11 +478,24 @@
         if holder.is_some_and(|h| h != host_name(0)) {
             taken.get_or_insert(ms);
         }
-        if world.ground.launched.contains_key(&(lemonweir_lab::sample::id(services + 1), 0)) {
+        if world
+            .ground
+            .launched
+            .contains_key(&(lemonweir_lab::sample::id(services + 1), 0))
+        {
             started.get_or_insert(ms);
         }
-        let known = |h: &lemonweir_lab::host::Host| h.core.as_ref().filter(|_| h.holds(0)).map(|c| c.watch(world.now / 1_000).short.len());
-        if whole.is_none() && taken.is_some() && (ms % 100 < 10) && world.hosts.iter().find_map(known) == Some(0) {
+        let known = |h: &lemonweir_lab::host::Host| {
+            h.core
+                .as_ref()
+                .filter(|_| h.holds(0))
+                .map(|c| c.watch(world.now / 1_000).short.len())
+        };
+        if whole.is_none()
+            && taken.is_some()
+            && (ms % 100 < 10)
+            && world.hosts.iter().find_map(known) == Some(0)
+        {
             whole = Some(ms);
         }
         if whole.is_some() && started.is_some() {
@@ -302,7 +503,9 @@
         }
     }
     assert!(world.ground.checker.broken.is_empty());
-    let lost = before.saturating_sub(replicas(&world)).max(world.ground.killed_by_lease as usize) as u64;
+    let lost = before
+        .saturating_sub(replicas(&world))
+        .max(world.ground.killed_by_lease as usize) as u64;
     [gone, taken, started, whole, Some(lost)].map(|ms| ms.expect("within 40 s"))
 }
 
@@ -312,12 +515,24 @@
 #[ignore = "measures for minutes"]
 fn how_long_a_handover_takes() {
     for (machines, hosts, seeds) in [(100, 3, 24), (1_337, 3, 12), (5_000, 5, 4)] {
-        let mut all: Vec<[u64; 5]> = (0..seeds).map(|seed| end_one(seed, machines, hosts)).collect();
-        println!("{machines} machines: {} tasks lost in {seeds} runs", all.iter().map(|times| times[4]).sum::<u64>());
-        for (k, what) in ["key gone", "taken", "first start", "whole"].into_iter().enumerate() {
+        let mut all: Vec<[u64; 5]> = (0..seeds)
+            .map(|seed| end_one(seed, machines, hosts))
+            .collect();
+        println!(
+            "{machines} machines: {} tasks lost in {seeds} runs",
+            all.iter().map(|times| times[4]).sum::<u64>()
+        );
+        for (k, what) in ["key gone", "taken", "first start", "whole"]
+            .into_iter()
+            .enumerate()
+        {
             all.sort_by_key(|times| times[k]);
             let at = |q: usize| all[(all.len() * q / 100).min(all.len() - 1)][k];
-            println!("{machines} machines, {what}: 50th {} ms, 99th {} ms", at(50), at(99));
+            println!(
+                "{machines} machines, {what}: 50th {} ms, 99th {} ms",
+                at(50),
+                at(99)
+            );
         }
     }
 }
@@ -326,8 +541,13 @@
 
 /// The row of a service in the picture of the controller that serves its team.
 fn row(world: &World, n: u32) -> Option<lemonweir_protocol::watch::ShortRow> {
-    let rows = world.hosts.iter().filter_map(|h| h.core.as_ref()).flat_map(|c| c.watch(world.now / 1_000).short);
-    rows.filter(|r| r.job == lemonweir_lab::sample::id(n).to_string()).max_by_key(|r| r.short_s)
+    let rows = world
+        .hosts
+        .iter()
+        .filter_map(|h| h.core.as_ref())
+        .flat_map(|c| c.watch(world.now / 1_000).short);
+    rows.filter(|r| r.job == lemonweir_lab::sample::id(n).to_string())
+        .max_by_key(|r| r.short_s)
 }
 
 /// A replica on a machine that fetches for ever goes to one that has its image, as
@@ -336,18 +556,46 @@
 fn a_replica_leaves_a_machine_that_does_not_get_it_up() {
     let mut world = built(60, site(3, 16, NO_FAULTS));
     world.run(5_000);
-    submit(&mut world, JobSpec { spot: false, ..job(0, "blue", Shape::Service, 4) }, 1);
+    submit(
+        &mut world,
+        JobSpec {
+            spot: false,
+            ..job(0, "blue", Shape::Service, 4)
+        },
+        1,
+    );
     world.run(45_000);
     assert_eq!(live(&world), 4, "its machine is full and has the image");
-    submit(&mut world, JobSpec { spot: false, ..job(1, "blue", Shape::Service, 2) }, 1);
-    let warm: Vec<usize> = world.workers.iter().flatten().filter(|w| w.live() > 0).map(|w| w.number).collect();
+    submit(
+        &mut world,
+        JobSpec {
+            spot: false,
+            ..job(1, "blue", Shape::Service, 2)
+        },
+        1,
+    );
+    let warm: Vec<usize> = world
+        .workers
+        .iter()
+        .flatten()
+        .filter(|w| w.live() > 0)
+        .map(|w| w.number)
+        .collect();
     for _ in 0..600 {
-        world.workers.iter_mut().flatten().filter(|w| !warm.contains(&w.number)).for_each(|w| w.kind.fetch_gb_per_s = 0.000_1);
+        world
+            .workers
+            .iter_mut()
+            .flatten()
+            .filter(|w| !warm.contains(&w.number))
+            .for_each(|w| w.kind.fetch_gb_per_s = 0.000_1);
         world.run(100);
     }
     let before = row(&world, 1).expect("it is short");
     assert_eq!(before.up, 0);
-    assert!(before.tried.is_empty() && before.short_s.is_some_and(|s| s >= 50), "nothing better is known: {before:?}");
+    assert!(
+        before.tried.is_empty() && before.short_s.is_some_and(|s| s >= 50),
+        "nothing better is known: {before:?}"
+    );
     // The machine with the image becomes free.
     world.withdraw(&lemonweir_lab::sample::id(0));
     world.run(25_000);
@@ -361,14 +609,26 @@
 #[test]
 fn a_service_takes_what_it_avoided_when_nothing_else_is_left() {
     let mut world = built(61, site(3, 1, NO_FAULTS));
-    let north = |n| JobSpec { spot: false, zone: Some("north".into()), ..job(n, "blue", Shape::Service, 1) };
+    let north = |n| JobSpec {
+        spot: false,
+        zone: Some("north".into()),
+        ..job(n, "blue", Shape::Service, 1)
+    };
     submit(&mut world, north(0), 1);
     world.run(50_000);
     assert_eq!(live(&world), 1);
-    world.workers.iter_mut().flatten().for_each(|w| w.faulty = true);
+    world
+        .workers
+        .iter_mut()
+        .flatten()
+        .for_each(|w| w.faulty = true);
     submit(&mut world, north(1), 1);
     world.run(3_000);
-    world.workers.iter_mut().flatten().for_each(|w| w.faulty = false);
+    world
+        .workers
+        .iter_mut()
+        .flatten()
+        .for_each(|w| w.faulty = false);
     world.run(20_000);
     assert_eq!(live(&world), 1, "it avoids the only machine");
     world.run(15_000);
--- a/crates/lab/tests/weights.rs
+++ b/crates/lab/tests/weights.rs
@@ -21,7 +21,8 @@
          boot_s = 20\nordinary = {a_zone}\nat_start = {a_zone}\n[[team]]\nname = 'red'\n[[team]]\nname = 'blue'\n",
         zones.len()
     );
-    let mut scenario = Scenario::parse("weights", &text).unwrap_or_else(|faults| panic!("{faults:?}"));
+    let mut scenario =
+        Scenario::parse("weights", &text).unwrap_or_else(|faults| panic!("{faults:?}"));
     scenario.policy.trade = trade;
     scenario
 }
@@ -63,15 +64,27 @@
     fn new(scenario: Scenario, seed: u64) -> Self {
         let mut world = World::new(Arc::new(scenario), Vec::new(), seed, History::new(None));
         world.run(6_000);
-        Self { world, seen: Seen::default(), services: Vec::new() }
+        Self {
+            world,
+            seen: Seen::default(),
+            services: Vec::new(),
+        }
     }
 
     fn submit(&mut self, spec: JobSpec, run_s: u64) {
         if spec.shape == Shape::Service {
             self.services.push(spec.clone());
         }
-        let load = Load { spec: Arc::new(spec), run_us: vec![run_s * 1_000_000], broken: false };
-        self.world.submit_at(Planned { at_us: self.world.now, load, withdraw_us: None });
+        let load = Load {
+            spec: Arc::new(spec),
+            run_us: vec![run_s * 1_000_000],
+            broken: false,
+        };
+        self.world.submit_at(Planned {
+            at_us: self.world.now,
+            load,
+            withdraw_us: None,
+        });
     }
 
     fn look(&mut self) {
@@ -79,12 +92,26 @@
         let mut under_way = BTreeSet::new();
         self.seen.machine_s += 0.5 * self.world.workers.iter().flatten().count() as f64;
         let now = self.world.now;
-        let names: BTreeMap<_, u32> = self.services.iter().map(|s| (s.id.clone(), number(&s.id))).collect();
-        for w in self.world.workers.iter_mut().flatten().filter(|w| now >= w.up_at) {
+        let names: BTreeMap<_, u32> = self
+            .services
+            .iter()
+            .map(|s| (s.id.clone(), number(&s.id)))
+            .collect();
+        for w in self
+            .world
+            .workers
+            .iter_mut()
+            .flatten()
+            .filter(|w| now >= w.up_at)
+        {
             let (machine, zone) = (w.number, w.zone.clone());
             for t in w.report(now).tasks {
-                let Some(attempt) = AttemptId::parse(&t.piece, t.attempt) else { continue };
-                let Some(&n) = names.get(&attempt.job) else { continue };
+                let Some(attempt) = AttemptId::parse(&t.piece, t.attempt) else {
+                    continue;
+                };
+                let Some(&n) = names.get(&attempt.job) else {
+                    continue;
+                };
                 match t.phase {
                     TaskPhase::Fetching => {
                         under_way.insert((machine, n));
@@ -92,7 +119,11 @@
                     }
                     TaskPhase::Running => {
                         self.seen.fetched.entry(attempt).or_default();
-                        self.seen.running.entry(n).or_default().push((machine, zone.clone()));
+                        self.seen
+                            .running
+                            .entry(n)
+                            .or_default()
+                            .push((machine, zone.clone()));
                     }
                     _ => {}
                 }
@@ -102,8 +133,15 @@
     }
 
     fn note_fetches(&mut self, under_way: BTreeSet<(usize, u32)>) {
-        let gb: BTreeMap<u32, f64> = self.services.iter().map(|s| (number(&s.id), s.image_gb)).collect();
-        self.seen.fetched_gb += under_way.difference(&self.seen.under_way).map(|(_, n)| gb.get(n).copied().unwrap_or(0.0)).sum::<f64>();
+        let gb: BTreeMap<u32, f64> = self
+            .services
+            .iter()
+            .map(|s| (number(&s.id), s.image_gb))
+            .collect();
+        self.seen.fetched_gb += under_way
+            .difference(&self.seen.under_way)
+            .map(|(_, n)| gb.get(n).copied().unwrap_or(0.0))
+            .sum::<f64>();
         self.seen.under_way = under_way;
     }
 
@@ -116,13 +154,23 @@
 
     /// Replicas of a service that run outside of these zones.
     fn up(&self, n: u32, lost: &[&str]) -> usize {
-        self.seen.running.get(&n).into_iter().flatten().filter(|(_, zone)| !lost.contains(&zone.as_str())).count()
+        self.seen
+            .running
+            .get(&n)
+            .into_iter()
+            .flatten()
+            .filter(|(_, zone)| !lost.contains(&zone.as_str()))
+            .count()
     }
 
     /// Lets time pass until all services are whole outside of these zones; s.
     fn until_whole(&mut self, lost: &[&str], most_s: u64) -> Option<f64> {
         let since = self.world.now;
-        let wants: Vec<(u32, usize)> = self.services.iter().map(|s| (number(&s.id), s.tasks as usize)).collect();
+        let wants: Vec<(u32, usize)> = self
+            .services
+            .iter()
+            .map(|s| (number(&s.id), s.tasks as usize))
+            .collect();
         while self.world.now < since + most_s * 1_000_000 {
             self.world.run(500);
             self.look();
@@ -140,14 +188,23 @@
 
     /// A hall is gone with its controller.
     fn lose(&mut self, zone: &str) {
-        let host = self.world.scenario.zones.iter().position(|z| z == zone).expect("a zone");
+        let host = self
+            .world
+            .scenario
+            .zones
+            .iter()
+            .position(|z| z == zone)
+            .expect("a zone");
         self.world.cut_zones.insert(zone.to_owned());
         self.world.crash(host, 3_600_000_000);
     }
 
     /// Starts of services seen, and of these the ones that fetched.
     fn starts(&self) -> (usize, usize) {
-        (self.seen.fetched.len(), self.seen.fetched.values().filter(|s| **s > 0.0).count())
+        (
+            self.seen.fetched.len(),
+            self.seen.fetched.values().filter(|s| **s > 0.0).count(),
+        )
     }
 
     /// The share of a service that one machine has at most, and one zone: the mean of
@@ -155,7 +212,8 @@
     fn at_most(&self) -> (f64, f64) {
         let (mut machine, mut zone) = (0.0, 0.0);
         for s in &self.services {
-            let (mut machines, mut zones): (BTreeMap<usize, f64>, BTreeMap<&str, f64>) = Default::default();
+            let (mut machines, mut zones): (BTreeMap<usize, f64>, BTreeMap<&str, f64>) =
+                Default::default();
             for (m, z) in self.seen.running.get(&number(&s.id)).into_iter().flatten() {
                 *machines.entry(*m).or_default() += 1.0 / s.tasks as f64;
                 *zones.entry(z).or_default() += 1.0 / s.tasks as f64;
@@ -167,15 +225,28 @@
     }
 
     fn assert_kept(&self, what: &str) {
-        assert!(self.world.ground.checker.broken.is_empty(), "{what}: rules broken: {:#?}", self.world.ground.checker.broken);
+        assert!(
+            self.world.ground.checker.broken.is_empty(),
+            "{what}: rules broken: {:#?}",
+            self.world.ground.checker.broken
+        );
     }
 }
 
 fn number(id: &lemonweir_model::JobId) -> u32 {
-    id.as_str().trim_start_matches("req-").parse().expect("a number")
+    id.as_str()
+        .trim_start_matches("req-")
+        .parse()
+        .expect("a number")
 }
 
-const LOCALITY: Trade = Trade { machine: 0.0, zone: 0.0, one_zone: 0.0, pin_s: 0.0, move_s: 3_600.0 };
+const LOCALITY: Trade = Trade {
+    machine: 0.0,
+    zone: 0.0,
+    one_zone: 0.0,
+    pin_s: 0.0,
+    move_s: 3_600.0,
+};
 
 /// 60 GB take 200 s: a replica whose machine is lost starts again where the weights lie,
 /// on another controller's machine if need be, while its part's controller ends too.
@@ -183,23 +254,47 @@
 fn a_large_model_on_2_20_and_200_machines() {
     for (machines, replicas) in [(2, 2), (20, 10), (200, 20)] {
         let what = format!("{machines} machines");
-        let mut lab = Lab::new(site(&["north", "south"], machines / 2, Trade::default()), u64::from(machines));
+        let mut lab = Lab::new(
+            site(&["north", "south"], machines / 2, Trade::default()),
+            u64::from(machines),
+        );
         lab.submit(service(1, replicas, "large", 60.0), 0);
-        let first = lab.until_whole(&[], 400).unwrap_or_else(|| panic!("{what}: not whole"));
+        let first = lab
+            .until_whole(&[], 400)
+            .unwrap_or_else(|| panic!("{what}: not whole"));
         assert!(first > 190.0, "{what}: {first} s");
         let (_, fetched) = lab.starts();
         let lost = lab.machine_of(1);
-        let zone = lab.world.workers[lost].as_ref().expect("there").zone.clone();
+        let zone = lab.world.workers[lost]
+            .as_ref()
+            .expect("there")
+            .zone
+            .clone();
         lab.world.workers[lost].as_mut().expect("there").silent = true;
-        let host = lab.world.scenario.zones.iter().position(|z| *z == zone).expect("a zone");
+        let host = lab
+            .world
+            .scenario
+            .zones
+            .iter()
+            .position(|z| *z == zone)
+            .expect("a zone");
         lab.world.crash(host, 3_000_000);
         lab.run(2);
-        let left = lab.seen.running[&1].iter().filter(|(m, _)| *m != lost).count();
-        assert!(left as u64 * 2 >= replicas, "{what}: {left} of {replicas} are left");
+        let left = lab.seen.running[&1]
+            .iter()
+            .filter(|(m, _)| *m != lost)
+            .count();
+        assert!(
+            left as u64 * 2 >= replicas,
+            "{what}: {left} of {replicas} are left"
+        );
         // The proof that what ran there is over, after its owner ended too, and a start;
         // no fetch.
         lab.run(98);
-        let up = lab.seen.running[&1].iter().filter(|(m, _)| *m != lost).count();
+        let up = lab.seen.running[&1]
+            .iter()
+            .filter(|(m, _)| *m != lost)
+            .count();
         assert_eq!(up as u64, replicas, "{what}");
         assert_eq!(lab.starts().1, fetched, "{what}: nothing was fetched anew");
         lab.assert_kept(&what);
@@ -218,23 +313,50 @@
         }
         lab.until_whole(&[], 300).expect("whole");
         lab.run(60);
-        let zones: Vec<BTreeSet<String>> = lab.seen.running.values().map(|r| r.iter().map(|(_, z)| z.clone()).collect()).collect();
+        let zones: Vec<BTreeSet<String>> = lab
+            .seen
+            .running
+            .values()
+            .map(|r| r.iter().map(|(_, z)| z.clone()).collect())
+            .collect();
         let two = zones.iter().filter(|z| z.len() == 2).count();
         let hall = zones[0].first().expect("runs").clone();
         // The operators' picture says the same, from any controller.
         for host in &lab.world.hosts {
-            let picture = host.core.as_ref().expect("runs").weights("m-0", lab.world.now / 1_000);
-            assert_eq!((picture.mb, picture.users.len(), picture.users[0].tasks), (Some(40_000), 1, 2));
-            assert_eq!(picture.zones.iter().filter(|z| z.here > 0).count(), zones[0].len());
-            assert!(picture.zones.iter().all(|z| (z.left > 0) == zones[0].iter().any(|zone| *zone != z.zone)));
-            assert!(picture.parts.iter().all(|p| p.told_s.is_some_and(|s| s < 10)));
+            let picture = host
+                .core
+                .as_ref()
+                .expect("runs")
+                .weights("m-0", lab.world.now / 1_000);
+            assert_eq!(
+                (picture.mb, picture.users.len(), picture.users[0].tasks),
+                (Some(40_000), 1, 2)
+            );
+            assert_eq!(
+                picture.zones.iter().filter(|z| z.here > 0).count(),
+                zones[0].len()
+            );
+            assert!(
+                picture
+                    .zones
+                    .iter()
+                    .all(|z| (z.left > 0) == zones[0].iter().any(|zone| *zone != z.zone))
+            );
+            assert!(
+                picture
+                    .parts
+                    .iter()
+                    .all(|p| p.told_s.is_some_and(|s| s < 10))
+            );
         }
         lab.lose(&hall);
         let whole = lab.until_whole(&[hall.as_str()], 600).expect("whole again");
         took.push((two, whole));
         lab.assert_kept("a hall lost");
     }
-    let [(_, cold), (two, warm)] = took[..] else { panic!("two runs") };
+    let [(_, cold), (two, warm)] = took[..] else {
+        panic!("two runs")
+    };
     assert_eq!(two, 2, "every service's weights lie in two halls");
     // The proof that the hall's replicas are over takes a minute and a lease.
     assert!(warm + 60.0 < cold, "{warm} s, by locality alone {cold} s");
@@ -244,14 +366,33 @@
 /// each wrong one costs one start its fetch, and is dropped.
 #[test]
 fn every_second_entry_of_the_picture_is_wrong() {
-    let mut lab = Lab::new(site(&["north"], 8, Trade { move_s: 3_600.0, ..Trade::default() }), 9);
+    let mut lab = Lab::new(
+        site(
+            &["north"],
+            8,
+            Trade {
+                move_s: 3_600.0,
+                ..Trade::default()
+            },
+        ),
+        9,
+    );
     // The model lies on all machines: on each it ran.
     lab.submit(service(0, 32, "m", 10.0), 0);
     lab.until_whole(&[], 200).expect("whole");
     lab.run(20);
     // Four of eight machines lose their caches; nobody is told.
-    let wrong: BTreeSet<usize> = lab.world.workers.iter().flatten().map(|w| w.number).filter(|n| n % 2 == 0).collect();
-    wrong.iter().for_each(|n| lab.world.workers[*n].as_mut().expect("there").drop_images());
+    let wrong: BTreeSet<usize> = lab
+        .world
+        .workers
+        .iter()
+        .flatten()
+        .map(|w| w.number)
+        .filter(|n| n % 2 == 0)
+        .collect();
+    wrong
+        .iter()
+        .for_each(|n| lab.world.workers[*n].as_mut().expect("there").drop_images());
     lab.world.withdraw(&id(0));
     lab.world.crash(0, 3_000_000);
     lab.run(20);
@@ -265,7 +406,11 @@
     lab.until_whole(&[], 100).expect("whole");
     let (starts, cold) = lab.starts();
     assert!(starts >= 24, "{starts}");
-    assert!(cold <= 2 * wrong.len(), "{cold} of {starts} starts fetched; {} entries were wrong", wrong.len());
+    assert!(
+        cold <= 2 * wrong.len(),
+        "{cold} of {starts} starts fetched; {} entries were wrong",
+        wrong.len()
+    );
     lab.assert_kept("a wrong picture");
 }
 
@@ -289,7 +434,10 @@
     lab.until_whole(&[], 200).expect("whole");
     let (starts, cold) = lab.starts();
     let (starts, cold) = (starts - before.0, cold - before.1);
-    assert!(starts >= 6 && 2 * cold <= starts, "{cold} of {starts} starts fetched");
+    assert!(
+        starts >= 6 && 2 * cold <= starts,
+        "{cold} of {starts} starts fetched"
+    );
     lab.assert_kept("a hot model");
 }
 
@@ -326,17 +474,26 @@
         2 * f.a_zone,
         f.a_zone
     );
-    let mut scenario = Scenario::parse("figures", &text).unwrap_or_else(|faults| panic!("{faults:?}"));
+    let mut scenario =
+        Scenario::parse("figures", &text).unwrap_or_else(|faults| panic!("{faults:?}"));
     scenario.policy.trade = trade;
     let mut lab = Lab::new(scenario, seed);
     let image = |n: u32| format!("m-{}", n * n % f.images);
     for n in 0..f.services {
-        lab.submit(service(n, f.sizes[n as usize % f.sizes.len()], &image(n), f.gb), 0);
+        lab.submit(
+            service(n, f.sizes[n as usize % f.sizes.len()], &image(n), f.gb),
+            0,
+        );
     }
     let fetch = (f.gb / f.rate) as u64;
     let mut next = f.services;
     let batch = |lab: &mut Lab, k: u32| {
-        let spec = JobSpec { image: format!("b-{}", k % 14), image_gb: 7.0, spot: false, ..job(10_000 + k, "blue", Shape::Array, 20) };
+        let spec = JobSpec {
+            image: format!("b-{}", k % 14),
+            image_gb: 7.0,
+            spot: false,
+            ..job(10_000 + k, "blue", Shape::Array, 20)
+        };
         lab.submit(spec, 60);
     };
     let first = lab.until_whole(&[], 3 * fetch + 200).unwrap_or(f64::NAN);
@@ -345,13 +502,26 @@
         if k % 4 == 1 {
             // The machine of some replica stops for good.
             let n = (k * 7 + seed as u32) % f.services;
-            let machine = lab.seen.running.get(&n).and_then(|r| r.first()).map(|r| r.0);
+            let machine = lab
+                .seen
+                .running
+                .get(&n)
+                .and_then(|r| r.first())
+                .map(|r| r.0);
             if let Some(w) = machine.and_then(|m| lab.world.workers[m].as_mut()) {
                 w.silent = true;
             }
         }
         if k % 4 == 3 {
-            lab.submit(service(next, f.sizes[next as usize % f.sizes.len()], &image(next), f.gb), 0);
+            lab.submit(
+                service(
+                    next,
+                    f.sizes[next as usize % f.sizes.len()],
+                    &image(next),
+                    f.gb,
+                ),
+                0,
+            );
             next += 1;
         }
         lab.run(15);
@@ -416,16 +586,33 @@
             gb: 60.0,
         },
     ];
-    let spread = Trade { machine: 1_000.0, zone: 1_000.0, one_zone: 1_000.0, pin_s: 0.0, move_s: 1.0 };
-    let careful = Trade { machine: 2.0, zone: 0.5, ..Trade::default() };
-    let trades = [("locality", LOCALITY), ("spread", spread), ("trade", Trade::default()), ("careful", careful)];
+    let spread = Trade {
+        machine: 1_000.0,
+        zone: 1_000.0,
+        one_zone: 1_000.0,
+        pin_s: 0.0,
+        move_s: 1.0,
+    };
+    let careful = Trade {
+        machine: 2.0,
+        zone: 0.5,
+        ..Trade::default()
+    };
+    let trades = [
+        ("locality", LOCALITY),
+        ("spread", spread),
+        ("trade", Trade::default()),
+        ("careful", careful),
+    ];
     std::thread::scope(|scope| {
         for half in 0..2 {
             let (sites, trades) = (&sites, &trades);
             scope.spawn(move || {
                 for f in sites {
                     for (name, trade) in trades.iter() {
-                        (1..=3).filter(|seed| seed % 2 == half).for_each(|seed| figures(f, name, *trade, seed));
+                        (1..=3)
+                            .filter(|seed| seed % 2 == half)
+                            .for_each(|seed| figures(f, name, *trade, seed));
                     }
                 }
             });
--- a/crates/lab/tests/worker_sessions.rs
+++ b/crates/lab/tests/worker_sessions.rs
@@ -14,7 +14,8 @@
 const DEAF_COMMANDS: &str = "at_s = 55\nfor_s = 45\nkind = 'deaf'\nshare = 0.5\nonly = 'commands'";
 const DEAF_ZONE: &str = "at_s = 55\nfor_s = 45\nkind = 'deaf'\nzone = 'a'";
 const DEAF_WAY: &str = "at_s = 55\nfor_s = 45\nkind = 'deaf'\nshare = 1.0\ncontroller = 0";
-const COPIES: &str = "at_s = 25\nfor_s = 110\nkind = 'late_copies'\nshare = 1.0\nlow_s = 1\nhigh_s = 80";
+const COPIES: &str =
+    "at_s = 25\nfor_s = 110\nkind = 'late_copies'\nshare = 1.0\nlow_s = 1\nhigh_s = 80";
 const ALONE: &str = "at_s = 65\nfor_s = 70\nkind = 'alone'\ncontroller = 1";
 const REBORN: &str = "at_s = 70\nfor_s = 1\nkind = 'reborn'\nshare = 0.3";
 const CRASH: &str = "at_s = 73\nfor_s = 0.2\nkind = 'crash'\ncontroller = 0";
@@ -37,15 +38,23 @@
          checkpoint_s = 10\nsave_s = 2\n{faults}",
         lease_s + 20.0
     );
-    let scenario = Arc::new(Scenario::parse("hearing", &text).unwrap_or_else(|faults| panic!("{faults:?}")));
+    let scenario =
+        Arc::new(Scenario::parse("hearing", &text).unwrap_or_else(|faults| panic!("{faults:?}")));
     let load = synthetic(&scenario, seed);
     World::new(scenario, load, seed, History::new(None))
 }
 
 /// Replicas up, of the 16 that are wanted.
 fn serving(world: &World) -> usize {
-    let services = world.ground.jobs.iter().filter(|(_, l)| l.spec.class == "serve").map(|(id, _)| id);
-    services.map(|id| world.live().get(id).copied().unwrap_or(0)).sum()
+    let services = world
+        .ground
+        .jobs
+        .iter()
+        .filter(|(_, l)| l.spec.class == "serve")
+        .map(|(id, _)| id);
+    services
+        .map(|id| world.live().get(id).copied().unwrap_or(0))
+        .sum()
 }
 
 /// Runs a day to its end; tells how many tasks their lease killed.
@@ -54,9 +63,17 @@
     let mut world = day(hosts, lease_s, seed, faults);
     world.run(240_000);
     let (up, ground) = (serving(&world), &world.ground);
-    assert!(ground.checker.broken.is_empty(), "{what}: {:#?}", ground.checker.broken);
+    assert!(
+        ground.checker.broken.is_empty(),
+        "{what}: {:#?}",
+        ground.checker.broken
+    );
     assert_eq!(up, 16, "{what}: replicas up at the end");
-    assert!(ground.checker.starts > 60, "{what}: {} starts", ground.checker.starts);
+    assert!(
+        ground.checker.starts > 60,
+        "{what}: {} starts",
+        ground.checker.starts
+    );
     ground.killed_by_lease
 }
 
@@ -68,7 +85,10 @@
 #[test]
 fn machines_that_hear_nothing_lose_their_lease_and_no_rule() {
     for fault in [DEAF, DEAF_ANSWERS, DEAF_ZONE] {
-        assert!(all(&[fault]) > 0, "{fault}: leases run out, or it was no trouble");
+        assert!(
+            all(&[fault]) > 0,
+            "{fault}: leases run out, or it was no trouble"
+        );
     }
 }
 
@@ -96,7 +116,16 @@
     }
     assert_eq!(kept(7, 14.0, 3, &[ALONE]), 0);
     // The two others elect, and one of them is back after 0.2 s; workers have copies.
-    kept(3, 14.0, 5, &[ALONE, "at_s = 76.3\nfor_s = 0.2\nkind = 'crash'\ncontroller = 2", COPIES]);
+    kept(
+        3,
+        14.0,
+        5,
+        &[
+            ALONE,
+            "at_s = 76.3\nfor_s = 0.2\nkind = 'crash'\ncontroller = 2",
+            COPIES,
+        ],
+    );
 }
 
 #[test]
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -78,7 +78,11 @@
     /// Reads a task's name from the wire.
     pub fn parse(piece: &str, attempt: u32) -> Option<Self> {
         let (job, task) = piece.split_once('/')?;
-        Some(Self { job: JobId::parse(job)?, task: task.parse().ok()?, attempt })
+        Some(Self {
+            job: JobId::parse(job)?,
+            task: task.parse().ok()?,
+            attempt,
+        })
     }
 }
 
@@ -90,7 +94,21 @@
 
 /// Room on a machine, in thousandths: processors, accelerators, gigabytes.
 /// Integers, so that sums and limits are exact.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize, BorshSerialize, BorshDeserialize)]
+#[derive(
+    Clone,
+    Copy,
+    Debug,
+    Default,
+    PartialEq,
+    Eq,
+    Hash,
+    PartialOrd,
+    Ord,
+    Serialize,
+    Deserialize,
+    BorshSerialize,
+    BorshDeserialize,
+)]
 pub struct Room {
     /// Thousandths of a processor.
     pub cpus: u64,
@@ -104,13 +122,21 @@
     /// What a task needs: rounded up, so that it is never counted too small.
     pub fn need(cpus: f64, gpus: f64, memory_gb: f64) -> Self {
         let up = |x: f64| (x * 1000.0 - 1e-6).ceil().max(0.0) as u64;
-        Self { cpus: up(cpus), gpus: up(gpus), memory: up(memory_gb) }
+        Self {
+            cpus: up(cpus),
+            gpus: up(gpus),
+            memory: up(memory_gb),
+        }
     }
 
     /// What a machine or a limit offers: rounded down.
     pub fn offer(cpus: f64, gpus: f64, memory_gb: f64) -> Self {
         let down = |x: f64| (x * 1000.0 + 1e-6).floor().max(0.0) as u64;
-        Self { cpus: down(cpus), gpus: down(gpus), memory: down(memory_gb) }
+        Self {
+            cpus: down(cpus),
+            gpus: down(gpus),
+            memory: down(memory_gb),
+        }
     }
 
     /// True if `need` fits into this room in every resource.
@@ -120,7 +146,11 @@
 
     /// The sum.
     pub fn plus(&self, other: &Room) -> Room {
-        Room { cpus: self.cpus + other.cpus, gpus: self.gpus + other.gpus, memory: self.memory + other.memory }
+        Room {
+            cpus: self.cpus + other.cpus,
+            gpus: self.gpus + other.gpus,
+            memory: self.memory + other.memory,
+        }
     }
 
     /// What is left, never below zero.
@@ -134,7 +164,11 @@
 
     /// `n` times this room.
     pub fn times(&self, n: u64) -> Room {
-        Room { cpus: self.cpus.saturating_mul(n), gpus: self.gpus.saturating_mul(n), memory: self.memory.saturating_mul(n) }
+        Room {
+            cpus: self.cpus.saturating_mul(n),
+            gpus: self.gpus.saturating_mul(n),
+            memory: self.memory.saturating_mul(n),
+        }
     }
 }
 
@@ -153,7 +187,19 @@
 }
 
 /// Priority, highest first.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, BorshSerialize, BorshDeserialize)]
+#[derive(
+    Clone,
+    Copy,
+    Debug,
+    PartialEq,
+    Eq,
+    PartialOrd,
+    Ord,
+    Serialize,
+    Deserialize,
+    BorshSerialize,
+    BorshDeserialize,
+)]
 pub enum Rank {
     /// Production.
     #[serde(rename = "prod")]
@@ -236,7 +282,11 @@
     #[serde(rename = "dueS", default)]
     pub deadline_s: Option<f64>,
     /// Jobs that must be done before any task of this one starts.
-    #[serde(default, skip_serializing_if = "Vec::is_empty", deserialize_with = "list_or_null")]
+    #[serde(
+        default,
+        skip_serializing_if = "Vec::is_empty",
+        deserialize_with = "list_or_null"
+    )]
     pub awaits: Vec<JobId>,
 }
 
@@ -258,7 +308,11 @@
 
     /// Seconds of grace that let a task save, or 0 if it never saves.
     pub fn grace_s(&self) -> u32 {
-        if self.checkpoint_s > 0.0 { self.save_s.ceil() as u32 + 1 } else { 0 }
+        if self.checkpoint_s > 0.0 {
+            self.save_s.ceil() as u32 + 1
+        } else {
+            0
+        }
     }
 }
 
@@ -268,7 +322,11 @@
     /// is stopped at once loses half a checkpoint interval on average, and
     /// whoever it makes way for starts at once.
     pub fn way_grace_s(&self) -> u32 {
-        if self.save_s >= self.checkpoint_s / 2.0 { 0 } else { self.grace_s() }
+        if self.save_s >= self.checkpoint_s / 2.0 {
+            0
+        } else {
+            self.grace_s()
+        }
     }
 }
 
--- a/crates/model/src/policy.rs
+++ b/crates/model/src/policy.rs
@@ -47,6 +47,12 @@
 impl Default for Trade {
     /// The values of the embedded policy.
     fn default() -> Self {
-        Self { machine: 0.25, zone: 0.1, one_zone: 3.0, pin_s: 6.0, move_s: 1.0 }
+        Self {
+            machine: 0.25,
+            zone: 0.1,
+            one_zone: 3.0,
+            pin_s: 6.0,
+            move_s: 1.0,
+        }
     }
 }
--- a/crates/model/src/settings.rs
+++ b/crates/model/src/settings.rs
@@ -115,7 +115,8 @@
 
     /// Changes a second that are taken now and later.
     pub fn least_write_rps(&self) -> f64 {
-        self.write_rps.min(self.next().write_rps.unwrap_or(f64::MAX))
+        self.write_rps
+            .min(self.next().write_rps.unwrap_or(f64::MAX))
     }
 
     /// Requests a second that are taken now and later.
@@ -184,16 +185,22 @@
 impl Settings {
     /// Reads and checks a file; every fault found is one entry of the error.
     pub fn load(path: &Path) -> Result<Self, Vec<String>> {
-        let text = std::fs::read_to_string(path).map_err(|e| vec![format!("{}: {e}", path.display())])?;
+        let text =
+            std::fs::read_to_string(path).map_err(|e| vec![format!("{}: {e}", path.display())])?;
         Self::parse(&text)
     }
 
     /// Reads and checks the text of a file.
     pub fn parse(text: &str) -> Result<Self, Vec<String>> {
-        let value: Value = serde_json::from_str(text).map_err(|e| vec![format!("settings: not JSON: {e}")])?;
+        let value: Value =
+            serde_json::from_str(text).map_err(|e| vec![format!("settings: not JSON: {e}")])?;
         let settings = read(value)?;
         let faults = settings.faults();
-        if faults.is_empty() { Ok(settings) } else { Err(faults) }
+        if faults.is_empty() {
+            Ok(settings)
+        } else {
+            Err(faults)
+        }
     }
 
     fn faults(&self) -> Vec<String> {
@@ -210,18 +217,33 @@
         let mut hosts: Vec<&str> = self.seeds.iter().map(|s| s.host_name.as_str()).collect();
         hosts.push(&self.host_name);
         hosts.sort_unstable();
-        check(hosts.windows(2).all(|w| w[0] != w[1]), "two controllers have the same host_name".into());
+        check(
+            hosts.windows(2).all(|w| w[0] != w[1]),
+            "two controllers have the same host_name".into(),
+        );
         check(hosts.len() <= 200, "more than 200 controllers".into());
         for zone in self.seeds.iter().map(|s| &s.zone).chain([&self.zone]) {
-            check(c.zones.contains(zone), format!("zone {zone} is not in cluster.zones"));
+            check(
+                c.zones.contains(zone),
+                format!("zone {zone} is not in cluster.zones"),
+            );
         }
         let mut names: Vec<&str> = c.teams.iter().map(|t| t.name.as_str()).collect();
         names.sort_unstable();
-        check(names.windows(2).all(|w| w[0] != w[1]), "two teams have the same name".into());
+        check(
+            names.windows(2).all(|w| w[0] != w[1]),
+            "two teams have the same name".into(),
+        );
         for t in &c.teams {
             for (what, min, max) in [("cpus", t.cpus, t.cpus_max), ("gpus", t.gpus, t.gpus_max)] {
-                check(min.is_finite() && max.is_finite() && min >= 0.0 && max >= 0.0, format!("team {}: {what} must be 0 or more", t.name));
-                check(max == 0.0 || min <= max, format!("team {}: {what} is over {what}_max", t.name));
+                check(
+                    min.is_finite() && max.is_finite() && min >= 0.0 && max >= 0.0,
+                    format!("team {}: {what} must be 0 or more", t.name),
+                );
+                check(
+                    max == 0.0 || min <= max,
+                    format!("team {}: {what} is over {what}_max", t.name),
+                );
             }
         }
         let w = &c.workers;
@@ -238,18 +260,46 @@
             ("limits.cpu_share", c.limits.cpu_share),
             ("limits.mem_mb", c.limits.mem_mb),
         ] {
-            check(value.is_finite() && value > 0.0, format!("cluster.{what} must be over 0"));
+            check(
+                value.is_finite() && value > 0.0,
+                format!("cluster.{what} must be over 0"),
+            );
         }
         let next = c.state.next();
-        for (what, value) in [("rps", next.rps), ("write_rps", next.write_rps), ("value_kb", next.value_kb)] {
-            check(value.is_none_or(|value| value.is_finite() && value > 0.0), format!("cluster.state.next.{what} must be over 0"));
+        for (what, value) in [
+            ("rps", next.rps),
+            ("write_rps", next.write_rps),
+            ("value_kb", next.value_kb),
+        ] {
+            check(
+                value.is_none_or(|value| value.is_finite() && value > 0.0),
+                format!("cluster.state.next.{what} must be over 0"),
+            );
         }
-        check(c.cloud.list_lag_s >= 0.0, "cluster.cloud.list_lag_s must be 0 or more".into());
-        check(w.lease_s > w.report_s, "cluster.workers.lease_s must be over report_s".into());
-        check(w.cancel_s > w.lease_s, "cluster.workers.cancel_s must be over lease_s".into());
-        check(c.state.txn_ops >= 4, "cluster.state.txn_ops must be 4 or more".into());
-        check(next.txn_ops.is_none_or(|ops| ops >= 4), "cluster.state.next.txn_ops must be 4 or more".into());
-        check(c.limits.fd_limit >= 64, "cluster.limits.fd_limit must be 64 or more".into());
+        check(
+            c.cloud.list_lag_s >= 0.0,
+            "cluster.cloud.list_lag_s must be 0 or more".into(),
+        );
+        check(
+            w.lease_s > w.report_s,
+            "cluster.workers.lease_s must be over report_s".into(),
+        );
+        check(
+            w.cancel_s > w.lease_s,
+            "cluster.workers.cancel_s must be over lease_s".into(),
+        );
+        check(
+            c.state.txn_ops >= 4,
+            "cluster.state.txn_ops must be 4 or more".into(),
+        );
+        check(
+            next.txn_ops.is_none_or(|ops| ops >= 4),
+            "cluster.state.next.txn_ops must be 4 or more".into(),
+        );
+        check(
+            c.limits.fd_limit >= 64,
+            "cluster.limits.fd_limit must be 64 or more".into(),
+        );
         faults
     }
 
@@ -259,8 +309,16 @@
         let mut members: Vec<Member> = self
             .seeds
             .iter()
-            .map(|s| Member { host: s.host_name.clone(), zone: s.zone.clone(), address: s.address })
-            .chain([Member { host: self.host_name.clone(), zone: self.zone.clone(), address: self.internal_addr }])
+            .map(|s| Member {
+                host: s.host_name.clone(),
+                zone: s.zone.clone(),
+                address: s.address,
+            })
+            .chain([Member {
+                host: self.host_name.clone(),
+                zone: self.zone.clone(),
+                address: self.internal_addr,
+            }])
             .collect();
         members.sort_by(|a, b| a.host.cmp(&b.host));
         members
@@ -302,12 +360,27 @@
             Err(error) => error,
         };
         let what = error.inner().to_string();
-        let missing = what.strip_prefix("missing field `").and_then(|rest| rest.split('`').next()).map(str::to_owned);
+        let missing = what
+            .strip_prefix("missing field `")
+            .and_then(|rest| rest.split('`').next())
+            .map(str::to_owned);
         let mut path: Vec<Segment> = error.path().iter().cloned().collect();
         path.extend(missing.clone().map(|key| Segment::Map { key }));
-        let name = path.iter().map(Segment::to_string).collect::<Vec<_>>().join(".").replace(".[", "[");
+        let name = path
+            .iter()
+            .map(Segment::to_string)
+            .collect::<Vec<_>>()
+            .join(".")
+            .replace(".[", "[");
         let name = if name.is_empty() { "settings" } else { &name };
-        faults.push(format!("{name}: {}", if missing.is_some() { "is missing" } else { &what }));
+        faults.push(format!(
+            "{name}: {}",
+            if missing.is_some() {
+                "is missing"
+            } else {
+                &what
+            }
+        ));
         if !mend(&mut value, &pattern, &path) {
             break;
         }
@@ -323,17 +396,22 @@
     };
     match (first, value, pattern) {
         (Segment::Map { key }, Value::Object(map), Value::Object(good)) => {
-            let Some(good) = good.get(key) else { return false };
+            let Some(good) = good.get(key) else {
+                return false;
+            };
             if rest.is_empty() {
                 map.insert(key.clone(), good.clone());
                 return true;
             }
-            map.get_mut(key).is_some_and(|inner| mend(inner, good, rest))
+            map.get_mut(key)
+                .is_some_and(|inner| mend(inner, good, rest))
+        }
+        (Segment::Seq { index }, Value::Array(list), Value::Array(good)) => {
+            match (list.get_mut(*index), good.first()) {
+                (Some(inner), Some(good)) => mend(inner, good, rest),
+                _ => false,
+            }
         }
-        (Segment::Seq { index }, Value::Array(list), Value::Array(good)) => match (list.get_mut(*index), good.first()) {
-            (Some(inner), Some(good)) => mend(inner, good, rest),
-            _ => false,
-        },
         _ => false,
     }
 }
--- a/crates/node/src/carry.rs
+++ b/crates/node/src/carry.rs
@@ -12,7 +12,9 @@
 use lemonweir_coordination::placer::{TxnOutcome, TxnVerdict};
 use lemonweir_coordination::{Effect, keys_to_reread, mail_piece_bytes};
 use lemonweir_model::constants::*;
-use lemonweir_protocol::links::{self, CARRY, Carry, Goal, HAIL, LINKS_VERSION, REPORTS, Reports, Service, Word};
+use lemonweir_protocol::links::{
+    self, CARRY, Carry, Goal, HAIL, LINKS_VERSION, REPORTS, Reports, Service, Word,
+};
 use lemonweir_protocol::peer::{self, Superseded, Sync, View};
 use lemonweir_protocol::state::Txn;
 use lemonweir_protocol::worker::Report;
@@ -57,11 +59,25 @@
                 }
             }
             Effect::MailSync(sync) => {
-                let line = MailLine { kind: MailKind::Sync, from: sync.from, to: sync.to };
-                mail(&node, line, (sync.from_token, sync.seq), &peer::write(&sync)).await;
+                let line = MailLine {
+                    kind: MailKind::Sync,
+                    from: sync.from,
+                    to: sync.to,
+                };
+                mail(
+                    &node,
+                    line,
+                    (sync.from_token, sync.seq),
+                    &peer::write(&sync),
+                )
+                .await;
             }
             Effect::MailView(to, view) => {
-                let line = MailLine { kind: MailKind::View, from: view.part, to };
+                let line = MailLine {
+                    kind: MailKind::View,
+                    from: view.part,
+                    to,
+                };
                 mail(&node, line, (view.token, view.seq), &peer::write(&view)).await;
             }
             Effect::Nudge(part) => nudge(&node, part).await,
@@ -81,7 +97,9 @@
             Effect::Hail(host, word) => {
                 let answer = hail(&node, host, &word).await;
                 let now = node.now();
-                node.core().links.hailed(host, answer.is_some(), answer.flatten(), now);
+                node.core()
+                    .links
+                    .hailed(host, answer.is_some(), answer.flatten(), now);
             }
             Effect::Probe(service) => {
                 // Reads what is there anyway; only whether it answers counts.
@@ -89,7 +107,10 @@
                     Service::Store => (format!("/store/{}", part_key(0)), STATE_TIMEOUT_MS),
                     Service::Cloud => ("/catalog".to_owned(), CLOUD_TIMEOUT_MS),
                 };
-                let _ = node.courier.call_direct(service, "GET", &path, &[], wait_ms).await;
+                let _ = node
+                    .courier
+                    .call_direct(service, "GET", &path, &[], wait_ms)
+                    .await;
             }
         }
         node.poke();
@@ -123,7 +144,11 @@
         Ok(TxnResult::Conflict(keys)) => TxnOutcome::Conflict(keys),
         Err(error) => {
             if error == StateError::Refused {
-                error!(part = lot.part, writes = txn.writes.len(), "the store refused a transaction as malformed");
+                error!(
+                    part = lot.part,
+                    writes = txn.writes.len(),
+                    "the store refused a transaction as malformed"
+                );
                 TxnOutcome::Refused
             } else {
                 // Whether it was made or not, the same change is tried again under
@@ -142,7 +167,9 @@
                 let version = loop {
                     match node.state.get(key).await {
                         Ok(entry) => break entry.map_or(0, |e| e.version),
-                        Err(_) => smol::Timer::after(std::time::Duration::from_millis(2 * TICK_MS)).await,
+                        Err(_) => {
+                            smol::Timer::after(std::time::Duration::from_millis(2 * TICK_MS)).await
+                        }
                     };
                 };
                 versions.push((key.to_owned(), version));
@@ -170,11 +197,27 @@
     debug!(machine = %call.machine, through = ?call.through, orders = ?call.commands.orders, "orders");
     let (path, body) = ("/commands", encode(&call.commands));
     let answer = match call.through {
-        None => node.http.call(call.addr, "POST", path, &body, COMMAND_TIMEOUT_MS).await,
+        None => {
+            node.http
+                .call(call.addr, "POST", path, &body, COMMAND_TIMEOUT_MS)
+                .await
+        }
         Some(by) => {
             let goal = Goal::Worker(call.addr.to_string());
             let (method, path) = ("POST".to_owned(), path.to_owned());
-            node.courier.ask(by, &Carry { version: LINKS_VERSION, goal, method, path, body, wait_ms: COMMAND_TIMEOUT_MS }).await
+            node.courier
+                .ask(
+                    by,
+                    &Carry {
+                        version: LINKS_VERSION,
+                        goal,
+                        method,
+                        path,
+                        body,
+                        wait_ms: COMMAND_TIMEOUT_MS,
+                    },
+                )
+                .await
         }
     };
     match answer {
@@ -193,14 +236,32 @@
 /// says of its own, if it does.
 async fn hail(node: &Node, host: u16, word: &Word) -> Option<Option<Word>> {
     let addr = *node.courier.peers.get(&host)?;
-    let response = node.http.call(addr, "POST", HAIL, &links::write(word), SYNC_TIMEOUT_MS).await.ok()?;
-    Some(links::read::<Word>(&response.body).ok().filter(|_| response.status == 200))
+    let response = node
+        .http
+        .call(addr, "POST", HAIL, &links::write(word), SYNC_TIMEOUT_MS)
+        .await
+        .ok()?;
+    Some(
+        links::read::<Word>(&response.body)
+            .ok()
+            .filter(|_| response.status == 200),
+    )
 }
 
 async fn send_sync(node: &Node, sync: &Sync) -> Option<View> {
     let host = node.core().mirror.parts.get(&sync.to)?.host.clone();
     let addr = peer_address(node, &host)?;
-    let response = node.http.call(addr, "POST", "/peer/sync", &peer::write(sync), SYNC_TIMEOUT_MS).await.ok()?;
+    let response = node
+        .http
+        .call(
+            addr,
+            "POST",
+            "/peer/sync",
+            &peer::write(sync),
+            SYNC_TIMEOUT_MS,
+        )
+        .await
+        .ok()?;
     if response.status == 409
         && let Ok(by) = peer::read::<Superseded>(&response.body)
     {
@@ -209,7 +270,12 @@
         return None;
     }
     if response.status != 200 {
-        debug!(part = sync.from, to = sync.to, status = response.status, "sync refused");
+        debug!(
+            part = sync.from,
+            to = sync.to,
+            status = response.status,
+            "sync refused"
+        );
         return None;
     }
     match peer::read::<View>(&response.body) {
@@ -242,7 +308,10 @@
 async fn nudge(node: &Node, part: u16) {
     let Some((host, from)) = ({
         let core = node.core();
-        core.mirror.parts.get(&part).map(|h| (h.host.clone(), core.held()))
+        core.mirror
+            .parts
+            .get(&part)
+            .map(|h| (h.host.clone(), core.held()))
     }) else {
         return;
     };
@@ -251,7 +320,16 @@
     };
     for lot in from {
         // Only a hint: the regular sync comes anyway.
-        let _ = node.http.call(addr, "POST", &format!("/peer/nudge/{part}/{}", lot.part), &[], SYNC_TIMEOUT_MS).await;
+        let _ = node
+            .http
+            .call(
+                addr,
+                "POST",
+                &format!("/peer/nudge/{part}/{}", lot.part),
+                &[],
+                SYNC_TIMEOUT_MS,
+            )
+            .await;
     }
 }
 
@@ -295,13 +373,18 @@
                 let now = node.now();
                 Reply::new(200, links::write(&node.core().links.hail_in(word, now)))
             }),
-            ("POST", REPORTS) => understood(links::read::<Reports>(&request.body), |reports| take_reports(node, &reports)),
+            ("POST", REPORTS) => understood(links::read::<Reports>(&request.body), |reports| {
+                take_reports(node, &reports)
+            }),
             ("POST", CARRY) => match links::read::<Carry>(&request.body) {
                 Ok(call) => node.courier.carry(&call).await,
                 Err(fault) => understood(Err(fault), |()| Reply::empty(500)),
             },
             ("POST", path) if path.starts_with("/peer/nudge/") => {
-                let mut numbers = path.trim_start_matches("/peer/nudge/").split('/').map(str::parse::<u16>);
+                let mut numbers = path
+                    .trim_start_matches("/peer/nudge/")
+                    .split('/')
+                    .map(str::parse::<u16>);
                 match (numbers.next(), numbers.next()) {
                     (Some(Ok(part)), Some(Ok(from))) => {
                         node.core().nudged(part, from);
@@ -315,7 +398,10 @@
                 // A job was accepted elsewhere: read it now rather than at the
                 // next regular reading.
                 let node = node.clone();
-                node.clone().executor.spawn(async move { node.fresh().await }).detach();
+                node.clone()
+                    .executor
+                    .spawn(async move { node.fresh().await })
+                    .detach();
                 Reply::empty(200)
             }
             _ => Reply::empty(404),
--- a/crates/node/src/cloud.rs
+++ b/crates/node/src/cloud.rs
@@ -11,7 +11,9 @@
 use lemonweir_coordination::RentResult;
 use lemonweir_model::constants::*;
 use lemonweir_model::{Catalog, MachineId};
-use lemonweir_protocol::cloud::{CatalogReply, CloudFault, Machines, Rental, RentalEntry, RentalList};
+use lemonweir_protocol::cloud::{
+    CatalogReply, CloudFault, Machines, Rental, RentalEntry, RentalList,
+};
 use lemonweir_protocol::links::Service;
 use lemonweir_protocol::{decode, encode};
 
@@ -26,8 +28,13 @@
 impl CloudClient {
     /// A client that shares this many requests a second with the other nodes.
     pub(crate) fn new(courier: Rc<Courier>, per_s: f64, nodes: usize) -> Self {
-        let list_gap = Duration::from_secs_f64(nodes as f64 / per_s.max(f64::MIN_POSITIVE) / LIST_SHARE);
-        Self { courier, budget: Budget::new(per_s, nodes), list_gap }
+        let list_gap =
+            Duration::from_secs_f64(nodes as f64 / per_s.max(f64::MIN_POSITIVE) / LIST_SHARE);
+        Self {
+            courier,
+            budget: Budget::new(per_s, nodes),
+            list_gap,
+        }
     }
 
     async fn call(&self, method: &str, path: &str, body: &[u8]) -> Option<(u16, Vec<u8>)> {
@@ -35,7 +42,11 @@
         if !wait.is_zero() {
             smol::Timer::after(wait).await;
         }
-        let response = self.courier.call(Service::Cloud, method, path, body, CLOUD_TIMEOUT_MS).await.ok()?;
+        let response = self
+            .courier
+            .call(Service::Cloud, method, path, body, CLOUD_TIMEOUT_MS)
+            .await
+            .ok()?;
         if response.status == 429 {
             self.budget.refused();
         }
@@ -52,7 +63,11 @@
                     RentResult::Again
                 }
             },
-            Some((503, body)) if decode::<CloudFault>(&body).is_ok_and(|f| f.error == "no capacity") => RentResult::NoCapacity,
+            Some((503, body))
+                if decode::<CloudFault>(&body).is_ok_and(|f| f.error == "no capacity") =>
+            {
+                RentResult::NoCapacity
+            }
             Some((400, _)) => {
                 tracing::error!(?rental, "the cloud refused a rental as malformed");
                 RentResult::NoCapacity
@@ -63,14 +78,26 @@
 
     /// Gives machines back; true once they are surely gone.
     pub async fn release(&self, machines: &[MachineId]) -> bool {
-        matches!(self.call("POST", "/rentals/release", &encode(&Machines { machines: machines.to_vec() })).await, Some((200, _)))
+        matches!(
+            self.call(
+                "POST",
+                "/rentals/release",
+                &encode(&Machines {
+                    machines: machines.to_vec()
+                })
+            )
+            .await,
+            Some((200, _))
+        )
     }
 
     async fn catalog(&self) -> Option<Catalog> {
         match self.call("GET", "/catalog", &[]).await {
             Some((200, body)) => {
                 let (catalog, faults) = decode::<CatalogReply>(&body).ok()?.into_catalog();
-                faults.iter().for_each(|fault| warn!(fault, "machine type not understood"));
+                faults
+                    .iter()
+                    .for_each(|fault| warn!(fault, "machine type not understood"));
                 Some(catalog)
             }
             _ => None,
@@ -80,14 +107,22 @@
     async fn list(&self) -> Option<Vec<RentalEntry>> {
         let mut all: Vec<RentalEntry> = Vec::new();
         loop {
-            let after = all.last().map(|m| format!("after={}&", m.id)).unwrap_or_default();
-            let (200, body) = self.call("GET", &format!("/rentals?{after}limit={LIST_PAGE}"), &[]).await? else {
+            let after = all
+                .last()
+                .map(|m| format!("after={}&", m.id))
+                .unwrap_or_default();
+            let (200, body) = self
+                .call("GET", &format!("/rentals?{after}limit={LIST_PAGE}"), &[])
+                .await?
+            else {
                 return None;
             };
             let page: RentalList = decode(&body).ok()?;
             let more = page.more;
             let (entries, faults) = page.entries();
-            faults.iter().for_each(|fault| warn!(fault, "entry of the rental list not understood"));
+            faults
+                .iter()
+                .for_each(|fault| warn!(fault, "entry of the rental list not understood"));
             let empty = entries.is_empty();
             all.extend(entries);
             if !more || empty {
@@ -125,6 +160,7 @@
             node.core().listed(&entries, now);
             pages = entries.len() as u32 / LIST_PAGE + 1;
         }
-        smol::Timer::after(Duration::from_millis(LIST_EVERY_MS).max(node.cloud.list_gap * pages)).await;
+        smol::Timer::after(Duration::from_millis(LIST_EVERY_MS).max(node.cloud.list_gap * pages))
+            .await;
     }
 }
--- a/crates/node/src/holds.rs
+++ b/crates/node/src/holds.rs
@@ -15,7 +15,8 @@
 use lemonweir_protocol::state::from_value;
 use lemonweir_storage::packed::read_chunk;
 use lemonweir_storage::records::{
-    ChunkRecord, ImagesRecord, assign_teams, images_prefix, parse_images_key, parse_run_key, run_prefix, show_node,
+    ChunkRecord, ImagesRecord, assign_teams, images_prefix, parse_images_key, parse_run_key,
+    run_prefix, show_node,
 };
 
 /// Keeps the hold alive, for ever. Nothing else is waited for here.
@@ -51,7 +52,12 @@
             },
             _ => {}
         }
-        smol::Timer::after(Duration::from_millis(if node.hold.get() == 0 { 5 * TICK_MS } else { 2 * TICK_MS })).await;
+        smol::Timer::after(Duration::from_millis(if node.hold.get() == 0 {
+            5 * TICK_MS
+        } else {
+            2 * TICK_MS
+        }))
+        .await;
     }
 }
 
@@ -73,10 +79,22 @@
 
 /// Does what is due with this hold. `shown`: the hold that the presence was last shown
 /// with.
-async fn tend(node: &Rc<Node>, hold: u64, shown: &mut u64, membership: &mut Membership) -> Result<(), StateError> {
+async fn tend(
+    node: &Rc<Node>,
+    hold: u64,
+    shown: &mut u64,
+    membership: &mut Membership,
+) -> Result<(), StateError> {
     if *shown != hold {
         let left = membership.left(&node.core(), node.now());
-        node.state.txn(&show_node(&node.settings.host_name, &node.settings.zone, hold, left)).await?;
+        node.state
+            .txn(&show_node(
+                &node.settings.host_name,
+                &node.settings.zone,
+                hold,
+                left,
+            ))
+            .await?;
         *shown = hold;
     }
     teams(node).await;
@@ -113,7 +131,10 @@
                 give_up(node, lot).await;
             }
             (Claim::Leave(lot), TxnResult::Done(_)) => {
-                warn!(part = lot.part, "its machines reach other nodes but not this one; leaving the part to them");
+                warn!(
+                    part = lot.part,
+                    "its machines reach other nodes but not this one; leaving the part to them"
+                );
                 give_up(node, lot).await;
             }
         }
@@ -127,7 +148,14 @@
     }
     let unshown = membership.unshown(&node.core(), now);
     if let Some(left) = unshown {
-        node.state.txn(&show_node(&node.settings.host_name, &node.settings.zone, hold, left)).await?;
+        node.state
+            .txn(&show_node(
+                &node.settings.host_name,
+                &node.settings.zone,
+                hold,
+                left,
+            ))
+            .await?;
         node.fresh().await;
     }
     Ok(())
@@ -152,7 +180,13 @@
         }
         smol::Timer::after(Duration::from_millis(2 * TICK_MS)).await;
         let core = node.core();
-        if core.mirror.revision >= Some(token) && core.mirror.parts.get(&index).is_none_or(|h| h.token != token) {
+        if core.mirror.revision >= Some(token)
+            && core
+                .mirror
+                .parts
+                .get(&index)
+                .is_none_or(|h| h.token != token)
+        {
             return;
         }
     };
@@ -162,7 +196,12 @@
     }
     let now = node.now();
     let mut core = node.core();
-    if core.mirror.parts.get(&index).is_some_and(|h| h.token == token) {
+    if core
+        .mirror
+        .parts
+        .get(&index)
+        .is_some_and(|h| h.token == token)
+    {
         core.adopt(Lot { part: index, token }, &chunks, images, now);
     }
     drop(core);
@@ -177,7 +216,9 @@
     let (entries, _) = node.state.list(&run_prefix(index)).await?;
     let mut chunks: Chunks = Vec::with_capacity(entries.len());
     for e in &entries {
-        let record = |(job, chunk): (JobId, u32)| Some((job, chunk, read_chunk(&e.value, chunk)?, e.version));
+        let record = |(job, chunk): (JobId, u32)| {
+            Some((job, chunk, read_chunk(&e.value, chunk)?, e.version))
+        };
         match parse_run_key(&e.key).and_then(record) {
             Some(record) => chunks.push(record),
             None => tracing::error!(key = e.key, "task record not understood"),
@@ -186,7 +227,10 @@
     let (entries, _) = node.state.list(&images_prefix(index)).await?;
     let mut images: BTreeMap<usize, ImagesRecord> = BTreeMap::new();
     for e in &entries {
-        match (parse_images_key(&e.key), from_value::<ImagesRecord>(&e.value)) {
+        match (
+            parse_images_key(&e.key),
+            from_value::<ImagesRecord>(&e.value),
+        ) {
             (Some(page), Some(record)) => drop(images.insert(page, record)),
             // Only a hint: a page that is not understood is written anew.
             _ => tracing::info!(key = e.key, "note of images not understood"),
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -91,13 +91,19 @@
         if self.fresh_wanted.try_send(done).is_err() {
             return false;
         }
-        within(USER_TIMEOUT_MS, wait.recv()).await.and_then(Result::ok).unwrap_or(false)
+        within(USER_TIMEOUT_MS, wait.recv())
+            .await
+            .and_then(Result::ok)
+            .unwrap_or(false)
     }
 }
 
 /// The time of day, ms since 1970.
 fn wall_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO).as_millis() as u64
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or(Duration::ZERO)
+        .as_millis() as u64
 }
 
 /// Runs a controller until the process is killed.
@@ -171,7 +177,11 @@
         for effect in effects {
             carry::carry(&node, effect);
         }
-        let wait = if node.core().hurried(now) { SHORT_TICK_MS } else { TICK_MS };
+        let wait = if node.core().hurried(now) {
+            SHORT_TICK_MS
+        } else {
+            TICK_MS
+        };
         let before = node.now();
         within(wait, requests.recv()).await;
         let after = node.now();
@@ -226,7 +236,9 @@
         match node.state.changes(FOLLOWED, after).await {
             Ok(changes) => {
                 let now = node.now();
-                node.core().mirror.apply(&changes.events, changes.revision, now);
+                node.core()
+                    .mirror
+                    .apply(&changes.events, changes.revision, now);
                 return Ok(!changes.events.is_empty());
             }
             Err(StateError::TooOld) => warn!("changes too old; reading all keys again"),
@@ -243,5 +255,9 @@
 
 /// Address on which a controller takes messages of others.
 fn peer_address(node: &Node, host: &str) -> Option<SocketAddr> {
-    node.settings.seeds.iter().find(|s| s.host_name == host).map(|s| s.address)
+    node.settings
+        .seeds
+        .iter()
+        .find(|s| s.host_name == host)
+        .map(|s| s.address)
 }
--- a/crates/node/src/lookups.rs
+++ b/crates/node/src/lookups.rs
@@ -15,7 +15,9 @@
 use lemonweir_protocol::state::from_value;
 use lemonweir_protocol::users::Phase;
 use lemonweir_storage::chains::chain_key;
-use lemonweir_storage::records::{ABSENT_CONDITIONS, END_PREFIX, EndRecord, absent, end_key, job_key};
+use lemonweir_storage::records::{
+    ABSENT_CONDITIONS, END_PREFIX, EndRecord, absent, end_key, job_key,
+};
 use lemonweir_transport::within;
 
 /// What the store says of an id.
@@ -48,7 +50,10 @@
 
 impl Default for Lookups {
     fn default() -> Self {
-        Self { line: Line::new(LOOKUPS_MOST), running: false }
+        Self {
+            line: Line::new(LOOKUPS_MOST),
+            running: false,
+        }
     }
 }
 
@@ -75,9 +80,14 @@
     };
     if start {
         let node2 = node.clone();
-        node.executor.spawn(async move { run(&node2).await }).detach();
+        node.executor
+            .spawn(async move { run(&node2).await })
+            .detach();
     }
-    within(USER_TIMEOUT_MS, answered.recv()).await.and_then(Result::ok).unwrap_or(Err(Missed::Store))
+    within(USER_TIMEOUT_MS, answered.recv())
+        .await
+        .and_then(Result::ok)
+        .unwrap_or(Err(Missed::Store))
 }
 
 /// Works off what waits, some ids at a time.
@@ -95,7 +105,9 @@
             asked
         };
         let node2 = node.clone();
-        node.executor.spawn(async move { ask(&node2, asked).await }).detach();
+        node.executor
+            .spawn(async move { ask(&node2, asked).await })
+            .detach();
         smol::Timer::after(Duration::from_millis(LOOKUP_GAP_MS)).await;
     }
 }
@@ -111,8 +123,12 @@
     for (id, senders) in asked {
         let fate = match &there {
             Err(_) => Err(Missed::Store),
-            Ok(keys) if keys.contains(&end_key(&id)) => end(node, &id).await.map_err(|_| Missed::Store),
-            Ok(keys) if keys.contains(&job_key(&id)) || keys.contains(&chain_key(&id)) => Ok(Found::Unfinished),
+            Ok(keys) if keys.contains(&end_key(&id)) => {
+                end(node, &id).await.map_err(|_| Missed::Store)
+            }
+            Ok(keys) if keys.contains(&job_key(&id)) || keys.contains(&chain_key(&id)) => {
+                Ok(Found::Unfinished)
+            }
             Ok(_) => Ok(Found::Nowhere),
         };
         for sender in senders {
@@ -139,10 +155,19 @@
     let now = node.now();
     let mut core = node.core();
     for entry in page {
-        match (entry.key.strip_prefix(END_PREFIX), from_value::<EndRecord>(&entry.value)) {
-            (Some(id), Some(record)) => core.mirror.settle(&JobId::from(id), record.phase, entry.version, now),
+        match (
+            entry.key.strip_prefix(END_PREFIX),
+            from_value::<EndRecord>(&entry.value),
+        ) {
+            (Some(id), Some(record)) => {
+                core.mirror
+                    .settle(&JobId::from(id), record.phase, entry.version, now)
+            }
             _ => tracing::error!(key = entry.key, "end not understood"),
         }
     }
-    core.mirror.end(id).map(|end| Found::Over(end.phase)).ok_or(StateError::Refused)
+    core.mirror
+        .end(id)
+        .map(|end| Found::Over(end.phase))
+        .ok_or(StateError::Refused)
 }
--- a/crates/node/src/route.rs
+++ b/crates/node/src/route.rs
@@ -14,7 +14,9 @@
 use lemonweir_coordination::{Core, ReportAnswer};
 use lemonweir_model::constants::*;
 use lemonweir_protocol::encode;
-use lemonweir_protocol::links::{self, Answers, CARRY, Carried, Carry, Fate, Goal, LINKS_VERSION, REPORTS, Reports, Service};
+use lemonweir_protocol::links::{
+    self, Answers, CARRY, Carried, Carry, Fate, Goal, LINKS_VERSION, REPORTS, Reports, Service,
+};
 use lemonweir_protocol::worker::{Elsewhere, Report};
 use lemonweir_transport::{CallError, Client, Reply, Response, within};
 
@@ -47,7 +49,14 @@
 
     /// Calls a service. An answer that it is in trouble counts as none for the
     /// way: others may still be served.
-    pub(crate) async fn call(&self, service: Service, method: &str, path: &str, body: &[u8], wait_ms: u64) -> Result<Response, CallError> {
+    pub(crate) async fn call(
+        &self,
+        service: Service,
+        method: &str,
+        path: &str,
+        body: &[u8],
+        wait_ms: u64,
+    ) -> Result<Response, CallError> {
         let now = self.now();
         let by = self.core().links.route(service, body.len(), now);
         let Some(by) = by else {
@@ -79,7 +88,10 @@
         wait_ms: u64,
     ) -> Result<Response, CallError> {
         let began = self.now();
-        let result = self.http.call(self.address(service), method, path, body, wait_ms).await;
+        let result = self
+            .http
+            .call(self.address(service), method, path, body, wait_ms)
+            .await;
         self.took(service, began, result.is_ok());
         let good = result.as_ref().is_ok_and(|r| served(service, r.status));
         let now = self.now();
@@ -90,7 +102,9 @@
     fn took(&self, service: Service, began: u64, answered: bool) {
         let now = self.now();
         if answered {
-            self.core().links.took(service, now.saturating_sub(began), now);
+            self.core()
+                .links
+                .took(service, now.saturating_sub(began), now);
         }
     }
 
@@ -98,15 +112,34 @@
     pub(crate) async fn ask(&self, by: u16, call: &Carry) -> Result<Response, CallError> {
         let addr = self.peers.get(&by).copied().ok_or(CallError::NotSent)?;
         // A moment for the second message on top of what the first may take.
-        let response = self.http.call(addr, "POST", CARRY, &links::write(call), call.wait_ms + TICK_MS).await?;
+        let response = self
+            .http
+            .call(
+                addr,
+                "POST",
+                CARRY,
+                &links::write(call),
+                call.wait_ms + TICK_MS,
+            )
+            .await?;
         if response.status != 200 {
             // Not taken: it is not in a state to carry, or doesn't know how.
             return Err(CallError::NotSent);
         }
         match links::read::<Carried>(&response.body) {
-            Ok(Carried { fate: Fate::Answer { status, body }, .. }) => Ok(Response { status, body }),
-            Ok(Carried { fate: Fate::NotSent, .. }) => Err(CallError::NotSent),
-            Ok(Carried { fate: Fate::Unknown, .. }) | Err(_) => Err(CallError::Unknown),
+            Ok(Carried {
+                fate: Fate::Answer { status, body },
+                ..
+            }) => Ok(Response { status, body }),
+            Ok(Carried {
+                fate: Fate::NotSent,
+                ..
+            }) => Err(CallError::NotSent),
+            Ok(Carried {
+                fate: Fate::Unknown,
+                ..
+            })
+            | Err(_) => Err(CallError::Unknown),
         }
     }
 
@@ -119,19 +152,33 @@
                 if !self.core().links.carries(*service) {
                     return Reply::empty(503);
                 }
-                self.call_direct(*service, &call.method, &call.path, &call.body, wait_ms).await
+                self.call_direct(*service, &call.method, &call.path, &call.body, wait_ms)
+                    .await
             }
             Goal::Worker(addr) => match addr.parse() {
-                Ok(addr) if call.path == "/commands" => self.http.call(addr, &call.method, &call.path, &call.body, wait_ms).await,
+                Ok(addr) if call.path == "/commands" => {
+                    self.http
+                        .call(addr, &call.method, &call.path, &call.body, wait_ms)
+                        .await
+                }
                 _ => return Reply::empty(400),
             },
         };
         let fate = match result {
-            Ok(response) => Fate::Answer { status: response.status, body: response.body },
+            Ok(response) => Fate::Answer {
+                status: response.status,
+                body: response.body,
+            },
             Err(CallError::NotSent) => Fate::NotSent,
             Err(CallError::Unknown) => Fate::Unknown,
         };
-        Reply::new(200, links::write(&Carried { version: LINKS_VERSION, fate }))
+        Reply::new(
+            200,
+            links::write(&Carried {
+                version: LINKS_VERSION,
+                fate,
+            }),
+        )
     }
 }
 
@@ -163,7 +210,9 @@
     };
     if first {
         let node2 = node.clone();
-        node.executor.spawn(async move { send_gathered(&node2, to).await }).detach();
+        node.executor
+            .spawn(async move { send_gathered(&node2, to).await })
+            .detach();
     }
     match within(CARRY_REPORT_MS + GATHER_MS, answered.recv()).await {
         Some(Ok((status, body))) => Reply::new(status, body),
@@ -174,21 +223,37 @@
 /// Sends what has gathered within a moment, in messages of a bounded size.
 async fn send_gathered(node: &Rc<Node>, to: u16) {
     smol::Timer::after(Duration::from_millis(GATHER_MS)).await;
-    let mut all = node.gathered.borrow_mut().waiting.remove(&to).unwrap_or_default();
+    let mut all = node
+        .gathered
+        .borrow_mut()
+        .waiting
+        .remove(&to)
+        .unwrap_or_default();
     while !all.is_empty() {
         let rest = all.split_off(all.len().min(GATHER_MOST));
         let batch = std::mem::replace(&mut all, rest);
         let node = node.clone();
-        node.clone().executor.spawn(async move { send_batch(&node, to, batch).await }).detach();
+        node.clone()
+            .executor
+            .spawn(async move { send_batch(&node, to, batch).await })
+            .detach();
     }
 }
 
 async fn send_batch(node: &Node, to: u16, batch: Vec<Waiting>) {
     let (reports, senders): (Vec<Vec<u8>>, Vec<_>) = batch.into_iter().unzip();
     let by = node.core().config.me;
-    let message = links::write(&Reports { version: LINKS_VERSION, by, reports });
+    let message = links::write(&Reports {
+        version: LINKS_VERSION,
+        by,
+        reports,
+    });
     let response = match node.courier.peers.get(&to) {
-        Some(addr) => node.http.call(*addr, "POST", REPORTS, &message, CARRY_REPORT_MS).await,
+        Some(addr) => {
+            node.http
+                .call(*addr, "POST", REPORTS, &message, CARRY_REPORT_MS)
+                .await
+        }
         None => Err(CallError::NotSent),
     };
     let now = node.now();
@@ -216,7 +281,13 @@
         });
     }
     node.poke();
-    Reply::new(200, links::write(&Answers { version: LINKS_VERSION, answers }))
+    Reply::new(
+        200,
+        links::write(&Answers {
+            version: LINKS_VERSION,
+            answers,
+        }),
+    )
 }
 
 /// What a worker is answered, where nothing is to be carried.
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -57,7 +57,10 @@
 
     /// The same where the whole may fall to `least` without notice.
     pub(crate) fn falling(whole: f64, least: f64, nodes: usize) -> Self {
-        Self { bucket: RefCell::new(Bucket::new(whole, nodes, 0).falling_to(least)), started: Instant::now() }
+        Self {
+            bucket: RefCell::new(Bucket::new(whole, nodes, 0).falling_to(least)),
+            started: Instant::now(),
+        }
     }
 
     fn now_us(&self) -> u64 {
@@ -97,7 +100,11 @@
         Self {
             courier,
             requests,
-            writes: Rc::new(Budget::falling(ours(limits.write_rps), ours(limits.least_write_rps()), nodes)),
+            writes: Rc::new(Budget::falling(
+                ours(limits.write_rps),
+                ours(limits.least_write_rps()),
+                nodes,
+            )),
             started: Instant::now(),
         }
     }
@@ -108,7 +115,9 @@
 
     /// How long a change would have to wait for its turn.
     pub fn write_wait(&self) -> Duration {
-        self.writes.wait().max(Duration::from_micros(self.requests.borrow().wait(self.now_us())))
+        self.writes.wait().max(Duration::from_micros(
+            self.requests.borrow().wait(self.now_us()),
+        ))
     }
 
     /// How long a question would have to wait for its turn.
@@ -137,10 +146,14 @@
     }
 
     async fn call(&self, method: &str, path: &str, body: &[u8]) -> Result<Response, StateError> {
-        let response = self.courier.call(Service::Store, method, path, body, STATE_TIMEOUT_MS).await.map_err(|e| match e {
-            CallError::NotSent => StateError::Unavailable,
-            CallError::Unknown => StateError::Unknown,
-        })?;
+        let response = self
+            .courier
+            .call(Service::Store, method, path, body, STATE_TIMEOUT_MS)
+            .await
+            .map_err(|e| match e {
+                CallError::NotSent => StateError::Unavailable,
+                CallError::Unknown => StateError::Unknown,
+            })?;
         match response.status {
             429 => {
                 self.requests.borrow_mut().refused();
@@ -155,11 +168,24 @@
     }
 
     /// Reads some keys with a prefix, in their order, for a user's question.
-    pub(crate) async fn page(&self, prefix: &str, after: &str, limit: u32) -> Result<Vec<Entry>, StateError> {
+    pub(crate) async fn page(
+        &self,
+        prefix: &str,
+        after: &str,
+        limit: u32,
+    ) -> Result<Vec<Entry>, StateError> {
         self.question().await;
-        let response = self.call("GET", &format!("/store?under={prefix}&after={after}&limit={limit}"), &[]).await?;
+        let response = self
+            .call(
+                "GET",
+                &format!("/store?under={prefix}&after={after}&limit={limit}"),
+                &[],
+            )
+            .await?;
         match response.status {
-            200 => decode::<Page>(&response.body).map(|page| page.entries).map_err(|_| StateError::Unknown),
+            200 => decode::<Page>(&response.body)
+                .map(|page| page.entries)
+                .map_err(|_| StateError::Unknown),
             _ => Err(StateError::Refused),
         }
     }
@@ -169,7 +195,9 @@
         self.budget(0).await;
         let response = self.call("GET", &format!("/store/{key}"), &[]).await?;
         match response.status {
-            200 => decode(&response.body).map(Some).map_err(|_| StateError::Unknown),
+            200 => decode(&response.body)
+                .map(Some)
+                .map_err(|_| StateError::Unknown),
             404 => Ok(None),
             _ => Err(StateError::Refused),
         }
@@ -182,8 +210,17 @@
         let mut first = None;
         loop {
             self.budget(0).await;
-            let after = all.last().map(|e| format!("&after={}", e.key)).unwrap_or_default();
-            let response = self.call("GET", &format!("/store?under={prefix}{after}&limit={STORE_PAGE}"), &[]).await?;
+            let after = all
+                .last()
+                .map(|e| format!("&after={}", e.key))
+                .unwrap_or_default();
+            let response = self
+                .call(
+                    "GET",
+                    &format!("/store?under={prefix}{after}&limit={STORE_PAGE}"),
+                    &[],
+                )
+                .await?;
             if response.status != 200 {
                 return Err(StateError::Refused);
             }
@@ -206,25 +243,41 @@
         }
         let response = self.call("POST", "/txn", &encode(txn)).await?;
         match response.status {
-            200 => Ok(TxnResult::Done(decode::<TxnReply>(&response.body).map_err(|_| StateError::Unknown)?.revision)),
-            409 => Ok(TxnResult::Conflict(decode::<TxnReply>(&response.body).map_err(|_| StateError::Unknown)?.failed)),
-            400 if String::from_utf8_lossy(&response.body).contains("no such lease") => Err(StateError::NoHold),
+            200 => Ok(TxnResult::Done(
+                decode::<TxnReply>(&response.body)
+                    .map_err(|_| StateError::Unknown)?
+                    .revision,
+            )),
+            409 => Ok(TxnResult::Conflict(
+                decode::<TxnReply>(&response.body)
+                    .map_err(|_| StateError::Unknown)?
+                    .failed,
+            )),
+            400 if String::from_utf8_lossy(&response.body).contains("no such lease") => {
+                Err(StateError::NoHold)
+            }
             _ => Err(StateError::Refused),
         }
     }
 
     /// Gets a hold.
     pub async fn hold(&self, ttl_ms: u64) -> Result<u64, StateError> {
-        let response = self.call("POST", "/holds", &encode(&HoldRequest { ttl_ms })).await?;
+        let response = self
+            .call("POST", "/holds", &encode(&HoldRequest { ttl_ms }))
+            .await?;
         match response.status {
-            200 => decode::<HoldReply>(&response.body).map(|r| r.hold).map_err(|_| StateError::Unknown),
+            200 => decode::<HoldReply>(&response.body)
+                .map(|r| r.hold)
+                .map_err(|_| StateError::Unknown),
             _ => Err(StateError::Refused),
         }
     }
 
     /// Renews a hold.
     pub async fn renew(&self, hold: u64) -> Result<(), StateError> {
-        let response = self.call("POST", &format!("/holds/{hold}/renew"), &[]).await?;
+        let response = self
+            .call("POST", &format!("/holds/{hold}/renew"), &[])
+            .await?;
         match response.status {
             200 => Ok(()),
             404 => Err(StateError::NoHold),
@@ -235,7 +288,13 @@
     /// Reads the changes under a prefix since a revision, without waiting.
     pub async fn changes(&self, prefix: &str, after: u64) -> Result<Changes, StateError> {
         self.question().await;
-        let response = self.call("GET", &format!("/watch?under={prefix}&after={after}&waitMs=0"), &[]).await?;
+        let response = self
+            .call(
+                "GET",
+                &format!("/watch?under={prefix}&after={after}&waitMs=0"),
+                &[],
+            )
+            .await?;
         match response.status {
             200 => decode(&response.body).map_err(|_| StateError::Unknown),
             410 => Err(StateError::TooOld),
--- a/crates/node/src/web.rs
+++ b/crates/node/src/web.rs
@@ -33,12 +33,22 @@
             ("POST", "/hello") => hello(node, &request.body).await,
             ("GET", "/up") => {
                 let now = node.now();
-                if node.core().ready(now) { Reply::empty(200) } else { Reply::busy(RETRY_AFTER_S) }
+                if node.core().ready(now) {
+                    Reply::empty(200)
+                } else {
+                    Reply::busy(RETRY_AFTER_S)
+                }
             }
             ("GET", "/v1/links") => {
                 let now = node.now();
                 let core = node.core();
-                Reply::new(200, encode(&Picture { links: core.links.rows(now), carried_workers: core.links.riders(now) }))
+                Reply::new(
+                    200,
+                    encode(&Picture {
+                        links: core.links.rows(now),
+                        carried_workers: core.links.riders(now),
+                    }),
+                )
             }
             ("GET", "/v1/watch") => {
                 let now = node.now();
@@ -121,7 +131,9 @@
                 Found::Over(_) => {}
                 // Guards against a record that this process can't read, which is
                 // asked for again and again: the job is there, and unfinished.
-                Found::Unfinished if unread => return Ok(Some(JobState::plain(id.clone(), Phase::Queued))),
+                Found::Unfinished if unread => {
+                    return Ok(Some(JobState::plain(id.clone(), Phase::Queued)));
+                }
                 Found::Unfinished => {
                     unread = true;
                     if !node.fresh().await {
@@ -156,7 +168,9 @@
 
 /// The same, in the time that a user waits for an answer.
 async fn look_up_in_time(node: &Rc<Node>, id: &JobId) -> Result<Option<JobState>, Refusal> {
-    within(USER_TIMEOUT_MS, look_up(node, id)).await.unwrap_or(Err(Refusal::Store))
+    within(USER_TIMEOUT_MS, look_up(node, id))
+        .await
+        .unwrap_or(Err(Refusal::Store))
 }
 
 /// Turns a question away at once, and notes that the job is owed an answer.
@@ -172,7 +186,10 @@
     // Guards against users who stay with a node that can tell them nothing while
     // others can: the load balancer does not move open connections.
     let leave = !node.core().ready(now) || questions.first(id, now);
-    Reply { leave, ..Reply::busy(after_s) }
+    Reply {
+        leave,
+        ..Reply::busy(after_s)
+    }
 }
 
 /// A question was answered.
@@ -187,7 +204,10 @@
         smol::Timer::after(Duration::from_millis(SUMMARY_MS)).await;
         let told = node.questions.borrow_mut().told();
         if let Some((refusals, longest_ms)) = told {
-            info!(?refusals, longest_ms, "turned away; so long the same job at most");
+            info!(
+                ?refusals,
+                longest_ms, "turned away; so long the same job at most"
+            );
         }
     }
 }
@@ -197,7 +217,13 @@
         Answer::Over(phase) => Some(JobState::plain(id.clone(), phase)),
         Answer::Unfinished(phase, done, running, reason) => {
             let reason = (!reason.is_empty()).then_some(reason);
-            Some(JobState { id: id.clone(), phase, done: Some(done), running: Some(running), reason })
+            Some(JobState {
+                id: id.clone(),
+                phase,
+                done: Some(done),
+                running: Some(running),
+                reason,
+            })
         }
         Answer::OverIn(_) | Answer::Reading | Answer::Ends(_) | Answer::Unknown => None,
     }
@@ -276,7 +302,9 @@
         if first && let Ok(Some(state)) = look_up_in_time(node, &id).await {
             return answer(node, 200, &state);
         }
-        let after = RETRY_AFTER_S.max(wait.as_secs_f64().ceil() as u64).min(RETRY_AFTER_MOST_S);
+        let after = RETRY_AFTER_S
+            .max(wait.as_secs_f64().ceil() as u64)
+            .min(RETRY_AFTER_MOST_S);
         return turn_away_for(node, &id, Asked::Submission, Refusal::Writes, after);
     }
     let (txns, phase) = match admission(node, &spec).await {
@@ -336,7 +364,10 @@
         Ok(None) => {
             info!(job = %id, %awaited, "awaits a job that was never accepted");
             node.questions.borrow_mut().answered(id);
-            Reply::new(422, encode(&format!("awaits: {awaited} was never accepted")))
+            Reply::new(
+                422,
+                encode(&format!("awaits: {awaited} was never accepted")),
+            )
         }
         Err(why) => turn_away(node, id, Asked::Submission, why),
     }
@@ -354,14 +385,24 @@
 fn announce(node: &Rc<Node>, team: &str) {
     let holder = {
         let core = node.core();
-        let part = core.mirror.teams.get(team).copied().unwrap_or_else(|| core.config.default_part(team));
+        let part = core
+            .mirror
+            .teams
+            .get(team)
+            .copied()
+            .unwrap_or_else(|| core.config.default_part(team));
         core.mirror.parts.get(&part).map(|h| h.host.clone())
     };
     let node2 = node.clone();
     node.executor
         .spawn(async move {
             match holder.as_deref().and_then(|h| peer_address(&node2, h)) {
-                Some(addr) => drop(node2.http.call(addr, "POST", "/peer/jobs", &[], SYNC_TIMEOUT_MS).await),
+                Some(addr) => drop(
+                    node2
+                        .http
+                        .call(addr, "POST", "/peer/jobs", &[], SYNC_TIMEOUT_MS)
+                        .await,
+                ),
                 None => drop(node2.fresh().await),
             }
         })
@@ -389,7 +430,10 @@
         }
         let (team, cancellation) = {
             let core = node.core();
-            (core.mirror.spec(&id).map(|spec| spec.team.clone()), core.cancellation(&id))
+            (
+                core.mirror.spec(&id).map(|spec| spec.team.clone()),
+                core.cancellation(&id),
+            )
         };
         let Some(team) = team else {
             // Guards against going round for ever for a record that this process
@@ -418,7 +462,9 @@
                 // Guards against making the same change again until the copy shows it.
                 node.fresh().await;
             }
-            Ok(TxnResult::Conflict(_)) | Err(StateError::Unknown) if node.now() < deadline => drop(node.fresh().await),
+            Ok(TxnResult::Conflict(_)) | Err(StateError::Unknown) if node.now() < deadline => {
+                drop(node.fresh().await)
+            }
             _ => return turn_away(node, &id, Asked::Withdrawal, Refusal::Store),
         }
     }
--- a/crates/node/tests/holds.rs
+++ b/crates/node/tests/holds.rs
@@ -8,7 +8,9 @@
 use std::time::{Duration, Instant};
 
 use lemonweir_model::settings::Settings;
-use lemonweir_protocol::state::{Change, Changes, Entry, HoldReply, Page, Txn, TxnReply, Write, to_value};
+use lemonweir_protocol::state::{
+    Change, Changes, Entry, HoldReply, Page, Txn, TxnReply, Write, to_value,
+};
 use lemonweir_protocol::{decode, encode};
 use lemonweir_storage::records::{ChunkRecord, part_key, run_prefix};
 
@@ -38,9 +40,20 @@
 impl Store {
     fn txn(&mut self, txn: &Txn) -> (u16, Vec<u8>) {
         let version = |key: &String| self.versions.get(key).copied().unwrap_or(0);
-        let failed: Vec<String> = txn.conditions.iter().filter(|c| version(&c.key) != c.version).map(|c| c.key.clone()).collect();
+        let failed: Vec<String> = txn
+            .conditions
+            .iter()
+            .filter(|c| version(&c.key) != c.version)
+            .map(|c| c.key.clone())
+            .collect();
         if !failed.is_empty() {
-            return (409, encode(&TxnReply { failed, revision: self.revision }));
+            return (
+                409,
+                encode(&TxnReply {
+                    failed,
+                    revision: self.revision,
+                }),
+            );
         }
         self.revision += 1;
         for write in &txn.writes {
@@ -50,31 +63,63 @@
                         self.seen.push(Seen::Taking);
                     }
                     self.versions.insert(key.clone(), self.revision);
-                    Change { set: Some(key.clone()), drop: None, value: Some(value.clone()), version: self.revision }
+                    Change {
+                        set: Some(key.clone()),
+                        drop: None,
+                        value: Some(value.clone()),
+                        version: self.revision,
+                    }
                 }
                 Write::Delete { key } => {
                     self.versions.remove(key);
-                    Change { set: None, drop: Some(key.clone()), value: None, version: self.revision }
+                    Change {
+                        set: None,
+                        drop: Some(key.clone()),
+                        value: None,
+                        version: self.revision,
+                    }
                 }
             };
             self.log.push(change);
         }
-        (200, encode(&TxnReply { failed: Vec::new(), revision: self.revision }))
+        (
+            200,
+            encode(&TxnReply {
+                failed: Vec::new(),
+                revision: self.revision,
+            }),
+        )
     }
 }
 
 fn answer(store: &Mutex<Store>, method: &str, path: &str, body: &[u8]) -> (u16, Vec<u8>) {
-    let page = |entries: Vec<Entry>, more: bool, revision: u64| (200, encode(&Page { entries, more, revision }));
+    let page = |entries: Vec<Entry>, more: bool, revision: u64| {
+        (
+            200,
+            encode(&Page {
+                entries,
+                more,
+                revision,
+            }),
+        )
+    };
     if method == "GET" && path.contains(&format!("under={}", run_prefix(0))) {
         std::thread::sleep(PAGE_TAKES);
-        let asked = path.split("&after=run/0/req-000001/").nth(1).and_then(|rest| rest.split('&').next()?.parse::<usize>().ok());
+        let asked = path
+            .split("&after=run/0/req-000001/")
+            .nth(1)
+            .and_then(|rest| rest.split('&').next()?.parse::<usize>().ok());
         let n = asked.map_or(0, |last| last + 1);
         let mut store = store.lock().expect("unbroken");
         if n == REFUSED && !std::mem::replace(&mut store.refused, true) {
             return (503, Vec::new());
         }
         store.seen.push(Seen::Page(n));
-        let entry = Entry { key: format!("{}req-000001/{n}", run_prefix(0)), value: to_value(&ChunkRecord::default()), version: 1 };
+        let entry = Entry {
+            key: format!("{}req-000001/{n}", run_prefix(0)),
+            value: to_value(&ChunkRecord::default()),
+            version: 1,
+        };
         return page(vec![entry], n + 1 < PAGES, store.revision);
     }
     let mut store = store.lock().expect("unbroken");
@@ -89,9 +134,24 @@
             store.txn(&txn)
         }
         ("GET", path) if path.starts_with("/watch") => {
-            let after: u64 = path.split("after=").nth(1).and_then(|rest| rest.split('&').next()?.parse().ok()).expect("a revision");
-            let events = store.log.iter().filter(|c| c.version > after).cloned().collect();
-            (200, encode(&Changes { revision: store.revision, events }))
+            let after: u64 = path
+                .split("after=")
+                .nth(1)
+                .and_then(|rest| rest.split('&').next()?.parse().ok())
+                .expect("a revision");
+            let events = store
+                .log
+                .iter()
+                .filter(|c| c.version > after)
+                .cloned()
+                .collect();
+            (
+                200,
+                encode(&Changes {
+                    revision: store.revision,
+                    events,
+                }),
+            )
         }
         ("GET", path) if path.contains("under=") => {
             if path.contains("under=img/") {
@@ -128,7 +188,10 @@
         let mut body = vec![0; length];
         reader.read_exact(&mut body).ok()?;
         let (status, body) = answer(store, &method, &path, &body);
-        let head = format!("HTTP/1.1 {status} x\r\ncontent-length: {}\r\n\r\n", body.len());
+        let head = format!(
+            "HTTP/1.1 {status} x\r\ncontent-length: {}\r\n\r\n",
+            body.len()
+        );
         stream.write_all(&[head.as_bytes(), &body].concat()).ok()?;
     }
 }
@@ -156,7 +219,10 @@
 fn a_hold_is_renewed_while_a_part_is_read_slowly() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let port = listener.local_addr().expect("an address").port();
-    let store = Arc::new(Mutex::new(Store { revision: 1, ..Store::default() }));
+    let store = Arc::new(Mutex::new(Store {
+        revision: 1,
+        ..Store::default()
+    }));
     let shared = store.clone();
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
@@ -165,7 +231,12 @@
         }
     });
     // It runs until the test's process ends.
-    std::thread::spawn(move || lemonweir_node::run(settings(port), lemonweir_policy::embedded().expect("policy")));
+    std::thread::spawn(move || {
+        lemonweir_node::run(
+            settings(port),
+            lemonweir_policy::embedded().expect("policy"),
+        )
+    });
     let began = Instant::now();
     let seen = loop {
         std::thread::sleep(Duration::from_millis(100));
@@ -175,8 +246,15 @@
         }
         assert!(began.elapsed() < Duration::from_secs(120), "{seen:?}");
     };
-    assert_eq!(seen.iter().filter(|s| **s == Seen::Taking).count(), 1, "{seen:?}");
+    assert_eq!(
+        seen.iter().filter(|s| **s == Seen::Taking).count(),
+        1,
+        "{seen:?}"
+    );
     // In pages, each of which takes a seventh of what a hold lives.
-    let longest = seen.split(|s| *s == Seen::Renewal).map(|s| s.iter().filter(|s| matches!(s, Seen::Page(_))).count()).max();
+    let longest = seen
+        .split(|s| *s == Seen::Renewal)
+        .map(|s| s.iter().filter(|s| matches!(s, Seen::Page(_))).count())
+        .max();
     assert!(longest.is_some_and(|pages| pages <= 5), "{seen:?}");
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -6,7 +6,10 @@
 
 use std::time::{Duration, Instant};
 
-use lemonweir_model::constants::{BLIND_MOST_MS, POLICY_LOOK_INSTRUCTIONS, POLICY_MEMORY_BYTES, POLICY_TIME_MS, TRADE_MOST, TRADE_MOST_S};
+use lemonweir_model::constants::{
+    BLIND_MOST_MS, POLICY_LOOK_INSTRUCTIONS, POLICY_MEMORY_BYTES, POLICY_TIME_MS, TRADE_MOST,
+    TRADE_MOST_S,
+};
 use lemonweir_model::policy::{Policy, Trade};
 use mlua::{HookTriggers, Lua, LuaOptions, StdLib, Table, Value, VmState};
 
@@ -20,17 +23,40 @@
 
 /// Evaluates a script.
 pub fn evaluate(script: &str) -> Result<Policy, Vec<String>> {
-    let one = |e: mlua::Error| vec![format!("policy: {}", e.to_string().lines().next().unwrap_or_default())];
-    let lua = Lua::new_with(StdLib::MATH | StdLib::STRING | StdLib::TABLE, LuaOptions::default()).map_err(one)?;
+    let one = |e: mlua::Error| {
+        vec![format!(
+            "policy: {}",
+            e.to_string().lines().next().unwrap_or_default()
+        )]
+    };
+    let lua = Lua::new_with(
+        StdLib::MATH | StdLib::STRING | StdLib::TABLE,
+        LuaOptions::default(),
+    )
+    .map_err(one)?;
     lua.set_memory_limit(POLICY_MEMORY_BYTES).map_err(one)?;
     // The base library is always there; these reach files or code.
-    for name in ["dofile", "loadfile", "load", "require", "collectgarbage", "print"] {
+    for name in [
+        "dofile",
+        "loadfile",
+        "load",
+        "require",
+        "collectgarbage",
+        "print",
+    ] {
         lua.globals().set(name, Value::Nil).map_err(one)?;
     }
     let deadline = Instant::now() + Duration::from_millis(POLICY_TIME_MS);
-    lua.set_hook(HookTriggers::new().every_nth_instruction(POLICY_LOOK_INSTRUCTIONS), move |_, _| {
-        if Instant::now() > deadline { Err(mlua::Error::runtime("takes too long")) } else { Ok(VmState::Continue) }
-    })
+    lua.set_hook(
+        HookTriggers::new().every_nth_instruction(POLICY_LOOK_INSTRUCTIONS),
+        move |_, _| {
+            if Instant::now() > deadline {
+                Err(mlua::Error::runtime("takes too long"))
+            } else {
+                Ok(VmState::Continue)
+            }
+        },
+    )
     .map_err(one)?;
     let table: Table = lua.load(script).set_name("policy").eval().map_err(one)?;
     read(&table)
@@ -53,8 +79,12 @@
     ];
     for pair in table.pairs::<Value, Value>() {
         match pair {
-            Ok((Value::String(key), _)) if names.iter().any(|n| key.as_bytes() == n.as_bytes()) => {}
-            Ok((key, _)) => faults.push(format!("policy: unknown name {}", key.to_string().unwrap_or_default())),
+            Ok((Value::String(key), _)) if names.iter().any(|n| key.as_bytes() == n.as_bytes()) => {
+            }
+            Ok((key, _)) => faults.push(format!(
+                "policy: unknown name {}",
+                key.to_string().unwrap_or_default()
+            )),
             Err(error) => faults.push(format!("policy: {error}")),
         }
     }
@@ -62,7 +92,9 @@
         Ok(Value::Number(x)) if (low..=high).contains(&x) => x,
         Ok(Value::Integer(x)) if (low..=high).contains(&(x as f64)) => x as f64,
         _ => {
-            faults.push(format!("policy: {name} must be a number from {low} to {high}"));
+            faults.push(format!(
+                "policy: {name} must be a number from {low} to {high}"
+            ));
             low
         }
     };
@@ -81,5 +113,9 @@
             move_s: number("move_s", 0.0, TRADE_MOST_S),
         },
     };
-    if faults.is_empty() { Ok(policy) } else { Err(faults) }
+    if faults.is_empty() {
+        Ok(policy)
+    } else {
+        Err(faults)
+    }
 }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -28,7 +28,8 @@
 /// Reads a MessagePack message that must fill the whole body.
 pub fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, Malformed> {
     let mut rest = body;
-    let message = T::deserialize(&mut rmp_serde::Deserializer::new(&mut rest)).map_err(|e| Malformed(e.to_string()))?;
+    let message = T::deserialize(&mut rmp_serde::Deserializer::new(&mut rest))
+        .map_err(|e| Malformed(e.to_string()))?;
     if !rest.is_empty() {
         return Err(Malformed("trailing bytes".into()));
     }
--- a/crates/protocol/src/links.rs
+++ b/crates/protocol/src/links.rs
@@ -18,7 +18,20 @@
 pub const LINKS_VERSION: u8 = 1;
 
 /// How a link stands.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, BorshSerialize, BorshDeserialize, Serialize, Deserialize)]
+#[derive(
+    Clone,
+    Copy,
+    Debug,
+    Default,
+    PartialEq,
+    Eq,
+    PartialOrd,
+    Ord,
+    BorshSerialize,
+    BorshDeserialize,
+    Serialize,
+    Deserialize,
+)]
 #[serde(rename_all = "snake_case")]
 pub enum Standing {
     /// Nothing went over it yet, or nothing was due.
@@ -63,7 +76,19 @@
 }
 
 /// What a call is meant for.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, BorshSerialize, BorshDeserialize, Serialize, Deserialize)]
+#[derive(
+    Clone,
+    Copy,
+    Debug,
+    PartialEq,
+    Eq,
+    PartialOrd,
+    Ord,
+    BorshSerialize,
+    BorshDeserialize,
+    Serialize,
+    Deserialize,
+)]
 #[serde(rename_all = "snake_case")]
 pub enum Service {
     /// The state service.
--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -164,7 +164,8 @@
             Evict::Nobody => false,
             Evict::Lower => victim.over && victim.rank > rank,
             Evict::LowerAndOver => {
-                let others = victim.team != team && victim.rank >= rank && victim.rank != Rank::Production;
+                let others =
+                    victim.team != team && victim.rank >= rank && victim.rank != Rank::Production;
                 victim.rank > rank || victim.over && others
             }
         }
@@ -303,7 +304,10 @@
 impl Standing {
     /// True if the attempt is proven to be over.
     pub fn ended(self) -> bool {
-        matches!(self, Standing::Exited(_) | Standing::Gone | Standing::Refused)
+        matches!(
+            self,
+            Standing::Exited(_) | Standing::Gone | Standing::Refused
+        )
     }
 }
 
--- a/crates/protocol/src/state.rs
+++ b/crates/protocol/src/state.rs
@@ -68,7 +68,11 @@
 impl Write {
     /// Sets a key that lives until it is removed.
     pub fn put<T: Serialize>(key: String, value: &T) -> Self {
-        Write::Put { key, value: to_value(value), hold: None }
+        Write::Put {
+            key,
+            value: to_value(value),
+            hold: None,
+        }
     }
 }
 
--- a/crates/protocol/src/users.rs
+++ b/crates/protocol/src/users.rs
@@ -48,7 +48,13 @@
 impl JobState {
     /// A state without counts.
     pub fn plain(id: JobId, phase: Phase) -> Self {
-        Self { id, phase, done: None, running: None, reason: None }
+        Self {
+            id,
+            phase,
+            done: None,
+            running: None,
+            reason: None,
+        }
     }
 }
 
@@ -91,7 +97,11 @@
     if spec.awaits.len() > AWAITS_MOST {
         return fault("awaits names too many jobs");
     }
-    if spec.awaits.iter().any(|id| JobId::parse(id.as_str()).is_none()) {
+    if spec
+        .awaits
+        .iter()
+        .any(|id| JobId::parse(id.as_str()).is_none())
+    {
         return fault("awaits holds something that is not a job id");
     }
     // A job that is named twice is awaited once.
@@ -101,14 +111,24 @@
 }
 
 /// Says why a well-formed job can never run (422), if it can't.
-pub fn never_runs(spec: &JobSpec, teams: &[Team], zones: &[String], catalog: &Catalog) -> Option<String> {
+pub fn never_runs(
+    spec: &JobSpec,
+    teams: &[Team],
+    zones: &[String],
+    catalog: &Catalog,
+) -> Option<String> {
     let Some(team) = teams.iter().find(|t| t.name == spec.team) else {
         return Some(format!("unknown team {}", spec.team));
     };
     let need = spec.need();
     let fits = catalog.values().any(|t| {
-        spec.types.as_ref().is_none_or(|allowed| allowed.contains(&t.name))
-            && spec.zone.as_ref().is_none_or(|z| t.zones.contains(z) && zones.contains(z))
+        spec.types
+            .as_ref()
+            .is_none_or(|allowed| allowed.contains(&t.name))
+            && spec
+                .zone
+                .as_ref()
+                .is_none_or(|z| t.zones.contains(z) && zones.contains(z))
             && t.room.covers(&need)
     });
     if !fits {
@@ -129,5 +149,9 @@
 pub fn team_limit(team: &Team) -> Room {
     let offer = Room::offer(team.cpus_max, team.gpus_max, 0.0);
     let or_none = |x: u64| if x == 0 { u64::MAX } else { x };
-    Room { cpus: or_none(offer.cpus), gpus: or_none(offer.gpus), memory: u64::MAX }
+    Room {
+        cpus: or_none(offer.cpus),
+        gpus: or_none(offer.gpus),
+        memory: u64::MAX,
+    }
 }
