--- a/crates/storage/src/chains.rs
+++ b/crates/storage/src/chains.rs
@@ -38,7 +38,10 @@
 pub fn parse_chain_key(rest: &str) -> Option<(JobId, usize)> {
     match rest.split_once('/') {
         None => Some((JobId::parse(rest)?, 0)),
-        Some((id, page)) => Some((JobId::parse(id)?, page.parse().ok().filter(|page| *page > 0)?)),
+        Some((id, page)) => Some((
+            JobId::parse(id)?,
+            page.parse().ok().filter(|page| *page > 0)?,
+        )),
     }
 }
 
@@ -48,7 +51,9 @@
 
 /// Neither the job nor its end may be known, whether or not it waits for others.
 pub fn unknown_job(id: &JobId) -> Vec<Condition> {
-    [job_key(id), chain_key(id), end_key(id)].map(absent).to_vec()
+    [job_key(id), chain_key(id), end_key(id)]
+        .map(absent)
+        .to_vec()
 }
 
 /// The transactions that accept a job which waits for others, in their order: further
@@ -57,27 +62,63 @@
     let id = &record.spec.id;
     let mut pages = record.spec.awaits.chunks(AWAITS_PAGE);
     let first = pages.next().unwrap_or_default().to_vec();
-    let rest: Vec<Write> =
-        pages.zip(1..).map(|(awaits, page)| Write::put(awaits_key(id, page), &AwaitsPage { awaits: awaits.to_vec() })).collect();
-    let mut txns: Vec<Txn> =
-        rest.chunks(txn_ops.max(1)).map(|writes| Txn { conditions: unknown_job(id), writes: writes.to_vec() }).collect();
+    let rest: Vec<Write> = pages
+        .zip(1..)
+        .map(|(awaits, page)| {
+            Write::put(
+                awaits_key(id, page),
+                &AwaitsPage {
+                    awaits: awaits.to_vec(),
+                },
+            )
+        })
+        .collect();
+    let mut txns: Vec<Txn> = rest
+        .chunks(txn_ops.max(1))
+        .map(|writes| Txn {
+            conditions: unknown_job(id),
+            writes: writes.to_vec(),
+        })
+        .collect();
     let mut head = record.clone();
     head.awaited = record.spec.awaits.len();
     head.spec.awaits = first;
-    txns.push(Txn { conditions: unknown_job(id), writes: vec![Write::put(chain_key(id), &head)] });
+    txns.push(Txn {
+        conditions: unknown_job(id),
+        writes: vec![Write::put(chain_key(id), &head)],
+    });
     txns
 }
 
 /// Accepts a job that needs a cancelled one: it is cancelled from the start.
 pub fn accept_cancelled(id: &JobId) -> Txn {
-    Txn { conditions: unknown_job(id), writes: vec![Write::put(end_key(id), &EndRecord { phase: Phase::Withdrawn })] }
+    Txn {
+        conditions: unknown_job(id),
+        writes: vec![Write::put(
+            end_key(id),
+            &EndRecord {
+                phase: Phase::Withdrawn,
+            },
+        )],
+    }
 }
 
 /// Cancels a job that waits, whose key has this version: no task of it was ever started.
 pub fn cancel_waiting(id: &JobId, version: u64) -> Txn {
     Txn {
-        conditions: vec![Condition { key: chain_key(id), version }],
-        writes: vec![Write::put(end_key(id), &EndRecord { phase: Phase::Withdrawn }), Write::Delete { key: chain_key(id) }],
+        conditions: vec![Condition {
+            key: chain_key(id),
+            version,
+        }],
+        writes: vec![
+            Write::put(
+                end_key(id),
+                &EndRecord {
+                    phase: Phase::Withdrawn,
+                },
+            ),
+            Write::Delete { key: chain_key(id) },
+        ],
     }
 }
 
@@ -88,16 +129,37 @@
 /// the version under which it says so, are conditions.
 pub fn release_waiting(record: &JobRecord, version: u64, done: &[(JobId, u64)]) -> Txn {
     let id = &record.spec.id;
-    let mut conditions = vec![Condition { key: chain_key(id), version }];
-    conditions.extend(done.iter().map(|(awaited, version)| Condition { key: end_key(awaited), version: *version }));
+    let mut conditions = vec![Condition {
+        key: chain_key(id),
+        version,
+    }];
+    conditions.extend(done.iter().map(|(awaited, version)| Condition {
+        key: end_key(awaited),
+        version: *version,
+    }));
     let mut job = record.clone();
     job.spec.awaits.clear();
     job.awaited = 0;
-    Txn { conditions, writes: vec![Write::put(job_key(id), &job), Write::Delete { key: chain_key(id) }] }
+    Txn {
+        conditions,
+        writes: vec![
+            Write::put(job_key(id), &job),
+            Write::Delete { key: chain_key(id) },
+        ],
+    }
 }
 
 /// Asks whether these ends have these versions, without a write: an end never changes.
 pub fn ends_stand(done: &[(JobId, u64)]) -> Txn {
-    let conditions = done.iter().map(|(awaited, version)| Condition { key: end_key(awaited), version: *version }).collect();
-    Txn { conditions, writes: Vec::new() }
+    let conditions = done
+        .iter()
+        .map(|(awaited, version)| Condition {
+            key: end_key(awaited),
+            version: *version,
+        })
+        .collect();
+    Txn {
+        conditions,
+        writes: Vec::new(),
+    }
 }
--- a/crates/storage/src/handovers.rs
+++ b/crates/storage/src/handovers.rs
@@ -129,7 +129,10 @@
     /// Adds it to the transaction that it tells of, or that closes it.
     pub fn join(&self, txn: &mut Txn) {
         let key = handover_key(self.part, self.record.n);
-        txn.conditions.push(Condition { key: key.clone(), version: self.slot_version });
+        txn.conditions.push(Condition {
+            key: key.clone(),
+            version: self.slot_version,
+        });
         txn.writes.push(Write::put(key, &self.record));
     }
 }
@@ -158,7 +161,10 @@
         let record = from_value::<HandoverRecord>(value);
         // Guards against a number that no count of changes reaches: all later ones
         // would follow it.
-        let record = record.filter(|r| (1..=HANDOVERS_MOST).contains(&r.n) && slot.is_some_and(|(_, s)| r.n % HANDOVERS_KEPT == s));
+        let record = record.filter(|r| {
+            (1..=HANDOVERS_MOST).contains(&r.n)
+                && slot.is_some_and(|(_, s)| r.n % HANDOVERS_KEPT == s)
+        });
         match (slot, record) {
             (Some(slot), Some(record)) => {
                 self.odd.remove(&slot);
@@ -186,7 +192,11 @@
 
     /// A part's entries in their order, each with its version.
     pub fn of(&self, part: u16) -> Vec<(&HandoverRecord, u64)> {
-        let mut all: Vec<_> = self.entries.range((part, 0)..=(part, u64::MAX)).map(|(_, (r, v))| (r, *v)).collect();
+        let mut all: Vec<_> = self
+            .entries
+            .range((part, 0)..=(part, u64::MAX))
+            .map(|(_, (r, v))| (r, *v))
+            .collect();
         all.sort_by_key(|(r, _)| r.n);
         all
     }
@@ -198,8 +208,15 @@
 
     /// The entry with this number, as one to be written anew.
     pub fn again(&self, part: u16, number: u64) -> Option<NewHandover> {
-        let (record, version) = self.entries.get(&(part, number % HANDOVERS_KEPT)).filter(|(r, _)| r.n == number)?;
-        Some(NewHandover { part, slot_version: *version, record: record.clone() })
+        let (record, version) = self
+            .entries
+            .get(&(part, number % HANDOVERS_KEPT))
+            .filter(|(r, _)| r.n == number)?;
+        Some(NewHandover {
+            part,
+            slot_version: *version,
+            record: record.clone(),
+        })
     }
 
     /// The number of a part's next entry, and the version that its slot has. What
@@ -207,9 +224,18 @@
     pub fn next(&self, part: u16) -> (u64, u64) {
         let newest = self.of(part).last().map_or(0, |(r, _)| r.n);
         let odd = |n: u64| self.odd.contains_key(&(part, n % HANDOVERS_KEPT));
-        let number = (newest + 1..=newest + HANDOVERS_KEPT).find(|n| !odd(*n)).unwrap_or(newest + 1);
+        let number = (newest + 1..=newest + HANDOVERS_KEPT)
+            .find(|n| !odd(*n))
+            .unwrap_or(newest + 1);
         let slot = (part, number % HANDOVERS_KEPT);
-        (number, self.entries.get(&slot).map(|(_, v)| *v).or_else(|| self.odd.get(&slot).copied()).unwrap_or(0))
+        (
+            number,
+            self.entries
+                .get(&slot)
+                .map(|(_, v)| *v)
+                .or_else(|| self.odd.get(&slot).copied())
+                .unwrap_or(0),
+        )
     }
 }
 
--- a/crates/storage/src/mirror.rs
+++ b/crates/storage/src/mirror.rs
@@ -9,7 +9,10 @@
 
 use crate::chains::{AwaitsPage, parse_chain_key};
 use crate::handovers::Rings;
-use crate::records::{JobRecord, MailLine, MailRecord, NodeRecord, PartRecord, TeamRecord, VERSION_KEY, VersionRecord, parse_mail_key};
+use crate::records::{
+    JobRecord, MailLine, MailRecord, NodeRecord, PartRecord, TeamRecord, VERSION_KEY,
+    VersionRecord, parse_mail_key,
+};
 use lemonweir_model::constants::ENDS_REMEMBERED;
 use lemonweir_model::{JobId, JobSpec};
 use lemonweir_protocol::state::{Change, Entry, from_value};
@@ -90,7 +93,8 @@
 impl Mirror {
     /// Takes a full reading.
     pub fn replace(&mut self, entries: &[Entry], revision: u64) {
-        self.touched.extend(std::mem::take(&mut self.jobs).into_keys());
+        self.touched
+            .extend(std::mem::take(&mut self.jobs).into_keys());
         self.waiting.clear();
         self.awaits_pages.clear();
         self.waiting_changes += 1;
@@ -122,7 +126,13 @@
             Some(("job", id)) => match (JobId::parse(id), from_value::<JobRecord>(value)) {
                 (Some(id), Some(record)) => {
                     self.touched.insert(id.clone());
-                    self.jobs.insert(id, MirroredJob { record: Arc::new(record), version });
+                    self.jobs.insert(
+                        id,
+                        MirroredJob {
+                            record: Arc::new(record),
+                            version,
+                        },
+                    );
                     true
                 }
                 _ => false,
@@ -133,7 +143,13 @@
                     // Guards against going back to a holder from before one that a
                     // peer has told of already: the copy learns what lies between later.
                     if self.parts.get(&index).is_none_or(|h| h.token < version) {
-                        self.parts.insert(index, Holder { host: record.host, token: version });
+                        self.parts.insert(
+                            index,
+                            Holder {
+                                host: record.host,
+                                token: version,
+                            },
+                        );
                     }
                     true
                 }
@@ -228,12 +244,22 @@
         self.waiting_changes += 1;
         match parse_chain_key(rest) {
             Some((id, 0)) => {
-                let Some(record) = from_value::<JobRecord>(value) else { return false };
-                self.waiting.insert(id, WaitingJob { record: Arc::new(record), version });
+                let Some(record) = from_value::<JobRecord>(value) else {
+                    return false;
+                };
+                self.waiting.insert(
+                    id,
+                    WaitingJob {
+                        record: Arc::new(record),
+                        version,
+                    },
+                );
                 true
             }
             Some(page) => {
-                let Some(AwaitsPage { awaits }) = from_value(value) else { return false };
+                let Some(AwaitsPage { awaits }) = from_value(value) else {
+                    return false;
+                };
                 self.awaits_pages.insert(page, awaits);
                 true
             }
@@ -256,7 +282,9 @@
 
     /// Further pages of jobs that wait no more.
     pub fn stray_pages(&self) -> impl Iterator<Item = &(JobId, usize)> {
-        self.awaits_pages.keys().filter(|(id, _)| !self.waiting.contains_key(id))
+        self.awaits_pages
+            .keys()
+            .filter(|(id, _)| !self.waiting.contains_key(id))
     }
 
     /// Changes with any of which waiting jobs may stand otherwise.
@@ -272,7 +300,10 @@
     /// What the user of an unfinished job asked for.
     pub fn spec(&self, id: &JobId) -> Option<&JobSpec> {
         let waiting = || self.waiting.get(id).map(|waiting| &waiting.record.spec);
-        self.jobs.get(id).map(|job| &job.record.spec).or_else(waiting)
+        self.jobs
+            .get(id)
+            .map(|job| &job.record.spec)
+            .or_else(waiting)
     }
 
     /// Jobs that came, changed or went since the last call.
@@ -283,7 +314,10 @@
     /// Messages that came since the last call, whole ones only.
     pub fn take_mail(&mut self) -> Vec<(MailLine, Vec<u8>)> {
         let lines = std::mem::take(&mut self.new_mail);
-        lines.into_iter().filter_map(|line| self.letter(line).map(|bytes| (line, bytes))).collect()
+        lines
+            .into_iter()
+            .filter_map(|line| self.letter(line).map(|bytes| (line, bytes)))
+            .collect()
     }
 
     /// Puts the pieces of a message together, if they agree.
@@ -303,7 +337,14 @@
             return;
         }
         self.ended_changes += 1;
-        self.ends.insert(job.clone(), SettledEnd { phase, learned: now, version });
+        self.ends.insert(
+            job.clone(),
+            SettledEnd {
+                phase,
+                learned: now,
+                version,
+            },
+        );
         self.ends_order.push_back(job.clone());
         if self.ends_order.len() > ENDS_REMEMBERED
             && let Some(oldest) = self.ends_order.pop_front()
--- a/crates/storage/src/packed.rs
+++ b/crates/storage/src/packed.rs
@@ -27,11 +27,20 @@
 }
 
 fn pack(live: &LiveRecord, zones: &mut Vec<String>) -> String {
-    let zone = zones.iter().position(|zone| *zone == live.z).unwrap_or_else(|| {
-        zones.push(live.z.clone());
-        zones.len() - 1
-    });
-    format!("{}.{}.{}.{zone}.{}", live.t % CHUNK_TASKS, live.a, live.p, live.m)
+    let zone = zones
+        .iter()
+        .position(|zone| *zone == live.z)
+        .unwrap_or_else(|| {
+            zones.push(live.z.clone());
+            zones.len() - 1
+        });
+    format!(
+        "{}.{}.{}.{zone}.{}",
+        live.t % CHUNK_TASKS,
+        live.a,
+        live.p,
+        live.m
+    )
 }
 
 fn unpack(text: &str, chunk: u32, zones: &[String]) -> Option<LiveRecord> {
@@ -53,17 +62,55 @@
         return to_value(record);
     }
     let mut zones = Vec::new();
-    let packed = record.live.iter().map(|live| pack(live, &mut zones)).collect();
-    let ChunkRecord { team, need, next, done, gang, .. } = record.clone();
-    to_value(&PackedChunk { team, need, next, done, gang, zones, packed })
+    let packed = record
+        .live
+        .iter()
+        .map(|live| pack(live, &mut zones))
+        .collect();
+    let ChunkRecord {
+        team,
+        need,
+        next,
+        done,
+        gang,
+        ..
+    } = record.clone();
+    to_value(&PackedChunk {
+        team,
+        need,
+        next,
+        done,
+        gang,
+        zones,
+        packed,
+    })
 }
 
 /// Reads chunk number `chunk` of a job, in either form.
 pub fn read_chunk(value: &rmpv::Value, chunk: u32) -> Option<ChunkRecord> {
-    let Some(PackedChunk { team, need, next, done, gang, zones, packed }) = from_value(value) else {
+    let Some(PackedChunk {
+        team,
+        need,
+        next,
+        done,
+        gang,
+        zones,
+        packed,
+    }) = from_value(value)
+    else {
         return from_value(value);
     };
     // Guards against a record of which some attempts are lost: all of it is read, or none.
-    let live: Option<Vec<LiveRecord>> = packed.iter().map(|text| unpack(text, chunk, &zones)).collect();
-    Some(ChunkRecord { team, need, next, done, live: live?, gang })
+    let live: Option<Vec<LiveRecord>> = packed
+        .iter()
+        .map(|text| unpack(text, chunk, &zones))
+        .collect();
+    Some(ChunkRecord {
+        team,
+        need,
+        next,
+        done,
+        live: live?,
+        gang,
+    })
 }
--- a/crates/storage/src/records.rs
+++ b/crates/storage/src/records.rs
@@ -136,8 +136,14 @@
 /// record has that version of its key.
 pub fn raise_version(version: u32, earlier: u64) -> Txn {
     Txn {
-        conditions: vec![Condition { key: VERSION_KEY.to_owned(), version: earlier }],
-        writes: vec![Write::put(VERSION_KEY.to_owned(), &VersionRecord { version })],
+        conditions: vec![Condition {
+            key: VERSION_KEY.to_owned(),
+            version: earlier,
+        }],
+        writes: vec![Write::put(
+            VERSION_KEY.to_owned(),
+            &VersionRecord { version },
+        )],
     }
 }
 
@@ -244,7 +250,10 @@
 /// Accepts a job: neither it nor its end may be known.
 pub fn accept_job(record: &JobRecord) -> Txn {
     let id = &record.spec.id;
-    Txn { conditions: unknown_job(id), writes: vec![Write::put(job_key(id), record)] }
+    Txn {
+        conditions: unknown_job(id),
+        writes: vec![Write::put(job_key(id), record)],
+    }
 }
 
 /// Conditions of [`absent`] for one job.
@@ -253,7 +262,10 @@
 /// Asks whether no such jobs are: neither unfinished, waiting for others nor over. It
 /// writes nothing; what it fails on is there.
 pub fn absent(jobs: &[JobId]) -> Txn {
-    Txn { conditions: jobs.iter().flat_map(unknown_job).collect(), writes: Vec::new() }
+    Txn {
+        conditions: jobs.iter().flat_map(unknown_job).collect(),
+        writes: Vec::new(),
+    }
 }
 
 /// Asks for the end of a job whose key has this version: if it has ended
@@ -261,16 +273,37 @@
 /// is proven to be over.
 pub fn withdraw_job(record: &JobRecord, version: u64) -> Txn {
     let key = job_key(&record.spec.id);
-    let asked = JobRecord { withdrawn: true, ..record.clone() };
-    Txn { conditions: vec![Condition { key: key.clone(), version }], writes: vec![Write::put(key, &asked)] }
+    let asked = JobRecord {
+        withdrawn: true,
+        ..record.clone()
+    };
+    Txn {
+        conditions: vec![Condition {
+            key: key.clone(),
+            version,
+        }],
+        writes: vec![Write::put(key, &asked)],
+    }
 }
 
 /// Takes a part whose key has this version (0: no key), to live with a hold.
 pub fn take_part(version: u64, host: &str, hold: u64, entry: &NewHandover) -> Txn {
-    let (key, record) = (part_key(entry.part), PartRecord { host: host.to_owned() });
+    let (key, record) = (
+        part_key(entry.part),
+        PartRecord {
+            host: host.to_owned(),
+        },
+    );
     let mut txn = Txn {
-        conditions: vec![Condition { key: key.clone(), version }],
-        writes: vec![Write::Put { key, value: to_value(&record), hold: Some(hold) }],
+        conditions: vec![Condition {
+            key: key.clone(),
+            version,
+        }],
+        writes: vec![Write::Put {
+            key,
+            value: to_value(&record),
+            hold: Some(hold),
+        }],
     };
     entry.join(&mut txn);
     txn
@@ -279,14 +312,27 @@
 /// Gives up a part that is held with this token.
 pub fn hand_back(token: u64, entry: &NewHandover) -> Txn {
     let key = part_key(entry.part);
-    let mut txn = Txn { conditions: vec![Condition { key: key.clone(), version: token }], writes: vec![Write::Delete { key }] };
+    let mut txn = Txn {
+        conditions: vec![Condition {
+            key: key.clone(),
+            version: token,
+        }],
+        writes: vec![Write::Delete { key }],
+    };
     entry.join(&mut txn);
     txn
 }
 
 /// Gives up a part that is held with this token, and shows with the node's
 /// presence that it leaves it to others.
-pub fn leave_part(token: u64, entry: &NewHandover, host: &str, zone: &str, hold: u64, deaf: Vec<u16>) -> Txn {
+pub fn leave_part(
+    token: u64,
+    entry: &NewHandover,
+    host: &str,
+    zone: &str,
+    hold: u64,
+    deaf: Vec<u16>,
+) -> Txn {
     let mut txn = hand_back(token, entry);
     txn.writes.extend(show_node(host, zone, hold, deaf).writes);
     txn
@@ -294,15 +340,36 @@
 
 /// Shows a node's presence, to live with its hold.
 pub fn show_node(host: &str, zone: &str, hold: u64, deaf: Vec<u16>) -> Txn {
-    let record = NodeRecord { zone: zone.to_owned(), format: PEER_VERSION, deaf, reads: PACKED_VERSION };
-    Txn { conditions: Vec::new(), writes: vec![Write::Put { key: node_key(host), value: to_value(&record), hold: Some(hold) }] }
+    let record = NodeRecord {
+        zone: zone.to_owned(),
+        format: PEER_VERSION,
+        deaf,
+        reads: PACKED_VERSION,
+    };
+    Txn {
+        conditions: Vec::new(),
+        writes: vec![Write::Put {
+            key: node_key(host),
+            value: to_value(&record),
+            hold: Some(hold),
+        }],
+    }
 }
 
 /// Records the parts of teams that have none.
 pub fn assign_teams(teams: &[(String, u16)]) -> Txn {
     Txn {
-        conditions: teams.iter().map(|(t, _)| Condition { key: team_key(t), version: 0 }).collect(),
-        writes: teams.iter().map(|(t, part)| Write::put(team_key(t), &TeamRecord { part: *part })).collect(),
+        conditions: teams
+            .iter()
+            .map(|(t, _)| Condition {
+                key: team_key(t),
+                version: 0,
+            })
+            .collect(),
+        writes: teams
+            .iter()
+            .map(|(t, part)| Write::put(team_key(t), &TeamRecord { part: *part }))
+            .collect(),
     }
 }
 
@@ -343,7 +410,11 @@
         "view" => MailKind::View,
         _ => return None,
     };
-    let line = MailLine { kind, from: parts.next()?.parse().ok()?, to: parts.next()?.parse().ok()? };
+    let line = MailLine {
+        kind,
+        from: parts.next()?.parse().ok()?,
+        to: parts.next()?.parse().ok()?,
+    };
     Some((line, parts.next()?.parse().ok()?))
 }
 
@@ -363,8 +434,20 @@
 /// live with the sender's hold.
 pub fn post(line: MailLine, id: (u64, u64), bytes: &[u8], piece_bytes: usize, hold: u64) -> Txn {
     let pieces: Vec<&[u8]> = bytes.chunks(piece_bytes.max(1)).collect();
-    let value = |piece: &[u8]| to_value(&MailRecord { n: pieces.len(), id, b: BASE64_STANDARD.encode(piece) });
-    let put =
-        |(k, piece): (usize, &&[u8])| Write::Put { key: mail_key(line.kind, line.from, line.to, k), value: value(piece), hold: Some(hold) };
-    Txn { conditions: Vec::new(), writes: pieces.iter().enumerate().map(put).collect() }
+    let value = |piece: &[u8]| {
+        to_value(&MailRecord {
+            n: pieces.len(),
+            id,
+            b: BASE64_STANDARD.encode(piece),
+        })
+    };
+    let put = |(k, piece): (usize, &&[u8])| Write::Put {
+        key: mail_key(line.kind, line.from, line.to, k),
+        value: value(piece),
+        hold: Some(hold),
+    };
+    Txn {
+        conditions: Vec::new(),
+        writes: pieces.iter().enumerate().map(put).collect(),
+    }
 }
--- a/crates/storage/tests/late.rs
+++ b/crates/storage/tests/late.rs
@@ -10,7 +10,8 @@
 use lemonweir_storage::handovers::{Change, HandoverRecord, NewHandover};
 use lemonweir_storage::mirror::Holder;
 use lemonweir_storage::records::{
-    EndRecord, JobRecord, PartRecord, accept_job, end_key, hand_back, job_key, part_key, take_part, withdraw_job,
+    EndRecord, JobRecord, PartRecord, accept_job, end_key, hand_back, job_key, part_key, take_part,
+    withdraw_job,
 };
 
 #[derive(Default)]
@@ -26,7 +27,11 @@
 
     /// The revision at which it was made.
     fn txn(&mut self, txn: &Txn) -> Option<u64> {
-        if txn.conditions.iter().any(|c| self.version(&c.key) != c.version) {
+        if txn
+            .conditions
+            .iter()
+            .any(|c| self.version(&c.key) != c.version)
+        {
             return None;
         }
         self.revision += 1;
@@ -48,9 +53,21 @@
 
 /// The next entry of part 0, as counted from a copy that is up to date.
 fn entry(store: &Store, n: u64, to: Option<&str>) -> NewHandover {
-    let record = HandoverRecord { n, from: None, to: to.map(str::to_owned), how: Change::Vacant, at: 0, up: None, closed: None };
+    let record = HandoverRecord {
+        n,
+        from: None,
+        to: to.map(str::to_owned),
+        how: Change::Vacant,
+        at: 0,
+        up: None,
+        closed: None,
+    };
     let key = lemonweir_storage::handovers::handover_key(0, n);
-    NewHandover { part: 0, slot_version: store.version(&key), record }
+    NewHandover {
+        part: 0,
+        slot_version: store.version(&key),
+        record,
+    }
 }
 
 /// A taking without an answer is made again under another hold, and the part is given
@@ -61,9 +78,13 @@
     for given_up in [true, false] {
         let mut store = Store::default();
         let late = take_part(0, "h1", 7, &entry(&store, 1, Some("h1")));
-        let token = store.txn(&take_part(0, "h1", 8, &entry(&store, 1, Some("h1")))).expect("there is no key");
+        let token = store
+            .txn(&take_part(0, "h1", 8, &entry(&store, 1, Some("h1"))))
+            .expect("there is no key");
         if given_up {
-            store.txn(&hand_back(token, &entry(&store, 2, None))).expect("it is held");
+            store
+                .txn(&hand_back(token, &entry(&store, 2, None)))
+                .expect("it is held");
         } else {
             store.end_hold(0);
         }
@@ -85,8 +106,12 @@
     // names a token that is no more.
     let token = store.version(&part_key(0));
     let late = hand_back(token, &entry(&store, 2, None));
-    store.txn(&hand_back(token, &entry(&store, 2, None))).expect("it is held");
-    store.txn(&take_part(0, "h1", 8, &entry(&store, 3, Some("h1")))).expect("there is no key");
+    store
+        .txn(&hand_back(token, &entry(&store, 2, None)))
+        .expect("it is held");
+    store
+        .txn(&take_part(0, "h1", 8, &entry(&store, 3, Some("h1"))))
+        .expect("there is no key");
     assert_eq!(store.txn(&late), None);
 }
 
@@ -114,14 +139,25 @@
         deadline_s: None,
         awaits: Vec::new(),
     };
-    JobRecord { spec, at: 0, withdrawn: false, awaited: 0 }
+    JobRecord {
+        spec,
+        at: 0,
+        withdrawn: false,
+        awaited: 0,
+    }
 }
 
 fn over(version: u64, phase: Phase) -> Txn {
     let id = job().spec.id;
     Txn {
-        conditions: vec![lemonweir_protocol::state::Condition { key: job_key(&id), version }],
-        writes: vec![Write::Delete { key: job_key(&id) }, Write::put(end_key(&id), &EndRecord { phase })],
+        conditions: vec![lemonweir_protocol::state::Condition {
+            key: job_key(&id),
+            version,
+        }],
+        writes: vec![
+            Write::Delete { key: job_key(&id) },
+            Write::put(end_key(&id), &EndRecord { phase }),
+        ],
     }
 }
 
@@ -131,14 +167,20 @@
 fn a_job_that_is_over_is_not_accepted_by_a_late_transaction() {
     let mut store = Store::default();
     let late = accept_job(&job());
-    let version = store.txn(&accept_job(&JobRecord { at: 5, ..job() })).expect("nobody knows it");
+    let version = store
+        .txn(&accept_job(&JobRecord { at: 5, ..job() }))
+        .expect("nobody knows it");
     assert_eq!(store.txn(&late), None, "it is known");
     // A withdrawal and an end that were sent before others changed the job.
     let late_withdrawal = withdraw_job(&job(), version);
     let late_end = over(version, Phase::Done);
-    let withdrawn = store.txn(&withdraw_job(&job(), version)).expect("it is not over");
+    let withdrawn = store
+        .txn(&withdraw_job(&job(), version))
+        .expect("it is not over");
     assert_eq!(store.txn(&late_end), None, "it was withdrawn since");
-    store.txn(&over(withdrawn, Phase::Withdrawn)).expect("nothing of it is left");
+    store
+        .txn(&over(withdrawn, Phase::Withdrawn))
+        .expect("nothing of it is left");
     for txn in [late, late_withdrawal, late_end] {
         assert_eq!(store.txn(&txn), None, "it is over");
     }
@@ -148,15 +190,28 @@
 
 fn held_by(part: u16, host: &str, version: u64) -> Changed {
     let value = to_value(&PartRecord { host: host.into() });
-    Changed { set: Some(part_key(part)), drop: None, value: Some(value), version }
+    Changed {
+        set: Some(part_key(part)),
+        drop: None,
+        value: Some(value),
+        version,
+    }
 }
 
 fn gone(part: u16, version: u64) -> Changed {
-    Changed { set: None, drop: Some(part_key(part)), value: None, version }
+    Changed {
+        set: None,
+        drop: Some(part_key(part)),
+        value: None,
+        version,
+    }
 }
 
 fn holder(host: &str, token: u64) -> Holder {
-    Holder { host: host.into(), token }
+    Holder {
+        host: host.into(),
+        token,
+    }
 }
 
 /// A peer tells of a holder that the copy does not know yet, and the copy then learns
@@ -182,14 +237,25 @@
 /// the copy to one state, and between them nothing older is shown than was read.
 #[test]
 fn pages_of_different_moments_come_to_one_state() {
-    let entry = |key: String, value, version| Entry { key, value, version };
+    let entry = |key: String, value, version| Entry {
+        key,
+        value,
+        version,
+    };
     let mut mirror = Mirror::default();
     mirror.apply(&[held_by(0, "h0", 5), held_by(1, "h1", 6)], 6, 0);
     // The first page is of revision 100, that with the parts of 120: meanwhile part 0
     // changed hands twice, and part 1 was given up.
-    let parts = [entry(part_key(0), to_value(&PartRecord { host: "h2".into() }), 115)];
+    let parts = [entry(
+        part_key(0),
+        to_value(&PartRecord { host: "h2".into() }),
+        115,
+    )];
     mirror.replace(&parts, 100);
-    assert_eq!((mirror.revision, mirror.parts.get(&0)), (Some(100), Some(&holder("h2", 115))));
+    assert_eq!(
+        (mirror.revision, mirror.parts.get(&0)),
+        (Some(100), Some(&holder("h2", 115)))
+    );
     // Learned in two readings, the first of which ends between the two changes.
     mirror.apply(&[gone(0, 102), held_by(0, "h1", 105)], 108, 0);
     assert_eq!(mirror.parts.get(&0), Some(&holder("h2", 115)));
--- a/crates/storage/tests/packed.rs
+++ b/crates/storage/tests/packed.rs
@@ -24,7 +24,11 @@
         next: 99,
         done: Vec::new(),
         live: (0..CHUNK_TASKS).map(live).collect(),
-        gang: Some(GangRecord { step: GangStep::Admitted, at: 1_790_000_000_000, a: 12 }),
+        gang: Some(GangRecord {
+            step: GangStep::Admitted,
+            at: 1_790_000_000_000,
+            a: 12,
+        }),
     }
 }
 
@@ -35,7 +39,10 @@
         let mut record = full(chunk);
         for _ in 0..CHUNK_TASKS {
             for version in [0, PACKED_VERSION] {
-                assert_eq!(read_chunk(&chunk_value(&record, version), chunk), Some(record.clone()));
+                assert_eq!(
+                    read_chunk(&chunk_value(&record, version), chunk),
+                    Some(record.clone())
+                );
             }
             let over = record.live.remove(0);
             record.done.push((over.t, over.t));
@@ -45,9 +52,21 @@
 
 #[test]
 fn a_full_chunk_fits_the_smallest_value() {
-    let bytes = |version| serde_json::to_vec(&chunk_value(&full(1_562), version)).expect("JSON").len();
-    assert!(bytes(0) > SMALLEST_VALUE, "the form of earlier versions does not: {}", bytes(0));
-    assert!(bytes(PACKED_VERSION) < SMALLEST_VALUE * 9 / 10, "{}", bytes(PACKED_VERSION));
+    let bytes = |version| {
+        serde_json::to_vec(&chunk_value(&full(1_562), version))
+            .expect("JSON")
+            .len()
+    };
+    assert!(
+        bytes(0) > SMALLEST_VALUE,
+        "the form of earlier versions does not: {}",
+        bytes(0)
+    );
+    assert!(
+        bytes(PACKED_VERSION) < SMALLEST_VALUE * 9 / 10,
+        "{}",
+        bytes(PACKED_VERSION)
+    );
 }
 
 /// A record of which one attempt can't be read counts for nothing, and not for fewer
@@ -56,11 +75,21 @@
 fn a_broken_attempt_is_no_missing_one() {
     let broken = |text: &str| {
         let value = chunk_value(&full(0), PACKED_VERSION);
-        let text = serde_json::to_string(&value).expect("JSON").replacen("\"0.10.0.0.n-990000\"", &format!("\"{text}\""), 1);
+        let text = serde_json::to_string(&value).expect("JSON").replacen(
+            "\"0.10.0.0.n-990000\"",
+            &format!("\"{text}\""),
+            1,
+        );
         serde_json::from_str::<rmpv::Value>(&text).expect("a value")
     };
     assert!(read_chunk(&broken("0.10.0.0.n-990000"), 0).is_some());
-    for text in ["", "0.10.0.0", "0.10.0.9.n-990000", "0.10.70000.0.n-990000", "x.10.0.0.n-990000"] {
+    for text in [
+        "",
+        "0.10.0.0",
+        "0.10.0.9.n-990000",
+        "0.10.70000.0.n-990000",
+        "x.10.0.0.n-990000",
+    ] {
         assert_eq!(read_chunk(&broken(text), 0), None, "{text}");
     }
 }
--- a/crates/storage/tests/versions.rs
+++ b/crates/storage/tests/versions.rs
@@ -24,33 +24,66 @@
 }
 
 fn message(name: &str) -> Vec<u8> {
-    BASE64_STANDARD.decode(samples()[name].as_str().expect("text")).expect("base64")
+    BASE64_STANDARD
+        .decode(samples()[name].as_str().expect("text"))
+        .expect("base64")
 }
 
 #[test]
 fn records_of_the_version_before_are_read() {
     let job: JobRecord = from_value(&sample("job")).expect("a job");
     assert!(job.withdrawn && job.awaited == 0 && job.spec.awaits.is_empty());
-    assert_eq!((job.spec.id.as_str(), job.spec.rank, job.spec.shape), ("req-000412", Rank::High, Shape::Gang));
+    assert_eq!(
+        (job.spec.id.as_str(), job.spec.rank, job.spec.shape),
+        ("req-000412", Rank::High, Shape::Gang)
+    );
     let node: NodeRecord = from_value(&sample("node")).expect("a node");
-    assert_eq!((node.reads, node.format, node.deaf), (0, PEER_VERSION, vec![2]));
+    assert_eq!(
+        (node.reads, node.format, node.deaf),
+        (0, PEER_VERSION, vec![2])
+    );
     let chunk = read_chunk(&sample("chunk"), 0).expect("a chunk");
-    assert_eq!((chunk.live.len(), chunk.done.as_slice(), chunk.next), (2, [(0, 2)].as_slice(), 4));
-    assert_eq!(chunk.gang.as_ref().map(|gang| gang.step), Some(GangStep::Admitted));
-    assert_eq!(chunk_value(&chunk, 0), to_value(&chunk), "and written back in the same form until all read the next");
-    assert!(from_value::<PartRecord>(&sample("part")).is_some() && from_value::<TeamRecord>(&sample("team")).is_some());
-    assert!(from_value::<ImagesRecord>(&sample("images")).is_some() && from_value::<MailRecord>(&sample("mail")).is_some());
+    assert_eq!(
+        (chunk.live.len(), chunk.done.as_slice(), chunk.next),
+        (2, [(0, 2)].as_slice(), 4)
+    );
+    assert_eq!(
+        chunk.gang.as_ref().map(|gang| gang.step),
+        Some(GangStep::Admitted)
+    );
+    assert_eq!(
+        chunk_value(&chunk, 0),
+        to_value(&chunk),
+        "and written back in the same form until all read the next"
+    );
+    assert!(
+        from_value::<PartRecord>(&sample("part")).is_some()
+            && from_value::<TeamRecord>(&sample("team")).is_some()
+    );
+    assert!(
+        from_value::<ImagesRecord>(&sample("images")).is_some()
+            && from_value::<MailRecord>(&sample("mail")).is_some()
+    );
     assert!(from_value::<HandoverRecord>(&sample("handover")).is_some());
-    assert_eq!(from_value::<EndRecord>(&sample("end")).map(|end| end.phase), Some(Phase::Withdrawn));
+    assert_eq!(
+        from_value::<EndRecord>(&sample("end")).map(|end| end.phase),
+        Some(Phase::Withdrawn)
+    );
 }
 
 /// Messages between controllers keep their format: byte for byte what they were.
 #[test]
 fn messages_are_those_of_the_version_before() {
     let sync: Sync = peer::read(&message("sync")).expect("a sync");
-    assert_eq!((sync.wants.len(), sync.notes.len(), peer::write(&sync)), (1, 1, message("sync")));
+    assert_eq!(
+        (sync.wants.len(), sync.notes.len(), peer::write(&sync)),
+        (1, 1, message("sync"))
+    );
     let view: View = peer::read(&message("view")).expect("a view");
-    assert_eq!((view.machines.len(), peer::write(&view)), (1, message("view")));
+    assert_eq!(
+        (view.machines.len(), peer::write(&view)),
+        (1, message("view"))
+    );
 }
 
 // ---- what the version before reads of ours: its definitions, as they were --------------
@@ -85,22 +118,57 @@
 fn the_version_before_reads_what_may_start_and_nothing_that_waits() {
     let mut spec: JobSpec = from_value::<JobRecord>(&sample("job")).expect("a job").spec;
     spec.awaits = vec![JobId::from("req-000001")];
-    let record = JobRecord { spec, at: 7, withdrawn: false, awaited: 0 };
+    let record = JobRecord {
+        spec,
+        at: 7,
+        withdrawn: false,
+        awaited: 0,
+    };
     for txn in accept_waiting(&record, 4) {
         for write in &txn.writes {
-            let Write::Put { key, .. } = write else { panic!("nothing is removed") };
-            let kind = key.strip_prefix(FOLLOWED).and_then(|rest| rest.split_once('/')).expect("followed").0;
-            assert!(!EARLIER_FOLLOWED.contains(&kind), "{key} would be taken for work");
+            let Write::Put { key, .. } = write else {
+                panic!("nothing is removed")
+            };
+            let kind = key
+                .strip_prefix(FOLLOWED)
+                .and_then(|rest| rest.split_once('/'))
+                .expect("followed")
+                .0;
+            assert!(
+                !EARLIER_FOLLOWED.contains(&kind),
+                "{key} would be taken for work"
+            );
         }
     }
     let released = release_waiting(&record, 3, &[(JobId::from("req-000001"), 2)]);
-    let [Write::Put { key, value, .. }, Write::Delete { key: gone }] = released.writes.as_slice() else { panic!("two changes") };
-    assert_eq!((key.as_str(), gone), ("w/job/req-000412", &chain_key(&record.spec.id)));
+    let [Write::Put { key, value, .. }, Write::Delete { key: gone }] = released.writes.as_slice()
+    else {
+        panic!("two changes")
+    };
+    assert_eq!(
+        (key.as_str(), gone),
+        ("w/job/req-000412", &chain_key(&record.spec.id))
+    );
     let earlier: EarlierJob = from_value(value).expect("read");
-    assert_eq!((earlier.spec.id.as_str(), earlier.spec.tasks, earlier.spec.rank), ("req-000412", 16, Rank::High));
+    assert_eq!(
+        (
+            earlier.spec.id.as_str(),
+            earlier.spec.tasks,
+            earlier.spec.rank
+        ),
+        ("req-000412", 16, Rank::High)
+    );
     assert_eq!((earlier.at, earlier.withdrawn), (7, false));
-    assert!(from_value::<JobRecord>(value).is_some_and(|job| job.spec.awaits.is_empty()), "nothing is lost if it writes it back");
+    assert!(
+        from_value::<JobRecord>(value).is_some_and(|job| job.spec.awaits.is_empty()),
+        "nothing is lost if it writes it back"
+    );
     let shown = show_node("hutte-0", "eemsmond", 1, Vec::new());
-    let [Write::Put { value, .. }] = shown.writes.as_slice() else { panic!("one change") };
-    assert_eq!(from_value::<EarlierNode>(value).expect("read").format, PEER_VERSION);
+    let [Write::Put { value, .. }] = shown.writes.as_slice() else {
+        panic!("one change")
+    };
+    assert_eq!(
+        from_value::<EarlierNode>(value).expect("read").format,
+        PEER_VERSION
+    );
 }
--- a/crates/trace/src/csv_rows.rs
+++ b/crates/trace/src/csv_rows.rs
@@ -14,7 +14,10 @@
     faults: &mut Faults<'f>,
     mut each: impl FnMut(&mut Row<'_, 'f>, &[&str]),
 ) -> std::io::Result<()> {
-    let mut reader = csv::ReaderBuilder::new().has_headers(false).flexible(true).from_reader(input);
+    let mut reader = csv::ReaderBuilder::new()
+        .has_headers(false)
+        .flexible(true)
+        .from_reader(input);
     let mut record = csv::ByteRecord::new();
     loop {
         match reader.read_byte_record(&mut record) {
@@ -23,7 +26,12 @@
             Err(e) => match e.into_kind() {
                 csv::ErrorKind::Io(e) => return Err(e),
                 other => {
-                    faults.note(file, reader.position().line(), "row", format!("not CSV: {other:?}"));
+                    faults.note(
+                        file,
+                        reader.position().line(),
+                        "row",
+                        format!("not CSV: {other:?}"),
+                    );
                     return Ok(());
                 }
             },
@@ -31,7 +39,10 @@
         let line = record.position().map_or(0, csv::Position::line);
         let mut row = Row::new(file, line, faults);
         if record.len() != names.len() {
-            row.fault("row", format!("{} fields, must be {}", record.len(), names.len()));
+            row.fault(
+                "row",
+                format!("{} fields, must be {}", record.len(), names.len()),
+            );
             continue;
         }
         let mut fields = Vec::with_capacity(names.len());
--- a/crates/trace/src/fault.rs
+++ b/crates/trace/src/fault.rs
@@ -17,7 +17,11 @@
 
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}:{}: {}: {}", self.file, self.line, self.field, self.what)
+        write!(
+            f,
+            "{}:{}: {}: {}",
+            self.file, self.line, self.field, self.what
+        )
     }
 }
 
@@ -37,7 +41,12 @@
     /// Notes a fault.
     pub fn note(&mut self, file: &str, line: u64, field: &str, what: impl Into<String>) {
         self.count += 1;
-        (self.tell)(&Fault { file: file.to_owned(), line, field: field.to_owned(), what: what.into() });
+        (self.tell)(&Fault {
+            file: file.to_owned(),
+            line,
+            field: field.to_owned(),
+            what: what.into(),
+        });
     }
 }
 
@@ -60,7 +69,12 @@
 impl<'r, 'f> Row<'r, 'f> {
     /// A row that is good so far.
     pub fn new(file: &'r str, line: u64, faults: &'r mut Faults<'f>) -> Self {
-        Self { file, line, faults, good: true }
+        Self {
+            file,
+            line,
+            faults,
+            good: true,
+        }
     }
 
     /// Notes a fault of a field.
@@ -73,7 +87,9 @@
     pub fn number(&mut self, field: &str, text: &str) -> f64 {
         match text.trim().parse::<f64>() {
             Err(_) => self.fault(field, format!("{:?} is not a number", shorten(text))),
-            Ok(x) if !x.is_finite() => self.fault(field, format!("{} is no finite number", shorten(text))),
+            Ok(x) if !x.is_finite() => {
+                self.fault(field, format!("{} is no finite number", shorten(text)))
+            }
             Ok(x) if x < 0.0 => self.fault(field, format!("{} is negative", shorten(text))),
             Ok(x) if x > MOST => self.fault(field, format!("{} is out of range", shorten(text))),
             Ok(x) => return x,
@@ -86,8 +102,13 @@
         let text = text.trim();
         match text.parse::<u64>() {
             Ok(x) => return x,
-            Err(_) if text.starts_with('-') => self.fault(field, format!("{} is negative", shorten(text))),
-            Err(_) => self.fault(field, format!("{:?} is not a whole number below 2^64", shorten(text))),
+            Err(_) if text.starts_with('-') => {
+                self.fault(field, format!("{} is negative", shorten(text)))
+            }
+            Err(_) => self.fault(
+                field,
+                format!("{:?} is not a whole number below 2^64", shorten(text)),
+            ),
         }
         0
     }
@@ -97,7 +118,13 @@
         match count {
             0 => self.fault(field, "no task at all"),
             n if n > lemonweir_model::constants::MAX_TASKS => {
-                self.fault(field, format!("{n} tasks; a job may have {}", lemonweir_model::constants::MAX_TASKS));
+                self.fault(
+                    field,
+                    format!(
+                        "{n} tasks; a job may have {}",
+                        lemonweir_model::constants::MAX_TASKS
+                    ),
+                );
             }
             n => return n as u32,
         }
--- a/crates/trace/src/formats/alibaba.rs
+++ b/crates/trace/src/formats/alibaba.rs
@@ -13,8 +13,17 @@
 use crate::fault::{Faults, Row};
 use crate::workload::Entry;
 
-const BATCH_TASK: [&str; 9] =
-    ["task_name", "instance_num", "job_name", "task_type", "status", "start_time", "end_time", "plan_cpu", "plan_mem"];
+const BATCH_TASK: [&str; 9] = [
+    "task_name",
+    "instance_num",
+    "job_name",
+    "task_type",
+    "status",
+    "start_time",
+    "end_time",
+    "plan_cpu",
+    "plan_mem",
+];
 const BATCH_INSTANCE: [&str; 14] = [
     "instance_name",
     "task_name",
@@ -31,11 +40,45 @@
     "mem_avg",
     "mem_max",
 ];
-const CONTAINER_META: [&str; 8] = ["container_id", "machine_id", "time_stamp", "app_du", "status", "cpu_request", "cpu_limit", "mem_size"];
-const MACHINE_META: [&str; 7] = ["machine_id", "time_stamp", "failure_domain_1", "failure_domain_2", "cpu_num", "mem_size", "status"];
-const PAI_TASK: [&str; 10] =
-    ["job_name", "task_name", "inst_num", "status", "start_time", "end_time", "plan_cpu", "plan_mem", "plan_gpu", "gpu_type"];
-const PAI_JOB: [&str; 6] = ["job_name", "inst_id", "user", "status", "start_time", "end_time"];
+const CONTAINER_META: [&str; 8] = [
+    "container_id",
+    "machine_id",
+    "time_stamp",
+    "app_du",
+    "status",
+    "cpu_request",
+    "cpu_limit",
+    "mem_size",
+];
+const MACHINE_META: [&str; 7] = [
+    "machine_id",
+    "time_stamp",
+    "failure_domain_1",
+    "failure_domain_2",
+    "cpu_num",
+    "mem_size",
+    "status",
+];
+const PAI_TASK: [&str; 10] = [
+    "job_name",
+    "task_name",
+    "inst_num",
+    "status",
+    "start_time",
+    "end_time",
+    "plan_cpu",
+    "plan_mem",
+    "plan_gpu",
+    "gpu_type",
+];
+const PAI_JOB: [&str; 6] = [
+    "job_name",
+    "inst_id",
+    "user",
+    "status",
+    "start_time",
+    "end_time",
+];
 
 /// Names seen, as 64-bit hashes: 16 bytes a name, however long it is. Two
 /// names share one by chance in fewer than one of 10^5 files of 10 million.
@@ -83,13 +126,31 @@
     if n.fract() != 0.0 {
         row.fault(field, format!("{n} is not a whole number"));
     }
-    if row.good { row.tasks(field, n as u64) } else { 0 }
+    if row.good {
+        row.tasks(field, n as u64)
+    } else {
+        0
+    }
 }
 
 /// Reads one table of 2018.
-pub fn read_2018(file: &str, input: impl BufRead, machine: Room, faults: &mut Faults<'_>, out: &mut dyn FnMut(Entry)) -> io::Result<()> {
+pub fn read_2018(
+    file: &str,
+    input: impl BufRead,
+    machine: Room,
+    faults: &mut Faults<'_>,
+    out: &mut dyn FnMut(Entry),
+) -> io::Result<()> {
     let mut names = Names::new();
-    match table(file, &["batch_task", "batch_instance", "container_meta", "machine_meta"]) {
+    match table(
+        file,
+        &[
+            "batch_task",
+            "batch_instance",
+            "container_meta",
+            "machine_meta",
+        ],
+    ) {
         Some("batch_task") => rows(file, input, &BATCH_TASK, faults, |row, f| {
             let tasks = count(row, "instance_num", f[1]);
             let (from, to) = times(row, f[5], f[6]);
@@ -100,7 +161,10 @@
                 row.fault("task_name", format!("{id} is there twice"));
             }
             if row.good {
-                let need = Room { memory, ..Room::need(cpus, 0.0, 0.0) };
+                let need = Room {
+                    memory,
+                    ..Room::need(cpus, 0.0, 0.0)
+                };
                 out(batch(row, id, f[3], from, to, tasks, need, Shape::Array));
             }
         }),
@@ -115,9 +179,26 @@
             let memory = percent(row, "mem_size", f[7], machine);
             // A container has a row for each look at it; the first is its begin.
             if row.good && names.first(f[0]) {
-                let need = Room { memory, ..Room::need(cpus, 0.0, 0.0) };
-                let entry = batch(row, f[0].to_owned(), "container", (at * 1e3) as u64, 0, 1, need, Shape::Service);
-                out(Entry { team: Some(f[3].to_owned()), rank: Rank::Production, run_ms: Vec::new(), ..entry });
+                let need = Room {
+                    memory,
+                    ..Room::need(cpus, 0.0, 0.0)
+                };
+                let entry = batch(
+                    row,
+                    f[0].to_owned(),
+                    "container",
+                    (at * 1e3) as u64,
+                    0,
+                    1,
+                    need,
+                    Shape::Service,
+                );
+                out(Entry {
+                    team: Some(f[3].to_owned()),
+                    rank: Rank::Production,
+                    run_ms: Vec::new(),
+                    ..entry
+                });
             }
         }),
         Some(_) => rows(file, input, &MACHINE_META, faults, |row, f| {
@@ -143,7 +224,16 @@
 }
 
 #[allow(clippy::too_many_arguments)]
-fn batch(row: &Row<'_, '_>, id: String, class: &str, from: u64, to: u64, tasks: u32, need: Room, shape: Shape) -> Entry {
+fn batch(
+    row: &Row<'_, '_>,
+    id: String,
+    class: &str,
+    from: u64,
+    to: u64,
+    tasks: u32,
+    need: Room,
+    shape: Shape,
+) -> Entry {
     Entry {
         at_ms: from,
         id,
@@ -162,7 +252,12 @@
 /// Reads one table of PAI 2020. A task of several instances trains together:
 /// it is a gang. 100 of `plan_cpu` or `plan_gpu` are one processor or one
 /// accelerator; `plan_mem` is in GB.
-pub fn read_pai(file: &str, input: impl BufRead, faults: &mut Faults<'_>, out: &mut dyn FnMut(Entry)) -> io::Result<()> {
+pub fn read_pai(
+    file: &str,
+    input: impl BufRead,
+    faults: &mut Faults<'_>,
+    out: &mut dyn FnMut(Entry),
+) -> io::Result<()> {
     let mut names = Names::new();
     match table(file, &["pai_task_table", "pai_job_table"]) {
         Some("pai_task_table") => rows(file, input, &PAI_TASK, faults, |row, f| {
@@ -171,7 +266,11 @@
             let cpus = amount(row, "plan_cpu", f[6]) / 100.0;
             let memory = amount(row, "plan_mem", f[7]);
             // A task without accelerators leaves the field empty.
-            let gpus = if f[8].trim().is_empty() { 0.0 } else { row.number("plan_gpu", f[8]) / 100.0 };
+            let gpus = if f[8].trim().is_empty() {
+                0.0
+            } else {
+                row.number("plan_gpu", f[8]) / 100.0
+            };
             if gpus > 0.0 && f[9].trim().is_empty() {
                 row.fault("gpu_type", "is missing, but accelerators are asked for");
             }
@@ -181,7 +280,16 @@
             }
             if row.good {
                 let shape = if tasks > 1 { Shape::Gang } else { Shape::Array };
-                out(batch(row, id, f[1], from, to, tasks, Room::need(cpus, gpus, memory), shape));
+                out(batch(
+                    row,
+                    id,
+                    f[1],
+                    from,
+                    to,
+                    tasks,
+                    Room::need(cpus, gpus, memory),
+                    shape,
+                ));
             }
         }),
         Some(_) => rows(file, input, &PAI_JOB, faults, |row, f| {
@@ -191,7 +299,12 @@
             }
         }),
         None => {
-            faults.note(file, 0, "file", "its name must hold pai_task_table or pai_job_table, as published");
+            faults.note(
+                file,
+                0,
+                "file",
+                "its name must hold pai_task_table or pai_job_table, as published",
+            );
             Ok(())
         }
     }
--- a/crates/trace/src/formats/google.rs
+++ b/crates/trace/src/formats/google.rs
@@ -29,11 +29,31 @@
     "disk space request",
     "different machines restriction",
 ];
-const MACHINE_EVENTS: [&str; 6] = ["time", "machine id", "event type", "platform id", "cpus", "memory"];
-const TASK_CONSTRAINTS: [&str; 6] = ["time", "job id", "task index", "comparison operator", "attribute name", "attribute value"];
+const MACHINE_EVENTS: [&str; 6] = [
+    "time",
+    "machine id",
+    "event type",
+    "platform id",
+    "cpus",
+    "memory",
+];
+const TASK_CONSTRAINTS: [&str; 6] = [
+    "time",
+    "job id",
+    "task index",
+    "comparison operator",
+    "attribute name",
+    "attribute value",
+];
 
 /// Reads one table of 2011. Which one shows in the file's name, as published.
-pub fn read_2011(file: &str, input: impl BufRead, machine: Room, faults: &mut Faults<'_>, out: &mut dyn FnMut(Entry)) -> io::Result<()> {
+pub fn read_2011(
+    file: &str,
+    input: impl BufRead,
+    machine: Room,
+    faults: &mut Faults<'_>,
+    out: &mut dyn FnMut(Entry),
+) -> io::Result<()> {
     match table(file, &["task_events", "machine_events", "task_constraints"]) {
         Some("task_events") => task_events(file, input, machine, faults, out),
         Some("machine_events") => rows(file, input, &MACHINE_EVENTS, faults, |row, f| {
@@ -53,7 +73,12 @@
             one_of(row, "comparison operator", f[3], 3);
         }),
         None => {
-            faults.note(file, 0, "file", "its name must hold task_events, machine_events or task_constraints, as published");
+            faults.note(
+                file,
+                0,
+                "file",
+                "its name must hold task_events, machine_events or task_constraints, as published",
+            );
             Ok(())
         }
     }
@@ -75,12 +100,24 @@
     }
     let x = row.number(field, text);
     if x > 1.0 {
-        row.fault(field, format!("{}: a share of the largest machine can't be over 1", shorten(text)));
+        row.fault(
+            field,
+            format!(
+                "{}: a share of the largest machine can't be over 1",
+                shorten(text)
+            ),
+        );
     }
     x
 }
 
-fn task_events(file: &str, input: impl BufRead, machine: Room, faults: &mut Faults<'_>, out: &mut dyn FnMut(Entry)) -> io::Result<()> {
+fn task_events(
+    file: &str,
+    input: impl BufRead,
+    machine: Room,
+    faults: &mut Faults<'_>,
+    out: &mut dyn FnMut(Entry),
+) -> io::Result<()> {
     let mut lives = Lives::default();
     rows(file, input, &TASK_EVENTS, faults, |row, f| {
         let at = row.whole("time", f[0]);
@@ -95,15 +132,34 @@
         let class = one_of(row, "scheduling class", f[7], 3);
         let priority = one_of(row, "priority", f[8], 11);
         let asks = event == Event::Submit;
-        let (cpus, memory) = if asks { (part(row, "cpu request", f[9]), part(row, "memory request", f[10])) } else { (0.0, 0.0) };
-        let different = Constraint { attribute: "machine".into(), op: "different machine".into(), value: String::new() };
+        let (cpus, memory) = if asks {
+            (
+                part(row, "cpu request", f[9]),
+                part(row, "memory request", f[10]),
+            )
+        } else {
+            (0.0, 0.0)
+        };
+        let different = Constraint {
+            attribute: "machine".into(),
+            op: "different machine".into(),
+            value: String::new(),
+        };
         let asked = Asked {
             need: share(machine, cpus, memory),
             // 9 and up are production and monitoring, 0 and 1 gratis.
             rank: rank(priority, 9, 4, 2),
             class: format!("class-{class}"),
-            team: if f[6].is_empty() { "unknown".into() } else { shorten(f[6]) },
-            constraints: if f[12].trim() == "1" { vec![different] } else { Vec::new() },
+            team: if f[6].is_empty() {
+                "unknown".into()
+            } else {
+                shorten(f[6])
+            },
+            constraints: if f[12].trim() == "1" {
+                vec![different]
+            } else {
+                Vec::new()
+            },
         };
         if row.good {
             lives.take(row, task, at, event, asked, file, out);
@@ -166,20 +222,36 @@
 }
 
 /// Reads one table of 2019.
-pub fn read_2019(file: &str, input: impl BufRead, machine: Room, faults: &mut Faults<'_>, out: &mut dyn FnMut(Entry)) -> io::Result<()> {
+pub fn read_2019(
+    file: &str,
+    input: impl BufRead,
+    machine: Room,
+    faults: &mut Faults<'_>,
+    out: &mut dyn FnMut(Entry),
+) -> io::Result<()> {
     let instances = match table(file, &["instance_events", "collection_events"]) {
         Some(name) => name == "instance_events",
         None => {
-            faults.note(file, 0, "file", "its name must hold instance_events or collection_events, as published");
+            faults.note(
+                file,
+                0,
+                "file",
+                "its name must hold instance_events or collection_events, as published",
+            );
             return Ok(());
         }
     };
     let mut lives = Lives::default();
-    input::rows(file, input, faults, |row, text| match serde_json::from_str::<EventLine>(text) {
-        _ if text.bytes().all(|b| b.is_ascii_whitespace()) => {}
-        Ok(event) => event_2019(row, &event, instances, machine, &mut lives, file, out),
-        Err(e) => row.fault("row", json_fault(&e)),
-    })?;
+    input::rows(
+        file,
+        input,
+        faults,
+        |row, text| match serde_json::from_str::<EventLine>(text) {
+            _ if text.bytes().all(|b| b.is_ascii_whitespace()) => {}
+            Ok(event) => event_2019(row, &event, instances, machine, &mut lives, file, out),
+            Err(e) => row.fault("row", json_fault(&e)),
+        },
+    )?;
     lives.finish(file, faults, out);
     Ok(())
 }
@@ -197,7 +269,8 @@
     let id = whole(row, "collection_id", e.collection_id.as_ref());
     let kind = text(e.kind.as_ref()).unwrap_or_default();
     let by_number = kind.parse::<usize>().ok().and_then(|n| TYPES.get(n));
-    let Some((_, event)) = by_number.or_else(|| TYPES.iter().find(|(name, _)| *name == kind)) else {
+    let Some((_, event)) = by_number.or_else(|| TYPES.iter().find(|(name, _)| *name == kind))
+    else {
         return row.fault("type", format!("{:?} is no type of event", shorten(&kind)));
     };
     if !instances {
@@ -208,9 +281,17 @@
     let priority = whole(row, "priority", e.priority.as_ref());
     let mut request = |name: &str| {
         let value = e.resource_request.as_ref().and_then(|r| text(r.get(name)));
-        part(row, &format!("resource_request.{name}"), &value.unwrap_or_default())
+        part(
+            row,
+            &format!("resource_request.{name}"),
+            &value.unwrap_or_default(),
+        )
+    };
+    let (cpus, memory) = if *event == Event::Submit {
+        (request("cpus"), request("memory"))
+    } else {
+        (0.0, 0.0)
     };
-    let (cpus, memory) = if *event == Event::Submit { (request("cpus"), request("memory")) } else { (0.0, 0.0) };
     let constraint = |c: &BTreeMap<String, Value>| Constraint {
         attribute: text(c.get("name")).unwrap_or_default(),
         op: text(c.get("relation")).unwrap_or_default(),
@@ -221,7 +302,11 @@
         // 360 and up are monitoring, 120 and up production, below 100 free.
         rank: rank(priority, 120, 116, 100),
         class: format!("class-{class}"),
-        team: e.user.as_deref().map(shorten).unwrap_or_else(|| "unknown".into()),
+        team: e
+            .user
+            .as_deref()
+            .map(shorten)
+            .unwrap_or_else(|| "unknown".into()),
         constraints: e.constraint.iter().map(constraint).collect(),
     };
     if row.good {
--- a/crates/trace/src/formats/mod.rs
+++ b/crates/trace/src/formats/mod.rs
@@ -42,7 +42,11 @@
 /// A share of a machine, in its thousandths.
 fn share(machine: Room, cpus: f64, memory: f64) -> Room {
     let of = |whole: u64, part: f64| (whole as f64 * part).ceil() as u64;
-    Room { cpus: of(machine.cpus, cpus), gpus: 0, memory: of(machine.memory, memory) }
+    Room {
+        cpus: of(machine.cpus, cpus),
+        gpus: 0,
+        memory: of(machine.memory, memory),
+    }
 }
 
 /// A priority on a scale of the source: at least `production`, `high`, `normal`.
--- a/crates/trace/src/formats/philly.rs
+++ b/crates/trace/src/formats/philly.rs
@@ -43,7 +43,9 @@
         row.fault(field, "is missing");
         return None;
     };
-    let parsed = DateTime::strptime("%Y-%m-%d %H:%M:%S", text).ok().and_then(|t| t.to_zoned(TimeZone::UTC).ok());
+    let parsed = DateTime::strptime("%Y-%m-%d %H:%M:%S", text)
+        .ok()
+        .and_then(|t| t.to_zoned(TimeZone::UTC).ok());
     if parsed.is_none() {
         row.fault(field, format!("{:?} is no time", shorten(text)));
     }
@@ -51,7 +53,12 @@
 }
 
 /// Reads a file.
-pub fn read(file: &str, input: impl BufRead, faults: &mut Faults<'_>, out: &mut dyn FnMut(Entry)) -> io::Result<()> {
+pub fn read(
+    file: &str,
+    input: impl BufRead,
+    faults: &mut Faults<'_>,
+    out: &mut dyn FnMut(Entry),
+) -> io::Result<()> {
     let mut seen = HashSet::new();
     let mut first: Option<i64> = None;
     input::objects(input, |line, bytes, whole| {
@@ -69,7 +76,13 @@
     })
 }
 
-fn take(row: &mut Row<'_, '_>, job: Job, seen: &mut HashSet<String>, first: &mut Option<i64>, out: &mut dyn FnMut(Entry)) {
+fn take(
+    row: &mut Row<'_, '_>,
+    job: Job,
+    seen: &mut HashSet<String>,
+    first: &mut Option<i64>,
+    out: &mut dyn FnMut(Entry),
+) {
     if !seen.insert(job.jobid.clone()) {
         row.fault("jobid", format!("{} is there twice", shorten(&job.jobid)));
     }
@@ -82,10 +95,15 @@
         let from = time(row, "attempts.start_time", attempt.start_time.as_deref());
         let to = time(row, "attempts.end_time", attempt.end_time.as_deref());
         if from.is_some_and(|f| before.is_some_and(|b| f < b)) {
-            row.fault("attempts.start_time", "it starts before what went before it: time goes back");
+            row.fault(
+                "attempts.start_time",
+                "it starts before what went before it: time goes back",
+            );
         }
         match (from, to) {
-            (Some(from), Some(to)) if to < from => row.fault("attempts.end_time", "it ends before its start"),
+            (Some(from), Some(to)) if to < from => {
+                row.fault("attempts.end_time", "it ends before its start")
+            }
             (Some(from), Some(to)) => run_ms = (to - from) as u64,
             _ => {}
         }
@@ -95,10 +113,15 @@
     // largest share: what is taken at least where they differ.
     let gpus = last.detail.iter().map(|m| m.gpus.len()).max().unwrap_or(0);
     let tasks = row.tasks("attempts.detail", last.detail.len() as u64);
-    let Some(at) = submitted.filter(|_| row.good) else { return };
+    let Some(at) = submitted.filter(|_| row.good) else {
+        return;
+    };
     let zero = *first.get_or_insert(at);
     if at < zero {
-        return row.fault("submitted_time", "it is before the first job's: time goes back");
+        return row.fault(
+            "submitted_time",
+            "it is before the first job's: time goes back",
+        );
     }
     out(Entry {
         at_ms: (at - zero) as u64,
--- a/crates/trace/src/formats/swf.rs
+++ b/crates/trace/src/formats/swf.rs
@@ -32,7 +32,12 @@
 ];
 
 /// Reads a file.
-pub fn read(file: &str, input: impl BufRead, faults: &mut Faults<'_>, out: &mut dyn FnMut(Entry)) -> io::Result<()> {
+pub fn read(
+    file: &str,
+    input: impl BufRead,
+    faults: &mut Faults<'_>,
+    out: &mut dyn FnMut(Entry),
+) -> io::Result<()> {
     let mut seen = RoaringTreemap::new();
     let mut last = 0;
     input::rows(file, input, faults, |row, text| {
@@ -45,13 +50,26 @@
 
 /// A field that may be unknown.
 fn known(row: &mut Row<'_, '_>, fields: &[&str], i: usize) -> Option<f64> {
-    if fields[i] == "-1" { None } else { Some(row.number(FIELDS[i], fields[i])) }
+    if fields[i] == "-1" {
+        None
+    } else {
+        Some(row.number(FIELDS[i], fields[i]))
+    }
 }
 
-fn job(row: &mut Row<'_, '_>, text: &str, seen: &mut RoaringTreemap, last: &mut u64, out: &mut dyn FnMut(Entry)) {
+fn job(
+    row: &mut Row<'_, '_>,
+    text: &str,
+    seen: &mut RoaringTreemap,
+    last: &mut u64,
+    out: &mut dyn FnMut(Entry),
+) {
     let fields: Vec<&str> = text.split_ascii_whitespace().collect();
     if fields.len() != FIELDS.len() {
-        return row.fault("row", format!("{} fields, must be {}", fields.len(), FIELDS.len()));
+        return row.fault(
+            "row",
+            format!("{} fields, must be {}", fields.len(), FIELDS.len()),
+        );
     }
     let id = row.whole(FIELDS[0], fields[0]);
     if row.good && !seen.insert(id) {
@@ -59,7 +77,10 @@
     }
     let at_ms = (row.number(FIELDS[1], fields[1]) * 1e3) as u64;
     if at_ms < *last {
-        row.fault(FIELDS[1], format!("{} after {}: time goes back", at_ms / 1_000, *last / 1_000));
+        row.fault(
+            FIELDS[1],
+            format!("{} after {}: time goes back", at_ms / 1_000, *last / 1_000),
+        );
     }
     *last = (*last).max(at_ms);
     let run = known(row, &fields, 3);
@@ -79,7 +100,9 @@
         Some(n) => row.tasks(FIELDS[7], n as u64),
     };
     // KB a processor.
-    let memory_kb = known(row, &fields, 9).or_else(|| known(row, &fields, 6)).unwrap_or(0.0);
+    let memory_kb = known(row, &fields, 9)
+        .or_else(|| known(row, &fields, 6))
+        .unwrap_or(0.0);
     // The others are not used, but must be numbers.
     for i in [2, 5, 8, 10, 11, 12, 13, 14, 15, 16, 17] {
         known(row, &fields, i);
--- a/crates/trace/src/import.rs
+++ b/crates/trace/src/import.rs
@@ -40,13 +40,18 @@
 
     /// Its name.
     pub fn name(self) -> &'static str {
-        Self::ALL.iter().find(|(_, f)| *f == self).map_or("", |(name, _)| name)
+        Self::ALL
+            .iter()
+            .find(|(_, f)| *f == self)
+            .map_or("", |(name, _)| name)
     }
 
     /// What its units mean nothing without, if anything.
     fn normalized(self) -> Option<&'static str> {
         match self {
-            Format::Google2011 | Format::Google2019 => Some("processors and memory are shares of the largest machine"),
+            Format::Google2011 | Format::Google2019 => {
+                Some("processors and memory are shares of the largest machine")
+            }
             Format::Alibaba2018 => Some("memory is a percentage of a machine's"),
             Format::Swf | Format::Pai2020 | Format::Philly => None,
         }
@@ -86,30 +91,47 @@
     faults: &mut Faults<'_>,
     out: &mut dyn FnMut(Entry),
 ) -> Result<(), ImportError> {
-    let first = files.first().map(|f| f.display().to_string()).unwrap_or_default();
+    let first = files
+        .first()
+        .map(|f| f.display().to_string())
+        .unwrap_or_default();
     let size = match (machine, format.normalized()) {
         (Some(size), _) => size,
         (None, None) => Room::default(),
         (None, Some(why)) => {
-            faults.note(&first, 0, "unit", format!("{why}: state the machine's size with --machine"));
+            faults.note(
+                &first,
+                0,
+                "unit",
+                format!("{why}: state the machine's size with --machine"),
+            );
             // The rest is checked all the same.
             Room::offer(1.0, 1.0, 1.0)
         }
     };
     for path in files {
         let name = path.display().to_string();
-        let read = crate::input::open(path).and_then(|input| formats::read(format, &name, input, size, faults, out));
+        let read = crate::input::open(path)
+            .and_then(|input| formats::read(format, &name, input, size, faults, out));
         read.map_err(|e| ImportError(name, e))?;
     }
     Ok(())
 }
 
 /// Checks files; every fault goes to `tell`. Returns what an import would give.
-pub fn check(format: Format, files: &[PathBuf], machine: Option<Machine>, tell: &mut dyn FnMut(&Fault)) -> Result<Imported, ImportError> {
+pub fn check(
+    format: Format,
+    files: &[PathBuf],
+    machine: Option<Machine>,
+    tell: &mut dyn FnMut(&Fault),
+) -> Result<Imported, ImportError> {
     let mut faults = Faults::new(tell);
     let mut jobs = 0;
     each(format, files, machine, &mut faults, &mut |_| jobs += 1)?;
-    Ok(Imported { jobs, faults: faults.count })
+    Ok(Imported {
+        jobs,
+        faults: faults.count,
+    })
 }
 
 /// Imports files into a workload at `to`, which appears only once it is whole.
@@ -130,12 +152,23 @@
             failed = sorter.push(entry).err();
         }
     })?;
-    let result = Imported { jobs: sorter.count, faults: faults.count };
+    let result = Imported {
+        jobs: sorter.count,
+        faults: faults.count,
+    };
     if result.faults > 0 && on_fault == OnFault::Stop {
         return Ok(result);
     }
-    let header = Header { format: FORMAT.into(), version: VERSION, source: format.name().into(), machine };
-    let dir = to.parent().filter(|d| !d.as_os_str().is_empty()).unwrap_or(Path::new("."));
+    let header = Header {
+        format: FORMAT.into(),
+        version: VERSION,
+        source: format.name().into(),
+        machine,
+    };
+    let dir = to
+        .parent()
+        .filter(|d| !d.as_os_str().is_empty())
+        .unwrap_or(Path::new("."));
     let write = || {
         if let Some(e) = failed {
             return Err(e);
--- a/crates/trace/src/input.rs
+++ b/crates/trace/src/input.rs
@@ -34,7 +34,10 @@
     let mut line = Vec::new();
     for number in 1.. {
         line.clear();
-        let read = input.by_ref().take(MAX_LINE as u64 + 1).read_until(b'\n', &mut line)?;
+        let read = input
+            .by_ref()
+            .take(MAX_LINE as u64 + 1)
+            .read_until(b'\n', &mut line)?;
         if read == 0 {
             break;
         }
@@ -50,7 +53,12 @@
 }
 
 /// Calls `each` with every line that is text, as a row; what is not is a fault.
-pub fn rows<'f>(file: &str, input: impl BufRead, faults: &mut Faults<'f>, mut each: impl FnMut(&mut Row<'_, 'f>, &str)) -> io::Result<()> {
+pub fn rows<'f>(
+    file: &str,
+    input: impl BufRead,
+    faults: &mut Faults<'f>,
+    mut each: impl FnMut(&mut Row<'_, 'f>, &str),
+) -> io::Result<()> {
     lines(input, |number, line| {
         let mut row = Row::new(file, number, faults);
         match line {
--- a/crates/trace/src/life.rs
+++ b/crates/trace/src/life.rs
@@ -84,23 +84,43 @@
         match (event, known) {
             (Event::Submit, Some(t)) if t.evicted => (t.evicted, t.started) = (false, None),
             (Event::Submit, Some(t)) => {
-                row.fault("task", format!("{job_id}/{index} is submitted again while it is under way since line {}", t.line));
+                row.fault(
+                    "task",
+                    format!(
+                        "{job_id}/{index} is submitted again while it is under way since line {}",
+                        t.line
+                    ),
+                );
             }
             (Event::Submit, None) if job.ended.contains(index) => {
-                row.fault("task", format!("{job_id}/{index} is submitted again after it ended"));
+                row.fault(
+                    "task",
+                    format!("{job_id}/{index} is submitted again after it ended"),
+                );
             }
             (Event::Submit, None) => {
-                let task = Task { asked, submitted: at, line: row.line, started: None, evicted: false };
+                let task = Task {
+                    asked,
+                    submitted: at,
+                    line: row.line,
+                    started: None,
+                    evicted: false,
+                };
                 job.live.insert(index, task);
             }
             (Event::Update, Some(_)) => {}
             (_, None) => row.fault("task", format!("{job_id}/{index} was never submitted")),
-            (Event::Start, Some(t)) if t.started.is_some() => row.fault("event", format!("{job_id}/{index} runs already")),
+            (Event::Start, Some(t)) if t.started.is_some() => {
+                row.fault("event", format!("{job_id}/{index} runs already"))
+            }
             (Event::Start, Some(t)) => t.started = Some(at),
             (Event::Evict, Some(t)) => (t.evicted, t.started) = (true, None),
             (Event::End, Some(t)) => {
                 if t.started.is_none() {
-                    row.fault("event", format!("{job_id}/{index} ends and was never started"));
+                    row.fault(
+                        "event",
+                        format!("{job_id}/{index} ends and was never started"),
+                    );
                 }
                 if let Some(t) = job.live.remove(&index) {
                     job.ended.insert(index);
@@ -117,7 +137,8 @@
     /// The trace ends: what is under way has no end.
     pub fn finish(self, file: &str, faults: &mut Faults<'_>, out: &mut dyn FnMut(Entry)) {
         for (job_id, job) in self.jobs {
-            let mut open: Vec<(u64, u64)> = job.live.iter().map(|(index, t)| (t.line, *index)).collect();
+            let mut open: Vec<(u64, u64)> =
+                job.live.iter().map(|(index, t)| (t.line, *index)).collect();
             open.sort_unstable();
             for (line, index) in open {
                 faults.note(file, line, "end", format!("{job_id}/{index} has no end"));
@@ -131,7 +152,9 @@
     let mut sets: BTreeMap<(u64, Asked), (u64, Vec<u64>)> = BTreeMap::new();
     for (task, end) in over {
         let run = end.saturating_sub(task.started.unwrap_or(end)) / 1_000;
-        let set = sets.entry((task.submitted, task.asked)).or_insert((task.line, Vec::new()));
+        let set = sets
+            .entry((task.submitted, task.asked))
+            .or_insert((task.line, Vec::new()));
         set.0 = set.0.min(task.line);
         set.1.push(run);
     }
@@ -143,7 +166,11 @@
         }
         out(Entry {
             at_ms: at / 1_000,
-            id: if n == 0 { job_id.to_string() } else { format!("{job_id}.{n}") },
+            id: if n == 0 {
+                job_id.to_string()
+            } else {
+                format!("{job_id}.{n}")
+            },
             class: Some(asked.class),
             team: Some(asked.team),
             rank: asked.rank,
--- a/crates/trace/src/sort.rs
+++ b/crates/trace/src/sort.rs
@@ -44,8 +44,11 @@
     /// Writes all of them in order.
     pub fn write(mut self, out: &mut impl Write) -> io::Result<()> {
         self.held.sort_by_cached_key(key);
-        let held: Box<dyn Iterator<Item = io::Result<Entry>>> = Box::new(self.held.into_iter().map(Ok));
-        let runs = self.runs.into_iter().map(|f| Box::new(entries(BufReader::new(f))) as Box<dyn Iterator<Item = io::Result<Entry>>>);
+        let held: Box<dyn Iterator<Item = io::Result<Entry>>> =
+            Box::new(self.held.into_iter().map(Ok));
+        let runs = self.runs.into_iter().map(|f| {
+            Box::new(entries(BufReader::new(f))) as Box<dyn Iterator<Item = io::Result<Entry>>>
+        });
         let mut runs: Vec<_> = runs.chain([held]).collect();
         let mut heads: Vec<Option<Entry>> = Vec::with_capacity(runs.len());
         let mut heap = BinaryHeap::new();
--- a/crates/trace/src/workload.rs
+++ b/crates/trace/src/workload.rs
@@ -96,28 +96,34 @@
         }
         let taken = match line {
             Line::TooLong => Err("line too long".to_owned()),
-            Line::Bytes(bytes) if number == 1 => {
-                serde_json::from_slice::<Header>(bytes).map_err(|e| format!("header: {e}")).and_then(|h| {
+            Line::Bytes(bytes) if number == 1 => serde_json::from_slice::<Header>(bytes)
+                .map_err(|e| format!("header: {e}"))
+                .and_then(|h| {
                     let good = h.format == FORMAT && h.version == VERSION;
-                    let what = format!("{} version {}, must be {FORMAT} version {VERSION}", h.format, h.version);
+                    let what = format!(
+                        "{} version {}, must be {FORMAT} version {VERSION}",
+                        h.format, h.version
+                    );
                     header = Some(h);
                     if good { Ok(()) } else { Err(what) }
-                })
-            }
-            Line::Bytes(bytes) => serde_json::from_slice::<Entry>(bytes).map_err(|e| e.to_string()).and_then(|e| {
-                if e.at_ms < last {
-                    return Err(format!("at_ms: {} after {last}: time goes back", e.at_ms));
-                }
-                if e.tasks == 0 || !(e.run_ms.len() <= 1 || e.run_ms.len() == e.tasks as usize) {
-                    return Err("run_ms: must be one time, or one for each task".into());
-                }
-                if e.run_ms.is_empty() && e.shape != Shape::Service {
-                    return Err("run_ms: is empty".into());
-                }
-                last = e.at_ms;
-                each(e);
-                Ok(())
-            }),
+                }),
+            Line::Bytes(bytes) => serde_json::from_slice::<Entry>(bytes)
+                .map_err(|e| e.to_string())
+                .and_then(|e| {
+                    if e.at_ms < last {
+                        return Err(format!("at_ms: {} after {last}: time goes back", e.at_ms));
+                    }
+                    if e.tasks == 0 || !(e.run_ms.len() <= 1 || e.run_ms.len() == e.tasks as usize)
+                    {
+                        return Err("run_ms: must be one time, or one for each task".into());
+                    }
+                    if e.run_ms.is_empty() && e.shape != Shape::Service {
+                        return Err("run_ms: is empty".into());
+                    }
+                    last = e.at_ms;
+                    each(e);
+                    Ok(())
+                }),
         };
         fault = taken.err().map(|what| (number, what));
     })
@@ -125,7 +131,11 @@
     match (fault, header) {
         (Some((line, what)), _) => Err(WorkloadError::Line(name, line, what)),
         (None, Some(header)) => Ok(header),
-        (None, None) => Err(WorkloadError::Line(name, 1, "header: the file is empty".into())),
+        (None, None) => Err(WorkloadError::Line(
+            name,
+            1,
+            "header: the file is empty".into(),
+        )),
     }
 }
 
@@ -137,5 +147,7 @@
 
 /// Reads entries from lines that this crate wrote itself.
 pub(crate) fn entries(input: impl BufRead) -> impl Iterator<Item = io::Result<Entry>> {
-    input.lines().map(|line| serde_json::from_str(&line?).map_err(io::Error::from))
+    input
+        .lines()
+        .map(|line| serde_json::from_str(&line?).map_err(io::Error::from))
 }
--- a/crates/trace/tests/readers.rs
+++ b/crates/trace/tests/readers.rs
@@ -10,7 +10,9 @@
 use lemonweir_trace::{Fault, Format, OnFault, check, import};
 
 fn sample(name: &str) -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/traces").join(name)
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("../../examples/traces")
+        .join(name)
 }
 
 fn machine() -> Option<Room> {
@@ -22,7 +24,11 @@
     let mut lines = Vec::new();
     let mut tell = |f: &Fault| {
         assert_eq!(f.file, file.display().to_string());
-        assert!(!f.what.is_empty() && f.to_string().starts_with(&format!("{}:{}: {}: ", f.file, f.line, f.field)));
+        assert!(
+            !f.what.is_empty()
+                && f.to_string()
+                    .starts_with(&format!("{}:{}: {}: ", f.file, f.line, f.field))
+        );
         lines.push(format!("{}: {}", f.line, f.field));
     };
     let result = check(format, &[file.to_owned()], machine(), &mut tell).expect("readable");
@@ -39,21 +45,52 @@
     }
     let mut all = Vec::new();
     let header = workload::read(&out, |e| all.push(e)).expect("a workload");
-    assert_eq!((header.source.as_str(), header.machine), (format.name(), machine()));
+    assert_eq!(
+        (header.source.as_str(), header.machine),
+        (format.name(), machine())
+    );
     Some(all)
 }
 
 const GOOD: [(Format, &str, usize); 12] = [
     (Format::Swf, "small.swf", 80),
     (Format::Google2011, "google-2011/task_events-small.csv", 30),
-    (Format::Google2011, "google-2011/machine_events-small.csv", 0),
-    (Format::Google2011, "google-2011/task_constraints-small.csv", 0),
-    (Format::Google2019, "google-2019/instance_events-small.json", 25),
-    (Format::Google2019, "google-2019/collection_events-small.json", 0),
+    (
+        Format::Google2011,
+        "google-2011/machine_events-small.csv",
+        0,
+    ),
+    (
+        Format::Google2011,
+        "google-2011/task_constraints-small.csv",
+        0,
+    ),
+    (
+        Format::Google2019,
+        "google-2019/instance_events-small.json",
+        25,
+    ),
+    (
+        Format::Google2019,
+        "google-2019/collection_events-small.json",
+        0,
+    ),
     (Format::Alibaba2018, "alibaba-2018/batch_task-small.csv", 69),
-    (Format::Alibaba2018, "alibaba-2018/batch_instance-small.csv", 0),
-    (Format::Alibaba2018, "alibaba-2018/container_meta-small.csv", 2),
-    (Format::Alibaba2018, "alibaba-2018/machine_meta-small.csv", 0),
+    (
+        Format::Alibaba2018,
+        "alibaba-2018/batch_instance-small.csv",
+        0,
+    ),
+    (
+        Format::Alibaba2018,
+        "alibaba-2018/container_meta-small.csv",
+        2,
+    ),
+    (
+        Format::Alibaba2018,
+        "alibaba-2018/machine_meta-small.csv",
+        0,
+    ),
     (Format::Pai2020, "pai-2020/pai_task_table-small.csv", 40),
     (Format::Philly, "philly/cluster_job_log-small.json", 30),
 ];
@@ -61,11 +98,21 @@
 #[test]
 fn samples_are_read_whole() {
     for (format, name, jobs) in GOOD {
-        assert_eq!(faults(format, &sample(name)), Vec::<String>::new(), "{name}");
+        assert_eq!(
+            faults(format, &sample(name)),
+            Vec::<String>::new(),
+            "{name}"
+        );
         let all = entries(format, &[sample(name)], OnFault::Stop).expect("written");
         assert_eq!(all.len(), jobs, "{name}");
-        assert!(all.windows(2).all(|w| w[0].at_ms <= w[1].at_ms), "{name}: in the order of submission");
-        assert!(all.iter().all(|e| e.from.contains(':') && e.tasks > 0), "{name}");
+        assert!(
+            all.windows(2).all(|w| w[0].at_ms <= w[1].at_ms),
+            "{name}: in the order of submission"
+        );
+        assert!(
+            all.iter().all(|e| e.from.contains(':') && e.tasks > 0),
+            "{name}"
+        );
     }
 }
 
@@ -108,29 +155,67 @@
         (
             Format::Google2019,
             "google-2019/instance_events-faulty.json",
-            &["2: type", "3: resource_request.memory", "4: row", "5: time", "1: end"],
+            &[
+                "2: type",
+                "3: resource_request.memory",
+                "4: row",
+                "5: time",
+                "1: end",
+            ],
         ),
         (
             Format::Alibaba2018,
             "alibaba-2018/batch_task-faulty.csv",
-            &["2: task_name", "3: end_time", "4: end_time", "5: plan_cpu", "6: plan_mem", "7: instance_num", "8: row", "9: instance_num"],
+            &[
+                "2: task_name",
+                "3: end_time",
+                "4: end_time",
+                "5: plan_cpu",
+                "6: plan_mem",
+                "7: instance_num",
+                "8: row",
+                "9: instance_num",
+            ],
         ),
         (
             Format::Pai2020,
             "pai-2020/pai_task_table-faulty.csv",
-            &["2: task_name", "3: end_time", "4: end_time", "5: plan_cpu", "6: inst_num", "7: gpu_type", "8: plan_cpu"],
+            &[
+                "2: task_name",
+                "3: end_time",
+                "4: end_time",
+                "5: plan_cpu",
+                "6: inst_num",
+                "7: gpu_type",
+                "8: plan_cpu",
+            ],
         ),
         (
             Format::Philly,
             "philly/cluster_job_log-faulty.json",
-            &["3: jobid", "4: attempts.end_time", "5: attempts.end_time", "6: attempts", "7: submitted_time", "8: row", "9: row"],
+            &[
+                "3: jobid",
+                "4: attempts.end_time",
+                "5: attempts.end_time",
+                "6: attempts",
+                "7: submitted_time",
+                "8: row",
+                "9: row",
+            ],
         ),
     ];
     for (format, name, want) in cases {
         assert_eq!(faults(format, &sample(name)), want, "{name}");
-        assert_eq!(entries(format, &[sample(name)], OnFault::Stop), None, "{name}: nothing is written");
+        assert_eq!(
+            entries(format, &[sample(name)], OnFault::Stop),
+            None,
+            "{name}: nothing is written"
+        );
         let kept = entries(format, &[sample(name)], OnFault::Drop).expect("written");
-        assert!(!kept.is_empty() || format == Format::Google2019, "{name}: what is good is kept");
+        assert!(
+            !kept.is_empty() || format == Format::Google2019,
+            "{name}: what is good is kept"
+        );
     }
 }
 
@@ -138,15 +223,34 @@
 #[test]
 fn normalized_units_need_a_stated_machine() {
     for (format, name, needs) in [
-        (Format::Google2011, "google-2011/task_events-small.csv", true),
-        (Format::Google2019, "google-2019/instance_events-small.json", true),
-        (Format::Alibaba2018, "alibaba-2018/batch_task-small.csv", true),
+        (
+            Format::Google2011,
+            "google-2011/task_events-small.csv",
+            true,
+        ),
+        (
+            Format::Google2019,
+            "google-2019/instance_events-small.json",
+            true,
+        ),
+        (
+            Format::Alibaba2018,
+            "alibaba-2018/batch_task-small.csv",
+            true,
+        ),
         (Format::Pai2020, "pai-2020/pai_task_table-small.csv", false),
         (Format::Swf, "small.swf", false),
     ] {
         let mut lines = Vec::new();
-        check(format, &[sample(name)], None, &mut |f| lines.push(format!("{}: {}", f.line, f.field))).expect("readable");
-        assert_eq!(lines, if needs { vec!["0: unit"] } else { vec![] }, "{name}");
+        check(format, &[sample(name)], None, &mut |f| {
+            lines.push(format!("{}: {}", f.line, f.field))
+        })
+        .expect("readable");
+        assert_eq!(
+            lines,
+            if needs { vec!["0: unit"] } else { vec![] },
+            "{name}"
+        );
     }
 }
 
@@ -156,13 +260,24 @@
     let bytes = std::fs::read(&plain).expect("sample");
     let dir = tempfile::tempdir().expect("directory");
     let gz = dir.path().join("a.swf.gz");
-    let mut packer = flate2::write::GzEncoder::new(std::fs::File::create(&gz).expect("file"), flate2::Compression::fast());
-    packer.write_all(&bytes).and_then(|()| packer.finish()).expect("packed");
+    let mut packer = flate2::write::GzEncoder::new(
+        std::fs::File::create(&gz).expect("file"),
+        flate2::Compression::fast(),
+    );
+    packer
+        .write_all(&bytes)
+        .and_then(|()| packer.finish())
+        .expect("packed");
     let zst = dir.path().join("a.swf.zst");
     std::fs::write(&zst, zstd::encode_all(bytes.as_slice(), 1).expect("packed")).expect("written");
     let strip = |file: &Path| {
         let all = entries(Format::Swf, &[file.to_owned()], OnFault::Stop).expect("written");
-        all.into_iter().map(|e| Entry { from: String::new(), ..e }).collect::<Vec<_>>()
+        all.into_iter()
+            .map(|e| Entry {
+                from: String::new(),
+                ..e
+            })
+            .collect::<Vec<_>>()
     };
     let want = strip(&plain);
     assert_eq!(strip(&gz), want);
@@ -178,23 +293,62 @@
 fn units_are_converted() {
     let one = |format, name: &str, id: &str| {
         let all = entries(format, &[sample(name)], OnFault::Stop).expect("written");
-        all.into_iter().find(|e| e.id == id).unwrap_or_else(|| panic!("{id} of {name}"))
+        all.into_iter()
+            .find(|e| e.id == id)
+            .unwrap_or_else(|| panic!("{id} of {name}"))
     };
     // 1,000,000 KB a processor, one processor a task.
     let e = one(Format::Swf, "small.swf", "1");
-    assert_eq!(e.need, Room { cpus: 1_000, gpus: 0, memory: 1_000 });
+    assert_eq!(
+        e.need,
+        Room {
+            cpus: 1_000,
+            gpus: 0,
+            memory: 1_000
+        }
+    );
     // Shares of 16 processors and 64 GB; 400 is four processors.
-    let e = one(Format::Google2011, "google-2011/task_events-small.csv", "6030");
+    let e = one(
+        Format::Google2011,
+        "google-2011/task_events-small.csv",
+        "6030",
+    );
     assert_eq!(e.need.cpus, 500);
-    let e = one(Format::Alibaba2018, "alibaba-2018/container_meta-small.csv", "c_1");
-    assert_eq!((e.need, e.shape, e.rank), (Room { cpus: 4_000, gpus: 0, memory: 1_984 }, Shape::Service, Rank::Production));
-    let all = entries(Format::Pai2020, &[sample("pai-2020/pai_task_table-small.csv")], OnFault::Stop).expect("written");
+    let e = one(
+        Format::Alibaba2018,
+        "alibaba-2018/container_meta-small.csv",
+        "c_1",
+    );
+    assert_eq!(
+        (e.need, e.shape, e.rank),
+        (
+            Room {
+                cpus: 4_000,
+                gpus: 0,
+                memory: 1_984
+            },
+            Shape::Service,
+            Rank::Production
+        )
+    );
+    let all = entries(
+        Format::Pai2020,
+        &[sample("pai-2020/pai_task_table-small.csv")],
+        OnFault::Stop,
+    )
+    .expect("written");
     let shares: BTreeMap<u64, usize> = all.iter().fold(BTreeMap::new(), |mut m, e| {
         *m.entry(e.need.gpus).or_default() += 1;
         m
     });
-    assert_eq!(shares.keys().copied().collect::<Vec<_>>(), vec![250, 500, 1_000, 2_000]);
-    assert!(all.iter().all(|e| (e.tasks > 1) == (e.shape == Shape::Gang)));
+    assert_eq!(
+        shares.keys().copied().collect::<Vec<_>>(),
+        vec![250, 500, 1_000, 2_000]
+    );
+    assert!(
+        all.iter()
+            .all(|e| (e.tasks > 1) == (e.shape == Shape::Gang))
+    );
 }
 
 #[test]
@@ -210,14 +364,25 @@
     let cases = [
         (String::new(), "header: the file is empty"),
         (header.replace(":1,", ":2,"), "version 2, must be"),
-        (format!("{header}\n{}\n{}\n", entry(5, 1, "[1]"), entry(4, 1, "[1]")), ":3: at_ms: 4 after 5"),
-        (format!("{header}\n{}\n", entry(5, 3, "[1,2]")), ":2: run_ms"),
-        (format!("{header}\n{}\n", entry(5, 1, "[]")), ":2: run_ms: is empty"),
+        (
+            format!("{header}\n{}\n{}\n", entry(5, 1, "[1]"), entry(4, 1, "[1]")),
+            ":3: at_ms: 4 after 5",
+        ),
+        (
+            format!("{header}\n{}\n", entry(5, 3, "[1,2]")),
+            ":2: run_ms",
+        ),
+        (
+            format!("{header}\n{}\n", entry(5, 1, "[]")),
+            ":2: run_ms: is empty",
+        ),
         (format!("{header}\n{{\"at_ms\":\n"), ":2: "),
     ];
     for (text, want) in cases {
         std::fs::write(&file, &text).expect("written");
-        let said = workload::read(&file, |_| {}).expect_err("refused").to_string();
+        let said = workload::read(&file, |_| {})
+            .expect_err("refused")
+            .to_string();
         assert!(said.contains(want), "{said}");
     }
 }
@@ -232,11 +397,22 @@
     for n in 0..ROWS {
         // Every time once, in no order.
         let at = n * 7_919 % ROWS;
-        text.push_str(&format!("j{n},w,1,Terminated,{at}.0,{}.0,100.0,1.0,,\n", at + 5));
+        text.push_str(&format!(
+            "j{n},w,1,Terminated,{at}.0,{}.0,100.0,1.0,,\n",
+            at + 5
+        ));
     }
     std::fs::write(&file, text).expect("written");
     let out = dir.path().join("out.jsonl");
-    let result = import(Format::Pai2020, &[file], None, OnFault::Stop, &out, &mut |f| panic!("{f}")).expect("readable");
+    let result = import(
+        Format::Pai2020,
+        &[file],
+        None,
+        OnFault::Stop,
+        &out,
+        &mut |f| panic!("{f}"),
+    )
+    .expect("readable");
     assert_eq!((result.jobs, result.faults), (ROWS, 0));
     let mut next = 0;
     workload::read(&out, |e| {
@@ -251,7 +427,22 @@
 #[test]
 fn the_sample_workload_is_the_sample_traces() {
     let mut kept = Vec::new();
-    workload::read(&sample("../workloads/small.jsonl"), |e| kept.push(Entry { from: String::new(), ..e })).expect("a workload");
+    workload::read(&sample("../workloads/small.jsonl"), |e| {
+        kept.push(Entry {
+            from: String::new(),
+            ..e
+        })
+    })
+    .expect("a workload");
     let fresh = entries(Format::Swf, &[sample("small.swf")], OnFault::Stop).expect("written");
-    assert_eq!(kept, fresh.into_iter().map(|e| Entry { from: String::new(), ..e }).collect::<Vec<_>>());
+    assert_eq!(
+        kept,
+        fresh
+            .into_iter()
+            .map(|e| Entry {
+                from: String::new(),
+                ..e
+            })
+            .collect::<Vec<_>>()
+    );
 }
--- a/crates/transport/src/client.rs
+++ b/crates/transport/src/client.rs
@@ -10,7 +10,9 @@
 use smol::net::TcpStream;
 
 use super::within;
-use lemonweir_model::constants::{CONNECT_MS, IDLE_KEEP_MS, IDLE_PER_ADDRESS, MAX_HEADERS, MAX_RESPONSE_BYTES};
+use lemonweir_model::constants::{
+    CONNECT_MS, IDLE_KEEP_MS, IDLE_PER_ADDRESS, MAX_HEADERS, MAX_RESPONSE_BYTES,
+};
 
 /// An answer.
 #[derive(Debug)]
@@ -46,7 +48,11 @@
             return;
         }
         let since = |list: &Vec<(Instant, TcpStream)>| list.iter().map(|(at, _)| *at).min();
-        let oldest = self.by_address.iter().filter_map(|(addr, list)| Some((since(list)?, *addr))).min();
+        let oldest = self
+            .by_address
+            .iter()
+            .filter_map(|(addr, list)| Some((since(list)?, *addr)))
+            .min();
         if let Some((at, addr)) = oldest
             && let Some(list) = self.by_address.get_mut(&addr)
         {
@@ -64,11 +70,21 @@
 impl Client {
     /// A client that keeps so many idle connections at the most.
     pub fn new(most_idle: usize) -> Self {
-        Self { idle: Mutex::default(), most_idle }
+        Self {
+            idle: Mutex::default(),
+            most_idle,
+        }
     }
 
     /// Sends a request and waits `timeout_ms` for its answer.
-    pub async fn call(&self, addr: SocketAddr, method: &str, path: &str, body: &[u8], timeout_ms: u64) -> Result<Response, CallError> {
+    pub async fn call(
+        &self,
+        addr: SocketAddr,
+        method: &str,
+        path: &str,
+        body: &[u8],
+        timeout_ms: u64,
+    ) -> Result<Response, CallError> {
         let pooled = {
             let mut idle = self.lock();
             let keep = Duration::from_millis(IDLE_KEEP_MS);
@@ -81,7 +97,10 @@
                 });
             }
             let list = idle.by_address.get_mut(&addr);
-            list.and_then(|l| std::iter::from_fn(|| l.pop()).find(|(since, _)| since.elapsed() < keep)).map(|(_, stream)| stream)
+            list.and_then(|l| {
+                std::iter::from_fn(|| l.pop()).find(|(since, _)| since.elapsed() < keep)
+            })
+            .map(|(_, stream)| stream)
         };
         let mut stream = match pooled {
             Some(stream) => stream,
@@ -97,10 +116,15 @@
         );
         message.extend_from_slice(body);
         let exchange = async {
-            stream.write_all(&message).await.map_err(|_| CallError::Unknown)?;
+            stream
+                .write_all(&message)
+                .await
+                .map_err(|_| CallError::Unknown)?;
             read_response(&mut stream).await.ok_or(CallError::Unknown)
         };
-        let (response, keep) = within(timeout_ms, exchange).await.ok_or(CallError::Unknown)??;
+        let (response, keep) = within(timeout_ms, exchange)
+            .await
+            .ok_or(CallError::Unknown)??;
         if keep {
             let mut idle = self.lock();
             idle.make_room(self.most_idle);
@@ -118,7 +142,10 @@
 }
 
 async fn connect(addr: SocketAddr) -> Result<TcpStream, CallError> {
-    let stream = within(CONNECT_MS, TcpStream::connect(addr)).await.ok_or(CallError::NotSent)?.map_err(|_| CallError::NotSent)?;
+    let stream = within(CONNECT_MS, TcpStream::connect(addr))
+        .await
+        .ok_or(CallError::NotSent)?
+        .map_err(|_| CallError::NotSent)?;
     stream.set_nodelay(true).map_err(|_| CallError::NotSent)?;
     Ok(stream)
 }
@@ -145,7 +172,9 @@
             let value = std::str::from_utf8(h.value).ok()?.trim();
             if h.name.eq_ignore_ascii_case("content-length") {
                 length = value.parse().ok()?;
-            } else if h.name.eq_ignore_ascii_case("connection") && value.eq_ignore_ascii_case("close") {
+            } else if h.name.eq_ignore_ascii_case("connection")
+                && value.eq_ignore_ascii_case("close")
+            {
                 keep = false;
             } else if h.name.eq_ignore_ascii_case("transfer-encoding") {
                 return None;
--- a/crates/transport/src/server.rs
+++ b/crates/transport/src/server.rs
@@ -38,7 +38,12 @@
 impl Reply {
     /// An answer with a body.
     pub fn new(status: u16, body: Vec<u8>) -> Self {
-        Self { status, body, retry_after_s: None, leave: false }
+        Self {
+            status,
+            body,
+            retry_after_s: None,
+            leave: false,
+        }
     }
 
     /// An answer without a body.
@@ -48,7 +53,10 @@
 
     /// A refusal that tells when to come back.
     pub fn busy(after_s: u64) -> Self {
-        Self { retry_after_s: Some(after_s), ..Self::empty(503) }
+        Self {
+            retry_after_s: Some(after_s),
+            ..Self::empty(503)
+        }
     }
 }
 
@@ -68,7 +76,13 @@
     /// on each is closed after its next answer, and of those of guests
     /// ([`Handler::guest`]) already beyond `guests_most`.
     pub fn new(most: usize, crowded_at: usize, guests_most: usize) -> Self {
-        Self { open: Cell::new(0), most, crowded_at, guests: Cell::new(0), guests_most }
+        Self {
+            open: Cell::new(0),
+            most,
+            crowded_at,
+            guests: Cell::new(0),
+            guests_most,
+        }
     }
 
     fn crowded(&self) -> bool {
@@ -117,7 +131,8 @@
         executor
             .spawn(async move {
                 let mut guest = false;
-                if let Err(fault) = connection(stream, max_body, &*handler, &gate, &mut guest).await {
+                if let Err(fault) = connection(stream, max_body, &*handler, &gate, &mut guest).await
+                {
                     debug!(%peer, fault, "connection closed");
                 }
                 gate.open.set(gate.open.get() - 1);
@@ -154,7 +169,10 @@
         // Guards against workers that keep all sockets of a process: there may
         // be more of them than it may open.
         // And against users who ask so often that none are left for workers.
-        let close = close || reply.leave || gate.crowded() || *guest && gate.guests.get() > gate.guests_most;
+        let close = close
+            || reply.leave
+            || gate.crowded()
+            || *guest && gate.guests.get() > gate.guests_most;
         write_reply(&mut stream, &reply, close).await?;
         if close {
             return Ok(());
@@ -162,10 +180,20 @@
     }
 }
 
-async fn write_reply(stream: &mut TcpStream, reply: &Reply, close: bool) -> Result<(), &'static str> {
+async fn write_reply(
+    stream: &mut TcpStream,
+    reply: &Reply,
+    close: bool,
+) -> Result<(), &'static str> {
     let mut out = Vec::with_capacity(128 + reply.body.len());
     out.extend_from_slice(
-        format!("HTTP/1.1 {} {}\r\nContent-Length: {}\r\n", reply.status, reason(reply.status), reply.body.len()).as_bytes(),
+        format!(
+            "HTTP/1.1 {} {}\r\nContent-Length: {}\r\n",
+            reply.status,
+            reason(reply.status),
+            reply.body.len()
+        )
+        .as_bytes(),
     );
     if !reply.body.is_empty() {
         out.extend_from_slice(b"Content-Type: application/msgpack\r\n");
@@ -178,7 +206,10 @@
     }
     out.extend_from_slice(b"\r\n");
     out.extend_from_slice(&reply.body);
-    within(READ_TIMEOUT_MS, stream.write_all(&out)).await.ok_or("write timeout")?.map_err(|_| "write failed")
+    within(READ_TIMEOUT_MS, stream.write_all(&out))
+        .await
+        .ok_or("write timeout")?
+        .map_err(|_| "write failed")
 }
 
 fn reason(status: u16) -> &'static str {
@@ -200,7 +231,11 @@
 type Faulty = (u16, &'static str);
 
 /// Reads one request. `None`: the other side closed between requests.
-async fn read_request(stream: &mut TcpStream, buffer: &mut Vec<u8>, max_body: usize) -> Result<Option<(Request, bool)>, Faulty> {
+async fn read_request(
+    stream: &mut TcpStream,
+    buffer: &mut Vec<u8>,
+    max_body: usize,
+) -> Result<Option<(Request, bool)>, Faulty> {
     let mut chunk = [0u8; 8192];
     loop {
         if !buffer.is_empty()
@@ -209,7 +244,11 @@
             buffer.drain(..used);
             return Ok(Some((request, close)));
         }
-        let limit = if buffer.is_empty() { IDLE_TIMEOUT_MS } else { READ_TIMEOUT_MS };
+        let limit = if buffer.is_empty() {
+            IDLE_TIMEOUT_MS
+        } else {
+            READ_TIMEOUT_MS
+        };
         match within(limit, stream.read(&mut chunk)).await {
             None if buffer.is_empty() => return Ok(None),
             None => return Err((408, "request took too long")),
@@ -233,7 +272,9 @@
     let mut length = 0usize;
     let mut close = head.version == Some(0);
     for h in head.headers.iter() {
-        let value = std::str::from_utf8(h.value).map_err(|_| (400, "header not text"))?.trim();
+        let value = std::str::from_utf8(h.value)
+            .map_err(|_| (400, "header not text"))?
+            .trim();
         if h.name.eq_ignore_ascii_case("content-length") {
             length = value.parse().map_err(|_| (400, "bad content length"))?;
         } else if h.name.eq_ignore_ascii_case("transfer-encoding") {
--- a/crates/transport/tests/gate.rs
+++ b/crates/transport/tests/gate.rs
@@ -20,11 +20,14 @@
 /// Answers that each of so many clients got to 5 requests, made in turn so that
 /// all of them would keep a connection at a time.
 fn answered(clients: usize, method: &'static str, gate: Gate) -> usize {
-    let executor: &'static smol::LocalExecutor<'static> = Box::leak(Box::new(smol::LocalExecutor::new()));
+    let executor: &'static smol::LocalExecutor<'static> =
+        Box::leak(Box::new(smol::LocalExecutor::new()));
     smol::block_on(executor.run(async move {
         let listener = listen(([127, 0, 0, 1], 0).into()).await.expect("bound");
         let addr = listener.local_addr().expect("bound");
-        executor.spawn(serve(executor, listener, gate, 1_024, Rc::new(Echo))).detach();
+        executor
+            .spawn(serve(executor, listener, gate, 1_024, Rc::new(Echo)))
+            .detach();
         let clients: Vec<Client> = (0..clients).map(|_| Client::new(2)).collect();
         let mut good = 0;
         for turn in 0..5u8 {
@@ -47,5 +50,9 @@
 #[test]
 fn guests_keep_only_their_share_of_the_connections() {
     assert_eq!(answered(60, "GET", Gate::new(20, usize::MAX, 8)), 300);
-    assert_eq!(answered(60, "GET", Gate::new(20, usize::MAX, 20)), 100, "who may keep all keeps the rest out");
+    assert_eq!(
+        answered(60, "GET", Gate::new(20, usize::MAX, 20)),
+        100,
+        "who may keep all keeps the rest out"
+    );
 }
--- a/fuzz/tests/edges.rs
+++ b/fuzz/tests/edges.rs
@@ -9,7 +9,9 @@
 use lemonweir_lab::scenario::Scenario;
 use lemonweir_model::settings::Settings;
 use lemonweir_model::{JobId, MachineId, Rank, Room, Shape};
-use lemonweir_protocol::links::{self, Answers, Carried, Carry, Fate, Goal, LINKS_VERSION, Reports, Service, Standing, Word};
+use lemonweir_protocol::links::{
+    self, Answers, Carried, Carry, Fate, Goal, LINKS_VERSION, Reports, Service, Standing, Word,
+};
 use lemonweir_protocol::peer::{self, Evict, Have, Span, Sync, View, Want};
 use lemonweir_protocol::state::{Changes, Page, TxnReply};
 use lemonweir_protocol::worker::{Commands, Report, ReportReply};
@@ -38,7 +40,9 @@
 }
 
 fn example(name: &str) -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("../examples").join(name)
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("../examples")
+        .join(name)
 }
 
 /// Checks a changed sample: every fault has a field and a text, and checking
@@ -46,20 +50,29 @@
 fn trace(format: Format, sample: &str) {
     let good = std::fs::read(example("traces").join(sample)).expect("sample");
     let dir = tempfile::tempdir().expect("directory");
-    let file = dir.path().join(Path::new(sample).file_name().expect("name"));
+    let file = dir
+        .path()
+        .join(Path::new(sample).file_name().expect("name"));
     check!().with_type::<Edits>().for_each(|edits| {
         std::fs::write(&file, edited(&good, edits)).expect("written");
         let run = || {
             let mut faults: Vec<Fault> = Vec::new();
             let machine = Some(Room::offer(16.0, 4.0, 64.0));
-            let result = lemonweir_trace::check(format, std::slice::from_ref(&file), machine, &mut |f| faults.push(f.clone()));
+            let result =
+                lemonweir_trace::check(format, std::slice::from_ref(&file), machine, &mut |f| {
+                    faults.push(f.clone())
+                });
             (result.map_err(|e| e.to_string()), faults)
         };
         let (result, faults) = run();
         if let Ok(imported) = &result {
             assert_eq!(imported.faults, faults.len() as u64);
         }
-        assert!(faults.iter().all(|f| !f.field.is_empty() && !f.what.is_empty()));
+        assert!(
+            faults
+                .iter()
+                .all(|f| !f.field.is_empty() && !f.what.is_empty())
+        );
         assert_eq!(run(), (result, faults));
     });
 }
@@ -97,7 +110,9 @@
 #[test]
 fn workload() {
     let line = r#"{"at_ms":5,"id":"a","rank":"normal","shape":"array","tasks":2,"need":{"cpus":1,"gpus":0,"memory":0},"run_ms":[1,2],"from":"f:1"}"#;
-    let good = format!("{{\"format\":\"lemonweir-workload\",\"version\":1,\"source\":\"x\"}}\n{line}\n{line}\n");
+    let good = format!(
+        "{{\"format\":\"lemonweir-workload\",\"version\":1,\"source\":\"x\"}}\n{line}\n{line}\n"
+    );
     let dir = tempfile::tempdir().expect("directory");
     let file = dir.path().join("w.jsonl");
     check!().with_type::<Edits>().for_each(|edits| {
@@ -107,7 +122,12 @@
             assert!(e.at_ms >= last && e.tasks > 0);
             last = e.at_ms;
         });
-        assert!(read.is_ok_and(|h| h.version == 1) || !edits.0.is_empty() || !edits.1.is_empty() || edits.2.is_some());
+        assert!(
+            read.is_ok_and(|h| h.version == 1)
+                || !edits.0.is_empty()
+                || !edits.1.is_empty()
+                || edits.2.is_some()
+        );
     });
 }
 
@@ -127,26 +147,49 @@
         tasks: Vec::new(),
     };
     let goods = [encode(&spec), encode(&report)];
-    check!().with_type::<(bool, Edits)>().for_each(|(which, edits)| {
-        let bytes = edited(&goods[usize::from(*which)], edits);
-        if let Ok(spec) = users::read_submission(&bytes) {
-            assert!(JobId::parse(spec.id.as_str()).is_some() && spec.tasks > 0 && spec.need().cpus < u64::MAX);
-        }
-        // What is understood can be said again, and is understood the same.
-        if let Ok(report) = decode::<Report>(&bytes) {
-            let again = decode::<Report>(&encode(&report)).expect("what we wrote");
-            assert_eq!((again.machine, again.seq, again.token), (report.machine, report.seq, report.token));
-        }
-        let _ = (decode::<Commands>(&bytes).is_ok(), decode::<ReportReply>(&bytes).is_ok(), decode::<Page>(&bytes).is_ok());
-        let _ = (decode::<Changes>(&bytes).is_ok(), decode::<TxnReply>(&bytes).is_ok());
-        let _ = (decode::<cloud::CatalogReply>(&bytes).is_ok(), decode::<cloud::RentalList>(&bytes).is_ok());
-    });
+    check!()
+        .with_type::<(bool, Edits)>()
+        .for_each(|(which, edits)| {
+            let bytes = edited(&goods[usize::from(*which)], edits);
+            if let Ok(spec) = users::read_submission(&bytes) {
+                assert!(
+                    JobId::parse(spec.id.as_str()).is_some()
+                        && spec.tasks > 0
+                        && spec.need().cpus < u64::MAX
+                );
+            }
+            // What is understood can be said again, and is understood the same.
+            if let Ok(report) = decode::<Report>(&bytes) {
+                let again = decode::<Report>(&encode(&report)).expect("what we wrote");
+                assert_eq!(
+                    (again.machine, again.seq, again.token),
+                    (report.machine, report.seq, report.token)
+                );
+            }
+            let _ = (
+                decode::<Commands>(&bytes).is_ok(),
+                decode::<ReportReply>(&bytes).is_ok(),
+                decode::<Page>(&bytes).is_ok(),
+            );
+            let _ = (
+                decode::<Changes>(&bytes).is_ok(),
+                decode::<TxnReply>(&bytes).is_ok(),
+            );
+            let _ = (
+                decode::<cloud::CatalogReply>(&bytes).is_ok(),
+                decode::<cloud::RentalList>(&bytes).is_ok(),
+            );
+        });
 }
 
 #[test]
 fn peer_messages() {
     let want = Want {
-        id: lemonweir_model::AttemptId { job: JobId::from("req-000001"), task: 1, attempt: 1 },
+        id: lemonweir_model::AttemptId {
+            job: JobId::from("req-000001"),
+            task: 1,
+            attempt: 1,
+        },
         machine: MachineId::from("n-000001"),
         need: Room::offer(1.0, 0.0, 1.0),
         image: "i".into(),
@@ -168,7 +211,11 @@
         to_token: 2,
         seq: 3,
         store_age_ms: 4,
-        span: Span { since: 0, upto: 1, last: true },
+        span: Span {
+            since: 0,
+            upto: 1,
+            last: true,
+        },
         wants: vec![want],
         dropped: Vec::new(),
         stops: Vec::new(),
@@ -183,7 +230,12 @@
         if let Ok(sync) = peer::read::<Sync>(&bytes) {
             assert_eq!(peer::write(&sync), bytes, "one message, one form");
         }
-        assert!(peer::read::<View>(&bytes).is_err() || !edits.0.is_empty() || !edits.1.is_empty() || edits.2.is_some());
+        assert!(
+            peer::read::<View>(&bytes).is_err()
+                || !edits.0.is_empty()
+                || !edits.1.is_empty()
+                || edits.2.is_some()
+        );
     });
 }
 
@@ -197,7 +249,9 @@
     assert!(Settings::parse(good).is_ok());
     check!().with_type::<Edits>().for_each(|edits| {
         let bytes = edited(good.as_bytes(), edits);
-        let Ok(text) = std::str::from_utf8(&bytes) else { return };
+        let Ok(text) = std::str::from_utf8(&bytes) else {
+            return;
+        };
         match Settings::parse(text) {
             Ok(settings) => assert!(!settings.members().is_empty()),
             Err(faults) => assert!(!faults.is_empty() && faults.iter().all(|f| !f.is_empty())),
@@ -210,10 +264,14 @@
     let good = std::fs::read_to_string(example("scenarios/morning.toml")).expect("sample");
     check!().with_type::<Edits>().for_each(|edits| {
         let bytes = edited(good.as_bytes(), edits);
-        let Ok(text) = std::str::from_utf8(&bytes) else { return };
+        let Ok(text) = std::str::from_utf8(&bytes) else {
+            return;
+        };
         match Scenario::parse("s.toml", text) {
             Ok(scenario) => assert!(!scenario.zones.is_empty() && scenario.parts > 0),
-            Err(faults) => assert!(faults.iter().all(|f| f.starts_with("s.toml:")) && !faults.is_empty()),
+            Err(faults) => {
+                assert!(faults.iter().all(|f| f.starts_with("s.toml:")) && !faults.is_empty())
+            }
         }
     });
 }
@@ -238,33 +296,59 @@
         body: vec![1, 2, 3],
         wait_ms: 2_500,
     };
-    let carried = Carried { version: LINKS_VERSION, fate: Fate::Answer { status: 200, body: vec![4] } };
-    let reports = Reports { version: LINKS_VERSION, by: 2, reports: vec![vec![5, 6], Vec::new()] };
-    let answers = Answers { version: LINKS_VERSION, answers: vec![(200, vec![7]), (503, Vec::new())] };
-    let good = [links::write(&word), links::write(&carry), links::write(&carried), links::write(&reports), links::write(&answers)];
+    let carried = Carried {
+        version: LINKS_VERSION,
+        fate: Fate::Answer {
+            status: 200,
+            body: vec![4],
+        },
+    };
+    let reports = Reports {
+        version: LINKS_VERSION,
+        by: 2,
+        reports: vec![vec![5, 6], Vec::new()],
+    };
+    let answers = Answers {
+        version: LINKS_VERSION,
+        answers: vec![(200, vec![7]), (503, Vec::new())],
+    };
+    let good = [
+        links::write(&word),
+        links::write(&carry),
+        links::write(&carried),
+        links::write(&reports),
+        links::write(&answers),
+    ];
     let scenario = lemonweir_lab::sample::site(3, 4, Default::default());
-    check!().with_type::<(u8, Edits)>().for_each(|(which, edits)| {
-        fn form<T: borsh::BorshDeserialize + borsh::BorshSerialize>(bytes: &[u8]) -> Option<T> {
-            let message = links::read::<T>(bytes).ok()?;
-            assert_eq!(links::write(&message), bytes, "one message, one form");
-            Some(message)
-        }
-        let bytes = edited(&good[usize::from(*which) % good.len()], edits);
-        form::<Carry>(&bytes);
-        form::<Carried>(&bytes);
-        form::<Reports>(&bytes);
-        form::<Answers>(&bytes);
-        if let Some(word) = form::<Word>(&bytes) {
-            let mut core = Core::new(Config::new(&scenario.settings(0)), scenario.policy.clone());
-            let own = core.links.hail_in(word.clone(), 1_000);
-            assert_eq!((own.version, own.host), (LINKS_VERSION, 0));
-            core.links.hailed(word.host, true, Some(word.clone()), 1_100);
-            for at in [2_000, 4_000] {
-                core.links.tried(Service::Store, 0, false, at);
+    check!()
+        .with_type::<(u8, Edits)>()
+        .for_each(|(which, edits)| {
+            fn form<T: borsh::BorshDeserialize + borsh::BorshSerialize>(bytes: &[u8]) -> Option<T> {
+                let message = links::read::<T>(bytes).ok()?;
+                assert_eq!(links::write(&message), bytes, "one message, one form");
+                Some(message)
             }
-            let by = core.links.route(Service::Store, 0, 4_100);
-            assert!(by.is_none_or(|by| by == word.host && by != 0), "only one that said so carries");
-            assert!(core.links.rows(5_000).iter().all(|r| !r.to.is_empty()));
-        }
-    });
+            let bytes = edited(&good[usize::from(*which) % good.len()], edits);
+            form::<Carry>(&bytes);
+            form::<Carried>(&bytes);
+            form::<Reports>(&bytes);
+            form::<Answers>(&bytes);
+            if let Some(word) = form::<Word>(&bytes) {
+                let mut core =
+                    Core::new(Config::new(&scenario.settings(0)), scenario.policy.clone());
+                let own = core.links.hail_in(word.clone(), 1_000);
+                assert_eq!((own.version, own.host), (LINKS_VERSION, 0));
+                core.links
+                    .hailed(word.host, true, Some(word.clone()), 1_100);
+                for at in [2_000, 4_000] {
+                    core.links.tried(Service::Store, 0, false, at);
+                }
+                let by = core.links.route(Service::Store, 0, 4_100);
+                assert!(
+                    by.is_none_or(|by| by == word.host && by != 0),
+                    "only one that said so carries"
+                );
+                assert!(core.links.rows(5_000).iter().all(|r| !r.to.is_empty()));
+            }
+        });
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -102,7 +102,13 @@
         Ok("warn") => tracing::Level::WARN,
         _ => tracing::Level::ERROR,
     };
-    tracing_subscriber::fmt().with_max_level(level).with_writer(std::io::stderr).without_time().with_ansi(false).with_target(false).init();
+    tracing_subscriber::fmt()
+        .with_max_level(level)
+        .with_writer(std::io::stderr)
+        .without_time()
+        .with_ansi(false)
+        .with_target(false)
+        .init();
     match run(args) {
         Ok(code) => code,
         Err(faults) => {
@@ -130,18 +136,31 @@
         (None, Some(Command::Status { node, job })) => operator::status(node, &job),
         (None, Some(Command::Links { node, json })) => operator::links(node, json),
         (None, Some(Command::Events { node, json })) => operator::events(node, json),
-        (None, Some(Command::Watch { node, handovers, weights, json })) => match weights {
+        (
+            None,
+            Some(Command::Watch {
+                node,
+                handovers,
+                weights,
+                json,
+            }),
+        ) => match weights {
             Some(image) => weights::weights(node, &image, json),
             None if handovers => watch::handovers(node, json),
             None => watch::now(node, json),
         },
         (None, Some(Command::Withdraw { node, job })) => operator::withdraw(node, &job),
-        _ => Err(vec!["give either --config FILE or one command; see --help".into()]),
+        _ => Err(vec![
+            "give either --config FILE or one command; see --help".into(),
+        ]),
     }
 }
 
 /// Loads settings and policy; the faults of both are reported together.
-fn load(file: &std::path::Path, policy: Option<PathBuf>) -> Result<(Settings, Policy), Vec<String>> {
+fn load(
+    file: &std::path::Path,
+    policy: Option<PathBuf>,
+) -> Result<(Settings, Policy), Vec<String>> {
     let settings = Settings::load(file);
     let policy = match policy {
         None => lemonweir_policy::embedded(),
@@ -151,6 +170,11 @@
     };
     match (settings, policy) {
         (Ok(settings), Ok(policy)) => Ok((settings, policy)),
-        (settings, policy) => Err(settings.err().into_iter().chain(policy.err()).flatten().collect()),
+        (settings, policy) => Err(settings
+            .err()
+            .into_iter()
+            .chain(policy.err())
+            .flatten()
+            .collect()),
     }
 }
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -13,8 +13,10 @@
 
 /// Submits the job in a JSON file.
 pub fn submit(node: SocketAddr, file: &Path) -> Result<ExitCode, Vec<String>> {
-    let text = std::fs::read_to_string(file).map_err(|e| vec![format!("{}: {e}", file.display())])?;
-    let job: serde_json::Value = serde_json::from_str(&text).map_err(|e| vec![format!("{}: {e}", file.display())])?;
+    let text =
+        std::fs::read_to_string(file).map_err(|e| vec![format!("{}: {e}", file.display())])?;
+    let job: serde_json::Value =
+        serde_json::from_str(&text).map_err(|e| vec![format!("{}: {e}", file.display())])?;
     call(node, "POST", "/v1/jobs", &encode(&job))
 }
 
@@ -29,7 +31,15 @@
         return call(node, "GET", "/v1/links", &[]);
     }
     let picture: Picture = ask(node, "/v1/links")?;
-    let mut table = table(["from", "to", "stands", "for s", "through", "answers ms", "said s ago"]);
+    let mut table = table([
+        "from",
+        "to",
+        "stands",
+        "for s",
+        "through",
+        "answers ms",
+        "said s ago",
+    ]);
     for l in &picture.links {
         let took = l.took_ms.map(|(half, most)| format!("{half} / {most}"));
         table.add_row([
@@ -44,7 +54,10 @@
     }
     println!("{table}");
     if picture.carried_workers > 0 {
-        println!("carries the reports of {} workers to their owners", picture.carried_workers);
+        println!(
+            "carries the reports of {} workers to their owners",
+            picture.carried_workers
+        );
     }
     Ok(ExitCode::SUCCESS)
 }
@@ -65,7 +78,9 @@
 
 /// A time of day in ms, as text.
 pub(crate) fn time_of_day(ms: u64) -> String {
-    let at = i64::try_from(ms).ok().and_then(|ms| jiff::Timestamp::from_millisecond(ms).ok());
+    let at = i64::try_from(ms)
+        .ok()
+        .and_then(|ms| jiff::Timestamp::from_millisecond(ms).ok());
     at.map_or_else(|| ms.to_string(), |at| at.to_string())
 }
 
@@ -81,13 +96,16 @@
 
 pub(crate) fn table<const N: usize>(head: [&str; N]) -> Table {
     let mut table = Table::new();
-    table.load_preset(comfy_table::presets::NOTHING).set_header(head);
+    table
+        .load_preset(comfy_table::presets::NOTHING)
+        .set_header(head);
     table
 }
 
 /// Reads what a controller answers.
 pub(crate) fn ask<T: DeserializeOwned>(node: SocketAddr, path: &str) -> Result<T, Vec<String>> {
-    let response = smol::block_on(Client::new(0).call(node, "GET", path, &[], ANSWER_MS)).map_err(|e| vec![format!("{node}: {e}")])?;
+    let response = smol::block_on(Client::new(0).call(node, "GET", path, &[], ANSWER_MS))
+        .map_err(|e| vec![format!("{node}: {e}")])?;
     match response.status {
         200 => decode(&response.body).map_err(|e| vec![format!("{node}: {e}")]),
         status => Err(vec![format!("{node} answered {status}")]),
@@ -99,8 +117,14 @@
     call(node, "POST", &format!("/v1/jobs/{job}/withdraw"), &[])
 }
 
-pub(crate) fn call(node: SocketAddr, method: &str, path: &str, body: &[u8]) -> Result<ExitCode, Vec<String>> {
-    let response = smol::block_on(Client::new(0).call(node, method, path, body, ANSWER_MS)).map_err(|e| vec![format!("{node}: {e}")])?;
+pub(crate) fn call(
+    node: SocketAddr,
+    method: &str,
+    path: &str,
+    body: &[u8],
+) -> Result<ExitCode, Vec<String>> {
+    let response = smol::block_on(Client::new(0).call(node, method, path, body, ANSWER_MS))
+        .map_err(|e| vec![format!("{node}: {e}")])?;
     if let Ok(answer) = decode::<serde_json::Value>(&response.body) {
         println!("{answer:#}");
     }
--- a/src/watch.rs
+++ b/src/watch.rs
@@ -16,13 +16,32 @@
     let mut parts = table(["part", "home", "holder", "since (UTC)"]);
     for p in watch.parts {
         let holder = p.holder.unwrap_or_else(|| "nobody".into());
-        parts.add_row([p.part.to_string(), p.home, holder, p.since.map(time_of_day).unwrap_or_default()]);
+        parts.add_row([
+            p.part.to_string(),
+            p.home,
+            holder,
+            p.since.map(time_of_day).unwrap_or_default(),
+        ]);
     }
     println!("{parts}\n");
     if !watch.short.is_empty() {
-        let mut short = table(["service", "class", "up", "by zone", "short for s", "being done", "due in s", "lacks", "tried"]);
+        let mut short = table([
+            "service",
+            "class",
+            "up",
+            "by zone",
+            "short for s",
+            "being done",
+            "due in s",
+            "lacks",
+            "tried",
+        ]);
         for s in watch.short {
-            let zones: Vec<String> = s.zones.iter().map(|(zone, n)| format!("{zone} {n}")).collect();
+            let zones: Vec<String> = s
+                .zones
+                .iter()
+                .map(|(zone, n)| format!("{zone} {n}"))
+                .collect();
             let number = |n: Option<u64>| n.map(|n| n.to_string()).unwrap_or_default();
             short.add_row([
                 s.job,
@@ -38,7 +57,10 @@
         }
         println!("{short}\n");
     }
-    println!("{} of {} replicas of {} services are up", watch.up, watch.promised, watch.services);
+    println!(
+        "{} of {} replicas of {} services are up",
+        watch.up, watch.promised, watch.services
+    );
     println!("{}", age(&watch.host, watch.age_ms));
     Ok(ExitCode::SUCCESS)
 }
@@ -49,12 +71,34 @@
         return call(node, "GET", "/v1/watch/handovers", &[]);
     }
     let told: Handovers = ask(node, "/v1/watch/handovers")?;
-    let head = ["time of day (UTC)", "part", "no", "from", "to", "how", "token", "up before", "first start", "whole", "replicas", "found"];
+    let head = [
+        "time of day (UTC)",
+        "part",
+        "no",
+        "from",
+        "to",
+        "how",
+        "token",
+        "up before",
+        "first start",
+        "whole",
+        "replicas",
+        "found",
+    ];
     let mut rows = table(head);
     for c in told.changes {
-        let up = c.up.map(|(replicas, others, machines)| format!("{replicas} replicas, {others} others, {machines} machines"));
-        let open = if c.to.is_some() { "not written yet" } else { "" };
-        let (first, whole, replicas, found) = c.closed.map_or((String::new(), String::new(), String::new(), open.to_owned()), closed);
+        let up = c.up.map(|(replicas, others, machines)| {
+            format!("{replicas} replicas, {others} others, {machines} machines")
+        });
+        let open = if c.to.is_some() {
+            "not written yet"
+        } else {
+            ""
+        };
+        let (first, whole, replicas, found) = c.closed.map_or(
+            (String::new(), String::new(), String::new(), open.to_owned()),
+            closed,
+        );
         rows.add_row([
             time_of_day(c.at),
             c.part.to_string(),
@@ -77,12 +121,19 @@
 
 fn closed(c: ClosedRow) -> (String, String, String, String) {
     let ms = |n: Option<u64>| n.map(|n| format!("{n} ms")).unwrap_or_default();
-    let replicas = c.found.map(|(found, anew)| format!("{found} found up, {anew} started"));
+    let replicas = c
+        .found
+        .map(|(found, anew)| format!("{found} found up, {anew} started"));
     let gaps = c.gaps.iter().map(|(class, ms)| format!("{class} {ms} ms"));
     let unknown = c.unknown.iter().map(|what| format!("unknown: {what}"));
     let held = c.held_ms.map(|ms| format!("held for {ms} ms"));
     let found: Vec<String> = gaps.chain(held).chain(unknown).collect();
-    (ms(c.first_start_ms), ms(c.whole_ms), replicas.unwrap_or_default(), found.join("; "))
+    (
+        ms(c.first_start_ms),
+        ms(c.whole_ms),
+        replicas.unwrap_or_default(),
+        found.join("; "),
+    )
 }
 
 /// Whose word it is, and how old.
--- a/src/weights.rs
+++ b/src/weights.rs
@@ -14,20 +14,43 @@
         return call(node, "GET", &path, &[]);
     }
     let picture: WeightsPicture = ask(node, &path)?;
-    let gb = picture.mb.map_or_else(|| "size unknown".to_owned(), |mb| format!("{:.1} GB", mb as f64 / 1000.0));
+    let gb = picture.mb.map_or_else(
+        || "size unknown".to_owned(),
+        |mb| format!("{:.1} GB", mb as f64 / 1000.0),
+    );
     println!("{}, {gb}", picture.image);
     let mut users = table(["used by", "jobs", "tasks"]);
     for u in &picture.users {
         users.add_row([u.class.clone(), u.jobs.to_string(), u.tasks.to_string()]);
     }
-    let mut zones = table(["zone", "machines with it", "of these open", "fetching it", "left without the zone"]);
+    let mut zones = table([
+        "zone",
+        "machines with it",
+        "of these open",
+        "fetching it",
+        "left without the zone",
+    ]);
     for z in &picture.zones {
-        let name = if z.hidden { format!("{} (out of sight)", z.zone) } else { z.zone.clone() };
-        zones.add_row([name, z.here.to_string(), z.open.to_string(), z.coming.to_string(), z.left.to_string()]);
+        let name = if z.hidden {
+            format!("{} (out of sight)", z.zone)
+        } else {
+            z.zone.clone()
+        };
+        zones.add_row([
+            name,
+            z.here.to_string(),
+            z.open.to_string(),
+            z.coming.to_string(),
+            z.left.to_string(),
+        ]);
     }
     let mut parts = table(["part", "told s ago"]);
     for p in &picture.parts {
-        parts.add_row([p.part.to_string(), p.told_s.map_or_else(|| "never".to_owned(), |s| s.to_string())]);
+        parts.add_row([
+            p.part.to_string(),
+            p.told_s
+                .map_or_else(|| "never".to_owned(), |s| s.to_string()),
+        ]);
     }
     println!("{users}\n\n{zones}\n\n{parts}");
     Ok(ExitCode::SUCCESS)
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -13,7 +13,9 @@
 use lemonweir_model::settings::Settings;
 use lemonweir_model::settings::StateLimits;
 use lemonweir_model::{JobSpec, Shape};
-use lemonweir_protocol::state::{Changes, Entry, HoldReply, HoldRequest, Page, Txn, TxnReply, to_value};
+use lemonweir_protocol::state::{
+    Changes, Entry, HoldReply, HoldRequest, Page, Txn, TxnReply, to_value,
+};
 use lemonweir_protocol::users::Phase;
 use lemonweir_protocol::{decode, encode};
 use lemonweir_storage::records::{EndRecord, end_key};
@@ -35,11 +37,19 @@
 
 /// A store that takes whatever comes.
 fn unlimited() -> StateLimits {
-    StateLimits { rps: 1e9, write_rps: 1e9, value_kb: 1e6, txn_ops: 1_000_000, next: None }
+    StateLimits {
+        rps: 1e9,
+        write_rps: 1e9,
+        value_kb: 1e6,
+        txn_ops: 1_000_000,
+        next: None,
+    }
 }
 
 fn field<'a>(path: &'a str, name: &str) -> &'a str {
-    path.split(['?', '&']).find_map(|part| part.strip_prefix(name)?.strip_prefix('=')).unwrap_or_default()
+    path.split(['?', '&'])
+        .find_map(|part| part.strip_prefix(name)?.strip_prefix('='))
+        .unwrap_or_default()
 }
 
 impl Services {
@@ -47,46 +57,108 @@
         let (stand, path) = (&self.0, request.path.as_str());
         let mut store = stand.store.lock().expect("store");
         let store = store.get_or_insert_with(|| Store::new(&unlimited()));
-        match (request.method.as_str(), path.split('?').next().unwrap_or_default()) {
+        match (
+            request.method.as_str(),
+            path.split('?').next().unwrap_or_default(),
+        ) {
             ("GET", "/catalog") => Reply::new(
                 200,
-                encode(&serde_json::json!({"hardware": [{"name": "box", "cores": 16.0, "gpus": 4.0, "ramGb": 64.0, "cacheGb": 100.0,
-                    "pullGbPerS": 1.0, "hourly": 4.0, "spotPrice": 1.0, "bootS": 20.0, "halls": ["north", "south"]}]})),
+                encode(
+                    &serde_json::json!({"hardware": [{"name": "box", "cores": 16.0, "gpus": 4.0, "ramGb": 64.0, "cacheGb": 100.0,
+                    "pullGbPerS": 1.0, "hourly": 4.0, "spotPrice": 1.0, "bootS": 20.0, "halls": ["north", "south"]}]}),
+                ),
+            ),
+            ("GET", "/rentals") => Reply::new(
+                200,
+                encode(&serde_json::json!({"boxes": [], "truncated": false})),
             ),
-            ("GET", "/rentals") => Reply::new(200, encode(&serde_json::json!({"boxes": [], "truncated": false}))),
-            ("POST", "/rentals") => Reply::new(503, encode(&serde_json::json!({"error": "no capacity"}))),
+            ("POST", "/rentals") => {
+                Reply::new(503, encode(&serde_json::json!({"error": "no capacity"})))
+            }
             ("POST", "/holds") => match decode::<HoldRequest>(&request.body) {
-                Ok(hold) => Reply::new(200, encode(&HoldReply { hold: store.hold(hold.ttl_ms * 1_000_000, 0) })),
+                Ok(hold) => Reply::new(
+                    200,
+                    encode(&HoldReply {
+                        hold: store.hold(hold.ttl_ms * 1_000_000, 0),
+                    }),
+                ),
                 Err(_) => Reply::empty(400),
             },
             ("GET", "/watch") => {
                 let after = field(path, "after").parse().unwrap_or(0);
                 match store.changes(field(path, "under"), after) {
-                    Some(events) => Reply::new(200, encode(&Changes { revision: store.revision, events })),
+                    Some(events) => Reply::new(
+                        200,
+                        encode(&Changes {
+                            revision: store.revision,
+                            events,
+                        }),
+                    ),
                     None => Reply::empty(410),
                 }
             }
             ("GET", "/store") => {
                 let (under, after) = (field(path, "under"), field(path, "after"));
-                stand.ends_read.fetch_add(usize::from(under == "end/"), Ordering::Relaxed);
+                stand
+                    .ends_read
+                    .fetch_add(usize::from(under == "end/"), Ordering::Relaxed);
                 let limit: usize = field(path, "limit").parse().unwrap_or(1_000);
-                let mut entries: Vec<Entry> = store.list(under).into_iter().filter(|e| e.key.as_str() > after).collect();
+                let mut entries: Vec<Entry> = store
+                    .list(under)
+                    .into_iter()
+                    .filter(|e| e.key.as_str() > after)
+                    .collect();
                 let more = entries.len() > limit;
                 entries.truncate(limit);
-                Reply::new(200, encode(&Page { entries, more, revision: store.revision }))
+                Reply::new(
+                    200,
+                    encode(&Page {
+                        entries,
+                        more,
+                        revision: store.revision,
+                    }),
+                )
             }
-            ("GET", path) => match path.strip_prefix("/store/").and_then(|key| store.get(key).map(|found| (key, found))) {
-                Some((key, (value, version))) => Reply::new(200, encode(&Entry { key: key.to_owned(), value: value.clone(), version })),
+            ("GET", path) => match path
+                .strip_prefix("/store/")
+                .and_then(|key| store.get(key).map(|found| (key, found)))
+            {
+                Some((key, (value, version))) => Reply::new(
+                    200,
+                    encode(&Entry {
+                        key: key.to_owned(),
+                        value: value.clone(),
+                        version,
+                    }),
+                ),
                 None => Reply::empty(404),
             },
             ("POST", "/txn") => match decode::<Txn>(&request.body) {
                 Ok(txn) => {
-                    stand.questions.fetch_add(usize::from(txn.writes.is_empty()), Ordering::Relaxed);
+                    stand
+                        .questions
+                        .fetch_add(usize::from(txn.writes.is_empty()), Ordering::Relaxed);
                     match store.txn(&txn) {
-                        TxnAnswer::Done(revision) => Reply::new(200, encode(&TxnReply { failed: Vec::new(), revision })),
-                        TxnAnswer::Conflict(failed) => Reply::new(409, encode(&TxnReply { failed, revision: store.revision })),
-                        TxnAnswer::NoHold => Reply::new(400, encode(&serde_json::json!({"error": "no such lease"}))),
-                        TxnAnswer::TooLarge => Reply::new(400, encode(&serde_json::json!({"error": "too large"}))),
+                        TxnAnswer::Done(revision) => Reply::new(
+                            200,
+                            encode(&TxnReply {
+                                failed: Vec::new(),
+                                revision,
+                            }),
+                        ),
+                        TxnAnswer::Conflict(failed) => Reply::new(
+                            409,
+                            encode(&TxnReply {
+                                failed,
+                                revision: store.revision,
+                            }),
+                        ),
+                        TxnAnswer::NoHold => {
+                            Reply::new(400, encode(&serde_json::json!({"error": "no such lease"})))
+                        }
+                        TxnAnswer::TooLarge => {
+                            Reply::new(400, encode(&serde_json::json!({"error": "too large"})))
+                        }
                     }
                 }
                 Err(_) => Reply::empty(400),
@@ -107,18 +179,32 @@
 }
 
 fn free() -> SocketAddr {
-    TcpListener::bind(("127.0.0.1", 0)).expect("bound").local_addr().expect("bound")
+    TcpListener::bind(("127.0.0.1", 0))
+        .expect("bound")
+        .local_addr()
+        .expect("bound")
 }
 
 /// A controller, one of three of which the others are away, and its services.
 fn start(stand: &Arc<Stand>) -> SocketAddr {
     let (services, ready) = (stand.clone(), std::sync::mpsc::channel());
     std::thread::spawn(move || {
-        let executor: &'static smol::LocalExecutor<'static> = Box::leak(Box::new(smol::LocalExecutor::new()));
+        let executor: &'static smol::LocalExecutor<'static> =
+            Box::leak(Box::new(smol::LocalExecutor::new()));
         smol::block_on(executor.run(async move {
             let listener = listen(([127, 0, 0, 1], 0).into()).await.expect("bound");
-            ready.0.send(listener.local_addr().expect("bound")).expect("waits");
-            serve(executor, listener, Gate::new(500, 500, 0), 1 << 20, Rc::new(Services(services))).await;
+            ready
+                .0
+                .send(listener.local_addr().expect("bound"))
+                .expect("waits");
+            serve(
+                executor,
+                listener,
+                Gate::new(500, 500, 0),
+                1 << 20,
+                Rc::new(Services(services)),
+            )
+            .await;
         }));
     });
     let services = ready.1.recv().expect("listens");
@@ -137,7 +223,9 @@
         }
     }))
     .expect("settings");
-    std::thread::spawn(move || lemonweir_node::run(settings, lemonweir_policy::embedded().expect("policy")));
+    std::thread::spawn(move || {
+        lemonweir_node::run(settings, lemonweir_policy::embedded().expect("policy"))
+    });
     public
 }
 
@@ -153,23 +241,37 @@
         loop {
             match TcpStream::connect(to) {
                 Ok(stream) => return Self(stream),
-                Err(fault) if began.elapsed() > Duration::from_secs(30) => panic!("no connection: {fault}"),
+                Err(fault) if began.elapsed() > Duration::from_secs(30) => {
+                    panic!("no connection: {fault}")
+                }
                 Err(_) => std::thread::sleep(Duration::from_millis(50)),
             }
         }
     }
 
     fn ask(&mut self, method: &str, path: &str, body: &[u8]) -> Told {
-        let head = format!("{method} {path} HTTP/1.1\r\nHost: x\r\nContent-Length: {}\r\n\r\n", body.len());
-        self.0.write_all(&[head.as_bytes(), body].concat()).expect("sent");
+        let head = format!(
+            "{method} {path} HTTP/1.1\r\nHost: x\r\nContent-Length: {}\r\n\r\n",
+            body.len()
+        );
+        self.0
+            .write_all(&[head.as_bytes(), body].concat())
+            .expect("sent");
         let mut all = Vec::new();
         let mut chunk = [0; 4_096];
         loop {
             if let Some(end) = all.windows(4).position(|w| w == b"\r\n\r\n") {
                 let head = String::from_utf8_lossy(&all[..end]).into_owned();
-                let length: usize = head.lines().find_map(|l| l.strip_prefix("Content-Length: ")?.parse().ok()).unwrap_or(0);
+                let length: usize = head
+                    .lines()
+                    .find_map(|l| l.strip_prefix("Content-Length: ")?.parse().ok())
+                    .unwrap_or(0);
                 if all.len() >= end + 4 + length {
-                    let status = head.split(' ').nth(1).and_then(|s| s.parse().ok()).expect("status");
+                    let status = head
+                        .split(' ')
+                        .nth(1)
+                        .and_then(|s| s.parse().ok())
+                        .expect("status");
                     return (status, head, all.split_off(end + 4));
                 }
             }
@@ -188,14 +290,20 @@
 fn await_up(to: SocketAddr, status: u16) {
     let began = Instant::now();
     while ask(to, "GET", "/up", &[]).0 != status {
-        assert!(began.elapsed() < Duration::from_secs(60), "/up is not {status}");
+        assert!(
+            began.elapsed() < Duration::from_secs(60),
+            "/up is not {status}"
+        );
         std::thread::sleep(Duration::from_millis(100));
     }
 }
 
 fn phase(told: &Told) -> (u16, String) {
     let state = decode::<serde_json::Value>(&told.2).unwrap_or_default();
-    (told.0, state["phase"].as_str().unwrap_or_default().to_owned())
+    (
+        told.0,
+        state["phase"].as_str().unwrap_or_default().to_owned(),
+    )
 }
 
 fn is(phase: &str) -> (u16, String) {
@@ -232,12 +340,22 @@
         let (status, head, _) = user.ask(method, path, &body);
         assert_eq!(status, 503, "{method} {path}");
         // Less than it would wait for the store.
-        assert!(began.elapsed() < Duration::from_millis(1_200), "{method} {path} was held back for {:?}", began.elapsed());
-        assert!(head.contains("Retry-After: 1") && head.contains("Connection: close"), "{head}");
+        assert!(
+            began.elapsed() < Duration::from_millis(1_200),
+            "{method} {path} was held back for {:?}",
+            began.elapsed()
+        );
+        assert!(
+            head.contains("Retry-After: 1") && head.contains("Connection: close"),
+            "{head}"
+        );
     }
     stand.silent.store(false, Ordering::Relaxed);
     await_up(at, 200);
-    assert_eq!(phase(&ask(at, "GET", "/v1/jobs/req-000001", &[])), is("queued"));
+    assert_eq!(
+        phase(&ask(at, "GET", "/v1/jobs/req-000001", &[])),
+        is("queued")
+    );
     assert_eq!(ask(at, "GET", "/v1/jobs/req-000002", &[]).0, 404);
 }
 
@@ -249,30 +367,63 @@
     let stand = Arc::new(Stand::default());
     let mut store = Store::new(&unlimited());
     for n in 0..300 {
-        let phase = if n % 3 == 0 { Phase::Withdrawn } else { Phase::Done };
+        let phase = if n % 3 == 0 {
+            Phase::Withdrawn
+        } else {
+            Phase::Done
+        };
         let id = job(n, "red", Shape::Array, 1).id;
-        store.txn(&Txn { conditions: Vec::new(), writes: vec![lemonweir_protocol::state::Write::put(end_key(&id), &EndRecord { phase })] });
+        store.txn(&Txn {
+            conditions: Vec::new(),
+            writes: vec![lemonweir_protocol::state::Write::put(
+                end_key(&id),
+                &EndRecord { phase },
+            )],
+        });
     }
-    let bad = lemonweir_protocol::state::Write::Put { key: "w/job/req-000900".into(), value: to_value(&"no record"), hold: None };
-    store.txn(&Txn { conditions: Vec::new(), writes: vec![bad] });
+    let bad = lemonweir_protocol::state::Write::Put {
+        key: "w/job/req-000900".into(),
+        value: to_value(&"no record"),
+        hold: None,
+    };
+    store.txn(&Txn {
+        conditions: Vec::new(),
+        writes: vec![bad],
+    });
     *stand.store.lock().expect("store") = Some(store);
     let at = start(&stand);
     await_up(at, 200);
     let mut user = User::new(at);
     for n in 0..300 {
         let told = user.ask("GET", &format!("/v1/jobs/req-{n:06}"), &[]);
-        assert_eq!(phase(&told), is(if n % 3 == 0 { "withdrawn" } else { "done" }), "{n}");
+        assert_eq!(
+            phase(&told),
+            is(if n % 3 == 0 { "withdrawn" } else { "done" }),
+            "{n}"
+        );
     }
     let read = stand.ends_read.load(Ordering::Relaxed);
     assert!(read <= 2 + 300 / 200, "{read} readings for 300 ends");
     // Long after, with a machine type that is no more.
-    let gone = JobSpec { types: Some(vec!["no-such".into()]), ..job(7, "red", Shape::Array, 1) };
-    assert_eq!(phase(&user.ask("POST", "/v1/jobs", &encode(&gone))), is("done"));
-    let never = JobSpec { types: Some(vec!["no-such".into()]), ..job(800, "red", Shape::Array, 1) };
+    let gone = JobSpec {
+        types: Some(vec!["no-such".into()]),
+        ..job(7, "red", Shape::Array, 1)
+    };
+    assert_eq!(
+        phase(&user.ask("POST", "/v1/jobs", &encode(&gone))),
+        is("done")
+    );
+    let never = JobSpec {
+        types: Some(vec!["no-such".into()]),
+        ..job(800, "red", Shape::Array, 1)
+    };
     assert_eq!(user.ask("POST", "/v1/jobs", &encode(&never)).0, 422);
     // The record that can't be read, and a bounded number of questions for it.
     let before = stand.questions.load(Ordering::Relaxed);
-    assert_eq!(phase(&user.ask("GET", "/v1/jobs/req-000900", &[])), is("queued"));
+    assert_eq!(
+        phase(&user.ask("GET", "/v1/jobs/req-000900", &[])),
+        is("queued")
+    );
     assert_eq!(user.ask("POST", "/v1/jobs/req-000900/withdraw", &[]).0, 503);
     let asked = stand.questions.load(Ordering::Relaxed) - before;
     assert!(asked <= 40, "{asked} questions");
--- a/tests/edges.rs
+++ b/tests/edges.rs
@@ -15,7 +15,12 @@
 fn settings_text(host: usize, hosts: usize) -> String {
     let seeds: Vec<String> = (0..hosts)
         .filter(|&i| i != host)
-        .map(|i| format!(r#"{{"host_name":"h{i}","zone":"north","address":"10.0.0.{}:81"}}"#, i + 1))
+        .map(|i| {
+            format!(
+                r#"{{"host_name":"h{i}","zone":"north","address":"10.0.0.{}:81"}}"#,
+                i + 1
+            )
+        })
         .collect();
     format!(
         r#"{{"host_name":"h{host}","zone":"south","listen":"10.0.0.{n}:80","internal_addr":"10.0.0.{n}:81","seeds":[{}],
@@ -41,7 +46,9 @@
     }
 }
 
-fn read_map(fields: Vec<(Value, Value)>) -> Result<lemonweir_model::JobSpec, lemonweir_protocol::Malformed> {
+fn read_map(
+    fields: Vec<(Value, Value)>,
+) -> Result<lemonweir_model::JobSpec, lemonweir_protocol::Malformed> {
     let mut bytes = Vec::new();
     rmpv::encode::write_value(&mut bytes, &Value::Map(fields)).expect("written");
     read_submission(&bytes)
@@ -62,17 +69,31 @@
     }
     let with = |key: &str, value: Value| {
         let mut fields = submission();
-        fields.iter_mut().find(|(k, _)| k.as_str() == Some(key)).expect("field").1 = value;
+        fields
+            .iter_mut()
+            .find(|(k, _)| k.as_str() == Some(key))
+            .expect("field")
+            .1 = value;
         read_map(fields)
     };
-    for id in ["", "req-", "req-12x", "job-12", "req-1/2", "req-111111111111111111111"] {
+    for id in [
+        "",
+        "req-",
+        "req-12x",
+        "job-12",
+        "req-1/2",
+        "req-111111111111111111111",
+    ] {
         assert!(with("nameId", id.into()).is_err(), "{id}");
     }
     assert!(with("pieces", 0.into()).is_err());
     assert!(with("pieces", 100_001.into()).is_err());
     assert!(with("cores", f64::NAN.into()).is_err());
     assert!(with("cores", (-1.0).into()).is_err());
-    assert!(with("cores", 4.into()).is_ok(), "a whole number is an amount too");
+    assert!(
+        with("cores", 4.into()).is_ok(),
+        "a whole number is an amount too"
+    );
     assert!(read_submission(b"{\"json\":1}").is_err());
     assert!(read_submission(&[]).is_err());
     let mut extra = encode(&job(1, "red", Shape::Array, 3));
@@ -85,9 +106,16 @@
     let settings = Settings::parse(&settings_text(0, 3)).expect("settings");
     let c = &settings.cluster;
     let why = |spec| never_runs(&spec, &c.teams, &c.zones, &catalog());
-    assert_eq!(why(job(1, "red", Shape::Array, 1000)), None, "an array counts one task");
+    assert_eq!(
+        why(job(1, "red", Shape::Array, 1000)),
+        None,
+        "an array counts one task"
+    );
     assert!(why(job(1, "green", Shape::Array, 1)).is_some());
-    assert!(why(job(1, "red", Shape::Gang, 13)).is_some(), "13 of 12 accelerators");
+    assert!(
+        why(job(1, "red", Shape::Gang, 13)).is_some(),
+        "13 of 12 accelerators"
+    );
     assert_eq!(why(job(1, "red", Shape::Service, 12)), None);
     let mut big = job(1, "blue", Shape::Array, 1);
     big.gpus = 5.0;
@@ -102,10 +130,23 @@
     let good = settings_text(0, 3);
     assert!(Settings::parse(&good).is_ok());
     let with_new = good.replacen("{", "{\"something_new\":[1],", 1);
-    assert!(Settings::parse(&with_new).is_ok(), "unknown fields are ignored");
+    assert!(
+        Settings::parse(&with_new).is_ok(),
+        "unknown fields are ignored"
+    );
     let faults = |text: String| Settings::parse(&text).expect_err("a fault");
-    assert_eq!(faults(good.replace("\"lease_s\":14.0", "\"lease_s\":1.0")).len(), 1);
-    assert_eq!(faults(good.replace("\"lease_s\":14.0", "\"lease_s\":1.0").replace("\"rps\":200.0", "\"rps\":0.0")).len(), 2);
+    assert_eq!(
+        faults(good.replace("\"lease_s\":14.0", "\"lease_s\":1.0")).len(),
+        1
+    );
+    assert_eq!(
+        faults(
+            good.replace("\"lease_s\":14.0", "\"lease_s\":1.0")
+                .replace("\"rps\":200.0", "\"rps\":0.0")
+        )
+        .len(),
+        2
+    );
     assert!(faults(good.replace("\"h1\"", "\"h0\""))[0].contains("same host_name"));
     assert!(faults("{".into())[0].starts_with("settings:"));
 }
@@ -114,11 +155,18 @@
 fn policies_are_bounded_and_checked() {
     let default = include_str!("../crates/policy/src/policy.lua");
     assert!(lemonweir_policy::evaluate(default).is_ok());
-    let fault = |script: &str| lemonweir_policy::evaluate(script).expect_err("a fault").join("; ");
+    let fault = |script: &str| {
+        lemonweir_policy::evaluate(script)
+            .expect_err("a fault")
+            .join("; ")
+    };
     assert!(fault(&default.replace("spare =", "spear =")).contains("spear"));
     assert!(fault(&default.replace("silent_s = 9", "silent_s = 0")).contains("silent_s"));
     assert!(fault("while true do end").contains("too long"));
-    assert!(fault("local t = {} for i = 1, 1e9 do t[i] = ('x'):rep(1000000) .. i end return t").contains("memory"));
+    assert!(
+        fault("local t = {} for i = 1, 1e9 do t[i] = ('x'):rep(1000000) .. i end return t")
+            .contains("memory")
+    );
     assert!(fault("return io.open('/etc/passwd')").contains("io"));
     assert!(fault("return os.getenv('HOME')").contains("os"));
     assert!(fault("return 7").starts_with("policy:"));
@@ -129,7 +177,11 @@
     assert!(decode::<Report>(b"\x81\xa3box\x01").is_err());
     assert!(decode::<Report>(&[0xff; 40]).is_err());
     assert!(peer::read::<Sync>(&[]).is_err());
-    assert!(peer::read::<Sync>(&[9, 0, 0]).expect_err("format").contains("format 9"));
+    assert!(
+        peer::read::<Sync>(&[9, 0, 0])
+            .expect_err("format")
+            .contains("format 9")
+    );
     // A length that promises more than there is must not be believed.
     let mut bytes = vec![lemonweir_model::constants::PEER_VERSION];
     bytes.extend([0xff; 64]);
@@ -140,7 +192,13 @@
 fn mail_is_taken_whole_or_not_at_all() {
     use base64::prelude::{BASE64_STANDARD, Engine};
     let mut mirror = Mirror::default();
-    let piece = |n, id, b: &[u8]| lemonweir_protocol::state::to_value(&MailRecord { n, id: (1, id), b: BASE64_STANDARD.encode(b) });
+    let piece = |n, id, b: &[u8]| {
+        lemonweir_protocol::state::to_value(&MailRecord {
+            n,
+            id: (1, id),
+            b: BASE64_STANDARD.encode(b),
+        })
+    };
     let set = |k, value, version| lemonweir_protocol::state::Change {
         set: Some(mail_key(MailKind::Sync, 0, 1, k)),
         drop: None,
@@ -150,7 +208,10 @@
     mirror.apply(&[set(0, piece(2, 5, b"ab"), 1)], 1, 0);
     assert!(mirror.take_mail().is_empty(), "a piece is missing");
     mirror.apply(&[set(1, piece(2, 4, b"cd"), 2)], 2, 0);
-    assert!(mirror.take_mail().is_empty(), "a piece is of an earlier message");
+    assert!(
+        mirror.take_mail().is_empty(),
+        "a piece is of an earlier message"
+    );
     mirror.apply(&[set(1, piece(2, 5, b"cd"), 3)], 3, 0);
     let mail = mirror.take_mail();
     assert_eq!(mail.len(), 1);
@@ -182,19 +243,59 @@
 }
 
 /// What is rented for this where nothing is out of sight.
-fn rent(lacking: &[Demand], booting: &[Bin], failing: &Failing, shortage: &Shortage) -> Vec<(String, String, bool, u32)> {
+fn rent(
+    lacking: &[Demand],
+    booting: &[Bin],
+    failing: &Failing,
+    shortage: &Shortage,
+) -> Vec<(String, String, bool, u32)> {
     let (hidden, catalog) = (Default::default(), catalog());
-    plan(lacking, booting, &Default::default(), &Market { hidden: &hidden, failing, catalog: &catalog, shortage }, 0)
+    plan(
+        lacking,
+        booting,
+        &Default::default(),
+        &Market {
+            hidden: &hidden,
+            failing,
+            catalog: &catalog,
+            shortage,
+        },
+        0,
+    )
 }
 
 #[test]
 fn renting_counts_what_boots_and_takes_the_cheapest() {
-    let rented = |demand, booting: &[Bin]| rent(&[demand], booting, &Failing::default(), &Shortage::default());
-    let count = |plan: Vec<(String, String, bool, u32)>| (plan.iter().map(|p| p.3).sum::<u32>(), plan.iter().all(|p| p.2));
-    assert_eq!(count(rented(demand(9, true), &[])), (3, true), "nine on spot machines of four");
+    let rented = |demand, booting: &[Bin]| {
+        rent(
+            &[demand],
+            booting,
+            &Failing::default(),
+            &Shortage::default(),
+        )
+    };
+    let count = |plan: Vec<(String, String, bool, u32)>| {
+        (
+            plan.iter().map(|p| p.3).sum::<u32>(),
+            plan.iter().all(|p| p.2),
+        )
+    };
+    assert_eq!(
+        count(rented(demand(9, true), &[])),
+        (3, true),
+        "nine on spot machines of four"
+    );
     assert_eq!(count(rented(demand(4, false), &[])).0, 1);
-    let booting = Bin { kind: "box".into(), zone: "north".into(), spot: false, free: Room::offer(16.0, 4.0, 64.0) };
-    assert!(rented(demand(4, false), &[booting]).is_empty(), "it is on its way");
+    let booting = Bin {
+        kind: "box".into(),
+        zone: "north".into(),
+        spot: false,
+        free: Room::offer(16.0, 4.0, 64.0),
+    };
+    assert!(
+        rented(demand(4, false), &[booting]).is_empty(),
+        "it is on its way"
+    );
 }
 
 /// Found on afspraakloket: machines that boot in one zone counted as room for
@@ -214,13 +315,35 @@
 fn what_does_not_come_up_is_replaced_elsewhere() {
     let none = Shortage::default();
     let first = rent(&[demand(4, true)], &[], &Failing::default(), &none).remove(0);
-    let overdue = |n: usize, all: usize| Failing::of((0..all).map(|i| (first.0.as_str(), first.1.as_str(), first.2, i < n)));
+    let overdue = |n: usize, all: usize| {
+        Failing::of((0..all).map(|i| (first.0.as_str(), first.1.as_str(), first.2, i < n)))
+    };
     let then = rent(&[demand(4, true)], &[], &overdue(3, 4), &none).remove(0);
-    assert_ne!((&then.1, then.2), (&first.1, first.2), "another zone or kind");
-    assert_eq!(rent(&[demand(4, true)], &[], &overdue(2, 4), &none).remove(0), first, "two may be chance");
-    assert_eq!(rent(&[demand(4, true)], &[], &overdue(4, 9), &none).remove(0), first, "most come up");
-    let bound = Demand { zone: Some(first.1.clone()), only_spot: true, ..demand(4, true) };
-    assert_eq!(rent(&[bound], &[], &overdue(4, 4), &none).remove(0), first, "nothing else will do");
+    assert_ne!(
+        (&then.1, then.2),
+        (&first.1, first.2),
+        "another zone or kind"
+    );
+    assert_eq!(
+        rent(&[demand(4, true)], &[], &overdue(2, 4), &none).remove(0),
+        first,
+        "two may be chance"
+    );
+    assert_eq!(
+        rent(&[demand(4, true)], &[], &overdue(4, 9), &none).remove(0),
+        first,
+        "most come up"
+    );
+    let bound = Demand {
+        zone: Some(first.1.clone()),
+        only_spot: true,
+        ..demand(4, true)
+    };
+    assert_eq!(
+        rent(&[bound], &[], &overdue(4, 4), &none).remove(0),
+        first,
+        "nothing else will do"
+    );
 }
 
 #[test]
@@ -241,8 +364,22 @@
     assert!(parse_run_key("run/0/other/3").is_none());
     // A key that is not understood changes nothing and ends nothing.
     let mut mirror = Mirror::default();
-    let change = |key: &str| lemonweir_protocol::state::Change { set: Some(key.into()), drop: None, value: Some(Value::Nil), version: 1 };
-    mirror.apply(&[change("w/job/req-1"), change("w/part/x"), change("w/what/ever"), change("w/")], 7, 0);
+    let change = |key: &str| lemonweir_protocol::state::Change {
+        set: Some(key.into()),
+        drop: None,
+        value: Some(Value::Nil),
+        version: 1,
+    };
+    mirror.apply(
+        &[
+            change("w/job/req-1"),
+            change("w/part/x"),
+            change("w/what/ever"),
+            change("w/"),
+        ],
+        7,
+        0,
+    );
     assert!(mirror.jobs.is_empty() && mirror.parts.is_empty());
     assert_eq!(mirror.revision, Some(7));
 }
@@ -260,7 +397,16 @@
     let fields: Vec<&str> = faults.iter().filter_map(|f| f.split(": ").next()).collect();
     let mut sorted = fields.clone();
     sorted.sort_unstable();
-    assert_eq!(sorted, ["cluster.state.txn_ops", "cluster.teams[0].gpus", "cluster.workers.lease_s", "seeds[0].address", "zone"]);
+    assert_eq!(
+        sorted,
+        [
+            "cluster.state.txn_ops",
+            "cluster.teams[0].gpus",
+            "cluster.workers.lease_s",
+            "seeds[0].address",
+            "zone"
+        ]
+    );
     assert_eq!(Settings::parse("[1]").expect_err("no map").len(), 1);
     assert!(Settings::parse("{").expect_err("cut short")[0].contains("not JSON"));
 }
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -15,9 +15,17 @@
         let (mut stream, _) = listener.accept().expect("a request");
         let mut lines = BufReader::new(stream.try_clone().expect("a stream")).lines();
         let first = lines.next().expect("a line").expect("text");
-        let _ = lines.by_ref().take_while(|l| l.as_ref().is_ok_and(|l| !l.is_empty())).count();
-        let head = format!("HTTP/1.1 {status} x\r\ncontent-length: {}\r\n\r\n", body.len());
-        stream.write_all(&[head.as_bytes(), &body].concat()).expect("sent");
+        let _ = lines
+            .by_ref()
+            .take_while(|l| l.as_ref().is_ok_and(|l| !l.is_empty()))
+            .count();
+        let head = format!(
+            "HTTP/1.1 {status} x\r\ncontent-length: {}\r\n\r\n",
+            body.len()
+        );
+        stream
+            .write_all(&[head.as_bytes(), &body].concat())
+            .expect("sent");
         first
     });
     (addr, thread)
@@ -25,11 +33,19 @@
 
 fn run(addr: SocketAddr, args: &[&str]) -> Output {
     let node = addr.to_string();
-    Command::new(env!("CARGO_BIN_EXE_lemonweir")).args(["watch", "--node", &node]).args(args).output().expect("it runs")
+    Command::new(env!("CARGO_BIN_EXE_lemonweir"))
+        .args(["watch", "--node", &node])
+        .args(args)
+        .output()
+        .expect("it runs")
 }
 
 fn text(output: &Output) -> String {
-    assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
+    assert!(
+        output.status.success(),
+        "{}",
+        String::from_utf8_lossy(&output.stderr)
+    );
     String::from_utf8_lossy(&output.stdout).into_owned()
 }
 
@@ -38,8 +54,20 @@
         host: "h1".into(),
         age_ms,
         parts: vec![
-            PartRow { part: 0, home: "h0".into(), holder: None, token: None, since: None },
-            PartRow { part: 1, home: "h1".into(), holder: Some("h1".into()), token: Some(40), since: Some(1_790_000_000_000) },
+            PartRow {
+                part: 0,
+                home: "h0".into(),
+                holder: None,
+                token: None,
+                since: None,
+            },
+            PartRow {
+                part: 1,
+                home: "h1".into(),
+                holder: Some("h1".into()),
+                token: Some(40),
+                since: Some(1_790_000_000_000),
+            },
         ],
         services: 2,
         promised: 12,
@@ -67,15 +95,34 @@
 fn the_state_of_the_watch_is_told_with_its_age() {
     let (addr, asked) = serve(200, encode(&watch(Some(61_000))));
     let told = text(&run(addr, &[]));
-    assert!(asked.join().expect("asked").starts_with("GET /v1/watch HTTP"));
-    for part in ["nobody", "1 of 4", "north 1", "140", "-12", "replica 2 left n-000009", "9 of 12 replicas of 2 services are up"] {
+    assert!(
+        asked
+            .join()
+            .expect("asked")
+            .starts_with("GET /v1/watch HTTP")
+    );
+    for part in [
+        "nobody",
+        "1 of 4",
+        "north 1",
+        "140",
+        "-12",
+        "replica 2 left n-000009",
+        "9 of 12 replicas of 2 services are up",
+    ] {
         assert!(told.contains(part), "{part}: {told}");
     }
-    assert!(told.contains("as h1 read it 61000 ms ago"), "the store may be away: {told}");
+    assert!(
+        told.contains("as h1 read it 61000 ms ago"),
+        "the store may be away: {told}"
+    );
     let (addr, _) = serve(200, encode(&watch(None)));
     let told = text(&run(addr, &["--json"]));
     let json: serde_json::Value = serde_json::from_str(&told).expect("JSON");
-    assert_eq!((json["age_ms"].is_null(), json["short"][0]["up"].as_u64()), (true, Some(1)));
+    assert_eq!(
+        (json["age_ms"].is_null(), json["short"][0]["up"].as_u64()),
+        (true, Some(1))
+    );
 }
 
 #[test]
@@ -104,11 +151,20 @@
     let all = Handovers {
         host: "h1".into(),
         age_ms: Some(120),
-        changes: vec![row(9, None, None), row(8, Some("h2"), None), row(7, Some("h2"), Some(closed))],
+        changes: vec![
+            row(9, None, None),
+            row(8, Some("h2"), None),
+            row(7, Some("h2"), Some(closed)),
+        ],
     };
     let (addr, asked) = serve(200, encode(&all));
     let told = text(&run(addr, &["--handovers"]));
-    assert!(asked.join().expect("asked").starts_with("GET /v1/watch/handovers HTTP"));
+    assert!(
+        asked
+            .join()
+            .expect("asked")
+            .starts_with("GET /v1/watch/handovers HTTP")
+    );
     for part in [
         "11 replicas, 2 others, 5 machines",
         "310 ms",
@@ -119,13 +175,21 @@
     ] {
         assert!(told.contains(part), "{part}: {told}");
     }
-    assert_eq!(told.matches("not written yet").count(), 1, "only what somebody took has something to be found: {told}");
+    assert_eq!(
+        told.matches("not written yet").count(),
+        1,
+        "only what somebody took has something to be found: {told}"
+    );
 }
 
 /// What a controller of an earlier version, or something else, answers is named.
 #[test]
 fn what_cant_be_read_is_named() {
-    for (status, body) in [(404, Vec::new()), (200, b"<html>".to_vec()), (200, encode(&"what"))] {
+    for (status, body) in [
+        (404, Vec::new()),
+        (200, b"<html>".to_vec()),
+        (200, encode(&"what")),
+    ] {
         let (addr, _) = serve(status, body);
         let output = run(addr, &["--handovers"]);
         assert!(!output.status.success());
