--- a/crates/coordination/src/config.rs
+++ b/crates/coordination/src/config.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use crate::owner::Timing;
-use crate::sockets::Shares;
+use crate::socket_shares::Shares;
 use lemonweir_model::constants::*;
 use lemonweir_model::settings::{Member, Settings};
 use lemonweir_model::{MachineId, Room};
--- a/crates/coordination/src/chains.rs
+++ b/crates/coordination/src/dependencies.rs
@@ -3,7 +3,7 @@
 //!
 //! * **Start.** A waiting job is moved to where placers find it by one transaction, whose
 //!   conditions are the ends of all jobs that it awaits, each under the version that says
-//!   done ([`lemonweir_storage::chains`]).
+//!   done ([`lemonweir_storage::dependencies`]).
 //! * **Cancellation.** A job that needs a cancelled one, directly or through others, never
 //!   starts, since that end never changes. So it counts as cancelled from the moment when
 //!   the end that it needs is written: any node may tell, and the record of its own end
@@ -15,17 +15,17 @@
 
 use tracing::info;
 
-use crate::answers::Answer;
+use crate::job_status::Answer;
 use crate::placer::TxnOutcome;
 use crate::{Config, Core, Effect};
 use lemonweir_model::constants::*;
 use lemonweir_model::{JobId, JobSpec, Rank};
-use lemonweir_protocol::state::{Condition, Txn, Write};
+use lemonweir_protocol::kv_store::{Condition, Txn, Write};
 use lemonweir_protocol::users::Phase;
 use lemonweir_storage::Mirror;
-use lemonweir_storage::chains::*;
-use lemonweir_storage::mirror::SettledEnd;
+use lemonweir_storage::dependencies::*;
 use lemonweir_storage::records::{JobRecord, accept_job, withdraw_job};
+use lemonweir_storage::state_cache::SettledEnd;
 
 /// How a job that waits stands, by the ends of all that it needs.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/coordination/src/effects.rs
+++ b/crates/coordination/src/effects.rs
@@ -3,9 +3,9 @@
 use lemonweir_model::JobId;
 use lemonweir_model::MachineId;
 use lemonweir_protocol::cloud::Rental;
+use lemonweir_protocol::kv_store::Txn;
 use lemonweir_protocol::links::{Service, Word};
 use lemonweir_protocol::peer::{Sync, View};
-use lemonweir_protocol::state::Txn;
 use lemonweir_protocol::worker::ReportReply;
 use lemonweir_storage::records::{parse_run_key, part_key};
 
--- a/crates/coordination/src/membership.rs
+++ b/crates/coordination/src/election.rs
@@ -11,7 +11,7 @@
 
 use crate::{Core, Lot};
 use lemonweir_model::constants::{DEAF_MOST_MS, DEAF_MS, HEIR_STEP_MS, TAKEOVER_WAIT_MS};
-use lemonweir_protocol::state::Txn;
+use lemonweir_protocol::kv_store::Txn;
 use lemonweir_storage::records::raise_version;
 
 /// What a node should do about a part now.
--- a/crates/coordination/src/pump.rs
+++ b/crates/coordination/src/flush.rs
@@ -2,13 +2,13 @@
 
 use std::collections::BTreeMap;
 
-use crate::fleet::{Bin, Failing, Market, plan};
+use crate::autoscaler::{Bin, Failing, Market, plan};
 use crate::{Core, Effect, Part};
 use lemonweir_model::Catalog;
 use lemonweir_model::constants::*;
 use lemonweir_protocol::cloud::Rental;
+use lemonweir_protocol::kv_store::{Condition, Txn, Write};
 use lemonweir_protocol::peer::Sync;
-use lemonweir_protocol::state::{Condition, Txn, Write};
 use lemonweir_storage::records::{ImagesRecord, images_key, part_key};
 
 impl Core {
--- a/crates/coordination/src/reports.rs
+++ b/crates/coordination/src/heartbeats.rs
@@ -5,7 +5,7 @@
 
 use crate::links::{Stray, StrayReport};
 use crate::owner::{CommandCall, CommandResult};
-use crate::{Core, Lot, ReportAnswer, promise, sessions};
+use crate::{Core, Lot, ReportAnswer, incarnation, worker_lease};
 use lemonweir_model::constants::*;
 use lemonweir_protocol::worker::{Report, ReportReply};
 
@@ -58,7 +58,7 @@
         let (again, news) = self.links.strays.came(
             part,
             &report.machine,
-            sessions::SequenceNumber::of(report),
+            incarnation::SequenceNumber::of(report),
             now,
         );
         self.links.came(&report.zone, known && news, now);
@@ -93,7 +93,7 @@
     /// the store yet.
     pub(crate) fn keep_promise(&self, report: &Report, now: u64) -> ReportAnswer {
         let wall = now + self.config.wall_offset_ms;
-        match promise::kept_until(report.token, wall, self.config.clock_off_ms) {
+        match worker_lease::kept_until(report.token, wall, self.config.clock_off_ms) {
             Some(until) if wall <= until => ReportAnswer::Orders(ReportReply {
                 token: report.token,
                 orders: Vec::new(),
--- a/crates/coordination/src/weights/show.rs
+++ b/crates/coordination/src/image_locality/show.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use crate::Core;
-use lemonweir_protocol::weights::{PartRow, UserRow, WeightsPicture, ZoneRow};
+use lemonweir_protocol::image_locality::{PartRow, UserRow, WeightsPicture, ZoneRow};
 
 impl Core {
     /// Where an image lies, who uses it, and what the loss of each zone would leave.
--- a/crates/coordination/src/sessions/mod.rs
+++ b/crates/coordination/src/incarnation/mod.rs
@@ -23,7 +23,7 @@
 //!   again within its interval and the same way.
 
 use crate::machine::Timing;
-use crate::promise;
+use crate::worker_lease;
 use lemonweir_model::constants::*;
 use lemonweir_protocol::worker::Report;
 
@@ -229,7 +229,7 @@
         } else {
             Reachability::Reachable
         };
-        let raised = promise::raised(self.fence);
+        let raised = worker_lease::raised(self.fence);
         if let Some(fence) = raised {
             self.raise(fence, now);
         }
@@ -287,7 +287,7 @@
             && (token == 0 || numbers > self.newest && token < self.token && !self.outlived(token))
         {
             self.born = self.born.map(|_| now);
-            let Some(fence) = promise::raised(self.fence) else {
+            let Some(fence) = worker_lease::raised(self.fence) else {
                 return false;
             };
             self.challenge = None;
@@ -362,7 +362,7 @@
 
     /// Raises the token for answers alone. False if it can't rise now.
     fn dare(&mut self, now: u64) -> bool {
-        let Some(fence) = promise::raised(self.fence) else {
+        let Some(fence) = worker_lease::raised(self.fence) else {
             return false;
         };
         self.challenge.get_or_insert(self.fence);
@@ -373,7 +373,7 @@
     /// Promises the worker that the reading which showed us as the owner began
     /// then, in time of day.
     pub(crate) fn promise(&mut self, wall_ms: u64, now: u64) {
-        if let Some(fence) = promise::renewed(self.fence, wall_ms) {
+        if let Some(fence) = worker_lease::renewed(self.fence, wall_ms) {
             self.raise(fence, now);
         }
     }
@@ -384,14 +384,14 @@
         self.challenge = None;
         // No call goes out with a token that can't rise; were it so, the machine
         // would stay ambiguous until it is promised anew.
-        if let Some(fence) = promise::raised(self.fence.max(sent.saturating_sub(self.base))) {
+        if let Some(fence) = worker_lease::raised(self.fence.max(sent.saturating_sub(self.base))) {
             self.raise(fence, now);
         }
     }
 
     /// True if the token could rise after a call.
     pub(crate) fn fences(&self) -> bool {
-        promise::raised(self.fence).is_some()
+        worker_lease::raised(self.fence).is_some()
     }
 
     /// The token of an answer.
--- a/crates/coordination/src/job.rs
+++ b/crates/coordination/src/job.rs
@@ -10,7 +10,7 @@
 use lemonweir_protocol::users::Phase;
 use lemonweir_storage::records::{ChunkRecord, GangRecord, GangStep, JobRecord, LiveRecord};
 
-use crate::ledger::{self, Admission, Members};
+use crate::gang_admission::{self, Admission, Members};
 
 /// What comes first among jobs of one priority.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -536,10 +536,11 @@
                     .and_then(|c| c.loaded.as_ref()),
             )
         };
-        let Some((step, at, attempt)) = ledger::inherited(self.live.iter().map(carried)) else {
+        let Some((step, at, attempt)) = gang_admission::inherited(self.live.iter().map(carried))
+        else {
             return;
         };
-        let since = ledger::counts_from(step, wall.saturating_sub(at), gang_wait_ms, now);
+        let since = gang_admission::counts_from(step, wall.saturating_sub(at), gang_wait_ms, now);
         self.admission = Some(Admission {
             step,
             at,
--- a/crates/coordination/src/answers.rs
+++ b/crates/coordination/src/job_status.rs
@@ -8,11 +8,11 @@
 //! Both times run on steady clocks, whose drift the second allows for.
 
 use crate::Core;
-use crate::chains::Standing;
+use crate::dependencies::Standing;
 use lemonweir_model::JobId;
 use lemonweir_model::constants::{MEMORY_MS, TOLD_AFTER_MS};
 use lemonweir_protocol::users::Phase;
-use lemonweir_storage::mirror::SettledEnd;
+use lemonweir_storage::state_cache::SettledEnd;
 
 /// What this node can say of a job now.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -4,33 +4,33 @@
 //! A node holds one [`Part`] by right and others while their home is away.
 //! Each part has an owner's side ([`owner`]) and a placer's side ([`placer`]).
 
-pub mod answers;
+pub mod autoscaler;
 mod boot_time;
-pub mod budget;
-pub mod chains;
-pub mod changes;
+pub mod change_log;
 mod config;
+pub mod dependencies;
 mod effects;
-mod evidence;
+pub mod election;
 pub mod fault_attribution;
-pub mod fleet;
+mod flush;
+pub mod gang_admission;
+mod heartbeats;
+pub mod image_locality;
+mod incarnation;
 mod job;
-pub mod ledger;
+pub mod job_status;
 pub mod links;
 mod machine;
-pub mod membership;
+mod machine_health;
 pub mod owner;
-mod pause;
 pub mod placement;
 pub mod placer;
-mod promise;
-mod pump;
-pub mod questions;
-mod reports;
-mod sessions;
-pub mod sockets;
-pub mod watch;
-pub mod weights;
+mod process_stall;
+pub mod query_admission;
+pub mod rate_limit;
+pub mod socket_shares;
+pub mod supervision;
+mod worker_lease;
 
 pub use config::{Config, mail_piece_bytes};
 pub use effects::{Effect, Lot, RentResult, ReportAnswer, Tally, keys_to_reread};
@@ -40,13 +40,13 @@
 
 use tracing::{debug, info};
 
-use crate::chains::Chains;
-use crate::fleet::Shortage;
+use crate::autoscaler::Shortage;
+use crate::dependencies::Chains;
 use crate::links::Links;
 use crate::owner::{Owner, SyncRefusal};
-use crate::pause::Pause;
 use crate::placer::{Placer, Promise, Terms, TxnOutcome, TxnVerdict};
-use crate::watch::takeover::Takeover;
+use crate::process_stall::Pause;
+use crate::supervision::takeover::Takeover;
 use lemonweir_model::constants::*;
 use lemonweir_model::policy::Policy;
 use lemonweir_model::{Catalog, JobId, JobSpec, MachineId, Rank};
@@ -54,8 +54,8 @@
 use lemonweir_protocol::peer::{self, JobNote, Rented, Superseded, Sync, View};
 use lemonweir_protocol::users::Phase;
 use lemonweir_storage::Mirror;
-use lemonweir_storage::mirror::{Holder, MirroredJob};
 use lemonweir_storage::records::{ChunkRecord, ImagesRecord, MailKind};
+use lemonweir_storage::state_cache::{Holder, MirroredJob};
 
 #[derive(Clone, Default)]
 struct Line {
--- a/crates/coordination/src/links/mod.rs
+++ b/crates/coordination/src/links/mod.rs
@@ -7,23 +7,23 @@
 //! the reckoning.
 
 mod failure_detector;
-mod outward;
+mod latency;
 mod relay;
-mod times;
+mod upstream_route;
 
 use std::collections::{BTreeMap, VecDeque};
 
 use tracing::info;
 
-use crate::evidence::Strays;
 use crate::machine::Timing;
+use crate::machine_health::Strays;
 use failure_detector::FailureDetector;
+use latency::Times;
 use lemonweir_model::MachineId;
 use lemonweir_model::constants::*;
 use lemonweir_protocol::links::{EventRow, LINKS_VERSION, LinkRow, Service, Standing, Word};
-use outward::{Candidate, Outward};
 use relay::Carriage;
-use times::Times;
+use upstream_route::{Candidate, Outward};
 
 /// Another controller.
 #[derive(Debug, Default)]
--- a/crates/coordination/src/machine.rs
+++ b/crates/coordination/src/machine.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-use crate::sessions::WorkerSession;
+use crate::incarnation::WorkerSession;
 use lemonweir_model::constants::*;
 use lemonweir_model::{AttemptId, Room};
 use lemonweir_protocol::peer::Cause;
--- a/crates/coordination/src/evidence.rs
+++ b/crates/coordination/src/machine_health.rs
@@ -14,8 +14,8 @@
 
 use tracing::info;
 
+use crate::incarnation::SequenceNumber;
 use crate::machine::{Machine, Timing};
-use crate::sessions::SequenceNumber;
 use lemonweir_model::MachineId;
 use lemonweir_model::constants::*;
 use lemonweir_protocol::peer::Hidden;
--- a/crates/coordination/src/owner/copies.rs
+++ b/crates/coordination/src/owner/last_copies.rs
@@ -1,7 +1,7 @@
 //! Which machines are given back last: those with the last copy of a service's
 //! weights in their zone, while others can go.
 
-use super::upkeep::hopeless;
+use super::maintenance::hopeless;
 use super::*;
 
 impl Owner {
--- a/crates/coordination/src/owner/mod.rs
+++ b/crates/coordination/src/owner/mod.rs
@@ -12,13 +12,13 @@
 //! * the lease has surely run out since this owner, and nobody after it, last
 //!   answered the machine.
 
-mod copies;
-mod eviction;
-mod orders;
-mod orphans;
+mod commands;
+mod last_copies;
+mod maintenance;
+mod orphaned_grants;
+mod preemption;
 mod proof;
-mod telling;
-mod upkeep;
+mod reconciliation;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 use std::net::SocketAddr;
@@ -26,12 +26,12 @@
 use tracing::{info, warn};
 
 use crate::boot_time::BootTimes;
-use crate::changes::ChangeLog;
-use crate::evidence::{Judgement, Sight};
+use crate::change_log::ChangeLog;
 use crate::fault_attribution::{FaultAttribution, Verdict};
+use crate::incarnation::{Freshness, Origin, SequenceNumber};
 pub use crate::machine::Timing;
 use crate::machine::{Aside, Machine, Seen};
-use crate::sessions::{Freshness, Origin, SequenceNumber};
+use crate::machine_health::{Judgement, Sight};
 use lemonweir_model::constants::*;
 use lemonweir_model::policy::Policy;
 use lemonweir_model::{AttemptId, MachineId, Rank, Room};
--- a/crates/coordination/src/owner/orphans.rs
+++ b/crates/coordination/src/owner/orphaned_grants.rs
@@ -1,7 +1,7 @@
 //! Room that a placer asked for and will never use: it has lost its part.
 
 use super::*;
-use lemonweir_storage::mirror::Holder;
+use lemonweir_storage::state_cache::Holder;
 
 impl Owner {
     /// Learns from a reading of the store at `revision` who holds the parts. A
--- a/crates/coordination/src/placement.rs
+++ b/crates/coordination/src/placement.rs
@@ -5,7 +5,7 @@
 //! constraints are ANDed, and the first machine left whose free room covers
 //! every resource is taken (paper, section IV-B). The rows for images and for
 //! machines already in use only decide the order of the walk, class by class
-//! ([`crate::weights`]): a machine that has the image first, since the fetch decides
+//! ([`crate::image_locality`]): a machine that has the image first, since the fetch decides
 //! when a task starts, then one that is in use already, so that whole machines stay
 //! free.
 
@@ -15,8 +15,8 @@
 use lemonweir_model::{MachineId, Rank, Room};
 use lemonweir_protocol::peer::MachineView;
 
-use crate::weights::trade::{Class, Hold, Kin, Near};
-use crate::weights::walk::Kindred;
+use crate::image_locality::trade::{Class, Hold, Kin, Near};
+use crate::image_locality::walk::Kindred;
 
 /// A row of bits, one a machine.
 #[derive(Clone, Debug, Default, PartialEq)]
--- a/crates/coordination/src/placer/gangs.rs
+++ b/crates/coordination/src/placer/gangs.rs
@@ -1,7 +1,7 @@
 //! What this placer's gangs still need: the next steps in the admission ledger.
 
 use super::*;
-use crate::ledger::{Verdict, Why, verdict};
+use crate::gang_admission::{Verdict, Why, verdict};
 use lemonweir_storage::records::GangStep;
 
 impl Placer {
--- a/crates/coordination/src/placer/mod.rs
+++ b/crates/coordination/src/placer/mod.rs
@@ -4,15 +4,15 @@
 //! Every attempt is written to the state service before its owner hears of it,
 //! and stays in what this placer wants until its end has been written too.
 
-mod expectation;
 mod gangs;
-mod moves;
+mod headroom;
 mod placing;
 mod preemption;
+mod rebalancing;
+mod reconciliation;
 mod records;
-mod telling;
-mod watched;
-mod weighing;
+mod scoring;
+mod supervision;
 
 use std::borrow::Cow;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
@@ -22,31 +22,31 @@
 
 use tracing::{debug, info, warn};
 
-use crate::changes::ChangeLog;
+use crate::autoscaler::Demand;
+use crate::change_log::ChangeLog;
 use crate::fault_attribution::FaultAttribution;
-use crate::fleet::Demand;
+use crate::gang_admission::Admission;
+use crate::image_locality::book::Book;
+use crate::image_locality::trade::{Class, Near, Stakes, classes};
+use crate::image_locality::walk::{Kindred, Walk};
 use crate::job::{Chunk, Ending, Job, Live, Placed, Urgency};
-use crate::ledger::Admission;
 use crate::placement::{Ask, Field};
-use crate::watch::services::Services;
-use crate::weights::book::Book;
-use crate::weights::trade::{Class, Near, Stakes, classes};
-use crate::weights::walk::{Kindred, Walk};
+use crate::supervision::services::Services;
 use lemonweir_model::constants::*;
 use lemonweir_model::policy::Trade;
 use lemonweir_model::{
     AttemptId, Catalog, JobId, JobSpec, MachineId, MachineType, Rank, Room, Shape,
 };
+use lemonweir_protocol::kv_store::{Condition, Txn, Write};
 use lemonweir_protocol::peer::{
     Cause, Evict, Follow, Have, Hidden, JobNote, Rented, Standing, Sync, View, Want, written,
 };
-use lemonweir_protocol::state::{Condition, Txn, Write};
 use lemonweir_protocol::users::Phase;
-use lemonweir_storage::mirror::MirroredJob;
-use lemonweir_storage::packed::chunk_value;
+use lemonweir_storage::packed_chunk::chunk_value;
 use lemonweir_storage::records::{
     ChunkRecord, EndRecord, JobRecord, end_key, job_key, part_key, run_key,
 };
+use lemonweir_storage::state_cache::MirroredJob;
 
 /// What passes between this placer and one owner.
 #[derive(Default)]
--- a/crates/coordination/src/placer/placing.rs
+++ b/crates/coordination/src/placer/placing.rs
@@ -1,7 +1,7 @@
 //! Where the next tasks go.
 
 use super::*;
-use crate::fleet::tasks_in;
+use crate::autoscaler::tasks_in;
 
 /// How much of a job is placed in its turn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/coordination/src/placer/preemption.rs
+++ b/crates/coordination/src/placer/preemption.rs
@@ -10,8 +10,8 @@
 //! | finding room | machines that the service avoided are taken again; what the cloud had none of is noted |
 
 use super::*;
-use crate::fleet::Shortage;
-use crate::watch::services::{Doing, PreemptionStep, Try};
+use crate::autoscaler::Shortage;
+use crate::supervision::services::{Doing, PreemptionStep, Try};
 
 impl Placer {
     /// Tries another way for services that are late.
--- a/crates/coordination/src/placer/watched.rs
+++ b/crates/coordination/src/placer/supervision.rs
@@ -2,8 +2,8 @@
 
 use super::placing::{AT_LIMIT, NO_ROOM};
 use super::*;
-use crate::watch::services::{Doing, Seen};
-use crate::watch::takeover::Takeover;
+use crate::supervision::services::{Doing, Seen};
+use crate::supervision::takeover::Takeover;
 
 impl Placer {
     /// Looks at the services that something happened to.
--- a/crates/coordination/src/watch/entries.rs
+++ b/crates/coordination/src/supervision/entries.rs
@@ -1,10 +1,10 @@
 //! Entries of changes of hands: written with each, closed in spare writes.
 
-use crate::membership::Claim;
-use crate::watch::takeover::{Takeover, left_open};
+use crate::election::Claim;
+use crate::supervision::takeover::{Takeover, left_open};
 use crate::{Core, Effect, Lot};
-use lemonweir_protocol::state::{Condition, Txn};
-use lemonweir_storage::handovers::{Change, HandoverRecord, NewHandover};
+use lemonweir_protocol::kv_store::{Condition, Txn};
+use lemonweir_storage::failovers::{Change, HandoverRecord, NewHandover};
 use lemonweir_storage::records::{hand_back, leave_part, part_key, take_part};
 
 impl Core {
@@ -85,7 +85,7 @@
             return;
         };
         // Its slot may be the one that the new entry takes.
-        let key = |n: &NewHandover| lemonweir_storage::handovers::handover_key(n.part, n.record.n);
+        let key = |n: &NewHandover| lemonweir_storage::failovers::handover_key(n.part, n.record.n);
         if let Some(mut entry) = self
             .mirror
             .handovers
--- a/crates/coordination/src/watch/picture.rs
+++ b/crates/coordination/src/supervision/picture.rs
@@ -2,11 +2,13 @@
 //! All of it from memory, so that it can be had while the store is away.
 
 use crate::Core;
-use crate::watch::services::Doing;
+use crate::supervision::services::Doing;
 use lemonweir_model::Shape;
-use lemonweir_protocol::watch::{ClosedRow, HandoverRow, Handovers, PartRow, ShortRow, Watch};
-use lemonweir_storage::handovers::{Change, Closing, HandoverRecord};
-use lemonweir_storage::mirror::MirroredJob;
+use lemonweir_protocol::supervision::{
+    ClosedRow, HandoverRow, Handovers, PartRow, ShortRow, Watch,
+};
+use lemonweir_storage::failovers::{Change, Closing, HandoverRecord};
+use lemonweir_storage::state_cache::MirroredJob;
 
 impl Doing {
     fn text(self) -> &'static str {
--- a/crates/coordination/src/watch/takeover.rs
+++ b/crates/coordination/src/supervision/takeover.rs
@@ -4,7 +4,7 @@
 
 use lemonweir_model::JobId;
 use lemonweir_model::constants::{CLOSE_MOST_MS, CLOSE_RETRY_MS, GAPS_TOLD};
-use lemonweir_storage::handovers::Closing;
+use lemonweir_storage::failovers::Closing;
 
 /// What the new holder of a part has found so far.
 #[derive(Debug, Default)]
--- a/crates/coordination/tests/answers.rs
+++ b/crates/coordination/tests/answers.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lemonweir_coordination::budget::{Bucket, Requests};
-use lemonweir_coordination::questions::{Asked, Line, Questions, Refusal};
+use lemonweir_coordination::query_admission::{Asked, Line, Questions, Refusal};
+use lemonweir_coordination::rate_limit::{Bucket, Requests};
 use lemonweir_model::JobId;
 use lemonweir_model::constants::*;
 
--- a/crates/coordination/tests/cancellations.rs
+++ b/crates/coordination/tests/cancellations.rs
@@ -6,14 +6,14 @@
 mod support;
 
 use controllers::*;
-use lemonweir_coordination::answers::Answer;
+use lemonweir_coordination::job_status::Answer;
 use lemonweir_coordination::owner::{CommandResult, Owner};
 use lemonweir_coordination::placer::TxnOutcome;
 use lemonweir_coordination::{Config, Core, Effect, Lot};
 use lemonweir_model::constants::*;
 use lemonweir_model::{JobId, JobSpec};
+use lemonweir_protocol::kv_store::{Change, Entry, Txn, Write, to_value};
 use lemonweir_protocol::peer::{self, AttemptView, Cause, Span, Standing, Sync, View};
-use lemonweir_protocol::state::{Change, Entry, Txn, Write, to_value};
 use lemonweir_protocol::users::Phase;
 use lemonweir_protocol::worker::{Report, Verb};
 use lemonweir_storage::records::*;
--- a/crates/coordination/tests/chains.rs
+++ b/crates/coordination/tests/chains.rs
@@ -6,15 +6,15 @@
 mod support;
 
 use controllers::settings;
-use lemonweir_coordination::answers::Answer;
-use lemonweir_coordination::chains::{Admission, Standing};
+use lemonweir_coordination::dependencies::{Admission, Standing};
+use lemonweir_coordination::job_status::Answer;
 use lemonweir_coordination::placer::TxnOutcome;
 use lemonweir_coordination::{Config, Core, Effect, Lot};
 use lemonweir_model::constants::*;
 use lemonweir_model::{JobId, JobSpec, Rank};
-use lemonweir_protocol::state::{Change, Condition, Entry, Txn, Write, to_value};
+use lemonweir_protocol::kv_store::{Change, Condition, Entry, Txn, Write, to_value};
 use lemonweir_protocol::users::Phase;
-use lemonweir_storage::chains::{accept_waiting, awaits_key, chain_key};
+use lemonweir_storage::dependencies::{accept_waiting, awaits_key, chain_key};
 use lemonweir_storage::records::*;
 use support::*;
 
--- a/crates/coordination/tests/changes.rs
+++ b/crates/coordination/tests/changes.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeMap;
 
-use lemonweir_coordination::changes::ChangeLog;
+use lemonweir_coordination::change_log::ChangeLog;
 use lemonweir_coordination::owner::{Owner, SyncRefusal};
 use lemonweir_coordination::placer::{Placer, TxnOutcome};
 use lemonweir_model::{AttemptId, Room};
--- a/crates/coordination/tests/elections.rs
+++ b/crates/coordination/tests/elections.rs
@@ -3,14 +3,14 @@
 
 use std::sync::LazyLock;
 
-use lemonweir_coordination::membership::{Claim, Membership};
+use lemonweir_coordination::election::{Claim, Membership};
 use lemonweir_coordination::owner::SyncRefusal;
 use lemonweir_coordination::{Config, Core, Lot};
 use lemonweir_model::constants::*;
 use lemonweir_model::policy::Policy;
 use lemonweir_model::settings::Settings;
+use lemonweir_protocol::kv_store::{Change, Entry, to_value};
 use lemonweir_protocol::peer::{Have, Span, Superseded, Sync};
-use lemonweir_protocol::state::{Change, Entry, to_value};
 use lemonweir_protocol::worker::Report;
 use lemonweir_storage::records::{NodeRecord, PartRecord, node_key, part_key};
 
--- a/crates/coordination/tests/ends.rs
+++ b/crates/coordination/tests/ends.rs
@@ -12,13 +12,13 @@
 use lemonweir_model::constants::*;
 use lemonweir_model::policy::Policy;
 use lemonweir_model::{AttemptId, JobId, JobSpec, Rank, Shape};
-use lemonweir_protocol::state::{Condition, Entry, Txn, Write, from_value, to_value};
+use lemonweir_protocol::kv_store::{Condition, Entry, Txn, Write, from_value, to_value};
 use lemonweir_protocol::users::Phase;
 use lemonweir_protocol::worker::{Order, Report, TaskPhase, TaskReport, Verb};
-use lemonweir_storage::mirror::{Holder, MirroredJob};
 use lemonweir_storage::records::{
     ChunkRecord, EndRecord, JobRecord, end_key, job_key, parse_run_key, part_key, run_key,
 };
+use lemonweir_storage::state_cache::{Holder, MirroredJob};
 use proptest::prelude::*;
 use support::*;
 
--- a/crates/coordination/tests/late_orders.rs
+++ b/crates/coordination/tests/late_orders.rs
@@ -16,7 +16,7 @@
 use lemonweir_protocol::links::Word;
 use lemonweir_protocol::peer::{Have, Span, Standing, Sync, Want};
 use lemonweir_protocol::worker::{Order, Report, ReportReply, TaskPhase, TaskReport, Verb};
-use lemonweir_storage::mirror::Holder;
+use lemonweir_storage::state_cache::Holder;
 use proptest::prelude::*;
 use support::*;
 
--- a/crates/coordination/tests/late_transactions.rs
+++ b/crates/coordination/tests/late_transactions.rs
@@ -10,14 +10,14 @@
 use lemonweir_coordination::placer::{Placer, TxnOutcome, TxnVerdict};
 use lemonweir_model::constants::*;
 use lemonweir_model::{AttemptId, JobId, JobSpec};
+use lemonweir_protocol::kv_store::{Txn, Write, from_value, to_value};
 use lemonweir_protocol::peer::{AttemptView, Cause, Span, Standing};
-use lemonweir_protocol::state::{Txn, Write, from_value, to_value};
 use lemonweir_protocol::users::Phase;
-use lemonweir_storage::mirror::MirroredJob;
 use lemonweir_storage::records::{
     ChunkRecord, EndRecord, JobRecord, PartRecord, end_key, job_key, parse_run_key, part_key,
     run_key, run_prefix, withdraw_job,
 };
+use lemonweir_storage::state_cache::MirroredJob;
 use rmpv::Value;
 use support::{ROOM, TOKEN, array, shown, terms, view};
 
--- a/crates/coordination/tests/ledger.rs
+++ b/crates/coordination/tests/ledger.rs
@@ -7,19 +7,19 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::sync::Arc;
 
-use lemonweir_coordination::ledger::{Admission, Members, Verdict, inherited, verdict};
+use lemonweir_coordination::gang_admission::{Admission, Members, Verdict, inherited, verdict};
 use lemonweir_coordination::owner::{CommandCall, CommandResult, Owner};
 use lemonweir_coordination::placer::{Placer, Terms, TxnOutcome, TxnVerdict};
 use lemonweir_model::constants::*;
 use lemonweir_model::policy::Policy;
 use lemonweir_model::{AttemptId, JobId, JobSpec, Rank, Shape};
+use lemonweir_protocol::kv_store::{Entry, Txn, Write, from_value, to_value};
 use lemonweir_protocol::peer::{Sync, View};
-use lemonweir_protocol::state::{Entry, Txn, Write, from_value, to_value};
 use lemonweir_protocol::worker::{Order, Report, TaskPhase, TaskReport, Verb};
-use lemonweir_storage::mirror::{Holder, MirroredJob};
 use lemonweir_storage::records::{
     ChunkRecord, GangRecord, GangStep, JobRecord, job_key, parse_run_key, part_key,
 };
+use lemonweir_storage::state_cache::{Holder, MirroredJob};
 use support::*;
 
 // ---- the rule -----------------------------------------------------------------
--- a/crates/coordination/tests/links.rs
+++ b/crates/coordination/tests/links.rs
@@ -4,8 +4,8 @@
 use lemonweir_coordination::{Config, Core, Effect, ReportAnswer};
 use lemonweir_model::constants::*;
 use lemonweir_model::settings::Settings;
+use lemonweir_protocol::kv_store::{Entry, to_value};
 use lemonweir_protocol::links::{LINKS_VERSION, Service, Standing, Word};
-use lemonweir_protocol::state::{Entry, to_value};
 use lemonweir_protocol::worker::Report;
 use lemonweir_storage::records::{PartRecord, part_key};
 
@@ -219,7 +219,7 @@
 #[test]
 fn who_hears_nobody_any_more_takes_nothing() {
     use lemonweir_coordination::Lot;
-    use lemonweir_coordination::membership::{Claim, Membership};
+    use lemonweir_coordination::election::{Claim, Membership};
     use lemonweir_storage::records::{NodeRecord, node_key};
     let mut core = core();
     let present = |host: &str, deaf: Vec<u16>| Entry {
--- a/crates/coordination/tests/nights.rs
+++ b/crates/coordination/tests/nights.rs
@@ -4,14 +4,14 @@
 
 use std::collections::BTreeSet;
 
-use lemonweir_coordination::answers::Answer;
+use lemonweir_coordination::job_status::Answer;
 use lemonweir_coordination::owner::Owner;
 use lemonweir_coordination::{Config, Core, ReportAnswer};
 use lemonweir_model::constants::*;
 use lemonweir_model::settings::Settings;
 use lemonweir_model::{AttemptId, JobId};
+use lemonweir_protocol::kv_store::{Change, Entry, to_value};
 use lemonweir_protocol::peer::{Have, MachineView, Rented, Span, View, Want};
-use lemonweir_protocol::state::{Change, Entry, to_value};
 use lemonweir_protocol::users::Phase;
 use lemonweir_protocol::worker::{Report, TaskPhase, TaskReport};
 use lemonweir_storage::records::{JobRecord, PartRecord, job_key, part_key};
--- a/crates/coordination/tests/starts.rs
+++ b/crates/coordination/tests/starts.rs
@@ -10,7 +10,7 @@
 use lemonweir_coordination::{Config, Core, Effect, Lot, ReportAnswer, keys_to_reread};
 use lemonweir_model::JobSpec;
 use lemonweir_model::constants::*;
-use lemonweir_protocol::state::{Entry, to_value};
+use lemonweir_protocol::kv_store::{Entry, to_value};
 use lemonweir_protocol::worker::{Order, Report, ReportReply, Verb};
 use lemonweir_storage::records::*;
 use support::*;
--- a/crates/coordination/tests/support/controllers.rs
+++ b/crates/coordination/tests/support/controllers.rs
@@ -5,8 +5,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lemonweir_coordination::answers::Answer;
-use lemonweir_coordination::membership::{Claim, Membership};
+use lemonweir_coordination::election::{Claim, Membership};
+use lemonweir_coordination::job_status::Answer;
 use lemonweir_coordination::owner::{CommandCall, CommandResult, SyncRefusal};
 use lemonweir_coordination::placer::TxnOutcome;
 use lemonweir_coordination::{Config, Core, Effect, Lot, RentResult, ReportAnswer, keys_to_reread};
@@ -15,8 +15,8 @@
 use lemonweir_model::settings::Settings;
 use lemonweir_model::{AttemptId, JobId, JobSpec};
 use lemonweir_protocol::cloud::RentalEntry;
+use lemonweir_protocol::kv_store::{Change, Entry, Txn, Write, from_value};
 use lemonweir_protocol::peer::{self, Sync, View};
-use lemonweir_protocol::state::{Change, Entry, Txn, Write, from_value};
 use lemonweir_protocol::users::Phase;
 use lemonweir_protocol::worker::{Order, Report, TaskPhase, TaskReport, Verb};
 use lemonweir_storage::records::*;
--- a/crates/coordination/tests/support/mod.rs
+++ b/crates/coordination/tests/support/mod.rs
@@ -8,8 +8,8 @@
 use lemonweir_model::{AttemptId, JobId, JobSpec, MachineId, MachineType, Rank, Room, Shape};
 use lemonweir_protocol::peer::{AttemptView, Evict, Have, MachineView, Span, Sync, View, Want};
 use lemonweir_protocol::worker::{Report, TaskPhase, TaskReport};
-use lemonweir_storage::mirror::MirroredJob;
 use lemonweir_storage::records::JobRecord;
+use lemonweir_storage::state_cache::MirroredJob;
 
 pub const TIMING: Timing = Timing {
     lease_ms: 14_000,
--- a/crates/coordination/tests/turns.rs
+++ b/crates/coordination/tests/turns.rs
@@ -6,10 +6,10 @@
 
 use lemonweir_coordination::placer::{Placer, Promise, TxnOutcome};
 use lemonweir_model::{JobId, JobSpec, Rank};
+use lemonweir_protocol::kv_store::Write;
 use lemonweir_protocol::peer::{self, Rented, Span};
-use lemonweir_protocol::state::Write;
-use lemonweir_storage::mirror::MirroredJob;
 use lemonweir_storage::records::JobRecord;
+use lemonweir_storage::state_cache::MirroredJob;
 use support::*;
 
 fn id(n: u64) -> JobId {
--- a/crates/coordination/tests/watch.rs
+++ b/crates/coordination/tests/watch.rs
@@ -4,16 +4,16 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::LazyLock;
 
-use lemonweir_coordination::membership::{Claim, Membership};
-use lemonweir_coordination::watch::services::{Doing, PreemptionStep, Seen, Services, Try};
+use lemonweir_coordination::election::{Claim, Membership};
+use lemonweir_coordination::supervision::services::{Doing, PreemptionStep, Seen, Services, Try};
 use lemonweir_coordination::{Config, Core, Effect, Lot};
 use lemonweir_model::JobId;
 use lemonweir_model::constants::*;
 use lemonweir_model::policy::Policy;
 use lemonweir_model::settings::Settings;
-use lemonweir_protocol::state::{Change as Changed, Entry, Txn, Write, from_value, to_value};
+use lemonweir_protocol::kv_store::{Change as Changed, Entry, Txn, Write, from_value, to_value};
 use lemonweir_storage::Mirror;
-use lemonweir_storage::handovers::{
+use lemonweir_storage::failovers::{
     Change, Closing, HandoverRecord, handover_key, parse_handover_key,
 };
 use lemonweir_storage::records::{PartRecord, part_key, show_node};
--- a/crates/coordination/tests/weights.rs
+++ b/crates/coordination/tests/weights.rs
@@ -3,11 +3,11 @@
 
 use std::cmp::Reverse;
 
+use lemonweir_coordination::image_locality::book::Book;
+use lemonweir_coordination::image_locality::trade::{Class, Hold, Kin, Near, Stakes, classes};
+use lemonweir_coordination::image_locality::walk::{Kindred, Walk};
 use lemonweir_coordination::owner::Owner;
 use lemonweir_coordination::placement::{Ask, Field};
-use lemonweir_coordination::weights::book::Book;
-use lemonweir_coordination::weights::trade::{Class, Hold, Kin, Near, Stakes, classes};
-use lemonweir_coordination::weights::walk::{Kindred, Walk};
 use lemonweir_model::constants::*;
 use lemonweir_model::policy::Trade;
 use lemonweir_model::{AttemptId, JobId, JobSpec, MachineId, Room, Shape};
--- a/crates/node/src/cloud.rs
+++ b/crates/node/src/cloud.rs
@@ -6,8 +6,8 @@
 use tracing::{info, warn};
 
 use crate::Node;
-use crate::route::Courier;
-use crate::state::Budget;
+use crate::kv_client::Budget;
+use crate::router::Courier;
 use lemonweir_coordination::RentResult;
 use lemonweir_model::constants::*;
 use lemonweir_model::{Catalog, MachineId};
--- a/crates/node/src/carry.rs
+++ b/crates/node/src/effect_executor.rs
@@ -4,19 +4,19 @@
 
 use tracing::{debug, error, info};
 
+use crate::kv_client::{StateError, TxnResult};
 use crate::lookups::end;
-use crate::route::take_reports;
-use crate::state::{StateError, TxnResult};
+use crate::router::take_reports;
 use crate::{Node, peer_address};
 use lemonweir_coordination::owner::{CommandCall, CommandResult, SyncRefusal};
 use lemonweir_coordination::placer::{TxnOutcome, TxnVerdict};
 use lemonweir_coordination::{Effect, keys_to_reread, mail_piece_bytes};
 use lemonweir_model::constants::*;
+use lemonweir_protocol::kv_store::Txn;
 use lemonweir_protocol::links::{
     self, CARRY, Carry, Goal, HAIL, LINKS_VERSION, REPORTS, Reports, Service, Word,
 };
 use lemonweir_protocol::peer::{self, Superseded, Sync, View};
-use lemonweir_protocol::state::Txn;
 use lemonweir_protocol::worker::Report;
 use lemonweir_protocol::{decode, encode};
 use lemonweir_storage::records::{MailKind, MailLine, parse_run_key, part_key, post};
--- a/crates/node/src/state.rs
+++ b/crates/node/src/kv_client.rs
@@ -5,12 +5,12 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use crate::route::Courier;
-use lemonweir_coordination::budget::{Bucket, Requests};
+use crate::router::Courier;
+use lemonweir_coordination::rate_limit::{Bucket, Requests};
 use lemonweir_model::constants::{BUDGET_PERCENT, STATE_TIMEOUT_MS, STORE_PAGE};
 use lemonweir_model::settings::StateLimits;
+use lemonweir_protocol::kv_store::{Changes, Entry, HoldReply, HoldRequest, Page, Txn, TxnReply};
 use lemonweir_protocol::links::Service;
-use lemonweir_protocol::state::{Changes, Entry, HoldReply, HoldRequest, Page, Txn, TxnReply};
 use lemonweir_protocol::{decode, encode};
 use lemonweir_transport::{CallError, Response};
 
--- a/crates/node/src/holds.rs
+++ b/crates/node/src/lease_keeper.rs
@@ -6,14 +6,14 @@
 
 use tracing::{info, warn};
 
-use crate::state::{StateError, TxnResult};
+use crate::kv_client::{StateError, TxnResult};
 use crate::{Node, wall_ms};
 use lemonweir_coordination::Lot;
-use lemonweir_coordination::membership::{Claim, Membership};
+use lemonweir_coordination::election::{Claim, Membership};
 use lemonweir_model::JobId;
 use lemonweir_model::constants::*;
-use lemonweir_protocol::state::from_value;
-use lemonweir_storage::packed::read_chunk;
+use lemonweir_protocol::kv_store::from_value;
+use lemonweir_storage::packed_chunk::read_chunk;
 use lemonweir_storage::records::{
     ChunkRecord, ImagesRecord, assign_teams, images_prefix, parse_images_key, parse_run_key,
     run_prefix, show_node,
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -2,13 +2,13 @@
 //! together. Everything runs on one thread; the shared state is behind short
 //! locks that are never held across an await.
 
-mod carry;
 mod cloud;
-mod holds;
+mod effect_executor;
+mod kv_client;
+mod lease_keeper;
 mod lookups;
-mod route;
-mod state;
-mod web;
+mod public_api;
+mod router;
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -21,9 +21,9 @@
 use smol::channel::{Receiver, Sender, bounded, unbounded};
 use tracing::{info, warn};
 
-use crate::route::{Courier, Gathered};
-use crate::state::{StateClient, StateError};
-use lemonweir_coordination::questions::Questions;
+use crate::kv_client::{StateClient, StateError};
+use crate::router::{Courier, Gathered};
+use lemonweir_coordination::query_admission::Questions;
 use lemonweir_coordination::{Config, Core};
 use lemonweir_model::constants::*;
 use lemonweir_model::policy::Policy;
@@ -148,20 +148,20 @@
             pump_wanted,
         });
         let gate = Gate::new(shares.public, shares.crowded_at(), shares.users());
-        executor.spawn(serve(executor, public, gate, MAX_BODY_BYTES, Rc::new(web::Public(node.clone())))).detach();
+        executor.spawn(serve(executor, public, gate, MAX_BODY_BYTES, Rc::new(public_api::Public(node.clone())))).detach();
         executor
             .spawn(serve(
                 executor,
                 internal,
                 Gate::new(shares.peers, shares.peers / 2, 0),
                 MAX_RESPONSE_BYTES,
-                Rc::new(carry::Internal(node.clone())),
+                Rc::new(effect_executor::Internal(node.clone())),
             ))
             .detach();
         executor.spawn(follow(node.clone(), fresh_requests)).detach();
-        executor.spawn(holds::keep(node.clone())).detach();
-        executor.spawn(holds::claim(node.clone())).detach();
-        executor.spawn(web::tell(node.clone())).detach();
+        executor.spawn(lease_keeper::keep(node.clone())).detach();
+        executor.spawn(lease_keeper::claim(node.clone())).detach();
+        executor.spawn(public_api::tell(node.clone())).detach();
         executor.spawn(cloud::catalog(node.clone())).detach();
         executor.spawn(cloud::list(node.clone())).detach();
         pump(node, pump_requests).await;
@@ -175,7 +175,7 @@
         let now = node.now();
         let effects = node.core().pump(now);
         for effect in effects {
-            carry::carry(&node, effect);
+            effect_executor::carry(&node, effect);
         }
         let wait = if node.core().hurried(now) {
             SHORT_TICK_MS
@@ -209,7 +209,7 @@
                 core.take_mail(node.now())
             };
             for effect in effects {
-                carry::carry(&node, effect);
+                effect_executor::carry(&node, effect);
             }
             if changed {
                 node.poke();
--- a/crates/node/src/lookups.rs
+++ b/crates/node/src/lookups.rs
@@ -8,13 +8,13 @@
 use smol::channel::{Sender, bounded};
 
 use crate::Node;
-use crate::state::{StateError, TxnResult};
-use lemonweir_coordination::questions::Line;
+use crate::kv_client::{StateError, TxnResult};
+use lemonweir_coordination::query_admission::Line;
 use lemonweir_model::JobId;
 use lemonweir_model::constants::*;
-use lemonweir_protocol::state::from_value;
+use lemonweir_protocol::kv_store::from_value;
 use lemonweir_protocol::users::Phase;
-use lemonweir_storage::chains::chain_key;
+use lemonweir_storage::dependencies::chain_key;
 use lemonweir_storage::records::{
     ABSENT_CONDITIONS, END_PREFIX, EndRecord, absent, end_key, job_key,
 };
--- a/crates/node/src/web.rs
+++ b/crates/node/src/public_api.rs
@@ -5,18 +5,18 @@
 
 use tracing::{debug, info};
 
+use crate::kv_client::{StateError, TxnResult};
 use crate::lookups::{Found, Missed, look};
-use crate::route::{carry_report, status_and_body};
-use crate::state::{StateError, TxnResult};
+use crate::router::{carry_report, status_and_body};
 use crate::{Node, peer_address, wall_ms};
 use lemonweir_coordination::ReportAnswer;
-use lemonweir_coordination::answers::Answer;
-use lemonweir_coordination::chains::Admission;
-use lemonweir_coordination::questions::{Asked, Refusal};
+use lemonweir_coordination::dependencies::Admission;
+use lemonweir_coordination::job_status::Answer;
+use lemonweir_coordination::query_admission::{Asked, Refusal};
 use lemonweir_model::constants::*;
 use lemonweir_model::{JobId, JobSpec};
+use lemonweir_protocol::kv_store::Txn;
 use lemonweir_protocol::links::Picture;
-use lemonweir_protocol::state::Txn;
 use lemonweir_protocol::users::{JobState, Phase, never_runs, read_submission};
 use lemonweir_protocol::worker::Report;
 use lemonweir_protocol::{decode, encode};
--- a/crates/node/tests/holds.rs
+++ b/crates/node/tests/holds.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use lemonweir_model::settings::Settings;
-use lemonweir_protocol::state::{
+use lemonweir_protocol::kv_store::{
     Change, Changes, Entry, HoldReply, Page, Txn, TxnReply, Write, to_value,
 };
 use lemonweir_protocol::{decode, encode};
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -2,12 +2,12 @@
 //! and in [`lemonweir_model::JobSpec`] only.
 
 pub mod cloud;
+pub mod image_locality;
+pub mod kv_store;
 pub mod links;
 pub mod peer;
-pub mod state;
+pub mod supervision;
 pub mod users;
-pub mod watch;
-pub mod weights;
 pub mod worker;
 
 use serde::Serialize;
--- a/crates/lab/src/checker.rs
+++ b/crates/simulator/src/checker.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use lemonweir_model::{AttemptId, JobId, JobSpec, Room, Shape};
-use lemonweir_protocol::state::{Txn, Write, from_value};
+use lemonweir_protocol::kv_store::{Txn, Write, from_value};
 use lemonweir_protocol::users::Phase;
 use lemonweir_storage::records::EndRecord;
 
--- a/crates/lab/src/host.rs
+++ b/crates/simulator/src/host.rs
@@ -3,17 +3,17 @@
 
 use std::collections::VecDeque;
 
-use lemonweir_coordination::budget::Bucket;
-use lemonweir_coordination::membership::{Claim, Membership};
+use lemonweir_coordination::election::{Claim, Membership};
 use lemonweir_coordination::owner::{CommandCall, CommandResult};
 use lemonweir_coordination::placer::TxnOutcome;
+use lemonweir_coordination::rate_limit::Bucket;
 use lemonweir_coordination::{Config, Core, Lot, RentResult, ReportAnswer, Tally};
 use lemonweir_model::constants::BUDGET_PERCENT;
 use lemonweir_model::{JobId, MachineId};
 use lemonweir_protocol::cloud::{Rental, RentalEntry};
+use lemonweir_protocol::kv_store::{Change, Entry, Txn};
 use lemonweir_protocol::links::{Service, Word};
 use lemonweir_protocol::peer::{Superseded, Sync, View};
-use lemonweir_protocol::state::{Change, Entry, Txn};
 use lemonweir_protocol::worker::Report;
 use lemonweir_storage::Mirror;
 
--- a/crates/lab/src/hunt.rs
+++ b/crates/simulator/src/hunt.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use lemonweir_model::Shape;
-use lemonweir_protocol::state::from_value;
+use lemonweir_protocol::kv_store::from_value;
 use lemonweir_storage::records::{JobRecord, job_key};
 use rand::seq::IndexedRandom;
 use rand::{RngExt, SeedableRng};
--- a/crates/lab/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -5,9 +5,9 @@
 use std::sync::Arc;
 
 use clap::{Parser, Subcommand, ValueEnum};
-use lemonweir_lab::scenario::Scenario;
-use lemonweir_lab::traces::{Size, TraceCommand};
-use lemonweir_lab::{compare, hunt, output, run, traces};
+use lemonweir_simulator::scenario::Scenario;
+use lemonweir_simulator::traces::{Size, TraceCommand};
+use lemonweir_simulator::{compare, hunt, output, run, traces};
 
 /// Runs lemonweir's real decisions against a simulated world.
 #[derive(Parser)]
--- a/crates/lab/src/measures.rs
+++ b/crates/simulator/src/measures.rs
@@ -5,8 +5,8 @@
 
 use hdrhistogram::Histogram;
 use lemonweir_model::{JobId, JobSpec, Shape};
-use lemonweir_protocol::state::{Txn, Write};
-use lemonweir_storage::packed::read_chunk;
+use lemonweir_protocol::kv_store::{Txn, Write};
+use lemonweir_storage::packed_chunk::read_chunk;
 use lemonweir_storage::records::parse_run_key;
 use serde::{Deserialize, Serialize};
 
--- a/crates/lab/src/store.rs
+++ b/crates/simulator/src/store.rs
@@ -5,7 +5,7 @@
 
 use lemonweir_model::constants::CONDITIONS_A_CHANGE;
 use lemonweir_model::settings::StateLimits;
-use lemonweir_protocol::state::{Change, Entry, Txn, Write};
+use lemonweir_protocol::kv_store::{Change, Entry, Txn, Write};
 use rmpv::Value;
 
 /// Changes that it keeps (protocol page).
@@ -234,7 +234,7 @@
         {
             return TxnAnswer::NoHold;
         }
-        let failed = |c: &&lemonweir_protocol::state::Condition| {
+        let failed = |c: &&lemonweir_protocol::kv_store::Condition| {
             self.keys.get(&c.key).map_or(0, |k| k.version) != c.version
         };
         let failed: Vec<String> = txn
--- a/crates/lab/src/traces.rs
+++ b/crates/simulator/src/traces.rs
@@ -1,4 +1,4 @@
-//! `lemonweir-lab trace`: published traces checked, imported, shown, replayed.
+//! `lemonweir-simulator trace`: published traces checked, imported, shown, replayed.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
--- a/crates/lab/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -19,9 +19,9 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap};
 use std::sync::Arc;
 
-use lemonweir_coordination::answers::Answer;
-use lemonweir_coordination::chains::Admission;
-use lemonweir_coordination::membership::Claim;
+use lemonweir_coordination::dependencies::Admission;
+use lemonweir_coordination::election::Claim;
+use lemonweir_coordination::job_status::Answer;
 use lemonweir_coordination::owner::{CommandCall, CommandResult, SyncRefusal};
 use lemonweir_coordination::placer::TxnOutcome;
 use lemonweir_coordination::{
@@ -30,13 +30,13 @@
 use lemonweir_model::constants::*;
 use lemonweir_model::{JobId, MachineId};
 use lemonweir_protocol::cloud::Rental;
+use lemonweir_protocol::kv_store::{Entry, Txn, Write, from_value};
 use lemonweir_protocol::links::Service;
 use lemonweir_protocol::peer::{self, Sync, View};
-use lemonweir_protocol::state::{Entry, Txn, Write, from_value};
 use lemonweir_protocol::users::{Phase, never_runs, team_limit};
 use lemonweir_protocol::worker::{Report, ReportReply};
-use lemonweir_storage::chains::chain_key;
-use lemonweir_storage::packed::read_chunk;
+use lemonweir_storage::dependencies::chain_key;
+use lemonweir_storage::packed_chunk::read_chunk;
 use lemonweir_storage::records::*;
 use rand::seq::IndexedRandom;
 use rand::{RngExt, SeedableRng};
--- a/crates/lab/src/world/ways.rs
+++ b/crates/simulator/src/world/ways.rs
@@ -2,8 +2,8 @@
 
 use lemonweir_coordination::ReportAnswer;
 use lemonweir_model::constants::*;
+use lemonweir_protocol::kv_store::Txn;
 use lemonweir_protocol::links::{Service, Word};
-use lemonweir_protocol::state::Txn;
 use lemonweir_protocol::worker::Report;
 use rand::RngExt;
 
--- a/crates/lab/tests/largest.rs
+++ b/crates/simulator/tests/largest.rs
@@ -3,13 +3,13 @@
 
 use std::sync::Arc;
 
-use lemonweir_lab::ground::Load;
-use lemonweir_lab::history::History;
-use lemonweir_lab::sample::{id, job, site};
-use lemonweir_lab::scenario::{Chances, Scenario};
-use lemonweir_lab::world::{Planned, World};
 use lemonweir_model::constants::*;
 use lemonweir_model::{JobSpec, Rank, Shape};
+use lemonweir_simulator::ground::Load;
+use lemonweir_simulator::history::History;
+use lemonweir_simulator::sample::{id, job, site};
+use lemonweir_simulator::scenario::{Chances, Scenario};
+use lemonweir_simulator::world::{Planned, World};
 
 const NO_FAULTS: Chances = Chances {
     lost_txn_reply: 0,
--- a/crates/lab/tests/ledger.rs
+++ b/crates/simulator/tests/ledger.rs
@@ -4,15 +4,15 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use lemonweir_lab::ground::Load;
-use lemonweir_lab::history::History;
-use lemonweir_lab::sample::{id, job};
-use lemonweir_lab::scenario::Scenario;
-use lemonweir_lab::world::{Planned, World};
 use lemonweir_model::{JobId, JobSpec, Shape};
-use lemonweir_protocol::state::Entry;
+use lemonweir_protocol::kv_store::Entry;
 use lemonweir_protocol::users::Phase;
-use lemonweir_storage::packed::read_chunk;
+use lemonweir_simulator::ground::Load;
+use lemonweir_simulator::history::History;
+use lemonweir_simulator::sample::{id, job};
+use lemonweir_simulator::scenario::Scenario;
+use lemonweir_simulator::world::{Planned, World};
+use lemonweir_storage::packed_chunk::read_chunk;
 use lemonweir_storage::records::{GangStep, parse_run_key};
 
 /// Three controllers, each with its zone's machines: so many in each, of 16
--- a/crates/lab/tests/links.rs
+++ b/crates/simulator/tests/links.rs
@@ -4,14 +4,14 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use lemonweir_lab::ground::Load;
-use lemonweir_lab::history::History;
-use lemonweir_lab::sample::{id, job, site};
-use lemonweir_lab::scenario::{Chances, Link, Scenario, host_name};
-use lemonweir_lab::world::{Planned, World};
 use lemonweir_model::{JobSpec, Shape};
 use lemonweir_protocol::links::Standing;
 use lemonweir_protocol::users::Phase;
+use lemonweir_simulator::ground::Load;
+use lemonweir_simulator::history::History;
+use lemonweir_simulator::sample::{id, job, site};
+use lemonweir_simulator::scenario::{Chances, Link, Scenario, host_name};
+use lemonweir_simulator::world::{Planned, World};
 
 const NO_FAULTS: Chances = Chances {
     lost_txn_reply: 0,
--- a/crates/lab/tests/meetings.rs
+++ b/crates/simulator/tests/meetings.rs
@@ -6,13 +6,13 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use lemonweir_lab::history::History;
-use lemonweir_lab::hunt::broken_terms;
-use lemonweir_lab::load::synthetic;
-use lemonweir_lab::scenario::{Scenario, Trouble};
-use lemonweir_lab::world::World;
 use lemonweir_model::constants::HOLD_TTL_MS;
 use lemonweir_model::settings::Workers;
+use lemonweir_simulator::history::History;
+use lemonweir_simulator::hunt::broken_terms;
+use lemonweir_simulator::load::synthetic;
+use lemonweir_simulator::scenario::{Scenario, Trouble};
+use lemonweir_simulator::world::World;
 
 /// s after the last trouble: the 75 s of the term on forgotten jobs, and some more.
 const TAIL_S: f64 = 100.0;
--- a/crates/lab/tests/replay.rs
+++ b/crates/simulator/tests/replay.rs
@@ -4,10 +4,10 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-use lemonweir_lab::compare::{self, Seeds};
-use lemonweir_lab::run::{self, Outcome, Placer, Replayed, Source};
-use lemonweir_lab::scenario::Scenario;
 use lemonweir_model::Room;
+use lemonweir_simulator::compare::{self, Seeds};
+use lemonweir_simulator::run::{self, Outcome, Placer, Replayed, Source};
+use lemonweir_simulator::scenario::Scenario;
 use lemonweir_trace::{Format, OnFault, import};
 
 fn example(name: &str) -> PathBuf {
--- a/crates/lab/tests/rules.rs
+++ b/crates/simulator/tests/rules.rs
@@ -2,15 +2,15 @@
 
 use std::sync::Arc;
 
-use lemonweir_lab::checker::{Checker, Place};
-use lemonweir_lab::ground::Load;
-use lemonweir_lab::history::History;
-use lemonweir_lab::sample::{id, job, site};
-use lemonweir_lab::scenario::{Chances, Link};
-use lemonweir_lab::world::{Planned, World};
 use lemonweir_model::{JobId, JobSpec, Rank, Room, Shape};
-use lemonweir_protocol::state::{Txn, Write};
+use lemonweir_protocol::kv_store::{Txn, Write};
 use lemonweir_protocol::users::Phase;
+use lemonweir_simulator::checker::{Checker, Place};
+use lemonweir_simulator::ground::Load;
+use lemonweir_simulator::history::History;
+use lemonweir_simulator::sample::{id, job, site};
+use lemonweir_simulator::scenario::{Chances, Link};
+use lemonweir_simulator::world::{Planned, World};
 use lemonweir_storage::records::{EndRecord, end_key};
 
 const NO_FAULTS: Chances = Chances {
@@ -578,11 +578,11 @@
     assert_kept(&world);
 }
 
-/// A dozen drawn worlds with drawn troubles; `lemonweir-lab hunt` plays more.
+/// A dozen drawn worlds with drawn troubles; `lemonweir-simulator hunt` plays more.
 #[test]
 fn drawn_days_break_no_rule_and_services_come_back() {
     for seed in 1..=12 {
-        let day = lemonweir_lab::hunt::day(seed, 90);
+        let day = lemonweir_simulator::hunt::day(seed, 90);
         assert!(
             day.faults.is_empty(),
             "seed {seed}: {:?} with\n{}",
--- a/crates/lab/tests/troubles.rs
+++ b/crates/simulator/tests/troubles.rs
@@ -4,14 +4,14 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use lemonweir_lab::checker::Checker;
-use lemonweir_lab::history::History;
-use lemonweir_lab::load::synthetic;
-use lemonweir_lab::sample::{id, job};
-use lemonweir_lab::scenario::Scenario;
-use lemonweir_lab::world::World;
 use lemonweir_model::{AttemptId, Shape};
-use lemonweir_protocol::state::from_value;
+use lemonweir_protocol::kv_store::from_value;
+use lemonweir_simulator::checker::Checker;
+use lemonweir_simulator::history::History;
+use lemonweir_simulator::load::synthetic;
+use lemonweir_simulator::sample::{id, job};
+use lemonweir_simulator::scenario::Scenario;
+use lemonweir_simulator::world::World;
 use lemonweir_storage::records::{JobRecord, job_key};
 
 /// A fleet of 8 with 6 services of two, and one trouble from 60 s to 100 s.
--- a/crates/lab/tests/watch.rs
+++ b/crates/simulator/tests/watch.rs
@@ -3,15 +3,15 @@
 
 use std::sync::Arc;
 
-use lemonweir_lab::ground::Load;
-use lemonweir_lab::history::History;
-use lemonweir_lab::sample::{job, site};
-use lemonweir_lab::scenario::{Chances, Scenario, host_name};
-use lemonweir_lab::world::{Planned, World};
 use lemonweir_model::constants::*;
 use lemonweir_model::{JobSpec, Rank, Shape};
-use lemonweir_protocol::state::{Txn, Write, from_value};
-use lemonweir_storage::handovers::{Change, HandoverRecord, handover_key};
+use lemonweir_protocol::kv_store::{Txn, Write, from_value};
+use lemonweir_simulator::ground::Load;
+use lemonweir_simulator::history::History;
+use lemonweir_simulator::sample::{job, site};
+use lemonweir_simulator::scenario::{Chances, Scenario, host_name};
+use lemonweir_simulator::world::{Planned, World};
+use lemonweir_storage::failovers::{Change, HandoverRecord, handover_key};
 use lemonweir_storage::records::{PartRecord, part_key};
 
 const NO_FAULTS: Chances = Chances {
@@ -440,13 +440,13 @@
         1,
     );
     world.run(40_000 + seed * 137 % 2_000);
-    world.withdraw(&lemonweir_lab::sample::id(services));
+    world.withdraw(&lemonweir_simulator::sample::id(services));
     world.run(4_000);
     let replicas = |world: &World| {
         world
             .live()
             .iter()
-            .filter(|(id, _)| **id < lemonweir_lab::sample::id(services))
+            .filter(|(id, _)| **id < lemonweir_simulator::sample::id(services))
             .map(|(_, n)| n)
             .sum::<usize>()
     };
@@ -481,11 +481,11 @@
         if world
             .ground
             .launched
-            .contains_key(&(lemonweir_lab::sample::id(services + 1), 0))
+            .contains_key(&(lemonweir_simulator::sample::id(services + 1), 0))
         {
             started.get_or_insert(ms);
         }
-        let known = |h: &lemonweir_lab::host::Host| {
+        let known = |h: &lemonweir_simulator::host::Host| {
             h.core
                 .as_ref()
                 .filter(|_| h.holds(0))
@@ -510,7 +510,7 @@
 }
 
 /// Prints what docs/night-watch/handovers.md tells:
-/// `cargo test --release -p lemonweir-lab --test watch -- --ignored --nocapture`.
+/// `cargo test --release -p lemonweir-simulator --test watch -- --ignored --nocapture`.
 #[test]
 #[ignore = "measures for minutes"]
 fn how_long_a_handover_takes() {
@@ -540,13 +540,13 @@
 // ---- another way --------------------------------------------------------------
 
 /// The row of a service in the picture of the controller that serves its team.
-fn row(world: &World, n: u32) -> Option<lemonweir_protocol::watch::ShortRow> {
+fn row(world: &World, n: u32) -> Option<lemonweir_protocol::supervision::ShortRow> {
     let rows = world
         .hosts
         .iter()
         .filter_map(|h| h.core.as_ref())
         .flat_map(|c| c.watch(world.now / 1_000).short);
-    rows.filter(|r| r.job == lemonweir_lab::sample::id(n).to_string())
+    rows.filter(|r| r.job == lemonweir_simulator::sample::id(n).to_string())
         .max_by_key(|r| r.short_s)
 }
 
@@ -597,7 +597,7 @@
         "nothing better is known: {before:?}"
     );
     // The machine with the image becomes free.
-    world.withdraw(&lemonweir_lab::sample::id(0));
+    world.withdraw(&lemonweir_simulator::sample::id(0));
     world.run(25_000);
     assert_eq!(live(&world), 2, "{:?}", row(&world, 1));
     assert_eq!(row(&world, 1), None);
--- a/crates/lab/tests/weights.rs
+++ b/crates/simulator/tests/weights.rs
@@ -3,14 +3,14 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
-use lemonweir_lab::ground::Load;
-use lemonweir_lab::history::History;
-use lemonweir_lab::sample::{id, job};
-use lemonweir_lab::scenario::Scenario;
-use lemonweir_lab::world::{Planned, World};
 use lemonweir_model::policy::Trade;
 use lemonweir_model::{AttemptId, JobSpec, Rank, Shape};
 use lemonweir_protocol::worker::TaskPhase;
+use lemonweir_simulator::ground::Load;
+use lemonweir_simulator::history::History;
+use lemonweir_simulator::sample::{id, job};
+use lemonweir_simulator::scenario::Scenario;
+use lemonweir_simulator::world::{Planned, World};
 
 /// Zones with a controller each and machines that are there from the start, boxes of
 /// 4 accelerators that fetch 0.3 GB a second into caches of 130 GB.
--- a/crates/lab/tests/worker_sessions.rs
+++ b/crates/simulator/tests/worker_sessions.rs
@@ -4,10 +4,10 @@
 
 use std::sync::Arc;
 
-use lemonweir_lab::history::History;
-use lemonweir_lab::load::synthetic;
-use lemonweir_lab::scenario::Scenario;
-use lemonweir_lab::world::World;
+use lemonweir_simulator::history::History;
+use lemonweir_simulator::load::synthetic;
+use lemonweir_simulator::scenario::Scenario;
+use lemonweir_simulator::world::World;
 
 const DEAF: &str = "at_s = 55\nfor_s = 45\nkind = 'deaf'\nshare = 0.3";
 const DEAF_ANSWERS: &str = "at_s = 55\nfor_s = 45\nkind = 'deaf'\nshare = 0.3\nonly = 'answers'";
--- a/crates/storage/src/chains.rs
+++ b/crates/storage/src/dependencies.rs
@@ -14,7 +14,7 @@
 use crate::records::{EndRecord, JobRecord, end_key, job_key};
 use lemonweir_model::JobId;
 use lemonweir_model::constants::AWAITS_PAGE;
-use lemonweir_protocol::state::{Condition, Txn, Write};
+use lemonweir_protocol::kv_store::{Condition, Txn, Write};
 use lemonweir_protocol::users::Phase;
 
 /// More awaited jobs than the first page holds.
--- a/crates/storage/src/handovers.rs
+++ b/crates/storage/src/failovers.rs
@@ -18,7 +18,7 @@
 use serde::{Deserialize, Serialize};
 
 use lemonweir_model::constants::{HANDOVERS_KEPT, ODD_HANDOVERS};
-use lemonweir_protocol::state::{Condition, Txn, Write, from_value};
+use lemonweir_protocol::kv_store::{Condition, Txn, Write, from_value};
 
 /// Key of the entry with this number, which counts a part's changes of hands from 1.
 pub fn handover_key(part: u16, number: u64) -> String {
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -1,10 +1,10 @@
 //! The records kept in the state service, and the copy of the keys that every
 //! node follows. No I/O: the state service's client is the node's.
 
-pub mod chains;
-pub mod handovers;
-pub mod mirror;
-pub mod packed;
+pub mod dependencies;
+pub mod failovers;
+pub mod packed_chunk;
 pub mod records;
+pub mod state_cache;
 
-pub use mirror::Mirror;
+pub use state_cache::Mirror;
--- a/crates/storage/src/packed.rs
+++ b/crates/storage/src/packed_chunk.rs
@@ -9,7 +9,7 @@
 use crate::records::{ChunkRecord, GangRecord, LiveRecord};
 use lemonweir_model::constants::{CHUNK_TASKS, PACKED_VERSION};
 use lemonweir_model::{MachineId, Room};
-use lemonweir_protocol::state::{from_value, to_value};
+use lemonweir_protocol::kv_store::{from_value, to_value};
 
 /// A chunk whose live attempts are one text each.
 #[derive(Debug, Serialize, Deserialize)]
--- a/crates/storage/src/records.rs
+++ b/crates/storage/src/records.rs
@@ -7,12 +7,12 @@
 //! | `w/node/<host>` | [`NodeRecord`] | with the node's hold |
 //! | `w/version` | [`VersionRecord`] | for ever |
 //! | `w/team/<name>` | [`TeamRecord`] | for ever |
-//! | `w/chain/<id>` | [`JobRecord`] | while the job waits for others ([`crate::chains`]) |
+//! | `w/chain/<id>` | [`JobRecord`] | while the job waits for others ([`crate::dependencies`]) |
 //! | `end/<id>` | [`EndRecord`] | for ever |
 //! | `run/<part>/<id>/<chunk>` | [`ChunkRecord`] | while the job runs or an attempt may |
 //! | `img/<part>/<page>` | [`ImagesRecord`] | for ever; a hint only |
 //! | `w/mail/<kind>/<from>/<to>/<k>` | [`MailRecord`] | with the sender's hold |
-//! | `w/hand/<part>/<slot>` | [`crate::handovers::HandoverRecord`] | until the ring comes round |
+//! | `w/hand/<part>/<slot>` | [`crate::failovers::HandoverRecord`] | until the ring comes round |
 //!
 //! Every node follows `w/`. A job leaves it in the same transaction that
 //! writes its end, so start-up reads stay small as finished jobs pile up.
@@ -20,11 +20,11 @@
 use base64::prelude::{BASE64_STANDARD, Engine};
 use serde::{Deserialize, Serialize};
 
-use crate::chains::unknown_job;
-use crate::handovers::NewHandover;
+use crate::dependencies::unknown_job;
+use crate::failovers::NewHandover;
 use lemonweir_model::constants::{PACKED_VERSION, PEER_VERSION};
 use lemonweir_model::{JobId, JobSpec, MachineId, Room};
-use lemonweir_protocol::state::{Condition, Txn, Write, to_value};
+use lemonweir_protocol::kv_store::{Condition, Txn, Write, to_value};
 use lemonweir_protocol::users::Phase;
 
 /// Prefix of the keys that every node follows.
--- a/crates/storage/src/mirror.rs
+++ b/crates/storage/src/state_cache.rs
@@ -7,15 +7,15 @@
 
 use base64::prelude::{BASE64_STANDARD, Engine};
 
-use crate::chains::{AwaitsPage, parse_chain_key};
-use crate::handovers::Rings;
+use crate::dependencies::{AwaitsPage, parse_chain_key};
+use crate::failovers::Rings;
 use crate::records::{
     JobRecord, MailLine, MailRecord, NodeRecord, PartRecord, TeamRecord, VERSION_KEY,
     VersionRecord, parse_mail_key,
 };
 use lemonweir_model::constants::ENDS_REMEMBERED;
 use lemonweir_model::{JobId, JobSpec};
-use lemonweir_protocol::state::{Change, Entry, from_value};
+use lemonweir_protocol::kv_store::{Change, Entry, from_value};
 use lemonweir_protocol::users::Phase;
 
 /// An unfinished job with the version of its key.
--- a/crates/storage/tests/late.rs
+++ b/crates/storage/tests/late.rs
@@ -4,15 +4,15 @@
 use std::collections::BTreeMap;
 
 use lemonweir_model::{JobId, JobSpec, Rank, Shape};
-use lemonweir_protocol::state::{Change as Changed, Entry, Txn, Write, to_value};
+use lemonweir_protocol::kv_store::{Change as Changed, Entry, Txn, Write, to_value};
 use lemonweir_protocol::users::Phase;
 use lemonweir_storage::Mirror;
-use lemonweir_storage::handovers::{Change, HandoverRecord, NewHandover};
-use lemonweir_storage::mirror::Holder;
+use lemonweir_storage::failovers::{Change, HandoverRecord, NewHandover};
 use lemonweir_storage::records::{
     EndRecord, JobRecord, PartRecord, accept_job, end_key, hand_back, job_key, part_key, take_part,
     withdraw_job,
 };
+use lemonweir_storage::state_cache::Holder;
 
 #[derive(Default)]
 struct Store {
@@ -62,7 +62,7 @@
         up: None,
         closed: None,
     };
-    let key = lemonweir_storage::handovers::handover_key(0, n);
+    let key = lemonweir_storage::failovers::handover_key(0, n);
     NewHandover {
         part: 0,
         slot_version: store.version(&key),
@@ -150,7 +150,7 @@
 fn over(version: u64, phase: Phase) -> Txn {
     let id = job().spec.id;
     Txn {
-        conditions: vec![lemonweir_protocol::state::Condition {
+        conditions: vec![lemonweir_protocol::kv_store::Condition {
             key: job_key(&id),
             version,
         }],
--- a/crates/storage/tests/packed.rs
+++ b/crates/storage/tests/packed.rs
@@ -3,7 +3,7 @@
 
 use lemonweir_model::constants::{CHUNK_TASKS, PACKED_VERSION};
 use lemonweir_model::{MachineId, Room};
-use lemonweir_storage::packed::{chunk_value, read_chunk};
+use lemonweir_storage::packed_chunk::{chunk_value, read_chunk};
 use lemonweir_storage::records::{ChunkRecord, GangRecord, GangStep, LiveRecord};
 
 /// Bytes of the smallest value that a state service takes.
--- a/crates/storage/tests/versions.rs
+++ b/crates/storage/tests/versions.rs
@@ -6,12 +6,12 @@
 use base64::prelude::{BASE64_STANDARD, Engine};
 use lemonweir_model::constants::PEER_VERSION;
 use lemonweir_model::{JobId, JobSpec, Rank, Shape};
+use lemonweir_protocol::kv_store::{Write, from_value, to_value};
 use lemonweir_protocol::peer::{self, Sync, View};
-use lemonweir_protocol::state::{Write, from_value, to_value};
 use lemonweir_protocol::users::Phase;
-use lemonweir_storage::chains::{accept_waiting, chain_key, release_waiting};
-use lemonweir_storage::handovers::HandoverRecord;
-use lemonweir_storage::packed::{chunk_value, read_chunk};
+use lemonweir_storage::dependencies::{accept_waiting, chain_key, release_waiting};
+use lemonweir_storage::failovers::HandoverRecord;
+use lemonweir_storage::packed_chunk::{chunk_value, read_chunk};
 use lemonweir_storage::records::*;
 use serde::Deserialize;
 
--- a/fuzz/tests/edges.rs
+++ b/fuzz/tests/edges.rs
@@ -6,16 +6,16 @@
 
 use bolero::check;
 use lemonweir_coordination::{Config, Core};
-use lemonweir_lab::scenario::Scenario;
 use lemonweir_model::settings::Settings;
 use lemonweir_model::{JobId, MachineId, Rank, Room, Shape};
+use lemonweir_protocol::kv_store::{Changes, Page, TxnReply};
 use lemonweir_protocol::links::{
     self, Answers, Carried, Carry, Fate, Goal, LINKS_VERSION, Reports, Service, Standing, Word,
 };
 use lemonweir_protocol::peer::{self, Evict, Have, Span, Sync, View, Want};
-use lemonweir_protocol::state::{Changes, Page, TxnReply};
 use lemonweir_protocol::worker::{Commands, Report, ReportReply};
 use lemonweir_protocol::{cloud, decode, encode, users};
+use lemonweir_simulator::scenario::Scenario;
 use lemonweir_trace::{Fault, Format};
 
 /// Bytes to be put somewhere, and what is cut off.
@@ -133,7 +133,7 @@
 
 #[test]
 fn message_pack() {
-    let spec = lemonweir_lab::sample::job(1, "red", Shape::Array, 3);
+    let spec = lemonweir_simulator::sample::job(1, "red", Shape::Array, 3);
     let report = Report {
         machine: MachineId::from("n-000001"),
         address: "10.0.0.1:9000".into(),
@@ -319,7 +319,7 @@
         links::write(&reports),
         links::write(&answers),
     ];
-    let scenario = lemonweir_lab::sample::site(3, 4, Default::default());
+    let scenario = lemonweir_simulator::sample::site(3, 4, Default::default());
     check!()
         .with_type::<(u8, Edits)>()
         .for_each(|(which, edits)| {
--- a/src/weights.rs
+++ b/src/image_locality.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::process::ExitCode;
 
-use lemonweir_protocol::weights::WeightsPicture;
+use lemonweir_protocol::image_locality::WeightsPicture;
 
 use crate::operator::{ask, call, table};
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,8 +1,8 @@
 //! The command line.
 
+mod image_locality;
 mod operator;
-mod watch;
-mod weights;
+mod supervision;
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -145,9 +145,9 @@
                 json,
             }),
         ) => match weights {
-            Some(image) => weights::weights(node, &image, json),
-            None if handovers => watch::handovers(node, json),
-            None => watch::now(node, json),
+            Some(image) => image_locality::weights(node, &image, json),
+            None if handovers => supervision::handovers(node, json),
+            None => supervision::now(node, json),
         },
         (None, Some(Command::Withdraw { node, job })) => operator::withdraw(node, &job),
         _ => Err(vec![
--- a/src/watch.rs
+++ b/src/supervision.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::process::ExitCode;
 
-use lemonweir_protocol::watch::{ClosedRow, Handovers, Watch};
+use lemonweir_protocol::supervision::{ClosedRow, Handovers, Watch};
 
 use crate::operator::{ask, call, table, time_of_day};
 
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -8,16 +8,16 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use lemonweir_lab::sample::job;
-use lemonweir_lab::store::{Store, TxnAnswer};
 use lemonweir_model::settings::Settings;
 use lemonweir_model::settings::StateLimits;
 use lemonweir_model::{JobSpec, Shape};
-use lemonweir_protocol::state::{
+use lemonweir_protocol::kv_store::{
     Changes, Entry, HoldReply, HoldRequest, Page, Txn, TxnReply, to_value,
 };
 use lemonweir_protocol::users::Phase;
 use lemonweir_protocol::{decode, encode};
+use lemonweir_simulator::sample::job;
+use lemonweir_simulator::store::{Store, TxnAnswer};
 use lemonweir_storage::records::{EndRecord, end_key};
 use lemonweir_transport::server::listen;
 use lemonweir_transport::{Gate, Handler, Reply, Request, serve};
@@ -375,13 +375,13 @@
         let id = job(n, "red", Shape::Array, 1).id;
         store.txn(&Txn {
             conditions: Vec::new(),
-            writes: vec![lemonweir_protocol::state::Write::put(
+            writes: vec![lemonweir_protocol::kv_store::Write::put(
                 end_key(&id),
                 &EndRecord { phase },
             )],
         });
     }
-    let bad = lemonweir_protocol::state::Write::Put {
+    let bad = lemonweir_protocol::kv_store::Write::Put {
         key: "w/job/req-000900".into(),
         value: to_value(&"no record"),
         hold: None,
--- a/tests/edges.rs
+++ b/tests/edges.rs
@@ -1,13 +1,13 @@
 //! Bad input at each edge: refused with a fault that is named, changing nothing.
 
-use lemonweir_coordination::fleet::{Bin, Demand, Failing, Market, Shortage, plan};
-use lemonweir_lab::sample::{job, site};
+use lemonweir_coordination::autoscaler::{Bin, Demand, Failing, Market, Shortage, plan};
 use lemonweir_model::settings::Settings;
 use lemonweir_model::{JobId, Room, Shape};
 use lemonweir_protocol::peer::{self, Sync, View};
 use lemonweir_protocol::users::{never_runs, read_submission};
 use lemonweir_protocol::worker::Report;
 use lemonweir_protocol::{decode, encode};
+use lemonweir_simulator::sample::{job, site};
 use lemonweir_storage::Mirror;
 use lemonweir_storage::records::{MailKind, MailRecord, mail_key};
 use rmpv::Value;
@@ -193,13 +193,13 @@
     use base64::prelude::{BASE64_STANDARD, Engine};
     let mut mirror = Mirror::default();
     let piece = |n, id, b: &[u8]| {
-        lemonweir_protocol::state::to_value(&MailRecord {
+        lemonweir_protocol::kv_store::to_value(&MailRecord {
             n,
             id: (1, id),
             b: BASE64_STANDARD.encode(b),
         })
     };
-    let set = |k, value, version| lemonweir_protocol::state::Change {
+    let set = |k, value, version| lemonweir_protocol::kv_store::Change {
         set: Some(mail_key(MailKind::Sync, 0, 1, k)),
         drop: None,
         value: Some(value),
@@ -349,7 +349,7 @@
 #[test]
 fn garbage_from_the_cloud_and_the_store_is_refused() {
     use lemonweir_protocol::cloud::{CatalogReply, Machines, RentalList};
-    use lemonweir_protocol::state::{Changes, Page, from_value};
+    use lemonweir_protocol::kv_store::{Changes, Page, from_value};
     use lemonweir_storage::records::{ChunkRecord, JobRecord, parse_run_key};
     for body in [&b""[..], b"\xc0", b"\x80", b"<html>", &[0xff; 30]] {
         assert!(decode::<CatalogReply>(body).is_err());
@@ -364,7 +364,7 @@
     assert!(parse_run_key("run/0/other/3").is_none());
     // A key that is not understood changes nothing and ends nothing.
     let mut mirror = Mirror::default();
-    let change = |key: &str| lemonweir_protocol::state::Change {
+    let change = |key: &str| lemonweir_protocol::kv_store::Change {
         set: Some(key.into()),
         drop: None,
         value: Some(Value::Nil),
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -5,7 +5,9 @@
 use std::process::{Command, Output};
 
 use lemonweir_protocol::encode;
-use lemonweir_protocol::watch::{ClosedRow, HandoverRow, Handovers, PartRow, ShortRow, Watch};
+use lemonweir_protocol::supervision::{
+    ClosedRow, HandoverRow, Handovers, PartRow, ShortRow, Watch,
+};
 
 /// Answers one request with this, and tells its path.
 fn serve(status: u16, body: Vec<u8>) -> (SocketAddr, std::thread::JoinHandle<String>) {
