--- a/crates/coordination/src/autoscaler.rs
+++ b/crates/coordination/src/autoscaler.rs
@@ -3,16 +3,16 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use lemonweir_model::constants::{FAILING_LEAST, MAX_RENT, NO_CAPACITY_MS};
-use lemonweir_model::{Catalog, Room};
-use lemonweir_protocol::cloud::Rental;
+use lemonweir_model::{Catalog, Resources};
+use lemonweir_protocol::cloud::ProvisioningRequest;
 
 /// Tasks that found no room.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Demand {
+pub struct CapacityDemand {
     /// The team.
     pub team: String,
     /// What each takes.
-    pub need: Room,
+    pub need: Resources,
     /// Allowed types, or any.
     pub types: Option<Vec<String>>,
     /// The only allowed zone.
@@ -33,7 +33,7 @@
 
 /// A machine that is booting, as a bin to fill.
 #[derive(Clone, Debug)]
-pub struct Bin {
+pub struct CapacityBin {
     /// Type.
     pub kind: String,
     /// Zone.
@@ -41,16 +41,16 @@
     /// Spot or ordinary.
     pub spot: bool,
     /// Free room.
-    pub free: Room,
+    pub free: Resources,
 }
 
 /// Kinds and zones that had no capacity, and until when they are left alone.
 #[derive(Default, Debug)]
-pub struct Shortage(BTreeMap<(String, String, bool), u64>);
+pub struct CapacityShortages(BTreeMap<(String, String, bool), u64>);
 
-impl Shortage {
+impl CapacityShortages {
     /// Notes a refusal.
-    pub fn note(&mut self, rental: &Rental, now: u64) {
+    pub fn note(&mut self, rental: &ProvisioningRequest, now: u64) {
         self.0.insert(
             (rental.kind.clone(), rental.zone.clone(), rental.spot),
             now + NO_CAPACITY_MS,
@@ -75,9 +75,9 @@
 
 /// Types, zones and kinds in which most of what was rented is overdue.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Failing(BTreeSet<(String, String, bool)>);
+pub struct FailingPools(BTreeSet<(String, String, bool)>);
 
-impl Failing {
+impl FailingPools {
     /// Of machines that boot: type, zone, spot, and whether each is overdue.
     pub fn of<'a>(booting: impl Iterator<Item = (&'a str, &'a str, bool, bool)>) -> Self {
         let mut counts: BTreeMap<(&str, &str, bool), (usize, usize)> = BTreeMap::new();
@@ -103,39 +103,39 @@
 
 /// What is known of where machines may be rented.
 #[derive(Clone, Copy, Debug)]
-pub struct Market<'a> {
+pub struct ProvisioningOptions<'a> {
     /// Zones out of sight.
     pub hidden: &'a BTreeSet<&'a str>,
     /// Where machines don't come up.
-    pub failing: &'a Failing,
+    pub failing: &'a FailingPools,
     /// Machine types.
     pub catalog: &'a Catalog,
     /// What had no capacity.
-    pub shortage: &'a Shortage,
+    pub shortage: &'a CapacityShortages,
 }
 
 /// An offer of the cloud: what fails comes last, then price a task, then how
 /// many machines its zone has.
-type Offer<'a> = (bool, f64, usize, &'a str, &'a str, bool, Room);
+type Offer<'a> = (bool, f64, usize, &'a str, &'a str, bool, Resources);
 
 /// The machines to rent now: (type, zone, spot) and how many. Nothing is rented
 /// in zones that are `hidden`, and machines there only count for those who may
 /// run nowhere else. Where machines are `failing` to come up none are asked for
 /// as long as others are to be had.
 pub fn plan(
-    lacking: &[Demand],
-    booting: &[Bin],
+    lacking: &[CapacityDemand],
+    booting: &[CapacityBin],
     count_by_zone: &BTreeMap<String, usize>,
-    market: &Market<'_>,
+    market: &ProvisioningOptions<'_>,
     now: u64,
 ) -> Vec<(String, String, bool, u32)> {
-    let Market {
+    let ProvisioningOptions {
         hidden,
         failing,
         catalog,
         shortage,
     } = market;
-    let mut bins: Vec<Bin> = booting.to_vec();
+    let mut bins: Vec<CapacityBin> = booting.to_vec();
     let known = bins.len();
     let mut zones_used = count_by_zone.clone();
     for d in lacking {
@@ -235,7 +235,7 @@
             *zones_used.entry(zone.to_owned()).or_default() += 1;
             let n = tasks_in(&room, &d.need).clamp(1, left);
             left -= n;
-            bins.push(Bin {
+            bins.push(CapacityBin {
                 kind: kind.to_owned(),
                 zone: zone.to_owned(),
                 spot,
@@ -254,7 +254,7 @@
 }
 
 /// How many tasks of this need fit.
-pub(crate) fn tasks_in(room: &Room, need: &Room) -> u64 {
+pub(crate) fn tasks_in(room: &Resources, need: &Resources) -> u64 {
     let ratio = |have: u64, need: u64| have.checked_div(need).unwrap_or(u64::MAX);
     ratio(room.cpus, need.cpus)
         .min(ratio(room.gpus, need.gpus))
--- a/crates/coordination/src/change_log.rs
+++ b/crates/coordination/src/change_log.rs
@@ -6,7 +6,7 @@
 use std::hash::Hash;
 use std::ops::Bound;
 
-use lemonweir_protocol::peer::Span;
+use lemonweir_protocol::peer::ChangeRange;
 
 /// The log.
 pub struct ChangeLog<K, V> {
@@ -109,9 +109,9 @@
         since: u64,
         room: &mut usize,
         size: impl Fn(&K, Option<&V>) -> usize,
-    ) -> (Span, Vec<(&'a K, Option<&'a V>)>) {
+    ) -> (ChangeRange, Vec<(&'a K, Option<&'a V>)>) {
         let mut changes = Vec::new();
-        let mut span = Span {
+        let mut span = ChangeRange {
             since,
             upto: self.last.max(since),
             last: true,
@@ -124,7 +124,7 @@
             }
             let bytes = size(key, value);
             if bytes > *room && !changes.is_empty() {
-                span = Span {
+                span = ChangeRange {
                     since,
                     upto,
                     last: false,
--- a/crates/coordination/src/config.rs
+++ b/crates/coordination/src/config.rs
@@ -3,22 +3,22 @@
 use std::collections::HashMap;
 
 use crate::owner::Timing;
-use crate::socket_shares::Shares;
+use crate::socket_shares::SocketShares;
 use lemonweir_model::constants::*;
-use lemonweir_model::settings::{Member, Settings};
-use lemonweir_model::{MachineId, Room};
+use lemonweir_model::settings::{ClusterMember, Settings};
+use lemonweir_model::{MachineId, Resources};
 use lemonweir_protocol::users::team_limit;
 
 /// Facts that do not change while the process runs.
 pub struct Config {
     /// All controllers; the index is the part.
-    pub members: Vec<Member>,
+    pub members: Vec<ClusterMember>,
     /// Our own index.
     pub me: u16,
     /// Limits of the teams.
-    pub limits: HashMap<String, Room>,
+    pub limits: HashMap<String, Resources>,
     /// Guarantees of the teams; 0: none.
-    pub guarantees: HashMap<String, Room>,
+    pub guarantees: HashMap<String, Resources>,
     /// Seconds within which tasks of a class should start.
     pub start_within: HashMap<String, f64>,
     /// Seconds within which work within a guarantee should start.
@@ -47,7 +47,7 @@
     /// Bytes of changes that a message through the store may hold.
     pub mail_bytes: usize,
     /// Sockets for each kind of traffic.
-    pub sockets: Shares,
+    pub sockets: SocketShares,
 }
 
 impl Config {
@@ -81,7 +81,7 @@
                 .cluster
                 .teams
                 .iter()
-                .map(|t| (t.name.clone(), Room::offer(t.cpus, t.gpus, 0.0)))
+                .map(|t| (t.name.clone(), Resources::offer(t.cpus, t.gpus, 0.0)))
                 .collect(),
             start_within: objectives
                 .iter()
@@ -115,7 +115,7 @@
             // Half of what would just fit: the other fields of a message take
             // some, and one change may be larger than another.
             mail_bytes: MAIL_BYTES.min(mail_piece_bytes(value_bytes) * txn_ops / 2),
-            sockets: Shares::of(settings.cluster.limits.fd_limit),
+            sockets: SocketShares::of(settings.cluster.limits.fd_limit),
             members,
             me,
         }
--- a/crates/coordination/src/dependencies.rs
+++ b/crates/coordination/src/dependencies.rs
@@ -16,37 +16,37 @@
 use tracing::info;
 
 use crate::job_status::Answer;
-use crate::placer::TxnOutcome;
+use crate::placer::CompareAndSwapOutcome;
 use crate::{Config, Core, Effect};
 use lemonweir_model::constants::*;
-use lemonweir_model::{JobId, JobSpec, Rank};
-use lemonweir_protocol::kv_store::{Condition, Txn, Write};
-use lemonweir_protocol::users::Phase;
-use lemonweir_storage::Mirror;
+use lemonweir_model::{JobId, JobSpec, Priority};
+use lemonweir_protocol::kv_store::{CompareAndSwap, Condition, Write};
+use lemonweir_protocol::users::JobPhase;
+use lemonweir_storage::StateCache;
 use lemonweir_storage::dependencies::*;
 use lemonweir_storage::records::{JobRecord, accept_job, withdraw_job};
-use lemonweir_storage::state_cache::SettledEnd;
+use lemonweir_storage::state_cache::FinalState;
 
 /// How a job that waits stands, by the ends of all that it needs.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum DependencyState {
     /// All awaited jobs are done, each by the end with this version.
     Ready(Vec<(JobId, u64)>),
     /// These awaited jobs are not done yet.
     Waits(Vec<JobId>),
     /// A job that it needs is cancelled.
-    Cancelled(SettledEnd),
+    Cancelled(FinalState),
     /// The ends of these must be read before anything can be said.
     Unread(Vec<JobId>),
 }
 
 /// What becomes of a submission that awaits others.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Admission {
+pub enum DependencyAdmission {
     /// Nothing is known here of these ids: the store has to be asked.
     Unknown(Vec<JobId>),
     /// Accepted by these transactions, in their order; then it is told to be so.
-    Accept(Vec<Txn>, Phase),
+    Accept(Vec<CompareAndSwap>, JobPhase),
 }
 
 /// What a transaction for waiting jobs was for.
@@ -62,11 +62,11 @@
 
 /// The waiting jobs' side of a controller.
 #[derive(Debug, Default)]
-pub struct Chains {
+pub struct DependencyGraph {
     /// Changes of waiting jobs that the priorities follow from.
     seen: u64,
     /// Priorities that jobs get from those that need them.
-    lent: HashMap<JobId, Rank>,
+    lent: HashMap<JobId, Priority>,
     pending: Option<Pending>,
     /// Ends that are being read.
     reading: BTreeSet<JobId>,
@@ -78,41 +78,41 @@
     surveyed: Option<(u64, u64)>,
 }
 
-impl Chains {
+impl DependencyGraph {
     /// The highest priority of the jobs that need a job.
-    pub(crate) fn lent(&self, id: &JobId) -> Option<Rank> {
+    pub(crate) fn lent(&self, id: &JobId) -> Option<Priority> {
         self.lent.get(id).copied()
     }
 }
 
 /// A job that waits, on the way through those that it needs.
-fn standing(mirror: &Mirror, id: &JobId) -> Standing {
+fn standing(mirror: &StateCache, id: &JobId) -> DependencyState {
     let direct = direct_standing(mirror, id);
     let (waits, mut unread) = match direct {
-        Standing::Waits(waits) => (waits, Vec::new()),
+        DependencyState::Waits(waits) => (waits, Vec::new()),
         // What the others need may still tell that it is cancelled.
-        Standing::Unread(unread) => (mirror.awaits(id).unwrap_or_default(), unread),
+        DependencyState::Unread(unread) => (mirror.awaits(id).unwrap_or_default(), unread),
         decided => return decided,
     };
     let (cancelled, further) = cancelled_before(mirror, &waits);
     unread.extend(further);
     match cancelled {
-        Some(end) => Standing::Cancelled(end),
-        None if !unread.is_empty() => Standing::Unread(unread),
-        None => Standing::Waits(waits),
+        Some(end) => DependencyState::Cancelled(end),
+        None if !unread.is_empty() => DependencyState::Unread(unread),
+        None => DependencyState::Waits(waits),
     }
 }
 
 /// The same, by the jobs that it names alone.
-fn direct_standing(mirror: &Mirror, id: &JobId) -> Standing {
+fn direct_standing(mirror: &StateCache, id: &JobId) -> DependencyState {
     let Some(awaits) = mirror.awaits(id) else {
-        return Standing::Unread(Vec::new());
+        return DependencyState::Unread(Vec::new());
     };
     let (mut done, mut waits, mut unread) = (Vec::new(), Vec::new(), Vec::new());
     for awaited in &awaits {
         match mirror.end(awaited) {
-            Some(end) if end.phase == Phase::Done => done.push((awaited.clone(), end.version)),
-            Some(end) => return Standing::Cancelled(end),
+            Some(end) if end.phase == JobPhase::Done => done.push((awaited.clone(), end.version)),
+            Some(end) => return DependencyState::Cancelled(end),
             None if mirror.jobs.contains_key(awaited) || mirror.waiting.contains_key(awaited) => {
                 waits.push(awaited.clone())
             }
@@ -120,27 +120,27 @@
         }
     }
     match (unread.is_empty(), waits.is_empty()) {
-        (false, _) => Standing::Unread(unread),
-        (true, false) => Standing::Waits(waits),
-        (true, true) => Standing::Ready(done),
+        (false, _) => DependencyState::Unread(unread),
+        (true, false) => DependencyState::Waits(waits),
+        (true, true) => DependencyState::Ready(done),
     }
 }
 
 /// Waiting jobs that need a cancelled one, each with the end that cancels it. Each job is
 /// looked at once for all of them together.
-fn cancelled_with(mirror: &Mirror) -> HashMap<JobId, SettledEnd> {
+fn cancelled_with(mirror: &StateCache) -> HashMap<JobId, FinalState> {
     let mut needed_by: HashMap<JobId, Vec<&JobId>> = HashMap::new();
-    let mut queue: Vec<(&JobId, SettledEnd)> = Vec::new();
+    let mut queue: Vec<(&JobId, FinalState)> = Vec::new();
     for id in mirror.waiting.keys() {
         for awaited in mirror.awaits(id).unwrap_or_default() {
             match mirror.end(&awaited) {
-                Some(end) if end.phase == Phase::Withdrawn => queue.push((id, end)),
+                Some(end) if end.phase == JobPhase::Withdrawn => queue.push((id, end)),
                 Some(_) => {}
                 None => needed_by.entry(awaited).or_default().push(id),
             }
         }
     }
-    let mut cancelled: HashMap<JobId, SettledEnd> = HashMap::new();
+    let mut cancelled: HashMap<JobId, FinalState> = HashMap::new();
     while let Some((id, end)) = queue.pop() {
         if cancelled.insert(id.clone(), end).is_none() {
             queue.extend(
@@ -157,7 +157,7 @@
 
 /// The end of a cancelled job somewhere before these, and the jobs there of which nothing
 /// is known. Each job is looked at once, however many need it.
-fn cancelled_before(mirror: &Mirror, jobs: &[JobId]) -> (Option<SettledEnd>, Vec<JobId>) {
+fn cancelled_before(mirror: &StateCache, jobs: &[JobId]) -> (Option<FinalState>, Vec<JobId>) {
     let mut unread = Vec::new();
     let mut seen: BTreeSet<JobId> = jobs.iter().cloned().collect();
     let mut queue: Vec<JobId> = jobs.to_vec();
@@ -167,7 +167,7 @@
         }
         for awaited in mirror.awaits(&id).unwrap_or_default() {
             match mirror.end(&awaited) {
-                Some(end) if end.phase == Phase::Withdrawn => return (Some(end), unread),
+                Some(end) if end.phase == JobPhase::Withdrawn => return (Some(end), unread),
                 Some(_) => {}
                 None if mirror.jobs.contains_key(&awaited) => {}
                 None if mirror.waiting.contains_key(&awaited) => {
@@ -183,8 +183,8 @@
 }
 
 /// The highest priority of the jobs that need each job, directly or through others.
-fn lent_priorities(mirror: &Mirror) -> HashMap<JobId, Rank> {
-    let mut lent: HashMap<JobId, Rank> = HashMap::new();
+fn lent_priorities(mirror: &StateCache) -> HashMap<JobId, Priority> {
+    let mut lent: HashMap<JobId, Priority> = HashMap::new();
     let mut queue: Vec<JobId> = mirror.waiting.keys().cloned().collect();
     while let Some(id) = queue.pop() {
         let Some(waiting) = mirror.waiting.get(&id) else {
@@ -204,23 +204,23 @@
 
 impl Core {
     /// How a job that waits for others stands.
-    pub fn chain_standing(&self, id: &JobId) -> Standing {
+    pub fn chain_standing(&self, id: &JobId) -> DependencyState {
         standing(&self.mirror, id)
     }
 
     /// What may be told of a job that waits for others.
     pub(crate) fn chain_answer(&self, id: &JobId, now: u64) -> Answer {
         match self.chain_standing(id) {
-            Standing::Cancelled(end) => Answer::of_end(end, now),
-            Standing::Unread(ids) if ids.is_empty() => Answer::Reading,
-            Standing::Unread(ids) => Answer::Ends(ids),
+            DependencyState::Cancelled(end) => Answer::of_end(end, now),
+            DependencyState::Unread(ids) if ids.is_empty() => Answer::Reading,
+            DependencyState::Unread(ids) => Answer::Ends(ids),
             _ if self.links.store_age(now) > MEMORY_MS => Answer::Reading,
-            standing => Answer::Unfinished(Phase::Queued, 0, 0, waits_for(&standing)),
+            standing => Answer::Unfinished(JobPhase::Queued, 0, 0, waits_for(&standing)),
         }
     }
 
     /// What becomes of a submission whose job is not known here, at this time of day.
-    pub fn admit(&self, spec: &JobSpec, at: u64) -> Admission {
+    pub fn admit(&self, spec: &JobSpec, at: u64) -> DependencyAdmission {
         let unknown: Vec<JobId> = spec
             .awaits
             .iter()
@@ -228,19 +228,22 @@
             .cloned()
             .collect();
         if !unknown.is_empty() {
-            return Admission::Unknown(unknown);
+            return DependencyAdmission::Unknown(unknown);
         }
         let (mut waits, mut cancelled) = (Vec::new(), false);
         for id in &spec.awaits {
             match self.mirror.end(id).map(|end| end.phase) {
-                Some(Phase::Withdrawn) => cancelled = true,
+                Some(JobPhase::Withdrawn) => cancelled = true,
                 Some(_) => {}
                 None => waits.push(id.clone()),
             }
         }
         let (before, _) = cancelled_before(&self.mirror, &waits);
         if cancelled || before.is_some() {
-            return Admission::Accept(vec![accept_cancelled(&spec.id)], Phase::Withdrawn);
+            return DependencyAdmission::Accept(
+                vec![accept_cancelled(&spec.id)],
+                JobPhase::Withdrawn,
+            );
         }
         // Ends never change: what is done need not be awaited, but its end is still to be
         // confirmed by the store, unless nothing else is awaited.
@@ -255,12 +258,12 @@
         } else {
             accept_waiting(&record, self.config.txn_ops)
         };
-        Admission::Accept(txns, Phase::Queued)
+        DependencyAdmission::Accept(txns, JobPhase::Queued)
     }
 
     /// The transaction by which a user cancels an unfinished job; `None`: it is being
     /// cancelled already, or not known here.
-    pub fn cancellation(&self, id: &JobId) -> Option<Txn> {
+    pub fn cancellation(&self, id: &JobId) -> Option<CompareAndSwap> {
         if let Some(job) = self.mirror.jobs.get(id) {
             return (!job.record.withdrawn).then(|| withdraw_job(&job.record, job.version));
         }
@@ -271,7 +274,7 @@
     }
 
     /// The priority that a job is placed with here, if this node places it.
-    pub fn placed_rank(&self, id: &JobId) -> Option<Rank> {
+    pub fn placed_rank(&self, id: &JobId) -> Option<Priority> {
         self.parts.values().find_map(|part| part.placer.rank(id))
     }
 
@@ -342,10 +345,10 @@
                 continue;
             }
             match direct_standing(&self.mirror, &id) {
-                Standing::Ready(done) => ready.push((id, done)),
-                Standing::Cancelled(_) => cancelled.push(id),
-                Standing::Unread(ids) => unread.extend(ids),
-                Standing::Waits(_) => {}
+                DependencyState::Ready(done) => ready.push((id, done)),
+                DependencyState::Cancelled(_) => cancelled.push(id),
+                DependencyState::Unread(ids) => unread.extend(ids),
+                DependencyState::Waits(_) => {}
             }
         }
         let wanted: Vec<JobId> = unread
@@ -369,10 +372,10 @@
         &self,
         ready: &[(JobId, Vec<(JobId, u64)>)],
         cancelled: &[JobId],
-    ) -> Option<(Txn, Pending)> {
+    ) -> Option<(CompareAndSwap, Pending)> {
         let most_writes = self.config.txn_ops;
         let most_conditions = CONDITIONS_A_CHANGE * most_writes;
-        let (mut txn, mut pending) = (Txn::default(), Pending::default());
+        let (mut txn, mut pending) = (CompareAndSwap::default(), Pending::default());
         for (id, done) in ready {
             let Some(waiting) = self.mirror.waiting.get(id) else {
                 continue;
@@ -384,7 +387,7 @@
                 .collect();
             if unverified.len() >= most_conditions {
                 // More than one transaction holds: first some of them by themselves.
-                if txn == Txn::default() {
+                if txn == CompareAndSwap::default() {
                     let some = &unverified[..most_conditions];
                     return Some((
                         ends_stand(some),
@@ -417,7 +420,7 @@
             pending.cancelled.push(id.clone());
         }
         for (id, page) in self.mirror.stray_pages() {
-            let gone = Txn {
+            let gone = CompareAndSwap {
                 conditions: vec![Condition {
                     key: chain_key(id),
                     version: 0,
@@ -434,12 +437,12 @@
     }
 
     /// The transaction of [`Effect::Chain`] ended.
-    pub fn chain_done(&mut self, outcome: TxnOutcome, now: u64) {
+    pub fn chain_done(&mut self, outcome: CompareAndSwapOutcome, now: u64) {
         let Some(pending) = self.chains.pending.take() else {
             return;
         };
         self.chains.surveyed = None;
-        let TxnOutcome::Done(revision) = outcome else {
+        let CompareAndSwapOutcome::Done(revision) = outcome else {
             // What it was made of has changed: a newer copy tells.
             self.chains.not_before = now + CHAIN_RETRY_MS;
             return;
@@ -451,7 +454,7 @@
         for id in &pending.cancelled {
             info!(job = %id, "cancelled with a job that it needs");
             self.mirror.waiting.remove(id);
-            self.mirror.settle(id, Phase::Withdrawn, revision, now);
+            self.mirror.settle(id, JobPhase::Withdrawn, revision, now);
         }
         self.chains.verified.extend(pending.verified);
         if self.mirror.waiting.is_empty() {
@@ -476,8 +479,8 @@
 }
 
 /// Why a job waits, in plain words.
-fn waits_for(standing: &Standing) -> String {
-    let Standing::Waits(ids) = standing else {
+fn waits_for(standing: &DependencyState) -> String {
+    let DependencyState::Waits(ids) = standing else {
         return "all jobs that it awaits are done; it is about to be placed".into();
     };
     let named: Vec<&str> = ids.iter().take(AWAITS_NAMED).map(JobId::as_str).collect();
@@ -492,7 +495,12 @@
 
 /// Adds a transaction to another if both together stay within the limits, or the first
 /// is empty.
-fn join(txn: &mut Txn, next: Txn, most_writes: usize, most_conditions: usize) -> bool {
+fn join(
+    txn: &mut CompareAndSwap,
+    next: CompareAndSwap,
+    most_writes: usize,
+    most_conditions: usize,
+) -> bool {
     let fits = txn.writes.len() + next.writes.len() <= most_writes
         && txn.conditions.len() + next.conditions.len() <= most_conditions;
     if !fits && !txn.writes.is_empty() {
--- a/crates/coordination/src/effects.rs
+++ b/crates/coordination/src/effects.rs
@@ -2,11 +2,11 @@
 
 use lemonweir_model::JobId;
 use lemonweir_model::MachineId;
-use lemonweir_protocol::cloud::Rental;
-use lemonweir_protocol::kv_store::Txn;
-use lemonweir_protocol::links::{Service, Word};
-use lemonweir_protocol::peer::{Sync, View};
-use lemonweir_protocol::worker::ReportReply;
+use lemonweir_protocol::cloud::ProvisioningRequest;
+use lemonweir_protocol::kv_store::CompareAndSwap;
+use lemonweir_protocol::links::{AvailabilityGossip, Service};
+use lemonweir_protocol::peer::{ShardView, SyncRequest};
+use lemonweir_protocol::worker::HeartbeatResponse;
 use lemonweir_storage::records::{parse_run_key, part_key};
 
 use crate::owner::CommandCall;
@@ -16,36 +16,36 @@
 #[derive(Debug)]
 pub enum Effect {
     /// Make a transaction.
-    Txn(Lot, Txn),
+    CompareAndSwap(ShardLease, CompareAndSwap),
     /// Make a transaction for jobs that wait for others.
-    Chain(Txn),
+    Chain(CompareAndSwap),
     /// Read the ends of these jobs.
     ReadEnds(Vec<JobId>),
     /// Write a hint; its end does not matter.
-    Note(Txn),
+    Note(CompareAndSwap),
     /// Call a worker.
-    Command(Lot, CommandCall),
+    Command(ShardLease, CommandCall),
     /// Sync with an owner on another node.
-    Sync(Lot, Sync),
+    Sync(ShardLease, SyncRequest),
     /// Send a sync through the store.
-    MailSync(Sync),
+    MailSync(SyncRequest),
     /// Answer a sync through the store, to this part.
-    MailView(u16, View),
+    MailView(u16, ShardView),
     /// Ask another part's placer to sync with us.
     Nudge(u16),
     /// Rent machines.
-    Rent(Lot, Rental),
+    Rent(ShardLease, ProvisioningRequest),
     /// Give machines back.
-    Release(Lot, Vec<MachineId>),
+    Release(ShardLease, Vec<MachineId>),
     /// Tell another controller of our links.
-    Hail(u16, Word),
+    Hail(u16, AvailabilityGossip),
     /// Try a service's direct way with a request that changes nothing.
     Probe(Service),
 }
 
 /// Counted work and judgements.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct WorkCounters {
     /// Words of bits and machines that walks looked at.
     pub looked: u64,
     /// Placements refused for want of room.
@@ -56,7 +56,7 @@
 
 /// A part with the token under which something was asked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Lot {
+pub struct ShardLease {
     /// The part.
     pub part: u16,
     /// Its token.
@@ -68,7 +68,7 @@
 ///
 /// Guards against a deposed leader that reads its records again, one by one, while its
 /// successor loads them.
-pub fn keys_to_reread(lot: Lot, conflicts: &[String]) -> Vec<&str> {
+pub fn keys_to_reread(lot: ShardLease, conflicts: &[String]) -> Vec<&str> {
     if conflicts.contains(&part_key(lot.part)) {
         return Vec::new();
     }
@@ -81,9 +81,9 @@
 
 /// What to answer to a worker's report.
 #[derive(Debug)]
-pub enum ReportAnswer {
+pub enum HeartbeatAnswer {
     /// 200 with orders.
-    Orders(ReportReply),
+    Orders(HeartbeatResponse),
     /// 421: report to this controller.
     Elsewhere(String),
     /// Carry the report to the owner, the controller of this number, and answer
@@ -95,7 +95,7 @@
 
 /// How a rental went.
 #[derive(Debug)]
-pub enum RentResult {
+pub enum ProvisioningResult {
     /// These machines were rented.
     Rented(Vec<MachineId>),
     /// None available.
--- a/crates/coordination/src/election.rs
+++ b/crates/coordination/src/election.rs
@@ -9,14 +9,14 @@
 
 use std::collections::BTreeMap;
 
-use crate::{Core, Lot};
+use crate::{Core, ShardLease};
 use lemonweir_model::constants::{DEAF_MOST_MS, DEAF_MS, HEIR_STEP_MS, TAKEOVER_WAIT_MS};
-use lemonweir_protocol::kv_store::Txn;
+use lemonweir_protocol::kv_store::CompareAndSwap;
 use lemonweir_storage::records::raise_version;
 
 /// What a node should do about a part now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Claim {
+pub enum ElectionAction {
     /// Take the part, whose key must have this version; 0: no key.
     Take {
         /// The part.
@@ -25,21 +25,21 @@
         version: u64,
     },
     /// Hand it back to its home.
-    HandBack(Lot),
+    HandBack(ShardLease),
     /// Leave it to a node that hears its machines.
-    Leave(Lot),
+    Leave(ShardLease),
 }
 
 /// What a node remembers about parts that it does not hold.
 #[derive(Debug)]
-pub struct Membership {
+pub struct LeaderElection {
     /// Since when a part has had no holder, ms.
     empty_since: Vec<Option<u64>>,
     /// Parts left to others: until when, and for how long the last time, ms.
     left: BTreeMap<u16, (u64, u64)>,
 }
 
-impl Membership {
+impl LeaderElection {
     /// Knows nothing yet of this many parts.
     pub fn new(parts: usize) -> Self {
         Self {
@@ -86,7 +86,7 @@
 
     /// What to do about one part, as far as the node's copy shows. Call it for
     /// each part in turn, since what is held already counts for the next.
-    pub fn claim(&mut self, core: &Core, part: u16, now: u64) -> Option<Claim> {
+    pub fn claim(&mut self, core: &Core, part: u16, now: u64) -> Option<ElectionAction> {
         // Guards against judging by a picture from before a pause.
         if core.unproven() {
             return None;
@@ -119,16 +119,16 @@
                     TAKEOVER_WAIT_MS + HEIR_STEP_MS * heirs_before(core, part, held.len())
                 };
                 let mine = home == me || !home_serves && now >= since + wait;
-                (mine && !spared).then_some(Claim::Take { part, version: 0 })
+                (mine && !spared).then_some(ElectionAction::Take { part, version: 0 })
             }
             // Left by an earlier process of this name, which is no more.
-            (Some(h), None) if h.host == *me => Some(Claim::Take {
+            (Some(h), None) if h.host == *me => Some(ElectionAction::Take {
                 part,
                 version: h.token,
             }),
             (Some(_), Some(lot)) if home != me && home_serves => {
                 *slot = None;
-                Some(Claim::HandBack(lot))
+                Some(ElectionAction::HandBack(lot))
             }
             // Guards against a whole part whose leases run out since its holder
             // alone is cut from the workers.
@@ -145,7 +145,7 @@
                     Some((_, length)) => (2 * length).min(DEAF_MOST_MS),
                 };
                 self.left.insert(part, (now + length, length));
-                Some(Claim::Leave(lot))
+                Some(ElectionAction::Leave(lot))
             }
             _ => {
                 *slot = None;
@@ -195,7 +195,7 @@
     ///
     /// Guards against records that a controller of an earlier version takes for broken
     /// ones, and so starts again what they say runs.
-    pub fn version_txn(&self) -> Option<Txn> {
+    pub fn version_txn(&self) -> Option<CompareAndSwap> {
         let (version, key_version) = self.mirror.records_version;
         let reads = |host: &str| self.mirror.nodes.get(host).map_or(0, |node| node.reads);
         let all = self
--- a/crates/coordination/src/fault_attribution.rs
+++ b/crates/coordination/src/fault_attribution.rs
@@ -19,7 +19,7 @@
 
 /// What is held against a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum FaultVerdict {
     /// Nothing, or too little.
     Sound,
     /// Several jobs failed there; none of them is a suspect, but it is not known
@@ -172,9 +172,9 @@
     }
 
     /// What is held against a machine.
-    pub fn verdict(&self, machine: &MachineId) -> Verdict {
+    pub fn verdict(&self, machine: &MachineId) -> FaultVerdict {
         let Some(m) = self.machines.get(machine) else {
-            return Verdict::Sound;
+            return FaultVerdict::Sound;
         };
         let counted: Vec<&JobId> = m
             .failed
@@ -189,11 +189,11 @@
                 .is_some_and(|(_, on)| on != machine)
         };
         if counted.len() < QUARANTINE_ERRORS {
-            Verdict::Sound
+            FaultVerdict::Sound
         } else if counted.iter().filter(elsewhere).count() >= QUARANTINE_ERRORS {
-            Verdict::Faulty
+            FaultVerdict::Faulty
         } else {
-            Verdict::Doubtful
+            FaultVerdict::Doubtful
         }
     }
 
@@ -257,7 +257,7 @@
         );
         assert_eq!(
             [blame.verdict(&machine(0)), blame.verdict(&machine(1))],
-            [Verdict::Sound; 2]
+            [FaultVerdict::Sound; 2]
         );
     }
 
@@ -267,19 +267,19 @@
         blame.ran(&job(0), &machine(0), 1_000);
         blame.failed(&job(1), &machine(0), 5_000);
         blame.failed(&job(2), &machine(0), 6_000);
-        assert_eq!(blame.verdict(&machine(0)), Verdict::Doubtful);
+        assert_eq!(blame.verdict(&machine(0)), FaultVerdict::Doubtful);
         blame.ran(&job(1), &machine(1), 7_000);
         blame.ran(&job(2), &machine(2), 7_000);
-        assert_eq!(blame.verdict(&machine(0)), Verdict::Faulty);
+        assert_eq!(blame.verdict(&machine(0)), FaultVerdict::Faulty);
         assert_eq!(
             (blame.suspect(&job(1)), blame.suspect(&job(2))),
             (None, None)
         );
         // What began before the failures proves nothing; a trial after them does.
         blame.ran(&job(3), &machine(0), 4_000);
-        assert_eq!(blame.verdict(&machine(0)), Verdict::Faulty);
+        assert_eq!(blame.verdict(&machine(0)), FaultVerdict::Faulty);
         blame.ran(&job(3), &machine(0), 9_000);
-        assert_eq!(blame.verdict(&machine(0)), Verdict::Sound);
+        assert_eq!(blame.verdict(&machine(0)), FaultVerdict::Sound);
     }
 
     #[test]
--- a/crates/coordination/src/flush.rs
+++ b/crates/coordination/src/flush.rs
@@ -2,14 +2,14 @@
 
 use std::collections::BTreeMap;
 
-use crate::autoscaler::{Bin, Failing, Market, plan};
-use crate::{Core, Effect, Part};
+use crate::autoscaler::{CapacityBin, FailingPools, ProvisioningOptions, plan};
+use crate::{Core, Effect, Shard};
 use lemonweir_model::Catalog;
 use lemonweir_model::constants::*;
-use lemonweir_protocol::cloud::Rental;
-use lemonweir_protocol::kv_store::{Condition, Txn, Write};
-use lemonweir_protocol::peer::Sync;
-use lemonweir_storage::records::{ImagesRecord, images_key, part_key};
+use lemonweir_protocol::cloud::ProvisioningRequest;
+use lemonweir_protocol::kv_store::{CompareAndSwap, Condition, Write};
+use lemonweir_protocol::peer::SyncRequest;
+use lemonweir_storage::records::{ImageLocationsRecord, images_key, part_key};
 
 impl Core {
     // ---- the pump ----------------------------------------------------------
@@ -65,13 +65,13 @@
                     key: part_key(index),
                     version: lot.token,
                 };
-                let write = |(page, record): (usize, Option<ImagesRecord>)| match record {
+                let write = |(page, record): (usize, Option<ImageLocationsRecord>)| match record {
                     Some(record) => Write::put(images_key(index, page), &record),
                     None => Write::Delete {
                         key: images_key(index, page),
                     },
                 };
-                effects.push(Effect::Note(Txn {
+                effects.push(Effect::Note(CompareAndSwap {
                     conditions: vec![owned],
                     writes: pages.into_iter().map(write).collect(),
                 }));
@@ -120,7 +120,7 @@
             part.placer
                 .consolidate(now, now + self.config.wall_offset_ms);
             if let Some(txn) = part.placer.next_txn(now) {
-                effects.push(Effect::Txn(lot, txn));
+                effects.push(Effect::CompareAndSwap(lot, txn));
             }
             self.pump_watch(index, now, effects);
             self.pump_rent(index, now, effects);
@@ -177,7 +177,7 @@
                 .placer
                 .sync_for(to, token, room, local.is_none() && !by_mail, now);
             if local.is_none() {
-                let sync = Sync {
+                let sync = SyncRequest {
                     store_age_ms: age,
                     strays: self.links.strays.count(to, now),
                     ..sync
@@ -216,7 +216,8 @@
         if part.planned < part.placer.passes && part.rentals.len() < RENTALS_AT_ONCE {
             part.planned = part.placer.passes;
             for (kind, zone, spot, count) in part.plan(index, catalog, now) {
-                let same = |r: &Rental| r.kind == kind && r.zone == zone && r.spot == spot;
+                let same =
+                    |r: &ProvisioningRequest| r.kind == kind && r.zone == zone && r.spot == spot;
                 if part.rentals.len() >= RENTALS_AT_ONCE
                     || part.rentals.iter().any(|(r, _)| same(r))
                 {
@@ -226,7 +227,7 @@
                 // The part's token never comes again, so the name is never reused.
                 let booking = format!("r-{}-{}-{}", index, part.lot.token, part.bookings);
                 part.rentals.push((
-                    Rental {
+                    ProvisioningRequest {
                         booking,
                         kind,
                         zone,
@@ -244,7 +245,7 @@
     }
 }
 
-impl Part {
+impl Shard {
     /// What to rent for what the placer lacks, beyond what boots already or is
     /// asked for.
     fn plan(&self, index: u16, catalog: &Catalog, now: u64) -> Vec<(String, String, bool, u32)> {
@@ -256,7 +257,7 @@
         let hidden = self.placer.hidden_zones();
         let bin = |kind: &str, zone: &str, spot: bool| {
             let free = catalog.get(kind).map(|t| t.room).unwrap_or_default();
-            Bin {
+            CapacityBin {
                 kind: kind.to_owned(),
                 zone: zone.to_owned(),
                 spot,
@@ -264,7 +265,7 @@
             }
         };
         let mut zones: BTreeMap<String, usize> = BTreeMap::new();
-        let mut bins: Vec<Bin> = Vec::new();
+        let mut bins: Vec<CapacityBin> = Vec::new();
         for m in self.placer.machines() {
             match zones.get_mut(&m.zone) {
                 Some(n) => *n += 1,
@@ -280,7 +281,7 @@
         // What is overdue boots, and is not open.
         let booting = self.placer.machines().filter(|m| !m.up && m.busy == 0);
         let failing =
-            Failing::of(booting.map(|m| (m.kind.as_str(), m.zone.as_str(), m.spot, !m.open)));
+            FailingPools::of(booting.map(|m| (m.kind.as_str(), m.zone.as_str(), m.spot, !m.open)));
         bins.extend(
             self.placer
                 .promises
@@ -290,7 +291,7 @@
         for (r, _) in &self.rentals {
             bins.extend((0..r.count).map(|_| bin(&r.kind, &r.zone, r.spot)));
         }
-        let market = Market {
+        let market = ProvisioningOptions {
             hidden: &hidden,
             failing: &failing,
             catalog,
--- a/crates/coordination/src/gang_admission/mod.rs
+++ b/crates/coordination/src/gang_admission/mod.rs
@@ -1,6 +1,6 @@
 //! The gang admission ledger: at which step a gang stands, and what follows.
 //!
-//! A gang's chunks carry its step ([`GangRecord`]), each under the part's token.
+//! A gang's chunks carry its step ([`GangAdmissionRecord`]), each under the part's token.
 //!
 //! | step | written | what may happen |
 //! | --- | --- | --- |
@@ -12,14 +12,14 @@
 //! whose chunks did not fit one transaction is not admitted by halves.
 
 use lemonweir_model::constants::{GANG_GRANT_MS, GANG_HEAR_MS};
-use lemonweir_protocol::peer::Standing;
-use lemonweir_storage::records::{GangRecord, GangStep};
+use lemonweir_protocol::peer::AttemptState;
+use lemonweir_storage::records::{GangAdmissionRecord, GangAdmissionStep};
 
 /// How far a gang has come, as its placer knows it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Admission {
+pub struct GangAdmission {
     /// The step.
-    pub step: GangStep,
+    pub step: GangAdmissionStep,
     /// Time of day of the step, ms.
     pub at: u64,
     /// The attempt that its members share.
@@ -29,11 +29,11 @@
     pub since: Option<u64>,
 }
 
-impl Admission {
+impl GangAdmission {
     /// A gang that is about to be recorded with its first step.
     pub fn planned(attempt: u32, at: u64) -> Self {
         Self {
-            step: GangStep::Planned,
+            step: GangAdmissionStep::Planned,
             at,
             attempt,
             since: None,
@@ -41,13 +41,13 @@
     }
 
     /// Goes on to a step that is not written yet.
-    pub fn go_on(&mut self, step: GangStep, at: u64) {
+    pub fn go_on(&mut self, step: GangAdmissionStep, at: u64) {
         (self.step, self.at, self.since) = (step, at, None);
     }
 
     /// What its chunks carry.
-    pub fn record(&self) -> GangRecord {
-        GangRecord {
+    pub fn record(&self) -> GangAdmissionRecord {
+        GangAdmissionRecord {
             step: self.step,
             at: self.at,
             a: self.attempt,
@@ -59,14 +59,14 @@
 /// chunks with live members: each one's attempt numbers, and what it carries of
 /// the ledger. The least step of all counts.
 pub fn inherited<'a>(
-    chunks: impl Iterator<Item = (u32, Option<&'a GangRecord>)>,
-) -> Option<(GangStep, u64, u32)> {
-    let mut found: Option<(GangStep, u64, u32)> = None;
+    chunks: impl Iterator<Item = (u32, Option<&'a GangAdmissionRecord>)>,
+) -> Option<(GangAdmissionStep, u64, u32)> {
+    let mut found: Option<(GangAdmissionStep, u64, u32)> = None;
     for (attempt, record) in chunks {
         // One without a step was written by an earlier version: its gang may have
         // been launched, and so may one of which a later version knows more.
         let step = match record.map(|r| r.step) {
-            None | Some(GangStep::Other) => GangStep::Admitted,
+            None | Some(GangAdmissionStep::Other) => GangAdmissionStep::Admitted,
             Some(step) => step,
         };
         let at = record.map_or(0, |r| r.at);
@@ -75,9 +75,11 @@
             // Guards against members of two attempts, as a placer leaves them that
             // ended between two transactions of one very large gang: they never
             // find one another.
-            Some((_, at_before, a)) if a != attempt => {
-                (GangStep::Released, at.max(at_before), a.max(attempt))
-            }
+            Some((_, at_before, a)) if a != attempt => (
+                GangAdmissionStep::Released,
+                at.max(at_before),
+                a.max(attempt),
+            ),
             Some((before, at_before, a)) => (least(before, step), at.max(at_before), a),
         });
     }
@@ -86,9 +88,9 @@
 
 /// Of two steps that chunks of one gang carry, the one that counts: a release
 /// that began is gone on with, and what is not admitted everywhere isn't.
-fn least(a: GangStep, b: GangStep) -> GangStep {
-    if a == GangStep::Released || b == GangStep::Released {
-        GangStep::Released
+fn least(a: GangAdmissionStep, b: GangAdmissionStep) -> GangAdmissionStep {
+    if a == GangAdmissionStep::Released || b == GangAdmissionStep::Released {
+        GangAdmissionStep::Released
     } else {
         a.min(b)
     }
@@ -96,7 +98,7 @@
 
 /// What a gang's members look like together.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Members {
+pub struct GangMembers {
     /// How many there must be.
     pub needed: u32,
     /// Attempts that are not over.
@@ -111,23 +113,23 @@
     pub running: u32,
 }
 
-impl Members {
+impl GangMembers {
     /// Adds one member.
-    pub fn add(&mut self, standing: Option<Standing>, stopped: bool) {
+    pub fn add(&mut self, standing: Option<AttemptState>, stopped: bool) {
         self.live += 1;
         self.stopped += u32::from(stopped);
         self.granted += u32::from(standing.is_some_and(|s| !s.ended()));
         self.launched += u32::from(matches!(
             standing,
-            Some(Standing::Preparing | Standing::Running)
+            Some(AttemptState::Preparing | AttemptState::Running)
         ));
-        self.running += u32::from(standing == Some(Standing::Running));
+        self.running += u32::from(standing == Some(AttemptState::Running));
     }
 }
 
 /// Why a gang is released.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum ReleaseReason {
     /// Not every owner has granted room in time.
     NotGranted,
     /// Not all of it came to its machines while the first ones wait for the rest.
@@ -136,53 +138,64 @@
 
 /// What follows for a gang.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum GangVerdict {
     /// Nothing until something happens or this time has come.
     Wait(Option<u64>),
     /// It is admitted.
     Admit,
     /// All of it is given back.
-    Release(Why),
+    Release(ReleaseReason),
 }
 
 /// Decides for a gang whose first members wait `gang_wait_ms` for the last one.
 /// The same for the placer that planned it and for any successor.
-pub fn verdict(admission: &Admission, members: &Members, gang_wait_ms: u64, now: u64) -> Verdict {
-    let bounded = |since: Option<u64>, most: u64, why: Why| match since {
-        None => Verdict::Wait(None),
-        Some(at) if now >= at + most => Verdict::Release(why),
-        Some(at) => Verdict::Wait(Some(at + most)),
+pub fn verdict(
+    admission: &GangAdmission,
+    members: &GangMembers,
+    gang_wait_ms: u64,
+    now: u64,
+) -> GangVerdict {
+    let bounded = |since: Option<u64>, most: u64, why: ReleaseReason| match since {
+        None => GangVerdict::Wait(None),
+        Some(at) if now >= at + most => GangVerdict::Release(why),
+        Some(at) => GangVerdict::Wait(Some(at + most)),
     };
     match admission.step {
-        GangStep::Released => Verdict::Wait(None),
+        GangAdmissionStep::Released => GangVerdict::Wait(None),
         // The end of a member was recorded, and its placer ended before it could
         // stop the rest: they would wait for it for ever.
-        _ if members.live < members.needed => Verdict::Release(Why::NotWhole),
-        GangStep::Planned
+        _ if members.live < members.needed => GangVerdict::Release(ReleaseReason::NotWhole),
+        GangAdmissionStep::Planned
             if admission.since.is_some()
                 && members.stopped == 0
                 && members.granted == members.live =>
         {
-            Verdict::Admit
+            GangVerdict::Admit
         }
         // A controller of an earlier version went on from here.
-        _ if members.running > 0 => Verdict::Wait(None),
-        GangStep::Planned => bounded(admission.since, GANG_GRANT_MS, Why::NotGranted),
-        GangStep::Admitted | GangStep::Other if members.launched < members.needed => bounded(
-            admission.since,
-            gang_wait_ms.max(GANG_HEAR_MS),
-            Why::NotWhole,
-        ),
-        _ => Verdict::Wait(None),
+        _ if members.running > 0 => GangVerdict::Wait(None),
+        GangAdmissionStep::Planned => {
+            bounded(admission.since, GANG_GRANT_MS, ReleaseReason::NotGranted)
+        }
+        GangAdmissionStep::Admitted | GangAdmissionStep::Other
+            if members.launched < members.needed =>
+        {
+            bounded(
+                admission.since,
+                gang_wait_ms.max(GANG_HEAR_MS),
+                ReleaseReason::NotWhole,
+            )
+        }
+        _ => GangVerdict::Wait(None),
     }
 }
 
 /// Since when a step that was inherited at `now` counts: from when it was taken,
 /// but with time enough to hear from every owner, since only reports tell what
 /// became of it meanwhile.
-pub fn counts_from(step: GangStep, age_ms: u64, gang_wait_ms: u64, now: u64) -> u64 {
+pub fn counts_from(step: GangAdmissionStep, age_ms: u64, gang_wait_ms: u64, now: u64) -> u64 {
     match step {
-        GangStep::Admitted | GangStep::Other => {
+        GangAdmissionStep::Admitted | GangAdmissionStep::Other => {
             now.saturating_sub(age_ms.min(gang_wait_ms.saturating_sub(GANG_HEAR_MS)))
         }
         _ => now,
--- a/crates/coordination/src/heartbeats.rs
+++ b/crates/coordination/src/heartbeats.rs
@@ -3,11 +3,11 @@
 
 use tracing::warn;
 
-use crate::links::{Stray, StrayReport};
+use crate::links::{MisroutedHeartbeat, MisroutedHeartbeatAction};
 use crate::owner::{CommandCall, CommandResult};
-use crate::{Core, Lot, ReportAnswer, incarnation, worker_lease};
+use crate::{Core, HeartbeatAnswer, ShardLease, incarnation, worker_lease};
 use lemonweir_model::constants::*;
-use lemonweir_protocol::worker::{Report, ReportReply};
+use lemonweir_protocol::worker::{Heartbeat, HeartbeatResponse};
 
 impl Core {
     // ---- standing still ------------------------------------------------------
@@ -35,7 +35,7 @@
     }
 
     /// A worker reported.
-    pub fn report(&mut self, report: &Report, now: u64) -> ReportAnswer {
+    pub fn report(&mut self, report: &Heartbeat, now: u64) -> HeartbeatAnswer {
         self.awake(now);
         // A zone that nobody knows is no link.
         let known = self.config.zones.contains(&report.zone);
@@ -58,7 +58,7 @@
         let (again, news) = self.links.strays.came(
             part,
             &report.machine,
-            incarnation::SequenceNumber::of(report),
+            incarnation::MessageSequence::of(report),
             now,
         );
         self.links.came(&report.zone, known && news, now);
@@ -71,10 +71,10 @@
         let Some((number, holder)) =
             holder.and_then(|h| Some((members.iter().position(|m| m.host == h.host)? as u16, h)))
         else {
-            return ReportAnswer::Unable;
+            return HeartbeatAnswer::Unable;
         };
         let knows = report.token >> FENCE_BITS == holder.token;
-        let stray = StrayReport {
+        let stray = MisroutedHeartbeat {
             part,
             holder: number,
             zone: &report.zone,
@@ -83,22 +83,22 @@
             knows,
         };
         match self.links.stray(&stray, now) {
-            Stray::Carry => ReportAnswer::Carry(number),
-            Stray::Send => ReportAnswer::Elsewhere(holder.host.clone()),
-            Stray::Unable => ReportAnswer::Unable,
+            MisroutedHeartbeatAction::Carry => HeartbeatAnswer::Carry(number),
+            MisroutedHeartbeatAction::Send => HeartbeatAnswer::Elsewhere(holder.host.clone()),
+            MisroutedHeartbeatAction::Unable => HeartbeatAnswer::Unable,
         }
     }
 
     /// A worker of our home's part came to a process that has had no word from
     /// the store yet.
-    pub(crate) fn keep_promise(&self, report: &Report, now: u64) -> ReportAnswer {
+    pub(crate) fn keep_promise(&self, report: &Heartbeat, now: u64) -> HeartbeatAnswer {
         let wall = now + self.config.wall_offset_ms;
         match worker_lease::kept_until(report.token, wall, self.config.clock_off_ms) {
-            Some(until) if wall <= until => ReportAnswer::Orders(ReportReply {
+            Some(until) if wall <= until => HeartbeatAnswer::Orders(HeartbeatResponse {
                 token: report.token,
                 orders: Vec::new(),
             }),
-            _ => ReportAnswer::Unable,
+            _ => HeartbeatAnswer::Unable,
         }
     }
 
@@ -117,7 +117,7 @@
 
     /// Another controller carries a worker's report here. Only an owner answers
     /// it: nothing is carried on.
-    pub fn carried_report(&mut self, report: &Report, by: u16, now: u64) -> ReportAnswer {
+    pub fn carried_report(&mut self, report: &Heartbeat, by: u16, now: u64) -> HeartbeatAnswer {
         self.awake(now);
         let part = self.config.part_of(&report.zone, &report.machine);
         self.answer_report(report, part, Some(by), now)
@@ -125,11 +125,11 @@
 
     pub(crate) fn answer_report(
         &mut self,
-        report: &Report,
+        report: &Heartbeat,
         part: u16,
         by: Option<u16>,
         now: u64,
-    ) -> ReportAnswer {
+    ) -> HeartbeatAnswer {
         let blind = self.blind(now);
         let began = self
             .links
@@ -143,9 +143,9 @@
                 }
                 part.owner
                     .report(report, by, now)
-                    .map_or(ReportAnswer::Unable, ReportAnswer::Orders)
+                    .map_or(HeartbeatAnswer::Unable, HeartbeatAnswer::Orders)
             }
-            _ => ReportAnswer::Unable,
+            _ => HeartbeatAnswer::Unable,
         }
     }
 
@@ -180,7 +180,13 @@
     }
 
     /// A call to a worker ended.
-    pub fn command_done(&mut self, lot: Lot, call: &CommandCall, result: CommandResult, now: u64) {
+    pub fn command_done(
+        &mut self,
+        lot: ShardLease,
+        call: &CommandCall,
+        result: CommandResult,
+        now: u64,
+    ) {
         self.calls = self.calls.saturating_sub(1);
         if let Some(part) = self.part(lot) {
             part.owner.call_done(call, result, now);
--- a/crates/coordination/src/image_locality/show.rs
+++ b/crates/coordination/src/image_locality/show.rs
@@ -4,11 +4,13 @@
 use std::collections::BTreeMap;
 
 use crate::Core;
-use lemonweir_protocol::image_locality::{PartRow, UserRow, WeightsPicture, ZoneRow};
+use lemonweir_protocol::image_locality::{
+    ImageLocalityReport, ImageUserRow, ShardImageRow, ZoneImageRow,
+};
 
 impl Core {
     /// Where an image lies, who uses it, and what the loss of each zone would leave.
-    pub fn weights(&self, image: &str, now: u64) -> WeightsPicture {
+    pub fn weights(&self, image: &str, now: u64) -> ImageLocalityReport {
         let mut users: BTreeMap<&str, (u64, u64)> = BTreeMap::new();
         let unfinished = self
             .mirror
@@ -24,7 +26,7 @@
         }
         let users = users
             .into_iter()
-            .map(|(class, (jobs, tasks))| UserRow {
+            .map(|(class, (jobs, tasks))| ImageUserRow {
                 class: class.to_owned(),
                 jobs,
                 tasks,
@@ -32,11 +34,11 @@
             .collect();
         // Any placer of ours has the machines of all parts.
         let placer = self.parts.values().next().map(|p| &p.placer);
-        let mut zones: BTreeMap<&str, ZoneRow> = BTreeMap::new();
+        let mut zones: BTreeMap<&str, ZoneImageRow> = BTreeMap::new();
         let out_of_sight = placer.map(|p| p.hidden_zones()).unwrap_or_default();
         for zone in &self.config.zones {
             let hidden = out_of_sight.contains(zone.as_str());
-            let row = ZoneRow {
+            let row = ZoneImageRow {
                 zone: zone.clone(),
                 here: 0,
                 coming: 0,
@@ -60,7 +62,7 @@
         let all: u64 = zones.values().map(|z| z.here).sum();
         let zones = zones
             .into_values()
-            .map(|z| ZoneRow {
+            .map(|z| ZoneImageRow {
                 left: all - z.here,
                 ..z
             })
@@ -68,9 +70,9 @@
         let parts = placer
             .into_iter()
             .flat_map(|p| p.told(now))
-            .map(|(part, told_s)| PartRow { part, told_s })
+            .map(|(part, told_s)| ShardImageRow { part, told_s })
             .collect();
-        WeightsPicture {
+        ImageLocalityReport {
             image: image.to_owned(),
             mb,
             users,
--- a/crates/coordination/src/image_locality/trade.rs
+++ b/crates/coordination/src/image_locality/trade.rs
@@ -7,7 +7,7 @@
 
 /// How near the weights are to a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Near {
+pub enum ImageLocality {
     /// On it.
     Here,
     /// On their way to it.
@@ -24,7 +24,7 @@
 
 /// How many replicas of the job a machine has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kin {
+pub enum ReplicaSpread {
     /// None.
     Nobody,
     /// One.
@@ -37,7 +37,7 @@
 
 /// What a machine is paid for already.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Hold {
+pub enum MachineUsage {
     /// A spot machine, for who may use it.
     Spot,
     /// It holds what lasts.
@@ -50,17 +50,17 @@
 
 /// Machines that are alike to the trade. `None`: it makes no difference.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Class {
+pub struct PlacementClass {
     /// Seconds that a place there costs.
     pub cost: f64,
     /// How near the weights are.
-    pub near: Near,
+    pub near: ImageLocality,
     /// Replicas of the job on the machine.
-    pub kin: Option<Kin>,
+    pub kin: Option<ReplicaSpread>,
     /// True if its zone has less than its share of the job.
     pub light: Option<bool>,
     /// What it is paid for.
-    pub hold: Option<Hold>,
+    pub hold: Option<MachineUsage>,
     /// True if it has accelerators left that the task has no use for.
     pub strands: Option<bool>,
     /// True if its owner is told through the store.
@@ -69,7 +69,7 @@
 
 /// What a placement is about.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Stakes {
+pub struct PlacementRisk {
     /// It runs until its job is withdrawn: only then it risks something.
     pub lasting: bool,
     /// Tasks of its job.
@@ -99,7 +99,7 @@
     pub here_first: bool,
 }
 
-impl Stakes {
+impl PlacementRisk {
     /// The equal share of the job for each zone.
     pub fn fair(&self) -> u32 {
         self.tasks.div_ceil(self.zones.max(1))
@@ -110,12 +110,12 @@
     }
 
     /// How a machine with so many replicas of the job counts.
-    pub fn kin(&self, replicas: u32) -> Kin {
+    pub fn kin(&self, replicas: u32) -> ReplicaSpread {
         match replicas {
-            0 => Kin::Nobody,
-            n if 2 * (n + 1) > self.tasks => Kin::Most,
-            1 => Kin::One,
-            _ => Kin::Few,
+            0 => ReplicaSpread::Nobody,
+            n if 2 * (n + 1) > self.tasks => ReplicaSpread::Most,
+            1 => ReplicaSpread::One,
+            _ => ReplicaSpread::Few,
         }
     }
 
@@ -125,12 +125,12 @@
     }
 
     /// Seconds that lying with others of its job on one machine is worth.
-    pub fn kin_cost(&self, trade: &Trade, kin: Kin) -> f64 {
+    pub fn kin_cost(&self, trade: &Trade, kin: ReplicaSpread) -> f64 {
         let share = match kin {
-            Kin::Nobody => 0.0,
-            Kin::One => self.share(2),
-            Kin::Few => self.share(FEW_TOGETHER),
-            Kin::Most => MOST_RISK,
+            ReplicaSpread::Nobody => 0.0,
+            ReplicaSpread::One => self.share(2),
+            ReplicaSpread::Few => self.share(FEW_TOGETHER),
+            ReplicaSpread::Most => MOST_RISK,
         };
         trade.machine * self.lost_s() * share
     }
@@ -160,10 +160,10 @@
 /// The classes in the order of their costs; of what costs the same, the one with the
 /// nearer weights goes first. What makes no difference is no class of its own, so
 /// that a job without replicas, or weights of 0, cost few walks.
-pub fn classes(trade: &Trade, stakes: &Stakes) -> Vec<Class> {
-    let any = Class {
+pub fn classes(trade: &Trade, stakes: &PlacementRisk) -> Vec<PlacementClass> {
+    let any = PlacementClass {
         cost: 0.0,
-        near: Near::Here,
+        near: ImageLocality::Here,
         kin: None,
         light: None,
         hold: None,
@@ -171,22 +171,31 @@
         mail: None,
     };
     if !stakes.lasting {
-        return [Near::Here, Near::Coming, Near::Anywhere]
-            .map(|near| Class { near, ..any })
-            .to_vec();
+        return [
+            ImageLocality::Here,
+            ImageLocality::Coming,
+            ImageLocality::Anywhere,
+        ]
+        .map(|near| PlacementClass { near, ..any })
+        .to_vec();
     }
     let fetch = stakes.fetch_s;
     let nears = [
-        (Near::Here, 0.0),
-        (Near::Coming, stakes.coming_s),
-        (Near::Away, fetch),
-        (Near::Beside, FETCH_BESIDE * fetch),
-        (Near::Crowded, FETCH_CROWDED * fetch),
+        (ImageLocality::Here, 0.0),
+        (ImageLocality::Coming, stakes.coming_s),
+        (ImageLocality::Away, fetch),
+        (ImageLocality::Beside, FETCH_BESIDE * fetch),
+        (ImageLocality::Crowded, FETCH_CROWDED * fetch),
     ];
-    let kins: Vec<Option<Kin>> = if stakes.kin && trade.machine > 0.0 {
-        [Kin::Nobody, Kin::One, Kin::Few, Kin::Most]
-            .map(Some)
-            .to_vec()
+    let kins: Vec<Option<ReplicaSpread>> = if stakes.kin && trade.machine > 0.0 {
+        [
+            ReplicaSpread::Nobody,
+            ReplicaSpread::One,
+            ReplicaSpread::Few,
+            ReplicaSpread::Most,
+        ]
+        .map(Some)
+        .to_vec()
     } else {
         vec![None]
     };
@@ -195,18 +204,18 @@
     } else {
         vec![None]
     };
-    let mut holds: Vec<(Option<Hold>, f64)> = vec![(None, 0.0)];
+    let mut holds: Vec<(Option<MachineUsage>, f64)> = vec![(None, 0.0)];
     if trade.pin_s > 0.0 || stakes.spot {
         // An ordinary machine for who may use spot ones is paid for anew.
         let dear = if stakes.spot { trade.pin_s } else { 0.0 };
         holds = vec![
-            (Some(Hold::Settled), dear),
-            (Some(Hold::Used), dear + trade.pin_s),
-            (Some(Hold::Empty), dear + 2.0 * trade.pin_s),
+            (Some(MachineUsage::Settled), dear),
+            (Some(MachineUsage::Used), dear + trade.pin_s),
+            (Some(MachineUsage::Empty), dear + 2.0 * trade.pin_s),
         ];
     }
     if stakes.spot {
-        holds.insert(0, (Some(Hold::Spot), stakes.wave_cost(trade)));
+        holds.insert(0, (Some(MachineUsage::Spot), stakes.wave_cost(trade)));
     }
     // What strands accelerators is dearer than a machine that holds nothing else.
     let strands: Vec<(Option<bool>, f64)> = if stakes.plain {
@@ -231,7 +240,7 @@
                             let risk = kin.map_or(0.0, |k| stakes.kin_cost(trade, k))
                                 + light.map_or(0.0, |l| stakes.zone_cost(trade, l));
                             let cost = wait + pay + left + risk + late;
-                            all.push(Class {
+                            all.push(PlacementClass {
                                 cost,
                                 near,
                                 kin,
@@ -246,7 +255,7 @@
             }
         }
     }
-    let later = |c: &Class| stakes.here_first && c.near != Near::Here;
+    let later = |c: &PlacementClass| stakes.here_first && c.near != ImageLocality::Here;
     all.sort_by(|a, b| later(a).cmp(&later(b)).then(a.cost.total_cmp(&b.cost)));
     all
 }
--- a/crates/coordination/src/image_locality/walk.rs
+++ b/crates/coordination/src/image_locality/walk.rs
@@ -4,26 +4,26 @@
 
 use lemonweir_model::MachineId;
 
-use super::trade::{Class, Kin, Near, Stakes};
-use crate::placement::{Ask, Bits, Field};
+use super::trade::{ImageLocality, PlacementClass, PlacementRisk, ReplicaSpread};
+use crate::placement::{BitSet, PlacementIndex, PlacementRequest};
 
 /// Where replicas of the task's job are, as rows of one field: machines with one or
 /// more, of these with two or more, and with so many that one more would be over half.
 #[derive(Clone, Debug, Default)]
-pub struct Kindred {
-    pub(crate) some: Bits,
-    pub(crate) more: Bits,
-    pub(crate) most: Bits,
+pub struct PlacedReplicas {
+    pub(crate) some: BitSet,
+    pub(crate) more: BitSet,
+    pub(crate) most: BitSet,
     /// Zones that have less than their share, if that makes a difference.
-    pub(crate) light: Option<Bits>,
+    pub(crate) light: Option<BitSet>,
 }
 
-impl Kindred {
+impl PlacedReplicas {
     /// Of the machines that have replicas of a job, each once a replica, and the
     /// zones that have less than their share.
     pub fn of<'a>(
-        field: &Field,
-        stakes: &Stakes,
+        field: &PlacementIndex,
+        stakes: &PlacementRisk,
         machines: impl Iterator<Item = &'a MachineId>,
         light: Option<&[&str]>,
     ) -> Self {
@@ -38,9 +38,9 @@
         for (i, n) in counts {
             rows.some.set(i);
             match stakes.kin(n) {
-                Kin::Few => rows.more.set(i),
-                Kin::Most => rows.most.set(i),
-                Kin::Nobody | Kin::One => {}
+                ReplicaSpread::Few => rows.more.set(i),
+                ReplicaSpread::Most => rows.most.set(i),
+                ReplicaSpread::Nobody | ReplicaSpread::One => {}
             }
         }
         rows
@@ -50,30 +50,30 @@
 /// What is left to look at of one field, by the nearness of the weights.
 struct Left {
     /// Machines that the task may go to.
-    allowed: Bits,
+    allowed: BitSet,
     /// Of these, for each nearness, those that no class has held yet; `None`: not
     /// asked for yet.
-    near: [Option<Bits>; 6],
+    near: [Option<BitSet>; 6],
 }
 
 /// One task's walk. Classes are disjoint, and what a class held that had no room is
 /// not looked at again.
 pub struct Walk<'a> {
-    fields: &'a [Field],
+    fields: &'a [PlacementIndex],
     /// Parts in their order, each with whether its owner is told through the store.
     order: &'a [(usize, bool)],
-    ask: &'a Ask<'a>,
-    kindred: &'a [Kindred],
+    ask: &'a PlacementRequest<'a>,
+    kindred: &'a [PlacedReplicas],
     left: Vec<Option<Left>>,
 }
 
 impl<'a> Walk<'a> {
     /// A walk that has not begun. `kindred`: one for each field, or none at all.
     pub fn new(
-        fields: &'a [Field],
+        fields: &'a [PlacementIndex],
         order: &'a [(usize, bool)],
-        ask: &'a Ask<'a>,
-        kindred: &'a [Kindred],
+        ask: &'a PlacementRequest<'a>,
+        kindred: &'a [PlacedReplicas],
     ) -> Self {
         Self {
             fields,
@@ -86,7 +86,7 @@
 
     /// The first machine with room in the first of these classes that has one: its
     /// part, its position there and its class.
-    pub fn find(&mut self, classes: &[Class]) -> Option<(usize, usize, Class)> {
+    pub fn find(&mut self, classes: &[PlacementClass]) -> Option<(usize, usize, PlacementClass)> {
         classes.iter().find_map(|class| {
             let order = self.order;
             order
@@ -96,7 +96,7 @@
         })
     }
 
-    fn first_of(&mut self, p: usize, class: &Class) -> Option<usize> {
+    fn first_of(&mut self, p: usize, class: &PlacementClass) -> Option<usize> {
         let (field, ask) = (&self.fields[p], self.ask);
         let left = self.left[p].get_or_insert_with(|| Left {
             allowed: field.allowed(ask),
@@ -111,13 +111,13 @@
     }
 }
 
-fn near_index(near: Near) -> usize {
+fn near_index(near: ImageLocality) -> usize {
     match near {
-        Near::Here => 0,
-        Near::Coming => 1,
-        Near::Away => 2,
-        Near::Beside => 3,
-        Near::Crowded => 4,
-        Near::Anywhere => 5,
+        ImageLocality::Here => 0,
+        ImageLocality::Coming => 1,
+        ImageLocality::Away => 2,
+        ImageLocality::Beside => 3,
+        ImageLocality::Crowded => 4,
+        ImageLocality::Anywhere => 5,
     }
 }
--- a/crates/coordination/src/incarnation/mod.rs
+++ b/crates/coordination/src/incarnation/mod.rs
@@ -3,7 +3,7 @@
 //! What comes from a worker may be old: a report that was held back, a copy of one
 //! that was answered long ago, or the last word of a machine that has been back
 //! since, empty, and counts from the start. What goes to a worker may not arrive.
-//! One [`WorkerSession`] for each machine judges both from what the messages themselves
+//! One [`WorkerIncarnation`] for each machine judges both from what the messages themselves
 //! show: session and number, which only rise in one incarnation of a worker, and the
 //! highest token that it has seen, which only rises too and which this owner
 //! chooses.
@@ -25,21 +25,21 @@
 use crate::machine::Timing;
 use crate::worker_lease;
 use lemonweir_model::constants::*;
-use lemonweir_protocol::worker::Report;
+use lemonweir_protocol::worker::Heartbeat;
 
 /// Session and number of a worker's message: both only rise in one incarnation of the
 /// worker, the session first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct SequenceNumber {
+pub(crate) struct MessageSequence {
     /// Counts the times that the worker's lease expired.
     pub(crate) session: u64,
     /// Counts the worker's messages.
     pub(crate) number: u64,
 }
 
-impl SequenceNumber {
+impl MessageSequence {
     /// That of a report.
-    pub(crate) fn of(report: &Report) -> Self {
+    pub(crate) fn of(report: &Heartbeat) -> Self {
         Self {
             session: report.session,
             number: report.seq,
@@ -105,28 +105,28 @@
 
 /// The exchange with one machine.
 #[derive(Debug)]
-pub(crate) struct WorkerSession {
+pub(crate) struct WorkerIncarnation {
     /// Lowest token of this owner.
     base: u64,
     /// Lowest token that a report must show to be believed.
     floor: u64,
     /// Numbers of the newest message that was believed, and the token it showed.
-    newest: SequenceNumber,
+    newest: MessageSequence,
     token: u64,
     /// Numbers of the newest report among these.
-    report: SequenceNumber,
+    report: MessageSequence,
     /// Below the part's token: raised with a promise, to fence orders whose fate is
     /// unknown, and to learn whether answers arrive.
     fence: u64,
     /// The fence before, while the present one is for answers alone.
     challenge: Option<u64>,
     /// The present token, and the newest numbers when it was chosen.
-    mark: (u64, SequenceNumber),
+    mark: (u64, MessageSequence),
     raised_at: u64,
     /// Highest token that a call has carried.
     called: u64,
     /// Newest numbers when the call under way was made.
-    asked: SequenceNumber,
+    asked: MessageSequence,
     /// When this life was first believed, ms.
     born: Option<u64>,
     reachability: Reachability,
@@ -139,21 +139,21 @@
     unverified: Option<Unverified>,
 }
 
-impl WorkerSession {
+impl WorkerIncarnation {
     /// Nothing was heard yet. `base`: the lowest token of this owner.
     pub(crate) fn new(base: u64, now: u64) -> Self {
         Self {
             base,
             floor: base,
-            newest: SequenceNumber::default(),
+            newest: MessageSequence::default(),
             token: 0,
-            report: SequenceNumber::default(),
+            report: MessageSequence::default(),
             fence: 0,
             challenge: None,
-            mark: (base, SequenceNumber::default()),
+            mark: (base, MessageSequence::default()),
             raised_at: now,
             called: 0,
-            asked: SequenceNumber::default(),
+            asked: MessageSequence::default(),
             born: None,
             reachability: Reachability::Reachable,
             last: None,
@@ -166,7 +166,7 @@
     // ---- what came -------------------------------------------------------------
 
     /// What a message is worth.
-    pub(crate) fn weigh(&self, numbers: SequenceNumber, token: u64, origin: Origin) -> Freshness {
+    pub(crate) fn weigh(&self, numbers: MessageSequence, token: u64, origin: Origin) -> Freshness {
         let lower = token < self.token;
         match origin {
             // Nothing of a worker that has seen a later owner is ours to judge.
@@ -184,10 +184,10 @@
         }
     }
 
-    /// Takes what [`WorkerSession::weigh`] found to be news.
+    /// Takes what [`WorkerIncarnation::weigh`] found to be news.
     pub(crate) fn take(
         &mut self,
-        numbers: SequenceNumber,
+        numbers: MessageSequence,
         token: u64,
         origin: Origin,
         timing: &Timing,
@@ -217,9 +217,9 @@
     /// on.
     pub(crate) fn reborn(&mut self, origin: Origin, now: u64) {
         (self.newest, self.report, self.asked, self.token) = (
-            SequenceNumber::default(),
-            SequenceNumber::default(),
-            SequenceNumber::default(),
+            MessageSequence::default(),
+            MessageSequence::default(),
+            MessageSequence::default(),
             0,
         );
         (self.last, self.challenge, self.reached, self.born) = (None, None, None, None);
@@ -240,7 +240,7 @@
     /// one has come: only the answer to a call was newer.
     pub(crate) fn overtaken(
         &mut self,
-        numbers: SequenceNumber,
+        numbers: MessageSequence,
         token: u64,
         way: Option<u16>,
         timing: &Timing,
@@ -252,7 +252,7 @@
     }
 
     /// Notes a hint. True if it is to be asked whether it is so.
-    pub(crate) fn heard_of(&mut self, numbers: SequenceNumber, now: u64) -> bool {
+    pub(crate) fn heard_of(&mut self, numbers: MessageSequence, now: u64) -> bool {
         if !self.newest.is_none() {
             return false;
         }
@@ -278,7 +278,7 @@
     /// token, and in one life numbers and token rise together.
     pub(crate) fn suspect(
         &mut self,
-        numbers: SequenceNumber,
+        numbers: MessageSequence,
         token: u64,
         timing: &Timing,
         now: u64,
@@ -309,7 +309,7 @@
     /// A report that the worker sent after all before.
     fn listen(
         &mut self,
-        numbers: SequenceNumber,
+        numbers: MessageSequence,
         token: u64,
         way: Option<u16>,
         timing: &Timing,
@@ -410,10 +410,10 @@
         token
     }
 
-    /// A report is answered with [`WorkerSession::answer_token`].
+    /// A report is answered with [`WorkerIncarnation::answer_token`].
     pub(crate) fn answered(
         &mut self,
-        numbers: SequenceNumber,
+        numbers: MessageSequence,
         token: u64,
         way: Option<u16>,
         now: u64,
--- a/crates/coordination/src/incarnation/model.rs
+++ b/crates/coordination/src/incarnation/model.rs
@@ -9,9 +9,13 @@
 use crate::machine::Timing;
 use crate::owner::{CommandCall, CommandResult, Owner};
 use lemonweir_model::constants::*;
-use lemonweir_model::{AttemptId, JobId, MachineId, MachineType, Rank, Room};
-use lemonweir_protocol::peer::{Evict, Have, Span, Sync, Want};
-use lemonweir_protocol::worker::{Order, Report, ReportReply, TaskPhase, TaskReport, Verb};
+use lemonweir_model::{AttemptId, JobId, MachineId, MachineType, Priority, Resources};
+use lemonweir_protocol::peer::{
+    ChangeRange, DesiredAttempt, ObservedState, PreemptionScope, SyncRequest,
+};
+use lemonweir_protocol::worker::{
+    Command, CommandKind, Heartbeat, HeartbeatResponse, TaskPhase, TaskStatus,
+};
 
 const HOSTS: usize = 3;
 
@@ -61,16 +65,16 @@
         }
     }
 
-    fn report(&mut self, machine: &MachineId) -> Report {
+    fn report(&mut self, machine: &MachineId) -> Heartbeat {
         self.tally += 1;
-        let task = |(id, phase): (&AttemptId, &TaskPhase)| TaskReport {
+        let task = |(id, phase): (&AttemptId, &TaskPhase)| TaskStatus {
             piece: id.piece(),
             attempt: id.attempt,
             phase: *phase,
             cause: (*phase == TaskPhase::Exited).then(|| "stopped".to_owned()),
             saved: None,
         };
-        Report {
+        Heartbeat {
             machine: machine.clone(),
             address: "10.1.0.1:9000".into(),
             kind: "box".into(),
@@ -84,17 +88,17 @@
         }
     }
 
-    fn execute(&mut self, orders: &[Order]) {
+    fn execute(&mut self, orders: &[Command]) {
         for o in orders {
             let id = AttemptId::parse(&o.piece, o.attempt).expect("a task");
             match o.verb {
-                Verb::Launch => drop(self.tasks.entry(id).or_insert(TaskPhase::Running)),
-                Verb::Kill => {
+                CommandKind::Launch => drop(self.tasks.entry(id).or_insert(TaskPhase::Running)),
+                CommandKind::Kill => {
                     if let Some(phase) = self.tasks.get_mut(&id) {
                         *phase = TaskPhase::Exited;
                     }
                 }
-                Verb::Forget => drop(self.tasks.remove(&id)),
+                CommandKind::Forget => drop(self.tasks.remove(&id)),
             }
         }
     }
@@ -103,7 +107,7 @@
 enum Message {
     /// A report with its life, when it was written, and whether it is the original.
     Report {
-        report: Report,
+        report: Heartbeat,
         life: u64,
         written: u64,
         host: usize,
@@ -114,7 +118,7 @@
         session: u64,
         tally: u64,
         sent: u64,
-        reply: ReportReply,
+        reply: HeartbeatResponse,
     },
     Orders {
         owner: usize,
@@ -142,7 +146,7 @@
     word: Vec<u64>,
     mail: Vec<(u64, Message)>,
     /// Attempts that are wanted, and those told to be over.
-    wanted: BTreeMap<AttemptId, Want>,
+    wanted: BTreeMap<AttemptId, DesiredAttempt>,
     over: BTreeSet<AttemptId>,
     seq: u64,
     /// What is lost now: answers, and those of one host only; calls.
@@ -170,7 +174,7 @@
 fn owner(token: u64, timing: Timing, now: u64) -> Owner {
     let kind = MachineType {
         name: "box".into(),
-        room: Room::offer(16.0, 4.0, 64.0),
+        room: Resources::offer(16.0, 4.0, 64.0),
         cache_gb: 100.0,
         fetch_gb_per_s: 1.0,
         price: 4.0,
@@ -339,7 +343,7 @@
 
     fn report_arrives(
         &mut self,
-        report: &Report,
+        report: &Heartbeat,
         life: u64,
         written: u64,
         host: usize,
@@ -462,7 +466,7 @@
                     .commands
                     .orders
                     .iter()
-                    .filter(|o| o.verb == Verb::Launch)
+                    .filter(|o| o.verb == CommandKind::Launch)
                     .count() as u64;
                 if self.calls_lost || self.dice.chance(3) {
                     // It may be executed, much later, or never.
@@ -512,20 +516,20 @@
                 task,
                 attempt: 1,
             };
-            let want = Want {
+            let want = DesiredAttempt {
                 id: id.clone(),
                 machine: machine(),
-                need: Room::offer(4.0, 1.0, 8.0),
+                need: Resources::offer(4.0, 1.0, 8.0),
                 image: "img".into(),
                 image_mb: 2_000,
                 go: true,
                 kill: None,
                 team: "red".into(),
-                rank: Rank::Normal,
+                rank: Priority::Normal,
                 over: true,
                 grace: 0,
                 lasting: false,
-                evict: Evict::Nobody,
+                evict: PreemptionScope::Nobody,
             };
             self.wanted.insert(id, want);
         }
@@ -543,7 +547,7 @@
         let Some((owner, _, _)) = self.owners.last_mut() else {
             return;
         };
-        let message = Sync {
+        let message = SyncRequest {
             version: PEER_VERSION,
             from: 0,
             from_token: 40,
@@ -551,7 +555,7 @@
             to_token: 39 + self.word.len() as u64,
             seq: self.seq,
             store_age_ms: 0,
-            span: Span {
+            span: ChangeRange {
                 since: 0,
                 upto: self.seq,
                 last: true,
@@ -559,7 +563,7 @@
             wants: self.wanted.values().cloned().collect(),
             dropped: Vec::new(),
             stops: Vec::new(),
-            have: Have::default(),
+            have: ObservedState::default(),
             strays: 0,
             rented: Vec::new(),
             keep: vec![machine()],
--- a/crates/coordination/src/job.rs
+++ b/crates/coordination/src/job.rs
@@ -5,12 +5,14 @@
 use std::sync::Arc;
 
 use lemonweir_model::constants::*;
-use lemonweir_model::{AttemptId, JobSpec, MachineId, Rank, Room, Shape};
-use lemonweir_protocol::peer::{Evict, Standing};
-use lemonweir_protocol::users::Phase;
-use lemonweir_storage::records::{ChunkRecord, GangRecord, GangStep, JobRecord, LiveRecord};
+use lemonweir_model::{AttemptId, JobKind, JobSpec, MachineId, Priority, Resources};
+use lemonweir_protocol::peer::{AttemptState, PreemptionScope};
+use lemonweir_protocol::users::JobPhase;
+use lemonweir_storage::records::{
+    GangAdmissionRecord, GangAdmissionStep, JobRecord, LiveAttemptRecord, TaskChunkRecord,
+};
 
-use crate::gang_admission::{self, Admission, Members};
+use crate::gang_admission::{self, GangAdmission, GangMembers};
 
 /// What comes first among jobs of one priority.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -33,24 +35,24 @@
 
 /// An attempt not proven to be over.
 #[derive(Clone, Debug)]
-pub(super) struct Live {
+pub(super) struct LiveAttempt {
     pub(super) attempt: u32,
     pub(super) machine: MachineId,
     pub(super) part: u16,
     pub(super) zone: String,
     /// Change of its chunk that first holds it.
     pub(super) change: u64,
-    pub(super) standing: Option<Standing>,
+    pub(super) standing: Option<AttemptState>,
     pub(super) kill: Option<u32>,
     pub(super) since: u64,
-    pub(super) evict: Evict,
+    pub(super) evict: PreemptionScope,
     /// Its team runs it beyond its guarantee.
     pub(super) over: bool,
 }
 
 /// An attempt that is over, kept until that is written.
 #[derive(Clone, Debug)]
-pub(super) struct Ending {
+pub(super) struct EndingAttempt {
     pub(super) id: AttemptId,
     pub(super) machine: MachineId,
     pub(super) part: u16,
@@ -59,7 +61,7 @@
 
 /// One chunk's place in the store.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Chunk {
+pub(super) struct TaskChunk {
     /// Version in the store; 0: no key.
     pub(super) version: u64,
     /// Changes made, and changes written.
@@ -72,10 +74,10 @@
     /// A writing that would create it got no answer: it may be there, or come.
     pub(super) unsure: bool,
     /// What it carried of the ledger when it was loaded.
-    pub(super) loaded: Option<GangRecord>,
+    pub(super) loaded: Option<GangAdmissionRecord>,
 }
 
-impl Chunk {
+impl TaskChunk {
     pub(super) fn unsaved(&self) -> bool {
         self.saved < self.change
     }
@@ -89,9 +91,9 @@
 /// Where a job is in the placer's queues: team, priority, urgency, turn within it,
 /// and time.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) struct Placed {
+pub(super) struct TaskPlacement {
     pub(super) team: String,
-    pub(super) rank: Rank,
+    pub(super) rank: Priority,
     pub(super) urgency: Urgency,
     pub(super) turn: u64,
     pub(super) at: u64,
@@ -105,14 +107,14 @@
     /// The followed keys have not said yet whether it is.
     pub(super) unheard: bool,
     pub(super) team: String,
-    pub(super) need: Room,
+    pub(super) need: Resources,
     pub(super) tasks: u32,
     pub(super) next: u32,
     done: Vec<bool>,
     pub(super) done_count: u32,
-    pub(super) live: BTreeMap<u32, Live>,
-    pub(super) ending: Vec<Ending>,
-    pub(super) chunks: BTreeMap<u32, Chunk>,
+    pub(super) live: BTreeMap<u32, LiveAttempt>,
+    pub(super) ending: Vec<EndingAttempt>,
+    pub(super) chunks: BTreeMap<u32, TaskChunk>,
     /// No task from here on was ever placed by this placer.
     cursor: u32,
     /// Tasks below it that wait again.
@@ -145,11 +147,11 @@
     /// if they are alike.
     pub(super) over_alike: Option<bool>,
     /// Where it is in the placer's queues.
-    pub(super) placed: Option<Placed>,
+    pub(super) placed: Option<TaskPlacement>,
     /// Attempts that the owners are told of, by part.
     pub(super) told: Vec<(u16, AttemptId)>,
     /// Of a gang with live members: its entry in the ledger.
-    pub(super) admission: Option<Admission>,
+    pub(super) admission: Option<GangAdmission>,
 }
 
 impl Job {
@@ -160,7 +162,7 @@
             over: true,
             unheard: true,
             team: String::new(),
-            need: Room::default(),
+            need: Resources::default(),
             tasks: 0,
             next: 1,
             done: Vec::new(),
@@ -210,13 +212,13 @@
     /// The end that may be written now. Guards against telling a user that a
     /// job is withdrawn while a machine out of sight still runs it: every
     /// attempt must be proven over first.
-    pub(super) fn finished(&self) -> Option<Phase> {
+    pub(super) fn finished(&self) -> Option<JobPhase> {
         if self.over || self.record.is_none() || self.outdated() {
             None
         } else if self.complete() {
-            Some(Phase::Done)
+            Some(JobPhase::Done)
         } else {
-            (self.stopping() && self.live.is_empty()).then_some(Phase::Withdrawn)
+            (self.stopping() && self.live.is_empty()).then_some(JobPhase::Withdrawn)
         }
     }
 
@@ -225,17 +227,17 @@
         self.refused == Some(self.version)
     }
 
-    pub(super) fn is(&self, shape: Shape) -> bool {
+    pub(super) fn is(&self, shape: JobKind) -> bool {
         self.spec().is_some_and(|s| s.shape == shape)
     }
 
     pub(super) fn lasting(&self) -> bool {
-        self.is(Shape::Service)
+        self.is(JobKind::Service)
     }
 
     /// Priority; a job that is over only takes room for its stops.
-    pub(super) fn rank(&self) -> Rank {
-        self.spec().map_or(Rank::Low, |s| s.rank)
+    pub(super) fn rank(&self) -> Priority {
+        self.spec().map_or(Priority::Low, |s| s.rank)
     }
 
     /// Whether it goes before others of its priority.
@@ -243,7 +245,7 @@
         let stays = || self.live.values().filter(|l| l.kill.is_none()).count() as u32;
         if self.ran && self.lasting() && !self.stopping() && 2 * stays() < self.tasks {
             Urgency::BelowHalf
-        } else if self.rank() != Rank::Low || self.stopping() {
+        } else if self.rank() != Priority::Low || self.stopping() {
             Urgency::Usual
         } else if !self.begun() {
             Urgency::Unbegun
@@ -312,7 +314,7 @@
         let running = self
             .live
             .values()
-            .filter(|l| l.standing == Some(Standing::Running))
+            .filter(|l| l.standing == Some(AttemptState::Running))
             .count() as u32;
         let unwritten = || self.live.iter().any(|(&task, l)| !self.recorded(task, l));
         let reason = if self.stopping() {
@@ -342,7 +344,11 @@
     }
 
     /// Attempts that are where this one is, itself included.
-    pub(super) fn beside<K: PartialEq>(&self, live: &Live, place: impl Fn(&Live) -> &K) -> u32 {
+    pub(super) fn beside<K: PartialEq>(
+        &self,
+        live: &LiveAttempt,
+        place: impl Fn(&LiveAttempt) -> &K,
+    ) -> u32 {
         self.live
             .values()
             .filter(|l| place(l) == place(live))
@@ -358,16 +364,16 @@
 
     /// Some start of it is not written yet.
     pub(super) fn starts_unwritten(&self) -> bool {
-        self.chunks.values().any(Chunk::start_unwritten)
+        self.chunks.values().any(TaskChunk::start_unwritten)
     }
 
-    pub(super) fn recorded(&self, task: u32, live: &Live) -> bool {
+    pub(super) fn recorded(&self, task: u32, live: &LiveAttempt) -> bool {
         self.chunks
             .get(&(task / CHUNK_TASKS))
             .is_some_and(|c| c.saved >= live.change)
     }
 
-    pub(super) fn chunk_record(&self, chunk: u32) -> ChunkRecord {
+    pub(super) fn chunk_record(&self, chunk: u32) -> TaskChunkRecord {
         let (first, end) = (chunk * CHUNK_TASKS, (chunk + 1) * CHUNK_TASKS);
         let mut done: Vec<(u32, u32)> = Vec::new();
         for task in (first..end).filter(|&t| self.is_done(t)) {
@@ -376,10 +382,10 @@
                 _ => done.push((task, task)),
             }
         }
-        let live: Vec<LiveRecord> = self
+        let live: Vec<LiveAttemptRecord> = self
             .live
             .range(first..end)
-            .map(|(&t, l)| LiveRecord {
+            .map(|(&t, l)| LiveAttemptRecord {
                 t,
                 a: l.attempt,
                 m: l.machine.clone(),
@@ -391,8 +397,8 @@
             .admission
             .as_ref()
             .filter(|a| live.iter().any(|l| l.a == a.attempt))
-            .map(Admission::record);
-        ChunkRecord {
+            .map(GangAdmission::record);
+        TaskChunkRecord {
             team: self.team.clone(),
             need: self.need,
             next: self.next,
@@ -495,7 +501,7 @@
     pub(super) fn placeable(&self) -> bool {
         // Guards against a job with a mistake that fails with all its tasks each
         // time: a suspect has one try at a time.
-        let one_try = self.is(Shape::Gang) || self.suspect.is_some();
+        let one_try = self.is(JobKind::Gang) || self.suspect.is_some();
         !self.stopping() && self.waiting() > 0 && (self.live.is_empty() || !one_try)
     }
 
@@ -519,7 +525,7 @@
 impl Job {
     /// True if its tasks start together or not at all.
     pub(super) fn gang(&self) -> bool {
-        self.is(Shape::Gang) && self.tasks > 1
+        self.is(JobKind::Gang) && self.tasks > 1
     }
 
     /// Takes up what an earlier holder of the part left of a gang, at `now`, at
@@ -528,7 +534,7 @@
         if !self.gang() || self.admission.is_some() || self.live.is_empty() {
             return;
         }
-        let carried = |(task, l): (&u32, &Live)| {
+        let carried = |(task, l): (&u32, &LiveAttempt)| {
             (
                 l.attempt,
                 self.chunks
@@ -541,13 +547,13 @@
             return;
         };
         let since = gang_admission::counts_from(step, wall.saturating_sub(at), gang_wait_ms, now);
-        self.admission = Some(Admission {
+        self.admission = Some(GangAdmission {
             step,
             at,
             attempt,
             since: Some(since),
         });
-        if step == GangStep::Released {
+        if step == GangAdmissionStep::Released {
             self.stop_all();
         }
     }
@@ -561,10 +567,10 @@
     }
 
     /// Its members together.
-    pub(super) fn members(&self) -> Members {
-        let mut members = Members {
+    pub(super) fn members(&self) -> GangMembers {
+        let mut members = GangMembers {
             needed: self.tasks.saturating_sub(self.done_count),
-            ..Members::default()
+            ..GangMembers::default()
         };
         for l in self.live.values() {
             members.add(l.standing, l.kill.is_some());
@@ -573,7 +579,7 @@
     }
 
     /// Goes on to a step, in all chunks with members.
-    pub(super) fn go_on(&mut self, step: GangStep, wall: u64) {
+    pub(super) fn go_on(&mut self, step: GangAdmissionStep, wall: u64) {
         let Some(admission) = &mut self.admission else {
             return;
         };
@@ -596,9 +602,11 @@
     /// launch that a successor of this placer knows nothing of, and against one of
     /// a gang that is not admitted in all of its chunks.
     pub(super) fn admitted(&self) -> bool {
-        self.admission
-            .as_ref()
-            .is_some_and(|a| matches!(a.step, GangStep::Admitted | GangStep::Other))
-            && !self.step_unwritten()
+        self.admission.as_ref().is_some_and(|a| {
+            matches!(
+                a.step,
+                GangAdmissionStep::Admitted | GangAdmissionStep::Other
+            )
+        }) && !self.step_unwritten()
     }
 }
--- a/crates/coordination/src/job_status.rs
+++ b/crates/coordination/src/job_status.rs
@@ -8,21 +8,21 @@
 //! Both times run on steady clocks, whose drift the second allows for.
 
 use crate::Core;
-use crate::dependencies::Standing;
+use crate::dependencies::DependencyState;
 use lemonweir_model::JobId;
 use lemonweir_model::constants::{MEMORY_MS, TOLD_AFTER_MS};
-use lemonweir_protocol::users::Phase;
-use lemonweir_storage::state_cache::SettledEnd;
+use lemonweir_protocol::users::JobPhase;
+use lemonweir_storage::state_cache::FinalState;
 
 /// What this node can say of a job now.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
     /// It is over.
-    Over(Phase),
+    Over(JobPhase),
     /// It is over, which may be told after so many ms.
     OverIn(u64),
     /// It is unfinished: phase, tasks done and running, why it waits.
-    Unfinished(Phase, u64, u64, String),
+    Unfinished(JobPhase, u64, u64, String),
     /// It was unfinished; only a reading that begins now tells whether it still is.
     Reading,
     /// It waits for others, of which these may be over: their ends must be read first.
@@ -34,7 +34,7 @@
 impl Answer {
     /// What may be told of a job by an end that decides it: its own, or that of a
     /// cancelled job that it needs.
-    pub(crate) fn of_end(end: SettledEnd, now: u64) -> Self {
+    pub(crate) fn of_end(end: FinalState, now: u64) -> Self {
         match (end.learned + TOLD_AFTER_MS).saturating_sub(now) {
             0 => Answer::Over(end.phase),
             ms => Answer::OverIn(ms),
@@ -67,8 +67,8 @@
     pub fn unfinished(&self, id: &JobId, now: u64) -> Option<Answer> {
         if self.mirror.waiting.contains_key(id) {
             return match self.chain_standing(id) {
-                Standing::Waits(_) | Standing::Ready(_) => {
-                    Some(Answer::Unfinished(Phase::Queued, 0, 0, String::new()))
+                DependencyState::Waits(_) | DependencyState::Ready(_) => {
+                    Some(Answer::Unfinished(JobPhase::Queued, 0, 0, String::new()))
                 }
                 _ => None,
             };
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -1,7 +1,7 @@
 //! Decisions. Events and the time go in, effects come out; nothing here does
 //! I/O, so the same code runs in the process and in the model tests.
 //!
-//! A node holds one [`Part`] by right and others while their home is away.
+//! A node holds one [`Shard`] by right and others while their home is away.
 //! Each part has an owner's side ([`owner`]) and a placer's side ([`placer`]).
 
 pub mod autoscaler;
@@ -33,32 +33,36 @@
 mod worker_lease;
 
 pub use config::{Config, mail_piece_bytes};
-pub use effects::{Effect, Lot, RentResult, ReportAnswer, Tally, keys_to_reread};
+pub use effects::{
+    Effect, HeartbeatAnswer, ProvisioningResult, ShardLease, WorkCounters, keys_to_reread,
+};
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
 use tracing::{debug, info};
 
-use crate::autoscaler::Shortage;
-use crate::dependencies::Chains;
+use crate::autoscaler::CapacityShortages;
+use crate::dependencies::DependencyGraph;
 use crate::links::Links;
-use crate::owner::{Owner, SyncRefusal};
-use crate::placer::{Placer, Promise, Terms, TxnOutcome, TxnVerdict};
-use crate::process_stall::Pause;
-use crate::supervision::takeover::Takeover;
+use crate::owner::{Owner, SyncError};
+use crate::placer::{CompareAndSwapOutcome, PendingInstance, Placer, PlacerConfig, ShardOwnership};
+use crate::process_stall::ProcessStall;
+use crate::supervision::takeover::Failover;
 use lemonweir_model::constants::*;
 use lemonweir_model::policy::Policy;
-use lemonweir_model::{Catalog, JobId, JobSpec, MachineId, Rank};
-use lemonweir_protocol::cloud::{Rental, RentalEntry};
-use lemonweir_protocol::peer::{self, JobNote, Rented, Superseded, Sync, View};
-use lemonweir_protocol::users::Phase;
-use lemonweir_storage::Mirror;
-use lemonweir_storage::records::{ChunkRecord, ImagesRecord, MailKind};
-use lemonweir_storage::state_cache::{Holder, MirroredJob};
+use lemonweir_model::{Catalog, JobId, JobSpec, MachineId, Priority};
+use lemonweir_protocol::cloud::{InstanceEntry, ProvisioningRequest};
+use lemonweir_protocol::peer::{
+    self, JobProgress, ProvisionedInstance, ShardView, Superseded, SyncRequest,
+};
+use lemonweir_protocol::users::JobPhase;
+use lemonweir_storage::StateCache;
+use lemonweir_storage::records::{ImageLocationsRecord, StoreMessageKind, TaskChunkRecord};
+use lemonweir_storage::state_cache::{CachedJob, ShardLeader};
 
 #[derive(Clone, Default)]
-struct Line {
+struct PeerChannel {
     last: u64,
     busy: bool,
     dirty: bool,
@@ -67,25 +71,25 @@
     last_direct: u64,
 }
 
-struct Part {
-    lot: Lot,
+struct Shard {
+    lot: ShardLease,
     owner: Owner,
     placer: Placer,
-    lines: Vec<Line>,
+    lines: Vec<PeerChannel>,
     last_place: u64,
     /// Rentals under way or to be asked for again, and whether a call is out.
-    rentals: Vec<(Rental, bool)>,
+    rentals: Vec<(ProvisioningRequest, bool)>,
     rent_after: u64,
     /// Pass of the placer that the last plan was made for.
     planned: u64,
     bookings: u64,
-    shortage: Shortage,
+    shortage: CapacityShortages,
     nudged: BTreeMap<u16, u64>,
     /// What was found since it was taken.
-    takeover: Takeover,
+    takeover: Failover,
 }
 
-impl Part {
+impl Shard {
     /// The owner learns which images services use.
     fn know_needs(&mut self) {
         if let Some(images) = self.placer.book.take_needed() {
@@ -98,7 +102,7 @@
     /// Guards against the answer of a former owner that comes after its successor was
     /// told what is wanted: what the one refused the other may have started, so that
     /// it would run twice, or on after its job is told to be withdrawn.
-    fn take_view(&mut self, view: View, now: u64) {
+    fn take_view(&mut self, view: ShardView, now: u64) {
         if self
             .placer
             .wants_told_to(view.part)
@@ -117,17 +121,17 @@
 }
 
 /// What a job uses, unless it shall end.
-fn uses(job: &MirroredJob) -> Option<&JobSpec> {
+fn uses(job: &CachedJob) -> Option<&JobSpec> {
     (!job.record.withdrawn).then_some(&job.record.spec)
 }
 
 /// A job with the priority that those who need it give it, if that is higher.
-fn with_rank(job: &MirroredJob, lent: Option<Rank>) -> MirroredJob {
+fn with_rank(job: &CachedJob, lent: Option<Priority>) -> CachedJob {
     match lent.filter(|lent| *lent < job.record.spec.rank) {
         Some(rank) => {
             let mut record = (*job.record).clone();
             record.spec.rank = rank;
-            MirroredJob {
+            CachedJob {
                 record: Arc::new(record),
                 ..job.clone()
             }
@@ -141,18 +145,18 @@
     /// Facts.
     pub config: Config,
     /// The followed keys.
-    pub mirror: Mirror,
+    pub mirror: StateCache,
     /// Machine types, once known.
     pub catalog: Option<Catalog>,
     policy: Policy,
-    parts: BTreeMap<u16, Part>,
-    notes: HashMap<JobId, JobNote>,
+    parts: BTreeMap<u16, Shard>,
+    notes: HashMap<JobId, JobProgress>,
     /// Calls to machines under way.
     calls: usize,
     /// Who reaches what.
     pub links: Links,
-    pause: Pause,
-    chains: Chains,
+    pause: ProcessStall,
+    chains: DependencyGraph,
     /// Zones of reports that the settings don't name, each told once.
     odd_zones: BTreeSet<String>,
 }
@@ -168,14 +172,14 @@
                 config.wall_offset_ms,
             ),
             config,
-            mirror: Mirror::default(),
+            mirror: StateCache::default(),
             catalog: None,
             policy,
             parts: BTreeMap::new(),
             notes: HashMap::new(),
             calls: 0,
-            pause: Pause::default(),
-            chains: Chains::default(),
+            pause: ProcessStall::default(),
+            chains: DependencyGraph::default(),
             odd_zones: BTreeSet::new(),
         }
     }
@@ -183,16 +187,16 @@
     // ---- parts -------------------------------------------------------------
 
     /// Parts held, with their tokens.
-    pub fn held(&self) -> Vec<Lot> {
+    pub fn held(&self) -> Vec<ShardLease> {
         self.parts.values().map(|p| p.lot).collect()
     }
 
     /// Takes a part, with its task records.
     pub fn adopt(
         &mut self,
-        lot: Lot,
-        chunks: &[(JobId, u32, ChunkRecord, u64)],
-        images: Vec<ImagesRecord>,
+        lot: ShardLease,
+        chunks: &[(JobId, u32, TaskChunkRecord, u64)],
+        images: Vec<ImageLocationsRecord>,
         now: u64,
     ) {
         let parts = self.config.members.len() as u16;
@@ -208,7 +212,7 @@
         if let Some(catalog) = &self.catalog {
             owner.set_types(catalog.values());
         }
-        let terms = Terms {
+        let terms = PlacerConfig {
             limits: self.config.limits.clone(),
             guarantees: self.config.guarantees.clone(),
             zones: self.config.zones.clone(),
@@ -239,19 +243,19 @@
         self.links.note(now, format!("part {} taken", lot.part));
         self.parts.insert(
             lot.part,
-            Part {
+            Shard {
                 lot,
                 owner,
                 placer,
-                lines: vec![Line::default(); usize::from(parts)],
+                lines: vec![PeerChannel::default(); usize::from(parts)],
                 last_place: 0,
                 rentals: Vec::new(),
                 rent_after: 0,
                 planned: 0,
                 bookings: 0,
-                shortage: Shortage::default(),
+                shortage: CapacityShortages::default(),
                 nudged: BTreeMap::new(),
-                takeover: Takeover::default(),
+                takeover: Failover::default(),
             },
         );
         // All jobs of its teams, and those of its records that are over.
@@ -280,7 +284,7 @@
         }
     }
 
-    fn part(&mut self, lot: Lot) -> Option<&mut Part> {
+    fn part(&mut self, lot: ShardLease) -> Option<&mut Shard> {
         self.parts.get_mut(&lot.part).filter(|p| p.lot == lot)
     }
 
@@ -323,7 +327,7 @@
         self.jobs_changed(began);
     }
 
-    fn team_part(mirror: &Mirror, config: &Config, team: &str) -> u16 {
+    fn team_part(mirror: &StateCache, config: &Config, team: &str) -> u16 {
         mirror
             .teams
             .get(team)
@@ -357,11 +361,11 @@
                 }
             }
         }
-        self.parts.values_mut().for_each(Part::know_needs);
+        self.parts.values_mut().for_each(Shard::know_needs);
     }
 
     /// Phase and counts of an unfinished job, as far as this node knows.
-    pub fn progress(&self, id: &JobId, now: u64) -> (Phase, u64, u64, String) {
+    pub fn progress(&self, id: &JobId, now: u64) -> (JobPhase, u64, u64, String) {
         let own = self.parts.values().find_map(|p| p.placer.job_note(id, now));
         let lost = if own.is_none() {
             self.lost_placer(id, now)
@@ -377,9 +381,9 @@
             .unwrap_or_else(|| (0, 0, "its team's controller has not taken it up yet".into()));
         (
             if running > 0 {
-                Phase::Running
+                JobPhase::Running
             } else {
-                Phase::Queued
+                JobPhase::Queued
             },
             done,
             running,
@@ -411,7 +415,7 @@
     // ---- events ------------------------------------------------------------
 
     /// A placer on another node says what it wants.
-    pub fn sync_in(&mut self, sync: &Sync, now: u64) -> Result<View, SyncRefusal> {
+    pub fn sync_in(&mut self, sync: &SyncRequest, now: u64) -> Result<ShardView, SyncError> {
         self.awake(now);
         // Guards against a controller that the store refuses alone and that
         // goes on answering its workers, while its successor waits for them.
@@ -422,7 +426,7 @@
             .filter(|h| h.token > sync.from_token)
         {
             let (token, host) = (holder.token, holder.host.clone());
-            return Err(SyncRefusal::Superseded(Superseded {
+            return Err(SyncError::Superseded(Superseded {
                 version: PEER_VERSION,
                 part: sync.from,
                 token,
@@ -437,11 +441,16 @@
         self.sync_to(sync, SYNC_BYTES, now)
     }
 
-    fn sync_to(&mut self, sync: &Sync, room: usize, now: u64) -> Result<View, SyncRefusal> {
+    fn sync_to(
+        &mut self,
+        sync: &SyncRequest,
+        room: usize,
+        now: u64,
+    ) -> Result<ShardView, SyncError> {
         self.links.other_heard(sync.store_age_ms, now);
         let store_age_ms = self.links.store_age(now);
-        let part = self.parts.get_mut(&sync.to).ok_or(SyncRefusal::Token)?;
-        part.owner.sync(sync, room, now).map(|view| View {
+        let part = self.parts.get_mut(&sync.to).ok_or(SyncError::Token)?;
+        part.owner.sync(sync, room, now).map(|view| ShardView {
             store_age_ms,
             ..view
         })
@@ -468,7 +477,7 @@
         }
         self.mirror.parts.insert(
             by.part,
-            Holder {
+            ShardLeader {
                 host: by.host,
                 token: by.token,
             },
@@ -476,7 +485,7 @@
     }
 
     /// An owner on another node answered, or did not.
-    pub fn sync_done(&mut self, lot: Lot, to: u16, view: Option<View>, now: u64) {
+    pub fn sync_done(&mut self, lot: ShardLease, to: u16, view: Option<ShardView>, now: u64) {
         if let Some(view) = &view {
             self.links.other_heard(view.store_age_ms, now);
         }
@@ -512,7 +521,7 @@
                 continue;
             }
             match line.kind {
-                MailKind::Sync => match peer::read::<Sync>(&bytes) {
+                StoreMessageKind::Sync => match peer::read::<SyncRequest>(&bytes) {
                     Ok(sync) if sync.to == line.to => {
                         match self.sync_to(&sync, self.config.mail_bytes, now) {
                             Ok(view) => effects.push(Effect::MailView(sync.from, view)),
@@ -523,8 +532,11 @@
                     }
                     _ => info!(from = line.from, to = line.to, "mailed sync not understood"),
                 },
-                MailKind::View => {
-                    match (peer::read::<View>(&bytes), self.parts.get_mut(&line.to)) {
+                StoreMessageKind::View => {
+                    match (
+                        peer::read::<ShardView>(&bytes),
+                        self.parts.get_mut(&line.to),
+                    ) {
                         (Ok(view), Some(part)) => part.take_view(view, now),
                         _ => info!(from = line.from, to = line.to, "mailed view not understood"),
                     }
@@ -547,11 +559,16 @@
 
     /// A transaction ended; keys of ours that met other versions have been read
     /// again. Tells whether the part is lost.
-    pub fn txn_done(&mut self, lot: Lot, outcome: TxnOutcome, now: u64) -> TxnVerdict {
+    pub fn txn_done(
+        &mut self,
+        lot: ShardLease,
+        outcome: CompareAndSwapOutcome,
+        now: u64,
+    ) -> ShardOwnership {
         let Some(part) = self.part(lot) else {
-            return TxnVerdict::Fine;
+            return ShardOwnership::Fine;
         };
-        let revision = if let TxnOutcome::Done(revision) = outcome {
+        let revision = if let CompareAndSwapOutcome::Done(revision) = outcome {
             revision
         } else {
             0
@@ -560,29 +577,35 @@
         for (id, phase) in ends {
             self.mirror.settle(&id, phase, revision, now);
         }
-        if verdict == TxnVerdict::Lost {
+        if verdict == ShardOwnership::Lost {
             self.abandon(lot.part, now);
         }
         verdict
     }
 
     /// A key of ours was read again.
-    pub fn reread(&mut self, lot: Lot, job: &JobId, chunk: u32, version: u64) {
+    pub fn reread(&mut self, lot: ShardLease, job: &JobId, chunk: u32, version: u64) {
         if let Some(part) = self.part(lot) {
             part.placer.reread(job, chunk, version);
         }
     }
 
     /// A rental ended.
-    pub fn rented(&mut self, lot: Lot, rental: &Rental, result: RentResult, now: u64) {
+    pub fn rented(
+        &mut self,
+        lot: ShardLease,
+        rental: &ProvisioningRequest,
+        result: ProvisioningResult,
+        now: u64,
+    ) {
         let place = |id: &MachineId| self.config.part_of(&rental.zone, id);
-        let promises: Vec<Promise> = match &result {
-            RentResult::Rented(machines) => machines
+        let promises: Vec<PendingInstance> = match &result {
+            ProvisioningResult::Rented(machines) => machines
                 .iter()
-                .map(|id| Promise {
+                .map(|id| PendingInstance {
                     part: place(id),
                     at: now,
-                    rented: Rented {
+                    rented: ProvisionedInstance {
                         machine: id.clone(),
                         kind: rental.kind.clone(),
                         zone: rental.zone.clone(),
@@ -600,12 +623,12 @@
             .position(|(r, _)| r.booking == rental.booking);
         if let Some(i) = under_way {
             match &result {
-                RentResult::Again => part.rentals[i].1 = false,
+                ProvisioningResult::Again => part.rentals[i].1 = false,
                 _ => drop(part.rentals.remove(i)),
             }
         }
         match result {
-            RentResult::Rented(machines) => {
+            ProvisioningResult::Rented(machines) => {
                 info!(
                     part = lot.part,
                     count = machines.len(),
@@ -623,7 +646,7 @@
                     part.placer.promises.push(p);
                 }
             }
-            RentResult::NoCapacity => {
+            ProvisioningResult::NoCapacity => {
                 info!(
                     part = lot.part,
                     kind = rental.kind,
@@ -633,20 +656,20 @@
                 );
                 part.shortage.note(rental, now);
             }
-            RentResult::Again => part.rent_after = now + CLOUD_TROUBLE_MS,
+            ProvisioningResult::Again => part.rent_after = now + CLOUD_TROUBLE_MS,
         }
     }
 
     /// A release ended.
-    pub fn released(&mut self, lot: Lot, machines: &[MachineId], done: bool, now: u64) {
+    pub fn released(&mut self, lot: ShardLease, machines: &[MachineId], done: bool, now: u64) {
         if let Some(part) = self.part(lot) {
             part.owner.released(machines, done, now);
         }
     }
 
     /// The rental list was read.
-    pub fn listed(&mut self, entries: &[RentalEntry], now: u64) {
-        let mut by_part: BTreeMap<u16, Vec<RentalEntry>> = BTreeMap::new();
+    pub fn listed(&mut self, entries: &[InstanceEntry], now: u64) {
+        let mut by_part: BTreeMap<u16, Vec<InstanceEntry>> = BTreeMap::new();
         for e in entries {
             by_part
                 .entry(self.config.part_of(&e.zone, &e.id))
@@ -685,14 +708,16 @@
 
     /// Work and judgements of the parts held, counted since each was taken;
     /// less after a part was given up.
-    pub fn tally(&self) -> Tally {
-        self.parts.values().fold(Tally::default(), |sum, part| {
-            let (refused, pushed_out) = part.owner.judged();
-            Tally {
-                looked: sum.looked + part.placer.looked(),
-                refused: sum.refused + refused,
-                pushed_out: sum.pushed_out + pushed_out,
-            }
-        })
+    pub fn tally(&self) -> WorkCounters {
+        self.parts
+            .values()
+            .fold(WorkCounters::default(), |sum, part| {
+                let (refused, pushed_out) = part.owner.judged();
+                WorkCounters {
+                    looked: sum.looked + part.placer.looked(),
+                    refused: sum.refused + refused,
+                    pushed_out: sum.pushed_out + pushed_out,
+                }
+            })
     }
 }
--- a/crates/coordination/src/links/failure_detector.rs
+++ b/crates/coordination/src/links/failure_detector.rs
@@ -1,7 +1,7 @@
 //! How a link stands, told from what became of the messages that went over it.
 
 use lemonweir_model::constants::*;
-use lemonweir_protocol::links::Standing;
+use lemonweir_protocol::links::LinkState;
 
 /// The link in one direction with its answers.
 #[derive(Clone, Copy, Debug, Default)]
@@ -9,7 +9,7 @@
     /// When the last answer came, ms.
     pub(crate) answered: Option<u64>,
     fails: u32,
-    standing: Standing,
+    standing: LinkState,
     since: u64,
 }
 
@@ -18,7 +18,7 @@
     pub(crate) fn answer(&mut self, now: u64) -> bool {
         self.answered = Some(now);
         self.fails = 0;
-        self.stands(Standing::Up, now)
+        self.stands(LinkState::Up, now)
     }
 
     /// An answer failed to come; true if that changes how the link stands.
@@ -26,13 +26,13 @@
         self.fails = self.fails.saturating_add(1);
         let recent = self.answered.is_some_and(|at| now < at + LINK_DOWN_MS);
         match self.standing {
-            Standing::Down => false,
-            _ if self.fails >= LINK_FAILS && !recent => self.stands(Standing::Down, now),
-            _ => self.stands(Standing::Late, now),
+            LinkState::Down => false,
+            _ if self.fails >= LINK_FAILS && !recent => self.stands(LinkState::Down, now),
+            _ => self.stands(LinkState::Late, now),
         }
     }
 
-    fn stands(&mut self, standing: Standing, now: u64) -> bool {
+    fn stands(&mut self, standing: LinkState, now: u64) -> bool {
         let changed = self.standing != standing;
         if changed {
             (self.standing, self.since) = (standing, now);
@@ -41,13 +41,13 @@
     }
 
     /// How the link stands.
-    pub(crate) fn standing(&self) -> Standing {
+    pub(crate) fn standing(&self) -> LinkState {
         self.standing
     }
 
     /// True if nothing goes through.
     pub(crate) fn down(&self) -> bool {
-        self.standing == Standing::Down
+        self.standing == LinkState::Down
     }
 
     /// Since when it stands so, ms.
@@ -63,16 +63,16 @@
     #[test]
     fn one_lost_answer_is_late_two_are_down_and_one_answer_ends_it() {
         let mut g = FailureDetector::default();
-        assert_eq!(g.standing(), Standing::Unknown);
+        assert_eq!(g.standing(), LinkState::Unknown);
         assert!(g.answer(1_000));
         assert!(g.miss(5_000));
-        assert_eq!(g.standing(), Standing::Late);
+        assert_eq!(g.standing(), LinkState::Late);
         assert!(g.miss(6_000));
-        assert_eq!((g.standing(), g.since()), (Standing::Down, 6_000));
+        assert_eq!((g.standing(), g.since()), (LinkState::Down, 6_000));
         assert!(!g.miss(7_000));
         assert_eq!(g.since(), 6_000);
         assert!(g.answer(8_000));
-        assert_eq!(g.standing(), Standing::Up);
+        assert_eq!(g.standing(), LinkState::Up);
     }
 
     #[test]
@@ -82,7 +82,7 @@
         for _ in 0..9 {
             g.miss(1_000 + LINK_DOWN_MS - 1);
         }
-        assert_eq!(g.standing(), Standing::Late);
+        assert_eq!(g.standing(), LinkState::Late);
         g.miss(1_000 + LINK_DOWN_MS);
         assert!(g.down());
     }
--- a/crates/coordination/src/links/latency.rs
+++ b/crates/coordination/src/links/latency.rs
@@ -7,13 +7,13 @@
 
 /// Answer times of one link, in two windows.
 #[derive(Debug)]
-pub(crate) struct Times {
+pub(crate) struct LatencyWindow {
     now: Histogram<u64>,
     before: Histogram<u64>,
     began: u64,
 }
 
-impl Default for Times {
+impl Default for LatencyWindow {
     fn default() -> Self {
         // Two digits between 1 ms and the longest wait: some KiB. The bounds
         // are constants that the library accepts; `unwrap_or_else` names them.
@@ -28,7 +28,7 @@
     }
 }
 
-impl Times {
+impl LatencyWindow {
     /// An answer took so long.
     pub(crate) fn record(&mut self, ms: u64, now: u64) {
         self.turn(now);
@@ -64,7 +64,7 @@
 
     #[test]
     fn tells_of_the_last_windows_only() {
-        let mut t = Times::default();
+        let mut t = LatencyWindow::default();
         assert_eq!(t.spread(), None);
         for n in 0..100 {
             t.record(if n < 95 { 5 } else { 900 }, 1_000);
--- a/crates/coordination/src/links/mod.rs
+++ b/crates/coordination/src/links/mod.rs
@@ -16,31 +16,33 @@
 use tracing::info;
 
 use crate::machine::Timing;
-use crate::machine_health::Strays;
+use crate::machine_health::MisroutedHeartbeats;
 use failure_detector::FailureDetector;
-use latency::Times;
+use latency::LatencyWindow;
 use lemonweir_model::MachineId;
 use lemonweir_model::constants::*;
-use lemonweir_protocol::links::{EventRow, LINKS_VERSION, LinkRow, Service, Standing, Word};
-use relay::Carriage;
-use upstream_route::{Candidate, Outward};
+use lemonweir_protocol::links::{
+    AvailabilityGossip, EventRow, LINKS_VERSION, LinkRow, LinkState, Service,
+};
+use relay::RelayState;
+use upstream_route::{Candidate, UpstreamRoute};
 
 /// Another controller.
 #[derive(Debug, Default)]
 struct Peer {
     out: FailureDetector,
-    times: Times,
+    times: LatencyWindow,
     /// When a message last came from it.
     heard: Option<u64>,
     /// What it says of its links, and when it said so.
-    said: Option<(u64, Word)>,
+    said: Option<(u64, AvailabilityGossip)>,
     hail_at: u64,
     hailing: bool,
 }
 
 /// How a worker that is not ours is to be answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Stray {
+pub(crate) enum MisroutedHeartbeatAction {
     /// Its report goes to the owner through us.
     Carry,
     /// It shall report to its owner.
@@ -50,7 +52,7 @@
 }
 
 /// A worker's report that came for a part that another holds.
-pub(crate) struct StrayReport<'a> {
+pub(crate) struct MisroutedHeartbeat<'a> {
     /// The part.
     pub(crate) part: u16,
     /// Number of the controller that holds it.
@@ -72,18 +74,18 @@
     hosts: Vec<String>,
     report_ms: u64,
     wall_offset_ms: u64,
-    store: Outward,
-    cloud: Outward,
+    store: UpstreamRoute,
+    cloud: UpstreamRoute,
     /// Answer times of the services, on whatever way.
-    times: BTreeMap<Service, Times>,
+    times: BTreeMap<Service, LatencyWindow>,
     peers: Vec<Peer>,
     /// When a worker of each zone last came by itself.
     zones: BTreeMap<String, u64>,
     /// Workers' reports that came by themselves, so far.
     reports: u64,
-    carriage: Carriage,
+    carriage: RelayState,
     /// Machines of parts that others hold which reported to this node.
-    pub(crate) strays: Strays,
+    pub(crate) strays: MisroutedHeartbeats,
     /// When the last successful reading of the store began, by whatever way, ms.
     store_heard: Option<u64>,
     /// How long its last answer took, ms, as far as it was waited for.
@@ -102,15 +104,15 @@
             me,
             report_ms: timing.report_ms,
             wall_offset_ms,
-            store: Outward::default(),
-            cloud: Outward::default(),
+            store: UpstreamRoute::default(),
+            cloud: UpstreamRoute::default(),
             times: BTreeMap::new(),
             peers: hosts.iter().map(|_| Peer::default()).collect(),
             hosts,
             zones: BTreeMap::new(),
             reports: 0,
-            carriage: Carriage::default(),
-            strays: Strays::new(timing),
+            carriage: RelayState::default(),
+            strays: MisroutedHeartbeats::new(timing),
             store_heard: None,
             store_took: 0,
             others_heard: None,
@@ -204,12 +206,12 @@
         let mut others = (0..self.hosts.len() as u16)
             .filter(|h| *h != self.me)
             .peekable();
-        others.peek().is_some() && others.all(|h| self.peer(h, now) == Standing::Down)
+        others.peek().is_some() && others.all(|h| self.peer(h, now) == LinkState::Down)
     }
 
     // ---- services ------------------------------------------------------------
 
-    fn way(&mut self, service: Service) -> &mut Outward {
+    fn way(&mut self, service: Service) -> &mut UpstreamRoute {
         match service {
             Service::Store => &mut self.store,
             Service::Cloud => &mut self.cloud,
@@ -307,10 +309,10 @@
     // ---- controllers -----------------------------------------------------------
 
     /// What this node says of its links.
-    fn word(&self, now: u64) -> Word {
+    fn word(&self, now: u64) -> AvailabilityGossip {
         let age = |at: Option<u64>| at.map(|at| now.saturating_sub(at));
         let peers = (0..).zip(&self.peers).filter(|(host, _)| *host != self.me);
-        Word {
+        AvailabilityGossip {
             version: LINKS_VERSION,
             host: self.me,
             store_ms: age(self.store.word()),
@@ -333,7 +335,7 @@
     }
 
     /// Controllers that are to be told now, and what.
-    pub(crate) fn hails(&mut self, now: u64) -> Vec<(u16, Word)> {
+    pub(crate) fn hails(&mut self, now: u64) -> Vec<(u16, AvailabilityGossip)> {
         let me = self.me;
         let due: Vec<u16> = (0..)
             .zip(&self.peers)
@@ -341,7 +343,7 @@
             .map(|(h, _)| h)
             .collect();
         let word = if due.is_empty() {
-            Word::default()
+            AvailabilityGossip::default()
         } else {
             self.word(now)
         };
@@ -354,7 +356,13 @@
 
     /// Another controller answered what it was told, or did not. One of an
     /// earlier format answers without a word.
-    pub fn hailed(&mut self, host: u16, answered: bool, word: Option<Word>, now: u64) {
+    pub fn hailed(
+        &mut self,
+        host: u16,
+        answered: bool,
+        word: Option<AvailabilityGossip>,
+        now: u64,
+    ) {
         if let Some(peer) = self.peers.get_mut(usize::from(host)) {
             peer.hailing = false;
             if answered {
@@ -371,12 +379,12 @@
     }
 
     /// Another controller tells of its links; what is answered.
-    pub fn hail_in(&mut self, word: Word, now: u64) -> Word {
+    pub fn hail_in(&mut self, word: AvailabilityGossip, now: u64) -> AvailabilityGossip {
         self.said(word, now);
         self.word(now)
     }
 
-    fn said(&mut self, word: Word, now: u64) {
+    fn said(&mut self, word: AvailabilityGossip, now: u64) {
         if let Some(peer) = self
             .peers
             .get_mut(usize::from(word.host))
@@ -417,12 +425,14 @@
     }
 
     /// How the link to another controller stands.
-    pub(crate) fn peer(&self, host: u16, now: u64) -> Standing {
+    pub(crate) fn peer(&self, host: u16, now: u64) -> LinkState {
         let Some(peer) = self.peers.get(usize::from(host)) else {
-            return Standing::Unknown;
+            return LinkState::Unknown;
         };
         match peer.out.standing() {
-            Standing::Down if peer.heard.is_some_and(|at| now <= at + HEARD_MS) => Standing::OneWay,
+            LinkState::Down if peer.heard.is_some_and(|at| now <= at + HEARD_MS) => {
+                LinkState::OneWay
+            }
             standing => standing,
         }
     }
@@ -464,10 +474,10 @@
     }
 
     /// How to answer a worker whose part another controller holds.
-    pub(crate) fn stray(&mut self, r: &StrayReport, now: u64) -> Stray {
+    pub(crate) fn stray(&mut self, r: &MisroutedHeartbeat, now: u64) -> MisroutedHeartbeatAction {
         let (unheard_ms, reachable) = (
             self.unheard_ms(),
-            matches!(self.peer(r.holder, now), Standing::Up | Standing::Late),
+            matches!(self.peer(r.holder, now), LinkState::Up | LinkState::Late),
         );
         let word = self
             .peers
@@ -478,9 +488,9 @@
             // One that comes from the holder, or is back so soon, is not sent there
             // once more, but tries whoever is next: that may reach the holder.
             return if r.again || r.knows {
-                Stray::Unable
+                MisroutedHeartbeatAction::Unable
             } else {
-                Stray::Send
+                MisroutedHeartbeatAction::Send
             };
         };
         let heard = word
@@ -520,7 +530,7 @@
                 way.small.standing(),
                 way.small.since(),
                 carried,
-                self.times.get(&service).and_then(Times::spread),
+                self.times.get(&service).and_then(LatencyWindow::spread),
             ));
         }
         for (h, peer) in (0..).zip(&self.peers).filter(|(h, _)| *h != self.me) {
@@ -534,9 +544,9 @@
         }
         let zone_standing = |silent_ms: u64| {
             if silent_ms <= self.unheard_ms() {
-                Standing::Up
+                LinkState::Up
             } else {
-                Standing::Unknown
+                LinkState::Unknown
             }
         };
         for (zone, at) in &self.zones {
@@ -561,11 +571,11 @@
             };
             for service in [Service::Store, Service::Cloud] {
                 let age = word.age_ms(service);
-                let standing = age.map_or(Standing::Unknown, |ms| {
+                let standing = age.map_or(LinkState::Unknown, |ms| {
                     if ms <= fresh_ms(service) {
-                        Standing::Up
+                        LinkState::Up
                     } else {
-                        Standing::Down
+                        LinkState::Down
                     }
                 });
                 rows.push(row(name(service).to_owned(), standing, age.unwrap_or(0)));
--- a/crates/coordination/src/links/relay.rs
+++ b/crates/coordination/src/links/relay.rs
@@ -10,7 +10,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use super::{Stray, StrayReport};
+use super::{MisroutedHeartbeat, MisroutedHeartbeatAction};
 use lemonweir_model::MachineId;
 use lemonweir_model::constants::*;
 
@@ -29,29 +29,29 @@
 
 /// All that are carried.
 #[derive(Debug, Default)]
-pub(crate) struct Carriage {
+pub(crate) struct RelayState {
     riders: HashMap<MachineId, RelayedRequest>,
     /// When the next worker of a part's zone is sent to look.
     scouts: BTreeMap<(u16, String), u64>,
     swept: u64,
 }
 
-impl Carriage {
+impl RelayState {
     /// What to do with a worker that came, whose owner is in reach. `in_vain`: it
     /// can't reach that owner, whose token it shows or to whom it was sent a moment
     /// ago. `heard`: workers of its zone come to the owner by themselves, as that
     /// says.
     pub(crate) fn choose(
         &mut self,
-        r: &StrayReport,
+        r: &MisroutedHeartbeat,
         in_vain: bool,
         heard: bool,
         now: u64,
-    ) -> Stray {
+    ) -> MisroutedHeartbeatAction {
         self.sweep(now);
         if !in_vain {
             self.riders.remove(r.machine);
-            return Stray::Send;
+            return MisroutedHeartbeatAction::Send;
         }
         let Some(rider) = self.riders.get_mut(r.machine) else {
             self.riders.insert(
@@ -63,24 +63,24 @@
                     seen: now,
                 },
             );
-            return Stray::Carry;
+            return MisroutedHeartbeatAction::Carry;
         };
         rider.seen = now;
         if std::mem::take(&mut rider.tried) {
             rider.since = now;
             rider.carried_ms = (2 * rider.carried_ms).min(CARRIED_MOST_MS);
-            return Stray::Carry;
+            return MisroutedHeartbeatAction::Carry;
         }
         let scout = self
             .scouts
             .entry((r.part, r.zone.to_owned()))
             .or_insert(now);
         if now < rider.since + rider.carried_ms || !heard && now < *scout {
-            return Stray::Carry;
+            return MisroutedHeartbeatAction::Carry;
         }
         *scout = now + SCOUT_MS;
         rider.tried = true;
-        Stray::Send
+        MisroutedHeartbeatAction::Send
     }
 
     /// Number of workers carried of late.
@@ -105,10 +105,16 @@
 mod tests {
     use super::*;
 
-    fn come(c: &mut Carriage, machine: &str, in_vain: bool, heard: bool, now: u64) -> Stray {
+    fn come(
+        c: &mut RelayState,
+        machine: &str,
+        in_vain: bool,
+        heard: bool,
+        now: u64,
+    ) -> MisroutedHeartbeatAction {
         let machine = MachineId::from(machine);
         c.choose(
-            &StrayReport {
+            &MisroutedHeartbeat {
                 part: 0,
                 holder: 1,
                 zone: "north",
@@ -124,25 +130,39 @@
 
     #[test]
     fn who_comes_in_vain_is_carried_and_others_are_sent() {
-        let mut c = Carriage::default();
-        assert_eq!(come(&mut c, "n-1", false, true, 1_000), Stray::Send);
-        assert_eq!(come(&mut c, "n-2", true, true, 1_000), Stray::Carry);
+        let mut c = RelayState::default();
+        assert_eq!(
+            come(&mut c, "n-1", false, true, 1_000),
+            MisroutedHeartbeatAction::Send
+        );
+        assert_eq!(
+            come(&mut c, "n-2", true, true, 1_000),
+            MisroutedHeartbeatAction::Carry
+        );
         for at in [4_000, 7_000, 10_500] {
-            assert_eq!(come(&mut c, "n-2", true, true, at), Stray::Carry);
+            assert_eq!(
+                come(&mut c, "n-2", true, true, at),
+                MisroutedHeartbeatAction::Carry
+            );
         }
         assert_eq!(c.riders(10_500), 1);
-        assert_eq!(come(&mut c, "n-2", true, true, 13_000), Stray::Send);
+        assert_eq!(
+            come(&mut c, "n-2", true, true, 13_000),
+            MisroutedHeartbeatAction::Send
+        );
     }
 
     #[test]
     fn behind_a_cut_only_scouts_are_sent_and_all_once_the_owner_hears_the_zone() {
-        let mut c = Carriage::default();
+        let mut c = RelayState::default();
         let names: Vec<String> = (0..20).map(|n| format!("n-{n}")).collect();
         let mut now = 1_000;
         let mut sent = 0;
         while now < 61_000 {
             for name in &names {
-                sent += usize::from(come(&mut c, name, true, false, now) == Stray::Send);
+                sent += usize::from(
+                    come(&mut c, name, true, false, now) == MisroutedHeartbeatAction::Send,
+                );
             }
             now += 3_000;
         }
@@ -153,7 +173,10 @@
         for step in 0..8 {
             back += names
                 .iter()
-                .filter(|n| come(&mut c, n, true, true, now + step * 5_000) == Stray::Send)
+                .filter(|n| {
+                    come(&mut c, n, true, true, now + step * 5_000)
+                        == MisroutedHeartbeatAction::Send
+                })
                 .count();
         }
         assert!(back >= names.len(), "{back}");
@@ -161,18 +184,18 @@
 
     #[test]
     fn one_that_is_sent_in_vain_is_carried_for_longer_each_time() {
-        let mut c = Carriage::default();
+        let mut c = RelayState::default();
         let mut now = 1_000;
         let mut sent_at = Vec::new();
         // Its zone is heard, only this one can't get through.
         while sent_at.len() < 4 {
             match come(&mut c, "n-1", true, true, now) {
-                Stray::Send => {
+                MisroutedHeartbeatAction::Send => {
                     sent_at.push(now);
                     now += 5_000;
                 }
-                Stray::Carry => now += 2_000,
-                Stray::Unable => panic!("its owner is in reach"),
+                MisroutedHeartbeatAction::Carry => now += 2_000,
+                MisroutedHeartbeatAction::Unable => panic!("its owner is in reach"),
             }
         }
         let gaps: Vec<u64> = sent_at.windows(2).map(|w| w[1] - w[0]).collect();
--- a/crates/coordination/src/links/upstream_route.rs
+++ b/crates/coordination/src/links/upstream_route.rs
@@ -12,7 +12,7 @@
 
 /// The way to one service.
 #[derive(Debug, Default)]
-pub(crate) struct Outward {
+pub(crate) struct UpstreamRoute {
     pub(crate) small: FailureDetector,
     /// Requests of [`LARGE_BYTES`] and more.
     pub(crate) large: FailureDetector,
@@ -28,7 +28,7 @@
     fell_at: Option<u64>,
 }
 
-impl Outward {
+impl UpstreamRoute {
     /// When the service last answered by itself, ms.
     pub(crate) fn word(&self) -> Option<u64> {
         self.small.answered.max(self.large.answered)
@@ -127,8 +127,8 @@
 mod tests {
     use super::*;
 
-    fn fallen(now: u64) -> Outward {
-        let mut way = Outward::default();
+    fn fallen(now: u64) -> UpstreamRoute {
+        let mut way = UpstreamRoute::default();
         way.tried(false, true, now);
         way.tried(false, false, now + 2_000);
         assert!(way.tried(false, false, now + 2_500));
@@ -181,7 +181,7 @@
 
     #[test]
     fn large_requests_alone_are_carried_where_only_they_hang() {
-        let mut way = Outward::default();
+        let mut way = UpstreamRoute::default();
         way.tried(false, true, 1_000);
         way.tried(true, false, 3_000);
         way.tried(true, false, 4_500);
--- a/crates/coordination/src/machine.rs
+++ b/crates/coordination/src/machine.rs
@@ -4,10 +4,10 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-use crate::incarnation::WorkerSession;
+use crate::incarnation::WorkerIncarnation;
 use lemonweir_model::constants::*;
-use lemonweir_model::{AttemptId, Room};
-use lemonweir_protocol::peer::Cause;
+use lemonweir_model::{AttemptId, Resources};
+use lemonweir_protocol::peer::ExitCause;
 use lemonweir_protocol::worker::TaskPhase;
 
 /// Times that bound the owner's proofs, from the settings.
@@ -47,14 +47,14 @@
 
 /// A task seen on a machine.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) struct Seen {
+pub(super) struct ReportedTask {
     pub(super) phase: TaskPhase,
-    pub(super) cause: Option<Cause>,
+    pub(super) cause: Option<ExitCause>,
 }
 
 /// A machine set aside, until one task after a pause tells that it runs again.
 #[derive(Debug)]
-pub(super) struct Aside {
+pub(super) struct Quarantine {
     /// When the next trial may begin, ms.
     pub(super) until: u64,
     /// Trials that failed.
@@ -67,7 +67,7 @@
     pub(super) faulty: bool,
 }
 
-impl Aside {
+impl Quarantine {
     /// Set aside from now on.
     pub(super) fn new(faulty: bool, now: u64) -> Self {
         Self {
@@ -104,9 +104,9 @@
     pub(super) kind: String,
     pub(super) zone: String,
     pub(super) spot: bool,
-    pub(super) room: Room,
+    pub(super) room: Resources,
     /// What may be believed of it, and what has reached it.
-    pub(super) worker_session: WorkerSession,
+    pub(super) worker_session: WorkerIncarnation,
     /// Token of the newest order whose fate is unknown.
     pub(super) ambiguous: Option<u64>,
     /// When the last call of unknown fate that starts something was given up, ms, until
@@ -126,7 +126,7 @@
     pub(super) carried: Option<(u16, u64)>,
     /// Sessions up to this one have surely ended.
     pub(super) dead_session: u64,
-    pub(super) tasks: BTreeMap<AttemptId, Seen>,
+    pub(super) tasks: BTreeMap<AttemptId, ReportedTask>,
     /// Images with their sizes, most recently used first.
     pub(super) images: VecDeque<(String, u64)>,
     pub(super) notice: bool,
@@ -137,7 +137,7 @@
     pub(super) silent: bool,
     pub(super) closing: bool,
     /// Set aside on evidence of a fault.
-    pub(super) aside: Option<Aside>,
+    pub(super) aside: Option<Quarantine>,
     pub(super) releasing: bool,
     pub(super) release_wanted: bool,
     pub(super) renter: Option<u16>,
@@ -152,14 +152,21 @@
 
 impl Machine {
     /// `base`: the lowest token of its owner.
-    pub(super) fn new(kind: &str, zone: &str, spot: bool, room: Room, base: u64, now: u64) -> Self {
+    pub(super) fn new(
+        kind: &str,
+        zone: &str,
+        spot: bool,
+        room: Resources,
+        base: u64,
+        now: u64,
+    ) -> Self {
         Self {
             addr: None,
             kind: kind.to_owned(),
             zone: zone.to_owned(),
             spot,
             room,
-            worker_session: WorkerSession::new(base, now),
+            worker_session: WorkerIncarnation::new(base, now),
             ambiguous: None,
             lost_start: None,
             answered_with_starts: None,
@@ -190,7 +197,7 @@
     pub(super) fn open(&self) -> bool {
         !(self.notice || self.silent || self.overdue || self.closing || self.release_wanted)
             && self.worker_session.hears()
-            && self.aside.as_ref().is_none_or(Aside::open)
+            && self.aside.as_ref().is_none_or(Quarantine::open)
     }
 
     /// Nobody but a report or two that may be old tells of it.
--- a/crates/coordination/src/machine_health.rs
+++ b/crates/coordination/src/machine_health.rs
@@ -14,22 +14,22 @@
 
 use tracing::info;
 
-use crate::incarnation::SequenceNumber;
+use crate::incarnation::MessageSequence;
 use crate::machine::{Machine, Timing};
 use lemonweir_model::MachineId;
 use lemonweir_model::constants::*;
-use lemonweir_protocol::peer::Hidden;
+use lemonweir_protocol::peer::PartitionedZone;
 
 /// Machines of parts that others hold which reported to this node.
 #[derive(Debug)]
-pub(crate) struct Strays {
+pub(crate) struct MisroutedHeartbeats {
     /// ms for which a report counts.
     keep_ms: u64,
     /// When each came last, with its numbers.
-    by_part: BTreeMap<u16, HashMap<MachineId, (u64, SequenceNumber)>>,
+    by_part: BTreeMap<u16, HashMap<MachineId, (u64, MessageSequence)>>,
 }
 
-impl Strays {
+impl MisroutedHeartbeats {
     /// None yet; each counts for two report intervals.
     pub(crate) fn new(timing: &Timing) -> Self {
         Self {
@@ -45,7 +45,7 @@
         &mut self,
         part: u16,
         machine: &MachineId,
-        numbers: SequenceNumber,
+        numbers: MessageSequence,
         now: u64,
     ) -> (bool, bool) {
         let here = self.by_part.entry(part).or_default();
@@ -89,7 +89,7 @@
 
 /// How a machine stands as far as this owner can tell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Judgement {
+pub enum HealthVerdict {
     /// Nothing says that it ever ran.
     Booting,
     /// Heard within the usual time.
@@ -128,7 +128,7 @@
 
 /// What an owner knows of its zones.
 #[derive(Debug)]
-pub struct Sight {
+pub struct MachineFailureDetector {
     started: u64,
     timing: Timing,
     /// Silence from which on a machine is not in sight, ms.
@@ -136,7 +136,7 @@
     zones: BTreeMap<String, Zone>,
 }
 
-impl Sight {
+impl MachineFailureDetector {
     /// The sight of an owner that takes its part now.
     pub(crate) fn new(timing: Timing, silent_ms: u64, now: u64) -> Self {
         let silent_ms = silent_ms.max(2 * timing.report_ms + SILENT_SLACK_MS);
@@ -255,7 +255,7 @@
 
     /// The judgement of one machine. `rebuild_ms`: what booting a new one and
     /// fetching an image takes.
-    pub(crate) fn judge(&self, m: &Machine, rebuild_ms: u64, now: u64) -> Judgement {
+    pub(crate) fn judge(&self, m: &Machine, rebuild_ms: u64, now: u64) -> HealthVerdict {
         let fallback = Zone::default();
         let zone = self.zones.get(&m.zone).unwrap_or(&fallback);
         let ordinary_ms = self.timing.dead_after_ms() + 2 * self.silent_ms;
@@ -265,13 +265,13 @@
                 .only_heard_of()
                 .map_or(now, |(first, _)| first);
             return if now > first + ordinary_ms {
-                Judgement::GiveBack
+                HealthVerdict::GiveBack
             } else {
-                Judgement::Hearsay
+                HealthVerdict::Hearsay
             };
         }
         let Some(silence) = Self::silence(m, zone, now) else {
-            return Judgement::Booting;
+            return HealthVerdict::Booting;
         };
         // Its reports show that it was not taken. Work for it has ended with its
         // lease; until then it is waited for as for one that is silent.
@@ -282,14 +282,14 @@
                 ordinary_ms
             };
             return match now.saturating_sub(since.max(zone.floor)) {
-                ms if ms > patience => Judgement::GiveBack,
-                _ if silence <= self.silent_ms => Judgement::Deaf,
-                _ if zone.hidden.is_some() => Judgement::Hidden,
-                _ => Judgement::Silent,
+                ms if ms > patience => HealthVerdict::GiveBack,
+                _ if silence <= self.silent_ms => HealthVerdict::Deaf,
+                _ if zone.hidden.is_some() => HealthVerdict::Hidden,
+                _ => HealthVerdict::Silent,
             };
         }
         if silence <= self.silent_ms {
-            return Judgement::InSight;
+            return HealthVerdict::InSight;
         }
         // A spot machine that is silent was mostly taken without notice. An
         // ordinary one mostly lost its network: its tasks go on until their
@@ -299,12 +299,12 @@
             .only_heard_of()
             .is_some_and(|(_, last)| now <= last + self.silent_ms);
         let (patience, state) = match zone.hidden {
-            Some(_) => (self.wait_ms(m, zone, rebuild_ms), Judgement::Hidden),
-            None if m.spot && !heard_of => (self.silent_ms, Judgement::Silent),
-            None => (ordinary_ms, Judgement::Silent),
+            Some(_) => (self.wait_ms(m, zone, rebuild_ms), HealthVerdict::Hidden),
+            None if m.spot && !heard_of => (self.silent_ms, HealthVerdict::Silent),
+            None => (ordinary_ms, HealthVerdict::Silent),
         };
         if silence > patience {
-            Judgement::GiveBack
+            HealthVerdict::GiveBack
         } else {
             state
         }
@@ -323,10 +323,10 @@
     }
 
     /// Zones that are out of sight.
-    pub(crate) fn hidden(&self, now: u64) -> Vec<Hidden> {
+    pub(crate) fn hidden(&self, now: u64) -> Vec<PartitionedZone> {
         let told = |(name, z): (&String, &Zone)| {
             let since = z.hidden?;
-            Some(Hidden {
+            Some(PartitionedZone {
                 zone: name.clone(),
                 for_ms: now.saturating_sub(since),
                 over_in_ms: z.over_at.saturating_sub(now),
--- a/crates/coordination/src/owner/commands.rs
+++ b/crates/coordination/src/owner/commands.rs
@@ -14,12 +14,12 @@
     /// as when a process has no socket for it: an answer to a report prolongs
     /// the lease, so it carries every stop that is due, whatever calls were
     /// made. Only calls are spaced. A stop may be repeated (protocol page).
-    pub(super) fn orders(&mut self, machine: &MachineId, now: u64, by: Carrier) -> Vec<Order> {
+    pub(super) fn orders(&mut self, machine: &MachineId, now: u64, by: Carrier) -> Vec<Command> {
         let all_heard = self.all_heard();
         let Some(m) = self.machines.get(machine) else {
             return Vec::new();
         };
-        let order = |verb, id: &AttemptId, grace_s| Order {
+        let order = |verb, id: &AttemptId, grace_s| Command {
             verb,
             piece: id.piece(),
             attempt: id.attempt,
@@ -44,13 +44,13 @@
                         } else {
                             grace
                         };
-                        orders.push(order(Verb::Kill, id, Some(grace)));
+                        orders.push(order(CommandKind::Kill, id, Some(grace)));
                         killed.push(id.clone());
                     }
                 }
                 // Nobody wants it, and everybody has spoken.
                 None if seen.phase != TaskPhase::Exited && all_heard => {
-                    orders.push(order(Verb::Kill, id, Some(0)))
+                    orders.push(order(CommandKind::Kill, id, Some(0)))
                 }
                 // Guards against a start that is repeated after its attempt
                 // was forgotten, which would run it again.
@@ -59,7 +59,7 @@
                     && by.forgets()
                     && m.settled() =>
                 {
-                    orders.push(order(Verb::Forget, id, None))
+                    orders.push(order(CommandKind::Forget, id, None))
                 }
                 None => {}
             }
@@ -69,7 +69,7 @@
         if by.starts() && m.worker_session.may_start(self.word) && !self.starts_held {
             for (id, h) in self.here(machine) {
                 if h.awaits_start(id, m) {
-                    orders.push(order(Verb::Launch, id, None));
+                    orders.push(order(CommandKind::Launch, id, None));
                     started.push(id.clone());
                 }
             }
@@ -153,7 +153,7 @@
             calls.push(CommandCall {
                 machine: id.clone(),
                 addr,
-                commands: Commands {
+                commands: CommandsRequest {
                     token: m.worker_session.call(),
                     session: m.worker_session.session_to_ask(),
                     orders,
@@ -233,7 +233,12 @@
                 // on the machine is given a higher token, and until it shows
                 // that, nothing is concluded from an absence.
                 let sent = call.commands.token;
-                if call.commands.orders.iter().any(|o| o.verb == Verb::Launch) {
+                if call
+                    .commands
+                    .orders
+                    .iter()
+                    .any(|o| o.verb == CommandKind::Launch)
+                {
                     m.lost_start = Some(now);
                 }
                 m.ambiguous = Some(m.ambiguous.map_or(sent, |t| t.max(sent)));
@@ -246,7 +251,12 @@
     /// Takes back the notes of stops that may not have been executed: they are
     /// due again as soon as the machine may be called.
     fn untell(&mut self, call: &CommandCall) {
-        for o in call.commands.orders.iter().filter(|o| o.verb == Verb::Kill) {
+        for o in call
+            .commands
+            .orders
+            .iter()
+            .filter(|o| o.verb == CommandKind::Kill)
+        {
             if let Some(h) =
                 AttemptId::parse(&o.piece, o.attempt).and_then(|id| self.held.get_mut(&id))
             {
@@ -268,7 +278,7 @@
             .commands
             .orders
             .iter()
-            .filter(|o| o.verb == Verb::Launch)
+            .filter(|o| o.verb == CommandKind::Launch)
         {
             if let Some(id) = AttemptId::parse(&o.piece, o.attempt)
                 && let Some(h) = self.held.get_mut(&id)
--- a/crates/coordination/src/owner/maintenance.rs
+++ b/crates/coordination/src/owner/maintenance.rs
@@ -5,12 +5,12 @@
 
 /// A machine that is not worth keeping once it is empty.
 pub(super) fn hopeless(m: &Machine) -> bool {
-    m.notice || m.aside.as_ref().is_some_and(Aside::hopeless)
+    m.notice || m.aside.as_ref().is_some_and(Quarantine::hopeless)
 }
 
 impl Owner {
     /// Takes what a renter or the list says of a machine; `None`: it is gone.
-    fn introduce(&mut self, said: &Rented, now: u64) -> Option<&mut Machine> {
+    fn introduce(&mut self, said: &ProvisionedInstance, now: u64) -> Option<&mut Machine> {
         if self.gone.contains(&said.machine) {
             return None;
         }
@@ -40,7 +40,7 @@
     }
 
     /// A placer rented a machine.
-    pub(super) fn expect(&mut self, rented: &Rented, renter: u16, now: u64) {
+    pub(super) fn expect(&mut self, rented: &ProvisionedInstance, renter: u16, now: u64) {
         if let Some(m) = self.introduce(rented, now) {
             m.renter = Some(renter);
             self.stale.insert(rented.machine.clone());
@@ -48,10 +48,10 @@
     }
 
     /// A page of the rental list, reduced to this part's machines.
-    pub fn listed(&mut self, entries: &[RentalEntry], now: u64) {
+    pub fn listed(&mut self, entries: &[InstanceEntry], now: u64) {
         self.listed_at = now;
         for e in entries {
-            let said = Rented {
+            let said = ProvisionedInstance {
                 machine: e.id.clone(),
                 kind: e.kind.clone(),
                 zone: e.zone.clone(),
@@ -130,7 +130,7 @@
             let boot_ms = self.boots.usual_ms(&m.kind, &m.zone, m.spot, listed_ms);
             let restart = boot_ms + m.fetch_ms(self.fetch.get(&m.kind).copied());
             let judgement = self.sight.judge(m, restart, now);
-            let silent = matches!(judgement, Judgement::Silent | Judgement::Hidden);
+            let silent = matches!(judgement, HealthVerdict::Silent | HealthVerdict::Hidden);
             if let Some(aside) = m.aside.as_mut().filter(|a| !a.ready && now >= a.until) {
                 aside.ready = true;
                 self.stale.insert(id.clone());
@@ -145,15 +145,15 @@
                 .booked
                 .max(self.started.saturating_sub(patience))
                 .max(m.since.saturating_sub(patience));
-            let unborn =
-                judgement == Judgement::Booting && now > since + patience + self.timing.lease_ms;
+            let unborn = judgement == HealthVerdict::Booting
+                && now > since + patience + self.timing.lease_ms;
             if sure
-                && judgement == Judgement::Booting
+                && judgement == HealthVerdict::Booting
                 && now > since + self.boots.overdue_ms(&m.kind, &m.zone, m.spot, listed_ms)
             {
                 late.push((since, id.clone(), m.overdue));
             }
-            if sure && (unborn || judgement == Judgement::GiveBack) {
+            if sure && (unborn || judgement == HealthVerdict::GiveBack) {
                 let why = if unborn { "never came up" } else { "is silent" };
                 info!(machine = %id, part = self.part, why, "machine is given back");
                 m.release_wanted = true;
@@ -175,7 +175,8 @@
                     dead.push(id.clone());
                 }
             }
-            if !sure || silent || judgement == Judgement::Deaf || self.sight.recovering(m, now) {
+            if !sure || silent || judgement == HealthVerdict::Deaf || self.sight.recovering(m, now)
+            {
                 // What is out of sight is not idle, nor what has just come back.
                 continue;
             }
@@ -237,7 +238,7 @@
                     "",
                     "",
                     false,
-                    Room::default(),
+                    Resources::default(),
                     self.token << FENCE_BITS,
                     now,
                 );
@@ -298,7 +299,7 @@
         self.summed_at = now;
         self.refresh();
         let (mut up, mut empty, mut spot, mut free, mut free_in_use) =
-            (0, 0, 0, Room::default(), Room::default());
+            (0, 0, 0, Resources::default(), Resources::default());
         for view in self
             .machines
             .keys()
@@ -313,7 +314,7 @@
                 free_in_use = free_in_use.plus(&view.free);
             }
         }
-        let gpus = |room: Room| room.gpus / 1000;
+        let gpus = |room: Resources| room.gpus / 1000;
         info!(
             part = self.part,
             machines = self.machines.len(),
@@ -395,12 +396,12 @@
         now: u64,
         value_bytes: usize,
         pages: usize,
-    ) -> Vec<(usize, Option<ImagesRecord>)> {
+    ) -> Vec<(usize, Option<ImageLocationsRecord>)> {
         if now < self.noted_at + IMAGES_EVERY_MS {
             return Vec::new();
         }
         self.noted_at = now;
-        let mut all = vec![ImagesRecord::default()];
+        let mut all = vec![ImageLocationsRecord::default()];
         let mut bytes = 0;
         for (id, m) in self.machines.iter().filter(|(_, m)| !m.images.is_empty()) {
             let names: usize = m
@@ -409,7 +410,7 @@
                 .map(|(name, _)| name.len() + IMAGE_NAME_BYTES)
                 .sum();
             if bytes + names + IMAGE_NOTE_BYTES > value_bytes {
-                all.push(ImagesRecord::default());
+                all.push(ImageLocationsRecord::default());
                 bytes = 0;
             }
             let Some(page) = all.last_mut() else { break };
@@ -445,7 +446,7 @@
     }
 
     /// Takes the note of an earlier owner, page by page.
-    pub fn learn_images(&mut self, pages: Vec<ImagesRecord>) {
+    pub fn learn_images(&mut self, pages: Vec<ImageLocationsRecord>) {
         for page in &pages {
             for (id, have) in &page.m {
                 let images = have
--- a/crates/coordination/src/owner/mod.rs
+++ b/crates/coordination/src/owner/mod.rs
@@ -27,21 +27,23 @@
 
 use crate::boot_time::BootTimes;
 use crate::change_log::ChangeLog;
-use crate::fault_attribution::{FaultAttribution, Verdict};
-use crate::incarnation::{Freshness, Origin, SequenceNumber};
+use crate::fault_attribution::{FaultAttribution, FaultVerdict};
+use crate::incarnation::{Freshness, MessageSequence, Origin};
 pub use crate::machine::Timing;
-use crate::machine::{Aside, Machine, Seen};
-use crate::machine_health::{Judgement, Sight};
+use crate::machine::{Machine, Quarantine, ReportedTask};
+use crate::machine_health::{HealthVerdict, MachineFailureDetector};
 use lemonweir_model::constants::*;
 use lemonweir_model::policy::Policy;
-use lemonweir_model::{AttemptId, MachineId, Rank, Room};
-use lemonweir_protocol::cloud::RentalEntry;
+use lemonweir_model::{AttemptId, MachineId, Priority, Resources};
+use lemonweir_protocol::cloud::InstanceEntry;
 use lemonweir_protocol::peer::{
-    AttemptView, Cause, Follow, MachineView, Rented, Standing, Superseded, Sync, View, Want,
-    written,
+    AttemptState, AttemptStatus, Continuation, DesiredAttempt, ExitCause, MachineView,
+    ProvisionedInstance, ShardView, Superseded, SyncRequest, written,
 };
-use lemonweir_protocol::worker::{Commands, Order, Report, ReportReply, TaskPhase, Verb};
-use lemonweir_storage::records::ImagesRecord;
+use lemonweir_protocol::worker::{
+    Command, CommandKind, CommandsRequest, Heartbeat, HeartbeatResponse, TaskPhase,
+};
+use lemonweir_storage::records::ImageLocationsRecord;
 
 /// What orders go out with.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -81,14 +83,14 @@
     /// Has room. `sent`: session that a start order went out to.
     Accepted { sent: Option<u64>, seen: bool },
     /// Over.
-    Ended(Standing),
+    Ended(AttemptState),
 }
 
 #[derive(Debug)]
 struct Held {
     from: u16,
     /// What its placer says of it; refreshed by every sync.
-    want: Want,
+    want: DesiredAttempt,
     /// Set when it is pushed out: seconds of grace.
     evicted: Option<u32>,
     killed_at: Option<u64>,
@@ -129,7 +131,7 @@
     /// Attempts that a state told anew has not named yet.
     unnamed: HashSet<AttemptId>,
     /// How its attempts stand.
-    told: ChangeLog<AttemptId, Standing>,
+    told: ChangeLog<AttemptId, AttemptState>,
 }
 
 /// A call to a worker that the process has to make.
@@ -140,7 +142,7 @@
     /// Its address.
     pub addr: SocketAddr,
     /// What to send.
-    pub commands: Commands,
+    pub commands: CommandsRequest,
     /// Number of the controller through which it goes, if not by itself.
     pub through: Option<u16>,
 }
@@ -149,9 +151,9 @@
 #[derive(Debug)]
 pub enum CommandResult {
     /// Executed; the report that came back.
-    Executed(Report),
+    Executed(Heartbeat),
     /// Refused: the token or session was not right; the report.
-    Refused(Report),
+    Refused(Heartbeat),
     /// Surely not sent.
     NotSent,
     /// May have been executed, or may be later.
@@ -160,7 +162,7 @@
 
 /// Why a sync was not taken.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
-pub enum SyncRefusal {
+pub enum SyncError {
     /// Meant for another owner of this part, or from a past owner of its own.
     #[error("token out of date")]
     Token,
@@ -183,7 +185,7 @@
     timing: Timing,
     policy: Policy,
     parts: u16,
-    rooms: BTreeMap<String, Room>,
+    rooms: BTreeMap<String, Resources>,
     boot_ms: BTreeMap<String, u64>,
     caches: BTreeMap<String, u64>,
     /// Image fetch, GB/s, by type.
@@ -202,7 +204,7 @@
     gone: HashSet<MachineId>,
     /// Images that an earlier owner noted.
     earlier: BTreeMap<MachineId, VecDeque<(String, u64)>>,
-    noted: Vec<ImagesRecord>,
+    noted: Vec<ImageLocationsRecord>,
     noted_at: u64,
     /// Images that services use, and machines with the last copy of one in their zone,
     /// as of when that was looked at, ms.
@@ -218,7 +220,7 @@
     strays: BTreeMap<u16, (u32, u64)>,
     /// When the cloud's list was last read.
     listed_at: u64,
-    sight: Sight,
+    sight: MachineFailureDetector,
     /// Whose fault failures were.
     faults: FaultAttribution,
     /// How long machines take to come up.
@@ -285,7 +287,7 @@
             missing: BTreeMap::new(),
             strays: BTreeMap::new(),
             listed_at: 0,
-            sight: Sight::new(timing, policy.silent_ms, now),
+            sight: MachineFailureDetector::new(timing, policy.silent_ms, now),
             faults: FaultAttribution::default(),
             boots: BootTimes::default(),
             inherited_judged: false,
@@ -411,10 +413,10 @@
 
     /// True if a report tells how its machine is now: only that shows that its zone's
     /// workers come here.
-    pub(crate) fn is_news(&self, report: &Report) -> bool {
+    pub(crate) fn is_news(&self, report: &Heartbeat) -> bool {
         let freshness = |m: &Machine| {
             m.worker_session.weigh(
-                SequenceNumber::of(report),
+                MessageSequence::of(report),
                 report.token,
                 Origin::Report(None),
             )
@@ -428,7 +430,12 @@
 
     /// A report came in, `by` another controller or by itself; `None` means that
     /// it must not be answered with 200.
-    pub fn report(&mut self, report: &Report, by: Option<u16>, now: u64) -> Option<ReportReply> {
+    pub fn report(
+        &mut self,
+        report: &Heartbeat,
+        by: Option<u16>,
+        now: u64,
+    ) -> Option<HeartbeatResponse> {
         if self.gone.contains(&report.machine) {
             return None;
         }
@@ -444,7 +451,7 @@
             return None;
         }
         m.worker_session
-            .answered(SequenceNumber::of(report), report.token, by, now);
+            .answered(MessageSequence::of(report), report.token, by, now);
         if newer || m.heard.is_none() {
             // Orders go the way that the newest report came.
             m.carried = by.map(|carrier| (carrier, m.carried.map_or(now, |(_, since)| since)));
@@ -462,19 +469,19 @@
         };
         let orders = self.orders(&report.machine, now, by);
         let m = self.machines.get_mut(&report.machine)?;
-        if orders.iter().any(|o| o.verb == Verb::Launch) {
+        if orders.iter().any(|o| o.verb == CommandKind::Launch) {
             m.answered_with_starts = Some(report.seq);
         }
-        Some(ReportReply {
+        Some(HeartbeatResponse {
             token: m.worker_session.answer_token(),
             orders,
         })
     }
 
     /// Takes a report of any origin; true if it tells how its machine is now.
-    fn take_report(&mut self, report: &Report, origin: Origin, now: u64) -> bool {
+    fn take_report(&mut self, report: &Heartbeat, origin: Origin, now: u64) -> bool {
         let room = self.rooms.get(&report.kind).copied().unwrap_or_default();
-        let (base, numbers) = (self.base(), SequenceNumber::of(report));
+        let (base, numbers) = (self.base(), MessageSequence::of(report));
         let (missing, earlier) = (&self.missing, &self.earlier);
         let m = self
             .machines
@@ -577,10 +584,10 @@
             match AttemptId::parse(&t.piece, t.attempt) {
                 Some(id) => {
                     let cause =
-                        (t.phase == TaskPhase::Exited).then(|| Cause::read(t.cause.as_deref()));
+                        (t.phase == TaskPhase::Exited).then(|| ExitCause::read(t.cause.as_deref()));
                     m.tasks.insert(
                         id,
-                        Seen {
+                        ReportedTask {
                             phase: t.phase,
                             cause,
                         },
--- a/crates/coordination/src/owner/orphaned_grants.rs
+++ b/crates/coordination/src/owner/orphaned_grants.rs
@@ -1,7 +1,7 @@
 //! Room that a placer asked for and will never use: it has lost its part.
 
 use super::*;
-use lemonweir_storage::state_cache::Holder;
+use lemonweir_storage::state_cache::ShardLeader;
 
 impl Owner {
     /// Learns from a reading of the store at `revision` who holds the parts. A
@@ -9,7 +9,7 @@
     ///
     /// Guards against taking a part for lost that was taken after the reading: the
     /// reading must be at least as new as the token.
-    pub fn watch_placers(&mut self, holders: &BTreeMap<u16, Holder>, revision: u64, now: u64) {
+    pub fn watch_placers(&mut self, holders: &BTreeMap<u16, ShardLeader>, revision: u64, now: u64) {
         for (part, asker) in &mut self.askers {
             let lost =
                 revision >= asker.token && holders.get(part).is_none_or(|h| h.token != asker.token);
@@ -69,10 +69,10 @@
                 continue;
             };
             info!(attempt = %id, machine = %held.want.machine, part = self.part, "its placer is gone; its room is free");
-            held.stage = Stage::Ended(Standing::Refused);
+            held.stage = Stage::Ended(AttemptState::Refused);
             let (machine, from) = (held.want.machine.clone(), held.from);
             self.dirty.insert(from);
-            self.note_end(&machine, &id, Standing::Refused, now);
+            self.note_end(&machine, &id, AttemptState::Refused, now);
             self.judge(&machine, now);
         }
     }
--- a/crates/coordination/src/owner/preemption.rs
+++ b/crates/coordination/src/owner/preemption.rs
@@ -25,13 +25,13 @@
         let claimed = self
             .here(&want.machine)
             .filter(|(_, h)| matches!(h.stage, Stage::Waiting(_)))
-            .fold(Room::default(), |s, (_, h)| s.plus(&h.want.need));
+            .fold(Resources::default(), |s, (_, h)| s.plus(&h.want.need));
         let staying = self
             .here(&want.machine)
             .filter(|(_, h)| matches!(h.stage, Stage::Accepted { .. }) && h.ending().is_none())
-            .fold(Room::default(), |s, (_, h)| s.plus(&h.want.need));
+            .fold(Resources::default(), |s, (_, h)| s.plus(&h.want.need));
         let mut free = m.room.minus(&claimed.plus(&staying));
-        let mut candidates: Vec<(bool, Rank, bool, u64, AttemptId, Room)> = self
+        let mut candidates: Vec<(bool, Priority, bool, u64, AttemptId, Resources)> = self
             .here(&want.machine)
             .filter(|(_, h)| matches!(h.stage, Stage::Accepted { .. }) && h.ending().is_none())
             .filter(|(_, h)| want.evict.allows(&want.team, want.rank, &h.want))
@@ -59,7 +59,7 @@
         for victim in victims {
             if let Some(h) = self.held.get_mut(&victim) {
                 info!(attempt = %victim, machine = %want.machine, part = self.part, by = %id, "pushed out");
-                let grace = if want.rank == Rank::Production {
+                let grace = if want.rank == Priority::Production {
                     0
                 } else {
                     h.want.grace
@@ -80,21 +80,21 @@
     }
 
     /// Room not taken by the accepted attempts other than this one.
-    pub(super) fn room_without(&self, machine: &MachineId, id: &AttemptId) -> Room {
+    pub(super) fn room_without(&self, machine: &MachineId, id: &AttemptId) -> Resources {
         let Some(m) = self.machines.get(machine).filter(|m| !self.crowded(m)) else {
-            return Room::default();
+            return Resources::default();
         };
         let taken = self
             .here(machine)
             .filter(|(other, h)| *other != id && matches!(h.stage, Stage::Accepted { .. }))
-            .fold(Room::default(), |sum, (_, h)| sum.plus(&h.want.need));
+            .fold(Resources::default(), |sum, (_, h)| sum.plus(&h.want.need));
         m.room.minus(&taken)
     }
 
     /// Room of the attempts that each priority may push out, without and with
     /// what teams run beyond their guarantees.
-    pub(super) fn soft(&self, machine: &MachineId) -> ([Room; 3], [Room; 3]) {
-        let (mut lower, mut over) = ([Room::default(); 3], [Room::default(); 3]);
+    pub(super) fn soft(&self, machine: &MachineId) -> ([Resources; 3], [Resources; 3]) {
+        let (mut lower, mut over) = ([Resources::default(); 3], [Resources::default(); 3]);
         for (_, h) in self
             .here(machine)
             .filter(|(_, h)| matches!(h.stage, Stage::Accepted { .. }) && h.ending().is_none())
@@ -105,7 +105,9 @@
                     lower[rank] = lower[rank].plus(&h.want.need);
                 }
                 if below
-                    || h.want.over && h.want.rank.index() == rank && h.want.rank != Rank::Production
+                    || h.want.over
+                        && h.want.rank.index() == rank
+                        && h.want.rank != Priority::Production
                 {
                     over[rank] = over[rank].plus(&h.want.need);
                 }
@@ -116,9 +118,9 @@
 
     /// Room not taken by accepted attempts. Tasks that nobody has claimed yet
     /// have unknown needs, so a machine with such a task has no room.
-    pub(super) fn free(&self, machine: &MachineId) -> Room {
+    pub(super) fn free(&self, machine: &MachineId) -> Resources {
         let Some(m) = self.machines.get(machine).filter(|m| !self.crowded(m)) else {
-            return Room::default();
+            return Resources::default();
         };
         self.here(machine)
             .filter(|(_, h)| matches!(h.stage, Stage::Accepted { .. } | Stage::Waiting(_)))
--- a/crates/coordination/src/owner/proof.rs
+++ b/crates/coordination/src/owner/proof.rs
@@ -39,7 +39,7 @@
         let machine = held.want.machine.clone();
         let mut stage = self.next_stage(id, held, now);
         if held.stage == Stage::Unjudged
-            && stage == Stage::Ended(Standing::Refused)
+            && stage == Stage::Ended(AttemptState::Refused)
             && self.push_out(id, now)
         {
             stage = Stage::Waiting(now);
@@ -57,7 +57,7 @@
         // shows that the machine has the image.
         let past_fetch = |m: &Machine| {
             m.tasks.get(id).is_some_and(|t| {
-                t.cause == Some(Cause::Done)
+                t.cause == Some(ExitCause::Done)
                     || !matches!(t.phase, TaskPhase::Fetching | TaskPhase::Exited)
             })
         };
@@ -94,7 +94,11 @@
             }
         ) {
             // Idle work is always there: it does not tell that the part is busy.
-            if self.held.get(id).is_some_and(|h| h.want.rank != Rank::Low) {
+            if self
+                .held
+                .get(id)
+                .is_some_and(|h| h.want.rank != Priority::Low)
+            {
                 self.accepted_at = now;
             }
             // Guards against a whole array on a machine that is on trial.
@@ -109,7 +113,7 @@
         }
         if let Stage::Ended(standing) = stage {
             info!(attempt = %id, machine = %machine, part = self.part, ?standing, "attempt is over");
-            self.refused += u64::from(standing == Standing::Refused);
+            self.refused += u64::from(standing == AttemptState::Refused);
             self.note_end(&machine, id, standing, now);
         }
         self.dirty.insert(from);
@@ -120,12 +124,12 @@
 
     pub(super) fn next_stage(&self, id: &AttemptId, held: &Held, now: u64) -> Stage {
         if self.gone.contains(&held.want.machine) {
-            return Stage::Ended(Standing::Gone);
+            return Stage::Ended(AttemptState::Gone);
         }
         let inherited = self.sight.inherited_over(self.word);
         let when = |over: bool| {
             if over {
-                Stage::Ended(Standing::Gone)
+                Stage::Ended(AttemptState::Gone)
             } else {
                 held.stage
             }
@@ -144,7 +148,7 @@
         }
         if let Some(seen) = m.tasks.get(id) {
             return match seen.cause {
-                Some(cause) => Stage::Ended(Standing::Exited(cause)),
+                Some(cause) => Stage::Ended(AttemptState::Exited(cause)),
                 None => Stage::Accepted {
                     sent: Some(m.worker_session.session()),
                     seen: true,
@@ -157,7 +161,7 @@
             return held.stage;
         }
         match held.stage {
-            Stage::Unjudged if held.ending().is_some() => Stage::Ended(Standing::Gone),
+            Stage::Unjudged if held.ending().is_some() => Stage::Ended(AttemptState::Gone),
             Stage::Unjudged => {
                 let fits = m.open()
                     && m.worker_session.session() > m.dead_session
@@ -168,16 +172,16 @@
                         seen: false,
                     }
                 } else {
-                    Stage::Ended(Standing::Refused)
+                    Stage::Ended(AttemptState::Refused)
                 }
             }
-            Stage::Waiting(_) if held.ending().is_some() => Stage::Ended(Standing::Gone),
+            Stage::Waiting(_) if held.ending().is_some() => Stage::Ended(AttemptState::Gone),
             Stage::Waiting(since) => {
                 if !m.open()
                     || m.worker_session.session() <= m.dead_session
                     || now > since + EVICT_WAIT_MS
                 {
-                    return Stage::Ended(Standing::Refused);
+                    return Stage::Ended(AttemptState::Refused);
                 }
                 // Its own claim is part of what is taken.
                 let free = self.room_without(&held.want.machine, id);
@@ -191,19 +195,19 @@
                 }
             }
             Stage::Accepted { sent: None, .. } if held.ending().is_some() => {
-                Stage::Ended(Standing::Gone)
+                Stage::Ended(AttemptState::Gone)
             }
             Stage::Accepted { sent: None, .. } if m.dead(self.word, &self.timing) => {
-                Stage::Ended(Standing::Gone)
+                Stage::Ended(AttemptState::Gone)
             }
             // It would wait for a machine that hears nothing; nothing was sent.
             Stage::Accepted { sent: None, .. } if m.worker_session.deaf_since().is_some() => {
-                Stage::Ended(Standing::Gone)
+                Stage::Ended(AttemptState::Gone)
             }
             Stage::Accepted {
                 sent: Some(session),
                 ..
-            } if session < m.worker_session.session() => Stage::Ended(Standing::Gone),
+            } if session < m.worker_session.session() => Stage::Ended(AttemptState::Gone),
             // Guards against a start that a new life took which nobody has heard yet: its
             // lease began after our last answer, though before the call.
             Stage::Accepted {
@@ -217,7 +221,7 @@
                 // Guards against a start order that arrives late: only a
                 // machine with no order of unknown fate proves absence.
                 if seen || held.ending().is_some() {
-                    Stage::Ended(Standing::Gone)
+                    Stage::Ended(AttemptState::Gone)
                 } else {
                     Stage::Accepted {
                         sent: None,
@@ -234,19 +238,21 @@
         &mut self,
         machine: &MachineId,
         id: &AttemptId,
-        standing: Standing,
+        standing: AttemptState,
         now: u64,
     ) {
         let touched = match standing {
-            Standing::Exited(Cause::Error) => self.faults.failed(&id.job, machine, now).machines,
-            Standing::Exited(Cause::Done) => {
+            AttemptState::Exited(ExitCause::Error) => {
+                self.faults.failed(&id.job, machine, now).machines
+            }
+            AttemptState::Exited(ExitCause::Done) => {
                 let since = self.held.get(id).and_then(|h| h.ran).unwrap_or(now);
                 self.faults.ran(&id.job, machine, since).machines
             }
             _ => BTreeSet::from([machine.clone()]),
         };
-        let own_fault =
-            standing == Standing::Exited(Cause::Error) && self.faults.suspect(&id.job).is_none();
+        let own_fault = standing == AttemptState::Exited(ExitCause::Error)
+            && self.faults.suspect(&id.job).is_none();
         if let Some(aside) = self
             .machines
             .get_mut(machine)
@@ -283,16 +289,16 @@
                 continue;
             };
             match (&mut m.aside, verdict) {
-                (None, Verdict::Sound) => continue,
-                (Some(_), Verdict::Sound) => {
+                (None, FaultVerdict::Sound) => continue,
+                (Some(_), FaultVerdict::Sound) => {
                     info!(machine = %id, part = self.part, "machine is taken up again");
                     m.aside = None;
                 }
-                (Some(aside), verdict) => aside.faulty = verdict == Verdict::Faulty,
+                (Some(aside), verdict) => aside.faulty = verdict == FaultVerdict::Faulty,
                 (None, verdict) => {
                     let jobs = self.faults.against(&id);
                     warn!(machine = %id, part = self.part, ?verdict, ?jobs, "machine fails its tasks; set aside");
-                    m.aside = Some(Aside::new(verdict == Verdict::Faulty, now));
+                    m.aside = Some(Quarantine::new(verdict == FaultVerdict::Faulty, now));
                 }
             }
             self.stale.insert(id);
--- a/crates/coordination/src/owner/reconciliation.rs
+++ b/crates/coordination/src/owner/reconciliation.rs
@@ -5,21 +5,26 @@
 impl Owner {
     /// A placer says what it wants; the answer is what it lacks of this part's
     /// state, in `room` bytes.
-    pub fn sync(&mut self, sync: &Sync, room: usize, now: u64) -> Result<View, SyncRefusal> {
+    pub fn sync(
+        &mut self,
+        sync: &SyncRequest,
+        room: usize,
+        now: u64,
+    ) -> Result<ShardView, SyncError> {
         if sync.to_token != self.token {
-            return Err(SyncRefusal::Token);
+            return Err(SyncError::Token);
         }
         if sync.from >= self.parts {
-            return Err(SyncRefusal::Part);
+            return Err(SyncError::Part);
         }
         let asker = self.askers.entry(sync.from).or_default();
         if sync.from_token < asker.token {
-            return Err(SyncRefusal::Token);
+            return Err(SyncError::Token);
         }
         // Guards against a held-back message that asks again for an attempt
         // whose end was already answered.
         if sync.from_token == asker.token && sync.seq <= asker.seq {
-            return Err(SyncRefusal::Stale);
+            return Err(SyncError::Stale);
         }
         if sync.from_token > asker.token {
             // Guards against going on from what an earlier placer of that part
@@ -50,17 +55,17 @@
 
     /// Takes the changes of a placer's wants; tells the state that we now have
     /// of them, 0 if something is missing between.
-    pub(super) fn take_wants(&mut self, sync: &Sync, now: u64) -> u64 {
+    pub(super) fn take_wants(&mut self, sync: &SyncRequest, now: u64) -> u64 {
         let Some(asker) = self.askers.get_mut(&sync.from) else {
             return 0;
         };
         match sync.span.follows(asker.at) {
-            Some(Follow::Anew) => {
+            Some(Continuation::Anew) => {
                 asker.at = 0;
                 asker.complete = false;
                 asker.unnamed = asker_attempts(&self.held, sync.from);
             }
-            Some(Follow::On) => {}
+            Some(Continuation::On) => {}
             None => return 0,
         }
         asker.at = asker.at.max(sync.span.upto);
@@ -123,7 +128,7 @@
                 // Guards against a late go of a placer that has lost its part: its
                 // successor decides what becomes of the gang.
                 let go = w.go && (held.want.go || !lost);
-                held.want = Want { go, ..w.clone() };
+                held.want = DesiredAttempt { go, ..w.clone() };
             }
             touched.insert(w.machine.clone());
             match self.machines.get_mut(&w.machine) {
@@ -190,30 +195,30 @@
         }
     }
 
-    pub(super) fn standing(&self, id: &AttemptId, held: &Held) -> Option<Standing> {
+    pub(super) fn standing(&self, id: &AttemptId, held: &Held) -> Option<AttemptState> {
         Some(match held.stage {
             Stage::Unjudged => return None,
             Stage::Ended(standing) => standing,
             // A gang has room only once those who were pushed out for it are gone:
             // until then none of it is launched.
             Stage::Waiting(_) if !held.want.go => return None,
-            Stage::Waiting(_) => Standing::Accepted,
+            Stage::Waiting(_) => AttemptState::Accepted,
             Stage::Accepted { .. } => match self
                 .machines
                 .get(&held.want.machine)
                 .and_then(|m| m.tasks.get(id))
                 .map(|s| s.phase)
             {
-                Some(TaskPhase::Running | TaskPhase::Saving) => Standing::Running,
-                Some(_) => Standing::Preparing,
-                None => Standing::Accepted,
+                Some(TaskPhase::Running | TaskPhase::Saving) => AttemptState::Running,
+                Some(_) => AttemptState::Preparing,
+                None => AttemptState::Accepted,
             },
         })
     }
 
     /// What an asker lacks of this part's state. Ends and grants go first: they
     /// are what its tasks wait for.
-    pub(super) fn view(&mut self, sync: &Sync, mut room: usize) -> View {
+    pub(super) fn view(&mut self, sync: &SyncRequest, mut room: usize) -> ShardView {
         self.refresh();
         if self.askers.len() >= usize::from(self.parts) {
             // A placer that comes anew is told all from nothing.
@@ -227,7 +232,7 @@
         let attempts = attempts
             .into_iter()
             .filter_map(|(id, s)| {
-                s.map(|&standing| AttemptView {
+                s.map(|&standing| AttemptStatus {
                     id: id.clone(),
                     standing,
                 })
@@ -243,7 +248,7 @@
                 None => gone.push(id.clone()),
             }
         }
-        View {
+        ShardView {
             version: PEER_VERSION,
             part: self.part,
             token: self.token,
--- a/crates/coordination/src/placement.rs
+++ b/crates/coordination/src/placement.rs
@@ -12,17 +12,17 @@
 use std::cell::Cell;
 use std::collections::{BTreeSet, HashMap};
 
-use lemonweir_model::{MachineId, Rank, Room};
+use lemonweir_model::{MachineId, Priority, Resources};
 use lemonweir_protocol::peer::MachineView;
 
-use crate::image_locality::trade::{Class, Hold, Kin, Near};
-use crate::image_locality::walk::Kindred;
+use crate::image_locality::trade::{ImageLocality, MachineUsage, PlacementClass, ReplicaSpread};
+use crate::image_locality::walk::PlacedReplicas;
 
 /// A row of bits, one a machine.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Bits(Vec<u64>);
+pub struct BitSet(Vec<u64>);
 
-impl Bits {
+impl BitSet {
     fn zeros(len: usize) -> Self {
         Self(vec![0; len.div_ceil(64)])
     }
@@ -58,20 +58,20 @@
         self.0.get(w).copied().unwrap_or(0)
     }
 
-    fn without(&mut self, other: &Bits) {
+    fn without(&mut self, other: &BitSet) {
         for (a, b) in self.0.iter_mut().zip(&other.0) {
             *a &= !b;
         }
     }
 
     /// A row that ends early is empty from there on.
-    fn and(&mut self, other: &Bits) {
+    fn and(&mut self, other: &BitSet) {
         for (i, a) in self.0.iter_mut().enumerate() {
             *a &= other.0.get(i).copied().unwrap_or(0);
         }
     }
 
-    fn or(&mut self, other: &Bits) {
+    fn or(&mut self, other: &BitSet) {
         for (a, b) in self.0.iter_mut().zip(&other.0) {
             *a |= b;
         }
@@ -94,7 +94,7 @@
 
 /// A machine as the walk sees it.
 #[derive(Clone, Debug)]
-pub struct Slot {
+pub struct MachineSlot {
     /// The machine.
     pub id: MachineId,
     /// Its zone.
@@ -102,7 +102,7 @@
     /// Spot or ordinary.
     pub spot: bool,
     /// Free room.
-    pub free: Room,
+    pub free: Resources,
     /// Tasks on it.
     pub busy: u32,
     /// Tasks on it that run until their jobs are cancelled.
@@ -112,12 +112,12 @@
     /// Thousandths of a GB that may come before its cache drops what others use.
     pub spare_mb: u64,
     /// Room of attempts below each priority.
-    pub soft: [Room; 3],
+    pub soft: [Resources; 3],
     /// The same with what teams run beyond their guarantees.
-    pub soft_over: [Room; 3],
+    pub soft_over: [Resources; 3],
 }
 
-impl Slot {
+impl MachineSlot {
     fn of(m: &MachineView) -> Self {
         Self {
             id: m.id.clone(),
@@ -136,9 +136,9 @@
 
 /// What a task asks of a machine.
 #[derive(Clone, Debug)]
-pub struct Ask<'a> {
+pub struct PlacementRequest<'a> {
     /// Room.
-    pub need: Room,
+    pub need: Resources,
     /// Allowed types, or any.
     pub types: Option<&'a [String]>,
     /// Allowed zones, or any.
@@ -164,29 +164,29 @@
 /// what an owner tells anew replaces one machine's bits, and what a placer
 /// takes stays taken until the machine is told anew or restored.
 #[derive(Clone, Debug, Default)]
-pub struct Field {
+pub struct PlacementIndex {
     /// The machines in the order of the walk; places of machines that are gone
     /// are never ready, and are used again.
-    pub slots: Vec<Slot>,
+    pub slots: Vec<MachineSlot>,
     told: Vec<Option<MachineView>>,
     /// What each machine's cache can take, as of when it was told.
     spares: Vec<u64>,
     index: HashMap<MachineId, usize>,
     vacant: Vec<usize>,
-    ready: Bits,
-    spot: Bits,
-    types: HashMap<String, Bits>,
-    zones: HashMap<String, Bits>,
-    images: HashMap<String, Bits>,
-    coming: HashMap<String, Bits>,
+    ready: BitSet,
+    spot: BitSet,
+    types: HashMap<String, BitSet>,
+    zones: HashMap<String, BitSet>,
+    images: HashMap<String, BitSet>,
+    coming: HashMap<String, BitSet>,
     /// Machines that hold what lasts, that hold anything, that fetch, and that have
     /// accelerators free.
-    settled: Bits,
-    used: Bits,
-    fetching: Bits,
-    gpus: Bits,
+    settled: BitSet,
+    used: BitSet,
+    fetching: BitSet,
+    gpus: BitSet,
     /// Machines that fetch two images or more.
-    crowded: Bits,
+    crowded: BitSet,
     /// Parts from ours to this one, and all of them: where our walk begins among
     /// machines that are alike to what lasts.
     begins: (usize, usize),
@@ -194,18 +194,18 @@
     looked: Cell<u64>,
 }
 
-fn mark(rows: &mut HashMap<String, Bits>, name: &str, i: usize) {
+fn mark(rows: &mut HashMap<String, BitSet>, name: &str, i: usize) {
     match rows.get_mut(name) {
         Some(row) => row.set(i),
         None => {
-            let mut row = Bits::default();
+            let mut row = BitSet::default();
             row.set(i);
             rows.insert(name.to_owned(), row);
         }
     }
 }
 
-impl Field {
+impl PlacementIndex {
     /// A field of these machines.
     pub fn new(machines: &[MachineView]) -> Self {
         let mut field = Self::default();
@@ -233,7 +233,7 @@
                 let i = self.vacant.pop().unwrap_or(self.slots.len());
                 self.index.insert(m.id.clone(), i);
                 if i == self.slots.len() {
-                    self.slots.push(Slot::of(&m));
+                    self.slots.push(MachineSlot::of(&m));
                     self.told.push(None);
                     self.spares.push(u64::MAX);
                 }
@@ -255,7 +255,7 @@
         for image in &m.coming {
             mark(&mut self.coming, image, i);
         }
-        self.slots[i] = Slot::of(&m);
+        self.slots[i] = MachineSlot::of(&m);
         self.spares[i] = u64::MAX;
         self.told[i] = Some(m);
         self.mark_use(i);
@@ -306,7 +306,7 @@
         let Some(m) = self.told.get(i).and_then(Option::as_ref) else {
             return;
         };
-        self.slots[i] = Slot::of(m);
+        self.slots[i] = MachineSlot::of(m);
         self.slots[i].spare_mb = self.spares[i];
         self.coming.values_mut().for_each(|row| row.clear(i));
         for image in &m.coming {
@@ -336,8 +336,8 @@
     }
 
     /// Machines of these zones.
-    pub(crate) fn zones_row(&self, zones: &[&str]) -> Bits {
-        let mut row = Bits::zeros(self.slots.len());
+    pub(crate) fn zones_row(&self, zones: &[&str]) -> BitSet {
+        let mut row = BitSet::zeros(self.slots.len());
         zones
             .iter()
             .filter_map(|z| self.zones.get(*z))
@@ -345,10 +345,10 @@
         row
     }
 
-    pub(crate) fn allowed(&self, ask: &Ask<'_>) -> Bits {
+    pub(crate) fn allowed(&self, ask: &PlacementRequest<'_>) -> BitSet {
         let mut bits = self.ready.clone();
-        let mut any_of = |rows: &HashMap<String, Bits>, names: &mut dyn Iterator<Item = &str>| {
-            let mut row = Bits::zeros(self.slots.len());
+        let mut any_of = |rows: &HashMap<String, BitSet>, names: &mut dyn Iterator<Item = &str>| {
+            let mut row = BitSet::zeros(self.slots.len());
             for name in names {
                 if let Some(r) = rows.get(name) {
                     row.or(r);
@@ -368,7 +368,7 @@
             }
         }
         if let Some(only) = ask.only {
-            let mut row = Bits::zeros(self.slots.len());
+            let mut row = BitSet::zeros(self.slots.len());
             only.iter()
                 .filter_map(|id| self.find(id))
                 .for_each(|i| row.set(i));
@@ -383,27 +383,31 @@
     }
 
     /// Of the allowed machines those to which the image is so near.
-    pub(crate) fn near_row(&self, allowed: &Bits, image: &str, near: Near) -> Bits {
+    pub(crate) fn near_row(&self, allowed: &BitSet, image: &str, near: ImageLocality) -> BitSet {
         let mut row = allowed.clone();
         let rows = [self.images.get(image), self.coming.get(image)];
         match (near, rows) {
-            (Near::Here, [Some(here), _]) => row.and(here),
-            (Near::Coming, [here, Some(coming)]) => {
+            (ImageLocality::Here, [Some(here), _]) => row.and(here),
+            (ImageLocality::Coming, [here, Some(coming)]) => {
                 row.and(coming);
                 here.into_iter().for_each(|r| row.without(r));
             }
-            (Near::Here | Near::Coming, _) => return Bits::default(),
-            (Near::Away | Near::Beside | Near::Crowded | Near::Anywhere, rows) => {
-                rows.into_iter().flatten().for_each(|r| row.without(r))
-            }
+            (ImageLocality::Here | ImageLocality::Coming, _) => return BitSet::default(),
+            (
+                ImageLocality::Away
+                | ImageLocality::Beside
+                | ImageLocality::Crowded
+                | ImageLocality::Anywhere,
+                rows,
+            ) => rows.into_iter().flatten().for_each(|r| row.without(r)),
         }
         match near {
-            Near::Away => row.without(&self.fetching),
-            Near::Beside => {
+            ImageLocality::Away => row.without(&self.fetching),
+            ImageLocality::Beside => {
                 row.and(&self.fetching);
                 row.without(&self.crowded);
             }
-            Near::Crowded => row.and(&self.crowded),
+            ImageLocality::Crowded => row.and(&self.crowded),
             _ => {}
         }
         row
@@ -413,12 +417,12 @@
     /// one. Those without room leave the row.
     pub(crate) fn first_of(
         &self,
-        ask: &Ask<'_>,
-        row: &mut Bits,
-        class: &Class,
-        kindred: Option<&Kindred>,
+        ask: &PlacementRequest<'_>,
+        row: &mut BitSet,
+        class: &PlacementClass,
+        kindred: Option<&PlacedReplicas>,
     ) -> Option<usize> {
-        let anywhere = !matches!(class.near, Near::Here | Near::Coming);
+        let anywhere = !matches!(class.near, ImageLocality::Here | ImageLocality::Coming);
         let mut best = None;
         for w in 0..row.0.len() {
             let mut word = row.0[w];
@@ -429,12 +433,12 @@
             let spot = self.spot.word(w);
             word &= match class.hold {
                 None => u64::MAX,
-                Some(Hold::Spot) => spot,
+                Some(MachineUsage::Spot) => spot,
                 Some(hold) => {
                     let (settled, used) = (self.settled.word(w), self.used.word(w));
                     let held = match hold {
-                        Hold::Settled => settled,
-                        Hold::Used => used & !settled,
+                        MachineUsage::Settled => settled,
+                        MachineUsage::Used => used & !settled,
                         _ => !used & !settled,
                     };
                     if ask.spot { held & !spot } else { held }
@@ -452,10 +456,10 @@
                     (k.some.word(w), k.more.word(w), k.most.word(w))
                 });
                 word &= match kin {
-                    Kin::Nobody => !some,
-                    Kin::One => some & !more & !most,
-                    Kin::Few => more,
-                    Kin::Most => most,
+                    ReplicaSpread::Nobody => !some,
+                    ReplicaSpread::One => some & !more & !most,
+                    ReplicaSpread::Few => more,
+                    ReplicaSpread::Most => most,
                 };
             }
             if let (Some(light), Some(zones)) =
@@ -481,7 +485,7 @@
         best.map(|(_, i)| i)
     }
 
-    fn fits(&self, ask: &Ask<'_>, i: usize) -> bool {
+    fn fits(&self, ask: &PlacementRequest<'_>, i: usize) -> bool {
         let slot = &self.slots[i];
         slot.free.covers(&ask.need) && !(ask.frugal && !slot.spot && slot.busy == 0)
     }
@@ -491,7 +495,12 @@
     /// that others run empty: whole machines stay free or can be returned. What lasts
     /// goes to where most of its kind is: a machine that one replica holds for an
     /// hour is paid for whole.
-    fn packing(&self, ask: &Ask<'_>, i: usize, anywhere: bool) -> impl Ord + Copy + use<> {
+    fn packing(
+        &self,
+        ask: &PlacementRequest<'_>,
+        i: usize,
+        anywhere: bool,
+    ) -> impl Ord + Copy + use<> {
         let slot = &self.slots[i];
         let company = if ask.lasting { slot.lasting } else { 0 };
         // Its arrival drops from the cache what others would miss; and one fetch more
@@ -519,7 +528,7 @@
     }
 
     /// The first machine that fits, wherever the image is.
-    pub fn first_fit(&self, ask: &Ask<'_>) -> Option<usize> {
+    pub fn first_fit(&self, ask: &PlacementRequest<'_>) -> Option<usize> {
         let bits = self.allowed(ask);
         self.look(bits.0.len());
         let fits = |&i: &usize| {
@@ -536,11 +545,11 @@
     /// one without replicas of the same job.
     pub fn evict_fit(
         &self,
-        ask: &Ask<'_>,
-        rank: Rank,
+        ask: &PlacementRequest<'_>,
+        rank: Priority,
         over: bool,
         with_image: bool,
-        kindred: Option<&Kindred>,
+        kindred: Option<&PlacedReplicas>,
     ) -> Option<usize> {
         let rank = rank.index();
         let image = self.images.get(ask.image);
@@ -573,7 +582,7 @@
 
     /// True if a machine in use has room and the image for one more beside one
     /// on machine `i`.
-    pub fn fits_besides(&self, ask: &Ask<'_>, i: usize) -> bool {
+    pub fn fits_besides(&self, ask: &PlacementRequest<'_>, i: usize) -> bool {
         let mut bits = self.allowed(ask);
         self.look(bits.0.len());
         if let Some(row) = self.images.get(ask.image) {
@@ -591,7 +600,7 @@
     }
 
     /// Takes room on a machine.
-    pub fn take(&mut self, i: usize, need: &Room, image: &str) {
+    pub fn take(&mut self, i: usize, need: &Resources, image: &str) {
         let slot = &mut self.slots[i];
         let pushed = need.minus(&slot.free);
         for room in slot.soft.iter_mut().chain(&mut slot.soft_over) {
--- a/crates/coordination/src/placer/gangs.rs
+++ b/crates/coordination/src/placer/gangs.rs
@@ -1,8 +1,8 @@
 //! What this placer's gangs still need: the next steps in the admission ledger.
 
 use super::*;
-use crate::gang_admission::{Verdict, Why, verdict};
-use lemonweir_storage::records::GangStep;
+use crate::gang_admission::{GangVerdict, ReleaseReason, verdict};
+use lemonweir_storage::records::GangAdmissionStep;
 
 impl Placer {
     /// Takes the next steps of gangs that something happened to, or whose time has
@@ -40,20 +40,20 @@
         }
         let (admission, members) = (admission.clone(), job.members());
         match verdict(&admission, &members, self.gang_wait_ms, now) {
-            Verdict::Admit => {
-                job.go_on(GangStep::Admitted, now + self.wall_offset_ms);
+            GangVerdict::Admit => {
+                job.go_on(GangAdmissionStep::Admitted, now + self.wall_offset_ms);
                 self.settle(id, now);
             }
-            Verdict::Release(why) => self.release_gang(id, why, now),
-            Verdict::Wait(Some(at)) => drop(self.gang_times.insert((at, id.clone()))),
-            Verdict::Wait(None) => {}
+            GangVerdict::Release(why) => self.release_gang(id, why, now),
+            GangVerdict::Wait(Some(at)) => drop(self.gang_times.insert((at, id.clone()))),
+            GangVerdict::Wait(None) => {}
         }
     }
 
     /// Gives back all of a gang, by one decision that is recorded: what was launched
     /// is stopped, what was granted is free again. Its next attempt begins once the
     /// end of each member is proven.
-    fn release_gang(&mut self, id: &JobId, why: Why, now: u64) {
+    fn release_gang(&mut self, id: &JobId, why: ReleaseReason, now: u64) {
         let wall = now + self.wall_offset_ms;
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -65,7 +65,7 @@
             .map(|l| l.machine.clone())
             .collect();
         info!(job = %id, part = self.part, ?why, live = job.live.len(), late = late.len(), "gang is released");
-        job.go_on(GangStep::Released, wall);
+        job.go_on(GangAdmissionStep::Released, wall);
         job.stop_all();
         // Guards against asking at once the same owner again that nothing is heard of.
         job.late = late;
@@ -80,6 +80,6 @@
             && job
                 .admission
                 .as_ref()
-                .is_some_and(|a| a.step != GangStep::Planned)
+                .is_some_and(|a| a.step != GangAdmissionStep::Planned)
     }
 }
--- a/crates/coordination/src/placer/headroom.rs
+++ b/crates/coordination/src/placer/headroom.rs
@@ -19,7 +19,7 @@
     /// Counts the work that is expected to come while a machine boots, for
     /// classes whose starts are awaited: empty machines that it would take are
     /// kept, and what finds no room is asked for like waiting work.
-    pub(super) fn add_spare(&mut self, now: u64) -> Vec<Demand> {
+    pub(super) fn add_spare(&mut self, now: u64) -> Vec<CapacityDemand> {
         let mut lacking = Vec::new();
         while self
             .arrivals
@@ -36,7 +36,7 @@
             return lacking;
         }
         let mut taken: Vec<(MachineId, u16)> = Vec::new();
-        let mut groups: BTreeMap<(Room, bool), (f64, Arc<JobRecord>)> = BTreeMap::new();
+        let mut groups: BTreeMap<(Resources, bool), (f64, Arc<JobRecord>)> = BTreeMap::new();
         for (_, record) in &self.arrivals {
             let spec = &record.spec;
             let restart_ms = self.boot_ms as f64 + spec.image_gb / self.fetch_gb_per_s * 1000.0;
@@ -60,7 +60,7 @@
             let need = spec.need();
             let mut count = 0;
             for _ in 0..(expected.round() as u32).min(most) {
-                let ask = Ask {
+                let ask = PlacementRequest {
                     need,
                     types: spec.types.as_deref(),
                     zones: None,
@@ -91,7 +91,7 @@
             }
             if count > 0 {
                 let zone = spec.zone.clone();
-                lacking.push(Demand {
+                lacking.push(CapacityDemand {
                     team: spec.team.clone(),
                     need,
                     types: spec.types.clone(),
