--- a/crates/coordination/src/placer/mod.rs
+++ b/crates/coordination/src/placer/mod.rs
@@ -22,31 +22,32 @@
 
 use tracing::{debug, info, warn};
 
-use crate::autoscaler::Demand;
+use crate::autoscaler::CapacityDemand;
 use crate::change_log::ChangeLog;
 use crate::fault_attribution::FaultAttribution;
-use crate::gang_admission::Admission;
+use crate::gang_admission::GangAdmission;
 use crate::image_locality::book::Book;
-use crate::image_locality::trade::{Class, Near, Stakes, classes};
-use crate::image_locality::walk::{Kindred, Walk};
-use crate::job::{Chunk, Ending, Job, Live, Placed, Urgency};
-use crate::placement::{Ask, Field};
-use crate::supervision::services::Services;
+use crate::image_locality::trade::{ImageLocality, PlacementClass, PlacementRisk, classes};
+use crate::image_locality::walk::{PlacedReplicas, Walk};
+use crate::job::{EndingAttempt, Job, LiveAttempt, TaskChunk, TaskPlacement, Urgency};
+use crate::placement::{PlacementIndex, PlacementRequest};
+use crate::supervision::services::SupervisedServices;
 use lemonweir_model::constants::*;
 use lemonweir_model::policy::Trade;
 use lemonweir_model::{
-    AttemptId, Catalog, JobId, JobSpec, MachineId, MachineType, Rank, Room, Shape,
+    AttemptId, Catalog, JobId, JobKind, JobSpec, MachineId, MachineType, Priority, Resources,
 };
-use lemonweir_protocol::kv_store::{Condition, Txn, Write};
+use lemonweir_protocol::kv_store::{CompareAndSwap, Condition, Write};
 use lemonweir_protocol::peer::{
-    Cause, Evict, Follow, Have, Hidden, JobNote, Rented, Standing, Sync, View, Want, written,
+    AttemptState, Continuation, DesiredAttempt, ExitCause, JobProgress, ObservedState,
+    PartitionedZone, PreemptionScope, ProvisionedInstance, ShardView, SyncRequest, written,
 };
-use lemonweir_protocol::users::Phase;
+use lemonweir_protocol::users::JobPhase;
 use lemonweir_storage::packed_chunk::chunk_value;
 use lemonweir_storage::records::{
-    ChunkRecord, EndRecord, JobRecord, end_key, job_key, part_key, run_key,
+    JobEndRecord, JobRecord, TaskChunkRecord, end_key, job_key, part_key, run_key,
 };
-use lemonweir_storage::state_cache::MirroredJob;
+use lemonweir_storage::state_cache::CachedJob;
 
 /// What passes between this placer and one owner.
 #[derive(Default)]
@@ -56,7 +57,7 @@
     /// Number of the last message.
     seq: u64,
     /// Every recorded attempt on the owner's machines.
-    wants: ChangeLog<AttemptId, Want>,
+    wants: ChangeLog<AttemptId, DesiredAttempt>,
     /// State of the wants that was sent, and that the owner has.
     sent: u64,
     acked: u64,
@@ -67,7 +68,7 @@
     /// answer, and the states that we have.
     token: u64,
     got: u64,
-    have: Have,
+    have: ObservedState,
     /// Attempts that the owner has taken, by machines whose figures we have not
     /// got since.
     uncounted: HashMap<MachineId, Vec<(JobId, u32)>>,
@@ -81,7 +82,7 @@
 #[derive(Default)]
 struct Pending {
     chunks: Vec<(JobId, u32, u64, bool)>,
-    ends: Vec<(JobId, Phase)>,
+    ends: Vec<(JobId, JobPhase)>,
     /// Jobs on whose keys it depends, with the versions that these must have.
     jobs: Vec<(JobId, u64)>,
 }
@@ -95,7 +96,7 @@
 
 /// What a transaction's end means for the part.
 #[derive(Debug, PartialEq, Eq)]
-pub enum TxnVerdict {
+pub enum ShardOwnership {
     /// Go on.
     Fine,
     /// The part is no longer ours.
@@ -104,7 +105,7 @@
 
 /// How a transaction ended.
 #[derive(Debug)]
-pub enum TxnOutcome {
+pub enum CompareAndSwapOutcome {
     /// Made, at this revision.
     Done(u64),
     /// Not made: these keys had another version.
@@ -117,9 +118,9 @@
 
 /// A machine rented by this placer that no view has shown yet.
 #[derive(Clone, Debug)]
-pub struct Promise {
+pub struct PendingInstance {
     /// What it is.
-    pub rented: Rented,
+    pub rented: ProvisionedInstance,
     /// Its part.
     pub part: u16,
     /// When it was rented, ms.
@@ -127,11 +128,11 @@
 }
 
 /// What a placer is told when it starts.
-pub struct Terms {
+pub struct PlacerConfig {
     /// Limits of the teams.
-    pub limits: HashMap<String, Room>,
+    pub limits: HashMap<String, Resources>,
     /// Guarantees of the teams.
-    pub guarantees: HashMap<String, Room>,
+    pub guarantees: HashMap<String, Resources>,
     /// Zones.
     pub zones: Vec<String>,
     /// Changes a transaction may hold.
@@ -149,7 +150,7 @@
 }
 
 /// What became of a task.
-enum Fate {
+enum TaskFate {
     /// It runs; whether this placer started it.
     Ran(JobId, u32, bool),
     /// A replica is over.
@@ -158,10 +159,10 @@
 
 /// Where a job stands in its team's queue: priority, then what is missing most,
 /// then age, or size ([`Job::turn`]).
-type Place = (Rank, Urgency, u64, JobId);
+type Place = (Priority, Urgency, u64, JobId);
 
 /// Where it stands for its team's guarantee: priority, then age.
-type Seniority = (Rank, u64, JobId);
+type Seniority = (Priority, u64, JobId);
 
 /// The placer of a part.
 pub struct Placer {
@@ -170,12 +171,12 @@
     jobs: BTreeMap<JobId, Job>,
     links: Vec<Link>,
     /// The machines of all parts, as far as their owners told.
-    fields: Vec<Field>,
+    fields: Vec<PlacementIndex>,
     /// Live attempts on each machine, and those that no view has shown yet.
     on: HashMap<MachineId, BTreeSet<(JobId, u32)>>,
     unseen: HashMap<MachineId, BTreeSet<(JobId, u32)>>,
     /// What each team's attempts take.
-    usage: HashMap<String, Room>,
+    usage: HashMap<String, Resources>,
     /// Jobs with a task to place, and with a live attempt, by team.
     queues: BTreeMap<String, BTreeSet<Place>>,
     /// Where the next pass goes on in a queue that is too long for one.
@@ -194,8 +195,8 @@
     hidden: Vec<BTreeMap<String, HiddenZone>>,
     /// Whose fault failures were.
     faults: FaultAttribution,
-    limits: HashMap<String, Room>,
-    guarantees: HashMap<String, Room>,
+    limits: HashMap<String, Resources>,
+    guarantees: HashMap<String, Resources>,
     /// Seconds within which tasks of a class should start.
     start_within: HashMap<String, f64>,
     /// Seconds within which work within a guarantee should start.
@@ -205,7 +206,7 @@
     /// Empty machines that work to come would take.
     keep: Vec<MachineId>,
     /// What that work lacks, and when that was last looked at.
-    spare_lacking: Vec<Demand>,
+    spare_lacking: Vec<CapacityDemand>,
     spare_at: u64,
     /// Share of the expected work that room is kept for.
     spare: f64,
@@ -213,7 +214,7 @@
     spot_discount: f64,
     boot_ms: u64,
     /// Rooms of the machine types.
-    rooms: Vec<Room>,
+    rooms: Vec<Resources>,
     started: u64,
     /// Usual fetch rate.
     fetch_gb_per_s: f64,
@@ -227,9 +228,9 @@
     turn: usize,
     pending: Option<Pending>,
     /// Machines rented that are not in any view yet.
-    pub promises: Vec<Promise>,
+    pub promises: Vec<PendingInstance>,
     /// What found no room in the last pass.
-    pub lacking: Vec<Demand>,
+    pub lacking: Vec<CapacityDemand>,
     /// Passes made: what lacks is worth a new plan after one.
     pub passes: u64,
     txn_ops: usize,
@@ -254,15 +255,15 @@
     moved_at: u64,
     others_turn: u16,
     /// How the services stand.
-    pub(crate) services: Services,
+    pub(crate) services: SupervisedServices,
     /// What the holder of the part should hear of replicas, in order.
-    fates: Vec<Fate>,
+    fates: Vec<TaskFate>,
 }
 
 impl Placer {
     /// A placer that has just got its part.
-    pub fn new(part: u16, token: u64, parts: u16, terms: Terms, now: u64) -> Self {
-        let Terms {
+    pub fn new(part: u16, token: u64, parts: u16, terms: PlacerConfig, now: u64) -> Self {
+        let PlacerConfig {
             limits,
             guarantees,
             zones,
@@ -337,7 +338,7 @@
             placed_at: 0,
             moved_at: 0,
             others_turn: part,
-            services: Services::default(),
+            services: SupervisedServices::default(),
             fates: Vec::new(),
         }
     }
@@ -380,7 +381,7 @@
     }
 
     /// Notes a live attempt wherever it counts.
-    fn enter(&mut self, id: &JobId, task: u32, live: Live) {
+    fn enter(&mut self, id: &JobId, task: u32, live: LiveAttempt) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -401,7 +402,7 @@
     }
 
     /// Takes a live attempt out.
-    fn leave(&mut self, id: &JobId, task: u32) -> Option<Live> {
+    fn leave(&mut self, id: &JobId, task: u32) -> Option<LiveAttempt> {
         let job = self.jobs.get_mut(id)?;
         let live = job.live.remove(&task)?;
         let sum = self.usage.entry(job.team.clone()).or_default();
@@ -474,7 +475,7 @@
         }
         let place: Place = (job.rank(), job.urgency(), job.turn(), id.clone());
         let seniority: Seniority = (job.rank(), job.at(), id.clone());
-        if let Some(Placed {
+        if let Some(TaskPlacement {
             team,
             rank,
             urgency,
@@ -490,7 +491,7 @@
                 drop_place(&mut self.running, &team, &(rank, at, id.clone()));
             }
         }
-        job.placed = Some(Placed {
+        job.placed = Some(TaskPlacement {
             team: job.team.clone(),
             rank: place.0,
             urgency: place.1,
@@ -516,7 +517,7 @@
         if job.not_before > 0 {
             self.asleep.insert((job.not_before, id.clone()));
         }
-        let to_write = job.chunks.values().any(Chunk::unsaved) || job.finished().is_some();
+        let to_write = job.chunks.values().any(TaskChunk::unsaved) || job.finished().is_some();
         if to_write {
             self.unsaved.entry(id.clone()).or_insert(now);
         } else {
@@ -540,7 +541,7 @@
 
     /// Takes what the followed keys say of a job of this part's teams; `None`:
     /// it is over.
-    pub fn set_job(&mut self, id: &JobId, mirrored: Option<&MirroredJob>, now: u64) {
+    pub fn set_job(&mut self, id: &JobId, mirrored: Option<&CachedJob>, now: u64) {
         match mirrored {
             Some(m) => {
                 let job = self
@@ -618,7 +619,7 @@
 
     /// Machines of all parts, as they were told.
     pub fn machines(&self) -> impl Iterator<Item = &lemonweir_protocol::peer::MachineView> {
-        self.fields.iter().flat_map(Field::machines)
+        self.fields.iter().flat_map(PlacementIndex::machines)
     }
 
     /// Seconds since each part's owner last told of its machines.
@@ -632,11 +633,11 @@
 
     /// Words of bits and machines that this placer's walks have looked at.
     pub fn looked(&self) -> u64 {
-        self.fields.iter().map(Field::looked).sum()
+        self.fields.iter().map(PlacementIndex::looked).sum()
     }
 
     /// The priority that a job is placed with.
-    pub(crate) fn rank(&self, id: &JobId) -> Option<Rank> {
+    pub(crate) fn rank(&self, id: &JobId) -> Option<Priority> {
         self.jobs.get(id).map(Job::rank)
     }
 
@@ -654,7 +655,7 @@
             )
             .into();
         } else if let Some(machines) = job.suspect.filter(|_| job.waiting() > 0) {
-            let unit = if job.is(Shape::Gang) {
+            let unit = if job.is(JobKind::Gang) {
                 "the gang"
             } else {
                 "one task"
@@ -689,11 +690,11 @@
     }
 
     /// Takes what an owner says of its zones out of sight.
-    fn take_hidden(&mut self, part: u16, told: Vec<Hidden>, now: u64) {
+    fn take_hidden(&mut self, part: u16, told: Vec<PartitionedZone>, now: u64) {
         let Some(before) = self.hidden.get_mut(usize::from(part)) else {
             return;
         };
-        let zone = |h: Hidden| {
+        let zone = |h: PartitionedZone| {
             (
                 h.zone,
                 HiddenZone {
@@ -753,8 +754,8 @@
 }
 
 /// A field that nothing was told of yet.
-fn fresh_field(own: u16, part: u16, parts: u16) -> Field {
-    Field::begins_at(
+fn fresh_field(own: u16, part: u16, parts: u16) -> PlacementIndex {
+    PlacementIndex::begins_at(
         usize::from((part + parts - own % parts.max(1)) % parts.max(1)),
         usize::from(parts),
     )
@@ -770,7 +771,7 @@
 }
 
 /// What the owners are told of a job, with the part that each is for.
-fn wants_of(id: &JobId, job: &Job) -> Vec<(u16, Want)> {
+fn wants_of(id: &JobId, job: &Job) -> Vec<(u16, DesiredAttempt)> {
     let image = job.spec().map(|s| s.image.clone()).unwrap_or_default();
     let grace = job.spec().map_or(0, JobSpec::way_grace_s);
     let all_known = || {
@@ -779,7 +780,7 @@
     };
     let go = !job.gang() || job.admitted() && all_known();
     let image_mb = job.spec().map_or(0, JobSpec::image_mb);
-    let want = |id: AttemptId, machine: &MachineId| Want {
+    let want = |id: AttemptId, machine: &MachineId| DesiredAttempt {
         id,
         machine: machine.clone(),
         need: job.need,
@@ -792,7 +793,7 @@
         over: true,
         grace: 0,
         lasting: false,
-        evict: Evict::Nobody,
+        evict: PreemptionScope::Nobody,
     };
     let mut wants = Vec::new();
     for (&task, l) in job.live.iter().filter(|(t, l)| job.recorded(**t, l)) {
@@ -802,7 +803,7 @@
             attempt: l.attempt,
         };
         let kill = if job.stopping() { Some(0) } else { l.kill };
-        let want = Want {
+        let want = DesiredAttempt {
             go,
             kill,
             over: l.over,
@@ -822,14 +823,14 @@
 }
 
 /// What a team that has no limit may take.
-const NO_LIMIT: Room = Room {
+const NO_LIMIT: Resources = Resources {
     cpus: u64::MAX,
     gpus: u64::MAX,
     memory: u64::MAX,
 };
 
 /// True if a use is within a guarantee; one that names nothing holds nothing.
-fn within(used: &Room, guarantee: Option<&Room>) -> bool {
+fn within(used: &Resources, guarantee: Option<&Resources>) -> bool {
     let Some(g) = guarantee.filter(|g| g.cpus > 0 || g.gpus > 0) else {
         return false;
     };
@@ -841,8 +842,8 @@
     spec: &'a JobSpec,
     zones: Option<Vec<&'a str>>,
     avoid: &'a [MachineId],
-) -> Ask<'a> {
-    Ask {
+) -> PlacementRequest<'a> {
+    PlacementRequest {
         need: spec.need(),
         types: spec.types.as_deref(),
         zones,
@@ -862,7 +863,7 @@
     forced: Option<&'a str>,
     per_zone: &HashMap<String, u32>,
     tasks: u32,
-    fields: &'a [Field],
+    fields: &'a [PlacementIndex],
 ) -> Option<Vec<&'a str>> {
     let mut zones: Option<Vec<&str>> = match (forced, &spec.zone) {
         (Some(f), Some(z)) if f != z => return Some(Vec::new()),
@@ -872,7 +873,7 @@
     };
     if spec.spread && tasks > 1 {
         let most = tasks.div_ceil(2);
-        let all: BTreeSet<&str> = fields.iter().flat_map(Field::zones).collect();
+        let all: BTreeSet<&str> = fields.iter().flat_map(PlacementIndex::zones).collect();
         let open: Vec<&str> = all
             .into_iter()
             .filter(|z| per_zone.get(*z).copied().unwrap_or(0) < most)
--- a/crates/coordination/src/placer/placing.rs
+++ b/crates/coordination/src/placer/placing.rs
@@ -56,20 +56,20 @@
 /// What found no room in this pass: for each kind of ask the least needs. Who
 /// asks the same way for as much or more finds none either, since a pass only
 /// takes room: so a queue of thousands costs few walks, however its jobs differ.
-pub(super) struct Pass {
-    failed: HashMap<u64, Vec<Room>>,
+pub(super) struct PlacementPass {
+    failed: HashMap<u64, Vec<Resources>>,
     /// Chunks of idle work that may get a first start to write.
     idle_left: usize,
 }
 
-impl Pass {
-    fn covers(&self, shape: u64, need: &Room) -> bool {
+impl PlacementPass {
+    fn covers(&self, shape: u64, need: &Resources) -> bool {
         self.failed
             .get(&shape)
             .is_some_and(|least| least.iter().any(|l| need.covers(l)))
     }
 
-    fn note(&mut self, shape: u64, need: Room) {
+    fn note(&mut self, shape: u64, need: Resources) {
         let least = self.failed.entry(shape).or_default();
         least.retain(|l| !l.covers(&need));
         least.push(need);
@@ -134,8 +134,8 @@
                 .collect()
         };
         let mut lacking = Vec::new();
-        let mut asked: HashMap<String, Room> = HashMap::new();
-        let mut pass = Pass {
+        let mut asked: HashMap<String, Resources> = HashMap::new();
+        let mut pass = PlacementPass {
             failed: HashMap::new(),
             idle_left: self.idle_room(),
         };
@@ -198,7 +198,7 @@
     /// True if a job of idle work has begun nothing and can't wait any longer for room
     /// that costs little: a machine that is asked for now takes a boot and a fetch.
     fn must_begin(&self, job: &Job, now: u64) -> bool {
-        if job.rank() != Rank::Low || job.begun() {
+        if job.rank() != Priority::Low || job.begun() {
             return false;
         }
         let fetch_ms = job.spec().map_or(0, |spec| self.fetch_ms(spec));
@@ -208,7 +208,7 @@
     }
 
     /// Tasks of one job that are counted as demand at most.
-    fn demand_most(&self, need: &Room) -> u64 {
+    fn demand_most(&self, need: &Resources) -> u64 {
         let a_machine = self
             .rooms
             .iter()
@@ -223,8 +223,8 @@
     pub(super) fn note_lack(
         &self,
         id: &JobId,
-        asked: &mut HashMap<String, Room>,
-        lacking: &mut Vec<Demand>,
+        asked: &mut HashMap<String, Resources>,
+        lacking: &mut Vec<CapacityDemand>,
         now: u64,
     ) {
         // A suspect rents nothing: what it would run on would only see it fail. Nor
@@ -238,7 +238,7 @@
         };
         let Some(spec) = job.spec() else { return };
         let limit = self.limits.get(&job.team).copied().unwrap_or(NO_LIMIT);
-        let idle = spec.rank == Rank::Low;
+        let idle = spec.rank == Priority::Low;
         let starved = idle && job.starved(now);
         let first = self.must_begin(job, now);
         if idle && !spec.spot && !starved && !first {
@@ -251,7 +251,7 @@
             .copied()
             .unwrap_or_default()
             .plus(&already);
-        let gang = spec.shape == Shape::Gang;
+        let gang = spec.shape == JobKind::Gang;
         let waiting = match u64::from(job.waiting()) {
             _ if first && !gang => 1,
             waiting if starved => waiting.min(job.to_half()).min(DEMAND_MOST),
@@ -272,7 +272,7 @@
             return;
         }
         asked.insert(job.team.clone(), already.plus(&job.need.times(count)));
-        let demand = Demand {
+        let demand = CapacityDemand {
             team: job.team.clone(),
             need: job.need,
             types: spec.types.clone(),
@@ -313,7 +313,7 @@
             *room -= 1;
             *shares.entry(zone).or_default() += 1;
         }
-        lacking.extend(shares.into_iter().map(|(zone, count)| Demand {
+        lacking.extend(shares.into_iter().map(|(zone, count)| CapacityDemand {
             zone: Some(zone.clone()),
             count,
             ..demand.clone()
@@ -321,7 +321,7 @@
     }
 
     /// Places the next unit of a job: a task, or a whole gang.
-    pub(super) fn place_next(&mut self, id: &JobId, pass: &mut Pass, now: u64) -> bool {
+    pub(super) fn place_next(&mut self, id: &JobId, pass: &mut PlacementPass, now: u64) -> bool {
         let must_begin = self
             .jobs
             .get(id)
@@ -342,7 +342,7 @@
         };
         // Guards against idle work that takes up room long before it is its turn to
         // be written, and against a pass that places 100,000 tasks.
-        let first_start = spec.rank == Rank::Low
+        let first_start = spec.rank == Priority::Low
             && job
                 .chunks
                 .get(&(first / CHUNK_TASKS))
@@ -351,7 +351,7 @@
             job.reason = IDLE_TURN;
             return false;
         }
-        let tasks: Vec<u32> = if spec.shape == Shape::Gang {
+        let tasks: Vec<u32> = if spec.shape == JobKind::Gang {
             (first..job.tasks).filter(|t| !job.is_done(*t)).collect()
         } else {
             vec![first]
@@ -359,15 +359,15 @@
         let limit = self.limits.get(&job.team).copied().unwrap_or(NO_LIMIT);
         let used = self.usage.get(&job.team).copied().unwrap_or_default();
         let after = used.plus(&job.need.times(tasks.len() as u64));
-        if !limit.covers(&Room { memory: 0, ..after }) {
+        if !limit.covers(&Resources { memory: 0, ..after }) {
             job.reason = AT_LIMIT;
             return false;
         }
         let guaranteed = within(&after, self.guarantees.get(&job.team));
         let evict = if guaranteed {
-            Evict::LowerAndOver
+            PreemptionScope::LowerAndOver
         } else {
-            Evict::Lower
+            PreemptionScope::Lower
         };
         let soon = self
             .start_within
@@ -381,9 +381,9 @@
         };
         // A replica that was up is down while it fetches.
         let too_slow = spec.image_gb * FETCH_SPREAD > soon * self.fetch_gb_per_s
-            || spec.shape == Shape::Service && job.ran;
+            || spec.shape == JobKind::Service && job.ran;
         // Jobs that ask the same, or less, found no room a moment ago.
-        let frugal = spec.rank == Rank::Low && !job.starved(now) && !must_begin;
+        let frugal = spec.rank == Priority::Low && !job.starved(now) && !must_begin;
         let shape = {
             let mut hasher = DefaultHasher::new();
             (
@@ -416,7 +416,7 @@
             let all: BTreeSet<String> = self
                 .fields
                 .iter()
-                .flat_map(Field::zones)
+                .flat_map(PlacementIndex::zones)
                 .map(str::to_owned)
                 .collect();
             zone_sets = if present.is_empty() {
@@ -453,17 +453,17 @@
             .iter()
             .flat_map(|only| zone_sets.iter().map(move |zone| (*only, zone)))
         {
-            let mut chosen: Vec<(u32, usize, usize, Evict, bool)> = Vec::new();
+            let mut chosen: Vec<(u32, usize, usize, PreemptionScope, bool)> = Vec::new();
             let mut per_zone = counts.clone();
             for &task in &tasks {
                 let zones =
                     allowed_zones(spec, zone.as_deref(), &per_zone, job_tasks, &self.fields);
-                let ask = Ask {
+                let ask = PlacementRequest {
                     need,
                     types: spec.types.as_deref(),
                     zones,
                     spot: spec.spot,
-                    lasting: spec.shape == Shape::Service,
+                    lasting: spec.shape == JobKind::Service,
                     image: &spec.image,
                     image_mb: spec.image_mb(),
                     avoid: &avoid,
@@ -487,13 +487,18 @@
                         .find_map(|&(p, _)| fit(p).map(|i| (p, i, evict)))
                 };
                 let warm = if too_slow {
-                    classes.iter().take_while(|c| c.near == Near::Here).count()
+                    classes
+                        .iter()
+                        .take_while(|c| c.near == ImageLocality::Here)
+                        .count()
                 } else {
                     classes.len()
                 };
                 let mut walk = Walk::new(fields, &order, &ask, kindred);
-                let mut room =
-                    |classes: &[Class]| walk.find(classes).map(|(p, i, _)| (p, i, Evict::Nobody));
+                let mut room = |classes: &[PlacementClass]| {
+                    walk.find(classes)
+                        .map(|(p, i, _)| (p, i, PreemptionScope::Nobody))
+                };
                 let found = room(&classes[..warm])
                     .or_else(|| {
                         if too_slow && !suspect {
@@ -508,7 +513,7 @@
                 let field = &mut self.fields[p];
                 let warm = field.has_image(i, &spec.image);
                 field.take(i, &need, &spec.image);
-                if spec.shape == Shape::Service {
+                if spec.shape == JobKind::Service {
                     field.stays(i);
                 }
                 if spec.spread {
@@ -532,7 +537,7 @@
             job.trading = false;
             job.admission = job
                 .gang()
-                .then(|| Admission::planned(attempt, now + self.wall_offset_ms));
+                .then(|| GangAdmission::planned(attempt, now + self.wall_offset_ms));
             for (task, p, i, evict, warm) in chosen {
                 let slot = &self.fields[p].slots[i];
                 if p != usize::from(self.part) {
@@ -549,7 +554,7 @@
                     }
                 }
                 info!(job = %id, task, attempt, machine = %slot.id, part = p, warm, ?evict, "placed");
-                let live = Live {
+                let live = LiveAttempt {
                     attempt,
                     machine: slot.id.clone(),
                     part: p as u16,
@@ -566,7 +571,7 @@
             pass.idle_left -= usize::from(first_start);
             // A replica that was only moved is no sign of new work, nor is a try
             // of a suspect, nor idle work.
-            if !(spec.shape == Shape::Service && ran || suspect || spec.rank == Rank::Low) {
+            if !(spec.shape == JobKind::Service && ran || suspect || spec.rank == Priority::Low) {
                 self.placed_at = now;
             }
             self.settle(id, now);
--- a/crates/coordination/src/placer/preemption.rs
+++ b/crates/coordination/src/placer/preemption.rs
@@ -10,19 +10,19 @@
 //! | finding room | machines that the service avoided are taken again; what the cloud had none of is noted |
 
 use super::*;
-use crate::autoscaler::Shortage;
-use crate::supervision::services::{Doing, PreemptionStep, Try};
+use crate::autoscaler::CapacityShortages;
+use crate::supervision::services::{PreemptionStep, RecoveryActivity, RecoveryAttempt};
 
 impl Placer {
     /// Tries another way for services that are late.
-    pub(crate) fn escalate(&mut self, shortage: &Shortage, now: u64) {
+    pub(crate) fn escalate(&mut self, shortage: &CapacityShortages, now: u64) {
         for id in self.services.late(now, LADDER_MOST) {
             let Some(doing) = self.services.get(&id).map(|s| s.seen.doing) else {
                 continue;
             };
             let tries = match doing {
-                Doing::Starting => self.start_elsewhere(&id, now),
-                Doing::Room => self.seek_room(&id, shortage, now),
+                RecoveryActivity::Starting => self.start_elsewhere(&id, now),
+                RecoveryActivity::Resources => self.seek_room(&id, shortage, now),
                 _ => Vec::new(),
             };
             for t in &tries {
@@ -38,7 +38,7 @@
     /// Guards against a replica that is down for as long as a slow or stuck machine
     /// likes, while another could serve at once. Where none could, what is left of
     /// the fetch is the shortest way.
-    fn start_elsewhere(&mut self, id: &JobId, now: u64) -> Vec<Try> {
+    fn start_elsewhere(&mut self, id: &JobId, now: u64) -> Vec<RecoveryAttempt> {
         let Some(record) = self.jobs.get(id).and_then(|j| j.record.clone()) else {
             return Vec::new();
         };
@@ -48,10 +48,13 @@
             let Some(job) = self.jobs.get(id) else {
                 return Vec::new();
             };
-            let coming = |l: &Live| {
+            let coming = |l: &LiveAttempt| {
                 l.kill.is_none()
                     && l.since > 0
-                    && matches!(l.standing, Some(Standing::Accepted | Standing::Preparing))
+                    && matches!(
+                        l.standing,
+                        Some(AttemptState::Accepted | AttemptState::Preparing)
+                    )
             };
             let late = job.live.iter().filter(|(_, l)| coming(l)).filter(|(_, l)| {
                 // Fetches beside it take their share of the rate.
@@ -85,7 +88,7 @@
             let order = self.parts_order();
             let weighed = self.weigh(id, Some(task), &ask, &order, now);
             let mut warm = classes(&self.trade, &weighed.stakes);
-            warm.retain(|c| c.near == Near::Here);
+            warm.retain(|c| c.near == ImageLocality::Here);
             let Some((p, i, _)) =
                 Walk::new(&self.fields, &order, &ask, &weighed.kindred).find(&warm)
             else {
@@ -96,7 +99,7 @@
             let s = now.saturating_sub(since) / 1_000;
             let what =
                 format!("replica {task} left {machine}, not up after {s} s; {other} has its image");
-            tries.push(Try {
+            tries.push(RecoveryAttempt {
                 rung: PreemptionStep::Elsewhere,
                 at: now,
                 what,
@@ -123,7 +126,12 @@
     ///
     /// Guards against a service that waits beside room on machines that it left
     /// long ago, because it failed there once or was moved away.
-    fn seek_room(&mut self, id: &JobId, shortage: &Shortage, now: u64) -> Vec<Try> {
+    fn seek_room(
+        &mut self,
+        id: &JobId,
+        shortage: &CapacityShortages,
+        now: u64,
+    ) -> Vec<RecoveryAttempt> {
         let Some(service) = self.services.get(id) else {
             return Vec::new();
         };
@@ -140,7 +148,7 @@
             let n = job.avoid.len();
             job.avoid.clear();
             self.place_again = true;
-            tries.push(Try {
+            tries.push(RecoveryAttempt {
                 rung: PreemptionStep::Avoided,
                 at: now,
                 what: format!("{n} machines that it avoided may take it again"),
@@ -155,7 +163,7 @@
         } else {
             format!("the cloud has none of {}", none.join(", "))
         };
-        tries.push(Try {
+        tries.push(RecoveryAttempt {
             rung: PreemptionStep::Rented,
             at: now,
             what: format!("machines are asked for; {had}"),
--- a/crates/coordination/src/placer/rebalancing.rs
+++ b/crates/coordination/src/placer/rebalancing.rs
@@ -29,7 +29,7 @@
                 && job
                     .live
                     .values()
-                    .any(|l| l.kill.is_some() || l.standing != Some(Standing::Running))
+                    .any(|l| l.kill.is_some() || l.standing != Some(AttemptState::Running))
         };
         if self.jobs.values().any(moving) {
             return;
@@ -142,7 +142,7 @@
     }
 
     /// Seconds that what a replica risks where it is counts for.
-    fn risks(&self, job: &Job, live: &Live, stakes: &Stakes) -> f64 {
+    fn risks(&self, job: &Job, live: &LiveAttempt, stakes: &PlacementRisk) -> f64 {
         let (here, zone) = (
             job.beside(live, |l| &l.machine),
             job.beside(live, |l| &l.zone),
@@ -166,7 +166,7 @@
 
     /// The replica of a service that risks most where it is, with a place where it
     /// would risk so much less that the move is worth it.
-    fn better_place(&self, id: &JobId, now: u64) -> Option<(u32, usize, usize, Class)> {
+    fn better_place(&self, id: &JobId, now: u64) -> Option<(u32, usize, usize, PlacementClass)> {
         let job = self
             .jobs
             .get(id)
@@ -175,8 +175,10 @@
         // Another replica must serve, half of the service at least must go on, and
         // all of it must be in sight and long settled: no move on top of a loss.
         let whole = job.tasks > 1 && job.tasks <= TRADE_TASKS && job.live.len() as u32 == job.tasks;
-        let settled = |l: &Live| {
-            l.standing == Some(Standing::Running) && l.kill.is_none() && now >= l.since + STAY_MS
+        let settled = |l: &LiveAttempt| {
+            l.standing == Some(AttemptState::Running)
+                && l.kill.is_none()
+                && now >= l.since + STAY_MS
         };
         if !whole || !job.live.values().all(settled) || hidden_of(job, &self.hidden).is_some() {
             return None;
@@ -187,7 +189,7 @@
             *on.entry(&l.machine).or_default() += 1;
             *zones.entry(&l.zone).or_default() += 1;
         }
-        let together = |l: &Live| {
+        let together = |l: &LiveAttempt| {
             (
                 on.get(&l.machine).copied(),
                 zones.get(l.zone.as_str()).copied(),
@@ -204,7 +206,7 @@
             None => self
                 .fields
                 .iter()
-                .flat_map(Field::zones)
+                .flat_map(PlacementIndex::zones)
                 .collect::<BTreeSet<_>>()
                 .into_iter()
                 .collect(),
@@ -225,7 +227,7 @@
         let weighed = self.weigh(id, Some(task), &ask, &order, now);
         let risks = self.risks(job, live, &weighed.stakes);
         let least = self.trade.move_s + MOVE_DOWN_MS as f64 / 1000.0;
-        let better: Vec<Class> = classes(&self.trade, &weighed.stakes)
+        let better: Vec<PlacementClass> = classes(&self.trade, &weighed.stakes)
             .into_iter()
             .take_while(|c| c.cost + least < risks)
             .collect();
@@ -233,12 +235,13 @@
         let (p, i, class) = walk.find(&better)?;
         // Guards against others taking that room meanwhile: the replica would wait for
         // a fetch that it was not moved for.
-        (class.near != Near::Here || self.room_besides(&ask, p, i)).then_some((task, p, i, class))
+        (class.near != ImageLocality::Here || self.room_besides(&ask, p, i))
+            .then_some((task, p, i, class))
     }
 
     /// True if a machine in use has room and the image for one more beside one on
     /// machine `i` of part `p`.
-    fn room_besides(&self, ask: &Ask<'_>, p: usize, i: usize) -> bool {
+    fn room_besides(&self, ask: &PlacementRequest<'_>, p: usize, i: usize) -> bool {
         self.fields
             .iter()
             .enumerate()
@@ -290,7 +293,9 @@
                 .live
                 .get(&task)
                 .map_or(0.0, |live| self.risks(job, live, &weighed.stakes));
-            warm.retain(|c| c.near == Near::Here && c.cost <= risks + 2.0 * self.trade.pin_s);
+            warm.retain(|c| {
+                c.near == ImageLocality::Here && c.cost <= risks + 2.0 * self.trade.pin_s
+            });
             let mut walk = Walk::new(&self.fields, &order, &ask, &weighed.kindred);
             let found = walk
                 .find(&warm)
--- a/crates/coordination/src/placer/reconciliation.rs
+++ b/crates/coordination/src/placer/reconciliation.rs
@@ -1,7 +1,7 @@
 //! What the owners are told, and what their answers change.
 
 use super::*;
-use lemonweir_storage::records::GangStep;
+use lemonweir_storage::records::GangAdmissionStep;
 
 /// The first of some items, as many as take so many bytes.
 ///
@@ -67,7 +67,7 @@
             return;
         };
         let guarantee = Some(guarantee);
-        let mut sum = Room::default();
+        let mut sum = Resources::default();
         for (_, _, id) in self.running.get(team).into_iter().flatten() {
             let Some(job) = self.jobs.get_mut(id) else {
                 continue;
@@ -123,7 +123,7 @@
         mut room: usize,
         notes: bool,
         now: u64,
-    ) -> Sync {
+    ) -> SyncRequest {
         self.flush();
         // What stands beside the changes gets a share each: together with them it is twice
         // `room` at the most.
@@ -160,7 +160,7 @@
             told = changes
                 .into_iter()
                 .filter_map(|(job, note)| {
-                    note.map(|(done, running, reason)| JobNote {
+                    note.map(|(done, running, reason)| JobProgress {
                         job: job.clone(),
                         done: *done,
                         running: *running,
@@ -173,13 +173,13 @@
             .promises
             .iter()
             .filter(|p| p.part == to)
-            .map(|p| Rented {
+            .map(|p| ProvisionedInstance {
                 age_ms: now.saturating_sub(p.at),
                 ..p.rented.clone()
             });
         let rented = fitting(rented, beside, written);
         let field = &self.fields[usize::from(to)];
-        Sync {
+        SyncRequest {
             version: PEER_VERSION,
             from: self.part,
             from_token: self.token,
@@ -194,7 +194,7 @@
             have: if link.token == to_token {
                 link.have
             } else {
-                Have::default()
+                ObservedState::default()
             },
             strays: 0,
             rented,
@@ -211,7 +211,7 @@
     }
 
     /// An owner answered; true if something changed that placing should see.
-    pub fn take_view(&mut self, mut view: View, now: u64) -> bool {
+    pub fn take_view(&mut self, mut view: ShardView, now: u64) -> bool {
         let Some(link) = self.links.get_mut(usize::from(view.part)) else {
             return false;
         };
@@ -232,7 +232,7 @@
             return false;
         }
         if view.token > link.token {
-            (link.token, link.have) = (view.token, Have::default());
+            (link.token, link.have) = (view.token, ObservedState::default());
         }
         link.got = view.seq;
         link.told_at = Some(now);
@@ -269,11 +269,11 @@
         let part = view.part;
         let news = !view.machines.is_empty() || !view.gone.is_empty() || !view.attempts.is_empty();
         match machines {
-            Some(Follow::Anew) => {
+            Some(Continuation::Anew) => {
                 self.fields[usize::from(part)] =
                     fresh_field(self.part, part, self.links.len() as u16);
             }
-            Some(Follow::On) => {}
+            Some(Continuation::On) => {}
             None => return news,
         }
         for id in &view.gone {
@@ -325,7 +325,7 @@
     }
 
     /// An attempt stands differently.
-    pub(super) fn moved_on(&mut self, id: &AttemptId, standing: Standing, part: u16, now: u64) {
+    pub(super) fn moved_on(&mut self, id: &AttemptId, standing: AttemptState, part: u16, now: u64) {
         let Some(job) = self.jobs.get_mut(&id.job) else {
             return;
         };
@@ -343,11 +343,11 @@
         let first = live.standing.is_none();
         live.standing = Some(standing);
         let machine = live.machine.clone();
-        if standing == Standing::Running {
+        if standing == AttemptState::Running {
             self.fates
-                .push(Fate::Ran(id.job.clone(), id.task, live.since > 0));
+                .push(TaskFate::Ran(id.job.clone(), id.task, live.since > 0));
         }
-        job.ran |= standing == Standing::Running;
+        job.ran |= standing == AttemptState::Running;
         if standing.ended() {
             self.attempt_over(id, standing, now);
             self.settle(&id.job, now);
@@ -388,7 +388,7 @@
             let Some(grace) = job.spec().map(JobSpec::grace_s) else {
                 continue;
             };
-            let gang = job.is(Shape::Gang);
+            let gang = job.is(JobKind::Gang);
             for l in job
                 .live
                 .values_mut()
@@ -400,7 +400,7 @@
         }
     }
 
-    pub(super) fn attempt_over(&mut self, id: &AttemptId, standing: Standing, now: u64) {
+    pub(super) fn attempt_over(&mut self, id: &AttemptId, standing: AttemptState, now: u64) {
         let Some(live) = self.leave(&id.job, id.task) else {
             return;
         };
@@ -408,20 +408,20 @@
             return;
         };
         let change = job.touch(id.task);
-        job.ending.push(Ending {
+        job.ending.push(EndingAttempt {
             id: id.clone(),
             machine: live.machine.clone(),
             part: live.part,
             change,
         });
         job.wait_again(id.task);
-        let gang = job.is(Shape::Gang);
+        let gang = job.is(JobKind::Gang);
         let service = job.lasting();
         if service {
-            self.fates.push(Fate::Lost(id.job.clone(), id.task));
+            self.fates.push(TaskFate::Lost(id.job.clone(), id.task));
         }
         match standing {
-            Standing::Exited(Cause::Done) if !service => {
+            AttemptState::Exited(ExitCause::Done) if !service => {
                 job.failures = 0;
                 if gang {
                     // The tasks of a gang complete together.
@@ -435,10 +435,10 @@
                 self.suspect(touched.jobs, now);
                 return;
             }
-            Standing::Exited(Cause::Error) => {
+            AttemptState::Exited(ExitCause::Error) => {
                 self.note_failure(id, &live, now);
             }
-            Standing::Refused => {
+            AttemptState::Refused => {
                 // Guards against asking an owner again and again whose state
                 // comes through the store, behind what others have taken.
                 let by_mail = self
@@ -452,9 +452,9 @@
                         REFUSED_PAUSE_MS
                     };
             }
-            Standing::Exited(Cause::NoRoom | Cause::InUse | Cause::Unknown | Cause::Alone) => {
-                job.not_before = now + START_REFUSED_PAUSE_MS
-            }
+            AttemptState::Exited(
+                ExitCause::NoRoom | ExitCause::InUse | ExitCause::Unknown | ExitCause::Alone,
+            ) => job.not_before = now + START_REFUSED_PAUSE_MS,
             _ => {}
         }
         let Some(job) = self.jobs.get_mut(&id.job) else {
@@ -467,10 +467,10 @@
             if let Some(admission) = job
                 .admission
                 .as_mut()
-                .filter(|a| a.step != GangStep::Released)
+                .filter(|a| a.step != GangAdmissionStep::Released)
             {
                 // Written with the ends of its attempts: nothing depends on it.
-                admission.go_on(GangStep::Released, now + self.wall_offset_ms);
+                admission.go_on(GangAdmissionStep::Released, now + self.wall_offset_ms);
             }
         }
     }
@@ -478,7 +478,7 @@
 
 impl Placer {
     /// An attempt failed, by its job's fault or its machine's.
-    fn note_failure(&mut self, id: &AttemptId, live: &Live, now: u64) {
+    fn note_failure(&mut self, id: &AttemptId, live: &LiveAttempt, now: u64) {
         // What has run there for long vouches for the machine.
         let well: Vec<(JobId, u64)> = self
             .on
@@ -487,7 +487,7 @@
             .flatten()
             .filter_map(|(other, task)| {
                 let l = self.jobs.get(other)?.live.get(task)?;
-                let well = l.standing == Some(Standing::Running)
+                let well = l.standing == Some(AttemptState::Running)
                     && l.since > 0
                     && now >= l.since + 2 * WELL_AFTER_MS;
                 (well && *other != id.job).then(|| (other.clone(), l.since))
@@ -532,7 +532,7 @@
 
 /// Stops among the wants that are newer than a number.
 fn stops_beyond(
-    wants: &ChangeLog<AttemptId, Want>,
+    wants: &ChangeLog<AttemptId, DesiredAttempt>,
     upto: u64,
     room: usize,
 ) -> Vec<(AttemptId, u32)> {
--- a/crates/coordination/src/placer/records.rs
+++ b/crates/coordination/src/placer/records.rs
@@ -23,7 +23,7 @@
 
 impl Placer {
     /// Loads one chunk of a task record, as an earlier owner left it.
-    pub fn load_chunk(&mut self, id: &JobId, chunk: u32, record: &ChunkRecord, version: u64) {
+    pub fn load_chunk(&mut self, id: &JobId, chunk: u32, record: &TaskChunkRecord, version: u64) {
         let job = self.jobs.entry(id.clone()).or_insert_with(Job::empty);
         job.team = record.team.clone();
         job.need = record.need;
@@ -34,10 +34,10 @@
         let (first, end) = (chunk * CHUNK_TASKS, (chunk + 1) * CHUNK_TASKS);
         job.chunks.insert(
             chunk,
-            Chunk {
+            TaskChunk {
                 version,
                 loaded: record.gang.clone(),
-                ..Chunk::default()
+                ..TaskChunk::default()
             },
         );
         for &(a, b) in &record.done {
@@ -51,7 +51,7 @@
             .iter()
             .filter(|l| (first..end).contains(&l.t) && usize::from(l.p) < parts)
         {
-            let live = Live {
+            let live = LiveAttempt {
                 attempt: l.a,
                 machine: l.m.clone(),
                 part: l.p,
@@ -59,7 +59,7 @@
                 change: 0,
                 standing: None,
                 kill: None,
-                evict: Evict::Nobody,
+                evict: PreemptionScope::Nobody,
                 since: 0,
                 over: true,
             };
@@ -87,7 +87,7 @@
             .unsaved
             .keys()
             .filter_map(|id| self.jobs.get(id))
-            .filter(|j| j.rank() == Rank::Low);
+            .filter(|j| j.rank() == Priority::Low);
         let waiting = idle
             .flat_map(|j| j.chunks.values())
             .filter(|c| c.start_unwritten())
@@ -100,11 +100,11 @@
     /// gangs go first, then ends of withdrawn jobs, by age, then starts, by priority, then
     /// ends of jobs that are done; what only records that attempts ended waits for company, so that one writing of a chunk tells
     /// of many: nothing depends on it but a successor's start.
-    pub fn next_txn(&mut self, now: u64) -> Option<Txn> {
+    pub fn next_txn(&mut self, now: u64) -> Option<CompareAndSwap> {
         if self.pending.is_some() || self.unsaved.is_empty() {
             return None;
         }
-        let mut due: Vec<(Turn, Rank, Urgency, u64, &JobId)> = Vec::new();
+        let mut due: Vec<(Turn, Priority, Urgency, u64, &JobId)> = Vec::new();
         for (id, &since) in &self.unsaved {
             let Some(job) = self.jobs.get(id).filter(|job| now >= job.write_after) else {
                 continue;
@@ -118,13 +118,13 @@
             // every turn, as they do for half a minute after an outage of the store. It
             // keeps no start waiting for long: a job ends once. The oldest goes first,
             // whatever its priority.
-            if end == Some(Phase::Withdrawn) {
-                due.push((Turn::Withdrawn, Rank::Normal, Urgency::Usual, since, id));
+            if end == Some(JobPhase::Withdrawn) {
+                due.push((Turn::Withdrawn, Priority::Normal, Urgency::Usual, since, id));
                 continue;
             }
             // Guards against idle work that starts, makes way and starts again by
             // the hundreds and takes the store's changes from all others.
-            if job.rank() == Rank::Low && end.is_none() {
+            if job.rank() == Priority::Low && end.is_none() {
                 if now >= self.idle_after {
                     let starts = !job.stopping() && job.starts_unwritten();
                     due.push((
@@ -156,7 +156,7 @@
             return None;
         }
         due.sort_unstable();
-        let mut txn = Txn {
+        let mut txn = CompareAndSwap {
             conditions: vec![Condition {
                 key: part_key(self.part),
                 version: self.token,
@@ -180,7 +180,7 @@
                 });
                 txn.writes.push(Write::Delete { key: job_key(id) });
                 txn.writes
-                    .push(Write::put(end_key(id), &EndRecord { phase }));
+                    .push(Write::put(end_key(id), &JobEndRecord { phase }));
                 pending.ends.push((id.clone(), phase));
                 pending.jobs.push((id.clone(), job.version));
                 // Its chunks go once the job is over; no need to write them.
@@ -351,15 +351,19 @@
     }
 
     /// A transaction ended. Returns the jobs whose end is now written.
-    pub fn txn_done(&mut self, outcome: TxnOutcome, now: u64) -> (TxnVerdict, Vec<(JobId, Phase)>) {
+    pub fn txn_done(
+        &mut self,
+        outcome: CompareAndSwapOutcome,
+        now: u64,
+    ) -> (ShardOwnership, Vec<(JobId, JobPhase)>) {
         let Some(pending) = self.pending.take() else {
-            return (TxnVerdict::Fine, Vec::new());
+            return (ShardOwnership::Fine, Vec::new());
         };
         match outcome {
-            TxnOutcome::Done(revision) => {
+            CompareAndSwapOutcome::Done(revision) => {
                 self.records_at_once = self.records_at_once.saturating_mul(2);
                 self.apply_saved(&pending, revision, now);
-                let ends: Vec<(JobId, Phase)> = pending.ends;
+                let ends: Vec<(JobId, JobPhase)> = pending.ends;
                 for (id, phase) in &ends {
                     if let Some(job) = self.jobs.get_mut(id) {
                         info!(job = %id, part = self.part, ?phase, "job is over");
@@ -372,12 +376,12 @@
                     self.unsaved.remove(id);
                     self.settle(id, now);
                 }
-                (TxnVerdict::Fine, ends)
+                (ShardOwnership::Fine, ends)
             }
-            TxnOutcome::Conflict(keys) if keys.contains(&part_key(self.part)) => {
-                (TxnVerdict::Lost, Vec::new())
+            CompareAndSwapOutcome::Conflict(keys) if keys.contains(&part_key(self.part)) => {
+                (ShardOwnership::Lost, Vec::new())
             }
-            TxnOutcome::Conflict(keys) => {
+            CompareAndSwapOutcome::Conflict(keys) => {
                 self.drop_unmade(&pending);
                 for (id, version) in pending.jobs {
                     if keys.contains(&job_key(&id)) {
@@ -387,13 +391,13 @@
                         self.settle(&id, now);
                     }
                 }
-                (TxnVerdict::Fine, Vec::new())
+                (ShardOwnership::Fine, Vec::new())
             }
-            TxnOutcome::Refused => {
+            CompareAndSwapOutcome::Refused => {
                 self.set_apart(&pending, now);
-                (TxnVerdict::Fine, Vec::new())
+                (ShardOwnership::Fine, Vec::new())
             }
-            TxnOutcome::Again => {
+            CompareAndSwapOutcome::Again => {
                 for (id, index, _, _) in &pending.chunks {
                     if let Some(chunk) = self.jobs.get_mut(id).and_then(|j| j.chunks.get_mut(index))
                     {
@@ -401,7 +405,7 @@
                     }
                 }
                 self.drop_unmade(&pending);
-                (TxnVerdict::Fine, Vec::new())
+                (ShardOwnership::Fine, Vec::new())
             }
         }
     }
--- a/crates/coordination/src/placer/scoring.rs
+++ b/crates/coordination/src/placer/scoring.rs
@@ -3,11 +3,11 @@
 use super::*;
 
 /// What a walk over the classes needs beside its ask.
-pub(super) struct Weighed {
+pub(super) struct ScoringInputs {
     /// What makes a difference.
-    pub(super) stakes: Stakes,
+    pub(super) stakes: PlacementRisk,
     /// Where the job's replicas are, field by field; empty: it makes no difference.
-    pub(super) kindred: Vec<Kindred>,
+    pub(super) kindred: Vec<PlacedReplicas>,
 }
 
 impl Placer {
@@ -33,14 +33,14 @@
         &self,
         id: &JobId,
         but: Option<u32>,
-        ask: &Ask<'_>,
+        ask: &PlacementRequest<'_>,
         order: &[(usize, bool)],
         now: u64,
-    ) -> Weighed {
-        let mut weighed = Weighed {
-            stakes: Stakes {
+    ) -> ScoringInputs {
+        let mut weighed = ScoringInputs {
+            stakes: PlacementRisk {
                 lasting: ask.lasting,
-                ..Stakes::default()
+                ..PlacementRisk::default()
             },
             kindred: Vec::new(),
         };
@@ -54,10 +54,10 @@
         stakes.tasks = job.tasks;
         stakes.fetch_s = spec.image_gb / self.fetch_gb_per_s.max(f64::MIN_POSITIVE);
         // Where its own replicas wait for their weights, we know since when they do.
-        let waits = |l: &&Live| {
+        let waits = |l: &&LiveAttempt| {
             l.since > 0
                 && l.standing
-                    .is_none_or(|s| matches!(s, Standing::Accepted | Standing::Preparing))
+                    .is_none_or(|s| matches!(s, AttemptState::Accepted | AttemptState::Preparing))
         };
         let since = job.live.values().filter(waits).map(|l| l.since).min();
         stakes.coming_s = since.map_or(FETCH_LEFT * stakes.fetch_s, |at| {
@@ -77,7 +77,7 @@
         }
         stakes.kin = true;
         if spec.spot {
-            let on_spot = |l: &Live| {
+            let on_spot = |l: &LiveAttempt| {
                 let field = self.fields.get(usize::from(l.part));
                 field
                     .and_then(|f| f.find(&l.machine).map(|i| f.slots[i].spot))
@@ -89,7 +89,7 @@
         let open: BTreeSet<&str> = match (&ask.zones, spec.one_zone || spec.zone.is_some()) {
             (_, true) => BTreeSet::new(),
             (Some(zones), _) => zones.iter().copied().collect(),
-            (None, _) => self.fields.iter().flat_map(Field::zones).collect(),
+            (None, _) => self.fields.iter().flat_map(PlacementIndex::zones).collect(),
         };
         let mut zones: BTreeMap<&str, u32> = BTreeMap::new();
         others().for_each(|l| *zones.entry(&l.zone).or_default() += 1);
@@ -107,7 +107,7 @@
             .fields
             .iter()
             .map(|field| {
-                Kindred::of(
+                PlacedReplicas::of(
                     field,
                     stakes,
                     others().map(|l| &l.machine),
--- a/crates/coordination/src/placer/supervision.rs
+++ b/crates/coordination/src/placer/supervision.rs
@@ -2,15 +2,15 @@
 
 use super::placing::{AT_LIMIT, NO_ROOM};
 use super::*;
-use crate::supervision::services::{Doing, Seen};
-use crate::supervision::takeover::Takeover;
+use crate::supervision::services::{RecoveryActivity, ServiceObservation};
+use crate::supervision::takeover::Failover;
 
 impl Placer {
     /// Looks at the services that something happened to.
-    pub(crate) fn look(&mut self, takeover: &mut Takeover, now: u64) {
+    pub(crate) fn look(&mut self, takeover: &mut Failover, now: u64) {
         for fate in std::mem::take(&mut self.fates) {
             match fate {
-                Fate::Ran(id, task, ours) => {
+                TaskFate::Ran(id, task, ours) => {
                     let class = self
                         .jobs
                         .get(&id)
@@ -19,7 +19,7 @@
                         .map(|s| s.class.as_str());
                     takeover.ran(&id, task, class, ours, now);
                 }
-                Fate::Lost(id, task) => takeover.lost(&id, task, now),
+                TaskFate::Lost(id, task) => takeover.lost(&id, task, now),
             }
         }
         for id in self.services.take_touched() {
@@ -33,7 +33,7 @@
     }
 
     /// How a service stands; `None`: it is none, or nothing of it shall run.
-    fn seen(&self, job: &Job, now: u64) -> Option<Seen> {
+    fn seen(&self, job: &Job, now: u64) -> Option<ServiceObservation> {
         let spec = job.spec().filter(|_| job.lasting() && !job.stopping())?;
         let mut up = 0;
         let (mut unheard, mut unwritten, mut stopping, mut hidden) =
@@ -48,7 +48,7 @@
             }
             match (l.kill, l.standing) {
                 (Some(_), _) => stopping = true,
-                (None, Some(Standing::Running)) => up += 1,
+                (None, Some(AttemptState::Running)) => up += 1,
                 (None, None) if l.since == 0 => unheard = true,
                 (None, None) => unwritten |= !job.recorded(task, l),
                 (None, Some(_)) => {}
@@ -56,31 +56,34 @@
         }
         let fetch = self.fetch_ms(spec);
         let (doing, within) = if up >= job.tasks {
-            (Doing::Nothing, None)
+            (RecoveryActivity::Nothing, None)
         } else if job.waiting() > 0 {
             match job.reason {
                 _ if job.suspect.is_some() || job.failures > 1 && job.not_before > now => {
-                    (Doing::Pausing, None)
+                    (RecoveryActivity::Pausing, None)
                 }
                 NO_ROOM => (
-                    Doing::Room,
+                    RecoveryActivity::Resources,
                     Some(self.boot_ms + self.boot_ms / 2 + fetch + STEP_MS),
                 ),
-                AT_LIMIT => (Doing::Limit, None),
-                _ => (Doing::Queued, Some(STEP_MS)),
+                AT_LIMIT => (RecoveryActivity::Limit, None),
+                _ => (RecoveryActivity::Queued, Some(STEP_MS)),
             }
         } else if let Some(over_at) = hidden {
-            (Doing::OutOfSight, Some(over_at.saturating_sub(now)))
+            (
+                RecoveryActivity::OutOfSight,
+                Some(over_at.saturating_sub(now)),
+            )
         } else if unheard {
-            (Doing::Unheard, None)
+            (RecoveryActivity::Unheard, None)
         } else if unwritten {
-            (Doing::Writing, Some(STEP_MS))
+            (RecoveryActivity::Writing, Some(STEP_MS))
         } else if stopping {
-            (Doing::Stopping, Some(EVICT_WAIT_MS + STEP_MS))
+            (RecoveryActivity::Stopping, Some(EVICT_WAIT_MS + STEP_MS))
         } else {
-            (Doing::Starting, Some(fetch + STEP_MS))
+            (RecoveryActivity::Starting, Some(fetch + STEP_MS))
         };
-        Some(Seen {
+        Some(ServiceObservation {
             promised: job.tasks,
             up,
             doing,
@@ -92,7 +95,7 @@
     pub(crate) fn zones_up(&self, id: &JobId) -> Vec<(String, u32)> {
         let mut zones: BTreeMap<&String, u32> = BTreeMap::new();
         let live = self.jobs.get(id).into_iter().flat_map(|j| j.live.values());
-        for l in live.filter(|l| l.kill.is_none() && l.standing == Some(Standing::Running)) {
+        for l in live.filter(|l| l.kill.is_none() && l.standing == Some(AttemptState::Running)) {
             *zones.entry(&l.zone).or_default() += 1;
         }
         zones
@@ -105,7 +108,7 @@
     /// for hours.
     pub(crate) fn starts_wait(&self) -> bool {
         let mut jobs = self.unsaved.keys().filter_map(|id| self.jobs.get(id));
-        jobs.any(|j| !j.stopping() && j.rank() != Rank::Low && j.starts_unwritten())
+        jobs.any(|j| !j.stopping() && j.rank() != Priority::Low && j.starts_unwritten())
     }
 
     /// Replicas, other tasks and machines that are up in a part, as far as its
--- a/crates/coordination/src/process_stall.rs
+++ b/crates/coordination/src/process_stall.rs
@@ -8,7 +8,7 @@
 
 /// What is known of the last pause.
 #[derive(Debug, Default)]
-pub(crate) struct Pause {
+pub(crate) struct ProcessStall {
     /// When something last happened here, ms.
     last: Option<u64>,
     /// When it last went on after a pause, ms.
@@ -17,7 +17,7 @@
     proof_from: u64,
 }
 
-impl Pause {
+impl ProcessStall {
     /// Something happens now; how long the process stood still before, if it did.
     pub(crate) fn pass(&mut self, now: u64) -> Option<u64> {
         let before = self
@@ -55,7 +55,7 @@
 
     #[test]
     fn a_pause_voids_what_time_told_until_proof_comes() {
-        let mut pause = Pause::default();
+        let mut pause = ProcessStall::default();
         for now in (0..5_000).step_by(100) {
             assert_eq!(pause.pass(now), None);
         }
--- a/crates/coordination/src/query_admission.rs
+++ b/crates/coordination/src/query_admission.rs
@@ -14,7 +14,7 @@
 
 /// Why a request of a user was not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Refusal {
+pub enum QueryRefusal {
     /// This process is behind with its work.
     Behind,
     /// No word from the store for a while.
@@ -33,7 +33,7 @@
 
 /// What was asked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Asked {
+pub enum QueryKind {
     /// How a job stands.
     Poll,
     /// To take a job in.
@@ -43,7 +43,7 @@
 }
 
 /// How often each was turned away, and why.
-pub type Refusals = BTreeMap<(Asked, Refusal), u64>;
+pub type QueryRefusalCounts = BTreeMap<(QueryKind, QueryRefusal), u64>;
 
 /// What is owed for one job.
 #[derive(Clone, Copy, Debug)]
@@ -56,14 +56,14 @@
 
 /// Jobs that are owed an answer, and what was turned away.
 #[derive(Debug, Default)]
-pub struct Questions {
+pub struct QueryAdmission {
     owed: HashMap<JobId, Owed>,
     swept: u64,
-    refusals: Refusals,
+    refusals: QueryRefusalCounts,
     longest_ms: u64,
 }
 
-impl Questions {
+impl QueryAdmission {
     /// Since when a job is owed an answer, ms; `now` if it is not.
     pub fn since(&self, id: &JobId, now: u64) -> u64 {
         self.owed.get(id).map_or(now, |o| o.since)
@@ -76,9 +76,9 @@
 
     /// A question about a job was turned away. Beyond [`OWED_MOST`] jobs the ones
     /// that came before keep their claim.
-    pub fn turned_away(&mut self, id: &JobId, asked: Asked, why: Refusal, now: u64) {
+    pub fn turned_away(&mut self, id: &JobId, asked: QueryKind, why: QueryRefusal, now: u64) {
         *self.refusals.entry((asked, why)).or_default() += 1;
-        if why == Refusal::Stopping {
+        if why == QueryRefusal::Stopping {
             return;
         }
         self.sweep(now);
@@ -105,7 +105,7 @@
 
     /// What was turned away since the last call, and for how long the same job was
     /// turned away at most, ms. `None`: nothing was.
-    pub fn told(&mut self) -> Option<(Refusals, u64)> {
+    pub fn told(&mut self) -> Option<(QueryRefusalCounts, u64)> {
         let longest = std::mem::take(&mut self.longest_ms);
         (!self.refusals.is_empty()).then(|| (std::mem::take(&mut self.refusals), longest))
     }
--- a/crates/coordination/src/rate_limit.rs
+++ b/crates/coordination/src/rate_limit.rs
@@ -11,7 +11,7 @@
 /// other side refuses: one placer may do nearly all the writing while the
 /// others only read. Times are µs by any steady clock.
 #[derive(Clone, Debug)]
-pub struct Bucket {
+pub struct TokenBucket {
     share: f64,
     /// What all nodes together take at most, and what the settings promise.
     whole: f64,
@@ -23,7 +23,7 @@
     at: u64,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// A bucket for one of `nodes` that share `whole` a second.
     pub fn new(whole: f64, nodes: usize, now_us: u64) -> Self {
         let share = whole / nodes as f64;
@@ -109,17 +109,17 @@
 /// be: one waits for its turn among all requests or in that part, whichever comes
 /// first. It counts as a request all the same, so the others wait for it.
 #[derive(Clone, Debug)]
-pub struct Requests {
-    all: Bucket,
-    kept: Bucket,
+pub struct RequestBudget {
+    all: TokenBucket,
+    kept: TokenBucket,
 }
 
-impl Requests {
+impl RequestBudget {
     /// The share of one of `nodes` of `whole` a second.
     pub fn new(whole: f64, nodes: usize, now_us: u64) -> Self {
         Self {
-            all: Bucket::new(whole, nodes, now_us),
-            kept: Bucket::new(whole / nodes as f64 * QUESTIONS_SHARE, 1, now_us),
+            all: TokenBucket::new(whole, nodes, now_us),
+            kept: TokenBucket::new(whole / nodes as f64 * QUESTIONS_SHARE, 1, now_us),
         }
     }
 
--- a/crates/coordination/src/socket_shares.rs
+++ b/crates/coordination/src/socket_shares.rs
@@ -11,7 +11,7 @@
 
 /// How many sockets each kind of traffic may have open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Shares {
+pub struct SocketShares {
     /// Connections of workers and users.
     pub public: usize,
     /// Connections of other controllers.
@@ -24,7 +24,7 @@
     pub own: usize,
 }
 
-impl Shares {
+impl SocketShares {
     /// Divides the sockets that a process may open.
     pub fn of(limit: usize) -> Self {
         let reserve = SOCKET_RESERVE.min(limit / 2);
@@ -57,7 +57,7 @@
     #[test]
     fn shares_fit_the_limit_and_leave_none_without() {
         for limit in [64, 100, 400, 1_800, 2_262, 65_536] {
-            let s = Shares::of(limit);
+            let s = SocketShares::of(limit);
             assert_eq!(s.public + s.peers + s.orders + s.idle + s.own, limit);
             assert!(
                 [s.public, s.peers, s.orders, s.idle, s.own]
--- a/crates/coordination/src/supervision/entries.rs
+++ b/crates/coordination/src/supervision/entries.rs
@@ -1,10 +1,10 @@
 //! Entries of changes of hands: written with each, closed in spare writes.
 
-use crate::election::Claim;
-use crate::supervision::takeover::{Takeover, left_open};
-use crate::{Core, Effect, Lot};
-use lemonweir_protocol::kv_store::{Condition, Txn};
-use lemonweir_storage::failovers::{Change, HandoverRecord, NewHandover};
+use crate::election::ElectionAction;
+use crate::supervision::takeover::{Failover, left_open};
+use crate::{Core, Effect, ShardLease};
+use lemonweir_protocol::kv_store::{CompareAndSwap, Condition};
+use lemonweir_storage::failovers::{FailoverRecord, LeadershipChange, NewFailover};
 use lemonweir_storage::records::{hand_back, leave_part, part_key, take_part};
 
 impl Core {
@@ -13,24 +13,33 @@
     ///
     /// A conflict on the entry's slot alone means that the copy was older than a
     /// change of hands, or than a closing: the next reading shows it.
-    pub fn claim_txn(&self, claim: &Claim, hold: u64, left: Vec<u16>, now: u64) -> Txn {
+    pub fn claim_txn(
+        &self,
+        claim: &ElectionAction,
+        hold: u64,
+        left: Vec<u16>,
+        now: u64,
+    ) -> CompareAndSwap {
         let me = &self.config.members[usize::from(self.config.me)];
         match *claim {
-            Claim::Take { part, version } => {
+            ElectionAction::Take { part, version } => {
                 let how = if version == 0 {
-                    Change::Vacant
+                    LeadershipChange::Vacant
                 } else {
-                    Change::Reborn
+                    LeadershipChange::Reborn
                 };
                 take_part(version, &me.host, hold, &self.entry(part, how, now))
             }
-            Claim::HandBack(lot) => {
-                let mut txn = hand_back(lot.token, &self.entry(lot.part, Change::HandedBack, now));
+            ElectionAction::HandBack(lot) => {
+                let mut txn = hand_back(
+                    lot.token,
+                    &self.entry(lot.part, LeadershipChange::HandedBack, now),
+                );
                 self.close_now(lot, &mut txn, now);
                 txn
             }
-            Claim::Leave(lot) => {
-                let entry = self.entry(lot.part, Change::Left, now);
+            ElectionAction::Leave(lot) => {
+                let entry = self.entry(lot.part, LeadershipChange::Left, now);
                 let mut txn = leave_part(lot.token, &entry, &me.host, &me.zone, hold, left);
                 self.close_now(lot, &mut txn, now);
                 txn
@@ -39,11 +48,11 @@
     }
 
     /// The entry of a change of hands that is made now.
-    fn entry(&self, part: u16, how: Change, now: u64) -> NewHandover {
+    fn entry(&self, part: u16, how: LeadershipChange, now: u64) -> NewFailover {
         let me = &self.config.members[usize::from(self.config.me)].host;
         let (n, slot_version) = self.mirror.handovers.next(part);
         let (from, to) = match how {
-            Change::Vacant => (
+            LeadershipChange::Vacant => (
                 self.mirror
                     .handovers
                     .of(part)
@@ -51,13 +60,13 @@
                     .and_then(|(r, _)| r.last_holder().cloned()),
                 Some(me.clone()),
             ),
-            Change::Reborn => (Some(me.clone()), Some(me.clone())),
+            LeadershipChange::Reborn => (Some(me.clone()), Some(me.clone())),
             _ => (Some(me.clone()), None),
         };
         // Its own placer knows best what is up, another's from its copy.
         let knows = self.parts.get(&part).or_else(|| self.parts.values().next());
         let up = knows.and_then(|p| p.placer.known_up(part));
-        let record = HandoverRecord {
+        let record = FailoverRecord {
             n,
             from,
             to,
@@ -66,7 +75,7 @@
             up,
             closed: None,
         };
-        NewHandover {
+        NewFailover {
             part,
             slot_version,
             record,
@@ -74,7 +83,7 @@
     }
 
     /// Closes a part's open entry with what is known, as it is given up.
-    fn close_now(&self, lot: Lot, txn: &mut Txn, now: u64) {
+    fn close_now(&self, lot: ShardLease, txn: &mut CompareAndSwap, now: u64) {
         let me = &self.config.members[usize::from(self.config.me)].host;
         let takeover = self
             .parts
@@ -85,7 +94,7 @@
             return;
         };
         // Its slot may be the one that the new entry takes.
-        let key = |n: &NewHandover| lemonweir_storage::failovers::handover_key(n.part, n.record.n);
+        let key = |n: &NewFailover| lemonweir_storage::failovers::handover_key(n.part, n.record.n);
         if let Some(mut entry) = self
             .mirror
             .handovers
@@ -101,7 +110,7 @@
     }
 
     /// What was found after a part was taken is kept from now on.
-    pub(crate) fn begin_takeover(&mut self, lot: Lot, now: u64) {
+    pub(crate) fn begin_takeover(&mut self, lot: ShardLease, now: u64) {
         let entry = self
             .mirror
             .handovers
@@ -115,7 +124,7 @@
         if let Some(part) = self.parts.get_mut(&lot.part) {
             part.placer.look(&mut part.takeover, now);
             let awaited = part.placer.services.short().clone();
-            part.takeover = Takeover::new(entry.map(|(n, _)| n), lot.token, began, awaited, now);
+            part.takeover = Failover::new(entry.map(|(n, _)| n), lot.token, began, awaited, now);
         }
     }
 
@@ -142,7 +151,7 @@
         }
         part.takeover.tried(now);
         entry.record.closed = Some(part.takeover.closing(me, now));
-        let mut txn = Txn {
+        let mut txn = CompareAndSwap {
             conditions: vec![Condition {
                 key: part_key(index),
                 version: part.lot.token,
@@ -165,11 +174,11 @@
                 .filter(|(next, _)| next.n == record.n + 1)
                 .map(|(next, _)| next.at.saturating_sub(record.at));
             let closed = Some(left_open(me, *version, held_ms));
-            let record = HandoverRecord {
+            let record = FailoverRecord {
                 closed,
                 ..(*record).clone()
             };
-            NewHandover {
+            NewFailover {
                 part: index,
                 slot_version: *version,
                 record,
--- a/crates/coordination/src/supervision/picture.rs
+++ b/crates/coordination/src/supervision/picture.rs
@@ -2,27 +2,28 @@
 //! All of it from memory, so that it can be had while the store is away.
 
 use crate::Core;
-use crate::supervision::services::Doing;
-use lemonweir_model::Shape;
+use crate::supervision::services::RecoveryActivity;
+use lemonweir_model::JobKind;
 use lemonweir_protocol::supervision::{
-    ClosedRow, HandoverRow, Handovers, PartRow, ShortRow, Watch,
+    FailoverCompletionRow, FailoverReport, FailoverRow, ShardRow, SupervisionReport,
+    UnderReplicatedServiceRow,
 };
-use lemonweir_storage::failovers::{Change, Closing, HandoverRecord};
-use lemonweir_storage::state_cache::MirroredJob;
+use lemonweir_storage::failovers::{FailoverCompletion, FailoverRecord, LeadershipChange};
+use lemonweir_storage::state_cache::CachedJob;
 
-impl Doing {
+impl RecoveryActivity {
     fn text(self) -> &'static str {
         match self {
-            Doing::Nothing => "nothing: all are up",
-            Doing::Queued => "waits for its turn",
-            Doing::Room => "room is made and machines are asked for",
-            Doing::Limit => "nothing: its team is at its limit",
-            Doing::Writing => "its starts are being written",
-            Doing::Starting => "starting, or fetching its image",
-            Doing::Stopping => "waits for what is being stopped",
-            Doing::Unheard => "waits for its machines' first reports to the new holder",
-            Doing::OutOfSight => "waits for a zone out of sight, or its proof",
-            Doing::Pausing => "failed; the next try comes after a pause",
+            RecoveryActivity::Nothing => "nothing: all are up",
+            RecoveryActivity::Queued => "waits for its turn",
+            RecoveryActivity::Resources => "room is made and machines are asked for",
+            RecoveryActivity::Limit => "nothing: its team is at its limit",
+            RecoveryActivity::Writing => "its starts are being written",
+            RecoveryActivity::Starting => "starting, or fetching its image",
+            RecoveryActivity::Stopping => "waits for what is being stopped",
+            RecoveryActivity::Unheard => "waits for its machines' first reports to the new holder",
+            RecoveryActivity::OutOfSight => "waits for a zone out of sight, or its proof",
+            RecoveryActivity::Pausing => "failed; the next try comes after a pause",
         }
     }
 }
@@ -39,12 +40,12 @@
     }
 
     /// The state of parts and services. Walks all jobs: for operators' questions.
-    pub fn watch(&self, now: u64) -> Watch {
+    pub fn watch(&self, now: u64) -> SupervisionReport {
         let (host, age_ms) = self.told_by(now);
         let rings = &self.mirror.handovers;
-        let part = |(part, home): (u16, &lemonweir_model::settings::Member)| {
+        let part = |(part, home): (u16, &lemonweir_model::settings::ClusterMember)| {
             let holder = self.mirror.parts.get(&part);
-            PartRow {
+            ShardRow {
                 part,
                 home: home.host.clone(),
                 holder: holder.map(|h| h.host.clone()),
@@ -53,7 +54,7 @@
             }
         };
         let parts = (0..).zip(&self.config.members).map(part).collect();
-        let mut watch = Watch {
+        let mut watch = SupervisionReport {
             host,
             age_ms,
             parts,
@@ -66,7 +67,7 @@
             .mirror
             .jobs
             .values()
-            .filter(|j| j.record.spec.shape == Shape::Service && !j.record.withdrawn)
+            .filter(|j| j.record.spec.shape == JobKind::Service && !j.record.withdrawn)
         {
             let row = self.service_row(job, now);
             watch.services += 1;
@@ -76,20 +77,21 @@
                 watch.short.push(row);
             }
         }
-        let missing =
-            |r: &ShortRow| u64::from(r.promised - r.up) * 1_000_000 / u64::from(r.promised.max(1));
+        let missing = |r: &UnderReplicatedServiceRow| {
+            u64::from(r.promised - r.up) * 1_000_000 / u64::from(r.promised.max(1))
+        };
         watch
             .short
             .sort_by(|a, b| missing(b).cmp(&missing(a)).then_with(|| a.job.cmp(&b.job)));
         watch
     }
 
-    fn service_row(&self, job: &MirroredJob, now: u64) -> ShortRow {
+    fn service_row(&self, job: &CachedJob, now: u64) -> UnderReplicatedServiceRow {
         let spec = &job.record.spec;
         let part = Self::team_part(&self.mirror, &self.config, &spec.team);
         let tasks = spec.tasks.min(u64::from(u32::MAX)) as u32;
         let note = self.notes.get(&spec.id);
-        let mut row = ShortRow {
+        let mut row = UnderReplicatedServiceRow {
             job: spec.id.to_string(),
             class: spec.class.clone(),
             team: spec.team.clone(),
@@ -132,7 +134,7 @@
     }
 
     /// The parts' changes of hands, the newest first.
-    pub fn handovers(&self, now: u64) -> Handovers {
+    pub fn handovers(&self, now: u64) -> FailoverReport {
         let (host, age_ms) = self.told_by(now);
         let rings = &self.mirror.handovers;
         let rows = |part: u16| {
@@ -141,12 +143,12 @@
                 .into_iter()
                 .map(move |(record, version)| row_of(part, record, version))
         };
-        let mut changes: Vec<HandoverRow> = rings.parts().into_iter().flat_map(rows).collect();
+        let mut changes: Vec<FailoverRow> = rings.parts().into_iter().flat_map(rows).collect();
         changes.sort_by(|a, b| {
             b.at.cmp(&a.at)
                 .then_with(|| (b.part, b.n).cmp(&(a.part, a.n)))
         });
-        Handovers {
+        FailoverReport {
             host,
             age_ms,
             changes,
@@ -154,21 +156,21 @@
     }
 }
 
-fn row_of(part: u16, record: &HandoverRecord, version: u64) -> HandoverRow {
+fn row_of(part: u16, record: &FailoverRecord, version: u64) -> FailoverRow {
     let how = match record.how {
-        Change::Vacant if record.from.is_none() => "taken: no holder known",
-        Change::Vacant => "taken: its holder had given it up, or its hold had run out",
-        Change::Reborn => "taken by a later life of its holder",
-        Change::HandedBack => "given up for its home, which lives",
-        Change::Left => "left: its machines are not heard",
-        Change::Other => "in a way that a later version knows",
+        LeadershipChange::Vacant if record.from.is_none() => "taken: no holder known",
+        LeadershipChange::Vacant => "taken: its holder had given it up, or its hold had run out",
+        LeadershipChange::Reborn => "taken by a later life of its holder",
+        LeadershipChange::HandedBack => "given up for its home, which lives",
+        LeadershipChange::Left => "left: its machines are not heard",
+        LeadershipChange::Other => "in a way that a later version knows",
     };
     let closed = record.closed.clone();
     let token = closed
         .as_ref()
         .map_or(Some(version), |c| c.token)
         .filter(|_| record.to.is_some());
-    HandoverRow {
+    FailoverRow {
         part,
         n: record.n,
         at: record.at,
@@ -181,8 +183,8 @@
     }
 }
 
-fn closed_row(c: Closing) -> ClosedRow {
-    let Closing {
+fn closed_row(c: FailoverCompletion) -> FailoverCompletionRow {
+    let FailoverCompletion {
         by,
         read_ms,
         first_start_ms,
@@ -193,7 +195,7 @@
         token: _,
         held_ms,
     } = c;
-    ClosedRow {
+    FailoverCompletionRow {
         by,
         read_ms,
         first_start_ms,
--- a/crates/coordination/src/supervision/services.rs
+++ b/crates/coordination/src/supervision/services.rs
@@ -8,13 +8,13 @@
 
 /// What is being done about replicas that are missing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Doing {
+pub enum RecoveryActivity {
     /// None is missing.
     Nothing,
     /// They wait for their turn to be placed.
     Queued,
     /// No machine has room for them; machines are asked for, and room is made.
-    Room,
+    Resources,
     /// Their team uses all that it may.
     Limit,
     /// Their starts wait to be written.
@@ -45,7 +45,7 @@
 
 /// A try of it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Try {
+pub struct RecoveryAttempt {
     /// Which way.
     pub rung: PreemptionStep,
     /// When, ms.
@@ -56,22 +56,22 @@
 
 /// How a service stands at a moment.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Seen {
+pub struct ServiceObservation {
     /// Replicas promised.
     pub promised: u32,
     /// Replicas up.
     pub up: u32,
     /// What is being done about the others.
-    pub doing: Doing,
+    pub doing: RecoveryActivity,
     /// ms that this may take before it counts as failed; none: no telling.
     pub within: Option<u64>,
 }
 
 /// A service under watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Service {
+pub struct SupervisedService {
     /// How it stands.
-    pub seen: Seen,
+    pub seen: ServiceObservation,
     /// Since when replicas are missing, ms.
     pub short_since: Option<u64>,
     /// Since when more than half are missing, ms.
@@ -83,13 +83,13 @@
     /// When another way is looked for next, once it is late, ms.
     look_at: Option<u64>,
     /// What was tried beyond the usual way since replicas are missing.
-    pub tries: Vec<Try>,
+    pub tries: Vec<RecoveryAttempt>,
 }
 
 /// All services of one placer's teams.
 #[derive(Debug, Default)]
-pub struct Services {
-    all: BTreeMap<JobId, Service>,
+pub struct SupervisedServices {
+    all: BTreeMap<JobId, SupervisedService>,
     /// Those that are short, by when another way is looked for.
     due: BTreeSet<(u64, JobId)>,
     short: BTreeSet<JobId>,
@@ -97,7 +97,7 @@
     touched: BTreeSet<JobId>,
 }
 
-impl Services {
+impl SupervisedServices {
     /// Something happened to a job: it is to be looked at.
     pub fn touch(&mut self, id: &JobId) {
         self.touched.insert(id.clone());
@@ -114,7 +114,7 @@
     }
 
     /// How a service stands now; `None`: it is over, or being withdrawn.
-    pub fn set(&mut self, id: &JobId, seen: Option<Seen>, now: u64) {
+    pub fn set(&mut self, id: &JobId, seen: Option<ServiceObservation>, now: u64) {
         let before = self.all.remove(id);
         if let Some(before) = &before {
             self.short.remove(id);
@@ -125,7 +125,7 @@
         let Some(seen) = seen else { return };
         let since = |is: bool, before: Option<u64>| is.then(|| before.unwrap_or(now));
         let whole = seen.up >= seen.promised;
-        let mut service = Service {
+        let mut service = SupervisedService {
             short_since: since(!whole, before.as_ref().and_then(|b| b.short_since)),
             below_half_since: since(
                 2 * seen.up < seen.promised,
@@ -164,7 +164,7 @@
 
     /// Another way was looked for, and what was found was tried; the next look
     /// comes after a while.
-    pub fn looked(&mut self, id: &JobId, tries: Vec<Try>, now: u64) {
+    pub fn looked(&mut self, id: &JobId, tries: Vec<RecoveryAttempt>, now: u64) {
         let Some(service) = self.all.get_mut(id) else {
             return;
         };
@@ -189,7 +189,7 @@
     }
 
     /// A service, if it is watched.
-    pub fn get(&self, id: &JobId) -> Option<&Service> {
+    pub fn get(&self, id: &JobId) -> Option<&SupervisedService> {
         self.all.get(id)
     }
 
--- a/crates/coordination/src/supervision/takeover.rs
+++ b/crates/coordination/src/supervision/takeover.rs
@@ -4,11 +4,11 @@
 
 use lemonweir_model::JobId;
 use lemonweir_model::constants::{CLOSE_MOST_MS, CLOSE_RETRY_MS, GAPS_TOLD};
-use lemonweir_storage::failovers::Closing;
+use lemonweir_storage::failovers::FailoverCompletion;
 
 /// What the new holder of a part has found so far.
 #[derive(Debug, Default)]
-pub struct Takeover {
+pub struct Failover {
     /// Number of its entry; none: there is none, or it is closed.
     entry: Option<u64>,
     /// The part's token.
@@ -30,7 +30,7 @@
     tried: Option<u64>,
 }
 
-impl Takeover {
+impl Failover {
     /// A part was taken at `began`, with these services, and read by `now`.
     pub fn new(
         entry: Option<u64>,
@@ -121,7 +121,7 @@
     }
 
     /// What it has found, as told by `host`.
-    pub fn closing(&self, host: &str, now: u64) -> Closing {
+    pub fn closing(&self, host: &str, now: u64) -> FailoverCompletion {
         let since = |at: u64| at.saturating_sub(self.began);
         let mut gaps: Vec<(String, u64)> = self
             .gaps
@@ -144,7 +144,7 @@
                 since(now) / 1_000
             ));
         }
-        Closing {
+        FailoverCompletion {
             by: host.to_owned(),
             read_ms: Some(since(self.read)),
             first_start_ms: self.first_start.map(since),
@@ -160,19 +160,19 @@
 
 /// What a later holder can still tell of an entry that was left open: nothing but
 /// how long it lasted.
-pub fn left_open(host: &str, token: u64, held_ms: Option<u64>) -> Closing {
+pub fn left_open(host: &str, token: u64, held_ms: Option<u64>) -> FailoverCompletion {
     let unknown = [
         "what was read and found",
         "the first start",
         "when all services were whole",
     ];
-    Closing {
+    FailoverCompletion {
         by: host.to_owned(),
         unknown: unknown
             .map(|what| format!("{what}: its holder ended before it wrote that"))
             .to_vec(),
         token: Some(token),
         held_ms,
-        ..Closing::default()
+        ..FailoverCompletion::default()
     }
 }
--- a/crates/coordination/tests/answers.rs
+++ b/crates/coordination/tests/answers.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lemonweir_coordination::query_admission::{Asked, Line, Questions, Refusal};
-use lemonweir_coordination::rate_limit::{Bucket, Requests};
+use lemonweir_coordination::query_admission::{Line, QueryAdmission, QueryKind, QueryRefusal};
+use lemonweir_coordination::rate_limit::{RequestBudget, TokenBucket};
 use lemonweir_model::JobId;
 use lemonweir_model::constants::*;
 
@@ -90,7 +90,7 @@
 
 /// One node's lookups, as many at a time as the store's limits allow.
 struct Node {
-    questions: Questions,
+    questions: QueryAdmission,
     line: Line<u64>,
     behind: bool,
 }
@@ -106,7 +106,7 @@
     let mut draw = Draw(seed);
     let mut all: Vec<Node> = (0..nodes)
         .map(|n| Node {
-            questions: Questions::default(),
+            questions: QueryAdmission::default(),
             line: Line::new(LOOKUPS_MOST),
             behind: n < behind,
         })
@@ -132,7 +132,7 @@
             };
             if node.behind && !(fair && node.questions.first(&id, now)) {
                 node.questions
-                    .turned_away(&id, Asked::Poll, Refusal::Behind, now);
+                    .turned_away(&id, QueryKind::Poll, QueryRefusal::Behind, now);
                 continue;
             }
             let waiter = job.map_or(u64::MAX, |n| n as u64);
@@ -145,7 +145,7 @@
                     self::id(100_000 + gone)
                 };
                 node.questions
-                    .turned_away(&who, Asked::Poll, Refusal::Lookups, now);
+                    .turned_away(&who, QueryKind::Poll, QueryRefusal::Lookups, now);
             }
         }
         for node in &mut all {
@@ -183,9 +183,9 @@
 /// than are kept.
 #[test]
 fn claims_end_and_are_bounded() {
-    let mut questions = Questions::default();
-    questions.turned_away(&id(1), Asked::Poll, Refusal::Behind, 1_000);
-    questions.turned_away(&id(1), Asked::Poll, Refusal::Lookups, 6_000);
+    let mut questions = QueryAdmission::default();
+    questions.turned_away(&id(1), QueryKind::Poll, QueryRefusal::Behind, 1_000);
+    questions.turned_away(&id(1), QueryKind::Poll, QueryRefusal::Lookups, 6_000);
     assert!(
         !questions.first(&id(1), 1_000 + OWED_FIRST_MS - 1)
             && questions.first(&id(1), 1_000 + OWED_FIRST_MS)
@@ -194,8 +194,8 @@
         questions.told(),
         Some((
             BTreeMap::from([
-                ((Asked::Poll, Refusal::Behind), 1),
-                ((Asked::Poll, Refusal::Lookups), 1)
+                ((QueryKind::Poll, QueryRefusal::Behind), 1),
+                ((QueryKind::Poll, QueryRefusal::Lookups), 1)
             ]),
             5_000
         ))
@@ -204,16 +204,21 @@
     questions.answered(&id(1));
     assert_eq!(questions.since(&id(1), 20_000), 20_000);
     // A withdrawal that is under way is no question in vain.
-    questions.turned_away(&id(2), Asked::Poll, Refusal::Stopping, 20_000);
+    questions.turned_away(&id(2), QueryKind::Poll, QueryRefusal::Stopping, 20_000);
     assert!(!questions.first(&id(2), 60_000));
     for n in 0..2 * OWED_MOST as u64 {
-        questions.turned_away(&id(n), Asked::Poll, Refusal::Behind, 30_000);
+        questions.turned_away(&id(n), QueryKind::Poll, QueryRefusal::Behind, 30_000);
     }
     let owed = (0..2 * OWED_MOST as u64)
         .filter(|n| questions.since(&id(*n), 50_000) == 30_000)
         .count();
     assert_eq!(owed, OWED_MOST);
-    questions.turned_away(&id(7), Asked::Poll, Refusal::Behind, 40_000 + OWED_KEPT_MS);
+    questions.turned_away(
+        &id(7),
+        QueryKind::Poll,
+        QueryRefusal::Behind,
+        40_000 + OWED_KEPT_MS,
+    );
     let owed: BTreeSet<u64> = (0..OWED_MOST as u64)
         .filter(|n| questions.since(&id(*n), u64::MAX) < u64::MAX)
         .collect();
@@ -227,7 +232,7 @@
 #[test]
 fn questions_have_their_turn_beside_any_amount_of_writing() {
     for (whole, nodes) in [(180.0, 3), (360.0, 3), (180.0, 9)] {
-        let mut requests = Requests::new(whole, nodes, 0);
+        let mut requests = RequestBudget::new(whole, nodes, 0);
         // The store refuses what is over the share.
         let share = whole / nodes as f64;
         let (mut worst, mut written, mut turn_us) = (0, 0, 0);
@@ -259,7 +264,7 @@
 /// equal share is also refused while another one takes more.
 #[test]
 fn only_a_limit_that_the_settings_name_is_learned() {
-    let rate = |bucket: &mut Bucket| {
+    let rate = |bucket: &mut TokenBucket| {
         for now_us in (0..20_000_000u64).step_by(100_000) {
             bucket.refused_for_good();
             bucket.take(1.0, now_us);
@@ -270,8 +275,8 @@
         1e6 / (after - before) as f64
     };
     let (unnamed, named) = (
-        rate(&mut Bucket::new(60.0, 3, 0)),
-        rate(&mut Bucket::new(60.0, 3, 0).falling_to(42.0)),
+        rate(&mut TokenBucket::new(60.0, 3, 0)),
+        rate(&mut TokenBucket::new(60.0, 3, 0).falling_to(42.0)),
     );
     assert!(unnamed > 19.0, "{unnamed}");
     assert!((13.0..16.0).contains(&named), "{named}");
--- a/crates/coordination/tests/cancellations.rs
+++ b/crates/coordination/tests/cancellations.rs
@@ -8,14 +8,16 @@
 use controllers::*;
 use lemonweir_coordination::job_status::Answer;
 use lemonweir_coordination::owner::{CommandResult, Owner};
-use lemonweir_coordination::placer::TxnOutcome;
-use lemonweir_coordination::{Config, Core, Effect, Lot};
+use lemonweir_coordination::placer::CompareAndSwapOutcome;
+use lemonweir_coordination::{Config, Core, Effect, ShardLease};
 use lemonweir_model::constants::*;
 use lemonweir_model::{JobId, JobSpec};
-use lemonweir_protocol::kv_store::{Change, Entry, Txn, Write, to_value};
-use lemonweir_protocol::peer::{self, AttemptView, Cause, Span, Standing, Sync, View};
-use lemonweir_protocol::users::Phase;
-use lemonweir_protocol::worker::{Report, Verb};
+use lemonweir_protocol::kv_store::{CompareAndSwap, KeyValue, WatchEvent, Write, to_value};
+use lemonweir_protocol::peer::{
+    self, AttemptState, AttemptStatus, ChangeRange, ExitCause, ShardView, SyncRequest,
+};
+use lemonweir_protocol::users::JobPhase;
+use lemonweir_protocol::worker::{CommandKind, Heartbeat};
 use lemonweir_storage::records::*;
 use support::*;
 
@@ -32,7 +34,7 @@
 /// of part 0, which controller 0 holds.
 struct Asker {
     core: Core,
-    lot: Lot,
+    lot: ShardLease,
     now: u64,
     revision: u64,
     job: JobId,
@@ -55,19 +57,19 @@
         };
         let (job, lot) = (
             spec.id.clone(),
-            Lot {
+            ShardLease {
                 part: 1,
                 token: OWN,
             },
         );
-        let holder = |part: u16, token| Entry {
+        let holder = |part: u16, token| KeyValue {
             key: part_key(part),
-            value: to_value(&PartRecord {
+            value: to_value(&ShardRecord {
                 host: format!("h{part}"),
             }),
             version: token,
         };
-        let accepted = Entry {
+        let accepted = KeyValue {
             key: job_key(&job),
             value: to_value(&JobRecord {
                 spec: spec.clone(),
@@ -94,7 +96,7 @@
         let first = asker.direct();
         let shows = view(
             first.seq,
-            Span {
+            ChangeRange {
                 since: 0,
                 upto: 1,
                 last: true,
@@ -116,11 +118,14 @@
             self.core.refreshed(self.now, false);
             for effect in self.core.pump(self.now) {
                 match effect {
-                    Effect::Txn(lot, txn) => {
+                    Effect::CompareAndSwap(lot, txn) => {
                         self.ended |= ends(&txn, &self.job);
                         self.revision += 1;
-                        self.core
-                            .txn_done(lot, TxnOutcome::Done(self.revision), self.now);
+                        self.core.txn_done(
+                            lot,
+                            CompareAndSwapOutcome::Done(self.revision),
+                            self.now,
+                        );
                     }
                     effect if found.is_none() && look(&effect).is_some() => found = look(&effect),
                     Effect::Sync(lot, sync) => self.core.sync_done(lot, sync.to, None, self.now),
@@ -134,7 +139,7 @@
         None
     }
 
-    fn direct(&mut self) -> Sync {
+    fn direct(&mut self) -> SyncRequest {
         self.until(|e| {
             if let Effect::Sync(_, sync) = e {
                 Some(sync.clone())
@@ -145,7 +150,7 @@
         .expect("a sync")
     }
 
-    fn mailed(&mut self) -> Sync {
+    fn mailed(&mut self) -> SyncRequest {
         self.until(|e| {
             if let Effect::MailSync(sync) = e {
                 Some(sync.clone())
@@ -158,7 +163,7 @@
 
     /// A direct sync to the former owner that wants the attempt, whose answer is
     /// still out, and one through the store to the next owner after it.
-    fn told_both(&mut self) -> (Sync, Sync) {
+    fn told_both(&mut self) -> (SyncRequest, SyncRequest) {
         for _ in 0..MAIL_AFTER_FAILURES {
             self.direct();
             self.core.sync_done(self.lot, 0, None, self.now);
@@ -170,7 +175,7 @@
             }
             self.core.sync_done(self.lot, 0, None, self.now);
         };
-        let taken = PartRecord { host: "h2".into() };
+        let taken = ShardRecord { host: "h2".into() };
         self.learn(part_key(0), to_value(&taken), NEXT);
         let told = self.mailed();
         assert_eq!(
@@ -184,7 +189,7 @@
         self.now += 50;
         self.revision = self.revision.max(version) + 1;
         self.core.mirror.apply(
-            &[Change {
+            &[WatchEvent {
                 set: Some(key),
                 drop: None,
                 value: Some(value),
@@ -211,15 +216,15 @@
     }
 }
 
-fn ends(txn: &Txn, job: &JobId) -> bool {
+fn ends(txn: &CompareAndSwap, job: &JobId) -> bool {
     txn.writes
         .iter()
         .any(|w| matches!(w, Write::Put { key, .. } if *key == end_key(job)))
 }
 
 /// What the former owner says of the attempt, in answer to that message.
-fn former(sync: &Sync, standing: Standing) -> View {
-    let span = Span {
+fn former(sync: &SyncRequest, standing: AttemptState) -> ShardView {
+    let span = ChangeRange {
         since: 1,
         upto: 1,
         last: true,
@@ -228,7 +233,7 @@
         sync.seq,
         span,
         Vec::new(),
-        vec![AttemptView {
+        vec![AttemptStatus {
             id: sync.wants[0].id.clone(),
             standing,
         }],
@@ -236,7 +241,7 @@
 }
 
 /// The next owner starts what it is asked for, on its machine 1.
-fn started(told: &Sync, now: u64) -> Owner {
+fn started(told: &SyncRequest, now: u64) -> Owner {
     let mut next = Owner::new(
         0,
         NEXT,
@@ -250,14 +255,19 @@
     next.tick(now + 10, now + 10);
     next.sync(told, ROOM, now + 20).expect("taken");
     let call = next.calls(now + 30, ROOM).pop().expect("started");
-    assert!(call.commands.orders.iter().any(|o| o.verb == Verb::Launch));
+    assert!(
+        call.commands
+            .orders
+            .iter()
+            .any(|o| o.verb == CommandKind::Launch)
+    );
     next.call_done(&call, CommandResult::Executed(seen(2, true)), now + 40);
     next
 }
 
 /// Machine 1, which has seen the next owner, with the task or without.
-fn seen(seq: u64, runs: bool) -> Report {
-    Report {
+fn seen(seq: u64, runs: bool) -> Heartbeat {
+    Heartbeat {
         token: NEXT << FENCE_BITS,
         tasks: runs.then(|| running_task(0)).into_iter().collect(),
         ..report(1, seq)
@@ -271,17 +281,17 @@
 fn a_former_owner_ends_nothing_that_its_successor_was_told() {
     for by_mail in [false, true] {
         for standing in [
-            Standing::Refused,
-            Standing::Gone,
-            Standing::Exited(Cause::NoRoom),
+            AttemptState::Refused,
+            AttemptState::Gone,
+            AttemptState::Exited(ExitCause::NoRoom),
         ] {
             let mut asker = Asker::new();
             let (out, told) = asker.told_both();
             let mut next = started(&told, asker.now);
             let late = former(&out, standing);
             if by_mail {
-                let line = MailLine {
-                    kind: MailKind::View,
+                let line = StoreMessageRoute {
+                    kind: StoreMessageKind::View,
                     from: 0,
                     to: 1,
                 };
@@ -311,7 +321,12 @@
                 asker.core.sync_done(asker.lot, 0, Some(answer), now);
                 if runs {
                     let call = next.calls(now, ROOM).pop().expect("stopped");
-                    assert!(call.commands.orders.iter().any(|o| o.verb == Verb::Kill));
+                    assert!(
+                        call.commands
+                            .orders
+                            .iter()
+                            .any(|o| o.verb == CommandKind::Kill)
+                    );
                     next.call_done(&call, CommandResult::Executed(seen(3, false)), now + 10);
                 }
             }
@@ -336,9 +351,9 @@
             Answer::Unfinished(..)
         ));
         if full {
-            let holder = |part: u16, token| Entry {
+            let holder = |part: u16, token| KeyValue {
                 key: part_key(part),
-                value: to_value(&PartRecord {
+                value: to_value(&ShardRecord {
                     host: format!("h{part}"),
                 }),
                 version: token,
@@ -354,13 +369,13 @@
                 withdrawn: true,
                 awaited: 0,
             });
-            let set = Change {
+            let set = WatchEvent {
                 set: Some(key.clone()),
                 drop: None,
                 value: Some(asked),
                 version: 198,
             };
-            let left = Change {
+            let left = WatchEvent {
                 set: None,
                 drop: Some(key),
                 value: None,
@@ -377,10 +392,10 @@
         asker
             .core
             .mirror
-            .settle(&asker.job, Phase::Withdrawn, 1, now);
+            .settle(&asker.job, JobPhase::Withdrawn, 1, now);
         assert_eq!(
             asker.core.answer(&asker.job, now + 60_000),
-            Answer::Over(Phase::Withdrawn)
+            Answer::Over(JobPhase::Withdrawn)
         );
     }
 }
--- a/crates/coordination/tests/chains.rs
+++ b/crates/coordination/tests/chains.rs
@@ -6,19 +6,21 @@
 mod support;
 
 use controllers::settings;
-use lemonweir_coordination::dependencies::{Admission, Standing};
+use lemonweir_coordination::dependencies::{DependencyAdmission, DependencyState};
 use lemonweir_coordination::job_status::Answer;
-use lemonweir_coordination::placer::TxnOutcome;
-use lemonweir_coordination::{Config, Core, Effect, Lot};
+use lemonweir_coordination::placer::CompareAndSwapOutcome;
+use lemonweir_coordination::{Config, Core, Effect, ShardLease};
 use lemonweir_model::constants::*;
-use lemonweir_model::{JobId, JobSpec, Rank};
-use lemonweir_protocol::kv_store::{Change, Condition, Entry, Txn, Write, to_value};
-use lemonweir_protocol::users::Phase;
+use lemonweir_model::{JobId, JobSpec, Priority};
+use lemonweir_protocol::kv_store::{
+    CompareAndSwap, Condition, KeyValue, WatchEvent, Write, to_value,
+};
+use lemonweir_protocol::users::JobPhase;
 use lemonweir_storage::dependencies::{accept_waiting, awaits_key, chain_key};
 use lemonweir_storage::records::*;
 use support::*;
 
-const LOT: Lot = Lot {
+const LOT: ShardLease = ShardLease {
     part: 0,
     token: TOKEN,
 };
@@ -50,9 +52,9 @@
             lemonweir_policy::embedded().expect("policy"),
         );
         core.set_catalog([(kind().name, kind())].into_iter().collect());
-        let holder = Entry {
+        let holder = KeyValue {
             key: part_key(0),
-            value: to_value(&PartRecord { host: "h0".into() }),
+            value: to_value(&ShardRecord { host: "h0".into() }),
             version: TOKEN,
         };
         core.mirror.replace(&[holder], 100);
@@ -66,31 +68,31 @@
     }
 
     /// The store makes a transaction, and the controller reads what changed; the revision.
-    fn make(&mut self, txn: &Txn) -> u64 {
+    fn make(&mut self, txn: &CompareAndSwap) -> u64 {
         self.revision += 1;
         let version = self.revision;
         let change = |write: &Write| match write {
-            Write::Put { key, value, .. } => Change {
+            Write::Put { key, value, .. } => WatchEvent {
                 set: Some(key.clone()),
                 drop: None,
                 value: Some(value.clone()),
                 version,
             },
-            Write::Delete { key } => Change {
+            Write::Delete { key } => WatchEvent {
                 set: None,
                 drop: Some(key.clone()),
                 value: None,
                 version,
             },
         };
-        let followed = |change: &Change| {
+        let followed = |change: &WatchEvent| {
             change
                 .set
                 .iter()
                 .chain(&change.drop)
                 .all(|key| key.starts_with(FOLLOWED))
         };
-        let changes: Vec<Change> = txn.writes.iter().map(change).filter(followed).collect();
+        let changes: Vec<WatchEvent> = txn.writes.iter().map(change).filter(followed).collect();
         self.core.mirror.apply(&changes, version, self.now);
         self.core.refreshed(self.now, true);
         version
@@ -116,7 +118,7 @@
 
     /// A job ends, as far as the followed keys tell.
     fn ends(&mut self, n: usize) -> u64 {
-        self.make(&Txn {
+        self.make(&CompareAndSwap {
             conditions: Vec::new(),
             writes: vec![Write::Delete {
                 key: job_key(&id(n)),
@@ -132,18 +134,18 @@
             withdrawn: true,
             awaited: 0,
         };
-        self.make(&Txn {
+        self.make(&CompareAndSwap {
             conditions: Vec::new(),
             writes: vec![Write::put(job_key(&id(n)), &record)],
         });
         let revision = self.ends(n);
         self.core
             .mirror
-            .settle(&id(n), Phase::Withdrawn, revision, self.now);
+            .settle(&id(n), JobPhase::Withdrawn, revision, self.now);
     }
 
     /// The next transaction for waiting jobs, and the ends that are to be read.
-    fn due(&mut self) -> (Option<Txn>, Vec<JobId>) {
+    fn due(&mut self) -> (Option<CompareAndSwap>, Vec<JobId>) {
         self.now += 1_000;
         self.core.refreshed(self.now, false);
         let (mut due, mut reads) = (None, Vec::new());
@@ -158,7 +160,7 @@
     }
 }
 
-fn sets(txn: &Txn, key: &str) -> bool {
+fn sets(txn: &CompareAndSwap, key: &str) -> bool {
     txn.writes
         .iter()
         .any(|write| matches!(write, Write::Put { key: set, .. } if set == key))
@@ -182,7 +184,7 @@
     assert_eq!(leader.due(), (None, Vec::new()));
     assert_eq!(
         leader.core.chain_standing(&id(3)),
-        Standing::Waits(vec![id(1), id(2)])
+        DependencyState::Waits(vec![id(1), id(2)])
     );
     let first = leader.ends(1);
     assert_eq!(leader.due(), (None, Vec::new()), "one is not enough");
@@ -203,12 +205,14 @@
         "no placer has it before"
     );
     // Its answer is lost: nothing but the same is tried again, once the copy was read.
-    leader.core.chain_done(TxnOutcome::Again, leader.now);
+    leader
+        .core
+        .chain_done(CompareAndSwapOutcome::Again, leader.now);
     assert_eq!(leader.due().0, Some(txn.clone()));
     let revision = leader.make(&txn);
     leader
         .core
-        .chain_done(TxnOutcome::Done(revision), leader.now);
+        .chain_done(CompareAndSwapOutcome::Done(revision), leader.now);
     assert!(leader.core.mirror.jobs.contains_key(&id(3)));
     assert_eq!(leader.due(), (None, Vec::new()));
 }
@@ -228,7 +232,7 @@
         leader
             .core
             .mirror
-            .settle(&id(n), Phase::Done, 40 + n as u64, leader.now);
+            .settle(&id(n), JobPhase::Done, 40 + n as u64, leader.now);
     }
     leader.core.ends_read(&[id(1), id(2)], leader.now);
     assert!(
@@ -260,7 +264,7 @@
     leader.core.refreshed(leader.now, false);
     assert!(all.iter().all(|n| matches!(
         leader.core.answer(&id(*n), leader.now),
-        Answer::Unfinished(Phase::Queued, ..)
+        Answer::Unfinished(JobPhase::Queued, ..)
     )));
     leader.cancelled(0);
     for n in all {
@@ -271,7 +275,7 @@
         );
         assert_eq!(
             leader.core.answer(&id(n), leader.now + TOLD_AFTER_MS),
-            Answer::Over(Phase::Withdrawn),
+            Answer::Over(JobPhase::Withdrawn),
             "{n}"
         );
     }
@@ -326,7 +330,7 @@
         let revision = leader.make(&txn);
         leader
             .core
-            .chain_done(TxnOutcome::Done(revision), leader.now);
+            .chain_done(CompareAndSwapOutcome::Done(revision), leader.now);
         if sets(&txn, &job_key(&id(MANY))) {
             break;
         }
@@ -351,9 +355,9 @@
         ..spec(n, awaits)
     };
     let mut leader = Leader::new();
-    leader.accept(&rank(1, &[], Rank::Low));
-    leader.accept(&rank(2, &[], Rank::Production));
-    leader.accept(&rank(3, &[1], Rank::Low));
+    leader.accept(&rank(1, &[], Priority::Low));
+    leader.accept(&rank(2, &[], Priority::Production));
+    leader.accept(&rank(3, &[1], Priority::Low));
     let order = |leader: &mut Leader| {
         leader.now += 1_000;
         leader.core.refreshed(leader.now, false);
@@ -362,15 +366,15 @@
     };
     assert_eq!(
         order(&mut leader),
-        [Some(Rank::Low), Some(Rank::Production)]
+        [Some(Priority::Low), Some(Priority::Production)]
     );
-    leader.accept(&rank(4, &[3, 2], Rank::High));
+    leader.accept(&rank(4, &[3, 2], Priority::High));
     assert_eq!(
         order(&mut leader),
-        [Some(Rank::High), Some(Rank::Production)]
+        [Some(Priority::High), Some(Priority::Production)]
     );
     // Who needed it is cancelled.
-    leader.make(&Txn {
+    leader.make(&CompareAndSwap {
         conditions: Vec::new(),
         writes: vec![Write::Delete {
             key: chain_key(&id(4)),
@@ -378,7 +382,7 @@
     });
     assert_eq!(
         order(&mut leader),
-        [Some(Rank::Low), Some(Rank::Production)]
+        [Some(Priority::Low), Some(Priority::Production)]
     );
 }
 
@@ -391,10 +395,10 @@
     let admit = |leader: &Leader, awaits: &[usize]| leader.core.admit(&spec(9, awaits), 1);
     assert_eq!(
         admit(&leader, &[1, 7, 9]),
-        Admission::Unknown(vec![id(7), id(9)]),
+        DependencyAdmission::Unknown(vec![id(7), id(9)]),
         "the store is asked before 422"
     );
-    let Admission::Accept(txns, Phase::Queued) = admit(&leader, &[1, 2]) else {
+    let DependencyAdmission::Accept(txns, JobPhase::Queued) = admit(&leader, &[1, 2]) else {
         panic!("accepted")
     };
     assert!(
@@ -403,7 +407,7 @@
     );
     // Done or not is for the store to say: it waits all the same.
     leader.ends(1);
-    let Admission::Accept(txns, Phase::Queued) = admit(&leader, &[1]) else {
+    let DependencyAdmission::Accept(txns, JobPhase::Queued) = admit(&leader, &[1]) else {
         panic!("accepted")
     };
     assert!(sets(&txns[0], &chain_key(&id(9))));
@@ -413,7 +417,7 @@
     leader.accept(&spec(2, &[1]));
     leader.cancelled(1);
     for awaits in [[1], [2]] {
-        let Admission::Accept(txns, Phase::Withdrawn) = admit(&leader, &awaits) else {
+        let DependencyAdmission::Accept(txns, JobPhase::Withdrawn) = admit(&leader, &awaits) else {
             panic!("cancelled")
         };
         assert!(sets(&txns[0], &end_key(&id(9))));
--- a/crates/coordination/tests/changes.rs
+++ b/crates/coordination/tests/changes.rs
@@ -6,13 +6,16 @@
 use std::collections::BTreeMap;
 
 use lemonweir_coordination::change_log::ChangeLog;
-use lemonweir_coordination::owner::{Owner, SyncRefusal};
-use lemonweir_coordination::placer::{Placer, TxnOutcome};
-use lemonweir_model::{AttemptId, Room};
-use lemonweir_protocol::cloud::RentalEntry;
-use lemonweir_protocol::peer::{AttemptView, Follow, Have, MachineView, Span, Standing, Want};
-use lemonweir_protocol::worker::{Report, Verb};
-use lemonweir_storage::records::ImagesRecord;
+use lemonweir_coordination::owner::{Owner, SyncError};
+use lemonweir_coordination::placer::{CompareAndSwapOutcome, Placer};
+use lemonweir_model::{AttemptId, Resources};
+use lemonweir_protocol::cloud::InstanceEntry;
+use lemonweir_protocol::peer::{
+    AttemptState, AttemptStatus, ChangeRange, Continuation, DesiredAttempt, MachineView,
+    ObservedState,
+};
+use lemonweir_protocol::worker::{CommandKind, Heartbeat};
+use lemonweir_storage::records::ImageLocationsRecord;
 use proptest::prelude::*;
 use support::*;
 
@@ -46,7 +49,7 @@
     ]
 }
 
-type Message = (u64, Span, Vec<(u8, Option<u32>)>);
+type Message = (u64, ChangeRange, Vec<(u8, Option<u32>)>);
 
 /// A receiver in the manner of the real ones.
 #[derive(Default)]
@@ -68,12 +71,12 @@
         self.seq = *seq;
         match span.follows(self.at) {
             None => return Some(0),
-            Some(Follow::Anew) => {
+            Some(Continuation::Anew) => {
                 self.at = 0;
                 self.complete = false;
                 self.unnamed = self.state.keys().copied().collect();
             }
-            Some(Follow::On) => {}
+            Some(Continuation::On) => {}
         }
         self.at = self.at.max(span.upto);
         for (key, value) in changes {
@@ -180,13 +183,13 @@
             .sync(
                 &sync(
                     1,
-                    Span {
+                    ChangeRange {
                         since: 0,
                         upto: 0,
                         last: true,
                     },
                     Vec::new(),
-                    Have::default(),
+                    ObservedState::default(),
                 ),
                 ROOM,
                 20,
@@ -194,7 +197,7 @@
             .expect("taken");
         assert_eq!(first.machines.len(), machines);
         assert!(owner.calls(20, ROOM).is_empty());
-        let span = Span {
+        let span = ChangeRange {
             since: 0,
             upto: 1,
             last: true,
@@ -215,7 +218,7 @@
             .sync(
                 &sync(
                     3,
-                    Span {
+                    ChangeRange {
                         since: 1,
                         upto: 1,
                         last: true,
@@ -235,14 +238,19 @@
 #[test]
 fn stops_overtake_what_has_no_room() {
     let mut owner = fleet(3);
-    let two = Span {
+    let two = ChangeRange {
         since: 0,
         upto: 2,
         last: true,
     };
     owner
         .sync(
-            &sync(1, two, vec![want(0, 0), want(1, 1)], Have::default()),
+            &sync(
+                1,
+                two,
+                vec![want(0, 0), want(1, 1)],
+                ObservedState::default(),
+            ),
             ROOM,
             20,
         )
@@ -252,7 +260,7 @@
         assert!(
             owner
                 .report(
-                    &Report {
+                    &Heartbeat {
                         tasks: vec![running_task(n)],
                         ..report(n, 2)
                     },
@@ -264,13 +272,13 @@
     }
     let mut piece = sync(
         2,
-        Span {
+        ChangeRange {
             since: 2,
             upto: 3,
             last: false,
         },
         vec![want(2, 2)],
-        Have::default(),
+        ObservedState::default(),
     );
     // One of ours, and one that this placer does not have.
     piece.stops = vec![
@@ -286,7 +294,7 @@
     owner.sync(&piece, ROOM, 40).expect("taken");
     let reply = owner
         .report(
-            &Report {
+            &Heartbeat {
                 tasks: vec![running_task(1)],
                 ..report(1, 3)
             },
@@ -296,11 +304,11 @@
         .expect("answered");
     assert_eq!(
         reply.orders.iter().map(|o| o.verb).collect::<Vec<_>>(),
-        vec![Verb::Kill]
+        vec![CommandKind::Kill]
     );
     let reply = owner
         .report(
-            &Report {
+            &Heartbeat {
                 tasks: vec![running_task(0)],
                 ..report(0, 3)
             },
@@ -315,7 +323,7 @@
 #[test]
 fn a_whole_state_comes_in_pieces() {
     let mut owner = fleet(300);
-    let mut at = Have::default();
+    let mut at = ObservedState::default();
     let mut seen = BTreeMap::new();
     let mut pieces = 0;
     for seq in 1..100 {
@@ -323,7 +331,7 @@
             .sync(
                 &sync(
                     seq,
-                    Span {
+                    ChangeRange {
                         since: 0,
                         upto: 0,
                         last: true,
@@ -359,8 +367,8 @@
     const VALUE: usize = 4 * 1024;
     let mut owner = fleet(MACHINES);
     let image = |n: usize| format!("img-{:02}", n % 20);
-    let wants: Vec<Want> = (0..MACHINES)
-        .map(|n| Want {
+    let wants: Vec<DesiredAttempt> = (0..MACHINES)
+        .map(|n| DesiredAttempt {
             image: image(n),
             ..want(n as u32, n)
         })
@@ -369,13 +377,13 @@
         .sync(
             &sync(
                 1,
-                Span {
+                ChangeRange {
                     since: 0,
                     upto: 400,
                     last: true,
                 },
                 wants,
-                Have::default(),
+                ObservedState::default(),
             ),
             ROOM,
             20,
@@ -385,7 +393,7 @@
         assert!(
             owner
                 .report(
-                    &Report {
+                    &Heartbeat {
                         tasks: vec![running_task(n)],
                         ..report(n, 2)
                     },
@@ -397,7 +405,7 @@
     }
     let pages = owner.images_note(60_000, VALUE, 12);
     assert!(pages.len() > 1, "this fleet needs several pages");
-    let pages: Vec<ImagesRecord> = pages
+    let pages: Vec<ImageLocationsRecord> = pages
         .into_iter()
         .map(|(_, page)| page.expect("written"))
         .collect();
@@ -423,7 +431,7 @@
         let token = (TOKEN + 1) << lemonweir_model::constants::FENCE_BITS;
         assert!(
             next.report(
-                &Report {
+                &Heartbeat {
                     token,
                     ..report(n, 3)
                 },
@@ -435,13 +443,13 @@
     }
     let mut first = sync(
         2,
-        Span {
+        ChangeRange {
             since: 0,
             upto: 0,
             last: true,
         },
         Vec::new(),
-        Have::default(),
+        ObservedState::default(),
     );
     first.to_token = TOKEN + 1;
     let view = next.sync(&first, ROOM, 50).expect("taken");
@@ -464,19 +472,19 @@
     let machine = |gpus: u64| shown(0, gpus);
     let mut revision = 1;
     // Tells a view, lets the placer place and write, and counts its attempts.
-    let mut tell = |machines: Vec<MachineView>, span: Span, attempts: Vec<AttemptView>| {
+    let mut tell = |machines: Vec<MachineView>, span: ChangeRange, attempts: Vec<AttemptStatus>| {
         let seq = placer.sync_for(0, TOKEN, ROOM, false, 0).seq;
         placer.take_view(view(seq, span, machines, attempts), 0);
         placer.place(0);
         while placer.next_txn(0).is_some() {
             revision += 1;
-            placer.txn_done(TxnOutcome::Done(revision), 0);
+            placer.txn_done(CompareAndSwapOutcome::Done(revision), 0);
         }
         placer.sync_for(0, TOKEN, ROOM, false, 0).wants
     };
     let first = tell(
         vec![machine(4)],
-        Span {
+        ChangeRange {
             since: 0,
             upto: 1,
             last: true,
@@ -484,18 +492,18 @@
         Vec::new(),
     );
     assert_eq!(first.len(), 4);
-    let taken: Vec<AttemptView> = first
+    let taken: Vec<AttemptStatus> = first
         .iter()
-        .map(|w| AttemptView {
+        .map(|w| AttemptStatus {
             id: w.id.clone(),
-            standing: Standing::Accepted,
+            standing: AttemptState::Accepted,
         })
         .collect();
     // The attempts have room; what is left on their machine is not told yet.
     assert_eq!(
         tell(
             Vec::new(),
-            Span {
+            ChangeRange {
                 since: 1,
                 upto: 1,
                 last: false
@@ -508,7 +516,7 @@
     assert_eq!(
         tell(
             vec![machine(0)],
-            Span {
+            ChangeRange {
                 since: 1,
                 upto: 2,
                 last: false
@@ -522,7 +530,7 @@
     assert_eq!(
         tell(
             vec![machine(1)],
-            Span {
+            ChangeRange {
                 since: 2,
                 upto: 3,
                 last: true
@@ -540,7 +548,7 @@
 #[test]
 fn a_machine_listed_as_running_that_never_reports_is_no_room() {
     let mut owner = fleet(1);
-    let entry = |phase: &str| RentalEntry {
+    let entry = |phase: &str| InstanceEntry {
         id: machine(5),
         kind: "box".into(),
         zone: "north".into(),
@@ -555,13 +563,13 @@
             .sync(
                 &sync(
                     seq,
-                    Span {
+                    ChangeRange {
                         since: 0,
                         upto: 0,
                         last: true,
                     },
                     Vec::new(),
-                    Have::default(),
+                    ObservedState::default(),
                 ),
                 ROOM,
                 20,
@@ -589,34 +597,42 @@
 #[test]
 fn numbers_that_make_no_sense_change_nothing() {
     let mut owner = fleet(3);
-    let whole = Span {
+    let whole = ChangeRange {
         since: 0,
         upto: 5,
         last: true,
     };
     owner
-        .sync(&sync(5, whole, vec![want(0, 1)], Have::default()), ROOM, 20)
+        .sync(
+            &sync(5, whole, vec![want(0, 1)], ObservedState::default()),
+            ROOM,
+            20,
+        )
         .expect("taken");
     assert!(owner.calls(20, ROOM).len() == 1);
     // Late, of another token, of a part that there is not.
     assert_eq!(
         owner
-            .sync(&sync(5, whole, Vec::new(), Have::default()), ROOM, 21)
+            .sync(
+                &sync(5, whole, Vec::new(), ObservedState::default()),
+                ROOM,
+                21
+            )
             .err(),
-        Some(SyncRefusal::Stale)
+        Some(SyncError::Stale)
     );
-    let mut other = sync(6, whole, Vec::new(), Have::default());
+    let mut other = sync(6, whole, Vec::new(), ObservedState::default());
     other.to_token = TOKEN + 1;
-    assert_eq!(owner.sync(&other, ROOM, 21).err(), Some(SyncRefusal::Token));
-    let mut other = sync(6, whole, Vec::new(), Have::default());
+    assert_eq!(owner.sync(&other, ROOM, 21).err(), Some(SyncError::Token));
+    let mut other = sync(6, whole, Vec::new(), ObservedState::default());
     other.from = 9;
-    assert_eq!(owner.sync(&other, ROOM, 21).err(), Some(SyncRefusal::Part));
+    assert_eq!(owner.sync(&other, ROOM, 21).err(), Some(SyncError::Part));
     // A gap, and a span that ends before it begins: all is asked for again, and
     // the attempt is still held.
     for (seq, span) in [
         (
             6,
-            Span {
+            ChangeRange {
                 since: 9,
                 upto: 12,
                 last: true,
@@ -624,7 +640,7 @@
         ),
         (
             7,
-            Span {
+            ChangeRange {
                 since: 4,
                 upto: 2,
                 last: true,
@@ -633,25 +649,29 @@
     ] {
         let view = owner
             .sync(
-                &sync(seq, span, vec![want(1, 2)], Have::default()),
+                &sync(seq, span, vec![want(1, 2)], ObservedState::default()),
                 ROOM,
                 22,
             )
             .expect("answered");
         assert_eq!(view.wants_at, 0);
         assert_eq!(view.attempts.len(), 1, "only the first attempt is known");
-        assert_eq!(view.attempts[0].standing, Standing::Accepted);
+        assert_eq!(view.attempts[0].standing, AttemptState::Accepted);
     }
     // An attempt can't move to another machine under the same name.
     let mut moved = want(0, 2);
-    moved.need = Room::offer(16.0, 4.0, 64.0);
-    let on = Span {
+    moved.need = Resources::offer(16.0, 4.0, 64.0);
+    let on = ChangeRange {
         since: 5,
         upto: 6,
         last: true,
     };
     let view = owner
-        .sync(&sync(8, on, vec![moved], Have::default()), ROOM, 23)
+        .sync(
+            &sync(8, on, vec![moved], ObservedState::default()),
+            ROOM,
+            23,
+        )
         .expect("answered");
     let free = |n: usize| {
         view.machines
@@ -659,17 +679,17 @@
             .find(|m| m.id == machine(n))
             .map(|m| m.free)
     };
-    assert_eq!(free(2), Some(Room::offer(16.0, 4.0, 64.0)));
-    assert_eq!(free(1), Some(Room::offer(12.0, 3.0, 56.0)));
+    assert_eq!(free(2), Some(Resources::offer(16.0, 4.0, 64.0)));
+    assert_eq!(free(1), Some(Resources::offer(12.0, 3.0, 56.0)));
     // States that were never told: nothing follows, nothing ends.
-    let ahead = Have {
+    let ahead = ObservedState {
         machines: u64::MAX,
         attempts: u64::MAX,
     };
     let view = owner.sync(
         &sync(
             9,
-            Span {
+            ChangeRange {
                 since: 6,
                 upto: 6,
                 last: true,
--- a/crates/coordination/tests/elections.rs
+++ b/crates/coordination/tests/elections.rs
@@ -3,16 +3,16 @@
 
 use std::sync::LazyLock;
 
-use lemonweir_coordination::election::{Claim, Membership};
-use lemonweir_coordination::owner::SyncRefusal;
-use lemonweir_coordination::{Config, Core, Lot};
+use lemonweir_coordination::election::{ElectionAction, LeaderElection};
+use lemonweir_coordination::owner::SyncError;
+use lemonweir_coordination::{Config, Core, ShardLease};
 use lemonweir_model::constants::*;
 use lemonweir_model::policy::Policy;
 use lemonweir_model::settings::Settings;
-use lemonweir_protocol::kv_store::{Change, Entry, to_value};
-use lemonweir_protocol::peer::{Have, Span, Superseded, Sync};
-use lemonweir_protocol::worker::Report;
-use lemonweir_storage::records::{NodeRecord, PartRecord, node_key, part_key};
+use lemonweir_protocol::kv_store::{KeyValue, WatchEvent, to_value};
+use lemonweir_protocol::peer::{ChangeRange, ObservedState, Superseded, SyncRequest};
+use lemonweir_protocol::worker::Heartbeat;
+use lemonweir_storage::records::{ControllerRecord, ShardRecord, node_key, part_key};
 
 const HOSTS: u16 = 3;
 
@@ -38,11 +38,11 @@
     Core::new(Config::new(&settings), POLICY.clone())
 }
 
-fn taken(part: u16, host: u16, version: u64) -> Change {
-    let value = to_value(&PartRecord {
+fn taken(part: u16, host: u16, version: u64) -> WatchEvent {
+    let value = to_value(&ShardRecord {
         host: format!("h{host}"),
     });
-    Change {
+    WatchEvent {
         set: Some(part_key(part)),
         drop: None,
         value: Some(value),
@@ -50,8 +50,8 @@
     }
 }
 
-fn given_up(part: u16, version: u64) -> Change {
-    Change {
+fn given_up(part: u16, version: u64) -> WatchEvent {
+    WatchEvent {
         set: None,
         drop: Some(part_key(part)),
         value: None,
@@ -59,14 +59,14 @@
     }
 }
 
-fn lives(host: u16, version: u64) -> Change {
-    let value = to_value(&NodeRecord {
+fn lives(host: u16, version: u64) -> WatchEvent {
+    let value = to_value(&ControllerRecord {
         zone: "north".into(),
         format: PEER_VERSION,
         deaf: Vec::new(),
         reads: 0,
     });
-    Change {
+    WatchEvent {
         set: Some(node_key(&format!("h{host}"))),
         drop: None,
         value: Some(value),
@@ -75,7 +75,7 @@
 }
 
 /// A reading that began at `now` shows these changes.
-fn read(core: &mut Core, changes: &[Change], revision: u64, now: u64) {
+fn read(core: &mut Core, changes: &[WatchEvent], revision: u64, now: u64) {
     core.mirror.apply(changes, revision, now);
     core.refreshed(now, true);
 }
@@ -95,11 +95,11 @@
 fn holds(core: &mut Core, part: u16, token: u64, now: u64) {
     let me = core.config.me;
     read(core, &[taken(part, me, token)], token, now);
-    core.adopt(Lot { part, token }, &[], Vec::new(), now);
+    core.adopt(ShardLease { part, token }, &[], Vec::new(), now);
 }
 
-fn membership() -> Membership {
-    Membership::new(usize::from(HOSTS))
+fn membership() -> LeaderElection {
+    LeaderElection::new(usize::from(HOSTS))
 }
 
 /// Within one reading the holder lost its part, another had it, and a taking of the
@@ -123,15 +123,15 @@
     assert_eq!(core.held(), Vec::new());
     assert_eq!(
         membership().claim(&core, 0, 3_100),
-        Some(Claim::Take {
+        Some(ElectionAction::Take {
             part: 0,
             version: 23
         })
     );
     // Nor does the taking of an earlier life count as its own.
     read(&mut core, &[taken(0, 0, 30)], 30, 3_200);
-    core.adopt(Lot { part: 0, token: 30 }, &[], Vec::new(), 3_200);
-    assert_eq!(core.held(), vec![Lot { part: 0, token: 30 }]);
+    core.adopt(ShardLease { part: 0, token: 30 }, &[], Vec::new(), 3_200);
+    assert_eq!(core.held(), vec![ShardLease { part: 0, token: 30 }]);
     assert_eq!(membership().claim(&core, 0, 3_300), None);
 }
 
@@ -145,7 +145,7 @@
     let mut membership = membership();
     assert_eq!(
         membership.claim(&core, 0, 2_100),
-        Some(Claim::Take {
+        Some(ElectionAction::Take {
             part: 0,
             version: 12
         })
@@ -153,7 +153,7 @@
     holds(&mut core, 0, 13, 2_200);
     assert_eq!(
         membership.claim(&core, 0, 2_300),
-        Some(Claim::HandBack(Lot { part: 0, token: 13 }))
+        Some(ElectionAction::HandBack(ShardLease { part: 0, token: 13 }))
     );
 }
 
@@ -169,7 +169,7 @@
         2_000,
     );
     let mut membership = membership();
-    let claims = |membership: &mut Membership, core: &Core, now| {
+    let claims = |membership: &mut LeaderElection, core: &Core, now| {
         (0..HOSTS)
             .map(|p| membership.claim(core, p, now))
             .collect::<Vec<_>>()
@@ -178,7 +178,7 @@
         claims(&mut membership, &core, 2_000),
         [
             None,
-            Some(Claim::Take {
+            Some(ElectionAction::Take {
                 part: 1,
                 version: 11
             }),
@@ -186,7 +186,7 @@
         ]
     );
     holds(&mut core, 1, 13, 2_100);
-    let ended = |host: u16, version| Change {
+    let ended = |host: u16, version| WatchEvent {
         set: None,
         drop: Some(node_key(&format!("h{host}"))),
         value: None,
@@ -207,12 +207,12 @@
     assert_eq!(
         claims(&mut membership, &core, later),
         [
-            Some(Claim::Take {
+            Some(ElectionAction::Take {
                 part: 0,
                 version: 0
             }),
             None,
-            Some(Claim::Take {
+            Some(ElectionAction::Take {
                 part: 2,
                 version: 0
             })
@@ -220,8 +220,8 @@
     );
 }
 
-fn sync(from: u16, from_token: u64, to: u16, to_token: u64) -> Sync {
-    Sync {
+fn sync(from: u16, from_token: u64, to: u16, to_token: u64) -> SyncRequest {
+    SyncRequest {
         version: PEER_VERSION,
         from,
         from_token,
@@ -229,7 +229,7 @@
         to_token,
         seq: 1,
         store_age_ms: 0,
-        span: Span {
+        span: ChangeRange {
             since: 0,
             upto: 0,
             last: true,
@@ -237,7 +237,7 @@
         wants: Vec::new(),
         dropped: Vec::new(),
         stops: Vec::new(),
-        have: Have::default(),
+        have: ObservedState::default(),
         strays: 0,
         rented: Vec::new(),
         keep: Vec::new(),
@@ -264,11 +264,11 @@
     );
     read(&mut core, &[given_up(0, 20), taken(0, 0, 30)], 31, 2_300);
     assert!(
-        matches!(core.sync_in(&sync(0, 30, 1, 10), 2_400), Err(SyncRefusal::Superseded(by)) if by.token == 50)
+        matches!(core.sync_in(&sync(0, 30, 1, 10), 2_400), Err(SyncError::Superseded(by)) if by.token == 50)
     );
     read(&mut core, &[given_up(0, 40)], 41, 2_500);
     assert!(
-        matches!(core.sync_in(&sync(0, 30, 1, 10), 2_600), Err(SyncRefusal::Superseded(by)) if by.token == 50)
+        matches!(core.sync_in(&sync(0, 30, 1, 10), 2_600), Err(SyncError::Superseded(by)) if by.token == 50)
     );
     assert!(core.sync_in(&sync(0, 50, 1, 10), 2_700).is_ok());
 }
@@ -308,9 +308,9 @@
 /// first page is not judged by it, one that was lost before is given up.
 #[test]
 fn a_full_reading_judges_only_what_it_is_new_enough_for() {
-    let entry = |part: u16, host: u16, version| Entry {
+    let entry = |part: u16, host: u16, version| KeyValue {
         key: part_key(part),
-        value: to_value(&PartRecord {
+        value: to_value(&ShardRecord {
             host: format!("h{host}"),
         }),
         version,
@@ -323,7 +323,7 @@
     core.refreshed(2_200, true);
     assert_eq!(
         core.held(),
-        vec![Lot {
+        vec![ShardLease {
             part: 1,
             token: 110
         }]
@@ -331,7 +331,7 @@
     read(&mut core, &[given_up(1, 105), taken(1, 0, 110)], 111, 2_300);
     assert_eq!(
         core.held(),
-        vec![Lot {
+        vec![ShardLease {
             part: 1,
             token: 110
         }]
@@ -349,7 +349,7 @@
             .part_of("north", &format!("n-{n:06}").as_str().into())
             == 0
     };
-    let report = Report {
+    let report = Heartbeat {
         machine: format!("n-{:06}", (0..400).find(ours).expect("some"))
             .as_str()
             .into(),
@@ -370,7 +370,7 @@
     for again in 0..5 {
         assert_eq!(
             membership.claim(&core, 0, since + 1_700 * again),
-            Some(Claim::Leave(Lot { part: 0, token: 10 }))
+            Some(ElectionAction::Leave(ShardLease { part: 0, token: 10 }))
         );
     }
     core.abandon(0, since + 8_000);
@@ -382,12 +382,12 @@
     // The next time it is for twice as long.
     read(&mut core, &[given_up(0, 12)], 12, since + 10_000 + DEAF_MS);
     holds(&mut core, 0, 20, since + 10_000 + DEAF_MS);
-    core.carried_report(&Report { seq: 2, ..report }, 1, since + 10_000 + DEAF_MS);
+    core.carried_report(&Heartbeat { seq: 2, ..report }, 1, since + 10_000 + DEAF_MS);
     let anew = since + 10_000 + DEAF_MS + CARRIED_PART_MS + 1;
     read(&mut core, &[lives(0, 21)], 21, anew);
     assert_eq!(
         membership.claim(&core, 0, anew),
-        Some(Claim::Leave(Lot { part: 0, token: 20 }))
+        Some(ElectionAction::Leave(ShardLease { part: 0, token: 20 }))
     );
     core.abandon(0, anew);
     assert!(membership.left(&core, anew + 2 * DEAF_MS - 1).contains(&0));
--- a/crates/coordination/tests/ends.rs
+++ b/crates/coordination/tests/ends.rs
@@ -8,17 +8,19 @@
 use std::sync::Arc;
 
 use lemonweir_coordination::owner::{CommandCall, CommandResult, Owner};
-use lemonweir_coordination::placer::{Placer, TxnOutcome, TxnVerdict};
+use lemonweir_coordination::placer::{CompareAndSwapOutcome, Placer, ShardOwnership};
 use lemonweir_model::constants::*;
 use lemonweir_model::policy::Policy;
-use lemonweir_model::{AttemptId, JobId, JobSpec, Rank, Shape};
-use lemonweir_protocol::kv_store::{Condition, Entry, Txn, Write, from_value, to_value};
-use lemonweir_protocol::users::Phase;
-use lemonweir_protocol::worker::{Order, Report, TaskPhase, TaskReport, Verb};
+use lemonweir_model::{AttemptId, JobId, JobKind, JobSpec, Priority};
+use lemonweir_protocol::kv_store::{
+    CompareAndSwap, Condition, KeyValue, Write, from_value, to_value,
+};
+use lemonweir_protocol::users::JobPhase;
+use lemonweir_protocol::worker::{Command, CommandKind, Heartbeat, TaskPhase, TaskStatus};
 use lemonweir_storage::records::{
-    ChunkRecord, EndRecord, JobRecord, end_key, job_key, parse_run_key, part_key, run_key,
+    JobEndRecord, JobRecord, TaskChunkRecord, end_key, job_key, parse_run_key, part_key, run_key,
 };
-use lemonweir_storage::state_cache::{Holder, MirroredJob};
+use lemonweir_storage::state_cache::{CachedJob, ShardLeader};
 use proptest::prelude::*;
 use support::*;
 
@@ -43,9 +45,9 @@
 
 /// A transaction whose answer is to come.
 struct Flight {
-    txn: Txn,
+    txn: CompareAndSwap,
     at: u64,
-    outcome: Option<TxnOutcome>,
+    outcome: Option<CompareAndSwapOutcome>,
 }
 
 /// One holder of a part.
@@ -107,8 +109,8 @@
 struct Site {
     now: u64,
     revision: u64,
-    store: BTreeMap<String, Entry>,
-    holders: BTreeMap<u16, Holder>,
+    store: BTreeMap<String, KeyValue>,
+    holders: BTreeMap<u16, ShardLeader>,
     leaders: Vec<Option<Leader>>,
     back: Vec<u64>,
     /// Holders that know nothing of their successors, and when they find out.
@@ -118,7 +120,7 @@
     names: usize,
     jobs: Vec<(usize, Arc<JobSpec>)>,
     fates: VecDeque<Fate>,
-    late: Vec<(u64, Txn)>,
+    late: Vec<(u64, CompareAndSwap)>,
     /// Tasks that have completed, and how often.
     completed: BTreeMap<(JobId, u32), u32>,
     /// Attempts started.
@@ -153,7 +155,7 @@
     fn put(&mut self, key: String, value: rmpv::Value) {
         self.store.insert(
             key.clone(),
-            Entry {
+            KeyValue {
                 key,
                 value,
                 version: self.revision,
@@ -194,7 +196,7 @@
     /// What the followed keys say reaches every holder.
     fn tell_jobs(&mut self) {
         for (part, spec) in &self.jobs {
-            let mirrored = self.store.get(&job_key(&spec.id)).map(|e| MirroredJob {
+            let mirrored = self.store.get(&job_key(&spec.id)).map(|e| CachedJob {
                 record: Arc::new(from_value(&e.value).expect("a job")),
                 version: e.version,
             });
@@ -210,7 +212,7 @@
         let token = self.revision;
         self.holders.insert(
             part as u16,
-            Holder {
+            ShardLeader {
                 host: format!("h{token}"),
                 token,
             },
@@ -238,7 +240,7 @@
             placer.load_chunk(
                 &id,
                 chunk,
-                &from_value::<ChunkRecord>(&e.value).expect("a chunk"),
+                &from_value::<TaskChunkRecord>(&e.value).expect("a chunk"),
                 e.version,
             );
         }
@@ -283,8 +285,8 @@
             self.store
                 .get(&run_key(part as u16, id, task / CHUNK_TASKS))
         };
-        let done = |e: &Entry| {
-            from_value::<ChunkRecord>(&e.value)
+        let done = |e: &KeyValue| {
+            from_value::<TaskChunkRecord>(&e.value)
                 .expect("a chunk")
                 .done
                 .iter()
@@ -293,7 +295,7 @@
         self.store.contains_key(&end_key(id)) || (0..PARTS).filter_map(chunk).any(done)
     }
 
-    fn apply(&mut self, txn: &Txn) -> TxnOutcome {
+    fn apply(&mut self, txn: &CompareAndSwap) -> CompareAndSwapOutcome {
         let failed: Vec<String> = txn
             .conditions
             .iter()
@@ -301,7 +303,7 @@
             .map(|c| c.key.clone())
             .collect();
         if !failed.is_empty() {
-            return TxnOutcome::Conflict(failed);
+            return CompareAndSwapOutcome::Conflict(failed);
         }
         self.revision += 1;
         for w in &txn.writes {
@@ -309,8 +311,8 @@
                 Write::Put { key, value, .. } => {
                     if let Some(id) = key.strip_prefix("end/") {
                         let id = JobId::from(id);
-                        let record: EndRecord = from_value(value).expect("an end");
-                        if record.phase == Phase::Withdrawn {
+                        let record: JobEndRecord = from_value(value).expect("an end");
+                        if record.phase == JobPhase::Withdrawn {
                             let live = |b: &Box_| {
                                 b.tasks
                                     .iter()
@@ -337,7 +339,7 @@
             }
         }
         self.tell_jobs();
-        TxnOutcome::Done(self.revision)
+        CompareAndSwapOutcome::Done(self.revision)
     }
 
     /// A placer's turn: its answer comes, and it writes.
@@ -372,14 +374,14 @@
         let (at, outcome) = match fate {
             Fate::Slow(beats) => (now + beats * BEAT_MS, Some(self.apply(&txn))),
             Fate::Held(beats) => (now + beats.max(1) * BEAT_MS, None),
-            Fate::Lost => (now, Some(TxnOutcome::Again)),
+            Fate::Lost => (now, Some(CompareAndSwapOutcome::Again)),
             Fate::Silent => {
                 self.apply(&txn);
-                (now, Some(TxnOutcome::Again))
+                (now, Some(CompareAndSwapOutcome::Again))
             }
             Fate::Late(beats) => {
                 self.late.push((now + beats * BEAT_MS, txn.clone()));
-                (now, Some(TxnOutcome::Again))
+                (now, Some(CompareAndSwapOutcome::Again))
             }
         };
         if at > now {
@@ -391,10 +393,10 @@
         }
     }
 
-    fn answered(&mut self, part: usize, outcome: TxnOutcome) {
+    fn answered(&mut self, part: usize, outcome: CompareAndSwapOutcome) {
         let now = self.now;
         let reread: Vec<(JobId, u32, u64)> = match &outcome {
-            TxnOutcome::Conflict(keys) => keys
+            CompareAndSwapOutcome::Conflict(keys) => keys
                 .iter()
                 .filter_map(|k| parse_run_key(k).map(|(id, chunk)| (id, chunk, self.version(k))))
                 .collect(),
@@ -403,7 +405,7 @@
         let Some(leader) = self.leaders[part].as_mut() else {
             return;
         };
-        if matches!(outcome, TxnOutcome::Again) {
+        if matches!(outcome, CompareAndSwapOutcome::Again) {
             leader.pause = now + 2 * TICK_MS;
         }
         for (id, chunk, version) in reread {
@@ -412,7 +414,7 @@
         let (verdict, _) = leader.placer.txn_done(outcome, now);
         assert_eq!(
             verdict,
-            TxnVerdict::Fine,
+            ShardOwnership::Fine,
             "only a superseded holder loses its part"
         );
     }
@@ -468,7 +470,7 @@
             // What it writes is made, late or at once, where the conditions hold.
             if let Some(txn) = leader.placer.next_txn(now) {
                 self.late.push((now + 3 * BEAT_MS, txn));
-                leader.placer.txn_done(TxnOutcome::Again, now);
+                leader.placer.txn_done(CompareAndSwapOutcome::Again, now);
             }
             for call in leader.owner.calls(now, 64) {
                 let result = self.call(&call);
@@ -479,17 +481,17 @@
         self.superseded = all;
     }
 
-    fn report_of(&mut self, n: usize) -> Report {
+    fn report_of(&mut self, n: usize) -> Heartbeat {
         let b = &mut self.boxes[n];
         b.seq += 1;
-        let tasks = b.tasks.iter().map(|(id, t)| TaskReport {
+        let tasks = b.tasks.iter().map(|(id, t)| TaskStatus {
             piece: id.piece(),
             attempt: id.attempt,
             phase: t.phase,
             cause: t.cause.map(str::to_owned),
             saved: None,
         });
-        Report {
+        Heartbeat {
             session: b.session,
             token: b.token,
             tasks: tasks.collect(),
@@ -498,12 +500,12 @@
         }
     }
 
-    fn execute(&mut self, n: usize, orders: &[Order]) {
+    fn execute(&mut self, n: usize, orders: &[Command]) {
         for o in orders {
             let id = AttemptId::parse(&o.piece, o.attempt).expect("a task");
             match o.verb {
-                Verb::Launch if self.boxes[n].tasks.contains_key(&id) => {}
-                Verb::Launch => {
+                CommandKind::Launch if self.boxes[n].tasks.contains_key(&id) => {}
+                CommandKind::Launch => {
                     let twice = |b: &Box_| {
                         b.tasks.iter().any(|(i, t)| {
                             (&i.job, i.task) == (&id.job, id.task) && t.phase != TaskPhase::Exited
@@ -524,8 +526,8 @@
                         },
                     );
                 }
-                Verb::Kill => self.exit(n, &id, "stopped"),
-                Verb::Forget => {
+                CommandKind::Kill => self.exit(n, &id, "stopped"),
+                CommandKind::Forget => {
                     let done = self.boxes[n]
                         .tasks
                         .remove(&id)
@@ -624,7 +626,7 @@
     fn is_gang(&self, id: &JobId) -> Option<u64> {
         self.jobs
             .iter()
-            .find(|(_, s)| s.id == *id && s.shape == Shape::Gang)
+            .find(|(_, s)| s.id == *id && s.shape == JobKind::Gang)
             .map(|(_, s)| s.tasks)
     }
 
@@ -686,7 +688,7 @@
         let gangs: BTreeMap<JobId, u64> = self
             .jobs
             .iter()
-            .filter(|(_, s)| s.shape == Shape::Gang)
+            .filter(|(_, s)| s.shape == JobKind::Gang)
             .map(|(_, s)| (s.id.clone(), s.tasks))
             .collect();
         for b in &mut self.boxes {
@@ -852,7 +854,7 @@
 
 fn gang(n: u32, tasks: u64) -> JobSpec {
     JobSpec {
-        shape: Shape::Gang,
+        shape: JobKind::Gang,
         ..job(n, tasks)
     }
 }
@@ -934,7 +936,7 @@
                     site.withdraw(&id);
                 }
                 Step::Submit(part, tasks, 0) => site.submit(part, gang(n, tasks)),
-                Step::Submit(part, tasks, 1) => site.submit(part, JobSpec { rank: Rank::Low, ..job(n, tasks) }),
+                Step::Submit(part, tasks, 1) => site.submit(part, JobSpec { rank: Priority::Low, ..job(n, tasks) }),
                 Step::Submit(part, tasks, _) => site.submit(part, job(n, tasks)),
             }
         }
@@ -1056,7 +1058,9 @@
         s.over(&id(1)) && s.run_keys().is_empty()
     });
     let (_, late) = site.late.pop().expect("still to come");
-    assert!(matches!(site.apply(&late), TxnOutcome::Conflict(keys) if keys == [job_key(&id(1))]));
+    assert!(
+        matches!(site.apply(&late), CompareAndSwapOutcome::Conflict(keys) if keys == [job_key(&id(1))])
+    );
     site.settle();
 }
 
@@ -1090,7 +1094,7 @@
     let mut placer = Placer::new(0, TOKEN, 1, terms(), 0);
     submit(&mut placer, job(1, 1), 0, 0);
     let seq = placer.sync_for(0, TOKEN, ROOM, false, 0).seq;
-    let whole = lemonweir_protocol::peer::Span {
+    let whole = lemonweir_protocol::peer::ChangeRange {
         since: 0,
         upto: 1,
         last: true,
@@ -1104,13 +1108,13 @@
             .iter()
             .any(|c| c.key == job_key(&id(1)) && c.version == 1)
     );
-    placer.txn_done(TxnOutcome::Conflict(vec![job_key(&id(1))]), 0);
+    placer.txn_done(CompareAndSwapOutcome::Conflict(vec![job_key(&id(1))]), 0);
     assert!(placer.next_txn(10).is_none(), "nothing new is known");
     submit(&mut placer, job(2, 1), 0, 20);
     placer.place(20);
     let other = placer.next_txn(20).expect("another job's start");
     assert!(other.conditions.iter().all(|c| c.key != job_key(&id(1))));
-    placer.txn_done(TxnOutcome::Done(50), 20);
+    placer.txn_done(CompareAndSwapOutcome::Done(50), 20);
     let asked = JobRecord {
         spec: job(1, 1),
         at: 0,
@@ -1119,7 +1123,7 @@
     };
     placer.set_job(
         &id(1),
-        Some(&MirroredJob {
+        Some(&CachedJob {
             record: Arc::new(asked),
             version: 2,
         }),
@@ -1141,7 +1145,7 @@
     for (n, chunk) in [(1, 0), (1, 1), (2, 0)] {
         let done = vec![(chunk * CHUNK_TASKS, chunk * CHUNK_TASKS + CHUNK_TASKS - 1)];
         let need = job(n, 1).need();
-        let record = ChunkRecord {
+        let record = TaskChunkRecord {
             team: "red".into(),
             need,
             next: 65,
@@ -1159,7 +1163,7 @@
         "{:?}",
         txn.writes
     );
-    placer.txn_done(TxnOutcome::Done(60), 2 * END_LAG_MS);
+    placer.txn_done(CompareAndSwapOutcome::Done(60), 2 * END_LAG_MS);
     assert!(placer.next_txn(4 * END_LAG_MS).is_none());
     assert_eq!(placer.job_note(&id(1), 0).map(|n| n.0), Some(128));
 }
@@ -1169,14 +1173,14 @@
 #[test]
 fn a_start_under_way_does_not_hold_up_a_cancellation() {
     for outcome in [
-        TxnOutcome::Conflict(vec![job_key(&id(1))]),
-        TxnOutcome::Again,
+        CompareAndSwapOutcome::Conflict(vec![job_key(&id(1))]),
+        CompareAndSwapOutcome::Again,
     ] {
-        let unknown = matches!(outcome, TxnOutcome::Again);
+        let unknown = matches!(outcome, CompareAndSwapOutcome::Again);
         let mut placer = Placer::new(0, TOKEN, 1, terms(), 0);
         submit(&mut placer, job(1, 2), 0, 0);
         let seq = placer.sync_for(0, TOKEN, ROOM, false, 0).seq;
-        let whole = lemonweir_protocol::peer::Span {
+        let whole = lemonweir_protocol::peer::ChangeRange {
             since: 0,
             upto: 1,
             last: true,
@@ -1192,7 +1196,7 @@
         };
         placer.set_job(
             &id(1),
-            Some(&MirroredJob {
+            Some(&CachedJob {
                 record: Arc::new(asked),
                 version: 2,
             }),
@@ -1210,7 +1214,7 @@
             key: job_key(&id(1)),
             version: 2
         }));
-        placer.txn_done(TxnOutcome::Done(50), 50);
+        placer.txn_done(CompareAndSwapOutcome::Done(50), 50);
         // What may have been made is asked for; a refusal tells that it was.
         assert_eq!(placer.known().count(), usize::from(unknown));
         assert!(placer.sync_for(0, TOKEN, ROOM, false, 60).wants.is_empty());
@@ -1225,7 +1229,7 @@
             );
             placer.reread(&id(1), 0, 45);
             placer.txn_done(
-                TxnOutcome::Conflict(vec![run_key(0, &id(1), 0)]),
+                CompareAndSwapOutcome::Conflict(vec![run_key(0, &id(1), 0)]),
                 70 + END_LAG_MS,
             );
             let gone = placer.next_txn(70 + END_LAG_MS).expect("its removal");
@@ -1235,7 +1239,7 @@
                     key: run_key(0, &id(1), 0)
                 }]
             );
-            placer.txn_done(TxnOutcome::Done(51), 80 + END_LAG_MS);
+            placer.txn_done(CompareAndSwapOutcome::Done(51), 80 + END_LAG_MS);
             assert_eq!(placer.known().count(), 0);
         }
     }
--- a/crates/coordination/tests/evidence.rs
+++ b/crates/coordination/tests/evidence.rs
@@ -10,9 +10,9 @@
 use lemonweir_model::constants::{
     BLIND_MOST_MS, DRIFT_PER_MILLE, FENCE_BITS, LEASE_MARGIN_MS, RETURN_KEEP_MS,
 };
-use lemonweir_protocol::cloud::RentalEntry;
-use lemonweir_protocol::peer::{Have, Span, Standing, View};
-use lemonweir_protocol::worker::Report;
+use lemonweir_protocol::cloud::InstanceEntry;
+use lemonweir_protocol::peer::{AttemptState, ChangeRange, ObservedState, ShardView};
+use lemonweir_protocol::worker::Heartbeat;
 use support::*;
 
 const MACHINES: usize = 40;
@@ -21,8 +21,8 @@
 /// The cloud's list is read so often.
 const LIST_MS: u64 = 4_000;
 
-fn entry(n: usize) -> RentalEntry {
-    RentalEntry {
+fn entry(n: usize) -> InstanceEntry {
+    InstanceEntry {
         id: machine(n),
         kind: "box".into(),
         zone: "north".into(),
@@ -40,8 +40,8 @@
     seq: u64,
     released: Vec<(u64, MachineId)>,
     /// How the first attempt stands, with the time since when.
-    ended: Option<(u64, Standing)>,
-    have: Have,
+    ended: Option<(u64, AttemptState)>,
+    have: ObservedState,
     cloud: bool,
     /// The store answers.
     word: bool,
@@ -66,14 +66,14 @@
             seq: 0,
             released: Vec::new(),
             ended: None,
-            have: Have::default(),
+            have: ObservedState::default(),
             cloud,
             word: true,
             heard: BTreeSet::new(),
         };
         let wants = (0..MACHINES).map(|n| want(n as u32, n)).collect();
         day.tell(
-            Span {
+            ChangeRange {
                 since: 0,
                 upto: 40,
                 last: true,
@@ -83,9 +83,13 @@
         day
     }
 
-    fn tell(&mut self, span: Span, wants: Vec<lemonweir_protocol::peer::Want>) -> View {
+    fn tell(
+        &mut self,
+        span: ChangeRange,
+        wants: Vec<lemonweir_protocol::peer::DesiredAttempt>,
+    ) -> ShardView {
         self.seq += 1;
-        let message = lemonweir_protocol::peer::Sync {
+        let message = lemonweir_protocol::peer::SyncRequest {
             to_token: NEXT,
             ..sync(self.seq, span, wants, self.have)
         };
@@ -112,7 +116,7 @@
         while self.now < until {
             self.now += 100;
             if self.cloud && self.now.is_multiple_of(LIST_MS) {
-                let all: Vec<RentalEntry> = (0..MACHINES).map(entry).collect();
+                let all: Vec<InstanceEntry> = (0..MACHINES).map(entry).collect();
                 self.owner.listed(&all, self.now);
             }
             if self.now.is_multiple_of(TIMING.report_ms) {
@@ -127,7 +131,7 @@
                         Vec::new()
                     };
                     let session = if kept { 1 } else { 2 };
-                    let said = Report {
+                    let said = Heartbeat {
                         seq: self.now,
                         token: NEXT << FENCE_BITS,
                         session,
@@ -146,7 +150,7 @@
                 self.owner.released(&names, true, self.now);
             }
             self.tell(
-                Span {
+                ChangeRange {
                     since: 40,
                     upto: 40,
                     last: true,
@@ -240,7 +244,7 @@
     let drifted = |ms: u64| ms + ms * DRIFT_PER_MILLE / 1_000;
     let least = drifted(BLIND_MOST_MS) + drifted(TIMING.lease_ms) + LEASE_MARGIN_MS;
     let (at, standing) = day.ended.expect("ended");
-    assert_eq!(standing, Standing::Gone);
+    assert_eq!(standing, AttemptState::Gone);
     assert!(
         (least..least + 300).contains(&at),
         "at {at} ms, least {least} ms"
@@ -265,7 +269,7 @@
     assert_eq!(day.ended, None, "who answered them meanwhile is not known");
     day.word = true;
     day.pass(110_200, nobody);
-    assert_eq!(day.ended, Some((110_100, Standing::Gone)));
+    assert_eq!(day.ended, Some((110_100, AttemptState::Gone)));
 
     let mut day = Day::new(true);
     day.word = false;
@@ -282,7 +286,7 @@
     let mut day = Day::new(true);
     day.pass(30_000, nobody);
     let view = day.tell(
-        Span {
+        ChangeRange {
             since: 40,
             upto: 40,
             last: true,
@@ -298,7 +302,7 @@
     day.pass(40_000, all);
     assert_eq!(
         day.tell(
-            Span {
+            ChangeRange {
                 since: 40,
                 upto: 40,
                 last: true
@@ -331,7 +335,7 @@
         (1..700u64).map(|n| n * 100).find(|&now| {
             if now % 3_000 == 200 {
                 for n in 0..MACHINES {
-                    let said = Report {
+                    let said = Heartbeat {
                         token: NEXT << FENCE_BITS,
                         ..report(n, now)
                     };
--- a/crates/coordination/tests/fault_attribution.rs
+++ b/crates/coordination/tests/fault_attribution.rs
@@ -3,7 +3,7 @@
 
 mod support;
 
-use lemonweir_coordination::fault_attribution::{FaultAttribution, Verdict};
+use lemonweir_coordination::fault_attribution::{FaultAttribution, FaultVerdict};
 use lemonweir_model::constants::*;
 use lemonweir_model::{JobId, MachineId};
 use proptest::prelude::*;
@@ -80,7 +80,7 @@
 
     /// A machine's jobs that failed there after the start of every run that was
     /// known to go well by then, and that are no suspects.
-    fn verdict(&self, machine: usize) -> Verdict {
+    fn verdict(&self, machine: usize) -> FaultVerdict {
         let failed = |job: usize| {
             let (_, _, at, i) = self
                 .failures()
@@ -105,9 +105,9 @@
             counted.len() >= QUARANTINE_ERRORS,
             counted.iter().filter(elsewhere).count() >= QUARANTINE_ERRORS,
         ) {
-            (false, _) => Verdict::Sound,
-            (true, true) => Verdict::Faulty,
-            (true, false) => Verdict::Doubtful,
+            (false, _) => FaultVerdict::Sound,
+            (true, true) => FaultVerdict::Faulty,
+            (true, false) => FaultVerdict::Doubtful,
         }
     }
 }
@@ -126,7 +126,7 @@
         let (mut real, mut plain, mut now) = (FaultAttribution::default(), Plain::default(), 1_000_000);
         for e in events {
             now += e.gap;
-            let all = |real: &FaultAttribution| -> Vec<(Option<u32>, Verdict)> {
+            let all = |real: &FaultAttribution| -> Vec<(Option<u32>, FaultVerdict)> {
                 (0..JOBS.max(MACHINES)).map(|n| (real.suspect(&job(n)), real.verdict(&support::machine(n)))).collect()
             };
             let before = all(&real);
--- a/crates/coordination/tests/largest.rs
+++ b/crates/coordination/tests/largest.rs
@@ -5,22 +5,22 @@
 
 use std::collections::BTreeMap;
 
-use lemonweir_coordination::placer::{Placer, Terms, TxnOutcome};
+use lemonweir_coordination::placer::{CompareAndSwapOutcome, Placer, PlacerConfig};
 use lemonweir_model::constants::*;
-use lemonweir_model::{Catalog, JobId, JobSpec, MachineType, Rank, Room, Shape};
-use lemonweir_protocol::peer::Span;
+use lemonweir_model::{Catalog, JobId, JobKind, JobSpec, MachineType, Priority, Resources};
+use lemonweir_protocol::peer::ChangeRange;
 use support::*;
 
 fn id(n: u64) -> JobId {
     JobId::from(format!("req-{n:06}").as_str())
 }
 
-fn placer(limit: Option<Room>, now: u64) -> Placer {
+fn placer(limit: Option<Resources>, now: u64) -> Placer {
     let limits = limit
         .map(|room| ("red".to_owned(), room))
         .into_iter()
         .collect();
-    let terms = Terms {
+    let terms = PlacerConfig {
         limits,
         idle_writes: 1_000,
         ..terms()
@@ -41,7 +41,7 @@
 fn idle(n: u64, tasks: u64) -> JobSpec {
     JobSpec {
         id: id(n),
-        rank: Rank::Low,
+        rank: Priority::Low,
         spot: false,
         ..array(tasks)
     }
@@ -51,7 +51,7 @@
 /// with their tasks.
 fn room_for(placer: &mut Placer, tasks: u64, now: u64) -> BTreeMap<JobId, usize> {
     let seq = placer.sync_for(0, TOKEN, ROOM, false, now).seq;
-    let free = Room::offer(4.0 * tasks as f64, tasks as f64, 16.0 * tasks as f64);
+    let free = Resources::offer(4.0 * tasks as f64, tasks as f64, 16.0 * tasks as f64);
     // Some other work is on it.
     let machine = lemonweir_protocol::peer::MachineView {
         free,
@@ -61,7 +61,7 @@
     placer.take_view(
         view(
             seq,
-            Span {
+            ChangeRange {
                 since: 0,
                 upto: 1,
                 last: true,
@@ -85,7 +85,7 @@
     for step in 0..4 {
         placer.place(now);
         while placer.next_txn(now + 50 * step).is_some() {
-            placer.txn_done(TxnOutcome::Done(2 + step), now);
+            placer.txn_done(CompareAndSwapOutcome::Done(2 + step), now);
         }
     }
 }
@@ -165,9 +165,9 @@
             let mut placer = placer(None, now);
             for (n, tasks, at) in &jobs {
                 let shape = if n % 5 == 0 {
-                    Shape::Gang
+                    JobKind::Gang
                 } else {
-                    Shape::Array
+                    JobKind::Array
                 };
                 submit(
                     &mut placer,
@@ -240,14 +240,14 @@
 #[test]
 fn a_service_begins_within_its_teams_limit() {
     for (shape, want) in [
-        (Shape::Service, Some(8)),
-        (Shape::Array, Some(8)),
-        (Shape::Gang, None),
+        (JobKind::Service, Some(8)),
+        (JobKind::Array, Some(8)),
+        (JobKind::Gang, None),
     ] {
         let mut placer = placer(
-            Some(Room {
+            Some(Resources {
                 cpus: u64::MAX,
-                gpus: Room::offer(0.0, 12.0, 0.0).gpus,
+                gpus: Resources::offer(0.0, 12.0, 0.0).gpus,
                 memory: u64::MAX,
             }),
             0,
@@ -255,8 +255,8 @@
         submit(
             &mut placer,
             JobSpec {
-                rank: Rank::Production,
-                shape: Shape::Service,
+                rank: Priority::Production,
+                shape: JobKind::Service,
                 ..array(4)
             },
             0,
@@ -267,7 +267,7 @@
             &mut placer,
             JobSpec {
                 id: id(2),
-                rank: Rank::Production,
+                rank: Priority::Production,
                 shape,
                 ..array(12)
             },
@@ -325,14 +325,14 @@
             .count()
     };
     let seq = placer.sync_for(0, TOKEN, ROOM, false, 0).seq;
-    let span = Span {
+    let span = ChangeRange {
         since: 0,
         upto: 1,
         last: true,
     };
     let machines = (0..40)
         .map(|n| lemonweir_protocol::peer::MachineView {
-            free: Room::offer(100.0, 0.0, 400.0),
+            free: Resources::offer(100.0, 0.0, 400.0),
             ..shown(n, 4)
         })
         .collect();
--- a/crates/coordination/tests/late_orders.rs
+++ b/crates/coordination/tests/late_orders.rs
@@ -9,14 +9,18 @@
 use std::sync::LazyLock;
 
 use lemonweir_coordination::owner::{CommandCall, CommandResult, Owner};
-use lemonweir_coordination::{Config, Core, Effect, Lot, ReportAnswer};
+use lemonweir_coordination::{Config, Core, Effect, HeartbeatAnswer, ShardLease};
 use lemonweir_model::AttemptId;
 use lemonweir_model::constants::*;
 use lemonweir_model::policy::Policy;
-use lemonweir_protocol::links::Word;
-use lemonweir_protocol::peer::{Have, Span, Standing, Sync, Want};
-use lemonweir_protocol::worker::{Order, Report, ReportReply, TaskPhase, TaskReport, Verb};
-use lemonweir_storage::state_cache::Holder;
+use lemonweir_protocol::links::AvailabilityGossip;
+use lemonweir_protocol::peer::{
+    AttemptState, ChangeRange, DesiredAttempt, ObservedState, SyncRequest,
+};
+use lemonweir_protocol::worker::{
+    Command, CommandKind, Heartbeat, HeartbeatResponse, TaskPhase, TaskStatus,
+};
+use lemonweir_storage::state_cache::ShardLeader;
 use proptest::prelude::*;
 use support::*;
 
@@ -105,16 +109,16 @@
         }
     }
 
-    fn report(&mut self) -> Report {
+    fn report(&mut self) -> Heartbeat {
         self.seq += 1;
-        let task = |(id, phase): (&AttemptId, &TaskPhase)| TaskReport {
+        let task = |(id, phase): (&AttemptId, &TaskPhase)| TaskStatus {
             piece: id.piece(),
             attempt: id.attempt,
             phase: *phase,
             cause: (*phase == TaskPhase::Exited).then(|| "stopped".to_owned()),
             saved: None,
         };
-        Report {
+        Heartbeat {
             session: self.session,
             seq: self.seq,
             token: self.token,
@@ -123,17 +127,17 @@
         }
     }
 
-    fn execute(&mut self, orders: &[Order]) {
+    fn execute(&mut self, orders: &[Command]) {
         for o in orders {
             let id = AttemptId::parse(&o.piece, o.attempt).expect("a task");
             match o.verb {
-                Verb::Launch => drop(self.tasks.entry(id).or_insert(TaskPhase::Running)),
-                Verb::Kill => {
+                CommandKind::Launch => drop(self.tasks.entry(id).or_insert(TaskPhase::Running)),
+                CommandKind::Kill => {
                     if let Some(phase) = self.tasks.get_mut(&id) {
                         *phase = TaskPhase::Exited;
                     }
                 }
-                Verb::Forget => drop(self.tasks.remove(&id)),
+                CommandKind::Forget => drop(self.tasks.remove(&id)),
             }
         }
     }
@@ -150,7 +154,7 @@
 enum Message {
     /// A report to a controller, carried on by another; not the original: `copy`.
     Report {
-        report: Report,
+        report: Heartbeat,
         life: u64,
         sent: u64,
         host: usize,
@@ -163,7 +167,7 @@
         session: u64,
         seq: u64,
         sent: u64,
-        answer: Result<ReportReply, Option<usize>>,
+        answer: Result<HeartbeatResponse, Option<usize>>,
     },
     /// A call; `to` is the life of the worker that it was sent to: a connection ends
     /// with that. `heard`: its sender had heard that life.
@@ -177,7 +181,7 @@
     /// A call's answer, or the end of the wait for it.
     Done {
         number: u64,
-        result: Option<Report>,
+        result: Option<Heartbeat>,
         executed: bool,
         sent: bool,
     },
@@ -187,7 +191,7 @@
 struct Pending {
     host: usize,
     process: u64,
-    lot: Lot,
+    lot: ShardLease,
     call: CommandCall,
 }
 
@@ -205,7 +209,7 @@
     /// Workers and it don't reach each other until then, ms.
     deaf_until: u64,
     /// A reading under way: when it began, when it ends, and what it will show.
-    reading: Option<(u64, u64, Option<Holder>)>,
+    reading: Option<(u64, u64, Option<ShardLeader>)>,
     read_at: u64,
     /// The last life of the machine that it has heard as its owner.
     heard: u64,
@@ -256,7 +260,7 @@
     worker: Worker,
     hosts: Vec<Host>,
     processes: u64,
-    holder: Option<Holder>,
+    holder: Option<ShardLeader>,
     revision: u64,
     mail: Vec<(u64, u64, Message)>,
     posted: u64,
@@ -275,7 +279,7 @@
     to: u64,
     sync: u64,
     tasks: u32,
-    wanted: BTreeMap<AttemptId, Want>,
+    wanted: BTreeMap<AttemptId, DesiredAttempt>,
     over: BTreeSet<AttemptId>,
     open: bool,
     given_back: bool,
@@ -378,7 +382,7 @@
             return;
         }
         self.revision += 1;
-        self.holder = Some(Holder {
+        self.holder = Some(ShardLeader {
             host: format!("h{n}"),
             token: self.revision,
         });
@@ -388,7 +392,7 @@
         self.note(|| format!("h{n} takes the part with {token}"));
     }
 
-    fn show(core: &mut Core, holder: Option<Holder>, began: u64) {
+    fn show(core: &mut Core, holder: Option<ShardLeader>, began: u64) {
         let revision = holder.as_ref().map_or(1, |h| h.token);
         match holder {
             Some(holder) => drop(core.mirror.parts.insert(0, holder)),
@@ -428,7 +432,7 @@
                 // The reading before it adopts the part.
                 Self::show(core, holder.clone(), now - 1);
                 if holder.is_some_and(|h| h.token == token) {
-                    core.adopt(Lot { part: 0, token }, &[], Vec::new(), now);
+                    core.adopt(ShardLease { part: 0, token }, &[], Vec::new(), now);
                 }
             }
         }
@@ -580,7 +584,7 @@
 
     fn report_arrives(
         &mut self,
-        report: Report,
+        report: Heartbeat,
         life: u64,
         sent: u64,
         host: usize,
@@ -589,7 +593,7 @@
     ) {
         let now = self.now;
         let answer = match self.hosts[host].core.as_mut() {
-            None => ReportAnswer::Unable,
+            None => HeartbeatAnswer::Unable,
             Some(core) => match by {
                 None => core.report(&report, now),
                 Some(by) => core.carried_report(&report, by, now),
@@ -605,8 +609,8 @@
         self.note(|| format!("h{host} hears {report:?} by {by:?}, copy {copy}: {answer:?}"));
         self.pump(host);
         let answer = match answer {
-            ReportAnswer::Orders(reply) => Ok(reply),
-            ReportAnswer::Carry(to) => {
+            HeartbeatAnswer::Orders(reply) => Ok(reply),
+            HeartbeatAnswer::Carry(to) => {
                 let report = Message::Report {
                     report,
                     life,
@@ -617,8 +621,8 @@
                 };
                 return self.post(40, report);
             }
-            ReportAnswer::Elsewhere(name) => Err(name[1..].parse().ok()),
-            ReportAnswer::Unable => Err(None),
+            HeartbeatAnswer::Elsewhere(name) => Err(name[1..].parse().ok()),
+            HeartbeatAnswer::Unable => Err(None),
         };
         let lost = now < self.answers_lost
             || now < self.unreachable
@@ -661,7 +665,7 @@
         }
     }
 
-    fn hail(&mut self, from: usize, to: usize, word: Word) {
+    fn hail(&mut self, from: usize, to: usize, word: AvailabilityGossip) {
         let now = self.now;
         let answer = self.hosts[to]
             .runs(now)
@@ -671,7 +675,7 @@
         }
     }
 
-    fn call(&mut self, host: usize, lot: Lot, call: CommandCall) {
+    fn call(&mut self, host: usize, lot: ShardLease, call: CommandCall) {
         let now = self.now;
         self.called += 1;
         let number = self.called;
@@ -679,7 +683,7 @@
             .commands
             .orders
             .iter()
-            .filter(|o| o.verb == Verb::Launch)
+            .filter(|o| o.verb == CommandKind::Launch)
             .count() as u64;
         let (to, process) = (self.worker.life, self.hosts[host].process);
         self.note(|| {
@@ -833,7 +837,7 @@
         let at = |h: &Host| {
             h.core
                 .as_ref()
-                .is_some_and(|c| c.held().contains(&Lot { part: 0, token: to }))
+                .is_some_and(|c| c.held().contains(&ShardLease { part: 0, token: to }))
                 && now >= h.stands_until
         };
         let Some(n) = self.hosts.iter().position(at) else {
@@ -846,17 +850,17 @@
             } else {
                 Vec::new()
             };
-            let span = Span {
+            let span = ChangeRange {
                 since: 0,
                 upto: self.sync,
                 last: true,
             };
-            let message = Sync {
+            let message = SyncRequest {
                 from,
                 from_token: 39,
                 to_token: to,
                 keep: vec![machine(0)],
-                ..sync(self.sync, span, wants, Have::default())
+                ..sync(self.sync, span, wants, ObservedState::default())
             };
             let Some(core) = self.hosts[n].core.as_mut() else {
                 return;
@@ -1085,15 +1089,20 @@
 
 const BASE: u64 = TOKEN << FENCE_BITS;
 
-fn tell(owner: &mut Owner, seq: u64, wants: Vec<Want>, now: u64) -> Vec<(AttemptId, Standing)> {
-    let span = Span {
+fn tell(
+    owner: &mut Owner,
+    seq: u64,
+    wants: Vec<DesiredAttempt>,
+    now: u64,
+) -> Vec<(AttemptId, AttemptState)> {
+    let span = ChangeRange {
         since: 0,
         upto: seq,
         last: true,
     };
-    let message = Sync {
+    let message = SyncRequest {
         keep: vec![machine(0)],
-        ..sync(seq, span, wants, Have::default())
+        ..sync(seq, span, wants, ObservedState::default())
     };
     let view = owner.sync(&message, ROOM, now).expect("taken");
     view.attempts
@@ -1110,7 +1119,7 @@
 #[test]
 fn the_first_report_of_a_new_life_is_answered_with_a_token_that_the_earlier_one_never_saw() {
     let mut owner = fleet(1);
-    let before = |seq, tasks| Report {
+    let before = |seq, tasks| Heartbeat {
         session: 3,
         tasks,
         ..report(0, seq)
@@ -1121,7 +1130,7 @@
     // It is back, and counts from the start.
     let first = owner
         .report(
-            &Report {
+            &Heartbeat {
                 token: 0,
                 ..report(0, 1)
             },
@@ -1141,12 +1150,12 @@
     assert!(owner.report(&late, None, 3_400).is_some());
     let told = tell(&mut owner, 2, vec![want(0, 0)], 3_450);
     assert!(
-        told.iter().all(|(_, s)| *s == Standing::Accepted),
+        told.iter().all(|(_, s)| *s == AttemptState::Accepted),
         "that is not believed: {told:?}"
     );
     let mut token = first.token;
     for seq in 2..5 {
-        let said = Report {
+        let said = Heartbeat {
             token,
             ..report(0, seq)
         };
@@ -1170,7 +1179,7 @@
     let mut owner = fleet(1);
     tell(&mut owner, 1, vec![want(0, 0)], 20);
     let start = owner.calls(20, 4).pop().expect("a start");
-    let seen = |seq, token| Report {
+    let seen = |seq, token| Heartbeat {
         token,
         tasks: vec![running_task(0)],
         ..report(0, seq)
@@ -1180,7 +1189,7 @@
     assert!(
         owner
             .report(
-                &Report {
+                &Heartbeat {
                     token: 0,
                     ..report(0, 1)
                 },
@@ -1198,7 +1207,7 @@
     );
     assert!(owner.calls(5_100, 4).is_empty());
     let told = tell(&mut owner, 2, vec![want(0, 0)], 5_100);
-    assert_eq!(told, [(want(0, 0).id, Standing::Running)]);
+    assert_eq!(told, [(want(0, 0).id, AttemptState::Running)]);
 }
 
 /// Drawn by an earlier form of the histories above: a machine came back unheard, its new life took a start whose
@@ -1234,14 +1243,14 @@
     (owner, start.commands.token)
 }
 
-fn stopped(n: u32) -> Want {
-    Want {
+fn stopped(n: u32) -> DesiredAttempt {
+    DesiredAttempt {
         kill: Some(0),
         ..want(n, 0)
     }
 }
 
-fn ended(told: &[(AttemptId, Standing)], n: u32) -> bool {
+fn ended(told: &[(AttemptId, AttemptState)], n: u32) -> bool {
     told.iter().any(|(id, s)| *id == want(n, 0).id && s.ended())
 }
 
@@ -1257,12 +1266,12 @@
     );
     owner.call_done(&again, CommandResult::Unknown, 6_500);
     // The first was executed; the second is still on its way.
-    let exited = TaskReport {
+    let exited = TaskStatus {
         phase: TaskPhase::Exited,
         cause: Some("done".into()),
         ..running_task(0)
     };
-    let said = |seq, token| Report {
+    let said = |seq, token| Heartbeat {
         token,
         tasks: vec![exited.clone()],
         ..report(0, seq)
@@ -1280,7 +1289,7 @@
         .report(&said(5, reply.token), None, 10_100)
         .expect("answered");
     assert!(
-        reply.orders.iter().any(|o| o.verb == Verb::Forget),
+        reply.orders.iter().any(|o| o.verb == CommandKind::Forget),
         "from now on it is refused: {reply:?}"
     );
 }
@@ -1306,7 +1315,7 @@
     assert!(
         owner
             .report(
-                &Report {
+                &Heartbeat {
                     token,
                     ..report(0, 4)
                 },
@@ -1329,7 +1338,7 @@
     let (mut owner, _) = with_a_lost_start();
     let reply = owner.report(&report(0, 3), None, 2_700).expect("answered");
     assert!(
-        reply.orders.iter().any(|o| o.verb == Verb::Launch),
+        reply.orders.iter().any(|o| o.verb == CommandKind::Launch),
         "{reply:?}"
     );
     tell(&mut owner, 2, vec![stopped(0), want(1, 0)], 3_000);
@@ -1345,7 +1354,7 @@
     ));
     owner
         .report(
-            &Report {
+            &Heartbeat {
                 token: reply.token,
                 ..report(0, 4)
             },
@@ -1365,7 +1374,7 @@
     let mut owner = fleet(1);
     let token = owner
         .report(
-            &Report {
+            &Heartbeat {
                 token: 0,
                 ..report(0, 1)
             },
@@ -1380,7 +1389,7 @@
     );
     owner
         .report(
-            &Report {
+            &Heartbeat {
                 token,
                 ..report(0, 2)
             },
@@ -1406,7 +1415,7 @@
     );
     owner.set_types([kind()].iter());
     tell(&mut owner, 1, vec![want(0, 0)], 10);
-    let said = Report {
+    let said = Heartbeat {
         token: (TOKEN - 1) << FENCE_BITS,
         tasks: vec![running_task(0)],
         ..report(0, 70)
@@ -1426,7 +1435,7 @@
 #[test]
 fn a_worker_that_has_seen_a_later_owner_is_not_answered() {
     let mut owner = fleet(1);
-    let later = Report {
+    let later = Heartbeat {
         token: (TOKEN + 1) << FENCE_BITS,
         ..report(0, 9)
     };
--- a/crates/coordination/tests/late_transactions.rs
+++ b/crates/coordination/tests/late_transactions.rs
@@ -7,17 +7,17 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use lemonweir_coordination::placer::{Placer, TxnOutcome, TxnVerdict};
+use lemonweir_coordination::placer::{CompareAndSwapOutcome, Placer, ShardOwnership};
 use lemonweir_model::constants::*;
 use lemonweir_model::{AttemptId, JobId, JobSpec};
-use lemonweir_protocol::kv_store::{Txn, Write, from_value, to_value};
-use lemonweir_protocol::peer::{AttemptView, Cause, Span, Standing};
-use lemonweir_protocol::users::Phase;
+use lemonweir_protocol::kv_store::{CompareAndSwap, Write, from_value, to_value};
+use lemonweir_protocol::peer::{AttemptState, AttemptStatus, ChangeRange, ExitCause};
+use lemonweir_protocol::users::JobPhase;
 use lemonweir_storage::records::{
-    ChunkRecord, EndRecord, JobRecord, PartRecord, end_key, job_key, parse_run_key, part_key,
-    run_key, run_prefix, withdraw_job,
+    JobEndRecord, JobRecord, ShardRecord, TaskChunkRecord, end_key, job_key, parse_run_key,
+    part_key, run_key, run_prefix, withdraw_job,
 };
-use lemonweir_storage::state_cache::MirroredJob;
+use lemonweir_storage::state_cache::CachedJob;
 use rmpv::Value;
 use support::{ROOM, TOKEN, array, shown, terms, view};
 
@@ -35,7 +35,7 @@
             revision: TOKEN - 1,
             keys: BTreeMap::new(),
         };
-        store.put(part_key(0), to_value(&PartRecord { host: "h0".into() }));
+        store.put(part_key(0), to_value(&ShardRecord { host: "h0".into() }));
         store
     }
 
@@ -53,13 +53,13 @@
         self.keys.get(key).map(|k| &k.0)
     }
 
-    fn ended(&self, id: &JobId) -> Option<Phase> {
+    fn ended(&self, id: &JobId) -> Option<JobPhase> {
         self.value(&end_key(id))
-            .and_then(from_value::<EndRecord>)
+            .and_then(from_value::<JobEndRecord>)
             .map(|e| e.phase)
     }
 
-    fn txn(&mut self, txn: &Txn) -> TxnOutcome {
+    fn txn(&mut self, txn: &CompareAndSwap) -> CompareAndSwapOutcome {
         assert!(
             txn.writes.len() <= terms().txn_ops && txn.conditions.len() <= 4 * terms().txn_ops,
             "more than a transaction may hold"
@@ -71,7 +71,7 @@
             .map(|c| c.key.clone())
             .collect();
         if !failed.is_empty() {
-            return TxnOutcome::Conflict(failed);
+            return CompareAndSwapOutcome::Conflict(failed);
         }
         self.revision += 1;
         for write in &txn.writes {
@@ -83,11 +83,11 @@
                 Write::Delete { key } => drop(self.keys.remove(key)),
             }
         }
-        TxnOutcome::Done(self.revision)
+        CompareAndSwapOutcome::Done(self.revision)
     }
 
-    fn makes(&mut self, txn: &Txn) -> bool {
-        matches!(self.txn(txn), TxnOutcome::Done(_))
+    fn makes(&mut self, txn: &CompareAndSwap) -> bool {
+        matches!(self.txn(txn), CompareAndSwapOutcome::Done(_))
     }
 
     /// Jobs of the records of tasks.
@@ -103,7 +103,7 @@
     fn live(&self, id: &AttemptId) -> bool {
         let record = self
             .value(&run_key(0, &id.job, id.task / CHUNK_TASKS))
-            .and_then(from_value::<ChunkRecord>);
+            .and_then(from_value::<TaskChunkRecord>);
         record.is_some_and(|r| r.live.iter().any(|l| (l.t, l.a) == (id.task, id.attempt)))
     }
 }
@@ -153,7 +153,7 @@
             .store
             .value(&job_key(id))
             .and_then(from_value::<JobRecord>);
-        let job = job.map(|record| MirroredJob {
+        let job = job.map(|record| CachedJob {
             record: Arc::new(record),
             version: self.store.version(&job_key(id)),
         });
@@ -174,7 +174,7 @@
     }
 
     /// The owner of four machines is told what is wanted, and tells this.
-    fn sync(&mut self, attempts: &[(AttemptId, Standing)]) {
+    fn sync(&mut self, attempts: &[(AttemptId, AttemptState)]) {
         let sync = self.placer.sync_for(0, TOKEN, ROOM, false, self.now);
         assert!(
             sync.span.since == 0 && sync.span.last,
@@ -187,9 +187,9 @@
             .filter(|w| w.kill.is_none())
             .map(|w| w.id.clone())
             .collect();
-        let attempts: Vec<AttemptView> = attempts
+        let attempts: Vec<AttemptStatus> = attempts
             .iter()
-            .map(|(id, standing)| AttemptView {
+            .map(|(id, standing)| AttemptStatus {
                 id: id.clone(),
                 standing: *standing,
             })
@@ -198,7 +198,7 @@
         self.placer.take_view(
             view(
                 sync.seq,
-                Span {
+                ChangeRange {
                     since: 0,
                     upto: 1,
                     last: true,
@@ -216,14 +216,14 @@
     }
 
     /// The next transaction, after so many ms.
-    fn next(&mut self, after_ms: u64) -> Option<Txn> {
+    fn next(&mut self, after_ms: u64) -> Option<CompareAndSwap> {
         self.now += after_ms;
         self.placer.next_txn(self.now)
     }
 
     /// A transaction ends as the process is told; keys that met other versions are read.
-    fn end(&mut self, outcome: TxnOutcome) -> Vec<(JobId, Phase)> {
-        if let TxnOutcome::Conflict(keys) = &outcome {
+    fn end(&mut self, outcome: CompareAndSwapOutcome) -> Vec<(JobId, JobPhase)> {
+        if let CompareAndSwapOutcome::Conflict(keys) = &outcome {
             for key in keys {
                 if let Some((job, chunk)) = parse_run_key(key) {
                     self.placer.reread(&job, chunk, self.store.version(key));
@@ -231,7 +231,7 @@
             }
         }
         let (verdict, ends) = self.placer.txn_done(outcome, self.now);
-        assert_eq!(verdict, TxnVerdict::Fine);
+        assert_eq!(verdict, ShardOwnership::Fine);
         ends
     }
 
@@ -263,14 +263,14 @@
     night.submit(&spec);
     night.place();
     let late = night.next(1).expect("two starts");
-    night.end(TxnOutcome::Again);
+    night.end(CompareAndSwapOutcome::Again);
     night.withdraw(&spec.id);
     night.copy(&spec.id);
     let txn = night.next(1).expect("its end");
     let outcome = night.store.txn(&txn);
     assert_eq!(
         night.end(outcome),
-        vec![(spec.id.clone(), Phase::Withdrawn)]
+        vec![(spec.id.clone(), JobPhase::Withdrawn)]
     );
     night.write();
     assert_eq!(night.placer.known().count(), 0);
@@ -287,18 +287,21 @@
     night.submit(&spec);
     night.place();
     let late = night.next(1).expect("a start");
-    night.end(TxnOutcome::Again);
+    night.end(CompareAndSwapOutcome::Again);
     let again = night.next(1).expect("the start again");
     assert_eq!(late, again);
     let outcome = night.store.txn(&again);
     night.end(outcome);
     night.sync(&[]);
     assert_eq!(night.wanted, BTreeSet::from([attempt(&spec.id, 0, 1)]));
-    night.sync(&[(attempt(&spec.id, 0, 1), Standing::Exited(Cause::Done))]);
+    night.sync(&[(
+        attempt(&spec.id, 0, 1),
+        AttemptState::Exited(ExitCause::Done),
+    )]);
     night.write();
     night.copy(&spec.id);
     night.write();
-    assert_eq!(night.store.ended(&spec.id), Some(Phase::Done));
+    assert_eq!(night.store.ended(&spec.id), Some(JobPhase::Done));
     assert!(night.store.recorded().is_empty() && night.placer.known().count() == 0);
     assert!(!night.store.makes(&late));
     assert!(night.store.recorded().is_empty());
@@ -318,7 +321,7 @@
         if !made_late {
             assert!(night.store.makes(&start));
         }
-        night.end(TxnOutcome::Again);
+        night.end(CompareAndSwapOutcome::Again);
         night.withdraw(&spec.id);
         night.copy(&spec.id);
         if made_late {
@@ -332,7 +335,7 @@
             .next(END_LAG_MS + 1)
             .expect("whether there is a record");
         assert!(asked.writes.is_empty());
-        night.end(TxnOutcome::Again);
+        night.end(CompareAndSwapOutcome::Again);
         assert_eq!(night.placer.known().count(), 1, "no answer tells nothing");
         night.write();
         assert!(night.store.recorded().is_empty());
@@ -358,7 +361,7 @@
     assert_eq!(txn.writes.len(), 2);
     let outcome = night.store.txn(&txn);
     assert!(
-        matches!(&outcome, TxnOutcome::Conflict(keys) if *keys == vec![job_key(&first.id)]),
+        matches!(&outcome, CompareAndSwapOutcome::Conflict(keys) if *keys == vec![job_key(&first.id)]),
         "{outcome:?}"
     );
     night.end(outcome);
@@ -374,7 +377,7 @@
     assert_eq!(night.wanted, BTreeSet::from([attempt(&second.id, 0, 1)]));
     night.copy(&first.id);
     night.write();
-    assert_eq!(night.store.ended(&first.id), Some(Phase::Withdrawn));
+    assert_eq!(night.store.ended(&first.id), Some(JobPhase::Withdrawn));
     assert_eq!(night.store.recorded(), BTreeSet::from([second.id]));
 }
 
@@ -392,12 +395,12 @@
         night.sync(&[]);
         let all: Vec<AttemptId> = night.wanted.iter().cloned().collect();
         assert!(all.len() > 2);
-        night.sync(&[(all[0].clone(), Standing::Exited(Cause::Done))]);
+        night.sync(&[(all[0].clone(), AttemptState::Exited(ExitCause::Done))]);
         let late = night.next(END_LAG_MS + 1).expect("an end");
-        night.end(TxnOutcome::Again);
+        night.end(CompareAndSwapOutcome::Again);
         night.sync(&[
-            (all[0].clone(), Standing::Exited(Cause::Done)),
-            (all[1].clone(), Standing::Exited(Cause::Done)),
+            (all[0].clone(), AttemptState::Exited(ExitCause::Done)),
+            (all[1].clone(), AttemptState::Exited(ExitCause::Done)),
         ]);
         let txn = night.next(END_LAG_MS + 1).expect("two ends");
         let key = run_key(0, &spec.id, 0);
@@ -407,7 +410,7 @@
         if between {
             assert!(night.store.makes(&late));
             let outcome = night.store.txn(&txn);
-            assert!(matches!(outcome, TxnOutcome::Conflict(_)));
+            assert!(matches!(outcome, CompareAndSwapOutcome::Conflict(_)));
             night.placer.reread(&spec.id, 0, read);
             night.placer.txn_done(outcome, night.now);
         } else {
@@ -419,7 +422,7 @@
         let record = night
             .store
             .value(&key)
-            .and_then(from_value::<ChunkRecord>)
+            .and_then(from_value::<TaskChunkRecord>)
             .expect("a record");
         assert_eq!(record.done, vec![(0, 1)], "between: {between}");
     }
@@ -437,7 +440,7 @@
         .expect("some");
     let late = view(
         seq,
-        Span {
+        ChangeRange {
             since: 0,
             upto: 4,
             last: true,
@@ -454,7 +457,7 @@
     assert_eq!(placer.sync_for(0, TOKEN, ROOM, false, 0).have.machines, 0);
     let answer = view(
         first,
-        Span {
+        ChangeRange {
             since: 0,
             upto: 1,
             last: true,
@@ -487,8 +490,8 @@
     for seed in 1..=120 {
         let mut draw = Draw(0x9E37_79B9_7F4A_7C15 ^ seed << 20);
         let mut night = Night::new();
-        let mut late: Vec<Txn> = Vec::new();
-        let mut ends: BTreeMap<JobId, Phase> = BTreeMap::new();
+        let mut late: Vec<CompareAndSwap> = Vec::new();
+        let mut ends: BTreeMap<JobId, JobPhase> = BTreeMap::new();
         let specs: Vec<JobSpec> = (1..=4)
             .map(|n| JobSpec {
                 id: JobId::from(format!("req-{n:06}").as_str()),
@@ -499,7 +502,7 @@
             night.submit(spec);
         }
         // Ends of attempts, so that none is told twice in different ways.
-        let mut standing: BTreeMap<AttemptId, Standing> = BTreeMap::new();
+        let mut standing: BTreeMap<AttemptId, AttemptState> = BTreeMap::new();
         for step in 0..800 {
             let calm = step >= 500;
             night.now += draw.below(400);
@@ -513,16 +516,16 @@
                         0 | 1 => night.store.txn(&txn),
                         2 => {
                             night.store.txn(&txn);
-                            TxnOutcome::Again
+                            CompareAndSwapOutcome::Again
                         }
                         3 => {
                             late.push(txn);
-                            TxnOutcome::Again
+                            CompareAndSwapOutcome::Again
                         }
-                        _ => TxnOutcome::Again,
+                        _ => CompareAndSwapOutcome::Again,
                     };
                     // A late one may be made while the keys are read.
-                    if matches!(outcome, TxnOutcome::Conflict(_))
+                    if matches!(outcome, CompareAndSwapOutcome::Conflict(_))
                         && !late.is_empty()
                         && draw.below(2) == 0
                     {
@@ -546,7 +549,7 @@
                     night.withdraw(&specs[draw.below(4) as usize].id.clone())
                 }
                 _ => {
-                    let now: Vec<(AttemptId, Standing)> =
+                    let now: Vec<(AttemptId, AttemptState)> =
                         standing.iter().map(|(id, s)| (id.clone(), *s)).collect();
                     night.sync(&now);
                     for id in &night.wanted {
@@ -557,14 +560,14 @@
                     }
                     for id in night.told.clone() {
                         let end = if night.wanted.contains(&id) {
-                            Standing::Exited(Cause::Done)
+                            AttemptState::Exited(ExitCause::Done)
                         } else {
-                            Standing::Gone
+                            AttemptState::Gone
                         };
                         let next = if draw.below(3) == 0 {
                             end
                         } else {
-                            Standing::Running
+                            AttemptState::Running
                         };
                         let before = standing.get(&id).copied();
                         if before.is_none_or(|s| !s.ended()) {
@@ -580,7 +583,7 @@
         }
         for _ in 0..20 {
             specs.iter().for_each(|spec| night.copy(&spec.id));
-            let gone: Vec<(AttemptId, Standing)> = night
+            let gone: Vec<(AttemptId, AttemptState)> = night
                 .told
                 .iter()
                 .map(|id| {
@@ -590,7 +593,7 @@
                             .get(id)
                             .copied()
                             .filter(|s| s.ended())
-                            .unwrap_or(Standing::Gone),
+                            .unwrap_or(AttemptState::Gone),
                     )
                 })
                 .collect();
