--- a/crates/coordination/tests/ledger.rs
+++ b/crates/coordination/tests/ledger.rs
@@ -7,19 +7,22 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::sync::Arc;
 
-use lemonweir_coordination::gang_admission::{Admission, Members, Verdict, inherited, verdict};
+use lemonweir_coordination::gang_admission::{
+    GangAdmission, GangMembers, GangVerdict, inherited, verdict,
+};
 use lemonweir_coordination::owner::{CommandCall, CommandResult, Owner};
-use lemonweir_coordination::placer::{Placer, Terms, TxnOutcome, TxnVerdict};
+use lemonweir_coordination::placer::{CompareAndSwapOutcome, Placer, PlacerConfig, ShardOwnership};
 use lemonweir_model::constants::*;
 use lemonweir_model::policy::Policy;
-use lemonweir_model::{AttemptId, JobId, JobSpec, Rank, Shape};
-use lemonweir_protocol::kv_store::{Entry, Txn, Write, from_value, to_value};
-use lemonweir_protocol::peer::{Sync, View};
-use lemonweir_protocol::worker::{Order, Report, TaskPhase, TaskReport, Verb};
+use lemonweir_model::{AttemptId, JobId, JobKind, JobSpec, Priority};
+use lemonweir_protocol::kv_store::{CompareAndSwap, KeyValue, Write, from_value, to_value};
+use lemonweir_protocol::peer::{ShardView, SyncRequest};
+use lemonweir_protocol::worker::{Command, CommandKind, Heartbeat, TaskPhase, TaskStatus};
 use lemonweir_storage::records::{
-    ChunkRecord, GangRecord, GangStep, JobRecord, job_key, parse_run_key, part_key,
+    GangAdmissionRecord, GangAdmissionStep, JobRecord, TaskChunkRecord, job_key, parse_run_key,
+    part_key,
 };
-use lemonweir_storage::state_cache::{Holder, MirroredJob};
+use lemonweir_storage::state_cache::{CachedJob, ShardLeader};
 use support::*;
 
 // ---- the rule -----------------------------------------------------------------
@@ -27,20 +30,20 @@
 /// What must follow, said the long way round: of each step, when it was written,
 /// how many members stand where.
 fn plain_verdict(
-    step: GangStep,
+    step: GangAdmissionStep,
     since: Option<u64>,
-    m: &Members,
+    m: &GangMembers,
     wait: u64,
     now: u64,
 ) -> &'static str {
     let over = |most: u64| since.is_some_and(|s| now >= s + most);
-    if step == GangStep::Released {
+    if step == GangAdmissionStep::Released {
         return "wait";
     }
     if m.live < m.needed {
         return "release";
     }
-    if step == GangStep::Planned {
+    if step == GangAdmissionStep::Planned {
         let all_granted = m.granted == m.live;
         let none_stopped = m.stopped == 0;
         return match () {
@@ -60,10 +63,10 @@
 #[test]
 fn the_rule_is_the_plain_models_in_every_case() {
     let steps = [
-        GangStep::Planned,
-        GangStep::Admitted,
-        GangStep::Released,
-        GangStep::Other,
+        GangAdmissionStep::Planned,
+        GangAdmissionStep::Admitted,
+        GangAdmissionStep::Released,
+        GangAdmissionStep::Other,
     ];
     let wait = 50_000;
     let (mut seen, mut cases) = (BTreeSet::new(), 0);
@@ -81,7 +84,7 @@
                 for kinds in (0..6u32.pow(3)).map(|n| [n % 6, n / 6 % 6, n / 36]) {
                     let count =
                         |from: u32| kinds.iter().filter(|k| **k >= from && **k < 5).count() as u32;
-                    let m = Members {
+                    let m = GangMembers {
                         needed: 3,
                         live: kinds.iter().filter(|k| **k < 5).count() as u32,
                         stopped: kinds.iter().filter(|k| **k == 1).count() as u32,
@@ -89,16 +92,16 @@
                         launched: count(3),
                         running: count(4),
                     };
-                    let admission = Admission {
+                    let admission = GangAdmission {
                         step,
                         at: 7,
                         attempt: 1,
                         since,
                     };
                     let got = match verdict(&admission, &m, wait, now) {
-                        Verdict::Wait(_) => "wait",
-                        Verdict::Admit => "admit",
-                        Verdict::Release(_) => "release",
+                        GangVerdict::Wait(_) => "wait",
+                        GangVerdict::Admit => "admit",
+                        GangVerdict::Release(_) => "release",
                     };
                     assert_eq!(
                         got,
@@ -120,17 +123,17 @@
 fn a_successor_reads_the_least_step_of_all_chunks() {
     let kinds = [
         None,
-        Some(GangStep::Planned),
-        Some(GangStep::Admitted),
-        Some(GangStep::Released),
-        Some(GangStep::Other),
+        Some(GangAdmissionStep::Planned),
+        Some(GangAdmissionStep::Admitted),
+        Some(GangAdmissionStep::Released),
+        Some(GangAdmissionStep::Other),
     ];
     for picks in (0..625usize).map(|n| [n % 5, n / 5 % 5, n / 25 % 5, n / 125]) {
-        let records: Vec<Option<GangRecord>> = picks
+        let records: Vec<Option<GangAdmissionRecord>> = picks
             .iter()
             .enumerate()
             .map(|(i, k)| {
-                kinds[*k].map(|step| GangRecord {
+                kinds[*k].map(|step| GangAdmissionRecord {
                     step,
                     at: i as u64,
                     a: 4,
@@ -139,18 +142,18 @@
             .collect();
         let (step, _, attempt) =
             inherited(records.iter().map(|r| (4, r.as_ref()))).expect("chunks");
-        let has = |kind: GangStep| records.iter().flatten().any(|r| r.step == kind);
+        let has = |kind: GangAdmissionStep| records.iter().flatten().any(|r| r.step == kind);
         let plain = match () {
-            () if has(GangStep::Released) => GangStep::Released,
-            () if has(GangStep::Planned) => GangStep::Planned,
-            () => GangStep::Admitted,
+            () if has(GangAdmissionStep::Released) => GangAdmissionStep::Released,
+            () if has(GangAdmissionStep::Planned) => GangAdmissionStep::Planned,
+            () => GangAdmissionStep::Admitted,
         };
         assert_eq!((step, attempt), (plain, 4), "{picks:?}");
     }
     let (step, ..) = inherited([(1, None), (2, None)].into_iter()).expect("chunks");
     assert_eq!(
         step,
-        GangStep::Released,
+        GangAdmissionStep::Released,
         "members of two attempts never find one another"
     );
 }
@@ -208,10 +211,10 @@
     /// One in so many messages is lost, late or unknown; 0: none.
     trouble: u64,
     revision: u64,
-    store: BTreeMap<String, Entry>,
+    store: BTreeMap<String, KeyValue>,
     parts: Vec<Part>,
     boxes: Vec<Box_>,
-    holders: BTreeMap<u16, Holder>,
+    holders: BTreeMap<u16, ShardLeader>,
     jobs: Vec<(usize, Arc<JobSpec>)>,
     /// Held-back messages: syncs of earlier lives too, views, transactions, calls.
     late: VecDeque<Late>,
@@ -223,9 +226,9 @@
 }
 
 enum Late {
-    Sync(usize, Sync),
-    View(usize, View),
-    Txn(Txn),
+    Sync(usize, SyncRequest),
+    View(usize, ShardView),
+    CompareAndSwap(CompareAndSwap),
     Call(CommandCall),
 }
 
@@ -270,10 +273,10 @@
         site
     }
 
-    fn put(&mut self, entry: Entry) {
+    fn put(&mut self, entry: KeyValue) {
         self.store.insert(
             entry.key.clone(),
-            Entry {
+            KeyValue {
                 version: self.revision,
                 ..entry
             },
@@ -292,7 +295,7 @@
             awaited: 0,
         };
         self.revision += 1;
-        self.put(Entry {
+        self.put(KeyValue {
             key: job_key(&spec.id),
             value: to_value(&record),
             version: 0,
@@ -309,7 +312,7 @@
                 ..from_value(&entry.value).expect("a job")
             };
             self.revision += 1;
-            self.put(Entry {
+            self.put(KeyValue {
                 key,
                 value: to_value(&record),
                 version: 0,
@@ -321,7 +324,7 @@
     /// What the followed keys say reaches every placer.
     fn tell_jobs(&mut self) {
         for (part, spec) in &self.jobs {
-            let mirrored = self.store.get(&job_key(&spec.id)).map(|e| MirroredJob {
+            let mirrored = self.store.get(&job_key(&spec.id)).map(|e| CachedJob {
                 record: Arc::new(from_value(&e.value).expect("a job")),
                 version: e.version,
             });
@@ -356,17 +359,17 @@
         let token = self.revision;
         self.holders.insert(
             part as u16,
-            Holder {
+            ShardLeader {
                 host: format!("h{part}"),
                 token,
             },
         );
-        self.put(Entry {
+        self.put(KeyValue {
             key: part_key(part as u16),
             value: to_value(&0),
             version: 0,
         });
-        let terms = Terms {
+        let terms = PlacerConfig {
             gang_wait_ms: GANG_WAIT_MS,
             wall_offset_ms: 1_000_000,
             ..terms()
@@ -386,7 +389,7 @@
             placer.load_chunk(
                 &id,
                 chunk,
-                &from_value::<ChunkRecord>(&e.value).expect("a chunk"),
+                &from_value::<TaskChunkRecord>(&e.value).expect("a chunk"),
                 e.version,
             );
         }
@@ -424,7 +427,7 @@
         }
     }
 
-    fn apply(&mut self, txn: &Txn) -> TxnOutcome {
+    fn apply(&mut self, txn: &CompareAndSwap) -> CompareAndSwapOutcome {
         let failed: Vec<String> = txn
             .conditions
             .iter()
@@ -432,12 +435,12 @@
             .map(|c| c.key.clone())
             .collect();
         if !failed.is_empty() {
-            return TxnOutcome::Conflict(failed);
+            return CompareAndSwapOutcome::Conflict(failed);
         }
         self.revision += 1;
         for w in &txn.writes {
             match w {
-                Write::Put { key, value, .. } => self.put(Entry {
+                Write::Put { key, value, .. } => self.put(KeyValue {
                     key: key.clone(),
                     value: value.clone(),
                     version: 0,
@@ -450,14 +453,14 @@
             }
         }
         // Which gangs are admitted now: every chunk with members says so.
-        let mut steps: BTreeMap<JobId, Vec<(u32, Option<GangStep>)>> = BTreeMap::new();
+        let mut steps: BTreeMap<JobId, Vec<(u32, Option<GangAdmissionStep>)>> = BTreeMap::new();
         for (key, e) in self
             .store
             .range("run/".to_owned()..)
             .take_while(|(k, _)| k.starts_with("run/"))
         {
             let (id, _) = parse_run_key(key).expect("a key");
-            let record: ChunkRecord = from_value(&e.value).expect("a chunk");
+            let record: TaskChunkRecord = from_value(&e.value).expect("a chunk");
             let step = record.gang.as_ref().map(|g| g.step);
             steps
                 .entry(id)
@@ -469,13 +472,13 @@
             if !members.is_empty()
                 && members
                     .iter()
-                    .all(|(a, step)| *a == first && *step == Some(GangStep::Admitted))
+                    .all(|(a, step)| *a == first && *step == Some(GangAdmissionStep::Admitted))
             {
                 self.admitted.insert((id, first));
             }
         }
         self.tell_jobs();
-        TxnOutcome::Done(self.revision)
+        CompareAndSwapOutcome::Done(self.revision)
     }
 
     fn placer_turn(&mut self, part: usize) {
@@ -501,18 +504,18 @@
         let outcome = match (trouble, self.draws.below(3)) {
             (false, _) => self.apply(&txn),
             // Not made; made, but nobody hears of it; made late.
-            (true, 0) => TxnOutcome::Again,
+            (true, 0) => CompareAndSwapOutcome::Again,
             (true, 1) => {
                 self.apply(&txn);
-                TxnOutcome::Again
+                CompareAndSwapOutcome::Again
             }
             (true, _) => {
-                self.late.push_back(Late::Txn(txn));
-                TxnOutcome::Again
+                self.late.push_back(Late::CompareAndSwap(txn));
+                CompareAndSwapOutcome::Again
             }
         };
         let reread: Vec<(JobId, u32, u64)> = match &outcome {
-            TxnOutcome::Conflict(keys) => keys
+            CompareAndSwapOutcome::Conflict(keys) => keys
                 .iter()
                 .filter_map(|k| parse_run_key(k).map(|(id, chunk)| (id, chunk, self.version(k))))
                 .collect(),
@@ -528,7 +531,7 @@
         for (id, chunk, version) in reread {
             placer.reread(&id, chunk, version);
         }
-        if placer.txn_done(outcome, now).0 == TxnVerdict::Lost {
+        if placer.txn_done(outcome, now).0 == ShardOwnership::Lost {
             self.parts[part].placer = None;
         }
     }
@@ -565,7 +568,7 @@
         }
     }
 
-    fn deliver(&mut self, to: usize, sync: &Sync, answered: bool) {
+    fn deliver(&mut self, to: usize, sync: &SyncRequest, answered: bool) {
         let from = usize::from(sync.from);
         let Some((owner, _)) = self.parts[to].owner.as_mut() else {
             return;
@@ -580,17 +583,17 @@
         }
     }
 
-    fn report_of(&mut self, n: usize) -> Report {
+    fn report_of(&mut self, n: usize) -> Heartbeat {
         let b = &mut self.boxes[n];
         b.seq += 1;
-        let tasks = b.tasks.iter().map(|(id, t)| TaskReport {
+        let tasks = b.tasks.iter().map(|(id, t)| TaskStatus {
             piece: id.piece(),
             attempt: id.attempt,
             phase: t.phase,
             cause: t.cause.map(str::to_owned),
             saved: None,
         });
-        Report {
+        Heartbeat {
             session: b.session,
             token: b.token,
             tasks: tasks.collect(),
@@ -598,17 +601,17 @@
         }
     }
 
-    fn execute(&mut self, n: usize, orders: &[Order]) {
+    fn execute(&mut self, n: usize, orders: &[Command]) {
         for o in orders {
             let id = AttemptId::parse(&o.piece, o.attempt).expect("a task");
             match o.verb {
-                Verb::Launch if self.boxes[n].tasks.contains_key(&id) => {}
-                Verb::Launch => {
+                CommandKind::Launch if self.boxes[n].tasks.contains_key(&id) => {}
+                CommandKind::Launch => {
                     self.launches += 1;
                     let gang = self
                         .jobs
                         .iter()
-                        .any(|(_, s)| s.id == id.job && s.shape == Shape::Gang && s.tasks > 1);
+                        .any(|(_, s)| s.id == id.job && s.shape == JobKind::Gang && s.tasks > 1);
                     assert!(
                         !gang || self.admitted.contains(&(id.job.clone(), id.attempt)),
                         "{id} is launched and not admitted"
@@ -629,7 +632,7 @@
                     );
                 }
                 // It saves for a while.
-                Verb::Kill if o.grace_s.is_some_and(|s| s > 0) => {
+                CommandKind::Kill if o.grace_s.is_some_and(|s| s > 0) => {
                     if let Some(t) = self.boxes[n]
                         .tasks
                         .get_mut(&id)
@@ -638,8 +641,8 @@
                         (t.phase, t.since) = (TaskPhase::Saving, self.now);
                     }
                 }
-                Verb::Kill => self.exit(n, &id, "stopped"),
-                Verb::Forget => drop(self.boxes[n].tasks.remove(&id)),
+                CommandKind::Kill => self.exit(n, &id, "stopped"),
+                CommandKind::Forget => drop(self.boxes[n].tasks.remove(&id)),
             }
         }
         self.check_members();
@@ -662,7 +665,7 @@
             let gang = self
                 .jobs
                 .iter()
-                .any(|(_, s)| s.id == id.job && s.shape == Shape::Gang);
+                .any(|(_, s)| s.id == id.job && s.shape == JobKind::Gang);
             if gang && t.phase != TaskPhase::Exited {
                 let first = *attempts.entry(&id.job).or_insert(id.attempt);
                 assert_eq!(first, id.attempt, "{}: members of two attempts", id.job);
@@ -739,7 +742,10 @@
             self.jobs
                 .iter()
                 .find(|(_, s)| s.id == *id)
-                .map_or(1, |(_, s)| if s.shape == Shape::Gang { s.tasks } else { 1 })
+                .map_or(
+                    1,
+                    |(_, s)| if s.shape == JobKind::Gang { s.tasks } else { 1 },
+                )
         };
         let needed: HashMap<JobId, u64> = there
             .keys()
@@ -811,7 +817,7 @@
                     placer.take_view(view, self.now);
                 }
             }
-            Some(Late::Txn(txn)) => drop(self.apply(&txn)),
+            Some(Late::CompareAndSwap(txn)) => drop(self.apply(&txn)),
             Some(Late::Call(call)) => drop(self.call(&call)),
             None => {}
         }
@@ -862,7 +868,7 @@
 fn gang(n: u32, tasks: u64, gpus: f64) -> JobSpec {
     JobSpec {
         id: JobId::from(format!("req-{n:06}").as_str()),
-        shape: Shape::Gang,
+        shape: JobKind::Gang,
         gpus,
         cores: gpus * 4.0,
         ..array(tasks)
@@ -936,8 +942,8 @@
 const ONE: &str = "req-000001";
 
 /// What the store says of the gang: its step, and how many members it names.
-fn step_of(site: &Site) -> Option<(GangStep, usize)> {
-    let chunk: ChunkRecord =
+fn step_of(site: &Site) -> Option<(GangAdmissionStep, usize)> {
+    let chunk: TaskChunkRecord =
         from_value(&site.store.get("run/0/req-000001/0")?.value).expect("a chunk");
     chunk.gang.map(|g| (g.step, chunk.live.len()))
 }
@@ -952,7 +958,7 @@
         site.placer_turn(0);
         site.now += 10;
     }
-    assert_eq!(step_of(&site), Some((GangStep::Planned, 8)));
+    assert_eq!(step_of(&site), Some((GangAdmissionStep::Planned, 8)));
     site
 }
 
@@ -1000,7 +1006,7 @@
         0,
         TOKEN,
         1,
-        Terms {
+        PlacerConfig {
             gang_wait_ms: GANG_WAIT_MS,
             ..terms()
         },
@@ -1028,12 +1034,12 @@
         placer.keep_ledger(now, 0);
         placer.place(now);
         while let Some(txn) = placer.next_txn(now) {
-            let gang: Vec<GangStep> = txn
+            let gang: Vec<GangAdmissionStep> = txn
                 .writes
                 .iter()
                 .filter_map(|w| match w {
                     Write::Put { value, .. } => {
-                        from_value::<ChunkRecord>(value)?.gang.map(|g| g.step)
+                        from_value::<TaskChunkRecord>(value)?.gang.map(|g| g.step)
                     }
                     Write::Delete { .. } => None,
                 })
@@ -1045,10 +1051,13 @@
             assert!(txn.writes.len() <= 12);
             assert!(to_value(&txn).to_string().len() < 128 * 1024);
             revision += 1;
-            placer.txn_done(TxnOutcome::Done(revision), now);
+            placer.txn_done(CompareAndSwapOutcome::Done(revision), now);
         }
     }
-    assert_eq!(steps, [GangStep::Planned, GangStep::Admitted]);
+    assert_eq!(
+        steps,
+        [GangAdmissionStep::Planned, GangAdmissionStep::Admitted]
+    );
 }
 
 /// The placer ends after its gang was planned, before anybody heard of it, after all
@@ -1061,7 +1070,7 @@
         if granted {
             (0..PARTS).for_each(|to| site.sync(0, to));
         }
-        while admitted && step_of(&site) != Some((GangStep::Admitted, 8)) {
+        while admitted && step_of(&site) != Some((GangAdmissionStep::Admitted, 8)) {
             site.placer_turn(0);
         }
         assert_eq!(site.launches, 0);
@@ -1070,7 +1079,7 @@
         (0..60).for_each(|_| site.step());
         assert_eq!(
             (step_of(&site), site.launches),
-            (Some((GangStep::Admitted, 8)), 8),
+            (Some((GangAdmissionStep::Admitted, 8)), 8),
             "{granted} {admitted}"
         );
         assert_eq!(
@@ -1098,7 +1107,10 @@
         site.step();
         assert_eq!(site.launches, 0);
     }
-    assert_eq!(step_of(&site).map(|s| s.0), Some(GangStep::Released));
+    assert_eq!(
+        step_of(&site).map(|s| s.0),
+        Some(GangAdmissionStep::Released)
+    );
     for part in 0..2 {
         let (placer, _) = site.parts[1].placer.as_ref().expect("there");
         let there = |m: &&lemonweir_protocol::peer::MachineView| {
@@ -1144,7 +1156,7 @@
     site.submit(
         0,
         JobSpec {
-            rank: Rank::High,
+            rank: Priority::High,
             ..gang(1, 8, 4.0)
         },
     );
@@ -1176,7 +1188,7 @@
     let mut site = planned();
     (0..PARTS).for_each(|to| site.sync(0, to));
     // It admits the gang, and its go to the owner of part 1 is on its way for long.
-    while step_of(&site) != Some((GangStep::Admitted, 8)) {
+    while step_of(&site) != Some((GangAdmissionStep::Admitted, 8)) {
         site.placer_turn(0);
     }
     let token = site.parts[1].owner.as_ref().expect("there").1;
--- a/crates/coordination/tests/links.rs
+++ b/crates/coordination/tests/links.rs
@@ -1,13 +1,13 @@
 //! One core among others: what it carries, and what it has carried for it.
 
 use lemonweir_coordination::links::Links;
-use lemonweir_coordination::{Config, Core, Effect, ReportAnswer};
+use lemonweir_coordination::{Config, Core, Effect, HeartbeatAnswer};
 use lemonweir_model::constants::*;
 use lemonweir_model::settings::Settings;
-use lemonweir_protocol::kv_store::{Entry, to_value};
-use lemonweir_protocol::links::{LINKS_VERSION, Service, Standing, Word};
-use lemonweir_protocol::worker::Report;
-use lemonweir_storage::records::{PartRecord, part_key};
+use lemonweir_protocol::kv_store::{KeyValue, to_value};
+use lemonweir_protocol::links::{AvailabilityGossip, LINKS_VERSION, LinkState, Service};
+use lemonweir_protocol::worker::Heartbeat;
+use lemonweir_storage::records::{ShardRecord, part_key};
 
 const TOKEN: u64 = 40;
 
@@ -37,9 +37,9 @@
         Config::new(&settings()),
         lemonweir_policy::embedded().expect("policy"),
     );
-    let holder = PartRecord { host: "h0".into() };
+    let holder = ShardRecord { host: "h0".into() };
     core.mirror.replace(
-        &[Entry {
+        &[KeyValue {
             key: part_key(0),
             value: to_value(&holder),
             version: TOKEN,
@@ -50,12 +50,12 @@
     core
 }
 
-fn word(host: u16, store_ms: Option<u64>, north_ms: Option<u64>) -> Word {
+fn word(host: u16, store_ms: Option<u64>, north_ms: Option<u64>) -> AvailabilityGossip {
     let zones = north_ms
         .map(|ms| ("north".to_owned(), ms))
         .into_iter()
         .collect();
-    Word {
+    AvailabilityGossip {
         version: LINKS_VERSION,
         host,
         store_ms,
@@ -66,14 +66,14 @@
 }
 
 /// Reports of machines that belong to part 0.
-fn of_part_0(core: &Core, token: u64) -> impl Iterator<Item = Report> + use<> {
+fn of_part_0(core: &Core, token: u64) -> impl Iterator<Item = Heartbeat> + use<> {
     let ours = |n: &u32| {
         core.config
             .part_of("north", &format!("n-{n:06}").as_str().into())
             == 0
     };
     let numbers: Vec<u32> = (0..400).filter(ours).collect();
-    numbers.into_iter().map(move |n| Report {
+    numbers.into_iter().map(move |n| Heartbeat {
         machine: format!("n-{n:06}").as_str().into(),
         address: "10.1.0.1:9000".into(),
         kind: "box".into(),
@@ -93,21 +93,24 @@
     core.links
         .hailed(0, true, Some(word(0, Some(50), None)), 1_000);
     let new = of_part_0(&core, 0).next().expect("some");
-    assert!(matches!(core.report(&new, 1_100), ReportAnswer::Elsewhere(host) if host == "h0"));
+    assert!(matches!(core.report(&new, 1_100), HeartbeatAnswer::Elsewhere(host) if host == "h0"));
     let known = of_part_0(&core, TOKEN << FENCE_BITS | 3)
         .nth(1)
         .expect("some");
-    assert!(matches!(core.report(&known, 1_200), ReportAnswer::Carry(0)));
+    assert!(matches!(
+        core.report(&known, 1_200),
+        HeartbeatAnswer::Carry(0)
+    ));
     // One that knows only an earlier owner has not been there yet.
     let earlier = of_part_0(&core, (TOKEN - 1) << FENCE_BITS)
         .nth(2)
         .expect("some");
     assert!(matches!(
         core.report(&earlier, 1_300),
-        ReportAnswer::Elsewhere(_)
+        HeartbeatAnswer::Elsewhere(_)
     ));
     assert!(
-        matches!(core.report(&earlier, 4_000), ReportAnswer::Carry(0)),
+        matches!(core.report(&earlier, 4_000), HeartbeatAnswer::Carry(0)),
         "it came back: in vain"
     );
 }
@@ -122,7 +125,7 @@
         }
         let known = of_part_0(&core, TOKEN << FENCE_BITS).next().expect("some");
         assert!(
-            matches!(core.report(&known, 3_100), ReportAnswer::Unable),
+            matches!(core.report(&known, 3_100), HeartbeatAnswer::Unable),
             "it tries whoever is next"
         );
     }
@@ -133,13 +136,13 @@
     let mut core = core();
     let stray = of_part_0(&core, 0).next().expect("some");
     core.report(
-        &Report {
+        &Heartbeat {
             zone: "nowhere".into(),
             ..stray.clone()
         },
         1_000,
     );
-    core.report(&Report { seq: 2, ..stray }, 1_100);
+    core.report(&Heartbeat { seq: 2, ..stray }, 1_100);
     let zones: Vec<String> = core
         .links
         .rows(1_200)
@@ -157,7 +160,10 @@
         .hailed(0, true, Some(word(0, Some(50), None)), 1_000);
     let known = of_part_0(&core, TOKEN << FENCE_BITS).next().expect("some");
     assert!(
-        matches!(core.carried_report(&known, 2, 1_100), ReportAnswer::Unable),
+        matches!(
+            core.carried_report(&known, 2, 1_100),
+            HeartbeatAnswer::Unable
+        ),
         "nothing is carried on"
     );
 }
@@ -218,13 +224,13 @@
 /// workers must not make it a taker of what others can serve.
 #[test]
 fn who_hears_nobody_any_more_takes_nothing() {
-    use lemonweir_coordination::Lot;
-    use lemonweir_coordination::election::{Claim, Membership};
-    use lemonweir_storage::records::{NodeRecord, node_key};
+    use lemonweir_coordination::ShardLease;
+    use lemonweir_coordination::election::{ElectionAction, LeaderElection};
+    use lemonweir_storage::records::{ControllerRecord, node_key};
     let mut core = core();
-    let present = |host: &str, deaf: Vec<u16>| Entry {
+    let present = |host: &str, deaf: Vec<u16>| KeyValue {
         key: node_key(host),
-        value: to_value(&NodeRecord {
+        value: to_value(&ControllerRecord {
             zone: "north".into(),
             format: PEER_VERSION,
             deaf,
@@ -232,8 +238,8 @@
         }),
         version: 60,
     };
-    let own = PartRecord { host: "h1".into() };
-    let part = |version| Entry {
+    let own = ShardRecord { host: "h1".into() };
+    let part = |version| KeyValue {
         key: part_key(1),
         value: to_value(&own),
         version,
@@ -248,14 +254,14 @@
         70,
     );
     core.refreshed(0, true);
-    core.adopt(Lot { part: 1, token: 55 }, &[], Vec::new(), 0);
+    core.adopt(ShardLease { part: 1, token: 55 }, &[], Vec::new(), 0);
     let token = 55 << FENCE_BITS;
-    let reports: Vec<Report> = of_part_0(&core, token).take(6).collect();
+    let reports: Vec<Heartbeat> = of_part_0(&core, token).take(6).collect();
     for r in &reports {
         core.report(r, 1_000);
     }
     // Part 0 has no holder; its home, which lives, leaves it.
-    let mut membership = Membership::new(3);
+    let mut membership = LeaderElection::new(3);
     assert_eq!(membership.claim(&core, 0, 3_000), None, "not at once");
     let waits = TAKEOVER_WAIT_MS + HEIR_STEP_MS;
     assert_eq!(
@@ -265,7 +271,7 @@
     );
     assert_eq!(
         membership.claim(&core, 0, 3_000 + waits),
-        Some(Claim::Take {
+        Some(ElectionAction::Take {
             part: 0,
             version: 0
         })
@@ -287,10 +293,10 @@
         ],
         80,
     );
-    let mut membership = Membership::new(3);
+    let mut membership = LeaderElection::new(3);
     assert_eq!(
         membership.claim(&core, 0, 3_000),
-        Some(Claim::Take {
+        Some(ElectionAction::Take {
             part: 0,
             version: 0
         })
@@ -301,6 +307,6 @@
             .iter()
             .find(|r| r.to == "workers of north")
             .map(|r| r.standing),
-        Some(Standing::Unknown)
+        Some(LinkState::Unknown)
     );
 }
--- a/crates/coordination/tests/nights.rs
+++ b/crates/coordination/tests/nights.rs
@@ -6,15 +6,17 @@
 
 use lemonweir_coordination::job_status::Answer;
 use lemonweir_coordination::owner::Owner;
-use lemonweir_coordination::{Config, Core, ReportAnswer};
+use lemonweir_coordination::{Config, Core, HeartbeatAnswer};
 use lemonweir_model::constants::*;
 use lemonweir_model::settings::Settings;
 use lemonweir_model::{AttemptId, JobId};
-use lemonweir_protocol::kv_store::{Change, Entry, to_value};
-use lemonweir_protocol::peer::{Have, MachineView, Rented, Span, View, Want};
-use lemonweir_protocol::users::Phase;
-use lemonweir_protocol::worker::{Report, TaskPhase, TaskReport};
-use lemonweir_storage::records::{JobRecord, PartRecord, job_key, part_key};
+use lemonweir_protocol::kv_store::{KeyValue, WatchEvent, to_value};
+use lemonweir_protocol::peer::{
+    ChangeRange, DesiredAttempt, MachineView, ObservedState, ProvisionedInstance, ShardView,
+};
+use lemonweir_protocol::users::JobPhase;
+use lemonweir_protocol::worker::{Heartbeat, TaskPhase, TaskStatus};
+use lemonweir_storage::records::{JobRecord, ShardRecord, job_key, part_key};
 use support::*;
 
 /// One owner and what its only placer knows of it.
@@ -23,7 +25,7 @@
     now: u64,
     seq: u64,
     state: u64,
-    have: Have,
+    have: ObservedState,
     views: Vec<MachineView>,
     reports: Vec<u64>,
     /// Highest token that each machine has seen.
@@ -38,25 +40,30 @@
             now: 20,
             seq: 0,
             state: 0,
-            have: Have::default(),
+            have: ObservedState::default(),
             views: Vec::new(),
             reports,
             tokens,
         }
     }
 
-    fn tell(&mut self, wants: Vec<Want>, dropped: Vec<AttemptId>, rented: Vec<Rented>) -> View {
+    fn tell(
+        &mut self,
+        wants: Vec<DesiredAttempt>,
+        dropped: Vec<AttemptId>,
+        rented: Vec<ProvisionedInstance>,
+    ) -> ShardView {
         self.seq += 1;
         let since = self.state;
         self.state += 1;
-        let span = Span {
+        let span = ChangeRange {
             since,
             upto: self.state,
             last: true,
         };
         // Nothing is given back for being empty.
         let keep = (0..self.reports.len()).map(machine).collect();
-        let message = lemonweir_protocol::peer::Sync {
+        let message = lemonweir_protocol::peer::SyncRequest {
             dropped,
             rented,
             keep,
@@ -93,9 +100,9 @@
         }
     }
 
-    fn report(&mut self, n: usize, tasks: Vec<TaskReport>) {
+    fn report(&mut self, n: usize, tasks: Vec<TaskStatus>) {
         self.reports[n] += 1;
-        let said = Report {
+        let said = Heartbeat {
             tasks,
             token: self.tokens[n],
             ..report(n, self.reports[n])
@@ -115,7 +122,7 @@
             attempt: self.state as u32 + 1,
         };
         let view = self.tell(
-            vec![Want {
+            vec![DesiredAttempt {
                 id: id.clone(),
                 ..want(0, n)
             }],
@@ -127,7 +134,7 @@
             .iter()
             .any(|a| a.id == id && !a.standing.ended());
         if took {
-            let seen = |phase, cause: Option<&str>| TaskReport {
+            let seen = |phase, cause: Option<&str>| TaskStatus {
                 piece: id.piece(),
                 attempt: id.attempt,
                 phase,
@@ -182,7 +189,7 @@
     };
     let view = part.tell(
         (3..6)
-            .map(|n| Want {
+            .map(|n| DesiredAttempt {
                 id: id(n),
                 ..want(0, 0)
             })
@@ -206,7 +213,7 @@
 fn overdue_machines_are_replaced_within_bounds_and_used_when_they_come() {
     let mut part = Part::new(8);
     let late: Vec<usize> = (100..124).collect();
-    let rented = |n: &usize| Rented {
+    let rented = |n: &usize| ProvisionedInstance {
         machine: machine(*n),
         kind: "box".into(),
         zone: "north".into(),
@@ -256,7 +263,7 @@
     part.report(1, Vec::new());
     part.report(1, Vec::new());
     assert!(part.open(1) && part.run(1, 1, "done"));
-    let told = Rented {
+    let told = ProvisionedInstance {
         machine: machine(1),
         kind: "box".into(),
         zone: "north".into(),
@@ -301,8 +308,8 @@
         withdrawn,
         awaited: 0,
     };
-    let part = PartRecord { host: "h0".into() };
-    let job_entry = Entry {
+    let part = ShardRecord { host: "h0".into() };
+    let job_entry = KeyValue {
         key: job_key(&job),
         value: to_value(&record),
         version: 41,
@@ -310,7 +317,7 @@
     core.mirror.replace(
         &[
             job_entry,
-            Entry {
+            KeyValue {
                 key: part_key(0),
                 value: to_value(&part),
                 version: TOKEN,
@@ -320,7 +327,7 @@
     );
     core.refreshed(1_000, true);
     core.adopt(
-        lemonweir_coordination::Lot {
+        lemonweir_coordination::ShardLease {
             part: 0,
             token: TOKEN,
         },
@@ -331,8 +338,8 @@
     (core, job)
 }
 
-fn left(job: &JobId) -> Change {
-    Change {
+fn left(job: &JobId) -> WatchEvent {
+    WatchEvent {
         set: None,
         drop: Some(job_key(job)),
         value: None,
@@ -347,7 +354,7 @@
     let (mut core, job) = core(false);
     assert!(matches!(
         core.answer(&job, 1_000 + MEMORY_MS),
-        Answer::Unfinished(Phase::Queued, 0, 0, _)
+        Answer::Unfinished(JobPhase::Queued, 0, 0, _)
     ));
     assert_eq!(core.answer(&job, 1_001 + MEMORY_MS), Answer::Reading);
     assert_eq!(
@@ -361,11 +368,11 @@
     assert_eq!(core.answer(&job, 1_999 + TOLD_AFTER_MS), Answer::OverIn(1));
     assert_eq!(
         core.answer(&job, 2_000 + TOLD_AFTER_MS),
-        Answer::Over(Phase::Done)
+        Answer::Over(JobPhase::Done)
     );
     // Learned again later, it is told as before.
-    core.mirror.settle(&job, Phase::Done, 1, 9_000);
-    assert_eq!(core.answer(&job, 9_001), Answer::Over(Phase::Done));
+    core.mirror.settle(&job, JobPhase::Done, 1, 9_000);
+    assert_eq!(core.answer(&job, 9_001), Answer::Over(JobPhase::Done));
 }
 
 /// A job whose withdrawal was asked for may be done or withdrawn: only the store
@@ -393,7 +400,7 @@
         core.refreshed(now, false);
         assert!(matches!(
             core.report(&report(0, 1), now),
-            ReportAnswer::Orders(_)
+            HeartbeatAnswer::Orders(_)
         ));
         let pause = HOLD_TTL_MS + 5_000;
         if stood {
@@ -403,7 +410,7 @@
             now += pause;
         }
         assert!(
-            matches!(core.report(&report(0, 2), now), ReportAnswer::Unable),
+            matches!(core.report(&report(0, 2), now), HeartbeatAnswer::Unable),
             "stood: {stood}"
         );
         assert!(core.unproven());
@@ -420,19 +427,19 @@
         );
         core.refreshed(now - 1, false);
         assert!(
-            matches!(core.report(&report(0, 3), now), ReportAnswer::Unable),
+            matches!(core.report(&report(0, 3), now), HeartbeatAnswer::Unable),
             "that reading began before"
         );
         core.refreshed(now + 1, false);
         assert!(matches!(
             core.report(&report(0, 4), now + 5),
-            ReportAnswer::Orders(_)
+            HeartbeatAnswer::Orders(_)
         ));
         // A short one needs no proof: no hold ends in it.
         now += 4_000;
         assert!(matches!(
             core.report(&report(0, 5), now),
-            ReportAnswer::Orders(_)
+            HeartbeatAnswer::Orders(_)
         ));
     }
 }
--- a/crates/coordination/tests/placement.rs
+++ b/crates/coordination/tests/placement.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeSet;
 
-use lemonweir_coordination::placement::{Ask, Field};
-use lemonweir_model::{MachineId, Rank, Room};
+use lemonweir_coordination::placement::{PlacementIndex, PlacementRequest};
+use lemonweir_model::{MachineId, Priority, Resources};
 use lemonweir_protocol::peer::MachineView;
 use proptest::prelude::*;
 
@@ -11,8 +11,8 @@
 const KINDS: [&str; 2] = ["small", "large"];
 const IMAGES: [&str; 3] = ["x", "y", "z"];
 
-fn room() -> impl Strategy<Value = Room> {
-    (0..9u64, 0..3u64, 0..5u64).prop_map(|(c, g, m)| Room {
+fn room() -> impl Strategy<Value = Resources> {
+    (0..9u64, 0..3u64, 0..5u64).prop_map(|(c, g, m)| Resources {
         cpus: c * 500,
         gpus: g * 1000,
         memory: m * 4000,
@@ -40,7 +40,7 @@
                 open,
                 leaving: false,
                 free,
-                soft: [soft, soft, Room::default()],
+                soft: [soft, soft, Resources::default()],
                 soft_over: [soft; 3],
                 busy,
                 lasting,
@@ -66,7 +66,7 @@
 
 #[derive(Clone, Debug)]
 struct Wish {
-    need: Room,
+    need: Resources,
     types: Option<Vec<String>>,
     zones: Option<Vec<&'static str>>,
     spot: bool,
@@ -103,8 +103,8 @@
 }
 
 impl Wish {
-    fn ask(&self) -> Ask<'_> {
-        Ask {
+    fn ask(&self) -> PlacementRequest<'_> {
+        PlacementRequest {
             need: self.need,
             types: self.types.as_deref(),
             zones: self.zones.clone(),
@@ -139,9 +139,9 @@
     fn evict_fit_suffices(machines in machines(), wish in wish(), over in any::<bool>(), with_image in any::<bool>()) {
         let suffices = |m: &MachineView| {
             let soft = if over { m.soft_over } else { m.soft };
-            wish.allows(m) && (!with_image || m.images.iter().any(|i| i == wish.image)) && m.free.plus(&soft[Rank::High.index()]).covers(&wish.need)
+            wish.allows(m) && (!with_image || m.images.iter().any(|i| i == wish.image)) && m.free.plus(&soft[Priority::High.index()]).covers(&wish.need)
         };
-        match Field::new(&machines).evict_fit(&wish.ask(), Rank::High, over, with_image, None) {
+        match PlacementIndex::new(&machines).evict_fit(&wish.ask(), Priority::High, over, with_image, None) {
             Some(i) => prop_assert!(suffices(&machines[i])),
             None => prop_assert!(!machines.iter().any(suffices)),
         }
@@ -150,7 +150,7 @@
     /// Taking room never makes more of it.
     #[test]
     fn taking_room_takes_it(machines in machines(), wish in wish()) {
-        let mut field = Field::new(&machines);
+        let mut field = PlacementIndex::new(&machines);
         if let Some(i) = field.first_fit(&wish.ask()) {
             let before = field.slots[i].free;
             field.take(i, &wish.need, wish.image);
--- a/crates/coordination/tests/recovery.rs
+++ b/crates/coordination/tests/recovery.rs
@@ -5,9 +5,11 @@
 
 use std::collections::BTreeMap;
 
-use lemonweir_coordination::placer::{Placer, TxnOutcome};
-use lemonweir_model::{JobId, JobSpec, MachineId, Rank, Room, Shape};
-use lemonweir_protocol::peer::{AttemptView, Hidden, MachineView, Span, Standing, View};
+use lemonweir_coordination::placer::{CompareAndSwapOutcome, Placer};
+use lemonweir_model::{JobId, JobKind, JobSpec, MachineId, Priority, Resources};
+use lemonweir_protocol::peer::{
+    AttemptState, AttemptStatus, ChangeRange, MachineView, PartitionedZone, ShardView,
+};
 use support::*;
 
 struct Site {
@@ -32,8 +34,8 @@
                 &mut placer,
                 JobSpec {
                     id,
-                    shape: Shape::Service,
-                    rank: Rank::Production,
+                    shape: JobKind::Service,
+                    rank: Priority::Production,
                     ..array(4)
                 },
                 10 + n as u64,
@@ -53,22 +55,22 @@
     /// All that runs is lost, with its machines.
     fn lose_all(&mut self) {
         let all = self.placer.sync_for(0, TOKEN, ROOM, false, 0).wants;
-        for standing in [Standing::Running, Standing::Gone] {
+        for standing in [AttemptState::Running, AttemptState::Gone] {
             let attempts = all
                 .iter()
-                .map(|w| AttemptView {
+                .map(|w| AttemptStatus {
                     id: w.id.clone(),
                     standing,
                 })
                 .collect();
-            let gone = if standing == Standing::Gone {
+            let gone = if standing == AttemptState::Gone {
                 std::mem::take(&mut self.machines)
             } else {
                 Vec::new()
             };
             self.told += all.len() as u64;
             let full = |m: &MachineView| MachineView {
-                free: Room::default(),
+                free: Resources::default(),
                 busy: 4,
                 ..m.clone()
             };
@@ -83,7 +85,7 @@
     }
 
     /// Tells that another machine for four tasks is up; what was placed then.
-    fn one_more(&mut self, hidden: Vec<Hidden>) -> Vec<(JobId, u32)> {
+    fn one_more(&mut self, hidden: Vec<PartitionedZone>) -> Vec<(JobId, u32)> {
         self.number += 1;
         let view = shown(self.number, 4);
         self.machines.push(view.clone());
@@ -101,13 +103,13 @@
         &mut self,
         machines: Vec<MachineView>,
         gone: Vec<MachineId>,
-        attempts: Vec<AttemptView>,
-        hidden: Vec<Hidden>,
+        attempts: Vec<AttemptStatus>,
+        hidden: Vec<PartitionedZone>,
     ) {
         let seq = self.placer.sync_for(0, TOKEN, ROOM, false, 0).seq;
         let since = self.state;
         self.state += 1;
-        let view = View {
+        let view = ShardView {
             version: lemonweir_model::constants::PEER_VERSION,
             part: 0,
             token: TOKEN,
@@ -115,14 +117,14 @@
             store_age_ms: 0,
             wants_at: 0,
             hidden,
-            machines_span: Span {
+            machines_span: ChangeRange {
                 since,
                 upto: self.state,
                 last: true,
             },
             machines,
             gone,
-            attempts_span: Span {
+            attempts_span: ChangeRange {
                 since: 0,
                 upto: self.told,
                 last: true,
@@ -133,7 +135,8 @@
         self.placer.place(0);
         while self.placer.next_txn(0).is_some() {
             self.revision += 1;
-            self.placer.txn_done(TxnOutcome::Done(self.revision), 0);
+            self.placer
+                .txn_done(CompareAndSwapOutcome::Done(self.revision), 0);
         }
     }
 }
@@ -190,7 +193,7 @@
     assert_eq!(site.one_more(Vec::new()).len(), 4);
     let id = JobId::from("req-000100");
     assert_eq!(site.placer.job_note(&id, 0), Some((0, 0, String::new())));
-    site.one_more(vec![Hidden {
+    site.one_more(vec![PartitionedZone {
         zone: "north".into(),
         for_ms: 12_400,
         over_in_ms: 30_100,
--- a/crates/coordination/tests/sessions.rs
+++ b/crates/coordination/tests/sessions.rs
@@ -4,8 +4,8 @@
 
 use lemonweir_coordination::owner::CommandResult;
 use lemonweir_model::constants::FENCE_BITS;
-use lemonweir_protocol::peer::{Have, Span};
-use lemonweir_protocol::worker::Report;
+use lemonweir_protocol::peer::{ChangeRange, ObservedState};
+use lemonweir_protocol::worker::Heartbeat;
 use support::*;
 
 /// Seed 47 of the laboratory's hunt: answers don't reach a machine, so it goes on to
@@ -20,13 +20,13 @@
             .sync(
                 &sync(
                     seq,
-                    Span {
+                    ChangeRange {
                         since,
                         upto,
                         last: true,
                     },
                     wants,
-                    Have::default(),
+                    ObservedState::default(),
                 ),
                 ROOM,
                 now,
@@ -39,7 +39,7 @@
     tell(&mut owner, 1, 0, 1, vec![want(0, 0)], 14_500);
     let call = owner.calls(14_500, 1).pop().expect("a call");
     let base = TOKEN << FENCE_BITS;
-    let second = |seq, tasks| Report {
+    let second = |seq, tasks| Heartbeat {
         session: 2,
         token: base,
         tasks,
--- a/crates/coordination/tests/starts.rs
+++ b/crates/coordination/tests/starts.rs
@@ -6,24 +6,24 @@
 mod support;
 
 use controllers::settings;
-use lemonweir_coordination::placer::TxnOutcome;
-use lemonweir_coordination::{Config, Core, Effect, Lot, ReportAnswer, keys_to_reread};
+use lemonweir_coordination::placer::CompareAndSwapOutcome;
+use lemonweir_coordination::{Config, Core, Effect, HeartbeatAnswer, ShardLease, keys_to_reread};
 use lemonweir_model::JobSpec;
 use lemonweir_model::constants::*;
-use lemonweir_protocol::kv_store::{Entry, to_value};
-use lemonweir_protocol::worker::{Order, Report, ReportReply, Verb};
+use lemonweir_protocol::kv_store::{KeyValue, to_value};
+use lemonweir_protocol::worker::{Command, CommandKind, Heartbeat, HeartbeatResponse};
 use lemonweir_storage::records::*;
 use support::*;
 
-const LOT: Lot = Lot {
+const LOT: ShardLease = ShardLease {
     part: 0,
     token: TOKEN,
 };
 
-fn launches(orders: &[Order]) -> usize {
+fn launches(orders: &[Command]) -> usize {
     orders
         .iter()
-        .filter(|order| order.verb == Verb::Launch)
+        .filter(|order| order.verb == CommandKind::Launch)
         .count()
 }
 
@@ -61,12 +61,12 @@
         withdrawn: false,
         awaited: 0,
     };
-    let holder = Entry {
+    let holder = KeyValue {
         key: part_key(0),
-        value: to_value(&PartRecord { host: "h0".into() }),
+        value: to_value(&ShardRecord { host: "h0".into() }),
         version: TOKEN,
     };
-    let job = Entry {
+    let job = KeyValue {
         key: job_key(&spec.id),
         value: to_value(&record),
         version: 46,
@@ -80,8 +80,8 @@
     (core, token)
 }
 
-fn reported(core: &mut Core, report: &Report, now: u64) -> ReportReply {
-    let ReportAnswer::Orders(reply) = core.report(report, now) else {
+fn reported(core: &mut Core, report: &Heartbeat, now: u64) -> HeartbeatResponse {
+    let HeartbeatAnswer::Orders(reply) = core.report(report, now) else {
         panic!("not answered at {now}")
     };
     reply
@@ -102,12 +102,12 @@
         written |= (now - 1_000..now).step_by(50).any(|now| {
             core.pump(now)
                 .iter()
-                .any(|effect| matches!(effect, Effect::Txn(..)))
+                .any(|effect| matches!(effect, Effect::CompareAndSwap(..)))
         });
         if now == at {
-            core.txn_done(LOT, TxnOutcome::Done(200), at);
+            core.txn_done(LOT, CompareAndSwapOutcome::Done(200), at);
         }
-        let next = Report {
+        let next = Heartbeat {
             token,
             ..report(own_machine(core), seq)
         };
--- a/crates/coordination/tests/stops.rs
+++ b/crates/coordination/tests/stops.rs
@@ -4,22 +4,22 @@
 
 use lemonweir_coordination::owner::{CommandResult, Owner};
 use lemonweir_model::constants::FENCE_BITS;
-use lemonweir_protocol::peer::{Have, Span, Want};
-use lemonweir_protocol::worker::{Report, ReportReply, Verb};
+use lemonweir_protocol::peer::{ChangeRange, DesiredAttempt, ObservedState};
+use lemonweir_protocol::worker::{CommandKind, Heartbeat, HeartbeatResponse};
 use proptest::prelude::*;
 use support::*;
 
 /// An owner with one task on its machine 0 that shall end.
 fn stopping(now: u64) -> Owner {
     let mut owner = fleet(1);
-    let on = |since, upto| Span {
+    let on = |since, upto| ChangeRange {
         since,
         upto,
         last: true,
     };
     owner
         .sync(
-            &sync(1, on(0, 1), vec![want(0, 0)], Have::default()),
+            &sync(1, on(0, 1), vec![want(0, 0)], ObservedState::default()),
             ROOM,
             now,
         )
@@ -27,24 +27,28 @@
     let start = owner.calls(now, ROOM).pop().expect("started");
     owner.call_done(
         &start,
-        CommandResult::Executed(Report {
+        CommandResult::Executed(Heartbeat {
             tasks: vec![running_task(0)],
             ..report(0, 2)
         }),
         now,
     );
-    let stop = Want {
+    let stop = DesiredAttempt {
         kill: Some(0),
         ..want(0, 0)
     };
     owner
-        .sync(&sync(2, on(1, 2), vec![stop], Have::default()), ROOM, now)
+        .sync(
+            &sync(2, on(1, 2), vec![stop], ObservedState::default()),
+            ROOM,
+            now,
+        )
         .expect("taken");
     owner
 }
 
-fn stops(reply: &ReportReply) -> bool {
-    reply.orders.iter().any(|o| o.verb == Verb::Kill)
+fn stops(reply: &HeartbeatResponse) -> bool {
+    reply.orders.iter().any(|o| o.verb == CommandKind::Kill)
 }
 
 /// Found on zone of zeltplatz-rechen-fleet with twice the machines: a process
@@ -63,7 +67,7 @@
             seq += 1;
             let reply = owner
                 .report(
-                    &Report {
+                    &Heartbeat {
                         tasks: vec![running_task(0)],
                         ..report(0, seq)
                     },
@@ -118,7 +122,7 @@
                         1 => CommandResult::Unknown,
                         _ => {
                             seq += 2;
-                            CommandResult::Refused(Report { tasks: vec![running_task(0)], ..report(0, seq) })
+                            CommandResult::Refused(Heartbeat { tasks: vec![running_task(0)], ..report(0, seq) })
                         }
                     };
                     owner.call_done(&call, result, now);
@@ -128,7 +132,7 @@
                         seq += 2;
                     }
                     let token = if shows_token { TOKEN << FENCE_BITS } else { 0 };
-                    let said = Report { tasks: vec![running_task(0)], token, ..report(0, if late { seq - 1 } else { seq }) };
+                    let said = Heartbeat { tasks: vec![running_task(0)], token, ..report(0, if late { seq - 1 } else { seq }) };
                     if let Some(reply) = owner.report(&said, None, now) {
                         answers += 1;
                         prop_assert!(stops(&reply), "{said:?}");
@@ -137,7 +141,7 @@
             }
         }
         seq += 2;
-        let reply = owner.report(&Report { tasks: vec![running_task(0)], ..report(0, seq) }, None, now);
+        let reply = owner.report(&Heartbeat { tasks: vec![running_task(0)], ..report(0, seq) }, None, now);
         prop_assert!(reply.is_some_and(|r| stops(&r)), "after {answers} answers");
     }
 }
@@ -151,13 +155,13 @@
         .sync(
             &sync(
                 1,
-                Span {
+                ChangeRange {
                     since: 0,
                     upto: 50,
                     last: true,
                 },
                 wants,
-                Have::default(),
+                ObservedState::default(),
             ),
             ROOM,
             20,
@@ -172,7 +176,7 @@
             let n: usize = call.machine.as_str()[2..].parse().expect("number");
             owner.call_done(
                 &call,
-                CommandResult::Executed(Report {
+                CommandResult::Executed(Heartbeat {
                     tasks: vec![running_task(n)],
                     ..report(n, 2)
                 }),
--- a/crates/coordination/tests/support/controllers.rs
+++ b/crates/coordination/tests/support/controllers.rs
@@ -5,20 +5,22 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lemonweir_coordination::election::{Claim, Membership};
+use lemonweir_coordination::election::{ElectionAction, LeaderElection};
 use lemonweir_coordination::job_status::Answer;
-use lemonweir_coordination::owner::{CommandCall, CommandResult, SyncRefusal};
-use lemonweir_coordination::placer::TxnOutcome;
-use lemonweir_coordination::{Config, Core, Effect, Lot, RentResult, ReportAnswer, keys_to_reread};
+use lemonweir_coordination::owner::{CommandCall, CommandResult, SyncError};
+use lemonweir_coordination::placer::CompareAndSwapOutcome;
+use lemonweir_coordination::{
+    Config, Core, Effect, HeartbeatAnswer, ProvisioningResult, ShardLease, keys_to_reread,
+};
 use lemonweir_model::constants::*;
 use lemonweir_model::policy::Policy;
 use lemonweir_model::settings::Settings;
 use lemonweir_model::{AttemptId, JobId, JobSpec};
-use lemonweir_protocol::cloud::RentalEntry;
-use lemonweir_protocol::kv_store::{Change, Entry, Txn, Write, from_value};
-use lemonweir_protocol::peer::{self, Sync, View};
-use lemonweir_protocol::users::Phase;
-use lemonweir_protocol::worker::{Order, Report, TaskPhase, TaskReport, Verb};
+use lemonweir_protocol::cloud::InstanceEntry;
+use lemonweir_protocol::kv_store::{CompareAndSwap, KeyValue, WatchEvent, Write, from_value};
+use lemonweir_protocol::peer::{self, ShardView, SyncRequest};
+use lemonweir_protocol::users::JobPhase;
+use lemonweir_protocol::worker::{Command, CommandKind, Heartbeat, TaskPhase, TaskStatus};
 use lemonweir_storage::records::*;
 
 use crate::support::*;
@@ -72,17 +74,17 @@
 /// A controller with what its process keeps beside its decisions.
 pub struct Node {
     pub core: Core,
-    pub membership: Membership,
+    pub membership: LeaderElection,
     pub hold: Option<u64>,
     pub renewed: u64,
 }
 
 /// Something held back, and until when.
 pub enum Late {
-    Txn(Txn),
+    CompareAndSwap(CompareAndSwap),
     Call(CommandCall),
-    Sync(usize, Box<Sync>),
-    View(usize, Lot, Box<View>),
+    Sync(usize, Box<SyncRequest>),
+    View(usize, ShardLease, Box<ShardView>),
 }
 
 /// What is wrong from when to when, ms.
@@ -106,7 +108,7 @@
     pub next: u64,
     pub at: usize,
     /// When it was told, and when the last task was over.
-    pub told: Option<(u64, Phase)>,
+    pub told: Option<(u64, JobPhase)>,
     pub stopped: Option<u64>,
 }
 
@@ -115,8 +117,8 @@
     pub days: Days,
     pub draws: Draws,
     pub revision: u64,
-    pub store: BTreeMap<String, Entry>,
-    pub changes: Vec<Change>,
+    pub store: BTreeMap<String, KeyValue>,
+    pub changes: Vec<WatchEvent>,
     /// Holds with their end, and the keys that live with them.
     pub holds: BTreeMap<u64, u64>,
     pub tied: BTreeMap<String, u64>,
@@ -167,7 +169,7 @@
     core.set_clock(now, 1_000_000 + now);
     Node {
         core,
-        membership: Membership::new(CORES),
+        membership: LeaderElection::new(CORES),
         hold: None,
         renewed: 0,
     }
@@ -242,13 +244,13 @@
         let version = self.revision;
         self.store.insert(
             key.to_owned(),
-            Entry {
+            KeyValue {
                 key: key.to_owned(),
                 value: value.clone(),
                 version,
             },
         );
-        self.changes.push(Change {
+        self.changes.push(WatchEvent {
             set: Some(key.to_owned()),
             drop: None,
             value: Some(value),
@@ -258,7 +260,7 @@
 
     pub fn drop_key(&mut self, key: &str) {
         if self.store.remove(key).is_some() {
-            self.changes.push(Change {
+            self.changes.push(WatchEvent {
                 set: None,
                 drop: Some(key.to_owned()),
                 value: None,
@@ -267,10 +269,10 @@
         }
     }
 
-    pub fn apply(&mut self, txn: &Txn) -> TxnOutcome {
+    pub fn apply(&mut self, txn: &CompareAndSwap) -> CompareAndSwapOutcome {
         let lives = |w: &Write| !matches!(w, Write::Put { hold: Some(h), .. } if !self.holds.contains_key(h));
         if !txn.writes.iter().all(lives) {
-            return TxnOutcome::Again;
+            return CompareAndSwapOutcome::Again;
         }
         let failed: Vec<String> = txn
             .conditions
@@ -279,7 +281,7 @@
             .map(|c| c.key.clone())
             .collect();
         if !failed.is_empty() {
-            return TxnOutcome::Conflict(failed);
+            return CompareAndSwapOutcome::Conflict(failed);
         }
         self.revision += 1;
         for w in &txn.writes {
@@ -297,24 +299,24 @@
                 Write::Delete { key } => self.drop_key(key),
             }
         }
-        TxnOutcome::Done(self.revision)
+        CompareAndSwapOutcome::Done(self.revision)
     }
 
     /// What becomes of a transaction that a controller makes.
-    pub fn transact(&mut self, node: usize, txn: &Txn) -> TxnOutcome {
+    pub fn transact(&mut self, node: usize, txn: &CompareAndSwap) -> CompareAndSwapOutcome {
         if !self.has_store(node) {
-            return TxnOutcome::Again;
+            return CompareAndSwapOutcome::Again;
         }
         match (self.trouble(), self.draws.below(3)) {
             (false, _) => self.apply(txn),
-            (true, 0) => TxnOutcome::Again,
+            (true, 0) => CompareAndSwapOutcome::Again,
             (true, 1) => {
                 self.apply(txn);
-                TxnOutcome::Again
+                CompareAndSwapOutcome::Again
             }
             (true, _) => {
-                self.hold_back(Late::Txn(txn.clone()));
-                TxnOutcome::Again
+                self.hold_back(Late::CompareAndSwap(txn.clone()));
+                CompareAndSwapOutcome::Again
             }
         }
     }
@@ -348,15 +350,15 @@
         }
     }
 
-    pub fn end(&self, id: &JobId) -> Option<Phase> {
-        Some(from_value::<EndRecord>(&self.store.get(&end_key(id))?.value)?.phase)
+    pub fn end(&self, id: &JobId) -> Option<JobPhase> {
+        Some(from_value::<JobEndRecord>(&self.store.get(&end_key(id))?.value)?.phase)
     }
 
     /// Nothing of a job that is withdrawn is on a machine, and all of one that is done
     /// has been done.
     pub fn check_end(&self, id: &JobId) {
         match self.end(id) {
-            Some(Phase::Withdrawn) => {
+            Some(JobPhase::Withdrawn) => {
                 for (n, b) in self.boxes.iter().enumerate() {
                     assert!(
                         !b.runs(id),
@@ -366,7 +368,7 @@
                     );
                 }
             }
-            Some(Phase::Done) => {
+            Some(JobPhase::Done) => {
                 let done = self.done.iter().filter(|(job, _)| job == id).count();
                 assert_eq!(
                     done, TASKS as usize,
@@ -388,7 +390,7 @@
         let core = &mut self.nodes[node].core;
         let changed = match core.mirror.revision {
             None => {
-                let entries: Vec<Entry> = self
+                let entries: Vec<KeyValue> = self
                     .store
                     .range("w/".to_owned()..)
                     .take_while(|(k, _)| k.starts_with("w/"))
@@ -398,14 +400,14 @@
                 true
             }
             Some(after) => {
-                let of = |c: &&Change| {
+                let of = |c: &&WatchEvent| {
                     c.version > after
                         && c.set
                             .as_ref()
                             .or(c.drop.as_ref())
                             .is_some_and(|k| k.starts_with("w/"))
                 };
-                let changes: Vec<Change> = self.changes.iter().filter(of).cloned().collect();
+                let changes: Vec<WatchEvent> = self.changes.iter().filter(of).cloned().collect();
                 core.mirror.apply(&changes, revision, now);
                 !changes.is_empty()
             }
@@ -450,10 +452,13 @@
             let left = membership.left(core, now);
             let txn = core.claim_txn(&claim, hold, left, now);
             match (claim, self.apply(&txn)) {
-                (Claim::Take { part, .. }, TxnOutcome::Done(token)) => {
-                    self.acquire(node, Lot { part, token })
+                (ElectionAction::Take { part, .. }, CompareAndSwapOutcome::Done(token)) => {
+                    self.acquire(node, ShardLease { part, token })
                 }
-                (Claim::HandBack(lot) | Claim::Leave(lot), TxnOutcome::Done(_)) => {
+                (
+                    ElectionAction::HandBack(lot) | ElectionAction::Leave(lot),
+                    CompareAndSwapOutcome::Done(_),
+                ) => {
                     self.nodes[node].core.abandon(lot.part, now);
                     self.read(node);
                 }
@@ -469,9 +474,9 @@
         }
     }
 
-    pub fn acquire(&mut self, node: usize, lot: Lot) {
+    pub fn acquire(&mut self, node: usize, lot: ShardLease) {
         let prefix = run_prefix(lot.part);
-        let chunks: Vec<(JobId, u32, ChunkRecord, u64)> = self
+        let chunks: Vec<(JobId, u32, TaskChunkRecord, u64)> = self
             .store
             .range(prefix.clone()..)
             .take_while(|(k, _)| k.starts_with(&prefix))
@@ -508,9 +513,9 @@
     pub fn carry(&mut self, node: usize, effect: Effect) {
         let now = self.now;
         match effect {
-            Effect::Txn(lot, txn) => {
+            Effect::CompareAndSwap(lot, txn) => {
                 let outcome = self.transact(node, &txn);
-                if let TxnOutcome::Conflict(keys) = &outcome {
+                if let CompareAndSwapOutcome::Conflict(keys) = &outcome {
                     for key in keys_to_reread(lot, keys) {
                         let (version, (job, chunk)) =
                             (self.version(key), parse_run_key(key).expect("a key"));
@@ -539,16 +544,16 @@
             }
             Effect::Sync(lot, sync) => self.sync(node, lot, sync),
             Effect::MailSync(sync) => {
-                let line = MailLine {
-                    kind: MailKind::Sync,
+                let line = StoreMessageRoute {
+                    kind: StoreMessageKind::Sync,
                     from: sync.from,
                     to: sync.to,
                 };
                 self.mail(node, line, (sync.from_token, sync.seq), &peer::write(&sync));
             }
             Effect::MailView(to, view) => {
-                let line = MailLine {
-                    kind: MailKind::View,
+                let line = StoreMessageRoute {
+                    kind: StoreMessageKind::View,
                     from: view.part,
                     to,
                 };
@@ -569,7 +574,7 @@
             Effect::Rent(lot, rental) => {
                 self.nodes[node]
                     .core
-                    .rented(lot, &rental, RentResult::NoCapacity, now)
+                    .rented(lot, &rental, ProvisioningResult::NoCapacity, now)
             }
             Effect::Release(lot, machines) => {
                 for id in &machines {
@@ -592,7 +597,7 @@
         }
     }
 
-    pub fn mail(&mut self, node: usize, line: MailLine, id: (u64, u64), bytes: &[u8]) {
+    pub fn mail(&mut self, node: usize, line: StoreMessageRoute, id: (u64, u64), bytes: &[u8]) {
         let Some(hold) = self.nodes[node].hold else {
             return;
         };
@@ -600,7 +605,7 @@
         self.transact(node, &txn);
     }
 
-    pub fn sync(&mut self, node: usize, lot: Lot, sync: Sync) {
+    pub fn sync(&mut self, node: usize, lot: ShardLease, sync: SyncRequest) {
         let now = self.now;
         let to = self
             .holder(node, sync.to)
@@ -618,7 +623,7 @@
                     return;
                 }
                 Ok(view) => Some(view),
-                Err(SyncRefusal::Superseded(by)) => {
+                Err(SyncError::Superseded(by)) => {
                     self.nodes[node].core.superseded(by, now);
                     None
                 }
@@ -658,8 +663,10 @@
         for (_, late) in due {
             match late {
                 // An outage may hold it back for longer.
-                Late::Txn(txn) if self.down() => self.late.push((self.days.down.1, Late::Txn(txn))),
-                Late::Txn(txn) => drop(self.apply(&txn)),
+                Late::CompareAndSwap(txn) if self.down() => self
+                    .late
+                    .push((self.days.down.1, Late::CompareAndSwap(txn))),
+                Late::CompareAndSwap(txn) => drop(self.apply(&txn)),
                 Late::Call(call) => drop(self.execute_call(&call)),
                 Late::Sync(to, sync) => drop(self.nodes[to].core.sync_in(&sync, now)),
                 Late::View(node, lot, view) => {
@@ -672,10 +679,10 @@
 
     // ---- machines ----
 
-    pub fn report_of(&mut self, n: usize) -> Report {
+    pub fn report_of(&mut self, n: usize) -> Heartbeat {
         let b = &mut self.boxes[n];
         b.seq += 1;
-        let tasks = b.tasks.iter().map(|(id, (_, cause))| TaskReport {
+        let tasks = b.tasks.iter().map(|(id, (_, cause))| TaskStatus {
             piece: id.piece(),
             attempt: id.attempt,
             phase: if cause.is_some() {
@@ -686,7 +693,7 @@
             cause: cause.map(str::to_owned),
             saved: None,
         });
-        Report {
+        Heartbeat {
             session: b.session,
             token: b.token,
             tasks: tasks.collect(),
@@ -694,12 +701,12 @@
         }
     }
 
-    pub fn execute(&mut self, n: usize, orders: &[Order]) {
+    pub fn execute(&mut self, n: usize, orders: &[Command]) {
         for o in orders {
             let id = AttemptId::parse(&o.piece, o.attempt).expect("a task");
             match o.verb {
-                Verb::Launch if self.boxes[n].tasks.contains_key(&id) => {}
-                Verb::Launch => {
+                CommandKind::Launch if self.boxes[n].tasks.contains_key(&id) => {}
+                CommandKind::Launch => {
                     let same = |b: &Box_| {
                         b.tasks.iter().any(|(i, (_, c))| {
                             (&i.job, i.task) == (&id.job, id.task) && c.is_none()
@@ -714,13 +721,13 @@
                     self.boxes[n].tasks.insert(id.clone(), (self.now, None));
                     self.check_end(&id.job);
                 }
-                Verb::Kill => drop(
+                CommandKind::Kill => drop(
                     self.boxes[n]
                         .tasks
                         .get_mut(&id)
                         .map(|(_, c)| c.get_or_insert("stopped")),
                 ),
-                Verb::Forget => drop(self.boxes[n].tasks.remove(&id)),
+                CommandKind::Forget => drop(self.boxes[n].tasks.remove(&id)),
             }
         }
     }
@@ -746,7 +753,7 @@
         let (at, report) = (self.boxes[n].at, self.report_of(n));
         let lost = self.trouble();
         let answer = match self.nodes[at].core.report(&report, now) {
-            ReportAnswer::Carry(to) if !self.apart(at, usize::from(to)) => self.nodes
+            HeartbeatAnswer::Carry(to) if !self.apart(at, usize::from(to)) => self.nodes
                 [usize::from(to)]
             .core
             .carried_report(&report, at as u16, now),
@@ -754,14 +761,14 @@
         };
         let b = &mut self.boxes[n];
         match answer {
-            ReportAnswer::Orders(reply) if !lost => {
+            HeartbeatAnswer::Orders(reply) if !lost => {
                 b.next = now + 3_000;
                 if reply.token >= b.token {
                     (b.token, b.answered) = (reply.token, now);
                     self.execute(n, &reply.orders);
                 }
             }
-            ReportAnswer::Elsewhere(host) if !lost => {
+            HeartbeatAnswer::Elsewhere(host) if !lost => {
                 let to: usize = host[1..].parse().expect("a controller");
                 b.next = now + if to == at { 1_000 } else { 300 };
                 b.at = if to == at { (at + 1) % CORES } else { to };
@@ -889,7 +896,7 @@
         }
         self.machines_go_on();
         if now.is_multiple_of(4_000) {
-            let entry = |n| RentalEntry {
+            let entry = |n| InstanceEntry {
                 id: machine(n),
                 kind: "box".into(),
                 zone: "north".into(),
@@ -897,7 +904,7 @@
                 phase: "running".into(),
                 age_s: 500.0,
             };
-            let list: Vec<RentalEntry> = (0..BOXES)
+            let list: Vec<InstanceEntry> = (0..BOXES)
                 .filter(|n| !self.boxes[*n].gone)
                 .map(entry)
                 .collect();
--- a/crates/coordination/tests/support/mod.rs
+++ b/crates/coordination/tests/support/mod.rs
@@ -4,12 +4,17 @@
 use std::sync::Arc;
 
 use lemonweir_coordination::owner::{Owner, Timing};
-use lemonweir_coordination::placer::{Placer, Terms};
-use lemonweir_model::{AttemptId, JobId, JobSpec, MachineId, MachineType, Rank, Room, Shape};
-use lemonweir_protocol::peer::{AttemptView, Evict, Have, MachineView, Span, Sync, View, Want};
-use lemonweir_protocol::worker::{Report, TaskPhase, TaskReport};
+use lemonweir_coordination::placer::{Placer, PlacerConfig};
+use lemonweir_model::{
+    AttemptId, JobId, JobKind, JobSpec, MachineId, MachineType, Priority, Resources,
+};
+use lemonweir_protocol::peer::{
+    AttemptStatus, ChangeRange, DesiredAttempt, MachineView, ObservedState, PreemptionScope,
+    ShardView, SyncRequest,
+};
+use lemonweir_protocol::worker::{Heartbeat, TaskPhase, TaskStatus};
 use lemonweir_storage::records::JobRecord;
-use lemonweir_storage::state_cache::MirroredJob;
+use lemonweir_storage::state_cache::CachedJob;
 
 pub const TIMING: Timing = Timing {
     lease_ms: 14_000,
@@ -21,8 +26,8 @@
     MachineId::from(format!("n-{n:06}").as_str())
 }
 
-pub fn report(n: usize, seq: u64) -> Report {
-    Report {
+pub fn report(n: usize, seq: u64) -> Heartbeat {
+    Heartbeat {
         machine: machine(n),
         address: "10.1.0.1:9000".into(),
         kind: "box".into(),
@@ -40,7 +45,7 @@
 pub fn kind() -> MachineType {
     MachineType {
         name: "box".into(),
-        room: Room::offer(16.0, 4.0, 64.0),
+        room: Resources::offer(16.0, 4.0, 64.0),
         cache_gb: 100.0,
         fetch_gb_per_s: 1.0,
         price: 4.0,
@@ -68,30 +73,35 @@
     owner
 }
 
-pub fn want(n: u32, on: usize) -> Want {
-    Want {
+pub fn want(n: u32, on: usize) -> DesiredAttempt {
+    DesiredAttempt {
         id: AttemptId {
             job: JobId::from("req-000001"),
             task: n,
             attempt: 1,
         },
         machine: machine(on),
-        need: Room::offer(4.0, 1.0, 8.0),
+        need: Resources::offer(4.0, 1.0, 8.0),
         image: "img".into(),
         image_mb: 2_000,
         go: true,
         kill: None,
         team: "red".into(),
-        rank: Rank::Normal,
+        rank: Priority::Normal,
         over: true,
         grace: 0,
         lasting: false,
-        evict: Evict::Nobody,
+        evict: PreemptionScope::Nobody,
     }
 }
 
-pub fn sync(seq: u64, span: Span, wants: Vec<Want>, have: Have) -> Sync {
-    Sync {
+pub fn sync(
+    seq: u64,
+    span: ChangeRange,
+    wants: Vec<DesiredAttempt>,
+    have: ObservedState,
+) -> SyncRequest {
+    SyncRequest {
         version: lemonweir_model::constants::PEER_VERSION,
         from: 0,
         from_token: TOKEN,
@@ -111,8 +121,8 @@
     }
 }
 
-pub fn have(view: &View) -> Have {
-    Have {
+pub fn have(view: &ShardView) -> ObservedState {
+    ObservedState {
         machines: view.machines_span.upto,
         attempts: view.attempts_span.upto,
     }
@@ -120,8 +130,8 @@
 
 pub const ROOM: usize = 1 << 20;
 
-pub fn running_task(n: usize) -> TaskReport {
-    TaskReport {
+pub fn running_task(n: usize) -> TaskStatus {
+    TaskStatus {
         piece: format!("req-000001/{n}"),
         attempt: 1,
         phase: TaskPhase::Running,
@@ -141,7 +151,7 @@
         up: true,
         open: true,
         leaving: false,
-        free: Room::offer(gpus as f64 * 4.0, gpus as f64, gpus as f64 * 16.0),
+        free: Resources::offer(gpus as f64 * 4.0, gpus as f64, gpus as f64 * 16.0),
         soft: Default::default(),
         soft_over: Default::default(),
         busy: 4 - gpus as u16,
@@ -153,8 +163,8 @@
 }
 
 /// The terms of a placer without limits, whose gangs wait for 50 s.
-pub fn terms() -> Terms {
-    Terms {
+pub fn terms() -> PlacerConfig {
+    PlacerConfig {
         limits: Default::default(),
         guarantees: Default::default(),
         zones: vec!["north".into()],
@@ -169,7 +179,7 @@
 
 /// A placer hears of a job that was submitted at that time of day.
 pub fn submit(placer: &mut Placer, spec: JobSpec, at: u64, now: u64) {
-    let job = MirroredJob {
+    let job = CachedJob {
         record: Arc::new(JobRecord {
             spec: spec.clone(),
             at,
@@ -185,11 +195,11 @@
 /// of the asker's attempts.
 pub fn view(
     seq: u64,
-    machines_span: Span,
+    machines_span: ChangeRange,
     machines: Vec<MachineView>,
-    attempts: Vec<AttemptView>,
-) -> View {
-    View {
+    attempts: Vec<AttemptStatus>,
+) -> ShardView {
+    ShardView {
         version: lemonweir_model::constants::PEER_VERSION,
         part: 0,
         token: TOKEN,
@@ -200,7 +210,7 @@
         machines_span,
         machines,
         gone: Vec::new(),
-        attempts_span: Span {
+        attempts_span: ChangeRange {
             since: 0,
             upto: attempts.len() as u64,
             last: true,
@@ -215,8 +225,8 @@
         id: JobId::from("req-000001"),
         class: "work".into(),
         team: "red".into(),
-        shape: Shape::Array,
-        rank: Rank::Normal,
+        shape: JobKind::Array,
+        rank: Priority::Normal,
         tasks,
         cores: 4.0,
         gpus: 1.0,
--- a/crates/coordination/tests/turns.rs
+++ b/crates/coordination/tests/turns.rs
@@ -4,12 +4,12 @@
 
 use std::sync::Arc;
 
-use lemonweir_coordination::placer::{Placer, Promise, TxnOutcome};
-use lemonweir_model::{JobId, JobSpec, Rank};
+use lemonweir_coordination::placer::{CompareAndSwapOutcome, PendingInstance, Placer};
+use lemonweir_model::{JobId, JobSpec, Priority};
 use lemonweir_protocol::kv_store::Write;
-use lemonweir_protocol::peer::{self, Rented, Span};
+use lemonweir_protocol::peer::{self, ChangeRange, ProvisionedInstance};
 use lemonweir_storage::records::JobRecord;
-use lemonweir_storage::state_cache::MirroredJob;
+use lemonweir_storage::state_cache::CachedJob;
 use support::*;
 
 fn id(n: u64) -> JobId {
@@ -35,7 +35,7 @@
     placer.take_view(
         view(
             seq,
-            Span {
+            ChangeRange {
                 since: 0,
                 upto: 200,
                 last: true,
@@ -50,7 +50,7 @@
             &mut placer,
             JobSpec {
                 id: id(n),
-                rank: Rank::Production,
+                rank: Priority::Production,
                 ..array(20)
             },
             0,
@@ -60,14 +60,19 @@
     placer.keep_ledger(3, 0);
     placer.place(3);
     // The higher the number the sooner it was withdrawn, of whatever priority.
-    let ranks = [Rank::Low, Rank::Normal, Rank::High, Rank::Production];
+    let ranks = [
+        Priority::Low,
+        Priority::Normal,
+        Priority::High,
+        Priority::Production,
+    ];
     for (n, at) in (0..20).rev().zip(10..) {
         let spec = JobSpec {
             id: id(n),
             rank: ranks[n as usize % 4],
             ..array(2)
         };
-        let job = MirroredJob {
+        let job = CachedJob {
             record: Arc::new(JobRecord {
                 spec: spec.clone(),
                 at: 0,
@@ -92,7 +97,7 @@
                 None => starts += usize::from(key.starts_with("run/")),
             }
         }
-        placer.txn_done(TxnOutcome::Done(revision), 100);
+        placer.txn_done(CompareAndSwapOutcome::Done(revision), 100);
     }
     let oldest_first: Vec<String> = (0..20).rev().map(|n| id(n).to_string()).collect();
     assert_eq!(written, oldest_first);
@@ -106,14 +111,14 @@
 fn a_message_stays_below_twice_its_room() {
     let mut placer = Placer::new(0, TOKEN, 2, terms(), 0);
     for n in 0..500 {
-        let rented = Rented {
+        let rented = ProvisionedInstance {
             machine: machine(n),
             kind: "box".into(),
             zone: "north".into(),
             spot: false,
             age_ms: 0,
         };
-        placer.promises.push(Promise {
+        placer.promises.push(PendingInstance {
             rented,
             part: 1,
             at: 1,
--- a/crates/coordination/tests/watch.rs
+++ b/crates/coordination/tests/watch.rs
@@ -4,19 +4,23 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::LazyLock;
 
-use lemonweir_coordination::election::{Claim, Membership};
-use lemonweir_coordination::supervision::services::{Doing, PreemptionStep, Seen, Services, Try};
-use lemonweir_coordination::{Config, Core, Effect, Lot};
+use lemonweir_coordination::election::{ElectionAction, LeaderElection};
+use lemonweir_coordination::supervision::services::{
+    PreemptionStep, RecoveryActivity, RecoveryAttempt, ServiceObservation, SupervisedServices,
+};
+use lemonweir_coordination::{Config, Core, Effect, ShardLease};
 use lemonweir_model::JobId;
 use lemonweir_model::constants::*;
 use lemonweir_model::policy::Policy;
 use lemonweir_model::settings::Settings;
-use lemonweir_protocol::kv_store::{Change as Changed, Entry, Txn, Write, from_value, to_value};
-use lemonweir_storage::Mirror;
+use lemonweir_protocol::kv_store::{
+    CompareAndSwap, KeyValue, WatchEvent as Changed, Write, from_value, to_value,
+};
+use lemonweir_storage::StateCache;
 use lemonweir_storage::failovers::{
-    Change, Closing, HandoverRecord, handover_key, parse_handover_key,
+    FailoverCompletion, FailoverRecord, LeadershipChange, handover_key, parse_handover_key,
 };
-use lemonweir_storage::records::{PartRecord, part_key, show_node};
+use lemonweir_storage::records::{ShardRecord, part_key, show_node};
 use rmpv::Value;
 
 const HOSTS: u16 = 3;
@@ -63,7 +67,7 @@
     /// Part and revision of each change of a part's key by a transaction.
     changes: Vec<(u16, u64)>,
     /// Part, revision and record of each entry that was opened.
-    opened: Vec<(u16, u64, HandoverRecord)>,
+    opened: Vec<(u16, u64, FailoverRecord)>,
     closings: usize,
 }
 
@@ -73,7 +77,7 @@
     }
 
     /// The revision at which it was made.
-    fn txn(&mut self, txn: &Txn) -> Option<u64> {
+    fn txn(&mut self, txn: &CompareAndSwap) -> Option<u64> {
         assert!(txn.writes.len() <= 4, "more than a transaction may hold");
         let hold = |w: &Write| {
             if let Write::Put { hold, .. } = w {
@@ -125,12 +129,12 @@
             return;
         };
         let (part, slot) = parse_handover_key(rest).expect("a slot");
-        let record: HandoverRecord = from_value(value).expect("an entry");
+        let record: FailoverRecord = from_value(value).expect("an entry");
         assert_eq!(record.n % HANDOVERS_KEPT, slot);
         let before = self
             .keys
             .get(key)
-            .and_then(|(v, _, _)| from_value::<HandoverRecord>(v));
+            .and_then(|(v, _, _)| from_value::<FailoverRecord>(v));
         let Some(closed) = &record.closed else {
             self.opened.push((part, self.revision, record));
             return;
@@ -138,7 +142,7 @@
         let before = before.expect("what is closed was open");
         assert!(before.open(), "closed once: {before:?}");
         assert_eq!(
-            HandoverRecord {
+            FailoverRecord {
                 closed: None,
                 ..record.clone()
             },
@@ -180,7 +184,7 @@
 
 struct Process {
     core: Core,
-    membership: Membership,
+    membership: LeaderElection,
     hold: u64,
 }
 
@@ -209,7 +213,7 @@
 struct Night {
     store: Store,
     processes: Vec<Option<Process>>,
-    late: Vec<Txn>,
+    late: Vec<CompareAndSwap>,
     holds: u64,
     now: u64,
 }
@@ -237,7 +241,7 @@
         ));
         let process = Process {
             core: core(h as u16),
-            membership: Membership::new(usize::from(HOSTS)),
+            membership: LeaderElection::new(usize::from(HOSTS)),
             hold: self.holds,
         };
         self.processes[h] = Some(process);
@@ -257,7 +261,7 @@
     }
 
     /// Sends a transaction; its revision if it was made and the answer came.
-    fn send(&mut self, txn: Txn, fate: Fate) -> Option<u64> {
+    fn send(&mut self, txn: CompareAndSwap, fate: Fate) -> Option<u64> {
         match fate {
             Fate::Answered => self.store.txn(&txn),
             Fate::AnswerLost => self.store.txn(&txn).and(None),
@@ -277,7 +281,7 @@
         };
         let lot = p.core.held().into_iter().find(|l| l.part == part);
         let claim = match lot.filter(|_| leave) {
-            Some(lot) => Some(Claim::Leave(lot)),
+            Some(lot) => Some(ElectionAction::Leave(lot)),
             None => p.membership.claim(&p.core, part, now),
         };
         let Some(claim) = claim else { return };
@@ -287,7 +291,7 @@
         };
         let p = self.processes[h].as_mut().expect("it acts");
         match claim {
-            Claim::Take { part, .. } => {
+            ElectionAction::Take { part, .. } => {
                 self.read(h);
                 let p = self.processes[h].as_mut().expect("it acts");
                 if p.core
@@ -297,7 +301,7 @@
                     .is_some_and(|holder| holder.token == revision)
                 {
                     p.core.adopt(
-                        Lot {
+                        ShardLease {
                             part,
                             token: revision,
                         },
@@ -307,7 +311,9 @@
                     );
                 }
             }
-            Claim::HandBack(lot) | Claim::Leave(lot) => p.core.abandon(lot.part, now),
+            ElectionAction::HandBack(lot) | ElectionAction::Leave(lot) => {
+                p.core.abandon(lot.part, now)
+            }
         }
     }
 
@@ -428,12 +434,12 @@
 
 // ---- the ring ----------------------------------------------------------------------
 
-fn record(n: u64, to: Option<&str>, closed: Option<Closing>) -> HandoverRecord {
-    HandoverRecord {
+fn record(n: u64, to: Option<&str>, closed: Option<FailoverCompletion>) -> FailoverRecord {
+    FailoverRecord {
         n,
         from: None,
         to: to.map(str::to_owned),
-        how: Change::Vacant,
+        how: LeadershipChange::Vacant,
         at: n * 1_000,
         up: None,
         closed,
@@ -453,7 +459,7 @@
 /// open or not.
 #[test]
 fn a_full_ring_gives_its_oldest_slot() {
-    let mut mirror = Mirror::default();
+    let mut mirror = StateCache::default();
     assert_eq!(mirror.handovers.next(4), (1, 0));
     for n in 1..=HANDOVERS_KEPT {
         mirror.apply(
@@ -490,7 +496,7 @@
 /// What can't be read is passed over, and what it says is not believed.
 #[test]
 fn entries_that_cant_be_read_are_skipped() {
-    let mut mirror = Mirror::default();
+    let mut mirror = StateCache::default();
     let good = |n| to_value(&record(n, Some("a"), None));
     mirror.apply(
         &[
@@ -531,7 +537,7 @@
         .1 = "by_vote".into();
     fields.push(("votes".into(), 3.into()));
     mirror.apply(&[set(handover_key(1, 6), Value::Map(fields), 80)], 80, 0);
-    assert_eq!(mirror.handovers.of(1)[0].0.how, Change::Other);
+    assert_eq!(mirror.handovers.of(1)[0].0.how, LeadershipChange::Other);
 }
 
 /// A process that takes a part closes what its predecessors left open, each with
@@ -539,8 +545,8 @@
 #[test]
 fn what_was_left_open_is_closed_with_what_can_be_known() {
     let mut core = core(0);
-    let own = PartRecord { host: "h0".into() };
-    let entry = |key: String, value: Value, version| Entry {
+    let own = ShardRecord { host: "h0".into() };
+    let entry = |key: String, value: Value, version| KeyValue {
         key,
         value,
         version,
@@ -555,7 +561,7 @@
     }
     core.mirror.replace(&entries, 20);
     core.refreshed(5_000, true);
-    core.adopt(Lot { part: 0, token: 14 }, &[], Vec::new(), 5_000);
+    core.adopt(ShardLease { part: 0, token: 14 }, &[], Vec::new(), 5_000);
     let notes = |core: &mut Core, now| {
         let notes = core.pump(now).into_iter().filter_map(|e| {
             if let Effect::Note(txn) = e {
@@ -579,7 +585,7 @@
     let due = 4_000 + CLOSE_MOST_MS;
     let txn = notes(&mut core, due).remove(0);
     assert_eq!(txn.writes.len(), 4, "its own and three others");
-    let told: Vec<HandoverRecord> = txn
+    let told: Vec<FailoverRecord> = txn
         .writes
         .iter()
         .map(|w| {
@@ -620,10 +626,10 @@
 // ---- services -------------------------------------------------------------------
 
 /// All that was ever seen of a service, from which everything is reckoned anew.
-type Story = Vec<(u64, Seen)>;
+type Story = Vec<(u64, ServiceObservation)>;
 
 /// Since when something has been so without a break, as its story tells.
-fn since(story: &Story, is: impl Fn(&Seen) -> bool) -> Option<u64> {
+fn since(story: &Story, is: impl Fn(&ServiceObservation) -> bool) -> Option<u64> {
     story
         .iter()
         .rev()
@@ -652,11 +658,11 @@
 /// The services under watch, kept up by changes, against their whole stories.
 #[test]
 fn services_under_watch_are_what_their_stories_say() {
-    use Doing::*;
+    use RecoveryActivity::*;
     let (mut tried, mut late) = (0, 0);
     for seed in 1..=30 {
         let mut draw = Draw(seed * 0x5851_F42D_4C95);
-        let mut services = Services::default();
+        let mut services = SupervisedServices::default();
         let mut stories: BTreeMap<JobId, Story> = BTreeMap::new();
         let mut now = 0;
         for _ in 0..400 {
@@ -671,9 +677,9 @@
                 let doing = if up == promised {
                     Nothing
                 } else {
-                    [Room, Starting, Limit][draw.below(3) as usize]
+                    [Resources, Starting, Limit][draw.below(3) as usize]
                 };
-                let seen = Seen {
+                let seen = ServiceObservation {
                     promised,
                     up,
                     doing,
@@ -709,7 +715,7 @@
                 let what = format!("at {now}");
                 services.looked(
                     &id,
-                    vec![Try {
+                    vec![RecoveryAttempt {
                         rung: PreemptionStep::Elsewhere,
                         at: now,
                         what,
--- a/crates/coordination/tests/weights.rs
+++ b/crates/coordination/tests/weights.rs
@@ -4,15 +4,19 @@
 use std::cmp::Reverse;
 
 use lemonweir_coordination::image_locality::book::Book;
-use lemonweir_coordination::image_locality::trade::{Class, Hold, Kin, Near, Stakes, classes};
-use lemonweir_coordination::image_locality::walk::{Kindred, Walk};
+use lemonweir_coordination::image_locality::trade::{
+    ImageLocality, MachineUsage, PlacementClass, PlacementRisk, ReplicaSpread, classes,
+};
+use lemonweir_coordination::image_locality::walk::{PlacedReplicas, Walk};
 use lemonweir_coordination::owner::Owner;
-use lemonweir_coordination::placement::{Ask, Field};
+use lemonweir_coordination::placement::{PlacementIndex, PlacementRequest};
 use lemonweir_model::constants::*;
 use lemonweir_model::policy::Trade;
-use lemonweir_model::{AttemptId, JobId, JobSpec, MachineId, Room, Shape};
-use lemonweir_protocol::peer::{Have, MachineView, Span, Sync, Want};
-use lemonweir_protocol::worker::{Report, TaskPhase, TaskReport};
+use lemonweir_model::{AttemptId, JobId, JobKind, JobSpec, MachineId, Resources};
+use lemonweir_protocol::peer::{
+    ChangeRange, DesiredAttempt, MachineView, ObservedState, SyncRequest,
+};
+use lemonweir_protocol::worker::{Heartbeat, TaskPhase, TaskStatus};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -25,7 +29,7 @@
 struct Draw {
     parts: Vec<Vec<MachineView>>,
     order: Vec<(usize, bool)>,
-    need: Room,
+    need: Resources,
     image_mb: u64,
     spot: bool,
     /// Machines with replicas of its job, each once a replica.
@@ -107,7 +111,7 @@
     order.sort_by_key(|(_, mail)| *mail);
     Draw {
         order,
-        need: Room::offer(4.0, if rng.random::<f64>() < 0.2 { 0.0 } else { 1.0 }, 8.0),
+        need: Resources::offer(4.0, if rng.random::<f64>() < 0.2 { 0.0 } else { 1.0 }, 8.0),
         image_mb: 2_000,
         spot: spots && rng.random(),
         live,
@@ -120,8 +124,8 @@
 }
 
 impl Draw {
-    fn ask(&self) -> Ask<'_> {
-        Ask {
+    fn ask(&self) -> PlacementRequest<'_> {
+        PlacementRequest {
             need: self.need,
             types: None,
             zones: None,
@@ -135,7 +139,7 @@
         }
     }
 
-    fn stakes(&self) -> Stakes {
+    fn stakes(&self) -> PlacementRisk {
         let zones: std::collections::BTreeSet<&str> = self
             .parts
             .iter()
@@ -144,7 +148,7 @@
             .collect();
         let kin = !self.live.is_empty();
         let on_spot = |id: &MachineId| self.parts.iter().flatten().any(|m| m.id == *id && m.spot);
-        Stakes {
+        PlacementRisk {
             lasting: self.lasting,
             tasks: self.tasks,
             fetch_s: FETCH_S,
@@ -166,7 +170,7 @@
         }
     }
 
-    fn light(&self, stakes: &Stakes) -> Vec<&'static str> {
+    fn light(&self, stakes: &PlacementRisk) -> Vec<&'static str> {
         let fair = if stakes.one_zone {
             1
         } else {
@@ -180,20 +184,21 @@
 
     /// Where the classes lead: the walk, and the looks that it took.
     fn walk(&self) -> (Option<(usize, usize)>, u64) {
-        let fields: Vec<Field> = self.parts.iter().map(|p| Field::new(p)).collect();
+        let fields: Vec<PlacementIndex> =
+            self.parts.iter().map(|p| PlacementIndex::new(p)).collect();
         let stakes = self.stakes();
         let light = self.light(&stakes);
         let light = (stakes.zones > 1).then_some(light.as_slice());
-        let kindred: Vec<Kindred> = fields
+        let kindred: Vec<PlacedReplicas> = fields
             .iter()
-            .map(|f| Kindred::of(f, &stakes, self.live.iter().map(|(id, _)| id), light))
+            .map(|f| PlacedReplicas::of(f, &stakes, self.live.iter().map(|(id, _)| id), light))
             .collect();
         let ask = self.ask();
         let found =
             Walk::new(&fields, &self.order, &ask, &kindred).find(&classes(&self.trade, &stakes));
         (
             found.map(|(p, i, _)| (p, i)),
-            fields.iter().map(Field::looked).sum(),
+            fields.iter().map(PlacementIndex::looked).sum(),
         )
     }
 
@@ -366,14 +371,14 @@
 /// With weights that only know one side the order is that side's.
 #[test]
 fn each_weight_alone_decides_alone() {
-    let stakes = Stakes {
+    let stakes = PlacementRisk {
         lasting: true,
         tasks: 4,
         fetch_s: 5.0,
         coming_s: 2.5,
         kin: true,
         zones: 2,
-        ..Stakes::default()
+        ..PlacementRisk::default()
     };
     let locality = classes(
         &Trade {
@@ -388,11 +393,11 @@
     assert_eq!(
         locality.iter().map(|c| c.near).collect::<Vec<_>>(),
         [
-            Near::Here,
-            Near::Coming,
-            Near::Away,
-            Near::Beside,
-            Near::Crowded
+            ImageLocality::Here,
+            ImageLocality::Coming,
+            ImageLocality::Away,
+            ImageLocality::Beside,
+            ImageLocality::Crowded
         ]
     );
     let spread = classes(
@@ -405,23 +410,33 @@
         },
         &stakes,
     );
-    let of = |c: &Class| (c.kin, c.light);
+    let of = |c: &PlacementClass| (c.kin, c.light);
     let firsts: Vec<_> = spread.iter().take(5).map(of).collect();
     assert_eq!(
         firsts,
-        [(Some(Kin::Nobody), Some(true)); 5],
+        [(Some(ReplicaSpread::Nobody), Some(true)); 5],
         "spread first, then near"
     );
     // By default: in use and warm, beside one of its own, before a machine that is pinned anew.
     let usual = classes(&Trade::default(), &stakes);
     let at = |kin, hold| {
         usual.iter().position(|c| {
-            (c.near, c.kin, c.light, c.hold) == (Near::Here, Some(kin), Some(true), Some(hold))
+            (c.near, c.kin, c.light, c.hold)
+                == (ImageLocality::Here, Some(kin), Some(true), Some(hold))
         })
     };
-    assert!(at(Kin::Nobody, Hold::Settled) < at(Kin::One, Hold::Settled));
-    assert!(at(Kin::One, Hold::Settled) < at(Kin::Nobody, Hold::Used));
-    assert!(at(Kin::Nobody, Hold::Used) < at(Kin::Nobody, Hold::Empty));
+    assert!(
+        at(ReplicaSpread::Nobody, MachineUsage::Settled)
+            < at(ReplicaSpread::One, MachineUsage::Settled)
+    );
+    assert!(
+        at(ReplicaSpread::One, MachineUsage::Settled)
+            < at(ReplicaSpread::Nobody, MachineUsage::Used)
+    );
+    assert!(
+        at(ReplicaSpread::Nobody, MachineUsage::Used)
+            < at(ReplicaSpread::Nobody, MachineUsage::Empty)
+    );
 }
 
 /// The embedded policy is what is used where none is given; a weight out of range or
@@ -461,7 +476,7 @@
     );
 }
 
-fn spec(n: usize, image: &str, gb: f64, shape: Shape) -> JobSpec {
+fn spec(n: usize, image: &str, gb: f64, shape: JobKind) -> JobSpec {
     JobSpec {
         id: JobId::from(format!("req-{n:06}").as_str()),
         image: image.into(),
@@ -477,9 +492,9 @@
 fn a_cache_that_holds_two_of_three_models() {
     let mut book = Book::default();
     let jobs = [
-        spec(1, "one", 40.0, Shape::Service),
-        spec(2, "two", 40.0, Shape::Service),
-        spec(3, "three", 20.0, Shape::Array),
+        spec(1, "one", 40.0, JobKind::Service),
+        spec(2, "two", 40.0, JobKind::Service),
+        spec(3, "three", 20.0, JobKind::Array),
     ];
     jobs.iter().for_each(|s| book.note(&s.id, Some(s)));
     let cached = |names: &[&str]| names.iter().map(|n| (*n).to_owned()).collect::<Vec<_>>();
@@ -496,14 +511,14 @@
     let mut machines = [support::shown(1, 2), support::shown(2, 2)];
     machines[0].images = cached(&["one", "two"]);
     machines[1].images = cached(&["one"]);
-    let mut field = Field::new(&machines);
+    let mut field = PlacementIndex::new(&machines);
     for m in &machines {
         field.set_spare(&m.id, book.spare_mb(&m.images, 100_000));
     }
     let mut d = draw(&mut ChaCha8Rng::seed_from_u64(1), 2);
-    (d.need, d.spot, d.lasting) = (Room::offer(4.0, 1.0, 8.0), false, false);
+    (d.need, d.spot, d.lasting) = (Resources::offer(4.0, 1.0, 8.0), false, false);
     let place = |mb| {
-        field.first_fit(&Ask {
+        field.first_fit(&PlacementRequest {
             image: "third",
             image_mb: mb,
             ..d.ask()
@@ -521,7 +536,7 @@
     assert_eq!(book.mb("two"), Some(40_000));
     assert_eq!(book.take_needed().map(|n| n.len()), Some(1));
     book.note(&jobs[1].id, None);
-    book.note(&jobs[0].id, Some(&spec(1, "other", 1.0, Shape::Service)));
+    book.note(&jobs[0].id, Some(&spec(1, "other", 1.0, JobKind::Service)));
     assert_eq!(book.spare_mb(&cached(&["one"]), 100_000), 100_000);
 }
 
@@ -532,21 +547,21 @@
         task: 0,
         attempt: 1,
     };
-    let wanted = Want {
+    let wanted = DesiredAttempt {
         id: id.clone(),
         image: image.into(),
         ..support::want(0, n)
     };
     let mut tell = |owner: &mut Owner, wants, dropped| {
         *state += 1;
-        let span = Span {
+        let span = ChangeRange {
             since: *state - 1,
             upto: *state,
             last: true,
         };
-        let message = Sync {
+        let message = SyncRequest {
             dropped,
-            ..support::sync(*state, span, wants, Have::default())
+            ..support::sync(*state, span, wants, ObservedState::default())
         };
         owner.sync(&message, support::ROOM, now).expect("taken");
     };
@@ -557,7 +572,7 @@
         .enumerate()
     {
         let cause = (phase == TaskPhase::Exited).then(|| "done".to_owned());
-        let task = TaskReport {
+        let task = TaskStatus {
             piece: id.piece(),
             attempt: 1,
             phase,
@@ -566,7 +581,7 @@
         };
         owner
             .report(
-                &Report {
+                &Heartbeat {
                     tasks: vec![task],
                     ..support::report(n, now + k as u64)
                 },
--- a/crates/coordination/tests/worker_sessions.rs
+++ b/crates/coordination/tests/worker_sessions.rs
@@ -5,8 +5,11 @@
 
 use lemonweir_coordination::owner::{CommandCall, CommandResult, Owner};
 use lemonweir_model::constants::*;
-use lemonweir_protocol::peer::{Cause, Have, MachineView, Span, Standing, Sync, View, Want};
-use lemonweir_protocol::worker::{Report, TaskPhase, TaskReport, Verb};
+use lemonweir_protocol::peer::{
+    AttemptState, ChangeRange, DesiredAttempt, ExitCause, MachineView, ObservedState, ShardView,
+    SyncRequest,
+};
+use lemonweir_protocol::worker::{CommandKind, Heartbeat, TaskPhase, TaskStatus};
 use support::*;
 
 const BASE: u64 = TOKEN << FENCE_BITS;
@@ -50,25 +53,25 @@
         self.owner.set_types([kind()].iter());
     }
 
-    fn tell(&mut self, wants: Vec<Want>) -> View {
+    fn tell(&mut self, wants: Vec<DesiredAttempt>) -> ShardView {
         self.state += 1;
-        let span = Span {
+        let span = ChangeRange {
             since: 0,
             upto: self.state,
             last: true,
         };
         // Nothing is given back for being empty.
         let keep = (0..self.seqs.len()).map(machine).collect();
-        let message = Sync {
+        let message = SyncRequest {
             keep,
             strays: self.strays,
             to_token: self.token,
-            ..sync(self.state, span, wants, Have::default())
+            ..sync(self.state, span, wants, ObservedState::default())
         };
         self.owner.sync(&message, ROOM, self.now).expect("taken")
     }
 
-    fn view(&mut self, n: usize, wants: Vec<Want>) -> Option<MachineView> {
+    fn view(&mut self, n: usize, wants: Vec<DesiredAttempt>) -> Option<MachineView> {
         self.tell(wants)
             .machines
             .into_iter()
@@ -85,9 +88,9 @@
     }
 
     /// A report of a machine; it takes the answer if that reaches it.
-    fn report(&mut self, n: usize, by: Option<u16>, reaches: bool, tasks: Vec<TaskReport>) {
+    fn report(&mut self, n: usize, by: Option<u16>, reaches: bool, tasks: Vec<TaskStatus>) {
         self.seqs[n] += 1;
-        let said = Report {
+        let said = Heartbeat {
             token: self.tokens[n],
             tasks,
             ..report(n, self.seqs[n])
@@ -106,7 +109,7 @@
     }
 }
 
-fn standing(view: &View, n: u32) -> Option<Standing> {
+fn standing(view: &ShardView, n: u32) -> Option<AttemptState> {
     view.attempts
         .iter()
         .find(|a| a.id == want(n, 0).id)
@@ -143,7 +146,7 @@
     part.report(0, None, false, Vec::new());
     part.pass(8_050);
     part.report(0, Some(1), false, vec![running_task(0)]);
-    let stopped = Want {
+    let stopped = DesiredAttempt {
         kill: Some(0),
         ..want(0, 0)
     };
@@ -151,12 +154,15 @@
     for _ in 0..3 {
         let Some(call) = part.call() else { break };
         assert!(
-            call.commands.orders.iter().all(|o| o.verb == Verb::Kill),
+            call.commands
+                .orders
+                .iter()
+                .all(|o| o.verb == CommandKind::Kill),
             "a withdrawal is told by call"
         );
         part.tokens[0] = part.tokens[0].max(call.commands.token);
         part.seqs[0] += 1;
-        let said = Report {
+        let said = Heartbeat {
             token: part.tokens[0],
             ..report(0, part.seqs[0])
         };
@@ -165,7 +171,10 @@
             .call_done(&call, CommandResult::Executed(said), part.now);
         assert!(!part.open(0));
     }
-    assert_eq!(standing(&part.tell(vec![stopped]), 0), Some(Standing::Gone));
+    assert_eq!(
+        standing(&part.tell(vec![stopped]), 0),
+        Some(AttemptState::Gone)
+    );
 }
 
 /// A member of a gang that was granted room waits on a machine that turns deaf: it is
@@ -173,7 +182,7 @@
 #[test]
 fn what_waits_on_a_deaf_machine_is_over_unstarted() {
     let mut part = Part::new(1);
-    let member = Want {
+    let member = DesiredAttempt {
         go: false,
         ..want(0, 0)
     };
@@ -184,7 +193,7 @@
     part.report(0, Some(1), false, Vec::new());
     assert_eq!(
         standing(&part.tell(vec![member.clone()]), 0),
-        Some(Standing::Accepted),
+        Some(AttemptState::Accepted),
         "it may have been one lost answer"
     );
     assert!(part.call().is_none());
@@ -192,9 +201,9 @@
     part.report(0, Some(2), false, Vec::new());
     assert_eq!(
         standing(&part.tell(vec![member.clone()]), 0),
-        Some(Standing::Gone)
+        Some(AttemptState::Gone)
     );
-    part.tell(vec![Want { go: true, ..member }]);
+    part.tell(vec![DesiredAttempt { go: true, ..member }]);
     assert!(part.call().is_none_or(|c| c.commands.orders.is_empty()));
 }
 
@@ -223,12 +232,12 @@
 /// by the first. It starts, ends and rents nothing, and ends with a question.
 #[test]
 fn a_copy_of_long_ago_is_a_hint() {
-    let exited = TaskReport {
+    let exited = TaskStatus {
         phase: TaskPhase::Exited,
         cause: Some("error".into()),
         ..running_task(1)
     };
-    let copy = Report {
+    let copy = Heartbeat {
         token: BASE | 5,
         notice_s: Some(20.0),
         tasks: vec![running_task(0), exited],
@@ -274,7 +283,7 @@
             assert!(
                 view.attempts
                     .iter()
-                    .all(|a| a.standing == Standing::Gone && released.is_some()),
+                    .all(|a| a.standing == AttemptState::Gone && released.is_some()),
                 "{:?}",
                 view.attempts
             );
@@ -300,7 +309,7 @@
     let mut part = Part::new(1);
     part.tell(vec![want(0, 0)]);
     let mut said = Vec::new();
-    let done = TaskReport {
+    let done = TaskStatus {
         phase: TaskPhase::Exited,
         cause: Some("done".into()),
         ..running_task(0)
@@ -314,7 +323,7 @@
         };
         // Before its start it is not there.
         let tasks = if k < 5 { Vec::new() } else { tasks };
-        said.push(Report {
+        said.push(Heartbeat {
             token: part.tokens[0],
             tasks: tasks.clone(),
             ..report(0, part.seqs[0] + 1)
@@ -324,7 +333,7 @@
     }
     assert_eq!(
         standing(&part.tell(vec![want(0, 0)]), 0),
-        Some(Standing::Exited(Cause::Done))
+        Some(AttemptState::Exited(ExitCause::Done))
     );
     let mut order: Vec<usize> = (0..40).collect();
     order.sort_by_key(|k| k * 7_919 % 41);
@@ -334,7 +343,7 @@
         assert!(part.view(0, vec![want(0, 0)]).is_some_and(|m| m.open));
         assert_eq!(
             standing(&part.tell(vec![want(0, 0)]), 0),
-            Some(Standing::Exited(Cause::Done))
+            Some(AttemptState::Exited(ExitCause::Done))
         );
     }
     part.next_owner();
@@ -353,7 +362,7 @@
     part.report(0, None, true, vec![done]);
     assert_eq!(
         standing(&part.tell(vec![want(0, 0)]), 0),
-        Some(Standing::Exited(Cause::Done))
+        Some(AttemptState::Exited(ExitCause::Done))
     );
 }
 
@@ -366,7 +375,7 @@
         part.tell(vec![want(0, 0)]);
         part.seqs[0] = 80;
         part.pass(3_000);
-        let before = |seq| Report {
+        let before = |seq| Heartbeat {
             session,
             token: BASE,
             tasks: vec![running_task(0)],
@@ -375,7 +384,7 @@
         assert!(part.owner.report(&before(81), None, part.now).is_some());
         assert_eq!(
             standing(&part.tell(vec![want(0, 0)]), 0),
-            Some(Standing::Running)
+            Some(AttemptState::Running)
         );
         part.pass(if dead { 20_000 } else { 10_000 });
         // With no token, as a new worker; its answer gives one.
@@ -397,7 +406,7 @@
         part.pass(part.now + 100);
         assert_eq!(
             standing(&part.tell(vec![want(0, 0)]), 0),
-            Some(Standing::Gone),
+            Some(AttemptState::Gone),
             "session {session}, dead {dead}"
         );
         assert!(
@@ -410,9 +419,9 @@
             part.tell(vec![want(0, 0)])
                 .attempts
                 .iter()
-                .all(|a| a.standing == Standing::Gone)
+                .all(|a| a.standing == AttemptState::Gone)
         );
-        let next = Want {
+        let next = DesiredAttempt {
             id: lemonweir_model::AttemptId {
                 attempt: 2,
                 ..want(0, 0).id
@@ -426,8 +435,8 @@
     }
 }
 
-fn report_with(seq: u64, token: u64) -> Report {
-    Report {
+fn report_with(seq: u64, token: u64) -> Heartbeat {
+    Heartbeat {
         token,
         ..report(0, seq)
     }
@@ -441,7 +450,7 @@
     part.pass(3_000);
     part.seqs[0] = 50;
     part.report(0, None, true, vec![running_task(0)]);
-    part.tell(vec![Want {
+    part.tell(vec![DesiredAttempt {
         kill: Some(0),
         ..want(0, 0)
     }]);
@@ -462,7 +471,7 @@
     );
     assert_eq!(
         standing(&part.tell(vec![want(0, 0)]), 0),
-        Some(Standing::Gone)
+        Some(AttemptState::Gone)
     );
 }
 
@@ -490,11 +499,11 @@
 #[test]
 fn a_deaf_machine_that_goes_leaves_its_call_to_others() {
     let mut part = Part::new(2 * DEAF_CALLS);
-    let stopped = |n: usize| Want {
+    let stopped = |n: usize| DesiredAttempt {
         kill: Some(0),
         ..want(n as u32, n)
     };
-    let all: Vec<Want> = (0..2 * DEAF_CALLS).map(stopped).collect();
+    let all: Vec<DesiredAttempt> = (0..2 * DEAF_CALLS).map(stopped).collect();
     for at in [3_000, 8_050, 13_100] {
         part.pass(at);
         for n in 0..2 * DEAF_CALLS {
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -109,7 +109,7 @@
     BorshSerialize,
     BorshDeserialize,
 )]
-pub struct Room {
+pub struct Resources {
     /// Thousandths of a processor.
     pub cpus: u64,
     /// Thousandths of an accelerator.
@@ -118,7 +118,7 @@
     pub memory: u64,
 }
 
-impl Room {
+impl Resources {
     /// What a task needs: rounded up, so that it is never counted too small.
     pub fn need(cpus: f64, gpus: f64, memory_gb: f64) -> Self {
         let up = |x: f64| (x * 1000.0 - 1e-6).ceil().max(0.0) as u64;
@@ -140,13 +140,13 @@
     }
 
     /// True if `need` fits into this room in every resource.
-    pub fn covers(&self, need: &Room) -> bool {
+    pub fn covers(&self, need: &Resources) -> bool {
         self.cpus >= need.cpus && self.gpus >= need.gpus && self.memory >= need.memory
     }
 
     /// The sum.
-    pub fn plus(&self, other: &Room) -> Room {
-        Room {
+    pub fn plus(&self, other: &Resources) -> Resources {
+        Resources {
             cpus: self.cpus + other.cpus,
             gpus: self.gpus + other.gpus,
             memory: self.memory + other.memory,
@@ -154,8 +154,8 @@
     }
 
     /// What is left, never below zero.
-    pub fn minus(&self, other: &Room) -> Room {
-        Room {
+    pub fn minus(&self, other: &Resources) -> Resources {
+        Resources {
             cpus: self.cpus.saturating_sub(other.cpus),
             gpus: self.gpus.saturating_sub(other.gpus),
             memory: self.memory.saturating_sub(other.memory),
@@ -163,8 +163,8 @@
     }
 
     /// `n` times this room.
-    pub fn times(&self, n: u64) -> Room {
-        Room {
+    pub fn times(&self, n: u64) -> Resources {
+        Resources {
             cpus: self.cpus.saturating_mul(n),
             gpus: self.gpus.saturating_mul(n),
             memory: self.memory.saturating_mul(n),
@@ -174,7 +174,7 @@
 
 /// How a job's tasks belong together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Shape {
+pub enum JobKind {
     /// Independent tasks, each runs to completion.
     #[serde(rename = "array")]
     Array,
@@ -200,7 +200,7 @@
     BorshSerialize,
     BorshDeserialize,
 )]
-pub enum Rank {
+pub enum Priority {
     /// Production.
     #[serde(rename = "prod")]
     Production,
@@ -215,7 +215,7 @@
     Low,
 }
 
-impl Rank {
+impl Priority {
     /// Position, highest first.
     pub fn index(self) -> usize {
         self as usize
@@ -235,9 +235,9 @@
     #[serde(rename = "owner")]
     pub team: String,
     /// Array, gang or service.
-    pub shape: Shape,
+    pub shape: JobKind,
     /// Priority.
-    pub rank: Rank,
+    pub rank: Priority,
     /// Number of tasks.
     #[serde(rename = "pieces")]
     pub tasks: u64,
@@ -297,8 +297,8 @@
 
 impl JobSpec {
     /// What one task takes.
-    pub fn need(&self) -> Room {
-        Room::need(self.cores, self.gpus, self.ram_gb)
+    pub fn need(&self) -> Resources {
+        Resources::need(self.cores, self.gpus, self.ram_gb)
     }
 
     /// Size of its image in thousandths of a GB.
@@ -336,7 +336,7 @@
     /// Its name.
     pub name: String,
     /// What a machine offers.
-    pub room: Room,
+    pub room: Resources,
     /// Image cache, GB.
     pub cache_gb: f64,
     /// Image fetch, GB/s.
--- a/crates/model/src/settings.rs
+++ b/crates/model/src/settings.rs
@@ -11,7 +11,7 @@
 
 /// Another controller.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Seed {
+pub struct SeedController {
     /// Its host name.
     pub host_name: String,
     /// Its zone.
@@ -166,14 +166,14 @@
     pub zone: String,
     pub listen: SocketAddr,
     pub internal_addr: SocketAddr,
-    pub seeds: Vec<Seed>,
+    pub seeds: Vec<SeedController>,
     pub services: Services,
     pub cluster: Cluster,
 }
 
 /// A controller as every node sees it. Its index is its part's.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Member {
+pub struct ClusterMember {
     /// Host name.
     pub host: String,
     /// Zone.
@@ -305,16 +305,16 @@
 
     /// All controllers in the order of their host names; every node computes
     /// the same list, so an index into it names a part.
-    pub fn members(&self) -> Vec<Member> {
-        let mut members: Vec<Member> = self
+    pub fn members(&self) -> Vec<ClusterMember> {
+        let mut members: Vec<ClusterMember> = self
             .seeds
             .iter()
-            .map(|s| Member {
+            .map(|s| ClusterMember {
                 host: s.host_name.clone(),
                 zone: s.zone.clone(),
                 address: s.address,
             })
-            .chain([Member {
+            .chain([ClusterMember {
                 host: self.host_name.clone(),
                 zone: self.zone.clone(),
                 address: self.internal_addr,
--- a/crates/node/src/cloud.rs
+++ b/crates/node/src/cloud.rs
@@ -7,19 +7,20 @@
 
 use crate::Node;
 use crate::kv_client::Budget;
-use crate::router::Courier;
-use lemonweir_coordination::RentResult;
+use crate::router::Router;
+use lemonweir_coordination::ProvisioningResult;
 use lemonweir_model::constants::*;
 use lemonweir_model::{Catalog, MachineId};
 use lemonweir_protocol::cloud::{
-    CatalogReply, CloudFault, Machines, Rental, RentalEntry, RentalList,
+    CatalogResponse, InstanceEntry, InstanceList, MachineNames, MalformedCloudEntry,
+    ProvisioningRequest,
 };
 use lemonweir_protocol::links::Service;
 use lemonweir_protocol::{decode, encode};
 
 /// The client; keeps this node's share of the cloud's limit.
 pub struct CloudClient {
-    courier: Rc<Courier>,
+    courier: Rc<Router>,
     budget: Budget,
     /// Time that a page of the list is worth.
     list_gap: Duration,
@@ -27,7 +28,7 @@
 
 impl CloudClient {
     /// A client that shares this many requests a second with the other nodes.
-    pub(crate) fn new(courier: Rc<Courier>, per_s: f64, nodes: usize) -> Self {
+    pub(crate) fn new(courier: Rc<Router>, per_s: f64, nodes: usize) -> Self {
         let list_gap =
             Duration::from_secs_f64(nodes as f64 / per_s.max(f64::MIN_POSITIVE) / LIST_SHARE);
         Self {
@@ -54,25 +55,25 @@
     }
 
     /// Rents machines.
-    pub async fn rent(&self, rental: &Rental) -> RentResult {
+    pub async fn rent(&self, rental: &ProvisioningRequest) -> ProvisioningResult {
         match self.call("POST", "/rentals", &encode(rental)).await {
-            Some((200, body)) => match decode::<Machines>(&body) {
-                Ok(reply) => RentResult::Rented(reply.machines),
+            Some((200, body)) => match decode::<MachineNames>(&body) {
+                Ok(reply) => ProvisioningResult::Rented(reply.machines),
                 Err(error) => {
                     warn!(%error, "rental answer");
-                    RentResult::Again
+                    ProvisioningResult::Again
                 }
             },
             Some((503, body))
-                if decode::<CloudFault>(&body).is_ok_and(|f| f.error == "no capacity") =>
+                if decode::<MalformedCloudEntry>(&body).is_ok_and(|f| f.error == "no capacity") =>
             {
-                RentResult::NoCapacity
+                ProvisioningResult::NoCapacity
             }
             Some((400, _)) => {
                 tracing::error!(?rental, "the cloud refused a rental as malformed");
-                RentResult::NoCapacity
+                ProvisioningResult::NoCapacity
             }
-            _ => RentResult::Again,
+            _ => ProvisioningResult::Again,
         }
     }
 
@@ -82,7 +83,7 @@
             self.call(
                 "POST",
                 "/rentals/release",
-                &encode(&Machines {
+                &encode(&MachineNames {
                     machines: machines.to_vec()
                 })
             )
@@ -94,7 +95,7 @@
     async fn catalog(&self) -> Option<Catalog> {
         match self.call("GET", "/catalog", &[]).await {
             Some((200, body)) => {
-                let (catalog, faults) = decode::<CatalogReply>(&body).ok()?.into_catalog();
+                let (catalog, faults) = decode::<CatalogResponse>(&body).ok()?.into_catalog();
                 faults
                     .iter()
                     .for_each(|fault| warn!(fault, "machine type not understood"));
@@ -104,8 +105,8 @@
         }
     }
 
-    async fn list(&self) -> Option<Vec<RentalEntry>> {
-        let mut all: Vec<RentalEntry> = Vec::new();
+    async fn list(&self) -> Option<Vec<InstanceEntry>> {
+        let mut all: Vec<InstanceEntry> = Vec::new();
         loop {
             let after = all
                 .last()
@@ -117,7 +118,7 @@
             else {
                 return None;
             };
-            let page: RentalList = decode(&body).ok()?;
+            let page: InstanceList = decode(&body).ok()?;
             let more = page.more;
             let (entries, faults) = page.entries();
             faults
--- a/crates/node/src/effect_executor.rs
+++ b/crates/node/src/effect_executor.rs
@@ -4,22 +4,25 @@
 
 use tracing::{debug, error, info};
 
-use crate::kv_client::{StateError, TxnResult};
+use crate::kv_client::{CompareAndSwapResult, KvError};
 use crate::lookups::end;
 use crate::router::take_reports;
 use crate::{Node, peer_address};
-use lemonweir_coordination::owner::{CommandCall, CommandResult, SyncRefusal};
-use lemonweir_coordination::placer::{TxnOutcome, TxnVerdict};
+use lemonweir_coordination::owner::{CommandCall, CommandResult, SyncError};
+use lemonweir_coordination::placer::{CompareAndSwapOutcome, ShardOwnership};
 use lemonweir_coordination::{Effect, keys_to_reread, mail_piece_bytes};
 use lemonweir_model::constants::*;
-use lemonweir_protocol::kv_store::Txn;
+use lemonweir_protocol::kv_store::CompareAndSwap;
 use lemonweir_protocol::links::{
-    self, CARRY, Carry, Goal, HAIL, LINKS_VERSION, REPORTS, Reports, Service, Word,
+    self, AvailabilityGossip, GOSSIP_PATH, LINKS_VERSION, RELAY_HEARTBEATS_PATH, RELAY_PATH,
+    RelayRequest, RelayTarget, RelayedHeartbeats, Service,
 };
-use lemonweir_protocol::peer::{self, Superseded, Sync, View};
-use lemonweir_protocol::worker::Report;
+use lemonweir_protocol::peer::{self, ShardView, Superseded, SyncRequest};
+use lemonweir_protocol::worker::Heartbeat;
 use lemonweir_protocol::{decode, encode};
-use lemonweir_storage::records::{MailKind, MailLine, parse_run_key, part_key, post};
+use lemonweir_storage::records::{
+    StoreMessageKind, StoreMessageRoute, parse_run_key, part_key, post,
+};
 use lemonweir_transport::{CallError, Handler, Reply, Request};
 
 /// Starts an effect; its end is an event of the core.
@@ -28,7 +31,7 @@
     let work = async move {
         let node = node2;
         match effect {
-            Effect::Txn(lot, txn) => transaction(&node, lot, &txn).await,
+            Effect::CompareAndSwap(lot, txn) => transaction(&node, lot, &txn).await,
             Effect::Chain(txn) => {
                 let outcome = chain_transaction(&node, &txn).await;
                 let now = node.now();
@@ -59,8 +62,8 @@
                 }
             }
             Effect::MailSync(sync) => {
-                let line = MailLine {
-                    kind: MailKind::Sync,
+                let line = StoreMessageRoute {
+                    kind: StoreMessageKind::Sync,
                     from: sync.from,
                     to: sync.to,
                 };
@@ -73,8 +76,8 @@
                 .await;
             }
             Effect::MailView(to, view) => {
-                let line = MailLine {
-                    kind: MailKind::View,
+                let line = StoreMessageRoute {
+                    kind: StoreMessageKind::View,
                     from: view.part,
                     to,
                 };
@@ -120,48 +123,48 @@
 
 /// Makes a transaction for waiting jobs; after one that moved something the copy is read
 /// again, so that what may start is placed at once.
-async fn chain_transaction(node: &Node, txn: &Txn) -> TxnOutcome {
+async fn chain_transaction(node: &Node, txn: &CompareAndSwap) -> CompareAndSwapOutcome {
     match node.state.txn(txn).await {
-        Ok(TxnResult::Done(revision)) => {
+        Ok(CompareAndSwapResult::Done(revision)) => {
             node.fresh().await;
-            TxnOutcome::Done(revision)
+            CompareAndSwapOutcome::Done(revision)
         }
-        Ok(TxnResult::Conflict(keys)) => {
+        Ok(CompareAndSwapResult::Conflict(keys)) => {
             info!(?keys, "transaction for waiting jobs met other versions");
             node.fresh().await;
-            TxnOutcome::Conflict(keys)
+            CompareAndSwapOutcome::Conflict(keys)
         }
         Err(fault) => {
             debug!(%fault, "transaction for waiting jobs not made");
-            TxnOutcome::Again
+            CompareAndSwapOutcome::Again
         }
     }
 }
 
-async fn transaction(node: &Node, lot: lemonweir_coordination::Lot, txn: &Txn) {
+async fn transaction(node: &Node, lot: lemonweir_coordination::ShardLease, txn: &CompareAndSwap) {
     let outcome = match node.state.txn(txn).await {
-        Ok(TxnResult::Done(revision)) => TxnOutcome::Done(revision),
-        Ok(TxnResult::Conflict(keys)) => TxnOutcome::Conflict(keys),
+        Ok(CompareAndSwapResult::Done(revision)) => CompareAndSwapOutcome::Done(revision),
+        Ok(CompareAndSwapResult::Conflict(keys)) => CompareAndSwapOutcome::Conflict(keys),
         Err(error) => {
-            if error == StateError::Refused {
+            if error == KvError::Refused {
                 error!(
                     part = lot.part,
                     writes = txn.writes.len(),
                     "the store refused a transaction as malformed"
                 );
-                TxnOutcome::Refused
+                CompareAndSwapOutcome::Refused
             } else {
                 // Whether it was made or not, the same change is tried again under
                 // the same conditions; a conflict then tells.
                 smol::Timer::after(std::time::Duration::from_millis(2 * TICK_MS)).await;
-                TxnOutcome::Again
+                CompareAndSwapOutcome::Again
             }
         }
     };
     let verdict = match outcome {
         // Guards against placing on versions of keys that a lost answer has
         // changed: they are read before the transaction counts as ended.
-        TxnOutcome::Conflict(ref keys) => {
+        CompareAndSwapOutcome::Conflict(ref keys) => {
             let mut versions = Vec::new();
             for key in keys_to_reread(lot, keys) {
                 let version = loop {
@@ -188,7 +191,7 @@
             node.core().txn_done(lot, outcome, now)
         }
     };
-    if verdict == TxnVerdict::Lost {
+    if verdict == ShardOwnership::Lost {
         node.fresh().await;
     }
 }
@@ -203,12 +206,12 @@
                 .await
         }
         Some(by) => {
-            let goal = Goal::Worker(call.addr.to_string());
+            let goal = RelayTarget::Worker(call.addr.to_string());
             let (method, path) = ("POST".to_owned(), path.to_owned());
             node.courier
                 .ask(
                     by,
-                    &Carry {
+                    &RelayRequest {
                         version: LINKS_VERSION,
                         goal,
                         method,
@@ -221,7 +224,7 @@
         }
     };
     match answer {
-        Ok(response) => match (response.status, decode::<Report>(&response.body)) {
+        Ok(response) => match (response.status, decode::<Heartbeat>(&response.body)) {
             (200, Ok(report)) => CommandResult::Executed(report),
             (409, Ok(report)) => CommandResult::Refused(report),
             (400, _) => CommandResult::NotSent,
@@ -234,21 +237,31 @@
 
 /// Tells another controller of our links; its answer, if one comes, with what it
 /// says of its own, if it does.
-async fn hail(node: &Node, host: u16, word: &Word) -> Option<Option<Word>> {
+async fn hail(
+    node: &Node,
+    host: u16,
+    word: &AvailabilityGossip,
+) -> Option<Option<AvailabilityGossip>> {
     let addr = *node.courier.peers.get(&host)?;
     let response = node
         .http
-        .call(addr, "POST", HAIL, &links::write(word), SYNC_TIMEOUT_MS)
+        .call(
+            addr,
+            "POST",
+            GOSSIP_PATH,
+            &links::write(word),
+            SYNC_TIMEOUT_MS,
+        )
         .await
         .ok()?;
     Some(
-        links::read::<Word>(&response.body)
+        links::read::<AvailabilityGossip>(&response.body)
             .ok()
             .filter(|_| response.status == 200),
     )
 }
 
-async fn send_sync(node: &Node, sync: &Sync) -> Option<View> {
+async fn send_sync(node: &Node, sync: &SyncRequest) -> Option<ShardView> {
     let host = node.core().mirror.parts.get(&sync.to)?.host.clone();
     let addr = peer_address(node, &host)?;
     let response = node
@@ -278,7 +291,7 @@
         );
         return None;
     }
-    match peer::read::<View>(&response.body) {
+    match peer::read::<ShardView>(&response.body) {
         Ok(view) => Some(view),
         Err(fault) => {
             info!(%addr, fault, "answer of another controller not understood");
@@ -289,7 +302,7 @@
 
 /// Writes a peer message to the store, in as many values as it takes. It is
 /// not repeated: the next message of the line says all again.
-async fn mail(node: &Node, line: MailLine, id: (u64, u64), bytes: &[u8]) {
+async fn mail(node: &Node, line: StoreMessageRoute, id: (u64, u64), bytes: &[u8]) {
     let hold = match node.hold.get() {
         0 => return,
         hold => hold,
@@ -345,13 +358,13 @@
 }
 
 /// What other controllers may ask.
-pub struct Internal(pub Rc<Node>);
+pub struct PeerApi(pub Rc<Node>);
 
-impl Handler for Internal {
+impl Handler for PeerApi {
     async fn handle(&self, request: Request) -> Reply {
         let node = &self.0;
         match (request.method.as_str(), request.path.as_str()) {
-            ("POST", "/peer/sync") => match peer::read::<Sync>(&request.body) {
+            ("POST", "/peer/sync") => match peer::read::<SyncRequest>(&request.body) {
                 Ok(sync) => {
                     let now = node.now();
                     let answer = node.core().sync_in(&sync, now);
@@ -361,7 +374,7 @@
                         Err(refusal) => {
                             debug!(from = sync.from, to = sync.to, %refusal, "sync not taken");
                             match refusal {
-                                SyncRefusal::Superseded(by) => Reply::new(409, peer::write(&by)),
+                                SyncError::Superseded(by) => Reply::new(409, peer::write(&by)),
                                 _ => Reply::empty(409),
                             }
                         }
@@ -369,14 +382,18 @@
                 }
                 Err(fault) => understood(Err(fault), |()| Reply::empty(500)),
             },
-            ("POST", HAIL) => understood(links::read::<Word>(&request.body), |word| {
-                let now = node.now();
-                Reply::new(200, links::write(&node.core().links.hail_in(word, now)))
-            }),
-            ("POST", REPORTS) => understood(links::read::<Reports>(&request.body), |reports| {
-                take_reports(node, &reports)
-            }),
-            ("POST", CARRY) => match links::read::<Carry>(&request.body) {
+            ("POST", GOSSIP_PATH) => {
+                understood(links::read::<AvailabilityGossip>(&request.body), |word| {
+                    let now = node.now();
+                    Reply::new(200, links::write(&node.core().links.hail_in(word, now)))
+                })
+            }
+            ("POST", RELAY_HEARTBEATS_PATH) => {
+                understood(links::read::<RelayedHeartbeats>(&request.body), |reports| {
+                    take_reports(node, &reports)
+                })
+            }
+            ("POST", CARRY) => match links::read::<RelayRequest>(&request.body) {
                 Ok(call) => node.courier.carry(&call).await,
                 Err(fault) => understood(Err(fault), |()| Reply::empty(500)),
             },
--- a/crates/node/src/kv_client.rs
+++ b/crates/node/src/kv_client.rs
@@ -5,18 +5,21 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use crate::router::Courier;
-use lemonweir_coordination::rate_limit::{Bucket, Requests};
+use crate::router::Router;
+use lemonweir_coordination::rate_limit::{RequestBudget, TokenBucket};
 use lemonweir_model::constants::{BUDGET_PERCENT, STATE_TIMEOUT_MS, STORE_PAGE};
 use lemonweir_model::settings::StateLimits;
-use lemonweir_protocol::kv_store::{Changes, Entry, HoldReply, HoldRequest, Page, Txn, TxnReply};
+use lemonweir_protocol::kv_store::{
+    CompareAndSwap, CompareAndSwapResponse, KeyValue, LeaseRequest, LeaseResponse, ListResponse,
+    WatchResponse,
+};
 use lemonweir_protocol::links::Service;
 use lemonweir_protocol::{decode, encode};
 use lemonweir_transport::{CallError, Response};
 
 /// Why the store gave no result.
 #[derive(Debug, thiserror::Error, PartialEq, Eq, Clone, Copy)]
-pub enum StateError {
+pub enum KvError {
     /// Not executed: no connection, 429 or 503.
     #[error("state service unavailable")]
     Unavailable,
@@ -36,16 +39,16 @@
 
 /// What became of a transaction.
 #[derive(Debug, PartialEq, Eq, Clone)]
-pub enum TxnResult {
+pub enum CompareAndSwapResult {
     /// Made, at this revision.
     Done(u64),
     /// Not made: these keys had another version.
     Conflict(Vec<String>),
 }
 
-/// A [`Bucket`] on this process's steady clock.
+/// A [`TokenBucket`] on this process's steady clock.
 pub(crate) struct Budget {
-    bucket: RefCell<Bucket>,
+    bucket: RefCell<TokenBucket>,
     started: Instant,
 }
 
@@ -58,7 +61,7 @@
     /// The same where the whole may fall to `least` without notice.
     pub(crate) fn falling(whole: f64, least: f64, nodes: usize) -> Self {
         Self {
-            bucket: RefCell::new(Bucket::new(whole, nodes, 0).falling_to(least)),
+            bucket: RefCell::new(TokenBucket::new(whole, nodes, 0).falling_to(least)),
             started: Instant::now(),
         }
     }
@@ -85,18 +88,18 @@
 
 /// The client; cheap to clone.
 #[derive(Clone)]
-pub struct StateClient {
-    courier: Rc<Courier>,
-    requests: Rc<RefCell<Requests>>,
+pub struct KvClient {
+    courier: Rc<Router>,
+    requests: Rc<RefCell<RequestBudget>>,
     writes: Rc<Budget>,
     started: Instant,
 }
 
-impl StateClient {
+impl KvClient {
     /// A client that shares the limits with the other nodes.
-    pub(crate) fn new(courier: Rc<Courier>, limits: &StateLimits, nodes: usize) -> Self {
+    pub(crate) fn new(courier: Rc<Router>, limits: &StateLimits, nodes: usize) -> Self {
         let ours = |x: f64| x * BUDGET_PERCENT as f64 / 100.0;
-        let requests = Rc::new(RefCell::new(Requests::new(ours(limits.rps), nodes, 0)));
+        let requests = Rc::new(RefCell::new(RequestBudget::new(ours(limits.rps), nodes, 0)));
         Self {
             courier,
             requests,
@@ -145,14 +148,14 @@
         }
     }
 
-    async fn call(&self, method: &str, path: &str, body: &[u8]) -> Result<Response, StateError> {
+    async fn call(&self, method: &str, path: &str, body: &[u8]) -> Result<Response, KvError> {
         let response = self
             .courier
             .call(Service::Store, method, path, body, STATE_TIMEOUT_MS)
             .await
             .map_err(|e| match e {
-                CallError::NotSent => StateError::Unavailable,
-                CallError::Unknown => StateError::Unknown,
+                CallError::NotSent => KvError::Unavailable,
+                CallError::Unknown => KvError::Unknown,
             })?;
         match response.status {
             429 => {
@@ -160,9 +163,9 @@
                 if path == "/txn" {
                     self.writes.refused();
                 }
-                Err(StateError::Unavailable)
+                Err(KvError::Unavailable)
             }
-            503 => Err(StateError::Unavailable),
+            503 => Err(KvError::Unavailable),
             _ => Ok(response),
         }
     }
@@ -173,7 +176,7 @@
         prefix: &str,
         after: &str,
         limit: u32,
-    ) -> Result<Vec<Entry>, StateError> {
+    ) -> Result<Vec<KeyValue>, KvError> {
         self.question().await;
         let response = self
             .call(
@@ -183,30 +186,30 @@
             )
             .await?;
         match response.status {
-            200 => decode::<Page>(&response.body)
+            200 => decode::<ListResponse>(&response.body)
                 .map(|page| page.entries)
-                .map_err(|_| StateError::Unknown),
-            _ => Err(StateError::Refused),
+                .map_err(|_| KvError::Unknown),
+            _ => Err(KvError::Refused),
         }
     }
 
     /// Reads a key.
-    pub async fn get(&self, key: &str) -> Result<Option<Entry>, StateError> {
+    pub async fn get(&self, key: &str) -> Result<Option<KeyValue>, KvError> {
         self.budget(0).await;
         let response = self.call("GET", &format!("/store/{key}"), &[]).await?;
         match response.status {
             200 => decode(&response.body)
                 .map(Some)
-                .map_err(|_| StateError::Unknown),
+                .map_err(|_| KvError::Unknown),
             404 => Ok(None),
-            _ => Err(StateError::Refused),
+            _ => Err(KvError::Refused),
         }
     }
 
     /// Reads all keys with a prefix. The revision is that of the first page:
     /// following the changes from there misses nothing.
-    pub async fn list(&self, prefix: &str) -> Result<(Vec<Entry>, u64), StateError> {
-        let mut all: Vec<Entry> = Vec::new();
+    pub async fn list(&self, prefix: &str) -> Result<(Vec<KeyValue>, u64), KvError> {
+        let mut all: Vec<KeyValue> = Vec::new();
         let mut first = None;
         loop {
             self.budget(0).await;
@@ -222,9 +225,9 @@
                 )
                 .await?;
             if response.status != 200 {
-                return Err(StateError::Refused);
+                return Err(KvError::Refused);
             }
-            let page: Page = decode(&response.body).map_err(|_| StateError::Unknown)?;
+            let page: ListResponse = decode(&response.body).map_err(|_| KvError::Unknown)?;
             first.get_or_insert(page.revision);
             let empty = page.entries.is_empty();
             all.extend(page.entries);
@@ -235,7 +238,7 @@
     }
 
     /// Makes a transaction.
-    pub async fn txn(&self, txn: &Txn) -> Result<TxnResult, StateError> {
+    pub async fn txn(&self, txn: &CompareAndSwap) -> Result<CompareAndSwapResult, KvError> {
         match txn.writes.len() {
             // Only asks.
             0 => self.question().await,
@@ -243,50 +246,50 @@
         }
         let response = self.call("POST", "/txn", &encode(txn)).await?;
         match response.status {
-            200 => Ok(TxnResult::Done(
-                decode::<TxnReply>(&response.body)
-                    .map_err(|_| StateError::Unknown)?
+            200 => Ok(CompareAndSwapResult::Done(
+                decode::<CompareAndSwapResponse>(&response.body)
+                    .map_err(|_| KvError::Unknown)?
                     .revision,
             )),
-            409 => Ok(TxnResult::Conflict(
-                decode::<TxnReply>(&response.body)
-                    .map_err(|_| StateError::Unknown)?
+            409 => Ok(CompareAndSwapResult::Conflict(
+                decode::<CompareAndSwapResponse>(&response.body)
+                    .map_err(|_| KvError::Unknown)?
                     .failed,
             )),
             400 if String::from_utf8_lossy(&response.body).contains("no such lease") => {
-                Err(StateError::NoHold)
+                Err(KvError::NoHold)
             }
-            _ => Err(StateError::Refused),
+            _ => Err(KvError::Refused),
         }
     }
 
     /// Gets a hold.
-    pub async fn hold(&self, ttl_ms: u64) -> Result<u64, StateError> {
+    pub async fn hold(&self, ttl_ms: u64) -> Result<u64, KvError> {
         let response = self
-            .call("POST", "/holds", &encode(&HoldRequest { ttl_ms }))
+            .call("POST", "/holds", &encode(&LeaseRequest { ttl_ms }))
             .await?;
         match response.status {
-            200 => decode::<HoldReply>(&response.body)
+            200 => decode::<LeaseResponse>(&response.body)
                 .map(|r| r.hold)
-                .map_err(|_| StateError::Unknown),
-            _ => Err(StateError::Refused),
+                .map_err(|_| KvError::Unknown),
+            _ => Err(KvError::Refused),
         }
     }
 
     /// Renews a hold.
-    pub async fn renew(&self, hold: u64) -> Result<(), StateError> {
+    pub async fn renew(&self, hold: u64) -> Result<(), KvError> {
         let response = self
             .call("POST", &format!("/holds/{hold}/renew"), &[])
             .await?;
         match response.status {
             200 => Ok(()),
-            404 => Err(StateError::NoHold),
-            _ => Err(StateError::Refused),
+            404 => Err(KvError::NoHold),
+            _ => Err(KvError::Refused),
         }
     }
 
     /// Reads the changes under a prefix since a revision, without waiting.
-    pub async fn changes(&self, prefix: &str, after: u64) -> Result<Changes, StateError> {
+    pub async fn changes(&self, prefix: &str, after: u64) -> Result<WatchResponse, KvError> {
         self.question().await;
         let response = self
             .call(
@@ -296,9 +299,9 @@
             )
             .await?;
         match response.status {
-            200 => decode(&response.body).map_err(|_| StateError::Unknown),
-            410 => Err(StateError::TooOld),
-            _ => Err(StateError::Refused),
+            200 => decode(&response.body).map_err(|_| KvError::Unknown),
+            410 => Err(KvError::TooOld),
+            _ => Err(KvError::Refused),
         }
     }
 }
--- a/crates/node/src/lease_keeper.rs
+++ b/crates/node/src/lease_keeper.rs
@@ -6,17 +6,17 @@
 
 use tracing::{info, warn};
 
-use crate::kv_client::{StateError, TxnResult};
+use crate::kv_client::{CompareAndSwapResult, KvError};
 use crate::{Node, wall_ms};
-use lemonweir_coordination::Lot;
-use lemonweir_coordination::election::{Claim, Membership};
+use lemonweir_coordination::ShardLease;
+use lemonweir_coordination::election::{ElectionAction, LeaderElection};
 use lemonweir_model::JobId;
 use lemonweir_model::constants::*;
 use lemonweir_protocol::kv_store::from_value;
 use lemonweir_storage::packed_chunk::read_chunk;
 use lemonweir_storage::records::{
-    ChunkRecord, ImagesRecord, assign_teams, images_prefix, parse_images_key, parse_run_key,
-    run_prefix, show_node,
+    ImageLocationsRecord, TaskChunkRecord, assign_teams, images_prefix, parse_images_key,
+    parse_run_key, run_prefix, show_node,
 };
 
 /// Keeps the hold alive, for ever. Nothing else is waited for here.
@@ -43,7 +43,7 @@
             }
             hold if now >= renewed + HOLD_RENEW_MS => match node.state.renew(hold).await {
                 Ok(()) => renewed = now,
-                Err(StateError::NoHold) => {
+                Err(KvError::NoHold) => {
                     warn!("the hold has ended");
                     node.hold.set(0);
                     continue;
@@ -63,12 +63,12 @@
 
 /// Shows this node's presence, and takes and gives up parts, for ever.
 pub async fn claim(node: Rc<Node>) {
-    let mut membership = Membership::new(node.core().config.members.len());
+    let mut membership = LeaderElection::new(node.core().config.members.len());
     let mut shown = 0;
     loop {
         let hold = node.hold.get();
         if hold != 0
-            && let Err(StateError::NoHold) = tend(&node, hold, &mut shown, &mut membership).await
+            && let Err(KvError::NoHold) = tend(&node, hold, &mut shown, &mut membership).await
             && node.hold.get() == hold
         {
             node.hold.set(0);
@@ -83,8 +83,8 @@
     node: &Rc<Node>,
     hold: u64,
     shown: &mut u64,
-    membership: &mut Membership,
-) -> Result<(), StateError> {
+    membership: &mut LeaderElection,
+) -> Result<(), KvError> {
     if *shown != hold {
         let left = membership.left(&node.core(), node.now());
         node.state
@@ -114,7 +114,7 @@
 
 /// Takes parts that are ours or ownerless, and hands back those whose home is
 /// alive again.
-async fn parts(node: &Rc<Node>, hold: u64, membership: &mut Membership) -> Result<(), StateError> {
+async fn parts(node: &Rc<Node>, hold: u64, membership: &mut LeaderElection) -> Result<(), KvError> {
     let now = node.now();
     for index in 0..membership.parts() {
         let claim = membership.claim(&node.core(), index, now);
@@ -124,13 +124,15 @@
         let result = node.state.txn(&txn).await?;
         match (claim, result) {
             // An entry's slot or the part's key has changed meanwhile.
-            (_, TxnResult::Conflict(_)) => drop(node.fresh().await),
-            (Claim::Take { part, .. }, TxnResult::Done(token)) => acquire(node, part, token).await,
-            (Claim::HandBack(lot), TxnResult::Done(_)) => {
+            (_, CompareAndSwapResult::Conflict(_)) => drop(node.fresh().await),
+            (ElectionAction::Take { part, .. }, CompareAndSwapResult::Done(token)) => {
+                acquire(node, part, token).await
+            }
+            (ElectionAction::HandBack(lot), CompareAndSwapResult::Done(_)) => {
                 info!(part = lot.part, "handed the part back");
                 give_up(node, lot).await;
             }
-            (Claim::Leave(lot), TxnResult::Done(_)) => {
+            (ElectionAction::Leave(lot), CompareAndSwapResult::Done(_)) => {
                 warn!(
                     part = lot.part,
                     "its machines reach other nodes but not this one; leaving the part to them"
@@ -141,7 +143,7 @@
     }
     let raised = node.core().version_txn();
     if let Some(txn) = raised
-        && let TxnResult::Done(_) = node.state.txn(&txn).await?
+        && let CompareAndSwapResult::Done(_) = node.state.txn(&txn).await?
     {
         info!("every controller reads the newest records");
         node.fresh().await;
@@ -162,7 +164,7 @@
 }
 
 /// A part that was given up in the store is given up here.
-async fn give_up(node: &Node, lot: Lot) {
+async fn give_up(node: &Node, lot: ShardLease) {
     node.core().abandon(lot.part, node.now());
     node.fresh().await;
 }
@@ -202,17 +204,17 @@
         .get(&index)
         .is_some_and(|h| h.token == token)
     {
-        core.adopt(Lot { part: index, token }, &chunks, images, now);
+        core.adopt(ShardLease { part: index, token }, &chunks, images, now);
     }
     drop(core);
     node.poke();
 }
 
 /// Chunks of task records, each with its version.
-type Chunks = Vec<(JobId, u32, ChunkRecord, u64)>;
+type Chunks = Vec<(JobId, u32, TaskChunkRecord, u64)>;
 
 /// Reads a part's records of tasks, and its notes of images.
-async fn records(node: &Node, index: u16) -> Result<(Chunks, Vec<ImagesRecord>), StateError> {
+async fn records(node: &Node, index: u16) -> Result<(Chunks, Vec<ImageLocationsRecord>), KvError> {
     let (entries, _) = node.state.list(&run_prefix(index)).await?;
     let mut chunks: Chunks = Vec::with_capacity(entries.len());
     for e in &entries {
@@ -225,11 +227,11 @@
         }
     }
     let (entries, _) = node.state.list(&images_prefix(index)).await?;
-    let mut images: BTreeMap<usize, ImagesRecord> = BTreeMap::new();
+    let mut images: BTreeMap<usize, ImageLocationsRecord> = BTreeMap::new();
     for e in &entries {
         match (
             parse_images_key(&e.key),
-            from_value::<ImagesRecord>(&e.value),
+            from_value::<ImageLocationsRecord>(&e.value),
         ) {
             (Some(page), Some(record)) => drop(images.insert(page, record)),
             // Only a hint: a page that is not understood is written anew.
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -21,9 +21,9 @@
 use smol::channel::{Receiver, Sender, bounded, unbounded};
 use tracing::{info, warn};
 
-use crate::kv_client::{StateClient, StateError};
-use crate::router::{Courier, Gathered};
-use lemonweir_coordination::query_admission::Questions;
+use crate::kv_client::{KvClient, KvError};
+use crate::router::{HeartbeatBatch, Router};
+use lemonweir_coordination::query_admission::QueryAdmission;
 use lemonweir_coordination::{Config, Core};
 use lemonweir_model::constants::*;
 use lemonweir_model::policy::Policy;
@@ -36,16 +36,16 @@
 pub struct Node {
     settings: Settings,
     core: Rc<Mutex<Core>>,
-    courier: Rc<Courier>,
+    courier: Rc<Router>,
     /// Workers' reports that wait to be carried to their owners.
-    gathered: RefCell<Gathered>,
+    gathered: RefCell<HeartbeatBatch>,
     /// Ids that users ask for and nobody here knows.
     lookups: RefCell<lookups::Lookups>,
     /// Which of users' questions go first.
-    questions: RefCell<Questions>,
+    questions: RefCell<QueryAdmission>,
     /// Until when this process counts as behind with its work, ms.
     behind_until: Cell<u64>,
-    state: StateClient,
+    state: KvClient,
     cloud: cloud::CloudClient,
     http: Rc<Client>,
     executor: &'static LocalExecutor<'static>,
@@ -123,8 +123,8 @@
         let peers: HashMap<u16, SocketAddr> = settings.seeds.iter().filter_map(|s| Some((number(&s.host_name)?, s.address))).collect();
         let core = Rc::new(Mutex::new(Core::new(config, policy)));
         let (store, cloud) = (settings.services.state, settings.services.cloud);
-        let courier = Rc::new(Courier { http: http.clone(), core: core.clone(), peers, store, cloud, started });
-        let state = StateClient::new(courier.clone(), &settings.cluster.state, nodes);
+        let courier = Rc::new(Router { http: http.clone(), core: core.clone(), peers, store, cloud, started });
+        let state = KvClient::new(courier.clone(), &settings.cluster.state, nodes);
         let cloud = cloud::CloudClient::new(courier.clone(), settings.cluster.cloud.rps, nodes);
         let (fresh_wanted, fresh_requests) = unbounded();
         let (pump_wanted, pump_requests) = bounded(1);
@@ -148,14 +148,14 @@
             pump_wanted,
         });
         let gate = Gate::new(shares.public, shares.crowded_at(), shares.users());
-        executor.spawn(serve(executor, public, gate, MAX_BODY_BYTES, Rc::new(public_api::Public(node.clone())))).detach();
+        executor.spawn(serve(executor, public, gate, MAX_BODY_BYTES, Rc::new(public_api::PublicApi(node.clone())))).detach();
         executor
             .spawn(serve(
                 executor,
                 internal,
                 Gate::new(shares.peers, shares.peers / 2, 0),
                 MAX_RESPONSE_BYTES,
-                Rc::new(effect_executor::Internal(node.clone())),
+                Rc::new(effect_executor::PeerApi(node.clone())),
             ))
             .detach();
         executor.spawn(follow(node.clone(), fresh_requests)).detach();
@@ -230,7 +230,7 @@
 }
 
 /// Reads what changed; true if something did.
-async fn read_changes(node: &Node) -> Result<bool, StateError> {
+async fn read_changes(node: &Node) -> Result<bool, KvError> {
     let revision = node.core().mirror.revision;
     if let Some(after) = revision {
         match node.state.changes(FOLLOWED, after).await {
@@ -241,7 +241,7 @@
                     .apply(&changes.events, changes.revision, now);
                 return Ok(!changes.events.is_empty());
             }
-            Err(StateError::TooOld) => warn!("changes too old; reading all keys again"),
+            Err(KvError::TooOld) => warn!("changes too old; reading all keys again"),
             Err(error) => return Err(error),
         }
     }
--- a/crates/node/src/lookups.rs
+++ b/crates/node/src/lookups.rs
@@ -8,15 +8,15 @@
 use smol::channel::{Sender, bounded};
 
 use crate::Node;
-use crate::kv_client::{StateError, TxnResult};
+use crate::kv_client::{CompareAndSwapResult, KvError};
 use lemonweir_coordination::query_admission::Line;
 use lemonweir_model::JobId;
 use lemonweir_model::constants::*;
 use lemonweir_protocol::kv_store::from_value;
-use lemonweir_protocol::users::Phase;
+use lemonweir_protocol::users::JobPhase;
 use lemonweir_storage::dependencies::chain_key;
 use lemonweir_storage::records::{
-    ABSENT_CONDITIONS, END_PREFIX, EndRecord, absent, end_key, job_key,
+    ABSENT_CONDITIONS, END_PREFIX, JobEndRecord, absent, end_key, job_key,
 };
 use lemonweir_transport::within;
 
@@ -28,7 +28,7 @@
     /// An unfinished job.
     Unfinished,
     /// A job that is over.
-    Over(Phase),
+    Over(JobPhase),
 }
 
 /// Why nothing was found out.
@@ -116,8 +116,8 @@
 async fn ask(node: &Node, asked: Vec<(JobId, Vec<Sender<Fate>>)>) {
     let ids: Vec<JobId> = asked.iter().map(|(id, _)| id.clone()).collect();
     let there = match node.state.txn(&absent(&ids)).await {
-        Ok(TxnResult::Done(_)) => Ok(Vec::new()),
-        Ok(TxnResult::Conflict(keys)) => Ok(keys),
+        Ok(CompareAndSwapResult::Done(_)) => Ok(Vec::new()),
+        Ok(CompareAndSwapResult::Conflict(keys)) => Ok(keys),
         Err(error) => Err(error),
     };
     for (id, senders) in asked {
@@ -141,7 +141,7 @@
 /// Reads the end of a job, once: it never changes. Its neighbours' come with it,
 /// so that a process that has just started, whom users ask for all that is over,
 /// does not read them one by one.
-pub(crate) async fn end(node: &Node, id: &JobId) -> Result<Found, StateError> {
+pub(crate) async fn end(node: &Node, id: &JobId) -> Result<Found, KvError> {
     if let Some(end) = node.core().mirror.end(id) {
         return Ok(Found::Over(end.phase));
     }
@@ -157,7 +157,7 @@
     for entry in page {
         match (
             entry.key.strip_prefix(END_PREFIX),
-            from_value::<EndRecord>(&entry.value),
+            from_value::<JobEndRecord>(&entry.value),
         ) {
             (Some(id), Some(record)) => {
                 core.mirror
@@ -169,5 +169,5 @@
     core.mirror
         .end(id)
         .map(|end| Found::Over(end.phase))
-        .ok_or(StateError::Refused)
+        .ok_or(KvError::Refused)
 }
--- a/crates/node/src/public_api.rs
+++ b/crates/node/src/public_api.rs
@@ -5,27 +5,27 @@
 
 use tracing::{debug, info};
 
-use crate::kv_client::{StateError, TxnResult};
+use crate::kv_client::{CompareAndSwapResult, KvError};
 use crate::lookups::{Found, Missed, look};
 use crate::router::{carry_report, status_and_body};
 use crate::{Node, peer_address, wall_ms};
-use lemonweir_coordination::ReportAnswer;
-use lemonweir_coordination::dependencies::Admission;
+use lemonweir_coordination::HeartbeatAnswer;
+use lemonweir_coordination::dependencies::DependencyAdmission;
 use lemonweir_coordination::job_status::Answer;
-use lemonweir_coordination::query_admission::{Asked, Refusal};
+use lemonweir_coordination::query_admission::{QueryKind, QueryRefusal};
 use lemonweir_model::constants::*;
 use lemonweir_model::{JobId, JobSpec};
-use lemonweir_protocol::kv_store::Txn;
-use lemonweir_protocol::links::Picture;
-use lemonweir_protocol::users::{JobState, Phase, never_runs, read_submission};
-use lemonweir_protocol::worker::Report;
+use lemonweir_protocol::kv_store::CompareAndSwap;
+use lemonweir_protocol::links::LinksReport;
+use lemonweir_protocol::users::{JobPhase, JobStatus, never_runs, read_submission};
+use lemonweir_protocol::worker::Heartbeat;
 use lemonweir_protocol::{decode, encode};
 use lemonweir_transport::{Handler, Reply, Request, within};
 
 /// What users and workers may ask.
-pub struct Public(pub Rc<Node>);
+pub struct PublicApi(pub Rc<Node>);
 
-impl Handler for Public {
+impl Handler for PublicApi {
     async fn handle(&self, request: Request) -> Reply {
         let node = &self.0;
         let path = request.path.split('?').next().unwrap_or_default();
@@ -44,7 +44,7 @@
                 let core = node.core();
                 Reply::new(
                     200,
-                    encode(&Picture {
+                    encode(&LinksReport {
                         links: core.links.rows(now),
                         carried_workers: core.links.riders(now),
                     }),
@@ -82,7 +82,7 @@
 }
 
 async fn hello(node: &Rc<Node>, body: &[u8]) -> Reply {
-    let report: Report = match decode(body) {
+    let report: Heartbeat = match decode(body) {
         Ok(report) => report,
         Err(error) => {
             info!(%error, "report not understood");
@@ -92,7 +92,7 @@
     let now = node.now();
     let answer = node.core().report(&report, now);
     node.poke();
-    if let ReportAnswer::Carry(to) = answer {
+    if let HeartbeatAnswer::Carry(to) = answer {
         return carry_report(node, to, body).await;
     }
     let (status, body) = status_and_body(answer);
@@ -102,7 +102,7 @@
 /// What may be told of a job. From memory where that is new enough; else by a
 /// question to the store that begins after the request came. `Err`: it can't be
 /// told now. `Ok(None)`: no such job.
-async fn look_up(node: &Rc<Node>, id: &JobId) -> Result<Option<JobState>, Refusal> {
+async fn look_up(node: &Rc<Node>, id: &JobId) -> Result<Option<JobStatus>, QueryRefusal> {
     let mut unread = false;
     loop {
         let (answer, heard) = {
@@ -115,10 +115,10 @@
             Answer::OverIn(ms) => drop(smol::Timer::after(Duration::from_millis(ms)).await),
             // Guards against users who are held back for a store that answers
             // nobody here: they had better come again, or go elsewhere.
-            Answer::Reading | Answer::Unknown if !heard => return Err(Refusal::NoWord),
+            Answer::Reading | Answer::Unknown if !heard => return Err(QueryRefusal::NoWord),
             Answer::Reading => {
                 if !node.fresh().await {
-                    return Err(Refusal::Store);
+                    return Err(QueryRefusal::Store);
                 }
                 let now = node.now();
                 if let Some(answer) = node.core().unfinished(id, now) {
@@ -132,12 +132,12 @@
                 // Guards against a record that this process can't read, which is
                 // asked for again and again: the job is there, and unfinished.
                 Found::Unfinished if unread => {
-                    return Ok(Some(JobState::plain(id.clone(), Phase::Queued)));
+                    return Ok(Some(JobStatus::plain(id.clone(), JobPhase::Queued)));
                 }
                 Found::Unfinished => {
                     unread = true;
                     if !node.fresh().await {
-                        return Err(Refusal::Store);
+                        return Err(QueryRefusal::Store);
                     }
                 }
             },
@@ -147,38 +147,44 @@
 }
 
 /// Reads the ends of jobs that others await; what is still unfinished is in the copy then.
-async fn read_ends(node: &Rc<Node>, ids: &[JobId]) -> Result<(), Refusal> {
+async fn read_ends(node: &Rc<Node>, ids: &[JobId]) -> Result<(), QueryRefusal> {
     let mut unfinished = false;
     for id in ids {
         unfinished |= matches!(look(node, id).await.map_err(refusal)?, Found::Unfinished);
     }
     // Guards against going round without a pause for what the copy does not show yet.
     if unfinished && !node.fresh().await {
-        return Err(Refusal::Store);
+        return Err(QueryRefusal::Store);
     }
     Ok(())
 }
 
-fn refusal(missed: Missed) -> Refusal {
+fn refusal(missed: Missed) -> QueryRefusal {
     match missed {
-        Missed::Turn => Refusal::Lookups,
-        Missed::Store => Refusal::Store,
+        Missed::Turn => QueryRefusal::Lookups,
+        Missed::Store => QueryRefusal::Store,
     }
 }
 
 /// The same, in the time that a user waits for an answer.
-async fn look_up_in_time(node: &Rc<Node>, id: &JobId) -> Result<Option<JobState>, Refusal> {
+async fn look_up_in_time(node: &Rc<Node>, id: &JobId) -> Result<Option<JobStatus>, QueryRefusal> {
     within(USER_TIMEOUT_MS, look_up(node, id))
         .await
-        .unwrap_or(Err(Refusal::Store))
+        .unwrap_or(Err(QueryRefusal::Store))
 }
 
 /// Turns a question away at once, and notes that the job is owed an answer.
-fn turn_away(node: &Node, id: &JobId, asked: Asked, why: Refusal) -> Reply {
+fn turn_away(node: &Node, id: &JobId, asked: QueryKind, why: QueryRefusal) -> Reply {
     turn_away_for(node, id, asked, why, RETRY_AFTER_S)
 }
 
-fn turn_away_for(node: &Node, id: &JobId, asked: Asked, why: Refusal, after_s: u64) -> Reply {
+fn turn_away_for(
+    node: &Node,
+    id: &JobId,
+    asked: QueryKind,
+    why: QueryRefusal,
+    after_s: u64,
+) -> Reply {
     let now = node.now();
     let mut questions = node.questions.borrow_mut();
     debug!(job = %id, ?asked, ?why, "turned away");
@@ -193,7 +199,7 @@
 }
 
 /// A question was answered.
-fn answer(node: &Node, status: u16, state: &JobState) -> Reply {
+fn answer(node: &Node, status: u16, state: &JobStatus) -> Reply {
     node.questions.borrow_mut().answered(&state.id);
     Reply::new(status, encode(state))
 }
@@ -212,12 +218,12 @@
     }
 }
 
-fn state_of(id: &JobId, answer: Answer) -> Option<JobState> {
+fn state_of(id: &JobId, answer: Answer) -> Option<JobStatus> {
     match answer {
-        Answer::Over(phase) => Some(JobState::plain(id.clone(), phase)),
+        Answer::Over(phase) => Some(JobStatus::plain(id.clone(), phase)),
         Answer::Unfinished(phase, done, running, reason) => {
             let reason = (!reason.is_empty()).then_some(reason);
-            Some(JobState {
+            Some(JobStatus {
                 id: id.clone(),
                 phase,
                 done: Some(done),
@@ -236,12 +242,12 @@
     // Guards against a flood of polls that reports and submissions wait behind; but
     // no job is turned away for that again and again.
     if node.behind() && !node.questions.borrow().first(&id, node.now()) {
-        return turn_away(node, &id, Asked::Poll, Refusal::Behind);
+        return turn_away(node, &id, QueryKind::Poll, QueryRefusal::Behind);
     }
     match look_up_in_time(node, &id).await {
         Ok(Some(state)) => answer(node, 200, &state),
         Ok(None) => nobodys(node, &id),
-        Err(why) => turn_away(node, &id, Asked::Poll, why),
+        Err(why) => turn_away(node, &id, QueryKind::Poll, why),
     }
 }
 
@@ -271,7 +277,7 @@
         let core = node.core();
         let Some(catalog) = core.catalog.as_ref() else {
             drop(core);
-            return turn_away(node, &id, Asked::Submission, Refusal::NoCatalog);
+            return turn_away(node, &id, QueryKind::Submission, QueryRefusal::NoCatalog);
         };
         let cluster = &node.settings.cluster;
         never_runs(&spec, &cluster.teams, &cluster.zones, catalog)
@@ -286,11 +292,11 @@
                 node.questions.borrow_mut().answered(&id);
                 Reply::new(422, encode(&why))
             }
-            Err(why) => turn_away(node, &id, Asked::Submission, why),
+            Err(why) => turn_away(node, &id, QueryKind::Submission, why),
         };
     }
     if !node.told() {
-        return turn_away(node, &id, Asked::Submission, Refusal::NoWord);
+        return turn_away(node, &id, QueryKind::Submission, QueryRefusal::NoWord);
     }
     // Guards against taking in more than can be written before its user gives
     // up: the answer then would come after the user asked again.
@@ -305,7 +311,13 @@
         let after = RETRY_AFTER_S
             .max(wait.as_secs_f64().ceil() as u64)
             .min(RETRY_AFTER_MOST_S);
-        return turn_away_for(node, &id, Asked::Submission, Refusal::Writes, after);
+        return turn_away_for(
+            node,
+            &id,
+            QueryKind::Submission,
+            QueryRefusal::Writes,
+            after,
+        );
     }
     let (txns, phase) = match admission(node, &spec).await {
         Ok(admitted) => admitted,
@@ -315,30 +327,33 @@
     for txn in &txns {
         loop {
             match node.state.txn(txn).await {
-                Ok(TxnResult::Done(_)) => break,
-                Ok(TxnResult::Conflict(_)) => return known_job(node, &id).await,
+                Ok(CompareAndSwapResult::Done(_)) => break,
+                Ok(CompareAndSwapResult::Conflict(_)) => return known_job(node, &id).await,
                 // May have been made: the same transaction tells, since its
                 // conditions then fail.
-                Err(StateError::Unknown) if node.now() < deadline => {}
-                Err(_) => return turn_away(node, &id, Asked::Submission, Refusal::Store),
+                Err(KvError::Unknown) if node.now() < deadline => {}
+                Err(_) => return turn_away(node, &id, QueryKind::Submission, QueryRefusal::Store),
             }
         }
     }
     info!(job = %id, team = spec.team, class = spec.class, tasks = spec.tasks, awaits = spec.awaits.len(), ?phase, "job accepted");
     announce(node, &spec.team);
-    answer(node, 201, &JobState::plain(id, phase))
+    answer(node, 201, &JobStatus::plain(id, phase))
 }
 
 /// The transactions that accept a job, and what its user is told then; `Err`: the answer
 /// to a submission that can't be accepted, or not now.
-async fn admission(node: &Rc<Node>, spec: &JobSpec) -> Result<(Vec<Txn>, Phase), Reply> {
+async fn admission(
+    node: &Rc<Node>,
+    spec: &JobSpec,
+) -> Result<(Vec<CompareAndSwap>, JobPhase), Reply> {
     let id = &spec.id;
     let mut asked = false;
     loop {
         let admission = node.core().admit(spec, wall_ms());
         let unknown = match admission {
-            Admission::Accept(txns, phase) => return Ok((txns, phase)),
-            Admission::Unknown(ids) => ids,
+            DependencyAdmission::Accept(txns, phase) => return Ok((txns, phase)),
+            DependencyAdmission::Unknown(ids) => ids,
         };
         // Guards against refusing what only this node's copy does not know: the store is
         // asked about the awaited jobs, and about the job itself, which may be accepted.
@@ -346,11 +361,18 @@
             match look(node, awaited).await {
                 Ok(Found::Nowhere) => return Err(refuse_unknown(node, id, awaited).await),
                 Ok(_) => {}
-                Err(missed) => return Err(turn_away(node, id, Asked::Submission, refusal(missed))),
+                Err(missed) => {
+                    return Err(turn_away(node, id, QueryKind::Submission, refusal(missed)));
+                }
             }
         }
         if asked || !node.fresh().await {
-            return Err(turn_away(node, id, Asked::Submission, Refusal::Store));
+            return Err(turn_away(
+                node,
+                id,
+                QueryKind::Submission,
+                QueryRefusal::Store,
+            ));
         }
         asked = true;
     }
@@ -369,15 +391,15 @@
                 encode(&format!("awaits: {awaited} was never accepted")),
             )
         }
-        Err(why) => turn_away(node, id, Asked::Submission, why),
+        Err(why) => turn_away(node, id, QueryKind::Submission, why),
     }
 }
 
 async fn known_job(node: &Rc<Node>, id: &JobId) -> Reply {
     match look_up_in_time(node, id).await {
         Ok(Some(state)) => answer(node, 200, &state),
-        Ok(None) => turn_away(node, id, Asked::Submission, Refusal::Store),
-        Err(why) => turn_away(node, id, Asked::Submission, why),
+        Ok(None) => turn_away(node, id, QueryKind::Submission, QueryRefusal::Store),
+        Err(why) => turn_away(node, id, QueryKind::Submission, why),
     }
 }
 
@@ -422,11 +444,11 @@
     loop {
         match look_up_in_time(node, &id).await {
             Ok(None) => return nobodys(node, &id),
-            Ok(Some(state)) if matches!(state.phase, Phase::Done | Phase::Withdrawn) => {
+            Ok(Some(state)) if matches!(state.phase, JobPhase::Done | JobPhase::Withdrawn) => {
                 return answer(node, 200, &state);
             }
             Ok(Some(_)) => {}
-            Err(why) => return turn_away(node, &id, Asked::Withdrawal, why),
+            Err(why) => return turn_away(node, &id, QueryKind::Withdrawal, why),
         }
         let (team, cancellation) = {
             let core = node.core();
@@ -441,31 +463,33 @@
             if node.now() < deadline {
                 continue;
             }
-            return turn_away(node, &id, Asked::Withdrawal, Refusal::Store);
+            return turn_away(node, &id, QueryKind::Withdrawal, QueryRefusal::Store);
         };
         let Some(cancellation) = cancellation else {
             if until.is_none_or(|until| node.now() >= until) {
-                return turn_away(node, &id, Asked::Withdrawal, Refusal::Stopping);
+                return turn_away(node, &id, QueryKind::Withdrawal, QueryRefusal::Stopping);
             }
             smol::Timer::after(Duration::from_millis(TICK_MS)).await;
             continue;
         };
         // Guards against a user who is held back for as long as others' changes take.
         if node.state.write_wait() > Duration::from_millis(SUBMIT_WAIT_MS) {
-            return turn_away(node, &id, Asked::Withdrawal, Refusal::Writes);
+            return turn_away(node, &id, QueryKind::Withdrawal, QueryRefusal::Writes);
         }
         match node.state.txn(&cancellation).await {
-            Ok(TxnResult::Done(_)) => {
+            Ok(CompareAndSwapResult::Done(_)) => {
                 info!(job = %id, "withdrawal asked for");
                 announce(node, &team);
                 until = Some(node.now() + WITHDRAW_WAIT_MS);
                 // Guards against making the same change again until the copy shows it.
                 node.fresh().await;
             }
-            Ok(TxnResult::Conflict(_)) | Err(StateError::Unknown) if node.now() < deadline => {
+            Ok(CompareAndSwapResult::Conflict(_)) | Err(KvError::Unknown)
+                if node.now() < deadline =>
+            {
                 drop(node.fresh().await)
             }
-            _ => return turn_away(node, &id, Asked::Withdrawal, Refusal::Store),
+            _ => return turn_away(node, &id, QueryKind::Withdrawal, QueryRefusal::Store),
         }
     }
 }
--- a/crates/node/src/router.rs
+++ b/crates/node/src/router.rs
@@ -11,17 +11,18 @@
 use tracing::debug;
 
 use crate::Node;
-use lemonweir_coordination::{Core, ReportAnswer};
+use lemonweir_coordination::{Core, HeartbeatAnswer};
 use lemonweir_model::constants::*;
 use lemonweir_protocol::encode;
 use lemonweir_protocol::links::{
-    self, Answers, CARRY, Carried, Carry, Fate, Goal, LINKS_VERSION, REPORTS, Reports, Service,
+    self, LINKS_VERSION, RELAY_HEARTBEATS_PATH, RELAY_PATH, RelayOutcome, RelayRequest,
+    RelayResponse, RelayTarget, RelayedAnswers, RelayedHeartbeats, Service,
 };
-use lemonweir_protocol::worker::{Elsewhere, Report};
+use lemonweir_protocol::worker::{Heartbeat, Redirect};
 use lemonweir_transport::{CallError, Client, Reply, Response, within};
 
 /// Makes calls to the services on the way that the core names.
-pub(crate) struct Courier {
+pub(crate) struct Router {
     pub(crate) http: Rc<Client>,
     pub(crate) core: Rc<Mutex<Core>>,
     /// Other controllers' addresses, by their numbers.
@@ -31,7 +32,7 @@
     pub(crate) started: Instant,
 }
 
-impl Courier {
+impl Router {
     fn now(&self) -> u64 {
         self.started.elapsed().as_millis() as u64
     }
@@ -62,9 +63,9 @@
         let Some(by) = by else {
             return self.call_direct(service, method, path, body, wait_ms).await;
         };
-        let call = Carry {
+        let call = RelayRequest {
             version: LINKS_VERSION,
-            goal: Goal::Service(service),
+            goal: RelayTarget::Service(service),
             method: method.to_owned(),
             path: path.to_owned(),
             body: body.to_vec(),
@@ -109,7 +110,7 @@
     }
 
     /// Asks another controller to make a call in our place.
-    pub(crate) async fn ask(&self, by: u16, call: &Carry) -> Result<Response, CallError> {
+    pub(crate) async fn ask(&self, by: u16, call: &RelayRequest) -> Result<Response, CallError> {
         let addr = self.peers.get(&by).copied().ok_or(CallError::NotSent)?;
         // A moment for the second message on top of what the first may take.
         let response = self
@@ -117,7 +118,7 @@
             .call(
                 addr,
                 "POST",
-                CARRY,
+                RELAY_PATH,
                 &links::write(call),
                 call.wait_ms + TICK_MS,
             )
@@ -126,17 +127,17 @@
             // Not taken: it is not in a state to carry, or doesn't know how.
             return Err(CallError::NotSent);
         }
-        match links::read::<Carried>(&response.body) {
-            Ok(Carried {
-                fate: Fate::Answer { status, body },
+        match links::read::<RelayResponse>(&response.body) {
+            Ok(RelayResponse {
+                fate: RelayOutcome::Answer { status, body },
                 ..
             }) => Ok(Response { status, body }),
-            Ok(Carried {
-                fate: Fate::NotSent,
+            Ok(RelayResponse {
+                fate: RelayOutcome::NotSent,
                 ..
             }) => Err(CallError::NotSent),
-            Ok(Carried {
-                fate: Fate::Unknown,
+            Ok(RelayResponse {
+                fate: RelayOutcome::Unknown,
                 ..
             })
             | Err(_) => Err(CallError::Unknown),
@@ -144,10 +145,10 @@
     }
 
     /// Makes a call in another controller's place.
-    pub(crate) async fn carry(&self, call: &Carry) -> Reply {
+    pub(crate) async fn carry(&self, call: &RelayRequest) -> Reply {
         let wait_ms = call.wait_ms.min(CLOUD_TIMEOUT_MS);
         let result = match &call.goal {
-            Goal::Service(service) => {
+            RelayTarget::Service(service) => {
                 // Guards against calls that go round: nothing is carried on.
                 if !self.core().links.carries(*service) {
                     return Reply::empty(503);
@@ -155,7 +156,7 @@
                 self.call_direct(*service, &call.method, &call.path, &call.body, wait_ms)
                     .await
             }
-            Goal::Worker(addr) => match addr.parse() {
+            RelayTarget::Worker(addr) => match addr.parse() {
                 Ok(addr) if call.path == "/commands" => {
                     self.http
                         .call(addr, &call.method, &call.path, &call.body, wait_ms)
@@ -165,16 +166,16 @@
             },
         };
         let fate = match result {
-            Ok(response) => Fate::Answer {
+            Ok(response) => RelayOutcome::Answer {
                 status: response.status,
                 body: response.body,
             },
-            Err(CallError::NotSent) => Fate::NotSent,
-            Err(CallError::Unknown) => Fate::Unknown,
+            Err(CallError::NotSent) => RelayOutcome::NotSent,
+            Err(CallError::Unknown) => RelayOutcome::Unknown,
         };
         Reply::new(
             200,
-            links::write(&Carried {
+            links::write(&RelayResponse {
                 version: LINKS_VERSION,
                 fate,
             }),
@@ -192,7 +193,7 @@
 
 /// Reports that wait to be carried, by the owner's number.
 #[derive(Default)]
-pub(crate) struct Gathered {
+pub(crate) struct HeartbeatBatch {
     waiting: HashMap<u16, Vec<Waiting>>,
 }
 
@@ -243,7 +244,7 @@
 async fn send_batch(node: &Node, to: u16, batch: Vec<Waiting>) {
     let (reports, senders): (Vec<Vec<u8>>, Vec<_>) = batch.into_iter().unzip();
     let by = node.core().config.me;
-    let message = links::write(&Reports {
+    let message = links::write(&RelayedHeartbeats {
         version: LINKS_VERSION,
         by,
         reports,
@@ -251,7 +252,13 @@
     let response = match node.courier.peers.get(&to) {
         Some(addr) => {
             node.http
-                .call(*addr, "POST", REPORTS, &message, CARRY_REPORT_MS)
+                .call(
+                    *addr,
+                    "POST",
+                    RELAY_HEARTBEATS_PATH,
+                    &message,
+                    CARRY_REPORT_MS,
+                )
                 .await
         }
         None => Err(CallError::NotSent),
@@ -259,8 +266,8 @@
     let now = node.now();
     node.core().links.reached(to, response.is_ok(), now);
     let Ok(response) = response else { return };
-    match links::read::<Answers>(&response.body) {
-        Ok(Answers { answers, .. }) if response.status == 200 => {
+    match links::read::<RelayedAnswers>(&response.body) {
+        Ok(RelayedAnswers { answers, .. }) if response.status == 200 => {
             for (sender, answer) in senders.iter().zip(answers) {
                 // Who asked may have given up.
                 let _ = sender.try_send(answer);
@@ -271,11 +278,11 @@
 }
 
 /// Answers reports that another controller carries here.
-pub(crate) fn take_reports(node: &Node, reports: &Reports) -> Reply {
+pub(crate) fn take_reports(node: &Node, reports: &RelayedHeartbeats) -> Reply {
     let now = node.now();
     let mut answers = Vec::with_capacity(reports.reports.len());
     for body in &reports.reports {
-        answers.push(match lemonweir_protocol::decode::<Report>(body) {
+        answers.push(match lemonweir_protocol::decode::<Heartbeat>(body) {
             Ok(report) => status_and_body(node.core().carried_report(&report, reports.by, now)),
             Err(_) => (400, Vec::new()),
         });
@@ -283,7 +290,7 @@
     node.poke();
     Reply::new(
         200,
-        links::write(&Answers {
+        links::write(&RelayedAnswers {
             version: LINKS_VERSION,
             answers,
         }),
@@ -291,10 +298,10 @@
 }
 
 /// What a worker is answered, where nothing is to be carried.
-pub(crate) fn status_and_body(answer: ReportAnswer) -> (u16, Vec<u8>) {
+pub(crate) fn status_and_body(answer: HeartbeatAnswer) -> (u16, Vec<u8>) {
     match answer {
-        ReportAnswer::Orders(reply) => (200, encode(&reply)),
-        ReportAnswer::Elsewhere(host) => (421, encode(&Elsewhere { host: Some(host) })),
-        ReportAnswer::Carry(_) | ReportAnswer::Unable => (503, Vec::new()),
+        HeartbeatAnswer::Orders(reply) => (200, encode(&reply)),
+        HeartbeatAnswer::Elsewhere(host) => (421, encode(&Redirect { host: Some(host) })),
+        HeartbeatAnswer::Carry(_) | HeartbeatAnswer::Unable => (503, Vec::new()),
     }
 }
--- a/crates/node/tests/holds.rs
+++ b/crates/node/tests/holds.rs
@@ -9,10 +9,11 @@
 
 use lemonweir_model::settings::Settings;
 use lemonweir_protocol::kv_store::{
-    Change, Changes, Entry, HoldReply, Page, Txn, TxnReply, Write, to_value,
+    CompareAndSwap, CompareAndSwapResponse, KeyValue, LeaseResponse, ListResponse, WatchEvent,
+    WatchResponse, Write, to_value,
 };
 use lemonweir_protocol::{decode, encode};
-use lemonweir_storage::records::{ChunkRecord, part_key, run_prefix};
+use lemonweir_storage::records::{TaskChunkRecord, part_key, run_prefix};
 
 /// Pages of the part's task records, and how long each answer takes.
 const PAGES: usize = 9;
@@ -23,7 +24,7 @@
 #[derive(Clone, Debug, PartialEq)]
 enum Seen {
     Renewal,
-    Page(usize),
+    ListResponse(usize),
     Taking,
     Images,
 }
@@ -32,13 +33,13 @@
 struct Store {
     revision: u64,
     versions: BTreeMap<String, u64>,
-    log: Vec<Change>,
+    log: Vec<WatchEvent>,
     seen: Vec<Seen>,
     refused: bool,
 }
 
 impl Store {
-    fn txn(&mut self, txn: &Txn) -> (u16, Vec<u8>) {
+    fn txn(&mut self, txn: &CompareAndSwap) -> (u16, Vec<u8>) {
         let version = |key: &String| self.versions.get(key).copied().unwrap_or(0);
         let failed: Vec<String> = txn
             .conditions
@@ -49,7 +50,7 @@
         if !failed.is_empty() {
             return (
                 409,
-                encode(&TxnReply {
+                encode(&CompareAndSwapResponse {
                     failed,
                     revision: self.revision,
                 }),
@@ -63,7 +64,7 @@
                         self.seen.push(Seen::Taking);
                     }
                     self.versions.insert(key.clone(), self.revision);
-                    Change {
+                    WatchEvent {
                         set: Some(key.clone()),
                         drop: None,
                         value: Some(value.clone()),
@@ -72,7 +73,7 @@
                 }
                 Write::Delete { key } => {
                     self.versions.remove(key);
-                    Change {
+                    WatchEvent {
                         set: None,
                         drop: Some(key.clone()),
                         value: None,
@@ -84,7 +85,7 @@
         }
         (
             200,
-            encode(&TxnReply {
+            encode(&CompareAndSwapResponse {
                 failed: Vec::new(),
                 revision: self.revision,
             }),
@@ -93,10 +94,10 @@
 }
 
 fn answer(store: &Mutex<Store>, method: &str, path: &str, body: &[u8]) -> (u16, Vec<u8>) {
-    let page = |entries: Vec<Entry>, more: bool, revision: u64| {
+    let page = |entries: Vec<KeyValue>, more: bool, revision: u64| {
         (
             200,
-            encode(&Page {
+            encode(&ListResponse {
                 entries,
                 more,
                 revision,
@@ -114,23 +115,23 @@
         if n == REFUSED && !std::mem::replace(&mut store.refused, true) {
             return (503, Vec::new());
         }
-        store.seen.push(Seen::Page(n));
-        let entry = Entry {
+        store.seen.push(Seen::ListResponse(n));
+        let entry = KeyValue {
             key: format!("{}req-000001/{n}", run_prefix(0)),
-            value: to_value(&ChunkRecord::default()),
+            value: to_value(&TaskChunkRecord::default()),
             version: 1,
         };
         return page(vec![entry], n + 1 < PAGES, store.revision);
     }
     let mut store = store.lock().expect("unbroken");
     match (method, path) {
-        ("POST", "/holds") => (200, encode(&HoldReply { hold: 7 })),
+        ("POST", "/holds") => (200, encode(&LeaseResponse { hold: 7 })),
         ("POST", "/holds/7/renew") => {
             store.seen.push(Seen::Renewal);
-            (200, encode(&HoldReply { hold: 7 }))
+            (200, encode(&LeaseResponse { hold: 7 }))
         }
         ("POST", "/txn") => {
-            let txn = decode::<Txn>(body).expect("a transaction");
+            let txn = decode::<CompareAndSwap>(body).expect("a transaction");
             store.txn(&txn)
         }
         ("GET", path) if path.starts_with("/watch") => {
@@ -147,7 +148,7 @@
                 .collect();
             (
                 200,
-                encode(&Changes {
+                encode(&WatchResponse {
                     revision: store.revision,
                     events,
                 }),
@@ -254,7 +255,11 @@
     // In pages, each of which takes a seventh of what a hold lives.
     let longest = seen
         .split(|s| *s == Seen::Renewal)
-        .map(|s| s.iter().filter(|s| matches!(s, Seen::Page(_))).count())
+        .map(|s| {
+            s.iter()
+                .filter(|s| matches!(s, Seen::ListResponse(_)))
+                .count()
+        })
         .max();
     assert!(longest.is_some_and(|pages| pages <= 5), "{seen:?}");
 }
--- a/crates/protocol/src/cloud.rs
+++ b/crates/protocol/src/cloud.rs
@@ -3,7 +3,7 @@
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-use lemonweir_model::{Catalog, MachineId, MachineType, Room};
+use lemonweir_model::{Catalog, MachineId, MachineType, Resources};
 
 /// Reads entries one by one, so that a malformed one changes nothing else: those
 /// that are understood, and a line for each other one that names its fault.
@@ -20,8 +20,8 @@
 
 /// The catalog as it comes.
 #[derive(Debug, Deserialize, Serialize)]
-pub struct CatalogReply {
-    /// The machine types, each a [`TypeEntry`].
+pub struct CatalogResponse {
+    /// The machine types, each a [`MachineTypeEntry`].
     pub hardware: Vec<rmpv::Value>,
 }
 
@@ -29,7 +29,7 @@
 #[derive(Debug, Deserialize, Serialize)]
 #[serde(rename_all = "camelCase")]
 #[allow(missing_docs)]
-pub struct TypeEntry {
+pub struct MachineTypeEntry {
     pub name: String,
     pub cores: f64,
     pub gpus: f64,
@@ -47,15 +47,15 @@
     pub halls: Vec<String>,
 }
 
-impl CatalogReply {
+impl CatalogResponse {
     /// The types by name, and a line for each that is malformed.
     pub fn into_catalog(self) -> (Catalog, Vec<String>) {
-        let (types, faults) = each::<TypeEntry>(self.hardware, "hardware");
+        let (types, faults) = each::<MachineTypeEntry>(self.hardware, "hardware");
         let catalog = types
             .into_iter()
             .map(|t| {
                 let machine_type = MachineType {
-                    room: Room::offer(t.cores, t.gpus, t.ram_gb),
+                    room: Resources::offer(t.cores, t.gpus, t.ram_gb),
                     name: t.name.clone(),
                     cache_gb: t.cache_gb,
                     fetch_gb_per_s: t.pull_gb_per_s,
@@ -73,7 +73,7 @@
 
 /// A request for machines.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
-pub struct Rental {
+pub struct ProvisioningRequest {
     /// Name of the request, never used twice.
     pub booking: String,
     /// Machine type.
@@ -92,7 +92,7 @@
 
 /// Names of machines, in requests and answers.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Machines {
+pub struct MachineNames {
     /// The names.
     #[serde(rename = "boxes")]
     pub machines: Vec<MachineId>,
@@ -100,8 +100,8 @@
 
 /// A page of the list of rentals.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct RentalList {
-    /// The machines, each a [`RentalEntry`].
+pub struct InstanceList {
+    /// The machines, each a [`InstanceEntry`].
     #[serde(rename = "boxes")]
     pub machines: Vec<rmpv::Value>,
     /// True if more follow.
@@ -109,16 +109,16 @@
     pub more: bool,
 }
 
-impl RentalList {
+impl InstanceList {
     /// The machines, and a line for each entry that is malformed.
-    pub fn entries(self) -> (Vec<RentalEntry>, Vec<String>) {
+    pub fn entries(self) -> (Vec<InstanceEntry>, Vec<String>) {
         each(self.machines, "boxes")
     }
 }
 
 /// A machine of the list.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct RentalEntry {
+pub struct InstanceEntry {
     /// Its name.
     #[serde(rename = "nameId")]
     pub id: MachineId,
@@ -140,7 +140,7 @@
 
 /// The body of a refusal.
 #[derive(Debug, Deserialize, Serialize)]
-pub struct CloudFault {
+pub struct MalformedCloudEntry {
     /// `no capacity` or `trouble`.
     #[serde(default)]
     pub error: String,
--- a/crates/protocol/src/image_locality.rs
+++ b/crates/protocol/src/image_locality.rs
@@ -4,23 +4,23 @@
 
 /// An image with its users and its copies, as the asked controller knows them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct WeightsPicture {
+pub struct ImageLocalityReport {
     /// The image.
     pub image: String,
     /// Its size in thousandths of a GB, if an unfinished job tells it.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub mb: Option<u64>,
     /// Unfinished jobs that use it, by class.
-    pub users: Vec<UserRow>,
+    pub users: Vec<ImageUserRow>,
     /// Zones in which it lies or could lie.
-    pub zones: Vec<ZoneRow>,
+    pub zones: Vec<ZoneImageRow>,
     /// How old the word of each part's owner is.
-    pub parts: Vec<PartRow>,
+    pub parts: Vec<ShardImageRow>,
 }
 
 /// Jobs of one class.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct UserRow {
+pub struct ImageUserRow {
     /// The class.
     pub class: String,
     /// Jobs, and their tasks that are not done.
@@ -31,7 +31,7 @@
 
 /// One zone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ZoneRow {
+pub struct ZoneImageRow {
     /// Its name.
     pub zone: String,
     /// Machines that have the image, and that fetch it.
@@ -48,7 +48,7 @@
 
 /// A part's word.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PartRow {
+pub struct ShardImageRow {
     /// The part.
     pub part: u16,
     /// Seconds since its owner last told of its machines; none: never.
--- a/crates/protocol/src/kv_store.rs
+++ b/crates/protocol/src/kv_store.rs
@@ -5,7 +5,7 @@
 
 /// An entry of the store.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Entry {
+pub struct KeyValue {
     /// Key.
     #[serde(rename = "path")]
     pub key: String,
@@ -19,9 +19,9 @@
 
 /// A page of entries.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Page {
+pub struct ListResponse {
     /// The entries.
-    pub entries: Vec<Entry>,
+    pub entries: Vec<KeyValue>,
     /// True if more follow.
     #[serde(rename = "truncated", default)]
     pub more: bool,
@@ -78,7 +78,7 @@
 
 /// A transaction.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Default)]
-pub struct Txn {
+pub struct CompareAndSwap {
     /// All must hold.
     #[serde(rename = "when")]
     pub conditions: Vec<Condition>,
@@ -88,7 +88,7 @@
 
 /// The answer to a transaction.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct TxnReply {
+pub struct CompareAndSwapResponse {
     /// Keys whose conditions failed.
     #[serde(default)]
     pub failed: Vec<String>,
@@ -99,7 +99,7 @@
 
 /// Asks for a hold.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct HoldRequest {
+pub struct LeaseRequest {
     /// Time to live, ms.
     #[serde(rename = "ttlMs")]
     pub ttl_ms: u64,
@@ -107,7 +107,7 @@
 
 /// A hold.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct HoldReply {
+pub struct LeaseResponse {
     /// Its id.
     #[serde(rename = "permit")]
     pub hold: u64,
@@ -115,18 +115,18 @@
 
 /// Changes since a revision.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Changes {
+pub struct WatchResponse {
     /// Revision of the store.
     #[serde(rename = "ledger")]
     pub revision: u64,
     /// The changes in order.
     #[serde(default)]
-    pub events: Vec<Change>,
+    pub events: Vec<WatchEvent>,
 }
 
 /// One change.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Change {
+pub struct WatchEvent {
     /// Key that was set.
     #[serde(default)]
     pub set: Option<String>,
--- a/crates/protocol/src/links.rs
+++ b/crates/protocol/src/links.rs
@@ -9,11 +9,11 @@
 use serde::{Deserialize, Serialize};
 
 /// Path on which controllers tell each other of their links.
-pub const HAIL: &str = "/peer/links";
+pub const GOSSIP_PATH: &str = "/peer/links";
 /// Path on which a controller asks for a call to be made in its place.
-pub const CARRY: &str = "/peer/carry";
+pub const RELAY_PATH: &str = "/peer/carry";
 /// Path on which workers' reports are carried to the owner.
-pub const REPORTS: &str = "/peer/reports";
+pub const RELAY_HEARTBEATS_PATH: &str = "/peer/reports";
 /// Version of these messages.
 pub const LINKS_VERSION: u8 = 1;
 
@@ -33,7 +33,7 @@
     Deserialize,
 )]
 #[serde(rename_all = "snake_case")]
-pub enum Standing {
+pub enum LinkState {
     /// Nothing went over it yet, or nothing was due.
     #[default]
     Unknown,
@@ -49,7 +49,7 @@
 
 /// What a controller says of its own links. Ages are ms as of its sending.
 #[derive(Clone, Debug, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct Word {
+pub struct AvailabilityGossip {
     /// Format.
     pub version: u8,
     /// Who says so: its number among the controllers.
@@ -60,12 +60,12 @@
     /// The same of the cloud.
     pub cloud_ms: Option<u64>,
     /// Its links to the other controllers, and for how long they stand so.
-    pub peers: Vec<(u16, Standing, u64)>,
+    pub peers: Vec<(u16, LinkState, u64)>,
     /// Zones, and since when no worker of them came to it by itself.
     pub zones: Vec<(String, u64)>,
 }
 
-impl Word {
+impl AvailabilityGossip {
     /// ms since a service last answered it by itself.
     pub fn age_ms(&self, service: Service) -> Option<u64> {
         match service {
@@ -99,7 +99,7 @@
 
 /// Whom a carried call shall reach.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub enum Goal {
+pub enum RelayTarget {
     /// One of the services, at the address that the carrier knows.
     Service(Service),
     /// A worker's `/commands`, at this address.
@@ -108,11 +108,11 @@
 
 /// A call to be made in the sender's place, at once and not by a third.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct Carry {
+pub struct RelayRequest {
     /// Format.
     pub version: u8,
     /// Whom it shall reach.
-    pub goal: Goal,
+    pub goal: RelayTarget,
     /// Method.
     pub method: String,
     /// Path.
@@ -125,16 +125,16 @@
 
 /// The carrier's answer.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct Carried {
+pub struct RelayResponse {
     /// Format.
     pub version: u8,
     /// What became of the call.
-    pub fate: Fate,
+    pub fate: RelayOutcome,
 }
 
 /// What became of a carried call.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub enum Fate {
+pub enum RelayOutcome {
     /// Answered.
     Answer {
         /// Status.
@@ -150,7 +150,7 @@
 
 /// Reports of workers that can't reach their machine's owner.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct Reports {
+pub struct RelayedHeartbeats {
     /// Format.
     pub version: u8,
     /// Number of the controller that carries them.
@@ -161,7 +161,7 @@
 
 /// The owner's own answers, in the order of the reports: status and body.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct Answers {
+pub struct RelayedAnswers {
     /// Format.
     pub version: u8,
     /// One for each report.
@@ -185,7 +185,7 @@
 
 /// The picture that `GET /v1/links` shows.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Picture {
+pub struct LinksReport {
     /// Links, the asked controller's own first.
     pub links: Vec<LinkRow>,
     /// Workers whose reports it carries to their owners.
@@ -200,7 +200,7 @@
     /// `state service`, `cloud`, a controller, or `workers of` a zone.
     pub to: String,
     /// How it stands.
-    pub standing: Standing,
+    pub standing: LinkState,
     /// Seconds for which it has stood so, as far as is known.
     pub for_s: u64,
     /// Controller that carries what goes over it.
