--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -1,9 +1,9 @@
 //! Controllers among themselves.
 //!
 //! There is one exchange. A part's placer says what it wants of another part
-//! ([`Sync`]); that part's owner answers with what it has ([`View`]). Both say
+//! ([`SyncRequest`]); that part's owner answers with what it has ([`ShardView`]). Both say
 //! what changed since the state that the other side acknowledged, as a
-//! [`Span`] of numbers; one that begins at 0 starts from nothing, which is how
+//! [`ChangeRange`] of numbers; one that begins at 0 starts from nothing, which is how
 //! a whole state is told. A change carries the newest value, so a repeated one
 //! changes nothing, and a late message is recognised by its number. The same
 //! bytes travel over HTTP or, when two controllers can't reach each other,
@@ -12,12 +12,12 @@
 use borsh::{BorshDeserialize, BorshSerialize};
 
 use lemonweir_model::constants::PEER_VERSION;
-use lemonweir_model::{AttemptId, JobId, MachineId, Rank, Room};
+use lemonweir_model::{AttemptId, JobId, MachineId, Priority, Resources};
 
 /// Which of a sender's numbered changes a message holds: those after `since`,
 /// up to `upto`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct Span {
+pub struct ChangeRange {
     /// The state that the changes build on; 0: nothing.
     pub since: u64,
     /// The state that they lead to.
@@ -26,13 +26,13 @@
     pub last: bool,
 }
 
-impl Span {
+impl ChangeRange {
     /// What a receiver at state `at` can do with it: `None` if something is
     /// missing between, or if the numbers make no sense.
-    pub fn follows(&self, at: u64) -> Option<Follow> {
+    pub fn follows(&self, at: u64) -> Option<Continuation> {
         match self.since {
-            0 => Some(Follow::Anew),
-            since if since <= at && since <= self.upto => Some(Follow::On),
+            0 => Some(Continuation::Anew),
+            since if since <= at && since <= self.upto => Some(Continuation::On),
             _ => None,
         }
     }
@@ -40,7 +40,7 @@
 
 /// How a span goes on from what its receiver has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Follow {
+pub enum Continuation {
     /// From nothing: what it and its successors don't name is no more.
     Anew,
     /// From what there is.
@@ -49,7 +49,7 @@
 
 /// What a placer wants of an owner.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
-pub struct Sync {
+pub struct SyncRequest {
     /// Format.
     pub version: u8,
     /// Part of the placer.
@@ -65,25 +65,25 @@
     /// ms since the sender's node last heard from the store.
     pub store_age_ms: u64,
     /// Which changes of the recorded attempts on the owner's machines follow.
-    pub span: Span,
+    pub span: ChangeRange,
     /// Attempts that are new or wanted differently.
-    pub wants: Vec<Want>,
+    pub wants: Vec<DesiredAttempt>,
     /// Attempts that are no longer wanted, since their end is written.
     pub dropped: Vec<AttemptId>,
     /// Stops that stand behind the changes that had room here, with their grace:
     /// they don't wait for their turn.
     pub stops: Vec<(AttemptId, u32)>,
     /// States of the owner's machines and of its attempts that the placer has.
-    pub have: Have,
+    pub have: ObservedState,
     /// Machines of the owner that reported to the placer's node of late: they
     /// can't reach the owner.
     pub strays: u32,
     /// Machines rented by the placer that belong to the owner.
-    pub rented: Vec<Rented>,
+    pub rented: Vec<ProvisionedInstance>,
     /// Empty machines that the placer counts on for work to come.
     pub keep: Vec<MachineId>,
     /// Counts of the placer's jobs that changed, for answers at any node.
-    pub notes: Vec<JobNote>,
+    pub notes: Vec<JobProgress>,
 }
 
 /// Why a sync was not answered: its sender's part has been taken by another
@@ -102,7 +102,7 @@
 
 /// How much of an owner's state a placer has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct Have {
+pub struct ObservedState {
     /// Number of its machines' state.
     pub machines: u64,
     /// Number of the attempts' state.
@@ -111,13 +111,13 @@
 
 /// One attempt that shall run, or shall end.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
-pub struct Want {
+pub struct DesiredAttempt {
     /// The attempt.
     pub id: AttemptId,
     /// Where.
     pub machine: MachineId,
     /// What it takes.
-    pub need: Room,
+    pub need: Resources,
     /// Its image.
     pub image: String,
     /// Size of the image, thousandths of a GB.
@@ -130,7 +130,7 @@
     /// Its team.
     pub team: String,
     /// Priority of its job.
-    pub rank: Rank,
+    pub rank: Priority,
     /// True if its team runs it beyond its guarantee.
     pub over: bool,
     /// Seconds of grace that it gets when it makes way for other work.
@@ -138,12 +138,12 @@
     /// True if it runs until its job is cancelled.
     pub lasting: bool,
     /// Whom it may push out if there is no room.
-    pub evict: Evict,
+    pub evict: PreemptionScope,
 }
 
 /// Whom an attempt may push out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub enum Evict {
+pub enum PreemptionScope {
     /// Nobody.
     Nobody,
     /// Work of lower priority.
@@ -152,20 +152,21 @@
     LowerAndOver,
 }
 
-impl Evict {
+impl PreemptionScope {
     /// True if an attempt of this team and priority may push out another.
     /// Work within its team's guarantee is pushed out only by a higher
     /// priority that is within its own: otherwise it would come back at once
     /// and push out whoever took its place, for ever. Nor do
     /// shares push out production or a higher priority: a replica that is
     /// down costs its users more than a batch task that waits.
-    pub fn allows(self, team: &str, rank: Rank, victim: &Want) -> bool {
+    pub fn allows(self, team: &str, rank: Priority, victim: &DesiredAttempt) -> bool {
         match self {
-            Evict::Nobody => false,
-            Evict::Lower => victim.over && victim.rank > rank,
-            Evict::LowerAndOver => {
-                let others =
-                    victim.team != team && victim.rank >= rank && victim.rank != Rank::Production;
+            PreemptionScope::Nobody => false,
+            PreemptionScope::Lower => victim.over && victim.rank > rank,
+            PreemptionScope::LowerAndOver => {
+                let others = victim.team != team
+                    && victim.rank >= rank
+                    && victim.rank != Priority::Production;
                 victim.rank > rank || victim.over && others
             }
         }
@@ -174,7 +175,7 @@
 
 /// A machine that was rented and has not shown up yet.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
-pub struct Rented {
+pub struct ProvisionedInstance {
     /// Its name.
     pub machine: MachineId,
     /// Its type.
@@ -189,7 +190,7 @@
 
 /// Counts of a job, for display.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
-pub struct JobNote {
+pub struct JobProgress {
     /// The job.
     pub job: JobId,
     /// Tasks done.
@@ -202,7 +203,7 @@
 
 /// What an owner has.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
-pub struct View {
+pub struct ShardView {
     /// Format.
     pub version: u8,
     /// Part of the owner.
@@ -216,22 +217,22 @@
     /// State of the asker's wants that the owner has; 0: it needs all.
     pub wants_at: u64,
     /// Zones of the part that are out of its owner's sight.
-    pub hidden: Vec<Hidden>,
+    pub hidden: Vec<PartitionedZone>,
     /// Which changes of machines follow.
-    pub machines_span: Span,
+    pub machines_span: ChangeRange,
     /// Machines that are new or changed.
     pub machines: Vec<MachineView>,
     /// Machines that are no more.
     pub gone: Vec<MachineId>,
     /// Which changes of attempts follow.
-    pub attempts_span: Span,
+    pub attempts_span: ChangeRange,
     /// The asker's attempts that moved on.
-    pub attempts: Vec<AttemptView>,
+    pub attempts: Vec<AttemptStatus>,
 }
 
 /// A zone whose machines are mostly silent to their owner.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct Hidden {
+pub struct PartitionedZone {
     /// The zone.
     pub zone: String,
     /// ms since when.
@@ -258,11 +259,11 @@
     /// True if the tasks on it should move: the cloud takes it.
     pub leaving: bool,
     /// Free room.
-    pub free: Room,
+    pub free: Resources,
     /// Room of attempts below each priority, highest first.
-    pub soft: [Room; 3],
+    pub soft: [Resources; 3],
     /// The same with all that teams run beyond their guarantees.
-    pub soft_over: [Room; 3],
+    pub soft_over: [Resources; 3],
     /// Tasks on it.
     pub busy: u16,
     /// Tasks on it that run until their jobs are cancelled.
@@ -277,16 +278,16 @@
 
 /// An attempt as its owner sees it.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
-pub struct AttemptView {
+pub struct AttemptStatus {
     /// The attempt.
     pub id: AttemptId,
     /// How it stands.
-    pub standing: Standing,
+    pub standing: AttemptState,
 }
 
 /// How an attempt stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub enum Standing {
+pub enum AttemptState {
     /// Accepted; not seen on the machine yet.
     Accepted,
     /// On the machine, fetching its image or waiting for its gang.
@@ -294,26 +295,26 @@
     /// Runs (or saves).
     Running,
     /// Exited with this cause.
-    Exited(Cause),
+    Exited(ExitCause),
     /// Proven to be on no machine and never to start.
     Gone,
     /// Never started, and never will be: no room, or the machine is closed.
     Refused,
 }
 
-impl Standing {
+impl AttemptState {
     /// True if the attempt is proven to be over.
     pub fn ended(self) -> bool {
         matches!(
             self,
-            Standing::Exited(_) | Standing::Gone | Standing::Refused
+            AttemptState::Exited(_) | AttemptState::Gone | AttemptState::Refused
         )
     }
 }
 
 /// Why an attempt exited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub enum Cause {
+pub enum ExitCause {
     /// Completed.
     Done,
     /// Stopped by command.
@@ -332,18 +333,18 @@
     Unknown,
 }
 
-impl Cause {
+impl ExitCause {
     /// Reads a cause from a report; what we don't know counts as a failure.
     pub fn read(text: Option<&str>) -> Self {
         match text {
-            Some("done") => Cause::Done,
-            Some("stopped") => Cause::Stopped,
-            Some("peers") => Cause::Peers,
-            Some("alone") => Cause::Alone,
-            Some("no_room") => Cause::NoRoom,
-            Some("in_use") => Cause::InUse,
-            Some("unknown") => Cause::Unknown,
-            _ => Cause::Error,
+            Some("done") => ExitCause::Done,
+            Some("stopped") => ExitCause::Stopped,
+            Some("peers") => ExitCause::Peers,
+            Some("alone") => ExitCause::Alone,
+            Some("no_room") => ExitCause::NoRoom,
+            Some("in_use") => ExitCause::InUse,
+            Some("unknown") => ExitCause::Unknown,
+            _ => ExitCause::Error,
         }
     }
 }
--- a/crates/protocol/src/supervision.rs
+++ b/crates/protocol/src/supervision.rs
@@ -4,13 +4,13 @@
 
 /// The state of parts and services as one controller knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Watch {
+pub struct SupervisionReport {
     /// The controller.
     pub host: String,
     /// ms since its last reading of the store began; none: it has not read it yet.
     pub age_ms: Option<u64>,
     /// The parts.
-    pub parts: Vec<PartRow>,
+    pub parts: Vec<ShardRow>,
     /// Services, and replicas promised and up, of all parts.
     pub services: usize,
     /// Replicas promised.
@@ -18,12 +18,12 @@
     /// Replicas up; of services of other controllers' parts as these told last.
     pub up: u64,
     /// Services that lack replicas, the largest share first.
-    pub short: Vec<ShortRow>,
+    pub short: Vec<UnderReplicatedServiceRow>,
 }
 
 /// A part.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PartRow {
+pub struct ShardRow {
     /// Its number.
     pub part: u16,
     /// Whose it is by right.
@@ -38,7 +38,7 @@
 
 /// A service that lacks replicas.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ShortRow {
+pub struct UnderReplicatedServiceRow {
     /// The job.
     pub job: String,
     /// Its class.
@@ -71,18 +71,18 @@
 
 /// The parts' changes of hands.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Handovers {
+pub struct FailoverReport {
     /// The controller that tells.
     pub host: String,
     /// ms since its last reading of the store began; none: it has not read it yet.
     pub age_ms: Option<u64>,
     /// The changes, the newest first.
-    pub changes: Vec<HandoverRow>,
+    pub changes: Vec<FailoverRow>,
 }
 
 /// A change of hands.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HandoverRow {
+pub struct FailoverRow {
     /// The part.
     pub part: u16,
     /// Its number among the part's.
@@ -100,12 +100,12 @@
     /// Replicas, other tasks and machines known to be up.
     pub up: Option<(u32, u32, u32)>,
     /// What was found; none: that is not written yet.
-    pub closed: Option<ClosedRow>,
+    pub closed: Option<FailoverCompletionRow>,
 }
 
 /// What was found after it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ClosedRow {
+pub struct FailoverCompletionRow {
     /// Who told.
     pub by: String,
     /// ms until records and jobs were read, the first start, all services whole.
--- a/crates/protocol/src/users.rs
+++ b/crates/protocol/src/users.rs
@@ -7,11 +7,11 @@
 use crate::{Malformed, decode};
 use lemonweir_model::constants::{AWAITS_MOST, MAX_TASKS};
 use lemonweir_model::settings::Team;
-use lemonweir_model::{Catalog, JobId, JobSpec, Room, Shape};
+use lemonweir_model::{Catalog, JobId, JobKind, JobSpec, Resources};
 
 /// What a user is told of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, serde::Deserialize)]
-pub enum Phase {
+pub enum JobPhase {
     /// No task runs.
     #[serde(rename = "queued")]
     Queued,
@@ -28,12 +28,12 @@
 
 /// The answer to a submission, a poll or a cancellation.
 #[derive(Clone, Debug, Serialize)]
-pub struct JobState {
+pub struct JobStatus {
     /// The job.
     #[serde(rename = "nameId")]
     pub id: JobId,
     /// Its phase.
-    pub phase: Phase,
+    pub phase: JobPhase,
     /// Tasks done, for display.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub done: Option<u64>,
@@ -45,9 +45,9 @@
     pub reason: Option<String>,
 }
 
-impl JobState {
+impl JobStatus {
     /// A state without counts.
-    pub fn plain(id: JobId, phase: Phase) -> Self {
+    pub fn plain(id: JobId, phase: JobPhase) -> Self {
         Self {
             id,
             phase,
@@ -135,21 +135,21 @@
         return Some("a task fits no allowed machine type".into());
     }
     let all = match spec.shape {
-        Shape::Array => need,
-        Shape::Gang | Shape::Service => need.times(spec.tasks),
+        JobKind::Array => need,
+        JobKind::Gang | JobKind::Service => need.times(spec.tasks),
     };
     let limit = team_limit(team);
-    if !limit.covers(&Room { memory: 0, ..all }) {
+    if !limit.covers(&Resources { memory: 0, ..all }) {
         return Some("needs more than the team's limit".into());
     }
     None
 }
 
 /// A team's limit; no limit is as large as can be.
-pub fn team_limit(team: &Team) -> Room {
-    let offer = Room::offer(team.cpus_max, team.gpus_max, 0.0);
+pub fn team_limit(team: &Team) -> Resources {
+    let offer = Resources::offer(team.cpus_max, team.gpus_max, 0.0);
     let or_none = |x: u64| if x == 0 { u64::MAX } else { x };
-    Room {
+    Resources {
         cpus: or_none(offer.cpus),
         gpus: or_none(offer.gpus),
         memory: u64::MAX,
--- a/crates/protocol/src/worker.rs
+++ b/crates/protocol/src/worker.rs
@@ -6,7 +6,7 @@
 
 /// A worker's report, from `/hello`, `/commands` or `/inspect`.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Report {
+pub struct Heartbeat {
     /// The machine.
     #[serde(rename = "box")]
     pub machine: MachineId,
@@ -35,12 +35,12 @@
     pub notice_s: Option<f64>,
     /// Tasks on the machine.
     #[serde(rename = "pieces", default)]
-    pub tasks: Vec<TaskReport>,
+    pub tasks: Vec<TaskStatus>,
 }
 
 /// One task of a report.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct TaskReport {
+pub struct TaskStatus {
     /// The task.
     pub piece: String,
     /// The attempt.
@@ -74,9 +74,9 @@
 
 /// An order to a worker.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
-pub struct Order {
+pub struct Command {
     /// What to do.
-    pub verb: Verb,
+    pub verb: CommandKind,
     /// The task.
     pub piece: String,
     /// The attempt.
@@ -90,7 +90,7 @@
 /// The kinds of orders.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
-pub enum Verb {
+pub enum CommandKind {
     /// Start an attempt.
     Launch,
     /// Stop an attempt.
@@ -101,17 +101,17 @@
 
 /// The answer to a report.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct ReportReply {
+pub struct HeartbeatResponse {
     /// Our token.
     #[serde(rename = "mandate")]
     pub token: u64,
     /// Orders, executed in turn.
-    pub orders: Vec<Order>,
+    pub orders: Vec<Command>,
 }
 
 /// The body of `/commands`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Commands {
+pub struct CommandsRequest {
     /// Our token.
     #[serde(rename = "mandate")]
     pub token: u64,
@@ -119,12 +119,12 @@
     #[serde(rename = "shift")]
     pub session: u64,
     /// Orders, executed in turn.
-    pub orders: Vec<Order>,
+    pub orders: Vec<Command>,
 }
 
 /// The body of a 421: where to report instead.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Elsewhere {
+pub struct Redirect {
     /// The controller to report to.
     #[serde(rename = "foreman", skip_serializing_if = "Option::is_none", default)]
     pub host: Option<String>,
--- a/crates/simulator/src/baseline.rs
+++ b/crates/simulator/src/baseline.rs
@@ -11,7 +11,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 
-use lemonweir_model::{Rank, Room, Shape};
+use lemonweir_model::{JobKind, Priority, Resources};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -53,8 +53,8 @@
 }
 
 struct Machine {
-    room: Room,
-    free: Room,
+    room: Resources,
+    free: Resources,
     queue: VecDeque<(usize, u32)>,
 }
 
@@ -67,9 +67,9 @@
     now: u64,
     machines: Vec<Machine>,
     /// What the central placer thinks is free.
-    known: Vec<Room>,
+    known: Vec<Resources>,
     /// Jobs that wait, by priority and age, and their next task.
-    waiting: BTreeMap<(Rank, usize), u32>,
+    waiting: BTreeMap<(Priority, usize), u32>,
     busy_until: u64,
     placing: bool,
     left: Vec<u32>,
@@ -159,7 +159,7 @@
         self.rng.random_range(l.low_us..=l.high_us)
     }
 
-    fn need(&self, job: usize) -> Room {
+    fn need(&self, job: usize) -> Resources {
         self.load[job].load.spec.need()
     }
 
@@ -225,14 +225,14 @@
     // ---- central ---------------------------------------------------------------
 
     fn place(&mut self) {
-        let mut failed: Vec<Room> = Vec::new();
+        let mut failed: Vec<Resources> = Vec::new();
         for (rank, job) in self.waiting.keys().copied().collect::<Vec<_>>() {
             let (need, tasks) = (self.need(job), self.load[job].load.spec.tasks as u32);
             // Nobody who asks as much or more finds room in the same pass.
             if failed.iter().any(|f| need.covers(f)) {
                 continue;
             }
-            let gang = self.load[job].load.spec.shape == Shape::Gang;
+            let gang = self.load[job].load.spec.shape == JobKind::Gang;
             let mut next = self.waiting.get(&(rank, job)).copied().unwrap_or(tasks);
             let mut chosen = Vec::new();
             while next < tasks {
@@ -326,7 +326,7 @@
         let load = &self.load[job].load;
         self.history
             .note(self.now, "up", &format!("{}/{task}", load.spec.id), &m);
-        if load.spec.shape != Shape::Service {
+        if load.spec.shape != JobKind::Service {
             self.push(self.now + load.run_us(task), Event::Ends(job, task, m));
         }
     }
@@ -370,7 +370,7 @@
         for (job, at) in self
             .finished
             .iter()
-            .filter(|(j, _)| self.load[**j].load.spec.shape != Shape::Service)
+            .filter(|(j, _)| self.load[**j].load.spec.shape != JobKind::Service)
         {
             let planned = &self.load[*job];
             finished.record(&planned.load.spec.class, at - planned.at_us);
--- a/crates/simulator/src/checker.rs
+++ b/crates/simulator/src/checker.rs
@@ -3,10 +3,10 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
-use lemonweir_model::{AttemptId, JobId, JobSpec, Room, Shape};
-use lemonweir_protocol::kv_store::{Txn, Write, from_value};
-use lemonweir_protocol::users::Phase;
-use lemonweir_storage::records::EndRecord;
+use lemonweir_model::{AttemptId, JobId, JobKind, JobSpec, Resources};
+use lemonweir_protocol::kv_store::{CompareAndSwap, Write, from_value};
+use lemonweir_protocol::users::JobPhase;
+use lemonweir_storage::records::JobEndRecord;
 
 /// µs without an answer after which a job counts as forgotten.
 const FORGOTTEN_US: u64 = 75_000_000;
@@ -36,15 +36,15 @@
     on: HashMap<(JobId, u32), Vec<(usize, String)>>,
     /// Tasks of a job in each zone.
     zones: HashMap<JobId, BTreeMap<String, u32>>,
-    used: BTreeMap<String, Room>,
-    limits: BTreeMap<String, Room>,
+    used: BTreeMap<String, Resources>,
+    limits: BTreeMap<String, Resources>,
     done: HashMap<JobId, BTreeSet<u32>>,
     /// When a task of a job last started.
     last_start: HashMap<JobId, u64>,
     withdrawn: BTreeMap<JobId, u64>,
-    over: BTreeMap<JobId, Phase>,
+    over: BTreeMap<JobId, JobPhase>,
     /// Ends that a user was told, and when.
-    told: BTreeMap<JobId, (Phase, u64)>,
+    told: BTreeMap<JobId, (JobPhase, u64)>,
     /// Withdrawn jobs with a task on some machine.
     lingering: BTreeSet<JobId>,
     cancel_us: u64,
@@ -56,7 +56,7 @@
 
 impl Checker {
     /// A checker of these limits of teams.
-    pub fn new(limits: BTreeMap<String, Room>, cancel_us: u64) -> Self {
+    pub fn new(limits: BTreeMap<String, Resources>, cancel_us: u64) -> Self {
         Self {
             limits,
             cancel_us,
@@ -114,7 +114,7 @@
 
     /// A user was told that a job is withdrawn.
     pub fn withdrawn(&mut self, job: &JobId, now: u64) {
-        if self.over.insert(job.clone(), Phase::Withdrawn) == Some(Phase::Done) {
+        if self.over.insert(job.clone(), JobPhase::Withdrawn) == Some(JobPhase::Done) {
             self.fault(now, format!("went_back: {job} was done and is withdrawn"));
         }
         self.withdrawn.entry(job.clone()).or_insert(now);
@@ -127,7 +127,7 @@
     pub fn told(
         &mut self,
         job: &JobId,
-        phase: Option<Phase>,
+        phase: Option<JobPhase>,
         accepted: bool,
         asked: u64,
         now: u64,
@@ -138,7 +138,7 @@
             .filter(|(_, at)| *at <= asked)
             .map(|(phase, _)| *phase);
         match phase {
-            Some(Phase::Queued | Phase::Running) if self.orphaned(job, asked) => {
+            Some(JobPhase::Queued | JobPhase::Running) if self.orphaned(job, asked) => {
                 self.fault(
                     now,
                     format!(
@@ -154,13 +154,13 @@
                     format!("went_back: {job} was called {before:?} and is called {phase:?}"),
                 );
             }
-            Some(Phase::Done) if self.over.get(job) != Some(&Phase::Done) => {
+            Some(JobPhase::Done) if self.over.get(job) != Some(&JobPhase::Done) => {
                 self.fault(
                     now,
                     format!("not_done: {job} is called done, but its end is not written"),
                 );
             }
-            Some(phase @ (Phase::Done | Phase::Withdrawn)) => {
+            Some(phase @ (JobPhase::Done | JobPhase::Withdrawn)) => {
                 drop(self.told.entry(job.clone()).or_insert((phase, now)))
             }
             _ => {}
@@ -198,7 +198,7 @@
     }
 
     /// A transaction was made: ends of jobs must be true.
-    pub fn written(&mut self, txn: &Txn, now: u64) {
+    pub fn written(&mut self, txn: &CompareAndSwap, now: u64) {
         for w in &txn.writes {
             let Write::Put { key, value, .. } = w else {
                 continue;
@@ -207,9 +207,11 @@
                 continue;
             };
             match from_value(value) {
-                Some(EndRecord { phase: Phase::Done }) => {}
-                Some(EndRecord {
-                    phase: Phase::Withdrawn,
+                Some(JobEndRecord {
+                    phase: JobPhase::Done,
+                }) => {}
+                Some(JobEndRecord {
+                    phase: JobPhase::Withdrawn,
                 }) => {
                     // Any node may tell it from now on. Stricter than the page:
                     // nothing of it may be on a machine even now.
@@ -235,7 +237,7 @@
                     format!("not_done: {id} is called done with {done} of {tasks} tasks"),
                 );
             }
-            if self.over.insert(id.clone(), Phase::Done) == Some(Phase::Withdrawn) {
+            if self.over.insert(id.clone(), JobPhase::Done) == Some(JobPhase::Withdrawn) {
                 self.fault(now, format!("went_back: {id} was withdrawn and is done"));
             }
         }
@@ -275,7 +277,7 @@
         if let Some(awaited) = spec
             .awaits
             .iter()
-            .find(|awaited| self.over.get(*awaited) != Some(&Phase::Done))
+            .find(|awaited| self.over.get(*awaited) != Some(&JobPhase::Done))
         {
             self.fault(
                 now,
@@ -358,7 +360,7 @@
         if self
             .specs
             .get(&id.job)
-            .is_none_or(|s| s.shape != Shape::Gang || s.tasks < 2)
+            .is_none_or(|s| s.shape != JobKind::Gang || s.tasks < 2)
         {
             return;
         }
--- a/crates/simulator/src/cloud.rs
+++ b/crates/simulator/src/cloud.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, HashMap};
 
 use lemonweir_model::MachineId;
-use lemonweir_protocol::cloud::RentalEntry;
+use lemonweir_protocol::cloud::InstanceEntry;
 
 use crate::scenario::Scenario;
 
@@ -125,9 +125,9 @@
     }
 
     /// The list as of `at` µs.
-    pub fn list(&self, at: u64, scenario: &Scenario) -> Vec<RentalEntry> {
+    pub fn list(&self, at: u64, scenario: &Scenario) -> Vec<InstanceEntry> {
         let there = |m: &&Rented| m.from <= at && m.gone.is_none_or(|gone| gone > at);
-        let entry = |m: &Rented| RentalEntry {
+        let entry = |m: &Rented| InstanceEntry {
             id: m.id.clone(),
             kind: scenario.kinds[m.kind].machine.name.clone(),
             zone: m.zone.clone(),
--- a/crates/simulator/src/ground.rs
+++ b/crates/simulator/src/ground.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use lemonweir_model::settings::Workers;
-use lemonweir_model::{AttemptId, JobId, JobSpec, Shape};
+use lemonweir_model::{AttemptId, JobId, JobKind, JobSpec};
 
 use crate::checker::Checker;
 use crate::history::History;
@@ -62,7 +62,7 @@
     /// It exits as stopped then; the flag tells whether its progress is safe.
     Stopped(usize, AttemptId, u64, bool),
     /// Its progress stopped.
-    Pause(usize, AttemptId),
+    ProcessStall(usize, AttemptId),
     /// Look then whether all of a stopping gang were told.
     Look(AttemptId, u64),
 }
@@ -131,7 +131,7 @@
         let gang = self
             .jobs
             .get(&id.job)
-            .is_some_and(|l| l.spec.shape == Shape::Gang && l.spec.tasks > 1);
+            .is_some_and(|l| l.spec.shape == JobKind::Gang && l.spec.tasks > 1);
         if gang {
             Some(self.gangs.entry((id.job.clone(), id.attempt)).or_default())
         } else {
@@ -145,7 +145,7 @@
         };
         let (need, tasks) = (load.spec.need(), load.spec.tasks as u32);
         self.useful += u128::from(worked_us) * u128::from(need.cpus);
-        if load.spec.shape == Shape::Gang && tasks > 1 {
+        if load.spec.shape == JobKind::Gang && tasks > 1 {
             (0..tasks).for_each(|task| self.task_done(&id.job, task, tasks));
             if let Some(gang) = self.gangs.get_mut(&(id.job.clone(), id.attempt)) {
                 gang.over = true;
@@ -255,7 +255,7 @@
                 members
                     .into_iter()
                     .filter(|(t, _)| *t != id.task)
-                    .map(|(t, m)| Call::Pause(m, whole(t))),
+                    .map(|(t, m)| Call::ProcessStall(m, whole(t))),
             );
             self.calls.push(Call::Look(id.clone(), first + peer_us));
         }
--- a/crates/simulator/src/host.rs
+++ b/crates/simulator/src/host.rs
@@ -3,19 +3,21 @@
 
 use std::collections::VecDeque;
 
-use lemonweir_coordination::election::{Claim, Membership};
+use lemonweir_coordination::election::{ElectionAction, LeaderElection};
 use lemonweir_coordination::owner::{CommandCall, CommandResult};
-use lemonweir_coordination::placer::TxnOutcome;
-use lemonweir_coordination::rate_limit::Bucket;
-use lemonweir_coordination::{Config, Core, Lot, RentResult, ReportAnswer, Tally};
+use lemonweir_coordination::placer::CompareAndSwapOutcome;
+use lemonweir_coordination::rate_limit::TokenBucket;
+use lemonweir_coordination::{
+    Config, Core, HeartbeatAnswer, ProvisioningResult, ShardLease, WorkCounters,
+};
 use lemonweir_model::constants::BUDGET_PERCENT;
 use lemonweir_model::{JobId, MachineId};
-use lemonweir_protocol::cloud::{Rental, RentalEntry};
-use lemonweir_protocol::kv_store::{Change, Entry, Txn};
-use lemonweir_protocol::links::{Service, Word};
-use lemonweir_protocol::peer::{Superseded, Sync, View};
-use lemonweir_protocol::worker::Report;
-use lemonweir_storage::Mirror;
+use lemonweir_protocol::cloud::{InstanceEntry, ProvisioningRequest};
+use lemonweir_protocol::kv_store::{CompareAndSwap, KeyValue, WatchEvent};
+use lemonweir_protocol::links::{AvailabilityGossip, Service};
+use lemonweir_protocol::peer::{ShardView, Superseded, SyncRequest};
+use lemonweir_protocol::worker::Heartbeat;
+use lemonweir_storage::StateCache;
 
 use crate::scenario::Scenario;
 
@@ -23,11 +25,11 @@
 #[derive(Clone, Debug)]
 pub enum For {
     /// The core.
-    Core(Lot),
+    Core(ShardLease),
     /// Nobody waits for it.
     Nobody,
     /// The loop that keeps hold and parts.
-    Keeper(Option<Claim>),
+    Keeper(Option<ElectionAction>),
     /// The same, for the presence that a new hold begins with.
     Presence(u64),
     /// A user's submission or withdrawal, asked for at that time.
@@ -39,9 +41,9 @@
 /// What a reading of the followed keys brought.
 pub enum Reading {
     /// Changes since the copy's revision, and the revision that they lead to.
-    Changes(Vec<Change>, u64),
+    Changes(Vec<WatchEvent>, u64),
     /// All keys.
-    All(Vec<Entry>, u64),
+    All(Vec<KeyValue>, u64),
     /// The store could not be had.
     Failed,
 }
@@ -49,7 +51,7 @@
 impl Reading {
     /// Brings a copy up to date; tells whether it changed, `None` if the store
     /// could not be had.
-    pub fn apply(self, mirror: &mut Mirror, now_ms: u64) -> Option<bool> {
+    pub fn apply(self, mirror: &mut StateCache, now_ms: u64) -> Option<bool> {
         match self {
             Reading::Changes(changes, revision) => {
                 mirror.apply(&changes, revision, now_ms);
@@ -67,33 +69,38 @@
 /// A message that waits to be worked off.
 pub enum Input {
     /// A worker's report, sent at that time.
-    Report(usize, Report, u64),
+    Report(usize, Heartbeat, u64),
     /// The same, carried by another controller in that life.
-    CarriedReport(usize, Report, u64, usize, u64),
+    CarriedReport(usize, Heartbeat, u64, usize, u64),
     /// The owner's answer to one that was carried; `None`: there is none.
-    CarriedAnswer(usize, u64, u64, usize, Option<Box<ReportAnswer>>),
+    CarriedAnswer(usize, u64, u64, usize, Option<Box<HeartbeatAnswer>>),
     /// What became of a request to a service: whether another carried it, its
     /// bytes, whether it was served.
     Tried(Service, Option<u16>, usize, bool),
     /// Another controller tells of its links.
-    Hail(u64, Box<Word>),
+    Hail(u64, Box<AvailabilityGossip>),
     /// It answered, or did not.
-    Hailed(u16, Option<Box<Word>>),
+    Hailed(u16, Option<Box<AvailabilityGossip>>),
     /// A transaction ended, `None`: without an answer; with the versions of keys
     /// read again.
-    Txn(For, Txn, Option<TxnOutcome>, Vec<(String, u64)>),
+    CompareAndSwap(
+        For,
+        CompareAndSwap,
+        Option<CompareAndSwapOutcome>,
+        Vec<(String, u64)>,
+    ),
     /// A call to a worker ended.
-    Command(Lot, CommandCall, CommandResult),
+    Command(ShardLease, CommandCall, CommandResult),
     /// Another controller's sync; the answer goes to that host.
-    Sync(usize, u64, Lot, Box<Sync>),
+    Sync(usize, u64, ShardLease, Box<SyncRequest>),
     /// The answer to one of ours.
-    View(Lot, u16, Option<Box<View>>),
+    View(ShardLease, u16, Option<Box<ShardView>>),
     /// A rental ended.
-    Rented(Lot, Rental, RentResult),
+    Rented(ShardLease, ProvisioningRequest, ProvisioningResult),
     /// A release ended.
-    Released(Lot, Vec<MachineId>),
+    Released(ShardLease, Vec<MachineId>),
     /// The list of rentals.
-    Listed(Vec<RentalEntry>),
+    Listed(Vec<InstanceEntry>),
     /// The same, refused since our part has another holder.
     Superseded(Superseded),
     /// An owner has news for a part.
@@ -111,7 +118,7 @@
     /// A user withdraws.
     Withdraw(JobId),
     /// A part was taken: its records.
-    Adopt(Lot, Vec<Entry>, Vec<Entry>),
+    Adopt(ShardLease, Vec<KeyValue>, Vec<KeyValue>),
     /// The hold's fate.
     Hold(Option<u64>),
     /// Nothing was heard of it.
@@ -127,7 +134,7 @@
     /// Counts its lives: what an earlier one asked for is not answered.
     pub life: u64,
     /// Which parts to take.
-    pub membership: Membership,
+    pub membership: LeaderElection,
     /// Its hold at the store.
     pub hold: Option<u64>,
     /// When the hold was last renewed, µs.
@@ -155,15 +162,15 @@
     /// Users who wait for a reading that began after they asked, and when they asked.
     pub waiting: Vec<(u64, JobId, bool)>,
     /// Share of the store's requests a second.
-    pub requests: Bucket,
+    pub requests: TokenBucket,
     /// Share of the store's changes a second.
-    pub writes: Bucket,
+    pub writes: TokenBucket,
     /// Share of the cloud's requests.
-    pub cloud: Bucket,
+    pub cloud: TokenBucket,
     /// Counted work.
     pub work: Work,
     /// What the core had counted when it was last charged.
-    pub tally: Tally,
+    pub tally: WorkCounters,
 }
 
 /// Counted work of a controller.
@@ -187,12 +194,12 @@
     /// A process that is not there yet.
     pub fn new(scenario: &Scenario) -> Self {
         let nodes = usize::from(scenario.parts);
-        let share = |x: f64| Bucket::new(x, nodes, 0);
+        let share = |x: f64| TokenBucket::new(x, nodes, 0);
         let most = BUDGET_PERCENT as f64 / 100.0;
         Self {
             core: None,
             life: 0,
-            membership: Membership::new(nodes),
+            membership: LeaderElection::new(nodes),
             hold: None,
             renewed: 0,
             keeping: 0,
@@ -210,7 +217,7 @@
             writes: share(scenario.state.write_rps * most),
             cloud: share(scenario.cloud.rps),
             work: Work::default(),
-            tally: Tally::default(),
+            tally: WorkCounters::default(),
         }
     }
 
--- a/crates/simulator/src/hunt.rs
+++ b/crates/simulator/src/hunt.rs
@@ -4,7 +4,7 @@
 use std::fmt::Write;
 use std::sync::Arc;
 
-use lemonweir_model::Shape;
+use lemonweir_model::JobKind;
 use lemonweir_protocol::kv_store::from_value;
 use lemonweir_storage::records::{JobRecord, job_key};
 use rand::seq::IndexedRandom;
@@ -336,7 +336,7 @@
         .ground
         .jobs
         .iter()
-        .filter(|(_, l)| l.spec.shape == Shape::Service && !l.broken)
+        .filter(|(_, l)| l.spec.shape == JobKind::Service && !l.broken)
     {
         let record: Option<JobRecord> = world
             .store
--- a/crates/simulator/src/load.rs
+++ b/crates/simulator/src/load.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use lemonweir_model::{JobId, JobSpec, Shape};
+use lemonweir_model::{JobId, JobKind, JobSpec};
 use lemonweir_trace::workload::{self, Entry, WorkloadError};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -122,7 +122,7 @@
     let at_us = ((e.at_ms - zero_ms) as f64 * 1e3 / speed) as u64;
     let run_us: Vec<u64> = e.run_ms.iter().map(|ms| ms * 1_000).collect();
     let mean = run_us.iter().sum::<u64>() / run_us.len().max(1) as u64;
-    let service = e.shape == Shape::Service;
+    let service = e.shape == JobKind::Service;
     let named = e.team.as_deref().unwrap_or_default();
     let hash = blake3::hash(named.as_bytes());
     let pick = usize::from(u16::from_le_bytes([hash.as_bytes()[0], hash.as_bytes()[1]]))
@@ -177,8 +177,8 @@
 fn draw(class: &Class, n: usize, at: u64, rng: &mut ChaCha8Rng) -> Planned {
     let tasks =
         (class.tasks.draw(rng).round() as u64).clamp(1, lemonweir_model::constants::MAX_TASKS);
-    let service = class.shape == Shape::Service;
-    let gang = class.shape == Shape::Gang;
+    let service = class.shape == JobKind::Service;
+    let gang = class.shape == JobKind::Gang;
     let runs = if service || gang { 1 } else { tasks };
     let run_s: Vec<f64> = (0..runs).map(|_| class.run_s.draw(rng)).collect();
     let mean = run_s.iter().sum::<f64>() / run_s.len() as f64;
--- a/crates/simulator/src/measures.rs
+++ b/crates/simulator/src/measures.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use hdrhistogram::Histogram;
-use lemonweir_model::{JobId, JobSpec, Shape};
-use lemonweir_protocol::kv_store::{Txn, Write};
+use lemonweir_model::{JobId, JobKind, JobSpec};
+use lemonweir_protocol::kv_store::{CompareAndSwap, Write};
 use lemonweir_storage::packed_chunk::read_chunk;
 use lemonweir_storage::records::parse_run_key;
 use serde::{Deserialize, Serialize};
@@ -266,7 +266,7 @@
     /// A user heard that a job is accepted.
     pub fn accepted(&mut self, id: &JobId, first_try: u64, now: u64, spec: Option<&JobSpec>) {
         let Some(spec) = spec else { return };
-        let service = spec.shape == Shape::Service;
+        let service = spec.shape == JobKind::Service;
         let times = JobTimes {
             first_try,
             accepted: now,
@@ -284,7 +284,7 @@
         }
     }
 
-    fn each_live(txn: &Txn, mut f: impl FnMut((JobId, u32))) {
+    fn each_live(txn: &CompareAndSwap, mut f: impl FnMut((JobId, u32))) {
         for w in &txn.writes {
             if let Write::Put { key, value, .. } = w
                 && let Some((job, chunk)) = parse_run_key(key)
@@ -297,7 +297,7 @@
 
     /// A pass that began at `now` made a transaction that leaves its controller
     /// at `leaves`.
-    pub fn written(&mut self, txn: &Txn, now: u64, leaves: u64) {
+    pub fn written(&mut self, txn: &CompareAndSwap, now: u64, leaves: u64) {
         Self::each_live(txn, |key| {
             self.tasks.entry(key).or_insert(Stages {
                 written: leaves,
@@ -308,7 +308,7 @@
     }
 
     /// A transaction was made.
-    pub fn recorded(&mut self, txn: &Txn, now: u64) {
+    pub fn recorded(&mut self, txn: &CompareAndSwap, now: u64) {
         Self::each_live(txn, |key| {
             let stages = self.tasks.entry(key).or_default();
             if stages.recorded == 0 {
@@ -405,7 +405,7 @@
         let mut served: BTreeMap<String, (u64, u64)> = BTreeMap::new();
         let largest = Self::largest(world);
         for (id, load) in world.ground.jobs.iter().filter(|(_, l)| !l.broken) {
-            let cancelled = load.spec.shape != Shape::Service
+            let cancelled = load.spec.shape != JobKind::Service
                 && (world.withdrawal(id).is_some() || world.ground.checker.is_cancelled(id));
             if cancelled
                 || self
--- a/crates/simulator/src/sample.rs
+++ b/crates/simulator/src/sample.rs
@@ -1,6 +1,6 @@
 //! A small site and a plain job, for tests.
 
-use lemonweir_model::{JobId, JobSpec, Rank, Shape};
+use lemonweir_model::{JobId, JobKind, JobSpec, Priority};
 
 use crate::scenario::{Chances, Scenario};
 
@@ -25,13 +25,13 @@
 }
 
 /// An array, gang or service of plain tasks.
-pub fn job(n: u32, team: &str, shape: Shape, tasks: u64) -> JobSpec {
+pub fn job(n: u32, team: &str, shape: JobKind, tasks: u64) -> JobSpec {
     JobSpec {
         id: id(n),
         class: "work".into(),
         team: team.into(),
         shape,
-        rank: Rank::Normal,
+        rank: Priority::Normal,
         tasks,
         cores: 4.0,
         gpus: 1.0,
--- a/crates/simulator/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -3,10 +3,10 @@
 use lemonweir_model::constants::BLIND_MOST_MS;
 use lemonweir_model::policy::{Policy, Trade};
 use lemonweir_model::settings::{
-    CloudLimits, Cluster, Limits, NextStateLimits, Objective, Seed, Services, Settings,
+    CloudLimits, Cluster, Limits, NextStateLimits, Objective, SeedController, Services, Settings,
     StateLimits, Team, Workers,
 };
-use lemonweir_model::{Catalog, MachineType, Rank, Room, Shape};
+use lemonweir_model::{Catalog, JobKind, MachineType, Priority, Resources};
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp, LogNormal, Pareto};
@@ -70,9 +70,9 @@
     /// Teams that submit it, in turn.
     pub teams: Vec<String>,
     /// Array, gang or service.
-    pub shape: Shape,
+    pub shape: JobKind,
     /// Priority.
-    pub rank: Rank,
+    pub rank: Priority,
     /// Tasks of a job.
     pub tasks: Dist,
     /// What a task takes: processors, accelerators, GB.
@@ -255,7 +255,7 @@
         let address = |i: usize, port: u16| {
             std::net::SocketAddr::from(([10, 0, (i / 250) as u8, (i % 250 + 1) as u8], port))
         };
-        let seed = |i: usize| Seed {
+        let seed = |i: usize| SeedController {
             host_name: host_name(i),
             zone: self.zone_of(i).to_owned(),
             address: address(i, 81),
@@ -434,7 +434,7 @@
     Kind {
         machine: MachineType {
             name: t.text("name", None),
-            room: Room::offer(
+            room: Resources::offer(
                 t.number("cpus", 0.001, 1e6, None),
                 t.number("gpus", 0.0, 1e4, Some(0.0)),
                 t.number("memory_gb", 0.001, 1e7, None),
@@ -467,15 +467,15 @@
 
 fn class(t: &Section<'_>, scenario: &Scenario) -> Class {
     let shapes = [
-        ("array", Shape::Array),
-        ("gang", Shape::Gang),
-        ("service", Shape::Service),
+        ("array", JobKind::Array),
+        ("gang", JobKind::Gang),
+        ("service", JobKind::Service),
     ];
     let ranks = [
-        ("production", Rank::Production),
-        ("high", Rank::High),
-        ("normal", Rank::Normal),
-        ("low", Rank::Low),
+        ("production", Priority::Production),
+        ("high", Priority::High),
+        ("normal", Priority::Normal),
+        ("low", Priority::Low),
     ];
     let mut teams = t.texts("teams");
     for name in teams
@@ -492,7 +492,7 @@
         t.number("gpus", 0.0, 1e4, Some(0.0)),
         t.number("memory_gb", 0.0, 1e7, Some(0.0)),
     );
-    let room = Room::need(need.0, need.1, need.2);
+    let room = Resources::need(need.0, need.1, need.2);
     if !scenario.kinds.iter().any(|k| k.machine.room.covers(&room)) {
         t.fault("cpus", "a task fits no machine type");
     }
@@ -500,11 +500,11 @@
         name: t.text("name", None),
         teams,
         shape: t
-            .word("shape", &shapes, Some(Shape::Array))
-            .unwrap_or(Shape::Array),
+            .word("shape", &shapes, Some(JobKind::Array))
+            .unwrap_or(JobKind::Array),
         rank: t
-            .word("priority", &ranks, Some(Rank::Normal))
-            .unwrap_or(Rank::Normal),
+            .word("priority", &ranks, Some(Priority::Normal))
+            .unwrap_or(Priority::Normal),
         tasks: dist(t, "tasks", Some(1.0)),
         need,
         run_s: dist(t, "run_s", None),
--- a/crates/simulator/src/store.rs
+++ b/crates/simulator/src/store.rs
@@ -5,7 +5,7 @@
 
 use lemonweir_model::constants::CONDITIONS_A_CHANGE;
 use lemonweir_model::settings::StateLimits;
-use lemonweir_protocol::kv_store::{Change, Entry, Txn, Write};
+use lemonweir_protocol::kv_store::{CompareAndSwap, KeyValue, WatchEvent, Write};
 use rmpv::Value;
 
 /// Changes that it keeps (protocol page).
@@ -66,7 +66,7 @@
     /// Requests and changes served.
     pub served: (u64, u64),
     keys: BTreeMap<String, Held>,
-    log: VecDeque<Change>,
+    log: VecDeque<WatchEvent>,
     holds: BTreeMap<u64, Hold>,
     next_hold: u64,
     requests: Rate,
@@ -107,7 +107,7 @@
         self.txn_ops = limits.least_txn_ops();
     }
 
-    fn takes(&self, txn: &Txn) -> bool {
+    fn takes(&self, txn: &CompareAndSwap) -> bool {
         // A value that can't be written as JSON has no size that counts.
         let bytes = |value: &Value| serde_json::to_vec(value).map_or(0, |text| text.len());
         let fits = |write: &Write| {
@@ -138,12 +138,12 @@
     }
 
     /// All keys with a prefix.
-    pub fn list(&self, prefix: &str) -> Vec<Entry> {
+    pub fn list(&self, prefix: &str) -> Vec<KeyValue> {
         let from = self
             .keys
             .range(prefix.to_owned()..)
             .take_while(|(k, _)| k.starts_with(prefix));
-        from.map(|(k, h)| Entry {
+        from.map(|(k, h)| KeyValue {
             key: k.clone(),
             value: h.value.clone(),
             version: h.version,
@@ -152,12 +152,12 @@
     }
 
     /// The changes under a prefix since a revision; `None`: too old.
-    pub fn changes(&self, prefix: &str, after: u64) -> Option<Vec<Change>> {
+    pub fn changes(&self, prefix: &str, after: u64) -> Option<Vec<WatchEvent>> {
         if self.log.front().is_some_and(|c| c.version > after + 1) && self.log.len() >= KEPT {
             return None;
         }
         let from = self.log.partition_point(|c| c.version <= after);
-        let under = |c: &&Change| {
+        let under = |c: &&WatchEvent| {
             c.set
                 .as_ref()
                 .or(c.drop.as_ref())
@@ -166,7 +166,7 @@
         Some(self.log.range(from..).filter(under).cloned().collect())
     }
 
-    fn note(&mut self, change: Change) {
+    fn note(&mut self, change: WatchEvent) {
         self.log.push_back(change);
         if self.log.len() > KEPT {
             self.log.pop_front();
@@ -186,7 +186,7 @@
         if let Some(h) = hold.and_then(|h| self.holds.get_mut(&h)) {
             h.keys.insert(key.to_owned());
         }
-        self.note(Change {
+        self.note(WatchEvent {
             set: Some(key.to_owned()),
             drop: None,
             value: Some(value.clone()),
@@ -205,7 +205,7 @@
     fn remove(&mut self, key: &str) {
         self.detach(key);
         if self.keys.remove(key).is_some() {
-            self.note(Change {
+            self.note(WatchEvent {
                 set: None,
                 drop: Some(key.to_owned()),
                 value: None,
@@ -215,7 +215,7 @@
     }
 
     /// Makes a transaction.
-    pub fn txn(&mut self, txn: &Txn) -> TxnAnswer {
+    pub fn txn(&mut self, txn: &CompareAndSwap) -> TxnAnswer {
         if !self.takes(txn) {
             return TxnAnswer::TooLarge;
         }
--- a/crates/simulator/src/traces.rs
+++ b/crates/simulator/src/traces.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 
 use clap::{Subcommand, ValueEnum};
-use lemonweir_model::Room;
+use lemonweir_model::Resources;
 use lemonweir_trace::workload::{self, Entry};
 use lemonweir_trace::{Fault, Format, OnFault};
 
@@ -93,7 +93,7 @@
     /// Size of the trace's machine, for units that are shares of it:
     /// `cpus=64,memory_gb=256,gpus=8`.
     #[arg(long, value_parser = machine_of)]
-    machine: Option<Room>,
+    machine: Option<Resources>,
     /// The files.
     #[arg(required = true)]
     files: Vec<PathBuf>,
@@ -117,7 +117,7 @@
         .ok_or_else(|| format!("must be one of {}", names()))
 }
 
-fn machine_of(text: &str) -> Result<Room, String> {
+fn machine_of(text: &str) -> Result<Resources, String> {
     let (mut cpus, mut gpus, mut memory) = (0.0, 0.0, 0.0);
     for part in text.split(',') {
         let (name, value) = part
@@ -138,7 +138,7 @@
     if cpus <= 0.0 || memory <= 0.0 {
         return Err("cpus and memory_gb must be over 0".into());
     }
-    Ok(Room::offer(cpus, gpus, memory))
+    Ok(Resources::offer(cpus, gpus, memory))
 }
 
 /// Checks; exit code 1 on any fault, 2 on a file that can't be read.
--- a/crates/simulator/src/worker.rs
+++ b/crates/simulator/src/worker.rs
@@ -4,9 +4,9 @@
 use std::collections::BTreeMap;
 
 use lemonweir_model::settings::Workers;
-use lemonweir_model::{AttemptId, JobId, MachineId, MachineType, Room, Shape};
+use lemonweir_model::{AttemptId, JobId, JobKind, MachineId, MachineType, Resources};
 use lemonweir_protocol::worker::{
-    Commands, Order, Report, ReportReply, TaskPhase, TaskReport, Verb,
+    Command, CommandKind, CommandsRequest, Heartbeat, HeartbeatResponse, TaskPhase, TaskStatus,
 };
 
 use crate::checker::Place;
@@ -59,7 +59,7 @@
     /// When it began to run, and with what progress.
     ran_from: u64,
     base: u64,
-    need: Room,
+    need: Resources,
 }
 
 struct Fetch {
@@ -107,7 +107,7 @@
     changed: bool,
     token_told: u64,
     tasks: BTreeMap<AttemptId, Task>,
-    free: Room,
+    free: Resources,
     images: Vec<(String, f64)>,
     fetches: Vec<Fetch>,
     fetched_at: u64,
@@ -179,7 +179,7 @@
             ground
                 .jobs
                 .get(&id.job)
-                .is_some_and(|l| l.spec.shape == Shape::Service)
+                .is_some_and(|l| l.spec.shape == JobKind::Service)
         };
         let running = self
             .tasks
@@ -191,15 +191,15 @@
     }
 
     /// Room that is not taken.
-    pub fn free(&self) -> Room {
+    pub fn free(&self) -> Resources {
         self.free
     }
 
     /// Its report as of now.
-    pub fn report(&mut self, now: u64) -> Report {
+    pub fn report(&mut self, now: u64) -> Heartbeat {
         self.seq += 1;
         let n = self.number;
-        Report {
+        Heartbeat {
             machine: self.id.clone(),
             address: format!("10.{}.{}.{}:9000", 1 + n / 65_536, n / 256 % 256, n % 256),
             kind: self.kind.name.clone(),
@@ -212,7 +212,7 @@
             tasks: self
                 .tasks
                 .iter()
-                .map(|(id, t)| TaskReport {
+                .map(|(id, t)| TaskStatus {
                     piece: id.piece(),
                     attempt: id.attempt,
                     phase: t.phase,
@@ -371,8 +371,9 @@
         let (Some(t), Some(load)) = (self.tasks.get(id), ground.jobs.get(&id.job)) else {
             return;
         };
-        let service = load.spec.shape == Shape::Service;
-        if t.phase != TaskPhase::Running || load.spec.shape == Shape::Gang && load.spec.tasks > 1 {
+        let service = load.spec.shape == JobKind::Service;
+        if t.phase != TaskPhase::Running || load.spec.shape == JobKind::Gang && load.spec.tasks > 1
+        {
             return;
         }
         let ran = (now.saturating_sub(t.ran_from) as f64 * self.speed) as u64;
@@ -483,7 +484,7 @@
         ground.up.entry((id.job.clone(), id.task)).or_insert(now);
         self.changed = true;
         let done = ground.done.contains(&(id.job.clone(), id.task));
-        let gang = spec.shape == Shape::Gang && spec.tasks > 1;
+        let gang = spec.shape == JobKind::Gang && spec.tasks > 1;
         let base = ground
             .saved
             .get(&(id.job.clone(), id.task))
@@ -508,7 +509,7 @@
             t.next = if self.faulty || broken {
                 Some((now + FAILS_AFTER_US, End::Error))
             } else {
-                (spec.shape != Shape::Service).then_some((until, End::Done))
+                (spec.shape != JobKind::Service).then_some((until, End::Done))
             };
         }
     }
@@ -550,7 +551,7 @@
                     t.next = Some((at, End::Stopped(saved)));
                 }
             }
-            Call::Pause(_, id) => {
+            Call::ProcessStall(_, id) => {
                 if let Some(t) = self
                     .tasks
                     .get_mut(&id)
@@ -565,16 +566,18 @@
 
     // ---- messages --------------------------------------------------------------
 
-    fn execute(&mut self, orders: &[Order], now: u64, ground: &mut Ground) {
+    fn execute(&mut self, orders: &[Command], now: u64, ground: &mut Ground) {
         for o in orders {
             let Some(id) = AttemptId::parse(&o.piece, o.attempt) else {
                 continue;
             };
             match o.verb {
-                Verb::Launch if !self.tasks.contains_key(&id) => self.launch(id, now, ground),
-                Verb::Launch => {}
-                Verb::Kill => self.kill(&id, o.grace_s.unwrap_or(0), now, ground),
-                Verb::Forget => {
+                CommandKind::Launch if !self.tasks.contains_key(&id) => {
+                    self.launch(id, now, ground)
+                }
+                CommandKind::Launch => {}
+                CommandKind::Kill => self.kill(&id, o.grace_s.unwrap_or(0), now, ground),
+                CommandKind::Forget => {
                     if self
                         .tasks
                         .get(&id)
@@ -652,7 +655,7 @@
         };
         let saves = spec.checkpoint_s > 0.0
             && f64::from(grace_s) >= spec.save_s
-            && spec.shape != Shape::Service;
+            && spec.shape != JobKind::Service;
         match t.phase {
             TaskPhase::Exited => {}
             TaskPhase::Saving if grace_s > 0 => {}
@@ -660,7 +663,7 @@
                 t.phase = TaskPhase::Saving;
                 let progress = t.base + (now.saturating_sub(t.ran_from) as f64 * self.speed) as u64;
                 self.changed = true;
-                if spec.shape == Shape::Gang && spec.tasks > 1 {
+                if spec.shape == JobKind::Gang && spec.tasks > 1 {
                     // One that has lost a task exits with `peers` all the same.
                     if ground.gang(id).is_some_and(|g| !g.over) {
                         t.next = None;
@@ -676,7 +679,12 @@
     }
 
     /// `/commands`: the flag tells whether they were executed.
-    pub fn commands(&mut self, c: &Commands, now: u64, ground: &mut Ground) -> (bool, Report) {
+    pub fn commands(
+        &mut self,
+        c: &CommandsRequest,
+        now: u64,
+        ground: &mut Ground,
+    ) -> (bool, Heartbeat) {
         self.advance(now, ground);
         let good = c.token >= self.token && c.session == self.session;
         if good {
@@ -723,7 +731,7 @@
         &mut self,
         session: u64,
         sent: u64,
-        reply: &ReportReply,
+        reply: &HeartbeatResponse,
         next_us: u64,
         now: u64,
         ground: &mut Ground,
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -19,22 +19,22 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap};
 use std::sync::Arc;
 
-use lemonweir_coordination::dependencies::Admission;
-use lemonweir_coordination::election::Claim;
+use lemonweir_coordination::dependencies::DependencyAdmission;
+use lemonweir_coordination::election::ElectionAction;
 use lemonweir_coordination::job_status::Answer;
-use lemonweir_coordination::owner::{CommandCall, CommandResult, SyncRefusal};
-use lemonweir_coordination::placer::TxnOutcome;
+use lemonweir_coordination::owner::{CommandCall, CommandResult, SyncError};
+use lemonweir_coordination::placer::CompareAndSwapOutcome;
 use lemonweir_coordination::{
-    Effect, Lot, RentResult, ReportAnswer, keys_to_reread, mail_piece_bytes,
+    Effect, HeartbeatAnswer, ProvisioningResult, ShardLease, keys_to_reread, mail_piece_bytes,
 };
 use lemonweir_model::constants::*;
 use lemonweir_model::{JobId, MachineId};
-use lemonweir_protocol::cloud::Rental;
-use lemonweir_protocol::kv_store::{Entry, Txn, Write, from_value};
+use lemonweir_protocol::cloud::ProvisioningRequest;
+use lemonweir_protocol::kv_store::{CompareAndSwap, KeyValue, Write, from_value};
 use lemonweir_protocol::links::Service;
-use lemonweir_protocol::peer::{self, Sync, View};
-use lemonweir_protocol::users::{Phase, never_runs, team_limit};
-use lemonweir_protocol::worker::{Report, ReportReply};
+use lemonweir_protocol::peer::{self, ShardView, SyncRequest};
+use lemonweir_protocol::users::{JobPhase, never_runs, team_limit};
+use lemonweir_protocol::worker::{Heartbeat, HeartbeatResponse};
 use lemonweir_storage::dependencies::chain_key;
 use lemonweir_storage::packed_chunk::read_chunk;
 use lemonweir_storage::records::*;
@@ -87,23 +87,23 @@
     Holds(usize, u64),
     ListSoon(usize, u64),
     /// A request reaches the store.
-    Ask(usize, u64, Request, Way),
+    PlacementRequest(usize, u64, Request, Way),
     /// The store carries it out; its answer takes so long, `None`: none comes.
     Serve(usize, u64, Request, Option<u64>),
-    Orders(usize, u64, Lot, Box<CommandCall>, bool),
+    Orders(usize, u64, ShardLease, Box<CommandCall>, bool),
     Worker(usize),
     /// A report arrives a second time.
-    Copy(usize, usize, Box<Report>),
-    Answer(usize, u64, u64, Box<ReportAnswer>),
+    Copy(usize, usize, Box<Heartbeat>),
+    Answer(usize, u64, u64, Box<HeartbeatAnswer>),
     Call(Call),
-    Rent(usize, u64, Lot, Box<Rental>, Way),
-    Release(usize, u64, Lot, Vec<MachineId>, Way),
+    Rent(usize, u64, ShardLease, Box<ProvisioningRequest>, Way),
+    Release(usize, u64, ShardLease, Vec<MachineId>, Way),
     List(usize, u64, Way),
     /// The direct way to a service is tried.
     Probe(usize, u64, Service),
     Submit(JobId, u64),
     /// A user hears; the question reached the controller at that time.
-    Reply(JobId, Option<Phase>, u16, u64),
+    Reply(JobId, Option<JobPhase>, u16, u64),
     Poll(JobId),
     Withdraw(JobId),
     Boot(usize),
@@ -119,7 +119,7 @@
 
 /// What a controller asks of the store.
 enum Request {
-    Txn(For, Box<Txn>),
+    CompareAndSwap(For, Box<CompareAndSwap>),
     /// The changes of the followed keys since a revision; when it was asked for.
     Reading(Option<u64>, u64),
     /// A hold is renewed, or opened.
@@ -210,7 +210,7 @@
     seq: u64,
     users: HashMap<JobId, UserJob>,
     /// Copies of reports that are kept for the next leader, with their machines.
-    kept_reports: Vec<Report>,
+    kept_reports: Vec<Heartbeat>,
     /// Jobs that fit no machine.
     unfit: BTreeSet<JobId>,
     waiting: waiting::WaitingJobs,
@@ -424,12 +424,14 @@
                     let way = self.way(host, Service::Store, 0);
                     self.push(
                         at,
-                        Event::Ask(host, life, Request::Reading(after, now), way),
+                        Event::PlacementRequest(host, life, Request::Reading(after, now), way),
                     );
                 }
             }
             Event::Holds(host, life) => self.holds(host, life),
-            Event::Ask(host, life, request, way) => self.asked_of_store(host, life, request, way),
+            Event::PlacementRequest(host, life, request, way) => {
+                self.asked_of_store(host, life, request, way)
+            }
             Event::Serve(host, life, request, answer_us) => {
                 self.serve(host, life, request, answer_us)
             }
@@ -452,7 +454,7 @@
                 let (Call::Run(number, ..)
                 | Call::Peers(number, ..)
                 | Call::Stopped(number, ..)
-                | Call::Pause(number, _)) = &call
+                | Call::ProcessStall(number, _)) = &call
                 else {
                     return;
                 };
@@ -561,10 +563,10 @@
     }
 
     /// What the store says of a job's end.
-    pub fn phase(&self, id: &JobId) -> Option<Phase> {
+    pub fn phase(&self, id: &JobId) -> Option<JobPhase> {
         self.store
             .get(&end_key(id))
-            .and_then(|(v, _)| from_value::<EndRecord>(v))
+            .and_then(|(v, _)| from_value::<JobEndRecord>(v))
             .map(|r| r.phase)
     }
 
--- a/crates/simulator/src/world/controllers.rs
+++ b/crates/simulator/src/world/controllers.rs
@@ -122,7 +122,7 @@
         let life = self.hosts[host].life;
         let at = self.leaves(host) + self.travel();
         match effect {
-            Effect::Txn(lot, txn) => self.send_txn(host, For::Core(lot), txn),
+            Effect::CompareAndSwap(lot, txn) => self.send_txn(host, For::Core(lot), txn),
             Effect::Chain(txn) => self.send_txn(host, For::Chain, txn),
             Effect::ReadEnds(ids) => {
                 let at = at + self.travel();
@@ -132,16 +132,16 @@
             Effect::Command(lot, call) => self.send_orders(host, lot, call, at),
             Effect::Sync(lot, sync) => self.send_sync(host, lot, sync, at),
             Effect::MailSync(sync) => {
-                let line = MailLine {
-                    kind: MailKind::Sync,
+                let line = StoreMessageRoute {
+                    kind: StoreMessageKind::Sync,
                     from: sync.from,
                     to: sync.to,
                 };
                 self.mail(host, line, (sync.from_token, sync.seq), &peer::write(&sync));
             }
             Effect::MailView(to, view) => {
-                let line = MailLine {
-                    kind: MailKind::View,
+                let line = StoreMessageRoute {
+                    kind: StoreMessageKind::View,
                     from: view.part,
                     to,
                 };
@@ -220,7 +220,7 @@
             Input::Report(number, report, sent) => {
                 let session = report.session;
                 match core.report(&report, ms) {
-                    ReportAnswer::Carry(to) => self.carry_report(host, to, number, report, sent),
+                    HeartbeatAnswer::Carry(to) => self.carry_report(host, to, number, report, sent),
                     answer => {
                         let at = self.leaves(host) + self.travel();
                         self.answer(at, host, number, session, sent, answer);
@@ -233,7 +233,7 @@
             }
             Input::CarriedAnswer(number, session, sent, from, answer) => {
                 core.links.reached(from as u16, answer.is_some(), ms);
-                let answer = answer.map_or(ReportAnswer::Unable, |a| *a);
+                let answer = answer.map_or(HeartbeatAnswer::Unable, |a| *a);
                 let at = self.leaves(host) + self.travel();
                 self.answer(at, host, number, session, sent, answer);
             }
@@ -266,7 +266,7 @@
             Input::Announced => self.want_reading(host),
             Input::Sync(from, life, lot, sync) => {
                 let answer = core.sync_in(&sync, ms);
-                if let Err(SyncRefusal::Superseded(by)) = &answer
+                if let Err(SyncError::Superseded(by)) = &answer
                     && from < self.hosts.len()
                     && !self.is_cut(from, host)
                 {
@@ -298,7 +298,7 @@
                 let answer = core.answer(&id, ms);
                 self.answer_late(host, id, true, answer);
             }
-            Input::Txn(whose, txn, outcome, versions) => {
+            Input::CompareAndSwap(whose, txn, outcome, versions) => {
                 self.txn_ended(host, whose, &txn, outcome, versions)
             }
         }
@@ -309,9 +309,9 @@
         host: usize,
         from: usize,
         life: u64,
-        lot: Lot,
+        lot: ShardLease,
         part: u16,
-        view: Option<View>,
+        view: Option<ShardView>,
     ) {
         if from >= self.hosts.len() {
             return;
@@ -368,7 +368,13 @@
         }
     }
 
-    pub(super) fn adopt(&mut self, host: usize, lot: Lot, chunks: Vec<Entry>, images: Vec<Entry>) {
+    pub(super) fn adopt(
+        &mut self,
+        host: usize,
+        lot: ShardLease,
+        chunks: Vec<KeyValue>,
+        images: Vec<KeyValue>,
+    ) {
         // The jobs must be at least as new as the records: a reading of them follows,
         // here at the same moment.
         if !self.reachable(host, Service::Store) {
@@ -378,7 +384,7 @@
                 Event::To(host, life, Box::new(Input::Adopt(lot, chunks, images))),
             );
         }
-        let chunks: Vec<(JobId, u32, ChunkRecord, u64)> = chunks
+        let chunks: Vec<(JobId, u32, TaskChunkRecord, u64)> = chunks
             .iter()
             .filter_map(|e| {
                 parse_run_key(&e.key)
@@ -387,7 +393,7 @@
             .collect();
         let images = images
             .iter()
-            .filter_map(|e| from_value::<ImagesRecord>(&e.value))
+            .filter_map(|e| from_value::<ImageLocationsRecord>(&e.value))
             .collect();
         let ms = self.now / MS;
         self.hosts[host].keeping -= 1;
@@ -411,8 +417,8 @@
         &mut self,
         host: usize,
         whose: For,
-        txn: &Txn,
-        outcome: Option<TxnOutcome>,
+        txn: &CompareAndSwap,
+        outcome: Option<CompareAndSwapOutcome>,
         versions: Vec<(String, u64)>,
     ) {
         let ms = self.now / MS;
@@ -425,34 +431,36 @@
                         core.reread(lot, &job, chunk, version);
                     }
                 }
-                core.txn_done(lot, outcome.unwrap_or(TxnOutcome::Again), ms);
+                core.txn_done(lot, outcome.unwrap_or(CompareAndSwapOutcome::Again), ms);
             }
             For::Nobody => {}
             For::Chain => {
-                core.chain_done(outcome.unwrap_or(TxnOutcome::Again), ms);
+                core.chain_done(outcome.unwrap_or(CompareAndSwapOutcome::Again), ms);
                 self.want_reading(host);
             }
             For::Presence(hold) => {
                 h.keeping -= 1;
-                h.hold = matches!(outcome, Some(TxnOutcome::Done(_))).then_some(hold);
+                h.hold = matches!(outcome, Some(CompareAndSwapOutcome::Done(_))).then_some(hold);
             }
             For::Keeper(claim) => {
                 h.keeping -= 1;
                 // Given up here once it is given up in the store.
-                if let (Some(Claim::HandBack(lot) | Claim::Leave(lot)), Some(TxnOutcome::Done(_))) =
-                    (claim, outcome)
+                if let (
+                    Some(ElectionAction::HandBack(lot) | ElectionAction::Leave(lot)),
+                    Some(CompareAndSwapOutcome::Done(_)),
+                ) = (claim, outcome)
                 {
                     core.abandon(lot.part, ms);
                 }
                 self.want_reading(host);
             }
             For::User(id, withdraw, asked) => match outcome {
-                Some(TxnOutcome::Done(_)) if withdraw => {
+                Some(CompareAndSwapOutcome::Done(_)) if withdraw => {
                     // Its end is told to a later question.
                     self.announce(host, &id);
                     self.reply(host, id, None, 503);
                 }
-                Some(TxnOutcome::Done(_)) => {
+                Some(CompareAndSwapOutcome::Done(_)) => {
                     self.announce(host, &id);
                     // With a cancelled job that it needs it is cancelled from the start.
                     let over = txn.writes.iter().any(
@@ -462,16 +470,16 @@
                         host,
                         id,
                         Some(if over {
-                            Phase::Withdrawn
+                            JobPhase::Withdrawn
                         } else {
-                            Phase::Queued
+                            JobPhase::Queued
                         }),
                         201,
                     );
                 }
                 // Made before, or changed meanwhile: what the store says now
                 // is the answer.
-                Some(TxnOutcome::Conflict(_)) => self.await_reading(host, id, withdraw),
+                Some(CompareAndSwapOutcome::Conflict(_)) => self.await_reading(host, id, withdraw),
                 None if withdraw && self.now < asked + USER_TIMEOUT_MS * MS => {
                     self.await_reading(host, id, withdraw)
                 }
--- a/crates/simulator/src/world/sending.rs
+++ b/crates/simulator/src/world/sending.rs
@@ -41,7 +41,7 @@
         core.config.members.iter().position(|m| m.host == *name)
     }
 
-    pub(super) fn send_txn(&mut self, host: usize, whose: For, txn: Txn) {
+    pub(super) fn send_txn(&mut self, host: usize, whose: For, txn: CompareAndSwap) {
         let (now, life) = (self.now, self.hosts[host].life);
         let h = &mut self.hosts[host];
         let wait = h
@@ -55,11 +55,16 @@
         let way = self.way(host, Service::Store, ways::bytes(&txn));
         self.push(
             at,
-            Event::Ask(host, life, Request::Txn(whose, Box::new(txn)), way),
+            Event::PlacementRequest(
+                host,
+                life,
+                Request::CompareAndSwap(whose, Box::new(txn)),
+                way,
+            ),
         );
     }
 
-    pub(super) fn send_orders(&mut self, host: usize, lot: Lot, call: CommandCall, at: u64) {
+    pub(super) fn send_orders(&mut self, host: usize, lot: ShardLease, call: CommandCall, at: u64) {
         let life = self.hosts[host].life;
         let chances = self.scenario.chances;
         let number = machine_number(&call.machine);
@@ -94,7 +99,7 @@
         );
     }
 
-    pub(super) fn send_sync(&mut self, host: usize, lot: Lot, sync: Sync, at: u64) {
+    pub(super) fn send_sync(&mut self, host: usize, lot: ShardLease, sync: SyncRequest, at: u64) {
         let life = self.hosts[host].life;
         let part = sync.to;
         let failed = move |lot| Box::new(Input::View(lot, part, None));
@@ -154,7 +159,13 @@
         self.at(SYNC_TIMEOUT_MS * MS, Event::To(to, life, Box::new(failed)));
     }
 
-    pub(super) fn mail(&mut self, host: usize, line: MailLine, id: (u64, u64), bytes: &[u8]) {
+    pub(super) fn mail(
+        &mut self,
+        host: usize,
+        line: StoreMessageRoute,
+        id: (u64, u64),
+        bytes: &[u8],
+    ) {
         let Some(hold) = self.hosts[host].hold else {
             return;
         };
--- a/crates/simulator/src/world/services.rs
+++ b/crates/simulator/src/world/services.rs
@@ -4,7 +4,7 @@
 
 impl Request {
     fn writes(&self) -> usize {
-        if let Request::Txn(_, txn) = self {
+        if let Request::CompareAndSwap(_, txn) = self {
             txn.writes.len()
         } else {
             0
@@ -14,8 +14,8 @@
     /// What its controller is left with when no answer comes.
     fn unanswered(&self) -> Input {
         match self {
-            Request::Txn(whose, txn) => {
-                Input::Txn(whose.clone(), (**txn).clone(), None, Vec::new())
+            Request::CompareAndSwap(whose, txn) => {
+                Input::CompareAndSwap(whose.clone(), (**txn).clone(), None, Vec::new())
             }
             Request::Reading(_, began) => Input::Read(*began, Reading::Failed),
             Request::Hold(_) => Input::HoldUnknown,
@@ -40,7 +40,10 @@
             h.keeping += 1;
             let at = now + self.travel();
             let way = self.way(host, Service::Store, 0);
-            self.push(at, Event::Ask(host, life, Request::Hold(hold), way));
+            self.push(
+                at,
+                Event::PlacementRequest(host, life, Request::Hold(hold), way),
+            );
         }
         let Some(hold) = hold else { return };
         let h = &mut self.hosts[host];
@@ -48,7 +51,7 @@
         let teams = core.unassigned_teams();
         let raised = core.version_txn();
         let unshown = h.membership.unshown(core, now / MS);
-        let claims: Vec<Claim> = (0..h.membership.parts())
+        let claims: Vec<ElectionAction> = (0..h.membership.parts())
             .filter_map(|part| h.membership.claim(core, part, now / MS))
             .collect();
         let left = h.membership.left(core, now / MS);
@@ -71,12 +74,12 @@
     }
 
     /// Sends a transaction that the loop waits for.
-    fn keep(&mut self, host: usize, claim: Option<Claim>, txn: Txn) {
+    fn keep(&mut self, host: usize, claim: Option<ElectionAction>, txn: CompareAndSwap) {
         self.hosts[host].keeping += 1;
         self.send_txn(host, For::Keeper(claim), txn);
     }
 
-    fn presence(&self, host: usize, hold: u64, left: Vec<u16>) -> Txn {
+    fn presence(&self, host: usize, hold: u64, left: Vec<u16>) -> CompareAndSwap {
         show_node(
             &crate::scenario::host_name(host),
             self.scenario.zone_of(host),
@@ -106,7 +109,7 @@
     /// it answers; `None`: its answer is lost.
     fn pace(&mut self, request: &Request) -> (u64, Option<u64>) {
         let (scenario, chances) = (self.scenario.clone(), self.scenario.chances);
-        let core = matches!(request, Request::Txn(For::Core(_), _));
+        let core = matches!(request, Request::CompareAndSwap(For::Core(_), _));
         let (mut before, mut after) = (0, Some(0));
         if core && self.chance(chances.late_txn) {
             (before, after) = (self.rng.random_range(3_000..30_000) * MS, None);
@@ -159,14 +162,19 @@
         if !passes || !self.store.admit(request.writes(), self.now) {
             // Refused: the process waits before it tries again.
             let (input, wait) = match request {
-                Request::Txn(whose, txn) => {
+                Request::CompareAndSwap(whose, txn) => {
                     let wait = if matches!(whose, For::Core(_)) {
                         2 * TICK_MS * MS
                     } else {
                         0
                     };
                     (
-                        Input::Txn(whose, *txn, Some(TxnOutcome::Again), Vec::new()),
+                        Input::CompareAndSwap(
+                            whose,
+                            *txn,
+                            Some(CompareAndSwapOutcome::Again),
+                            Vec::new(),
+                        ),
                         wait,
                     )
                 }
@@ -201,7 +209,7 @@
             Request::Reading(after, began) => Input::Read(began, followed(&self.store, after)),
             Request::Hold(Some(id)) => Input::Hold(self.store.renew(id, now).then_some(id)),
             Request::Hold(None) => Input::Hold(Some(self.store.hold(HOLD_TTL_MS, now))),
-            Request::Txn(whose, txn) => self.make(whose, *txn),
+            Request::CompareAndSwap(whose, txn) => self.make(whose, *txn),
         };
         if let Some(answer_us) = answer_us {
             let at = now + answer_us + self.travel();
@@ -209,12 +217,12 @@
         }
     }
 
-    fn make(&mut self, whose: For, txn: Txn) -> Input {
+    fn make(&mut self, whose: For, txn: CompareAndSwap) -> Input {
         let now = self.now;
         let mut versions = Vec::new();
         let outcome = match self.store.txn(&txn) {
-            TxnAnswer::NoHold => TxnOutcome::Again,
-            TxnAnswer::TooLarge => TxnOutcome::Refused,
+            TxnAnswer::NoHold => CompareAndSwapOutcome::Again,
+            TxnAnswer::TooLarge => CompareAndSwapOutcome::Refused,
             TxnAnswer::Conflict(keys) => {
                 let version = |key: &str| self.store.get(key).map_or(0, |(_, version)| version);
                 if let For::Core(lot) = whose {
@@ -224,19 +232,21 @@
                             .map(|key| (key.to_owned(), version(key))),
                     );
                 }
-                TxnOutcome::Conflict(keys)
+                CompareAndSwapOutcome::Conflict(keys)
             }
             TxnAnswer::Done(revision) => {
                 self.ground.checker.written(&txn, now);
                 self.measures.recorded(&txn, now);
                 self.note_ends(&txn, revision);
-                TxnOutcome::Done(revision)
+                CompareAndSwapOutcome::Done(revision)
             }
         };
-        if let (For::Keeper(Some(Claim::Take { part, .. })), TxnOutcome::Done(token)) =
-            (&whose, &outcome)
+        if let (
+            For::Keeper(Some(ElectionAction::Take { part, .. })),
+            CompareAndSwapOutcome::Done(token),
+        ) = (&whose, &outcome)
         {
-            let lot = Lot {
+            let lot = ShardLease {
                 part: *part,
                 token: *token,
             };
@@ -247,10 +257,10 @@
                 self.store.list(&images_prefix(*part)),
             );
         }
-        Input::Txn(whose, txn, Some(outcome), versions)
+        Input::CompareAndSwap(whose, txn, Some(outcome), versions)
     }
 
-    pub(super) fn note_ends(&mut self, txn: &Txn, revision: u64) {
+    pub(super) fn note_ends(&mut self, txn: &CompareAndSwap, revision: u64) {
         for w in &txn.writes {
             if let Write::Put { key, .. } = w
                 && let Some(id) = key.strip_prefix("end/").map(JobId::from)
@@ -261,12 +271,19 @@
         }
     }
 
-    pub(super) fn rent(&mut self, host: usize, life: u64, lot: Lot, rental: Rental, way: Way) {
+    pub(super) fn rent(
+        &mut self,
+        host: usize,
+        life: u64,
+        lot: ShardLease,
+        rental: ProvisioningRequest,
+        way: Way,
+    ) {
         let now = self.now;
         let result = if !self.served(host, life, way) {
-            RentResult::Again
+            ProvisioningResult::Again
         } else if let Some(before) = self.cloud.bookings.get(&rental.booking) {
-            RentResult::Rented(before.clone())
+            ProvisioningResult::Rented(before.clone())
         } else {
             let kind = self
                 .scenario
@@ -298,7 +315,7 @@
                 })
                 .collect();
             if names.is_empty() {
-                RentResult::NoCapacity
+                ProvisioningResult::NoCapacity
             } else {
                 self.ground
                     .history
@@ -306,7 +323,7 @@
                 self.cloud
                     .bookings
                     .insert(rental.booking.clone(), names.clone());
-                RentResult::Rented(names)
+                ProvisioningResult::Rented(names)
             }
         };
         let at = now + self.travel();
--- a/crates/simulator/src/world/troubles.rs
+++ b/crates/simulator/src/world/troubles.rs
@@ -217,7 +217,7 @@
     }
 
     /// A copy of a report is kept for the next leader: an old one stays.
-    fn keep_report(&mut self, report: &Report) {
+    fn keep_report(&mut self, report: &Heartbeat) {
         let kept_of_machine = self
             .kept_reports
             .iter()
@@ -262,7 +262,7 @@
 
     /// A report arrives again, much later, by then as nobody's: what is
     /// answered to it goes nowhere.
-    pub(super) fn copy_report(&mut self, number: usize, report: &Report, host: usize) {
+    pub(super) fn copy_report(&mut self, number: usize, report: &Heartbeat, host: usize) {
         let late = |trouble: &Trouble| match trouble {
             Trouble::LateCopies {
                 seconds,
@@ -284,7 +284,7 @@
 
     /// To the controller that it was sent to, in whatever life, or to the one
     /// that its worker reports to by now.
-    pub(super) fn copy_arrives(&mut self, number: usize, host: usize, report: Report) {
+    pub(super) fn copy_arrives(&mut self, number: usize, host: usize, report: Heartbeat) {
         let now_to = self
             .workers
             .get(number)
--- a/crates/simulator/src/world/users.rs
+++ b/crates/simulator/src/world/users.rs
@@ -30,7 +30,7 @@
             self.reply(host, id, None, 503);
         } else {
             match core.admit(&spec, self.now / MS) {
-                Admission::Accept(txns, _) => {
+                DependencyAdmission::Accept(txns, _) => {
                     // Further pages of what it awaits mean nothing by themselves.
                     let (last, pages) = txns
                         .split_last()
@@ -40,7 +40,7 @@
                     }
                     self.send_txn(host, For::User(id, false, self.now), last.clone());
                 }
-                Admission::Unknown(ids) => self.find_awaited(host, id, &ids),
+                DependencyAdmission::Unknown(ids) => self.find_awaited(host, id, &ids),
             }
         }
     }
@@ -74,9 +74,13 @@
         }
         let end = |id: &JobId| {
             let (value, version) = self.store.get(&end_key(id))?;
-            Some((id.clone(), from_value::<EndRecord>(value)?.phase, version))
+            Some((
+                id.clone(),
+                from_value::<JobEndRecord>(value)?.phase,
+                version,
+            ))
         };
-        let ends: Vec<(JobId, Phase, u64)> = ids.iter().filter_map(end).collect();
+        let ends: Vec<(JobId, JobPhase, u64)> = ids.iter().filter_map(end).collect();
         let ms = self.now / MS;
         if let Some(core) = self.hosts[host].core.as_mut() {
             ends.iter()
@@ -144,7 +148,7 @@
         self.reply_to(host, id, None, 404, asked);
     }
 
-    pub(super) fn reply(&mut self, host: usize, id: JobId, phase: Option<Phase>, status: u16) {
+    pub(super) fn reply(&mut self, host: usize, id: JobId, phase: Option<JobPhase>, status: u16) {
         self.reply_to(host, id, phase, status, self.now);
     }
 
@@ -153,7 +157,7 @@
         &mut self,
         host: usize,
         id: JobId,
-        phase: Option<Phase>,
+        phase: Option<JobPhase>,
         status: u16,
         asked: u64,
     ) {
@@ -301,7 +305,13 @@
         }
     }
 
-    pub(super) fn user_hears(&mut self, id: JobId, phase: Option<Phase>, status: u16, asked: u64) {
+    pub(super) fn user_hears(
+        &mut self,
+        id: JobId,
+        phase: Option<JobPhase>,
+        status: u16,
+        asked: u64,
+    ) {
         let (now, poll) = (self.now, self.poll_us());
         let Some(user) = self.users.get_mut(&id) else {
             return self.ground.checker.told(&id, phase, false, asked, now);
@@ -344,7 +354,7 @@
             503 if user.accepted.is_none() => self.submit_in(id, RETRY_AFTER_S * 1_000 * MS),
             200 | 201 | 404 => {
                 self.ground.checker.told(&id, phase, accepted, asked, now);
-                let over = matches!(phase, Some(Phase::Done | Phase::Withdrawn));
+                let over = matches!(phase, Some(JobPhase::Done | JobPhase::Withdrawn));
                 if over && !user.over {
                     user.over = true;
                     if let Some(at) = user.withdrew {
@@ -354,7 +364,7 @@
                     self.ground
                         .history
                         .note(now, "told over", &id, &format!("{phase:?}"));
-                    if phase == Some(Phase::Withdrawn) {
+                    if phase == Some(JobPhase::Withdrawn) {
                         self.ground.checker.withdrawn(&id, now);
                     }
                     self.look_closely(&id);
--- a/crates/simulator/src/world/waiting.rs
+++ b/crates/simulator/src/world/waiting.rs
@@ -1,7 +1,7 @@
 //! The term on waiting jobs: once all troubles are over, no job is left waiting beside
 //! a machine that has room for it while its team is under its limit.
 
-use lemonweir_model::{JobSpec, Room, Shape};
+use lemonweir_model::{JobKind, JobSpec, Resources};
 
 use super::*;
 
@@ -86,7 +86,7 @@
                 .spec
                 .awaits
                 .iter()
-                .all(|awaited| self.phase(awaited) == Some(Phase::Done));
+                .all(|awaited| self.phase(awaited) == Some(JobPhase::Done));
             let unfinished = may_start
                 && user.accepted.is_some()
                 && user.withdrew.is_none()
@@ -105,7 +105,7 @@
     /// not enough, or the team's limit does not allow it.
     fn room_for(&self, spec: &JobSpec, among: &BTreeSet<usize>) -> Option<BTreeSet<usize>> {
         let (tasks, need) = (
-            if spec.shape == Shape::Gang {
+            if spec.shape == JobKind::Gang {
                 spec.tasks
             } else {
                 1
@@ -145,7 +145,7 @@
 }
 
 /// How many times a need fits into some room.
-fn times(free: Room, need: Room) -> u64 {
+fn times(free: Resources, need: Resources) -> u64 {
     let by = |free: u64, need: u64| free.checked_div(need).unwrap_or(u64::MAX);
     by(free.cpus, need.cpus)
         .min(by(free.gpus, need.gpus))
--- a/crates/simulator/src/world/ways.rs
+++ b/crates/simulator/src/world/ways.rs
@@ -1,10 +1,10 @@
 //! Which way things go between the controllers, and through them.
 
-use lemonweir_coordination::ReportAnswer;
+use lemonweir_coordination::HeartbeatAnswer;
 use lemonweir_model::constants::*;
-use lemonweir_protocol::kv_store::Txn;
-use lemonweir_protocol::links::{Service, Word};
-use lemonweir_protocol::worker::Report;
+use lemonweir_protocol::kv_store::CompareAndSwap;
+use lemonweir_protocol::links::{AvailabilityGossip, Service};
+use lemonweir_protocol::worker::Heartbeat;
 use rand::RngExt;
 
 use super::{Event, MS, World};
@@ -34,7 +34,7 @@
 }
 
 /// Bytes of a transaction, about.
-pub(super) fn bytes(txn: &Txn) -> usize {
+pub(super) fn bytes(txn: &CompareAndSwap) -> usize {
     txn.writes.len() * WRITE_BYTES
 }
 
@@ -123,7 +123,7 @@
         host: usize,
         to: u16,
         number: usize,
-        report: Report,
+        report: Heartbeat,
         sent: u64,
     ) {
         let (to, life) = (usize::from(to), self.hosts[host].life);
@@ -162,10 +162,10 @@
         &mut self,
         host: usize,
         number: usize,
-        report: &Report,
+        report: &Heartbeat,
         sent: u64,
         by: (usize, u64),
-        answer: ReportAnswer,
+        answer: HeartbeatAnswer,
     ) {
         let at = self.leaves(host) + self.travel();
         let back = Input::CarriedAnswer(number, report.session, sent, host, Some(Box::new(answer)));
@@ -173,7 +173,7 @@
     }
 
     /// A controller tells another of its links.
-    pub(super) fn send_hail(&mut self, host: usize, to: u16, word: Word, at: u64) {
+    pub(super) fn send_hail(&mut self, host: usize, to: u16, word: AvailabilityGossip, at: u64) {
         let (number, life) = (usize::from(to), self.hosts[host].life);
         if self.helps(number, host) {
             let to_life = self.hosts[number].life;
--- a/crates/simulator/src/world/workers.rs
+++ b/crates/simulator/src/world/workers.rs
@@ -52,7 +52,13 @@
         }
     }
 
-    pub(super) fn send_report(&mut self, number: usize, report: Report, host: usize, silent: bool) {
+    pub(super) fn send_report(
+        &mut self,
+        number: usize,
+        report: Heartbeat,
+        host: usize,
+        silent: bool,
+    ) {
         if silent {
             return self.wake_worker(number);
         }
@@ -89,7 +95,7 @@
         number: usize,
         session: u64,
         sent: u64,
-        answer: ReportAnswer,
+        answer: HeartbeatAnswer,
     ) {
         if !self.deaf(host, number, false) {
             let at = at + self.held().unwrap_or(0);
@@ -102,7 +108,7 @@
         number: usize,
         session: u64,
         sent: u64,
-        answer: ReportAnswer,
+        answer: HeartbeatAnswer,
     ) {
         let (now, hosts) = (self.now, self.hosts.len());
         let spread = 0.75 + 0.5 * self.rng.random::<f64>();
@@ -116,17 +122,17 @@
         let Some(node) = node else { return };
         let elsewhere = |name: &str| (0..hosts).find(|h| crate::scenario::host_name(*h) == name);
         match answer {
-            ReportAnswer::Orders(reply) => {
-                let reply: ReportReply = reply;
+            HeartbeatAnswer::Orders(reply) => {
+                let reply: HeartbeatResponse = reply;
                 self.with_worker(number, |w, ground| {
                     w.answered(session, sent, &reply, next, now, ground)
                 });
             }
-            ReportAnswer::Elsewhere(name) => {
+            HeartbeatAnswer::Elsewhere(name) => {
                 let to = elsewhere(&name).unwrap_or((node + 1) % hosts);
                 self.with_worker(number, |w, _| w.turn_away(now, to, 100 * MS));
             }
-            ReportAnswer::Unable | ReportAnswer::Carry(_) => {
+            HeartbeatAnswer::Unable | HeartbeatAnswer::Carry(_) => {
                 self.with_worker(number, |w, _| {
                     w.turn_away(now, (node + 1) % hosts, 1_000 * MS)
                 });
@@ -138,7 +144,7 @@
         &mut self,
         host: usize,
         life: u64,
-        lot: Lot,
+        lot: ShardLease,
         call: CommandCall,
         late: bool,
     ) {
--- a/crates/simulator/tests/largest.rs
+++ b/crates/simulator/tests/largest.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use lemonweir_model::constants::*;
-use lemonweir_model::{JobSpec, Rank, Shape};
+use lemonweir_model::{JobKind, JobSpec, Priority};
 use lemonweir_simulator::ground::Load;
 use lemonweir_simulator::history::History;
 use lemonweir_simulator::sample::{id, job, site};
@@ -80,8 +80,8 @@
         submit(
             &mut world,
             JobSpec {
-                rank: Rank::Low,
-                ..job(900, "blue", Shape::Array, 600)
+                rank: Priority::Low,
+                ..job(900, "blue", JobKind::Array, 600)
             },
             60,
         );
@@ -89,10 +89,10 @@
             // A growing burst of whole machines: something lacks room all the time.
             for k in 0..2 {
                 let spec = JobSpec {
-                    rank: Rank::High,
+                    rank: Priority::High,
                     cores: 16.0,
                     gpus: 4.0,
-                    ..job(step * 2 + k, "blue", Shape::Array, 1)
+                    ..job(step * 2 + k, "blue", JobKind::Array, 1)
                 };
                 submit(&mut world, spec, 40);
             }
@@ -124,8 +124,8 @@
         submit(
             &mut world,
             JobSpec {
-                rank: Rank::Low,
-                ..job(n, "blue", Shape::Array, 1)
+                rank: Priority::Low,
+                ..job(n, "blue", JobKind::Array, 1)
             },
             200,
         );
@@ -135,18 +135,18 @@
     submit(
         &mut world,
         JobSpec {
-            rank: Rank::Low,
+            rank: Priority::Low,
             class: "render".into(),
-            ..job(900, "blue", Shape::Array, 3_000)
+            ..job(900, "blue", JobKind::Array, 3_000)
         },
         60,
     );
     submit(
         &mut world,
         JobSpec {
-            rank: Rank::Low,
+            rank: Priority::Low,
             class: "train".into(),
-            ..job(901, "blue", Shape::Gang, 8)
+            ..job(901, "blue", JobKind::Gang, 8)
         },
         60,
     );
@@ -180,8 +180,8 @@
         submit(
             &mut world,
             JobSpec {
-                rank: Rank::Production,
-                ..job(901, "red", Shape::Service, 12)
+                rank: Priority::Production,
+                ..job(901, "red", JobKind::Service, 12)
             },
             1,
         );
@@ -189,7 +189,7 @@
             cores: 0.1,
             gpus: 0.0,
             ram_gb: 0.05,
-            ..job(n, "blue", Shape::Array, tasks)
+            ..job(n, "blue", JobKind::Array, tasks)
         };
         submit(&mut world, tiny(900, tasks), 150);
         world.run(5_000);
--- a/crates/simulator/tests/ledger.rs
+++ b/crates/simulator/tests/ledger.rs
@@ -4,16 +4,16 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use lemonweir_model::{JobId, JobSpec, Shape};
-use lemonweir_protocol::kv_store::Entry;
-use lemonweir_protocol::users::Phase;
+use lemonweir_model::{JobId, JobKind, JobSpec};
+use lemonweir_protocol::kv_store::KeyValue;
+use lemonweir_protocol::users::JobPhase;
 use lemonweir_simulator::ground::Load;
 use lemonweir_simulator::history::History;
 use lemonweir_simulator::sample::{id, job};
 use lemonweir_simulator::scenario::Scenario;
 use lemonweir_simulator::world::{Planned, World};
 use lemonweir_storage::packed_chunk::read_chunk;
-use lemonweir_storage::records::{GangStep, parse_run_key};
+use lemonweir_storage::records::{GangAdmissionStep, parse_run_key};
 
 /// Three controllers, each with its zone's machines: so many in each, of 16
 /// processors and 4 accelerators, and none to rent.
@@ -33,7 +33,7 @@
         cores: 16.0,
         gpus: 4.0,
         class: "train".into(),
-        ..job(n, team, Shape::Gang, tasks)
+        ..job(n, team, JobKind::Gang, tasks)
     }
 }
 
@@ -59,9 +59,9 @@
 }
 
 /// What the store says of a gang: its least step, its attempt, members named.
-fn step_of(world: &World, id: &JobId) -> Option<(GangStep, u32, usize)> {
+fn step_of(world: &World, id: &JobId) -> Option<(GangAdmissionStep, u32, usize)> {
     let entries = (0..3).flat_map(|part| world.store.list(&format!("run/{part}/{id}/")));
-    let read = |e: Entry| read_chunk(&e.value, parse_run_key(&e.key)?.1);
+    let read = |e: KeyValue| read_chunk(&e.value, parse_run_key(&e.key)?.1);
     let chunks: Vec<_> = entries
         .filter_map(read)
         .filter(|c| !c.live.is_empty())
@@ -79,7 +79,7 @@
     id: JobId,
     tasks: u32,
     admitted: BTreeSet<u32>,
-    steps: Vec<GangStep>,
+    steps: Vec<GangAdmissionStep>,
     /// Revision of the store that was last looked at.
     seen: u64,
 }
@@ -116,7 +116,7 @@
                 if self.steps.last() != Some(&step) {
                     self.steps.push(step);
                 }
-                if step == GangStep::Admitted {
+                if step == GangAdmissionStep::Admitted {
                     self.admitted.insert(attempt);
                 }
             }
@@ -138,12 +138,12 @@
 enum At {
     Planned,
     /// Some owner has been asked, and its answer is on its way.
-    Asked,
+    QueryKind,
     Admitted,
     Launched,
 }
 
-const STEPS: [At; 4] = [At::Planned, At::Asked, At::Admitted, At::Launched];
+const STEPS: [At; 4] = [At::Planned, At::QueryKind, At::Admitted, At::Launched];
 
 /// Brings a gang of 8 whole machines, which needs machines of all three parts, to a
 /// step; also the controllers that place and that own.
@@ -155,13 +155,13 @@
     let there = watch.run(&mut world, 8_000, |world, watch| {
         let step = step_of(world, &watch.id).map(|s| s.0);
         match at {
-            At::Planned | At::Asked => step == Some(GangStep::Planned),
-            At::Admitted => step == Some(GangStep::Admitted),
+            At::Planned | At::QueryKind => step == Some(GangAdmissionStep::Planned),
+            At::Admitted => step == Some(GangAdmissionStep::Admitted),
             At::Launched => watch.launched(world) > 0,
         }
     });
     assert!(there, "{at:?} was not reached: {:?}", watch.steps);
-    if at == At::Asked {
+    if at == At::QueryKind {
         watch.run(&mut world, 4, |_, _| false);
     }
     (world, watch)
@@ -194,7 +194,7 @@
             world.crash(host, back_ms * 1_000);
         }
         let done = watch.run(&mut world, 130_000, |world, watch| {
-            world.phase(&watch.id) == Some(Phase::Done)
+            world.phase(&watch.id) == Some(JobPhase::Done)
         });
         assert!(done, "{what}: {:?}", watch.steps);
         assert_kept(&world, &what);
@@ -216,7 +216,7 @@
                 (world.hosts[host].frozen_until, world.hosts[host].busy_until) = (until, until);
             }
             let done = watch.run(&mut world, 200_000, |world, watch| {
-                world.phase(&watch.id) == Some(Phase::Done)
+                world.phase(&watch.id) == Some(JobPhase::Done)
             });
             assert!(done, "{what}: {:?}", watch.steps);
             assert_kept(&world, &what);
@@ -231,7 +231,7 @@
         let (mut world, mut watch) = brought_to(at, 31);
         world.withdraw(&watch.id);
         let gone = watch.run(&mut world, 40_000, |world, watch| {
-            world.phase(&watch.id) == Some(Phase::Withdrawn)
+            world.phase(&watch.id) == Some(JobPhase::Withdrawn)
         });
         assert!(gone, "{at:?}");
         assert_kept(&world, &format!("{at:?}"));
--- a/crates/simulator/tests/links.rs
+++ b/crates/simulator/tests/links.rs
@@ -4,9 +4,9 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use lemonweir_model::{JobSpec, Shape};
-use lemonweir_protocol::links::Standing;
-use lemonweir_protocol::users::Phase;
+use lemonweir_model::{JobKind, JobSpec};
+use lemonweir_protocol::links::LinkState;
+use lemonweir_protocol::users::JobPhase;
 use lemonweir_simulator::ground::Load;
 use lemonweir_simulator::history::History;
 use lemonweir_simulator::sample::{id, job, site};
@@ -45,7 +45,7 @@
             JobSpec {
                 spread: true,
                 spot: false,
-                ..job(n, team, Shape::Service, tasks)
+                ..job(n, team, JobKind::Service, tasks)
             },
             1,
         );
@@ -148,14 +148,14 @@
 fn play(cut: Cut) -> Option<String> {
     let mut world = world(900, NO_FAULTS);
     // As many as fit beside the services: no machine has to boot for them.
-    let array = job(2, "blue", Shape::Array, 4);
+    let array = job(2, "blue", JobKind::Array, 4);
     cut.strike(&mut world);
     world.run(3_000);
     submit(&mut world, array, 10);
     world.run(cut.length_s * 1_000 - 3_000);
     let killed = world.ground.killed_by_lease;
     let (went_on, kept) = (
-        world.phase(&id(2)) == Some(Phase::Done),
+        world.phase(&id(2)) == Some(JobPhase::Done),
         world.hosts[0].holds(0),
     );
     world.down.clear();
@@ -180,7 +180,7 @@
     if live(&world) < REPLICAS {
         faults.push(format!("{} replicas up after the end", live(&world)));
     }
-    if world.phase(&id(2)) != Some(Phase::Done) {
+    if world.phase(&id(2)) != Some(JobPhase::Done) {
         faults.push("the array waits after the end".into());
     }
     (!faults.is_empty()).then(|| format!("{cut:?}: {faults:?}"))
@@ -209,7 +209,7 @@
     );
 }
 
-fn standing(world: &World, host: usize, to: &str) -> (Standing, Option<String>) {
+fn standing(world: &World, host: usize, to: &str) -> (LinkState, Option<String>) {
     let rows = world.hosts[host]
         .core
         .as_ref()
@@ -226,23 +226,26 @@
 #[test]
 fn the_picture_names_what_is_cut_and_who_carries() {
     let mut world = world(901, NO_FAULTS);
-    assert_eq!(standing(&world, 0, "state service"), (Standing::Up, None));
+    assert_eq!(standing(&world, 0, "state service"), (LinkState::Up, None));
     world.down.insert(Link::Store(0));
     world.down.insert(Link::Hosts(0, 1));
     world.down.insert(Link::OneWay(0, 2));
     world.run(8_000);
-    assert_eq!(standing(&world, 0, "h01").0, Standing::Down);
-    assert_eq!(standing(&world, 0, "h02").0, Standing::OneWay);
-    assert_eq!(standing(&world, 0, "state service"), (Standing::Down, None));
+    assert_eq!(standing(&world, 0, "h01").0, LinkState::Down);
+    assert_eq!(standing(&world, 0, "h02").0, LinkState::OneWay);
+    assert_eq!(
+        standing(&world, 0, "state service"),
+        (LinkState::Down, None)
+    );
     world.down.remove(&Link::OneWay(0, 2));
     world.run(6_000);
     assert_eq!(
         standing(&world, 0, "state service"),
-        (Standing::Down, Some("h02".into()))
+        (LinkState::Down, Some("h02".into()))
     );
     world.down.clear();
     world.run(10_000);
-    assert_eq!(standing(&world, 0, "state service"), (Standing::Up, None));
+    assert_eq!(standing(&world, 0, "state service"), (LinkState::Up, None));
     let events = world.hosts[0].core.as_ref().expect("alive").links.events();
     for text in [
         "the state service does not answer",
@@ -313,13 +316,18 @@
         for n in 10..14 {
             submit(
                 &mut world,
-                job(n, if n % 2 == 0 { "red" } else { "blue" }, Shape::Array, 5),
+                job(
+                    n,
+                    if n % 2 == 0 { "red" } else { "blue" },
+                    JobKind::Array,
+                    5,
+                ),
                 20,
             );
         }
         let gang = JobSpec {
             one_zone: true,
-            ..job(14, "blue", Shape::Gang, 3)
+            ..job(14, "blue", JobKind::Gang, 3)
         };
         submit(&mut world, gang, 20);
         world.run(4_000);
@@ -341,7 +349,7 @@
         world.run(150_000);
         let mut faults = world.ground.checker.broken.clone();
         let open: Vec<u32> = (11..15)
-            .filter(|n| world.phase(&id(*n)) != Some(Phase::Done))
+            .filter(|n| world.phase(&id(*n)) != Some(JobPhase::Done))
             .collect();
         if !open.is_empty() || world.phase(&id(10)).is_none() {
             faults.push(format!(
@@ -457,7 +465,7 @@
                 ..NO_FAULTS
             },
         );
-        let spare = job(3, "blue", Shape::Service, 6);
+        let spare = job(3, "blue", JobKind::Service, 6);
         submit(&mut world, spare, 1);
         world.run(10_000);
         world.cut_zones.insert("south".into());
--- a/crates/simulator/tests/nights.rs
+++ b/crates/simulator/tests/nights.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 
 use lemonweir_model::constants::*;
-use lemonweir_model::{JobSpec, Rank, Shape};
-use lemonweir_protocol::users::Phase;
+use lemonweir_model::{JobKind, JobSpec, Priority};
+use lemonweir_protocol::users::JobPhase;
 use lemonweir_simulator::ground::Load;
 use lemonweir_simulator::history::History;
 use lemonweir_simulator::sample::{id, job, site};
@@ -58,7 +58,7 @@
 
 fn done(world: &World, jobs: impl IntoIterator<Item = u32>) -> Vec<u32> {
     jobs.into_iter()
-        .filter(|n| world.phase(&id(*n)) != Some(Phase::Done))
+        .filter(|n| world.phase(&id(*n)) != Some(JobPhase::Done))
         .collect()
 }
 
@@ -106,7 +106,7 @@
         world.run(5_000);
         world.boots = Some((factor, fail, zone.map(str::to_owned)));
         for n in 0..12 {
-            let shape = [Shape::Array, Shape::Gang, Shape::Array][n as usize % 3];
+            let shape = [JobKind::Array, JobKind::Gang, JobKind::Array][n as usize % 3];
             submit(&mut world, job(n, "blue", shape, 4), 30);
         }
         let mut most = 0;
@@ -139,7 +139,7 @@
         let mut world = world(seed, 40);
         world.run(5_000);
         world.boots = Some((0.05, 0.0, None));
-        submit(&mut world, job(0, "blue", Shape::Array, 16), 30);
+        submit(&mut world, job(0, "blue", JobKind::Array, 16), 30);
         // Step by step, until a request is out.
         while rented(&world) == 0 {
             world.run(1);
@@ -169,7 +169,7 @@
             for k in 0..10 {
                 let n = round * 10 + k;
                 let (shape, tasks) =
-                    [(Shape::Array, 6), (Shape::Gang, 3), (Shape::Array, 1)][n as usize % 3];
+                    [(JobKind::Array, 6), (JobKind::Gang, 3), (JobKind::Array, 1)][n as usize % 3];
                 let bad = n % 12 == 5;
                 if bad {
                     broken.insert(n);
@@ -203,7 +203,7 @@
             "seed {seed}"
         );
         for n in &broken {
-            assert_eq!(world.phase(&id(*n)), Some(Phase::Withdrawn), "job {n}");
+            assert_eq!(world.phase(&id(*n)), Some(JobPhase::Withdrawn), "job {n}");
         }
         assert_kept(&world, "mistakes");
     }
@@ -216,12 +216,12 @@
     let mut world = world(1, 30);
     world.run(5_000);
     for n in 0..6 {
-        submit(&mut world, job(n, "blue", Shape::Array, 3), 400);
+        submit(&mut world, job(n, "blue", JobKind::Array, 3), 400);
     }
     world.run(60_000);
     plan(
         &mut world,
-        job(50, "red", Shape::Array, MAX_TASKS),
+        job(50, "red", JobKind::Array, MAX_TASKS),
         15,
         true,
         Some(300),
@@ -237,7 +237,7 @@
         rented(&world)
     );
     world.run(120_000);
-    assert_eq!(world.phase(&id(50)), Some(Phase::Withdrawn));
+    assert_eq!(world.phase(&id(50)), Some(JobPhase::Withdrawn));
     assert_kept(&world, "a broken array");
 }
 
@@ -249,18 +249,18 @@
     world.run(5_000);
     plan(
         &mut world,
-        job(0, "blue", Shape::Gang, 8),
+        job(0, "blue", JobKind::Gang, 8),
         20,
         true,
         Some(260),
     );
     for n in 1..20 {
-        submit(&mut world, job(n, "blue", Shape::Array, 4), 20);
+        submit(&mut world, job(n, "blue", JobKind::Array, 4), 20);
         world.run(10_000);
     }
     world.run(200_000);
     assert_eq!(done(&world, 1..20), [0; 0]);
-    assert_eq!(world.phase(&id(0)), Some(Phase::Withdrawn));
+    assert_eq!(world.phase(&id(0)), Some(JobPhase::Withdrawn));
     assert_kept(&world, "a broken gang");
 }
 
@@ -274,7 +274,7 @@
             &mut world,
             JobSpec {
                 spot: false,
-                ..job(n, "red", Shape::Service, 1)
+                ..job(n, "red", JobKind::Service, 1)
             },
             1,
         );
@@ -282,20 +282,20 @@
     world.run(60_000);
     if guests {
         let idle = JobSpec {
-            rank: Rank::Low,
+            rank: Priority::Low,
             gpus: 0.0,
-            ..job(100, "blue", Shape::Array, MAX_TASKS)
+            ..job(100, "blue", JobKind::Array, MAX_TASKS)
         };
         submit(&mut world, idle, 60);
         for n in 0..2_000 {
             submit(
                 &mut world,
                 JobSpec {
-                    rank: Rank::Low,
+                    rank: Priority::Low,
                     cores: 0.5,
                     gpus: 0.0,
                     ram_gb: 0.5,
-                    ..job(1_000 + n, "blue", Shape::Array, 1)
+                    ..job(1_000 + n, "blue", JobKind::Array, 1)
                 },
                 4,
             );
@@ -307,9 +307,9 @@
         submit(
             &mut world,
             JobSpec {
-                rank: Rank::Production,
+                rank: Priority::Production,
                 spot: false,
-                ..job(n, "red", Shape::Service, 2)
+                ..job(n, "red", JobKind::Service, 2)
             },
             1,
         );
@@ -367,8 +367,8 @@
     submit(
         &mut world,
         JobSpec {
-            rank: Rank::Low,
-            ..job(0, "blue", Shape::Array, 4)
+            rank: Priority::Low,
+            ..job(0, "blue", JobKind::Array, 4)
         },
         20,
     );
@@ -389,7 +389,7 @@
         for n in 0..30 {
             submit(
                 &mut world,
-                job(n, ["red", "blue"][n as usize % 2], Shape::Array, 2),
+                job(n, ["red", "blue"][n as usize % 2], JobKind::Array, 2),
                 20,
             );
         }
@@ -434,7 +434,7 @@
                     job(
                         n,
                         ["red", "blue"][n as usize % 2],
-                        [Shape::Array, Shape::Gang][n as usize / 3],
+                        [JobKind::Array, JobKind::Gang][n as usize / 3],
                         3,
                     ),
                     20,
@@ -442,7 +442,7 @@
             }
             plan(
                 &mut world,
-                job(9, "blue", Shape::Service, 3),
+                job(9, "blue", JobKind::Service, 3),
                 1,
                 false,
                 Some(60),
@@ -459,7 +459,7 @@
             world.down.retain(|l| Some(l) != cut.as_ref());
             world.run(250_000);
             assert_eq!(done(&world, 0..6), [0; 0], "{what}");
-            assert_eq!(world.phase(&id(9)), Some(Phase::Withdrawn), "{what}");
+            assert_eq!(world.phase(&id(9)), Some(JobPhase::Withdrawn), "{what}");
             assert_kept(&world, &what);
         }
     }
@@ -470,7 +470,7 @@
 #[test]
 fn no_answer_after_a_long_pause_without_proof() {
     let mut world = world(5, 12);
-    submit(&mut world, job(0, "red", Shape::Service, 4), 1);
+    submit(&mut world, job(0, "red", JobKind::Service, 4), 1);
     world.run(40_000);
     let held = (0..3)
         .find(|h| {
--- a/crates/simulator/tests/replay.rs
+++ b/crates/simulator/tests/replay.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-use lemonweir_model::Room;
+use lemonweir_model::Resources;
 use lemonweir_simulator::compare::{self, Seeds};
 use lemonweir_simulator::run::{self, Outcome, Placer, Replayed, Source};
 use lemonweir_simulator::scenario::Scenario;
@@ -24,7 +24,7 @@
 fn replay(format: Format, sample: &str, seed: u64) -> Outcome {
     let dir = tempfile::tempdir().expect("directory");
     let workload = dir.path().join("w.jsonl");
-    let machine = Some(Room::offer(16.0, 4.0, 64.0));
+    let machine = Some(Resources::offer(16.0, 4.0, 64.0));
     let result = import(
         format,
         &[example(sample)],
--- a/crates/simulator/tests/rules.rs
+++ b/crates/simulator/tests/rules.rs
@@ -2,16 +2,16 @@
 
 use std::sync::Arc;
 
-use lemonweir_model::{JobId, JobSpec, Rank, Room, Shape};
-use lemonweir_protocol::kv_store::{Txn, Write};
-use lemonweir_protocol::users::Phase;
+use lemonweir_model::{JobId, JobKind, JobSpec, Priority, Resources};
+use lemonweir_protocol::kv_store::{CompareAndSwap, Write};
+use lemonweir_protocol::users::JobPhase;
 use lemonweir_simulator::checker::{Checker, Place};
 use lemonweir_simulator::ground::Load;
 use lemonweir_simulator::history::History;
 use lemonweir_simulator::sample::{id, job, site};
 use lemonweir_simulator::scenario::{Chances, Link};
 use lemonweir_simulator::world::{Planned, World};
-use lemonweir_storage::records::{EndRecord, end_key};
+use lemonweir_storage::records::{JobEndRecord, end_key};
 
 const NO_FAULTS: Chances = Chances {
     lost_txn_reply: 0,
@@ -75,23 +75,23 @@
             job(
                 n,
                 if n % 2 == 0 { "red" } else { "blue" },
-                Shape::Array,
+                JobKind::Array,
                 3 + u64::from(n),
             ),
             15,
             withdrawn,
         );
     }
-    let mut spread = job(10, "blue", Shape::Service, 3);
+    let mut spread = job(10, "blue", JobKind::Service, 3);
     spread.spread = true;
     spread.spot = false;
     submit(world, spread, 15, Some(70));
-    submit(world, job(11, "red", Shape::Gang, 1), 15, None);
+    submit(world, job(11, "red", JobKind::Gang, 1), 15, None);
     submit(
         world,
         JobSpec {
             one_zone: true,
-            ..job(12, "blue", Shape::Gang, 6)
+            ..job(12, "blue", JobKind::Gang, 6)
         },
         40,
         None,
@@ -101,7 +101,7 @@
 
 fn settle(world: &mut World, must: &[JobId], most_ms: u64) {
     let mut left = most_ms;
-    while left > 0 && must.iter().any(|j| world.phase(j) != Some(Phase::Done)) {
+    while left > 0 && must.iter().any(|j| world.phase(j) != Some(JobPhase::Done)) {
         world.run(5_000);
         left = left.saturating_sub(5_000);
     }
@@ -109,7 +109,7 @@
     assert_kept(world);
     let open: Vec<&JobId> = must
         .iter()
-        .filter(|j| world.phase(j) != Some(Phase::Done))
+        .filter(|j| world.phase(j) != Some(JobPhase::Done))
         .collect();
     assert!(open.is_empty(), "not done: {open:?}");
     assert!(world.ground.checker.starts > 20);
@@ -202,7 +202,7 @@
 #[test]
 fn a_withdrawal_crosses_a_cut_between_controllers() {
     let mut world = world(70, 2, 12, NO_FAULTS);
-    let mut service = job(1, "red", Shape::Service, 4);
+    let mut service = job(1, "red", JobKind::Service, 4);
     service.spread = true;
     submit(&mut world, service, 1, Some(75));
     world.run(60_000);
@@ -223,7 +223,7 @@
 fn a_withdrawal_crosses_a_cut_in_a_large_fleet() {
     let mut world = world(71, 2, 150, NO_FAULTS);
     for n in 1..9 {
-        let mut wide = job(n, "blue", Shape::Array, 60);
+        let mut wide = job(n, "blue", JobKind::Array, 60);
         wide.spread = n == 8;
         submit(&mut world, wide, 300, Some(138));
     }
@@ -279,7 +279,7 @@
     let service = JobSpec {
         spread: true,
         spot: false,
-        ..job(1, "blue", Shape::Service, 40)
+        ..job(1, "blue", JobKind::Service, 40)
     };
     submit(&mut world, service, 1, None);
     world.run(60_000);
@@ -322,7 +322,7 @@
     let mut c = Checker::new(
         [(
             "red".to_owned(),
-            Room {
+            Resources {
                 cpus: u64::MAX,
                 gpus: 2_000,
                 memory: u64::MAX,
@@ -333,19 +333,19 @@
     );
     let spread = JobSpec {
         spread: true,
-        ..job(1, "red", Shape::Service, 2)
+        ..job(1, "red", JobKind::Service, 2)
     };
     for spec in [
         spread,
-        job(2, "blue", Shape::Array, 2),
-        job(3, "red", Shape::Array, 2),
+        job(2, "blue", JobKind::Array, 2),
+        job(3, "red", JobKind::Array, 2),
     ] {
         c.submitted(&Arc::new(spec));
     }
     c.submitted(&Arc::new(JobSpec {
         spot: false,
         one_zone: true,
-        ..job(4, "blue", Shape::Gang, 2)
+        ..job(4, "blue", JobKind::Gang, 2)
     }));
     c
 }
@@ -409,11 +409,13 @@
     c.check_time(34_000_011);
     assert!(first_fault(&c).contains("ran_cancelled"));
 
-    let done = |n| Txn {
+    let done = |n| CompareAndSwap {
         conditions: Vec::new(),
         writes: vec![Write::put(
             end_key(&id(n)),
-            &EndRecord { phase: Phase::Done },
+            &JobEndRecord {
+                phase: JobPhase::Done,
+            },
         )],
     };
     let mut c = checker();
@@ -432,21 +434,21 @@
     c.task_done(&id(2), 0);
     c.task_done(&id(2), 1);
     c.written(&done(2), 5);
-    c.told(&id(2), Some(Phase::Running), true, 1, 6);
-    c.told(&id(2), Some(Phase::Done), true, 6, 7);
-    c.told(&id(2), Some(Phase::Running), true, 6, 8);
+    c.told(&id(2), Some(JobPhase::Running), true, 1, 6);
+    c.told(&id(2), Some(JobPhase::Done), true, 6, 7);
+    c.told(&id(2), Some(JobPhase::Running), true, 6, 8);
     assert!(c.broken.is_empty(), "asked before the end was told");
-    c.told(&id(2), Some(Phase::Running), true, 7, 9);
+    c.told(&id(2), Some(JobPhase::Running), true, 7, 9);
     assert!(first_fault(&c).contains("went_back"));
 
     let mut c = checker();
-    c.told(&id(2), Some(Phase::Done), true, 1, 2);
+    c.told(&id(2), Some(JobPhase::Done), true, 1, 2);
     assert!(first_fault(&c).contains("not_done"));
     let mut c = checker();
     c.told(&id(2), None, true, 1, 2);
     assert!(first_fault(&c).contains("forgotten"));
     let mut c = checker();
-    c.told(&id(9), Some(Phase::Queued), false, 1, 2);
+    c.told(&id(9), Some(JobPhase::Queued), false, 1, 2);
     assert!(first_fault(&c).contains("invented"));
 }
 
@@ -457,13 +459,13 @@
 #[test]
 fn a_higher_priority_pushes_out_a_lower() {
     let mut world = one_box(80);
-    submit(&mut world, job(1, "blue", Shape::Array, 4), 120, None);
+    submit(&mut world, job(1, "blue", JobKind::Array, 4), 120, None);
     world.run(60_000);
     submit(
         &mut world,
         JobSpec {
-            rank: Rank::Production,
-            ..job(2, "blue", Shape::Service, 1)
+            rank: Priority::Production,
+            ..job(2, "blue", JobKind::Service, 1)
         },
         1,
         Some(8),
@@ -474,7 +476,7 @@
         "the replica has pushed a batch task out"
     );
     world.run(400_000);
-    assert_eq!(world.phase(&id(1)), Some(Phase::Done));
+    assert_eq!(world.phase(&id(1)), Some(JobPhase::Done));
     assert_kept(&world);
 }
 
@@ -495,14 +497,14 @@
     submit(
         &mut world,
         JobSpec {
-            rank: Rank::High,
-            ..job(1, "blue", Shape::Array, 4)
+            rank: Priority::High,
+            ..job(1, "blue", JobKind::Array, 4)
         },
         20,
         None,
     );
     world.run(40_000);
-    submit(&mut world, job(2, "red", Shape::Array, 4), 20, None);
+    submit(&mut world, job(2, "red", JobKind::Array, 4), 20, None);
     world.run(200_000);
     assert_kept(&world);
     assert!(
@@ -510,8 +512,8 @@
         "{} starts for 8 tasks",
         world.ground.checker.starts
     );
-    assert_eq!(world.phase(&id(1)), Some(Phase::Done));
-    assert_eq!(world.phase(&id(2)), Some(Phase::Done));
+    assert_eq!(world.phase(&id(1)), Some(JobPhase::Done));
+    assert_eq!(world.phase(&id(2)), Some(JobPhase::Done));
 }
 
 // ---- withdrawals and blindness ---------------------------------------------------
@@ -523,7 +525,7 @@
     let service = JobSpec {
         spread: true,
         spot: false,
-        ..job(1, "red", Shape::Service, 4)
+        ..job(1, "red", JobKind::Service, 4)
     };
     submit(&mut world, service, 1, None);
     world.run(60_000);
@@ -549,7 +551,7 @@
     world.down.clear();
     world.run(20_000);
     assert_eq!(live(&world), 0);
-    assert_eq!(world.phase(&id(1)), Some(Phase::Withdrawn));
+    assert_eq!(world.phase(&id(1)), Some(JobPhase::Withdrawn));
     assert_kept(&world);
 }
 
@@ -560,7 +562,7 @@
     let mut world = world(74, 3, 12, NO_FAULTS);
     let service = JobSpec {
         spot: false,
-        ..job(1, "red", Shape::Service, 4)
+        ..job(1, "red", JobKind::Service, 4)
     };
     submit(&mut world, service, 1, None);
     world.run(60_000);
--- a/crates/simulator/tests/troubles.rs
+++ b/crates/simulator/tests/troubles.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use lemonweir_model::{AttemptId, Shape};
+use lemonweir_model::{AttemptId, JobKind};
 use lemonweir_protocol::kv_store::from_value;
 use lemonweir_simulator::checker::Checker;
 use lemonweir_simulator::history::History;
@@ -143,7 +143,7 @@
 #[test]
 fn two_attempts_of_a_gang_at_once_are_seen() {
     let mut checker = Checker::new(BTreeMap::new(), 1);
-    let gang = Arc::new(job(1, "red", Shape::Gang, 3));
+    let gang = Arc::new(job(1, "red", JobKind::Gang, 3));
     checker.submitted(&gang);
     let task = |task, attempt| AttemptId {
         job: id(1),
--- a/crates/simulator/tests/watch.rs
+++ b/crates/simulator/tests/watch.rs
@@ -4,15 +4,15 @@
 use std::sync::Arc;
 
 use lemonweir_model::constants::*;
-use lemonweir_model::{JobSpec, Rank, Shape};
-use lemonweir_protocol::kv_store::{Txn, Write, from_value};
+use lemonweir_model::{JobKind, JobSpec, Priority};
+use lemonweir_protocol::kv_store::{CompareAndSwap, Write, from_value};
 use lemonweir_simulator::ground::Load;
 use lemonweir_simulator::history::History;
 use lemonweir_simulator::sample::{job, site};
 use lemonweir_simulator::scenario::{Chances, Scenario, host_name};
 use lemonweir_simulator::world::{Planned, World};
-use lemonweir_storage::failovers::{Change, HandoverRecord, handover_key};
-use lemonweir_storage::records::{PartRecord, part_key};
+use lemonweir_storage::failovers::{FailoverRecord, LeadershipChange, handover_key};
+use lemonweir_storage::records::{ShardRecord, part_key};
 
 const NO_FAULTS: Chances = Chances {
     lost_txn_reply: 0,
@@ -46,7 +46,7 @@
             JobSpec {
                 spread: true,
                 spot: false,
-                ..job(n, team, Shape::Service, tasks)
+                ..job(n, team, JobKind::Service, tasks)
             },
             1,
         );
@@ -76,18 +76,18 @@
 fn holder(world: &World, part: u16) -> Option<(String, u64)> {
     let (value, token) = world.store.get(&part_key(part))?;
     Some((
-        from_value::<PartRecord>(value).expect("a holder").host,
+        from_value::<ShardRecord>(value).expect("a holder").host,
         token,
     ))
 }
 
-fn ring(world: &World, part: u16) -> Vec<(HandoverRecord, u64)> {
+fn ring(world: &World, part: u16) -> Vec<(FailoverRecord, u64)> {
     let entries = world.store.list(&format!("w/hand/{part}/"));
     let mut all: Vec<_> = entries
         .iter()
         .map(|e| {
             (
-                from_value::<HandoverRecord>(&e.value).expect("an entry"),
+                from_value::<FailoverRecord>(&e.value).expect("an entry"),
                 e.version,
             )
         })
@@ -149,8 +149,8 @@
         submit(
             &mut world,
             JobSpec {
-                rank: Rank::Normal,
-                ..job(9, "blue", Shape::Array, 3)
+                rank: Priority::Normal,
+                ..job(9, "blue", JobKind::Array, 3)
             },
             30,
         );
@@ -203,7 +203,7 @@
         for part in 0..3 {
             let reborn = ring(&world, part)
                 .iter()
-                .any(|(r, _)| r.how == Change::Reborn);
+                .any(|(r, _)| r.how == LeadershipChange::Reborn);
             assert_eq!(
                 reborn,
                 back_ms < HOLD_TTL_MS - HOLD_RENEW_MS,
@@ -218,7 +218,7 @@
 fn an_entry_that_cant_be_closed_for_a_minute_is_closed_then() {
     let mut world = served(30, NO_FAULTS);
     world.crash(0, 300_000_000);
-    submit(&mut world, job(9, "blue", Shape::Array, 3), 30);
+    submit(&mut world, job(9, "blue", JobKind::Array, 3), 30);
     let second = until_taken(&mut world, 0, &[0]);
     world.run(20);
     world.store.down = true;
@@ -250,9 +250,9 @@
 fn a_full_ring_goes_on() {
     let mut world = served(31, NO_FAULTS);
     let first = ring(&world, 0).pop().expect("an entry").0;
-    let mut fill = Txn::default();
+    let mut fill = CompareAndSwap::default();
     for n in 2..=HANDOVERS_KEPT {
-        let record = HandoverRecord {
+        let record = FailoverRecord {
             n,
             from: Some(host_name(0)),
             to: Some(host_name(0)),
@@ -268,9 +268,9 @@
     });
     // The store takes so many at a time.
     for write in fill.writes {
-        world.store.txn(&Txn {
+        world.store.txn(&CompareAndSwap {
             writes: vec![write],
-            ..Txn::default()
+            ..CompareAndSwap::default()
         });
     }
     world.run(1_000);
@@ -281,7 +281,7 @@
         let newest = world
             .store
             .get(&handover_key(0, HANDOVERS_KEPT + 1 + n))
-            .and_then(|(v, _)| from_value::<HandoverRecord>(v));
+            .and_then(|(v, _)| from_value::<FailoverRecord>(v));
         assert_eq!(newest.expect("overwritten").n, HANDOVERS_KEPT + 1 + n);
         assert_eq!(host, host_name(0), "the part is held all the same");
     }
@@ -334,7 +334,7 @@
                 cores: 1.0,
                 gpus: 0.25,
                 ram_gb: 1.0,
-                ..job(n, "blue", Shape::Service, 2)
+                ..job(n, "blue", JobKind::Service, 2)
             },
             1,
         );
@@ -425,7 +425,7 @@
             JobSpec {
                 spread: true,
                 spot: false,
-                ..job(n, team, Shape::Service, 16)
+                ..job(n, team, JobKind::Service, 16)
             },
             1,
         );
@@ -435,7 +435,7 @@
         &mut world,
         JobSpec {
             spot: false,
-            ..job(services, "red", Shape::Service, 6)
+            ..job(services, "red", JobKind::Service, 6)
         },
         1,
     );
@@ -463,7 +463,7 @@
         &mut world,
         JobSpec {
             spot: false,
-            ..job(services + 1, "blue", Shape::Array, 4)
+            ..job(services + 1, "blue", JobKind::Array, 4)
         },
         60,
     );
@@ -540,7 +540,10 @@
 // ---- another way --------------------------------------------------------------
 
 /// The row of a service in the picture of the controller that serves its team.
-fn row(world: &World, n: u32) -> Option<lemonweir_protocol::supervision::ShortRow> {
+fn row(
+    world: &World,
+    n: u32,
+) -> Option<lemonweir_protocol::supervision::UnderReplicatedServiceRow> {
     let rows = world
         .hosts
         .iter()
@@ -560,7 +563,7 @@
         &mut world,
         JobSpec {
             spot: false,
-            ..job(0, "blue", Shape::Service, 4)
+            ..job(0, "blue", JobKind::Service, 4)
         },
         1,
     );
@@ -570,7 +573,7 @@
         &mut world,
         JobSpec {
             spot: false,
-            ..job(1, "blue", Shape::Service, 2)
+            ..job(1, "blue", JobKind::Service, 2)
         },
         1,
     );
@@ -612,7 +615,7 @@
     let north = |n| JobSpec {
         spot: false,
         zone: Some("north".into()),
-        ..job(n, "blue", Shape::Service, 1)
+        ..job(n, "blue", JobKind::Service, 1)
     };
     submit(&mut world, north(0), 1);
     world.run(50_000);
--- a/crates/simulator/tests/weights.rs
+++ b/crates/simulator/tests/weights.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use lemonweir_model::policy::Trade;
-use lemonweir_model::{AttemptId, JobSpec, Rank, Shape};
+use lemonweir_model::{AttemptId, JobKind, JobSpec, Priority};
 use lemonweir_protocol::worker::TaskPhase;
 use lemonweir_simulator::ground::Load;
 use lemonweir_simulator::history::History;
@@ -31,12 +31,12 @@
     let team = ["red", "blue"][n as usize % 2];
     JobSpec {
         class: "model".into(),
-        rank: Rank::Production,
+        rank: Priority::Production,
         spot: false,
         image: image.into(),
         image_gb: gb,
         checkpoint_s: 0.0,
-        ..job(n, team, Shape::Service, replicas)
+        ..job(n, team, JobKind::Service, replicas)
     }
 }
 
@@ -72,7 +72,7 @@
     }
 
     fn submit(&mut self, spec: JobSpec, run_s: u64) {
-        if spec.shape == Shape::Service {
+        if spec.shape == JobKind::Service {
             self.services.push(spec.clone());
         }
         let load = Load {
@@ -492,7 +492,7 @@
             image: format!("b-{}", k % 14),
             image_gb: 7.0,
             spot: false,
-            ..job(10_000 + k, "blue", Shape::Array, 20)
+            ..job(10_000 + k, "blue", JobKind::Array, 20)
         };
         lab.submit(spec, 60);
     };
--- a/crates/storage/src/dependencies.rs
+++ b/crates/storage/src/dependencies.rs
@@ -3,7 +3,7 @@
 //! | key | value | life |
 //! | --- | --- | --- |
 //! | `w/chain/<id>` | [`JobRecord`], its `awaits` cut to the first page | until the last awaited job is done, or the job is cancelled |
-//! | `w/chain/<id>/<n>` | [`AwaitsPage`] | as above; removed later |
+//! | `w/chain/<id>/<n>` | [`DependencyPage`] | as above; removed later |
 //!
 //! A job that waits is not under `w/job/`, so nobody places it, and a process that does
 //! not know chains neither starts, ends nor rewrites it. Once every awaited job's end
@@ -11,15 +11,15 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::records::{EndRecord, JobRecord, end_key, job_key};
+use crate::records::{JobEndRecord, JobRecord, end_key, job_key};
 use lemonweir_model::JobId;
 use lemonweir_model::constants::AWAITS_PAGE;
-use lemonweir_protocol::kv_store::{Condition, Txn, Write};
-use lemonweir_protocol::users::Phase;
+use lemonweir_protocol::kv_store::{CompareAndSwap, Condition, Write};
+use lemonweir_protocol::users::JobPhase;
 
 /// More awaited jobs than the first page holds.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Eq)]
-pub struct AwaitsPage {
+pub struct DependencyPage {
     /// Their ids.
     pub awaits: Vec<JobId>,
 }
@@ -58,7 +58,7 @@
 
 /// The transactions that accept a job which waits for others, in their order: further
 /// pages first, which mean nothing by themselves, then the job, which counts.
-pub fn accept_waiting(record: &JobRecord, txn_ops: usize) -> Vec<Txn> {
+pub fn accept_waiting(record: &JobRecord, txn_ops: usize) -> Vec<CompareAndSwap> {
     let id = &record.spec.id;
     let mut pages = record.spec.awaits.chunks(AWAITS_PAGE);
     let first = pages.next().unwrap_or_default().to_vec();
@@ -67,15 +67,15 @@
         .map(|(awaits, page)| {
             Write::put(
                 awaits_key(id, page),
-                &AwaitsPage {
+                &DependencyPage {
                     awaits: awaits.to_vec(),
                 },
             )
         })
         .collect();
-    let mut txns: Vec<Txn> = rest
+    let mut txns: Vec<CompareAndSwap> = rest
         .chunks(txn_ops.max(1))
-        .map(|writes| Txn {
+        .map(|writes| CompareAndSwap {
             conditions: unknown_job(id),
             writes: writes.to_vec(),
         })
@@ -83,7 +83,7 @@
     let mut head = record.clone();
     head.awaited = record.spec.awaits.len();
     head.spec.awaits = first;
-    txns.push(Txn {
+    txns.push(CompareAndSwap {
         conditions: unknown_job(id),
         writes: vec![Write::put(chain_key(id), &head)],
     });
@@ -91,21 +91,21 @@
 }
 
 /// Accepts a job that needs a cancelled one: it is cancelled from the start.
-pub fn accept_cancelled(id: &JobId) -> Txn {
-    Txn {
+pub fn accept_cancelled(id: &JobId) -> CompareAndSwap {
+    CompareAndSwap {
         conditions: unknown_job(id),
         writes: vec![Write::put(
             end_key(id),
-            &EndRecord {
-                phase: Phase::Withdrawn,
+            &JobEndRecord {
+                phase: JobPhase::Withdrawn,
             },
         )],
     }
 }
 
 /// Cancels a job that waits, whose key has this version: no task of it was ever started.
-pub fn cancel_waiting(id: &JobId, version: u64) -> Txn {
-    Txn {
+pub fn cancel_waiting(id: &JobId, version: u64) -> CompareAndSwap {
+    CompareAndSwap {
         conditions: vec![Condition {
             key: chain_key(id),
             version,
@@ -113,8 +113,8 @@
         writes: vec![
             Write::put(
                 end_key(id),
-                &EndRecord {
-                    phase: Phase::Withdrawn,
+                &JobEndRecord {
+                    phase: JobPhase::Withdrawn,
                 },
             ),
             Write::Delete { key: chain_key(id) },
@@ -127,7 +127,7 @@
 ///
 /// Guards against a start before all awaited jobs are done: the ends in `done`, each with
 /// the version under which it says so, are conditions.
-pub fn release_waiting(record: &JobRecord, version: u64, done: &[(JobId, u64)]) -> Txn {
+pub fn release_waiting(record: &JobRecord, version: u64, done: &[(JobId, u64)]) -> CompareAndSwap {
     let id = &record.spec.id;
     let mut conditions = vec![Condition {
         key: chain_key(id),
@@ -140,7 +140,7 @@
     let mut job = record.clone();
     job.spec.awaits.clear();
     job.awaited = 0;
-    Txn {
+    CompareAndSwap {
         conditions,
         writes: vec![
             Write::put(job_key(id), &job),
@@ -150,7 +150,7 @@
 }
 
 /// Asks whether these ends have these versions, without a write: an end never changes.
-pub fn ends_stand(done: &[(JobId, u64)]) -> Txn {
+pub fn ends_stand(done: &[(JobId, u64)]) -> CompareAndSwap {
     let conditions = done
         .iter()
         .map(|(awaited, version)| Condition {
@@ -158,7 +158,7 @@
             version: *version,
         })
         .collect();
-    Txn {
+    CompareAndSwap {
         conditions,
         writes: Vec::new(),
     }
--- a/crates/storage/src/failovers.rs
+++ b/crates/storage/src/failovers.rs
@@ -3,7 +3,7 @@
 //!
 //! | key | value | life |
 //! | --- | --- | --- |
-//! | `w/hand/<part>/<slot>` | [`HandoverRecord`] | until the ring comes round |
+//! | `w/hand/<part>/<slot>` | [`FailoverRecord`] | until the ring comes round |
 //!
 //! An entry's version is the revision of its change of hands: of one that takes a
 //! part, the part's token. Closing it, in spare writes, gives it a later one and
@@ -18,7 +18,7 @@
 use serde::{Deserialize, Serialize};
 
 use lemonweir_model::constants::{HANDOVERS_KEPT, ODD_HANDOVERS};
-use lemonweir_protocol::kv_store::{Condition, Txn, Write, from_value};
+use lemonweir_protocol::kv_store::{CompareAndSwap, Condition, Write, from_value};
 
 /// Key of the entry with this number, which counts a part's changes of hands from 1.
 pub fn handover_key(part: u16, number: u64) -> String {
@@ -34,7 +34,7 @@
 /// How a part changed hands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Change {
+pub enum LeadershipChange {
     /// Taken without a holder: the last one's hold has run out, or none ever was.
     Vacant,
     /// Taken by a later life of the process that held it.
@@ -50,7 +50,7 @@
 
 /// One change of hands.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HandoverRecord {
+pub struct FailoverRecord {
     /// Its number among the part's, from 1.
     pub n: u64,
     /// Who held the part before; none: nobody known.
@@ -60,7 +60,7 @@
     #[serde(default)]
     pub to: Option<String>,
     /// How.
-    pub how: Change,
+    pub how: LeadershipChange,
     /// Time of day, ms.
     pub at: u64,
     /// Replicas, other tasks and machines that the writer knew to be up in the part.
@@ -68,12 +68,12 @@
     pub up: Option<(u32, u32, u32)>,
     /// What was found afterwards; none: not written yet, or nobody lived to.
     #[serde(default)]
-    pub closed: Option<Closing>,
+    pub closed: Option<FailoverCompletion>,
 }
 
 /// What was found after a change of hands.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Closing {
+pub struct FailoverCompletion {
     /// Who wrote it: the taker, or a successor that can only tell what it found.
     pub by: String,
     /// ms from the change until records and machines were read.
@@ -102,7 +102,7 @@
     pub held_ms: Option<u64>,
 }
 
-impl HandoverRecord {
+impl FailoverRecord {
     /// Somebody took the part, and what was found is not written yet.
     pub fn open(&self) -> bool {
         self.to.is_some() && self.closed.is_none()
@@ -116,18 +116,18 @@
 
 /// An entry to be written, with the version that its slot must have.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct NewHandover {
+pub struct NewFailover {
     /// The part.
     pub part: u16,
     /// Version of the slot's key; 0: no key.
     pub slot_version: u64,
     /// The entry.
-    pub record: HandoverRecord,
+    pub record: FailoverRecord,
 }
 
-impl NewHandover {
+impl NewFailover {
     /// Adds it to the transaction that it tells of, or that closes it.
-    pub fn join(&self, txn: &mut Txn) {
+    pub fn join(&self, txn: &mut CompareAndSwap) {
         let key = handover_key(self.part, self.record.n);
         txn.conditions.push(Condition {
             key: key.clone(),
@@ -139,16 +139,16 @@
 
 /// A node's copy of all rings.
 #[derive(Debug, Default)]
-pub struct Rings {
+pub struct FailoverHistory {
     /// Entries by part and slot, with the versions of their keys.
-    entries: BTreeMap<(u16, u64), (HandoverRecord, u64)>,
+    entries: BTreeMap<(u16, u64), (FailoverRecord, u64)>,
     /// Versions of those that can't be read.
     odd: BTreeMap<(u16, u64), u64>,
     /// Keys that were named in the log.
     named: BTreeSet<String>,
 }
 
-impl Rings {
+impl FailoverHistory {
     /// Forgets all; a full reading follows.
     pub(crate) fn clear(&mut self) {
         self.entries.clear();
@@ -158,7 +158,7 @@
     /// Takes the value of the key below `w/hand/`.
     pub(crate) fn set(&mut self, rest: &str, value: &rmpv::Value, version: u64) {
         let slot = parse_handover_key(rest).filter(|(_, slot)| *slot < HANDOVERS_KEPT);
-        let record = from_value::<HandoverRecord>(value);
+        let record = from_value::<FailoverRecord>(value);
         // Guards against a number that no count of changes reaches: all later ones
         // would follow it.
         let record = record.filter(|r| {
@@ -191,7 +191,7 @@
     }
 
     /// A part's entries in their order, each with its version.
-    pub fn of(&self, part: u16) -> Vec<(&HandoverRecord, u64)> {
+    pub fn of(&self, part: u16) -> Vec<(&FailoverRecord, u64)> {
         let mut all: Vec<_> = self
             .entries
             .range((part, 0)..=(part, u64::MAX))
@@ -207,12 +207,12 @@
     }
 
     /// The entry with this number, as one to be written anew.
-    pub fn again(&self, part: u16, number: u64) -> Option<NewHandover> {
+    pub fn again(&self, part: u16, number: u64) -> Option<NewFailover> {
         let (record, version) = self
             .entries
             .get(&(part, number % HANDOVERS_KEPT))
             .filter(|(r, _)| r.n == number)?;
-        Some(NewHandover {
+        Some(NewFailover {
             part,
             slot_version: *version,
             record: record.clone(),
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -7,4 +7,4 @@
 pub mod records;
 pub mod state_cache;
 
-pub use state_cache::Mirror;
+pub use state_cache::StateCache;
--- a/crates/storage/src/packed_chunk.rs
+++ b/crates/storage/src/packed_chunk.rs
@@ -1,32 +1,32 @@
 //! Task records in little room: a full chunk of live attempts stays below 2 KiB.
 //!
-//! Versions before [`PACKED_VERSION`] read only [`ChunkRecord`] as it is written by itself,
+//! Versions before [`PACKED_VERSION`] read only [`TaskChunkRecord`] as it is written by itself,
 //! so the packed form is written once the store says that every controller knows it
 //! ([`crate::records::VersionRecord`]). Both forms are read at any time.
 
 use serde::{Deserialize, Serialize};
 
-use crate::records::{ChunkRecord, GangRecord, LiveRecord};
+use crate::records::{GangAdmissionRecord, LiveAttemptRecord, TaskChunkRecord};
 use lemonweir_model::constants::{CHUNK_TASKS, PACKED_VERSION};
-use lemonweir_model::{MachineId, Room};
+use lemonweir_model::{MachineId, Resources};
 use lemonweir_protocol::kv_store::{from_value, to_value};
 
 /// A chunk whose live attempts are one text each.
 #[derive(Debug, Serialize, Deserialize)]
 struct PackedChunk {
     team: String,
-    need: Room,
+    need: Resources,
     next: u32,
     done: Vec<(u32, u32)>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    gang: Option<GangRecord>,
+    gang: Option<GangAdmissionRecord>,
     /// Zones of the attempts' machines.
     zones: Vec<String>,
     /// Task within the chunk, attempt, shard, position in `zones`, machine.
     packed: Vec<String>,
 }
 
-fn pack(live: &LiveRecord, zones: &mut Vec<String>) -> String {
+fn pack(live: &LiveAttemptRecord, zones: &mut Vec<String>) -> String {
     let zone = zones
         .iter()
         .position(|zone| *zone == live.z)
@@ -43,11 +43,11 @@
     )
 }
 
-fn unpack(text: &str, chunk: u32, zones: &[String]) -> Option<LiveRecord> {
+fn unpack(text: &str, chunk: u32, zones: &[String]) -> Option<LiveAttemptRecord> {
     let mut fields = text.splitn(5, '.');
     let mut number = || fields.next()?.parse::<u32>().ok();
     let (task, attempt, shard, zone) = (number()?, number()?, number()?, number()?);
-    Some(LiveRecord {
+    Some(LiveAttemptRecord {
         t: chunk * CHUNK_TASKS + task,
         a: attempt,
         p: u16::try_from(shard).ok()?,
@@ -57,7 +57,7 @@
 }
 
 /// The value of a chunk for a store that all controllers of this version read.
-pub fn chunk_value(record: &ChunkRecord, version: u32) -> rmpv::Value {
+pub fn chunk_value(record: &TaskChunkRecord, version: u32) -> rmpv::Value {
     if version < PACKED_VERSION {
         return to_value(record);
     }
@@ -67,7 +67,7 @@
         .iter()
         .map(|live| pack(live, &mut zones))
         .collect();
-    let ChunkRecord {
+    let TaskChunkRecord {
         team,
         need,
         next,
@@ -87,7 +87,7 @@
 }
 
 /// Reads chunk number `chunk` of a job, in either form.
-pub fn read_chunk(value: &rmpv::Value, chunk: u32) -> Option<ChunkRecord> {
+pub fn read_chunk(value: &rmpv::Value, chunk: u32) -> Option<TaskChunkRecord> {
     let Some(PackedChunk {
         team,
         need,
@@ -101,11 +101,11 @@
         return from_value(value);
     };
     // Guards against a record of which some attempts are lost: all of it is read, or none.
-    let live: Option<Vec<LiveRecord>> = packed
+    let live: Option<Vec<LiveAttemptRecord>> = packed
         .iter()
         .map(|text| unpack(text, chunk, &zones))
         .collect();
-    Some(ChunkRecord {
+    Some(TaskChunkRecord {
         team,
         need,
         next,
--- a/crates/storage/src/records.rs
+++ b/crates/storage/src/records.rs
@@ -3,16 +3,16 @@
 //! | key | value | life |
 //! | --- | --- | --- |
 //! | `w/job/<id>` | [`JobRecord`] | while the job is neither done nor withdrawn |
-//! | `w/part/<i>` | [`PartRecord`] | with its owner's hold |
-//! | `w/node/<host>` | [`NodeRecord`] | with the node's hold |
+//! | `w/part/<i>` | [`ShardRecord`] | with its owner's hold |
+//! | `w/node/<host>` | [`ControllerRecord`] | with the node's hold |
 //! | `w/version` | [`VersionRecord`] | for ever |
-//! | `w/team/<name>` | [`TeamRecord`] | for ever |
+//! | `w/team/<name>` | [`TeamAssignmentRecord`] | for ever |
 //! | `w/chain/<id>` | [`JobRecord`] | while the job waits for others ([`crate::dependencies`]) |
-//! | `end/<id>` | [`EndRecord`] | for ever |
-//! | `run/<part>/<id>/<chunk>` | [`ChunkRecord`] | while the job runs or an attempt may |
-//! | `img/<part>/<page>` | [`ImagesRecord`] | for ever; a hint only |
-//! | `w/mail/<kind>/<from>/<to>/<k>` | [`MailRecord`] | with the sender's hold |
-//! | `w/hand/<part>/<slot>` | [`crate::failovers::HandoverRecord`] | until the ring comes round |
+//! | `end/<id>` | [`JobEndRecord`] | for ever |
+//! | `run/<part>/<id>/<chunk>` | [`TaskChunkRecord`] | while the job runs or an attempt may |
+//! | `img/<part>/<page>` | [`ImageLocationsRecord`] | for ever; a hint only |
+//! | `w/mail/<kind>/<from>/<to>/<k>` | [`StoreMessageRecord`] | with the sender's hold |
+//! | `w/hand/<part>/<slot>` | [`crate::failovers::FailoverRecord`] | until the ring comes round |
 //!
 //! Every node follows `w/`. A job leaves it in the same transaction that
 //! writes its end, so start-up reads stay small as finished jobs pile up.
@@ -21,11 +21,11 @@
 use serde::{Deserialize, Serialize};
 
 use crate::dependencies::unknown_job;
-use crate::failovers::NewHandover;
+use crate::failovers::NewFailover;
 use lemonweir_model::constants::{PACKED_VERSION, PEER_VERSION};
-use lemonweir_model::{JobId, JobSpec, MachineId, Room};
-use lemonweir_protocol::kv_store::{Condition, Txn, Write, to_value};
-use lemonweir_protocol::users::Phase;
+use lemonweir_model::{JobId, JobSpec, MachineId, Resources};
+use lemonweir_protocol::kv_store::{CompareAndSwap, Condition, Write, to_value};
+use lemonweir_protocol::users::JobPhase;
 
 /// Prefix of the keys that every node follows.
 pub const FOLLOWED: &str = "w/";
@@ -99,14 +99,14 @@
 
 /// A part's owner.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Eq)]
-pub struct PartRecord {
+pub struct ShardRecord {
     /// Host name.
     pub host: String,
 }
 
 /// A node that lives.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct NodeRecord {
+pub struct ControllerRecord {
     /// Zone.
     pub zone: String,
     /// Format of the messages between controllers that it speaks; 0: an earlier
@@ -134,8 +134,8 @@
 
 /// Records that every controller reads this version, instead of the earlier one whose
 /// record has that version of its key.
-pub fn raise_version(version: u32, earlier: u64) -> Txn {
-    Txn {
+pub fn raise_version(version: u32, earlier: u64) -> CompareAndSwap {
+    CompareAndSwap {
         conditions: vec![Condition {
             key: VERSION_KEY.to_owned(),
             version: earlier,
@@ -166,7 +166,7 @@
 /// restarted owner places by images at once. Names are written once a page, so
 /// that hundreds of machines fit one.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq, Eq)]
-pub struct ImagesRecord {
+pub struct ImageLocationsRecord {
     /// Images with their sizes in thousandths of a GB.
     pub n: Vec<(String, u64)>,
     /// Machines with their images, as positions in `n`, most recently used first.
@@ -175,42 +175,42 @@
 
 /// Which part serves a team.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct TeamRecord {
+pub struct TeamAssignmentRecord {
     /// The part.
     pub part: u16,
 }
 
 /// How a job ended.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct EndRecord {
+pub struct JobEndRecord {
     /// Done or withdrawn.
-    pub phase: Phase,
+    pub phase: JobPhase,
 }
 
 /// Some tasks of a job: which are done, which have a live attempt.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq)]
-pub struct ChunkRecord {
+pub struct TaskChunkRecord {
     /// The team, so that its use is counted when the job itself is over.
     pub team: String,
     /// What a task takes.
-    pub need: Room,
+    pub need: Resources,
     /// The next attempt number of the job.
     pub next: u32,
     /// Ranges of done tasks, first and last.
     pub done: Vec<(u32, u32)>,
     /// Attempts not proven to be over.
-    pub live: Vec<LiveRecord>,
+    pub live: Vec<LiveAttemptRecord>,
     /// Of a gang: how far its admission has come. None of a gang that an earlier
     /// version admitted: it may have been started.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub gang: Option<GangRecord>,
+    pub gang: Option<GangAdmissionRecord>,
 }
 
 /// A gang's entry in the admission ledger, in each of its chunks.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct GangRecord {
+pub struct GangAdmissionRecord {
     /// How far it has come.
-    pub step: GangStep,
+    pub step: GangAdmissionStep,
     /// Time of day of that step, ms.
     pub at: u64,
     /// The attempt that its members share.
@@ -220,7 +220,7 @@
 /// Steps of a gang's admission, in their order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum GangStep {
+pub enum GangAdmissionStep {
     /// Every member has a machine; owners are asked for room. Nothing is launched.
     Planned,
     /// Every owner has granted room: it may be launched from now on.
@@ -234,7 +234,7 @@
 
 /// An attempt not proven to be over.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
-pub struct LiveRecord {
+pub struct LiveAttemptRecord {
     /// Task.
     pub t: u32,
     /// Attempt.
@@ -248,9 +248,9 @@
 }
 
 /// Accepts a job: neither it nor its end may be known.
-pub fn accept_job(record: &JobRecord) -> Txn {
+pub fn accept_job(record: &JobRecord) -> CompareAndSwap {
     let id = &record.spec.id;
-    Txn {
+    CompareAndSwap {
         conditions: unknown_job(id),
         writes: vec![Write::put(job_key(id), record)],
     }
@@ -261,8 +261,8 @@
 
 /// Asks whether no such jobs are: neither unfinished, waiting for others nor over. It
 /// writes nothing; what it fails on is there.
-pub fn absent(jobs: &[JobId]) -> Txn {
-    Txn {
+pub fn absent(jobs: &[JobId]) -> CompareAndSwap {
+    CompareAndSwap {
         conditions: jobs.iter().flat_map(unknown_job).collect(),
         writes: Vec::new(),
     }
@@ -271,13 +271,13 @@
 /// Asks for the end of a job whose key has this version: if it has ended
 /// meanwhile, the key has another. Its placer writes the end once every attempt
 /// is proven to be over.
-pub fn withdraw_job(record: &JobRecord, version: u64) -> Txn {
+pub fn withdraw_job(record: &JobRecord, version: u64) -> CompareAndSwap {
     let key = job_key(&record.spec.id);
     let asked = JobRecord {
         withdrawn: true,
         ..record.clone()
     };
-    Txn {
+    CompareAndSwap {
         conditions: vec![Condition {
             key: key.clone(),
             version,
@@ -287,14 +287,14 @@
 }
 
 /// Takes a part whose key has this version (0: no key), to live with a hold.
-pub fn take_part(version: u64, host: &str, hold: u64, entry: &NewHandover) -> Txn {
+pub fn take_part(version: u64, host: &str, hold: u64, entry: &NewFailover) -> CompareAndSwap {
     let (key, record) = (
         part_key(entry.part),
-        PartRecord {
+        ShardRecord {
             host: host.to_owned(),
         },
     );
-    let mut txn = Txn {
+    let mut txn = CompareAndSwap {
         conditions: vec![Condition {
             key: key.clone(),
             version,
@@ -310,9 +310,9 @@
 }
 
 /// Gives up a part that is held with this token.
-pub fn hand_back(token: u64, entry: &NewHandover) -> Txn {
+pub fn hand_back(token: u64, entry: &NewFailover) -> CompareAndSwap {
     let key = part_key(entry.part);
-    let mut txn = Txn {
+    let mut txn = CompareAndSwap {
         conditions: vec![Condition {
             key: key.clone(),
             version: token,
@@ -327,26 +327,26 @@
 /// presence that it leaves it to others.
 pub fn leave_part(
     token: u64,
-    entry: &NewHandover,
+    entry: &NewFailover,
     host: &str,
     zone: &str,
     hold: u64,
     deaf: Vec<u16>,
-) -> Txn {
+) -> CompareAndSwap {
     let mut txn = hand_back(token, entry);
     txn.writes.extend(show_node(host, zone, hold, deaf).writes);
     txn
 }
 
 /// Shows a node's presence, to live with its hold.
-pub fn show_node(host: &str, zone: &str, hold: u64, deaf: Vec<u16>) -> Txn {
-    let record = NodeRecord {
+pub fn show_node(host: &str, zone: &str, hold: u64, deaf: Vec<u16>) -> CompareAndSwap {
+    let record = ControllerRecord {
         zone: zone.to_owned(),
         format: PEER_VERSION,
         deaf,
         reads: PACKED_VERSION,
     };
-    Txn {
+    CompareAndSwap {
         conditions: Vec::new(),
         writes: vec![Write::Put {
             key: node_key(host),
@@ -357,8 +357,8 @@
 }
 
 /// Records the parts of teams that have none.
-pub fn assign_teams(teams: &[(String, u16)]) -> Txn {
-    Txn {
+pub fn assign_teams(teams: &[(String, u16)]) -> CompareAndSwap {
+    CompareAndSwap {
         conditions: teams
             .iter()
             .map(|(t, _)| Condition {
@@ -368,23 +368,23 @@
             .collect(),
         writes: teams
             .iter()
-            .map(|(t, part)| Write::put(team_key(t), &TeamRecord { part: *part }))
+            .map(|(t, part)| Write::put(team_key(t), &TeamAssignmentRecord { part: *part }))
             .collect(),
     }
 }
 
 /// Key of one piece of a peer message that travels through the store.
-pub fn mail_key(kind: MailKind, from: u16, to: u16, piece: usize) -> String {
+pub fn mail_key(kind: StoreMessageKind, from: u16, to: u16, piece: usize) -> String {
     let kind = match kind {
-        MailKind::Sync => "sync",
-        MailKind::View => "view",
+        StoreMessageKind::Sync => "sync",
+        StoreMessageKind::View => "view",
     };
     format!("w/mail/{kind}/{from}/{to}/{piece}")
 }
 
 /// Which message a piece belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum MailKind {
+pub enum StoreMessageKind {
     /// A placer's wants.
     Sync,
     /// An owner's state.
@@ -393,9 +393,9 @@
 
 /// Sender, receiver and kind of a peer message in the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct MailLine {
+pub struct StoreMessageRoute {
     /// What it carries.
-    pub kind: MailKind,
+    pub kind: StoreMessageKind,
     /// Part of the sender.
     pub from: u16,
     /// Part of the receiver.
@@ -403,14 +403,14 @@
 }
 
 /// Reads line and piece from the key below `w/mail/`.
-pub fn parse_mail_key(rest: &str) -> Option<(MailLine, usize)> {
+pub fn parse_mail_key(rest: &str) -> Option<(StoreMessageRoute, usize)> {
     let mut parts = rest.split('/');
     let kind = match parts.next()? {
-        "sync" => MailKind::Sync,
-        "view" => MailKind::View,
+        "sync" => StoreMessageKind::Sync,
+        "view" => StoreMessageKind::View,
         _ => return None,
     };
-    let line = MailLine {
+    let line = StoreMessageRoute {
         kind,
         from: parts.next()?.parse().ok()?,
         to: parts.next()?.parse().ok()?,
@@ -421,7 +421,7 @@
 /// One piece of a peer message. Values hold nothing binary, so the bytes are
 /// written as base64.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Eq)]
-pub struct MailRecord {
+pub struct StoreMessageRecord {
     /// Pieces of the message.
     pub n: usize,
     /// Token and number of the message: pieces of one message agree.
@@ -432,10 +432,16 @@
 
 /// Writes a peer message in as many values of `piece_bytes` as it takes, to
 /// live with the sender's hold.
-pub fn post(line: MailLine, id: (u64, u64), bytes: &[u8], piece_bytes: usize, hold: u64) -> Txn {
+pub fn post(
+    line: StoreMessageRoute,
+    id: (u64, u64),
+    bytes: &[u8],
+    piece_bytes: usize,
+    hold: u64,
+) -> CompareAndSwap {
     let pieces: Vec<&[u8]> = bytes.chunks(piece_bytes.max(1)).collect();
     let value = |piece: &[u8]| {
-        to_value(&MailRecord {
+        to_value(&StoreMessageRecord {
             n: pieces.len(),
             id,
             b: BASE64_STANDARD.encode(piece),
@@ -446,7 +452,7 @@
         value: value(piece),
         hold: Some(hold),
     };
-    Txn {
+    CompareAndSwap {
         conditions: Vec::new(),
         writes: pieces.iter().enumerate().map(put).collect(),
     }
--- a/crates/storage/src/state_cache.rs
+++ b/crates/storage/src/state_cache.rs
@@ -7,20 +7,20 @@
 
 use base64::prelude::{BASE64_STANDARD, Engine};
 
-use crate::dependencies::{AwaitsPage, parse_chain_key};
-use crate::failovers::Rings;
+use crate::dependencies::{DependencyPage, parse_chain_key};
+use crate::failovers::FailoverHistory;
 use crate::records::{
-    JobRecord, MailLine, MailRecord, NodeRecord, PartRecord, TeamRecord, VERSION_KEY,
-    VersionRecord, parse_mail_key,
+    ControllerRecord, JobRecord, ShardRecord, StoreMessageRecord, StoreMessageRoute,
+    TeamAssignmentRecord, VERSION_KEY, VersionRecord, parse_mail_key,
 };
 use lemonweir_model::constants::ENDS_REMEMBERED;
 use lemonweir_model::{JobId, JobSpec};
-use lemonweir_protocol::kv_store::{Change, Entry, from_value};
-use lemonweir_protocol::users::Phase;
+use lemonweir_protocol::kv_store::{KeyValue, WatchEvent, from_value};
+use lemonweir_protocol::users::JobPhase;
 
 /// An unfinished job with the version of its key.
 #[derive(Clone, Debug)]
-pub struct MirroredJob {
+pub struct CachedJob {
     /// The record.
     pub record: Arc<JobRecord>,
     /// Version of the key.
@@ -29,7 +29,7 @@
 
 /// A job that waits for others.
 #[derive(Clone, Debug)]
-pub struct WaitingJob {
+pub struct BlockedJob {
     /// The record; its `spec` names the first page of the jobs that it awaits.
     pub record: Arc<JobRecord>,
     /// Version of the key.
@@ -38,9 +38,9 @@
 
 /// A job's end, which never changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct SettledEnd {
+pub struct FinalState {
     /// Done or cancelled.
-    pub phase: Phase,
+    pub phase: JobPhase,
     /// When this node learned of it, ms.
     pub learned: u64,
     /// Version of its key.
@@ -49,7 +49,7 @@
 
 /// A part's owner with the part's token.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Holder {
+pub struct ShardLeader {
     /// Host name.
     pub host: String,
     /// The part's token: the version of its key.
@@ -58,13 +58,13 @@
 
 /// The copy.
 #[derive(Default)]
-pub struct Mirror {
+pub struct StateCache {
     /// Revision that the copy is at; `None` before the first full reading.
     pub revision: Option<u64>,
     /// Unfinished jobs.
-    pub jobs: BTreeMap<JobId, MirroredJob>,
+    pub jobs: BTreeMap<JobId, CachedJob>,
     /// Jobs that wait for others.
-    pub waiting: BTreeMap<JobId, WaitingJob>,
+    pub waiting: BTreeMap<JobId, BlockedJob>,
     /// Further pages of what they await.
     awaits_pages: BTreeMap<(JobId, usize), Vec<JobId>>,
     /// Counts changes of jobs that wait.
@@ -72,27 +72,27 @@
     /// Counts jobs that ended or went.
     ended_changes: u64,
     /// Owners of parts.
-    pub parts: BTreeMap<u16, Holder>,
+    pub parts: BTreeMap<u16, ShardLeader>,
     /// Living nodes.
-    pub nodes: BTreeMap<String, NodeRecord>,
+    pub nodes: BTreeMap<String, ControllerRecord>,
     /// Newest form of the records that every controller reads, and the version of its key.
     pub records_version: (u32, u64),
     /// Parts of teams.
     pub teams: BTreeMap<String, u16>,
     /// The parts' changes of hands.
-    pub handovers: Rings,
+    pub handovers: FailoverHistory,
     /// Jobs that came, changed or went since they were last looked at.
     touched: BTreeSet<JobId>,
-    mail: BTreeMap<(MailLine, usize), MailRecord>,
-    new_mail: BTreeSet<MailLine>,
+    mail: BTreeMap<(StoreMessageRoute, usize), StoreMessageRecord>,
+    new_mail: BTreeSet<StoreMessageRoute>,
     /// Settled ends.
-    ends: HashMap<JobId, SettledEnd>,
+    ends: HashMap<JobId, FinalState>,
     ends_order: VecDeque<JobId>,
 }
 
-impl Mirror {
+impl StateCache {
     /// Takes a full reading.
-    pub fn replace(&mut self, entries: &[Entry], revision: u64) {
+    pub fn replace(&mut self, entries: &[KeyValue], revision: u64) {
         self.touched
             .extend(std::mem::take(&mut self.jobs).into_keys());
         self.waiting.clear();
@@ -110,7 +110,7 @@
     }
 
     /// Takes changes in their order, as they are learned at `now`, ms.
-    pub fn apply(&mut self, changes: &[Change], revision: u64, now: u64) {
+    pub fn apply(&mut self, changes: &[WatchEvent], revision: u64, now: u64) {
         for change in changes {
             match (&change.set, &change.drop, &change.value) {
                 (Some(key), _, Some(value)) => self.set(key, value, change.version),
@@ -128,7 +128,7 @@
                     self.touched.insert(id.clone());
                     self.jobs.insert(
                         id,
-                        MirroredJob {
+                        CachedJob {
                             record: Arc::new(record),
                             version,
                         },
@@ -138,14 +138,14 @@
                 _ => false,
             },
             Some(("chain", rest)) => self.set_waiting(rest, value, version),
-            Some(("part", index)) => match (index.parse(), from_value::<PartRecord>(value)) {
+            Some(("part", index)) => match (index.parse(), from_value::<ShardRecord>(value)) {
                 (Ok(index), Some(record)) => {
                     // Guards against going back to a holder from before one that a
                     // peer has told of already: the copy learns what lies between later.
                     if self.parts.get(&index).is_none_or(|h| h.token < version) {
                         self.parts.insert(
                             index,
-                            Holder {
+                            ShardLeader {
                                 host: record.host,
                                 token: version,
                             },
@@ -155,7 +155,7 @@
                 }
                 _ => false,
             },
-            Some(("node", host)) => match from_value::<NodeRecord>(value) {
+            Some(("node", host)) => match from_value::<ControllerRecord>(value) {
                 Some(record) => {
                     self.nodes.insert(host.to_owned(), record);
                     true
@@ -169,7 +169,7 @@
                 }
                 None => false,
             },
-            Some(("team", team)) => match from_value::<TeamRecord>(value) {
+            Some(("team", team)) => match from_value::<TeamAssignmentRecord>(value) {
                 Some(record) => {
                     self.teams.insert(team.to_owned(), record.part);
                     true
@@ -180,7 +180,10 @@
                 self.handovers.set(rest, value, version);
                 true
             }
-            Some(("mail", rest)) => match (parse_mail_key(rest), from_value::<MailRecord>(value)) {
+            Some(("mail", rest)) => match (
+                parse_mail_key(rest),
+                from_value::<StoreMessageRecord>(value),
+            ) {
                 (Some((line, piece)), Some(record)) => {
                     self.mail.insert((line, piece), record);
                     self.new_mail.insert(line);
@@ -204,7 +207,7 @@
                 // end needs no reading.
                 if self.jobs.remove(&id).is_some_and(|j| !j.record.withdrawn) {
                     // The end was written in the same transaction, at this revision.
-                    self.settle(&id, Phase::Done, version, now);
+                    self.settle(&id, JobPhase::Done, version, now);
                 }
                 self.touched.insert(id);
             }
@@ -249,7 +252,7 @@
                 };
                 self.waiting.insert(
                     id,
-                    WaitingJob {
+                    BlockedJob {
                         record: Arc::new(record),
                         version,
                     },
@@ -257,7 +260,7 @@
                 true
             }
             Some(page) => {
-                let Some(AwaitsPage { awaits }) = from_value(value) else {
+                let Some(DependencyPage { awaits }) = from_value(value) else {
                     return false;
                 };
                 self.awaits_pages.insert(page, awaits);
@@ -312,7 +315,7 @@
     }
 
     /// Messages that came since the last call, whole ones only.
-    pub fn take_mail(&mut self) -> Vec<(MailLine, Vec<u8>)> {
+    pub fn take_mail(&mut self) -> Vec<(StoreMessageRoute, Vec<u8>)> {
         let lines = std::mem::take(&mut self.new_mail);
         lines
             .into_iter()
@@ -321,7 +324,7 @@
     }
 
     /// Puts the pieces of a message together, if they agree.
-    fn letter(&self, line: MailLine) -> Option<Vec<u8>> {
+    fn letter(&self, line: StoreMessageRoute) -> Option<Vec<u8>> {
         let first = self.mail.get(&(line, 0))?;
         let mut bytes = Vec::new();
         for piece in 0..first.n {
@@ -332,14 +335,14 @@
     }
 
     /// Remembers a settled end, learned now; it never changes.
-    pub fn settle(&mut self, job: &JobId, phase: Phase, version: u64, now: u64) {
+    pub fn settle(&mut self, job: &JobId, phase: JobPhase, version: u64, now: u64) {
         if self.ends.contains_key(job) {
             return;
         }
         self.ended_changes += 1;
         self.ends.insert(
             job.clone(),
-            SettledEnd {
+            FinalState {
                 phase,
                 learned: now,
                 version,
@@ -354,7 +357,7 @@
     }
 
     /// A settled end, if remembered.
-    pub fn end(&self, job: &JobId) -> Option<SettledEnd> {
+    pub fn end(&self, job: &JobId) -> Option<FinalState> {
         self.ends.get(job).copied()
     }
 }
--- a/crates/storage/tests/late.rs
+++ b/crates/storage/tests/late.rs
@@ -3,16 +3,18 @@
 
 use std::collections::BTreeMap;
 
-use lemonweir_model::{JobId, JobSpec, Rank, Shape};
-use lemonweir_protocol::kv_store::{Change as Changed, Entry, Txn, Write, to_value};
-use lemonweir_protocol::users::Phase;
-use lemonweir_storage::Mirror;
-use lemonweir_storage::failovers::{Change, HandoverRecord, NewHandover};
+use lemonweir_model::{JobId, JobKind, JobSpec, Priority};
+use lemonweir_protocol::kv_store::{
+    CompareAndSwap, KeyValue, WatchEvent as Changed, Write, to_value,
+};
+use lemonweir_protocol::users::JobPhase;
+use lemonweir_storage::StateCache;
+use lemonweir_storage::failovers::{FailoverRecord, LeadershipChange, NewFailover};
 use lemonweir_storage::records::{
-    EndRecord, JobRecord, PartRecord, accept_job, end_key, hand_back, job_key, part_key, take_part,
-    withdraw_job,
+    JobEndRecord, JobRecord, ShardRecord, accept_job, end_key, hand_back, job_key, part_key,
+    take_part, withdraw_job,
 };
-use lemonweir_storage::state_cache::Holder;
+use lemonweir_storage::state_cache::ShardLeader;
 
 #[derive(Default)]
 struct Store {
@@ -26,7 +28,7 @@
     }
 
     /// The revision at which it was made.
-    fn txn(&mut self, txn: &Txn) -> Option<u64> {
+    fn txn(&mut self, txn: &CompareAndSwap) -> Option<u64> {
         if txn
             .conditions
             .iter()
@@ -52,18 +54,18 @@
 }
 
 /// The next entry of part 0, as counted from a copy that is up to date.
-fn entry(store: &Store, n: u64, to: Option<&str>) -> NewHandover {
-    let record = HandoverRecord {
+fn entry(store: &Store, n: u64, to: Option<&str>) -> NewFailover {
+    let record = FailoverRecord {
         n,
         from: None,
         to: to.map(str::to_owned),
-        how: Change::Vacant,
+        how: LeadershipChange::Vacant,
         at: 0,
         up: None,
         closed: None,
     };
     let key = lemonweir_storage::failovers::handover_key(0, n);
-    NewHandover {
+    NewFailover {
         part: 0,
         slot_version: store.version(&key),
         record,
@@ -120,8 +122,8 @@
         id: JobId::from("req-000001"),
         class: "work".into(),
         team: "red".into(),
-        shape: Shape::Array,
-        rank: Rank::Normal,
+        shape: JobKind::Array,
+        rank: Priority::Normal,
         tasks: 1,
         cores: 1.0,
         gpus: 0.0,
@@ -147,16 +149,16 @@
     }
 }
 
-fn over(version: u64, phase: Phase) -> Txn {
+fn over(version: u64, phase: JobPhase) -> CompareAndSwap {
     let id = job().spec.id;
-    Txn {
+    CompareAndSwap {
         conditions: vec![lemonweir_protocol::kv_store::Condition {
             key: job_key(&id),
             version,
         }],
         writes: vec![
             Write::Delete { key: job_key(&id) },
-            Write::put(end_key(&id), &EndRecord { phase }),
+            Write::put(end_key(&id), &JobEndRecord { phase }),
         ],
     }
 }
@@ -173,13 +175,13 @@
     assert_eq!(store.txn(&late), None, "it is known");
     // A withdrawal and an end that were sent before others changed the job.
     let late_withdrawal = withdraw_job(&job(), version);
-    let late_end = over(version, Phase::Done);
+    let late_end = over(version, JobPhase::Done);
     let withdrawn = store
         .txn(&withdraw_job(&job(), version))
         .expect("it is not over");
     assert_eq!(store.txn(&late_end), None, "it was withdrawn since");
     store
-        .txn(&over(withdrawn, Phase::Withdrawn))
+        .txn(&over(withdrawn, JobPhase::Withdrawn))
         .expect("nothing of it is left");
     for txn in [late, late_withdrawal, late_end] {
         assert_eq!(store.txn(&txn), None, "it is over");
@@ -189,7 +191,7 @@
 // ---- the copy --------------------------------------------------------------------
 
 fn held_by(part: u16, host: &str, version: u64) -> Changed {
-    let value = to_value(&PartRecord { host: host.into() });
+    let value = to_value(&ShardRecord { host: host.into() });
     Changed {
         set: Some(part_key(part)),
         drop: None,
@@ -207,8 +209,8 @@
     }
 }
 
-fn holder(host: &str, token: u64) -> Holder {
-    Holder {
+fn holder(host: &str, token: u64) -> ShardLeader {
+    ShardLeader {
         host: host.into(),
         token,
     }
@@ -218,7 +220,7 @@
 /// what happened before: the part must not seem to be an earlier holder's, or nobody's.
 #[test]
 fn the_copy_never_goes_back_to_an_earlier_holder() {
-    let mut mirror = Mirror::default();
+    let mut mirror = StateCache::default();
     mirror.apply(&[held_by(0, "h0", 10)], 30, 0);
     // As `Core::superseded` does.
     mirror.parts.insert(0, holder("h2", 50));
@@ -237,18 +239,18 @@
 /// the copy to one state, and between them nothing older is shown than was read.
 #[test]
 fn pages_of_different_moments_come_to_one_state() {
-    let entry = |key: String, value, version| Entry {
+    let entry = |key: String, value, version| KeyValue {
         key,
         value,
         version,
     };
-    let mut mirror = Mirror::default();
+    let mut mirror = StateCache::default();
     mirror.apply(&[held_by(0, "h0", 5), held_by(1, "h1", 6)], 6, 0);
     // The first page is of revision 100, that with the parts of 120: meanwhile part 0
     // changed hands twice, and part 1 was given up.
     let parts = [entry(
         part_key(0),
-        to_value(&PartRecord { host: "h2".into() }),
+        to_value(&ShardRecord { host: "h2".into() }),
         115,
     )];
     mirror.replace(&parts, 100);
--- a/crates/storage/tests/packed.rs
+++ b/crates/storage/tests/packed.rs
@@ -2,30 +2,32 @@
 //! the smallest value.
 
 use lemonweir_model::constants::{CHUNK_TASKS, PACKED_VERSION};
-use lemonweir_model::{MachineId, Room};
+use lemonweir_model::{MachineId, Resources};
 use lemonweir_storage::packed_chunk::{chunk_value, read_chunk};
-use lemonweir_storage::records::{ChunkRecord, GangRecord, GangStep, LiveRecord};
+use lemonweir_storage::records::{
+    GangAdmissionRecord, GangAdmissionStep, LiveAttemptRecord, TaskChunkRecord,
+};
 
 /// Bytes of the smallest value that a state service takes.
 const SMALLEST_VALUE: usize = 2_048;
 
-fn full(chunk: u32) -> ChunkRecord {
+fn full(chunk: u32) -> TaskChunkRecord {
     let zones = ["eemsmond", "rijnmond", "utrechtbaan"];
-    let live = |n: u32| LiveRecord {
+    let live = |n: u32| LiveAttemptRecord {
         t: chunk * CHUNK_TASKS + n,
         a: 10 + n,
         m: MachineId::from(format!("n-{:06}", 990_000 + n).as_str()),
         p: (n % 11) as u16,
         z: zones[n as usize % zones.len()].to_owned(),
     };
-    ChunkRecord {
+    TaskChunkRecord {
         team: "loketteam-00".into(),
-        need: Room::offer(5.25, 1.0, 27.125),
+        need: Resources::offer(5.25, 1.0, 27.125),
         next: 99,
         done: Vec::new(),
         live: (0..CHUNK_TASKS).map(live).collect(),
-        gang: Some(GangRecord {
-            step: GangStep::Admitted,
+        gang: Some(GangAdmissionRecord {
+            step: GangAdmissionStep::Admitted,
             at: 1_790_000_000_000,
             a: 12,
         }),
--- a/crates/storage/tests/versions.rs
+++ b/crates/storage/tests/versions.rs
@@ -5,12 +5,12 @@
 
 use base64::prelude::{BASE64_STANDARD, Engine};
 use lemonweir_model::constants::PEER_VERSION;
-use lemonweir_model::{JobId, JobSpec, Rank, Shape};
+use lemonweir_model::{JobId, JobKind, JobSpec, Priority};
 use lemonweir_protocol::kv_store::{Write, from_value, to_value};
-use lemonweir_protocol::peer::{self, Sync, View};
-use lemonweir_protocol::users::Phase;
+use lemonweir_protocol::peer::{self, ShardView, SyncRequest};
+use lemonweir_protocol::users::JobPhase;
 use lemonweir_storage::dependencies::{accept_waiting, chain_key, release_waiting};
-use lemonweir_storage::failovers::HandoverRecord;
+use lemonweir_storage::failovers::FailoverRecord;
 use lemonweir_storage::packed_chunk::{chunk_value, read_chunk};
 use lemonweir_storage::records::*;
 use serde::Deserialize;
@@ -35,9 +35,9 @@
     assert!(job.withdrawn && job.awaited == 0 && job.spec.awaits.is_empty());
     assert_eq!(
         (job.spec.id.as_str(), job.spec.rank, job.spec.shape),
-        ("req-000412", Rank::High, Shape::Gang)
+        ("req-000412", Priority::High, JobKind::Gang)
     );
-    let node: NodeRecord = from_value(&sample("node")).expect("a node");
+    let node: ControllerRecord = from_value(&sample("node")).expect("a node");
     assert_eq!(
         (node.reads, node.format, node.deaf),
         (0, PEER_VERSION, vec![2])
@@ -49,7 +49,7 @@
     );
     assert_eq!(
         chunk.gang.as_ref().map(|gang| gang.step),
-        Some(GangStep::Admitted)
+        Some(GangAdmissionStep::Admitted)
     );
     assert_eq!(
         chunk_value(&chunk, 0),
@@ -57,29 +57,29 @@
         "and written back in the same form until all read the next"
     );
     assert!(
-        from_value::<PartRecord>(&sample("part")).is_some()
-            && from_value::<TeamRecord>(&sample("team")).is_some()
+        from_value::<ShardRecord>(&sample("part")).is_some()
+            && from_value::<TeamAssignmentRecord>(&sample("team")).is_some()
     );
     assert!(
-        from_value::<ImagesRecord>(&sample("images")).is_some()
-            && from_value::<MailRecord>(&sample("mail")).is_some()
+        from_value::<ImageLocationsRecord>(&sample("images")).is_some()
+            && from_value::<StoreMessageRecord>(&sample("mail")).is_some()
     );
-    assert!(from_value::<HandoverRecord>(&sample("handover")).is_some());
+    assert!(from_value::<FailoverRecord>(&sample("handover")).is_some());
     assert_eq!(
-        from_value::<EndRecord>(&sample("end")).map(|end| end.phase),
-        Some(Phase::Withdrawn)
+        from_value::<JobEndRecord>(&sample("end")).map(|end| end.phase),
+        Some(JobPhase::Withdrawn)
     );
 }
 
 /// Messages between controllers keep their format: byte for byte what they were.
 #[test]
 fn messages_are_those_of_the_version_before() {
-    let sync: Sync = peer::read(&message("sync")).expect("a sync");
+    let sync: SyncRequest = peer::read(&message("sync")).expect("a sync");
     assert_eq!(
         (sync.wants.len(), sync.notes.len(), peer::write(&sync)),
         (1, 1, message("sync"))
     );
-    let view: View = peer::read(&message("view")).expect("a view");
+    let view: ShardView = peer::read(&message("view")).expect("a view");
     assert_eq!(
         (view.machines.len(), peer::write(&view)),
         (1, message("view"))
@@ -102,7 +102,7 @@
     id: JobId,
     #[serde(rename = "pieces")]
     tasks: u64,
-    rank: Rank,
+    rank: Priority,
 }
 
 #[derive(Deserialize)]
@@ -156,7 +156,7 @@
             earlier.spec.tasks,
             earlier.spec.rank
         ),
-        ("req-000412", 16, Rank::High)
+        ("req-000412", 16, Priority::High)
     );
     assert_eq!((earlier.at, earlier.withdrawn), (7, false));
     assert!(
--- a/crates/trace/src/formats/alibaba.rs
+++ b/crates/trace/src/formats/alibaba.rs
@@ -6,7 +6,7 @@
 use std::hash::{BuildHasher, RandomState};
 use std::io::{self, BufRead};
 
-use lemonweir_model::{Rank, Room, Shape};
+use lemonweir_model::{JobKind, Priority, Resources};
 
 use super::table;
 use crate::csv_rows::rows;
@@ -137,7 +137,7 @@
 pub fn read_2018(
     file: &str,
     input: impl BufRead,
-    machine: Room,
+    machine: Resources,
     faults: &mut Faults<'_>,
     out: &mut dyn FnMut(Entry),
 ) -> io::Result<()> {
@@ -161,11 +161,11 @@
                 row.fault("task_name", format!("{id} is there twice"));
             }
             if row.good {
-                let need = Room {
+                let need = Resources {
                     memory,
-                    ..Room::need(cpus, 0.0, 0.0)
+                    ..Resources::need(cpus, 0.0, 0.0)
                 };
-                out(batch(row, id, f[3], from, to, tasks, need, Shape::Array));
+                out(batch(row, id, f[3], from, to, tasks, need, JobKind::Array));
             }
         }),
         Some("batch_instance") => rows(file, input, &BATCH_INSTANCE, faults, |row, f| {
@@ -179,9 +179,9 @@
             let memory = percent(row, "mem_size", f[7], machine);
             // A container has a row for each look at it; the first is its begin.
             if row.good && names.first(f[0]) {
-                let need = Room {
+                let need = Resources {
                     memory,
-                    ..Room::need(cpus, 0.0, 0.0)
+                    ..Resources::need(cpus, 0.0, 0.0)
                 };
                 let entry = batch(
                     row,
@@ -191,11 +191,11 @@
                     0,
                     1,
                     need,
-                    Shape::Service,
+                    JobKind::Service,
                 );
                 out(Entry {
                     team: Some(f[3].to_owned()),
-                    rank: Rank::Production,
+                    rank: Priority::Production,
                     run_ms: Vec::new(),
                     ..entry
                 });
@@ -215,7 +215,7 @@
 }
 
 /// Thousandths of a GB of a percentage of the machine's memory.
-fn percent(row: &mut Row<'_, '_>, field: &str, text: &str, machine: Room) -> u64 {
+fn percent(row: &mut Row<'_, '_>, field: &str, text: &str, machine: Resources) -> u64 {
     let x = amount(row, field, text);
     if x > 100.0 {
         row.fault(field, format!("{x} is over 100 %"));
@@ -231,15 +231,15 @@
     from: u64,
     to: u64,
     tasks: u32,
-    need: Room,
-    shape: Shape,
+    need: Resources,
+    shape: JobKind,
 ) -> Entry {
     Entry {
         at_ms: from,
         id,
         class: Some(format!("type-{class}")),
         team: None,
-        rank: Rank::Normal,
+        rank: Priority::Normal,
         shape,
         tasks,
         need,
@@ -279,7 +279,11 @@
                 row.fault("task_name", format!("{id} is there twice"));
             }
             if row.good {
-                let shape = if tasks > 1 { Shape::Gang } else { Shape::Array };
+                let shape = if tasks > 1 {
+                    JobKind::Gang
+                } else {
+                    JobKind::Array
+                };
                 out(batch(
                     row,
                     id,
@@ -287,7 +291,7 @@
                     from,
                     to,
                     tasks,
-                    Room::need(cpus, gpus, memory),
+                    Resources::need(cpus, gpus, memory),
                     shape,
                 ));
             }
--- a/crates/trace/src/formats/google.rs
+++ b/crates/trace/src/formats/google.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::io::{self, BufRead};
 
-use lemonweir_model::Room;
+use lemonweir_model::Resources;
 use serde::Deserialize;
 use serde_json::Value;
 
@@ -50,7 +50,7 @@
 pub fn read_2011(
     file: &str,
     input: impl BufRead,
-    machine: Room,
+    machine: Resources,
     faults: &mut Faults<'_>,
     out: &mut dyn FnMut(Entry),
 ) -> io::Result<()> {
@@ -114,7 +114,7 @@
 fn task_events(
     file: &str,
     input: impl BufRead,
-    machine: Room,
+    machine: Resources,
     faults: &mut Faults<'_>,
     out: &mut dyn FnMut(Entry),
 ) -> io::Result<()> {
@@ -225,7 +225,7 @@
 pub fn read_2019(
     file: &str,
     input: impl BufRead,
-    machine: Room,
+    machine: Resources,
     faults: &mut Faults<'_>,
     out: &mut dyn FnMut(Entry),
 ) -> io::Result<()> {
@@ -260,7 +260,7 @@
     row: &mut Row<'_, '_>,
     e: &EventLine,
     instances: bool,
-    machine: Room,
+    machine: Resources,
     lives: &mut Lives,
     file: &str,
     out: &mut dyn FnMut(Entry),
--- a/crates/trace/src/formats/mod.rs
+++ b/crates/trace/src/formats/mod.rs
@@ -8,7 +8,7 @@
 
 use std::io::{self, BufRead};
 
-use lemonweir_model::{Rank, Room};
+use lemonweir_model::{Priority, Resources};
 
 use crate::fault::Faults;
 use crate::import::Format;
@@ -19,7 +19,7 @@
     format: Format,
     file: &str,
     input: impl BufRead,
-    machine: Room,
+    machine: Resources,
     faults: &mut Faults<'_>,
     out: &mut dyn FnMut(Entry),
 ) -> io::Result<()> {
@@ -40,9 +40,9 @@
 }
 
 /// A share of a machine, in its thousandths.
-fn share(machine: Room, cpus: f64, memory: f64) -> Room {
+fn share(machine: Resources, cpus: f64, memory: f64) -> Resources {
     let of = |whole: u64, part: f64| (whole as f64 * part).ceil() as u64;
-    Room {
+    Resources {
         cpus: of(machine.cpus, cpus),
         gpus: 0,
         memory: of(machine.memory, memory),
@@ -50,11 +50,11 @@
 }
 
 /// A priority on a scale of the source: at least `production`, `high`, `normal`.
-fn rank(priority: u64, production: u64, high: u64, normal: u64) -> Rank {
+fn rank(priority: u64, production: u64, high: u64, normal: u64) -> Priority {
     match priority {
-        p if p >= production => Rank::Production,
-        p if p >= high => Rank::High,
-        p if p >= normal => Rank::Normal,
-        _ => Rank::Low,
+        p if p >= production => Priority::Production,
+        p if p >= high => Priority::High,
+        p if p >= normal => Priority::Normal,
+        _ => Priority::Low,
     }
 }
--- a/crates/trace/src/formats/philly.rs
+++ b/crates/trace/src/formats/philly.rs
@@ -7,7 +7,7 @@
 
 use jiff::civil::DateTime;
 use jiff::tz::TimeZone;
-use lemonweir_model::{Rank, Room, Shape};
+use lemonweir_model::{JobKind, Priority, Resources};
 use serde::Deserialize;
 
 use crate::fault::{Faults, Row, json_fault, shorten};
@@ -128,10 +128,14 @@
         id: job.jobid,
         class: Some("train".into()),
         team: job.vc,
-        rank: Rank::Normal,
-        shape: if tasks > 1 { Shape::Gang } else { Shape::Array },
+        rank: Priority::Normal,
+        shape: if tasks > 1 {
+            JobKind::Gang
+        } else {
+            JobKind::Array
+        },
         tasks,
-        need: Room::need(0.0, gpus as f64, 0.0),
+        need: Resources::need(0.0, gpus as f64, 0.0),
         run_ms: vec![run_ms],
         constraints: Vec::new(),
         from: format!("{}:{}", row.file, row.line),
--- a/crates/trace/src/formats/swf.rs
+++ b/crates/trace/src/formats/swf.rs
@@ -3,7 +3,7 @@
 
 use std::io::{self, BufRead};
 
-use lemonweir_model::{Rank, Room, Shape};
+use lemonweir_model::{JobKind, Priority, Resources};
 use roaring::RoaringTreemap;
 
 use crate::fault::{Faults, Row};
@@ -116,10 +116,14 @@
         id: id.to_string(),
         class: name("queue", 14),
         team: name("group", 12).or(name("user", 11)),
-        rank: Rank::Normal,
-        shape: if tasks > 1 { Shape::Gang } else { Shape::Array },
+        rank: Priority::Normal,
+        shape: if tasks > 1 {
+            JobKind::Gang
+        } else {
+            JobKind::Array
+        },
         tasks,
-        need: Room::need(1.0, 0.0, memory_kb / 1e6),
+        need: Resources::need(1.0, 0.0, memory_kb / 1e6),
         run_ms: vec![(run.unwrap_or(0.0) * 1e3) as u64],
         constraints: Vec::new(),
         from: format!("{}:{}", row.file, row.line),
--- a/crates/trace/src/import.rs
+++ b/crates/trace/src/import.rs
@@ -3,7 +3,7 @@
 use std::io::{self, BufWriter, Write};
 use std::path::{Path, PathBuf};
 
-use lemonweir_model::Room;
+use lemonweir_model::Resources;
 
 use crate::fault::{Fault, Faults};
 use crate::formats;
@@ -59,7 +59,7 @@
 }
 
 /// The stated size of a trace's machine, for units that are shares of it.
-pub type Machine = Room;
+pub type Machine = Resources;
 
 /// What becomes of the rows when some are faulty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -97,7 +97,7 @@
         .unwrap_or_default();
     let size = match (machine, format.normalized()) {
         (Some(size), _) => size,
-        (None, None) => Room::default(),
+        (None, None) => Resources::default(),
         (None, Some(why)) => {
             faults.note(
                 &first,
@@ -106,7 +106,7 @@
                 format!("{why}: state the machine's size with --machine"),
             );
             // The rest is checked all the same.
-            Room::offer(1.0, 1.0, 1.0)
+            Resources::offer(1.0, 1.0, 1.0)
         }
     };
     for path in files {
--- a/crates/trace/src/life.rs
+++ b/crates/trace/src/life.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use lemonweir_model::{Rank, Room, Shape};
+use lemonweir_model::{JobKind, Priority, Resources};
 use roaring::RoaringTreemap;
 
 use crate::fault::{Faults, Row};
@@ -29,9 +29,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Asked {
     /// What it takes.
-    pub need: Room,
+    pub need: Resources,
     /// Priority.
-    pub rank: Rank,
+    pub rank: Priority,
     /// What kind of work.
     pub class: String,
     /// Who.
@@ -174,7 +174,7 @@
             class: Some(asked.class),
             team: Some(asked.team),
             rank: asked.rank,
-            shape: Shape::Array,
+            shape: JobKind::Array,
             tasks,
             need: asked.need,
             run_ms,
--- a/crates/trace/src/workload.rs
+++ b/crates/trace/src/workload.rs
@@ -4,7 +4,7 @@
 use std::io::{self, BufRead, Write};
 use std::path::Path;
 
-use lemonweir_model::{Rank, Room, Shape};
+use lemonweir_model::{JobKind, Priority, Resources};
 use serde::{Deserialize, Serialize};
 
 use crate::input::{self, Line};
@@ -25,7 +25,7 @@
     pub source: String,
     /// The stated size of the source's machine, if its units need one.
     #[serde(skip_serializing_if = "Option::is_none", default)]
-    pub machine: Option<Room>,
+    pub machine: Option<Resources>,
 }
 
 /// A job.
@@ -42,13 +42,13 @@
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub team: Option<String>,
     /// Priority.
-    pub rank: Rank,
+    pub rank: Priority,
     /// Array, gang or service.
-    pub shape: Shape,
+    pub shape: JobKind,
     /// Tasks.
     pub tasks: u32,
     /// What a task takes, in thousandths of a processor, an accelerator, a GB.
-    pub need: Room,
+    pub need: Resources,
     /// Run time of its tasks, ms: one for all, or one for each. Of a service:
     /// how long until it is withdrawn; empty: to the end.
     pub run_ms: Vec<u64>,
@@ -117,7 +117,7 @@
                     {
                         return Err("run_ms: must be one time, or one for each task".into());
                     }
-                    if e.run_ms.is_empty() && e.shape != Shape::Service {
+                    if e.run_ms.is_empty() && e.shape != JobKind::Service {
                         return Err("run_ms: is empty".into());
                     }
                     last = e.at_ms;
--- a/crates/trace/tests/readers.rs
+++ b/crates/trace/tests/readers.rs
@@ -5,7 +5,7 @@
 use std::io::Write;
 use std::path::{Path, PathBuf};
 
-use lemonweir_model::{Rank, Room, Shape};
+use lemonweir_model::{JobKind, Priority, Resources};
 use lemonweir_trace::workload::{self, Entry};
 use lemonweir_trace::{Fault, Format, OnFault, check, import};
 
@@ -15,8 +15,8 @@
         .join(name)
 }
 
-fn machine() -> Option<Room> {
-    Some(Room::offer(16.0, 4.0, 64.0))
+fn machine() -> Option<Resources> {
+    Some(Resources::offer(16.0, 4.0, 64.0))
 }
 
 /// Faults as `line: field`.
@@ -301,7 +301,7 @@
     let e = one(Format::Swf, "small.swf", "1");
     assert_eq!(
         e.need,
-        Room {
+        Resources {
             cpus: 1_000,
             gpus: 0,
             memory: 1_000
@@ -322,13 +322,13 @@
     assert_eq!(
         (e.need, e.shape, e.rank),
         (
-            Room {
+            Resources {
                 cpus: 4_000,
                 gpus: 0,
                 memory: 1_984
             },
-            Shape::Service,
-            Rank::Production
+            JobKind::Service,
+            Priority::Production
         )
     );
     let all = entries(
@@ -347,7 +347,7 @@
     );
     assert!(
         all.iter()
-            .all(|e| (e.tasks > 1) == (e.shape == Shape::Gang))
+            .all(|e| (e.tasks > 1) == (e.shape == JobKind::Gang))
     );
 }
 
--- a/fuzz/tests/edges.rs
+++ b/fuzz/tests/edges.rs
@@ -7,13 +7,16 @@
 use bolero::check;
 use lemonweir_coordination::{Config, Core};
 use lemonweir_model::settings::Settings;
-use lemonweir_model::{JobId, MachineId, Rank, Room, Shape};
-use lemonweir_protocol::kv_store::{Changes, Page, TxnReply};
+use lemonweir_model::{JobId, JobKind, MachineId, Priority, Resources};
+use lemonweir_protocol::kv_store::{CompareAndSwapResponse, ListResponse, WatchResponse};
 use lemonweir_protocol::links::{
-    self, Answers, Carried, Carry, Fate, Goal, LINKS_VERSION, Reports, Service, Standing, Word,
+    self, AvailabilityGossip, LINKS_VERSION, LinkState, RelayOutcome, RelayRequest, RelayResponse,
+    RelayTarget, RelayedAnswers, RelayedHeartbeats, Service,
 };
-use lemonweir_protocol::peer::{self, Evict, Have, Span, Sync, View, Want};
-use lemonweir_protocol::worker::{Commands, Report, ReportReply};
+use lemonweir_protocol::peer::{
+    self, ChangeRange, DesiredAttempt, ObservedState, PreemptionScope, ShardView, SyncRequest,
+};
+use lemonweir_protocol::worker::{CommandsRequest, Heartbeat, HeartbeatResponse};
 use lemonweir_protocol::{cloud, decode, encode, users};
 use lemonweir_simulator::scenario::Scenario;
 use lemonweir_trace::{Fault, Format};
@@ -57,7 +60,7 @@
         std::fs::write(&file, edited(&good, edits)).expect("written");
         let run = || {
             let mut faults: Vec<Fault> = Vec::new();
-            let machine = Some(Room::offer(16.0, 4.0, 64.0));
+            let machine = Some(Resources::offer(16.0, 4.0, 64.0));
             let result =
                 lemonweir_trace::check(format, std::slice::from_ref(&file), machine, &mut |f| {
                     faults.push(f.clone())
@@ -133,8 +136,8 @@
 
 #[test]
 fn message_pack() {
-    let spec = lemonweir_simulator::sample::job(1, "red", Shape::Array, 3);
-    let report = Report {
+    let spec = lemonweir_simulator::sample::job(1, "red", JobKind::Array, 3);
+    let report = Heartbeat {
         machine: MachineId::from("n-000001"),
         address: "10.0.0.1:9000".into(),
         kind: "box".into(),
@@ -159,51 +162,51 @@
                 );
             }
             // What is understood can be said again, and is understood the same.
-            if let Ok(report) = decode::<Report>(&bytes) {
-                let again = decode::<Report>(&encode(&report)).expect("what we wrote");
+            if let Ok(report) = decode::<Heartbeat>(&bytes) {
+                let again = decode::<Heartbeat>(&encode(&report)).expect("what we wrote");
                 assert_eq!(
                     (again.machine, again.seq, again.token),
                     (report.machine, report.seq, report.token)
                 );
             }
             let _ = (
-                decode::<Commands>(&bytes).is_ok(),
-                decode::<ReportReply>(&bytes).is_ok(),
-                decode::<Page>(&bytes).is_ok(),
+                decode::<CommandsRequest>(&bytes).is_ok(),
+                decode::<HeartbeatResponse>(&bytes).is_ok(),
+                decode::<ListResponse>(&bytes).is_ok(),
             );
             let _ = (
-                decode::<Changes>(&bytes).is_ok(),
-                decode::<TxnReply>(&bytes).is_ok(),
+                decode::<WatchResponse>(&bytes).is_ok(),
+                decode::<CompareAndSwapResponse>(&bytes).is_ok(),
             );
             let _ = (
-                decode::<cloud::CatalogReply>(&bytes).is_ok(),
-                decode::<cloud::RentalList>(&bytes).is_ok(),
+                decode::<cloud::CatalogResponse>(&bytes).is_ok(),
+                decode::<cloud::InstanceList>(&bytes).is_ok(),
             );
         });
 }
 
 #[test]
 fn peer_messages() {
-    let want = Want {
+    let want = DesiredAttempt {
         id: lemonweir_model::AttemptId {
             job: JobId::from("req-000001"),
             task: 1,
             attempt: 1,
         },
         machine: MachineId::from("n-000001"),
-        need: Room::offer(1.0, 0.0, 1.0),
+        need: Resources::offer(1.0, 0.0, 1.0),
         image: "i".into(),
         image_mb: 1,
         go: true,
         kill: None,
         team: "t".into(),
-        rank: Rank::Normal,
+        rank: Priority::Normal,
         over: false,
         grace: 0,
         lasting: false,
-        evict: Evict::Nobody,
+        evict: PreemptionScope::Nobody,
     };
-    let good = peer::write(&Sync {
+    let good = peer::write(&SyncRequest {
         version: lemonweir_model::constants::PEER_VERSION,
         from: 0,
         from_token: 1,
@@ -211,7 +214,7 @@
         to_token: 2,
         seq: 3,
         store_age_ms: 4,
-        span: Span {
+        span: ChangeRange {
             since: 0,
             upto: 1,
             last: true,
@@ -219,7 +222,7 @@
         wants: vec![want],
         dropped: Vec::new(),
         stops: Vec::new(),
-        have: Have::default(),
+        have: ObservedState::default(),
         strays: 0,
         rented: Vec::new(),
         keep: Vec::new(),
@@ -227,11 +230,11 @@
     });
     check!().with_type::<Edits>().for_each(|edits| {
         let bytes = edited(&good, edits);
-        if let Ok(sync) = peer::read::<Sync>(&bytes) {
+        if let Ok(sync) = peer::read::<SyncRequest>(&bytes) {
             assert_eq!(peer::write(&sync), bytes, "one message, one form");
         }
         assert!(
-            peer::read::<View>(&bytes).is_err()
+            peer::read::<ShardView>(&bytes).is_err()
                 || !edits.0.is_empty()
                 || !edits.1.is_empty()
                 || edits.2.is_some()
@@ -280,35 +283,35 @@
 /// form, and a core that takes any word of links goes on judging its own.
 #[test]
 fn link_messages() {
-    let word = Word {
+    let word = AvailabilityGossip {
         version: LINKS_VERSION,
         host: 1,
         store_ms: Some(40),
         cloud_ms: None,
-        peers: vec![(0, Standing::OneWay, 900), (2, Standing::Up, 3)],
+        peers: vec![(0, LinkState::OneWay, 900), (2, LinkState::Up, 3)],
         zones: vec![("north".into(), 12), ("south".into(), 90_000)],
     };
-    let carry = Carry {
+    let carry = RelayRequest {
         version: LINKS_VERSION,
-        goal: Goal::Worker("10.1.0.1:9000".into()),
+        goal: RelayTarget::Worker("10.1.0.1:9000".into()),
         method: "POST".into(),
         path: "/commands".into(),
         body: vec![1, 2, 3],
         wait_ms: 2_500,
     };
-    let carried = Carried {
+    let carried = RelayResponse {
         version: LINKS_VERSION,
-        fate: Fate::Answer {
+        fate: RelayOutcome::Answer {
             status: 200,
             body: vec![4],
         },
     };
-    let reports = Reports {
+    let reports = RelayedHeartbeats {
         version: LINKS_VERSION,
         by: 2,
         reports: vec![vec![5, 6], Vec::new()],
     };
-    let answers = Answers {
+    let answers = RelayedAnswers {
         version: LINKS_VERSION,
         answers: vec![(200, vec![7]), (503, Vec::new())],
     };
@@ -329,11 +332,11 @@
                 Some(message)
             }
             let bytes = edited(&good[usize::from(*which) % good.len()], edits);
-            form::<Carry>(&bytes);
-            form::<Carried>(&bytes);
-            form::<Reports>(&bytes);
-            form::<Answers>(&bytes);
-            if let Some(word) = form::<Word>(&bytes) {
+            form::<RelayRequest>(&bytes);
+            form::<RelayResponse>(&bytes);
+            form::<RelayedHeartbeats>(&bytes);
+            form::<RelayedAnswers>(&bytes);
+            if let Some(word) = form::<AvailabilityGossip>(&bytes) {
                 let mut core =
                     Core::new(Config::new(&scenario.settings(0)), scenario.policy.clone());
                 let own = core.links.hail_in(word.clone(), 1_000);
--- a/src/image_locality.rs
+++ b/src/image_locality.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::process::ExitCode;
 
-use lemonweir_protocol::image_locality::WeightsPicture;
+use lemonweir_protocol::image_locality::ImageLocalityReport;
 
 use crate::operator::{ask, call, table};
 
@@ -13,7 +13,7 @@
     if json {
         return call(node, "GET", &path, &[]);
     }
-    let picture: WeightsPicture = ask(node, &path)?;
+    let picture: ImageLocalityReport = ask(node, &path)?;
     let gb = picture.mb.map_or_else(
         || "size unknown".to_owned(),
         |mb| format!("{:.1} GB", mb as f64 / 1000.0),
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -6,7 +6,7 @@
 
 use comfy_table::Table;
 use lemonweir_model::constants::ANSWER_MS;
-use lemonweir_protocol::links::{EventRow, Picture, Standing};
+use lemonweir_protocol::links::{EventRow, LinkState, LinksReport};
 use lemonweir_protocol::{decode, encode};
 use lemonweir_transport::Client;
 use serde::de::DeserializeOwned;
@@ -30,7 +30,7 @@
     if json {
         return call(node, "GET", "/v1/links", &[]);
     }
-    let picture: Picture = ask(node, "/v1/links")?;
+    let picture: LinksReport = ask(node, "/v1/links")?;
     let mut table = table([
         "from",
         "to",
@@ -84,13 +84,13 @@
     at.map_or_else(|| ms.to_string(), |at| at.to_string())
 }
 
-fn standing(s: Standing) -> &'static str {
+fn standing(s: LinkState) -> &'static str {
     match s {
-        Standing::Unknown => "unknown",
-        Standing::Up => "up",
-        Standing::Late => "late",
-        Standing::OneWay => "down one way",
-        Standing::Down => "down",
+        LinkState::Unknown => "unknown",
+        LinkState::Up => "up",
+        LinkState::Late => "late",
+        LinkState::OneWay => "down one way",
+        LinkState::Down => "down",
     }
 }
 
--- a/src/supervision.rs
+++ b/src/supervision.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::process::ExitCode;
 
-use lemonweir_protocol::supervision::{ClosedRow, Handovers, Watch};
+use lemonweir_protocol::supervision::{FailoverCompletionRow, FailoverReport, SupervisionReport};
 
 use crate::operator::{ask, call, table, time_of_day};
 
@@ -12,7 +12,7 @@
     if json {
         return call(node, "GET", "/v1/watch", &[]);
     }
-    let watch: Watch = ask(node, "/v1/watch")?;
+    let watch: SupervisionReport = ask(node, "/v1/watch")?;
     let mut parts = table(["part", "home", "holder", "since (UTC)"]);
     for p in watch.parts {
         let holder = p.holder.unwrap_or_else(|| "nobody".into());
@@ -70,7 +70,7 @@
     if json {
         return call(node, "GET", "/v1/watch/handovers", &[]);
     }
-    let told: Handovers = ask(node, "/v1/watch/handovers")?;
+    let told: FailoverReport = ask(node, "/v1/watch/handovers")?;
     let head = [
         "time of day (UTC)",
         "part",
@@ -119,7 +119,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-fn closed(c: ClosedRow) -> (String, String, String, String) {
+fn closed(c: FailoverCompletionRow) -> (String, String, String, String) {
     let ms = |n: Option<u64>| n.map(|n| format!("{n} ms")).unwrap_or_default();
     let replicas = c
         .found
