--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -10,15 +10,16 @@
 
 use lemonweir_model::settings::Settings;
 use lemonweir_model::settings::StateLimits;
-use lemonweir_model::{JobSpec, Shape};
+use lemonweir_model::{JobKind, JobSpec};
 use lemonweir_protocol::kv_store::{
-    Changes, Entry, HoldReply, HoldRequest, Page, Txn, TxnReply, to_value,
+    CompareAndSwap, CompareAndSwapResponse, KeyValue, LeaseRequest, LeaseResponse, ListResponse,
+    WatchResponse, to_value,
 };
-use lemonweir_protocol::users::Phase;
+use lemonweir_protocol::users::JobPhase;
 use lemonweir_protocol::{decode, encode};
 use lemonweir_simulator::sample::job;
 use lemonweir_simulator::store::{Store, TxnAnswer};
-use lemonweir_storage::records::{EndRecord, end_key};
+use lemonweir_storage::records::{JobEndRecord, end_key};
 use lemonweir_transport::server::listen;
 use lemonweir_transport::{Gate, Handler, Reply, Request, serve};
 
@@ -75,10 +76,10 @@
             ("POST", "/rentals") => {
                 Reply::new(503, encode(&serde_json::json!({"error": "no capacity"})))
             }
-            ("POST", "/holds") => match decode::<HoldRequest>(&request.body) {
+            ("POST", "/holds") => match decode::<LeaseRequest>(&request.body) {
                 Ok(hold) => Reply::new(
                     200,
-                    encode(&HoldReply {
+                    encode(&LeaseResponse {
                         hold: store.hold(hold.ttl_ms * 1_000_000, 0),
                     }),
                 ),
@@ -89,7 +90,7 @@
                 match store.changes(field(path, "under"), after) {
                     Some(events) => Reply::new(
                         200,
-                        encode(&Changes {
+                        encode(&WatchResponse {
                             revision: store.revision,
                             events,
                         }),
@@ -103,7 +104,7 @@
                     .ends_read
                     .fetch_add(usize::from(under == "end/"), Ordering::Relaxed);
                 let limit: usize = field(path, "limit").parse().unwrap_or(1_000);
-                let mut entries: Vec<Entry> = store
+                let mut entries: Vec<KeyValue> = store
                     .list(under)
                     .into_iter()
                     .filter(|e| e.key.as_str() > after)
@@ -112,7 +113,7 @@
                 entries.truncate(limit);
                 Reply::new(
                     200,
-                    encode(&Page {
+                    encode(&ListResponse {
                         entries,
                         more,
                         revision: store.revision,
@@ -125,7 +126,7 @@
             {
                 Some((key, (value, version))) => Reply::new(
                     200,
-                    encode(&Entry {
+                    encode(&KeyValue {
                         key: key.to_owned(),
                         value: value.clone(),
                         version,
@@ -133,7 +134,7 @@
                 ),
                 None => Reply::empty(404),
             },
-            ("POST", "/txn") => match decode::<Txn>(&request.body) {
+            ("POST", "/txn") => match decode::<CompareAndSwap>(&request.body) {
                 Ok(txn) => {
                     stand
                         .questions
@@ -141,14 +142,14 @@
                     match store.txn(&txn) {
                         TxnAnswer::Done(revision) => Reply::new(
                             200,
-                            encode(&TxnReply {
+                            encode(&CompareAndSwapResponse {
                                 failed: Vec::new(),
                                 revision,
                             }),
                         ),
                         TxnAnswer::Conflict(failed) => Reply::new(
                             409,
-                            encode(&TxnReply {
+                            encode(&CompareAndSwapResponse {
                                 failed,
                                 revision: store.revision,
                             }),
@@ -319,7 +320,7 @@
     let stand = Arc::new(Stand::default());
     let at = start(&stand);
     await_up(at, 200);
-    let submit = |n: u32| encode(&job(n, "red", Shape::Array, 3));
+    let submit = |n: u32| encode(&job(n, "red", JobKind::Array, 3));
     assert_eq!(ask(at, "POST", "/v1/jobs", &submit(1)).0, 201);
     let mut user = User::new(at);
     let told = user.ask("GET", "/v1/jobs/req-000001", &[]);
@@ -368,16 +369,16 @@
     let mut store = Store::new(&unlimited());
     for n in 0..300 {
         let phase = if n % 3 == 0 {
-            Phase::Withdrawn
+            JobPhase::Withdrawn
         } else {
-            Phase::Done
+            JobPhase::Done
         };
-        let id = job(n, "red", Shape::Array, 1).id;
-        store.txn(&Txn {
+        let id = job(n, "red", JobKind::Array, 1).id;
+        store.txn(&CompareAndSwap {
             conditions: Vec::new(),
             writes: vec![lemonweir_protocol::kv_store::Write::put(
                 end_key(&id),
-                &EndRecord { phase },
+                &JobEndRecord { phase },
             )],
         });
     }
@@ -386,7 +387,7 @@
         value: to_value(&"no record"),
         hold: None,
     };
-    store.txn(&Txn {
+    store.txn(&CompareAndSwap {
         conditions: Vec::new(),
         writes: vec![bad],
     });
@@ -407,7 +408,7 @@
     // Long after, with a machine type that is no more.
     let gone = JobSpec {
         types: Some(vec!["no-such".into()]),
-        ..job(7, "red", Shape::Array, 1)
+        ..job(7, "red", JobKind::Array, 1)
     };
     assert_eq!(
         phase(&user.ask("POST", "/v1/jobs", &encode(&gone))),
@@ -415,7 +416,7 @@
     );
     let never = JobSpec {
         types: Some(vec!["no-such".into()]),
-        ..job(800, "red", Shape::Array, 1)
+        ..job(800, "red", JobKind::Array, 1)
     };
     assert_eq!(user.ask("POST", "/v1/jobs", &encode(&never)).0, 422);
     // The record that can't be read, and a bounded number of questions for it.
--- a/tests/edges.rs
+++ b/tests/edges.rs
@@ -1,15 +1,17 @@
 //! Bad input at each edge: refused with a fault that is named, changing nothing.
 
-use lemonweir_coordination::autoscaler::{Bin, Demand, Failing, Market, Shortage, plan};
+use lemonweir_coordination::autoscaler::{
+    CapacityBin, CapacityDemand, CapacityShortages, FailingPools, ProvisioningOptions, plan,
+};
 use lemonweir_model::settings::Settings;
-use lemonweir_model::{JobId, Room, Shape};
-use lemonweir_protocol::peer::{self, Sync, View};
+use lemonweir_model::{JobId, JobKind, Resources};
+use lemonweir_protocol::peer::{self, ShardView, SyncRequest};
 use lemonweir_protocol::users::{never_runs, read_submission};
-use lemonweir_protocol::worker::Report;
+use lemonweir_protocol::worker::Heartbeat;
 use lemonweir_protocol::{decode, encode};
 use lemonweir_simulator::sample::{job, site};
-use lemonweir_storage::Mirror;
-use lemonweir_storage::records::{MailKind, MailRecord, mail_key};
+use lemonweir_storage::StateCache;
+use lemonweir_storage::records::{StoreMessageKind, StoreMessageRecord, mail_key};
 use rmpv::Value;
 
 fn settings_text(host: usize, hosts: usize) -> String {
@@ -39,7 +41,7 @@
 }
 
 fn submission() -> Vec<(Value, Value)> {
-    let bytes = encode(&job(1, "red", Shape::Array, 3));
+    let bytes = encode(&job(1, "red", JobKind::Array, 3));
     match rmpv::decode::read_value(&mut bytes.as_slice()).expect("a map") {
         Value::Map(fields) => fields,
         other => panic!("not a map: {other}"),
@@ -96,7 +98,7 @@
     );
     assert!(read_submission(b"{\"json\":1}").is_err());
     assert!(read_submission(&[]).is_err());
-    let mut extra = encode(&job(1, "red", Shape::Array, 3));
+    let mut extra = encode(&job(1, "red", JobKind::Array, 3));
     extra.push(0);
     assert!(read_submission(&extra).is_err(), "trailing bytes");
 }
@@ -107,20 +109,20 @@
     let c = &settings.cluster;
     let why = |spec| never_runs(&spec, &c.teams, &c.zones, &catalog());
     assert_eq!(
-        why(job(1, "red", Shape::Array, 1000)),
+        why(job(1, "red", JobKind::Array, 1000)),
         None,
         "an array counts one task"
     );
-    assert!(why(job(1, "green", Shape::Array, 1)).is_some());
+    assert!(why(job(1, "green", JobKind::Array, 1)).is_some());
     assert!(
-        why(job(1, "red", Shape::Gang, 13)).is_some(),
+        why(job(1, "red", JobKind::Gang, 13)).is_some(),
         "13 of 12 accelerators"
     );
-    assert_eq!(why(job(1, "red", Shape::Service, 12)), None);
-    let mut big = job(1, "blue", Shape::Array, 1);
+    assert_eq!(why(job(1, "red", JobKind::Service, 12)), None);
+    let mut big = job(1, "blue", JobKind::Array, 1);
     big.gpus = 5.0;
     assert!(why(big).is_some());
-    let mut elsewhere = job(1, "blue", Shape::Array, 1);
+    let mut elsewhere = job(1, "blue", JobKind::Array, 1);
     elsewhere.zone = Some("west".into());
     assert!(why(elsewhere).is_some());
 }
@@ -174,33 +176,33 @@
 
 #[test]
 fn garbage_from_workers_and_peers_is_refused() {
-    assert!(decode::<Report>(b"\x81\xa3box\x01").is_err());
-    assert!(decode::<Report>(&[0xff; 40]).is_err());
-    assert!(peer::read::<Sync>(&[]).is_err());
+    assert!(decode::<Heartbeat>(b"\x81\xa3box\x01").is_err());
+    assert!(decode::<Heartbeat>(&[0xff; 40]).is_err());
+    assert!(peer::read::<SyncRequest>(&[]).is_err());
     assert!(
-        peer::read::<Sync>(&[9, 0, 0])
+        peer::read::<SyncRequest>(&[9, 0, 0])
             .expect_err("format")
             .contains("format 9")
     );
     // A length that promises more than there is must not be believed.
     let mut bytes = vec![lemonweir_model::constants::PEER_VERSION];
     bytes.extend([0xff; 64]);
-    assert!(peer::read::<View>(&bytes).is_err());
+    assert!(peer::read::<ShardView>(&bytes).is_err());
 }
 
 #[test]
 fn mail_is_taken_whole_or_not_at_all() {
     use base64::prelude::{BASE64_STANDARD, Engine};
-    let mut mirror = Mirror::default();
+    let mut mirror = StateCache::default();
     let piece = |n, id, b: &[u8]| {
-        lemonweir_protocol::kv_store::to_value(&MailRecord {
+        lemonweir_protocol::kv_store::to_value(&StoreMessageRecord {
             n,
             id: (1, id),
             b: BASE64_STANDARD.encode(b),
         })
     };
-    let set = |k, value, version| lemonweir_protocol::kv_store::Change {
-        set: Some(mail_key(MailKind::Sync, 0, 1, k)),
+    let set = |k, value, version| lemonweir_protocol::kv_store::WatchEvent {
+        set: Some(mail_key(StoreMessageKind::Sync, 0, 1, k)),
         drop: None,
         value: Some(value),
         version,
@@ -227,10 +229,10 @@
 
 // ---- what to rent ----------------------------------------------------------
 
-fn demand(count: u32, spot: bool) -> Demand {
-    Demand {
+fn demand(count: u32, spot: bool) -> CapacityDemand {
+    CapacityDemand {
         team: "red".into(),
-        need: Room::offer(4.0, 1.0, 8.0),
+        need: Resources::offer(4.0, 1.0, 8.0),
         types: None,
         zone: None,
         spot,
@@ -244,17 +246,17 @@
 
 /// What is rented for this where nothing is out of sight.
 fn rent(
-    lacking: &[Demand],
-    booting: &[Bin],
-    failing: &Failing,
-    shortage: &Shortage,
+    lacking: &[CapacityDemand],
+    booting: &[CapacityBin],
+    failing: &FailingPools,
+    shortage: &CapacityShortages,
 ) -> Vec<(String, String, bool, u32)> {
     let (hidden, catalog) = (Default::default(), catalog());
     plan(
         lacking,
         booting,
         &Default::default(),
-        &Market {
+        &ProvisioningOptions {
             hidden: &hidden,
             failing,
             catalog: &catalog,
@@ -266,12 +268,12 @@
 
 #[test]
 fn renting_counts_what_boots_and_takes_the_cheapest() {
-    let rented = |demand, booting: &[Bin]| {
+    let rented = |demand, booting: &[CapacityBin]| {
         rent(
             &[demand],
             booting,
-            &Failing::default(),
-            &Shortage::default(),
+            &FailingPools::default(),
+            &CapacityShortages::default(),
         )
     };
     let count = |plan: Vec<(String, String, bool, u32)>| {
@@ -286,11 +288,11 @@
         "nine on spot machines of four"
     );
     assert_eq!(count(rented(demand(4, false), &[])).0, 1);
-    let booting = Bin {
+    let booting = CapacityBin {
         kind: "box".into(),
         zone: "north".into(),
         spot: false,
-        free: Room::offer(16.0, 4.0, 64.0),
+        free: Resources::offer(16.0, 4.0, 64.0),
     };
     assert!(
         rented(demand(4, false), &[booting]).is_empty(),
@@ -304,7 +306,12 @@
 fn a_gang_of_one_zone_gets_machines_of_one_zone() {
     let mut gang = demand(9, true);
     gang.one_zone = true;
-    let plan = rent(&[gang], &[], &Failing::default(), &Shortage::default());
+    let plan = rent(
+        &[gang],
+        &[],
+        &FailingPools::default(),
+        &CapacityShortages::default(),
+    );
     assert_eq!(plan.len(), 1, "{plan:?}");
     assert_eq!(plan[0].3, 3);
 }
@@ -313,10 +320,10 @@
 /// dearer ones last of all.
 #[test]
 fn what_does_not_come_up_is_replaced_elsewhere() {
-    let none = Shortage::default();
-    let first = rent(&[demand(4, true)], &[], &Failing::default(), &none).remove(0);
+    let none = CapacityShortages::default();
+    let first = rent(&[demand(4, true)], &[], &FailingPools::default(), &none).remove(0);
     let overdue = |n: usize, all: usize| {
-        Failing::of((0..all).map(|i| (first.0.as_str(), first.1.as_str(), first.2, i < n)))
+        FailingPools::of((0..all).map(|i| (first.0.as_str(), first.1.as_str(), first.2, i < n)))
     };
     let then = rent(&[demand(4, true)], &[], &overdue(3, 4), &none).remove(0);
     assert_ne!(
@@ -334,7 +341,7 @@
         first,
         "most come up"
     );
-    let bound = Demand {
+    let bound = CapacityDemand {
         zone: Some(first.1.clone()),
         only_spot: true,
         ..demand(4, true)
@@ -348,23 +355,23 @@
 
 #[test]
 fn garbage_from_the_cloud_and_the_store_is_refused() {
-    use lemonweir_protocol::cloud::{CatalogReply, Machines, RentalList};
-    use lemonweir_protocol::kv_store::{Changes, Page, from_value};
-    use lemonweir_storage::records::{ChunkRecord, JobRecord, parse_run_key};
+    use lemonweir_protocol::cloud::{CatalogResponse, InstanceList, MachineNames};
+    use lemonweir_protocol::kv_store::{ListResponse, WatchResponse, from_value};
+    use lemonweir_storage::records::{JobRecord, TaskChunkRecord, parse_run_key};
     for body in [&b""[..], b"\xc0", b"\x80", b"<html>", &[0xff; 30]] {
-        assert!(decode::<CatalogReply>(body).is_err());
-        assert!(decode::<Machines>(body).is_err());
-        assert!(decode::<RentalList>(body).is_err());
-        assert!(decode::<Page>(body).is_err());
-        assert!(decode::<Changes>(body).is_err());
+        assert!(decode::<CatalogResponse>(body).is_err());
+        assert!(decode::<MachineNames>(body).is_err());
+        assert!(decode::<InstanceList>(body).is_err());
+        assert!(decode::<ListResponse>(body).is_err());
+        assert!(decode::<WatchResponse>(body).is_err());
     }
-    assert!(from_value::<ChunkRecord>(&Value::from("x")).is_none());
+    assert!(from_value::<TaskChunkRecord>(&Value::from("x")).is_none());
     assert!(from_value::<JobRecord>(&Value::Nil).is_none());
     assert!(parse_run_key("run/0/req-1").is_none());
     assert!(parse_run_key("run/0/other/3").is_none());
     // A key that is not understood changes nothing and ends nothing.
-    let mut mirror = Mirror::default();
-    let change = |key: &str| lemonweir_protocol::kv_store::Change {
+    let mut mirror = StateCache::default();
+    let change = |key: &str| lemonweir_protocol::kv_store::WatchEvent {
         set: Some(key.into()),
         drop: None,
         value: Some(Value::Nil),
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -6,7 +6,8 @@
 
 use lemonweir_protocol::encode;
 use lemonweir_protocol::supervision::{
-    ClosedRow, HandoverRow, Handovers, PartRow, ShortRow, Watch,
+    FailoverCompletionRow, FailoverReport, FailoverRow, ShardRow, SupervisionReport,
+    UnderReplicatedServiceRow,
 };
 
 /// Answers one request with this, and tells its path.
@@ -51,19 +52,19 @@
     String::from_utf8_lossy(&output.stdout).into_owned()
 }
 
-fn watch(age_ms: Option<u64>) -> Watch {
-    Watch {
+fn watch(age_ms: Option<u64>) -> SupervisionReport {
+    SupervisionReport {
         host: "h1".into(),
         age_ms,
         parts: vec![
-            PartRow {
+            ShardRow {
                 part: 0,
                 home: "h0".into(),
                 holder: None,
                 token: None,
                 since: None,
             },
-            PartRow {
+            ShardRow {
                 part: 1,
                 home: "h1".into(),
                 holder: Some("h1".into()),
@@ -74,7 +75,7 @@
         services: 2,
         promised: 12,
         up: 9,
-        short: vec![ShortRow {
+        short: vec![UnderReplicatedServiceRow {
             job: "req-000007".into(),
             class: "photo-check".into(),
             team: "red".into(),
@@ -129,7 +130,7 @@
 
 #[test]
 fn changes_of_hands_are_told_open_and_closed() {
-    let row = |n, to: Option<&str>, closed| HandoverRow {
+    let row = |n, to: Option<&str>, closed| FailoverRow {
         part: 0,
         n,
         at: 1_790_000_000_000,
@@ -140,7 +141,7 @@
         up: Some((11, 2, 5)),
         closed,
     };
-    let closed = ClosedRow {
+    let closed = FailoverCompletionRow {
         by: "h2".into(),
         read_ms: Some(40),
         first_start_ms: Some(310),
@@ -150,7 +151,7 @@
         gaps: vec![("photo-check".into(), 8_200)],
         unknown: vec!["when all services were whole".into()],
     };
-    let all = Handovers {
+    let all = FailoverReport {
         host: "h1".into(),
         age_ms: Some(120),
         changes: vec![
