--- /dev/null
+++ b/crates/model/tests/golden_settings.rs
@@ -0,0 +1,170 @@
+//! A settings file with every field, and what each is read as: names in the file are
+//! the platform's and stay as they are.
+
+use lemonweir_model::settings::{Member, Settings};
+
+const EVERY_FIELD: &str = include_str!("samples/golden/settings.json");
+const NEEDED_FIELDS: &str = include_str!("samples/golden/settings_needed.json");
+
+fn read(text: &str) -> Settings {
+    Settings::parse(text).expect("a settings file without faults")
+}
+
+#[test]
+fn every_field_of_a_controller_is_read() {
+    let settings = read(EVERY_FIELD);
+    assert_eq!(settings.host_name, "hutte-1");
+    assert_eq!(settings.zone, "rijnmond");
+    assert_eq!(settings.listen.to_string(), "0.0.0.0:8080");
+    assert_eq!(settings.internal_addr.to_string(), "10.0.2.1:8081");
+    assert_eq!(settings.services.cloud.to_string(), "10.0.9.1:7001");
+    assert_eq!(settings.services.state.to_string(), "10.0.9.2:7002");
+    let seeds: Vec<_> = settings
+        .seeds
+        .iter()
+        .map(|s| (s.host_name.as_str(), s.zone.as_str(), s.address.to_string()))
+        .collect();
+    assert_eq!(
+        seeds,
+        [
+            ("hutte-2", "eemsmond", "10.0.3.1:8081".to_owned()),
+            ("hutte-0", "eemsmond", "10.0.1.1:8081".to_owned()),
+        ]
+    );
+}
+
+/// A controller's position is its shard's number, so it is as fixed as a record.
+#[test]
+fn controllers_are_numbered_in_the_order_of_their_names() {
+    let member = |host: &str, zone: &str, address: &str| Member {
+        host: host.into(),
+        zone: zone.into(),
+        address: address.parse().expect("an address"),
+    };
+    assert_eq!(
+        read(EVERY_FIELD).members(),
+        [
+            member("hutte-0", "eemsmond", "10.0.1.1:8081"),
+            member("hutte-1", "rijnmond", "10.0.2.1:8081"),
+            member("hutte-2", "eemsmond", "10.0.3.1:8081"),
+        ]
+    );
+}
+
+#[test]
+fn every_field_of_the_cluster_is_read() {
+    let c = read(EVERY_FIELD).cluster;
+    assert_eq!(c.zones, ["eemsmond", "rijnmond"]);
+    let teams: Vec<_> = c
+        .teams
+        .iter()
+        .map(|t| (t.name.as_str(), t.cpus, t.cpus_max, t.gpus, t.gpus_max))
+        .collect();
+    assert_eq!(
+        teams,
+        [
+            ("vision", 64.5, 128.5, 8.0, 16.0),
+            ("speech", 0.0, 0.0, 0.0, 0.0),
+        ]
+    );
+    let objectives: Vec<_> = c
+        .objectives
+        .iter()
+        .map(|o| (o.kind.as_str(), o.class.as_deref(), o.within_s))
+        .collect();
+    assert_eq!(
+        objectives,
+        [
+            ("wait", Some("train"), Some(30.5)),
+            ("guarantee", None, None),
+        ]
+    );
+    let w = &c.workers;
+    assert_eq!(
+        [
+            w.report_s,
+            w.lease_s,
+            w.gang_wait_s,
+            w.gang_peer_s,
+            w.cancel_s
+        ],
+        [2.5, 12.5, 20.5, 6.5, 40.5]
+    );
+    let s = &c.state;
+    assert_eq!([s.rps, s.write_rps, s.value_kb], [300.5, 90.5, 16.5]);
+    assert_eq!(s.txn_ops, 32);
+    let next = s.next.as_ref().expect("later limits");
+    assert_eq!(
+        [next.rps, next.write_rps, next.value_kb],
+        [Some(200.5), Some(60.5), Some(8.5)]
+    );
+    assert_eq!(next.txn_ops, Some(16));
+    assert_eq!(
+        [s.least_rps(), s.least_write_rps(), s.least_value_kb()],
+        [200.5, 60.5, 8.5]
+    );
+    assert_eq!(s.least_txn_ops(), 16);
+    assert_eq!([c.cloud.rps, c.cloud.list_lag_s], [20.5, 3.5]);
+    assert_eq!([c.limits.cpu_share, c.limits.mem_mb], [0.75, 512.5]);
+    assert_eq!(c.limits.fd_limit, 1024);
+    assert_eq!(c.clock_off_ms, -12.5);
+}
+
+#[test]
+fn fields_that_may_be_absent_have_their_defaults() {
+    let c = read(NEEDED_FIELDS).cluster;
+    let team = &c.teams[0];
+    assert_eq!(
+        [team.cpus, team.cpus_max, team.gpus, team.gpus_max],
+        [0.0; 4]
+    );
+    assert!(c.objectives.is_empty() && c.state.next.is_none());
+    assert_eq!(c.clock_off_ms, 0.0);
+    assert_eq!(c.state.least_txn_ops(), c.state.txn_ops);
+}
+
+/// The lines that `lemonweir check` prints: a field is called by its name in the file.
+#[test]
+fn a_missing_field_is_named_by_its_path() {
+    let object = |text: &str| serde_json::from_str::<serde_json::Value>(text).expect("JSON");
+    let mut paths = Vec::new();
+    needed(&object(NEEDED_FIELDS), String::new(), &mut paths);
+    assert_eq!(paths.len(), 33, "{paths:?}");
+    for path in paths {
+        let mut file = object(NEEDED_FIELDS);
+        let (parent, name) = path.rsplit_once('/').expect("a path");
+        file.pointer_mut(parent)
+            .and_then(serde_json::Value::as_object_mut)
+            .and_then(|o| o.remove(name))
+            .expect("a field");
+        let shown = path[1..].replace("/0", "[0]").replace('/', ".");
+        assert_eq!(
+            Settings::parse(&file.to_string()).err(),
+            Some(vec![format!("{shown}: is missing")]),
+            "{path}"
+        );
+    }
+}
+
+/// The paths of all fields below a value.
+fn needed(value: &serde_json::Value, at: String, paths: &mut Vec<String>) {
+    let below: Vec<(String, &serde_json::Value)> = match value {
+        serde_json::Value::Object(fields) => fields
+            .iter()
+            .map(|(name, field)| (format!("{at}/{name}"), field))
+            .collect(),
+        serde_json::Value::Array(items) => items
+            .iter()
+            .enumerate()
+            .filter(|(_, item)| item.is_object())
+            .map(|(i, item)| (format!("{at}/{i}"), item))
+            .collect(),
+        _ => return,
+    };
+    for (path, field) in below {
+        if value.is_object() {
+            paths.push(path.clone());
+        }
+        needed(field, path, paths);
+    }
+}
--- /dev/null
+++ b/crates/policy/tests/golden_policy.rs
@@ -0,0 +1,104 @@
+//! Every name of the operators' policy, with its value in the embedded script and
+//! with one that a script gives it.
+
+use lemonweir_model::policy::{Policy, Trade};
+use lemonweir_policy::{embedded, evaluate};
+
+/// Every name, with a value of its own.
+const EVERY_NAME: [(&str, f64); 11] = [
+    ("idle", 1.25),
+    ("idle_spot", 2.25),
+    ("silent_s", 10.5),
+    ("boot_patience", 4.25),
+    ("blind_s", 50.5),
+    ("spare", 0.625),
+    ("risk_machine", 0.375),
+    ("risk_zone", 0.125),
+    ("risk_one_zone", 5.5),
+    ("pin_s", 7.5),
+    ("move_s", 8.5),
+];
+
+fn script(names: &[(&str, f64)]) -> String {
+    let lines: Vec<String> = names.iter().map(|(n, x)| format!("{n} = {x}")).collect();
+    format!("return {{ {} }}", lines.join(", "))
+}
+
+#[test]
+fn the_embedded_policy_has_its_values() {
+    let policy = embedded().expect("a policy without faults");
+    let expected = Policy {
+        idle: 0.75,
+        idle_spot: 1.5,
+        silent_ms: 9_000,
+        boot_patience: 3.0,
+        blind_ms: 60_000,
+        spare: 0.5,
+        trade: Trade {
+            machine: 0.25,
+            zone: 0.1,
+            one_zone: 3.0,
+            pin_s: 6.0,
+            move_s: 1.0,
+        },
+    };
+    assert_eq!(policy, expected);
+    assert_eq!(policy.trade, Trade::default());
+}
+
+#[test]
+fn each_name_of_a_script_sets_its_own_value() {
+    let policy = evaluate(&script(&EVERY_NAME)).expect("a policy without faults");
+    let expected = Policy {
+        idle: 1.25,
+        idle_spot: 2.25,
+        silent_ms: 10_500,
+        boot_patience: 4.25,
+        blind_ms: 50_500,
+        spare: 0.625,
+        trade: Trade {
+            machine: 0.375,
+            zone: 0.125,
+            one_zone: 5.5,
+            pin_s: 7.5,
+            move_s: 8.5,
+        },
+    };
+    assert_eq!(policy, expected);
+}
+
+#[test]
+fn a_name_that_is_left_out_is_a_fault_that_names_it() {
+    let ranges = [
+        "0 to 1000",
+        "0 to 1000",
+        "1 to 3600",
+        "1.5 to 100",
+        "0 to 60",
+        "0 to 10",
+        "0 to 1000",
+        "0 to 1000",
+        "0 to 1000",
+        "0 to 3600",
+        "0 to 3600",
+    ];
+    for (i, ((name, _), range)) in EVERY_NAME.iter().zip(ranges).enumerate() {
+        let mut names = EVERY_NAME.to_vec();
+        names.remove(i);
+        assert_eq!(
+            evaluate(&script(&names)),
+            Err(vec![format!(
+                "policy: {name} must be a number from {range}"
+            )])
+        );
+    }
+}
+
+#[test]
+fn a_name_that_is_not_known_is_a_fault_that_names_it() {
+    let names = [EVERY_NAME.as_slice(), &[("idle_ms", 1.0)]].concat();
+    assert_eq!(
+        evaluate(&script(&names)),
+        Err(vec!["policy: unknown name idle_ms".to_owned()])
+    );
+}
--- /dev/null
+++ b/crates/storage/tests/golden_records.rs
@@ -0,0 +1,417 @@
+//! Golden samples of every stored record, every key and every transaction: each is
+//! written byte for byte as its sample, and its sample, read and written again, is the
+//! same.
+//!
+//! A sample holds the bytes of MessagePack as hex, and their reading as JSON. The samples
+//! were written once; a record that differs from its sample can't be read by the
+//! controllers that are there.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use lemonweir_model::constants::{AWAITS_PAGE, CHUNK_TASKS, HANDOVERS_KEPT, PACKED_VERSION};
+use lemonweir_model::{JobId, JobSpec, MachineId, Rank, Room, Shape};
+use lemonweir_protocol::state::{Txn, from_value, to_value};
+use lemonweir_protocol::users::Phase;
+use lemonweir_protocol::{decode, encode};
+use lemonweir_storage::chains::*;
+use lemonweir_storage::handovers::{
+    Change, Closing, HandoverRecord, NewHandover, handover_key, parse_handover_key,
+};
+use lemonweir_storage::packed::{chunk_value, read_chunk};
+use lemonweir_storage::records::*;
+use rmpv::Value;
+use serde::de::DeserializeOwned;
+use serde::{Deserialize, Serialize};
+
+// ---- comparison ------------------------------------------------------------
+
+#[derive(Deserialize)]
+struct Sample {
+    bytes: String,
+    reads: serde_json::Value,
+}
+
+/// The samples of one file, and which of them were compared.
+struct Golden {
+    samples: BTreeMap<String, Sample>,
+    compared: BTreeSet<String>,
+}
+
+impl Golden {
+    fn of(file: &str) -> Self {
+        Self {
+            samples: serde_json::from_str(file).expect("samples"),
+            compared: BTreeSet::new(),
+        }
+    }
+
+    /// The sample's bytes, once what is written now is found to be the same.
+    fn same(&mut self, name: &str, written: &[u8]) -> Vec<u8> {
+        let hex: String = written.iter().map(|b| format!("{b:02x}")).collect();
+        let sample = self
+            .samples
+            .get(name)
+            .unwrap_or_else(|| panic!("no sample {name}"));
+        assert_eq!(hex, sample.bytes, "{name} is written as its sample");
+        assert!(
+            self.compared.insert(name.to_owned()),
+            "{name} is compared once"
+        );
+        written.to_vec()
+    }
+
+    /// A stored value, which is returned as it is read from its sample.
+    fn value(&mut self, name: &str, value: &Value) -> Value {
+        let bytes = self.same(name, &encode(value));
+        let read: Value = decode(&bytes).expect("MessagePack");
+        assert_eq!(
+            serde_json::to_value(&read).expect("JSON"),
+            self.samples[name].reads,
+            "{name} reads as its sample"
+        );
+        assert_eq!(encode(&read), bytes, "{name} as plain values");
+        read
+    }
+
+    /// A record.
+    fn record<T: Serialize + DeserializeOwned>(&mut self, name: &str, record: &T) -> T {
+        let stored = self.value(name, &to_value(record));
+        assert_eq!(
+            encode(record),
+            encode(&stored),
+            "{name} by itself and as a value"
+        );
+        let read: T = from_value(&stored).unwrap_or_else(|| panic!("{name} is not read"));
+        assert_eq!(to_value(&read), stored, "{name} is written as it was read");
+        read
+    }
+
+    /// A transaction.
+    fn txn(&mut self, name: &str, txn: &Txn) {
+        let stored = self.value(name, &to_value(txn));
+        assert_eq!(
+            encode(txn),
+            encode(&stored),
+            "{name} by itself and as a value"
+        );
+        let read: Txn = from_value(&stored).unwrap_or_else(|| panic!("{name} is not read"));
+        assert_eq!(&read, txn, "{name} is read");
+    }
+
+    /// Every sample was compared.
+    fn all(&self) {
+        let names: BTreeSet<String> = self.samples.keys().cloned().collect();
+        assert_eq!(self.compared, names, "every sample is compared");
+    }
+}
+
+// ---- values ----------------------------------------------------------------
+
+const NOW: u64 = 1_790_000_000_000;
+
+fn id(n: usize) -> JobId {
+    JobId::from(format!("req-{n:06}").as_str())
+}
+
+fn job(awaits: usize, withdrawn: bool) -> JobRecord {
+    JobRecord {
+        spec: JobSpec {
+            id: id(412),
+            class: "train".into(),
+            team: "vision".into(),
+            shape: Shape::Gang,
+            rank: Rank::High,
+            tasks: 16,
+            cores: 8.25,
+            gpus: 1.0,
+            ram_gb: 64.5,
+            types: Some(vec!["g8".into()]),
+            zone: None,
+            one_zone: true,
+            spread: false,
+            spot: true,
+            image: "img-07".into(),
+            image_gb: 6.2,
+            estimate_s: 240.0,
+            checkpoint_s: 30.0,
+            save_s: 4.0,
+            deadline_s: Some(900.0),
+            awaits: (1..=awaits).map(id).collect(),
+        },
+        at: NOW,
+        withdrawn,
+        awaited: awaits,
+    }
+}
+
+fn chunk(index: u32, gang: Option<GangStep>) -> ChunkRecord {
+    let first = index * CHUNK_TASKS;
+    let live = |t, a, m: &str, p, z: &str| LiveRecord {
+        t: first + t,
+        a,
+        m: MachineId::from(m),
+        p,
+        z: z.into(),
+    };
+    ChunkRecord {
+        team: "vision".into(),
+        need: Room {
+            cpus: 8_250,
+            gpus: 1_000,
+            memory: 64_500,
+        },
+        next: 9,
+        done: vec![(first, first + 2), (first + 4, first + 4)],
+        live: vec![
+            live(3, 7, "n-000231", 1, "eemsmond"),
+            live(5, 8, "n-0.2.32", 2, "rijnmond"),
+            live(63, 6, "n-000233", 1, "eemsmond"),
+        ],
+        gang: gang.map(|step| GangRecord {
+            step,
+            at: NOW,
+            a: 7,
+        }),
+    }
+}
+
+fn handover(how: Change, from: Option<&str>, to: Option<&str>) -> HandoverRecord {
+    HandoverRecord {
+        n: 35,
+        from: from.map(str::to_owned),
+        to: to.map(str::to_owned),
+        how,
+        at: NOW,
+        up: Some((30, 20, 10)),
+        closed: None,
+    }
+}
+
+fn entry(how: Change, from: Option<&str>, to: Option<&str>) -> NewHandover {
+    NewHandover {
+        part: 2,
+        slot_version: 33,
+        record: handover(how, from, to),
+    }
+}
+
+// ---- records ---------------------------------------------------------------
+
+#[test]
+fn records_are_their_samples() {
+    let mut golden = Golden::of(include_str!("samples/golden/records.json"));
+    for (name, record) in [
+        ("job", job(0, false)),
+        ("job, cancellation asked for", job(0, true)),
+        ("job that waits", job(2, false)),
+    ] {
+        let read = golden.record(name, &record);
+        assert_eq!(
+            (read.spec, read.at, read.withdrawn, read.awaited),
+            (record.spec, record.at, record.withdrawn, record.awaited)
+        );
+    }
+    let part = PartRecord {
+        host: "hutte-0".into(),
+    };
+    assert_eq!(golden.record("part", &part), part);
+    let node = NodeRecord {
+        zone: "eemsmond".into(),
+        format: 3,
+        deaf: vec![2, 4],
+        reads: 1,
+    };
+    assert_eq!(golden.record("node", &node), node);
+    let version = VersionRecord { version: 1 };
+    assert_eq!(golden.record("version", &version), version);
+    assert_eq!(golden.record("team", &TeamRecord { part: 2 }).part, 2);
+    let page = AwaitsPage {
+        awaits: vec![id(41), id(42)],
+    };
+    assert_eq!(golden.record("page of awaited jobs", &page), page);
+    for (name, phase) in [
+        ("end, done", Phase::Done),
+        ("end, withdrawn", Phase::Withdrawn),
+    ] {
+        assert_eq!(golden.record(name, &EndRecord { phase }).phase, phase);
+    }
+    let images = ImagesRecord {
+        n: vec![("img-07".into(), 6_200), ("img-08".into(), 900)],
+        m: vec![
+            (MachineId::from("n-000231"), vec![1, 0]),
+            (MachineId::from("n-000232"), Vec::new()),
+        ],
+    };
+    assert_eq!(golden.record("images", &images), images);
+    let mail = MailRecord {
+        n: 2,
+        id: (42, 7),
+        b: "AAEC".into(),
+    };
+    assert_eq!(golden.record("piece of mail", &mail), mail);
+    golden.all();
+}
+
+#[test]
+fn task_records_are_their_samples_in_each_form() {
+    let mut golden = Golden::of(include_str!("samples/golden/chunks.json"));
+    for (form, version) in [("plain", 0), ("packed", PACKED_VERSION)] {
+        for (of, index, record) in [
+            ("no gang", 0, chunk(0, None)),
+            ("no gang, third", 2, chunk(2, None)),
+            ("gang planned", 0, chunk(0, Some(GangStep::Planned))),
+            ("gang admitted", 0, chunk(0, Some(GangStep::Admitted))),
+            ("gang released", 0, chunk(0, Some(GangStep::Released))),
+            ("gang otherwise", 0, chunk(0, Some(GangStep::Other))),
+            ("empty", 0, ChunkRecord::default()),
+        ] {
+            let name = format!("{form}, {of}");
+            let stored = golden.value(&name, &chunk_value(&record, version));
+            let read = read_chunk(&stored, index).expect("a task record");
+            assert_eq!(read, record, "{name}");
+            assert_eq!(chunk_value(&read, version), stored, "{name}");
+        }
+    }
+    golden.all();
+}
+
+#[test]
+fn handovers_are_their_samples_in_each_variant() {
+    let mut golden = Golden::of(include_str!("samples/golden/handovers.json"));
+    let (a, b) = (Some("hutte-0"), Some("hutte-2"));
+    for (name, record) in [
+        ("vacant", handover(Change::Vacant, None, a)),
+        ("reborn", handover(Change::Reborn, a, a)),
+        ("handed back", handover(Change::HandedBack, b, None)),
+        ("left", handover(Change::Left, a, None)),
+        ("otherwise", handover(Change::Other, a, b)),
+        (
+            "closed, all known",
+            HandoverRecord {
+                closed: Some(Closing {
+                    by: "hutte-0".into(),
+                    read_ms: Some(310),
+                    first_start_ms: Some(420),
+                    whole_ms: Some(5_300),
+                    found: Some((30, 4)),
+                    gaps: vec![("serve".into(), 6_100)],
+                    unknown: vec!["gaps".into()],
+                    token: Some(42),
+                    held_ms: Some(90_000),
+                }),
+                ..handover(Change::Vacant, b, a)
+            },
+        ),
+        (
+            "closed, nothing known",
+            HandoverRecord {
+                up: None,
+                closed: Some(Closing::default()),
+                ..handover(Change::Vacant, b, a)
+            },
+        ),
+    ] {
+        assert_eq!(golden.record(name, &record), record, "{name}");
+    }
+    golden.all();
+}
+
+// ---- keys ------------------------------------------------------------------
+
+#[test]
+fn keys_are_spelled_as_ever() {
+    assert_eq!(FOLLOWED, "w/");
+    assert_eq!(END_PREFIX, "end/");
+    assert_eq!(VERSION_KEY, "w/version");
+    assert_eq!(job_key(&id(412)), "w/job/req-000412");
+    assert_eq!(end_key(&id(412)), "end/req-000412");
+    assert_eq!(part_key(2), "w/part/2");
+    assert_eq!(node_key("hutte-0"), "w/node/hutte-0");
+    assert_eq!(team_key("vision"), "w/team/vision");
+    assert_eq!(run_prefix(2), "run/2/");
+    assert_eq!(run_key(2, &id(412), 5), "run/2/req-000412/5");
+    assert_eq!(images_prefix(2), "img/2/");
+    assert_eq!(images_key(2, 3), "img/2/3");
+    assert_eq!(chain_key(&id(412)), "w/chain/req-000412");
+    assert_eq!(awaits_key(&id(412), 3), "w/chain/req-000412/3");
+    assert_eq!(handover_key(2, 35), "w/hand/2/3");
+    assert_eq!(mail_key(MailKind::Sync, 1, 2, 3), "w/mail/sync/1/2/3");
+    assert_eq!(mail_key(MailKind::View, 1, 2, 3), "w/mail/view/1/2/3");
+    assert_eq!((AWAITS_PAGE, CHUNK_TASKS, HANDOVERS_KEPT), (40, 64, 32));
+}
+
+#[test]
+fn keys_are_read_as_they_are_spelled() {
+    assert_eq!(parse_run_key("run/2/req-000412/5"), Some((id(412), 5)));
+    assert_eq!(parse_images_key("img/2/3"), Some(3));
+    assert_eq!(parse_chain_key("req-000412"), Some((id(412), 0)));
+    assert_eq!(parse_chain_key("req-000412/3"), Some((id(412), 3)));
+    assert_eq!(parse_handover_key("2/3"), Some((2, 3)));
+    for (rest, kind) in [
+        ("sync/1/2/3", MailKind::Sync),
+        ("view/1/2/3", MailKind::View),
+    ] {
+        let line = MailLine {
+            kind,
+            from: 1,
+            to: 2,
+        };
+        assert_eq!(parse_mail_key(rest), Some((line, 3)));
+    }
+}
+
+// ---- transactions ----------------------------------------------------------
+
+#[test]
+fn transactions_of_records_are_their_samples() {
+    let mut golden = Golden::of(include_str!("samples/golden/transactions.json"));
+    golden.txn("accept a job", &accept_job(&job(0, false)));
+    golden.txn("ask whether jobs are absent", &absent(&[id(1), id(2)]));
+    golden.txn("cancel a job", &withdraw_job(&job(0, false), 50));
+    let taken = entry(Change::Vacant, Some("hutte-2"), Some("hutte-0"));
+    golden.txn("take a shard", &take_part(49, "hutte-0", 9, &taken));
+    let back = entry(Change::HandedBack, Some("hutte-0"), None);
+    golden.txn("hand a shard back", &hand_back(42, &back));
+    let left = entry(Change::Left, Some("hutte-0"), None);
+    golden.txn(
+        "leave a shard",
+        &leave_part(42, &left, "hutte-0", "eemsmond", 9, vec![2, 4]),
+    );
+    golden.txn("show a node", &show_node("hutte-0", "eemsmond", 9, vec![2]));
+    golden.txn(
+        "assign teams",
+        &assign_teams(&[("vision".into(), 2), ("speech".into(), 0)]),
+    );
+    golden.txn("raise the version", &raise_version(1, 12));
+    for (name, kind) in [
+        ("post a sync", MailKind::Sync),
+        ("post a view", MailKind::View),
+    ] {
+        let line = MailLine {
+            kind,
+            from: 1,
+            to: 2,
+        };
+        golden.txn(name, &post(line, (42, 7), &[0, 1, 2, 253, 254], 3, 9));
+    }
+    golden.all();
+}
+
+#[test]
+fn transactions_of_chains_are_their_samples() {
+    let mut golden = Golden::of(include_str!("samples/golden/chain_transactions.json"));
+    let accepted = accept_waiting(&job(2 * AWAITS_PAGE + 1, false), 1);
+    assert_eq!(accepted.len(), 3);
+    for (i, txn) in accepted.iter().enumerate() {
+        golden.txn(&format!("accept a job that waits, {i}"), txn);
+    }
+    golden.txn("accept a cancelled job", &accept_cancelled(&id(412)));
+    golden.txn("cancel a job that waits", &cancel_waiting(&id(412), 51));
+    let done = [(id(1), 60), (id(2), 61)];
+    golden.txn(
+        "release a job that waited",
+        &release_waiting(&job(2, false), 52, &done),
+    );
+    golden.txn("ask whether ends stand", &ends_stand(&done));
+    golden.all();
+}
