--- a/crates/model/tests/golden_settings.rs
+++ b/crates/model/tests/golden_settings.rs
@@ -1,7 +1,7 @@
 //! A settings file with every field, and what each is read as: names in the file are
 //! the platform's and stay as they are.
 
-use lemonweir_model::settings::{Member, Settings};
+use lemonweir_model::settings::{ClusterMember, Settings};
 
 const EVERY_FIELD: &str = include_str!("samples/golden/settings.json");
 const NEEDED_FIELDS: &str = include_str!("samples/golden/settings_needed.json");
@@ -36,7 +36,7 @@
 /// A controller's position is its shard's number, so it is as fixed as a record.
 #[test]
 fn controllers_are_numbered_in_the_order_of_their_names() {
-    let member = |host: &str, zone: &str, address: &str| Member {
+    let member = |host: &str, zone: &str, address: &str| ClusterMember {
         host: host.into(),
         zone: zone.into(),
         address: address.parse().expect("an address"),
--- a/crates/protocol/tests/golden_messages.rs
+++ b/crates/protocol/tests/golden_messages.rs
@@ -9,22 +9,27 @@
 
 use borsh::{BorshDeserialize, BorshSerialize};
 use lemonweir_model::constants::PEER_VERSION;
-use lemonweir_model::{AttemptId, JobId, JobSpec, MachineId, Rank, Room, Shape};
+use lemonweir_model::{AttemptId, JobId, JobKind, JobSpec, MachineId, Priority, Resources};
 use lemonweir_protocol::cloud::*;
+use lemonweir_protocol::image_locality::{ImageLocalityReport, ImageUserRow, ZoneImageRow};
+use lemonweir_protocol::kv_store::*;
 use lemonweir_protocol::links::{
-    self, Answers, CARRY, Carried, Carry, EventRow, Fate, Goal, HAIL, LINKS_VERSION, LinkRow,
-    Picture, REPORTS, Reports, Service, Word,
+    self, AvailabilityGossip, EventRow, GOSSIP_PATH, LINKS_VERSION, LinkRow, LinksReport,
+    RELAY_HEARTBEATS_PATH, RELAY_PATH, RelayOutcome, RelayRequest, RelayResponse, RelayTarget,
+    RelayedAnswers, RelayedHeartbeats, Service,
 };
 use lemonweir_protocol::peer::{
-    self, AttemptView, Cause, Evict, Have, Hidden, JobNote, MachineView, Rented, Span, Standing,
-    Superseded, Sync, View, Want,
+    self, AttemptState, AttemptStatus, ChangeRange, DesiredAttempt, ExitCause, JobProgress,
+    MachineView, ObservedState, PartitionedZone, PreemptionScope, ProvisionedInstance, ShardView,
+    Superseded, SyncRequest,
 };
-use lemonweir_protocol::state::*;
-use lemonweir_protocol::users::{JobState, Phase, read_submission};
-use lemonweir_protocol::watch::{ClosedRow, HandoverRow, Handovers, ShortRow, Watch};
-use lemonweir_protocol::weights::{UserRow, WeightsPicture, ZoneRow};
+use lemonweir_protocol::supervision::{
+    FailoverCompletionRow, FailoverReport, FailoverRow, SupervisionReport,
+    UnderReplicatedServiceRow,
+};
+use lemonweir_protocol::users::{JobPhase, JobStatus, read_submission};
 use lemonweir_protocol::worker::*;
-use lemonweir_protocol::{Malformed, decode, encode, watch, weights};
+use lemonweir_protocol::{Malformed, decode, encode, image_locality, supervision};
 use rmpv::Value;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -160,8 +165,8 @@
         id: JobId::from("req-000412"),
         class: "train".into(),
         team: "vision".into(),
-        shape: Shape::Gang,
-        rank: Rank::High,
+        shape: JobKind::Gang,
+        rank: Priority::High,
         tasks: 16,
         cores: 8.25,
         gpus: 1.0,
@@ -181,7 +186,7 @@
     }
 }
 
-fn least_job(shape: Shape, rank: Rank) -> JobSpec {
+fn least_job(shape: JobKind, rank: Priority) -> JobSpec {
     JobSpec {
         shape,
         rank,
@@ -203,15 +208,15 @@
         ("submission, every field", full_job()),
         (
             "submission, array and production",
-            least_job(Shape::Array, Rank::Production),
+            least_job(JobKind::Array, Priority::Production),
         ),
         (
             "submission, service and normal",
-            least_job(Shape::Service, Rank::Normal),
+            least_job(JobKind::Service, Priority::Normal),
         ),
         (
             "submission, gang and low",
-            least_job(Shape::Gang, Rank::Low),
+            least_job(JobKind::Gang, Priority::Low),
         ),
     ] {
         golden.both_ways(name, &job);
@@ -220,16 +225,16 @@
     }
     let id = || JobId::from("req-000412");
     for (name, phase) in [
-        ("state, queued", Phase::Queued),
-        ("state, running", Phase::Running),
-        ("state, done", Phase::Done),
-        ("state, withdrawn", Phase::Withdrawn),
+        ("state, queued", JobPhase::Queued),
+        ("state, running", JobPhase::Running),
+        ("state, done", JobPhase::Done),
+        ("state, withdrawn", JobPhase::Withdrawn),
     ] {
-        golden.written(name, &JobState::plain(id(), phase));
+        golden.written(name, &JobStatus::plain(id(), phase));
     }
-    let state = JobState {
+    let state = JobStatus {
         id: id(),
-        phase: Phase::Running,
+        phase: JobPhase::Running,
         done: Some(3),
         running: Some(5),
         reason: Some("waits for room".into()),
@@ -281,8 +286,8 @@
 
 // ---- workers ---------------------------------------------------------------
 
-fn order(verb: Verb, grace_s: Option<u32>) -> Order {
-    Order {
+fn order(verb: CommandKind, grace_s: Option<u32>) -> Command {
+    Command {
         verb,
         piece: "req-000412/3".into(),
         attempt: 2,
@@ -293,14 +298,14 @@
 #[test]
 fn messages_of_workers_are_their_samples() {
     let mut golden = Golden::of(include_str!("samples/golden/workers.json"));
-    let task = |phase, cause: Option<&str>, saved| TaskReport {
+    let task = |phase, cause: Option<&str>, saved| TaskStatus {
         piece: "req-000412/3".into(),
         attempt: 2,
         phase,
         cause: cause.map(str::to_owned),
         saved,
     };
-    let report = Report {
+    let report = Heartbeat {
         machine: MachineId::from("n-000231"),
         address: "10.0.3.7:9100".into(),
         kind: "g8".into(),
@@ -319,30 +324,30 @@
         ],
     };
     golden.both_ways("report, every phase", &report);
-    let empty = Report {
+    let empty = Heartbeat {
         notice_s: None,
         tasks: Vec::new(),
         ..report
     };
     golden.both_ways("report, no tasks", &empty);
     for (name, order) in [
-        ("order, launch", order(Verb::Launch, None)),
-        ("order, kill", order(Verb::Kill, Some(5))),
-        ("order, forget", order(Verb::Forget, None)),
+        ("order, launch", order(CommandKind::Launch, None)),
+        ("order, kill", order(CommandKind::Kill, Some(5))),
+        ("order, forget", order(CommandKind::Forget, None)),
     ] {
         golden.both_ways(name, &order);
     }
     let orders = vec![
-        order(Verb::Launch, None),
-        order(Verb::Kill, Some(0)),
-        order(Verb::Forget, None),
+        order(CommandKind::Launch, None),
+        order(CommandKind::Kill, Some(0)),
+        order(CommandKind::Forget, None),
     ];
-    let reply = ReportReply {
+    let reply = HeartbeatResponse {
         token: 43,
         orders: orders.clone(),
     };
     golden.both_ways("report reply", &reply);
-    let commands = Commands {
+    let commands = CommandsRequest {
         token: 44,
         session: 4,
         orders,
@@ -352,7 +357,7 @@
         ("elsewhere, known", Some("hutte-1".to_owned())),
         ("elsewhere, unknown", None),
     ] {
-        golden.both_ways(name, &Elsewhere { host });
+        golden.both_ways(name, &Redirect { host });
     }
     golden.all();
 }
@@ -360,16 +365,16 @@
 #[test]
 fn causes_of_exits_have_their_names() {
     for (name, cause) in [
-        ("done", Cause::Done),
-        ("stopped", Cause::Stopped),
-        ("peers", Cause::Peers),
-        ("alone", Cause::Alone),
-        ("no_room", Cause::NoRoom),
-        ("in_use", Cause::InUse),
-        ("unknown", Cause::Unknown),
-        ("error", Cause::Error),
+        ("done", ExitCause::Done),
+        ("stopped", ExitCause::Stopped),
+        ("peers", ExitCause::Peers),
+        ("alone", ExitCause::Alone),
+        ("no_room", ExitCause::NoRoom),
+        ("in_use", ExitCause::InUse),
+        ("unknown", ExitCause::Unknown),
+        ("error", ExitCause::Error),
     ] {
-        assert_eq!(Cause::read(Some(name)), cause, "{name}");
+        assert_eq!(ExitCause::read(Some(name)), cause, "{name}");
     }
 }
 
@@ -378,7 +383,7 @@
 #[test]
 fn messages_of_the_cloud_are_their_samples() {
     let mut golden = Golden::of(include_str!("samples/golden/cloud.json"));
-    let machine_type = TypeEntry {
+    let machine_type = MachineTypeEntry {
         name: "g8".into(),
         cores: 96.0,
         gpus: 8.0,
@@ -391,7 +396,7 @@
         halls: text(&["eemsmond", "rijnmond"]),
     };
     golden.both_ways("machine type", &machine_type);
-    let catalog = || CatalogReply {
+    let catalog = || CatalogResponse {
         hardware: vec![to_value(&machine_type)],
     };
     golden.both_ways("catalog", &catalog());
@@ -400,7 +405,7 @@
     let read = &types["g8"];
     assert_eq!(
         (read.name.as_str(), read.room),
-        ("g8", Room::offer(96.0, 8.0, 768.5))
+        ("g8", Resources::offer(96.0, 8.0, 768.5))
     );
     assert_eq!((read.cache_gb, read.fetch_gb_per_s), (400.0, 1.25));
     assert_eq!(
@@ -409,7 +414,7 @@
     );
     assert_eq!(read.zones, text(&["eemsmond", "rijnmond"]));
 
-    let rental = Rental {
+    let rental = ProvisioningRequest {
         booking: "hutte-0-42-7".into(),
         kind: "g8".into(),
         zone: "eemsmond".into(),
@@ -417,11 +422,11 @@
         count: 3,
     };
     golden.both_ways("rental request", &rental);
-    let machines = Machines {
+    let machines = MachineNames {
         machines: vec![MachineId::from("n-000231"), MachineId::from("n-000232")],
     };
     golden.both_ways("machines, of a reply and of a release", &machines);
-    let entry = RentalEntry {
+    let entry = InstanceEntry {
         id: MachineId::from("n-000231"),
         kind: "g8".into(),
         zone: "eemsmond".into(),
@@ -430,7 +435,7 @@
         age_s: 12.5,
     };
     golden.both_ways("entry of the list", &entry);
-    let list = RentalList {
+    let list = InstanceList {
         machines: vec![to_value(&entry)],
         more: true,
     };
@@ -438,7 +443,7 @@
     let (entries, faults) = list.entries();
     assert!(entries.len() == 1 && faults.is_empty(), "{faults:?}");
     assert_eq!(encode(&entries[0]), encode(&entry));
-    let fault = CloudFault {
+    let fault = MalformedCloudEntry {
         error: "no capacity".into(),
     };
     golden.both_ways("refusal", &fault);
@@ -451,14 +456,14 @@
 fn messages_of_the_state_service_are_their_samples() {
     let mut golden = Golden::of(include_str!("samples/golden/state.json"));
     let value = || Value::Map(vec![(Value::from("host"), Value::from("hutte-0"))]);
-    let entry = Entry {
+    let entry = KeyValue {
         key: "w/part/1".into(),
         value: value(),
         version: 42,
     };
     golden.both_ways("entry", &entry);
     for (name, more) in [("page, more follow", true), ("page, the last", false)] {
-        let page = Page {
+        let page = ListResponse {
             entries: vec![entry.clone()],
             more,
             revision: 77,
@@ -488,31 +493,31 @@
         let read: Write = decode(&encode(&write)).expect("a write");
         assert_eq!(read, write, "{name}");
     }
-    let txn = Txn {
+    let txn = CompareAndSwap {
         conditions: vec![condition("w/part/2", 0), condition("w/part/1", 42)],
         writes: vec![put(Some(9)), put(None), delete()],
     };
     golden.both_ways("transaction", &txn);
-    golden.both_ways("transaction, empty", &Txn::default());
+    golden.both_ways("transaction, empty", &CompareAndSwap::default());
     for (name, failed) in [
         ("transaction reply, made", Vec::new()),
         ("transaction reply, failed", text(&["w/part/2"])),
     ] {
-        let reply = TxnReply {
+        let reply = CompareAndSwapResponse {
             failed,
             revision: 78,
         };
         golden.both_ways(name, &reply);
     }
-    golden.both_ways("hold request", &HoldRequest { ttl_ms: 9_000 });
-    golden.both_ways("hold reply", &HoldReply { hold: 9 });
-    let change = |set: Option<&str>, drop: Option<&str>, version| Change {
+    golden.both_ways("hold request", &LeaseRequest { ttl_ms: 9_000 });
+    golden.both_ways("hold reply", &LeaseResponse { hold: 9 });
+    let change = |set: Option<&str>, drop: Option<&str>, version| WatchEvent {
         set: set.map(str::to_owned),
         drop: drop.map(str::to_owned),
         value: set.map(|_| value()),
         version,
     };
-    let changes = Changes {
+    let changes = WatchResponse {
         revision: 79,
         events: vec![
             change(Some("w/part/1"), None, 78),
@@ -533,16 +538,16 @@
     }
 }
 
-fn room(n: u64) -> Room {
-    Room {
+fn room(n: u64) -> Resources {
+    Resources {
         cpus: n,
         gpus: n + 1,
         memory: n + 2,
     }
 }
 
-fn want(task: u32, rank: Rank, evict: Evict, kill: Option<u32>) -> Want {
-    Want {
+fn want(task: u32, rank: Priority, evict: PreemptionScope, kill: Option<u32>) -> DesiredAttempt {
+    DesiredAttempt {
         id: attempt(task),
         machine: MachineId::from("n-000231"),
         need: room(8_000),
@@ -562,7 +567,7 @@
 #[test]
 fn messages_between_placers_and_owners_are_their_samples() {
     let mut golden = Golden::of(include_str!("samples/golden/peers.json"));
-    let sync = Sync {
+    let sync = SyncRequest {
         version: PEER_VERSION,
         from: 1,
         from_token: 42,
@@ -570,30 +575,30 @@
         to_token: 43,
         seq: 7,
         store_age_ms: 120,
-        span: Span {
+        span: ChangeRange {
             since: 3,
             upto: 5,
             last: true,
         },
         wants: vec![
-            want(0, Rank::Production, Evict::Nobody, None),
-            want(1, Rank::High, Evict::Lower, Some(4)),
-            want(2, Rank::Normal, Evict::LowerAndOver, None),
-            Want {
+            want(0, Priority::Production, PreemptionScope::Nobody, None),
+            want(1, Priority::High, PreemptionScope::Lower, Some(4)),
+            want(2, Priority::Normal, PreemptionScope::LowerAndOver, None),
+            DesiredAttempt {
                 go: false,
                 over: true,
                 lasting: false,
-                ..want(3, Rank::Low, Evict::Nobody, None)
+                ..want(3, Priority::Low, PreemptionScope::Nobody, None)
             },
         ],
         dropped: vec![attempt(4)],
         stops: vec![(attempt(5), 6)],
-        have: Have {
+        have: ObservedState {
             machines: 8,
             attempts: 9,
         },
         strays: 10,
-        rented: vec![Rented {
+        rented: vec![ProvisionedInstance {
             machine: MachineId::from("n-000240"),
             kind: "g8".into(),
             zone: "eemsmond".into(),
@@ -601,7 +606,7 @@
             age_ms: 11,
         }],
         keep: vec![MachineId::from("n-000241")],
-        notes: vec![JobNote {
+        notes: vec![JobProgress {
             job: JobId::from("req-000413"),
             done: 12,
             running: 13,
@@ -617,19 +622,19 @@
     };
     golden.of_peers("superseded", &superseded);
     let standings = [
-        Standing::Accepted,
-        Standing::Preparing,
-        Standing::Running,
-        Standing::Exited(Cause::Done),
-        Standing::Exited(Cause::Stopped),
-        Standing::Exited(Cause::Peers),
-        Standing::Exited(Cause::Alone),
-        Standing::Exited(Cause::Error),
-        Standing::Exited(Cause::NoRoom),
-        Standing::Exited(Cause::InUse),
-        Standing::Exited(Cause::Unknown),
-        Standing::Gone,
-        Standing::Refused,
+        AttemptState::Accepted,
+        AttemptState::Preparing,
+        AttemptState::Running,
+        AttemptState::Exited(ExitCause::Done),
+        AttemptState::Exited(ExitCause::Stopped),
+        AttemptState::Exited(ExitCause::Peers),
+        AttemptState::Exited(ExitCause::Alone),
+        AttemptState::Exited(ExitCause::Error),
+        AttemptState::Exited(ExitCause::NoRoom),
+        AttemptState::Exited(ExitCause::InUse),
+        AttemptState::Exited(ExitCause::Unknown),
+        AttemptState::Gone,
+        AttemptState::Refused,
     ];
     let machine = |renter, spot, up, open, leaving| MachineView {
         id: MachineId::from("n-000231"),
@@ -648,19 +653,19 @@
         coming: text(&["img-08", "img-09"]),
         renter,
     };
-    let view = View {
+    let view = ShardView {
         version: PEER_VERSION,
         part: 2,
         token: 43,
         seq: 7,
         store_age_ms: 130,
         wants_at: 5,
-        hidden: vec![Hidden {
+        hidden: vec![PartitionedZone {
             zone: "rijnmond".into(),
             for_ms: 1_500,
             over_in_ms: 2_500,
         }],
-        machines_span: Span {
+        machines_span: ChangeRange {
             since: 0,
             upto: 8,
             last: false,
@@ -672,14 +677,14 @@
             machine(None, false, false, false, true),
         ],
         gone: vec![MachineId::from("n-000230")],
-        attempts_span: Span {
+        attempts_span: ChangeRange {
             since: 6,
             upto: 9,
             last: true,
         },
         attempts: (0..)
             .zip(standings)
-            .map(|(task, standing)| AttemptView {
+            .map(|(task, standing)| AttemptStatus {
                 id: attempt(task),
                 standing,
             })
@@ -692,21 +697,21 @@
 #[test]
 fn messages_about_links_are_their_samples() {
     assert_eq!(
-        [HAIL, CARRY, REPORTS],
+        [GOSSIP_PATH, RELAY_PATH, RELAY_HEARTBEATS_PATH],
         ["/peer/links", "/peer/carry", "/peer/reports"]
     );
     let mut golden = Golden::of(include_str!("samples/golden/links.json"));
-    let word = Word {
+    let word = AvailabilityGossip {
         version: LINKS_VERSION,
         host: 1,
         store_ms: Some(120),
         cloud_ms: None,
         peers: vec![
-            (2, links::Standing::Unknown, 10),
-            (3, links::Standing::Up, 20),
-            (4, links::Standing::Late, 30),
-            (5, links::Standing::OneWay, 40),
-            (6, links::Standing::Down, 50),
+            (2, links::LinkState::Unknown, 10),
+            (3, links::LinkState::Up, 20),
+            (4, links::LinkState::Late, 30),
+            (5, links::LinkState::OneWay, 40),
+            (6, links::LinkState::Down, 50),
         ],
         zones: vec![("rijnmond".into(), 60)],
     };
@@ -716,11 +721,17 @@
         (Some(120), None)
     );
     for (name, goal) in [
-        ("carry, to the state service", Goal::Service(Service::Store)),
-        ("carry, to the cloud", Goal::Service(Service::Cloud)),
-        ("carry, to a worker", Goal::Worker("10.0.3.7:9100".into())),
+        (
+            "carry, to the state service",
+            RelayTarget::Service(Service::Store),
+        ),
+        ("carry, to the cloud", RelayTarget::Service(Service::Cloud)),
+        (
+            "carry, to a worker",
+            RelayTarget::Worker("10.0.3.7:9100".into()),
+        ),
     ] {
-        let carry = Carry {
+        let carry = RelayRequest {
             version: LINKS_VERSION,
             goal,
             method: "POST".into(),
@@ -733,27 +744,27 @@
     for (name, fate) in [
         (
             "carried, answered",
-            Fate::Answer {
+            RelayOutcome::Answer {
                 status: 200,
                 body: vec![4, 5],
             },
         ),
-        ("carried, not sent", Fate::NotSent),
-        ("carried, unknown", Fate::Unknown),
+        ("carried, not sent", RelayOutcome::NotSent),
+        ("carried, unknown", RelayOutcome::Unknown),
     ] {
-        let carried = Carried {
+        let carried = RelayResponse {
             version: LINKS_VERSION,
             fate,
         };
         golden.of_links(name, &carried);
     }
-    let reports = Reports {
+    let reports = RelayedHeartbeats {
         version: LINKS_VERSION,
         by: 3,
         reports: vec![vec![6], vec![7, 8]],
     };
     golden.of_links("reports", &reports);
-    let answers = Answers {
+    let answers = RelayedAnswers {
         version: LINKS_VERSION,
         answers: vec![(200, vec![9]), (421, Vec::new())],
     };
@@ -764,7 +775,7 @@
 // ---- operators -------------------------------------------------------------
 
 fn link(
-    standing: links::Standing,
+    standing: links::LinkState,
     carried_by: Option<&str>,
     took_ms: Option<(u64, u64)>,
 ) -> LinkRow {
@@ -782,13 +793,13 @@
 #[test]
 fn what_operators_read_is_its_samples() {
     let mut golden = Golden::of(include_str!("samples/golden/operators.json"));
-    let picture = Picture {
+    let picture = LinksReport {
         links: vec![
-            link(links::Standing::Unknown, None, None),
-            link(links::Standing::Up, None, Some((3, 40))),
-            link(links::Standing::Late, None, None),
-            link(links::Standing::OneWay, None, None),
-            link(links::Standing::Down, Some("hutte-1"), None),
+            link(links::LinkState::Unknown, None, None),
+            link(links::LinkState::Up, None, Some((3, 40))),
+            link(links::LinkState::Late, None, None),
+            link(links::LinkState::OneWay, None, None),
+            link(links::LinkState::Down, Some("hutte-1"), None),
         ],
         carried_workers: 12,
     };
@@ -804,14 +815,14 @@
         text: "took part 2".into(),
     }];
     golden.both_ways("events", &events);
-    let part = |holder: Option<&str>, token, since| watch::PartRow {
+    let part = |holder: Option<&str>, token, since| supervision::ShardRow {
         part: 1,
         home: "hutte-1".into(),
         holder: holder.map(str::to_owned),
         token,
         since,
     };
-    let short = |zones, short_s, below_half_s, due_s, tried| ShortRow {
+    let short = |zones, short_s, below_half_s, due_s, tried| UnderReplicatedServiceRow {
         job: "req-000412".into(),
         class: "serve".into(),
         team: "vision".into(),
@@ -827,7 +838,7 @@
         lacks: "room".into(),
         tried,
     };
-    let watch = Watch {
+    let watch = SupervisionReport {
         host: "hutte-0".into(),
         age_ms: Some(250),
         parts: vec![
@@ -849,7 +860,7 @@
         ],
     };
     golden.both_ways("watch", &watch);
-    let closed = ClosedRow {
+    let closed = FailoverCompletionRow {
         by: "hutte-0".into(),
         read_ms: Some(310),
         first_start_ms: Some(420),
@@ -859,7 +870,7 @@
         gaps: vec![("serve".into(), 6_100)],
         unknown: text(&["first start"]),
     };
-    let handover = |from: Option<&str>, to: Option<&str>, token, up, closed| HandoverRow {
+    let handover = |from: Option<&str>, to: Option<&str>, token, up, closed| FailoverRow {
         part: 2,
         n: 5,
         at: 1_790_000_000_000,
@@ -870,7 +881,7 @@
         up,
         closed,
     };
-    let handovers = Handovers {
+    let handovers = FailoverReport {
         host: "hutte-0".into(),
         age_ms: None,
         changes: vec![
@@ -885,15 +896,15 @@
         ],
     };
     golden.both_ways("handovers", &handovers);
-    let weights = WeightsPicture {
+    let weights = ImageLocalityReport {
         image: "img-07".into(),
         mb: Some(6_200),
-        users: vec![UserRow {
+        users: vec![ImageUserRow {
             class: "serve".into(),
             jobs: 2,
             tasks: 16,
         }],
-        zones: vec![ZoneRow {
+        zones: vec![ZoneImageRow {
             zone: "eemsmond".into(),
             here: 5,
             coming: 1,
@@ -902,18 +913,18 @@
             hidden: true,
         }],
         parts: vec![
-            weights::PartRow {
+            image_locality::ShardImageRow {
                 part: 0,
                 told_s: Some(2),
             },
-            weights::PartRow {
+            image_locality::ShardImageRow {
                 part: 1,
                 told_s: None,
             },
         ],
     };
     golden.both_ways("weights", &weights);
-    golden.both_ways("weights, of no image", &WeightsPicture::default());
+    golden.both_ways("weights, of no image", &ImageLocalityReport::default());
     golden.all();
 }
 
@@ -927,7 +938,7 @@
     assert!(job.deadline_s.is_none() && job.awaits.is_empty());
     needs_all_but(&full_job(), &names);
 
-    let task = TaskReport {
+    let task = TaskStatus {
         piece: "req-000412/3".into(),
         attempt: 2,
         phase: TaskPhase::Exited,
@@ -938,7 +949,7 @@
     let read = without(&task, &names);
     assert!(read.cause.is_none() && read.saved.is_none());
     needs_all_but(&task, &names);
-    let report = Report {
+    let report = Heartbeat {
         machine: MachineId::from("n-000231"),
         address: "10.0.3.7:9100".into(),
         kind: "g8".into(),
@@ -954,11 +965,11 @@
     let read = without(&report, &names);
     assert!(read.token == 0 && read.notice_s.is_none() && read.tasks.is_empty());
     needs_all_but(&report, &names);
-    let kill = order(Verb::Kill, Some(5));
+    let kill = order(CommandKind::Kill, Some(5));
     assert_eq!(without(&kill, &["courtesyS"]).grace_s, None);
     needs_all_but(&kill, &["courtesyS"]);
 
-    let machine_type = TypeEntry {
+    let machine_type = MachineTypeEntry {
         name: "g8".into(),
         cores: 96.0,
         gpus: 8.0,
@@ -981,27 +992,27 @@
     ];
     assert_eq!(amounts, [0.0; 5]);
     needs_all_but(&machine_type, &names);
-    let list = RentalList {
+    let list = InstanceList {
         machines: Vec::new(),
         more: true,
     };
     assert!(!without(&list, &["truncated"]).more);
     needs_all_but(&list, &["truncated"]);
 
-    let page = Page {
+    let page = ListResponse {
         entries: Vec::new(),
         more: true,
         revision: 77,
     };
     assert!(!without(&page, &["truncated"]).more);
     needs_all_but(&page, &["truncated"]);
-    let reply = TxnReply {
+    let reply = CompareAndSwapResponse {
         failed: text(&["w/part/2"]),
         revision: 78,
     };
     let read = without(&reply, &["failed", "ledger"]);
     assert!(read.failed.is_empty() && read.revision == 0);
-    let change = Change {
+    let change = WatchEvent {
         set: Some("w/part/1".into()),
         drop: Some("w/part/3".into()),
         value: Some(Value::from(1)),
@@ -1010,7 +1021,7 @@
     let read = without(&change, &["set", "drop", "data", "stamp"]);
     assert!(read.set.is_none() && read.drop.is_none());
     assert!(read.value.is_none() && read.version == 0);
-    let changes = Changes {
+    let changes = WatchResponse {
         revision: 79,
         events: vec![change],
     };
--- a/crates/storage/tests/golden_records.rs
+++ b/crates/storage/tests/golden_records.rs
@@ -9,15 +9,16 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use lemonweir_model::constants::{AWAITS_PAGE, CHUNK_TASKS, HANDOVERS_KEPT, PACKED_VERSION};
-use lemonweir_model::{JobId, JobSpec, MachineId, Rank, Room, Shape};
-use lemonweir_protocol::state::{Txn, from_value, to_value};
-use lemonweir_protocol::users::Phase;
+use lemonweir_model::{JobId, JobKind, JobSpec, MachineId, Priority, Resources};
+use lemonweir_protocol::kv_store::{CompareAndSwap, from_value, to_value};
+use lemonweir_protocol::users::JobPhase;
 use lemonweir_protocol::{decode, encode};
-use lemonweir_storage::chains::*;
-use lemonweir_storage::handovers::{
-    Change, Closing, HandoverRecord, NewHandover, handover_key, parse_handover_key,
+use lemonweir_storage::dependencies::*;
+use lemonweir_storage::failovers::{
+    FailoverCompletion, FailoverRecord, LeadershipChange, NewFailover, handover_key,
+    parse_handover_key,
 };
-use lemonweir_storage::packed::{chunk_value, read_chunk};
+use lemonweir_storage::packed_chunk::{chunk_value, read_chunk};
 use lemonweir_storage::records::*;
 use rmpv::Value;
 use serde::de::DeserializeOwned;
@@ -87,14 +88,15 @@
     }
 
     /// A transaction.
-    fn txn(&mut self, name: &str, txn: &Txn) {
+    fn txn(&mut self, name: &str, txn: &CompareAndSwap) {
         let stored = self.value(name, &to_value(txn));
         assert_eq!(
             encode(txn),
             encode(&stored),
             "{name} by itself and as a value"
         );
-        let read: Txn = from_value(&stored).unwrap_or_else(|| panic!("{name} is not read"));
+        let read: CompareAndSwap =
+            from_value(&stored).unwrap_or_else(|| panic!("{name} is not read"));
         assert_eq!(&read, txn, "{name} is read");
     }
 
@@ -119,8 +121,8 @@
             id: id(412),
             class: "train".into(),
             team: "vision".into(),
-            shape: Shape::Gang,
-            rank: Rank::High,
+            shape: JobKind::Gang,
+            rank: Priority::High,
             tasks: 16,
             cores: 8.25,
             gpus: 1.0,
@@ -144,18 +146,18 @@
     }
 }
 
-fn chunk(index: u32, gang: Option<GangStep>) -> ChunkRecord {
+fn chunk(index: u32, gang: Option<GangAdmissionStep>) -> TaskChunkRecord {
     let first = index * CHUNK_TASKS;
-    let live = |t, a, m: &str, p, z: &str| LiveRecord {
+    let live = |t, a, m: &str, p, z: &str| LiveAttemptRecord {
         t: first + t,
         a,
         m: MachineId::from(m),
         p,
         z: z.into(),
     };
-    ChunkRecord {
+    TaskChunkRecord {
         team: "vision".into(),
-        need: Room {
+        need: Resources {
             cpus: 8_250,
             gpus: 1_000,
             memory: 64_500,
@@ -167,7 +169,7 @@
             live(5, 8, "n-0.2.32", 2, "rijnmond"),
             live(63, 6, "n-000233", 1, "eemsmond"),
         ],
-        gang: gang.map(|step| GangRecord {
+        gang: gang.map(|step| GangAdmissionRecord {
             step,
             at: NOW,
             a: 7,
@@ -175,8 +177,8 @@
     }
 }
 
-fn handover(how: Change, from: Option<&str>, to: Option<&str>) -> HandoverRecord {
-    HandoverRecord {
+fn handover(how: LeadershipChange, from: Option<&str>, to: Option<&str>) -> FailoverRecord {
+    FailoverRecord {
         n: 35,
         from: from.map(str::to_owned),
         to: to.map(str::to_owned),
@@ -187,8 +189,8 @@
     }
 }
 
-fn entry(how: Change, from: Option<&str>, to: Option<&str>) -> NewHandover {
-    NewHandover {
+fn entry(how: LeadershipChange, from: Option<&str>, to: Option<&str>) -> NewFailover {
+    NewFailover {
         part: 2,
         slot_version: 33,
         record: handover(how, from, to),
@@ -211,11 +213,11 @@
             (record.spec, record.at, record.withdrawn, record.awaited)
         );
     }
-    let part = PartRecord {
+    let part = ShardRecord {
         host: "hutte-0".into(),
     };
     assert_eq!(golden.record("part", &part), part);
-    let node = NodeRecord {
+    let node = ControllerRecord {
         zone: "eemsmond".into(),
         format: 3,
         deaf: vec![2, 4],
@@ -224,18 +226,23 @@
     assert_eq!(golden.record("node", &node), node);
     let version = VersionRecord { version: 1 };
     assert_eq!(golden.record("version", &version), version);
-    assert_eq!(golden.record("team", &TeamRecord { part: 2 }).part, 2);
-    let page = AwaitsPage {
+    assert_eq!(
+        golden
+            .record("team", &TeamAssignmentRecord { part: 2 })
+            .part,
+        2
+    );
+    let page = DependencyPage {
         awaits: vec![id(41), id(42)],
     };
     assert_eq!(golden.record("page of awaited jobs", &page), page);
     for (name, phase) in [
-        ("end, done", Phase::Done),
-        ("end, withdrawn", Phase::Withdrawn),
+        ("end, done", JobPhase::Done),
+        ("end, withdrawn", JobPhase::Withdrawn),
     ] {
-        assert_eq!(golden.record(name, &EndRecord { phase }).phase, phase);
+        assert_eq!(golden.record(name, &JobEndRecord { phase }).phase, phase);
     }
-    let images = ImagesRecord {
+    let images = ImageLocationsRecord {
         n: vec![("img-07".into(), 6_200), ("img-08".into(), 900)],
         m: vec![
             (MachineId::from("n-000231"), vec![1, 0]),
@@ -243,7 +250,7 @@
         ],
     };
     assert_eq!(golden.record("images", &images), images);
-    let mail = MailRecord {
+    let mail = StoreMessageRecord {
         n: 2,
         id: (42, 7),
         b: "AAEC".into(),
@@ -259,11 +266,27 @@
         for (of, index, record) in [
             ("no gang", 0, chunk(0, None)),
             ("no gang, third", 2, chunk(2, None)),
-            ("gang planned", 0, chunk(0, Some(GangStep::Planned))),
-            ("gang admitted", 0, chunk(0, Some(GangStep::Admitted))),
-            ("gang released", 0, chunk(0, Some(GangStep::Released))),
-            ("gang otherwise", 0, chunk(0, Some(GangStep::Other))),
-            ("empty", 0, ChunkRecord::default()),
+            (
+                "gang planned",
+                0,
+                chunk(0, Some(GangAdmissionStep::Planned)),
+            ),
+            (
+                "gang admitted",
+                0,
+                chunk(0, Some(GangAdmissionStep::Admitted)),
+            ),
+            (
+                "gang released",
+                0,
+                chunk(0, Some(GangAdmissionStep::Released)),
+            ),
+            (
+                "gang otherwise",
+                0,
+                chunk(0, Some(GangAdmissionStep::Other)),
+            ),
+            ("empty", 0, TaskChunkRecord::default()),
         ] {
             let name = format!("{form}, {of}");
             let stored = golden.value(&name, &chunk_value(&record, version));
@@ -280,15 +303,18 @@
     let mut golden = Golden::of(include_str!("samples/golden/handovers.json"));
     let (a, b) = (Some("hutte-0"), Some("hutte-2"));
     for (name, record) in [
-        ("vacant", handover(Change::Vacant, None, a)),
-        ("reborn", handover(Change::Reborn, a, a)),
-        ("handed back", handover(Change::HandedBack, b, None)),
-        ("left", handover(Change::Left, a, None)),
-        ("otherwise", handover(Change::Other, a, b)),
+        ("vacant", handover(LeadershipChange::Vacant, None, a)),
+        ("reborn", handover(LeadershipChange::Reborn, a, a)),
+        (
+            "handed back",
+            handover(LeadershipChange::HandedBack, b, None),
+        ),
+        ("left", handover(LeadershipChange::Left, a, None)),
+        ("otherwise", handover(LeadershipChange::Other, a, b)),
         (
             "closed, all known",
-            HandoverRecord {
-                closed: Some(Closing {
+            FailoverRecord {
+                closed: Some(FailoverCompletion {
                     by: "hutte-0".into(),
                     read_ms: Some(310),
                     first_start_ms: Some(420),
@@ -299,15 +325,15 @@
                     token: Some(42),
                     held_ms: Some(90_000),
                 }),
-                ..handover(Change::Vacant, b, a)
+                ..handover(LeadershipChange::Vacant, b, a)
             },
         ),
         (
             "closed, nothing known",
-            HandoverRecord {
+            FailoverRecord {
                 up: None,
-                closed: Some(Closing::default()),
-                ..handover(Change::Vacant, b, a)
+                closed: Some(FailoverCompletion::default()),
+                ..handover(LeadershipChange::Vacant, b, a)
             },
         ),
     ] {
@@ -335,8 +361,14 @@
     assert_eq!(chain_key(&id(412)), "w/chain/req-000412");
     assert_eq!(awaits_key(&id(412), 3), "w/chain/req-000412/3");
     assert_eq!(handover_key(2, 35), "w/hand/2/3");
-    assert_eq!(mail_key(MailKind::Sync, 1, 2, 3), "w/mail/sync/1/2/3");
-    assert_eq!(mail_key(MailKind::View, 1, 2, 3), "w/mail/view/1/2/3");
+    assert_eq!(
+        mail_key(StoreMessageKind::Sync, 1, 2, 3),
+        "w/mail/sync/1/2/3"
+    );
+    assert_eq!(
+        mail_key(StoreMessageKind::View, 1, 2, 3),
+        "w/mail/view/1/2/3"
+    );
     assert_eq!((AWAITS_PAGE, CHUNK_TASKS, HANDOVERS_KEPT), (40, 64, 32));
 }
 
@@ -348,10 +380,10 @@
     assert_eq!(parse_chain_key("req-000412/3"), Some((id(412), 3)));
     assert_eq!(parse_handover_key("2/3"), Some((2, 3)));
     for (rest, kind) in [
-        ("sync/1/2/3", MailKind::Sync),
-        ("view/1/2/3", MailKind::View),
+        ("sync/1/2/3", StoreMessageKind::Sync),
+        ("view/1/2/3", StoreMessageKind::View),
     ] {
-        let line = MailLine {
+        let line = StoreMessageRoute {
             kind,
             from: 1,
             to: 2,
@@ -368,11 +400,11 @@
     golden.txn("accept a job", &accept_job(&job(0, false)));
     golden.txn("ask whether jobs are absent", &absent(&[id(1), id(2)]));
     golden.txn("cancel a job", &withdraw_job(&job(0, false), 50));
-    let taken = entry(Change::Vacant, Some("hutte-2"), Some("hutte-0"));
+    let taken = entry(LeadershipChange::Vacant, Some("hutte-2"), Some("hutte-0"));
     golden.txn("take a shard", &take_part(49, "hutte-0", 9, &taken));
-    let back = entry(Change::HandedBack, Some("hutte-0"), None);
+    let back = entry(LeadershipChange::HandedBack, Some("hutte-0"), None);
     golden.txn("hand a shard back", &hand_back(42, &back));
-    let left = entry(Change::Left, Some("hutte-0"), None);
+    let left = entry(LeadershipChange::Left, Some("hutte-0"), None);
     golden.txn(
         "leave a shard",
         &leave_part(42, &left, "hutte-0", "eemsmond", 9, vec![2, 4]),
@@ -384,10 +416,10 @@
     );
     golden.txn("raise the version", &raise_version(1, 12));
     for (name, kind) in [
-        ("post a sync", MailKind::Sync),
-        ("post a view", MailKind::View),
+        ("post a sync", StoreMessageKind::Sync),
+        ("post a view", StoreMessageKind::View),
     ] {
-        let line = MailLine {
+        let line = StoreMessageRoute {
             kind,
             from: 1,
             to: 2,
