--- a/crates/coordination/src/config.rs
+++ b/crates/coordination/src/config.rs
@@ -122,7 +122,7 @@
     }
 
     /// The part that a machine belongs to: one of its zone's, by its name.
-    pub fn part_of(&self, zone: &str, machine: &MachineId) -> u16 {
+    pub fn shard_of(&self, zone: &str, machine: &MachineId) -> u16 {
         let local: Vec<u16> = (0..self.members.len() as u16)
             .filter(|&i| self.members[usize::from(i)].zone == zone)
             .collect();
@@ -139,7 +139,7 @@
     }
 
     /// The part that serves a team unless the store says otherwise.
-    pub fn default_part(&self, team: &str) -> u16 {
+    pub fn default_shard(&self, team: &str) -> u16 {
         let at = self.teams.iter().position(|t| t == team).unwrap_or(0);
         (at % self.members.len()) as u16
     }
--- a/crates/coordination/src/dependencies.rs
+++ b/crates/coordination/src/dependencies.rs
@@ -86,15 +86,15 @@
 }
 
 /// A job that waits, on the way through those that it needs.
-fn standing(mirror: &StateCache, id: &JobId) -> DependencyState {
-    let direct = direct_standing(mirror, id);
+fn standing(cache: &StateCache, id: &JobId) -> DependencyState {
+    let direct = direct_standing(cache, id);
     let (waits, mut unread) = match direct {
         DependencyState::Waits(waits) => (waits, Vec::new()),
         // What the others need may still tell that it is cancelled.
-        DependencyState::Unread(unread) => (mirror.awaits(id).unwrap_or_default(), unread),
+        DependencyState::Unread(unread) => (cache.awaits(id).unwrap_or_default(), unread),
         decided => return decided,
     };
-    let (cancelled, further) = cancelled_before(mirror, &waits);
+    let (cancelled, further) = cancelled_before(cache, &waits);
     unread.extend(further);
     match cancelled {
         Some(end) => DependencyState::Cancelled(end),
@@ -104,16 +104,16 @@
 }
 
 /// The same, by the jobs that it names alone.
-fn direct_standing(mirror: &StateCache, id: &JobId) -> DependencyState {
-    let Some(awaits) = mirror.awaits(id) else {
+fn direct_standing(cache: &StateCache, id: &JobId) -> DependencyState {
+    let Some(awaits) = cache.awaits(id) else {
         return DependencyState::Unread(Vec::new());
     };
     let (mut done, mut waits, mut unread) = (Vec::new(), Vec::new(), Vec::new());
     for awaited in &awaits {
-        match mirror.end(awaited) {
+        match cache.end(awaited) {
             Some(end) if end.phase == JobPhase::Done => done.push((awaited.clone(), end.version)),
             Some(end) => return DependencyState::Cancelled(end),
-            None if mirror.jobs.contains_key(awaited) || mirror.waiting.contains_key(awaited) => {
+            None if cache.jobs.contains_key(awaited) || cache.waiting.contains_key(awaited) => {
                 waits.push(awaited.clone())
             }
             None => unread.push(awaited.clone()),
@@ -128,12 +128,12 @@
 
 /// Waiting jobs that need a cancelled one, each with the end that cancels it. Each job is
 /// looked at once for all of them together.
-fn cancelled_with(mirror: &StateCache) -> HashMap<JobId, FinalState> {
+fn cancelled_with(cache: &StateCache) -> HashMap<JobId, FinalState> {
     let mut needed_by: HashMap<JobId, Vec<&JobId>> = HashMap::new();
     let mut queue: Vec<(&JobId, FinalState)> = Vec::new();
-    for id in mirror.waiting.keys() {
-        for awaited in mirror.awaits(id).unwrap_or_default() {
-            match mirror.end(&awaited) {
+    for id in cache.waiting.keys() {
+        for awaited in cache.awaits(id).unwrap_or_default() {
+            match cache.end(&awaited) {
                 Some(end) if end.phase == JobPhase::Withdrawn => queue.push((id, end)),
                 Some(_) => {}
                 None => needed_by.entry(awaited).or_default().push(id),
@@ -157,20 +157,20 @@
 
 /// The end of a cancelled job somewhere before these, and the jobs there of which nothing
 /// is known. Each job is looked at once, however many need it.
-fn cancelled_before(mirror: &StateCache, jobs: &[JobId]) -> (Option<FinalState>, Vec<JobId>) {
+fn cancelled_before(cache: &StateCache, jobs: &[JobId]) -> (Option<FinalState>, Vec<JobId>) {
     let mut unread = Vec::new();
     let mut seen: BTreeSet<JobId> = jobs.iter().cloned().collect();
     let mut queue: Vec<JobId> = jobs.to_vec();
     while let Some(id) = queue.pop() {
-        if !mirror.waiting.contains_key(&id) {
+        if !cache.waiting.contains_key(&id) {
             continue;
         }
-        for awaited in mirror.awaits(&id).unwrap_or_default() {
-            match mirror.end(&awaited) {
+        for awaited in cache.awaits(&id).unwrap_or_default() {
+            match cache.end(&awaited) {
                 Some(end) if end.phase == JobPhase::Withdrawn => return (Some(end), unread),
                 Some(_) => {}
-                None if mirror.jobs.contains_key(&awaited) => {}
-                None if mirror.waiting.contains_key(&awaited) => {
+                None if cache.jobs.contains_key(&awaited) => {}
+                None if cache.waiting.contains_key(&awaited) => {
                     if seen.insert(awaited.clone()) {
                         queue.push(awaited);
                     }
@@ -183,16 +183,16 @@
 }
 
 /// The highest priority of the jobs that need each job, directly or through others.
-fn lent_priorities(mirror: &StateCache) -> HashMap<JobId, Priority> {
+fn lent_priorities(cache: &StateCache) -> HashMap<JobId, Priority> {
     let mut lent: HashMap<JobId, Priority> = HashMap::new();
-    let mut queue: Vec<JobId> = mirror.waiting.keys().cloned().collect();
+    let mut queue: Vec<JobId> = cache.waiting.keys().cloned().collect();
     while let Some(id) = queue.pop() {
-        let Some(waiting) = mirror.waiting.get(&id) else {
+        let Some(waiting) = cache.waiting.get(&id) else {
             continue;
         };
         let own = waiting.record.spec.rank;
         let rank = lent.get(&id).map_or(own, |lent| own.min(*lent));
-        for awaited in mirror.awaits(&id).unwrap_or_default() {
+        for awaited in cache.awaits(&id).unwrap_or_default() {
             if lent.get(&awaited).is_none_or(|before| rank < *before) {
                 lent.insert(awaited.clone(), rank);
                 queue.push(awaited);
@@ -205,7 +205,7 @@
 impl Core {
     /// How a job that waits for others stands.
     pub fn chain_standing(&self, id: &JobId) -> DependencyState {
-        standing(&self.mirror, id)
+        standing(&self.cache, id)
     }
 
     /// What may be told of a job that waits for others.
@@ -224,7 +224,7 @@
         let unknown: Vec<JobId> = spec
             .awaits
             .iter()
-            .filter(|id| !self.mirror.knows(id))
+            .filter(|id| !self.cache.knows(id))
             .cloned()
             .collect();
         if !unknown.is_empty() {
@@ -232,13 +232,13 @@
         }
         let (mut waits, mut cancelled) = (Vec::new(), false);
         for id in &spec.awaits {
-            match self.mirror.end(id).map(|end| end.phase) {
+            match self.cache.end(id).map(|end| end.phase) {
                 Some(JobPhase::Withdrawn) => cancelled = true,
                 Some(_) => {}
                 None => waits.push(id.clone()),
             }
         }
-        let (before, _) = cancelled_before(&self.mirror, &waits);
+        let (before, _) = cancelled_before(&self.cache, &waits);
         if cancelled || before.is_some() {
             return DependencyAdmission::Accept(
                 vec![accept_cancelled(&spec.id)],
@@ -253,21 +253,21 @@
             withdrawn: false,
             awaited: 0,
         };
-        let txns = if spec.awaits.is_empty() {
+        let cas_list = if spec.awaits.is_empty() {
             vec![accept_job(&record)]
         } else {
             accept_waiting(&record, self.config.txn_ops)
         };
-        DependencyAdmission::Accept(txns, JobPhase::Queued)
+        DependencyAdmission::Accept(cas_list, JobPhase::Queued)
     }
 
     /// The transaction by which a user cancels an unfinished job; `None`: it is being
     /// cancelled already, or not known here.
     pub fn cancellation(&self, id: &JobId) -> Option<CompareAndSwap> {
-        if let Some(job) = self.mirror.jobs.get(id) {
+        if let Some(job) = self.cache.jobs.get(id) {
             return (!job.record.withdrawn).then(|| withdraw_job(&job.record, job.version));
         }
-        self.mirror
+        self.cache
             .waiting
             .get(id)
             .map(|waiting| cancel_waiting(id, waiting.version))
@@ -275,16 +275,16 @@
 
     /// The priority that a job is placed with here, if this node places it.
     pub fn placed_rank(&self, id: &JobId) -> Option<Priority> {
-        self.parts.values().find_map(|part| part.placer.rank(id))
+        self.shards.values().find_map(|shard| shard.placer.rank(id))
     }
 
     /// Follows the changes of waiting jobs: the jobs whose priority has changed.
     pub(crate) fn relend(&mut self) -> Vec<JobId> {
-        if self.chains.seen == self.mirror.waiting_changes {
+        if self.chains.seen == self.cache.waiting_changes {
             return Vec::new();
         }
-        self.chains.seen = self.mirror.waiting_changes;
-        let before = std::mem::replace(&mut self.chains.lent, lent_priorities(&self.mirror));
+        self.chains.seen = self.cache.waiting_changes;
+        let before = std::mem::replace(&mut self.chains.lent, lent_priorities(&self.cache));
         let lent = &self.chains.lent;
         let ids: BTreeSet<&JobId> = before
             .keys()
@@ -292,7 +292,7 @@
             .filter(|id| before.get(*id) != lent.get(*id))
             .collect();
         ids.into_iter()
-            .filter(|id| self.mirror.jobs.contains_key(*id))
+            .filter(|id| self.cache.jobs.contains_key(*id))
             .cloned()
             .collect()
     }
@@ -300,11 +300,11 @@
     /// True if this node moves the waiting jobs of a team: it leads the team's shard, or
     /// nobody does and it is the first that lives.
     fn keeps_chains_of(&self, team: &str) -> bool {
-        let part = Self::team_part(&self.mirror, &self.config, team);
-        match self.mirror.parts.get(&part) {
-            Some(_) => self.parts.contains_key(&part),
+        let shard = Self::team_shard(&self.cache, &self.config, team);
+        match self.cache.shards.get(&shard) {
+            Some(_) => self.shards.contains_key(&shard),
             None => self
-                .mirror
+                .cache
                 .nodes
                 .keys()
                 .next()
@@ -314,13 +314,13 @@
 
     /// What is due for waiting jobs: ends to be read, and one transaction at a time.
     pub(crate) fn pump_chains(&mut self, now: u64, effects: &mut Vec<Effect>) {
-        if self.mirror.waiting.is_empty() && self.mirror.stray_pages().next().is_none()
+        if self.cache.waiting.is_empty() && self.cache.stray_pages().next().is_none()
             || now < self.chains.not_before
         {
             return;
         }
         // Guards against a look at thousands of waiting jobs at every event.
-        let changes = self.mirror.chain_changes();
+        let changes = self.cache.chain_changes();
         let looked = |(before, at): (u64, u64)| {
             now < at + CHAIN_LOOK_MS || before == changes && now < at + COPY_REFRESH_MS
         };
@@ -329,13 +329,13 @@
         }
         self.chains.surveyed = Some((changes, now));
         let kept: Vec<JobId> = self
-            .mirror
+            .cache
             .waiting
             .iter()
             .filter(|(_, w)| self.keeps_chains_of(&w.record.spec.team))
             .map(|(id, _)| id.clone())
             .collect();
-        let with_cancelled = cancelled_with(&self.mirror);
+        let with_cancelled = cancelled_with(&self.cache);
         let mut unread = BTreeSet::new();
         let mut ready = Vec::new();
         let mut cancelled = Vec::new();
@@ -344,7 +344,7 @@
                 cancelled.push(id);
                 continue;
             }
-            match direct_standing(&self.mirror, &id) {
+            match direct_standing(&self.cache, &id) {
                 DependencyState::Ready(done) => ready.push((id, done)),
                 DependencyState::Cancelled(_) => cancelled.push(id),
                 DependencyState::Unread(ids) => unread.extend(ids),
@@ -360,9 +360,9 @@
             self.chains.reading.extend(wanted.iter().cloned());
             effects.push(Effect::ReadEnds(wanted));
         }
-        if let Some((txn, pending)) = self.chain_txn(&ready, &cancelled) {
+        if let Some((cas, pending)) = self.chain_txn(&ready, &cancelled) {
             self.chains.pending = Some(pending);
-            effects.push(Effect::Chain(txn));
+            effects.push(Effect::Chain(cas));
         }
     }
 
@@ -375,9 +375,9 @@
     ) -> Option<(CompareAndSwap, Pending)> {
         let most_writes = self.config.txn_ops;
         let most_conditions = CONDITIONS_A_CHANGE * most_writes;
-        let (mut txn, mut pending) = (CompareAndSwap::default(), Pending::default());
+        let (mut cas, mut pending) = (CompareAndSwap::default(), Pending::default());
         for (id, done) in ready {
-            let Some(waiting) = self.mirror.waiting.get(id) else {
+            let Some(waiting) = self.cache.waiting.get(id) else {
                 continue;
             };
             let unverified: Vec<(JobId, u64)> = done
@@ -387,7 +387,7 @@
                 .collect();
             if unverified.len() >= most_conditions {
                 // More than one transaction holds: first some of them by themselves.
-                if txn == CompareAndSwap::default() {
+                if cas == CompareAndSwap::default() {
                     let some = &unverified[..most_conditions];
                     return Some((
                         ends_stand(some),
@@ -400,17 +400,17 @@
                 break;
             }
             let next = release_waiting(&waiting.record, waiting.version, &unverified);
-            if !join(&mut txn, next, most_writes, most_conditions) {
+            if !join(&mut cas, next, most_writes, most_conditions) {
                 break;
             }
             pending.released.push(id.clone());
         }
         for id in cancelled {
-            let Some(waiting) = self.mirror.waiting.get(id) else {
+            let Some(waiting) = self.cache.waiting.get(id) else {
                 continue;
             };
             if !join(
-                &mut txn,
+                &mut cas,
                 cancel_waiting(id, waiting.version),
                 most_writes,
                 most_conditions,
@@ -419,7 +419,7 @@
             }
             pending.cancelled.push(id.clone());
         }
-        for (id, page) in self.mirror.stray_pages() {
+        for (id, page) in self.cache.stray_pages() {
             let gone = CompareAndSwap {
                 conditions: vec![Condition {
                     key: chain_key(id),
@@ -429,11 +429,11 @@
                     key: awaits_key(id, *page),
                 }],
             };
-            if self.mirror.knows(id) && !join(&mut txn, gone, most_writes, most_conditions) {
+            if self.cache.knows(id) && !join(&mut cas, gone, most_writes, most_conditions) {
                 break;
             }
         }
-        (!txn.writes.is_empty()).then_some((txn, pending))
+        (!cas.writes.is_empty()).then_some((cas, pending))
     }
 
     /// The transaction of [`Effect::Chain`] ended.
@@ -449,15 +449,15 @@
         };
         for id in &pending.released {
             info!(job = %id, "all jobs that it awaits are done");
-            self.mirror.waiting.remove(id);
+            self.cache.waiting.remove(id);
         }
         for id in &pending.cancelled {
             info!(job = %id, "cancelled with a job that it needs");
-            self.mirror.waiting.remove(id);
-            self.mirror.settle(id, JobPhase::Withdrawn, revision, now);
+            self.cache.waiting.remove(id);
+            self.cache.settle(id, JobPhase::Withdrawn, revision, now);
         }
         self.chains.verified.extend(pending.verified);
-        if self.mirror.waiting.is_empty() {
+        if self.cache.waiting.is_empty() {
             self.chains.verified.clear();
         }
     }
@@ -467,7 +467,7 @@
         for id in ids {
             self.chains.reading.remove(id);
             self.chains.surveyed = None;
-            if !self.mirror.knows(id) {
+            if !self.cache.knows(id) {
                 self.chains.not_before = now + CHAIN_RETRY_MS;
             }
         }
@@ -496,17 +496,17 @@
 /// Adds a transaction to another if both together stay within the limits, or the first
 /// is empty.
 fn join(
-    txn: &mut CompareAndSwap,
+    cas: &mut CompareAndSwap,
     next: CompareAndSwap,
     most_writes: usize,
     most_conditions: usize,
 ) -> bool {
-    let fits = txn.writes.len() + next.writes.len() <= most_writes
-        && txn.conditions.len() + next.conditions.len() <= most_conditions;
-    if !fits && !txn.writes.is_empty() {
+    let fits = cas.writes.len() + next.writes.len() <= most_writes
+        && cas.conditions.len() + next.conditions.len() <= most_conditions;
+    if !fits && !cas.writes.is_empty() {
         return false;
     }
-    let mut known: BTreeMap<String, u64> = txn
+    let mut known: BTreeMap<String, u64> = cas
         .conditions
         .iter()
         .map(|c| (c.key.clone(), c.version))
@@ -516,9 +516,9 @@
             .insert(condition.key.clone(), condition.version)
             .is_none()
         {
-            txn.conditions.push(condition);
+            cas.conditions.push(condition);
         }
     }
-    txn.writes.extend(next.writes);
+    cas.writes.extend(next.writes);
     true
 }
--- a/crates/coordination/src/effects.rs
+++ b/crates/coordination/src/effects.rs
@@ -7,7 +7,7 @@
 use lemonweir_protocol::links::{AvailabilityGossip, Service};
 use lemonweir_protocol::peer::{ShardView, SyncRequest};
 use lemonweir_protocol::worker::HeartbeatResponse;
-use lemonweir_storage::records::{parse_run_key, part_key};
+use lemonweir_storage::records::{parse_run_key, shard_key};
 
 use crate::owner::CommandCall;
 
@@ -58,7 +58,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShardLease {
     /// The part.
-    pub part: u16,
+    pub shard: u16,
     /// Its token.
     pub token: u64,
 }
@@ -68,8 +68,8 @@
 ///
 /// Guards against a deposed leader that reads its records again, one by one, while its
 /// successor loads them.
-pub fn keys_to_reread(lot: ShardLease, conflicts: &[String]) -> Vec<&str> {
-    if conflicts.contains(&part_key(lot.part)) {
+pub fn keys_to_reread(lease: ShardLease, conflicts: &[String]) -> Vec<&str> {
+    if conflicts.contains(&shard_key(lease.shard)) {
         return Vec::new();
     }
     conflicts
--- a/crates/coordination/src/election.rs
+++ b/crates/coordination/src/election.rs
@@ -20,7 +20,7 @@
     /// Take the part, whose key must have this version; 0: no key.
     Take {
         /// The part.
-        part: u16,
+        shard: u16,
         /// Version of its key.
         version: u64,
     },
@@ -41,15 +41,15 @@
 
 impl LeaderElection {
     /// Knows nothing yet of this many parts.
-    pub fn new(parts: usize) -> Self {
+    pub fn new(shards: usize) -> Self {
         Self {
-            empty_since: vec![None; parts],
+            empty_since: vec![None; shards],
             left: BTreeMap::new(),
         }
     }
 
     /// Number of parts.
-    pub fn parts(&self) -> u16 {
+    pub fn shards(&self) -> u16 {
         self.empty_since.len() as u16
     }
 
@@ -62,12 +62,12 @@
         let leaves_some = self.left.values().any(|(until, _)| now < *until);
         // Who holds nothing is not told by silence: its workers went elsewhere.
         if core.links.hears_nobody(now) && (leaves_some || !core.held().is_empty()) {
-            return (0..self.parts()).collect();
+            return (0..self.shards()).collect();
         }
         self.left
             .iter()
             .filter(|(_, (until, _))| now < *until)
-            .map(|(part, _)| *part)
+            .map(|(shard, _)| *shard)
             .collect()
     }
 
@@ -77,7 +77,7 @@
     pub fn unshown(&self, core: &Core, now: u64) -> Option<Vec<u16>> {
         let me = &core.config.members[usize::from(core.config.me)].host;
         let left = self.left(core, now);
-        core.mirror
+        core.cache
             .nodes
             .get(me)
             .is_none_or(|n| n.deaf != left)
@@ -86,66 +86,66 @@
 
     /// What to do about one part, as far as the node's copy shows. Call it for
     /// each part in turn, since what is held already counts for the next.
-    pub fn claim(&mut self, core: &Core, part: u16, now: u64) -> Option<ElectionAction> {
+    pub fn claim(&mut self, core: &Core, shard: u16, now: u64) -> Option<ElectionAction> {
         // Guards against judging by a picture from before a pause.
         if core.unproven() {
             return None;
         }
         let members = &core.config.members;
-        let home = &members.get(usize::from(part))?.host;
+        let home = &members.get(usize::from(shard))?.host;
         let me = &members[usize::from(core.config.me)].host;
         let leaves = |host: &str| {
-            core.mirror
+            core.cache
                 .nodes
                 .get(host)
-                .is_some_and(|n| n.deaf.contains(&part))
+                .is_some_and(|n| n.deaf.contains(&shard))
         };
-        let home_serves = core.mirror.nodes.contains_key(home) && !leaves(home);
+        let home_serves = core.cache.nodes.contains_key(home) && !leaves(home);
         // Where all that live leave it, somebody must hold it all the same.
-        let spared = self.left(core, now).contains(&part)
-            && core.mirror.nodes.keys().any(|n| n != me && !leaves(n));
+        let spared = self.left(core, now).contains(&shard)
+            && core.cache.nodes.keys().any(|n| n != me && !leaves(n));
         // Its home lives and can't serve it, nor can anybody else: no use waiting.
-        let alone = core.mirror.nodes.contains_key(home)
-            && core.mirror.nodes.keys().all(|n| n == me || leaves(n));
+        let alone = core.cache.nodes.contains_key(home)
+            && core.cache.nodes.keys().all(|n| n == me || leaves(n));
         let held = core.held();
-        let lot = held.iter().find(|l| l.part == part).copied();
-        let slot = self.empty_since.get_mut(usize::from(part))?;
-        match (core.mirror.parts.get(&part), lot) {
+        let lease = held.iter().find(|l| l.shard == shard).copied();
+        let slot = self.empty_since.get_mut(usize::from(shard))?;
+        match (core.cache.shards.get(&shard), lease) {
             (None, None) => {
                 let since = *slot.get_or_insert(now);
                 let wait = if alone {
                     0
                 } else {
-                    TAKEOVER_WAIT_MS + HEIR_STEP_MS * heirs_before(core, part, held.len())
+                    TAKEOVER_WAIT_MS + HEIR_STEP_MS * heirs_before(core, shard, held.len())
                 };
                 let mine = home == me || !home_serves && now >= since + wait;
-                (mine && !spared).then_some(ElectionAction::Take { part, version: 0 })
+                (mine && !spared).then_some(ElectionAction::Take { shard, version: 0 })
             }
             // Left by an earlier process of this name, which is no more.
             (Some(h), None) if h.host == *me => Some(ElectionAction::Take {
-                part,
+                shard,
                 version: h.token,
             }),
-            (Some(_), Some(lot)) if home != me && home_serves => {
+            (Some(_), Some(lease)) if home != me && home_serves => {
                 *slot = None;
-                Some(ElectionAction::HandBack(lot))
+                Some(ElectionAction::HandBack(lease))
             }
             // Guards against a whole part whose leases run out since its holder
             // alone is cut from the workers.
-            (Some(_), Some(lot))
-                if core.deaf(part, now)
-                    && core.mirror.nodes.keys().any(|n| n != me && !leaves(n)) =>
+            (Some(_), Some(lease))
+                if core.deaf(shard, now)
+                    && core.cache.nodes.keys().any(|n| n != me && !leaves(n)) =>
             {
                 *slot = None;
                 // Guards against a longer time for each try that got no answer: what it
                 // was left for last counts once that is over.
-                let length = match self.left.get(&part) {
+                let length = match self.left.get(&shard) {
                     None => DEAF_MS,
                     Some((until, length)) if now < *until => *length,
                     Some((_, length)) => (2 * length).min(DEAF_MOST_MS),
                 };
-                self.left.insert(part, (now + length, length));
-                Some(ElectionAction::Leave(lot))
+                self.left.insert(shard, (now + length, length));
+                Some(ElectionAction::Leave(lease))
             }
             _ => {
                 *slot = None;
@@ -159,26 +159,26 @@
 /// part whose home is away: those with fewer parts, then those of its zone, then in
 /// turn from the home on. All nodes reckon it alike, so that one bids at a time, the
 /// parts of several that end go to several, and nobody waits for who is not there.
-fn heirs_before(core: &Core, part: u16, held: usize) -> u64 {
+fn heirs_before(core: &Core, shard: u16, held: usize) -> u64 {
     let members = &core.config.members;
-    let home = usize::from(part);
+    let home = usize::from(shard);
     let rank = |at: usize, held: usize| {
         let turn = (at + members.len() - home) % members.len();
         (held, members[at].zone != members[home].zone, turn)
     };
     let mine = rank(usize::from(core.config.me), held);
     let holds = |host: &str| {
-        core.mirror
-            .parts
+        core.cache
+            .shards
             .values()
             .filter(|h| h.host == host)
             .count()
     };
     let willing = |host: &str| {
-        core.mirror
+        core.cache
             .nodes
             .get(host)
-            .is_some_and(|n| !n.deaf.contains(&part))
+            .is_some_and(|n| !n.deaf.contains(&shard))
     };
     let others = members
         .iter()
@@ -195,9 +195,9 @@
     ///
     /// Guards against records that a controller of an earlier version takes for broken
     /// ones, and so starts again what they say runs.
-    pub fn version_txn(&self) -> Option<CompareAndSwap> {
-        let (version, key_version) = self.mirror.records_version;
-        let reads = |host: &str| self.mirror.nodes.get(host).map_or(0, |node| node.reads);
+    pub fn version_cas(&self) -> Option<CompareAndSwap> {
+        let (version, key_version) = self.cache.records_version;
+        let reads = |host: &str| self.cache.nodes.get(host).map_or(0, |node| node.reads);
         let all = self
             .config
             .members
@@ -215,8 +215,8 @@
             .config
             .teams
             .iter()
-            .filter(|t| !self.mirror.teams.contains_key(*t));
-        new.map(|t| (t.clone(), self.config.default_part(t)))
+            .filter(|t| !self.cache.teams.contains_key(*t));
+        new.map(|t| (t.clone(), self.config.default_shard(t)))
             .take(self.config.txn_ops)
             .collect()
     }
--- a/crates/coordination/src/flush.rs
+++ b/crates/coordination/src/flush.rs
@@ -9,7 +9,7 @@
 use lemonweir_protocol::cloud::ProvisioningRequest;
 use lemonweir_protocol::kv_store::{CompareAndSwap, Condition, Write};
 use lemonweir_protocol::peer::SyncRequest;
-use lemonweir_storage::records::{ImageLocationsRecord, images_key, part_key};
+use lemonweir_storage::records::{ImageLocationsRecord, images_key, shard_key};
 
 impl Core {
     // ---- the pump ----------------------------------------------------------
@@ -42,28 +42,28 @@
         let word = self.links.store_heard().unwrap_or(0);
         let outlived = self.outlived(now);
         let reading = self.pause.reading(now);
-        let indices: Vec<u16> = self.parts.keys().copied().collect();
+        let indices: Vec<u16> = self.shards.keys().copied().collect();
         for &index in &indices {
-            let Some(part) = self.parts.get_mut(&index) else {
+            let Some(shard) = self.shards.get_mut(&index) else {
                 continue;
             };
-            let lot = part.lot;
-            part.placer.records_version = self.mirror.records_version.0;
-            part.owner.hold_starts(outlived);
+            let lease = shard.lease;
+            shard.placer.records_version = self.cache.records_version.0;
+            shard.owner.hold_starts(outlived);
             // What came in during a pause goes first.
             if !reading {
-                if let Some(revision) = self.mirror.revision {
-                    part.owner.watch_placers(&self.mirror.parts, revision, now);
+                if let Some(revision) = self.cache.revision {
+                    shard.owner.watch_placers(&self.cache.shards, revision, now);
                 }
-                part.owner.tick(now, word);
+                shard.owner.tick(now, word);
             }
-            let pages = part
+            let pages = shard
                 .owner
                 .images_note(now, self.config.value_bytes, self.config.txn_ops);
             if !pages.is_empty() {
                 let owned = Condition {
-                    key: part_key(index),
-                    version: lot.token,
+                    key: shard_key(index),
+                    version: lease.token,
                 };
                 let write = |(page, record): (usize, Option<ImageLocationsRecord>)| match record {
                     Some(record) => Write::put(images_key(index, page), &record),
@@ -79,25 +79,25 @@
             // Guards against a start by an owner that has been blind for so long
             // that its successor may infer the end of all it kept alive.
             if !blind {
-                let calls = part
+                let calls = shard
                     .owner
                     .calls(now, self.config.sockets.orders.saturating_sub(self.calls));
                 self.calls += calls.len();
-                effects.extend(calls.into_iter().map(|c| Effect::Command(lot, c)));
+                effects.extend(calls.into_iter().map(|c| Effect::Command(lease, c)));
             }
             let names = if blind {
                 Vec::new()
             } else {
-                part.owner.releases()
+                shard.owner.releases()
             };
             if !names.is_empty() {
-                effects.push(Effect::Release(lot, names));
+                effects.push(Effect::Release(lease, names));
             }
-            for asker in part.owner.take_dirty() {
-                match self.parts.get_mut(&asker) {
+            for asker in shard.owner.take_dirty() {
+                match self.shards.get_mut(&asker) {
                     Some(p) => p.lines[usize::from(index)].dirty = true,
                     None => {
-                        if let Some(p) = self.parts.get_mut(&index) {
+                        if let Some(p) = self.shards.get_mut(&index) {
                             p.nudged.entry(asker).or_insert(now);
                         }
                     }
@@ -105,22 +105,23 @@
             }
         }
         for &index in &indices {
-            let Some(part) = self.parts.get_mut(&index) else {
+            let Some(shard) = self.shards.get_mut(&index) else {
                 continue;
             };
-            let lot = part.lot;
-            let nudges: Vec<u16> = part.nudged.keys().copied().collect();
-            part.nudged.clear();
+            let lease = shard.lease;
+            let nudges: Vec<u16> = shard.nudged.keys().copied().collect();
+            shard.nudged.clear();
             effects.extend(nudges.into_iter().map(Effect::Nudge));
-            if part.placer.wants_pass(now) && now >= part.last_place + PLACE_GAP_MS {
-                part.last_place = now;
-                part.placer.place(now);
+            if shard.placer.wants_pass(now) && now >= shard.last_place + PLACE_GAP_MS {
+                shard.last_place = now;
+                shard.placer.place(now);
             }
-            part.placer.keep_ledger(now, self.config.wall_offset_ms);
-            part.placer
+            shard.placer.keep_ledger(now, self.config.wall_offset_ms);
+            shard
+                .placer
                 .consolidate(now, now + self.config.wall_offset_ms);
-            if let Some(txn) = part.placer.next_txn(now) {
-                effects.push(Effect::CompareAndSwap(lot, txn));
+            if let Some(cas) = shard.placer.next_cas(now) {
+                effects.push(Effect::CompareAndSwap(lease, cas));
             }
             self.pump_watch(index, now, effects);
             self.pump_rent(index, now, effects);
@@ -131,30 +132,30 @@
 
     /// True if a part that we hold had better be held by a node that hears its
     /// machines.
-    pub fn deaf(&self, part: u16, now: u64) -> bool {
-        self.parts.get(&part).is_some_and(|p| p.owner.deaf(now))
+    pub fn deaf(&self, shard: u16, now: u64) -> bool {
+        self.shards.get(&shard).is_some_and(|p| p.owner.deaf(now))
     }
 
     fn pump_syncs(&mut self, index: u16, now: u64, effects: &mut Vec<Effect>) -> bool {
         let mut again = false;
         let age = self.links.store_age(now);
         for to in 0..self.config.members.len() as u16 {
-            if self.parts.contains_key(&to) {
+            if self.shards.contains_key(&to) {
                 self.links.strays.forget(to);
             }
             let strays = self.links.strays.any(to, now);
-            let Some(holder) = self.mirror.parts.get(&to) else {
+            let Some(holder) = self.cache.shards.get(&to) else {
                 continue;
             };
-            let local = self.parts.get(&to).map(|p| p.lot.token);
-            let Some(part) = self.parts.get_mut(&index) else {
+            let local = self.shards.get(&to).map(|p| p.lease.token);
+            let Some(shard) = self.shards.get_mut(&index) else {
                 return again;
             };
             let token = local.unwrap_or(holder.token);
-            let line = &mut part.lines[usize::from(to)];
-            line.dirty |= part.placer.unsent(to, token);
+            let line = &mut shard.lines[usize::from(to)];
+            line.dirty |= shard.placer.unsent(to, token);
             let mail = local.is_none() && line.failures >= MAIL_AFTER_FAILURES;
-            part.placer.by_mail(to, mail);
+            shard.placer.by_mail(to, mail);
             let gap = if mail { MAIL_GAP_MS } else { SYNC_GAP_MS };
             let due = now >= line.last + COPY_REFRESH_MS
                 || line.dirty && now >= line.last + gap
@@ -173,7 +174,7 @@
             };
             // Notes are for answers of other nodes; what is told anyway carries
             // them, and the regular refresh.
-            let sync = part
+            let sync = shard
                 .placer
                 .sync_for(to, token, room, local.is_none() && !by_mail, now);
             if local.is_none() {
@@ -185,18 +186,18 @@
                 if direct {
                     line.busy = true;
                     line.last_direct = now;
-                    effects.push(Effect::Sync(part.lot, sync));
+                    effects.push(Effect::Sync(shard.lease, sync));
                 } else {
                     effects.push(Effect::MailSync(sync));
                 }
                 continue;
             }
             let view = self
-                .parts
+                .shards
                 .get_mut(&to)
                 .and_then(|p| p.owner.sync(&sync, SYNC_BYTES, now).ok());
-            if let (Some(view), Some(part)) = (view, self.parts.get_mut(&index)) {
-                again |= part.placer.take_view(view, now);
+            if let (Some(view), Some(shard)) = (view, self.shards.get_mut(&index)) {
+                again |= shard.placer.take_view(view, now);
             }
         }
         again
@@ -207,26 +208,26 @@
             return;
         }
         let Some(catalog) = &self.catalog else { return };
-        let Some(part) = self.parts.get_mut(&index) else {
+        let Some(shard) = self.shards.get_mut(&index) else {
             return;
         };
-        if now < part.rent_after {
+        if now < shard.rent_after {
             return;
         }
-        if part.planned < part.placer.passes && part.rentals.len() < RENTALS_AT_ONCE {
-            part.planned = part.placer.passes;
-            for (kind, zone, spot, count) in part.plan(index, catalog, now) {
+        if shard.planned < shard.placer.passes && shard.rentals.len() < RENTALS_AT_ONCE {
+            shard.planned = shard.placer.passes;
+            for (kind, zone, spot, count) in shard.plan(index, catalog, now) {
                 let same =
                     |r: &ProvisioningRequest| r.kind == kind && r.zone == zone && r.spot == spot;
-                if part.rentals.len() >= RENTALS_AT_ONCE
-                    || part.rentals.iter().any(|(r, _)| same(r))
+                if shard.rentals.len() >= RENTALS_AT_ONCE
+                    || shard.rentals.iter().any(|(r, _)| same(r))
                 {
                     continue;
                 }
-                part.bookings += 1;
+                shard.bookings += 1;
                 // The part's token never comes again, so the name is never reused.
-                let booking = format!("r-{}-{}-{}", index, part.lot.token, part.bookings);
-                part.rentals.push((
+                let booking = format!("r-{}-{}-{}", index, shard.lease.token, shard.bookings);
+                shard.rentals.push((
                     ProvisioningRequest {
                         booking,
                         kind,
@@ -238,9 +239,9 @@
                 ));
             }
         }
-        for (rental, busy) in part.rentals.iter_mut().filter(|(_, busy)| !busy) {
+        for (rental, busy) in shard.rentals.iter_mut().filter(|(_, busy)| !busy) {
             *busy = true;
-            effects.push(Effect::Rent(part.lot, rental.clone()));
+            effects.push(Effect::Rent(shard.lease, rental.clone()));
         }
     }
 }
--- a/crates/coordination/src/heartbeats.rs
+++ b/crates/coordination/src/heartbeats.rs
@@ -23,8 +23,8 @@
         self.links
             .note(now, format!("this controller stood still for {gap} ms"));
         self.links.stood_still(gap, now);
-        for part in self.parts.values_mut() {
-            part.owner.stood_still(gap, now);
+        for shard in self.shards.values_mut() {
+            shard.owner.stood_still(gap, now);
         }
     }
 
@@ -43,20 +43,20 @@
         {
             warn!(machine = %report.machine, zone = report.zone, "machine of a zone that is not in the settings");
         }
-        let part = self.config.part_of(&report.zone, &report.machine);
-        if self.mirror.revision.is_none() && part == self.config.me {
+        let shard = self.config.shard_of(&report.zone, &report.machine);
+        if self.cache.revision.is_none() && shard == self.config.me {
             self.links.came(&report.zone, known, now);
             return self.keep_promise(report, now);
         }
-        if let Some(part) = self.parts.get(&part) {
+        if let Some(shard) = self.shards.get(&shard) {
             self.links
-                .came(&report.zone, known && part.owner.is_news(report), now);
+                .came(&report.zone, known && shard.owner.is_news(report), now);
         }
-        if self.parts.contains_key(&part) {
-            return self.answer_report(report, part, None, now);
+        if self.shards.contains_key(&shard) {
+            return self.answer_report(report, shard, None, now);
         }
         let (again, news) = self.links.strays.came(
-            part,
+            shard,
             &report.machine,
             incarnation::MessageSequence::of(report),
             now,
@@ -64,9 +64,9 @@
         self.links.came(&report.zone, known && news, now);
         let members = &self.config.members;
         let holder = self
-            .mirror
-            .parts
-            .get(&part)
+            .cache
+            .shards
+            .get(&shard)
             .filter(|h| h.host != members[usize::from(self.config.me)].host);
         let Some((number, holder)) =
             holder.and_then(|h| Some((members.iter().position(|m| m.host == h.host)? as u16, h)))
@@ -75,7 +75,7 @@
         };
         let knows = report.token >> FENCE_BITS == holder.token;
         let stray = MisroutedHeartbeat {
-            part,
+            shard,
             holder: number,
             zone: &report.zone,
             machine: &report.machine,
@@ -119,14 +119,14 @@
     /// it: nothing is carried on.
     pub fn carried_report(&mut self, report: &Heartbeat, by: u16, now: u64) -> HeartbeatAnswer {
         self.awake(now);
-        let part = self.config.part_of(&report.zone, &report.machine);
-        self.answer_report(report, part, Some(by), now)
+        let shard = self.config.shard_of(&report.zone, &report.machine);
+        self.answer_report(report, shard, Some(by), now)
     }
 
     pub(crate) fn answer_report(
         &mut self,
         report: &Heartbeat,
-        part: u16,
+        shard: u16,
         by: Option<u16>,
         now: u64,
     ) -> HeartbeatAnswer {
@@ -135,13 +135,14 @@
             .links
             .store_heard()
             .map(|at| at + self.config.wall_offset_ms);
-        let at_home = part == self.config.me;
-        match self.parts.get_mut(&part) {
-            Some(part) if !blind => {
+        let at_home = shard == self.config.me;
+        match self.shards.get_mut(&shard) {
+            Some(shard) if !blind => {
                 if let Some(began) = began.filter(|_| at_home) {
-                    part.owner.promise(&report.machine, began, now);
+                    shard.owner.promise(&report.machine, began, now);
                 }
-                part.owner
+                shard
+                    .owner
                     .report(report, by, now)
                     .map_or(HeartbeatAnswer::Unable, HeartbeatAnswer::Orders)
             }
@@ -171,7 +172,7 @@
     /// to its user before its last attempt is proven over (`Job::finished`), so
     /// what runs on meanwhile breaks no promise.
     pub(crate) fn blind_ms(&self) -> u64 {
-        let alike = self.mirror.nodes.values().all(|n| n.format >= PEER_VERSION);
+        let alike = self.cache.nodes.values().all(|n| n.format >= PEER_VERSION);
         if alike {
             self.policy.blind_ms
         } else {
@@ -182,14 +183,14 @@
     /// A call to a worker ended.
     pub fn command_done(
         &mut self,
-        lot: ShardLease,
+        lease: ShardLease,
         call: &CommandCall,
         result: CommandResult,
         now: u64,
     ) {
         self.calls = self.calls.saturating_sub(1);
-        if let Some(part) = self.part(lot) {
-            part.owner.call_done(call, result, now);
+        if let Some(shard) = self.shard(lease) {
+            shard.owner.call_done(call, result, now);
         }
     }
 }
--- a/crates/coordination/src/image_locality/show.rs
+++ b/crates/coordination/src/image_locality/show.rs
@@ -13,7 +13,7 @@
     pub fn weights(&self, image: &str, now: u64) -> ImageLocalityReport {
         let mut users: BTreeMap<&str, (u64, u64)> = BTreeMap::new();
         let unfinished = self
-            .mirror
+            .cache
             .jobs
             .values()
             .filter(|j| !j.record.withdrawn && j.record.spec.image == image);
@@ -33,7 +33,7 @@
             })
             .collect();
         // Any placer of ours has the machines of all parts.
-        let placer = self.parts.values().next().map(|p| &p.placer);
+        let placer = self.shards.values().next().map(|p| &p.placer);
         let mut zones: BTreeMap<&str, ZoneImageRow> = BTreeMap::new();
         let out_of_sight = placer.map(|p| p.hidden_zones()).unwrap_or_default();
         for zone in &self.config.zones {
@@ -67,17 +67,17 @@
                 ..z
             })
             .collect();
-        let parts = placer
+        let shards = placer
             .into_iter()
             .flat_map(|p| p.told(now))
-            .map(|(part, told_s)| ShardImageRow { part, told_s })
+            .map(|(shard, told_s)| ShardImageRow { shard, told_s })
             .collect();
         ImageLocalityReport {
             image: image.to_owned(),
             mb,
             users,
             zones,
-            parts,
+            shards,
         }
     }
 }
--- a/crates/coordination/src/job.rs
+++ b/crates/coordination/src/job.rs
@@ -38,7 +38,7 @@
 pub(super) struct LiveAttempt {
     pub(super) attempt: u32,
     pub(super) machine: MachineId,
-    pub(super) part: u16,
+    pub(super) shard: u16,
     pub(super) zone: String,
     /// Change of its chunk that first holds it.
     pub(super) change: u64,
@@ -55,7 +55,7 @@
 pub(super) struct EndingAttempt {
     pub(super) id: AttemptId,
     pub(super) machine: MachineId,
-    pub(super) part: u16,
+    pub(super) shard: u16,
     pub(super) change: u64,
 }
 
@@ -389,7 +389,7 @@
                 t,
                 a: l.attempt,
                 m: l.machine.clone(),
-                p: l.part,
+                p: l.shard,
                 z: l.zone.clone(),
             })
             .collect();
--- a/crates/coordination/src/job_status.rs
+++ b/crates/coordination/src/job_status.rs
@@ -45,13 +45,13 @@
 impl Core {
     /// What may be told of a job, in constant time.
     pub fn answer(&self, id: &JobId, now: u64) -> Answer {
-        if let Some(end) = self.mirror.end(id) {
+        if let Some(end) = self.cache.end(id) {
             return Answer::of_end(end, now);
         }
-        if self.mirror.waiting.contains_key(id) {
+        if self.cache.waiting.contains_key(id) {
             return self.chain_answer(id, now);
         }
-        if !self.mirror.jobs.contains_key(id) {
+        if !self.cache.jobs.contains_key(id) {
             return Answer::Unknown;
         }
         // Guards against a process that stood still, or that the store does not
@@ -65,7 +65,7 @@
     /// The state of an unfinished job as the copy has it; for who has just had it
     /// brought up to date.
     pub fn unfinished(&self, id: &JobId, now: u64) -> Option<Answer> {
-        if self.mirror.waiting.contains_key(id) {
+        if self.cache.waiting.contains_key(id) {
             return match self.chain_standing(id) {
                 DependencyState::Waits(_) | DependencyState::Ready(_) => {
                     Some(Answer::Unfinished(JobPhase::Queued, 0, 0, String::new()))
@@ -73,7 +73,7 @@
                 _ => None,
             };
         }
-        if self.mirror.end(id).is_some() || !self.mirror.jobs.contains_key(id) {
+        if self.cache.end(id).is_some() || !self.cache.jobs.contains_key(id) {
             return None;
         }
         let (phase, done, running, reason) = self.progress(id, now);
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -48,7 +48,7 @@
 use crate::owner::{Owner, SyncError};
 use crate::placer::{CompareAndSwapOutcome, PendingInstance, Placer, PlacerConfig, ShardOwnership};
 use crate::process_stall::ProcessStall;
-use crate::supervision::takeover::Failover;
+use crate::supervision::failover::Failover;
 use lemonweir_model::constants::*;
 use lemonweir_model::policy::Policy;
 use lemonweir_model::{Catalog, JobId, JobSpec, MachineId, Priority};
@@ -72,7 +72,7 @@
 }
 
 struct Shard {
-    lot: ShardLease,
+    lease: ShardLease,
     owner: Owner,
     placer: Placer,
     lines: Vec<PeerChannel>,
@@ -86,7 +86,7 @@
     shortage: CapacityShortages,
     nudged: BTreeMap<u16, u64>,
     /// What was found since it was taken.
-    takeover: Failover,
+    failover: Failover,
 }
 
 impl Shard {
@@ -105,12 +105,12 @@
     fn take_view(&mut self, view: ShardView, now: u64) {
         if self
             .placer
-            .wants_told_to(view.part)
+            .wants_told_to(view.shard)
             .is_some_and(|token| view.token < token)
         {
             debug!(
-                part = self.lot.part,
-                from = view.part,
+                shard = self.lease.shard,
+                from = view.shard,
                 token = view.token,
                 "its successor was told since; not taken"
             );
@@ -145,11 +145,11 @@
     /// Facts.
     pub config: Config,
     /// The followed keys.
-    pub mirror: StateCache,
+    pub cache: StateCache,
     /// Machine types, once known.
     pub catalog: Option<Catalog>,
     policy: Policy,
-    parts: BTreeMap<u16, Shard>,
+    shards: BTreeMap<u16, Shard>,
     notes: HashMap<JobId, JobProgress>,
     /// Calls to machines under way.
     calls: usize,
@@ -172,10 +172,10 @@
                 config.wall_offset_ms,
             ),
             config,
-            mirror: StateCache::default(),
+            cache: StateCache::default(),
             catalog: None,
             policy,
-            parts: BTreeMap::new(),
+            shards: BTreeMap::new(),
             notes: HashMap::new(),
             calls: 0,
             pause: ProcessStall::default(),
@@ -188,22 +188,22 @@
 
     /// Parts held, with their tokens.
     pub fn held(&self) -> Vec<ShardLease> {
-        self.parts.values().map(|p| p.lot).collect()
+        self.shards.values().map(|p| p.lease).collect()
     }
 
     /// Takes a part, with its task records.
-    pub fn adopt(
+    pub fn acquire(
         &mut self,
-        lot: ShardLease,
+        lease: ShardLease,
         chunks: &[(JobId, u32, TaskChunkRecord, u64)],
         images: Vec<ImageLocationsRecord>,
         now: u64,
     ) {
-        let parts = self.config.members.len() as u16;
+        let shards = self.config.members.len() as u16;
         let mut owner = Owner::new(
-            lot.part,
-            lot.token,
-            parts,
+            lease.shard,
+            lease.token,
+            shards,
             self.config.timing,
             self.policy.clone(),
             now,
@@ -223,7 +223,7 @@
             wall_offset_ms: self.config.wall_offset_ms,
             trade: self.policy.trade,
         };
-        let mut placer = Placer::new(lot.part, lot.token, parts, terms, now);
+        let mut placer = Placer::new(lease.shard, lease.token, shards, terms, now);
         if let Some(catalog) = &self.catalog {
             placer.expect(
                 &self.config.start_within,
@@ -235,19 +235,19 @@
             placer.load_chunk(id, *chunk, record, *version);
         }
         info!(
-            part = lot.part,
-            token = lot.token,
+            shard = lease.shard,
+            token = lease.token,
             chunks = chunks.len(),
             "part taken"
         );
-        self.links.note(now, format!("part {} taken", lot.part));
-        self.parts.insert(
-            lot.part,
+        self.links.note(now, format!("part {} taken", lease.shard));
+        self.shards.insert(
+            lease.shard,
             Shard {
-                lot,
+                lease,
                 owner,
                 placer,
-                lines: vec![PeerChannel::default(); usize::from(parts)],
+                lines: vec![PeerChannel::default(); usize::from(shards)],
                 last_place: 0,
                 rentals: Vec::new(),
                 rent_after: 0,
@@ -255,44 +255,47 @@
                 bookings: 0,
                 shortage: CapacityShortages::default(),
                 nudged: BTreeMap::new(),
-                takeover: Failover::default(),
+                failover: Failover::default(),
             },
         );
         // All jobs of its teams, and those of its records that are over.
-        let (mirror, config, chains) = (&self.mirror, &self.config, &self.chains);
-        if let Some(part) = self.parts.get_mut(&lot.part) {
-            let known: Vec<JobId> = part.placer.known().cloned().collect();
-            for id in known.iter().filter(|id| !mirror.jobs.contains_key(*id)) {
-                part.placer.set_job(id, None, now);
+        let (cache, config, chains) = (&self.cache, &self.config, &self.chains);
+        if let Some(shard) = self.shards.get_mut(&lease.shard) {
+            let known: Vec<JobId> = shard.placer.known().cloned().collect();
+            for id in known.iter().filter(|id| !cache.jobs.contains_key(*id)) {
+                shard.placer.set_job(id, None, now);
             }
-            for (id, job) in &mirror.jobs {
-                part.placer.book.note(id, uses(job));
-                if Self::team_part(mirror, config, &job.record.spec.team) == lot.part {
-                    part.placer
+            for (id, job) in &cache.jobs {
+                shard.placer.book.note(id, uses(job));
+                if Self::team_shard(cache, config, &job.record.spec.team) == lease.shard {
+                    shard
+                        .placer
                         .set_job(id, Some(&with_rank(job, chains.lent(id))), now);
                 }
             }
-            part.know_needs();
+            shard.know_needs();
         }
-        self.begin_takeover(lot, now);
+        self.begin_takeover(lease, now);
     }
 
     /// Gives a part up.
-    pub fn abandon(&mut self, part: u16, now: u64) {
-        if self.parts.remove(&part).is_some() {
-            self.links.note(now, format!("part {part} given up"));
+    pub fn release(&mut self, shard: u16, now: u64) {
+        if self.shards.remove(&shard).is_some() {
+            self.links.note(now, format!("part {shard} given up"));
         }
     }
 
-    fn part(&mut self, lot: ShardLease) -> Option<&mut Shard> {
-        self.parts.get_mut(&lot.part).filter(|p| p.lot == lot)
+    fn shard(&mut self, lease: ShardLease) -> Option<&mut Shard> {
+        self.shards
+            .get_mut(&lease.shard)
+            .filter(|p| p.lease == lease)
     }
 
     /// Learns the machine types.
     pub fn set_catalog(&mut self, catalog: Catalog) {
-        for part in self.parts.values_mut() {
-            part.owner.set_types(catalog.values());
-            part.placer.expect(
+        for shard in self.shards.values_mut() {
+            shard.owner.set_types(catalog.values());
+            shard.placer.expect(
                 &self.config.start_within,
                 self.config.guarantee_within,
                 &catalog,
@@ -307,66 +310,70 @@
         if !changed {
             return;
         }
-        let revision = self.mirror.revision.unwrap_or_default();
+        let revision = self.cache.revision.unwrap_or_default();
         let lost: Vec<u16> = self
-            .parts
+            .shards
             .values()
             .filter(|p| {
-                revision >= p.lot.token
+                revision >= p.lease.token
                     && self
-                        .mirror
-                        .parts
-                        .get(&p.lot.part)
-                        .is_none_or(|h| h.token != p.lot.token)
+                        .cache
+                        .shards
+                        .get(&p.lease.shard)
+                        .is_none_or(|h| h.token != p.lease.token)
             })
-            .map(|p| p.lot.part)
+            .map(|p| p.lease.shard)
             .collect();
-        for part in lost {
-            self.abandon(part, began);
+        for shard in lost {
+            self.release(shard, began);
         }
         self.jobs_changed(began);
     }
 
-    fn team_part(mirror: &StateCache, config: &Config, team: &str) -> u16 {
-        mirror
+    fn team_shard(cache: &StateCache, config: &Config, team: &str) -> u16 {
+        cache
             .teams
             .get(team)
             .copied()
             .filter(|&p| usize::from(p) < config.members.len())
-            .unwrap_or_else(|| config.default_part(team))
+            .unwrap_or_else(|| config.default_shard(team))
     }
 
     fn jobs_changed(&mut self, now: u64) {
-        let mut touched = self.mirror.take_touched();
+        let mut touched = self.cache.take_touched();
         touched.extend(self.relend());
-        let (mirror, config, chains) = (&self.mirror, &self.config, &self.chains);
+        let (cache, config, chains) = (&self.cache, &self.config, &self.chains);
         for id in touched {
-            match mirror.jobs.get(&id) {
+            match cache.jobs.get(&id) {
                 Some(job) => {
-                    for part in self.parts.values_mut() {
-                        part.placer.book.note(&id, uses(job));
+                    for shard in self.shards.values_mut() {
+                        shard.placer.book.note(&id, uses(job));
                     }
-                    let index = Self::team_part(mirror, config, &job.record.spec.team);
-                    if let Some(part) = self.parts.get_mut(&index) {
-                        part.placer
+                    let index = Self::team_shard(cache, config, &job.record.spec.team);
+                    if let Some(shard) = self.shards.get_mut(&index) {
+                        shard
+                            .placer
                             .set_job(&id, Some(&with_rank(job, chains.lent(&id))), now);
                     }
                 }
                 None => {
                     self.notes.remove(&id);
-                    for part in self.parts.values_mut() {
-                        part.placer.book.note(&id, None);
-                        part.placer.set_job(&id, None, now);
+                    for shard in self.shards.values_mut() {
+                        shard.placer.book.note(&id, None);
+                        shard.placer.set_job(&id, None, now);
                     }
                 }
             }
         }
-        self.parts.values_mut().for_each(Shard::know_needs);
+        self.shards.values_mut().for_each(Shard::know_needs);
     }
 
     /// Phase and counts of an unfinished job, as far as this node knows.
     pub fn progress(&self, id: &JobId, now: u64) -> (JobPhase, u64, u64, String) {
-        let own = self.parts.values().find_map(|p| p.placer.job_note(id, now));
+        let own = self
+            .shards
+            .values()
+            .find_map(|p| p.placer.job_note(id, now));
         let lost = if own.is_none() {
             self.lost_placer(id, now)
         } else {
@@ -394,11 +401,11 @@
     /// Why this node can't know how a job stands: nobody places for its team, or
     /// who does can't be reached.
     fn lost_placer(&self, id: &JobId, now: u64) -> Option<String> {
-        let team = &self.mirror.jobs.get(id)?.record.spec.team;
+        let team = &self.cache.jobs.get(id)?.record.spec.team;
         let Some(holder) =
-            self.mirror
-                .parts
-                .get(&Self::team_part(&self.mirror, &self.config, team))
+            self.cache
+                .shards
+                .get(&Self::team_shard(&self.cache, &self.config, team))
         else {
             return Some(format!(
                 "no controller places for {team}; another takes over within seconds"
@@ -420,21 +427,21 @@
         // Guards against a controller that the store refuses alone and that
         // goes on answering its workers, while its successor waits for them.
         if let Some(holder) = self
-            .mirror
-            .parts
+            .cache
+            .shards
             .get(&sync.from)
             .filter(|h| h.token > sync.from_token)
         {
             let (token, host) = (holder.token, holder.host.clone());
             return Err(SyncError::Superseded(Superseded {
                 version: PEER_VERSION,
-                part: sync.from,
+                shard: sync.from,
                 token,
                 host,
             }));
         }
         for note in &sync.notes {
-            if self.mirror.jobs.contains_key(&note.job) {
+            if self.cache.jobs.contains_key(&note.job) {
                 self.notes.insert(note.job.clone(), note.clone());
             }
         }
@@ -449,8 +456,8 @@
     ) -> Result<ShardView, SyncError> {
         self.links.other_heard(sync.store_age_ms, now);
         let store_age_ms = self.links.store_age(now);
-        let part = self.parts.get_mut(&sync.to).ok_or(SyncError::Token)?;
-        part.owner.sync(sync, room, now).map(|view| ShardView {
+        let shard = self.shards.get_mut(&sync.to).ok_or(SyncError::Token)?;
+        shard.owner.sync(sync, room, now).map(|view| ShardView {
             store_age_ms,
             ..view
         })
@@ -459,24 +466,24 @@
     /// Another node says who holds a part now; if that is ours by an older
     /// token, it is given up, and its workers are sent there.
     pub fn superseded(&mut self, by: Superseded, now: u64) {
-        let known = self.mirror.parts.get(&by.part).map_or(0, |h| h.token);
-        if by.token <= known || usize::from(by.part) >= self.config.members.len() {
+        let known = self.cache.shards.get(&by.shard).map_or(0, |h| h.token);
+        if by.token <= known || usize::from(by.shard) >= self.config.members.len() {
             return;
         }
         if self
-            .parts
-            .get(&by.part)
-            .is_some_and(|p| p.lot.token < by.token)
+            .shards
+            .get(&by.shard)
+            .is_some_and(|p| p.lease.token < by.token)
         {
             info!(
-                part = by.part,
+                shard = by.shard,
                 host = by.host,
                 "another controller has taken the part"
             );
-            self.abandon(by.part, now);
+            self.release(by.shard, now);
         }
-        self.mirror.parts.insert(
-            by.part,
+        self.cache.shards.insert(
+            by.shard,
             ShardLeader {
                 host: by.host,
                 token: by.token,
@@ -485,24 +492,24 @@
     }
 
     /// An owner on another node answered, or did not.
-    pub fn sync_done(&mut self, lot: ShardLease, to: u16, view: Option<ShardView>, now: u64) {
+    pub fn sync_done(&mut self, lease: ShardLease, to: u16, view: Option<ShardView>, now: u64) {
         if let Some(view) = &view {
             self.links.other_heard(view.store_age_ms, now);
         }
-        if let Some(part) = self.part(lot) {
-            let line = &mut part.lines[usize::from(to)];
+        if let Some(shard) = self.shard(lease) {
+            let line = &mut shard.lines[usize::from(to)];
             line.busy = false;
             match view {
                 Some(view) => {
                     line.failures = 0;
-                    part.take_view(view, now);
+                    shard.take_view(view, now);
                 }
                 None => {
-                    part.placer.lost(to);
+                    shard.placer.lost(to);
                     line.failures += 1;
                     if line.failures == MAIL_AFTER_FAILURES {
                         info!(
-                            part = lot.part,
+                            shard = lease.shard,
                             to, "no direct way to the owner; syncing through the store"
                         );
                     }
@@ -516,8 +523,8 @@
     /// for a withdrawn job would wait for the end of the cut.
     pub fn take_mail(&mut self, now: u64) -> Vec<Effect> {
         let mut effects = Vec::new();
-        for (line, bytes) in self.mirror.take_mail() {
-            if !self.parts.contains_key(&line.to) {
+        for (line, bytes) in self.cache.take_mail() {
+            if !self.shards.contains_key(&line.to) {
                 continue;
             }
             match line.kind {
@@ -535,9 +542,9 @@
                 StoreMessageKind::View => {
                     match (
                         peer::read::<ShardView>(&bytes),
-                        self.parts.get_mut(&line.to),
+                        self.shards.get_mut(&line.to),
                     ) {
-                        (Ok(view), Some(part)) => part.take_view(view, now),
+                        (Ok(view), Some(shard)) => shard.take_view(view, now),
                         _ => info!(from = line.from, to = line.to, "mailed view not understood"),
                     }
                 }
@@ -547,10 +554,10 @@
     }
 
     /// An owner on another node has news for one of our parts.
-    pub fn nudged(&mut self, part: u16, from: u16) {
+    pub fn nudged(&mut self, shard: u16, from: u16) {
         if let Some(line) = self
-            .parts
-            .get_mut(&part)
+            .shards
+            .get_mut(&shard)
             .and_then(|p| p.lines.get_mut(usize::from(from)))
         {
             line.dirty = true;
@@ -559,13 +566,13 @@
 
     /// A transaction ended; keys of ours that met other versions have been read
     /// again. Tells whether the part is lost.
-    pub fn txn_done(
+    pub fn cas_done(
         &mut self,
-        lot: ShardLease,
+        lease: ShardLease,
         outcome: CompareAndSwapOutcome,
         now: u64,
     ) -> ShardOwnership {
-        let Some(part) = self.part(lot) else {
+        let Some(shard) = self.shard(lease) else {
             return ShardOwnership::Fine;
         };
         let revision = if let CompareAndSwapOutcome::Done(revision) = outcome {
@@ -573,37 +580,37 @@
         } else {
             0
         };
-        let (verdict, ends) = part.placer.txn_done(outcome, now);
+        let (verdict, ends) = shard.placer.cas_done(outcome, now);
         for (id, phase) in ends {
-            self.mirror.settle(&id, phase, revision, now);
+            self.cache.settle(&id, phase, revision, now);
         }
         if verdict == ShardOwnership::Lost {
-            self.abandon(lot.part, now);
+            self.release(lease.shard, now);
         }
         verdict
     }
 
     /// A key of ours was read again.
-    pub fn reread(&mut self, lot: ShardLease, job: &JobId, chunk: u32, version: u64) {
-        if let Some(part) = self.part(lot) {
-            part.placer.reread(job, chunk, version);
+    pub fn reread(&mut self, lease: ShardLease, job: &JobId, chunk: u32, version: u64) {
+        if let Some(shard) = self.shard(lease) {
+            shard.placer.reread(job, chunk, version);
         }
     }
 
     /// A rental ended.
     pub fn rented(
         &mut self,
-        lot: ShardLease,
+        lease: ShardLease,
         rental: &ProvisioningRequest,
         result: ProvisioningResult,
         now: u64,
     ) {
-        let place = |id: &MachineId| self.config.part_of(&rental.zone, id);
+        let place = |id: &MachineId| self.config.shard_of(&rental.zone, id);
         let promises: Vec<PendingInstance> = match &result {
             ProvisioningResult::Rented(machines) => machines
                 .iter()
                 .map(|id| PendingInstance {
-                    part: place(id),
+                    shard: place(id),
                     at: now,
                     rented: ProvisionedInstance {
                         machine: id.clone(),
@@ -616,21 +623,23 @@
                 .collect(),
             _ => Vec::new(),
         };
-        let Some(part) = self.part(lot) else { return };
-        let under_way = part
+        let Some(shard) = self.shard(lease) else {
+            return;
+        };
+        let under_way = shard
             .rentals
             .iter()
             .position(|(r, _)| r.booking == rental.booking);
         if let Some(i) = under_way {
             match &result {
-                ProvisioningResult::Again => part.rentals[i].1 = false,
-                _ => drop(part.rentals.remove(i)),
+                ProvisioningResult::Again => shard.rentals[i].1 = false,
+                _ => drop(shard.rentals.remove(i)),
             }
         }
         match result {
             ProvisioningResult::Rented(machines) => {
                 info!(
-                    part = lot.part,
+                    shard = lease.shard,
                     count = machines.len(),
                     asked = rental.count,
                     kind = rental.kind,
@@ -639,46 +648,47 @@
                     "machines rented"
                 );
                 if (machines.len() as u32) < rental.count {
-                    part.shortage.note(rental, now);
+                    shard.shortage.note(rental, now);
                 }
                 for p in promises {
-                    part.lines[usize::from(p.part)].dirty = true;
-                    part.placer.promises.push(p);
+                    shard.lines[usize::from(p.shard)].dirty = true;
+                    shard.placer.promises.push(p);
                 }
             }
             ProvisioningResult::NoCapacity => {
                 info!(
-                    part = lot.part,
+                    shard = lease.shard,
                     kind = rental.kind,
                     zone = rental.zone,
                     spot = rental.spot,
                     "no capacity"
                 );
-                part.shortage.note(rental, now);
+                shard.shortage.note(rental, now);
             }
-            ProvisioningResult::Again => part.rent_after = now + CLOUD_TROUBLE_MS,
+            ProvisioningResult::Again => shard.rent_after = now + CLOUD_TROUBLE_MS,
         }
     }
 
     /// A release ended.
-    pub fn released(&mut self, lot: ShardLease, machines: &[MachineId], done: bool, now: u64) {
-        if let Some(part) = self.part(lot) {
-            part.owner.released(machines, done, now);
+    pub fn released(&mut self, lease: ShardLease, machines: &[MachineId], done: bool, now: u64) {
+        if let Some(shard) = self.shard(lease) {
+            shard.owner.released(machines, done, now);
         }
     }
 
     /// The rental list was read.
     pub fn listed(&mut self, entries: &[InstanceEntry], now: u64) {
-        let mut by_part: BTreeMap<u16, Vec<InstanceEntry>> = BTreeMap::new();
+        let mut by_shard: BTreeMap<u16, Vec<InstanceEntry>> = BTreeMap::new();
         for e in entries {
-            by_part
-                .entry(self.config.part_of(&e.zone, &e.id))
+            by_shard
+                .entry(self.config.shard_of(&e.zone, &e.id))
                 .or_default()
                 .push(e.clone());
         }
-        for (index, part) in &mut self.parts {
-            part.owner
-                .listed(by_part.get(index).map_or(&[], Vec::as_slice), now);
+        for (index, shard) in &mut self.shards {
+            shard
+                .owner
+                .listed(by_shard.get(index).map_or(&[], Vec::as_slice), now);
         }
     }
 
@@ -686,19 +696,19 @@
     /// the store, its own or carried, leaves them to the others; in an outage
     /// for all, each goes on telling users when to come back.
     pub fn ready(&self, now: u64) -> bool {
-        self.mirror.revision.is_some() && self.catalog.is_some() && !self.links.without_word(now)
+        self.cache.revision.is_some() && self.catalog.is_some() && !self.links.without_word(now)
     }
 
     /// True if an owner is told through the store: news of it come that way too.
     pub fn mailing(&self) -> bool {
-        self.parts
+        self.shards
             .values()
             .any(|p| p.lines.iter().any(|l| l.failures >= MAIL_AFTER_FAILURES))
     }
 
     /// True if something only waits for one of the short gaps to pass.
     pub fn hurried(&self, now: u64) -> bool {
-        self.parts.values().any(|p| {
+        self.shards.values().any(|p| {
             p.placer.wants_pass(now)
                 || p.lines
                     .iter()
@@ -709,12 +719,12 @@
     /// Work and judgements of the parts held, counted since each was taken;
     /// less after a part was given up.
     pub fn tally(&self) -> WorkCounters {
-        self.parts
+        self.shards
             .values()
-            .fold(WorkCounters::default(), |sum, part| {
-                let (refused, pushed_out) = part.owner.judged();
+            .fold(WorkCounters::default(), |sum, shard| {
+                let (refused, pushed_out) = shard.owner.judged();
                 WorkCounters {
-                    looked: sum.looked + part.placer.looked(),
+                    looked: sum.looked + shard.placer.looked(),
                     refused: sum.refused + refused,
                     pushed_out: sum.pushed_out + pushed_out,
                 }
--- a/crates/coordination/src/links/mod.rs
+++ b/crates/coordination/src/links/mod.rs
@@ -54,7 +54,7 @@
 /// A worker's report that came for a part that another holds.
 pub(crate) struct MisroutedHeartbeat<'a> {
     /// The part.
-    pub(crate) part: u16,
+    pub(crate) shard: u16,
     /// Number of the controller that holds it.
     pub(crate) holder: u16,
     /// The worker's zone.
--- a/crates/coordination/src/links/relay.rs
+++ b/crates/coordination/src/links/relay.rs
@@ -73,7 +73,7 @@
         }
         let scout = self
             .scouts
-            .entry((r.part, r.zone.to_owned()))
+            .entry((r.shard, r.zone.to_owned()))
             .or_insert(now);
         if now < rider.since + rider.carried_ms || !heard && now < *scout {
             return MisroutedHeartbeatAction::Carry;
@@ -115,7 +115,7 @@
         let machine = MachineId::from(machine);
         c.choose(
             &MisroutedHeartbeat {
-                part: 0,
+                shard: 0,
                 holder: 1,
                 zone: "north",
                 machine: &machine,
--- a/crates/coordination/src/machine_health.rs
+++ b/crates/coordination/src/machine_health.rs
@@ -26,7 +26,7 @@
     /// ms for which a report counts.
     keep_ms: u64,
     /// When each came last, with its numbers.
-    by_part: BTreeMap<u16, HashMap<MachineId, (u64, MessageSequence)>>,
+    by_shard: BTreeMap<u16, HashMap<MachineId, (u64, MessageSequence)>>,
 }
 
 impl MisroutedHeartbeats {
@@ -34,7 +34,7 @@
     pub(crate) fn new(timing: &Timing) -> Self {
         Self {
             keep_ms: 2 * timing.report_ms,
-            by_part: BTreeMap::new(),
+            by_shard: BTreeMap::new(),
         }
     }
 
@@ -43,12 +43,12 @@
     /// come since copies of its reports do.
     pub(crate) fn came(
         &mut self,
-        part: u16,
+        shard: u16,
         machine: &MachineId,
         numbers: MessageSequence,
         now: u64,
     ) -> (bool, bool) {
-        let here = self.by_part.entry(part).or_default();
+        let here = self.by_shard.entry(shard).or_default();
         let before = here.get(machine).filter(|(at, _)| now < at + self.keep_ms);
         let (again, news) = (
             before.is_some(),
@@ -61,25 +61,25 @@
     }
 
     /// The part is ours: its machines are none.
-    pub(crate) fn forget(&mut self, part: u16) {
-        self.by_part.remove(&part);
+    pub(crate) fn forget(&mut self, shard: u16) {
+        self.by_shard.remove(&shard);
     }
 
     /// True if some came of late. Asked at every pump, so it counts none.
-    pub(crate) fn any(&mut self, part: u16, now: u64) -> bool {
-        let Some(strays) = self.by_part.get(&part) else {
+    pub(crate) fn any(&mut self, shard: u16, now: u64) -> bool {
+        let Some(strays) = self.by_shard.get(&shard) else {
             return false;
         };
         let some = strays.values().any(|(at, _)| now <= at + self.keep_ms);
         if !some {
-            self.forget(part);
+            self.forget(shard);
         }
         some
     }
 
     /// How many came of late.
-    pub(crate) fn count(&mut self, part: u16, now: u64) -> u32 {
-        let Some(strays) = self.by_part.get_mut(&part) else {
+    pub(crate) fn count(&mut self, shard: u16, now: u64) -> u32 {
+        let Some(strays) = self.by_shard.get_mut(&shard) else {
             return 0;
         };
         strays.retain(|_, (at, _)| now <= *at + self.keep_ms);
--- a/crates/coordination/src/owner/commands.rs
+++ b/crates/coordination/src/owner/commands.rs
@@ -5,7 +5,7 @@
 impl Owner {
     /// True once every part has said what it wants of this owner.
     pub(super) fn all_heard(&self) -> bool {
-        self.askers.values().filter(|a| a.complete).count() >= usize::from(self.parts)
+        self.askers.values().filter(|a| a.complete).count() >= usize::from(self.shards)
     }
 
     /// The orders that a machine needs now.
--- a/crates/coordination/src/owner/last_copies.rs
+++ b/crates/coordination/src/owner/last_copies.rs
@@ -67,7 +67,7 @@
             else {
                 continue;
             };
-            info!(machine = %id, instead = %other, part = self.part, "last copy of a service's weights in its zone; another machine goes");
+            info!(machine = %id, instead = %other, shard = self.shard, "last copy of a service's weights in its zone; another machine goes");
             self.to_close.remove(&id);
             self.to_close.insert(other.clone());
             for (id, closing, idle_since) in [(id, false, since), (other, true, since)] {
--- a/crates/coordination/src/owner/maintenance.rs
+++ b/crates/coordination/src/owner/maintenance.rs
@@ -155,7 +155,7 @@
             }
             if sure && (unborn || judgement == HealthVerdict::GiveBack) {
                 let why = if unborn { "never came up" } else { "is silent" };
-                info!(machine = %id, part = self.part, why, "machine is given back");
+                info!(machine = %id, shard = self.shard, why, "machine is given back");
                 m.release_wanted = true;
                 self.stale.insert(id.clone());
             }
@@ -207,7 +207,7 @@
         }
         for id in dead {
             if let Some(m) = self.machines.get_mut(&id) {
-                info!(machine = %id, part = self.part, "lease has run out");
+                info!(machine = %id, shard = self.shard, "lease has run out");
                 m.dead_session = m.worker_session.session();
                 m.tasks.clear();
                 m.answered_with_starts = None;
@@ -263,7 +263,7 @@
         late.sort_unstable();
         let most = OVERDUE_LEAST.max(self.machines.len() / OVERDUE_OF);
         for (_, id, _) in late.into_iter().take(most).filter(|(_, _, known)| !known) {
-            info!(machine = %id, part = self.part, "machine is overdue; no longer counted on");
+            info!(machine = %id, shard = self.shard, "machine is overdue; no longer counted on");
             if let Some(m) = self.machines.get_mut(&id) {
                 m.overdue = true;
             }
@@ -316,7 +316,7 @@
         }
         let gpus = |room: Resources| room.gpus / 1000;
         info!(
-            part = self.part,
+            shard = self.shard,
             machines = self.machines.len(),
             up,
             spot,
@@ -340,7 +340,7 @@
             self.stale.insert(id.clone());
             if let Some(m) = self.machines.get_mut(&id) {
                 if empty {
-                    info!(machine = %id, part = self.part, "machine is idle; giving it back");
+                    info!(machine = %id, shard = self.shard, "machine is idle; giving it back");
                     m.release_wanted = true;
                 } else {
                     m.closing = false;
@@ -368,7 +368,7 @@
                 self.deaf_calls -= usize::from(calling);
                 self.faults.forget(id);
                 self.gone.insert(id.clone());
-                info!(machine = %id, part = self.part, "machine is gone");
+                info!(machine = %id, shard = self.shard, "machine is gone");
                 self.judge(id, now);
             } else if let Some(m) = self.machines.get_mut(id) {
                 m.releasing = false;
--- a/crates/coordination/src/owner/mod.rs
+++ b/crates/coordination/src/owner/mod.rs
@@ -179,12 +179,12 @@
 
 /// The owner of a part.
 pub struct Owner {
-    part: u16,
+    shard: u16,
     token: u64,
     started: u64,
     timing: Timing,
     policy: Policy,
-    parts: u16,
+    shards: u16,
     rooms: BTreeMap<String, Resources>,
     boot_ms: BTreeMap<String, u64>,
     caches: BTreeMap<String, u64>,
@@ -252,19 +252,19 @@
 impl Owner {
     /// An owner that has just got its part with this token.
     pub fn new(
-        part: u16,
+        shard: u16,
         token: u64,
-        parts: u16,
+        shards: u16,
         timing: Timing,
         policy: Policy,
         now: u64,
     ) -> Self {
         Self {
-            part,
+            shard,
             token,
             started: now,
             timing,
-            parts,
+            shards,
             rooms: BTreeMap::new(),
             boot_ms: BTreeMap::new(),
             caches: BTreeMap::new(),
@@ -501,7 +501,7 @@
             Freshness::Current if report.session <= m.dead_session => return false,
             Freshness::Current => {}
             Freshness::Restarted => {
-                info!(machine = %report.machine, part = self.part, "machine counts from the start again");
+                info!(machine = %report.machine, shard = self.shard, "machine counts from the start again");
                 m.worker_session.reborn(origin, now);
                 m.images.clear();
                 (m.dead_session, m.answered_with_starts, m.notice) = (0, None, false);
@@ -534,10 +534,10 @@
                 m.images = images;
             }
             if !m.announced {
-                info!(machine = %report.machine, part = self.part, "machine origin up unannounced");
+                info!(machine = %report.machine, shard = self.shard, "machine origin up unannounced");
             }
             let after_ms = now.saturating_sub(m.booked);
-            info!(machine = %report.machine, part = self.part, after_ms, "machine is up");
+            info!(machine = %report.machine, shard = self.shard, after_ms, "machine is up");
             // What ran before was up long before this owner heard it.
             if m.announced && m.ran.is_none() {
                 self.boots.came_up(&m.kind, &m.zone, m.spot, after_ms);
@@ -559,7 +559,7 @@
         m.worker_session
             .take(numbers, report.token, origin, &self.timing, now);
         if m.worker_session.hears() != heard {
-            info!(machine = %report.machine, part = self.part, hears = !heard, "whether answers reach the machine");
+            info!(machine = %report.machine, shard = self.shard, hears = !heard, "whether answers reach the machine");
         }
         m.addr = report.address.parse().ok();
         m.heard = Some(now);
--- a/crates/coordination/src/owner/orphaned_grants.rs
+++ b/crates/coordination/src/owner/orphaned_grants.rs
@@ -10,16 +10,16 @@
     /// Guards against taking a part for lost that was taken after the reading: the
     /// reading must be at least as new as the token.
     pub fn watch_placers(&mut self, holders: &BTreeMap<u16, ShardLeader>, revision: u64, now: u64) {
-        for (part, asker) in &mut self.askers {
-            let lost =
-                revision >= asker.token && holders.get(part).is_none_or(|h| h.token != asker.token);
+        for (shard, asker) in &mut self.askers {
+            let lost = revision >= asker.token
+                && holders.get(shard).is_none_or(|h| h.token != asker.token);
             if !lost {
                 asker.lost = None;
             } else if asker.lost.is_none() {
                 asker.lost = Some(now);
                 info!(
-                    part = self.part,
-                    placer = part,
+                    shard = self.shard,
+                    placer = shard,
                     "its placer has lost its part"
                 );
             }
@@ -37,7 +37,7 @@
             .askers
             .iter()
             .filter(|(_, a)| due(a))
-            .map(|(part, _)| *part)
+            .map(|(shard, _)| *shard)
             .collect();
         if lost.is_empty() {
             return;
@@ -68,7 +68,7 @@
             let Some(held) = self.held.get_mut(&id) else {
                 continue;
             };
-            info!(attempt = %id, machine = %held.want.machine, part = self.part, "its placer is gone; its room is free");
+            info!(attempt = %id, machine = %held.want.machine, shard = self.shard, "its placer is gone; its room is free");
             held.stage = Stage::Ended(AttemptState::Refused);
             let (machine, from) = (held.want.machine.clone(), held.from);
             self.dirty.insert(from);
--- a/crates/coordination/src/owner/preemption.rs
+++ b/crates/coordination/src/owner/preemption.rs
@@ -58,7 +58,7 @@
         self.pushed_out += victims.len() as u64;
         for victim in victims {
             if let Some(h) = self.held.get_mut(&victim) {
-                info!(attempt = %victim, machine = %want.machine, part = self.part, by = %id, "pushed out");
+                info!(attempt = %victim, machine = %want.machine, shard = self.shard, by = %id, "pushed out");
                 let grace = if want.rank == Priority::Production {
                     0
                 } else {
--- a/crates/coordination/src/owner/proof.rs
+++ b/crates/coordination/src/owner/proof.rs
@@ -71,7 +71,7 @@
                 let cache_mb = self.caches.get(&m.kind).copied().unwrap_or(u64::MAX);
                 m.remember_image(&image, mb, cache_mb);
             } else if fetches(m) && m.forget_image(&image) {
-                info!(machine = %machine, part = self.part, image, "image was noted and is not there");
+                info!(machine = %machine, shard = self.shard, image, "image was noted and is not there");
                 self.stale.insert(machine.clone());
             }
         }
@@ -112,7 +112,7 @@
             }
         }
         if let Stage::Ended(standing) = stage {
-            info!(attempt = %id, machine = %machine, part = self.part, ?standing, "attempt is over");
+            info!(attempt = %id, machine = %machine, shard = self.shard, ?standing, "attempt is over");
             self.refused += u64::from(standing == AttemptState::Refused);
             self.note_end(&machine, id, standing, now);
         }
@@ -291,13 +291,13 @@
             match (&mut m.aside, verdict) {
                 (None, FaultVerdict::Sound) => continue,
                 (Some(_), FaultVerdict::Sound) => {
-                    info!(machine = %id, part = self.part, "machine is taken up again");
+                    info!(machine = %id, shard = self.shard, "machine is taken up again");
                     m.aside = None;
                 }
                 (Some(aside), verdict) => aside.faulty = verdict == FaultVerdict::Faulty,
                 (None, verdict) => {
                     let jobs = self.faults.against(&id);
-                    warn!(machine = %id, part = self.part, ?verdict, ?jobs, "machine fails its tasks; set aside");
+                    warn!(machine = %id, shard = self.shard, ?verdict, ?jobs, "machine fails its tasks; set aside");
                     m.aside = Some(Quarantine::new(verdict == FaultVerdict::Faulty, now));
                 }
             }
--- a/crates/coordination/src/owner/reconciliation.rs
+++ b/crates/coordination/src/owner/reconciliation.rs
@@ -14,7 +14,7 @@
         if sync.to_token != self.token {
             return Err(SyncError::Token);
         }
-        if sync.from >= self.parts {
+        if sync.from >= self.shards {
             return Err(SyncError::Part);
         }
         let asker = self.askers.entry(sync.from).or_default();
@@ -220,7 +220,7 @@
     /// are what its tasks wait for.
     pub(super) fn view(&mut self, sync: &SyncRequest, mut room: usize) -> ShardView {
         self.refresh();
-        if self.askers.len() >= usize::from(self.parts) {
+        if self.askers.len() >= usize::from(self.shards) {
             // A placer that comes anew is told all from nothing.
             self.views
                 .forget(self.askers.values().map(|a| a.have).min().unwrap_or(0));
@@ -250,7 +250,7 @@
         }
         ShardView {
             version: PEER_VERSION,
-            part: self.part,
+            shard: self.shard,
             token: self.token,
             seq: sync.seq,
             store_age_ms: u64::MAX,
--- a/crates/coordination/src/placer/gangs.rs
+++ b/crates/coordination/src/placer/gangs.rs
@@ -64,7 +64,7 @@
             .filter(|l| !matches!(l.standing, Some(s) if !s.ended()))
             .map(|l| l.machine.clone())
             .collect();
-        info!(job = %id, part = self.part, ?why, live = job.live.len(), late = late.len(), "gang is released");
+        info!(job = %id, shard = self.shard, ?why, live = job.live.len(), late = late.len(), "gang is released");
         job.go_on(GangAdmissionStep::Released, wall);
         job.stop_all();
         // Guards against asking at once the same owner again that nothing is heard of.
--- a/crates/coordination/src/placer/headroom.rs
+++ b/crates/coordination/src/placer/headroom.rs
@@ -106,8 +106,8 @@
             }
         }
         // Only counted, not taken.
-        for (machine, part) in taken {
-            self.retake(&machine, part);
+        for (machine, shard) in taken {
+            self.retake(&machine, shard);
         }
         lacking
     }
--- a/crates/coordination/src/placer/mod.rs
+++ b/crates/coordination/src/placer/mod.rs
@@ -45,7 +45,7 @@
 use lemonweir_protocol::users::JobPhase;
 use lemonweir_storage::packed_chunk::chunk_value;
 use lemonweir_storage::records::{
-    JobEndRecord, JobRecord, TaskChunkRecord, end_key, job_key, part_key, run_key,
+    JobEndRecord, JobRecord, TaskChunkRecord, end_key, job_key, run_key, shard_key,
 };
 use lemonweir_storage::state_cache::CachedJob;
 
@@ -122,7 +122,7 @@
     /// What it is.
     pub rented: ProvisionedInstance,
     /// Its part.
-    pub part: u16,
+    pub shard: u16,
     /// When it was rented, ms.
     pub at: u64,
 }
@@ -166,7 +166,7 @@
 
 /// The placer of a part.
 pub struct Placer {
-    part: u16,
+    shard: u16,
     token: u64,
     jobs: BTreeMap<JobId, Job>,
     links: Vec<Link>,
@@ -262,7 +262,7 @@
 
 impl Placer {
     /// A placer that has just got its part.
-    pub fn new(part: u16, token: u64, parts: u16, terms: PlacerConfig, now: u64) -> Self {
+    pub fn new(shard: u16, token: u64, shards: u16, terms: PlacerConfig, now: u64) -> Self {
         let PlacerConfig {
             limits,
             guarantees,
@@ -275,17 +275,17 @@
             trade,
         } = terms;
         Self {
-            part,
+            shard,
             token,
             jobs: BTreeMap::new(),
             // A part's numbers rise over all its holders.
-            links: (0..parts)
+            links: (0..shards)
                 .map(|_| Link {
                     seq: token << FENCE_BITS,
                     ..Link::default()
                 })
                 .collect(),
-            fields: (0..parts).map(|p| fresh_field(part, p, parts)).collect(),
+            fields: (0..shards).map(|p| fresh_field(shard, p, shards)).collect(),
             on: HashMap::new(),
             unseen: HashMap::new(),
             usage: HashMap::new(),
@@ -297,7 +297,7 @@
             regauge: BTreeSet::new(),
             unsaved: BTreeMap::new(),
             notes: ChangeLog::default(),
-            hidden: (0..parts).map(|_| BTreeMap::new()).collect(),
+            hidden: (0..shards).map(|_| BTreeMap::new()).collect(),
             faults: FaultAttribution::default(),
             limits,
             guarantees,
@@ -337,7 +337,7 @@
             lacked_at: 0,
             placed_at: 0,
             moved_at: 0,
-            others_turn: part,
+            others_turn: shard,
             services: SupervisedServices::default(),
             fates: Vec::new(),
         }
@@ -414,16 +414,16 @@
                 self.on.remove(&live.machine);
             }
         }
-        self.saw(&live.machine, live.part, id, task);
+        self.saw(&live.machine, live.shard, id, task);
         Some(live)
     }
 
     /// A view has shown an attempt: from now on the machine's own figures
     /// count it.
-    fn saw(&mut self, machine: &MachineId, part: u16, id: &JobId, task: u32) {
+    fn saw(&mut self, machine: &MachineId, shard: u16, id: &JobId, task: u32) {
         if let Some(list) = self
             .links
-            .get_mut(usize::from(part))
+            .get_mut(usize::from(shard))
             .and_then(|l| l.uncounted.get_mut(machine))
         {
             list.retain(|(j, t)| (j, *t) != (id, task));
@@ -435,13 +435,13 @@
             if here.is_empty() {
                 self.unseen.remove(machine);
             }
-            self.retake(machine, part);
+            self.retake(machine, shard);
         }
     }
 
     /// What a machine's owner told, less what no view has shown yet.
-    fn retake(&mut self, machine: &MachineId, part: u16) {
-        let Some(field) = self.fields.get_mut(usize::from(part)) else {
+    fn retake(&mut self, machine: &MachineId, shard: u16) {
+        let Some(field) = self.fields.get_mut(usize::from(shard)) else {
             return;
         };
         let Some(i) = field.find(machine) else { return };
@@ -526,8 +526,8 @@
         if job.vanished() {
             self.unsaved.remove(id);
             self.changed.remove(id);
-            for (part, attempt) in std::mem::take(&mut job.told) {
-                self.links[usize::from(part)].wants.remove(&attempt);
+            for (shard, attempt) in std::mem::take(&mut job.told) {
+                self.links[usize::from(shard)].wants.remove(&attempt);
             }
             self.notes.erase(id);
             self.jobs.remove(id);
@@ -583,7 +583,7 @@
                 };
                 job.unheard = false;
                 if !job.over {
-                    info!(job = %id, part = self.part, live = job.live.len(), "job is over");
+                    info!(job = %id, shard = self.shard, live = job.live.len(), "job is over");
                     job.over = true;
                 }
             }
@@ -595,7 +595,7 @@
     /// transaction under way: no owner has heard of them.
     fn drop_unrecorded(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
-        info!(job = %id, part = self.part, live = job.live.len(), "job is withdrawn");
+        info!(job = %id, shard = self.shard, live = job.live.len(), "job is withdrawn");
         let writing = |task: &u32| {
             let chunk = task / CHUNK_TASKS;
             self.pending
@@ -628,7 +628,7 @@
         self.links
             .iter()
             .enumerate()
-            .map(move |(part, link)| (part as u16, age(link)))
+            .map(move |(shard, link)| (shard as u16, age(link)))
     }
 
     /// Words of bits and machines that this placer's walks have looked at.
@@ -690,8 +690,8 @@
     }
 
     /// Takes what an owner says of its zones out of sight.
-    fn take_hidden(&mut self, part: u16, told: Vec<PartitionedZone>, now: u64) {
-        let Some(before) = self.hidden.get_mut(usize::from(part)) else {
+    fn take_hidden(&mut self, shard: u16, told: Vec<PartitionedZone>, now: u64) {
+        let Some(before) = self.hidden.get_mut(usize::from(shard)) else {
             return;
         };
         let zone = |h: PartitionedZone| {
@@ -709,11 +709,15 @@
             return;
         }
         let before = std::mem::replace(before, after);
-        let after = &self.hidden[usize::from(part)];
+        let after = &self.hidden[usize::from(shard)];
         let turned = |zone: &String| before.contains_key(zone) != after.contains_key(zone);
         // What is told of their jobs changes, and where room may be asked for.
         for (id, job) in &self.jobs {
-            if job.live.values().any(|l| l.part == part && turned(&l.zone)) {
+            if job
+                .live
+                .values()
+                .any(|l| l.shard == shard && turned(&l.zone))
+            {
                 self.services.touch(id);
                 self.changed.insert(id.clone());
             }
@@ -738,7 +742,7 @@
 ) -> Option<(&'a String, &'a HiddenZone)> {
     job.live
         .values()
-        .find_map(|l| hidden.get(usize::from(l.part))?.get_key_value(&l.zone))
+        .find_map(|l| hidden.get(usize::from(l.shard))?.get_key_value(&l.zone))
 }
 
 /// Tasks of a job that run, and why the others wait or may not be what they
@@ -754,10 +758,10 @@
 }
 
 /// A field that nothing was told of yet.
-fn fresh_field(own: u16, part: u16, parts: u16) -> PlacementIndex {
+fn fresh_field(own: u16, shard: u16, shards: u16) -> PlacementIndex {
     PlacementIndex::begins_at(
-        usize::from((part + parts - own % parts.max(1)) % parts.max(1)),
-        usize::from(parts),
+        usize::from((shard + shards - own % shards.max(1)) % shards.max(1)),
+        usize::from(shards),
     )
 }
 
@@ -812,12 +816,12 @@
             evict: l.evict,
             ..want(id, &l.machine)
         };
-        wants.push((l.part, want));
+        wants.push((l.shard, want));
     }
     wants.extend(
         job.ending
             .iter()
-            .map(|e| (e.part, want(e.id.clone(), &e.machine))),
+            .map(|e| (e.shard, want(e.id.clone(), &e.machine))),
     );
     wants
 }
--- a/crates/coordination/src/placer/placing.rs
+++ b/crates/coordination/src/placer/placing.rs
@@ -441,7 +441,7 @@
         } else {
             HashMap::new()
         };
-        let order = self.parts_order();
+        let order = self.shards_order();
         // Where something else ran well of late, a suspect's failure tells most.
         let trusted = suspect.then(|| self.faults.trusted(now));
         let among = if suspect {
@@ -540,7 +540,7 @@
                 .then(|| GangAdmission::planned(attempt, now + self.wall_offset_ms));
             for (task, p, i, evict, warm) in chosen {
                 let slot = &self.fields[p].slots[i];
-                if p != usize::from(self.part) {
+                if p != usize::from(self.shard) {
                     self.others_turn = p as u16;
                 }
                 let Some(job) = self.jobs.get_mut(id) else {
@@ -553,11 +553,11 @@
                         chunk.step = change;
                     }
                 }
-                info!(job = %id, task, attempt, machine = %slot.id, part = p, warm, ?evict, "placed");
+                info!(job = %id, task, attempt, machine = %slot.id, shard = p, warm, ?evict, "placed");
                 let live = LiveAttempt {
                     attempt,
                     machine: slot.id.clone(),
-                    part: p as u16,
+                    shard: p as u16,
                     zone: slot.zone.clone(),
                     change,
                     standing: None,
--- a/crates/coordination/src/placer/preemption.rs
+++ b/crates/coordination/src/placer/preemption.rs
@@ -26,7 +26,7 @@
                 _ => Vec::new(),
             };
             for t in &tries {
-                info!(job = %id, part = self.part, what = t.what, "tried another way");
+                info!(job = %id, shard = self.shard, what = t.what, "tried another way");
             }
             self.services.looked(&id, tries, now);
         }
@@ -58,7 +58,7 @@
             };
             let late = job.live.iter().filter(|(_, l)| coming(l)).filter(|(_, l)| {
                 // Fetches beside it take their share of the rate.
-                let field = self.fields.get(usize::from(l.part));
+                let field = self.fields.get(usize::from(l.shard));
                 let beside = field
                     .and_then(|f| f.find(&l.machine).map(|i| f.slots[i].fetches))
                     .unwrap_or(0);
@@ -85,7 +85,7 @@
                 allowed_zones(spec, here.as_deref(), &per_zone, job.tasks, &self.fields),
                 &avoid,
             );
-            let order = self.parts_order();
+            let order = self.shards_order();
             let weighed = self.weigh(id, Some(task), &ask, &order, now);
             let mut warm = classes(&self.trade, &weighed.stakes);
             warm.retain(|c| c.near == ImageLocality::Here);
@@ -113,8 +113,8 @@
             }
         }
         // Only counted: it is placed once its old attempt is proven over.
-        for (machine, part) in taken {
-            self.retake(&machine, part);
+        for (machine, shard) in taken {
+            self.retake(&machine, shard);
         }
         if !tries.is_empty() {
             self.settle(id, now);
--- a/crates/coordination/src/placer/rebalancing.rs
+++ b/crates/coordination/src/placer/rebalancing.rs
@@ -14,7 +14,7 @@
     pub fn consolidate(&mut self, now: u64, time_of_day: u64) {
         let turn = time_of_day / MOVE_GAP_MS % self.links.len() as u64;
         let settled = time_of_day % MOVE_GAP_MS < MOVE_GAP_MS / 2;
-        if turn != u64::from(self.part)
+        if turn != u64::from(self.shard)
             || !settled
             || now < self.lacked_at.max(self.placed_at) + QUIET_MS
             || now < self.moved_at + MOVE_GAP_MS
@@ -75,15 +75,15 @@
                 leaving.pop();
             }
         }
-        for (machine, part) in taken {
-            self.retake(&machine, part);
+        for (machine, shard) in taken {
+            self.retake(&machine, shard);
         }
         if leaving.is_empty() {
             self.better_places(left, now);
         }
         for machine in leaving {
             self.moved_at = now;
-            info!(machine = %machine, part = self.part, "moving its replicas together with others");
+            info!(machine = %machine, shard = self.shard, "moving its replicas together with others");
             self.clear_of_replicas(&machine, now);
         }
     }
@@ -125,12 +125,12 @@
                 moves.push((id, task, class));
             }
         }
-        for (machine, part) in taken {
-            self.retake(&machine, part);
+        for (machine, shard) in taken {
+            self.retake(&machine, shard);
         }
         for (id, task, class) in moves {
             self.moved_at = now;
-            info!(job = %id, task, part = self.part, near = ?class.near, "moving a replica to a better place");
+            info!(job = %id, task, shard = self.shard, near = ?class.near, "moving a replica to a better place");
             if let Some(job) = self.jobs.get_mut(&id) {
                 job.trading = true;
                 if let Some(l) = job.live.get_mut(&task) {
@@ -220,7 +220,7 @@
         );
         // A start that is told through the store is no quiet move.
         let order: Vec<(usize, bool)> = self
-            .parts_order()
+            .shards_order()
             .into_iter()
             .filter(|(_, mail)| !mail)
             .collect();
@@ -284,7 +284,7 @@
             let (need, image) = (job.need, spec.image.clone());
             let zones = allowed_zones(spec, None, &per_zone, job.tasks, &self.fields);
             let ask = replica_ask(spec, zones, leaving);
-            let order = self.parts_order();
+            let order = self.shards_order();
             let weighed = self.weigh(&id, Some(task), &ask, &order, now);
             let mut warm = classes(&self.trade, &weighed.stakes);
             // Guards against a machine emptied at the price of a service that lies in
@@ -304,8 +304,8 @@
             // Guards against others taking that room meanwhile: another place
             // must be left, or the replica would wait for a fetch.
             let Some((p, i)) = found.filter(|&(p, i)| self.room_besides(&ask, p, i)) else {
-                for (machine, part) in taken.drain(before..) {
-                    self.retake(&machine, part);
+                for (machine, shard) in taken.drain(before..) {
+                    self.retake(&machine, shard);
                 }
                 return false;
             };
--- a/crates/coordination/src/placer/reconciliation.rs
+++ b/crates/coordination/src/placer/reconciliation.rs
@@ -32,17 +32,17 @@
             };
             let wants = wants_of(&id, job);
             let told: HashSet<&AttemptId> = wants.iter().map(|(_, w)| &w.id).collect();
-            for (part, attempt) in &job.told {
+            for (shard, attempt) in &job.told {
                 if !told.contains(attempt) {
-                    self.links[usize::from(*part)].wants.remove(attempt);
+                    self.links[usize::from(*shard)].wants.remove(attempt);
                 }
             }
             job.told = wants
                 .iter()
-                .map(|(part, w)| (*part, w.id.clone()))
+                .map(|(shard, w)| (*shard, w.id.clone()))
                 .collect();
-            for (part, want) in wants {
-                self.links[usize::from(part)]
+            for (shard, want) in wants {
+                self.links[usize::from(shard)]
                     .wants
                     .put(&want.id.clone(), want);
             }
@@ -172,7 +172,7 @@
         let rented = self
             .promises
             .iter()
-            .filter(|p| p.part == to)
+            .filter(|p| p.shard == to)
             .map(|p| ProvisionedInstance {
                 age_ms: now.saturating_sub(p.at),
                 ..p.rented.clone()
@@ -181,7 +181,7 @@
         let field = &self.fields[usize::from(to)];
         SyncRequest {
             version: PEER_VERSION,
-            from: self.part,
+            from: self.shard,
             from_token: self.token,
             to,
             to_token,
@@ -212,7 +212,7 @@
 
     /// An owner answered; true if something changed that placing should see.
     pub fn take_view(&mut self, mut view: ShardView, now: u64) -> bool {
-        let Some(link) = self.links.get_mut(usize::from(view.part)) else {
+        let Some(link) = self.links.get_mut(usize::from(view.shard)) else {
             return false;
         };
         if view.token < link.token || view.token == link.token && view.seq <= link.got {
@@ -225,8 +225,8 @@
         }
         if view.seq > link.seq || view.token == link.to_token && view.wants_at > link.wants.last() {
             warn!(
-                part = self.part,
-                from = view.part,
+                shard = self.shard,
+                from = view.shard,
                 "a view with numbers that were never given; not taken"
             );
             return false;
@@ -236,8 +236,8 @@
         }
         link.got = view.seq;
         link.told_at = Some(now);
-        self.take_hidden(view.part, std::mem::take(&mut view.hidden), now);
-        let Some(link) = self.links.get_mut(usize::from(view.part)) else {
+        self.take_hidden(view.shard, std::mem::take(&mut view.hidden), now);
+        let Some(link) = self.links.get_mut(usize::from(view.shard)) else {
             return false;
         };
         if view.token == link.to_token {
@@ -263,55 +263,55 @@
         }
         if attempts.is_some() {
             for a in &view.attempts {
-                self.moved_on(&a.id, a.standing, view.part, now);
+                self.moved_on(&a.id, a.standing, view.shard, now);
             }
         }
-        let part = view.part;
+        let shard = view.shard;
         let news = !view.machines.is_empty() || !view.gone.is_empty() || !view.attempts.is_empty();
         match machines {
             Some(Continuation::Anew) => {
-                self.fields[usize::from(part)] =
-                    fresh_field(self.part, part, self.links.len() as u16);
+                self.fields[usize::from(shard)] =
+                    fresh_field(self.shard, shard, self.links.len() as u16);
             }
             Some(Continuation::On) => {}
             None => return news,
         }
         for id in &view.gone {
-            self.fields[usize::from(part)].remove(id);
+            self.fields[usize::from(shard)].remove(id);
         }
         for m in view.machines {
             let (id, leaving) = (m.id.clone(), m.leaving);
             let cache_mb = self.caches.get(&m.kind).copied().unwrap_or(u64::MAX);
             let spare_mb = self.book.spare_mb(&m.images, cache_mb);
-            let field = &mut self.fields[usize::from(part)];
+            let field = &mut self.fields[usize::from(shard)];
             field.set(m);
             field.set_spare(&id, spare_mb);
-            self.count(&id, part);
+            self.count(&id, shard);
             if leaving {
-                self.empty(&id, part, now);
+                self.empty(&id, shard, now);
             }
         }
         if view.machines_span.last {
             // All figures are as new as what was told of the attempts.
-            let machines: Vec<MachineId> = self.links[usize::from(part)]
+            let machines: Vec<MachineId> = self.links[usize::from(shard)]
                 .uncounted
                 .keys()
                 .cloned()
                 .collect();
             for id in machines {
-                self.count(&id, part);
+                self.count(&id, shard);
             }
         }
-        let field = &self.fields[usize::from(part)];
+        let field = &self.fields[usize::from(shard)];
         self.promises
-            .retain(|p| p.part != part || field.find(&p.rented.machine).is_none());
+            .retain(|p| p.shard != shard || field.find(&p.rented.machine).is_none());
         self.place_again |= news;
         news
     }
 
     /// The figures of a machine now hold the attempts that its owner has taken.
-    pub(super) fn count(&mut self, machine: &MachineId, part: u16) {
-        let counted = self.links[usize::from(part)]
+    pub(super) fn count(&mut self, machine: &MachineId, shard: u16) {
+        let counted = self.links[usize::from(shard)]
             .uncounted
             .remove(machine)
             .unwrap_or_default();
@@ -321,18 +321,24 @@
                 self.unseen.remove(machine);
             }
         }
-        self.retake(machine, part);
+        self.retake(machine, shard);
     }
 
     /// An attempt stands differently.
-    pub(super) fn moved_on(&mut self, id: &AttemptId, standing: AttemptState, part: u16, now: u64) {
+    pub(super) fn moved_on(
+        &mut self,
+        id: &AttemptId,
+        standing: AttemptState,
+        shard: u16,
+        now: u64,
+    ) {
         let Some(job) = self.jobs.get_mut(&id.job) else {
             return;
         };
         let Some(live) = job
             .live
             .get_mut(&id.task)
-            .filter(|l| l.attempt == id.attempt && l.part == part)
+            .filter(|l| l.attempt == id.attempt && l.shard == shard)
         else {
             return;
         };
@@ -355,7 +361,7 @@
             if first {
                 // Guards against placing twice on the same room: the machine's
                 // own figures may come in a later message than this.
-                self.links[usize::from(part)]
+                self.links[usize::from(shard)]
                     .uncounted
                     .entry(machine)
                     .or_default()
@@ -373,7 +379,7 @@
 
     /// The tasks of a machine that leaves are moved, with a save; the tasks of
     /// a gang all of them.
-    pub(super) fn empty(&mut self, machine: &MachineId, part: u16, now: u64) {
+    pub(super) fn empty(&mut self, machine: &MachineId, shard: u16, now: u64) {
         let ids: BTreeSet<JobId> = self
             .on
             .get(machine)
@@ -392,7 +398,7 @@
             for l in job
                 .live
                 .values_mut()
-                .filter(|l| gang || l.part == part && &l.machine == machine)
+                .filter(|l| gang || l.shard == shard && &l.machine == machine)
             {
                 l.kill.get_or_insert(grace);
             }
@@ -411,7 +417,7 @@
         job.ending.push(EndingAttempt {
             id: id.clone(),
             machine: live.machine.clone(),
-            part: live.part,
+            shard: live.shard,
             change,
         });
         job.wait_again(id.task);
@@ -443,7 +449,7 @@
                 // comes through the store, behind what others have taken.
                 let by_mail = self
                     .links
-                    .get(usize::from(live.part))
+                    .get(usize::from(live.shard))
                     .is_some_and(|l| l.by_mail);
                 job.not_before = now
                     + if by_mail {
@@ -518,9 +524,9 @@
                 continue;
             };
             if job.suspect.is_none() {
-                info!(job = %id, part = self.part, machines = suspect, "job is the suspect; one try at a time");
+                info!(job = %id, shard = self.shard, machines = suspect, "job is the suspect; one try at a time");
             } else if suspect.is_none() {
-                info!(job = %id, part = self.part, "job is no suspect any more");
+                info!(job = %id, shard = self.shard, "job is no suspect any more");
                 job.not_before = 0;
                 self.place_again = true;
             }
--- a/crates/coordination/src/placer/records.rs
+++ b/crates/coordination/src/placer/records.rs
@@ -45,16 +45,16 @@
                 job.set_done(task);
             }
         }
-        let parts = self.links.len();
+        let shards = self.links.len();
         for l in record
             .live
             .iter()
-            .filter(|l| (first..end).contains(&l.t) && usize::from(l.p) < parts)
+            .filter(|l| (first..end).contains(&l.t) && usize::from(l.p) < shards)
         {
             let live = LiveAttempt {
                 attempt: l.a,
                 machine: l.m.clone(),
-                part: l.p,
+                shard: l.p,
                 zone: l.z.clone(),
                 change: 0,
                 standing: None,
@@ -69,8 +69,8 @@
     }
 
     /// Token of the owner of a part that was last told what is wanted there.
-    pub(crate) fn wants_told_to(&self, part: u16) -> Option<u64> {
-        self.links.get(usize::from(part)).map(|link| link.to_token)
+    pub(crate) fn wants_told_to(&self, shard: u16) -> Option<u64> {
+        self.links.get(usize::from(shard)).map(|link| link.to_token)
     }
 
     /// A key of ours was read again after a conflict.
@@ -100,7 +100,7 @@
     /// gangs go first, then ends of withdrawn jobs, by age, then starts, by priority, then
     /// ends of jobs that are done; what only records that attempts ended waits for company, so that one writing of a chunk tells
     /// of many: nothing depends on it but a successor's start.
-    pub fn next_txn(&mut self, now: u64) -> Option<CompareAndSwap> {
+    pub fn next_cas(&mut self, now: u64) -> Option<CompareAndSwap> {
         if self.pending.is_some() || self.unsaved.is_empty() {
             return None;
         }
@@ -156,9 +156,9 @@
             return None;
         }
         due.sort_unstable();
-        let mut txn = CompareAndSwap {
+        let mut cas = CompareAndSwap {
             conditions: vec![Condition {
-                key: part_key(self.part),
+                key: shard_key(self.shard),
                 version: self.token,
             }],
             writes: Vec::new(),
@@ -170,16 +170,16 @@
                 continue;
             };
             if let Some(phase) = job.finished() {
-                if txn.writes.len() + 2 > self.txn_ops || pending.records() >= self.records_at_once
+                if cas.writes.len() + 2 > self.txn_ops || pending.records() >= self.records_at_once
                 {
                     break;
                 }
-                txn.conditions.push(Condition {
+                cas.conditions.push(Condition {
                     key: job_key(id),
                     version: job.version,
                 });
-                txn.writes.push(Write::Delete { key: job_key(id) });
-                txn.writes
+                cas.writes.push(Write::Delete { key: job_key(id) });
+                cas.writes
                     .push(Write::put(end_key(id), &JobEndRecord { phase }));
                 pending.ends.push((id.clone(), phase));
                 pending.jobs.push((id.clone(), job.version));
@@ -188,7 +188,7 @@
             }
             // Guards against a gang that is recorded or admitted by halves where one
             // transaction can hold all of it.
-            if !txn.writes.is_empty() && self.splits(job, txn.writes.len(), bytes) {
+            if !cas.writes.is_empty() && self.splits(job, cas.writes.len(), bytes) {
                 break;
             }
             // Guards against starts that wait behind ends of earlier chunks, which
@@ -199,8 +199,8 @@
                     .filter(move |(_, c)| c.unsaved() && c.start_unwritten() == first)
             };
             for (&index, chunk) in starts(true).chain(starts(false)) {
-                let full = txn.conditions.len() + 2 > CONDITIONS_A_CHANGE * self.txn_ops;
-                if txn.writes.len() + 1 > self.txn_ops
+                let full = cas.conditions.len() + 2 > CONDITIONS_A_CHANGE * self.txn_ops;
+                if cas.writes.len() + 1 > self.txn_ops
                     || full
                     || bytes > TXN_BYTES
                     || pending.records() >= self.records_at_once
@@ -224,18 +224,18 @@
                 idle += usize::from(turn >= Turn::IdleStart);
                 let record = job.chunk_record(index);
                 let empty = job.over && record.live.is_empty();
-                let key = run_key(self.part, id, index);
+                let key = run_key(self.shard, id, index);
                 if empty && chunk.version == 0 {
                     // Guards against a chunk that stays for ever, since the answer to
                     // its creation was lost: now that the job is over it can't be made
                     // any more, so that a comparison tells.
                     if chunk.unsure {
-                        txn.conditions.push(Condition { key, version: 0 });
+                        cas.conditions.push(Condition { key, version: 0 });
                     }
                     pending.chunks.push((id.clone(), index, chunk.change, true));
                     continue;
                 }
-                txn.conditions.push(Condition {
+                cas.conditions.push(Condition {
                     key: key.clone(),
                     version: chunk.version,
                 });
@@ -244,7 +244,7 @@
                 // and an attempt that nobody knows would come back. A job's key never
                 // has the same version twice.
                 if creates && pending.jobs.last().is_none_or(|(last, _)| last != id) {
-                    txn.conditions.push(Condition {
+                    cas.conditions.push(Condition {
                         key: job_key(id),
                         version: job.version,
                     });
@@ -252,12 +252,12 @@
                     bytes += RECORD_BYTES;
                 }
                 if empty {
-                    txn.writes.push(Write::Delete { key });
+                    cas.writes.push(Write::Delete { key });
                 } else {
                     bytes += RECORD_BYTES
                         + record.live.len() * LIVE_BYTES
                         + record.done.len() * RANGE_BYTES;
-                    txn.writes.push(Write::Put {
+                    cas.writes.push(Write::Put {
                         key,
                         value: chunk_value(&record, self.records_version),
                         hold: None,
@@ -268,17 +268,17 @@
                     .push((id.clone(), index, chunk.change, empty));
             }
         }
-        if txn.writes.is_empty() && txn.conditions.len() == 1 {
+        if cas.writes.is_empty() && cas.conditions.len() == 1 {
             // Nothing to write: what was to be removed was never there.
             self.apply_saved(&pending, 0, now);
             return None;
         }
         // Idle work writes what its placer's own share has left: others' stay theirs.
         // A busy while is not held against it for long.
-        let paid = self.idle_after.max(now) + (1_000 * txn.writes.len() / self.idle_writes) as u64;
+        let paid = self.idle_after.max(now) + (1_000 * cas.writes.len() / self.idle_writes) as u64;
         self.idle_after = paid.min(now + 1_000 * IDLE_AHEAD_S as u64);
         self.pending = Some(pending);
-        Some(txn)
+        Some(cas)
     }
 
     /// True if a gang's step would not fit what is left of a transaction, but fits
@@ -343,7 +343,7 @@
             .map(|(id, ..)| id)
             .chain(pending.ends.iter().map(|(id, _)| id));
         for id in ids {
-            warn!(job = %id, part = self.part, "the store refuses its record; it is tried again later");
+            warn!(job = %id, shard = self.shard, "the store refuses its record; it is tried again later");
             if let Some(job) = self.jobs.get_mut(id) {
                 job.write_after = now + REFUSED_RECORD_MS;
             }
@@ -351,7 +351,7 @@
     }
 
     /// A transaction ended. Returns the jobs whose end is now written.
-    pub fn txn_done(
+    pub fn cas_done(
         &mut self,
         outcome: CompareAndSwapOutcome,
         now: u64,
@@ -366,7 +366,7 @@
                 let ends: Vec<(JobId, JobPhase)> = pending.ends;
                 for (id, phase) in &ends {
                     if let Some(job) = self.jobs.get_mut(id) {
-                        info!(job = %id, part = self.part, ?phase, "job is over");
+                        info!(job = %id, shard = self.shard, ?phase, "job is over");
                         job.over = true;
                         let indices: Vec<u32> = job.chunks.keys().copied().collect();
                         for index in indices {
@@ -378,7 +378,7 @@
                 }
                 (ShardOwnership::Fine, ends)
             }
-            CompareAndSwapOutcome::Conflict(keys) if keys.contains(&part_key(self.part)) => {
+            CompareAndSwapOutcome::Conflict(keys) if keys.contains(&shard_key(self.shard)) => {
                 (ShardOwnership::Lost, Vec::new())
             }
             CompareAndSwapOutcome::Conflict(keys) => {
--- a/crates/coordination/src/placer/scoring.rs
+++ b/crates/coordination/src/placer/scoring.rs
@@ -14,8 +14,8 @@
     /// The parts in the order in which machines are looked for: our own, then others
     /// in turn, and at the end those whose owner is told through the store, since a
     /// start there is a second or two later; these are marked.
-    pub(super) fn parts_order(&self) -> Vec<(usize, bool)> {
-        let (own, n) = (usize::from(self.part), self.fields.len() as u16);
+    pub(super) fn shards_order(&self) -> Vec<(usize, bool)> {
+        let (own, n) = (usize::from(self.shard), self.fields.len() as u16);
         let others = (1..=n)
             .map(|k| usize::from((self.others_turn + k) % n))
             .filter(|&p| p != own);
@@ -78,7 +78,7 @@
         stakes.kin = true;
         if spec.spot {
             let on_spot = |l: &LiveAttempt| {
-                let field = self.fields.get(usize::from(l.part));
+                let field = self.fields.get(usize::from(l.shard));
                 field
                     .and_then(|f| f.find(&l.machine).map(|i| f.slots[i].spot))
                     .unwrap_or(false)
--- a/crates/coordination/src/placer/supervision.rs
+++ b/crates/coordination/src/placer/supervision.rs
@@ -2,12 +2,12 @@
 
 use super::placing::{AT_LIMIT, NO_ROOM};
 use super::*;
+use crate::supervision::failover::Failover;
 use crate::supervision::services::{RecoveryActivity, ServiceObservation};
-use crate::supervision::takeover::Failover;
 
 impl Placer {
     /// Looks at the services that something happened to.
-    pub(crate) fn look(&mut self, takeover: &mut Failover, now: u64) {
+    pub(crate) fn look(&mut self, failover: &mut Failover, now: u64) {
         for fate in std::mem::take(&mut self.fates) {
             match fate {
                 TaskFate::Ran(id, task, ours) => {
@@ -17,16 +17,16 @@
                         .filter(|j| j.lasting())
                         .and_then(Job::spec)
                         .map(|s| s.class.as_str());
-                    takeover.ran(&id, task, class, ours, now);
+                    failover.ran(&id, task, class, ours, now);
                 }
-                TaskFate::Lost(id, task) => takeover.lost(&id, task, now),
+                TaskFate::Lost(id, task) => failover.lost(&id, task, now),
             }
         }
         for id in self.services.take_touched() {
             let seen = self.jobs.get(&id).and_then(|job| self.seen(job, now));
             let suspect = self.jobs.get(&id).is_some_and(|j| j.suspect.is_some());
             if suspect || seen.as_ref().is_none_or(|s| s.up >= s.promised) {
-                takeover.done(&id, now);
+                failover.done(&id, now);
             }
             self.services.set(&id, seen, now);
         }
@@ -41,7 +41,7 @@
         for (&task, l) in &job.live {
             if let Some(zone) = self
                 .hidden
-                .get(usize::from(l.part))
+                .get(usize::from(l.shard))
                 .and_then(|zones| zones.get(&l.zone))
             {
                 hidden = hidden.max(Some(zone.over_at));
@@ -113,8 +113,8 @@
 
     /// Replicas, other tasks and machines that are up in a part, as far as its
     /// owner told.
-    pub(crate) fn known_up(&self, part: u16) -> Option<(u32, u32, u32)> {
-        let field = self.fields.get(usize::from(part))?;
+    pub(crate) fn known_up(&self, shard: u16) -> Option<(u32, u32, u32)> {
+        let field = self.fields.get(usize::from(shard))?;
         let up = field.machines().filter(|m| m.up);
         let sum = |(replicas, others, machines), m: &lemonweir_protocol::peer::MachineView| {
             let lasting = u32::from(m.lasting);
--- a/crates/coordination/src/supervision/entries.rs
+++ b/crates/coordination/src/supervision/entries.rs
@@ -1,11 +1,11 @@
 //! Entries of changes of hands: written with each, closed in spare writes.
 
 use crate::election::ElectionAction;
-use crate::supervision::takeover::{Failover, left_open};
+use crate::supervision::failover::{Failover, left_open};
 use crate::{Core, Effect, ShardLease};
 use lemonweir_protocol::kv_store::{CompareAndSwap, Condition};
 use lemonweir_storage::failovers::{FailoverRecord, LeadershipChange, NewFailover};
-use lemonweir_storage::records::{hand_back, leave_part, part_key, take_part};
+use lemonweir_storage::records::{acquire_shard, cede_shard, release_shard, shard_key};
 
 impl Core {
     /// The transaction that does what a claim says, with the entry that tells of
@@ -22,40 +22,40 @@
     ) -> CompareAndSwap {
         let me = &self.config.members[usize::from(self.config.me)];
         match *claim {
-            ElectionAction::Take { part, version } => {
+            ElectionAction::Take { shard, version } => {
                 let how = if version == 0 {
                     LeadershipChange::Vacant
                 } else {
                     LeadershipChange::Reborn
                 };
-                take_part(version, &me.host, hold, &self.entry(part, how, now))
+                acquire_shard(version, &me.host, hold, &self.entry(shard, how, now))
             }
-            ElectionAction::HandBack(lot) => {
-                let mut txn = hand_back(
-                    lot.token,
-                    &self.entry(lot.part, LeadershipChange::HandedBack, now),
+            ElectionAction::HandBack(lease) => {
+                let mut cas = release_shard(
+                    lease.token,
+                    &self.entry(lease.shard, LeadershipChange::HandedBack, now),
                 );
-                self.close_now(lot, &mut txn, now);
-                txn
+                self.close_now(lease, &mut cas, now);
+                cas
             }
-            ElectionAction::Leave(lot) => {
-                let entry = self.entry(lot.part, LeadershipChange::Left, now);
-                let mut txn = leave_part(lot.token, &entry, &me.host, &me.zone, hold, left);
-                self.close_now(lot, &mut txn, now);
-                txn
+            ElectionAction::Leave(lease) => {
+                let entry = self.entry(lease.shard, LeadershipChange::Left, now);
+                let mut cas = cede_shard(lease.token, &entry, &me.host, &me.zone, hold, left);
+                self.close_now(lease, &mut cas, now);
+                cas
             }
         }
     }
 
     /// The entry of a change of hands that is made now.
-    fn entry(&self, part: u16, how: LeadershipChange, now: u64) -> NewFailover {
+    fn entry(&self, shard: u16, how: LeadershipChange, now: u64) -> NewFailover {
         let me = &self.config.members[usize::from(self.config.me)].host;
-        let (n, slot_version) = self.mirror.handovers.next(part);
+        let (n, slot_version) = self.cache.failovers.next(shard);
         let (from, to) = match how {
             LeadershipChange::Vacant => (
-                self.mirror
-                    .handovers
-                    .of(part)
+                self.cache
+                    .failovers
+                    .of(shard)
                     .last()
                     .and_then(|(r, _)| r.last_holder().cloned()),
                 Some(me.clone()),
@@ -64,8 +64,11 @@
             _ => (Some(me.clone()), None),
         };
         // Its own placer knows best what is up, another's from its copy.
-        let knows = self.parts.get(&part).or_else(|| self.parts.values().next());
-        let up = knows.and_then(|p| p.placer.known_up(part));
+        let knows = self
+            .shards
+            .get(&shard)
+            .or_else(|| self.shards.values().next());
+        let up = knows.and_then(|p| p.placer.known_up(shard));
         let record = FailoverRecord {
             n,
             from,
@@ -76,55 +79,55 @@
             closed: None,
         };
         NewFailover {
-            part,
+            shard,
             slot_version,
             record,
         }
     }
 
     /// Closes a part's open entry with what is known, as it is given up.
-    fn close_now(&self, lot: ShardLease, txn: &mut CompareAndSwap, now: u64) {
+    fn close_now(&self, lease: ShardLease, cas: &mut CompareAndSwap, now: u64) {
         let me = &self.config.members[usize::from(self.config.me)].host;
-        let takeover = self
-            .parts
-            .get(&lot.part)
-            .filter(|p| p.lot == lot)
-            .map(|p| &p.takeover);
-        let Some((takeover, number)) = takeover.and_then(|t| Some((t, t.entry()?))) else {
+        let failover = self
+            .shards
+            .get(&lease.shard)
+            .filter(|p| p.lease == lease)
+            .map(|p| &p.failover);
+        let Some((failover, number)) = failover.and_then(|t| Some((t, t.entry()?))) else {
             return;
         };
         // Its slot may be the one that the new entry takes.
-        let key = |n: &NewFailover| lemonweir_storage::failovers::handover_key(n.part, n.record.n);
+        let key = |n: &NewFailover| lemonweir_storage::failovers::failover_key(n.shard, n.record.n);
         if let Some(mut entry) = self
-            .mirror
-            .handovers
-            .again(lot.part, number)
+            .cache
+            .failovers
+            .again(lease.shard, number)
             .filter(|e| e.record.open())
         {
-            if txn.conditions.iter().any(|c| c.key == key(&entry)) {
+            if cas.conditions.iter().any(|c| c.key == key(&entry)) {
                 return;
             }
-            entry.record.closed = Some(takeover.closing(me, now));
-            entry.join(txn);
+            entry.record.closed = Some(failover.closing(me, now));
+            entry.join(cas);
         }
     }
 
     /// What was found after a part was taken is kept from now on.
-    pub(crate) fn begin_takeover(&mut self, lot: ShardLease, now: u64) {
+    pub(crate) fn begin_takeover(&mut self, lease: ShardLease, now: u64) {
         let entry = self
-            .mirror
-            .handovers
-            .of(lot.part)
+            .cache
+            .failovers
+            .of(lease.shard)
             .into_iter()
-            .find(|(_, version)| *version == lot.token)
+            .find(|(_, version)| *version == lease.token)
             .map(|(r, _)| (r.n, r.at));
         let began = entry.map_or(now, |(_, at)| {
             at.saturating_sub(self.config.wall_offset_ms).min(now)
         });
-        if let Some(part) = self.parts.get_mut(&lot.part) {
-            part.placer.look(&mut part.takeover, now);
-            let awaited = part.placer.services.short().clone();
-            part.takeover = Failover::new(entry.map(|(n, _)| n), lot.token, began, awaited, now);
+        if let Some(shard) = self.shards.get_mut(&lease.shard) {
+            shard.placer.look(&mut shard.failover, now);
+            let awaited = shard.placer.services.short().clone();
+            shard.failover = Failover::new(entry.map(|(n, _)| n), lease.token, began, awaited, now);
         }
     }
 
@@ -132,33 +135,33 @@
     /// entry once it is time and the store's changes are to spare.
     pub(crate) fn pump_watch(&mut self, index: u16, now: u64, effects: &mut Vec<Effect>) {
         let me = &self.config.members[usize::from(self.config.me)].host;
-        let Some(part) = self.parts.get_mut(&index) else {
+        let Some(shard) = self.shards.get_mut(&index) else {
             return;
         };
-        part.placer.look(&mut part.takeover, now);
-        part.placer.escalate(&part.shortage, now);
-        let Some(number) = part.takeover.due(now) else {
+        shard.placer.look(&mut shard.failover, now);
+        shard.placer.escalate(&shard.shortage, now);
+        let Some(number) = shard.failover.due(now) else {
             return;
         };
-        let rings = &self.mirror.handovers;
+        let rings = &self.cache.failovers;
         let Some(mut entry) = rings.again(index, number).filter(|e| e.record.open()) else {
             // Closed, as the copy shows, or the ring has come round.
-            return part.takeover.closed();
+            return shard.failover.closed();
         };
         // Guards against a note that takes a start's turn.
-        if part.placer.starts_wait() {
+        if shard.placer.starts_wait() {
             return;
         }
-        part.takeover.tried(now);
-        entry.record.closed = Some(part.takeover.closing(me, now));
-        let mut txn = CompareAndSwap {
+        shard.failover.tried(now);
+        entry.record.closed = Some(shard.failover.closing(me, now));
+        let mut cas = CompareAndSwap {
             conditions: vec![Condition {
-                key: part_key(index),
-                version: part.lot.token,
+                key: shard_key(index),
+                version: shard.lease.token,
             }],
             writes: Vec::new(),
         };
-        entry.join(&mut txn);
+        entry.join(&mut cas);
         // Those that earlier holders left open, each with when it was over.
         let all = rings.of(index);
         for (i, (record, version)) in all
@@ -166,7 +169,7 @@
             .enumerate()
             .filter(|(_, (r, _))| r.n < number && r.open())
         {
-            if txn.writes.len() >= self.config.txn_ops {
+            if cas.writes.len() >= self.config.txn_ops {
                 break;
             }
             let held_ms = all
@@ -179,12 +182,12 @@
                 ..(*record).clone()
             };
             NewFailover {
-                part: index,
+                shard: index,
                 slot_version: *version,
                 record,
             }
-            .join(&mut txn);
+            .join(&mut cas);
         }
-        effects.push(Effect::Note(txn));
+        effects.push(Effect::Note(cas));
     }
 }
--- a/crates/coordination/src/supervision/picture.rs
+++ b/crates/coordination/src/supervision/picture.rs
@@ -36,35 +36,35 @@
             .get(usize::from(self.config.me))
             .map(|m| m.host.clone())
             .unwrap_or_default();
-        (me, self.mirror.revision.map(|_| self.links.store_age(now)))
+        (me, self.cache.revision.map(|_| self.links.store_age(now)))
     }
 
     /// The state of parts and services. Walks all jobs: for operators' questions.
     pub fn watch(&self, now: u64) -> SupervisionReport {
         let (host, age_ms) = self.told_by(now);
-        let rings = &self.mirror.handovers;
-        let part = |(part, home): (u16, &lemonweir_model::settings::ClusterMember)| {
-            let holder = self.mirror.parts.get(&part);
+        let rings = &self.cache.failovers;
+        let shard = |(shard, home): (u16, &lemonweir_model::settings::ClusterMember)| {
+            let holder = self.cache.shards.get(&shard);
             ShardRow {
-                part,
+                shard,
                 home: home.host.clone(),
                 holder: holder.map(|h| h.host.clone()),
                 token: holder.map(|h| h.token),
-                since: rings.of(part).last().map(|(r, _)| r.at),
+                since: rings.of(shard).last().map(|(r, _)| r.at),
             }
         };
-        let parts = (0..).zip(&self.config.members).map(part).collect();
+        let shards = (0..).zip(&self.config.members).map(shard).collect();
         let mut watch = SupervisionReport {
             host,
             age_ms,
-            parts,
+            shards,
             services: 0,
             promised: 0,
             up: 0,
             short: Vec::new(),
         };
         for job in self
-            .mirror
+            .cache
             .jobs
             .values()
             .filter(|j| j.record.spec.shape == JobKind::Service && !j.record.withdrawn)
@@ -88,14 +88,14 @@
 
     fn service_row(&self, job: &CachedJob, now: u64) -> UnderReplicatedServiceRow {
         let spec = &job.record.spec;
-        let part = Self::team_part(&self.mirror, &self.config, &spec.team);
+        let shard = Self::team_shard(&self.cache, &self.config, &spec.team);
         let tasks = spec.tasks.min(u64::from(u32::MAX)) as u32;
         let note = self.notes.get(&spec.id);
         let mut row = UnderReplicatedServiceRow {
             job: spec.id.to_string(),
             class: spec.class.clone(),
             team: spec.team.clone(),
-            part,
+            shard,
             promised: tasks,
             half: tasks.div_ceil(2),
             up: note.map_or(0, |n| n.running).min(tasks),
@@ -107,7 +107,7 @@
             lacks: note.map(|n| n.reason.clone()).unwrap_or_default(),
             tried: Vec::new(),
         };
-        let Some(own) = self.parts.get(&part) else {
+        let Some(own) = self.shards.get(&shard) else {
             return row;
         };
         let Some(service) = own.placer.services.get(&spec.id) else {
@@ -134,19 +134,19 @@
     }
 
     /// The parts' changes of hands, the newest first.
-    pub fn handovers(&self, now: u64) -> FailoverReport {
+    pub fn failovers(&self, now: u64) -> FailoverReport {
         let (host, age_ms) = self.told_by(now);
-        let rings = &self.mirror.handovers;
-        let rows = |part: u16| {
+        let rings = &self.cache.failovers;
+        let rows = |shard: u16| {
             rings
-                .of(part)
+                .of(shard)
                 .into_iter()
-                .map(move |(record, version)| row_of(part, record, version))
+                .map(move |(record, version)| row_of(shard, record, version))
         };
-        let mut changes: Vec<FailoverRow> = rings.parts().into_iter().flat_map(rows).collect();
+        let mut changes: Vec<FailoverRow> = rings.shards().into_iter().flat_map(rows).collect();
         changes.sort_by(|a, b| {
             b.at.cmp(&a.at)
-                .then_with(|| (b.part, b.n).cmp(&(a.part, a.n)))
+                .then_with(|| (b.shard, b.n).cmp(&(a.shard, a.n)))
         });
         FailoverReport {
             host,
@@ -156,7 +156,7 @@
     }
 }
 
-fn row_of(part: u16, record: &FailoverRecord, version: u64) -> FailoverRow {
+fn row_of(shard: u16, record: &FailoverRecord, version: u64) -> FailoverRow {
     let how = match record.how {
         LeadershipChange::Vacant if record.from.is_none() => "taken: no holder known",
         LeadershipChange::Vacant => "taken: its holder had given it up, or its hold had run out",
@@ -171,7 +171,7 @@
         .map_or(Some(version), |c| c.token)
         .filter(|_| record.to.is_some());
     FailoverRow {
-        part,
+        shard,
         n: record.n,
         at: record.at,
         from: record.from.clone(),
--- a/crates/coordination/tests/cancellations.rs
+++ b/crates/coordination/tests/cancellations.rs
@@ -34,7 +34,7 @@
 /// of part 0, which controller 0 holds.
 struct Asker {
     core: Core,
-    lot: ShardLease,
+    lease: ShardLease,
     now: u64,
     revision: u64,
     job: JobId,
@@ -55,17 +55,17 @@
             team: "blue".into(),
             ..array(1)
         };
-        let (job, lot) = (
+        let (job, lease) = (
             spec.id.clone(),
             ShardLease {
-                part: 1,
+                shard: 1,
                 token: OWN,
             },
         );
-        let holder = |part: u16, token| KeyValue {
-            key: part_key(part),
+        let holder = |shard: u16, token| KeyValue {
+            key: shard_key(shard),
             value: to_value(&ShardRecord {
-                host: format!("h{part}"),
+                host: format!("h{shard}"),
             }),
             version: token,
         };
@@ -79,13 +79,13 @@
             }),
             version: 46,
         };
-        core.mirror
+        core.cache
             .replace(&[accepted, holder(0, TOKEN), holder(1, OWN)], 100);
         core.refreshed(10, true);
-        core.adopt(lot, &[], Vec::new(), 10);
+        core.acquire(lease, &[], Vec::new(), 10);
         let mut asker = Self {
             core,
-            lot,
+            lease,
             now: 10,
             revision: 100,
             job,
@@ -104,7 +104,7 @@
             vec![shown(1, 4)],
             Vec::new(),
         );
-        asker.core.sync_done(lot, 0, Some(shows), asker.now);
+        asker.core.sync_done(lease, 0, Some(shows), asker.now);
         asker
     }
 
@@ -118,17 +118,19 @@
             self.core.refreshed(self.now, false);
             for effect in self.core.pump(self.now) {
                 match effect {
-                    Effect::CompareAndSwap(lot, txn) => {
-                        self.ended |= ends(&txn, &self.job);
+                    Effect::CompareAndSwap(lease, cas) => {
+                        self.ended |= ends(&cas, &self.job);
                         self.revision += 1;
-                        self.core.txn_done(
-                            lot,
+                        self.core.cas_done(
+                            lease,
                             CompareAndSwapOutcome::Done(self.revision),
                             self.now,
                         );
                     }
                     effect if found.is_none() && look(&effect).is_some() => found = look(&effect),
-                    Effect::Sync(lot, sync) => self.core.sync_done(lot, sync.to, None, self.now),
+                    Effect::Sync(lease, sync) => {
+                        self.core.sync_done(lease, sync.to, None, self.now)
+                    }
                     _ => {}
                 }
             }
@@ -166,17 +168,17 @@
     fn told_both(&mut self) -> (SyncRequest, SyncRequest) {
         for _ in 0..MAIL_AFTER_FAILURES {
             self.direct();
-            self.core.sync_done(self.lot, 0, None, self.now);
+            self.core.sync_done(self.lease, 0, None, self.now);
         }
         let out = loop {
             let sync = self.direct();
             if !sync.wants.is_empty() {
                 break sync;
             }
-            self.core.sync_done(self.lot, 0, None, self.now);
+            self.core.sync_done(self.lease, 0, None, self.now);
         };
         let taken = ShardRecord { host: "h2".into() };
-        self.learn(part_key(0), to_value(&taken), NEXT);
+        self.learn(shard_key(0), to_value(&taken), NEXT);
         let told = self.mailed();
         assert_eq!(
             (out.to_token, told.to_token, told.wants.len()),
@@ -188,7 +190,7 @@
     fn learn(&mut self, key: String, value: rmpv::Value, version: u64) {
         self.now += 50;
         self.revision = self.revision.max(version) + 1;
-        self.core.mirror.apply(
+        self.core.cache.apply(
             &[WatchEvent {
                 set: Some(key),
                 drop: None,
@@ -216,8 +218,8 @@
     }
 }
 
-fn ends(txn: &CompareAndSwap, job: &JobId) -> bool {
-    txn.writes
+fn ends(cas: &CompareAndSwap, job: &JobId) -> bool {
+    cas.writes
         .iter()
         .any(|w| matches!(w, Write::Put { key, .. } if *key == end_key(job)))
 }
@@ -303,7 +305,7 @@
                 }
                 asker.core.take_mail(asker.now);
             } else {
-                asker.core.sync_done(asker.lot, 0, Some(late), asker.now);
+                asker.core.sync_done(asker.lease, 0, Some(late), asker.now);
             }
             assert!(
                 !asker.withdrawn(),
@@ -318,7 +320,7 @@
                 let sync = sync.expect("a sync");
                 let now = asker.now;
                 let answer = next.sync(&sync, ROOM, now).expect("taken");
-                asker.core.sync_done(asker.lot, 0, Some(answer), now);
+                asker.core.sync_done(asker.lease, 0, Some(answer), now);
                 if runs {
                     let call = next.calls(now, ROOM).pop().expect("stopped");
                     assert!(
@@ -351,16 +353,16 @@
             Answer::Unfinished(..)
         ));
         if full {
-            let holder = |part: u16, token| KeyValue {
-                key: part_key(part),
+            let holder = |shard: u16, token| KeyValue {
+                key: shard_key(shard),
                 value: to_value(&ShardRecord {
-                    host: format!("h{part}"),
+                    host: format!("h{shard}"),
                 }),
                 version: token,
             };
             asker
                 .core
-                .mirror
+                .cache
                 .replace(&[holder(0, TOKEN), holder(1, OWN)], 200);
         } else {
             let asked = to_value(&JobRecord {
@@ -381,7 +383,7 @@
                 value: None,
                 version: 199,
             };
-            asker.core.mirror.apply(&[set, left], 200, now);
+            asker.core.cache.apply(&[set, left], 200, now);
         }
         asker.core.refreshed(now, true);
         assert_eq!(
@@ -391,7 +393,7 @@
         );
         asker
             .core
-            .mirror
+            .cache
             .settle(&asker.job, JobPhase::Withdrawn, 1, now);
         assert_eq!(
             asker.core.answer(&asker.job, now + 60_000),
--- a/crates/coordination/tests/chains.rs
+++ b/crates/coordination/tests/chains.rs
@@ -21,7 +21,7 @@
 use support::*;
 
 const LOT: ShardLease = ShardLease {
-    part: 0,
+    shard: 0,
     token: TOKEN,
 };
 
@@ -53,13 +53,13 @@
         );
         core.set_catalog([(kind().name, kind())].into_iter().collect());
         let holder = KeyValue {
-            key: part_key(0),
+            key: shard_key(0),
             value: to_value(&ShardRecord { host: "h0".into() }),
             version: TOKEN,
         };
-        core.mirror.replace(&[holder], 100);
+        core.cache.replace(&[holder], 100);
         core.refreshed(10, true);
-        core.adopt(LOT, &[], Vec::new(), 10);
+        core.acquire(LOT, &[], Vec::new(), 10);
         Self {
             core,
             revision: 100,
@@ -68,7 +68,7 @@
     }
 
     /// The store makes a transaction, and the controller reads what changed; the revision.
-    fn make(&mut self, txn: &CompareAndSwap) -> u64 {
+    fn make(&mut self, cas: &CompareAndSwap) -> u64 {
         self.revision += 1;
         let version = self.revision;
         let change = |write: &Write| match write {
@@ -92,8 +92,8 @@
                 .chain(&change.drop)
                 .all(|key| key.starts_with(FOLLOWED))
         };
-        let changes: Vec<WatchEvent> = txn.writes.iter().map(change).filter(followed).collect();
-        self.core.mirror.apply(&changes, version, self.now);
+        let changes: Vec<WatchEvent> = cas.writes.iter().map(change).filter(followed).collect();
+        self.core.cache.apply(&changes, version, self.now);
         self.core.refreshed(self.now, true);
         version
     }
@@ -105,13 +105,14 @@
             withdrawn: false,
             awaited: 0,
         };
-        let txns = if spec.awaits.is_empty() {
+        let cas_list = if spec.awaits.is_empty() {
             vec![accept_job(&record)]
         } else {
             accept_waiting(&record, self.core.config.txn_ops)
         };
-        txns.iter()
-            .map(|txn| self.make(txn))
+        cas_list
+            .iter()
+            .map(|cas| self.make(cas))
             .last()
             .expect("a transaction")
     }
@@ -140,7 +141,7 @@
         });
         let revision = self.ends(n);
         self.core
-            .mirror
+            .cache
             .settle(&id(n), JobPhase::Withdrawn, revision, self.now);
     }
 
@@ -151,7 +152,7 @@
         let (mut due, mut reads) = (None, Vec::new());
         for effect in self.core.pump(self.now) {
             match effect {
-                Effect::Chain(txn) => due = Some(txn),
+                Effect::Chain(cas) => due = Some(cas),
                 Effect::ReadEnds(ids) => reads.extend(ids),
                 _ => {}
             }
@@ -160,8 +161,8 @@
     }
 }
 
-fn sets(txn: &CompareAndSwap, key: &str) -> bool {
-    txn.writes
+fn sets(cas: &CompareAndSwap, key: &str) -> bool {
+    cas.writes
         .iter()
         .any(|write| matches!(write, Write::Put { key: set, .. } if set == key))
 }
@@ -189,8 +190,8 @@
     let first = leader.ends(1);
     assert_eq!(leader.due(), (None, Vec::new()), "one is not enough");
     let second = leader.ends(2);
-    let (txn, _) = leader.due();
-    let txn = txn.expect("it may start");
+    let (cas, _) = leader.due();
+    let cas = cas.expect("it may start");
     let wanted = vec![
         Condition {
             key: chain_key(&id(3)),
@@ -199,21 +200,21 @@
         end_at(1, first),
         end_at(2, second),
     ];
-    assert_eq!(txn.conditions, wanted);
+    assert_eq!(cas.conditions, wanted);
     assert!(
-        sets(&txn, &job_key(&id(3))) && !leader.core.mirror.jobs.contains_key(&id(3)),
+        sets(&cas, &job_key(&id(3))) && !leader.core.cache.jobs.contains_key(&id(3)),
         "no placer has it before"
     );
     // Its answer is lost: nothing but the same is tried again, once the copy was read.
     leader
         .core
         .chain_done(CompareAndSwapOutcome::Again, leader.now);
-    assert_eq!(leader.due().0, Some(txn.clone()));
-    let revision = leader.make(&txn);
+    assert_eq!(leader.due().0, Some(cas.clone()));
+    let revision = leader.make(&cas);
     leader
         .core
         .chain_done(CompareAndSwapOutcome::Done(revision), leader.now);
-    assert!(leader.core.mirror.jobs.contains_key(&id(3)));
+    assert!(leader.core.cache.jobs.contains_key(&id(3)));
     assert_eq!(leader.due(), (None, Vec::new()));
 }
 
@@ -231,7 +232,7 @@
     for n in [1, 2] {
         leader
             .core
-            .mirror
+            .cache
             .settle(&id(n), JobPhase::Done, 40 + n as u64, leader.now);
     }
     leader.core.ends_read(&[id(1), id(2)], leader.now);
@@ -280,14 +281,14 @@
         );
     }
     // Their own ends are written as fast as transactions hold them, each under its key.
-    let (txn, _) = leader.due();
-    let txn = txn.expect("some are written");
+    let (cas, _) = leader.due();
+    let cas = cas.expect("some are written");
     assert!(
-        txn.writes.len() <= leader.core.config.txn_ops
-            && txn.writes.len() > leader.core.config.txn_ops - 2
+        cas.writes.len() <= leader.core.config.txn_ops
+            && cas.writes.len() > leader.core.config.txn_ops - 2
     );
     assert!(
-        txn.writes
+        cas.writes
             .iter()
             .all(|write| !matches!(write, Write::Put { key, .. } if !key.starts_with(END_PREFIX)))
     );
@@ -306,7 +307,7 @@
     assert_eq!(
         leader
             .core
-            .mirror
+            .cache
             .awaits(&id(MANY))
             .map(|awaits| awaits.len()),
         Some(MANY)
@@ -319,19 +320,19 @@
     }
     let mut confirmed = Vec::new();
     for _ in 0..MANY {
-        let txn = leader.due().0.expect("it goes on");
-        assert!(txn.conditions.len() <= CONDITIONS_A_CHANGE * leader.core.config.txn_ops);
+        let cas = leader.due().0.expect("it goes on");
+        assert!(cas.conditions.len() <= CONDITIONS_A_CHANGE * leader.core.config.txn_ops);
         confirmed.extend(
-            txn.conditions
+            cas.conditions
                 .iter()
                 .filter(|c| c.key.starts_with(END_PREFIX))
                 .cloned(),
         );
-        let revision = leader.make(&txn);
+        let revision = leader.make(&cas);
         leader
             .core
             .chain_done(CompareAndSwapOutcome::Done(revision), leader.now);
-        if sets(&txn, &job_key(&id(MANY))) {
+        if sets(&cas, &job_key(&id(MANY))) {
             break;
         }
     }
@@ -398,28 +399,29 @@
         DependencyAdmission::Unknown(vec![id(7), id(9)]),
         "the store is asked before 422"
     );
-    let DependencyAdmission::Accept(txns, JobPhase::Queued) = admit(&leader, &[1, 2]) else {
+    let DependencyAdmission::Accept(cas_list, JobPhase::Queued) = admit(&leader, &[1, 2]) else {
         panic!("accepted")
     };
     assert!(
-        sets(txns.last().expect("one"), &chain_key(&id(9)))
-            && txns.iter().all(|txn| !sets(txn, &job_key(&id(9))))
+        sets(cas_list.last().expect("one"), &chain_key(&id(9)))
+            && cas_list.iter().all(|cas| !sets(cas, &job_key(&id(9))))
     );
     // Done or not is for the store to say: it waits all the same.
     leader.ends(1);
-    let DependencyAdmission::Accept(txns, JobPhase::Queued) = admit(&leader, &[1]) else {
+    let DependencyAdmission::Accept(cas_list, JobPhase::Queued) = admit(&leader, &[1]) else {
         panic!("accepted")
     };
-    assert!(sets(&txns[0], &chain_key(&id(9))));
+    assert!(sets(&cas_list[0], &chain_key(&id(9))));
     // With a cancelled job before it, at whatever distance, it is cancelled from the start.
     let mut leader = Leader::new();
     leader.accept(&spec(1, &[]));
     leader.accept(&spec(2, &[1]));
     leader.cancelled(1);
     for awaits in [[1], [2]] {
-        let DependencyAdmission::Accept(txns, JobPhase::Withdrawn) = admit(&leader, &awaits) else {
+        let DependencyAdmission::Accept(cas_list, JobPhase::Withdrawn) = admit(&leader, &awaits)
+        else {
             panic!("cancelled")
         };
-        assert!(sets(&txns[0], &end_key(&id(9))));
+        assert!(sets(&cas_list[0], &end_key(&id(9))));
     }
 }
--- a/crates/coordination/tests/changes.rs
+++ b/crates/coordination/tests/changes.rs
@@ -476,9 +476,9 @@
         let seq = placer.sync_for(0, TOKEN, ROOM, false, 0).seq;
         placer.take_view(view(seq, span, machines, attempts), 0);
         placer.place(0);
-        while placer.next_txn(0).is_some() {
+        while placer.next_cas(0).is_some() {
             revision += 1;
-            placer.txn_done(CompareAndSwapOutcome::Done(revision), 0);
+            placer.cas_done(CompareAndSwapOutcome::Done(revision), 0);
         }
         placer.sync_for(0, TOKEN, ROOM, false, 0).wants
     };
--- a/crates/coordination/tests/elections.rs
+++ b/crates/coordination/tests/elections.rs
@@ -12,7 +12,7 @@
 use lemonweir_protocol::kv_store::{KeyValue, WatchEvent, to_value};
 use lemonweir_protocol::peer::{ChangeRange, ObservedState, Superseded, SyncRequest};
 use lemonweir_protocol::worker::Heartbeat;
-use lemonweir_storage::records::{ControllerRecord, ShardRecord, node_key, part_key};
+use lemonweir_storage::records::{ControllerRecord, ShardRecord, node_key, shard_key};
 
 const HOSTS: u16 = 3;
 
@@ -38,22 +38,22 @@
     Core::new(Config::new(&settings), POLICY.clone())
 }
 
-fn taken(part: u16, host: u16, version: u64) -> WatchEvent {
+fn taken(shard: u16, host: u16, version: u64) -> WatchEvent {
     let value = to_value(&ShardRecord {
         host: format!("h{host}"),
     });
     WatchEvent {
-        set: Some(part_key(part)),
+        set: Some(shard_key(shard)),
         drop: None,
         value: Some(value),
         version,
     }
 }
 
-fn given_up(part: u16, version: u64) -> WatchEvent {
+fn given_up(shard: u16, version: u64) -> WatchEvent {
     WatchEvent {
         set: None,
-        drop: Some(part_key(part)),
+        drop: Some(shard_key(shard)),
         value: None,
         version,
     }
@@ -76,7 +76,7 @@
 
 /// A reading that began at `now` shows these changes.
 fn read(core: &mut Core, changes: &[WatchEvent], revision: u64, now: u64) {
-    core.mirror.apply(changes, revision, now);
+    core.cache.apply(changes, revision, now);
     core.refreshed(now, true);
 }
 
@@ -92,10 +92,10 @@
     core
 }
 
-fn holds(core: &mut Core, part: u16, token: u64, now: u64) {
+fn holds(core: &mut Core, shard: u16, token: u64, now: u64) {
     let me = core.config.me;
-    read(core, &[taken(part, me, token)], token, now);
-    core.adopt(ShardLease { part, token }, &[], Vec::new(), now);
+    read(core, &[taken(shard, me, token)], token, now);
+    core.acquire(ShardLease { shard, token }, &[], Vec::new(), now);
 }
 
 fn membership() -> LeaderElection {
@@ -124,14 +124,28 @@
     assert_eq!(
         membership().claim(&core, 0, 3_100),
         Some(ElectionAction::Take {
-            part: 0,
+            shard: 0,
             version: 23
         })
     );
     // Nor does the taking of an earlier life count as its own.
     read(&mut core, &[taken(0, 0, 30)], 30, 3_200);
-    core.adopt(ShardLease { part: 0, token: 30 }, &[], Vec::new(), 3_200);
-    assert_eq!(core.held(), vec![ShardLease { part: 0, token: 30 }]);
+    core.acquire(
+        ShardLease {
+            shard: 0,
+            token: 30,
+        },
+        &[],
+        Vec::new(),
+        3_200,
+    );
+    assert_eq!(
+        core.held(),
+        vec![ShardLease {
+            shard: 0,
+            token: 30
+        }]
+    );
     assert_eq!(membership().claim(&core, 0, 3_300), None);
 }
 
@@ -146,14 +160,17 @@
     assert_eq!(
         membership.claim(&core, 0, 2_100),
         Some(ElectionAction::Take {
-            part: 0,
+            shard: 0,
             version: 12
         })
     );
     holds(&mut core, 0, 13, 2_200);
     assert_eq!(
         membership.claim(&core, 0, 2_300),
-        Some(ElectionAction::HandBack(ShardLease { part: 0, token: 13 }))
+        Some(ElectionAction::HandBack(ShardLease {
+            shard: 0,
+            token: 13
+        }))
     );
 }
 
@@ -179,7 +196,7 @@
         [
             None,
             Some(ElectionAction::Take {
-                part: 1,
+                shard: 1,
                 version: 11
             }),
             None
@@ -208,12 +225,12 @@
         claims(&mut membership, &core, later),
         [
             Some(ElectionAction::Take {
-                part: 0,
+                shard: 0,
                 version: 0
             }),
             None,
             Some(ElectionAction::Take {
-                part: 2,
+                shard: 2,
                 version: 0
             })
         ]
@@ -256,7 +273,7 @@
     core.superseded(
         Superseded {
             version: PEER_VERSION,
-            part: 0,
+            shard: 0,
             token: 50,
             host: "h2".into(),
         },
@@ -282,7 +299,7 @@
     core.superseded(
         Superseded {
             version: PEER_VERSION,
-            part: 0,
+            shard: 0,
             token: 50,
             host: "h1".into(),
         },
@@ -295,21 +312,21 @@
     core.superseded(
         Superseded {
             version: PEER_VERSION,
-            part: 0,
+            shard: 0,
             token: 40,
             host: "h2".into(),
         },
         2_400,
     );
-    assert_eq!(core.mirror.parts.get(&0).map(|h| h.token), Some(50));
+    assert_eq!(core.cache.shards.get(&0).map(|h| h.token), Some(50));
 }
 
 /// A full reading whose pages are of different moments: a part that was taken after the
 /// first page is not judged by it, one that was lost before is given up.
 #[test]
 fn a_full_reading_judges_only_what_it_is_new_enough_for() {
-    let entry = |part: u16, host: u16, version| KeyValue {
-        key: part_key(part),
+    let entry = |shard: u16, host: u16, version| KeyValue {
+        key: shard_key(shard),
         value: to_value(&ShardRecord {
             host: format!("h{host}"),
         }),
@@ -319,12 +336,12 @@
     holds(&mut core, 0, 10, 2_000);
     holds(&mut core, 1, 110, 2_100);
     // The first page is of revision 100, the parts' page of one before part 1 was taken.
-    core.mirror.replace(&[entry(0, 2, 90), entry(1, 1, 5)], 100);
+    core.cache.replace(&[entry(0, 2, 90), entry(1, 1, 5)], 100);
     core.refreshed(2_200, true);
     assert_eq!(
         core.held(),
         vec![ShardLease {
-            part: 1,
+            shard: 1,
             token: 110
         }]
     );
@@ -332,7 +349,7 @@
     assert_eq!(
         core.held(),
         vec![ShardLease {
-            part: 1,
+            shard: 1,
             token: 110
         }]
     );
@@ -346,7 +363,7 @@
     holds(&mut core, 0, 10, 2_000);
     let ours = |n: &u32| {
         core.config
-            .part_of("north", &format!("n-{n:06}").as_str().into())
+            .shard_of("north", &format!("n-{n:06}").as_str().into())
             == 0
     };
     let report = Heartbeat {
@@ -370,10 +387,13 @@
     for again in 0..5 {
         assert_eq!(
             membership.claim(&core, 0, since + 1_700 * again),
-            Some(ElectionAction::Leave(ShardLease { part: 0, token: 10 }))
+            Some(ElectionAction::Leave(ShardLease {
+                shard: 0,
+                token: 10
+            }))
         );
     }
-    core.abandon(0, since + 8_000);
+    core.release(0, since + 8_000);
     assert!(membership.left(&core, since + 8_000).contains(&0));
     assert_eq!(
         membership.left(&core, since + 8_000 + DEAF_MS),
@@ -387,9 +407,12 @@
     read(&mut core, &[lives(0, 21)], 21, anew);
     assert_eq!(
         membership.claim(&core, 0, anew),
-        Some(ElectionAction::Leave(ShardLease { part: 0, token: 20 }))
+        Some(ElectionAction::Leave(ShardLease {
+            shard: 0,
+            token: 20
+        }))
     );
-    core.abandon(0, anew);
+    core.release(0, anew);
     assert!(membership.left(&core, anew + 2 * DEAF_MS - 1).contains(&0));
     assert_eq!(
         membership.left(&core, anew + 2 * DEAF_MS),
--- a/crates/coordination/tests/ends.rs
+++ b/crates/coordination/tests/ends.rs
@@ -18,7 +18,7 @@
 use lemonweir_protocol::users::JobPhase;
 use lemonweir_protocol::worker::{Command, CommandKind, Heartbeat, TaskPhase, TaskStatus};
 use lemonweir_storage::records::{
-    JobEndRecord, JobRecord, TaskChunkRecord, end_key, job_key, parse_run_key, part_key, run_key,
+    JobEndRecord, JobRecord, TaskChunkRecord, end_key, job_key, parse_run_key, run_key, shard_key,
 };
 use lemonweir_storage::state_cache::{CachedJob, ShardLeader};
 use proptest::prelude::*;
@@ -45,7 +45,7 @@
 
 /// A transaction whose answer is to come.
 struct Flight {
-    txn: CompareAndSwap,
+    cas: CompareAndSwap,
     at: u64,
     outcome: Option<CompareAndSwapOutcome>,
 }
@@ -74,7 +74,7 @@
 /// A machine as the protocol page has it.
 struct Box_ {
     name: usize,
-    part: usize,
+    shard: usize,
     session: u64,
     seq: u64,
     token: u64,
@@ -89,10 +89,10 @@
 }
 
 impl Box_ {
-    fn new(name: usize, part: usize, now: u64) -> Self {
+    fn new(name: usize, shard: usize, now: u64) -> Self {
         Self {
             name,
-            part,
+            shard,
             session: 1,
             seq: 0,
             token: 0,
@@ -148,7 +148,7 @@
             launches: 0,
             runs_ms: 0,
         };
-        (0..PARTS).for_each(|part| site.take(part));
+        (0..PARTS).for_each(|shard| site.take(shard));
         site
     }
 
@@ -167,7 +167,7 @@
         self.store.get(key).map_or(0, |e| e.version)
     }
 
-    fn submit(&mut self, part: usize, spec: JobSpec) {
+    fn submit(&mut self, shard: usize, spec: JobSpec) {
         let record = JobRecord {
             spec: spec.clone(),
             at: self.now,
@@ -176,7 +176,7 @@
         };
         self.revision += 1;
         self.put(job_key(&spec.id), to_value(&record));
-        self.jobs.push((part, Arc::new(spec)));
+        self.jobs.push((shard, Arc::new(spec)));
         self.tell_jobs();
     }
 
@@ -195,37 +195,37 @@
 
     /// What the followed keys say reaches every holder.
     fn tell_jobs(&mut self) {
-        for (part, spec) in &self.jobs {
+        for (shard, spec) in &self.jobs {
             let mirrored = self.store.get(&job_key(&spec.id)).map(|e| CachedJob {
                 record: Arc::new(from_value(&e.value).expect("a job")),
                 version: e.version,
             });
-            if let Some(leader) = self.leaders[*part].as_mut() {
+            if let Some(leader) = self.leaders[*shard].as_mut() {
                 leader.placer.set_job(&spec.id, mirrored.as_ref(), self.now);
             }
         }
     }
 
     /// A controller takes a part and loads its records.
-    fn take(&mut self, part: usize) {
+    fn take(&mut self, shard: usize) {
         self.revision += 1;
         let token = self.revision;
         self.holders.insert(
-            part as u16,
+            shard as u16,
             ShardLeader {
                 host: format!("h{token}"),
                 token,
             },
         );
-        self.put(part_key(part as u16), to_value(&0));
+        self.put(shard_key(shard as u16), to_value(&0));
         let policy = Policy {
             idle: 1e6,
             idle_spot: 1e6,
             ..lemonweir_policy::embedded().expect("policy")
         };
-        let mut owner = Owner::new(part as u16, token, PARTS as u16, TIMING, policy, self.now);
+        let mut owner = Owner::new(shard as u16, token, PARTS as u16, TIMING, policy, self.now);
         owner.set_types([kind()].iter());
-        let mut placer = Placer::new(part as u16, token, PARTS as u16, terms(), self.now);
+        let mut placer = Placer::new(shard as u16, token, PARTS as u16, terms(), self.now);
         placer.expect(
             &HashMap::new(),
             f64::MAX,
@@ -233,8 +233,8 @@
         );
         for (key, e) in self
             .store
-            .range(format!("run/{part}/")..)
-            .take_while(|(k, _)| k.starts_with(&format!("run/{part}/")))
+            .range(format!("run/{shard}/")..)
+            .take_while(|(k, _)| k.starts_with(&format!("run/{shard}/")))
         {
             let (id, chunk) = parse_run_key(key).expect("a key");
             placer.load_chunk(
@@ -251,7 +251,7 @@
         {
             placer.set_job(id, None, self.now);
         }
-        self.leaders[part] = Some(Leader {
+        self.leaders[shard] = Some(Leader {
             token,
             placer,
             owner,
@@ -265,25 +265,25 @@
     }
 
     /// The holder of a part ends, or is superseded without knowing for so long.
-    fn end(&mut self, part: usize, away: u64, knows_nothing: u64) {
-        let Some(mut leader) = self.leaders[part].take() else {
+    fn end(&mut self, shard: usize, away: u64, knows_nothing: u64) {
+        let Some(mut leader) = self.leaders[shard].take() else {
             return;
         };
-        self.back[part] = self.now + away;
+        self.back[shard] = self.now + away;
         if let Some(flight) = leader.flight.take().filter(|f| f.outcome.is_none()) {
-            self.late.push((flight.at, flight.txn));
+            self.late.push((flight.at, flight.cas));
         }
         if knows_nothing > 0 {
             self.superseded
-                .push((part, leader, self.now + away + knows_nothing));
+                .push((shard, leader, self.now + away + knows_nothing));
         }
     }
 
     /// True if it stands in the store that a task is done.
     fn done_written(&self, id: &JobId, task: u32) -> bool {
-        let chunk = |part: usize| {
+        let chunk = |shard: usize| {
             self.store
-                .get(&run_key(part as u16, id, task / CHUNK_TASKS))
+                .get(&run_key(shard as u16, id, task / CHUNK_TASKS))
         };
         let done = |e: &KeyValue| {
             from_value::<TaskChunkRecord>(&e.value)
@@ -295,8 +295,8 @@
         self.store.contains_key(&end_key(id)) || (0..PARTS).filter_map(chunk).any(done)
     }
 
-    fn apply(&mut self, txn: &CompareAndSwap) -> CompareAndSwapOutcome {
-        let failed: Vec<String> = txn
+    fn apply(&mut self, cas: &CompareAndSwap) -> CompareAndSwapOutcome {
+        let failed: Vec<String> = cas
             .conditions
             .iter()
             .filter(|c| self.version(&c.key) != c.version)
@@ -306,7 +306,7 @@
             return CompareAndSwapOutcome::Conflict(failed);
         }
         self.revision += 1;
-        for w in &txn.writes {
+        for w in &cas.writes {
             match w {
                 Write::Put { key, value, .. } => {
                     if let Some(id) = key.strip_prefix("end/") {
@@ -343,9 +343,9 @@
     }
 
     /// A placer's turn: its answer comes, and it writes.
-    fn placer_turn(&mut self, part: usize) {
+    fn placer_turn(&mut self, shard: usize) {
         let now = self.now;
-        let Some(mut leader) = self.leaders[part].take() else {
+        let Some(mut leader) = self.leaders[shard].take() else {
             return;
         };
         if leader.flight.as_ref().is_some_and(|f| now >= f.at) {
@@ -353,9 +353,9 @@
                 unreachable!("looked at")
             };
             // A reading may show the end before its answer comes.
-            self.leaders[part] = Some(leader);
-            let outcome = flight.outcome.unwrap_or_else(|| self.apply(&flight.txn));
-            self.answered(part, outcome);
+            self.leaders[shard] = Some(leader);
+            let outcome = flight.outcome.unwrap_or_else(|| self.apply(&flight.cas));
+            self.answered(shard, outcome);
             return;
         }
         leader.placer.keep_ledger(now, 0);
@@ -363,37 +363,37 @@
             leader.passed = now;
             leader.placer.place(now);
         }
-        let txn = if leader.flight.is_none() && now >= leader.pause {
-            leader.placer.next_txn(now)
+        let cas = if leader.flight.is_none() && now >= leader.pause {
+            leader.placer.next_cas(now)
         } else {
             None
         };
-        self.leaders[part] = Some(leader);
-        let Some(txn) = txn else { return };
+        self.leaders[shard] = Some(leader);
+        let Some(cas) = cas else { return };
         let fate = self.fates.pop_front().unwrap_or(Fate::Slow(0));
         let (at, outcome) = match fate {
-            Fate::Slow(beats) => (now + beats * BEAT_MS, Some(self.apply(&txn))),
+            Fate::Slow(beats) => (now + beats * BEAT_MS, Some(self.apply(&cas))),
             Fate::Held(beats) => (now + beats.max(1) * BEAT_MS, None),
             Fate::Lost => (now, Some(CompareAndSwapOutcome::Again)),
             Fate::Silent => {
-                self.apply(&txn);
+                self.apply(&cas);
                 (now, Some(CompareAndSwapOutcome::Again))
             }
             Fate::Late(beats) => {
-                self.late.push((now + beats * BEAT_MS, txn.clone()));
+                self.late.push((now + beats * BEAT_MS, cas.clone()));
                 (now, Some(CompareAndSwapOutcome::Again))
             }
         };
         if at > now {
-            if let Some(leader) = self.leaders[part].as_mut() {
-                leader.flight = Some(Flight { txn, at, outcome });
+            if let Some(leader) = self.leaders[shard].as_mut() {
+                leader.flight = Some(Flight { cas, at, outcome });
             }
         } else if let Some(outcome) = outcome {
-            self.answered(part, outcome);
+            self.answered(shard, outcome);
         }
     }
 
-    fn answered(&mut self, part: usize, outcome: CompareAndSwapOutcome) {
+    fn answered(&mut self, shard: usize, outcome: CompareAndSwapOutcome) {
         let now = self.now;
         let reread: Vec<(JobId, u32, u64)> = match &outcome {
             CompareAndSwapOutcome::Conflict(keys) => keys
@@ -402,7 +402,7 @@
                 .collect(),
             _ => Vec::new(),
         };
-        let Some(leader) = self.leaders[part].as_mut() else {
+        let Some(leader) = self.leaders[shard].as_mut() else {
             return;
         };
         if matches!(outcome, CompareAndSwapOutcome::Again) {
@@ -411,7 +411,7 @@
         for (id, chunk, version) in reread {
             leader.placer.reread(&id, chunk, version);
         }
-        let (verdict, _) = leader.placer.txn_done(outcome, now);
+        let (verdict, _) = leader.placer.cas_done(outcome, now);
         assert_eq!(
             verdict,
             ShardOwnership::Fine,
@@ -448,15 +448,15 @@
         let now = self.now;
         let mut all = std::mem::take(&mut self.superseded);
         all.retain(|(_, _, until)| now < *until);
-        for (part, leader, _) in &mut all {
+        for (shard, leader, _) in &mut all {
             leader.owner.tick(now, leader.word);
             let sync = leader
                 .placer
-                .sync_for(*part as u16, leader.token, ROOM, false, now);
+                .sync_for(*shard as u16, leader.token, ROOM, false, now);
             if let Ok(view) = leader.owner.sync(&sync, ROOM, now) {
                 leader.placer.take_view(view, now);
             }
-            let to = 1 - *part;
+            let to = 1 - *shard;
             if let Some(other) = self.leaders[to].as_mut() {
                 // It names the owner that its last reading showed.
                 let sync = leader
@@ -468,9 +468,9 @@
                 }
             }
             // What it writes is made, late or at once, where the conditions hold.
-            if let Some(txn) = leader.placer.next_txn(now) {
-                self.late.push((now + 3 * BEAT_MS, txn));
-                leader.placer.txn_done(CompareAndSwapOutcome::Again, now);
+            if let Some(cas) = leader.placer.next_cas(now) {
+                self.late.push((now + 3 * BEAT_MS, cas));
+                leader.placer.cas_done(CompareAndSwapOutcome::Again, now);
             }
             for call in leader.owner.calls(now, 64) {
                 let result = self.call(&call);
@@ -558,16 +558,16 @@
 
     /// A machine reports to whoever it last reached: a superseded holder, if any.
     fn hello(&mut self, n: usize, superseded: bool) {
-        let (part, now) = (self.boxes[n].part, self.now);
+        let (shard, now) = (self.boxes[n].shard, self.now);
         let report = self.report_of(n);
         self.boxes[n].reported = now;
         self.boxes[n].changed = false;
         let old = self
             .superseded
             .iter_mut()
-            .find(|(p, _, _)| *p == part && superseded)
+            .find(|(p, _, _)| *p == shard && superseded)
             .map(|(_, l, _)| l);
-        let Some(leader) = old.or(self.leaders[part].as_mut()) else {
+        let Some(leader) = old.or(self.leaders[shard].as_mut()) else {
             return;
         };
         let Some(reply) = leader.owner.report(&report, None, now) else {
@@ -580,8 +580,8 @@
         self.execute(n, &reply.orders);
     }
 
-    fn calls(&mut self, part: usize) {
-        let Some(leader) = self.leaders[part].as_mut() else {
+    fn calls(&mut self, shard: usize) {
+        let Some(leader) = self.leaders[shard].as_mut() else {
             return;
         };
         // What is given back is replaced.
@@ -591,16 +591,16 @@
         }
         for n in 0..BOXES {
             if names.contains(&machine(self.boxes[n].name)) {
-                self.boxes[n] = Box_::new(self.names, part, self.now);
+                self.boxes[n] = Box_::new(self.names, shard, self.now);
                 self.names += 1;
             }
         }
-        let Some(leader) = self.leaders[part].as_mut() else {
+        let Some(leader) = self.leaders[shard].as_mut() else {
             return;
         };
         for call in leader.owner.calls(self.now, 64) {
             let result = self.call(&call);
-            if let Some(leader) = self.leaders[part].as_mut() {
+            if let Some(leader) = self.leaders[shard].as_mut() {
                 leader.owner.call_done(&call, result, self.now);
             }
         }
@@ -731,22 +731,22 @@
             .into_iter()
             .partition(|(at, _)| now >= *at);
         self.late = later;
-        for (_, txn) in due {
-            self.apply(&txn);
+        for (_, cas) in due {
+            self.apply(&cas);
         }
-        for part in 0..PARTS {
-            if self.leaders[part].is_none() && now >= self.back[part] {
-                self.take(part);
+        for shard in 0..PARTS {
+            if self.leaders[shard].is_none() && now >= self.back[shard] {
+                self.take(shard);
             }
-            if let Some(leader) = self.leaders[part].as_mut() {
+            if let Some(leader) = self.leaders[shard].as_mut() {
                 leader.word = now;
-                leader.other = self.holders.get(&(1 - part as u16)).map_or(0, |h| h.token);
+                leader.other = self.holders.get(&(1 - shard as u16)).map_or(0, |h| h.token);
                 leader
                     .owner
                     .watch_placers(&self.holders, self.revision, now);
                 leader.owner.tick(now, now);
             }
-            self.calls(part);
+            self.calls(shard);
         }
         for n in 0..BOXES {
             let b = &self.boxes[n];
@@ -893,10 +893,10 @@
         6 => (0..8usize).prop_map(Step::Complete),
         6 => fate().prop_map(Step::Next),
         3 => (0..PARTS, prop::sample::select(vec![100u64, 800, 4_000, 8_000]), prop::sample::select(vec![0u64, 0, 1_500, 6_000]))
-            .prop_map(|(part, away, knows)| Step::End(part, away, knows)),
+            .prop_map(|(shard, away, knows)| Step::End(shard, away, knows)),
         2 => (0..BOXES, prop::sample::select(vec![2_000u64, 9_000, 20_000, 120_000])).prop_map(|(n, ms)| Step::Mute(n, ms)),
         1 => (0..8usize).prop_map(Step::Withdraw),
-        2 => (0..PARTS, 1..4u64, 0..4u8).prop_map(|(part, tasks, kind)| Step::Submit(part, tasks, kind)),
+        2 => (0..PARTS, 1..4u64, 0..4u8).prop_map(|(shard, tasks, kind)| Step::Submit(shard, tasks, kind)),
     ]
 }
 
@@ -929,15 +929,15 @@
                     }
                 }
                 Step::Next(fate) => site.fates.push_back(fate),
-                Step::End(part, away, knows) => site.end(part, away, knows),
+                Step::End(shard, away, knows) => site.end(shard, away, knows),
                 Step::Mute(n, ms) => site.boxes[n].mute_until = site.now + ms,
                 Step::Withdraw(n) => {
                     let id = site.jobs[n % site.jobs.len()].1.id.clone();
                     site.withdraw(&id);
                 }
-                Step::Submit(part, tasks, 0) => site.submit(part, gang(n, tasks)),
-                Step::Submit(part, tasks, 1) => site.submit(part, JobSpec { rank: Priority::Low, ..job(n, tasks) }),
-                Step::Submit(part, tasks, _) => site.submit(part, job(n, tasks)),
+                Step::Submit(shard, tasks, 0) => site.submit(shard, gang(n, tasks)),
+                Step::Submit(shard, tasks, 1) => site.submit(shard, JobSpec { rank: Priority::Low, ..job(n, tasks) }),
+                Step::Submit(shard, tasks, _) => site.submit(shard, job(n, tasks)),
             }
         }
         site.settle();
@@ -1101,20 +1101,20 @@
     };
     placer.take_view(view(seq, whole, vec![shown(0, 4)], Vec::new()), 0);
     placer.place(0);
-    let first = placer.next_txn(0).expect("its start");
+    let first = placer.next_cas(0).expect("its start");
     assert!(
         first
             .conditions
             .iter()
             .any(|c| c.key == job_key(&id(1)) && c.version == 1)
     );
-    placer.txn_done(CompareAndSwapOutcome::Conflict(vec![job_key(&id(1))]), 0);
-    assert!(placer.next_txn(10).is_none(), "nothing new is known");
+    placer.cas_done(CompareAndSwapOutcome::Conflict(vec![job_key(&id(1))]), 0);
+    assert!(placer.next_cas(10).is_none(), "nothing new is known");
     submit(&mut placer, job(2, 1), 0, 20);
     placer.place(20);
-    let other = placer.next_txn(20).expect("another job's start");
+    let other = placer.next_cas(20).expect("another job's start");
     assert!(other.conditions.iter().all(|c| c.key != job_key(&id(1))));
-    placer.txn_done(CompareAndSwapOutcome::Done(50), 20);
+    placer.cas_done(CompareAndSwapOutcome::Done(50), 20);
     let asked = JobRecord {
         spec: job(1, 1),
         at: 0,
@@ -1129,7 +1129,7 @@
         }),
         30,
     );
-    let end = placer.next_txn(30).expect("its end");
+    let end = placer.next_cas(30).expect("its end");
     assert!(
         end.writes
             .iter()
@@ -1157,14 +1157,14 @@
     }
     submit(&mut placer, job(1, 150), 0, 0);
     placer.set_job(&id(2), None, 0);
-    let txn = placer.next_txn(2 * END_LAG_MS).expect("one goes");
+    let cas = placer.next_cas(2 * END_LAG_MS).expect("one goes");
     assert!(
-        matches!(&txn.writes[..], [Write::Delete { key }] if *key == run_key(0, &id(2), 0)),
+        matches!(&cas.writes[..], [Write::Delete { key }] if *key == run_key(0, &id(2), 0)),
         "{:?}",
-        txn.writes
+        cas.writes
     );
-    placer.txn_done(CompareAndSwapOutcome::Done(60), 2 * END_LAG_MS);
-    assert!(placer.next_txn(4 * END_LAG_MS).is_none());
+    placer.cas_done(CompareAndSwapOutcome::Done(60), 2 * END_LAG_MS);
+    assert!(placer.next_cas(4 * END_LAG_MS).is_none());
     assert_eq!(placer.job_note(&id(1), 0).map(|n| n.0), Some(128));
 }
 
@@ -1187,7 +1187,7 @@
         };
         placer.take_view(view(seq, whole, vec![shown(0, 4)], Vec::new()), 0);
         placer.place(0);
-        placer.next_txn(0).expect("its starts");
+        placer.next_cas(0).expect("its starts");
         let asked = JobRecord {
             spec: job(1, 2),
             at: 0,
@@ -1202,8 +1202,8 @@
             }),
             30,
         );
-        placer.txn_done(outcome, 40);
-        let end = placer.next_txn(40).expect("its end");
+        placer.cas_done(outcome, 40);
+        let end = placer.next_cas(40).expect("its end");
         assert!(
             end.writes.contains(&Write::Delete {
                 key: job_key(&id(1))
@@ -1214,12 +1214,12 @@
             key: job_key(&id(1)),
             version: 2
         }));
-        placer.txn_done(CompareAndSwapOutcome::Done(50), 50);
+        placer.cas_done(CompareAndSwapOutcome::Done(50), 50);
         // What may have been made is asked for; a refusal tells that it was.
         assert_eq!(placer.known().count(), usize::from(unknown));
         assert!(placer.sync_for(0, TOKEN, ROOM, false, 60).wants.is_empty());
         if unknown {
-            let absent = placer.next_txn(60 + END_LAG_MS).expect("a question");
+            let absent = placer.next_cas(60 + END_LAG_MS).expect("a question");
             assert!(
                 absent.writes.is_empty()
                     && absent.conditions.contains(&Condition {
@@ -1228,18 +1228,18 @@
                     })
             );
             placer.reread(&id(1), 0, 45);
-            placer.txn_done(
+            placer.cas_done(
                 CompareAndSwapOutcome::Conflict(vec![run_key(0, &id(1), 0)]),
                 70 + END_LAG_MS,
             );
-            let gone = placer.next_txn(70 + END_LAG_MS).expect("its removal");
+            let gone = placer.next_cas(70 + END_LAG_MS).expect("its removal");
             assert_eq!(
                 gone.writes,
                 [Write::Delete {
                     key: run_key(0, &id(1), 0)
                 }]
             );
-            placer.txn_done(CompareAndSwapOutcome::Done(51), 80 + END_LAG_MS);
+            placer.cas_done(CompareAndSwapOutcome::Done(51), 80 + END_LAG_MS);
             assert_eq!(placer.known().count(), 0);
         }
     }
--- a/crates/coordination/tests/largest.rs
+++ b/crates/coordination/tests/largest.rs
@@ -84,8 +84,8 @@
     // What is left of a job comes in the next, and is written in its turn.
     for step in 0..4 {
         placer.place(now);
-        while placer.next_txn(now + 50 * step).is_some() {
-            placer.txn_done(CompareAndSwapOutcome::Done(2 + step), now);
+        while placer.next_cas(now + 50 * step).is_some() {
+            placer.cas_done(CompareAndSwapOutcome::Done(2 + step), now);
         }
     }
 }
--- a/crates/coordination/tests/late_orders.rs
+++ b/crates/coordination/tests/late_orders.rs
@@ -191,7 +191,7 @@
 struct Pending {
     host: usize,
     process: u64,
-    lot: ShardLease,
+    lease: ShardLease,
     call: CommandCall,
 }
 
@@ -395,10 +395,10 @@
     fn show(core: &mut Core, holder: Option<ShardLeader>, began: u64) {
         let revision = holder.as_ref().map_or(1, |h| h.token);
         match holder {
-            Some(holder) => drop(core.mirror.parts.insert(0, holder)),
-            None => drop(core.mirror.parts.remove(&0)),
+            Some(holder) => drop(core.cache.shards.insert(0, holder)),
+            None => drop(core.cache.shards.remove(&0)),
         }
-        core.mirror.revision = core.mirror.revision.max(Some(revision));
+        core.cache.revision = core.cache.revision.max(Some(revision));
         core.refreshed(began, true);
     }
 
@@ -432,7 +432,7 @@
                 // The reading before it adopts the part.
                 Self::show(core, holder.clone(), now - 1);
                 if holder.is_some_and(|h| h.token == token) {
-                    core.adopt(ShardLease { part: 0, token }, &[], Vec::new(), now);
+                    core.acquire(ShardLease { shard: 0, token }, &[], Vec::new(), now);
                 }
             }
         }
@@ -443,14 +443,14 @@
                 continue;
             };
             let ours = core
-                .mirror
-                .parts
+                .cache
+                .shards
                 .get(&0)
                 .is_some_and(|h| h.host == format!("h{n}"));
             if ours
                 && core.held().is_empty()
                 && host.taken.is_none()
-                && self.holder.as_ref() == core.mirror.parts.get(&0)
+                && self.holder.as_ref() == core.cache.shards.get(&0)
             {
                 self.take(n);
             }
@@ -575,7 +575,7 @@
                     None if sent => CommandResult::Unknown,
                     None => CommandResult::NotSent,
                 };
-                core.command_done(p.lot, &p.call, result, now);
+                core.command_done(p.lease, &p.call, result, now);
                 self.pump(p.host);
             }
         }
@@ -650,13 +650,13 @@
         };
         for effect in core.pump(now) {
             match effect {
-                Effect::Command(lot, call) => self.call(n, lot, call),
-                Effect::Release(lot, names) => {
+                Effect::Command(lease, call) => self.call(n, lease, call),
+                Effect::Release(lease, names) => {
                     // The cloud answers nothing here: ends are proven by the machine
                     // or time.
                     self.given_back = true;
                     if let Some(core) = self.hosts[n].core.as_mut() {
-                        core.released(lot, &names, false, now);
+                        core.released(lease, &names, false, now);
                     }
                 }
                 Effect::Hail(to, word) => self.hail(n, usize::from(to), word),
@@ -675,7 +675,7 @@
         }
     }
 
-    fn call(&mut self, host: usize, lot: ShardLease, call: CommandCall) {
+    fn call(&mut self, host: usize, lease: ShardLease, call: CommandCall) {
         let now = self.now;
         self.called += 1;
         let number = self.called;
@@ -697,7 +697,7 @@
             Pending {
                 host,
                 process,
-                lot,
+                lease,
                 call: call.clone(),
             },
         );
@@ -835,10 +835,12 @@
         }
         let (now, to) = (self.now, self.to);
         let at = |h: &Host| {
-            h.core
-                .as_ref()
-                .is_some_and(|c| c.held().contains(&ShardLease { part: 0, token: to }))
-                && now >= h.stands_until
+            h.core.as_ref().is_some_and(|c| {
+                c.held().contains(&ShardLease {
+                    shard: 0,
+                    token: to,
+                })
+            }) && now >= h.stands_until
         };
         let Some(n) = self.hosts.iter().position(at) else {
             return;
--- a/crates/coordination/tests/late_transactions.rs
+++ b/crates/coordination/tests/late_transactions.rs
@@ -15,7 +15,7 @@
 use lemonweir_protocol::users::JobPhase;
 use lemonweir_storage::records::{
     JobEndRecord, JobRecord, ShardRecord, TaskChunkRecord, end_key, job_key, parse_run_key,
-    part_key, run_key, run_prefix, withdraw_job,
+    run_key, run_prefix, shard_key, withdraw_job,
 };
 use lemonweir_storage::state_cache::CachedJob;
 use rmpv::Value;
@@ -35,7 +35,7 @@
             revision: TOKEN - 1,
             keys: BTreeMap::new(),
         };
-        store.put(part_key(0), to_value(&ShardRecord { host: "h0".into() }));
+        store.put(shard_key(0), to_value(&ShardRecord { host: "h0".into() }));
         store
     }
 
@@ -59,12 +59,12 @@
             .map(|e| e.phase)
     }
 
-    fn txn(&mut self, txn: &CompareAndSwap) -> CompareAndSwapOutcome {
+    fn cas(&mut self, cas: &CompareAndSwap) -> CompareAndSwapOutcome {
         assert!(
-            txn.writes.len() <= terms().txn_ops && txn.conditions.len() <= 4 * terms().txn_ops,
+            cas.writes.len() <= terms().txn_ops && cas.conditions.len() <= 4 * terms().txn_ops,
             "more than a transaction may hold"
         );
-        let failed: Vec<String> = txn
+        let failed: Vec<String> = cas
             .conditions
             .iter()
             .filter(|c| self.version(&c.key) != c.version)
@@ -74,7 +74,7 @@
             return CompareAndSwapOutcome::Conflict(failed);
         }
         self.revision += 1;
-        for write in &txn.writes {
+        for write in &cas.writes {
             match write {
                 Write::Put { key, value, .. } => drop(
                     self.keys
@@ -86,8 +86,8 @@
         CompareAndSwapOutcome::Done(self.revision)
     }
 
-    fn makes(&mut self, txn: &CompareAndSwap) -> bool {
-        matches!(self.txn(txn), CompareAndSwapOutcome::Done(_))
+    fn makes(&mut self, cas: &CompareAndSwap) -> bool {
+        matches!(self.cas(cas), CompareAndSwapOutcome::Done(_))
     }
 
     /// Jobs of the records of tasks.
@@ -218,7 +218,7 @@
     /// The next transaction, after so many ms.
     fn next(&mut self, after_ms: u64) -> Option<CompareAndSwap> {
         self.now += after_ms;
-        self.placer.next_txn(self.now)
+        self.placer.next_cas(self.now)
     }
 
     /// A transaction ends as the process is told; keys that met other versions are read.
@@ -230,15 +230,15 @@
                 }
             }
         }
-        let (verdict, ends) = self.placer.txn_done(outcome, self.now);
+        let (verdict, ends) = self.placer.cas_done(outcome, self.now);
         assert_eq!(verdict, ShardOwnership::Fine);
         ends
     }
 
     /// Writes all that is due.
     fn write(&mut self) {
-        while let Some(txn) = self.next(END_LAG_MS + 1) {
-            let outcome = self.store.txn(&txn);
+        while let Some(cas) = self.next(END_LAG_MS + 1) {
+            let outcome = self.store.cas(&cas);
             self.end(outcome);
         }
     }
@@ -266,8 +266,8 @@
     night.end(CompareAndSwapOutcome::Again);
     night.withdraw(&spec.id);
     night.copy(&spec.id);
-    let txn = night.next(1).expect("its end");
-    let outcome = night.store.txn(&txn);
+    let cas = night.next(1).expect("its end");
+    let outcome = night.store.cas(&cas);
     assert_eq!(
         night.end(outcome),
         vec![(spec.id.clone(), JobPhase::Withdrawn)]
@@ -290,7 +290,7 @@
     night.end(CompareAndSwapOutcome::Again);
     let again = night.next(1).expect("the start again");
     assert_eq!(late, again);
-    let outcome = night.store.txn(&again);
+    let outcome = night.store.cas(&again);
     night.end(outcome);
     night.sync(&[]);
     assert_eq!(night.wanted, BTreeSet::from([attempt(&spec.id, 0, 1)]));
@@ -327,8 +327,8 @@
         if made_late {
             assert!(!night.store.makes(&start), "its job was withdrawn since");
         }
-        let txn = night.next(1).expect("its end");
-        let outcome = night.store.txn(&txn);
+        let cas = night.next(1).expect("its end");
+        let outcome = night.store.cas(&cas);
         night.end(outcome);
         night.copy(&spec.id);
         let asked = night
@@ -357,17 +357,17 @@
     night.submit(&second);
     night.place();
     night.withdraw(&first.id);
-    let txn = night.next(1).expect("two starts");
-    assert_eq!(txn.writes.len(), 2);
-    let outcome = night.store.txn(&txn);
+    let cas = night.next(1).expect("two starts");
+    assert_eq!(cas.writes.len(), 2);
+    let outcome = night.store.cas(&cas);
     assert!(
         matches!(&outcome, CompareAndSwapOutcome::Conflict(keys) if *keys == vec![job_key(&first.id)]),
         "{outcome:?}"
     );
     night.end(outcome);
-    let txn = night.next(1).expect("the other's start");
-    assert_eq!(txn.writes.len(), 1);
-    let outcome = night.store.txn(&txn);
+    let cas = night.next(1).expect("the other's start");
+    assert_eq!(cas.writes.len(), 1);
+    let outcome = night.store.cas(&cas);
     night.end(outcome);
     assert!(
         night.next(END_LAG_MS + 1).is_none(),
@@ -402,19 +402,19 @@
             (all[0].clone(), AttemptState::Exited(ExitCause::Done)),
             (all[1].clone(), AttemptState::Exited(ExitCause::Done)),
         ]);
-        let txn = night.next(END_LAG_MS + 1).expect("two ends");
+        let cas = night.next(END_LAG_MS + 1).expect("two ends");
         let key = run_key(0, &spec.id, 0);
         let read = night.store.version(&key);
         // Another key's conflict made the process read this one too; the late one
         // comes before or after.
         if between {
             assert!(night.store.makes(&late));
-            let outcome = night.store.txn(&txn);
+            let outcome = night.store.cas(&cas);
             assert!(matches!(outcome, CompareAndSwapOutcome::Conflict(_)));
             night.placer.reread(&spec.id, 0, read);
-            night.placer.txn_done(outcome, night.now);
+            night.placer.cas_done(outcome, night.now);
         } else {
-            let outcome = night.store.txn(&txn);
+            let outcome = night.store.cas(&cas);
             night.end(outcome);
             assert!(!night.store.makes(&late), "its version is no more");
         }
@@ -509,17 +509,17 @@
             match draw.below(9) {
                 0 => night.placer.place(night.now),
                 1..=3 => {
-                    let Some(txn) = night.next(draw.below(END_LAG_MS)) else {
+                    let Some(cas) = night.next(draw.below(END_LAG_MS)) else {
                         continue;
                     };
                     let outcome = match draw.below(if calm { 1 } else { 5 }) {
-                        0 | 1 => night.store.txn(&txn),
+                        0 | 1 => night.store.cas(&cas),
                         2 => {
-                            night.store.txn(&txn);
+                            night.store.cas(&cas);
                             CompareAndSwapOutcome::Again
                         }
                         3 => {
-                            late.push(txn);
+                            late.push(cas);
                             CompareAndSwapOutcome::Again
                         }
                         _ => CompareAndSwapOutcome::Again,
@@ -529,8 +529,8 @@
                         && !late.is_empty()
                         && draw.below(2) == 0
                     {
-                        let txn = late.remove(draw.below(late.len() as u64) as usize);
-                        late_made += usize::from(night.store.makes(&txn));
+                        let cas = late.remove(draw.below(late.len() as u64) as usize);
+                        late_made += usize::from(night.store.makes(&cas));
                     }
                     for (id, phase) in night.end(outcome) {
                         assert_eq!(
@@ -541,8 +541,8 @@
                     }
                 }
                 4 if !late.is_empty() => {
-                    let txn = late.remove(draw.below(late.len() as u64) as usize);
-                    late_made += usize::from(night.store.makes(&txn));
+                    let cas = late.remove(draw.below(late.len() as u64) as usize);
+                    late_made += usize::from(night.store.makes(&cas));
                 }
                 5 => specs.iter().for_each(|spec| night.copy(&spec.id)),
                 6 if draw.below(20) == 0 || step == 520 => {
@@ -600,8 +600,8 @@
             night.sync(&gone);
             night.write();
         }
-        for txn in late {
-            late_made += usize::from(night.store.makes(&txn));
+        for cas in late {
+            late_made += usize::from(night.store.makes(&cas));
         }
         over += specs
             .iter()
