--- a/crates/coordination/tests/ledger.rs
+++ b/crates/coordination/tests/ledger.rs
@@ -20,7 +20,7 @@
 use lemonweir_protocol::worker::{Command, CommandKind, Heartbeat, TaskPhase, TaskStatus};
 use lemonweir_storage::records::{
     GangAdmissionRecord, GangAdmissionStep, JobRecord, TaskChunkRecord, job_key, parse_run_key,
-    part_key,
+    shard_key,
 };
 use lemonweir_storage::state_cache::{CachedJob, ShardLeader};
 use support::*;
@@ -184,7 +184,7 @@
 
 /// A machine as the protocol page has it: tokens, sessions, a lease.
 struct Box_ {
-    part: usize,
+    shard: usize,
     session: u64,
     seq: u64,
     token: u64,
@@ -212,7 +212,7 @@
     trouble: u64,
     revision: u64,
     store: BTreeMap<String, KeyValue>,
-    parts: Vec<Part>,
+    shards: Vec<Part>,
     boxes: Vec<Box_>,
     holders: BTreeMap<u16, ShardLeader>,
     jobs: Vec<(usize, Arc<JobSpec>)>,
@@ -240,7 +240,7 @@
             trouble,
             revision: 40,
             store: BTreeMap::new(),
-            parts: (0..PARTS)
+            shards: (0..PARTS)
                 .map(|_| Part {
                     placer: None,
                     owner: None,
@@ -251,7 +251,7 @@
                 .collect(),
             boxes: (0..BOXES)
                 .map(|n| Box_ {
-                    part: n % PARTS,
+                    shard: n % PARTS,
                     session: 1,
                     seq: 0,
                     token: 0,
@@ -266,9 +266,9 @@
             launches: 0,
             changes: BTreeMap::new(),
         };
-        for part in 0..PARTS {
-            site.revive_owner(part);
-            site.revive_placer(part);
+        for shard in 0..PARTS {
+            site.revive_owner(shard);
+            site.revive_placer(shard);
         }
         site
     }
@@ -287,7 +287,7 @@
         self.store.get(key).map_or(0, |e| e.version)
     }
 
-    fn submit(&mut self, part: usize, spec: JobSpec) {
+    fn submit(&mut self, shard: usize, spec: JobSpec) {
         let record = JobRecord {
             spec: spec.clone(),
             at: self.now,
@@ -300,7 +300,7 @@
             value: to_value(&record),
             version: 0,
         });
-        self.jobs.push((part, Arc::new(spec)));
+        self.jobs.push((shard, Arc::new(spec)));
         self.tell_jobs();
     }
 
@@ -323,18 +323,18 @@
 
     /// What the followed keys say reaches every placer.
     fn tell_jobs(&mut self) {
-        for (part, spec) in &self.jobs {
+        for (shard, spec) in &self.jobs {
             let mirrored = self.store.get(&job_key(&spec.id)).map(|e| CachedJob {
                 record: Arc::new(from_value(&e.value).expect("a job")),
                 version: e.version,
             });
-            if let Some((placer, _)) = self.parts[*part].placer.as_mut() {
+            if let Some((placer, _)) = self.shards[*shard].placer.as_mut() {
                 placer.set_job(&spec.id, mirrored.as_ref(), self.now);
             }
         }
     }
 
-    fn revive_owner(&mut self, part: usize) {
+    fn revive_owner(&mut self, shard: usize) {
         self.revision += 1;
         // Nothing is given back: the fleet is fixed.
         let policy = Policy {
@@ -343,7 +343,7 @@
             ..lemonweir_policy::embedded().expect("policy")
         };
         let mut owner = Owner::new(
-            part as u16,
+            shard as u16,
             self.revision,
             PARTS as u16,
             TIMING,
@@ -351,21 +351,21 @@
             self.now,
         );
         owner.set_types([kind()].iter());
-        self.parts[part].owner = Some((owner, self.revision));
+        self.shards[shard].owner = Some((owner, self.revision));
     }
 
-    fn revive_placer(&mut self, part: usize) {
+    fn revive_placer(&mut self, shard: usize) {
         self.revision += 1;
         let token = self.revision;
         self.holders.insert(
-            part as u16,
+            shard as u16,
             ShardLeader {
-                host: format!("h{part}"),
+                host: format!("h{shard}"),
                 token,
             },
         );
         self.put(KeyValue {
-            key: part_key(part as u16),
+            key: shard_key(shard as u16),
             value: to_value(&0),
             version: 0,
         });
@@ -374,7 +374,7 @@
             wall_offset_ms: 1_000_000,
             ..terms()
         };
-        let mut placer = Placer::new(part as u16, token, PARTS as u16, terms, self.now);
+        let mut placer = Placer::new(shard as u16, token, PARTS as u16, terms, self.now);
         placer.expect(
             &HashMap::new(),
             f64::MAX,
@@ -382,8 +382,8 @@
         );
         for (key, e) in self
             .store
-            .range(format!("run/{part}/")..)
-            .take_while(|(k, _)| k.starts_with(&format!("run/{part}/")))
+            .range(format!("run/{shard}/")..)
+            .take_while(|(k, _)| k.starts_with(&format!("run/{shard}/")))
         {
             let (id, chunk) = parse_run_key(key).expect("a key");
             placer.load_chunk(
@@ -393,18 +393,18 @@
                 e.version,
             );
         }
-        self.parts[part].placer = Some((placer, token));
+        self.shards[shard].placer = Some((placer, token));
         let over: Vec<JobId> = self
             .jobs
             .iter()
-            .filter(|(p, _)| *p == part)
+            .filter(|(p, _)| *p == shard)
             .map(|(_, s)| s.id.clone())
             .collect();
         for id in over
             .iter()
             .filter(|id| !self.store.contains_key(&job_key(id)))
         {
-            if let Some((placer, _)) = self.parts[part].placer.as_mut() {
+            if let Some((placer, _)) = self.shards[shard].placer.as_mut() {
                 placer.set_job(id, None, self.now);
             }
         }
@@ -412,23 +412,23 @@
     }
 
     /// A placer ends; its part is vacant for a while.
-    fn end_placer(&mut self, part: usize, ms: u64) {
-        if self.parts[part].placer.take().is_some() {
+    fn end_placer(&mut self, shard: usize, ms: u64) {
+        if self.shards[shard].placer.take().is_some() {
             self.revision += 1;
-            self.holders.remove(&(part as u16));
-            self.store.remove(&part_key(part as u16));
-            self.parts[part].back = self.now + ms;
+            self.holders.remove(&(shard as u16));
+            self.store.remove(&shard_key(shard as u16));
+            self.shards[shard].back = self.now + ms;
         }
     }
 
-    fn end_owner(&mut self, part: usize, ms: u64) {
-        if self.parts[part].owner.take().is_some() {
-            self.parts[part].owner_back = self.now + ms;
+    fn end_owner(&mut self, shard: usize, ms: u64) {
+        if self.shards[shard].owner.take().is_some() {
+            self.shards[shard].owner_back = self.now + ms;
         }
     }
 
-    fn apply(&mut self, txn: &CompareAndSwap) -> CompareAndSwapOutcome {
-        let failed: Vec<String> = txn
+    fn apply(&mut self, cas: &CompareAndSwap) -> CompareAndSwapOutcome {
+        let failed: Vec<String> = cas
             .conditions
             .iter()
             .filter(|c| self.version(&c.key) != c.version)
@@ -438,7 +438,7 @@
             return CompareAndSwapOutcome::Conflict(failed);
         }
         self.revision += 1;
-        for w in &txn.writes {
+        for w in &cas.writes {
             match w {
                 Write::Put { key, value, .. } => self.put(KeyValue {
                     key: key.clone(),
@@ -481,13 +481,13 @@
         CompareAndSwapOutcome::Done(self.revision)
     }
 
-    fn placer_turn(&mut self, part: usize) {
+    fn placer_turn(&mut self, shard: usize) {
         let now = self.now;
         let Part {
             placer: Some((placer, token)),
             passed,
             ..
-        } = &mut self.parts[part]
+        } = &mut self.shards[shard]
         else {
             return;
         };
@@ -497,20 +497,20 @@
             *passed = now;
             placer.place(now);
         }
-        let Some(txn) = placer.next_txn(now) else {
+        let Some(cas) = placer.next_cas(now) else {
             return;
         };
         let trouble = self.trouble > 0 && self.draws.one_in(self.trouble);
         let outcome = match (trouble, self.draws.below(3)) {
-            (false, _) => self.apply(&txn),
+            (false, _) => self.apply(&cas),
             // Not made; made, but nobody hears of it; made late.
             (true, 0) => CompareAndSwapOutcome::Again,
             (true, 1) => {
-                self.apply(&txn);
+                self.apply(&cas);
                 CompareAndSwapOutcome::Again
             }
             (true, _) => {
-                self.late.push_back(Late::CompareAndSwap(txn));
+                self.late.push_back(Late::CompareAndSwap(cas));
                 CompareAndSwapOutcome::Again
             }
         };
@@ -521,7 +521,7 @@
                 .collect(),
             _ => Vec::new(),
         };
-        let Some((placer, _)) = self.parts[part]
+        let Some((placer, _)) = self.shards[shard]
             .placer
             .as_mut()
             .filter(|(_, t)| *t == token)
@@ -531,17 +531,17 @@
         for (id, chunk, version) in reread {
             placer.reread(&id, chunk, version);
         }
-        if placer.txn_done(outcome, now).0 == ShardOwnership::Lost {
-            self.parts[part].placer = None;
+        if placer.cas_done(outcome, now).0 == ShardOwnership::Lost {
+            self.shards[shard].placer = None;
         }
     }
 
     fn sync(&mut self, from: usize, to: usize) {
-        let Some((_, to_token)) = self.parts[to].owner.as_ref() else {
+        let Some((_, to_token)) = self.shards[to].owner.as_ref() else {
             return;
         };
         let to_token = *to_token;
-        let Some((placer, _)) = self.parts[from].placer.as_mut() else {
+        let Some((placer, _)) = self.shards[from].placer.as_mut() else {
             return;
         };
         let sync = placer.sync_for(to as u16, to_token, ROOM, false, self.now);
@@ -563,14 +563,14 @@
     }
 
     fn lose(&mut self, from: usize, to: usize) {
-        if let Some((placer, _)) = self.parts[from].placer.as_mut() {
+        if let Some((placer, _)) = self.shards[from].placer.as_mut() {
             placer.lost(to as u16);
         }
     }
 
     fn deliver(&mut self, to: usize, sync: &SyncRequest, answered: bool) {
         let from = usize::from(sync.from);
-        let Some((owner, _)) = self.parts[to].owner.as_mut() else {
+        let Some((owner, _)) = self.shards[to].owner.as_mut() else {
             return;
         };
         let Ok(view) = owner.sync(sync, ROOM, self.now) else {
@@ -578,7 +578,7 @@
         };
         if !answered || self.trouble > 0 && self.draws.one_in(self.trouble) {
             self.late.push_back(Late::View(from, view));
-        } else if let Some((placer, _)) = self.parts[from].placer.as_mut() {
+        } else if let Some((placer, _)) = self.shards[from].placer.as_mut() {
             placer.take_view(view, self.now);
         }
     }
@@ -674,9 +674,9 @@
     }
 
     fn hello(&mut self, n: usize) {
-        let part = self.boxes[n].part;
+        let shard = self.boxes[n].shard;
         let report = self.report_of(n);
-        let Some((owner, _)) = self.parts[part].owner.as_mut() else {
+        let Some((owner, _)) = self.shards[shard].owner.as_mut() else {
             return;
         };
         let Some(reply) = owner.report(&report, None, self.now) else {
@@ -690,8 +690,8 @@
         self.execute(n, &reply.orders);
     }
 
-    fn calls(&mut self, part: usize) {
-        let Some((owner, _)) = self.parts[part].owner.as_mut() else {
+    fn calls(&mut self, shard: usize) {
+        let Some((owner, _)) = self.shards[shard].owner.as_mut() else {
             return;
         };
         for call in owner.calls(self.now, 64) {
@@ -708,7 +708,7 @@
                 }
                 (false, _) => self.call(&call),
             };
-            if let Some((owner, _)) = self.parts[part].owner.as_mut() {
+            if let Some((owner, _)) = self.shards[shard].owner.as_mut() {
                 owner.call_done(&call, result, self.now);
             }
         }
@@ -813,11 +813,11 @@
         match self.late.remove(n) {
             Some(Late::Sync(to, sync)) => self.deliver(to, &sync, false),
             Some(Late::View(to, view)) => {
-                if let Some((placer, _)) = self.parts[to].placer.as_mut() {
+                if let Some((placer, _)) = self.shards[to].placer.as_mut() {
                     placer.take_view(view, self.now);
                 }
             }
-            Some(Late::CompareAndSwap(txn)) => drop(self.apply(&txn)),
+            Some(Late::CompareAndSwap(cas)) => drop(self.apply(&cas)),
             Some(Late::Call(call)) => drop(self.call(&call)),
             None => {}
         }
@@ -827,22 +827,22 @@
     fn step(&mut self) {
         self.now += 100;
         self.machines_go_on();
-        for part in 0..PARTS {
-            if self.parts[part].placer.is_none() && self.now >= self.parts[part].back {
-                if self.holders.remove(&(part as u16)).is_some() {
+        for shard in 0..PARTS {
+            if self.shards[shard].placer.is_none() && self.now >= self.shards[shard].back {
+                if self.holders.remove(&(shard as u16)).is_some() {
                     self.revision += 1;
-                    self.store.remove(&part_key(part as u16));
+                    self.store.remove(&shard_key(shard as u16));
                 }
-                self.revive_placer(part);
+                self.revive_placer(shard);
             }
-            if self.parts[part].owner.is_none() && self.now >= self.parts[part].owner_back {
-                self.revive_owner(part);
+            if self.shards[shard].owner.is_none() && self.now >= self.shards[shard].owner_back {
+                self.revive_owner(shard);
             }
-            if let Some((owner, _)) = self.parts[part].owner.as_mut() {
+            if let Some((owner, _)) = self.shards[shard].owner.as_mut() {
                 owner.watch_placers(&self.holders, self.revision, self.now);
                 owner.tick(self.now, self.now);
             }
-            self.calls(part);
+            self.calls(shard);
         }
         for n in 0..BOXES {
             if self.now / 100 % 15 == n as u64 {
@@ -902,13 +902,13 @@
             if step == 300 && seed % 3 == 0 {
                 site.withdraw(&JobId::from("req-000001"));
             }
-            let part = site.draws.below(PARTS as u64) as usize;
+            let shard = site.draws.below(PARTS as u64) as usize;
             let ms = [300, 1_500, 12_000][site.draws.below(3) as usize];
             if site.draws.one_in(60) {
-                site.end_placer(part, ms);
+                site.end_placer(shard, ms);
             }
             if site.draws.one_in(60) {
-                site.end_owner(part, ms.min(3_000));
+                site.end_owner(shard, ms.min(3_000));
             }
             site.step();
         }
@@ -1033,8 +1033,8 @@
         placer.take_view(view, now);
         placer.keep_ledger(now, 0);
         placer.place(now);
-        while let Some(txn) = placer.next_txn(now) {
-            let gang: Vec<GangAdmissionStep> = txn
+        while let Some(cas) = placer.next_cas(now) {
+            let gang: Vec<GangAdmissionStep> = cas
                 .writes
                 .iter()
                 .filter_map(|w| match w {
@@ -1048,10 +1048,10 @@
                 assert_eq!(gang.len(), 11, "{gang:?}");
                 steps.push(gang[0]);
             }
-            assert!(txn.writes.len() <= 12);
-            assert!(to_value(&txn).to_string().len() < 128 * 1024);
+            assert!(cas.writes.len() <= 12);
+            assert!(to_value(&cas).to_string().len() < 128 * 1024);
             revision += 1;
-            placer.txn_done(CompareAndSwapOutcome::Done(revision), now);
+            placer.cas_done(CompareAndSwapOutcome::Done(revision), now);
         }
     }
     assert_eq!(
@@ -1111,20 +1111,20 @@
         step_of(&site).map(|s| s.0),
         Some(GangAdmissionStep::Released)
     );
-    for part in 0..2 {
-        let (placer, _) = site.parts[1].placer.as_ref().expect("there");
+    for shard in 0..2 {
+        let (placer, _) = site.shards[1].placer.as_ref().expect("there");
         let there = |m: &&lemonweir_protocol::peer::MachineView| {
             site.boxes
                 .iter()
                 .enumerate()
-                .any(|(n, b)| b.part == part && machine(n) == m.id)
+                .any(|(n, b)| b.shard == shard && machine(n) == m.id)
         };
         assert!(
             placer
                 .machines()
                 .filter(there)
                 .all(|m| m.free.gpus == 4_000),
-            "part {part}"
+            "part {shard}"
         );
     }
     (0..400).for_each(|_| site.step());
@@ -1191,8 +1191,8 @@
     while step_of(&site) != Some((GangAdmissionStep::Admitted, 8)) {
         site.placer_turn(0);
     }
-    let token = site.parts[1].owner.as_ref().expect("there").1;
-    let late = site.parts[0]
+    let token = site.shards[1].owner.as_ref().expect("there").1;
+    let late = site.shards[0]
         .placer
         .as_mut()
         .expect("there")
@@ -1202,7 +1202,7 @@
     site.end_placer(0, 600_000);
     let ended = site.now;
     let free = |site: &Site| {
-        let (placer, _) = site.parts[2].placer.as_ref().expect("there");
+        let (placer, _) = site.shards[2].placer.as_ref().expect("there");
         placer.machines().filter(|m| m.free.gpus == 4_000).count()
     };
     let mut at = None;
@@ -1221,7 +1221,7 @@
     (0..50).for_each(|_| site.step());
     assert_eq!((site.launches, free(&site)), (0, BOXES));
     // What comes after it finds a member refused, and starts all of it anew.
-    site.parts[0].back = site.now;
+    site.shards[0].back = site.now;
     (0..400).for_each(|_| site.step());
     assert!(site.over(&JobId::from(ONE)) && site.launches >= 8);
 }
@@ -1239,7 +1239,7 @@
         (0..100).for_each(|_| site.step());
         assert!(site.over(&JobId::from(ONE)), "{steps}");
         assert_eq!((site.launches, running(&site)), (launched, 0), "{steps}");
-        let (placer, _) = site.parts[1].placer.as_ref().expect("there");
+        let (placer, _) = site.shards[1].placer.as_ref().expect("there");
         assert!(placer.machines().all(|m| m.free.gpus == 4_000), "{steps}");
     }
 }
--- a/crates/coordination/tests/links.rs
+++ b/crates/coordination/tests/links.rs
@@ -7,7 +7,7 @@
 use lemonweir_protocol::kv_store::{KeyValue, to_value};
 use lemonweir_protocol::links::{AvailabilityGossip, LINKS_VERSION, LinkState, Service};
 use lemonweir_protocol::worker::Heartbeat;
-use lemonweir_storage::records::{ShardRecord, part_key};
+use lemonweir_storage::records::{ShardRecord, shard_key};
 
 const TOKEN: u64 = 40;
 
@@ -38,9 +38,9 @@
         lemonweir_policy::embedded().expect("policy"),
     );
     let holder = ShardRecord { host: "h0".into() };
-    core.mirror.replace(
+    core.cache.replace(
         &[KeyValue {
-            key: part_key(0),
+            key: shard_key(0),
             value: to_value(&holder),
             version: TOKEN,
         }],
@@ -69,7 +69,7 @@
 fn of_part_0(core: &Core, token: u64) -> impl Iterator<Item = Heartbeat> + use<> {
     let ours = |n: &u32| {
         core.config
-            .part_of("north", &format!("n-{n:06}").as_str().into())
+            .shard_of("north", &format!("n-{n:06}").as_str().into())
             == 0
     };
     let numbers: Vec<u32> = (0..400).filter(ours).collect();
@@ -239,22 +239,30 @@
         version: 60,
     };
     let own = ShardRecord { host: "h1".into() };
-    let part = |version| KeyValue {
-        key: part_key(1),
+    let shard = |version| KeyValue {
+        key: shard_key(1),
         value: to_value(&own),
         version,
     };
-    core.mirror.replace(
+    core.cache.replace(
         &[
             present("h0", vec![0]),
             present("h1", Vec::new()),
             present("h2", Vec::new()),
-            part(55),
+            shard(55),
         ],
         70,
     );
     core.refreshed(0, true);
-    core.adopt(ShardLease { part: 1, token: 55 }, &[], Vec::new(), 0);
+    core.acquire(
+        ShardLease {
+            shard: 1,
+            token: 55,
+        },
+        &[],
+        Vec::new(),
+        0,
+    );
     let token = 55 << FENCE_BITS;
     let reports: Vec<Heartbeat> = of_part_0(&core, token).take(6).collect();
     for r in &reports {
@@ -272,7 +280,7 @@
     assert_eq!(
         membership.claim(&core, 0, 3_000 + waits),
         Some(ElectionAction::Take {
-            part: 0,
+            shard: 0,
             version: 0
         })
     );
@@ -284,12 +292,12 @@
         "another lives that may hear"
     );
     // Only it could: then there is no use in waiting.
-    core.mirror.replace(
+    core.cache.replace(
         &[
             present("h0", vec![0]),
             present("h1", Vec::new()),
             present("h2", vec![0]),
-            part(55),
+            shard(55),
         ],
         80,
     );
@@ -297,7 +305,7 @@
     assert_eq!(
         membership.claim(&core, 0, 3_000),
         Some(ElectionAction::Take {
-            part: 0,
+            shard: 0,
             version: 0
         })
     );
--- a/crates/coordination/tests/nights.rs
+++ b/crates/coordination/tests/nights.rs
@@ -16,7 +16,7 @@
 };
 use lemonweir_protocol::users::JobPhase;
 use lemonweir_protocol::worker::{Heartbeat, TaskPhase, TaskStatus};
-use lemonweir_storage::records::{JobRecord, ShardRecord, job_key, part_key};
+use lemonweir_storage::records::{JobRecord, ShardRecord, job_key, shard_key};
 use support::*;
 
 /// One owner and what its only placer knows of it.
@@ -156,38 +156,38 @@
 /// of them had failed a job that ran anywhere else.
 #[test]
 fn jobs_with_a_mistake_set_no_machine_aside_for_good() {
-    let mut part = Part::new(8);
+    let mut shard = Part::new(8);
     for n in 0..8 {
-        assert!(part.run(n, n, "done"));
+        assert!(shard.run(n, n, "done"));
     }
     // Twelve jobs with a mistake go from machine to machine.
     for round in 0..4 {
         for broken in 0..12 {
-            part.run(100 + broken, (broken + 3 * round) % 8, "error");
+            shard.run(100 + broken, (broken + 3 * round) % 8, "error");
         }
     }
-    let closed: Vec<usize> = (0..8).filter(|n| !part.open(*n)).collect();
+    let closed: Vec<usize> = (0..8).filter(|n| !shard.open(*n)).collect();
     assert_eq!(closed, [0usize; 0], "all are known as suspects by now");
-    part.pass(60_000);
-    assert_eq!((0..8).filter(|n| part.open(*n)).count(), 8);
+    shard.pass(60_000);
+    assert_eq!((0..8).filter(|n| shard.open(*n)).count(), 8);
 }
 
 /// A machine that fails what runs elsewhere is set aside, takes one task as a
 /// trial, and comes back with the one that goes well.
 #[test]
 fn a_faulty_machine_comes_back_by_a_trial() {
-    let mut part = Part::new(3);
-    assert!(part.run(1, 0, "error") && part.run(2, 0, "error"));
-    assert!(!part.open(0), "two jobs failed in a row");
-    part.pass(TRIAL_MS + 3_000);
-    assert!(part.open(0), "it may show itself");
+    let mut shard = Part::new(3);
+    assert!(shard.run(1, 0, "error") && shard.run(2, 0, "error"));
+    assert!(!shard.open(0), "two jobs failed in a row");
+    shard.pass(TRIAL_MS + 3_000);
+    assert!(shard.open(0), "it may show itself");
     // The first is the trial; while it runs there is room for no other.
     let id = |n: usize| AttemptId {
         job: JobId::from(format!("req-{n:06}").as_str()),
         task: 0,
         attempt: 900,
     };
-    let view = part.tell(
+    let view = shard.tell(
         (3..6)
             .map(|n| DesiredAttempt {
                 id: id(n),
@@ -199,19 +199,19 @@
     );
     let taken = view.attempts.iter().filter(|a| !a.standing.ended()).count();
     assert_eq!((view.attempts.len(), taken), (3, 1));
-    part.tell(Vec::new(), (3..6).map(id).collect(), Vec::new());
-    part.report(0, Vec::new());
-    assert!(part.run(7, 0, "error"), "another trial");
-    assert!(!part.open(0));
-    part.pass(2 * TRIAL_MS + 3_000);
-    assert!(part.run(8, 0, "done"));
-    assert!(part.open(0) && part.run(9, 0, "done"));
+    shard.tell(Vec::new(), (3..6).map(id).collect(), Vec::new());
+    shard.report(0, Vec::new());
+    assert!(shard.run(7, 0, "error"), "another trial");
+    assert!(!shard.open(0));
+    shard.pass(2 * TRIAL_MS + 3_000);
+    assert!(shard.run(8, 0, "done"));
+    assert!(shard.open(0) && shard.run(9, 0, "done"));
 }
 
 /// What is overdue is not counted on, in bounds, and used when it comes after all.
 #[test]
 fn overdue_machines_are_replaced_within_bounds_and_used_when_they_come() {
-    let mut part = Part::new(8);
+    let mut shard = Part::new(8);
     let late: Vec<usize> = (100..124).collect();
     let rented = |n: &usize| ProvisionedInstance {
         machine: machine(*n),
@@ -220,31 +220,32 @@
         spot: false,
         age_ms: 0,
     };
-    part.tell(Vec::new(), Vec::new(), late.iter().map(rented).collect());
-    part.pass(25_000);
+    shard.tell(Vec::new(), Vec::new(), late.iter().map(rented).collect());
+    shard.pass(25_000);
     assert!(
-        late.iter().all(|n| part.open(*n)),
+        late.iter().all(|n| shard.open(*n)),
         "they may take 1.5 times as long as listed"
     );
-    part.pass(10_000);
-    let counted = late.iter().filter(|n| part.open(**n)).count();
+    shard.pass(10_000);
+    let counted = late.iter().filter(|n| shard.open(**n)).count();
     assert_eq!(
         late.len() - counted,
         OVERDUE_LEAST.max(32 / OVERDUE_OF),
         "so many are replaced at a time"
     );
-    let overdue = *late.iter().find(|n| !part.open(**n)).expect("some");
+    let overdue = *late.iter().find(|n| !shard.open(**n)).expect("some");
     assert!(
-        part.owner
-            .report(&report(overdue, 1), None, part.now)
+        shard
+            .owner
+            .report(&report(overdue, 1), None, shard.now)
             .is_some()
     );
-    assert!(part.open(overdue), "what comes after all is used");
+    assert!(shard.open(overdue), "what comes after all is used");
     for seq in 2..18 {
-        part.pass(3_000);
-        part.owner.report(&report(overdue, seq), None, part.now);
+        shard.pass(3_000);
+        shard.owner.report(&report(overdue, seq), None, shard.now);
     }
-    let released: BTreeSet<_> = part.owner.releases().into_iter().collect();
+    let released: BTreeSet<_> = shard.owner.releases().into_iter().collect();
     let never = late
         .iter()
         .filter(|n| **n != overdue && released.contains(&machine(**n)))
@@ -256,13 +257,13 @@
 /// say of it later.
 #[test]
 fn a_machine_that_nobody_announced_is_used_at_once() {
-    let mut part = Part::new(1);
-    part.reports.push(0);
-    part.tokens.push(0);
+    let mut shard = Part::new(1);
+    shard.reports.push(0);
+    shard.tokens.push(0);
     // The first shows no token; its answer gives one.
-    part.report(1, Vec::new());
-    part.report(1, Vec::new());
-    assert!(part.open(1) && part.run(1, 1, "done"));
+    shard.report(1, Vec::new());
+    shard.report(1, Vec::new());
+    assert!(shard.open(1) && shard.run(1, 1, "done"));
     let told = ProvisionedInstance {
         machine: machine(1),
         kind: "box".into(),
@@ -270,8 +271,8 @@
         spot: false,
         age_ms: 1_500,
     };
-    part.tell(Vec::new(), Vec::new(), vec![told]);
-    assert!(part.open(1) && part.run(2, 1, "done"));
+    shard.tell(Vec::new(), Vec::new(), vec![told]);
+    assert!(shard.open(1) && shard.run(2, 1, "done"));
 }
 
 // ---- one core ------------------------------------------------------------------
@@ -308,27 +309,27 @@
         withdrawn,
         awaited: 0,
     };
-    let part = ShardRecord { host: "h0".into() };
+    let shard = ShardRecord { host: "h0".into() };
     let job_entry = KeyValue {
         key: job_key(&job),
         value: to_value(&record),
         version: 41,
     };
-    core.mirror.replace(
+    core.cache.replace(
         &[
             job_entry,
             KeyValue {
-                key: part_key(0),
-                value: to_value(&part),
+                key: shard_key(0),
+                value: to_value(&shard),
                 version: TOKEN,
             },
         ],
         50,
     );
     core.refreshed(1_000, true);
-    core.adopt(
+    core.acquire(
         lemonweir_coordination::ShardLease {
-            part: 0,
+            shard: 0,
             token: TOKEN,
         },
         &[],
@@ -361,7 +362,7 @@
         core.answer(&JobId::from("req-999999"), 1_100),
         Answer::Unknown
     );
-    core.mirror.apply(&[left(&job)], 51, 2_000);
+    core.cache.apply(&[left(&job)], 51, 2_000);
     core.refreshed(1_990, true);
     // Nobody asked for its withdrawal: it can only be done.
     assert_eq!(core.answer(&job, 2_000), Answer::OverIn(TOLD_AFTER_MS));
@@ -371,7 +372,7 @@
         Answer::Over(JobPhase::Done)
     );
     // Learned again later, it is told as before.
-    core.mirror.settle(&job, JobPhase::Done, 1, 9_000);
+    core.cache.settle(&job, JobPhase::Done, 1, 9_000);
     assert_eq!(core.answer(&job, 9_001), Answer::Over(JobPhase::Done));
 }
 
@@ -380,7 +381,7 @@
 #[test]
 fn the_end_of_a_job_that_was_to_be_withdrawn_is_read() {
     let (mut core, job) = core(true);
-    core.mirror.apply(&[left(&job)], 51, 2_000);
+    core.cache.apply(&[left(&job)], 51, 2_000);
     core.refreshed(1_990, true);
     assert_eq!(core.answer(&job, 60_000), Answer::Unknown);
 }
--- a/crates/coordination/tests/recovery.rs
+++ b/crates/coordination/tests/recovery.rs
@@ -111,7 +111,7 @@
         self.state += 1;
         let view = ShardView {
             version: lemonweir_model::constants::PEER_VERSION,
-            part: 0,
+            shard: 0,
             token: TOKEN,
             seq,
             store_age_ms: 0,
@@ -133,10 +133,10 @@
         };
         self.placer.take_view(view, 0);
         self.placer.place(0);
-        while self.placer.next_txn(0).is_some() {
+        while self.placer.next_cas(0).is_some() {
             self.revision += 1;
             self.placer
-                .txn_done(CompareAndSwapOutcome::Done(self.revision), 0);
+                .cas_done(CompareAndSwapOutcome::Done(self.revision), 0);
         }
     }
 }
--- a/crates/coordination/tests/starts.rs
+++ b/crates/coordination/tests/starts.rs
@@ -16,7 +16,7 @@
 use support::*;
 
 const LOT: ShardLease = ShardLease {
-    part: 0,
+    shard: 0,
     token: TOKEN,
 };
 
@@ -62,7 +62,7 @@
         awaited: 0,
     };
     let holder = KeyValue {
-        key: part_key(0),
+        key: shard_key(0),
         value: to_value(&ShardRecord { host: "h0".into() }),
         version: TOKEN,
     };
@@ -71,9 +71,9 @@
         value: to_value(&record),
         version: 46,
     };
-    core.mirror.replace(&[job, holder], 100);
+    core.cache.replace(&[job, holder], 100);
     core.refreshed(10, true);
-    core.adopt(LOT, &[], Vec::new(), 10);
+    core.acquire(LOT, &[], Vec::new(), 10);
     let first = report(own_machine(&core), 1);
     let token = reported(&mut core, &first, 20).token;
     core.refreshed(now, false);
@@ -90,7 +90,7 @@
 /// A machine of the controller's own shard.
 fn own_machine(core: &Core) -> usize {
     (0..)
-        .find(|n| core.config.part_of("north", &machine(*n)) == LOT.part)
+        .find(|n| core.config.shard_of("north", &machine(*n)) == LOT.shard)
         .expect("one of all")
 }
 
@@ -105,7 +105,7 @@
                 .any(|effect| matches!(effect, Effect::CompareAndSwap(..)))
         });
         if now == at {
-            core.txn_done(LOT, CompareAndSwapOutcome::Done(200), at);
+            core.cas_done(LOT, CompareAndSwapOutcome::Done(200), at);
         }
         let next = Heartbeat {
             token,
@@ -148,9 +148,9 @@
         keys_to_reread(LOT, &[chunk.clone(), job.clone()]),
         [chunk.as_str()]
     );
-    assert!(keys_to_reread(LOT, &[part_key(0), chunk.clone(), job]).is_empty());
+    assert!(keys_to_reread(LOT, &[shard_key(0), chunk.clone(), job]).is_empty());
     assert_eq!(
-        keys_to_reread(LOT, &[part_key(1), chunk.clone()]),
+        keys_to_reread(LOT, &[shard_key(1), chunk.clone()]),
         [chunk.as_str()]
     );
 }
--- a/crates/coordination/tests/support/controllers.rs
+++ b/crates/coordination/tests/support/controllers.rs
@@ -269,12 +269,12 @@
         }
     }
 
-    pub fn apply(&mut self, txn: &CompareAndSwap) -> CompareAndSwapOutcome {
+    pub fn apply(&mut self, cas: &CompareAndSwap) -> CompareAndSwapOutcome {
         let lives = |w: &Write| !matches!(w, Write::Put { hold: Some(h), .. } if !self.holds.contains_key(h));
-        if !txn.writes.iter().all(lives) {
+        if !cas.writes.iter().all(lives) {
             return CompareAndSwapOutcome::Again;
         }
-        let failed: Vec<String> = txn
+        let failed: Vec<String> = cas
             .conditions
             .iter()
             .filter(|c| self.version(&c.key) != c.version)
@@ -284,7 +284,7 @@
             return CompareAndSwapOutcome::Conflict(failed);
         }
         self.revision += 1;
-        for w in &txn.writes {
+        for w in &cas.writes {
             match w {
                 Write::Put { key, value, hold } => {
                     self.set(key, value.clone());
@@ -303,19 +303,19 @@
     }
 
     /// What becomes of a transaction that a controller makes.
-    pub fn transact(&mut self, node: usize, txn: &CompareAndSwap) -> CompareAndSwapOutcome {
+    pub fn transact(&mut self, node: usize, cas: &CompareAndSwap) -> CompareAndSwapOutcome {
         if !self.has_store(node) {
             return CompareAndSwapOutcome::Again;
         }
         match (self.trouble(), self.draws.below(3)) {
-            (false, _) => self.apply(txn),
+            (false, _) => self.apply(cas),
             (true, 0) => CompareAndSwapOutcome::Again,
             (true, 1) => {
-                self.apply(txn);
+                self.apply(cas);
                 CompareAndSwapOutcome::Again
             }
             (true, _) => {
-                self.hold_back(Late::CompareAndSwap(txn.clone()));
+                self.hold_back(Late::CompareAndSwap(cas.clone()));
                 CompareAndSwapOutcome::Again
             }
         }
@@ -388,7 +388,7 @@
         }
         let (now, revision) = (self.now, self.revision);
         let core = &mut self.nodes[node].core;
-        let changed = match core.mirror.revision {
+        let changed = match core.cache.revision {
             None => {
                 let entries: Vec<KeyValue> = self
                     .store
@@ -396,7 +396,7 @@
                     .take_while(|(k, _)| k.starts_with("w/"))
                     .map(|(_, e)| e.clone())
                     .collect();
-                core.mirror.replace(&entries, revision);
+                core.cache.replace(&entries, revision);
                 true
             }
             Some(after) => {
@@ -408,7 +408,7 @@
                             .is_some_and(|k| k.starts_with("w/"))
                 };
                 let changes: Vec<WatchEvent> = self.changes.iter().filter(of).cloned().collect();
-                core.mirror.apply(&changes, revision, now);
+                core.cache.apply(&changes, revision, now);
                 !changes.is_empty()
             }
         };
@@ -419,7 +419,7 @@
     }
 
     pub fn keep(&mut self, node: usize) {
-        if !self.has_store(node) || self.nodes[node].core.mirror.revision.is_none() {
+        if !self.has_store(node) || self.nodes[node].core.cache.revision.is_none() {
             return;
         }
         let now = self.now;
@@ -442,24 +442,24 @@
             self.apply(&assign_teams(&teams));
             self.read(node);
         }
-        for part in 0..CORES as u16 {
+        for shard in 0..CORES as u16 {
             let Node {
                 core, membership, ..
             } = &mut self.nodes[node];
-            let Some(claim) = membership.claim(core, part, now) else {
+            let Some(claim) = membership.claim(core, shard, now) else {
                 continue;
             };
             let left = membership.left(core, now);
-            let txn = core.claim_txn(&claim, hold, left, now);
-            match (claim, self.apply(&txn)) {
-                (ElectionAction::Take { part, .. }, CompareAndSwapOutcome::Done(token)) => {
-                    self.acquire(node, ShardLease { part, token })
+            let cas = core.claim_txn(&claim, hold, left, now);
+            match (claim, self.apply(&cas)) {
+                (ElectionAction::Take { shard, .. }, CompareAndSwapOutcome::Done(token)) => {
+                    self.acquire(node, ShardLease { shard, token })
                 }
                 (
-                    ElectionAction::HandBack(lot) | ElectionAction::Leave(lot),
+                    ElectionAction::HandBack(lease) | ElectionAction::Leave(lease),
                     CompareAndSwapOutcome::Done(_),
                 ) => {
-                    self.nodes[node].core.abandon(lot.part, now);
+                    self.nodes[node].core.release(lease.shard, now);
                     self.read(node);
                 }
                 _ => self.read(node),
@@ -474,8 +474,8 @@
         }
     }
 
-    pub fn acquire(&mut self, node: usize, lot: ShardLease) {
-        let prefix = run_prefix(lot.part);
+    pub fn acquire(&mut self, node: usize, lease: ShardLease) {
+        let prefix = run_prefix(lease.shard);
         let chunks: Vec<(JobId, u32, TaskChunkRecord, u64)> = self
             .store
             .range(prefix.clone()..)
@@ -489,12 +489,12 @@
         let now = self.now;
         let core = &mut self.nodes[node].core;
         if core
-            .mirror
-            .parts
-            .get(&lot.part)
-            .is_some_and(|h| h.token == lot.token)
+            .cache
+            .shards
+            .get(&lease.shard)
+            .is_some_and(|h| h.token == lease.token)
         {
-            core.adopt(lot, &chunks, Vec::new(), now);
+            core.acquire(lease, &chunks, Vec::new(), now);
         }
     }
 
@@ -505,44 +505,46 @@
         }
     }
 
-    pub fn holder(&self, node: usize, part: u16) -> Option<usize> {
-        let host = &self.nodes[node].core.mirror.parts.get(&part)?.host;
+    pub fn holder(&self, node: usize, shard: u16) -> Option<usize> {
+        let host = &self.nodes[node].core.cache.shards.get(&shard)?.host;
         host[1..].parse().ok()
     }
 
     pub fn carry(&mut self, node: usize, effect: Effect) {
         let now = self.now;
         match effect {
-            Effect::CompareAndSwap(lot, txn) => {
-                let outcome = self.transact(node, &txn);
+            Effect::CompareAndSwap(lease, cas) => {
+                let outcome = self.transact(node, &cas);
                 if let CompareAndSwapOutcome::Conflict(keys) = &outcome {
-                    for key in keys_to_reread(lot, keys) {
+                    for key in keys_to_reread(lease, keys) {
                         let (version, (job, chunk)) =
                             (self.version(key), parse_run_key(key).expect("a key"));
-                        self.nodes[node].core.reread(lot, &job, chunk, version);
+                        self.nodes[node].core.reread(lease, &job, chunk, version);
                     }
                 }
-                self.nodes[node].core.txn_done(lot, outcome, now);
+                self.nodes[node].core.cas_done(lease, outcome, now);
             }
-            Effect::Note(txn) => drop(self.transact(node, &txn)),
-            Effect::Chain(txn) => {
-                let outcome = self.transact(node, &txn);
+            Effect::Note(cas) => drop(self.transact(node, &cas)),
+            Effect::Chain(cas) => {
+                let outcome = self.transact(node, &cas);
                 self.nodes[node].core.chain_done(outcome, now);
             }
             Effect::ReadEnds(ids) => {
                 for id in &ids {
                     if let Some(phase) = self.end(id).filter(|_| self.has_store(node)) {
                         let version = self.version(&end_key(id));
-                        self.nodes[node].core.mirror.settle(id, phase, version, now);
+                        self.nodes[node].core.cache.settle(id, phase, version, now);
                     }
                 }
                 self.nodes[node].core.ends_read(&ids, now);
             }
-            Effect::Command(lot, call) => {
+            Effect::Command(lease, call) => {
                 let result = self.command(node, &call);
-                self.nodes[node].core.command_done(lot, &call, result, now);
+                self.nodes[node]
+                    .core
+                    .command_done(lease, &call, result, now);
             }
-            Effect::Sync(lot, sync) => self.sync(node, lot, sync),
+            Effect::Sync(lease, sync) => self.sync(node, lease, sync),
             Effect::MailSync(sync) => {
                 let line = StoreMessageRoute {
                     kind: StoreMessageKind::Sync,
@@ -554,35 +556,35 @@
             Effect::MailView(to, view) => {
                 let line = StoreMessageRoute {
                     kind: StoreMessageKind::View,
-                    from: view.part,
+                    from: view.shard,
                     to,
                 };
                 self.mail(node, line, (view.token, view.seq), &peer::write(&view));
             }
-            Effect::Nudge(part) => {
-                if let Some(to) = self.holder(node, part).filter(|to| !self.apart(node, *to)) {
+            Effect::Nudge(shard) => {
+                if let Some(to) = self.holder(node, shard).filter(|to| !self.apart(node, *to)) {
                     let from: Vec<u16> = self.nodes[node]
                         .core
                         .held()
                         .iter()
-                        .map(|l| l.part)
+                        .map(|l| l.shard)
                         .collect();
                     from.into_iter()
-                        .for_each(|from| self.nodes[to].core.nudged(part, from));
+                        .for_each(|from| self.nodes[to].core.nudged(shard, from));
                 }
             }
-            Effect::Rent(lot, rental) => {
+            Effect::Rent(lease, rental) => {
                 self.nodes[node]
                     .core
-                    .rented(lot, &rental, ProvisioningResult::NoCapacity, now)
+                    .rented(lease, &rental, ProvisioningResult::NoCapacity, now)
             }
-            Effect::Release(lot, machines) => {
+            Effect::Release(lease, machines) => {
                 for id in &machines {
                     let n = (0..BOXES).find(|n| machine(*n) == *id).expect("a machine");
                     self.boxes[n].gone = true;
                     self.boxes[n].tasks.clear();
                 }
-                self.nodes[node].core.released(lot, &machines, true, now);
+                self.nodes[node].core.released(lease, &machines, true, now);
             }
             Effect::Hail(to, word) => {
                 let to = usize::from(to);
@@ -601,11 +603,11 @@
         let Some(hold) = self.nodes[node].hold else {
             return;
         };
-        let txn = post(line, id, bytes, 6_000, hold);
-        self.transact(node, &txn);
+        let cas = post(line, id, bytes, 6_000, hold);
+        self.transact(node, &cas);
     }
 
-    pub fn sync(&mut self, node: usize, lot: ShardLease, sync: SyncRequest) {
+    pub fn sync(&mut self, node: usize, lease: ShardLease, sync: SyncRequest) {
         let now = self.now;
         let to = self
             .holder(node, sync.to)
@@ -619,7 +621,7 @@
             (Some(to), late, _) => match self.nodes[to].core.sync_in(&sync, now) {
                 Ok(view) if late => {
                     // The answer comes late: the line is busy until then.
-                    self.hold_back(Late::View(node, lot, Box::new(view)));
+                    self.hold_back(Late::View(node, lease, Box::new(view)));
                     return;
                 }
                 Ok(view) => Some(view),
@@ -630,7 +632,7 @@
                 Err(_) => None,
             },
         };
-        self.nodes[node].core.sync_done(lot, sync.to, view, now);
+        self.nodes[node].core.sync_done(lease, sync.to, view, now);
     }
 
     pub fn command(&mut self, node: usize, call: &CommandCall) -> CommandResult {
@@ -663,15 +665,17 @@
         for (_, late) in due {
             match late {
                 // An outage may hold it back for longer.
-                Late::CompareAndSwap(txn) if self.down() => self
+                Late::CompareAndSwap(cas) if self.down() => self
                     .late
-                    .push((self.days.down.1, Late::CompareAndSwap(txn))),
-                Late::CompareAndSwap(txn) => drop(self.apply(&txn)),
+                    .push((self.days.down.1, Late::CompareAndSwap(cas))),
+                Late::CompareAndSwap(cas) => drop(self.apply(&cas)),
                 Late::Call(call) => drop(self.execute_call(&call)),
                 Late::Sync(to, sync) => drop(self.nodes[to].core.sync_in(&sync, now)),
-                Late::View(node, lot, view) => {
-                    let part = view.part;
-                    self.nodes[node].core.sync_done(lot, part, Some(*view), now);
+                Late::View(node, lease, view) => {
+                    let shard = view.shard;
+                    self.nodes[node]
+                        .core
+                        .sync_done(lease, shard, Some(*view), now);
                 }
             }
         }
@@ -864,10 +868,10 @@
                 self.check_end(&id);
                 continue;
             }
-            let Some(job) = core.mirror.jobs.get(&id).cloned() else {
+            let Some(job) = core.cache.jobs.get(&id).cloned() else {
                 // Nobody here knows it: the end is read.
                 if let Some(phase) = self.end(&id) {
-                    self.nodes[at].core.mirror.settle(&id, phase, 1, now);
+                    self.nodes[at].core.cache.settle(&id, phase, 1, now);
                 }
                 continue;
             };
--- a/crates/coordination/tests/support/mod.rs
+++ b/crates/coordination/tests/support/mod.rs
@@ -201,7 +201,7 @@
 ) -> ShardView {
     ShardView {
         version: lemonweir_model::constants::PEER_VERSION,
-        part: 0,
+        shard: 0,
         token: TOKEN,
         seq,
         store_age_ms: 0,
--- a/crates/coordination/tests/turns.rs
+++ b/crates/coordination/tests/turns.rs
@@ -85,10 +85,10 @@
     }
     let (mut written, mut starts) = (Vec::new(), 0);
     for revision in 50..70 {
-        let Some(txn) = placer.next_txn(100) else {
+        let Some(cas) = placer.next_cas(100) else {
             break;
         };
-        for key in keys(&txn.writes) {
+        for key in keys(&cas.writes) {
             match key.strip_prefix("end/") {
                 Some(job) => {
                     assert_eq!(starts, 0, "{job} waited behind {starts} starts");
@@ -97,7 +97,7 @@
                 None => starts += usize::from(key.starts_with("run/")),
             }
         }
-        placer.txn_done(CompareAndSwapOutcome::Done(revision), 100);
+        placer.cas_done(CompareAndSwapOutcome::Done(revision), 100);
     }
     let oldest_first: Vec<String> = (0..20).rev().map(|n| id(n).to_string()).collect();
     assert_eq!(written, oldest_first);
@@ -120,7 +120,7 @@
         };
         placer.promises.push(PendingInstance {
             rented,
-            part: 1,
+            shard: 1,
             at: 1,
         });
     }
--- a/crates/coordination/tests/watch.rs
+++ b/crates/coordination/tests/watch.rs
@@ -18,9 +18,9 @@
 };
 use lemonweir_storage::StateCache;
 use lemonweir_storage::failovers::{
-    FailoverCompletion, FailoverRecord, LeadershipChange, handover_key, parse_handover_key,
+    FailoverCompletion, FailoverRecord, LeadershipChange, failover_key, parse_failover_key,
 };
-use lemonweir_storage::records::{ShardRecord, part_key, show_node};
+use lemonweir_storage::records::{ShardRecord, shard_key, show_node};
 use rmpv::Value;
 
 const HOSTS: u16 = 3;
@@ -77,8 +77,8 @@
     }
 
     /// The revision at which it was made.
-    fn txn(&mut self, txn: &CompareAndSwap) -> Option<u64> {
-        assert!(txn.writes.len() <= 4, "more than a transaction may hold");
+    fn cas(&mut self, cas: &CompareAndSwap) -> Option<u64> {
+        assert!(cas.writes.len() <= 4, "more than a transaction may hold");
         let hold = |w: &Write| {
             if let Write::Put { hold, .. } = w {
                 *hold
@@ -86,7 +86,7 @@
                 None
             }
         };
-        if txn
+        if cas
             .writes
             .iter()
             .filter_map(hold)
@@ -94,7 +94,7 @@
         {
             return None;
         }
-        if txn
+        if cas
             .conditions
             .iter()
             .any(|c| self.version(&c.key) != c.version)
@@ -102,7 +102,7 @@
             return None;
         }
         self.revision += 1;
-        for write in &txn.writes {
+        for write in &cas.writes {
             self.note(write);
             match write {
                 Write::Put { key, value, hold } => {
@@ -121,14 +121,14 @@
         let key = match write {
             Write::Put { key, .. } | Write::Delete { key } => key,
         };
-        if let Some(part) = key.strip_prefix("w/part/") {
+        if let Some(shard) = key.strip_prefix("w/part/") {
             self.changes
-                .push((part.parse().expect("a part"), self.revision));
+                .push((shard.parse().expect("a part"), self.revision));
         }
         let (Some(rest), Write::Put { value, .. }) = (key.strip_prefix("w/hand/"), write) else {
             return;
         };
-        let (part, slot) = parse_handover_key(rest).expect("a slot");
+        let (shard, slot) = parse_failover_key(rest).expect("a slot");
         let record: FailoverRecord = from_value(value).expect("an entry");
         assert_eq!(record.n % HANDOVERS_KEPT, slot);
         let before = self
@@ -136,7 +136,7 @@
             .get(key)
             .and_then(|(v, _, _)| from_value::<FailoverRecord>(v));
         let Some(closed) = &record.closed else {
-            self.opened.push((part, self.revision, record));
+            self.opened.push((shard, self.revision, record));
             return;
         };
         let before = before.expect("what is closed was open");
@@ -233,7 +233,7 @@
     fn start(&mut self, h: usize) {
         self.holds += 1;
         self.store.holds.push(self.holds);
-        self.store.txn(&show_node(
+        self.store.cas(&show_node(
             &format!("h{h}"),
             "north",
             self.holds,
@@ -252,21 +252,21 @@
         let Some(p) = &mut self.processes[h] else {
             return;
         };
-        let after = p.core.mirror.revision.unwrap_or(0);
+        let after = p.core.cache.revision.unwrap_or(0);
         let from = self.store.log.partition_point(|c| c.version <= after);
         p.core
-            .mirror
+            .cache
             .apply(&self.store.log[from..], self.store.revision, self.now);
         p.core.refreshed(self.now, true);
     }
 
     /// Sends a transaction; its revision if it was made and the answer came.
-    fn send(&mut self, txn: CompareAndSwap, fate: Fate) -> Option<u64> {
+    fn send(&mut self, cas: CompareAndSwap, fate: Fate) -> Option<u64> {
         match fate {
-            Fate::Answered => self.store.txn(&txn),
-            Fate::AnswerLost => self.store.txn(&txn).and(None),
+            Fate::Answered => self.store.cas(&cas),
+            Fate::AnswerLost => self.store.cas(&cas).and(None),
             Fate::Late => {
-                self.late.push(txn);
+                self.late.push(cas);
                 None
             }
             Fate::Refused => None,
@@ -274,35 +274,35 @@
     }
 
     /// A process does what it would do about a part, or leaves it for no reason.
-    fn act(&mut self, h: usize, part: u16, leave: bool, fate: Fate) {
+    fn act(&mut self, h: usize, shard: u16, leave: bool, fate: Fate) {
         let now = self.now;
         let Some(p) = &mut self.processes[h] else {
             return;
         };
-        let lot = p.core.held().into_iter().find(|l| l.part == part);
-        let claim = match lot.filter(|_| leave) {
-            Some(lot) => Some(ElectionAction::Leave(lot)),
-            None => p.membership.claim(&p.core, part, now),
+        let lease = p.core.held().into_iter().find(|l| l.shard == shard);
+        let claim = match lease.filter(|_| leave) {
+            Some(lease) => Some(ElectionAction::Leave(lease)),
+            None => p.membership.claim(&p.core, shard, now),
         };
         let Some(claim) = claim else { return };
-        let txn = p.core.claim_txn(&claim, p.hold, Vec::new(), now);
-        let Some(revision) = self.send(txn, fate) else {
+        let cas = p.core.claim_txn(&claim, p.hold, Vec::new(), now);
+        let Some(revision) = self.send(cas, fate) else {
             return;
         };
         let p = self.processes[h].as_mut().expect("it acts");
         match claim {
-            ElectionAction::Take { part, .. } => {
+            ElectionAction::Take { shard, .. } => {
                 self.read(h);
                 let p = self.processes[h].as_mut().expect("it acts");
                 if p.core
-                    .mirror
-                    .parts
-                    .get(&part)
+                    .cache
+                    .shards
+                    .get(&shard)
                     .is_some_and(|holder| holder.token == revision)
                 {
-                    p.core.adopt(
+                    p.core.acquire(
                         ShardLease {
-                            part,
+                            shard,
                             token: revision,
                         },
                         &[],
@@ -311,8 +311,8 @@
                     );
                 }
             }
-            ElectionAction::HandBack(lot) | ElectionAction::Leave(lot) => {
-                p.core.abandon(lot.part, now)
+            ElectionAction::HandBack(lease) | ElectionAction::Leave(lease) => {
+                p.core.release(lease.shard, now)
             }
         }
     }
@@ -323,8 +323,8 @@
             return;
         };
         for effect in p.core.pump(now) {
-            if let Effect::Note(txn) = effect {
-                self.send(txn, fate);
+            if let Effect::Note(cas) = effect {
+                self.send(cas, fate);
             }
         }
     }
@@ -334,14 +334,14 @@
             .store
             .opened
             .iter()
-            .map(|(part, revision, _)| (*part, *revision))
+            .map(|(shard, revision, _)| (*shard, *revision))
             .collect();
         assert_eq!(
             opened, self.store.changes,
             "seed {seed}: one entry with each change, and none without"
         );
-        for part in 0..HOSTS {
-            let entries = self.store.opened.iter().filter(|(p, _, _)| *p == part);
+        for shard in 0..HOSTS {
+            let entries = self.store.opened.iter().filter(|(p, _, _)| *p == shard);
             let mut holder: Option<String> = None;
             for (i, (_, _, record)) in entries.enumerate() {
                 assert_eq!(
@@ -390,10 +390,10 @@
                 }
                 19 => night.now += 100_000,
                 20 | 21 if !night.late.is_empty() => {
-                    let txn = night
+                    let cas = night
                         .late
                         .remove(draw.below(night.late.len() as u64) as usize);
-                    night.store.txn(&txn);
+                    night.store.cas(&cas);
                 }
                 22 => {
                     // It ends; its hold ends at once, or lives on into its next life.
@@ -459,12 +459,12 @@
 /// open or not.
 #[test]
 fn a_full_ring_gives_its_oldest_slot() {
-    let mut mirror = StateCache::default();
-    assert_eq!(mirror.handovers.next(4), (1, 0));
+    let mut cache = StateCache::default();
+    assert_eq!(cache.failovers.next(4), (1, 0));
     for n in 1..=HANDOVERS_KEPT {
-        mirror.apply(
+        cache.apply(
             &[set(
-                handover_key(4, n),
+                failover_key(4, n),
                 to_value(&record(n, Some("a"), None)),
                 100 + n,
             )],
@@ -476,37 +476,37 @@
         } else {
             (n + 1, 0)
         };
-        assert_eq!(mirror.handovers.next(4), next);
+        assert_eq!(cache.failovers.next(4), next);
     }
     let n = HANDOVERS_KEPT + 1;
-    mirror.apply(
+    cache.apply(
         &[set(
-            handover_key(4, n),
+            failover_key(4, n),
             to_value(&record(n, Some("a"), None)),
             900,
         )],
         900,
         0,
     );
-    assert_eq!(mirror.handovers.of(4).len() as u64, HANDOVERS_KEPT);
-    assert_eq!(mirror.handovers.next(4), (n + 1, 102));
-    assert!(mirror.handovers.again(4, 1).is_none(), "overwritten");
+    assert_eq!(cache.failovers.of(4).len() as u64, HANDOVERS_KEPT);
+    assert_eq!(cache.failovers.next(4), (n + 1, 102));
+    assert!(cache.failovers.again(4, 1).is_none(), "overwritten");
 }
 
 /// What can't be read is passed over, and what it says is not believed.
 #[test]
 fn entries_that_cant_be_read_are_skipped() {
-    let mut mirror = StateCache::default();
+    let mut cache = StateCache::default();
     let good = |n| to_value(&record(n, Some("a"), None));
-    mirror.apply(
+    cache.apply(
         &[
-            set(handover_key(1, 1), good(1), 10),
-            set(handover_key(1, 2), Value::from("what"), 11),
-            set(handover_key(1, 3), good(7), 12),
+            set(failover_key(1, 1), good(1), 10),
+            set(failover_key(1, 2), Value::from("what"), 11),
+            set(failover_key(1, 3), good(7), 12),
             set("w/hand/1/99".into(), good(99), 13),
             set("w/hand/x".into(), good(1), 14),
             set(
-                handover_key(1, 4),
+                failover_key(1, 4),
                 to_value(&record((1 << 50) + 4, None, None)),
                 15,
             ),
@@ -514,18 +514,18 @@
         20,
         0,
     );
-    assert_eq!(mirror.handovers.of(1).len(), 1);
+    assert_eq!(cache.failovers.of(1).len(), 1);
     assert_eq!(
-        mirror.handovers.next(1),
+        cache.failovers.next(1),
         (5, 0),
         "slots 2 to 4 are left to who can read them"
     );
     // One that nothing but the unreadable is left in takes a slot all the same.
     let odd: Vec<Changed> = (0..HANDOVERS_KEPT)
-        .map(|n| set(handover_key(1, n), Value::Nil, 30 + n))
+        .map(|n| set(failover_key(1, n), Value::Nil, 30 + n))
         .collect();
-    mirror.apply(&odd, 70, 0);
-    assert_eq!(mirror.handovers.next(1), (1, 31));
+    cache.apply(&odd, 70, 0);
+    assert_eq!(cache.failovers.next(1), (1, 31));
     // A later version's way of changing hands is read, with what else it knows.
     let Value::Map(mut fields) = good(6) else {
         panic!("a map")
@@ -536,8 +536,8 @@
         .expect("how")
         .1 = "by_vote".into();
     fields.push(("votes".into(), 3.into()));
-    mirror.apply(&[set(handover_key(1, 6), Value::Map(fields), 80)], 80, 0);
-    assert_eq!(mirror.handovers.of(1)[0].0.how, LeadershipChange::Other);
+    cache.apply(&[set(failover_key(1, 6), Value::Map(fields), 80)], 80, 0);
+    assert_eq!(cache.failovers.of(1)[0].0.how, LeadershipChange::Other);
 }
 
 /// A process that takes a part closes what its predecessors left open, each with
@@ -551,21 +551,29 @@
         value,
         version,
     };
-    let mut entries = vec![entry(part_key(0), to_value(&own), 14)];
+    let mut entries = vec![entry(shard_key(0), to_value(&own), 14)];
     for (n, version) in [(1, 11), (2, 12), (3, 13), (4, 14)] {
         entries.push(entry(
-            handover_key(0, n),
+            failover_key(0, n),
             to_value(&record(n, Some("h0"), None)),
             version,
         ));
     }
-    core.mirror.replace(&entries, 20);
+    core.cache.replace(&entries, 20);
     core.refreshed(5_000, true);
-    core.adopt(ShardLease { part: 0, token: 14 }, &[], Vec::new(), 5_000);
+    core.acquire(
+        ShardLease {
+            shard: 0,
+            token: 14,
+        },
+        &[],
+        Vec::new(),
+        5_000,
+    );
     let notes = |core: &mut Core, now| {
         let notes = core.pump(now).into_iter().filter_map(|e| {
-            if let Effect::Note(txn) = e {
-                Some(txn)
+            if let Effect::Note(cas) = e {
+                Some(cas)
             } else {
                 None
             }
@@ -583,9 +591,9 @@
         "nothing has started yet"
     );
     let due = 4_000 + CLOSE_MOST_MS;
-    let txn = notes(&mut core, due).remove(0);
-    assert_eq!(txn.writes.len(), 4, "its own and three others");
-    let told: Vec<FailoverRecord> = txn
+    let cas = notes(&mut core, due).remove(0);
+    assert_eq!(cas.writes.len(), 4, "its own and three others");
+    let told: Vec<FailoverRecord> = cas
         .writes
         .iter()
         .map(|w| {
@@ -614,8 +622,8 @@
     assert_eq!(notes(&mut core, due + CLOSE_RETRY_MS).len(), 1);
     // Once the copy shows it closed, it is not written again.
     for (record, version) in told.iter().zip(30..) {
-        core.mirror.apply(
-            &[set(handover_key(0, record.n), to_value(record), version)],
+        core.cache.apply(
+            &[set(failover_key(0, record.n), to_value(record), version)],
             version,
             0,
         );
--- a/crates/coordination/tests/weights.rs
+++ b/crates/coordination/tests/weights.rs
@@ -27,7 +27,7 @@
 
 /// One draw: the machines of some parts, and a replica that looks for a place.
 struct Draw {
-    parts: Vec<Vec<MachineView>>,
+    shards: Vec<Vec<MachineView>>,
     order: Vec<(usize, bool)>,
     need: Resources,
     image_mb: u64,
@@ -41,12 +41,12 @@
 }
 
 fn draw(rng: &mut ChaCha8Rng, most: usize) -> Draw {
-    let parts = rng.random_range(1..=3usize);
+    let shards = rng.random_range(1..=3usize);
     // How full the fleet is, and how many machines have the image.
     let (full, warm) = (rng.random::<f64>(), rng.random::<f64>());
     let spots = rng.random::<f64>() < 0.5;
     let mut at = 0;
-    let parts: Vec<Vec<MachineView>> = (0..parts)
+    let shards: Vec<Vec<MachineView>> = (0..shards)
         .map(|p| {
             let n = rng.random_range(0..most);
             (0..n)
@@ -86,7 +86,7 @@
         })
         .collect();
     let tasks = rng.random_range(2..9u32);
-    let all: Vec<&MachineView> = parts.iter().flatten().collect();
+    let all: Vec<&MachineView> = shards.iter().flatten().collect();
     let live = (0..rng.random_range(0..tasks)).filter_map(|_| {
         // Few machines, so that some have several.
         let m = all.get(rng.random_range(0..all.len().clamp(1, 12)))?;
@@ -105,7 +105,7 @@
         pin_s,
         move_s: 1.0,
     };
-    let mut order: Vec<(usize, bool)> = (0..parts.len())
+    let mut order: Vec<(usize, bool)> = (0..shards.len())
         .map(|p| (p, rng.random::<f64>() < 0.2))
         .collect();
     order.sort_by_key(|(_, mail)| *mail);
@@ -119,7 +119,7 @@
         trade,
         here_first: rng.random(),
         lasting: rng.random::<f64>() < 0.8,
-        parts,
+        shards,
     }
 }
 
@@ -141,13 +141,13 @@
 
     fn stakes(&self) -> PlacementRisk {
         let zones: std::collections::BTreeSet<&str> = self
-            .parts
+            .shards
             .iter()
             .flatten()
             .map(|m| m.zone.as_str())
             .collect();
         let kin = !self.live.is_empty();
-        let on_spot = |id: &MachineId| self.parts.iter().flatten().any(|m| m.id == *id && m.spot);
+        let on_spot = |id: &MachineId| self.shards.iter().flatten().any(|m| m.id == *id && m.spot);
         PlacementRisk {
             lasting: self.lasting,
             tasks: self.tasks,
@@ -185,7 +185,7 @@
     /// Where the classes lead: the walk, and the looks that it took.
     fn walk(&self) -> (Option<(usize, usize)>, u64) {
         let fields: Vec<PlacementIndex> =
-            self.parts.iter().map(|p| PlacementIndex::new(p)).collect();
+            self.shards.iter().map(|p| PlacementIndex::new(p)).collect();
         let stakes = self.stakes();
         let light = self.light(&stakes);
         let light = (stakes.zones > 1).then_some(light.as_slice());
@@ -264,7 +264,7 @@
         let mut looks = 0;
         for near in 0..3 {
             for &(p, _) in &self.order {
-                let machines = &self.parts[p];
+                let machines = &self.shards[p];
                 looks += machines.len().div_ceil(64) as u64;
                 let of = |m: &&MachineView| match near {
                     0 => m.images.iter().any(|i| i == "img"),
@@ -311,7 +311,7 @@
         let (place, _) = d.walk();
         let mut least: Option<(bool, f64)> = None;
         for &(p, mail) in &d.order {
-            for m in d.parts[p].iter().filter(|m| d.has_room(m)) {
+            for m in d.shards[p].iter().filter(|m| d.has_room(m)) {
                 let one = (
                     d.here_first && !m.images.iter().any(|i| i == "img"),
                     d.score(m, mail),
@@ -321,7 +321,7 @@
         }
         match (place, least) {
             (Some((p, i)), Some((late, least))) => {
-                let m = &d.parts[p][i];
+                let m = &d.shards[p][i];
                 let mail = d.order.iter().any(|(q, mail)| *q == p && *mail);
                 assert!(d.has_room(m));
                 let here = m.images.iter().any(|i| i == "img");
--- a/crates/coordination/tests/worker_sessions.rs
+++ b/crates/coordination/tests/worker_sessions.rs
@@ -119,40 +119,43 @@
 #[test]
 fn who_hears_nothing_takes_nothing_after_two_reports_and_all_when_it_shows_our_token() {
     for by in [Some(1), None] {
-        let mut part = Part::new(1);
-        part.pass(3_000);
-        part.report(0, None, false, Vec::new());
-        assert!(part.open(0), "nothing tells yet");
+        let mut shard = Part::new(1);
+        shard.pass(3_000);
+        shard.report(0, None, false, Vec::new());
+        assert!(shard.open(0), "nothing tells yet");
         // No answer for 4 s; it tries the next 1 s later.
-        part.pass(8_050);
-        part.report(0, by, false, Vec::new());
-        assert!(!part.open(0));
-        part.pass(13_100);
-        part.report(0, by, false, Vec::new());
-        assert!(!part.open(0));
-        part.pass(18_150);
-        part.report(0, by, true, Vec::new());
-        part.pass(18_700);
-        part.report(0, by, true, Vec::new());
-        assert!(part.open(0), "it shows the token that the last answer gave");
+        shard.pass(8_050);
+        shard.report(0, by, false, Vec::new());
+        assert!(!shard.open(0));
+        shard.pass(13_100);
+        shard.report(0, by, false, Vec::new());
+        assert!(!shard.open(0));
+        shard.pass(18_150);
+        shard.report(0, by, true, Vec::new());
+        shard.pass(18_700);
+        shard.report(0, by, true, Vec::new());
+        assert!(
+            shard.open(0),
+            "it shows the token that the last answer gave"
+        );
     }
 }
 
 /// Orders reach it all the same, but they prolong no lease.
 #[test]
 fn calls_that_arrive_do_not_show_that_answers_do() {
-    let mut part = Part::new(1);
-    part.pass(3_000);
-    part.report(0, None, false, Vec::new());
-    part.pass(8_050);
-    part.report(0, Some(1), false, vec![running_task(0)]);
+    let mut shard = Part::new(1);
+    shard.pass(3_000);
+    shard.report(0, None, false, Vec::new());
+    shard.pass(8_050);
+    shard.report(0, Some(1), false, vec![running_task(0)]);
     let stopped = DesiredAttempt {
         kill: Some(0),
         ..want(0, 0)
     };
-    part.tell(vec![stopped.clone()]);
+    shard.tell(vec![stopped.clone()]);
     for _ in 0..3 {
-        let Some(call) = part.call() else { break };
+        let Some(call) = shard.call() else { break };
         assert!(
             call.commands
                 .orders
@@ -160,19 +163,20 @@
                 .all(|o| o.verb == CommandKind::Kill),
             "a withdrawal is told by call"
         );
-        part.tokens[0] = part.tokens[0].max(call.commands.token);
-        part.seqs[0] += 1;
+        shard.tokens[0] = shard.tokens[0].max(call.commands.token);
+        shard.seqs[0] += 1;
         let said = Heartbeat {
-            token: part.tokens[0],
-            ..report(0, part.seqs[0])
+            token: shard.tokens[0],
+            ..report(0, shard.seqs[0])
         };
-        part.now += 20;
-        part.owner
-            .call_done(&call, CommandResult::Executed(said), part.now);
-        assert!(!part.open(0));
+        shard.now += 20;
+        shard
+            .owner
+            .call_done(&call, CommandResult::Executed(said), shard.now);
+        assert!(!shard.open(0));
     }
     assert_eq!(
-        standing(&part.tell(vec![stopped]), 0),
+        standing(&shard.tell(vec![stopped]), 0),
         Some(AttemptState::Gone)
     );
 }
@@ -181,51 +185,51 @@
 /// over at once, since nothing was sent, and nothing is started there later.
 #[test]
 fn what_waits_on_a_deaf_machine_is_over_unstarted() {
-    let mut part = Part::new(1);
+    let mut shard = Part::new(1);
     let member = DesiredAttempt {
         go: false,
         ..want(0, 0)
     };
-    part.tell(vec![member.clone()]);
-    part.pass(3_000);
-    part.report(0, None, false, Vec::new());
-    part.pass(8_050);
-    part.report(0, Some(1), false, Vec::new());
+    shard.tell(vec![member.clone()]);
+    shard.pass(3_000);
+    shard.report(0, None, false, Vec::new());
+    shard.pass(8_050);
+    shard.report(0, Some(1), false, Vec::new());
     assert_eq!(
-        standing(&part.tell(vec![member.clone()]), 0),
+        standing(&shard.tell(vec![member.clone()]), 0),
         Some(AttemptState::Accepted),
         "it may have been one lost answer"
     );
-    assert!(part.call().is_none());
-    part.pass(13_100);
-    part.report(0, Some(2), false, Vec::new());
+    assert!(shard.call().is_none());
+    shard.pass(13_100);
+    shard.report(0, Some(2), false, Vec::new());
     assert_eq!(
-        standing(&part.tell(vec![member.clone()]), 0),
+        standing(&shard.tell(vec![member.clone()]), 0),
         Some(AttemptState::Gone)
     );
-    part.tell(vec![DesiredAttempt { go: true, ..member }]);
-    assert!(part.call().is_none_or(|c| c.commands.orders.is_empty()));
+    shard.tell(vec![DesiredAttempt { go: true, ..member }]);
+    assert!(shard.call().is_none_or(|c| c.commands.orders.is_empty()));
 }
 
 /// Forty of sixty: they come to other controllers, and the part is not lost.
 #[test]
 fn forty_deaf_machines_do_not_make_a_part_lost() {
-    let mut part = Part::new(60);
+    let mut shard = Part::new(60);
     for round in 0..12u64 {
-        part.pass(3_000 + round * 1_000);
+        shard.pass(3_000 + round * 1_000);
         for n in 0..60 {
             let deaf = n < 40;
             let every = if deaf { 5 } else { 3 };
             if round % every == n as u64 % every {
-                part.report(n, deaf.then_some(1 + (round % 2) as u16), !deaf, Vec::new());
+                shard.report(n, deaf.then_some(1 + (round % 2) as u16), !deaf, Vec::new());
             }
         }
-        part.strays = 60;
-        part.tell(Vec::new());
-        assert!(!part.owner.deaf(part.now), "round {round}");
+        shard.strays = 60;
+        shard.tell(Vec::new());
+        assert!(!shard.owner.deaf(shard.now), "round {round}");
     }
-    assert_eq!((0..60).filter(|n| part.open(*n)).count(), 20);
-    assert_eq!(part.owner.releases(), [], "they are waited for");
+    assert_eq!((0..60).filter(|n| shard.open(*n)).count(), 20);
+    assert_eq!(shard.owner.releases(), [], "they are waited for");
 }
 
 /// A copy three leases old to the third owner of a part: the machine was given back
@@ -244,9 +248,9 @@
         ..report(0, 70)
     };
     for wanted in [false, true] {
-        let mut part = Part::new(0);
-        part.next_owner();
-        part.next_owner();
+        let mut shard = Part::new(0);
+        shard.next_owner();
+        shard.next_owner();
         let wants = || {
             if wanted {
                 vec![want(0, 0), want(1, 0)]
@@ -254,26 +258,27 @@
                 Vec::new()
             }
         };
-        part.pass(3 * TIMING.lease_ms);
-        part.tell(wants());
+        shard.pass(3 * TIMING.lease_ms);
+        shard.tell(wants());
         assert!(
-            part.owner.report(&copy, None, part.now).is_some(),
+            shard.owner.report(&copy, None, shard.now).is_some(),
             "it may be a live one"
         );
         let mut asked = 0;
         let mut released = None;
         for step in 0..500 {
-            part.pass(part.now + 100);
+            shard.pass(shard.now + 100);
             if step % 40 == 0 {
-                part.owner.report(&copy, Some(1), part.now);
+                shard.owner.report(&copy, Some(1), shard.now);
             }
-            for call in part.owner.calls(part.now, 4) {
+            for call in shard.owner.calls(shard.now, 4) {
                 assert!(call.commands.orders.is_empty(), "a question has no orders");
                 asked += 1;
-                part.owner
-                    .call_done(&call, CommandResult::NotSent, part.now);
+                shard
+                    .owner
+                    .call_done(&call, CommandResult::NotSent, shard.now);
             }
-            let view = part.tell(wants());
+            let view = shard.tell(wants());
             assert!(
                 view.machines.iter().all(|m| !m.up && !m.leaving),
                 "{:?}",
@@ -287,16 +292,16 @@
                 "{:?}",
                 view.attempts
             );
-            let names = part.owner.releases();
+            let names = shard.owner.releases();
             if !names.is_empty() {
-                released = Some(part.now);
-                part.owner.released(&names, true, part.now);
+                released = Some(shard.now);
+                shard.owner.released(&names, true, shard.now);
             }
         }
         assert!((1..=12).contains(&asked), "{asked} questions");
         assert!(released.is_some(), "nobody keeps it in mind for ever");
         assert!(
-            part.owner.report(&copy, None, part.now).is_none(),
+            shard.owner.report(&copy, None, shard.now).is_none(),
             "it is gone"
         );
     }
@@ -306,8 +311,8 @@
 /// successor: neither changes its mind.
 #[test]
 fn copies_in_any_order_change_nothing() {
-    let mut part = Part::new(1);
-    part.tell(vec![want(0, 0)]);
+    let mut shard = Part::new(1);
+    shard.tell(vec![want(0, 0)]);
     let mut said = Vec::new();
     let done = TaskStatus {
         phase: TaskPhase::Exited,
@@ -315,7 +320,7 @@
         ..running_task(0)
     };
     for k in 0..40u64 {
-        part.pass(3_000 * (k + 1));
+        shard.pass(3_000 * (k + 1));
         let tasks = if (5..30).contains(&k) {
             vec![running_task(0)]
         } else {
@@ -324,33 +329,33 @@
         // Before its start it is not there.
         let tasks = if k < 5 { Vec::new() } else { tasks };
         said.push(Heartbeat {
-            token: part.tokens[0],
+            token: shard.tokens[0],
             tasks: tasks.clone(),
-            ..report(0, part.seqs[0] + 1)
+            ..report(0, shard.seqs[0] + 1)
         });
-        part.report(0, None, true, tasks);
-        part.tell(vec![want(0, 0)]);
+        shard.report(0, None, true, tasks);
+        shard.tell(vec![want(0, 0)]);
     }
     assert_eq!(
-        standing(&part.tell(vec![want(0, 0)]), 0),
+        standing(&shard.tell(vec![want(0, 0)]), 0),
         Some(AttemptState::Exited(ExitCause::Done))
     );
     let mut order: Vec<usize> = (0..40).collect();
     order.sort_by_key(|k| k * 7_919 % 41);
     for &k in &order {
-        part.now += 10;
-        part.owner.report(&said[k], None, part.now);
-        assert!(part.view(0, vec![want(0, 0)]).is_some_and(|m| m.open));
+        shard.now += 10;
+        shard.owner.report(&said[k], None, shard.now);
+        assert!(shard.view(0, vec![want(0, 0)]).is_some_and(|m| m.open));
         assert_eq!(
-            standing(&part.tell(vec![want(0, 0)]), 0),
+            standing(&shard.tell(vec![want(0, 0)]), 0),
             Some(AttemptState::Exited(ExitCause::Done))
         );
     }
-    part.next_owner();
+    shard.next_owner();
     for &k in &order {
-        part.now += 10;
-        assert!(part.owner.report(&said[k], None, part.now).is_some());
-        let view = part.tell(vec![want(0, 0)]);
+        shard.now += 10;
+        assert!(shard.owner.report(&said[k], None, shard.now).is_some());
+        let view = shard.tell(vec![want(0, 0)]);
         assert!(
             view.attempts.is_empty(),
             "not judged from copies: {:?}",
@@ -358,10 +363,10 @@
         );
     }
     // The machine's own next report is the first that shows the new token.
-    part.report(0, None, true, vec![done.clone()]);
-    part.report(0, None, true, vec![done]);
+    shard.report(0, None, true, vec![done.clone()]);
+    shard.report(0, None, true, vec![done]);
     assert_eq!(
-        standing(&part.tell(vec![want(0, 0)]), 0),
+        standing(&shard.tell(vec![want(0, 0)]), 0),
         Some(AttemptState::Exited(ExitCause::Done))
     );
 }
@@ -371,52 +376,55 @@
 #[test]
 fn a_machine_that_counts_from_the_start_is_believed_with_its_second_report() {
     for (session, dead) in [(1, false), (3, false), (1, true)] {
-        let mut part = Part::new(1);
-        part.tell(vec![want(0, 0)]);
-        part.seqs[0] = 80;
-        part.pass(3_000);
+        let mut shard = Part::new(1);
+        shard.tell(vec![want(0, 0)]);
+        shard.seqs[0] = 80;
+        shard.pass(3_000);
         let before = |seq| Heartbeat {
             session,
             token: BASE,
             tasks: vec![running_task(0)],
             ..report(0, seq)
         };
-        assert!(part.owner.report(&before(81), None, part.now).is_some());
+        assert!(shard.owner.report(&before(81), None, shard.now).is_some());
         assert_eq!(
-            standing(&part.tell(vec![want(0, 0)]), 0),
+            standing(&shard.tell(vec![want(0, 0)]), 0),
             Some(AttemptState::Running)
         );
-        part.pass(if dead { 20_000 } else { 10_000 });
+        shard.pass(if dead { 20_000 } else { 10_000 });
         // With no token, as a new worker; its answer gives one.
-        let token = part
+        let token = shard
             .owner
-            .report(&report_with(1, 0), None, part.now)
+            .report(&report_with(1, 0), None, shard.now)
             .expect("answered")
             .token;
-        part.now += 500;
-        let token = part
+        shard.now += 500;
+        let token = shard
             .owner
-            .report(&report_with(2, token), None, part.now)
+            .report(&report_with(2, token), None, shard.now)
             .expect("answered")
             .token;
-        part.now += 500;
-        part.owner
-            .report(&report_with(3, token), None, part.now)
+        shard.now += 500;
+        shard
+            .owner
+            .report(&report_with(3, token), None, shard.now)
             .expect("answered");
-        part.pass(part.now + 100);
+        shard.pass(shard.now + 100);
         assert_eq!(
-            standing(&part.tell(vec![want(0, 0)]), 0),
+            standing(&shard.tell(vec![want(0, 0)]), 0),
             Some(AttemptState::Gone),
             "session {session}, dead {dead}"
         );
         assert!(
-            part.view(0, vec![want(0, 0)])
+            shard
+                .view(0, vec![want(0, 0)])
                 .is_some_and(|m| m.up && m.open)
         );
         // Its earlier life speaks up once more.
-        part.owner.report(&before(90), None, part.now);
+        shard.owner.report(&before(90), None, shard.now);
         assert!(
-            part.tell(vec![want(0, 0)])
+            shard
+                .tell(vec![want(0, 0)])
                 .attempts
                 .iter()
                 .all(|a| a.standing == AttemptState::Gone)
@@ -428,8 +436,8 @@
             },
             ..want(0, 0)
         };
-        part.tell(vec![next]);
-        let call = part.call().expect("a start");
+        shard.tell(vec![next]);
+        let call = shard.call().expect("a start");
         assert_eq!((call.commands.session, call.commands.orders.len()), (1, 1));
         assert!(call.commands.token > token - 1);
     }
@@ -445,32 +453,32 @@
 /// The machine itself is asked where its second report doesn't come.
 #[test]
 fn the_answer_to_a_call_shows_a_new_life() {
-    let mut part = Part::new(1);
-    part.tell(vec![want(0, 0)]);
-    part.pass(3_000);
-    part.seqs[0] = 50;
-    part.report(0, None, true, vec![running_task(0)]);
-    part.tell(vec![DesiredAttempt {
+    let mut shard = Part::new(1);
+    shard.tell(vec![want(0, 0)]);
+    shard.pass(3_000);
+    shard.seqs[0] = 50;
+    shard.report(0, None, true, vec![running_task(0)]);
+    shard.tell(vec![DesiredAttempt {
         kill: Some(0),
         ..want(0, 0)
     }]);
-    let call = part.call().expect("a stop");
-    part.owner.call_done(
+    let call = shard.call().expect("a stop");
+    shard.owner.call_done(
         &call,
         CommandResult::Executed(report_with(1, call.commands.token)),
-        part.now,
+        shard.now,
     );
-    let question = part
+    let question = shard
         .call()
         .expect("with a token that its earlier life can't have seen");
     assert!(question.commands.token > call.commands.token);
-    part.owner.call_done(
+    shard.owner.call_done(
         &question,
         CommandResult::Executed(report_with(2, question.commands.token)),
-        part.now,
+        shard.now,
     );
     assert_eq!(
-        standing(&part.tell(vec![want(0, 0)]), 0),
+        standing(&shard.tell(vec![want(0, 0)]), 0),
         Some(AttemptState::Gone)
     );
 }
@@ -479,18 +487,18 @@
 /// started there until the store has shown once more that it is ours, and then at once.
 #[test]
 fn a_start_on_a_machine_just_heard_waits_for_a_later_word() {
-    let mut part = Part::new(0);
-    (part.seqs, part.tokens) = (vec![0], vec![BASE]);
-    part.pass(5_000);
-    part.now = 5_050;
-    part.report(0, None, true, Vec::new());
-    part.tell(vec![want(0, 0)]);
-    assert!(part.call().is_none(), "the last reading began before");
-    part.now = 5_200;
-    part.owner.tick(5_200, 5_040);
-    assert!(part.call().is_none(), "so did this");
-    part.owner.tick(5_200, 5_100);
-    assert_eq!(part.call().expect("at once").commands.orders.len(), 1);
+    let mut shard = Part::new(0);
+    (shard.seqs, shard.tokens) = (vec![0], vec![BASE]);
+    shard.pass(5_000);
+    shard.now = 5_050;
+    shard.report(0, None, true, Vec::new());
+    shard.tell(vec![want(0, 0)]);
+    assert!(shard.call().is_none(), "the last reading began before");
+    shard.now = 5_200;
+    shard.owner.tick(5_200, 5_040);
+    assert!(shard.call().is_none(), "so did this");
+    shard.owner.tick(5_200, 5_100);
+    assert_eq!(shard.call().expect("at once").commands.orders.len(), 1);
 }
 
 /// A deaf machine is given back while a call to it is under way: its place among the
@@ -498,27 +506,29 @@
 /// have waited for ever.
 #[test]
 fn a_deaf_machine_that_goes_leaves_its_call_to_others() {
-    let mut part = Part::new(2 * DEAF_CALLS);
+    let mut shard = Part::new(2 * DEAF_CALLS);
     let stopped = |n: usize| DesiredAttempt {
         kill: Some(0),
         ..want(n as u32, n)
     };
     let all: Vec<DesiredAttempt> = (0..2 * DEAF_CALLS).map(stopped).collect();
     for at in [3_000, 8_050, 13_100] {
-        part.pass(at);
+        shard.pass(at);
         for n in 0..2 * DEAF_CALLS {
-            part.report(n, None, false, vec![running_task(n)]);
+            shard.report(n, None, false, vec![running_task(n)]);
         }
     }
-    part.tell(all.clone());
-    let calls = part.owner.calls(part.now, 100);
+    shard.tell(all.clone());
+    let calls = shard.owner.calls(shard.now, 100);
     assert_eq!(calls.len(), DEAF_CALLS, "no more at a time");
     let gone: Vec<_> = calls.iter().map(|c| c.machine.clone()).collect();
-    part.owner.released(&gone, true, part.now);
+    shard.owner.released(&gone, true, shard.now);
     for call in &calls {
-        part.owner.call_done(call, CommandResult::Unknown, part.now);
+        shard
+            .owner
+            .call_done(call, CommandResult::Unknown, shard.now);
     }
-    part.tell(all);
-    let rest = part.owner.calls(part.now, 100);
+    shard.tell(all);
+    let rest = shard.owner.calls(shard.now, 100);
     assert_eq!(rest.len(), DEAF_CALLS, "the others are told to stop");
 }
--- a/crates/node/src/effect_executor.rs
+++ b/crates/node/src/effect_executor.rs
@@ -21,7 +21,7 @@
 use lemonweir_protocol::worker::Heartbeat;
 use lemonweir_protocol::{decode, encode};
 use lemonweir_storage::records::{
-    StoreMessageKind, StoreMessageRoute, parse_run_key, part_key, post,
+    StoreMessageKind, StoreMessageRoute, parse_run_key, post, shard_key,
 };
 use lemonweir_transport::{CallError, Handler, Reply, Request};
 
@@ -31,9 +31,9 @@
     let work = async move {
         let node = node2;
         match effect {
-            Effect::CompareAndSwap(lot, txn) => transaction(&node, lot, &txn).await,
-            Effect::Chain(txn) => {
-                let outcome = chain_transaction(&node, &txn).await;
+            Effect::CompareAndSwap(lease, cas) => transaction(&node, lease, &cas).await,
+            Effect::Chain(cas) => {
+                let outcome = chain_transaction(&node, &cas).await;
                 let now = node.now();
                 node.core().chain_done(outcome, now);
             }
@@ -46,18 +46,18 @@
                 let now = node.now();
                 node.core().ends_read(&ids, now);
             }
-            Effect::Command(lot, call) => {
+            Effect::Command(lease, call) => {
                 let result = command(&node, &call).await;
                 let now = node.now();
-                node.core().command_done(lot, &call, result, now);
+                node.core().command_done(lease, &call, result, now);
             }
-            Effect::Sync(lot, sync) => {
+            Effect::Sync(lease, sync) => {
                 let view = send_sync(&node, &sync).await;
                 let now = node.now();
-                node.core().sync_done(lot, sync.to, view, now);
+                node.core().sync_done(lease, sync.to, view, now);
             }
-            Effect::Note(txn) => {
-                if let Err(fault) = node.state.txn(&txn).await {
+            Effect::Note(cas) => {
+                if let Err(fault) = node.state.cas(&cas).await {
                     debug!(%fault, "hint not written");
                 }
             }
@@ -78,24 +78,24 @@
             Effect::MailView(to, view) => {
                 let line = StoreMessageRoute {
                     kind: StoreMessageKind::View,
-                    from: view.part,
+                    from: view.shard,
                     to,
                 };
                 mail(&node, line, (view.token, view.seq), &peer::write(&view)).await;
             }
-            Effect::Nudge(part) => nudge(&node, part).await,
-            Effect::Rent(lot, rental) => {
+            Effect::Nudge(shard) => nudge(&node, shard).await,
+            Effect::Rent(lease, rental) => {
                 let result = node.cloud.rent(&rental).await;
                 let now = node.now();
-                node.core().rented(lot, &rental, result, now);
+                node.core().rented(lease, &rental, result, now);
             }
-            Effect::Release(lot, machines) => {
+            Effect::Release(lease, machines) => {
                 let done = node.cloud.release(&machines).await;
                 if !done {
                     smol::Timer::after(std::time::Duration::from_millis(CLOUD_TROUBLE_MS)).await;
                 }
                 let now = node.now();
-                node.core().released(lot, &machines, done, now);
+                node.core().released(lease, &machines, done, now);
             }
             Effect::Hail(host, word) => {
                 let answer = hail(&node, host, &word).await;
@@ -107,7 +107,7 @@
             Effect::Probe(service) => {
                 // Reads what is there anyway; only whether it answers counts.
                 let (path, wait_ms) = match service {
-                    Service::Store => (format!("/store/{}", part_key(0)), STATE_TIMEOUT_MS),
+                    Service::Store => (format!("/store/{}", shard_key(0)), STATE_TIMEOUT_MS),
                     Service::Cloud => ("/catalog".to_owned(), CLOUD_TIMEOUT_MS),
                 };
                 let _ = node
@@ -123,8 +123,8 @@
 
 /// Makes a transaction for waiting jobs; after one that moved something the copy is read
 /// again, so that what may start is placed at once.
-async fn chain_transaction(node: &Node, txn: &CompareAndSwap) -> CompareAndSwapOutcome {
-    match node.state.txn(txn).await {
+async fn chain_transaction(node: &Node, cas: &CompareAndSwap) -> CompareAndSwapOutcome {
+    match node.state.cas(cas).await {
         Ok(CompareAndSwapResult::Done(revision)) => {
             node.fresh().await;
             CompareAndSwapOutcome::Done(revision)
@@ -141,15 +141,15 @@
     }
 }
 
-async fn transaction(node: &Node, lot: lemonweir_coordination::ShardLease, txn: &CompareAndSwap) {
-    let outcome = match node.state.txn(txn).await {
+async fn transaction(node: &Node, lease: lemonweir_coordination::ShardLease, cas: &CompareAndSwap) {
+    let outcome = match node.state.cas(cas).await {
         Ok(CompareAndSwapResult::Done(revision)) => CompareAndSwapOutcome::Done(revision),
         Ok(CompareAndSwapResult::Conflict(keys)) => CompareAndSwapOutcome::Conflict(keys),
         Err(error) => {
             if error == KvError::Refused {
                 error!(
-                    part = lot.part,
-                    writes = txn.writes.len(),
+                    shard = lease.shard,
+                    writes = cas.writes.len(),
                     "the store refused a transaction as malformed"
                 );
                 CompareAndSwapOutcome::Refused
@@ -166,7 +166,7 @@
         // changed: they are read before the transaction counts as ended.
         CompareAndSwapOutcome::Conflict(ref keys) => {
             let mut versions = Vec::new();
-            for key in keys_to_reread(lot, keys) {
+            for key in keys_to_reread(lease, keys) {
                 let version = loop {
                     match node.state.get(key).await {
                         Ok(entry) => break entry.map_or(0, |e| e.version),
@@ -180,15 +180,15 @@
             let mut core = node.core();
             for (key, version) in &versions {
                 if let Some((job, chunk)) = parse_run_key(key) {
-                    core.reread(lot, &job, chunk, *version);
+                    core.reread(lease, &job, chunk, *version);
                 }
             }
-            info!(part = lot.part, ?keys, "transaction met other versions");
-            core.txn_done(lot, outcome, node.now())
+            info!(shard = lease.shard, ?keys, "transaction met other versions");
+            core.cas_done(lease, outcome, node.now())
         }
         outcome => {
             let now = node.now();
-            node.core().txn_done(lot, outcome, now)
+            node.core().cas_done(lease, outcome, now)
         }
     };
     if verdict == ShardOwnership::Lost {
@@ -262,7 +262,7 @@
 }
 
 async fn send_sync(node: &Node, sync: &SyncRequest) -> Option<ShardView> {
-    let host = node.core().mirror.parts.get(&sync.to)?.host.clone();
+    let host = node.core().cache.shards.get(&sync.to)?.host.clone();
     let addr = peer_address(node, &host)?;
     let response = node
         .http
@@ -284,7 +284,7 @@
     }
     if response.status != 200 {
         debug!(
-            part = sync.from,
+            shard = sync.from,
             to = sync.to,
             status = response.status,
             "sync refused"
@@ -308,22 +308,22 @@
         hold => hold,
     };
     let piece_bytes = mail_piece_bytes(node.core().config.value_bytes);
-    let txn = post(line, id, bytes, piece_bytes, hold);
-    if txn.writes.len() > node.core().config.txn_ops {
+    let cas = post(line, id, bytes, piece_bytes, hold);
+    if cas.writes.len() > node.core().config.txn_ops {
         error!(bytes = bytes.len(), "message too large for the store");
         return;
     }
-    if let Err(fault) = node.state.txn(&txn).await {
+    if let Err(fault) = node.state.cas(&cas).await {
         debug!(from = line.from, to = line.to, %fault, "message not stored");
     }
 }
 
-async fn nudge(node: &Node, part: u16) {
+async fn nudge(node: &Node, shard: u16) {
     let Some((host, from)) = ({
         let core = node.core();
-        core.mirror
-            .parts
-            .get(&part)
+        core.cache
+            .shards
+            .get(&shard)
             .map(|h| (h.host.clone(), core.held()))
     }) else {
         return;
@@ -331,14 +331,14 @@
     let Some(addr) = peer_address(node, &host) else {
         return;
     };
-    for lot in from {
+    for lease in from {
         // Only a hint: the regular sync comes anyway.
         let _ = node
             .http
             .call(
                 addr,
                 "POST",
-                &format!("/peer/nudge/{part}/{}", lot.part),
+                &format!("/peer/nudge/{shard}/{}", lease.shard),
                 &[],
                 SYNC_TIMEOUT_MS,
             )
@@ -403,8 +403,8 @@
                     .split('/')
                     .map(str::parse::<u16>);
                 match (numbers.next(), numbers.next()) {
-                    (Some(Ok(part)), Some(Ok(from))) => {
-                        node.core().nudged(part, from);
+                    (Some(Ok(shard)), Some(Ok(from))) => {
+                        node.core().nudged(shard, from);
                         node.poke();
                         Reply::empty(200)
                     }
--- a/crates/node/src/kv_client.rs
+++ b/crates/node/src/kv_client.rs
@@ -238,13 +238,13 @@
     }
 
     /// Makes a transaction.
-    pub async fn txn(&self, txn: &CompareAndSwap) -> Result<CompareAndSwapResult, KvError> {
-        match txn.writes.len() {
+    pub async fn cas(&self, cas: &CompareAndSwap) -> Result<CompareAndSwapResult, KvError> {
+        match cas.writes.len() {
             // Only asks.
             0 => self.question().await,
             writes => self.budget(writes).await,
         }
-        let response = self.call("POST", "/txn", &encode(txn)).await?;
+        let response = self.call("POST", "/txn", &encode(cas)).await?;
         match response.status {
             200 => Ok(CompareAndSwapResult::Done(
                 decode::<CompareAndSwapResponse>(&response.body)
--- a/crates/node/src/lease_keeper.rs
+++ b/crates/node/src/lease_keeper.rs
@@ -26,7 +26,7 @@
 pub async fn keep(node: Rc<Node>) {
     let mut renewed = 0;
     loop {
-        if node.core().mirror.revision.is_none() {
+        if node.core().cache.revision.is_none() {
             smol::Timer::after(Duration::from_millis(TICK_MS)).await;
             continue;
         }
@@ -88,7 +88,7 @@
     if *shown != hold {
         let left = membership.left(&node.core(), node.now());
         node.state
-            .txn(&show_node(
+            .cas(&show_node(
                 &node.settings.host_name,
                 &node.settings.zone,
                 hold,
@@ -98,7 +98,7 @@
         *shown = hold;
     }
     teams(node).await;
-    parts(node, hold, membership).await
+    shards(node, hold, membership).await
 }
 
 /// Records the parts of teams that have none yet.
@@ -108,42 +108,46 @@
         return;
     }
     // Another node may have been first; the mirror will show.
-    let _ = node.state.txn(&assign_teams(&missing)).await;
+    let _ = node.state.cas(&assign_teams(&missing)).await;
     node.fresh().await;
 }
 
 /// Takes parts that are ours or ownerless, and hands back those whose home is
 /// alive again.
-async fn parts(node: &Rc<Node>, hold: u64, membership: &mut LeaderElection) -> Result<(), KvError> {
+async fn shards(
+    node: &Rc<Node>,
+    hold: u64,
+    membership: &mut LeaderElection,
+) -> Result<(), KvError> {
     let now = node.now();
-    for index in 0..membership.parts() {
+    for index in 0..membership.shards() {
         let claim = membership.claim(&node.core(), index, now);
         let Some(claim) = claim else { continue };
         let left = membership.left(&node.core(), now);
-        let txn = node.core().claim_txn(&claim, hold, left, now);
-        let result = node.state.txn(&txn).await?;
+        let cas = node.core().claim_txn(&claim, hold, left, now);
+        let result = node.state.cas(&cas).await?;
         match (claim, result) {
             // An entry's slot or the part's key has changed meanwhile.
             (_, CompareAndSwapResult::Conflict(_)) => drop(node.fresh().await),
-            (ElectionAction::Take { part, .. }, CompareAndSwapResult::Done(token)) => {
-                acquire(node, part, token).await
+            (ElectionAction::Take { shard, .. }, CompareAndSwapResult::Done(token)) => {
+                acquire(node, shard, token).await
             }
-            (ElectionAction::HandBack(lot), CompareAndSwapResult::Done(_)) => {
-                info!(part = lot.part, "handed the part back");
-                give_up(node, lot).await;
+            (ElectionAction::HandBack(lease), CompareAndSwapResult::Done(_)) => {
+                info!(shard = lease.shard, "handed the part back");
+                give_up(node, lease).await;
             }
-            (ElectionAction::Leave(lot), CompareAndSwapResult::Done(_)) => {
+            (ElectionAction::Leave(lease), CompareAndSwapResult::Done(_)) => {
                 warn!(
-                    part = lot.part,
+                    shard = lease.shard,
                     "its machines reach other nodes but not this one; leaving the part to them"
                 );
-                give_up(node, lot).await;
+                give_up(node, lease).await;
             }
         }
     }
-    let raised = node.core().version_txn();
-    if let Some(txn) = raised
-        && let CompareAndSwapResult::Done(_) = node.state.txn(&txn).await?
+    let raised = node.core().version_cas();
+    if let Some(cas) = raised
+        && let CompareAndSwapResult::Done(_) = node.state.cas(&cas).await?
     {
         info!("every controller reads the newest records");
         node.fresh().await;
@@ -151,7 +155,7 @@
     let unshown = membership.unshown(&node.core(), now);
     if let Some(left) = unshown {
         node.state
-            .txn(&show_node(
+            .cas(&show_node(
                 &node.settings.host_name,
                 &node.settings.zone,
                 hold,
@@ -164,8 +168,8 @@
 }
 
 /// A part that was given up in the store is given up here.
-async fn give_up(node: &Node, lot: ShardLease) {
-    node.core().abandon(lot.part, node.now());
+async fn give_up(node: &Node, lease: ShardLease) {
+    node.core().release(lease.shard, node.now());
     node.fresh().await;
 }
 
@@ -178,14 +182,14 @@
             Ok(found) => break found,
             // Guards against a part that is taken anew, with another token, for each
             // page that the store does not answer.
-            Err(fault) => info!(part = index, %fault, "records not read; trying again"),
+            Err(fault) => info!(shard = index, %fault, "records not read; trying again"),
         }
         smol::Timer::after(Duration::from_millis(2 * TICK_MS)).await;
         let core = node.core();
-        if core.mirror.revision >= Some(token)
+        if core.cache.revision >= Some(token)
             && core
-                .mirror
-                .parts
+                .cache
+                .shards
                 .get(&index)
                 .is_none_or(|h| h.token != token)
         {
@@ -199,12 +203,20 @@
     let now = node.now();
     let mut core = node.core();
     if core
-        .mirror
-        .parts
+        .cache
+        .shards
         .get(&index)
         .is_some_and(|h| h.token == token)
     {
-        core.adopt(ShardLease { part: index, token }, &chunks, images, now);
+        core.acquire(
+            ShardLease {
+                shard: index,
+                token,
+            },
+            &chunks,
+            images,
+            now,
+        );
     }
     drop(core);
     node.poke();
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -231,13 +231,13 @@
 
 /// Reads what changed; true if something did.
 async fn read_changes(node: &Node) -> Result<bool, KvError> {
-    let revision = node.core().mirror.revision;
+    let revision = node.core().cache.revision;
     if let Some(after) = revision {
         match node.state.changes(FOLLOWED, after).await {
             Ok(changes) => {
                 let now = node.now();
                 node.core()
-                    .mirror
+                    .cache
                     .apply(&changes.events, changes.revision, now);
                 return Ok(!changes.events.is_empty());
             }
@@ -249,7 +249,7 @@
     info!(keys = entries.len(), revision, "read all followed keys");
     // The pages may be of different moments: the changes since the first
     // bring the copy to one state.
-    node.core().mirror.replace(&entries, revision);
+    node.core().cache.replace(&entries, revision);
     Ok(true)
 }
 
--- a/crates/node/src/lookups.rs
+++ b/crates/node/src/lookups.rs
@@ -115,7 +115,7 @@
 /// One question for all of these.
 async fn ask(node: &Node, asked: Vec<(JobId, Vec<Sender<Fate>>)>) {
     let ids: Vec<JobId> = asked.iter().map(|(id, _)| id.clone()).collect();
-    let there = match node.state.txn(&absent(&ids)).await {
+    let there = match node.state.cas(&absent(&ids)).await {
         Ok(CompareAndSwapResult::Done(_)) => Ok(Vec::new()),
         Ok(CompareAndSwapResult::Conflict(keys)) => Ok(keys),
         Err(error) => Err(error),
@@ -142,7 +142,7 @@
 /// so that a process that has just started, whom users ask for all that is over,
 /// does not read them one by one.
 pub(crate) async fn end(node: &Node, id: &JobId) -> Result<Found, KvError> {
-    if let Some(end) = node.core().mirror.end(id) {
+    if let Some(end) = node.core().cache.end(id) {
         return Ok(Found::Over(end.phase));
     }
     let key = end_key(id);
@@ -160,13 +160,13 @@
             from_value::<JobEndRecord>(&entry.value),
         ) {
             (Some(id), Some(record)) => {
-                core.mirror
+                core.cache
                     .settle(&JobId::from(id), record.phase, entry.version, now)
             }
             _ => tracing::error!(key = entry.key, "end not understood"),
         }
     }
-    core.mirror
+    core.cache
         .end(id)
         .map(|end| Found::Over(end.phase))
         .ok_or(KvError::Refused)
--- a/crates/node/src/public_api.rs
+++ b/crates/node/src/public_api.rs
@@ -56,7 +56,7 @@
             }
             ("GET", "/v1/watch/handovers") => {
                 let now = node.now();
-                Reply::new(200, encode(&node.core().handovers(now)))
+                Reply::new(200, encode(&node.core().failovers(now)))
             }
             ("GET", "/v1/events") => Reply::new(200, encode(&node.core().links.events())),
             ("GET", path) if path.starts_with("/v1/weights/") => {
@@ -268,7 +268,7 @@
     let id = spec.id.clone();
     let known = {
         let core = node.core();
-        core.mirror.knows(&id)
+        core.cache.knows(&id)
     };
     if known {
         return known_job(node, &id).await;
@@ -319,14 +319,14 @@
             after,
         );
     }
-    let (txns, phase) = match admission(node, &spec).await {
+    let (cas_list, phase) = match admission(node, &spec).await {
         Ok(admitted) => admitted,
         Err(reply) => return reply,
     };
     let deadline = node.now() + USER_TIMEOUT_MS;
-    for txn in &txns {
+    for cas in &cas_list {
         loop {
-            match node.state.txn(txn).await {
+            match node.state.cas(cas).await {
                 Ok(CompareAndSwapResult::Done(_)) => break,
                 Ok(CompareAndSwapResult::Conflict(_)) => return known_job(node, &id).await,
                 // May have been made: the same transaction tells, since its
@@ -352,7 +352,7 @@
     loop {
         let admission = node.core().admit(spec, wall_ms());
         let unknown = match admission {
-            DependencyAdmission::Accept(txns, phase) => return Ok((txns, phase)),
+            DependencyAdmission::Accept(cas_list, phase) => return Ok((cas_list, phase)),
             DependencyAdmission::Unknown(ids) => ids,
         };
         // Guards against refusing what only this node's copy does not know: the store is
@@ -407,13 +407,13 @@
 fn announce(node: &Rc<Node>, team: &str) {
     let holder = {
         let core = node.core();
-        let part = core
-            .mirror
+        let shard = core
+            .cache
             .teams
             .get(team)
             .copied()
-            .unwrap_or_else(|| core.config.default_part(team));
-        core.mirror.parts.get(&part).map(|h| h.host.clone())
+            .unwrap_or_else(|| core.config.default_shard(team));
+        core.cache.shards.get(&shard).map(|h| h.host.clone())
     };
     let node2 = node.clone();
     node.executor
@@ -453,7 +453,7 @@
         let (team, cancellation) = {
             let core = node.core();
             (
-                core.mirror.spec(&id).map(|spec| spec.team.clone()),
+                core.cache.spec(&id).map(|spec| spec.team.clone()),
                 core.cancellation(&id),
             )
         };
@@ -476,7 +476,7 @@
         if node.state.write_wait() > Duration::from_millis(SUBMIT_WAIT_MS) {
             return turn_away(node, &id, QueryKind::Withdrawal, QueryRefusal::Writes);
         }
-        match node.state.txn(&cancellation).await {
+        match node.state.cas(&cancellation).await {
             Ok(CompareAndSwapResult::Done(_)) => {
                 info!(job = %id, "withdrawal asked for");
                 announce(node, &team);
--- a/crates/node/tests/holds.rs
+++ b/crates/node/tests/holds.rs
@@ -13,7 +13,7 @@
     WatchResponse, Write, to_value,
 };
 use lemonweir_protocol::{decode, encode};
-use lemonweir_storage::records::{TaskChunkRecord, part_key, run_prefix};
+use lemonweir_storage::records::{TaskChunkRecord, run_prefix, shard_key};
 
 /// Pages of the part's task records, and how long each answer takes.
 const PAGES: usize = 9;
@@ -39,9 +39,9 @@
 }
 
 impl Store {
-    fn txn(&mut self, txn: &CompareAndSwap) -> (u16, Vec<u8>) {
+    fn cas(&mut self, cas: &CompareAndSwap) -> (u16, Vec<u8>) {
         let version = |key: &String| self.versions.get(key).copied().unwrap_or(0);
-        let failed: Vec<String> = txn
+        let failed: Vec<String> = cas
             .conditions
             .iter()
             .filter(|c| version(&c.key) != c.version)
@@ -57,10 +57,10 @@
             );
         }
         self.revision += 1;
-        for write in &txn.writes {
+        for write in &cas.writes {
             let change = match write {
                 Write::Put { key, value, .. } => {
-                    if *key == part_key(0) {
+                    if *key == shard_key(0) {
                         self.seen.push(Seen::Taking);
                     }
                     self.versions.insert(key.clone(), self.revision);
@@ -131,8 +131,8 @@
             (200, encode(&LeaseResponse { hold: 7 }))
         }
         ("POST", "/txn") => {
-            let txn = decode::<CompareAndSwap>(body).expect("a transaction");
-            store.txn(&txn)
+            let cas = decode::<CompareAndSwap>(body).expect("a transaction");
+            store.cas(&cas)
         }
         ("GET", path) if path.starts_with("/watch") => {
             let after: u64 = path
--- a/crates/protocol/src/image_locality.rs
+++ b/crates/protocol/src/image_locality.rs
@@ -15,7 +15,8 @@
     /// Zones in which it lies or could lie.
     pub zones: Vec<ZoneImageRow>,
     /// How old the word of each part's owner is.
-    pub parts: Vec<ShardImageRow>,
+    #[serde(rename = "parts")]
+    pub shards: Vec<ShardImageRow>,
 }
 
 /// Jobs of one class.
@@ -50,7 +51,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardImageRow {
     /// The part.
-    pub part: u16,
+    #[serde(rename = "part")]
+    pub shard: u16,
     /// Seconds since its owner last told of its machines; none: never.
     pub told_s: Option<u64>,
 }
--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -93,7 +93,7 @@
     /// Format.
     pub version: u8,
     /// The sender's part.
-    pub part: u16,
+    pub shard: u16,
     /// Its token now.
     pub token: u64,
     /// Who holds it.
@@ -207,7 +207,7 @@
     /// Format.
     pub version: u8,
     /// Part of the owner.
-    pub part: u16,
+    pub shard: u16,
     /// Token of that part.
     pub token: u64,
     /// Number of the message that this answers.
--- a/crates/protocol/src/supervision.rs
+++ b/crates/protocol/src/supervision.rs
@@ -10,7 +10,8 @@
     /// ms since its last reading of the store began; none: it has not read it yet.
     pub age_ms: Option<u64>,
     /// The parts.
-    pub parts: Vec<ShardRow>,
+    #[serde(rename = "parts")]
+    pub shards: Vec<ShardRow>,
     /// Services, and replicas promised and up, of all parts.
     pub services: usize,
     /// Replicas promised.
@@ -25,7 +26,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardRow {
     /// Its number.
-    pub part: u16,
+    #[serde(rename = "part")]
+    pub shard: u16,
     /// Whose it is by right.
     pub home: String,
     /// Who holds it.
@@ -46,7 +48,8 @@
     /// Its team.
     pub team: String,
     /// The part that serves the team.
-    pub part: u16,
+    #[serde(rename = "part")]
+    pub shard: u16,
     /// Replicas promised.
     pub promised: u32,
     /// The half of them that comes first after a loss.
@@ -84,7 +87,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FailoverRow {
     /// The part.
-    pub part: u16,
+    #[serde(rename = "part")]
+    pub shard: u16,
     /// Its number among the part's.
     pub n: u64,
     /// Time of day, ms.
--- a/crates/protocol/tests/golden_messages.rs
+++ b/crates/protocol/tests/golden_messages.rs
@@ -493,11 +493,11 @@
         let read: Write = decode(&encode(&write)).expect("a write");
         assert_eq!(read, write, "{name}");
     }
-    let txn = CompareAndSwap {
+    let cas = CompareAndSwap {
         conditions: vec![condition("w/part/2", 0), condition("w/part/1", 42)],
         writes: vec![put(Some(9)), put(None), delete()],
     };
-    golden.both_ways("transaction", &txn);
+    golden.both_ways("transaction", &cas);
     golden.both_ways("transaction, empty", &CompareAndSwap::default());
     for (name, failed) in [
         ("transaction reply, made", Vec::new()),
@@ -616,7 +616,7 @@
     golden.of_peers("sync, every field", &sync);
     let superseded = Superseded {
         version: PEER_VERSION,
-        part: 1,
+        shard: 1,
         token: 44,
         host: "hutte-2".into(),
     };
@@ -655,7 +655,7 @@
     };
     let view = ShardView {
         version: PEER_VERSION,
-        part: 2,
+        shard: 2,
         token: 43,
         seq: 7,
         store_age_ms: 130,
@@ -815,8 +815,8 @@
         text: "took part 2".into(),
     }];
     golden.both_ways("events", &events);
-    let part = |holder: Option<&str>, token, since| supervision::ShardRow {
-        part: 1,
+    let shard = |holder: Option<&str>, token, since| supervision::ShardRow {
+        shard: 1,
         home: "hutte-1".into(),
         holder: holder.map(str::to_owned),
         token,
@@ -826,7 +826,7 @@
         job: "req-000412".into(),
         class: "serve".into(),
         team: "vision".into(),
-        part: 1,
+        shard: 1,
         promised: 8,
         half: 4,
         up: 3,
@@ -841,9 +841,9 @@
     let watch = SupervisionReport {
         host: "hutte-0".into(),
         age_ms: Some(250),
-        parts: vec![
-            part(Some("hutte-0"), Some(42), Some(1_790_000_000_000)),
-            part(None, None, None),
+        shards: vec![
+            shard(Some("hutte-0"), Some(42), Some(1_790_000_000_000)),
+            shard(None, None, None),
         ],
         services: 6,
         promised: 48,
@@ -870,8 +870,8 @@
         gaps: vec![("serve".into(), 6_100)],
         unknown: text(&["first start"]),
     };
-    let handover = |from: Option<&str>, to: Option<&str>, token, up, closed| FailoverRow {
-        part: 2,
+    let failover = |from: Option<&str>, to: Option<&str>, token, up, closed| FailoverRow {
+        shard: 2,
         n: 5,
         at: 1_790_000_000_000,
         from: from.map(str::to_owned),
@@ -881,21 +881,21 @@
         up,
         closed,
     };
-    let handovers = FailoverReport {
+    let failovers = FailoverReport {
         host: "hutte-0".into(),
         age_ms: None,
         changes: vec![
-            handover(
+            failover(
                 Some("hutte-2"),
                 Some("hutte-0"),
                 Some(42),
                 Some((30, 20, 10)),
                 Some(closed),
             ),
-            handover(None, None, None, None, None),
+            failover(None, None, None, None, None),
         ],
     };
-    golden.both_ways("handovers", &handovers);
+    golden.both_ways("handovers", &failovers);
     let weights = ImageLocalityReport {
         image: "img-07".into(),
         mb: Some(6_200),
@@ -912,13 +912,13 @@
             left: 3,
             hidden: true,
         }],
-        parts: vec![
+        shards: vec![
             image_locality::ShardImageRow {
-                part: 0,
+                shard: 0,
                 told_s: Some(2),
             },
             image_locality::ShardImageRow {
-                part: 1,
+                shard: 1,
                 told_s: None,
             },
         ],
--- a/crates/simulator/src/checker.rs
+++ b/crates/simulator/src/checker.rs
@@ -198,8 +198,8 @@
     }
 
     /// A transaction was made: ends of jobs must be true.
-    pub fn written(&mut self, txn: &CompareAndSwap, now: u64) {
-        for w in &txn.writes {
+    pub fn written(&mut self, cas: &CompareAndSwap, now: u64) {
+        for w in &cas.writes {
             let Write::Put { key, value, .. } = w else {
                 continue;
             };
--- a/crates/simulator/src/host.rs
+++ b/crates/simulator/src/host.rs
@@ -51,14 +51,14 @@
 impl Reading {
     /// Brings a copy up to date; tells whether it changed, `None` if the store
     /// could not be had.
-    pub fn apply(self, mirror: &mut StateCache, now_ms: u64) -> Option<bool> {
+    pub fn apply(self, cache: &mut StateCache, now_ms: u64) -> Option<bool> {
         match self {
             Reading::Changes(changes, revision) => {
-                mirror.apply(&changes, revision, now_ms);
+                cache.apply(&changes, revision, now_ms);
                 Some(!changes.is_empty())
             }
             Reading::All(entries, revision) => {
-                mirror.replace(&entries, revision);
+                cache.replace(&entries, revision);
                 Some(true)
             }
             Reading::Failed => None,
@@ -193,7 +193,7 @@
 impl Host {
     /// A process that is not there yet.
     pub fn new(scenario: &Scenario) -> Self {
-        let nodes = usize::from(scenario.parts);
+        let nodes = usize::from(scenario.shards);
         let share = |x: f64| TokenBucket::new(x, nodes, 0);
         let most = BUDGET_PERCENT as f64 / 100.0;
         Self {
@@ -246,9 +246,9 @@
     }
 
     /// Parts that it holds.
-    pub fn holds(&self, part: u16) -> bool {
+    pub fn holds(&self, shard: u16) -> bool {
         self.core
             .as_ref()
-            .is_some_and(|c| c.held().iter().any(|l| l.part == part))
+            .is_some_and(|c| c.held().iter().any(|l| l.shard == shard))
     }
 }
--- a/crates/simulator/src/measures.rs
+++ b/crates/simulator/src/measures.rs
@@ -284,8 +284,8 @@
         }
     }
 
-    fn each_live(txn: &CompareAndSwap, mut f: impl FnMut((JobId, u32))) {
-        for w in &txn.writes {
+    fn each_live(cas: &CompareAndSwap, mut f: impl FnMut((JobId, u32))) {
+        for w in &cas.writes {
             if let Write::Put { key, value, .. } = w
                 && let Some((job, chunk)) = parse_run_key(key)
                 && let Some(record) = read_chunk(value, chunk)
@@ -297,8 +297,8 @@
 
     /// A pass that began at `now` made a transaction that leaves its controller
     /// at `leaves`.
-    pub fn written(&mut self, txn: &CompareAndSwap, now: u64, leaves: u64) {
-        Self::each_live(txn, |key| {
+    pub fn written(&mut self, cas: &CompareAndSwap, now: u64, leaves: u64) {
+        Self::each_live(cas, |key| {
             self.tasks.entry(key).or_insert(Stages {
                 written: leaves,
                 pass_us: leaves - now,
@@ -308,8 +308,8 @@
     }
 
     /// A transaction was made.
-    pub fn recorded(&mut self, txn: &CompareAndSwap, now: u64) {
-        Self::each_live(txn, |key| {
+    pub fn recorded(&mut self, cas: &CompareAndSwap, now: u64) {
+        Self::each_live(cas, |key| {
             let stages = self.tasks.entry(key).or_default();
             if stages.recorded == 0 {
                 stages.recorded = now;
@@ -491,7 +491,7 @@
         placer: "lemonweir".into(),
         seed,
         simulated_s: world.now as f64 / 1e6,
-        controllers: world.scenario.parts,
+        controllers: world.scenario.shards,
         jobs: Jobs {
             submitted: m.submitted,
             accepted: m.jobs.len() as u64,
--- a/crates/simulator/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -153,7 +153,7 @@
     /// How long it lasts, s.
     pub duration_s: f64,
     /// Controllers.
-    pub parts: u16,
+    pub shards: u16,
     /// Zones; controllers and machines are spread over them.
     pub zones: Vec<String>,
     /// The workers' times.
@@ -225,7 +225,7 @@
                 *amount *= factor;
             }
         }
-        self.parts = controllers.unwrap_or(self.parts);
+        self.shards = controllers.unwrap_or(self.shards);
         self
     }
 
@@ -233,7 +233,7 @@
     pub fn calm_s(&self) -> f64 {
         self.faults
             .iter()
-            .map(|f| f.over_s(self.parts))
+            .map(|f| f.over_s(self.shards))
             .fold(0.0, f64::max)
     }
 
@@ -271,7 +271,7 @@
             zone: self.zone_of(host).to_owned(),
             listen: address(host, 80),
             internal_addr: address(host, 81),
-            seeds: (0..usize::from(self.parts))
+            seeds: (0..usize::from(self.shards))
                 .filter(|&i| i != host)
                 .map(seed)
                 .collect(),
@@ -318,7 +318,7 @@
     let scenario = Scenario {
         name: top.text("name", None),
         duration_s: top.number("duration_s", 1.0, 1e8, None),
-        parts: top.whole("controllers", 1, 64, Some(3)) as u16,
+        shards: top.whole("controllers", 1, 64, Some(3)) as u16,
         poll_s: top.number("poll_s", 0.0, 3_600.0, Some(5.0)),
         workers: Workers {
             report_s: w.number("report_s", 0.1, 600.0, Some(3.0)),
--- a/crates/simulator/src/scenario/trouble.rs
+++ b/crates/simulator/src/scenario/trouble.rs
@@ -264,7 +264,7 @@
 }
 
 pub(super) fn fault(t: &Section<'_>, scenario: &Scenario) -> Option<Fault> {
-    let most = u64::from(scenario.parts) - 1;
+    let most = u64::from(scenario.shards) - 1;
     let host = |name: &str| t.whole(name, 0, most, None) as usize;
     let at_s = t.number("at_s", 0.0, scenario.duration_s, None);
     let for_s = t.number("for_s", 0.0, scenario.duration_s - at_s, Some(5.0));
--- a/crates/simulator/src/store.rs
+++ b/crates/simulator/src/store.rs
@@ -107,7 +107,7 @@
         self.txn_ops = limits.least_txn_ops();
     }
 
-    fn takes(&self, txn: &CompareAndSwap) -> bool {
+    fn takes(&self, cas: &CompareAndSwap) -> bool {
         // A value that can't be written as JSON has no size that counts.
         let bytes = |value: &Value| serde_json::to_vec(value).map_or(0, |text| text.len());
         let fits = |write: &Write| {
@@ -117,9 +117,9 @@
                 true
             }
         };
-        txn.writes.len() <= self.txn_ops
-            && txn.conditions.len() <= CONDITIONS_A_CHANGE * self.txn_ops
-            && txn.writes.iter().all(fits)
+        cas.writes.len() <= self.txn_ops
+            && cas.conditions.len() <= CONDITIONS_A_CHANGE * self.txn_ops
+            && cas.writes.iter().all(fits)
     }
 
     /// False: 429, the request is over the limits.
@@ -215,8 +215,8 @@
     }
 
     /// Makes a transaction.
-    pub fn txn(&mut self, txn: &CompareAndSwap) -> TxnAnswer {
-        if !self.takes(txn) {
+    pub fn cas(&mut self, cas: &CompareAndSwap) -> TxnAnswer {
+        if !self.takes(cas) {
             return TxnAnswer::TooLarge;
         }
         let hold = |w: &Write| {
@@ -226,7 +226,7 @@
                 None
             }
         };
-        if txn
+        if cas
             .writes
             .iter()
             .filter_map(hold)
@@ -237,7 +237,7 @@
         let failed = |c: &&lemonweir_protocol::kv_store::Condition| {
             self.keys.get(&c.key).map_or(0, |k| k.version) != c.version
         };
-        let failed: Vec<String> = txn
+        let failed: Vec<String> = cas
             .conditions
             .iter()
             .filter(failed)
@@ -246,10 +246,10 @@
         if !failed.is_empty() {
             return TxnAnswer::Conflict(failed);
         }
-        if !txn.writes.is_empty() {
+        if !cas.writes.is_empty() {
             self.revision += 1;
         }
-        for w in &txn.writes {
+        for w in &cas.writes {
             match w {
                 Write::Put { key, value, hold } => self.set(key, value.clone(), *hold),
                 Write::Delete { key } => self.remove(key),
--- a/crates/simulator/src/traces.rs
+++ b/crates/simulator/src/traces.rs
@@ -119,10 +119,10 @@
 
 fn machine_of(text: &str) -> Result<Resources, String> {
     let (mut cpus, mut gpus, mut memory) = (0.0, 0.0, 0.0);
-    for part in text.split(',') {
-        let (name, value) = part
+    for shard in text.split(',') {
+        let (name, value) = shard
             .split_once('=')
-            .ok_or_else(|| format!("{part}: must be name=number"))?;
+            .ok_or_else(|| format!("{shard}: must be name=number"))?;
         let x: f64 = value
             .parse()
             .ok()
--- a/crates/simulator/src/worker.rs
+++ b/crates/simulator/src/worker.rs
@@ -284,8 +284,8 @@
     }
 
     fn fetch_until(&mut self, now: u64) {
-        let part = now.saturating_sub(self.fetched_at) as f64 * self.fetch_rate();
-        self.fetches.iter_mut().for_each(|f| f.left_gb -= part);
+        let shard = now.saturating_sub(self.fetched_at) as f64 * self.fetch_rate();
+        self.fetches.iter_mut().for_each(|f| f.left_gb -= shard);
         self.fetched_at = self.fetched_at.max(now);
     }
 
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -233,7 +233,7 @@
             workers: vec![None],
             cloud: Cloud::new(&scenario),
             ground: Ground::new(scenario.workers.clone(), checker, history),
-            hosts: (0..usize::from(scenario.parts))
+            hosts: (0..usize::from(scenario.shards))
                 .map(|_| Host::new(&scenario))
                 .collect(),
             down: BTreeSet::new(),
@@ -419,7 +419,7 @@
                     let h = &mut self.hosts[host];
                     (h.reading, h.read_wanted) = (true, false);
                     let wait = h.requests.take(1.0, now);
-                    let after = h.core.as_ref().and_then(|c| c.mirror.revision);
+                    let after = h.core.as_ref().and_then(|c| c.cache.revision);
                     let at = now + wait + self.travel();
                     let way = self.way(host, Service::Store, 0);
                     self.push(
@@ -435,8 +435,8 @@
             Event::Serve(host, life, request, answer_us) => {
                 self.serve(host, life, request, answer_us)
             }
-            Event::Orders(host, life, lot, call, late) => {
-                self.orders_arrive(host, life, lot, *call, late)
+            Event::Orders(host, life, lease, call, late) => {
+                self.orders_arrive(host, life, lease, *call, late)
             }
             Event::Worker(number) => self.worker_wakes(number),
             Event::Copy(number, host, report) => self.copy_arrives(number, host, *report),
@@ -460,13 +460,15 @@
                 };
                 self.with_worker(*number, |w, ground| w.take_call(call, now, ground));
             }
-            Event::Rent(host, life, lot, rental, way) => self.rent(host, life, lot, *rental, way),
-            Event::Release(host, life, lot, names, way) => {
+            Event::Rent(host, life, lease, rental, way) => {
+                self.rent(host, life, lease, *rental, way)
+            }
+            Event::Release(host, life, lease, names, way) => {
                 if !self.served(host, life, way) {
                     let way = self.way(host, Service::Cloud, 0);
                     return self.at(
                         CLOUD_TROUBLE_MS * MS,
-                        Event::Release(host, life, lot, names, way),
+                        Event::Release(host, life, lease, names, way),
                     );
                 }
                 for name in &names {
@@ -475,7 +477,7 @@
                 let at = now + self.travel();
                 self.push(
                     at,
-                    Event::To(host, life, Box::new(Input::Released(lot, names))),
+                    Event::To(host, life, Box::new(Input::Released(lease, names))),
                 );
             }
             Event::ListSoon(host, life) => {
--- a/crates/simulator/src/world/controllers.rs
+++ b/crates/simulator/src/world/controllers.rs
@@ -122,15 +122,15 @@
         let life = self.hosts[host].life;
         let at = self.leaves(host) + self.travel();
         match effect {
-            Effect::CompareAndSwap(lot, txn) => self.send_txn(host, For::Core(lot), txn),
-            Effect::Chain(txn) => self.send_txn(host, For::Chain, txn),
+            Effect::CompareAndSwap(lease, cas) => self.send_txn(host, For::Core(lease), cas),
+            Effect::Chain(cas) => self.send_txn(host, For::Chain, cas),
             Effect::ReadEnds(ids) => {
                 let at = at + self.travel();
                 self.push(at, Event::To(host, life, Box::new(Input::EndsRead(ids))));
             }
-            Effect::Note(txn) => self.send_txn(host, For::Nobody, txn),
-            Effect::Command(lot, call) => self.send_orders(host, lot, call, at),
-            Effect::Sync(lot, sync) => self.send_sync(host, lot, sync, at),
+            Effect::Note(cas) => self.send_txn(host, For::Nobody, cas),
+            Effect::Command(lease, call) => self.send_orders(host, lease, call, at),
+            Effect::Sync(lease, sync) => self.send_sync(host, lease, sync, at),
             Effect::MailSync(sync) => {
                 let line = StoreMessageRoute {
                     kind: StoreMessageKind::Sync,
@@ -142,44 +142,44 @@
             Effect::MailView(to, view) => {
                 let line = StoreMessageRoute {
                     kind: StoreMessageKind::View,
-                    from: view.part,
+                    from: view.shard,
                     to,
                 };
                 self.mail(host, line, (view.token, view.seq), &peer::write(&view));
             }
-            Effect::Nudge(part) => {
+            Effect::Nudge(shard) => {
                 let held = self.hosts[host]
                     .core
                     .as_ref()
                     .map(|c| c.held())
                     .unwrap_or_default();
                 if let Some(to) = self
-                    .known_holder(host, part)
+                    .known_holder(host, shard)
                     .filter(|to| !self.is_cut(host, *to))
                 {
                     let life = self.hosts[to].life;
-                    for lot in held {
+                    for lease in held {
                         self.push(
                             at,
-                            Event::To(to, life, Box::new(Input::Nudge(part, lot.part))),
+                            Event::To(to, life, Box::new(Input::Nudge(shard, lease.shard))),
                         );
                     }
                 }
             }
-            Effect::Rent(lot, rental) => {
+            Effect::Rent(lease, rental) => {
                 let wait = self.hosts[host].cloud.take(1.0, self.now);
                 let way = self.way(host, Service::Cloud, 0);
                 self.push(
                     at + wait + 100 * MS,
-                    Event::Rent(host, life, lot, Box::new(rental), way),
+                    Event::Rent(host, life, lease, Box::new(rental), way),
                 );
             }
-            Effect::Release(lot, names) => {
+            Effect::Release(lease, names) => {
                 let wait = self.hosts[host].cloud.take(1.0, self.now);
                 let way = self.way(host, Service::Cloud, 0);
                 self.push(
                     at + wait + 100 * MS,
-                    Event::Release(host, life, lot, names, way),
+                    Event::Release(host, life, lease, names, way),
                 );
             }
             Effect::Hail(to, word) => self.send_hail(host, to, word, at),
@@ -256,15 +256,15 @@
                 core.links
                     .hailed(from, word.is_some(), word.map(|w| *w), ms)
             }
-            Input::Command(lot, call, result) => core.command_done(lot, &call, result, ms),
-            Input::View(lot, to, view) => core.sync_done(lot, to, view.map(|v| *v), ms),
-            Input::Rented(lot, rental, result) => core.rented(lot, &rental, result, ms),
-            Input::Released(lot, names) => core.released(lot, &names, true, ms),
+            Input::Command(lease, call, result) => core.command_done(lease, &call, result, ms),
+            Input::View(lease, to, view) => core.sync_done(lease, to, view.map(|v| *v), ms),
+            Input::Rented(lease, rental, result) => core.rented(lease, &rental, result, ms),
+            Input::Released(lease, names) => core.released(lease, &names, true, ms),
             Input::Listed(entries) => core.listed(&entries, ms),
             Input::Superseded(by) => core.superseded(by, ms),
-            Input::Nudge(part, from) => core.nudged(part, from),
+            Input::Nudge(shard, from) => core.nudged(shard, from),
             Input::Announced => self.want_reading(host),
-            Input::Sync(from, life, lot, sync) => {
+            Input::Sync(from, life, lease, sync) => {
                 let answer = core.sync_in(&sync, ms);
                 if let Err(SyncError::Superseded(by)) = &answer
                     && from < self.hosts.len()
@@ -276,10 +276,10 @@
                         Event::To(from, life, Box::new(Input::Superseded(by.clone()))),
                     );
                 }
-                self.answer_sync(host, from, life, lot, sync.to, answer.ok());
+                self.answer_sync(host, from, life, lease, sync.to, answer.ok());
             }
             Input::Read(began, reading) => self.take_reading(host, began, reading),
-            Input::Adopt(lot, chunks, images) => self.adopt(host, lot, chunks, images),
+            Input::Adopt(lease, chunks, images) => self.acquire(host, lease, chunks, images),
             Input::Hold(answer) => self.hold_answered(host, answer),
             // Asked for again at the loop's next step.
             Input::HoldUnknown => self.hosts[host].keeping -= 1,
@@ -298,8 +298,8 @@
                 let answer = core.answer(&id, ms);
                 self.answer_late(host, id, true, answer);
             }
-            Input::CompareAndSwap(whose, txn, outcome, versions) => {
-                self.txn_ended(host, whose, &txn, outcome, versions)
+            Input::CompareAndSwap(whose, cas, outcome, versions) => {
+                self.txn_ended(host, whose, &cas, outcome, versions)
             }
         }
     }
@@ -309,8 +309,8 @@
         host: usize,
         from: usize,
         life: u64,
-        lot: ShardLease,
-        part: u16,
+        lease: ShardLease,
+        shard: u16,
         view: Option<ShardView>,
     ) {
         if from >= self.hosts.len() {
@@ -326,7 +326,7 @@
             Event::To(
                 from,
                 life,
-                Box::new(Input::View(lot, part, view.map(Box::new))),
+                Box::new(Input::View(lease, shard, view.map(Box::new))),
             ),
         );
     }
@@ -338,7 +338,7 @@
         h.reading = false;
         h.read_at = now;
         let mut effects = Vec::new();
-        let changed = reading.apply(&mut core.mirror, now / MS);
+        let changed = reading.apply(&mut core.cache, now / MS);
         let good = changed.is_some();
         if let Some(changed) = changed {
             core.refreshed(began / MS, changed);
@@ -368,10 +368,10 @@
         }
     }
 
-    pub(super) fn adopt(
+    pub(super) fn acquire(
         &mut self,
         host: usize,
-        lot: ShardLease,
+        lease: ShardLease,
         chunks: Vec<KeyValue>,
         images: Vec<KeyValue>,
     ) {
@@ -381,7 +381,7 @@
             let life = self.hosts[host].life;
             return self.at(
                 TICK_MS * MS,
-                Event::To(host, life, Box::new(Input::Adopt(lot, chunks, images))),
+                Event::To(host, life, Box::new(Input::Adopt(lease, chunks, images))),
             );
         }
         let chunks: Vec<(JobId, u32, TaskChunkRecord, u64)> = chunks
@@ -400,15 +400,15 @@
         let Some(core) = self.hosts[host].core.as_mut() else {
             return;
         };
-        followed(&self.store, core.mirror.revision).apply(&mut core.mirror, ms);
+        followed(&self.store, core.cache.revision).apply(&mut core.cache, ms);
         core.refreshed(ms, true);
         if core
-            .mirror
-            .parts
-            .get(&lot.part)
-            .is_some_and(|p| p.token == lot.token)
+            .cache
+            .shards
+            .get(&lease.shard)
+            .is_some_and(|p| p.token == lease.token)
         {
-            core.adopt(lot, &chunks, images, ms);
+            core.acquire(lease, &chunks, images, ms);
         }
     }
 
@@ -417,7 +417,7 @@
         &mut self,
         host: usize,
         whose: For,
-        txn: &CompareAndSwap,
+        cas: &CompareAndSwap,
         outcome: Option<CompareAndSwapOutcome>,
         versions: Vec<(String, u64)>,
     ) {
@@ -425,13 +425,13 @@
         let h = &mut self.hosts[host];
         let Some(core) = h.core.as_mut() else { return };
         match whose {
-            For::Core(lot) => {
+            For::Core(lease) => {
                 for (key, version) in versions {
                     if let Some((job, chunk)) = parse_run_key(&key) {
-                        core.reread(lot, &job, chunk, version);
+                        core.reread(lease, &job, chunk, version);
                     }
                 }
-                core.txn_done(lot, outcome.unwrap_or(CompareAndSwapOutcome::Again), ms);
+                core.cas_done(lease, outcome.unwrap_or(CompareAndSwapOutcome::Again), ms);
             }
             For::Nobody => {}
             For::Chain => {
@@ -446,11 +446,11 @@
                 h.keeping -= 1;
                 // Given up here once it is given up in the store.
                 if let (
-                    Some(ElectionAction::HandBack(lot) | ElectionAction::Leave(lot)),
+                    Some(ElectionAction::HandBack(lease) | ElectionAction::Leave(lease)),
                     Some(CompareAndSwapOutcome::Done(_)),
                 ) = (claim, outcome)
                 {
-                    core.abandon(lot.part, ms);
+                    core.release(lease.shard, ms);
                 }
                 self.want_reading(host);
             }
@@ -463,7 +463,7 @@
                 Some(CompareAndSwapOutcome::Done(_)) => {
                     self.announce(host, &id);
                     // With a cancelled job that it needs it is cancelled from the start.
-                    let over = txn.writes.iter().any(
+                    let over = cas.writes.iter().any(
                         |write| matches!(write, Write::Put { key, .. } if *key == end_key(&id)),
                     );
                     self.reply(
@@ -484,7 +484,7 @@
                     self.await_reading(host, id, withdraw)
                 }
                 None if self.now < asked + USER_TIMEOUT_MS * MS => {
-                    self.send_txn(host, For::User(id, false, asked), txn.clone())
+                    self.send_txn(host, For::User(id, false, asked), cas.clone())
                 }
                 _ => self.reply(host, id, None, 503),
             },
--- a/crates/simulator/src/world/sending.rs
+++ b/crates/simulator/src/world/sending.rs
@@ -35,36 +35,42 @@
     }
 
     /// The host that a controller's copy names as a part's holder.
-    pub(super) fn known_holder(&self, host: usize, part: u16) -> Option<usize> {
+    pub(super) fn known_holder(&self, host: usize, shard: u16) -> Option<usize> {
         let core = self.hosts[host].core.as_ref()?;
-        let name = &core.mirror.parts.get(&part)?.host;
+        let name = &core.cache.shards.get(&shard)?.host;
         core.config.members.iter().position(|m| m.host == *name)
     }
 
-    pub(super) fn send_txn(&mut self, host: usize, whose: For, txn: CompareAndSwap) {
+    pub(super) fn send_txn(&mut self, host: usize, whose: For, cas: CompareAndSwap) {
         let (now, life) = (self.now, self.hosts[host].life);
         let h = &mut self.hosts[host];
         let wait = h
             .requests
             .take(1.0, now)
-            .max(h.writes.take(txn.writes.len() as f64, now));
+            .max(h.writes.take(cas.writes.len() as f64, now));
         if matches!(whose, For::Core(_)) {
-            self.measures.written(&txn, now, self.leaves(host));
+            self.measures.written(&cas, now, self.leaves(host));
         }
         let at = self.leaves(host) + wait + self.travel();
-        let way = self.way(host, Service::Store, ways::bytes(&txn));
+        let way = self.way(host, Service::Store, ways::bytes(&cas));
         self.push(
             at,
             Event::PlacementRequest(
                 host,
                 life,
-                Request::CompareAndSwap(whose, Box::new(txn)),
+                Request::CompareAndSwap(whose, Box::new(cas)),
                 way,
             ),
         );
     }
 
-    pub(super) fn send_orders(&mut self, host: usize, lot: ShardLease, call: CommandCall, at: u64) {
+    pub(super) fn send_orders(
+        &mut self,
+        host: usize,
+        lease: ShardLease,
+        call: CommandCall,
+        at: u64,
+    ) {
         let life = self.hosts[host].life;
         let chances = self.scenario.chances;
         let number = machine_number(&call.machine);
@@ -81,7 +87,7 @@
         let held = if lost { None } else { self.held() };
         let late = !lost && (held.is_some() || self.chance(chances.late_command));
         if !lost && !late {
-            self.push(at, Event::Orders(host, life, lot, Box::new(call), false));
+            self.push(at, Event::Orders(host, life, lease, Box::new(call), false));
             return;
         }
         if late || self.chance(500) {
@@ -89,26 +95,26 @@
             let later = held.unwrap_or_else(|| self.rng.random_range(3_000..90_000) * MS);
             self.push(
                 at + later,
-                Event::Orders(host, life, lot, Box::new(call.clone()), true),
+                Event::Orders(host, life, lease, Box::new(call.clone()), true),
             );
         }
-        let unknown = Input::Command(lot, call, CommandResult::Unknown);
+        let unknown = Input::Command(lease, call, CommandResult::Unknown);
         self.push(
             at + COMMAND_TIMEOUT_MS * MS,
             Event::To(host, life, Box::new(unknown)),
         );
     }
 
-    pub(super) fn send_sync(&mut self, host: usize, lot: ShardLease, sync: SyncRequest, at: u64) {
+    pub(super) fn send_sync(&mut self, host: usize, lease: ShardLease, sync: SyncRequest, at: u64) {
         let life = self.hosts[host].life;
-        let part = sync.to;
-        let failed = move |lot| Box::new(Input::View(lot, part, None));
+        let shard = sync.to;
+        let failed = move |lease| Box::new(Input::View(lease, shard, None));
         self.hosts[host].work.peer_bytes += peer::written(&sync) as u64;
         let Some(to) = self
-            .known_holder(host, part)
+            .known_holder(host, shard)
             .filter(|to| self.hosts[*to].core.is_some())
         else {
-            self.push(at + 2 * MS, Event::To(host, life, failed(lot)));
+            self.push(at + 2 * MS, Event::To(host, life, failed(lease)));
             return;
         };
         let lost = self.is_cut(host, to) || self.chance(self.scenario.chances.lost_sync);
@@ -118,12 +124,16 @@
                 let (to_life, sync) = (self.hosts[to].life, Box::new(sync));
                 self.push(
                     at + later,
-                    Event::To(to, to_life, Box::new(Input::Sync(usize::MAX, 0, lot, sync))),
+                    Event::To(
+                        to,
+                        to_life,
+                        Box::new(Input::Sync(usize::MAX, 0, lease, sync)),
+                    ),
                 );
             }
             self.push(
                 at + SYNC_TIMEOUT_MS * MS,
-                Event::To(host, life, failed(lot)),
+                Event::To(host, life, failed(lease)),
             );
         } else {
             let to_life = self.hosts[to].life;
@@ -132,7 +142,7 @@
                 Event::To(
                     to,
                     to_life,
-                    Box::new(Input::Sync(host, life, lot, Box::new(sync))),
+                    Box::new(Input::Sync(host, life, lease, Box::new(sync))),
                 ),
             );
         }
@@ -141,8 +151,8 @@
     /// What was sent to a process that is no more has no answer.
     pub(super) fn unheard(&mut self, host: usize, input: Input) {
         let (to, life, failed) = match input {
-            Input::Sync(from, life, lot, sync) if from < self.hosts.len() => {
-                (from, life, Input::View(lot, sync.to, None))
+            Input::Sync(from, life, lease, sync) if from < self.hosts.len() => {
+                (from, life, Input::View(lease, sync.to, None))
             }
             Input::Hail(life, word) => (
                 usize::from(word.host),
@@ -171,9 +181,9 @@
         };
         self.largest_mail = self.largest_mail.max(bytes.len());
         let piece = mail_piece_bytes((self.scenario.state.least_value_kb() * 1024.0) as usize);
-        let txn = post(line, id, bytes, piece, hold);
-        if txn.writes.len() <= self.scenario.state.least_txn_ops() {
-            self.send_txn(host, For::Nobody, txn);
+        let cas = post(line, id, bytes, piece, hold);
+        if cas.writes.len() <= self.scenario.state.least_txn_ops() {
+            self.send_txn(host, For::Nobody, cas);
         }
     }
 }
--- a/crates/simulator/src/world/services.rs
+++ b/crates/simulator/src/world/services.rs
@@ -4,8 +4,8 @@
 
 impl Request {
     fn writes(&self) -> usize {
-        if let Request::CompareAndSwap(_, txn) = self {
-            txn.writes.len()
+        if let Request::CompareAndSwap(_, cas) = self {
+            cas.writes.len()
         } else {
             0
         }
@@ -14,8 +14,8 @@
     /// What its controller is left with when no answer comes.
     fn unanswered(&self) -> Input {
         match self {
-            Request::CompareAndSwap(whose, txn) => {
-                Input::CompareAndSwap(whose.clone(), (**txn).clone(), None, Vec::new())
+            Request::CompareAndSwap(whose, cas) => {
+                Input::CompareAndSwap(whose.clone(), (**cas).clone(), None, Vec::new())
             }
             Request::Reading(_, began) => Input::Read(*began, Reading::Failed),
             Request::Hold(_) => Input::HoldUnknown,
@@ -32,7 +32,7 @@
         let now = self.now;
         self.at(2 * TICK_MS * MS, Event::Holds(host, life));
         let h = &mut self.hosts[host];
-        if h.keeping > 0 || h.core.as_ref().is_none_or(|c| c.mirror.revision.is_none()) {
+        if h.keeping > 0 || h.core.as_ref().is_none_or(|c| c.cache.revision.is_none()) {
             return;
         }
         let hold = h.hold;
@@ -49,10 +49,10 @@
         let h = &mut self.hosts[host];
         let Some(core) = h.core.as_ref() else { return };
         let teams = core.unassigned_teams();
-        let raised = core.version_txn();
+        let raised = core.version_cas();
         let unshown = h.membership.unshown(core, now / MS);
-        let claims: Vec<ElectionAction> = (0..h.membership.parts())
-            .filter_map(|part| h.membership.claim(core, part, now / MS))
+        let claims: Vec<ElectionAction> = (0..h.membership.shards())
+            .filter_map(|shard| h.membership.claim(core, shard, now / MS))
             .collect();
         let left = h.membership.left(core, now / MS);
         // One at a time: what it brings counts for the next.
@@ -62,21 +62,21 @@
         if !teams.is_empty() {
             self.keep(host, None, assign_teams(&teams));
         }
-        if let Some(txn) = raised {
-            self.keep(host, None, txn);
+        if let Some(cas) = raised {
+            self.keep(host, None, cas);
         }
-        if let Some((claim, txn)) = claimed {
-            self.keep(host, Some(claim), txn);
+        if let Some((claim, cas)) = claimed {
+            self.keep(host, Some(claim), cas);
         } else if let Some(left) = unshown {
-            let txn = self.presence(host, hold, left);
-            self.keep(host, None, txn);
+            let cas = self.presence(host, hold, left);
+            self.keep(host, None, cas);
         }
     }
 
     /// Sends a transaction that the loop waits for.
-    fn keep(&mut self, host: usize, claim: Option<ElectionAction>, txn: CompareAndSwap) {
+    fn keep(&mut self, host: usize, claim: Option<ElectionAction>, cas: CompareAndSwap) {
         self.hosts[host].keeping += 1;
-        self.send_txn(host, For::Keeper(claim), txn);
+        self.send_txn(host, For::Keeper(claim), cas);
     }
 
     fn presence(&self, host: usize, hold: u64, left: Vec<u16>) -> CompareAndSwap {
@@ -98,8 +98,8 @@
             (None, Some(id), Some(core)) => {
                 let left = h.membership.left(core, now / MS);
                 h.keeping += 1;
-                let txn = self.presence(host, id, left);
-                self.send_txn(host, For::Presence(id), txn);
+                let cas = self.presence(host, id, left);
+                self.send_txn(host, For::Presence(id), cas);
             }
             _ => h.hold = answer,
         }
@@ -162,7 +162,7 @@
         if !passes || !self.store.admit(request.writes(), self.now) {
             // Refused: the process waits before it tries again.
             let (input, wait) = match request {
-                Request::CompareAndSwap(whose, txn) => {
+                Request::CompareAndSwap(whose, cas) => {
                     let wait = if matches!(whose, For::Core(_)) {
                         2 * TICK_MS * MS
                     } else {
@@ -171,7 +171,7 @@
                     (
                         Input::CompareAndSwap(
                             whose,
-                            *txn,
+                            *cas,
                             Some(CompareAndSwapOutcome::Again),
                             Vec::new(),
                         ),
@@ -209,7 +209,7 @@
             Request::Reading(after, began) => Input::Read(began, followed(&self.store, after)),
             Request::Hold(Some(id)) => Input::Hold(self.store.renew(id, now).then_some(id)),
             Request::Hold(None) => Input::Hold(Some(self.store.hold(HOLD_TTL_MS, now))),
-            Request::CompareAndSwap(whose, txn) => self.make(whose, *txn),
+            Request::CompareAndSwap(whose, cas) => self.make(whose, *cas),
         };
         if let Some(answer_us) = answer_us {
             let at = now + answer_us + self.travel();
@@ -217,17 +217,17 @@
         }
     }
 
-    fn make(&mut self, whose: For, txn: CompareAndSwap) -> Input {
+    fn make(&mut self, whose: For, cas: CompareAndSwap) -> Input {
         let now = self.now;
         let mut versions = Vec::new();
-        let outcome = match self.store.txn(&txn) {
+        let outcome = match self.store.cas(&cas) {
             TxnAnswer::NoHold => CompareAndSwapOutcome::Again,
             TxnAnswer::TooLarge => CompareAndSwapOutcome::Refused,
             TxnAnswer::Conflict(keys) => {
                 let version = |key: &str| self.store.get(key).map_or(0, |(_, version)| version);
-                if let For::Core(lot) = whose {
+                if let For::Core(lease) = whose {
                     versions.extend(
-                        keys_to_reread(lot, &keys)
+                        keys_to_reread(lease, &keys)
                             .into_iter()
                             .map(|key| (key.to_owned(), version(key))),
                     );
@@ -235,33 +235,33 @@
                 CompareAndSwapOutcome::Conflict(keys)
             }
             TxnAnswer::Done(revision) => {
-                self.ground.checker.written(&txn, now);
-                self.measures.recorded(&txn, now);
-                self.note_ends(&txn, revision);
+                self.ground.checker.written(&cas, now);
+                self.measures.recorded(&cas, now);
+                self.note_ends(&cas, revision);
                 CompareAndSwapOutcome::Done(revision)
             }
         };
         if let (
-            For::Keeper(Some(ElectionAction::Take { part, .. })),
+            For::Keeper(Some(ElectionAction::Take { shard, .. })),
             CompareAndSwapOutcome::Done(token),
         ) = (&whose, &outcome)
         {
-            let lot = ShardLease {
-                part: *part,
+            let lease = ShardLease {
+                shard: *shard,
                 token: *token,
             };
             self.new_leader();
             return Input::Adopt(
-                lot,
-                self.store.list(&run_prefix(*part)),
-                self.store.list(&images_prefix(*part)),
+                lease,
+                self.store.list(&run_prefix(*shard)),
+                self.store.list(&images_prefix(*shard)),
             );
         }
-        Input::CompareAndSwap(whose, txn, Some(outcome), versions)
+        Input::CompareAndSwap(whose, cas, Some(outcome), versions)
     }
 
-    pub(super) fn note_ends(&mut self, txn: &CompareAndSwap, revision: u64) {
-        for w in &txn.writes {
+    pub(super) fn note_ends(&mut self, cas: &CompareAndSwap, revision: u64) {
+        for w in &cas.writes {
             if let Write::Put { key, .. } = w
                 && let Some(id) = key.strip_prefix("end/").map(JobId::from)
             {
@@ -275,7 +275,7 @@
         &mut self,
         host: usize,
         life: u64,
-        lot: ShardLease,
+        lease: ShardLease,
         rental: ProvisioningRequest,
         way: Way,
     ) {
@@ -329,7 +329,7 @@
         let at = now + self.travel();
         self.push(
             at,
-            Event::To(host, life, Box::new(Input::Rented(lot, rental, result))),
+            Event::To(host, life, Box::new(Input::Rented(lease, rental, result))),
         );
     }
 }
--- a/crates/simulator/src/world/users.rs
+++ b/crates/simulator/src/world/users.rs
@@ -13,7 +13,7 @@
         let spec = planned.load.spec.clone();
         let h = &self.hosts[host];
         let Some(core) = h.core.as_ref() else { return };
-        let known = core.mirror.knows(&id);
+        let known = core.cache.knows(&id);
         let wait = h.writes.wait(self.now).max(h.requests.wait(self.now));
         let never = |catalog| {
             never_runs(&spec, &self.scenario.teams, &self.scenario.zones, catalog).is_some()
@@ -30,9 +30,9 @@
             self.reply(host, id, None, 503);
         } else {
             match core.admit(&spec, self.now / MS) {
-                DependencyAdmission::Accept(txns, _) => {
+                DependencyAdmission::Accept(cas_list, _) => {
                     // Further pages of what it awaits mean nothing by themselves.
-                    let (last, pages) = txns
+                    let (last, pages) = cas_list
                         .split_last()
                         .expect("a job is accepted by a transaction");
                     for page in pages {
@@ -84,7 +84,7 @@
         let ms = self.now / MS;
         if let Some(core) = self.hosts[host].core.as_mut() {
             ends.iter()
-                .for_each(|(id, phase, version)| core.mirror.settle(id, *phase, *version, ms));
+                .for_each(|(id, phase, version)| core.cache.settle(id, *phase, *version, ms));
         }
     }
 
@@ -125,13 +125,13 @@
             return;
         };
         if let Some(Answer::Unfinished(phase, ..)) = core.unfinished(&id, self.now / MS) {
-            let txn = if withdraw {
+            let cas = if withdraw {
                 core.cancellation(&id)
             } else {
                 None
             };
-            return match txn {
-                Some(txn) => self.send_txn(host, For::User(id, true, asked), txn),
+            return match cas {
+                Some(cas) => self.send_txn(host, For::User(id, true, asked), cas),
                 None if withdraw => self.reply_to(host, id, None, 503, asked),
                 None => self.reply_to(host, id, Some(phase), 200, asked),
             };
@@ -140,7 +140,7 @@
         if let Some(core) = self.hosts[host]
             .core
             .as_ref()
-            .filter(|core| core.mirror.knows(&id))
+            .filter(|core| core.cache.knows(&id))
         {
             let answer = core.answer(&id, self.now / MS);
             return self.answer_late(host, id, withdraw, answer);
@@ -172,13 +172,13 @@
         let Some(core) = self.hosts[host].core.as_ref() else {
             return;
         };
-        let part = core
-            .mirror
+        let shard = core
+            .cache
             .teams
             .get(&team)
             .copied()
-            .unwrap_or_else(|| core.config.default_part(&team));
-        match self.known_holder(host, part).filter(|to| *to != host) {
+            .unwrap_or_else(|| core.config.default_shard(&team));
+        match self.known_holder(host, shard).filter(|to| *to != host) {
             Some(to) if !self.is_cut(host, to) => {
                 let (at, life) = (self.leaves(host) + self.travel(), self.hosts[to].life);
                 self.push(at, Event::To(to, life, Box::new(Input::Announced)));
--- a/crates/simulator/src/world/ways.rs
+++ b/crates/simulator/src/world/ways.rs
@@ -34,8 +34,8 @@
 }
 
 /// Bytes of a transaction, about.
-pub(super) fn bytes(txn: &CompareAndSwap) -> usize {
-    txn.writes.len() * WRITE_BYTES
+pub(super) fn bytes(cas: &CompareAndSwap) -> usize {
+    cas.writes.len() * WRITE_BYTES
 }
 
 impl World {
--- a/crates/simulator/src/world/workers.rs
+++ b/crates/simulator/src/world/workers.rs
@@ -144,7 +144,7 @@
         &mut self,
         host: usize,
         life: u64,
-        lot: ShardLease,
+        lease: ShardLease,
         call: CommandCall,
         late: bool,
     ) {
@@ -161,13 +161,13 @@
         if let Some(at) = hung {
             // A machine that continues executes what came meanwhile.
             if !late {
-                let unknown = Input::Command(lot, call.clone(), CommandResult::Unknown);
+                let unknown = Input::Command(lease, call.clone(), CommandResult::Unknown);
                 self.at(
                     COMMAND_TIMEOUT_MS * MS,
                     Event::To(host, life, Box::new(unknown)),
                 );
             }
-            return self.push(at, Event::Orders(host, life, lot, Box::new(call), true));
+            return self.push(at, Event::Orders(host, life, lease, Box::new(call), true));
         }
         let answer = self.with_worker(number, |w, ground| w.commands(&call.commands, now, ground));
         let result = match answer {
@@ -179,7 +179,7 @@
             let at = now + self.travel();
             self.push(
                 at,
-                Event::To(host, life, Box::new(Input::Command(lot, call, result))),
+                Event::To(host, life, Box::new(Input::Command(lease, call, result))),
             );
         }
     }
--- a/crates/simulator/tests/ledger.rs
+++ b/crates/simulator/tests/ledger.rs
@@ -60,7 +60,7 @@
 
 /// What the store says of a gang: its least step, its attempt, members named.
 fn step_of(world: &World, id: &JobId) -> Option<(GangAdmissionStep, u32, usize)> {
-    let entries = (0..3).flat_map(|part| world.store.list(&format!("run/{part}/{id}/")));
+    let entries = (0..3).flat_map(|shard| world.store.list(&format!("run/{shard}/{id}/")));
     let read = |e: KeyValue| read_chunk(&e.value, parse_run_key(&e.key)?.1);
     let chunks: Vec<_> = entries
         .filter_map(read)
--- a/crates/simulator/tests/meetings.rs
+++ b/crates/simulator/tests/meetings.rs
@@ -146,7 +146,7 @@
         let holder = world.hosts[2]
             .core
             .as_ref()
-            .and_then(|c| c.mirror.parts.get(&0))
+            .and_then(|c| c.cache.shards.get(&0))
             .map(|p| p.host.clone());
         assert!(holder.is_some_and(|host| host != "h00"), "{name}");
         assert_eq!(world.hosts[0].holds(0), untold, "{name}");
--- a/crates/simulator/tests/troubles.rs
+++ b/crates/simulator/tests/troubles.rs
@@ -257,7 +257,7 @@
         let by_key = world.hosts[1]
             .core
             .as_ref()
-            .and_then(|c| c.mirror.parts.get(&0))
+            .and_then(|c| c.cache.shards.get(&0))
             .map(|p| p.host.clone());
         assert_eq!(by_key.as_deref() == Some("h00"), holders[0], "{by_key:?}");
         world.run(60_000);
--- a/crates/simulator/tests/watch.rs
+++ b/crates/simulator/tests/watch.rs
@@ -11,8 +11,8 @@
 use lemonweir_simulator::sample::{job, site};
 use lemonweir_simulator::scenario::{Chances, Scenario, host_name};
 use lemonweir_simulator::world::{Planned, World};
-use lemonweir_storage::failovers::{FailoverRecord, LeadershipChange, handover_key};
-use lemonweir_storage::records::{ShardRecord, part_key};
+use lemonweir_storage::failovers::{FailoverRecord, LeadershipChange, failover_key};
+use lemonweir_storage::records::{ShardRecord, shard_key};
 
 const NO_FAULTS: Chances = Chances {
     lost_txn_reply: 0,
@@ -73,16 +73,16 @@
     world.workers.iter().flatten().map(|w| w.live()).sum()
 }
 
-fn holder(world: &World, part: u16) -> Option<(String, u64)> {
-    let (value, token) = world.store.get(&part_key(part))?;
+fn holder(world: &World, shard: u16) -> Option<(String, u64)> {
+    let (value, token) = world.store.get(&shard_key(shard))?;
     Some((
         from_value::<ShardRecord>(value).expect("a holder").host,
         token,
     ))
 }
 
-fn ring(world: &World, part: u16) -> Vec<(FailoverRecord, u64)> {
-    let entries = world.store.list(&format!("w/hand/{part}/"));
+fn ring(world: &World, shard: u16) -> Vec<(FailoverRecord, u64)> {
+    let entries = world.store.list(&format!("w/hand/{shard}/"));
     let mut all: Vec<_> = entries
         .iter()
         .map(|e| {
@@ -98,23 +98,23 @@
 
 /// One entry a change, none missing, the newest of the one who holds it.
 fn assert_entered(world: &World, what: &str) {
-    for part in 0..3 {
-        let ring = ring(world, part);
+    for shard in 0..3 {
+        let ring = ring(world, shard);
         for pair in ring.windows(2) {
-            assert_eq!(pair[0].0.n + 1, pair[1].0.n, "{what}: part {part}");
+            assert_eq!(pair[0].0.n + 1, pair[1].0.n, "{what}: part {shard}");
             assert_eq!(
                 pair[0].0.last_holder(),
                 pair[1].0.from.as_ref(),
-                "{what}: part {part}"
+                "{what}: part {shard}"
             );
         }
         let (newest, version) = ring.last().expect("it was taken");
-        let (host, token) = holder(world, part).expect("a holder");
-        assert_eq!(newest.to.as_ref(), Some(&host), "{what}: part {part}");
+        let (host, token) = holder(world, shard).expect("a holder");
+        assert_eq!(newest.to.as_ref(), Some(&host), "{what}: part {shard}");
         assert_eq!(
             newest.closed.as_ref().map_or(Some(*version), |c| c.token),
             Some(token),
-            "{what}: part {part}"
+            "{what}: part {shard}"
         );
     }
     assert!(
@@ -125,16 +125,16 @@
 }
 
 /// Runs until another than its home holds the part.
-fn until_taken(world: &mut World, part: u16, not: &[usize]) -> usize {
+fn until_taken(world: &mut World, shard: u16, not: &[usize]) -> usize {
     for _ in 0..600 {
         world.run(50);
         let other =
-            holder(world, part).and_then(|(host, _)| (0..3).find(|h| host_name(*h) == host));
+            holder(world, shard).and_then(|(host, _)| (0..3).find(|h| host_name(*h) == host));
         if let Some(h) = other.filter(|h| !not.contains(h)) {
             return h;
         }
     }
-    panic!("nobody takes part {part}");
+    panic!("nobody takes part {shard}");
 }
 
 /// The successor ends at each step of the handover, and its successor too: between
@@ -200,8 +200,8 @@
         world.run(200_000);
         assert_eq!(live(&world), REPLICAS, "{what}");
         assert_entered(&world, &what);
-        for part in 0..3 {
-            let reborn = ring(&world, part)
+        for shard in 0..3 {
+            let reborn = ring(&world, shard)
                 .iter()
                 .any(|(r, _)| r.how == LeadershipChange::Reborn);
             assert_eq!(
@@ -259,16 +259,16 @@
             closed: None,
             ..first.clone()
         };
-        fill.writes.push(Write::put(handover_key(0, n), &record));
+        fill.writes.push(Write::put(failover_key(0, n), &record));
     }
     fill.writes.push(Write::Put {
-        key: handover_key(0, 5),
+        key: failover_key(0, 5),
         value: "what".into(),
         hold: None,
     });
     // The store takes so many at a time.
     for write in fill.writes {
-        world.store.txn(&CompareAndSwap {
+        world.store.cas(&CompareAndSwap {
             writes: vec![write],
             ..CompareAndSwap::default()
         });
@@ -280,7 +280,7 @@
         let (host, _) = holder(&world, 0).expect("a holder");
         let newest = world
             .store
-            .get(&handover_key(0, HANDOVERS_KEPT + 1 + n))
+            .get(&failover_key(0, HANDOVERS_KEPT + 1 + n))
             .and_then(|(v, _)| from_value::<FailoverRecord>(v));
         assert_eq!(newest.expect("overwritten").n, HANDOVERS_KEPT + 1 + n);
         assert_eq!(host, host_name(0), "the part is held all the same");
@@ -288,7 +288,7 @@
     assert!(
         world
             .store
-            .get(&handover_key(0, 5))
+            .get(&failover_key(0, 5))
             .is_some_and(|(v, _)| v.as_str() == Some("what")),
         "left alone"
     );
@@ -376,7 +376,7 @@
         .watch(world.now / 1_000);
     assert_eq!((watch.up, watch.short.len()), (1_000, 0));
     assert_eq!(
-        watch.parts[0].holder.as_deref(),
+        watch.shards[0].holder.as_deref(),
         Some(host_name(second).as_str())
     );
     let third = world.hosts[3 - second].core.as_ref().expect("it runs");
@@ -387,7 +387,7 @@
     );
     assert_eq!(
         third
-            .handovers(world.now / 1_000)
+            .failovers(world.now / 1_000)
             .changes
             .first()
             .and_then(|c| c.to.clone()),
--- a/crates/simulator/tests/weights.rs
+++ b/crates/simulator/tests/weights.rs
@@ -344,7 +344,7 @@
             );
             assert!(
                 picture
-                    .parts
+                    .shards
                     .iter()
                     .all(|p| p.told_s.is_some_and(|s| s < 10))
             );
--- a/crates/storage/src/dependencies.rs
+++ b/crates/storage/src/dependencies.rs
@@ -73,7 +73,7 @@
             )
         })
         .collect();
-    let mut txns: Vec<CompareAndSwap> = rest
+    let mut cas_list: Vec<CompareAndSwap> = rest
         .chunks(txn_ops.max(1))
         .map(|writes| CompareAndSwap {
             conditions: unknown_job(id),
@@ -83,11 +83,11 @@
     let mut head = record.clone();
     head.awaited = record.spec.awaits.len();
     head.spec.awaits = first;
-    txns.push(CompareAndSwap {
+    cas_list.push(CompareAndSwap {
         conditions: unknown_job(id),
         writes: vec![Write::put(chain_key(id), &head)],
     });
-    txns
+    cas_list
 }
 
 /// Accepts a job that needs a cancelled one: it is cancelled from the start.
--- a/crates/storage/src/failovers.rs
+++ b/crates/storage/src/failovers.rs
@@ -21,14 +21,14 @@
 use lemonweir_protocol::kv_store::{CompareAndSwap, Condition, Write, from_value};
 
 /// Key of the entry with this number, which counts a part's changes of hands from 1.
-pub fn handover_key(part: u16, number: u64) -> String {
-    format!("w/hand/{part}/{}", number % HANDOVERS_KEPT)
+pub fn failover_key(shard: u16, number: u64) -> String {
+    format!("w/hand/{shard}/{}", number % HANDOVERS_KEPT)
 }
 
 /// Reads part and slot from the key below `w/hand/`.
-pub fn parse_handover_key(rest: &str) -> Option<(u16, u64)> {
-    let (part, slot) = rest.split_once('/')?;
-    Some((part.parse().ok()?, slot.parse().ok()?))
+pub fn parse_failover_key(rest: &str) -> Option<(u16, u64)> {
+    let (shard, slot) = rest.split_once('/')?;
+    Some((shard.parse().ok()?, slot.parse().ok()?))
 }
 
 /// How a part changed hands.
@@ -118,7 +118,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NewFailover {
     /// The part.
-    pub part: u16,
+    pub shard: u16,
     /// Version of the slot's key; 0: no key.
     pub slot_version: u64,
     /// The entry.
@@ -127,13 +127,13 @@
 
 impl NewFailover {
     /// Adds it to the transaction that it tells of, or that closes it.
-    pub fn join(&self, txn: &mut CompareAndSwap) {
-        let key = handover_key(self.part, self.record.n);
-        txn.conditions.push(Condition {
+    pub fn join(&self, cas: &mut CompareAndSwap) {
+        let key = failover_key(self.shard, self.record.n);
+        cas.conditions.push(Condition {
             key: key.clone(),
             version: self.slot_version,
         });
-        txn.writes.push(Write::put(key, &self.record));
+        cas.writes.push(Write::put(key, &self.record));
     }
 }
 
@@ -157,7 +157,7 @@
 
     /// Takes the value of the key below `w/hand/`.
     pub(crate) fn set(&mut self, rest: &str, value: &rmpv::Value, version: u64) {
-        let slot = parse_handover_key(rest).filter(|(_, slot)| *slot < HANDOVERS_KEPT);
+        let slot = parse_failover_key(rest).filter(|(_, slot)| *slot < HANDOVERS_KEPT);
         let record = from_value::<FailoverRecord>(value);
         // Guards against a number that no count of changes reaches: all later ones
         // would follow it.
@@ -184,17 +184,17 @@
 
     /// A key below `w/hand/` is gone.
     pub(crate) fn remove(&mut self, rest: &str) {
-        if let Some(slot) = parse_handover_key(rest) {
+        if let Some(slot) = parse_failover_key(rest) {
             self.entries.remove(&slot);
             self.odd.remove(&slot);
         }
     }
 
     /// A part's entries in their order, each with its version.
-    pub fn of(&self, part: u16) -> Vec<(&FailoverRecord, u64)> {
+    pub fn of(&self, shard: u16) -> Vec<(&FailoverRecord, u64)> {
         let mut all: Vec<_> = self
             .entries
-            .range((part, 0)..=(part, u64::MAX))
+            .range((shard, 0)..=(shard, u64::MAX))
             .map(|(_, (r, v))| (r, *v))
             .collect();
         all.sort_by_key(|(r, _)| r.n);
@@ -202,18 +202,18 @@
     }
 
     /// The parts that have entries.
-    pub fn parts(&self) -> BTreeSet<u16> {
-        self.entries.keys().map(|(part, _)| *part).collect()
+    pub fn shards(&self) -> BTreeSet<u16> {
+        self.entries.keys().map(|(shard, _)| *shard).collect()
     }
 
     /// The entry with this number, as one to be written anew.
-    pub fn again(&self, part: u16, number: u64) -> Option<NewFailover> {
+    pub fn again(&self, shard: u16, number: u64) -> Option<NewFailover> {
         let (record, version) = self
             .entries
-            .get(&(part, number % HANDOVERS_KEPT))
+            .get(&(shard, number % HANDOVERS_KEPT))
             .filter(|(r, _)| r.n == number)?;
         Some(NewFailover {
-            part,
+            shard,
             slot_version: *version,
             record: record.clone(),
         })
@@ -221,13 +221,13 @@
 
     /// The number of a part's next entry, and the version that its slot has. What
     /// can't be read is left to who can, unless there is nothing else.
-    pub fn next(&self, part: u16) -> (u64, u64) {
-        let newest = self.of(part).last().map_or(0, |(r, _)| r.n);
-        let odd = |n: u64| self.odd.contains_key(&(part, n % HANDOVERS_KEPT));
+    pub fn next(&self, shard: u16) -> (u64, u64) {
+        let newest = self.of(shard).last().map_or(0, |(r, _)| r.n);
+        let odd = |n: u64| self.odd.contains_key(&(shard, n % HANDOVERS_KEPT));
         let number = (newest + 1..=newest + HANDOVERS_KEPT)
             .find(|n| !odd(*n))
             .unwrap_or(newest + 1);
-        let slot = (part, number % HANDOVERS_KEPT);
+        let slot = (shard, number % HANDOVERS_KEPT);
         (
             number,
             self.entries
--- a/crates/storage/src/records.rs
+++ b/crates/storage/src/records.rs
@@ -44,8 +44,8 @@
 }
 
 /// Key of a part's ownership.
-pub fn part_key(part: u16) -> String {
-    format!("w/part/{part}")
+pub fn shard_key(shard: u16) -> String {
+    format!("w/part/{shard}")
 }
 
 /// Key of a node's presence.
@@ -59,21 +59,21 @@
 }
 
 /// Prefix of a part's task records.
-pub fn run_prefix(part: u16) -> String {
-    format!("run/{part}/")
+pub fn run_prefix(shard: u16) -> String {
+    format!("run/{shard}/")
 }
 
 /// Key of one chunk of a job's task record.
-pub fn run_key(part: u16, job: &JobId, chunk: u32) -> String {
-    format!("run/{part}/{job}/{chunk}")
+pub fn run_key(shard: u16, job: &JobId, chunk: u32) -> String {
+    format!("run/{shard}/{job}/{chunk}")
 }
 
 /// Reads the job and the chunk from a key of a task record.
 pub fn parse_run_key(key: &str) -> Option<(JobId, u32)> {
-    let mut parts = key.strip_prefix("run/")?.split('/');
-    let _part = parts.next()?;
-    let job = JobId::parse(parts.next()?)?;
-    Some((job, parts.next()?.parse().ok()?))
+    let mut segments = key.strip_prefix("run/")?.split('/');
+    let _part = segments.next()?;
+    let job = JobId::parse(segments.next()?)?;
+    Some((job, segments.next()?.parse().ok()?))
 }
 
 /// A job that is not over.
@@ -148,13 +148,13 @@
 }
 
 /// Prefix of what an owner knows of its machines' images.
-pub fn images_prefix(part: u16) -> String {
-    format!("img/{part}/")
+pub fn images_prefix(shard: u16) -> String {
+    format!("img/{shard}/")
 }
 
 /// Key of one page of it.
-pub fn images_key(part: u16, page: usize) -> String {
-    format!("img/{part}/{page}")
+pub fn images_key(shard: u16, page: usize) -> String {
+    format!("img/{shard}/{page}")
 }
 
 /// Reads the page from a key of it.
@@ -177,7 +177,8 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct TeamAssignmentRecord {
     /// The part.
-    pub part: u16,
+    #[serde(rename = "part")]
+    pub shard: u16,
 }
 
 /// How a job ended.
@@ -287,14 +288,14 @@
 }
 
 /// Takes a part whose key has this version (0: no key), to live with a hold.
-pub fn take_part(version: u64, host: &str, hold: u64, entry: &NewFailover) -> CompareAndSwap {
+pub fn acquire_shard(version: u64, host: &str, hold: u64, entry: &NewFailover) -> CompareAndSwap {
     let (key, record) = (
-        part_key(entry.part),
+        shard_key(entry.shard),
         ShardRecord {
             host: host.to_owned(),
         },
     );
-    let mut txn = CompareAndSwap {
+    let mut cas = CompareAndSwap {
         conditions: vec![Condition {
             key: key.clone(),
             version,
@@ -305,27 +306,27 @@
             hold: Some(hold),
         }],
     };
-    entry.join(&mut txn);
-    txn
+    entry.join(&mut cas);
+    cas
 }
 
 /// Gives up a part that is held with this token.
-pub fn hand_back(token: u64, entry: &NewFailover) -> CompareAndSwap {
-    let key = part_key(entry.part);
-    let mut txn = CompareAndSwap {
+pub fn release_shard(token: u64, entry: &NewFailover) -> CompareAndSwap {
+    let key = shard_key(entry.shard);
+    let mut cas = CompareAndSwap {
         conditions: vec![Condition {
             key: key.clone(),
             version: token,
         }],
         writes: vec![Write::Delete { key }],
     };
-    entry.join(&mut txn);
-    txn
+    entry.join(&mut cas);
+    cas
 }
 
 /// Gives up a part that is held with this token, and shows with the node's
 /// presence that it leaves it to others.
-pub fn leave_part(
+pub fn cede_shard(
     token: u64,
     entry: &NewFailover,
     host: &str,
@@ -333,9 +334,9 @@
     hold: u64,
     deaf: Vec<u16>,
 ) -> CompareAndSwap {
-    let mut txn = hand_back(token, entry);
-    txn.writes.extend(show_node(host, zone, hold, deaf).writes);
-    txn
+    let mut cas = release_shard(token, entry);
+    cas.writes.extend(show_node(host, zone, hold, deaf).writes);
+    cas
 }
 
 /// Shows a node's presence, to live with its hold.
@@ -368,7 +369,7 @@
             .collect(),
         writes: teams
             .iter()
-            .map(|(t, part)| Write::put(team_key(t), &TeamAssignmentRecord { part: *part }))
+            .map(|(t, shard)| Write::put(team_key(t), &TeamAssignmentRecord { shard: *shard }))
             .collect(),
     }
 }
@@ -404,18 +405,18 @@
 
 /// Reads line and piece from the key below `w/mail/`.
 pub fn parse_mail_key(rest: &str) -> Option<(StoreMessageRoute, usize)> {
-    let mut parts = rest.split('/');
-    let kind = match parts.next()? {
+    let mut segments = rest.split('/');
+    let kind = match segments.next()? {
         "sync" => StoreMessageKind::Sync,
         "view" => StoreMessageKind::View,
         _ => return None,
     };
     let line = StoreMessageRoute {
         kind,
-        from: parts.next()?.parse().ok()?,
-        to: parts.next()?.parse().ok()?,
+        from: segments.next()?.parse().ok()?,
+        to: segments.next()?.parse().ok()?,
     };
-    Some((line, parts.next()?.parse().ok()?))
+    Some((line, segments.next()?.parse().ok()?))
 }
 
 /// One piece of a peer message. Values hold nothing binary, so the bytes are
--- a/crates/storage/src/state_cache.rs
+++ b/crates/storage/src/state_cache.rs
@@ -72,7 +72,7 @@
     /// Counts jobs that ended or went.
     ended_changes: u64,
     /// Owners of parts.
-    pub parts: BTreeMap<u16, ShardLeader>,
+    pub shards: BTreeMap<u16, ShardLeader>,
     /// Living nodes.
     pub nodes: BTreeMap<String, ControllerRecord>,
     /// Newest form of the records that every controller reads, and the version of its key.
@@ -80,7 +80,7 @@
     /// Parts of teams.
     pub teams: BTreeMap<String, u16>,
     /// The parts' changes of hands.
-    pub handovers: FailoverHistory,
+    pub failovers: FailoverHistory,
     /// Jobs that came, changed or went since they were last looked at.
     touched: BTreeSet<JobId>,
     mail: BTreeMap<(StoreMessageRoute, usize), StoreMessageRecord>,
@@ -98,10 +98,10 @@
         self.waiting.clear();
         self.awaits_pages.clear();
         self.waiting_changes += 1;
-        self.parts.clear();
+        self.shards.clear();
         self.nodes.clear();
         self.teams.clear();
-        self.handovers.clear();
+        self.failovers.clear();
         self.mail.clear();
         for entry in entries {
             self.set(&entry.key, &entry.value, entry.version);
@@ -142,8 +142,8 @@
                 (Ok(index), Some(record)) => {
                     // Guards against going back to a holder from before one that a
                     // peer has told of already: the copy learns what lies between later.
-                    if self.parts.get(&index).is_none_or(|h| h.token < version) {
-                        self.parts.insert(
+                    if self.shards.get(&index).is_none_or(|h| h.token < version) {
+                        self.shards.insert(
                             index,
                             ShardLeader {
                                 host: record.host,
@@ -171,13 +171,13 @@
             },
             Some(("team", team)) => match from_value::<TeamAssignmentRecord>(value) {
                 Some(record) => {
-                    self.teams.insert(team.to_owned(), record.part);
+                    self.teams.insert(team.to_owned(), record.shard);
                     true
                 }
                 None => false,
             },
             Some(("hand", rest)) => {
-                self.handovers.set(rest, value, version);
+                self.failovers.set(rest, value, version);
                 true
             }
             Some(("mail", rest)) => match (
@@ -222,9 +222,9 @@
             Some(("part", index)) => {
                 // The same guard: a holder that came after this is still there.
                 if let Ok(index) = index.parse::<u16>()
-                    && self.parts.get(&index).is_some_and(|h| h.token < version)
+                    && self.shards.get(&index).is_some_and(|h| h.token < version)
                 {
-                    self.parts.remove(&index);
+                    self.shards.remove(&index);
                 }
             }
             Some(("node", host)) => {
@@ -233,7 +233,7 @@
             Some(("team", team)) => {
                 self.teams.remove(team);
             }
-            Some(("hand", rest)) => self.handovers.remove(rest),
+            Some(("hand", rest)) => self.failovers.remove(rest),
             Some(("mail", rest)) => {
                 if let Some(key) = parse_mail_key(rest) {
                     self.mail.remove(&key);
--- a/crates/storage/tests/golden_records.rs
+++ b/crates/storage/tests/golden_records.rs
@@ -15,8 +15,8 @@
 use lemonweir_protocol::{decode, encode};
 use lemonweir_storage::dependencies::*;
 use lemonweir_storage::failovers::{
-    FailoverCompletion, FailoverRecord, LeadershipChange, NewFailover, handover_key,
-    parse_handover_key,
+    FailoverCompletion, FailoverRecord, LeadershipChange, NewFailover, failover_key,
+    parse_failover_key,
 };
 use lemonweir_storage::packed_chunk::{chunk_value, read_chunk};
 use lemonweir_storage::records::*;
@@ -88,16 +88,16 @@
     }
 
     /// A transaction.
-    fn txn(&mut self, name: &str, txn: &CompareAndSwap) {
-        let stored = self.value(name, &to_value(txn));
+    fn cas(&mut self, name: &str, cas: &CompareAndSwap) {
+        let stored = self.value(name, &to_value(cas));
         assert_eq!(
-            encode(txn),
+            encode(cas),
             encode(&stored),
             "{name} by itself and as a value"
         );
         let read: CompareAndSwap =
             from_value(&stored).unwrap_or_else(|| panic!("{name} is not read"));
-        assert_eq!(&read, txn, "{name} is read");
+        assert_eq!(&read, cas, "{name} is read");
     }
 
     /// Every sample was compared.
@@ -177,7 +177,7 @@
     }
 }
 
-fn handover(how: LeadershipChange, from: Option<&str>, to: Option<&str>) -> FailoverRecord {
+fn failover(how: LeadershipChange, from: Option<&str>, to: Option<&str>) -> FailoverRecord {
     FailoverRecord {
         n: 35,
         from: from.map(str::to_owned),
@@ -191,9 +191,9 @@
 
 fn entry(how: LeadershipChange, from: Option<&str>, to: Option<&str>) -> NewFailover {
     NewFailover {
-        part: 2,
+        shard: 2,
         slot_version: 33,
-        record: handover(how, from, to),
+        record: failover(how, from, to),
     }
 }
 
@@ -213,10 +213,10 @@
             (record.spec, record.at, record.withdrawn, record.awaited)
         );
     }
-    let part = ShardRecord {
+    let shard = ShardRecord {
         host: "hutte-0".into(),
     };
-    assert_eq!(golden.record("part", &part), part);
+    assert_eq!(golden.record("part", &shard), shard);
     let node = ControllerRecord {
         zone: "eemsmond".into(),
         format: 3,
@@ -228,8 +228,8 @@
     assert_eq!(golden.record("version", &version), version);
     assert_eq!(
         golden
-            .record("team", &TeamAssignmentRecord { part: 2 })
-            .part,
+            .record("team", &TeamAssignmentRecord { shard: 2 })
+            .shard,
         2
     );
     let page = DependencyPage {
@@ -303,14 +303,14 @@
     let mut golden = Golden::of(include_str!("samples/golden/handovers.json"));
     let (a, b) = (Some("hutte-0"), Some("hutte-2"));
     for (name, record) in [
-        ("vacant", handover(LeadershipChange::Vacant, None, a)),
-        ("reborn", handover(LeadershipChange::Reborn, a, a)),
+        ("vacant", failover(LeadershipChange::Vacant, None, a)),
+        ("reborn", failover(LeadershipChange::Reborn, a, a)),
         (
             "handed back",
-            handover(LeadershipChange::HandedBack, b, None),
+            failover(LeadershipChange::HandedBack, b, None),
         ),
-        ("left", handover(LeadershipChange::Left, a, None)),
-        ("otherwise", handover(LeadershipChange::Other, a, b)),
+        ("left", failover(LeadershipChange::Left, a, None)),
+        ("otherwise", failover(LeadershipChange::Other, a, b)),
         (
             "closed, all known",
             FailoverRecord {
@@ -325,7 +325,7 @@
                     token: Some(42),
                     held_ms: Some(90_000),
                 }),
-                ..handover(LeadershipChange::Vacant, b, a)
+                ..failover(LeadershipChange::Vacant, b, a)
             },
         ),
         (
@@ -333,7 +333,7 @@
             FailoverRecord {
                 up: None,
                 closed: Some(FailoverCompletion::default()),
-                ..handover(LeadershipChange::Vacant, b, a)
+                ..failover(LeadershipChange::Vacant, b, a)
             },
         ),
     ] {
@@ -351,7 +351,7 @@
     assert_eq!(VERSION_KEY, "w/version");
     assert_eq!(job_key(&id(412)), "w/job/req-000412");
     assert_eq!(end_key(&id(412)), "end/req-000412");
-    assert_eq!(part_key(2), "w/part/2");
+    assert_eq!(shard_key(2), "w/part/2");
     assert_eq!(node_key("hutte-0"), "w/node/hutte-0");
     assert_eq!(team_key("vision"), "w/team/vision");
     assert_eq!(run_prefix(2), "run/2/");
@@ -360,7 +360,7 @@
     assert_eq!(images_key(2, 3), "img/2/3");
     assert_eq!(chain_key(&id(412)), "w/chain/req-000412");
     assert_eq!(awaits_key(&id(412), 3), "w/chain/req-000412/3");
-    assert_eq!(handover_key(2, 35), "w/hand/2/3");
+    assert_eq!(failover_key(2, 35), "w/hand/2/3");
     assert_eq!(
         mail_key(StoreMessageKind::Sync, 1, 2, 3),
         "w/mail/sync/1/2/3"
@@ -378,7 +378,7 @@
     assert_eq!(parse_images_key("img/2/3"), Some(3));
     assert_eq!(parse_chain_key("req-000412"), Some((id(412), 0)));
     assert_eq!(parse_chain_key("req-000412/3"), Some((id(412), 3)));
-    assert_eq!(parse_handover_key("2/3"), Some((2, 3)));
+    assert_eq!(parse_failover_key("2/3"), Some((2, 3)));
     for (rest, kind) in [
         ("sync/1/2/3", StoreMessageKind::Sync),
         ("view/1/2/3", StoreMessageKind::View),
@@ -397,24 +397,24 @@
 #[test]
 fn transactions_of_records_are_their_samples() {
     let mut golden = Golden::of(include_str!("samples/golden/transactions.json"));
-    golden.txn("accept a job", &accept_job(&job(0, false)));
-    golden.txn("ask whether jobs are absent", &absent(&[id(1), id(2)]));
-    golden.txn("cancel a job", &withdraw_job(&job(0, false), 50));
+    golden.cas("accept a job", &accept_job(&job(0, false)));
+    golden.cas("ask whether jobs are absent", &absent(&[id(1), id(2)]));
+    golden.cas("cancel a job", &withdraw_job(&job(0, false), 50));
     let taken = entry(LeadershipChange::Vacant, Some("hutte-2"), Some("hutte-0"));
-    golden.txn("take a shard", &take_part(49, "hutte-0", 9, &taken));
+    golden.cas("take a shard", &acquire_shard(49, "hutte-0", 9, &taken));
     let back = entry(LeadershipChange::HandedBack, Some("hutte-0"), None);
-    golden.txn("hand a shard back", &hand_back(42, &back));
+    golden.cas("hand a shard back", &release_shard(42, &back));
     let left = entry(LeadershipChange::Left, Some("hutte-0"), None);
-    golden.txn(
+    golden.cas(
         "leave a shard",
-        &leave_part(42, &left, "hutte-0", "eemsmond", 9, vec![2, 4]),
+        &cede_shard(42, &left, "hutte-0", "eemsmond", 9, vec![2, 4]),
     );
-    golden.txn("show a node", &show_node("hutte-0", "eemsmond", 9, vec![2]));
-    golden.txn(
+    golden.cas("show a node", &show_node("hutte-0", "eemsmond", 9, vec![2]));
+    golden.cas(
         "assign teams",
         &assign_teams(&[("vision".into(), 2), ("speech".into(), 0)]),
     );
-    golden.txn("raise the version", &raise_version(1, 12));
+    golden.cas("raise the version", &raise_version(1, 12));
     for (name, kind) in [
         ("post a sync", StoreMessageKind::Sync),
         ("post a view", StoreMessageKind::View),
@@ -424,7 +424,7 @@
             from: 1,
             to: 2,
         };
-        golden.txn(name, &post(line, (42, 7), &[0, 1, 2, 253, 254], 3, 9));
+        golden.cas(name, &post(line, (42, 7), &[0, 1, 2, 253, 254], 3, 9));
     }
     golden.all();
 }
@@ -434,16 +434,16 @@
     let mut golden = Golden::of(include_str!("samples/golden/chain_transactions.json"));
     let accepted = accept_waiting(&job(2 * AWAITS_PAGE + 1, false), 1);
     assert_eq!(accepted.len(), 3);
-    for (i, txn) in accepted.iter().enumerate() {
-        golden.txn(&format!("accept a job that waits, {i}"), txn);
+    for (i, cas) in accepted.iter().enumerate() {
+        golden.cas(&format!("accept a job that waits, {i}"), cas);
     }
-    golden.txn("accept a cancelled job", &accept_cancelled(&id(412)));
-    golden.txn("cancel a job that waits", &cancel_waiting(&id(412), 51));
+    golden.cas("accept a cancelled job", &accept_cancelled(&id(412)));
+    golden.cas("cancel a job that waits", &cancel_waiting(&id(412), 51));
     let done = [(id(1), 60), (id(2), 61)];
-    golden.txn(
+    golden.cas(
         "release a job that waited",
         &release_waiting(&job(2, false), 52, &done),
     );
-    golden.txn("ask whether ends stand", &ends_stand(&done));
+    golden.cas("ask whether ends stand", &ends_stand(&done));
     golden.all();
 }
--- a/crates/storage/tests/late.rs
+++ b/crates/storage/tests/late.rs
@@ -11,8 +11,8 @@
 use lemonweir_storage::StateCache;
 use lemonweir_storage::failovers::{FailoverRecord, LeadershipChange, NewFailover};
 use lemonweir_storage::records::{
-    JobEndRecord, JobRecord, ShardRecord, accept_job, end_key, hand_back, job_key, part_key,
-    take_part, withdraw_job,
+    JobEndRecord, JobRecord, ShardRecord, accept_job, acquire_shard, end_key, job_key,
+    release_shard, shard_key, withdraw_job,
 };
 use lemonweir_storage::state_cache::ShardLeader;
 
@@ -28,8 +28,8 @@
     }
 
     /// The revision at which it was made.
-    fn txn(&mut self, txn: &CompareAndSwap) -> Option<u64> {
-        if txn
+    fn cas(&mut self, cas: &CompareAndSwap) -> Option<u64> {
+        if cas
             .conditions
             .iter()
             .any(|c| self.version(&c.key) != c.version)
@@ -37,7 +37,7 @@
             return None;
         }
         self.revision += 1;
-        for write in &txn.writes {
+        for write in &cas.writes {
             match write {
                 Write::Put { key, .. } => drop(self.versions.insert(key.clone(), self.revision)),
                 Write::Delete { key } => drop(self.versions.remove(key)),
@@ -47,9 +47,9 @@
     }
 
     /// A hold ends, with the key of the part that it held.
-    fn end_hold(&mut self, part: u16) {
+    fn end_hold(&mut self, shard: u16) {
         self.revision += 1;
-        self.versions.remove(&part_key(part));
+        self.versions.remove(&shard_key(shard));
     }
 }
 
@@ -64,9 +64,9 @@
         up: None,
         closed: None,
     };
-    let key = lemonweir_storage::failovers::handover_key(0, n);
+    let key = lemonweir_storage::failovers::failover_key(0, n);
     NewFailover {
-        part: 0,
+        shard: 0,
         slot_version: store.version(&key),
         record,
     }
@@ -79,19 +79,19 @@
 fn a_part_is_not_taken_by_a_late_transaction_once_its_key_is_gone_again() {
     for given_up in [true, false] {
         let mut store = Store::default();
-        let late = take_part(0, "h1", 7, &entry(&store, 1, Some("h1")));
+        let late = acquire_shard(0, "h1", 7, &entry(&store, 1, Some("h1")));
         let token = store
-            .txn(&take_part(0, "h1", 8, &entry(&store, 1, Some("h1"))))
+            .cas(&acquire_shard(0, "h1", 8, &entry(&store, 1, Some("h1"))))
             .expect("there is no key");
         if given_up {
             store
-                .txn(&hand_back(token, &entry(&store, 2, None)))
+                .cas(&release_shard(token, &entry(&store, 2, None)))
                 .expect("it is held");
         } else {
             store.end_hold(0);
         }
-        assert_eq!(store.version(&part_key(0)), 0);
-        assert_eq!(store.txn(&late), None, "given up: {given_up}");
+        assert_eq!(store.version(&shard_key(0)), 0);
+        assert_eq!(store.cas(&late), None, "given up: {given_up}");
     }
 }
 
@@ -100,21 +100,21 @@
 #[test]
 fn of_two_takings_only_one_is_made() {
     let mut store = Store::default();
-    let first = take_part(0, "h1", 7, &entry(&store, 1, Some("h1")));
-    let again = take_part(0, "h1", 8, &entry(&store, 1, Some("h1")));
-    assert!(store.txn(&first).is_some());
-    assert_eq!(store.txn(&again), None);
+    let first = acquire_shard(0, "h1", 7, &entry(&store, 1, Some("h1")));
+    let again = acquire_shard(0, "h1", 8, &entry(&store, 1, Some("h1")));
+    assert!(store.cas(&first).is_some());
+    assert_eq!(store.cas(&again), None);
     // A giving up without an answer, tried again, and then taken back: the late one
     // names a token that is no more.
-    let token = store.version(&part_key(0));
-    let late = hand_back(token, &entry(&store, 2, None));
+    let token = store.version(&shard_key(0));
+    let late = release_shard(token, &entry(&store, 2, None));
     store
-        .txn(&hand_back(token, &entry(&store, 2, None)))
+        .cas(&release_shard(token, &entry(&store, 2, None)))
         .expect("it is held");
     store
-        .txn(&take_part(0, "h1", 8, &entry(&store, 3, Some("h1"))))
+        .cas(&acquire_shard(0, "h1", 8, &entry(&store, 3, Some("h1"))))
         .expect("there is no key");
-    assert_eq!(store.txn(&late), None);
+    assert_eq!(store.cas(&late), None);
 }
 
 fn job() -> JobRecord {
@@ -170,40 +170,40 @@
     let mut store = Store::default();
     let late = accept_job(&job());
     let version = store
-        .txn(&accept_job(&JobRecord { at: 5, ..job() }))
+        .cas(&accept_job(&JobRecord { at: 5, ..job() }))
         .expect("nobody knows it");
-    assert_eq!(store.txn(&late), None, "it is known");
+    assert_eq!(store.cas(&late), None, "it is known");
     // A withdrawal and an end that were sent before others changed the job.
     let late_withdrawal = withdraw_job(&job(), version);
     let late_end = over(version, JobPhase::Done);
     let withdrawn = store
-        .txn(&withdraw_job(&job(), version))
+        .cas(&withdraw_job(&job(), version))
         .expect("it is not over");
-    assert_eq!(store.txn(&late_end), None, "it was withdrawn since");
+    assert_eq!(store.cas(&late_end), None, "it was withdrawn since");
     store
-        .txn(&over(withdrawn, JobPhase::Withdrawn))
+        .cas(&over(withdrawn, JobPhase::Withdrawn))
         .expect("nothing of it is left");
-    for txn in [late, late_withdrawal, late_end] {
-        assert_eq!(store.txn(&txn), None, "it is over");
+    for cas in [late, late_withdrawal, late_end] {
+        assert_eq!(store.cas(&cas), None, "it is over");
     }
 }
 
 // ---- the copy --------------------------------------------------------------------
 
-fn held_by(part: u16, host: &str, version: u64) -> Changed {
+fn held_by(shard: u16, host: &str, version: u64) -> Changed {
     let value = to_value(&ShardRecord { host: host.into() });
     Changed {
-        set: Some(part_key(part)),
+        set: Some(shard_key(shard)),
         drop: None,
         value: Some(value),
         version,
     }
 }
 
-fn gone(part: u16, version: u64) -> Changed {
+fn gone(shard: u16, version: u64) -> Changed {
     Changed {
         set: None,
-        drop: Some(part_key(part)),
+        drop: Some(shard_key(shard)),
         value: None,
         version,
     }
@@ -220,19 +220,19 @@
 /// what happened before: the part must not seem to be an earlier holder's, or nobody's.
 #[test]
 fn the_copy_never_goes_back_to_an_earlier_holder() {
-    let mut mirror = StateCache::default();
-    mirror.apply(&[held_by(0, "h0", 10)], 30, 0);
+    let mut cache = StateCache::default();
+    cache.apply(&[held_by(0, "h0", 10)], 30, 0);
     // As `Core::superseded` does.
-    mirror.parts.insert(0, holder("h2", 50));
-    mirror.apply(&[gone(0, 35), held_by(0, "h1", 40)], 41, 0);
-    assert_eq!(mirror.parts.get(&0), Some(&holder("h2", 50)));
-    mirror.apply(&[gone(0, 45)], 46, 0);
-    assert_eq!(mirror.parts.get(&0), Some(&holder("h2", 50)));
+    cache.shards.insert(0, holder("h2", 50));
+    cache.apply(&[gone(0, 35), held_by(0, "h1", 40)], 41, 0);
+    assert_eq!(cache.shards.get(&0), Some(&holder("h2", 50)));
+    cache.apply(&[gone(0, 45)], 46, 0);
+    assert_eq!(cache.shards.get(&0), Some(&holder("h2", 50)));
     // What comes after it counts.
-    mirror.apply(&[held_by(0, "h2", 50), gone(0, 60)], 61, 0);
-    assert_eq!(mirror.parts.get(&0), None);
-    mirror.apply(&[held_by(0, "h1", 70)], 70, 0);
-    assert_eq!(mirror.parts.get(&0), Some(&holder("h1", 70)));
+    cache.apply(&[held_by(0, "h2", 50), gone(0, 60)], 61, 0);
+    assert_eq!(cache.shards.get(&0), None);
+    cache.apply(&[held_by(0, "h1", 70)], 70, 0);
+    assert_eq!(cache.shards.get(&0), Some(&holder("h1", 70)));
 }
 
 /// Pages of a full reading are of different moments; the changes since the first bring
@@ -244,26 +244,26 @@
         value,
         version,
     };
-    let mut mirror = StateCache::default();
-    mirror.apply(&[held_by(0, "h0", 5), held_by(1, "h1", 6)], 6, 0);
+    let mut cache = StateCache::default();
+    cache.apply(&[held_by(0, "h0", 5), held_by(1, "h1", 6)], 6, 0);
     // The first page is of revision 100, that with the parts of 120: meanwhile part 0
     // changed hands twice, and part 1 was given up.
-    let parts = [entry(
-        part_key(0),
+    let shards = [entry(
+        shard_key(0),
         to_value(&ShardRecord { host: "h2".into() }),
         115,
     )];
-    mirror.replace(&parts, 100);
+    cache.replace(&shards, 100);
     assert_eq!(
-        (mirror.revision, mirror.parts.get(&0)),
+        (cache.revision, cache.shards.get(&0)),
         (Some(100), Some(&holder("h2", 115)))
     );
     // Learned in two readings, the first of which ends between the two changes.
-    mirror.apply(&[gone(0, 102), held_by(0, "h1", 105)], 108, 0);
-    assert_eq!(mirror.parts.get(&0), Some(&holder("h2", 115)));
-    mirror.apply(&[gone(0, 110), gone(1, 112), held_by(0, "h2", 115)], 121, 0);
-    assert_eq!(mirror.parts, BTreeMap::from([(0, holder("h2", 115))]));
+    cache.apply(&[gone(0, 102), held_by(0, "h1", 105)], 108, 0);
+    assert_eq!(cache.shards.get(&0), Some(&holder("h2", 115)));
+    cache.apply(&[gone(0, 110), gone(1, 112), held_by(0, "h2", 115)], 121, 0);
+    assert_eq!(cache.shards, BTreeMap::from([(0, holder("h2", 115))]));
     // A reading that was asked for earlier than the last one takes nothing back.
-    mirror.apply(&[], 90, 0);
-    assert_eq!(mirror.revision, Some(121));
+    cache.apply(&[], 90, 0);
+    assert_eq!(cache.revision, Some(121));
 }
--- a/crates/storage/tests/versions.rs
+++ b/crates/storage/tests/versions.rs
@@ -124,8 +124,8 @@
         withdrawn: false,
         awaited: 0,
     };
-    for txn in accept_waiting(&record, 4) {
-        for write in &txn.writes {
+    for cas in accept_waiting(&record, 4) {
+        for write in &cas.writes {
             let Write::Put { key, .. } = write else {
                 panic!("nothing is removed")
             };
--- a/fuzz/tests/edges.rs
+++ b/fuzz/tests/edges.rs
@@ -271,7 +271,7 @@
             return;
         };
         match Scenario::parse("s.toml", text) {
-            Ok(scenario) => assert!(!scenario.zones.is_empty() && scenario.parts > 0),
+            Ok(scenario) => assert!(!scenario.zones.is_empty() && scenario.shards > 0),
             Err(faults) => {
                 assert!(faults.iter().all(|f| f.starts_with("s.toml:")) && !faults.is_empty())
             }
