--- a/src/image_locality.rs
+++ b/src/image_locality.rs
@@ -44,14 +44,14 @@
             z.left.to_string(),
         ]);
     }
-    let mut parts = table(["part", "told s ago"]);
-    for p in &picture.parts {
-        parts.add_row([
-            p.part.to_string(),
+    let mut shards = table(["part", "told s ago"]);
+    for p in &picture.shards {
+        shards.add_row([
+            p.shard.to_string(),
             p.told_s
                 .map_or_else(|| "never".to_owned(), |s| s.to_string()),
         ]);
     }
-    println!("{users}\n\n{zones}\n\n{parts}");
+    println!("{users}\n\n{zones}\n\n{shards}");
     Ok(ExitCode::SUCCESS)
 }
--- a/src/supervision.rs
+++ b/src/supervision.rs
@@ -13,17 +13,17 @@
         return call(node, "GET", "/v1/watch", &[]);
     }
     let watch: SupervisionReport = ask(node, "/v1/watch")?;
-    let mut parts = table(["part", "home", "holder", "since (UTC)"]);
-    for p in watch.parts {
+    let mut shards = table(["part", "home", "holder", "since (UTC)"]);
+    for p in watch.shards {
         let holder = p.holder.unwrap_or_else(|| "nobody".into());
-        parts.add_row([
-            p.part.to_string(),
+        shards.add_row([
+            p.shard.to_string(),
             p.home,
             holder,
             p.since.map(time_of_day).unwrap_or_default(),
         ]);
     }
-    println!("{parts}\n");
+    println!("{shards}\n");
     if !watch.short.is_empty() {
         let mut short = table([
             "service",
@@ -101,7 +101,7 @@
         );
         rows.add_row([
             time_of_day(c.at),
-            c.part.to_string(),
+            c.shard.to_string(),
             c.n.to_string(),
             c.from.unwrap_or_default(),
             c.to.unwrap_or_default(),
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -49,7 +49,7 @@
 
 fn field<'a>(path: &'a str, name: &str) -> &'a str {
     path.split(['?', '&'])
-        .find_map(|part| part.strip_prefix(name)?.strip_prefix('='))
+        .find_map(|shard| shard.strip_prefix(name)?.strip_prefix('='))
         .unwrap_or_default()
 }
 
@@ -135,11 +135,11 @@
                 None => Reply::empty(404),
             },
             ("POST", "/txn") => match decode::<CompareAndSwap>(&request.body) {
-                Ok(txn) => {
+                Ok(cas) => {
                     stand
                         .questions
-                        .fetch_add(usize::from(txn.writes.is_empty()), Ordering::Relaxed);
-                    match store.txn(&txn) {
+                        .fetch_add(usize::from(cas.writes.is_empty()), Ordering::Relaxed);
+                    match store.cas(&cas) {
                         TxnAnswer::Done(revision) => Reply::new(
                             200,
                             encode(&CompareAndSwapResponse {
@@ -374,7 +374,7 @@
             JobPhase::Done
         };
         let id = job(n, "red", JobKind::Array, 1).id;
-        store.txn(&CompareAndSwap {
+        store.cas(&CompareAndSwap {
             conditions: Vec::new(),
             writes: vec![lemonweir_protocol::kv_store::Write::put(
                 end_key(&id),
@@ -387,7 +387,7 @@
         value: to_value(&"no record"),
         hold: None,
     };
-    store.txn(&CompareAndSwap {
+    store.cas(&CompareAndSwap {
         conditions: Vec::new(),
         writes: vec![bad],
     });
--- a/tests/edges.rs
+++ b/tests/edges.rs
@@ -193,7 +193,7 @@
 #[test]
 fn mail_is_taken_whole_or_not_at_all() {
     use base64::prelude::{BASE64_STANDARD, Engine};
-    let mut mirror = StateCache::default();
+    let mut cache = StateCache::default();
     let piece = |n, id, b: &[u8]| {
         lemonweir_protocol::kv_store::to_value(&StoreMessageRecord {
             n,
@@ -207,18 +207,18 @@
         value: Some(value),
         version,
     };
-    mirror.apply(&[set(0, piece(2, 5, b"ab"), 1)], 1, 0);
-    assert!(mirror.take_mail().is_empty(), "a piece is missing");
-    mirror.apply(&[set(1, piece(2, 4, b"cd"), 2)], 2, 0);
+    cache.apply(&[set(0, piece(2, 5, b"ab"), 1)], 1, 0);
+    assert!(cache.take_mail().is_empty(), "a piece is missing");
+    cache.apply(&[set(1, piece(2, 4, b"cd"), 2)], 2, 0);
     assert!(
-        mirror.take_mail().is_empty(),
+        cache.take_mail().is_empty(),
         "a piece is of an earlier message"
     );
-    mirror.apply(&[set(1, piece(2, 5, b"cd"), 3)], 3, 0);
-    let mail = mirror.take_mail();
+    cache.apply(&[set(1, piece(2, 5, b"cd"), 3)], 3, 0);
+    let mail = cache.take_mail();
     assert_eq!(mail.len(), 1);
     assert_eq!(mail[0].1, b"abcd");
-    assert!(mirror.take_mail().is_empty(), "taken once");
+    assert!(cache.take_mail().is_empty(), "taken once");
 }
 
 #[test]
@@ -370,14 +370,14 @@
     assert!(parse_run_key("run/0/req-1").is_none());
     assert!(parse_run_key("run/0/other/3").is_none());
     // A key that is not understood changes nothing and ends nothing.
-    let mut mirror = StateCache::default();
+    let mut cache = StateCache::default();
     let change = |key: &str| lemonweir_protocol::kv_store::WatchEvent {
         set: Some(key.into()),
         drop: None,
         value: Some(Value::Nil),
         version: 1,
     };
-    mirror.apply(
+    cache.apply(
         &[
             change("w/job/req-1"),
             change("w/part/x"),
@@ -387,8 +387,8 @@
         7,
         0,
     );
-    assert!(mirror.jobs.is_empty() && mirror.parts.is_empty());
-    assert_eq!(mirror.revision, Some(7));
+    assert!(cache.jobs.is_empty() && cache.shards.is_empty());
+    assert_eq!(cache.revision, Some(7));
 }
 
 /// Every field of the wrong form is named, not the first alone.
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -56,16 +56,16 @@
     SupervisionReport {
         host: "h1".into(),
         age_ms,
-        parts: vec![
+        shards: vec![
             ShardRow {
-                part: 0,
+                shard: 0,
                 home: "h0".into(),
                 holder: None,
                 token: None,
                 since: None,
             },
             ShardRow {
-                part: 1,
+                shard: 1,
                 home: "h1".into(),
                 holder: Some("h1".into()),
                 token: Some(40),
@@ -79,7 +79,7 @@
             job: "req-000007".into(),
             class: "photo-check".into(),
             team: "red".into(),
-            part: 1,
+            shard: 1,
             promised: 4,
             half: 2,
             up: 1,
@@ -104,7 +104,7 @@
             .expect("asked")
             .starts_with("GET /v1/watch HTTP")
     );
-    for part in [
+    for shard in [
         "nobody",
         "1 of 4",
         "north 1",
@@ -113,7 +113,7 @@
         "replica 2 left n-000009",
         "9 of 12 replicas of 2 services are up",
     ] {
-        assert!(told.contains(part), "{part}: {told}");
+        assert!(told.contains(shard), "{shard}: {told}");
     }
     assert!(
         told.contains("as h1 read it 61000 ms ago"),
@@ -131,7 +131,7 @@
 #[test]
 fn changes_of_hands_are_told_open_and_closed() {
     let row = |n, to: Option<&str>, closed| FailoverRow {
-        part: 0,
+        shard: 0,
         n,
         at: 1_790_000_000_000,
         from: Some("h0".into()),
@@ -168,7 +168,7 @@
             .expect("asked")
             .starts_with("GET /v1/watch/handovers HTTP")
     );
-    for part in [
+    for shard in [
         "11 replicas, 2 others, 5 machines",
         "310 ms",
         "10 found up, 1 started",
@@ -176,7 +176,7 @@
         "held for 9000 ms",
         "unknown: when",
     ] {
-        assert!(told.contains(part), "{part}: {told}");
+        assert!(told.contains(shard), "{shard}: {told}");
     }
     assert_eq!(
         told.matches("not written yet").count(),
