--- a/crates/model/src/constants.rs
+++ b/crates/model/src/constants.rs
@@ -343,6 +343,9 @@
 pub const WITHDRAW_WAIT_MS: u64 = 500;
 /// ms a user request may wait for the store before it is refused.
 pub const USER_TIMEOUT_MS: u64 = 1_600;
+/// Connections that wait to be accepted at the most (the system may allow fewer): a
+/// process that stood still for a moment has those of all workers before it.
+pub const LISTEN_BACKLOG: i32 = 4_096;
 /// ms a connection may be idle before it is closed.
 pub const IDLE_TIMEOUT_MS: u64 = 65_000;
 /// ms that a request may take to arrive in full.
--- a/crates/transport/src/server.rs
+++ b/crates/transport/src/server.rs
@@ -9,7 +9,9 @@
 use tracing::{debug, info};
 
 use super::within;
-use lemonweir_model::constants::{IDLE_TIMEOUT_MS, MAX_HEAD_BYTES, MAX_HEADERS, READ_TIMEOUT_MS};
+use lemonweir_model::constants::{
+    IDLE_TIMEOUT_MS, LISTEN_BACKLOG, MAX_HEAD_BYTES, MAX_HEADERS, READ_TIMEOUT_MS,
+};
 
 /// A request as it came.
 #[derive(Debug)]
@@ -297,7 +299,10 @@
     Ok(Some((request, close, start + length)))
 }
 
-/// Binds a listening socket.
+/// Binds a listening socket, with room for the connections of a whole fleet: the
+/// standard library asks for 128.
 pub async fn listen(addr: SocketAddr) -> std::io::Result<TcpListener> {
-    TcpListener::bind(addr).await
+    let listener = TcpListener::bind(addr).await?;
+    rustix::net::listen(&listener, LISTEN_BACKLOG)?;
+    Ok(listener)
 }
