--- a/crates/model/src/constants.rs
+++ b/crates/model/src/constants.rs
@@ -193,11 +193,13 @@
 pub const SCOUT_MS: u64 = 4_000;
 /// ms for which reports to one owner are gathered into one message.
 pub const GATHER_MS: u64 = 20;
-/// Reports in one message at the most: some tenths of a MiB.
-pub const GATHER_MOST: usize = 64;
+/// Reports in one message at the most: some tenths of a MiB. 4,000 waiting reports
+/// are then fewer messages than a peer takes connections from others.
+pub const GATHER_MOST: usize = 128;
 /// Reports that wait to be carried to one owner at the most; beyond it workers
-/// are turned away at once, as before.
-pub const CARRY_QUEUE: usize = 512;
+/// are turned away at once, as before. After a pause all machines of a fleet of
+/// 4,000 may report within one gathering.
+pub const CARRY_QUEUE: usize = 4_096;
 /// ms that a report may take to its owner and back: less than the 4 s that its
 /// worker waits (protocol page).
 pub const CARRY_REPORT_MS: u64 = 2_500;
