--- a/crates/coordination/src/config.rs
+++ b/crates/coordination/src/config.rs
@@ -121,6 +121,13 @@
         }
     }
 
+    /// Pages of the note of images in one transaction: no more than its changes, nor
+    /// than its bytes.
+    pub fn image_pages(&self) -> usize {
+        let bytes = TXN_BYTES / self.value_bytes.max(1);
+        self.txn_ops.min(bytes).max(1)
+    }
+
     /// The part that a machine belongs to: one of its zone's, by its name.
     pub fn part_of(&self, zone: &str, machine: &MachineId) -> u16 {
         let local: Vec<u16> = (0..self.members.len() as u16)
--- a/crates/coordination/src/owner/mod.rs
+++ b/crates/coordination/src/owner/mod.rs
@@ -204,6 +204,8 @@
     earlier: BTreeMap<MachineId, VecDeque<(String, u64)>>,
     noted: Vec<ImagesRecord>,
     noted_at: u64,
+    /// The page that the next writing of it begins at.
+    note_from: usize,
     /// Images that services use, and machines with the last copy of one in their zone,
     /// as of when that was looked at, ms.
     needed: BTreeSet<String>,
@@ -278,6 +280,7 @@
             earlier: BTreeMap::new(),
             noted: Vec::new(),
             noted_at: now,
+            note_from: 0,
             needed: BTreeSet::new(),
             last_copies: HashSet::new(),
             copies_at: 0,
--- a/crates/coordination/src/owner/upkeep.rs
+++ b/crates/coordination/src/owner/upkeep.rs
@@ -426,13 +426,22 @@
             page.m.push((id.clone(), have));
         }
         let most = all.len().max(self.noted.len());
-        let mut changed = Vec::new();
-        for page in (0..most)
+        // What is no more goes first, the last page before those before it: the note
+        // ends where its last page is. Then from where the one before stopped, so that
+        // in a large fleet, whose first pages change all the time, the last are written.
+        let from = self.note_from.min(all.len()).min(self.noted.len());
+        let changed: Vec<_> = (all.len()..most)
+            .rev()
+            .chain(from..all.len())
+            .chain(0..from)
             .filter(|&p| all.get(p) != self.noted.get(p))
             .take(pages)
-        {
-            changed.push((page, all.get(page).cloned()));
-        }
+            .map(|p| (p, all.get(p).cloned()))
+            .collect();
+        self.note_from = match changed.last() {
+            Some((page, _)) if changed.len() == pages => page + 1,
+            _ => 0,
+        };
         // What did not fit this transaction is still unlike what is noted.
         for (page, record) in &changed {
             match record {
--- a/crates/coordination/src/pump.rs
+++ b/crates/coordination/src/pump.rs
@@ -57,9 +57,9 @@
                 }
                 part.owner.tick(now, word);
             }
-            let pages = part
-                .owner
-                .images_note(now, self.config.value_bytes, self.config.txn_ops);
+            let pages =
+                part.owner
+                    .images_note(now, self.config.value_bytes, self.config.image_pages());
             if !pages.is_empty() {
                 let owned = Condition {
                     key: part_key(index),
--- /dev/null
+++ b/crates/coordination/tests/limits.rs
@@ -0,0 +1,162 @@
+//! Limits that a fleet of 4,000 machines meets.
+
+#[path = "support/controllers.rs"]
+mod controllers;
+mod support;
+
+use std::collections::BTreeMap;
+
+use lemonweir_coordination::Config;
+use lemonweir_coordination::owner::Owner;
+use lemonweir_model::MachineId;
+use lemonweir_model::constants::*;
+use lemonweir_protocol::peer::{Have, Span, Want};
+use lemonweir_storage::records::ImagesRecord;
+use support::*;
+
+/// Machines of the fleet.
+const MACHINES: usize = 4_000;
+/// Bytes of a value, and the pages that a transaction takes of that size.
+const VALUE: usize = 8 * 1024;
+const PAGES: usize = TXN_BYTES / VALUE;
+
+/// Each machine runs a task, each with one of 40 images.
+fn busy_fleet(machines: usize) -> Owner {
+    let mut owner = fleet(machines);
+    run_on_all(&mut owner, machines, 1);
+    owner
+}
+
+/// All machines get a task with an image of their own name's group.
+fn run_on_all(owner: &mut Owner, machines: usize, round: u32) {
+    let wants: Vec<Want> = (0..machines)
+        .map(|n| Want {
+            image: format!("img-{round}-{:02}", n % 40),
+            ..want(round * machines as u32 + n as u32, n)
+        })
+        .collect();
+    let upto = u64::from(round) * machines as u64;
+    let span = Span {
+        since: upto - machines as u64,
+        upto,
+        last: true,
+    };
+    owner
+        .sync(
+            &sync(u64::from(round), span, wants, Have::default()),
+            ROOM,
+            20,
+        )
+        .expect("taken");
+    for n in 0..machines {
+        let task = running_task(round as usize * machines + n);
+        let report = lemonweir_protocol::worker::Report {
+            tasks: vec![task],
+            ..report(n, u64::from(round) + 1)
+        };
+        assert!(owner.report(&report, None, 30).is_some());
+    }
+}
+
+/// What the store holds of the note; a transaction keeps to its bytes.
+#[derive(Default)]
+struct Stored(BTreeMap<usize, ImagesRecord>);
+
+impl Stored {
+    fn write(&mut self, pages: Vec<(usize, Option<ImagesRecord>)>) {
+        let bytes: usize = pages
+            .iter()
+            .filter_map(|(_, page)| page.as_ref())
+            .map(|page| serde_json::to_vec(page).expect("text").len())
+            .sum();
+        assert!(bytes <= MAX_BODY_BYTES, "{bytes} bytes in a transaction");
+        assert!(pages.len() <= PAGES);
+        for (at, page) in pages {
+            match page {
+                Some(page) => drop(self.0.insert(at, page)),
+                None => drop(self.0.remove(&at)),
+            }
+        }
+    }
+
+    fn machines(&self) -> BTreeMap<MachineId, usize> {
+        let mut all = BTreeMap::new();
+        for (machine, images) in self.0.values().flat_map(|page| &page.m) {
+            *all.entry(machine.clone()).or_default() += images.len();
+        }
+        all
+    }
+}
+
+/// The note of a part with the whole fleet takes more pages than a transaction holds:
+/// they are written one after the other, until nothing is left.
+#[test]
+fn the_images_of_all_machines_are_noted() {
+    let mut owner = busy_fleet(MACHINES);
+    let mut stored = Stored::default();
+    let mut times = 0;
+    for at in 1..100 {
+        let pages = owner.images_note(at * 60_000, VALUE, PAGES);
+        if pages.is_empty() {
+            break;
+        }
+        times += 1;
+        stored.write(pages);
+    }
+    assert!(times > 1 && times < 99, "{times} transactions");
+    assert_eq!(stored.machines().len(), MACHINES);
+}
+
+/// Where the first pages change before each writing, the last are written all the same.
+#[test]
+fn pages_that_change_all_the_time_leave_the_last_their_turn() {
+    let mut owner = busy_fleet(MACHINES);
+    let mut stored = Stored::default();
+    for at in 1..80u32 {
+        // Another image on each machine: every page is another one.
+        if at < 10 {
+            run_on_all(&mut owner, MACHINES, at + 1);
+        }
+        stored.write(owner.images_note(u64::from(at) * 60_000, VALUE, PAGES));
+        if at == 9 {
+            let pages = stored.0.len();
+            assert!(pages >= 9 * PAGES / 2, "{pages} pages are written");
+        }
+    }
+    assert_eq!(stored.machines().len(), MACHINES);
+}
+
+/// Most machines go at once: no page of theirs stays in the store.
+#[test]
+fn no_page_is_left_of_machines_that_are_gone() {
+    let mut owner = busy_fleet(MACHINES);
+    let mut stored = Stored::default();
+    for at in 1..40 {
+        stored.write(owner.images_note(at * 60_000, VALUE, PAGES));
+    }
+    let before = stored.0.len();
+    assert!(before > 2 * PAGES, "{before} pages");
+    let gone: Vec<MachineId> = (40..MACHINES).map(machine).collect();
+    owner.released(&gone, true, 50);
+    for at in 40..80 {
+        stored.write(owner.images_note(at * 60_000, VALUE, PAGES));
+    }
+    assert_eq!(stored.0.len(), 1);
+    assert_eq!(stored.machines().len(), 40);
+}
+
+/// The pages of one writing fit a transaction, however large a value may be.
+#[test]
+fn a_writing_of_the_note_fits_a_transaction() {
+    for value_kb in [2.0, 4.0, 8.0, 64.0, 1_024.0] {
+        for txn_ops in [4, 32, 512] {
+            let mut settings = controllers::settings(1);
+            settings.cluster.state.value_kb = value_kb;
+            settings.cluster.state.txn_ops = txn_ops;
+            let config = Config::new(&settings);
+            let pages = config.image_pages();
+            assert!(pages >= 1 && pages <= txn_ops);
+            assert!(pages == 1 || pages * config.value_bytes <= MAX_BODY_BYTES);
+        }
+    }
+}
