--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -447,7 +447,7 @@
             zones: zones.to_vec(),
         },
         capacity: (
-            t.whole("ordinary", 0, 1_000_000, Some(1_000)) as u32,
+            t.whole("ordinary", 0, 1_000_000, Some(10_000)) as u32,
             t.whole("spot", 0, 1_000_000, Some(0)) as u32,
         ),
         at_start: t.whole("at_start", 0, 1_000_000, Some(0)) as u32,
--- /dev/null
+++ b/crates/lab/tests/limits.rs
@@ -0,0 +1,57 @@
+//! 4,000 machines in service at once, as in `examples/scenarios/four-thousand.toml`,
+//! for a shorter time and with fewer messages.
+
+use std::path::Path;
+use std::sync::Arc;
+
+use lemonweir_lab::run::{self, Placer, Source};
+use lemonweir_lab::scenario::Scenario;
+
+/// Machines of the fleet.
+const MACHINES: usize = 4_000;
+
+fn text() -> String {
+    let path =
+        Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/scenarios/four-thousand.toml");
+    std::fs::read_to_string(path).expect("scenario")
+}
+
+/// The cut between the zones and the end of a controller come earlier here, and the
+/// machines report less often.
+#[test]
+fn a_fleet_of_four_thousand_is_used_whole_and_keeps_the_rules() {
+    let text = text()
+        .replace("duration_s = 420", "duration_s = 95")
+        .replace("at_s = 120\nfor_s = 30", "at_s = 45\nfor_s = 15")
+        .replace("at_s = 220\nfor_s = 10", "at_s = 70\nfor_s = 5");
+    let scenario = Scenario::parse("four-thousand.toml", &text).expect("no fault");
+    assert!(scenario.calm_s() < 95.0, "all troubles come");
+    assert_eq!(scenario.faults.len(), 6);
+    let outcome = run::once(
+        Arc::new(scenario),
+        Source::Synthetic,
+        Placer::Lemonweir,
+        1,
+        None,
+    )
+    .expect("run");
+    let r = &outcome.report;
+    assert!(r.broken.is_empty(), "{:?}", r.broken);
+    let most = r.series.iter().map(|s| s.up).max();
+    assert_eq!(most, Some(MACHINES), "machines in service at once");
+    assert!(
+        r.series
+            .iter()
+            .any(|s| s.used_cpus == 16.0 * MACHINES as f64),
+        "every machine is used at once"
+    );
+    eprintln!("{:.1} s of wall time", outcome.wall_s);
+}
+
+/// A scenario that does not say how many machines there are has enough.
+#[test]
+fn a_scenario_without_a_number_of_machines_has_four_thousand_in_each_zone() {
+    let text = text().replace("ordinary = 2_000\n", "");
+    let scenario = Scenario::parse("four-thousand.toml", &text).expect("no fault");
+    assert!(scenario.kinds[0].capacity.0 as usize >= MACHINES);
+}
