--- a/crates/coordination/src/flush.rs
+++ b/crates/coordination/src/flush.rs
@@ -57,9 +57,10 @@
                 }
                 shard.owner.tick(now, word);
             }
-            let pages = shard
-                .owner
-                .images_note(now, self.config.value_bytes, self.config.txn_ops);
+            let pages =
+                shard
+                    .owner
+                    .images_note(now, self.config.value_bytes, self.config.image_pages());
             if !pages.is_empty() {
                 let owned = Condition {
                     key: shard_key(index),
