--- a/crates/node/src/effect_executor.rs
+++ b/crates/node/src/effect_executor.rs
@@ -393,7 +393,7 @@
                     take_reports(node, &reports)
                 })
             }
-            ("POST", CARRY) => match links::read::<RelayRequest>(&request.body) {
+            ("POST", RELAY_PATH) => match links::read::<RelayRequest>(&request.body) {
                 Ok(call) => node.courier.carry(&call).await,
                 Err(fault) => understood(Err(fault), |()| Reply::empty(500)),
             },
