--- /dev/null
+++ b/crates/coordination/tests/mass_failure_recovery.rs
@@ -0,0 +1,211 @@
+//! After a mass failure all lost tasks are queued at once, and capacity comes back machine
+//! by machine.
+
+mod support;
+
+use std::collections::BTreeMap;
+
+use lemonweir_coordination::placer::{CompareAndSwapOutcome, Placer};
+use lemonweir_model::{JobId, JobKind, JobSpec, MachineId, Priority, Resources};
+use lemonweir_protocol::peer::{
+    AttemptState, AttemptStatus, ChangeRange, MachineView, PartitionedZone, ShardView,
+};
+use support::*;
+
+/// A placer with the machines of its own shard.
+struct Cluster {
+    placer: Placer,
+    machines: Vec<MachineView>,
+    store_revision: u64,
+    /// State of the machines that was published last.
+    machines_state: u64,
+    /// Machines so far.
+    machine_count: usize,
+    /// State of the attempts that was published last.
+    attempts_state: u64,
+}
+
+impl Cluster {
+    /// A placer with so many services of 4 replicas and one array of 20 tasks that was
+    /// submitted before them.
+    fn new(services: usize) -> Self {
+        let mut placer = Placer::new(0, TOKEN, 1, terms(), 0);
+        submit(&mut placer, array(20), 1, 0);
+        for n in 0..services {
+            let id = JobId::from(format!("req-0001{n:02}").as_str());
+            submit(
+                &mut placer,
+                JobSpec {
+                    id,
+                    shape: JobKind::Service,
+                    rank: Priority::Production,
+                    ..array(4)
+                },
+                10 + n as u64,
+                0,
+            );
+        }
+        Self {
+            placer,
+            machines: Vec::new(),
+            store_revision: 1,
+            machines_state: 0,
+            machine_count: 0,
+            attempts_state: 0,
+        }
+    }
+
+    /// All machines fail, with all that runs on them.
+    fn fail_all_machines(&mut self) {
+        let all = self.placer.sync_for(0, TOKEN, ROOM, false, 0).wants;
+        for standing in [AttemptState::Running, AttemptState::Gone] {
+            let attempts = all
+                .iter()
+                .map(|w| AttemptStatus {
+                    id: w.id.clone(),
+                    standing,
+                })
+                .collect();
+            let gone = if standing == AttemptState::Gone {
+                std::mem::take(&mut self.machines)
+            } else {
+                Vec::new()
+            };
+            self.attempts_state += all.len() as u64;
+            let full = |m: &MachineView| MachineView {
+                free: Resources::default(),
+                busy: 4,
+                ..m.clone()
+            };
+            let machines = self.machines.iter().map(full).collect();
+            self.publish(
+                machines,
+                gone.into_iter().map(|m| m.id).collect(),
+                attempts,
+                Vec::new(),
+            );
+        }
+    }
+
+    /// Publishes that another machine for four tasks is up; what was placed on it.
+    fn add_machine(&mut self, partitioned: Vec<PartitionedZone>) -> Vec<(JobId, u32)> {
+        self.machine_count += 1;
+        let view = shown(self.machine_count, 4);
+        self.machines.push(view.clone());
+        self.publish(vec![view], Vec::new(), Vec::new(), partitioned);
+        let wants = self.placer.sync_for(0, TOKEN, ROOM, false, 0).wants;
+        let last = &self.machines[self.machines.len() - 1].id;
+        wants
+            .into_iter()
+            .filter(|w| w.machine == *last)
+            .map(|w| (w.id.job, w.id.task))
+            .collect()
+    }
+
+    fn publish(
+        &mut self,
+        machines: Vec<MachineView>,
+        gone: Vec<MachineId>,
+        attempts: Vec<AttemptStatus>,
+        partitioned: Vec<PartitionedZone>,
+    ) {
+        let seq = self.placer.sync_for(0, TOKEN, ROOM, false, 0).seq;
+        let since = self.machines_state;
+        self.machines_state += 1;
+        let view = ShardView {
+            version: lemonweir_model::constants::PEER_VERSION,
+            shard: 0,
+            token: TOKEN,
+            seq,
+            store_age_ms: 0,
+            wants_at: 0,
+            hidden: partitioned,
+            machines_span: ChangeRange {
+                since,
+                upto: self.machines_state,
+                last: true,
+            },
+            machines,
+            gone,
+            attempts_span: ChangeRange {
+                since: 0,
+                upto: self.attempts_state,
+                last: true,
+            },
+            attempts,
+        };
+        self.placer.take_view(view, 0);
+        self.placer.place(0);
+        while self.placer.next_cas(0).is_some() {
+            self.store_revision += 1;
+            self.placer
+                .cas_done(CompareAndSwapOutcome::Done(self.store_revision), 0);
+        }
+    }
+}
+
+/// Every service has half of its replicas before any has more, and the array that is older
+/// waits for all of them.
+#[test]
+fn every_service_recovers_half_of_its_replicas_before_any_recovers_all() {
+    let mut cluster = Cluster::new(6);
+    for _ in 0..6 {
+        assert_eq!(
+            cluster.add_machine(Vec::new()).len(),
+            4,
+            "new services come by age, and batch work after them"
+        );
+    }
+    cluster.fail_all_machines();
+    let mut replicas: BTreeMap<JobId, usize> = BTreeMap::new();
+    let mut least_and_most = Vec::new();
+    for _ in 0..6 {
+        for (job, _) in cluster.add_machine(Vec::new()) {
+            *replicas.entry(job).or_default() += 1;
+        }
+        assert!(
+            !replicas.contains_key(&JobId::from("req-000001")),
+            "batch work takes no resources that a replica lacks"
+        );
+        let least = if replicas.len() < 6 {
+            0
+        } else {
+            replicas.values().copied().min().unwrap_or(0)
+        };
+        least_and_most.push((least, replicas.values().copied().max().unwrap_or(0)));
+    }
+    assert_eq!(
+        least_and_most,
+        [(0, 2), (0, 2), (2, 2), (2, 4), (2, 4), (4, 4)]
+    );
+    let next = cluster.add_machine(Vec::new());
+    assert_eq!(
+        next.iter()
+            .filter(|(job, _)| *job == JobId::from("req-000001"))
+            .count(),
+        4,
+        "then the array: {next:?}"
+    );
+}
+
+/// The status of a job says that its zone is partitioned, since when, and until when at
+/// most.
+#[test]
+fn job_status_names_a_partitioned_zone() {
+    let mut cluster = Cluster::new(1);
+    assert_eq!(cluster.add_machine(Vec::new()).len(), 4);
+    let id = JobId::from("req-000100");
+    assert_eq!(cluster.placer.job_note(&id, 0), Some((0, 0, String::new())));
+    cluster.add_machine(vec![PartitionedZone {
+        zone: "north".into(),
+        for_ms: 12_400,
+        over_in_ms: 30_100,
+    }]);
+    let reason = cluster.placer.job_note(&id, 15_000).expect("known").2;
+    assert_eq!(
+        reason,
+        "zone north out of sight since 15 s, its attempts there end by proof in at most 16 s"
+    );
+    cluster.add_machine(Vec::new());
+    assert_eq!(cluster.placer.job_note(&id, 0), Some((0, 0, String::new())));
+}
