--- a/crates/coordination/src/fault_attribution.rs
+++ b/crates/coordination/src/fault_attribution.rs
@@ -21,10 +21,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultVerdict {
     /// Nothing, or too little.
-    Sound,
+    Healthy,
     /// Several jobs failed there; none of them is a suspect, but it is not known
     /// that they run elsewhere.
-    Doubtful,
+    Suspect,
     /// Several jobs failed there that run elsewhere.
     Faulty,
 }
@@ -35,7 +35,7 @@
 #[derive(Debug, Default)]
 struct JobFailures {
     /// The newest run that went well: when it began, and where.
-    ran: Option<(u64, MachineId)>,
+    last_success: Option<(u64, MachineId)>,
     failed: Failures<MachineId>,
     /// How many of these, the oldest, a success has cleared since. They still
     /// count against their machines.
@@ -46,13 +46,13 @@
 struct MachineFailures {
     /// The newest runs of two jobs, the newer first: one of them is by another
     /// job than whichever is asked about.
-    ran: Vec<(u64, JobId)>,
+    successes: Vec<(u64, JobId)>,
     failed: Failures<JobId>,
 }
 
 /// Whom one event may have changed the judgement of.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Touched {
+pub struct Affected {
     /// Jobs.
     pub jobs: BTreeSet<JobId>,
     /// Machines.
@@ -70,7 +70,7 @@
 
 /// Notes a failure; one repeated counts at its last time. Returns the place of
 /// what it replaced or pushed out.
-fn note<T: PartialEq + Clone>(failed: &mut Failures<T>, with: &T, at: u64) -> Option<usize> {
+fn remember<T: PartialEq + Clone>(failed: &mut Failures<T>, with: &T, at: u64) -> Option<usize> {
     let gone = failed
         .iter()
         .position(|(t, _)| t == with)
@@ -96,50 +96,57 @@
     }
 
     /// A task of a job failed on a machine.
-    pub fn failed(&mut self, job: &JobId, machine: &MachineId, at: u64) -> Touched {
+    pub fn record_failure(&mut self, job: &JobId, machine: &MachineId, at: u64) -> Affected {
         let of_job = self.job(job);
-        if note(&mut of_job.failed, machine, at).is_some_and(|gone| gone < of_job.cleared) {
+        if remember(&mut of_job.failed, machine, at).is_some_and(|gone| gone < of_job.cleared) {
             of_job.cleared -= 1;
         }
-        note(
+        remember(
             &mut self.machines.entry(machine.clone()).or_default().failed,
             job,
             at,
         );
-        self.touched(job, machine)
+        self.affected(job, machine)
     }
 
     /// A task of a job that began to run on a machine `since` then went well:
     /// it is done, or has run for long.
-    pub fn ran(&mut self, job: &JobId, machine: &MachineId, since: u64) -> Touched {
-        let touched = self.touched(job, machine);
+    pub fn record_success(&mut self, job: &JobId, machine: &MachineId, since: u64) -> Affected {
+        let affected = self.affected(job, machine);
         let of_job = self.job(job);
         of_job.cleared = of_job.failed.len();
-        if of_job.ran.as_ref().is_none_or(|(at, _)| since >= *at) {
-            of_job.ran = Some((since, machine.clone()));
+        if of_job
+            .last_success
+            .as_ref()
+            .is_none_or(|(at, _)| since >= *at)
+        {
+            of_job.last_success = Some((since, machine.clone()));
         }
         let m = self.machines.entry(machine.clone()).or_default();
         m.failed.retain(|(_, at)| *at > since);
         let known = m
-            .ran
+            .successes
             .iter()
             .position(|(_, by)| by == job)
-            .map(|i| m.ran.remove(i).0);
-        m.ran.push((since.max(known.unwrap_or(0)), job.clone()));
-        m.ran.sort_by_key(|(at, _)| std::cmp::Reverse(*at));
-        m.ran.truncate(2);
-        touched
+            .map(|i| m.successes.remove(i).0);
+        m.successes
+            .push((since.max(known.unwrap_or(0)), job.clone()));
+        m.successes.sort_by_key(|(at, _)| std::cmp::Reverse(*at));
+        m.successes.truncate(2);
+        affected
     }
 
-    fn touched(&self, job: &JobId, machine: &MachineId) -> Touched {
-        let mut touched = Touched::default();
-        touched.jobs.insert(job.clone());
-        touched.machines.insert(machine.clone());
+    fn affected(&self, job: &JobId, machine: &MachineId) -> Affected {
+        let mut affected = Affected::default();
+        affected.jobs.insert(job.clone());
+        affected.machines.insert(machine.clone());
         if let Some(m) = self.machines.get(machine) {
-            touched.jobs.extend(m.failed.iter().map(|(j, _)| j.clone()));
+            affected
+                .jobs
+                .extend(m.failed.iter().map(|(j, _)| j.clone()));
         }
-        for job in &touched.jobs {
-            touched.machines.extend(
+        for job in &affected.jobs {
+            affected.machines.extend(
                 self.jobs
                     .get(job)
                     .into_iter()
@@ -147,25 +154,27 @@
                     .map(|(m, _)| m.clone()),
             );
         }
-        touched
+        affected
     }
 
     /// True if another job ran well on the machine at about that time, or later.
-    fn vouched(&self, job: &JobId, machine: &MachineId, at: u64) -> bool {
+    fn vouched_for(&self, job: &JobId, machine: &MachineId, at: u64) -> bool {
         let Some(m) = self.machines.get(machine) else {
             return false;
         };
-        m.ran
+        m.successes
             .iter()
-            .any(|(ran, by)| by != job && ran + VOUCHED_MS >= at)
+            .any(|(at_success, by)| by != job && at_success + VOUCHED_MS >= at)
     }
 
     /// On how many machines a job failed that run other jobs, if that makes it
     /// the suspect.
-    pub fn suspect(&self, job: &JobId) -> Option<u32> {
+    pub fn suspect_evidence(&self, job: &JobId) -> Option<u32> {
         let of_job = self.jobs.get(job)?;
         let failed = || of_job.failed.iter().skip(of_job.cleared);
-        let vouched = failed().filter(|(m, at)| self.vouched(job, m, *at)).count();
+        let vouched = failed()
+            .filter(|(m, at)| self.vouched_for(job, m, *at))
+            .count();
         // On so many machines, with no success, it is the job whoever vouches.
         (vouched >= SUSPECT_MACHINES || failed().count() >= SUSPECT_ANYWHERE)
             .then_some(vouched as u32)
@@ -174,31 +183,31 @@
     /// What is held against a machine.
     pub fn verdict(&self, machine: &MachineId) -> FaultVerdict {
         let Some(m) = self.machines.get(machine) else {
-            return FaultVerdict::Sound;
+            return FaultVerdict::Healthy;
         };
         let counted: Vec<&JobId> = m
             .failed
             .iter()
             .map(|(j, _)| j)
-            .filter(|j| self.suspect(j).is_none())
+            .filter(|j| self.suspect_evidence(j).is_none())
             .collect();
         let elsewhere = |j: &&&JobId| {
             self.jobs
                 .get(**j)
-                .and_then(|o| o.ran.as_ref())
+                .and_then(|o| o.last_success.as_ref())
                 .is_some_and(|(_, on)| on != machine)
         };
         if counted.len() < QUARANTINE_ERRORS {
-            FaultVerdict::Sound
+            FaultVerdict::Healthy
         } else if counted.iter().filter(elsewhere).count() >= QUARANTINE_ERRORS {
             FaultVerdict::Faulty
         } else {
-            FaultVerdict::Doubtful
+            FaultVerdict::Suspect
         }
     }
 
     /// The jobs that failed on a machine, for its operators.
-    pub fn against(&self, machine: &MachineId) -> Vec<&JobId> {
+    pub fn failed_jobs_on(&self, machine: &MachineId) -> Vec<&JobId> {
         self.machines
             .get(machine)
             .into_iter()
@@ -208,9 +217,12 @@
     }
 
     /// Machines on which something ran well of late and nothing failed since.
-    pub fn trusted(&self, now: u64) -> BTreeSet<MachineId> {
+    pub fn healthy_machines(&self, now: u64) -> BTreeSet<MachineId> {
         let good = |m: &&MachineFailures| {
-            m.failed.is_empty() && m.ran.first().is_some_and(|(at, _)| now <= at + VOUCHED_MS)
+            m.failed.is_empty()
+                && m.successes
+                    .first()
+                    .is_some_and(|(at, _)| now <= at + VOUCHED_MS)
         };
         self.machines
             .iter()
@@ -239,75 +251,81 @@
 
     #[test]
     fn a_job_with_a_mistake_condemns_nobody() {
-        let mut blame = FaultAttribution::default();
+        let mut attribution = FaultAttribution::default();
         for n in 0..10 {
-            blame.ran(&job(n), &machine(n), 1_000);
+            attribution.record_success(&job(n), &machine(n), 1_000);
         }
         // Three jobs with a mistake meet on two machines.
         for (at, (j, m)) in
             (2_000..).zip([(100, 0), (101, 0), (102, 1), (100, 1), (101, 1), (102, 0)])
         {
-            blame.failed(&job(j), &machine(m), at);
+            attribution.record_failure(&job(j), &machine(m), at);
         }
         assert_eq!(
             (100..103)
-                .filter(|j| blame.suspect(&job(*j)) == Some(2))
+                .filter(|j| attribution.suspect_evidence(&job(*j)) == Some(2))
                 .count(),
             3
         );
         assert_eq!(
-            [blame.verdict(&machine(0)), blame.verdict(&machine(1))],
-            [FaultVerdict::Sound; 2]
+            [
+                attribution.verdict(&machine(0)),
+                attribution.verdict(&machine(1))
+            ],
+            [FaultVerdict::Healthy; 2]
         );
     }
 
     #[test]
     fn a_faulty_machine_is_found_and_its_jobs_are_not_blamed() {
-        let mut blame = FaultAttribution::default();
-        blame.ran(&job(0), &machine(0), 1_000);
-        blame.failed(&job(1), &machine(0), 5_000);
-        blame.failed(&job(2), &machine(0), 6_000);
-        assert_eq!(blame.verdict(&machine(0)), FaultVerdict::Doubtful);
-        blame.ran(&job(1), &machine(1), 7_000);
-        blame.ran(&job(2), &machine(2), 7_000);
-        assert_eq!(blame.verdict(&machine(0)), FaultVerdict::Faulty);
+        let mut attribution = FaultAttribution::default();
+        attribution.record_success(&job(0), &machine(0), 1_000);
+        attribution.record_failure(&job(1), &machine(0), 5_000);
+        attribution.record_failure(&job(2), &machine(0), 6_000);
+        assert_eq!(attribution.verdict(&machine(0)), FaultVerdict::Suspect);
+        attribution.record_success(&job(1), &machine(1), 7_000);
+        attribution.record_success(&job(2), &machine(2), 7_000);
+        assert_eq!(attribution.verdict(&machine(0)), FaultVerdict::Faulty);
         assert_eq!(
-            (blame.suspect(&job(1)), blame.suspect(&job(2))),
+            (
+                attribution.suspect_evidence(&job(1)),
+                attribution.suspect_evidence(&job(2))
+            ),
             (None, None)
         );
         // What began before the failures proves nothing; a trial after them does.
-        blame.ran(&job(3), &machine(0), 4_000);
-        assert_eq!(blame.verdict(&machine(0)), FaultVerdict::Faulty);
-        blame.ran(&job(3), &machine(0), 9_000);
-        assert_eq!(blame.verdict(&machine(0)), FaultVerdict::Sound);
+        attribution.record_success(&job(3), &machine(0), 4_000);
+        assert_eq!(attribution.verdict(&machine(0)), FaultVerdict::Faulty);
+        attribution.record_success(&job(3), &machine(0), 9_000);
+        assert_eq!(attribution.verdict(&machine(0)), FaultVerdict::Healthy);
     }
 
     #[test]
     fn one_success_clears_a_suspect() {
-        let mut blame = FaultAttribution::default();
+        let mut attribution = FaultAttribution::default();
         for n in 0..SUSPECT_ANYWHERE {
-            assert_eq!(blame.suspect(&job(1)), None, "after {n}");
-            blame.failed(&job(1), &machine(n), 1_000);
+            assert_eq!(attribution.suspect_evidence(&job(1)), None, "after {n}");
+            attribution.record_failure(&job(1), &machine(n), 1_000);
         }
-        assert_eq!(blame.suspect(&job(1)), Some(0));
-        blame.ran(&job(1), &machine(50), 2_000);
-        assert_eq!(blame.suspect(&job(1)), None);
+        assert_eq!(attribution.suspect_evidence(&job(1)), Some(0));
+        attribution.record_success(&job(1), &machine(50), 2_000);
+        assert_eq!(attribution.suspect_evidence(&job(1)), None);
     }
 
     #[test]
     fn memory_is_bounded_by_jobs_and_pairs() {
-        let mut blame = FaultAttribution::default();
+        let mut attribution = FaultAttribution::default();
         for n in 0..3 * BLAME_JOBS {
-            blame.failed(&job(n), &machine(n % 7), n as u64);
+            attribution.record_failure(&job(n), &machine(n % 7), n as u64);
         }
-        assert!(blame.jobs.len() <= BLAME_JOBS && blame.order.len() <= BLAME_JOBS);
+        assert!(attribution.jobs.len() <= BLAME_JOBS && attribution.order.len() <= BLAME_JOBS);
         assert!(
-            blame
+            attribution
                 .machines
                 .values()
                 .all(|m| m.failed.len() <= BLAME_PAIRS)
         );
-        (0..7).for_each(|n| blame.forget(&machine(n)));
-        assert!(blame.machines.is_empty());
+        (0..7).for_each(|n| attribution.forget(&machine(n)));
+        assert!(attribution.machines.is_empty());
     }
 }
--- a/crates/coordination/src/flush.rs
+++ b/crates/coordination/src/flush.rs
@@ -49,18 +49,18 @@
             };
             let lease = shard.lease;
             shard.placer.records_version = self.cache.records_version.0;
-            shard.owner.hold_starts(outlived);
+            shard.owner.pause_launches(outlived);
             // What came in during a pause goes first.
             if !reading {
                 if let Some(revision) = self.cache.revision {
-                    shard.owner.watch_placers(&self.cache.shards, revision, now);
+                    shard.owner.observe_leaders(&self.cache.shards, revision, now);
                 }
                 shard.owner.tick(now, word);
             }
             let pages =
                 shard
                     .owner
-                    .images_note(now, self.config.value_bytes, self.config.image_pages());
+                    .changed_image_pages(now, self.config.value_bytes, self.config.image_pages());
             if !pages.is_empty() {
                 let owned = Condition {
                     key: shard_key(index),
@@ -82,19 +82,19 @@
             if !blind {
                 let calls = shard
                     .owner
-                    .calls(now, self.config.sockets.orders.saturating_sub(self.calls));
+                    .due_calls(now, self.config.sockets.orders.saturating_sub(self.calls));
                 self.calls += calls.len();
                 effects.extend(calls.into_iter().map(|c| Effect::Command(lease, c)));
             }
             let names = if blind {
                 Vec::new()
             } else {
-                shard.owner.releases()
+                shard.owner.next_releases()
             };
             if !names.is_empty() {
                 effects.push(Effect::Release(lease, names));
             }
-            for asker in shard.owner.take_dirty() {
+            for asker in shard.owner.take_changed_placers() {
                 match self.shards.get_mut(&asker) {
                     Some(p) => p.lines[usize::from(index)].dirty = true,
                     None => {
@@ -134,7 +134,7 @@
     /// True if a part that we hold had better be held by a node that hears its
     /// machines.
     pub fn deaf(&self, shard: u16, now: u64) -> bool {
-        self.shards.get(&shard).is_some_and(|p| p.owner.deaf(now))
+        self.shards.get(&shard).is_some_and(|p| p.owner.is_unreachable(now))
     }
 
     fn pump_syncs(&mut self, index: u16, now: u64, effects: &mut Vec<Effect>) -> bool {
@@ -144,7 +144,7 @@
             if self.shards.contains_key(&to) {
                 self.links.strays.forget(to);
             }
-            let strays = self.links.strays.any(to, now);
+            let strays = self.links.strays.any_recent(to, now);
             let Some(holder) = self.cache.shards.get(&to) else {
                 continue;
             };
@@ -181,7 +181,7 @@
             if local.is_none() {
                 let sync = SyncRequest {
                     store_age_ms: age,
-                    strays: self.links.strays.count(to, now),
+                    strays: self.links.strays.count_recent(to, now),
                     ..sync
                 };
                 if direct {
--- a/crates/coordination/src/heartbeats.rs
+++ b/crates/coordination/src/heartbeats.rs
@@ -24,7 +24,7 @@
             .note(now, format!("this controller stood still for {gap} ms"));
         self.links.stood_still(gap, now);
         for shard in self.shards.values_mut() {
-            shard.owner.stood_still(gap, now);
+            shard.owner.handle_stall(gap, now);
         }
     }
 
@@ -50,12 +50,12 @@
         }
         if let Some(shard) = self.shards.get(&shard) {
             self.links
-                .came(&report.zone, known && shard.owner.is_news(report), now);
+                .came(&report.zone, known && shard.owner.is_current(report), now);
         }
         if self.shards.contains_key(&shard) {
             return self.answer_report(report, shard, None, now);
         }
-        let (again, news) = self.links.strays.came(
+        let (again, news) = self.links.strays.record(
             shard,
             &report.machine,
             incarnation::MessageSequence::of(report),
@@ -139,11 +139,11 @@
         match self.shards.get_mut(&shard) {
             Some(shard) if !blind => {
                 if let Some(began) = began.filter(|_| at_home) {
-                    shard.owner.promise(&report.machine, began, now);
+                    shard.owner.renew_worker_lease(&report.machine, began, now);
                 }
                 shard
                     .owner
-                    .report(report, by, now)
+                    .handle_heartbeat(report, by, now)
                     .map_or(HeartbeatAnswer::Unable, HeartbeatAnswer::Orders)
             }
             _ => HeartbeatAnswer::Unable,
@@ -190,7 +190,7 @@
     ) {
         self.calls = self.calls.saturating_sub(1);
         if let Some(shard) = self.shard(lease) {
-            shard.owner.call_done(call, result, now);
+            shard.owner.handle_call_result(call, result, now);
         }
     }
 }
--- a/crates/coordination/src/incarnation/mod.rs
+++ b/crates/coordination/src/incarnation/mod.rs
@@ -9,7 +9,7 @@
 //! chooses.
 //!
 //! * **Current.** A message proves what is now if it shows a token that this owner has
-//!   given, or is the answer to a call that it made, and its numbers are higher than
+//!   given, or is the answer to a call that it made, and its sequence are higher than
 //!   all before. Anything else is unverified, which starts and ends nothing.
 //! * **A restart.** A token that was first given after a number was seen can't be
 //!   shown under that number or a lower one, unless the worker counts from the start
@@ -57,9 +57,9 @@
 pub(crate) enum Origin {
     /// A report that the worker sent by itself, by a controller of this number if
     /// not directly.
-    Report(Option<u16>),
+    Heartbeat(Option<u16>),
     /// The answer to a call.
-    Answer,
+    Response,
 }
 
 /// What a message of a worker is worth.
@@ -91,7 +91,7 @@
 #[derive(Clone, Copy, Debug)]
 struct LastReply {
     at: u64,
-    way: Option<u16>,
+    route: Option<u16>,
     token: u64,
 }
 
@@ -107,58 +107,58 @@
 #[derive(Debug)]
 pub(crate) struct WorkerIncarnation {
     /// Lowest token of this owner.
-    base: u64,
+    base_token: u64,
     /// Lowest token that a report must show to be believed.
-    floor: u64,
+    trusted_from: u64,
     /// Numbers of the newest message that was believed, and the token it showed.
     newest: MessageSequence,
-    token: u64,
+    highest_token: u64,
     /// Numbers of the newest report among these.
-    report: MessageSequence,
+    newest_heartbeat: MessageSequence,
     /// Below the part's token: raised with a promise, to fence orders whose fate is
     /// unknown, and to learn whether answers arrive.
     fence: u64,
     /// The fence before, while the present one is for answers alone.
-    challenge: Option<u64>,
-    /// The present token, and the newest numbers when it was chosen.
+    fence_before_probe: Option<u64>,
+    /// The present token, and the newest sequence when it was chosen.
     mark: (u64, MessageSequence),
     raised_at: u64,
     /// Highest token that a call has carried.
-    called: u64,
-    /// Newest numbers when the call under way was made.
-    asked: MessageSequence,
+    highest_call_token: u64,
+    /// Newest sequence when the call under route was made.
+    newest_at_call: MessageSequence,
     /// When this life was first believed, ms.
-    born: Option<u64>,
+    first_seen_at: Option<u64>,
     reachability: Reachability,
-    last: Option<LastReply>,
+    last_reply: Option<LastReply>,
     /// Until when answers were given that may have reached it, or its session may have
     /// begun, ms: its lease runs from then at the latest.
-    leased: Option<u64>,
+    lease_from: Option<u64>,
     /// When the last answer was given that reached it, by token or conduct, ms.
-    reached: Option<u64>,
+    last_delivered_at: Option<u64>,
     unverified: Option<Unverified>,
 }
 
 impl WorkerIncarnation {
-    /// Nothing was heard yet. `base`: the lowest token of this owner.
-    pub(crate) fn new(base: u64, now: u64) -> Self {
+    /// Nothing was heard yet. `base_token`: the lowest token of this owner.
+    pub(crate) fn new(base_token: u64, now: u64) -> Self {
         Self {
-            base,
-            floor: base,
+            base_token,
+            trusted_from: base_token,
             newest: MessageSequence::default(),
-            token: 0,
-            report: MessageSequence::default(),
+            highest_token: 0,
+            newest_heartbeat: MessageSequence::default(),
             fence: 0,
-            challenge: None,
-            mark: (base, MessageSequence::default()),
+            fence_before_probe: None,
+            mark: (base_token, MessageSequence::default()),
             raised_at: now,
-            called: 0,
-            asked: MessageSequence::default(),
-            born: None,
+            highest_call_token: 0,
+            newest_at_call: MessageSequence::default(),
+            first_seen_at: None,
             reachability: Reachability::Reachable,
-            last: None,
-            leased: None,
-            reached: None,
+            last_reply: None,
+            lease_from: None,
+            last_delivered_at: None,
             unverified: None,
         }
     }
@@ -166,28 +166,33 @@
     // ---- what came -------------------------------------------------------------
 
     /// What a message is worth.
-    pub(crate) fn weigh(&self, numbers: MessageSequence, token: u64, origin: Origin) -> Freshness {
-        let lower = token < self.token;
+    pub(crate) fn classify(
+        &self,
+        sequence: MessageSequence,
+        token: u64,
+        origin: Origin,
+    ) -> Freshness {
+        let lower = token < self.highest_token;
         match origin {
             // Nothing of a worker that has seen a later owner is ours to judge.
-            _ if token >> FENCE_BITS > self.base >> FENCE_BITS => Freshness::Unverified,
+            _ if token >> FENCE_BITS > self.base_token >> FENCE_BITS => Freshness::Unverified,
             // It was written after the call was made, when these were known.
-            Origin::Answer if numbers <= self.asked => Freshness::Restarted,
-            Origin::Report(_) if token < self.floor => Freshness::Unverified,
+            Origin::Response if sequence <= self.newest_at_call => Freshness::Restarted,
+            Origin::Heartbeat(_) if token < self.trusted_from => Freshness::Unverified,
             // In one life both rise.
-            _ if numbers > self.newest && lower => Freshness::Unverified,
-            _ if numbers > self.newest => Freshness::Current,
-            Origin::Report(_) if token >= self.mark.0 && numbers <= self.mark.1 => {
+            _ if sequence > self.newest && lower => Freshness::Unverified,
+            _ if sequence > self.newest => Freshness::Current,
+            Origin::Heartbeat(_) if token >= self.mark.0 && sequence <= self.mark.1 => {
                 Freshness::Restarted
             }
             _ => Freshness::Stale,
         }
     }
 
-    /// Takes what [`WorkerIncarnation::weigh`] found to be news.
-    pub(crate) fn take(
+    /// Takes what [`WorkerIncarnation::classify`] found to be news.
+    pub(crate) fn apply(
         &mut self,
-        numbers: MessageSequence,
+        sequence: MessageSequence,
         token: u64,
         origin: Origin,
         timing: &Timing,
@@ -195,36 +200,48 @@
     ) {
         self.unverified = None;
         match origin {
-            Origin::Report(way) => self.listen(numbers, token, way, timing, now),
-            Origin::Answer if token > self.token.max(self.called) => self.proven(token),
-            Origin::Answer => {}
+            Origin::Heartbeat(route) => self.observe_delivery(sequence, token, route, timing, now),
+            Origin::Response if token > self.highest_token.max(self.highest_call_token) => {
+                self.confirm_reachable(token)
+            }
+            Origin::Response => {}
         }
         // Guards against a machine that answers don't reach and whose new session only
         // the answer to a call shows: its lease runs from the session's begin, which may
         // be as late as now, whichever answers came before.
-        if numbers.session > self.newest.session {
-            self.leased = self.leased.max(Some(now));
+        if sequence.session > self.newest.session {
+            self.lease_from = self.lease_from.max(Some(now));
         }
-        self.newest = numbers;
-        self.token = token;
-        self.reached.get_or_insert(now);
-        self.born.get_or_insert(now);
+        self.newest = sequence;
+        self.highest_token = token;
+        self.last_delivered_at.get_or_insert(now);
+        self.first_seen_at.get_or_insert(now);
     }
 
-    /// The worker counts from the start again: its numbers and answers are others'.
+    /// The worker counts from the start again: its sequence and answers are others'.
     /// Guards against copies of reports from its earlier life, which have higher
-    /// numbers: whatever that has shown is below the token that is given from now
+    /// sequence: whatever that has shown is below the token that is given from now
     /// on.
-    pub(crate) fn reborn(&mut self, origin: Origin, now: u64) {
-        (self.newest, self.report, self.asked, self.token) = (
+    pub(crate) fn reset_after_restart(&mut self, origin: Origin, now: u64) {
+        (
+            self.newest,
+            self.newest_heartbeat,
+            self.newest_at_call,
+            self.highest_token,
+        ) = (
             MessageSequence::default(),
             MessageSequence::default(),
             MessageSequence::default(),
             0,
         );
-        (self.last, self.challenge, self.reached, self.born) = (None, None, None, None);
+        (
+            self.last_reply,
+            self.fence_before_probe,
+            self.last_delivered_at,
+            self.first_seen_at,
+        ) = (None, None, None, None);
         // That a call reached it says nothing of answers.
-        self.reachability = if origin == Origin::Answer {
+        self.reachability = if origin == Origin::Response {
             Reachability::Suspected
         } else {
             Reachability::Reachable
@@ -233,32 +250,32 @@
         if let Some(fence) = raised {
             self.raise(fence, now);
         }
-        self.floor = self.base + self.fence + u64::from(raised.is_none());
+        self.trusted_from = self.base_token + self.fence + u64::from(raised.is_none());
     }
 
     /// A report that is late all the same tells what reached the worker, if no later
     /// one has come: only the answer to a call was newer.
-    pub(crate) fn overtaken(
+    pub(crate) fn apply_late_heartbeat(
         &mut self,
-        numbers: MessageSequence,
+        sequence: MessageSequence,
         token: u64,
-        way: Option<u16>,
+        route: Option<u16>,
         timing: &Timing,
         now: u64,
     ) {
-        if numbers > self.report && token >= self.floor {
-            self.listen(numbers, token, way, timing, now);
+        if sequence > self.newest_heartbeat && token >= self.trusted_from {
+            self.observe_delivery(sequence, token, route, timing, now);
         }
     }
 
     /// Notes a hint. True if it is to be asked whether it is so.
-    pub(crate) fn heard_of(&mut self, numbers: MessageSequence, now: u64) -> bool {
+    pub(crate) fn record_unverified(&mut self, sequence: MessageSequence, now: u64) -> bool {
         if !self.newest.is_none() {
             return false;
         }
         let first = self.unverified.map_or(now, |h| h.first);
         self.unverified = Some(Unverified {
-            session: numbers.session,
+            session: sequence.session,
             first,
             last: now,
         });
@@ -271,84 +288,89 @@
     /// higher number does as well. True if nothing is to be believed of the machine
     /// before it shows that token, and it is to be asked.
     ///
-    /// Guards against a new life that has not been noticed as such: what its numbers
+    /// Guards against a new life that has not been noticed as such: what its sequence
     /// have passed of the earlier life's is held for its own, a report of that life
     /// that comes late for its newest, and an order that names the earlier life's
     /// session is executed once it has got there. A worker's first reports show no
-    /// token, and in one life numbers and token rise together.
-    pub(crate) fn suspect(
+    /// token, and in one life sequence and token rise together.
+    pub(crate) fn suspect_restart(
         &mut self,
-        numbers: MessageSequence,
+        sequence: MessageSequence,
         token: u64,
         timing: &Timing,
         now: u64,
     ) -> bool {
         if !self.newest.is_none()
-            && (token == 0 || numbers > self.newest && token < self.token && !self.outlived(token))
+            && (token == 0
+                || sequence > self.newest
+                    && token < self.highest_token
+                    && !self.predates_restart(token))
         {
-            self.born = self.born.map(|_| now);
+            self.first_seen_at = self.first_seen_at.map(|_| now);
             let Some(fence) = worker_lease::raised(self.fence) else {
                 return false;
             };
-            self.challenge = None;
+            self.fence_before_probe = None;
             self.raise(fence, now);
-            self.floor = self.answer_token();
+            self.trusted_from = self.reply_token();
             return true;
         }
-        if numbers >= self.mark.1 && now >= self.raised_at + timing.lease_ms / 2 {
-            self.dare(now);
+        if sequence >= self.mark.1 && now >= self.raised_at + timing.lease_ms / 2 {
+            self.raise_probe(now);
         }
         false
     }
 
     /// A token of this owner that no life has been given since the last one began.
-    fn outlived(&self, token: u64) -> bool {
-        token >= self.base && token < self.floor
+    fn predates_restart(&self, token: u64) -> bool {
+        token >= self.base_token && token < self.trusted_from
     }
 
     /// A report that the worker sent after all before.
-    fn listen(
+    fn observe_delivery(
         &mut self,
-        numbers: MessageSequence,
+        sequence: MessageSequence,
         token: u64,
-        way: Option<u16>,
+        route: Option<u16>,
         timing: &Timing,
         now: u64,
     ) {
-        self.report = numbers;
-        let Some(last) = self.last.take() else {
-            if self.reachability != Reachability::Reachable && !self.dare(now) {
+        self.newest_heartbeat = sequence;
+        let Some(last) = self.last_reply.take() else {
+            if self.reachability != Reachability::Reachable && !self.raise_probe(now) {
                 self.reachability = Reachability::Reachable;
             }
             return;
         };
         // It goes on to another controller if it gets no answer. One that is carried
         // may be sent to us by its carrier.
-        let turned = way != last.way && way.is_some();
-        let odd = turned || now > last.at + timing.unanswered_ms();
+        let rerouted = route != last.route && route.is_some();
+        let unusual = rerouted || now > last.at + timing.unanswered_after_ms();
         if token < last.token {
             self.reachability = Reachability::Unreachable;
-        } else if token > self.token.max(self.called) {
-            self.reached = Some(last.at);
-            self.proven(token);
-        } else if odd || self.reachability != Reachability::Reachable {
+        } else if token > self.highest_token.max(self.highest_call_token) {
+            self.last_delivered_at = Some(last.at);
+            self.confirm_reachable(token);
+        } else if unusual || self.reachability != Reachability::Reachable {
             if self.reachability == Reachability::Reachable {
                 self.reachability = Reachability::Suspected;
             }
             // Without a token to tell by, its conduct does.
-            if !self.dare(now) && !odd {
+            if !self.raise_probe(now) && !unusual {
                 self.reachability = Reachability::Reachable;
             }
         } else {
-            self.reached = Some(last.at);
+            self.last_delivered_at = Some(last.at);
         }
     }
 
     /// It shows a token that only answers have given.
-    fn proven(&mut self, token: u64) {
-        if self.last.is_none_or(|last| token >= last.token) {
-            self.reached = self.reached.max(self.last.map(|last| last.at));
-            (self.reachability, self.challenge) = (Reachability::Reachable, None);
+    fn confirm_reachable(&mut self, token: u64) {
+        if self.last_reply.is_none_or(|last| token >= last.token) {
+            self.last_delivered_at = self
+                .last_delivered_at
+                .max(self.last_reply.map(|last| last.at));
+            (self.reachability, self.fence_before_probe) = (Reachability::Reachable, None);
         }
     }
 
@@ -356,23 +378,23 @@
 
     fn raise(&mut self, fence: u64, now: u64) {
         self.fence = fence;
-        self.mark = (self.base + fence, self.newest);
+        self.mark = (self.base_token + fence, self.newest);
         self.raised_at = now;
     }
 
     /// Raises the token for answers alone. False if it can't rise now.
-    fn dare(&mut self, now: u64) -> bool {
+    fn raise_probe(&mut self, now: u64) -> bool {
         let Some(fence) = worker_lease::raised(self.fence) else {
             return false;
         };
-        self.challenge.get_or_insert(self.fence);
+        self.fence_before_probe.get_or_insert(self.fence);
         self.raise(fence, now);
         true
     }
 
     /// Promises the worker that the reading which showed us as the owner began
     /// then, in time of day.
-    pub(crate) fn promise(&mut self, wall_ms: u64, now: u64) {
+    pub(crate) fn renew_lease(&mut self, wall_ms: u64, now: u64) {
         if let Some(fence) = worker_lease::renewed(self.fence, wall_ms) {
             self.raise(fence, now);
         }
@@ -380,51 +402,53 @@
 
     /// A call with this token may be executed late: from now on a higher one is
     /// given.
-    pub(crate) fn fence_off(&mut self, sent: u64, now: u64) {
-        self.challenge = None;
+    pub(crate) fn fence_call(&mut self, sent: u64, now: u64) {
+        self.fence_before_probe = None;
         // No call goes out with a token that can't rise; were it so, the machine
         // would stay ambiguous until it is promised anew.
-        if let Some(fence) = worker_lease::raised(self.fence.max(sent.saturating_sub(self.base))) {
+        if let Some(fence) =
+            worker_lease::raised(self.fence.max(sent.saturating_sub(self.base_token)))
+        {
             self.raise(fence, now);
         }
     }
 
     /// True if the token could rise after a call.
-    pub(crate) fn fences(&self) -> bool {
+    pub(crate) fn can_fence(&self) -> bool {
         worker_lease::raised(self.fence).is_some()
     }
 
     /// The token of an answer.
-    pub(crate) fn answer_token(&self) -> u64 {
-        self.base + self.fence
+    pub(crate) fn reply_token(&self) -> u64 {
+        self.base_token + self.fence
     }
 
     /// A call is about to be made; its token. While a token is to tell whether
     /// answers arrive, calls don't carry it.
-    pub(crate) fn call(&mut self) -> u64 {
+    pub(crate) fn begin_call(&mut self) -> u64 {
         let token = self
-            .token
-            .max(self.base + self.challenge.unwrap_or(self.fence));
-        self.called = self.called.max(token);
-        self.asked = self.newest;
+            .highest_token
+            .max(self.base_token + self.fence_before_probe.unwrap_or(self.fence));
+        self.highest_call_token = self.highest_call_token.max(token);
+        self.newest_at_call = self.newest;
         token
     }
 
-    /// A report is answered with [`WorkerIncarnation::answer_token`].
-    pub(crate) fn answered(
+    /// A report is answered with [`WorkerIncarnation::reply_token`].
+    pub(crate) fn record_reply(
         &mut self,
-        numbers: MessageSequence,
+        sequence: MessageSequence,
         token: u64,
-        way: Option<u16>,
+        route: Option<u16>,
         now: u64,
     ) {
         let answer = LastReply {
             at: now,
-            way,
-            token: self.answer_token(),
+            route,
+            token: self.reply_token(),
         };
-        let newest = numbers == self.report && token != 0;
-        if newest && self.last.is_some() {
+        let newest = sequence == self.newest_heartbeat && token != 0;
+        if newest && self.last_reply.is_some() {
             // A copy of one that was answered: its lease runs from when it was
             // sent, which was before the first of them came.
             return;
@@ -433,21 +457,22 @@
         // which shows no token or one of the last.
         if newest
             || self.newest.is_none()
-            || numbers > self.report
+            || sequence > self.newest_heartbeat
             || token == 0
-            || token >= self.token
+            || token >= self.highest_token
         {
-            self.leased = self.leased.max(Some(now));
+            self.lease_from = self.lease_from.max(Some(now));
         }
         // A worker in its first exchanges has not shown the token that counts.
-        if newest || self.newest.is_none() || numbers > self.newest && token >= self.token {
-            self.last = Some(answer);
+        if newest || self.newest.is_none() || sequence > self.newest && token >= self.highest_token
+        {
+            self.last_reply = Some(answer);
         }
     }
 
     /// This process stood still: what came late meanwhile tells nothing.
-    pub(crate) fn stood_still(&mut self) {
-        self.last = None;
+    pub(crate) fn handle_stall(&mut self) {
+        self.last_reply = None;
     }
 
     // ---- what is known -----------------------------------------------------------
@@ -458,33 +483,33 @@
     }
 
     /// The session to ask in.
-    pub(crate) fn session_to_ask(&self) -> u64 {
+    pub(crate) fn call_session(&self) -> u64 {
         self.unverified.map_or(self.newest.session, |h| h.session)
     }
 
     /// Highest token that the worker has shown.
-    pub(crate) fn shown(&self) -> u64 {
-        self.token
+    pub(crate) fn shown_token(&self) -> u64 {
+        self.highest_token
     }
 
     /// It has shown a token that only this owner can have given, in this life.
-    pub(crate) fn fresh(&self) -> bool {
-        self.ours(self.token)
+    pub(crate) fn is_confirmed(&self) -> bool {
+        self.is_trusted_token(self.highest_token)
     }
 
     /// A report with this token shows one of this owner's, and of this life.
-    pub(crate) fn ours(&self, token: u64) -> bool {
-        token >= self.floor
+    pub(crate) fn is_trusted_token(&self, token: u64) -> bool {
+        token >= self.trusted_from
     }
 
     /// When its lease may have begun to run anew at the latest, ms.
-    pub(crate) fn leased_at(&self) -> Option<u64> {
-        self.leased
+    pub(crate) fn lease_from(&self) -> Option<u64> {
+        self.lease_from
     }
 
     /// Its lease has surely run out.
-    pub(crate) fn over(&mut self) {
-        self.leased = None;
+    pub(crate) fn clear_lease(&mut self) {
+        self.lease_from = None;
     }
 
     /// Something may be started there. `word`: when the last reading of the store began
@@ -493,22 +518,26 @@
     /// Guards against an owner that has been superseded without knowing: its successor
     /// proves ends by what the machine has seen, and a new life has seen nothing. One
     /// that was there before the reading had shown the successor's token to nobody.
-    pub(crate) fn may_start(&self, word: u64) -> bool {
-        self.hears() && self.born.is_some_and(|born| word > born)
+    pub(crate) fn may_launch(&self, store_answer_at: u64) -> bool {
+        self.is_reachable()
+            && self
+                .first_seen_at
+                .is_some_and(|born| store_answer_at > born)
     }
 
     /// Answers reach it, as far as anybody can tell.
-    pub(crate) fn hears(&self) -> bool {
+    pub(crate) fn is_reachable(&self) -> bool {
         self.reachability == Reachability::Reachable
     }
 
     /// Since when no answer has reached it, ms, if that is proven.
-    pub(crate) fn deaf_since(&self) -> Option<u64> {
-        (self.reachability == Reachability::Unreachable).then_some(self.reached.unwrap_or(0))
+    pub(crate) fn unreachable_since(&self) -> Option<u64> {
+        (self.reachability == Reachability::Unreachable)
+            .then_some(self.last_delivered_at.unwrap_or(0))
     }
 
     /// When it was first and last heard of, ms, if nothing of it was news.
-    pub(crate) fn only_heard_of(&self) -> Option<(u64, u64)> {
+    pub(crate) fn unverified_since(&self) -> Option<(u64, u64)> {
         self.unverified.map(|h| (h.first, h.last))
     }
 }
--- a/crates/coordination/src/incarnation/model.rs
+++ b/crates/coordination/src/incarnation/model.rs
@@ -335,7 +335,7 @@
                     {
                         self.believed[owner] = self.believed[owner].max((life, report.seq));
                     }
-                    o.call_done(&call, result, now);
+                    o.handle_call_result(&call, result, now);
                 }
             }
         }
@@ -359,7 +359,7 @@
         let newest = at + 1 == self.owners.len();
         let (owner, home, _) = &mut self.owners[at];
         let way = (*home != host).then_some(host as u16);
-        if owner.is_news(report) {
+        if owner.is_current(report) {
             let (order, known) = ((life, report.seq), self.believed[at]);
             assert!(
                 order > known,
@@ -368,7 +368,7 @@
             self.believed[at] = order;
             self.news += 1;
         }
-        let reply = owner.report(report, way, now);
+        let reply = owner.handle_heartbeat(report, way, now);
         if !copy && newest && self.worker.as_ref().is_some_and(|w| w.life == life) {
             self.unanswered += 1;
         }
@@ -457,11 +457,11 @@
             let owner = &mut self.owners[i].0;
             owner.tick(now, word);
             // The cloud answers nothing here: ends are proven by the machine or time.
-            let names = owner.releases();
+            let names = owner.next_releases();
             self.given_back |= last && !names.is_empty();
-            owner.released(&names, false, now);
+            owner.release_finished(&names, false, now);
             let to = self.worker.as_ref().map_or(0, |w| w.life);
-            for call in owner.calls(now, 8) {
+            for call in owner.due_calls(now, 8) {
                 self.starts += call
                     .commands
                     .orders
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -93,7 +93,7 @@
     /// The owner learns which images services use.
     fn know_needs(&mut self) {
         if let Some(images) = self.placer.book.take_needed() {
-            self.owner.set_needed(images);
+            self.owner.set_service_images(images);
         }
     }
 
@@ -208,7 +208,7 @@
             self.policy.clone(),
             now,
         );
-        owner.learn_images(images);
+        owner.restore_image_pages(images);
         if let Some(catalog) = &self.catalog {
             owner.set_types(catalog.values());
         }
@@ -672,7 +672,7 @@
     /// A release ended.
     pub fn released(&mut self, lease: ShardLease, machines: &[MachineId], done: bool, now: u64) {
         if let Some(shard) = self.shard(lease) {
-            shard.owner.released(machines, done, now);
+            shard.owner.release_finished(machines, done, now);
         }
     }
 
@@ -688,7 +688,7 @@
         for (index, shard) in &mut self.shards {
             shard
                 .owner
-                .listed(by_shard.get(index).map_or(&[], Vec::as_slice), now);
+                .apply_inventory(by_shard.get(index).map_or(&[], Vec::as_slice), now);
         }
     }
 
@@ -722,7 +722,7 @@
         self.shards
             .values()
             .fold(WorkCounters::default(), |sum, shard| {
-                let (refused, pushed_out) = shard.owner.judged();
+                let (refused, pushed_out) = shard.owner.placement_counts();
                 WorkCounters {
                     looked: sum.looked + shard.placer.looked(),
                     refused: sum.refused + refused,
--- a/crates/coordination/src/machine.rs
+++ b/crates/coordination/src/machine.rs
@@ -22,7 +22,7 @@
 impl Timing {
     /// ms after our last answer from which on a lease has surely run out,
     /// whatever the drift of the clocks.
-    pub fn dead_after_ms(&self) -> u64 {
+    pub fn lease_expiry_ms(&self) -> u64 {
         self.lease_ms + self.lease_ms * DRIFT_PER_MILLE / 1000 + LEASE_MARGIN_MS
     }
 
@@ -30,7 +30,7 @@
     /// that gets no answer waits for it and then tries the next controller, one that
     /// does reports within an interval and a quarter. Between the two, if they lie
     /// apart.
-    pub(crate) fn unanswered_ms(&self) -> u64 {
+    pub(crate) fn unanswered_after_ms(&self) -> u64 {
         let regular = self.report_ms + self.report_ms / 4;
         ((regular + WORKER_PATIENCE_MS + NEXT_NODE_MS) / 2).max(regular + SILENT_SLACK_MS)
     }
@@ -40,8 +40,8 @@
     /// showed it as the owner began before the part was taken, it answered for
     /// [`BLIND_MOST_MS`] after that at most, and a lease runs from a report that
     /// was sent before its answer.
-    pub fn inherited_ms(&self) -> u64 {
-        BLIND_MOST_MS + BLIND_MOST_MS * DRIFT_PER_MILLE / 1000 + self.dead_after_ms()
+    pub fn inherited_lease_expiry_ms(&self) -> u64 {
+        BLIND_MOST_MS + BLIND_MOST_MS * DRIFT_PER_MILLE / 1000 + self.lease_expiry_ms()
     }
 }
 
@@ -56,93 +56,93 @@
 #[derive(Debug)]
 pub(super) struct Quarantine {
     /// When the next trial may begin, ms.
-    pub(super) until: u64,
+    pub(super) trial_at: u64,
     /// Trials that failed.
-    pub(super) failed: u32,
+    pub(super) failed_trials: u32,
     /// A trial may begin.
-    pub(super) ready: bool,
+    pub(super) trial_due: bool,
     /// The attempt that is the trial.
-    pub(super) trial: Option<AttemptId>,
+    pub(super) trial_attempt: Option<AttemptId>,
     /// The jobs that failed on it run elsewhere.
-    pub(super) faulty: bool,
+    pub(super) confirmed: bool,
 }
 
 impl Quarantine {
     /// Set aside from now on.
-    pub(super) fn new(faulty: bool, now: u64) -> Self {
+    pub(super) fn new(confirmed: bool, now: u64) -> Self {
         Self {
-            until: now + TRIAL_MS,
-            failed: 0,
-            ready: false,
-            trial: None,
-            faulty,
+            trial_at: now + TRIAL_MS,
+            failed_trials: 0,
+            trial_due: false,
+            trial_attempt: None,
+            confirmed,
         }
     }
 
     /// It takes the one task that is its trial.
-    fn open(&self) -> bool {
-        self.ready && self.trial.is_none()
+    fn accepts_trial(&self) -> bool {
+        self.trial_due && self.trial_attempt.is_none()
     }
 
     /// Its trial failed by its own fault.
-    pub(super) fn tried_in_vain(&mut self, now: u64) {
-        self.failed += 1;
-        self.ready = false;
-        self.until = now + (TRIAL_MS << self.failed.min(10));
+    pub(super) fn record_failed_trial(&mut self, now: u64) {
+        self.failed_trials += 1;
+        self.trial_due = false;
+        self.trial_at = now + (TRIAL_MS << self.failed_trials.min(10));
     }
 
     /// Nothing is to be expected of it.
-    pub(super) fn hopeless(&self) -> bool {
-        self.faulty || self.failed >= TRIALS
+    pub(super) fn is_unrecoverable(&self) -> bool {
+        self.confirmed || self.failed_trials >= TRIALS
     }
 }
 
 /// A machine of this part.
 #[derive(Debug)]
 pub(super) struct Machine {
-    pub(super) addr: Option<SocketAddr>,
+    pub(super) address: Option<SocketAddr>,
     pub(super) kind: String,
     pub(super) zone: String,
     pub(super) spot: bool,
-    pub(super) room: Resources,
+    pub(super) capacity: Resources,
     /// What may be believed of it, and what has reached it.
-    pub(super) worker_session: WorkerIncarnation,
+    pub(super) incarnation: WorkerIncarnation,
     /// Token of the newest order whose fate is unknown.
-    pub(super) ambiguous: Option<u64>,
+    pub(super) unresolved_call_token: Option<u64>,
     /// When the last call of unknown fate that starts something was given up, ms, until
     /// what it may have started is over or known.
-    pub(super) lost_start: Option<u64>,
+    pub(super) unresolved_launch_at: Option<u64>,
     /// Starts that went out in the answer to this report; settled by the next.
-    pub(super) answered_with_starts: Option<u64>,
+    pub(super) launches_in_response_to: Option<u64>,
     /// A `/commands` call is under way.
-    pub(super) calling: bool,
-    pub(super) call_after: u64,
+    pub(super) call_in_progress: bool,
+    pub(super) next_call_at: u64,
     /// That call goes to one that answers don't reach.
-    pub(super) deaf_call: bool,
+    pub(super) unreachable_call: bool,
     /// When there was last news of the worker in any way, ms.
-    pub(super) heard: Option<u64>,
+    pub(super) last_heartbeat_at: Option<u64>,
     /// Number of the controller that carried its newest report, and since when
     /// all have been carried, ms.
-    pub(super) carried: Option<(u16, u64)>,
+    pub(super) relayed_by: Option<(u16, u64)>,
     /// Sessions up to this one have surely ended.
-    pub(super) dead_session: u64,
+    pub(super) expired_session: u64,
     pub(super) tasks: BTreeMap<AttemptId, ReportedTask>,
     /// Images with their sizes, most recently used first.
     pub(super) images: VecDeque<(String, u64)>,
-    pub(super) notice: bool,
+    pub(super) termination_notice: bool,
     /// Since when something on record says that it runs, though we have not
     /// heard it: an attempt there, a note of its images, the cloud's list.
-    pub(super) ran: Option<u64>,
+    pub(super) recorded_running_at: Option<u64>,
     /// Not heard for longer than usual: nothing new goes there.
     pub(super) silent: bool,
-    pub(super) closing: bool,
+    pub(super) scale_in_pending: bool,
     /// Set aside on evidence of a fault.
-    pub(super) aside: Option<Quarantine>,
-    pub(super) releasing: bool,
-    pub(super) release_wanted: bool,
-    pub(super) renter: Option<u16>,
-    pub(super) since: u64,
-    pub(super) booked: u64,
+    pub(super) quarantine: Option<Quarantine>,
+    pub(super) release_in_progress: bool,
+    pub(super) release_requested: bool,
+    pub(super) requested_by: Option<u16>,
+    pub(super) known_since: u64,
+    pub(super) provisioned_at: u64,
     /// Its renter or the list told when it was booked.
     pub(super) announced: bool,
     /// It should have come up long ago: it is not counted on.
@@ -156,61 +156,70 @@
         kind: &str,
         zone: &str,
         spot: bool,
-        room: Resources,
+        capacity: Resources,
         base: u64,
         now: u64,
     ) -> Self {
         Self {
-            addr: None,
+            address: None,
             kind: kind.to_owned(),
             zone: zone.to_owned(),
             spot,
-            room,
-            worker_session: WorkerIncarnation::new(base, now),
-            ambiguous: None,
-            lost_start: None,
-            answered_with_starts: None,
-            calling: false,
-            call_after: 0,
-            deaf_call: false,
-            heard: None,
-            carried: None,
-            dead_session: 0,
+            capacity,
+            incarnation: WorkerIncarnation::new(base, now),
+            unresolved_call_token: None,
+            unresolved_launch_at: None,
+            launches_in_response_to: None,
+            call_in_progress: false,
+            next_call_at: 0,
+            unreachable_call: false,
+            last_heartbeat_at: None,
+            relayed_by: None,
+            expired_session: 0,
             tasks: BTreeMap::new(),
             images: VecDeque::new(),
-            notice: false,
-            ran: None,
+            termination_notice: false,
+            recorded_running_at: None,
             silent: false,
-            closing: false,
-            aside: None,
-            releasing: false,
-            release_wanted: false,
-            renter: None,
-            since: now,
-            booked: now,
+            scale_in_pending: false,
+            quarantine: None,
+            release_in_progress: false,
+            release_requested: false,
+            requested_by: None,
+            known_since: now,
+            provisioned_at: now,
             announced: false,
             overdue: false,
             idle_since: None,
         }
     }
 
-    pub(super) fn open(&self) -> bool {
-        !(self.notice || self.silent || self.overdue || self.closing || self.release_wanted)
-            && self.worker_session.hears()
-            && self.aside.as_ref().is_none_or(Quarantine::open)
+    pub(super) fn is_schedulable(&self) -> bool {
+        !(self.termination_notice
+            || self.silent
+            || self.overdue
+            || self.scale_in_pending
+            || self.release_requested)
+            && self.incarnation.is_reachable()
+            && self
+                .quarantine
+                .as_ref()
+                .is_none_or(Quarantine::accepts_trial)
     }
 
     /// Nobody but a report or two that may be old tells of it.
-    pub(super) fn hearsay(&self) -> bool {
-        self.heard.is_none()
-            && self.ran.is_none()
+    pub(super) fn is_unconfirmed(&self) -> bool {
+        self.last_heartbeat_at.is_none()
+            && self.recorded_running_at.is_none()
             && !self.announced
-            && self.worker_session.only_heard_of().is_some()
+            && self.incarnation.unverified_since().is_some()
     }
 
     /// No order that could start something is of unknown fate.
-    pub(super) fn settled(&self) -> bool {
-        self.ambiguous.is_none() && self.answered_with_starts.is_none() && !self.calling
+    pub(super) fn calls_resolved(&self) -> bool {
+        self.unresolved_call_token.is_none()
+            && self.launches_in_response_to.is_none()
+            && !self.call_in_progress
     }
 
     /// ms that a usual image of this machine takes to fetch.
@@ -249,9 +258,9 @@
     /// against a controller that stood still, or that the store refuses, while
     /// its successor keeps the machine's tasks alive: only a `word` from the
     /// store that began after the lease's end shows that nobody else answered.
-    pub(super) fn dead(&self, word: u64, timing: &Timing) -> bool {
-        self.worker_session
-            .leased_at()
-            .is_some_and(|at| word > at + timing.dead_after_ms())
+    pub(super) fn lease_expired(&self, store_answer_at: u64, timing: &Timing) -> bool {
+        self.incarnation
+            .lease_from()
+            .is_some_and(|at| store_answer_at > at + timing.lease_expiry_ms())
     }
 }
--- a/crates/coordination/src/machine_health.rs
+++ b/crates/coordination/src/machine_health.rs
@@ -24,8 +24,8 @@
 #[derive(Debug)]
 pub(crate) struct MisroutedHeartbeats {
     /// ms for which a report counts.
-    keep_ms: u64,
-    /// When each came last, with its numbers.
+    retention_ms: u64,
+    /// When each came last, with its sequence.
     by_shard: BTreeMap<u16, HashMap<MachineId, (u64, MessageSequence)>>,
 }
 
@@ -33,7 +33,7 @@
     /// None yet; each counts for two report intervals.
     pub(crate) fn new(timing: &Timing) -> Self {
         Self {
-            keep_ms: 2 * timing.report_ms,
+            retention_ms: 2 * timing.report_ms,
             by_shard: BTreeMap::new(),
         }
     }
@@ -41,21 +41,23 @@
     /// A machine came: whether it had come a moment ago, so that it could not reach
     /// the holder, and whether this is news. Guards against a machine that seems to
     /// come since copies of its reports do.
-    pub(crate) fn came(
+    pub(crate) fn record(
         &mut self,
         shard: u16,
         machine: &MachineId,
-        numbers: MessageSequence,
+        sequence: MessageSequence,
         now: u64,
     ) -> (bool, bool) {
-        let here = self.by_shard.entry(shard).or_default();
-        let before = here.get(machine).filter(|(at, _)| now < at + self.keep_ms);
+        let machines = self.by_shard.entry(shard).or_default();
+        let previous = machines
+            .get(machine)
+            .filter(|(at, _)| now < at + self.retention_ms);
         let (again, news) = (
-            before.is_some(),
-            before.is_none_or(|(_, newest)| numbers > *newest),
+            previous.is_some(),
+            previous.is_none_or(|(_, newest)| sequence > *newest),
         );
         if news {
-            here.insert(machine.clone(), (now, numbers));
+            machines.insert(machine.clone(), (now, sequence));
         }
         (again, news)
     }
@@ -66,11 +68,13 @@
     }
 
     /// True if some came of late. Asked at every pump, so it counts none.
-    pub(crate) fn any(&mut self, shard: u16, now: u64) -> bool {
-        let Some(strays) = self.by_shard.get(&shard) else {
+    pub(crate) fn any_recent(&mut self, shard: u16, now: u64) -> bool {
+        let Some(machines) = self.by_shard.get(&shard) else {
             return false;
         };
-        let some = strays.values().any(|(at, _)| now <= at + self.keep_ms);
+        let some = machines
+            .values()
+            .any(|(at, _)| now <= at + self.retention_ms);
         if !some {
             self.forget(shard);
         }
@@ -78,12 +82,12 @@
     }
 
     /// How many came of late.
-    pub(crate) fn count(&mut self, shard: u16, now: u64) -> u32 {
-        let Some(strays) = self.by_shard.get_mut(&shard) else {
+    pub(crate) fn count_recent(&mut self, shard: u16, now: u64) -> u32 {
+        let Some(machines) = self.by_shard.get_mut(&shard) else {
             return 0;
         };
-        strays.retain(|_, (at, _)| now <= *at + self.keep_ms);
-        strays.len() as u32
+        machines.retain(|_, (at, _)| now <= *at + self.retention_ms);
+        machines.len() as u32
     }
 }
 
@@ -93,17 +97,17 @@
     /// Nothing says that it ever ran.
     Booting,
     /// Heard within the usual time.
-    InSight,
+    Healthy,
     /// Silent, others of its zone are not.
     Silent,
     /// Out of sight with its zone.
-    Hidden,
+    Partitioned,
     /// Heard within the usual time, but no answer reaches it.
-    Deaf,
+    Unreachable,
     /// Only a report or two that may be old tells of it.
-    Hearsay,
+    Unconfirmed,
     /// Silent for longer than it is worth waiting for.
-    GiveBack,
+    Release,
 }
 
 /// What is known of one zone.
@@ -111,25 +115,25 @@
 struct Zone {
     /// Machines with a sign of life, those of them that are late, and those that are
     /// late or that no answer reaches.
-    ran: usize,
+    known: usize,
     late: usize,
-    lost: usize,
+    unreachable: usize,
     /// When the leases of these have surely run out.
-    over_at: u64,
+    leases_expired_at: u64,
     /// Silence before this moment proves nothing.
-    floor: u64,
+    silence_floor: u64,
     /// Since when it is out of sight.
-    hidden: Option<u64>,
+    partitioned_since: Option<u64>,
     /// When it came back last.
-    returned: Option<u64>,
+    reconnected_at: Option<u64>,
     /// How long it was out of sight at most.
-    longest_ms: u64,
+    longest_partition_ms: u64,
 }
 
 /// What an owner knows of its zones.
 #[derive(Debug)]
 pub struct MachineFailureDetector {
-    started: u64,
+    acquired_at: u64,
     timing: Timing,
     /// Silence from which on a machine is not in sight, ms.
     silent_ms: u64,
@@ -141,7 +145,7 @@
     pub(crate) fn new(timing: Timing, silent_ms: u64, now: u64) -> Self {
         let silent_ms = silent_ms.max(2 * timing.report_ms + SILENT_SLACK_MS);
         Self {
-            started: now,
+            acquired_at: now,
             timing,
             silent_ms,
             zones: BTreeMap::new(),
@@ -149,81 +153,88 @@
     }
 
     /// This process stood still: silence meanwhile proves nothing.
-    pub(crate) fn stood_still(&mut self, now: u64) {
-        self.zones.values_mut().for_each(|z| z.floor = now);
+    pub(crate) fn handle_stall(&mut self, now: u64) {
+        self.zones.values_mut().for_each(|z| z.silence_floor = now);
     }
 
     /// ms since a machine last showed a sign of life; `None`: it never did.
-    fn silence(m: &Machine, zone: &Zone, now: u64) -> Option<u64> {
-        m.heard
-            .or(m.ran)
-            .map(|at| now.saturating_sub(at.max(zone.floor)))
+    fn silence_ms(m: &Machine, zone: &Zone, now: u64) -> Option<u64> {
+        m.last_heartbeat_at
+            .or(m.recorded_running_at)
+            .map(|at| now.saturating_sub(at.max(zone.silence_floor)))
     }
 
     /// When its lease has surely run out, if no other owner takes the part.
-    fn over_at(&self, m: &Machine) -> u64 {
+    fn lease_expired_at(&self, m: &Machine) -> u64 {
         let answered = m
-            .worker_session
-            .deaf_since()
-            .or(m.worker_session.leased_at());
-        answered.map_or(self.started + self.timing.inherited_ms(), |at| {
-            at + self.timing.dead_after_ms()
-        })
+            .incarnation
+            .unreachable_since()
+            .or(m.incarnation.lease_from());
+        answered.map_or(
+            self.acquired_at + self.timing.inherited_lease_expiry_ms(),
+            |at| at + self.timing.lease_expiry_ms(),
+        )
     }
 
     /// Looks at all machines again.
-    pub(crate) fn survey<'a>(&mut self, machines: impl Iterator<Item = &'a Machine>, now: u64) {
+    pub(crate) fn observe<'a>(&mut self, machines: impl Iterator<Item = &'a Machine>, now: u64) {
         for zone in self.zones.values_mut() {
-            (zone.ran, zone.late, zone.lost, zone.over_at) = (0, 0, 0, 0);
+            (
+                zone.known,
+                zone.late,
+                zone.unreachable,
+                zone.leases_expired_at,
+            ) = (0, 0, 0, 0);
         }
         let late_ms = self.timing.report_ms + self.timing.report_ms / 2;
         for m in machines {
-            let over_at = self.over_at(m);
+            let lease_expired_at = self.lease_expired_at(m);
             if !self.zones.contains_key(&m.zone) {
                 self.zones.insert(m.zone.clone(), Zone::default());
             }
             let Some(zone) = self.zones.get_mut(&m.zone) else {
                 continue;
             };
-            let Some(silence) = Self::silence(m, zone, now) else {
+            let Some(silence) = Self::silence_ms(m, zone, now) else {
                 continue;
             };
-            zone.ran += 1;
+            zone.known += 1;
             let late = silence > late_ms;
             zone.late += usize::from(late);
-            if late || m.worker_session.deaf_since().is_some() {
-                zone.lost += 1;
-                zone.over_at = zone.over_at.max(over_at);
+            if late || m.incarnation.unreachable_since().is_some() {
+                zone.unreachable += 1;
+                zone.leases_expired_at = zone.leases_expired_at.max(lease_expired_at);
             }
         }
         for (name, zone) in &mut self.zones {
             // Half of a zone does not fail machine by machine within seconds.
             // One missed report each is enough to say so, and it must be: the
             // first of them are given up for themselves soon after.
-            let out = zone.lost > MASS_SILENT && zone.lost * 2 > zone.ran;
-            match (zone.hidden, out) {
+            let out = zone.unreachable > MASS_SILENT && zone.unreachable * 2 > zone.known;
+            match (zone.partitioned_since, out) {
                 (None, true) => {
                     info!(
                         zone = name,
-                        lost = zone.lost,
-                        of = zone.ran,
+                        unreachable = zone.unreachable,
+                        known = zone.known,
                         "zone is out of sight"
                     );
-                    zone.hidden = Some(now.saturating_sub(late_ms));
+                    zone.partitioned_since = Some(now.saturating_sub(late_ms));
                 }
                 (Some(since), false) => {
                     info!(
                         zone = name,
-                        lost = zone.lost,
-                        of = zone.ran,
+                        unreachable = zone.unreachable,
+                        known = zone.known,
                         "zone is in sight again"
                     );
-                    zone.hidden = None;
-                    zone.returned = Some(now);
-                    zone.longest_ms = zone.longest_ms.max(now.saturating_sub(since));
+                    zone.partitioned_since = None;
+                    zone.reconnected_at = Some(now);
+                    zone.longest_partition_ms =
+                        zone.longest_partition_ms.max(now.saturating_sub(since));
                     // Guards against giving back what comes back a moment after
                     // the first half: its silence counts from now.
-                    zone.floor = now;
+                    zone.silence_floor = now;
                 }
                 _ => {}
             }
@@ -231,12 +242,12 @@
     }
 
     /// Machines with a sign of life, if most of them missed a report.
-    pub(crate) fn dark(&self) -> Option<usize> {
-        let (ran, late) = self
+    pub(crate) fn mostly_silent(&self) -> Option<usize> {
+        let (known, late) = self
             .zones
             .values()
-            .fold((0, 0), |(ran, late), z| (ran + z.ran, late + z.late));
-        (late > MASS_SILENT && late * 2 > ran).then_some(ran)
+            .fold((0, 0), |(known, late), z| (known + z.known, late + z.late));
+        (late > MASS_SILENT && late * 2 > known).then_some(known)
     }
 
     /// ms of silence after which a machine of a zone that is out of sight is
@@ -244,67 +255,70 @@
     /// From then on waiting costs rent, and giving back costs a boot and a
     /// fetch: who waits for as long as that costs pays at most twice the least,
     /// whenever the cut ends; and no less than the longest cut that was seen.
-    fn wait_ms(&self, m: &Machine, zone: &Zone, rebuild_ms: u64) -> u64 {
-        let over_ms = if m.heard.is_some() {
-            self.timing.dead_after_ms()
+    fn release_patience_ms(&self, m: &Machine, zone: &Zone, rebuild_ms: u64) -> u64 {
+        let over_ms = if m.last_heartbeat_at.is_some() {
+            self.timing.lease_expiry_ms()
         } else {
-            self.timing.inherited_ms()
+            self.timing.inherited_lease_expiry_ms()
         };
-        over_ms + (2 * rebuild_ms).max(zone.longest_ms)
+        over_ms + (2 * rebuild_ms).max(zone.longest_partition_ms)
     }
 
     /// The judgement of one machine. `rebuild_ms`: what booting a new one and
     /// fetching an image takes.
-    pub(crate) fn judge(&self, m: &Machine, rebuild_ms: u64, now: u64) -> HealthVerdict {
+    pub(crate) fn verdict(&self, m: &Machine, rebuild_ms: u64, now: u64) -> HealthVerdict {
         let fallback = Zone::default();
         let zone = self.zones.get(&m.zone).unwrap_or(&fallback);
-        let ordinary_ms = self.timing.dead_after_ms() + 2 * self.silent_ms;
-        if m.hearsay() {
+        let ordinary_ms = self.timing.lease_expiry_ms() + 2 * self.silent_ms;
+        if m.is_unconfirmed() {
             let first = m
-                .worker_session
-                .only_heard_of()
+                .incarnation
+                .unverified_since()
                 .map_or(now, |(first, _)| first);
             return if now > first + ordinary_ms {
-                HealthVerdict::GiveBack
+                HealthVerdict::Release
             } else {
-                HealthVerdict::Hearsay
+                HealthVerdict::Unconfirmed
             };
         }
-        let Some(silence) = Self::silence(m, zone, now) else {
+        let Some(silence) = Self::silence_ms(m, zone, now) else {
             return HealthVerdict::Booting;
         };
         // Its reports show that it was not taken. Work for it has ended with its
         // lease; until then it is waited for as for one that is silent.
-        if let Some(since) = m.worker_session.deaf_since() {
-            let patience = if zone.hidden.is_some() {
-                self.wait_ms(m, zone, rebuild_ms)
+        if let Some(since) = m.incarnation.unreachable_since() {
+            let patience = if zone.partitioned_since.is_some() {
+                self.release_patience_ms(m, zone, rebuild_ms)
             } else {
                 ordinary_ms
             };
-            return match now.saturating_sub(since.max(zone.floor)) {
-                ms if ms > patience => HealthVerdict::GiveBack,
-                _ if silence <= self.silent_ms => HealthVerdict::Deaf,
-                _ if zone.hidden.is_some() => HealthVerdict::Hidden,
+            return match now.saturating_sub(since.max(zone.silence_floor)) {
+                ms if ms > patience => HealthVerdict::Release,
+                _ if silence <= self.silent_ms => HealthVerdict::Unreachable,
+                _ if zone.partitioned_since.is_some() => HealthVerdict::Partitioned,
                 _ => HealthVerdict::Silent,
             };
         }
         if silence <= self.silent_ms {
-            return HealthVerdict::InSight;
+            return HealthVerdict::Healthy;
         }
         // A spot machine that is silent was mostly taken without notice. An
         // ordinary one mostly lost its network: its tasks go on until their
         // lease ends, and it may come back with its images.
-        let heard_of = m
-            .worker_session
-            .only_heard_of()
+        let recently_reported = m
+            .incarnation
+            .unverified_since()
             .is_some_and(|(_, last)| now <= last + self.silent_ms);
-        let (patience, state) = match zone.hidden {
-            Some(_) => (self.wait_ms(m, zone, rebuild_ms), HealthVerdict::Hidden),
-            None if m.spot && !heard_of => (self.silent_ms, HealthVerdict::Silent),
+        let (patience, state) = match zone.partitioned_since {
+            Some(_) => (
+                self.release_patience_ms(m, zone, rebuild_ms),
+                HealthVerdict::Partitioned,
+            ),
+            None if m.spot && !recently_reported => (self.silent_ms, HealthVerdict::Silent),
             None => (ordinary_ms, HealthVerdict::Silent),
         };
         if silence > patience {
-            HealthVerdict::GiveBack
+            HealthVerdict::Release
         } else {
             state
         }
@@ -317,28 +331,28 @@
         let returned = self
             .zones
             .get(&m.zone)
-            .and_then(|z| z.returned)
+            .and_then(|z| z.reconnected_at)
             .is_some_and(|at| now < at + RETURN_KEEP_MS);
-        returned || m.ran.is_some() && now < self.started + RETURN_KEEP_MS
+        returned || m.recorded_running_at.is_some() && now < self.acquired_at + RETURN_KEEP_MS
     }
 
     /// Zones that are out of sight.
-    pub(crate) fn hidden(&self, now: u64) -> Vec<PartitionedZone> {
-        let told = |(name, z): (&String, &Zone)| {
-            let since = z.hidden?;
+    pub(crate) fn partitioned_zones(&self, now: u64) -> Vec<PartitionedZone> {
+        let partition = |(name, z): (&String, &Zone)| {
+            let since = z.partitioned_since?;
             Some(PartitionedZone {
                 zone: name.clone(),
                 for_ms: now.saturating_sub(since),
-                over_in_ms: z.over_at.saturating_sub(now),
+                over_in_ms: z.leases_expired_at.saturating_sub(now),
             })
         };
-        self.zones.iter().filter_map(told).collect()
+        self.zones.iter().filter_map(partition).collect()
     }
 
     /// True once every lease that an earlier owner of the part could prolong
     /// has surely run out (`docs/design.md`, proof of end); `word`: when the
     /// last reading of the store began that showed us as the owner.
-    pub(crate) fn inherited_over(&self, word: u64) -> bool {
-        word > self.started + self.timing.inherited_ms()
+    pub(crate) fn inherited_leases_expired(&self, store_answer_at: u64) -> bool {
+        store_answer_at > self.acquired_at + self.timing.inherited_lease_expiry_ms()
     }
 }
--- a/crates/coordination/src/owner/commands.rs
+++ b/crates/coordination/src/owner/commands.rs
@@ -5,7 +5,7 @@
 impl Owner {
     /// True once every part has said what it wants of this owner.
     pub(super) fn all_heard(&self) -> bool {
-        self.askers.values().filter(|a| a.complete).count() >= usize::from(self.shards)
+        self.placers.values().filter(|a| a.complete).count() >= usize::from(self.shards)
     }
 
     /// The orders that a machine needs now.
@@ -14,7 +14,12 @@
     /// as when a process has no socket for it: an answer to a report prolongs
     /// the lease, so it carries every stop that is due, whatever calls were
     /// made. Only calls are spaced. A stop may be repeated (protocol page).
-    pub(super) fn orders(&mut self, machine: &MachineId, now: u64, by: Carrier) -> Vec<Command> {
+    pub(super) fn commands_for(
+        &mut self,
+        machine: &MachineId,
+        now: u64,
+        by: CommandChannel,
+    ) -> Vec<Command> {
         let all_heard = self.all_heard();
         let Some(m) = self.machines.get(machine) else {
             return Vec::new();
@@ -29,11 +34,11 @@
         let mut started = Vec::new();
         let mut killed = Vec::new();
         for (id, seen) in &m.tasks {
-            match self.held.get(id) {
+            match self.attempts.get(id) {
                 Some(h) => {
-                    let due =
-                        by.is_answer() || h.killed_at.is_none_or(|at| now >= at + KILL_REPEAT_MS);
-                    if let Some(grace) = h.ending()
+                    let due = by.is_response()
+                        || h.stop_sent_at.is_none_or(|at| now >= at + KILL_REPEAT_MS);
+                    if let Some(grace) = h.stop_grace_s()
                         && seen.phase != TaskPhase::Exited
                         && due
                     {
@@ -57,7 +62,7 @@
                 None if seen.phase == TaskPhase::Exited
                     && all_heard
                     && by.forgets()
-                    && m.settled() =>
+                    && m.calls_resolved() =>
                 {
                     orders.push(order(CommandKind::Forget, id, None))
                 }
@@ -66,27 +71,27 @@
         }
         // Guards also against work for a machine whose lease runs out: what hears no
         // answer is not kept alive by calls.
-        if by.starts() && m.worker_session.may_start(self.word) && !self.starts_held {
-            for (id, h) in self.here(machine) {
-                if h.awaits_start(id, m) {
+        if by.starts() && m.incarnation.may_launch(self.store_answer_at) && !self.launches_paused {
+            for (id, h) in self.attempts_on(machine) {
+                if h.awaits_launch(id, m) {
                     orders.push(order(CommandKind::Launch, id, None));
                     started.push(id.clone());
                 }
             }
         }
-        let session = m.worker_session.session();
+        let session = m.incarnation.session();
         for id in started {
-            if let Some(h) = self.held.get_mut(&id) {
-                h.stage = Stage::Accepted {
+            if let Some(h) = self.attempts.get_mut(&id) {
+                h.stage = AttemptStage::Accepted {
                     sent: Some(session),
                     seen: false,
                 };
             }
         }
-        if by == Carrier::Call {
+        if by == CommandChannel::Call {
             for id in killed {
-                if let Some(h) = self.held.get_mut(&id) {
-                    h.killed_at = Some(now);
+                if let Some(h) = self.attempts.get_mut(&id) {
+                    h.stop_sent_at = Some(now);
                 }
             }
         }
@@ -96,11 +101,11 @@
     /// Calls to workers that are due, `most` at the most: only machines that
     /// something happened to are looked at, and those that a call is still owed
     /// to. What finds no room waits for the end of another call.
-    pub fn calls(&mut self, now: u64, most: usize) -> Vec<CommandCall> {
+    pub fn due_calls(&mut self, now: u64, most: usize) -> Vec<CommandCall> {
         let mut calls = Vec::new();
-        for id in std::mem::take(&mut self.attention) {
+        for id in std::mem::take(&mut self.call_candidates) {
             if calls.len() >= most {
-                self.attention.insert(id);
+                self.call_candidates.insert(id);
                 continue;
             }
             let Some(m) = self.machines.get(&id) else {
@@ -108,57 +113,59 @@
             };
             // A silent machine would hold a call's place until it times out;
             // what it is owed is in the answer to its next report.
-            let heard = m.heard.is_some() && m.worker_session.session() > m.dead_session;
+            let heartbeat_seen =
+                m.last_heartbeat_at.is_some() && m.incarnation.session() > m.expired_session;
             // One that was only heard of is asked how it is.
-            let known = heard || m.heard.is_none() && m.worker_session.only_heard_of().is_some();
-            if m.silent || !known || m.releasing || m.answered_with_starts.is_some() {
+            let known = heartbeat_seen
+                || m.last_heartbeat_at.is_none() && m.incarnation.unverified_since().is_some();
+            if m.silent || !known || m.release_in_progress || m.launches_in_response_to.is_some() {
                 // The next report brings it back.
                 continue;
             }
-            if m.calling {
+            if m.call_in_progress {
                 // So does the end of the call.
                 continue;
             }
             // A token that can't rise could not fence a call of unknown fate.
-            let deaf = !m.worker_session.hears();
-            if now < m.call_after
-                || !m.worker_session.fences()
-                || deaf && self.deaf_calls >= DEAF_CALLS
+            let deaf = !m.incarnation.is_reachable();
+            if now < m.next_call_at
+                || !m.incarnation.can_fence()
+                || deaf && self.unreachable_calls >= DEAF_CALLS
             {
                 // What was only heard of is asked once for each word of it.
-                if heard {
-                    self.attention.insert(id);
+                if heartbeat_seen {
+                    self.call_candidates.insert(id);
                 }
                 continue;
             }
-            let Some(addr) = m.addr else { continue };
-            let fresh = m.worker_session.fresh();
+            let Some(addr) = m.address else { continue };
+            let fresh = m.incarnation.is_confirmed();
             let orders = if fresh {
-                self.orders(&id, now, Carrier::Call)
+                self.commands_for(&id, now, CommandChannel::Call)
             } else {
                 Vec::new()
             };
             if fresh && orders.is_empty() {
-                if self.stops_pending(&id) || self.starts_pending(&id) {
-                    self.attention.insert(id);
+                if self.stop_pending(&id) || self.launch_pending(&id) {
+                    self.call_candidates.insert(id);
                 }
                 continue;
             }
             let Some(m) = self.machines.get_mut(&id) else {
                 continue;
             };
-            m.calling = true;
-            m.deaf_call = deaf;
-            self.deaf_calls += usize::from(deaf);
+            m.call_in_progress = true;
+            m.unreachable_call = deaf;
+            self.unreachable_calls += usize::from(deaf);
             calls.push(CommandCall {
                 machine: id.clone(),
                 addr,
                 commands: CommandsRequest {
-                    token: m.worker_session.call(),
-                    session: m.worker_session.session_to_ask(),
+                    token: m.incarnation.begin_call(),
+                    session: m.incarnation.call_session(),
                     orders,
                 },
-                through: m.carried.map(|(by, _)| by),
+                through: m.relayed_by.map(|(by, _)| by),
             });
         }
         calls
@@ -166,28 +173,33 @@
 
     /// True if something is to be started on the machine that only waits for word from
     /// the store.
-    fn starts_pending(&self, machine: &MachineId) -> bool {
+    fn launch_pending(&self, machine: &MachineId) -> bool {
         self.machines.get(machine).is_some_and(|m| {
-            let held = self.starts_held || !m.worker_session.may_start(self.word);
-            m.worker_session.hears()
-                && held
-                && self.here(machine).any(|(id, h)| h.awaits_start(id, m))
+            let tracked = self.launches_paused || !m.incarnation.may_launch(self.store_answer_at);
+            m.incarnation.is_reachable()
+                && tracked
+                && self
+                    .attempts_on(machine)
+                    .any(|(id, h)| h.awaits_launch(id, m))
         })
     }
 
     /// True if a task on the machine shall end and has not: it is told again
     /// after a while.
-    pub(super) fn stops_pending(&self, machine: &MachineId) -> bool {
+    pub(super) fn stop_pending(&self, machine: &MachineId) -> bool {
         self.machines.get(machine).is_some_and(|m| {
             m.tasks.iter().any(|(id, seen)| {
                 seen.phase != TaskPhase::Exited
-                    && self.held.get(id).is_none_or(|h| h.ending().is_some())
+                    && self
+                        .attempts
+                        .get(id)
+                        .is_none_or(|h| h.stop_grace_s().is_some())
             })
         })
     }
 
     /// A call to a worker ended.
-    pub fn call_done(&mut self, call: &CommandCall, result: CommandResult, now: u64) {
+    pub fn handle_call_result(&mut self, call: &CommandCall, result: CommandResult, now: u64) {
         // Guards against an address that another machine has by now.
         let result = match result {
             CommandResult::Executed(report) | CommandResult::Refused(report)
@@ -200,32 +212,32 @@
         };
         let failed = !matches!(result, CommandResult::Executed(_));
         if failed {
-            self.untell(call);
+            self.reset_stop_times(call);
         }
         let Some(m) = self.machines.get_mut(&call.machine) else {
             return;
         };
-        m.calling = false;
-        self.deaf_calls -= usize::from(std::mem::take(&mut m.deaf_call));
+        m.call_in_progress = false;
+        self.unreachable_calls -= usize::from(std::mem::take(&mut m.unreachable_call));
         if failed {
             // One that has seen a newer token than the call is called again at once.
             let overtaken = matches!(&result, CommandResult::Refused(r) if r.token > call.commands.token && r.token >> FENCE_BITS == self.token);
-            let wait = if m.heard.is_some() {
+            let wait = if m.last_heartbeat_at.is_some() {
                 COMMAND_RETRY_MS
             } else {
                 2 * self.timing.report_ms
             };
-            m.call_after = if overtaken { now } else { now + wait };
+            m.next_call_at = if overtaken { now } else { now + wait };
         }
         match result {
             CommandResult::Executed(report) => {
-                self.take_report(&report, Origin::Answer, now);
+                self.apply_heartbeat(&report, Origin::Response, now);
             }
             CommandResult::Refused(report) => {
-                self.unsend(call);
-                self.take_report(&report, Origin::Answer, now);
+                self.reset_launches(call);
+                self.apply_heartbeat(&report, Origin::Response, now);
             }
-            CommandResult::NotSent => self.unsend(call),
+            CommandResult::NotSent => self.reset_launches(call),
             // What had no orders can bring none late.
             CommandResult::Unknown if call.commands.orders.is_empty() => {}
             CommandResult::Unknown => {
@@ -239,18 +251,19 @@
                     .iter()
                     .any(|o| o.verb == CommandKind::Launch)
                 {
-                    m.lost_start = Some(now);
+                    m.unresolved_launch_at = Some(now);
                 }
-                m.ambiguous = Some(m.ambiguous.map_or(sent, |t| t.max(sent)));
-                m.worker_session.fence_off(sent, now);
+                m.unresolved_call_token =
+                    Some(m.unresolved_call_token.map_or(sent, |t| t.max(sent)));
+                m.incarnation.fence_call(sent, now);
             }
         }
-        self.judge(&call.machine, now);
+        self.reevaluate(&call.machine, now);
     }
 
     /// Takes back the notes of stops that may not have been executed: they are
     /// due again as soon as the machine may be called.
-    fn untell(&mut self, call: &CommandCall) {
+    fn reset_stop_times(&mut self, call: &CommandCall) {
         for o in call
             .commands
             .orders
@@ -258,20 +271,20 @@
             .filter(|o| o.verb == CommandKind::Kill)
         {
             if let Some(h) =
-                AttemptId::parse(&o.piece, o.attempt).and_then(|id| self.held.get_mut(&id))
+                AttemptId::parse(&o.piece, o.attempt).and_then(|id| self.attempts.get_mut(&id))
             {
-                h.killed_at = None;
+                h.stop_sent_at = None;
             }
         }
     }
 
     /// Takes back the notes of starts that were surely not executed.
-    pub(super) fn unsend(&mut self, call: &CommandCall) {
-        let ambiguous = self
+    pub(super) fn reset_launches(&mut self, call: &CommandCall) {
+        let unresolved_call_token = self
             .machines
             .get(&call.machine)
-            .is_some_and(|m| m.ambiguous.is_some());
-        if ambiguous {
+            .is_some_and(|m| m.unresolved_call_token.is_some());
+        if unresolved_call_token {
             return;
         }
         for o in call
@@ -281,10 +294,10 @@
             .filter(|o| o.verb == CommandKind::Launch)
         {
             if let Some(id) = AttemptId::parse(&o.piece, o.attempt)
-                && let Some(h) = self.held.get_mut(&id)
-                && matches!(h.stage, Stage::Accepted { seen: false, .. })
+                && let Some(h) = self.attempts.get_mut(&id)
+                && matches!(h.stage, AttemptStage::Accepted { seen: false, .. })
             {
-                h.stage = Stage::Accepted {
+                h.stage = AttemptStage::Accepted {
                     sent: None,
                     seen: false,
                 };
--- a/crates/coordination/src/owner/last_copies.rs
+++ b/crates/coordination/src/owner/last_copies.rs
@@ -1,38 +1,37 @@
 //! Which machines are given back last: those with the last copy of a service's
 //! weights in their zone, while others can go.
 
-use super::maintenance::hopeless;
+use super::maintenance::not_worth_keeping;
 use super::*;
 
 impl Owner {
     /// Learns which images services use.
-    pub fn set_needed(&mut self, images: BTreeSet<String>) {
-        self.needed = images;
-        self.copies_at = 0;
+    pub fn set_service_images(&mut self, images: BTreeSet<String>) {
+        self.service_images = images;
+        self.last_copies_checked_at = 0;
     }
 
     /// Looks, now and then, at which machines hold the last copy of such an image in
     /// their zone.
-    pub(super) fn look_for_copies(&mut self, now: u64) {
-        if now < self.copies_at + LAST_COPIES_EVERY_MS {
+    pub(super) fn find_last_copies(&mut self, now: u64) {
+        if now < self.last_copies_checked_at + LAST_COPIES_EVERY_MS {
             return;
         }
-        self.copies_at = now;
+        self.last_copies_checked_at = now;
         self.last_copies.clear();
-        if self.needed.is_empty() {
+        if self.service_images.is_empty() {
             return;
         }
         let mut only: HashMap<(&str, &str), Option<&MachineId>> = HashMap::new();
         // What leaves anyway keeps nothing.
-        for (id, m) in self
-            .machines
-            .iter()
-            .filter(|(_, m)| m.heard.is_some() && !(m.closing || m.release_wanted || m.notice))
-        {
+        for (id, m) in self.machines.iter().filter(|(_, m)| {
+            m.last_heartbeat_at.is_some()
+                && !(m.scale_in_pending || m.release_requested || m.termination_notice)
+        }) {
             for (image, _) in m
                 .images
                 .iter()
-                .filter(|(image, _)| self.needed.contains(image))
+                .filter(|(image, _)| self.service_images.contains(image))
             {
                 only.entry((m.zone.as_str(), image.as_str()))
                     .and_modify(|one| *one = None)
@@ -45,19 +44,20 @@
     /// A machine with a last copy whose time is over changes places with an empty one
     /// of its type, zone and kind that has none: as many are given back as before,
     /// and the weights stay.
-    pub(super) fn spare_last_copies(&mut self) {
+    pub(super) fn keep_last_copies(&mut self) {
         let spared: Vec<MachineId> = self
-            .to_close
+            .scale_in_candidates
             .iter()
             .filter(|id| self.last_copies.contains(*id))
             .cloned()
             .collect();
         for id in spared {
-            let Some(m) = self.machines.get(&id).filter(|m| !hopeless(m)) else {
+            let Some(m) = self.machines.get(&id).filter(|m| !not_worth_keeping(m)) else {
                 continue;
             };
-            let alike =
-                |o: &Machine| (&o.kind, &o.zone, o.spot) == (&m.kind, &m.zone, m.spot) && o.open();
+            let alike = |o: &Machine| {
+                (&o.kind, &o.zone, o.spot) == (&m.kind, &m.zone, m.spot) && o.is_schedulable()
+            };
             let others = self.machines.iter().filter(|(other, o)| {
                 o.idle_since.is_some() && alike(o) && !self.last_copies.contains(*other)
             });
@@ -68,13 +68,13 @@
                 continue;
             };
             info!(machine = %id, instead = %other, shard = self.shard, "last copy of a service's weights in its zone; another machine goes");
-            self.to_close.remove(&id);
-            self.to_close.insert(other.clone());
-            for (id, closing, idle_since) in [(id, false, since), (other, true, since)] {
+            self.scale_in_candidates.remove(&id);
+            self.scale_in_candidates.insert(other.clone());
+            for (id, scale_in_pending, idle_since) in [(id, false, since), (other, true, since)] {
                 if let Some(m) = self.machines.get_mut(&id) {
-                    (m.closing, m.idle_since) = (closing, idle_since);
+                    (m.scale_in_pending, m.idle_since) = (scale_in_pending, idle_since);
                 }
-                self.stale.insert(id);
+                self.changed_machines.insert(id);
             }
         }
     }
--- a/crates/coordination/src/owner/orphaned_grants.rs
+++ b/crates/coordination/src/owner/orphaned_grants.rs
@@ -9,14 +9,19 @@
     ///
     /// Guards against taking a part for lost that was taken after the reading: the
     /// reading must be at least as new as the token.
-    pub fn watch_placers(&mut self, holders: &BTreeMap<u16, ShardLeader>, revision: u64, now: u64) {
-        for (shard, asker) in &mut self.askers {
-            let lost = revision >= asker.token
-                && holders.get(shard).is_none_or(|h| h.token != asker.token);
+    pub fn observe_leaders(
+        &mut self,
+        holders: &BTreeMap<u16, ShardLeader>,
+        revision: u64,
+        now: u64,
+    ) {
+        for (shard, placer) in &mut self.placers {
+            let lost = revision >= placer.token
+                && holders.get(shard).is_none_or(|h| h.token != placer.token);
             if !lost {
-                asker.lost = None;
-            } else if asker.lost.is_none() {
-                asker.lost = Some(now);
+                placer.lease_lost_at = None;
+            } else if placer.lease_lost_at.is_none() {
+                placer.lease_lost_at = Some(now);
                 info!(
                     shard = self.shard,
                     placer = shard,
@@ -31,10 +36,10 @@
     /// still finish the gang, and one that comes later learns that the room is gone
     /// and releases the rest. What was launched, or may have been, ends by its
     /// machine's proof alone.
-    pub(super) fn free_orphans(&mut self, now: u64) {
-        let due = |a: &Asker| a.lost.is_some_and(|at| now >= at + ORPHAN_ROOM_MS);
+    pub(super) fn release_orphaned_grants(&mut self, now: u64) {
+        let due = |a: &PlacerSession| a.lease_lost_at.is_some_and(|at| now >= at + ORPHAN_ROOM_MS);
         let lost: BTreeSet<u16> = self
-            .askers
+            .placers
             .iter()
             .filter(|(_, a)| due(a))
             .map(|(shard, _)| *shard)
@@ -42,38 +47,38 @@
         if lost.is_empty() {
             return;
         }
-        let unused = |h: &Held| {
-            !h.want.go
+        let unused = |h: &TrackedAttempt| {
+            !h.desired.go
                 && matches!(
                     h.stage,
-                    Stage::Waiting(_)
-                        | Stage::Accepted {
+                    AttemptStage::AwaitingPreemption(_)
+                        | AttemptStage::Accepted {
                             sent: None,
                             seen: false
                         }
                 )
         };
-        let here = |id: &AttemptId, h: &Held| {
+        let here = |id: &AttemptId, h: &TrackedAttempt| {
             self.machines
-                .get(&h.want.machine)
+                .get(&h.desired.machine)
                 .is_some_and(|m| m.tasks.contains_key(id))
         };
         let orphans: Vec<AttemptId> = self
-            .held
+            .attempts
             .iter()
             .filter(|(id, h)| lost.contains(&h.from) && unused(h) && !here(id, h))
             .map(|(id, _)| id.clone())
             .collect();
         for id in orphans {
-            let Some(held) = self.held.get_mut(&id) else {
+            let Some(tracked) = self.attempts.get_mut(&id) else {
                 continue;
             };
-            info!(attempt = %id, machine = %held.want.machine, shard = self.shard, "its placer is gone; its room is free");
-            held.stage = Stage::Ended(AttemptState::Refused);
-            let (machine, from) = (held.want.machine.clone(), held.from);
-            self.dirty.insert(from);
-            self.note_end(&machine, &id, AttemptState::Refused, now);
-            self.judge(&machine, now);
+            info!(attempt = %id, machine = %tracked.desired.machine, shard = self.shard, "its placer is gone; its room is free");
+            tracked.stage = AttemptStage::Ended(AttemptState::Refused);
+            let (machine, from) = (tracked.desired.machine.clone(), tracked.from);
+            self.changed_placers.insert(from);
+            self.record_outcome(&machine, &id, AttemptState::Refused, now);
+            self.reevaluate(&machine, now);
         }
     }
 }
--- a/crates/coordination/src/owner/preemption.rs
+++ b/crates/coordination/src/owner/preemption.rs
@@ -6,110 +6,123 @@
     /// Tells those to leave that an attempt may push out, if that makes room
     /// for it: what is over its guarantee first, then the lowest priority, then
     /// those past their start, and of these the youngest, who lose least.
-    pub(super) fn push_out(&mut self, id: &AttemptId, now: u64) -> bool {
-        let Some(held) = self.held.get(id) else {
+    pub(super) fn preempt_for(&mut self, id: &AttemptId, now: u64) -> bool {
+        let Some(tracked) = self.attempts.get(id) else {
             return false;
         };
-        let want = held.want.clone();
+        let desired = tracked.desired.clone();
         let Some(m) = self
             .machines
-            .get(&want.machine)
-            .filter(|m| m.open() && m.worker_session.session() > m.dead_session)
+            .get(&desired.machine)
+            .filter(|m| m.is_schedulable() && m.incarnation.session() > m.expired_session)
         else {
             return false;
         };
-        if self.crowded(m) {
+        if self.has_unclaimed_tasks(m) {
             return false;
         }
         // Those who leave already make room for those who wait already.
         let claimed = self
-            .here(&want.machine)
-            .filter(|(_, h)| matches!(h.stage, Stage::Waiting(_)))
-            .fold(Resources::default(), |s, (_, h)| s.plus(&h.want.need));
+            .attempts_on(&desired.machine)
+            .filter(|(_, h)| matches!(h.stage, AttemptStage::AwaitingPreemption(_)))
+            .fold(Resources::default(), |s, (_, h)| s.plus(&h.desired.need));
         let staying = self
-            .here(&want.machine)
-            .filter(|(_, h)| matches!(h.stage, Stage::Accepted { .. }) && h.ending().is_none())
-            .fold(Resources::default(), |s, (_, h)| s.plus(&h.want.need));
-        let mut free = m.room.minus(&claimed.plus(&staying));
+            .attempts_on(&desired.machine)
+            .filter(|(_, h)| {
+                matches!(h.stage, AttemptStage::Accepted { .. }) && h.stop_grace_s().is_none()
+            })
+            .fold(Resources::default(), |s, (_, h)| s.plus(&h.desired.need));
+        let mut free = m.capacity.minus(&claimed.plus(&staying));
         let mut candidates: Vec<(bool, Priority, bool, u64, AttemptId, Resources)> = self
-            .here(&want.machine)
-            .filter(|(_, h)| matches!(h.stage, Stage::Accepted { .. }) && h.ending().is_none())
-            .filter(|(_, h)| want.evict.allows(&want.team, want.rank, &h.want))
+            .attempts_on(&desired.machine)
+            .filter(|(_, h)| {
+                matches!(h.stage, AttemptStage::Accepted { .. }) && h.stop_grace_s().is_none()
+            })
+            .filter(|(_, h)| {
+                desired
+                    .evict
+                    .allows(&desired.team, desired.rank, &h.desired)
+            })
             .map(|(id, h)| {
                 (
-                    h.want.over,
-                    h.want.rank,
-                    now > h.since + FRESH_START_MS,
-                    h.since,
+                    h.desired.over,
+                    h.desired.rank,
+                    now > h.tracked_since + FRESH_START_MS,
+                    h.tracked_since,
                     id.clone(),
-                    h.want.need,
+                    h.desired.need,
                 )
             })
             .collect();
         candidates.sort_unstable();
         let mut victims = Vec::new();
-        while !free.covers(&want.need) {
+        while !free.covers(&desired.need) {
             let Some((_, _, _, _, victim, room)) = candidates.pop() else {
                 return false;
             };
             free = free.plus(&room);
             victims.push(victim);
         }
-        self.pushed_out += victims.len() as u64;
+        self.preempted_attempts += victims.len() as u64;
         for victim in victims {
-            if let Some(h) = self.held.get_mut(&victim) {
-                info!(attempt = %victim, machine = %want.machine, shard = self.shard, by = %id, "pushed out");
-                let grace = if want.rank == Priority::Production {
+            if let Some(h) = self.attempts.get_mut(&victim) {
+                info!(attempt = %victim, machine = %desired.machine, shard = self.shard, by = %id, "pushed out");
+                let grace = if desired.rank == Priority::Production {
                     0
                 } else {
-                    h.want.grace
+                    h.desired.grace
                 };
-                h.evicted = Some(grace);
-                h.killed_at = None;
+                h.preemption_grace_s = Some(grace);
+                h.stop_sent_at = None;
             }
-            self.judge_one(&victim, now);
+            self.reevaluate_attempt(&victim, now);
         }
         true
     }
 
     /// True if a task is on the machine that nobody has claimed yet.
-    pub(super) fn crowded(&self, m: &Machine) -> bool {
+    pub(super) fn has_unclaimed_tasks(&self, m: &Machine) -> bool {
         m.tasks
             .iter()
-            .any(|(id, seen)| seen.phase != TaskPhase::Exited && !self.held.contains_key(id))
+            .any(|(id, seen)| seen.phase != TaskPhase::Exited && !self.attempts.contains_key(id))
     }
 
     /// Room not taken by the accepted attempts other than this one.
-    pub(super) fn room_without(&self, machine: &MachineId, id: &AttemptId) -> Resources {
-        let Some(m) = self.machines.get(machine).filter(|m| !self.crowded(m)) else {
+    pub(super) fn free_without(&self, machine: &MachineId, id: &AttemptId) -> Resources {
+        let Some(m) = self
+            .machines
+            .get(machine)
+            .filter(|m| !self.has_unclaimed_tasks(m))
+        else {
             return Resources::default();
         };
         let taken = self
-            .here(machine)
-            .filter(|(other, h)| *other != id && matches!(h.stage, Stage::Accepted { .. }))
-            .fold(Resources::default(), |sum, (_, h)| sum.plus(&h.want.need));
-        m.room.minus(&taken)
+            .attempts_on(machine)
+            .filter(|(other, h)| *other != id && matches!(h.stage, AttemptStage::Accepted { .. }))
+            .fold(Resources::default(), |sum, (_, h)| {
+                sum.plus(&h.desired.need)
+            });
+        m.capacity.minus(&taken)
     }
 
     /// Room of the attempts that each priority may push out, without and with
     /// what teams run beyond their guarantees.
-    pub(super) fn soft(&self, machine: &MachineId) -> ([Resources; 3], [Resources; 3]) {
+    pub(super) fn preemptible(&self, machine: &MachineId) -> ([Resources; 3], [Resources; 3]) {
         let (mut lower, mut over) = ([Resources::default(); 3], [Resources::default(); 3]);
-        for (_, h) in self
-            .here(machine)
-            .filter(|(_, h)| matches!(h.stage, Stage::Accepted { .. }) && h.ending().is_none())
-        {
+        for (_, h) in self.attempts_on(machine).filter(|(_, h)| {
+            matches!(h.stage, AttemptStage::Accepted { .. }) && h.stop_grace_s().is_none()
+        }) {
             for rank in 0..3 {
-                let below = h.want.rank.index() > rank;
-                if below && h.want.over {
-                    lower[rank] = lower[rank].plus(&h.want.need);
+                let below = h.desired.rank.index() > rank;
+                if below && h.desired.over {
+                    lower[rank] = lower[rank].plus(&h.desired.need);
                 }
                 if below
-                    || h.want.over
-                        && h.want.rank.index() == rank
-                        && h.want.rank != Priority::Production
+                    || h.desired.over
+                        && h.desired.rank.index() == rank
+                        && h.desired.rank != Priority::Production
                 {
-                    over[rank] = over[rank].plus(&h.want.need);
+                    over[rank] = over[rank].plus(&h.desired.need);
                 }
             }
         }
@@ -119,32 +132,43 @@
     /// Room not taken by accepted attempts. Tasks that nobody has claimed yet
     /// have unknown needs, so a machine with such a task has no room.
     pub(super) fn free(&self, machine: &MachineId) -> Resources {
-        let Some(m) = self.machines.get(machine).filter(|m| !self.crowded(m)) else {
+        let Some(m) = self
+            .machines
+            .get(machine)
+            .filter(|m| !self.has_unclaimed_tasks(m))
+        else {
             return Resources::default();
         };
-        self.here(machine)
-            .filter(|(_, h)| matches!(h.stage, Stage::Accepted { .. } | Stage::Waiting(_)))
-            .fold(m.room, |free, (_, h)| free.minus(&h.want.need))
+        self.attempts_on(machine)
+            .filter(|(_, h)| {
+                matches!(
+                    h.stage,
+                    AttemptStage::Accepted { .. } | AttemptStage::AwaitingPreemption(_)
+                )
+            })
+            .fold(m.capacity, |free, (_, h)| free.minus(&h.desired.need))
     }
 
-    pub(super) fn busy(&self, machine: &MachineId) -> usize {
-        let held = self
-            .here(machine)
-            .filter(|(_, h)| !matches!(h.stage, Stage::Ended(_)))
+    pub(super) fn occupant_count(&self, machine: &MachineId) -> usize {
+        let tracked = self
+            .attempts_on(machine)
+            .filter(|(_, h)| !matches!(h.stage, AttemptStage::Ended(_)))
             .count();
         let unclaimed = self.machines.get(machine).map_or(0, |m| {
             m.tasks
                 .iter()
-                .filter(|(id, seen)| seen.phase != TaskPhase::Exited && !self.held.contains_key(id))
+                .filter(|(id, seen)| {
+                    seen.phase != TaskPhase::Exited && !self.attempts.contains_key(id)
+                })
                 .count()
         });
-        held + unclaimed
+        tracked + unclaimed
     }
 
-    pub(super) fn lasting(&self, machine: &MachineId) -> u16 {
+    pub(super) fn service_replicas(&self, machine: &MachineId) -> u16 {
         let count = self
-            .here(machine)
-            .filter(|(_, h)| h.want.lasting && !matches!(h.stage, Stage::Ended(_)))
+            .attempts_on(machine)
+            .filter(|(_, h)| h.desired.lasting && !matches!(h.stage, AttemptStage::Ended(_)))
             .count();
         count.min(usize::from(u16::MAX)) as u16
     }
--- a/crates/coordination/src/owner/proof.rs
+++ b/crates/coordination/src/owner/proof.rs
@@ -4,54 +4,54 @@
 
 impl Owner {
     /// Re-judges all attempts of a machine.
-    pub(super) fn judge(&mut self, machine: &MachineId, now: u64) {
-        self.touch(machine);
+    pub(super) fn reevaluate(&mut self, machine: &MachineId, now: u64) {
+        self.mark_changed(machine);
         let ids: Vec<AttemptId> = self
-            .on
+            .attempts_by_machine
             .get(machine)
             .into_iter()
             .flatten()
             .cloned()
             .collect();
         for id in &ids {
-            self.judge_one(id, now);
+            self.reevaluate_attempt(id, now);
         }
         // Those who wait may have got their room from an end just found.
         for id in &ids {
             if self
-                .held
+                .attempts
                 .get(id)
-                .is_some_and(|h| matches!(h.stage, Stage::Waiting(_)))
+                .is_some_and(|h| matches!(h.stage, AttemptStage::AwaitingPreemption(_)))
             {
-                self.judge_one(id, now);
+                self.reevaluate_attempt(id, now);
             }
         }
         self.update_idle(machine, now);
     }
 
-    pub(super) fn judge_one(&mut self, id: &AttemptId, now: u64) {
-        let Some(held) = self.held.get(id) else {
+    pub(super) fn reevaluate_attempt(&mut self, id: &AttemptId, now: u64) {
+        let Some(tracked) = self.attempts.get(id) else {
             return;
         };
-        if matches!(held.stage, Stage::Ended(_)) {
+        if matches!(tracked.stage, AttemptStage::Ended(_)) {
             return;
         }
-        let machine = held.want.machine.clone();
-        let mut stage = self.next_stage(id, held, now);
-        if held.stage == Stage::Unjudged
-            && stage == Stage::Ended(AttemptState::Refused)
-            && self.push_out(id, now)
+        let machine = tracked.desired.machine.clone();
+        let mut stage = self.next_stage(id, tracked, now);
+        if tracked.stage == AttemptStage::Undecided
+            && stage == AttemptStage::Ended(AttemptState::Refused)
+            && self.preempt_for(id, now)
         {
-            stage = Stage::Waiting(now);
+            stage = AttemptStage::AwaitingPreemption(now);
         }
-        let Some(held) = self.held.get(id) else {
+        let Some(tracked) = self.attempts.get(id) else {
             return;
         };
         let (image, mb, from, same) = (
-            held.want.image.clone(),
-            held.want.image_mb,
-            held.from,
-            stage == held.stage,
+            tracked.desired.image.clone(),
+            tracked.desired.image_mb,
+            tracked.from,
+            stage == tracked.stage,
         );
         // A fetch that is given up leaves nothing: only a task that got past it
         // shows that the machine has the image.
@@ -68,11 +68,15 @@
         };
         if let Some(m) = self.machines.get_mut(&machine) {
             if past_fetch(m) {
-                let cache_mb = self.caches.get(&m.kind).copied().unwrap_or(u64::MAX);
+                let cache_mb = self
+                    .image_cache_mb
+                    .get(&m.kind)
+                    .copied()
+                    .unwrap_or(u64::MAX);
                 m.remember_image(&image, mb, cache_mb);
             } else if fetches(m) && m.forget_image(&image) {
                 info!(machine = %machine, shard = self.shard, image, "image was noted and is not there");
-                self.stale.insert(machine.clone());
+                self.changed_machines.insert(machine.clone());
             }
         }
         if self
@@ -81,149 +85,167 @@
             .and_then(|m| m.tasks.get(id))
             .is_some_and(|t| t.phase == TaskPhase::Running)
         {
-            self.note_running(&machine, id, now);
+            self.record_running(&machine, id, now);
         }
         if same {
             return;
         }
         if matches!(
             stage,
-            Stage::Accepted {
+            AttemptStage::Accepted {
                 sent: None,
                 seen: false
             }
         ) {
             // Idle work is always there: it does not tell that the part is busy.
             if self
-                .held
+                .attempts
                 .get(id)
-                .is_some_and(|h| h.want.rank != Priority::Low)
+                .is_some_and(|h| h.desired.rank != Priority::Low)
             {
-                self.accepted_at = now;
+                self.last_accepted_at = now;
             }
             // Guards against a whole array on a machine that is on trial.
-            if let Some(aside) = self
+            if let Some(quarantine) = self
                 .machines
                 .get_mut(&machine)
-                .and_then(|m| m.aside.as_mut())
+                .and_then(|m| m.quarantine.as_mut())
             {
-                aside.trial = Some(id.clone());
-                self.stale.insert(machine.clone());
+                quarantine.trial_attempt = Some(id.clone());
+                self.changed_machines.insert(machine.clone());
             }
         }
-        if let Stage::Ended(standing) = stage {
-            info!(attempt = %id, machine = %machine, shard = self.shard, ?standing, "attempt is over");
-            self.refused += u64::from(standing == AttemptState::Refused);
-            self.note_end(&machine, id, standing, now);
+        if let AttemptStage::Ended(state) = stage {
+            info!(attempt = %id, machine = %machine, shard = self.shard, ?state, "attempt is over");
+            self.refused_placements += u64::from(state == AttemptState::Refused);
+            self.record_outcome(&machine, id, state, now);
         }
-        self.dirty.insert(from);
-        if let Some(h) = self.held.get_mut(id) {
+        self.changed_placers.insert(from);
+        if let Some(h) = self.attempts.get_mut(id) {
             h.stage = stage;
         }
     }
 
-    pub(super) fn next_stage(&self, id: &AttemptId, held: &Held, now: u64) -> Stage {
-        if self.gone.contains(&held.want.machine) {
-            return Stage::Ended(AttemptState::Gone);
+    pub(super) fn next_stage(
+        &self,
+        id: &AttemptId,
+        tracked: &TrackedAttempt,
+        now: u64,
+    ) -> AttemptStage {
+        if self.released_machines.contains(&tracked.desired.machine) {
+            return AttemptStage::Ended(AttemptState::Gone);
         }
-        let inherited = self.sight.inherited_over(self.word);
+        let inherited = self
+            .failure_detector
+            .inherited_leases_expired(self.store_answer_at);
         let when = |over: bool| {
             if over {
-                Stage::Ended(AttemptState::Gone)
+                AttemptStage::Ended(AttemptState::Gone)
             } else {
-                held.stage
+                tracked.stage
             }
         };
-        let Some(m) = self.machines.get(&held.want.machine) else {
+        let Some(m) = self.machines.get(&tracked.desired.machine) else {
             return when(inherited);
         };
         // Nobody of ours ever spoke to it: what ran there was kept alive by
         // earlier owners, whose answers have all run out after a while. So have
         // ours to what may have been its reports.
-        if m.heard.is_none() {
+        if m.last_heartbeat_at.is_none() {
             return when(
                 inherited
-                    && (m.worker_session.leased_at().is_none() || m.dead(self.word, &self.timing)),
+                    && (m.incarnation.lease_from().is_none()
+                        || m.lease_expired(self.store_answer_at, &self.timing)),
             );
         }
         if let Some(seen) = m.tasks.get(id) {
             return match seen.cause {
-                Some(cause) => Stage::Ended(AttemptState::Exited(cause)),
-                None => Stage::Accepted {
-                    sent: Some(m.worker_session.session()),
+                Some(cause) => AttemptStage::Ended(AttemptState::Exited(cause)),
+                None => AttemptStage::Accepted {
+                    sent: Some(m.incarnation.session()),
                     seen: true,
                 },
             };
         }
         // Absence proves something only once the worker has shown our token:
         // before that, an order of an earlier owner may still arrive.
-        if !m.worker_session.fresh() {
-            return held.stage;
+        if !m.incarnation.is_confirmed() {
+            return tracked.stage;
         }
-        match held.stage {
-            Stage::Unjudged if held.ending().is_some() => Stage::Ended(AttemptState::Gone),
-            Stage::Unjudged => {
-                let fits = m.open()
-                    && m.worker_session.session() > m.dead_session
-                    && self.free(&held.want.machine).covers(&held.want.need);
+        match tracked.stage {
+            AttemptStage::Undecided if tracked.stop_grace_s().is_some() => {
+                AttemptStage::Ended(AttemptState::Gone)
+            }
+            AttemptStage::Undecided => {
+                let fits = m.is_schedulable()
+                    && m.incarnation.session() > m.expired_session
+                    && self
+                        .free(&tracked.desired.machine)
+                        .covers(&tracked.desired.need);
                 if fits {
-                    Stage::Accepted {
+                    AttemptStage::Accepted {
                         sent: None,
                         seen: false,
                     }
                 } else {
-                    Stage::Ended(AttemptState::Refused)
+                    AttemptStage::Ended(AttemptState::Refused)
                 }
             }
-            Stage::Waiting(_) if held.ending().is_some() => Stage::Ended(AttemptState::Gone),
-            Stage::Waiting(since) => {
-                if !m.open()
-                    || m.worker_session.session() <= m.dead_session
+            AttemptStage::AwaitingPreemption(_) if tracked.stop_grace_s().is_some() => {
+                AttemptStage::Ended(AttemptState::Gone)
+            }
+            AttemptStage::AwaitingPreemption(since) => {
+                if !m.is_schedulable()
+                    || m.incarnation.session() <= m.expired_session
                     || now > since + EVICT_WAIT_MS
                 {
-                    return Stage::Ended(AttemptState::Refused);
+                    return AttemptStage::Ended(AttemptState::Refused);
                 }
                 // Its own claim is part of what is taken.
-                let free = self.room_without(&held.want.machine, id);
-                if free.covers(&held.want.need) {
-                    Stage::Accepted {
+                let free = self.free_without(&tracked.desired.machine, id);
+                if free.covers(&tracked.desired.need) {
+                    AttemptStage::Accepted {
                         sent: None,
                         seen: false,
                     }
                 } else {
-                    held.stage
+                    tracked.stage
                 }
             }
-            Stage::Accepted { sent: None, .. } if held.ending().is_some() => {
-                Stage::Ended(AttemptState::Gone)
+            AttemptStage::Accepted { sent: None, .. } if tracked.stop_grace_s().is_some() => {
+                AttemptStage::Ended(AttemptState::Gone)
             }
-            Stage::Accepted { sent: None, .. } if m.dead(self.word, &self.timing) => {
-                Stage::Ended(AttemptState::Gone)
+            AttemptStage::Accepted { sent: None, .. }
+                if m.lease_expired(self.store_answer_at, &self.timing) =>
+            {
+                AttemptStage::Ended(AttemptState::Gone)
             }
             // It would wait for a machine that hears nothing; nothing was sent.
-            Stage::Accepted { sent: None, .. } if m.worker_session.deaf_since().is_some() => {
-                Stage::Ended(AttemptState::Gone)
+            AttemptStage::Accepted { sent: None, .. }
+                if m.incarnation.unreachable_since().is_some() =>
+            {
+                AttemptStage::Ended(AttemptState::Gone)
             }
-            Stage::Accepted {
+            AttemptStage::Accepted {
                 sent: Some(session),
                 ..
-            } if session < m.worker_session.session() => Stage::Ended(AttemptState::Gone),
+            } if session < m.incarnation.session() => AttemptStage::Ended(AttemptState::Gone),
             // Guards against a start that a new life took which nobody has heard yet: its
             // lease began after our last answer, though before the call.
-            Stage::Accepted {
+            AttemptStage::Accepted {
                 sent: Some(session),
                 seen,
-            } if session <= m.dead_session => when(seen || m.lost_start.is_none()),
-            Stage::Accepted {
+            } if session <= m.expired_session => when(seen || m.unresolved_launch_at.is_none()),
+            AttemptStage::Accepted {
                 sent: Some(_),
                 seen,
-            } if m.settled() => {
+            } if m.calls_resolved() => {
                 // Guards against a start order that arrives late: only a
                 // machine with no order of unknown fate proves absence.
-                if seen || held.ending().is_some() {
-                    Stage::Ended(AttemptState::Gone)
+                if seen || tracked.stop_grace_s().is_some() {
+                    AttemptStage::Ended(AttemptState::Gone)
                 } else {
-                    Stage::Accepted {
+                    AttemptStage::Accepted {
                         sent: None,
                         seen: false,
                     }
@@ -234,74 +256,87 @@
     }
 
     /// Notes what an attempt's end says of its job and its machine.
-    pub(super) fn note_end(
+    pub(super) fn record_outcome(
         &mut self,
         machine: &MachineId,
         id: &AttemptId,
-        standing: AttemptState,
+        state: AttemptState,
         now: u64,
     ) {
-        let touched = match standing {
+        let touched = match state {
             AttemptState::Exited(ExitCause::Error) => {
-                self.faults.failed(&id.job, machine, now).machines
+                self.fault_attribution
+                    .record_failure(&id.job, machine, now)
+                    .machines
             }
             AttemptState::Exited(ExitCause::Done) => {
-                let since = self.held.get(id).and_then(|h| h.ran).unwrap_or(now);
-                self.faults.ran(&id.job, machine, since).machines
+                let since = self
+                    .attempts
+                    .get(id)
+                    .and_then(|h| h.running_since)
+                    .unwrap_or(now);
+                self.fault_attribution
+                    .record_success(&id.job, machine, since)
+                    .machines
             }
             _ => BTreeSet::from([machine.clone()]),
         };
-        let own_fault = standing == AttemptState::Exited(ExitCause::Error)
-            && self.faults.suspect(&id.job).is_none();
-        if let Some(aside) = self
+        let own_fault = state == AttemptState::Exited(ExitCause::Error)
+            && self.fault_attribution.suspect_evidence(&id.job).is_none();
+        if let Some(quarantine) = self
             .machines
             .get_mut(machine)
-            .and_then(|m| m.aside.as_mut())
-            && aside.trial.as_ref() == Some(id)
+            .and_then(|m| m.quarantine.as_mut())
+            && quarantine.trial_attempt.as_ref() == Some(id)
         {
-            aside.trial = None;
+            quarantine.trial_attempt = None;
             if own_fault {
-                aside.tried_in_vain(now);
+                quarantine.record_failed_trial(now);
             }
         }
-        self.weigh(touched, now);
+        self.update_quarantine(touched, now);
     }
 
     /// An attempt that has run for long went well, though it may never end.
-    pub(super) fn note_running(&mut self, machine: &MachineId, id: &AttemptId, now: u64) {
-        let Some(held) = self.held.get_mut(id) else {
+    pub(super) fn record_running(&mut self, machine: &MachineId, id: &AttemptId, now: u64) {
+        let Some(tracked) = self.attempts.get_mut(id) else {
             return;
         };
-        let since = *held.ran.get_or_insert(now);
-        if held.well || now < since + WELL_AFTER_MS {
+        let since = *tracked.running_since.get_or_insert(now);
+        if tracked.success_recorded || now < since + WELL_AFTER_MS {
             return;
         }
-        held.well = true;
-        let touched = self.faults.ran(&id.job, machine, since).machines;
-        self.weigh(touched, now);
+        tracked.success_recorded = true;
+        let touched = self
+            .fault_attribution
+            .record_success(&id.job, machine, since)
+            .machines;
+        self.update_quarantine(touched, now);
     }
 
     /// Sets machines aside, or takes them up again, as the evidence says.
-    fn weigh(&mut self, machines: BTreeSet<MachineId>, now: u64) {
+    fn update_quarantine(&mut self, machines: BTreeSet<MachineId>, now: u64) {
         for id in machines {
-            let verdict = self.faults.verdict(&id);
+            let verdict = self.fault_attribution.verdict(&id);
             let Some(m) = self.machines.get_mut(&id) else {
                 continue;
             };
-            match (&mut m.aside, verdict) {
-                (None, FaultVerdict::Sound) => continue,
-                (Some(_), FaultVerdict::Sound) => {
+            match (&mut m.quarantine, verdict) {
+                (None, FaultVerdict::Healthy) => continue,
+                (Some(_), FaultVerdict::Healthy) => {
                     info!(machine = %id, shard = self.shard, "machine is taken up again");
-                    m.aside = None;
+                    m.quarantine = None;
+                }
+                (Some(quarantine), verdict) => {
+                    quarantine.confirmed = verdict == FaultVerdict::Faulty
                 }
-                (Some(aside), verdict) => aside.faulty = verdict == FaultVerdict::Faulty,
                 (None, verdict) => {
-                    let jobs = self.faults.against(&id);
+                    let jobs = self.fault_attribution.failed_jobs_on(&id);
                     warn!(machine = %id, shard = self.shard, ?verdict, ?jobs, "machine fails its tasks; set aside");
-                    m.aside = Some(Quarantine::new(verdict == FaultVerdict::Faulty, now));
+                    m.quarantine = Some(Quarantine::new(verdict == FaultVerdict::Faulty, now));
                 }
             }
-            self.stale.insert(id);
+            self.changed_machines.insert(id);
         }
     }
 }
--- a/crates/coordination/src/owner/reconciliation.rs
+++ b/crates/coordination/src/owner/reconciliation.rs
@@ -17,195 +17,198 @@
         if sync.from >= self.shards {
             return Err(SyncError::Part);
         }
-        let asker = self.askers.entry(sync.from).or_default();
-        if sync.from_token < asker.token {
+        let placer = self.placers.entry(sync.from).or_default();
+        if sync.from_token < placer.token {
             return Err(SyncError::Token);
         }
         // Guards against a held-back message that asks again for an attempt
         // whose end was already answered.
-        if sync.from_token == asker.token && sync.seq <= asker.seq {
+        if sync.from_token == placer.token && sync.seq <= placer.seq {
             return Err(SyncError::Stale);
         }
-        if sync.from_token > asker.token {
+        if sync.from_token > placer.token {
             // Guards against going on from what an earlier placer of that part
             // had told: only a state told from nothing counts for this one.
-            asker.at = 0;
-            asker.complete = false;
-            asker.lost = None;
+            placer.desired_version = 0;
+            placer.complete = false;
+            placer.lease_lost_at = None;
         }
-        asker.token = sync.from_token;
-        asker.seq = sync.seq;
-        asker.have = sync.have.machines;
-        self.strays.insert(sync.from, (sync.strays, now));
+        placer.token = sync.from_token;
+        placer.seq = sync.seq;
+        placer.acknowledged_version = sync.have.machines;
+        self.peer_heartbeat_counts
+            .insert(sync.from, (sync.strays, now));
         for r in &sync.rented {
-            self.expect(r, sync.from, now);
+            self.expect_instance(r, sync.from, now);
         }
         for id in &sync.keep {
             if let Some(m) = self.machines.get_mut(id) {
                 m.idle_since = m.idle_since.map(|_| now);
             }
         }
-        let wants_at = self.take_wants(sync, now);
-        self.dirty.remove(&sync.from);
+        let wants_at = self.reconcile_desired(sync, now);
+        self.changed_placers.remove(&sync.from);
         let mut view = self.view(sync, room);
         view.wants_at = wants_at;
-        view.hidden = self.sight.hidden(now);
+        view.hidden = self.failure_detector.partitioned_zones(now);
         Ok(view)
     }
 
     /// Takes the changes of a placer's wants; tells the state that we now have
     /// of them, 0 if something is missing between.
-    pub(super) fn take_wants(&mut self, sync: &SyncRequest, now: u64) -> u64 {
-        let Some(asker) = self.askers.get_mut(&sync.from) else {
+    pub(super) fn reconcile_desired(&mut self, sync: &SyncRequest, now: u64) -> u64 {
+        let Some(placer) = self.placers.get_mut(&sync.from) else {
             return 0;
         };
-        match sync.span.follows(asker.at) {
+        match sync.span.follows(placer.desired_version) {
             Some(Continuation::Anew) => {
-                asker.at = 0;
-                asker.complete = false;
-                asker.unnamed = asker_attempts(&self.held, sync.from);
+                placer.desired_version = 0;
+                placer.complete = false;
+                placer.unmentioned = attempts_of_placer(&self.attempts, sync.from);
             }
             Some(Continuation::On) => {}
             None => return 0,
         }
-        asker.at = asker.at.max(sync.span.upto);
+        placer.desired_version = placer.desired_version.max(sync.span.upto);
         for w in &sync.wants {
-            asker.unnamed.remove(&w.id);
+            placer.unmentioned.remove(&w.id);
         }
         let mut over: Vec<AttemptId> = sync.dropped.clone();
         if sync.span.last {
-            asker.complete = true;
-            over.extend(std::mem::take(&mut asker.unnamed));
+            placer.complete = true;
+            over.extend(std::mem::take(&mut placer.unmentioned));
         }
-        let (at, lost) = (asker.at, asker.lost.is_some());
+        let (version, lease_lost) = (placer.desired_version, placer.lease_lost_at.is_some());
         let mut touched = BTreeSet::new();
         for id in over {
             // Another part's attempts are none of its business.
-            if self.held.get(&id).is_some_and(|h| h.from == sync.from) {
-                touched.extend(self.let_go(&id));
+            if self.attempts.get(&id).is_some_and(|h| h.from == sync.from) {
+                touched.extend(self.untrack(&id));
             }
         }
         for (id, grace) in &sync.stops {
-            if let Some(held) = self
-                .held
+            if let Some(tracked) = self
+                .attempts
                 .get_mut(id)
-                .filter(|h| h.from == sync.from && h.want.kill.is_none())
+                .filter(|h| h.from == sync.from && h.desired.kill.is_none())
             {
-                held.want.kill = Some(*grace);
-                held.killed_at = None;
-                touched.insert(held.want.machine.clone());
+                tracked.desired.kill = Some(*grace);
+                tracked.stop_sent_at = None;
+                touched.insert(tracked.desired.machine.clone());
             }
         }
         for w in &sync.wants {
             if self
-                .held
+                .attempts
                 .get(&w.id)
-                .is_some_and(|h| h.want.machine != w.machine || h.from != sync.from)
+                .is_some_and(|h| h.desired.machine != w.machine || h.from != sync.from)
             {
                 warn!(attempt = %w.id, from = sync.from, "an attempt can't change its machine or its part; not taken");
                 continue;
             }
-            if !self.held.contains_key(&w.id) {
-                self.on
+            if !self.attempts.contains_key(&w.id) {
+                self.attempts_by_machine
                     .entry(w.machine.clone())
                     .or_default()
                     .insert(w.id.clone());
-                let held = Held {
+                let tracked = TrackedAttempt {
                     from: sync.from,
-                    want: w.clone(),
-                    evicted: None,
-                    killed_at: None,
-                    since: now,
-                    ran: None,
-                    well: false,
-                    stage: Stage::Unjudged,
+                    desired: w.clone(),
+                    preemption_grace_s: None,
+                    stop_sent_at: None,
+                    tracked_since: now,
+                    running_since: None,
+                    success_recorded: false,
+                    stage: AttemptStage::Undecided,
                 };
-                self.held.insert(w.id.clone(), held);
-            } else if let Some(held) = self.held.get_mut(&w.id) {
-                if held.want.kill != w.kill {
-                    held.killed_at = None;
+                self.attempts.insert(w.id.clone(), tracked);
+            } else if let Some(tracked) = self.attempts.get_mut(&w.id) {
+                if tracked.desired.kill != w.kill {
+                    tracked.stop_sent_at = None;
                 }
                 // Guards against a late go of a placer that has lost its part: its
                 // successor decides what becomes of the gang.
-                let go = w.go && (held.want.go || !lost);
-                held.want = DesiredAttempt { go, ..w.clone() };
+                let go = w.go && (tracked.desired.go || !lease_lost);
+                tracked.desired = DesiredAttempt { go, ..w.clone() };
             }
             touched.insert(w.machine.clone());
             match self.machines.get_mut(&w.machine) {
                 // Placed there while an earlier owner saw it run.
-                Some(m) if m.heard.is_none() => drop(m.ran.get_or_insert(now)),
+                Some(m) if m.last_heartbeat_at.is_none() => {
+                    drop(m.recorded_running_at.get_or_insert(now))
+                }
                 Some(_) => {}
-                None if self.gone.contains(&w.machine) => {}
-                None => drop(self.missing.entry(w.machine.clone()).or_insert(now)),
+                None if self.released_machines.contains(&w.machine) => {}
+                None => drop(self.unseen_machines.entry(w.machine.clone()).or_insert(now)),
             }
         }
         for machine in touched {
-            self.judge(&machine, now);
+            self.reevaluate(&machine, now);
         }
-        at
+        version
     }
 
     /// Brings what is told up to date.
     pub(super) fn refresh(&mut self) {
-        for id in std::mem::take(&mut self.stale) {
+        for id in std::mem::take(&mut self.changed_machines) {
             match self.machines.get(&id) {
                 // What may be long gone is no room, nor is it missing room.
-                Some(m) if m.hearsay() => self.views.remove(&id),
+                Some(m) if m.is_unconfirmed() => self.machine_views.remove(&id),
                 Some(m) => {
                     let view = self.machine_view(&id, m);
-                    self.views.put(&id, view);
+                    self.machine_views.put(&id, view);
                 }
-                None => self.views.remove(&id),
+                None => self.machine_views.remove(&id),
             }
-            for attempt in self.on.get(&id).into_iter().flatten() {
-                let Some(held) = self.held.get(attempt) else {
+            for attempt in self.attempts_by_machine.get(&id).into_iter().flatten() {
+                let Some(tracked) = self.attempts.get(attempt) else {
                     continue;
                 };
-                if let (Some(standing), Some(asker)) = (
-                    self.standing(attempt, held),
-                    self.askers.get_mut(&held.from),
+                if let (Some(state), Some(placer)) = (
+                    self.state(attempt, tracked),
+                    self.placers.get_mut(&tracked.from),
                 ) {
-                    asker.told.put(attempt, standing);
+                    placer.told.put(attempt, state);
                 }
             }
         }
     }
 
     pub(super) fn machine_view(&self, id: &MachineId, m: &Machine) -> MachineView {
-        let (soft, soft_over) = self.soft(id);
+        let (soft, soft_over) = self.preemptible(id);
         MachineView {
             id: id.clone(),
             kind: m.kind.clone(),
             zone: m.zone.clone(),
             spot: m.spot,
-            up: m.heard.is_some()
-                && m.worker_session.fresh()
-                && m.worker_session.session() > m.dead_session,
-            open: m.open(),
+            up: m.last_heartbeat_at.is_some()
+                && m.incarnation.is_confirmed()
+                && m.incarnation.session() > m.expired_session,
+            open: m.is_schedulable(),
             // A machine that fails what it starts may go on with what runs.
-            leaving: m.notice,
+            leaving: m.termination_notice,
             free: self.free(id),
             soft,
             soft_over,
-            busy: self.busy(id).min(usize::from(u16::MAX)) as u16,
-            lasting: self.lasting(id),
+            busy: self.occupant_count(id).min(usize::from(u16::MAX)) as u16,
+            lasting: self.service_replicas(id),
             images: m.images.iter().map(|(name, _)| name.clone()).collect(),
-            coming: self.coming(id, m),
-            renter: m.renter,
+            coming: self.images_in_transfer(id, m),
+            renter: m.requested_by,
         }
     }
 
-    pub(super) fn standing(&self, id: &AttemptId, held: &Held) -> Option<AttemptState> {
-        Some(match held.stage {
-            Stage::Unjudged => return None,
-            Stage::Ended(standing) => standing,
+    pub(super) fn state(&self, id: &AttemptId, tracked: &TrackedAttempt) -> Option<AttemptState> {
+        Some(match tracked.stage {
+            AttemptStage::Undecided => return None,
+            AttemptStage::Ended(state) => state,
             // A gang has room only once those who were pushed out for it are gone:
             // until then none of it is launched.
-            Stage::Waiting(_) if !held.want.go => return None,
-            Stage::Waiting(_) => AttemptState::Accepted,
-            Stage::Accepted { .. } => match self
+            AttemptStage::AwaitingPreemption(_) if !tracked.desired.go => return None,
+            AttemptStage::AwaitingPreemption(_) => AttemptState::Accepted,
+            AttemptStage::Accepted { .. } => match self
                 .machines
-                .get(&held.want.machine)
+                .get(&tracked.desired.machine)
                 .and_then(|m| m.tasks.get(id))
                 .map(|s| s.phase)
             {
@@ -220,27 +223,34 @@
     /// are what its tasks wait for.
     pub(super) fn view(&mut self, sync: &SyncRequest, mut room: usize) -> ShardView {
         self.refresh();
-        if self.askers.len() >= usize::from(self.shards) {
+        if self.placers.len() >= usize::from(self.shards) {
             // A placer that comes anew is told all from nothing.
-            self.views
-                .forget(self.askers.values().map(|a| a.have).min().unwrap_or(0));
+            self.machine_views.forget(
+                self.placers
+                    .values()
+                    .map(|a| a.acknowledged_version)
+                    .min()
+                    .unwrap_or(0),
+            );
         }
-        let told = self.askers.entry(sync.from).or_default();
+        let told = self.placers.entry(sync.from).or_default();
         let (attempts_span, attempts) = told
             .told
             .since(sync.have.attempts, &mut room, |_, _| ATTEMPT_BYTES);
         let attempts = attempts
             .into_iter()
             .filter_map(|(id, s)| {
-                s.map(|&standing| AttemptStatus {
+                s.map(|&state| AttemptStatus {
                     id: id.clone(),
-                    standing,
+                    standing: state,
                 })
             })
             .collect();
-        let (machines_span, changes) = self.views.since(sync.have.machines, &mut room, |_, m| {
-            m.map_or(ATTEMPT_BYTES, written)
-        });
+        let (machines_span, changes) =
+            self.machine_views
+                .since(sync.have.machines, &mut room, |_, m| {
+                    m.map_or(ATTEMPT_BYTES, written)
+                });
         let (mut machines, mut gone) = (Vec::new(), Vec::new());
         for (id, m) in changes {
             match m {
@@ -265,16 +275,15 @@
     }
 
     /// Images that a machine fetches.
-    pub(super) fn coming(&self, id: &MachineId, m: &Machine) -> Vec<String> {
+    pub(super) fn images_in_transfer(&self, id: &MachineId, m: &Machine) -> Vec<String> {
         let mut names: Vec<String> = Vec::new();
-        for (_, h) in self
-            .here(id)
-            .filter(|(_, h)| matches!(h.stage, Stage::Accepted { .. }) && h.ending().is_none())
-        {
-            if !names.contains(&h.want.image)
-                && !m.images.iter().any(|(name, _)| *name == h.want.image)
+        for (_, h) in self.attempts_on(id).filter(|(_, h)| {
+            matches!(h.stage, AttemptStage::Accepted { .. }) && h.stop_grace_s().is_none()
+        }) {
+            if !names.contains(&h.desired.image)
+                && !m.images.iter().any(|(name, _)| *name == h.desired.image)
             {
-                names.push(h.want.image.clone());
+                names.push(h.desired.image.clone());
             }
         }
         names
--- a/crates/coordination/src/placer/placing.rs
+++ b/crates/coordination/src/placer/placing.rs
@@ -443,7 +443,7 @@
         };
         let order = self.shards_order();
         // Where something else ran well of late, a suspect's failure tells most.
-        let trusted = suspect.then(|| self.faults.trusted(now));
+        let trusted = suspect.then(|| self.faults.healthy_machines(now));
         let among = if suspect {
             vec![trusted.as_ref(), None]
         } else {
--- a/crates/coordination/src/placer/reconciliation.rs
+++ b/crates/coordination/src/placer/reconciliation.rs
@@ -437,7 +437,7 @@
                 } else {
                     job.mark_done(id.task);
                 }
-                let touched = self.faults.ran(&id.job, &live.machine, live.since);
+                let touched = self.faults.record_success(&id.job, &live.machine, live.since);
                 self.suspect(touched.jobs, now);
                 return;
             }
@@ -500,9 +500,9 @@
             })
             .collect();
         for (other, since) in well {
-            self.faults.ran(&other, &live.machine, since);
+            self.faults.record_success(&other, &live.machine, since);
         }
-        let touched = self.faults.failed(&id.job, &live.machine, now);
+        let touched = self.faults.record_failure(&id.job, &live.machine, now);
         self.suspect(touched.jobs, now);
         let Some(job) = self.jobs.get_mut(&id.job) else {
             return;
@@ -519,7 +519,7 @@
     /// Takes up what the evidence now says of jobs.
     fn suspect(&mut self, jobs: BTreeSet<JobId>, now: u64) {
         for id in jobs {
-            let suspect = self.faults.suspect(&id);
+            let suspect = self.faults.suspect_evidence(&id);
             let Some(job) = self.jobs.get_mut(&id).filter(|j| j.suspect != suspect) else {
                 continue;
             };
--- a/crates/coordination/tests/cancellations.rs
+++ b/crates/coordination/tests/cancellations.rs
@@ -253,17 +253,17 @@
         0,
     );
     next.set_types([kind()].iter());
-    next.report(&seen(1, false), None, now).expect("answered");
+    next.handle_heartbeat(&seen(1, false), None, now).expect("answered");
     next.tick(now + 10, now + 10);
     next.sync(told, ROOM, now + 20).expect("taken");
-    let call = next.calls(now + 30, ROOM).pop().expect("started");
+    let call = next.due_calls(now + 30, ROOM).pop().expect("started");
     assert!(
         call.commands
             .orders
             .iter()
             .any(|o| o.verb == CommandKind::Launch)
     );
-    next.call_done(&call, CommandResult::Executed(seen(2, true)), now + 40);
+    next.handle_call_result(&call, CommandResult::Executed(seen(2, true)), now + 40);
     next
 }
 
@@ -322,14 +322,14 @@
                 let answer = next.sync(&sync, ROOM, now).expect("taken");
                 asker.core.sync_done(asker.lease, 0, Some(answer), now);
                 if runs {
-                    let call = next.calls(now, ROOM).pop().expect("stopped");
+                    let call = next.due_calls(now, ROOM).pop().expect("stopped");
                     assert!(
                         call.commands
                             .orders
                             .iter()
                             .any(|o| o.verb == CommandKind::Kill)
                     );
-                    next.call_done(&call, CommandResult::Executed(seen(3, false)), now + 10);
+                    next.handle_call_result(&call, CommandResult::Executed(seen(3, false)), now + 10);
                 }
             }
             asker.until(|_| None::<()>);
--- a/crates/coordination/tests/ends.rs
+++ b/crates/coordination/tests/ends.rs
@@ -472,9 +472,9 @@
                 self.late.push((now + 3 * BEAT_MS, cas));
                 leader.placer.cas_done(CompareAndSwapOutcome::Again, now);
             }
-            for call in leader.owner.calls(now, 64) {
+            for call in leader.owner.due_calls(now, 64) {
                 let result = self.call(&call);
-                leader.owner.call_done(&call, result, now);
+                leader.owner.handle_call_result(&call, result, now);
             }
         }
         all.append(&mut self.superseded);
@@ -570,7 +570,7 @@
         let Some(leader) = old.or(self.leaders[shard].as_mut()) else {
             return;
         };
-        let Some(reply) = leader.owner.report(&report, None, now) else {
+        let Some(reply) = leader.owner.handle_heartbeat(&report, None, now) else {
             return;
         };
         if reply.token < self.boxes[n].token {
@@ -585,9 +585,9 @@
             return;
         };
         // What is given back is replaced.
-        let names = leader.owner.releases();
+        let names = leader.owner.next_releases();
         if !names.is_empty() {
-            leader.owner.released(&names, true, self.now);
+            leader.owner.release_finished(&names, true, self.now);
         }
         for n in 0..BOXES {
             if names.contains(&machine(self.boxes[n].name)) {
@@ -598,10 +598,10 @@
         let Some(leader) = self.leaders[shard].as_mut() else {
             return;
         };
-        for call in leader.owner.calls(self.now, 64) {
+        for call in leader.owner.due_calls(self.now, 64) {
             let result = self.call(&call);
             if let Some(leader) = self.leaders[shard].as_mut() {
-                leader.owner.call_done(&call, result, self.now);
+                leader.owner.handle_call_result(&call, result, self.now);
             }
         }
     }
@@ -743,7 +743,7 @@
                 leader.other = self.holders.get(&(1 - shard as u16)).map_or(0, |h| h.token);
                 leader
                     .owner
-                    .watch_placers(&self.holders, self.revision, now);
+                    .observe_leaders(&self.holders, self.revision, now);
                 leader.owner.tick(now, now);
             }
             self.calls(shard);
--- a/crates/coordination/tests/evidence.rs
+++ b/crates/coordination/tests/evidence.rs
@@ -117,7 +117,7 @@
             self.now += 100;
             if self.cloud && self.now.is_multiple_of(LIST_MS) {
                 let all: Vec<InstanceEntry> = (0..MACHINES).map(entry).collect();
-                self.owner.listed(&all, self.now);
+                self.owner.apply_inventory(&all, self.now);
             }
             if self.now.is_multiple_of(TIMING.report_ms) {
                 for n in (0..MACHINES).filter(|&n| reports(n)) {
@@ -138,16 +138,16 @@
                         tasks,
                         ..report(n, 0)
                     };
-                    self.owner.report(&said, None, self.now);
+                    self.owner.handle_heartbeat(&said, None, self.now);
                 }
             }
             let word = if self.word { self.now } else { 0 };
             self.owner.tick(self.now, word);
-            let names = self.owner.releases();
+            let names = self.owner.next_releases();
             if !names.is_empty() {
                 self.released
                     .extend(names.iter().map(|id| (self.now, id.clone())));
-                self.owner.released(&names, true, self.now);
+                self.owner.release_finished(&names, true, self.now);
             }
             self.tell(
                 ChangeRange {
@@ -330,7 +330,7 @@
         owner.set_types([kind()].iter());
         if ran {
             // The cloud's list shows that they ran before this owner came.
-            owner.listed(&(0..MACHINES).map(entry).collect::<Vec<_>>(), 50);
+            owner.apply_inventory(&(0..MACHINES).map(entry).collect::<Vec<_>>(), 50);
         }
         (1..700u64).map(|n| n * 100).find(|&now| {
             if now % 3_000 == 200 {
@@ -339,11 +339,11 @@
                         token: NEXT << FENCE_BITS,
                         ..report(n, now)
                     };
-                    assert!(owner.report(&said, None, now).is_some());
+                    assert!(owner.handle_heartbeat(&said, None, now).is_some());
                 }
             }
             owner.tick(now, now);
-            !owner.releases().is_empty()
+            !owner.next_releases().is_empty()
         })
     };
     let (late, soon) = (first_given_back(true), first_given_back(false));
--- a/crates/coordination/tests/fault_attribution.rs
+++ b/crates/coordination/tests/fault_attribution.rs
@@ -105,9 +105,9 @@
             counted.len() >= QUARANTINE_ERRORS,
             counted.iter().filter(elsewhere).count() >= QUARANTINE_ERRORS,
         ) {
-            (false, _) => FaultVerdict::Sound,
+            (false, _) => FaultVerdict::Healthy,
             (true, true) => FaultVerdict::Faulty,
-            (true, false) => FaultVerdict::Doubtful,
+            (true, false) => FaultVerdict::Suspect,
         }
     }
 }
@@ -127,13 +127,13 @@
         for e in events {
             now += e.gap;
             let all = |real: &FaultAttribution| -> Vec<(Option<u32>, FaultVerdict)> {
-                (0..JOBS.max(MACHINES)).map(|n| (real.suspect(&job(n)), real.verdict(&support::machine(n)))).collect()
+                (0..JOBS.max(MACHINES)).map(|n| (real.suspect_evidence(&job(n)), real.verdict(&support::machine(n)))).collect()
             };
             let before = all(&real);
             let (j, m): (JobId, MachineId) = (job(e.job), support::machine(e.machine));
             let touched = match e.ran_for {
-                Some(ms) => real.ran(&j, &m, now.saturating_sub(ms)),
-                None => real.failed(&j, &m, now),
+                Some(ms) => real.record_success(&j, &m, now.saturating_sub(ms)),
+                None => real.record_failure(&j, &m, now),
             };
             plain.0.push((now, e));
             for (n, (was, is)) in before.into_iter().zip(all(&real)).enumerate() {
--- a/crates/coordination/tests/late_orders.rs
+++ b/crates/coordination/tests/late_orders.rs
@@ -1126,12 +1126,12 @@
         tasks,
         ..report(0, seq)
     };
-    assert!(owner.report(&before(54, Vec::new()), None, 3_000).is_some());
+    assert!(owner.handle_heartbeat(&before(54, Vec::new()), None, 3_000).is_some());
     owner.tick(3_100, 3_100);
     tell(&mut owner, 1, vec![want(0, 0)], 3_200);
     // It is back, and counts from the start.
     let first = owner
-        .report(
+        .handle_heartbeat(
             &Heartbeat {
                 token: 0,
                 ..report(0, 1)
@@ -1141,15 +1141,15 @@
         )
         .expect("answered");
     assert!(first.token > BASE, "only the new life will show this one");
-    let question = owner.calls(3_310, 4).pop().expect("it is asked");
+    let question = owner.due_calls(3_310, 4).pop().expect("it is asked");
     assert!(
         question.commands.orders.is_empty(),
         "nothing is started on what may be another"
     );
-    owner.call_done(&question, CommandResult::NotSent, 3_320);
+    owner.handle_call_result(&question, CommandResult::NotSent, 3_320);
     // What the earlier life said last comes now.
     let late = before(60, vec![running_task(0)]);
-    assert!(owner.report(&late, None, 3_400).is_some());
+    assert!(owner.handle_heartbeat(&late, None, 3_400).is_some());
     let told = tell(&mut owner, 2, vec![want(0, 0)], 3_450);
     assert!(
         told.iter().all(|(_, s)| *s == AttemptState::Accepted),
@@ -1162,13 +1162,13 @@
             ..report(0, seq)
         };
         token = owner
-            .report(&said, None, 3_400 + 500 * seq)
+            .handle_heartbeat(&said, None, 3_400 + 500 * seq)
             .expect("answered")
             .token;
     }
     owner.tick(6_000, 6_000);
     tell(&mut owner, 3, vec![want(0, 0)], 6_000);
-    let start = owner.calls(6_000, 4).pop().expect("a start");
+    let start = owner.due_calls(6_000, 4).pop().expect("a start");
     assert_eq!(
         (start.commands.session, start.commands.orders.len()),
         (1, 1)
@@ -1180,17 +1180,17 @@
 fn a_copy_of_a_first_report_costs_one_question() {
     let mut owner = fleet(1);
     tell(&mut owner, 1, vec![want(0, 0)], 20);
-    let start = owner.calls(20, 4).pop().expect("a start");
+    let start = owner.due_calls(20, 4).pop().expect("a start");
     let seen = |seq, token| Heartbeat {
         token,
         tasks: vec![running_task(0)],
         ..report(0, seq)
     };
-    owner.call_done(&start, CommandResult::Executed(seen(3, BASE)), 40);
-    assert!(owner.calls(4_900, 4).is_empty(), "nothing is due");
+    owner.handle_call_result(&start, CommandResult::Executed(seen(3, BASE)), 40);
+    assert!(owner.due_calls(4_900, 4).is_empty(), "nothing is due");
     assert!(
         owner
-            .report(
+            .handle_heartbeat(
                 &Heartbeat {
                     token: 0,
                     ..report(0, 1)
@@ -1201,13 +1201,13 @@
             .is_some(),
         "a copy"
     );
-    let question = owner.calls(5_000, 4).pop().expect("a question");
-    owner.call_done(
+    let question = owner.due_calls(5_000, 4).pop().expect("a question");
+    owner.handle_call_result(
         &question,
         CommandResult::Executed(seen(4, question.commands.token)),
         5_020,
     );
-    assert!(owner.calls(5_100, 4).is_empty());
+    assert!(owner.due_calls(5_100, 4).is_empty());
     let told = tell(&mut owner, 2, vec![want(0, 0)], 5_100);
     assert_eq!(told, [(want(0, 0).id, AttemptState::Running)]);
 }
@@ -1217,12 +1217,12 @@
 #[test]
 fn a_start_of_unknown_fate_is_over_a_lease_after_its_call_at_the_earliest() {
     let mut owner = fleet(1);
-    assert!(owner.report(&report(0, 2), None, 3_000).is_some());
+    assert!(owner.handle_heartbeat(&report(0, 2), None, 3_000).is_some());
     owner.tick(3_100, 3_100);
     tell(&mut owner, 1, vec![want(0, 0)], 6_000);
-    let start = owner.calls(6_000, 4).pop().expect("a start");
+    let start = owner.due_calls(6_000, 4).pop().expect("a start");
     // The new life took it; its lease is over at 20 s.
-    owner.call_done(&start, CommandResult::Unknown, 8_500);
+    owner.handle_call_result(&start, CommandResult::Unknown, 8_500);
     let mut over_at = None;
     for step in 2u64..400 {
         let now = 8_500 + step * 100;
@@ -1240,8 +1240,8 @@
 fn with_a_lost_start() -> (Owner, u64) {
     let mut owner = fleet(1);
     tell(&mut owner, 1, vec![want(0, 0)], 20);
-    let start = owner.calls(20, 4).pop().expect("a start");
-    owner.call_done(&start, CommandResult::Unknown, 2_600);
+    let start = owner.due_calls(20, 4).pop().expect("a start");
+    owner.handle_call_result(&start, CommandResult::Unknown, 2_600);
     (owner, start.commands.token)
 }
 
@@ -1261,12 +1261,12 @@
 #[test]
 fn nothing_is_forgotten_while_an_order_that_would_start_it_again_may_arrive() {
     let (mut owner, first) = with_a_lost_start();
-    let again = owner.calls(4_000, 4).pop().expect("it is started again");
+    let again = owner.due_calls(4_000, 4).pop().expect("it is started again");
     assert!(
         again.commands.token > first,
         "who takes the second refuses the first"
     );
-    owner.call_done(&again, CommandResult::Unknown, 6_500);
+    owner.handle_call_result(&again, CommandResult::Unknown, 6_500);
     // The first was executed; the second is still on its way.
     let exited = TaskStatus {
         phase: TaskPhase::Exited,
@@ -1278,17 +1278,17 @@
         tasks: vec![exited.clone()],
         ..report(0, seq)
     };
-    assert!(owner.report(&said(3, first), None, 6_600).is_some());
+    assert!(owner.handle_heartbeat(&said(3, first), None, 6_600).is_some());
     assert!(ended(&tell(&mut owner, 2, vec![want(0, 0)], 6_700), 0));
     tell(&mut owner, 3, Vec::new(), 6_800);
     // The only placer wants nothing more; the lost start alone keeps it.
     let reply = owner
-        .report(&said(4, first), None, 9_600)
+        .handle_heartbeat(&said(4, first), None, 9_600)
         .expect("answered");
     assert_eq!(reply.orders, [], "the second would start it anew");
     assert!(reply.token > again.commands.token);
     let reply = owner
-        .report(&said(5, reply.token), None, 10_100)
+        .handle_heartbeat(&said(5, reply.token), None, 10_100)
         .expect("answered");
     assert!(
         reply.orders.iter().any(|o| o.verb == CommandKind::Forget),
@@ -1300,14 +1300,14 @@
 #[test]
 fn a_call_that_was_not_sent_does_not_take_back_a_lost_one() {
     let (mut owner, _) = with_a_lost_start();
-    let again = owner.calls(4_000, 4).pop().expect("it is started again");
-    owner.call_done(&again, CommandResult::NotSent, 4_100);
+    let again = owner.due_calls(4_000, 4).pop().expect("it is started again");
+    owner.handle_call_result(&again, CommandResult::NotSent, 4_100);
     assert!(
         !ended(&tell(&mut owner, 2, vec![stopped(0)], 4_200), 0),
         "the first may arrive"
     );
     let token = owner
-        .report(&report(0, 3), None, 4_300)
+        .handle_heartbeat(&report(0, 3), None, 4_300)
         .expect("answered")
         .token;
     assert!(
@@ -1316,7 +1316,7 @@
     );
     assert!(
         owner
-            .report(
+            .handle_heartbeat(
                 &Heartbeat {
                     token,
                     ..report(0, 4)
@@ -1338,7 +1338,7 @@
 #[test]
 fn a_start_in_an_answer_is_open_until_the_next_report() {
     let (mut owner, _) = with_a_lost_start();
-    let reply = owner.report(&report(0, 3), None, 2_700).expect("answered");
+    let reply = owner.handle_heartbeat(&report(0, 3), None, 2_700).expect("answered");
     assert!(
         reply.orders.iter().any(|o| o.verb == CommandKind::Launch),
         "{reply:?}"
@@ -1346,7 +1346,7 @@
     tell(&mut owner, 2, vec![stopped(0), want(1, 0)], 3_000);
     for now in (3_000..6_700).step_by(100) {
         assert!(
-            owner.calls(now, 4).is_empty(),
+            owner.due_calls(now, 4).is_empty(),
             "its answer would show task 0 absent"
         );
     }
@@ -1355,7 +1355,7 @@
         0
     ));
     owner
-        .report(
+        .handle_heartbeat(
             &Heartbeat {
                 token: reply.token,
                 ..report(0, 4)
@@ -1375,7 +1375,7 @@
 fn a_machine_under_suspicion_proves_no_absence() {
     let mut owner = fleet(1);
     let token = owner
-        .report(
+        .handle_heartbeat(
             &Heartbeat {
                 token: 0,
                 ..report(0, 1)
@@ -1390,7 +1390,7 @@
         "an earlier owner may have started it"
     );
     owner
-        .report(
+        .handle_heartbeat(
             &Heartbeat {
                 token,
                 ..report(0, 2)
@@ -1422,9 +1422,9 @@
         tasks: vec![running_task(0)],
         ..report(0, 70)
     };
-    assert!(owner.report(&said, None, 70_000).is_some());
+    assert!(owner.handle_heartbeat(&said, None, 70_000).is_some());
     owner.tick(80_000, 80_000);
-    assert!(TIMING.inherited_ms() < 80_000);
+    assert!(TIMING.inherited_lease_expiry_ms() < 80_000);
     assert!(
         !ended(&tell(&mut owner, 2, vec![want(0, 0)], 80_000), 0),
         "its lease may run until 84 s"
@@ -1441,9 +1441,9 @@
         token: (TOKEN + 1) << FENCE_BITS,
         ..report(0, 9)
     };
-    assert!(owner.report(&later, None, 3_000).is_none());
+    assert!(owner.handle_heartbeat(&later, None, 3_000).is_none());
     assert!(
-        owner.report(&report(0, 10), None, 3_100).is_some(),
+        owner.handle_heartbeat(&report(0, 10), None, 3_100).is_some(),
         "and the report told nothing"
     );
 }
--- a/crates/coordination/tests/ledger.rs
+++ b/crates/coordination/tests/ledger.rs
@@ -679,7 +679,7 @@
         let Some((owner, _)) = self.shards[shard].owner.as_mut() else {
             return;
         };
-        let Some(reply) = owner.report(&report, None, self.now) else {
+        let Some(reply) = owner.handle_heartbeat(&report, None, self.now) else {
             return;
         };
         if self.trouble > 0 && self.draws.one_in(self.trouble) || reply.token < self.boxes[n].token
@@ -694,7 +694,7 @@
         let Some((owner, _)) = self.shards[shard].owner.as_mut() else {
             return;
         };
-        for call in owner.calls(self.now, 64) {
+        for call in owner.due_calls(self.now, 64) {
             let trouble = self.trouble > 0 && self.draws.one_in(self.trouble);
             let result = match (trouble, self.draws.below(3)) {
                 (true, 0) => CommandResult::NotSent,
@@ -709,7 +709,7 @@
                 (false, _) => self.call(&call),
             };
             if let Some((owner, _)) = self.shards[shard].owner.as_mut() {
-                owner.call_done(&call, result, self.now);
+                owner.handle_call_result(&call, result, self.now);
             }
         }
     }
@@ -839,7 +839,7 @@
                 self.revive_owner(shard);
             }
             if let Some((owner, _)) = self.shards[shard].owner.as_mut() {
-                owner.watch_placers(&self.holders, self.revision, self.now);
+                owner.observe_leaders(&self.holders, self.revision, self.now);
                 owner.tick(self.now, self.now);
             }
             self.calls(shard);
--- a/crates/coordination/tests/limits.rs
+++ b/crates/coordination/tests/limits.rs
@@ -54,7 +54,7 @@
             tasks: vec![task],
             ..report(n, u64::from(round) + 1)
         };
-        assert!(owner.report(&report, None, 30).is_some());
+        assert!(owner.handle_heartbeat(&report, None, 30).is_some());
     }
 }
 
@@ -96,7 +96,7 @@
     let mut stored = Stored::default();
     let mut times = 0;
     for at in 1..100 {
-        let pages = owner.images_note(at * 60_000, VALUE, PAGES);
+        let pages = owner.changed_image_pages(at * 60_000, VALUE, PAGES);
         if pages.is_empty() {
             break;
         }
@@ -117,7 +117,7 @@
         if at < 10 {
             run_on_all(&mut owner, MACHINES, at + 1);
         }
-        stored.write(owner.images_note(u64::from(at) * 60_000, VALUE, PAGES));
+        stored.write(owner.changed_image_pages(u64::from(at) * 60_000, VALUE, PAGES));
         if at == 9 {
             let pages = stored.0.len();
             assert!(pages >= 9 * PAGES / 2, "{pages} pages are written");
@@ -132,14 +132,14 @@
     let mut owner = busy_fleet(MACHINES);
     let mut stored = Stored::default();
     for at in 1..40 {
-        stored.write(owner.images_note(at * 60_000, VALUE, PAGES));
+        stored.write(owner.changed_image_pages(at * 60_000, VALUE, PAGES));
     }
     let before = stored.0.len();
     assert!(before > 2 * PAGES, "{before} pages");
     let gone: Vec<MachineId> = (40..MACHINES).map(machine).collect();
-    owner.released(&gone, true, 50);
+    owner.release_finished(&gone, true, 50);
     for at in 40..80 {
-        stored.write(owner.images_note(at * 60_000, VALUE, PAGES));
+        stored.write(owner.changed_image_pages(at * 60_000, VALUE, PAGES));
     }
     assert_eq!(stored.0.len(), 1);
     assert_eq!(stored.machines().len(), 40);
--- a/crates/coordination/tests/nights.rs
+++ b/crates/coordination/tests/nights.rs
@@ -109,7 +109,7 @@
         };
         self.tokens[n] = self
             .owner
-            .report(&said, None, self.now)
+            .handle_heartbeat(&said, None, self.now)
             .expect("answered")
             .token;
     }
@@ -141,7 +141,7 @@
                 cause: cause.map(str::to_owned),
                 saved: None,
             };
-            drop(self.owner.calls(self.now, ROOM));
+            drop(self.owner.due_calls(self.now, ROOM));
             self.report(n, vec![seen(TaskPhase::Running, None)]);
             self.now += 2_000;
             self.report(n, vec![seen(TaskPhase::Exited, Some(cause))]);
@@ -237,15 +237,15 @@
     assert!(
         shard
             .owner
-            .report(&report(overdue, 1), None, shard.now)
+            .handle_heartbeat(&report(overdue, 1), None, shard.now)
             .is_some()
     );
     assert!(shard.open(overdue), "what comes after all is used");
     for seq in 2..18 {
         shard.pass(3_000);
-        shard.owner.report(&report(overdue, seq), None, shard.now);
+        shard.owner.handle_heartbeat(&report(overdue, seq), None, shard.now);
     }
-    let released: BTreeSet<_> = shard.owner.releases().into_iter().collect();
+    let released: BTreeSet<_> = shard.owner.next_releases().into_iter().collect();
     let never = late
         .iter()
         .filter(|n| **n != overdue && released.contains(&machine(**n)))
--- a/crates/coordination/tests/sessions.rs
+++ b/crates/coordination/tests/sessions.rs
@@ -34,10 +34,10 @@
             .expect("taken")
     };
     // Answered, but the answer is lost.
-    assert!(owner.report(&report(0, 3), None, 3_000).is_some());
+    assert!(owner.handle_heartbeat(&report(0, 3), None, 3_000).is_some());
     // The lease is over at 14 s. The next start meets the new session.
     tell(&mut owner, 1, 0, 1, vec![want(0, 0)], 14_500);
-    let call = owner.calls(14_500, 1).pop().expect("a call");
+    let call = owner.due_calls(14_500, 1).pop().expect("a call");
     let base = TOKEN << FENCE_BITS;
     let second = |seq, tasks| Heartbeat {
         session: 2,
@@ -45,13 +45,13 @@
         tasks,
         ..report(0, seq)
     };
-    owner.call_done(&call, CommandResult::Refused(second(5, Vec::new())), 14_510);
+    owner.handle_call_result(&call, CommandResult::Refused(second(5, Vec::new())), 14_510);
     let call = owner
-        .calls(16_000, 1)
+        .due_calls(16_000, 1)
         .pop()
         .expect("a call in the new session");
     assert_eq!(call.commands.session, 2);
-    owner.call_done(
+    owner.handle_call_result(
         &call,
         CommandResult::Executed(second(6, vec![running_task(0)])),
         16_010,
--- a/crates/coordination/tests/stops.rs
+++ b/crates/coordination/tests/stops.rs
@@ -24,8 +24,8 @@
             now,
         )
         .expect("taken");
-    let start = owner.calls(now, ROOM).pop().expect("started");
-    owner.call_done(
+    let start = owner.due_calls(now, ROOM).pop().expect("started");
+    owner.handle_call_result(
         &start,
         CommandResult::Executed(Heartbeat {
             tasks: vec![running_task(0)],
@@ -59,14 +59,14 @@
     let mut owner = stopping(30);
     let (mut seq, mut tries) = (2, 0);
     for now in (40..60_000).step_by(20) {
-        for call in owner.calls(now, ROOM) {
+        for call in owner.due_calls(now, ROOM) {
             tries += 1;
-            owner.call_done(&call, CommandResult::NotSent, now + 10);
+            owner.handle_call_result(&call, CommandResult::NotSent, now + 10);
         }
         if now % 5_000 == 0 {
             seq += 1;
             let reply = owner
-                .report(
+                .handle_heartbeat(
                     &Heartbeat {
                         tasks: vec![running_task(0)],
                         ..report(0, seq)
@@ -115,7 +115,7 @@
             match step {
                 Step::Pass(ms) => now += ms,
                 Step::Call(fate) => {
-                    call = call.or_else(|| owner.calls(now, ROOM).into_iter().next());
+                    call = call.or_else(|| owner.due_calls(now, ROOM).into_iter().next());
                     let Some(call) = call.take() else { continue };
                     let result = match fate {
                         0 => CommandResult::NotSent,
@@ -125,7 +125,7 @@
                             CommandResult::Refused(Heartbeat { tasks: vec![running_task(0)], ..report(0, seq) })
                         }
                     };
-                    owner.call_done(&call, result, now);
+                    owner.handle_call_result(&call, result, now);
                 }
                 Step::Report { late, shows_token } => {
                     if !late {
@@ -133,7 +133,7 @@
                     }
                     let token = if shows_token { TOKEN << FENCE_BITS } else { 0 };
                     let said = Heartbeat { tasks: vec![running_task(0)], token, ..report(0, if late { seq - 1 } else { seq }) };
-                    if let Some(reply) = owner.report(&said, None, now) {
+                    if let Some(reply) = owner.handle_heartbeat(&said, None, now) {
                         answers += 1;
                         prop_assert!(stops(&reply), "{said:?}");
                     }
@@ -141,7 +141,7 @@
             }
         }
         seq += 2;
-        let reply = owner.report(&Heartbeat { tasks: vec![running_task(0)], ..report(0, seq) }, None, now);
+        let reply = owner.handle_heartbeat(&Heartbeat { tasks: vec![running_task(0)], ..report(0, seq) }, None, now);
         prop_assert!(reply.is_some_and(|r| stops(&r)), "after {answers} answers");
     }
 }
@@ -170,11 +170,11 @@
     let mut called = Vec::new();
     for turn in 0..20 {
         let now = 20 + turn * 100;
-        let calls = owner.calls(now, 7);
+        let calls = owner.due_calls(now, 7);
         assert!(calls.len() <= 7);
         for call in calls {
             let n: usize = call.machine.as_str()[2..].parse().expect("number");
-            owner.call_done(
+            owner.handle_call_result(
                 &call,
                 CommandResult::Executed(Heartbeat {
                     tasks: vec![running_task(n)],
--- a/crates/coordination/tests/support/mod.rs
+++ b/crates/coordination/tests/support/mod.rs
@@ -66,7 +66,7 @@
     );
     owner.set_types([kind()].iter());
     for n in 0..machines {
-        assert!(owner.report(&report(n, 1), None, 10).is_some());
+        assert!(owner.handle_heartbeat(&report(n, 1), None, 10).is_some());
     }
     // The store shows that they came to the part's owner.
     owner.tick(11, 11);
--- a/crates/coordination/tests/weights.rs
+++ b/crates/coordination/tests/weights.rs
@@ -566,7 +566,7 @@
         owner.sync(&message, support::ROOM, now).expect("taken");
     };
     tell(owner, vec![wanted], Vec::new());
-    drop(owner.calls(now, support::ROOM));
+    drop(owner.due_calls(now, support::ROOM));
     for (k, phase) in [TaskPhase::Running, TaskPhase::Exited]
         .into_iter()
         .enumerate()
@@ -580,7 +580,7 @@
             saved: None,
         };
         owner
-            .report(
+            .handle_heartbeat(
                 &Heartbeat {
                     tasks: vec![task],
                     ..support::report(n, now + k as u64)
@@ -592,7 +592,7 @@
     }
     tell(owner, Vec::new(), vec![id]);
     owner
-        .report(&support::report(n, now + 2), None, now)
+        .handle_heartbeat(&support::report(n, now + 2), None, now)
         .expect("answered");
 }
 
@@ -600,7 +600,7 @@
 /// only weights first.
 fn given_back_first(needed: &[&str]) -> (MachineId, usize) {
     let mut owner = support::fleet(3);
-    owner.set_needed(needed.iter().map(|i| (*i).to_owned()).collect());
+    owner.set_service_images(needed.iter().map(|i| (*i).to_owned()).collect());
     let (mut state, mut now) = (0, 1_000);
     for (n, image) in ["model", "batch", "batch"].into_iter().enumerate() {
         run_once(&mut owner, n, n, image, &mut state, now);
@@ -611,11 +611,11 @@
     while now < 90_000 {
         now += 100;
         for n in (0..3).filter(|_| now % 3_000 == 0) {
-            owner.report(&support::report(n, now), None, now);
+            owner.handle_heartbeat(&support::report(n, now), None, now);
         }
         owner.tick(now, now);
-        let names = owner.releases();
-        owner.released(&names, true, now);
+        let names = owner.next_releases();
+        owner.release_finished(&names, true, now);
         given += names.len();
         first = first.or(names.into_iter().next());
     }
--- a/crates/coordination/tests/worker_sessions.rs
+++ b/crates/coordination/tests/worker_sessions.rs
@@ -95,7 +95,7 @@
             tasks,
             ..report(n, self.seqs[n])
         };
-        let reply = self.owner.report(&said, by, self.now).expect("answered");
+        let reply = self.owner.handle_heartbeat(&said, by, self.now).expect("answered");
         if reaches {
             self.tokens[n] = self.tokens[n].max(reply.token);
         }
@@ -103,7 +103,7 @@
 
     /// The only call that is due, with what it starts and stops.
     fn call(&mut self) -> Option<CommandCall> {
-        let mut calls = self.owner.calls(self.now, 4);
+        let mut calls = self.owner.due_calls(self.now, 4);
         assert!(calls.len() < 2);
         calls.pop()
     }
@@ -172,7 +172,7 @@
         shard.now += 20;
         shard
             .owner
-            .call_done(&call, CommandResult::Executed(said), shard.now);
+            .handle_call_result(&call, CommandResult::Executed(said), shard.now);
         assert!(!shard.open(0));
     }
     assert_eq!(
@@ -226,10 +226,10 @@
         }
         shard.strays = 60;
         shard.tell(Vec::new());
-        assert!(!shard.owner.deaf(shard.now), "round {round}");
+        assert!(!shard.owner.is_unreachable(shard.now), "round {round}");
     }
     assert_eq!((0..60).filter(|n| shard.open(*n)).count(), 20);
-    assert_eq!(shard.owner.releases(), [], "they are waited for");
+    assert_eq!(shard.owner.next_releases(), [], "they are waited for");
 }
 
 /// A copy three leases old to the third owner of a part: the machine was given back
@@ -261,7 +261,7 @@
         shard.pass(3 * TIMING.lease_ms);
         shard.tell(wants());
         assert!(
-            shard.owner.report(&copy, None, shard.now).is_some(),
+            shard.owner.handle_heartbeat(&copy, None, shard.now).is_some(),
             "it may be a live one"
         );
         let mut asked = 0;
@@ -269,14 +269,14 @@
         for step in 0..500 {
             shard.pass(shard.now + 100);
             if step % 40 == 0 {
-                shard.owner.report(&copy, Some(1), shard.now);
+                shard.owner.handle_heartbeat(&copy, Some(1), shard.now);
             }
-            for call in shard.owner.calls(shard.now, 4) {
+            for call in shard.owner.due_calls(shard.now, 4) {
                 assert!(call.commands.orders.is_empty(), "a question has no orders");
                 asked += 1;
                 shard
                     .owner
-                    .call_done(&call, CommandResult::NotSent, shard.now);
+                    .handle_call_result(&call, CommandResult::NotSent, shard.now);
             }
             let view = shard.tell(wants());
             assert!(
@@ -292,16 +292,16 @@
                 "{:?}",
                 view.attempts
             );
-            let names = shard.owner.releases();
+            let names = shard.owner.next_releases();
             if !names.is_empty() {
                 released = Some(shard.now);
-                shard.owner.released(&names, true, shard.now);
+                shard.owner.release_finished(&names, true, shard.now);
             }
         }
         assert!((1..=12).contains(&asked), "{asked} questions");
         assert!(released.is_some(), "nobody keeps it in mind for ever");
         assert!(
-            shard.owner.report(&copy, None, shard.now).is_none(),
+            shard.owner.handle_heartbeat(&copy, None, shard.now).is_none(),
             "it is gone"
         );
     }
@@ -344,7 +344,7 @@
     order.sort_by_key(|k| k * 7_919 % 41);
     for &k in &order {
         shard.now += 10;
-        shard.owner.report(&said[k], None, shard.now);
+        shard.owner.handle_heartbeat(&said[k], None, shard.now);
         assert!(shard.view(0, vec![want(0, 0)]).is_some_and(|m| m.open));
         assert_eq!(
             standing(&shard.tell(vec![want(0, 0)]), 0),
@@ -354,7 +354,7 @@
     shard.next_owner();
     for &k in &order {
         shard.now += 10;
-        assert!(shard.owner.report(&said[k], None, shard.now).is_some());
+        assert!(shard.owner.handle_heartbeat(&said[k], None, shard.now).is_some());
         let view = shard.tell(vec![want(0, 0)]);
         assert!(
             view.attempts.is_empty(),
@@ -386,7 +386,7 @@
             tasks: vec![running_task(0)],
             ..report(0, seq)
         };
-        assert!(shard.owner.report(&before(81), None, shard.now).is_some());
+        assert!(shard.owner.handle_heartbeat(&before(81), None, shard.now).is_some());
         assert_eq!(
             standing(&shard.tell(vec![want(0, 0)]), 0),
             Some(AttemptState::Running)
@@ -395,19 +395,19 @@
         // With no token, as a new worker; its answer gives one.
         let token = shard
             .owner
-            .report(&report_with(1, 0), None, shard.now)
+            .handle_heartbeat(&report_with(1, 0), None, shard.now)
             .expect("answered")
             .token;
         shard.now += 500;
         let token = shard
             .owner
-            .report(&report_with(2, token), None, shard.now)
+            .handle_heartbeat(&report_with(2, token), None, shard.now)
             .expect("answered")
             .token;
         shard.now += 500;
         shard
             .owner
-            .report(&report_with(3, token), None, shard.now)
+            .handle_heartbeat(&report_with(3, token), None, shard.now)
             .expect("answered");
         shard.pass(shard.now + 100);
         assert_eq!(
@@ -421,7 +421,7 @@
                 .is_some_and(|m| m.up && m.open)
         );
         // Its earlier life speaks up once more.
-        shard.owner.report(&before(90), None, shard.now);
+        shard.owner.handle_heartbeat(&before(90), None, shard.now);
         assert!(
             shard
                 .tell(vec![want(0, 0)])
@@ -463,7 +463,7 @@
         ..want(0, 0)
     }]);
     let call = shard.call().expect("a stop");
-    shard.owner.call_done(
+    shard.owner.handle_call_result(
         &call,
         CommandResult::Executed(report_with(1, call.commands.token)),
         shard.now,
@@ -472,7 +472,7 @@
         .call()
         .expect("with a token that its earlier life can't have seen");
     assert!(question.commands.token > call.commands.token);
-    shard.owner.call_done(
+    shard.owner.handle_call_result(
         &question,
         CommandResult::Executed(report_with(2, question.commands.token)),
         shard.now,
@@ -519,16 +519,16 @@
         }
     }
     shard.tell(all.clone());
-    let calls = shard.owner.calls(shard.now, 100);
+    let calls = shard.owner.due_calls(shard.now, 100);
     assert_eq!(calls.len(), DEAF_CALLS, "no more at a time");
     let gone: Vec<_> = calls.iter().map(|c| c.machine.clone()).collect();
-    shard.owner.released(&gone, true, shard.now);
+    shard.owner.release_finished(&gone, true, shard.now);
     for call in &calls {
         shard
             .owner
-            .call_done(call, CommandResult::Unknown, shard.now);
+            .handle_call_result(call, CommandResult::Unknown, shard.now);
     }
     shard.tell(all);
-    let rest = shard.owner.calls(shard.now, 100);
+    let rest = shard.owner.due_calls(shard.now, 100);
     assert_eq!(rest.len(), DEAF_CALLS, "the others are told to stop");
 }
