--- a/crates/coordination/src/incarnation/mod.rs
+++ b/crates/coordination/src/incarnation/mod.rs
@@ -59,7 +59,7 @@
     /// not directly.
     Heartbeat(Option<u16>),
     /// The answer to a call.
-    Response,
+    CallResponse,
 }
 
 /// What a message of a worker is worth.
@@ -177,7 +177,7 @@
             // Nothing of a worker that has seen a later owner is ours to judge.
             _ if token >> FENCE_BITS > self.base_token >> FENCE_BITS => Freshness::Unverified,
             // It was written after the call was made, when these were known.
-            Origin::Response if sequence <= self.newest_at_call => Freshness::Restarted,
+            Origin::CallResponse if sequence <= self.newest_at_call => Freshness::Restarted,
             Origin::Heartbeat(_) if token < self.trusted_from => Freshness::Unverified,
             // In one life both rise.
             _ if sequence > self.newest && lower => Freshness::Unverified,
@@ -201,10 +201,10 @@
         self.unverified = None;
         match origin {
             Origin::Heartbeat(route) => self.observe_delivery(sequence, token, route, timing, now),
-            Origin::Response if token > self.highest_token.max(self.highest_call_token) => {
+            Origin::CallResponse if token > self.highest_token.max(self.highest_call_token) => {
                 self.confirm_reachable(token)
             }
-            Origin::Response => {}
+            Origin::CallResponse => {}
         }
         // Guards against a machine that answers don't reach and whose new session only
         // the answer to a call shows: its lease runs from the session's begin, which may
@@ -241,7 +241,7 @@
             self.first_seen_at,
         ) = (None, None, None, None);
         // That a call reached it says nothing of answers.
-        self.reachability = if origin == Origin::Response {
+        self.reachability = if origin == Origin::CallResponse {
             Reachability::Suspected
         } else {
             Reachability::Reachable
--- a/crates/coordination/src/machine.rs
+++ b/crates/coordination/src/machine.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-use crate::incarnation::WorkerIncarnation;
+use crate::incarnation::{Origin, WorkerIncarnation};
 use lemonweir_model::constants::*;
 use lemonweir_model::{AttemptId, Resources};
 use lemonweir_protocol::peer::ExitCause;
@@ -215,7 +215,17 @@
             && self.incarnation.unverified_since().is_some()
     }
 
-    /// No order that could start something is of unknown fate.
+    /// The worker counts its messages from the start again: what was known of its
+    /// earlier incarnation no longer holds.
+    pub(super) fn reset_after_restart(&mut self, origin: Origin, now: u64) {
+        self.incarnation.reset_after_restart(origin, now);
+        self.images.clear();
+        self.expired_session = 0;
+        self.launches_in_response_to = None;
+        self.termination_notice = false;
+    }
+
+    /// No command that could launch something is of unknown outcome.
     pub(super) fn calls_resolved(&self) -> bool {
         self.unresolved_call_token.is_none()
             && self.launches_in_response_to.is_none()
--- /dev/null
+++ b/crates/coordination/src/owner/heartbeat.rs
@@ -0,0 +1,244 @@
+//! Heartbeats of workers: what they prove of a machine, and the reply to them.
+
+use super::*;
+
+impl Owner {
+    /// True if a heartbeat shows how its machine is now: only that proves that the
+    /// workers of its zone reach this controller.
+    pub(crate) fn is_current(&self, heartbeat: &Heartbeat) -> bool {
+        let freshness = |m: &Machine| {
+            m.incarnation.classify(
+                MessageSequence::of(heartbeat),
+                heartbeat.token,
+                Origin::Heartbeat(None),
+            )
+        };
+        self.machines
+            .get(&heartbeat.machine)
+            .map_or(heartbeat.token >> FENCE_BITS == self.token, |m| {
+                matches!(freshness(m), Freshness::Current | Freshness::Restarted)
+            })
+    }
+
+    /// Handles a heartbeat that came directly or was relayed by the controller
+    /// `relayed_by`. `None`: it must not be answered with 200.
+    pub fn handle_heartbeat(
+        &mut self,
+        heartbeat: &Heartbeat,
+        relayed_by: Option<u16>,
+        now: u64,
+    ) -> Option<HeartbeatResponse> {
+        if self.released_machines.contains(&heartbeat.machine) {
+            return None;
+        }
+        if heartbeat.token >> FENCE_BITS > self.token {
+            // The worker has seen a later owner: our answer would only keep it
+            // here while its lease expires.
+            return None;
+        }
+        let current = self.apply_heartbeat(heartbeat, Origin::Heartbeat(relayed_by), now);
+        let m = self.machines.get_mut(&heartbeat.machine)?;
+        // One that shows none of our tokens may be the first of a new incarnation.
+        if heartbeat.session <= m.expired_session && m.incarnation.is_trusted_token(heartbeat.token)
+        {
+            return None;
+        }
+        m.incarnation.record_reply(
+            MessageSequence::of(heartbeat),
+            heartbeat.token,
+            relayed_by,
+            now,
+        );
+        if current || m.last_heartbeat_at.is_none() {
+            // Commands take the route of the newest heartbeat.
+            m.relayed_by =
+                relayed_by.map(|peer| (peer, m.relayed_by.map_or(now, |(_, since)| since)));
+        }
+        let channel = reply_channel(m, current);
+        let orders = self.commands_for(&heartbeat.machine, now, channel);
+        let m = self.machines.get_mut(&heartbeat.machine)?;
+        if orders.iter().any(|o| o.verb == CommandKind::Launch) {
+            m.launches_in_response_to = Some(heartbeat.seq);
+        }
+        Some(HeartbeatResponse {
+            token: m.incarnation.reply_token(),
+            orders,
+        })
+    }
+
+    /// Applies a worker's status, from a heartbeat or the answer to a call. True if it
+    /// shows how the machine is now.
+    pub(super) fn apply_heartbeat(
+        &mut self,
+        heartbeat: &Heartbeat,
+        origin: Origin,
+        now: u64,
+    ) -> bool {
+        let id = &heartbeat.machine;
+        if !self.machines.contains_key(id) {
+            self.insert_machine(id, &heartbeat.kind, &heartbeat.zone, heartbeat.spot, now);
+        }
+        self.unseen_machines.remove(id);
+        let Some(m) = self.machines.get_mut(id) else {
+            return false;
+        };
+        let sequence = MessageSequence::of(heartbeat);
+        let freshness = m.incarnation.classify(sequence, heartbeat.token, origin);
+        match freshness {
+            Freshness::Current if heartbeat.session <= m.expired_session => return false,
+            Freshness::Current => {}
+            Freshness::Restarted => {
+                info!(machine = %id, shard = self.shard, "worker restarted");
+                m.reset_after_restart(origin, now);
+            }
+            Freshness::Stale | Freshness::Unverified => {
+                self.apply_unverified(heartbeat, origin, now);
+                return false;
+            }
+        }
+        self.register_first_heartbeat(heartbeat, now);
+        let Some(m) = self.machines.get_mut(id) else {
+            return false;
+        };
+        if freshness == Freshness::Current && heartbeat.session > m.incarnation.session() {
+            begin_session(m, heartbeat);
+        }
+        let was_reachable = m.incarnation.is_reachable();
+        m.incarnation
+            .apply(sequence, heartbeat.token, origin, &self.timing, now);
+        if m.incarnation.is_reachable() != was_reachable {
+            info!(machine = %id, shard = self.shard, reachable = !was_reachable, "worker reachability changed");
+        }
+        update_presence(m, heartbeat, now);
+        resolve_calls(m, heartbeat, origin);
+        replace_tasks(m, heartbeat);
+        self.reevaluate(id, now);
+        true
+    }
+
+    /// Applies what a heartbeat that proves nothing of the present still tells.
+    ///
+    /// Guards against copies of heartbeats, which come up to several leases late: a
+    /// machine that was released is no machine, and what a copy says was true once. It
+    /// causes a query at most, which carries no commands.
+    fn apply_unverified(&mut self, heartbeat: &Heartbeat, origin: Origin, now: u64) {
+        let Some(m) = self.machines.get_mut(&heartbeat.machine) else {
+            return;
+        };
+        let sequence = MessageSequence::of(heartbeat);
+        let mut query = false;
+        if let Origin::Heartbeat(route) = origin {
+            m.incarnation
+                .apply_late_heartbeat(sequence, heartbeat.token, route, &self.timing, now);
+            query = m
+                .incarnation
+                .suspect_restart(sequence, heartbeat.token, &self.timing, now);
+        }
+        if m.incarnation.record_unverified(sequence, now) {
+            m.address = heartbeat.address.parse().ok();
+            query = true;
+        }
+        if query {
+            self.mark_changed(&heartbeat.machine);
+        }
+    }
+
+    /// Registers the machine of the first heartbeat that is believed.
+    fn register_first_heartbeat(&mut self, heartbeat: &Heartbeat, now: u64) {
+        let id = &heartbeat.machine;
+        let Some(m) = self
+            .machines
+            .get_mut(id)
+            .filter(|m| m.last_heartbeat_at.is_none())
+        else {
+            return;
+        };
+        if let Some(images) = self.inherited_images.remove(id) {
+            m.images = images;
+        }
+        if !m.announced {
+            info!(machine = %id, shard = self.shard, "unannounced machine registered");
+        }
+        let boot_elapsed_ms = now.saturating_sub(m.provisioned_at);
+        info!(machine = %id, shard = self.shard, boot_elapsed_ms, "machine registered");
+        // One that ran before was up long before its first heartbeat to this owner.
+        if m.announced && m.recorded_running_at.is_none() {
+            self.boot_times
+                .record_boot(&m.kind, &m.zone, m.spot, boot_elapsed_ms);
+        }
+        m.overdue = false;
+        if !self.capacity_by_type.is_empty() && !self.capacity_by_type.contains_key(&heartbeat.kind)
+        {
+            warn!(machine = %id, machine_type = heartbeat.kind, "machine type not in the catalog; excluded from placement");
+        }
+    }
+}
+
+/// What the reply to a heartbeat may carry.
+///
+/// A late heartbeat may still be waited for, if the answer to a call came before it,
+/// and so may one of a worker that has not shown our token: both replies renew the
+/// lease, so both carry the stops.
+fn reply_channel(m: &Machine, current: bool) -> CommandChannel {
+    let call_unresolved = m.unresolved_call_token.is_some() && !m.call_in_progress;
+    match (current && m.incarnation.is_confirmed(), call_unresolved) {
+        (true, true) => CommandChannel::ResponseWithLaunches,
+        (true, false) => CommandChannel::Response,
+        (false, _) => CommandChannel::LateResponse,
+    }
+}
+
+/// Commands for an earlier session are refused by the worker.
+fn begin_session(m: &mut Machine, heartbeat: &Heartbeat) {
+    (m.unresolved_call_token, m.unresolved_launch_at) = (None, None);
+    m.launches_in_response_to = None;
+    if m.incarnation.session() > 0 {
+        info!(machine = %heartbeat.machine, session = heartbeat.session, "worker session started");
+    }
+}
+
+fn update_presence(m: &mut Machine, heartbeat: &Heartbeat, now: u64) {
+    m.address = heartbeat.address.parse().ok();
+    m.last_heartbeat_at = Some(now);
+    if std::mem::take(&mut m.silent) {
+        // It is in use again: it has not been idle since it was last seen.
+        m.idle_since = m.idle_since.map(|_| now);
+    }
+    if heartbeat.notice_s.is_some() && !m.termination_notice {
+        m.termination_notice = true;
+        info!(machine = %heartbeat.machine, notice_s = heartbeat.notice_s, "termination notice received");
+    }
+}
+
+/// Resolves calls and launches of unknown outcome that this status settles.
+fn resolve_calls(m: &mut Machine, heartbeat: &Heartbeat, origin: Origin) {
+    if m.unresolved_call_token
+        .is_some_and(|token| m.incarnation.shown_token() > token)
+    {
+        (m.unresolved_call_token, m.unresolved_launch_at) = (None, None);
+    }
+    if matches!(origin, Origin::Heartbeat(_))
+        && m.launches_in_response_to
+            .is_some_and(|seq| heartbeat.seq > seq)
+    {
+        m.launches_in_response_to = None;
+    }
+}
+
+fn replace_tasks(m: &mut Machine, heartbeat: &Heartbeat) {
+    m.tasks.clear();
+    for t in &heartbeat.tasks {
+        let Some(id) = AttemptId::parse(&t.piece, t.attempt) else {
+            warn!(machine = %heartbeat.machine, task = t.piece, "invalid task id in heartbeat");
+            continue;
+        };
+        let cause = (t.phase == TaskPhase::Exited).then(|| ExitCause::read(t.cause.as_deref()));
+        m.tasks.insert(
+            id,
+            ReportedTask {
+                phase: t.phase,
+                cause,
+            },
+        );
+    }
+}
--- /dev/null
+++ b/crates/coordination/src/owner/image_pages.rs
@@ -0,0 +1,115 @@
+//! The stored record of which machines hold which images, in pages: a hint for the
+//! successor of this owner.
+
+use super::*;
+
+/// ms between two writings of the record: a hint, so the write budget comes first.
+const IMAGE_PAGES_INTERVAL_MS: u64 = 8_000;
+/// Bytes of a page that are left for its encoding.
+const IMAGE_PAGE_OVERHEAD_BYTES: usize = 256;
+/// Bytes that an image takes in it beside its name.
+const IMAGE_ENTRY_OVERHEAD_BYTES: usize = 12;
+/// Bytes that a machine's reference to an image takes.
+const IMAGE_REFERENCE_BYTES: usize = 3;
+
+impl Owner {
+    /// Pages of the record of which machines hold which images that changed since the
+    /// last writing, if that is old enough: `max_pages` at the most, each below
+    /// `value_bytes`. `None` in place of a page: it is to be deleted.
+    pub fn changed_image_pages(
+        &mut self,
+        now: u64,
+        value_bytes: usize,
+        max_pages: usize,
+    ) -> Vec<(usize, Option<ImageLocationsRecord>)> {
+        if now < self.image_pages_written_at + IMAGE_PAGES_INTERVAL_MS {
+            return Vec::new();
+        }
+        self.image_pages_written_at = now;
+        let pages = self.image_pages(value_bytes);
+        let changed = self.select_changed_pages(&pages, max_pages);
+        self.next_image_page = match changed.last() {
+            Some((page, _)) if changed.len() == max_pages => page + 1,
+            _ => 0,
+        };
+        self.note_written_pages(&changed);
+        changed
+    }
+
+    /// The whole record, in pages of `value_bytes` each at the most.
+    fn image_pages(&self, value_bytes: usize) -> Vec<ImageLocationsRecord> {
+        let mut pages = vec![ImageLocationsRecord::default()];
+        let mut bytes = 0;
+        for (id, m) in self.machines.iter().filter(|(_, m)| !m.images.is_empty()) {
+            let names: usize = m
+                .images
+                .iter()
+                .map(|(name, _)| name.len() + IMAGE_ENTRY_OVERHEAD_BYTES)
+                .sum();
+            if bytes + names + IMAGE_PAGE_OVERHEAD_BYTES > value_bytes {
+                pages.push(ImageLocationsRecord::default());
+                bytes = 0;
+            }
+            let Some(page) = pages.last_mut() else { break };
+            let mut held = Vec::with_capacity(m.images.len());
+            for image in &m.images {
+                let index = page.n.iter().position(|i| i == image).unwrap_or_else(|| {
+                    bytes += image.0.len() + IMAGE_ENTRY_OVERHEAD_BYTES;
+                    page.n.push(image.clone());
+                    page.n.len() - 1
+                });
+                held.push(index as u16);
+            }
+            bytes += id.as_str().len() + IMAGE_REFERENCE_BYTES * (held.len() + 2);
+            page.m.push((id.clone(), held));
+        }
+        pages
+    }
+
+    /// Deletions go first, the last page before those before it: the record ends where
+    /// its last page is. Then from where the writing before stopped, so that in a large
+    /// fleet, whose first pages change all the time, the last are written.
+    fn select_changed_pages(
+        &self,
+        pages: &[ImageLocationsRecord],
+        max_pages: usize,
+    ) -> Vec<(usize, Option<ImageLocationsRecord>)> {
+        let recorded = &self.recorded_pages;
+        let from = self.next_image_page.min(pages.len()).min(recorded.len());
+        (pages.len()..pages.len().max(recorded.len()))
+            .rev()
+            .chain(from..pages.len())
+            .chain(0..from)
+            .filter(|&page| pages.get(page) != recorded.get(page))
+            .take(max_pages)
+            .map(|page| (page, pages.get(page).cloned()))
+            .collect()
+    }
+
+    /// Notes what is written now; what did not fit still differs from what is recorded.
+    fn note_written_pages(&mut self, changed: &[(usize, Option<ImageLocationsRecord>)]) {
+        for (page, record) in changed {
+            match record {
+                Some(record) if *page < self.recorded_pages.len() => {
+                    self.recorded_pages[*page] = record.clone();
+                }
+                Some(record) => self.recorded_pages.push(record.clone()),
+                None => self.recorded_pages.truncate(*page),
+            }
+        }
+    }
+
+    /// Restores what an earlier owner recorded, page by page.
+    pub fn restore_image_pages(&mut self, pages: Vec<ImageLocationsRecord>) {
+        for page in &pages {
+            for (id, have) in &page.m {
+                let images = have
+                    .iter()
+                    .filter_map(|&at| page.n.get(usize::from(at)).cloned())
+                    .collect();
+                self.inherited_images.insert(id.clone(), images);
+            }
+        }
+        self.recorded_pages = pages;
+    }
+}
--- a/crates/coordination/src/owner/last_copies.rs
+++ b/crates/coordination/src/owner/last_copies.rs
@@ -1,20 +1,23 @@
-//! Which machines are given back last: those with the last copy of a service's
-//! weights in their zone, while others can go.
+//! Which machines are released last: those with the last copy of a service's image in
+//! their zone, while others can be released.
 
-use super::maintenance::not_worth_keeping;
+use super::scale_in::not_worth_keeping;
 use super::*;
 
+/// ms between two checks for last copies: one walks all images.
+const LAST_COPIES_CHECK_MS: u64 = 1_000;
+
 impl Owner {
-    /// Learns which images services use.
+    /// Sets the images that services use.
     pub fn set_service_images(&mut self, images: BTreeSet<String>) {
         self.service_images = images;
         self.last_copies_checked_at = 0;
     }
 
-    /// Looks, now and then, at which machines hold the last copy of such an image in
+    /// Finds, now and then, the machines that hold the last copy of such an image in
     /// their zone.
     pub(super) fn find_last_copies(&mut self, now: u64) {
-        if now < self.last_copies_checked_at + LAST_COPIES_EVERY_MS {
+        if now < self.last_copies_checked_at + LAST_COPIES_CHECK_MS {
             return;
         }
         self.last_copies_checked_at = now;
@@ -22,8 +25,8 @@
         if self.service_images.is_empty() {
             return;
         }
-        let mut only: HashMap<(&str, &str), Option<&MachineId>> = HashMap::new();
-        // What leaves anyway keeps nothing.
+        let mut sole_holders: HashMap<(&str, &str), Option<&MachineId>> = HashMap::new();
+        // What is released anyway keeps nothing.
         for (id, m) in self.machines.iter().filter(|(_, m)| {
             m.last_heartbeat_at.is_some()
                 && !(m.scale_in_pending || m.release_requested || m.termination_notice)
@@ -33,25 +36,26 @@
                 .iter()
                 .filter(|(image, _)| self.service_images.contains(image))
             {
-                only.entry((m.zone.as_str(), image.as_str()))
-                    .and_modify(|one| *one = None)
+                sole_holders
+                    .entry((m.zone.as_str(), image.as_str()))
+                    .and_modify(|holder| *holder = None)
                     .or_insert(Some(id));
             }
         }
-        self.last_copies = only.into_values().flatten().cloned().collect();
+        self.last_copies = sole_holders.into_values().flatten().cloned().collect();
     }
 
-    /// A machine with a last copy whose time is over changes places with an empty one
-    /// of its type, zone and kind that has none: as many are given back as before,
-    /// and the weights stay.
+    /// A scale-in candidate with a last copy changes places with an idle machine of its
+    /// type, zone and price that has none: as many are released as before, and the image
+    /// stays.
     pub(super) fn keep_last_copies(&mut self) {
-        let spared: Vec<MachineId> = self
+        let kept: Vec<MachineId> = self
             .scale_in_candidates
             .iter()
             .filter(|id| self.last_copies.contains(*id))
             .cloned()
             .collect();
-        for id in spared {
+        for id in kept {
             let Some(m) = self.machines.get(&id).filter(|m| !not_worth_keeping(m)) else {
                 continue;
             };
@@ -67,7 +71,7 @@
             else {
                 continue;
             };
-            info!(machine = %id, instead = %other, shard = self.shard, "last copy of a service's weights in its zone; another machine goes");
+            info!(machine = %id, released_instead = %other, shard = self.shard, "machine kept for the last copy of an image");
             self.scale_in_candidates.remove(&id);
             self.scale_in_candidates.insert(other.clone());
             for (id, scale_in_pending, idle_since) in [(id, false, since), (other, true, since)] {
--- a/crates/coordination/src/owner/maintenance.rs
+++ b/crates/coordination/src/owner/maintenance.rs
@@ -1,103 +1,235 @@
-//! The fleet of a part: who is silent, empty or given back, and the note of
-//! images that outlives this process.
+//! Periodic maintenance of a shard's machines: health, expired leases, provisioning
+//! timeouts and machines to scale in.
 
+use super::scale_in::not_worth_keeping;
 use super::*;
+use lemonweir_model::constants::{OVERDUE_LEAST, OVERDUE_OF, TICK_MS, UNREADY_MS};
 
-/// A machine that is not worth keeping once it is empty.
-pub(super) fn not_worth_keeping(m: &Machine) -> bool {
-    m.termination_notice
-        || m.quarantine
-            .as_ref()
-            .is_some_and(Quarantine::is_unrecoverable)
+/// ms that a machine of unknown type is taken to boot.
+const DEFAULT_BOOT_MS: u64 = 30_000;
+/// ms without a newly accepted attempt after which idle machines are kept for less
+/// long.
+const DEMAND_LULL_AFTER_MS: u64 = 40_000;
+/// Share of the usual time that idle machines are then kept.
+const DEMAND_LULL_KEEP_SHARE: f64 = 0.3;
+
+/// A machine whose provisioning timed out.
+#[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct OverdueMachine {
+    /// When its boot is counted from, ms.
+    provisioned_at: u64,
+    id: MachineId,
+    /// It was found overdue before.
+    known: bool,
 }
 
-impl Owner {
-    /// Takes what a renter or the list says of a machine; `None`: it is gone.
-    fn register_instance(&mut self, said: &ProvisionedInstance, now: u64) -> Option<&mut Machine> {
-        if self.released_machines.contains(&said.machine) {
-            return None;
+/// What a pass over the machines found that is carried out after it.
+#[derive(Default)]
+struct MaintenanceFindings {
+    overdue: Vec<OverdueMachine>,
+    /// A launch of unknown outcome can no longer be running under a lease.
+    resolved_launches: Vec<MachineId>,
+    expired_leases: Vec<MachineId>,
+}
+
+/// What one pass over the machines decides by.
+struct MaintenancePass<'a> {
+    now: u64,
+    store_answer_at: u64,
+    shard: u16,
+    acquired_at: u64,
+    timing: Timing,
+    policy: &'a Policy,
+    listed_boot_ms: &'a BTreeMap<String, u64>,
+    image_fetch_gb_per_s: &'a BTreeMap<String, f64>,
+    boot_times: &'a BootTimes,
+    failure_detector: &'a MachineFailureDetector,
+    /// Machines may be released and counted as overdue.
+    may_release: bool,
+    /// No attempt was accepted of late.
+    demand_lull: bool,
+    inherited_leases_expired: bool,
+    surplus: HashSet<MachineId>,
+    changed_machines: &'a mut BTreeSet<MachineId>,
+    scale_in_candidates: &'a mut BTreeSet<MachineId>,
+    findings: MaintenanceFindings,
+}
+
+/// Estimates for one machine.
+struct MachineOutlook {
+    verdict: HealthVerdict,
+    /// Boot time by the catalog, ms.
+    listed_boot_ms: u64,
+    /// Boot time as observed, ms.
+    boot_ms: u64,
+    /// What replacing it takes: a boot and the fetch of an image, ms.
+    rebuild_ms: u64,
+}
+
+impl MaintenancePass<'_> {
+    fn examine(&mut self, id: &MachineId, m: &mut Machine) {
+        if m.release_in_progress || m.release_requested {
+            return;
         }
-        let room = self
-            .capacity_by_type
-            .get(&said.kind)
+        let outlook = self.outlook(m);
+        self.start_due_trial(id, m);
+        self.update_silence(id, m, outlook.verdict);
+        self.check_provisioning(id, m, &outlook);
+        self.check_leases(id, m);
+        self.check_idle(id, m, &outlook);
+    }
+
+    fn outlook(&self, m: &Machine) -> MachineOutlook {
+        let listed_boot_ms = self
+            .listed_boot_ms
+            .get(&m.kind)
             .copied()
-            .unwrap_or_default();
-        let base = self.base_token();
-        let (changed_machines, unseen_machines, inherited_images) = (
-            &mut self.changed_machines,
-            &self.unseen_machines,
-            &self.inherited_images,
-        );
-        let m = self
-            .machines
-            .entry(said.machine.clone())
-            .or_insert_with(|| {
-                changed_machines.insert(said.machine.clone());
-                let mut m = Machine::new(&said.kind, &said.zone, said.spot, room, base, now);
-                // An attempt there or a note of its images: it ran before.
-                m.recorded_running_at = unseen_machines
-                    .get(&said.machine)
-                    .copied()
-                    .or(inherited_images.contains_key(&said.machine).then_some(now));
-                m
+            .unwrap_or(DEFAULT_BOOT_MS);
+        let boot_ms = self
+            .boot_times
+            .usual_ms(&m.kind, &m.zone, m.spot, listed_boot_ms);
+        let rebuild_ms = boot_ms + m.fetch_ms(self.image_fetch_gb_per_s.get(&m.kind).copied());
+        MachineOutlook {
+            verdict: self.failure_detector.verdict(m, rebuild_ms, self.now),
+            listed_boot_ms,
+            boot_ms,
+            rebuild_ms,
+        }
+    }
+
+    /// A quarantined machine may take the attempt that is its trial.
+    fn start_due_trial(&mut self, id: &MachineId, m: &mut Machine) {
+        if let Some(quarantine) = m
+            .quarantine
+            .as_mut()
+            .filter(|q| !q.trial_due && self.now >= q.trial_at)
+        {
+            quarantine.trial_due = true;
+            self.changed_machines.insert(id.clone());
+        }
+    }
+
+    fn update_silence(&mut self, id: &MachineId, m: &mut Machine, verdict: HealthVerdict) {
+        let silent = is_silent(verdict);
+        if silent != m.silent {
+            m.silent = silent;
+            self.changed_machines.insert(id.clone());
+        }
+    }
+
+    /// Finds machines that did not come up in time, and requests the release of those
+    /// that never will or have been silent for too long.
+    fn check_provisioning(&mut self, id: &MachineId, m: &mut Machine, outlook: &MachineOutlook) {
+        if !self.may_release {
+            return;
+        }
+        // The longer of both: machines that boot within a second were requested among
+        // others that don't.
+        let patience_ms =
+            (outlook.boot_ms.max(outlook.listed_boot_ms) as f64 * self.policy.boot_patience) as u64;
+        let provisioned_at = m
+            .provisioned_at
+            .max(self.acquired_at.saturating_sub(patience_ms))
+            .max(m.known_since.saturating_sub(patience_ms));
+        let booting = outlook.verdict == HealthVerdict::Booting;
+        let timeout_ms = || {
+            self.boot_times.provisioning_timeout_ms(
+                &m.kind,
+                &m.zone,
+                m.spot,
+                outlook.listed_boot_ms,
+            )
+        };
+        if booting && self.now > provisioned_at + timeout_ms() {
+            self.findings.overdue.push(OverdueMachine {
+                provisioned_at,
+                id: id.clone(),
+                known: m.overdue,
             });
-        // New, or so far only heard of.
-        if m.last_heartbeat_at.is_none() && !m.announced {
-            m.provisioned_at = now.saturating_sub(said.age_ms);
-            m.announced = true;
-            self.changed_machines.insert(said.machine.clone());
         }
-        Some(m)
+        let boot_failed = booting && self.now > provisioned_at + patience_ms + self.timing.lease_ms;
+        if boot_failed || outlook.verdict == HealthVerdict::Release {
+            let reason = if boot_failed { "boot failed" } else { "silent" };
+            info!(machine = %id, shard = self.shard, reason, "machine release requested");
+            m.release_requested = true;
+            self.changed_machines.insert(id.clone());
+        }
     }
 
-    /// A placer rented a machine.
-    pub(super) fn expect_instance(&mut self, rented: &ProvisionedInstance, renter: u16, now: u64) {
-        if let Some(m) = self.register_instance(rented, now) {
-            m.requested_by = Some(renter);
-            self.changed_machines.insert(rented.machine.clone());
+    /// Finds leases that have surely expired, whichever controller renewed them: none
+    /// of its answers can do so any longer.
+    fn check_leases(&mut self, id: &MachineId, m: &mut Machine) {
+        let lease_expiry_ms = self.timing.lease_expiry_ms();
+        if m.unresolved_launch_at
+            .is_some_and(|at| self.store_answer_at > at + lease_expiry_ms)
+        {
+            m.unresolved_launch_at = None;
+            self.findings.resolved_launches.push(id.clone());
+        }
+        if !m.lease_expired(self.store_answer_at, &self.timing) {
+            return;
+        }
+        if (m.incarnation.is_confirmed() || self.inherited_leases_expired)
+            && m.expired_session < m.incarnation.session()
+        {
+            self.findings.expired_leases.push(id.clone());
+        } else if m.last_heartbeat_at.is_none() && self.inherited_leases_expired {
+            // What may have been its heartbeats was answered; these answers keep
+            // nothing alive any longer either.
+            m.incarnation.clear_lease();
+            self.findings.expired_leases.push(id.clone());
         }
     }
 
-    /// A page of the rental list, reduced to this part's machines.
-    pub fn apply_inventory(&mut self, entries: &[InstanceEntry], now: u64) {
-        self.inventory_read_at = now;
-        for e in entries {
-            let said = ProvisionedInstance {
-                machine: e.id.clone(),
-                kind: e.kind.clone(),
-                zone: e.zone.clone(),
-                spot: e.spot,
-                age_ms: (e.age_s * 1000.0) as u64,
-            };
-            let Some(m) = self.register_instance(&said, now) else {
-                continue;
-            };
-            if e.phase == "running" && m.last_heartbeat_at.is_none() {
-                // Guards against waiting for machines that are no more: the
-                // list lags, and a restarted owner does not know what its
-                // predecessor gave back. One that runs reports soon.
-                m.recorded_running_at.get_or_insert(now);
-            }
-            if e.phase == "failed" {
-                m.release_requested = true;
-                self.changed_machines.insert(e.id.clone());
-            }
-            self.unseen_machines.remove(&e.id);
+    /// Makes a machine that was idle for long enough a candidate for scaling in. What
+    /// is partitioned is not idle, nor what has just come back.
+    fn check_idle(&mut self, id: &MachineId, m: &mut Machine, outlook: &MachineOutlook) {
+        if !self.may_release
+            || is_silent(outlook.verdict)
+            || outlook.verdict == HealthVerdict::Unreachable
+            || self.failure_detector.recovering(m, self.now)
+        {
+            return;
+        }
+        let Some(idle_since) = m.idle_since else {
+            return;
+        };
+        let lull = if self.demand_lull || self.surplus.contains(id) {
+            DEMAND_LULL_KEEP_SHARE
+        } else {
+            1.0
+        };
+        let factor = if m.spot {
+            self.policy.idle_spot
+        } else {
+            self.policy.idle
+        };
+        let keep_ms = (outlook.rebuild_ms as f64 * lull * factor) as u64;
+        if self.now > idle_since + keep_ms || not_worth_keeping(m) {
+            m.scale_in_pending = true;
+            self.scale_in_candidates.insert(id.clone());
+            self.changed_machines.insert(id.clone());
         }
     }
+}
+
+fn is_silent(verdict: HealthVerdict) -> bool {
+    matches!(verdict, HealthVerdict::Silent | HealthVerdict::Partitioned)
+}
 
-    /// This process stood still: silence meanwhile proves nothing, and no wait that
-    /// ran then is over.
-    pub(crate) fn handle_stall(&mut self, gap: u64, now: u64) {
+impl Owner {
+    /// This process was stalled for `stalled_ms`: silence meanwhile proves nothing, and
+    /// no wait that was running has passed.
+    pub(crate) fn handle_stall(&mut self, stalled_ms: u64, now: u64) {
         self.failure_detector.handle_stall(now);
         self.resumed_at = now;
         for tracked in self.attempts.values_mut() {
             if let AttemptStage::AwaitingPreemption(since) = &mut tracked.stage {
-                *since += gap;
+                *since += stalled_ms;
             }
         }
         for placer in self.placers.values_mut() {
-            placer.lease_lost_at = placer.lease_lost_at.map(|at| at + gap);
+            placer.lease_lost_at = placer.lease_lost_at.map(|at| at + stalled_ms);
         }
         for m in self.machines.values_mut() {
             m.idle_since = m.idle_since.map(|_| now);
@@ -105,8 +237,8 @@
         }
     }
 
-    /// Looks for machines whose time has come; call about every tick. `word`:
-    /// when the last reading of the store began that showed us as the owner, ms.
+    /// Periodic maintenance; to be called about every tick. `store_answer_at`: when the
+    /// last reading of the store began that showed this owner as the shard's leader, ms.
     pub fn tick(&mut self, now: u64, store_answer_at: u64) {
         self.store_answer_at = store_answer_at;
         if now < self.last_tick + TICK_MS {
@@ -115,394 +247,114 @@
         self.last_tick = now;
         self.log_summary(now);
         self.release_orphaned_grants(now);
+        self.observe_health(now);
+        self.find_last_copies(now);
+        let findings = self.examine_machines(now);
+        self.keep_last_copies();
+        self.discount_overdue(findings.overdue);
+        for id in findings.resolved_launches {
+            self.reevaluate(&id, now);
+        }
+        self.expire_leases(findings.expired_leases, now);
+        self.apply_inherited_expiry(now);
+        self.release_unlisted(now);
+    }
+
+    fn observe_health(&mut self, now: u64) {
         self.failure_detector.observe(
             self.machines
                 .values()
                 .filter(|m| !m.release_requested && !m.is_unconfirmed()),
             now,
         );
-        let dead_after = self.timing.lease_expiry_ms();
-        let (mut dead, mut late, mut judge) = (Vec::new(), Vec::new(), Vec::new());
-        self.find_last_copies(now);
-        let surplus = self.surplus();
-        let inherited_leases_expired = self
-            .failure_detector
-            .inherited_leases_expired(store_answer_at);
-        // Guards against an owner that gives back what its successor uses: it
-        // gives nothing back without word from the store.
-        let sure = now <= store_answer_at + UNREADY_MS && !self.resuming(now);
-        for (id, m) in &mut self.machines {
-            if m.release_in_progress || m.release_requested {
-                continue;
-            }
-            let listed_ms = self
-                .listed_boot_ms
-                .get(&m.kind)
-                .copied()
-                .unwrap_or(BOOT_UNKNOWN_MS);
-            let boot_ms = self
-                .boot_times
-                .usual_ms(&m.kind, &m.zone, m.spot, listed_ms);
-            let restart = boot_ms + m.fetch_ms(self.image_fetch_gb_per_s.get(&m.kind).copied());
-            let verdict = self.failure_detector.verdict(m, restart, now);
-            let silent = matches!(verdict, HealthVerdict::Silent | HealthVerdict::Partitioned);
-            if let Some(quarantine) = m
-                .quarantine
-                .as_mut()
-                .filter(|a| !a.trial_due && now >= a.trial_at)
-            {
-                quarantine.trial_due = true;
-                self.changed_machines.insert(id.clone());
-            }
-            if silent != m.silent {
-                m.silent = silent;
-                self.changed_machines.insert(id.clone());
-            }
-            // Machines that come in a second were rented among others that don't.
-            let patience = (boot_ms.max(listed_ms) as f64 * self.policy.boot_patience) as u64;
-            let since = m
-                .provisioned_at
-                .max(self.acquired_at.saturating_sub(patience))
-                .max(m.known_since.saturating_sub(patience));
-            let unborn =
-                verdict == HealthVerdict::Booting && now > since + patience + self.timing.lease_ms;
-            if sure
-                && verdict == HealthVerdict::Booting
-                && now
-                    > since
-                        + self
-                            .boot_times
-                            .provisioning_timeout_ms(&m.kind, &m.zone, m.spot, listed_ms)
-            {
-                late.push((since, id.clone(), m.overdue));
-            }
-            if sure && (unborn || verdict == HealthVerdict::Release) {
-                let why = if unborn { "never came up" } else { "is silent" };
-                info!(machine = %id, shard = self.shard, why, "machine is given back");
-                m.release_requested = true;
-                self.changed_machines.insert(id.clone());
-            }
-            if m.unresolved_launch_at
-                .is_some_and(|at| store_answer_at > at + dead_after)
-            {
-                m.unresolved_launch_at = None;
-                judge.push(id.clone());
-            }
-            // Whoever kept it alive: none of its answers can do so any longer.
-            if m.lease_expired(store_answer_at, &self.timing) {
-                if (m.incarnation.is_confirmed() || inherited_leases_expired)
-                    && m.expired_session < m.incarnation.session()
-                {
-                    dead.push(id.clone());
-                } else if m.last_heartbeat_at.is_none() && inherited_leases_expired {
-                    // Nor does what may have been its reports, which were answered.
-                    m.incarnation.clear_lease();
-                    dead.push(id.clone());
-                }
-            }
-            if !sure
-                || silent
-                || verdict == HealthVerdict::Unreachable
-                || self.failure_detector.recovering(m, now)
-            {
-                // What is out of sight is not idle, nor what has just come back.
-                continue;
-            }
-            let lull = if now > self.last_accepted_at + LULL_MS || surplus.contains(id) {
-                LULL_KEEP
-            } else {
-                1.0
-            };
-            let keep = (restart as f64
-                * lull
-                * if m.spot {
-                    self.policy.idle_spot
-                } else {
-                    self.policy.idle
-                }) as u64;
-            if m.idle_since.is_some_and(|at| now > at + keep)
-                || not_worth_keeping(m) && m.idle_since.is_some()
-            {
-                m.scale_in_pending = true;
-                self.scale_in_candidates.insert(id.clone());
-                self.changed_machines.insert(id.clone());
-            }
-        }
-        self.keep_last_copies();
-        self.discount_overdue(late);
-        for id in judge {
-            self.reevaluate(&id, now);
-        }
-        for id in dead {
-            if let Some(m) = self.machines.get_mut(&id) {
-                info!(machine = %id, shard = self.shard, "lease has run out");
-                m.expired_session = m.incarnation.session();
-                m.tasks.clear();
-                m.launches_in_response_to = None;
-            }
-            self.reevaluate(&id, now);
-        }
-        if inherited_leases_expired && !self.inherited_expiry_applied {
-            self.inherited_expiry_applied = true;
-            let unheard: Vec<MachineId> = self
-                .attempts_by_machine
-                .keys()
-                .filter(|id| {
-                    self.machines
-                        .get(*id)
-                        .is_none_or(|m| m.last_heartbeat_at.is_none())
-                })
-                .cloned()
-                .collect();
-            for id in unheard {
-                self.reevaluate(&id, now);
-            }
-        }
-        // A machine that somebody counts on and that not even the cloud lists:
-        // only the cloud's answer proves that it is gone. Without a list it may
-        // only be out of sight.
-        for (id, since) in &self.unseen_machines {
-            if now > since + dead_after
-                && self.inventory_read_at > *since
-                && !self.machines.contains_key(id)
-            {
-                let mut m = Machine::new(
-                    "",
-                    "",
-                    false,
-                    Resources::default(),
-                    self.token << FENCE_BITS,
-                    now,
-                );
-                m.release_requested = true;
-                self.machines.insert(id.clone(), m);
-            }
-        }
-        let machines = &self.machines;
-        self.unseen_machines
-            .retain(|id, _| !machines.contains_key(id));
     }
 
-    /// True while machines that came up during a pause may not have reported yet.
-    fn resuming(&self, now: u64) -> bool {
-        self.resumed_at > 0 && now < self.resumed_at + 2 * self.timing.report_ms
+    fn inherited_leases_expired(&self) -> bool {
+        self.failure_detector
+            .inherited_leases_expired(self.store_answer_at)
     }
 
-    /// Machines that should have come up long ago are no longer counted on, those
-    /// that are most overdue first, so that what they were rented for asks for
-    /// others. Guards against a late wave that doubles the fleet: only a share of
-    /// the part is replaced at a time. What comes after all is used.
-    fn discount_overdue(&mut self, mut late: Vec<(u64, MachineId, bool)>) {
-        late.sort_unstable();
-        let most = OVERDUE_LEAST.max(self.machines.len() / OVERDUE_OF);
-        for (_, id, _) in late.into_iter().take(most).filter(|(_, _, known)| !known) {
-            info!(machine = %id, shard = self.shard, "machine is overdue; no longer counted on");
-            if let Some(m) = self.machines.get_mut(&id) {
-                m.overdue = true;
-            }
-            self.changed_machines.insert(id);
+    fn examine_machines(&mut self, now: u64) -> MaintenanceFindings {
+        let mut pass = MaintenancePass {
+            now,
+            store_answer_at: self.store_answer_at,
+            shard: self.shard,
+            acquired_at: self.acquired_at,
+            timing: self.timing,
+            // Guards against an owner that releases what its successor uses: it
+            // releases nothing without a recent answer of the store.
+            may_release: now <= self.store_answer_at + UNREADY_MS && !self.is_resuming(now),
+            demand_lull: now > self.last_accepted_at + DEMAND_LULL_AFTER_MS,
+            inherited_leases_expired: self.inherited_leases_expired(),
+            surplus: self.surplus(),
+            policy: &self.policy,
+            listed_boot_ms: &self.listed_boot_ms,
+            image_fetch_gb_per_s: &self.image_fetch_gb_per_s,
+            boot_times: &self.boot_times,
+            failure_detector: &self.failure_detector,
+            changed_machines: &mut self.changed_machines,
+            scale_in_candidates: &mut self.scale_in_candidates,
+            findings: MaintenanceFindings::default(),
+        };
+        for (id, m) in &mut self.machines {
+            pass.examine(id, m);
         }
+        pass.findings
     }
 
-    /// Empty machines beyond what a fleet of this size needs at hand, those
-    /// that are empty longest: in a large fleet some run empty all the time,
-    /// and what is taken up again is a small share of them. The last copies of
-    /// services' weights are what is kept first.
-    pub(super) fn surplus(&self) -> HashSet<MachineId> {
-        let last = |id: &MachineId| self.last_copies.contains(id);
-        let mut empty: Vec<(bool, u64, &MachineId)> = self
-            .machines
-            .iter()
-            .filter_map(|(id, m)| Some((last(id), m.idle_since?, id)))
-            .collect();
-        let kept = SPARE_MACHINES.max(self.machines.len() / SPARE_MACHINES_OF);
-        if empty.len() <= kept {
-            return HashSet::new();
-        }
-        empty.sort_unstable();
-        empty.truncate(empty.len() - kept);
-        empty.into_iter().map(|(_, _, id)| id.clone()).collect()
+    /// True while machines may not have sent a heartbeat yet since this process was
+    /// stalled.
+    fn is_resuming(&self, now: u64) -> bool {
+        self.resumed_at > 0 && now < self.resumed_at + 2 * self.timing.report_ms
     }
 
-    /// Says how full the part is, for its operators.
-    pub(super) fn log_summary(&mut self, now: u64) {
-        if now < self.summary_logged_at + SUMMARY_MS {
-            return;
-        }
-        self.summary_logged_at = now;
-        self.refresh();
-        let (mut up, mut empty, mut spot, mut free, mut free_in_use) =
-            (0, 0, 0, Resources::default(), Resources::default());
-        for view in self
-            .machines
-            .keys()
-            .filter_map(|id| self.machine_views.get(id))
-            .filter(|v| v.up)
-        {
-            up += 1;
-            empty += usize::from(view.busy == 0);
-            spot += usize::from(view.spot);
-            free = free.plus(&view.free);
-            if view.busy > 0 {
-                free_in_use = free_in_use.plus(&view.free);
+    /// Machines whose provisioning timed out are no longer counted on, the most overdue
+    /// first, so that others are requested in their place. Guards against a wave of
+    /// late boots that doubles the fleet: only a share of the shard's machines is
+    /// replaced at a time. One that comes up after all is used.
+    fn discount_overdue(&mut self, mut overdue: Vec<OverdueMachine>) {
+        overdue.sort_unstable();
+        let most = OVERDUE_LEAST.max(self.machines.len() / OVERDUE_OF);
+        for machine in overdue.into_iter().take(most).filter(|m| !m.known) {
+            info!(machine = %machine.id, shard = self.shard, "machine provisioning timed out");
+            if let Some(m) = self.machines.get_mut(&machine.id) {
+                m.overdue = true;
             }
+            self.changed_machines.insert(machine.id);
         }
-        let gpus = |room: Resources| room.gpus / 1000;
-        info!(
-            shard = self.shard,
-            machines = self.machines.len(),
-            up,
-            spot,
-            empty,
-            attempts = self.attempts.len(),
-            free_gpus = gpus(free),
-            free_gpus_in_use = gpus(free_in_use),
-            "part in figures"
-        );
     }
 
-    /// Machines to give back now, if no release is under way.
-    pub fn next_releases(&mut self) -> Vec<MachineId> {
-        if self.release_in_progress || self.last_tick == self.released_tick {
-            return Vec::new();
-        }
-        self.released_tick = self.last_tick;
-        let mut names = Vec::new();
-        for id in std::mem::take(&mut self.scale_in_candidates) {
-            let empty = self.occupant_count(&id) == 0;
-            self.changed_machines.insert(id.clone());
+    fn expire_leases(&mut self, machines: Vec<MachineId>, now: u64) {
+        for id in machines {
             if let Some(m) = self.machines.get_mut(&id) {
-                if empty {
-                    info!(machine = %id, shard = self.shard, "machine is idle; giving it back");
-                    m.release_requested = true;
-                } else {
-                    m.scale_in_pending = false;
-                }
-            }
-        }
-        for (id, m) in &mut self.machines {
-            if m.release_requested && names.len() < MAX_RELEASE {
-                m.release_in_progress = true;
-                names.push(id.clone());
-            }
-        }
-        self.release_in_progress = !names.is_empty();
-        names
-    }
-
-    /// The cloud answered a release, or did not.
-    pub fn release_finished(&mut self, names: &[MachineId], done: bool, now: u64) {
-        self.release_in_progress = false;
-        for id in names {
-            if done {
-                // Guards against a call under way to a machine that goes: its end finds
-                // no machine, and its place among the calls to deaf ones would be lost.
-                let call_in_progress = self.machines.remove(id).is_some_and(|m| m.unreachable_call);
-                self.unreachable_calls -= usize::from(call_in_progress);
-                self.fault_attribution.forget(id);
-                self.released_machines.insert(id.clone());
-                info!(machine = %id, shard = self.shard, "machine is gone");
-                self.reevaluate(id, now);
-            } else if let Some(m) = self.machines.get_mut(id) {
-                m.release_in_progress = false;
+                info!(machine = %id, shard = self.shard, "worker lease expired");
+                m.expired_session = m.incarnation.session();
+                m.tasks.clear();
+                m.launches_in_response_to = None;
             }
+            self.reevaluate(&id, now);
         }
     }
 
-    pub(super) fn update_idle(&mut self, machine: &MachineId, now: u64) {
-        let busy = self.occupant_count(machine);
-        if let Some(m) = self.machines.get_mut(machine)
-            && m.last_heartbeat_at.is_some()
-        {
-            m.idle_since = if busy > 0 {
-                None
-            } else {
-                m.idle_since.or(Some(now))
-            };
-        }
-    }
-
-    /// Pages of the note of what machines have which images that changed since
-    /// the last one, if that is old enough; `None`: a page that is no more.
-    pub fn changed_image_pages(
-        &mut self,
-        now: u64,
-        value_bytes: usize,
-        pages: usize,
-    ) -> Vec<(usize, Option<ImageLocationsRecord>)> {
-        if now < self.image_pages_written_at + IMAGES_EVERY_MS {
-            return Vec::new();
-        }
-        self.image_pages_written_at = now;
-        let mut all = vec![ImageLocationsRecord::default()];
-        let mut bytes = 0;
-        for (id, m) in self.machines.iter().filter(|(_, m)| !m.images.is_empty()) {
-            let names: usize = m
-                .images
-                .iter()
-                .map(|(name, _)| name.len() + IMAGE_NAME_BYTES)
-                .sum();
-            if bytes + names + IMAGE_NOTE_BYTES > value_bytes {
-                all.push(ImageLocationsRecord::default());
-                bytes = 0;
-            }
-            let Some(page) = all.last_mut() else { break };
-            let mut have = Vec::with_capacity(m.images.len());
-            for image in &m.images {
-                let at = page.n.iter().position(|i| i == image).unwrap_or_else(|| {
-                    bytes += image.0.len() + IMAGE_NAME_BYTES;
-                    page.n.push(image.clone());
-                    page.n.len() - 1
-                });
-                have.push(at as u16);
-            }
-            bytes += id.as_str().len() + IMAGE_MARK_BYTES * (have.len() + 2);
-            page.m.push((id.clone(), have));
+    /// Once every lease that earlier owners could renew has expired, the attempts on
+    /// machines that never sent a heartbeat to this owner are over.
+    fn apply_inherited_expiry(&mut self, now: u64) {
+        if self.inherited_expiry_applied || !self.inherited_leases_expired() {
+            return;
         }
-        let most = all.len().max(self.recorded_pages.len());
-        // What is no more goes first, the last page before those before it: the note
-        // ends where its last page is. Then from where the one before stopped, so that
-        // in a large fleet, whose first pages change all the time, the last are written.
-        let from = self
-            .next_image_page
-            .min(all.len())
-            .min(self.recorded_pages.len());
-        let changed: Vec<_> = (all.len()..most)
-            .rev()
-            .chain(from..all.len())
-            .chain(0..from)
-            .filter(|&p| all.get(p) != self.recorded_pages.get(p))
-            .take(pages)
-            .map(|p| (p, all.get(p).cloned()))
+        self.inherited_expiry_applied = true;
+        let silent: Vec<MachineId> = self
+            .attempts_by_machine
+            .keys()
+            .filter(|id| {
+                self.machines
+                    .get(*id)
+                    .is_none_or(|m| m.last_heartbeat_at.is_none())
+            })
+            .cloned()
             .collect();
-        self.next_image_page = match changed.last() {
-            Some((page, _)) if changed.len() == pages => page + 1,
-            _ => 0,
-        };
-        // What did not fit this transaction is still unlike what is noted.
-        for (page, record) in &changed {
-            match record {
-                Some(record) if *page < self.recorded_pages.len() => {
-                    self.recorded_pages[*page] = record.clone()
-                }
-                Some(record) => self.recorded_pages.push(record.clone()),
-                None => self.recorded_pages.truncate(*page),
-            }
-        }
-        changed
-    }
-
-    /// Takes the note of an earlier owner, page by page.
-    pub fn restore_image_pages(&mut self, pages: Vec<ImageLocationsRecord>) {
-        for page in &pages {
-            for (id, have) in &page.m {
-                let images = have
-                    .iter()
-                    .filter_map(|&at| page.n.get(usize::from(at)).cloned())
-                    .collect();
-                self.inherited_images.insert(id.clone(), images);
-            }
+        for id in silent {
+            self.reevaluate(&id, now);
         }
-        self.recorded_pages = pages;
     }
 }
--- a/crates/coordination/src/owner/orphaned_grants.rs
+++ b/crates/coordination/src/owner/orphaned_grants.rs
@@ -1,23 +1,24 @@
-//! Room that a placer asked for and will never use: it has lost its part.
+//! Grants that a placer asked for and will never use, since it has lost its lease.
 
 use super::*;
+use lemonweir_model::constants::ORPHAN_ROOM_MS;
 use lemonweir_storage::state_cache::ShardLeader;
 
 impl Owner {
-    /// Learns from a reading of the store at `revision` who holds the parts. A
-    /// placer whose token is no part's any more asks for nothing from then on.
+    /// Observes the shards' leaders in a reading of the store at `revision`. A placer
+    /// whose token is no shard's any more is granted nothing from then on.
     ///
-    /// Guards against taking a part for lost that was taken after the reading: the
+    /// Guards against taking a lease for lost that was acquired after the reading: the
     /// reading must be at least as new as the token.
     pub fn observe_leaders(
         &mut self,
-        holders: &BTreeMap<u16, ShardLeader>,
+        leaders: &BTreeMap<u16, ShardLeader>,
         revision: u64,
         now: u64,
     ) {
         for (shard, placer) in &mut self.placers {
             let lost = revision >= placer.token
-                && holders.get(shard).is_none_or(|h| h.token != placer.token);
+                && leaders.get(shard).is_none_or(|h| h.token != placer.token);
             if !lost {
                 placer.lease_lost_at = None;
             } else if placer.lease_lost_at.is_none() {
@@ -25,17 +26,16 @@
                 info!(
                     shard = self.shard,
                     placer = shard,
-                    "its placer has lost its part"
+                    "placer lost its shard lease"
                 );
             }
         }
     }
 
-    /// Gives back what lost placers were granted for gangs and never launched, some
-    /// time after the store has shown the loss: a successor that comes before can
-    /// still finish the gang, and one that comes later learns that the room is gone
-    /// and releases the rest. What was launched, or may have been, ends by its
-    /// machine's proof alone.
+    /// Releases what such placers were granted for gangs and never launched, some time
+    /// after the store has shown the loss: a successor that comes before can still finish
+    /// the gang, and one that comes later learns that the grant is gone and releases the
+    /// rest. What was launched, or may have been, ends by its machine's proof alone.
     pub(super) fn release_orphaned_grants(&mut self, now: u64) {
         let due = |a: &PlacerSession| a.lease_lost_at.is_some_and(|at| now >= at + ORPHAN_ROOM_MS);
         let lost: BTreeSet<u16> = self
@@ -51,14 +51,10 @@
             !h.desired.go
                 && matches!(
                     h.stage,
-                    AttemptStage::AwaitingPreemption(_)
-                        | AttemptStage::Accepted {
-                            sent: None,
-                            seen: false
-                        }
+                    AttemptStage::AwaitingPreemption(_) | AttemptStage::NOT_LAUNCHED
                 )
         };
-        let here = |id: &AttemptId, h: &TrackedAttempt| {
+        let reported = |id: &AttemptId, h: &TrackedAttempt| {
             self.machines
                 .get(&h.desired.machine)
                 .is_some_and(|m| m.tasks.contains_key(id))
@@ -66,14 +62,14 @@
         let orphans: Vec<AttemptId> = self
             .attempts
             .iter()
-            .filter(|(id, h)| lost.contains(&h.from) && unused(h) && !here(id, h))
+            .filter(|(id, h)| lost.contains(&h.from) && unused(h) && !reported(id, h))
             .map(|(id, _)| id.clone())
             .collect();
         for id in orphans {
             let Some(tracked) = self.attempts.get_mut(&id) else {
                 continue;
             };
-            info!(attempt = %id, machine = %tracked.desired.machine, shard = self.shard, "its placer is gone; its room is free");
+            info!(attempt = %id, machine = %tracked.desired.machine, shard = self.shard, "orphaned grant released");
             tracked.stage = AttemptStage::Ended(AttemptState::Refused);
             let (machine, from) = (tracked.desired.machine.clone(), tracked.from);
             self.changed_placers.insert(from);
--- a/crates/coordination/src/owner/preemption.rs
+++ b/crates/coordination/src/owner/preemption.rs
@@ -1,11 +1,15 @@
-//! Room on a machine, and who makes way for whom.
+//! Capacity of a machine, and which attempts are preempted for which.
 
 use super::*;
 
+/// ms after its start within which a task is preempted only if nothing else will do: a
+/// start that is undone within 30 s is none to its users.
+const RECENT_START_MS: u64 = 35_000;
+
 impl Owner {
-    /// Tells those to leave that an attempt may push out, if that makes room
-    /// for it: what is over its guarantee first, then the lowest priority, then
-    /// those past their start, and of these the youngest, who lose least.
+    /// Preempts attempts for one that may, if that makes room for it: those over their
+    /// guaranteed quota first, then the lowest priority, then those past their start,
+    /// and of these the youngest, which lose least. False if nothing was preempted.
     pub(super) fn preempt_for(&mut self, id: &AttemptId, now: u64) -> bool {
         let Some(tracked) = self.attempts.get(id) else {
             return false;
@@ -21,36 +25,36 @@
         if self.has_unclaimed_tasks(m) {
             return false;
         }
-        // Those who leave already make room for those who wait already.
-        let claimed = self
+        // Those that are stopping make room for those that wait already.
+        let reserved = self
             .attempts_on(&desired.machine)
-            .filter(|(_, h)| matches!(h.stage, AttemptStage::AwaitingPreemption(_)))
-            .fold(Resources::default(), |s, (_, h)| s.plus(&h.desired.need));
+            .filter(|(_, a)| matches!(a.stage, AttemptStage::AwaitingPreemption(_)))
+            .fold(Resources::default(), |s, (_, a)| s.plus(&a.desired.need));
         let staying = self
             .attempts_on(&desired.machine)
-            .filter(|(_, h)| {
-                matches!(h.stage, AttemptStage::Accepted { .. }) && h.stop_grace_s().is_none()
+            .filter(|(_, a)| {
+                matches!(a.stage, AttemptStage::Accepted { .. }) && a.stop_grace_s().is_none()
             })
-            .fold(Resources::default(), |s, (_, h)| s.plus(&h.desired.need));
-        let mut free = m.capacity.minus(&claimed.plus(&staying));
+            .fold(Resources::default(), |s, (_, a)| s.plus(&a.desired.need));
+        let mut free = m.capacity.minus(&reserved.plus(&staying));
         let mut candidates: Vec<(bool, Priority, bool, u64, AttemptId, Resources)> = self
             .attempts_on(&desired.machine)
-            .filter(|(_, h)| {
-                matches!(h.stage, AttemptStage::Accepted { .. }) && h.stop_grace_s().is_none()
+            .filter(|(_, a)| {
+                matches!(a.stage, AttemptStage::Accepted { .. }) && a.stop_grace_s().is_none()
             })
-            .filter(|(_, h)| {
+            .filter(|(_, a)| {
                 desired
                     .evict
-                    .allows(&desired.team, desired.rank, &h.desired)
+                    .allows(&desired.team, desired.rank, &a.desired)
             })
-            .map(|(id, h)| {
+            .map(|(id, a)| {
                 (
-                    h.desired.over,
-                    h.desired.rank,
-                    now > h.tracked_since + FRESH_START_MS,
-                    h.tracked_since,
+                    a.desired.over,
+                    a.desired.rank,
+                    now > a.tracked_since + RECENT_START_MS,
+                    a.tracked_since,
                     id.clone(),
-                    h.desired.need,
+                    a.desired.need,
                 )
             })
             .collect();
@@ -65,29 +69,29 @@
         }
         self.preempted_attempts += victims.len() as u64;
         for victim in victims {
-            if let Some(h) = self.attempts.get_mut(&victim) {
-                info!(attempt = %victim, machine = %desired.machine, shard = self.shard, by = %id, "pushed out");
+            if let Some(a) = self.attempts.get_mut(&victim) {
+                info!(attempt = %victim, machine = %desired.machine, shard = self.shard, preempted_by = %id, "attempt preempted");
                 let grace = if desired.rank == Priority::Production {
                     0
                 } else {
-                    h.desired.grace
+                    a.desired.grace
                 };
-                h.preemption_grace_s = Some(grace);
-                h.stop_sent_at = None;
+                a.preemption_grace_s = Some(grace);
+                a.stop_sent_at = None;
             }
             self.reevaluate_attempt(&victim, now);
         }
         true
     }
 
-    /// True if a task is on the machine that nobody has claimed yet.
+    /// True if a task runs on the machine that no placer has named yet.
     pub(super) fn has_unclaimed_tasks(&self, m: &Machine) -> bool {
         m.tasks
             .iter()
-            .any(|(id, seen)| seen.phase != TaskPhase::Exited && !self.attempts.contains_key(id))
+            .any(|(id, task)| task.phase != TaskPhase::Exited && !self.attempts.contains_key(id))
     }
 
-    /// Room not taken by the accepted attempts other than this one.
+    /// Capacity not taken by the accepted attempts other than this one.
     pub(super) fn free_without(&self, machine: &MachineId, id: &AttemptId) -> Resources {
         let Some(m) = self
             .machines
@@ -98,39 +102,39 @@
         };
         let taken = self
             .attempts_on(machine)
-            .filter(|(other, h)| *other != id && matches!(h.stage, AttemptStage::Accepted { .. }))
-            .fold(Resources::default(), |sum, (_, h)| {
-                sum.plus(&h.desired.need)
+            .filter(|(other, a)| *other != id && matches!(a.stage, AttemptStage::Accepted { .. }))
+            .fold(Resources::default(), |sum, (_, a)| {
+                sum.plus(&a.desired.need)
             });
         m.capacity.minus(&taken)
     }
 
-    /// Room of the attempts that each priority may push out, without and with
-    /// what teams run beyond their guarantees.
+    /// Resources of the attempts that each priority may preempt, without and with what
+    /// teams run beyond their guaranteed quota.
     pub(super) fn preemptible(&self, machine: &MachineId) -> ([Resources; 3], [Resources; 3]) {
         let (mut lower, mut over) = ([Resources::default(); 3], [Resources::default(); 3]);
-        for (_, h) in self.attempts_on(machine).filter(|(_, h)| {
-            matches!(h.stage, AttemptStage::Accepted { .. }) && h.stop_grace_s().is_none()
+        for (_, a) in self.attempts_on(machine).filter(|(_, a)| {
+            matches!(a.stage, AttemptStage::Accepted { .. }) && a.stop_grace_s().is_none()
         }) {
             for rank in 0..3 {
-                let below = h.desired.rank.index() > rank;
-                if below && h.desired.over {
-                    lower[rank] = lower[rank].plus(&h.desired.need);
+                let below = a.desired.rank.index() > rank;
+                if below && a.desired.over {
+                    lower[rank] = lower[rank].plus(&a.desired.need);
                 }
                 if below
-                    || h.desired.over
-                        && h.desired.rank.index() == rank
-                        && h.desired.rank != Priority::Production
+                    || a.desired.over
+                        && a.desired.rank.index() == rank
+                        && a.desired.rank != Priority::Production
                 {
-                    over[rank] = over[rank].plus(&h.desired.need);
+                    over[rank] = over[rank].plus(&a.desired.need);
                 }
             }
         }
         (lower, over)
     }
 
-    /// Room not taken by accepted attempts. Tasks that nobody has claimed yet
-    /// have unknown needs, so a machine with such a task has no room.
+    /// Capacity not taken by accepted or waiting attempts. Tasks that no placer has named
+    /// yet have unknown needs, so a machine with such a task has none.
     pub(super) fn free(&self, machine: &MachineId) -> Resources {
         let Some(m) = self
             .machines
@@ -140,35 +144,37 @@
             return Resources::default();
         };
         self.attempts_on(machine)
-            .filter(|(_, h)| {
+            .filter(|(_, a)| {
                 matches!(
-                    h.stage,
+                    a.stage,
                     AttemptStage::Accepted { .. } | AttemptStage::AwaitingPreemption(_)
                 )
             })
-            .fold(m.capacity, |free, (_, h)| free.minus(&h.desired.need))
+            .fold(m.capacity, |free, (_, a)| free.minus(&a.desired.need))
     }
 
+    /// Attempts that have not ended, and tasks that no placer has named.
     pub(super) fn occupant_count(&self, machine: &MachineId) -> usize {
-        let tracked = self
+        let attempts = self
             .attempts_on(machine)
-            .filter(|(_, h)| !matches!(h.stage, AttemptStage::Ended(_)))
+            .filter(|(_, a)| !matches!(a.stage, AttemptStage::Ended(_)))
             .count();
         let unclaimed = self.machines.get(machine).map_or(0, |m| {
             m.tasks
                 .iter()
-                .filter(|(id, seen)| {
-                    seen.phase != TaskPhase::Exited && !self.attempts.contains_key(id)
+                .filter(|(id, task)| {
+                    task.phase != TaskPhase::Exited && !self.attempts.contains_key(id)
                 })
                 .count()
         });
-        tracked + unclaimed
+        attempts + unclaimed
     }
 
+    /// Replicas of services among the attempts of a machine.
     pub(super) fn service_replicas(&self, machine: &MachineId) -> u16 {
         let count = self
             .attempts_on(machine)
-            .filter(|(_, h)| h.desired.lasting && !matches!(h.stage, AttemptStage::Ended(_)))
+            .filter(|(_, a)| a.desired.lasting && !matches!(a.stage, AttemptStage::Ended(_)))
             .count();
         count.min(usize::from(u16::MAX)) as u16
     }
--- a/crates/coordination/src/owner/proof.rs
+++ b/crates/coordination/src/owner/proof.rs
@@ -1,9 +1,10 @@
 //! The proof of end: how far each attempt of a machine has come.
 
 use super::*;
+use lemonweir_model::constants::EVICT_WAIT_MS;
 
 impl Owner {
-    /// Re-judges all attempts of a machine.
+    /// Evaluates all attempts of a machine again.
     pub(super) fn reevaluate(&mut self, machine: &MachineId, now: u64) {
         self.mark_changed(machine);
         let ids: Vec<AttemptId> = self
@@ -16,12 +17,12 @@
         for id in &ids {
             self.reevaluate_attempt(id, now);
         }
-        // Those who wait may have got their room from an end just found.
+        // Those that wait may have got their room from an end just found.
         for id in &ids {
             if self
                 .attempts
                 .get(id)
-                .is_some_and(|h| matches!(h.stage, AttemptStage::AwaitingPreemption(_)))
+                .is_some_and(|a| matches!(a.stage, AttemptStage::AwaitingPreemption(_)))
             {
                 self.reevaluate_attempt(id, now);
             }
@@ -33,310 +34,235 @@
         let Some(tracked) = self.attempts.get(id) else {
             return;
         };
-        if matches!(tracked.stage, AttemptStage::Ended(_)) {
+        let before = tracked.stage;
+        if matches!(before, AttemptStage::Ended(_)) {
             return;
         }
         let machine = tracked.desired.machine.clone();
         let mut stage = self.next_stage(id, tracked, now);
-        if tracked.stage == AttemptStage::Undecided
+        if before == AttemptStage::Undecided
             && stage == AttemptStage::Ended(AttemptState::Refused)
             && self.preempt_for(id, now)
         {
             stage = AttemptStage::AwaitingPreemption(now);
         }
-        let Some(tracked) = self.attempts.get(id) else {
-            return;
-        };
-        let (image, mb, from, same) = (
-            tracked.desired.image.clone(),
-            tracked.desired.image_mb,
-            tracked.from,
-            stage == tracked.stage,
-        );
-        // A fetch that is given up leaves nothing: only a task that got past it
-        // shows that the machine has the image.
-        let past_fetch = |m: &Machine| {
-            m.tasks.get(id).is_some_and(|t| {
-                t.cause == Some(ExitCause::Done)
-                    || !matches!(t.phase, TaskPhase::Fetching | TaskPhase::Exited)
-            })
-        };
-        let fetches = |m: &Machine| {
-            m.tasks
-                .get(id)
-                .is_some_and(|t| t.phase == TaskPhase::Fetching)
-        };
-        if let Some(m) = self.machines.get_mut(&machine) {
-            if past_fetch(m) {
-                let cache_mb = self
-                    .image_cache_mb
-                    .get(&m.kind)
-                    .copied()
-                    .unwrap_or(u64::MAX);
-                m.remember_image(&image, mb, cache_mb);
-            } else if fetches(m) && m.forget_image(&image) {
-                info!(machine = %machine, shard = self.shard, image, "image was noted and is not there");
-                self.changed_machines.insert(machine.clone());
-            }
-        }
-        if self
-            .machines
-            .get(&machine)
-            .and_then(|m| m.tasks.get(id))
-            .is_some_and(|t| t.phase == TaskPhase::Running)
-        {
+        self.update_image_cache(&machine, id);
+        if self.reported_phase(&machine, id) == Some(TaskPhase::Running) {
             self.record_running(&machine, id, now);
         }
-        if same {
+        if stage != before {
+            self.enter_stage(&machine, id, stage, now);
+        }
+    }
+
+    fn reported_phase(&self, machine: &MachineId, id: &AttemptId) -> Option<TaskPhase> {
+        let task = self.machines.get(machine)?.tasks.get(id)?;
+        Some(task.phase)
+    }
+
+    /// Learns from an attempt's task whether its machine holds the image. An aborted
+    /// fetch leaves nothing: only a task that got past it shows that the image is there.
+    fn update_image_cache(&mut self, machine: &MachineId, id: &AttemptId) {
+        let (Some(tracked), Some(m)) = (self.attempts.get(id), self.machines.get_mut(machine))
+        else {
             return;
+        };
+        let Some(task) = m.tasks.get(id) else {
+            return;
+        };
+        let image = &tracked.desired.image;
+        let past_fetch = task.cause == Some(ExitCause::Done)
+            || !matches!(task.phase, TaskPhase::Fetching | TaskPhase::Exited);
+        if past_fetch {
+            let cache_mb = self
+                .image_cache_mb
+                .get(&m.kind)
+                .copied()
+                .unwrap_or(u64::MAX);
+            m.remember_image(image, tracked.desired.image_mb, cache_mb);
+        } else if task.phase == TaskPhase::Fetching && m.forget_image(image) {
+            info!(machine = %machine, shard = self.shard, image, "image missing from the machine's cache");
+            self.changed_machines.insert(machine.clone());
         }
-        if matches!(
-            stage,
-            AttemptStage::Accepted {
-                sent: None,
-                seen: false
-            }
-        ) {
-            // Idle work is always there: it does not tell that the part is busy.
-            if self
-                .attempts
-                .get(id)
-                .is_some_and(|h| h.desired.rank != Priority::Low)
-            {
-                self.last_accepted_at = now;
-            }
-            // Guards against a whole array on a machine that is on trial.
-            if let Some(quarantine) = self
-                .machines
-                .get_mut(&machine)
-                .and_then(|m| m.quarantine.as_mut())
-            {
-                quarantine.trial_attempt = Some(id.clone());
-                self.changed_machines.insert(machine.clone());
-            }
+    }
+
+    fn enter_stage(&mut self, machine: &MachineId, id: &AttemptId, stage: AttemptStage, now: u64) {
+        if stage == AttemptStage::NOT_LAUNCHED {
+            self.note_accepted(machine, id, now);
         }
         if let AttemptStage::Ended(state) = stage {
-            info!(attempt = %id, machine = %machine, shard = self.shard, ?state, "attempt is over");
+            info!(attempt = %id, machine = %machine, shard = self.shard, ?state, "attempt ended");
             self.refused_placements += u64::from(state == AttemptState::Refused);
-            self.record_outcome(&machine, id, state, now);
+            self.record_outcome(machine, id, state, now);
         }
-        self.changed_placers.insert(from);
-        if let Some(h) = self.attempts.get_mut(id) {
-            h.stage = stage;
+        if let Some(tracked) = self.attempts.get_mut(id) {
+            self.changed_placers.insert(tracked.from);
+            tracked.stage = stage;
         }
     }
 
-    pub(super) fn next_stage(
-        &self,
-        id: &AttemptId,
-        tracked: &TrackedAttempt,
-        now: u64,
-    ) -> AttemptStage {
+    fn note_accepted(&mut self, machine: &MachineId, id: &AttemptId, now: u64) {
+        // Idle work is always there: it does not show that the shard is busy.
+        if self
+            .attempts
+            .get(id)
+            .is_some_and(|a| a.desired.rank != Priority::Low)
+        {
+            self.last_accepted_at = now;
+        }
+        // Guards against a whole array on a machine that is on trial.
+        if let Some(quarantine) = self
+            .machines
+            .get_mut(machine)
+            .and_then(|m| m.quarantine.as_mut())
+        {
+            quarantine.trial_attempt = Some(id.clone());
+            self.changed_machines.insert(machine.clone());
+        }
+    }
+
+    /// The stage that an attempt has come to.
+    fn next_stage(&self, id: &AttemptId, tracked: &TrackedAttempt, now: u64) -> AttemptStage {
         if self.released_machines.contains(&tracked.desired.machine) {
             return AttemptStage::Ended(AttemptState::Gone);
         }
-        let inherited = self
-            .failure_detector
-            .inherited_leases_expired(self.store_answer_at);
-        let when = |over: bool| {
-            if over {
-                AttemptStage::Ended(AttemptState::Gone)
-            } else {
-                tracked.stage
-            }
-        };
-        let Some(m) = self.machines.get(&tracked.desired.machine) else {
-            return when(inherited);
+        let Some(m) = self
+            .machines
+            .get(&tracked.desired.machine)
+            .filter(|m| m.last_heartbeat_at.is_some())
+        else {
+            return self.stage_without_heartbeat(tracked);
         };
-        // Nobody of ours ever spoke to it: what ran there was kept alive by
-        // earlier owners, whose answers have all run out after a while. So have
-        // ours to what may have been its reports.
-        if m.last_heartbeat_at.is_none() {
-            return when(
-                inherited
-                    && (m.incarnation.lease_from().is_none()
-                        || m.lease_expired(self.store_answer_at, &self.timing)),
-            );
-        }
-        if let Some(seen) = m.tasks.get(id) {
-            return match seen.cause {
+        if let Some(task) = m.tasks.get(id) {
+            return match task.cause {
                 Some(cause) => AttemptStage::Ended(AttemptState::Exited(cause)),
                 None => AttemptStage::Accepted {
-                    sent: Some(m.incarnation.session()),
-                    seen: true,
+                    launched_in: Some(m.incarnation.session()),
+                    reported: true,
                 },
             };
         }
-        // Absence proves something only once the worker has shown our token:
-        // before that, an order of an earlier owner may still arrive.
+        // Absence proves something only once the worker has shown our token: before that,
+        // a command of an earlier owner may still arrive.
         if !m.incarnation.is_confirmed() {
             return tracked.stage;
         }
+        let stopping = tracked.stop_grace_s().is_some();
         match tracked.stage {
-            AttemptStage::Undecided if tracked.stop_grace_s().is_some() => {
-                AttemptStage::Ended(AttemptState::Gone)
-            }
-            AttemptStage::Undecided => {
-                let fits = m.is_schedulable()
-                    && m.incarnation.session() > m.expired_session
-                    && self
-                        .free(&tracked.desired.machine)
-                        .covers(&tracked.desired.need);
-                if fits {
-                    AttemptStage::Accepted {
-                        sent: None,
-                        seen: false,
-                    }
-                } else {
-                    AttemptStage::Ended(AttemptState::Refused)
-                }
-            }
-            AttemptStage::AwaitingPreemption(_) if tracked.stop_grace_s().is_some() => {
+            AttemptStage::Undecided | AttemptStage::AwaitingPreemption(_) if stopping => {
                 AttemptStage::Ended(AttemptState::Gone)
             }
+            AttemptStage::Undecided => self.admit(tracked, m),
             AttemptStage::AwaitingPreemption(since) => {
-                if !m.is_schedulable()
-                    || m.incarnation.session() <= m.expired_session
-                    || now > since + EVICT_WAIT_MS
-                {
-                    return AttemptStage::Ended(AttemptState::Refused);
-                }
-                // Its own claim is part of what is taken.
-                let free = self.free_without(&tracked.desired.machine, id);
-                if free.covers(&tracked.desired.need) {
-                    AttemptStage::Accepted {
-                        sent: None,
-                        seen: false,
-                    }
-                } else {
-                    tracked.stage
-                }
+                self.admit_after_preemption(id, tracked, m, since, now)
             }
-            AttemptStage::Accepted { sent: None, .. } if tracked.stop_grace_s().is_some() => {
-                AttemptStage::Ended(AttemptState::Gone)
-            }
-            AttemptStage::Accepted { sent: None, .. }
-                if m.lease_expired(self.store_answer_at, &self.timing) =>
-            {
-                AttemptStage::Ended(AttemptState::Gone)
-            }
-            // It would wait for a machine that hears nothing; nothing was sent.
-            AttemptStage::Accepted { sent: None, .. }
-                if m.incarnation.unreachable_since().is_some() =>
-            {
-                AttemptStage::Ended(AttemptState::Gone)
-            }
-            AttemptStage::Accepted {
-                sent: Some(session),
-                ..
-            } if session < m.incarnation.session() => AttemptStage::Ended(AttemptState::Gone),
-            // Guards against a start that a new life took which nobody has heard yet: its
-            // lease began after our last answer, though before the call.
             AttemptStage::Accepted {
-                sent: Some(session),
-                seen,
-            } if session <= m.expired_session => when(seen || m.unresolved_launch_at.is_none()),
+                launched_in: None, ..
+            } => self.stage_before_launch(tracked, m),
             AttemptStage::Accepted {
-                sent: Some(_),
-                seen,
-            } if m.calls_resolved() => {
-                // Guards against a start order that arrives late: only a
-                // machine with no order of unknown fate proves absence.
-                if seen || tracked.stop_grace_s().is_some() {
-                    AttemptStage::Ended(AttemptState::Gone)
-                } else {
-                    AttemptStage::Accepted {
-                        sent: None,
-                        seen: false,
-                    }
-                }
-            }
-            stage => stage,
+                launched_in: Some(session),
+                reported,
+            } => stage_of_missing_task(tracked, m, session, reported),
+            stage @ AttemptStage::Ended(_) => stage,
+        }
+    }
+
+    /// On a machine that never sent a heartbeat to this owner, what ran was kept alive by
+    /// earlier owners, whose leases have all expired after a while. So have those that
+    /// our replies to what may have been its heartbeats renewed.
+    fn stage_without_heartbeat(&self, tracked: &TrackedAttempt) -> AttemptStage {
+        let inherited_leases_expired = self
+            .failure_detector
+            .inherited_leases_expired(self.store_answer_at);
+        let own_lease_expired = self.machines.get(&tracked.desired.machine).is_none_or(|m| {
+            m.incarnation.lease_from().is_none()
+                || m.lease_expired(self.store_answer_at, &self.timing)
+        });
+        if inherited_leases_expired && own_lease_expired {
+            AttemptStage::Ended(AttemptState::Gone)
+        } else {
+            tracked.stage
+        }
+    }
+
+    fn admit(&self, tracked: &TrackedAttempt, m: &Machine) -> AttemptStage {
+        let fits = m.is_schedulable()
+            && m.incarnation.session() > m.expired_session
+            && self
+                .free(&tracked.desired.machine)
+                .covers(&tracked.desired.need);
+        if fits {
+            AttemptStage::NOT_LAUNCHED
+        } else {
+            AttemptStage::Ended(AttemptState::Refused)
         }
     }
 
-    /// Notes what an attempt's end says of its job and its machine.
-    pub(super) fn record_outcome(
-        &mut self,
-        machine: &MachineId,
+    fn admit_after_preemption(
+        &self,
         id: &AttemptId,
-        state: AttemptState,
+        tracked: &TrackedAttempt,
+        m: &Machine,
+        since: u64,
         now: u64,
-    ) {
-        let touched = match state {
-            AttemptState::Exited(ExitCause::Error) => {
-                self.fault_attribution
-                    .record_failure(&id.job, machine, now)
-                    .machines
-            }
-            AttemptState::Exited(ExitCause::Done) => {
-                let since = self
-                    .attempts
-                    .get(id)
-                    .and_then(|h| h.running_since)
-                    .unwrap_or(now);
-                self.fault_attribution
-                    .record_success(&id.job, machine, since)
-                    .machines
-            }
-            _ => BTreeSet::from([machine.clone()]),
-        };
-        let own_fault = state == AttemptState::Exited(ExitCause::Error)
-            && self.fault_attribution.suspect_evidence(&id.job).is_none();
-        if let Some(quarantine) = self
-            .machines
-            .get_mut(machine)
-            .and_then(|m| m.quarantine.as_mut())
-            && quarantine.trial_attempt.as_ref() == Some(id)
+    ) -> AttemptStage {
+        if !m.is_schedulable()
+            || m.incarnation.session() <= m.expired_session
+            || now > since + EVICT_WAIT_MS
         {
-            quarantine.trial_attempt = None;
-            if own_fault {
-                quarantine.record_failed_trial(now);
-            }
+            return AttemptStage::Ended(AttemptState::Refused);
+        }
+        // Its own reservation is part of what is taken.
+        let free = self.free_without(&tracked.desired.machine, id);
+        if free.covers(&tracked.desired.need) {
+            AttemptStage::NOT_LAUNCHED
+        } else {
+            tracked.stage
         }
-        self.update_quarantine(touched, now);
     }
 
-    /// An attempt that has run for long went well, though it may never end.
-    pub(super) fn record_running(&mut self, machine: &MachineId, id: &AttemptId, now: u64) {
-        let Some(tracked) = self.attempts.get_mut(id) else {
-            return;
-        };
-        let since = *tracked.running_since.get_or_insert(now);
-        if tracked.success_recorded || now < since + WELL_AFTER_MS {
-            return;
+    /// An accepted attempt that no launch was sent for ends at once if it is to stop, or
+    /// if its machine can't run it: its lease has expired, or no reply reaches it.
+    fn stage_before_launch(&self, tracked: &TrackedAttempt, m: &Machine) -> AttemptStage {
+        if tracked.stop_grace_s().is_some()
+            || m.lease_expired(self.store_answer_at, &self.timing)
+            || m.incarnation.unreachable_since().is_some()
+        {
+            AttemptStage::Ended(AttemptState::Gone)
+        } else {
+            tracked.stage
         }
-        tracked.success_recorded = true;
-        let touched = self
-            .fault_attribution
-            .record_success(&id.job, machine, since)
-            .machines;
-        self.update_quarantine(touched, now);
     }
+}
 
-    /// Sets machines aside, or takes them up again, as the evidence says.
-    fn update_quarantine(&mut self, machines: BTreeSet<MachineId>, now: u64) {
-        for id in machines {
-            let verdict = self.fault_attribution.verdict(&id);
-            let Some(m) = self.machines.get_mut(&id) else {
-                continue;
-            };
-            match (&mut m.quarantine, verdict) {
-                (None, FaultVerdict::Healthy) => continue,
-                (Some(_), FaultVerdict::Healthy) => {
-                    info!(machine = %id, shard = self.shard, "machine is taken up again");
-                    m.quarantine = None;
-                }
-                (Some(quarantine), verdict) => {
-                    quarantine.confirmed = verdict == FaultVerdict::Faulty
-                }
-                (None, verdict) => {
-                    let jobs = self.fault_attribution.failed_jobs_on(&id);
-                    warn!(machine = %id, shard = self.shard, ?verdict, ?jobs, "machine fails its tasks; set aside");
-                    m.quarantine = Some(Quarantine::new(verdict == FaultVerdict::Faulty, now));
-                }
-            }
-            self.changed_machines.insert(id);
-        }
+/// The stage of an attempt that was launched in `session` and is missing from the newest
+/// heartbeat.
+fn stage_of_missing_task(
+    tracked: &TrackedAttempt,
+    m: &Machine,
+    session: u64,
+    reported: bool,
+) -> AttemptStage {
+    if session < m.incarnation.session() {
+        return AttemptStage::Ended(AttemptState::Gone);
+    }
+    if session <= m.expired_session {
+        // Guards against a launch that a new incarnation executed which has sent no
+        // heartbeat yet: its lease began after our last reply, though before the call.
+        return if reported || m.unresolved_launch_at.is_none() {
+            AttemptStage::Ended(AttemptState::Gone)
+        } else {
+            tracked.stage
+        };
+    }
+    // Guards against a launch that arrives late: only a machine with no call of unknown
+    // outcome proves absence.
+    if !m.calls_resolved() {
+        return tracked.stage;
+    }
+    if reported || tracked.stop_grace_s().is_some() {
+        AttemptStage::Ended(AttemptState::Gone)
+    } else {
+        AttemptStage::NOT_LAUNCHED
     }
 }
--- /dev/null
+++ b/crates/coordination/src/owner/published_state.rs
@@ -0,0 +1,154 @@
+//! The state of this shard that is published to placers: machines and attempts.
+
+use super::*;
+use lemonweir_model::constants::{ATTEMPT_BYTES, PEER_VERSION};
+
+impl Owner {
+    /// Brings the published state up to date with the machines that changed.
+    pub(super) fn refresh(&mut self) {
+        for id in std::mem::take(&mut self.changed_machines) {
+            match self.machines.get(&id) {
+                // A machine that may be long gone is no capacity, nor does it lack any.
+                Some(m) if m.is_unconfirmed() => self.machine_views.remove(&id),
+                Some(m) => {
+                    let view = self.machine_view(&id, m);
+                    self.machine_views.put(&id, view);
+                }
+                None => self.machine_views.remove(&id),
+            }
+            for attempt in self.attempts_by_machine.get(&id).into_iter().flatten() {
+                let Some(tracked) = self.attempts.get(attempt) else {
+                    continue;
+                };
+                if let (Some(state), Some(placer)) = (
+                    self.published_state(attempt, tracked),
+                    self.placers.get_mut(&tracked.from),
+                ) {
+                    placer.published.put(attempt, state);
+                }
+            }
+        }
+    }
+
+    /// What placers are told of a machine.
+    fn machine_view(&self, id: &MachineId, m: &Machine) -> MachineView {
+        let (soft, soft_over) = self.preemptible(id);
+        MachineView {
+            id: id.clone(),
+            kind: m.kind.clone(),
+            zone: m.zone.clone(),
+            spot: m.spot,
+            up: m.last_heartbeat_at.is_some()
+                && m.incarnation.is_confirmed()
+                && m.incarnation.session() > m.expired_session,
+            open: m.is_schedulable(),
+            // A quarantined machine may go on with what runs.
+            leaving: m.termination_notice,
+            free: self.free(id),
+            soft,
+            soft_over,
+            busy: self.occupant_count(id).min(usize::from(u16::MAX)) as u16,
+            lasting: self.service_replicas(id),
+            images: m.images.iter().map(|(name, _)| name.clone()).collect(),
+            coming: self.images_in_transfer(id, m),
+            renter: m.requested_by,
+        }
+    }
+
+    /// The state of an attempt that its placer is told; `None`: nothing yet.
+    fn published_state(&self, id: &AttemptId, tracked: &TrackedAttempt) -> Option<AttemptState> {
+        Some(match tracked.stage {
+            AttemptStage::Undecided => return None,
+            AttemptStage::Ended(state) => state,
+            // A gang has room only once those that are preempted for it are over:
+            // until then none of it is launched.
+            AttemptStage::AwaitingPreemption(_) if !tracked.desired.go => return None,
+            AttemptStage::AwaitingPreemption(_) => AttemptState::Accepted,
+            AttemptStage::Accepted { .. } => match self
+                .machines
+                .get(&tracked.desired.machine)
+                .and_then(|m| m.tasks.get(id))
+                .map(|task| task.phase)
+            {
+                Some(TaskPhase::Running | TaskPhase::Saving) => AttemptState::Running,
+                Some(_) => AttemptState::Preparing,
+                None => AttemptState::Accepted,
+            },
+        })
+    }
+
+    /// The changes of this shard's state that a placer has not acknowledged, in
+    /// `max_bytes`. Ends and grants go first: they are what its tasks wait for.
+    pub(super) fn unacknowledged_view(
+        &mut self,
+        sync: &SyncRequest,
+        mut max_bytes: usize,
+    ) -> ShardView {
+        self.refresh();
+        if self.placers.len() >= usize::from(self.shards) {
+            // A new placer is sent the whole state.
+            self.machine_views.forget(
+                self.placers
+                    .values()
+                    .map(|p| p.acknowledged_version)
+                    .min()
+                    .unwrap_or(0),
+            );
+        }
+        let placer = self.placers.entry(sync.from).or_default();
+        let (attempts_span, attempts) =
+            placer
+                .published
+                .since(sync.have.attempts, &mut max_bytes, |_, _| ATTEMPT_BYTES);
+        let attempts = attempts
+            .into_iter()
+            .filter_map(|(id, state)| {
+                state.map(|&state| AttemptStatus {
+                    id: id.clone(),
+                    standing: state,
+                })
+            })
+            .collect();
+        let (machines_span, changes) =
+            self.machine_views
+                .since(sync.have.machines, &mut max_bytes, |_, m| {
+                    m.map_or(ATTEMPT_BYTES, written)
+                });
+        let (mut machines, mut gone) = (Vec::new(), Vec::new());
+        for (id, m) in changes {
+            match m {
+                Some(m) => machines.push(m.clone()),
+                None => gone.push(id.clone()),
+            }
+        }
+        ShardView {
+            version: PEER_VERSION,
+            shard: self.shard,
+            token: self.token,
+            seq: sync.seq,
+            store_age_ms: u64::MAX,
+            wants_at: 0,
+            hidden: Vec::new(),
+            machines_span,
+            machines,
+            gone,
+            attempts_span,
+            attempts,
+        }
+    }
+
+    /// Images that accepted attempts need and the machine does not hold yet.
+    fn images_in_transfer(&self, id: &MachineId, m: &Machine) -> Vec<String> {
+        let mut names: Vec<String> = Vec::new();
+        for (_, a) in self.attempts_on(id).filter(|(_, a)| {
+            matches!(a.stage, AttemptStage::Accepted { .. }) && a.stop_grace_s().is_none()
+        }) {
+            if !names.contains(&a.desired.image)
+                && !m.images.iter().any(|(name, _)| *name == a.desired.image)
+            {
+                names.push(a.desired.image.clone());
+            }
+        }
+        names
+    }
+}
--- /dev/null
+++ b/crates/coordination/src/owner/scale_in.rs
@@ -0,0 +1,103 @@
+//! Scaling in: which idle machines are beyond the headroom, and their release.
+
+use super::*;
+
+/// Names that a release request may hold (protocol page).
+const RELEASE_REQUEST_MAX_MACHINES: usize = 100;
+/// Idle machines of a shard that are kept for the usual time, in a small fleet.
+const HEADROOM_MIN_MACHINES: usize = 4;
+/// In a larger one: one machine of so many. The others are kept as briefly as while
+/// demand is low.
+const HEADROOM_FLEET_SHARE: usize = 25;
+
+/// A machine that is not worth keeping once it is idle.
+pub(super) fn not_worth_keeping(m: &Machine) -> bool {
+    m.termination_notice
+        || m.quarantine
+            .as_ref()
+            .is_some_and(Quarantine::is_unrecoverable)
+}
+
+impl Owner {
+    /// Idle machines beyond the headroom that a fleet of this size needs, those that
+    /// are idle longest: in a large fleet some are idle all the time, and few of them
+    /// are used again. Machines with the last copy of a service's image are kept first.
+    pub(super) fn surplus(&self) -> HashSet<MachineId> {
+        let last = |id: &MachineId| self.last_copies.contains(id);
+        let mut idle: Vec<(bool, u64, &MachineId)> = self
+            .machines
+            .iter()
+            .filter_map(|(id, m)| Some((last(id), m.idle_since?, id)))
+            .collect();
+        let headroom = HEADROOM_MIN_MACHINES.max(self.machines.len() / HEADROOM_FLEET_SHARE);
+        if idle.len() <= headroom {
+            return HashSet::new();
+        }
+        idle.sort_unstable();
+        idle.truncate(idle.len() - headroom);
+        idle.into_iter().map(|(_, _, id)| id.clone()).collect()
+    }
+
+    /// Machines to release now, if no release is in progress: one request per tick.
+    pub fn next_releases(&mut self) -> Vec<MachineId> {
+        if self.release_in_progress || self.last_tick == self.released_tick {
+            return Vec::new();
+        }
+        self.released_tick = self.last_tick;
+        let mut names = Vec::new();
+        for id in std::mem::take(&mut self.scale_in_candidates) {
+            let idle = self.occupant_count(&id) == 0;
+            self.changed_machines.insert(id.clone());
+            if let Some(m) = self.machines.get_mut(&id) {
+                if idle {
+                    info!(machine = %id, shard = self.shard, "idle machine release requested");
+                    m.release_requested = true;
+                } else {
+                    m.scale_in_pending = false;
+                }
+            }
+        }
+        for (id, m) in &mut self.machines {
+            if m.release_requested && names.len() < RELEASE_REQUEST_MAX_MACHINES {
+                m.release_in_progress = true;
+                names.push(id.clone());
+            }
+        }
+        self.release_in_progress = !names.is_empty();
+        names
+    }
+
+    /// A release request has ended; `done`: the provider has confirmed it, which proves
+    /// that the machines and all that ran on them are gone.
+    pub fn release_finished(&mut self, names: &[MachineId], done: bool, now: u64) {
+        self.release_in_progress = false;
+        for id in names {
+            if done {
+                // Guards against a call under way to a machine that is released: its end finds
+                // no machine, and its place among the calls to unreachable ones would be lost.
+                let call_in_progress = self.machines.remove(id).is_some_and(|m| m.unreachable_call);
+                self.unreachable_calls -= usize::from(call_in_progress);
+                self.fault_attribution.forget(id);
+                self.released_machines.insert(id.clone());
+                info!(machine = %id, shard = self.shard, "machine released");
+                self.reevaluate(id, now);
+            } else if let Some(m) = self.machines.get_mut(id) {
+                m.release_in_progress = false;
+            }
+        }
+    }
+
+    /// Notes since when a machine has been idle.
+    pub(super) fn update_idle(&mut self, machine: &MachineId, now: u64) {
+        let busy = self.occupant_count(machine);
+        if let Some(m) = self.machines.get_mut(machine)
+            && m.last_heartbeat_at.is_some()
+        {
+            m.idle_since = if busy > 0 {
+                None
+            } else {
+                m.idle_since.or(Some(now))
+            };
+        }
+    }
+}
--- /dev/null
+++ b/crates/coordination/src/owner/summary.rs
@@ -0,0 +1,43 @@
+//! The regular log line about a shard's occupancy.
+
+use super::*;
+use lemonweir_model::constants::SUMMARY_MS;
+
+impl Owner {
+    /// Logs the occupancy of the shard, for its operators.
+    pub(super) fn log_summary(&mut self, now: u64) {
+        if now < self.summary_logged_at + SUMMARY_MS {
+            return;
+        }
+        self.summary_logged_at = now;
+        self.refresh();
+        let (mut up, mut empty, mut spot, mut free, mut free_in_use) =
+            (0, 0, 0, Resources::default(), Resources::default());
+        for view in self
+            .machines
+            .keys()
+            .filter_map(|id| self.machine_views.get(id))
+            .filter(|v| v.up)
+        {
+            up += 1;
+            empty += usize::from(view.busy == 0);
+            spot += usize::from(view.spot);
+            free = free.plus(&view.free);
+            if view.busy > 0 {
+                free_in_use = free_in_use.plus(&view.free);
+            }
+        }
+        let gpus = |resources: Resources| resources.gpus / 1000;
+        info!(
+            shard = self.shard,
+            machines = self.machines.len(),
+            up,
+            spot,
+            empty,
+            attempts = self.attempts.len(),
+            free_gpus = gpus(free),
+            free_gpus_in_use = gpus(free_in_use),
+            "shard summary"
+        );
+    }
+}
--- /dev/null
+++ b/crates/coordination/src/owner/worker_calls.rs
@@ -0,0 +1,282 @@
+//! Calls to workers: when one is due, what it carries, and what its result proves.
+
+use super::*;
+
+/// ms between two calls to a machine after a failed one.
+const CALL_RETRY_MS: u64 = 1_000;
+/// Calls in progress at a time of one owner to machines that replies don't reach: most
+/// wait for their timeout, and the launches on other machines go first.
+pub const UNREACHABLE_CALLS_MAX: usize = 8;
+
+/// A call to a worker that the process has to make.
+#[derive(Debug, Clone)]
+pub struct CommandCall {
+    /// The machine.
+    pub machine: MachineId,
+    /// Its address.
+    pub addr: SocketAddr,
+    /// What to send.
+    pub commands: CommandsRequest,
+    /// Number of the controller that relays it; `None`: it goes directly.
+    pub through: Option<u16>,
+}
+
+/// How a call to a worker ended.
+#[derive(Debug)]
+pub enum CommandResult {
+    /// Executed; the status that came back.
+    Executed(Heartbeat),
+    /// Refused, since the token or session was not the worker's; its status.
+    Refused(Heartbeat),
+    /// Surely not sent.
+    NotSent,
+    /// It may have been executed, or may be later.
+    Unknown,
+}
+
+impl CommandCall {
+    /// Attempts that it carries commands of this kind for.
+    fn attempts(&self, kind: CommandKind) -> impl Iterator<Item = AttemptId> {
+        self.commands
+            .orders
+            .iter()
+            .filter(move |command| command.verb == kind)
+            .filter_map(|command| AttemptId::parse(&command.piece, command.attempt))
+    }
+
+    fn launches(&self) -> bool {
+        self.commands
+            .orders
+            .iter()
+            .any(|command| command.verb == CommandKind::Launch)
+    }
+}
+
+/// Whether a machine can be called.
+enum CallReadiness {
+    /// At this address.
+    Ready(SocketAddr),
+    /// Not yet; it stays a candidate.
+    Later,
+    /// No; its next heartbeat or the end of its call makes it a candidate again.
+    No,
+}
+
+impl Owner {
+    /// Calls to workers that are due, `most` at the most: only machines that something
+    /// happened to are looked at, and those that a call is still due to. What finds no
+    /// room waits for the end of another call.
+    pub fn due_calls(&mut self, now: u64, most: usize) -> Vec<CommandCall> {
+        let mut calls = Vec::new();
+        for id in std::mem::take(&mut self.call_candidates) {
+            if calls.len() >= most {
+                self.call_candidates.insert(id);
+                continue;
+            }
+            match self.call_readiness(&id, now) {
+                CallReadiness::Ready(address) => calls.extend(self.begin_call(&id, address, now)),
+                CallReadiness::Later => drop(self.call_candidates.insert(id)),
+                CallReadiness::No => {}
+            }
+        }
+        calls
+    }
+
+    fn call_readiness(&self, id: &MachineId, now: u64) -> CallReadiness {
+        let Some(m) = self.machines.get(id) else {
+            return CallReadiness::No;
+        };
+        let confirmed =
+            m.last_heartbeat_at.is_some() && m.incarnation.session() > m.expired_session;
+        // One that is known from unconfirmed heartbeats only is asked for its status.
+        let known = confirmed
+            || m.last_heartbeat_at.is_none() && m.incarnation.unverified_since().is_some();
+        // A silent machine would hold a call's place until it times out; what is due to
+        // it goes with the reply to its next heartbeat.
+        if m.silent || !known || m.release_in_progress || m.launches_in_response_to.is_some() {
+            return CallReadiness::No;
+        }
+        if m.call_in_progress {
+            return CallReadiness::No;
+        }
+        let unreachable = !m.incarnation.is_reachable();
+        // A token that can't rise could not fence a call of unknown outcome.
+        if now < m.next_call_at
+            || !m.incarnation.can_fence()
+            || unreachable && self.unreachable_calls >= UNREACHABLE_CALLS_MAX
+        {
+            // One known from unconfirmed heartbeats is asked once for each of them.
+            return if confirmed {
+                CallReadiness::Later
+            } else {
+                CallReadiness::No
+            };
+        }
+        m.address.map_or(CallReadiness::No, CallReadiness::Ready)
+    }
+
+    /// The call that a machine needs: commands, or a query if it has not confirmed this
+    /// owner's token.
+    fn begin_call(&mut self, id: &MachineId, address: SocketAddr, now: u64) -> Option<CommandCall> {
+        let confirmed = self.machines.get(id)?.incarnation.is_confirmed();
+        let orders = if confirmed {
+            self.commands_for(id, now, CommandChannel::Call)
+        } else {
+            Vec::new()
+        };
+        if confirmed && orders.is_empty() {
+            if self.stop_pending(id) || self.launch_pending(id) {
+                self.call_candidates.insert(id.clone());
+            }
+            return None;
+        }
+        let m = self.machines.get_mut(id)?;
+        m.call_in_progress = true;
+        m.unreachable_call = !m.incarnation.is_reachable();
+        self.unreachable_calls += usize::from(m.unreachable_call);
+        Some(CommandCall {
+            machine: id.clone(),
+            addr: address,
+            commands: CommandsRequest {
+                token: m.incarnation.begin_call(),
+                session: m.incarnation.call_session(),
+                orders,
+            },
+            through: m.relayed_by.map(|(peer, _)| peer),
+        })
+    }
+
+    /// True if something is to be launched on the machine that only waits for an answer
+    /// of the store.
+    fn launch_pending(&self, machine: &MachineId) -> bool {
+        self.machines.get(machine).is_some_and(|m| {
+            let waits = self.launches_paused || !m.incarnation.may_launch(self.store_answer_at);
+            m.incarnation.is_reachable()
+                && waits
+                && self
+                    .attempts_on(machine)
+                    .any(|(id, tracked)| tracked.awaits_launch(id, m))
+        })
+    }
+
+    /// True if a task on the machine is to stop and has not: the command is repeated
+    /// after a while.
+    fn stop_pending(&self, machine: &MachineId) -> bool {
+        self.machines.get(machine).is_some_and(|m| {
+            m.tasks.iter().any(|(id, task)| {
+                task.phase != TaskPhase::Exited
+                    && self
+                        .attempts
+                        .get(id)
+                        .is_none_or(|tracked| tracked.stop_grace_s().is_some())
+            })
+        })
+    }
+
+    /// A call to a worker has ended.
+    pub fn handle_call_result(&mut self, call: &CommandCall, result: CommandResult, now: u64) {
+        let result = checked_result(call, result);
+        let failed = !matches!(result, CommandResult::Executed(_));
+        if failed {
+            self.reset_stop_times(call);
+        }
+        let Some(m) = self.machines.get_mut(&call.machine) else {
+            return;
+        };
+        m.call_in_progress = false;
+        self.unreachable_calls -= usize::from(std::mem::take(&mut m.unreachable_call));
+        if failed {
+            // One that has seen a newer token than the call's is called again at once.
+            let superseded = matches!(&result, CommandResult::Refused(status) if status.token > call.commands.token && status.token >> FENCE_BITS == self.token);
+            let retry_ms = if superseded {
+                0
+            } else if m.last_heartbeat_at.is_some() {
+                CALL_RETRY_MS
+            } else {
+                2 * self.timing.report_ms
+            };
+            m.next_call_at = now + retry_ms;
+        }
+        match result {
+            CommandResult::Executed(status) => {
+                self.apply_heartbeat(&status, Origin::CallResponse, now);
+            }
+            CommandResult::Refused(status) => {
+                self.reset_launches(call);
+                self.apply_heartbeat(&status, Origin::CallResponse, now);
+            }
+            CommandResult::NotSent => self.reset_launches(call),
+            CommandResult::Unknown => m.fence_unresolved_call(call, now),
+        }
+        self.reevaluate(&call.machine, now);
+    }
+
+    /// Stops of a failed call may not have been executed: they are due again as soon as
+    /// the machine may be called.
+    fn reset_stop_times(&mut self, call: &CommandCall) {
+        for id in call.attempts(CommandKind::Kill) {
+            if let Some(tracked) = self.attempts.get_mut(&id) {
+                tracked.stop_sent_at = None;
+            }
+        }
+    }
+
+    /// Launches of a call that was surely not executed are due again.
+    fn reset_launches(&mut self, call: &CommandCall) {
+        let unresolved = self
+            .machines
+            .get(&call.machine)
+            .is_some_and(|m| m.unresolved_call_token.is_some());
+        if unresolved {
+            return;
+        }
+        for id in call.attempts(CommandKind::Launch) {
+            if let Some(tracked) = self.attempts.get_mut(&id)
+                && matches!(
+                    tracked.stage,
+                    AttemptStage::Accepted {
+                        reported: false,
+                        ..
+                    }
+                )
+            {
+                tracked.stage = AttemptStage::NOT_LAUNCHED;
+            }
+        }
+    }
+}
+
+impl Machine {
+    /// A call's outcome is unknown.
+    ///
+    /// Guards against a command that arrives minutes late: from now on the machine is
+    /// given a higher token, and until it shows that, nothing is concluded from an
+    /// absence. A call without commands can bring none late.
+    fn fence_unresolved_call(&mut self, call: &CommandCall, now: u64) {
+        if call.commands.orders.is_empty() {
+            return;
+        }
+        let sent = call.commands.token;
+        if call.launches() {
+            self.unresolved_launch_at = Some(now);
+        }
+        self.unresolved_call_token = Some(
+            self.unresolved_call_token
+                .map_or(sent, |token| token.max(sent)),
+        );
+        self.incarnation.fence_call(sent, now);
+    }
+}
+
+/// Guards against an address that another machine has by now.
+fn checked_result(call: &CommandCall, result: CommandResult) -> CommandResult {
+    match result {
+        CommandResult::Executed(status) | CommandResult::Refused(status)
+            if status.machine != call.machine =>
+        {
+            warn!(machine = %call.machine, found = %status.machine, "address belongs to another machine");
+            CommandResult::Unknown
+        }
+        result => result,
+    }
+}
--- a/crates/coordination/tests/changes.rs
+++ b/crates/coordination/tests/changes.rs
@@ -626,7 +626,7 @@
     assert_eq!(owner.sync(&other, ROOM, 21).err(), Some(SyncError::Token));
     let mut other = sync(6, whole, Vec::new(), ObservedState::default());
     other.from = 9;
-    assert_eq!(owner.sync(&other, ROOM, 21).err(), Some(SyncError::Part));
+    assert_eq!(owner.sync(&other, ROOM, 21).err(), Some(SyncError::UnknownShard));
     // A gap, and a span that ends before it begins: all is asked for again, and
     // the attempt is still held.
     for (seq, span) in [
