--- a/crates/coordination/src/boot_time.rs
+++ b/crates/coordination/src/boot_time.rs
@@ -1,44 +1,57 @@
-//! How long machines take from the request to their first report, learned by
-//! type, zone and kind from the reports themselves.
+//! Boot times: how long machines take from the request to their first heartbeat, learned
+//! by type, zone and price from the heartbeats themselves.
 //!
-//! The catalog's boot time is what is usual; some nights machines come several
-//! times as late, in a second, or never. What is learned is a quantile of the
-//! last boots, so that a few odd ones don't move it, and bounded both ways by
-//! the catalog's value, which counts alone until enough was samples.
+//! The catalog's boot time is what is usual; at times machines come several times as late,
+//! in a second, or never. What is learned is a quantile of the last boots, so that a few
+//! outliers don't move it, and bounded both ways by the catalog's value, which counts
+//! alone until enough was seen.
 
 use std::collections::{BTreeMap, VecDeque};
 
-use lemonweir_model::constants::*;
+/// Boots remembered of a class: what was usual some minutes ago.
+const BOOT_SAMPLES_MAX: usize = 32;
+/// Boots that must have been seen before they count more than the catalog.
+const BOOT_SAMPLES_MIN: usize = 8;
+/// Bounds of the usual boot time, in times of the catalog's: a second would make idle
+/// machines worth nothing, minutes would keep all of them.
+const USUAL_BOOT_MIN_FACTOR: f64 = 0.25;
+/// See [`USUAL_BOOT_MIN_FACTOR`].
+const USUAL_BOOT_MAX_FACTOR: f64 = 3.0;
+/// Bounds of the provisioning timeout, in times of the catalog's boot time: the protocol
+/// page has usual boots take up to 1.5 times it.
+const PROVISIONING_TIMEOUT_MIN_FACTOR: f64 = 1.6;
+/// See [`PROVISIONING_TIMEOUT_MIN_FACTOR`].
+const PROVISIONING_TIMEOUT_MAX_FACTOR: f64 = 4.0;
 
-/// Type, zone, spot.
-type Class = (String, String, bool);
+/// Machine type, zone, spot.
+type MachineClass = (String, String, bool);
 
-/// What one owner has samples.
+/// The boots that one owner has seen.
 #[derive(Debug, Default)]
 pub(crate) struct BootTimes {
-    samples_by_class: BTreeMap<Class, VecDeque<u64>>,
+    samples_by_class: BTreeMap<MachineClass, VecDeque<u64>>,
 }
 
 impl BootTimes {
-    /// A machine's first report came this long after its request.
-    pub(crate) fn record_boot(&mut self, kind: &str, zone: &str, spot: bool, took_ms: u64) {
+    /// Records that a machine's first heartbeat came `boot_ms` after its request.
+    pub(crate) fn record_boot(&mut self, kind: &str, zone: &str, spot: bool, boot_ms: u64) {
         let samples = self
             .samples_by_class
             .entry((kind.to_owned(), zone.to_owned(), spot))
             .or_default();
-        samples.push_back(took_ms);
-        if samples.len() > BOOTS_KEPT {
+        samples.push_back(boot_ms);
+        if samples.len() > BOOT_SAMPLES_MAX {
             samples.pop_front();
         }
     }
 
-    /// So many percent of the last boots took no longer than this; `None` until
-    /// enough were samples.
+    /// ms that `percent` of the last boots did not exceed; `None` until
+    /// enough were seen.
     fn quantile(&self, kind: &str, zone: &str, spot: bool, percent: usize) -> Option<u64> {
         let samples = self
             .samples_by_class
             .get(&(kind.to_owned(), zone.to_owned(), spot))
-            .filter(|s| s.len() >= BOOTS_ENOUGH)?;
+            .filter(|s| s.len() >= BOOT_SAMPLES_MIN)?;
         let mut sorted: Vec<u64> = samples.iter().copied().collect();
         sorted.sort_unstable();
         sorted
@@ -48,14 +61,14 @@
 
     /// ms that a boot usually takes, where the catalog says `listed_ms`.
     pub(crate) fn usual_ms(&self, kind: &str, zone: &str, spot: bool, listed_ms: u64) -> u64 {
-        let most = (listed_ms as f64 * BOOT_USUAL_MOST) as u64;
+        let most = (listed_ms as f64 * USUAL_BOOT_MAX_FACTOR) as u64;
         self.quantile(kind, zone, spot, 50).map_or(listed_ms, |ms| {
-            ms.clamp((listed_ms as f64 * BOOT_USUAL_LEAST) as u64, most)
+            ms.clamp((listed_ms as f64 * USUAL_BOOT_MIN_FACTOR) as u64, most)
         })
     }
 
-    /// ms after which a machine that has not come up is overdue: it may still
-    /// come, but is no longer counted on.
+    /// ms after which the provisioning of a machine has timed out: it may still come up, but
+    /// is no longer counted on.
     pub(crate) fn provisioning_timeout_ms(
         &self,
         kind: &str,
@@ -64,8 +77,8 @@
         listed_ms: u64,
     ) -> u64 {
         let (least, most) = (
-            (listed_ms as f64 * BOOT_LATE_LEAST) as u64,
-            (listed_ms as f64 * BOOT_LATE_MOST) as u64,
+            (listed_ms as f64 * PROVISIONING_TIMEOUT_MIN_FACTOR) as u64,
+            (listed_ms as f64 * PROVISIONING_TIMEOUT_MAX_FACTOR) as u64,
         );
         self.quantile(kind, zone, spot, 90)
             .map_or(least, |ms| (ms + ms / 4).clamp(least, most))
@@ -73,73 +86,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn boot_times(times: &[u64]) -> BootTimes {
-        let mut boot_times = BootTimes::default();
-        times
-            .iter()
-            .for_each(|ms| boot_times.record_boot("box", "north", true, *ms));
-        boot_times
-    }
-
-    #[test]
-    fn the_catalog_counts_until_enough_was_seen() {
-        let few = boot_times(&[1_000; BOOTS_ENOUGH - 1]);
-        assert_eq!(
-            (
-                few.usual_ms("box", "north", true, 30_000),
-                few.provisioning_timeout_ms("box", "north", true, 30_000)
-            ),
-            (30_000, 48_000)
-        );
-        let enough = boot_times(&[1_000; BOOTS_ENOUGH]);
-        assert_eq!(
-            enough.usual_ms("box", "north", true, 30_000),
-            7_500,
-            "bounded below"
-        );
-        assert_eq!(
-            enough.usual_ms("box", "north", false, 30_000),
-            30_000,
-            "of its own kind only"
-        );
-        assert_eq!(
-            enough.usual_ms("box", "south", true, 30_000),
-            30_000,
-            "and zone"
-        );
-    }
-
-    #[test]
-    fn late_boots_are_learned_and_bounded_and_odd_ones_left_out() {
-        let late = boot_times(&[70_000; 20]);
-        assert_eq!(
-            (
-                late.usual_ms("box", "north", true, 30_000),
-                late.provisioning_timeout_ms("box", "north", true, 30_000)
-            ),
-            (70_000, 87_500)
-        );
-        let never = boot_times(&[900_000; 20]);
-        assert_eq!(
-            (
-                never.usual_ms("box", "north", true, 30_000),
-                never.provisioning_timeout_ms("box", "north", true, 30_000)
-            ),
-            (90_000, 120_000)
-        );
-        let odd: Vec<u64> = (0..30)
-            .map(|n| if n % 15 == 0 { 900_000 } else { 30_000 })
-            .collect();
-        assert_eq!(
-            boot_times(&odd).provisioning_timeout_ms("box", "north", true, 30_000),
-            48_000
-        );
-        // What is usual follows within as many boots as are kept.
-        let mut turned = boot_times(&[1_000; 100]);
-        (0..BOOTS_KEPT).for_each(|_| turned.record_boot("box", "north", true, 31_000));
-        assert_eq!(turned.usual_ms("box", "north", true, 30_000), 31_000);
-    }
-}
+mod tests;
--- a/crates/coordination/src/fault_attribution.rs
+++ b/crates/coordination/src/fault_attribution.rs
@@ -1,26 +1,42 @@
-//! Whose fault a failure is: the job's, which was submitted with a mistake, or
-//! the machine's, which fails whatever it starts.
+//! Failure attribution: whether a failure is the job's fault, which was submitted with a
+//! mistake, or the machine's, which fails whatever it runs.
 //!
-//! A failure is kept as a pair of job and machine. A run that went well clears
-//! its job, whose failures were then not its own, and clears its machine of
-//! what failed there before the run began. What counts against a job are
-//! failures on machines that are *vouched for*: another job ran well there at
-//! about that time or later. What counts against a machine are failures of jobs
-//! that are not suspects themselves; with those of them that ran well elsewhere
-//! it is surely the machine.
+//! A failure is kept as a pair of job and machine. A success clears its job, whose
+//! failures were then not its own, and clears its machine of what failed there before the
+//! run began. What counts against a job are failures on machines that are *vouched for*:
+//! another job succeeded there at about that time or later. What counts against a machine
+//! are failures of jobs that are not suspects themselves; with those of them that
+//! succeeded elsewhere it is surely the machine.
 //!
-//! It is relearned from nothing by who takes a part: a suspect then costs a few
-//! more tries, and a machine a few more failures.
+//! It is learned from nothing by whoever acquires a shard: a suspect then costs a few more
+//! tries, and a machine a few more failures.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
-use lemonweir_model::constants::*;
 use lemonweir_model::{JobId, MachineId};
 
-/// What is held against a machine.
+/// Jobs that must have failed on a machine, none of them a suspect, for it to be
+/// quarantined. Two: a gang that takes it whole is the only one there, and each that fails
+/// starts late.
+pub const FAILURE_ATTRIBUTION_QUARANTINE_JOBS: usize = 2;
+/// Machines that run other jobs on which a job must have failed, with no success since, to
+/// be the suspect. Two: one may be faulty.
+pub const FAILURE_ATTRIBUTION_SUSPECT_MACHINES: usize = 2;
+/// Machines on which it must have failed whether or not others run there. So many faulty
+/// ones in a row are less likely than a mistake.
+pub const FAILURE_ATTRIBUTION_SUSPECT_ANYWHERE: usize = 5;
+/// ms before a failure within which another job's success vouches for the machine: longer
+/// than most runs, so that machines in use are vouched for.
+pub const FAILURE_ATTRIBUTION_VOUCHED_MS: u64 = 300_000;
+/// Failures remembered of each job and of each machine.
+const FAILURE_ATTRIBUTION_FAILURES_MAX: usize = 8;
+/// Jobs remembered by one side of a shard; some 200 bytes each.
+const FAILURE_ATTRIBUTION_JOBS_MAX: usize = 4_096;
+
+/// What the attributed failures say of a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultVerdict {
-    /// Nothing, or too little.
+    /// Too few failures count against it.
     Healthy,
     /// Several jobs failed there; none of them is a suspect, but it is not known
     /// that they run elsewhere.
@@ -34,7 +50,7 @@
 
 #[derive(Debug, Default)]
 struct JobFailures {
-    /// The newest run that went well: when it began, and where.
+    /// The newest success: when its run began, and where.
     last_success: Option<(u64, MachineId)>,
     failed: Failures<MachineId>,
     /// How many of these, the oldest, a success has cleared since. They still
@@ -50,7 +66,7 @@
     failed: Failures<JobId>,
 }
 
-/// Whom one event may have changed the judgement of.
+/// The jobs and machines whose verdicts one event may have changed.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Affected {
     /// Jobs.
@@ -59,7 +75,7 @@
     pub machines: BTreeSet<MachineId>,
 }
 
-/// The evidence that one side of a part has seen.
+/// The successes and failures that one side of a shard has seen.
 #[derive(Debug, Default)]
 pub struct FaultAttribution {
     jobs: HashMap<JobId, JobFailures>,
@@ -68,25 +84,25 @@
     machines: BTreeMap<MachineId, MachineFailures>,
 }
 
-/// Notes a failure; one repeated counts at its last time. Returns the place of
-/// what it replaced or pushed out.
+/// Remembers a failure; one repeated counts at its last time. Returns the index of the
+/// failure that it replaced or displaced.
 fn remember<T: PartialEq + Clone>(failed: &mut Failures<T>, with: &T, at: u64) -> Option<usize> {
-    let gone = failed
+    let replaced = failed
         .iter()
         .position(|(t, _)| t == with)
-        .or((failed.len() >= BLAME_PAIRS).then_some(0));
-    if let Some(i) = gone {
+        .or((failed.len() >= FAILURE_ATTRIBUTION_FAILURES_MAX).then_some(0));
+    if let Some(i) = replaced {
         failed.remove(i);
     }
     failed.push_back((with.clone(), at));
-    gone
+    replaced
 }
 
 impl FaultAttribution {
     fn job(&mut self, job: &JobId) -> &mut JobFailures {
         if !self.jobs.contains_key(job) {
             self.order.push_back(job.clone());
-            if self.order.len() > BLAME_JOBS
+            if self.order.len() > FAILURE_ATTRIBUTION_JOBS_MAX
                 && let Some(oldest) = self.order.pop_front()
             {
                 self.jobs.remove(&oldest);
@@ -95,10 +111,12 @@
         self.jobs.entry(job.clone()).or_default()
     }
 
-    /// A task of a job failed on a machine.
+    /// Records that a task of a job failed on a machine at `at`, ms.
     pub fn record_failure(&mut self, job: &JobId, machine: &MachineId, at: u64) -> Affected {
         let of_job = self.job(job);
-        if remember(&mut of_job.failed, machine, at).is_some_and(|gone| gone < of_job.cleared) {
+        if remember(&mut of_job.failed, machine, at)
+            .is_some_and(|replaced| replaced < of_job.cleared)
+        {
             of_job.cleared -= 1;
         }
         remember(
@@ -109,7 +127,7 @@
         self.affected(job, machine)
     }
 
-    /// A task of a job that began to run on a machine `since` then went well:
+    /// Records that a task of a job that began to run on a machine at `since`, ms, succeeded:
     /// it is done, or has run for long.
     pub fn record_success(&mut self, job: &JobId, machine: &MachineId, since: u64) -> Affected {
         let affected = self.affected(job, machine);
@@ -157,18 +175,17 @@
         affected
     }
 
-    /// True if another job ran well on the machine at about that time, or later.
+    /// True if another job succeeded on the machine at about that time, or later.
     fn vouched_for(&self, job: &JobId, machine: &MachineId, at: u64) -> bool {
         let Some(m) = self.machines.get(machine) else {
             return false;
         };
         m.successes
             .iter()
-            .any(|(at_success, by)| by != job && at_success + VOUCHED_MS >= at)
+            .any(|(at_success, by)| by != job && at_success + FAILURE_ATTRIBUTION_VOUCHED_MS >= at)
     }
 
-    /// On how many machines a job failed that run other jobs, if that makes it
-    /// the suspect.
+    /// On how many machines that run other jobs a job failed, if that makes it a suspect.
     pub fn suspect_evidence(&self, job: &JobId) -> Option<u32> {
         let of_job = self.jobs.get(job)?;
         let failed = || of_job.failed.iter().skip(of_job.cleared);
@@ -176,11 +193,12 @@
             .filter(|(m, at)| self.vouched_for(job, m, *at))
             .count();
         // On so many machines, with no success, it is the job whoever vouches.
-        (vouched >= SUSPECT_MACHINES || failed().count() >= SUSPECT_ANYWHERE)
+        (vouched >= FAILURE_ATTRIBUTION_SUSPECT_MACHINES
+            || failed().count() >= FAILURE_ATTRIBUTION_SUSPECT_ANYWHERE)
             .then_some(vouched as u32)
     }
 
-    /// What is held against a machine.
+    /// The verdict on a machine.
     pub fn verdict(&self, machine: &MachineId) -> FaultVerdict {
         let Some(m) = self.machines.get(machine) else {
             return FaultVerdict::Healthy;
@@ -197,9 +215,9 @@
                 .and_then(|o| o.last_success.as_ref())
                 .is_some_and(|(_, on)| on != machine)
         };
-        if counted.len() < QUARANTINE_ERRORS {
+        if counted.len() < FAILURE_ATTRIBUTION_QUARANTINE_JOBS {
             FaultVerdict::Healthy
-        } else if counted.iter().filter(elsewhere).count() >= QUARANTINE_ERRORS {
+        } else if counted.iter().filter(elsewhere).count() >= FAILURE_ATTRIBUTION_QUARANTINE_JOBS {
             FaultVerdict::Faulty
         } else {
             FaultVerdict::Suspect
@@ -216,116 +234,26 @@
             .collect()
     }
 
-    /// Machines on which something ran well of late and nothing failed since.
+    /// Machines on which a job succeeded of late and nothing failed since.
     pub fn healthy_machines(&self, now: u64) -> BTreeSet<MachineId> {
-        let good = |m: &&MachineFailures| {
+        let healthy = |m: &&MachineFailures| {
             m.failed.is_empty()
                 && m.successes
                     .first()
-                    .is_some_and(|(at, _)| now <= at + VOUCHED_MS)
+                    .is_some_and(|(at, _)| now <= at + FAILURE_ATTRIBUTION_VOUCHED_MS)
         };
         self.machines
             .iter()
-            .filter(|(_, m)| good(m))
+            .filter(|(_, m)| healthy(m))
             .map(|(id, _)| id.clone())
             .collect()
     }
 
-    /// A machine is no more.
+    /// A machine was released.
     pub fn forget(&mut self, machine: &MachineId) {
         self.machines.remove(machine);
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn job(n: usize) -> JobId {
-        JobId::from(format!("req-{n:06}").as_str())
-    }
-
-    fn machine(n: usize) -> MachineId {
-        MachineId::from(format!("n-{n:06}").as_str())
-    }
-
-    #[test]
-    fn a_job_with_a_mistake_condemns_nobody() {
-        let mut attribution = FaultAttribution::default();
-        for n in 0..10 {
-            attribution.record_success(&job(n), &machine(n), 1_000);
-        }
-        // Three jobs with a mistake meet on two machines.
-        for (at, (j, m)) in
-            (2_000..).zip([(100, 0), (101, 0), (102, 1), (100, 1), (101, 1), (102, 0)])
-        {
-            attribution.record_failure(&job(j), &machine(m), at);
-        }
-        assert_eq!(
-            (100..103)
-                .filter(|j| attribution.suspect_evidence(&job(*j)) == Some(2))
-                .count(),
-            3
-        );
-        assert_eq!(
-            [
-                attribution.verdict(&machine(0)),
-                attribution.verdict(&machine(1))
-            ],
-            [FaultVerdict::Healthy; 2]
-        );
-    }
-
-    #[test]
-    fn a_faulty_machine_is_found_and_its_jobs_are_not_blamed() {
-        let mut attribution = FaultAttribution::default();
-        attribution.record_success(&job(0), &machine(0), 1_000);
-        attribution.record_failure(&job(1), &machine(0), 5_000);
-        attribution.record_failure(&job(2), &machine(0), 6_000);
-        assert_eq!(attribution.verdict(&machine(0)), FaultVerdict::Suspect);
-        attribution.record_success(&job(1), &machine(1), 7_000);
-        attribution.record_success(&job(2), &machine(2), 7_000);
-        assert_eq!(attribution.verdict(&machine(0)), FaultVerdict::Faulty);
-        assert_eq!(
-            (
-                attribution.suspect_evidence(&job(1)),
-                attribution.suspect_evidence(&job(2))
-            ),
-            (None, None)
-        );
-        // What began before the failures proves nothing; a trial after them does.
-        attribution.record_success(&job(3), &machine(0), 4_000);
-        assert_eq!(attribution.verdict(&machine(0)), FaultVerdict::Faulty);
-        attribution.record_success(&job(3), &machine(0), 9_000);
-        assert_eq!(attribution.verdict(&machine(0)), FaultVerdict::Healthy);
-    }
-
-    #[test]
-    fn one_success_clears_a_suspect() {
-        let mut attribution = FaultAttribution::default();
-        for n in 0..SUSPECT_ANYWHERE {
-            assert_eq!(attribution.suspect_evidence(&job(1)), None, "after {n}");
-            attribution.record_failure(&job(1), &machine(n), 1_000);
-        }
-        assert_eq!(attribution.suspect_evidence(&job(1)), Some(0));
-        attribution.record_success(&job(1), &machine(50), 2_000);
-        assert_eq!(attribution.suspect_evidence(&job(1)), None);
-    }
-
-    #[test]
-    fn memory_is_bounded_by_jobs_and_pairs() {
-        let mut attribution = FaultAttribution::default();
-        for n in 0..3 * BLAME_JOBS {
-            attribution.record_failure(&job(n), &machine(n % 7), n as u64);
-        }
-        assert!(attribution.jobs.len() <= BLAME_JOBS && attribution.order.len() <= BLAME_JOBS);
-        assert!(
-            attribution
-                .machines
-                .values()
-                .all(|m| m.failed.len() <= BLAME_PAIRS)
-        );
-        (0..7).for_each(|n| attribution.forget(&machine(n)));
-        assert!(attribution.machines.is_empty());
-    }
-}
+mod tests;
--- a/crates/coordination/src/heartbeats.rs
+++ b/crates/coordination/src/heartbeats.rs
@@ -4,6 +4,7 @@
 use tracing::warn;
 
 use crate::links::{MisroutedHeartbeat, MisroutedHeartbeatAction};
+use crate::misrouted_heartbeats::MisroutedArrival;
 use crate::owner::{CommandCall, CommandResult};
 use crate::{Core, HeartbeatAnswer, ShardLease, incarnation, worker_lease};
 use lemonweir_model::constants::*;
@@ -55,7 +56,10 @@
         if self.shards.contains_key(&shard) {
             return self.answer_report(report, shard, None, now);
         }
-        let (again, news) = self.links.strays.record(
+        let MisroutedArrival {
+            repeated: again,
+            is_new: news,
+        } = self.links.strays.record(
             shard,
             &report.machine,
             incarnation::MessageSequence::of(report),
@@ -93,7 +97,7 @@
     /// the store yet.
     pub(crate) fn keep_promise(&self, report: &Heartbeat, now: u64) -> HeartbeatAnswer {
         let wall = now + self.config.wall_offset_ms;
-        match worker_lease::kept_until(report.token, wall, self.config.clock_off_ms) {
+        match worker_lease::renewable_until(report.token, wall, self.config.clock_off_ms) {
             Some(until) if wall <= until => HeartbeatAnswer::Orders(HeartbeatResponse {
                 token: report.token,
                 orders: Vec::new(),
--- a/crates/coordination/src/incarnation/mod.rs
+++ b/crates/coordination/src/incarnation/mod.rs
@@ -1,30 +1,30 @@
-//! What may be believed of a machine, and what has reached it.
+//! One incarnation of a worker: what of its messages is current, and which replies and
+//! calls have reached it.
 //!
-//! What comes from a worker may be old: a report that was held back, a copy of one
-//! that was answered long ago, or the last word of a machine that has been back
-//! since, empty, and counts from the start. What goes to a worker may not arrive.
-//! One [`WorkerIncarnation`] for each machine judges both from what the messages themselves
-//! show: session and number, which only rise in one incarnation of a worker, and the
-//! highest token that it has seen, which only rises too and which this owner
-//! chooses.
+//! A message of a worker may be old: a heartbeat that was delayed, a copy of one that was
+//! answered long ago, or the last one of a machine that has restarted since and counts
+//! from the start. A message to a worker may not arrive. One [`WorkerIncarnation`] for
+//! each machine decides both from what the messages themselves show: session and number,
+//! which only rise in one incarnation of a worker, and the highest token that the worker
+//! has seen, which only rises too and which this owner chooses.
 //!
-//! * **Current.** A message proves what is now if it shows a token that this owner has
-//!   given, or is the answer to a call that it made, and its sequence are higher than
-//!   all before. Anything else is unverified, which starts and ends nothing.
-//! * **A restart.** A token that was first given after a number was seen can't be
-//!   shown under that number or a lower one, unless the worker counts from the start
-//!   again. From then on only a token that is higher than all its earlier incarnation
-//!   can have shown is believed, so no copy from that one is.
-//! * **What has reached it.** A worker has one report in flight and drops answers
-//!   that come after it gave the report up. So a later report that shows a lower
-//!   token than the answer to the one before gave proves that this answer never
-//!   reached it; one that shows a token which only answers have given proves that
-//!   one did. Where nothing is proven its conduct tells: one that was answered comes
-//!   again within its interval and the same way.
+//! * **Current.** A message shows the present if it shows a token that this owner has
+//!   given, or is the answer to a call that it made, and its sequence is higher than all
+//!   before. Anything else is unverified, which starts and ends nothing.
+//! * **A restart.** A token that was first given after a sequence was seen can't be shown
+//!   under that sequence or a lower one, unless the worker counts from the start again.
+//!   From then on only a token is trusted that is higher than all that its earlier
+//!   incarnation can have shown, so no copy from that one is.
+//! * **Delivery.** A worker has one heartbeat in flight and drops replies that come after
+//!   it gave the heartbeat up. So a later heartbeat that shows a lower token than the
+//!   reply to the one before gave proves that this reply never reached it; one that shows
+//!   a token which only replies have given proves that one did. Where nothing is proven
+//!   its timing and route tell: one that got a reply sends the next heartbeat within its
+//!   interval and by the same route.
 
 use crate::machine::Timing;
 use crate::worker_lease;
-use lemonweir_model::constants::*;
+use lemonweir_model::constants::FENCE_BITS;
 use lemonweir_protocol::worker::Heartbeat;
 
 /// Session and number of a worker's message: both only rise in one incarnation of the
@@ -38,15 +38,15 @@
 }
 
 impl MessageSequence {
-    /// That of a report.
-    pub(crate) fn of(report: &Heartbeat) -> Self {
+    /// That of a heartbeat, or of the status in the answer to a call.
+    pub(crate) fn of(heartbeat: &Heartbeat) -> Self {
         Self {
-            session: report.session,
-            number: report.seq,
+            session: heartbeat.session,
+            number: heartbeat.seq,
         }
     }
 
-    /// True before any message was believed.
+    /// True before any message was accepted.
     fn is_none(self) -> bool {
         self == Self::default()
     }
@@ -55,39 +55,38 @@
 /// How a message of a worker came here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Origin {
-    /// A report that the worker sent by itself, by a controller of this number if
-    /// not directly.
+    /// A heartbeat, relayed by the controller of this number if not direct.
     Heartbeat(Option<u16>),
     /// The answer to a call.
     CallResponse,
 }
 
-/// What a message of a worker is worth.
+/// How current a message of a worker is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Freshness {
-    /// How it is now, as far as anybody can know.
+    /// It shows the present.
     Current,
     /// The same, of a worker that counts from the start again: all that its earlier
-    /// life had is gone.
+    /// incarnation ran is gone.
     Restarted,
     /// Older than what is known.
     Stale,
-    /// It may be older than this owner, or of an earlier life.
+    /// It may be older than this owner, or of an earlier incarnation.
     Unverified,
 }
 
-/// Whether answers reach a machine, as far as this owner can tell.
+/// Whether replies reach a machine, as far as this owner can tell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Reachability {
-    /// It acts as one that was answered.
+    /// It behaves as one that gets replies.
     Reachable,
-    /// It acted as one that was not; the next token tells.
+    /// It behaved as one that does not; the next token tells.
     Suspected,
-    /// The last answer has not reached it.
+    /// The last reply has not reached it.
     Unreachable,
 }
 
-/// The answer to the newest report.
+/// The reply to the newest heartbeat.
 #[derive(Clone, Copy, Debug)]
 struct LastReply {
     at: u64,
@@ -95,63 +94,78 @@
     token: u64,
 }
 
-/// What was only heard of a machine.
+/// Heartbeats of a machine of which none is current.
 #[derive(Clone, Copy, Debug)]
-struct Unverified {
+pub(crate) struct UnverifiedHeartbeats {
+    /// Session of the last one.
     session: u64,
-    first: u64,
-    last: u64,
+    /// When the first came, ms.
+    pub(crate) first_at: u64,
+    /// When the last came, ms.
+    pub(crate) last_at: u64,
 }
 
-/// The exchange with one machine.
+/// The present token of a machine.
+#[derive(Clone, Copy, Debug)]
+struct RaisedToken {
+    token: u64,
+    /// The newest sequence when it was chosen.
+    newest: MessageSequence,
+    /// When it was chosen, ms.
+    at: u64,
+}
+
+/// The exchange of messages with one machine.
 #[derive(Debug)]
 pub(crate) struct WorkerIncarnation {
     /// Lowest token of this owner.
     base_token: u64,
-    /// Lowest token that a report must show to be believed.
+    /// Lowest token that a heartbeat must show to be current.
     trusted_from: u64,
-    /// Numbers of the newest message that was believed, and the token it showed.
+    /// The newest message that was accepted.
     newest: MessageSequence,
-    highest_token: u64,
-    /// Numbers of the newest report among these.
+    /// The token that it showed, which is the highest.
+    shown_token: u64,
+    /// The newest heartbeat among these.
     newest_heartbeat: MessageSequence,
-    /// Below the part's token: raised with a promise, to fence orders whose fate is
-    /// unknown, and to learn whether answers arrive.
+    /// The bits of the present token below the shard's: raised to renew the worker's lease,
+    /// to fence calls of unknown outcome, and to probe whether replies arrive.
     fence: u64,
-    /// The fence before, while the present one is for answers alone.
+    /// The fence before, while the present one is a probe that only replies carry.
     fence_before_probe: Option<u64>,
-    /// The present token, and the newest sequence when it was chosen.
-    mark: (u64, MessageSequence),
-    raised_at: u64,
+    raised: RaisedToken,
     /// Highest token that a call has carried.
     highest_call_token: u64,
-    /// Newest sequence when the call under route was made.
+    /// The newest sequence when the call in progress was made.
     newest_at_call: MessageSequence,
-    /// When this life was first believed, ms.
+    /// When this incarnation was first seen, ms.
     first_seen_at: Option<u64>,
     reachability: Reachability,
     last_reply: Option<LastReply>,
-    /// Until when answers were given that may have reached it, or its session may have
+    /// When the last reply was given that may have reached it, or its session may have
     /// begun, ms: its lease runs from then at the latest.
     lease_from: Option<u64>,
-    /// When the last answer was given that reached it, by token or conduct, ms.
+    /// When the last reply was given that reached it, by its token or behaviour, ms.
     last_delivered_at: Option<u64>,
-    unverified: Option<Unverified>,
+    unverified: Option<UnverifiedHeartbeats>,
 }
 
 impl WorkerIncarnation {
-    /// Nothing was heard yet. `base_token`: the lowest token of this owner.
+    /// No message yet. `base_token`: the lowest token of this owner.
     pub(crate) fn new(base_token: u64, now: u64) -> Self {
         Self {
             base_token,
             trusted_from: base_token,
             newest: MessageSequence::default(),
-            highest_token: 0,
+            shown_token: 0,
             newest_heartbeat: MessageSequence::default(),
             fence: 0,
             fence_before_probe: None,
-            mark: (base_token, MessageSequence::default()),
-            raised_at: now,
+            raised: RaisedToken {
+                token: base_token,
+                newest: MessageSequence::default(),
+                at: now,
+            },
             highest_call_token: 0,
             newest_at_call: MessageSequence::default(),
             first_seen_at: None,
@@ -163,33 +177,35 @@
         }
     }
 
-    // ---- what came -------------------------------------------------------------
+    // ---- messages of the worker --------------------------------------------------
 
-    /// What a message is worth.
+    /// How current a message is.
     pub(crate) fn classify(
         &self,
         sequence: MessageSequence,
         token: u64,
         origin: Origin,
     ) -> Freshness {
-        let lower = token < self.highest_token;
+        let lower = token < self.shown_token;
         match origin {
             // Nothing of a worker that has seen a later owner is ours to judge.
             _ if token >> FENCE_BITS > self.base_token >> FENCE_BITS => Freshness::Unverified,
             // It was written after the call was made, when these were known.
             Origin::CallResponse if sequence <= self.newest_at_call => Freshness::Restarted,
             Origin::Heartbeat(_) if token < self.trusted_from => Freshness::Unverified,
-            // In one life both rise.
+            // In one incarnation both rise.
             _ if sequence > self.newest && lower => Freshness::Unverified,
             _ if sequence > self.newest => Freshness::Current,
-            Origin::Heartbeat(_) if token >= self.mark.0 && sequence <= self.mark.1 => {
+            Origin::Heartbeat(_)
+                if token >= self.raised.token && sequence <= self.raised.newest =>
+            {
                 Freshness::Restarted
             }
             _ => Freshness::Stale,
         }
     }
 
-    /// Takes what [`WorkerIncarnation::classify`] found to be news.
+    /// Applies a message that [`WorkerIncarnation::classify`] found to be current.
     pub(crate) fn apply(
         &mut self,
         sequence: MessageSequence,
@@ -201,46 +217,36 @@
         self.unverified = None;
         match origin {
             Origin::Heartbeat(route) => self.observe_delivery(sequence, token, route, timing, now),
-            Origin::CallResponse if token > self.highest_token.max(self.highest_call_token) => {
+            Origin::CallResponse if token > self.shown_token.max(self.highest_call_token) => {
                 self.confirm_reachable(token)
             }
             Origin::CallResponse => {}
         }
-        // Guards against a machine that answers don't reach and whose new session only
-        // the answer to a call shows: its lease runs from the session's begin, which may
-        // be as late as now, whichever answers came before.
+        // Guards against a machine that replies don't reach and whose new session only the
+        // answer to a call shows: its lease runs from the session's begin, which may be as
+        // late as now, whichever replies were given before.
         if sequence.session > self.newest.session {
             self.lease_from = self.lease_from.max(Some(now));
         }
         self.newest = sequence;
-        self.highest_token = token;
+        self.shown_token = token;
         self.last_delivered_at.get_or_insert(now);
         self.first_seen_at.get_or_insert(now);
     }
 
-    /// The worker counts from the start again: its sequence and answers are others'.
-    /// Guards against copies of reports from its earlier life, which have higher
-    /// sequence: whatever that has shown is below the token that is given from now
-    /// on.
+    /// The worker counts from the start again: its sequence is another one. Guards against
+    /// copies of heartbeats of its earlier incarnation, which have higher numbers: whatever
+    /// that has shown is below the token that is given from now on.
     pub(crate) fn reset_after_restart(&mut self, origin: Origin, now: u64) {
-        (
-            self.newest,
-            self.newest_heartbeat,
-            self.newest_at_call,
-            self.highest_token,
-        ) = (
-            MessageSequence::default(),
-            MessageSequence::default(),
-            MessageSequence::default(),
-            0,
-        );
-        (
-            self.last_reply,
-            self.fence_before_probe,
-            self.last_delivered_at,
-            self.first_seen_at,
-        ) = (None, None, None, None);
-        // That a call reached it says nothing of answers.
+        self.newest = MessageSequence::default();
+        self.newest_heartbeat = MessageSequence::default();
+        self.newest_at_call = MessageSequence::default();
+        self.shown_token = 0;
+        self.last_reply = None;
+        self.fence_before_probe = None;
+        self.last_delivered_at = None;
+        self.first_seen_at = None;
+        // That a call reached it says nothing of replies.
         self.reachability = if origin == Origin::CallResponse {
             Reachability::Suspected
         } else {
@@ -253,8 +259,8 @@
         self.trusted_from = self.base_token + self.fence + u64::from(raised.is_none());
     }
 
-    /// A report that is late all the same tells what reached the worker, if no later
-    /// one has come: only the answer to a call was newer.
+    /// A late heartbeat still tells what reached the worker, if no later one has come: only
+    /// the answer to a call was newer.
     pub(crate) fn apply_late_heartbeat(
         &mut self,
         sequence: MessageSequence,
@@ -268,31 +274,31 @@
         }
     }
 
-    /// Notes a hint. True if it is to be asked whether it is so.
+    /// Records an unverified heartbeat. True if the machine is to be queried.
     pub(crate) fn record_unverified(&mut self, sequence: MessageSequence, now: u64) -> bool {
         if !self.newest.is_none() {
             return false;
         }
-        let first = self.unverified.map_or(now, |h| h.first);
-        self.unverified = Some(Unverified {
+        let first_at = self.unverified.map_or(now, |u| u.first_at);
+        self.unverified = Some(UnverifiedHeartbeats {
             session: sequence.session,
-            first,
-            last: now,
+            first_at,
+            last_at: now,
         });
         true
     }
 
-    /// A report came that is not the newest, as a copy would be, or one of a new life.
-    /// If it is that, the next one shows a token that was chosen from now on; rarely
-    /// more than one a lease half is needed, since a token that was chosen after any
-    /// higher number does as well. True if nothing is to be believed of the machine
-    /// before it shows that token, and it is to be asked.
+    /// A heartbeat came that is not the newest, as a copy would be, or one of a new
+    /// incarnation. If it is that, the next one shows a token that was chosen from now on;
+    /// rarely more than one a lease half is needed, since a token that was chosen after any
+    /// higher number does as well. True if nothing of the machine is current before it
+    /// shows that token, and it is to be queried.
     ///
-    /// Guards against a new life that has not been noticed as such: what its sequence
-    /// have passed of the earlier life's is held for its own, a report of that life
-    /// that comes late for its newest, and an order that names the earlier life's
-    /// session is executed once it has got there. A worker's first reports show no
-    /// token, and in one life sequence and token rise together.
+    /// Guards against a new incarnation that has not been noticed as such: what of its
+    /// sequence has passed the earlier one's is taken for that one's, a late heartbeat of
+    /// the earlier one for its newest, and a command that names the earlier one's session
+    /// is executed once it has got there. A worker's first heartbeats show no token, and in
+    /// one incarnation sequence and token rise together.
     pub(crate) fn suspect_restart(
         &mut self,
         sequence: MessageSequence,
@@ -303,7 +309,7 @@
         if !self.newest.is_none()
             && (token == 0
                 || sequence > self.newest
-                    && token < self.highest_token
+                    && token < self.shown_token
                     && !self.predates_restart(token))
         {
             self.first_seen_at = self.first_seen_at.map(|_| now);
@@ -315,18 +321,19 @@
             self.trusted_from = self.reply_token();
             return true;
         }
-        if sequence >= self.mark.1 && now >= self.raised_at + timing.lease_ms / 2 {
+        if sequence >= self.raised.newest && now >= self.raised.at + timing.lease_ms / 2 {
             self.raise_probe(now);
         }
         false
     }
 
-    /// A token of this owner that no life has been given since the last one began.
+    /// A token of this owner that was given before the present incarnation began only.
     fn predates_restart(&self, token: u64) -> bool {
         token >= self.base_token && token < self.trusted_from
     }
 
-    /// A report that the worker sent after all before.
+    /// Learns from a heartbeat that the worker sent after all before whether the last reply
+    /// reached it.
     fn observe_delivery(
         &mut self,
         sequence: MessageSequence,
@@ -342,20 +349,20 @@
             }
             return;
         };
-        // It goes on to another controller if it gets no answer. One that is carried
-        // may be sent to us by its carrier.
+        // It goes on to another controller if it gets no reply. One that is relayed may be
+        // sent to us by its relay.
         let rerouted = route != last.route && route.is_some();
         let unusual = rerouted || now > last.at + timing.unanswered_after_ms();
         if token < last.token {
             self.reachability = Reachability::Unreachable;
-        } else if token > self.highest_token.max(self.highest_call_token) {
+        } else if token > self.shown_token.max(self.highest_call_token) {
             self.last_delivered_at = Some(last.at);
             self.confirm_reachable(token);
         } else if unusual || self.reachability != Reachability::Reachable {
             if self.reachability == Reachability::Reachable {
                 self.reachability = Reachability::Suspected;
             }
-            // Without a token to tell by, its conduct does.
+            // Without a token to tell by, its behaviour does.
             if !self.raise_probe(now) && !unusual {
                 self.reachability = Reachability::Reachable;
             }
@@ -364,25 +371,30 @@
         }
     }
 
-    /// It shows a token that only answers have given.
+    /// It shows a token that only replies have given.
     fn confirm_reachable(&mut self, token: u64) {
         if self.last_reply.is_none_or(|last| token >= last.token) {
             self.last_delivered_at = self
                 .last_delivered_at
                 .max(self.last_reply.map(|last| last.at));
-            (self.reachability, self.fence_before_probe) = (Reachability::Reachable, None);
+            self.reachability = Reachability::Reachable;
+            self.fence_before_probe = None;
         }
     }
 
-    // ---- what goes out -----------------------------------------------------------
+    // ---- messages to the worker --------------------------------------------------
 
+    /// Raises the token.
     fn raise(&mut self, fence: u64, now: u64) {
         self.fence = fence;
-        self.mark = (self.base_token + fence, self.newest);
-        self.raised_at = now;
+        self.raised = RaisedToken {
+            token: self.base_token + fence,
+            newest: self.newest,
+            at: now,
+        };
     }
 
-    /// Raises the token for answers alone. False if it can't rise now.
+    /// Raises the token for replies alone, as a probe. False if it can't rise now.
     fn raise_probe(&mut self, now: u64) -> bool {
         let Some(fence) = worker_lease::raised(self.fence) else {
             return false;
@@ -392,20 +404,19 @@
         true
     }
 
-    /// Promises the worker that the reading which showed us as the owner began
-    /// then, in time of day.
+    /// Renews the worker's lease: the reading of the store that showed this owner as the
+    /// leader began at `wall_ms`, in time of day.
     pub(crate) fn renew_lease(&mut self, wall_ms: u64, now: u64) {
         if let Some(fence) = worker_lease::renewed(self.fence, wall_ms) {
             self.raise(fence, now);
         }
     }
 
-    /// A call with this token may be executed late: from now on a higher one is
-    /// given.
+    /// A call with this token may be executed late: from now on a higher one is given.
     pub(crate) fn fence_call(&mut self, sent: u64, now: u64) {
         self.fence_before_probe = None;
-        // No call goes out with a token that can't rise; were it so, the machine
-        // would stay ambiguous until it is promised anew.
+        // No call goes out with a token that can't rise; were it so, the call would stay
+        // unresolved until the lease is renewed.
         if let Some(fence) =
             worker_lease::raised(self.fence.max(sent.saturating_sub(self.base_token)))
         {
@@ -418,23 +429,23 @@
         worker_lease::raised(self.fence).is_some()
     }
 
-    /// The token of an answer.
+    /// The token of a reply.
     pub(crate) fn reply_token(&self) -> u64 {
         self.base_token + self.fence
     }
 
-    /// A call is about to be made; its token. While a token is to tell whether
-    /// answers arrive, calls don't carry it.
+    /// A call is about to be made; returns its token. While a token is a probe whether
+    /// replies arrive, calls don't carry it.
     pub(crate) fn begin_call(&mut self) -> u64 {
         let token = self
-            .highest_token
+            .shown_token
             .max(self.base_token + self.fence_before_probe.unwrap_or(self.fence));
         self.highest_call_token = self.highest_call_token.max(token);
         self.newest_at_call = self.newest;
         token
     }
 
-    /// A report is answered with [`WorkerIncarnation::reply_token`].
+    /// A heartbeat is replied to with [`WorkerIncarnation::reply_token`].
     pub(crate) fn record_reply(
         &mut self,
         sequence: MessageSequence,
@@ -442,7 +453,7 @@
         route: Option<u16>,
         now: u64,
     ) {
-        let answer = LastReply {
+        let reply = LastReply {
             at: now,
             route,
             token: self.reply_token(),
@@ -453,94 +464,93 @@
             // sent, which was before the first of them came.
             return;
         }
-        // One that the worker has given up can't be waited for, unless by a new life,
+        // One that the worker has given up can't be waited for, unless by a new incarnation,
         // which shows no token or one of the last.
         if newest
             || self.newest.is_none()
             || sequence > self.newest_heartbeat
             || token == 0
-            || token >= self.highest_token
+            || token >= self.shown_token
         {
             self.lease_from = self.lease_from.max(Some(now));
         }
         // A worker in its first exchanges has not shown the token that counts.
-        if newest || self.newest.is_none() || sequence > self.newest && token >= self.highest_token
-        {
-            self.last_reply = Some(answer);
+        if newest || self.newest.is_none() || sequence > self.newest && token >= self.shown_token {
+            self.last_reply = Some(reply);
         }
     }
 
-    /// This process stood still: what came late meanwhile tells nothing.
+    /// This process was stalled: what came late meanwhile tells nothing.
     pub(crate) fn handle_stall(&mut self) {
         self.last_reply = None;
     }
 
-    // ---- what is known -----------------------------------------------------------
+    // ---- state -------------------------------------------------------------------
 
     /// The worker's session.
     pub(crate) fn session(&self) -> u64 {
         self.newest.session
     }
 
-    /// The session to ask in.
+    /// The session that a call names.
     pub(crate) fn call_session(&self) -> u64 {
-        self.unverified.map_or(self.newest.session, |h| h.session)
+        self.unverified.map_or(self.newest.session, |u| u.session)
     }
 
     /// Highest token that the worker has shown.
     pub(crate) fn shown_token(&self) -> u64 {
-        self.highest_token
+        self.shown_token
     }
 
-    /// It has shown a token that only this owner can have given, in this life.
+    /// It has shown a token that only this owner can have given, in this incarnation.
     pub(crate) fn is_confirmed(&self) -> bool {
-        self.is_trusted_token(self.highest_token)
+        self.is_trusted_token(self.shown_token)
     }
 
-    /// A report with this token shows one of this owner's, and of this life.
+    /// Only this owner can have given this token, in this incarnation.
     pub(crate) fn is_trusted_token(&self, token: u64) -> bool {
         token >= self.trusted_from
     }
 
-    /// When its lease may have begun to run anew at the latest, ms.
+    /// When its lease may have been renewed at the latest, ms.
     pub(crate) fn lease_from(&self) -> Option<u64> {
         self.lease_from
     }
 
-    /// Its lease has surely run out.
+    /// Its lease has surely expired.
     pub(crate) fn clear_lease(&mut self) {
         self.lease_from = None;
     }
 
-    /// Something may be started there. `word`: when the last reading of the store began
-    /// that showed us as the owner.
+    /// Attempts may be launched there. `store_answer_at`: when the last reading of the store
+    /// began that showed this owner as the leader, ms.
     ///
     /// Guards against an owner that has been superseded without knowing: its successor
-    /// proves ends by what the machine has seen, and a new life has seen nothing. One
+    /// proves ends by what the machine has seen, and a new incarnation has seen nothing. One
     /// that was there before the reading had shown the successor's token to nobody.
     pub(crate) fn may_launch(&self, store_answer_at: u64) -> bool {
         self.is_reachable()
             && self
                 .first_seen_at
-                .is_some_and(|born| store_answer_at > born)
+                .is_some_and(|first_seen_at| store_answer_at > first_seen_at)
     }
 
-    /// Answers reach it, as far as anybody can tell.
+    /// Replies reach it, as far as anybody can tell.
     pub(crate) fn is_reachable(&self) -> bool {
         self.reachability == Reachability::Reachable
     }
 
-    /// Since when no answer has reached it, ms, if that is proven.
+    /// Since when no reply has reached it, ms, if that is proven.
     pub(crate) fn unreachable_since(&self) -> Option<u64> {
         (self.reachability == Reachability::Unreachable)
             .then_some(self.last_delivered_at.unwrap_or(0))
     }
 
-    /// When it was first and last heard of, ms, if nothing of it was news.
-    pub(crate) fn unverified_since(&self) -> Option<(u64, u64)> {
-        self.unverified.map(|h| (h.first, h.last))
+    /// The heartbeats so far, if none of them was current.
+    pub(crate) fn unverified_heartbeats(&self) -> Option<UnverifiedHeartbeats> {
+        self.unverified
     }
 }
 
 #[cfg(test)]
-mod model;
+mod tests;
--- a/crates/coordination/src/incarnation/model.rs
+++ b/crates/coordination/src/incarnation/tests.rs
@@ -1,14 +1,16 @@
-//! A slow plain model of who may be believed: it knows each message's life and
-//! when it was written, and which answers reached the worker. Random histories of
-//! reports, copies, new lives, lost answers and changes of hands must never have an
-//! owner believe what is older than what it believed, conclude an end of what runs,
-//! or ignore a machine that can be heard.
+//! A slow reference model of one worker's incarnations: it knows the incarnation of each
+//! message, when it was written, and which replies reached the worker. In random histories
+//! of heartbeats, copies, restarts, lost replies and failovers no owner may accept what is
+//! older than what it accepted, conclude the end of what runs, or ignore a machine that is
+//! reachable.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::machine::Timing;
 use crate::owner::{CommandCall, CommandResult, Owner};
-use lemonweir_model::constants::*;
+use lemonweir_model::constants::{
+    COMMAND_TIMEOUT_MS, NEXT_NODE_MS, PEER_VERSION, WORKER_PATIENCE_MS,
+};
 use lemonweir_model::{AttemptId, JobId, MachineId, MachineType, Priority, Resources};
 use lemonweir_protocol::peer::{
     ChangeRange, DesiredAttempt, ObservedState, PreemptionScope, SyncRequest,
@@ -19,10 +21,10 @@
 
 const HOSTS: usize = 3;
 
-/// Numbers from a seed.
-struct Dice(u64);
+/// Reproducible numbers from a seed.
+struct SeededRandom(u64);
 
-impl Dice {
+impl SeededRandom {
     fn below(&mut self, n: u64) -> u64 {
         self.0 = self
             .0
@@ -38,35 +40,35 @@
 
 /// A worker by the protocol page.
 struct Worker {
-    life: u64,
+    incarnation: u64,
     session: u64,
-    tally: u64,
+    message_number: u64,
     token: u64,
     lease_from: u64,
-    /// The report in flight: its number and when it was sent.
-    waits: Option<(u64, u64)>,
+    /// The heartbeat in flight: its number and when it was sent.
+    in_flight: Option<(u64, u64)>,
     next: u64,
     node: usize,
     tasks: BTreeMap<AttemptId, TaskPhase>,
 }
 
 impl Worker {
-    fn new(life: u64, now: u64) -> Self {
+    fn new(incarnation: u64, now: u64) -> Self {
         Self {
-            life,
+            incarnation,
             session: 1,
-            tally: 0,
+            message_number: 0,
             token: 0,
             lease_from: now,
-            waits: None,
+            in_flight: None,
             next: now,
             node: 0,
             tasks: BTreeMap::new(),
         }
     }
 
-    fn report(&mut self, machine: &MachineId) -> Heartbeat {
-        self.tally += 1;
+    fn next_heartbeat(&mut self, machine: &MachineId) -> Heartbeat {
+        self.message_number += 1;
         let task = |(id, phase): (&AttemptId, &TaskPhase)| TaskStatus {
             piece: id.piece(),
             attempt: id.attempt,
@@ -81,7 +83,7 @@
             zone: "north".into(),
             spot: false,
             session: self.session,
-            seq: self.tally,
+            seq: self.message_number,
             token: self.token,
             notice_s: None,
             tasks: self.tasks.iter().map(task).collect(),
@@ -105,66 +107,66 @@
 }
 
 enum Message {
-    /// A report with its life, when it was written, and whether it is the original.
-    Report {
-        report: Heartbeat,
-        life: u64,
-        written: u64,
+    /// A heartbeat with its incarnation, when it was written, and whether it is a copy.
+    Heartbeat {
+        heartbeat: Heartbeat,
+        incarnation: u64,
+        written_at: u64,
         host: usize,
         copy: bool,
     },
-    Answer {
-        life: u64,
+    Reply {
+        incarnation: u64,
         session: u64,
-        tally: u64,
+        message_number: u64,
         sent: u64,
         reply: HeartbeatResponse,
     },
-    Orders {
+    Call {
         owner: usize,
         call: CommandCall,
         late: bool,
-        /// Of the worker that it was sent to: a connection ends with it.
+        /// The incarnation that it was sent to: a connection ends with it.
         to: u64,
     },
-    Done {
+    CallDone {
         owner: usize,
         call: CommandCall,
         result: CommandResult,
-        life: u64,
+        incarnation: u64,
     },
 }
 
-struct World {
-    dice: Dice,
+struct Simulation {
+    random: SeededRandom,
     now: u64,
     timing: Timing,
     worker: Option<Worker>,
-    lives: u64,
-    /// Owners in turn, with the host of each and until when it still answers.
+    incarnations: u64,
+    /// Successive owners, with the host of each and until when it still replies.
     owners: Vec<(Owner, usize, u64)>,
-    word: Vec<u64>,
-    mail: Vec<(u64, Message)>,
-    /// Attempts that are wanted, and those told to be over.
-    wanted: BTreeMap<AttemptId, DesiredAttempt>,
-    over: BTreeSet<AttemptId>,
+    store_answer_at: Vec<u64>,
+    messages: Vec<(u64, Message)>,
+    /// Attempts that are desired, and those published as ended.
+    desired: BTreeMap<AttemptId, DesiredAttempt>,
+    published_ended: BTreeSet<AttemptId>,
     seq: u64,
-    /// What is lost now: answers, and those of one host only; calls.
-    answers_lost: bool,
-    host_lost: Option<usize>,
+    /// What is lost now: replies, all or those of one host only; calls.
+    replies_lost: bool,
+    unreachable_host: Option<usize>,
     calls_lost: bool,
-    copies: u64,
+    copy_percent: u64,
     copied: bool,
-    /// True life and number of the newest that each owner believed.
-    believed: Vec<(u64, u64)>,
-    /// Since when nothing was lost, and reports that came since an answer did.
-    quiet_from: u64,
-    unanswered: u64,
-    news: u64,
-    starts: u64,
-    closed: u64,
-    /// The newest owner wants to give the machine back.
-    given_back: bool,
+    /// True incarnation and number of the newest heartbeat that each owner accepted.
+    accepted: Vec<(u64, u64)>,
+    /// Since when nothing was lost, and heartbeats that came since a reply arrived.
+    stable_since: u64,
+    heartbeats_without_reply: u64,
+    accepted_count: u64,
+    launches: u64,
+    closed_while_unreachable: u64,
+    /// The newest owner has requested the release of the machine.
+    release_requested: bool,
 }
 
 fn machine() -> MachineId {
@@ -194,47 +196,47 @@
     owner
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64, lease_ms: u64) -> Self {
         let timing = Timing {
             lease_ms,
             report_ms: 3_000,
         };
         Self {
-            dice: Dice(seed),
+            random: SeededRandom(seed),
             now: 0,
             timing,
             worker: Some(Worker::new(1, 0)),
-            lives: 1,
+            incarnations: 1,
             owners: vec![(owner(40, timing, 0), 0, u64::MAX)],
-            word: vec![0],
-            mail: Vec::new(),
-            wanted: BTreeMap::new(),
-            over: BTreeSet::new(),
+            store_answer_at: vec![0],
+            messages: Vec::new(),
+            desired: BTreeMap::new(),
+            published_ended: BTreeSet::new(),
             seq: 0,
-            answers_lost: false,
-            host_lost: None,
+            replies_lost: false,
+            unreachable_host: None,
             calls_lost: false,
-            copies: 0,
+            copy_percent: 0,
             copied: false,
-            believed: vec![(0, 0)],
-            quiet_from: 0,
-            unanswered: 0,
-            news: 0,
-            starts: 0,
-            closed: 0,
-            given_back: false,
+            accepted: vec![(0, 0)],
+            stable_since: 0,
+            heartbeats_without_reply: 0,
+            accepted_count: 0,
+            launches: 0,
+            closed_while_unreachable: 0,
+            release_requested: false,
         }
     }
 
-    fn post(&mut self, most_ms: u64, message: Message) {
-        let at = self.now + 1 + self.dice.below(most_ms);
-        self.mail.push((at, message));
+    fn deliver_within(&mut self, most_ms: u64, message: Message) {
+        let at = self.now + 1 + self.random.below(most_ms);
+        self.messages.push((at, message));
     }
 
-    /// What runs is on one life of the machine, so whatever was told to be over must
-    /// not run.
-    fn check(&self) {
+    /// What runs is on one incarnation of the machine, so no attempt that was published as
+    /// ended may run.
+    fn assert_no_ended_attempt_runs(&self) {
         let Some(w) = &self.worker else { return };
         for id in w
             .tasks
@@ -243,8 +245,8 @@
             .map(|(id, _)| id)
         {
             assert!(
-                !self.over.contains(id),
-                "{id} runs at {} and was told to be over",
+                !self.published_ended.contains(id),
+                "{id} runs at {} and was published as ended",
                 self.now
             );
         }
@@ -252,33 +254,31 @@
 
     fn deliver(&mut self, message: Message) {
         match message {
-            Message::Report {
-                report,
-                life,
-                written,
+            Message::Heartbeat {
+                heartbeat,
+                incarnation,
+                written_at,
                 host,
                 copy,
-            } => self.report_arrives(&report, life, written, host, copy),
-            Message::Answer {
-                life,
+            } => self.receive_heartbeat(&heartbeat, incarnation, written_at, host, copy),
+            Message::Reply {
+                incarnation,
                 session,
-                tally,
+                message_number,
                 sent,
                 reply,
             } => {
                 let now = self.now;
-                let Some(w) = self
-                    .worker
-                    .as_mut()
-                    .filter(|w| w.life == life && w.waits == Some((tally, sent)))
-                else {
+                let Some(w) = self.worker.as_mut().filter(|w| {
+                    w.incarnation == incarnation && w.in_flight == Some((message_number, sent))
+                }) else {
                     return;
                 };
                 if now > sent + WORKER_PATIENCE_MS {
                     return;
                 }
-                w.waits = None;
-                w.next = now + 2_250 + self.dice.below(1_500);
+                w.in_flight = None;
+                w.next = now + 2_250 + self.random.below(1_500);
                 if reply.token < w.token || session != w.session {
                     return;
                 }
@@ -287,53 +287,54 @@
                 }
                 w.lease_from = w.lease_from.max(sent);
                 w.execute(&reply.orders);
-                self.unanswered = 0;
+                self.heartbeats_without_reply = 0;
             }
-            Message::Orders {
+            Message::Call {
                 owner,
                 call,
                 late,
                 to,
             } => {
-                let life = self.worker.as_ref().map_or(0, |w| w.life);
+                let incarnation = self.worker.as_ref().map_or(0, |w| w.incarnation);
                 let result = match self.worker.as_mut() {
                     None => CommandResult::NotSent,
-                    Some(w) if w.life != to => CommandResult::Unknown,
+                    Some(w) if w.incarnation != to => CommandResult::Unknown,
                     Some(w)
                         if call.commands.token >= w.token && call.commands.session == w.session =>
                     {
                         w.token = call.commands.token;
                         w.execute(&call.commands.orders);
-                        CommandResult::Executed(w.report(&machine()))
+                        CommandResult::Executed(w.next_heartbeat(&machine()))
                     }
-                    Some(w) => CommandResult::Refused(w.report(&machine())),
+                    Some(w) => CommandResult::Refused(w.next_heartbeat(&machine())),
                 };
                 if !late {
-                    self.post(
+                    self.deliver_within(
                         40,
-                        Message::Done {
+                        Message::CallDone {
                             owner,
                             call,
                             result,
-                            life,
+                            incarnation,
                         },
                     );
                 }
             }
-            Message::Done {
+            Message::CallDone {
                 owner,
                 call,
                 result,
-                life,
+                incarnation,
             } => {
                 let now = self.now;
                 if let Some((o, _, until)) = self.owners.get_mut(owner)
                     && now < *until
                 {
-                    if let CommandResult::Executed(report) | CommandResult::Refused(report) =
+                    if let CommandResult::Executed(heartbeat) | CommandResult::Refused(heartbeat) =
                         &result
                     {
-                        self.believed[owner] = self.believed[owner].max((life, report.seq));
+                        self.accepted[owner] =
+                            self.accepted[owner].max((incarnation, heartbeat.seq));
                     }
                     o.handle_call_result(&call, result, now);
                 }
@@ -341,48 +342,54 @@
         }
     }
 
-    fn report_arrives(
+    fn receive_heartbeat(
         &mut self,
-        report: &Heartbeat,
-        life: u64,
-        written: u64,
+        heartbeat: &Heartbeat,
+        incarnation: u64,
+        written_at: u64,
         host: usize,
         copy: bool,
     ) {
         let now = self.now;
-        // Who still thinks that it is the owner answers at its host; else it goes to
-        // the newest.
+        // An owner that does not know its successor yet replies at its host; else the
+        // newest one does.
         let at = (0..self.owners.len())
             .rev()
             .find(|i| self.owners[*i].1 == host && now < self.owners[*i].2)
             .unwrap_or(self.owners.len() - 1);
         let newest = at + 1 == self.owners.len();
-        let (owner, home, _) = &mut self.owners[at];
-        let way = (*home != host).then_some(host as u16);
-        if owner.is_current(report) {
-            let (order, known) = ((life, report.seq), self.believed[at]);
+        let (owner, home_host, _) = &mut self.owners[at];
+        let way = (*home_host != host).then_some(host as u16);
+        if owner.is_current(heartbeat) {
+            let (order, known) = ((incarnation, heartbeat.seq), self.accepted[at]);
             assert!(
                 order > known,
-                "{report:?} of life {life} was written at {written}, {known:?} is known"
+                "{heartbeat:?} of incarnation {incarnation} was written at {written_at}, {known:?} is known"
             );
-            self.believed[at] = order;
-            self.news += 1;
+            self.accepted[at] = order;
+            self.accepted_count += 1;
         }
-        let reply = owner.handle_heartbeat(report, way, now);
-        if !copy && newest && self.worker.as_ref().is_some_and(|w| w.life == life) {
-            self.unanswered += 1;
+        let reply = owner.handle_heartbeat(heartbeat, way, now);
+        if !copy
+            && newest
+            && self
+                .worker
+                .as_ref()
+                .is_some_and(|w| w.incarnation == incarnation)
+        {
+            self.heartbeats_without_reply += 1;
         }
-        let lost = self.answers_lost || self.host_lost == Some(host);
+        let lost = self.replies_lost || self.unreachable_host == Some(host);
         match reply {
             Some(reply) if !lost && !copy => {
-                let message = Message::Answer {
-                    life,
-                    session: report.session,
-                    tally: report.seq,
-                    sent: written,
+                let message = Message::Reply {
+                    incarnation,
+                    session: heartbeat.session,
+                    message_number: heartbeat.seq,
+                    sent: written_at,
                     reply,
                 };
-                self.post(60, message);
+                self.deliver_within(60, message);
             }
             Some(_) => {}
             None if copy => {}
@@ -390,15 +397,16 @@
                 if let Some(w) = self
                     .worker
                     .as_mut()
-                    .filter(|w| w.waits == Some((report.seq, written)))
+                    .filter(|w| w.in_flight == Some((heartbeat.seq, written_at)))
                 {
-                    (w.waits, w.next, w.node) = (None, now + NEXT_NODE_MS, (w.node + 1) % HOSTS);
+                    (w.in_flight, w.next, w.node) =
+                        (None, now + NEXT_NODE_MS, (w.node + 1) % HOSTS);
                 }
             }
         }
     }
 
-    fn work(&mut self) {
+    fn run_worker(&mut self) {
         let (now, lease_ms) = (self.now, self.timing.lease_ms);
         let Some(w) = self.worker.as_mut() else {
             return;
@@ -407,35 +415,35 @@
             w.tasks.clear();
             (w.session, w.lease_from, w.next) = (w.session + 1, now, now);
         }
-        if w.waits
+        if w.in_flight
             .is_some_and(|(_, sent)| now >= sent + WORKER_PATIENCE_MS)
         {
-            (w.waits, w.next, w.node) = (None, now + NEXT_NODE_MS, (w.node + 1) % HOSTS);
+            (w.in_flight, w.next, w.node) = (None, now + NEXT_NODE_MS, (w.node + 1) % HOSTS);
         }
-        if w.waits.is_none() && now >= w.next {
-            let report = w.report(&machine());
-            w.waits = Some((report.seq, now));
-            let (life, host) = (w.life, w.node);
-            if self.dice.below(100) < self.copies {
-                let at = now + 200 + self.dice.below(3 * lease_ms);
-                let host = self.dice.below(HOSTS as u64) as usize;
-                self.mail.push((
+        if w.in_flight.is_none() && now >= w.next {
+            let heartbeat = w.next_heartbeat(&machine());
+            w.in_flight = Some((heartbeat.seq, now));
+            let (incarnation, host) = (w.incarnation, w.node);
+            if self.random.below(100) < self.copy_percent {
+                let at = now + 200 + self.random.below(3 * lease_ms);
+                let host = self.random.below(HOSTS as u64) as usize;
+                self.messages.push((
                     at,
-                    Message::Report {
-                        report: report.clone(),
-                        life,
-                        written: now,
+                    Message::Heartbeat {
+                        heartbeat: heartbeat.clone(),
+                        incarnation,
+                        written_at: now,
                         host,
                         copy: true,
                     },
                 ));
             }
-            self.post(
+            self.deliver_within(
                 60,
-                Message::Report {
-                    report,
-                    life,
-                    written: now,
+                Message::Heartbeat {
+                    heartbeat,
+                    incarnation,
+                    written_at: now,
                     host,
                     copy: false,
                 },
@@ -443,7 +451,7 @@
         }
     }
 
-    fn own(&mut self) {
+    fn run_owners(&mut self) {
         let now = self.now;
         for i in 0..self.owners.len() {
             let last = i + 1 == self.owners.len();
@@ -451,29 +459,29 @@
                 continue;
             }
             if last {
-                self.word[i] = now;
+                self.store_answer_at[i] = now;
             }
-            let word = self.word[i];
+            let store_answer_at = self.store_answer_at[i];
             let owner = &mut self.owners[i].0;
-            owner.tick(now, word);
-            // The cloud answers nothing here: ends are proven by the machine or time.
+            owner.tick(now, store_answer_at);
+            // The provider confirms nothing here: ends are proven by the machine or time.
             let names = owner.next_releases();
-            self.given_back |= last && !names.is_empty();
+            self.release_requested |= last && !names.is_empty();
             owner.release_finished(&names, false, now);
-            let to = self.worker.as_ref().map_or(0, |w| w.life);
+            let to = self.worker.as_ref().map_or(0, |w| w.incarnation);
             for call in owner.due_calls(now, 8) {
-                self.starts += call
+                self.launches += call
                     .commands
                     .orders
                     .iter()
                     .filter(|o| o.verb == CommandKind::Launch)
                     .count() as u64;
-                if self.calls_lost || self.dice.chance(3) {
+                if self.calls_lost || self.random.chance(3) {
                     // It may be executed, much later, or never.
-                    if self.dice.chance(50) {
-                        self.post(
+                    if self.random.chance(50) {
+                        self.deliver_within(
                             20_000,
-                            Message::Orders {
+                            Message::Call {
                                 owner: i,
                                 call: call.clone(),
                                 late: true,
@@ -482,19 +490,19 @@
                         );
                     }
                     let at = now + COMMAND_TIMEOUT_MS;
-                    self.mail.push((
+                    self.messages.push((
                         at,
-                        Message::Done {
+                        Message::CallDone {
                             owner: i,
                             call,
                             result: CommandResult::Unknown,
-                            life: 0,
+                            incarnation: 0,
                         },
                     ));
                 } else {
-                    self.post(
+                    self.deliver_within(
                         40,
-                        Message::Orders {
+                        Message::Call {
                             owner: i,
                             call,
                             late: false,
@@ -506,9 +514,9 @@
         }
     }
 
-    fn place(&mut self) {
-        // One task after the other, four at a time; now and then one is not wanted.
-        while self.wanted.len() < 4 {
+    fn place_attempts(&mut self) {
+        // One task after the other, four at a time; now and then one is stopped.
+        while self.desired.len() < 4 {
             let task = self.seq as u32;
             self.seq += 1;
             let id = AttemptId {
@@ -516,7 +524,7 @@
                 task,
                 attempt: 1,
             };
-            let want = DesiredAttempt {
+            let attempt = DesiredAttempt {
                 id: id.clone(),
                 machine: machine(),
                 need: Resources::offer(4.0, 1.0, 8.0),
@@ -531,17 +539,17 @@
                 lasting: false,
                 evict: PreemptionScope::Nobody,
             };
-            self.wanted.insert(id, want);
+            self.desired.insert(id, attempt);
         }
-        if self.dice.chance(4)
-            && let Some(want) = self.wanted.values_mut().next()
+        if self.random.chance(4)
+            && let Some(attempt) = self.desired.values_mut().next()
         {
-            want.kill = Some(0);
+            attempt.kill = Some(0);
         }
     }
 
     fn sync(&mut self) {
-        self.place();
+        self.place_attempts();
         self.seq += 1;
         let now = self.now;
         let Some((owner, _, _)) = self.owners.last_mut() else {
@@ -552,7 +560,7 @@
             from: 0,
             from_token: 40,
             to: 0,
-            to_token: 39 + self.word.len() as u64,
+            to_token: 39 + self.store_answer_at.len() as u64,
             seq: self.seq,
             store_age_ms: 0,
             span: ChangeRange {
@@ -560,7 +568,7 @@
                 upto: self.seq,
                 last: true,
             },
-            wants: self.wanted.values().cloned().collect(),
+            wants: self.desired.values().cloned().collect(),
             dropped: Vec::new(),
             stops: Vec::new(),
             have: ObservedState::default(),
@@ -571,53 +579,55 @@
         };
         let view = owner.sync(&message, 1 << 20, now).expect("taken");
         for a in view.attempts.iter().filter(|a| a.standing.ended()) {
-            self.wanted.remove(&a.id);
-            self.over.insert(a.id.clone());
+            self.desired.remove(&a.id);
+            self.published_ended.insert(a.id.clone());
         }
-        self.check();
+        self.assert_no_ended_attempt_runs();
         let open = view.machines.iter().any(|m| m.up && m.open);
-        let settled = now > self.quiet_from + 16_000
+        let settled = now > self.stable_since + 16_000
             && self
                 .worker
                 .as_ref()
                 .is_some_and(|w| w.lease_from + 6_000 > now);
         assert!(
-            open || !settled || self.given_back,
-            "{} ms: it hears, and is ignored: {:?}",
+            open || !settled || self.release_requested,
+            "{} ms: reachable, and ignored: {:?}",
             now,
             view.machines
         );
-        // Two are enough where nothing else goes wrong; a new life, a new owner and
-        // copies of others' first reports may each hide one.
-        if self.unanswered >= 3 + u64::from(self.copied) {
-            self.closed += 1;
+        // Two are enough where nothing else goes wrong; a new incarnation, a new owner and
+        // copies of first heartbeats may each hide one.
+        if self.heartbeats_without_reply >= 3 + u64::from(self.copied) {
+            self.closed_while_unreachable += 1;
             assert!(
                 !open,
-                "{now} ms: {} reports since an answer reached it",
-                self.unanswered
+                "{now} ms: {} heartbeats since a reply reached it",
+                self.heartbeats_without_reply
             );
         }
     }
 
-    /// Something changes.
-    fn turn(&mut self) {
+    /// The conditions change.
+    fn change_conditions(&mut self) {
         let now = self.now;
-        match self.dice.below(12) {
-            0 | 1 => self.answers_lost = true,
-            2 => self.host_lost = Some(self.dice.below(HOSTS as u64) as usize),
+        match self.random.below(12) {
+            0 | 1 => self.replies_lost = true,
+            2 => self.unreachable_host = Some(self.random.below(HOSTS as u64) as usize),
             3 => self.calls_lost = true,
-            4 | 5 => (self.answers_lost, self.host_lost, self.calls_lost) = (false, None, false),
+            4 | 5 => {
+                (self.replies_lost, self.unreachable_host, self.calls_lost) = (false, None, false)
+            }
             6 => {
-                self.copies = [0, 30, 100][self.dice.below(3) as usize];
-                self.copied |= self.copies > 0;
+                self.copy_percent = [0, 30, 100][self.random.below(3) as usize];
+                self.copied |= self.copy_percent > 0;
             }
             7 if self.owners.len() < 4 => {
                 // The one before may not know yet, and answers for a while.
-                let host = self.dice.below(HOSTS as u64) as usize;
-                let until = if self.dice.chance(50) {
+                let host = self.random.below(HOSTS as u64) as usize;
+                let until = if self.random.chance(50) {
                     now
                 } else {
-                    now + self.dice.below(30_000)
+                    now + self.random.below(30_000)
                 };
                 if let Some(last) = self.owners.last_mut() {
                     last.2 = if last.1 == host { now } else { until };
@@ -625,23 +635,24 @@
                 let token = 40 + self.owners.len() as u64;
                 self.owners
                     .push((owner(token, self.timing, now), host, u64::MAX));
-                self.word.push(now);
-                self.believed.push((0, 0));
-                (self.unanswered, self.given_back) = (0, false);
+                self.store_answer_at.push(now);
+                self.accepted.push((0, 0));
+                (self.heartbeats_without_reply, self.release_requested) = (0, false);
             }
             8 | 9 => {
                 // Back within a moment, empty.
-                self.lives += 1;
-                self.worker = Some(Worker::new(self.lives, now + 100));
-                self.unanswered = 0;
+                self.incarnations += 1;
+                self.worker = Some(Worker::new(self.incarnations, now + 100));
+                self.heartbeats_without_reply = 0;
             }
             _ => return,
         }
-        self.quiet_from = if self.answers_lost || self.host_lost.is_some() || self.calls_lost {
-            u64::MAX / 2
-        } else {
-            now
-        };
+        self.stable_since =
+            if self.replies_lost || self.unreachable_host.is_some() || self.calls_lost {
+                u64::MAX / 2
+            } else {
+                now
+            };
     }
 
     fn run(&mut self, until: u64) {
@@ -649,36 +660,45 @@
             self.now += 20;
             let now = self.now;
             let mut due: Vec<(u64, Message)> =
-                self.mail.extract_if(.., |(at, _)| *at <= now).collect();
+                self.messages.extract_if(.., |(at, _)| *at <= now).collect();
             due.sort_by_key(|(at, _)| *at);
             due.into_iter().for_each(|(_, m)| self.deliver(m));
-            self.work();
-            self.own();
+            self.run_worker();
+            self.run_owners();
             if now.is_multiple_of(500) {
                 self.sync();
             }
             if now.is_multiple_of(4_000) {
-                self.turn();
+                self.change_conditions();
             }
         }
     }
 }
 
 #[test]
-fn only_what_is_new_is_believed_and_nothing_that_runs_is_told_to_be_over() {
-    let (mut news, mut starts, mut closed, mut over) = (0, 0, 0, 0);
+fn only_current_messages_are_accepted_and_no_running_attempt_is_ended() {
+    let (mut accepted_count, mut launches, mut closed_while_unreachable, mut published_ended) =
+        (0, 0, 0, 0);
     for seed in 0..40 {
-        let mut world = World::new(seed, if seed % 2 == 0 { 14_000 } else { 26_500 });
-        world.run(300_000);
-        (news, starts, closed, over) = (
-            news + world.news,
-            starts + world.starts,
-            closed + world.closed,
-            over + world.over.len(),
+        let mut simulation = Simulation::new(seed, if seed % 2 == 0 { 14_000 } else { 26_500 });
+        simulation.run(300_000);
+        (
+            accepted_count,
+            launches,
+            closed_while_unreachable,
+            published_ended,
+        ) = (
+            accepted_count + simulation.accepted_count,
+            launches + simulation.launches,
+            closed_while_unreachable + simulation.closed_while_unreachable,
+            published_ended + simulation.published_ended.len(),
         );
     }
     assert!(
-        news > 2_000 && starts > 300 && closed > 600 && over > 300,
-        "{news} {starts} {closed} {over}"
+        accepted_count > 2_000
+            && launches > 300
+            && closed_while_unreachable > 600
+            && published_ended > 300,
+        "{accepted_count} {launches} {closed_while_unreachable} {published_ended}"
     );
 }
--- a/crates/coordination/src/links/mod.rs
+++ b/crates/coordination/src/links/mod.rs
@@ -16,7 +16,7 @@
 use tracing::info;
 
 use crate::machine::Timing;
-use crate::machine_health::MisroutedHeartbeats;
+use crate::misrouted_heartbeats::MisroutedHeartbeats;
 use failure_detector::FailureDetector;
 use latency::LatencyWindow;
 use lemonweir_model::MachineId;
--- a/crates/coordination/src/machine.rs
+++ b/crates/coordination/src/machine.rs
@@ -1,74 +1,87 @@
-//! A machine as its owner knows it, and the times that bound what follows from
-//! its silence.
+//! A machine as the owner of its shard knows it, and the times that bound what follows
+//! from its silence.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
 use crate::incarnation::{Origin, WorkerIncarnation};
-use lemonweir_model::constants::*;
+use lemonweir_model::constants::{
+    BLIND_MOST_MS, NEXT_NODE_MS, SILENT_SLACK_MS, TRIAL_MS, WORKER_PATIENCE_MS,
+};
 use lemonweir_model::{AttemptId, Resources};
 use lemonweir_protocol::peer::ExitCause;
 use lemonweir_protocol::worker::TaskPhase;
 
+/// Parts per thousand by which two steady clocks may differ: twice the 0.05 % of the
+/// protocol page, since both sides may be off, rounded up.
+pub const CLOCK_DRIFT_PER_MILLE: u64 = 2;
+/// ms added to a lease before it counts as expired: timers fire late by a few ms, and the
+/// reply that renewed the lease took time to be written.
+pub const LEASE_MARGIN_MS: u64 = 700;
+/// Images remembered of each machine; a worker keeps its most recently used ones.
+const IMAGES_PER_MACHINE: usize = 24;
+/// Quarantine trials that must fail for an idle machine to be released though nothing says
+/// that its jobs run elsewhere.
+const QUARANTINE_TRIALS_MAX: u32 = 2;
+
 /// Times that bound the owner's proofs, from the settings.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
     /// Lease of a worker, ms.
     pub lease_ms: u64,
-    /// Time between reports, ms.
+    /// Time between heartbeats, ms.
     pub report_ms: u64,
 }
 
 impl Timing {
-    /// ms after our last answer from which on a lease has surely run out,
-    /// whatever the drift of the clocks.
+    /// ms after our last reply from which on a lease has surely expired, whatever the drift
+    /// of the clocks.
     pub fn lease_expiry_ms(&self) -> u64 {
-        self.lease_ms + self.lease_ms * DRIFT_PER_MILLE / 1000 + LEASE_MARGIN_MS
+        self.lease_ms + self.lease_ms * CLOCK_DRIFT_PER_MILLE / 1000 + LEASE_MARGIN_MS
     }
 
-    /// ms between two reports from which on the first was not answered: a worker
-    /// that gets no answer waits for it and then tries the next controller, one that
-    /// does reports within an interval and a quarter. Between the two, if they lie
-    /// apart.
+    /// ms between two heartbeats from which on the first got no reply: a worker that gets
+    /// none waits for it and then tries the next controller, one that does sends the next
+    /// heartbeat within an interval and a quarter. Between the two, if they lie apart.
     pub(crate) fn unanswered_after_ms(&self) -> u64 {
         let regular = self.report_ms + self.report_ms / 4;
         ((regular + WORKER_PATIENCE_MS + NEXT_NODE_MS) / 2).max(regular + SILENT_SLACK_MS)
     }
 
-    /// ms after taking a part from which on every lease that an earlier owner
-    /// could prolong has surely run out: its last word from the store that
-    /// showed it as the owner began before the part was taken, it answered for
-    /// [`BLIND_MOST_MS`] after that at most, and a lease runs from a report that
-    /// was sent before its answer.
+    /// ms after acquiring a shard from which on every lease that an earlier owner could
+    /// renew has surely expired: the last reading of the store that showed that one as the
+    /// leader began before the shard was acquired, it replied for [`BLIND_MOST_MS`] after
+    /// that at most, and a lease runs from a heartbeat that was sent before its reply.
     pub fn inherited_lease_expiry_ms(&self) -> u64 {
-        BLIND_MOST_MS + BLIND_MOST_MS * DRIFT_PER_MILLE / 1000 + self.lease_expiry_ms()
+        BLIND_MOST_MS + BLIND_MOST_MS * CLOCK_DRIFT_PER_MILLE / 1000 + self.lease_expiry_ms()
     }
 }
 
-/// A task seen on a machine.
+/// A task in the newest heartbeat of a machine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct ReportedTask {
     pub(super) phase: TaskPhase,
     pub(super) cause: Option<ExitCause>,
 }
 
-/// A machine set aside, until one task after a pause tells that it runs again.
+/// The quarantine of a machine: after a while one attempt, its trial, shows whether it runs
+/// again.
 #[derive(Debug)]
 pub(super) struct Quarantine {
     /// When the next trial may begin, ms.
     pub(super) trial_at: u64,
-    /// Trials that failed.
+    /// Trials that failed by the machine's own fault.
     pub(super) failed_trials: u32,
     /// A trial may begin.
     pub(super) trial_due: bool,
     /// The attempt that is the trial.
     pub(super) trial_attempt: Option<AttemptId>,
-    /// The jobs that failed on it run elsewhere.
+    /// The machine is surely at fault: the jobs that failed on it run elsewhere.
     pub(super) confirmed: bool,
 }
 
 impl Quarantine {
-    /// Set aside from now on.
+    /// Quarantined from now on.
     pub(super) fn new(confirmed: bool, now: u64) -> Self {
         Self {
             trial_at: now + TRIAL_MS,
@@ -79,25 +92,25 @@
         }
     }
 
-    /// It takes the one task that is its trial.
+    /// It accepts the one attempt that is its trial.
     fn accepts_trial(&self) -> bool {
         self.trial_due && self.trial_attempt.is_none()
     }
 
-    /// Its trial failed by its own fault.
+    /// Its trial failed by its own fault: the next one comes after twice the time.
     pub(super) fn record_failed_trial(&mut self, now: u64) {
         self.failed_trials += 1;
         self.trial_due = false;
         self.trial_at = now + (TRIAL_MS << self.failed_trials.min(10));
     }
 
-    /// Nothing is to be expected of it.
+    /// It is released once idle.
     pub(super) fn is_unrecoverable(&self) -> bool {
-        self.confirmed || self.failed_trials >= TRIALS
+        self.confirmed || self.failed_trials >= QUARANTINE_TRIALS_MAX
     }
 }
 
-/// A machine of this part.
+/// A machine of this shard. All times are ms of the steady clock.
 #[derive(Debug)]
 pub(super) struct Machine {
     pub(super) address: Option<SocketAddr>,
@@ -105,24 +118,24 @@
     pub(super) zone: String,
     pub(super) spot: bool,
     pub(super) capacity: Resources,
-    /// What may be believed of it, and what has reached it.
+    /// What of its messages is current, and what has reached it.
     pub(super) incarnation: WorkerIncarnation,
-    /// Token of the newest order whose fate is unknown.
+    /// Token of the newest call whose outcome is unknown.
     pub(super) unresolved_call_token: Option<u64>,
-    /// When the last call of unknown fate that starts something was given up, ms, until
-    /// what it may have started is over or known.
+    /// When the last call with launches and an unknown outcome was given up, until what it
+    /// may have launched is over or known.
     pub(super) unresolved_launch_at: Option<u64>,
-    /// Starts that went out in the answer to this report; settled by the next.
+    /// Number of the heartbeat whose reply carried launches; resolved by the next one.
     pub(super) launches_in_response_to: Option<u64>,
-    /// A `/commands` call is under way.
+    /// A `/commands` call is in progress.
     pub(super) call_in_progress: bool,
     pub(super) next_call_at: u64,
-    /// That call goes to one that answers don't reach.
+    /// That call was made while no reply reached the machine.
     pub(super) unreachable_call: bool,
-    /// When there was last news of the worker in any way, ms.
+    /// When its last current status came, by heartbeat or as the answer to a call.
     pub(super) last_heartbeat_at: Option<u64>,
-    /// Number of the controller that carried its newest report, and since when
-    /// all have been carried, ms.
+    /// Number of the controller that relayed its newest heartbeat, and since when all have
+    /// been relayed.
     pub(super) relayed_by: Option<(u16, u64)>,
     /// Sessions up to this one have surely ended.
     pub(super) expired_session: u64,
@@ -130,22 +143,22 @@
     /// Images with their sizes, most recently used first.
     pub(super) images: VecDeque<(String, u64)>,
     pub(super) termination_notice: bool,
-    /// Since when something on record says that it runs, though we have not
-    /// heard it: an attempt there, a note of its images, the cloud's list.
+    /// Since when something on record says that it runs, though it sent no heartbeat here:
+    /// an attempt there, a record of its images, the provider's inventory.
     pub(super) recorded_running_at: Option<u64>,
-    /// Not heard for longer than usual: nothing new goes there.
+    /// No heartbeat for longer than usual: nothing is placed there.
     pub(super) silent: bool,
     pub(super) scale_in_pending: bool,
-    /// Set aside on evidence of a fault.
     pub(super) quarantine: Option<Quarantine>,
     pub(super) release_in_progress: bool,
     pub(super) release_requested: bool,
+    /// Shard of the placer that requested it.
     pub(super) requested_by: Option<u16>,
     pub(super) known_since: u64,
     pub(super) provisioned_at: u64,
-    /// Its renter or the list told when it was booked.
+    /// Its placer or the inventory told when it was provisioned.
     pub(super) announced: bool,
-    /// It should have come up long ago: it is not counted on.
+    /// Its provisioning timed out: it is not counted on.
     pub(super) overdue: bool,
     pub(super) idle_since: Option<u64>,
 }
@@ -194,6 +207,7 @@
         }
     }
 
+    /// New attempts may be placed there.
     pub(super) fn is_schedulable(&self) -> bool {
         !(self.termination_notice
             || self.silent
@@ -207,12 +221,12 @@
                 .is_none_or(Quarantine::accepts_trial)
     }
 
-    /// Nobody but a report or two that may be old tells of it.
+    /// It is known only from heartbeats that may be old.
     pub(super) fn is_unconfirmed(&self) -> bool {
         self.last_heartbeat_at.is_none()
             && self.recorded_running_at.is_none()
             && !self.announced
-            && self.incarnation.unverified_since().is_some()
+            && self.incarnation.unverified_heartbeats().is_some()
     }
 
     /// The worker counts its messages from the start again: what was known of its
@@ -232,7 +246,7 @@
             && !self.call_in_progress
     }
 
-    /// ms that a usual image of this machine takes to fetch.
+    /// ms that an image of the usual size takes to fetch on this machine.
     pub(super) fn fetch_ms(&self, gb_per_s: Option<f64>) -> u64 {
         let sum: u64 = self.images.iter().map(|(_, mb)| mb).sum();
         let usual = sum as f64 / self.images.len().max(1) as f64;
@@ -241,9 +255,9 @@
             .map_or(0, |r| (usual / r) as u64)
     }
 
-    /// Notes the use of an image. The worker keeps the most recently used
-    /// ones as far as its cache goes; so does this note, since a start on a
-    /// machine that has dropped the image waits for a fetch.
+    /// Notes the use of an image. The worker keeps the most recently used ones as far as
+    /// its cache goes; so does this record, since a launch on a machine that has dropped
+    /// the image waits for a fetch.
     pub(super) fn remember_image(&mut self, image: &str, mb: u64, cache_mb: u64) {
         self.images.retain(|(name, _)| name != image);
         self.images.push_front((image.to_owned(), mb));
@@ -252,22 +266,22 @@
             sum += mb;
             sum <= cache_mb
         });
-        self.images.truncate(IMAGES_REMEMBERED);
+        self.images.truncate(IMAGES_PER_MACHINE);
     }
 
-    /// Guards against a wrong entry that draws one start after the other to a machine
-    /// where each waits for a fetch: a task that waits for its image shows that it is
-    /// not there. True if it was noted.
+    /// Forgets an image. Guards against a wrong entry that draws one launch after the other
+    /// to a machine where each waits for a fetch: a task that waits for its image shows
+    /// that it is not there. True if it was noted.
     pub(super) fn forget_image(&mut self, image: &str) -> bool {
         let before = self.images.len();
         self.images.retain(|(name, _)| name != image);
         self.images.len() < before
     }
 
-    /// True if the lease has surely run out since we last answered. Guards
-    /// against a controller that stood still, or that the store refuses, while
-    /// its successor keeps the machine's tasks alive: only a `word` from the
-    /// store that began after the lease's end shows that nobody else answered.
+    /// True if the lease has surely expired since our last reply. Guards against a
+    /// controller that was stalled, or that the store refuses, while its successor keeps
+    /// the machine's tasks alive: only a reading of the store that began after the lease's
+    /// end, at `store_answer_at`, shows that nobody else replied.
     pub(super) fn lease_expired(&self, store_answer_at: u64, timing: &Timing) -> bool {
         self.incarnation
             .lease_from()
--- /dev/null
+++ b/crates/coordination/src/machine_failure_detector.rs
@@ -0,0 +1,338 @@
+//! The failure detector of a shard's machines: how long each has been silent, which zones
+//! are partitioned, and the one health verdict that everything asks which waits for a
+//! silent machine.
+//!
+//! A machine counts as known to run if it sent a heartbeat, or if something on record
+//! says that it ran before this owner acquired the shard: an attempt that a placer wants
+//! there, a record of its images, the provider's inventory. What was never seen running
+//! is booting. A machine that is silent among healthy ones is judged for itself. Where
+//! most of a zone's machines are silent at once, the zone counts as partitioned: that is
+//! mostly a network cut, its machines run on behind it, and releasing them would end what
+//! runs there and cost a boot and a fetch each.
+
+use std::collections::BTreeMap;
+
+use tracing::info;
+
+use crate::machine::{Machine, Timing};
+use lemonweir_model::constants::{MASS_SILENT, SILENT_SLACK_MS};
+use lemonweir_protocol::peer::PartitionedZone;
+
+/// ms after a zone is reachable again in which none of its idle machines is released:
+/// hundreds of tasks are launched anew there, and are written to the store some ten a
+/// compare-and-swap, some ten of these a second.
+pub const ZONE_RECOVERY_MS: u64 = 30_000;
+
+/// The health of a machine as far as this owner can tell.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum HealthVerdict {
+    /// Nothing says that it ever ran.
+    Booting,
+    /// It sent a heartbeat within the usual time.
+    Healthy,
+    /// Silent, while others of its zone are not.
+    Silent,
+    /// Silent with most of its zone.
+    Partitioned,
+    /// It sends heartbeats, but no reply reaches it.
+    Unreachable,
+    /// Known only from heartbeats that may be old.
+    Unconfirmed,
+    /// Silent for longer than it is worth waiting for.
+    Release,
+}
+
+/// What is known of one zone.
+#[derive(Clone, Debug, Default)]
+struct Zone {
+    /// Machines known to run, those of them that are late, and those that are late or that
+    /// no reply reaches.
+    known: usize,
+    late: usize,
+    unreachable: usize,
+    /// When the leases of the unreachable ones have surely expired, ms.
+    leases_expired_at: u64,
+    /// Silence before this moment proves nothing, ms.
+    silence_floor: u64,
+    /// Since when it has been partitioned, ms.
+    partitioned_since: Option<u64>,
+    /// When its last partition healed, ms.
+    reconnected_at: Option<u64>,
+    /// Its longest partition so far, ms.
+    longest_partition_ms: u64,
+}
+
+impl Zone {
+    /// ms since a machine was last known to run; `None`: it never was.
+    fn silence_ms(&self, m: &Machine, now: u64) -> Option<u64> {
+        m.last_heartbeat_at
+            .or(m.recorded_running_at)
+            .map(|at| now.saturating_sub(at.max(self.silence_floor)))
+    }
+
+    fn reset_counts(&mut self) {
+        self.known = 0;
+        self.late = 0;
+        self.unreachable = 0;
+        self.leases_expired_at = 0;
+    }
+
+    fn count(&mut self, m: &Machine, lease_expired_at: u64, late_ms: u64, now: u64) {
+        let Some(silence_ms) = self.silence_ms(m, now) else {
+            return;
+        };
+        self.known += 1;
+        let late = silence_ms > late_ms;
+        self.late += usize::from(late);
+        if late || m.incarnation.unreachable_since().is_some() {
+            self.unreachable += 1;
+            self.leases_expired_at = self.leases_expired_at.max(lease_expired_at);
+        }
+    }
+
+    /// Half of a zone does not fail machine by machine within seconds. One missed
+    /// heartbeat each is enough to say so, and it must be: the first of them are released
+    /// for themselves soon after.
+    fn update_partition(&mut self, name: &str, late_ms: u64, now: u64) {
+        let partitioned = self.unreachable > MASS_SILENT && self.unreachable * 2 > self.known;
+        match (self.partitioned_since, partitioned) {
+            (None, true) => {
+                info!(
+                    zone = name,
+                    unreachable = self.unreachable,
+                    known = self.known,
+                    "zone partitioned"
+                );
+                self.partitioned_since = Some(now.saturating_sub(late_ms));
+            }
+            (Some(since), false) => {
+                info!(
+                    zone = name,
+                    unreachable = self.unreachable,
+                    known = self.known,
+                    "zone partition healed"
+                );
+                self.partitioned_since = None;
+                self.reconnected_at = Some(now);
+                self.longest_partition_ms =
+                    self.longest_partition_ms.max(now.saturating_sub(since));
+                // Guards against releasing what comes back a moment after the first half:
+                // its silence counts from now.
+                self.silence_floor = now;
+            }
+            (None, false) | (Some(_), true) => {}
+        }
+    }
+}
+
+/// What an owner knows of the health of its zones.
+#[derive(Debug)]
+pub struct MachineFailureDetector {
+    acquired_at: u64,
+    timing: Timing,
+    /// Silence from which on a machine is not healthy, ms.
+    silent_ms: u64,
+    zones: BTreeMap<String, Zone>,
+}
+
+impl MachineFailureDetector {
+    /// Of an owner that acquires its shard now. `silent_ms`: the silence that the policy
+    /// allows a machine, at least two heartbeat intervals and some slack.
+    pub(crate) fn new(timing: Timing, silent_ms: u64, now: u64) -> Self {
+        let silent_ms = silent_ms.max(2 * timing.report_ms + SILENT_SLACK_MS);
+        Self {
+            acquired_at: now,
+            timing,
+            silent_ms,
+            zones: BTreeMap::new(),
+        }
+    }
+
+    /// This process was stalled: silence meanwhile proves nothing.
+    pub(crate) fn handle_stall(&mut self, now: u64) {
+        self.zones.values_mut().for_each(|z| z.silence_floor = now);
+    }
+
+    /// When its lease has surely expired, if no other owner acquires the shard, ms.
+    fn lease_expired_at(&self, m: &Machine) -> u64 {
+        let renewed_at = m
+            .incarnation
+            .unreachable_since()
+            .or(m.incarnation.lease_from());
+        renewed_at.map_or(
+            self.acquired_at + self.timing.inherited_lease_expiry_ms(),
+            |at| at + self.timing.lease_expiry_ms(),
+        )
+    }
+
+    /// Observes all machines again.
+    pub(crate) fn observe<'a>(&mut self, machines: impl Iterator<Item = &'a Machine>, now: u64) {
+        let late_ms = self.timing.report_ms + self.timing.report_ms / 2;
+        for zone in self.zones.values_mut() {
+            zone.reset_counts();
+        }
+        for m in machines {
+            let lease_expired_at = self.lease_expired_at(m);
+            if !self.zones.contains_key(&m.zone) {
+                self.zones.insert(m.zone.clone(), Zone::default());
+            }
+            if let Some(zone) = self.zones.get_mut(&m.zone) {
+                zone.count(m, lease_expired_at, late_ms, now);
+            }
+        }
+        for (name, zone) in &mut self.zones {
+            zone.update_partition(name, late_ms, now);
+        }
+    }
+
+    /// The number of machines known to run, if most of them missed a heartbeat.
+    pub(crate) fn mostly_silent(&self) -> Option<usize> {
+        let (known, late) = self
+            .zones
+            .values()
+            .fold((0, 0), |(known, late), z| (known + z.known, late + z.late));
+        (late > MASS_SILENT && late * 2 > known).then_some(known)
+    }
+
+    /// ms of silence after which a machine of a partitioned zone is released. Until its
+    /// lease has surely expired, what runs there may run on. From then on waiting costs
+    /// its price, and releasing costs a boot and a fetch: waiting for as long as that
+    /// costs is at most twice as dear as the best choice, whenever the partition ends;
+    /// and no less than the longest partition so far.
+    fn partition_patience_ms(&self, m: &Machine, zone: &Zone, rebuild_ms: u64) -> u64 {
+        let expiry_ms = if m.last_heartbeat_at.is_some() {
+            self.timing.lease_expiry_ms()
+        } else {
+            self.timing.inherited_lease_expiry_ms()
+        };
+        expiry_ms + (2 * rebuild_ms).max(zone.longest_partition_ms)
+    }
+
+    /// The health verdict of one machine. `rebuild_ms`: what booting a new one and
+    /// fetching an image takes.
+    pub(crate) fn verdict(&self, m: &Machine, rebuild_ms: u64, now: u64) -> HealthVerdict {
+        let unknown = Zone::default();
+        let zone = self.zones.get(&m.zone).unwrap_or(&unknown);
+        if m.is_unconfirmed() {
+            return self.verdict_of_unconfirmed(m, now);
+        }
+        let Some(silence_ms) = zone.silence_ms(m, now) else {
+            return HealthVerdict::Booting;
+        };
+        if let Some(since) = m.incarnation.unreachable_since() {
+            let unreachable_ms = now.saturating_sub(since.max(zone.silence_floor));
+            return self.verdict_of_unreachable(m, zone, silence_ms, unreachable_ms, rebuild_ms);
+        }
+        if silence_ms <= self.silent_ms {
+            return HealthVerdict::Healthy;
+        }
+        self.verdict_of_silent(m, zone, silence_ms, rebuild_ms, now)
+    }
+
+    /// ms for which a silent machine is waited for outside a partition.
+    fn usual_patience_ms(&self) -> u64 {
+        self.timing.lease_expiry_ms() + 2 * self.silent_ms
+    }
+
+    fn verdict_of_unconfirmed(&self, m: &Machine, now: u64) -> HealthVerdict {
+        let first_at = m
+            .incarnation
+            .unverified_heartbeats()
+            .map_or(now, |heartbeats| heartbeats.first_at);
+        if now > first_at + self.usual_patience_ms() {
+            HealthVerdict::Release
+        } else {
+            HealthVerdict::Unconfirmed
+        }
+    }
+
+    /// The heartbeats of a machine that no reply reaches show that it was not reclaimed.
+    /// Work for it has ended with its lease; until then it is waited for as for one that
+    /// is silent.
+    fn verdict_of_unreachable(
+        &self,
+        m: &Machine,
+        zone: &Zone,
+        silence_ms: u64,
+        unreachable_ms: u64,
+        rebuild_ms: u64,
+    ) -> HealthVerdict {
+        let partitioned = zone.partitioned_since.is_some();
+        let patience_ms = if partitioned {
+            self.partition_patience_ms(m, zone, rebuild_ms)
+        } else {
+            self.usual_patience_ms()
+        };
+        if unreachable_ms > patience_ms {
+            HealthVerdict::Release
+        } else if silence_ms <= self.silent_ms {
+            HealthVerdict::Unreachable
+        } else if partitioned {
+            HealthVerdict::Partitioned
+        } else {
+            HealthVerdict::Silent
+        }
+    }
+
+    /// A silent spot instance was mostly reclaimed without notice. An on-demand one mostly
+    /// lost its network: its tasks go on until their lease ends, and it may come back with
+    /// its images.
+    fn verdict_of_silent(
+        &self,
+        m: &Machine,
+        zone: &Zone,
+        silence_ms: u64,
+        rebuild_ms: u64,
+        now: u64,
+    ) -> HealthVerdict {
+        let recently_unverified = m
+            .incarnation
+            .unverified_heartbeats()
+            .is_some_and(|heartbeats| now <= heartbeats.last_at + self.silent_ms);
+        let (patience_ms, verdict) = if zone.partitioned_since.is_some() {
+            let patience_ms = self.partition_patience_ms(m, zone, rebuild_ms);
+            (patience_ms, HealthVerdict::Partitioned)
+        } else if m.spot && !recently_unverified {
+            (self.silent_ms, HealthVerdict::Silent)
+        } else {
+            (self.usual_patience_ms(), HealthVerdict::Silent)
+        };
+        if silence_ms > patience_ms {
+            HealthVerdict::Release
+        } else {
+            verdict
+        }
+    }
+
+    /// True for a machine whose zone became reachable a moment ago, or that ran before
+    /// this owner acquired the shard a moment ago and may know of no partition: work that
+    /// was lost there is about to begin anew, so being idle says nothing yet.
+    pub(crate) fn recovering(&self, m: &Machine, now: u64) -> bool {
+        let returned = self
+            .zones
+            .get(&m.zone)
+            .and_then(|z| z.reconnected_at)
+            .is_some_and(|at| now < at + ZONE_RECOVERY_MS);
+        returned || m.recorded_running_at.is_some() && now < self.acquired_at + ZONE_RECOVERY_MS
+    }
+
+    /// Partitioned zones, as placers are told of them.
+    pub(crate) fn partitioned_zones(&self, now: u64) -> Vec<PartitionedZone> {
+        let partition = |(name, z): (&String, &Zone)| {
+            let since = z.partitioned_since?;
+            Some(PartitionedZone {
+                zone: name.clone(),
+                for_ms: now.saturating_sub(since),
+                over_in_ms: z.leases_expired_at.saturating_sub(now),
+            })
+        };
+        self.zones.iter().filter_map(partition).collect()
+    }
+
+    /// True once every lease that an earlier owner of the shard could renew has surely
+    /// expired (`docs/design.md`, proof of end). `store_answer_at`: when the last reading
+    /// of the store began that showed this owner as the leader, ms.
+    pub(crate) fn inherited_leases_expired(&self, store_answer_at: u64) -> bool {
+        store_answer_at > self.acquired_at + self.timing.inherited_lease_expiry_ms()
+    }
+}
--- a/crates/coordination/src/owner/worker_calls.rs
+++ b/crates/coordination/src/owner/worker_calls.rs
@@ -90,7 +90,7 @@
             m.last_heartbeat_at.is_some() && m.incarnation.session() > m.expired_session;
         // One that is known from unconfirmed heartbeats only is asked for its status.
         let known = confirmed
-            || m.last_heartbeat_at.is_none() && m.incarnation.unverified_since().is_some();
+            || m.last_heartbeat_at.is_none() && m.incarnation.unverified_heartbeats().is_some();
         // A silent machine would hold a call's place until it times out; what is due to
         // it goes with the reply to its next heartbeat.
         if m.silent || !known || m.release_in_progress || m.launches_in_response_to.is_some() {
--- /dev/null
+++ b/crates/coordination/src/worker_lease/tests.rs
@@ -0,0 +1,64 @@
+use super::*;
+
+const DAY_MS: u64 = 1_790_000_000_000;
+
+#[test]
+fn reading_time_is_recovered_and_never_extended() {
+    for began in (0..40_000).step_by(700).map(|ms| DAY_MS + ms) {
+        let token = 77 << FENCE_BITS | raised(reading_bits(began)).expect("room");
+        for later in [0, 1_000, 30_000, 59_000] {
+            let until = renewable_until(token, began + later, 250).expect("a reading");
+            assert!(until <= began + BLIND_MOST_MS - 500, "{until}");
+            assert!(
+                until + READING_STEP_MS + 1_500 > began + BLIND_MOST_MS,
+                "{until}"
+            );
+        }
+    }
+    assert_eq!(
+        renewable_until(77 << FENCE_BITS | 5, DAY_MS, 250),
+        None,
+        "it tells no reading"
+    );
+}
+
+/// The predecessor's clock may be ahead of ours.
+#[test]
+fn reading_of_a_fast_clock_is_not_taken_for_one_of_weeks_ago() {
+    let began = DAY_MS / READING_STEP_MS * READING_STEP_MS;
+    let until = renewable_until(reading_bits(began), began - 400, 250).expect("a reading");
+    assert!(until > began + 50_000 && until < began + BLIND_MOST_MS);
+}
+
+#[test]
+fn tokens_only_rise_and_a_full_counter_stops() {
+    let first = renewed(0, DAY_MS).expect("none yet");
+    assert_eq!(
+        renewed(first, DAY_MS + LEASE_RENEWAL_MS - READING_STEP_MS),
+        None
+    );
+    let mut fence = first;
+    while let Some(next) = raised(fence) {
+        assert!(next > fence);
+        fence = next;
+    }
+    assert_eq!(
+        renewable_until(fence, DAY_MS, 0),
+        renewable_until(first, DAY_MS, 0),
+        "fences extend nothing"
+    );
+    assert!(renewed(fence, DAY_MS + LEASE_RENEWAL_MS + READING_STEP_MS).expect("later") > fence);
+    // When the bits come round, no token goes back.
+    assert_eq!(
+        renewed(
+            reading_bits(READING_STEPS * READING_STEP_MS - 1),
+            READING_STEPS * READING_STEP_MS + 1
+        ),
+        None
+    );
+    // One that tells no reading may be fenced for ever.
+    assert_eq!(
+        raised(1 << FENCE_COUNTER_BITS),
+        Some((1 << FENCE_COUNTER_BITS) + 1)
+    );
+}
--- a/crates/coordination/tests/evidence.rs
+++ b/crates/coordination/tests/evidence.rs
@@ -1,15 +1,15 @@
-//! Machines out of sight: what is waited for, what is given back, and when the
-//! end of what ran there is proven from time.
+//! Silent and partitioned machines: how long they are waited for, when they are released,
+//! and when the leases that earlier owners renewed have expired.
 
 mod support;
 
 use std::collections::BTreeSet;
 
-use lemonweir_coordination::owner::Owner;
-use lemonweir_model::MachineId;
-use lemonweir_model::constants::{
-    BLIND_MOST_MS, DRIFT_PER_MILLE, FENCE_BITS, LEASE_MARGIN_MS, RETURN_KEEP_MS,
+use lemonweir_coordination::owner::{
+    CLOCK_DRIFT_PER_MILLE, LEASE_MARGIN_MS, Owner, ZONE_RECOVERY_MS,
 };
+use lemonweir_model::MachineId;
+use lemonweir_model::constants::{BLIND_MOST_MS, FENCE_BITS};
 use lemonweir_protocol::cloud::InstanceEntry;
 use lemonweir_protocol::peer::{AttemptState, ChangeRange, ObservedState, ShardView};
 use lemonweir_protocol::worker::Heartbeat;
@@ -18,7 +18,7 @@
 const MACHINES: usize = 40;
 /// Token of the successor.
 const NEXT: u64 = TOKEN + 1;
-/// The cloud's list is read so often.
+/// The provider's inventory is read this often.
 const LIST_MS: u64 = 4_000;
 
 fn entry(n: usize) -> InstanceEntry {
@@ -32,20 +32,20 @@
     }
 }
 
-/// A successor whose placer wants one attempt on each of 40 machines, none of
-/// which it has heard.
+/// A successor whose placer wants one attempt on each of 40 machines, none of which has sent
+/// it a heartbeat.
 struct Day {
     owner: Owner,
     now: u64,
     seq: u64,
     released: Vec<(u64, MachineId)>,
-    /// How the first attempt stands, with the time since when.
+    /// The state of the first attempt, with the time since when.
     ended: Option<(u64, AttemptState)>,
     have: ObservedState,
     cloud: bool,
     /// The store answers.
     word: bool,
-    /// Machines whose first session was heard.
+    /// Machines whose first session has sent a heartbeat.
     heard: BTreeSet<usize>,
 }
 
@@ -105,13 +105,13 @@
         view
     }
 
-    /// True once every lease has run out that an earlier owner kept alive: the
+    /// True once every lease has expired that an earlier owner renewed: the
     /// machines are in another session then, without tasks.
     fn leases_are_over(&self) -> bool {
         self.now > BLIND_MOST_MS + TIMING.lease_ms
     }
 
-    /// Lets time pass; machines that `reports` says report every 3 s.
+    /// Lets time pass; machines that `reachable` names send a heartbeat every 3 s.
     fn pass(&mut self, until: u64, reports: impl Fn(usize) -> bool) {
         while self.now < until {
             self.now += 100;
@@ -169,11 +169,11 @@
     true
 }
 
-/// Found on zone of zeltplatz-rechen-fleet: the successor of a cut hall's
-/// controller gave 773 of 1,329 machines back as never come up, 14 s before the
-/// cut ended.
+/// Found on zone of zeltplatz-rechen-fleet: the successor in a partitioned zone's
+/// controller released 773 of 1,329 machines as never come up, 14 s before the
+/// partition healed.
 #[test]
-fn a_hall_that_comes_back_is_taken_as_it_is() {
+fn reconnected_zone_keeps_its_machines() {
     for cut_ms in [20_000, 45_000, 60_000, 95_000] {
         let mut day = Day::new(true);
         day.pass(cut_ms, nobody);
@@ -188,20 +188,20 @@
     }
 }
 
-/// The same where the cloud can't be asked: nothing is known of the machines
-/// but the attempts on record.
+/// The same without the provider: nothing is known of the machines but the attempts on
+/// record.
 #[test]
-fn a_hall_is_waited_for_without_the_clouds_list() {
+fn partitioned_zone_is_waited_for_without_the_inventory() {
     let mut day = Day::new(false);
     day.pass(45_000, nobody);
     day.pass(100_000, all);
     assert_eq!(day.released, []);
 }
 
-/// A hall that stays away is given back once waiting has cost as much as new
+/// A zone that stays away is released once waiting has cost as much as new
 /// machines; one that returns a second before keeps them all.
 #[test]
-fn a_hall_that_stays_away_is_given_back_after_a_bounded_time() {
+fn machines_of_a_lasting_partition_are_released_after_a_bounded_time() {
     let mut day = Day::new(true);
     day.pass(400_000, nobody);
     assert_eq!(day.released.len(), MACHINES);
@@ -219,9 +219,9 @@
     assert_eq!(day.released, []);
 }
 
-/// Single machines are not a hall: they go after their lease and some seconds.
+/// Single machines are not a zone: they are released after their lease and some seconds.
 #[test]
-fn a_few_silent_machines_are_given_back_for_themselves() {
+fn few_silent_machines_are_released_individually() {
     let mut day = Day::new(true);
     day.pass(100_000, |n| n > 1);
     let names: Vec<&MachineId> = day.released.iter().map(|(_, id)| id).collect();
@@ -235,13 +235,13 @@
     );
 }
 
-/// The proof from time: not before every answer of earlier owners has run out,
-/// and soon after. A machine that was heard is judged by what it says.
+/// Not before every lease that earlier owners renewed has expired, and soon after. A machine
+/// that sent a heartbeat is judged by that.
 #[test]
-fn the_end_of_what_earlier_owners_kept_alive_is_proven_from_time() {
+fn inherited_attempts_end_once_all_earlier_leases_expired() {
     let mut day = Day::new(true);
     day.pass(110_000, nobody);
-    let drifted = |ms: u64| ms + ms * DRIFT_PER_MILLE / 1_000;
+    let drifted = |ms: u64| ms + ms * CLOCK_DRIFT_PER_MILLE / 1_000;
     let least = drifted(BLIND_MOST_MS) + drifted(TIMING.lease_ms) + LEASE_MARGIN_MS;
     let (at, standing) = day.ended.expect("ended");
     assert_eq!(standing, AttemptState::Gone);
@@ -257,11 +257,11 @@
     assert_eq!(day.ended, None, "it runs on");
 }
 
-/// Found on apart of zeltplatz-rechen-fleet: a controller that had stood still
-/// for 32 s woke, and before it read that its part had another holder took
+/// Found on apart of zeltplatz-rechen-fleet: a controller that had been stalled
+/// for 32 s woke, and before it read that its shard had another leader took
 /// 3,392 attempts for ended that the successor kept alive.
 #[test]
-fn nothing_is_proven_from_time_without_a_later_word_from_the_store() {
+fn no_inherited_lease_expires_without_a_later_store_answer() {
     let mut day = Day::new(true);
     day.pass(12_000, all);
     day.word = false;
@@ -280,9 +280,9 @@
     );
 }
 
-/// A zone out of sight is told with the time until its work is proven over.
+/// A partitioned zone is published with the time until its leases have expired.
 #[test]
-fn what_is_out_of_sight_is_told() {
+fn partitioned_zones_are_published() {
     let mut day = Day::new(true);
     day.pass(30_000, nobody);
     let view = day.tell(
@@ -314,10 +314,10 @@
     );
 }
 
-/// Found on zone of zeltplatz-rechen-fleet: a controller that had just taken its
-/// part back gave 135 empty machines of a hall back within seconds of its return.
+/// Found on zone of zeltplatz-rechen-fleet: a controller that had just
+/// reacquired its shard released 135 idle machines of a zone within seconds of its return.
 #[test]
-fn what_ran_before_a_part_was_taken_is_not_given_back_at_once() {
+fn machines_running_before_failover_are_not_released_at_once() {
     let first_given_back = |ran: bool| {
         let mut owner = Owner::new(
             0,
@@ -329,7 +329,7 @@
         );
         owner.set_types([kind()].iter());
         if ran {
-            // The cloud's list shows that they ran before this owner came.
+            // The provider's inventory shows that they ran before this owner came.
             owner.apply_inventory(&(0..MACHINES).map(entry).collect::<Vec<_>>(), 50);
         }
         (1..700u64).map(|n| n * 100).find(|&now| {
@@ -347,9 +347,9 @@
         })
     };
     let (late, soon) = (first_given_back(true), first_given_back(false));
-    assert!(late.is_some_and(|at| at >= RETURN_KEEP_MS), "{late:?}");
+    assert!(late.is_some_and(|at| at >= ZONE_RECOVERY_MS), "{late:?}");
     assert!(
-        soon.is_some_and(|at| at < RETURN_KEEP_MS),
+        soon.is_some_and(|at| at < ZONE_RECOVERY_MS),
         "machines that are new are kept as briefly as before: {soon:?}"
     );
 }
--- a/crates/coordination/tests/fault_attribution.rs
+++ b/crates/coordination/tests/fault_attribution.rs
@@ -1,10 +1,13 @@
-//! Whose fault a failure is, compared with a slow plain model that keeps the
-//! whole history, and what owner and placer make of it.
+//! Failure attribution compared with a slow reference model that keeps the
+//! whole history, and what owner and placer conclude from it.
 
 mod support;
 
-use lemonweir_coordination::fault_attribution::{FaultAttribution, FaultVerdict};
-use lemonweir_model::constants::*;
+use lemonweir_coordination::fault_attribution::{
+    FAILURE_ATTRIBUTION_QUARANTINE_JOBS, FAILURE_ATTRIBUTION_SUSPECT_ANYWHERE,
+    FAILURE_ATTRIBUTION_SUSPECT_MACHINES, FAILURE_ATTRIBUTION_VOUCHED_MS, FaultAttribution,
+    FaultVerdict,
+};
 use lemonweir_model::{JobId, MachineId};
 use proptest::prelude::*;
 
@@ -39,7 +42,7 @@
     )
 }
 
-/// The whole history; each question walks all of it.
+/// The whole history; each query walks all of it.
 #[derive(Default)]
 struct Plain(Vec<(u64, Event)>);
 
@@ -72,10 +75,12 @@
         let failed: Vec<(usize, u64)> = (0..MACHINES).filter_map(|m| Some((m, last(m)?))).collect();
         let vouched = |m: usize, at: u64| {
             self.runs()
-                .any(|r| r.1 == m && r.0 != job && r.2 + VOUCHED_MS >= at)
+                .any(|r| r.1 == m && r.0 != job && r.2 + FAILURE_ATTRIBUTION_VOUCHED_MS >= at)
         };
         let count = failed.iter().filter(|(m, at)| vouched(*m, *at)).count();
-        (count >= SUSPECT_MACHINES || failed.len() >= SUSPECT_ANYWHERE).then_some(count as u32)
+        (count >= FAILURE_ATTRIBUTION_SUSPECT_MACHINES
+            || failed.len() >= FAILURE_ATTRIBUTION_SUSPECT_ANYWHERE)
+            .then_some(count as u32)
     }
 
     /// A machine's jobs that failed there after the start of every run that was
@@ -102,8 +107,8 @@
             newest.is_some_and(|r| r.1 != machine)
         };
         match (
-            counted.len() >= QUARANTINE_ERRORS,
-            counted.iter().filter(elsewhere).count() >= QUARANTINE_ERRORS,
+            counted.len() >= FAILURE_ATTRIBUTION_QUARANTINE_JOBS,
+            counted.iter().filter(elsewhere).count() >= FAILURE_ATTRIBUTION_QUARANTINE_JOBS,
         ) {
             (false, _) => FaultVerdict::Healthy,
             (true, true) => FaultVerdict::Faulty,
@@ -119,10 +124,10 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 600, rng_seed: proptest::test_runner::RngSeed::Fixed(11), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// After every event all judgements are the plain model's, and none changes
+    /// After every event all judgements are the reference model's, and none changes
     /// that the event was not said to touch.
     #[test]
-    fn judgements_are_the_plain_models(events in events()) {
+    fn verdicts_match_the_reference_model(events in events()) {
         let (mut real, mut plain, mut now) = (FaultAttribution::default(), Plain::default(), 1_000_000);
         for e in events {
             now += e.gap;
--- a/crates/coordination/tests/late_orders.rs
+++ b/crates/coordination/tests/late_orders.rs
@@ -1,7 +1,7 @@
-//! Orders, answers and reports that come late, at owners in succession, against a
-//! slow plain model of one worker and of a store that only knows who holds the part.
-//! Whatever is held back, lost, copied or delivered after newer things, nothing runs
-//! on the machine that an owner has told to be over.
+//! Commands, replies and heartbeats that come late, at successive owners, against a slow
+//! reference model of one worker and of a store that only knows who leads the shard.
+//! Whatever is delayed, lost, copied or reordered, no attempt runs on the machine that an
+//! owner has published as ended.
 
 mod support;
 
@@ -57,9 +57,9 @@
 }
 
 /// Numbers from a seed.
-struct Dice(u64);
+struct SeededRandom(u64);
 
-impl Dice {
+impl SeededRandom {
     fn below(&mut self, n: u64) -> u64 {
         self.0 = self
             .0
@@ -77,34 +77,34 @@
 
 /// A worker by the protocol page.
 struct Worker {
-    life: u64,
+    incarnation: u64,
     session: u64,
     seq: u64,
     token: u64,
     lease_from: u64,
-    /// The report in flight: its number and when it was sent.
-    waits: Option<(u64, u64)>,
+    /// The heartbeat in flight: its number and when it was sent.
+    in_flight: Option<(u64, u64)>,
     next: u64,
     node: usize,
     tasks: BTreeMap<AttemptId, TaskPhase>,
-    hangs_until: u64,
-    /// What lies in its sockets while it hangs.
+    hung_until: u64,
+    /// What waits in its sockets while it hangs.
     held: Vec<Message>,
 }
 
 impl Worker {
-    fn new(life: u64, now: u64) -> Self {
+    fn new(incarnation: u64, now: u64) -> Self {
         Self {
-            life,
+            incarnation,
             session: 1,
             seq: 0,
             token: 0,
             lease_from: now,
-            waits: None,
+            in_flight: None,
             next: now,
             node: 0,
             tasks: BTreeMap::new(),
-            hangs_until: 0,
+            hung_until: 0,
             held: Vec::new(),
         }
     }
@@ -143,34 +143,35 @@
     }
 
     /// It tries the next controller 1 s later.
-    fn turns(&mut self, now: u64) {
-        (self.waits, self.next, self.node) = (None, now + NEXT_NODE_MS, (self.node + 1) % HOSTS);
+    fn try_next_controller(&mut self, now: u64) {
+        (self.in_flight, self.next, self.node) =
+            (None, now + NEXT_NODE_MS, (self.node + 1) % HOSTS);
     }
 }
 
-// ---- what is on its way ----------------------------------------------------------
+// ---- messages in flight ----------------------------------------------------------
 
 #[derive(Clone)]
 enum Message {
-    /// A report to a controller, carried on by another; not the original: `copy`.
+    /// A heartbeat to a controller, relayed by another; `copy`: not the original.
     Report {
         report: Heartbeat,
-        life: u64,
+        incarnation: u64,
         sent: u64,
         host: usize,
         by: Option<u16>,
         copy: bool,
     },
-    /// What a worker is answered; `None`: that it can't be, or a controller's number.
+    /// The reply to a worker; `Err`: none, or the controller that it should turn to.
     Answer {
-        life: u64,
+        incarnation: u64,
         session: u64,
         seq: u64,
         sent: u64,
         answer: Result<HeartbeatResponse, Option<usize>>,
     },
-    /// A call; `to` is the life of the worker that it was sent to: a connection ends
-    /// with that. `heard`: its sender had heard that life.
+    /// A call; `to` is the incarnation of the worker that it was sent to: a connection ends
+    /// with that. `heard`: its sender had a heartbeat of that incarnation.
     Orders {
         number: u64,
         call: CommandCall,
@@ -200,138 +201,138 @@
     core: Option<Core>,
     /// Number of its process.
     process: u64,
-    back_at: u64,
-    /// It stands still until then, ms; what came meanwhile.
-    stands_until: u64,
+    restarts_at: u64,
+    /// It is stalled until then, ms; what came meanwhile.
+    stalled_until: u64,
     held: Vec<Message>,
     /// The store does not answer it until then, ms.
-    cut_until: u64,
+    store_partition_until: u64,
     /// Workers and it don't reach each other until then, ms.
-    deaf_until: u64,
+    unreachable_until: u64,
     /// A reading under way: when it began, when it ends, and what it will show.
     reading: Option<(u64, u64, Option<ShardLeader>)>,
     read_at: u64,
-    /// The last life of the machine that it has heard as its owner.
+    /// The last incarnation of the machine that it got a heartbeat of as its owner.
     heard: u64,
-    /// A part that it has taken and not adopted yet.
-    taken: Option<(u64, u64)>,
+    /// A shard that it has acquired and not loaded yet.
+    acquired: Option<(u64, u64)>,
 }
 
 impl Host {
-    /// Its process, if it does not stand still.
-    fn runs(&mut self, now: u64) -> Option<&mut Core> {
-        self.core.as_mut().filter(|_| now >= self.stands_until)
+    /// Its process, unless it is stalled.
+    fn running_core(&mut self, now: u64) -> Option<&mut Core> {
+        self.core.as_mut().filter(|_| now >= self.stalled_until)
     }
 }
 
 #[derive(Clone, Debug)]
-enum Trouble {
+enum Fault {
     /// The machine hangs.
     Hang,
-    /// Calls are held back and delivered then, or within three times that.
-    CallsHeld,
+    /// Calls are delayed and delivered then, or within three times that.
+    CallsDelayed,
     CallsLost,
-    /// Reports are held back and delivered then.
-    ReportsHeld,
-    AnswersLost,
-    AnswersSlow,
-    /// Of this share of reports a copy comes again.
+    /// Heartbeats are delayed and delivered then.
+    HeartbeatsDelayed,
+    RepliesLost,
+    RepliesSlow,
+    /// Of this share of heartbeats a copy comes again.
     Copies(u64),
     /// Nobody reaches the machine.
     Unreachable,
     /// The machine and one controller don't reach each other.
-    Apart(usize),
+    PartitionedFrom(usize),
     /// The store does not answer one controller.
-    CutFromStore(usize),
+    PartitionedFromStore(usize),
     SlowStore,
-    /// A controller takes the part.
-    Take(usize),
+    /// A controller acquires the shard.
+    Acquire(usize),
     /// Its process ends, and is back then.
     Crash(usize),
-    StandStill(usize),
+    Stall(usize),
     /// The machine is back within a moment, empty.
-    NewLife,
+    Restart,
     Quiet,
 }
 
-struct World {
-    dice: Dice,
+struct Simulation {
+    random: SeededRandom,
     now: u64,
     worker: Worker,
     hosts: Vec<Host>,
     processes: u64,
-    holder: Option<ShardLeader>,
+    leader: Option<ShardLeader>,
     revision: u64,
-    mail: Vec<(u64, u64, Message)>,
-    posted: u64,
+    messages: Vec<(u64, u64, Message)>,
+    sequence_in_queue: u64,
     calls: BTreeMap<u64, Pending>,
     called: u64,
-    // Until when what is troubled.
-    calls_held: u64,
-    calls_lost: u64,
-    reports_held: u64,
-    answers_lost: u64,
-    answers_slow: u64,
-    slow_store: u64,
+    // Until when each fault lasts.
+    calls_delayed_until: u64,
+    calls_lost_until: u64,
+    heartbeats_delayed_until: u64,
+    replies_lost_until: u64,
+    replies_slow_until: u64,
+    slow_store_until: u64,
     unreachable: u64,
-    copies: u64,
+    copy_percent: u64,
     // The placer.
     to: u64,
     sync: u64,
     tasks: u32,
-    wanted: BTreeMap<AttemptId, DesiredAttempt>,
-    over: BTreeSet<AttemptId>,
+    desired: BTreeMap<AttemptId, DesiredAttempt>,
+    published_ended: BTreeSet<AttemptId>,
     open: bool,
-    given_back: bool,
+    release_requested: bool,
     starts: u64,
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64) -> Self {
         let host = |n: usize| Host {
             core: Some(core(n)),
             process: n as u64,
-            back_at: 0,
-            stands_until: 0,
+            restarts_at: 0,
+            stalled_until: 0,
             held: Vec::new(),
-            cut_until: 0,
-            deaf_until: 0,
+            store_partition_until: 0,
+            unreachable_until: 0,
             reading: None,
             read_at: 0,
             heard: 1,
-            taken: None,
+            acquired: None,
         };
-        let mut world = Self {
-            dice: Dice(seed),
+        let mut simulation = Self {
+            random: SeededRandom(seed),
             now: 100,
             worker: Worker::new(1, 100),
             hosts: (0..HOSTS).map(host).collect(),
             processes: HOSTS as u64,
-            holder: None,
+            leader: None,
             revision: TOKEN - 1,
-            mail: Vec::new(),
-            posted: 0,
+            messages: Vec::new(),
+            sequence_in_queue: 0,
             calls: BTreeMap::new(),
             called: 0,
-            calls_held: 0,
-            calls_lost: 0,
-            reports_held: 0,
-            answers_lost: 0,
-            answers_slow: 0,
-            slow_store: 0,
+            calls_delayed_until: 0,
+            calls_lost_until: 0,
+            heartbeats_delayed_until: 0,
+            replies_lost_until: 0,
+            replies_slow_until: 0,
+            slow_store_until: 0,
             unreachable: 0,
-            copies: 0,
+            copy_percent: 0,
             to: 0,
             sync: 0,
             tasks: 0,
-            wanted: BTreeMap::new(),
-            over: BTreeSet::new(),
+            desired: BTreeMap::new(),
+            published_ended: BTreeSet::new(),
             open: false,
-            given_back: false,
+            release_requested: false,
             starts: 0,
         };
-        world.take(0);
-        world
+        simulation.take(0);
+        simulation
     }
 
     fn note(&self, text: impl FnOnce() -> String) {
@@ -339,18 +340,19 @@
     }
 
     fn post_at(&mut self, at: u64, message: Message) {
-        self.posted += 1;
-        self.mail.push((at.max(self.now + 1), self.posted, message));
+        self.sequence_in_queue += 1;
+        self.messages
+            .push((at.max(self.now + 1), self.sequence_in_queue, message));
     }
 
     fn post(&mut self, most_ms: u64, message: Message) {
-        let at = self.now + 1 + self.dice.below(most_ms);
+        let at = self.now + 1 + self.random.below(most_ms);
         self.post_at(at, message);
     }
 
-    /// What was told to be over does not run, nor will it.
+    /// What was published as ended does not run, nor will it.
     fn check(&self) {
-        // What hangs past its lease goes on with nothing.
+        // A worker that hangs past its lease resumes without tasks.
         if self.now > self.worker.lease_from + LEASE_MS {
             return;
         }
@@ -362,7 +364,7 @@
             .map(|(id, _)| id)
         {
             assert!(
-                !self.over.contains(id),
+                !self.published_ended.contains(id),
                 "{id} runs at {} ms and was told to be over",
                 self.now
             );
@@ -375,27 +377,27 @@
         let now = self.now;
         let host = &mut self.hosts[n];
         if host.core.is_none()
-            || now < host.stands_until
-            || now < host.cut_until
-            || host.taken.is_some()
+            || now < host.stalled_until
+            || now < host.store_partition_until
+            || host.acquired.is_some()
         {
             return;
         }
         self.revision += 1;
-        self.holder = Some(ShardLeader {
+        self.leader = Some(ShardLeader {
             host: format!("h{n}"),
             token: self.revision,
         });
-        let wait = 20 + self.dice.below(600);
-        self.hosts[n].taken = Some((self.revision, now + wait));
+        let wait = 20 + self.random.below(600);
+        self.hosts[n].acquired = Some((self.revision, now + wait));
         let token = self.revision;
         self.note(|| format!("h{n} takes the part with {token}"));
     }
 
-    fn show(core: &mut Core, holder: Option<ShardLeader>, began: u64) {
-        let revision = holder.as_ref().map_or(1, |h| h.token);
-        match holder {
-            Some(holder) => drop(core.cache.shards.insert(0, holder)),
+    fn show(core: &mut Core, leader: Option<ShardLeader>, began: u64) {
+        let revision = leader.as_ref().map_or(1, |h| h.token);
+        match leader {
+            Some(leader) => drop(core.cache.shards.insert(0, leader)),
             None => drop(core.cache.shards.remove(&0)),
         }
         core.cache.revision = core.cache.revision.max(Some(revision));
@@ -403,40 +405,40 @@
     }
 
     fn read_store(&mut self) {
-        let (now, slow) = (self.now, self.now < self.slow_store);
+        let (now, slow) = (self.now, self.now < self.slow_store_until);
         for n in 0..HOSTS {
             let wait = if slow {
-                10 + self.dice.below(1_490)
+                10 + self.random.below(1_490)
             } else {
-                5 + self.dice.below(30)
+                5 + self.random.below(30)
             };
-            let holder = self.holder.clone();
+            let leader = self.leader.clone();
             let host = &mut self.hosts[n];
             let Some(core) = host.core.as_mut() else {
                 continue;
             };
-            if now < host.stands_until {
+            if now < host.stalled_until {
                 continue;
             }
             if let Some((began, _, shown)) = host.reading.take_if(|(_, ends, _)| now >= *ends) {
                 Self::show(core, shown, began);
                 host.read_at = now + REFRESH_IDLE_MS;
             }
-            if now < host.cut_until {
+            if now < host.store_partition_until {
                 continue;
             }
             if host.reading.is_none() && now >= host.read_at {
-                host.reading = Some((now, now + wait, holder.clone()));
+                host.reading = Some((now, now + wait, leader.clone()));
             }
-            if let Some((token, _)) = host.taken.take_if(|(_, at)| now >= *at) {
-                // The reading before it adopts the part.
-                Self::show(core, holder.clone(), now - 1);
-                if holder.is_some_and(|h| h.token == token) {
+            if let Some((token, _)) = host.acquired.take_if(|(_, at)| now >= *at) {
+                // The reading before it loads the shard.
+                Self::show(core, leader.clone(), now - 1);
+                if leader.is_some_and(|h| h.token == token) {
                     core.acquire(ShardLease { shard: 0, token }, &[], Vec::new(), now);
                 }
             }
         }
-        // Who finds itself the holder without knowing takes the part anew.
+        // A process that finds itself the leader without knowing acquires the shard anew.
         for n in 0..HOSTS {
             let host = &self.hosts[n];
             let Some(core) = host.core.as_ref() else {
@@ -449,8 +451,8 @@
                 .is_some_and(|h| h.host == format!("h{n}"));
             if ours
                 && core.held().is_empty()
-                && host.taken.is_none()
-                && self.holder.as_ref() == core.cache.shards.get(&0)
+                && host.acquired.is_none()
+                && self.leader.as_ref() == core.cache.shards.get(&0)
             {
                 self.take(n);
             }
@@ -470,43 +472,45 @@
             _ => None,
         };
         match held_by {
-            Some(n) if now < self.hosts[n].stands_until => return self.hosts[n].held.push(message),
-            None if now < self.worker.hangs_until => return self.worker.held.push(message),
+            Some(n) if now < self.hosts[n].stalled_until => {
+                return self.hosts[n].held.push(message);
+            }
+            None if now < self.worker.hung_until => return self.worker.held.push(message),
             _ => {}
         }
         match message {
             Message::Report {
                 report,
-                life,
+                incarnation,
                 sent,
                 host,
                 by,
                 copy,
-            } => self.report_arrives(report, life, sent, host, by, copy),
+            } => self.report_arrives(report, incarnation, sent, host, by, copy),
             Message::Answer {
-                life,
+                incarnation,
                 session,
                 seq,
                 sent,
                 answer,
             } => {
-                let pick = self.dice.below(1_500);
+                let pick = self.random.below(1_500);
                 let w = &mut self.worker;
-                if w.life != life || w.waits != Some((seq, sent)) {
+                if w.incarnation != incarnation || w.in_flight != Some((seq, sent)) {
                     return;
                 }
                 if now >= sent + WORKER_PATIENCE_MS {
-                    return w.turns(now);
+                    return w.try_next_controller(now);
                 }
                 let reply = match answer {
                     Ok(reply) => reply,
                     Err(Some(node)) if node != w.node => {
-                        (w.waits, w.node, w.next) = (None, node, now + pick / 3);
+                        (w.in_flight, w.node, w.next) = (None, node, now + pick / 3);
                         return;
                     }
-                    Err(_) => return w.turns(now),
+                    Err(_) => return w.try_next_controller(now),
                 };
-                (w.waits, w.next) = (None, now + 2_250 + pick);
+                (w.in_flight, w.next) = (None, now + 2_250 + pick);
                 if reply.token < w.token || session != w.session {
                     return;
                 }
@@ -525,10 +529,10 @@
                 answered,
             } => {
                 let w = &mut self.worker;
-                // Assumed (`docs/design.md`, statement 12): what was sent to a life that
-                // its sender had not heard yet is not held back until that life is in a
+                // Assumed (`docs/design.md`, statement 12): what was sent to an incarnation that
+                // its sender had no heartbeat of yet is not delayed until that incarnation is in a
                 // later session.
-                if w.life != to || !heard && w.session > 1 {
+                if w.incarnation != to || !heard && w.session > 1 {
                     return;
                 }
                 let executed = call.commands.token >= w.token && call.commands.session == w.session;
@@ -544,7 +548,7 @@
                     )
                 });
                 if answered {
-                    let most = if self.dice.chance(15) { 3_000 } else { 30 };
+                    let most = if self.random.chance(15) { 3_000 } else { 30 };
                     self.post(
                         most,
                         Message::Done {
@@ -585,7 +589,7 @@
     fn report_arrives(
         &mut self,
         report: Heartbeat,
-        life: u64,
+        incarnation: u64,
         sent: u64,
         host: usize,
         by: Option<u16>,
@@ -604,7 +608,7 @@
             .as_ref()
             .is_some_and(|c| !c.held().is_empty())
         {
-            self.hosts[host].heard = self.hosts[host].heard.max(life);
+            self.hosts[host].heard = self.hosts[host].heard.max(incarnation);
         }
         self.note(|| format!("h{host} hears {report:?} by {by:?}, copy {copy}: {answer:?}"));
         self.pump(host);
@@ -613,7 +617,7 @@
             HeartbeatAnswer::Carry(to) => {
                 let report = Message::Report {
                     report,
-                    life,
+                    incarnation,
                     sent,
                     host: usize::from(to),
                     by: Some(host as u16),
@@ -624,17 +628,21 @@
             HeartbeatAnswer::Elsewhere(name) => Err(name[1..].parse().ok()),
             HeartbeatAnswer::Unable => Err(None),
         };
-        let lost = now < self.answers_lost
+        let lost = now < self.replies_lost_until
             || now < self.unreachable
-            || now < self.hosts[host].deaf_until && by.is_none();
+            || now < self.hosts[host].unreachable_until && by.is_none();
         if copy || lost {
             return;
         }
-        let most = if now < self.answers_slow { 6_000 } else { 40 };
+        let most = if now < self.replies_slow_until {
+            6_000
+        } else {
+            40
+        };
         self.post(
             most,
             Message::Answer {
-                life,
+                incarnation,
                 session: report.session,
                 seq: report.seq,
                 sent,
@@ -645,16 +653,16 @@
 
     fn pump(&mut self, n: usize) {
         let now = self.now;
-        let Some(core) = self.hosts[n].runs(now) else {
+        let Some(core) = self.hosts[n].running_core(now) else {
             return;
         };
         for effect in core.pump(now) {
             match effect {
                 Effect::Command(lease, call) => self.call(n, lease, call),
                 Effect::Release(lease, names) => {
-                    // The cloud answers nothing here: ends are proven by the machine
+                    // The provider confirms nothing here: ends are proven by the machine
                     // or time.
-                    self.given_back = true;
+                    self.release_requested = true;
                     if let Some(core) = self.hosts[n].core.as_mut() {
                         core.released(lease, &names, false, now);
                     }
@@ -668,7 +676,7 @@
     fn hail(&mut self, from: usize, to: usize, word: AvailabilityGossip) {
         let now = self.now;
         let answer = self.hosts[to]
-            .runs(now)
+            .running_core(now)
             .map(|core| core.links.hail_in(word, now));
         if let Some(core) = self.hosts[from].core.as_mut() {
             core.links.hailed(to as u16, answer.is_some(), answer, now);
@@ -685,7 +693,7 @@
             .iter()
             .filter(|o| o.verb == CommandKind::Launch)
             .count() as u64;
-        let (to, process) = (self.worker.life, self.hosts[host].process);
+        let (to, process) = (self.worker.incarnation, self.hosts[host].process);
         self.note(|| {
             format!(
                 "h{host} calls ({number}): {:?} through {:?}",
@@ -701,9 +709,9 @@
                 call: call.clone(),
             },
         );
-        let apart =
-            now < self.unreachable || now < self.hosts[host].deaf_until && call.through.is_none();
-        if apart && self.dice.chance(50) || self.dice.chance(3) {
+        let apart = now < self.unreachable
+            || now < self.hosts[host].unreachable_until && call.through.is_none();
+        if apart && self.random.chance(50) || self.random.chance(3) {
             return self.post_at(
                 now + CONNECT_MS,
                 Message::Done {
@@ -723,7 +731,7 @@
                 sent: true,
             },
         );
-        let held = now < self.calls_held || apart;
+        let held = now < self.calls_delayed_until || apart;
         let heard = self.hosts[host].heard >= to;
         let message = |answered| Message::Orders {
             number,
@@ -732,27 +740,34 @@
             heard,
             answered,
         };
-        if held || self.dice.chance(5) {
-            if now < self.calls_lost || self.dice.chance(20) {
+        if held || self.random.chance(5) {
+            if now < self.calls_lost_until || self.random.chance(20) {
                 return;
             }
-            // Delivered after the trouble, or long after it.
-            let after = self.calls_held.max(self.unreachable).max(now + 100);
-            let most = if self.dice.chance(30) { 90_000 } else { 5_000 };
-            let at = after + self.dice.below(most);
+            // Delivered after the fault, or long after it.
+            let after = self
+                .calls_delayed_until
+                .max(self.unreachable)
+                .max(now + 100);
+            let most = if self.random.chance(30) {
+                90_000
+            } else {
+                5_000
+            };
+            let at = after + self.random.below(most);
             return self.post_at(at, message(at < now + COMMAND_TIMEOUT_MS));
         }
-        if now >= self.calls_lost {
+        if now >= self.calls_lost_until {
             self.post(40, message(true));
         }
     }
 
-    // ---- the worker's own motion -----------------------------------------------
+    // ---- the worker's own steps -----------------------------------------------
 
     fn work(&mut self) {
         let now = self.now;
         let w = &mut self.worker;
-        if now < w.hangs_until {
+        if now < w.hung_until {
             return;
         }
         if now > w.lease_from + LEASE_MS {
@@ -765,51 +780,51 @@
             self.deliver(message);
         }
         let w = &mut self.worker;
-        if w.waits
+        if w.in_flight
             .is_some_and(|(_, sent)| now >= sent + WORKER_PATIENCE_MS)
         {
-            w.turns(now);
+            w.try_next_controller(now);
         }
-        if w.waits.is_some() || now < w.next {
+        if w.in_flight.is_some() || now < w.next {
             return;
         }
         // Tasks end by themselves now and then.
-        if self.dice.chance(15)
+        if self.random.chance(15)
             && let Some(phase) = w.tasks.values_mut().find(|p| **p == TaskPhase::Running)
         {
             *phase = TaskPhase::Exited;
         }
         let report = w.report();
-        w.waits = Some((report.seq, now));
-        let (life, host) = (w.life, w.node);
+        w.in_flight = Some((report.seq, now));
+        let (incarnation, host) = (w.incarnation, w.node);
         let message = |host, copy| Message::Report {
             report: report.clone(),
-            life,
+            incarnation,
             sent: now,
             host,
             by: None,
             copy,
         };
-        if self.dice.chance(self.copies) {
-            let at = now + 200 + self.dice.below(4 * LEASE_MS);
-            let host = self.dice.below(HOSTS as u64) as usize;
+        if self.random.chance(self.copy_percent) {
+            let at = now + 200 + self.random.below(4 * LEASE_MS);
+            let host = self.random.below(HOSTS as u64) as usize;
             self.post_at(at, message(host, true));
         }
         if now < self.unreachable
-            || now < self.hosts[host].deaf_until
+            || now < self.hosts[host].unreachable_until
             || self.hosts[host].core.is_none()
         {
-            return match self.dice.chance(50) {
-                // Refused at once, or held back until long after.
-                true => self.worker.turns(now),
+            return match self.random.chance(50) {
+                // Refused at once, or delayed until long after.
+                true => self.worker.try_next_controller(now),
                 false => {
-                    let at = now + self.dice.below(40_000);
+                    let at = now + self.random.below(40_000);
                     self.post_at(at, message(host, false));
                 }
             };
         }
-        if now < self.reports_held {
-            let at = self.reports_held + self.dice.below(100);
+        if now < self.heartbeats_delayed_until {
+            let at = self.heartbeats_delayed_until + self.random.below(100);
             return self.post_at(at, message(host, false));
         }
         self.post(40, message(host, false));
@@ -818,19 +833,19 @@
     // ---- the placer --------------------------------------------------------------
 
     fn place(&mut self) {
-        while self.wanted.len() < 4 {
+        while self.desired.len() < 4 {
             self.tasks += 1;
             let want = want(self.tasks, 0);
-            self.wanted.insert(want.id.clone(), want);
+            self.desired.insert(want.id.clone(), want);
         }
-        if self.dice.chance(5)
-            && let Some(want) = self.wanted.values_mut().next()
+        if self.random.chance(5)
+            && let Some(want) = self.desired.values_mut().next()
         {
             want.kill = Some(0);
         }
-        // It learns of changes of hands some time after.
-        let newest = self.holder.as_ref().map_or(0, |h| h.token);
-        if newest > self.to && (self.to == 0 || self.dice.chance(5)) {
+        // It learns of failovers some time after.
+        let newest = self.leader.as_ref().map_or(0, |h| h.token);
+        if newest > self.to && (self.to == 0 || self.random.chance(5)) {
             self.to = newest;
         }
         let (now, to) = (self.now, self.to);
@@ -840,7 +855,7 @@
                     shard: 0,
                     token: to,
                 })
-            }) && now >= h.stands_until
+            }) && now >= h.stalled_until
         };
         let Some(n) = self.hosts.iter().position(at) else {
             return;
@@ -848,7 +863,7 @@
         for from in [2, 1] {
             self.sync += 1;
             let wants = if from == 1 {
-                self.wanted.values().cloned().collect()
+                self.desired.values().cloned().collect()
             } else {
                 Vec::new()
             };
@@ -871,72 +886,72 @@
                 return;
             };
             // An answer may be lost.
-            if from != 1 || self.dice.chance(10) {
+            if from != 1 || self.random.chance(10) {
                 continue;
             }
             self.open = view.machines.iter().any(|m| m.up && m.open);
             for a in view.attempts.iter().filter(|a| a.standing.ended()) {
-                if self.wanted.remove(&a.id).is_some() {
+                if self.desired.remove(&a.id).is_some() {
                     self.note(|| format!("h{n} tells that {} is over: {:?}", a.id, a.standing));
                 }
-                self.over.insert(a.id.clone());
+                self.published_ended.insert(a.id.clone());
             }
         }
         self.check();
         self.pump(n);
     }
 
-    // ---- troubles ------------------------------------------------------------------
+    // ---- faults ------------------------------------------------------------------
 
-    fn befall(&mut self, trouble: &Trouble, for_ms: u64) {
+    fn befall(&mut self, fault: &Fault, for_ms: u64) {
         let until = self.now + for_ms;
-        self.note(|| format!("{trouble:?} for {for_ms} ms"));
-        match trouble {
-            Trouble::Hang => self.worker.hangs_until = until,
-            Trouble::CallsHeld => self.calls_held = until,
-            Trouble::CallsLost => (self.calls_lost, self.calls_held) = (until, until),
-            Trouble::ReportsHeld => self.reports_held = until,
-            Trouble::AnswersLost => self.answers_lost = until,
-            Trouble::AnswersSlow => self.answers_slow = until,
-            Trouble::Copies(percent) => self.copies = *percent,
-            Trouble::Unreachable => self.unreachable = until,
-            Trouble::Apart(n) => self.hosts[*n].deaf_until = until,
-            Trouble::CutFromStore(n) => {
-                self.hosts[*n].cut_until = until;
+        self.note(|| format!("{fault:?} for {for_ms} ms"));
+        match fault {
+            Fault::Hang => self.worker.hung_until = until,
+            Fault::CallsDelayed => self.calls_delayed_until = until,
+            Fault::CallsLost => (self.calls_lost_until, self.calls_delayed_until) = (until, until),
+            Fault::HeartbeatsDelayed => self.heartbeats_delayed_until = until,
+            Fault::RepliesLost => self.replies_lost_until = until,
+            Fault::RepliesSlow => self.replies_slow_until = until,
+            Fault::Copies(percent) => self.copy_percent = *percent,
+            Fault::Unreachable => self.unreachable = until,
+            Fault::PartitionedFrom(n) => self.hosts[*n].unreachable_until = until,
+            Fault::PartitionedFromStore(n) => {
+                self.hosts[*n].store_partition_until = until;
                 self.hosts[*n].reading = None;
             }
-            Trouble::SlowStore => self.slow_store = until,
-            Trouble::Take(n) => self.take(*n),
-            Trouble::Crash(n) => {
+            Fault::SlowStore => self.slow_store_until = until,
+            Fault::Acquire(n) => self.take(*n),
+            Fault::Crash(n) => {
                 let host = &mut self.hosts[*n];
-                (host.core, host.reading, host.taken, host.back_at) =
+                (host.core, host.reading, host.acquired, host.restarts_at) =
                     (None, None, None, self.now + for_ms / 8);
                 host.held.clear();
                 self.calls.retain(|_, p| p.host != *n);
             }
-            Trouble::StandStill(n) => {
+            Fault::Stall(n) => {
                 let host = &mut self.hosts[*n];
-                host.stands_until = until;
+                host.stalled_until = until;
             }
-            Trouble::NewLife => {
-                let life = self.worker.life + 1;
-                self.worker = Worker::new(life, self.now + 100);
+            Fault::Restart => {
+                let incarnation = self.worker.incarnation + 1;
+                self.worker = Worker::new(incarnation, self.now + 100);
             }
-            Trouble::Quiet => {
+            Fault::Quiet => {
                 (
-                    self.calls_held,
-                    self.calls_lost,
-                    self.reports_held,
-                    self.answers_lost,
+                    self.calls_delayed_until,
+                    self.calls_lost_until,
+                    self.heartbeats_delayed_until,
+                    self.replies_lost_until,
                 ) = (0, 0, 0, 0);
                 (
-                    self.answers_slow,
-                    self.slow_store,
+                    self.replies_slow_until,
+                    self.slow_store_until,
                     self.unreachable,
-                    self.copies,
+                    self.copy_percent,
                 ) = (0, 0, 0, 0);
                 for host in &mut self.hosts {
-                    (host.cut_until, host.deaf_until) = (0, 0);
+                    (host.store_partition_until, host.unreachable_until) = (0, 0);
                 }
             }
         }
@@ -949,28 +964,30 @@
             let now = self.now;
             for n in 0..HOSTS {
                 let host = &mut self.hosts[n];
-                if host.core.is_none() && now >= host.back_at {
+                if host.core.is_none() && now >= host.restarts_at {
                     self.processes += 1;
                     (host.core, host.process, host.read_at) = (Some(core(n)), self.processes, now);
                     if let Some(core) = host.core.as_mut() {
                         core.set_clock(now, DAY_MS + now);
                     }
                 }
-                if now >= host.stands_until && !host.held.is_empty() {
+                if now >= host.stalled_until && !host.held.is_empty() {
                     for message in std::mem::take(&mut host.held) {
                         self.deliver(message);
                     }
                 }
             }
-            let mut due: Vec<(u64, u64, Message)> =
-                self.mail.extract_if(.., |(at, _, _)| *at <= now).collect();
+            let mut due: Vec<(u64, u64, Message)> = self
+                .messages
+                .extract_if(.., |(at, _, _)| *at <= now)
+                .collect();
             due.sort_by_key(|(at, n, _)| (*at, *n));
             due.into_iter().for_each(|(_, _, m)| self.deliver(m));
             self.work();
             self.read_store();
             if now.is_multiple_of(100) {
                 for n in 0..HOSTS {
-                    if let Some(core) = self.hosts[n].runs(now) {
+                    if let Some(core) = self.hosts[n].running_core(now) {
                         core.set_clock(now, DAY_MS + now);
                     }
                     self.pump(n);
@@ -986,48 +1003,48 @@
 
 // ---- random histories --------------------------------------------------------------
 
-/// A trouble, for how long, and how long until the next.
-type Step = (Trouble, u64, u64);
+/// A fault, for how long, and how long until the next.
+type Step = (Fault, u64, u64);
 
-fn trouble(lives: bool) -> impl Strategy<Value = Trouble> {
+fn fault(incarnations: bool) -> impl Strategy<Value = Fault> {
     let host = 0..HOSTS;
     prop_oneof![
-        3 => Just(Trouble::Hang),
-        3 => Just(Trouble::CallsHeld),
-        1 => Just(Trouble::CallsLost),
-        2 => Just(Trouble::ReportsHeld),
-        2 => Just(Trouble::AnswersLost),
-        2 => Just(Trouble::AnswersSlow),
-        2 => prop_oneof![Just(0u64), Just(30), Just(100)].prop_map(Trouble::Copies),
-        2 => Just(Trouble::Unreachable),
-        2 => host.clone().prop_map(Trouble::Apart),
-        3 => host.clone().prop_map(Trouble::CutFromStore),
-        1 => Just(Trouble::SlowStore),
-        4 => host.clone().prop_map(Trouble::Take),
-        2 => host.clone().prop_map(Trouble::Crash),
-        2 => host.prop_map(Trouble::StandStill),
-        1 => Just(if lives { Trouble::NewLife } else { Trouble::Quiet }),
-        3 => Just(Trouble::Quiet),
+        3 => Just(Fault::Hang),
+        3 => Just(Fault::CallsDelayed),
+        1 => Just(Fault::CallsLost),
+        2 => Just(Fault::HeartbeatsDelayed),
+        2 => Just(Fault::RepliesLost),
+        2 => Just(Fault::RepliesSlow),
+        2 => prop_oneof![Just(0u64), Just(30), Just(100)].prop_map(Fault::Copies),
+        2 => Just(Fault::Unreachable),
+        2 => host.clone().prop_map(Fault::PartitionedFrom),
+        3 => host.clone().prop_map(Fault::PartitionedFromStore),
+        1 => Just(Fault::SlowStore),
+        4 => host.clone().prop_map(Fault::Acquire),
+        2 => host.clone().prop_map(Fault::Crash),
+        2 => host.prop_map(Fault::Stall),
+        1 => Just(if incarnations { Fault::Restart } else { Fault::Quiet }),
+        3 => Just(Fault::Quiet),
     ]
 }
 
-fn steps(lives: bool) -> impl Strategy<Value = (u64, Vec<Step>)> {
+fn steps(incarnations: bool) -> impl Strategy<Value = (u64, Vec<Step>)> {
     let long = prop_oneof![3 => 500u64..8_000, 2 => 8_000u64..30_000, 1 => 30_000u64..120_000];
     (
         any::<u64>(),
-        prop::collection::vec((trouble(lives), long, 20..9_000u64), 1..30),
+        prop::collection::vec((fault(incarnations), long, 20..9_000u64), 1..30),
     )
 }
 
-fn play(seed: u64, steps: &[Step]) -> World {
-    let mut world = World::new(seed);
-    world.pass(5_000);
-    for (trouble, for_ms, then_ms) in steps {
-        world.befall(trouble, *for_ms);
-        world.pass(*then_ms);
+fn play(seed: u64, steps: &[Step]) -> Simulation {
+    let mut simulation = Simulation::new(seed);
+    simulation.pass(5_000);
+    for (fault, for_ms, then_ms) in steps {
+        simulation.befall(fault, *for_ms);
+        simulation.pass(*then_ms);
     }
-    world.befall(&Trouble::Quiet, 0);
-    world
+    simulation.befall(&Fault::Quiet, 0);
+    simulation
 }
 
 proptest! {
@@ -1039,26 +1056,26 @@
         ..ProptestConfig::default()
     })]
 
-    /// In any order of calls, answers and reports that are held back, lost, copied or
-    /// late, of a machine that hangs and goes on, and of owners that change, are cut
-    /// off, stand still and come back.
+    /// In any order of calls, answers and heartbeats that are delayed, lost, copied or
+    /// late, of a machine that hangs and goes on, and of owners that change, are
+    /// partitioned, stalled and come back.
     #[test]
-    fn nothing_runs_that_was_told_to_be_over((seed, steps) in steps(false)) {
+    fn no_attempt_runs_after_its_end_was_published((seed, steps) in steps(false)) {
         play(seed, &steps).pass(100_000);
     }
 
     /// The same of a machine that may also come back within a moment, empty, and counts
     /// from the start.
     #[test]
-    fn nor_on_a_machine_that_came_back((seed, steps) in steps(true)) {
+    fn no_attempt_runs_after_its_end_on_a_restarted_machine((seed, steps) in steps(true)) {
         play(seed, &steps).pass(100_000);
     }
 }
 
-/// The histories are worth something: in them tasks start, end and are told to be over,
-/// and once all troubles are over the machine is used.
+/// The histories are worth something: in them tasks start, end and are published as ended,
+/// and once all faults are over the machine is used.
 #[test]
-fn histories_start_and_end_tasks_and_leave_the_machine_in_use() {
+fn histories_run_and_end_tasks_and_keep_the_machine_schedulable() {
     use proptest::strategy::ValueTree;
     let rng = proptest::test_runner::TestRng::from_seed(
         proptest::test_runner::RngAlgorithm::ChaCha,
@@ -1066,20 +1083,23 @@
     );
     let mut runner =
         proptest::test_runner::TestRunner::new_with_rng(ProptestConfig::default(), rng);
-    let (mut starts, mut over, mut used, mut kept) = (0, 0, 0, 0);
+    let (mut starts, mut published_ended, mut used, mut kept) = (0, 0, 0, 0);
     for _ in 0..40 {
         let (seed, steps) = steps(true).new_tree(&mut runner).expect("drawn").current();
-        let mut world = play(seed, &steps);
-        world.pass(140_000);
-        (starts, over) = (starts + world.starts, over + world.over.len());
-        if !world.given_back {
+        let mut simulation = play(seed, &steps);
+        simulation.pass(140_000);
+        (starts, published_ended) = (
+            starts + simulation.starts,
+            published_ended + simulation.published_ended.len(),
+        );
+        if !simulation.release_requested {
             kept += 1;
-            used += usize::from(world.open);
+            used += usize::from(simulation.open);
         }
     }
     assert!(
-        starts > 500 && over > 500,
-        "{starts} starts, {over} told to be over"
+        starts > 500 && published_ended > 500,
+        "{starts} starts, {published_ended} told to be over"
     );
     assert!(
         kept > 20 && used == kept,
@@ -1087,7 +1107,7 @@
     );
 }
 
-// ---- orders given by hand ------------------------------------------------------------
+// ---- scripted histories ------------------------------------------------------------
 
 const BASE: u64 = TOKEN << FENCE_BITS;
 
@@ -1114,19 +1134,23 @@
 }
 
 /// Drawn by an earlier form of the histories above: a machine came back under an owner that had just taken the
-/// part. Its second report showed the token that the earlier life had shown too, so it
-/// was held for a late one; the owner went on with the earlier life's session, and a
-/// start that named it was executed when the new life had come to that session, long
-/// after its attempt was told to be over.
+/// shard. Its second heartbeat showed the token that the earlier incarnation had shown too, so it
+/// was taken for a late one; the owner went on with the earlier incarnation's session, and a
+/// start that named it was executed when the new incarnation had come to that session, long
+/// after its attempt was published as ended.
 #[test]
-fn the_first_report_of_a_new_life_is_answered_with_a_token_that_the_earlier_one_never_saw() {
+fn first_heartbeat_of_a_new_incarnation_gets_an_unseen_token() {
     let mut owner = fleet(1);
     let before = |seq, tasks| Heartbeat {
         session: 3,
         tasks,
         ..report(0, seq)
     };
-    assert!(owner.handle_heartbeat(&before(54, Vec::new()), None, 3_000).is_some());
+    assert!(
+        owner
+            .handle_heartbeat(&before(54, Vec::new()), None, 3_000)
+            .is_some()
+    );
     owner.tick(3_100, 3_100);
     tell(&mut owner, 1, vec![want(0, 0)], 3_200);
     // It is back, and counts from the start.
@@ -1147,7 +1171,7 @@
         "nothing is started on what may be another"
     );
     owner.handle_call_result(&question, CommandResult::NotSent, 3_320);
-    // What the earlier life said last comes now.
+    // What the earlier incarnation said last comes now.
     let late = before(60, vec![running_task(0)]);
     assert!(owner.handle_heartbeat(&late, None, 3_400).is_some());
     let told = tell(&mut owner, 2, vec![want(0, 0)], 3_450);
@@ -1175,9 +1199,9 @@
     );
 }
 
-/// A copy of a worker's first report costs a question, and what runs goes on.
+/// A copy of a worker's first heartbeat costs a query, and what runs goes on.
 #[test]
-fn a_copy_of_a_first_report_costs_one_question() {
+fn copy_of_a_first_heartbeat_costs_one_query() {
     let mut owner = fleet(1);
     tell(&mut owner, 1, vec![want(0, 0)], 20);
     let start = owner.due_calls(20, 4).pop().expect("a start");
@@ -1212,16 +1236,16 @@
     assert_eq!(told, [(want(0, 0).id, AttemptState::Running)]);
 }
 
-/// Drawn by an earlier form of the histories above: a machine came back unheard, its new life took a start whose
-/// answer was lost, and the lease of the earlier life proved it over.
+/// Drawn by an earlier form of the histories above: a machine came back unheard, its new incarnation took a start whose
+/// answer was lost, and the lease of the earlier incarnation proved it over.
 #[test]
-fn a_start_of_unknown_fate_is_over_a_lease_after_its_call_at_the_earliest() {
+fn launch_of_unknown_outcome_ends_a_lease_after_its_call_at_the_earliest() {
     let mut owner = fleet(1);
     assert!(owner.handle_heartbeat(&report(0, 2), None, 3_000).is_some());
     owner.tick(3_100, 3_100);
     tell(&mut owner, 1, vec![want(0, 0)], 6_000);
     let start = owner.due_calls(6_000, 4).pop().expect("a start");
-    // The new life took it; its lease is over at 20 s.
+    // The new incarnation took it; its lease ends at 20 s.
     owner.handle_call_result(&start, CommandResult::Unknown, 8_500);
     let mut over_at = None;
     for step in 2u64..400 {
@@ -1236,7 +1260,7 @@
     assert!((20_000..24_000).contains(&over_at), "{over_at} ms");
 }
 
-/// An owner whose start of task 0 is of unknown fate since 2.6 s, and that call's token.
+/// An owner whose start of task 0 is of unknown outcome since 2.6 s, and that call's token.
 fn with_a_lost_start() -> (Owner, u64) {
     let mut owner = fleet(1);
     tell(&mut owner, 1, vec![want(0, 0)], 20);
@@ -1256,12 +1280,15 @@
     told.iter().any(|(id, s)| *id == want(n, 0).id && s.ended())
 }
 
-/// A start that was held back arrives after a second one of the same attempt ran, ended
+/// A start that was delayed arrives after a second one of the same attempt ran, ended
 /// and would be forgotten: it is refused, or nothing is forgotten before it would be.
 #[test]
-fn nothing_is_forgotten_while_an_order_that_would_start_it_again_may_arrive() {
+fn exited_attempt_is_kept_while_a_late_launch_may_arrive() {
     let (mut owner, first) = with_a_lost_start();
-    let again = owner.due_calls(4_000, 4).pop().expect("it is started again");
+    let again = owner
+        .due_calls(4_000, 4)
+        .pop()
+        .expect("it is started again");
     assert!(
         again.commands.token > first,
         "who takes the second refuses the first"
@@ -1278,7 +1305,11 @@
         tasks: vec![exited.clone()],
         ..report(0, seq)
     };
-    assert!(owner.handle_heartbeat(&said(3, first), None, 6_600).is_some());
+    assert!(
+        owner
+            .handle_heartbeat(&said(3, first), None, 6_600)
+            .is_some()
+    );
     assert!(ended(&tell(&mut owner, 2, vec![want(0, 0)], 6_700), 0));
     tell(&mut owner, 3, Vec::new(), 6_800);
     // The only placer wants nothing more; the lost start alone keeps it.
@@ -1298,9 +1329,12 @@
 
 /// A second call that surely never left tells nothing of the first.
 #[test]
-fn a_call_that_was_not_sent_does_not_take_back_a_lost_one() {
+fn unsent_call_does_not_undo_one_of_unknown_outcome() {
     let (mut owner, _) = with_a_lost_start();
-    let again = owner.due_calls(4_000, 4).pop().expect("it is started again");
+    let again = owner
+        .due_calls(4_000, 4)
+        .pop()
+        .expect("it is started again");
     owner.handle_call_result(&again, CommandResult::NotSent, 4_100);
     assert!(
         !ended(&tell(&mut owner, 2, vec![stopped(0)], 4_200), 0),
@@ -1332,13 +1366,15 @@
     );
 }
 
-/// A start went out in an answer that is held up for up to 4 s: until the worker's next
-/// report, which it sends after it has it or has given it up, no call may show that the
+/// A start went out in an answer that is delayed for up to 4 s: until the worker's next
+/// heartbeat, which it sends after it has it or has given it up, no call may show that the
 /// task is not there.
 #[test]
-fn a_start_in_an_answer_is_open_until_the_next_report() {
+fn launch_in_a_reply_is_unresolved_until_the_next_heartbeat() {
     let (mut owner, _) = with_a_lost_start();
-    let reply = owner.handle_heartbeat(&report(0, 3), None, 2_700).expect("answered");
+    let reply = owner
+        .handle_heartbeat(&report(0, 3), None, 2_700)
+        .expect("answered");
     assert!(
         reply.orders.iter().any(|o| o.verb == CommandKind::Launch),
         "{reply:?}"
@@ -1370,9 +1406,9 @@
     ));
 }
 
-/// What may be another life proves no absence, though nothing was started there by us.
+/// What may be another incarnation proves no absence, though nothing was started there by us.
 #[test]
-fn a_machine_under_suspicion_proves_no_absence() {
+fn suspected_restart_proves_no_absence() {
     let mut owner = fleet(1);
     let token = owner
         .handle_heartbeat(
@@ -1402,11 +1438,11 @@
     assert!(ended(&tell(&mut owner, 2, vec![stopped(0)], 3_600), 0));
 }
 
-/// A machine reports and never shows that it hears this owner: what earlier owners kept
-/// alive is over a while after the taking, what this one may have kept alive a lease
-/// after its last answer.
+/// A machine sends heartbeats and never shows this owner's token: what earlier owners kept
+/// alive has ended a while after the failover, what this one may have kept alive a lease
+/// after its last reply.
 #[test]
-fn a_machine_that_never_shows_our_token_may_live_by_our_answers() {
+fn unconfirmed_worker_may_live_by_our_replies() {
     let mut owner = Owner::new(
         0,
         TOKEN,
@@ -1433,9 +1469,9 @@
     assert!(ended(&tell(&mut owner, 3, vec![want(0, 0)], 85_000), 0));
 }
 
-/// A worker that has seen a later owner would drop the answer, and be held here by it.
+/// A worker that has seen a later owner would drop the reply, and be kept here by it.
 #[test]
-fn a_worker_that_has_seen_a_later_owner_is_not_answered() {
+fn worker_of_a_later_owner_gets_no_reply() {
     let mut owner = fleet(1);
     let later = Heartbeat {
         token: (TOKEN + 1) << FENCE_BITS,
@@ -1443,7 +1479,9 @@
     };
     assert!(owner.handle_heartbeat(&later, None, 3_000).is_none());
     assert!(
-        owner.handle_heartbeat(&report(0, 10), None, 3_100).is_some(),
+        owner
+            .handle_heartbeat(&report(0, 10), None, 3_100)
+            .is_some(),
         "and the report told nothing"
     );
 }
--- a/crates/coordination/tests/limits.rs
+++ b/crates/coordination/tests/limits.rs
@@ -16,7 +16,7 @@
 
 /// Machines of the fleet.
 const MACHINES: usize = 4_000;
-/// Bytes of a value, and the pages that a transaction takes of that size.
+/// Bytes of a value, and the pages that a compare-and-swap takes of that size.
 const VALUE: usize = 8 * 1024;
 const PAGES: usize = TXN_BYTES / VALUE;
 
@@ -58,7 +58,7 @@
     }
 }
 
-/// What the store holds of the note; a transaction keeps to its bytes.
+/// The stored record; a compare-and-swap keeps to its bytes.
 #[derive(Default)]
 struct Stored(BTreeMap<usize, ImageLocationsRecord>);
 
@@ -88,10 +88,10 @@
     }
 }
 
-/// The note of a part with the whole fleet takes more pages than a transaction holds:
+/// The record of a shard with the whole fleet takes more pages than a compare-and-swap holds:
 /// they are written one after the other, until nothing is left.
 #[test]
-fn the_images_of_all_machines_are_noted() {
+fn images_of_all_machines_are_recorded() {
     let mut owner = busy_fleet(MACHINES);
     let mut stored = Stored::default();
     let mut times = 0;
@@ -109,7 +109,7 @@
 
 /// Where the first pages change before each writing, the last are written all the same.
 #[test]
-fn pages_that_change_all_the_time_leave_the_last_their_turn() {
+fn constantly_changing_pages_do_not_starve_the_last() {
     let mut owner = busy_fleet(MACHINES);
     let mut stored = Stored::default();
     for at in 1..80u32 {
@@ -126,9 +126,9 @@
     assert_eq!(stored.machines().len(), MACHINES);
 }
 
-/// Most machines go at once: no page of theirs stays in the store.
+/// Most machines are released at once: no page of theirs stays in the store.
 #[test]
-fn no_page_is_left_of_machines_that_are_gone() {
+fn pages_of_released_machines_are_deleted() {
     let mut owner = busy_fleet(MACHINES);
     let mut stored = Stored::default();
     for at in 1..40 {
@@ -145,9 +145,9 @@
     assert_eq!(stored.machines().len(), 40);
 }
 
-/// The pages of one writing fit a transaction, however large a value may be.
+/// The pages of one writing fit a compare-and-swap, however large a value may be.
 #[test]
-fn a_writing_of_the_note_fits_a_transaction() {
+fn image_record_write_fits_a_compare_and_swap() {
     for value_kb in [2.0, 4.0, 8.0, 64.0, 1_024.0] {
         for txn_ops in [4, 32, 512] {
             let mut settings = controllers::settings(1);
--- a/crates/coordination/tests/sessions.rs
+++ b/crates/coordination/tests/sessions.rs
@@ -1,4 +1,4 @@
-//! What an owner infers from time about a session that it did not hear begin.
+//! What an owner infers from time about a session that no heartbeat told it of.
 
 mod support;
 
@@ -8,12 +8,12 @@
 use lemonweir_protocol::worker::Heartbeat;
 use support::*;
 
-/// Seed 47 of the laboratory's hunt: answers don't reach a machine, so it goes on to
+/// Seed 47 of the fault search: replies don't reach a machine, so it goes on to
 /// a session of its own, and its owner learns of that from the answer to a call. Its
-/// lease runs from the session's begin, after the owner's last answer: what a call
-/// starts in it lives until that is over.
+/// lease runs from the session's begin, after the owner's last reply: what a call
+/// starts in it lives until that has ended.
 #[test]
-fn a_session_that_a_call_shows_lives_for_a_lease_from_its_begin() {
+fn session_shown_by_a_call_has_a_lease_from_its_begin() {
     let mut owner = fleet(1);
     let tell = |owner: &mut lemonweir_coordination::owner::Owner, seq, since, upto, wants, now| {
         owner
@@ -33,9 +33,9 @@
             )
             .expect("taken")
     };
-    // Answered, but the answer is lost.
+    // Replied to, but the reply is lost.
     assert!(owner.handle_heartbeat(&report(0, 3), None, 3_000).is_some());
-    // The lease is over at 14 s. The next start meets the new session.
+    // The lease ends at 14 s. The next start meets the new session.
     tell(&mut owner, 1, 0, 1, vec![want(0, 0)], 14_500);
     let call = owner.due_calls(14_500, 1).pop().expect("a call");
     let base = TOKEN << FENCE_BITS;
--- a/crates/coordination/tests/stops.rs
+++ b/crates/coordination/tests/stops.rs
@@ -9,7 +9,7 @@
 use proptest::prelude::*;
 use support::*;
 
-/// An owner with one task on its machine 0 that shall end.
+/// An owner with one task on its machine 0 that is to stop.
 fn stopping(now: u64) -> Owner {
     let mut owner = fleet(1);
     let on = |since, upto| ChangeRange {
@@ -52,10 +52,10 @@
 }
 
 /// Found on zone of zeltplatz-rechen-fleet with twice the machines: a process
-/// without a socket for calls noted each try of a stop as told, so the answers
-/// to reports, which did arrive, left it out for a minute.
+/// without a socket for calls noted each try of a stop as sent, so the replies
+/// to heartbeats, which did arrive, left it out for a minute.
 #[test]
-fn a_stop_whose_call_never_left_is_in_the_next_answer() {
+fn unsent_stop_is_in_the_next_reply() {
     let mut owner = stopping(30);
     let (mut seq, mut tries) = (2, 0);
     for now in (40..60_000).step_by(20) {
@@ -83,7 +83,7 @@
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// A report; it may be older than what a call has brought.
+    /// A heartbeat; it may be older than what a call has brought.
     Report {
         late: bool,
         shows_token: bool,
@@ -104,11 +104,11 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, rng_seed: proptest::test_runner::RngSeed::Fixed(11), ..ProptestConfig::default() })]
 
-    /// While a machine shows a task that shall end, every answer that prolongs
-    /// its lease stops it: in any order of late reports, reports of a worker
+    /// While a machine shows a task that is to stop, every reply that renews
+    /// its lease stops it: in any order of late heartbeats, heartbeats of a worker
     /// that has not shown our token, and calls that fail in any way.
     #[test]
-    fn no_answer_prolongs_a_lease_without_a_stop_that_is_due(steps in prop::collection::vec(step(), 1..60)) {
+    fn no_reply_renews_a_lease_without_a_due_stop(steps in prop::collection::vec(step(), 1..60)) {
         let mut owner = stopping(30);
         let (mut now, mut seq, mut call, mut answers) = (40, 10, None, 0);
         for step in steps {
@@ -148,7 +148,7 @@
 
 /// Calls beyond a process's share wait for others to end, and none is lost.
 #[test]
-fn calls_wait_for_room_and_all_are_made() {
+fn due_calls_wait_for_a_free_slot_and_all_are_made() {
     let mut owner = fleet(50);
     let wants = (0..50).map(|n| want(n, n as usize)).collect();
     owner
--- a/crates/coordination/tests/worker_sessions.rs
+++ b/crates/coordination/tests/worker_sessions.rs
@@ -1,10 +1,11 @@
-//! Who may be believed and who hears, at the guards of one owner. The random
-//! histories with their slow plain model are in `src/hearing/model.rs`.
+//! Which messages of a worker are current and which replies reach it, at the guards of one
+//! owner. The random histories with their slow reference model are in
+//! `src/incarnation/tests.rs`.
 
 mod support;
 
-use lemonweir_coordination::owner::{CommandCall, CommandResult, Owner};
-use lemonweir_model::constants::*;
+use lemonweir_coordination::owner::{CommandCall, CommandResult, Owner, UNREACHABLE_CALLS_MAX};
+use lemonweir_model::constants::FENCE_BITS;
 use lemonweir_protocol::peer::{
     AttemptState, ChangeRange, DesiredAttempt, ExitCause, MachineView, ObservedState, ShardView,
     SyncRequest,
@@ -15,7 +16,7 @@
 const BASE: u64 = TOKEN << FENCE_BITS;
 
 /// An owner, what its placer tells it, and the machines' numbers and tokens.
-struct Part {
+struct ShardUnderTest {
     owner: Owner,
     token: u64,
     now: u64,
@@ -25,7 +26,7 @@
     tokens: Vec<u64>,
 }
 
-impl Part {
+impl ShardUnderTest {
     fn new(machines: usize) -> Self {
         let (seqs, tokens) = (vec![1; machines], vec![BASE; machines]);
         Self {
@@ -39,7 +40,7 @@
         }
     }
 
-    /// Another takes the part and knows nothing.
+    /// Another acquires the shard and knows nothing.
     fn next_owner(&mut self) {
         self.token += 1;
         self.owner = Owner::new(
@@ -60,7 +61,7 @@
             upto: self.state,
             last: true,
         };
-        // Nothing is given back for being empty.
+        // Nothing is released for being empty.
         let keep = (0..self.seqs.len()).map(machine).collect();
         let message = SyncRequest {
             keep,
@@ -87,7 +88,7 @@
         self.owner.tick(until, until);
     }
 
-    /// A report of a machine; it takes the answer if that reaches it.
+    /// A heartbeat of a machine; it applies the reply if that reaches it.
     fn report(&mut self, n: usize, by: Option<u16>, reaches: bool, tasks: Vec<TaskStatus>) {
         self.seqs[n] += 1;
         let said = Heartbeat {
@@ -95,7 +96,10 @@
             tasks,
             ..report(n, self.seqs[n])
         };
-        let reply = self.owner.handle_heartbeat(&said, by, self.now).expect("answered");
+        let reply = self
+            .owner
+            .handle_heartbeat(&said, by, self.now)
+            .expect("answered");
         if reaches {
             self.tokens[n] = self.tokens[n].max(reply.token);
         }
@@ -117,13 +121,13 @@
 }
 
 #[test]
-fn who_hears_nothing_takes_nothing_after_two_reports_and_all_when_it_shows_our_token() {
+fn unreachable_worker_is_closed_after_two_heartbeats_and_reopens_with_our_token() {
     for by in [Some(1), None] {
-        let mut shard = Part::new(1);
+        let mut shard = ShardUnderTest::new(1);
         shard.pass(3_000);
         shard.report(0, None, false, Vec::new());
         assert!(shard.open(0), "nothing tells yet");
-        // No answer for 4 s; it tries the next 1 s later.
+        // No reply for 4 s; it tries the next 1 s later.
         shard.pass(8_050);
         shard.report(0, by, false, Vec::new());
         assert!(!shard.open(0));
@@ -141,10 +145,10 @@
     }
 }
 
-/// Orders reach it all the same, but they prolong no lease.
+/// Commands reach it all the same, but they renew no lease.
 #[test]
-fn calls_that_arrive_do_not_show_that_answers_do() {
-    let mut shard = Part::new(1);
+fn delivered_calls_do_not_prove_that_replies_arrive() {
+    let mut shard = ShardUnderTest::new(1);
     shard.pass(3_000);
     shard.report(0, None, false, Vec::new());
     shard.pass(8_050);
@@ -181,11 +185,11 @@
     );
 }
 
-/// A member of a gang that was granted room waits on a machine that turns deaf: it is
+/// A member of a gang that was granted room waits on a machine that becomes unreachable: it is
 /// over at once, since nothing was sent, and nothing is started there later.
 #[test]
-fn what_waits_on_a_deaf_machine_is_over_unstarted() {
-    let mut shard = Part::new(1);
+fn accepted_attempt_on_an_unreachable_machine_ends_unlaunched() {
+    let mut shard = ShardUnderTest::new(1);
     let member = DesiredAttempt {
         go: false,
         ..want(0, 0)
@@ -211,10 +215,10 @@
     assert!(shard.call().is_none_or(|c| c.commands.orders.is_empty()));
 }
 
-/// Forty of sixty: they come to other controllers, and the part is not lost.
+/// Forty of sixty: they come to other controllers, and the shard is not lost.
 #[test]
-fn forty_deaf_machines_do_not_make_a_part_lost() {
-    let mut shard = Part::new(60);
+fn forty_unreachable_machines_do_not_cost_the_shard() {
+    let mut shard = ShardUnderTest::new(60);
     for round in 0..12u64 {
         shard.pass(3_000 + round * 1_000);
         for n in 0..60 {
@@ -232,10 +236,10 @@
     assert_eq!(shard.owner.next_releases(), [], "they are waited for");
 }
 
-/// A copy three leases old to the third owner of a part: the machine was given back
-/// by the first. It starts, ends and rents nothing, and ends with a question.
+/// A copy three leases old to the third owner of a shard: the machine was released
+/// by the first. It launches, ends and provisions nothing, and causes a query at most.
 #[test]
-fn a_copy_of_long_ago_is_a_hint() {
+fn old_copy_of_a_heartbeat_only_causes_a_query() {
     let exited = TaskStatus {
         phase: TaskPhase::Exited,
         cause: Some("error".into()),
@@ -248,7 +252,7 @@
         ..report(0, 70)
     };
     for wanted in [false, true] {
-        let mut shard = Part::new(0);
+        let mut shard = ShardUnderTest::new(0);
         shard.next_owner();
         shard.next_owner();
         let wants = || {
@@ -261,7 +265,10 @@
         shard.pass(3 * TIMING.lease_ms);
         shard.tell(wants());
         assert!(
-            shard.owner.handle_heartbeat(&copy, None, shard.now).is_some(),
+            shard
+                .owner
+                .handle_heartbeat(&copy, None, shard.now)
+                .is_some(),
             "it may be a live one"
         );
         let mut asked = 0;
@@ -301,17 +308,20 @@
         assert!((1..=12).contains(&asked), "{asked} questions");
         assert!(released.is_some(), "nobody keeps it in mind for ever");
         assert!(
-            shard.owner.handle_heartbeat(&copy, None, shard.now).is_none(),
+            shard
+                .owner
+                .handle_heartbeat(&copy, None, shard.now)
+                .is_none(),
             "it is gone"
         );
     }
 }
 
-/// All reports of a while come again in random order, to the same owner and to its
+/// All heartbeats of a while come again in random order, to the same owner and to its
 /// successor: neither changes its mind.
 #[test]
-fn copies_in_any_order_change_nothing() {
-    let mut shard = Part::new(1);
+fn replayed_heartbeats_in_any_order_change_nothing() {
+    let mut shard = ShardUnderTest::new(1);
     shard.tell(vec![want(0, 0)]);
     let mut said = Vec::new();
     let done = TaskStatus {
@@ -354,7 +364,12 @@
     shard.next_owner();
     for &k in &order {
         shard.now += 10;
-        assert!(shard.owner.handle_heartbeat(&said[k], None, shard.now).is_some());
+        assert!(
+            shard
+                .owner
+                .handle_heartbeat(&said[k], None, shard.now)
+                .is_some()
+        );
         let view = shard.tell(vec![want(0, 0)]);
         assert!(
             view.attempts.is_empty(),
@@ -362,7 +377,7 @@
             view.attempts
         );
     }
-    // The machine's own next report is the first that shows the new token.
+    // The machine's own next heartbeat is the first that shows the new token.
     shard.report(0, None, true, vec![done.clone()]);
     shard.report(0, None, true, vec![done]);
     assert_eq!(
@@ -371,12 +386,12 @@
     );
 }
 
-/// Back at once and empty: believed with its second report, whichever session and
-/// number it had, and its earlier life's reports are no longer.
+/// Back at once and empty: accepted with its second heartbeat, whichever session and
+/// number it had; heartbeats of its earlier incarnation no longer are.
 #[test]
-fn a_machine_that_counts_from_the_start_is_believed_with_its_second_report() {
+fn restarted_worker_is_confirmed_by_its_second_heartbeat() {
     for (session, dead) in [(1, false), (3, false), (1, true)] {
-        let mut shard = Part::new(1);
+        let mut shard = ShardUnderTest::new(1);
         shard.tell(vec![want(0, 0)]);
         shard.seqs[0] = 80;
         shard.pass(3_000);
@@ -386,7 +401,12 @@
             tasks: vec![running_task(0)],
             ..report(0, seq)
         };
-        assert!(shard.owner.handle_heartbeat(&before(81), None, shard.now).is_some());
+        assert!(
+            shard
+                .owner
+                .handle_heartbeat(&before(81), None, shard.now)
+                .is_some()
+        );
         assert_eq!(
             standing(&shard.tell(vec![want(0, 0)]), 0),
             Some(AttemptState::Running)
@@ -420,7 +440,7 @@
                 .view(0, vec![want(0, 0)])
                 .is_some_and(|m| m.up && m.open)
         );
-        // Its earlier life speaks up once more.
+        // Its earlier incarnation sends another heartbeat.
         shard.owner.handle_heartbeat(&before(90), None, shard.now);
         assert!(
             shard
@@ -450,10 +470,10 @@
     }
 }
 
-/// The machine itself is asked where its second report doesn't come.
+/// The machine itself is asked where its second heartbeat doesn't come.
 #[test]
-fn the_answer_to_a_call_shows_a_new_life() {
-    let mut shard = Part::new(1);
+fn call_response_shows_a_new_incarnation() {
+    let mut shard = ShardUnderTest::new(1);
     shard.tell(vec![want(0, 0)]);
     shard.pass(3_000);
     shard.seqs[0] = 50;
@@ -483,11 +503,11 @@
     );
 }
 
-/// A new life has no token that would refuse an owner that was superseded: nothing is
+/// A new incarnation has no token that would refuse an owner that was superseded: nothing is
 /// started there until the store has shown once more that it is ours, and then at once.
 #[test]
-fn a_start_on_a_machine_just_heard_waits_for_a_later_word() {
-    let mut shard = Part::new(0);
+fn launch_on_a_new_machine_waits_for_a_later_store_answer() {
+    let mut shard = ShardUnderTest::new(0);
     (shard.seqs, shard.tokens) = (vec![0], vec![BASE]);
     shard.pass(5_000);
     shard.now = 5_050;
@@ -501,26 +521,26 @@
     assert_eq!(shard.call().expect("at once").commands.orders.len(), 1);
 }
 
-/// A deaf machine is given back while a call to it is under way: its place among the
-/// calls to deaf machines is free again. With each that was lost, stops for others would
+/// An unreachable machine is released while a call to it is in progress: its place among the
+/// calls to unreachable machines is free again. With each that was lost, stops for others would
 /// have waited for ever.
 #[test]
-fn a_deaf_machine_that_goes_leaves_its_call_to_others() {
-    let mut shard = Part::new(2 * DEAF_CALLS);
+fn released_unreachable_machine_frees_its_call_slot() {
+    let mut shard = ShardUnderTest::new(2 * UNREACHABLE_CALLS_MAX);
     let stopped = |n: usize| DesiredAttempt {
         kill: Some(0),
         ..want(n as u32, n)
     };
-    let all: Vec<DesiredAttempt> = (0..2 * DEAF_CALLS).map(stopped).collect();
+    let all: Vec<DesiredAttempt> = (0..2 * UNREACHABLE_CALLS_MAX).map(stopped).collect();
     for at in [3_000, 8_050, 13_100] {
         shard.pass(at);
-        for n in 0..2 * DEAF_CALLS {
+        for n in 0..2 * UNREACHABLE_CALLS_MAX {
             shard.report(n, None, false, vec![running_task(n)]);
         }
     }
     shard.tell(all.clone());
     let calls = shard.owner.due_calls(shard.now, 100);
-    assert_eq!(calls.len(), DEAF_CALLS, "no more at a time");
+    assert_eq!(calls.len(), UNREACHABLE_CALLS_MAX, "no more at a time");
     let gone: Vec<_> = calls.iter().map(|c| c.machine.clone()).collect();
     shard.owner.release_finished(&gone, true, shard.now);
     for call in &calls {
@@ -530,5 +550,9 @@
     }
     shard.tell(all);
     let rest = shard.owner.due_calls(shard.now, 100);
-    assert_eq!(rest.len(), DEAF_CALLS, "the others are told to stop");
+    assert_eq!(
+        rest.len(),
+        UNREACHABLE_CALLS_MAX,
+        "the others are told to stop"
+    );
 }
