--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -723,11 +723,11 @@
         self.shards
             .values()
             .fold(WorkCounters::default(), |sum, shard| {
-                let (refused, pushed_out) = shard.owner.placement_counts();
+                let placements = shard.owner.placement_counts();
                 WorkCounters {
                     looked: sum.looked + shard.placer.looked(),
-                    refused: sum.refused + refused,
-                    pushed_out: sum.pushed_out + pushed_out,
+                    refused: sum.refused + placements.refused,
+                    pushed_out: sum.pushed_out + placements.preempted,
                 }
             })
     }
--- a/crates/coordination/src/machine.rs
+++ b/crates/coordination/src/machine.rs
@@ -57,6 +57,15 @@
     }
 }
 
+/// How the heartbeats of a machine are relayed.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Relay {
+    /// Number of the controller that relayed the newest one.
+    pub(super) peer: u16,
+    /// Since when all have been relayed, ms.
+    pub(super) since: u64,
+}
+
 /// A task in the newest heartbeat of a machine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct ReportedTask {
@@ -134,9 +143,8 @@
     pub(super) unreachable_call: bool,
     /// When its last current status came, by heartbeat or as the answer to a call.
     pub(super) last_heartbeat_at: Option<u64>,
-    /// Number of the controller that relayed its newest heartbeat, and since when all have
-    /// been relayed.
-    pub(super) relayed_by: Option<(u16, u64)>,
+    /// Set if its newest heartbeat was relayed.
+    pub(super) relay: Option<Relay>,
     /// Sessions up to this one have surely ended.
     pub(super) expired_session: u64,
     pub(super) tasks: BTreeMap<AttemptId, ReportedTask>,
@@ -187,7 +195,7 @@
             next_call_at: 0,
             unreachable_call: false,
             last_heartbeat_at: None,
-            relayed_by: None,
+            relay: None,
             expired_session: 0,
             tasks: BTreeMap::new(),
             images: VecDeque::new(),
--- /dev/null
+++ b/crates/coordination/src/owner/catalog.rs
@@ -0,0 +1,66 @@
+//! What the catalog of the provider says of machine types.
+
+use super::*;
+use lemonweir_model::MachineType;
+
+/// ms that a machine of unknown type is taken to boot.
+const DEFAULT_BOOT_MS: u64 = 30_000;
+
+#[derive(Debug)]
+struct TypeProfile {
+    capacity: Resources,
+    boot_ms: u64,
+    image_cache_mb: u64,
+    fetch_gb_per_s: f64,
+}
+
+/// Machine types by name.
+#[derive(Debug, Default)]
+pub(super) struct MachineCatalog {
+    by_name: BTreeMap<String, TypeProfile>,
+}
+
+impl MachineCatalog {
+    /// Adds a type, or replaces what is known of it.
+    pub(super) fn insert(&mut self, machine_type: &MachineType) {
+        let profile = TypeProfile {
+            capacity: machine_type.room,
+            boot_ms: (machine_type.boot_s * 1000.0) as u64,
+            image_cache_mb: (machine_type.cache_gb * 1000.0) as u64,
+            fetch_gb_per_s: machine_type.fetch_gb_per_s,
+        };
+        self.by_name.insert(machine_type.name.clone(), profile);
+    }
+
+    /// True if there is a catalog and the type is not in it.
+    pub(super) fn lacks(&self, name: &str) -> bool {
+        !self.by_name.is_empty() && !self.by_name.contains_key(name)
+    }
+
+    /// Capacity of a machine; none for an unknown type.
+    pub(super) fn capacity(&self, name: &str) -> Resources {
+        self.by_name
+            .get(name)
+            .map(|profile| profile.capacity)
+            .unwrap_or_default()
+    }
+
+    /// Boot time, ms.
+    pub(super) fn boot_ms(&self, name: &str) -> u64 {
+        self.by_name
+            .get(name)
+            .map_or(DEFAULT_BOOT_MS, |profile| profile.boot_ms)
+    }
+
+    /// Size of the image cache, MB; unlimited for an unknown type.
+    pub(super) fn image_cache_mb(&self, name: &str) -> u64 {
+        self.by_name
+            .get(name)
+            .map_or(u64::MAX, |profile| profile.image_cache_mb)
+    }
+
+    /// Rate of image fetches, GB/s; `None` for an unknown type.
+    pub(super) fn fetch_gb_per_s(&self, name: &str) -> Option<f64> {
+        self.by_name.get(name).map(|profile| profile.fetch_gb_per_s)
+    }
+}
--- a/crates/coordination/src/owner/heartbeat.rs
+++ b/crates/coordination/src/owner/heartbeat.rs
@@ -51,8 +51,8 @@
         );
         if current || m.last_heartbeat_at.is_none() {
             // Commands take the route of the newest heartbeat.
-            m.relayed_by =
-                relayed_by.map(|peer| (peer, m.relayed_by.map_or(now, |(_, since)| since)));
+            let since = m.relay.map_or(now, |relay| relay.since);
+            m.relay = relayed_by.map(|peer| Relay { peer, since });
         }
         let channel = reply_channel(m, current);
         let orders = self.commands_for(&heartbeat.machine, now, channel);
@@ -167,8 +167,7 @@
                 .record_boot(&m.kind, &m.zone, m.spot, boot_elapsed_ms);
         }
         m.overdue = false;
-        if !self.capacity_by_type.is_empty() && !self.capacity_by_type.contains_key(&heartbeat.kind)
-        {
+        if self.catalog.lacks(&heartbeat.kind) {
             warn!(machine = %id, machine_type = heartbeat.kind, "machine type not in the catalog; excluded from placement");
         }
     }
--- a/crates/coordination/src/owner/image_pages.rs
+++ b/crates/coordination/src/owner/image_pages.rs
@@ -12,6 +12,69 @@
 /// Bytes that a machine's reference to an image takes.
 const IMAGE_REFERENCE_BYTES: usize = 3;
 
+/// A page by its index; `None`: it is to be deleted.
+pub type ImagePage = (usize, Option<ImageLocationsRecord>);
+
+/// The record as it is stored.
+#[derive(Debug)]
+pub(super) struct ImageRecord {
+    pages: Vec<ImageLocationsRecord>,
+    written_at: u64,
+    /// The page that the next writing begins at.
+    next_page: usize,
+}
+
+impl ImageRecord {
+    /// Nothing is recorded yet.
+    pub(super) fn new(now: u64) -> Self {
+        Self {
+            pages: Vec::new(),
+            written_at: now,
+            next_page: 0,
+        }
+    }
+
+    /// Brings the record to these pages, `max_pages` at a time; returns what to write.
+    fn update(&mut self, pages: &[ImageLocationsRecord], max_pages: usize) -> Vec<ImagePage> {
+        let changed = self.select_changed(pages, max_pages);
+        self.next_page = match changed.last() {
+            Some((page, _)) if changed.len() == max_pages => page + 1,
+            _ => 0,
+        };
+        self.apply(&changed);
+        changed
+    }
+
+    /// Deletions go first, the last page before those before it: the record ends where
+    /// its last page is. Then from where the writing before stopped, so that in a large
+    /// fleet, whose first pages change all the time, the last are written.
+    fn select_changed(&self, pages: &[ImageLocationsRecord], max_pages: usize) -> Vec<ImagePage> {
+        let recorded = &self.pages;
+        let from = self.next_page.min(pages.len()).min(recorded.len());
+        (pages.len()..pages.len().max(recorded.len()))
+            .rev()
+            .chain(from..pages.len())
+            .chain(0..from)
+            .filter(|&page| pages.get(page) != recorded.get(page))
+            .take(max_pages)
+            .map(|page| (page, pages.get(page).cloned()))
+            .collect()
+    }
+
+    /// Applies what is written now; what did not fit still differs from what is recorded.
+    fn apply(&mut self, changed: &[ImagePage]) {
+        for (page, record) in changed {
+            match record {
+                Some(record) if *page < self.pages.len() => {
+                    self.pages[*page] = record.clone();
+                }
+                Some(record) => self.pages.push(record.clone()),
+                None => self.pages.truncate(*page),
+            }
+        }
+    }
+}
+
 impl Owner {
     /// Pages of the record of which machines hold which images that changed since the
     /// last writing, if that is old enough: `max_pages` at the most, each below
@@ -21,19 +84,13 @@
         now: u64,
         value_bytes: usize,
         max_pages: usize,
-    ) -> Vec<(usize, Option<ImageLocationsRecord>)> {
-        if now < self.image_pages_written_at + IMAGE_PAGES_INTERVAL_MS {
+    ) -> Vec<ImagePage> {
+        if now < self.image_record.written_at + IMAGE_PAGES_INTERVAL_MS {
             return Vec::new();
         }
-        self.image_pages_written_at = now;
+        self.image_record.written_at = now;
         let pages = self.image_pages(value_bytes);
-        let changed = self.select_changed_pages(&pages, max_pages);
-        self.next_image_page = match changed.last() {
-            Some((page, _)) if changed.len() == max_pages => page + 1,
-            _ => 0,
-        };
-        self.note_written_pages(&changed);
-        changed
+        self.image_record.update(&pages, max_pages)
     }
 
     /// The whole record, in pages of `value_bytes` each at the most.
@@ -66,50 +123,17 @@
         pages
     }
 
-    /// Deletions go first, the last page before those before it: the record ends where
-    /// its last page is. Then from where the writing before stopped, so that in a large
-    /// fleet, whose first pages change all the time, the last are written.
-    fn select_changed_pages(
-        &self,
-        pages: &[ImageLocationsRecord],
-        max_pages: usize,
-    ) -> Vec<(usize, Option<ImageLocationsRecord>)> {
-        let recorded = &self.recorded_pages;
-        let from = self.next_image_page.min(pages.len()).min(recorded.len());
-        (pages.len()..pages.len().max(recorded.len()))
-            .rev()
-            .chain(from..pages.len())
-            .chain(0..from)
-            .filter(|&page| pages.get(page) != recorded.get(page))
-            .take(max_pages)
-            .map(|page| (page, pages.get(page).cloned()))
-            .collect()
-    }
-
-    /// Notes what is written now; what did not fit still differs from what is recorded.
-    fn note_written_pages(&mut self, changed: &[(usize, Option<ImageLocationsRecord>)]) {
-        for (page, record) in changed {
-            match record {
-                Some(record) if *page < self.recorded_pages.len() => {
-                    self.recorded_pages[*page] = record.clone();
-                }
-                Some(record) => self.recorded_pages.push(record.clone()),
-                None => self.recorded_pages.truncate(*page),
-            }
-        }
-    }
-
     /// Restores what an earlier owner recorded, page by page.
     pub fn restore_image_pages(&mut self, pages: Vec<ImageLocationsRecord>) {
         for page in &pages {
-            for (id, have) in &page.m {
-                let images = have
+            for (id, held) in &page.m {
+                let images = held
                     .iter()
                     .filter_map(|&at| page.n.get(usize::from(at)).cloned())
                     .collect();
                 self.inherited_images.insert(id.clone(), images);
             }
         }
-        self.recorded_pages = pages;
+        self.image_record.pages = pages;
     }
 }
--- a/crates/coordination/src/owner/inventory.rs
+++ b/crates/coordination/src/owner/inventory.rs
@@ -43,7 +43,7 @@
         spot: bool,
         now: u64,
     ) {
-        let capacity = self.capacity_by_type.get(kind).copied().unwrap_or_default();
+        let capacity = self.catalog.capacity(kind);
         let mut m = Machine::new(kind, zone, spot, capacity, self.base_token(), now);
         // An attempt there or a record of its images: it ran before.
         m.recorded_running_at = self
--- a/crates/coordination/src/owner/last_copies.rs
+++ b/crates/coordination/src/owner/last_copies.rs
@@ -7,22 +7,38 @@
 /// ms between two checks for last copies: one walks all images.
 const LAST_COPIES_CHECK_MS: u64 = 1_000;
 
+/// The images that services use.
+#[derive(Debug, Default)]
+pub(super) struct ServiceImages {
+    images: BTreeSet<String>,
+    /// Machines with the last copy of one in their zone, as of the last check.
+    last_copies: HashSet<MachineId>,
+    checked_at: u64,
+}
+
+impl ServiceImages {
+    /// True if the machine holds the last copy of a service's image in its zone.
+    pub(super) fn has_last_copy(&self, machine: &MachineId) -> bool {
+        self.last_copies.contains(machine)
+    }
+}
+
 impl Owner {
     /// Sets the images that services use.
     pub fn set_service_images(&mut self, images: BTreeSet<String>) {
-        self.service_images = images;
-        self.last_copies_checked_at = 0;
+        self.service_images.images = images;
+        self.service_images.checked_at = 0;
     }
 
     /// Finds, now and then, the machines that hold the last copy of such an image in
     /// their zone.
     pub(super) fn find_last_copies(&mut self, now: u64) {
-        if now < self.last_copies_checked_at + LAST_COPIES_CHECK_MS {
+        if now < self.service_images.checked_at + LAST_COPIES_CHECK_MS {
             return;
         }
-        self.last_copies_checked_at = now;
-        self.last_copies.clear();
-        if self.service_images.is_empty() {
+        self.service_images.checked_at = now;
+        self.service_images.last_copies.clear();
+        if self.service_images.images.is_empty() {
             return;
         }
         let mut sole_holders: HashMap<(&str, &str), Option<&MachineId>> = HashMap::new();
@@ -34,7 +50,7 @@
             for (image, _) in m
                 .images
                 .iter()
-                .filter(|(image, _)| self.service_images.contains(image))
+                .filter(|(image, _)| self.service_images.images.contains(image))
             {
                 sole_holders
                     .entry((m.zone.as_str(), image.as_str()))
@@ -42,7 +58,7 @@
                     .or_insert(Some(id));
             }
         }
-        self.last_copies = sole_holders.into_values().flatten().cloned().collect();
+        self.service_images.last_copies = sole_holders.into_values().flatten().cloned().collect();
     }
 
     /// A scale-in candidate with a last copy changes places with an idle machine of its
@@ -52,7 +68,7 @@
         let kept: Vec<MachineId> = self
             .scale_in_candidates
             .iter()
-            .filter(|id| self.last_copies.contains(*id))
+            .filter(|id| self.service_images.has_last_copy(*id))
             .cloned()
             .collect();
         for id in kept {
@@ -63,7 +79,7 @@
                 (&o.kind, &o.zone, o.spot) == (&m.kind, &m.zone, m.spot) && o.is_schedulable()
             };
             let others = self.machines.iter().filter(|(other, o)| {
-                o.idle_since.is_some() && alike(o) && !self.last_copies.contains(*other)
+                o.idle_since.is_some() && alike(o) && !self.service_images.has_last_copy(*other)
             });
             let Some((other, since)) = others
                 .map(|(other, o)| (other.clone(), o.idle_since))
--- a/crates/coordination/src/owner/maintenance.rs
+++ b/crates/coordination/src/owner/maintenance.rs
@@ -5,8 +5,6 @@
 use super::*;
 use lemonweir_model::constants::{OVERDUE_LEAST, OVERDUE_OF, TICK_MS, UNREADY_MS};
 
-/// ms that a machine of unknown type is taken to boot.
-const DEFAULT_BOOT_MS: u64 = 30_000;
 /// ms without a newly accepted attempt after which idle machines are kept for less
 /// long.
 const DEMAND_LULL_AFTER_MS: u64 = 40_000;
@@ -40,8 +38,7 @@
     acquired_at: u64,
     timing: Timing,
     policy: &'a Policy,
-    listed_boot_ms: &'a BTreeMap<String, u64>,
-    image_fetch_gb_per_s: &'a BTreeMap<String, f64>,
+    catalog: &'a MachineCatalog,
     boot_times: &'a BootTimes,
     failure_detector: &'a MachineFailureDetector,
     /// Machines may be released and counted as overdue.
@@ -80,15 +77,11 @@
     }
 
     fn outlook(&self, m: &Machine) -> MachineOutlook {
-        let listed_boot_ms = self
-            .listed_boot_ms
-            .get(&m.kind)
-            .copied()
-            .unwrap_or(DEFAULT_BOOT_MS);
+        let listed_boot_ms = self.catalog.boot_ms(&m.kind);
         let boot_ms = self
             .boot_times
             .usual_ms(&m.kind, &m.zone, m.spot, listed_boot_ms);
-        let rebuild_ms = boot_ms + m.fetch_ms(self.image_fetch_gb_per_s.get(&m.kind).copied());
+        let rebuild_ms = boot_ms + m.fetch_ms(self.catalog.fetch_gb_per_s(&m.kind));
         MachineOutlook {
             verdict: self.failure_detector.verdict(m, rebuild_ms, self.now),
             listed_boot_ms,
@@ -288,8 +281,7 @@
             inherited_leases_expired: self.inherited_leases_expired(),
             surplus: self.surplus(),
             policy: &self.policy,
-            listed_boot_ms: &self.listed_boot_ms,
-            image_fetch_gb_per_s: &self.image_fetch_gb_per_s,
+            catalog: &self.catalog,
             boot_times: &self.boot_times,
             failure_detector: &self.failure_detector,
             changed_machines: &mut self.changed_machines,
--- a/crates/coordination/src/owner/mod.rs
+++ b/crates/coordination/src/owner/mod.rs
@@ -13,6 +13,7 @@
 //!   to the machine.
 
 mod attempt;
+mod catalog;
 mod commands;
 mod heartbeat;
 mod image_pages;
@@ -39,11 +40,14 @@
 use crate::fault_attribution::{FaultAttribution, FaultVerdict};
 use crate::incarnation::{Freshness, MessageSequence, Origin};
 pub use crate::machine::{CLOCK_DRIFT_PER_MILLE, LEASE_MARGIN_MS, Timing};
-use crate::machine::{Machine, Quarantine, ReportedTask};
+use crate::machine::{Machine, Quarantine, Relay, ReportedTask};
 pub use crate::machine_failure_detector::ZONE_RECOVERY_MS;
 use crate::machine_failure_detector::{HealthVerdict, MachineFailureDetector};
 use attempt::{AttemptStage, TrackedAttempt};
+use catalog::MachineCatalog;
 use commands::CommandChannel;
+use image_pages::ImageRecord;
+use last_copies::ServiceImages;
 use lemonweir_model::constants::{CARRIED_PART_MS, FENCE_BITS};
 use lemonweir_model::policy::Policy;
 use lemonweir_model::{AttemptId, MachineId, Priority, Resources};
@@ -83,6 +87,23 @@
     Superseded(Superseded),
 }
 
+/// A peer's count of the machines of this shard whose heartbeats it gets.
+#[derive(Clone, Copy, Debug)]
+struct PeerCount {
+    machines: u32,
+    /// When the peer said so, ms.
+    at: u64,
+}
+
+/// What became of placements, counted since the shard was acquired.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct PlacementCounts {
+    /// Placements refused for lack of room.
+    pub refused: u64,
+    /// Attempts preempted for others.
+    pub preempted: u64,
+}
+
 /// The owner of a shard. All times are ms of the steady clock that callers pass in.
 pub struct Owner {
     shard: u16,
@@ -91,12 +112,7 @@
     timing: Timing,
     policy: Policy,
     shards: u16,
-    /// By machine type: capacity, boot time by the catalog, size of the image cache.
-    capacity_by_type: BTreeMap<String, Resources>,
-    listed_boot_ms: BTreeMap<String, u64>,
-    image_cache_mb: BTreeMap<String, u64>,
-    /// Image fetch rate, GB/s, by machine type.
-    image_fetch_gb_per_s: BTreeMap<String, f64>,
+    catalog: MachineCatalog,
     machines: BTreeMap<MachineId, Machine>,
     attempts: HashMap<AttemptId, TrackedAttempt>,
     /// Tracked attempts of each machine, so that nothing walks all of them.
@@ -112,16 +128,10 @@
     released_machines: HashSet<MachineId>,
     /// Images that an earlier owner recorded of each machine, MB each.
     inherited_images: BTreeMap<MachineId, VecDeque<(String, u64)>>,
-    /// Pages of the record of images, as last written.
-    recorded_pages: Vec<ImageLocationsRecord>,
-    image_pages_written_at: u64,
-    /// The page that the next writing begins at.
-    next_image_page: usize,
-    /// Images that services use, and machines with the last copy of one in their zone,
-    /// as of the last check.
-    service_images: BTreeSet<String>,
-    last_copies: HashSet<MachineId>,
-    last_copies_checked_at: u64,
+    /// The stored record of the machines' images.
+    image_record: ImageRecord,
+    /// Images that services use, and who holds them.
+    service_images: ServiceImages,
     /// When an attempt other than idle work was last accepted.
     last_accepted_at: u64,
     /// Machines that attempts are placed on and that are not known, with the time since
@@ -129,7 +139,7 @@
     unseen_machines: BTreeMap<MachineId, u64>,
     /// How many of this shard's machines send their heartbeats to the controllers of
     /// other shards, with the time when they said so.
-    peer_heartbeat_counts: BTreeMap<u16, (u32, u64)>,
+    peer_heartbeat_counts: BTreeMap<u16, PeerCount>,
     /// When the provider's inventory was last read.
     inventory_read_at: u64,
     failure_detector: MachineFailureDetector,
@@ -155,9 +165,7 @@
     unreachable_calls: usize,
     /// Nothing is launched now.
     launches_paused: bool,
-    /// Placements refused for lack of room, and attempts preempted, so far.
-    refused_placements: u64,
-    preempted_attempts: u64,
+    placement_counts: PlacementCounts,
 }
 
 impl Owner {
@@ -176,10 +184,7 @@
             acquired_at: now,
             timing,
             shards,
-            capacity_by_type: BTreeMap::new(),
-            listed_boot_ms: BTreeMap::new(),
-            image_cache_mb: BTreeMap::new(),
-            image_fetch_gb_per_s: BTreeMap::new(),
+            catalog: MachineCatalog::default(),
             machines: BTreeMap::new(),
             attempts: HashMap::new(),
             attempts_by_machine: HashMap::new(),
@@ -189,12 +194,8 @@
             call_candidates: BTreeSet::new(),
             released_machines: HashSet::new(),
             inherited_images: BTreeMap::new(),
-            recorded_pages: Vec::new(),
-            image_pages_written_at: now,
-            next_image_page: 0,
-            service_images: BTreeSet::new(),
-            last_copies: HashSet::new(),
-            last_copies_checked_at: 0,
+            image_record: ImageRecord::new(now),
+            service_images: ServiceImages::default(),
             last_accepted_at: now,
             unseen_machines: BTreeMap::new(),
             peer_heartbeat_counts: BTreeMap::new(),
@@ -214,14 +215,13 @@
             changed_placers: BTreeSet::new(),
             unreachable_calls: 0,
             launches_paused: false,
-            refused_placements: 0,
-            preempted_attempts: 0,
+            placement_counts: PlacementCounts::default(),
         }
     }
 
     /// Placements refused for lack of room, and attempts preempted, so far.
-    pub fn placement_counts(&self) -> (u64, u64) {
-        (self.refused_placements, self.preempted_attempts)
+    pub fn placement_counts(&self) -> PlacementCounts {
+        self.placement_counts
     }
 
     /// Launches nothing while `paused`.
@@ -231,21 +231,11 @@
 
     /// Sets the catalog of machine types.
     pub fn set_types<'a>(&mut self, types: impl Iterator<Item = &'a lemonweir_model::MachineType>) {
-        for t in types {
-            self.capacity_by_type.insert(t.name.clone(), t.room);
-            self.listed_boot_ms
-                .insert(t.name.clone(), (t.boot_s * 1000.0) as u64);
-            self.image_fetch_gb_per_s
-                .insert(t.name.clone(), t.fetch_gb_per_s);
-            self.image_cache_mb
-                .insert(t.name.clone(), (t.cache_gb * 1000.0) as u64);
+        for machine_type in types {
+            self.catalog.insert(machine_type);
         }
         for m in self.machines.values_mut() {
-            m.capacity = self
-                .capacity_by_type
-                .get(&m.kind)
-                .copied()
-                .unwrap_or_default();
+            m.capacity = self.catalog.capacity(&m.kind);
         }
         self.changed_machines.extend(self.machines.keys().cloned());
     }
@@ -308,8 +298,8 @@
     /// relayed for so long that giving up the shard costs less.
     pub fn is_unreachable(&self, now: u64) -> bool {
         let relayed_long = |m: &&Machine| {
-            m.relayed_by
-                .is_some_and(|(_, since)| now > since + CARRIED_PART_MS)
+            m.relay
+                .is_some_and(|relay| now > relay.since + CARRIED_PART_MS)
         };
         if self.machines.values().filter(relayed_long).count() * 2 > self.machines.len() {
             return true;
@@ -317,8 +307,8 @@
         let seen_by_peer = self
             .peer_heartbeat_counts
             .values()
-            .filter(|(_, at)| now <= at + PEER_COUNT_VALID_MS)
-            .map(|(count, _)| *count as usize)
+            .filter(|count| now <= count.at + PEER_COUNT_VALID_MS)
+            .map(|count| count.machines as usize)
             .max()
             .unwrap_or(0);
         now > self.acquired_at + UNREACHABLE_MIN_LEADERSHIP_MS
--- a/crates/coordination/src/owner/preemption.rs
+++ b/crates/coordination/src/owner/preemption.rs
@@ -67,7 +67,7 @@
             free = free.plus(&room);
             victims.push(victim);
         }
-        self.preempted_attempts += victims.len() as u64;
+        self.placement_counts.preempted += victims.len() as u64;
         for victim in victims {
             if let Some(a) = self.attempts.get_mut(&victim) {
                 info!(attempt = %victim, machine = %desired.machine, shard = self.shard, preempted_by = %id, "attempt preempted");
--- a/crates/coordination/src/owner/proof.rs
+++ b/crates/coordination/src/owner/proof.rs
@@ -74,11 +74,7 @@
         let past_fetch = task.cause == Some(ExitCause::Done)
             || !matches!(task.phase, TaskPhase::Fetching | TaskPhase::Exited);
         if past_fetch {
-            let cache_mb = self
-                .image_cache_mb
-                .get(&m.kind)
-                .copied()
-                .unwrap_or(u64::MAX);
+            let cache_mb = self.catalog.image_cache_mb(&m.kind);
             m.remember_image(image, tracked.desired.image_mb, cache_mb);
         } else if task.phase == TaskPhase::Fetching && m.forget_image(image) {
             info!(machine = %machine, shard = self.shard, image, "image missing from the machine's cache");
@@ -92,7 +88,7 @@
         }
         if let AttemptStage::Ended(state) = stage {
             info!(attempt = %id, machine = %machine, shard = self.shard, ?state, "attempt ended");
-            self.refused_placements += u64::from(state == AttemptState::Refused);
+            self.placement_counts.refused += u64::from(state == AttemptState::Refused);
             self.record_outcome(machine, id, state, now);
         }
         if let Some(tracked) = self.attempts.get_mut(id) {
--- a/crates/coordination/src/owner/reconciliation.rs
+++ b/crates/coordination/src/owner/reconciliation.rs
@@ -64,8 +64,13 @@
             return Err(SyncError::UnknownShard);
         }
         self.placers.entry(sync.from).or_default().accept(sync)?;
-        self.peer_heartbeat_counts
-            .insert(sync.from, (sync.strays, now));
+        self.peer_heartbeat_counts.insert(
+            sync.from,
+            PeerCount {
+                machines: sync.strays,
+                at: now,
+            },
+        );
         for instance in &sync.rented {
             self.expect_instance(instance, sync.from, now);
         }
--- a/crates/coordination/src/owner/scale_in.rs
+++ b/crates/coordination/src/owner/scale_in.rs
@@ -23,11 +23,11 @@
     /// are idle longest: in a large fleet some are idle all the time, and few of them
     /// are used again. Machines with the last copy of a service's image are kept first.
     pub(super) fn surplus(&self) -> HashSet<MachineId> {
-        let last = |id: &MachineId| self.last_copies.contains(id);
+        let last_copy = |id: &MachineId| self.service_images.has_last_copy(id);
         let mut idle: Vec<(bool, u64, &MachineId)> = self
             .machines
             .iter()
-            .filter_map(|(id, m)| Some((last(id), m.idle_since?, id)))
+            .filter_map(|(id, m)| Some((last_copy(id), m.idle_since?, id)))
             .collect();
         let headroom = HEADROOM_MIN_MACHINES.max(self.machines.len() / HEADROOM_FLEET_SHARE);
         if idle.len() <= headroom {
--- a/crates/coordination/src/owner/worker_calls.rs
+++ b/crates/coordination/src/owner/worker_calls.rs
@@ -142,7 +142,7 @@
                 session: m.incarnation.call_session(),
                 orders,
             },
-            through: m.relayed_by.map(|(peer, _)| peer),
+            through: m.relay.map(|relay| relay.peer),
         })
     }
 
