--- a/crates/coordination/src/fault_attribution.rs
+++ b/crates/coordination/src/fault_attribution.rs
@@ -45,13 +45,31 @@
     Faulty,
 }
 
-/// Failures with their times, oldest first, one for each other side.
-type Failures<T> = VecDeque<(T, u64)>;
+/// A failure, as one side keeps it.
+#[derive(Debug)]
+struct Failure<T> {
+    /// The job or the machine on the other side.
+    with: T,
+    /// ms.
+    at: u64,
+}
+
+/// Failures, oldest first, one for each other side.
+type Failures<T> = VecDeque<Failure<T>>;
+
+/// A success of a job on a machine.
+#[derive(Debug)]
+struct Success<T> {
+    /// When its run began, ms.
+    began_at: u64,
+    /// The job or the machine on the other side.
+    with: T,
+}
 
 #[derive(Debug, Default)]
 struct JobFailures {
     /// The newest success: when its run began, and where.
-    last_success: Option<(u64, MachineId)>,
+    last_success: Option<Success<MachineId>>,
     failed: Failures<MachineId>,
     /// How many of these, the oldest, a success has cleared since. They still
     /// count against their machines.
@@ -62,7 +80,7 @@
 struct MachineFailures {
     /// The newest runs of two jobs, the newer first: one of them is by another
     /// job than whichever is asked about.
-    successes: Vec<(u64, JobId)>,
+    successes: Vec<Success<JobId>>,
     failed: Failures<JobId>,
 }
 
@@ -89,12 +107,15 @@
 fn remember<T: PartialEq + Clone>(failed: &mut Failures<T>, with: &T, at: u64) -> Option<usize> {
     let replaced = failed
         .iter()
-        .position(|(t, _)| t == with)
+        .position(|failure| failure.with == *with)
         .or((failed.len() >= FAILURE_ATTRIBUTION_FAILURES_MAX).then_some(0));
     if let Some(i) = replaced {
         failed.remove(i);
     }
-    failed.push_back((with.clone(), at));
+    failed.push_back(Failure {
+        with: with.clone(),
+        at,
+    });
     replaced
 }
 
@@ -136,20 +157,26 @@
         if of_job
             .last_success
             .as_ref()
-            .is_none_or(|(at, _)| since >= *at)
+            .is_none_or(|success| since >= success.began_at)
         {
-            of_job.last_success = Some((since, machine.clone()));
+            of_job.last_success = Some(Success {
+                began_at: since,
+                with: machine.clone(),
+            });
         }
         let m = self.machines.entry(machine.clone()).or_default();
-        m.failed.retain(|(_, at)| *at > since);
+        m.failed.retain(|failure| failure.at > since);
         let known = m
             .successes
             .iter()
-            .position(|(_, by)| by == job)
-            .map(|i| m.successes.remove(i).0);
+            .position(|success| success.with == *job)
+            .map(|i| m.successes.remove(i).began_at);
+        m.successes.push(Success {
+            began_at: since.max(known.unwrap_or(0)),
+            with: job.clone(),
+        });
         m.successes
-            .push((since.max(known.unwrap_or(0)), job.clone()));
-        m.successes.sort_by_key(|(at, _)| std::cmp::Reverse(*at));
+            .sort_by_key(|success| std::cmp::Reverse(success.began_at));
         m.successes.truncate(2);
         affected
     }
@@ -161,7 +188,7 @@
         if let Some(m) = self.machines.get(machine) {
             affected
                 .jobs
-                .extend(m.failed.iter().map(|(j, _)| j.clone()));
+                .extend(m.failed.iter().map(|failure| failure.with.clone()));
         }
         for job in &affected.jobs {
             affected.machines.extend(
@@ -169,7 +196,7 @@
                     .get(job)
                     .into_iter()
                     .flat_map(|j| &j.failed)
-                    .map(|(m, _)| m.clone()),
+                    .map(|failure| failure.with.clone()),
             );
         }
         affected
@@ -180,9 +207,9 @@
         let Some(m) = self.machines.get(machine) else {
             return false;
         };
-        m.successes
-            .iter()
-            .any(|(at_success, by)| by != job && at_success + FAILURE_ATTRIBUTION_VOUCHED_MS >= at)
+        m.successes.iter().any(|success| {
+            success.with != *job && success.began_at + FAILURE_ATTRIBUTION_VOUCHED_MS >= at
+        })
     }
 
     /// On how many machines that run other jobs a job failed, if that makes it a suspect.
@@ -190,7 +217,7 @@
         let of_job = self.jobs.get(job)?;
         let failed = || of_job.failed.iter().skip(of_job.cleared);
         let vouched = failed()
-            .filter(|(m, at)| self.vouched_for(job, m, *at))
+            .filter(|failure| self.vouched_for(job, &failure.with, failure.at))
             .count();
         // On so many machines, with no success, it is the job whoever vouches.
         (vouched >= FAILURE_ATTRIBUTION_SUSPECT_MACHINES
@@ -206,14 +233,14 @@
         let counted: Vec<&JobId> = m
             .failed
             .iter()
-            .map(|(j, _)| j)
+            .map(|failure| &failure.with)
             .filter(|j| self.suspect_evidence(j).is_none())
             .collect();
         let elsewhere = |j: &&&JobId| {
             self.jobs
                 .get(**j)
                 .and_then(|o| o.last_success.as_ref())
-                .is_some_and(|(_, on)| on != machine)
+                .is_some_and(|success| success.with != *machine)
         };
         if counted.len() < FAILURE_ATTRIBUTION_QUARANTINE_JOBS {
             FaultVerdict::Healthy
@@ -230,7 +257,7 @@
             .get(machine)
             .into_iter()
             .flat_map(|m| &m.failed)
-            .map(|(j, _)| j)
+            .map(|failure| &failure.with)
             .collect()
     }
 
@@ -240,7 +267,7 @@
             m.failed.is_empty()
                 && m.successes
                     .first()
-                    .is_some_and(|(at, _)| now <= at + FAILURE_ATTRIBUTION_VOUCHED_MS)
+                    .is_some_and(|success| now <= success.began_at + FAILURE_ATTRIBUTION_VOUCHED_MS)
         };
         self.machines
             .iter()
--- a/crates/coordination/src/owner/last_copies.rs
+++ b/crates/coordination/src/owner/last_copies.rs
@@ -68,7 +68,7 @@
         let kept: Vec<MachineId> = self
             .scale_in_candidates
             .iter()
-            .filter(|id| self.service_images.has_last_copy(*id))
+            .filter(|id| self.service_images.has_last_copy(id))
             .cloned()
             .collect();
         for id in kept {
@@ -79,7 +79,7 @@
                 (&o.kind, &o.zone, o.spot) == (&m.kind, &m.zone, m.spot) && o.is_schedulable()
             };
             let others = self.machines.iter().filter(|(other, o)| {
-                o.idle_since.is_some() && alike(o) && !self.service_images.has_last_copy(*other)
+                o.idle_since.is_some() && alike(o) && !self.service_images.has_last_copy(other)
             });
             let Some((other, since)) = others
                 .map(|(other, o)| (other.clone(), o.idle_since))
--- a/crates/coordination/src/owner/preemption.rs
+++ b/crates/coordination/src/owner/preemption.rs
@@ -6,6 +6,26 @@
 /// start that is undone within 30 s is none to its users.
 const RECENT_START_MS: u64 = 35_000;
 
+/// An attempt that may be preempted; the greatest one is preempted first.
+#[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct PreemptionCandidate {
+    over_quota: bool,
+    priority: Priority,
+    /// It has run for longer than [`RECENT_START_MS`].
+    past_start: bool,
+    tracked_since: u64,
+    id: AttemptId,
+    need: Resources,
+}
+
+fn total_need<'a>(
+    attempts: impl Iterator<Item = (&'a AttemptId, &'a TrackedAttempt)>,
+) -> Resources {
+    attempts.fold(Resources::default(), |sum, (_, a)| {
+        sum.plus(&a.desired.need)
+    })
+}
+
 impl Owner {
     /// Preempts attempts for one that may, if that makes room for it: those over their
     /// guaranteed quota first, then the lowest priority, then those past their start,
@@ -15,73 +35,81 @@
             return false;
         };
         let desired = tracked.desired.clone();
-        let Some(m) = self
-            .machines
-            .get(&desired.machine)
-            .filter(|m| m.is_schedulable() && m.incarnation.session() > m.expired_session)
-        else {
+        let Some(victims) = self.select_victims(&desired, now) else {
             return false;
         };
+        self.placement_counts.preempted += victims.len() as u64;
+        for victim in victims {
+            self.preempt(&victim, id, desired.rank);
+            self.reevaluate_attempt(&victim, now);
+        }
+        true
+    }
+
+    /// The attempts to preempt for one; `None` if there is no room for it even so.
+    fn select_victims(&self, desired: &DesiredAttempt, now: u64) -> Option<Vec<AttemptId>> {
+        let m = self
+            .machines
+            .get(&desired.machine)
+            .filter(|m| m.is_schedulable() && m.incarnation.session() > m.expired_session)?;
         if self.has_unclaimed_tasks(m) {
-            return false;
+            return None;
         }
         // Those that are stopping make room for those that wait already.
-        let reserved = self
-            .attempts_on(&desired.machine)
-            .filter(|(_, a)| matches!(a.stage, AttemptStage::AwaitingPreemption(_)))
-            .fold(Resources::default(), |s, (_, a)| s.plus(&a.desired.need));
-        let staying = self
-            .attempts_on(&desired.machine)
-            .filter(|(_, a)| {
-                matches!(a.stage, AttemptStage::Accepted { .. }) && a.stop_grace_s().is_none()
-            })
-            .fold(Resources::default(), |s, (_, a)| s.plus(&a.desired.need));
+        let reserved = total_need(
+            self.attempts_on(&desired.machine)
+                .filter(|(_, a)| matches!(a.stage, AttemptStage::AwaitingPreemption(_))),
+        );
+        let staying = total_need(self.staying_on(&desired.machine));
         let mut free = m.capacity.minus(&reserved.plus(&staying));
-        let mut candidates: Vec<(bool, Priority, bool, u64, AttemptId, Resources)> = self
-            .attempts_on(&desired.machine)
-            .filter(|(_, a)| {
-                matches!(a.stage, AttemptStage::Accepted { .. }) && a.stop_grace_s().is_none()
-            })
+        let mut candidates: Vec<PreemptionCandidate> = self
+            .staying_on(&desired.machine)
             .filter(|(_, a)| {
                 desired
                     .evict
                     .allows(&desired.team, desired.rank, &a.desired)
             })
-            .map(|(id, a)| {
-                (
-                    a.desired.over,
-                    a.desired.rank,
-                    now > a.tracked_since + RECENT_START_MS,
-                    a.tracked_since,
-                    id.clone(),
-                    a.desired.need,
-                )
+            .map(|(id, a)| PreemptionCandidate {
+                over_quota: a.desired.over,
+                priority: a.desired.rank,
+                past_start: now > a.tracked_since + RECENT_START_MS,
+                tracked_since: a.tracked_since,
+                id: id.clone(),
+                need: a.desired.need,
             })
             .collect();
         candidates.sort_unstable();
         let mut victims = Vec::new();
         while !free.covers(&desired.need) {
-            let Some((_, _, _, _, victim, room)) = candidates.pop() else {
-                return false;
-            };
-            free = free.plus(&room);
-            victims.push(victim);
-        }
-        self.placement_counts.preempted += victims.len() as u64;
-        for victim in victims {
-            if let Some(a) = self.attempts.get_mut(&victim) {
-                info!(attempt = %victim, machine = %desired.machine, shard = self.shard, preempted_by = %id, "attempt preempted");
-                let grace = if desired.rank == Priority::Production {
-                    0
-                } else {
-                    a.desired.grace
-                };
-                a.preemption_grace_s = Some(grace);
-                a.stop_sent_at = None;
-            }
-            self.reevaluate_attempt(&victim, now);
+            let victim = candidates.pop()?;
+            free = free.plus(&victim.need);
+            victims.push(victim.id);
         }
-        true
+        Some(victims)
+    }
+
+    /// Preempts an attempt: at once for production work, else with its grace.
+    fn preempt(&mut self, victim: &AttemptId, by: &AttemptId, priority: Priority) {
+        let Some(tracked) = self.attempts.get_mut(victim) else {
+            return;
+        };
+        info!(attempt = %victim, machine = %tracked.desired.machine, shard = self.shard, preempted_by = %by, "attempt preempted");
+        let grace_s = match priority {
+            Priority::Production => 0,
+            _ => tracked.desired.grace,
+        };
+        tracked.preemption_grace_s = Some(grace_s);
+        tracked.stop_sent_at = None;
+    }
+
+    /// Accepted attempts of a machine that are not stopping.
+    fn staying_on(
+        &self,
+        machine: &MachineId,
+    ) -> impl Iterator<Item = (&AttemptId, &TrackedAttempt)> {
+        self.attempts_on(machine).filter(|(_, a)| {
+            matches!(a.stage, AttemptStage::Accepted { .. }) && a.stop_grace_s().is_none()
+        })
     }
 
     /// True if a task runs on the machine that no placer has named yet.
@@ -113,9 +141,7 @@
     /// teams run beyond their guaranteed quota.
     pub(super) fn preemptible(&self, machine: &MachineId) -> ([Resources; 3], [Resources; 3]) {
         let (mut lower, mut over) = ([Resources::default(); 3], [Resources::default(); 3]);
-        for (_, a) in self.attempts_on(machine).filter(|(_, a)| {
-            matches!(a.stage, AttemptStage::Accepted { .. }) && a.stop_grace_s().is_none()
-        }) {
+        for (_, a) in self.staying_on(machine) {
             for rank in 0..3 {
                 let below = a.desired.rank.index() > rank;
                 if below && a.desired.over {
