--- a/crates/coordination/src/config.rs
+++ b/crates/coordination/src/config.rs
@@ -98,7 +98,7 @@
             gang_wait_ms: ms(w.gang_wait_s),
             timing: Timing {
                 lease_ms: ms(w.lease_s),
-                report_ms: ms(w.report_s),
+                heartbeat_interval_ms: ms(w.report_s),
             },
             // A node of an earlier format tells of a cancellation before its
             // tasks have ended. One told right after our last word from the
--- a/crates/coordination/src/incarnation/tests.rs
+++ b/crates/coordination/src/incarnation/tests.rs
@@ -200,7 +200,7 @@
     fn new(seed: u64, lease_ms: u64) -> Self {
         let timing = Timing {
             lease_ms,
-            report_ms: 3_000,
+            heartbeat_interval_ms: 3_000,
         };
         Self {
             random: SeededRandom(seed),
--- a/crates/coordination/src/links/mod.rs
+++ b/crates/coordination/src/links/mod.rs
@@ -102,7 +102,7 @@
     pub(crate) fn new(me: u16, hosts: Vec<String>, timing: &Timing, wall_offset_ms: u64) -> Self {
         Self {
             me,
-            report_ms: timing.report_ms,
+            report_ms: timing.heartbeat_interval_ms,
             wall_offset_ms,
             store: UpstreamRoute::default(),
             cloud: UpstreamRoute::default(),
--- a/crates/coordination/src/machine.rs
+++ b/crates/coordination/src/machine.rs
@@ -30,7 +30,7 @@
     /// Lease of a worker, ms.
     pub lease_ms: u64,
     /// Time between heartbeats, ms.
-    pub report_ms: u64,
+    pub heartbeat_interval_ms: u64,
 }
 
 impl Timing {
@@ -44,7 +44,7 @@
     /// none waits for it and then tries the next controller, one that does sends the next
     /// heartbeat within an interval and a quarter. Between the two, if they lie apart.
     pub(crate) fn unanswered_after_ms(&self) -> u64 {
-        let regular = self.report_ms + self.report_ms / 4;
+        let regular = self.heartbeat_interval_ms + self.heartbeat_interval_ms / 4;
         ((regular + WORKER_PATIENCE_MS + NEXT_NODE_MS) / 2).max(regular + SILENT_SLACK_MS)
     }
 
--- a/crates/coordination/src/machine_failure_detector.rs
+++ b/crates/coordination/src/machine_failure_detector.rs
@@ -139,7 +139,7 @@
     /// Of an owner that acquires its shard now. `silent_ms`: the silence that the policy
     /// allows a machine, at least two heartbeat intervals and some slack.
     pub(crate) fn new(timing: Timing, silent_ms: u64, now: u64) -> Self {
-        let silent_ms = silent_ms.max(2 * timing.report_ms + SILENT_SLACK_MS);
+        let silent_ms = silent_ms.max(2 * timing.heartbeat_interval_ms + SILENT_SLACK_MS);
         Self {
             acquired_at: now,
             timing,
@@ -167,7 +167,7 @@
 
     /// Observes all machines again.
     pub(crate) fn observe<'a>(&mut self, machines: impl Iterator<Item = &'a Machine>, now: u64) {
-        let late_ms = self.timing.report_ms + self.timing.report_ms / 2;
+        let late_ms = self.timing.heartbeat_interval_ms + self.timing.heartbeat_interval_ms / 2;
         for zone in self.zones.values_mut() {
             zone.reset_counts();
         }
--- a/crates/coordination/src/misrouted_heartbeats.rs
+++ b/crates/coordination/src/misrouted_heartbeats.rs
@@ -35,7 +35,7 @@
     /// None yet; each counts for two heartbeat intervals.
     pub(crate) fn new(timing: &Timing) -> Self {
         Self {
-            retention_ms: 2 * timing.report_ms,
+            retention_ms: 2 * timing.heartbeat_interval_ms,
             by_shard: BTreeMap::new(),
         }
     }
--- a/crates/coordination/src/owner/maintenance.rs
+++ b/crates/coordination/src/owner/maintenance.rs
@@ -297,7 +297,7 @@
     /// True while machines may not have sent a heartbeat yet since this process was
     /// stalled.
     fn is_resuming(&self, now: u64) -> bool {
-        self.resumed_at > 0 && now < self.resumed_at + 2 * self.timing.report_ms
+        self.resumed_at > 0 && now < self.resumed_at + 2 * self.timing.heartbeat_interval_ms
     }
 
     /// Machines whose provisioning timed out are no longer counted on, the most overdue
--- a/crates/coordination/src/owner/worker_calls.rs
+++ b/crates/coordination/src/owner/worker_calls.rs
@@ -193,7 +193,7 @@
             } else if m.last_heartbeat_at.is_some() {
                 CALL_RETRY_MS
             } else {
-                2 * self.timing.report_ms
+                2 * self.timing.heartbeat_interval_ms
             };
             m.next_call_at = now + retry_ms;
         }
--- a/crates/coordination/tests/evidence.rs
+++ b/crates/coordination/tests/evidence.rs
@@ -34,7 +34,7 @@
 
 /// A successor whose placer wants one attempt on each of 40 machines, none of which has sent
 /// it a heartbeat.
-struct Day {
+struct Scenario {
     owner: Owner,
     now: u64,
     seq: u64,
@@ -42,15 +42,15 @@
     /// The state of the first attempt, with the time since when.
     ended: Option<(u64, AttemptState)>,
     have: ObservedState,
-    cloud: bool,
+    provider_answers: bool,
     /// The store answers.
-    word: bool,
+    store_answers: bool,
     /// Machines whose first session has sent a heartbeat.
-    heard: BTreeSet<usize>,
+    first_session_seen: BTreeSet<usize>,
 }
 
-impl Day {
-    fn new(cloud: bool) -> Self {
+impl Scenario {
+    fn new(provider_answers: bool) -> Self {
         let mut owner = Owner::new(
             0,
             NEXT,
@@ -60,19 +60,19 @@
             0,
         );
         owner.set_types([kind()].iter());
-        let mut day = Self {
+        let mut scenario = Self {
             owner,
             now: 0,
             seq: 0,
             released: Vec::new(),
             ended: None,
             have: ObservedState::default(),
-            cloud,
-            word: true,
-            heard: BTreeSet::new(),
+            provider_answers,
+            store_answers: true,
+            first_session_seen: BTreeSet::new(),
         };
         let wants = (0..MACHINES).map(|n| want(n as u32, n)).collect();
-        day.tell(
+        scenario.sync_placer(
             ChangeRange {
                 since: 0,
                 upto: 40,
@@ -80,10 +80,10 @@
             },
             wants,
         );
-        day
+        scenario
     }
 
-    fn tell(
+    fn sync_placer(
         &mut self,
         span: ChangeRange,
         wants: Vec<lemonweir_protocol::peer::DesiredAttempt>,
@@ -115,15 +115,15 @@
     fn pass(&mut self, until: u64, reports: impl Fn(usize) -> bool) {
         while self.now < until {
             self.now += 100;
-            if self.cloud && self.now.is_multiple_of(LIST_MS) {
+            if self.provider_answers && self.now.is_multiple_of(LIST_MS) {
                 let all: Vec<InstanceEntry> = (0..MACHINES).map(entry).collect();
                 self.owner.apply_inventory(&all, self.now);
             }
-            if self.now.is_multiple_of(TIMING.report_ms) {
+            if self.now.is_multiple_of(TIMING.heartbeat_interval_ms) {
                 for n in (0..MACHINES).filter(|&n| reports(n)) {
-                    let kept = self.heard.contains(&n) || !self.leases_are_over();
+                    let kept = self.first_session_seen.contains(&n) || !self.leases_are_over();
                     if kept {
-                        self.heard.insert(n);
+                        self.first_session_seen.insert(n);
                     }
                     let tasks = if kept {
                         vec![running_task(n)]
@@ -141,15 +141,15 @@
                     self.owner.handle_heartbeat(&said, None, self.now);
                 }
             }
-            let word = if self.word { self.now } else { 0 };
-            self.owner.tick(self.now, word);
+            let store_answer_at = if self.store_answers { self.now } else { 0 };
+            self.owner.tick(self.now, store_answer_at);
             let names = self.owner.next_releases();
             if !names.is_empty() {
                 self.released
                     .extend(names.iter().map(|id| (self.now, id.clone())));
                 self.owner.release_finished(&names, true, self.now);
             }
-            self.tell(
+            self.sync_placer(
                 ChangeRange {
                     since: 40,
                     upto: 40,
@@ -175,16 +175,16 @@
 #[test]
 fn reconnected_zone_keeps_its_machines() {
     for cut_ms in [20_000, 45_000, 60_000, 95_000] {
-        let mut day = Day::new(true);
-        day.pass(cut_ms, nobody);
+        let mut scenario = Scenario::new(true);
+        scenario.pass(cut_ms, nobody);
         // The first half is back some seconds before the rest.
-        day.pass(cut_ms + 12_000, |n| n % 2 == 0);
-        day.pass(cut_ms + 16_000, all);
-        if !day.leases_are_over() {
-            day.pass(cut_ms + 60_000, all);
-            assert_eq!(day.ended, None, "what runs is adopted");
+        scenario.pass(cut_ms + 12_000, |n| n % 2 == 0);
+        scenario.pass(cut_ms + 16_000, all);
+        if !scenario.leases_are_over() {
+            scenario.pass(cut_ms + 60_000, all);
+            assert_eq!(scenario.ended, None, "what runs is adopted");
         }
-        assert_eq!(day.released, [], "a cut of {cut_ms} ms");
+        assert_eq!(scenario.released, [], "a cut of {cut_ms} ms");
     }
 }
 
@@ -192,20 +192,20 @@
 /// record.
 #[test]
 fn partitioned_zone_is_waited_for_without_the_inventory() {
-    let mut day = Day::new(false);
-    day.pass(45_000, nobody);
-    day.pass(100_000, all);
-    assert_eq!(day.released, []);
+    let mut scenario = Scenario::new(false);
+    scenario.pass(45_000, nobody);
+    scenario.pass(100_000, all);
+    assert_eq!(scenario.released, []);
 }
 
 /// A zone that stays away is released once waiting has cost as much as new
 /// machines; one that returns a second before keeps them all.
 #[test]
 fn machines_of_a_lasting_partition_are_released_after_a_bounded_time() {
-    let mut day = Day::new(true);
-    day.pass(400_000, nobody);
-    assert_eq!(day.released.len(), MACHINES);
-    let (first, last) = (day.released[0].0, day.released[MACHINES - 1].0);
+    let mut scenario = Scenario::new(true);
+    scenario.pass(400_000, nobody);
+    assert_eq!(scenario.released.len(), MACHINES);
+    let (first, last) = (scenario.released[0].0, scenario.released[MACHINES - 1].0);
     let over = BLIND_MOST_MS + TIMING.lease_ms;
     assert!(
         first > over + 2 * 20_000,
@@ -213,25 +213,26 @@
     );
     assert!(last < over + 3 * 20_000, "{last} ms");
 
-    let mut day = Day::new(true);
-    day.pass(first - 1_000, nobody);
-    day.pass(first + 10_000, all);
-    assert_eq!(day.released, []);
+    let mut scenario = Scenario::new(true);
+    scenario.pass(first - 1_000, nobody);
+    scenario.pass(first + 10_000, all);
+    assert_eq!(scenario.released, []);
 }
 
 /// Single machines are not a zone: they are released after their lease and some seconds.
 #[test]
 fn few_silent_machines_are_released_individually() {
-    let mut day = Day::new(true);
-    day.pass(100_000, |n| n > 1);
-    let names: Vec<&MachineId> = day.released.iter().map(|(_, id)| id).collect();
+    let mut scenario = Scenario::new(true);
+    scenario.pass(100_000, |n| n > 1);
+    let names: Vec<&MachineId> = scenario.released.iter().map(|(_, id)| id).collect();
     assert_eq!(names, [&machine(0), &machine(1)]);
     assert!(
-        day.released
+        scenario
+            .released
             .iter()
             .all(|(at, _)| (15_000..50_000).contains(at)),
         "{:?}",
-        day.released
+        scenario.released
     );
 }
 
@@ -239,22 +240,26 @@
 /// that sent a heartbeat is judged by that.
 #[test]
 fn inherited_attempts_end_once_all_earlier_leases_expired() {
-    let mut day = Day::new(true);
-    day.pass(110_000, nobody);
+    let mut scenario = Scenario::new(true);
+    scenario.pass(110_000, nobody);
     let drifted = |ms: u64| ms + ms * CLOCK_DRIFT_PER_MILLE / 1_000;
     let least = drifted(BLIND_MOST_MS) + drifted(TIMING.lease_ms) + LEASE_MARGIN_MS;
-    let (at, standing) = day.ended.expect("ended");
+    let (at, standing) = scenario.ended.expect("ended");
     assert_eq!(standing, AttemptState::Gone);
     assert!(
         (least..least + 300).contains(&at),
         "at {at} ms, least {least} ms"
     );
-    assert_eq!(day.released, [], "the machine itself is still waited for");
+    assert_eq!(
+        scenario.released,
+        [],
+        "the machine itself is still waited for"
+    );
 
-    let mut day = Day::new(true);
-    day.pass(60_000, nobody);
-    day.pass(110_000, all);
-    assert_eq!(day.ended, None, "it runs on");
+    let mut scenario = Scenario::new(true);
+    scenario.pass(60_000, nobody);
+    scenario.pass(110_000, all);
+    assert_eq!(scenario.ended, None, "it runs on");
 }
 
 /// Found on apart of zeltplatz-rechen-fleet: a controller that had been stalled
@@ -262,20 +267,23 @@
 /// 3,392 attempts for ended that the successor kept alive.
 #[test]
 fn no_inherited_lease_expires_without_a_later_store_answer() {
-    let mut day = Day::new(true);
-    day.pass(12_000, all);
-    day.word = false;
-    day.pass(110_000, nobody);
-    assert_eq!(day.ended, None, "who answered them meanwhile is not known");
-    day.word = true;
-    day.pass(110_200, nobody);
-    assert_eq!(day.ended, Some((110_100, AttemptState::Gone)));
+    let mut scenario = Scenario::new(true);
+    scenario.pass(12_000, all);
+    scenario.store_answers = false;
+    scenario.pass(110_000, nobody);
+    assert_eq!(
+        scenario.ended, None,
+        "who answered them meanwhile is not known"
+    );
+    scenario.store_answers = true;
+    scenario.pass(110_200, nobody);
+    assert_eq!(scenario.ended, Some((110_100, AttemptState::Gone)));
 
-    let mut day = Day::new(true);
-    day.word = false;
-    day.pass(110_000, nobody);
+    let mut scenario = Scenario::new(true);
+    scenario.store_answers = false;
+    scenario.pass(110_000, nobody);
     assert_eq!(
-        day.ended, None,
+        scenario.ended, None,
         "the same for what earlier owners kept alive"
     );
 }
@@ -283,9 +291,9 @@
 /// A partitioned zone is published with the time until its leases have expired.
 #[test]
 fn partitioned_zones_are_published() {
-    let mut day = Day::new(true);
-    day.pass(30_000, nobody);
-    let view = day.tell(
+    let mut scenario = Scenario::new(true);
+    scenario.pass(30_000, nobody);
+    let view = scenario.sync_placer(
         ChangeRange {
             since: 40,
             upto: 40,
@@ -299,17 +307,18 @@
     assert_eq!(zone.zone, "north");
     assert!((29_000..=30_000).contains(&zone.for_ms), "{zone:?}");
     assert!((40_000..60_000).contains(&zone.over_in_ms), "{zone:?}");
-    day.pass(40_000, all);
+    scenario.pass(40_000, all);
     assert_eq!(
-        day.tell(
-            ChangeRange {
-                since: 40,
-                upto: 40,
-                last: true
-            },
-            Vec::new()
-        )
-        .hidden,
+        scenario
+            .sync_placer(
+                ChangeRange {
+                    since: 40,
+                    upto: 40,
+                    last: true
+                },
+                Vec::new()
+            )
+            .hidden,
         []
     );
 }
--- a/crates/coordination/tests/fault_attribution.rs
+++ b/crates/coordination/tests/fault_attribution.rs
@@ -44,9 +44,9 @@
 
 /// The whole history; each query walks all of it.
 #[derive(Default)]
-struct Plain(Vec<(u64, Event)>);
+struct ReferenceModel(Vec<(u64, Event)>);
 
-impl Plain {
+impl ReferenceModel {
     /// Runs that went well: job, machine, when they began, and their place in the history.
     fn runs(&self) -> impl Iterator<Item = (usize, usize, u64, usize)> + '_ {
         self.0
@@ -128,7 +128,7 @@
     /// that the event was not said to touch.
     #[test]
     fn verdicts_match_the_reference_model(events in events()) {
-        let (mut real, mut plain, mut now) = (FaultAttribution::default(), Plain::default(), 1_000_000);
+        let (mut real, mut reference, mut now) = (FaultAttribution::default(), ReferenceModel::default(), 1_000_000);
         for e in events {
             now += e.gap;
             let all = |real: &FaultAttribution| -> Vec<(Option<u32>, FaultVerdict)> {
@@ -140,12 +140,12 @@
                 Some(ms) => real.record_success(&j, &m, now.saturating_sub(ms)),
                 None => real.record_failure(&j, &m, now),
             };
-            plain.0.push((now, e));
-            for (n, (was, is)) in before.into_iter().zip(all(&real)).enumerate() {
-                prop_assert_eq!(is.0, plain.suspect(n), "job {}", n);
-                prop_assert_eq!(is.1, plain.verdict(n), "machine {}", n);
-                prop_assert!(was.0 == is.0 || touched.jobs.contains(&job(n)), "job {} was not told", n);
-                prop_assert!(was.1 == is.1 || touched.machines.contains(&support::machine(n)), "machine {} was not told", n);
+            reference.0.push((now, e));
+            for (n, (before, after)) in before.into_iter().zip(all(&real)).enumerate() {
+                prop_assert_eq!(after.0, reference.suspect(n), "job {}", n);
+                prop_assert_eq!(after.1, reference.verdict(n), "machine {}", n);
+                prop_assert!(before.0 == after.0 || touched.jobs.contains(&job(n)), "job {} was not told", n);
+                prop_assert!(before.1 == after.1 || touched.machines.contains(&support::machine(n)), "machine {} was not told", n);
             }
         }
     }
--- a/crates/coordination/tests/late_orders.rs
+++ b/crates/coordination/tests/late_orders.rs
@@ -331,7 +331,7 @@
             release_requested: false,
             starts: 0,
         };
-        simulation.take(0);
+        simulation.acquire(0);
         simulation
     }
 
@@ -351,7 +351,7 @@
     }
 
     /// What was published as ended does not run, nor will it.
-    fn check(&self) {
+    fn assert_no_ended_attempt_runs(&self) {
         // A worker that hangs past its lease resumes without tasks.
         if self.now > self.worker.lease_from + LEASE_MS {
             return;
@@ -365,7 +365,7 @@
         {
             assert!(
                 !self.published_ended.contains(id),
-                "{id} runs at {} ms and was told to be over",
+                "{id} runs at {} ms and was published as ended",
                 self.now
             );
         }
@@ -373,7 +373,7 @@
 
     // ---- the store -----------------------------------------------------------
 
-    fn take(&mut self, n: usize) {
+    fn acquire(&mut self, n: usize) {
         let now = self.now;
         let host = &mut self.hosts[n];
         if host.core.is_none()
@@ -454,7 +454,7 @@
                 && host.acquired.is_none()
                 && self.leader.as_ref() == core.cache.shards.get(&0)
             {
-                self.take(n);
+                self.acquire(n);
             }
         }
     }
@@ -580,10 +580,10 @@
                     None => CommandResult::NotSent,
                 };
                 core.command_done(p.lease, &p.call, result, now);
-                self.pump(p.host);
+                self.flush(p.host);
             }
         }
-        self.check();
+        self.assert_no_ended_attempt_runs();
     }
 
     fn report_arrives(
@@ -610,8 +610,8 @@
         {
             self.hosts[host].heard = self.hosts[host].heard.max(incarnation);
         }
-        self.note(|| format!("h{host} hears {report:?} by {by:?}, copy {copy}: {answer:?}"));
-        self.pump(host);
+        self.note(|| format!("h{host} receives {report:?} by {by:?}, copy {copy}: {answer:?}"));
+        self.flush(host);
         let answer = match answer {
             HeartbeatAnswer::Orders(reply) => Ok(reply),
             HeartbeatAnswer::Carry(to) => {
@@ -651,7 +651,7 @@
         );
     }
 
-    fn pump(&mut self, n: usize) {
+    fn flush(&mut self, n: usize) {
         let now = self.now;
         let Some(core) = self.hosts[n].running_core(now) else {
             return;
@@ -885,25 +885,25 @@
             let Ok(view) = core.sync_in(&message, now) else {
                 return;
             };
-            // An answer may be lost.
+            // A reply may be lost.
             if from != 1 || self.random.chance(10) {
                 continue;
             }
             self.open = view.machines.iter().any(|m| m.up && m.open);
             for a in view.attempts.iter().filter(|a| a.standing.ended()) {
                 if self.desired.remove(&a.id).is_some() {
-                    self.note(|| format!("h{n} tells that {} is over: {:?}", a.id, a.standing));
+                    self.note(|| format!("h{n} publishes that {} ended: {:?}", a.id, a.standing));
                 }
                 self.published_ended.insert(a.id.clone());
             }
         }
-        self.check();
-        self.pump(n);
+        self.assert_no_ended_attempt_runs();
+        self.flush(n);
     }
 
     // ---- faults ------------------------------------------------------------------
 
-    fn befall(&mut self, fault: &Fault, for_ms: u64) {
+    fn inject(&mut self, fault: &Fault, for_ms: u64) {
         let until = self.now + for_ms;
         self.note(|| format!("{fault:?} for {for_ms} ms"));
         match fault {
@@ -921,7 +921,7 @@
                 self.hosts[*n].reading = None;
             }
             Fault::SlowStore => self.slow_store_until = until,
-            Fault::Acquire(n) => self.take(*n),
+            Fault::Acquire(n) => self.acquire(*n),
             Fault::Crash(n) => {
                 let host = &mut self.hosts[*n];
                 (host.core, host.reading, host.acquired, host.restarts_at) =
@@ -990,13 +990,13 @@
                     if let Some(core) = self.hosts[n].running_core(now) {
                         core.set_clock(now, DAY_MS + now);
                     }
-                    self.pump(n);
+                    self.flush(n);
                 }
             }
             if now.is_multiple_of(500) {
                 self.place();
             }
-            self.check();
+            self.assert_no_ended_attempt_runs();
         }
     }
 }
@@ -1040,10 +1040,10 @@
     let mut simulation = Simulation::new(seed);
     simulation.pass(5_000);
     for (fault, for_ms, then_ms) in steps {
-        simulation.befall(fault, *for_ms);
+        simulation.inject(fault, *for_ms);
         simulation.pass(*then_ms);
     }
-    simulation.befall(&Fault::Quiet, 0);
+    simulation.inject(&Fault::Quiet, 0);
     simulation
 }
 
@@ -1099,7 +1099,7 @@
     }
     assert!(
         starts > 500 && published_ended > 500,
-        "{starts} starts, {published_ended} told to be over"
+        "{starts} starts, {published_ended} published as ended"
     );
     assert!(
         kept > 20 && used == kept,
@@ -1111,7 +1111,7 @@
 
 const BASE: u64 = TOKEN << FENCE_BITS;
 
-fn tell(
+fn sync_placer(
     owner: &mut Owner,
     seq: u64,
     wants: Vec<DesiredAttempt>,
@@ -1152,7 +1152,7 @@
             .is_some()
     );
     owner.tick(3_100, 3_100);
-    tell(&mut owner, 1, vec![want(0, 0)], 3_200);
+    sync_placer(&mut owner, 1, vec![want(0, 0)], 3_200);
     // It is back, and counts from the start.
     let first = owner
         .handle_heartbeat(
@@ -1164,20 +1164,23 @@
             3_300,
         )
         .expect("answered");
-    assert!(first.token > BASE, "only the new life will show this one");
-    let question = owner.due_calls(3_310, 4).pop().expect("it is asked");
     assert!(
-        question.commands.orders.is_empty(),
+        first.token > BASE,
+        "only the new incarnation will show this one"
+    );
+    let query = owner.due_calls(3_310, 4).pop().expect("it is asked");
+    assert!(
+        query.commands.orders.is_empty(),
         "nothing is started on what may be another"
     );
-    owner.handle_call_result(&question, CommandResult::NotSent, 3_320);
+    owner.handle_call_result(&query, CommandResult::NotSent, 3_320);
     // What the earlier incarnation said last comes now.
     let late = before(60, vec![running_task(0)]);
     assert!(owner.handle_heartbeat(&late, None, 3_400).is_some());
-    let told = tell(&mut owner, 2, vec![want(0, 0)], 3_450);
+    let published = sync_placer(&mut owner, 2, vec![want(0, 0)], 3_450);
     assert!(
-        told.iter().all(|(_, s)| *s == AttemptState::Accepted),
-        "that is not believed: {told:?}"
+        published.iter().all(|(_, s)| *s == AttemptState::Accepted),
+        "that proves nothing: {published:?}"
     );
     let mut token = first.token;
     for seq in 2..5 {
@@ -1191,7 +1194,7 @@
             .token;
     }
     owner.tick(6_000, 6_000);
-    tell(&mut owner, 3, vec![want(0, 0)], 6_000);
+    sync_placer(&mut owner, 3, vec![want(0, 0)], 6_000);
     let start = owner.due_calls(6_000, 4).pop().expect("a start");
     assert_eq!(
         (start.commands.session, start.commands.orders.len()),
@@ -1203,7 +1206,7 @@
 #[test]
 fn copy_of_a_first_heartbeat_costs_one_query() {
     let mut owner = fleet(1);
-    tell(&mut owner, 1, vec![want(0, 0)], 20);
+    sync_placer(&mut owner, 1, vec![want(0, 0)], 20);
     let start = owner.due_calls(20, 4).pop().expect("a start");
     let seen = |seq, token| Heartbeat {
         token,
@@ -1225,15 +1228,15 @@
             .is_some(),
         "a copy"
     );
-    let question = owner.due_calls(5_000, 4).pop().expect("a question");
+    let query = owner.due_calls(5_000, 4).pop().expect("a question");
     owner.handle_call_result(
-        &question,
-        CommandResult::Executed(seen(4, question.commands.token)),
+        &query,
+        CommandResult::Executed(seen(4, query.commands.token)),
         5_020,
     );
     assert!(owner.due_calls(5_100, 4).is_empty());
-    let told = tell(&mut owner, 2, vec![want(0, 0)], 5_100);
-    assert_eq!(told, [(want(0, 0).id, AttemptState::Running)]);
+    let published = sync_placer(&mut owner, 2, vec![want(0, 0)], 5_100);
+    assert_eq!(published, [(want(0, 0).id, AttemptState::Running)]);
 }
 
 /// Drawn by an earlier form of the histories above: a machine came back unheard, its new incarnation took a start whose
@@ -1243,7 +1246,7 @@
     let mut owner = fleet(1);
     assert!(owner.handle_heartbeat(&report(0, 2), None, 3_000).is_some());
     owner.tick(3_100, 3_100);
-    tell(&mut owner, 1, vec![want(0, 0)], 6_000);
+    sync_placer(&mut owner, 1, vec![want(0, 0)], 6_000);
     let start = owner.due_calls(6_000, 4).pop().expect("a start");
     // The new incarnation took it; its lease ends at 20 s.
     owner.handle_call_result(&start, CommandResult::Unknown, 8_500);
@@ -1251,7 +1254,7 @@
     for step in 2u64..400 {
         let now = 8_500 + step * 100;
         owner.tick(now, now);
-        let ended = tell(&mut owner, step, vec![want(0, 0)], now)
+        let ended = sync_placer(&mut owner, step, vec![want(0, 0)], now)
             .iter()
             .any(|(_, s)| s.ended());
         over_at = over_at.or(ended.then_some(now));
@@ -1263,7 +1266,7 @@
 /// An owner whose start of task 0 is of unknown outcome since 2.6 s, and that call's token.
 fn with_a_lost_start() -> (Owner, u64) {
     let mut owner = fleet(1);
-    tell(&mut owner, 1, vec![want(0, 0)], 20);
+    sync_placer(&mut owner, 1, vec![want(0, 0)], 20);
     let start = owner.due_calls(20, 4).pop().expect("a start");
     owner.handle_call_result(&start, CommandResult::Unknown, 2_600);
     (owner, start.commands.token)
@@ -1276,8 +1279,10 @@
     }
 }
 
-fn ended(told: &[(AttemptId, AttemptState)], n: u32) -> bool {
-    told.iter().any(|(id, s)| *id == want(n, 0).id && s.ended())
+fn ended(published: &[(AttemptId, AttemptState)], n: u32) -> bool {
+    published
+        .iter()
+        .any(|(id, s)| *id == want(n, 0).id && s.ended())
 }
 
 /// A start that was delayed arrives after a second one of the same attempt ran, ended
@@ -1310,8 +1315,11 @@
             .handle_heartbeat(&said(3, first), None, 6_600)
             .is_some()
     );
-    assert!(ended(&tell(&mut owner, 2, vec![want(0, 0)], 6_700), 0));
-    tell(&mut owner, 3, Vec::new(), 6_800);
+    assert!(ended(
+        &sync_placer(&mut owner, 2, vec![want(0, 0)], 6_700),
+        0
+    ));
+    sync_placer(&mut owner, 3, Vec::new(), 6_800);
     // The only placer wants nothing more; the lost start alone keeps it.
     let reply = owner
         .handle_heartbeat(&said(4, first), None, 9_600)
@@ -1337,7 +1345,7 @@
         .expect("it is started again");
     owner.handle_call_result(&again, CommandResult::NotSent, 4_100);
     assert!(
-        !ended(&tell(&mut owner, 2, vec![stopped(0)], 4_200), 0),
+        !ended(&sync_placer(&mut owner, 2, vec![stopped(0)], 4_200), 0),
         "the first may arrive"
     );
     let token = owner
@@ -1345,7 +1353,7 @@
         .expect("answered")
         .token;
     assert!(
-        !ended(&tell(&mut owner, 3, vec![stopped(0)], 4_400), 0),
+        !ended(&sync_placer(&mut owner, 3, vec![stopped(0)], 4_400), 0),
         "and still"
     );
     assert!(
@@ -1361,7 +1369,7 @@
             .is_some()
     );
     assert!(
-        ended(&tell(&mut owner, 4, vec![stopped(0)], 5_000), 0),
+        ended(&sync_placer(&mut owner, 4, vec![stopped(0)], 5_000), 0),
         "now it is refused"
     );
 }
@@ -1379,15 +1387,15 @@
         reply.orders.iter().any(|o| o.verb == CommandKind::Launch),
         "{reply:?}"
     );
-    tell(&mut owner, 2, vec![stopped(0), want(1, 0)], 3_000);
+    sync_placer(&mut owner, 2, vec![stopped(0), want(1, 0)], 3_000);
     for now in (3_000..6_700).step_by(100) {
         assert!(
             owner.due_calls(now, 4).is_empty(),
-            "its answer would show task 0 absent"
+            "its reply would show task 0 absent"
         );
     }
     assert!(!ended(
-        &tell(&mut owner, 3, vec![stopped(0), want(1, 0)], 6_700),
+        &sync_placer(&mut owner, 3, vec![stopped(0), want(1, 0)], 6_700),
         0
     ));
     owner
@@ -1401,7 +1409,7 @@
         )
         .expect("answered");
     assert!(ended(
-        &tell(&mut owner, 4, vec![stopped(0), want(1, 0)], 6_900),
+        &sync_placer(&mut owner, 4, vec![stopped(0), want(1, 0)], 6_900),
         0
     ));
 }
@@ -1422,7 +1430,7 @@
         .expect("answered")
         .token;
     assert!(
-        !ended(&tell(&mut owner, 1, vec![stopped(0)], 3_100), 0),
+        !ended(&sync_placer(&mut owner, 1, vec![stopped(0)], 3_100), 0),
         "an earlier owner may have started it"
     );
     owner
@@ -1435,7 +1443,10 @@
             3_500,
         )
         .expect("answered");
-    assert!(ended(&tell(&mut owner, 2, vec![stopped(0)], 3_600), 0));
+    assert!(ended(
+        &sync_placer(&mut owner, 2, vec![stopped(0)], 3_600),
+        0
+    ));
 }
 
 /// A machine sends heartbeats and never shows this owner's token: what earlier owners kept
@@ -1452,7 +1463,7 @@
         0,
     );
     owner.set_types([kind()].iter());
-    tell(&mut owner, 1, vec![want(0, 0)], 10);
+    sync_placer(&mut owner, 1, vec![want(0, 0)], 10);
     let said = Heartbeat {
         token: (TOKEN - 1) << FENCE_BITS,
         tasks: vec![running_task(0)],
@@ -1462,11 +1473,14 @@
     owner.tick(80_000, 80_000);
     assert!(TIMING.inherited_lease_expiry_ms() < 80_000);
     assert!(
-        !ended(&tell(&mut owner, 2, vec![want(0, 0)], 80_000), 0),
+        !ended(&sync_placer(&mut owner, 2, vec![want(0, 0)], 80_000), 0),
         "its lease may run until 84 s"
     );
     owner.tick(85_000, 85_000);
-    assert!(ended(&tell(&mut owner, 3, vec![want(0, 0)], 85_000), 0));
+    assert!(ended(
+        &sync_placer(&mut owner, 3, vec![want(0, 0)], 85_000),
+        0
+    ));
 }
 
 /// A worker that has seen a later owner would drop the reply, and be kept here by it.
@@ -1482,6 +1496,6 @@
         owner
             .handle_heartbeat(&report(0, 10), None, 3_100)
             .is_some(),
-        "and the report told nothing"
+        "and the heartbeat proved nothing"
     );
 }
--- a/crates/coordination/tests/sessions.rs
+++ b/crates/coordination/tests/sessions.rs
@@ -15,28 +15,29 @@
 #[test]
 fn session_shown_by_a_call_has_a_lease_from_its_begin() {
     let mut owner = fleet(1);
-    let tell = |owner: &mut lemonweir_coordination::owner::Owner, seq, since, upto, wants, now| {
-        owner
-            .sync(
-                &sync(
-                    seq,
-                    ChangeRange {
-                        since,
-                        upto,
-                        last: true,
-                    },
-                    wants,
-                    ObservedState::default(),
-                ),
-                ROOM,
-                now,
-            )
-            .expect("taken")
-    };
+    let sync_placer =
+        |owner: &mut lemonweir_coordination::owner::Owner, seq, since, upto, wants, now| {
+            owner
+                .sync(
+                    &sync(
+                        seq,
+                        ChangeRange {
+                            since,
+                            upto,
+                            last: true,
+                        },
+                        wants,
+                        ObservedState::default(),
+                    ),
+                    ROOM,
+                    now,
+                )
+                .expect("taken")
+        };
     // Replied to, but the reply is lost.
     assert!(owner.handle_heartbeat(&report(0, 3), None, 3_000).is_some());
     // The lease ends at 14 s. The next start meets the new session.
-    tell(&mut owner, 1, 0, 1, vec![want(0, 0)], 14_500);
+    sync_placer(&mut owner, 1, 0, 1, vec![want(0, 0)], 14_500);
     let call = owner.due_calls(14_500, 1).pop().expect("a call");
     let base = TOKEN << FENCE_BITS;
     let second = |seq, tasks| Heartbeat {
@@ -58,7 +59,7 @@
     );
     for now in (16_100..28_000).step_by(100) {
         owner.tick(now, now);
-        let view = tell(&mut owner, now, 1, 1, Vec::new(), now);
+        let view = sync_placer(&mut owner, now, 1, 1, Vec::new(), now);
         let ended = view.attempts.iter().find(|a| a.standing.ended());
         assert!(
             ended.is_none(),
@@ -68,7 +69,7 @@
     for now in (28_000..32_000).step_by(100) {
         owner.tick(now, now);
     }
-    let view = tell(&mut owner, 40_000, 1, 1, Vec::new(), 32_000);
+    let view = sync_placer(&mut owner, 40_000, 1, 1, Vec::new(), 32_000);
     assert!(
         view.attempts.iter().any(|a| a.standing.ended()),
         "and no longer: {:?}",
--- a/crates/coordination/tests/support/mod.rs
+++ b/crates/coordination/tests/support/mod.rs
@@ -18,7 +18,7 @@
 
 pub const TIMING: Timing = Timing {
     lease_ms: 14_000,
-    report_ms: 3_000,
+    heartbeat_interval_ms: 3_000,
 };
 pub const TOKEN: u64 = 40;
 
--- a/crates/coordination/tests/worker_sessions.rs
+++ b/crates/coordination/tests/worker_sessions.rs
@@ -21,21 +21,21 @@
     token: u64,
     now: u64,
     state: u64,
-    strays: u32,
-    seqs: Vec<u64>,
+    misrouted: u32,
+    numbers: Vec<u64>,
     tokens: Vec<u64>,
 }
 
 impl ShardUnderTest {
     fn new(machines: usize) -> Self {
-        let (seqs, tokens) = (vec![1; machines], vec![BASE; machines]);
+        let (numbers, tokens) = (vec![1; machines], vec![BASE; machines]);
         Self {
             owner: fleet(machines),
             token: TOKEN,
             now: 20,
             state: 0,
-            strays: 0,
-            seqs,
+            misrouted: 0,
+            numbers,
             tokens,
         }
     }
@@ -54,7 +54,7 @@
         self.owner.set_types([kind()].iter());
     }
 
-    fn tell(&mut self, wants: Vec<DesiredAttempt>) -> ShardView {
+    fn sync_placer(&mut self, wants: Vec<DesiredAttempt>) -> ShardView {
         self.state += 1;
         let span = ChangeRange {
             since: 0,
@@ -62,10 +62,10 @@
             last: true,
         };
         // Nothing is released for being empty.
-        let keep = (0..self.seqs.len()).map(machine).collect();
+        let keep = (0..self.numbers.len()).map(machine).collect();
         let message = SyncRequest {
             keep,
-            strays: self.strays,
+            strays: self.misrouted,
             to_token: self.token,
             ..sync(self.state, span, wants, ObservedState::default())
         };
@@ -73,7 +73,7 @@
     }
 
     fn view(&mut self, n: usize, wants: Vec<DesiredAttempt>) -> Option<MachineView> {
-        self.tell(wants)
+        self.sync_placer(wants)
             .machines
             .into_iter()
             .find(|m| m.id == machine(n))
@@ -90,15 +90,15 @@
 
     /// A heartbeat of a machine; it applies the reply if that reaches it.
     fn report(&mut self, n: usize, by: Option<u16>, reaches: bool, tasks: Vec<TaskStatus>) {
-        self.seqs[n] += 1;
-        let said = Heartbeat {
+        self.numbers[n] += 1;
+        let heartbeat = Heartbeat {
             token: self.tokens[n],
             tasks,
-            ..report(n, self.seqs[n])
+            ..report(n, self.numbers[n])
         };
         let reply = self
             .owner
-            .handle_heartbeat(&said, by, self.now)
+            .handle_heartbeat(&heartbeat, by, self.now)
             .expect("answered");
         if reaches {
             self.tokens[n] = self.tokens[n].max(reply.token);
@@ -113,7 +113,7 @@
     }
 }
 
-fn standing(view: &ShardView, n: u32) -> Option<AttemptState> {
+fn attempt_state(view: &ShardView, n: u32) -> Option<AttemptState> {
     view.attempts
         .iter()
         .find(|a| a.id == want(n, 0).id)
@@ -157,7 +157,7 @@
         kill: Some(0),
         ..want(0, 0)
     };
-    shard.tell(vec![stopped.clone()]);
+    shard.sync_placer(vec![stopped.clone()]);
     for _ in 0..3 {
         let Some(call) = shard.call() else { break };
         assert!(
@@ -168,19 +168,19 @@
             "a withdrawal is told by call"
         );
         shard.tokens[0] = shard.tokens[0].max(call.commands.token);
-        shard.seqs[0] += 1;
-        let said = Heartbeat {
+        shard.numbers[0] += 1;
+        let heartbeat = Heartbeat {
             token: shard.tokens[0],
-            ..report(0, shard.seqs[0])
+            ..report(0, shard.numbers[0])
         };
         shard.now += 20;
         shard
             .owner
-            .handle_call_result(&call, CommandResult::Executed(said), shard.now);
+            .handle_call_result(&call, CommandResult::Executed(heartbeat), shard.now);
         assert!(!shard.open(0));
     }
     assert_eq!(
-        standing(&shard.tell(vec![stopped]), 0),
+        attempt_state(&shard.sync_placer(vec![stopped]), 0),
         Some(AttemptState::Gone)
     );
 }
@@ -194,13 +194,13 @@
         go: false,
         ..want(0, 0)
     };
-    shard.tell(vec![member.clone()]);
+    shard.sync_placer(vec![member.clone()]);
     shard.pass(3_000);
     shard.report(0, None, false, Vec::new());
     shard.pass(8_050);
     shard.report(0, Some(1), false, Vec::new());
     assert_eq!(
-        standing(&shard.tell(vec![member.clone()]), 0),
+        attempt_state(&shard.sync_placer(vec![member.clone()]), 0),
         Some(AttemptState::Accepted),
         "it may have been one lost answer"
     );
@@ -208,10 +208,10 @@
     shard.pass(13_100);
     shard.report(0, Some(2), false, Vec::new());
     assert_eq!(
-        standing(&shard.tell(vec![member.clone()]), 0),
+        attempt_state(&shard.sync_placer(vec![member.clone()]), 0),
         Some(AttemptState::Gone)
     );
-    shard.tell(vec![DesiredAttempt { go: true, ..member }]);
+    shard.sync_placer(vec![DesiredAttempt { go: true, ..member }]);
     assert!(shard.call().is_none_or(|c| c.commands.orders.is_empty()));
 }
 
@@ -228,8 +228,8 @@
                 shard.report(n, deaf.then_some(1 + (round % 2) as u16), !deaf, Vec::new());
             }
         }
-        shard.strays = 60;
-        shard.tell(Vec::new());
+        shard.misrouted = 60;
+        shard.sync_placer(Vec::new());
         assert!(!shard.owner.is_unreachable(shard.now), "round {round}");
     }
     assert_eq!((0..60).filter(|n| shard.open(*n)).count(), 20);
@@ -263,7 +263,7 @@
             }
         };
         shard.pass(3 * TIMING.lease_ms);
-        shard.tell(wants());
+        shard.sync_placer(wants());
         assert!(
             shard
                 .owner
@@ -285,7 +285,7 @@
                     .owner
                     .handle_call_result(&call, CommandResult::NotSent, shard.now);
             }
-            let view = shard.tell(wants());
+            let view = shard.sync_placer(wants());
             assert!(
                 view.machines.iter().all(|m| !m.up && !m.leaving),
                 "{:?}",
@@ -322,8 +322,8 @@
 #[test]
 fn replayed_heartbeats_in_any_order_change_nothing() {
     let mut shard = ShardUnderTest::new(1);
-    shard.tell(vec![want(0, 0)]);
-    let mut said = Vec::new();
+    shard.sync_placer(vec![want(0, 0)]);
+    let mut heartbeat = Vec::new();
     let done = TaskStatus {
         phase: TaskPhase::Exited,
         cause: Some("done".into()),
@@ -338,26 +338,26 @@
         };
         // Before its start it is not there.
         let tasks = if k < 5 { Vec::new() } else { tasks };
-        said.push(Heartbeat {
+        heartbeat.push(Heartbeat {
             token: shard.tokens[0],
             tasks: tasks.clone(),
-            ..report(0, shard.seqs[0] + 1)
+            ..report(0, shard.numbers[0] + 1)
         });
         shard.report(0, None, true, tasks);
-        shard.tell(vec![want(0, 0)]);
+        shard.sync_placer(vec![want(0, 0)]);
     }
     assert_eq!(
-        standing(&shard.tell(vec![want(0, 0)]), 0),
+        attempt_state(&shard.sync_placer(vec![want(0, 0)]), 0),
         Some(AttemptState::Exited(ExitCause::Done))
     );
     let mut order: Vec<usize> = (0..40).collect();
     order.sort_by_key(|k| k * 7_919 % 41);
     for &k in &order {
         shard.now += 10;
-        shard.owner.handle_heartbeat(&said[k], None, shard.now);
+        shard.owner.handle_heartbeat(&heartbeat[k], None, shard.now);
         assert!(shard.view(0, vec![want(0, 0)]).is_some_and(|m| m.open));
         assert_eq!(
-            standing(&shard.tell(vec![want(0, 0)]), 0),
+            attempt_state(&shard.sync_placer(vec![want(0, 0)]), 0),
             Some(AttemptState::Exited(ExitCause::Done))
         );
     }
@@ -367,10 +367,10 @@
         assert!(
             shard
                 .owner
-                .handle_heartbeat(&said[k], None, shard.now)
+                .handle_heartbeat(&heartbeat[k], None, shard.now)
                 .is_some()
         );
-        let view = shard.tell(vec![want(0, 0)]);
+        let view = shard.sync_placer(vec![want(0, 0)]);
         assert!(
             view.attempts.is_empty(),
             "not judged from copies: {:?}",
@@ -381,7 +381,7 @@
     shard.report(0, None, true, vec![done.clone()]);
     shard.report(0, None, true, vec![done]);
     assert_eq!(
-        standing(&shard.tell(vec![want(0, 0)]), 0),
+        attempt_state(&shard.sync_placer(vec![want(0, 0)]), 0),
         Some(AttemptState::Exited(ExitCause::Done))
     );
 }
@@ -392,8 +392,8 @@
 fn restarted_worker_is_confirmed_by_its_second_heartbeat() {
     for (session, dead) in [(1, false), (3, false), (1, true)] {
         let mut shard = ShardUnderTest::new(1);
-        shard.tell(vec![want(0, 0)]);
-        shard.seqs[0] = 80;
+        shard.sync_placer(vec![want(0, 0)]);
+        shard.numbers[0] = 80;
         shard.pass(3_000);
         let before = |seq| Heartbeat {
             session,
@@ -408,7 +408,7 @@
                 .is_some()
         );
         assert_eq!(
-            standing(&shard.tell(vec![want(0, 0)]), 0),
+            attempt_state(&shard.sync_placer(vec![want(0, 0)]), 0),
             Some(AttemptState::Running)
         );
         shard.pass(if dead { 20_000 } else { 10_000 });
@@ -431,7 +431,7 @@
             .expect("answered");
         shard.pass(shard.now + 100);
         assert_eq!(
-            standing(&shard.tell(vec![want(0, 0)]), 0),
+            attempt_state(&shard.sync_placer(vec![want(0, 0)]), 0),
             Some(AttemptState::Gone),
             "session {session}, dead {dead}"
         );
@@ -444,7 +444,7 @@
         shard.owner.handle_heartbeat(&before(90), None, shard.now);
         assert!(
             shard
-                .tell(vec![want(0, 0)])
+                .sync_placer(vec![want(0, 0)])
                 .attempts
                 .iter()
                 .all(|a| a.standing == AttemptState::Gone)
@@ -456,7 +456,7 @@
             },
             ..want(0, 0)
         };
-        shard.tell(vec![next]);
+        shard.sync_placer(vec![next]);
         let call = shard.call().expect("a start");
         assert_eq!((call.commands.session, call.commands.orders.len()), (1, 1));
         assert!(call.commands.token > token - 1);
@@ -474,11 +474,11 @@
 #[test]
 fn call_response_shows_a_new_incarnation() {
     let mut shard = ShardUnderTest::new(1);
-    shard.tell(vec![want(0, 0)]);
+    shard.sync_placer(vec![want(0, 0)]);
     shard.pass(3_000);
-    shard.seqs[0] = 50;
+    shard.numbers[0] = 50;
     shard.report(0, None, true, vec![running_task(0)]);
-    shard.tell(vec![DesiredAttempt {
+    shard.sync_placer(vec![DesiredAttempt {
         kill: Some(0),
         ..want(0, 0)
     }]);
@@ -498,7 +498,7 @@
         shard.now,
     );
     assert_eq!(
-        standing(&shard.tell(vec![want(0, 0)]), 0),
+        attempt_state(&shard.sync_placer(vec![want(0, 0)]), 0),
         Some(AttemptState::Gone)
     );
 }
@@ -508,11 +508,11 @@
 #[test]
 fn launch_on_a_new_machine_waits_for_a_later_store_answer() {
     let mut shard = ShardUnderTest::new(0);
-    (shard.seqs, shard.tokens) = (vec![0], vec![BASE]);
+    (shard.numbers, shard.tokens) = (vec![0], vec![BASE]);
     shard.pass(5_000);
     shard.now = 5_050;
     shard.report(0, None, true, Vec::new());
-    shard.tell(vec![want(0, 0)]);
+    shard.sync_placer(vec![want(0, 0)]);
     assert!(shard.call().is_none(), "the last reading began before");
     shard.now = 5_200;
     shard.owner.tick(5_200, 5_040);
@@ -538,7 +538,7 @@
             shard.report(n, None, false, vec![running_task(n)]);
         }
     }
-    shard.tell(all.clone());
+    shard.sync_placer(all.clone());
     let calls = shard.owner.due_calls(shard.now, 100);
     assert_eq!(calls.len(), UNREACHABLE_CALLS_MAX, "no more at a time");
     let gone: Vec<_> = calls.iter().map(|c| c.machine.clone()).collect();
@@ -548,7 +548,7 @@
             .owner
             .handle_call_result(call, CommandResult::Unknown, shard.now);
     }
-    shard.tell(all);
+    shard.sync_placer(all);
     let rest = shard.owner.due_calls(shard.now, 100);
     assert_eq!(
         rest.len(),
