--- a/crates/coordination/src/owner/mod.rs
+++ b/crates/coordination/src/owner/mod.rs
@@ -107,16 +107,19 @@
 /// The owner of a shard. All times are ms of the steady clock that callers pass in.
 pub struct Owner {
     shard: u16,
+    /// Fencing token of the shard's lease.
     token: u64,
     acquired_at: u64,
     timing: Timing,
     policy: Policy,
+    /// Number of shards, each with one placer.
     shards: u16,
     catalog: MachineCatalog,
     machines: BTreeMap<MachineId, Machine>,
     attempts: HashMap<AttemptId, TrackedAttempt>,
     /// Tracked attempts of each machine, so that nothing walks all of them.
     attempts_by_machine: HashMap<MachineId, BTreeSet<AttemptId>>,
+    /// By the shard of the placer.
     placers: BTreeMap<u16, PlacerSession>,
     /// Published state of the machines.
     machine_views: ChangeLog<MachineId, MachineView>,
--- a/crates/coordination/src/owner/orphaned_grants.rs
+++ b/crates/coordination/src/owner/orphaned_grants.rs
@@ -37,32 +37,32 @@
     /// the gang, and one that comes later learns that the grant is gone and releases the
     /// rest. What was launched, or may have been, ends by its machine's proof alone.
     pub(super) fn release_orphaned_grants(&mut self, now: u64) {
-        let due = |a: &PlacerSession| a.lease_lost_at.is_some_and(|at| now >= at + ORPHAN_ROOM_MS);
-        let lost: BTreeSet<u16> = self
+        let due = |p: &PlacerSession| p.lease_lost_at.is_some_and(|at| now >= at + ORPHAN_ROOM_MS);
+        let superseded: BTreeSet<u16> = self
             .placers
             .iter()
-            .filter(|(_, a)| due(a))
+            .filter(|(_, placer)| due(placer))
             .map(|(shard, _)| *shard)
             .collect();
-        if lost.is_empty() {
+        if superseded.is_empty() {
             return;
         }
-        let unused = |h: &TrackedAttempt| {
-            !h.desired.go
+        let unused = |a: &TrackedAttempt| {
+            !a.desired.go
                 && matches!(
-                    h.stage,
+                    a.stage,
                     AttemptStage::AwaitingPreemption(_) | AttemptStage::NOT_LAUNCHED
                 )
         };
-        let reported = |id: &AttemptId, h: &TrackedAttempt| {
+        let reported = |id: &AttemptId, a: &TrackedAttempt| {
             self.machines
-                .get(&h.desired.machine)
+                .get(&a.desired.machine)
                 .is_some_and(|m| m.tasks.contains_key(id))
         };
         let orphans: Vec<AttemptId> = self
             .attempts
             .iter()
-            .filter(|(id, h)| lost.contains(&h.from) && unused(h) && !reported(id, h))
+            .filter(|(id, a)| superseded.contains(&a.from) && unused(a) && !reported(id, a))
             .map(|(id, _)| id.clone())
             .collect();
         for id in orphans {
