--- a/crates/coordination/src/heartbeats.rs
+++ b/crates/coordination/src/heartbeats.rs
@@ -4,6 +4,7 @@
 use tracing::warn;
 
 use crate::links::{MisroutedHeartbeat, MisroutedHeartbeatAction};
+use crate::misrouted_heartbeats::MisroutedArrival;
 use crate::owner::{CommandCall, CommandResult};
 use crate::{Core, HeartbeatAnswer, ShardLease, incarnation, worker_lease};
 use lemonweir_model::constants::*;
@@ -24,7 +25,7 @@
             .note(now, format!("this controller stood still for {gap} ms"));
         self.links.stood_still(gap, now);
         for shard in self.shards.values_mut() {
-            shard.owner.stood_still(gap, now);
+            shard.owner.handle_stall(gap, now);
         }
     }
 
@@ -50,12 +51,15 @@
         }
         if let Some(shard) = self.shards.get(&shard) {
             self.links
-                .came(&report.zone, known && shard.owner.is_news(report), now);
+                .came(&report.zone, known && shard.owner.is_current(report), now);
         }
         if self.shards.contains_key(&shard) {
             return self.answer_report(report, shard, None, now);
         }
-        let (again, news) = self.links.strays.came(
+        let MisroutedArrival {
+            repeated: again,
+            is_new: news,
+        } = self.links.strays.record(
             shard,
             &report.machine,
             incarnation::MessageSequence::of(report),
@@ -93,7 +97,7 @@
     /// the store yet.
     pub(crate) fn keep_promise(&self, report: &Heartbeat, now: u64) -> HeartbeatAnswer {
         let wall = now + self.config.wall_offset_ms;
-        match worker_lease::kept_until(report.token, wall, self.config.clock_off_ms) {
+        match worker_lease::renewable_until(report.token, wall, self.config.clock_off_ms) {
             Some(until) if wall <= until => HeartbeatAnswer::Orders(HeartbeatResponse {
                 token: report.token,
                 orders: Vec::new(),
@@ -139,11 +143,11 @@
         match self.shards.get_mut(&shard) {
             Some(shard) if !blind => {
                 if let Some(began) = began.filter(|_| at_home) {
-                    shard.owner.promise(&report.machine, began, now);
+                    shard.owner.renew_worker_lease(&report.machine, began, now);
                 }
                 shard
                     .owner
-                    .report(report, by, now)
+                    .handle_heartbeat(report, by, now)
                     .map_or(HeartbeatAnswer::Unable, HeartbeatAnswer::Orders)
             }
             _ => HeartbeatAnswer::Unable,
@@ -190,7 +194,7 @@
     ) {
         self.calls = self.calls.saturating_sub(1);
         if let Some(shard) = self.shard(lease) {
-            shard.owner.call_done(call, result, now);
+            shard.owner.handle_call_result(call, result, now);
         }
     }
 }
--- a/crates/coordination/src/machine.rs
+++ b/crates/coordination/src/machine.rs
@@ -1,151 +1,172 @@
-//! A machine as its owner knows it, and the times that bound what follows from
-//! its silence.
+//! A machine as the owner of its shard knows it, and the times that bound what follows
+//! from its silence.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-use crate::incarnation::WorkerIncarnation;
-use lemonweir_model::constants::*;
+use crate::incarnation::{Origin, WorkerIncarnation};
+use lemonweir_model::constants::{
+    BLIND_MOST_MS, NEXT_NODE_MS, SILENT_SLACK_MS, TRIAL_MS, WORKER_PATIENCE_MS,
+};
 use lemonweir_model::{AttemptId, Resources};
 use lemonweir_protocol::peer::ExitCause;
 use lemonweir_protocol::worker::TaskPhase;
 
+/// Parts per thousand by which two steady clocks may differ: twice the 0.05 % of the
+/// protocol page, since both sides may be off, rounded up.
+pub const CLOCK_DRIFT_PER_MILLE: u64 = 2;
+/// ms added to a lease before it counts as expired: timers fire late by a few ms, and the
+/// reply that renewed the lease took time to be written.
+pub const LEASE_MARGIN_MS: u64 = 700;
+/// Images remembered of each machine; a worker keeps its most recently used ones.
+const IMAGES_PER_MACHINE: usize = 24;
+/// Quarantine trials that must fail for an idle machine to be released though nothing says
+/// that its jobs run elsewhere.
+const QUARANTINE_TRIALS_MAX: u32 = 2;
+
 /// Times that bound the owner's proofs, from the settings.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
     /// Lease of a worker, ms.
     pub lease_ms: u64,
-    /// Time between reports, ms.
-    pub report_ms: u64,
+    /// Time between heartbeats, ms.
+    pub heartbeat_interval_ms: u64,
 }
 
 impl Timing {
-    /// ms after our last answer from which on a lease has surely run out,
-    /// whatever the drift of the clocks.
-    pub fn dead_after_ms(&self) -> u64 {
-        self.lease_ms + self.lease_ms * DRIFT_PER_MILLE / 1000 + LEASE_MARGIN_MS
+    /// ms after our last reply from which on a lease has surely expired, whatever the drift
+    /// of the clocks.
+    pub fn lease_expiry_ms(&self) -> u64 {
+        self.lease_ms + self.lease_ms * CLOCK_DRIFT_PER_MILLE / 1000 + LEASE_MARGIN_MS
     }
 
-    /// ms between two reports from which on the first was not answered: a worker
-    /// that gets no answer waits for it and then tries the next controller, one that
-    /// does reports within an interval and a quarter. Between the two, if they lie
-    /// apart.
-    pub(crate) fn unanswered_ms(&self) -> u64 {
-        let regular = self.report_ms + self.report_ms / 4;
+    /// ms between two heartbeats from which on the first got no reply: a worker that gets
+    /// none waits for it and then tries the next controller, one that does sends the next
+    /// heartbeat within an interval and a quarter. Between the two, if they lie apart.
+    pub(crate) fn unanswered_after_ms(&self) -> u64 {
+        let regular = self.heartbeat_interval_ms + self.heartbeat_interval_ms / 4;
         ((regular + WORKER_PATIENCE_MS + NEXT_NODE_MS) / 2).max(regular + SILENT_SLACK_MS)
     }
 
-    /// ms after taking a part from which on every lease that an earlier owner
-    /// could prolong has surely run out: its last word from the store that
-    /// showed it as the owner began before the part was taken, it answered for
-    /// [`BLIND_MOST_MS`] after that at most, and a lease runs from a report that
-    /// was sent before its answer.
-    pub fn inherited_ms(&self) -> u64 {
-        BLIND_MOST_MS + BLIND_MOST_MS * DRIFT_PER_MILLE / 1000 + self.dead_after_ms()
+    /// ms after acquiring a shard from which on every lease that an earlier owner could
+    /// renew has surely expired: the last reading of the store that showed that one as the
+    /// leader began before the shard was acquired, it replied for [`BLIND_MOST_MS`] after
+    /// that at most, and a lease runs from a heartbeat that was sent before its reply.
+    pub fn inherited_lease_expiry_ms(&self) -> u64 {
+        BLIND_MOST_MS + BLIND_MOST_MS * CLOCK_DRIFT_PER_MILLE / 1000 + self.lease_expiry_ms()
     }
 }
 
-/// A task seen on a machine.
+/// How the heartbeats of a machine are relayed.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Relay {
+    /// Number of the controller that relayed the newest one.
+    pub(super) peer: u16,
+    /// Since when all have been relayed, ms.
+    pub(super) since: u64,
+}
+
+/// A task in the newest heartbeat of a machine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct ReportedTask {
     pub(super) phase: TaskPhase,
     pub(super) cause: Option<ExitCause>,
 }
 
-/// A machine set aside, until one task after a pause tells that it runs again.
+/// The quarantine of a machine: after a while one attempt, its trial, shows whether it runs
+/// again.
 #[derive(Debug)]
 pub(super) struct Quarantine {
     /// When the next trial may begin, ms.
-    pub(super) until: u64,
-    /// Trials that failed.
-    pub(super) failed: u32,
+    pub(super) trial_at: u64,
+    /// Trials that failed by the machine's own fault.
+    pub(super) failed_trials: u32,
     /// A trial may begin.
-    pub(super) ready: bool,
+    pub(super) trial_due: bool,
     /// The attempt that is the trial.
-    pub(super) trial: Option<AttemptId>,
-    /// The jobs that failed on it run elsewhere.
-    pub(super) faulty: bool,
+    pub(super) trial_attempt: Option<AttemptId>,
+    /// The machine is surely at fault: the jobs that failed on it run elsewhere.
+    pub(super) confirmed: bool,
 }
 
 impl Quarantine {
-    /// Set aside from now on.
-    pub(super) fn new(faulty: bool, now: u64) -> Self {
+    /// Quarantined from now on.
+    pub(super) fn new(confirmed: bool, now: u64) -> Self {
         Self {
-            until: now + TRIAL_MS,
-            failed: 0,
-            ready: false,
-            trial: None,
-            faulty,
+            trial_at: now + TRIAL_MS,
+            failed_trials: 0,
+            trial_due: false,
+            trial_attempt: None,
+            confirmed,
         }
     }
 
-    /// It takes the one task that is its trial.
-    fn open(&self) -> bool {
-        self.ready && self.trial.is_none()
+    /// It accepts the one attempt that is its trial.
+    fn accepts_trial(&self) -> bool {
+        self.trial_due && self.trial_attempt.is_none()
     }
 
-    /// Its trial failed by its own fault.
-    pub(super) fn tried_in_vain(&mut self, now: u64) {
-        self.failed += 1;
-        self.ready = false;
-        self.until = now + (TRIAL_MS << self.failed.min(10));
+    /// Its trial failed by its own fault: the next one comes after twice the time.
+    pub(super) fn record_failed_trial(&mut self, now: u64) {
+        self.failed_trials += 1;
+        self.trial_due = false;
+        self.trial_at = now + (TRIAL_MS << self.failed_trials.min(10));
     }
 
-    /// Nothing is to be expected of it.
-    pub(super) fn hopeless(&self) -> bool {
-        self.faulty || self.failed >= TRIALS
+    /// It is released once idle.
+    pub(super) fn is_unrecoverable(&self) -> bool {
+        self.confirmed || self.failed_trials >= QUARANTINE_TRIALS_MAX
     }
 }
 
-/// A machine of this part.
+/// A machine of this shard. All times are ms of the steady clock.
 #[derive(Debug)]
 pub(super) struct Machine {
-    pub(super) addr: Option<SocketAddr>,
+    pub(super) address: Option<SocketAddr>,
     pub(super) kind: String,
     pub(super) zone: String,
     pub(super) spot: bool,
-    pub(super) room: Resources,
-    /// What may be believed of it, and what has reached it.
-    pub(super) worker_session: WorkerIncarnation,
-    /// Token of the newest order whose fate is unknown.
-    pub(super) ambiguous: Option<u64>,
-    /// When the last call of unknown fate that starts something was given up, ms, until
-    /// what it may have started is over or known.
-    pub(super) lost_start: Option<u64>,
-    /// Starts that went out in the answer to this report; settled by the next.
-    pub(super) answered_with_starts: Option<u64>,
-    /// A `/commands` call is under way.
-    pub(super) calling: bool,
-    pub(super) call_after: u64,
-    /// That call goes to one that answers don't reach.
-    pub(super) deaf_call: bool,
-    /// When there was last news of the worker in any way, ms.
-    pub(super) heard: Option<u64>,
-    /// Number of the controller that carried its newest report, and since when
-    /// all have been carried, ms.
-    pub(super) carried: Option<(u16, u64)>,
+    pub(super) capacity: Resources,
+    /// What of its messages is current, and what has reached it.
+    pub(super) incarnation: WorkerIncarnation,
+    /// Token of the newest call whose outcome is unknown.
+    pub(super) unresolved_call_token: Option<u64>,
+    /// When the last call with launches and an unknown outcome was given up, until what it
+    /// may have launched is over or known.
+    pub(super) unresolved_launch_at: Option<u64>,
+    /// Number of the heartbeat whose reply carried launches; resolved by the next one.
+    pub(super) launches_in_response_to: Option<u64>,
+    /// A `/commands` call is in progress.
+    pub(super) call_in_progress: bool,
+    pub(super) next_call_at: u64,
+    /// That call was made while no reply reached the machine.
+    pub(super) unreachable_call: bool,
+    /// When its last current status came, by heartbeat or as the answer to a call.
+    pub(super) last_heartbeat_at: Option<u64>,
+    /// Set if its newest heartbeat was relayed.
+    pub(super) relay: Option<Relay>,
     /// Sessions up to this one have surely ended.
-    pub(super) dead_session: u64,
+    pub(super) expired_session: u64,
     pub(super) tasks: BTreeMap<AttemptId, ReportedTask>,
     /// Images with their sizes, most recently used first.
     pub(super) images: VecDeque<(String, u64)>,
-    pub(super) notice: bool,
-    /// Since when something on record says that it runs, though we have not
-    /// heard it: an attempt there, a note of its images, the cloud's list.
-    pub(super) ran: Option<u64>,
-    /// Not heard for longer than usual: nothing new goes there.
+    pub(super) termination_notice: bool,
+    /// Since when something on record says that it runs, though it sent no heartbeat here:
+    /// an attempt there, a record of its images, the provider's inventory.
+    pub(super) recorded_running_at: Option<u64>,
+    /// No heartbeat for longer than usual: nothing is placed there.
     pub(super) silent: bool,
-    pub(super) closing: bool,
-    /// Set aside on evidence of a fault.
-    pub(super) aside: Option<Quarantine>,
-    pub(super) releasing: bool,
-    pub(super) release_wanted: bool,
-    pub(super) renter: Option<u16>,
-    pub(super) since: u64,
-    pub(super) booked: u64,
-    /// Its renter or the list told when it was booked.
+    pub(super) scale_in_pending: bool,
+    pub(super) quarantine: Option<Quarantine>,
+    pub(super) release_in_progress: bool,
+    pub(super) release_requested: bool,
+    /// Shard of the placer that requested it.
+    pub(super) requested_by: Option<u16>,
+    pub(super) known_since: u64,
+    pub(super) provisioned_at: u64,
+    /// Its placer or the inventory told when it was provisioned.
     pub(super) announced: bool,
-    /// It should have come up long ago: it is not counted on.
+    /// Its provisioning timed out: it is not counted on.
     pub(super) overdue: bool,
     pub(super) idle_since: Option<u64>,
 }
@@ -156,64 +177,84 @@
         kind: &str,
         zone: &str,
         spot: bool,
-        room: Resources,
+        capacity: Resources,
         base: u64,
         now: u64,
     ) -> Self {
         Self {
-            addr: None,
+            address: None,
             kind: kind.to_owned(),
             zone: zone.to_owned(),
             spot,
-            room,
-            worker_session: WorkerIncarnation::new(base, now),
-            ambiguous: None,
-            lost_start: None,
-            answered_with_starts: None,
-            calling: false,
-            call_after: 0,
-            deaf_call: false,
-            heard: None,
-            carried: None,
-            dead_session: 0,
+            capacity,
+            incarnation: WorkerIncarnation::new(base, now),
+            unresolved_call_token: None,
+            unresolved_launch_at: None,
+            launches_in_response_to: None,
+            call_in_progress: false,
+            next_call_at: 0,
+            unreachable_call: false,
+            last_heartbeat_at: None,
+            relay: None,
+            expired_session: 0,
             tasks: BTreeMap::new(),
             images: VecDeque::new(),
-            notice: false,
-            ran: None,
+            termination_notice: false,
+            recorded_running_at: None,
             silent: false,
-            closing: false,
-            aside: None,
-            releasing: false,
-            release_wanted: false,
-            renter: None,
-            since: now,
-            booked: now,
+            scale_in_pending: false,
+            quarantine: None,
+            release_in_progress: false,
+            release_requested: false,
+            requested_by: None,
+            known_since: now,
+            provisioned_at: now,
             announced: false,
             overdue: false,
             idle_since: None,
         }
     }
 
-    pub(super) fn open(&self) -> bool {
-        !(self.notice || self.silent || self.overdue || self.closing || self.release_wanted)
-            && self.worker_session.hears()
-            && self.aside.as_ref().is_none_or(Quarantine::open)
+    /// New attempts may be placed there.
+    pub(super) fn is_schedulable(&self) -> bool {
+        !(self.termination_notice
+            || self.silent
+            || self.overdue
+            || self.scale_in_pending
+            || self.release_requested)
+            && self.incarnation.is_reachable()
+            && self
+                .quarantine
+                .as_ref()
+                .is_none_or(Quarantine::accepts_trial)
     }
 
-    /// Nobody but a report or two that may be old tells of it.
-    pub(super) fn hearsay(&self) -> bool {
-        self.heard.is_none()
-            && self.ran.is_none()
+    /// It is known only from heartbeats that may be old.
+    pub(super) fn is_unconfirmed(&self) -> bool {
+        self.last_heartbeat_at.is_none()
+            && self.recorded_running_at.is_none()
             && !self.announced
-            && self.worker_session.only_heard_of().is_some()
+            && self.incarnation.unverified_heartbeats().is_some()
+    }
+
+    /// The worker counts its messages from the start again: what was known of its
+    /// earlier incarnation no longer holds.
+    pub(super) fn reset_after_restart(&mut self, origin: Origin, now: u64) {
+        self.incarnation.reset_after_restart(origin, now);
+        self.images.clear();
+        self.expired_session = 0;
+        self.launches_in_response_to = None;
+        self.termination_notice = false;
     }
 
-    /// No order that could start something is of unknown fate.
-    pub(super) fn settled(&self) -> bool {
-        self.ambiguous.is_none() && self.answered_with_starts.is_none() && !self.calling
+    /// No command that could launch something is of unknown outcome.
+    pub(super) fn calls_resolved(&self) -> bool {
+        self.unresolved_call_token.is_none()
+            && self.launches_in_response_to.is_none()
+            && !self.call_in_progress
     }
 
-    /// ms that a usual image of this machine takes to fetch.
+    /// ms that an image of the usual size takes to fetch on this machine.
     pub(super) fn fetch_ms(&self, gb_per_s: Option<f64>) -> u64 {
         let sum: u64 = self.images.iter().map(|(_, mb)| mb).sum();
         let usual = sum as f64 / self.images.len().max(1) as f64;
@@ -222,9 +263,9 @@
             .map_or(0, |r| (usual / r) as u64)
     }
 
-    /// Notes the use of an image. The worker keeps the most recently used
-    /// ones as far as its cache goes; so does this note, since a start on a
-    /// machine that has dropped the image waits for a fetch.
+    /// Notes the use of an image. The worker keeps the most recently used ones as far as
+    /// its cache goes; so does this record, since a launch on a machine that has dropped
+    /// the image waits for a fetch.
     pub(super) fn remember_image(&mut self, image: &str, mb: u64, cache_mb: u64) {
         self.images.retain(|(name, _)| name != image);
         self.images.push_front((image.to_owned(), mb));
@@ -233,25 +274,25 @@
             sum += mb;
             sum <= cache_mb
         });
-        self.images.truncate(IMAGES_REMEMBERED);
+        self.images.truncate(IMAGES_PER_MACHINE);
     }
 
-    /// Guards against a wrong entry that draws one start after the other to a machine
-    /// where each waits for a fetch: a task that waits for its image shows that it is
-    /// not there. True if it was noted.
+    /// Forgets an image. Guards against a wrong entry that draws one launch after the other
+    /// to a machine where each waits for a fetch: a task that waits for its image shows
+    /// that it is not there. True if it was noted.
     pub(super) fn forget_image(&mut self, image: &str) -> bool {
         let before = self.images.len();
         self.images.retain(|(name, _)| name != image);
         self.images.len() < before
     }
 
-    /// True if the lease has surely run out since we last answered. Guards
-    /// against a controller that stood still, or that the store refuses, while
-    /// its successor keeps the machine's tasks alive: only a `word` from the
-    /// store that began after the lease's end shows that nobody else answered.
-    pub(super) fn dead(&self, word: u64, timing: &Timing) -> bool {
-        self.worker_session
-            .leased_at()
-            .is_some_and(|at| word > at + timing.dead_after_ms())
+    /// True if the lease has surely expired since our last reply. Guards against a
+    /// controller that was stalled, or that the store refuses, while its successor keeps
+    /// the machine's tasks alive: only a reading of the store that began after the lease's
+    /// end, at `store_answer_at`, shows that nobody else replied.
+    pub(super) fn lease_expired(&self, store_answer_at: u64, timing: &Timing) -> bool {
+        self.incarnation
+            .lease_from()
+            .is_some_and(|at| store_answer_at > at + timing.lease_expiry_ms())
     }
 }
--- a/crates/coordination/src/owner/last_copies.rs
+++ b/crates/coordination/src/owner/last_copies.rs
@@ -1,65 +1,85 @@
-//! Which machines are given back last: those with the last copy of a service's
-//! weights in their zone, while others can go.
+//! Which machines are released last: those with the last copy of a service's image in
+//! their zone, while others can be released.
 
-use super::maintenance::hopeless;
+use super::scale_in::not_worth_keeping;
 use super::*;
 
+/// ms between two checks for last copies: one walks all images.
+const LAST_COPIES_CHECK_MS: u64 = 1_000;
+
+/// The images that services use.
+#[derive(Debug, Default)]
+pub(super) struct ServiceImages {
+    images: BTreeSet<String>,
+    /// Machines with the last copy of one in their zone, as of the last check.
+    last_copies: HashSet<MachineId>,
+    checked_at: u64,
+}
+
+impl ServiceImages {
+    /// True if the machine holds the last copy of a service's image in its zone.
+    pub(super) fn has_last_copy(&self, machine: &MachineId) -> bool {
+        self.last_copies.contains(machine)
+    }
+}
+
 impl Owner {
-    /// Learns which images services use.
-    pub fn set_needed(&mut self, images: BTreeSet<String>) {
-        self.needed = images;
-        self.copies_at = 0;
+    /// Sets the images that services use.
+    pub fn set_service_images(&mut self, images: BTreeSet<String>) {
+        self.service_images.images = images;
+        self.service_images.checked_at = 0;
     }
 
-    /// Looks, now and then, at which machines hold the last copy of such an image in
+    /// Finds, now and then, the machines that hold the last copy of such an image in
     /// their zone.
-    pub(super) fn look_for_copies(&mut self, now: u64) {
-        if now < self.copies_at + LAST_COPIES_EVERY_MS {
+    pub(super) fn find_last_copies(&mut self, now: u64) {
+        if now < self.service_images.checked_at + LAST_COPIES_CHECK_MS {
             return;
         }
-        self.copies_at = now;
-        self.last_copies.clear();
-        if self.needed.is_empty() {
+        self.service_images.checked_at = now;
+        self.service_images.last_copies.clear();
+        if self.service_images.images.is_empty() {
             return;
         }
-        let mut only: HashMap<(&str, &str), Option<&MachineId>> = HashMap::new();
-        // What leaves anyway keeps nothing.
-        for (id, m) in self
-            .machines
-            .iter()
-            .filter(|(_, m)| m.heard.is_some() && !(m.closing || m.release_wanted || m.notice))
-        {
+        let mut sole_holders: HashMap<(&str, &str), Option<&MachineId>> = HashMap::new();
+        // What is released anyway keeps nothing.
+        for (id, m) in self.machines.iter().filter(|(_, m)| {
+            m.last_heartbeat_at.is_some()
+                && !(m.scale_in_pending || m.release_requested || m.termination_notice)
+        }) {
             for (image, _) in m
                 .images
                 .iter()
-                .filter(|(image, _)| self.needed.contains(image))
+                .filter(|(image, _)| self.service_images.images.contains(image))
             {
-                only.entry((m.zone.as_str(), image.as_str()))
-                    .and_modify(|one| *one = None)
+                sole_holders
+                    .entry((m.zone.as_str(), image.as_str()))
+                    .and_modify(|holder| *holder = None)
                     .or_insert(Some(id));
             }
         }
-        self.last_copies = only.into_values().flatten().cloned().collect();
+        self.service_images.last_copies = sole_holders.into_values().flatten().cloned().collect();
     }
 
-    /// A machine with a last copy whose time is over changes places with an empty one
-    /// of its type, zone and kind that has none: as many are given back as before,
-    /// and the weights stay.
-    pub(super) fn spare_last_copies(&mut self) {
-        let spared: Vec<MachineId> = self
-            .to_close
+    /// A scale-in candidate with a last copy changes places with an idle machine of its
+    /// type, zone and price that has none: as many are released as before, and the image
+    /// stays.
+    pub(super) fn keep_last_copies(&mut self) {
+        let kept: Vec<MachineId> = self
+            .scale_in_candidates
             .iter()
-            .filter(|id| self.last_copies.contains(*id))
+            .filter(|id| self.service_images.has_last_copy(id))
             .cloned()
             .collect();
-        for id in spared {
-            let Some(m) = self.machines.get(&id).filter(|m| !hopeless(m)) else {
+        for id in kept {
+            let Some(m) = self.machines.get(&id).filter(|m| !not_worth_keeping(m)) else {
                 continue;
             };
-            let alike =
-                |o: &Machine| (&o.kind, &o.zone, o.spot) == (&m.kind, &m.zone, m.spot) && o.open();
+            let alike = |o: &Machine| {
+                (&o.kind, &o.zone, o.spot) == (&m.kind, &m.zone, m.spot) && o.is_schedulable()
+            };
             let others = self.machines.iter().filter(|(other, o)| {
-                o.idle_since.is_some() && alike(o) && !self.last_copies.contains(*other)
+                o.idle_since.is_some() && alike(o) && !self.service_images.has_last_copy(other)
             });
             let Some((other, since)) = others
                 .map(|(other, o)| (other.clone(), o.idle_since))
@@ -67,14 +87,14 @@
             else {
                 continue;
             };
-            info!(machine = %id, instead = %other, shard = self.shard, "last copy of a service's weights in its zone; another machine goes");
-            self.to_close.remove(&id);
-            self.to_close.insert(other.clone());
-            for (id, closing, idle_since) in [(id, false, since), (other, true, since)] {
+            info!(machine = %id, released_instead = %other, shard = self.shard, "machine kept for the last copy of an image");
+            self.scale_in_candidates.remove(&id);
+            self.scale_in_candidates.insert(other.clone());
+            for (id, scale_in_pending, idle_since) in [(id, false, since), (other, true, since)] {
                 if let Some(m) = self.machines.get_mut(&id) {
-                    (m.closing, m.idle_since) = (closing, idle_since);
+                    (m.scale_in_pending, m.idle_since) = (scale_in_pending, idle_since);
                 }
-                self.stale.insert(id);
+                self.changed_machines.insert(id);
             }
         }
     }
--- a/crates/coordination/src/owner/mod.rs
+++ b/crates/coordination/src/owner/mod.rs
@@ -1,24 +1,34 @@
-//! The owner's side of a part: its machines, what is on them, and the proofs
-//! that an attempt is over.
+//! The owner of a shard: the part of its leader that runs the shard's machines, tracks
+//! what is on them, and proves that an attempt is over.
 //!
 //! An attempt counts as over only when
-//! * the worker's newest report says that it exited,
-//! * it is missing from a report that the worker sent after it had seen this
-//!   owner's token, and no start order for it can still arrive,
-//! * the worker is in a later session than the one it was started in,
-//! * the cloud has answered the release of its machine,
-//! * its machine was never heard by this owner, and all that earlier owners
-//!   could keep alive has surely run out, or
-//! * the lease has surely run out since this owner, and nobody after it, last
-//!   answered the machine.
-
+//! * the worker's newest heartbeat says that it exited,
+//! * it is missing from a heartbeat that the worker sent after it had seen this owner's
+//!   token, and no launch command for it can still arrive,
+//! * the worker is in a later session than the one it was launched in,
+//! * the provider has confirmed the release of its machine,
+//! * its machine never sent a heartbeat to this owner, and every lease that earlier
+//!   owners could renew has surely expired, or
+//! * the lease has surely expired since this owner, and nobody after it, last replied
+//!   to the machine.
+
+mod attempt;
+mod catalog;
 mod commands;
+mod heartbeat;
+mod image_pages;
+mod inventory;
 mod last_copies;
 mod maintenance;
 mod orphaned_grants;
+mod outcomes;
 mod preemption;
 mod proof;
+mod published_state;
 mod reconciliation;
+mod scale_in;
+mod summary;
+mod worker_calls;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 use std::net::SocketAddr;
@@ -29,10 +39,16 @@
 use crate::change_log::ChangeLog;
 use crate::fault_attribution::{FaultAttribution, FaultVerdict};
 use crate::incarnation::{Freshness, MessageSequence, Origin};
-pub use crate::machine::Timing;
-use crate::machine::{Machine, Quarantine, ReportedTask};
-use crate::machine_health::{HealthVerdict, MachineFailureDetector};
-use lemonweir_model::constants::*;
+pub use crate::machine::{CLOCK_DRIFT_PER_MILLE, LEASE_MARGIN_MS, Timing};
+use crate::machine::{Machine, Quarantine, Relay, ReportedTask};
+pub use crate::machine_failure_detector::ZONE_RECOVERY_MS;
+use crate::machine_failure_detector::{HealthVerdict, MachineFailureDetector};
+use attempt::{AttemptStage, TrackedAttempt};
+use catalog::MachineCatalog;
+use commands::CommandChannel;
+use image_pages::ImageRecord;
+use last_copies::ServiceImages;
+use lemonweir_model::constants::{CARRIED_PART_MS, FENCE_BITS};
 use lemonweir_model::policy::Policy;
 use lemonweir_model::{AttemptId, MachineId, Priority, Resources};
 use lemonweir_protocol::cloud::InstanceEntry;
@@ -44,215 +60,119 @@
     Command, CommandKind, CommandsRequest, Heartbeat, HeartbeatResponse, TaskPhase,
 };
 use lemonweir_storage::records::ImageLocationsRecord;
+use reconciliation::PlacerSession;
+pub use worker_calls::{CommandCall, CommandResult, UNREACHABLE_CALLS_MAX};
 
-/// What orders go out with.
-#[derive(Clone, Copy, Debug, PartialEq)]
-enum Carrier {
-    /// A call: starts and stops.
-    Call,
-    /// The answer to a report: stops, and what may be forgotten.
-    Answer,
-    /// The same with starts, whose calls are of unknown fate.
-    AnswerWithStarts,
-    /// The answer to a report that is not the newest, or that does not show our
-    /// token: only stops.
-    LateAnswer,
-}
-
-impl Carrier {
-    fn is_answer(self) -> bool {
-        self != Carrier::Call
-    }
-
-    fn starts(self) -> bool {
-        matches!(self, Carrier::Call | Carrier::AnswerWithStarts)
-    }
-
-    fn forgets(self) -> bool {
-        matches!(self, Carrier::Answer | Carrier::AnswerWithStarts)
-    }
-}
+/// ms that an owner must have led its shard before the counts of peers that its
+/// machines reach are considered: a restart sends machines to other controllers for
+/// some seconds.
+const UNREACHABLE_MIN_LEADERSHIP_MS: u64 = 10_000;
+/// ms for which a peer's count of an owner's machines is valid.
+const PEER_COUNT_VALID_MS: u64 = 5_000;
 
-/// How far an attempt has come here.
-#[derive(Clone, Copy, Debug, PartialEq)]
-enum Stage {
-    /// Not judged yet: the machine has not shown our token.
-    Unjudged,
-    /// Waits since then for those who were pushed out for it.
-    Waiting(u64),
-    /// Has room. `sent`: session that a start order went out to.
-    Accepted { sent: Option<u64>, seen: bool },
-    /// Over.
-    Ended(AttemptState),
-}
-
-#[derive(Debug)]
-struct Held {
-    from: u16,
-    /// What its placer says of it; refreshed by every sync.
-    want: DesiredAttempt,
-    /// Set when it is pushed out: seconds of grace.
-    evicted: Option<u32>,
-    killed_at: Option<u64>,
-    since: u64,
-    /// When it was first seen to run, and whether that is known to have gone
-    /// well.
-    ran: Option<u64>,
-    well: bool,
-    stage: Stage,
-}
-
-impl Held {
-    /// Seconds of grace if it shall end, for whatever reason.
-    fn ending(&self) -> Option<u32> {
-        self.want.kill.or(self.evicted)
-    }
-
-    /// It has room and shall start, and its machine has not shown it yet.
-    fn awaits_start(&self, id: &AttemptId, m: &Machine) -> bool {
-        let accepted = matches!(self.stage, Stage::Accepted { seen: false, .. });
-        self.want.go && self.ending().is_none() && accepted && !m.tasks.contains_key(id)
-    }
-}
-
-/// What a placer has told us, and what it is told.
-#[derive(Default)]
-struct Asker {
-    token: u64,
-    seq: u64,
-    /// When a reading of the store showed that it has lost its part, ms.
-    lost: Option<u64>,
-    /// State of its wants that we have.
-    at: u64,
-    /// True once its whole state was told.
-    complete: bool,
-    /// State of the machines that it has.
-    have: u64,
-    /// Attempts that a state told anew has not named yet.
-    unnamed: HashSet<AttemptId>,
-    /// How its attempts stand.
-    told: ChangeLog<AttemptId, AttemptState>,
-}
-
-/// A call to a worker that the process has to make.
-#[derive(Debug, Clone)]
-pub struct CommandCall {
-    /// The machine.
-    pub machine: MachineId,
-    /// Its address.
-    pub addr: SocketAddr,
-    /// What to send.
-    pub commands: CommandsRequest,
-    /// Number of the controller through which it goes, if not by itself.
-    pub through: Option<u16>,
-}
-
-/// How a call to a worker went.
-#[derive(Debug)]
-pub enum CommandResult {
-    /// Executed; the report that came back.
-    Executed(Heartbeat),
-    /// Refused: the token or session was not right; the report.
-    Refused(Heartbeat),
-    /// Surely not sent.
-    NotSent,
-    /// May have been executed, or may be later.
-    Unknown,
-}
-
-/// Why a sync was not taken.
+/// Why a sync was refused.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SyncError {
-    /// Meant for another owner of this part, or from a past owner of its own.
+    /// Meant for another owner of this shard, or from a past leader of its own.
     #[error("token out of date")]
     Token,
-    /// Of a part that there is not.
-    #[error("no such part")]
-    Part,
-    /// Older than one already taken.
-    #[error("late message")]
+    /// From a shard that does not exist.
+    #[error("no such shard")]
+    UnknownShard,
+    /// Older than one already applied.
+    #[error("stale message")]
     Stale,
-    /// From a controller that has lost its part without knowing.
-    #[error("the sender's part has another holder")]
+    /// From a controller that has lost its shard's lease without knowing.
+    #[error("the sender's shard has another leader")]
     Superseded(Superseded),
 }
 
-/// The owner of a part.
+/// A peer's count of the machines of this shard whose heartbeats it gets.
+#[derive(Clone, Copy, Debug)]
+struct PeerCount {
+    machines: u32,
+    /// When the peer said so, ms.
+    at: u64,
+}
+
+/// What became of placements, counted since the shard was acquired.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct PlacementCounts {
+    /// Placements refused for lack of room.
+    pub refused: u64,
+    /// Attempts preempted for others.
+    pub preempted: u64,
+}
+
+/// The owner of a shard. All times are ms of the steady clock that callers pass in.
 pub struct Owner {
     shard: u16,
+    /// Fencing token of the shard's lease.
     token: u64,
-    started: u64,
+    acquired_at: u64,
     timing: Timing,
     policy: Policy,
+    /// Number of shards, each with one placer.
     shards: u16,
-    rooms: BTreeMap<String, Resources>,
-    boot_ms: BTreeMap<String, u64>,
-    caches: BTreeMap<String, u64>,
-    /// Image fetch, GB/s, by type.
-    fetch: BTreeMap<String, f64>,
+    catalog: MachineCatalog,
     machines: BTreeMap<MachineId, Machine>,
-    held: HashMap<AttemptId, Held>,
-    /// Attempts held on each machine, so that nothing walks all of them.
-    on: HashMap<MachineId, BTreeSet<AttemptId>>,
-    askers: BTreeMap<u16, Asker>,
-    /// What is told of the machines.
-    views: ChangeLog<MachineId, MachineView>,
-    /// Machines that may have to be told anew.
-    stale: BTreeSet<MachineId>,
+    attempts: HashMap<AttemptId, TrackedAttempt>,
+    /// Tracked attempts of each machine, so that nothing walks all of them.
+    attempts_by_machine: HashMap<MachineId, BTreeSet<AttemptId>>,
+    /// By the shard of the placer.
+    placers: BTreeMap<u16, PlacerSession>,
+    /// Published state of the machines.
+    machine_views: ChangeLog<MachineId, MachineView>,
+    /// Machines whose published state may be out of date.
+    changed_machines: BTreeSet<MachineId>,
     /// Machines that may need a call.
-    attention: BTreeSet<MachineId>,
-    gone: HashSet<MachineId>,
-    /// Images that an earlier owner noted.
-    earlier: BTreeMap<MachineId, VecDeque<(String, u64)>>,
-    noted: Vec<ImageLocationsRecord>,
-    noted_at: u64,
-    /// The page that the next writing of it begins at.
-    note_from: usize,
-    /// Images that services use, and machines with the last copy of one in their zone,
-    /// as of when that was looked at, ms.
-    needed: BTreeSet<String>,
-    last_copies: HashSet<MachineId>,
-    copies_at: u64,
-    /// When an attempt was last given room, ms.
-    accepted_at: u64,
-    /// Machines that somebody counts on and nobody has seen.
-    missing: BTreeMap<MachineId, u64>,
-    /// How many of our machines come to the nodes of other parts' placers, and
-    /// when they said so.
-    strays: BTreeMap<u16, (u32, u64)>,
-    /// When the cloud's list was last read.
-    listed_at: u64,
-    sight: MachineFailureDetector,
-    /// Whose fault failures were.
-    faults: FaultAttribution,
-    /// How long machines take to come up.
-    boots: BootTimes,
-    /// The proof from time of what earlier owners kept alive has been used.
-    inherited_judged: bool,
-    /// Empty machines whose time is over.
-    to_close: BTreeSet<MachineId>,
-    releasing: bool,
-    /// When the part's figures were last told, ms.
-    summed_at: u64,
-    /// Tick for which releases were looked for.
+    call_candidates: BTreeSet<MachineId>,
+    /// Machines whose release is confirmed.
+    released_machines: HashSet<MachineId>,
+    /// Images that an earlier owner recorded of each machine, MB each.
+    inherited_images: BTreeMap<MachineId, VecDeque<(String, u64)>>,
+    /// The stored record of the machines' images.
+    image_record: ImageRecord,
+    /// Images that services use, and who holds them.
+    service_images: ServiceImages,
+    /// When an attempt other than idle work was last accepted.
+    last_accepted_at: u64,
+    /// Machines that attempts are placed on and that are not known, with the time since
+    /// when.
+    unseen_machines: BTreeMap<MachineId, u64>,
+    /// How many of this shard's machines send their heartbeats to the controllers of
+    /// other shards, with the time when they said so.
+    peer_heartbeat_counts: BTreeMap<u16, PeerCount>,
+    /// When the provider's inventory was last read.
+    inventory_read_at: u64,
+    failure_detector: MachineFailureDetector,
+    fault_attribution: FaultAttribution,
+    boot_times: BootTimes,
+    /// The expiry of leases that earlier owners renewed has been applied.
+    inherited_expiry_applied: bool,
+    /// Machines that were idle for long enough to be released.
+    scale_in_candidates: BTreeSet<MachineId>,
+    release_in_progress: bool,
+    /// When the shard's occupancy was last logged.
+    summary_logged_at: u64,
+    /// Tick that releases were last looked for in.
     released_tick: u64,
     last_tick: u64,
-    /// When this process last went on after standing still, ms; 0: never.
-    awake: u64,
-    /// When the last reading of the store began that showed us as the owner.
-    word: u64,
-    dirty: BTreeSet<u16>,
-    /// Calls under way to machines that answers don't reach.
-    deaf_calls: usize,
-    /// Nothing is started now.
-    starts_held: bool,
-    /// Placements refused for want of room, and attempts pushed out, so far.
-    refused: u64,
-    pushed_out: u64,
+    /// When this process last resumed after a stall; 0: never.
+    resumed_at: u64,
+    /// When the last reading of the store began that showed this owner as the leader.
+    store_answer_at: u64,
+    /// Shards whose placers have unpublished changes of their attempts.
+    changed_placers: BTreeSet<u16>,
+    /// Calls in progress to machines that replies don't reach.
+    unreachable_calls: usize,
+    /// Nothing is launched now.
+    launches_paused: bool,
+    placement_counts: PlacementCounts,
 }
 
 impl Owner {
-    /// An owner that has just got its part with this token.
+    /// An owner that has just acquired its shard with this fencing token.
     pub fn new(
         shard: u16,
         token: u64,
@@ -264,352 +184,148 @@
         Self {
             shard,
             token,
-            started: now,
+            acquired_at: now,
             timing,
             shards,
-            rooms: BTreeMap::new(),
-            boot_ms: BTreeMap::new(),
-            caches: BTreeMap::new(),
-            fetch: BTreeMap::new(),
+            catalog: MachineCatalog::default(),
             machines: BTreeMap::new(),
-            held: HashMap::new(),
-            on: HashMap::new(),
-            askers: BTreeMap::new(),
-            views: ChangeLog::default(),
-            stale: BTreeSet::new(),
-            attention: BTreeSet::new(),
-            gone: HashSet::new(),
-            earlier: BTreeMap::new(),
-            noted: Vec::new(),
-            noted_at: now,
-            note_from: 0,
-            needed: BTreeSet::new(),
-            last_copies: HashSet::new(),
-            copies_at: 0,
-            accepted_at: now,
-            missing: BTreeMap::new(),
-            strays: BTreeMap::new(),
-            listed_at: 0,
-            sight: MachineFailureDetector::new(timing, policy.silent_ms, now),
-            faults: FaultAttribution::default(),
-            boots: BootTimes::default(),
-            inherited_judged: false,
+            attempts: HashMap::new(),
+            attempts_by_machine: HashMap::new(),
+            placers: BTreeMap::new(),
+            machine_views: ChangeLog::default(),
+            changed_machines: BTreeSet::new(),
+            call_candidates: BTreeSet::new(),
+            released_machines: HashSet::new(),
+            inherited_images: BTreeMap::new(),
+            image_record: ImageRecord::new(now),
+            service_images: ServiceImages::default(),
+            last_accepted_at: now,
+            unseen_machines: BTreeMap::new(),
+            peer_heartbeat_counts: BTreeMap::new(),
+            inventory_read_at: 0,
+            failure_detector: MachineFailureDetector::new(timing, policy.silent_ms, now),
+            fault_attribution: FaultAttribution::default(),
+            boot_times: BootTimes::default(),
+            inherited_expiry_applied: false,
             policy,
-            to_close: BTreeSet::new(),
-            releasing: false,
-            summed_at: now,
+            scale_in_candidates: BTreeSet::new(),
+            release_in_progress: false,
+            summary_logged_at: now,
             released_tick: now,
             last_tick: now,
-            awake: 0,
-            word: now,
-            dirty: BTreeSet::new(),
-            deaf_calls: 0,
-            starts_held: false,
-            refused: 0,
-            pushed_out: 0,
+            resumed_at: 0,
+            store_answer_at: now,
+            changed_placers: BTreeSet::new(),
+            unreachable_calls: 0,
+            launches_paused: false,
+            placement_counts: PlacementCounts::default(),
         }
     }
 
-    /// Placements refused for want of room, and attempts pushed out for others.
-    pub fn judged(&self) -> (u64, u64) {
-        (self.refused, self.pushed_out)
+    /// Placements refused for lack of room, and attempts preempted, so far.
+    pub fn placement_counts(&self) -> PlacementCounts {
+        self.placement_counts
     }
 
-    /// Starts nothing for as long as it is so.
-    pub(crate) fn hold_starts(&mut self, hold: bool) {
-        self.starts_held = hold;
+    /// Launches nothing while `paused`.
+    pub(crate) fn pause_launches(&mut self, paused: bool) {
+        self.launches_paused = paused;
     }
 
-    /// Learns the machine types.
+    /// Sets the catalog of machine types.
     pub fn set_types<'a>(&mut self, types: impl Iterator<Item = &'a lemonweir_model::MachineType>) {
-        for t in types {
-            self.rooms.insert(t.name.clone(), t.room);
-            self.boot_ms
-                .insert(t.name.clone(), (t.boot_s * 1000.0) as u64);
-            self.fetch.insert(t.name.clone(), t.fetch_gb_per_s);
-            self.caches
-                .insert(t.name.clone(), (t.cache_gb * 1000.0) as u64);
+        for machine_type in types {
+            self.catalog.insert(machine_type);
         }
         for m in self.machines.values_mut() {
-            m.room = self.rooms.get(&m.kind).copied().unwrap_or_default();
+            m.capacity = self.catalog.capacity(&m.kind);
         }
-        self.stale.extend(self.machines.keys().cloned());
+        self.changed_machines.extend(self.machines.keys().cloned());
     }
 
-    /// Attempts held on a machine.
-    fn here(&self, machine: &MachineId) -> impl Iterator<Item = (&AttemptId, &Held)> {
-        self.on
+    /// Tracked attempts of a machine.
+    fn attempts_on(
+        &self,
+        machine: &MachineId,
+    ) -> impl Iterator<Item = (&AttemptId, &TrackedAttempt)> {
+        self.attempts_by_machine
             .get(machine)
             .into_iter()
             .flatten()
-            .filter_map(|id| self.held.get(id).map(|h| (id, h)))
+            .filter_map(|id| self.attempts.get(id).map(|tracked| (id, tracked)))
     }
 
-    /// Notes that a machine may look different from outside, or need a call.
-    fn touch(&mut self, machine: &MachineId) {
-        self.stale.insert(machine.clone());
-        self.attention.insert(machine.clone());
+    /// A machine's published state may have changed, and it may need a call.
+    fn mark_changed(&mut self, machine: &MachineId) {
+        self.changed_machines.insert(machine.clone());
+        self.call_candidates.insert(machine.clone());
     }
 
-    /// Lets an attempt go that its placer no longer wants; tells its machine.
-    fn let_go(&mut self, id: &AttemptId) -> Option<MachineId> {
-        let held = self.held.remove(id)?;
-        let machine = held.want.machine;
-        // Guards against a trial that waits for an attempt that nobody wants.
-        if let Some(aside) = self
+    /// Stops tracking an attempt that its placer no longer wants; returns its machine.
+    fn untrack(&mut self, id: &AttemptId) -> Option<MachineId> {
+        let tracked = self.attempts.remove(id)?;
+        let machine = tracked.desired.machine;
+        // Guards against a quarantine trial that waits for an attempt that nobody wants.
+        if let Some(quarantine) = self
             .machines
             .get_mut(&machine)
-            .and_then(|m| m.aside.as_mut())
-            && aside.trial.as_ref() == Some(id)
+            .and_then(|m| m.quarantine.as_mut())
+            && quarantine.trial_attempt.as_ref() == Some(id)
         {
-            aside.trial = None;
+            quarantine.trial_attempt = None;
         }
-        if let Some(here) = self.on.get_mut(&machine) {
-            here.remove(id);
-            if here.is_empty() {
-                self.on.remove(&machine);
+        if let Some(ids) = self.attempts_by_machine.get_mut(&machine) {
+            ids.remove(id);
+            if ids.is_empty() {
+                self.attempts_by_machine.remove(&machine);
             }
         }
-        if let Some(asker) = self.askers.get_mut(&held.from) {
-            asker.told.erase(id);
+        if let Some(placer) = self.placers.get_mut(&tracked.from) {
+            placer.published.erase(id);
         }
         Some(machine)
     }
 
-    fn base(&self) -> u64 {
+    /// The lowest token of this owner towards its workers.
+    fn base_token(&self) -> u64 {
         self.token << FENCE_BITS
     }
 
-    /// Parts whose attempts changed since the last call.
-    pub fn take_dirty(&mut self) -> BTreeSet<u16> {
-        std::mem::take(&mut self.dirty)
+    /// Shards whose placers have unpublished changes; empties the set.
+    pub fn take_changed_placers(&mut self) -> BTreeSet<u16> {
+        std::mem::take(&mut self.changed_placers)
     }
 
-    /// True if this node can't hear its machines while a peer can: most of them
-    /// are late, and as many have come to the peer; or most have been carried
-    /// for so long that giving the part up costs less.
-    pub fn deaf(&self, now: u64) -> bool {
-        let long = |m: &&Machine| {
-            m.carried
-                .is_some_and(|(_, since)| now > since + CARRIED_PART_MS)
+    /// True if this controller is unreachable for its machines while a peer is not: most
+    /// of them are late, and as many send heartbeats to the peer; or most have been
+    /// relayed for so long that giving up the shard costs less.
+    pub fn is_unreachable(&self, now: u64) -> bool {
+        let relayed_long = |m: &&Machine| {
+            m.relay
+                .is_some_and(|relay| now > relay.since + CARRIED_PART_MS)
         };
-        if self.machines.values().filter(long).count() * 2 > self.machines.len() {
+        if self.machines.values().filter(relayed_long).count() * 2 > self.machines.len() {
             return true;
         }
-        let heard = self
-            .strays
+        let seen_by_peer = self
+            .peer_heartbeat_counts
             .values()
-            .filter(|(_, at)| now <= at + VOUCH_MS)
-            .map(|(n, _)| *n as usize)
+            .filter(|count| now <= count.at + PEER_COUNT_VALID_MS)
+            .map(|count| count.machines as usize)
             .max()
             .unwrap_or(0);
-        now > self.started + DEAF_AFTER_MS && self.sight.dark().is_some_and(|ran| heard * 2 > ran)
+        now > self.acquired_at + UNREACHABLE_MIN_LEADERSHIP_MS
+            && self
+                .failure_detector
+                .mostly_silent()
+                .is_some_and(|known| seen_by_peer * 2 > known)
     }
 
-    /// Promises a worker, with the next token that it is told, that the reading
-    /// which showed us as the owner began then, in time of day.
-    pub(crate) fn promise(&mut self, machine: &MachineId, wall_ms: u64, now: u64) {
+    /// Renews a worker's lease with the next token that it is given: the reading of the
+    /// store that showed this owner as the leader began at `wall_ms`, in time of day.
+    pub(crate) fn renew_worker_lease(&mut self, machine: &MachineId, wall_ms: u64, now: u64) {
         if let Some(m) = self.machines.get_mut(machine) {
-            m.worker_session.promise(wall_ms, now);
-        }
-    }
-
-    /// True if a report tells how its machine is now: only that shows that its zone's
-    /// workers come here.
-    pub(crate) fn is_news(&self, report: &Heartbeat) -> bool {
-        let freshness = |m: &Machine| {
-            m.worker_session.weigh(
-                MessageSequence::of(report),
-                report.token,
-                Origin::Report(None),
-            )
-        };
-        self.machines
-            .get(&report.machine)
-            .map_or(report.token >> FENCE_BITS == self.token, |m| {
-                matches!(freshness(m), Freshness::Current | Freshness::Restarted)
-            })
-    }
-
-    /// A report came in, `by` another controller or by itself; `None` means that
-    /// it must not be answered with 200.
-    pub fn report(
-        &mut self,
-        report: &Heartbeat,
-        by: Option<u16>,
-        now: u64,
-    ) -> Option<HeartbeatResponse> {
-        if self.gone.contains(&report.machine) {
-            return None;
+            m.incarnation.renew_lease(wall_ms, now);
         }
-        if report.token >> FENCE_BITS > self.token {
-            // The worker has seen a later owner: our answer would only hold it
-            // here while its lease runs out.
-            return None;
-        }
-        let newer = self.take_report(report, Origin::Report(by), now);
-        let m = self.machines.get_mut(&report.machine)?;
-        // One that shows none of our tokens may be the first of a new life.
-        if report.session <= m.dead_session && m.worker_session.ours(report.token) {
-            return None;
-        }
-        m.worker_session
-            .answered(MessageSequence::of(report), report.token, by, now);
-        if newer || m.heard.is_none() {
-            // Orders go the way that the newest report came.
-            m.carried = by.map(|carrier| (carrier, m.carried.map_or(now, |(_, since)| since)));
-        }
-        // A late report may still be waited for, if the answer to a call came
-        // before it, and so may one of a worker that has not shown our token:
-        // both answers prolong the lease, so both carry the stops.
-        let by = match (
-            newer && m.worker_session.fresh(),
-            m.ambiguous.is_some() && !m.calling,
-        ) {
-            (true, true) => Carrier::AnswerWithStarts,
-            (true, false) => Carrier::Answer,
-            (false, _) => Carrier::LateAnswer,
-        };
-        let orders = self.orders(&report.machine, now, by);
-        let m = self.machines.get_mut(&report.machine)?;
-        if orders.iter().any(|o| o.verb == CommandKind::Launch) {
-            m.answered_with_starts = Some(report.seq);
-        }
-        Some(HeartbeatResponse {
-            token: m.worker_session.answer_token(),
-            orders,
-        })
     }
-
-    /// Takes a report of any origin; true if it tells how its machine is now.
-    fn take_report(&mut self, report: &Heartbeat, origin: Origin, now: u64) -> bool {
-        let room = self.rooms.get(&report.kind).copied().unwrap_or_default();
-        let (base, numbers) = (self.base(), MessageSequence::of(report));
-        let (missing, earlier) = (&self.missing, &self.earlier);
-        let m = self
-            .machines
-            .entry(report.machine.clone())
-            .or_insert_with(|| {
-                let mut m = Machine::new(&report.kind, &report.zone, report.spot, room, base, now);
-                // An attempt there or a note of its images: it ran before.
-                m.ran = missing
-                    .get(&report.machine)
-                    .copied()
-                    .or(earlier.contains_key(&report.machine).then_some(now));
-                m
-            });
-        self.missing.remove(&report.machine);
-        let freshness = m.worker_session.weigh(numbers, report.token, origin);
-        match freshness {
-            Freshness::Current if report.session <= m.dead_session => return false,
-            Freshness::Current => {}
-            Freshness::Restarted => {
-                info!(machine = %report.machine, shard = self.shard, "machine counts from the start again");
-                m.worker_session.reborn(origin, now);
-                m.images.clear();
-                (m.dead_session, m.answered_with_starts, m.notice) = (0, None, false);
-            }
-            // Guards against copies of reports, which come up to several leases late:
-            // a machine that was given back is no machine, and what one says was so
-            // once. What it calls for at most is a question, which has no orders.
-            Freshness::Stale | Freshness::Unverified => {
-                let mut ask = false;
-                if let Origin::Report(way) = origin {
-                    m.worker_session
-                        .overtaken(numbers, report.token, way, &self.timing, now);
-                    ask = m
-                        .worker_session
-                        .suspect(numbers, report.token, &self.timing, now);
-                }
-                if m.worker_session.heard_of(numbers, now) {
-                    m.addr = report.address.parse().ok();
-                    ask = true;
-                }
-                if ask {
-                    self.attention.insert(report.machine.clone());
-                    self.stale.insert(report.machine.clone());
-                }
-                return false;
-            }
-        }
-        if m.heard.is_none() {
-            if let Some(images) = self.earlier.remove(&report.machine) {
-                m.images = images;
-            }
-            if !m.announced {
-                info!(machine = %report.machine, shard = self.shard, "machine origin up unannounced");
-            }
-            let after_ms = now.saturating_sub(m.booked);
-            info!(machine = %report.machine, shard = self.shard, after_ms, "machine is up");
-            // What ran before was up long before this owner heard it.
-            if m.announced && m.ran.is_none() {
-                self.boots.came_up(&m.kind, &m.zone, m.spot, after_ms);
-            }
-            m.overdue = false;
-            if !self.rooms.is_empty() && !self.rooms.contains_key(&report.kind) {
-                warn!(machine = %report.machine, kind = report.kind, "machine of a type that is not in the catalog; nothing is placed there");
-            }
-        }
-        if freshness == Freshness::Current && report.session > m.worker_session.session() {
-            // Orders for an earlier session are refused by the worker.
-            (m.ambiguous, m.lost_start) = (None, None);
-            m.answered_with_starts = None;
-            if m.worker_session.session() > 0 {
-                info!(machine = %report.machine, session = report.session, "new session");
-            }
-        }
-        let heard = m.worker_session.hears();
-        m.worker_session
-            .take(numbers, report.token, origin, &self.timing, now);
-        if m.worker_session.hears() != heard {
-            info!(machine = %report.machine, shard = self.shard, hears = !heard, "whether answers reach the machine");
-        }
-        m.addr = report.address.parse().ok();
-        m.heard = Some(now);
-        if std::mem::take(&mut m.silent) {
-            // It is wanted again: it is not empty since it was last seen.
-            m.idle_since = m.idle_since.map(|_| now);
-        }
-        if report.notice_s.is_some() && !m.notice {
-            m.notice = true;
-            info!(machine = %report.machine, seconds = report.notice_s, "the cloud takes this machine");
-        }
-        if m.ambiguous.is_some_and(|t| m.worker_session.shown() > t) {
-            (m.ambiguous, m.lost_start) = (None, None);
-        }
-        if matches!(origin, Origin::Report(_))
-            && m.answered_with_starts.is_some_and(|seq| report.seq > seq)
-        {
-            m.answered_with_starts = None;
-        }
-        m.tasks.clear();
-        for t in &report.tasks {
-            match AttemptId::parse(&t.piece, t.attempt) {
-                Some(id) => {
-                    let cause =
-                        (t.phase == TaskPhase::Exited).then(|| ExitCause::read(t.cause.as_deref()));
-                    m.tasks.insert(
-                        id,
-                        ReportedTask {
-                            phase: t.phase,
-                            cause,
-                        },
-                    );
-                }
-                None => {
-                    warn!(machine = %report.machine, piece = t.piece, "task name not understood")
-                }
-            }
-        }
-        self.judge(&report.machine.clone(), now);
-        true
-    }
-}
-
-/// Attempts of one placer.
-fn asker_attempts(held: &HashMap<AttemptId, Held>, from: u16) -> HashSet<AttemptId> {
-    held.iter()
-        .filter(|(_, h)| h.from == from)
-        .map(|(id, _)| id.clone())
-        .collect()
 }
--- a/crates/coordination/src/owner/orphaned_grants.rs
+++ b/crates/coordination/src/owner/orphaned_grants.rs
@@ -1,79 +1,80 @@
-//! Room that a placer asked for and will never use: it has lost its part.
+//! Grants that a placer asked for and will never use, since it has lost its lease.
 
 use super::*;
+use lemonweir_model::constants::ORPHAN_ROOM_MS;
 use lemonweir_storage::state_cache::ShardLeader;
 
 impl Owner {
-    /// Learns from a reading of the store at `revision` who holds the parts. A
-    /// placer whose token is no part's any more asks for nothing from then on.
+    /// Observes the shards' leaders in a reading of the store at `revision`. A placer
+    /// whose token is no shard's any more is granted nothing from then on.
     ///
-    /// Guards against taking a part for lost that was taken after the reading: the
+    /// Guards against taking a lease for lost that was acquired after the reading: the
     /// reading must be at least as new as the token.
-    pub fn watch_placers(&mut self, holders: &BTreeMap<u16, ShardLeader>, revision: u64, now: u64) {
-        for (shard, asker) in &mut self.askers {
-            let lost = revision >= asker.token
-                && holders.get(shard).is_none_or(|h| h.token != asker.token);
+    pub fn observe_leaders(
+        &mut self,
+        leaders: &BTreeMap<u16, ShardLeader>,
+        revision: u64,
+        now: u64,
+    ) {
+        for (shard, placer) in &mut self.placers {
+            let lost = revision >= placer.token
+                && leaders.get(shard).is_none_or(|h| h.token != placer.token);
             if !lost {
-                asker.lost = None;
-            } else if asker.lost.is_none() {
-                asker.lost = Some(now);
+                placer.lease_lost_at = None;
+            } else if placer.lease_lost_at.is_none() {
+                placer.lease_lost_at = Some(now);
                 info!(
                     shard = self.shard,
                     placer = shard,
-                    "its placer has lost its part"
+                    "placer lost its shard lease"
                 );
             }
         }
     }
 
-    /// Gives back what lost placers were granted for gangs and never launched, some
-    /// time after the store has shown the loss: a successor that comes before can
-    /// still finish the gang, and one that comes later learns that the room is gone
-    /// and releases the rest. What was launched, or may have been, ends by its
-    /// machine's proof alone.
-    pub(super) fn free_orphans(&mut self, now: u64) {
-        let due = |a: &Asker| a.lost.is_some_and(|at| now >= at + ORPHAN_ROOM_MS);
-        let lost: BTreeSet<u16> = self
-            .askers
+    /// Releases what such placers were granted for gangs and never launched, some time
+    /// after the store has shown the loss: a successor that comes before can still finish
+    /// the gang, and one that comes later learns that the grant is gone and releases the
+    /// rest. What was launched, or may have been, ends by its machine's proof alone.
+    pub(super) fn release_orphaned_grants(&mut self, now: u64) {
+        let due = |p: &PlacerSession| p.lease_lost_at.is_some_and(|at| now >= at + ORPHAN_ROOM_MS);
+        let superseded: BTreeSet<u16> = self
+            .placers
             .iter()
-            .filter(|(_, a)| due(a))
+            .filter(|(_, placer)| due(placer))
             .map(|(shard, _)| *shard)
             .collect();
-        if lost.is_empty() {
+        if superseded.is_empty() {
             return;
         }
-        let unused = |h: &Held| {
-            !h.want.go
+        let unused = |a: &TrackedAttempt| {
+            !a.desired.go
                 && matches!(
-                    h.stage,
-                    Stage::Waiting(_)
-                        | Stage::Accepted {
-                            sent: None,
-                            seen: false
-                        }
+                    a.stage,
+                    AttemptStage::AwaitingPreemption(_) | AttemptStage::NOT_LAUNCHED
                 )
         };
-        let here = |id: &AttemptId, h: &Held| {
+        let reported = |id: &AttemptId, a: &TrackedAttempt| {
             self.machines
-                .get(&h.want.machine)
+                .get(&a.desired.machine)
                 .is_some_and(|m| m.tasks.contains_key(id))
         };
         let orphans: Vec<AttemptId> = self
-            .held
+            .attempts
             .iter()
-            .filter(|(id, h)| lost.contains(&h.from) && unused(h) && !here(id, h))
+            .filter(|(id, a)| superseded.contains(&a.from) && unused(a) && !reported(id, a))
             .map(|(id, _)| id.clone())
             .collect();
         for id in orphans {
-            let Some(held) = self.held.get_mut(&id) else {
+            let Some(tracked) = self.attempts.get_mut(&id) else {
                 continue;
             };
-            info!(attempt = %id, machine = %held.want.machine, shard = self.shard, "its placer is gone; its room is free");
-            held.stage = Stage::Ended(AttemptState::Refused);
-            let (machine, from) = (held.want.machine.clone(), held.from);
-            self.dirty.insert(from);
-            self.note_end(&machine, &id, AttemptState::Refused, now);
-            self.judge(&machine, now);
+            info!(attempt = %id, machine = %tracked.desired.machine, shard = self.shard, "orphaned grant released");
+            tracked.stage = AttemptStage::Ended(AttemptState::Refused);
+            let (machine, from) = (tracked.desired.machine.clone(), tracked.from);
+            self.changed_placers.insert(from);
+            self.record_outcome(&machine, &id, AttemptState::Refused, now);
+            self.reevaluate(&machine, now);
         }
     }
 }
--- a/crates/coordination/src/owner/preemption.rs
+++ b/crates/coordination/src/owner/preemption.rs
@@ -1,150 +1,206 @@
-//! Room on a machine, and who makes way for whom.
+//! Capacity of a machine, and which attempts are preempted for which.
 
 use super::*;
 
+/// ms after its start within which a task is preempted only if nothing else will do: a
+/// start that is undone within 30 s is none to its users.
+const RECENT_START_MS: u64 = 35_000;
+
+/// An attempt that may be preempted; the greatest one is preempted first.
+#[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct PreemptionCandidate {
+    over_quota: bool,
+    priority: Priority,
+    /// It has run for longer than [`RECENT_START_MS`].
+    past_start: bool,
+    tracked_since: u64,
+    id: AttemptId,
+    need: Resources,
+}
+
+fn total_need<'a>(
+    attempts: impl Iterator<Item = (&'a AttemptId, &'a TrackedAttempt)>,
+) -> Resources {
+    attempts.fold(Resources::default(), |sum, (_, a)| {
+        sum.plus(&a.desired.need)
+    })
+}
+
 impl Owner {
-    /// Tells those to leave that an attempt may push out, if that makes room
-    /// for it: what is over its guarantee first, then the lowest priority, then
-    /// those past their start, and of these the youngest, who lose least.
-    pub(super) fn push_out(&mut self, id: &AttemptId, now: u64) -> bool {
-        let Some(held) = self.held.get(id) else {
+    /// Preempts attempts for one that may, if that makes room for it: those over their
+    /// guaranteed quota first, then the lowest priority, then those past their start,
+    /// and of these the youngest, which lose least. False if nothing was preempted.
+    pub(super) fn preempt_for(&mut self, id: &AttemptId, now: u64) -> bool {
+        let Some(tracked) = self.attempts.get(id) else {
             return false;
         };
-        let want = held.want.clone();
-        let Some(m) = self
-            .machines
-            .get(&want.machine)
-            .filter(|m| m.open() && m.worker_session.session() > m.dead_session)
-        else {
+        let desired = tracked.desired.clone();
+        let Some(victims) = self.select_victims(&desired, now) else {
             return false;
         };
-        if self.crowded(m) {
-            return false;
+        self.placement_counts.preempted += victims.len() as u64;
+        for victim in victims {
+            self.preempt(&victim, id, desired.rank);
+            self.reevaluate_attempt(&victim, now);
         }
-        // Those who leave already make room for those who wait already.
-        let claimed = self
-            .here(&want.machine)
-            .filter(|(_, h)| matches!(h.stage, Stage::Waiting(_)))
-            .fold(Resources::default(), |s, (_, h)| s.plus(&h.want.need));
-        let staying = self
-            .here(&want.machine)
-            .filter(|(_, h)| matches!(h.stage, Stage::Accepted { .. }) && h.ending().is_none())
-            .fold(Resources::default(), |s, (_, h)| s.plus(&h.want.need));
-        let mut free = m.room.minus(&claimed.plus(&staying));
-        let mut candidates: Vec<(bool, Priority, bool, u64, AttemptId, Resources)> = self
-            .here(&want.machine)
-            .filter(|(_, h)| matches!(h.stage, Stage::Accepted { .. }) && h.ending().is_none())
-            .filter(|(_, h)| want.evict.allows(&want.team, want.rank, &h.want))
-            .map(|(id, h)| {
-                (
-                    h.want.over,
-                    h.want.rank,
-                    now > h.since + FRESH_START_MS,
-                    h.since,
-                    id.clone(),
-                    h.want.need,
-                )
+        true
+    }
+
+    /// The attempts to preempt for one; `None` if there is no room for it even so.
+    fn select_victims(&self, desired: &DesiredAttempt, now: u64) -> Option<Vec<AttemptId>> {
+        let m = self
+            .machines
+            .get(&desired.machine)
+            .filter(|m| m.is_schedulable() && m.incarnation.session() > m.expired_session)?;
+        if self.has_unclaimed_tasks(m) {
+            return None;
+        }
+        // Those that are stopping make room for those that wait already.
+        let reserved = total_need(
+            self.attempts_on(&desired.machine)
+                .filter(|(_, a)| matches!(a.stage, AttemptStage::AwaitingPreemption(_))),
+        );
+        let staying = total_need(self.staying_on(&desired.machine));
+        let mut free = m.capacity.minus(&reserved.plus(&staying));
+        let mut candidates: Vec<PreemptionCandidate> = self
+            .staying_on(&desired.machine)
+            .filter(|(_, a)| {
+                desired
+                    .evict
+                    .allows(&desired.team, desired.rank, &a.desired)
+            })
+            .map(|(id, a)| PreemptionCandidate {
+                over_quota: a.desired.over,
+                priority: a.desired.rank,
+                past_start: now > a.tracked_since + RECENT_START_MS,
+                tracked_since: a.tracked_since,
+                id: id.clone(),
+                need: a.desired.need,
             })
             .collect();
         candidates.sort_unstable();
         let mut victims = Vec::new();
-        while !free.covers(&want.need) {
-            let Some((_, _, _, _, victim, room)) = candidates.pop() else {
-                return false;
-            };
-            free = free.plus(&room);
-            victims.push(victim);
+        while !free.covers(&desired.need) {
+            let victim = candidates.pop()?;
+            free = free.plus(&victim.need);
+            victims.push(victim.id);
         }
-        self.pushed_out += victims.len() as u64;
-        for victim in victims {
-            if let Some(h) = self.held.get_mut(&victim) {
-                info!(attempt = %victim, machine = %want.machine, shard = self.shard, by = %id, "pushed out");
-                let grace = if want.rank == Priority::Production {
-                    0
-                } else {
-                    h.want.grace
-                };
-                h.evicted = Some(grace);
-                h.killed_at = None;
-            }
-            self.judge_one(&victim, now);
-        }
-        true
+        Some(victims)
+    }
+
+    /// Preempts an attempt: at once for production work, else with its grace.
+    fn preempt(&mut self, victim: &AttemptId, by: &AttemptId, priority: Priority) {
+        let Some(tracked) = self.attempts.get_mut(victim) else {
+            return;
+        };
+        info!(attempt = %victim, machine = %tracked.desired.machine, shard = self.shard, preempted_by = %by, "attempt preempted");
+        let grace_s = match priority {
+            Priority::Production => 0,
+            _ => tracked.desired.grace,
+        };
+        tracked.preemption_grace_s = Some(grace_s);
+        tracked.stop_sent_at = None;
+    }
+
+    /// Accepted attempts of a machine that are not stopping.
+    fn staying_on(
+        &self,
+        machine: &MachineId,
+    ) -> impl Iterator<Item = (&AttemptId, &TrackedAttempt)> {
+        self.attempts_on(machine).filter(|(_, a)| {
+            matches!(a.stage, AttemptStage::Accepted { .. }) && a.stop_grace_s().is_none()
+        })
     }
 
-    /// True if a task is on the machine that nobody has claimed yet.
-    pub(super) fn crowded(&self, m: &Machine) -> bool {
+    /// True if a task runs on the machine that no placer has named yet.
+    pub(super) fn has_unclaimed_tasks(&self, m: &Machine) -> bool {
         m.tasks
             .iter()
-            .any(|(id, seen)| seen.phase != TaskPhase::Exited && !self.held.contains_key(id))
+            .any(|(id, task)| task.phase != TaskPhase::Exited && !self.attempts.contains_key(id))
     }
 
-    /// Room not taken by the accepted attempts other than this one.
-    pub(super) fn room_without(&self, machine: &MachineId, id: &AttemptId) -> Resources {
-        let Some(m) = self.machines.get(machine).filter(|m| !self.crowded(m)) else {
+    /// Capacity not taken by the accepted attempts other than this one.
+    pub(super) fn free_without(&self, machine: &MachineId, id: &AttemptId) -> Resources {
+        let Some(m) = self
+            .machines
+            .get(machine)
+            .filter(|m| !self.has_unclaimed_tasks(m))
+        else {
             return Resources::default();
         };
         let taken = self
-            .here(machine)
-            .filter(|(other, h)| *other != id && matches!(h.stage, Stage::Accepted { .. }))
-            .fold(Resources::default(), |sum, (_, h)| sum.plus(&h.want.need));
-        m.room.minus(&taken)
+            .attempts_on(machine)
+            .filter(|(other, a)| *other != id && matches!(a.stage, AttemptStage::Accepted { .. }))
+            .fold(Resources::default(), |sum, (_, a)| {
+                sum.plus(&a.desired.need)
+            });
+        m.capacity.minus(&taken)
     }
 
-    /// Room of the attempts that each priority may push out, without and with
-    /// what teams run beyond their guarantees.
-    pub(super) fn soft(&self, machine: &MachineId) -> ([Resources; 3], [Resources; 3]) {
+    /// Resources of the attempts that each priority may preempt, without and with what
+    /// teams run beyond their guaranteed quota.
+    pub(super) fn preemptible(&self, machine: &MachineId) -> ([Resources; 3], [Resources; 3]) {
         let (mut lower, mut over) = ([Resources::default(); 3], [Resources::default(); 3]);
-        for (_, h) in self
-            .here(machine)
-            .filter(|(_, h)| matches!(h.stage, Stage::Accepted { .. }) && h.ending().is_none())
-        {
+        for (_, a) in self.staying_on(machine) {
             for rank in 0..3 {
-                let below = h.want.rank.index() > rank;
-                if below && h.want.over {
-                    lower[rank] = lower[rank].plus(&h.want.need);
+                let below = a.desired.rank.index() > rank;
+                if below && a.desired.over {
+                    lower[rank] = lower[rank].plus(&a.desired.need);
                 }
                 if below
-                    || h.want.over
-                        && h.want.rank.index() == rank
-                        && h.want.rank != Priority::Production
+                    || a.desired.over
+                        && a.desired.rank.index() == rank
+                        && a.desired.rank != Priority::Production
                 {
-                    over[rank] = over[rank].plus(&h.want.need);
+                    over[rank] = over[rank].plus(&a.desired.need);
                 }
             }
         }
         (lower, over)
     }
 
-    /// Room not taken by accepted attempts. Tasks that nobody has claimed yet
-    /// have unknown needs, so a machine with such a task has no room.
+    /// Capacity not taken by accepted or waiting attempts. Tasks that no placer has named
+    /// yet have unknown needs, so a machine with such a task has none.
     pub(super) fn free(&self, machine: &MachineId) -> Resources {
-        let Some(m) = self.machines.get(machine).filter(|m| !self.crowded(m)) else {
+        let Some(m) = self
+            .machines
+            .get(machine)
+            .filter(|m| !self.has_unclaimed_tasks(m))
+        else {
             return Resources::default();
         };
-        self.here(machine)
-            .filter(|(_, h)| matches!(h.stage, Stage::Accepted { .. } | Stage::Waiting(_)))
-            .fold(m.room, |free, (_, h)| free.minus(&h.want.need))
+        self.attempts_on(machine)
+            .filter(|(_, a)| {
+                matches!(
+                    a.stage,
+                    AttemptStage::Accepted { .. } | AttemptStage::AwaitingPreemption(_)
+                )
+            })
+            .fold(m.capacity, |free, (_, a)| free.minus(&a.desired.need))
     }
 
-    pub(super) fn busy(&self, machine: &MachineId) -> usize {
-        let held = self
-            .here(machine)
-            .filter(|(_, h)| !matches!(h.stage, Stage::Ended(_)))
+    /// Attempts that have not ended, and tasks that no placer has named.
+    pub(super) fn occupant_count(&self, machine: &MachineId) -> usize {
+        let attempts = self
+            .attempts_on(machine)
+            .filter(|(_, a)| !matches!(a.stage, AttemptStage::Ended(_)))
             .count();
         let unclaimed = self.machines.get(machine).map_or(0, |m| {
             m.tasks
                 .iter()
-                .filter(|(id, seen)| seen.phase != TaskPhase::Exited && !self.held.contains_key(id))
+                .filter(|(id, task)| {
+                    task.phase != TaskPhase::Exited && !self.attempts.contains_key(id)
+                })
                 .count()
         });
-        held + unclaimed
+        attempts + unclaimed
     }
 
-    pub(super) fn lasting(&self, machine: &MachineId) -> u16 {
+    /// Replicas of services among the attempts of a machine.
+    pub(super) fn service_replicas(&self, machine: &MachineId) -> u16 {
         let count = self
-            .here(machine)
-            .filter(|(_, h)| h.want.lasting && !matches!(h.stage, Stage::Ended(_)))
+            .attempts_on(machine)
+            .filter(|(_, a)| a.desired.lasting && !matches!(a.stage, AttemptStage::Ended(_)))
             .count();
         count.min(usize::from(u16::MAX)) as u16
     }
--- a/crates/coordination/src/owner/reconciliation.rs
+++ b/crates/coordination/src/owner/reconciliation.rs
@@ -1,282 +1,223 @@
-//! What the placers want, and what they are told.
+//! Reconciliation of the attempts that placers want with those tracked here.
 
 use super::*;
 
+/// The exchange with the placer of one shard.
+#[derive(Default)]
+pub(super) struct PlacerSession {
+    /// Fencing token of its shard's lease.
+    pub(super) token: u64,
+    /// Number of its newest message.
+    seq: u64,
+    /// When a reading of the store showed that it has lost its lease, ms.
+    pub(super) lease_lost_at: Option<u64>,
+    /// Version of its desired state that is applied here.
+    desired_version: u64,
+    /// Its whole desired state has been applied.
+    pub(super) complete: bool,
+    /// Version of the machines' published state that it has.
+    pub(super) acknowledged_version: u64,
+    /// Attempts that a full resend has not mentioned yet.
+    unmentioned: HashSet<AttemptId>,
+    /// The states of its attempts, with the versions of their changes.
+    pub(super) published: ChangeLog<AttemptId, AttemptState>,
+}
+
+impl PlacerSession {
+    /// Accepts the order of a message, or says why it is refused.
+    fn accept(&mut self, sync: &SyncRequest) -> Result<(), SyncError> {
+        if sync.from_token < self.token {
+            return Err(SyncError::Token);
+        }
+        // Guards against a delayed message that asks again for an attempt whose end was
+        // already published.
+        if sync.from_token == self.token && sync.seq <= self.seq {
+            return Err(SyncError::Stale);
+        }
+        if sync.from_token > self.token {
+            // Guards against continuing from what an earlier placer of that shard had
+            // published: only a full resend counts for this one.
+            self.desired_version = 0;
+            self.complete = false;
+            self.lease_lost_at = None;
+        }
+        self.token = sync.from_token;
+        self.seq = sync.seq;
+        self.acknowledged_version = sync.have.machines;
+        Ok(())
+    }
+}
+
 impl Owner {
-    /// A placer says what it wants; the answer is what it lacks of this part's
-    /// state, in `room` bytes.
+    /// Applies a placer's desired state; the answer is what it has not acknowledged of
+    /// this shard's state, in `max_bytes`.
     pub fn sync(
         &mut self,
         sync: &SyncRequest,
-        room: usize,
+        max_bytes: usize,
         now: u64,
     ) -> Result<ShardView, SyncError> {
         if sync.to_token != self.token {
             return Err(SyncError::Token);
         }
         if sync.from >= self.shards {
-            return Err(SyncError::Part);
-        }
-        let asker = self.askers.entry(sync.from).or_default();
-        if sync.from_token < asker.token {
-            return Err(SyncError::Token);
-        }
-        // Guards against a held-back message that asks again for an attempt
-        // whose end was already answered.
-        if sync.from_token == asker.token && sync.seq <= asker.seq {
-            return Err(SyncError::Stale);
-        }
-        if sync.from_token > asker.token {
-            // Guards against going on from what an earlier placer of that part
-            // had told: only a state told from nothing counts for this one.
-            asker.at = 0;
-            asker.complete = false;
-            asker.lost = None;
-        }
-        asker.token = sync.from_token;
-        asker.seq = sync.seq;
-        asker.have = sync.have.machines;
-        self.strays.insert(sync.from, (sync.strays, now));
-        for r in &sync.rented {
-            self.expect(r, sync.from, now);
-        }
-        for id in &sync.keep {
+            return Err(SyncError::UnknownShard);
+        }
+        self.placers.entry(sync.from).or_default().accept(sync)?;
+        self.peer_heartbeat_counts.insert(
+            sync.from,
+            PeerCount {
+                machines: sync.strays,
+                at: now,
+            },
+        );
+        for instance in &sync.rented {
+            self.expect_instance(instance, sync.from, now);
+        }
+        self.restart_idle_time(&sync.keep, now);
+        let wants_at = self.reconcile_desired(sync, now);
+        self.changed_placers.remove(&sync.from);
+        let mut view = self.unacknowledged_view(sync, max_bytes);
+        view.wants_at = wants_at;
+        view.hidden = self.failure_detector.partitioned_zones(now);
+        Ok(view)
+    }
+
+    /// Machines that a placer asks to keep are idle from now on at the earliest.
+    fn restart_idle_time(&mut self, machines: &[MachineId], now: u64) {
+        for id in machines {
             if let Some(m) = self.machines.get_mut(id) {
                 m.idle_since = m.idle_since.map(|_| now);
             }
         }
-        let wants_at = self.take_wants(sync, now);
-        self.dirty.remove(&sync.from);
-        let mut view = self.view(sync, room);
-        view.wants_at = wants_at;
-        view.hidden = self.sight.hidden(now);
-        Ok(view)
     }
 
-    /// Takes the changes of a placer's wants; tells the state that we now have
-    /// of them, 0 if something is missing between.
-    pub(super) fn take_wants(&mut self, sync: &SyncRequest, now: u64) -> u64 {
-        let Some(asker) = self.askers.get_mut(&sync.from) else {
+    /// Reconciles a placer's desired attempts with those tracked; returns the version
+    /// that is now applied, 0 if a change before this message is missing.
+    fn reconcile_desired(&mut self, sync: &SyncRequest, now: u64) -> u64 {
+        let Some(dropped) = self.advance_desired_version(sync) else {
             return 0;
         };
-        match sync.span.follows(asker.at) {
-            Some(Continuation::Anew) => {
-                asker.at = 0;
-                asker.complete = false;
-                asker.unnamed = asker_attempts(&self.held, sync.from);
+        let mut affected = BTreeSet::new();
+        for id in dropped {
+            // The attempts of another shard's placer are none of its business.
+            if self.is_tracked_for(&id, sync.from) {
+                affected.extend(self.untrack(&id));
             }
-            Some(Continuation::On) => {}
-            None => return 0,
         }
-        asker.at = asker.at.max(sync.span.upto);
-        for w in &sync.wants {
-            asker.unnamed.remove(&w.id);
+        for (id, grace_s) in &sync.stops {
+            affected.extend(self.request_stop(id, sync.from, *grace_s));
         }
-        let mut over: Vec<AttemptId> = sync.dropped.clone();
-        if sync.span.last {
-            asker.complete = true;
-            over.extend(std::mem::take(&mut asker.unnamed));
-        }
-        let (at, lost) = (asker.at, asker.lost.is_some());
-        let mut touched = BTreeSet::new();
-        for id in over {
-            // Another part's attempts are none of its business.
-            if self.held.get(&id).is_some_and(|h| h.from == sync.from) {
-                touched.extend(self.let_go(&id));
-            }
-        }
-        for (id, grace) in &sync.stops {
-            if let Some(held) = self
-                .held
-                .get_mut(id)
-                .filter(|h| h.from == sync.from && h.want.kill.is_none())
-            {
-                held.want.kill = Some(*grace);
-                held.killed_at = None;
-                touched.insert(held.want.machine.clone());
-            }
-        }
-        for w in &sync.wants {
-            if self
-                .held
-                .get(&w.id)
-                .is_some_and(|h| h.want.machine != w.machine || h.from != sync.from)
-            {
-                warn!(attempt = %w.id, from = sync.from, "an attempt can't change its machine or its part; not taken");
-                continue;
-            }
-            if !self.held.contains_key(&w.id) {
-                self.on
-                    .entry(w.machine.clone())
-                    .or_default()
-                    .insert(w.id.clone());
-                let held = Held {
-                    from: sync.from,
-                    want: w.clone(),
-                    evicted: None,
-                    killed_at: None,
-                    since: now,
-                    ran: None,
-                    well: false,
-                    stage: Stage::Unjudged,
-                };
-                self.held.insert(w.id.clone(), held);
-            } else if let Some(held) = self.held.get_mut(&w.id) {
-                if held.want.kill != w.kill {
-                    held.killed_at = None;
-                }
-                // Guards against a late go of a placer that has lost its part: its
-                // successor decides what becomes of the gang.
-                let go = w.go && (held.want.go || !lost);
-                held.want = DesiredAttempt { go, ..w.clone() };
-            }
-            touched.insert(w.machine.clone());
-            match self.machines.get_mut(&w.machine) {
-                // Placed there while an earlier owner saw it run.
-                Some(m) if m.heard.is_none() => drop(m.ran.get_or_insert(now)),
-                Some(_) => {}
-                None if self.gone.contains(&w.machine) => {}
-                None => drop(self.missing.entry(w.machine.clone()).or_insert(now)),
+        for desired in &sync.wants {
+            if self.track(desired, sync.from, now) {
+                affected.insert(desired.machine.clone());
+                self.note_placement(&desired.machine, now);
             }
         }
-        for machine in touched {
-            self.judge(&machine, now);
+        for machine in affected {
+            self.reevaluate(&machine, now);
         }
-        at
+        self.placers
+            .get(&sync.from)
+            .map_or(0, |placer| placer.desired_version)
     }
 
-    /// Brings what is told up to date.
-    pub(super) fn refresh(&mut self) {
-        for id in std::mem::take(&mut self.stale) {
-            match self.machines.get(&id) {
-                // What may be long gone is no room, nor is it missing room.
-                Some(m) if m.hearsay() => self.views.remove(&id),
-                Some(m) => {
-                    let view = self.machine_view(&id, m);
-                    self.views.put(&id, view);
-                }
-                None => self.views.remove(&id),
-            }
-            for attempt in self.on.get(&id).into_iter().flatten() {
-                let Some(held) = self.held.get(attempt) else {
-                    continue;
-                };
-                if let (Some(standing), Some(asker)) = (
-                    self.standing(attempt, held),
-                    self.askers.get_mut(&held.from),
-                ) {
-                    asker.told.put(attempt, standing);
-                }
+    /// Advances to the message's version; the attempts that the placer has dropped, or
+    /// `None` if a change before it is missing.
+    fn advance_desired_version(&mut self, sync: &SyncRequest) -> Option<Vec<AttemptId>> {
+        let placer = self.placers.get_mut(&sync.from)?;
+        match sync.span.follows(placer.desired_version)? {
+            Continuation::Anew => {
+                placer.desired_version = 0;
+                placer.complete = false;
+                placer.unmentioned = attempts_of_placer(&self.attempts, sync.from);
             }
+            Continuation::On => {}
+        }
+        placer.desired_version = placer.desired_version.max(sync.span.upto);
+        for desired in &sync.wants {
+            placer.unmentioned.remove(&desired.id);
+        }
+        let mut dropped = sync.dropped.clone();
+        if sync.span.last {
+            placer.complete = true;
+            dropped.extend(std::mem::take(&mut placer.unmentioned));
         }
+        Some(dropped)
     }
 
-    pub(super) fn machine_view(&self, id: &MachineId, m: &Machine) -> MachineView {
-        let (soft, soft_over) = self.soft(id);
-        MachineView {
-            id: id.clone(),
-            kind: m.kind.clone(),
-            zone: m.zone.clone(),
-            spot: m.spot,
-            up: m.heard.is_some()
-                && m.worker_session.fresh()
-                && m.worker_session.session() > m.dead_session,
-            open: m.open(),
-            // A machine that fails what it starts may go on with what runs.
-            leaving: m.notice,
-            free: self.free(id),
-            soft,
-            soft_over,
-            busy: self.busy(id).min(usize::from(u16::MAX)) as u16,
-            lasting: self.lasting(id),
-            images: m.images.iter().map(|(name, _)| name.clone()).collect(),
-            coming: self.coming(id, m),
-            renter: m.renter,
-        }
+    fn is_tracked_for(&self, id: &AttemptId, placer: u16) -> bool {
+        self.attempts.get(id).is_some_and(|a| a.from == placer)
     }
 
-    pub(super) fn standing(&self, id: &AttemptId, held: &Held) -> Option<AttemptState> {
-        Some(match held.stage {
-            Stage::Unjudged => return None,
-            Stage::Ended(standing) => standing,
-            // A gang has room only once those who were pushed out for it are gone:
-            // until then none of it is launched.
-            Stage::Waiting(_) if !held.want.go => return None,
-            Stage::Waiting(_) => AttemptState::Accepted,
-            Stage::Accepted { .. } => match self
-                .machines
-                .get(&held.want.machine)
-                .and_then(|m| m.tasks.get(id))
-                .map(|s| s.phase)
-            {
-                Some(TaskPhase::Running | TaskPhase::Saving) => AttemptState::Running,
-                Some(_) => AttemptState::Preparing,
-                None => AttemptState::Accepted,
-            },
-        })
+    /// Stops an attempt of this placer that is not stopping yet; returns its machine.
+    fn request_stop(&mut self, id: &AttemptId, placer: u16, grace_s: u32) -> Option<MachineId> {
+        let tracked = self
+            .attempts
+            .get_mut(id)
+            .filter(|a| a.from == placer && a.desired.kill.is_none())?;
+        tracked.desired.kill = Some(grace_s);
+        tracked.stop_sent_at = None;
+        Some(tracked.desired.machine.clone())
     }
 
-    /// What an asker lacks of this part's state. Ends and grants go first: they
-    /// are what its tasks wait for.
-    pub(super) fn view(&mut self, sync: &SyncRequest, mut room: usize) -> ShardView {
-        self.refresh();
-        if self.askers.len() >= usize::from(self.shards) {
-            // A placer that comes anew is told all from nothing.
-            self.views
-                .forget(self.askers.values().map(|a| a.have).min().unwrap_or(0));
-        }
-        let told = self.askers.entry(sync.from).or_default();
-        let (attempts_span, attempts) = told
-            .told
-            .since(sync.have.attempts, &mut room, |_, _| ATTEMPT_BYTES);
-        let attempts = attempts
-            .into_iter()
-            .filter_map(|(id, s)| {
-                s.map(|&standing| AttemptStatus {
-                    id: id.clone(),
-                    standing,
-                })
-            })
-            .collect();
-        let (machines_span, changes) = self.views.since(sync.have.machines, &mut room, |_, m| {
-            m.map_or(ATTEMPT_BYTES, written)
-        });
-        let (mut machines, mut gone) = (Vec::new(), Vec::new());
-        for (id, m) in changes {
-            match m {
-                Some(m) => machines.push(m.clone()),
-                None => gone.push(id.clone()),
-            }
-        }
-        ShardView {
-            version: PEER_VERSION,
-            shard: self.shard,
-            token: self.token,
-            seq: sync.seq,
-            store_age_ms: u64::MAX,
-            wants_at: 0,
-            hidden: Vec::new(),
-            machines_span,
-            machines,
-            gone,
-            attempts_span,
-            attempts,
-        }
+    /// Tracks a desired attempt, or applies its changes. False if it is refused.
+    fn track(&mut self, desired: &DesiredAttempt, placer: u16, now: u64) -> bool {
+        let lease_lost = self
+            .placers
+            .get(&placer)
+            .is_some_and(|p| p.lease_lost_at.is_some());
+        let Some(tracked) = self.attempts.get_mut(&desired.id) else {
+            self.attempts_by_machine
+                .entry(desired.machine.clone())
+                .or_default()
+                .insert(desired.id.clone());
+            self.attempts.insert(
+                desired.id.clone(),
+                TrackedAttempt::new(placer, desired.clone(), now),
+            );
+            return true;
+        };
+        if tracked.desired.machine != desired.machine || tracked.from != placer {
+            warn!(attempt = %desired.id, placer, "attempt moved to another machine or shard; change ignored");
+            return false;
+        }
+        if tracked.desired.kill != desired.kill {
+            tracked.stop_sent_at = None;
+        }
+        // Guards against a late `go` of a placer that has lost its lease: its successor
+        // decides what becomes of the gang.
+        let go = desired.go && (tracked.desired.go || !lease_lost);
+        tracked.desired = DesiredAttempt {
+            go,
+            ..desired.clone()
+        };
+        true
     }
 
-    /// Images that a machine fetches.
-    pub(super) fn coming(&self, id: &MachineId, m: &Machine) -> Vec<String> {
-        let mut names: Vec<String> = Vec::new();
-        for (_, h) in self
-            .here(id)
-            .filter(|(_, h)| matches!(h.stage, Stage::Accepted { .. }) && h.ending().is_none())
-        {
-            if !names.contains(&h.want.image)
-                && !m.images.iter().any(|(name, _)| *name == h.want.image)
-            {
-                names.push(h.want.image.clone());
+    /// An attempt is placed on the machine, maybe while an earlier owner saw it running.
+    fn note_placement(&mut self, machine: &MachineId, now: u64) {
+        match self.machines.get_mut(machine) {
+            Some(m) if m.last_heartbeat_at.is_none() => {
+                m.recorded_running_at.get_or_insert(now);
+            }
+            Some(_) => {}
+            None if self.released_machines.contains(machine) => {}
+            None => {
+                self.unseen_machines.entry(machine.clone()).or_insert(now);
             }
         }
-        names
     }
 }
+
+/// Attempts of one placer.
+fn attempts_of_placer(
+    attempts: &HashMap<AttemptId, TrackedAttempt>,
+    placer: u16,
+) -> HashSet<AttemptId> {
+    attempts
+        .iter()
+        .filter(|(_, a)| a.from == placer)
+        .map(|(id, _)| id.clone())
+        .collect()
+}
--- a/crates/coordination/tests/evidence.rs
+++ b/crates/coordination/tests/evidence.rs
@@ -1,15 +1,15 @@
-//! Machines out of sight: what is waited for, what is given back, and when the
-//! end of what ran there is proven from time.
+//! Silent and partitioned machines: how long they are waited for, when they are released,
+//! and when the leases that earlier owners renewed have expired.
 
 mod support;
 
 use std::collections::BTreeSet;
 
-use lemonweir_coordination::owner::Owner;
-use lemonweir_model::MachineId;
-use lemonweir_model::constants::{
-    BLIND_MOST_MS, DRIFT_PER_MILLE, FENCE_BITS, LEASE_MARGIN_MS, RETURN_KEEP_MS,
+use lemonweir_coordination::owner::{
+    CLOCK_DRIFT_PER_MILLE, LEASE_MARGIN_MS, Owner, ZONE_RECOVERY_MS,
 };
+use lemonweir_model::MachineId;
+use lemonweir_model::constants::{BLIND_MOST_MS, FENCE_BITS};
 use lemonweir_protocol::cloud::InstanceEntry;
 use lemonweir_protocol::peer::{AttemptState, ChangeRange, ObservedState, ShardView};
 use lemonweir_protocol::worker::Heartbeat;
@@ -18,7 +18,7 @@
 const MACHINES: usize = 40;
 /// Token of the successor.
 const NEXT: u64 = TOKEN + 1;
-/// The cloud's list is read so often.
+/// The provider's inventory is read this often.
 const LIST_MS: u64 = 4_000;
 
 fn entry(n: usize) -> InstanceEntry {
@@ -32,25 +32,25 @@
     }
 }
 
-/// A successor whose placer wants one attempt on each of 40 machines, none of
-/// which it has heard.
-struct Day {
+/// A successor whose placer wants one attempt on each of 40 machines, none of which has sent
+/// it a heartbeat.
+struct Scenario {
     owner: Owner,
     now: u64,
     seq: u64,
     released: Vec<(u64, MachineId)>,
-    /// How the first attempt stands, with the time since when.
+    /// The state of the first attempt, with the time since when.
     ended: Option<(u64, AttemptState)>,
     have: ObservedState,
-    cloud: bool,
+    provider_answers: bool,
     /// The store answers.
-    word: bool,
-    /// Machines whose first session was heard.
-    heard: BTreeSet<usize>,
+    store_answers: bool,
+    /// Machines whose first session has sent a heartbeat.
+    first_session_seen: BTreeSet<usize>,
 }
 
-impl Day {
-    fn new(cloud: bool) -> Self {
+impl Scenario {
+    fn new(provider_answers: bool) -> Self {
         let mut owner = Owner::new(
             0,
             NEXT,
@@ -60,19 +60,19 @@
             0,
         );
         owner.set_types([kind()].iter());
-        let mut day = Self {
+        let mut scenario = Self {
             owner,
             now: 0,
             seq: 0,
             released: Vec::new(),
             ended: None,
             have: ObservedState::default(),
-            cloud,
-            word: true,
-            heard: BTreeSet::new(),
+            provider_answers,
+            store_answers: true,
+            first_session_seen: BTreeSet::new(),
         };
         let wants = (0..MACHINES).map(|n| want(n as u32, n)).collect();
-        day.tell(
+        scenario.sync_placer(
             ChangeRange {
                 since: 0,
                 upto: 40,
@@ -80,10 +80,10 @@
             },
             wants,
         );
-        day
+        scenario
     }
 
-    fn tell(
+    fn sync_placer(
         &mut self,
         span: ChangeRange,
         wants: Vec<lemonweir_protocol::peer::DesiredAttempt>,
@@ -105,25 +105,25 @@
         view
     }
 
-    /// True once every lease has run out that an earlier owner kept alive: the
+    /// True once every lease has expired that an earlier owner renewed: the
     /// machines are in another session then, without tasks.
     fn leases_are_over(&self) -> bool {
         self.now > BLIND_MOST_MS + TIMING.lease_ms
     }
 
-    /// Lets time pass; machines that `reports` says report every 3 s.
+    /// Lets time pass; machines that `reachable` names send a heartbeat every 3 s.
     fn pass(&mut self, until: u64, reports: impl Fn(usize) -> bool) {
         while self.now < until {
             self.now += 100;
-            if self.cloud && self.now.is_multiple_of(LIST_MS) {
+            if self.provider_answers && self.now.is_multiple_of(LIST_MS) {
                 let all: Vec<InstanceEntry> = (0..MACHINES).map(entry).collect();
-                self.owner.listed(&all, self.now);
+                self.owner.apply_inventory(&all, self.now);
             }
-            if self.now.is_multiple_of(TIMING.report_ms) {
+            if self.now.is_multiple_of(TIMING.heartbeat_interval_ms) {
                 for n in (0..MACHINES).filter(|&n| reports(n)) {
-                    let kept = self.heard.contains(&n) || !self.leases_are_over();
+                    let kept = self.first_session_seen.contains(&n) || !self.leases_are_over();
                     if kept {
-                        self.heard.insert(n);
+                        self.first_session_seen.insert(n);
                     }
                     let tasks = if kept {
                         vec![running_task(n)]
@@ -138,18 +138,18 @@
                         tasks,
                         ..report(n, 0)
                     };
-                    self.owner.report(&said, None, self.now);
+                    self.owner.handle_heartbeat(&said, None, self.now);
                 }
             }
-            let word = if self.word { self.now } else { 0 };
-            self.owner.tick(self.now, word);
-            let names = self.owner.releases();
+            let store_answer_at = if self.store_answers { self.now } else { 0 };
+            self.owner.tick(self.now, store_answer_at);
+            let names = self.owner.next_releases();
             if !names.is_empty() {
                 self.released
                     .extend(names.iter().map(|id| (self.now, id.clone())));
-                self.owner.released(&names, true, self.now);
+                self.owner.release_finished(&names, true, self.now);
             }
-            self.tell(
+            self.sync_placer(
                 ChangeRange {
                     since: 40,
                     upto: 40,
@@ -169,43 +169,43 @@
     true
 }
 
-/// Found on zone of zeltplatz-rechen-fleet: the successor of a cut hall's
-/// controller gave 773 of 1,329 machines back as never come up, 14 s before the
-/// cut ended.
+/// Found on zone of zeltplatz-rechen-fleet: the successor in a partitioned zone's
+/// controller released 773 of 1,329 machines as never come up, 14 s before the
+/// partition healed.
 #[test]
-fn a_hall_that_comes_back_is_taken_as_it_is() {
+fn reconnected_zone_keeps_its_machines() {
     for cut_ms in [20_000, 45_000, 60_000, 95_000] {
-        let mut day = Day::new(true);
-        day.pass(cut_ms, nobody);
+        let mut scenario = Scenario::new(true);
+        scenario.pass(cut_ms, nobody);
         // The first half is back some seconds before the rest.
-        day.pass(cut_ms + 12_000, |n| n % 2 == 0);
-        day.pass(cut_ms + 16_000, all);
-        if !day.leases_are_over() {
-            day.pass(cut_ms + 60_000, all);
-            assert_eq!(day.ended, None, "what runs is adopted");
+        scenario.pass(cut_ms + 12_000, |n| n % 2 == 0);
+        scenario.pass(cut_ms + 16_000, all);
+        if !scenario.leases_are_over() {
+            scenario.pass(cut_ms + 60_000, all);
+            assert_eq!(scenario.ended, None, "what runs is adopted");
         }
-        assert_eq!(day.released, [], "a cut of {cut_ms} ms");
+        assert_eq!(scenario.released, [], "a cut of {cut_ms} ms");
     }
 }
 
-/// The same where the cloud can't be asked: nothing is known of the machines
-/// but the attempts on record.
+/// The same without the provider: nothing is known of the machines but the attempts on
+/// record.
 #[test]
-fn a_hall_is_waited_for_without_the_clouds_list() {
-    let mut day = Day::new(false);
-    day.pass(45_000, nobody);
-    day.pass(100_000, all);
-    assert_eq!(day.released, []);
+fn partitioned_zone_is_waited_for_without_the_inventory() {
+    let mut scenario = Scenario::new(false);
+    scenario.pass(45_000, nobody);
+    scenario.pass(100_000, all);
+    assert_eq!(scenario.released, []);
 }
 
-/// A hall that stays away is given back once waiting has cost as much as new
+/// A zone that stays away is released once waiting has cost as much as new
 /// machines; one that returns a second before keeps them all.
 #[test]
-fn a_hall_that_stays_away_is_given_back_after_a_bounded_time() {
-    let mut day = Day::new(true);
-    day.pass(400_000, nobody);
-    assert_eq!(day.released.len(), MACHINES);
-    let (first, last) = (day.released[0].0, day.released[MACHINES - 1].0);
+fn machines_of_a_lasting_partition_are_released_after_a_bounded_time() {
+    let mut scenario = Scenario::new(true);
+    scenario.pass(400_000, nobody);
+    assert_eq!(scenario.released.len(), MACHINES);
+    let (first, last) = (scenario.released[0].0, scenario.released[MACHINES - 1].0);
     let over = BLIND_MOST_MS + TIMING.lease_ms;
     assert!(
         first > over + 2 * 20_000,
@@ -213,79 +213,87 @@
     );
     assert!(last < over + 3 * 20_000, "{last} ms");
 
-    let mut day = Day::new(true);
-    day.pass(first - 1_000, nobody);
-    day.pass(first + 10_000, all);
-    assert_eq!(day.released, []);
+    let mut scenario = Scenario::new(true);
+    scenario.pass(first - 1_000, nobody);
+    scenario.pass(first + 10_000, all);
+    assert_eq!(scenario.released, []);
 }
 
-/// Single machines are not a hall: they go after their lease and some seconds.
+/// Single machines are not a zone: they are released after their lease and some seconds.
 #[test]
-fn a_few_silent_machines_are_given_back_for_themselves() {
-    let mut day = Day::new(true);
-    day.pass(100_000, |n| n > 1);
-    let names: Vec<&MachineId> = day.released.iter().map(|(_, id)| id).collect();
+fn few_silent_machines_are_released_individually() {
+    let mut scenario = Scenario::new(true);
+    scenario.pass(100_000, |n| n > 1);
+    let names: Vec<&MachineId> = scenario.released.iter().map(|(_, id)| id).collect();
     assert_eq!(names, [&machine(0), &machine(1)]);
     assert!(
-        day.released
+        scenario
+            .released
             .iter()
             .all(|(at, _)| (15_000..50_000).contains(at)),
         "{:?}",
-        day.released
+        scenario.released
     );
 }
 
-/// The proof from time: not before every answer of earlier owners has run out,
-/// and soon after. A machine that was heard is judged by what it says.
+/// Not before every lease that earlier owners renewed has expired, and soon after. A machine
+/// that sent a heartbeat is judged by that.
 #[test]
-fn the_end_of_what_earlier_owners_kept_alive_is_proven_from_time() {
-    let mut day = Day::new(true);
-    day.pass(110_000, nobody);
-    let drifted = |ms: u64| ms + ms * DRIFT_PER_MILLE / 1_000;
+fn inherited_attempts_end_once_all_earlier_leases_expired() {
+    let mut scenario = Scenario::new(true);
+    scenario.pass(110_000, nobody);
+    let drifted = |ms: u64| ms + ms * CLOCK_DRIFT_PER_MILLE / 1_000;
     let least = drifted(BLIND_MOST_MS) + drifted(TIMING.lease_ms) + LEASE_MARGIN_MS;
-    let (at, standing) = day.ended.expect("ended");
+    let (at, standing) = scenario.ended.expect("ended");
     assert_eq!(standing, AttemptState::Gone);
     assert!(
         (least..least + 300).contains(&at),
         "at {at} ms, least {least} ms"
     );
-    assert_eq!(day.released, [], "the machine itself is still waited for");
+    assert_eq!(
+        scenario.released,
+        [],
+        "the machine itself is still waited for"
+    );
 
-    let mut day = Day::new(true);
-    day.pass(60_000, nobody);
-    day.pass(110_000, all);
-    assert_eq!(day.ended, None, "it runs on");
+    let mut scenario = Scenario::new(true);
+    scenario.pass(60_000, nobody);
+    scenario.pass(110_000, all);
+    assert_eq!(scenario.ended, None, "it runs on");
 }
 
-/// Found on apart of zeltplatz-rechen-fleet: a controller that had stood still
-/// for 32 s woke, and before it read that its part had another holder took
+/// Found on apart of zeltplatz-rechen-fleet: a controller that had been stalled
+/// for 32 s woke, and before it read that its shard had another leader took
 /// 3,392 attempts for ended that the successor kept alive.
 #[test]
-fn nothing_is_proven_from_time_without_a_later_word_from_the_store() {
-    let mut day = Day::new(true);
-    day.pass(12_000, all);
-    day.word = false;
-    day.pass(110_000, nobody);
-    assert_eq!(day.ended, None, "who answered them meanwhile is not known");
-    day.word = true;
-    day.pass(110_200, nobody);
-    assert_eq!(day.ended, Some((110_100, AttemptState::Gone)));
+fn no_inherited_lease_expires_without_a_later_store_answer() {
+    let mut scenario = Scenario::new(true);
+    scenario.pass(12_000, all);
+    scenario.store_answers = false;
+    scenario.pass(110_000, nobody);
+    assert_eq!(
+        scenario.ended, None,
+        "who answered them meanwhile is not known"
+    );
+    scenario.store_answers = true;
+    scenario.pass(110_200, nobody);
+    assert_eq!(scenario.ended, Some((110_100, AttemptState::Gone)));
 
-    let mut day = Day::new(true);
-    day.word = false;
-    day.pass(110_000, nobody);
+    let mut scenario = Scenario::new(true);
+    scenario.store_answers = false;
+    scenario.pass(110_000, nobody);
     assert_eq!(
-        day.ended, None,
+        scenario.ended, None,
         "the same for what earlier owners kept alive"
     );
 }
 
-/// A zone out of sight is told with the time until its work is proven over.
+/// A partitioned zone is published with the time until its leases have expired.
 #[test]
-fn what_is_out_of_sight_is_told() {
-    let mut day = Day::new(true);
-    day.pass(30_000, nobody);
-    let view = day.tell(
+fn partitioned_zones_are_published() {
+    let mut scenario = Scenario::new(true);
+    scenario.pass(30_000, nobody);
+    let view = scenario.sync_placer(
         ChangeRange {
             since: 40,
             upto: 40,
@@ -299,25 +307,26 @@
     assert_eq!(zone.zone, "north");
     assert!((29_000..=30_000).contains(&zone.for_ms), "{zone:?}");
     assert!((40_000..60_000).contains(&zone.over_in_ms), "{zone:?}");
-    day.pass(40_000, all);
+    scenario.pass(40_000, all);
     assert_eq!(
-        day.tell(
-            ChangeRange {
-                since: 40,
-                upto: 40,
-                last: true
-            },
-            Vec::new()
-        )
-        .hidden,
+        scenario
+            .sync_placer(
+                ChangeRange {
+                    since: 40,
+                    upto: 40,
+                    last: true
+                },
+                Vec::new()
+            )
+            .hidden,
         []
     );
 }
 
-/// Found on zone of zeltplatz-rechen-fleet: a controller that had just taken its
-/// part back gave 135 empty machines of a hall back within seconds of its return.
+/// Found on zone of zeltplatz-rechen-fleet: a controller that had just
+/// reacquired its shard released 135 idle machines of a zone within seconds of its return.
 #[test]
-fn what_ran_before_a_part_was_taken_is_not_given_back_at_once() {
+fn machines_running_before_failover_are_not_released_at_once() {
     let first_given_back = |ran: bool| {
         let mut owner = Owner::new(
             0,
@@ -329,8 +338,8 @@
         );
         owner.set_types([kind()].iter());
         if ran {
-            // The cloud's list shows that they ran before this owner came.
-            owner.listed(&(0..MACHINES).map(entry).collect::<Vec<_>>(), 50);
+            // The provider's inventory shows that they ran before this owner came.
+            owner.apply_inventory(&(0..MACHINES).map(entry).collect::<Vec<_>>(), 50);
         }
         (1..700u64).map(|n| n * 100).find(|&now| {
             if now % 3_000 == 200 {
@@ -339,17 +348,17 @@
                         token: NEXT << FENCE_BITS,
                         ..report(n, now)
                     };
-                    assert!(owner.report(&said, None, now).is_some());
+                    assert!(owner.handle_heartbeat(&said, None, now).is_some());
                 }
             }
             owner.tick(now, now);
-            !owner.releases().is_empty()
+            !owner.next_releases().is_empty()
         })
     };
     let (late, soon) = (first_given_back(true), first_given_back(false));
-    assert!(late.is_some_and(|at| at >= RETURN_KEEP_MS), "{late:?}");
+    assert!(late.is_some_and(|at| at >= ZONE_RECOVERY_MS), "{late:?}");
     assert!(
-        soon.is_some_and(|at| at < RETURN_KEEP_MS),
+        soon.is_some_and(|at| at < ZONE_RECOVERY_MS),
         "machines that are new are kept as briefly as before: {soon:?}"
     );
 }
--- a/crates/coordination/tests/fault_attribution.rs
+++ b/crates/coordination/tests/fault_attribution.rs
@@ -1,10 +1,13 @@
-//! Whose fault a failure is, compared with a slow plain model that keeps the
-//! whole history, and what owner and placer make of it.
+//! Failure attribution compared with a slow reference model that keeps the
+//! whole history, and what owner and placer conclude from it.
 
 mod support;
 
-use lemonweir_coordination::fault_attribution::{FaultAttribution, FaultVerdict};
-use lemonweir_model::constants::*;
+use lemonweir_coordination::fault_attribution::{
+    FAILURE_ATTRIBUTION_QUARANTINE_JOBS, FAILURE_ATTRIBUTION_SUSPECT_ANYWHERE,
+    FAILURE_ATTRIBUTION_SUSPECT_MACHINES, FAILURE_ATTRIBUTION_VOUCHED_MS, FaultAttribution,
+    FaultVerdict,
+};
 use lemonweir_model::{JobId, MachineId};
 use proptest::prelude::*;
 
@@ -39,11 +42,11 @@
     )
 }
 
-/// The whole history; each question walks all of it.
+/// The whole history; each query walks all of it.
 #[derive(Default)]
-struct Plain(Vec<(u64, Event)>);
+struct ReferenceModel(Vec<(u64, Event)>);
 
-impl Plain {
+impl ReferenceModel {
     /// Runs that went well: job, machine, when they began, and their place in the history.
     fn runs(&self) -> impl Iterator<Item = (usize, usize, u64, usize)> + '_ {
         self.0
@@ -72,10 +75,12 @@
         let failed: Vec<(usize, u64)> = (0..MACHINES).filter_map(|m| Some((m, last(m)?))).collect();
         let vouched = |m: usize, at: u64| {
             self.runs()
-                .any(|r| r.1 == m && r.0 != job && r.2 + VOUCHED_MS >= at)
+                .any(|r| r.1 == m && r.0 != job && r.2 + FAILURE_ATTRIBUTION_VOUCHED_MS >= at)
         };
         let count = failed.iter().filter(|(m, at)| vouched(*m, *at)).count();
-        (count >= SUSPECT_MACHINES || failed.len() >= SUSPECT_ANYWHERE).then_some(count as u32)
+        (count >= FAILURE_ATTRIBUTION_SUSPECT_MACHINES
+            || failed.len() >= FAILURE_ATTRIBUTION_SUSPECT_ANYWHERE)
+            .then_some(count as u32)
     }
 
     /// A machine's jobs that failed there after the start of every run that was
@@ -102,12 +107,12 @@
             newest.is_some_and(|r| r.1 != machine)
         };
         match (
-            counted.len() >= QUARANTINE_ERRORS,
-            counted.iter().filter(elsewhere).count() >= QUARANTINE_ERRORS,
+            counted.len() >= FAILURE_ATTRIBUTION_QUARANTINE_JOBS,
+            counted.iter().filter(elsewhere).count() >= FAILURE_ATTRIBUTION_QUARANTINE_JOBS,
         ) {
-            (false, _) => FaultVerdict::Sound,
+            (false, _) => FaultVerdict::Healthy,
             (true, true) => FaultVerdict::Faulty,
-            (true, false) => FaultVerdict::Doubtful,
+            (true, false) => FaultVerdict::Suspect,
         }
     }
 }
@@ -119,28 +124,28 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 600, rng_seed: proptest::test_runner::RngSeed::Fixed(11), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// After every event all judgements are the plain model's, and none changes
+    /// After every event all judgements are the reference model's, and none changes
     /// that the event was not said to touch.
     #[test]
-    fn judgements_are_the_plain_models(events in events()) {
-        let (mut real, mut plain, mut now) = (FaultAttribution::default(), Plain::default(), 1_000_000);
+    fn verdicts_match_the_reference_model(events in events()) {
+        let (mut real, mut reference, mut now) = (FaultAttribution::default(), ReferenceModel::default(), 1_000_000);
         for e in events {
             now += e.gap;
             let all = |real: &FaultAttribution| -> Vec<(Option<u32>, FaultVerdict)> {
-                (0..JOBS.max(MACHINES)).map(|n| (real.suspect(&job(n)), real.verdict(&support::machine(n)))).collect()
+                (0..JOBS.max(MACHINES)).map(|n| (real.suspect_evidence(&job(n)), real.verdict(&support::machine(n)))).collect()
             };
             let before = all(&real);
             let (j, m): (JobId, MachineId) = (job(e.job), support::machine(e.machine));
             let touched = match e.ran_for {
-                Some(ms) => real.ran(&j, &m, now.saturating_sub(ms)),
-                None => real.failed(&j, &m, now),
+                Some(ms) => real.record_success(&j, &m, now.saturating_sub(ms)),
+                None => real.record_failure(&j, &m, now),
             };
-            plain.0.push((now, e));
-            for (n, (was, is)) in before.into_iter().zip(all(&real)).enumerate() {
-                prop_assert_eq!(is.0, plain.suspect(n), "job {}", n);
-                prop_assert_eq!(is.1, plain.verdict(n), "machine {}", n);
-                prop_assert!(was.0 == is.0 || touched.jobs.contains(&job(n)), "job {} was not told", n);
-                prop_assert!(was.1 == is.1 || touched.machines.contains(&support::machine(n)), "machine {} was not told", n);
+            reference.0.push((now, e));
+            for (n, (before, after)) in before.into_iter().zip(all(&real)).enumerate() {
+                prop_assert_eq!(after.0, reference.suspect(n), "job {}", n);
+                prop_assert_eq!(after.1, reference.verdict(n), "machine {}", n);
+                prop_assert!(before.0 == after.0 || touched.jobs.contains(&job(n)), "job {} was not told", n);
+                prop_assert!(before.1 == after.1 || touched.machines.contains(&support::machine(n)), "machine {} was not told", n);
             }
         }
     }
--- a/crates/coordination/tests/limits.rs
+++ b/crates/coordination/tests/limits.rs
@@ -16,7 +16,7 @@
 
 /// Machines of the fleet.
 const MACHINES: usize = 4_000;
-/// Bytes of a value, and the pages that a transaction takes of that size.
+/// Bytes of a value, and the pages that a compare-and-swap takes of that size.
 const VALUE: usize = 8 * 1024;
 const PAGES: usize = TXN_BYTES / VALUE;
 
@@ -54,11 +54,11 @@
             tasks: vec![task],
             ..report(n, u64::from(round) + 1)
         };
-        assert!(owner.report(&report, None, 30).is_some());
+        assert!(owner.handle_heartbeat(&report, None, 30).is_some());
     }
 }
 
-/// What the store holds of the note; a transaction keeps to its bytes.
+/// The stored record; a compare-and-swap keeps to its bytes.
 #[derive(Default)]
 struct Stored(BTreeMap<usize, ImageLocationsRecord>);
 
@@ -88,15 +88,15 @@
     }
 }
 
-/// The note of a part with the whole fleet takes more pages than a transaction holds:
+/// The record of a shard with the whole fleet takes more pages than a compare-and-swap holds:
 /// they are written one after the other, until nothing is left.
 #[test]
-fn the_images_of_all_machines_are_noted() {
+fn images_of_all_machines_are_recorded() {
     let mut owner = busy_fleet(MACHINES);
     let mut stored = Stored::default();
     let mut times = 0;
     for at in 1..100 {
-        let pages = owner.images_note(at * 60_000, VALUE, PAGES);
+        let pages = owner.changed_image_pages(at * 60_000, VALUE, PAGES);
         if pages.is_empty() {
             break;
         }
@@ -109,7 +109,7 @@
 
 /// Where the first pages change before each writing, the last are written all the same.
 #[test]
-fn pages_that_change_all_the_time_leave_the_last_their_turn() {
+fn constantly_changing_pages_do_not_starve_the_last() {
     let mut owner = busy_fleet(MACHINES);
     let mut stored = Stored::default();
     for at in 1..80u32 {
@@ -117,7 +117,7 @@
         if at < 10 {
             run_on_all(&mut owner, MACHINES, at + 1);
         }
-        stored.write(owner.images_note(u64::from(at) * 60_000, VALUE, PAGES));
+        stored.write(owner.changed_image_pages(u64::from(at) * 60_000, VALUE, PAGES));
         if at == 9 {
             let pages = stored.0.len();
             assert!(pages >= 9 * PAGES / 2, "{pages} pages are written");
@@ -126,28 +126,28 @@
     assert_eq!(stored.machines().len(), MACHINES);
 }
 
-/// Most machines go at once: no page of theirs stays in the store.
+/// Most machines are released at once: no page of theirs stays in the store.
 #[test]
-fn no_page_is_left_of_machines_that_are_gone() {
+fn pages_of_released_machines_are_deleted() {
     let mut owner = busy_fleet(MACHINES);
     let mut stored = Stored::default();
     for at in 1..40 {
-        stored.write(owner.images_note(at * 60_000, VALUE, PAGES));
+        stored.write(owner.changed_image_pages(at * 60_000, VALUE, PAGES));
     }
     let before = stored.0.len();
     assert!(before > 2 * PAGES, "{before} pages");
     let gone: Vec<MachineId> = (40..MACHINES).map(machine).collect();
-    owner.released(&gone, true, 50);
+    owner.release_finished(&gone, true, 50);
     for at in 40..80 {
-        stored.write(owner.images_note(at * 60_000, VALUE, PAGES));
+        stored.write(owner.changed_image_pages(at * 60_000, VALUE, PAGES));
     }
     assert_eq!(stored.0.len(), 1);
     assert_eq!(stored.machines().len(), 40);
 }
 
-/// The pages of one writing fit a transaction, however large a value may be.
+/// The pages of one writing fit a compare-and-swap, however large a value may be.
 #[test]
-fn a_writing_of_the_note_fits_a_transaction() {
+fn image_record_write_fits_a_compare_and_swap() {
     for value_kb in [2.0, 4.0, 8.0, 64.0, 1_024.0] {
         for txn_ops in [4, 32, 512] {
             let mut settings = controllers::settings(1);
--- a/crates/coordination/tests/stops.rs
+++ b/crates/coordination/tests/stops.rs
@@ -9,7 +9,7 @@
 use proptest::prelude::*;
 use support::*;
 
-/// An owner with one task on its machine 0 that shall end.
+/// An owner with one task on its machine 0 that is to stop.
 fn stopping(now: u64) -> Owner {
     let mut owner = fleet(1);
     let on = |since, upto| ChangeRange {
@@ -24,8 +24,8 @@
             now,
         )
         .expect("taken");
-    let start = owner.calls(now, ROOM).pop().expect("started");
-    owner.call_done(
+    let start = owner.due_calls(now, ROOM).pop().expect("started");
+    owner.handle_call_result(
         &start,
         CommandResult::Executed(Heartbeat {
             tasks: vec![running_task(0)],
@@ -52,21 +52,21 @@
 }
 
 /// Found on zone of zeltplatz-rechen-fleet with twice the machines: a process
-/// without a socket for calls noted each try of a stop as told, so the answers
-/// to reports, which did arrive, left it out for a minute.
+/// without a socket for calls noted each try of a stop as sent, so the replies
+/// to heartbeats, which did arrive, left it out for a minute.
 #[test]
-fn a_stop_whose_call_never_left_is_in_the_next_answer() {
+fn unsent_stop_is_in_the_next_reply() {
     let mut owner = stopping(30);
     let (mut seq, mut tries) = (2, 0);
     for now in (40..60_000).step_by(20) {
-        for call in owner.calls(now, ROOM) {
+        for call in owner.due_calls(now, ROOM) {
             tries += 1;
-            owner.call_done(&call, CommandResult::NotSent, now + 10);
+            owner.handle_call_result(&call, CommandResult::NotSent, now + 10);
         }
         if now % 5_000 == 0 {
             seq += 1;
             let reply = owner
-                .report(
+                .handle_heartbeat(
                     &Heartbeat {
                         tasks: vec![running_task(0)],
                         ..report(0, seq)
@@ -83,7 +83,7 @@
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// A report; it may be older than what a call has brought.
+    /// A heartbeat; it may be older than what a call has brought.
     Report {
         late: bool,
         shows_token: bool,
@@ -104,18 +104,18 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, rng_seed: proptest::test_runner::RngSeed::Fixed(11), ..ProptestConfig::default() })]
 
-    /// While a machine shows a task that shall end, every answer that prolongs
-    /// its lease stops it: in any order of late reports, reports of a worker
+    /// While a machine shows a task that is to stop, every reply that renews
+    /// its lease stops it: in any order of late heartbeats, heartbeats of a worker
     /// that has not shown our token, and calls that fail in any way.
     #[test]
-    fn no_answer_prolongs_a_lease_without_a_stop_that_is_due(steps in prop::collection::vec(step(), 1..60)) {
+    fn no_reply_renews_a_lease_without_a_due_stop(steps in prop::collection::vec(step(), 1..60)) {
         let mut owner = stopping(30);
         let (mut now, mut seq, mut call, mut answers) = (40, 10, None, 0);
         for step in steps {
             match step {
                 Step::Pass(ms) => now += ms,
                 Step::Call(fate) => {
-                    call = call.or_else(|| owner.calls(now, ROOM).into_iter().next());
+                    call = call.or_else(|| owner.due_calls(now, ROOM).into_iter().next());
                     let Some(call) = call.take() else { continue };
                     let result = match fate {
                         0 => CommandResult::NotSent,
@@ -125,7 +125,7 @@
                             CommandResult::Refused(Heartbeat { tasks: vec![running_task(0)], ..report(0, seq) })
                         }
                     };
-                    owner.call_done(&call, result, now);
+                    owner.handle_call_result(&call, result, now);
                 }
                 Step::Report { late, shows_token } => {
                     if !late {
@@ -133,7 +133,7 @@
                     }
                     let token = if shows_token { TOKEN << FENCE_BITS } else { 0 };
                     let said = Heartbeat { tasks: vec![running_task(0)], token, ..report(0, if late { seq - 1 } else { seq }) };
-                    if let Some(reply) = owner.report(&said, None, now) {
+                    if let Some(reply) = owner.handle_heartbeat(&said, None, now) {
                         answers += 1;
                         prop_assert!(stops(&reply), "{said:?}");
                     }
@@ -141,14 +141,14 @@
             }
         }
         seq += 2;
-        let reply = owner.report(&Heartbeat { tasks: vec![running_task(0)], ..report(0, seq) }, None, now);
+        let reply = owner.handle_heartbeat(&Heartbeat { tasks: vec![running_task(0)], ..report(0, seq) }, None, now);
         prop_assert!(reply.is_some_and(|r| stops(&r)), "after {answers} answers");
     }
 }
 
 /// Calls beyond a process's share wait for others to end, and none is lost.
 #[test]
-fn calls_wait_for_room_and_all_are_made() {
+fn due_calls_wait_for_a_free_slot_and_all_are_made() {
     let mut owner = fleet(50);
     let wants = (0..50).map(|n| want(n, n as usize)).collect();
     owner
@@ -170,11 +170,11 @@
     let mut called = Vec::new();
     for turn in 0..20 {
         let now = 20 + turn * 100;
-        let calls = owner.calls(now, 7);
+        let calls = owner.due_calls(now, 7);
         assert!(calls.len() <= 7);
         for call in calls {
             let n: usize = call.machine.as_str()[2..].parse().expect("number");
-            owner.call_done(
+            owner.handle_call_result(
                 &call,
                 CommandResult::Executed(Heartbeat {
                     tasks: vec![running_task(n)],
--- a/crates/coordination/tests/worker_sessions.rs
+++ b/crates/coordination/tests/worker_sessions.rs
@@ -1,10 +1,11 @@
-//! Who may be believed and who hears, at the guards of one owner. The random
-//! histories with their slow plain model are in `src/hearing/model.rs`.
+//! Which messages of a worker are current and which replies reach it, at the guards of one
+//! owner. The random histories with their slow reference model are in
+//! `src/incarnation/tests.rs`.
 
 mod support;
 
-use lemonweir_coordination::owner::{CommandCall, CommandResult, Owner};
-use lemonweir_model::constants::*;
+use lemonweir_coordination::owner::{CommandCall, CommandResult, Owner, UNREACHABLE_CALLS_MAX};
+use lemonweir_model::constants::FENCE_BITS;
 use lemonweir_protocol::peer::{
     AttemptState, ChangeRange, DesiredAttempt, ExitCause, MachineView, ObservedState, ShardView,
     SyncRequest,
@@ -15,31 +16,31 @@
 const BASE: u64 = TOKEN << FENCE_BITS;
 
 /// An owner, what its placer tells it, and the machines' numbers and tokens.
-struct Part {
+struct ShardUnderTest {
     owner: Owner,
     token: u64,
     now: u64,
     state: u64,
-    strays: u32,
-    seqs: Vec<u64>,
+    misrouted: u32,
+    numbers: Vec<u64>,
     tokens: Vec<u64>,
 }
 
-impl Part {
+impl ShardUnderTest {
     fn new(machines: usize) -> Self {
-        let (seqs, tokens) = (vec![1; machines], vec![BASE; machines]);
+        let (numbers, tokens) = (vec![1; machines], vec![BASE; machines]);
         Self {
             owner: fleet(machines),
             token: TOKEN,
             now: 20,
             state: 0,
-            strays: 0,
-            seqs,
+            misrouted: 0,
+            numbers,
             tokens,
         }
     }
 
-    /// Another takes the part and knows nothing.
+    /// Another acquires the shard and knows nothing.
     fn next_owner(&mut self) {
         self.token += 1;
         self.owner = Owner::new(
@@ -53,18 +54,18 @@
         self.owner.set_types([kind()].iter());
     }
 
-    fn tell(&mut self, wants: Vec<DesiredAttempt>) -> ShardView {
+    fn sync_placer(&mut self, wants: Vec<DesiredAttempt>) -> ShardView {
         self.state += 1;
         let span = ChangeRange {
             since: 0,
             upto: self.state,
             last: true,
         };
-        // Nothing is given back for being empty.
-        let keep = (0..self.seqs.len()).map(machine).collect();
+        // Nothing is released for being empty.
+        let keep = (0..self.numbers.len()).map(machine).collect();
         let message = SyncRequest {
             keep,
-            strays: self.strays,
+            strays: self.misrouted,
             to_token: self.token,
             ..sync(self.state, span, wants, ObservedState::default())
         };
@@ -72,7 +73,7 @@
     }
 
     fn view(&mut self, n: usize, wants: Vec<DesiredAttempt>) -> Option<MachineView> {
-        self.tell(wants)
+        self.sync_placer(wants)
             .machines
             .into_iter()
             .find(|m| m.id == machine(n))
@@ -87,15 +88,18 @@
         self.owner.tick(until, until);
     }
 
-    /// A report of a machine; it takes the answer if that reaches it.
+    /// A heartbeat of a machine; it applies the reply if that reaches it.
     fn report(&mut self, n: usize, by: Option<u16>, reaches: bool, tasks: Vec<TaskStatus>) {
-        self.seqs[n] += 1;
-        let said = Heartbeat {
+        self.numbers[n] += 1;
+        let heartbeat = Heartbeat {
             token: self.tokens[n],
             tasks,
-            ..report(n, self.seqs[n])
+            ..report(n, self.numbers[n])
         };
-        let reply = self.owner.report(&said, by, self.now).expect("answered");
+        let reply = self
+            .owner
+            .handle_heartbeat(&heartbeat, by, self.now)
+            .expect("answered");
         if reaches {
             self.tokens[n] = self.tokens[n].max(reply.token);
         }
@@ -103,13 +107,13 @@
 
     /// The only call that is due, with what it starts and stops.
     fn call(&mut self) -> Option<CommandCall> {
-        let mut calls = self.owner.calls(self.now, 4);
+        let mut calls = self.owner.due_calls(self.now, 4);
         assert!(calls.len() < 2);
         calls.pop()
     }
 }
 
-fn standing(view: &ShardView, n: u32) -> Option<AttemptState> {
+fn attempt_state(view: &ShardView, n: u32) -> Option<AttemptState> {
     view.attempts
         .iter()
         .find(|a| a.id == want(n, 0).id)
@@ -117,13 +121,13 @@
 }
 
 #[test]
-fn who_hears_nothing_takes_nothing_after_two_reports_and_all_when_it_shows_our_token() {
+fn unreachable_worker_is_closed_after_two_heartbeats_and_reopens_with_our_token() {
     for by in [Some(1), None] {
-        let mut shard = Part::new(1);
+        let mut shard = ShardUnderTest::new(1);
         shard.pass(3_000);
         shard.report(0, None, false, Vec::new());
         assert!(shard.open(0), "nothing tells yet");
-        // No answer for 4 s; it tries the next 1 s later.
+        // No reply for 4 s; it tries the next 1 s later.
         shard.pass(8_050);
         shard.report(0, by, false, Vec::new());
         assert!(!shard.open(0));
@@ -141,10 +145,10 @@
     }
 }
 
-/// Orders reach it all the same, but they prolong no lease.
+/// Commands reach it all the same, but they renew no lease.
 #[test]
-fn calls_that_arrive_do_not_show_that_answers_do() {
-    let mut shard = Part::new(1);
+fn delivered_calls_do_not_prove_that_replies_arrive() {
+    let mut shard = ShardUnderTest::new(1);
     shard.pass(3_000);
     shard.report(0, None, false, Vec::new());
     shard.pass(8_050);
@@ -153,7 +157,7 @@
         kill: Some(0),
         ..want(0, 0)
     };
-    shard.tell(vec![stopped.clone()]);
+    shard.sync_placer(vec![stopped.clone()]);
     for _ in 0..3 {
         let Some(call) = shard.call() else { break };
         assert!(
@@ -164,39 +168,39 @@
             "a withdrawal is told by call"
         );
         shard.tokens[0] = shard.tokens[0].max(call.commands.token);
-        shard.seqs[0] += 1;
-        let said = Heartbeat {
+        shard.numbers[0] += 1;
+        let heartbeat = Heartbeat {
             token: shard.tokens[0],
-            ..report(0, shard.seqs[0])
+            ..report(0, shard.numbers[0])
         };
         shard.now += 20;
         shard
             .owner
-            .call_done(&call, CommandResult::Executed(said), shard.now);
+            .handle_call_result(&call, CommandResult::Executed(heartbeat), shard.now);
         assert!(!shard.open(0));
     }
     assert_eq!(
-        standing(&shard.tell(vec![stopped]), 0),
+        attempt_state(&shard.sync_placer(vec![stopped]), 0),
         Some(AttemptState::Gone)
     );
 }
 
-/// A member of a gang that was granted room waits on a machine that turns deaf: it is
+/// A member of a gang that was granted room waits on a machine that becomes unreachable: it is
 /// over at once, since nothing was sent, and nothing is started there later.
 #[test]
-fn what_waits_on_a_deaf_machine_is_over_unstarted() {
-    let mut shard = Part::new(1);
+fn accepted_attempt_on_an_unreachable_machine_ends_unlaunched() {
+    let mut shard = ShardUnderTest::new(1);
     let member = DesiredAttempt {
         go: false,
         ..want(0, 0)
     };
-    shard.tell(vec![member.clone()]);
+    shard.sync_placer(vec![member.clone()]);
     shard.pass(3_000);
     shard.report(0, None, false, Vec::new());
     shard.pass(8_050);
     shard.report(0, Some(1), false, Vec::new());
     assert_eq!(
-        standing(&shard.tell(vec![member.clone()]), 0),
+        attempt_state(&shard.sync_placer(vec![member.clone()]), 0),
         Some(AttemptState::Accepted),
         "it may have been one lost answer"
     );
@@ -204,17 +208,17 @@
     shard.pass(13_100);
     shard.report(0, Some(2), false, Vec::new());
     assert_eq!(
-        standing(&shard.tell(vec![member.clone()]), 0),
+        attempt_state(&shard.sync_placer(vec![member.clone()]), 0),
         Some(AttemptState::Gone)
     );
-    shard.tell(vec![DesiredAttempt { go: true, ..member }]);
+    shard.sync_placer(vec![DesiredAttempt { go: true, ..member }]);
     assert!(shard.call().is_none_or(|c| c.commands.orders.is_empty()));
 }
 
-/// Forty of sixty: they come to other controllers, and the part is not lost.
+/// Forty of sixty: they come to other controllers, and the shard is not lost.
 #[test]
-fn forty_deaf_machines_do_not_make_a_part_lost() {
-    let mut shard = Part::new(60);
+fn forty_unreachable_machines_do_not_cost_the_shard() {
+    let mut shard = ShardUnderTest::new(60);
     for round in 0..12u64 {
         shard.pass(3_000 + round * 1_000);
         for n in 0..60 {
@@ -224,18 +228,18 @@
                 shard.report(n, deaf.then_some(1 + (round % 2) as u16), !deaf, Vec::new());
             }
         }
-        shard.strays = 60;
-        shard.tell(Vec::new());
-        assert!(!shard.owner.deaf(shard.now), "round {round}");
+        shard.misrouted = 60;
+        shard.sync_placer(Vec::new());
+        assert!(!shard.owner.is_unreachable(shard.now), "round {round}");
     }
     assert_eq!((0..60).filter(|n| shard.open(*n)).count(), 20);
-    assert_eq!(shard.owner.releases(), [], "they are waited for");
+    assert_eq!(shard.owner.next_releases(), [], "they are waited for");
 }
 
-/// A copy three leases old to the third owner of a part: the machine was given back
-/// by the first. It starts, ends and rents nothing, and ends with a question.
+/// A copy three leases old to the third owner of a shard: the machine was released
+/// by the first. It launches, ends and provisions nothing, and causes a query at most.
 #[test]
-fn a_copy_of_long_ago_is_a_hint() {
+fn old_copy_of_a_heartbeat_only_causes_a_query() {
     let exited = TaskStatus {
         phase: TaskPhase::Exited,
         cause: Some("error".into()),
@@ -248,7 +252,7 @@
         ..report(0, 70)
     };
     for wanted in [false, true] {
-        let mut shard = Part::new(0);
+        let mut shard = ShardUnderTest::new(0);
         shard.next_owner();
         shard.next_owner();
         let wants = || {
@@ -259,9 +263,12 @@
             }
         };
         shard.pass(3 * TIMING.lease_ms);
-        shard.tell(wants());
+        shard.sync_placer(wants());
         assert!(
-            shard.owner.report(&copy, None, shard.now).is_some(),
+            shard
+                .owner
+                .handle_heartbeat(&copy, None, shard.now)
+                .is_some(),
             "it may be a live one"
         );
         let mut asked = 0;
@@ -269,16 +276,16 @@
         for step in 0..500 {
             shard.pass(shard.now + 100);
             if step % 40 == 0 {
-                shard.owner.report(&copy, Some(1), shard.now);
+                shard.owner.handle_heartbeat(&copy, Some(1), shard.now);
             }
-            for call in shard.owner.calls(shard.now, 4) {
+            for call in shard.owner.due_calls(shard.now, 4) {
                 assert!(call.commands.orders.is_empty(), "a question has no orders");
                 asked += 1;
                 shard
                     .owner
-                    .call_done(&call, CommandResult::NotSent, shard.now);
+                    .handle_call_result(&call, CommandResult::NotSent, shard.now);
             }
-            let view = shard.tell(wants());
+            let view = shard.sync_placer(wants());
             assert!(
                 view.machines.iter().all(|m| !m.up && !m.leaving),
                 "{:?}",
@@ -292,28 +299,31 @@
                 "{:?}",
                 view.attempts
             );
-            let names = shard.owner.releases();
+            let names = shard.owner.next_releases();
             if !names.is_empty() {
                 released = Some(shard.now);
-                shard.owner.released(&names, true, shard.now);
+                shard.owner.release_finished(&names, true, shard.now);
             }
         }
         assert!((1..=12).contains(&asked), "{asked} questions");
         assert!(released.is_some(), "nobody keeps it in mind for ever");
         assert!(
-            shard.owner.report(&copy, None, shard.now).is_none(),
+            shard
+                .owner
+                .handle_heartbeat(&copy, None, shard.now)
+                .is_none(),
             "it is gone"
         );
     }
 }
 
-/// All reports of a while come again in random order, to the same owner and to its
+/// All heartbeats of a while come again in random order, to the same owner and to its
 /// successor: neither changes its mind.
 #[test]
-fn copies_in_any_order_change_nothing() {
-    let mut shard = Part::new(1);
-    shard.tell(vec![want(0, 0)]);
-    let mut said = Vec::new();
+fn replayed_heartbeats_in_any_order_change_nothing() {
+    let mut shard = ShardUnderTest::new(1);
+    shard.sync_placer(vec![want(0, 0)]);
+    let mut heartbeat = Vec::new();
     let done = TaskStatus {
         phase: TaskPhase::Exited,
         cause: Some("done".into()),
@@ -328,57 +338,62 @@
         };
         // Before its start it is not there.
         let tasks = if k < 5 { Vec::new() } else { tasks };
-        said.push(Heartbeat {
+        heartbeat.push(Heartbeat {
             token: shard.tokens[0],
             tasks: tasks.clone(),
-            ..report(0, shard.seqs[0] + 1)
+            ..report(0, shard.numbers[0] + 1)
         });
         shard.report(0, None, true, tasks);
-        shard.tell(vec![want(0, 0)]);
+        shard.sync_placer(vec![want(0, 0)]);
     }
     assert_eq!(
-        standing(&shard.tell(vec![want(0, 0)]), 0),
+        attempt_state(&shard.sync_placer(vec![want(0, 0)]), 0),
         Some(AttemptState::Exited(ExitCause::Done))
     );
     let mut order: Vec<usize> = (0..40).collect();
     order.sort_by_key(|k| k * 7_919 % 41);
     for &k in &order {
         shard.now += 10;
-        shard.owner.report(&said[k], None, shard.now);
+        shard.owner.handle_heartbeat(&heartbeat[k], None, shard.now);
         assert!(shard.view(0, vec![want(0, 0)]).is_some_and(|m| m.open));
         assert_eq!(
-            standing(&shard.tell(vec![want(0, 0)]), 0),
+            attempt_state(&shard.sync_placer(vec![want(0, 0)]), 0),
             Some(AttemptState::Exited(ExitCause::Done))
         );
     }
     shard.next_owner();
     for &k in &order {
         shard.now += 10;
-        assert!(shard.owner.report(&said[k], None, shard.now).is_some());
-        let view = shard.tell(vec![want(0, 0)]);
+        assert!(
+            shard
+                .owner
+                .handle_heartbeat(&heartbeat[k], None, shard.now)
+                .is_some()
+        );
+        let view = shard.sync_placer(vec![want(0, 0)]);
         assert!(
             view.attempts.is_empty(),
             "not judged from copies: {:?}",
             view.attempts
         );
     }
-    // The machine's own next report is the first that shows the new token.
+    // The machine's own next heartbeat is the first that shows the new token.
     shard.report(0, None, true, vec![done.clone()]);
     shard.report(0, None, true, vec![done]);
     assert_eq!(
-        standing(&shard.tell(vec![want(0, 0)]), 0),
+        attempt_state(&shard.sync_placer(vec![want(0, 0)]), 0),
         Some(AttemptState::Exited(ExitCause::Done))
     );
 }
 
-/// Back at once and empty: believed with its second report, whichever session and
-/// number it had, and its earlier life's reports are no longer.
+/// Back at once and empty: accepted with its second heartbeat, whichever session and
+/// number it had; heartbeats of its earlier incarnation no longer are.
 #[test]
-fn a_machine_that_counts_from_the_start_is_believed_with_its_second_report() {
+fn restarted_worker_is_confirmed_by_its_second_heartbeat() {
     for (session, dead) in [(1, false), (3, false), (1, true)] {
-        let mut shard = Part::new(1);
-        shard.tell(vec![want(0, 0)]);
-        shard.seqs[0] = 80;
+        let mut shard = ShardUnderTest::new(1);
+        shard.sync_placer(vec![want(0, 0)]);
+        shard.numbers[0] = 80;
         shard.pass(3_000);
         let before = |seq| Heartbeat {
             session,
@@ -386,32 +401,37 @@
             tasks: vec![running_task(0)],
             ..report(0, seq)
         };
-        assert!(shard.owner.report(&before(81), None, shard.now).is_some());
+        assert!(
+            shard
+                .owner
+                .handle_heartbeat(&before(81), None, shard.now)
+                .is_some()
+        );
         assert_eq!(
-            standing(&shard.tell(vec![want(0, 0)]), 0),
+            attempt_state(&shard.sync_placer(vec![want(0, 0)]), 0),
             Some(AttemptState::Running)
         );
         shard.pass(if dead { 20_000 } else { 10_000 });
         // With no token, as a new worker; its answer gives one.
         let token = shard
             .owner
-            .report(&report_with(1, 0), None, shard.now)
+            .handle_heartbeat(&report_with(1, 0), None, shard.now)
             .expect("answered")
             .token;
         shard.now += 500;
         let token = shard
             .owner
-            .report(&report_with(2, token), None, shard.now)
+            .handle_heartbeat(&report_with(2, token), None, shard.now)
             .expect("answered")
             .token;
         shard.now += 500;
         shard
             .owner
-            .report(&report_with(3, token), None, shard.now)
+            .handle_heartbeat(&report_with(3, token), None, shard.now)
             .expect("answered");
         shard.pass(shard.now + 100);
         assert_eq!(
-            standing(&shard.tell(vec![want(0, 0)]), 0),
+            attempt_state(&shard.sync_placer(vec![want(0, 0)]), 0),
             Some(AttemptState::Gone),
             "session {session}, dead {dead}"
         );
@@ -420,11 +440,11 @@
                 .view(0, vec![want(0, 0)])
                 .is_some_and(|m| m.up && m.open)
         );
-        // Its earlier life speaks up once more.
-        shard.owner.report(&before(90), None, shard.now);
+        // Its earlier incarnation sends another heartbeat.
+        shard.owner.handle_heartbeat(&before(90), None, shard.now);
         assert!(
             shard
-                .tell(vec![want(0, 0)])
+                .sync_placer(vec![want(0, 0)])
                 .attempts
                 .iter()
                 .all(|a| a.standing == AttemptState::Gone)
@@ -436,7 +456,7 @@
             },
             ..want(0, 0)
         };
-        shard.tell(vec![next]);
+        shard.sync_placer(vec![next]);
         let call = shard.call().expect("a start");
         assert_eq!((call.commands.session, call.commands.orders.len()), (1, 1));
         assert!(call.commands.token > token - 1);
@@ -450,20 +470,20 @@
     }
 }
 
-/// The machine itself is asked where its second report doesn't come.
+/// The machine itself is asked where its second heartbeat doesn't come.
 #[test]
-fn the_answer_to_a_call_shows_a_new_life() {
-    let mut shard = Part::new(1);
-    shard.tell(vec![want(0, 0)]);
+fn call_response_shows_a_new_incarnation() {
+    let mut shard = ShardUnderTest::new(1);
+    shard.sync_placer(vec![want(0, 0)]);
     shard.pass(3_000);
-    shard.seqs[0] = 50;
+    shard.numbers[0] = 50;
     shard.report(0, None, true, vec![running_task(0)]);
-    shard.tell(vec![DesiredAttempt {
+    shard.sync_placer(vec![DesiredAttempt {
         kill: Some(0),
         ..want(0, 0)
     }]);
     let call = shard.call().expect("a stop");
-    shard.owner.call_done(
+    shard.owner.handle_call_result(
         &call,
         CommandResult::Executed(report_with(1, call.commands.token)),
         shard.now,
@@ -472,27 +492,27 @@
         .call()
         .expect("with a token that its earlier life can't have seen");
     assert!(question.commands.token > call.commands.token);
-    shard.owner.call_done(
+    shard.owner.handle_call_result(
         &question,
         CommandResult::Executed(report_with(2, question.commands.token)),
         shard.now,
     );
     assert_eq!(
-        standing(&shard.tell(vec![want(0, 0)]), 0),
+        attempt_state(&shard.sync_placer(vec![want(0, 0)]), 0),
         Some(AttemptState::Gone)
     );
 }
 
-/// A new life has no token that would refuse an owner that was superseded: nothing is
+/// A new incarnation has no token that would refuse an owner that was superseded: nothing is
 /// started there until the store has shown once more that it is ours, and then at once.
 #[test]
-fn a_start_on_a_machine_just_heard_waits_for_a_later_word() {
-    let mut shard = Part::new(0);
-    (shard.seqs, shard.tokens) = (vec![0], vec![BASE]);
+fn launch_on_a_new_machine_waits_for_a_later_store_answer() {
+    let mut shard = ShardUnderTest::new(0);
+    (shard.numbers, shard.tokens) = (vec![0], vec![BASE]);
     shard.pass(5_000);
     shard.now = 5_050;
     shard.report(0, None, true, Vec::new());
-    shard.tell(vec![want(0, 0)]);
+    shard.sync_placer(vec![want(0, 0)]);
     assert!(shard.call().is_none(), "the last reading began before");
     shard.now = 5_200;
     shard.owner.tick(5_200, 5_040);
@@ -501,34 +521,38 @@
     assert_eq!(shard.call().expect("at once").commands.orders.len(), 1);
 }
 
-/// A deaf machine is given back while a call to it is under way: its place among the
-/// calls to deaf machines is free again. With each that was lost, stops for others would
+/// An unreachable machine is released while a call to it is in progress: its place among the
+/// calls to unreachable machines is free again. With each that was lost, stops for others would
 /// have waited for ever.
 #[test]
-fn a_deaf_machine_that_goes_leaves_its_call_to_others() {
-    let mut shard = Part::new(2 * DEAF_CALLS);
+fn released_unreachable_machine_frees_its_call_slot() {
+    let mut shard = ShardUnderTest::new(2 * UNREACHABLE_CALLS_MAX);
     let stopped = |n: usize| DesiredAttempt {
         kill: Some(0),
         ..want(n as u32, n)
     };
-    let all: Vec<DesiredAttempt> = (0..2 * DEAF_CALLS).map(stopped).collect();
+    let all: Vec<DesiredAttempt> = (0..2 * UNREACHABLE_CALLS_MAX).map(stopped).collect();
     for at in [3_000, 8_050, 13_100] {
         shard.pass(at);
-        for n in 0..2 * DEAF_CALLS {
+        for n in 0..2 * UNREACHABLE_CALLS_MAX {
             shard.report(n, None, false, vec![running_task(n)]);
         }
     }
-    shard.tell(all.clone());
-    let calls = shard.owner.calls(shard.now, 100);
-    assert_eq!(calls.len(), DEAF_CALLS, "no more at a time");
+    shard.sync_placer(all.clone());
+    let calls = shard.owner.due_calls(shard.now, 100);
+    assert_eq!(calls.len(), UNREACHABLE_CALLS_MAX, "no more at a time");
     let gone: Vec<_> = calls.iter().map(|c| c.machine.clone()).collect();
-    shard.owner.released(&gone, true, shard.now);
+    shard.owner.release_finished(&gone, true, shard.now);
     for call in &calls {
         shard
             .owner
-            .call_done(call, CommandResult::Unknown, shard.now);
+            .handle_call_result(call, CommandResult::Unknown, shard.now);
     }
-    shard.tell(all);
-    let rest = shard.owner.calls(shard.now, 100);
-    assert_eq!(rest.len(), DEAF_CALLS, "the others are told to stop");
+    shard.sync_placer(all);
+    let rest = shard.owner.due_calls(shard.now, 100);
+    assert_eq!(
+        rest.len(),
+        UNREACHABLE_CALLS_MAX,
+        "the others are told to stop"
+    );
 }
