--- a/crates/coordination/src/dependencies.rs
+++ b/crates/coordination/src/dependencies.rs
@@ -275,7 +275,7 @@
 
     /// The priority that a job is placed with here, if this node places it.
     pub fn placed_rank(&self, id: &JobId) -> Option<Priority> {
-        self.shards.values().find_map(|shard| shard.placer.rank(id))
+        self.shards.values().find_map(|shard| shard.placer.priority(id))
     }
 
     /// Follows the changes of waiting jobs: the jobs whose priority has changed.
@@ -442,7 +442,7 @@
             return;
         };
         self.chains.surveyed = None;
-        let CompareAndSwapOutcome::Done(revision) = outcome else {
+        let CompareAndSwapOutcome::Committed(revision) = outcome else {
             // What it was made of has changed: a newer copy tells.
             self.chains.not_before = now + CHAIN_RETRY_MS;
             return;
--- a/crates/coordination/src/gang_admission/mod.rs
+++ b/crates/coordination/src/gang_admission/mod.rs
@@ -1,20 +1,30 @@
 //! The gang admission ledger: at which step a gang stands, and what follows.
 //!
-//! A gang's chunks carry its step ([`GangAdmissionRecord`]), each under the part's token.
+//! A gang's chunks carry its step ([`GangAdmissionRecord`]), each under the shard's
+//! fencing token.
 //!
 //! | step | written | what may happen |
 //! | --- | --- | --- |
-//! | planned | with its members' attempts, before any owner hears of them | owners are asked for room; nothing is launched |
-//! | admitted | once every owner has granted room, in one transaction | all of it is launched, and nothing else of the gang |
+//! | planned | with its members' attempts, before any owner learns of them | owners are asked for room; nothing is launched |
+//! | admitted | once every owner has granted room, in one compare-and-swap | all of it is launched, and nothing else of the gang |
 //! | released | with the ends of its attempts; at once where a successor decides it | everything of it is stopped |
 //!
 //! A step counts only when every chunk with a live member carries it, so a gang
-//! whose chunks did not fit one transaction is not admitted by halves.
+//! whose chunks did not fit one compare-and-swap is not admitted by halves.
 
-use lemonweir_model::constants::{GANG_GRANT_MS, GANG_HEAR_MS};
 use lemonweir_protocol::peer::AttemptState;
 use lemonweir_storage::records::{GangAdmissionRecord, GangAdmissionStep};
 
+/// ms after its record within which every owner must have granted a gang room: more
+/// than any wait for who is preempted
+/// ([`EVICT_WAIT_MS`](lemonweir_model::constants::EVICT_WAIT_MS)) and the messages
+/// about it. A placer or a successor then releases all of it and tries elsewhere.
+pub const GANG_GRANT_TIMEOUT_MS: u64 = 20_000;
+/// ms that a successor gives every owner at least to be heard of an admitted gang,
+/// however old its admission is: a new owner hears its machines within two heartbeat
+/// intervals, and an election goes before.
+const MIN_LAUNCH_TIMEOUT_MS: u64 = 20_000;
+
 /// How far a gang has come, as its placer knows it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GangAdmission {
@@ -40,8 +50,8 @@
         }
     }
 
-    /// Goes on to a step that is not written yet.
-    pub fn go_on(&mut self, step: GangAdmissionStep, at: u64) {
+    /// Advances to a step that is not written yet.
+    pub fn advance(&mut self, step: GangAdmissionStep, at: u64) {
         (self.step, self.at, self.since) = (step, at, None);
     }
 
@@ -55,40 +65,51 @@
     }
 }
 
-/// The step that an earlier holder of the part left a gang at, read from its
-/// chunks with live members: each one's attempt numbers, and what it carries of
-/// the ledger. The least step of all counts.
-pub fn inherited<'a>(
+/// Where an earlier leader of the shard left a gang.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct InheritedAdmission {
+    /// The step.
+    pub step: GangAdmissionStep,
+    /// Time of day of the step, ms.
+    pub at: u64,
+    /// The attempt that its members share.
+    pub attempt: u32,
+}
+
+/// Where an earlier leader of the shard left a gang, read from its chunks with live
+/// members: each one's attempt number, and what it carries of the ledger. The least
+/// step of all counts. `None`: there are no live members.
+pub fn inherited_admission<'a>(
     chunks: impl Iterator<Item = (u32, Option<&'a GangAdmissionRecord>)>,
-) -> Option<(GangAdmissionStep, u64, u32)> {
-    let mut found: Option<(GangAdmissionStep, u64, u32)> = None;
-    for (attempt, record) in chunks {
-        // One without a step was written by an earlier version: its gang may have
-        // been launched, and so may one of which a later version knows more.
-        let step = match record.map(|r| r.step) {
-            None | Some(GangAdmissionStep::Other) => GangAdmissionStep::Admitted,
-            Some(step) => step,
-        };
-        let at = record.map_or(0, |r| r.at);
-        found = Some(match found {
-            None => (step, at, attempt),
+) -> Option<InheritedAdmission> {
+    chunks
+        .map(|(attempt, record)| InheritedAdmission {
+            // One without a step was written by an earlier version: its gang may have
+            // been launched, and so may one of which a later version knows more.
+            step: match record.map(|record| record.step) {
+                None | Some(GangAdmissionStep::Other) => GangAdmissionStep::Admitted,
+                Some(step) => step,
+            },
+            at: record.map_or(0, |record| record.at),
+            attempt,
+        })
+        .reduce(|before, next| InheritedAdmission {
             // Guards against members of two attempts, as a placer leaves them that
-            // ended between two transactions of one very large gang: they never
+            // ended between two compare-and-swaps of one very large gang: they never
             // find one another.
-            Some((_, at_before, a)) if a != attempt => (
-                GangAdmissionStep::Released,
-                at.max(at_before),
-                a.max(attempt),
-            ),
-            Some((before, at_before, a)) => (least(before, step), at.max(at_before), a),
-        });
-    }
-    found
+            step: if before.attempt == next.attempt {
+                least_step(before.step, next.step)
+            } else {
+                GangAdmissionStep::Released
+            },
+            at: before.at.max(next.at),
+            attempt: before.attempt.max(next.attempt),
+        })
 }
 
 /// Of two steps that chunks of one gang carry, the one that counts: a release
-/// that began is gone on with, and what is not admitted everywhere isn't.
-fn least(a: GangAdmissionStep, b: GangAdmissionStep) -> GangAdmissionStep {
+/// that began is completed, and what is not admitted everywhere isn't.
+fn least_step(a: GangAdmissionStep, b: GangAdmissionStep) -> GangAdmissionStep {
     if a == GangAdmissionStep::Released || b == GangAdmissionStep::Released {
         GangAdmissionStep::Released
     } else {
@@ -101,29 +122,29 @@
 pub struct GangMembers {
     /// How many there must be.
     pub needed: u32,
-    /// Attempts that are not over.
+    /// Attempts that have not ended.
     pub live: u32,
     /// Those of them that are to be stopped.
     pub stopped: u32,
     /// Those whose owners have granted room.
     pub granted: u32,
-    /// Those seen on their machines.
+    /// Those observed on their machines.
     pub launched: u32,
-    /// Those seen to run.
+    /// Those observed to run.
     pub running: u32,
 }
 
 impl GangMembers {
-    /// Adds one member.
-    pub fn add(&mut self, standing: Option<AttemptState>, stopped: bool) {
+    /// Adds one member: its state as last observed, and whether it is to be stopped.
+    pub fn add(&mut self, state: Option<AttemptState>, stopped: bool) {
         self.live += 1;
         self.stopped += u32::from(stopped);
-        self.granted += u32::from(standing.is_some_and(|s| !s.ended()));
+        self.granted += u32::from(state.is_some_and(|state| !state.ended()));
         self.launched += u32::from(matches!(
-            standing,
+            state,
             Some(AttemptState::Preparing | AttemptState::Running)
         ));
-        self.running += u32::from(standing == Some(AttemptState::Running));
+        self.running += u32::from(state == Some(AttemptState::Running));
     }
 }
 
@@ -139,11 +160,11 @@
 /// What follows for a gang.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GangVerdict {
-    /// Nothing until something happens or this time has come.
+    /// Nothing until something happens or this time has come, ms.
     Wait(Option<u64>),
     /// It is admitted.
     Admit,
-    /// All of it is given back.
+    /// All of it is released.
     Release(ReleaseReason),
 }
 
@@ -155,10 +176,10 @@
     gang_wait_ms: u64,
     now: u64,
 ) -> GangVerdict {
-    let bounded = |since: Option<u64>, most: u64, why: ReleaseReason| match since {
+    let release_after = |timeout_ms: u64, reason: ReleaseReason| match admission.since {
         None => GangVerdict::Wait(None),
-        Some(at) if now >= at + most => GangVerdict::Release(why),
-        Some(at) => GangVerdict::Wait(Some(at + most)),
+        Some(at) if now >= at + timeout_ms => GangVerdict::Release(reason),
+        Some(at) => GangVerdict::Wait(Some(at + timeout_ms)),
     };
     match admission.step {
         GangAdmissionStep::Released => GangVerdict::Wait(None),
@@ -175,29 +196,28 @@
         // A controller of an earlier version went on from here.
         _ if members.running > 0 => GangVerdict::Wait(None),
         GangAdmissionStep::Planned => {
-            bounded(admission.since, GANG_GRANT_MS, ReleaseReason::NotGranted)
+            release_after(GANG_GRANT_TIMEOUT_MS, ReleaseReason::NotGranted)
         }
         GangAdmissionStep::Admitted | GangAdmissionStep::Other
             if members.launched < members.needed =>
         {
-            bounded(
-                admission.since,
-                gang_wait_ms.max(GANG_HEAR_MS),
+            release_after(
+                gang_wait_ms.max(MIN_LAUNCH_TIMEOUT_MS),
                 ReleaseReason::NotWhole,
             )
         }
-        _ => GangVerdict::Wait(None),
+        GangAdmissionStep::Admitted | GangAdmissionStep::Other => GangVerdict::Wait(None),
     }
 }
 
 /// Since when a step that was inherited at `now` counts: from when it was taken,
-/// but with time enough to hear from every owner, since only reports tell what
+/// but with time enough to hear from every owner, since only heartbeats tell what
 /// became of it meanwhile.
-pub fn counts_from(step: GangAdmissionStep, age_ms: u64, gang_wait_ms: u64, now: u64) -> u64 {
+pub fn step_counts_from(step: GangAdmissionStep, age_ms: u64, gang_wait_ms: u64, now: u64) -> u64 {
     match step {
         GangAdmissionStep::Admitted | GangAdmissionStep::Other => {
-            now.saturating_sub(age_ms.min(gang_wait_ms.saturating_sub(GANG_HEAR_MS)))
+            now.saturating_sub(age_ms.min(gang_wait_ms.saturating_sub(MIN_LAUNCH_TIMEOUT_MS)))
         }
-        _ => now,
+        GangAdmissionStep::Planned | GangAdmissionStep::Released => now,
     }
 }
--- a/crates/coordination/src/image_locality/show.rs
+++ b/crates/coordination/src/image_locality/show.rs
@@ -35,7 +35,7 @@
         // Any placer of ours has the machines of all parts.
         let placer = self.shards.values().next().map(|p| &p.placer);
         let mut zones: BTreeMap<&str, ZoneImageRow> = BTreeMap::new();
-        let out_of_sight = placer.map(|p| p.hidden_zones()).unwrap_or_default();
+        let out_of_sight = placer.map(|p| p.partitioned_zones()).unwrap_or_default();
         for zone in &self.config.zones {
             let hidden = out_of_sight.contains(zone.as_str());
             let row = ZoneImageRow {
@@ -69,7 +69,7 @@
             .collect();
         let shards = placer
             .into_iter()
-            .flat_map(|p| p.told(now))
+            .flat_map(|p| p.view_ages_s(now))
             .map(|(shard, told_s)| ShardImageRow { shard, told_s })
             .collect();
         ImageLocalityReport {
--- a/crates/coordination/src/job.rs
+++ b/crates/coordination/src/job.rs
@@ -1,18 +1,33 @@
 //! A job as its placer keeps it: which tasks are done, which have a live
 //! attempt, which wait, and what of that is written.
 
-use std::collections::{BTreeMap, BTreeSet, HashMap};
+mod chunks;
+mod gang;
+mod tasks;
+
+use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use lemonweir_model::constants::*;
+use lemonweir_model::constants::{IDLE_PATIENCE_MS, MAX_TASKS};
 use lemonweir_model::{AttemptId, JobKind, JobSpec, MachineId, Priority, Resources};
 use lemonweir_protocol::peer::{AttemptState, PreemptionScope};
 use lemonweir_protocol::users::JobPhase;
-use lemonweir_storage::records::{
-    GangAdmissionRecord, GangAdmissionStep, JobRecord, LiveAttemptRecord, TaskChunkRecord,
-};
-
-use crate::gang_admission::{self, GangAdmission, GangMembers};
+use lemonweir_storage::records::JobRecord;
+
+use crate::gang_admission::GangAdmission;
+pub(super) use chunks::TaskChunk;
+
+/// Machines that a job avoids at most, those where it failed last.
+const MAX_AVOIDED_MACHINES: usize = 8;
+/// ms that a job backs off after its second failed attempt, doubled with each more.
+const FAILURE_BACKOFF_MS: u64 = 1_000;
+/// ms that the doubling stops at.
+const MAX_FAILURE_BACKOFF_MS: u64 = 30_000;
+/// ms that it stops at for a suspect: each try costs a task's room for seconds,
+/// and its user mostly withdraws it.
+const MAX_SUSPECT_BACKOFF_MS: u64 = 120_000;
+/// Low bits of [`Job::queue_order`] that hold the time of submission.
+const AGE_BITS: u32 = 44;
 
 /// What comes first among jobs of one priority.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -20,593 +35,330 @@
     /// A service that ran and has less than half of its replicas left. Guards
     /// against a mass loss after which some services are whole while others
     /// serve nobody. New services come by age: taken in halves, they came to
-    /// lie on more machines, and gangs pushed out twice as much for whole ones.
+    /// lie on more machines, and gangs preempted twice as much for whole ones.
+    ServiceBelowHalf,
+    /// Low-priority work of which nothing has begun: its first unit comes before all
+    /// later ones, the largest job first. Guards against a large array that waits
+    /// behind thousands of small jobs for its turn to be written.
+    NotBegun,
+    /// Low-priority work of which less than half has begun: where room for it is
+    /// scarce, half of each is more to its users than all of some.
     BelowHalf,
-    /// Idle work of which nothing has begun: its first unit comes before all later
-    /// ones, the largest job first. Guards against a large array that waits behind
-    /// thousands of small jobs for its turn to be written.
-    Unbegun,
-    /// Idle work of which less than half has begun: where room for it is scarce, half
-    /// of each is more to its users than all of some.
-    ToHalf,
     /// Any other job.
-    Usual,
+    Normal,
 }
 
-/// An attempt not proven to be over.
+/// An attempt not proven to have ended.
 #[derive(Clone, Debug)]
 pub(super) struct LiveAttempt {
+    /// Its number among the job's attempts.
     pub(super) attempt: u32,
     pub(super) machine: MachineId,
     pub(super) shard: u16,
     pub(super) zone: String,
     /// Change of its chunk that first holds it.
-    pub(super) change: u64,
-    pub(super) standing: Option<AttemptState>,
-    pub(super) kill: Option<u32>,
-    pub(super) since: u64,
-    pub(super) evict: PreemptionScope,
-    /// Its team runs it beyond its guarantee.
-    pub(super) over: bool,
+    pub(super) recorded_by: u64,
+    /// Its state as the owner last observed it; none: not accepted yet.
+    pub(super) state: Option<AttemptState>,
+    /// It is to stop, with so many s for a checkpoint.
+    pub(super) stop_grace_s: Option<u32>,
+    /// When this placer placed it, ms; 0: an earlier leader did.
+    pub(super) placed_at: u64,
+    /// Who may be preempted for it.
+    pub(super) preemption: PreemptionScope,
+    /// Its team runs it beyond its guaranteed quota.
+    pub(super) over_quota: bool,
 }
 
-/// An attempt that is over, kept until that is written.
+/// An attempt that has ended, kept until that is written.
 #[derive(Clone, Debug)]
 pub(super) struct EndingAttempt {
     pub(super) id: AttemptId,
     pub(super) machine: MachineId,
     pub(super) shard: u16,
-    pub(super) change: u64,
-}
-
-/// One chunk's place in the store.
-#[derive(Clone, Debug, Default)]
-pub(super) struct TaskChunk {
-    /// Version in the store; 0: no key.
-    pub(super) version: u64,
-    /// Changes made, and changes written.
-    pub(super) change: u64,
-    pub(super) saved: u64,
-    /// Newest change that records a start: nothing starts before it is written.
-    pub(super) start: u64,
-    /// Newest change that records a step of its gang.
-    pub(super) step: u64,
-    /// A writing that would create it got no answer: it may be there, or come.
-    pub(super) unsure: bool,
-    /// What it carried of the ledger when it was loaded.
-    pub(super) loaded: Option<GangAdmissionRecord>,
+    /// Change of its chunk that first records the end.
+    pub(super) recorded_by: u64,
 }
 
-impl TaskChunk {
-    pub(super) fn unsaved(&self) -> bool {
-        self.saved < self.change
-    }
-
-    /// It records a start that is not written yet.
-    pub(super) fn start_unwritten(&self) -> bool {
-        self.saved < self.start
-    }
-}
-
-/// Where a job is in the placer's queues: team, priority, urgency, turn within it,
-/// and time.
+/// Where a job is in the placer's queues.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) struct TaskPlacement {
+pub(super) struct QueuePosition {
     pub(super) team: String,
-    pub(super) rank: Priority,
+    pub(super) priority: Priority,
     pub(super) urgency: Urgency,
-    pub(super) turn: u64,
-    pub(super) at: u64,
+    /// [`Job::queue_order`].
+    pub(super) order: u64,
+    /// Time of day of the submission, ms.
+    pub(super) submitted_at: u64,
 }
 
+/// A job as its placer keeps it.
 pub(super) struct Job {
+    /// What its user submitted; none until the followed keys show it.
     pub(super) record: Option<Arc<JobRecord>>,
-    pub(super) version: u64,
-    /// The job is done or withdrawn.
-    pub(super) over: bool,
-    /// The followed keys have not said yet whether it is.
-    pub(super) unheard: bool,
+    /// Version of the job's key in `record`.
+    pub(super) key_version: u64,
+    /// The job is done or withdrawn, and that is written.
+    pub(super) ended: bool,
+    /// The followed keys have not said yet whether it has.
+    pub(super) end_unconfirmed: bool,
     pub(super) team: String,
+    /// What one task needs.
     pub(super) need: Resources,
     pub(super) tasks: u32,
-    pub(super) next: u32,
+    /// Number of the next attempt.
+    pub(super) next_attempt: u32,
     done: Vec<bool>,
     pub(super) done_count: u32,
+    /// Live attempts by task.
     pub(super) live: BTreeMap<u32, LiveAttempt>,
+    /// Attempts whose end is not written yet.
     pub(super) ending: Vec<EndingAttempt>,
+    /// The chunks of its task record, by index.
     pub(super) chunks: BTreeMap<u32, TaskChunk>,
     /// No task from here on was ever placed by this placer.
-    cursor: u32,
+    placement_cursor: u32,
     /// Tasks below it that wait again.
-    again: BTreeSet<u32>,
+    requeued: BTreeSet<u32>,
     /// Tries that failed since the last success; what was placed together is one.
-    pub(super) failures: u32,
+    pub(super) consecutive_failures: u32,
     /// When the last one did, ms.
-    pub(super) failed_at: u64,
-    /// It is the suspect: it failed on so many machines that run other jobs.
+    last_failure_at: u64,
+    /// It is suspected of its failures: it failed on so many machines that run other
+    /// jobs.
     pub(super) suspect: Option<u32>,
-    /// When this placer first heard of it, ms.
-    pub(super) known_at: u64,
+    /// When this placer first learned of it, ms.
+    first_seen_at: u64,
     /// Some task of it has run.
-    pub(super) ran: bool,
+    pub(super) has_run: bool,
     /// A replica of it was stopped to go to a better place: the next one goes where
-    /// the trade says, though it waits for its weights there.
-    pub(super) trading: bool,
-    pub(super) not_before: u64,
-    pub(super) avoid: Vec<MachineId>,
+    /// the trade says, though it waits for its image there.
+    pub(super) relocating: bool,
+    /// It is not placed before this time, ms; 0: it may be.
+    pub(super) backoff_until: u64,
+    /// Machines that it failed on or left.
+    pub(super) avoided_machines: Vec<MachineId>,
     /// Machines that did not answer for the last attempt of a gang: the next one
     /// does without them if it can.
-    pub(super) late: Vec<MachineId>,
-    /// Version of the job's key with which a writing of it failed: the key has
+    pub(super) unresponsive_machines: Vec<MachineId>,
+    /// Version of the job's key with which a write of it failed: the key has
     /// changed since, and the copy will show it.
-    pub(super) refused: Option<u64>,
-    /// When it may be written again after the store refused its record, ms.
-    pub(super) write_after: u64,
-    pub(super) reason: &'static str,
-    /// Whether all its attempts are within their team's guarantee or beyond it,
+    pub(super) conflicting_version: Option<u64>,
+    /// When it may be written again after the store rejected its record, ms.
+    pub(super) write_backoff_until: u64,
+    /// Why its tasks wait, as users read it.
+    pub(super) pending_reason: &'static str,
+    /// Whether all its attempts are within their team's guaranteed quota or beyond it,
     /// if they are alike.
-    pub(super) over_alike: Option<bool>,
+    pub(super) uniform_over_quota: Option<bool>,
     /// Where it is in the placer's queues.
-    pub(super) placed: Option<TaskPlacement>,
-    /// Attempts that the owners are told of, by part.
-    pub(super) told: Vec<(u16, AttemptId)>,
-    /// Of a gang with live members: its entry in the ledger.
+    pub(super) queue_position: Option<QueuePosition>,
+    /// Attempts in the desired state of the owners, by shard.
+    pub(super) published_attempts: Vec<(u16, AttemptId)>,
+    /// Admission of a gang with live members.
     pub(super) admission: Option<GangAdmission>,
 }
 
 impl Job {
-    pub(super) fn empty() -> Self {
+    /// A job of which only a task record is known: it may have ended.
+    pub(super) fn unconfirmed() -> Self {
         Self {
             record: None,
-            version: 0,
-            over: true,
-            unheard: true,
+            key_version: 0,
+            ended: true,
+            end_unconfirmed: true,
             team: String::new(),
             need: Resources::default(),
             tasks: 0,
-            next: 1,
+            next_attempt: 1,
             done: Vec::new(),
             done_count: 0,
             live: BTreeMap::new(),
             ending: Vec::new(),
             chunks: BTreeMap::new(),
-            cursor: 0,
-            again: BTreeSet::new(),
-            failures: 0,
-            failed_at: 0,
+            placement_cursor: 0,
+            requeued: BTreeSet::new(),
+            consecutive_failures: 0,
+            last_failure_at: 0,
             suspect: None,
-            known_at: 0,
-            ran: false,
-            trading: false,
-            not_before: 0,
-            avoid: Vec::new(),
-            late: Vec::new(),
-            refused: None,
-            write_after: 0,
-            reason: "",
-            over_alike: None,
-            placed: None,
-            told: Vec::new(),
+            first_seen_at: 0,
+            has_run: false,
+            relocating: false,
+            backoff_until: 0,
+            avoided_machines: Vec::new(),
+            unresponsive_machines: Vec::new(),
+            conflicting_version: None,
+            write_backoff_until: 0,
+            pending_reason: "",
+            uniform_over_quota: None,
+            queue_position: None,
+            published_attempts: Vec::new(),
             admission: None,
         }
     }
 
-    /// A job that a placer first hears of now.
-    pub(super) fn known(now: u64) -> Self {
+    /// A job that a placer first learns of now.
+    pub(super) fn first_seen(now: u64) -> Self {
         Self {
-            known_at: now,
-            ..Self::empty()
+            first_seen_at: now,
+            ..Self::unconfirmed()
         }
     }
 
+    /// What its user submitted, once known.
     pub(super) fn spec(&self) -> Option<&JobSpec> {
-        self.record.as_ref().map(|r| &r.spec)
+        self.record.as_ref().map(|record| &record.spec)
+    }
+
+    /// True if it is known to be of this kind.
+    pub(super) fn is_kind(&self, kind: JobKind) -> bool {
+        self.spec().is_some_and(|spec| spec.shape == kind)
     }
 
-    /// Nothing of it shall run any more: it is over, or will be once no attempt
+    /// True if its tasks are replicas that run until it is withdrawn.
+    pub(super) fn is_service(&self) -> bool {
+        self.is_kind(JobKind::Service)
+    }
+
+    /// Nothing of it shall run any more: it has ended, or will have once no attempt
     /// is left.
-    pub(super) fn stopping(&self) -> bool {
-        self.over || self.record.as_ref().is_some_and(|r| r.withdrawn)
+    pub(super) fn is_stopping(&self) -> bool {
+        self.ended || self.record.as_ref().is_some_and(|record| record.withdrawn)
     }
 
     /// The end that may be written now. Guards against telling a user that a
-    /// job is withdrawn while a machine out of sight still runs it: every
-    /// attempt must be proven over first.
-    pub(super) fn finished(&self) -> Option<JobPhase> {
-        if self.over || self.record.is_none() || self.outdated() {
+    /// job is withdrawn while a machine in a partitioned zone still runs it: every
+    /// attempt must be proven to have ended first.
+    pub(super) fn writable_end(&self) -> Option<JobPhase> {
+        if self.ended || self.record.is_none() || self.copy_is_stale() {
             None
-        } else if self.complete() {
+        } else if self.is_complete() {
             Some(JobPhase::Done)
         } else {
-            (self.stopping() && self.live.is_empty()).then_some(JobPhase::Withdrawn)
+            (self.is_stopping() && self.live.is_empty()).then_some(JobPhase::Withdrawn)
         }
     }
 
     /// True if the job's key has changed since the copy that this is made of.
-    pub(super) fn outdated(&self) -> bool {
-        self.refused == Some(self.version)
-    }
-
-    pub(super) fn is(&self, shape: JobKind) -> bool {
-        self.spec().is_some_and(|s| s.shape == shape)
+    pub(super) fn copy_is_stale(&self) -> bool {
+        self.conflicting_version == Some(self.key_version)
     }
 
-    pub(super) fn lasting(&self) -> bool {
-        self.is(JobKind::Service)
+    /// True if nothing of it is left anywhere.
+    pub(super) fn is_removable(&self) -> bool {
+        self.ended
+            && self.live.is_empty()
+            && self.ending.is_empty()
+            && self
+                .chunks
+                .values()
+                .all(|chunk| chunk.version == 0 && !chunk.write_indeterminate)
     }
+}
 
-    /// Priority; a job that is over only takes room for its stops.
-    pub(super) fn rank(&self) -> Priority {
-        self.spec().map_or(Priority::Low, |s| s.rank)
+/// Order among the jobs of a team.
+impl Job {
+    /// Priority; a job that has ended only takes room for its stops.
+    pub(super) fn priority(&self) -> Priority {
+        self.spec().map_or(Priority::Low, |spec| spec.rank)
     }
 
     /// Whether it goes before others of its priority.
     pub(super) fn urgency(&self) -> Urgency {
-        let stays = || self.live.values().filter(|l| l.kill.is_none()).count() as u32;
-        if self.ran && self.lasting() && !self.stopping() && 2 * stays() < self.tasks {
+        let staying = || {
+            self.live
+                .values()
+                .filter(|live| live.stop_grace_s.is_none())
+                .count() as u32
+        };
+        if self.has_run && self.is_service() && !self.is_stopping() && 2 * staying() < self.tasks {
+            Urgency::ServiceBelowHalf
+        } else if self.priority() != Priority::Low || self.is_stopping() {
+            Urgency::Normal
+        } else if !self.has_begun() {
+            Urgency::NotBegun
+        } else if self.is_below_half() {
             Urgency::BelowHalf
-        } else if self.rank() != Priority::Low || self.stopping() {
-            Urgency::Usual
-        } else if !self.begun() {
-            Urgency::Unbegun
-        } else if self.below_half() {
-            Urgency::ToHalf
         } else {
-            Urgency::Usual
+            Urgency::Normal
         }
     }
 
-    /// True if some of it is placed, has run, or is done.
-    pub(super) fn begun(&self) -> bool {
-        self.ran || self.done_count > 0 || !self.live.is_empty()
-    }
-
-    /// Its turn among jobs of its priority and urgency: age; of those that have not
+    /// Its order among jobs of its priority and urgency: age; of those that have not
     /// begun the number of tasks first.
-    pub(super) fn turn(&self) -> u64 {
-        const AGE_BITS: u32 = 44;
+    pub(super) fn queue_order(&self) -> u64 {
         match self.urgency() {
-            Urgency::Unbegun => {
+            Urgency::NotBegun => {
                 MAX_TASKS.saturating_sub(u64::from(self.tasks)) << AGE_BITS
-                    | self.at() & ((1 << AGE_BITS) - 1)
+                    | self.submitted_at() & ((1 << AGE_BITS) - 1)
             }
-            _ => self.at(),
+            _ => self.submitted_at(),
         }
     }
 
-    /// ms since it was submitted, by the time of day, or since this placer knows of
-    /// it: a change of hands does not begin its wait anew.
-    pub(super) fn waited(&self, now: u64, time_of_day: u64) -> u64 {
-        let since = self
-            .record
-            .as_ref()
-            .map_or(0, |r| time_of_day.saturating_sub(r.at));
-        since.max(now.saturating_sub(self.known_at))
-    }
-
     /// Time of day of its submission, ms.
-    pub(super) fn at(&self) -> u64 {
-        self.record.as_ref().map_or(0, |r| r.at)
-    }
-
-    pub(super) fn is_done(&self, task: u32) -> bool {
-        self.done.get(task as usize).copied().unwrap_or(false)
-    }
-
-    /// Marks a task as done; true if it was not.
-    pub(super) fn set_done(&mut self, task: u32) -> bool {
-        if self.done.len() <= task as usize {
-            self.done.resize(task as usize + 1, false);
-        }
-        let news = !std::mem::replace(&mut self.done[task as usize], true);
-        self.done_count += u32::from(news);
-        news
-    }
-
-    pub(super) fn mark_done(&mut self, task: u32) {
-        if self.set_done(task) {
-            self.touch(task);
-        }
-    }
-
-    /// Tasks that run, and why the others wait, if some do.
-    pub(super) fn progress(&self) -> (u32, &'static str) {
-        let running = self
-            .live
-            .values()
-            .filter(|l| l.standing == Some(AttemptState::Running))
-            .count() as u32;
-        let unwritten = || self.live.iter().any(|(&task, l)| !self.recorded(task, l));
-        let reason = if self.stopping() {
-            "withdrawn; its last attempts are being stopped"
-        } else if self.waiting() > 0 {
-            self.reason
-        } else if unwritten() {
-            "its start waits to be written to the store"
-        } else {
-            ""
-        };
-        (running, reason)
-    }
-
-    /// Attempts in each zone, leaving out one task's.
-    pub(super) fn per_zone(&self, but: Option<u32>) -> HashMap<String, u32> {
-        let mut counts: HashMap<String, u32> = HashMap::new();
-        for (_, l) in self.live.iter().filter(|(t, _)| Some(**t) != but) {
-            match counts.get_mut(&l.zone) {
-                Some(n) => *n += 1,
-                None => {
-                    counts.insert(l.zone.clone(), 1);
-                }
-            }
-        }
-        counts
+    pub(super) fn submitted_at(&self) -> u64 {
+        self.record.as_ref().map_or(0, |record| record.at)
     }
 
-    /// Attempts that are where this one is, itself included.
-    pub(super) fn beside<K: PartialEq>(
-        &self,
-        live: &LiveAttempt,
-        place: impl Fn(&LiveAttempt) -> &K,
-    ) -> u32 {
-        self.live
-            .values()
-            .filter(|l| place(l) == place(live))
-            .count() as u32
-    }
-
-    /// Notes a change of a task's chunk.
-    pub(super) fn touch(&mut self, task: u32) -> u64 {
-        let chunk = self.chunks.entry(task / CHUNK_TASKS).or_default();
-        chunk.change += 1;
-        chunk.change
-    }
-
-    /// Some start of it is not written yet.
-    pub(super) fn starts_unwritten(&self) -> bool {
-        self.chunks.values().any(TaskChunk::start_unwritten)
-    }
-
-    pub(super) fn recorded(&self, task: u32, live: &LiveAttempt) -> bool {
-        self.chunks
-            .get(&(task / CHUNK_TASKS))
-            .is_some_and(|c| c.saved >= live.change)
-    }
-
-    pub(super) fn chunk_record(&self, chunk: u32) -> TaskChunkRecord {
-        let (first, end) = (chunk * CHUNK_TASKS, (chunk + 1) * CHUNK_TASKS);
-        let mut done: Vec<(u32, u32)> = Vec::new();
-        for task in (first..end).filter(|&t| self.is_done(t)) {
-            match done.last_mut() {
-                Some(range) if range.1 + 1 == task => range.1 = task,
-                _ => done.push((task, task)),
-            }
-        }
-        let live: Vec<LiveAttemptRecord> = self
-            .live
-            .range(first..end)
-            .map(|(&t, l)| LiveAttemptRecord {
-                t,
-                a: l.attempt,
-                m: l.machine.clone(),
-                p: l.shard,
-                z: l.zone.clone(),
-            })
-            .collect();
-        let gang = self
-            .admission
+    /// ms since it was submitted, by the time of day, or since this placer knows of
+    /// it: a failover does not begin its wait anew.
+    pub(super) fn waited_ms(&self, now: u64, time_of_day_ms: u64) -> u64 {
+        let since_submission = self
+            .record
             .as_ref()
-            .filter(|a| live.iter().any(|l| l.a == a.attempt))
-            .map(GangAdmission::record);
-        TaskChunkRecord {
-            team: self.team.clone(),
-            need: self.need,
-            next: self.next,
-            done,
-            live,
-            gang,
-        }
-    }
-
-    /// How many tasks neither run nor are done. The tasks of a gang that is
-    /// done may be both for a moment.
-    pub(super) fn waiting(&self) -> u32 {
-        self.tasks
-            .saturating_sub(self.done_count)
-            .saturating_sub(self.live.len() as u32)
-    }
-
-    /// A try failed now, of what was placed at `placed`: how long to wait before
-    /// the next one, ms.
-    pub(super) fn fail(&mut self, placed: u64, now: u64) -> u64 {
-        if self.failures == 0 || placed >= self.failed_at {
-            self.failures += 1;
-            self.failed_at = now;
-        }
-        let most = match (self.suspect, self.failures) {
-            (Some(_), _) => SUSPECT_BACKOFF_MAX_MS,
-            // One failure is mostly the machine's fault.
-            (None, 1) => return 0,
-            (None, _) => ERROR_BACKOFF_MAX_MS,
-        };
-        (ERROR_BACKOFF_MS << (self.failures - 1).min(10)).min(most)
-    }
-
-    /// Leaves a machine out from now on; the oldest of too many may come again.
-    pub(super) fn shun(&mut self, machine: &MachineId) {
-        if !self.avoid.contains(machine) {
-            self.avoid.push(machine.clone());
-        }
-        if self.avoid.len() > AVOID_MOST {
-            self.avoid.remove(0);
-        }
-    }
-
-    /// Notes that a task that was placed may wait again.
-    pub(super) fn wait_again(&mut self, task: u32) {
-        if task < self.cursor {
-            self.again.insert(task);
-        }
-    }
-
-    fn waits(&self, task: u32) -> bool {
-        !self.is_done(task) && !self.live.contains_key(&task)
-    }
-
-    /// The first task that neither runs nor is done. Each task is passed once
-    /// until it waits again.
-    pub(super) fn next_waiting(&mut self) -> Option<u32> {
-        while let Some(&task) = self.again.first() {
-            if self.waits(task) {
-                return Some(task);
-            }
-            self.again.pop_first();
-        }
-        while self.cursor < self.tasks && !self.waits(self.cursor) {
-            self.cursor += 1;
-        }
-        (self.cursor < self.tasks).then_some(self.cursor)
-    }
-
-    fn complete(&self) -> bool {
-        self.record.is_some() && self.done_count >= self.tasks && !self.lasting()
-    }
-
-    /// True if nothing of it is left anywhere.
-    pub(super) fn vanished(&self) -> bool {
-        self.over
-            && self.live.is_empty()
-            && self.ending.is_empty()
-            && self.chunks.values().all(|c| c.version == 0 && !c.unsure)
+            .map_or(0, |record| time_of_day_ms.saturating_sub(record.at));
+        since_submission.max(now.saturating_sub(self.first_seen_at))
     }
 
     /// True if it has waited for so long, with less than half of it begun, that it
-    /// may cost more than idle work usually does.
-    pub(super) fn starved(&self, now: u64) -> bool {
-        self.below_half() && now >= self.known_at + IDLE_PATIENCE_MS
-    }
-
-    /// True if less than half of its tasks run or are done.
-    fn below_half(&self) -> bool {
-        2 * (self.done_count as usize + self.live.len()) < self.tasks as usize
-    }
-
-    /// Tasks of a starved job that lack to half of it.
-    pub(super) fn to_half(&self) -> u64 {
-        u64::from(self.tasks.div_ceil(2))
-            .saturating_sub(u64::from(self.done_count) + self.live.len() as u64)
+    /// may cost more than low-priority work usually does.
+    pub(super) fn is_starved(&self, now: u64) -> bool {
+        self.is_below_half() && now >= self.first_seen_at + IDLE_PATIENCE_MS
     }
 
     /// True if some task of it can be placed now.
-    pub(super) fn placeable(&self) -> bool {
+    pub(super) fn is_placeable(&self) -> bool {
         // Guards against a job with a mistake that fails with all its tasks each
         // time: a suspect has one try at a time.
-        let one_try = self.is(JobKind::Gang) || self.suspect.is_some();
-        !self.stopping() && self.waiting() > 0 && (self.live.is_empty() || !one_try)
-    }
-
-    /// Chunks of a job that is over are removed once nothing is live there.
-    pub(super) fn clear_chunks(&mut self) {
-        let live = &self.live;
-        for (&index, c) in self
-            .chunks
-            .iter_mut()
-            .filter(|(_, c)| c.version > 0 && !c.unsaved())
-        {
-            let (first, end) = (index * CHUNK_TASKS, (index + 1) * CHUNK_TASKS);
-            if live.range(first..end).next().is_none() {
-                c.change += 1;
-            }
-        }
+        let one_try = self.is_kind(JobKind::Gang) || self.suspect.is_some();
+        !self.is_stopping() && self.waiting_count() > 0 && (self.live.is_empty() || !one_try)
     }
 }
 
-/// A gang's entry in the admission ledger.
+/// Failures, and machines that it avoids.
 impl Job {
-    /// True if its tasks start together or not at all.
-    pub(super) fn gang(&self) -> bool {
-        self.is(JobKind::Gang) && self.tasks > 1
-    }
-
-    /// Takes up what an earlier holder of the part left of a gang, at `now`, at
-    /// this time of day.
-    pub(super) fn inherit(&mut self, gang_wait_ms: u64, now: u64, wall: u64) {
-        if !self.gang() || self.admission.is_some() || self.live.is_empty() {
-            return;
+    /// A try failed now, of what was placed at `placed_at`: how long to back off before
+    /// the next one, ms.
+    pub(super) fn record_failure(&mut self, placed_at: u64, now: u64) -> u64 {
+        if self.consecutive_failures == 0 || placed_at >= self.last_failure_at {
+            self.consecutive_failures += 1;
+            self.last_failure_at = now;
         }
-        let carried = |(task, l): (&u32, &LiveAttempt)| {
-            (
-                l.attempt,
-                self.chunks
-                    .get(&(task / CHUNK_TASKS))
-                    .and_then(|c| c.loaded.as_ref()),
-            )
-        };
-        let Some((step, at, attempt)) = gang_admission::inherited(self.live.iter().map(carried))
-        else {
-            return;
+        let max_backoff_ms = match (self.suspect, self.consecutive_failures) {
+            (Some(_), _) => MAX_SUSPECT_BACKOFF_MS,
+            // One failure is mostly the machine's fault.
+            (None, 1) => return 0,
+            (None, _) => MAX_FAILURE_BACKOFF_MS,
         };
-        let since = gang_admission::counts_from(step, wall.saturating_sub(at), gang_wait_ms, now);
-        self.admission = Some(GangAdmission {
-            step,
-            at,
-            attempt,
-            since: Some(since),
-        });
-        if step == GangAdmissionStep::Released {
-            self.stop_all();
-        }
+        (FAILURE_BACKOFF_MS << (self.consecutive_failures - 1).min(10)).min(max_backoff_ms)
     }
 
-    /// All of it is to stop, with time to save.
-    pub(super) fn stop_all(&mut self) {
-        let grace = self.spec().map_or(0, JobSpec::grace_s);
-        for l in self.live.values_mut() {
-            l.kill.get_or_insert(grace);
+    /// Leaves a machine out from now on; the oldest of too many may come again.
+    pub(super) fn avoid_machine(&mut self, machine: &MachineId) {
+        if !self.avoided_machines.contains(machine) {
+            self.avoided_machines.push(machine.clone());
         }
-    }
-
-    /// Its members together.
-    pub(super) fn members(&self) -> GangMembers {
-        let mut members = GangMembers {
-            needed: self.tasks.saturating_sub(self.done_count),
-            ..GangMembers::default()
-        };
-        for l in self.live.values() {
-            members.add(l.standing, l.kill.is_some());
+        if self.avoided_machines.len() > MAX_AVOIDED_MACHINES {
+            self.avoided_machines.remove(0);
         }
-        members
     }
 
-    /// Goes on to a step, in all chunks with members.
-    pub(super) fn go_on(&mut self, step: GangAdmissionStep, wall: u64) {
-        let Some(admission) = &mut self.admission else {
-            return;
-        };
-        admission.go_on(step, wall);
-        let chunks: BTreeSet<u32> = self.live.keys().map(|t| t / CHUNK_TASKS).collect();
-        for index in chunks {
-            let change = self.touch(index * CHUNK_TASKS);
-            if let Some(chunk) = self.chunks.get_mut(&index) {
-                chunk.step = change;
-            }
+    /// Stops all of it, with time for a checkpoint.
+    pub(super) fn stop_all(&mut self) {
+        let grace_s = self.spec().map_or(0, JobSpec::grace_s);
+        for live in self.live.values_mut() {
+            live.stop_grace_s.get_or_insert(grace_s);
         }
     }
-
-    /// True if some chunk with members does not carry the newest step yet.
-    pub(super) fn step_unwritten(&self) -> bool {
-        self.admission.is_some() && self.chunks.values().any(|c| c.saved < c.step)
-    }
-
-    /// True if it is in the store that all of it may be launched. Guards against a
-    /// launch that a successor of this placer knows nothing of, and against one of
-    /// a gang that is not admitted in all of its chunks.
-    pub(super) fn admitted(&self) -> bool {
-        self.admission.as_ref().is_some_and(|a| {
-            matches!(
-                a.step,
-                GangAdmissionStep::Admitted | GangAdmissionStep::Other
-            )
-        }) && !self.step_unwritten()
-    }
 }
--- /dev/null
+++ b/crates/coordination/src/placer/accounting.rs
@@ -0,0 +1,150 @@
+//! What each machine holds: live attempts, those that its owner's figures don't
+//! count yet, and room that is only reserved while a decision is made.
+
+use lemonweir_model::{JobId, MachineId};
+
+use super::Placer;
+use crate::job::LiveAttempt;
+
+/// A task of a job.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct TaskKey {
+    pub(super) job: JobId,
+    pub(super) task: u32,
+}
+
+impl TaskKey {
+    pub(super) fn new(job: &JobId, task: u32) -> Self {
+        Self {
+            job: job.clone(),
+            task,
+        }
+    }
+
+    fn is(&self, job: &JobId, task: u32) -> bool {
+        self.job == *job && self.task == task
+    }
+}
+
+/// A machine by its place in the indexes.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct SlotRef {
+    pub(super) shard: usize,
+    pub(super) slot: usize,
+}
+
+/// A machine on which room was reserved to see what else fits.
+pub(super) struct TentativeUse {
+    pub(super) machine: MachineId,
+    shard: u16,
+}
+
+impl Placer {
+    /// Adds a live attempt wherever it counts.
+    pub(super) fn add_attempt(&mut self, id: &JobId, task: u32, live: LiveAttempt) {
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        let used = self.team_usage.entry(job.team.clone()).or_default();
+        *used = used.plus(&job.need);
+        self.attempts_by_machine
+            .entry(live.machine.clone())
+            .or_default()
+            .insert(TaskKey::new(id, task));
+        self.unobserved_attempts
+            .entry(live.machine.clone())
+            .or_default()
+            .insert(TaskKey::new(id, task));
+        self.quota_dirty_teams.insert(job.team.clone());
+        // It begins as beyond the guaranteed quota.
+        job.uniform_over_quota = job.uniform_over_quota.filter(|&over| over);
+        job.live.insert(task, live);
+    }
+
+    /// Removes a live attempt wherever it counts.
+    pub(super) fn remove_attempt(&mut self, id: &JobId, task: u32) -> Option<LiveAttempt> {
+        let job = self.jobs.get_mut(id)?;
+        let live = job.live.remove(&task)?;
+        let used = self.team_usage.entry(job.team.clone()).or_default();
+        *used = used.minus(&job.need);
+        self.quota_dirty_teams.insert(job.team.clone());
+        if let Some(here) = self.attempts_by_machine.get_mut(&live.machine) {
+            here.remove(&TaskKey::new(id, task));
+            if here.is_empty() {
+                self.attempts_by_machine.remove(&live.machine);
+            }
+        }
+        self.attempt_observed(&live.machine, live.shard, id, task);
+        Some(live)
+    }
+
+    /// A view has shown an attempt: from now on the machine's own figures count it.
+    fn attempt_observed(&mut self, machine: &MachineId, shard: u16, id: &JobId, task: u32) {
+        if let Some(uncounted) = self
+            .owner_channels
+            .get_mut(usize::from(shard))
+            .and_then(|channel| channel.uncounted.get_mut(machine))
+        {
+            uncounted.retain(|key| !key.is(id, task));
+        }
+        let Some(here) = self.unobserved_attempts.get_mut(machine) else {
+            return;
+        };
+        if here.remove(&TaskKey::new(id, task)) {
+            if here.is_empty() {
+                self.unobserved_attempts.remove(machine);
+            }
+            self.refresh_usage(machine, shard);
+        }
+    }
+
+    /// The figures of a machine now count the attempts that its owner has accepted.
+    pub(super) fn apply_machine_figures(&mut self, machine: &MachineId, shard: u16) {
+        let counted = self.owner_channels[usize::from(shard)]
+            .uncounted
+            .remove(machine)
+            .unwrap_or_default();
+        if let Some(here) = self.unobserved_attempts.get_mut(machine) {
+            here.retain(|attempt| !counted.contains(attempt));
+            if here.is_empty() {
+                self.unobserved_attempts.remove(machine);
+            }
+        }
+        self.refresh_usage(machine, shard);
+    }
+
+    /// Sets a machine's room to what its owner published, less what no view has
+    /// shown yet.
+    pub(super) fn refresh_usage(&mut self, machine: &MachineId, shard: u16) {
+        let Some(index) = self.indexes.get_mut(usize::from(shard)) else {
+            return;
+        };
+        let Some(slot) = index.find(machine) else {
+            return;
+        };
+        index.restore(slot);
+        for key in self.unobserved_attempts.get(machine).into_iter().flatten() {
+            if let Some(job) = self.jobs.get(&key.job) {
+                index.take(slot, &job.need, job.spec().map_or("", |s| s.image.as_str()));
+                if job.is_service() {
+                    index.stays(slot);
+                }
+            }
+        }
+    }
+
+    /// What [`Placer::release_tentative`] needs to undo a use of this machine.
+    pub(super) fn tentative_use(&self, place: SlotRef) -> TentativeUse {
+        TentativeUse {
+            machine: self.indexes[place.shard].slots[place.slot].id.clone(),
+            shard: place.shard as u16,
+        }
+    }
+
+    /// Gives back room that was only reserved to decide by.
+    pub(super) fn release_tentative(&mut self, uses: impl IntoIterator<Item = TentativeUse>) {
+        for TentativeUse { machine, shard } in uses {
+            self.refresh_usage(&machine, shard);
+        }
+    }
+}
--- /dev/null
+++ b/crates/coordination/src/placer/attempt_events.rs
@@ -0,0 +1,274 @@
+//! What follows when an attempt's state changes: it is placed again, it counts for
+//! or against its job and its machine, and the rest of its gang is stopped.
+
+use std::collections::BTreeSet;
+
+use lemonweir_model::constants::WELL_AFTER_MS;
+use lemonweir_model::{AttemptId, JobId, JobKind, JobSpec, MachineId};
+use lemonweir_protocol::peer::{AttemptState, ExitCause};
+use lemonweir_storage::records::GangAdmissionStep;
+use tracing::{debug, info, warn};
+
+use super::accounting::TaskKey;
+use super::{Placer, ReplicaEvent};
+use crate::job::{EndingAttempt, LiveAttempt};
+
+/// ms that a job backs off after a worker refused a start of it, or its gang was
+/// not complete: the next heartbeats show more.
+const START_REFUSED_BACKOFF_MS: u64 = 500;
+/// ms that a refused placement backs off before it is tried again: the refusal
+/// brought the owner's newest state, and the next pass uses it. As long as the
+/// gap between two syncs, so that what others took at the same time shows too;
+/// at six times that most starts among many controllers waited for this alone.
+const REFUSED_BACKOFF_MS: u64 = 40;
+/// ms that it backs off if the owner is reached through the store: its state is
+/// older then, and each try is written.
+const REFUSED_VIA_STORE_BACKOFF_MS: u64 = 250;
+
+impl Placer {
+    /// Applies the state of an attempt as the owner of `shard` observed it.
+    pub(super) fn apply_attempt_state(
+        &mut self,
+        id: &AttemptId,
+        state: AttemptState,
+        shard: u16,
+        now: u64,
+    ) {
+        let Some(job) = self.jobs.get_mut(&id.job) else {
+            return;
+        };
+        let Some(live) = job
+            .live
+            .get_mut(&id.task)
+            .filter(|live| live.attempt == id.attempt && live.shard == shard)
+        else {
+            return;
+        };
+        if live.state == Some(state) {
+            return;
+        }
+        debug!(attempt_id = %id, machine = %live.machine, ?state, "attempt state changed");
+        let is_first_state = live.state.is_none();
+        live.state = Some(state);
+        let machine = live.machine.clone();
+        if state == AttemptState::Running {
+            self.replica_events.push(ReplicaEvent::Running {
+                job: id.job.clone(),
+                task: id.task,
+                placed_here: live.placed_at > 0,
+            });
+            job.has_run = true;
+        }
+        if state.ended() {
+            self.apply_attempt_end(id, state, now);
+            self.update_indexes(&id.job, now);
+            return;
+        }
+        if is_first_state {
+            // Guards against placing twice on the same room: the machine's
+            // own figures may come in a later message than this.
+            self.owner_channels[usize::from(shard)]
+                .uncounted
+                .entry(machine)
+                .or_default()
+                .push(TaskKey::new(&id.job, id.task));
+        }
+        if job.is_service() {
+            self.services.touch(&id.job);
+        }
+        self.changed_jobs.insert(id.job.clone());
+        if job.admission.is_some() {
+            self.gangs_to_evaluate.insert(id.job.clone());
+        }
+    }
+
+    /// Stops the tasks of a machine that leaves, with time for a checkpoint; those of
+    /// a gang all of them.
+    pub(super) fn evict_machine(&mut self, machine: &MachineId, shard: u16, now: u64) {
+        let ids: BTreeSet<JobId> = self
+            .attempts_by_machine
+            .get(machine)
+            .into_iter()
+            .flatten()
+            .map(|key| key.job.clone())
+            .collect();
+        for id in ids {
+            let Some(job) = self.jobs.get_mut(&id).filter(|job| !job.is_stopping()) else {
+                continue;
+            };
+            let Some(grace_s) = job.spec().map(JobSpec::grace_s) else {
+                continue;
+            };
+            let is_gang = job.is_kind(JobKind::Gang);
+            for live in job
+                .live
+                .values_mut()
+                .filter(|live| is_gang || live.shard == shard && &live.machine == machine)
+            {
+                live.stop_grace_s.get_or_insert(grace_s);
+            }
+            self.update_indexes(&id, now);
+        }
+    }
+
+    /// Applies the end of an attempt.
+    fn apply_attempt_end(&mut self, id: &AttemptId, state: AttemptState, now: u64) {
+        let Some(live) = self.remove_attempt(&id.job, id.task) else {
+            return;
+        };
+        let Some(job) = self.jobs.get_mut(&id.job) else {
+            return;
+        };
+        let recorded_by = job.mark_chunk_dirty(id.task);
+        job.ending.push(EndingAttempt {
+            id: id.clone(),
+            machine: live.machine.clone(),
+            shard: live.shard,
+            recorded_by,
+        });
+        job.requeue_task(id.task);
+        let is_service = job.is_service();
+        if is_service {
+            self.replica_events.push(ReplicaEvent::Lost {
+                job: id.job.clone(),
+                task: id.task,
+            });
+        }
+        match state {
+            AttemptState::Exited(ExitCause::Done) if !is_service => {
+                self.apply_completion(id, &live, now);
+                return;
+            }
+            AttemptState::Exited(ExitCause::Error) => self.apply_failure(id, &live, now),
+            AttemptState::Refused => self.back_off_refused(id, live.shard, now),
+            AttemptState::Exited(
+                ExitCause::NoRoom | ExitCause::InUse | ExitCause::Unknown | ExitCause::Alone,
+            ) => job.backoff_until = now + START_REFUSED_BACKOFF_MS,
+            _ => {}
+        }
+        self.stop_rest_of_gang(&id.job, now);
+    }
+
+    /// A task is done. The tasks of a gang complete together.
+    fn apply_completion(&mut self, id: &AttemptId, live: &LiveAttempt, now: u64) {
+        if let Some(job) = self.jobs.get_mut(&id.job) {
+            job.consecutive_failures = 0;
+            if job.is_kind(JobKind::Gang) {
+                for task in 0..job.tasks {
+                    job.complete_task(task);
+                }
+            } else {
+                job.complete_task(id.task);
+            }
+        }
+        let touched = self
+            .fault_attribution
+            .ran(&id.job, &live.machine, live.placed_at);
+        self.apply_suspicions(touched.jobs, now);
+    }
+
+    /// An owner had no room for a start.
+    ///
+    /// Guards against asking an owner again and again whose state comes through the
+    /// store, behind what others have taken.
+    fn back_off_refused(&mut self, id: &AttemptId, shard: u16, now: u64) {
+        let is_via_store = self
+            .owner_channels
+            .get(usize::from(shard))
+            .is_some_and(|channel| channel.via_store);
+        if let Some(job) = self.jobs.get_mut(&id.job) {
+            job.backoff_until = now
+                + if is_via_store {
+                    REFUSED_VIA_STORE_BACKOFF_MS
+                } else {
+                    REFUSED_BACKOFF_MS
+                };
+        }
+    }
+
+    /// Without one task the rest of a gang can't go on: they stop, and the gang starts
+    /// anew once all of them have ended.
+    fn stop_rest_of_gang(&mut self, id: &JobId, now: u64) {
+        let time_of_day_ms = now + self.wall_offset_ms;
+        let Some(job) = self
+            .jobs
+            .get_mut(id)
+            .filter(|job| job.is_kind(JobKind::Gang) && !job.is_stopping())
+        else {
+            return;
+        };
+        job.stop_all();
+        if let Some(admission) = job
+            .admission
+            .as_mut()
+            .filter(|admission| admission.step != GangAdmissionStep::Released)
+        {
+            // Written with the ends of its attempts: nothing depends on it.
+            admission.advance(GangAdmissionStep::Released, time_of_day_ms);
+        }
+    }
+
+    /// An attempt failed, by its job's fault or its machine's.
+    fn apply_failure(&mut self, id: &AttemptId, live: &LiveAttempt, now: u64) {
+        self.credit_long_running(&live.machine, &id.job, now);
+        let touched = self.fault_attribution.failed(&id.job, &live.machine, now);
+        self.apply_suspicions(touched.jobs, now);
+        let Some(job) = self.jobs.get_mut(&id.job) else {
+            return;
+        };
+        let backoff_ms = job.record_failure(live.placed_at, now);
+        warn!(
+            attempt_id = %id,
+            machine = %live.machine,
+            consecutive_failures = job.consecutive_failures,
+            suspect_on_machines = ?job.suspect,
+            backoff_ms,
+            "attempt failed"
+        );
+        job.avoid_machine(&live.machine);
+        if backoff_ms > 0 {
+            job.backoff_until = job.backoff_until.max(now + backoff_ms);
+            job.pending_reason = "its tasks failed; it is tried again after a pause";
+        }
+    }
+
+    /// What other jobs have run on a machine for long speaks for the machine.
+    fn credit_long_running(&mut self, machine: &MachineId, failed: &JobId, now: u64) {
+        let long_running: Vec<(JobId, u64)> = self
+            .attempts_by_machine
+            .get(machine)
+            .into_iter()
+            .flatten()
+            .filter(|key| key.job != *failed)
+            .filter_map(|key| {
+                let live = self.jobs.get(&key.job)?.live.get(&key.task)?;
+                let runs_well = live.state == Some(AttemptState::Running)
+                    && live.placed_at > 0
+                    && now >= live.placed_at + 2 * WELL_AFTER_MS;
+                runs_well.then(|| (key.job.clone(), live.placed_at))
+            })
+            .collect();
+        for (job, placed_at) in long_running {
+            self.fault_attribution.ran(&job, machine, placed_at);
+        }
+    }
+
+    /// Applies what fault attribution now says of jobs.
+    fn apply_suspicions(&mut self, jobs: BTreeSet<JobId>, now: u64) {
+        for id in jobs {
+            let suspect = self.fault_attribution.suspect(&id);
+            let Some(job) = self.jobs.get_mut(&id).filter(|job| job.suspect != suspect) else {
+                continue;
+            };
+            if job.suspect.is_none() {
+                info!(job_id = %id, shard = self.shard, failed_machines = suspect, "job suspected of its failures; limited to one attempt at a time");
+            } else if suspect.is_none() {
+                info!(job_id = %id, shard = self.shard, "job no longer suspected of its failures");
+                job.backoff_until = 0;
+                self.placement_due = true;
+            }
+            job.suspect = suspect;
+            self.update_indexes(&id, now);
+        }
+    }
+}
--- /dev/null
+++ b/crates/coordination/src/placer/desired.rs
@@ -0,0 +1,136 @@
+//! The desired state: every recorded attempt, as its machine's owner should have it.
+
+use std::collections::HashSet;
+
+use lemonweir_model::{AttemptId, JobId, JobSpec, MachineId};
+use lemonweir_protocol::peer::{DesiredAttempt, PreemptionScope};
+
+use super::status::progress_and_reason;
+use super::{Placer, PublishedProgress};
+use crate::job::Job;
+
+/// An attempt in the desired state, with the shard whose owner it is for.
+struct ShardAttempt {
+    shard: u16,
+    desired: DesiredAttempt,
+}
+
+/// What the owners should have of a job: its recorded attempts, and those that ended
+/// as long as that is not written.
+fn desired_attempts(id: &JobId, job: &Job) -> Vec<ShardAttempt> {
+    let image = job.spec().map(|s| s.image.clone()).unwrap_or_default();
+    let image_mb = job.spec().map_or(0, JobSpec::image_mb);
+    let preemption_grace_s = job.spec().map_or(0, JobSpec::way_grace_s);
+    let ending = |id: AttemptId, machine: &MachineId| DesiredAttempt {
+        id,
+        machine: machine.clone(),
+        need: job.need,
+        image: image.clone(),
+        image_mb,
+        go: false,
+        kill: Some(0),
+        team: job.team.clone(),
+        rank: job.priority(),
+        over: true,
+        grace: 0,
+        lasting: false,
+        evict: PreemptionScope::Nobody,
+    };
+    let may_launch = may_launch(job);
+    let live = job
+        .live
+        .iter()
+        .filter(|(task, live)| job.is_recorded(**task, live))
+        .map(|(&task, live)| {
+            let id = AttemptId {
+                job: id.clone(),
+                task,
+                attempt: live.attempt,
+            };
+            ShardAttempt {
+                shard: live.shard,
+                desired: DesiredAttempt {
+                    go: may_launch,
+                    kill: if job.is_stopping() {
+                        Some(0)
+                    } else {
+                        live.stop_grace_s
+                    },
+                    over: live.over_quota,
+                    grace: preemption_grace_s,
+                    lasting: job.is_service(),
+                    evict: live.preemption,
+                    ..ending(id, &live.machine)
+                },
+            }
+        });
+    let ended = job.ending.iter().map(|end| ShardAttempt {
+        shard: end.shard,
+        desired: ending(end.id.clone(), &end.machine),
+    });
+    live.chain(ended).collect()
+}
+
+/// True if a job's attempts may be launched: those of a gang once all of it is
+/// admitted and accepted by the owners.
+fn may_launch(job: &Job) -> bool {
+    let all_accepted = || {
+        job.live.len() as u32 == job.tasks - job.done_count.min(job.tasks)
+            && job.live.values().all(|live| live.state.is_some())
+    };
+    !job.is_gang() || job.is_admitted() && all_accepted()
+}
+
+impl Placer {
+    /// Brings the desired state and the published progress up to date.
+    pub(super) fn publish_changes(&mut self) {
+        for team in std::mem::take(&mut self.quota_dirty_teams) {
+            self.update_quota_marks(&team);
+        }
+        for id in std::mem::take(&mut self.changed_jobs) {
+            self.publish_desired_attempts(&id);
+            self.publish_progress(&id);
+        }
+    }
+
+    fn publish_desired_attempts(&mut self, id: &JobId) {
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        let attempts = desired_attempts(id, job);
+        let kept: HashSet<&AttemptId> = attempts.iter().map(|a| &a.desired.id).collect();
+        for (shard, attempt) in &job.published_attempts {
+            if !kept.contains(attempt) {
+                self.owner_channels[usize::from(*shard)]
+                    .desired
+                    .remove(attempt);
+            }
+        }
+        job.published_attempts = attempts
+            .iter()
+            .map(|a| (a.shard, a.desired.id.clone()))
+            .collect();
+        for ShardAttempt { shard, desired } in attempts {
+            self.owner_channels[usize::from(shard)]
+                .desired
+                .put(&desired.id.clone(), desired);
+        }
+    }
+
+    fn publish_progress(&mut self, id: &JobId) {
+        let Some(job) = self.jobs.get(id) else {
+            return;
+        };
+        if job.ended {
+            self.job_progress.erase(id);
+            return;
+        }
+        let (running, reason) = progress_and_reason(job, &self.partitions);
+        let progress = PublishedProgress {
+            done: job.done_count,
+            running,
+            reason,
+        };
+        self.job_progress.put(id, progress);
+    }
+}
--- /dev/null
+++ b/crates/coordination/src/placer/escalation.rs
@@ -0,0 +1,235 @@
+//! Escalation for services that don't come up within their time, without staff.
+//!
+//! The usual way has already preempted, asked for machines of every type and zone
+//! that is allowed, and left out what fails. Escalation only does what that does not,
+//! and only for a service that has waited for longer than the step should take:
+//!
+//! | late at | tried |
+//! | --- | --- |
+//! | coming up | a replica leaves a machine that has not got it up for one that has its image and room |
+//! | finding room | machines that the service avoided are taken again; what the cloud had none of is noted |
+
+use lemonweir_model::{JobId, JobSpec, MachineId};
+use lemonweir_protocol::peer::AttemptState;
+use tracing::info;
+
+use super::Placer;
+use super::accounting::{SlotRef, TentativeUse};
+use super::placing::FETCH_SPREAD;
+use super::requests::{allowed_zones, replica_request};
+use super::supervision::START_STEP_MS;
+use crate::autoscaler::CapacityShortages;
+use crate::image_locality::trade::{ImageLocality, classes};
+use crate::image_locality::walk::Walk;
+use crate::job::LiveAttempt;
+use crate::supervision::services::{PreemptionStep, RecoveryActivity, RecoveryAttempt};
+
+/// Services that one look escalates for, so that hundreds that are late at once don't
+/// hold up heartbeats: ten looks a second come to all of them soon.
+const MAX_SERVICES_PER_LOOK: usize = 16;
+
+/// A replica that has been on its way up for too long.
+struct StalledReplica {
+    task: u32,
+    machine: MachineId,
+    placed_at: u64,
+}
+
+impl Placer {
+    /// Tries another way for services that are late.
+    pub(crate) fn escalate(&mut self, shortage: &CapacityShortages, now: u64) {
+        for id in self.services.late(now, MAX_SERVICES_PER_LOOK) {
+            let Some(doing) = self.services.get(&id).map(|s| s.seen.doing) else {
+                continue;
+            };
+            let attempts = match doing {
+                RecoveryActivity::Starting => self.relocate_stalled_replicas(&id, now),
+                RecoveryActivity::Resources => self.widen_placement(&id, shortage, now),
+                _ => Vec::new(),
+            };
+            for attempt in &attempts {
+                info!(job_id = %id, shard = self.shard, action = attempt.what, "service recovery escalated");
+            }
+            self.services.looked(&id, attempts, now);
+        }
+    }
+
+    /// Replicas that have been on their way up for longer than their fetch can take
+    /// leave their machines for others that have the image, where such are.
+    ///
+    /// Guards against a replica that is down for as long as a slow or stuck machine
+    /// likes, while another could serve at once. Where none could, what is left of
+    /// the fetch is the shortest way.
+    fn relocate_stalled_replicas(&mut self, id: &JobId, now: u64) -> Vec<RecoveryAttempt> {
+        let Some(record) = self.jobs.get(id).and_then(|job| job.record.clone()) else {
+            return Vec::new();
+        };
+        let spec = &record.spec;
+        let Some(need) = self.jobs.get(id).map(|job| job.need) else {
+            return Vec::new();
+        };
+        let mut attempts = Vec::new();
+        let mut taken: Vec<TentativeUse> = Vec::new();
+        for replica in self.stalled_replicas(id, spec, now) {
+            let Some(place) = self.find_warm_place(id, spec, &replica, now) else {
+                continue;
+            };
+            let target = self.tentative_use(place);
+            self.indexes[place.shard].take(place.slot, &need, &spec.image);
+            let StalledReplica {
+                task,
+                machine,
+                placed_at,
+            } = replica;
+            let after_s = now.saturating_sub(placed_at) / 1_000;
+            attempts.push(RecoveryAttempt {
+                rung: PreemptionStep::Elsewhere,
+                at: now,
+                what: format!(
+                    "replica {task} left {machine}, not up after {after_s} s; {} has its image",
+                    target.machine
+                ),
+            });
+            taken.push(target);
+            if let Some(job) = self.jobs.get_mut(id) {
+                if let Some(live) = job.live.get_mut(&task) {
+                    live.stop_grace_s = Some(0);
+                }
+                job.avoid_machine(&machine);
+            }
+        }
+        // Only counted: it is placed once its old attempt is proven to have ended.
+        self.release_tentative(taken);
+        if !attempts.is_empty() {
+            self.update_indexes(id, now);
+        }
+        attempts
+    }
+
+    fn stalled_replicas(&self, id: &JobId, spec: &JobSpec, now: u64) -> Vec<StalledReplica> {
+        let Some(job) = self.jobs.get(id) else {
+            return Vec::new();
+        };
+        let fetch_ms = self.max_fetch_ms(spec);
+        let is_coming_up = |live: &LiveAttempt| {
+            live.stop_grace_s.is_none()
+                && live.placed_at > 0
+                && matches!(
+                    live.state,
+                    Some(AttemptState::Accepted | AttemptState::Preparing)
+                )
+        };
+        let is_late = |live: &LiveAttempt| {
+            // Fetches beside it take their share of the rate.
+            let fetches = self
+                .indexes
+                .get(usize::from(live.shard))
+                .and_then(|index| {
+                    index
+                        .find(&live.machine)
+                        .map(|slot| index.slots[slot].fetches)
+                })
+                .unwrap_or(0);
+            now >= live.placed_at + fetch_ms * u64::from(fetches.max(1)) + START_STEP_MS
+        };
+        job.live
+            .iter()
+            .filter(|(_, live)| is_coming_up(live) && is_late(live))
+            .map(|(&task, live)| StalledReplica {
+                task,
+                machine: live.machine.clone(),
+                placed_at: live.placed_at,
+            })
+            .collect()
+    }
+
+    /// Another machine for a replica, one that has its image.
+    fn find_warm_place(
+        &self,
+        id: &JobId,
+        spec: &JobSpec,
+        replica: &StalledReplica,
+        now: u64,
+    ) -> Option<SlotRef> {
+        let job = self.jobs.get(id)?;
+        let attempts_per_zone = job.attempts_per_zone(Some(replica.task));
+        let required_zone = job
+            .live
+            .get(&replica.task)
+            .map(|live| live.zone.as_str())
+            .filter(|_| spec.one_zone);
+        let mut avoid = job.avoided_machines.clone();
+        avoid.push(replica.machine.clone());
+        let zones = allowed_zones(
+            spec,
+            required_zone,
+            &attempts_per_zone,
+            job.tasks,
+            &self.indexes,
+        );
+        let request = replica_request(spec, zones, &avoid);
+        let order = self.shard_search_order();
+        let scoring = self.scoring_inputs(id, Some(replica.task), &request, &order, now);
+        let mut warm = classes(&self.trade, &scoring.risk);
+        warm.retain(|class| class.near == ImageLocality::Here);
+        Walk::new(&self.indexes, &order, &request, &scoring.placed_replicas)
+            .find(&warm)
+            .map(|(shard, slot, _)| SlotRef { shard, slot })
+    }
+
+    /// A service that found no room for as long as a machine takes to come.
+    ///
+    /// Guards against a service that waits beside room on machines that it left
+    /// long ago, because it failed there once or was moved away.
+    fn widen_placement(
+        &mut self,
+        id: &JobId,
+        shortage: &CapacityShortages,
+        now: u64,
+    ) -> Vec<RecoveryAttempt> {
+        let Some(service) = self.services.get(id) else {
+            return Vec::new();
+        };
+        let has_tried = |step| service.tries.iter().any(|attempt| attempt.rung == step);
+        let (has_lifted, has_asked) = (
+            has_tried(PreemptionStep::Avoided),
+            has_tried(PreemptionStep::Rented),
+        );
+        let Some(job) = self.jobs.get_mut(id).filter(|job| job.suspect.is_none()) else {
+            return Vec::new();
+        };
+        let mut attempts = Vec::new();
+        if !job.avoided_machines.is_empty() && !has_lifted {
+            let machines = job.avoided_machines.len();
+            job.avoided_machines.clear();
+            self.placement_due = true;
+            attempts.push(RecoveryAttempt {
+                rung: PreemptionStep::Avoided,
+                at: now,
+                what: format!("{machines} machines that it avoided may take it again"),
+            });
+        }
+        if !has_asked {
+            attempts.push(RecoveryAttempt {
+                rung: PreemptionStep::Rented,
+                at: now,
+                what: format!("machines are asked for; {}", shortage_note(shortage, now)),
+            });
+        }
+        attempts
+    }
+
+    /// ms that a fetch of a job's image takes on a slow machine.
+    pub(super) fn max_fetch_ms(&self, spec: &JobSpec) -> u64 {
+        (spec.image_gb * FETCH_SPREAD * 1_000.0 / self.fetch_gb_per_s.max(f64::MIN_POSITIVE)) as u64
+    }
+}
+
+fn shortage_note(shortage: &CapacityShortages, now: u64) -> String {
+    let unavailable = shortage.closed(now);
+    if unavailable.is_empty() {
+        "none has come up in time".to_owned()
+    } else {
+        format!("the cloud has none of {}", unavailable.join(", "))
+    }
+}
--- a/crates/coordination/src/placer/gangs.rs
+++ b/crates/coordination/src/placer/gangs.rs
@@ -1,85 +1,100 @@
-//! What this placer's gangs still need: the next steps in the admission ledger.
+//! Admission of this placer's gangs: the next step of each.
 
-use super::*;
-use crate::gang_admission::{GangVerdict, ReleaseReason, verdict};
+use lemonweir_model::{JobId, MachineId};
 use lemonweir_storage::records::GangAdmissionStep;
+use tracing::info;
+
+use super::Placer;
+use crate::gang_admission::{GangVerdict, ReleaseReason, verdict};
+use crate::job::Job;
 
 impl Placer {
-    /// Takes the next steps of gangs that something happened to, or whose time has
+    /// Takes the next steps of gangs that something happened to, or whose deadline has
     /// come. `wall_offset_ms`: the time of day at the steady clock's zero.
-    pub fn keep_ledger(&mut self, now: u64, wall_offset_ms: u64) {
+    pub fn advance_gang_admissions(&mut self, now: u64, wall_offset_ms: u64) {
         self.wall_offset_ms = wall_offset_ms;
         while let Some((at, id)) = self
-            .gang_times
+            .gang_deadlines
             .first()
             .filter(|(at, _)| now >= *at)
             .cloned()
         {
-            self.gang_times.remove(&(at, id.clone()));
-            self.gangs.insert(id);
+            self.gang_deadlines.remove(&(at, id.clone()));
+            self.gangs_to_evaluate.insert(id);
         }
-        for id in std::mem::take(&mut self.gangs) {
-            self.look_at_gang(&id, now);
+        for id in std::mem::take(&mut self.gangs_to_evaluate) {
+            self.evaluate_gang(&id, now);
         }
     }
 
-    fn look_at_gang(&mut self, id: &JobId, now: u64) {
-        let Some(job) = self.jobs.get_mut(id).filter(|j| j.gang() && !j.stopping()) else {
+    fn evaluate_gang(&mut self, id: &JobId, now: u64) {
+        let Some(job) = self
+            .jobs
+            .get_mut(id)
+            .filter(|job| job.is_gang() && !job.is_stopping())
+        else {
             return;
         };
         if job.live.is_empty() {
             job.admission = None;
             return;
         }
-        let unwritten = job.step_unwritten();
+        let has_unwritten_step = job.has_unwritten_step();
         let Some(admission) = job.admission.as_mut() else {
             return;
         };
-        if !unwritten && admission.since.is_none() {
+        if !has_unwritten_step && admission.since.is_none() {
             admission.since = Some(now);
         }
-        let (admission, members) = (admission.clone(), job.members());
+        let (admission, members) = (admission.clone(), job.gang_members());
         match verdict(&admission, &members, self.gang_wait_ms, now) {
             GangVerdict::Admit => {
-                job.go_on(GangAdmissionStep::Admitted, now + self.wall_offset_ms);
-                self.settle(id, now);
+                job.advance_admission(GangAdmissionStep::Admitted, now + self.wall_offset_ms);
+                self.update_indexes(id, now);
             }
-            GangVerdict::Release(why) => self.release_gang(id, why, now),
-            GangVerdict::Wait(Some(at)) => drop(self.gang_times.insert((at, id.clone()))),
+            GangVerdict::Release(reason) => self.release_gang(id, reason, now),
+            GangVerdict::Wait(Some(at)) => drop(self.gang_deadlines.insert((at, id.clone()))),
             GangVerdict::Wait(None) => {}
         }
     }
 
-    /// Gives back all of a gang, by one decision that is recorded: what was launched
-    /// is stopped, what was granted is free again. Its next attempt begins once the
-    /// end of each member is proven.
-    fn release_gang(&mut self, id: &JobId, why: ReleaseReason, now: u64) {
-        let wall = now + self.wall_offset_ms;
+    /// Releases all of a gang, by one decision that is recorded: what was launched is
+    /// stopped, what was granted is free again. Its next attempt begins once the end of
+    /// each member is proven.
+    fn release_gang(&mut self, id: &JobId, reason: ReleaseReason, now: u64) {
+        let time_of_day_ms = now + self.wall_offset_ms;
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        let late: Vec<MachineId> = job
+        let unresponsive: Vec<MachineId> = job
             .live
             .values()
-            .filter(|l| !matches!(l.standing, Some(s) if !s.ended()))
-            .map(|l| l.machine.clone())
+            .filter(|live| !matches!(live.state, Some(state) if !state.ended()))
+            .map(|live| live.machine.clone())
             .collect();
-        info!(job = %id, shard = self.shard, ?why, live = job.live.len(), late = late.len(), "gang is released");
-        job.go_on(GangAdmissionStep::Released, wall);
+        info!(
+            job_id = %id,
+            shard = self.shard,
+            ?reason,
+            live_attempts = job.live.len(),
+            unresponsive_machines = unresponsive.len(),
+            "gang released"
+        );
+        job.advance_admission(GangAdmissionStep::Released, time_of_day_ms);
         job.stop_all();
         // Guards against asking at once the same owner again that nothing is heard of.
-        job.late = late;
-        self.settle(id, now);
+        job.unresponsive_machines = unresponsive;
+        self.update_indexes(id, now);
     }
 
     /// Gangs that stand at a step which is not written yet go first: their owners
     /// hold room for them that nobody can use.
-    pub(super) fn ledger_first(job: &Job) -> bool {
-        !job.stopping()
-            && job.step_unwritten()
+    pub(super) fn admission_step_first(job: &Job) -> bool {
+        !job.is_stopping()
+            && job.has_unwritten_step()
             && job
                 .admission
                 .as_ref()
-                .is_some_and(|a| a.step != GangAdmissionStep::Planned)
+                .is_some_and(|admission| admission.step != GangAdmissionStep::Planned)
     }
 }
--- a/crates/coordination/src/placer/headroom.rs
+++ b/crates/coordination/src/placer/headroom.rs
@@ -1,114 +1,172 @@
-//! Room kept for work that is expected.
+//! Headroom for work that is expected: empty machines that are kept for it, and
+//! capacity that is asked for like that of waiting work.
 
-use super::*;
+use std::collections::BTreeMap;
+use std::sync::Arc;
+
+use lemonweir_model::constants::{CHUNK_TASKS, SPARE_MOST};
+use lemonweir_model::{JobSpec, Resources};
+use lemonweir_storage::records::JobRecord;
+
+use super::Placer;
+use super::accounting::{SlotRef, TentativeUse};
+use super::quotas::within_quota;
+use crate::autoscaler::CapacityDemand;
+use crate::placement::PlacementRequest;
+
+/// ms over which arrivals are counted to tell what will come: long enough for
+/// a few of them, short enough to follow a day.
+const ARRIVAL_WINDOW_MS: u64 = 120_000;
+/// ms after acquiring a shard in which what comes is no arrival but a backlog.
+pub(super) const BACKLOG_MS: u64 = 10_000;
+/// Machines for each further task that headroom is kept for.
+const MACHINES_PER_HEADROOM_TASK: u32 = 16;
+
+/// Tasks of one size and price that are expected while a machine boots.
+struct ExpectedWork {
+    tasks: f64,
+    /// A job of the kind.
+    example: Arc<JobRecord>,
+}
 
 impl Placer {
-    /// Tasks of a job whose starts are awaited: those that fit its team's
-    /// guarantee, or all of them where the class itself is awaited.
-    pub(super) fn awaited(&self, spec: &JobSpec) -> u64 {
-        if self.start_within.contains_key(&spec.class) {
-            return spec.tasks;
+    /// Counts the work that is expected to come while a machine boots, for classes with
+    /// a start objective: empty machines that it would use are reserved, and what finds
+    /// no room is demanded like waiting work.
+    pub(super) fn plan_headroom(&mut self, now: u64) -> Vec<CapacityDemand> {
+        self.drop_old_arrivals(now);
+        self.reserved_machines.clear();
+        let observed_ms = now
+            .saturating_sub(self.started_at + BACKLOG_MS)
+            .clamp(1, ARRIVAL_WINDOW_MS);
+        if self.headroom_share <= 0.0 || observed_ms < ARRIVAL_WINDOW_MS / 3 {
+            return Vec::new();
         }
-        let guarantee = self.guarantees.get(&spec.team);
-        (1..=spec.tasks.min(u64::from(CHUNK_TASKS)))
-            .take_while(|&n| within(&spec.need().times(n), guarantee))
-            .last()
-            .unwrap_or(0)
+        let max_tasks = self.max_headroom_tasks();
+        let mut demand = Vec::new();
+        let mut taken: Vec<TentativeUse> = Vec::new();
+        // The largest first: what is left of whole machines is of no use to them.
+        for expected in self.expected_work(observed_ms).into_values().rev() {
+            let tasks = (expected.tasks.round() as u32).min(max_tasks);
+            let spec = &expected.example.spec;
+            let placed = self.reserve_headroom(spec, tasks, &mut taken);
+            if tasks > placed {
+                demand.push(headroom_demand(spec, tasks - placed));
+            }
+        }
+        // Only counted, not used.
+        self.release_tentative(taken);
+        demand
     }
 
-    /// Counts the work that is expected to come while a machine boots, for
-    /// classes whose starts are awaited: empty machines that it would take are
-    /// kept, and what finds no room is asked for like waiting work.
-    pub(super) fn add_spare(&mut self, now: u64) -> Vec<CapacityDemand> {
-        let mut lacking = Vec::new();
+    fn drop_old_arrivals(&mut self, now: u64) {
         while self
-            .arrivals
+            .recent_arrivals
             .front()
-            .is_some_and(|(at, _)| now > at + ARRIVALS_MS)
+            .is_some_and(|(at, _)| now > at + ARRIVAL_WINDOW_MS)
         {
-            self.arrivals.pop_front();
-        }
-        self.keep.clear();
-        let seen_ms = now
-            .saturating_sub(self.started + SETTLE_MS)
-            .clamp(1, ARRIVALS_MS);
-        if self.spare <= 0.0 || seen_ms < ARRIVALS_MS / 3 {
-            return lacking;
+            self.recent_arrivals.pop_front();
         }
-        let mut taken: Vec<(MachineId, u16)> = Vec::new();
-        let mut groups: BTreeMap<(Resources, bool), (f64, Arc<JobRecord>)> = BTreeMap::new();
-        for (_, record) in &self.arrivals {
+    }
+
+    /// Tasks of one size that headroom is kept for: as many as a fleet of this size can
+    /// be expected to need at once.
+    fn max_headroom_tasks(&self) -> u32 {
+        SPARE_MOST.max(self.machines().count() as u32 / MACHINES_PER_HEADROOM_TASK)
+    }
+
+    /// What the arrivals of the last `observed_ms` let expect, by the needs of a task
+    /// and whether it may run on spot instances.
+    fn expected_work(&self, observed_ms: u64) -> BTreeMap<(Resources, bool), ExpectedWork> {
+        let mut expected: BTreeMap<(Resources, bool), ExpectedWork> = BTreeMap::new();
+        for (_, record) in &self.recent_arrivals {
             let spec = &record.spec;
-            let restart_ms = self.boot_ms as f64 + spec.image_gb / self.fetch_gb_per_s * 1000.0;
+            let start_ms = self.boot_time_ms as f64 + spec.image_gb / self.fetch_gb_per_s * 1000.0;
             // Room that costs less is kept for more.
             let share = if spec.spot {
-                self.spare * self.spot_discount
+                self.headroom_share * self.spot_discount
             } else {
-                self.spare
+                self.headroom_share
             };
-            let expected = self.awaited(spec) as f64 * restart_ms / seen_ms as f64 * share;
-            groups
+            let tasks =
+                self.tasks_with_objective(spec) as f64 * start_ms / observed_ms as f64 * share;
+            expected
                 .entry((spec.need(), spec.spot))
-                .or_insert_with(|| (0.0, record.clone()))
-                .0 += expected;
+                .or_insert_with(|| ExpectedWork {
+                    tasks: 0.0,
+                    example: record.clone(),
+                })
+                .tasks += tasks;
         }
-        // As many as a fleet of this size can be expected to need at once.
-        let most = SPARE_MOST.max(self.machines().count() as u32 / SPARE_FLEET);
-        // The largest first: what is left of whole machines is of no use to them.
-        for (expected, record) in groups.into_values().rev() {
-            let spec = &record.spec;
-            let need = spec.need();
-            let mut count = 0;
-            for _ in 0..(expected.round() as u32).min(most) {
-                let ask = PlacementRequest {
-                    need,
-                    types: spec.types.as_deref(),
-                    zones: None,
-                    spot: spec.spot,
-                    lasting: false,
-                    image: &spec.image,
-                    image_mb: spec.image_mb(),
-                    avoid: &[],
-                    only: None,
-                    frugal: false,
-                };
-                let found = self.fields.iter().enumerate().find_map(|(p, field)| {
-                    let fit = field
-                        .first_fit(&ask)
-                        .or_else(|| field.evict_fit(&ask, spec.rank, false, false, None));
-                    fit.map(|i| (p, i))
-                });
-                let Some((p, i)) = found else {
-                    count += 1;
-                    continue;
-                };
-                let field = &mut self.fields[p];
-                if field.slots[i].busy == 0 {
-                    self.keep.push(field.slots[i].id.clone());
-                }
-                field.take(i, &need, &spec.image);
-                taken.push((field.slots[i].id.clone(), p as u16));
-            }
-            if count > 0 {
-                let zone = spec.zone.clone();
-                lacking.push(CapacityDemand {
-                    team: spec.team.clone(),
-                    need,
-                    types: spec.types.clone(),
-                    zone,
-                    spot: spec.spot,
-                    count,
-                    one_zone: false,
-                    only_spot: spec.spot,
-                    idle: false,
-                    first: false,
-                });
-            }
+        expected
+    }
+
+    /// Tasks of a job with a start objective: those that fit its team's guaranteed
+    /// quota, or all of them where its class has one.
+    fn tasks_with_objective(&self, spec: &JobSpec) -> u64 {
+        if self.start_objectives_s.contains_key(&spec.class) {
+            return spec.tasks;
         }
-        // Only counted, not taken.
-        for (machine, shard) in taken {
-            self.retake(&machine, shard);
+        let guaranteed = self.guaranteed_quotas.get(&spec.team);
+        (1..=spec.tasks.min(u64::from(CHUNK_TASKS)))
+            .take_while(|&n| within_quota(&spec.need().times(n), guaranteed))
+            .last()
+            .unwrap_or(0)
+    }
+
+    /// Reserves room for tasks of a job's kind, with preemption where there is none
+    /// free; returns how many found some.
+    fn reserve_headroom(
+        &mut self,
+        spec: &JobSpec,
+        tasks: u32,
+        taken: &mut Vec<TentativeUse>,
+    ) -> u32 {
+        let request = PlacementRequest {
+            need: spec.need(),
+            types: spec.types.as_deref(),
+            zones: None,
+            spot: spec.spot,
+            lasting: false,
+            image: &spec.image,
+            image_mb: spec.image_mb(),
+            avoid: &[],
+            only: None,
+            frugal: false,
+        };
+        let mut placed = 0;
+        for _ in 0..tasks {
+            let found = self.indexes.iter().enumerate().find_map(|(shard, index)| {
+                index
+                    .first_fit(&request)
+                    .or_else(|| index.evict_fit(&request, spec.rank, false, false, None))
+                    .map(|slot| SlotRef { shard, slot })
+            });
+            let Some(place) = found else { continue };
+            let index = &mut self.indexes[place.shard];
+            if index.slots[place.slot].busy == 0 {
+                self.reserved_machines
+                    .push(index.slots[place.slot].id.clone());
+            }
+            index.take(place.slot, &request.need, &spec.image);
+            taken.push(self.tentative_use(place));
+            placed += 1;
         }
-        lacking
+        placed
+    }
+}
+
+fn headroom_demand(spec: &JobSpec, count: u32) -> CapacityDemand {
+    CapacityDemand {
+        team: spec.team.clone(),
+        need: spec.need(),
+        types: spec.types.clone(),
+        zone: spec.zone.clone(),
+        spot: spec.spot,
+        count,
+        one_zone: false,
+        only_spot: spec.spot,
+        idle: false,
+        first: false,
     }
 }
--- a/crates/coordination/src/placer/placing.rs
+++ b/crates/coordination/src/placer/placing.rs
@@ -1,592 +1,520 @@
-//! Where the next tasks go.
+//! Placement of a job's next unit: a task, or a whole gang.
 
-use super::*;
-use crate::autoscaler::tasks_in;
+use std::collections::{BTreeSet, HashMap};
+use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// How much of a job is placed in its turn.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Turn {
-    /// Up to half of its replicas; it comes again for the others.
-    Half,
-    /// The first task, or the gang; the others have their turn in the next pass.
-    First,
-    /// Up to half of its tasks; likewise.
-    ToHalf,
-    /// All that fits.
-    All,
-}
+use lemonweir_model::constants::CHUNK_TASKS;
+use lemonweir_model::{JobId, JobKind, JobSpec, MachineId, Priority, Resources};
+use lemonweir_protocol::peer::PreemptionScope;
+use tracing::info;
 
-/// The jobs of a queue in the order of their turns: those of a priority that have
-/// less than half of their replicas come once for that, before all of it; idle ones
-/// for a first unit, then for half of their tasks, then for all.
-fn turns<'a>(queue: impl Iterator<Item = &'a Place>) -> Vec<(JobId, Turn)> {
-    let mut turns = Vec::new();
-    let mut again: Vec<JobId> = Vec::new();
-    let mut of = None;
-    for (rank, urgency, _, id) in queue {
-        if of != Some(rank) || *urgency != Urgency::BelowHalf {
-            turns.extend(again.drain(..).map(|id| (id, Turn::All)));
-            of = Some(rank);
-        }
-        turns.push(match urgency {
-            Urgency::BelowHalf => {
-                again.push(id.clone());
-                (id.clone(), Turn::Half)
-            }
-            Urgency::Unbegun => (id.clone(), Turn::First),
-            Urgency::ToHalf => (id.clone(), Turn::ToHalf),
-            Urgency::Usual => (id.clone(), Turn::All),
-        });
-    }
-    turns.extend(again.into_iter().map(|id| (id, Turn::All)));
-    turns
-}
+use super::Placer;
+use super::accounting::SlotRef;
+use super::placement_pass::PlacementPass;
+use super::quotas::within_quota;
+use super::requests::{all_zones, allowed_zones};
+use crate::gang_admission::GangAdmission;
+use crate::image_locality::trade::{ImageLocality, PlacementClass, classes};
+use crate::image_locality::walk::Walk;
+use crate::job::{Job, LiveAttempt};
+use crate::placement::PlacementRequest;
 
-/// Why a job waits that lacks room, and why a suspect does.
-pub(super) const NO_ROOM: &str = "no machine has room; more are asked for";
-const NO_TRIAL_ROOM: &str =
-    "its tasks failed; no machine that runs others has room for another try";
+/// How much longer than usual a fetch may well take (protocol page: the rate is
+/// given or take a third).
+pub(super) const FETCH_SPREAD: f64 = 1.33;
 
+/// Why a job waits that lacks room.
+pub(super) const REASON_NO_ROOM: &str = "no machine has room; more are asked for";
+/// Why a suspect waits that lacks room.
+const REASON_NO_TRIAL_ROOM: &str =
+    "its tasks failed; no machine that runs others has room for another try";
 /// Why a job waits whose team uses all that it may.
-pub(super) const AT_LIMIT: &str = "its team is at its limit";
+pub(super) const REASON_AT_LIMIT: &str = "its team is at its limit";
+/// Why low-priority work waits that has room.
+pub(super) const REASON_LOW_PRIORITY_TURN: &str =
+    "idle work; its starts wait for their turn to be written to the store";
 
-/// Why idle work waits that has room.
-const IDLE_TURN: &str = "idle work; its starts wait for their turn to be written to the store";
+/// What is placed together, and what its search depends on.
+struct PlacementUnit {
+    tasks: Vec<u32>,
+    /// The job is suspected of its failures: it gets one try, and preempts nobody.
+    is_suspect: bool,
+    /// It is the first start of its chunk, of low-priority work.
+    is_first_low_priority_start: bool,
+    /// Its team stays within its guaranteed quota with it.
+    is_guaranteed: bool,
+    /// A fetch of its image takes longer than its start may.
+    needs_image: bool,
+    /// It only takes room that costs little.
+    is_frugal: bool,
+}
 
-/// What found no room in this pass: for each kind of ask the least needs. Who
-/// asks the same way for as much or more finds none either, since a pass only
-/// takes room: so a queue of thousands costs few walks, however its jobs differ.
-pub(super) struct PlacementPass {
-    failed: HashMap<u64, Vec<Resources>>,
-    /// Chunks of idle work that may get a first start to write.
-    idle_left: usize,
+/// A search for a unit's places.
+struct UnitSearch<'a> {
+    job: &'a JobId,
+    spec: &'a JobSpec,
+    unit: &'a PlacementUnit,
+    need: Resources,
+    job_tasks: u32,
+    is_relocating: bool,
+    avoid: Vec<MachineId>,
+    /// Indexes in the order in which they are searched, each with whether its owner is
+    /// reached through the store.
+    order: Vec<(usize, bool)>,
+    now: u64,
 }
 
-impl PlacementPass {
-    fn covers(&self, shape: u64, need: &Resources) -> bool {
-        self.failed
-            .get(&shape)
-            .is_some_and(|least| least.iter().any(|l| need.covers(l)))
-    }
+/// Where a unit's places are searched.
+#[derive(Clone, Copy)]
+struct SearchArea<'a> {
+    zone: Option<&'a str>,
+    machines: Option<&'a BTreeSet<MachineId>>,
+}
 
-    fn note(&mut self, shape: u64, need: Resources) {
-        let least = self.failed.entry(shape).or_default();
-        least.retain(|l| !l.covers(&need));
-        least.push(need);
-    }
+/// Where a task goes, and who is preempted for it.
+struct FoundPlace {
+    place: SlotRef,
+    preemption: PreemptionScope,
 }
 
-/// The turns of one team in one pass. Guards against a team whose thousands of
-/// jobs cost all others time: of a long queue a pass looks at its head, and goes
-/// on with the rest where the pass before stopped.
-fn turns_of(queue: &BTreeSet<Place>, resume: &mut Option<Place>) -> Vec<(JobId, Turn)> {
-    if queue.len() <= PASS_JOBS {
-        *resume = None;
-        return turns(queue.iter());
-    }
-    let head = PASS_JOBS / 2;
-    let mut all = turns(queue.iter().take(head));
-    let last = queue.iter().nth(head - 1);
-    let from = resume
-        .take()
-        .filter(|r| last.is_none_or(|l| r > l))
-        .or(last.cloned());
-    let Some(from) = from else { return all };
-    let rest: Vec<&Place> = queue
-        .range((Bound::Excluded(from), Bound::Unbounded))
-        .take(PASS_JOBS - head)
-        .collect();
-    if rest.len() == PASS_JOBS - head {
-        *resume = rest.last().map(|p| (*p).clone());
-    }
-    all.extend(turns(rest.into_iter()));
-    all
+/// A task's place, with its room reserved.
+struct ReservedPlace {
+    task: u32,
+    place: SlotRef,
+    preemption: PreemptionScope,
+    /// The machine has the image.
+    is_warm: bool,
 }
 
 impl Placer {
-    /// True if a placing pass may find something to do.
-    pub fn wants_pass(&self, now: u64) -> bool {
-        // What waits may be worth more by now, or the cloud may have room again,
-        // though nothing happened here.
-        let again = !self.queues.is_empty() && now >= self.passed_at + PASS_AGAIN_MS;
-        self.place_again || again || self.asleep.first().is_some_and(|(at, _)| now >= *at)
-    }
-
-    /// Walks the team queues in turn and places what fits; what does not is
-    /// left in `lacking`.
-    pub fn place(&mut self, now: u64) {
-        self.place_again = false;
-        self.passed_at = now;
-        self.passes += 1;
-        while let Some((at, id)) = self.asleep.first().filter(|(at, _)| now >= *at).cloned() {
-            self.asleep.remove(&(at, id.clone()));
-            if let Some(job) = self.jobs.get_mut(&id).filter(|j| now >= j.not_before) {
-                job.not_before = 0;
-                self.settle(&id, now);
-            }
-        }
-        let mut queues: Vec<std::vec::IntoIter<(JobId, Turn)>> = {
-            let resume = &mut self.resume;
-            resume.retain(|team, _| self.queues.contains_key(team));
-            self.queues
-                .iter()
-                .map(|(team, q)| turns_of(q, resume.entry(team.clone()).or_default()).into_iter())
-                .collect()
-        };
-        let mut lacking = Vec::new();
-        let mut asked: HashMap<String, Resources> = HashMap::new();
-        let mut pass = PlacementPass {
-            failed: HashMap::new(),
-            idle_left: self.idle_room(),
-        };
-        let mut current: Vec<Option<(JobId, Turn)>> =
-            queues.iter_mut().map(Iterator::next).collect();
-        let n = queues.len();
-        let mut at = if n > 0 { self.turn % n } else { 0 };
-        self.turn = self.turn.wrapping_add(1);
-        // Of this pass, and of the job whose turn it is in each queue.
-        let (mut starts, mut of_job) = (0, vec![0; n]);
-        while current.iter().any(Option::is_some) {
-            // Guards against a pass that places an array of 100,000 tasks while
-            // reports and others' jobs wait.
-            if starts >= PASS_STARTS {
-                self.place_again = true;
-                break;
-            }
-            if let Some((id, turn)) = current[at].clone() {
-                let placed = self.place_next(&id, &mut pass, now);
-                starts += usize::from(placed);
-                of_job[at] += usize::from(placed);
-                if !placed && self.services.has(&id) {
-                    self.services.touch(&id);
-                }
-                if !placed && turn != Turn::Half {
-                    self.note_lack(&id, &mut asked, &mut lacking, now);
-                }
-                let enough = match turn {
-                    Turn::Half | Turn::ToHalf => self
-                        .jobs
-                        .get(&id)
-                        .is_none_or(|j| j.urgency() == Urgency::Usual),
-                    Turn::First => true,
-                    Turn::All => of_job[at] >= PASS_JOB_STARTS,
-                };
-                // What is left of it comes in the next pass.
-                self.place_again |= placed && enough && turn != Turn::Half;
-                if !placed || enough {
-                    current[at] = queues[at].next();
-                    of_job[at] = 0;
-                }
-            }
-            at = (at + 1) % n.max(1);
-        }
-        // Guards against money spent on idle work while other work waits.
-        if lacking.iter().any(|d| !d.idle) {
-            self.lacked_at = now;
-            lacking.retain(|d| !d.idle || d.first);
-        }
-        // What boots is counted for others before it is for these.
-        lacking.sort_by_key(|d| d.first);
-        if now >= self.spare_at + SPARE_EVERY_MS {
-            self.spare_at = now;
-            self.spare_lacking = self.add_spare(now);
-        }
-        lacking.extend(self.spare_lacking.iter().cloned());
-        self.lacking = lacking;
-    }
-
-    /// True if a job of idle work has begun nothing and can't wait any longer for room
-    /// that costs little: a machine that is asked for now takes a boot and a fetch.
-    fn must_begin(&self, job: &Job, now: u64) -> bool {
-        if job.rank() != Priority::Low || job.begun() {
+    /// Places the next unit of a job; false if it waits, with the reason noted.
+    pub(super) fn place_next(&mut self, id: &JobId, pass: &mut PlacementPass, now: u64) -> bool {
+        let Some(record) = self.jobs.get(id).and_then(|job| job.record.clone()) else {
             return false;
-        }
-        let fetch_ms = job.spec().map_or(0, |spec| self.fetch_ms(spec));
-        let patience =
-            IDLE_BEGIN_MS.saturating_sub(self.boot_ms * 3 / 2 + fetch_ms + IDLE_BEGIN_SLACK_MS);
-        job.waited(now, now + self.wall_offset_ms) >= patience.max(IDLE_BEGIN_LEAST_MS)
-    }
-
-    /// Tasks of one job that are counted as demand at most.
-    fn demand_most(&self, need: &Resources) -> u64 {
-        let a_machine = self
-            .rooms
-            .iter()
-            .map(|room| tasks_in(room, need))
-            .filter(|n| *n < MAX_TASKS)
-            .max()
-            .unwrap_or(0);
-        DEMAND_MOST.max(DEMAND_MACHINES * a_machine)
-    }
-
-    /// Notes what a job lacks, within what its team may still take.
-    pub(super) fn note_lack(
-        &self,
-        id: &JobId,
-        asked: &mut HashMap<String, Resources>,
-        lacking: &mut Vec<CapacityDemand>,
-        now: u64,
-    ) {
-        // A suspect rents nothing: what it would run on would only see it fail. Nor
-        // does what only waits for its turn.
-        let Some(job) = self
-            .jobs
-            .get(id)
-            .filter(|j| j.suspect.is_none() && j.reason != IDLE_TURN)
-        else {
-            return;
-        };
-        let Some(spec) = job.spec() else { return };
-        let limit = self.limits.get(&job.team).copied().unwrap_or(NO_LIMIT);
-        let idle = spec.rank == Priority::Low;
-        let starved = idle && job.starved(now);
-        let first = self.must_begin(job, now);
-        if idle && !spec.spot && !starved && !first {
-            return;
-        }
-        let already = asked.get(&job.team).copied().unwrap_or_default();
-        let used = self
-            .usage
-            .get(&job.team)
-            .copied()
-            .unwrap_or_default()
-            .plus(&already);
-        let gang = spec.shape == JobKind::Gang;
-        let waiting = match u64::from(job.waiting()) {
-            _ if first && !gang => 1,
-            waiting if starved => waiting.min(job.to_half()).min(DEMAND_MOST),
-            waiting if idle => waiting.min(DEMAND_MOST),
-            waiting => waiting.min(self.demand_most(&job.need)),
-        };
-        let left = limit.minus(&used);
-        let ratio = |have: u64, need: u64| have.checked_div(need).unwrap_or(u64::MAX);
-        let most = ratio(left.cpus, job.need.cpus).min(ratio(left.gpus, job.need.gpus));
-        // A gang needs all of its room. A service that its team's limit keeps from
-        // being whole begins all the same.
-        let count = if !gang || waiting <= most {
-            waiting.min(most)
-        } else {
-            0
-        };
-        if count == 0 {
-            return;
-        }
-        asked.insert(job.team.clone(), already.plus(&job.need.times(count)));
-        let demand = CapacityDemand {
-            team: job.team.clone(),
-            need: job.need,
-            types: spec.types.clone(),
-            zone: spec.zone.clone(),
-            spot: spec.spot,
-            count: count as u32,
-            one_zone: spec.one_zone,
-            only_spot: idle && !starved && !first,
-            idle,
-            first,
         };
-        if !spec.spread || job.tasks == 1 || spec.zone.is_some() {
-            lacking.push(demand);
-            return;
-        }
-        // A scattered job lacks room zone by zone: machines that boot in one
-        // zone are of no use to the tasks that must be in another.
-        let most = job.tasks.div_ceil(2);
-        let mut left: BTreeMap<&String, u32> = self
-            .zones
-            .iter()
-            .map(|z| {
-                (
-                    z,
-                    most.saturating_sub(job.live.values().filter(|l| &l.zone == z).count() as u32),
-                )
-            })
-            .collect();
-        let mut shares: BTreeMap<&String, u32> = BTreeMap::new();
-        for _ in 0..count {
-            let Some((zone, room)) = left
-                .iter_mut()
-                .max_by_key(|(_, room)| **room)
-                .filter(|(_, room)| **room > 0)
-            else {
-                break;
-            };
-            *room -= 1;
-            *shares.entry(zone).or_default() += 1;
-        }
-        lacking.extend(shares.into_iter().map(|(zone, count)| CapacityDemand {
-            zone: Some(zone.clone()),
-            count,
-            ..demand.clone()
-        }));
-    }
-
-    /// Places the next unit of a job: a task, or a whole gang.
-    pub(super) fn place_next(&mut self, id: &JobId, pass: &mut PlacementPass, now: u64) -> bool {
-        let must_begin = self
-            .jobs
-            .get(id)
-            .is_some_and(|job| self.must_begin(job, now));
-        let Some(job) = self.jobs.get_mut(id) else {
+        let spec = &record.spec;
+        let Some(unit) = self.next_unit(id, spec, pass, now) else {
             return false;
         };
-        let Some(record) = job.record.clone() else {
+        let Some(job) = self.jobs.get_mut(id) else {
             return false;
         };
-        let spec = &record.spec;
-        let suspect = job.suspect.is_some();
-        if suspect && !job.live.is_empty() {
+        // Jobs that ask the same, or less, found no room a moment ago.
+        let signature = request_signature(job, spec, &unit);
+        if pass.is_known_to_fail(signature, &job.need) {
+            job.pending_reason = unit.no_room_reason();
             return false;
         }
-        let Some(first) = job.next_waiting() else {
+        let Some(places) = self.reserve_places(id, spec, &unit, now) else {
+            self.note_no_room(id, &unit, signature, pass);
             return false;
         };
-        // Guards against idle work that takes up room long before it is its turn to
-        // be written, and against a pass that places 100,000 tasks.
-        let first_start = spec.rank == Priority::Low
+        self.start_unit(id, spec, &unit, places, now);
+        pass.low_priority_chunks_left -= usize::from(unit.is_first_low_priority_start);
+        self.update_indexes(id, now);
+        true
+    }
+
+    /// What of a job may be placed next; notes why if nothing may.
+    fn next_unit(
+        &mut self,
+        id: &JobId,
+        spec: &JobSpec,
+        pass: &PlacementPass,
+        now: u64,
+    ) -> Option<PlacementUnit> {
+        let job = self.jobs.get_mut(id)?;
+        let is_suspect = job.suspect.is_some();
+        if is_suspect && !job.live.is_empty() {
+            return None;
+        }
+        let first = job.next_waiting_task()?;
+        // Guards against low-priority work that takes up room long before it is its
+        // turn to be written, and against a pass that places 100,000 tasks.
+        let is_first_low_priority_start = spec.rank == Priority::Low
             && job
                 .chunks
                 .get(&(first / CHUNK_TASKS))
-                .is_none_or(|c| !c.start_unwritten());
-        if first_start && pass.idle_left == 0 {
-            job.reason = IDLE_TURN;
-            return false;
+                .is_none_or(|chunk| !chunk.has_unwritten_start());
+        if is_first_low_priority_start && pass.low_priority_chunks_left == 0 {
+            job.pending_reason = REASON_LOW_PRIORITY_TURN;
+            return None;
         }
         let tasks: Vec<u32> = if spec.shape == JobKind::Gang {
-            (first..job.tasks).filter(|t| !job.is_done(*t)).collect()
+            (first..job.tasks)
+                .filter(|task| !job.is_task_done(*task))
+                .collect()
         } else {
             vec![first]
         };
-        let limit = self.limits.get(&job.team).copied().unwrap_or(NO_LIMIT);
-        let used = self.usage.get(&job.team).copied().unwrap_or_default();
-        let after = used.plus(&job.need.times(tasks.len() as u64));
-        if !limit.covers(&Resources { memory: 0, ..after }) {
-            job.reason = AT_LIMIT;
-            return false;
-        }
-        let guaranteed = within(&after, self.guarantees.get(&job.team));
-        let evict = if guaranteed {
-            PreemptionScope::LowerAndOver
-        } else {
-            PreemptionScope::Lower
+        let needed = job.need.times(tasks.len() as u64);
+        let job = self.jobs.get(id)?;
+        let used_after = self.usage_of(&job.team).plus(&needed);
+        let counted = Resources {
+            memory: 0,
+            ..used_after
         };
-        let soon = self
-            .start_within
+        if !self.quota_limit(&job.team).covers(&counted) {
+            self.jobs.get_mut(id)?.pending_reason = REASON_AT_LIMIT;
+            return None;
+        }
+        let is_guaranteed = within_quota(&used_after, self.guaranteed_quotas.get(&job.team));
+        let is_frugal =
+            spec.rank == Priority::Low && !job.is_starved(now) && !self.must_begin_now(job, now);
+        Some(PlacementUnit {
+            tasks,
+            is_suspect,
+            is_first_low_priority_start,
+            is_guaranteed,
+            needs_image: self.fetch_is_too_slow(job, spec, is_guaranteed),
+            is_frugal,
+        })
+    }
+
+    /// True if a fetch of a job's image takes longer than its start should.
+    fn fetch_is_too_slow(&self, job: &Job, spec: &JobSpec, is_guaranteed: bool) -> bool {
+        let by_class_s = self
+            .start_objectives_s
             .get(&spec.class)
             .copied()
             .unwrap_or(f64::MAX);
-        let soon = if guaranteed {
-            soon.min(self.guarantee_within)
+        let objective_s = if is_guaranteed {
+            by_class_s.min(self.guaranteed_start_objective_s)
         } else {
-            soon
+            by_class_s
         };
         // A replica that was up is down while it fetches.
-        let too_slow = spec.image_gb * FETCH_SPREAD > soon * self.fetch_gb_per_s
-            || spec.shape == JobKind::Service && job.ran;
-        // Jobs that ask the same, or less, found no room a moment ago.
-        let frugal = spec.rank == Priority::Low && !job.starved(now) && !must_begin;
-        let shape = {
-            let mut hasher = DefaultHasher::new();
-            (
-                &spec.types,
-                &spec.zone,
-                spec.spot,
-                spec.spread && job.tasks > 1,
-                tasks.len(),
-                suspect,
-                frugal,
-            )
-                .hash(&mut hasher);
-            (
-                &job.avoid,
-                &job.late,
-                spec.rank as u8,
-                guaranteed,
-                spec.one_zone && tasks.len() > 1,
-            )
-                .hash(&mut hasher);
-            hasher.finish()
-        };
-        if pass.covers(shape, &job.need) {
-            job.reason = if suspect { NO_TRIAL_ROOM } else { NO_ROOM };
-            return false;
-        }
-        let mut zone_sets: Vec<Option<String>> = vec![None];
-        if spec.one_zone && tasks.len() + job.live.len() > 1 {
-            let present: BTreeSet<String> = job.live.values().map(|l| l.zone.clone()).collect();
-            let all: BTreeSet<String> = self
-                .fields
-                .iter()
-                .flat_map(PlacementIndex::zones)
-                .map(str::to_owned)
-                .collect();
-            zone_sets = if present.is_empty() {
-                all.into_iter().map(Some).collect()
-            } else {
-                present.into_iter().map(Some).collect()
-            };
-        }
-        let (job_tasks, ran, trading) = (job.tasks, job.ran, job.trading);
-        // It is the suspect's own fault that it failed everywhere: in a small fleet
-        // no other machine may be left.
-        let (need, avoid) = (
-            job.need,
-            if suspect {
+        spec.image_gb * FETCH_SPREAD > objective_s * self.fetch_gb_per_s
+            || spec.shape == JobKind::Service && job.has_run
+    }
+
+    /// Reserves room for all of a unit's tasks, in the first area that has it.
+    fn reserve_places(
+        &mut self,
+        id: &JobId,
+        spec: &JobSpec,
+        unit: &PlacementUnit,
+        now: u64,
+    ) -> Option<Vec<ReservedPlace>> {
+        let job = self.jobs.get(id)?;
+        let zones = self.zone_choices(job, spec, unit.tasks.len());
+        let search = UnitSearch {
+            job: id,
+            spec,
+            unit,
+            need: job.need,
+            job_tasks: job.tasks,
+            is_relocating: job.relocating,
+            // It is the suspect's own fault that it failed everywhere: in a small fleet
+            // no other machine may be left.
+            avoid: if unit.is_suspect {
                 Vec::new()
             } else {
-                [job.avoid.as_slice(), &job.late].concat()
+                [job.avoided_machines.as_slice(), &job.unresponsive_machines].concat()
             },
-        );
-        let counts = if spec.spread {
-            job.per_zone(None)
+            order: self.shard_search_order(),
+            now,
+        };
+        let attempts_per_zone = if spec.spread {
+            job.attempts_per_zone(None)
         } else {
             HashMap::new()
         };
-        let order = self.shards_order();
         // Where something else ran well of late, a suspect's failure tells most.
-        let trusted = suspect.then(|| self.faults.trusted(now));
-        let among = if suspect {
+        let trusted = unit.is_suspect.then(|| self.fault_attribution.trusted(now));
+        let machine_sets = if unit.is_suspect {
             vec![trusted.as_ref(), None]
         } else {
             vec![None]
         };
-        for (only, zone) in among
-            .iter()
-            .flat_map(|only| zone_sets.iter().map(move |zone| (*only, zone)))
-        {
-            let mut chosen: Vec<(u32, usize, usize, PreemptionScope, bool)> = Vec::new();
-            let mut per_zone = counts.clone();
-            for &task in &tasks {
-                let zones =
-                    allowed_zones(spec, zone.as_deref(), &per_zone, job_tasks, &self.fields);
-                let ask = PlacementRequest {
-                    need,
-                    types: spec.types.as_deref(),
-                    zones,
-                    spot: spec.spot,
-                    lasting: spec.shape == JobKind::Service,
-                    image: &spec.image,
-                    image_mb: spec.image_mb(),
-                    avoid: &avoid,
-                    only,
-                    frugal,
-                };
-                // Fairness has no work while room exists; without room, lower
-                // priorities make way, and what others run beyond their
-                // guarantee does for a team within its own. Room without the
-                // image counts as none if the fetch alone takes too long.
-                let mut weighed = self.weigh(id, None, &ask, &order, now);
-                weighed.stakes.here_first = too_slow && !trading;
-                let classes = classes(&self.trade, &weighed.stakes);
-                let (fields, kindred) = (&self.fields, &weighed.kindred);
-                let pushed = |with_image| {
-                    let fit = |p: usize| {
-                        fields[p].evict_fit(&ask, spec.rank, guaranteed, with_image, kindred.get(p))
-                    };
-                    order
-                        .iter()
-                        .find_map(|&(p, _)| fit(p).map(|i| (p, i, evict)))
-                };
-                let warm = if too_slow {
-                    classes
-                        .iter()
-                        .take_while(|c| c.near == ImageLocality::Here)
-                        .count()
-                } else {
-                    classes.len()
-                };
-                let mut walk = Walk::new(fields, &order, &ask, kindred);
-                let mut room = |classes: &[PlacementClass]| {
-                    walk.find(classes)
-                        .map(|(p, i, _)| (p, i, PreemptionScope::Nobody))
-                };
-                let found = room(&classes[..warm])
-                    .or_else(|| {
-                        if too_slow && !suspect {
-                            pushed(true)
-                        } else {
-                            None
-                        }
-                    })
-                    .or_else(|| room(&classes[warm..]))
-                    .or_else(|| if suspect { None } else { pushed(false) });
-                let Some((p, i, evict)) = found else { break };
-                let field = &mut self.fields[p];
-                let warm = field.has_image(i, &spec.image);
-                field.take(i, &need, &spec.image);
-                if spec.shape == JobKind::Service {
-                    field.stays(i);
-                }
-                if spec.spread {
-                    *per_zone.entry(field.slots[i].zone.clone()).or_default() += 1;
-                }
-                chosen.push((task, p, i, evict, warm));
+        machine_sets
+            .into_iter()
+            .flat_map(|machines| {
+                zones.iter().map(move |zone| SearchArea {
+                    zone: zone.as_deref(),
+                    machines,
+                })
+            })
+            .find_map(|area| self.reserve_in(&search, area, attempts_per_zone.clone()))
+    }
+
+    /// The zones that a unit is tried in, one after the other; `None`: any.
+    fn zone_choices(&self, job: &Job, spec: &JobSpec, tasks: usize) -> Vec<Option<String>> {
+        if !spec.one_zone || tasks + job.live.len() <= 1 {
+            return vec![None];
+        }
+        let present: BTreeSet<&str> = job.live.values().map(|live| live.zone.as_str()).collect();
+        let zones = if present.is_empty() {
+            all_zones(&self.indexes)
+        } else {
+            present
+        };
+        zones
+            .into_iter()
+            .map(|zone| Some(zone.to_owned()))
+            .collect()
+    }
+
+    /// Reserves room for all of a unit's tasks in one area, or for none.
+    fn reserve_in(
+        &mut self,
+        search: &UnitSearch<'_>,
+        area: SearchArea<'_>,
+        mut attempts_per_zone: HashMap<String, u32>,
+    ) -> Option<Vec<ReservedPlace>> {
+        let spec = search.spec;
+        let mut reserved: Vec<ReservedPlace> = Vec::new();
+        for &task in &search.unit.tasks {
+            let Some(found) = self.find_place(search, area, &attempts_per_zone) else {
+                break;
+            };
+            let place = found.place;
+            let index = &mut self.indexes[place.shard];
+            let is_warm = index.has_image(place.slot, &spec.image);
+            index.take(place.slot, &search.need, &spec.image);
+            if spec.shape == JobKind::Service {
+                index.stays(place.slot);
             }
-            if chosen.len() < tasks.len() {
-                for (_, p, i, _, _) in chosen {
-                    let machine = self.fields[p].slots[i].id.clone();
-                    self.retake(&machine, p as u16);
-                }
-                continue;
+            if spec.spread {
+                *attempts_per_zone
+                    .entry(index.slots[place.slot].zone.clone())
+                    .or_default() += 1;
             }
-            let Some(job) = self.jobs.get_mut(id) else {
-                return false;
-            };
-            let attempt = job.next;
-            job.next += 1;
-            job.late.clear();
-            job.trading = false;
-            job.admission = job
-                .gang()
-                .then(|| GangAdmission::planned(attempt, now + self.wall_offset_ms));
-            for (task, p, i, evict, warm) in chosen {
-                let slot = &self.fields[p].slots[i];
-                if p != usize::from(self.shard) {
-                    self.others_turn = p as u16;
+            reserved.push(ReservedPlace {
+                task,
+                place,
+                preemption: found.preemption,
+                is_warm,
+            });
+        }
+        if reserved.len() == search.unit.tasks.len() {
+            return Some(reserved);
+        }
+        let uses: Vec<_> = reserved
+            .iter()
+            .map(|reserved| self.tentative_use(reserved.place))
+            .collect();
+        self.release_tentative(uses);
+        None
+    }
+
+    /// The place of a unit's next task.
+    ///
+    /// Fairness has no work while room exists; without room, lower priorities are
+    /// preempted, and what others run beyond their guaranteed quota is for a team
+    /// within its own. Room without the image counts as none if the fetch alone takes
+    /// too long.
+    fn find_place(
+        &self,
+        search: &UnitSearch<'_>,
+        area: SearchArea<'_>,
+        attempts_per_zone: &HashMap<String, u32>,
+    ) -> Option<FoundPlace> {
+        let (spec, unit) = (search.spec, search.unit);
+        let request = PlacementRequest {
+            need: search.need,
+            types: spec.types.as_deref(),
+            zones: allowed_zones(
+                spec,
+                area.zone,
+                attempts_per_zone,
+                search.job_tasks,
+                &self.indexes,
+            ),
+            spot: spec.spot,
+            lasting: spec.shape == JobKind::Service,
+            image: &spec.image,
+            image_mb: spec.image_mb(),
+            avoid: &search.avoid,
+            only: area.machines,
+            frugal: unit.is_frugal,
+        };
+        let mut scoring =
+            self.scoring_inputs(search.job, None, &request, &search.order, search.now);
+        scoring.risk.here_first = unit.needs_image && !search.is_relocating;
+        let classes = classes(&self.trade, &scoring.risk);
+        let (warm, cold) = if unit.needs_image {
+            let warm = classes
+                .iter()
+                .take_while(|class| class.near == ImageLocality::Here)
+                .count();
+            classes.split_at(warm)
+        } else {
+            classes.split_at(classes.len())
+        };
+        let replicas = &scoring.placed_replicas;
+        let mut walk = Walk::new(&self.indexes, &search.order, &request, replicas);
+        let mut free = |classes: &[PlacementClass]| {
+            walk.find(classes).map(|(shard, slot, _)| FoundPlace {
+                place: SlotRef { shard, slot },
+                preemption: PreemptionScope::Nobody,
+            })
+        };
+        let preempting = |with_image| {
+            search.order.iter().find_map(|&(shard, _)| {
+                self.indexes[shard]
+                    .evict_fit(
+                        &request,
+                        spec.rank,
+                        unit.is_guaranteed,
+                        with_image,
+                        replicas.get(shard),
+                    )
+                    .map(|slot| FoundPlace {
+                        place: SlotRef { shard, slot },
+                        preemption: unit.preemption_scope(),
+                    })
+            })
+        };
+        free(warm)
+            .or_else(|| {
+                if unit.needs_image && !unit.is_suspect {
+                    preempting(true)
+                } else {
+                    None
                 }
-                let Some(job) = self.jobs.get_mut(id) else {
-                    return false;
-                };
-                let change = job.touch(task);
-                if let Some(chunk) = job.chunks.get_mut(&(task / CHUNK_TASKS)) {
-                    chunk.start = change;
-                    if job.admission.is_some() {
-                        chunk.step = change;
-                    }
+            })
+            .or_else(|| free(cold))
+            .or_else(|| {
+                if unit.is_suspect {
+                    None
+                } else {
+                    preempting(false)
                 }
-                info!(job = %id, task, attempt, machine = %slot.id, shard = p, warm, ?evict, "placed");
-                let live = LiveAttempt {
-                    attempt,
-                    machine: slot.id.clone(),
-                    shard: p as u16,
-                    zone: slot.zone.clone(),
-                    change,
-                    standing: None,
-                    kill: None,
-                    evict,
-                    since: now,
-                    over: true,
-                };
-                self.enter(id, task, live);
-            }
-            pass.idle_left -= usize::from(first_start);
-            // A replica that was only moved is no sign of new work, nor is a try
-            // of a suspect, nor idle work.
-            if !(spec.shape == JobKind::Service && ran || suspect || spec.rank == Priority::Low) {
-                self.placed_at = now;
-            }
-            self.settle(id, now);
-            return true;
+            })
+    }
+
+    /// Notes a unit's attempts, each on its reserved place.
+    fn start_unit(
+        &mut self,
+        id: &JobId,
+        spec: &JobSpec,
+        unit: &PlacementUnit,
+        places: Vec<ReservedPlace>,
+        now: u64,
+    ) {
+        let planned_at = now + self.wall_offset_ms;
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        let (attempt, has_run) = (job.next_attempt, job.has_run);
+        job.next_attempt += 1;
+        job.unresponsive_machines.clear();
+        job.relocating = false;
+        job.admission = job
+            .is_gang()
+            .then(|| GangAdmission::planned(attempt, planned_at));
+        for reserved in places {
+            self.start_task(id, attempt, &reserved, now);
+        }
+        // A replica that was only moved is no sign of new work, nor is a try
+        // of a suspect, nor low-priority work.
+        let is_relocated = spec.shape == JobKind::Service && has_run;
+        if !(is_relocated || unit.is_suspect || spec.rank == Priority::Low) {
+            self.last_placement_at = now;
+        }
+    }
+
+    fn start_task(&mut self, id: &JobId, attempt: u32, reserved: &ReservedPlace, now: u64) {
+        let ReservedPlace {
+            task,
+            place,
+            preemption,
+            is_warm,
+        } = *reserved;
+        if place.shard != usize::from(self.shard) {
+            self.next_remote_shard = place.shard as u16;
         }
         let Some(job) = self.jobs.get_mut(id) else {
-            return false;
+            return;
         };
-        job.reason = if suspect { NO_TRIAL_ROOM } else { NO_ROOM };
-        if !job.late.is_empty() {
-            job.late.clear();
-            self.place_again = true;
-            return false;
+        let recorded_by = job.mark_start_unwritten(task);
+        let slot = &self.indexes[place.shard].slots[place.slot];
+        info!(
+            job_id = %id,
+            task,
+            attempt,
+            machine = %slot.id,
+            shard = place.shard,
+            has_image = is_warm,
+            ?preemption,
+            "task placed"
+        );
+        let live = LiveAttempt {
+            attempt,
+            machine: slot.id.clone(),
+            shard: place.shard as u16,
+            zone: slot.zone.clone(),
+            recorded_by,
+            state: None,
+            stop_grace_s: None,
+            preemption,
+            placed_at: now,
+            over_quota: true,
+        };
+        self.add_attempt(id, task, live);
+    }
+
+    /// Notes that a unit found no room. A gang that did without machines that did not
+    /// answer is tried with them in the next pass.
+    fn note_no_room(
+        &mut self,
+        id: &JobId,
+        unit: &PlacementUnit,
+        signature: u64,
+        pass: &mut PlacementPass,
+    ) {
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        job.pending_reason = unit.no_room_reason();
+        if job.unresponsive_machines.is_empty() {
+            pass.record_failure(signature, job.need);
+        } else {
+            job.unresponsive_machines.clear();
+            self.placement_due = true;
+        }
+    }
+}
+
+impl PlacementUnit {
+    fn no_room_reason(&self) -> &'static str {
+        if self.is_suspect {
+            REASON_NO_TRIAL_ROOM
+        } else {
+            REASON_NO_ROOM
         }
-        pass.note(shape, job.need);
-        false
     }
+
+    fn preemption_scope(&self) -> PreemptionScope {
+        if self.is_guaranteed {
+            PreemptionScope::LowerAndOver
+        } else {
+            PreemptionScope::Lower
+        }
+    }
+}
+
+/// Two units with the same signature ask the same way, for other needs perhaps.
+fn request_signature(job: &Job, spec: &JobSpec, unit: &PlacementUnit) -> u64 {
+    let mut hasher = DefaultHasher::new();
+    (
+        &spec.types,
+        &spec.zone,
+        spec.spot,
+        spec.spread && job.tasks > 1,
+        unit.tasks.len(),
+        unit.is_suspect,
+        unit.is_frugal,
+    )
+        .hash(&mut hasher);
+    (
+        &job.avoided_machines,
+        &job.unresponsive_machines,
+        spec.rank as u8,
+        unit.is_guaranteed,
+        spec.one_zone && unit.tasks.len() > 1,
+    )
+        .hash(&mut hasher);
+    hasher.finish()
 }
--- /dev/null
+++ b/crates/coordination/src/placer/quotas.rs
@@ -0,0 +1,73 @@
+//! Quotas of the teams: limits, guaranteed quotas, and which attempts run beyond
+//! the guaranteed one.
+
+use lemonweir_model::Resources;
+
+use super::Placer;
+
+/// What a team without a quota limit may use.
+pub(super) const NO_LIMIT: Resources = Resources {
+    cpus: u64::MAX,
+    gpus: u64::MAX,
+    memory: u64::MAX,
+};
+
+/// True if a use is within a guaranteed quota; one that names nothing holds nothing.
+pub(super) fn within_quota(used: &Resources, guaranteed: Option<&Resources>) -> bool {
+    let Some(quota) = guaranteed.filter(|quota| quota.cpus > 0 || quota.gpus > 0) else {
+        return false;
+    };
+    (quota.cpus == 0 || used.cpus <= quota.cpus) && (quota.gpus == 0 || used.gpus <= quota.gpus)
+}
+
+impl Placer {
+    /// What a team may use at most.
+    pub(super) fn quota_limit(&self, team: &str) -> Resources {
+        self.quota_limits.get(team).copied().unwrap_or(NO_LIMIT)
+    }
+
+    /// What a team's attempts use.
+    pub(super) fn usage_of(&self, team: &str) -> Resources {
+        self.team_usage.get(team).copied().unwrap_or_default()
+    }
+
+    /// Marks what a team runs beyond its guaranteed quota: that goes to the highest
+    /// priority first, then to the oldest job.
+    pub(super) fn update_quota_marks(&mut self, team: &str) {
+        // Without a guaranteed quota all is beyond it, as each attempt begins.
+        let Some(guaranteed) = self
+            .guaranteed_quotas
+            .get(team)
+            .filter(|quota| quota.cpus > 0 || quota.gpus > 0)
+        else {
+            return;
+        };
+        let guaranteed = Some(guaranteed);
+        let mut used = Resources::default();
+        for key in self.running_by_team.get(team).into_iter().flatten() {
+            let Some(job) = self.jobs.get_mut(&key.job) else {
+                continue;
+            };
+            // Most jobs are within it or beyond it as a whole, as before.
+            let used_with_job = used.plus(&job.need.times(job.live.len() as u64));
+            let uniform = if within_quota(&used_with_job, guaranteed) {
+                Some(false)
+            } else {
+                (!within_quota(&used.plus(&job.need), guaranteed)).then_some(true)
+            };
+            if uniform.is_some() && uniform == job.uniform_over_quota {
+                used = used_with_job;
+                continue;
+            }
+            job.uniform_over_quota = uniform;
+            for live in job.live.values_mut() {
+                used = used.plus(&job.need);
+                let over_quota = !within_quota(&used, guaranteed);
+                if live.over_quota != over_quota {
+                    live.over_quota = over_quota;
+                    self.changed_jobs.insert(key.job.clone());
+                }
+            }
+        }
+    }
+}
--- a/crates/coordination/src/placer/reconciliation.rs
+++ b/crates/coordination/src/placer/reconciliation.rs
@@ -1,550 +1,135 @@
-//! What the owners are told, and what their answers change.
+//! Reconciliation with an owner's view of its shard: which attempts it has in
+//! which state, and what its machines hold.
 
-use super::*;
-use lemonweir_storage::records::GangAdmissionStep;
+use lemonweir_model::MachineId;
+use lemonweir_model::constants::FENCE_BITS;
+use lemonweir_protocol::peer::{Continuation, MachineView, ObservedState, ShardView};
+use tracing::warn;
 
-/// The first of some items, as many as take so many bytes.
-///
-/// Guards against a message through the store that is too large for it, and so never
-/// carries the stops that stand in it.
-fn fitting<T>(
-    items: impl Iterator<Item = T>,
-    mut bytes: usize,
-    size: impl Fn(&T) -> usize,
-) -> Vec<T> {
-    let fits = |item: &T| {
-        let left = bytes.checked_sub(size(item));
-        bytes = left.unwrap_or(0);
-        left.is_some()
-    };
-    items.take_while(fits).collect()
-}
+use super::Placer;
+use super::partitions::empty_index;
 
 impl Placer {
-    /// Notes what changed in what the owners are told.
-    pub(super) fn flush(&mut self) {
-        for team in std::mem::take(&mut self.regauge) {
-            self.gauge(&team);
-        }
-        for id in std::mem::take(&mut self.changed) {
-            let Some(job) = self.jobs.get_mut(&id) else {
-                continue;
-            };
-            let wants = wants_of(&id, job);
-            let told: HashSet<&AttemptId> = wants.iter().map(|(_, w)| &w.id).collect();
-            for (shard, attempt) in &job.told {
-                if !told.contains(attempt) {
-                    self.links[usize::from(*shard)].wants.remove(attempt);
-                }
-            }
-            job.told = wants
-                .iter()
-                .map(|(shard, w)| (*shard, w.id.clone()))
-                .collect();
-            for (shard, want) in wants {
-                self.links[usize::from(shard)]
-                    .wants
-                    .put(&want.id.clone(), want);
-            }
-            if job.over {
-                self.notes.erase(&id);
-            } else {
-                let (running, reason) = reason_of(job, &self.hidden);
-                self.notes.put(&id, (job.done_count, running, reason));
-            }
+    /// Applies an owner's answer; true if something changed that placing should see.
+    pub fn apply_view(&mut self, mut view: ShardView, now: u64) -> bool {
+        if !self.accepts_view(&view) {
+            return false;
         }
-    }
+        let shard = view.shard;
+        self.record_view(&view, now);
+        self.apply_partitions(shard, std::mem::take(&mut view.hidden), now);
 
-    /// Marks what a team runs beyond its guarantee: the guarantee goes to the
-    /// highest priority first, then to the oldest.
-    pub(super) fn gauge(&mut self, team: &str) {
-        // Without a guarantee all is beyond it, as each attempt begins.
-        let Some(guarantee) = self
-            .guarantees
-            .get(team)
-            .filter(|g| g.cpus > 0 || g.gpus > 0)
-        else {
-            return;
-        };
-        let guarantee = Some(guarantee);
-        let mut sum = Resources::default();
-        for (_, _, id) in self.running.get(team).into_iter().flatten() {
-            let Some(job) = self.jobs.get_mut(id) else {
-                continue;
-            };
-            // Most jobs are within it or beyond it as a whole, as before.
-            let whole = sum.plus(&job.need.times(job.live.len() as u64));
-            let alike = if within(&whole, guarantee) {
-                Some(false)
-            } else {
-                (!within(&sum.plus(&job.need), guarantee)).then_some(true)
-            };
-            if alike.is_some() && alike == job.over_alike {
-                sum = whole;
-                continue;
-            }
-            job.over_alike = alike;
-            for live in job.live.values_mut() {
-                sum = sum.plus(&job.need);
-                let over = !within(&sum, guarantee);
-                if live.over != over {
-                    live.over = over;
-                    self.changed.insert(id.clone());
-                }
-            }
+        let channel = &mut self.owner_channels[usize::from(shard)];
+        if view.token == channel.recipient_token {
+            channel.acknowledge(view.wants_at);
         }
-    }
-
-    /// True if an owner with this token has not been sent all that is wanted.
-    pub fn unsent(&mut self, to: u16, to_token: u64) -> bool {
-        self.flush();
-        let link = &self.links[usize::from(to)];
-        link.to_token != to_token || link.wants.last() > link.sent
-    }
-
-    /// Notes whether an owner is told through the store.
-    pub fn by_mail(&mut self, to: u16, by_mail: bool) {
-        self.links[usize::from(to)].by_mail = by_mail;
-    }
-
-    /// Notes that the last message to an owner was lost.
-    pub fn lost(&mut self, to: u16) {
-        let link = &mut self.links[usize::from(to)];
-        link.sent = link.acked;
-        link.notes_sent = link.notes_acked;
-    }
-
-    /// What an owner has to be told, in `room` bytes. Notes are for answers at
-    /// other nodes only, and go where there is room for them.
-    pub fn sync_for(
-        &mut self,
-        to: u16,
-        to_token: u64,
-        mut room: usize,
-        notes: bool,
-        now: u64,
-    ) -> SyncRequest {
-        self.flush();
-        // What stands beside the changes gets a share each: together with them it is twice
-        // `room` at the most.
-        let beside = room / 4;
-        let link = &mut self.links[usize::from(to)];
-        if link.to_token != to_token {
-            (link.to_token, link.acked, link.notes_acked) = (to_token, 0, 0);
+        let machines = view.machines_span.follows(channel.observed.machines);
+        let attempts = view.attempts_span.follows(channel.observed.attempts);
+        if attempts.is_some() {
+            channel.observed.attempts = view.attempts_span.upto;
         }
-        link.seq += 1;
-        let (span, changes) = link.wants.since(link.acked, &mut room, |_, w| {
-            w.map_or(ATTEMPT_BYTES, written)
-        });
-        link.sent = span.upto;
-        let (mut wants, mut dropped) = (Vec::new(), Vec::new());
-        for (id, want) in changes {
-            match want {
-                Some(want) => wants.push(want.clone()),
-                None => dropped.push(id.clone()),
+        if machines.is_some() {
+            channel.observed.machines = view.machines_span.upto;
+        }
+
+        if attempts.is_some() {
+            for attempt in &view.attempts {
+                self.apply_attempt_state(&attempt.id, attempt.standing, shard, now);
             }
         }
-        // Guards against a stop order that waits behind hundreds of starts
-        // where a message holds few.
-        let stops = if span.last {
-            Vec::new()
-        } else {
-            stops_beyond(&link.wants, span.upto, room.max(STOPS_BYTES.min(beside)))
+        let has_news =
+            !view.machines.is_empty() || !view.gone.is_empty() || !view.attempts.is_empty();
+        let Some(continuation) = machines else {
+            return has_news;
         };
-        let mut told = Vec::new();
-        if notes {
-            let (span, changes) = self
-                .notes
-                .since(link.notes_acked, &mut room, |_, _| NOTE_BYTES);
-            link.notes_sent = span.upto;
-            told = changes
-                .into_iter()
-                .filter_map(|(job, note)| {
-                    note.map(|(done, running, reason)| JobProgress {
-                        job: job.clone(),
-                        done: *done,
-                        running: *running,
-                        reason: reason.clone().into_owned(),
-                    })
-                })
-                .collect();
-        }
-        let rented = self
-            .promises
-            .iter()
-            .filter(|p| p.shard == to)
-            .map(|p| ProvisionedInstance {
-                age_ms: now.saturating_sub(p.at),
-                ..p.rented.clone()
-            });
-        let rented = fitting(rented, beside, written);
-        let field = &self.fields[usize::from(to)];
-        SyncRequest {
-            version: PEER_VERSION,
-            from: self.shard,
-            from_token: self.token,
-            to,
-            to_token,
-            seq: link.seq,
-            store_age_ms: u64::MAX,
-            span,
-            wants,
-            dropped,
-            stops,
-            have: if link.token == to_token {
-                link.have
-            } else {
-                ObservedState::default()
-            },
-            strays: 0,
-            rented,
-            keep: fitting(
-                self.keep
-                    .iter()
-                    .filter(|m| field.find(m).is_some())
-                    .cloned(),
-                beside,
-                written,
-            ),
-            notes: told,
-        }
+        self.apply_machines(view, &continuation, now);
+        self.placement_due |= has_news;
+        has_news
     }
 
-    /// An owner answered; true if something changed that placing should see.
-    pub fn take_view(&mut self, mut view: ShardView, now: u64) -> bool {
-        let Some(link) = self.links.get_mut(usize::from(view.shard)) else {
+    /// True if a view is newer than the last one and answers what was sent.
+    fn accepts_view(&self, view: &ShardView) -> bool {
+        let Some(channel) = self.owner_channels.get(usize::from(view.shard)) else {
             return false;
         };
-        if view.token < link.token || view.token == link.token && view.seq <= link.got {
-            return false;
-        }
-        // Guards against an answer to an earlier holder's message that comes late
-        // through the store: it acknowledges what this one never said.
-        if view.seq <= self.token << FENCE_BITS {
+        let is_old = view.token < channel.observed_token
+            || view.token == channel.observed_token && view.seq <= channel.last_view_seq;
+        // Guards against an answer to an earlier leader's message that comes late
+        // through the store: it acknowledges what this one never sent.
+        let is_to_earlier_leader = view.seq <= self.fencing_token << FENCE_BITS;
+        if is_old || is_to_earlier_leader {
             return false;
         }
-        if view.seq > link.seq || view.token == link.to_token && view.wants_at > link.wants.last() {
+        let is_impossible = view.seq > channel.last_sent_seq
+            || view.token == channel.recipient_token && view.wants_at > channel.desired.last();
+        if is_impossible {
             warn!(
                 shard = self.shard,
-                from = view.shard,
-                "a view with numbers that were never given; not taken"
+                from_shard = view.shard,
+                seq = view.seq,
+                "view rejected: it acknowledges messages that were never sent"
             );
-            return false;
-        }
-        if view.token > link.token {
-            (link.token, link.have) = (view.token, ObservedState::default());
         }
-        link.got = view.seq;
-        link.told_at = Some(now);
-        self.take_hidden(view.shard, std::mem::take(&mut view.hidden), now);
-        let Some(link) = self.links.get_mut(usize::from(view.shard)) else {
-            return false;
-        };
-        if view.token == link.to_token {
-            // An owner that has less than it once said starts from nothing.
-            link.acked = if view.wants_at < link.acked {
-                0
-            } else {
-                view.wants_at
-            };
-            link.wants.forget(link.acked);
-            link.notes_acked = link.notes_acked.max(link.notes_sent);
-            if link.acked == 0 {
-                link.sent = 0;
-            }
-        }
-        let machines = view.machines_span.follows(link.have.machines);
-        let attempts = view.attempts_span.follows(link.have.attempts);
-        if attempts.is_some() {
-            link.have.attempts = view.attempts_span.upto;
-        }
-        if machines.is_some() {
-            link.have.machines = view.machines_span.upto;
-        }
-        if attempts.is_some() {
-            for a in &view.attempts {
-                self.moved_on(&a.id, a.standing, view.shard, now);
-            }
+        !is_impossible
+    }
+
+    /// Notes from whom and when the newest view came.
+    fn record_view(&mut self, view: &ShardView, now: u64) {
+        let channel = &mut self.owner_channels[usize::from(view.shard)];
+        if view.token > channel.observed_token {
+            (channel.observed_token, channel.observed) = (view.token, ObservedState::default());
         }
+        channel.last_view_seq = view.seq;
+        channel.last_view_at = Some(now);
+    }
+
+    /// Applies what a view says of the machines.
+    fn apply_machines(&mut self, view: ShardView, continuation: &Continuation, now: u64) {
         let shard = view.shard;
-        let news = !view.machines.is_empty() || !view.gone.is_empty() || !view.attempts.is_empty();
-        match machines {
-            Some(Continuation::Anew) => {
-                self.fields[usize::from(shard)] =
-                    fresh_field(self.shard, shard, self.links.len() as u16);
+        match continuation {
+            Continuation::Anew => {
+                self.indexes[usize::from(shard)] =
+                    empty_index(self.shard, shard, self.owner_channels.len() as u16);
             }
-            Some(Continuation::On) => {}
-            None => return news,
+            Continuation::On => {}
         }
-        for id in &view.gone {
-            self.fields[usize::from(shard)].remove(id);
+        for machine in &view.gone {
+            self.indexes[usize::from(shard)].remove(machine);
         }
-        for m in view.machines {
-            let (id, leaving) = (m.id.clone(), m.leaving);
-            let cache_mb = self.caches.get(&m.kind).copied().unwrap_or(u64::MAX);
-            let spare_mb = self.book.spare_mb(&m.images, cache_mb);
-            let field = &mut self.fields[usize::from(shard)];
-            field.set(m);
-            field.set_spare(&id, spare_mb);
-            self.count(&id, shard);
-            if leaving {
-                self.empty(&id, shard, now);
-            }
+        for machine in view.machines {
+            self.apply_machine(machine, shard, now);
         }
         if view.machines_span.last {
-            // All figures are as new as what was told of the attempts.
-            let machines: Vec<MachineId> = self.links[usize::from(shard)]
+            // All figures are as new as the states of the attempts.
+            let machines: Vec<MachineId> = self.owner_channels[usize::from(shard)]
                 .uncounted
                 .keys()
                 .cloned()
                 .collect();
-            for id in machines {
-                self.count(&id, shard);
-            }
-        }
-        let field = &self.fields[usize::from(shard)];
-        self.promises
-            .retain(|p| p.shard != shard || field.find(&p.rented.machine).is_none());
-        self.place_again |= news;
-        news
-    }
-
-    /// The figures of a machine now hold the attempts that its owner has taken.
-    pub(super) fn count(&mut self, machine: &MachineId, shard: u16) {
-        let counted = self.links[usize::from(shard)]
-            .uncounted
-            .remove(machine)
-            .unwrap_or_default();
-        if let Some(here) = self.unseen.get_mut(machine) {
-            here.retain(|attempt| !counted.contains(attempt));
-            if here.is_empty() {
-                self.unseen.remove(machine);
-            }
-        }
-        self.retake(machine, shard);
-    }
-
-    /// An attempt stands differently.
-    pub(super) fn moved_on(
-        &mut self,
-        id: &AttemptId,
-        standing: AttemptState,
-        shard: u16,
-        now: u64,
-    ) {
-        let Some(job) = self.jobs.get_mut(&id.job) else {
-            return;
-        };
-        let Some(live) = job
-            .live
-            .get_mut(&id.task)
-            .filter(|l| l.attempt == id.attempt && l.shard == shard)
-        else {
-            return;
-        };
-        if live.standing == Some(standing) {
-            return;
-        }
-        debug!(attempt = %id, machine = %live.machine, ?standing, "attempt moved on");
-        let first = live.standing.is_none();
-        live.standing = Some(standing);
-        let machine = live.machine.clone();
-        if standing == AttemptState::Running {
-            self.fates
-                .push(TaskFate::Ran(id.job.clone(), id.task, live.since > 0));
-        }
-        job.ran |= standing == AttemptState::Running;
-        if standing.ended() {
-            self.attempt_over(id, standing, now);
-            self.settle(&id.job, now);
-        } else {
-            if first {
-                // Guards against placing twice on the same room: the machine's
-                // own figures may come in a later message than this.
-                self.links[usize::from(shard)]
-                    .uncounted
-                    .entry(machine)
-                    .or_default()
-                    .push((id.job.clone(), id.task));
-            }
-            if job.lasting() {
-                self.services.touch(&id.job);
-            }
-            self.changed.insert(id.job.clone());
-            if job.admission.is_some() {
-                self.gangs.insert(id.job.clone());
-            }
-        }
-    }
-
-    /// The tasks of a machine that leaves are moved, with a save; the tasks of
-    /// a gang all of them.
-    pub(super) fn empty(&mut self, machine: &MachineId, shard: u16, now: u64) {
-        let ids: BTreeSet<JobId> = self
-            .on
-            .get(machine)
-            .into_iter()
-            .flatten()
-            .map(|(id, _)| id.clone())
-            .collect();
-        for id in ids {
-            let Some(job) = self.jobs.get_mut(&id).filter(|j| !j.stopping()) else {
-                continue;
-            };
-            let Some(grace) = job.spec().map(JobSpec::grace_s) else {
-                continue;
-            };
-            let gang = job.is(JobKind::Gang);
-            for l in job
-                .live
-                .values_mut()
-                .filter(|l| gang || l.shard == shard && &l.machine == machine)
-            {
-                l.kill.get_or_insert(grace);
+            for machine in machines {
+                self.apply_machine_figures(&machine, shard);
             }
-            self.settle(&id, now);
         }
-    }
-
-    pub(super) fn attempt_over(&mut self, id: &AttemptId, standing: AttemptState, now: u64) {
-        let Some(live) = self.leave(&id.job, id.task) else {
-            return;
-        };
-        let Some(job) = self.jobs.get_mut(&id.job) else {
-            return;
-        };
-        let change = job.touch(id.task);
-        job.ending.push(EndingAttempt {
-            id: id.clone(),
-            machine: live.machine.clone(),
-            shard: live.shard,
-            change,
+        let index = &self.indexes[usize::from(shard)];
+        self.pending_instances.retain(|pending| {
+            pending.shard != shard || index.find(&pending.instance.machine).is_none()
         });
-        job.wait_again(id.task);
-        let gang = job.is(JobKind::Gang);
-        let service = job.lasting();
-        if service {
-            self.fates.push(TaskFate::Lost(id.job.clone(), id.task));
-        }
-        match standing {
-            AttemptState::Exited(ExitCause::Done) if !service => {
-                job.failures = 0;
-                if gang {
-                    // The tasks of a gang complete together.
-                    for task in 0..job.tasks {
-                        job.mark_done(task);
-                    }
-                } else {
-                    job.mark_done(id.task);
-                }
-                let touched = self.faults.ran(&id.job, &live.machine, live.since);
-                self.suspect(touched.jobs, now);
-                return;
-            }
-            AttemptState::Exited(ExitCause::Error) => {
-                self.note_failure(id, &live, now);
-            }
-            AttemptState::Refused => {
-                // Guards against asking an owner again and again whose state
-                // comes through the store, behind what others have taken.
-                let by_mail = self
-                    .links
-                    .get(usize::from(live.shard))
-                    .is_some_and(|l| l.by_mail);
-                job.not_before = now
-                    + if by_mail {
-                        REFUSED_MAIL_PAUSE_MS
-                    } else {
-                        REFUSED_PAUSE_MS
-                    };
-            }
-            AttemptState::Exited(
-                ExitCause::NoRoom | ExitCause::InUse | ExitCause::Unknown | ExitCause::Alone,
-            ) => job.not_before = now + START_REFUSED_PAUSE_MS,
-            _ => {}
-        }
-        let Some(job) = self.jobs.get_mut(&id.job) else {
-            return;
-        };
-        if gang && !job.stopping() {
-            // Without one task the rest can't go on: they stop, and the gang
-            // starts anew once all of them are gone.
-            job.stop_all();
-            if let Some(admission) = job
-                .admission
-                .as_mut()
-                .filter(|a| a.step != GangAdmissionStep::Released)
-            {
-                // Written with the ends of its attempts: nothing depends on it.
-                admission.go_on(GangAdmissionStep::Released, now + self.wall_offset_ms);
-            }
-        }
     }
-}
 
-impl Placer {
-    /// An attempt failed, by its job's fault or its machine's.
-    fn note_failure(&mut self, id: &AttemptId, live: &LiveAttempt, now: u64) {
-        // What has run there for long vouches for the machine.
-        let well: Vec<(JobId, u64)> = self
-            .on
-            .get(&live.machine)
-            .into_iter()
-            .flatten()
-            .filter_map(|(other, task)| {
-                let l = self.jobs.get(other)?.live.get(task)?;
-                let well = l.standing == Some(AttemptState::Running)
-                    && l.since > 0
-                    && now >= l.since + 2 * WELL_AFTER_MS;
-                (well && *other != id.job).then(|| (other.clone(), l.since))
-            })
-            .collect();
-        for (other, since) in well {
-            self.faults.ran(&other, &live.machine, since);
-        }
-        let touched = self.faults.failed(&id.job, &live.machine, now);
-        self.suspect(touched.jobs, now);
-        let Some(job) = self.jobs.get_mut(&id.job) else {
-            return;
-        };
-        let wait = job.fail(live.since, now);
-        warn!(attempt = %id, machine = %live.machine, failures = job.failures, suspect = ?job.suspect, "attempt failed");
-        job.shun(&live.machine);
-        if wait > 0 {
-            job.not_before = job.not_before.max(now + wait);
-            job.reason = "its tasks failed; it is tried again after a pause";
+    fn apply_machine(&mut self, machine: MachineView, shard: u16, now: u64) {
+        let (id, is_leaving) = (machine.id.clone(), machine.leaving);
+        let cache_mb = self
+            .cache_mb_by_type
+            .get(&machine.kind)
+            .copied()
+            .unwrap_or(u64::MAX);
+        let spare_mb = self.image_usage.spare_mb(&machine.images, cache_mb);
+        let index = &mut self.indexes[usize::from(shard)];
+        index.set(machine);
+        index.set_spare(&id, spare_mb);
+        self.apply_machine_figures(&id, shard);
+        if is_leaving {
+            self.evict_machine(&id, shard, now);
         }
     }
-
-    /// Takes up what the evidence now says of jobs.
-    fn suspect(&mut self, jobs: BTreeSet<JobId>, now: u64) {
-        for id in jobs {
-            let suspect = self.faults.suspect(&id);
-            let Some(job) = self.jobs.get_mut(&id).filter(|j| j.suspect != suspect) else {
-                continue;
-            };
-            if job.suspect.is_none() {
-                info!(job = %id, shard = self.shard, machines = suspect, "job is the suspect; one try at a time");
-            } else if suspect.is_none() {
-                info!(job = %id, shard = self.shard, "job is no suspect any more");
-                job.not_before = 0;
-                self.place_again = true;
-            }
-            job.suspect = suspect;
-            self.settle(&id, now);
-        }
-    }
-}
-
-/// Stops among the wants that are newer than a number.
-fn stops_beyond(
-    wants: &ChangeLog<AttemptId, DesiredAttempt>,
-    upto: u64,
-    room: usize,
-) -> Vec<(AttemptId, u32)> {
-    wants
-        .beyond(upto)
-        .filter_map(|(id, w)| w.kill.map(|grace| (id.clone(), grace)))
-        .take(room / ATTEMPT_BYTES)
-        .collect()
 }
--- a/crates/coordination/src/placer/scoring.rs
+++ b/crates/coordination/src/placer/scoring.rs
@@ -1,120 +1,171 @@
-//! What a job's next place is weighed by.
+//! What a job's next place is scored by.
 
-use super::*;
+use std::collections::{BTreeMap, BTreeSet};
 
-/// What a walk over the classes needs beside its ask.
+use lemonweir_model::{JobId, JobSpec};
+use lemonweir_protocol::peer::AttemptState;
+
+use super::Placer;
+use super::requests::all_zones;
+use crate::image_locality::trade::PlacementRisk;
+use crate::image_locality::walk::PlacedReplicas;
+use crate::job::{Job, LiveAttempt};
+use crate::placement::PlacementRequest;
+
+/// Share of a whole fetch that is left of one under way for another job: a machine's
+/// owner publishes that it fetches, not since when.
+const FETCH_LEFT_SHARE: f64 = 0.5;
+/// Replicas of a job up to which the trade looks at where its others lie: of more,
+/// what one machine takes is little, and the look costs a step for each.
+pub(super) const MAX_SPREAD_TASKS: u32 = 512;
+
+/// What a search over the placement classes needs beside its request.
 pub(super) struct ScoringInputs {
     /// What makes a difference.
-    pub(super) stakes: PlacementRisk,
-    /// Where the job's replicas are, field by field; empty: it makes no difference.
-    pub(super) kindred: Vec<PlacedReplicas>,
+    pub(super) risk: PlacementRisk,
+    /// Where the job's replicas are, index by index; empty: it makes no difference.
+    pub(super) placed_replicas: Vec<PlacedReplicas>,
 }
 
 impl Placer {
-    /// The parts in the order in which machines are looked for: our own, then others
-    /// in turn, and at the end those whose owner is told through the store, since a
-    /// start there is a second or two later; these are marked.
-    pub(super) fn shards_order(&self) -> Vec<(usize, bool)> {
-        let (own, n) = (usize::from(self.shard), self.fields.len() as u16);
-        let others = (1..=n)
-            .map(|k| usize::from((self.others_turn + k) % n))
-            .filter(|&p| p != own);
+    /// The indexes in the order in which machines are searched: our own shard's, then
+    /// others in turn, and at the end those whose owner is reached through the store,
+    /// since a start there is a second or two later; these are marked.
+    pub(super) fn shard_search_order(&self) -> Vec<(usize, bool)> {
+        let (own, shards) = (usize::from(self.shard), self.indexes.len() as u16);
+        let others = (1..=shards)
+            .map(|k| usize::from((self.next_remote_shard + k) % shards))
+            .filter(|&shard| shard != own);
         let mut order: Vec<(usize, bool)> = std::iter::once(own)
             .chain(others)
-            .map(|p| (p, self.links[p].by_mail))
+            .map(|shard| (shard, self.owner_channels[shard].via_store))
             .collect();
-        order.sort_by_key(|&(_, mail)| mail);
+        order.sort_by_key(|&(_, via_store)| via_store);
         order
     }
 
-    /// What a place for a job's next replica is weighed by, or, with `but`, for one
-    /// that it has.
-    pub(super) fn weigh(
+    /// What a place for a job's next replica is scored by, or, with `replaced`, for
+    /// one that it has.
+    pub(super) fn scoring_inputs(
         &self,
         id: &JobId,
-        but: Option<u32>,
-        ask: &PlacementRequest<'_>,
+        replaced: Option<u32>,
+        request: &PlacementRequest<'_>,
         order: &[(usize, bool)],
         now: u64,
     ) -> ScoringInputs {
-        let mut weighed = ScoringInputs {
-            stakes: PlacementRisk {
-                lasting: ask.lasting,
+        let mut scoring = ScoringInputs {
+            risk: PlacementRisk {
+                lasting: request.lasting,
                 ..PlacementRisk::default()
             },
-            kindred: Vec::new(),
+            placed_replicas: Vec::new(),
         };
-        let Some((job, spec)) = self.jobs.get(id).and_then(|j| j.spec().map(|s| (j, s))) else {
-            return weighed;
+        let Some((job, spec)) = self
+            .jobs
+            .get(id)
+            .and_then(|job| job.spec().map(|spec| (job, spec)))
+        else {
+            return scoring;
         };
-        if !ask.lasting {
-            return weighed;
+        if !request.lasting {
+            return scoring;
         }
-        let stakes = &mut weighed.stakes;
-        stakes.tasks = job.tasks;
-        stakes.fetch_s = spec.image_gb / self.fetch_gb_per_s.max(f64::MIN_POSITIVE);
-        // Where its own replicas wait for their weights, we know since when they do.
-        let waits = |l: &&LiveAttempt| {
-            l.since > 0
-                && l.standing
-                    .is_none_or(|s| matches!(s, AttemptState::Accepted | AttemptState::Preparing))
-        };
-        let since = job.live.values().filter(waits).map(|l| l.since).min();
-        stakes.coming_s = since.map_or(FETCH_LEFT * stakes.fetch_s, |at| {
-            (stakes.fetch_s - now.saturating_sub(at) as f64 / 1000.0).max(0.0)
-        });
-        stakes.spot = ask.spot;
-        stakes.plain = ask.need.gpus == 0;
-        stakes.mail = order.iter().any(|(_, mail)| *mail);
-        let others = || {
-            job.live
-                .iter()
-                .filter(|(task, l)| Some(**task) != but && l.kill.is_none())
-                .map(|(_, l)| l)
-        };
-        if job.tasks < 2 || job.tasks > TRADE_TASKS || others().next().is_none() {
-            return weighed;
+        let risk = &mut scoring.risk;
+        risk.tasks = job.tasks;
+        risk.fetch_s = spec.image_gb / self.fetch_gb_per_s.max(f64::MIN_POSITIVE);
+        risk.coming_s = fetch_left_s(job, risk.fetch_s, now);
+        risk.spot = request.spot;
+        risk.plain = request.need.gpus == 0;
+        risk.mail = order.iter().any(|(_, via_store)| *via_store);
+        let others: Vec<&LiveAttempt> = job
+            .live
+            .iter()
+            .filter(|(task, live)| Some(**task) != replaced && live.stop_grace_s.is_none())
+            .map(|(_, live)| live)
+            .collect();
+        if job.tasks < 2 || job.tasks > MAX_SPREAD_TASKS || others.is_empty() {
+            return scoring;
         }
-        stakes.kin = true;
+        risk.kin = true;
         if spec.spot {
-            let on_spot = |l: &LiveAttempt| {
-                let field = self.fields.get(usize::from(l.shard));
-                field
-                    .and_then(|f| f.find(&l.machine).map(|i| f.slots[i].spot))
-                    .unwrap_or(false)
-            };
-            stakes.wave = 2 * others().filter(|l| on_spot(l)).count() as u32 >= job.tasks;
+            risk.wave = 2 * self.count_on_spot(&others) >= job.tasks;
         }
-        // A job that must be in one zone can't be spread over them.
-        let open: BTreeSet<&str> = match (&ask.zones, spec.one_zone || spec.zone.is_some()) {
-            (_, true) => BTreeSet::new(),
-            (Some(zones), _) => zones.iter().copied().collect(),
-            (None, _) => self.fields.iter().flat_map(PlacementIndex::zones).collect(),
-        };
-        let mut zones: BTreeMap<&str, u32> = BTreeMap::new();
-        others().for_each(|l| *zones.entry(&l.zone).or_default() += 1);
-        stakes.one_zone = zones.len() == 1;
-        let light: Option<Vec<&str>> =
-            (self.trade.zone.max(self.trade.one_zone) > 0.0 && open.len() > 1).then(|| {
-                stakes.zones = open.len() as u32;
-                let fair = if stakes.one_zone { 1 } else { stakes.fair() };
-                open.iter()
-                    .filter(|z| zones.get(**z).copied().unwrap_or(0) < fair)
-                    .copied()
-                    .collect()
-            });
-        weighed.kindred = self
-            .fields
+        let underused = self.underused_zones(spec, request, &others, risk);
+        scoring.placed_replicas = self
+            .indexes
             .iter()
-            .map(|field| {
+            .map(|index| {
                 PlacedReplicas::of(
-                    field,
-                    stakes,
-                    others().map(|l| &l.machine),
-                    light.as_deref(),
+                    index,
+                    risk,
+                    others.iter().map(|live| &live.machine),
+                    underused.as_deref(),
                 )
             })
             .collect();
-        weighed
+        scoring
+    }
+
+    fn count_on_spot(&self, replicas: &[&LiveAttempt]) -> u32 {
+        let is_on_spot = |live: &LiveAttempt| {
+            self.indexes
+                .get(usize::from(live.shard))
+                .and_then(|index| index.find(&live.machine).map(|slot| index.slots[slot].spot))
+                .unwrap_or(false)
+        };
+        replicas.iter().filter(|live| is_on_spot(live)).count() as u32
+    }
+
+    /// Zones that hold less than their fair share of a job's replicas, where that makes
+    /// a difference. Notes in the risk how the replicas lie over the zones.
+    fn underused_zones<'a>(
+        &'a self,
+        spec: &JobSpec,
+        request: &PlacementRequest<'a>,
+        others: &[&LiveAttempt],
+        risk: &mut PlacementRisk,
+    ) -> Option<Vec<&'a str>> {
+        let mut replicas: BTreeMap<&str, u32> = BTreeMap::new();
+        for live in others {
+            *replicas.entry(&live.zone).or_default() += 1;
+        }
+        risk.one_zone = replicas.len() == 1;
+        // A job that must be in one zone can't be spread over them.
+        let open: BTreeSet<&str> = match (&request.zones, spec.one_zone || spec.zone.is_some()) {
+            (_, true) => BTreeSet::new(),
+            (Some(zones), _) => zones.iter().copied().collect(),
+            (None, _) => all_zones(&self.indexes),
+        };
+        if self.trade.zone.max(self.trade.one_zone) <= 0.0 || open.len() <= 1 {
+            return None;
+        }
+        risk.zones = open.len() as u32;
+        let fair_share = if risk.one_zone { 1 } else { risk.fair() };
+        Some(
+            open.into_iter()
+                .filter(|zone| replicas.get(zone).copied().unwrap_or(0) < fair_share)
+                .collect(),
+        )
     }
 }
+
+/// Seconds until the image of a job's replicas is expected where it is being fetched:
+/// where its own replicas wait for it, it is known since when they do.
+fn fetch_left_s(job: &Job, fetch_s: f64, now: u64) -> f64 {
+    let is_fetching = |live: &&LiveAttempt| {
+        live.placed_at > 0
+            && live
+                .state
+                .is_none_or(|s| matches!(s, AttemptState::Accepted | AttemptState::Preparing))
+    };
+    let since = job
+        .live
+        .values()
+        .filter(is_fetching)
+        .map(|live| live.placed_at)
+        .min();
+    since.map_or(FETCH_LEFT_SHARE * fetch_s, |at| {
+        (fetch_s - now.saturating_sub(at) as f64 / 1000.0).max(0.0)
+    })
+}
--- a/crates/coordination/src/placer/supervision.rs
+++ b/crates/coordination/src/placer/supervision.rs
@@ -1,133 +1,183 @@
-//! How this placer's services stand, as the watch sees it.
+//! State of this placer's services, as supervision observes it.
 
-use super::placing::{AT_LIMIT, NO_ROOM};
-use super::*;
+use std::collections::BTreeMap;
+
+use lemonweir_model::JobId;
+use lemonweir_model::constants::EVICT_WAIT_MS;
+use lemonweir_protocol::peer::{AttemptState, MachineView};
+
+use super::placing::{REASON_AT_LIMIT, REASON_NO_ROOM};
+use super::{Placer, ReplicaEvent};
+use crate::job::Job;
 use crate::supervision::failover::Failover;
 use crate::supervision::services::{RecoveryActivity, ServiceObservation};
 
+/// ms that each step of a start takes at the most on an ordinary day: its turn, its
+/// write, its command.
+pub(super) const START_STEP_MS: u64 = 10_000;
+
+/// What a service's replicas do.
+#[derive(Default)]
+struct ReplicaCounts {
+    running: u32,
+    /// Inherited ones whose owner has not published their state.
+    has_unconfirmed: bool,
+    /// Ones whose start is not written yet.
+    has_unwritten: bool,
+    has_stopping: bool,
+    /// When the last of those in partitioned zones is proven to have ended, ms.
+    partitioned_until: Option<u64>,
+}
+
 impl Placer {
-    /// Looks at the services that something happened to.
-    pub(crate) fn look(&mut self, failover: &mut Failover, now: u64) {
-        for fate in std::mem::take(&mut self.fates) {
-            match fate {
-                TaskFate::Ran(id, task, ours) => {
+    /// Observes the services that something happened to.
+    pub(crate) fn observe_services(&mut self, failover: &mut Failover, now: u64) {
+        for event in std::mem::take(&mut self.replica_events) {
+            match event {
+                ReplicaEvent::Running {
+                    job,
+                    task,
+                    placed_here,
+                } => {
                     let class = self
                         .jobs
-                        .get(&id)
-                        .filter(|j| j.lasting())
+                        .get(&job)
+                        .filter(|job| job.is_service())
                         .and_then(Job::spec)
-                        .map(|s| s.class.as_str());
-                    failover.ran(&id, task, class, ours, now);
+                        .map(|spec| spec.class.as_str());
+                    failover.ran(&job, task, class, placed_here, now);
                 }
-                TaskFate::Lost(id, task) => failover.lost(&id, task, now),
+                ReplicaEvent::Lost { job, task } => failover.lost(&job, task, now),
             }
         }
         for id in self.services.take_touched() {
-            let seen = self.jobs.get(&id).and_then(|job| self.seen(job, now));
-            let suspect = self.jobs.get(&id).is_some_and(|j| j.suspect.is_some());
-            if suspect || seen.as_ref().is_none_or(|s| s.up >= s.promised) {
+            let job = self.jobs.get(&id);
+            let observation = job.and_then(|job| self.observe_service(job, now));
+            let is_suspect = job.is_some_and(|job| job.suspect.is_some());
+            if is_suspect || observation.as_ref().is_none_or(|s| s.up >= s.promised) {
                 failover.done(&id, now);
             }
-            self.services.set(&id, seen, now);
+            self.services.set(&id, observation, now);
         }
     }
 
-    /// How a service stands; `None`: it is none, or nothing of it shall run.
-    fn seen(&self, job: &Job, now: u64) -> Option<ServiceObservation> {
-        let spec = job.spec().filter(|_| job.lasting() && !job.stopping())?;
-        let mut up = 0;
-        let (mut unheard, mut unwritten, mut stopping, mut hidden) =
-            (false, false, false, None::<u64>);
-        for (&task, l) in &job.live {
-            if let Some(zone) = self
-                .hidden
-                .get(usize::from(l.shard))
-                .and_then(|zones| zones.get(&l.zone))
+    /// State of a service; `None`: it is none, or nothing of it shall run.
+    fn observe_service(&self, job: &Job, now: u64) -> Option<ServiceObservation> {
+        job.spec()
+            .filter(|_| job.is_service() && !job.is_stopping())?;
+        let replicas = self.count_replicas(job);
+        let (doing, within) = self.recovery_activity(job, &replicas, now);
+        Some(ServiceObservation {
+            promised: job.tasks,
+            up: replicas.running,
+            doing,
+            within,
+        })
+    }
+
+    fn count_replicas(&self, job: &Job) -> ReplicaCounts {
+        let mut counts = ReplicaCounts::default();
+        for (&task, live) in &job.live {
+            if let Some(partition) = self
+                .partitions
+                .get(usize::from(live.shard))
+                .and_then(|zones| zones.get(&live.zone))
             {
-                hidden = hidden.max(Some(zone.over_at));
+                counts.partitioned_until = counts
+                    .partitioned_until
+                    .max(Some(partition.attempts_end_at));
             }
-            match (l.kill, l.standing) {
-                (Some(_), _) => stopping = true,
-                (None, Some(AttemptState::Running)) => up += 1,
-                (None, None) if l.since == 0 => unheard = true,
-                (None, None) => unwritten |= !job.recorded(task, l),
+            match (live.stop_grace_s, live.state) {
+                (Some(_), _) => counts.has_stopping = true,
+                (None, Some(AttemptState::Running)) => counts.running += 1,
+                (None, None) if live.placed_at == 0 => counts.has_unconfirmed = true,
+                (None, None) => counts.has_unwritten |= !job.is_recorded(task, live),
                 (None, Some(_)) => {}
             }
         }
-        let fetch = self.fetch_ms(spec);
-        let (doing, within) = if up >= job.tasks {
+        counts
+    }
+
+    /// What a service waits for to be whole, and within how many ms that should come.
+    fn recovery_activity(
+        &self,
+        job: &Job,
+        replicas: &ReplicaCounts,
+        now: u64,
+    ) -> (RecoveryActivity, Option<u64>) {
+        let fetch_ms = job.spec().map_or(0, |spec| self.max_fetch_ms(spec));
+        if replicas.running >= job.tasks {
             (RecoveryActivity::Nothing, None)
-        } else if job.waiting() > 0 {
-            match job.reason {
-                _ if job.suspect.is_some() || job.failures > 1 && job.not_before > now => {
+        } else if job.waiting_count() > 0 {
+            match job.pending_reason {
+                _ if job.suspect.is_some()
+                    || job.consecutive_failures > 1 && job.backoff_until > now =>
+                {
                     (RecoveryActivity::Pausing, None)
                 }
-                NO_ROOM => (
+                REASON_NO_ROOM => (
                     RecoveryActivity::Resources,
-                    Some(self.boot_ms + self.boot_ms / 2 + fetch + STEP_MS),
+                    Some(self.boot_time_ms + self.boot_time_ms / 2 + fetch_ms + START_STEP_MS),
                 ),
-                AT_LIMIT => (RecoveryActivity::Limit, None),
-                _ => (RecoveryActivity::Queued, Some(STEP_MS)),
+                REASON_AT_LIMIT => (RecoveryActivity::Limit, None),
+                _ => (RecoveryActivity::Queued, Some(START_STEP_MS)),
             }
-        } else if let Some(over_at) = hidden {
+        } else if let Some(until) = replicas.partitioned_until {
             (
                 RecoveryActivity::OutOfSight,
-                Some(over_at.saturating_sub(now)),
+                Some(until.saturating_sub(now)),
             )
-        } else if unheard {
+        } else if replicas.has_unconfirmed {
             (RecoveryActivity::Unheard, None)
-        } else if unwritten {
-            (RecoveryActivity::Writing, Some(STEP_MS))
-        } else if stopping {
-            (RecoveryActivity::Stopping, Some(EVICT_WAIT_MS + STEP_MS))
+        } else if replicas.has_unwritten {
+            (RecoveryActivity::Writing, Some(START_STEP_MS))
+        } else if replicas.has_stopping {
+            (
+                RecoveryActivity::Stopping,
+                Some(EVICT_WAIT_MS + START_STEP_MS),
+            )
         } else {
-            (RecoveryActivity::Starting, Some(fetch + STEP_MS))
-        };
-        Some(ServiceObservation {
-            promised: job.tasks,
-            up,
-            doing,
-            within,
-        })
+            (RecoveryActivity::Starting, Some(fetch_ms + START_STEP_MS))
+        }
     }
 
-    /// Replicas of a service that are up, by zone.
-    pub(crate) fn zones_up(&self, id: &JobId) -> Vec<(String, u32)> {
+    /// Replicas of a service that run, by zone.
+    pub(crate) fn running_replicas_by_zone(&self, id: &JobId) -> Vec<(String, u32)> {
         let mut zones: BTreeMap<&String, u32> = BTreeMap::new();
-        let live = self.jobs.get(id).into_iter().flat_map(|j| j.live.values());
-        for l in live.filter(|l| l.kill.is_none() && l.standing == Some(AttemptState::Running)) {
-            *zones.entry(&l.zone).or_default() += 1;
+        let replicas = self
+            .jobs
+            .get(id)
+            .into_iter()
+            .flat_map(|job| job.live.values());
+        for live in replicas
+            .filter(|live| live.stop_grace_s.is_none() && live.state == Some(AttemptState::Running))
+        {
+            *zones.entry(&live.zone).or_default() += 1;
         }
         zones
             .into_iter()
-            .map(|(zone, n)| (zone.clone(), n))
+            .map(|(zone, replicas)| (zone.clone(), replicas))
             .collect()
     }
 
-    /// True if starts wait to be written, of other than idle work: that may wait
-    /// for hours.
-    pub(crate) fn starts_wait(&self) -> bool {
-        let mut jobs = self.unsaved.keys().filter_map(|id| self.jobs.get(id));
-        jobs.any(|j| !j.stopping() && j.rank() != Priority::Low && j.starts_unwritten())
-    }
-
-    /// Replicas, other tasks and machines that are up in a part, as far as its
-    /// owner told.
-    pub(crate) fn known_up(&self, shard: u16) -> Option<(u32, u32, u32)> {
-        let field = self.fields.get(usize::from(shard))?;
-        let up = field.machines().filter(|m| m.up);
-        let sum = |(replicas, others, machines), m: &lemonweir_protocol::peer::MachineView| {
-            let lasting = u32::from(m.lasting);
+    /// Replicas, other tasks and machines that are up in a shard, as far as its
+    /// owner published.
+    pub(crate) fn running_counts(&self, shard: u16) -> Option<(u32, u32, u32)> {
+        let index = self.indexes.get(usize::from(shard))?;
+        index.machines().next()?;
+        let add = |(replicas, others, machines), machine: &MachineView| {
+            let here = u32::from(machine.lasting);
             (
-                replicas + lasting,
-                others + u32::from(m.busy).saturating_sub(lasting),
+                replicas + here,
+                others + u32::from(machine.busy).saturating_sub(here),
                 machines + 1,
             )
         };
-        field
-            .machines()
-            .next()
-            .is_some()
-            .then(|| up.fold((0, 0, 0), sum))
+        Some(
+            index
+                .machines()
+                .filter(|machine| machine.up)
+                .fold((0, 0, 0), add),
+        )
     }
 }
--- /dev/null
+++ b/crates/coordination/src/placer/unmet_demand.rs
@@ -0,0 +1,177 @@
+//! What waiting jobs lack, as the autoscaler is asked for it.
+
+use std::collections::{BTreeMap, HashMap};
+
+use lemonweir_model::constants::MAX_TASKS;
+use lemonweir_model::{JobId, JobKind, JobSpec, Priority, Resources};
+
+use super::Placer;
+use super::placing::REASON_LOW_PRIORITY_TURN;
+use crate::autoscaler::{CapacityDemand, tasks_in};
+use crate::job::Job;
+
+/// Waiting tasks of one job that are counted as demand at most: more than boot
+/// at a time. What is beyond is counted once these have their machines.
+const MAX_DEMAND_TASKS: u64 = 512;
+/// Machines' worth of small tasks of one job that are counted as demand where that is
+/// more than [`MAX_DEMAND_TASKS`]: 100,000 tasks of a tenth of a processor would else
+/// provision a few machines a boot, and never come to half.
+const MAX_DEMAND_MACHINES: u64 = 32;
+/// ms after its submission by which a job of low-priority work begins, if room can be
+/// had at any price: the operators' bound is four minutes, and a machine may be refused
+/// or come late.
+pub const LOW_PRIORITY_START_DEADLINE_MS: u64 = 200_000;
+/// ms of these that are left beside a slow boot and a slow fetch: one refusal of the
+/// cloud, and the passes, syncs and writes on the way.
+pub const LOW_PRIORITY_START_SLACK_MS: u64 = 20_000;
+/// ms that low-priority work waits for room that costs nothing in any case, however
+/// long boots and fetches take.
+const MIN_LOW_PRIORITY_WAIT_MS: u64 = 60_000;
+
+/// What found no capacity in a pass.
+#[derive(Default)]
+pub(super) struct UnmetDemand {
+    pub(super) demand: Vec<CapacityDemand>,
+    /// What is demanded already, by team.
+    by_team: HashMap<String, Resources>,
+}
+
+impl Placer {
+    /// True if a job of low-priority work has begun nothing and can't wait any longer
+    /// for room that costs little: a machine that is asked for now takes a boot and a
+    /// fetch.
+    pub(super) fn must_begin_now(&self, job: &Job, now: u64) -> bool {
+        if job.priority() != Priority::Low || job.has_begun() {
+            return false;
+        }
+        let fetch_ms = job.spec().map_or(0, |spec| self.max_fetch_ms(spec));
+        let patience_ms = LOW_PRIORITY_START_DEADLINE_MS
+            .saturating_sub(self.boot_time_ms * 3 / 2 + fetch_ms + LOW_PRIORITY_START_SLACK_MS);
+        job.waited_ms(now, now + self.wall_offset_ms) >= patience_ms.max(MIN_LOW_PRIORITY_WAIT_MS)
+    }
+
+    /// Records what a job lacks, within what its team may still use.
+    pub(super) fn record_unmet_demand(&self, id: &JobId, unmet: &mut UnmetDemand, now: u64) {
+        // A suspect provisions nothing: what it would run on would only see it fail. Nor
+        // does what only waits for its turn.
+        let Some(job) = self
+            .jobs
+            .get(id)
+            .filter(|job| job.suspect.is_none() && job.pending_reason != REASON_LOW_PRIORITY_TURN)
+        else {
+            return;
+        };
+        let Some(spec) = job.spec() else { return };
+        let already = unmet.by_team.get(&job.team).copied().unwrap_or_default();
+        let Some(demand) = self.demand_of(job, spec, &already, now) else {
+            return;
+        };
+        unmet.by_team.insert(
+            job.team.clone(),
+            already.plus(&job.need.times(u64::from(demand.count))),
+        );
+        if !spec.spread || job.tasks == 1 || spec.zone.is_some() {
+            unmet.demand.push(demand);
+        } else {
+            unmet.demand.extend(self.spread_over_zones(job, &demand));
+        }
+    }
+
+    /// What a job lacks, if its team may use it and it is worth machines; `already`:
+    /// what its team's other jobs demand.
+    fn demand_of(
+        &self,
+        job: &Job,
+        spec: &JobSpec,
+        already: &Resources,
+        now: u64,
+    ) -> Option<CapacityDemand> {
+        let is_low_priority = spec.rank == Priority::Low;
+        let is_starved = is_low_priority && job.is_starved(now);
+        let must_begin = self.must_begin_now(job, now);
+        if is_low_priority && !spec.spot && !is_starved && !must_begin {
+            return None;
+        }
+        let is_gang = spec.shape == JobKind::Gang;
+        let waiting = match u64::from(job.waiting_count()) {
+            _ if must_begin && !is_gang => 1,
+            waiting if is_starved => waiting.min(job.missing_to_half()).min(MAX_DEMAND_TASKS),
+            waiting if is_low_priority => waiting.min(MAX_DEMAND_TASKS),
+            waiting => waiting.min(self.max_demand_tasks(&job.need)),
+        };
+        let affordable = self.affordable_tasks(job, already);
+        // A gang needs all of its room. A service that its team's limit keeps from
+        // being whole begins all the same.
+        let count = if !is_gang || waiting <= affordable {
+            waiting.min(affordable)
+        } else {
+            0
+        };
+        (count > 0).then(|| CapacityDemand {
+            team: job.team.clone(),
+            need: job.need,
+            types: spec.types.clone(),
+            zone: spec.zone.clone(),
+            spot: spec.spot,
+            count: count as u32,
+            one_zone: spec.one_zone,
+            only_spot: is_low_priority && !is_starved && !must_begin,
+            idle: is_low_priority,
+            first: must_begin,
+        })
+    }
+
+    /// Tasks of one size that are counted as demand of a job at most.
+    fn max_demand_tasks(&self, need: &Resources) -> u64 {
+        let per_machine = self
+            .machine_capacities
+            .iter()
+            .map(|capacity| tasks_in(capacity, need))
+            .filter(|n| *n < MAX_TASKS)
+            .max()
+            .unwrap_or(0);
+        MAX_DEMAND_TASKS.max(MAX_DEMAND_MACHINES * per_machine)
+    }
+
+    /// Further tasks of a job that its team's quota limit allows.
+    fn affordable_tasks(&self, job: &Job, already: &Resources) -> u64 {
+        let used = self.usage_of(&job.team).plus(already);
+        let left = self.quota_limit(&job.team).minus(&used);
+        let tasks = |have: u64, need: u64| have.checked_div(need).unwrap_or(u64::MAX);
+        tasks(left.cpus, job.need.cpus).min(tasks(left.gpus, job.need.gpus))
+    }
+
+    /// A spread job lacks room zone by zone: machines that boot in one zone are of no
+    /// use to the tasks that must be in another.
+    fn spread_over_zones(&self, job: &Job, demand: &CapacityDemand) -> Vec<CapacityDemand> {
+        let max_per_zone = job.tasks.div_ceil(2);
+        let mut left: BTreeMap<&String, u32> = self
+            .zones
+            .iter()
+            .map(|zone| {
+                let here = job.live.values().filter(|live| &live.zone == zone).count();
+                (zone, max_per_zone.saturating_sub(here as u32))
+            })
+            .collect();
+        let mut shares: BTreeMap<&String, u32> = BTreeMap::new();
+        for _ in 0..demand.count {
+            let Some((zone, left_here)) = left
+                .iter_mut()
+                .max_by_key(|(_, left_here)| **left_here)
+                .filter(|(_, left_here)| **left_here > 0)
+            else {
+                break;
+            };
+            *left_here -= 1;
+            *shares.entry(zone).or_default() += 1;
+        }
+        shares
+            .into_iter()
+            .map(|(zone, count)| CapacityDemand {
+                zone: Some(zone.clone()),
+                count,
+                ..demand.clone()
+            })
+            .collect()
+    }
+}
