--- /dev/null
+++ b/crates/coordination/src/placer/write_queue.rs
@@ -0,0 +1,436 @@
+//! The write queue: which records are due, in which order, and the next
+//! compare-and-swap that writes them.
+
+use lemonweir_model::constants::{CONDITIONS_A_CHANGE, TXN_BYTES};
+use lemonweir_model::{JobId, Priority};
+use lemonweir_protocol::kv_store::{CompareAndSwap, Condition, Write};
+use lemonweir_protocol::users::JobPhase;
+use lemonweir_storage::packed_chunk::chunk_value;
+use lemonweir_storage::records::{
+    JobEndRecord, TaskChunkRecord, end_key, job_key, run_key, shard_key,
+};
+
+use super::Placer;
+use crate::job::{Job, TaskChunk, Urgency};
+
+/// Bytes that a task record takes at most without its tasks.
+const RECORD_BYTES: usize = 200;
+/// Bytes that a live attempt takes in a record.
+const LIVE_ATTEMPT_BYTES: usize = 48;
+/// Bytes that a range of done tasks takes in a record.
+const DONE_RANGE_BYTES: usize = 12;
+/// ms that a record of ended attempts waits for more of its chunk: a successor
+/// would learn of them from their workers, so it costs nothing to wait, and
+/// with hundreds of tasks ending each minute it halves what is written.
+pub const ATTEMPT_END_WRITE_DELAY_MS: u64 = 3_000;
+/// s of its writes for which low-priority work is placed ahead.
+const LOW_PRIORITY_AHEAD_S: usize = 2;
+
+/// When something is written: what comes first goes first.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+enum WritePriority {
+    /// Steps of gangs whose members hold room already.
+    GangAdmission,
+    /// Ends of jobs that were withdrawn: their users wait for the answer.
+    WithdrawnJob,
+    /// Starts.
+    Start,
+    /// Ends of jobs that are done.
+    DoneJob,
+    /// What only records that attempts ended.
+    AttemptEnd,
+    /// Starts of low-priority work.
+    LowPriorityStart,
+    /// The rest of low-priority work.
+    LowPriorityRest,
+}
+
+/// A job with something due to be written, in the order of writing.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct DueJob<'a> {
+    write_priority: WritePriority,
+    priority: Priority,
+    urgency: Urgency,
+    /// Since when, ms.
+    since: u64,
+    id: &'a JobId,
+}
+
+/// One chunk as a compare-and-swap writes it.
+pub(super) struct ChunkWrite {
+    pub(super) job: JobId,
+    pub(super) index: u32,
+    /// Newest change of the chunk that it holds.
+    pub(super) change: u64,
+    /// It removes the chunk.
+    pub(super) is_removal: bool,
+}
+
+/// The end of a job as a compare-and-swap writes it.
+pub(super) struct JobEndWrite {
+    pub(super) job: JobId,
+    pub(super) phase: JobPhase,
+}
+
+/// The version that a job's key must have.
+pub(super) struct JobVersion {
+    pub(super) job: JobId,
+    pub(super) version: u64,
+}
+
+/// What the compare-and-swap in flight writes, and the jobs on whose keys it depends.
+#[derive(Default)]
+pub(super) struct InFlightCas {
+    pub(super) chunks: Vec<ChunkWrite>,
+    pub(super) job_ends: Vec<JobEndWrite>,
+    pub(super) job_versions: Vec<JobVersion>,
+}
+
+impl InFlightCas {
+    /// Records that it writes.
+    pub(super) fn record_count(&self) -> usize {
+        self.chunks.len() + self.job_ends.len()
+    }
+
+    /// True if it writes this chunk.
+    pub(super) fn writes_chunk(&self, job: &JobId, index: u32) -> bool {
+        self.chunks
+            .iter()
+            .any(|chunk| chunk.job == *job && chunk.index == index)
+    }
+}
+
+/// How adding to a compare-and-swap went.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Added {
+    /// There may be room for more.
+    Yes,
+    /// Nothing more of this job for now.
+    JobDeferred,
+    /// It holds nothing more.
+    Full,
+}
+
+/// A compare-and-swap that is being filled.
+struct CasBuilder<'a> {
+    placer: &'a Placer,
+    cas: CompareAndSwap,
+    in_flight: InFlightCas,
+    bytes: usize,
+    low_priority_chunks: usize,
+}
+
+impl Placer {
+    /// The next compare-and-swap, if none is in flight and something is due. Steps of
+    /// gangs go first, then ends of withdrawn jobs, by age, then starts, by priority,
+    /// then ends of jobs that are done; what only records that attempts ended waits for
+    /// company, so that one write of a chunk records many: nothing depends on it but a
+    /// successor's start.
+    pub fn next_cas(&mut self, now: u64) -> Option<CompareAndSwap> {
+        if self.in_flight.is_some() || self.dirty_jobs.is_empty() {
+            return None;
+        }
+        let due = self.due_jobs(now);
+        if due.is_empty() {
+            return None;
+        }
+        let mut builder = CasBuilder::new(self);
+        for job in &due {
+            if builder.add_job(job) == Added::Full {
+                break;
+            }
+        }
+        let CasBuilder { cas, in_flight, .. } = builder;
+        if cas.writes.is_empty() && cas.conditions.len() == 1 {
+            // Nothing to write: what was to be removed was never there.
+            self.apply_written(&in_flight, 0, now);
+            return None;
+        }
+        self.charge_low_priority_budget(cas.writes.len(), now);
+        self.in_flight = Some(in_flight);
+        Some(cas)
+    }
+
+    /// Jobs with something due, in the order of writing.
+    fn due_jobs(&self, now: u64) -> Vec<DueJob<'_>> {
+        let mut due: Vec<DueJob<'_>> = self
+            .dirty_jobs
+            .iter()
+            .filter_map(|(id, &since)| {
+                let job = self
+                    .jobs
+                    .get(id)
+                    .filter(|job| now >= job.write_backoff_until)?;
+                let write_priority = self.write_priority(job, since, now)?;
+                // Ends of withdrawn jobs go by age, whatever their priority.
+                let (priority, urgency) = if write_priority == WritePriority::WithdrawnJob {
+                    (Priority::Normal, Urgency::Normal)
+                } else {
+                    (job.priority(), job.urgency())
+                };
+                Some(DueJob {
+                    write_priority,
+                    priority,
+                    urgency,
+                    since,
+                    id,
+                })
+            })
+            .collect();
+        due.sort_unstable();
+        due
+    }
+
+    /// When what a job has to write since a time goes; none: not yet.
+    fn write_priority(&self, job: &Job, since: u64, now: u64) -> Option<WritePriority> {
+        if Self::admission_step_first(job) {
+            return Some(WritePriority::GangAdmission);
+        }
+        let end = job.writable_end();
+        // Guards against users who give up on their cancellations while starts take
+        // every turn, as they do for half a minute after an outage of the store. It
+        // keeps no start waiting for long: a job ends once. The oldest goes first,
+        // whatever its priority.
+        if end == Some(JobPhase::Withdrawn) {
+            return Some(WritePriority::WithdrawnJob);
+        }
+        let has_starts = !job.is_stopping() && job.has_unwritten_starts();
+        // Guards against low-priority work that starts, is preempted and starts again by
+        // the hundreds and takes the store's writes from all others.
+        if job.priority() == Priority::Low && end.is_none() {
+            return (now >= self.low_priority_writes_resume_at).then_some(if has_starts {
+                WritePriority::LowPriorityStart
+            } else {
+                WritePriority::LowPriorityRest
+            });
+        }
+        if has_starts {
+            Some(WritePriority::Start)
+        } else if end.is_some() {
+            Some(WritePriority::DoneJob)
+        } else {
+            (now >= since + ATTEMPT_END_WRITE_DELAY_MS).then_some(WritePriority::AttemptEnd)
+        }
+    }
+
+    /// Low-priority work writes what its placer's own share has left: others' stay
+    /// theirs. A busy while is not held against it for long.
+    fn charge_low_priority_budget(&mut self, writes: usize, now: u64) {
+        let resume_at = self.low_priority_writes_resume_at.max(now)
+            + (1_000 * writes / self.low_priority_writes_per_s) as u64;
+        self.low_priority_writes_resume_at =
+            resume_at.min(now + 1_000 * LOW_PRIORITY_AHEAD_S as u64);
+    }
+
+    /// Chunks of low-priority work that may get a first start to write: some seconds'
+    /// worth.
+    pub(super) fn low_priority_chunks_left(&self) -> usize {
+        let most = LOW_PRIORITY_AHEAD_S * self.low_priority_writes_per_s;
+        let waiting = self
+            .dirty_jobs
+            .keys()
+            .filter_map(|id| self.jobs.get(id))
+            .filter(|job| job.priority() == Priority::Low)
+            .flat_map(|job| job.chunks.values())
+            .filter(|chunk| chunk.has_unwritten_start())
+            .take(most)
+            .count();
+        most - waiting
+    }
+
+    /// True if starts wait to be written, of other than low-priority work: that may
+    /// wait for hours.
+    pub(crate) fn has_unwritten_starts(&self) -> bool {
+        self.dirty_jobs
+            .keys()
+            .filter_map(|id| self.jobs.get(id))
+            .any(|job| {
+                !job.is_stopping() && job.priority() != Priority::Low && job.has_unwritten_starts()
+            })
+    }
+}
+
+impl<'a> CasBuilder<'a> {
+    /// A compare-and-swap that depends on this placer's lead of its shard.
+    fn new(placer: &'a Placer) -> Self {
+        Self {
+            placer,
+            cas: CompareAndSwap {
+                conditions: vec![Condition {
+                    key: shard_key(placer.shard),
+                    version: placer.fencing_token,
+                }],
+                writes: Vec::new(),
+            },
+            in_flight: InFlightCas::default(),
+            bytes: 0,
+            low_priority_chunks: 0,
+        }
+    }
+
+    /// Adds what a job has to write.
+    fn add_job(&mut self, due: &DueJob<'_>) -> Added {
+        let Some(job) = self.placer.jobs.get(due.id) else {
+            return Added::JobDeferred;
+        };
+        if let Some(phase) = job.writable_end() {
+            return self.add_end(due.id, job, phase);
+        }
+        // Guards against a gang that is recorded or admitted by halves where one
+        // compare-and-swap can hold all of it.
+        if !self.cas.writes.is_empty() && self.would_split_step(job) {
+            return Added::Full;
+        }
+        // Guards against starts that wait behind ends of earlier chunks, which
+        // are written again and again.
+        let dirty = |with_start: bool| {
+            job.chunks.iter().filter(move |(_, chunk)| {
+                chunk.is_dirty() && chunk.has_unwritten_start() == with_start
+            })
+        };
+        for (&index, chunk) in dirty(true).chain(dirty(false)) {
+            match self.add_chunk(due, job, index, chunk) {
+                Added::Yes => {}
+                stop @ (Added::JobDeferred | Added::Full) => return stop,
+            }
+        }
+        Added::Yes
+    }
+
+    /// Adds the end of a job. Its chunks go once the job has ended; no need to write
+    /// them.
+    fn add_end(&mut self, id: &JobId, job: &Job, phase: JobPhase) -> Added {
+        if self.cas.writes.len() + 2 > self.placer.max_cas_operations
+            || self.in_flight.record_count() >= self.placer.max_records_per_cas
+        {
+            return Added::Full;
+        }
+        self.require_job_version(id, job);
+        self.cas.writes.push(Write::Delete { key: job_key(id) });
+        self.cas
+            .writes
+            .push(Write::put(end_key(id), &JobEndRecord { phase }));
+        self.in_flight.job_ends.push(JobEndWrite {
+            job: id.clone(),
+            phase,
+        });
+        Added::Yes
+    }
+
+    /// Adds one chunk of a job.
+    fn add_chunk(&mut self, due: &DueJob<'_>, job: &Job, index: u32, chunk: &TaskChunk) -> Added {
+        if self.is_full_for_chunk() {
+            return Added::Full;
+        }
+        let creates = chunk.version == 0 && !job.ended;
+        if creates && job.copy_is_stale() {
+            return Added::Yes;
+        }
+        if due.write_priority >= WritePriority::LowPriorityStart {
+            if self.low_priority_chunks >= self.max_low_priority_chunks(due.write_priority) {
+                return Added::JobDeferred;
+            }
+            self.low_priority_chunks += 1;
+        }
+        let id = due.id;
+        let record = job.chunk_record(index);
+        let is_removal = job.ended && record.live.is_empty();
+        let key = run_key(self.placer.shard, id, index);
+        let write = ChunkWrite {
+            job: id.clone(),
+            index,
+            change: chunk.change,
+            is_removal,
+        };
+        if is_removal && chunk.version == 0 {
+            // Guards against a chunk that stays for ever, since the answer to its
+            // creation was lost: now that the job has ended it can't be made any more,
+            // so that a comparison tells.
+            if chunk.write_indeterminate {
+                self.cas.conditions.push(Condition { key, version: 0 });
+            }
+            self.in_flight.chunks.push(write);
+            return Added::Yes;
+        }
+        self.cas.conditions.push(Condition {
+            key: key.clone(),
+            version: chunk.version,
+        });
+        // Guards against a compare-and-swap that is made late, once the job has ended
+        // and the chunk is removed: that there is no chunk would be true again, and an
+        // attempt that nobody knows would come back. A job's key never has the same
+        // version twice.
+        if creates && !self.requires_version_of(id) {
+            self.require_job_version(id, job);
+            self.bytes += RECORD_BYTES;
+        }
+        if is_removal {
+            self.cas.writes.push(Write::Delete { key });
+        } else {
+            self.bytes += record_bytes(&record);
+            self.cas.writes.push(Write::Put {
+                key,
+                value: chunk_value(&record, self.placer.record_format_version),
+                hold: None,
+            });
+        }
+        self.in_flight.chunks.push(write);
+        Added::Yes
+    }
+
+    fn is_full_for_chunk(&self) -> bool {
+        let max_operations = self.placer.max_cas_operations;
+        self.cas.writes.len() + 1 > max_operations
+            || self.cas.conditions.len() + 2 > CONDITIONS_A_CHANGE * max_operations
+            || self.bytes > TXN_BYTES
+            || self.in_flight.record_count() >= self.placer.max_records_per_cas
+    }
+
+    /// What thousands of jobs leave behind must not keep starts from their turn, nor
+    /// the other way round.
+    fn max_low_priority_chunks(&self, write_priority: WritePriority) -> usize {
+        let per_s = self.placer.low_priority_writes_per_s;
+        if write_priority == WritePriority::LowPriorityStart {
+            per_s.div_ceil(2)
+        } else {
+            per_s
+        }
+    }
+
+    fn requires_version_of(&self, id: &JobId) -> bool {
+        self.in_flight
+            .job_versions
+            .last()
+            .is_some_and(|last| last.job == *id)
+    }
+
+    fn require_job_version(&mut self, id: &JobId, job: &Job) {
+        self.cas.conditions.push(Condition {
+            key: job_key(id),
+            version: job.key_version,
+        });
+        self.in_flight.job_versions.push(JobVersion {
+            job: id.clone(),
+            version: job.key_version,
+        });
+    }
+
+    /// True if a gang's step would not fit what is left of this compare-and-swap, but
+    /// fits a whole one.
+    fn would_split_step(&self, job: &Job) -> bool {
+        let chunks = job
+            .chunks
+            .values()
+            .filter(|chunk| chunk.written < chunk.newest_step)
+            .count();
+        let bytes = chunks * RECORD_BYTES + job.live.len() * LIVE_ATTEMPT_BYTES;
+        let fits = |writes: usize, bytes: usize| {
+            writes <= self.placer.max_cas_operations && bytes <= TXN_BYTES
+        };
+        fits(chunks, bytes) && !fits(self.cas.writes.len() + chunks, self.bytes + bytes)
+    }
+}
+
+fn record_bytes(record: &TaskChunkRecord) -> usize {
+    RECORD_BYTES + record.live.len() * LIVE_ATTEMPT_BYTES + record.done.len() * DONE_RANGE_BYTES
+}
--- a/crates/coordination/src/supervision/entries.rs
+++ b/crates/coordination/src/supervision/entries.rs
@@ -68,7 +68,7 @@
             .shards
             .get(&shard)
             .or_else(|| self.shards.values().next());
-        let up = knows.and_then(|p| p.placer.known_up(shard));
+        let up = knows.and_then(|p| p.placer.running_counts(shard));
         let record = FailoverRecord {
             n,
             from,
@@ -125,7 +125,7 @@
             at.saturating_sub(self.config.wall_offset_ms).min(now)
         });
         if let Some(shard) = self.shards.get_mut(&lease.shard) {
-            shard.placer.look(&mut shard.failover, now);
+            shard.placer.observe_services(&mut shard.failover, now);
             let awaited = shard.placer.services.short().clone();
             shard.failover = Failover::new(entry.map(|(n, _)| n), lease.token, began, awaited, now);
         }
@@ -138,7 +138,7 @@
         let Some(shard) = self.shards.get_mut(&index) else {
             return;
         };
-        shard.placer.look(&mut shard.failover, now);
+        shard.placer.observe_services(&mut shard.failover, now);
         shard.placer.escalate(&shard.shortage, now);
         let Some(number) = shard.failover.due(now) else {
             return;
@@ -149,7 +149,7 @@
             return shard.failover.closed();
         };
         // Guards against a note that takes a start's turn.
-        if shard.placer.starts_wait() {
+        if shard.placer.has_unwritten_starts() {
             return;
         }
         shard.failover.tried(now);
--- a/crates/coordination/src/supervision/picture.rs
+++ b/crates/coordination/src/supervision/picture.rs
@@ -115,14 +115,14 @@
         };
         let s = |since: u64| now.saturating_sub(since) / 1_000;
         row.up = service.seen.up.min(tasks);
-        row.zones = own.placer.zones_up(&spec.id);
+        row.zones = own.placer.running_replicas_by_zone(&spec.id);
         row.short_s = service.short_since.map(s);
         row.below_half_s = service.below_half_since.map(s);
         row.doing = service.seen.doing.text().into();
         row.due_s = service.by.map(|by| (by as i64 - now as i64) / 1_000);
         row.lacks = own
             .placer
-            .job_note(&spec.id, now)
+            .job_status(&spec.id, now)
             .map(|(_, _, reason)| reason)
             .unwrap_or_default();
         row.tried = service
--- a/crates/coordination/tests/cancellations.rs
+++ b/crates/coordination/tests/cancellations.rs
@@ -123,7 +123,7 @@
                         self.revision += 1;
                         self.core.cas_done(
                             lease,
-                            CompareAndSwapOutcome::Done(self.revision),
+                            CompareAndSwapOutcome::Committed(self.revision),
                             self.now,
                         );
                     }
--- a/crates/coordination/tests/chains.rs
+++ b/crates/coordination/tests/chains.rs
@@ -208,12 +208,12 @@
     // Its answer is lost: nothing but the same is tried again, once the copy was read.
     leader
         .core
-        .chain_done(CompareAndSwapOutcome::Again, leader.now);
+        .chain_done(CompareAndSwapOutcome::Indeterminate, leader.now);
     assert_eq!(leader.due().0, Some(cas.clone()));
     let revision = leader.make(&cas);
     leader
         .core
-        .chain_done(CompareAndSwapOutcome::Done(revision), leader.now);
+        .chain_done(CompareAndSwapOutcome::Committed(revision), leader.now);
     assert!(leader.core.cache.jobs.contains_key(&id(3)));
     assert_eq!(leader.due(), (None, Vec::new()));
 }
@@ -331,7 +331,7 @@
         let revision = leader.make(&cas);
         leader
             .core
-            .chain_done(CompareAndSwapOutcome::Done(revision), leader.now);
+            .chain_done(CompareAndSwapOutcome::Committed(revision), leader.now);
         if sets(&cas, &job_key(&id(MANY))) {
             break;
         }
--- a/crates/coordination/tests/changes.rs
+++ b/crates/coordination/tests/changes.rs
@@ -473,14 +473,14 @@
     let mut revision = 1;
     // Tells a view, lets the placer place and write, and counts its attempts.
     let mut tell = |machines: Vec<MachineView>, span: ChangeRange, attempts: Vec<AttemptStatus>| {
-        let seq = placer.sync_for(0, TOKEN, ROOM, false, 0).seq;
-        placer.take_view(view(seq, span, machines, attempts), 0);
-        placer.place(0);
+        let seq = placer.sync_request(0, TOKEN, ROOM, false, 0).seq;
+        placer.apply_view(view(seq, span, machines, attempts), 0);
+        placer.run_placement_pass(0);
         while placer.next_cas(0).is_some() {
             revision += 1;
-            placer.cas_done(CompareAndSwapOutcome::Done(revision), 0);
+            placer.apply_cas_outcome(CompareAndSwapOutcome::Committed(revision), 0);
         }
-        placer.sync_for(0, TOKEN, ROOM, false, 0).wants
+        placer.sync_request(0, TOKEN, ROOM, false, 0).wants
     };
     let first = tell(
         vec![machine(4)],
--- a/crates/coordination/tests/ends.rs
+++ b/crates/coordination/tests/ends.rs
@@ -201,7 +201,7 @@
                 version: e.version,
             });
             if let Some(leader) = self.leaders[*shard].as_mut() {
-                leader.placer.set_job(&spec.id, mirrored.as_ref(), self.now);
+                leader.placer.apply_job(&spec.id, mirrored.as_ref(), self.now);
             }
         }
     }
@@ -226,7 +226,7 @@
         let mut owner = Owner::new(shard as u16, token, PARTS as u16, TIMING, policy, self.now);
         owner.set_types([kind()].iter());
         let mut placer = Placer::new(shard as u16, token, PARTS as u16, terms(), self.now);
-        placer.expect(
+        placer.set_start_objectives(
             &HashMap::new(),
             f64::MAX,
             &[(kind().name, kind())].into_iter().collect(),
@@ -244,12 +244,12 @@
                 e.version,
             );
         }
-        let known: Vec<JobId> = placer.known().cloned().collect();
+        let known: Vec<JobId> = placer.known_jobs().cloned().collect();
         for id in known
             .iter()
             .filter(|id| !self.store.contains_key(&job_key(id)))
         {
-            placer.set_job(id, None, self.now);
+            placer.apply_job(id, None, self.now);
         }
         self.leaders[shard] = Some(Leader {
             token,
@@ -339,7 +339,7 @@
             }
         }
         self.tell_jobs();
-        CompareAndSwapOutcome::Done(self.revision)
+        CompareAndSwapOutcome::Committed(self.revision)
     }
 
     /// A placer's turn: its answer comes, and it writes.
@@ -358,10 +358,10 @@
             self.answered(shard, outcome);
             return;
         }
-        leader.placer.keep_ledger(now, 0);
-        if leader.placer.wants_pass(now) && now >= leader.passed + PLACE_GAP_MS {
+        leader.placer.advance_gang_admissions(now, 0);
+        if leader.placer.placement_is_due(now) && now >= leader.passed + PLACE_GAP_MS {
             leader.passed = now;
-            leader.placer.place(now);
+            leader.placer.run_placement_pass(now);
         }
         let cas = if leader.flight.is_none() && now >= leader.pause {
             leader.placer.next_cas(now)
@@ -374,14 +374,14 @@
         let (at, outcome) = match fate {
             Fate::Slow(beats) => (now + beats * BEAT_MS, Some(self.apply(&cas))),
             Fate::Held(beats) => (now + beats.max(1) * BEAT_MS, None),
-            Fate::Lost => (now, Some(CompareAndSwapOutcome::Again)),
+            Fate::Lost => (now, Some(CompareAndSwapOutcome::Indeterminate)),
             Fate::Silent => {
                 self.apply(&cas);
-                (now, Some(CompareAndSwapOutcome::Again))
+                (now, Some(CompareAndSwapOutcome::Indeterminate))
             }
             Fate::Late(beats) => {
                 self.late.push((now + beats * BEAT_MS, cas.clone()));
-                (now, Some(CompareAndSwapOutcome::Again))
+                (now, Some(CompareAndSwapOutcome::Indeterminate))
             }
         };
         if at > now {
@@ -405,16 +405,16 @@
         let Some(leader) = self.leaders[shard].as_mut() else {
             return;
         };
-        if matches!(outcome, CompareAndSwapOutcome::Again) {
+        if matches!(outcome, CompareAndSwapOutcome::Indeterminate) {
             leader.pause = now + 2 * TICK_MS;
         }
         for (id, chunk, version) in reread {
-            leader.placer.reread(&id, chunk, version);
+            leader.placer.apply_reread_version(&id, chunk, version);
         }
-        let (verdict, _) = leader.placer.cas_done(outcome, now);
+        let (verdict, _) = leader.placer.apply_cas_outcome(outcome, now);
         assert_eq!(
             verdict,
-            ShardOwnership::Fine,
+            ShardOwnership::Held,
             "only a superseded holder loses its part"
         );
     }
@@ -427,16 +427,16 @@
         if from == to {
             let sync = leader
                 .placer
-                .sync_for(to as u16, leader.token, ROOM, false, now);
+                .sync_request(to as u16, leader.token, ROOM, false, now);
             let view = leader.owner.sync(&sync, ROOM, now).expect("its own");
-            leader.placer.take_view(view, now);
+            leader.placer.apply_view(view, now);
         } else if let Some(other) = self.leaders[to].as_mut() {
             let sync = leader
                 .placer
-                .sync_for(to as u16, other.token, ROOM, false, now);
+                .sync_request(to as u16, other.token, ROOM, false, now);
             match other.owner.sync(&sync, ROOM, now) {
-                Ok(view) => drop(leader.placer.take_view(view, now)),
-                Err(_) => leader.placer.lost(to as u16),
+                Ok(view) => drop(leader.placer.apply_view(view, now)),
+                Err(_) => leader.placer.message_lost(to as u16),
             }
         }
         self.leaders[from] = Some(leader);
@@ -452,25 +452,25 @@
             leader.owner.tick(now, leader.word);
             let sync = leader
                 .placer
-                .sync_for(*shard as u16, leader.token, ROOM, false, now);
+                .sync_request(*shard as u16, leader.token, ROOM, false, now);
             if let Ok(view) = leader.owner.sync(&sync, ROOM, now) {
-                leader.placer.take_view(view, now);
+                leader.placer.apply_view(view, now);
             }
             let to = 1 - *shard;
             if let Some(other) = self.leaders[to].as_mut() {
                 // It names the owner that its last reading showed.
                 let sync = leader
                     .placer
-                    .sync_for(to as u16, leader.other, ROOM, false, now);
+                    .sync_request(to as u16, leader.other, ROOM, false, now);
                 match other.owner.sync(&sync, ROOM, now) {
-                    Ok(view) => drop(leader.placer.take_view(view, now)),
-                    Err(_) => leader.placer.lost(to as u16),
+                    Ok(view) => drop(leader.placer.apply_view(view, now)),
+                    Err(_) => leader.placer.message_lost(to as u16),
                 }
             }
             // What it writes is made, late or at once, where the conditions hold.
             if let Some(cas) = leader.placer.next_cas(now) {
                 self.late.push((now + 3 * BEAT_MS, cas));
-                leader.placer.cas_done(CompareAndSwapOutcome::Again, now);
+                leader.placer.apply_cas_outcome(CompareAndSwapOutcome::Indeterminate, now);
             }
             for call in leader.owner.calls(now, 64) {
                 let result = self.call(&call);
@@ -803,7 +803,7 @@
             self.leaders
                 .iter()
                 .flatten()
-                .find_map(|l| l.placer.job_note(id, self.now))
+                .find_map(|l| l.placer.job_status(id, self.now))
         };
         let told: Vec<_> = left
             .iter()
@@ -836,7 +836,7 @@
         );
         for leader in self.leaders.iter().flatten() {
             assert_eq!(
-                leader.placer.known().count(),
+                leader.placer.known_jobs().count(),
                 0,
                 "part {:?} knows of none",
                 leader.token
@@ -1093,14 +1093,14 @@
 fn a_start_that_its_jobs_key_refused_waits_for_a_new_copy() {
     let mut placer = Placer::new(0, TOKEN, 1, terms(), 0);
     submit(&mut placer, job(1, 1), 0, 0);
-    let seq = placer.sync_for(0, TOKEN, ROOM, false, 0).seq;
+    let seq = placer.sync_request(0, TOKEN, ROOM, false, 0).seq;
     let whole = lemonweir_protocol::peer::ChangeRange {
         since: 0,
         upto: 1,
         last: true,
     };
-    placer.take_view(view(seq, whole, vec![shown(0, 4)], Vec::new()), 0);
-    placer.place(0);
+    placer.apply_view(view(seq, whole, vec![shown(0, 4)], Vec::new()), 0);
+    placer.run_placement_pass(0);
     let first = placer.next_cas(0).expect("its start");
     assert!(
         first
@@ -1108,20 +1108,20 @@
             .iter()
             .any(|c| c.key == job_key(&id(1)) && c.version == 1)
     );
-    placer.cas_done(CompareAndSwapOutcome::Conflict(vec![job_key(&id(1))]), 0);
+    placer.apply_cas_outcome(CompareAndSwapOutcome::Conflict(vec![job_key(&id(1))]), 0);
     assert!(placer.next_cas(10).is_none(), "nothing new is known");
     submit(&mut placer, job(2, 1), 0, 20);
-    placer.place(20);
+    placer.run_placement_pass(20);
     let other = placer.next_cas(20).expect("another job's start");
     assert!(other.conditions.iter().all(|c| c.key != job_key(&id(1))));
-    placer.cas_done(CompareAndSwapOutcome::Done(50), 20);
+    placer.apply_cas_outcome(CompareAndSwapOutcome::Committed(50), 20);
     let asked = JobRecord {
         spec: job(1, 1),
         at: 0,
         withdrawn: true,
         awaited: 0,
     };
-    placer.set_job(
+    placer.apply_job(
         &id(1),
         Some(&CachedJob {
             record: Arc::new(asked),
@@ -1156,16 +1156,16 @@
         placer.load_chunk(&id(n), chunk, &record, 30 + u64::from(chunk));
     }
     submit(&mut placer, job(1, 150), 0, 0);
-    placer.set_job(&id(2), None, 0);
+    placer.apply_job(&id(2), None, 0);
     let cas = placer.next_cas(2 * END_LAG_MS).expect("one goes");
     assert!(
         matches!(&cas.writes[..], [Write::Delete { key }] if *key == run_key(0, &id(2), 0)),
         "{:?}",
         cas.writes
     );
-    placer.cas_done(CompareAndSwapOutcome::Done(60), 2 * END_LAG_MS);
+    placer.apply_cas_outcome(CompareAndSwapOutcome::Committed(60), 2 * END_LAG_MS);
     assert!(placer.next_cas(4 * END_LAG_MS).is_none());
-    assert_eq!(placer.job_note(&id(1), 0).map(|n| n.0), Some(128));
+    assert_eq!(placer.job_status(&id(1), 0).map(|n| n.0), Some(128));
 }
 
 /// A job is cancelled while its first start is under way, which is then refused or gets
@@ -1174,19 +1174,19 @@
 fn a_start_under_way_does_not_hold_up_a_cancellation() {
     for outcome in [
         CompareAndSwapOutcome::Conflict(vec![job_key(&id(1))]),
-        CompareAndSwapOutcome::Again,
+        CompareAndSwapOutcome::Indeterminate,
     ] {
-        let unknown = matches!(outcome, CompareAndSwapOutcome::Again);
+        let unknown = matches!(outcome, CompareAndSwapOutcome::Indeterminate);
         let mut placer = Placer::new(0, TOKEN, 1, terms(), 0);
         submit(&mut placer, job(1, 2), 0, 0);
-        let seq = placer.sync_for(0, TOKEN, ROOM, false, 0).seq;
+        let seq = placer.sync_request(0, TOKEN, ROOM, false, 0).seq;
         let whole = lemonweir_protocol::peer::ChangeRange {
             since: 0,
             upto: 1,
             last: true,
         };
-        placer.take_view(view(seq, whole, vec![shown(0, 4)], Vec::new()), 0);
-        placer.place(0);
+        placer.apply_view(view(seq, whole, vec![shown(0, 4)], Vec::new()), 0);
+        placer.run_placement_pass(0);
         placer.next_cas(0).expect("its starts");
         let asked = JobRecord {
             spec: job(1, 2),
@@ -1194,7 +1194,7 @@
             withdrawn: true,
             awaited: 0,
         };
-        placer.set_job(
+        placer.apply_job(
             &id(1),
             Some(&CachedJob {
                 record: Arc::new(asked),
@@ -1202,7 +1202,7 @@
             }),
             30,
         );
-        placer.cas_done(outcome, 40);
+        placer.apply_cas_outcome(outcome, 40);
         let end = placer.next_cas(40).expect("its end");
         assert!(
             end.writes.contains(&Write::Delete {
@@ -1214,10 +1214,10 @@
             key: job_key(&id(1)),
             version: 2
         }));
-        placer.cas_done(CompareAndSwapOutcome::Done(50), 50);
+        placer.apply_cas_outcome(CompareAndSwapOutcome::Committed(50), 50);
         // What may have been made is asked for; a refusal tells that it was.
-        assert_eq!(placer.known().count(), usize::from(unknown));
-        assert!(placer.sync_for(0, TOKEN, ROOM, false, 60).wants.is_empty());
+        assert_eq!(placer.known_jobs().count(), usize::from(unknown));
+        assert!(placer.sync_request(0, TOKEN, ROOM, false, 60).wants.is_empty());
         if unknown {
             let absent = placer.next_cas(60 + END_LAG_MS).expect("a question");
             assert!(
@@ -1227,8 +1227,8 @@
                         version: 0
                     })
             );
-            placer.reread(&id(1), 0, 45);
-            placer.cas_done(
+            placer.apply_reread_version(&id(1), 0, 45);
+            placer.apply_cas_outcome(
                 CompareAndSwapOutcome::Conflict(vec![run_key(0, &id(1), 0)]),
                 70 + END_LAG_MS,
             );
@@ -1239,8 +1239,8 @@
                     key: run_key(0, &id(1), 0)
                 }]
             );
-            placer.cas_done(CompareAndSwapOutcome::Done(51), 80 + END_LAG_MS);
-            assert_eq!(placer.known().count(), 0);
+            placer.apply_cas_outcome(CompareAndSwapOutcome::Committed(51), 80 + END_LAG_MS);
+            assert_eq!(placer.known_jobs().count(), 0);
         }
     }
 }
--- a/crates/coordination/tests/largest.rs
+++ b/crates/coordination/tests/largest.rs
@@ -21,8 +21,8 @@
         .into_iter()
         .collect();
     let terms = PlacerConfig {
-        limits,
-        idle_writes: 1_000,
+        quota_limits: limits,
+        low_priority_writes_per_s: 1_000,
         ..terms()
     };
     let mut placer = Placer::new(0, TOKEN, 1, terms, now);
@@ -34,7 +34,7 @@
         },
     )]
     .into();
-    placer.expect(&Default::default(), f64::MAX, &catalog);
+    placer.set_start_objectives(&Default::default(), f64::MAX, &catalog);
     placer
 }
 
@@ -50,7 +50,7 @@
 /// A machine for so many tasks is there; the jobs of which it then holds something,
 /// with their tasks.
 fn room_for(placer: &mut Placer, tasks: u64, now: u64) -> BTreeMap<JobId, usize> {
-    let seq = placer.sync_for(0, TOKEN, ROOM, false, now).seq;
+    let seq = placer.sync_request(0, TOKEN, ROOM, false, now).seq;
     let free = Resources::offer(4.0 * tasks as f64, tasks as f64, 16.0 * tasks as f64);
     // Some other work is on it.
     let machine = lemonweir_protocol::peer::MachineView {
@@ -58,7 +58,7 @@
         busy: 1,
         ..shown(1, 4)
     };
-    placer.take_view(
+    placer.apply_view(
         view(
             seq,
             ChangeRange {
@@ -73,19 +73,19 @@
     );
     pass(placer, now);
     let mut on = BTreeMap::new();
-    for want in placer.sync_for(0, TOKEN, ROOM, false, now).wants {
+    for want in placer.sync_request(0, TOKEN, ROOM, false, now).wants {
         *on.entry(want.id.job).or_default() += 1;
     }
     on
 }
 
 fn pass(placer: &mut Placer, now: u64) {
-    placer.keep_ledger(now, 0);
+    placer.advance_gang_admissions(now, 0);
     // What is left of a job comes in the next, and is written in its turn.
     for step in 0..4 {
-        placer.place(now);
+        placer.run_placement_pass(now);
         while placer.next_cas(now + 50 * step).is_some() {
-            placer.cas_done(CompareAndSwapOutcome::Done(2 + step), now);
+            placer.apply_cas_outcome(CompareAndSwapOutcome::Committed(2 + step), now);
         }
     }
 }
@@ -202,19 +202,19 @@
                 .map(|(n, tasks, _)| if n % 5 == 0 { *tasks } else { 1 })
                 .collect();
             let first: Vec<u64> = placer
-                .lacking
+                .unmet_demand
                 .iter()
                 .filter(|d| d.first)
                 .map(|d| u64::from(d.count))
                 .collect();
             assert_eq!(first, units, "seed {seed}: {jobs:?}");
-            assert!(placer.lacking.iter().all(|d| !d.only_spot));
+            assert!(placer.unmet_demand.iter().all(|d| !d.only_spot));
             assert_eq!(
-                placer.lacking.iter().filter(|d| !d.idle).count(),
+                placer.unmet_demand.iter().filter(|d| !d.idle).count(),
                 usize::from(others)
             );
             assert!(
-                placer.lacking.is_sorted_by_key(|d| d.first),
+                placer.unmet_demand.is_sorted_by_key(|d| d.first),
                 "others come before"
             );
         }
@@ -229,10 +229,10 @@
     assert_eq!(room_for(&mut placer, 1, 1_000).len(), 1);
     for now in [150_000, 300_000, IDLE_PATIENCE_MS - 1] {
         pass(&mut placer, now);
-        assert!(placer.lacking.is_empty(), "{now}: {:?}", placer.lacking);
+        assert!(placer.unmet_demand.is_empty(), "{now}: {:?}", placer.unmet_demand);
     }
     pass(&mut placer, IDLE_PATIENCE_MS);
-    assert_eq!(placer.lacking.len(), 1);
+    assert_eq!(placer.unmet_demand.len(), 1);
 }
 
 /// A service that its team's limit keeps from being whole asks for what it may have;
@@ -276,7 +276,7 @@
         );
         pass(&mut placer, 0);
         assert_eq!(
-            placer.lacking.iter().map(|d| d.count).next(),
+            placer.unmet_demand.iter().map(|d| d.count).next(),
             want,
             "{shape:?}"
         );
@@ -316,15 +316,15 @@
     }
     let seen = |placer: &mut Placer| {
         placer
-            .known()
+            .known_jobs()
             .filter(|j| {
                 placer
-                    .job_note(j, 0)
+                    .job_status(j, 0)
                     .is_some_and(|(_, _, why)| why.contains("written"))
             })
             .count()
     };
-    let seq = placer.sync_for(0, TOKEN, ROOM, false, 0).seq;
+    let seq = placer.sync_request(0, TOKEN, ROOM, false, 0).seq;
     let span = ChangeRange {
         since: 0,
         upto: 1,
@@ -336,19 +336,19 @@
             ..shown(n, 4)
         })
         .collect();
-    placer.take_view(view(seq, span, machines, Vec::new()), 0);
-    placer.place(0);
+    placer.apply_view(view(seq, span, machines, Vec::new()), 0);
+    placer.run_placement_pass(0);
     assert_eq!(seen(&mut placer), 18, "all small ones");
-    assert!(placer.wants_pass(0), "it goes on");
+    assert!(placer.placement_is_due(0), "it goes on");
     for _ in 0..100 {
-        if !placer.wants_pass(0) {
+        if !placer.placement_is_due(0) {
             break;
         }
-        placer.place(0);
+        placer.run_placement_pass(0);
     }
     let all: u64 = placer
-        .known()
-        .filter_map(|j| placer.job_note(j, 0))
+        .known_jobs()
+        .filter_map(|j| placer.job_status(j, 0))
         .map(|(_, _, why)| u64::from(why.contains("room")))
         .sum();
     assert_eq!(
--- a/crates/coordination/tests/late_transactions.rs
+++ b/crates/coordination/tests/late_transactions.rs
@@ -61,7 +61,7 @@
 
     fn cas(&mut self, cas: &CompareAndSwap) -> CompareAndSwapOutcome {
         assert!(
-            cas.writes.len() <= terms().txn_ops && cas.conditions.len() <= 4 * terms().txn_ops,
+            cas.writes.len() <= terms().max_cas_operations && cas.conditions.len() <= 4 * terms().max_cas_operations,
             "more than a transaction may hold"
         );
         let failed: Vec<String> = cas
@@ -83,11 +83,11 @@
                 Write::Delete { key } => drop(self.keys.remove(key)),
             }
         }
-        CompareAndSwapOutcome::Done(self.revision)
+        CompareAndSwapOutcome::Committed(self.revision)
     }
 
     fn makes(&mut self, cas: &CompareAndSwap) -> bool {
-        matches!(self.cas(cas), CompareAndSwapOutcome::Done(_))
+        matches!(self.cas(cas), CompareAndSwapOutcome::Committed(_))
     }
 
     /// Jobs of the records of tasks.
@@ -157,7 +157,7 @@
             record: Arc::new(record),
             version: self.store.version(&job_key(id)),
         });
-        self.placer.set_job(id, job.as_ref(), self.now);
+        self.placer.apply_job(id, job.as_ref(), self.now);
     }
 
     fn withdraw(&mut self, id: &JobId) {
@@ -175,7 +175,7 @@
 
     /// The owner of four machines is told what is wanted, and tells this.
     fn sync(&mut self, attempts: &[(AttemptId, AttemptState)]) {
-        let sync = self.placer.sync_for(0, TOKEN, ROOM, false, self.now);
+        let sync = self.placer.sync_request(0, TOKEN, ROOM, false, self.now);
         assert!(
             sync.span.since == 0 && sync.span.last,
             "all is told anew each time"
@@ -195,7 +195,7 @@
             })
             .collect();
         let machines: Vec<_> = (0..4).map(|n| shown(n, 4)).collect();
-        self.placer.take_view(
+        self.placer.apply_view(
             view(
                 sync.seq,
                 ChangeRange {
@@ -212,7 +212,7 @@
 
     fn place(&mut self) {
         self.now += 100;
-        self.placer.place(self.now);
+        self.placer.run_placement_pass(self.now);
     }
 
     /// The next transaction, after so many ms.
@@ -226,12 +226,12 @@
         if let CompareAndSwapOutcome::Conflict(keys) = &outcome {
             for key in keys {
                 if let Some((job, chunk)) = parse_run_key(key) {
-                    self.placer.reread(&job, chunk, self.store.version(key));
+                    self.placer.apply_reread_version(&job, chunk, self.store.version(key));
                 }
             }
         }
-        let (verdict, ends) = self.placer.cas_done(outcome, self.now);
-        assert_eq!(verdict, ShardOwnership::Fine);
+        let (verdict, ends) = self.placer.apply_cas_outcome(outcome, self.now);
+        assert_eq!(verdict, ShardOwnership::Held);
         ends
     }
 
@@ -263,7 +263,7 @@
     night.submit(&spec);
     night.place();
     let late = night.next(1).expect("two starts");
-    night.end(CompareAndSwapOutcome::Again);
+    night.end(CompareAndSwapOutcome::Indeterminate);
     night.withdraw(&spec.id);
     night.copy(&spec.id);
     let cas = night.next(1).expect("its end");
@@ -273,7 +273,7 @@
         vec![(spec.id.clone(), JobPhase::Withdrawn)]
     );
     night.write();
-    assert_eq!(night.placer.known().count(), 0);
+    assert_eq!(night.placer.known_jobs().count(), 0);
     assert!(!night.store.makes(&late));
     assert!(night.store.recorded().is_empty());
 }
@@ -287,7 +287,7 @@
     night.submit(&spec);
     night.place();
     let late = night.next(1).expect("a start");
-    night.end(CompareAndSwapOutcome::Again);
+    night.end(CompareAndSwapOutcome::Indeterminate);
     let again = night.next(1).expect("the start again");
     assert_eq!(late, again);
     let outcome = night.store.cas(&again);
@@ -302,7 +302,7 @@
     night.copy(&spec.id);
     night.write();
     assert_eq!(night.store.ended(&spec.id), Some(JobPhase::Done));
-    assert!(night.store.recorded().is_empty() && night.placer.known().count() == 0);
+    assert!(night.store.recorded().is_empty() && night.placer.known_jobs().count() == 0);
     assert!(!night.store.makes(&late));
     assert!(night.store.recorded().is_empty());
 }
@@ -321,7 +321,7 @@
         if !made_late {
             assert!(night.store.makes(&start));
         }
-        night.end(CompareAndSwapOutcome::Again);
+        night.end(CompareAndSwapOutcome::Indeterminate);
         night.withdraw(&spec.id);
         night.copy(&spec.id);
         if made_late {
@@ -335,11 +335,11 @@
             .next(END_LAG_MS + 1)
             .expect("whether there is a record");
         assert!(asked.writes.is_empty());
-        night.end(CompareAndSwapOutcome::Again);
-        assert_eq!(night.placer.known().count(), 1, "no answer tells nothing");
+        night.end(CompareAndSwapOutcome::Indeterminate);
+        assert_eq!(night.placer.known_jobs().count(), 1, "no answer tells nothing");
         night.write();
         assert!(night.store.recorded().is_empty());
-        assert_eq!(night.placer.known().count(), 0);
+        assert_eq!(night.placer.known_jobs().count(), 0);
     }
 }
 
@@ -397,7 +397,7 @@
         assert!(all.len() > 2);
         night.sync(&[(all[0].clone(), AttemptState::Exited(ExitCause::Done))]);
         let late = night.next(END_LAG_MS + 1).expect("an end");
-        night.end(CompareAndSwapOutcome::Again);
+        night.end(CompareAndSwapOutcome::Indeterminate);
         night.sync(&[
             (all[0].clone(), AttemptState::Exited(ExitCause::Done)),
             (all[1].clone(), AttemptState::Exited(ExitCause::Done)),
@@ -411,8 +411,8 @@
             assert!(night.store.makes(&late));
             let outcome = night.store.cas(&cas);
             assert!(matches!(outcome, CompareAndSwapOutcome::Conflict(_)));
-            night.placer.reread(&spec.id, 0, read);
-            night.placer.cas_done(outcome, night.now);
+            night.placer.apply_reread_version(&spec.id, 0, read);
+            night.placer.apply_cas_outcome(outcome, night.now);
         } else {
             let outcome = night.store.cas(&cas);
             night.end(outcome);
@@ -435,7 +435,7 @@
 fn a_late_answer_to_an_earlier_holder_is_not_taken() {
     let mut earlier = Placer::new(0, TOKEN, 1, terms(), 0);
     let seq = (0..3)
-        .map(|_| earlier.sync_for(0, TOKEN, ROOM, false, 0).seq)
+        .map(|_| earlier.sync_request(0, TOKEN, ROOM, false, 0).seq)
         .last()
         .expect("some");
     let late = view(
@@ -449,12 +449,12 @@
         Vec::new(),
     );
     let mut placer = Placer::new(0, TOKEN + 1, 1, terms(), 0);
-    let first = placer.sync_for(0, TOKEN, ROOM, false, 0).seq;
+    let first = placer.sync_request(0, TOKEN, ROOM, false, 0).seq;
     for _ in 0..5 {
-        placer.sync_for(0, TOKEN, ROOM, false, 0);
+        placer.sync_request(0, TOKEN, ROOM, false, 0);
     }
-    assert!(!placer.take_view(late, 100));
-    assert_eq!(placer.sync_for(0, TOKEN, ROOM, false, 0).have.machines, 0);
+    assert!(!placer.apply_view(late, 100));
+    assert_eq!(placer.sync_request(0, TOKEN, ROOM, false, 0).have.machines, 0);
     let answer = view(
         first,
         ChangeRange {
@@ -465,7 +465,7 @@
         vec![shown(0, 4)],
         Vec::new(),
     );
-    assert!(placer.take_view(answer, 200), "its own is");
+    assert!(placer.apply_view(answer, 200), "its own is");
 }
 
 // ---- drawn nights ------------------------------------------------------------------
@@ -507,7 +507,7 @@
             let calm = step >= 500;
             night.now += draw.below(400);
             match draw.below(9) {
-                0 => night.placer.place(night.now),
+                0 => night.placer.run_placement_pass(night.now),
                 1..=3 => {
                     let Some(cas) = night.next(draw.below(END_LAG_MS)) else {
                         continue;
@@ -516,13 +516,13 @@
                         0 | 1 => night.store.cas(&cas),
                         2 => {
                             night.store.cas(&cas);
-                            CompareAndSwapOutcome::Again
+                            CompareAndSwapOutcome::Indeterminate
                         }
                         3 => {
                             late.push(cas);
-                            CompareAndSwapOutcome::Again
+                            CompareAndSwapOutcome::Indeterminate
                         }
-                        _ => CompareAndSwapOutcome::Again,
+                        _ => CompareAndSwapOutcome::Indeterminate,
                     };
                     // A late one may be made while the keys are read.
                     if matches!(outcome, CompareAndSwapOutcome::Conflict(_))
--- a/crates/coordination/tests/ledger.rs
+++ b/crates/coordination/tests/ledger.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 use lemonweir_coordination::gang_admission::{
-    GangAdmission, GangMembers, GangVerdict, inherited, verdict,
+    GangAdmission, GangMembers, GangVerdict, InheritedAdmission, inherited_admission, verdict,
 };
 use lemonweir_coordination::owner::{CommandCall, CommandResult, Owner};
 use lemonweir_coordination::placer::{CompareAndSwapOutcome, Placer, PlacerConfig, ShardOwnership};
@@ -140,8 +140,8 @@
                 })
             })
             .collect();
-        let (step, _, attempt) =
-            inherited(records.iter().map(|r| (4, r.as_ref()))).expect("chunks");
+        let InheritedAdmission { step, attempt, .. } =
+            inherited_admission(records.iter().map(|r| (4, r.as_ref()))).expect("chunks");
         let has = |kind: GangAdmissionStep| records.iter().flatten().any(|r| r.step == kind);
         let plain = match () {
             () if has(GangAdmissionStep::Released) => GangAdmissionStep::Released,
@@ -150,7 +150,7 @@
         };
         assert_eq!((step, attempt), (plain, 4), "{picks:?}");
     }
-    let (step, ..) = inherited([(1, None), (2, None)].into_iter()).expect("chunks");
+    let InheritedAdmission { step, .. } = inherited_admission([(1, None), (2, None)].into_iter()).expect("chunks");
     assert_eq!(
         step,
         GangAdmissionStep::Released,
@@ -329,7 +329,7 @@
                 version: e.version,
             });
             if let Some((placer, _)) = self.shards[*shard].placer.as_mut() {
-                placer.set_job(&spec.id, mirrored.as_ref(), self.now);
+                placer.apply_job(&spec.id, mirrored.as_ref(), self.now);
             }
         }
     }
@@ -375,7 +375,7 @@
             ..terms()
         };
         let mut placer = Placer::new(shard as u16, token, PARTS as u16, terms, self.now);
-        placer.expect(
+        placer.set_start_objectives(
             &HashMap::new(),
             f64::MAX,
             &[(kind().name, kind())].into_iter().collect(),
@@ -405,7 +405,7 @@
             .filter(|id| !self.store.contains_key(&job_key(id)))
         {
             if let Some((placer, _)) = self.shards[shard].placer.as_mut() {
-                placer.set_job(id, None, self.now);
+                placer.apply_job(id, None, self.now);
             }
         }
         self.tell_jobs();
@@ -478,7 +478,7 @@
             }
         }
         self.tell_jobs();
-        CompareAndSwapOutcome::Done(self.revision)
+        CompareAndSwapOutcome::Committed(self.revision)
     }
 
     fn placer_turn(&mut self, shard: usize) {
@@ -492,10 +492,10 @@
             return;
         };
         let token = *token;
-        placer.keep_ledger(now, 1_000_000);
-        if placer.wants_pass(now) && now >= *passed + PLACE_GAP_MS {
+        placer.advance_gang_admissions(now, 1_000_000);
+        if placer.placement_is_due(now) && now >= *passed + PLACE_GAP_MS {
             *passed = now;
-            placer.place(now);
+            placer.run_placement_pass(now);
         }
         let Some(cas) = placer.next_cas(now) else {
             return;
@@ -504,14 +504,14 @@
         let outcome = match (trouble, self.draws.below(3)) {
             (false, _) => self.apply(&cas),
             // Not made; made, but nobody hears of it; made late.
-            (true, 0) => CompareAndSwapOutcome::Again,
+            (true, 0) => CompareAndSwapOutcome::Indeterminate,
             (true, 1) => {
                 self.apply(&cas);
-                CompareAndSwapOutcome::Again
+                CompareAndSwapOutcome::Indeterminate
             }
             (true, _) => {
                 self.late.push_back(Late::CompareAndSwap(cas));
-                CompareAndSwapOutcome::Again
+                CompareAndSwapOutcome::Indeterminate
             }
         };
         let reread: Vec<(JobId, u32, u64)> = match &outcome {
@@ -529,9 +529,9 @@
             return;
         };
         for (id, chunk, version) in reread {
-            placer.reread(&id, chunk, version);
+            placer.apply_reread_version(&id, chunk, version);
         }
-        if placer.cas_done(outcome, now).0 == ShardOwnership::Lost {
+        if placer.apply_cas_outcome(outcome, now).0 == ShardOwnership::Lost {
             self.shards[shard].placer = None;
         }
     }
@@ -544,7 +544,7 @@
         let Some((placer, _)) = self.shards[from].placer.as_mut() else {
             return;
         };
-        let sync = placer.sync_for(to as u16, to_token, ROOM, false, self.now);
+        let sync = placer.sync_request(to as u16, to_token, ROOM, false, self.now);
         match (
             self.trouble > 0 && self.draws.one_in(self.trouble),
             self.draws.below(3),
@@ -564,7 +564,7 @@
 
     fn lose(&mut self, from: usize, to: usize) {
         if let Some((placer, _)) = self.shards[from].placer.as_mut() {
-            placer.lost(to as u16);
+            placer.message_lost(to as u16);
         }
     }
 
@@ -579,7 +579,7 @@
         if !answered || self.trouble > 0 && self.draws.one_in(self.trouble) {
             self.late.push_back(Late::View(from, view));
         } else if let Some((placer, _)) = self.shards[from].placer.as_mut() {
-            placer.take_view(view, self.now);
+            placer.apply_view(view, self.now);
         }
     }
 
@@ -814,7 +814,7 @@
             Some(Late::Sync(to, sync)) => self.deliver(to, &sync, false),
             Some(Late::View(to, view)) => {
                 if let Some((placer, _)) = self.shards[to].placer.as_mut() {
-                    placer.take_view(view, self.now);
+                    placer.apply_view(view, self.now);
                 }
             }
             Some(Late::CompareAndSwap(cas)) => drop(self.apply(&cas)),
@@ -1028,11 +1028,11 @@
     let (mut revision, mut steps) = (TOKEN, Vec::new());
     for round in 0..30u64 {
         let now = 100 + round * 60;
-        let sync = placer.sync_for(0, TOKEN, ROOM, false, now);
+        let sync = placer.sync_request(0, TOKEN, ROOM, false, now);
         let view = owner.sync(&sync, ROOM, now).expect("taken");
-        placer.take_view(view, now);
-        placer.keep_ledger(now, 0);
-        placer.place(now);
+        placer.apply_view(view, now);
+        placer.advance_gang_admissions(now, 0);
+        placer.run_placement_pass(now);
         while let Some(cas) = placer.next_cas(now) {
             let gang: Vec<GangAdmissionStep> = cas
                 .writes
@@ -1051,7 +1051,7 @@
             assert!(cas.writes.len() <= 12);
             assert!(to_value(&cas).to_string().len() < 128 * 1024);
             revision += 1;
-            placer.cas_done(CompareAndSwapOutcome::Done(revision), now);
+            placer.apply_cas_outcome(CompareAndSwapOutcome::Committed(revision), now);
         }
     }
     assert_eq!(
@@ -1197,7 +1197,7 @@
         .as_mut()
         .expect("there")
         .0
-        .sync_for(1, token, ROOM, false, site.now);
+        .sync_request(1, token, ROOM, false, site.now);
     assert!(late.wants.iter().all(|w| w.go) && !late.wants.is_empty());
     site.end_placer(0, 600_000);
     let ended = site.now;
--- a/crates/coordination/tests/recovery.rs
+++ b/crates/coordination/tests/recovery.rs
@@ -54,7 +54,7 @@
 
     /// All that runs is lost, with its machines.
     fn lose_all(&mut self) {
-        let all = self.placer.sync_for(0, TOKEN, ROOM, false, 0).wants;
+        let all = self.placer.sync_request(0, TOKEN, ROOM, false, 0).wants;
         for standing in [AttemptState::Running, AttemptState::Gone] {
             let attempts = all
                 .iter()
@@ -90,7 +90,7 @@
         let view = shown(self.number, 4);
         self.machines.push(view.clone());
         self.tell(vec![view], Vec::new(), Vec::new(), hidden);
-        let wants = self.placer.sync_for(0, TOKEN, ROOM, false, 0).wants;
+        let wants = self.placer.sync_request(0, TOKEN, ROOM, false, 0).wants;
         let last = &self.machines[self.machines.len() - 1].id;
         wants
             .into_iter()
@@ -106,7 +106,7 @@
         attempts: Vec<AttemptStatus>,
         hidden: Vec<PartitionedZone>,
     ) {
-        let seq = self.placer.sync_for(0, TOKEN, ROOM, false, 0).seq;
+        let seq = self.placer.sync_request(0, TOKEN, ROOM, false, 0).seq;
         let since = self.state;
         self.state += 1;
         let view = ShardView {
@@ -131,12 +131,12 @@
             },
             attempts,
         };
-        self.placer.take_view(view, 0);
-        self.placer.place(0);
+        self.placer.apply_view(view, 0);
+        self.placer.run_placement_pass(0);
         while self.placer.next_cas(0).is_some() {
             self.revision += 1;
             self.placer
-                .cas_done(CompareAndSwapOutcome::Done(self.revision), 0);
+                .apply_cas_outcome(CompareAndSwapOutcome::Committed(self.revision), 0);
         }
     }
 }
@@ -192,17 +192,17 @@
     let mut site = Site::new(1);
     assert_eq!(site.one_more(Vec::new()).len(), 4);
     let id = JobId::from("req-000100");
-    assert_eq!(site.placer.job_note(&id, 0), Some((0, 0, String::new())));
+    assert_eq!(site.placer.job_status(&id, 0), Some((0, 0, String::new())));
     site.one_more(vec![PartitionedZone {
         zone: "north".into(),
         for_ms: 12_400,
         over_in_ms: 30_100,
     }]);
-    let said = site.placer.job_note(&id, 15_000).expect("known").2;
+    let said = site.placer.job_status(&id, 15_000).expect("known").2;
     assert_eq!(
         said,
         "zone north out of sight since 15 s, its attempts there end by proof in at most 16 s"
     );
     site.one_more(Vec::new());
-    assert_eq!(site.placer.job_note(&id, 0), Some((0, 0, String::new())));
+    assert_eq!(site.placer.job_status(&id, 0), Some((0, 0, String::new())));
 }
--- a/crates/coordination/tests/starts.rs
+++ b/crates/coordination/tests/starts.rs
@@ -105,7 +105,7 @@
                 .any(|effect| matches!(effect, Effect::CompareAndSwap(..)))
         });
         if now == at {
-            core.cas_done(LOT, CompareAndSwapOutcome::Done(200), at);
+            core.cas_done(LOT, CompareAndSwapOutcome::Committed(200), at);
         }
         let next = Heartbeat {
             token,
--- a/crates/coordination/tests/support/controllers.rs
+++ b/crates/coordination/tests/support/controllers.rs
@@ -272,7 +272,7 @@
     pub fn apply(&mut self, cas: &CompareAndSwap) -> CompareAndSwapOutcome {
         let lives = |w: &Write| !matches!(w, Write::Put { hold: Some(h), .. } if !self.holds.contains_key(h));
         if !cas.writes.iter().all(lives) {
-            return CompareAndSwapOutcome::Again;
+            return CompareAndSwapOutcome::Indeterminate;
         }
         let failed: Vec<String> = cas
             .conditions
@@ -299,24 +299,24 @@
                 Write::Delete { key } => self.drop_key(key),
             }
         }
-        CompareAndSwapOutcome::Done(self.revision)
+        CompareAndSwapOutcome::Committed(self.revision)
     }
 
     /// What becomes of a transaction that a controller makes.
     pub fn transact(&mut self, node: usize, cas: &CompareAndSwap) -> CompareAndSwapOutcome {
         if !self.has_store(node) {
-            return CompareAndSwapOutcome::Again;
+            return CompareAndSwapOutcome::Indeterminate;
         }
         match (self.trouble(), self.draws.below(3)) {
             (false, _) => self.apply(cas),
-            (true, 0) => CompareAndSwapOutcome::Again,
+            (true, 0) => CompareAndSwapOutcome::Indeterminate,
             (true, 1) => {
                 self.apply(cas);
-                CompareAndSwapOutcome::Again
+                CompareAndSwapOutcome::Indeterminate
             }
             (true, _) => {
                 self.hold_back(Late::CompareAndSwap(cas.clone()));
-                CompareAndSwapOutcome::Again
+                CompareAndSwapOutcome::Indeterminate
             }
         }
     }
@@ -452,12 +452,12 @@
             let left = membership.left(core, now);
             let cas = core.claim_txn(&claim, hold, left, now);
             match (claim, self.apply(&cas)) {
-                (ElectionAction::Take { shard, .. }, CompareAndSwapOutcome::Done(token)) => {
+                (ElectionAction::Take { shard, .. }, CompareAndSwapOutcome::Committed(token)) => {
                     self.acquire(node, ShardLease { shard, token })
                 }
                 (
                     ElectionAction::HandBack(lease) | ElectionAction::Leave(lease),
-                    CompareAndSwapOutcome::Done(_),
+                    CompareAndSwapOutcome::Committed(_),
                 ) => {
                     self.nodes[node].core.release(lease.shard, now);
                     self.read(node);
--- a/crates/coordination/tests/support/mod.rs
+++ b/crates/coordination/tests/support/mod.rs
@@ -165,12 +165,12 @@
 /// The terms of a placer without limits, whose gangs wait for 50 s.
 pub fn terms() -> PlacerConfig {
     PlacerConfig {
-        limits: Default::default(),
-        guarantees: Default::default(),
+        quota_limits: Default::default(),
+        guaranteed_quotas: Default::default(),
         zones: vec!["north".into()],
-        txn_ops: 12,
-        spare: 0.0,
-        idle_writes: 12,
+        max_cas_operations: 12,
+        headroom_share: 0.0,
+        low_priority_writes_per_s: 12,
         gang_wait_ms: 50_000,
         wall_offset_ms: 0,
         trade: Default::default(),
@@ -188,7 +188,7 @@
         }),
         version: 1,
     };
-    placer.set_job(&spec.id, Some(&job), now);
+    placer.apply_job(&spec.id, Some(&job), now);
 }
 
 /// What the owner of part 0 tells: these changes of its machines, and all that became
--- a/crates/coordination/tests/turns.rs
+++ b/crates/coordination/tests/turns.rs
@@ -30,9 +30,9 @@
 #[test]
 fn ends_of_withdrawn_jobs_are_written_before_any_start_the_oldest_first() {
     let mut placer = Placer::new(0, TOKEN, 1, terms(), 0);
-    let seq = placer.sync_for(0, TOKEN, ROOM, false, 0).seq;
+    let seq = placer.sync_request(0, TOKEN, ROOM, false, 0).seq;
     let machines: Vec<_> = (0..200).map(|n| shown(n, 4)).collect();
-    placer.take_view(
+    placer.apply_view(
         view(
             seq,
             ChangeRange {
@@ -57,8 +57,8 @@
             2,
         );
     }
-    placer.keep_ledger(3, 0);
-    placer.place(3);
+    placer.advance_gang_admissions(3, 0);
+    placer.run_placement_pass(3);
     // The higher the number the sooner it was withdrawn, of whatever priority.
     let ranks = [
         Priority::Low,
@@ -81,7 +81,7 @@
             }),
             version: 7,
         };
-        placer.set_job(&spec.id, Some(&job), at);
+        placer.apply_job(&spec.id, Some(&job), at);
     }
     let (mut written, mut starts) = (Vec::new(), 0);
     for revision in 50..70 {
@@ -97,7 +97,7 @@
                 None => starts += usize::from(key.starts_with("run/")),
             }
         }
-        placer.cas_done(CompareAndSwapOutcome::Done(revision), 100);
+        placer.apply_cas_outcome(CompareAndSwapOutcome::Committed(revision), 100);
     }
     let oldest_first: Vec<String> = (0..20).rev().map(|n| id(n).to_string()).collect();
     assert_eq!(written, oldest_first);
@@ -118,14 +118,14 @@
             spot: false,
             age_ms: 0,
         };
-        placer.promises.push(PendingInstance {
-            rented,
+        placer.pending_instances.push(PendingInstance {
+            instance: rented,
             shard: 1,
-            at: 1,
+            provisioned_at: 1,
         });
     }
     for room in [700, 2_700, 24_000] {
-        let sync = placer.sync_for(1, TOKEN, room, false, 10);
+        let sync = placer.sync_request(1, TOKEN, room, false, 10);
         assert!(
             peer::write(&sync).len() <= 2 * room,
             "{room}: {}",
--- a/crates/node/src/effect_executor.rs
+++ b/crates/node/src/effect_executor.rs
@@ -127,7 +127,7 @@
     match node.state.cas(cas).await {
         Ok(CompareAndSwapResult::Done(revision)) => {
             node.fresh().await;
-            CompareAndSwapOutcome::Done(revision)
+            CompareAndSwapOutcome::Committed(revision)
         }
         Ok(CompareAndSwapResult::Conflict(keys)) => {
             info!(?keys, "transaction for waiting jobs met other versions");
@@ -136,14 +136,14 @@
         }
         Err(fault) => {
             debug!(%fault, "transaction for waiting jobs not made");
-            CompareAndSwapOutcome::Again
+            CompareAndSwapOutcome::Indeterminate
         }
     }
 }
 
 async fn transaction(node: &Node, lease: lemonweir_coordination::ShardLease, cas: &CompareAndSwap) {
     let outcome = match node.state.cas(cas).await {
-        Ok(CompareAndSwapResult::Done(revision)) => CompareAndSwapOutcome::Done(revision),
+        Ok(CompareAndSwapResult::Done(revision)) => CompareAndSwapOutcome::Committed(revision),
         Ok(CompareAndSwapResult::Conflict(keys)) => CompareAndSwapOutcome::Conflict(keys),
         Err(error) => {
             if error == KvError::Refused {
@@ -152,12 +152,12 @@
                     writes = cas.writes.len(),
                     "the store refused a transaction as malformed"
                 );
-                CompareAndSwapOutcome::Refused
+                CompareAndSwapOutcome::Rejected
             } else {
                 // Whether it was made or not, the same change is tried again under
                 // the same conditions; a conflict then tells.
                 smol::Timer::after(std::time::Duration::from_millis(2 * TICK_MS)).await;
-                CompareAndSwapOutcome::Again
+                CompareAndSwapOutcome::Indeterminate
             }
         }
     };
--- a/crates/simulator/src/world/controllers.rs
+++ b/crates/simulator/src/world/controllers.rs
@@ -431,23 +431,23 @@
                         core.reread(lease, &job, chunk, version);
                     }
                 }
-                core.cas_done(lease, outcome.unwrap_or(CompareAndSwapOutcome::Again), ms);
+                core.cas_done(lease, outcome.unwrap_or(CompareAndSwapOutcome::Indeterminate), ms);
             }
             For::Nobody => {}
             For::Chain => {
-                core.chain_done(outcome.unwrap_or(CompareAndSwapOutcome::Again), ms);
+                core.chain_done(outcome.unwrap_or(CompareAndSwapOutcome::Indeterminate), ms);
                 self.want_reading(host);
             }
             For::Presence(hold) => {
                 h.keeping -= 1;
-                h.hold = matches!(outcome, Some(CompareAndSwapOutcome::Done(_))).then_some(hold);
+                h.hold = matches!(outcome, Some(CompareAndSwapOutcome::Committed(_))).then_some(hold);
             }
             For::Keeper(claim) => {
                 h.keeping -= 1;
                 // Given up here once it is given up in the store.
                 if let (
                     Some(ElectionAction::HandBack(lease) | ElectionAction::Leave(lease)),
-                    Some(CompareAndSwapOutcome::Done(_)),
+                    Some(CompareAndSwapOutcome::Committed(_)),
                 ) = (claim, outcome)
                 {
                     core.release(lease.shard, ms);
@@ -455,12 +455,12 @@
                 self.want_reading(host);
             }
             For::User(id, withdraw, asked) => match outcome {
-                Some(CompareAndSwapOutcome::Done(_)) if withdraw => {
+                Some(CompareAndSwapOutcome::Committed(_)) if withdraw => {
                     // Its end is told to a later question.
                     self.announce(host, &id);
                     self.reply(host, id, None, 503);
                 }
-                Some(CompareAndSwapOutcome::Done(_)) => {
+                Some(CompareAndSwapOutcome::Committed(_)) => {
                     self.announce(host, &id);
                     // With a cancelled job that it needs it is cancelled from the start.
                     let over = cas.writes.iter().any(
--- a/crates/simulator/src/world/services.rs
+++ b/crates/simulator/src/world/services.rs
@@ -172,7 +172,7 @@
                         Input::CompareAndSwap(
                             whose,
                             *cas,
-                            Some(CompareAndSwapOutcome::Again),
+                            Some(CompareAndSwapOutcome::Indeterminate),
                             Vec::new(),
                         ),
                         wait,
@@ -221,8 +221,8 @@
         let now = self.now;
         let mut versions = Vec::new();
         let outcome = match self.store.cas(&cas) {
-            TxnAnswer::NoHold => CompareAndSwapOutcome::Again,
-            TxnAnswer::TooLarge => CompareAndSwapOutcome::Refused,
+            TxnAnswer::NoHold => CompareAndSwapOutcome::Indeterminate,
+            TxnAnswer::TooLarge => CompareAndSwapOutcome::Rejected,
             TxnAnswer::Conflict(keys) => {
                 let version = |key: &str| self.store.get(key).map_or(0, |(_, version)| version);
                 if let For::Core(lease) = whose {
@@ -238,12 +238,12 @@
                 self.ground.checker.written(&cas, now);
                 self.measures.recorded(&cas, now);
                 self.note_ends(&cas, revision);
-                CompareAndSwapOutcome::Done(revision)
+                CompareAndSwapOutcome::Committed(revision)
             }
         };
         if let (
             For::Keeper(Some(ElectionAction::Take { shard, .. })),
-            CompareAndSwapOutcome::Done(token),
+            CompareAndSwapOutcome::Committed(token),
         ) = (&whose, &outcome)
         {
             let lease = ShardLease {
