--- a/crates/coordination/tests/cancellations.rs
+++ b/crates/coordination/tests/cancellations.rs
@@ -1,5 +1,5 @@
 //! A withdrawal is told once every attempt is proven over, in whatever order the
-//! two controllers that had a part, its machines and the store say so.
+//! two controllers that had a shard, its machines and the store say so.
 
 #[path = "support/controllers.rs"]
 mod controllers;
@@ -10,7 +10,7 @@
 use lemonweir_coordination::owner::{CommandResult, Owner};
 use lemonweir_coordination::placer::CompareAndSwapOutcome;
 use lemonweir_coordination::{Config, Core, Effect, ShardLease};
-use lemonweir_model::constants::*;
+use lemonweir_model::constants::{BLIND_MOST_MS, FENCE_BITS, MAIL_AFTER_FAILURES};
 use lemonweir_model::{JobId, JobSpec};
 use lemonweir_protocol::kv_store::{CompareAndSwap, KeyValue, WatchEvent, Write, to_value};
 use lemonweir_protocol::peer::{
@@ -23,15 +23,15 @@
 
 /// Histories drawn.
 const SEEDS: u64 = 60;
-/// Token of the next owner of part 0.
+/// Token of the next owner of shard 0.
 const NEXT: u64 = TOKEN + 10;
-/// Token of controller 1's own part.
+/// Token of controller 1's own shard.
 const OWN: u64 = TOKEN + 5;
 
-// ---- one controller and two owners of another part, in an order given by hand ----
+// ---- one controller and two owners of another shard, in an order given by hand ----
 
-/// Controller 1 with its own part, whose team's one job has an attempt on machine 1
-/// of part 0, which controller 0 holds.
+/// Controller 1 with its own shard, whose team's one job has an attempt on machine 1
+/// of shard 0, which controller 0 holds.
 struct Asker {
     core: Core,
     lease: ShardLease,
@@ -280,7 +280,7 @@
 /// owner is still out. What the former one refused the next one may have started, so
 /// its answer ends nothing from then on, whichever way it comes.
 #[test]
-fn a_former_owner_ends_nothing_that_its_successor_was_told() {
+fn former_owner_ends_nothing_published_to_its_successor() {
     for by_mail in [false, true] {
         for standing in [
             AttemptState::Refused,
@@ -344,7 +344,7 @@
 /// A job whose withdrawal and end both fall between two readings is withdrawn: neither
 /// the changes nor a full reading may show it as done.
 #[test]
-fn a_withdrawal_between_two_readings_is_not_taken_for_done() {
+fn withdrawal_between_two_reads_is_not_mistaken_for_completion() {
     for full in [false, true] {
         let mut asker = Asker::new();
         let (key, now) = (job_key(&asker.job), asker.now);
@@ -417,7 +417,7 @@
     )
 }
 
-/// Offsets of the meeting around the report interval, the store's hold, the lease, the
+/// Offsets of the meeting around the heartbeat interval, the store's hold, the lease, the
 /// time for which a controller answers blindly, and `cancel_s`.
 fn days(draws: &mut Draws, trouble: u64) -> Days {
     const OFFSETS: [u64; 10] = [
@@ -443,7 +443,7 @@
 /// a job that is withdrawn is on a machine or starts there, and once all is over each
 /// user is told, of the end that was written.
 #[test]
-fn no_withdrawal_is_told_while_a_task_is_left() {
+fn withdrawal_is_not_confirmed_while_a_task_runs() {
     for seed in 1..=SEEDS {
         let mut draws = Draws(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1);
         let days = days(&mut draws, [0, 5, 12, 40][seed as usize % 4]);
@@ -474,12 +474,12 @@
 }
 
 /// The store refuses the leader alone, which reaches no other controller either, while
-/// its machines go on coming to it; another takes its part and withdraws its jobs; then
+/// its machines go on coming to it; another takes its shard and withdraws its jobs; then
 /// the store is down for all. At each offset each withdrawal that is told is true, and
 /// those of the leader's machines are stopped when their lease, or the time for which
 /// it may answer blindly, is over.
 #[test]
-fn the_gap_is_no_way_round_the_proof() {
+fn failover_gap_does_not_bypass_the_end_proof() {
     const FROM: u64 = 24_000;
     let (mut asked, mut answered) = (0, 0);
     for alone in [7_500, 9_000, 14_000, 30_000, 61_000, 90_000, 200_000] {
--- a/crates/coordination/tests/changes.rs
+++ b/crates/coordination/tests/changes.rs
@@ -1,4 +1,4 @@
-//! Change messages compared with a slow plain model that knows whole states,
+//! Change messages compared with a slow reference model that knows whole states,
 //! and what they cost as the fleet grows.
 
 mod support;
@@ -112,7 +112,7 @@
     /// what the sender holds, and one that is complete never holds what was
     /// never there.
     #[test]
-    fn a_follower_ends_with_the_plain_models_state(steps in prop::collection::vec(step(), 1..160)) {
+    fn follower_converges_to_the_reference_model(steps in prop::collection::vec(step(), 1..160)) {
         let mut log: ChangeLog<u8, u32> = ChangeLog::default();
         let mut model: BTreeMap<u8, u32> = BTreeMap::new();
         let (mut acked, mut seq, mut token) = (0, 0, 1);
@@ -176,7 +176,7 @@
 /// The work for one start is the same whatever the fleet's size: one machine
 /// is told anew, and one is called.
 #[test]
-fn a_start_costs_the_same_in_a_large_fleet() {
+fn start_cost_is_independent_of_fleet_size() {
     for machines in [10, 1_000] {
         let mut owner = fleet(machines);
         let first = owner
@@ -236,7 +236,7 @@
 
 /// A stop does not wait behind starts where a message holds few of them.
 #[test]
-fn stops_overtake_what_has_no_room() {
+fn stops_overtake_starts_that_do_not_fit() {
     let mut owner = fleet(3);
     let two = ChangeRange {
         since: 0,
@@ -321,7 +321,7 @@
 
 /// A state that does not fit one message comes in several, and all of it comes.
 #[test]
-fn a_whole_state_comes_in_pieces() {
+fn full_state_is_delivered_in_pieces() {
     let mut owner = fleet(300);
     let mut at = ObservedState::default();
     let mut seen = BTreeMap::new();
@@ -362,7 +362,7 @@
 /// note beyond some thirty machines, and after a restart tasks were placed as
 /// if the others had none.
 #[test]
-fn a_large_fleet_keeps_its_images_over_a_restart() {
+fn images_of_a_large_fleet_survive_a_restart() {
     const MACHINES: usize = 400;
     const VALUE: usize = 4 * 1024;
     let mut owner = fleet(MACHINES);
@@ -466,7 +466,7 @@
 /// answers came in pieces, attempts before machines, and the placer took room
 /// again that its own attempts had just been given: 1,900 refusals.
 #[test]
-fn room_is_not_taken_twice_while_figures_are_on_their_way() {
+fn capacity_is_not_double_booked_while_machine_figures_are_in_flight() {
     let mut placer = Placer::new(0, TOKEN, 1, terms(), 0);
     submit(&mut placer, array(9), 0, 0);
     let machine = |gpus: u64| shown(0, gpus);
@@ -543,10 +543,10 @@
 }
 
 /// Found on rough of zeltplatz-rechen-grown: after a crash the list still named
-/// machines that had been given back, and 30 of them counted as booting for a
+/// machines that had been released, and 30 of them counted as booting for a
 /// minute and a half.
 #[test]
-fn a_machine_listed_as_running_that_never_reports_is_no_room() {
+fn listed_machine_without_heartbeats_offers_no_capacity() {
     let mut owner = fleet(1);
     let entry = |phase: &str| InstanceEntry {
         id: machine(5),
@@ -595,7 +595,7 @@
 }
 
 #[test]
-fn numbers_that_make_no_sense_change_nothing() {
+fn impossible_sequence_numbers_change_nothing() {
     let mut owner = fleet(3);
     let whole = ChangeRange {
         since: 0,
@@ -610,7 +610,7 @@
         )
         .expect("taken");
     assert!(owner.calls(20, ROOM).len() == 1);
-    // Late, of another token, of a part that there is not.
+    // Late, of another token, of a shard that there is not.
     assert_eq!(
         owner
             .sync(
--- a/crates/coordination/tests/ends.rs
+++ b/crates/coordination/tests/ends.rs
@@ -1,5 +1,5 @@
-//! Ends of jobs of a few tasks that end far apart, across changes of hands: real
-//! placers and owners over a plain store and plain machines, with transactions that
+//! Ends of jobs of a few tasks that end far apart, across failovers: real
+//! placers and owners over a plain store and plain machines, with compare-and-swaps that
 //! are slow, lost, made without an answer, or made late.
 
 mod support;
@@ -8,8 +8,11 @@
 use std::sync::Arc;
 
 use lemonweir_coordination::owner::{CommandCall, CommandResult, Owner};
-use lemonweir_coordination::placer::{CompareAndSwapOutcome, Placer, ShardOwnership};
-use lemonweir_model::constants::*;
+use lemonweir_coordination::placer::{
+    ATTEMPT_END_WRITE_DELAY_MS, CompareAndSwapOutcome, LOW_PRIORITY_START_DEADLINE_MS, Placer,
+    ShardOwnership,
+};
+use lemonweir_model::constants::{BLIND_MOST_MS, CHUNK_TASKS, PLACE_GAP_MS, TICK_MS};
 use lemonweir_model::policy::Policy;
 use lemonweir_model::{AttemptId, JobId, JobKind, JobSpec, Priority};
 use lemonweir_protocol::kv_store::{
@@ -24,45 +27,45 @@
 use proptest::prelude::*;
 use support::*;
 
-const PARTS: usize = 2;
-const BOXES: usize = 6;
-const BEAT_MS: u64 = 100;
+const SHARDS: usize = 2;
+const WORKERS: usize = 6;
+const STEP_MS: u64 = 100;
 
-/// What becomes of a transaction.
+/// What becomes of a compare-and-swap.
 #[derive(Clone, Copy, Debug)]
-enum Fate {
-    /// Made at once, answered after so many beats.
+enum WriteFault {
+    /// Made at once, answered after so many steps.
     Slow(u64),
-    /// Made and answered after so many beats.
+    /// Made and answered after so many steps.
     Held(u64),
     /// Not made.
     Lost,
     /// Made, without an answer.
     Silent,
-    /// Without an answer, and made after so many beats.
+    /// Without an answer, and made after so many steps.
     Late(u64),
 }
 
-/// A transaction whose answer is to come.
-struct Flight {
+/// A compare-and-swap whose answer is to come.
+struct InFlightWrite {
     cas: CompareAndSwap,
     at: u64,
     outcome: Option<CompareAndSwapOutcome>,
 }
 
-/// One holder of a part.
+/// One leader of a shard.
 struct Leader {
     token: u64,
     placer: Placer,
     owner: Owner,
-    flight: Option<Flight>,
-    /// Not before then is anything written, as after a transaction without answer.
-    pause: u64,
-    passed: u64,
-    /// When its last reading of the store began, and the owner of the other part that
+    in_flight: Option<InFlightWrite>,
+    /// Not before then is anything written, as after a compare-and-swap without answer.
+    write_backoff_until: u64,
+    last_pass_at: u64,
+    /// When its last reading of the store began, and the owner of the other shard that
     /// this showed.
-    word: u64,
-    other: u64,
+    last_store_read_at: u64,
+    other_owner_token: u64,
 }
 
 struct Task {
@@ -72,23 +75,23 @@
 }
 
 /// A machine as the protocol page has it.
-struct Box_ {
+struct Worker {
     name: usize,
     shard: usize,
     session: u64,
     seq: u64,
     token: u64,
-    answered: u64,
-    reported: u64,
+    last_answer_at: u64,
+    last_heartbeat_at: u64,
     changed: bool,
     /// It hangs, or nothing reaches it, until then.
-    mute_until: u64,
+    silent_until: u64,
     tasks: BTreeMap<AttemptId, Task>,
     /// Calls held back meanwhile.
-    held: Vec<CommandCall>,
+    held_calls: Vec<CommandCall>,
 }
 
-impl Box_ {
+impl Worker {
     fn new(name: usize, shard: usize, now: u64) -> Self {
         Self {
             name,
@@ -96,31 +99,31 @@
             session: 1,
             seq: 0,
             token: 0,
-            answered: now,
-            reported: 0,
+            last_answer_at: now,
+            last_heartbeat_at: 0,
             changed: true,
-            mute_until: 0,
+            silent_until: 0,
             tasks: BTreeMap::new(),
-            held: Vec::new(),
+            held_calls: Vec::new(),
         }
     }
 }
 
-struct Site {
+struct Cluster {
     now: u64,
     revision: u64,
     store: BTreeMap<String, KeyValue>,
-    holders: BTreeMap<u16, ShardLeader>,
+    shard_leaders: BTreeMap<u16, ShardLeader>,
     leaders: Vec<Option<Leader>>,
-    back: Vec<u64>,
+    returns_at: Vec<u64>,
     /// Holders that know nothing of their successors, and when they find out.
-    superseded: Vec<(usize, Leader, u64)>,
-    boxes: Vec<Box_>,
+    stale_leaders: Vec<(usize, Leader, u64)>,
+    workers: Vec<Worker>,
     /// Machines that there ever were.
-    names: usize,
+    workers_created: usize,
     jobs: Vec<(usize, Arc<JobSpec>)>,
-    fates: VecDeque<Fate>,
-    late: Vec<(u64, CompareAndSwap)>,
+    write_faults: VecDeque<WriteFault>,
+    delayed: Vec<(u64, CompareAndSwap)>,
     /// Tasks that have completed, and how often.
     completed: BTreeMap<(JobId, u32), u32>,
     /// Attempts started.
@@ -129,27 +132,29 @@
     runs_ms: u64,
 }
 
-impl Site {
+impl Cluster {
     fn new() -> Self {
-        let mut site = Self {
+        let mut cluster = Self {
             now: 1_000,
             revision: 40,
             store: BTreeMap::new(),
-            holders: BTreeMap::new(),
-            leaders: (0..PARTS).map(|_| None).collect(),
-            back: vec![0; PARTS],
-            superseded: Vec::new(),
-            boxes: (0..BOXES).map(|n| Box_::new(n, n % PARTS, 1_000)).collect(),
-            names: BOXES,
+            shard_leaders: BTreeMap::new(),
+            leaders: (0..SHARDS).map(|_| None).collect(),
+            returns_at: vec![0; SHARDS],
+            stale_leaders: Vec::new(),
+            workers: (0..WORKERS)
+                .map(|n| Worker::new(n, n % SHARDS, 1_000))
+                .collect(),
+            workers_created: WORKERS,
             jobs: Vec::new(),
-            fates: VecDeque::new(),
-            late: Vec::new(),
+            write_faults: VecDeque::new(),
+            delayed: Vec::new(),
             completed: BTreeMap::new(),
             launches: 0,
             runs_ms: 0,
         };
-        (0..PARTS).for_each(|shard| site.take(shard));
-        site
+        (0..SHARDS).for_each(|shard| cluster.start_leader(shard));
+        cluster
     }
 
     fn put(&mut self, key: String, value: rmpv::Value) {
@@ -177,7 +182,7 @@
         self.revision += 1;
         self.put(job_key(&spec.id), to_value(&record));
         self.jobs.push((shard, Arc::new(spec)));
-        self.tell_jobs();
+        self.publish_jobs();
     }
 
     fn withdraw(&mut self, id: &JobId) {
@@ -190,27 +195,29 @@
         };
         self.revision += 1;
         self.put(job_key(id), to_value(&record));
-        self.tell_jobs();
+        self.publish_jobs();
     }
 
-    /// What the followed keys say reaches every holder.
-    fn tell_jobs(&mut self) {
+    /// What the followed keys say reaches every leader.
+    fn publish_jobs(&mut self) {
         for (shard, spec) in &self.jobs {
             let mirrored = self.store.get(&job_key(&spec.id)).map(|e| CachedJob {
                 record: Arc::new(from_value(&e.value).expect("a job")),
                 version: e.version,
             });
             if let Some(leader) = self.leaders[*shard].as_mut() {
-                leader.placer.apply_job(&spec.id, mirrored.as_ref(), self.now);
+                leader
+                    .placer
+                    .apply_job(&spec.id, mirrored.as_ref(), self.now);
             }
         }
     }
 
-    /// A controller takes a part and loads its records.
-    fn take(&mut self, shard: usize) {
+    /// A controller takes a shard and loads its records.
+    fn start_leader(&mut self, shard: usize) {
         self.revision += 1;
         let token = self.revision;
-        self.holders.insert(
+        self.shard_leaders.insert(
             shard as u16,
             ShardLeader {
                 host: format!("h{token}"),
@@ -223,9 +230,9 @@
             idle_spot: 1e6,
             ..lemonweir_policy::embedded().expect("policy")
         };
-        let mut owner = Owner::new(shard as u16, token, PARTS as u16, TIMING, policy, self.now);
+        let mut owner = Owner::new(shard as u16, token, SHARDS as u16, TIMING, policy, self.now);
         owner.set_types([kind()].iter());
-        let mut placer = Placer::new(shard as u16, token, PARTS as u16, terms(), self.now);
+        let mut placer = Placer::new(shard as u16, token, SHARDS as u16, terms(), self.now);
         placer.set_start_objectives(
             &HashMap::new(),
             f64::MAX,
@@ -255,32 +262,32 @@
             token,
             placer,
             owner,
-            flight: None,
-            pause: 0,
-            passed: 0,
-            word: self.now,
-            other: 0,
+            in_flight: None,
+            write_backoff_until: 0,
+            last_pass_at: 0,
+            last_store_read_at: self.now,
+            other_owner_token: 0,
         });
-        self.tell_jobs();
+        self.publish_jobs();
     }
 
-    /// The holder of a part ends, or is superseded without knowing for so long.
-    fn end(&mut self, shard: usize, away: u64, knows_nothing: u64) {
+    /// The leader of a shard ends, or is superseded without knowing for so long.
+    fn stop_leader(&mut self, shard: usize, away: u64, knows_nothing: u64) {
         let Some(mut leader) = self.leaders[shard].take() else {
             return;
         };
-        self.back[shard] = self.now + away;
-        if let Some(flight) = leader.flight.take().filter(|f| f.outcome.is_none()) {
-            self.late.push((flight.at, flight.cas));
+        self.returns_at[shard] = self.now + away;
+        if let Some(in_flight) = leader.in_flight.take().filter(|f| f.outcome.is_none()) {
+            self.delayed.push((in_flight.at, in_flight.cas));
         }
         if knows_nothing > 0 {
-            self.superseded
+            self.stale_leaders
                 .push((shard, leader, self.now + away + knows_nothing));
         }
     }
 
     /// True if it stands in the store that a task is done.
-    fn done_written(&self, id: &JobId, task: u32) -> bool {
+    fn is_completion_written(&self, id: &JobId, task: u32) -> bool {
         let chunk = |shard: usize| {
             self.store
                 .get(&run_key(shard as u16, id, task / CHUNK_TASKS))
@@ -292,7 +299,7 @@
                 .iter()
                 .any(|r| (r.0..=r.1).contains(&task))
         };
-        self.store.contains_key(&end_key(id)) || (0..PARTS).filter_map(chunk).any(done)
+        self.store.contains_key(&end_key(id)) || (0..SHARDS).filter_map(chunk).any(done)
     }
 
     fn apply(&mut self, cas: &CompareAndSwap) -> CompareAndSwapOutcome {
@@ -313,13 +320,13 @@
                         let id = JobId::from(id);
                         let record: JobEndRecord = from_value(value).expect("an end");
                         if record.phase == JobPhase::Withdrawn {
-                            let live = |b: &Box_| {
+                            let live = |b: &Worker| {
                                 b.tasks
                                     .iter()
                                     .any(|(i, t)| i.job == id && t.phase != TaskPhase::Exited)
                             };
                             assert!(
-                                !self.boxes.iter().any(live),
+                                !self.workers.iter().any(live),
                                 "{id} is told withdrawn and runs"
                             );
                             self.put(key.clone(), value.clone());
@@ -338,62 +345,64 @@
                 Write::Delete { key } => drop(self.store.remove(key)),
             }
         }
-        self.tell_jobs();
+        self.publish_jobs();
         CompareAndSwapOutcome::Committed(self.revision)
     }
 
     /// A placer's turn: its answer comes, and it writes.
-    fn placer_turn(&mut self, shard: usize) {
+    fn run_placer(&mut self, shard: usize) {
         let now = self.now;
         let Some(mut leader) = self.leaders[shard].take() else {
             return;
         };
-        if leader.flight.as_ref().is_some_and(|f| now >= f.at) {
-            let Some(flight) = leader.flight.take() else {
+        if leader.in_flight.as_ref().is_some_and(|f| now >= f.at) {
+            let Some(in_flight) = leader.in_flight.take() else {
                 unreachable!("looked at")
             };
             // A reading may show the end before its answer comes.
             self.leaders[shard] = Some(leader);
-            let outcome = flight.outcome.unwrap_or_else(|| self.apply(&flight.cas));
-            self.answered(shard, outcome);
+            let outcome = in_flight
+                .outcome
+                .unwrap_or_else(|| self.apply(&in_flight.cas));
+            self.apply_outcome(shard, outcome);
             return;
         }
         leader.placer.advance_gang_admissions(now, 0);
-        if leader.placer.placement_is_due(now) && now >= leader.passed + PLACE_GAP_MS {
-            leader.passed = now;
+        if leader.placer.placement_is_due(now) && now >= leader.last_pass_at + PLACE_GAP_MS {
+            leader.last_pass_at = now;
             leader.placer.run_placement_pass(now);
         }
-        let cas = if leader.flight.is_none() && now >= leader.pause {
+        let cas = if leader.in_flight.is_none() && now >= leader.write_backoff_until {
             leader.placer.next_cas(now)
         } else {
             None
         };
         self.leaders[shard] = Some(leader);
         let Some(cas) = cas else { return };
-        let fate = self.fates.pop_front().unwrap_or(Fate::Slow(0));
-        let (at, outcome) = match fate {
-            Fate::Slow(beats) => (now + beats * BEAT_MS, Some(self.apply(&cas))),
-            Fate::Held(beats) => (now + beats.max(1) * BEAT_MS, None),
-            Fate::Lost => (now, Some(CompareAndSwapOutcome::Indeterminate)),
-            Fate::Silent => {
+        let write_fault = self.write_faults.pop_front().unwrap_or(WriteFault::Slow(0));
+        let (at, outcome) = match write_fault {
+            WriteFault::Slow(beats) => (now + beats * STEP_MS, Some(self.apply(&cas))),
+            WriteFault::Held(beats) => (now + beats.max(1) * STEP_MS, None),
+            WriteFault::Lost => (now, Some(CompareAndSwapOutcome::Indeterminate)),
+            WriteFault::Silent => {
                 self.apply(&cas);
                 (now, Some(CompareAndSwapOutcome::Indeterminate))
             }
-            Fate::Late(beats) => {
-                self.late.push((now + beats * BEAT_MS, cas.clone()));
+            WriteFault::Late(beats) => {
+                self.delayed.push((now + beats * STEP_MS, cas.clone()));
                 (now, Some(CompareAndSwapOutcome::Indeterminate))
             }
         };
         if at > now {
             if let Some(leader) = self.leaders[shard].as_mut() {
-                leader.flight = Some(Flight { cas, at, outcome });
+                leader.in_flight = Some(InFlightWrite { cas, at, outcome });
             }
         } else if let Some(outcome) = outcome {
-            self.answered(shard, outcome);
+            self.apply_outcome(shard, outcome);
         }
     }
 
-    fn answered(&mut self, shard: usize, outcome: CompareAndSwapOutcome) {
+    fn apply_outcome(&mut self, shard: usize, outcome: CompareAndSwapOutcome) {
         let now = self.now;
         let reread: Vec<(JobId, u32, u64)> = match &outcome {
             CompareAndSwapOutcome::Conflict(keys) => keys
@@ -406,7 +415,7 @@
             return;
         };
         if matches!(outcome, CompareAndSwapOutcome::Indeterminate) {
-            leader.pause = now + 2 * TICK_MS;
+            leader.write_backoff_until = now + 2 * TICK_MS;
         }
         for (id, chunk, version) in reread {
             leader.placer.apply_reread_version(&id, chunk, version);
@@ -415,7 +424,7 @@
         assert_eq!(
             verdict,
             ShardOwnership::Held,
-            "only a superseded holder loses its part"
+            "only a superseded leader loses its shard"
         );
     }
 
@@ -444,12 +453,12 @@
 
     /// Those who know nothing of their successors act on: they sync with themselves
     /// and with whoever still takes their word, and answer and call their machines.
-    fn superseded_turn(&mut self) {
+    fn run_stale_leaders(&mut self) {
         let now = self.now;
-        let mut all = std::mem::take(&mut self.superseded);
+        let mut all = std::mem::take(&mut self.stale_leaders);
         all.retain(|(_, _, until)| now < *until);
         for (shard, leader, _) in &mut all {
-            leader.owner.tick(now, leader.word);
+            leader.owner.tick(now, leader.last_store_read_at);
             let sync = leader
                 .placer
                 .sync_request(*shard as u16, leader.token, ROOM, false, now);
@@ -459,9 +468,13 @@
             let to = 1 - *shard;
             if let Some(other) = self.leaders[to].as_mut() {
                 // It names the owner that its last reading showed.
-                let sync = leader
-                    .placer
-                    .sync_request(to as u16, leader.other, ROOM, false, now);
+                let sync = leader.placer.sync_request(
+                    to as u16,
+                    leader.other_owner_token,
+                    ROOM,
+                    false,
+                    now,
+                );
                 match other.owner.sync(&sync, ROOM, now) {
                     Ok(view) => drop(leader.placer.apply_view(view, now)),
                     Err(_) => leader.placer.message_lost(to as u16),
@@ -469,20 +482,22 @@
             }
             // What it writes is made, late or at once, where the conditions hold.
             if let Some(cas) = leader.placer.next_cas(now) {
-                self.late.push((now + 3 * BEAT_MS, cas));
-                leader.placer.apply_cas_outcome(CompareAndSwapOutcome::Indeterminate, now);
+                self.delayed.push((now + 3 * STEP_MS, cas));
+                leader
+                    .placer
+                    .apply_cas_outcome(CompareAndSwapOutcome::Indeterminate, now);
             }
             for call in leader.owner.calls(now, 64) {
-                let result = self.call(&call);
+                let result = self.deliver_command(&call);
                 leader.owner.call_done(&call, result, now);
             }
         }
-        all.append(&mut self.superseded);
-        self.superseded = all;
+        all.append(&mut self.stale_leaders);
+        self.stale_leaders = all;
     }
 
-    fn report_of(&mut self, n: usize) -> Heartbeat {
-        let b = &mut self.boxes[n];
+    fn heartbeat_of(&mut self, n: usize) -> Heartbeat {
+        let b = &mut self.workers[n];
         b.seq += 1;
         let tasks = b.tasks.iter().map(|(id, t)| TaskStatus {
             piece: id.piece(),
@@ -504,20 +519,20 @@
         for o in orders {
             let id = AttemptId::parse(&o.piece, o.attempt).expect("a task");
             match o.verb {
-                CommandKind::Launch if self.boxes[n].tasks.contains_key(&id) => {}
+                CommandKind::Launch if self.workers[n].tasks.contains_key(&id) => {}
                 CommandKind::Launch => {
-                    let twice = |b: &Box_| {
+                    let twice = |b: &Worker| {
                         b.tasks.iter().any(|(i, t)| {
                             (&i.job, i.task) == (&id.job, id.task) && t.phase != TaskPhase::Exited
                         })
                     };
-                    assert!(!self.boxes.iter().any(twice), "{id} is on two machines");
+                    assert!(!self.workers.iter().any(twice), "{id} is on two machines");
                     assert!(
-                        !self.done_written(&id.job, id.task),
+                        !self.is_completion_written(&id.job, id.task),
                         "{id} starts though its end is written"
                     );
                     self.launches += 1;
-                    self.boxes[n].tasks.insert(
+                    self.workers[n].tasks.insert(
                         id,
                         Task {
                             phase: TaskPhase::Fetching,
@@ -528,44 +543,44 @@
                 }
                 CommandKind::Kill => self.exit(n, &id, "stopped"),
                 CommandKind::Forget => {
-                    let done = self.boxes[n]
+                    let done = self.workers[n]
                         .tasks
                         .remove(&id)
                         .is_some_and(|t| t.cause == Some("done"));
                     assert!(
-                        !done || self.done_written(&id.job, id.task),
+                        !done || self.is_completion_written(&id.job, id.task),
                         "{id} is forgotten before its end is written"
                     );
                 }
             }
-            self.boxes[n].changed = true;
+            self.workers[n].changed = true;
         }
     }
 
     fn exit(&mut self, n: usize, id: &AttemptId, cause: &'static str) {
-        if let Some(t) = self.boxes[n]
+        if let Some(t) = self.workers[n]
             .tasks
             .get_mut(id)
             .filter(|t| t.phase != TaskPhase::Exited)
         {
             (t.phase, t.cause) = (TaskPhase::Exited, Some(cause));
-            self.boxes[n].changed = true;
+            self.workers[n].changed = true;
             if cause == "done" {
                 *self.completed.entry((id.job.clone(), id.task)).or_default() += 1;
             }
         }
     }
 
-    /// A machine reports to whoever it last reached: a superseded holder, if any.
-    fn hello(&mut self, n: usize, superseded: bool) {
-        let (shard, now) = (self.boxes[n].shard, self.now);
-        let report = self.report_of(n);
-        self.boxes[n].reported = now;
-        self.boxes[n].changed = false;
+    /// A machine sends its heartbeat to whoever it last reached: a stale leader, if any.
+    fn send_heartbeat(&mut self, n: usize, stale_leaders: bool) {
+        let (shard, now) = (self.workers[n].shard, self.now);
+        let report = self.heartbeat_of(n);
+        self.workers[n].last_heartbeat_at = now;
+        self.workers[n].changed = false;
         let old = self
-            .superseded
+            .stale_leaders
             .iter_mut()
-            .find(|(p, _, _)| *p == shard && superseded)
+            .find(|(p, _, _)| *p == shard && stale_leaders)
             .map(|(_, l, _)| l);
         let Some(leader) = old.or(self.leaders[shard].as_mut()) else {
             return;
@@ -573,54 +588,54 @@
         let Some(reply) = leader.owner.report(&report, None, now) else {
             return;
         };
-        if reply.token < self.boxes[n].token {
+        if reply.token < self.workers[n].token {
             return;
         }
-        (self.boxes[n].token, self.boxes[n].answered) = (reply.token, now);
+        (self.workers[n].token, self.workers[n].last_answer_at) = (reply.token, now);
         self.execute(n, &reply.orders);
     }
 
-    fn calls(&mut self, shard: usize) {
+    fn send_commands(&mut self, shard: usize) {
         let Some(leader) = self.leaders[shard].as_mut() else {
             return;
         };
-        // What is given back is replaced.
-        let names = leader.owner.releases();
-        if !names.is_empty() {
-            leader.owner.released(&names, true, self.now);
+        // What is released is replaced.
+        let workers_created = leader.owner.releases();
+        if !workers_created.is_empty() {
+            leader.owner.released(&workers_created, true, self.now);
         }
-        for n in 0..BOXES {
-            if names.contains(&machine(self.boxes[n].name)) {
-                self.boxes[n] = Box_::new(self.names, shard, self.now);
-                self.names += 1;
+        for n in 0..WORKERS {
+            if workers_created.contains(&machine(self.workers[n].name)) {
+                self.workers[n] = Worker::new(self.workers_created, shard, self.now);
+                self.workers_created += 1;
             }
         }
         let Some(leader) = self.leaders[shard].as_mut() else {
             return;
         };
         for call in leader.owner.calls(self.now, 64) {
-            let result = self.call(&call);
+            let result = self.deliver_command(&call);
             if let Some(leader) = self.leaders[shard].as_mut() {
                 leader.owner.call_done(&call, result, self.now);
             }
         }
     }
 
-    fn call(&mut self, call: &CommandCall) -> CommandResult {
-        let Some(n) = (0..BOXES).find(|n| machine(self.boxes[*n].name) == call.machine) else {
+    fn deliver_command(&mut self, call: &CommandCall) -> CommandResult {
+        let Some(n) = (0..WORKERS).find(|n| machine(self.workers[*n].name) == call.machine) else {
             return CommandResult::NotSent;
         };
-        let b = &mut self.boxes[n];
-        if self.now < b.mute_until {
-            b.held.push(call.clone());
+        let b = &mut self.workers[n];
+        if self.now < b.silent_until {
+            b.held_calls.push(call.clone());
             return CommandResult::Unknown;
         }
         if call.commands.token < b.token || call.commands.session != b.session {
-            return CommandResult::Refused(self.report_of(n));
+            return CommandResult::Refused(self.heartbeat_of(n));
         }
         b.token = call.commands.token;
         self.execute(n, &call.commands.orders);
-        CommandResult::Executed(self.report_of(n))
+        CommandResult::Executed(self.heartbeat_of(n))
     }
 
     fn is_gang(&self, id: &JobId) -> Option<u64> {
@@ -632,10 +647,10 @@
 
     fn running(&self) -> Vec<(usize, AttemptId)> {
         let all = self
-            .boxes
+            .workers
             .iter()
             .enumerate()
-            .filter(|(_, b)| self.now >= b.mute_until);
+            .filter(|(_, b)| self.now >= b.silent_until);
         all.flat_map(|(n, b)| {
             b.tasks
                 .iter()
@@ -652,7 +667,7 @@
         }
         // Also those that nothing reaches now.
         let all = self
-            .boxes
+            .workers
             .iter()
             .enumerate()
             .flat_map(|(n, b)| b.tasks.keys().map(move |i| (n, i.clone())));
@@ -665,22 +680,22 @@
     }
 
     /// What machines do by themselves: fetch, gather, lose their lease.
-    fn machines_go_on(&mut self) {
+    fn run_workers(&mut self) {
         let now = self.now;
-        for n in 0..BOXES {
-            if now >= self.boxes[n].mute_until {
-                for call in std::mem::take(&mut self.boxes[n].held) {
-                    self.call(&call);
+        for n in 0..WORKERS {
+            if now >= self.workers[n].silent_until {
+                for call in std::mem::take(&mut self.workers[n].held_calls) {
+                    self.deliver_command(&call);
                 }
             }
-            let b = &mut self.boxes[n];
-            if now > b.answered + TIMING.lease_ms {
-                (b.session, b.answered, b.changed) = (b.session + 1, now, true);
+            let b = &mut self.workers[n];
+            if now > b.last_answer_at + TIMING.lease_ms {
+                (b.session, b.last_answer_at, b.changed) = (b.session + 1, now, true);
                 b.tasks.clear();
             }
         }
         let mut there: HashMap<(JobId, u32), u64> = HashMap::new();
-        for (id, t) in self.boxes.iter().flat_map(|b| &b.tasks) {
+        for (id, t) in self.workers.iter().flat_map(|b| &b.tasks) {
             if matches!(t.phase, TaskPhase::Gathering | TaskPhase::Running) {
                 *there.entry((id.job.clone(), id.attempt)).or_default() += 1;
             }
@@ -691,7 +706,7 @@
             .filter(|(_, s)| s.shape == JobKind::Gang)
             .map(|(_, s)| (s.id.clone(), s.tasks))
             .collect();
-        for b in &mut self.boxes {
+        for b in &mut self.workers {
             for (id, t) in &mut b.tasks {
                 let whole = gangs
                     .get(&id.job)
@@ -711,7 +726,7 @@
         }
         if self.runs_ms > 0 {
             for (n, id) in self.running() {
-                if self.boxes[n]
+                if self.workers[n]
                     .tasks
                     .get(&id)
                     .is_some_and(|t| t.phase == TaskPhase::Running && now >= t.since + self.runs_ms)
@@ -723,52 +738,56 @@
     }
 
     /// 100 ms in which everything has its turn.
-    fn beat(&mut self) {
-        self.now += BEAT_MS;
+    fn step(&mut self) {
+        self.now += STEP_MS;
         let now = self.now;
-        self.machines_go_on();
-        let (due, later) = std::mem::take(&mut self.late)
+        self.run_workers();
+        let (due, later) = std::mem::take(&mut self.delayed)
             .into_iter()
             .partition(|(at, _)| now >= *at);
-        self.late = later;
+        self.delayed = later;
         for (_, cas) in due {
             self.apply(&cas);
         }
-        for shard in 0..PARTS {
-            if self.leaders[shard].is_none() && now >= self.back[shard] {
-                self.take(shard);
+        for shard in 0..SHARDS {
+            if self.leaders[shard].is_none() && now >= self.returns_at[shard] {
+                self.start_leader(shard);
             }
             if let Some(leader) = self.leaders[shard].as_mut() {
-                leader.word = now;
-                leader.other = self.holders.get(&(1 - shard as u16)).map_or(0, |h| h.token);
+                leader.last_store_read_at = now;
+                leader.other_owner_token = self
+                    .shard_leaders
+                    .get(&(1 - shard as u16))
+                    .map_or(0, |h| h.token);
                 leader
                     .owner
-                    .watch_placers(&self.holders, self.revision, now);
+                    .watch_placers(&self.shard_leaders, self.revision, now);
                 leader.owner.tick(now, now);
             }
-            self.calls(shard);
+            self.send_commands(shard);
         }
-        for n in 0..BOXES {
-            let b = &self.boxes[n];
-            let due = now >= b.reported + 2_500 || b.changed && now >= b.reported + 500;
-            if due && now >= b.mute_until {
-                self.hello(n, (now / 1_000 + n as u64).is_multiple_of(2));
+        for n in 0..WORKERS {
+            let b = &self.workers[n];
+            let due =
+                now >= b.last_heartbeat_at + 2_500 || b.changed && now >= b.last_heartbeat_at + 500;
+            if due && now >= b.silent_until {
+                self.send_heartbeat(n, (now / 1_000 + n as u64).is_multiple_of(2));
             }
         }
-        self.superseded_turn();
-        for from in 0..PARTS {
+        self.run_stale_leaders();
+        for from in 0..SHARDS {
             for _ in 0..2 {
-                self.placer_turn(from);
-                (0..PARTS).for_each(|to| self.sync(from, to));
+                self.run_placer(from);
+                (0..SHARDS).for_each(|to| self.sync(from, to));
             }
         }
     }
 
-    fn over(&self, id: &JobId) -> bool {
+    fn has_ended(&self, id: &JobId) -> bool {
         self.store.contains_key(&end_key(id))
     }
 
-    fn run_keys(&self) -> Vec<&String> {
+    fn chunk_keys(&self) -> Vec<&String> {
         self.store
             .keys()
             .filter(|k| k.starts_with("run/"))
@@ -776,28 +795,28 @@
     }
 
     /// All troubles are over: everything becomes done, and nothing is left.
-    fn settle(&mut self) {
-        self.fates.clear();
+    fn run_to_completion(&mut self) {
+        self.write_faults.clear();
         self.runs_ms = 1_000;
-        for b in &mut self.boxes {
-            b.mute_until = b.mute_until.min(self.now + 1_000);
+        for b in &mut self.workers {
+            b.silent_until = b.silent_until.min(self.now + 1_000);
         }
-        // Longer than any proof by time, any late transaction, and idle work waits.
-        let end = self.now + BLIND_MOST_MS + 2 * TIMING.lease_ms + IDLE_BEGIN_MS;
-        let settled = |site: &Self| {
-            site.jobs.iter().all(|(_, s)| site.over(&s.id))
-                && site.run_keys().is_empty()
-                && site.late.is_empty()
-                && site.superseded.is_empty()
+        // Longer than any proof by time, any late compare-and-swap, and low-priority work waits.
+        let end = self.now + BLIND_MOST_MS + 2 * TIMING.lease_ms + LOW_PRIORITY_START_DEADLINE_MS;
+        let settled = |cluster: &Self| {
+            cluster.jobs.iter().all(|(_, s)| cluster.has_ended(&s.id))
+                && cluster.chunk_keys().is_empty()
+                && cluster.delayed.is_empty()
+                && cluster.stale_leaders.is_empty()
         };
         while self.now < end && !settled(self) {
-            self.beat();
+            self.step();
         }
         let left: Vec<&JobId> = self
             .jobs
             .iter()
             .map(|(_, s)| &s.id)
-            .filter(|id| !self.over(id))
+            .filter(|id| !self.has_ended(id))
             .collect();
         let told = |id: &JobId| {
             self.leaders
@@ -810,7 +829,7 @@
             .map(|id| (id, told(id), self.store.get(&run_key(0, id, 0))))
             .collect();
         let there: Vec<_> = self
-            .boxes
+            .workers
             .iter()
             .flat_map(|b| {
                 b.tasks
@@ -824,21 +843,21 @@
             self.now
         );
         assert!(
-            self.run_keys().is_empty(),
+            self.chunk_keys().is_empty(),
             "left over: {:?}",
-            self.run_keys()
+            self.chunk_keys()
         );
-        // A holder that is away comes back, and hears its machines.
-        (0..200).for_each(|_| self.beat());
+        // A leader that is away comes back, and hears its machines.
+        (0..200).for_each(|_| self.step());
         assert!(
-            self.boxes.iter().all(|b| b.tasks.is_empty()),
+            self.workers.iter().all(|b| b.tasks.is_empty()),
             "all is forgotten"
         );
         for leader in self.leaders.iter().flatten() {
             assert_eq!(
                 leader.placer.known_jobs().count(),
                 0,
-                "part {:?} knows of none",
+                "shard {:?} knows of none",
                 leader.token
             );
         }
@@ -861,13 +880,13 @@
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// So many beats pass.
+    /// So many steps pass.
     Pass(u64),
     /// One of the running tasks completes.
     Complete(usize),
-    /// What becomes of a later transaction.
-    Next(Fate),
-    /// A holder ends, and the next one comes after so long; it may go on for a while
+    /// What becomes of a later compare-and-swap.
+    Next(WriteFault),
+    /// A leader ends, and the next one comes after so long; it may go on for a while
     /// without knowing.
     End(usize, u64, u64),
     /// A machine hangs for so long.
@@ -877,13 +896,13 @@
     Withdraw(usize),
 }
 
-fn fate() -> impl Strategy<Value = Fate> {
+fn write_fault() -> impl Strategy<Value = WriteFault> {
     prop_oneof![
-        (0..30u64).prop_map(Fate::Slow),
-        (0..30u64).prop_map(Fate::Held),
-        Just(Fate::Lost),
-        Just(Fate::Silent),
-        (1..100u64).prop_map(Fate::Late),
+        (0..30u64).prop_map(WriteFault::Slow),
+        (0..30u64).prop_map(WriteFault::Held),
+        Just(WriteFault::Lost),
+        Just(WriteFault::Silent),
+        (1..100u64).prop_map(WriteFault::Late),
     ]
 }
 
@@ -891,56 +910,56 @@
     prop_oneof![
         6 => (1..25u64).prop_map(Step::Pass),
         6 => (0..8usize).prop_map(Step::Complete),
-        6 => fate().prop_map(Step::Next),
-        3 => (0..PARTS, prop::sample::select(vec![100u64, 800, 4_000, 8_000]), prop::sample::select(vec![0u64, 0, 1_500, 6_000]))
+        6 => write_fault().prop_map(Step::Next),
+        3 => (0..SHARDS, prop::sample::select(vec![100u64, 800, 4_000, 8_000]), prop::sample::select(vec![0u64, 0, 1_500, 6_000]))
             .prop_map(|(shard, away, knows)| Step::End(shard, away, knows)),
-        2 => (0..BOXES, prop::sample::select(vec![2_000u64, 9_000, 20_000, 120_000])).prop_map(|(n, ms)| Step::Mute(n, ms)),
+        2 => (0..WORKERS, prop::sample::select(vec![2_000u64, 9_000, 20_000, 120_000])).prop_map(|(n, ms)| Step::Mute(n, ms)),
         1 => (0..8usize).prop_map(Step::Withdraw),
-        2 => (0..PARTS, 1..4u64, 0..4u8).prop_map(|(shard, tasks, kind)| Step::Submit(shard, tasks, kind)),
+        2 => (0..SHARDS, 1..4u64, 0..4u8).prop_map(|(shard, tasks, kind)| Step::Submit(shard, tasks, kind)),
     ]
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, rng_seed: proptest::test_runner::RngSeed::Fixed(35), max_shrink_iters: 400, ..ProptestConfig::default() })]
 
-    /// Jobs of one to three tasks that end far apart, while holders of both parts end
-    /// or are superseded, machines hang, and transactions are slow, lost, silent or
+    /// Jobs of one to three tasks that end far apart, while leaders of both shards end
+    /// or are superseded, machines hang, and compare-and-swaps are slow, lost, silent or
     /// late. In every order: no task starts while an attempt of it lives, or once its
     /// end is written; nothing is forgotten before its end is written; a job is told
     /// done only when all of its tasks have completed; in the end all are, nothing is
     /// left in the store, and nobody waits for anything.
     #[test]
-    fn every_job_ends_once_and_nothing_is_left(steps in prop::collection::vec(step(), 1..60)) {
-        let mut site = Site::new();
-        (0..20).for_each(|_| site.beat());
+    fn every_job_ends_exactly_once_and_leaves_no_records(steps in prop::collection::vec(step(), 1..60)) {
+        let mut cluster = Cluster::new();
+        (0..20).for_each(|_| cluster.step());
         for n in 1..=3 {
-            site.submit(0, job(n, u64::from(n)));
+            cluster.submit(0, job(n, u64::from(n)));
         }
-        site.submit(0, gang(4, 3));
-        site.submit(1, job(5, 2));
+        cluster.submit(0, gang(4, 3));
+        cluster.submit(1, job(5, 2));
         for (n, step) in (10..).zip(steps) {
             match step {
-                Step::Pass(beats) => (0..beats).for_each(|_| site.beat()),
+                Step::Pass(beats) => (0..beats).for_each(|_| cluster.step()),
                 Step::Complete(n) => {
-                    let running = site.running();
+                    let running = cluster.running();
                     if !running.is_empty() {
                         let (n, id) = running[n % running.len()].clone();
-                        site.complete(n, &id);
+                        cluster.complete(n, &id);
                     }
                 }
-                Step::Next(fate) => site.fates.push_back(fate),
-                Step::End(shard, away, knows) => site.end(shard, away, knows),
-                Step::Mute(n, ms) => site.boxes[n].mute_until = site.now + ms,
+                Step::Next(write_fault) => cluster.write_faults.push_back(write_fault),
+                Step::End(shard, away, knows) => cluster.stop_leader(shard, away, knows),
+                Step::Mute(n, ms) => cluster.workers[n].silent_until = cluster.now + ms,
                 Step::Withdraw(n) => {
-                    let id = site.jobs[n % site.jobs.len()].1.id.clone();
-                    site.withdraw(&id);
+                    let id = cluster.jobs[n % cluster.jobs.len()].1.id.clone();
+                    cluster.withdraw(&id);
                 }
-                Step::Submit(shard, tasks, 0) => site.submit(shard, gang(n, tasks)),
-                Step::Submit(shard, tasks, 1) => site.submit(shard, JobSpec { rank: Priority::Low, ..job(n, tasks) }),
-                Step::Submit(shard, tasks, _) => site.submit(shard, job(n, tasks)),
+                Step::Submit(shard, tasks, 0) => cluster.submit(shard, gang(n, tasks)),
+                Step::Submit(shard, tasks, 1) => cluster.submit(shard, JobSpec { rank: Priority::Low, ..job(n, tasks) }),
+                Step::Submit(shard, tasks, _) => cluster.submit(shard, job(n, tasks)),
             }
         }
-        site.settle();
+        cluster.run_to_completion();
     }
 }
 
@@ -951,28 +970,28 @@
 }
 
 /// A site whose machines are known.
-fn ready() -> Site {
-    let mut site = Site::new();
-    (0..20).for_each(|_| site.beat());
-    site
+fn cluster_with_known_machines() -> Cluster {
+    let mut cluster = Cluster::new();
+    (0..20).for_each(|_| cluster.step());
+    cluster
 }
 
 /// Beats until something is so.
-fn until(site: &mut Site, what: &str, so: impl Fn(&Site) -> bool) {
-    let end = site.now + 30_000;
-    while !so(site) {
-        assert!(site.now < end, "{what}");
-        site.beat();
+fn until(cluster: &mut Cluster, what: &str, so: impl Fn(&Cluster) -> bool) {
+    let end = cluster.now + 30_000;
+    while !so(cluster) {
+        assert!(cluster.now < end, "{what}");
+        cluster.step();
     }
 }
 
-fn complete(site: &mut Site, n: u32, task: u32) {
-    let (at, attempt) = site
+fn complete(cluster: &mut Cluster, n: u32, task: u32) {
+    let (at, attempt) = cluster
         .running()
         .into_iter()
         .find(|(_, i)| i.job == id(n) && i.task == task)
         .expect("it runs");
-    site.complete(at, &attempt);
+    cluster.complete(at, &attempt);
 }
 
 /// A job of three tasks: one was done and forgotten long ago, one completes while its
@@ -980,7 +999,7 @@
 /// from the machine, which kept it, and starts nothing again; also if it is superseded
 /// in turn, before or after it heard of it, and if the end was told and not written.
 #[test]
-fn an_end_that_is_not_written_is_told_again_to_each_successor() {
+fn unwritten_task_end_is_reported_again_to_each_new_leader() {
     for (beats, successors, knows) in [
         (0, 1, 0),
         (3, 1, 0),
@@ -990,99 +1009,108 @@
         (3, 2, 2_000),
         (25, 3, 2_000),
     ] {
-        let mut site = ready();
-        site.submit(0, job(1, 3));
-        until(&mut site, "all run", |s| s.running().len() == 3);
-        complete(&mut site, 1, 0);
-        until(&mut site, "the first end is written", |s| {
-            s.done_written(&id(1), 0)
+        let mut cluster = cluster_with_known_machines();
+        cluster.submit(0, job(1, 3));
+        until(&mut cluster, "all run", |s| s.running().len() == 3);
+        complete(&mut cluster, 1, 0);
+        until(&mut cluster, "the first end is written", |s| {
+            s.is_completion_written(&id(1), 0)
         });
-        let kept = |s: &Site| s.boxes.iter().any(|b| b.tasks.keys().any(|i| i.task == 0));
-        until(&mut site, "it is forgotten", |s| !kept(s));
-        complete(&mut site, 1, 1);
+        let kept = |s: &Cluster| {
+            s.workers
+                .iter()
+                .any(|b| b.tasks.keys().any(|i| i.task == 0))
+        };
+        until(&mut cluster, "it is forgotten", |s| !kept(s));
+        complete(&mut cluster, 1, 1);
         for _ in 0..successors {
-            (0..beats).for_each(|_| site.beat());
-            site.end(0, 800, knows);
+            (0..beats).for_each(|_| cluster.step());
+            cluster.stop_leader(0, 800, knows);
         }
-        assert!(!site.done_written(&id(1), 1), "its end waits for company");
-        until(&mut site, "the second end is written", |s| {
-            s.done_written(&id(1), 1)
+        assert!(
+            !cluster.is_completion_written(&id(1), 1),
+            "its end waits for company"
+        );
+        until(&mut cluster, "the second end is written", |s| {
+            s.is_completion_written(&id(1), 1)
         });
-        assert!(!site.over(&id(1)));
-        complete(&mut site, 1, 2);
-        until(&mut site, "it is over", |s| s.over(&id(1)));
+        assert!(!cluster.has_ended(&id(1)));
+        complete(&mut cluster, 1, 2);
+        until(&mut cluster, "it is over", |s| s.has_ended(&id(1)));
         assert_eq!(
-            site.launches, 3,
+            cluster.launches, 3,
             "{beats} {successors} {knows}: nothing starts again"
         );
-        site.settle();
+        cluster.run_to_completion();
     }
 }
 
 /// The same, and the machine that kept the end is gone before the successor heard it:
 /// the task runs again, which costs its time, and the job is done only then.
 #[test]
-fn an_end_that_is_lost_with_its_machine_costs_one_more_run() {
-    let mut site = ready();
-    site.submit(0, job(1, 2));
-    until(&mut site, "both run", |s| s.running().len() == 2);
-    complete(&mut site, 1, 0);
-    let kept = site
-        .boxes
+fn task_end_lost_with_its_machine_costs_one_rerun() {
+    let mut cluster = cluster_with_known_machines();
+    cluster.submit(0, job(1, 2));
+    until(&mut cluster, "both run", |s| s.running().len() == 2);
+    complete(&mut cluster, 1, 0);
+    let kept = cluster
+        .workers
         .iter()
         .position(|b| b.tasks.keys().any(|i| i.task == 0))
         .expect("there");
-    site.end(0, 800, 0);
-    site.boxes[kept].mute_until = u64::MAX;
-    site.boxes[kept].tasks.clear();
-    if site.running().len() == 1 {
-        complete(&mut site, 1, 1);
+    cluster.stop_leader(0, 800, 0);
+    cluster.workers[kept].silent_until = u64::MAX;
+    cluster.workers[kept].tasks.clear();
+    if cluster.running().len() == 1 {
+        complete(&mut cluster, 1, 1);
     }
-    (0..20).for_each(|_| site.beat());
-    assert!(!site.over(&id(1)));
-    site.settle();
-    assert!(site.completed[&(id(1), 0)] == 2);
+    (0..20).for_each(|_| cluster.step());
+    assert!(!cluster.has_ended(&id(1)));
+    cluster.run_to_completion();
+    assert!(cluster.completed[&(id(1), 0)] == 2);
 }
 
-/// A start whose transaction got no answer was tried again, its task completed, its job
-/// ended, and its record was removed. Then the first transaction is carried out: the
-/// chunk's key is as absent as it was. It must not come back, under the same holder
+/// A start whose compare-and-swap got no answer was tried again, its task completed, its job
+/// ended, and its record was removed. Then the first compare-and-swap is carried out: the
+/// chunk's key is as absent as it was. It must not come back, under the same leader
 /// and under a successor.
 #[test]
-fn a_late_start_does_not_come_back_after_the_end_of_its_job() {
-    let mut site = ready();
-    site.fates.push_back(Fate::Late(1_000));
-    site.submit(0, job(1, 2));
-    site.runs_ms = 500;
-    until(&mut site, "it is over", |s| {
-        s.over(&id(1)) && s.run_keys().is_empty()
+fn late_commit_of_a_start_is_not_revived_after_its_job_ended() {
+    let mut cluster = cluster_with_known_machines();
+    cluster.write_faults.push_back(WriteFault::Late(1_000));
+    cluster.submit(0, job(1, 2));
+    cluster.runs_ms = 500;
+    until(&mut cluster, "it is over", |s| {
+        s.has_ended(&id(1)) && s.chunk_keys().is_empty()
     });
-    let (_, late) = site.late.pop().expect("still to come");
+    let (_, late) = cluster.delayed.pop().expect("still to come");
     assert!(
-        matches!(site.apply(&late), CompareAndSwapOutcome::Conflict(keys) if keys == [job_key(&id(1))])
+        matches!(cluster.apply(&late), CompareAndSwapOutcome::Conflict(keys) if keys == [job_key(&id(1))])
     );
-    site.settle();
+    cluster.run_to_completion();
 }
 
 /// A start was written and nobody learned of it; its user cancels the job, whose placer
 /// takes back what it takes for unwritten. The record goes all the same.
 #[test]
-fn a_start_that_was_written_without_an_answer_goes_with_its_job() {
+fn start_with_indeterminate_write_is_removed_with_its_job() {
     for successor in [false, true] {
-        let mut site = ready();
-        site.fates.push_back(Fate::Silent);
-        site.submit(0, job(1, 2));
-        while site.run_keys().is_empty() {
-            site.beat();
+        let mut cluster = cluster_with_known_machines();
+        cluster.write_faults.push_back(WriteFault::Silent);
+        cluster.submit(0, job(1, 2));
+        while cluster.chunk_keys().is_empty() {
+            cluster.step();
         }
-        site.withdraw(&id(1));
+        cluster.withdraw(&id(1));
         if successor {
-            site.end(0, 100, 0);
+            cluster.stop_leader(0, 100, 0);
         }
-        until(&mut site, "it is over", |s| s.over(&id(1)));
-        until(&mut site, "nothing is left", |s| s.run_keys().is_empty());
-        assert_eq!(site.launches, 0);
-        site.settle();
+        until(&mut cluster, "it is over", |s| s.has_ended(&id(1)));
+        until(&mut cluster, "nothing is left", |s| {
+            s.chunk_keys().is_empty()
+        });
+        assert_eq!(cluster.launches, 0);
+        cluster.run_to_completion();
     }
 }
 
@@ -1090,7 +1118,7 @@
 /// old for a while: the start is refused once and not tried again and again, and what
 /// else is to be written goes on.
 #[test]
-fn a_start_that_its_jobs_key_refused_waits_for_a_new_copy() {
+fn start_conflicting_with_its_job_key_waits_for_a_fresh_copy() {
     let mut placer = Placer::new(0, TOKEN, 1, terms(), 0);
     submit(&mut placer, job(1, 1), 0, 0);
     let seq = placer.sync_request(0, TOKEN, ROOM, false, 0).seq;
@@ -1140,7 +1168,7 @@
 /// What a successor loads is not written again: of an array with two finished chunks
 /// and one that waits for room nothing is, and a job that ended meanwhile goes.
 #[test]
-fn a_successor_writes_finished_chunks_no_second_time() {
+fn new_leader_does_not_rewrite_finished_chunks() {
     let mut placer = Placer::new(0, TOKEN, 1, terms(), 0);
     for (n, chunk) in [(1, 0), (1, 1), (2, 0)] {
         let done = vec![(chunk * CHUNK_TASKS, chunk * CHUNK_TASKS + CHUNK_TASKS - 1)];
@@ -1157,21 +1185,26 @@
     }
     submit(&mut placer, job(1, 150), 0, 0);
     placer.apply_job(&id(2), None, 0);
-    let cas = placer.next_cas(2 * END_LAG_MS).expect("one goes");
+    let cas = placer
+        .next_cas(2 * ATTEMPT_END_WRITE_DELAY_MS)
+        .expect("one goes");
     assert!(
         matches!(&cas.writes[..], [Write::Delete { key }] if *key == run_key(0, &id(2), 0)),
         "{:?}",
         cas.writes
     );
-    placer.apply_cas_outcome(CompareAndSwapOutcome::Committed(60), 2 * END_LAG_MS);
-    assert!(placer.next_cas(4 * END_LAG_MS).is_none());
+    placer.apply_cas_outcome(
+        CompareAndSwapOutcome::Committed(60),
+        2 * ATTEMPT_END_WRITE_DELAY_MS,
+    );
+    assert!(placer.next_cas(4 * ATTEMPT_END_WRITE_DELAY_MS).is_none());
     assert_eq!(placer.job_status(&id(1), 0).map(|n| n.0), Some(128));
 }
 
 /// A job is cancelled while its first start is under way, which is then refused or gets
 /// no answer: no owner has heard of it, so its end is the next that is written.
 #[test]
-fn a_start_under_way_does_not_hold_up_a_cancellation() {
+fn start_in_flight_does_not_delay_a_cancellation() {
     for outcome in [
         CompareAndSwapOutcome::Conflict(vec![job_key(&id(1))]),
         CompareAndSwapOutcome::Indeterminate,
@@ -1217,9 +1250,16 @@
         placer.apply_cas_outcome(CompareAndSwapOutcome::Committed(50), 50);
         // What may have been made is asked for; a refusal tells that it was.
         assert_eq!(placer.known_jobs().count(), usize::from(unknown));
-        assert!(placer.sync_request(0, TOKEN, ROOM, false, 60).wants.is_empty());
+        assert!(
+            placer
+                .sync_request(0, TOKEN, ROOM, false, 60)
+                .wants
+                .is_empty()
+        );
         if unknown {
-            let absent = placer.next_cas(60 + END_LAG_MS).expect("a question");
+            let absent = placer
+                .next_cas(60 + ATTEMPT_END_WRITE_DELAY_MS)
+                .expect("a question");
             assert!(
                 absent.writes.is_empty()
                     && absent.conditions.contains(&Condition {
@@ -1230,16 +1270,21 @@
             placer.apply_reread_version(&id(1), 0, 45);
             placer.apply_cas_outcome(
                 CompareAndSwapOutcome::Conflict(vec![run_key(0, &id(1), 0)]),
-                70 + END_LAG_MS,
+                70 + ATTEMPT_END_WRITE_DELAY_MS,
             );
-            let gone = placer.next_cas(70 + END_LAG_MS).expect("its removal");
+            let gone = placer
+                .next_cas(70 + ATTEMPT_END_WRITE_DELAY_MS)
+                .expect("its removal");
             assert_eq!(
                 gone.writes,
                 [Write::Delete {
                     key: run_key(0, &id(1), 0)
                 }]
             );
-            placer.apply_cas_outcome(CompareAndSwapOutcome::Committed(51), 80 + END_LAG_MS);
+            placer.apply_cas_outcome(
+                CompareAndSwapOutcome::Committed(51),
+                80 + ATTEMPT_END_WRITE_DELAY_MS,
+            );
             assert_eq!(placer.known_jobs().count(), 0);
         }
     }
@@ -1249,14 +1294,16 @@
 /// each try meets what the one before wrote. Nothing starts twice or is lost by it, and
 /// once it answers in time the versions are read again and all goes on.
 #[test]
-fn a_store_that_answers_too_late_costs_only_time() {
+fn slow_store_delays_but_loses_nothing() {
     for late in 1..30 {
-        let mut site = ready();
-        site.submit(0, job(1, 3));
-        site.submit(0, gang(2, 2));
-        site.fates.extend((0..late).map(|_| Fate::Silent));
-        (0..100).for_each(|_| site.beat());
-        site.settle();
-        assert_eq!(site.launches, 5, "after {late}");
+        let mut cluster = cluster_with_known_machines();
+        cluster.submit(0, job(1, 3));
+        cluster.submit(0, gang(2, 2));
+        cluster
+            .write_faults
+            .extend((0..late).map(|_| WriteFault::Silent));
+        (0..100).for_each(|_| cluster.step());
+        cluster.run_to_completion();
+        assert_eq!(cluster.launches, 5, "after {late}");
     }
 }
--- a/crates/coordination/tests/largest.rs
+++ b/crates/coordination/tests/largest.rs
@@ -1,12 +1,15 @@
-//! The largest jobs begin: idle work that has begun nothing is asked room for in
-//! time, in the order that a plain model gives.
+//! The largest jobs begin: low-priority work that has begun nothing is asked room for in
+//! time, in the order that a reference model gives.
 
 mod support;
 
 use std::collections::BTreeMap;
 
-use lemonweir_coordination::placer::{CompareAndSwapOutcome, Placer, PlacerConfig};
-use lemonweir_model::constants::*;
+use lemonweir_coordination::placer::{
+    CompareAndSwapOutcome, LOW_PRIORITY_START_DEADLINE_MS, LOW_PRIORITY_START_SLACK_MS, Placer,
+    PlacerConfig,
+};
+use lemonweir_model::constants::{IDLE_PATIENCE_MS, MAX_TASKS};
 use lemonweir_model::{Catalog, JobId, JobKind, JobSpec, MachineType, Priority, Resources};
 use lemonweir_protocol::peer::ChangeRange;
 use support::*;
@@ -114,7 +117,7 @@
 /// Each gets its first task before any gets its second, the largest first, then the
 /// oldest; then the oldest gets more, each up to half before any gets all.
 #[test]
-fn idle_work_begins_in_the_order_of_the_plain_model() {
+fn low_priority_work_starts_in_the_order_of_the_reference_model() {
     for seed in 0..30 {
         let jobs = drawn(seed);
         for room in [1, 3, 7, 12, 15, 40] {
@@ -152,16 +155,16 @@
 }
 
 /// Whom room is asked for: whoever has begun nothing and would be late otherwise, by
-/// the time of its submission and not of the last change of hands; one task of it,
+/// the time of its submission and not of the last failover; one task of it,
 /// or the gang, the largest first, whatever else lacks room.
 #[test]
-fn room_is_asked_for_in_time_and_for_one_unit() {
+fn capacity_is_requested_in_time_and_for_one_unit() {
     // A boot of 60 s at the worst, a fetch of 2 GB at 1 GB a second, and the slack.
-    let patience = IDLE_BEGIN_MS - 60_000 - 2_660 - IDLE_BEGIN_SLACK_MS;
+    let patience = LOW_PRIORITY_START_DEADLINE_MS - 60_000 - 2_660 - LOW_PRIORITY_START_SLACK_MS;
     for seed in 0..30 {
         for others in [false, true] {
             let (jobs, now) = (drawn(seed), 300_000);
-            // This placer has just taken the part.
+            // This placer has just taken the shard.
             let mut placer = placer(None, now);
             for (n, tasks, at) in &jobs {
                 let shape = if n % 5 == 0 {
@@ -223,13 +226,17 @@
 
 /// What has begun waits as it did: no room is rented for it before its patience ends.
 #[test]
-fn what_has_begun_costs_no_more_than_before() {
+fn work_that_has_begun_requests_no_extra_capacity() {
     let mut placer = placer(None, 0);
     submit(&mut placer, idle(1, 500), 0, 0);
     assert_eq!(room_for(&mut placer, 1, 1_000).len(), 1);
     for now in [150_000, 300_000, IDLE_PATIENCE_MS - 1] {
         pass(&mut placer, now);
-        assert!(placer.unmet_demand.is_empty(), "{now}: {:?}", placer.unmet_demand);
+        assert!(
+            placer.unmet_demand.is_empty(),
+            "{now}: {:?}",
+            placer.unmet_demand
+        );
     }
     pass(&mut placer, IDLE_PATIENCE_MS);
     assert_eq!(placer.unmet_demand.len(), 1);
@@ -238,7 +245,7 @@
 /// A service that its team's limit keeps from being whole asks for what it may have;
 /// a gang that can't be whole for nothing.
 #[test]
-fn a_service_begins_within_its_teams_limit() {
+fn service_starts_within_its_teams_quota_limit() {
     for (shape, want) in [
         (JobKind::Service, Some(8)),
         (JobKind::Array, Some(8)),
@@ -286,7 +293,7 @@
 /// An array of 100,000 tiny tasks is placed over some passes, and who came after it
 /// has its turn in the first.
 #[test]
-fn a_huge_array_leaves_others_their_turn() {
+fn huge_array_does_not_starve_other_jobs() {
     let mut placer = placer(None, 0);
     submit(
         &mut placer,
--- a/crates/coordination/tests/late_transactions.rs
+++ b/crates/coordination/tests/late_transactions.rs
@@ -7,8 +7,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use lemonweir_coordination::placer::{CompareAndSwapOutcome, Placer, ShardOwnership};
-use lemonweir_model::constants::*;
+use lemonweir_coordination::placer::{
+    ATTEMPT_END_WRITE_DELAY_MS, CompareAndSwapOutcome, Placer, ShardOwnership,
+};
+use lemonweir_model::constants::CHUNK_TASKS;
 use lemonweir_model::{AttemptId, JobId, JobSpec};
 use lemonweir_protocol::kv_store::{CompareAndSwap, Write, from_value, to_value};
 use lemonweir_protocol::peer::{AttemptState, AttemptStatus, ChangeRange, ExitCause};
@@ -61,8 +63,9 @@
 
     fn cas(&mut self, cas: &CompareAndSwap) -> CompareAndSwapOutcome {
         assert!(
-            cas.writes.len() <= terms().max_cas_operations && cas.conditions.len() <= 4 * terms().max_cas_operations,
-            "more than a transaction may hold"
+            cas.writes.len() <= terms().max_cas_operations
+                && cas.conditions.len() <= 4 * terms().max_cas_operations,
+            "more than a compare-and-swap may hold"
         );
         let failed: Vec<String> = cas
             .conditions
@@ -110,7 +113,7 @@
 
 // ---- a placer --------------------------------------------------------------------
 
-struct Night {
+struct Cluster {
     store: Store,
     placer: Placer,
     now: u64,
@@ -120,18 +123,18 @@
     told: BTreeSet<AttemptId>,
 }
 
-impl Night {
+impl Cluster {
     fn new() -> Self {
         let placer = Placer::new(0, TOKEN, 1, terms(), 0);
-        let mut night = Night {
+        let mut cluster = Cluster {
             store: Store::new(),
             placer,
             now: 100,
             wanted: BTreeSet::new(),
             told: BTreeSet::new(),
         };
-        night.sync(&[]);
-        night
+        cluster.sync(&[]);
+        cluster
     }
 
     fn submit(&mut self, spec: &JobSpec) {
@@ -215,18 +218,19 @@
         self.placer.run_placement_pass(self.now);
     }
 
-    /// The next transaction, after so many ms.
+    /// The next compare-and-swap, after so many ms.
     fn next(&mut self, after_ms: u64) -> Option<CompareAndSwap> {
         self.now += after_ms;
         self.placer.next_cas(self.now)
     }
 
-    /// A transaction ends as the process is told; keys that met other versions are read.
+    /// A compare-and-swap ends as the process is told; keys that met other versions are read.
     fn end(&mut self, outcome: CompareAndSwapOutcome) -> Vec<(JobId, JobPhase)> {
         if let CompareAndSwapOutcome::Conflict(keys) = &outcome {
             for key in keys {
                 if let Some((job, chunk)) = parse_run_key(key) {
-                    self.placer.apply_reread_version(&job, chunk, self.store.version(key));
+                    self.placer
+                        .apply_reread_version(&job, chunk, self.store.version(key));
                 }
             }
         }
@@ -237,7 +241,7 @@
 
     /// Writes all that is due.
     fn write(&mut self) {
-        while let Some(cas) = self.next(END_LAG_MS + 1) {
+        while let Some(cas) = self.next(ATTEMPT_END_WRITE_DELAY_MS + 1) {
             let outcome = self.store.cas(&cas);
             self.end(outcome);
         }
@@ -253,173 +257,181 @@
 }
 
 /// A start without an answer, never made so far; its job is withdrawn and ends; then
-/// the start is made. The part is the same holder's and there is no record, as when it
+/// the start is made. The shard is the same leader's and there is no record, as when it
 /// was sent: it would bring back an attempt of a job that is over, which a successor
 /// would count until its machine has proven that it is not there.
 #[test]
-fn a_late_start_of_a_withdrawn_job_is_not_recorded() {
-    let mut night = Night::new();
+fn late_start_of_a_withdrawn_job_is_not_recorded() {
+    let mut cluster = Cluster::new();
     let spec = array(2);
-    night.submit(&spec);
-    night.place();
-    let late = night.next(1).expect("two starts");
-    night.end(CompareAndSwapOutcome::Indeterminate);
-    night.withdraw(&spec.id);
-    night.copy(&spec.id);
-    let cas = night.next(1).expect("its end");
-    let outcome = night.store.cas(&cas);
+    cluster.submit(&spec);
+    cluster.place();
+    let late = cluster.next(1).expect("two starts");
+    cluster.end(CompareAndSwapOutcome::Indeterminate);
+    cluster.withdraw(&spec.id);
+    cluster.copy(&spec.id);
+    let cas = cluster.next(1).expect("its end");
+    let outcome = cluster.store.cas(&cas);
     assert_eq!(
-        night.end(outcome),
+        cluster.end(outcome),
         vec![(spec.id.clone(), JobPhase::Withdrawn)]
     );
-    night.write();
-    assert_eq!(night.placer.known_jobs().count(), 0);
-    assert!(!night.store.makes(&late));
-    assert!(night.store.recorded().is_empty());
+    cluster.write();
+    assert_eq!(cluster.placer.known_jobs().count(), 0);
+    assert!(!cluster.store.makes(&late));
+    assert!(cluster.store.recorded().is_empty());
 }
 
 /// The same start, tried again and made; the job runs, is done, and its record is
 /// removed; then the first one is made.
 #[test]
-fn a_late_start_of_a_job_that_is_done_is_not_recorded() {
-    let mut night = Night::new();
+fn late_start_of_a_completed_job_is_not_recorded() {
+    let mut cluster = Cluster::new();
     let spec = array(1);
-    night.submit(&spec);
-    night.place();
-    let late = night.next(1).expect("a start");
-    night.end(CompareAndSwapOutcome::Indeterminate);
-    let again = night.next(1).expect("the start again");
+    cluster.submit(&spec);
+    cluster.place();
+    let late = cluster.next(1).expect("a start");
+    cluster.end(CompareAndSwapOutcome::Indeterminate);
+    let again = cluster.next(1).expect("the start again");
     assert_eq!(late, again);
-    let outcome = night.store.cas(&again);
-    night.end(outcome);
-    night.sync(&[]);
-    assert_eq!(night.wanted, BTreeSet::from([attempt(&spec.id, 0, 1)]));
-    night.sync(&[(
+    let outcome = cluster.store.cas(&again);
+    cluster.end(outcome);
+    cluster.sync(&[]);
+    assert_eq!(cluster.wanted, BTreeSet::from([attempt(&spec.id, 0, 1)]));
+    cluster.sync(&[(
         attempt(&spec.id, 0, 1),
         AttemptState::Exited(ExitCause::Done),
     )]);
-    night.write();
-    night.copy(&spec.id);
-    night.write();
-    assert_eq!(night.store.ended(&spec.id), Some(JobPhase::Done));
-    assert!(night.store.recorded().is_empty() && night.placer.known_jobs().count() == 0);
-    assert!(!night.store.makes(&late));
-    assert!(night.store.recorded().is_empty());
+    cluster.write();
+    cluster.copy(&spec.id);
+    cluster.write();
+    assert_eq!(cluster.store.ended(&spec.id), Some(JobPhase::Done));
+    assert!(cluster.store.recorded().is_empty() && cluster.placer.known_jobs().count() == 0);
+    assert!(!cluster.store.makes(&late));
+    assert!(cluster.store.recorded().is_empty());
 }
 
 /// The start is made, but its answer is lost; its job is withdrawn and ends before it
 /// is tried again. The placer remembers no record, and there is one: it asks before it
 /// forgets the job. What can't be asked yet is asked again.
 #[test]
-fn a_start_whose_answer_was_lost_leaves_no_record_behind() {
+fn start_with_lost_answer_leaves_no_record() {
     for made_late in [false, true] {
-        let mut night = Night::new();
+        let mut cluster = Cluster::new();
         let spec = array(2);
-        night.submit(&spec);
-        night.place();
-        let start = night.next(1).expect("two starts");
+        cluster.submit(&spec);
+        cluster.place();
+        let start = cluster.next(1).expect("two starts");
         if !made_late {
-            assert!(night.store.makes(&start));
+            assert!(cluster.store.makes(&start));
         }
-        night.end(CompareAndSwapOutcome::Indeterminate);
-        night.withdraw(&spec.id);
-        night.copy(&spec.id);
+        cluster.end(CompareAndSwapOutcome::Indeterminate);
+        cluster.withdraw(&spec.id);
+        cluster.copy(&spec.id);
         if made_late {
-            assert!(!night.store.makes(&start), "its job was withdrawn since");
+            assert!(!cluster.store.makes(&start), "its job was withdrawn since");
         }
-        let cas = night.next(1).expect("its end");
-        let outcome = night.store.cas(&cas);
-        night.end(outcome);
-        night.copy(&spec.id);
-        let asked = night
-            .next(END_LAG_MS + 1)
+        let cas = cluster.next(1).expect("its end");
+        let outcome = cluster.store.cas(&cas);
+        cluster.end(outcome);
+        cluster.copy(&spec.id);
+        let asked = cluster
+            .next(ATTEMPT_END_WRITE_DELAY_MS + 1)
             .expect("whether there is a record");
         assert!(asked.writes.is_empty());
-        night.end(CompareAndSwapOutcome::Indeterminate);
-        assert_eq!(night.placer.known_jobs().count(), 1, "no answer tells nothing");
-        night.write();
-        assert!(night.store.recorded().is_empty());
-        assert_eq!(night.placer.known_jobs().count(), 0);
+        cluster.end(CompareAndSwapOutcome::Indeterminate);
+        assert_eq!(
+            cluster.placer.known_jobs().count(),
+            1,
+            "no answer tells nothing"
+        );
+        cluster.write();
+        assert!(cluster.store.recorded().is_empty());
+        assert_eq!(cluster.placer.known_jobs().count(), 0);
     }
 }
 
 /// A start of a job whose withdrawal the copy does not show yet is refused, once: other
 /// starts go on, and the job ends when the copy shows it.
 #[test]
-fn a_start_that_a_withdrawal_refuses_does_not_keep_others_from_starting() {
-    let mut night = Night::new();
+fn start_conflicting_with_a_withdrawal_does_not_block_others() {
+    let mut cluster = Cluster::new();
     let first = array(1);
     let second = JobSpec {
         id: JobId::from("req-000002"),
         ..array(1)
     };
-    night.submit(&first);
-    night.submit(&second);
-    night.place();
-    night.withdraw(&first.id);
-    let cas = night.next(1).expect("two starts");
+    cluster.submit(&first);
+    cluster.submit(&second);
+    cluster.place();
+    cluster.withdraw(&first.id);
+    let cas = cluster.next(1).expect("two starts");
     assert_eq!(cas.writes.len(), 2);
-    let outcome = night.store.cas(&cas);
+    let outcome = cluster.store.cas(&cas);
     assert!(
         matches!(&outcome, CompareAndSwapOutcome::Conflict(keys) if *keys == vec![job_key(&first.id)]),
         "{outcome:?}"
     );
-    night.end(outcome);
-    let cas = night.next(1).expect("the other's start");
+    cluster.end(outcome);
+    let cas = cluster.next(1).expect("the other's start");
     assert_eq!(cas.writes.len(), 1);
-    let outcome = night.store.cas(&cas);
-    night.end(outcome);
+    let outcome = cluster.store.cas(&cas);
+    cluster.end(outcome);
     assert!(
-        night.next(END_LAG_MS + 1).is_none(),
+        cluster.next(ATTEMPT_END_WRITE_DELAY_MS + 1).is_none(),
         "what would be refused again"
     );
-    night.sync(&[]);
-    assert_eq!(night.wanted, BTreeSet::from([attempt(&second.id, 0, 1)]));
-    night.copy(&first.id);
-    night.write();
-    assert_eq!(night.store.ended(&first.id), Some(JobPhase::Withdrawn));
-    assert_eq!(night.store.recorded(), BTreeSet::from([second.id]));
+    cluster.sync(&[]);
+    assert_eq!(cluster.wanted, BTreeSet::from([attempt(&second.id, 0, 1)]));
+    cluster.copy(&first.id);
+    cluster.write();
+    assert_eq!(cluster.store.ended(&first.id), Some(JobPhase::Withdrawn));
+    assert_eq!(cluster.store.recorded(), BTreeSet::from([second.id]));
 }
 
 /// The end of a task without an answer, made between the reading of one key and the
 /// next, or after both: what is remembered of the versions is never more than a
 /// condition, which then fails.
 #[test]
-fn a_transaction_made_between_two_readings_is_written_over() {
+fn write_committed_between_two_reads_is_overwritten() {
     for between in [true, false] {
-        let mut night = Night::new();
+        let mut cluster = Cluster::new();
         let spec = array(2 * u64::from(CHUNK_TASKS));
-        night.submit(&spec);
-        night.place();
-        night.write();
-        night.sync(&[]);
-        let all: Vec<AttemptId> = night.wanted.iter().cloned().collect();
+        cluster.submit(&spec);
+        cluster.place();
+        cluster.write();
+        cluster.sync(&[]);
+        let all: Vec<AttemptId> = cluster.wanted.iter().cloned().collect();
         assert!(all.len() > 2);
-        night.sync(&[(all[0].clone(), AttemptState::Exited(ExitCause::Done))]);
-        let late = night.next(END_LAG_MS + 1).expect("an end");
-        night.end(CompareAndSwapOutcome::Indeterminate);
-        night.sync(&[
+        cluster.sync(&[(all[0].clone(), AttemptState::Exited(ExitCause::Done))]);
+        let late = cluster
+            .next(ATTEMPT_END_WRITE_DELAY_MS + 1)
+            .expect("an end");
+        cluster.end(CompareAndSwapOutcome::Indeterminate);
+        cluster.sync(&[
             (all[0].clone(), AttemptState::Exited(ExitCause::Done)),
             (all[1].clone(), AttemptState::Exited(ExitCause::Done)),
         ]);
-        let cas = night.next(END_LAG_MS + 1).expect("two ends");
+        let cas = cluster
+            .next(ATTEMPT_END_WRITE_DELAY_MS + 1)
+            .expect("two ends");
         let key = run_key(0, &spec.id, 0);
-        let read = night.store.version(&key);
+        let read = cluster.store.version(&key);
         // Another key's conflict made the process read this one too; the late one
         // comes before or after.
         if between {
-            assert!(night.store.makes(&late));
-            let outcome = night.store.cas(&cas);
+            assert!(cluster.store.makes(&late));
+            let outcome = cluster.store.cas(&cas);
             assert!(matches!(outcome, CompareAndSwapOutcome::Conflict(_)));
-            night.placer.apply_reread_version(&spec.id, 0, read);
-            night.placer.apply_cas_outcome(outcome, night.now);
+            cluster.placer.apply_reread_version(&spec.id, 0, read);
+            cluster.placer.apply_cas_outcome(outcome, cluster.now);
         } else {
-            let outcome = night.store.cas(&cas);
-            night.end(outcome);
-            assert!(!night.store.makes(&late), "its version is no more");
+            let outcome = cluster.store.cas(&cas);
+            cluster.end(outcome);
+            assert!(!cluster.store.makes(&late), "its version is no more");
         }
-        night.write();
-        let record = night
+        cluster.write();
+        let record = cluster
             .store
             .value(&key)
             .and_then(from_value::<TaskChunkRecord>)
@@ -428,11 +440,11 @@
     }
 }
 
-/// An owner's answer to an earlier holder of the placer's part comes late, through the
-/// store, between the present holder's messages and their answers: it tells of states
+/// An owner's answer to an earlier leader of the placer's shard comes late, through the
+/// store, between the present leader's messages and their answers: it tells of states
 /// that this one was never told of, and acknowledges what it never said.
 #[test]
-fn a_late_answer_to_an_earlier_holder_is_not_taken() {
+fn late_view_for_an_earlier_leader_is_rejected() {
     let mut earlier = Placer::new(0, TOKEN, 1, terms(), 0);
     let seq = (0..3)
         .map(|_| earlier.sync_request(0, TOKEN, ROOM, false, 0).seq)
@@ -454,7 +466,10 @@
         placer.sync_request(0, TOKEN, ROOM, false, 0);
     }
     assert!(!placer.apply_view(late, 100));
-    assert_eq!(placer.sync_request(0, TOKEN, ROOM, false, 0).have.machines, 0);
+    assert_eq!(
+        placer.sync_request(0, TOKEN, ROOM, false, 0).have.machines,
+        0
+    );
     let answer = view(
         first,
         ChangeRange {
@@ -485,37 +500,37 @@
 /// an attempt that the store does not hold, an end that was written stays, and of a
 /// job that is over nothing is left or comes back.
 #[test]
-fn what_is_remembered_never_runs_ahead_of_the_store() {
+fn in_memory_state_never_runs_ahead_of_the_store() {
     let (mut late_made, mut over) = (0, 0);
     for seed in 1..=120 {
-        let mut draw = Draw(0x9E37_79B9_7F4A_7C15 ^ seed << 20);
-        let mut night = Night::new();
+        let mut random = Draw(0x9E37_79B9_7F4A_7C15 ^ seed << 20);
+        let mut cluster = Cluster::new();
         let mut late: Vec<CompareAndSwap> = Vec::new();
         let mut ends: BTreeMap<JobId, JobPhase> = BTreeMap::new();
         let specs: Vec<JobSpec> = (1..=4)
             .map(|n| JobSpec {
                 id: JobId::from(format!("req-{n:06}").as_str()),
-                ..array(1 + draw.below(70))
+                ..array(1 + random.below(70))
             })
             .collect();
         for spec in &specs {
-            night.submit(spec);
+            cluster.submit(spec);
         }
         // Ends of attempts, so that none is told twice in different ways.
         let mut standing: BTreeMap<AttemptId, AttemptState> = BTreeMap::new();
         for step in 0..800 {
             let calm = step >= 500;
-            night.now += draw.below(400);
-            match draw.below(9) {
-                0 => night.placer.run_placement_pass(night.now),
+            cluster.now += random.below(400);
+            match random.below(9) {
+                0 => cluster.placer.run_placement_pass(cluster.now),
                 1..=3 => {
-                    let Some(cas) = night.next(draw.below(END_LAG_MS)) else {
+                    let Some(cas) = cluster.next(random.below(ATTEMPT_END_WRITE_DELAY_MS)) else {
                         continue;
                     };
-                    let outcome = match draw.below(if calm { 1 } else { 5 }) {
-                        0 | 1 => night.store.cas(&cas),
+                    let outcome = match random.below(if calm { 1 } else { 5 }) {
+                        0 | 1 => cluster.store.cas(&cas),
                         2 => {
-                            night.store.cas(&cas);
+                            cluster.store.cas(&cas);
                             CompareAndSwapOutcome::Indeterminate
                         }
                         3 => {
@@ -527,12 +542,12 @@
                     // A late one may be made while the keys are read.
                     if matches!(outcome, CompareAndSwapOutcome::Conflict(_))
                         && !late.is_empty()
-                        && draw.below(2) == 0
+                        && random.below(2) == 0
                     {
-                        let cas = late.remove(draw.below(late.len() as u64) as usize);
-                        late_made += usize::from(night.store.makes(&cas));
+                        let cas = late.remove(random.below(late.len() as u64) as usize);
+                        late_made += usize::from(cluster.store.makes(&cas));
                     }
-                    for (id, phase) in night.end(outcome) {
+                    for (id, phase) in cluster.end(outcome) {
                         assert_eq!(
                             ends.insert(id.clone(), phase),
                             None,
@@ -541,30 +556,30 @@
                     }
                 }
                 4 if !late.is_empty() => {
-                    let cas = late.remove(draw.below(late.len() as u64) as usize);
-                    late_made += usize::from(night.store.makes(&cas));
+                    let cas = late.remove(random.below(late.len() as u64) as usize);
+                    late_made += usize::from(cluster.store.makes(&cas));
                 }
-                5 => specs.iter().for_each(|spec| night.copy(&spec.id)),
-                6 if draw.below(20) == 0 || step == 520 => {
-                    night.withdraw(&specs[draw.below(4) as usize].id.clone())
+                5 => specs.iter().for_each(|spec| cluster.copy(&spec.id)),
+                6 if random.below(20) == 0 || step == 520 => {
+                    cluster.withdraw(&specs[random.below(4) as usize].id.clone())
                 }
                 _ => {
                     let now: Vec<(AttemptId, AttemptState)> =
                         standing.iter().map(|(id, s)| (id.clone(), *s)).collect();
-                    night.sync(&now);
-                    for id in &night.wanted {
+                    cluster.sync(&now);
+                    for id in &cluster.wanted {
                         assert!(
-                            night.store.live(id) || standing.get(id).is_some_and(|s| s.ended()),
+                            cluster.store.live(id) || standing.get(id).is_some_and(|s| s.ended()),
                             "seed {seed}: {id} is not recorded"
                         );
                     }
-                    for id in night.told.clone() {
-                        let end = if night.wanted.contains(&id) {
+                    for id in cluster.told.clone() {
+                        let end = if cluster.wanted.contains(&id) {
                             AttemptState::Exited(ExitCause::Done)
                         } else {
                             AttemptState::Gone
                         };
-                        let next = if draw.below(3) == 0 {
+                        let next = if random.below(3) == 0 {
                             end
                         } else {
                             AttemptState::Running
@@ -574,16 +589,16 @@
                             standing.insert(id, next);
                         }
                     }
-                    standing.retain(|id, _| night.told.contains(id));
+                    standing.retain(|id, _| cluster.told.contains(id));
                 }
             }
         }
         for spec in &specs {
-            night.withdraw(&spec.id);
+            cluster.withdraw(&spec.id);
         }
         for _ in 0..20 {
-            specs.iter().for_each(|spec| night.copy(&spec.id));
-            let gone: Vec<(AttemptId, AttemptState)> = night
+            specs.iter().for_each(|spec| cluster.copy(&spec.id));
+            let gone: Vec<(AttemptId, AttemptState)> = cluster
                 .told
                 .iter()
                 .map(|id| {
@@ -597,30 +612,30 @@
                     )
                 })
                 .collect();
-            night.sync(&gone);
-            night.write();
+            cluster.sync(&gone);
+            cluster.write();
         }
         for cas in late {
-            late_made += usize::from(night.store.makes(&cas));
+            late_made += usize::from(cluster.store.makes(&cas));
         }
         over += specs
             .iter()
-            .filter(|spec| night.store.version(&end_key(&spec.id)) > 0)
+            .filter(|spec| cluster.store.version(&end_key(&spec.id)) > 0)
             .count();
         for spec in &specs {
             assert!(
-                night.store.version(&end_key(&spec.id)) > 0,
+                cluster.store.version(&end_key(&spec.id)) > 0,
                 "seed {seed}: {} is over",
                 spec.id
             );
         }
         assert!(
-            night.store.recorded().is_empty(),
+            cluster.store.recorded().is_empty(),
             "seed {seed}: {:?} came back",
-            night.store.recorded()
+            cluster.store.recorded()
         );
         for (id, phase) in &ends {
-            assert_eq!(night.store.ended(id), Some(*phase), "seed {seed}");
+            assert_eq!(cluster.store.ended(id), Some(*phase), "seed {seed}");
         }
     }
     assert!(late_made > 20 && over == 480, "{late_made} {over}");
--- a/crates/coordination/tests/ledger.rs
+++ b/crates/coordination/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! The gang admission ledger beside slow plain models: the rule itself against
+//! The gang admission ledger beside slow reference models: the rule itself against
 //! one that lists all cases, and real placers and owners under random histories
 //! of grants, refusals, deaths and late messages, judged by what the machines run.
 
@@ -8,11 +8,12 @@
 use std::sync::Arc;
 
 use lemonweir_coordination::gang_admission::{
-    GangAdmission, GangMembers, GangVerdict, InheritedAdmission, inherited_admission, verdict,
+    GANG_GRANT_TIMEOUT_MS, GangAdmission, GangMembers, GangVerdict, InheritedAdmission,
+    inherited_admission, verdict,
 };
 use lemonweir_coordination::owner::{CommandCall, CommandResult, Owner};
 use lemonweir_coordination::placer::{CompareAndSwapOutcome, Placer, PlacerConfig, ShardOwnership};
-use lemonweir_model::constants::*;
+use lemonweir_model::constants::{EVICT_WAIT_MS, ORPHAN_ROOM_MS, PLACE_GAP_MS};
 use lemonweir_model::policy::Policy;
 use lemonweir_model::{AttemptId, JobId, JobKind, JobSpec, Priority};
 use lemonweir_protocol::kv_store::{CompareAndSwap, KeyValue, Write, from_value, to_value};
@@ -29,7 +30,7 @@
 
 /// What must follow, said the long way round: of each step, when it was written,
 /// how many members stand where.
-fn plain_verdict(
+fn reference_verdict(
     step: GangAdmissionStep,
     since: Option<u64>,
     m: &GangMembers,
@@ -49,7 +50,7 @@
         return match () {
             () if since.is_some() && all_granted && none_stopped => "admit",
             () if m.running > 0 => "wait",
-            () if over(GANG_GRANT_MS) => "release",
+            () if over(GANG_GRANT_TIMEOUT_MS) => "release",
             () => "wait",
         };
     }
@@ -61,7 +62,7 @@
 }
 
 #[test]
-fn the_rule_is_the_plain_models_in_every_case() {
+fn verdict_equals_the_reference_model_in_every_case() {
     let steps = [
         GangAdmissionStep::Planned,
         GangAdmissionStep::Admitted,
@@ -74,8 +75,8 @@
         for since in [None, Some(1_000)] {
             for now in [
                 1_000,
-                1_000 + GANG_GRANT_MS - 1,
-                1_000 + GANG_GRANT_MS,
+                1_000 + GANG_GRANT_TIMEOUT_MS - 1,
+                1_000 + GANG_GRANT_TIMEOUT_MS,
                 1_000 + wait - 1,
                 1_000 + wait,
             ] {
@@ -105,7 +106,7 @@
                     };
                     assert_eq!(
                         got,
-                        plain_verdict(step, since, &m, wait, now),
+                        reference_verdict(step, since, &m, wait, now),
                         "{step:?} {since:?} {now} {m:?}"
                     );
                     seen.insert(got);
@@ -120,7 +121,7 @@
 /// What a successor reads is the least of what the chunks carry, whatever their
 /// order, and a release that began is gone on with.
 #[test]
-fn a_successor_reads_the_least_step_of_all_chunks() {
+fn new_leader_inherits_the_least_step_of_all_chunks() {
     let kinds = [
         None,
         Some(GangAdmissionStep::Planned),
@@ -150,7 +151,8 @@
         };
         assert_eq!((step, attempt), (plain, 4), "{picks:?}");
     }
-    let InheritedAdmission { step, .. } = inherited_admission([(1, None), (2, None)].into_iter()).expect("chunks");
+    let InheritedAdmission { step, .. } =
+        inherited_admission([(1, None), (2, None)].into_iter()).expect("chunks");
     assert_eq!(
         step,
         GangAdmissionStep::Released,
@@ -161,9 +163,9 @@
 // ---- real placers and owners under random histories ------------------------------
 
 /// Draws that need nothing from outside.
-struct Draws(u64);
+struct Random(u64);
 
-impl Draws {
+impl Random {
     fn below(&mut self, n: u64) -> u64 {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
@@ -183,94 +185,94 @@
 }
 
 /// A machine as the protocol page has it: tokens, sessions, a lease.
-struct Box_ {
+struct Worker {
     shard: usize,
     session: u64,
     seq: u64,
     token: u64,
-    answered: u64,
+    last_answer_at: u64,
     tasks: BTreeMap<AttemptId, Task>,
 }
 
-/// A part: who places and who owns, each with the token of its life.
-struct Part {
+/// A shard: who places and who owns, each with the token of its life.
+struct ShardControllers {
     placer: Option<(Placer, u64)>,
     owner: Option<(Owner, u64)>,
-    back: u64,
-    owner_back: u64,
-    passed: u64,
+    placer_back_at: u64,
+    owner_back_at: u64,
+    last_pass_at: u64,
 }
 
-const PARTS: usize = 3;
-const BOXES: usize = 9;
+const SHARDS: usize = 3;
+const WORKERS: usize = 9;
 const GANG_WAIT_MS: u64 = 50_000;
 
-struct Site {
+struct Cluster {
     now: u64,
-    draws: Draws,
+    random: Random,
     /// One in so many messages is lost, late or unknown; 0: none.
-    trouble: u64,
+    fault_odds: u64,
     revision: u64,
     store: BTreeMap<String, KeyValue>,
-    shards: Vec<Part>,
-    boxes: Vec<Box_>,
-    holders: BTreeMap<u16, ShardLeader>,
+    shards: Vec<ShardControllers>,
+    workers: Vec<Worker>,
+    shard_leaders: BTreeMap<u16, ShardLeader>,
     jobs: Vec<(usize, Arc<JobSpec>)>,
-    /// Held-back messages: syncs of earlier lives too, views, transactions, calls.
-    late: VecDeque<Late>,
+    /// Held-back messages: syncs of earlier lives too, views, compare-and-swaps, calls.
+    delayed: VecDeque<DelayedMessage>,
     /// Attempts of gangs whose admission was ever in all of their chunks.
     admitted: BTreeSet<(JobId, u32)>,
     launches: usize,
     /// Changes written for each gang, by step.
-    changes: BTreeMap<JobId, usize>,
+    chunk_writes: BTreeMap<JobId, usize>,
 }
 
-enum Late {
+enum DelayedMessage {
     Sync(usize, SyncRequest),
     View(usize, ShardView),
     CompareAndSwap(CompareAndSwap),
     Call(CommandCall),
 }
 
-impl Site {
-    fn new(seed: u64, trouble: u64) -> Self {
-        let mut site = Self {
+impl Cluster {
+    fn new(seed: u64, fault_odds: u64) -> Self {
+        let mut cluster = Self {
             now: 100,
-            draws: Draws(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1),
-            trouble,
+            random: Random(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1),
+            fault_odds,
             revision: 40,
             store: BTreeMap::new(),
-            shards: (0..PARTS)
-                .map(|_| Part {
+            shards: (0..SHARDS)
+                .map(|_| ShardControllers {
                     placer: None,
                     owner: None,
-                    back: 0,
-                    owner_back: 0,
-                    passed: 0,
+                    placer_back_at: 0,
+                    owner_back_at: 0,
+                    last_pass_at: 0,
                 })
                 .collect(),
-            boxes: (0..BOXES)
-                .map(|n| Box_ {
-                    shard: n % PARTS,
+            workers: (0..WORKERS)
+                .map(|n| Worker {
+                    shard: n % SHARDS,
                     session: 1,
                     seq: 0,
                     token: 0,
-                    answered: 100,
+                    last_answer_at: 100,
                     tasks: BTreeMap::new(),
                 })
                 .collect(),
-            holders: BTreeMap::new(),
+            shard_leaders: BTreeMap::new(),
             jobs: Vec::new(),
-            late: VecDeque::new(),
+            delayed: VecDeque::new(),
             admitted: BTreeSet::new(),
             launches: 0,
-            changes: BTreeMap::new(),
+            chunk_writes: BTreeMap::new(),
         };
-        for shard in 0..PARTS {
-            site.revive_owner(shard);
-            site.revive_placer(shard);
+        for shard in 0..SHARDS {
+            cluster.start_owner(shard);
+            cluster.start_placer(shard);
         }
-        site
+        cluster
     }
 
     fn put(&mut self, entry: KeyValue) {
@@ -301,7 +303,7 @@
             version: 0,
         });
         self.jobs.push((shard, Arc::new(spec)));
-        self.tell_jobs();
+        self.publish_jobs();
     }
 
     fn withdraw(&mut self, id: &JobId) {
@@ -317,12 +319,12 @@
                 value: to_value(&record),
                 version: 0,
             });
-            self.tell_jobs();
+            self.publish_jobs();
         }
     }
 
     /// What the followed keys say reaches every placer.
-    fn tell_jobs(&mut self) {
+    fn publish_jobs(&mut self) {
         for (shard, spec) in &self.jobs {
             let mirrored = self.store.get(&job_key(&spec.id)).map(|e| CachedJob {
                 record: Arc::new(from_value(&e.value).expect("a job")),
@@ -334,9 +336,9 @@
         }
     }
 
-    fn revive_owner(&mut self, shard: usize) {
+    fn start_owner(&mut self, shard: usize) {
         self.revision += 1;
-        // Nothing is given back: the fleet is fixed.
+        // Nothing is released: the fleet is fixed.
         let policy = Policy {
             idle: 1e6,
             idle_spot: 1e6,
@@ -345,7 +347,7 @@
         let mut owner = Owner::new(
             shard as u16,
             self.revision,
-            PARTS as u16,
+            SHARDS as u16,
             TIMING,
             policy,
             self.now,
@@ -354,10 +356,10 @@
         self.shards[shard].owner = Some((owner, self.revision));
     }
 
-    fn revive_placer(&mut self, shard: usize) {
+    fn start_placer(&mut self, shard: usize) {
         self.revision += 1;
         let token = self.revision;
-        self.holders.insert(
+        self.shard_leaders.insert(
             shard as u16,
             ShardLeader {
                 host: format!("h{shard}"),
@@ -374,7 +376,7 @@
             wall_offset_ms: 1_000_000,
             ..terms()
         };
-        let mut placer = Placer::new(shard as u16, token, PARTS as u16, terms, self.now);
+        let mut placer = Placer::new(shard as u16, token, SHARDS as u16, terms, self.now);
         placer.set_start_objectives(
             &HashMap::new(),
             f64::MAX,
@@ -408,22 +410,22 @@
                 placer.apply_job(id, None, self.now);
             }
         }
-        self.tell_jobs();
+        self.publish_jobs();
     }
 
-    /// A placer ends; its part is vacant for a while.
-    fn end_placer(&mut self, shard: usize, ms: u64) {
+    /// A placer ends; its shard is vacant for a while.
+    fn stop_placer(&mut self, shard: usize, ms: u64) {
         if self.shards[shard].placer.take().is_some() {
             self.revision += 1;
-            self.holders.remove(&(shard as u16));
+            self.shard_leaders.remove(&(shard as u16));
             self.store.remove(&shard_key(shard as u16));
-            self.shards[shard].back = self.now + ms;
+            self.shards[shard].placer_back_at = self.now + ms;
         }
     }
 
-    fn end_owner(&mut self, shard: usize, ms: u64) {
+    fn stop_owner(&mut self, shard: usize, ms: u64) {
         if self.shards[shard].owner.take().is_some() {
-            self.shards[shard].owner_back = self.now + ms;
+            self.shards[shard].owner_back_at = self.now + ms;
         }
     }
 
@@ -449,7 +451,7 @@
             }
             let (Write::Put { key, .. } | Write::Delete { key }) = w;
             if let Some((id, _)) = parse_run_key(key) {
-                *self.changes.entry(id).or_default() += 1;
+                *self.chunk_writes.entry(id).or_default() += 1;
             }
         }
         // Which gangs are admitted now: every chunk with members says so.
@@ -477,15 +479,15 @@
                 self.admitted.insert((id, first));
             }
         }
-        self.tell_jobs();
+        self.publish_jobs();
         CompareAndSwapOutcome::Committed(self.revision)
     }
 
-    fn placer_turn(&mut self, shard: usize) {
+    fn run_placer(&mut self, shard: usize) {
         let now = self.now;
-        let Part {
+        let ShardControllers {
             placer: Some((placer, token)),
-            passed,
+            last_pass_at,
             ..
         } = &mut self.shards[shard]
         else {
@@ -493,15 +495,15 @@
         };
         let token = *token;
         placer.advance_gang_admissions(now, 1_000_000);
-        if placer.placement_is_due(now) && now >= *passed + PLACE_GAP_MS {
-            *passed = now;
+        if placer.placement_is_due(now) && now >= *last_pass_at + PLACE_GAP_MS {
+            *last_pass_at = now;
             placer.run_placement_pass(now);
         }
         let Some(cas) = placer.next_cas(now) else {
             return;
         };
-        let trouble = self.trouble > 0 && self.draws.one_in(self.trouble);
-        let outcome = match (trouble, self.draws.below(3)) {
+        let fault_odds = self.fault_odds > 0 && self.random.one_in(self.fault_odds);
+        let outcome = match (fault_odds, self.random.below(3)) {
             (false, _) => self.apply(&cas),
             // Not made; made, but nobody hears of it; made late.
             (true, 0) => CompareAndSwapOutcome::Indeterminate,
@@ -510,7 +512,7 @@
                 CompareAndSwapOutcome::Indeterminate
             }
             (true, _) => {
-                self.late.push_back(Late::CompareAndSwap(cas));
+                self.delayed.push_back(DelayedMessage::CompareAndSwap(cas));
                 CompareAndSwapOutcome::Indeterminate
             }
         };
@@ -546,23 +548,23 @@
         };
         let sync = placer.sync_request(to as u16, to_token, ROOM, false, self.now);
         match (
-            self.trouble > 0 && self.draws.one_in(self.trouble),
-            self.draws.below(3),
+            self.fault_odds > 0 && self.random.one_in(self.fault_odds),
+            self.random.below(3),
         ) {
             (false, _) => self.deliver(to, &sync, true),
-            (true, 0) => self.lose(from, to),
+            (true, 0) => self.lose_message(from, to),
             (true, 1) => {
-                self.lose(from, to);
-                self.late.push_back(Late::Sync(to, sync));
+                self.lose_message(from, to);
+                self.delayed.push_back(DelayedMessage::Sync(to, sync));
             }
             (true, _) => {
                 self.deliver(to, &sync, false);
-                self.lose(from, to);
+                self.lose_message(from, to);
             }
         }
     }
 
-    fn lose(&mut self, from: usize, to: usize) {
+    fn lose_message(&mut self, from: usize, to: usize) {
         if let Some((placer, _)) = self.shards[from].placer.as_mut() {
             placer.message_lost(to as u16);
         }
@@ -576,15 +578,15 @@
         let Ok(view) = owner.sync(sync, ROOM, self.now) else {
             return;
         };
-        if !answered || self.trouble > 0 && self.draws.one_in(self.trouble) {
-            self.late.push_back(Late::View(from, view));
+        if !answered || self.fault_odds > 0 && self.random.one_in(self.fault_odds) {
+            self.delayed.push_back(DelayedMessage::View(from, view));
         } else if let Some((placer, _)) = self.shards[from].placer.as_mut() {
             placer.apply_view(view, self.now);
         }
     }
 
-    fn report_of(&mut self, n: usize) -> Heartbeat {
-        let b = &mut self.boxes[n];
+    fn heartbeat_of(&mut self, n: usize) -> Heartbeat {
+        let b = &mut self.workers[n];
         b.seq += 1;
         let tasks = b.tasks.iter().map(|(id, t)| TaskStatus {
             piece: id.piece(),
@@ -605,7 +607,7 @@
         for o in orders {
             let id = AttemptId::parse(&o.piece, o.attempt).expect("a task");
             match o.verb {
-                CommandKind::Launch if self.boxes[n].tasks.contains_key(&id) => {}
+                CommandKind::Launch if self.workers[n].tasks.contains_key(&id) => {}
                 CommandKind::Launch => {
                     self.launches += 1;
                     let gang = self
@@ -616,13 +618,13 @@
                         !gang || self.admitted.contains(&(id.job.clone(), id.attempt)),
                         "{id} is launched and not admitted"
                     );
-                    let twice = |b: &Box_| {
+                    let twice = |b: &Worker| {
                         b.tasks.iter().any(|(i, t)| {
                             (&i.job, i.task) == (&id.job, id.task) && t.phase != TaskPhase::Exited
                         })
                     };
-                    assert!(!self.boxes.iter().any(twice), "{id} is on two machines");
-                    self.boxes[n].tasks.insert(
+                    assert!(!self.workers.iter().any(twice), "{id} is on two machines");
+                    self.workers[n].tasks.insert(
                         id,
                         Task {
                             phase: TaskPhase::Fetching,
@@ -633,7 +635,7 @@
                 }
                 // It saves for a while.
                 CommandKind::Kill if o.grace_s.is_some_and(|s| s > 0) => {
-                    if let Some(t) = self.boxes[n]
+                    if let Some(t) = self.workers[n]
                         .tasks
                         .get_mut(&id)
                         .filter(|t| t.phase == TaskPhase::Running)
@@ -642,14 +644,14 @@
                     }
                 }
                 CommandKind::Kill => self.exit(n, &id, "stopped"),
-                CommandKind::Forget => drop(self.boxes[n].tasks.remove(&id)),
+                CommandKind::Forget => drop(self.workers[n].tasks.remove(&id)),
             }
         }
         self.check_members();
     }
 
     fn exit(&mut self, n: usize, id: &AttemptId, cause: &'static str) {
-        if let Some(t) = self.boxes[n]
+        if let Some(t) = self.workers[n]
             .tasks
             .get_mut(id)
             .filter(|t| t.phase != TaskPhase::Exited)
@@ -661,7 +663,7 @@
     /// At every instant: what is on machines of a gang is of one admitted attempt.
     fn check_members(&self) {
         let mut attempts: BTreeMap<&JobId, u32> = BTreeMap::new();
-        for (id, t) in self.boxes.iter().flat_map(|b| &b.tasks) {
+        for (id, t) in self.workers.iter().flat_map(|b| &b.tasks) {
             let gang = self
                 .jobs
                 .iter()
@@ -673,40 +675,41 @@
         }
     }
 
-    fn hello(&mut self, n: usize) {
-        let shard = self.boxes[n].shard;
-        let report = self.report_of(n);
+    fn send_heartbeat(&mut self, n: usize) {
+        let shard = self.workers[n].shard;
+        let report = self.heartbeat_of(n);
         let Some((owner, _)) = self.shards[shard].owner.as_mut() else {
             return;
         };
         let Some(reply) = owner.report(&report, None, self.now) else {
             return;
         };
-        if self.trouble > 0 && self.draws.one_in(self.trouble) || reply.token < self.boxes[n].token
+        if self.fault_odds > 0 && self.random.one_in(self.fault_odds)
+            || reply.token < self.workers[n].token
         {
             return;
         }
-        (self.boxes[n].token, self.boxes[n].answered) = (reply.token, self.now);
+        (self.workers[n].token, self.workers[n].last_answer_at) = (reply.token, self.now);
         self.execute(n, &reply.orders);
     }
 
-    fn calls(&mut self, shard: usize) {
+    fn send_commands(&mut self, shard: usize) {
         let Some((owner, _)) = self.shards[shard].owner.as_mut() else {
             return;
         };
         for call in owner.calls(self.now, 64) {
-            let trouble = self.trouble > 0 && self.draws.one_in(self.trouble);
-            let result = match (trouble, self.draws.below(3)) {
+            let fault_odds = self.fault_odds > 0 && self.random.one_in(self.fault_odds);
+            let result = match (fault_odds, self.random.below(3)) {
                 (true, 0) => CommandResult::NotSent,
                 (true, 1) => {
-                    self.late.push_back(Late::Call(call.clone()));
+                    self.delayed.push_back(DelayedMessage::Call(call.clone()));
                     CommandResult::Unknown
                 }
                 (true, _) => {
-                    self.call(&call);
+                    self.deliver_command(&call);
                     CommandResult::Unknown
                 }
-                (false, _) => self.call(&call),
+                (false, _) => self.deliver_command(&call),
             };
             if let Some((owner, _)) = self.shards[shard].owner.as_mut() {
                 owner.call_done(&call, result, self.now);
@@ -714,24 +717,24 @@
         }
     }
 
-    fn call(&mut self, call: &CommandCall) -> CommandResult {
-        let n = (0..BOXES)
+    fn deliver_command(&mut self, call: &CommandCall) -> CommandResult {
+        let n = (0..WORKERS)
             .find(|n| machine(*n) == call.machine)
             .expect("a machine");
-        let b = &mut self.boxes[n];
+        let b = &mut self.workers[n];
         if call.commands.token < b.token || call.commands.session != b.session {
-            return CommandResult::Refused(self.report_of(n));
+            return CommandResult::Refused(self.heartbeat_of(n));
         }
         b.token = call.commands.token;
         self.execute(n, &call.commands.orders);
-        CommandResult::Executed(self.report_of(n))
+        CommandResult::Executed(self.heartbeat_of(n))
     }
 
     /// What machines do by themselves: fetch, gather, run, end, lose their lease.
-    fn machines_go_on(&mut self) {
+    fn run_workers(&mut self) {
         let now = self.now;
         let mut there: HashMap<(JobId, u32), (usize, bool)> = HashMap::new();
-        for (id, t) in self.boxes.iter().flat_map(|b| &b.tasks) {
+        for (id, t) in self.workers.iter().flat_map(|b| &b.tasks) {
             let group = there
                 .entry((id.job.clone(), id.attempt))
                 .or_insert((0, true));
@@ -751,7 +754,7 @@
             .keys()
             .map(|(id, _)| (id.clone(), tasks_of(id)))
             .collect();
-        for b in &mut self.boxes {
+        for b in &mut self.workers {
             for (id, t) in &mut b.tasks {
                 let (count, sound) = there[&(id.job.clone(), id.attempt)];
                 let whole = count as u64 >= needed[&id.job];
@@ -777,7 +780,7 @@
             }
         }
         let ripe: Vec<AttemptId> = self
-            .boxes
+            .workers
             .iter()
             .flat_map(|b| &b.tasks)
             .filter(|(_, t)| t.phase == TaskPhase::Running && now >= t.since + 6_000)
@@ -785,7 +788,7 @@
             .collect();
         for id in ripe {
             let all = needed[&id.job] > 1;
-            for b in &mut self.boxes {
+            for b in &mut self.workers {
                 for (_, t) in b.tasks.iter_mut().filter(|(i, t)| {
                     t.phase == TaskPhase::Running
                         && if all {
@@ -799,26 +802,26 @@
             }
         }
         for b in self
-            .boxes
+            .workers
             .iter_mut()
-            .filter(|b| now > b.answered + TIMING.lease_ms)
+            .filter(|b| now > b.last_answer_at + TIMING.lease_ms)
         {
-            (b.session, b.answered) = (b.session + 1, now);
+            (b.session, b.last_answer_at) = (b.session + 1, now);
             b.tasks.clear();
         }
     }
 
-    fn deliver_late(&mut self) {
-        let n = self.draws.below(self.late.len().max(1) as u64) as usize;
-        match self.late.remove(n) {
-            Some(Late::Sync(to, sync)) => self.deliver(to, &sync, false),
-            Some(Late::View(to, view)) => {
+    fn deliver_delayed(&mut self) {
+        let n = self.random.below(self.delayed.len().max(1) as u64) as usize;
+        match self.delayed.remove(n) {
+            Some(DelayedMessage::Sync(to, sync)) => self.deliver(to, &sync, false),
+            Some(DelayedMessage::View(to, view)) => {
                 if let Some((placer, _)) = self.shards[to].placer.as_mut() {
                     placer.apply_view(view, self.now);
                 }
             }
-            Some(Late::CompareAndSwap(cas)) => drop(self.apply(&cas)),
-            Some(Late::Call(call)) => drop(self.call(&call)),
+            Some(DelayedMessage::CompareAndSwap(cas)) => drop(self.apply(&cas)),
+            Some(DelayedMessage::Call(call)) => drop(self.deliver_command(&call)),
             None => {}
         }
     }
@@ -826,41 +829,42 @@
     /// 100 ms in which everything has its turn.
     fn step(&mut self) {
         self.now += 100;
-        self.machines_go_on();
-        for shard in 0..PARTS {
-            if self.shards[shard].placer.is_none() && self.now >= self.shards[shard].back {
-                if self.holders.remove(&(shard as u16)).is_some() {
+        self.run_workers();
+        for shard in 0..SHARDS {
+            if self.shards[shard].placer.is_none() && self.now >= self.shards[shard].placer_back_at
+            {
+                if self.shard_leaders.remove(&(shard as u16)).is_some() {
                     self.revision += 1;
                     self.store.remove(&shard_key(shard as u16));
                 }
-                self.revive_placer(shard);
+                self.start_placer(shard);
             }
-            if self.shards[shard].owner.is_none() && self.now >= self.shards[shard].owner_back {
-                self.revive_owner(shard);
+            if self.shards[shard].owner.is_none() && self.now >= self.shards[shard].owner_back_at {
+                self.start_owner(shard);
             }
             if let Some((owner, _)) = self.shards[shard].owner.as_mut() {
-                owner.watch_placers(&self.holders, self.revision, self.now);
+                owner.watch_placers(&self.shard_leaders, self.revision, self.now);
                 owner.tick(self.now, self.now);
             }
-            self.calls(shard);
+            self.send_commands(shard);
         }
-        for n in 0..BOXES {
+        for n in 0..WORKERS {
             if self.now / 100 % 15 == n as u64 {
-                self.hello(n);
+                self.send_heartbeat(n);
             }
         }
-        for from in 0..PARTS {
+        for from in 0..SHARDS {
             for _ in 0..2 {
-                self.placer_turn(from);
-                (0..PARTS).for_each(|to| self.sync(from, to));
+                self.run_placer(from);
+                (0..SHARDS).for_each(|to| self.sync(from, to));
             }
         }
-        if self.trouble > 0 && self.draws.one_in(4) {
-            self.deliver_late();
+        if self.fault_odds > 0 && self.random.one_in(4) {
+            self.deliver_delayed();
         }
     }
 
-    fn over(&self, id: &JobId) -> bool {
+    fn has_ended(&self, id: &JobId) -> bool {
         self.store.contains_key(&format!("end/{id}"))
     }
 }
@@ -876,22 +880,22 @@
 }
 
 /// Two gangs that each need nearly every machine, small work between, and placers
-/// and owners that end at any time while messages, transactions and orders are
+/// and owners that end at any time while messages, compare-and-swaps and orders are
 /// lost or late: nothing of a gang that isn't admitted is ever launched, members of
 /// two attempts never meet, and once all troubles are over everything is done or
 /// withdrawn and all room is free.
 #[test]
-fn no_history_launches_a_gang_by_halves() {
+fn gang_is_never_partially_launched_under_faults() {
     let (mut launches, mut admitted) = (0, 0);
     for seed in 1..=16 {
-        let mut site = Site::new(seed, 6);
+        let mut cluster = Cluster::new(seed, 6);
         for step in 0..600u32 {
             if step == 30 {
-                site.submit(0, gang(1, 8, 4.0));
-                site.submit(1, gang(2, 7, 4.0));
+                cluster.submit(0, gang(1, 8, 4.0));
+                cluster.submit(1, gang(2, 7, 4.0));
             }
             if step > 30 && step % 40 == 0 {
-                site.submit(
+                cluster.submit(
                     2,
                     JobSpec {
                         id: JobId::from(format!("req-{:06}", 100 + step).as_str()),
@@ -900,36 +904,37 @@
                 );
             }
             if step == 300 && seed % 3 == 0 {
-                site.withdraw(&JobId::from("req-000001"));
+                cluster.withdraw(&JobId::from("req-000001"));
             }
-            let shard = site.draws.below(PARTS as u64) as usize;
-            let ms = [300, 1_500, 12_000][site.draws.below(3) as usize];
-            if site.draws.one_in(60) {
-                site.end_placer(shard, ms);
+            let shard = cluster.random.below(SHARDS as u64) as usize;
+            let ms = [300, 1_500, 12_000][cluster.random.below(3) as usize];
+            if cluster.random.one_in(60) {
+                cluster.stop_placer(shard, ms);
             }
-            if site.draws.one_in(60) {
-                site.end_owner(shard, ms.min(3_000));
+            if cluster.random.one_in(60) {
+                cluster.stop_owner(shard, ms.min(3_000));
             }
-            site.step();
+            cluster.step();
         }
-        site.trouble = 0;
+        cluster.fault_odds = 0;
         for _ in 0..2_000 {
-            site.step();
+            cluster.step();
         }
-        let left: Vec<&JobId> = site
+        let left: Vec<&JobId> = cluster
             .jobs
             .iter()
             .map(|(_, s)| &s.id)
-            .filter(|id| !site.over(id))
+            .filter(|id| !cluster.has_ended(id))
             .collect();
         assert!(left.is_empty(), "seed {seed}: {left:?} are not over");
         assert!(
-            site.boxes
+            cluster
+                .workers
                 .iter()
                 .all(|b| b.tasks.values().all(|t| t.phase == TaskPhase::Exited))
         );
-        launches += site.launches;
-        admitted += site.admitted.len();
+        launches += cluster.launches;
+        admitted += cluster.admitted.len();
     }
     assert!(
         launches > 400 && admitted > 25,
@@ -942,28 +947,29 @@
 const ONE: &str = "req-000001";
 
 /// What the store says of the gang: its step, and how many members it names.
-fn step_of(site: &Site) -> Option<(GangAdmissionStep, usize)> {
+fn step_of(cluster: &Cluster) -> Option<(GangAdmissionStep, usize)> {
     let chunk: TaskChunkRecord =
-        from_value(&site.store.get("run/0/req-000001/0")?.value).expect("a chunk");
+        from_value(&cluster.store.get("run/0/req-000001/0")?.value).expect("a chunk");
     chunk.gang.map(|g| (g.step, chunk.live.len()))
 }
 
-/// A gang of 8 whole machines on three parts, brought to where its first step is
+/// A gang of 8 whole machines on three shards, brought to where its first step is
 /// written and granted, and the second is not.
-fn planned() -> Site {
-    let mut site = Site::new(3, 0);
-    (0..30).for_each(|_| site.step());
-    site.submit(0, gang(1, 8, 4.0));
-    while step_of(&site).is_none() {
-        site.placer_turn(0);
-        site.now += 10;
+fn cluster_with_planned_gang() -> Cluster {
+    let mut cluster = Cluster::new(3, 0);
+    (0..30).for_each(|_| cluster.step());
+    cluster.submit(0, gang(1, 8, 4.0));
+    while step_of(&cluster).is_none() {
+        cluster.run_placer(0);
+        cluster.now += 10;
     }
-    assert_eq!(step_of(&site), Some((GangAdmissionStep::Planned, 8)));
-    site
+    assert_eq!(step_of(&cluster), Some((GangAdmissionStep::Planned, 8)));
+    cluster
 }
 
-fn running(site: &Site) -> usize {
-    site.boxes
+fn running(cluster: &Cluster) -> usize {
+    cluster
+        .workers
         .iter()
         .flat_map(|b| b.tasks.values())
         .filter(|t| t.phase == TaskPhase::Running)
@@ -973,17 +979,17 @@
 /// A gang takes one change more than an array with as many tasks in its chunk, and
 /// that one is written before anything else of its placer.
 #[test]
-fn a_gang_takes_one_change_more() {
+fn gang_admission_costs_one_extra_write() {
     let written = |spec: JobSpec| {
-        let mut site = Site::new(3, 0);
-        (0..30).for_each(|_| site.step());
+        let mut cluster = Cluster::new(3, 0);
+        (0..30).for_each(|_| cluster.step());
         let id = spec.id.clone();
-        site.submit(0, spec);
-        // All tasks of the array fit one transaction too.
-        while !site.over(&id) {
-            site.step();
+        cluster.submit(0, spec);
+        // All tasks of the array fit one compare-and-swap too.
+        while !cluster.has_ended(&id) {
+            cluster.step();
         }
-        site.changes[&id]
+        cluster.chunk_writes[&id]
     };
     let array = written(JobSpec {
         gpus: 4.0,
@@ -998,10 +1004,10 @@
     );
 }
 
-/// 700 members are recorded and admitted in one transaction each, however much else
+/// 700 members are recorded and admitted in one compare-and-swap each, however much else
 /// is to be written.
 #[test]
-fn seven_hundred_members_go_in_one_transaction() {
+fn gang_of_seven_hundred_is_admitted_in_one_compare_and_swap() {
     let mut placer = Placer::new(
         0,
         TOKEN,
@@ -1064,32 +1070,32 @@
 /// owners granted, and after it was admitted: the successor starts the same attempt
 /// whole.
 #[test]
-fn a_successor_finishes_what_can_be_whole() {
+fn new_leader_completes_an_admission_that_can_be_whole() {
     for (granted, admitted) in [(false, false), (true, false), (true, true)] {
-        let mut site = planned();
+        let mut cluster = cluster_with_planned_gang();
         if granted {
-            (0..PARTS).for_each(|to| site.sync(0, to));
+            (0..SHARDS).for_each(|to| cluster.sync(0, to));
         }
-        while admitted && step_of(&site) != Some((GangAdmissionStep::Admitted, 8)) {
-            site.placer_turn(0);
+        while admitted && step_of(&cluster) != Some((GangAdmissionStep::Admitted, 8)) {
+            cluster.run_placer(0);
         }
-        assert_eq!(site.launches, 0);
-        let written = site.changes[&JobId::from(ONE)];
-        site.end_placer(0, 3_000);
-        (0..60).for_each(|_| site.step());
+        assert_eq!(cluster.launches, 0);
+        let written = cluster.chunk_writes[&JobId::from(ONE)];
+        cluster.stop_placer(0, 3_000);
+        (0..60).for_each(|_| cluster.step());
         assert_eq!(
-            (step_of(&site), site.launches),
+            (step_of(&cluster), cluster.launches),
             (Some((GangAdmissionStep::Admitted, 8)), 8),
             "{granted} {admitted}"
         );
         assert_eq!(
-            site.changes[&JobId::from(ONE)],
+            cluster.chunk_writes[&JobId::from(ONE)],
             written + usize::from(!admitted),
             "its one decision"
         );
-        assert!(site.admitted.contains(&(JobId::from(ONE), 1)));
-        (0..100).for_each(|_| site.step());
-        assert!(site.over(&JobId::from(ONE)));
+        assert!(cluster.admitted.contains(&(JobId::from(ONE), 1)));
+        (0..100).for_each(|_| cluster.step());
+        assert!(cluster.has_ended(&JobId::from(ONE)));
     }
 }
 
@@ -1097,24 +1103,25 @@
 /// launched, the successor's decision to release is in the store, room elsewhere is
 /// free at once, and the gang starts as another attempt once the owner is back.
 #[test]
-fn a_successor_releases_what_cannot_be_whole() {
-    let mut site = planned();
-    (0..2).for_each(|to| site.sync(0, to));
-    site.end_placer(0, 2_000);
-    site.end_owner(2, 40_000);
-    let end = site.now + 2_000 + GANG_GRANT_MS + 500;
-    while site.now < end {
-        site.step();
-        assert_eq!(site.launches, 0);
+fn new_leader_releases_a_gang_that_cannot_be_whole() {
+    let mut cluster = cluster_with_planned_gang();
+    (0..2).for_each(|to| cluster.sync(0, to));
+    cluster.stop_placer(0, 2_000);
+    cluster.stop_owner(2, 40_000);
+    let end = cluster.now + 2_000 + GANG_GRANT_TIMEOUT_MS + 500;
+    while cluster.now < end {
+        cluster.step();
+        assert_eq!(cluster.launches, 0);
     }
     assert_eq!(
-        step_of(&site).map(|s| s.0),
+        step_of(&cluster).map(|s| s.0),
         Some(GangAdmissionStep::Released)
     );
     for shard in 0..2 {
-        let (placer, _) = site.shards[1].placer.as_ref().expect("there");
+        let (placer, _) = cluster.shards[1].placer.as_ref().expect("there");
         let there = |m: &&lemonweir_protocol::peer::MachineView| {
-            site.boxes
+            cluster
+                .workers
                 .iter()
                 .enumerate()
                 .any(|(n, b)| b.shard == shard && machine(n) == m.id)
@@ -1124,19 +1131,19 @@
                 .machines()
                 .filter(there)
                 .all(|m| m.free.gpus == 4_000),
-            "part {shard}"
+            "shard {shard}"
         );
     }
-    (0..400).for_each(|_| site.step());
-    assert!(site.over(&JobId::from(ONE)));
-    assert!(!site.admitted.contains(&(JobId::from(ONE), 1)) && !site.admitted.is_empty());
+    (0..400).for_each(|_| cluster.step());
+    assert!(cluster.has_ended(&JobId::from(ONE)));
+    assert!(!cluster.admitted.contains(&(JobId::from(ONE), 1)) && !cluster.admitted.is_empty());
 }
 
 /// A gang pushes others out: none of it is launched before all of them are gone.
 #[test]
-fn nothing_is_launched_before_those_who_make_way_are_gone() {
-    let mut site = Site::new(4, 0);
-    (0..30).for_each(|_| site.step());
+fn gang_launches_only_after_preempted_tasks_have_ended() {
+    let mut cluster = Cluster::new(4, 0);
+    (0..30).for_each(|_| cluster.step());
     let low = JobSpec {
         id: JobId::from("req-000007"),
         checkpoint_s: 60.0,
@@ -1145,101 +1152,110 @@
         cores: 16.0,
         ..array(5)
     };
-    site.submit(1, low);
-    let full = |site: &Site| running(site) == 5;
-    let limit = site.now + 6_000;
-    while !full(&site) && site.now < limit {
-        site.step();
+    cluster.submit(1, low);
+    let full = |cluster: &Cluster| running(cluster) == 5;
+    let limit = cluster.now + 6_000;
+    while !full(&cluster) && cluster.now < limit {
+        cluster.step();
     }
-    assert!(full(&site), "{} of {}", running(&site), site.launches);
-    (0..10).for_each(|_| site.step());
-    site.submit(
+    assert!(
+        full(&cluster),
+        "{} of {}",
+        running(&cluster),
+        cluster.launches
+    );
+    (0..10).for_each(|_| cluster.step());
+    cluster.submit(
         0,
         JobSpec {
             rank: Priority::High,
             ..gang(1, 8, 4.0)
         },
     );
-    let before = site.launches;
+    let before = cluster.launches;
     let mut most_leaving = 0;
-    let limit = site.now + EVICT_WAIT_MS;
-    while site.launches == before && site.now < limit {
-        let leaving = site
-            .boxes
+    let limit = cluster.now + EVICT_WAIT_MS;
+    while cluster.launches == before && cluster.now < limit {
+        let leaving = cluster
+            .workers
             .iter()
             .flat_map(|b| b.tasks.values())
             .filter(|t| t.phase == TaskPhase::Saving)
             .count();
         most_leaving = most_leaving.max(leaving);
-        site.step();
+        cluster.step();
     }
     assert_eq!(most_leaving, 4);
-    let saving = |b: &Box_| b.tasks.values().any(|t| t.phase == TaskPhase::Saving);
-    assert!(!site.boxes.iter().any(saving));
-    (0..200).for_each(|_| site.step());
-    assert!(site.over(&JobId::from(ONE)));
+    let saving = |b: &Worker| b.tasks.values().any(|t| t.phase == TaskPhase::Saving);
+    assert!(!cluster.workers.iter().any(saving));
+    (0..200).for_each(|_| cluster.step());
+    assert!(cluster.has_ended(&JobId::from(ONE)));
 }
 
 /// A placer is gone for good. Its owners keep the room it was granted for
 /// [`ORPHAN_ROOM_MS`] after the store has shown it, and not longer; a go of it that
 /// comes late launches nothing, and neither does a late grant of theirs.
 #[test]
-fn room_of_a_dead_placer_is_free_in_time() {
-    let mut site = planned();
-    (0..PARTS).for_each(|to| site.sync(0, to));
-    // It admits the gang, and its go to the owner of part 1 is on its way for long.
-    while step_of(&site) != Some((GangAdmissionStep::Admitted, 8)) {
-        site.placer_turn(0);
+fn grants_of_a_dead_placer_are_released_in_time() {
+    let mut cluster = cluster_with_planned_gang();
+    (0..SHARDS).for_each(|to| cluster.sync(0, to));
+    // It admits the gang, and its go to the owner of shard 1 is on its way for long.
+    while step_of(&cluster) != Some((GangAdmissionStep::Admitted, 8)) {
+        cluster.run_placer(0);
     }
-    let token = site.shards[1].owner.as_ref().expect("there").1;
-    let late = site.shards[0]
+    let token = cluster.shards[1].owner.as_ref().expect("there").1;
+    let late = cluster.shards[0]
         .placer
         .as_mut()
         .expect("there")
         .0
-        .sync_request(1, token, ROOM, false, site.now);
+        .sync_request(1, token, ROOM, false, cluster.now);
     assert!(late.wants.iter().all(|w| w.go) && !late.wants.is_empty());
-    site.end_placer(0, 600_000);
-    let ended = site.now;
-    let free = |site: &Site| {
-        let (placer, _) = site.shards[2].placer.as_ref().expect("there");
+    cluster.stop_placer(0, 600_000);
+    let ended = cluster.now;
+    let free = |cluster: &Cluster| {
+        let (placer, _) = cluster.shards[2].placer.as_ref().expect("there");
         placer.machines().filter(|m| m.free.gpus == 4_000).count()
     };
     let mut at = None;
     while at.is_none() {
-        site.step();
-        if site.now > ended + 1_000 && site.now <= ended + 1_100 {
-            site.deliver(1, &late, false);
+        cluster.step();
+        if cluster.now > ended + 1_000 && cluster.now <= ended + 1_100 {
+            cluster.deliver(1, &late, false);
         }
-        assert!(site.now <= ended + ORPHAN_ROOM_MS + 300, "still held");
-        at = (free(&site) == BOXES).then_some(site.now);
+        assert!(cluster.now <= ended + ORPHAN_ROOM_MS + 300, "still held");
+        at = (free(&cluster) == WORKERS).then_some(cluster.now);
     }
     assert!(at >= Some(ended + ORPHAN_ROOM_MS));
-    assert_eq!(site.launches, 0, "a late go launches nothing");
-    (0..50).for_each(|_| site.step());
-    site.deliver(1, &late, false);
-    (0..50).for_each(|_| site.step());
-    assert_eq!((site.launches, free(&site)), (0, BOXES));
+    assert_eq!(cluster.launches, 0, "a late go launches nothing");
+    (0..50).for_each(|_| cluster.step());
+    cluster.deliver(1, &late, false);
+    (0..50).for_each(|_| cluster.step());
+    assert_eq!((cluster.launches, free(&cluster)), (0, WORKERS));
     // What comes after it finds a member refused, and starts all of it anew.
-    site.shards[0].back = site.now;
-    (0..400).for_each(|_| site.step());
-    assert!(site.over(&JobId::from(ONE)) && site.launches >= 8);
+    cluster.shards[0].placer_back_at = cluster.now;
+    (0..400).for_each(|_| cluster.step());
+    assert!(cluster.has_ended(&JobId::from(ONE)) && cluster.launches >= 8);
 }
 
 /// Withdrawn at each step: nothing more of it is launched, and all room is free.
 #[test]
-fn a_gang_may_be_withdrawn_at_each_step() {
+fn gang_can_be_withdrawn_at_each_step() {
     for steps in [0, 1, 2, 3, 8, 20] {
-        let mut site = planned();
-        (0..steps).for_each(|_| site.step());
-        site.withdraw(&JobId::from(ONE));
+        let mut cluster = cluster_with_planned_gang();
+        (0..steps).for_each(|_| cluster.step());
+        cluster.withdraw(&JobId::from(ONE));
         // What its owners had been told before.
-        site.step();
-        let launched = site.launches;
-        (0..100).for_each(|_| site.step());
-        assert!(site.over(&JobId::from(ONE)), "{steps}");
-        assert_eq!((site.launches, running(&site)), (launched, 0), "{steps}");
-        let (placer, _) = site.shards[1].placer.as_ref().expect("there");
+        cluster.step();
+        let launched = cluster.launches;
+        (0..100).for_each(|_| cluster.step());
+        assert!(cluster.has_ended(&JobId::from(ONE)), "{steps}");
+        assert_eq!(
+            (cluster.launches, running(&cluster)),
+            (launched, 0),
+            "{steps}"
+        );
+        let (placer, _) = cluster.shards[1].placer.as_ref().expect("there");
         assert!(placer.machines().all(|m| m.free.gpus == 4_000), "{steps}");
     }
 }
--- a/crates/coordination/tests/turns.rs
+++ b/crates/coordination/tests/turns.rs
@@ -16,7 +16,7 @@
     JobId::from(format!("req-{n:06}").as_str())
 }
 
-/// Keys that a transaction writes.
+/// Keys that a compare-and-swap writes.
 fn keys(writes: &[Write]) -> Vec<String> {
     let key = |w: &Write| match w {
         Write::Put { key, .. } | Write::Delete { key } => key.clone(),
@@ -28,7 +28,7 @@
 /// the ends of withdrawn jobs, proven over within 0.2 s, were written 21 s later in the
 /// mean, behind thousands of starts, and a sixth of the users had given up.
 #[test]
-fn ends_of_withdrawn_jobs_are_written_before_any_start_the_oldest_first() {
+fn withdrawn_job_ends_are_written_before_starts_oldest_first() {
     let mut placer = Placer::new(0, TOKEN, 1, terms(), 0);
     let seq = placer.sync_request(0, TOKEN, ROOM, false, 0).seq;
     let machines: Vec<_> = (0..200).map(|n| shown(n, 4)).collect();
@@ -104,11 +104,11 @@
     assert_eq!(starts, 40, "and every start has its turn after them");
 }
 
-/// Found on a day with values of 2 KiB and four changes a transaction: what a placer rented
+/// Found on a day with values of 2 KiB and four changes a compare-and-swap: what a placer rented
 /// and keeps stood beside the changes without a bound, the message was too large for the
 /// store, and so were all that followed.
 #[test]
-fn a_message_stays_below_twice_its_room() {
+fn sync_message_stays_below_twice_its_byte_budget() {
     let mut placer = Placer::new(0, TOKEN, 2, terms(), 0);
     for n in 0..500 {
         let rented = ProvisionedInstance {
