--- a/crates/coordination/src/placer/mod.rs
+++ b/crates/coordination/src/placer/mod.rs
@@ -6,14 +6,14 @@
 //!
 //! | module | job |
 //! | --- | --- |
-//! | [`jobs`], [`queues`], [`quotas`] | jobs from the store, the teams' queues, quotas |
-//! | [`placement_pass`], [`placing`], [`scoring`], [`requests`] | where waiting tasks go |
-//! | [`unmet_demand`], [`headroom`] | what the autoscaler is asked for |
-//! | [`accounting`], [`partitions`] | what each machine holds, and which zones are partitioned |
-//! | [`desired`], [`owner_channel`], [`reconciliation`], [`attempt_events`] | exchange with the owners |
-//! | [`write_queue`], [`records`] | what is written to the store, and what was found there |
-//! | [`gangs`] | admission of gangs |
-//! | [`rebalancing`], [`escalation`], [`supervision`], [`status`] | services, and what users are told |
+//! | `jobs`, `queues`, `quotas` | jobs from the store, the teams' queues, quotas |
+//! | `placement_pass`, `placing`, `scoring`, `requests` | where waiting tasks go |
+//! | `unmet_demand`, `headroom` | what the autoscaler is asked for |
+//! | `accounting`, `partitions` | what each machine holds, and which zones are partitioned |
+//! | `desired`, `owner_channel`, `reconciliation`, `attempt_events` | exchange with the owners |
+//! | `write_queue`, `records` | what is written to the store, and what was found there |
+//! | `gangs` | admission of gangs |
+//! | `rebalancing`, `escalation`, `supervision`, `status` | services, and what users are told |
 
 mod accounting;
 mod attempt_events;
