--- a/crates/coordination/tests/changes.rs
+++ b/crates/coordination/tests/changes.rs
@@ -1,4 +1,4 @@
-//! Change messages compared with a slow plain model that knows whole states,
+//! Change messages compared with a slow reference model that knows whole states,
 //! and what they cost as the fleet grows.
 
 mod support;
@@ -112,7 +112,7 @@
     /// what the sender holds, and one that is complete never holds what was
     /// never there.
     #[test]
-    fn a_follower_ends_with_the_plain_models_state(steps in prop::collection::vec(step(), 1..160)) {
+    fn follower_converges_to_the_reference_model(steps in prop::collection::vec(step(), 1..160)) {
         let mut log: ChangeLog<u8, u32> = ChangeLog::default();
         let mut model: BTreeMap<u8, u32> = BTreeMap::new();
         let (mut acked, mut seq, mut token) = (0, 0, 1);
@@ -176,7 +176,7 @@
 /// The work for one start is the same whatever the fleet's size: one machine
 /// is told anew, and one is called.
 #[test]
-fn a_start_costs_the_same_in_a_large_fleet() {
+fn start_cost_is_independent_of_fleet_size() {
     for machines in [10, 1_000] {
         let mut owner = fleet(machines);
         let first = owner
@@ -196,7 +196,7 @@
             )
             .expect("taken");
         assert_eq!(first.machines.len(), machines);
-        assert!(owner.due_calls(20, ROOM).is_empty());
+        assert!(owner.calls(20, ROOM).is_empty());
         let span = ChangeRange {
             since: 0,
             upto: 1,
@@ -211,9 +211,9 @@
             "{machines} machines"
         );
         assert_eq!(view.wants_at, 1);
-        assert_eq!(owner.due_calls(30, ROOM).len(), 1);
+        assert_eq!(owner.calls(30, ROOM).len(), 1);
         // A report that says nothing new is no news.
-        assert!(owner.handle_heartbeat(&report(7, 2), None, 40).is_some());
+        assert!(owner.report(&report(7, 2), None, 40).is_some());
         let quiet = owner
             .sync(
                 &sync(
@@ -236,7 +236,7 @@
 
 /// A stop does not wait behind starts where a message holds few of them.
 #[test]
-fn stops_overtake_what_has_no_room() {
+fn stops_overtake_starts_that_do_not_fit() {
     let mut owner = fleet(3);
     let two = ChangeRange {
         since: 0,
@@ -255,11 +255,11 @@
             20,
         )
         .expect("taken");
-    assert_eq!(owner.due_calls(20, ROOM).len(), 2);
+    assert_eq!(owner.calls(20, ROOM).len(), 2);
     for n in 0..2 {
         assert!(
             owner
-                .handle_heartbeat(
+                .report(
                     &Heartbeat {
                         tasks: vec![running_task(n)],
                         ..report(n, 2)
@@ -293,7 +293,7 @@
     ];
     owner.sync(&piece, ROOM, 40).expect("taken");
     let reply = owner
-        .handle_heartbeat(
+        .report(
             &Heartbeat {
                 tasks: vec![running_task(1)],
                 ..report(1, 3)
@@ -307,7 +307,7 @@
         vec![CommandKind::Kill]
     );
     let reply = owner
-        .handle_heartbeat(
+        .report(
             &Heartbeat {
                 tasks: vec![running_task(0)],
                 ..report(0, 3)
@@ -321,7 +321,7 @@
 
 /// A state that does not fit one message comes in several, and all of it comes.
 #[test]
-fn a_whole_state_comes_in_pieces() {
+fn full_state_is_delivered_in_pieces() {
     let mut owner = fleet(300);
     let mut at = ObservedState::default();
     let mut seen = BTreeMap::new();
@@ -362,7 +362,7 @@
 /// note beyond some thirty machines, and after a restart tasks were placed as
 /// if the others had none.
 #[test]
-fn a_large_fleet_keeps_its_images_over_a_restart() {
+fn images_of_a_large_fleet_survive_a_restart() {
     const MACHINES: usize = 400;
     const VALUE: usize = 4 * 1024;
     let mut owner = fleet(MACHINES);
@@ -392,7 +392,7 @@
     for n in 0..MACHINES {
         assert!(
             owner
-                .handle_heartbeat(
+                .report(
                     &Heartbeat {
                         tasks: vec![running_task(n)],
                         ..report(n, 2)
@@ -403,7 +403,7 @@
                 .is_some()
         );
     }
-    let pages = owner.changed_image_pages(60_000, VALUE, 12);
+    let pages = owner.images_note(60_000, VALUE, 12);
     assert!(pages.len() > 1, "this fleet needs several pages");
     let pages: Vec<ImageLocationsRecord> = pages
         .into_iter()
@@ -415,7 +415,7 @@
             .all(|p| lemonweir_protocol::encode(p).len() <= VALUE)
     );
     assert!(
-        owner.changed_image_pages(120_000, VALUE, 12).is_empty(),
+        owner.images_note(120_000, VALUE, 12).is_empty(),
         "nothing new, nothing written"
     );
     let mut next = Owner::new(
@@ -426,11 +426,11 @@
         lemonweir_policy::embedded().expect("policy"),
         0,
     );
-    next.restore_image_pages(pages);
+    next.learn_images(pages);
     for n in 0..MACHINES {
         let token = (TOKEN + 1) << lemonweir_model::constants::FENCE_BITS;
         assert!(
-            next.handle_heartbeat(
+            next.report(
                 &Heartbeat {
                     token,
                     ..report(n, 3)
@@ -466,21 +466,21 @@
 /// answers came in pieces, attempts before machines, and the placer took room
 /// again that its own attempts had just been given: 1,900 refusals.
 #[test]
-fn room_is_not_taken_twice_while_figures_are_on_their_way() {
+fn capacity_is_not_double_booked_while_machine_figures_are_in_flight() {
     let mut placer = Placer::new(0, TOKEN, 1, terms(), 0);
     submit(&mut placer, array(9), 0, 0);
     let machine = |gpus: u64| shown(0, gpus);
     let mut revision = 1;
     // Tells a view, lets the placer place and write, and counts its attempts.
     let mut tell = |machines: Vec<MachineView>, span: ChangeRange, attempts: Vec<AttemptStatus>| {
-        let seq = placer.sync_for(0, TOKEN, ROOM, false, 0).seq;
-        placer.take_view(view(seq, span, machines, attempts), 0);
-        placer.place(0);
+        let seq = placer.sync_request(0, TOKEN, ROOM, false, 0).seq;
+        placer.apply_view(view(seq, span, machines, attempts), 0);
+        placer.run_placement_pass(0);
         while placer.next_cas(0).is_some() {
             revision += 1;
-            placer.cas_done(CompareAndSwapOutcome::Done(revision), 0);
+            placer.apply_cas_outcome(CompareAndSwapOutcome::Committed(revision), 0);
         }
-        placer.sync_for(0, TOKEN, ROOM, false, 0).wants
+        placer.sync_request(0, TOKEN, ROOM, false, 0).wants
     };
     let first = tell(
         vec![machine(4)],
@@ -543,10 +543,10 @@
 }
 
 /// Found on rough of zeltplatz-rechen-grown: after a crash the list still named
-/// machines that had been given back, and 30 of them counted as booting for a
+/// machines that had been released, and 30 of them counted as booting for a
 /// minute and a half.
 #[test]
-fn a_machine_listed_as_running_that_never_reports_is_no_room() {
+fn listed_machine_without_heartbeats_offers_no_capacity() {
     let mut owner = fleet(1);
     let entry = |phase: &str| InstanceEntry {
         id: machine(5),
@@ -580,22 +580,22 @@
             .find(|m| m.id == machine(5))
             .map(|m| m.open)
     };
-    owner.apply_inventory(&[entry("starting")], 1_000);
+    owner.listed(&[entry("starting")], 1_000);
     owner.tick(30_000, 30_000);
     assert_eq!(open(&mut owner), Some(true), "it boots");
-    owner.apply_inventory(&[entry("running")], 30_000);
+    owner.listed(&[entry("running")], 30_000);
     owner.tick(31_000, 31_000);
     assert_eq!(open(&mut owner), Some(true), "it may just be up");
     (31_000..45_000)
         .step_by(500)
         .for_each(|now| owner.tick(now, now));
     assert_eq!(open(&mut owner), Some(false));
-    assert!(owner.handle_heartbeat(&report(5, 1), None, 46_000).is_some());
+    assert!(owner.report(&report(5, 1), None, 46_000).is_some());
     assert_eq!(open(&mut owner), Some(true), "it was only late");
 }
 
 #[test]
-fn numbers_that_make_no_sense_change_nothing() {
+fn impossible_sequence_numbers_change_nothing() {
     let mut owner = fleet(3);
     let whole = ChangeRange {
         since: 0,
@@ -609,8 +609,8 @@
             20,
         )
         .expect("taken");
-    assert!(owner.due_calls(20, ROOM).len() == 1);
-    // Late, of another token, of a part that there is not.
+    assert!(owner.calls(20, ROOM).len() == 1);
+    // Late, of another token, of a shard that there is not.
     assert_eq!(
         owner
             .sync(
@@ -626,7 +626,7 @@
     assert_eq!(owner.sync(&other, ROOM, 21).err(), Some(SyncError::Token));
     let mut other = sync(6, whole, Vec::new(), ObservedState::default());
     other.from = 9;
-    assert_eq!(owner.sync(&other, ROOM, 21).err(), Some(SyncError::UnknownShard));
+    assert_eq!(owner.sync(&other, ROOM, 21).err(), Some(SyncError::Part));
     // A gap, and a span that ends before it begins: all is asked for again, and
     // the attempt is still held.
     for (seq, span) in [
--- a/crates/coordination/tests/largest.rs
+++ b/crates/coordination/tests/largest.rs
@@ -1,12 +1,15 @@
-//! The largest jobs begin: idle work that has begun nothing is asked room for in
-//! time, in the order that a plain model gives.
+//! The largest jobs begin: low-priority work that has begun nothing is asked room for in
+//! time, in the order that a reference model gives.
 
 mod support;
 
 use std::collections::BTreeMap;
 
-use lemonweir_coordination::placer::{CompareAndSwapOutcome, Placer, PlacerConfig};
-use lemonweir_model::constants::*;
+use lemonweir_coordination::placer::{
+    CompareAndSwapOutcome, LOW_PRIORITY_START_DEADLINE_MS, LOW_PRIORITY_START_SLACK_MS, Placer,
+    PlacerConfig,
+};
+use lemonweir_model::constants::{IDLE_PATIENCE_MS, MAX_TASKS};
 use lemonweir_model::{Catalog, JobId, JobKind, JobSpec, MachineType, Priority, Resources};
 use lemonweir_protocol::peer::ChangeRange;
 use support::*;
@@ -21,8 +24,8 @@
         .into_iter()
         .collect();
     let terms = PlacerConfig {
-        limits,
-        idle_writes: 1_000,
+        quota_limits: limits,
+        low_priority_writes_per_s: 1_000,
         ..terms()
     };
     let mut placer = Placer::new(0, TOKEN, 1, terms, now);
@@ -34,7 +37,7 @@
         },
     )]
     .into();
-    placer.expect(&Default::default(), f64::MAX, &catalog);
+    placer.set_start_objectives(&Default::default(), f64::MAX, &catalog);
     placer
 }
 
@@ -50,7 +53,7 @@
 /// A machine for so many tasks is there; the jobs of which it then holds something,
 /// with their tasks.
 fn room_for(placer: &mut Placer, tasks: u64, now: u64) -> BTreeMap<JobId, usize> {
-    let seq = placer.sync_for(0, TOKEN, ROOM, false, now).seq;
+    let seq = placer.sync_request(0, TOKEN, ROOM, false, now).seq;
     let free = Resources::offer(4.0 * tasks as f64, tasks as f64, 16.0 * tasks as f64);
     // Some other work is on it.
     let machine = lemonweir_protocol::peer::MachineView {
@@ -58,7 +61,7 @@
         busy: 1,
         ..shown(1, 4)
     };
-    placer.take_view(
+    placer.apply_view(
         view(
             seq,
             ChangeRange {
@@ -73,19 +76,19 @@
     );
     pass(placer, now);
     let mut on = BTreeMap::new();
-    for want in placer.sync_for(0, TOKEN, ROOM, false, now).wants {
+    for want in placer.sync_request(0, TOKEN, ROOM, false, now).wants {
         *on.entry(want.id.job).or_default() += 1;
     }
     on
 }
 
 fn pass(placer: &mut Placer, now: u64) {
-    placer.keep_ledger(now, 0);
+    placer.advance_gang_admissions(now, 0);
     // What is left of a job comes in the next, and is written in its turn.
     for step in 0..4 {
-        placer.place(now);
+        placer.run_placement_pass(now);
         while placer.next_cas(now + 50 * step).is_some() {
-            placer.cas_done(CompareAndSwapOutcome::Done(2 + step), now);
+            placer.apply_cas_outcome(CompareAndSwapOutcome::Committed(2 + step), now);
         }
     }
 }
@@ -114,7 +117,7 @@
 /// Each gets its first task before any gets its second, the largest first, then the
 /// oldest; then the oldest gets more, each up to half before any gets all.
 #[test]
-fn idle_work_begins_in_the_order_of_the_plain_model() {
+fn low_priority_work_starts_in_the_order_of_the_reference_model() {
     for seed in 0..30 {
         let jobs = drawn(seed);
         for room in [1, 3, 7, 12, 15, 40] {
@@ -152,16 +155,16 @@
 }
 
 /// Whom room is asked for: whoever has begun nothing and would be late otherwise, by
-/// the time of its submission and not of the last change of hands; one task of it,
+/// the time of its submission and not of the last failover; one task of it,
 /// or the gang, the largest first, whatever else lacks room.
 #[test]
-fn room_is_asked_for_in_time_and_for_one_unit() {
+fn capacity_is_requested_in_time_and_for_one_unit() {
     // A boot of 60 s at the worst, a fetch of 2 GB at 1 GB a second, and the slack.
-    let patience = IDLE_BEGIN_MS - 60_000 - 2_660 - IDLE_BEGIN_SLACK_MS;
+    let patience = LOW_PRIORITY_START_DEADLINE_MS - 60_000 - 2_660 - LOW_PRIORITY_START_SLACK_MS;
     for seed in 0..30 {
         for others in [false, true] {
             let (jobs, now) = (drawn(seed), 300_000);
-            // This placer has just taken the part.
+            // This placer has just taken the shard.
             let mut placer = placer(None, now);
             for (n, tasks, at) in &jobs {
                 let shape = if n % 5 == 0 {
@@ -202,19 +205,19 @@
                 .map(|(n, tasks, _)| if n % 5 == 0 { *tasks } else { 1 })
                 .collect();
             let first: Vec<u64> = placer
-                .lacking
+                .unmet_demand
                 .iter()
                 .filter(|d| d.first)
                 .map(|d| u64::from(d.count))
                 .collect();
             assert_eq!(first, units, "seed {seed}: {jobs:?}");
-            assert!(placer.lacking.iter().all(|d| !d.only_spot));
+            assert!(placer.unmet_demand.iter().all(|d| !d.only_spot));
             assert_eq!(
-                placer.lacking.iter().filter(|d| !d.idle).count(),
+                placer.unmet_demand.iter().filter(|d| !d.idle).count(),
                 usize::from(others)
             );
             assert!(
-                placer.lacking.is_sorted_by_key(|d| d.first),
+                placer.unmet_demand.is_sorted_by_key(|d| d.first),
                 "others come before"
             );
         }
@@ -223,22 +226,26 @@
 
 /// What has begun waits as it did: no room is rented for it before its patience ends.
 #[test]
-fn what_has_begun_costs_no_more_than_before() {
+fn work_that_has_begun_requests_no_extra_capacity() {
     let mut placer = placer(None, 0);
     submit(&mut placer, idle(1, 500), 0, 0);
     assert_eq!(room_for(&mut placer, 1, 1_000).len(), 1);
     for now in [150_000, 300_000, IDLE_PATIENCE_MS - 1] {
         pass(&mut placer, now);
-        assert!(placer.lacking.is_empty(), "{now}: {:?}", placer.lacking);
+        assert!(
+            placer.unmet_demand.is_empty(),
+            "{now}: {:?}",
+            placer.unmet_demand
+        );
     }
     pass(&mut placer, IDLE_PATIENCE_MS);
-    assert_eq!(placer.lacking.len(), 1);
+    assert_eq!(placer.unmet_demand.len(), 1);
 }
 
 /// A service that its team's limit keeps from being whole asks for what it may have;
 /// a gang that can't be whole for nothing.
 #[test]
-fn a_service_begins_within_its_teams_limit() {
+fn service_starts_within_its_teams_quota_limit() {
     for (shape, want) in [
         (JobKind::Service, Some(8)),
         (JobKind::Array, Some(8)),
@@ -276,7 +283,7 @@
         );
         pass(&mut placer, 0);
         assert_eq!(
-            placer.lacking.iter().map(|d| d.count).next(),
+            placer.unmet_demand.iter().map(|d| d.count).next(),
             want,
             "{shape:?}"
         );
@@ -286,7 +293,7 @@
 /// An array of 100,000 tiny tasks is placed over some passes, and who came after it
 /// has its turn in the first.
 #[test]
-fn a_huge_array_leaves_others_their_turn() {
+fn huge_array_does_not_starve_other_jobs() {
     let mut placer = placer(None, 0);
     submit(
         &mut placer,
@@ -316,15 +323,15 @@
     }
     let seen = |placer: &mut Placer| {
         placer
-            .known()
+            .known_jobs()
             .filter(|j| {
                 placer
-                    .job_note(j, 0)
+                    .job_status(j, 0)
                     .is_some_and(|(_, _, why)| why.contains("written"))
             })
             .count()
     };
-    let seq = placer.sync_for(0, TOKEN, ROOM, false, 0).seq;
+    let seq = placer.sync_request(0, TOKEN, ROOM, false, 0).seq;
     let span = ChangeRange {
         since: 0,
         upto: 1,
@@ -336,19 +343,19 @@
             ..shown(n, 4)
         })
         .collect();
-    placer.take_view(view(seq, span, machines, Vec::new()), 0);
-    placer.place(0);
+    placer.apply_view(view(seq, span, machines, Vec::new()), 0);
+    placer.run_placement_pass(0);
     assert_eq!(seen(&mut placer), 18, "all small ones");
-    assert!(placer.wants_pass(0), "it goes on");
+    assert!(placer.placement_is_due(0), "it goes on");
     for _ in 0..100 {
-        if !placer.wants_pass(0) {
+        if !placer.placement_is_due(0) {
             break;
         }
-        placer.place(0);
+        placer.run_placement_pass(0);
     }
     let all: u64 = placer
-        .known()
-        .filter_map(|j| placer.job_note(j, 0))
+        .known_jobs()
+        .filter_map(|j| placer.job_status(j, 0))
         .map(|(_, _, why)| u64::from(why.contains("room")))
         .sum();
     assert_eq!(
--- a/crates/coordination/tests/turns.rs
+++ b/crates/coordination/tests/turns.rs
@@ -16,7 +16,7 @@
     JobId::from(format!("req-{n:06}").as_str())
 }
 
-/// Keys that a transaction writes.
+/// Keys that a compare-and-swap writes.
 fn keys(writes: &[Write]) -> Vec<String> {
     let key = |w: &Write| match w {
         Write::Put { key, .. } | Write::Delete { key } => key.clone(),
@@ -28,11 +28,11 @@
 /// the ends of withdrawn jobs, proven over within 0.2 s, were written 21 s later in the
 /// mean, behind thousands of starts, and a sixth of the users had given up.
 #[test]
-fn ends_of_withdrawn_jobs_are_written_before_any_start_the_oldest_first() {
+fn withdrawn_job_ends_are_written_before_starts_oldest_first() {
     let mut placer = Placer::new(0, TOKEN, 1, terms(), 0);
-    let seq = placer.sync_for(0, TOKEN, ROOM, false, 0).seq;
+    let seq = placer.sync_request(0, TOKEN, ROOM, false, 0).seq;
     let machines: Vec<_> = (0..200).map(|n| shown(n, 4)).collect();
-    placer.take_view(
+    placer.apply_view(
         view(
             seq,
             ChangeRange {
@@ -57,8 +57,8 @@
             2,
         );
     }
-    placer.keep_ledger(3, 0);
-    placer.place(3);
+    placer.advance_gang_admissions(3, 0);
+    placer.run_placement_pass(3);
     // The higher the number the sooner it was withdrawn, of whatever priority.
     let ranks = [
         Priority::Low,
@@ -81,7 +81,7 @@
             }),
             version: 7,
         };
-        placer.set_job(&spec.id, Some(&job), at);
+        placer.apply_job(&spec.id, Some(&job), at);
     }
     let (mut written, mut starts) = (Vec::new(), 0);
     for revision in 50..70 {
@@ -97,18 +97,18 @@
                 None => starts += usize::from(key.starts_with("run/")),
             }
         }
-        placer.cas_done(CompareAndSwapOutcome::Done(revision), 100);
+        placer.apply_cas_outcome(CompareAndSwapOutcome::Committed(revision), 100);
     }
     let oldest_first: Vec<String> = (0..20).rev().map(|n| id(n).to_string()).collect();
     assert_eq!(written, oldest_first);
     assert_eq!(starts, 40, "and every start has its turn after them");
 }
 
-/// Found on a day with values of 2 KiB and four changes a transaction: what a placer rented
+/// Found on a day with values of 2 KiB and four changes a compare-and-swap: what a placer rented
 /// and keeps stood beside the changes without a bound, the message was too large for the
 /// store, and so were all that followed.
 #[test]
-fn a_message_stays_below_twice_its_room() {
+fn sync_message_stays_below_twice_its_byte_budget() {
     let mut placer = Placer::new(0, TOKEN, 2, terms(), 0);
     for n in 0..500 {
         let rented = ProvisionedInstance {
@@ -118,14 +118,14 @@
             spot: false,
             age_ms: 0,
         };
-        placer.promises.push(PendingInstance {
-            rented,
+        placer.pending_instances.push(PendingInstance {
+            instance: rented,
             shard: 1,
-            at: 1,
+            provisioned_at: 1,
         });
     }
     for room in [700, 2_700, 24_000] {
-        let sync = placer.sync_for(1, TOKEN, room, false, 10);
+        let sync = placer.sync_request(1, TOKEN, room, false, 10);
         assert!(
             peer::write(&sync).len() <= 2 * room,
             "{room}: {}",
