--- a/crates/coordination/src/flush.rs
+++ b/crates/coordination/src/flush.rs
@@ -2,7 +2,10 @@
 
 use std::collections::BTreeMap;
 
-use crate::autoscaler::{CapacityBin, FailingPools, ProvisioningOptions, plan};
+use crate::autoscaler::{
+    BootingInstance, CapacityBin, FailingPools, InstancePool, Market, ProvisioningOptions,
+    ScaleOut, plan_scale_out,
+};
 use crate::{Core, Effect, Shard};
 use lemonweir_model::Catalog;
 use lemonweir_model::constants::*;
@@ -124,7 +127,7 @@
             if let Some(cas) = shard.placer.next_cas(now) {
                 effects.push(Effect::CompareAndSwap(lease, cas));
             }
-            self.pump_watch(index, now, effects);
+            self.flush_supervision(index, now, effects);
             self.pump_rent(index, now, effects);
             again |= self.pump_syncs(index, now, effects);
         }
@@ -217,11 +220,12 @@
         }
         if shard.planned < shard.placer.passes && shard.rentals.len() < RENTALS_AT_ONCE {
             shard.planned = shard.placer.passes;
-            for (kind, zone, spot, count) in shard.plan(index, catalog, now) {
-                let same =
-                    |r: &ProvisioningRequest| r.kind == kind && r.zone == zone && r.spot == spot;
+            for ScaleOut { pool, count } in shard.plan(index, catalog, now) {
                 if shard.rentals.len() >= RENTALS_AT_ONCE
-                    || shard.rentals.iter().any(|(r, _)| same(r))
+                    || shard
+                        .rentals
+                        .iter()
+                        .any(|(r, _)| InstancePool::from(r) == pool)
                 {
                     continue;
                 }
@@ -231,9 +235,9 @@
                 shard.rentals.push((
                     ProvisioningRequest {
                         booking,
-                        kind,
-                        zone,
-                        spot,
+                        kind: pool.machine_type,
+                        zone: pool.zone,
+                        spot: pool.market.is_spot(),
                         count,
                     },
                     false,
@@ -250,7 +254,7 @@
 impl Shard {
     /// What to rent for what the placer lacks, beyond what boots already or is
     /// asked for.
-    fn plan(&self, index: u16, catalog: &Catalog, now: u64) -> Vec<(String, String, bool, u32)> {
+    fn plan(&self, index: u16, catalog: &Catalog, now: u64) -> Vec<ScaleOut> {
         if self.placer.lacking.is_empty() {
             return Vec::new();
         }
@@ -260,9 +264,7 @@
         let bin = |kind: &str, zone: &str, spot: bool| {
             let free = catalog.get(kind).map(|t| t.room).unwrap_or_default();
             CapacityBin {
-                kind: kind.to_owned(),
-                zone: zone.to_owned(),
-                spot,
+                pool: InstancePool::new(kind, zone, Market::from_spot_flag(spot)),
                 free,
             }
         };
@@ -283,7 +285,12 @@
         // What is overdue boots, and is not open.
         let booting = self.placer.machines().filter(|m| !m.up && m.busy == 0);
         let failing =
-            FailingPools::of(booting.map(|m| (m.kind.as_str(), m.zone.as_str(), m.spot, !m.open)));
+            FailingPools::new(booting.map(|m| BootingInstance {
+                machine_type: &m.kind,
+                zone: &m.zone,
+                market: Market::from_spot_flag(m.spot),
+                overdue: !m.open,
+            }));
         bins.extend(
             self.placer
                 .promises
@@ -294,11 +301,11 @@
             bins.extend((0..r.count).map(|_| bin(&r.kind, &r.zone, r.spot)));
         }
         let market = ProvisioningOptions {
-            hidden: &hidden,
-            failing: &failing,
+            partitioned_zones: &hidden,
+            failing_pools: &failing,
             catalog,
-            shortage: &self.shortage,
+            shortages: &self.shortage,
         };
-        plan(&self.placer.lacking, &bins, &zones, &market, now)
+        plan_scale_out(&self.placer.lacking, &bins, &zones, &market, now)
     }
 }
--- /dev/null
+++ b/crates/coordination/src/image_locality/report.rs
@@ -0,0 +1,94 @@
+//! The report on one image for operators. It is computed on demand from what this
+//! controller tracks and was sent, so it works during an outage of the store.
+
+use std::collections::BTreeMap;
+
+use crate::Core;
+use crate::placer::Placer;
+use lemonweir_protocol::image_locality::{
+    ImageLocalityReport, ImageUserRow, ShardImageRow, ZoneImageRow,
+};
+
+impl Core {
+    /// Where an image is cached, who uses it, and how many copies the loss of each zone
+    /// would leave.
+    pub fn image_locality_report(&self, image: &str, now: u64) -> ImageLocalityReport {
+        let (mb, users) = self.image_users(image);
+        // Any of our placers has the machines of all shards.
+        let placer = self.shards.values().next().map(|shard| &shard.placer);
+        let shards = placer
+            .into_iter()
+            .flat_map(|p| p.told(now))
+            .map(|(shard, told_s)| ShardImageRow { shard, told_s })
+            .collect();
+        ImageLocalityReport {
+            image: image.to_owned(),
+            mb,
+            users,
+            zones: self.image_zones(image, placer),
+            shards,
+        }
+    }
+
+    /// Size of the image, MB, and its unfinished jobs and their tasks by class.
+    fn image_users(&self, image: &str) -> (Option<u64>, Vec<ImageUserRow>) {
+        let mut by_class: BTreeMap<&str, (u64, u64)> = BTreeMap::new();
+        let mut size_mb = None;
+        let unfinished = self
+            .cache
+            .jobs
+            .values()
+            .filter(|job| !job.record.withdrawn && job.record.spec.image == image);
+        for spec in unfinished.map(|job| &job.record.spec) {
+            size_mb = Some(spec.image_mb());
+            let (jobs, tasks) = by_class.entry(&spec.class).or_default();
+            *jobs += 1;
+            *tasks += spec.tasks;
+        }
+        let users = by_class
+            .into_iter()
+            .map(|(class, (jobs, tasks))| ImageUserRow {
+                class: class.to_owned(),
+                jobs,
+                tasks,
+            })
+            .collect();
+        (size_mb, users)
+    }
+
+    /// Copies of the image in each zone, as far as the placer knows.
+    fn image_zones(&self, image: &str, placer: Option<&Placer>) -> Vec<ZoneImageRow> {
+        let partitioned = placer.map(Placer::hidden_zones).unwrap_or_default();
+        let mut zones: BTreeMap<&str, ZoneImageRow> = BTreeMap::new();
+        for zone in &self.config.zones {
+            let row = ZoneImageRow {
+                zone: zone.clone(),
+                here: 0,
+                coming: 0,
+                open: 0,
+                left: 0,
+                hidden: partitioned.contains(zone.as_str()),
+            };
+            zones.insert(zone, row);
+        }
+        for machine in placer.into_iter().flat_map(|p| p.machines()) {
+            let Some(row) = zones.get_mut(machine.zone.as_str()).filter(|_| machine.up) else {
+                continue;
+            };
+            if machine.images.iter().any(|i| i == image) {
+                row.here += 1;
+                row.open += u64::from(machine.open);
+            } else if machine.coming.iter().any(|i| i == image) {
+                row.coming += 1;
+            }
+        }
+        let all: u64 = zones.values().map(|row| row.here).sum();
+        zones
+            .into_values()
+            .map(|row| ZoneImageRow {
+                left: all - row.here,
+                ..row
+            })
+            .collect()
+    }
+}
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -92,7 +92,7 @@
 impl Shard {
     /// The owner learns which images services use.
     fn know_needs(&mut self) {
-        if let Some(images) = self.placer.book.take_needed() {
+        if let Some(images) = self.placer.book.take_changed_service_images() {
             self.owner.set_needed(images);
         }
     }
@@ -266,7 +266,7 @@
                 shard.placer.set_job(id, None, now);
             }
             for (id, job) in &cache.jobs {
-                shard.placer.book.note(id, uses(job));
+                shard.placer.book.record_job(id, uses(job));
                 if Self::team_shard(cache, config, &job.record.spec.team) == lease.shard {
                     shard
                         .placer
@@ -275,7 +275,7 @@
             }
             shard.know_needs();
         }
-        self.begin_takeover(lease, now);
+        self.begin_failover(lease, now);
     }
 
     /// Gives a part up.
@@ -347,7 +347,7 @@
             match cache.jobs.get(&id) {
                 Some(job) => {
                     for shard in self.shards.values_mut() {
-                        shard.placer.book.note(&id, uses(job));
+                        shard.placer.book.record_job(&id, uses(job));
                     }
                     let index = Self::team_shard(cache, config, &job.record.spec.team);
                     if let Some(shard) = self.shards.get_mut(&index) {
@@ -359,7 +359,7 @@
                 None => {
                     self.notes.remove(&id);
                     for shard in self.shards.values_mut() {
-                        shard.placer.book.note(&id, None);
+                        shard.placer.book.record_job(&id, None);
                         shard.placer.set_job(&id, None, now);
                     }
                 }
@@ -648,7 +648,7 @@
                     "machines rented"
                 );
                 if (machines.len() as u32) < rental.count {
-                    shard.shortage.note(rental, now);
+                    shard.shortage.record(rental, now);
                 }
                 for p in promises {
                     shard.lines[usize::from(p.shard)].dirty = true;
@@ -663,7 +663,7 @@
                     spot = rental.spot,
                     "no capacity"
                 );
-                shard.shortage.note(rental, now);
+                shard.shortage.record(rental, now);
             }
             ProvisioningResult::Again => shard.rent_after = now + CLOUD_TROUBLE_MS,
         }
--- /dev/null
+++ b/crates/coordination/src/placement/machine_slot.rs
@@ -0,0 +1,48 @@
+//! One machine as the placement index keeps it.
+
+use lemonweir_model::{MachineId, Resources};
+use lemonweir_protocol::peer::MachineView;
+
+/// Resources and load of a machine: as its owner published them, less what was reserved
+/// since.
+#[derive(Clone, Debug)]
+pub struct MachineSlot {
+    /// The machine.
+    pub id: MachineId,
+    /// Its zone.
+    pub zone: String,
+    /// True for a spot instance, false for an on-demand one.
+    pub spot: bool,
+    /// Free resources.
+    pub free: Resources,
+    /// Tasks on it.
+    pub task_count: u32,
+    /// Tasks on it that run until their jobs are cancelled.
+    pub long_running_count: u32,
+    /// Images that it fetches: they share its fetch rate.
+    pub fetch_count: u32,
+    /// MB that may be fetched before its cache evicts an image that unfinished jobs use;
+    /// `u64::MAX` while that is not known.
+    pub cache_headroom_mb: u64,
+    /// Resources of the attempts below each priority, by [`lemonweir_model::Priority::index`].
+    pub preemptible: [Resources; 3],
+    /// The same with what teams run beyond their guaranteed quota.
+    pub preemptible_over_quota: [Resources; 3],
+}
+
+impl From<&MachineView> for MachineSlot {
+    fn from(view: &MachineView) -> Self {
+        Self {
+            id: view.id.clone(),
+            zone: view.zone.clone(),
+            spot: view.spot,
+            free: view.free,
+            task_count: u32::from(view.busy),
+            long_running_count: u32::from(view.lasting),
+            fetch_count: view.coming.len() as u32,
+            cache_headroom_mb: u64::MAX,
+            preemptible: view.soft,
+            preemptible_over_quota: view.soft_over,
+        }
+    }
+}
--- /dev/null
+++ b/crates/coordination/src/placement/request.rs
@@ -0,0 +1,31 @@
+//! What a task requires of a machine.
+
+use std::collections::BTreeSet;
+
+use lemonweir_model::{MachineId, Resources};
+
+/// Constraints and preferences of one task.
+#[derive(Clone, Debug)]
+pub struct PlacementRequest<'a> {
+    /// Resources that the task takes.
+    pub need: Resources,
+    /// Allowed machine types; `None`: any.
+    pub machine_types: Option<&'a [String]>,
+    /// Allowed zones; `None`: any.
+    pub zones: Option<Vec<&'a str>>,
+    /// True if spot instances are allowed.
+    pub spot_allowed: bool,
+    /// True if the task runs until its job is cancelled.
+    pub long_running: bool,
+    /// Image.
+    pub image: &'a str,
+    /// Size of the image, MB.
+    pub image_mb: u64,
+    /// Machines that are not eligible.
+    pub excluded_machines: &'a [MachineId],
+    /// The only eligible machines; `None`: all are.
+    pub restricted_to: Option<&'a BTreeSet<MachineId>>,
+    /// True if an idle on-demand machine is not eligible: it is too expensive for the
+    /// task, and a task there keeps it from being released.
+    pub avoid_idle_on_demand: bool,
+}
--- a/crates/coordination/src/placer/headroom.rs
+++ b/crates/coordination/src/placer/headroom.rs
@@ -62,20 +62,26 @@
             for _ in 0..(expected.round() as u32).min(most) {
                 let ask = PlacementRequest {
                     need,
-                    types: spec.types.as_deref(),
+                    machine_types: spec.types.as_deref(),
                     zones: None,
-                    spot: spec.spot,
-                    lasting: false,
+                    spot_allowed: spec.spot,
+                    long_running: false,
                     image: &spec.image,
                     image_mb: spec.image_mb(),
-                    avoid: &[],
-                    only: None,
-                    frugal: false,
+                    excluded_machines: &[],
+                    restricted_to: None,
+                    avoid_idle_on_demand: false,
                 };
                 let found = self.fields.iter().enumerate().find_map(|(p, field)| {
-                    let fit = field
-                        .first_fit(&ask)
-                        .or_else(|| field.evict_fit(&ask, spec.rank, false, false, None));
+                    let fit = field.first_fit(&ask).or_else(|| {
+                        field.preemptive_fit(
+                            &ask,
+                            spec.rank,
+                            PreemptionScope::Lower,
+                            ImageRequirement::Optional,
+                            None,
+                        )
+                    });
                     fit.map(|i| (p, i))
                 });
                 let Some((p, i)) = found else {
@@ -83,10 +89,10 @@
                     continue;
                 };
                 let field = &mut self.fields[p];
-                if field.slots[i].busy == 0 {
+                if field.slots[i].task_count == 0 {
                     self.keep.push(field.slots[i].id.clone());
                 }
-                field.take(i, &need, &spec.image);
+                field.reserve(i, &need, &spec.image);
                 taken.push((field.slots[i].id.clone(), p as u16));
             }
             if count > 0 {
@@ -94,14 +100,14 @@
                 lacking.push(CapacityDemand {
                     team: spec.team.clone(),
                     need,
-                    types: spec.types.clone(),
+                    machine_types: spec.types.clone(),
                     zone,
-                    spot: spec.spot,
+                    spot_allowed: spec.spot,
                     count,
-                    one_zone: false,
-                    only_spot: spec.spot,
+                    single_zone: false,
+                    spot_only: spec.spot,
                     idle: false,
-                    first: false,
+                    must_start_now: false,
                 });
             }
         }
--- a/crates/coordination/src/placer/mod.rs
+++ b/crates/coordination/src/placer/mod.rs
@@ -26,11 +26,15 @@
 use crate::change_log::ChangeLog;
 use crate::fault_attribution::FaultAttribution;
 use crate::gang_admission::GangAdmission;
-use crate::image_locality::book::Book;
-use crate::image_locality::trade::{ImageLocality, PlacementClass, PlacementRisk, classes};
-use crate::image_locality::walk::{PlacedReplicas, Walk};
+use crate::image_locality::scoring::{
+    ImageLocality, PlacementClass, PlacementRisk, ZoneShare, placement_classes,
+};
+use crate::image_locality::usage::ImageUsage;
 use crate::job::{EndingAttempt, Job, LiveAttempt, TaskChunk, TaskPlacement, Urgency};
-use crate::placement::{PlacementIndex, PlacementRequest};
+use crate::placement::{
+    Candidate, CandidateShard, CandidateWalk, ImageRequirement, PlacedReplicas, PlacementIndex,
+    PlacementRequest,
+};
 use crate::supervision::services::SupervisedServices;
 use lemonweir_model::constants::*;
 use lemonweir_model::policy::Trade;
@@ -223,7 +227,7 @@
     trade: Trade,
     better_after: Option<JobId>,
     /// Sizes and use of images, and caches by machine type, thousandths of a GB.
-    pub book: Book,
+    pub book: ImageUsage,
     caches: HashMap<String, u64>,
     turn: usize,
     pending: Option<Pending>,
@@ -315,7 +319,7 @@
             fetch_gb_per_s: f64::MAX,
             trade,
             better_after: None,
-            book: Book::default(),
+            book: ImageUsage::default(),
             caches: HashMap::new(),
             turn: 0,
             pending: None,
@@ -444,13 +448,13 @@
         let Some(field) = self.fields.get_mut(usize::from(shard)) else {
             return;
         };
-        let Some(i) = field.find(machine) else { return };
-        field.restore(i);
+        let Some(i) = field.position(machine) else { return };
+        field.revert_reservations(i);
         for (id, _) in self.unseen.get(machine).into_iter().flatten() {
             if let Some(job) = self.jobs.get(id) {
-                field.take(i, &job.need, job.spec().map_or("", |s| s.image.as_str()));
+                field.reserve(i, &job.need, job.spec().map_or("", |s| s.image.as_str()));
                 if job.lasting() {
-                    field.stays(i);
+                    field.mark_long_running(i);
                 }
             }
         }
@@ -467,7 +471,7 @@
             job.clear_chunks();
         }
         if job.lasting() {
-            self.services.touch(id);
+            self.services.mark_changed(id);
         }
         self.changed.insert(id.clone());
         if job.admission.is_some() {
@@ -633,7 +637,7 @@
 
     /// Words of bits and machines that this placer's walks have looked at.
     pub fn looked(&self) -> u64 {
-        self.fields.iter().map(PlacementIndex::looked).sum()
+        self.fields.iter().map(PlacementIndex::candidates_examined).sum()
     }
 
     /// The priority that a job is placed with.
@@ -718,7 +722,7 @@
                 .values()
                 .any(|l| l.shard == shard && turned(&l.zone))
             {
-                self.services.touch(id);
+                self.services.mark_changed(id);
                 self.changed.insert(id.clone());
             }
         }
@@ -759,7 +763,7 @@
 
 /// A field that nothing was told of yet.
 fn fresh_field(own: u16, shard: u16, shards: u16) -> PlacementIndex {
-    PlacementIndex::begins_at(
+    PlacementIndex::with_start_offset(
         usize::from((shard + shards - own % shards.max(1)) % shards.max(1)),
         usize::from(shards),
     )
@@ -849,15 +853,15 @@
 ) -> PlacementRequest<'a> {
     PlacementRequest {
         need: spec.need(),
-        types: spec.types.as_deref(),
+        machine_types: spec.types.as_deref(),
         zones,
-        spot: spec.spot,
-        lasting: true,
+        spot_allowed: spec.spot,
+        long_running: true,
         image: &spec.image,
         image_mb: spec.image_mb(),
-        avoid,
-        only: None,
-        frugal: false,
+        excluded_machines: avoid,
+        restricted_to: None,
+        avoid_idle_on_demand: false,
     }
 }
 
--- a/crates/coordination/src/placer/placing.rs
+++ b/crates/coordination/src/placer/placing.rs
@@ -157,8 +157,8 @@
                 let placed = self.place_next(&id, &mut pass, now);
                 starts += usize::from(placed);
                 of_job[at] += usize::from(placed);
-                if !placed && self.services.has(&id) {
-                    self.services.touch(&id);
+                if !placed && self.services.contains(&id) {
+                    self.services.mark_changed(&id);
                 }
                 if !placed && turn != Turn::Half {
                     self.note_lack(&id, &mut asked, &mut lacking, now);
@@ -183,10 +183,10 @@
         // Guards against money spent on idle work while other work waits.
         if lacking.iter().any(|d| !d.idle) {
             self.lacked_at = now;
-            lacking.retain(|d| !d.idle || d.first);
+            lacking.retain(|d| !d.idle || d.must_start_now);
         }
         // What boots is counted for others before it is for these.
-        lacking.sort_by_key(|d| d.first);
+        lacking.sort_by_key(|d| d.must_start_now);
         if now >= self.spare_at + SPARE_EVERY_MS {
             self.spare_at = now;
             self.spare_lacking = self.add_spare(now);
@@ -275,14 +275,14 @@
         let demand = CapacityDemand {
             team: job.team.clone(),
             need: job.need,
-            types: spec.types.clone(),
+            machine_types: spec.types.clone(),
             zone: spec.zone.clone(),
-            spot: spec.spot,
+            spot_allowed: spec.spot,
             count: count as u32,
-            one_zone: spec.one_zone,
-            only_spot: idle && !starved && !first,
+            single_zone: spec.one_zone,
+            spot_only: idle && !starved && !first,
             idle,
-            first,
+            must_start_now: first,
         };
         if !spec.spread || job.tasks == 1 || spec.zone.is_some() {
             lacking.push(demand);
@@ -460,61 +460,61 @@
                     allowed_zones(spec, zone.as_deref(), &per_zone, job_tasks, &self.fields);
                 let ask = PlacementRequest {
                     need,
-                    types: spec.types.as_deref(),
+                    machine_types: spec.types.as_deref(),
                     zones,
-                    spot: spec.spot,
-                    lasting: spec.shape == JobKind::Service,
+                    spot_allowed: spec.spot,
+                    long_running: spec.shape == JobKind::Service,
                     image: &spec.image,
                     image_mb: spec.image_mb(),
-                    avoid: &avoid,
-                    only,
-                    frugal,
+                    excluded_machines: &avoid,
+                    restricted_to: only,
+                    avoid_idle_on_demand: frugal,
                 };
                 // Fairness has no work while room exists; without room, lower
                 // priorities make way, and what others run beyond their
                 // guarantee does for a team within its own. Room without the
                 // image counts as none if the fetch alone takes too long.
                 let mut weighed = self.weigh(id, None, &ask, &order, now);
-                weighed.stakes.here_first = too_slow && !trading;
-                let classes = classes(&self.trade, &weighed.stakes);
+                weighed.stakes.cached_first = too_slow && !trading;
+                let classes = placement_classes(&self.trade, &weighed.stakes);
                 let (fields, kindred) = (&self.fields, &weighed.kindred);
-                let pushed = |with_image| {
+                let pushed = |image| {
                     let fit = |p: usize| {
-                        fields[p].evict_fit(&ask, spec.rank, guaranteed, with_image, kindred.get(p))
+                        fields[p].preemptive_fit(&ask, spec.rank, evict, image, kindred.get(p))
                     };
                     order
                         .iter()
-                        .find_map(|&(p, _)| fit(p).map(|i| (p, i, evict)))
+                        .find_map(|&CandidateShard { shard: p, .. }| fit(p).map(|i| (p, i, evict)))
                 };
                 let warm = if too_slow {
                     classes
                         .iter()
-                        .take_while(|c| c.near == ImageLocality::Here)
+                        .take_while(|c| c.image_locality == ImageLocality::Cached)
                         .count()
                 } else {
                     classes.len()
                 };
-                let mut walk = Walk::new(fields, &order, &ask, kindred);
+                let mut walk = CandidateWalk::new(fields, &order, &ask, kindred);
                 let mut room = |classes: &[PlacementClass]| {
                     walk.find(classes)
-                        .map(|(p, i, _)| (p, i, PreemptionScope::Nobody))
+                        .map(|found| (found.shard, found.slot, PreemptionScope::Nobody))
                 };
                 let found = room(&classes[..warm])
                     .or_else(|| {
                         if too_slow && !suspect {
-                            pushed(true)
+                            pushed(ImageRequirement::Cached)
                         } else {
                             None
                         }
                     })
                     .or_else(|| room(&classes[warm..]))
-                    .or_else(|| if suspect { None } else { pushed(false) });
+                    .or_else(|| if suspect { None } else { pushed(ImageRequirement::Optional) });
                 let Some((p, i, evict)) = found else { break };
                 let field = &mut self.fields[p];
                 let warm = field.has_image(i, &spec.image);
-                field.take(i, &need, &spec.image);
+                field.reserve(i, &need, &spec.image);
                 if spec.shape == JobKind::Service {
-                    field.stays(i);
+                    field.mark_long_running(i);
                 }
                 if spec.spread {
                     *per_zone.entry(field.slots[i].zone.clone()).or_default() += 1;
--- a/crates/coordination/src/placer/preemption.rs
+++ b/crates/coordination/src/placer/preemption.rs
@@ -11,24 +11,24 @@
 
 use super::*;
 use crate::autoscaler::CapacityShortages;
-use crate::supervision::services::{PreemptionStep, RecoveryActivity, RecoveryAttempt};
+use crate::supervision::services::{EscalationStep, RecoveryActivity, RecoveryAttempt};
 
 impl Placer {
     /// Tries another way for services that are late.
     pub(crate) fn escalate(&mut self, shortage: &CapacityShortages, now: u64) {
-        for id in self.services.late(now, LADDER_MOST) {
-            let Some(doing) = self.services.get(&id).map(|s| s.seen.doing) else {
+        for id in self.services.overdue(now, LADDER_MOST) {
+            let Some(doing) = self.services.get(&id).map(|s| s.observation.activity) else {
                 continue;
             };
             let tries = match doing {
                 RecoveryActivity::Starting => self.start_elsewhere(&id, now),
-                RecoveryActivity::Resources => self.seek_room(&id, shortage, now),
+                RecoveryActivity::AwaitingCapacity => self.seek_room(&id, shortage, now),
                 _ => Vec::new(),
             };
             for t in &tries {
-                info!(job = %id, shard = self.shard, what = t.what, "tried another way");
+                info!(job = %id, shard = self.shard, what = t.description, "tried another way");
             }
-            self.services.looked(&id, tries, now);
+            self.services.record_escalation(&id, tries, now);
         }
     }
 
@@ -60,7 +60,7 @@
                 // Fetches beside it take their share of the rate.
                 let field = self.fields.get(usize::from(l.shard));
                 let beside = field
-                    .and_then(|f| f.find(&l.machine).map(|i| f.slots[i].fetches))
+                    .and_then(|f| f.position(&l.machine).map(|i| f.slots[i].fetch_count))
                     .unwrap_or(0);
                 now >= l.since + fetch * u64::from(beside.max(1)) + STEP_MS
             });
@@ -87,22 +87,22 @@
             );
             let order = self.shards_order();
             let weighed = self.weigh(id, Some(task), &ask, &order, now);
-            let mut warm = classes(&self.trade, &weighed.stakes);
-            warm.retain(|c| c.near == ImageLocality::Here);
-            let Some((p, i, _)) =
-                Walk::new(&self.fields, &order, &ask, &weighed.kindred).find(&warm)
+            let mut warm = placement_classes(&self.trade, &weighed.stakes);
+            warm.retain(|c| c.image_locality == ImageLocality::Cached);
+            let Some(Candidate { shard: p, slot: i, .. }) =
+                CandidateWalk::new(&self.fields, &order, &ask, &weighed.kindred).find(&warm)
             else {
                 continue;
             };
             let other = self.fields[p].slots[i].id.clone();
-            self.fields[p].take(i, &need, &spec.image);
+            self.fields[p].reserve(i, &need, &spec.image);
             let s = now.saturating_sub(since) / 1_000;
             let what =
                 format!("replica {task} left {machine}, not up after {s} s; {other} has its image");
             tries.push(RecoveryAttempt {
-                rung: PreemptionStep::Elsewhere,
-                at: now,
-                what,
+                step: EscalationStep::MoveReplica,
+                at_ms: now,
+                description: what,
             });
             taken.push((other, p as u16));
             if let Some(job) = self.jobs.get_mut(id) {
@@ -135,10 +135,10 @@
         let Some(service) = self.services.get(id) else {
             return Vec::new();
         };
-        let before = |rung| service.tries.iter().any(|t| t.rung == rung);
+        let before = |step| service.attempts.iter().any(|t| t.step == step);
         let (lifted, asked) = (
-            before(PreemptionStep::Avoided),
-            before(PreemptionStep::Rented),
+            before(EscalationStep::LiftExclusions),
+            before(EscalationStep::RequestInstances),
         );
         let Some(job) = self.jobs.get_mut(id).filter(|j| j.suspect.is_none()) else {
             return Vec::new();
@@ -149,24 +149,24 @@
             job.avoid.clear();
             self.place_again = true;
             tries.push(RecoveryAttempt {
-                rung: PreemptionStep::Avoided,
-                at: now,
-                what: format!("{n} machines that it avoided may take it again"),
+                step: EscalationStep::LiftExclusions,
+                at_ms: now,
+                description: format!("{n} machines that it avoided may take it again"),
             });
         }
         if asked {
             return tries;
         }
-        let none = shortage.closed(now);
+        let none = shortage.describe(now);
         let had = if none.is_empty() {
             "none has come up in time".to_owned()
         } else {
             format!("the cloud has none of {}", none.join(", "))
         };
         tries.push(RecoveryAttempt {
-            rung: PreemptionStep::Rented,
-            at: now,
-            what: format!("machines are asked for; {had}"),
+            step: EscalationStep::RequestInstances,
+            at_ms: now,
+            description: format!("machines are asked for; {had}"),
         });
         tries
     }
@@ -179,11 +179,11 @@
     /// What a service's status says first, if it has lacked replicas for a while.
     pub(super) fn told_short(&self, id: &JobId, now: u64) -> Option<String> {
         let service = self.services.get(id)?;
-        let s = now.saturating_sub(service.short_since?) / 1_000;
+        let s = now.saturating_sub(service.under_replicated_since?) / 1_000;
         if s < SHORT_TOLD_S {
             return None;
         }
-        let tried: Vec<&str> = service.tries.iter().map(|t| t.what.as_str()).collect();
+        let tried: Vec<&str> = service.attempts.iter().map(|t| t.description.as_str()).collect();
         let tried = if tried.is_empty() {
             String::new()
         } else {
@@ -191,7 +191,7 @@
         };
         Some(format!(
             "{} of {} replicas up for {s} s; {tried}",
-            service.seen.up, service.seen.promised
+            service.observation.running, service.observation.desired
         ))
     }
 }
--- a/crates/coordination/src/placer/rebalancing.rs
+++ b/crates/coordination/src/placer/rebalancing.rs
@@ -47,8 +47,8 @@
                     && !job.stopping()
                     && job.live.get(t).is_some_and(|l| now >= l.since + STAY_MS)
             });
-            if settled && tasks.len() as u32 == slot.busy {
-                candidates.push((slot.busy, slot.id.clone()));
+            if settled && tasks.len() as u32 == slot.task_count {
+                candidates.push((slot.task_count, slot.id.clone()));
             }
         }
         candidates.sort_by(|a, b| a.0.cmp(&b.0).then(b.1.cmp(&a.1)));
@@ -119,8 +119,8 @@
                 else {
                     continue;
                 };
-                self.fields[p].take(i, &need, &image);
-                self.fields[p].stays(i);
+                self.fields[p].reserve(i, &need, &image);
+                self.fields[p].mark_long_running(i);
                 taken.push((self.fields[p].slots[i].id.clone(), p as u16));
                 moves.push((id, task, class));
             }
@@ -130,7 +130,7 @@
         }
         for (id, task, class) in moves {
             self.moved_at = now;
-            info!(job = %id, task, shard = self.shard, near = ?class.near, "moving a replica to a better place");
+            info!(job = %id, task, shard = self.shard, near = ?class.image_locality, "moving a replica to a better place");
             if let Some(job) = self.jobs.get_mut(&id) {
                 job.trading = true;
                 if let Some(l) = job.live.get_mut(&task) {
@@ -147,18 +147,23 @@
             job.beside(live, |l| &l.machine),
             job.beside(live, |l| &l.zone),
         );
-        let light = if stakes.one_zone {
+        let within_share = if stakes.single_zone {
             zone == 1
         } else {
-            zone <= stakes.fair()
+            zone <= stakes.fair_zone_share()
         };
-        let kin = if stakes.kin {
-            stakes.kin_cost(&self.trade, stakes.kin(here.saturating_sub(1)))
+        let share = if within_share {
+            ZoneShare::Below
+        } else {
+            ZoneShare::Reached
+        };
+        let kin = if stakes.has_replicas {
+            stakes.replica_cost_s(&self.trade, stakes.replica_spread(here.saturating_sub(1)))
         } else {
             0.0
         };
-        kin + if stakes.zones > 1 {
-            stakes.zone_cost(&self.trade, light)
+        kin + if stakes.zone_count > 1 {
+            stakes.zone_cost_s(&self.trade, share)
         } else {
             0.0
         }
@@ -219,23 +224,27 @@
             &avoid,
         );
         // A start that is told through the store is no quiet move.
-        let order: Vec<(usize, bool)> = self
+        let order: Vec<CandidateShard> = self
             .shards_order()
             .into_iter()
-            .filter(|(_, mail)| !mail)
+            .filter(|s| !s.via_store)
             .collect();
         let weighed = self.weigh(id, Some(task), &ask, &order, now);
         let risks = self.risks(job, live, &weighed.stakes);
         let least = self.trade.move_s + MOVE_DOWN_MS as f64 / 1000.0;
-        let better: Vec<PlacementClass> = classes(&self.trade, &weighed.stakes)
+        let better: Vec<PlacementClass> = placement_classes(&self.trade, &weighed.stakes)
             .into_iter()
-            .take_while(|c| c.cost + least < risks)
+            .take_while(|c| c.cost_s + least < risks)
             .collect();
-        let mut walk = Walk::new(&self.fields, &order, &ask, &weighed.kindred);
-        let (p, i, class) = walk.find(&better)?;
+        let mut walk = CandidateWalk::new(&self.fields, &order, &ask, &weighed.kindred);
+        let Candidate {
+            shard: p,
+            slot: i,
+            class,
+        } = walk.find(&better)?;
         // Guards against others taking that room meanwhile: the replica would wait for
         // a fetch that it was not moved for.
-        (class.near != ImageLocality::Here || self.room_besides(&ask, p, i))
+        (class.image_locality != ImageLocality::Cached || self.room_besides(&ask, p, i))
             .then_some((task, p, i, class))
     }
 
@@ -245,7 +254,7 @@
         self.fields
             .iter()
             .enumerate()
-            .any(|(q, f)| f.fits_besides(ask, if q == p { i } else { usize::MAX }))
+            .any(|(q, f)| f.fits_one_more(ask, if q == p { i } else { usize::MAX }))
     }
 
     pub(super) fn clear_of_replicas(&mut self, machine: &MachineId, now: u64) {
@@ -286,7 +295,7 @@
             let ask = replica_ask(spec, zones, leaving);
             let order = self.shards_order();
             let weighed = self.weigh(&id, Some(task), &ask, &order, now);
-            let mut warm = classes(&self.trade, &weighed.stakes);
+            let mut warm = placement_classes(&self.trade, &weighed.stakes);
             // Guards against a machine emptied at the price of a service that lies in
             // one place: what is saved is no more than keeping it is worth.
             let risks = job
@@ -294,13 +303,13 @@
                 .get(&task)
                 .map_or(0.0, |live| self.risks(job, live, &weighed.stakes));
             warm.retain(|c| {
-                c.near == ImageLocality::Here && c.cost <= risks + 2.0 * self.trade.pin_s
+                c.image_locality == ImageLocality::Cached && c.cost_s <= risks + 2.0 * self.trade.pin_s
             });
-            let mut walk = Walk::new(&self.fields, &order, &ask, &weighed.kindred);
+            let mut walk = CandidateWalk::new(&self.fields, &order, &ask, &weighed.kindred);
             let found = walk
                 .find(&warm)
-                .map(|(p, i, _)| (p, i))
-                .filter(|&(p, i)| self.fields[p].slots[i].busy > 0);
+                .map(|found| (found.shard, found.slot))
+                .filter(|&(p, i)| self.fields[p].slots[i].task_count > 0);
             // Guards against others taking that room meanwhile: another place
             // must be left, or the replica would wait for a fetch.
             let Some((p, i)) = found.filter(|&(p, i)| self.room_besides(&ask, p, i)) else {
@@ -309,8 +318,8 @@
                 }
                 return false;
             };
-            self.fields[p].take(i, &need, &image);
-            self.fields[p].stays(i);
+            self.fields[p].reserve(i, &need, &image);
+            self.fields[p].mark_long_running(i);
             taken.push((self.fields[p].slots[i].id.clone(), p as u16));
         }
         true
--- a/crates/coordination/src/placer/reconciliation.rs
+++ b/crates/coordination/src/placer/reconciliation.rs
@@ -201,7 +201,7 @@
             keep: fitting(
                 self.keep
                     .iter()
-                    .filter(|m| field.find(m).is_some())
+                    .filter(|m| field.position(m).is_some())
                     .cloned(),
                 beside,
                 written,
@@ -282,10 +282,10 @@
         for m in view.machines {
             let (id, leaving) = (m.id.clone(), m.leaving);
             let cache_mb = self.caches.get(&m.kind).copied().unwrap_or(u64::MAX);
-            let spare_mb = self.book.spare_mb(&m.images, cache_mb);
+            let spare_mb = self.book.cache_headroom_mb(&m.images, cache_mb);
             let field = &mut self.fields[usize::from(shard)];
-            field.set(m);
-            field.set_spare(&id, spare_mb);
+            field.upsert(m);
+            field.set_cache_headroom(&id, spare_mb);
             self.count(&id, shard);
             if leaving {
                 self.empty(&id, shard, now);
@@ -304,7 +304,7 @@
         }
         let field = &self.fields[usize::from(shard)];
         self.promises
-            .retain(|p| p.shard != shard || field.find(&p.rented.machine).is_none());
+            .retain(|p| p.shard != shard || field.position(&p.rented.machine).is_none());
         self.place_again |= news;
         news
     }
@@ -368,7 +368,7 @@
                     .push((id.job.clone(), id.task));
             }
             if job.lasting() {
-                self.services.touch(&id.job);
+                self.services.mark_changed(&id.job);
             }
             self.changed.insert(id.job.clone());
             if job.admission.is_some() {
--- a/crates/coordination/src/placer/scoring.rs
+++ b/crates/coordination/src/placer/scoring.rs
@@ -14,16 +14,19 @@
     /// The parts in the order in which machines are looked for: our own, then others
     /// in turn, and at the end those whose owner is told through the store, since a
     /// start there is a second or two later; these are marked.
-    pub(super) fn shards_order(&self) -> Vec<(usize, bool)> {
+    pub(super) fn shards_order(&self) -> Vec<CandidateShard> {
         let (own, n) = (usize::from(self.shard), self.fields.len() as u16);
         let others = (1..=n)
             .map(|k| usize::from((self.others_turn + k) % n))
             .filter(|&p| p != own);
-        let mut order: Vec<(usize, bool)> = std::iter::once(own)
+        let mut order: Vec<CandidateShard> = std::iter::once(own)
             .chain(others)
-            .map(|p| (p, self.links[p].by_mail))
+            .map(|p| CandidateShard {
+                shard: p,
+                via_store: self.links[p].by_mail,
+            })
             .collect();
-        order.sort_by_key(|&(_, mail)| mail);
+        order.sort_by_key(|s| s.via_store);
         order
     }
 
@@ -34,12 +37,12 @@
         id: &JobId,
         but: Option<u32>,
         ask: &PlacementRequest<'_>,
-        order: &[(usize, bool)],
+        order: &[CandidateShard],
         now: u64,
     ) -> ScoringInputs {
         let mut weighed = ScoringInputs {
             stakes: PlacementRisk {
-                lasting: ask.lasting,
+                long_running: ask.long_running,
                 ..PlacementRisk::default()
             },
             kindred: Vec::new(),
@@ -47,11 +50,11 @@
         let Some((job, spec)) = self.jobs.get(id).and_then(|j| j.spec().map(|s| (j, s))) else {
             return weighed;
         };
-        if !ask.lasting {
+        if !ask.long_running {
             return weighed;
         }
         let stakes = &mut weighed.stakes;
-        stakes.tasks = job.tasks;
+        stakes.task_count = job.tasks;
         stakes.fetch_s = spec.image_gb / self.fetch_gb_per_s.max(f64::MIN_POSITIVE);
         // Where its own replicas wait for their weights, we know since when they do.
         let waits = |l: &&LiveAttempt| {
@@ -60,12 +63,12 @@
                     .is_none_or(|s| matches!(s, AttemptState::Accepted | AttemptState::Preparing))
         };
         let since = job.live.values().filter(waits).map(|l| l.since).min();
-        stakes.coming_s = since.map_or(FETCH_LEFT * stakes.fetch_s, |at| {
+        stakes.remaining_fetch_s = since.map_or(FETCH_LEFT * stakes.fetch_s, |at| {
             (stakes.fetch_s - now.saturating_sub(at) as f64 / 1000.0).max(0.0)
         });
-        stakes.spot = ask.spot;
-        stakes.plain = ask.need.gpus == 0;
-        stakes.mail = order.iter().any(|(_, mail)| *mail);
+        stakes.spot_allowed = ask.spot_allowed;
+        stakes.without_gpus = ask.need.gpus == 0;
+        stakes.via_store = order.iter().any(|s| s.via_store);
         let others = || {
             job.live
                 .iter()
@@ -75,15 +78,15 @@
         if job.tasks < 2 || job.tasks > TRADE_TASKS || others().next().is_none() {
             return weighed;
         }
-        stakes.kin = true;
+        stakes.has_replicas = true;
         if spec.spot {
             let on_spot = |l: &LiveAttempt| {
                 let field = self.fields.get(usize::from(l.shard));
                 field
-                    .and_then(|f| f.find(&l.machine).map(|i| f.slots[i].spot))
+                    .and_then(|f| f.position(&l.machine).map(|i| f.slots[i].spot))
                     .unwrap_or(false)
             };
-            stakes.wave = 2 * others().filter(|l| on_spot(l)).count() as u32 >= job.tasks;
+            stakes.half_on_spot = 2 * others().filter(|l| on_spot(l)).count() as u32 >= job.tasks;
         }
         // A job that must be in one zone can't be spread over them.
         let open: BTreeSet<&str> = match (&ask.zones, spec.one_zone || spec.zone.is_some()) {
@@ -93,11 +96,11 @@
         };
         let mut zones: BTreeMap<&str, u32> = BTreeMap::new();
         others().for_each(|l| *zones.entry(&l.zone).or_default() += 1);
-        stakes.one_zone = zones.len() == 1;
+        stakes.single_zone = zones.len() == 1;
         let light: Option<Vec<&str>> =
             (self.trade.zone.max(self.trade.one_zone) > 0.0 && open.len() > 1).then(|| {
-                stakes.zones = open.len() as u32;
-                let fair = if stakes.one_zone { 1 } else { stakes.fair() };
+                stakes.zone_count = open.len() as u32;
+                let fair = if stakes.single_zone { 1 } else { stakes.fair_zone_share() };
                 open.iter()
                     .filter(|z| zones.get(**z).copied().unwrap_or(0) < fair)
                     .copied()
@@ -107,7 +110,7 @@
             .fields
             .iter()
             .map(|field| {
-                PlacedReplicas::of(
+                PlacedReplicas::new(
                     field,
                     stakes,
                     others().map(|l| &l.machine),
--- a/crates/coordination/src/placer/supervision.rs
+++ b/crates/coordination/src/placer/supervision.rs
@@ -2,7 +2,7 @@
 
 use super::placing::{AT_LIMIT, NO_ROOM};
 use super::*;
-use crate::supervision::failover::Failover;
+use crate::supervision::failover::{Failover, StartedBy};
 use crate::supervision::services::{RecoveryActivity, ServiceObservation};
 
 impl Placer {
@@ -17,18 +17,23 @@
                         .filter(|j| j.lasting())
                         .and_then(Job::spec)
                         .map(|s| s.class.as_str());
-                    failover.ran(&id, task, class, ours, now);
+                    let started_by = if ours {
+                        StartedBy::ThisLeader
+                    } else {
+                        StartedBy::PreviousLeader
+                    };
+                    failover.task_running(&id, task, class, started_by, now);
                 }
-                TaskFate::Lost(id, task) => failover.lost(&id, task, now),
+                TaskFate::Lost(id, task) => failover.replica_lost(&id, task, now),
             }
         }
-        for id in self.services.take_touched() {
+        for id in self.services.take_changed() {
             let seen = self.jobs.get(&id).and_then(|job| self.seen(job, now));
             let suspect = self.jobs.get(&id).is_some_and(|j| j.suspect.is_some());
-            if suspect || seen.as_ref().is_none_or(|s| s.up >= s.promised) {
-                failover.done(&id, now);
+            if suspect || seen.as_ref().is_none_or(|s| s.running >= s.desired) {
+                failover.service_recovered(&id, now);
             }
-            self.services.set(&id, seen, now);
+            self.services.observe(&id, seen, now);
         }
     }
 
@@ -56,38 +61,38 @@
         }
         let fetch = self.fetch_ms(spec);
         let (doing, within) = if up >= job.tasks {
-            (RecoveryActivity::Nothing, None)
+            (RecoveryActivity::FullyReplicated, None)
         } else if job.waiting() > 0 {
             match job.reason {
                 _ if job.suspect.is_some() || job.failures > 1 && job.not_before > now => {
-                    (RecoveryActivity::Pausing, None)
+                    (RecoveryActivity::BackingOff, None)
                 }
                 NO_ROOM => (
-                    RecoveryActivity::Resources,
+                    RecoveryActivity::AwaitingCapacity,
                     Some(self.boot_ms + self.boot_ms / 2 + fetch + STEP_MS),
                 ),
-                AT_LIMIT => (RecoveryActivity::Limit, None),
+                AT_LIMIT => (RecoveryActivity::AtQuotaLimit, None),
                 _ => (RecoveryActivity::Queued, Some(STEP_MS)),
             }
         } else if let Some(over_at) = hidden {
             (
-                RecoveryActivity::OutOfSight,
+                RecoveryActivity::ZonePartitioned,
                 Some(over_at.saturating_sub(now)),
             )
         } else if unheard {
-            (RecoveryActivity::Unheard, None)
+            (RecoveryActivity::AwaitingHeartbeats, None)
         } else if unwritten {
-            (RecoveryActivity::Writing, Some(STEP_MS))
+            (RecoveryActivity::RecordingStart, Some(STEP_MS))
         } else if stopping {
-            (RecoveryActivity::Stopping, Some(EVICT_WAIT_MS + STEP_MS))
+            (RecoveryActivity::StoppingOthers, Some(EVICT_WAIT_MS + STEP_MS))
         } else {
             (RecoveryActivity::Starting, Some(fetch + STEP_MS))
         };
         Some(ServiceObservation {
-            promised: job.tasks,
-            up,
-            doing,
-            within,
+            desired: job.tasks,
+            running: up,
+            activity: doing,
+            expected_within_ms: within,
         })
     }
 
--- a/crates/coordination/src/supervision/failover.rs
+++ b/crates/coordination/src/supervision/failover.rs
@@ -1,166 +1,217 @@
-//! What was found after a part changed hands.
+//! What the new leader of a shard observes after a failover.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use lemonweir_model::JobId;
-use lemonweir_model::constants::{CLOSE_MOST_MS, CLOSE_RETRY_MS, GAPS_TOLD};
 use lemonweir_storage::failovers::FailoverCompletion;
 
-/// What the new holder of a part has found so far.
+/// ms after a failover at which its record is completed though services still lack
+/// replicas: what keeps them from recovering by then has nothing to do with it.
+pub const COMPLETION_TIMEOUT_MS: u64 = 300_000;
+/// ms between two attempts to complete a record: each is a write to the store, and nothing
+/// waits for it.
+pub const COMPLETION_RETRY_MS: u64 = 5_000;
+/// Classes whose longest gaps a record names, the worst first: a value stays below 1 KiB.
+const GAPS_RECORDED: usize = 8;
+
+/// Who started a task.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum StartedBy {
+    /// The present leader of the shard.
+    ThisLeader,
+    /// A leader before it.
+    PreviousLeader,
+}
+
+/// Replicas of the services that were incomplete at a failover.
+#[derive(Clone, Copy, Debug, Default)]
+struct ReplicaCounts {
+    /// Found running.
+    found_running: u32,
+    /// Started anew.
+    restarted: u32,
+}
+
+/// What the new leader of a shard has observed since its failover.
 #[derive(Debug, Default)]
 pub struct Failover {
-    /// Number of its entry; none: there is none, or it is closed.
-    entry: Option<u64>,
-    /// The part's token.
-    token: u64,
-    /// When the part changed hands, and when records and jobs were read, ms.
-    began: u64,
-    read: u64,
-    first_start: Option<u64>,
-    /// Services of then that have not been whole since.
-    awaited: BTreeSet<JobId>,
-    whole: Option<u64>,
-    /// Replicas of then that were found up, and started anew.
-    found: (u32, u32),
-    /// When replicas were seen to be lost since.
-    lost: BTreeMap<(JobId, u32), u64>,
+    /// Number of its record; `None`: there is none, or it is completed.
+    record_number: Option<u64>,
+    /// The leader's fencing token.
+    fencing_token: u64,
+    /// When the shard changed leaders, ms.
+    began_at: u64,
+    /// When the new leader had read records and jobs, ms.
+    loaded_at: u64,
+    /// When the new leader's first start ran, ms.
+    first_start_at: Option<u64>,
+    /// Services of the time of the failover that have not been fully replicated since.
+    recovering: BTreeSet<JobId>,
+    /// When none was left of these, ms.
+    recovered_at: Option<u64>,
+    replicas: ReplicaCounts,
+    /// When replicas were proven to be lost since, ms.
+    lost_at: BTreeMap<(JobId, u32), u64>,
     /// Longest gap of a replica by class, ms.
-    gaps: BTreeMap<String, u64>,
-    /// When closing was last tried.
-    tried: Option<u64>,
+    longest_gap_ms: BTreeMap<String, u64>,
+    /// When completing the record was last attempted, ms.
+    attempted_at: Option<u64>,
 }
 
 impl Failover {
-    /// A part was taken at `began`, with these services, and read by `now`.
+    /// A shard changed leaders at `began_at`, with these services incomplete, and its
+    /// records and jobs were read by `now`, ms.
     pub fn new(
-        entry: Option<u64>,
-        token: u64,
-        began: u64,
-        awaited: BTreeSet<JobId>,
+        record_number: Option<u64>,
+        fencing_token: u64,
+        began_at: u64,
+        recovering: BTreeSet<JobId>,
         now: u64,
     ) -> Self {
-        let whole = awaited.is_empty().then_some(now);
+        let recovered_at = recovering.is_empty().then_some(now);
         Self {
-            entry,
-            token,
-            began,
-            read: now,
-            awaited,
-            whole,
+            record_number,
+            fencing_token,
+            began_at,
+            loaded_at: now,
+            recovering,
+            recovered_at,
             ..Self::default()
         }
     }
 
-    fn watches(&self, job: &JobId) -> bool {
-        self.entry.is_some() && self.awaited.contains(job)
+    fn tracks(&self, job: &JobId) -> bool {
+        self.record_number.is_some() && self.recovering.contains(job)
     }
 
-    /// A task is seen to run for the first time. `ours`: this holder started it;
-    /// `class`: it is a replica of a service of that class.
-    pub fn ran(&mut self, job: &JobId, task: u32, class: Option<&str>, ours: bool, now: u64) {
-        if self.entry.is_none() {
+    /// A task is observed to run for the first time. `service_class`: it is a replica of a
+    /// service of that class.
+    pub fn task_running(
+        &mut self,
+        job: &JobId,
+        task: u32,
+        service_class: Option<&str>,
+        started_by: StartedBy,
+        now: u64,
+    ) {
+        if self.record_number.is_none() {
             return;
         }
-        if ours {
-            self.first_start.get_or_insert(now);
+        if started_by == StartedBy::ThisLeader {
+            self.first_start_at.get_or_insert(now);
         }
-        let Some(class) = class.filter(|_| self.watches(job)) else {
+        let Some(class) = service_class.filter(|_| self.tracks(job)) else {
             return;
         };
-        if !ours {
-            self.found.0 += 1;
-            return;
+        match started_by {
+            StartedBy::PreviousLeader => self.replicas.found_running += 1,
+            StartedBy::ThisLeader => self.replica_restarted(job, task, class, now),
         }
-        self.found.1 += 1;
-        let since = self.lost.remove(&(job.clone(), task)).unwrap_or(self.began);
-        let gap = self.gaps.entry(class.to_owned()).or_default();
-        *gap = (*gap).max(now.saturating_sub(since));
+    }
+
+    fn replica_restarted(&mut self, job: &JobId, task: u32, class: &str, now: u64) {
+        self.replicas.restarted += 1;
+        let lost_at = self.lost_at.remove(&(job.clone(), task));
+        let gap_ms = now.saturating_sub(lost_at.unwrap_or(self.began_at));
+        let longest_ms = self.longest_gap_ms.entry(class.to_owned()).or_default();
+        *longest_ms = (*longest_ms).max(gap_ms);
     }
 
     /// A replica is proven to be over.
-    pub fn lost(&mut self, job: &JobId, task: u32, now: u64) {
-        if self.watches(job) {
-            self.lost.entry((job.clone(), task)).or_insert(now);
+    pub fn replica_lost(&mut self, job: &JobId, task: u32, now: u64) {
+        if self.tracks(job) {
+            self.lost_at.entry((job.clone(), task)).or_insert(now);
         }
     }
 
-    /// A service is whole, over, or a suspect.
-    pub fn done(&mut self, job: &JobId, now: u64) {
-        if self.awaited.remove(job) && self.awaited.is_empty() {
-            self.whole = Some(now);
+    /// A service is fully replicated, over, or suspected of failing by its own fault.
+    pub fn service_recovered(&mut self, job: &JobId, now: u64) {
+        if self.recovering.remove(job) && self.recovering.is_empty() {
+            self.recovered_at = Some(now);
         }
     }
 
-    /// The entry to close now, if it is time: all that it has to tell is known, or
-    /// will not be known soon.
-    pub fn due(&self, now: u64) -> Option<u64> {
-        let told = self.whole.is_some() && self.first_start.is_some();
-        let ready = told || now >= self.began + CLOSE_MOST_MS;
-        self.entry
-            .filter(|_| ready && self.tried.is_none_or(|at| now >= at + CLOSE_RETRY_MS))
+    /// The number of the record to complete now, if it is time: all that it records is
+    /// known, or will not be known soon.
+    pub fn completion_due(&self, now: u64) -> Option<u64> {
+        let all_known = self.recovered_at.is_some() && self.first_start_at.is_some();
+        let ready = all_known || now >= self.began_at + COMPLETION_TIMEOUT_MS;
+        let retry_due = self
+            .attempted_at
+            .is_none_or(|at| now >= at + COMPLETION_RETRY_MS);
+        self.record_number.filter(|_| ready && retry_due)
     }
 
-    /// Closing is tried now.
-    pub fn tried(&mut self, now: u64) {
-        self.tried = Some(now);
+    /// Completing the record is attempted now.
+    pub fn completion_attempted(&mut self, now: u64) {
+        self.attempted_at = Some(now);
     }
 
-    /// Its entry, while that is open.
-    pub fn entry(&self) -> Option<u64> {
-        self.entry
+    /// Number of its record, while that is not completed.
+    pub fn record_number(&self) -> Option<u64> {
+        self.record_number
     }
 
-    /// Its entry is closed, or is no more.
-    pub fn closed(&mut self) {
-        let (token, began) = (self.token, self.began);
+    /// Its record is completed, or was overwritten.
+    pub fn completed(&mut self) {
         *self = Self {
-            token,
-            began,
+            fencing_token: self.fencing_token,
+            began_at: self.began_at,
             ..Self::default()
         };
     }
 
-    /// What it has found, as told by `host`.
-    pub fn closing(&self, host: &str, now: u64) -> FailoverCompletion {
-        let since = |at: u64| at.saturating_sub(self.began);
+    /// What was observed, as recorded by the controller on `host`.
+    pub fn completion(&self, host: &str, now: u64) -> FailoverCompletion {
+        let elapsed_ms = |at: u64| at.saturating_sub(self.began_at);
+        FailoverCompletion {
+            by: host.to_owned(),
+            read_ms: Some(elapsed_ms(self.loaded_at)),
+            first_start_ms: self.first_start_at.map(elapsed_ms),
+            whole_ms: self.recovered_at.map(elapsed_ms),
+            found: Some((self.replicas.found_running, self.replicas.restarted)),
+            gaps: self.worst_gaps(),
+            unknown: self.unknown_facts(elapsed_ms(now) / 1_000),
+            token: Some(self.fencing_token),
+            held_ms: None,
+        }
+    }
+
+    /// The longest gaps by class, ms, the worst first.
+    fn worst_gaps(&self) -> Vec<(String, u64)> {
         let mut gaps: Vec<(String, u64)> = self
-            .gaps
+            .longest_gap_ms
             .iter()
             .map(|(class, ms)| (class.clone(), *ms))
             .collect();
         gaps.sort_by(|a, b| b.1.cmp(&a.1).then_with(|| a.0.cmp(&b.0)));
-        gaps.truncate(GAPS_TOLD);
+        gaps.truncate(GAPS_RECORDED);
+        gaps
+    }
+
+    /// What the completion can't tell, in the words that operators are shown.
+    fn unknown_facts(&self, elapsed_s: u64) -> Vec<String> {
         let mut unknown = Vec::new();
-        if self.first_start.is_none() {
-            unknown.push(format!(
-                "the first start: there was none in {} s",
-                since(now) / 1_000
-            ));
+        if self.first_start_at.is_none() {
+            unknown.push(format!("the first start: there was none in {elapsed_s} s"));
         }
-        if self.whole.is_none() {
+        if self.recovered_at.is_none() {
             unknown.push(format!(
-                "when all services were whole: {} were not after {} s",
-                self.awaited.len(),
-                since(now) / 1_000
+                "when all services were whole: {} were not after {elapsed_s} s",
+                self.recovering.len()
             ));
         }
-        FailoverCompletion {
-            by: host.to_owned(),
-            read_ms: Some(since(self.read)),
-            first_start_ms: self.first_start.map(since),
-            whole_ms: self.whole.map(since),
-            found: Some(self.found),
-            gaps,
-            unknown,
-            token: Some(self.token),
-            held_ms: None,
-        }
+        unknown
     }
 }
 
-/// What a later holder can still tell of an entry that was left open: nothing but
-/// how long it lasted.
-pub fn left_open(host: &str, token: u64, held_ms: Option<u64>) -> FailoverCompletion {
+/// What a later leader can still tell of a record that was never completed: nothing but how
+/// long the leadership lasted.
+pub fn abandoned_completion(
+    host: &str,
+    fencing_token: u64,
+    held_ms: Option<u64>,
+) -> FailoverCompletion {
     let unknown = [
         "what was read and found",
         "the first start",
@@ -171,7 +222,7 @@
         unknown: unknown
             .map(|what| format!("{what}: its holder ended before it wrote that"))
             .to_vec(),
-        token: Some(token),
+        token: Some(fencing_token),
         held_ms,
         ..FailoverCompletion::default()
     }
--- /dev/null
+++ b/crates/coordination/src/supervision/failover_log.rs
@@ -0,0 +1,232 @@
+//! The log of failovers: a record is written with each change of a shard's leader, and
+//! completed later by writes that nothing else needs.
+
+use crate::election::ElectionAction;
+use crate::supervision::failover::{Failover, abandoned_completion};
+use crate::{Core, Effect, ShardLease};
+use lemonweir_protocol::kv_store::{CompareAndSwap, Condition};
+use lemonweir_storage::failovers::{FailoverRecord, LeadershipChange, NewFailover, failover_key};
+use lemonweir_storage::records::{acquire_shard, cede_shard, release_shard, shard_key};
+
+impl Core {
+    /// The compare-and-swap that carries out an election action, together with the failover
+    /// record of it. `store_lease`: the lease of this process's keys; `ceded_shards`: the
+    /// shards that this controller now cedes to others.
+    ///
+    /// A conflict on the record's slot alone means that the state cache was older than a
+    /// change of leaders, or than a completion: the next read shows it.
+    pub fn election_cas(
+        &self,
+        action: &ElectionAction,
+        store_lease: u64,
+        ceded_shards: Vec<u16>,
+        now: u64,
+    ) -> CompareAndSwap {
+        let me = &self.config.members[usize::from(self.config.me)];
+        match *action {
+            ElectionAction::Take { shard, version } => {
+                let change = if version == 0 {
+                    LeadershipChange::Vacant
+                } else {
+                    LeadershipChange::Reborn
+                };
+                let record = self.new_failover(shard, change, now);
+                acquire_shard(version, &me.host, store_lease, &record)
+            }
+            ElectionAction::HandBack(lease) => {
+                let record = self.new_failover(lease.shard, LeadershipChange::HandedBack, now);
+                let mut cas = release_shard(lease.token, &record);
+                self.complete_on_release(lease, &mut cas, now);
+                cas
+            }
+            ElectionAction::Leave(lease) => {
+                let record = self.new_failover(lease.shard, LeadershipChange::Left, now);
+                let mut cas = cede_shard(
+                    lease.token,
+                    &record,
+                    &me.host,
+                    &me.zone,
+                    store_lease,
+                    ceded_shards,
+                );
+                self.complete_on_release(lease, &mut cas, now);
+                cas
+            }
+        }
+    }
+
+    /// The record of a change of leaders that is made now.
+    fn new_failover(&self, shard: u16, change: LeadershipChange, now: u64) -> NewFailover {
+        let me = self.host();
+        let (n, slot_version) = self.cache.failovers.next(shard);
+        let (from, to) = match change {
+            LeadershipChange::Vacant => (self.last_leader(shard), Some(me.to_owned())),
+            LeadershipChange::Reborn => (Some(me.to_owned()), Some(me.to_owned())),
+            LeadershipChange::HandedBack | LeadershipChange::Left | LeadershipChange::Other => {
+                (Some(me.to_owned()), None)
+            }
+        };
+        // The shard's own placer knows best what runs, another's from its views.
+        let informed = self
+            .shards
+            .get(&shard)
+            .or_else(|| self.shards.values().next());
+        let record = FailoverRecord {
+            n,
+            from,
+            to,
+            how: change,
+            at: now + self.config.wall_offset_ms,
+            up: informed.and_then(|s| s.placer.known_up(shard)),
+            closed: None,
+        };
+        NewFailover {
+            shard,
+            slot_version,
+            record,
+        }
+    }
+
+    /// Host of this controller.
+    fn host(&self) -> &str {
+        &self.config.members[usize::from(self.config.me)].host
+    }
+
+    /// Host of the last known leader of a shard.
+    fn last_leader(&self, shard: u16) -> Option<String> {
+        let records = self.cache.failovers.of(shard);
+        let (record, _) = records.last()?;
+        record.last_holder().cloned()
+    }
+
+    /// Completes a shard's record with what is known, as its lease is released.
+    fn complete_on_release(&self, lease: ShardLease, cas: &mut CompareAndSwap, now: u64) {
+        let Some((failover, number)) = self
+            .shards
+            .get(&lease.shard)
+            .filter(|shard| shard.lease == lease)
+            .and_then(|shard| Some((&shard.failover, shard.failover.record_number()?)))
+        else {
+            return;
+        };
+        let Some(mut completed) = self
+            .cache
+            .failovers
+            .again(lease.shard, number)
+            .filter(|f| f.record.open())
+        else {
+            return;
+        };
+        // Its slot may be the one that the new record takes.
+        let key = failover_key(completed.shard, completed.record.n);
+        if cas.conditions.iter().any(|c| c.key == key) {
+            return;
+        }
+        completed.record.closed = Some(failover.completion(self.host(), now));
+        completed.join(cas);
+    }
+
+    /// From now on, what is observed after the failover of this shard is kept.
+    pub(crate) fn begin_failover(&mut self, lease: ShardLease, now: u64) {
+        let record = self
+            .cache
+            .failovers
+            .of(lease.shard)
+            .into_iter()
+            .find(|(_, version)| *version == lease.token)
+            .map(|(record, _)| record);
+        let record_number = record.map(|r| r.n);
+        let began_at = record.map_or(now, |r| {
+            r.at.saturating_sub(self.config.wall_offset_ms).min(now)
+        });
+        if let Some(shard) = self.shards.get_mut(&lease.shard) {
+            shard.placer.look(&mut shard.failover, now);
+            let recovering = shard.placer.services.under_replicated().clone();
+            shard.failover = Failover::new(record_number, lease.token, began_at, recovering, now);
+        }
+    }
+
+    /// Supervises the services that something happened to, and completes the shard's
+    /// failover record once it is due and the store has writes to spare.
+    pub(crate) fn flush_supervision(&mut self, index: u16, now: u64, effects: &mut Vec<Effect>) {
+        let Some(shard) = self.shards.get_mut(&index) else {
+            return;
+        };
+        shard.placer.look(&mut shard.failover, now);
+        shard.placer.escalate(&shard.shortage, now);
+        let Some(number) = shard.failover.completion_due(now) else {
+            return;
+        };
+        let Some(completed) = self
+            .cache
+            .failovers
+            .again(index, number)
+            .filter(|f| f.record.open())
+        else {
+            // Completed, as the state cache shows, or the ring has come round.
+            return shard.failover.completed();
+        };
+        // Guards against a record that delays a start.
+        if shard.placer.starts_wait() {
+            return;
+        }
+        shard.failover.completion_attempted(now);
+        if let Some(cas) = self.completion_cas(index, completed, now) {
+            effects.push(Effect::Note(cas));
+        }
+    }
+
+    /// The compare-and-swap that completes a shard's record and those that its leaders
+    /// before left open.
+    fn completion_cas(
+        &self,
+        index: u16,
+        mut completed: NewFailover,
+        now: u64,
+    ) -> Option<CompareAndSwap> {
+        let shard = self.shards.get(&index)?;
+        let number = completed.record.n;
+        completed.record.closed = Some(shard.failover.completion(self.host(), now));
+        let mut cas = CompareAndSwap {
+            conditions: vec![Condition {
+                key: shard_key(index),
+                version: shard.lease.token,
+            }],
+            writes: Vec::new(),
+        };
+        completed.join(&mut cas);
+        for abandoned in self.abandoned_records(index, number) {
+            if cas.writes.len() >= self.config.txn_ops {
+                break;
+            }
+            abandoned.join(&mut cas);
+        }
+        Some(cas)
+    }
+
+    /// Records before `number` that leaders of a shard left open, each completed with how
+    /// long its leadership lasted.
+    fn abandoned_records(&self, index: u16, number: u64) -> Vec<NewFailover> {
+        let records = self.cache.failovers.of(index);
+        let mut abandoned = Vec::new();
+        for (i, (record, version)) in records.iter().enumerate() {
+            if record.n >= number || !record.open() {
+                continue;
+            }
+            let held_ms = records
+                .get(i + 1)
+                .filter(|(next, _)| next.n == record.n + 1)
+                .map(|(next, _)| next.at.saturating_sub(record.at));
+            let closed = Some(abandoned_completion(self.host(), *version, held_ms));
+            abandoned.push(NewFailover {
+                shard: index,
+                slot_version: *version,
+                record: FailoverRecord {
+                    closed,
+                    ..(*record).clone()
+                },
+            });
+        }
+        abandoned
+    }
+}
--- a/crates/coordination/src/supervision/mod.rs
+++ b/crates/coordination/src/supervision/mod.rs
@@ -1,14 +1,15 @@
-//! The watch: services kept up without staff, and changes of hands on record.
+//! Supervision: services kept up without staff, and failovers on record.
 //!
-//! [`services`] holds, for each service of a placer's teams, what is promised, what
-//! is up, since when less, and what is being done about it. The placer's
-//! ladder (`placer/ladder.rs`) tries another way where that did not work within its
-//! time. [`failover`] holds what was found after a part changed hands, and [`entries`]
-//! writes that into the ring of `lemonweir_storage::failovers`; [`picture`] shows both.
+//! [`services`] holds, for each service of a placer's teams, how many replicas are desired,
+//! how many run, since when there are fewer, and what is being done about it. The placer
+//! escalates (`placer/preemption.rs`) where that did not work within its time.
+//! [`failover`] holds what a new leader observes after a shard's failover, and
+//! [`failover_log`] writes that into the ring of `lemonweir_storage::failovers`;
+//! [`report`] shows both to operators.
 //!
-//! All of it is kept up by what changed: nothing here walks all jobs for an event.
+//! All of it is updated by what changed: nothing here walks all jobs for an event.
 
-mod entries;
 pub mod failover;
-mod picture;
+mod failover_log;
+mod report;
 pub mod services;
--- /dev/null
+++ b/crates/coordination/src/supervision/report.rs
@@ -0,0 +1,232 @@
+//! What operators are shown: under-replicated services, shards, failovers. All of it from
+//! memory, so that it is available during an outage of the store.
+
+use crate::Core;
+use crate::supervision::services::{RecoveryActivity, SupervisedService};
+use lemonweir_model::JobKind;
+use lemonweir_model::settings::ClusterMember;
+use lemonweir_protocol::supervision::{
+    FailoverCompletionRow, FailoverReport, FailoverRow, ShardRow, SupervisionReport,
+    UnderReplicatedServiceRow,
+};
+use lemonweir_storage::failovers::{FailoverCompletion, FailoverRecord, LeadershipChange};
+use lemonweir_storage::state_cache::CachedJob;
+
+impl RecoveryActivity {
+    /// What operators are shown of it.
+    fn description(self) -> &'static str {
+        match self {
+            Self::FullyReplicated => "nothing: all are up",
+            Self::Queued => "waits for its turn",
+            Self::AwaitingCapacity => "room is made and machines are asked for",
+            Self::AtQuotaLimit => "nothing: its team is at its limit",
+            Self::RecordingStart => "its starts are being written",
+            Self::Starting => "starting, or fetching its image",
+            Self::StoppingOthers => "waits for what is being stopped",
+            Self::AwaitingHeartbeats => "waits for its machines' first reports to the new holder",
+            Self::ZonePartitioned => "waits for a zone out of sight, or its proof",
+            Self::BackingOff => "failed; the next try comes after a pause",
+        }
+    }
+}
+
+impl Core {
+    /// The host that answers, and the age of its state cache, ms.
+    fn answering_host(&self, now: u64) -> (String, Option<u64>) {
+        let host = self
+            .config
+            .members
+            .get(usize::from(self.config.me))
+            .map(|member| member.host.clone())
+            .unwrap_or_default();
+        let cache_age_ms = self.cache.revision.map(|_| self.links.store_age(now));
+        (host, cache_age_ms)
+    }
+
+    /// The state of shards and services. Walks all jobs: for operators' questions.
+    pub fn supervision_report(&self, now: u64) -> SupervisionReport {
+        let (host, age_ms) = self.answering_host(now);
+        let mut report = SupervisionReport {
+            host,
+            age_ms,
+            shards: (0..)
+                .zip(&self.config.members)
+                .map(|(shard, home)| self.shard_row(shard, home))
+                .collect(),
+            services: 0,
+            promised: 0,
+            up: 0,
+            short: Vec::new(),
+        };
+        for job in self
+            .cache
+            .jobs
+            .values()
+            .filter(|job| job.record.spec.shape == JobKind::Service && !job.record.withdrawn)
+        {
+            let row = self.service_row(job, now);
+            report.services += 1;
+            report.promised += u64::from(row.promised);
+            report.up += u64::from(row.up);
+            if row.up < row.promised {
+                report.short.push(row);
+            }
+        }
+        let missing_millionths = |row: &UnderReplicatedServiceRow| {
+            u64::from(row.promised - row.up) * 1_000_000 / u64::from(row.promised.max(1))
+        };
+        report.short.sort_by(|a, b| {
+            missing_millionths(b)
+                .cmp(&missing_millionths(a))
+                .then_with(|| a.job.cmp(&b.job))
+        });
+        report
+    }
+
+    fn shard_row(&self, shard: u16, home: &ClusterMember) -> ShardRow {
+        let leader = self.cache.shards.get(&shard);
+        let failovers = self.cache.failovers.of(shard);
+        ShardRow {
+            shard,
+            home: home.host.clone(),
+            holder: leader.map(|l| l.host.clone()),
+            token: leader.map(|l| l.token),
+            since: failovers.last().map(|(record, _)| record.at),
+        }
+    }
+
+    fn service_row(&self, job: &CachedJob, now: u64) -> UnderReplicatedServiceRow {
+        let mut row = self.service_row_from_notes(job);
+        let own = self.shards.get(&row.shard);
+        let id = &job.record.spec.id;
+        let Some((placer, service)) =
+            own.and_then(|shard| Some((&shard.placer, shard.placer.services.get(id)?)))
+        else {
+            return row;
+        };
+        add_supervision(&mut row, service, now);
+        row.zones = placer.zones_up(id);
+        row.lacks = placer
+            .job_note(id, now)
+            .map(|(_, _, reason)| reason)
+            .unwrap_or_default();
+        row
+    }
+
+    /// What every controller knows of a service: its job, and the note of its team's
+    /// controller.
+    fn service_row_from_notes(&self, job: &CachedJob) -> UnderReplicatedServiceRow {
+        let spec = &job.record.spec;
+        let desired = spec.tasks.min(u64::from(u32::MAX)) as u32;
+        let note = self.notes.get(&spec.id);
+        UnderReplicatedServiceRow {
+            job: spec.id.to_string(),
+            class: spec.class.clone(),
+            team: spec.team.clone(),
+            shard: Self::team_shard(&self.cache, &self.config, &spec.team),
+            promised: desired,
+            half: desired.div_ceil(2),
+            up: note.map_or(0, |n| n.running).min(desired),
+            zones: Vec::new(),
+            short_s: None,
+            below_half_s: None,
+            doing: "its team's controller knows".into(),
+            due_s: None,
+            lacks: note.map(|n| n.reason.clone()).unwrap_or_default(),
+            tried: Vec::new(),
+        }
+    }
+
+    /// The failovers of all shards, the newest first.
+    pub fn failover_report(&self, now: u64) -> FailoverReport {
+        let (host, age_ms) = self.answering_host(now);
+        let log = &self.cache.failovers;
+        let rows = |shard: u16| {
+            log.of(shard)
+                .into_iter()
+                .map(move |(record, version)| failover_row(shard, record, version))
+        };
+        let mut changes: Vec<FailoverRow> = log.shards().into_iter().flat_map(rows).collect();
+        changes.sort_by(|a, b| {
+            b.at.cmp(&a.at)
+                .then_with(|| (b.shard, b.n).cmp(&(a.shard, a.n)))
+        });
+        FailoverReport {
+            host,
+            age_ms,
+            changes,
+        }
+    }
+}
+
+/// Adds what the supervision of its team's controller knows of a service.
+fn add_supervision(row: &mut UnderReplicatedServiceRow, service: &SupervisedService, now: u64) {
+    let elapsed_s = |since: u64| now.saturating_sub(since) / 1_000;
+    row.up = service.observation.running.min(row.promised);
+    row.short_s = service.under_replicated_since.map(elapsed_s);
+    row.below_half_s = service.below_half_since.map(elapsed_s);
+    row.doing = service.observation.activity.description().into();
+    row.due_s = service.due_at.map(|at| (at as i64 - now as i64) / 1_000);
+    row.tried = service
+        .attempts
+        .iter()
+        .map(|attempt| {
+            format!(
+                "{} s ago: {}",
+                elapsed_s(attempt.at_ms),
+                attempt.description
+            )
+        })
+        .collect();
+}
+
+fn failover_row(shard: u16, record: &FailoverRecord, version: u64) -> FailoverRow {
+    let how = match record.how {
+        LeadershipChange::Vacant if record.from.is_none() => "taken: no holder known",
+        LeadershipChange::Vacant => "taken: its holder had given it up, or its hold had run out",
+        LeadershipChange::Reborn => "taken by a later life of its holder",
+        LeadershipChange::HandedBack => "given up for its home, which lives",
+        LeadershipChange::Left => "left: its machines are not heard",
+        LeadershipChange::Other => "in a way that a later version knows",
+    };
+    let completion = record.closed.clone();
+    let token = completion
+        .as_ref()
+        .map_or(Some(version), |c| c.token)
+        .filter(|_| record.to.is_some());
+    FailoverRow {
+        shard,
+        n: record.n,
+        at: record.at,
+        from: record.from.clone(),
+        to: record.to.clone(),
+        how: how.into(),
+        token,
+        up: record.up,
+        closed: completion.map(completion_row),
+    }
+}
+
+fn completion_row(completion: FailoverCompletion) -> FailoverCompletionRow {
+    let FailoverCompletion {
+        by,
+        read_ms,
+        first_start_ms,
+        whole_ms,
+        found,
+        gaps,
+        unknown,
+        token: _,
+        held_ms,
+    } = completion;
+    FailoverCompletionRow {
+        by,
+        read_ms,
+        first_start_ms,
+        whole_ms,
+        held_ms,
+        found,
+        gaps,
+        unknown,
+    }
+}
--- a/crates/coordination/src/supervision/services.rs
+++ b/crates/coordination/src/supervision/services.rs
@@ -1,200 +1,242 @@
-//! For each service: what is promised, what is up, since when less, and what is
-//! being done about it.
+//! For each service: how many replicas are desired, how many run, since when there are
+//! fewer, and what is being done about it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use lemonweir_model::JobId;
-use lemonweir_model::constants::{LADDER_AGAIN_MS, TRIES_KEPT};
 
-/// What is being done about replicas that are missing.
+/// ms between two escalations for a service that is overdue: free resources come and go, as
+/// the views of the shards are refreshed.
+const ESCALATION_INTERVAL_MS: u64 = 2_000;
+/// Attempts that are remembered of an under-replicated service.
+pub const RECOVERY_ATTEMPTS_KEPT: usize = 8;
+
+/// What is being done about missing replicas.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RecoveryActivity {
     /// None is missing.
-    Nothing,
-    /// They wait for their turn to be placed.
+    FullyReplicated,
+    /// They are queued for placement.
     Queued,
-    /// No machine has room for them; machines are asked for, and room is made.
-    Resources,
-    /// Their team uses all that it may.
-    Limit,
-    /// Their starts wait to be written.
-    Writing,
-    /// They are on their way up: ordered, or fetching their image.
+    /// No machine has free resources for them; instances are requested, and lower
+    /// priorities are preempted.
+    AwaitingCapacity,
+    /// Their team is at its quota limit.
+    AtQuotaLimit,
+    /// Their starts are not recorded in the store yet.
+    RecordingStart,
+    /// They are starting: commanded, or fetching their image.
     Starting,
-    /// What is to make way, or to move, is being stopped.
-    Stopping,
-    /// They were up before the part changed hands; their machines have not been
-    /// heard since.
-    Unheard,
-    /// They are in a zone out of sight.
-    OutOfSight,
-    /// They failed; the next try comes after a pause.
-    Pausing,
+    /// What is preempted for them, or moved, is being stopped.
+    StoppingOthers,
+    /// They ran before the failover; their machines have sent the new leader no heartbeat
+    /// yet.
+    AwaitingHeartbeats,
+    /// They are in a partitioned zone.
+    ZonePartitioned,
+    /// They failed; the next start comes after a backoff.
+    BackingOff,
 }
 
-/// Another way that was tried since replicas are missing, each once.
+/// What is tried beyond the usual recovery of an under-replicated service, each step once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum PreemptionStep {
-    /// A replica that did not come up leaves its machine for another.
-    Elsewhere,
-    /// Machines that the service avoided are taken again.
-    Avoided,
-    /// What the cloud was asked for, and what it had.
-    Rented,
+pub enum EscalationStep {
+    /// A replica that did not start in time is moved to another machine.
+    MoveReplica,
+    /// Machines that the service avoided become eligible again.
+    LiftExclusions,
+    /// Which instances were requested, and which had no capacity, is noted.
+    RequestInstances,
 }
 
-/// A try of it.
+/// An escalation step that was taken.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecoveryAttempt {
-    /// Which way.
-    pub rung: PreemptionStep,
+    /// Which step.
+    pub step: EscalationStep,
     /// When, ms.
-    pub at: u64,
-    /// What was done, and why.
-    pub what: String,
+    pub at_ms: u64,
+    /// What was done and why, as operators are shown it.
+    pub description: String,
 }
 
-/// How a service stands at a moment.
+/// The state of a service at a moment.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServiceObservation {
-    /// Replicas promised.
-    pub promised: u32,
-    /// Replicas up.
-    pub up: u32,
+    /// Desired replicas.
+    pub desired: u32,
+    /// Running replicas.
+    pub running: u32,
     /// What is being done about the others.
-    pub doing: RecoveryActivity,
-    /// ms that this may take before it counts as failed; none: no telling.
-    pub within: Option<u64>,
+    pub activity: RecoveryActivity,
+    /// ms that this may take before the service is overdue; `None`: not known.
+    pub expected_within_ms: Option<u64>,
+}
+
+impl ServiceObservation {
+    fn is_fully_replicated(&self) -> bool {
+        self.running >= self.desired
+    }
+
+    fn is_below_half(&self) -> bool {
+        2 * self.running < self.desired
+    }
 }
 
-/// A service under watch.
+/// A service under supervision.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SupervisedService {
-    /// How it stands.
-    pub seen: ServiceObservation,
+    /// Its newest state.
+    pub observation: ServiceObservation,
     /// Since when replicas are missing, ms.
-    pub short_since: Option<u64>,
+    pub under_replicated_since: Option<u64>,
     /// Since when more than half are missing, ms.
     pub below_half_since: Option<u64>,
-    /// Since when that is being done, and when it should have worked, ms.
-    pub doing_since: u64,
-    /// See [`Self::doing_since`]; none: no telling.
-    pub by: Option<u64>,
-    /// When another way is looked for next, once it is late, ms.
-    look_at: Option<u64>,
-    /// What was tried beyond the usual way since replicas are missing.
-    pub tries: Vec<RecoveryAttempt>,
+    /// Since when the activity goes on without a loss, ms.
+    pub activity_since: u64,
+    /// When the activity should have worked, ms; `None`: not known.
+    pub due_at: Option<u64>,
+    /// When the next escalation is due, ms.
+    escalation_at: Option<u64>,
+    /// Escalation steps that were taken since replicas are missing, the oldest first.
+    pub attempts: Vec<RecoveryAttempt>,
+}
+
+impl SupervisedService {
+    /// The service with its new observation. What its state before knew is kept as long as
+    /// it still holds.
+    fn updated(
+        previous: Option<SupervisedService>,
+        observation: ServiceObservation,
+        now: u64,
+    ) -> Self {
+        let fully_replicated = observation.is_fully_replicated();
+        let since = |holds: bool, previous: Option<u64>| holds.then(|| previous.unwrap_or(now));
+        let due_at = observation
+            .expected_within_ms
+            .filter(|_| !fully_replicated)
+            .map(|ms| now.saturating_add(ms));
+        let mut service = Self {
+            under_replicated_since: since(
+                !fully_replicated,
+                previous.as_ref().and_then(|p| p.under_replicated_since),
+            ),
+            below_half_since: since(
+                observation.is_below_half(),
+                previous.as_ref().and_then(|p| p.below_half_since),
+            ),
+            activity_since: now,
+            due_at,
+            escalation_at: due_at,
+            attempts: Vec::new(),
+            observation,
+        };
+        let Some(previous) = previous.filter(|_| !fully_replicated) else {
+            return service;
+        };
+        // One more replica running shows that the activity works: the others get as long
+        // again.
+        if previous.observation.activity == service.observation.activity
+            && previous.observation.running >= service.observation.running
+        {
+            service.activity_since = previous.activity_since;
+            service.due_at = previous.due_at;
+            service.escalation_at = previous.escalation_at;
+        }
+        service.attempts = previous.attempts;
+        service
+    }
 }
 
 /// All services of one placer's teams.
 #[derive(Debug, Default)]
 pub struct SupervisedServices {
-    all: BTreeMap<JobId, SupervisedService>,
-    /// Those that are short, by when another way is looked for.
-    due: BTreeSet<(u64, JobId)>,
-    short: BTreeSet<JobId>,
-    /// Those that something happened to.
-    touched: BTreeSet<JobId>,
+    services: BTreeMap<JobId, SupervisedService>,
+    /// Under-replicated services by when their next escalation is due.
+    escalations: BTreeSet<(u64, JobId)>,
+    under_replicated: BTreeSet<JobId>,
+    /// Services that something happened to.
+    changed: BTreeSet<JobId>,
 }
 
 impl SupervisedServices {
-    /// Something happened to a job: it is to be looked at.
-    pub fn touch(&mut self, id: &JobId) {
-        self.touched.insert(id.clone());
+    /// Something happened to a job: it is to be observed again.
+    pub fn mark_changed(&mut self, id: &JobId) {
+        self.changed.insert(id.clone());
     }
 
-    /// Those that something happened to since the last call.
-    pub fn take_touched(&mut self) -> BTreeSet<JobId> {
-        std::mem::take(&mut self.touched)
+    /// The jobs that something happened to since the last call.
+    pub fn take_changed(&mut self) -> BTreeSet<JobId> {
+        std::mem::take(&mut self.changed)
     }
 
-    /// True for a service that is watched.
-    pub fn has(&self, id: &JobId) -> bool {
-        self.all.contains_key(id)
+    /// True for a service under supervision.
+    pub fn contains(&self, id: &JobId) -> bool {
+        self.services.contains_key(id)
     }
 
-    /// How a service stands now; `None`: it is over, or being withdrawn.
-    pub fn set(&mut self, id: &JobId, seen: Option<ServiceObservation>, now: u64) {
-        let before = self.all.remove(id);
-        if let Some(before) = &before {
-            self.short.remove(id);
-            if let Some(at) = before.look_at {
-                self.due.remove(&(at, id.clone()));
-            }
-        }
-        let Some(seen) = seen else { return };
-        let since = |is: bool, before: Option<u64>| is.then(|| before.unwrap_or(now));
-        let whole = seen.up >= seen.promised;
-        let mut service = SupervisedService {
-            short_since: since(!whole, before.as_ref().and_then(|b| b.short_since)),
-            below_half_since: since(
-                2 * seen.up < seen.promised,
-                before.as_ref().and_then(|b| b.below_half_since),
-            ),
-            doing_since: now,
-            tries: before
-                .as_ref()
-                .filter(|_| !whole)
-                .map(|b| b.tries.clone())
-                .unwrap_or_default(),
-            by: if whole {
-                None
-            } else {
-                seen.within.map(|ms| now.saturating_add(ms))
-            },
-            look_at: None,
-            seen,
+    /// Applies the newest state of a service; `None`: it is over, or being cancelled.
+    pub fn observe(&mut self, id: &JobId, observation: Option<ServiceObservation>, now: u64) {
+        let previous = self.remove(id);
+        let Some(observation) = observation else {
+            return;
         };
-        service.look_at = service.by;
-        // One more replica up shows that it works: the others get as long again.
-        if let Some(before) = before.filter(|b| {
-            b.seen.doing == service.seen.doing && b.seen.up >= service.seen.up && !whole
-        }) {
-            (service.doing_since, service.by, service.look_at) =
-                (before.doing_since, before.by, before.look_at);
+        let service = SupervisedService::updated(previous, observation, now);
+        if !service.observation.is_fully_replicated() {
+            self.under_replicated.insert(id.clone());
         }
-        if !whole {
-            self.short.insert(id.clone());
+        if let Some(at) = service.escalation_at {
+            self.escalations.insert((at, id.clone()));
         }
-        if let Some(at) = service.look_at {
-            self.due.insert((at, id.clone()));
+        self.services.insert(id.clone(), service);
+    }
+
+    fn remove(&mut self, id: &JobId) -> Option<SupervisedService> {
+        let service = self.services.remove(id)?;
+        self.under_replicated.remove(id);
+        if let Some(at) = service.escalation_at {
+            self.escalations.remove(&(at, id.clone()));
         }
-        self.all.insert(id.clone(), service);
+        Some(service)
     }
 
-    /// Another way was looked for, and what was found was tried; the next look
-    /// comes after a while.
-    pub fn looked(&mut self, id: &JobId, tries: Vec<RecoveryAttempt>, now: u64) {
-        let Some(service) = self.all.get_mut(id) else {
+    /// Records the steps of an escalation, which may be none; the next comes after
+    /// [`ESCALATION_INTERVAL_MS`].
+    pub fn record_escalation(&mut self, id: &JobId, attempts: Vec<RecoveryAttempt>, now: u64) {
+        let Some(service) = self.services.get_mut(id) else {
             return;
         };
-        if let Some(at) = service.look_at.replace(now + LADDER_AGAIN_MS) {
-            self.due.remove(&(at, id.clone()));
+        let next_at = now + ESCALATION_INTERVAL_MS;
+        if let Some(at) = service.escalation_at.replace(next_at) {
+            self.escalations.remove(&(at, id.clone()));
         }
-        self.due.insert((now + LADDER_AGAIN_MS, id.clone()));
-        service.tries.extend(tries);
-        let over = service.tries.len().saturating_sub(TRIES_KEPT);
-        service.tries.drain(..over);
+        self.escalations.insert((next_at, id.clone()));
+        service.attempts.extend(attempts);
+        let excess = service
+            .attempts
+            .len()
+            .saturating_sub(RECOVERY_ATTEMPTS_KEPT);
+        service.attempts.drain(..excess);
     }
 
-    /// Some services for which what is done did not work in time and another way is
-    /// to be looked for.
-    pub fn late(&self, now: u64, most: usize) -> Vec<JobId> {
-        self.due
+    /// At most `limit` services whose activity did not work in time, and whose escalation
+    /// is due.
+    pub fn overdue(&self, now: u64, limit: usize) -> Vec<JobId> {
+        self.escalations
             .iter()
             .take_while(|(at, _)| *at <= now)
-            .take(most)
+            .take(limit)
             .map(|(_, id)| id.clone())
             .collect()
     }
 
-    /// A service, if it is watched.
+    /// A service, if it is under supervision.
     pub fn get(&self, id: &JobId) -> Option<&SupervisedService> {
-        self.all.get(id)
+        self.services.get(id)
     }
 
-    /// Those that lack replicas.
-    pub fn short(&self) -> &BTreeSet<JobId> {
-        &self.short
+    /// Services with missing replicas.
+    pub fn under_replicated(&self) -> &BTreeSet<JobId> {
+        &self.under_replicated
     }
 }
--- a/crates/coordination/tests/largest.rs
+++ b/crates/coordination/tests/largest.rs
@@ -204,17 +204,17 @@
             let first: Vec<u64> = placer
                 .lacking
                 .iter()
-                .filter(|d| d.first)
+                .filter(|d| d.must_start_now)
                 .map(|d| u64::from(d.count))
                 .collect();
             assert_eq!(first, units, "seed {seed}: {jobs:?}");
-            assert!(placer.lacking.iter().all(|d| !d.only_spot));
+            assert!(placer.lacking.iter().all(|d| !d.spot_only));
             assert_eq!(
                 placer.lacking.iter().filter(|d| !d.idle).count(),
                 usize::from(others)
             );
             assert!(
-                placer.lacking.is_sorted_by_key(|d| d.first),
+                placer.lacking.is_sorted_by_key(|d| d.must_start_now),
                 "others come before"
             );
         }
--- a/crates/coordination/tests/placement.rs
+++ b/crates/coordination/tests/placement.rs
@@ -1,17 +1,17 @@
-//! Placement by bit-vectors compared with a slow plain model.
+//! Placement by bit-vectors against a plain reference model that examines every machine.
 
 use std::collections::BTreeSet;
 
-use lemonweir_coordination::placement::{PlacementIndex, PlacementRequest};
+use lemonweir_coordination::placement::{ImageRequirement, PlacementIndex, PlacementRequest};
 use lemonweir_model::{MachineId, Priority, Resources};
-use lemonweir_protocol::peer::MachineView;
+use lemonweir_protocol::peer::{MachineView, PreemptionScope};
 use proptest::prelude::*;
 
 const ZONES: [&str; 3] = ["a", "b", "c"];
-const KINDS: [&str; 2] = ["small", "large"];
+const MACHINE_TYPES: [&str; 2] = ["small", "large"];
 const IMAGES: [&str; 3] = ["x", "y", "z"];
 
-fn room() -> impl Strategy<Value = Resources> {
+fn resources() -> impl Strategy<Value = Resources> {
     (0..9u64, 0..3u64, 0..5u64).prop_map(|(c, g, m)| Resources {
         cpus: c * 500,
         gpus: g * 1000,
@@ -21,8 +21,8 @@
 
 fn machine(n: usize) -> impl Strategy<Value = MachineView> {
     (
-        room(),
-        room(),
+        resources(),
+        resources(),
         0..3usize,
         0..2usize,
         any::<[bool; 3]>(),
@@ -31,17 +31,26 @@
         prop::sample::subsequence(IMAGES.to_vec(), 0..=3),
     )
         .prop_map(
-            move |(free, soft, zone, kind, [spot, up, open], busy, lasting, images)| MachineView {
-                id: named(n),
-                kind: KINDS[kind].into(),
+            move |(
+                free,
+                preemptible,
+                zone,
+                machine_type,
+                [spot, up, open],
+                busy,
+                lasting,
+                images,
+            )| MachineView {
+                id: machine_id(n),
+                kind: MACHINE_TYPES[machine_type].into(),
                 zone: ZONES[zone].into(),
                 spot,
                 up,
                 open,
                 leaving: false,
                 free,
-                soft: [soft, soft, Resources::default()],
-                soft_over: [soft; 3],
+                soft: [preemptible, preemptible, Resources::default()],
+                soft_over: [preemptible; 3],
                 busy,
                 lasting,
                 coming: IMAGES
@@ -56,7 +65,7 @@
         )
 }
 
-fn named(n: usize) -> MachineId {
+fn machine_id(n: usize) -> MachineId {
     MachineId::from(format!("n-{n:03}").as_str())
 }
 
@@ -65,22 +74,22 @@
 }
 
 #[derive(Clone, Debug)]
-struct Wish {
+struct RequestCase {
     need: Resources,
-    types: Option<Vec<String>>,
+    machine_types: Option<Vec<String>>,
     zones: Option<Vec<&'static str>>,
-    spot: bool,
-    lasting: bool,
+    spot_allowed: bool,
+    long_running: bool,
     image: &'static str,
-    avoid: Vec<MachineId>,
-    only: Option<BTreeSet<MachineId>>,
-    frugal: bool,
+    excluded_machines: Vec<MachineId>,
+    restricted_to: Option<BTreeSet<MachineId>>,
+    avoid_idle_on_demand: bool,
 }
 
-fn wish() -> impl Strategy<Value = Wish> {
+fn request_case() -> impl Strategy<Value = RequestCase> {
     (
-        room(),
-        prop::option::of(prop::sample::subsequence(KINDS.to_vec(), 0..=2)),
+        resources(),
+        prop::option::of(prop::sample::subsequence(MACHINE_TYPES.to_vec(), 0..=2)),
         prop::option::of(prop::sample::subsequence(ZONES.to_vec(), 0..=3)),
         any::<[bool; 3]>(),
         prop::sample::select(IMAGES.to_vec()),
@@ -88,80 +97,99 @@
         prop::option::weighted(0.2, prop::collection::btree_set(0..80usize, 0..20)),
     )
         .prop_map(
-            |(need, types, zones, [spot, lasting, frugal], image, avoid, only)| Wish {
+            |(
                 need,
-                types: types.map(|t| t.into_iter().map(str::to_owned).collect()),
+                machine_types,
                 zones,
-                spot,
-                lasting,
+                [spot_allowed, long_running, avoid_idle_on_demand],
+                image,
+                excluded,
+                restricted_to,
+            )| RequestCase {
+                need,
+                machine_types: machine_types.map(|t| t.into_iter().map(str::to_owned).collect()),
+                zones,
+                spot_allowed,
+                long_running,
                 image,
-                avoid: avoid.into_iter().map(named).collect(),
-                only: only.map(|only| only.into_iter().map(named).collect()),
-                frugal,
+                excluded_machines: excluded.into_iter().map(machine_id).collect(),
+                restricted_to: restricted_to.map(|r| r.into_iter().map(machine_id).collect()),
+                avoid_idle_on_demand,
             },
         )
 }
 
-impl Wish {
-    fn ask(&self) -> PlacementRequest<'_> {
+impl RequestCase {
+    fn request(&self) -> PlacementRequest<'_> {
         PlacementRequest {
             need: self.need,
-            types: self.types.as_deref(),
+            machine_types: self.machine_types.as_deref(),
             zones: self.zones.clone(),
-            spot: self.spot,
-            lasting: self.lasting,
+            spot_allowed: self.spot_allowed,
+            long_running: self.long_running,
             image: self.image,
             image_mb: 1_000,
-            avoid: &self.avoid,
-            only: self.only.as_ref(),
-            frugal: self.frugal,
+            excluded_machines: &self.excluded_machines,
+            restricted_to: self.restricted_to.as_ref(),
+            avoid_idle_on_demand: self.avoid_idle_on_demand,
         }
     }
 
-    fn allows(&self, m: &MachineView) -> bool {
+    fn is_eligible(&self, m: &MachineView) -> bool {
         m.up && m.open
-            && (self.spot || !m.spot)
-            && self.types.as_ref().is_none_or(|t| t.contains(&m.kind))
+            && (self.spot_allowed || !m.spot)
+            && self
+                .machine_types
+                .as_ref()
+                .is_none_or(|t| t.contains(&m.kind))
             && self
                 .zones
                 .as_ref()
                 .is_none_or(|z| z.contains(&m.zone.as_str()))
-            && !self.avoid.contains(&m.id)
-            && self.only.as_ref().is_none_or(|o| o.contains(&m.id))
+            && !self.excluded_machines.contains(&m.id)
+            && self
+                .restricted_to
+                .as_ref()
+                .is_none_or(|r| r.contains(&m.id))
     }
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, rng_seed: proptest::test_runner::RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Pushing out is offered only where it suffices, and with least missing.
+    /// Preemption is offered only where it suffices, and wherever it does.
     #[test]
-    fn evict_fit_suffices(machines in machines(), wish in wish(), over in any::<bool>(), with_image in any::<bool>()) {
+    fn preemptive_fit_suffices(machines in machines(), case in request_case(), over_quota in any::<bool>(), image_required in any::<bool>()) {
+        let (scope, image) = (
+            if over_quota { PreemptionScope::LowerAndOver } else { PreemptionScope::Lower },
+            if image_required { ImageRequirement::Cached } else { ImageRequirement::Optional },
+        );
         let suffices = |m: &MachineView| {
-            let soft = if over { m.soft_over } else { m.soft };
-            wish.allows(m) && (!with_image || m.images.iter().any(|i| i == wish.image)) && m.free.plus(&soft[Priority::High.index()]).covers(&wish.need)
+            let preemptible = if over_quota { m.soft_over } else { m.soft };
+            let has_image = m.images.iter().any(|i| i == case.image);
+            case.is_eligible(m) && (!image_required || has_image) && m.free.plus(&preemptible[Priority::High.index()]).covers(&case.need)
         };
-        match PlacementIndex::new(&machines).evict_fit(&wish.ask(), Priority::High, over, with_image, None) {
-            Some(i) => prop_assert!(suffices(&machines[i])),
+        match PlacementIndex::new(&machines).preemptive_fit(&case.request(), Priority::High, scope, image, None) {
+            Some(slot) => prop_assert!(suffices(&machines[slot])),
             None => prop_assert!(!machines.iter().any(suffices)),
         }
     }
 
-    /// Taking room never makes more of it.
+    /// A reservation takes exactly the resources of the task, and is reverted whole.
     #[test]
-    fn taking_room_takes_it(machines in machines(), wish in wish()) {
-        let mut field = PlacementIndex::new(&machines);
-        if let Some(i) = field.first_fit(&wish.ask()) {
-            let before = field.slots[i].free;
-            field.take(i, &wish.need, wish.image);
-            prop_assert_eq!(field.slots[i].free.plus(&wish.need), before);
-            // The image is there, or now on its way.
-            let again = field.find(&field.slots[i].id.clone()).expect("there");
-            prop_assert!(field.has_image(again, wish.image) || field.slots[again].fetches > 0);
-            // What an owner told comes back whole.
-            field.restore(i);
-            prop_assert_eq!(field.slots[i].free, before);
-            prop_assert_eq!(field.first_fit(&wish.ask()), Some(i));
+    fn reservation_takes_resources_until_it_is_reverted(machines in machines(), case in request_case()) {
+        let mut index = PlacementIndex::new(&machines);
+        if let Some(slot) = index.first_fit(&case.request()) {
+            let before = index.slots[slot].free;
+            index.reserve(slot, &case.need, case.image);
+            prop_assert_eq!(index.slots[slot].free.plus(&case.need), before);
+            // The image is cached, or its fetch is under way now.
+            let position = index.position(&index.slots[slot].id.clone()).expect("indexed");
+            prop_assert!(index.has_image(position, case.image) || index.slots[position].fetch_count > 0);
+            // What the owner published comes back whole.
+            index.revert_reservations(slot);
+            prop_assert_eq!(index.slots[slot].free, before);
+            prop_assert_eq!(index.first_fit(&case.request()), Some(slot));
         }
     }
 }
--- a/crates/coordination/tests/support/controllers.rs
+++ b/crates/coordination/tests/support/controllers.rs
@@ -450,7 +450,7 @@
                 continue;
             };
             let left = membership.left(core, now);
-            let cas = core.claim_txn(&claim, hold, left, now);
+            let cas = core.election_cas(&claim, hold, left, now);
             match (claim, self.apply(&cas)) {
                 (ElectionAction::Take { shard, .. }, CompareAndSwapOutcome::Done(token)) => {
                     self.acquire(node, ShardLease { shard, token })
--- a/crates/node/src/lease_keeper.rs
+++ b/crates/node/src/lease_keeper.rs
@@ -124,7 +124,7 @@
         let claim = membership.claim(&node.core(), index, now);
         let Some(claim) = claim else { continue };
         let left = membership.left(&node.core(), now);
-        let cas = node.core().claim_txn(&claim, hold, left, now);
+        let cas = node.core().election_cas(&claim, hold, left, now);
         let result = node.state.cas(&cas).await?;
         match (claim, result) {
             // An entry's slot or the part's key has changed meanwhile.
--- a/crates/node/src/public_api.rs
+++ b/crates/node/src/public_api.rs
@@ -52,17 +52,17 @@
             }
             ("GET", "/v1/watch") => {
                 let now = node.now();
-                Reply::new(200, encode(&node.core().watch(now)))
+                Reply::new(200, encode(&node.core().supervision_report(now)))
             }
             ("GET", "/v1/watch/handovers") => {
                 let now = node.now();
-                Reply::new(200, encode(&node.core().failovers(now)))
+                Reply::new(200, encode(&node.core().failover_report(now)))
             }
             ("GET", "/v1/events") => Reply::new(200, encode(&node.core().links.events())),
             ("GET", path) if path.starts_with("/v1/weights/") => {
                 let now = node.now();
                 let image = path.trim_start_matches("/v1/weights/");
-                Reply::new(200, encode(&node.core().weights(image, now)))
+                Reply::new(200, encode(&node.core().image_locality_report(image, now)))
             }
             ("POST", "/v1/jobs") => submit(node, &request.body).await,
             (method, path) => match (method, path.strip_prefix("/v1/jobs/")) {
--- a/crates/simulator/src/world/services.rs
+++ b/crates/simulator/src/world/services.rs
@@ -58,7 +58,7 @@
         // One at a time: what it brings counts for the next.
         let claimed = claims
             .first()
-            .map(|claim| (*claim, core.claim_txn(claim, hold, left, now / MS)));
+            .map(|claim| (*claim, core.election_cas(claim, hold, left, now / MS)));
         if !teams.is_empty() {
             self.keep(host, None, assign_teams(&teams));
         }
--- a/crates/simulator/tests/watch.rs
+++ b/crates/simulator/tests/watch.rs
@@ -3,6 +3,7 @@
 
 use std::sync::Arc;
 
+use lemonweir_coordination::supervision::failover::COMPLETION_TIMEOUT_MS;
 use lemonweir_model::constants::*;
 use lemonweir_model::{JobKind, JobSpec, Priority};
 use lemonweir_protocol::kv_store::{CompareAndSwap, Write, from_value};
@@ -160,7 +161,7 @@
         let third = until_taken(&mut world, 0, &[0, second]);
         world.run(after_ms);
         world.crash(third, 4_000_000);
-        world.run(CLOSE_MOST_MS + 100_000);
+        world.run(COMPLETION_TIMEOUT_MS + 100_000);
         assert_eq!(live(&world), REPLICAS, "{what}");
         assert_entered(&world, &what);
         let entries = ring(&world, 0);
@@ -343,7 +344,7 @@
     assert_eq!(live(&world), 1_000);
     let core = world.hosts[0].core.as_ref().expect("it runs");
     let now = world.now / 1_000;
-    let watch = core.watch(now);
+    let watch = core.supervision_report(now);
     assert_eq!(
         (watch.services, watch.promised, watch.up, watch.short.len()),
         (500, 1_000, 1_000, 0)
@@ -373,7 +374,7 @@
         .core
         .as_ref()
         .expect("it runs")
-        .watch(world.now / 1_000);
+        .supervision_report(world.now / 1_000);
     assert_eq!((watch.up, watch.short.len()), (1_000, 0));
     assert_eq!(
         watch.shards[0].holder.as_deref(),
@@ -381,13 +382,13 @@
     );
     let third = world.hosts[3 - second].core.as_ref().expect("it runs");
     assert_eq!(
-        third.watch(world.now / 1_000).up,
+        third.supervision_report(world.now / 1_000).up,
         1_000,
         "any node shows it"
     );
     assert_eq!(
         third
-            .failovers(world.now / 1_000)
+            .failover_report(world.now / 1_000)
             .changes
             .first()
             .and_then(|c| c.to.clone()),
@@ -489,7 +490,7 @@
             h.core
                 .as_ref()
                 .filter(|_| h.holds(0))
-                .map(|c| c.watch(world.now / 1_000).short.len())
+                .map(|c| c.supervision_report(world.now / 1_000).short.len())
         };
         if whole.is_none()
             && taken.is_some()
@@ -548,7 +549,7 @@
         .hosts
         .iter()
         .filter_map(|h| h.core.as_ref())
-        .flat_map(|c| c.watch(world.now / 1_000).short);
+        .flat_map(|c| c.supervision_report(world.now / 1_000).short);
     rows.filter(|r| r.job == lemonweir_simulator::sample::id(n).to_string())
         .max_by_key(|r| r.short_s)
 }
