--- a/crates/coordination/tests/mass_failure_recovery.rs
+++ b/crates/coordination/tests/mass_failure_recovery.rs
@@ -1,5 +1,5 @@
-//! After a mass loss everything wants to start at once, and room comes back
-//! machine by machine.
+//! After a mass failure all lost tasks are queued at once, and capacity comes back machine
+//! by machine.
 
 mod support;
 
@@ -12,19 +12,22 @@
 };
 use support::*;
 
-struct Site {
+/// A placer with the machines of its own shard.
+struct Cluster {
     placer: Placer,
     machines: Vec<MachineView>,
-    revision: u64,
-    state: u64,
-    /// Machines and changes of attempts told so far.
-    number: usize,
-    told: u64,
+    store_revision: u64,
+    /// State of the machines that was published last.
+    machines_state: u64,
+    /// Machines so far.
+    machine_count: usize,
+    /// State of the attempts that was published last.
+    attempts_state: u64,
 }
 
-impl Site {
-    /// A placer with so many services of 4 replicas and one array of 20 tasks
-    /// that came before them.
+impl Cluster {
+    /// A placer with so many services of 4 replicas and one array of 20 tasks that was
+    /// submitted before them.
     fn new(services: usize) -> Self {
         let mut placer = Placer::new(0, TOKEN, 1, terms(), 0);
         submit(&mut placer, array(20), 1, 0);
@@ -45,15 +48,15 @@
         Self {
             placer,
             machines: Vec::new(),
-            revision: 1,
-            state: 0,
-            number: 0,
-            told: 0,
+            store_revision: 1,
+            machines_state: 0,
+            machine_count: 0,
+            attempts_state: 0,
         }
     }
 
-    /// All that runs is lost, with its machines.
-    fn lose_all(&mut self) {
+    /// All machines fail, with all that runs on them.
+    fn fail_all_machines(&mut self) {
         let all = self.placer.sync_for(0, TOKEN, ROOM, false, 0).wants;
         for standing in [AttemptState::Running, AttemptState::Gone] {
             let attempts = all
@@ -68,14 +71,14 @@
             } else {
                 Vec::new()
             };
-            self.told += all.len() as u64;
+            self.attempts_state += all.len() as u64;
             let full = |m: &MachineView| MachineView {
                 free: Resources::default(),
                 busy: 4,
                 ..m.clone()
             };
             let machines = self.machines.iter().map(full).collect();
-            self.tell(
+            self.publish(
                 machines,
                 gone.into_iter().map(|m| m.id).collect(),
                 attempts,
@@ -84,12 +87,12 @@
         }
     }
 
-    /// Tells that another machine for four tasks is up; what was placed then.
-    fn one_more(&mut self, hidden: Vec<PartitionedZone>) -> Vec<(JobId, u32)> {
-        self.number += 1;
-        let view = shown(self.number, 4);
+    /// Publishes that another machine for four tasks is up; what was placed on it.
+    fn add_machine(&mut self, partitioned: Vec<PartitionedZone>) -> Vec<(JobId, u32)> {
+        self.machine_count += 1;
+        let view = shown(self.machine_count, 4);
         self.machines.push(view.clone());
-        self.tell(vec![view], Vec::new(), Vec::new(), hidden);
+        self.publish(vec![view], Vec::new(), Vec::new(), partitioned);
         let wants = self.placer.sync_for(0, TOKEN, ROOM, false, 0).wants;
         let last = &self.machines[self.machines.len() - 1].id;
         wants
@@ -99,16 +102,16 @@
             .collect()
     }
 
-    fn tell(
+    fn publish(
         &mut self,
         machines: Vec<MachineView>,
         gone: Vec<MachineId>,
         attempts: Vec<AttemptStatus>,
-        hidden: Vec<PartitionedZone>,
+        partitioned: Vec<PartitionedZone>,
     ) {
         let seq = self.placer.sync_for(0, TOKEN, ROOM, false, 0).seq;
-        let since = self.state;
-        self.state += 1;
+        let since = self.machines_state;
+        self.machines_state += 1;
         let view = ShardView {
             version: lemonweir_model::constants::PEER_VERSION,
             shard: 0,
@@ -116,17 +119,17 @@
             seq,
             store_age_ms: 0,
             wants_at: 0,
-            hidden,
+            hidden: partitioned,
             machines_span: ChangeRange {
                 since,
-                upto: self.state,
+                upto: self.machines_state,
                 last: true,
             },
             machines,
             gone,
             attempts_span: ChangeRange {
                 since: 0,
-                upto: self.told,
+                upto: self.attempts_state,
                 last: true,
             },
             attempts,
@@ -134,75 +137,75 @@
         self.placer.take_view(view, 0);
         self.placer.place(0);
         while self.placer.next_cas(0).is_some() {
-            self.revision += 1;
+            self.store_revision += 1;
             self.placer
-                .cas_done(CompareAndSwapOutcome::Done(self.revision), 0);
+                .cas_done(CompareAndSwapOutcome::Done(self.store_revision), 0);
         }
     }
 }
 
-/// Every service has half of its replicas before any has more, and the array
-/// that is older waits for all of them.
+/// Every service has half of its replicas before any has more, and the array that is older
+/// waits for all of them.
 #[test]
-fn services_reach_half_before_any_is_whole() {
-    let mut site = Site::new(6);
+fn every_service_recovers_half_of_its_replicas_before_any_recovers_all() {
+    let mut cluster = Cluster::new(6);
     for _ in 0..6 {
         assert_eq!(
-            site.one_more(Vec::new()).len(),
+            cluster.add_machine(Vec::new()).len(),
             4,
             "new services come by age, and batch work after them"
         );
     }
-    site.lose_all();
-    let mut up: BTreeMap<JobId, usize> = BTreeMap::new();
+    cluster.fail_all_machines();
+    let mut replicas: BTreeMap<JobId, usize> = BTreeMap::new();
     let mut least_and_most = Vec::new();
     for _ in 0..6 {
-        for (job, _) in site.one_more(Vec::new()) {
-            *up.entry(job).or_default() += 1;
+        for (job, _) in cluster.add_machine(Vec::new()) {
+            *replicas.entry(job).or_default() += 1;
         }
         assert!(
-            !up.contains_key(&JobId::from("req-000001")),
-            "batch work takes no room that a replica lacks"
+            !replicas.contains_key(&JobId::from("req-000001")),
+            "batch work takes no resources that a replica lacks"
         );
-        let least = if up.len() < 6 {
+        let least = if replicas.len() < 6 {
             0
         } else {
-            up.values().copied().min().unwrap_or(0)
+            replicas.values().copied().min().unwrap_or(0)
         };
-        least_and_most.push((least, up.values().copied().max().unwrap_or(0)));
+        least_and_most.push((least, replicas.values().copied().max().unwrap_or(0)));
     }
     assert_eq!(
         least_and_most,
         [(0, 2), (0, 2), (2, 2), (2, 4), (2, 4), (4, 4)]
     );
-    let then = site.one_more(Vec::new());
+    let next = cluster.add_machine(Vec::new());
     assert_eq!(
-        then.iter()
+        next.iter()
             .filter(|(job, _)| *job == JobId::from("req-000001"))
             .count(),
         4,
-        "then the array: {then:?}"
+        "then the array: {next:?}"
     );
 }
 
-/// A waiting job says that its zone is out of sight, since when, and until when
-/// at most.
+/// The status of a job says that its zone is partitioned, since when, and until when at
+/// most.
 #[test]
-fn a_job_in_a_zone_out_of_sight_says_so() {
-    let mut site = Site::new(1);
-    assert_eq!(site.one_more(Vec::new()).len(), 4);
+fn job_status_names_a_partitioned_zone() {
+    let mut cluster = Cluster::new(1);
+    assert_eq!(cluster.add_machine(Vec::new()).len(), 4);
     let id = JobId::from("req-000100");
-    assert_eq!(site.placer.job_note(&id, 0), Some((0, 0, String::new())));
-    site.one_more(vec![PartitionedZone {
+    assert_eq!(cluster.placer.job_note(&id, 0), Some((0, 0, String::new())));
+    cluster.add_machine(vec![PartitionedZone {
         zone: "north".into(),
         for_ms: 12_400,
         over_in_ms: 30_100,
     }]);
-    let said = site.placer.job_note(&id, 15_000).expect("known").2;
+    let reason = cluster.placer.job_note(&id, 15_000).expect("known").2;
     assert_eq!(
-        said,
+        reason,
         "zone north out of sight since 15 s, its attempts there end by proof in at most 16 s"
     );
-    site.one_more(Vec::new());
-    assert_eq!(site.placer.job_note(&id, 0), Some((0, 0, String::new())));
+    cluster.add_machine(Vec::new());
+    assert_eq!(cluster.placer.job_note(&id, 0), Some((0, 0, String::new())));
 }
--- a/crates/coordination/tests/support/controllers.rs
+++ b/crates/coordination/tests/support/controllers.rs
@@ -1,6 +1,6 @@
-//! Whole controllers with a store, machines and users around them, as the protocol
-//! page has them; what is wrong from when to when is given. The rules of withdrawn and
-//! done jobs, and that no task runs twice, are checked at every end and every start.
+//! A simulated cluster: whole controllers with a store, machines and users around them, as
+//! the protocol page defines them, and a schedule of faults. The rules of cancelled and done
+//! jobs, and that no task runs twice, are checked at every end and every start.
 #![allow(dead_code)]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -25,19 +25,19 @@
 
 use crate::support::*;
 
-pub const CORES: usize = 3;
-pub const BOXES: usize = 15;
-/// Of each job.
+pub const CONTROLLERS: usize = 3;
+pub const MACHINES: usize = 15;
+/// Tasks of each job.
 pub const TASKS: u64 = 3;
-/// Each has another part's placer.
+/// Each belongs to the placer of another shard.
 pub const TEAMS: [&str; 3] = ["amber", "blue", "red"];
-/// A user gives an answer up after so long.
+/// A user waits for the end of a cancelled job for so long.
 pub const PATIENCE_MS: u64 = 60_000;
 
-/// Draws that need nothing from outside.
-pub struct Draws(pub u64);
+/// Random numbers that need nothing from outside.
+pub struct RandomSource(pub u64);
 
-impl Draws {
+impl RandomSource {
     pub fn below(&mut self, n: u64) -> u64 {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
@@ -50,8 +50,8 @@
     }
 }
 
-/// A machine as the protocol page has it: tokens, sessions, a lease.
-pub struct Box_ {
+/// A machine as the protocol page defines it: fencing tokens, incarnations, a lease.
+pub struct SimulatedMachine {
     pub at: usize,
     pub next: u64,
     pub session: u64,
@@ -63,7 +63,7 @@
     pub gone: bool,
 }
 
-impl Box_ {
+impl SimulatedMachine {
     pub fn runs(&self, job: &JobId) -> bool {
         self.tasks
             .iter()
@@ -72,62 +72,63 @@
 }
 
 /// A controller with what its process keeps beside its decisions.
-pub struct Node {
+pub struct SimulatedController {
     pub core: Core,
     pub membership: LeaderElection,
     pub hold: Option<u64>,
     pub renewed: u64,
 }
 
-/// Something held back, and until when.
-pub enum Late {
+/// A message that is delivered later.
+pub enum DelayedMessage {
     CompareAndSwap(CompareAndSwap),
     Call(CommandCall),
     Sync(usize, Box<SyncRequest>),
     View(usize, ShardLease, Box<ShardView>),
 }
 
-/// What is wrong from when to when, ms.
+/// Which faults there are from when to when, ms.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Days {
-    /// The store refuses controller 0.
-    pub refused: (u64, u64),
-    /// Controller 0 and the others don't reach each other.
-    pub apart: (u64, u64),
+pub struct FaultSchedule {
+    /// The store does not answer controller 0.
+    pub store_unreachable: (u64, u64),
+    /// Controller 0 is partitioned from the others.
+    pub partitioned: (u64, u64),
     /// The store is down for all.
-    pub down: (u64, u64),
-    /// A controller that ends then, and is back at once.
-    pub ends: (usize, u64),
-    /// One in so many messages is lost, late or unknown; 0: none.
-    pub trouble: u64,
+    pub store_down: (u64, u64),
+    /// A controller that restarts then.
+    pub restarts: (usize, u64),
+    /// One in so many messages is lost, delayed or of unknown outcome; 0: none.
+    pub one_fault_in: u64,
 }
 
-pub struct User {
+pub struct SimulatedUser {
     pub job: JobId,
-    pub asks: u64,
+    pub cancelled_at: u64,
     pub next: u64,
     pub at: usize,
-    /// When it was told, and when the last task was over.
-    pub told: Option<(u64, JobPhase)>,
+    /// When it was answered, and with which end.
+    pub answer: Option<(u64, JobPhase)>,
+    /// When the last task of the job was over.
     pub stopped: Option<u64>,
 }
 
-pub struct Site {
+pub struct SimulatedCluster {
     pub now: u64,
-    pub days: Days,
-    pub draws: Draws,
+    pub faults: FaultSchedule,
+    pub random: RandomSource,
     pub revision: u64,
     pub store: BTreeMap<String, KeyValue>,
     pub changes: Vec<WatchEvent>,
-    /// Holds with their end, and the keys that live with them.
-    pub holds: BTreeMap<u64, u64>,
-    pub tied: BTreeMap<String, u64>,
-    pub nodes: Vec<Node>,
-    pub boxes: Vec<Box_>,
-    pub late: Vec<(u64, Late)>,
-    pub users: Vec<User>,
-    /// ms for which a task runs, and the tasks that were done.
-    pub lasts: u64,
+    /// Leases with their expiry, ms, and the keys that are attached to them.
+    pub leases: BTreeMap<u64, u64>,
+    pub leased_keys: BTreeMap<String, u64>,
+    pub nodes: Vec<SimulatedController>,
+    pub machines: Vec<SimulatedMachine>,
+    pub delayed: Vec<(u64, DelayedMessage)>,
+    pub users: Vec<SimulatedUser>,
+    /// Run time of a task, and the tasks that were done.
+    pub task_ms: u64,
     pub done: BTreeSet<(JobId, u32)>,
 }
 
@@ -140,10 +141,10 @@
     let team = |name| serde_json::json!({"name": name, "cpus": 0.0, "cpus_max": 0.0, "gpus": 0.0, "gpus_max": 0.0});
     let value = serde_json::json!({
         "host_name": format!("h{me}"), "zone": "north", "listen": "10.0.0.1:8080", "internal_addr": format!("10.0.0.{me}:8081"),
-        "seeds": (0..CORES).filter(|n| *n != me).map(seed).collect::<Vec<_>>(),
+        "seeds": (0..CONTROLLERS).filter(|n| *n != me).map(seed).collect::<Vec<_>>(),
         "services": {"cloud": "10.2.0.2:8443", "state": "10.2.0.1:2379"},
         "cluster": {
-            "nodes": CORES, "zones": ["north"],
+            "nodes": CONTROLLERS, "zones": ["north"],
             "teams": TEAMS.map(team),
             "objectives": [],
             "workers": {"report_s": 3.0, "lease_s": 14.0, "gang_wait_s": 50.0, "gang_peer_s": 8.0, "cancel_s": 34.0},
@@ -157,7 +158,7 @@
 }
 
 /// A controller that has just started.
-pub fn process(me: usize, now: u64) -> Node {
+pub fn process(me: usize, now: u64) -> SimulatedController {
     // Nothing is given back for being empty.
     let policy = Policy {
         idle: 1e6,
@@ -167,18 +168,18 @@
     let mut core = Core::new(Config::new(&settings(me)), policy);
     core.set_catalog([(kind().name, kind())].into_iter().collect());
     core.set_clock(now, 1_000_000 + now);
-    Node {
+    SimulatedController {
         core,
-        membership: LeaderElection::new(CORES),
+        membership: LeaderElection::new(CONTROLLERS),
         hold: None,
         renewed: 0,
     }
 }
 
-impl Site {
-    pub fn new(seed: u64, days: Days) -> Self {
-        let fresh = |n| Box_ {
-            at: n % CORES,
+impl SimulatedCluster {
+    pub fn new(seed: u64, faults: FaultSchedule) -> Self {
+        let fresh = |n| SimulatedMachine {
+            at: n % CONTROLLERS,
             next: 1_000 + n as u64 * 331,
             session: 1,
             seq: 0,
@@ -189,49 +190,50 @@
         };
         Self {
             now: 0,
-            days,
-            draws: Draws(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1),
+            faults,
+            random: RandomSource(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1),
             revision: 40,
             store: BTreeMap::new(),
             changes: Vec::new(),
-            holds: BTreeMap::new(),
-            tied: BTreeMap::new(),
-            nodes: (0..CORES).map(|me| process(me, 0)).collect(),
-            boxes: (0..BOXES).map(fresh).collect(),
-            late: Vec::new(),
+            leases: BTreeMap::new(),
+            leased_keys: BTreeMap::new(),
+            nodes: (0..CONTROLLERS).map(|me| process(me, 0)).collect(),
+            machines: (0..MACHINES).map(fresh).collect(),
+            delayed: Vec::new(),
             users: Vec::new(),
-            lasts: u64::MAX / 2,
+            task_ms: u64::MAX / 2,
             done: BTreeSet::new(),
         }
     }
 
-    pub fn trouble(&mut self) -> bool {
-        let n = self.days.trouble;
-        self.now > 20_000 && self.draws.one_in(n)
+    pub fn draw_message_fault(&mut self) -> bool {
+        let n = self.faults.one_fault_in;
+        self.now > 20_000 && self.random.one_in(n)
     }
 
-    pub fn hold_back(&mut self, late: Late) {
-        let at = self.now + 2_000 + self.draws.below(10_000);
-        self.late.push((at, late));
+    pub fn delay(&mut self, delayed: DelayedMessage) {
+        let at = self.now + 2_000 + self.random.below(10_000);
+        self.delayed.push((at, delayed));
     }
 
     // ---- links ----
 
-    pub fn apart(&self, a: usize, b: usize) -> bool {
-        a != b && (a == 0 || b == 0) && within(self.days.apart, self.now)
+    pub fn partitioned(&self, a: usize, b: usize) -> bool {
+        a != b && (a == 0 || b == 0) && within(self.faults.partitioned, self.now)
     }
 
-    pub fn down(&self) -> bool {
-        within(self.days.down, self.now)
+    pub fn store_down(&self) -> bool {
+        within(self.faults.store_down, self.now)
     }
 
-    pub fn refused(&self, node: usize) -> bool {
-        node == 0 && within(self.days.refused, self.now)
+    pub fn store_unreachable(&self, node: usize) -> bool {
+        node == 0 && within(self.faults.store_unreachable, self.now)
     }
 
-    /// The store answers it, by itself or by another that carries.
-    pub fn has_store(&self, node: usize) -> bool {
-        !self.down() && (0..CORES).any(|by| !self.refused(by) && !self.apart(node, by))
+    /// The store answers it, directly or relayed by another controller.
+    pub fn reaches_store(&self, node: usize) -> bool {
+        !self.store_down()
+            && (0..CONTROLLERS).any(|by| !self.store_unreachable(by) && !self.partitioned(node, by))
     }
 
     // ---- the store ----
@@ -270,7 +272,7 @@
     }
 
     pub fn apply(&mut self, cas: &CompareAndSwap) -> CompareAndSwapOutcome {
-        let lives = |w: &Write| !matches!(w, Write::Put { hold: Some(h), .. } if !self.holds.contains_key(h));
+        let lives = |w: &Write| !matches!(w, Write::Put { hold: Some(h), .. } if !self.leases.contains_key(h));
         if !cas.writes.iter().all(lives) {
             return CompareAndSwapOutcome::Again;
         }
@@ -289,8 +291,8 @@
                 Write::Put { key, value, hold } => {
                     self.set(key, value.clone());
                     match hold {
-                        Some(hold) => drop(self.tied.insert(key.clone(), *hold)),
-                        None => drop(self.tied.remove(key)),
+                        Some(hold) => drop(self.leased_keys.insert(key.clone(), *hold)),
+                        None => drop(self.leased_keys.remove(key)),
                     }
                     if let Some(id) = key.strip_prefix("end/") {
                         self.check_end(&JobId::from(id));
@@ -302,12 +304,12 @@
         CompareAndSwapOutcome::Done(self.revision)
     }
 
-    /// What becomes of a transaction that a controller makes.
+    /// What becomes of a compare-and-swap that a controller sends.
     pub fn transact(&mut self, node: usize, cas: &CompareAndSwap) -> CompareAndSwapOutcome {
-        if !self.has_store(node) {
+        if !self.reaches_store(node) {
             return CompareAndSwapOutcome::Again;
         }
-        match (self.trouble(), self.draws.below(3)) {
+        match (self.draw_message_fault(), self.random.below(3)) {
             (false, _) => self.apply(cas),
             (true, 0) => CompareAndSwapOutcome::Again,
             (true, 1) => {
@@ -315,36 +317,36 @@
                 CompareAndSwapOutcome::Again
             }
             (true, _) => {
-                self.hold_back(Late::CompareAndSwap(cas.clone()));
+                self.delay(DelayedMessage::CompareAndSwap(cas.clone()));
                 CompareAndSwapOutcome::Again
             }
         }
     }
 
-    pub fn holds_end(&mut self) {
-        if self.down() {
-            // All get their full time back after an outage.
+    pub fn expire_leases(&mut self) {
+        if self.store_down() {
+            // All leases get their full time back after an outage.
             let full = self.now + HOLD_TTL_MS;
-            self.holds.values_mut().for_each(|end| *end = full);
+            self.leases.values_mut().for_each(|end| *end = full);
             return;
         }
         let over: Vec<u64> = self
-            .holds
+            .leases
             .iter()
             .filter(|(_, end)| self.now > **end)
             .map(|(id, _)| *id)
             .collect();
         for id in over {
-            self.holds.remove(&id);
+            self.leases.remove(&id);
             let keys: Vec<String> = self
-                .tied
+                .leased_keys
                 .iter()
                 .filter(|(_, h)| **h == id)
                 .map(|(k, _)| k.clone())
                 .collect();
             self.revision += 1;
             for key in keys {
-                self.tied.remove(&key);
+                self.leased_keys.remove(&key);
                 self.drop_key(&key);
             }
         }
@@ -354,17 +356,16 @@
         Some(from_value::<JobEndRecord>(&self.store.get(&end_key(id))?.value)?.phase)
     }
 
-    /// Nothing of a job that is withdrawn is on a machine, and all of one that is done
-    /// has been done.
+    /// No task of a cancelled job is on a machine, and all tasks of a done job were done.
     pub fn check_end(&self, id: &JobId) {
         match self.end(id) {
             Some(JobPhase::Withdrawn) => {
-                for (n, b) in self.boxes.iter().enumerate() {
+                for (n, b) in self.machines.iter().enumerate() {
                     assert!(
                         !b.runs(id),
                         "at {}: {id} is withdrawn and on machine {n}; {:?}",
                         self.now,
-                        self.days
+                        self.faults
                     );
                 }
             }
@@ -373,7 +374,7 @@
                 assert_eq!(
                     done, TASKS as usize,
                     "at {}: {id} counts as done; {:?}",
-                    self.now, self.days
+                    self.now, self.faults
                 );
             }
             _ => {}
@@ -383,7 +384,7 @@
     // ---- controllers ----
 
     pub fn read(&mut self, node: usize) {
-        if !self.has_store(node) {
+        if !self.reaches_store(node) {
             return;
         }
         let (now, revision) = (self.now, self.revision);
@@ -419,11 +420,14 @@
     }
 
     pub fn keep(&mut self, node: usize) {
-        if !self.has_store(node) || self.nodes[node].core.cache.revision.is_none() {
+        if !self.reaches_store(node) || self.nodes[node].core.cache.revision.is_none() {
             return;
         }
         let now = self.now;
-        let hold = match self.nodes[node].hold.filter(|h| self.holds.contains_key(h)) {
+        let hold = match self.nodes[node]
+            .hold
+            .filter(|h| self.leases.contains_key(h))
+        {
             Some(hold) => hold,
             None => {
                 self.revision += 1;
@@ -435,15 +439,15 @@
         self.nodes[node].hold = Some(hold);
         if now >= self.nodes[node].renewed + 1_000 {
             self.nodes[node].renewed = now;
-            self.holds.insert(hold, now + HOLD_TTL_MS);
+            self.leases.insert(hold, now + HOLD_TTL_MS);
         }
         let teams = self.nodes[node].core.unassigned_teams();
         if !teams.is_empty() {
             self.apply(&assign_teams(&teams));
             self.read(node);
         }
-        for shard in 0..CORES as u16 {
-            let Node {
+        for shard in 0..CONTROLLERS as u16 {
+            let SimulatedController {
                 core, membership, ..
             } = &mut self.nodes[node];
             let Some(claim) = membership.claim(core, shard, now) else {
@@ -465,7 +469,7 @@
                 _ => self.read(node),
             }
         }
-        let Node {
+        let SimulatedController {
             core, membership, ..
         } = &self.nodes[node];
         if let Some(left) = membership.unshown(core, now) {
@@ -531,7 +535,7 @@
             }
             Effect::ReadEnds(ids) => {
                 for id in &ids {
-                    if let Some(phase) = self.end(id).filter(|_| self.has_store(node)) {
+                    if let Some(phase) = self.end(id).filter(|_| self.reaches_store(node)) {
                         let version = self.version(&end_key(id));
                         self.nodes[node].core.cache.settle(id, phase, version, now);
                     }
@@ -562,7 +566,10 @@
                 self.mail(node, line, (view.token, view.seq), &peer::write(&view));
             }
             Effect::Nudge(shard) => {
-                if let Some(to) = self.holder(node, shard).filter(|to| !self.apart(node, *to)) {
+                if let Some(to) = self
+                    .holder(node, shard)
+                    .filter(|to| !self.partitioned(node, *to))
+                {
                     let from: Vec<u16> = self.nodes[node]
                         .core
                         .held()
@@ -580,16 +587,18 @@
             }
             Effect::Release(lease, machines) => {
                 for id in &machines {
-                    let n = (0..BOXES).find(|n| machine(*n) == *id).expect("a machine");
-                    self.boxes[n].gone = true;
-                    self.boxes[n].tasks.clear();
+                    let n = (0..MACHINES)
+                        .find(|n| machine(*n) == *id)
+                        .expect("a machine");
+                    self.machines[n].gone = true;
+                    self.machines[n].tasks.clear();
                 }
                 self.nodes[node].core.released(lease, &machines, true, now);
             }
             Effect::Hail(to, word) => {
                 let to = usize::from(to);
-                let answer =
-                    (!self.apart(node, to)).then(|| self.nodes[to].core.links.hail_in(word, now));
+                let answer = (!self.partitioned(node, to))
+                    .then(|| self.nodes[to].core.links.hail_in(word, now));
                 self.nodes[node]
                     .core
                     .links
@@ -611,17 +620,17 @@
         let now = self.now;
         let to = self
             .holder(node, sync.to)
-            .filter(|to| !self.apart(node, *to));
-        let view = match (to, self.trouble(), self.draws.below(3)) {
+            .filter(|to| !self.partitioned(node, *to));
+        let view = match (to, self.draw_message_fault(), self.random.below(3)) {
             (None, ..) | (Some(_), true, 0) => None,
             (Some(to), true, 1) => {
-                self.hold_back(Late::Sync(to, Box::new(sync.clone())));
+                self.delay(DelayedMessage::Sync(to, Box::new(sync.clone())));
                 None
             }
-            (Some(to), late, _) => match self.nodes[to].core.sync_in(&sync, now) {
-                Ok(view) if late => {
-                    // The answer comes late: the line is busy until then.
-                    self.hold_back(Late::View(node, lease, Box::new(view)));
+            (Some(to), delayed, _) => match self.nodes[to].core.sync_in(&sync, now) {
+                Ok(view) if delayed => {
+                    // The answer is delayed: the channel is busy until then.
+                    self.delay(DelayedMessage::View(node, lease, Box::new(view)));
                     return;
                 }
                 Ok(view) => Some(view),
@@ -638,11 +647,11 @@
     pub fn command(&mut self, node: usize, call: &CommandCall) -> CommandResult {
         if call
             .through
-            .is_some_and(|by| self.apart(node, usize::from(by)))
+            .is_some_and(|by| self.partitioned(node, usize::from(by)))
         {
             return CommandResult::NotSent;
         }
-        match (self.trouble(), self.draws.below(3)) {
+        match (self.draw_message_fault(), self.random.below(3)) {
             (false, _) => self.execute_call(call),
             (true, 0) => CommandResult::NotSent,
             (true, 1) => {
@@ -650,28 +659,29 @@
                 CommandResult::Unknown
             }
             (true, _) => {
-                self.hold_back(Late::Call(call.clone()));
+                self.delay(DelayedMessage::Call(call.clone()));
                 CommandResult::Unknown
             }
         }
     }
 
-    pub fn deliver_late(&mut self) {
+    pub fn deliver_delayed(&mut self) {
         let now = self.now;
-        let (due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.late)
+        let (due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.delayed)
             .into_iter()
             .partition(|(at, _)| now >= *at);
-        self.late = later;
-        for (_, late) in due {
-            match late {
+        self.delayed = later;
+        for (_, delayed) in due {
+            match delayed {
                 // An outage may hold it back for longer.
-                Late::CompareAndSwap(cas) if self.down() => self
-                    .late
-                    .push((self.days.down.1, Late::CompareAndSwap(cas))),
-                Late::CompareAndSwap(cas) => drop(self.apply(&cas)),
-                Late::Call(call) => drop(self.execute_call(&call)),
-                Late::Sync(to, sync) => drop(self.nodes[to].core.sync_in(&sync, now)),
-                Late::View(node, lease, view) => {
+                DelayedMessage::CompareAndSwap(cas) if self.store_down() => self.delayed.push((
+                    self.faults.store_down.1,
+                    DelayedMessage::CompareAndSwap(cas),
+                )),
+                DelayedMessage::CompareAndSwap(cas) => drop(self.apply(&cas)),
+                DelayedMessage::Call(call) => drop(self.execute_call(&call)),
+                DelayedMessage::Sync(to, sync) => drop(self.nodes[to].core.sync_in(&sync, now)),
+                DelayedMessage::View(node, lease, view) => {
                     let shard = view.shard;
                     self.nodes[node]
                         .core
@@ -683,8 +693,8 @@
 
     // ---- machines ----
 
-    pub fn report_of(&mut self, n: usize) -> Heartbeat {
-        let b = &mut self.boxes[n];
+    pub fn heartbeat_of(&mut self, n: usize) -> Heartbeat {
+        let b = &mut self.machines[n];
         b.seq += 1;
         let tasks = b.tasks.iter().map(|(id, (_, cause))| TaskStatus {
             piece: id.piece(),
@@ -709,61 +719,61 @@
         for o in orders {
             let id = AttemptId::parse(&o.piece, o.attempt).expect("a task");
             match o.verb {
-                CommandKind::Launch if self.boxes[n].tasks.contains_key(&id) => {}
+                CommandKind::Launch if self.machines[n].tasks.contains_key(&id) => {}
                 CommandKind::Launch => {
-                    let same = |b: &Box_| {
+                    let same = |b: &SimulatedMachine| {
                         b.tasks.iter().any(|(i, (_, c))| {
                             (&i.job, i.task) == (&id.job, id.task) && c.is_none()
                         })
                     };
                     assert!(
-                        !self.boxes.iter().any(same),
+                        !self.machines.iter().any(same),
                         "at {}: {id} runs twice; {:?}",
                         self.now,
-                        self.days
+                        self.faults
                     );
-                    self.boxes[n].tasks.insert(id.clone(), (self.now, None));
+                    self.machines[n].tasks.insert(id.clone(), (self.now, None));
                     self.check_end(&id.job);
                 }
                 CommandKind::Kill => drop(
-                    self.boxes[n]
+                    self.machines[n]
                         .tasks
                         .get_mut(&id)
                         .map(|(_, c)| c.get_or_insert("stopped")),
                 ),
-                CommandKind::Forget => drop(self.boxes[n].tasks.remove(&id)),
+                CommandKind::Forget => drop(self.machines[n].tasks.remove(&id)),
             }
         }
     }
 
     pub fn execute_call(&mut self, call: &CommandCall) -> CommandResult {
-        let n = (0..BOXES)
+        let n = (0..MACHINES)
             .find(|n| machine(*n) == call.machine)
             .expect("a machine");
-        let b = &mut self.boxes[n];
+        let b = &mut self.machines[n];
         if b.gone {
             return CommandResult::Unknown;
         }
         if call.commands.token < b.token || call.commands.session != b.session {
-            return CommandResult::Refused(self.report_of(n));
+            return CommandResult::Refused(self.heartbeat_of(n));
         }
         b.token = call.commands.token;
         self.execute(n, &call.commands.orders);
-        CommandResult::Executed(self.report_of(n))
+        CommandResult::Executed(self.heartbeat_of(n))
     }
 
-    pub fn hello(&mut self, n: usize) {
+    pub fn send_heartbeat(&mut self, n: usize) {
         let now = self.now;
-        let (at, report) = (self.boxes[n].at, self.report_of(n));
-        let lost = self.trouble();
+        let (at, report) = (self.machines[n].at, self.heartbeat_of(n));
+        let lost = self.draw_message_fault();
         let answer = match self.nodes[at].core.report(&report, now) {
-            HeartbeatAnswer::Carry(to) if !self.apart(at, usize::from(to)) => self.nodes
+            HeartbeatAnswer::Carry(to) if !self.partitioned(at, usize::from(to)) => self.nodes
                 [usize::from(to)]
             .core
             .carried_report(&report, at as u16, now),
             answer => answer,
         };
-        let b = &mut self.boxes[n];
+        let b = &mut self.machines[n];
         match answer {
             HeartbeatAnswer::Orders(reply) if !lost => {
                 b.next = now + 3_000;
@@ -775,15 +785,15 @@
             HeartbeatAnswer::Elsewhere(host) if !lost => {
                 let to: usize = host[1..].parse().expect("a controller");
                 b.next = now + if to == at { 1_000 } else { 300 };
-                b.at = if to == at { (at + 1) % CORES } else { to };
+                b.at = if to == at { (at + 1) % CONTROLLERS } else { to };
             }
-            _ => (b.at, b.next) = ((at + 1) % CORES, now + 1_000),
+            _ => (b.at, b.next) = ((at + 1) % CONTROLLERS, now + 1_000),
         }
     }
 
-    pub fn machines_go_on(&mut self) {
-        for n in 0..BOXES {
-            let b = &mut self.boxes[n];
+    pub fn step_machines(&mut self) {
+        for n in 0..MACHINES {
+            let b = &mut self.machines[n];
             if b.gone {
                 continue;
             }
@@ -791,7 +801,7 @@
             for (id, (_, cause)) in b
                 .tasks
                 .iter_mut()
-                .filter(|(_, (began, cause))| cause.is_none() && now >= began + self.lasts)
+                .filter(|(_, (began, cause))| cause.is_none() && now >= began + self.task_ms)
             {
                 *cause = Some("done");
                 self.done.insert((id.job.clone(), id.task));
@@ -801,7 +811,7 @@
                 b.tasks.clear();
             }
             if self.now >= b.next {
-                self.hello(n);
+                self.send_heartbeat(n);
             }
         }
     }
@@ -825,35 +835,35 @@
         id
     }
 
-    /// A user withdraws a job from then on, asking again each second.
-    pub fn withdraws(&mut self, job: &JobId, asks: u64) {
-        self.users.push(User {
+    /// A user cancels a job from then on, asking again each second.
+    pub fn cancel_from(&mut self, job: &JobId, cancelled_at: u64) {
+        self.users.push(SimulatedUser {
             job: job.clone(),
-            asks,
-            next: asks,
+            cancelled_at,
+            next: cancelled_at,
             at: 1,
-            told: None,
+            answer: None,
             stopped: None,
         });
     }
 
-    pub fn users_ask(&mut self) {
+    pub fn poll_users(&mut self) {
         for u in 0..self.users.len() {
             let (now, id) = (self.now, self.users[u].job.clone());
-            if now >= self.users[u].asks && !self.boxes.iter().any(|b| b.runs(&id)) {
+            if now >= self.users[u].cancelled_at && !self.machines.iter().any(|b| b.runs(&id)) {
                 self.users[u].stopped.get_or_insert(now);
             }
-            if self.users[u].told.is_some() || now < self.users[u].next {
+            if self.users[u].answer.is_some() || now < self.users[u].next {
                 continue;
             }
             self.users[u].next = now + 1_000;
             // The load balancer leaves out who can take no requests.
-            let at = (1..=CORES)
-                .map(|k| (self.users[u].at + k) % CORES)
+            let at = (1..=CONTROLLERS)
+                .map(|k| (self.users[u].at + k) % CONTROLLERS)
                 .find(|n| self.nodes[*n].core.ready(now))
                 .unwrap_or(1);
             self.users[u].at = at;
-            if !self.has_store(at) {
+            if !self.reaches_store(at) {
                 continue;
             }
             let core = &self.nodes[at].core;
@@ -862,9 +872,9 @@
                     Some(phase),
                     self.end(&id),
                     "at {now}: {id} ended otherwise; {:?}",
-                    self.days
+                    self.faults
                 );
-                self.users[u].told = Some((now, phase));
+                self.users[u].answer = Some((now, phase));
                 self.check_end(&id);
                 continue;
             }
@@ -881,16 +891,16 @@
         }
     }
 
-    /// 100 ms in which everything has its turn.
+    /// Advances the time by 100 ms; every part of the cluster has its turn.
     pub fn step(&mut self) {
         self.now += 100;
         let now = self.now;
-        self.holds_end();
-        self.deliver_late();
-        if self.days.ends.1 == now {
-            self.nodes[self.days.ends.0] = process(self.days.ends.0, now);
+        self.expire_leases();
+        self.deliver_delayed();
+        if self.faults.restarts.1 == now {
+            self.nodes[self.faults.restarts.0] = process(self.faults.restarts.0, now);
         }
-        for node in 0..CORES {
+        for node in 0..CONTROLLERS {
             self.nodes[node].core.set_clock(now, 1_000_000 + now);
             self.read(node);
             if (now / 100) as usize % 4 == node {
@@ -898,7 +908,7 @@
             }
             self.pump(node);
         }
-        self.machines_go_on();
+        self.step_machines();
         if now.is_multiple_of(4_000) {
             let entry = |n| InstanceEntry {
                 id: machine(n),
@@ -908,15 +918,15 @@
                 phase: "running".into(),
                 age_s: 500.0,
             };
-            let list: Vec<InstanceEntry> = (0..BOXES)
-                .filter(|n| !self.boxes[*n].gone)
+            let list: Vec<InstanceEntry> = (0..MACHINES)
+                .filter(|n| !self.machines[*n].gone)
                 .map(entry)
                 .collect();
             self.nodes
                 .iter_mut()
                 .for_each(|node| node.core.listed(&list, now));
         }
-        self.users_ask();
+        self.poll_users();
     }
 
     pub fn until(&mut self, ms: u64) {
@@ -925,16 +935,15 @@
         }
     }
 
-    /// Jobs of all teams that run everywhere, whose users withdraw them one after
-    /// the other from then on.
-    pub fn with_jobs(mut self, from: u64, every: u64) -> Self {
+    /// Starts jobs of all teams, whose users cancel them one after the other from then on.
+    pub fn with_running_jobs(mut self, from: u64, every: u64) -> Self {
         self.until(12_000);
         let jobs: Vec<JobId> = (0..9).map(|n| self.submit(10 + n)).collect();
         self.until(20_000);
-        let running = self.boxes.iter().flat_map(|b| &b.tasks).count();
+        let running = self.machines.iter().flat_map(|b| &b.tasks).count();
         assert_eq!(running, 27, "all run");
         for (n, job) in jobs.iter().enumerate() {
-            self.withdraws(job, from + n as u64 * every);
+            self.cancel_from(job, from + n as u64 * every);
         }
         self
     }
--- a/crates/coordination/tests/support/mod.rs
+++ b/crates/coordination/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! An owner with a few machines, and messages for it. Not every test uses all.
+//! A shard's owner with a few machines, and messages for it. Not every test uses all.
 #![allow(dead_code)]
 
 use std::sync::Arc;
@@ -68,7 +68,7 @@
     for n in 0..machines {
         assert!(owner.report(&report(n, 1), None, 10).is_some());
     }
-    // The store shows that they came to the part's owner.
+    // The store shows that they are registered with the shard's owner.
     owner.tick(11, 11);
     owner
 }
@@ -140,8 +140,8 @@
     }
 }
 
-/// A machine that is up, as its owner tells it, with so many of its accelerators
-/// free and a like share of the rest.
+/// The view of a machine that is up, with so many of its GPUs free and a like share of its
+/// other resources.
 pub fn shown(n: usize, gpus: u64) -> MachineView {
     MachineView {
         id: machine(n),
@@ -162,7 +162,7 @@
     }
 }
 
-/// The terms of a placer without limits, whose gangs wait for 50 s.
+/// The configuration of a placer without quota limits, whose gangs wait for 50 s.
 pub fn terms() -> PlacerConfig {
     PlacerConfig {
         limits: Default::default(),
@@ -177,7 +177,7 @@
     }
 }
 
-/// A placer hears of a job that was submitted at that time of day.
+/// A placer learns of a job that was submitted at that time of day, ms.
 pub fn submit(placer: &mut Placer, spec: JobSpec, at: u64, now: u64) {
     let job = CachedJob {
         record: Arc::new(JobRecord {
@@ -191,8 +191,8 @@
     placer.set_job(&spec.id, Some(&job), now);
 }
 
-/// What the owner of part 0 tells: these changes of its machines, and all that became
-/// of the asker's attempts.
+/// A view that the owner of shard 0 publishes: these changes of its machines, and the states
+/// of the placer's attempts.
 pub fn view(
     seq: u64,
     machines_span: ChangeRange,
