--- a/crates/simulator/src/baseline.rs
+++ b/crates/simulator/src/baseline.rs
@@ -2,8 +2,8 @@
 //! plain, short placers on the machines that are there from the start. They
 //! know no failures, no renting, no limits of teams and no preemption.
 //!
-//! * [`Kind::Central`]: one placer that sees everything at once; the bound.
-//! * [`Kind::Sampler`]: for each task some machines drawn at random are asked
+//! * [`BaselineKind::Central`]: one placer that sees everything at once; the bound.
+//! * [`BaselineKind::Sampler`]: for each task some machines drawn at random are asked
 //!   how long their queue is, and the task waits at the one with the shortest
 //!   (the paper's comparison, without a copy). It can't hold a gang together:
 //!   its tasks start one by one.
@@ -16,40 +16,40 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::history::History;
-use crate::measures::{Jobs, Named, RecordUs, Report, Spread, WorkReport, histogram};
-use crate::run::Outcome;
+use crate::metrics::{JobCounts, NamedHistograms, RecordMicros, RunReport, LatencySummary, ControllerWork, histogram};
+use crate::run::RunOutcome;
 use crate::scenario::Scenario;
-use crate::world::Planned;
+use crate::simulation::PlannedSubmission;
 
 /// Which baseline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum BaselineKind {
     /// One placer that sees everything.
     Central,
     /// So many machines are asked for each task.
     Sampler(u32),
 }
 
-impl Kind {
+impl BaselineKind {
     fn name(self) -> String {
         match self {
-            Kind::Central => "baseline: one placer that sees everything".into(),
-            Kind::Sampler(d) => format!("baseline: {d} machines asked for each task"),
+            BaselineKind::Central => "baseline: one placer that sees everything".into(),
+            BaselineKind::Sampler(d) => format!("baseline: {d} machines asked for each task"),
         }
     }
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Arrives(usize),
+    JobArrives(usize),
     /// The placer is free again.
-    Place,
+    TaskPlacement,
     /// A task reaches the machine that it was sent to: job, task, machine.
-    Lands(usize, u32, usize),
+    TaskArrives(usize, u32, usize),
     /// A task ends on a machine; the placer hears of it a message later.
-    Ends(usize, u32, usize),
-    Freed(usize, usize),
-    Withdrawn(usize),
+    TaskEnds(usize, u32, usize),
+    ResourcesFreed(usize, usize),
+    JobWithdrawn(usize),
 }
 
 struct Machine {
@@ -58,9 +58,9 @@
     queue: VecDeque<(usize, u32)>,
 }
 
-struct Run<'a> {
+struct BaselineRun<'a> {
     scenario: &'a Scenario,
-    load: &'a [Planned],
+    load: &'a [PlannedSubmission],
     rng: ChaCha8Rng,
     queue: BinaryHeap<Reverse<(u64, u64, Event)>>,
     seq: u64,
@@ -78,14 +78,14 @@
     sent: BTreeMap<(usize, u32), (u64, u64)>,
     finished: BTreeMap<usize, u64>,
     withdrawn: Vec<bool>,
-    work: WorkReport,
+    work: ControllerWork,
     busy_us: u64,
     broken: Vec<String>,
     history: History,
 }
 
 /// Runs a baseline on a scenario's fixed machines.
-pub fn run(kind: Kind, scenario: &Scenario, load: &[Planned], seed: u64) -> Outcome {
+pub fn run(kind: BaselineKind, scenario: &Scenario, load: &[PlannedSubmission], seed: u64) -> RunOutcome {
     let began = std::time::Instant::now();
     let machines: Vec<Machine> = scenario
         .kinds
@@ -99,7 +99,7 @@
             queue: VecDeque::new(),
         })
         .collect();
-    let mut run = Run {
+    let mut run = BaselineRun {
         known: machines.iter().map(|m| m.room).collect(),
         left: load.iter().map(|p| p.load.spec.tasks as u32).collect(),
         withdrawn: vec![false; load.len()],
@@ -117,15 +117,15 @@
         running: BTreeMap::new(),
         sent: BTreeMap::new(),
         finished: BTreeMap::new(),
-        work: WorkReport::default(),
+        work: ControllerWork::default(),
         busy_us: 0,
         broken: Vec::new(),
         history: History::new(None),
     };
     for (n, planned) in load.iter().enumerate() {
-        run.push(planned.at_us, Event::Arrives(n));
+        run.push(planned.at_us, Event::JobArrives(n));
         if let Some(at) = planned.withdraw_us {
-            run.push(at, Event::Withdrawn(n));
+            run.push(at, Event::JobWithdrawn(n));
         }
     }
     let end = (scenario.duration_s * 1e6) as u64;
@@ -139,7 +139,7 @@
     }
     run.now = end;
     let (report, allocation) = run.report(kind, seed);
-    Outcome {
+    RunOutcome {
         report,
         allocation,
         events,
@@ -147,7 +147,7 @@
     }
 }
 
-impl Run<'_> {
+impl BaselineRun<'_> {
     fn push(&mut self, at: u64, event: Event) {
         self.seq += 1;
         self.queue.push(Reverse((at, self.seq, event)));
@@ -171,36 +171,36 @@
         self.work.looks += looks;
     }
 
-    fn handle(&mut self, kind: Kind, event: Event) {
+    fn handle(&mut self, kind: BaselineKind, event: Event) {
         match (event, kind) {
-            (Event::Arrives(job), Kind::Central) => {
+            (Event::JobArrives(job), BaselineKind::Central) => {
                 let spec = &self.load[job].load.spec;
                 self.history.note(self.now, "submit", &spec.id, &"");
                 self.waiting.insert((spec.rank, job), 0);
                 let at = self.now + self.travel();
                 self.wake(at);
             }
-            (Event::Arrives(job), Kind::Sampler(d)) => {
+            (Event::JobArrives(job), BaselineKind::Sampler(d)) => {
                 self.history
                     .note(self.now, "submit", &self.load[job].load.spec.id, &"");
                 (0..self.left[job]).for_each(|task| self.sample(job, task, d));
             }
-            (Event::Place, _) => {
+            (Event::TaskPlacement, _) => {
                 self.placing = false;
                 self.place();
             }
-            (Event::Lands(job, task, m), Kind::Central) => self.start(job, task, m),
-            (Event::Lands(job, task, m), Kind::Sampler(_)) => {
+            (Event::TaskArrives(job, task, m), BaselineKind::Central) => self.start(job, task, m),
+            (Event::TaskArrives(job, task, m), BaselineKind::Sampler(_)) => {
                 self.machines[m].queue.push_back((job, task));
                 self.serve(m);
             }
-            (Event::Ends(job, task, m), _) => self.end(kind, job, task, m),
-            (Event::Freed(job, m), _) => {
+            (Event::TaskEnds(job, task, m), _) => self.end(kind, job, task, m),
+            (Event::ResourcesFreed(job, m), _) => {
                 self.known[m] = self.known[m].plus(&self.need(job));
                 self.charge(1, 0);
                 self.wake(self.now);
             }
-            (Event::Withdrawn(job), _) => {
+            (Event::JobWithdrawn(job), _) => {
                 self.withdrawn[job] = true;
                 self.waiting.remove(&(self.load[job].load.spec.rank, job));
                 let tasks: Vec<((usize, u32), usize)> = self
@@ -218,7 +218,7 @@
     fn wake(&mut self, at: u64) {
         if !self.placing {
             self.placing = true;
-            self.push(at.max(self.busy_until), Event::Place);
+            self.push(at.max(self.busy_until), Event::TaskPlacement);
         }
     }
 
@@ -261,7 +261,7 @@
                 let leaves = self.busy_until.max(self.now);
                 self.sent.insert((job, task), (leaves, leaves - self.now));
                 let at = leaves + self.travel();
-                self.push(at, Event::Lands(job, task, m));
+                self.push(at, Event::TaskArrives(job, task, m));
             }
         }
     }
@@ -286,7 +286,7 @@
             Some((_, m)) => {
                 self.sent.insert((job, task), (back, 0));
                 let at = back + self.travel();
-                self.push(at, Event::Lands(job, task, m));
+                self.push(at, Event::TaskArrives(job, task, m));
             }
             // None of those asked could ever hold it: others are asked.
             None if self.machines.iter().any(|m| m.room.covers(&need)) => self.sample(job, task, d),
@@ -312,7 +312,7 @@
     fn start(&mut self, job: usize, task: u32, m: usize) {
         let need = self.need(job);
         if self.withdrawn[job] {
-            return self.push(self.now, Event::Freed(job, m));
+            return self.push(self.now, Event::ResourcesFreed(job, m));
         }
         if !self.machines[m].free.covers(&need) {
             self.broken.push(format!(
@@ -327,11 +327,11 @@
         self.history
             .note(self.now, "up", &format!("{}/{task}", load.spec.id), &m);
         if load.spec.shape != JobKind::Service {
-            self.push(self.now + load.run_us(task), Event::Ends(job, task, m));
+            self.push(self.now + load.run_us(task), Event::TaskEnds(job, task, m));
         }
     }
 
-    fn end(&mut self, kind: Kind, job: usize, task: u32, m: usize) {
+    fn end(&mut self, kind: BaselineKind, job: usize, task: u32, m: usize) {
         if self.running.remove(&(job, task)).is_none() {
             return;
         }
@@ -343,18 +343,18 @@
             self.finished.insert(job, self.now);
         }
         match kind {
-            Kind::Central => {
+            BaselineKind::Central => {
                 let at = self.now + self.travel();
-                self.push(at, Event::Freed(job, m));
+                self.push(at, Event::ResourcesFreed(job, m));
             }
-            Kind::Sampler(_) => self.serve(m),
+            BaselineKind::Sampler(_) => self.serve(m),
         }
     }
 
-    fn report(self, kind: Kind, seed: u64) -> (Report, hdrhistogram::Histogram<u64>) {
+    fn report(self, kind: BaselineKind, seed: u64) -> (RunReport, hdrhistogram::Histogram<u64>) {
         let mut whole = histogram();
         let (mut pieces, mut waiting, mut finished) =
-            (Named::default(), Named::default(), Named::default());
+            (NamedHistograms::default(), NamedHistograms::default(), NamedHistograms::default());
         for ((job, task), &at) in &self.launched {
             let planned = &self.load[*job];
             let (sent, pass) = self.sent.get(&(*job, *task)).copied().unwrap_or_default();
@@ -377,29 +377,29 @@
         }
         let (lines, digest) = self.history.digest();
         let submitted = self.load.iter().filter(|p| p.at_us <= self.now).count() as u64;
-        let report = Report {
+        let report = RunReport {
             scenario: self.scenario.name.clone(),
             placer: kind.name(),
             seed,
             simulated_s: self.now as f64 / 1e6,
             controllers: 1,
-            jobs: Jobs {
+            jobs: JobCounts {
                 submitted,
                 accepted: submitted,
                 refused: 0,
                 over: self.finished.len() as u64,
             },
             starts: self.launched.len() as u64,
-            allocation: Spread::of(&whole),
+            allocation: LatencySummary::of(&whole),
             pieces: pieces.spreads(),
             waiting: waiting.spreads(),
             finished: finished.spreads(),
             served: BTreeMap::new(),
-            withdrawals: Spread::default(),
+            withdrawals: LatencySummary::default(),
             killed_by_lease: 0,
             money: 0.0,
             useful: 0.0,
-            work: WorkReport {
+            work: ControllerWork {
                 busiest: self.busy_us as f64 / self.now.max(1) as f64,
                 ..self.work
             },
--- a/crates/simulator/src/cloud.rs
+++ b/crates/simulator/src/cloud.rs
@@ -13,7 +13,7 @@
 /// µs for which a machine that is gone can still be on a list.
 const KEEP_GONE_US: u64 = 60_000_000;
 
-struct Rented {
+struct CloudMachine {
     id: MachineId,
     kind: usize,
     zone: String,
@@ -29,7 +29,7 @@
     pub down: bool,
     /// Machines of each request.
     pub bookings: HashMap<String, Vec<MachineId>>,
-    machines: BTreeMap<usize, Rented>,
+    machines: BTreeMap<usize, CloudMachine>,
     prices: Vec<(f64, f64)>,
     /// Spent on machines that are gone.
     spent: f64,
@@ -81,7 +81,7 @@
         *self.count.entry((kind, zone.to_owned(), spot)).or_default() += 1;
         self.machines.insert(
             number,
-            Rented {
+            CloudMachine {
                 id,
                 kind,
                 zone: zone.to_owned(),
@@ -126,8 +126,8 @@
 
     /// The list as of `at` µs.
     pub fn list(&self, at: u64, scenario: &Scenario) -> Vec<InstanceEntry> {
-        let there = |m: &&Rented| m.from <= at && m.gone.is_none_or(|gone| gone > at);
-        let entry = |m: &Rented| InstanceEntry {
+        let there = |m: &&CloudMachine| m.from <= at && m.gone.is_none_or(|gone| gone > at);
+        let entry = |m: &CloudMachine| InstanceEntry {
             id: m.id.clone(),
             kind: scenario.kinds[m.kind].machine.name.clone(),
             zone: m.zone.clone(),
@@ -139,7 +139,7 @@
     }
 }
 
-fn cost(prices: &[(f64, f64)], m: &Rented, now: u64) -> f64 {
+fn cost(prices: &[(f64, f64)], m: &CloudMachine, now: u64) -> f64 {
     let (price, spot_price) = prices[m.kind];
     let held_s =
         (now.saturating_sub(m.from) as f64 / 1e6).max(if m.gone.is_some() { LEAST_S } else { 0.0 });
--- a/crates/simulator/src/host.rs
+++ b/crates/simulator/src/controller.rs
@@ -23,45 +23,45 @@
 
 /// Who a transaction is for.
 #[derive(Clone, Debug)]
-pub enum For {
+pub enum CasOrigin {
     /// The core.
-    Core(ShardLease),
+    Scheduler(ShardLease),
     /// Nobody waits for it.
-    Nobody,
+    Unattended,
     /// The loop that keeps hold and parts.
-    Keeper(Option<ElectionAction>),
+    LeaseKeeper(Option<ElectionAction>),
     /// The same, for the presence that a new hold begins with.
     Presence(u64),
     /// A user's submission or withdrawal, asked for at that time.
     User(JobId, bool, u64),
     /// Jobs that wait for others.
-    Chain,
+    Dependencies,
 }
 
 /// What a reading of the followed keys brought.
-pub enum Reading {
+pub enum StateRead {
     /// Changes since the copy's revision, and the revision that they lead to.
     Changes(Vec<WatchEvent>, u64),
     /// All keys.
-    All(Vec<KeyValue>, u64),
+    Snapshot(Vec<KeyValue>, u64),
     /// The store could not be had.
-    Failed,
+    Unavailable,
 }
 
-impl Reading {
+impl StateRead {
     /// Brings a copy up to date; tells whether it changed, `None` if the store
     /// could not be had.
     pub fn apply(self, cache: &mut StateCache, now_ms: u64) -> Option<bool> {
         match self {
-            Reading::Changes(changes, revision) => {
+            StateRead::Changes(changes, revision) => {
                 cache.apply(&changes, revision, now_ms);
                 Some(!changes.is_empty())
             }
-            Reading::All(entries, revision) => {
+            StateRead::Snapshot(entries, revision) => {
                 cache.replace(&entries, revision);
                 Some(true)
             }
-            Reading::Failed => None,
+            StateRead::Unavailable => None,
         }
     }
 }
@@ -69,48 +69,48 @@
 /// A message that waits to be worked off.
 pub enum Input {
     /// A worker's report, sent at that time.
-    Report(usize, Heartbeat, u64),
+    Heartbeat(usize, Heartbeat, u64),
     /// The same, carried by another controller in that life.
-    CarriedReport(usize, Heartbeat, u64, usize, u64),
+    RelayedHeartbeat(usize, Heartbeat, u64, usize, u64),
     /// The owner's answer to one that was carried; `None`: there is none.
-    CarriedAnswer(usize, u64, u64, usize, Option<Box<HeartbeatAnswer>>),
+    RelayedAnswer(usize, u64, u64, usize, Option<Box<HeartbeatAnswer>>),
     /// What became of a request to a service: whether another carried it, its
     /// bytes, whether it was served.
-    Tried(Service, Option<u16>, usize, bool),
+    RouteResult(Service, Option<u16>, usize, bool),
     /// Another controller tells of its links.
-    Hail(u64, Box<AvailabilityGossip>),
+    Gossip(u64, Box<AvailabilityGossip>),
     /// It answered, or did not.
-    Hailed(u16, Option<Box<AvailabilityGossip>>),
+    GossipAnswer(u16, Option<Box<AvailabilityGossip>>),
     /// A transaction ended, `None`: without an answer; with the versions of keys
     /// read again.
-    CompareAndSwap(
-        For,
+    CasResult(
+        CasOrigin,
         CompareAndSwap,
         Option<CompareAndSwapOutcome>,
         Vec<(String, u64)>,
     ),
     /// A call to a worker ended.
-    Command(ShardLease, CommandCall, CommandResult),
+    CommandResult(ShardLease, CommandCall, CommandResult),
     /// Another controller's sync; the answer goes to that host.
-    Sync(usize, u64, ShardLease, Box<SyncRequest>),
+    SyncRequest(usize, u64, ShardLease, Box<SyncRequest>),
     /// The answer to one of ours.
-    View(ShardLease, u16, Option<Box<ShardView>>),
+    SyncResponse(ShardLease, u16, Option<Box<ShardView>>),
     /// A rental ended.
-    Rented(ShardLease, ProvisioningRequest, ProvisioningResult),
+    Provisioned(ShardLease, ProvisioningRequest, ProvisioningResult),
     /// A release ended.
     Released(ShardLease, Vec<MachineId>),
     /// The list of rentals.
-    Listed(Vec<InstanceEntry>),
+    InstancesListed(Vec<InstanceEntry>),
     /// The same, refused since our part has another holder.
     Superseded(Superseded),
     /// An owner has news for a part.
-    Nudge(u16, u16),
+    WakeShard(u16, u16),
     /// A job came elsewhere.
-    Announced,
+    JobAnnounced,
     /// A reading that began at that time.
-    Read(u64, Reading),
+    StateRead(u64, StateRead),
     /// Ends of jobs were asked for.
-    EndsRead(Vec<JobId>),
+    JobEndsRead(Vec<JobId>),
     /// A user submits.
     Submit(JobId),
     /// A user polls.
@@ -118,17 +118,17 @@
     /// A user withdraws.
     Withdraw(JobId),
     /// A part was taken: its records.
-    Adopt(ShardLease, Vec<KeyValue>, Vec<KeyValue>),
+    ShardAcquired(ShardLease, Vec<KeyValue>, Vec<KeyValue>),
     /// The hold's fate.
-    Hold(Option<u64>),
+    StoreLease(Option<u64>),
     /// Nothing was heard of it.
-    HoldUnknown,
+    StoreLeaseUnknown,
     /// Time to look.
     Tick,
 }
 
 /// A controller.
-pub struct Host {
+pub struct Controller {
     /// Its decisions; `None` while the process is away.
     pub core: Option<Core>,
     /// Counts its lives: what an earlier one asked for is not answered.
@@ -168,14 +168,14 @@
     /// Share of the cloud's requests.
     pub cloud: TokenBucket,
     /// Counted work.
-    pub work: Work,
+    pub work: ControllerLoad,
     /// What the core had counted when it was last charged.
     pub tally: WorkCounters,
 }
 
 /// Counted work of a controller.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Work {
+pub struct ControllerLoad {
     /// µs charged.
     pub busy_us: u64,
     /// ns of it that are less than a µs.
@@ -190,7 +190,7 @@
     pub judged: (u64, u64),
 }
 
-impl Host {
+impl Controller {
     /// A process that is not there yet.
     pub fn new(scenario: &Scenario) -> Self {
         let nodes = usize::from(scenario.shards);
@@ -216,7 +216,7 @@
             requests: share(scenario.state.rps * most),
             writes: share(scenario.state.write_rps * most),
             cloud: share(scenario.cloud.rps),
-            work: Work::default(),
+            work: ControllerLoad::default(),
             tally: WorkCounters::default(),
         }
     }
--- a/crates/simulator/src/hunt.rs
+++ b/crates/simulator/src/fault_search.rs
@@ -12,9 +12,9 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::history::History;
-use crate::load;
+use crate::load_generator;
 use crate::scenario::Scenario;
-use crate::world::World;
+use crate::simulation::Simulation;
 
 /// s before the first trouble may begin: the fleet comes up.
 const CALM_S: f64 = 90.0;
@@ -31,7 +31,7 @@
 const UP: f64 = 0.9;
 
 /// What a day was and what came of it.
-pub struct Day {
+pub struct SearchResult {
     /// Its seed.
     pub seed: u64,
     /// The scenario's text without its troubles.
@@ -297,7 +297,7 @@
 }
 
 /// What a day broke: rules, and the terms on what must be accepted, served and begun.
-pub fn broken_terms(world: &World) -> Vec<String> {
+pub fn broken_terms(world: &Simulation) -> Vec<String> {
     let mut faults = world.ground.checker.broken.clone();
     let (submitted, accepted) = world.measures.taken();
     if accepted * 2 < submitted {
@@ -325,8 +325,8 @@
     };
     let ms = (scenario.duration_s * 1e3) as u64;
     let scenario = Arc::new(scenario);
-    let load = load::synthetic(&scenario, seed);
-    let mut world = World::new(scenario, load, seed, History::new(None));
+    let load = load_generator::synthetic(&scenario, seed);
+    let mut world = Simulation::new(scenario, load, seed, History::new(None));
     world.run(ms);
     let mut faults = broken_terms(&world);
     let live = world.live();
@@ -359,7 +359,7 @@
 
 /// Plays the day of a seed; one that fails is played again with fewer troubles
 /// for as long as it still fails.
-pub fn day(seed: u64, most: u32) -> Day {
+pub fn day(seed: u64, most: u32) -> SearchResult {
     let (world, mut troubles) = draw(seed, most);
     let (mut faults, starts) = play(&world, &troubles, seed);
     let mut at = 0;
@@ -373,7 +373,7 @@
             (troubles, faults) = (fewer, still);
         }
     }
-    Day {
+    SearchResult {
         seed,
         world,
         troubles,
--- a/crates/simulator/src/sample.rs
+++ b/crates/simulator/src/fixtures.rs
@@ -2,10 +2,10 @@
 
 use lemonweir_model::{JobId, JobKind, JobSpec, Priority};
 
-use crate::scenario::{Chances, Scenario};
+use crate::scenario::{MessageFaults, Scenario};
 
 /// Two zones, boxes of 16 processors and 4 accelerators, two teams.
-pub fn site(hosts: u16, capacity: u32, chances: Chances) -> Scenario {
+pub fn site(hosts: u16, capacity: u32, chances: MessageFaults) -> Scenario {
     let text = format!(
         "name = 'rules'\nduration_s = 1e6\ncontrollers = {hosts}\nzones = ['north', 'south']\n\
          [state]\ntxn_ops = 12\n\
--- a/crates/simulator/src/checker.rs
+++ b/crates/simulator/src/invariants.rs
@@ -13,7 +13,7 @@
 
 /// Where a task is started: what the rules ask of a machine.
 #[derive(Clone, Copy, Debug)]
-pub struct Place<'a> {
+pub struct TaskPlacement<'a> {
     /// Number of the machine.
     pub machine: usize,
     /// Its type.
@@ -26,7 +26,7 @@
 
 /// The checker.
 #[derive(Default)]
-pub struct Checker {
+pub struct InvariantChecker {
     /// What was broken, with the time.
     pub broken: Vec<String>,
     /// Starts seen.
@@ -54,7 +54,7 @@
     asked: HashMap<JobId, u64>,
 }
 
-impl Checker {
+impl InvariantChecker {
     /// A checker of these limits of teams.
     pub fn new(limits: BTreeMap<String, Resources>, cancel_us: u64) -> Self {
         Self {
@@ -251,7 +251,7 @@
     }
 
     /// A task has its image: from now on it is on its machine.
-    pub fn started(&mut self, job: &JobId, task: u32, place: Place<'_>, now: u64) {
+    pub fn started(&mut self, job: &JobId, task: u32, place: TaskPlacement<'_>, now: u64) {
         self.starts += 1;
         self.last_start.insert(job.clone(), now);
         let key = (job.clone(), task);
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -1,24 +1,25 @@
-//! The laboratory: the real decisions of lemonweir against a simulated world,
-//! written from the protocol page. `docs/laboratory.md` says what it models,
-//! what it leaves out, and what its figures are worth.
+//! Deterministic discrete-event simulator: the real scheduling core of lemonweir runs
+//! against simulated machines, users, network, key-value store and cloud, written from
+//! the protocol page. `docs/laboratory.md` says what is modelled, what is left out, and
+//! what its figures are worth.
 
 pub mod baseline;
-pub mod checker;
 pub mod cloud;
-pub mod compare;
-pub mod fields;
-pub mod ground;
+pub mod controller;
+pub mod fault_search;
+pub mod fixtures;
 pub mod history;
-pub mod host;
-pub mod hunt;
-pub mod load;
-pub mod measures;
+pub mod invariants;
+pub mod load_generator;
+pub mod metrics;
 pub mod output;
 pub mod plots;
 pub mod run;
-pub mod sample;
 pub mod scenario;
+pub mod simulation;
 pub mod store;
-pub mod traces;
+pub mod sweep;
+pub mod toml_section;
+pub mod trace_commands;
 pub mod worker;
-pub mod world;
+pub mod workload_state;
--- a/crates/simulator/src/load.rs
+++ b/crates/simulator/src/load_generator.rs
@@ -7,15 +7,15 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::ground::Load;
-use crate::run::Replayed;
-use crate::scenario::{Class, Dist, Scenario};
-use crate::world::Planned;
+use crate::workload_state::SimulatedJob;
+use crate::run::WorkloadReplay;
+use crate::scenario::{JobClass, ValueDistribution, Scenario};
+use crate::simulation::PlannedSubmission;
 
 /// Draws the jobs of a scenario's classes. Each class draws from a generator
 /// of its own, so that a change of one does not change the others.
-pub fn synthetic(scenario: &Scenario, seed: u64) -> Vec<Planned> {
-    let mut jobs: Vec<(u64, usize, Planned)> = Vec::new();
+pub fn synthetic(scenario: &Scenario, seed: u64) -> Vec<PlannedSubmission> {
+    let mut jobs: Vec<(u64, usize, PlannedSubmission)> = Vec::new();
     // When each class's jobs come.
     let mut times_of: Vec<Vec<u64>> = Vec::new();
     for (c, class) in scenario.classes.iter().enumerate() {
@@ -23,7 +23,7 @@
         rng.set_stream(c as u64 + 1);
         let mut times = vec![0; class.at_start as usize];
         let mut at = 0.0;
-        let gap = Dist::Exp(if class.per_min > 0.0 {
+        let gap = ValueDistribution::Exponential(if class.per_min > 0.0 {
             60.0 / class.per_min
         } else {
             f64::MAX
@@ -76,14 +76,14 @@
         });
         planned.push(i);
     }
-    let mut jobs: Vec<Option<Planned>> = jobs.into_iter().map(|(_, _, job)| Some(job)).collect();
+    let mut jobs: Vec<Option<PlannedSubmission>> = jobs.into_iter().map(|(_, _, job)| Some(job)).collect();
     planned.into_iter().filter_map(|i| jobs[i].take()).collect()
 }
 
 /// The numbers of the classes that a class's jobs await.
 fn awaited_classes<'a>(
     scenario: &'a Scenario,
-    class: &'a Class,
+    class: &'a JobClass,
 ) -> impl Iterator<Item = usize> + 'a {
     class.awaits.iter().filter_map(|name| {
         scenario
@@ -97,9 +97,9 @@
 /// same one every time; constraints on attributes that its machines don't have
 /// are left out and counted.
 pub fn replay(
-    replayed: &Replayed,
+    replayed: &WorkloadReplay,
     scenario: &Scenario,
-) -> Result<(Vec<Planned>, u64), WorkloadError> {
+) -> Result<(Vec<PlannedSubmission>, u64), WorkloadError> {
     let (mut jobs, mut unknown, mut first) = (Vec::new(), 0, None);
     let copies = u64::from(replayed.copies.max(1));
     workload::read(&replayed.file, |e| {
@@ -118,7 +118,7 @@
     Ok((jobs, unknown))
 }
 
-fn planned(n: usize, e: Entry, zero_ms: u64, scenario: &Scenario, speed: f64) -> Planned {
+fn planned(n: usize, e: Entry, zero_ms: u64, scenario: &Scenario, speed: f64) -> PlannedSubmission {
     let at_us = ((e.at_ms - zero_ms) as f64 * 1e3 / speed) as u64;
     let run_us: Vec<u64> = e.run_ms.iter().map(|ms| ms * 1_000).collect();
     let mean = run_us.iter().sum::<u64>() / run_us.len().max(1) as u64;
@@ -158,9 +158,9 @@
         awaits: Vec::new(),
     };
     let withdraw_us = (service && mean > 0).then(|| at_us + mean);
-    Planned {
+    PlannedSubmission {
         at_us,
-        load: Load {
+        load: SimulatedJob {
             spec: Arc::new(spec),
             run_us,
             broken: false,
@@ -174,7 +174,7 @@
     JobId::from(format!("req-{n:06}").as_str())
 }
 
-fn draw(class: &Class, n: usize, at: u64, rng: &mut ChaCha8Rng) -> Planned {
+fn draw(class: &JobClass, n: usize, at: u64, rng: &mut ChaCha8Rng) -> PlannedSubmission {
     let tasks =
         (class.tasks.draw(rng).round() as u64).clamp(1, lemonweir_model::constants::MAX_TASKS);
     let service = class.shape == JobKind::Service;
@@ -220,9 +220,9 @@
     let given_up = given_up
         .or_else(|| cancelled.then(|| at + (mean * 1e6 * rng.random_range(0.1..1.1)) as u64));
     let withdraw_us = given_up.or(service.then(|| at + (mean * 1e6) as u64));
-    Planned {
+    PlannedSubmission {
         at_us: at,
-        load: Load {
+        load: SimulatedJob {
             spec: Arc::new(spec),
             run_us,
             broken,
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -6,8 +6,8 @@
 
 use clap::{Parser, Subcommand, ValueEnum};
 use lemonweir_simulator::scenario::Scenario;
-use lemonweir_simulator::traces::{Size, TraceCommand};
-use lemonweir_simulator::{compare, hunt, output, run, traces};
+use lemonweir_simulator::trace_commands::{ScenarioSize, TraceCommand};
+use lemonweir_simulator::{fault_search, output, run, sweep, trace_commands};
 
 /// Runs lemonweir's real decisions against a simulated world.
 #[derive(Parser)]
@@ -22,10 +22,10 @@
 
 /// Many runs.
 #[derive(clap::Args)]
-struct Many {
+struct SweepArgs {
     /// The seeds: FIRST..LAST.
     #[arg(long, default_value = "1..10")]
-    seeds: compare::Seeds,
+    seeds: sweep::Seeds,
     /// Runs at a time.
     #[arg(long, default_value_t = 4)]
     jobs: usize,
@@ -36,7 +36,7 @@
     #[arg(long, default_value_t = 1.0)]
     speed: f64,
     #[command(flatten)]
-    size: Size,
+    size: ScenarioSize,
     /// Directory for all reports and a plot.
     #[arg(long)]
     out: Option<PathBuf>,
@@ -67,7 +67,7 @@
         #[arg(long, default_value = "lemonweir")]
         placer: run::Placer,
         #[command(flatten)]
-        size: Size,
+        size: ScenarioSize,
         /// Directory for report, plots and history.
         #[arg(long)]
         out: Option<PathBuf>,
@@ -77,7 +77,7 @@
         /// The scenario.
         file: PathBuf,
         #[command(flatten)]
-        many: Many,
+        many: SweepArgs,
         /// Who places: lemonweir, central, or sampler:N.
         #[arg(long, default_value = "lemonweir")]
         placer: run::Placer,
@@ -89,14 +89,14 @@
         /// The second.
         b: String,
         #[command(flatten)]
-        many: Many,
+        many: SweepArgs,
     },
     /// Draw worlds and troubles by seed and look for broken rules and services
     /// that do not come back.
     Hunt {
         /// The seeds: FIRST..LAST.
         #[arg(long, default_value = "1..12")]
-        seeds: compare::Seeds,
+        seeds: sweep::Seeds,
         /// Machines of a world at the most; 40 at the least.
         #[arg(long, default_value_t = 5_000, value_parser = clap::value_parser!(u32).range(41..=100_000))]
         machines: u32,
@@ -140,7 +140,7 @@
 }
 
 /// A scenario, made larger if wanted.
-fn sized(file: &Path, size: Size) -> Result<Arc<Scenario>, Vec<String>> {
+fn sized(file: &Path, size: ScenarioSize) -> Result<Arc<Scenario>, Vec<String>> {
     if !(size.scale > 0.0 && size.scale <= 1e5) {
         return Err(vec![format!(
             "--scale: {} must be over 0 and at most 100,000",
@@ -161,11 +161,11 @@
 }
 
 /// A workload, if one is given.
-fn replayed(file: PathBuf, speed: f64, size: Size) -> Result<run::Replayed, Vec<String>> {
+fn replayed(file: PathBuf, speed: f64, size: ScenarioSize) -> Result<run::WorkloadReplay, Vec<String>> {
     if !(speed.is_finite() && speed > 0.0) {
         return Err(vec![format!("--speed: {speed} must be over 0")]);
     }
-    Ok(run::Replayed {
+    Ok(run::WorkloadReplay {
         file,
         speed,
         copies: size.scale.round().max(1.0) as u32,
@@ -201,7 +201,7 @@
         } => {
             let result = run::once(
                 sized(&file, size)?,
-                run::Source::Synthetic,
+                run::LoadSource::Synthetic,
                 placer,
                 seed,
                 out.as_deref(),
@@ -212,14 +212,14 @@
         Command::Sweep { file, many, placer } => {
             let outcomes = sweep(&sized(&file, many.size)?, placer, &many)?;
             println!("{} runs of {}", outcomes.len(), file.display());
-            print!("{}", compare::summary(&outcomes));
+            print!("{}", sweep::summary(&outcomes));
             let name = file.display().to_string();
             close(&[(&name, &outcomes)], many.out.as_deref())
         }
         Command::Compare { a, b, many } => {
             let (left, right) = (side(&a, &many)?, side(&b, &many)?);
             println!("A: {a}\nB: {b}\n{} seeds", left.len());
-            print!("{}", compare::side_by_side(&left, &right));
+            print!("{}", sweep::side_by_side(&left, &right));
             close(&[(&a, &left), (&b, &right)], many.out.as_deref())
         }
         Command::Hunt {
@@ -227,9 +227,9 @@
             machines,
             jobs,
         } => {
-            let days = compare::each(&seeds, jobs, |seed| hunt::day(seed, machines));
+            let days = sweep::each(&seeds, jobs, |seed| fault_search::day(seed, machines));
             let starts: u64 = days.iter().map(|d| d.starts).sum();
-            let failed: Vec<&hunt::Day> = days.iter().filter(|d| !d.faults.is_empty()).collect();
+            let failed: Vec<&fault_search::SearchResult> = days.iter().filter(|d| !d.faults.is_empty()).collect();
             println!(
                 "{} days, {starts} starts, {} failed",
                 days.len(),
@@ -253,7 +253,7 @@
         }
         Command::Trace {
             command: TraceCommand::Check { files },
-        } => Ok(traces::check(&files)),
+        } => Ok(trace_commands::check(&files)),
         Command::Trace {
             command:
                 TraceCommand::Import {
@@ -261,10 +261,10 @@
                     on_fault,
                     out,
                 },
-        } => Ok(traces::import(&files, on_fault, &out)),
+        } => Ok(trace_commands::import(&files, on_fault, &out)),
         Command::Trace {
             command: TraceCommand::Show { file, plot },
-        } => Ok(traces::show(&file, plot.as_deref())),
+        } => Ok(trace_commands::show(&file, plot.as_deref())),
         Command::Trace {
             command:
                 TraceCommand::Replay {
@@ -277,7 +277,7 @@
                     out,
                 },
         } => {
-            let source = run::Source::Workload(replayed(file, speed, size)?);
+            let source = run::LoadSource::Workload(replayed(file, speed, size)?);
             let result = run::once(
                 sized(&scenario, size)?,
                 source,
@@ -294,18 +294,18 @@
 fn sweep(
     scenario: &Arc<Scenario>,
     placer: run::Placer,
-    many: &Many,
-) -> Result<Vec<run::Outcome>, Vec<String>> {
+    many: &SweepArgs,
+) -> Result<Vec<run::RunOutcome>, Vec<String>> {
     let workload = many
         .workload
         .clone()
         .map(|file| replayed(file, many.speed, many.size))
         .transpose()?;
-    compare::sweep(scenario, placer, workload.as_ref(), &many.seeds, many.jobs).map_err(|e| vec![e])
+    sweep::sweep(scenario, placer, workload.as_ref(), &many.seeds, many.jobs).map_err(|e| vec![e])
 }
 
 /// Runs one side of a comparison.
-fn side(spec: &str, many: &Many) -> Result<Vec<run::Outcome>, Vec<String>> {
+fn side(spec: &str, many: &SweepArgs) -> Result<Vec<run::RunOutcome>, Vec<String>> {
     let (file, placer) = spec.split_once('@').unwrap_or((spec, "lemonweir"));
     let placer = placer.parse().map_err(|e| vec![e])?;
     sweep(&sized(Path::new(file), many.size)?, placer, many)
@@ -313,7 +313,7 @@
 
 /// Writes what many runs gave; a broken rule in any of them is a failure.
 fn close(
-    sides: &[(&String, &Vec<run::Outcome>)],
+    sides: &[(&String, &Vec<run::RunOutcome>)],
     out: Option<&Path>,
 ) -> Result<ExitCode, Vec<String>> {
     if let Some(dir) = out {
@@ -338,7 +338,7 @@
 }
 
 /// Prints a run's figures; a broken rule is a failure.
-fn finish(result: &run::Outcome, out: Option<&Path>) -> Result<ExitCode, Vec<String>> {
+fn finish(result: &run::RunOutcome, out: Option<&Path>) -> Result<ExitCode, Vec<String>> {
     print!("{}", output::table(&result.report));
     println!("{}", output::pace(result));
     if let Some(dir) = out {
--- a/crates/simulator/src/measures.rs
+++ b/crates/simulator/src/metrics.rs
@@ -11,10 +11,10 @@
 use serde::{Deserialize, Serialize};
 
 use crate::cloud::Cloud;
-use crate::ground::Ground;
-use crate::host::Host;
+use crate::workload_state::WorkloadState;
+use crate::controller::Controller;
 use crate::worker::Worker;
-use crate::world::World;
+use crate::simulation::Simulation;
 
 /// µs between two samples of the fleet.
 const SAMPLE_US: u64 = 5_000_000;
@@ -27,7 +27,7 @@
 
 /// When a task's first attempt got how far, µs.
 #[derive(Clone, Copy, Default)]
-struct Stages {
+struct TaskTimeline {
     /// Its record left the controller, and how long the pass took before that.
     written: u64,
     pass_us: u64,
@@ -35,7 +35,7 @@
     recorded: u64,
 }
 
-struct JobTimes {
+struct JobTimeline {
     first_try: u64,
     accepted: u64,
     class: String,
@@ -45,9 +45,9 @@
 
 /// Histograms by name.
 #[derive(Default)]
-pub struct Named(BTreeMap<String, Histogram<u64>>);
+pub struct NamedHistograms(BTreeMap<String, Histogram<u64>>);
 
-impl Named {
+impl NamedHistograms {
     /// Records µs under a name.
     pub fn record(&mut self, name: &str, us: u64) {
         if !self.0.contains_key(name) {
@@ -59,29 +59,29 @@
     }
 
     /// All of them in figures.
-    pub fn spreads(&self) -> BTreeMap<String, Spread> {
+    pub fn spreads(&self) -> BTreeMap<String, LatencySummary> {
         self.0
             .iter()
-            .map(|(name, h)| (name.clone(), Spread::of(h)))
+            .map(|(name, h)| (name.clone(), LatencySummary::of(h)))
             .collect()
     }
 }
 
 /// Collects figures.
 #[derive(Default)]
-pub struct Measures {
-    tasks: HashMap<(JobId, u32), Stages>,
-    jobs: BTreeMap<JobId, JobTimes>,
+pub struct MetricsCollector {
+    tasks: HashMap<(JobId, u32), TaskTimeline>,
+    jobs: BTreeMap<JobId, JobTimeline>,
     submitted: u64,
     refused: u64,
     withdrawals: Option<Histogram<u64>>,
     sampled_at: Option<u64>,
-    series: Vec<Sample>,
+    series: Vec<FleetSample>,
 }
 
 /// The fleet at a moment.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
-pub struct Sample {
+pub struct FleetSample {
     /// s since the start.
     pub at_s: f64,
     /// Machines rented.
@@ -101,7 +101,7 @@
 
 /// A distribution in figures, ms.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq)]
-pub struct Spread {
+pub struct LatencySummary {
     /// How many.
     pub count: u64,
     /// Mean.
@@ -118,7 +118,7 @@
     pub max: f64,
 }
 
-impl Spread {
+impl LatencySummary {
     /// Of a histogram of µs.
     pub fn of(h: &Histogram<u64>) -> Self {
         let ms = |x: u64| x as f64 / 1e3;
@@ -136,12 +136,12 @@
 }
 
 /// Records µs in a histogram that grows as it must.
-pub trait RecordUs {
+pub trait RecordMicros {
     /// Records one value.
     fn record_us(&mut self, us: u64);
 }
 
-impl RecordUs for Histogram<u64> {
+impl RecordMicros for Histogram<u64> {
     fn record_us(&mut self, us: u64) {
         if let Err(error) = self.record(us.max(1)) {
             tracing::error!(%error, us, "value not recorded");
@@ -157,7 +157,7 @@
 
 /// The figures of a run. All but `machine` follow from scenario, load and seed.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Report {
+pub struct RunReport {
     /// Scenario.
     pub scenario: String,
     /// Who placed: the controllers, or a baseline of the project's own.
@@ -169,26 +169,26 @@
     /// Controllers.
     pub controllers: u16,
     /// Jobs submitted, accepted, refused, over.
-    pub jobs: Jobs,
+    pub jobs: JobCounts,
     /// Starts of tasks.
     pub starts: u64,
     /// From the first try to submit until a start order is with the machine,
     /// ms; replicas' and arrays' first attempts alike.
-    pub allocation: Spread,
+    pub allocation: LatencySummary,
     /// Its pieces, in order: `accepting`, `queueing`, `processing`,
     /// `recording`, `ordering`.
-    pub pieces: BTreeMap<String, Spread>,
+    pub pieces: BTreeMap<String, LatencySummary>,
     /// Until the task has its image and is on its machine, by class, ms.
-    pub waiting: BTreeMap<String, Spread>,
+    pub waiting: BTreeMap<String, LatencySummary>,
     /// From the first try to submit until the end is written, by class, ms.
-    pub finished: BTreeMap<String, Spread>,
+    pub finished: BTreeMap<String, LatencySummary>,
     /// Tasks that were started, of those that came a minute before the end, by
     /// class and by team. A day on which less than half of any were is a failure.
     #[serde(default)]
     pub served: BTreeMap<String, (u64, u64)>,
     /// From a user's first wish for a job's end until that is told, ms; of those told.
     #[serde(default)]
-    pub withdrawals: Spread,
+    pub withdrawals: LatencySummary,
     /// Tasks that ended with their worker's lease.
     #[serde(default)]
     pub killed_by_lease: u64,
@@ -197,9 +197,9 @@
     /// Share of the processor time paid for that went into work of use.
     pub useful: f64,
     /// Work of the controllers together.
-    pub work: WorkReport,
+    pub work: ControllerWork,
     /// The fleet over time.
-    pub series: Vec<Sample>,
+    pub series: Vec<FleetSample>,
     /// Rules broken; a run with one counts for nothing.
     pub broken: Vec<String>,
     /// Lines of the history.
@@ -210,7 +210,7 @@
 
 /// Counts of jobs.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize, PartialEq)]
-pub struct Jobs {
+pub struct JobCounts {
     /// Submitted.
     pub submitted: u64,
     /// Accepted.
@@ -223,7 +223,7 @@
 
 /// Counted work of the controllers.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize, PartialEq)]
-pub struct WorkReport {
+pub struct ControllerWork {
     /// Messages taken and sent.
     pub messages: u64,
     /// Bytes between controllers.
@@ -242,7 +242,7 @@
     pub store_writes: u64,
 }
 
-impl Measures {
+impl MetricsCollector {
     /// A job was submitted for the first time.
     pub fn submitted(&mut self) {
         self.submitted += 1;
@@ -267,7 +267,7 @@
     pub fn accepted(&mut self, id: &JobId, first_try: u64, now: u64, spec: Option<&JobSpec>) {
         let Some(spec) = spec else { return };
         let service = spec.shape == JobKind::Service;
-        let times = JobTimes {
+        let times = JobTimeline {
             first_try,
             accepted: now,
             class: spec.class.clone(),
@@ -299,7 +299,7 @@
     /// at `leaves`.
     pub fn written(&mut self, cas: &CompareAndSwap, now: u64, leaves: u64) {
         Self::each_live(cas, |key| {
-            self.tasks.entry(key).or_insert(Stages {
+            self.tasks.entry(key).or_insert(TaskTimeline {
                 written: leaves,
                 pass_us: leaves - now,
                 recorded: 0,
@@ -318,14 +318,14 @@
     }
 
     /// Looks at the fleet, now and then.
-    pub fn sample(&mut self, now: u64, workers: &[Option<Worker>], cloud: &Cloud, hosts: &[Host]) {
+    pub fn sample(&mut self, now: u64, workers: &[Option<Worker>], cloud: &Cloud, hosts: &[Controller]) {
         if self.sampled_at.is_some_and(|at| now < at + SAMPLE_US) {
             return;
         }
         self.sampled_at = Some(now);
         let counts = || hosts.iter().map(|h| h.work.messages);
         let messages = (counts().max().unwrap_or(0), counts().sum());
-        let mut sample = Sample {
+        let mut sample = FleetSample {
             at_s: now as f64 / 1e6,
             machines: 0,
             up: 0,
@@ -346,7 +346,7 @@
     }
 
     /// The largest jobs of each class: a tenth of them, and all of the largest size.
-    fn largest(world: &World) -> BTreeSet<&JobId> {
+    fn largest(world: &Simulation) -> BTreeSet<&JobId> {
         let mut by_class: BTreeMap<&str, Vec<(u64, &JobId)>> = BTreeMap::new();
         // How long a job waits for others is not its controllers' doing.
         for (id, load) in world
@@ -375,7 +375,7 @@
     }
 
     /// The largest jobs of each class that had not begun within 240 s.
-    pub fn late(&self, world: &World) -> Vec<String> {
+    pub fn late(&self, world: &Simulation) -> Vec<String> {
         let late = |id: &&JobId| {
             let Some(job) = self.jobs.get(*id) else {
                 return false;
@@ -401,7 +401,7 @@
     /// Tasks started of those that came, by class, by team, and of the largest jobs
     /// of each class, without jobs with a mistake and those that their users cancel.
     /// What came within the last minute may still wait.
-    pub fn served(&self, world: &World) -> BTreeMap<String, (u64, u64)> {
+    pub fn served(&self, world: &Simulation) -> BTreeMap<String, (u64, u64)> {
         let mut served: BTreeMap<String, (u64, u64)> = BTreeMap::new();
         let largest = Self::largest(world);
         for (id, load) in world.ground.jobs.iter().filter(|(_, l)| !l.broken) {
@@ -435,9 +435,9 @@
         served
     }
 
-    fn stages(&self, ground: &Ground) -> (Histogram<u64>, Named, Named) {
+    fn stages(&self, ground: &WorkloadState) -> (Histogram<u64>, NamedHistograms, NamedHistograms) {
         let mut whole = histogram();
-        let (mut pieces, mut waiting) = (Named::default(), Named::default());
+        let (mut pieces, mut waiting) = (NamedHistograms::default(), NamedHistograms::default());
         for (key, &launched) in &ground.launched {
             let (Some(job), Some(stages)) = (self.jobs.get(&key.0), self.tasks.get(key)) else {
                 continue;
@@ -463,10 +463,10 @@
 }
 
 /// The report of a world as it stands, with the histogram of allocation times.
-pub fn report(world: &World, seed: u64) -> (Report, Histogram<u64>) {
+pub fn report(world: &Simulation, seed: u64) -> (RunReport, Histogram<u64>) {
     let m = &world.measures;
     let (whole, pieces, waiting) = m.stages(&world.ground);
-    let mut finished = Named::default();
+    let mut finished = NamedHistograms::default();
     for job in m.jobs.values().filter(|j| !j.service) {
         if let Some(ended) = job.ended {
             finished.record(&job.class, ended.saturating_sub(job.first_try));
@@ -485,30 +485,30 @@
         .map(|w| w.serving(world.now, &world.ground))
         .sum();
     let useful = (world.ground.useful + serving) as f64 / 1e9;
-    let busy = |h: &crate::host::Host| h.work.busy_us as f64 / world.now.max(1) as f64;
-    let report = Report {
+    let busy = |h: &crate::controller::Controller| h.work.busy_us as f64 / world.now.max(1) as f64;
+    let report = RunReport {
         scenario: world.scenario.name.clone(),
         placer: "lemonweir".into(),
         seed,
         simulated_s: world.now as f64 / 1e6,
         controllers: world.scenario.shards,
-        jobs: Jobs {
+        jobs: JobCounts {
             submitted: m.submitted,
             accepted: m.jobs.len() as u64,
             refused: m.refused,
             over: m.jobs.values().filter(|j| j.ended.is_some()).count() as u64,
         },
         starts: world.ground.checker.starts,
-        allocation: Spread::of(&whole),
+        allocation: LatencySummary::of(&whole),
         pieces: pieces.spreads(),
         waiting: waiting.spreads(),
         finished: finished.spreads(),
         served: m.served(world),
-        withdrawals: m.withdrawals.as_ref().map(Spread::of).unwrap_or_default(),
+        withdrawals: m.withdrawals.as_ref().map(LatencySummary::of).unwrap_or_default(),
         killed_by_lease: world.ground.killed_by_lease,
         money: world.cloud.spent(world.now),
         useful: if paid > 0.0 { useful / paid } else { 0.0 },
-        work: WorkReport {
+        work: ControllerWork {
             messages: world.hosts.iter().map(|h| h.work.messages).sum(),
             peer_bytes: world.hosts.iter().map(|h| h.work.peer_bytes).sum(),
             looks: world.hosts.iter().map(|h| h.work.looks).sum(),
--- a/crates/simulator/src/output.rs
+++ b/crates/simulator/src/output.rs
@@ -3,10 +3,10 @@
 use std::fmt::Write;
 use std::path::Path;
 
-use crate::compare;
-use crate::measures::{Report, Spread};
+use crate::sweep;
+use crate::metrics::{RunReport, LatencySummary};
 use crate::plots;
-use crate::run::Outcome;
+use crate::run::RunOutcome;
 
 /// A duration in ms, as people read it.
 fn time(ms: f64) -> String {
@@ -17,7 +17,7 @@
     }
 }
 
-fn row(out: &mut String, name: &str, s: &Spread) {
+fn row(out: &mut String, name: &str, s: &LatencySummary) {
     let cells = [s.p50, s.p90, s.p99, s.p999, s.max].map(time);
     let _ = writeln!(
         out,
@@ -28,7 +28,7 @@
 }
 
 /// A report as a table.
-pub fn table(r: &Report) -> String {
+pub fn table(r: &RunReport) -> String {
     let mut out = String::new();
     let head = format!(
         "{:>8} {}",
@@ -97,7 +97,7 @@
 }
 
 /// How fast a run was on this machine.
-pub fn pace(o: &Outcome) -> String {
+pub fn pace(o: &RunOutcome) -> String {
     let per_hour = o.wall_s * 3_600.0 / o.report.simulated_s.max(1e-9);
     format!(
         "{:.2} s of wall time, {:.0} events a second, {per_hour:.1} s a simulated hour on this machine",
@@ -107,7 +107,7 @@
 }
 
 /// Writes `report.json`, `report.txt` and the plots.
-pub fn write(o: &Outcome, dir: &Path) -> std::io::Result<()> {
+pub fn write(o: &RunOutcome, dir: &Path) -> std::io::Result<()> {
     std::fs::write(
         dir.join("report.json"),
         serde_json::to_string_pretty(&o.report)?,
@@ -126,9 +126,9 @@
 }
 
 /// Writes the reports of many runs, and a plot of each side's allocation times.
-pub fn write_all(sides: &[(&String, &Vec<Outcome>)], dir: &Path) -> std::io::Result<()> {
+pub fn write_all(sides: &[(&String, &Vec<RunOutcome>)], dir: &Path) -> std::io::Result<()> {
     std::fs::create_dir_all(dir)?;
-    let reports: Vec<&Report> = sides
+    let reports: Vec<&RunReport> = sides
         .iter()
         .flat_map(|(_, outcomes)| outcomes.iter().map(|o| &o.report))
         .collect();
@@ -141,7 +141,7 @@
         .map(|(name, outcomes)| {
             (
                 name.as_str(),
-                plots::distribution(&compare::merged(outcomes)),
+                plots::distribution(&sweep::merged(outcomes)),
             )
         })
         .collect();
--- a/crates/simulator/src/plots.rs
+++ b/crates/simulator/src/plots.rs
@@ -7,7 +7,7 @@
 use plotters::prelude::*;
 use plotters::style::register_font;
 
-use crate::measures::{Report, Sample};
+use crate::metrics::{RunReport, FleetSample};
 
 type Fault = Box<dyn std::error::Error>;
 type Line<'a> = (&'a str, Vec<(f64, f64)>);
@@ -134,8 +134,8 @@
 }
 
 /// Fleet and use over time, and money.
-pub fn fleet(report: &Report, path: &Path) -> Result<(), Fault> {
-    let line = |f: &dyn Fn(&Sample) -> f64| {
+pub fn fleet(report: &RunReport, path: &Path) -> Result<(), Fault> {
+    let line = |f: &dyn Fn(&FleetSample) -> f64| {
         report
             .series
             .iter()
@@ -170,9 +170,9 @@
 }
 
 /// Messages a second of all controllers together, and of the busiest.
-pub fn messages(report: &Report, path: &Path) -> Result<(), Fault> {
-    let rate = |f: &dyn Fn(&Sample) -> u64| {
-        let between = |w: &[Sample]| {
+pub fn messages(report: &RunReport, path: &Path) -> Result<(), Fault> {
+    let rate = |f: &dyn Fn(&FleetSample) -> u64| {
+        let between = |w: &[FleetSample]| {
             (
                 w[1].at_s,
                 f(&w[1]).saturating_sub(f(&w[0])) as f64 / (w[1].at_s - w[0].at_s),
@@ -197,8 +197,8 @@
 }
 
 /// Half and 90 % of the waiting of each class.
-pub fn waiting(report: &Report, path: &Path) -> Result<(), Fault> {
-    let steps = |s: &crate::measures::Spread| {
+pub fn waiting(report: &RunReport, path: &Path) -> Result<(), Fault> {
+    let steps = |s: &crate::metrics::LatencySummary| {
         vec![
             (s.p50.max(1.0), 50.0),
             (s.p90.max(1.0), 90.0),
--- a/crates/simulator/src/run.rs
+++ b/crates/simulator/src/run.rs
@@ -9,22 +9,22 @@
 
 use crate::baseline;
 use crate::history::History;
-use crate::load;
-use crate::measures::{Report, report};
+use crate::load_generator;
+use crate::metrics::{RunReport, report};
 use crate::scenario::Scenario;
-use crate::world::World;
+use crate::simulation::Simulation;
 
 /// Where the load comes from.
-pub enum Source {
+pub enum LoadSource {
     /// The scenario's classes.
     Synthetic,
     /// A workload file.
-    Workload(Replayed),
+    Workload(WorkloadReplay),
 }
 
 /// A workload to be replayed.
 #[derive(Clone, Debug)]
-pub struct Replayed {
+pub struct WorkloadReplay {
     /// The file.
     pub file: PathBuf,
     /// How many times as close together its submissions come.
@@ -39,7 +39,7 @@
     /// The scenario's controllers.
     Lemonweir,
     /// A baseline.
-    Baseline(baseline::Kind),
+    Baseline(baseline::BaselineKind),
 }
 
 impl FromStr for Placer {
@@ -48,9 +48,9 @@
     fn from_str(text: &str) -> Result<Self, String> {
         match text.split_once(':').unwrap_or((text, "2")) {
             ("lemonweir", _) => Ok(Self::Lemonweir),
-            ("central", _) => Ok(Self::Baseline(baseline::Kind::Central)),
+            ("central", _) => Ok(Self::Baseline(baseline::BaselineKind::Central)),
             ("sampler", d) => match d.parse() {
-                Ok(d @ 1..=64) => Ok(Self::Baseline(baseline::Kind::Sampler(d))),
+                Ok(d @ 1..=64) => Ok(Self::Baseline(baseline::BaselineKind::Sampler(d))),
                 _ => Err(format!("{d}: from 1 to 64 machines can be asked")),
             },
             _ => Err(format!("{text}: must be lemonweir, central, or sampler:N")),
@@ -59,9 +59,9 @@
 }
 
 /// What a run gave.
-pub struct Outcome {
+pub struct RunOutcome {
     /// Its figures; the same for the same scenario, load and seed.
-    pub report: Report,
+    pub report: RunReport,
     /// Allocation times, µs.
     pub allocation: Histogram<u64>,
     /// Events worked off.
@@ -74,11 +74,11 @@
 /// directory.
 pub fn once(
     scenario: Arc<Scenario>,
-    source: Source,
+    source: LoadSource,
     placer: Placer,
     seed: u64,
     out: Option<&Path>,
-) -> Result<Outcome, String> {
+) -> Result<RunOutcome, String> {
     let sink = match out {
         None => None,
         Some(dir) => {
@@ -89,9 +89,9 @@
         }
     };
     let load = match source {
-        Source::Synthetic => load::synthetic(&scenario, seed),
-        Source::Workload(replayed) => {
-            let (jobs, unknown) = load::replay(&replayed, &scenario).map_err(|e| e.to_string())?;
+        LoadSource::Synthetic => load_generator::synthetic(&scenario, seed),
+        LoadSource::Workload(replayed) => {
+            let (jobs, unknown) = load_generator::replay(&replayed, &scenario).map_err(|e| e.to_string())?;
             if unknown > 0 {
                 tracing::warn!(
                     unknown,
@@ -106,10 +106,10 @@
     }
     let began = Instant::now();
     let ms = (scenario.duration_s * 1e3) as u64;
-    let mut world = World::new(scenario, load, seed, History::new(sink));
+    let mut world = Simulation::new(scenario, load, seed, History::new(sink));
     world.run(ms);
     let (report, allocation) = report(&world, seed);
-    Ok(Outcome {
+    Ok(RunOutcome {
         report,
         allocation,
         events: world.events,
--- a/crates/simulator/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -12,40 +12,40 @@
 use rand_distr::{Distribution, Exp, LogNormal, Pareto};
 use toml::de::{DeTable, DeValue};
 
-mod trouble;
+mod fault;
 
-pub use trouble::{Fault, LATE_WRITES, Link, Seconds, Trouble};
+pub use fault::{Fault, LATE_WRITES, Link, Seconds, FaultKind};
 
-use crate::fields::{Faults, Section, as_number};
+use crate::toml_section::{ParseFaults, TomlSection, as_number};
 
 /// How a number is drawn.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Dist {
+pub enum ValueDistribution {
     /// Always this.
     Fixed(f64),
     /// Anything between.
     Uniform(f64, f64),
     /// Exponential with this mean.
-    Exp(f64),
+    Exponential(f64),
     /// Log-normal with this median and sigma.
     LogNormal(f64, f64),
     /// Pareto with this least value and shape.
     Pareto(f64, f64),
 }
 
-impl Dist {
+impl ValueDistribution {
     /// Draws one; never below zero.
     pub fn draw(&self, rng: &mut ChaCha8Rng) -> f64 {
         // The parameters were checked when the file was read; a distribution
         // that can't be made draws its first parameter.
         let x = match *self {
-            Dist::Fixed(x) => x,
-            Dist::Uniform(low, high) => low + (high - low) * rng.random::<f64>(),
-            Dist::Exp(mean) => Exp::new(1.0 / mean).map_or(mean, |d| d.sample(rng)),
-            Dist::LogNormal(median, sigma) => {
+            ValueDistribution::Fixed(x) => x,
+            ValueDistribution::Uniform(low, high) => low + (high - low) * rng.random::<f64>(),
+            ValueDistribution::Exponential(mean) => Exp::new(1.0 / mean).map_or(mean, |d| d.sample(rng)),
+            ValueDistribution::LogNormal(median, sigma) => {
                 LogNormal::new(median.ln(), sigma).map_or(median, |d| d.sample(rng))
             }
-            Dist::Pareto(low, shape) => Pareto::new(low, shape).map_or(low, |d| d.sample(rng)),
+            ValueDistribution::Pareto(low, shape) => Pareto::new(low, shape).map_or(low, |d| d.sample(rng)),
         };
         x.max(0.0)
     }
@@ -53,7 +53,7 @@
 
 /// A machine type of the site.
 #[derive(Clone, Debug)]
-pub struct Kind {
+pub struct MachineKind {
     /// The type as the catalog tells it.
     pub machine: MachineType,
     /// Machines of it that the cloud has, ordinary and spot, in each zone.
@@ -64,7 +64,7 @@
 
 /// A class of synthetic jobs.
 #[derive(Clone, Debug)]
-pub struct Class {
+pub struct JobClass {
     /// Its name.
     pub name: String,
     /// Teams that submit it, in turn.
@@ -74,11 +74,11 @@
     /// Priority.
     pub rank: Priority,
     /// Tasks of a job.
-    pub tasks: Dist,
+    pub tasks: ValueDistribution,
     /// What a task takes: processors, accelerators, GB.
     pub need: (f64, f64, f64),
     /// Run time, s; of a service: how long until it is withdrawn.
-    pub run_s: Dist,
+    pub run_s: ValueDistribution,
     /// How far the user's estimate is off: it is drawn between 1/(1+x) and 1+x
     /// times the run time.
     pub estimate_off: f64,
@@ -105,14 +105,14 @@
     /// Classes whose jobs of the same number its jobs await.
     pub awaits: Vec<String>,
     /// s after the awaited jobs came at which its jobs come.
-    pub later_s: Dist,
+    pub later_s: ValueDistribution,
     /// Share of its jobs that their users withdraw while they wait or run.
     pub cancelled: f64,
 }
 
 /// How likely faults of single messages are, in thousandths.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Chances {
+pub struct MessageFaults {
     /// The answer to a transaction is lost.
     pub lost_txn_reply: u32,
     /// A transaction is applied late.
@@ -129,7 +129,7 @@
 
 /// What work costs a controller, ns. With all of them 0 nothing takes time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Costs {
+pub struct ProcessingCosts {
     /// Taking or sending one message.
     pub message_ns: u64,
     /// One look of a walk: a word of bits or a machine's room.
@@ -138,7 +138,7 @@
 
 /// How long messages travel, µs, at least and at most.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Latency {
+pub struct NetworkLatency {
     /// At least.
     pub low_us: u64,
     /// At most.
@@ -165,19 +165,19 @@
     /// The operators' own settings.
     pub policy: Policy,
     /// Machine types.
-    pub kinds: Vec<Kind>,
+    pub kinds: Vec<MachineKind>,
     /// Teams with guarantee and limit.
     pub teams: Vec<Team>,
     /// Synthetic load.
-    pub classes: Vec<Class>,
+    pub classes: Vec<JobClass>,
     /// Troubles.
     pub faults: Vec<Fault>,
     /// Faults of messages.
-    pub chances: Chances,
+    pub chances: MessageFaults,
     /// What work costs.
-    pub costs: Costs,
+    pub costs: ProcessingCosts,
     /// How long messages travel.
-    pub latency: Latency,
+    pub latency: NetworkLatency,
     /// Seconds between two polls of a job; 0: none.
     pub poll_s: f64,
 }
@@ -185,7 +185,7 @@
 impl Scenario {
     /// Reads a scenario; every fault is one line that names file, line, field.
     pub fn parse(file: &str, text: &str) -> Result<Self, Vec<String>> {
-        let faults = Faults::new(file, text);
+        let faults = ParseFaults::new(file, text);
         let doc = match DeTable::parse(text) {
             Ok(doc) => doc,
             Err(e) => {
@@ -193,7 +193,7 @@
                 return Err(faults.into_lines());
             }
         };
-        let scenario = read(&Section::root(&faults, doc.get_ref()));
+        let scenario = read(&TomlSection::root(&faults, doc.get_ref()));
         let lines = faults.into_lines();
         if lines.is_empty() {
             Ok(scenario)
@@ -261,7 +261,7 @@
             address: address(i, 81),
         };
         let awaited = self.classes.iter().filter(|c| c.start_within_s > 0.0);
-        let objective = |c: &Class| Objective {
+        let objective = |c: &JobClass| Objective {
             kind: "wait".into(),
             class: Some(c.name.clone()),
             within_s: Some(c.start_within_s),
@@ -302,7 +302,7 @@
     format!("h{host:02}")
 }
 
-fn read(top: &Section<'_>) -> Scenario {
+fn read(top: &TomlSection<'_>) -> Scenario {
     let zones = top.texts("zones");
     if zones.is_empty() {
         top.fault("zones", "must name one zone at least");
@@ -348,7 +348,7 @@
             spare: p.number("spare", 0.0, 10.0, Some(0.5)),
             trade: Trade::default(),
         },
-        chances: Chances {
+        chances: MessageFaults {
             lost_txn_reply: chance("lost_txn_reply"),
             late_txn: chance("late_txn"),
             lost_command: chance("lost_command"),
@@ -356,11 +356,11 @@
             lost_sync: chance("lost_sync"),
             late_sync: chance("late_sync"),
         },
-        costs: Costs {
+        costs: ProcessingCosts {
             message_ns: o.whole("message_ns", 0, 1_000_000_000, Some(0)),
             look_ns: o.whole("look_ns", 0, 1_000_000, Some(0)),
         },
-        latency: Latency {
+        latency: NetworkLatency {
             low_us: l.whole("low_us", 1, 10_000_000, Some(500)),
             high_us: l.whole("high_us", 1, 10_000_000, Some(3_000)),
         },
@@ -389,7 +389,7 @@
     if scenario.teams.is_empty() {
         top.fault("team", "one at least must be given");
     }
-    let mut classes: Vec<Class> = Vec::new();
+    let mut classes: Vec<JobClass> = Vec::new();
     for t in top.tables("class") {
         let class = class(&t, &scenario);
         // Only classes before it, so that no chain is a circle.
@@ -408,7 +408,7 @@
     let faults = top
         .tables("fault")
         .iter()
-        .filter_map(|t| trouble::fault(t, &scenario))
+        .filter_map(|t| fault::fault(t, &scenario))
         .collect();
     Scenario {
         classes,
@@ -417,7 +417,7 @@
     }
 }
 
-fn next_limits(t: &Section<'_>) -> NextStateLimits {
+fn next_limits(t: &TomlSection<'_>) -> NextStateLimits {
     let number = |name: &str, low: f64| t.has(name).then(|| t.number(name, low, 1e9, None));
     NextStateLimits {
         rps: number("rps", 1.0),
@@ -429,9 +429,9 @@
     }
 }
 
-fn kind(t: &Section<'_>, zones: &[String]) -> Kind {
+fn kind(t: &TomlSection<'_>, zones: &[String]) -> MachineKind {
     let price = t.number("price", 0.0, 1e6, Some(1.0));
-    Kind {
+    MachineKind {
         machine: MachineType {
             name: t.text("name", None),
             room: Resources::offer(
@@ -454,7 +454,7 @@
     }
 }
 
-fn team(t: &Section<'_>) -> Team {
+fn team(t: &TomlSection<'_>) -> Team {
     let amount = |name: &str| t.number(name, 0.0, 1e9, Some(0.0));
     Team {
         name: t.text("name", None),
@@ -465,7 +465,7 @@
     }
 }
 
-fn class(t: &Section<'_>, scenario: &Scenario) -> Class {
+fn class(t: &TomlSection<'_>, scenario: &Scenario) -> JobClass {
     let shapes = [
         ("array", JobKind::Array),
         ("gang", JobKind::Gang),
@@ -496,7 +496,7 @@
     if !scenario.kinds.iter().any(|k| k.machine.room.covers(&room)) {
         t.fault("cpus", "a task fits no machine type");
     }
-    Class {
+    JobClass {
         name: t.text("name", None),
         teams,
         shape: t
@@ -515,7 +515,7 @@
         ),
         per_min: t.number("per_min", 0.0, 1e6, Some(0.0)),
         at_start: t.whole("at_start", 0, 1_000_000, Some(0)) as u32,
-        zone: t.has("zone").then(|| trouble::known_zone(t, scenario)),
+        zone: t.has("zone").then(|| fault::known_zone(t, scenario)),
         one_zone: t.flag("one_zone", false),
         spread: t.flag("spread", false),
         spot: t.flag("spot", false),
@@ -532,13 +532,13 @@
 }
 
 /// A number, or a table that names a distribution.
-fn dist(t: &Section<'_>, name: &str, or: Option<f64>) -> Dist {
+fn dist(t: &TomlSection<'_>, name: &str, or: Option<f64>) -> ValueDistribution {
     match t.raw(name) {
         Some(DeValue::Table(_)) => {}
         Some(value) if as_number(value).is_some() => {
-            return Dist::Fixed(t.number(name, 0.0, 1e9, None));
+            return ValueDistribution::Fixed(t.number(name, 0.0, 1e9, None));
         }
-        _ => return Dist::Fixed(t.number(name, 0.0, 1e9, or)),
+        _ => return ValueDistribution::Fixed(t.number(name, 0.0, 1e9, or)),
     }
     let d = t.table(name);
     let most = 1e9;
@@ -560,17 +560,17 @@
             if high < low {
                 d.fault("high", "is below low");
             }
-            Dist::Uniform(low, high)
+            ValueDistribution::Uniform(low, high)
         }
-        Some(1) => Dist::Exp(d.number("mean", 1e-9, most, None)),
-        Some(2) => Dist::LogNormal(
+        Some(1) => ValueDistribution::Exponential(d.number("mean", 1e-9, most, None)),
+        Some(2) => ValueDistribution::LogNormal(
             d.number("median", 1e-9, most, None),
             d.number("sigma", 0.0, 10.0, None),
         ),
-        Some(3) => Dist::Pareto(
+        Some(3) => ValueDistribution::Pareto(
             d.number("least", 1e-9, most, None),
             d.number("shape", 0.01, 100.0, None),
         ),
-        _ => Dist::Fixed(0.0),
+        _ => ValueDistribution::Fixed(0.0),
     }
 }
--- a/crates/simulator/src/scenario/trouble.rs
+++ b/crates/simulator/src/scenario/fault.rs
@@ -1,6 +1,6 @@
 //! Troubles of a scenario: what goes wrong, when and for how long.
 
-use super::{Scenario, Section};
+use super::{Scenario, TomlSection};
 
 /// How much later a write is carried out that got no answer.
 pub const LATE_WRITES: Seconds = Seconds {
@@ -16,7 +16,7 @@
 
 /// What goes wrong at a time.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Trouble {
+pub enum FaultKind {
     /// A controller ends and comes back.
     Crash {
         /// Which one; none: all of them.
@@ -142,11 +142,11 @@
 }
 
 impl Seconds {
-    fn read(t: &Section<'_>) -> Self {
+    fn read(t: &TomlSection<'_>) -> Self {
         Self::read_or(t, None)
     }
 
-    fn read_or(t: &Section<'_>, usual: Option<Self>) -> Self {
+    fn read_or(t: &TomlSection<'_>, usual: Option<Self>) -> Self {
         let low = t.number("low_s", 0.0, 3_600.0, usual.map(|s| s.low));
         Self {
             low,
@@ -164,7 +164,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fault {
     /// What.
-    pub trouble: Trouble,
+    pub trouble: FaultKind,
     /// When, s.
     pub at_s: f64,
     /// For how long, s.
@@ -179,13 +179,13 @@
     /// When nothing more comes of it, s: late copies have arrived, a roll is through.
     pub(super) fn over_s(&self, hosts: u16) -> f64 {
         let more = match self.trouble {
-            Trouble::Roll => self.for_s * f64::from(hosts),
-            Trouble::LateCopies { seconds, .. }
-            | Trouble::StoreSlow { seconds }
-            | Trouble::HeldOrders { seconds } => seconds.high,
-            Trouble::LateWrites { at_once: false } => LATE_WRITES.high,
-            Trouble::CancelNow { hang_s, .. } => hang_s,
-            Trouble::TakeSpot { notice_s } => 1.5 * notice_s,
+            FaultKind::Roll => self.for_s * f64::from(hosts),
+            FaultKind::LateCopies { seconds, .. }
+            | FaultKind::StoreSlow { seconds }
+            | FaultKind::HeldOrders { seconds } => seconds.high,
+            FaultKind::LateWrites { at_once: false } => LATE_WRITES.high,
+            FaultKind::CancelNow { hang_s, .. } => hang_s,
+            FaultKind::TakeSpot { notice_s } => 1.5 * notice_s,
             _ => 0.0,
         };
         self.at_s + self.for_s + more
@@ -249,7 +249,7 @@
     "state_limits",
 ];
 
-pub(super) fn known_zone(t: &Section<'_>, scenario: &Scenario) -> String {
+pub(super) fn known_zone(t: &TomlSection<'_>, scenario: &Scenario) -> String {
     let zone = t.text("zone", None);
     if !scenario.zones.contains(&zone) {
         t.fault(
@@ -263,46 +263,46 @@
     zone
 }
 
-pub(super) fn fault(t: &Section<'_>, scenario: &Scenario) -> Option<Fault> {
+pub(super) fn fault(t: &TomlSection<'_>, scenario: &Scenario) -> Option<Fault> {
     let most = u64::from(scenario.shards) - 1;
     let host = |name: &str| t.whole(name, 0, most, None) as usize;
     let at_s = t.number("at_s", 0.0, scenario.duration_s, None);
     let for_s = t.number("for_s", 0.0, scenario.duration_s - at_s, Some(5.0));
     let trouble = match t.word("kind", &KINDS.map(|kind| (kind, kind)), None)? {
-        "crash" => Trouble::Crash {
+        "crash" => FaultKind::Crash {
             host: t.has("controller").then(|| host("controller")),
         },
-        "roll" => Trouble::Roll,
-        "store_down" => Trouble::StoreDown,
-        "refused" if t.flag("carried", false) => Trouble::Cut(Link::Barred(host("controller"))),
-        "refused" => Trouble::Cut(Link::Store(host("controller"))),
-        "cloud_down" => Trouble::CloudDown,
+        "roll" => FaultKind::Roll,
+        "store_down" => FaultKind::StoreDown,
+        "refused" if t.flag("carried", false) => FaultKind::Cut(Link::Barred(host("controller"))),
+        "refused" => FaultKind::Cut(Link::Store(host("controller"))),
+        "cloud_down" => FaultKind::CloudDown,
         "cut_controllers" => {
             let (a, b) = (host("controller"), host("other"));
-            Trouble::Cut(Link::Hosts(a.min(b), a.max(b)))
+            FaultKind::Cut(Link::Hosts(a.min(b), a.max(b)))
         }
-        "silent" => Trouble::Silent,
-        "hang" => Trouble::Hang,
-        "faulty" => Trouble::Faulty,
-        "cut_zone" => Trouble::CutZone {
+        "silent" => FaultKind::Silent,
+        "hang" => FaultKind::Hang,
+        "faulty" => FaultKind::Faulty,
+        "cut_zone" => FaultKind::CutZone {
             zone: known_zone(t, scenario),
         },
         "cut_workers" if t.has("zone") => {
-            Trouble::Cut(Link::Zone(host("controller"), known_zone(t, scenario)))
+            FaultKind::Cut(Link::Zone(host("controller"), known_zone(t, scenario)))
         }
-        "cut_workers" => Trouble::Cut(Link::Workers(host("controller"))),
-        "freeze" => Trouble::Freeze {
+        "cut_workers" => FaultKind::Cut(Link::Workers(host("controller"))),
+        "freeze" => FaultKind::Freeze {
             host: host("controller"),
         },
-        "die" => Trouble::Die,
-        "cut_cloud" => Trouble::Cut(Link::Cloud(host("controller"))),
-        "cut_one_way" => Trouble::Cut(Link::OneWay(host("controller"), host("other"))),
-        "cut_users" => Trouble::Cut(Link::Users(host("controller"))),
-        "boots" => Trouble::Boots {
+        "die" => FaultKind::Die,
+        "cut_cloud" => FaultKind::Cut(Link::Cloud(host("controller"))),
+        "cut_one_way" => FaultKind::Cut(Link::OneWay(host("controller"), host("other"))),
+        "cut_users" => FaultKind::Cut(Link::Users(host("controller"))),
+        "boots" => FaultKind::Boots {
             factor: t.number("factor", 0.001, 1_000.0, Some(1.0)),
             zone: t.has("zone").then(|| known_zone(t, scenario)),
         },
-        "polls" => Trouble::Polls {
+        "polls" => FaultKind::Polls {
             factor: t.number("factor", 1.0, 1_000.0, None),
         },
         "deaf" => {
@@ -310,7 +310,7 @@
                 .has("only")
                 .then(|| t.word("only", &[("answers", true), ("commands", false)], None))
                 .flatten();
-            Trouble::Deaf {
+            FaultKind::Deaf {
                 zone: t.has("zone").then(|| known_zone(t, scenario)),
                 host: t.has("controller").then(|| host("controller")),
                 answers: only != Some(false),
@@ -319,40 +319,40 @@
         }
         "late_copies" => {
             let for_next = t.flag("for_next", false);
-            Trouble::LateCopies {
+            FaultKind::LateCopies {
                 seconds: Seconds::read_or(t, for_next.then_some(KEPT_COPIES)),
                 for_next,
             }
         }
-        "alone" => Trouble::Alone {
+        "alone" => FaultKind::Alone {
             host: host("controller"),
         },
-        "reborn" => Trouble::Reborn,
-        "late_writes" => Trouble::LateWrites {
+        "reborn" => FaultKind::Reborn,
+        "late_writes" => FaultKind::LateWrites {
             at_once: t.flag("at_once", false),
         },
-        "mute" => Trouble::Mute {
+        "mute" => FaultKind::Mute {
             zone: t.has("zone").then(|| known_zone(t, scenario)),
         },
-        "close_looks" => Trouble::CloseLooks,
-        "cancel_at_end" => Trouble::CancelAtEnd,
-        "cancel_now" => Trouble::CancelNow {
+        "close_looks" => FaultKind::CloseLooks,
+        "cancel_at_end" => FaultKind::CancelAtEnd,
+        "cancel_now" => FaultKind::CancelNow {
             count: t.whole("count", 1, 100_000, Some(10)) as usize,
             hang_s: t.number("hang_s", 0.0, 3_600.0, Some(0.0)),
         },
-        "odd_requests" => Trouble::OddRequests,
-        "state_limits" => Trouble::StateLimits,
-        "store_slow" => Trouble::StoreSlow {
+        "odd_requests" => FaultKind::OddRequests,
+        "state_limits" => FaultKind::StateLimits,
+        "store_slow" => FaultKind::StoreSlow {
             seconds: Seconds::read(t),
         },
-        "held_orders" => Trouble::HeldOrders {
+        "held_orders" => FaultKind::HeldOrders {
             seconds: Seconds::read(t),
         },
-        _ => Trouble::TakeSpot {
+        _ => FaultKind::TakeSpot {
             notice_s: t.number("notice_s", 0.0, 3_600.0, Some(0.0)),
         },
     };
-    let usual_share = if matches!(trouble, Trouble::Boots { .. }) {
+    let usual_share = if matches!(trouble, FaultKind::Boots { .. }) {
         0.0
     } else {
         0.1
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/simulation.rs
@@ -6,13 +6,13 @@
 //! same scenario, load and seed give the same history.
 
 mod controllers;
-mod requests;
-mod sending;
-mod services;
-mod troubles;
+mod adversarial_users;
+mod network;
+mod external_services;
+mod faults;
 mod users;
-mod waiting;
-mod ways;
+mod starvation;
+mod routes;
 mod workers;
 
 use std::cmp::Reverse;
@@ -42,17 +42,17 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::checker::Checker;
+use crate::invariants::InvariantChecker;
 use crate::cloud::Cloud;
-use crate::ground::{Call, Ground, Load};
+use crate::workload_state::{GangSignal, WorkloadState, SimulatedJob};
 use crate::history::History;
-use crate::host::{For, Host, Input, Reading};
-use crate::measures::Measures;
-use crate::scenario::{LATE_WRITES, Link, Scenario, Trouble};
-use crate::store::{Store, TxnAnswer};
+use crate::controller::{CasOrigin, Controller, Input, StateRead};
+use crate::metrics::MetricsCollector;
+use crate::scenario::{LATE_WRITES, Link, Scenario, FaultKind};
+use crate::store::{Store, CasAnswer};
 use crate::worker::{NEVER, Worker};
-use services::followed;
-use ways::Way;
+use external_services::followed;
+use routes::ServiceRoute;
 
 /// µs of a ms.
 const MS: u64 = 1_000;
@@ -68,37 +68,37 @@
 const ANSWER_US: u64 = 2_000 * MS;
 
 /// A job with the time of its submission.
-pub struct Planned {
+pub struct PlannedSubmission {
     /// When, µs.
     pub at_us: u64,
     /// What.
-    pub load: Load,
+    pub load: SimulatedJob,
     /// When its user withdraws it, µs.
     pub withdraw_us: Option<u64>,
 }
 
 enum Event {
     /// Something for a controller in this life.
-    To(usize, u64, Box<Input>),
+    Deliver(usize, u64, Box<Input>),
     /// It goes on with its inbox.
-    Wake(usize, u64),
+    ProcessInbox(usize, u64),
     Tick(usize, u64),
-    Read(usize, u64),
-    Holds(usize, u64),
-    ListSoon(usize, u64),
+    ReadState(usize, u64),
+    KeepLeases(usize, u64),
+    ScheduleInstanceList(usize, u64),
     /// A request reaches the store.
-    PlacementRequest(usize, u64, Request, Way),
+    StoreRequest(usize, u64, StoreRequest, ServiceRoute),
     /// The store carries it out; its answer takes so long, `None`: none comes.
-    Serve(usize, u64, Request, Option<u64>),
-    Orders(usize, u64, ShardLease, Box<CommandCall>, bool),
-    Worker(usize),
+    StoreExecutes(usize, u64, StoreRequest, Option<u64>),
+    Commands(usize, u64, ShardLease, Box<CommandCall>, bool),
+    WorkerWakes(usize),
     /// A report arrives a second time.
-    Copy(usize, usize, Box<Heartbeat>),
-    Answer(usize, u64, u64, Box<HeartbeatAnswer>),
-    Call(Call),
-    Rent(usize, u64, ShardLease, Box<ProvisioningRequest>, Way),
-    Release(usize, u64, ShardLease, Vec<MachineId>, Way),
-    List(usize, u64, Way),
+    DuplicateHeartbeat(usize, usize, Box<Heartbeat>),
+    HeartbeatAnswer(usize, u64, u64, Box<HeartbeatAnswer>),
+    GangSignal(GangSignal),
+    Provision(usize, u64, ShardLease, Box<ProvisioningRequest>, ServiceRoute),
+    Release(usize, u64, ShardLease, Vec<MachineId>, ServiceRoute),
+    ListInstances(usize, u64, ServiceRoute),
     /// The direct way to a service is tried.
     Probe(usize, u64, Service),
     Submit(JobId, u64),
@@ -109,41 +109,41 @@
     Boot(usize),
     Fault(usize),
     /// A link goes down or comes up.
-    Flap(Link, bool),
+    LinkFlaps(Link, bool),
     FaultOver(usize, Vec<usize>),
-    TakeMachine(usize),
+    RemoveMachine(usize),
     /// Users send odd requests while this trouble lasts.
     OddRequests(usize),
-    Look,
+    Inspect,
 }
 
 /// What a controller asks of the store.
-enum Request {
-    CompareAndSwap(For, Box<CompareAndSwap>),
+enum StoreRequest {
+    CompareAndSwap(CasOrigin, Box<CompareAndSwap>),
     /// The changes of the followed keys since a revision; when it was asked for.
-    Reading(Option<u64>, u64),
+    StateRead(Option<u64>, u64),
     /// A hold is renewed, or opened.
-    Hold(Option<u64>),
+    StoreLease(Option<u64>),
 }
 
-struct Timed {
+struct ScheduledEvent {
     at: u64,
     seq: u64,
     event: Event,
 }
 
-impl PartialEq for Timed {
+impl PartialEq for ScheduledEvent {
     fn eq(&self, other: &Self) -> bool {
         (self.at, self.seq) == (other.at, other.seq)
     }
 }
-impl Eq for Timed {}
-impl PartialOrd for Timed {
+impl Eq for ScheduledEvent {}
+impl PartialOrd for ScheduledEvent {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
-impl Ord for Timed {
+impl Ord for ScheduledEvent {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         (self.at, self.seq).cmp(&(other.at, other.seq))
     }
@@ -165,7 +165,7 @@
 }
 
 /// The world.
-pub struct World {
+pub struct Simulation {
     /// Time, µs.
     pub now: u64,
     /// Events worked off.
@@ -179,15 +179,15 @@
     /// The cloud.
     pub cloud: Cloud,
     /// What the workers share.
-    pub ground: Ground,
+    pub ground: WorkloadState,
     /// Controllers.
-    pub hosts: Vec<Host>,
+    pub hosts: Vec<Controller>,
     /// Links that are down.
     pub down: BTreeSet<Link>,
     /// Zones that are cut off from everything.
     pub cut_zones: BTreeSet<String>,
     /// Figures.
-    pub measures: Measures,
+    pub measures: MetricsCollector,
     /// Bytes of the largest message that went through the store.
     pub largest_mail: usize,
     /// Machines that are rented now take so many times as long, or never come up
@@ -206,39 +206,39 @@
     /// When something was last not as it should be.
     troubled_at: u64,
     rng: ChaCha8Rng,
-    queue: BinaryHeap<Reverse<Timed>>,
+    queue: BinaryHeap<Reverse<ScheduledEvent>>,
     seq: u64,
     users: HashMap<JobId, UserJob>,
     /// Copies of reports that are kept for the next leader, with their machines.
     kept_reports: Vec<Heartbeat>,
     /// Jobs that fit no machine.
     unfit: BTreeSet<JobId>,
-    waiting: waiting::WaitingJobs,
-    plan: HashMap<JobId, Planned>,
+    waiting: starvation::StarvationMonitor,
+    plan: HashMap<JobId, PlannedSubmission>,
 }
 
-impl World {
+impl Simulation {
     /// A world at time 0, with its load to come.
-    pub fn new(scenario: Arc<Scenario>, load: Vec<Planned>, seed: u64, history: History) -> Self {
+    pub fn new(scenario: Arc<Scenario>, load: Vec<PlannedSubmission>, seed: u64, history: History) -> Self {
         let limits = scenario
             .teams
             .iter()
             .map(|t| (t.name.clone(), team_limit(t)))
             .collect();
-        let checker = Checker::new(limits, (scenario.workers.cancel_s * 1e6) as u64);
+        let checker = InvariantChecker::new(limits, (scenario.workers.cancel_s * 1e6) as u64);
         let mut world = Self {
             now: 0,
             events: 0,
             store: Store::new(&scenario.state),
             workers: vec![None],
             cloud: Cloud::new(&scenario),
-            ground: Ground::new(scenario.workers.clone(), checker, history),
+            ground: WorkloadState::new(scenario.workers.clone(), checker, history),
             hosts: (0..usize::from(scenario.shards))
-                .map(|_| Host::new(&scenario))
+                .map(|_| Controller::new(&scenario))
                 .collect(),
             down: BTreeSet::new(),
             cut_zones: BTreeSet::new(),
-            measures: Measures::default(),
+            measures: MetricsCollector::default(),
             largest_mail: 0,
             boots: None,
             asked_often: 1.0,
@@ -253,7 +253,7 @@
             users: HashMap::new(),
             kept_reports: Vec::new(),
             unfit: BTreeSet::new(),
-            waiting: waiting::WaitingJobs::default(),
+            waiting: starvation::StarvationMonitor::default(),
             plan: HashMap::new(),
             scenario,
         };
@@ -267,12 +267,12 @@
         for (i, fault) in world.scenario.clone().faults.iter().enumerate() {
             world.at((fault.at_s * 1e6) as u64, Event::Fault(i));
         }
-        world.at(LOOK_US, Event::Look);
+        world.at(LOOK_US, Event::Inspect);
         world
     }
 
     /// A job that comes at its time, or now if that is past.
-    pub fn submit_at(&mut self, planned: Planned) {
+    pub fn submit_at(&mut self, planned: PlannedSubmission) {
         let id = planned.load.spec.id.clone();
         let at = planned.at_us.max(self.now);
         self.push(at, Event::Submit(id.clone(), 0));
@@ -332,7 +332,7 @@
 
     fn push(&mut self, at: u64, event: Event) {
         self.seq += 1;
-        self.queue.push(Reverse(Timed {
+        self.queue.push(Reverse(ScheduledEvent {
             at,
             seq: self.seq,
             event,
@@ -359,7 +359,7 @@
             if next.at > end {
                 break;
             }
-            let Some(Reverse(Timed { at, event, .. })) = self.queue.pop() else {
+            let Some(Reverse(ScheduledEvent { at, event, .. })) = self.queue.pop() else {
                 break;
             };
             self.now = self.now.max(at);
@@ -378,14 +378,14 @@
     fn handle(&mut self, event: Event) {
         let now = self.now;
         match event {
-            Event::To(host, life, input) => {
+            Event::Deliver(host, life, input) => {
                 if self.alive(host, life) {
                     self.deliver(host, *input);
                 } else {
                     self.unheard(host, *input);
                 }
             }
-            Event::Wake(host, life) => {
+            Event::ProcessInbox(host, life) => {
                 if self.alive(host, life) {
                     self.wake(host);
                 }
@@ -404,14 +404,14 @@
                 }
             }
             // What a process that stands still would have begun.
-            Event::Read(host, life) if self.hosts[host].frozen_until > now => {
+            Event::ReadState(host, life) if self.hosts[host].frozen_until > now => {
                 self.hosts[host].read_due = self.hosts[host].frozen_until;
-                self.push(self.hosts[host].frozen_until, Event::Read(host, life));
+                self.push(self.hosts[host].frozen_until, Event::ReadState(host, life));
             }
-            Event::Holds(host, life) if self.hosts[host].frozen_until > now => {
-                self.push(self.hosts[host].frozen_until, Event::Holds(host, life));
+            Event::KeepLeases(host, life) if self.hosts[host].frozen_until > now => {
+                self.push(self.hosts[host].frozen_until, Event::KeepLeases(host, life));
             }
-            Event::Read(host, life) => {
+            Event::ReadState(host, life) => {
                 if self.alive(host, life)
                     && !self.hosts[host].reading
                     && self.hosts[host].read_due == now
@@ -424,43 +424,43 @@
                     let way = self.way(host, Service::Store, 0);
                     self.push(
                         at,
-                        Event::PlacementRequest(host, life, Request::Reading(after, now), way),
+                        Event::StoreRequest(host, life, StoreRequest::StateRead(after, now), way),
                     );
                 }
             }
-            Event::Holds(host, life) => self.holds(host, life),
-            Event::PlacementRequest(host, life, request, way) => {
+            Event::KeepLeases(host, life) => self.holds(host, life),
+            Event::StoreRequest(host, life, request, way) => {
                 self.asked_of_store(host, life, request, way)
             }
-            Event::Serve(host, life, request, answer_us) => {
+            Event::StoreExecutes(host, life, request, answer_us) => {
                 self.serve(host, life, request, answer_us)
             }
-            Event::Orders(host, life, lease, call, late) => {
+            Event::Commands(host, life, lease, call, late) => {
                 self.orders_arrive(host, life, lease, *call, late)
             }
-            Event::Worker(number) => self.worker_wakes(number),
-            Event::Copy(number, host, report) => self.copy_arrives(number, host, *report),
-            Event::Answer(number, session, sent, answer) => {
+            Event::WorkerWakes(number) => self.worker_wakes(number),
+            Event::DuplicateHeartbeat(number, host, report) => self.copy_arrives(number, host, *report),
+            Event::HeartbeatAnswer(number, session, sent, answer) => {
                 self.worker_answered(number, session, sent, *answer)
             }
-            Event::Call(Call::Look(id, at)) if at > now => {
-                self.push(at, Event::Call(Call::Look(id, at)))
+            Event::GangSignal(GangSignal::StopDeadline(id, at)) if at > now => {
+                self.push(at, Event::GangSignal(GangSignal::StopDeadline(id, at)))
             }
-            Event::Call(Call::Look(id, _)) => {
+            Event::GangSignal(GangSignal::StopDeadline(id, _)) => {
                 self.ground.look(&id, now);
                 self.pass_calls();
             }
-            Event::Call(call) => {
-                let (Call::Run(number, ..)
-                | Call::Peers(number, ..)
-                | Call::Stopped(number, ..)
-                | Call::ProcessStall(number, _)) = &call
+            Event::GangSignal(call) => {
+                let (GangSignal::Start(number, ..)
+                | GangSignal::PeerLost(number, ..)
+                | GangSignal::Stopped(number, ..)
+                | GangSignal::ProgressHalted(number, _)) = &call
                 else {
                     return;
                 };
                 self.with_worker(*number, |w, ground| w.take_call(call, now, ground));
             }
-            Event::Rent(host, life, lease, rental, way) => {
+            Event::Provision(host, life, lease, rental, way) => {
                 self.rent(host, life, lease, *rental, way)
             }
             Event::Release(host, life, lease, names, way) => {
@@ -477,29 +477,29 @@
                 let at = now + self.travel();
                 self.push(
                     at,
-                    Event::To(host, life, Box::new(Input::Released(lease, names))),
+                    Event::Deliver(host, life, Box::new(Input::Released(lease, names))),
                 );
             }
-            Event::ListSoon(host, life) => {
+            Event::ScheduleInstanceList(host, life) => {
                 if self.alive(host, life) {
                     let wait = self.hosts[host].cloud.take(1.0, now);
                     let way = self.way(host, Service::Cloud, 0);
-                    self.at(wait, Event::List(host, life, way));
+                    self.at(wait, Event::ListInstances(host, life, way));
                     self.at(
                         LIST_EVERY_MS.max((self.cloud.listed() as u64) * 4) * MS,
-                        Event::ListSoon(host, life),
+                        Event::ScheduleInstanceList(host, life),
                     );
                 }
             }
             Event::Probe(host, life, service) => {
-                drop(self.served(host, life, Way::direct(service)))
+                drop(self.served(host, life, ServiceRoute::direct(service)))
             }
-            Event::List(host, life, way) => {
+            Event::ListInstances(host, life, way) => {
                 if self.served(host, life, way) {
                     let lag = (self.scenario.cloud.list_lag_s * 1e6) as u64;
                     let entries = self.cloud.list(now.saturating_sub(lag), &self.scenario);
                     let at = now + self.travel();
-                    self.push(at, Event::To(host, life, Box::new(Input::Listed(entries))));
+                    self.push(at, Event::Deliver(host, life, Box::new(Input::InstancesListed(entries))));
                 }
             }
             Event::Submit(id, tries) => self.user_submits(id, tries),
@@ -539,12 +539,12 @@
             }
             Event::Boot(host) => self.boot(host),
             Event::Fault(i) => self.fault(i),
-            Event::Flap(link, true) => drop(self.down.insert(link)),
-            Event::Flap(link, false) => drop(self.down.remove(&link)),
+            Event::LinkFlaps(link, true) => drop(self.down.insert(link)),
+            Event::LinkFlaps(link, false) => drop(self.down.remove(&link)),
             Event::FaultOver(i, struck) => self.fault_over(i, &struck),
-            Event::TakeMachine(number) => self.take_machine(number),
+            Event::RemoveMachine(number) => self.take_machine(number),
             Event::OddRequests(fault) => self.odd_requests(fault),
-            Event::Look => {
+            Event::Inspect => {
                 self.store.expire(now);
                 self.ground.checker.check_time(now);
                 if self.troubled() {
@@ -554,7 +554,7 @@
                 self.look_at_waiting_jobs();
                 self.measures
                     .sample(now, &self.workers, &self.cloud, &self.hosts);
-                self.at(LOOK_US, Event::Look);
+                self.at(LOOK_US, Event::Inspect);
             }
         }
     }
--- a/crates/simulator/src/world/requests.rs
+++ b/crates/simulator/src/simulation/adversarial_users.rs
@@ -17,8 +17,8 @@
 /// How many times the largest machine a job takes that fits none.
 const FITS_NONE: f64 = 10.0;
 
-impl World {
-    fn struck_share(&self, wanted: impl Fn(&Trouble) -> bool) -> Option<f64> {
+impl Simulation {
+    fn struck_share(&self, wanted: impl Fn(&FaultKind) -> bool) -> Option<f64> {
         let faults = self.struck.keys().map(|i| &self.scenario.faults[*i]);
         faults
             .filter(|fault| wanted(&fault.trouble))
@@ -27,7 +27,7 @@
     }
 
     fn users_look_closely(&self) -> bool {
-        self.struck_share(|trouble| *trouble == Trouble::CloseLooks)
+        self.struck_share(|trouble| *trouble == FaultKind::CloseLooks)
             .is_some()
     }
 
@@ -52,7 +52,7 @@
     fn request_of(&mut self, host: usize, after_us: u64, input: Input) {
         let at = self.now + after_us + self.travel();
         let incarnation = self.hosts[host].life;
-        self.push(at, Event::To(host, incarnation, Box::new(input)));
+        self.push(at, Event::Deliver(host, incarnation, Box::new(input)));
     }
 
     /// While users look closely: all controllers are asked about a job at once, again and
@@ -80,7 +80,7 @@
 
     /// The last task of these jobs completed just now.
     pub(super) fn jobs_completed(&mut self, ids: Vec<JobId>) {
-        let share = self.struck_share(|trouble| *trouble == Trouble::CancelAtEnd);
+        let share = self.struck_share(|trouble| *trouble == FaultKind::CancelAtEnd);
         for id in ids {
             if share.is_some_and(|share| self.rng.random::<f64>() < share) {
                 self.look_at_end(&id);
@@ -126,7 +126,7 @@
                 .map(|worker| worker.number)
                 .collect();
             for number in machines.into_iter().take(HUNG_AT_MOST) {
-                self.strike(number, &Trouble::Hang, hang_us);
+                self.strike(number, &FaultKind::Hang, hang_us);
             }
         }
     }
@@ -180,12 +180,12 @@
             ..(*spec).clone()
         });
         self.unfit.insert(id.clone());
-        let load = Load {
+        let load = SimulatedJob {
             spec,
             run_us: vec![1],
             broken: true,
         };
-        self.submit_at(Planned {
+        self.submit_at(PlannedSubmission {
             at_us: self.now,
             load,
             withdraw_us: None,
--- a/crates/simulator/src/world/controllers.rs
+++ b/crates/simulator/src/simulation/controllers.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl World {
+impl Simulation {
     /// A process ends, and is back after a while.
     pub fn crash(&mut self, host: usize, back_us: u64) {
         for input in std::mem::take(&mut self.hosts[host].inbox) {
@@ -34,11 +34,11 @@
             .note(now, "controller starts", &host, &"");
         let life = self.hosts[host].life;
         self.hosts[host].read_due = now;
-        self.at(0, Event::Read(host, life));
+        self.at(0, Event::ReadState(host, life));
         self.at(MS, Event::Tick(host, life));
-        self.at(100 * MS, Event::Holds(host, life));
+        self.at(100 * MS, Event::KeepLeases(host, life));
         let first = self.rng.random_range(0..LIST_EVERY_MS * MS);
-        self.at(first, Event::ListSoon(host, life));
+        self.at(first, Event::ScheduleInstanceList(host, life));
     }
 
     pub(super) fn deliver(&mut self, host: usize, input: Input) {
@@ -50,7 +50,7 @@
         if !h.waking {
             h.waking = true;
             let (at, life) = (h.busy_until.max(self.now), h.life);
-            self.push(at, Event::Wake(host, life));
+            self.push(at, Event::ProcessInbox(host, life));
         }
     }
 
@@ -100,7 +100,7 @@
         h.waking = !h.inbox.is_empty() || h.poked;
         if h.waking {
             let (at, life) = (h.busy_until.max(self.now), h.life);
-            self.push(at, Event::Wake(host, life));
+            self.push(at, Event::ProcessInbox(host, life));
         }
     }
 
@@ -122,13 +122,13 @@
         let life = self.hosts[host].life;
         let at = self.leaves(host) + self.travel();
         match effect {
-            Effect::CompareAndSwap(lease, cas) => self.send_txn(host, For::Core(lease), cas),
-            Effect::Chain(cas) => self.send_txn(host, For::Chain, cas),
+            Effect::CompareAndSwap(lease, cas) => self.send_txn(host, CasOrigin::Scheduler(lease), cas),
+            Effect::Chain(cas) => self.send_txn(host, CasOrigin::Dependencies, cas),
             Effect::ReadEnds(ids) => {
                 let at = at + self.travel();
-                self.push(at, Event::To(host, life, Box::new(Input::EndsRead(ids))));
+                self.push(at, Event::Deliver(host, life, Box::new(Input::JobEndsRead(ids))));
             }
-            Effect::Note(cas) => self.send_txn(host, For::Nobody, cas),
+            Effect::Note(cas) => self.send_txn(host, CasOrigin::Unattended, cas),
             Effect::Command(lease, call) => self.send_orders(host, lease, call, at),
             Effect::Sync(lease, sync) => self.send_sync(host, lease, sync, at),
             Effect::MailSync(sync) => {
@@ -161,7 +161,7 @@
                     for lease in held {
                         self.push(
                             at,
-                            Event::To(to, life, Box::new(Input::Nudge(shard, lease.shard))),
+                            Event::Deliver(to, life, Box::new(Input::WakeShard(shard, lease.shard))),
                         );
                     }
                 }
@@ -171,7 +171,7 @@
                 let way = self.way(host, Service::Cloud, 0);
                 self.push(
                     at + wait + 100 * MS,
-                    Event::Rent(host, life, lease, Box::new(rental), way),
+                    Event::Provision(host, life, lease, Box::new(rental), way),
                 );
             }
             Effect::Release(lease, names) => {
@@ -198,7 +198,7 @@
             let at = (h.read_at + REFRESH_BUSY_MS * MS).max(now);
             if at < h.read_due {
                 h.read_due = at;
-                self.push(at, Event::Read(host, life));
+                self.push(at, Event::ReadState(host, life));
             }
         }
     }
@@ -217,7 +217,7 @@
         h.poked = true;
         match input {
             Input::Tick => {}
-            Input::Report(number, report, sent) => {
+            Input::Heartbeat(number, report, sent) => {
                 let session = report.session;
                 match core.report(&report, ms) {
                     HeartbeatAnswer::Carry(to) => self.carry_report(host, to, number, report, sent),
@@ -227,44 +227,44 @@
                     }
                 }
             }
-            Input::CarriedReport(number, report, sent, by, life) => {
+            Input::RelayedHeartbeat(number, report, sent, by, life) => {
                 let answer = core.carried_report(&report, by as u16, ms);
                 self.answer_carried(host, number, &report, sent, (by, life), answer);
             }
-            Input::CarriedAnswer(number, session, sent, from, answer) => {
+            Input::RelayedAnswer(number, session, sent, from, answer) => {
                 core.links.reached(from as u16, answer.is_some(), ms);
                 let answer = answer.map_or(HeartbeatAnswer::Unable, |a| *a);
                 let at = self.leaves(host) + self.travel();
                 self.answer(at, host, number, session, sent, answer);
             }
-            Input::Tried(service, None, bytes, good) => core.links.tried(service, bytes, good, ms),
-            Input::Tried(service, Some(by), _, good) => core.links.carried(service, by, good, ms),
-            Input::Hail(life, word) => {
+            Input::RouteResult(service, None, bytes, good) => core.links.tried(service, bytes, good, ms),
+            Input::RouteResult(service, Some(by), _, good) => core.links.carried(service, by, good, ms),
+            Input::Gossip(life, word) => {
                 let from = usize::from(word.host);
                 let answer = Box::new(core.links.hail_in(*word, ms));
                 let at = self.leaves(host) + self.travel();
                 self.push(
                     at,
-                    Event::To(
+                    Event::Deliver(
                         from,
                         life,
-                        Box::new(Input::Hailed(host as u16, Some(answer))),
+                        Box::new(Input::GossipAnswer(host as u16, Some(answer))),
                     ),
                 );
             }
-            Input::Hailed(from, word) => {
+            Input::GossipAnswer(from, word) => {
                 core.links
                     .hailed(from, word.is_some(), word.map(|w| *w), ms)
             }
-            Input::Command(lease, call, result) => core.command_done(lease, &call, result, ms),
-            Input::View(lease, to, view) => core.sync_done(lease, to, view.map(|v| *v), ms),
-            Input::Rented(lease, rental, result) => core.rented(lease, &rental, result, ms),
+            Input::CommandResult(lease, call, result) => core.command_done(lease, &call, result, ms),
+            Input::SyncResponse(lease, to, view) => core.sync_done(lease, to, view.map(|v| *v), ms),
+            Input::Provisioned(lease, rental, result) => core.rented(lease, &rental, result, ms),
             Input::Released(lease, names) => core.released(lease, &names, true, ms),
-            Input::Listed(entries) => core.listed(&entries, ms),
+            Input::InstancesListed(entries) => core.listed(&entries, ms),
             Input::Superseded(by) => core.superseded(by, ms),
-            Input::Nudge(shard, from) => core.nudged(shard, from),
-            Input::Announced => self.want_reading(host),
-            Input::Sync(from, life, lease, sync) => {
+            Input::WakeShard(shard, from) => core.nudged(shard, from),
+            Input::JobAnnounced => self.want_reading(host),
+            Input::SyncRequest(from, life, lease, sync) => {
                 let answer = core.sync_in(&sync, ms);
                 if let Err(SyncError::Superseded(by)) = &answer
                     && from < self.hosts.len()
@@ -273,17 +273,17 @@
                     let at = self.leaves(host) + self.travel();
                     self.push(
                         at,
-                        Event::To(from, life, Box::new(Input::Superseded(by.clone()))),
+                        Event::Deliver(from, life, Box::new(Input::Superseded(by.clone()))),
                     );
                 }
                 self.answer_sync(host, from, life, lease, sync.to, answer.ok());
             }
-            Input::Read(began, reading) => self.take_reading(host, began, reading),
-            Input::Adopt(lease, chunks, images) => self.acquire(host, lease, chunks, images),
-            Input::Hold(answer) => self.hold_answered(host, answer),
+            Input::StateRead(began, reading) => self.take_reading(host, began, reading),
+            Input::ShardAcquired(lease, chunks, images) => self.acquire(host, lease, chunks, images),
+            Input::StoreLease(answer) => self.hold_answered(host, answer),
             // Asked for again at the loop's next step.
-            Input::HoldUnknown => self.hosts[host].keeping -= 1,
-            Input::EndsRead(ids) => {
+            Input::StoreLeaseUnknown => self.hosts[host].keeping -= 1,
+            Input::JobEndsRead(ids) => {
                 self.settle_ends(host, &ids);
                 if let Some(core) = self.hosts[host].core.as_mut() {
                     core.ends_read(&ids, ms);
@@ -298,7 +298,7 @@
                 let answer = core.answer(&id, ms);
                 self.answer_late(host, id, true, answer);
             }
-            Input::CompareAndSwap(whose, cas, outcome, versions) => {
+            Input::CasResult(whose, cas, outcome, versions) => {
                 self.txn_ended(host, whose, &cas, outcome, versions)
             }
         }
@@ -323,15 +323,15 @@
         let at = self.leaves(host) + self.travel();
         self.push(
             at,
-            Event::To(
+            Event::Deliver(
                 from,
                 life,
-                Box::new(Input::View(lease, shard, view.map(Box::new))),
+                Box::new(Input::SyncResponse(lease, shard, view.map(Box::new))),
             ),
         );
     }
 
-    pub(super) fn take_reading(&mut self, host: usize, began: u64, reading: Reading) {
+    pub(super) fn take_reading(&mut self, host: usize, began: u64, reading: StateRead) {
         let now = self.now;
         let h = &mut self.hosts[host];
         let Some(core) = h.core.as_mut() else { return };
@@ -362,7 +362,7 @@
                 REFRESH_IDLE_MS
             } * MS;
         let due = h.read_due;
-        self.push(due, Event::Read(host, life));
+        self.push(due, Event::ReadState(host, life));
         for (at, id, withdraw) in asked {
             self.answer_user(host, id, withdraw, good, at);
         }
@@ -381,7 +381,7 @@
             let life = self.hosts[host].life;
             return self.at(
                 TICK_MS * MS,
-                Event::To(host, life, Box::new(Input::Adopt(lease, chunks, images))),
+                Event::Deliver(host, life, Box::new(Input::ShardAcquired(lease, chunks, images))),
             );
         }
         let chunks: Vec<(JobId, u32, TaskChunkRecord, u64)> = chunks
@@ -416,7 +416,7 @@
     pub(super) fn txn_ended(
         &mut self,
         host: usize,
-        whose: For,
+        whose: CasOrigin,
         cas: &CompareAndSwap,
         outcome: Option<CompareAndSwapOutcome>,
         versions: Vec<(String, u64)>,
@@ -425,7 +425,7 @@
         let h = &mut self.hosts[host];
         let Some(core) = h.core.as_mut() else { return };
         match whose {
-            For::Core(lease) => {
+            CasOrigin::Scheduler(lease) => {
                 for (key, version) in versions {
                     if let Some((job, chunk)) = parse_run_key(&key) {
                         core.reread(lease, &job, chunk, version);
@@ -433,16 +433,16 @@
                 }
                 core.cas_done(lease, outcome.unwrap_or(CompareAndSwapOutcome::Again), ms);
             }
-            For::Nobody => {}
-            For::Chain => {
+            CasOrigin::Unattended => {}
+            CasOrigin::Dependencies => {
                 core.chain_done(outcome.unwrap_or(CompareAndSwapOutcome::Again), ms);
                 self.want_reading(host);
             }
-            For::Presence(hold) => {
+            CasOrigin::Presence(hold) => {
                 h.keeping -= 1;
                 h.hold = matches!(outcome, Some(CompareAndSwapOutcome::Done(_))).then_some(hold);
             }
-            For::Keeper(claim) => {
+            CasOrigin::LeaseKeeper(claim) => {
                 h.keeping -= 1;
                 // Given up here once it is given up in the store.
                 if let (
@@ -454,7 +454,7 @@
                 }
                 self.want_reading(host);
             }
-            For::User(id, withdraw, asked) => match outcome {
+            CasOrigin::User(id, withdraw, asked) => match outcome {
                 Some(CompareAndSwapOutcome::Done(_)) if withdraw => {
                     // Its end is told to a later question.
                     self.announce(host, &id);
@@ -484,7 +484,7 @@
                     self.await_reading(host, id, withdraw)
                 }
                 None if self.now < asked + USER_TIMEOUT_MS * MS => {
-                    self.send_txn(host, For::User(id, false, asked), cas.clone())
+                    self.send_txn(host, CasOrigin::User(id, false, asked), cas.clone())
                 }
                 _ => self.reply(host, id, None, 503),
             },
--- a/crates/simulator/src/world/services.rs
+++ b/crates/simulator/src/simulation/external_services.rs
@@ -2,9 +2,9 @@
 
 use super::*;
 
-impl Request {
+impl StoreRequest {
     fn writes(&self) -> usize {
-        if let Request::CompareAndSwap(_, cas) = self {
+        if let StoreRequest::CompareAndSwap(_, cas) = self {
             cas.writes.len()
         } else {
             0
@@ -14,23 +14,23 @@
     /// What its controller is left with when no answer comes.
     fn unanswered(&self) -> Input {
         match self {
-            Request::CompareAndSwap(whose, cas) => {
-                Input::CompareAndSwap(whose.clone(), (**cas).clone(), None, Vec::new())
+            StoreRequest::CompareAndSwap(whose, cas) => {
+                Input::CasResult(whose.clone(), (**cas).clone(), None, Vec::new())
             }
-            Request::Reading(_, began) => Input::Read(*began, Reading::Failed),
-            Request::Hold(_) => Input::HoldUnknown,
+            StoreRequest::StateRead(_, began) => Input::StateRead(*began, StateRead::Unavailable),
+            StoreRequest::StoreLease(_) => Input::StoreLeaseUnknown,
         }
     }
 }
 
-impl World {
+impl Simulation {
     /// The loop that keeps a controller's hold and parts, one step after the other.
     pub(super) fn holds(&mut self, host: usize, life: u64) {
         if !self.alive(host, life) {
             return;
         }
         let now = self.now;
-        self.at(2 * TICK_MS * MS, Event::Holds(host, life));
+        self.at(2 * TICK_MS * MS, Event::KeepLeases(host, life));
         let h = &mut self.hosts[host];
         if h.keeping > 0 || h.core.as_ref().is_none_or(|c| c.cache.revision.is_none()) {
             return;
@@ -42,7 +42,7 @@
             let way = self.way(host, Service::Store, 0);
             self.push(
                 at,
-                Event::PlacementRequest(host, life, Request::Hold(hold), way),
+                Event::StoreRequest(host, life, StoreRequest::StoreLease(hold), way),
             );
         }
         let Some(hold) = hold else { return };
@@ -76,7 +76,7 @@
     /// Sends a transaction that the loop waits for.
     fn keep(&mut self, host: usize, claim: Option<ElectionAction>, cas: CompareAndSwap) {
         self.hosts[host].keeping += 1;
-        self.send_txn(host, For::Keeper(claim), cas);
+        self.send_txn(host, CasOrigin::LeaseKeeper(claim), cas);
     }
 
     fn presence(&self, host: usize, hold: u64, left: Vec<u16>) -> CompareAndSwap {
@@ -99,7 +99,7 @@
                 let left = h.membership.left(core, now / MS);
                 h.keeping += 1;
                 let cas = self.presence(host, id, left);
-                self.send_txn(host, For::Presence(id), cas);
+                self.send_txn(host, CasOrigin::Presence(id), cas);
             }
             _ => h.hold = answer,
         }
@@ -107,9 +107,9 @@
 
     /// How long the store takes until it carries a request out and, after that, until
     /// it answers; `None`: its answer is lost.
-    fn pace(&mut self, request: &Request) -> (u64, Option<u64>) {
+    fn pace(&mut self, request: &StoreRequest) -> (u64, Option<u64>) {
         let (scenario, chances) = (self.scenario.clone(), self.scenario.chances);
-        let core = matches!(request, Request::CompareAndSwap(For::Core(_), _));
+        let core = matches!(request, StoreRequest::CompareAndSwap(CasOrigin::Scheduler(_), _));
         let (mut before, mut after) = (0, Some(0));
         if core && self.chance(chances.late_txn) {
             (before, after) = (self.rng.random_range(3_000..30_000) * MS, None);
@@ -118,12 +118,12 @@
         }
         for i in self.struck.keys().copied().collect::<Vec<_>>() {
             match scenario.faults[i].trouble {
-                Trouble::StoreSlow { seconds } => {
+                FaultKind::StoreSlow { seconds } => {
                     let whole = self.rng.random_range(seconds.us());
                     let first = self.rng.random_range(0..=whole);
                     (before, after) = (before + first, after.map(|us| us + whole - first));
                 }
-                Trouble::LateWrites { at_once }
+                FaultKind::LateWrites { at_once }
                     if request.writes() > 0
                         && self.rng.random::<f64>() < scenario.faults[i].share =>
                 {
@@ -143,7 +143,7 @@
 
     /// A request reaches the store. Who asked gives up after a while; what was asked
     /// for is carried out all the same, also once its controller is no more.
-    pub(super) fn asked_of_store(&mut self, host: usize, life: u64, request: Request, way: Way) {
+    pub(super) fn asked_of_store(&mut self, host: usize, life: u64, request: StoreRequest, way: ServiceRoute) {
         let passes = self.passes(host, way);
         let (before, after) = if passes {
             self.pace(&request)
@@ -162,14 +162,14 @@
         if !passes || !self.store.admit(request.writes(), self.now) {
             // Refused: the process waits before it tries again.
             let (input, wait) = match request {
-                Request::CompareAndSwap(whose, cas) => {
-                    let wait = if matches!(whose, For::Core(_)) {
+                StoreRequest::CompareAndSwap(whose, cas) => {
+                    let wait = if matches!(whose, CasOrigin::Scheduler(_)) {
                         2 * TICK_MS * MS
                     } else {
                         0
                     };
                     (
-                        Input::CompareAndSwap(
+                        Input::CasResult(
                             whose,
                             *cas,
                             Some(CompareAndSwapOutcome::Again),
@@ -181,18 +181,18 @@
                 other => (other.unanswered(), 0),
             };
             let at = self.now + wait + self.travel();
-            return self.push(at, Event::To(host, life, Box::new(input)));
+            return self.push(at, Event::Deliver(host, life, Box::new(input)));
         }
         if answer_us.is_none() {
             self.at(
                 patience,
-                Event::To(host, life, Box::new(request.unanswered())),
+                Event::Deliver(host, life, Box::new(request.unanswered())),
             );
         }
         if before == 0 {
             self.serve(host, life, request, answer_us);
         } else {
-            self.at(before, Event::Serve(host, life, request, answer_us));
+            self.at(before, Event::StoreExecutes(host, life, request, answer_us));
         }
     }
 
@@ -201,31 +201,31 @@
         &mut self,
         host: usize,
         life: u64,
-        request: Request,
+        request: StoreRequest,
         answer_us: Option<u64>,
     ) {
         let now = self.now;
         let answer = match request {
-            Request::Reading(after, began) => Input::Read(began, followed(&self.store, after)),
-            Request::Hold(Some(id)) => Input::Hold(self.store.renew(id, now).then_some(id)),
-            Request::Hold(None) => Input::Hold(Some(self.store.hold(HOLD_TTL_MS, now))),
-            Request::CompareAndSwap(whose, cas) => self.make(whose, *cas),
+            StoreRequest::StateRead(after, began) => Input::StateRead(began, followed(&self.store, after)),
+            StoreRequest::StoreLease(Some(id)) => Input::StoreLease(self.store.renew(id, now).then_some(id)),
+            StoreRequest::StoreLease(None) => Input::StoreLease(Some(self.store.hold(HOLD_TTL_MS, now))),
+            StoreRequest::CompareAndSwap(whose, cas) => self.make(whose, *cas),
         };
         if let Some(answer_us) = answer_us {
             let at = now + answer_us + self.travel();
-            self.push(at, Event::To(host, life, Box::new(answer)));
+            self.push(at, Event::Deliver(host, life, Box::new(answer)));
         }
     }
 
-    fn make(&mut self, whose: For, cas: CompareAndSwap) -> Input {
+    fn make(&mut self, whose: CasOrigin, cas: CompareAndSwap) -> Input {
         let now = self.now;
         let mut versions = Vec::new();
         let outcome = match self.store.cas(&cas) {
-            TxnAnswer::NoHold => CompareAndSwapOutcome::Again,
-            TxnAnswer::TooLarge => CompareAndSwapOutcome::Refused,
-            TxnAnswer::Conflict(keys) => {
+            CasAnswer::LeaseExpired => CompareAndSwapOutcome::Again,
+            CasAnswer::TooLarge => CompareAndSwapOutcome::Refused,
+            CasAnswer::Conflict(keys) => {
                 let version = |key: &str| self.store.get(key).map_or(0, |(_, version)| version);
-                if let For::Core(lease) = whose {
+                if let CasOrigin::Scheduler(lease) = whose {
                     versions.extend(
                         keys_to_reread(lease, &keys)
                             .into_iter()
@@ -234,7 +234,7 @@
                 }
                 CompareAndSwapOutcome::Conflict(keys)
             }
-            TxnAnswer::Done(revision) => {
+            CasAnswer::Committed(revision) => {
                 self.ground.checker.written(&cas, now);
                 self.measures.recorded(&cas, now);
                 self.note_ends(&cas, revision);
@@ -242,7 +242,7 @@
             }
         };
         if let (
-            For::Keeper(Some(ElectionAction::Take { shard, .. })),
+            CasOrigin::LeaseKeeper(Some(ElectionAction::Take { shard, .. })),
             CompareAndSwapOutcome::Done(token),
         ) = (&whose, &outcome)
         {
@@ -251,13 +251,13 @@
                 token: *token,
             };
             self.new_leader();
-            return Input::Adopt(
+            return Input::ShardAcquired(
                 lease,
                 self.store.list(&run_prefix(*shard)),
                 self.store.list(&images_prefix(*shard)),
             );
         }
-        Input::CompareAndSwap(whose, cas, Some(outcome), versions)
+        Input::CasResult(whose, cas, Some(outcome), versions)
     }
 
     pub(super) fn note_ends(&mut self, cas: &CompareAndSwap, revision: u64) {
@@ -277,7 +277,7 @@
         life: u64,
         lease: ShardLease,
         rental: ProvisioningRequest,
-        way: Way,
+        way: ServiceRoute,
     ) {
         let now = self.now;
         let result = if !self.served(host, life, way) {
@@ -329,15 +329,15 @@
         let at = now + self.travel();
         self.push(
             at,
-            Event::To(host, life, Box::new(Input::Rented(lease, rental, result))),
+            Event::Deliver(host, life, Box::new(Input::Provisioned(lease, rental, result))),
         );
     }
 }
 
 /// What the store says of the followed keys since a revision, or of all.
-pub(super) fn followed(store: &Store, after: Option<u64>) -> Reading {
+pub(super) fn followed(store: &Store, after: Option<u64>) -> StateRead {
     match after.and_then(|after| store.changes(FOLLOWED, after)) {
-        Some(changes) => Reading::Changes(changes, store.revision),
-        None => Reading::All(store.list(FOLLOWED), store.revision),
+        Some(changes) => StateRead::Changes(changes, store.revision),
+        None => StateRead::Snapshot(store.list(FOLLOWED), store.revision),
     }
 }
--- a/crates/simulator/src/world/troubles.rs
+++ b/crates/simulator/src/simulation/faults.rs
@@ -7,7 +7,7 @@
 /// Copies of one machine's reports that are kept at most.
 const KEPT_OF_MACHINE: usize = 3;
 
-impl World {
+impl Simulation {
     pub(super) fn fault(&mut self, i: usize) {
         let scenario = self.scenario.clone();
         let fault = &scenario.faults[i];
@@ -18,62 +18,62 @@
         let hosts = self.hosts.len();
         let mut struck = Vec::new();
         match &fault.trouble {
-            Trouble::Crash { host: Some(host) } => self.crash(*host, for_us),
-            Trouble::Crash { host: None } => (0..hosts).for_each(|h| self.crash(h, for_us)),
-            Trouble::Roll => {
+            FaultKind::Crash { host: Some(host) } => self.crash(*host, for_us),
+            FaultKind::Crash { host: None } => (0..hosts).for_each(|h| self.crash(h, for_us)),
+            FaultKind::Roll => {
                 // Each is away for a third of the time until the next one goes.
                 for h in 0..hosts {
                     self.at(for_us * h as u64, Event::FaultOver(i, vec![h]));
                 }
                 return;
             }
-            Trouble::StoreDown => self.store.down = true,
-            Trouble::StateLimits => self.store.lower_limits(&scenario.state),
-            Trouble::Cut(link) => {
+            FaultKind::StoreDown => self.store.down = true,
+            FaultKind::StateLimits => self.store.lower_limits(&scenario.state),
+            FaultKind::Cut(link) => {
                 self.down.insert(link.clone());
                 let flap_us = (fault.flap_s * 1e6) as u64;
                 for n in (1..).take_while(|n| flap_us > 0 && n * flap_us < for_us) {
-                    self.at(n * flap_us, Event::Flap(link.clone(), n % 2 == 0));
+                    self.at(n * flap_us, Event::LinkFlaps(link.clone(), n % 2 == 0));
                 }
             }
-            Trouble::Alone { host } => {
+            FaultKind::Alone { host } => {
                 let links = self.all_but_workers(*host);
                 self.down.extend(links);
             }
-            Trouble::CloudDown => self.cloud.down = true,
-            Trouble::Boots { factor, zone } => {
+            FaultKind::CloudDown => self.cloud.down = true,
+            FaultKind::Boots { factor, zone } => {
                 self.boots = Some((*factor, fault.share, zone.clone()))
             }
-            Trouble::Polls { factor } => self.asked_often = *factor,
-            Trouble::CutZone { zone } => drop(self.cut_zones.insert(zone.clone())),
-            Trouble::Freeze { host } => {
+            FaultKind::Polls { factor } => self.asked_often = *factor,
+            FaultKind::CutZone { zone } => drop(self.cut_zones.insert(zone.clone())),
+            FaultKind::Freeze { host } => {
                 let until = self.now + for_us;
                 let h = &mut self.hosts[*host];
                 (h.frozen_until, h.busy_until) = (until, h.busy_until.max(until));
             }
             // Also machines that are rented into the zone meanwhile.
-            Trouble::Deaf { zone: Some(_), .. }
-            | Trouble::Mute { zone: Some(_) }
-            | Trouble::LateWrites { .. }
-            | Trouble::StoreSlow { .. }
-            | Trouble::HeldOrders { .. }
-            | Trouble::CloseLooks
-            | Trouble::CancelAtEnd => drop(self.struck.insert(i, BTreeSet::new())),
-            Trouble::OddRequests => {
+            FaultKind::Deaf { zone: Some(_), .. }
+            | FaultKind::Mute { zone: Some(_) }
+            | FaultKind::LateWrites { .. }
+            | FaultKind::StoreSlow { .. }
+            | FaultKind::HeldOrders { .. }
+            | FaultKind::CloseLooks
+            | FaultKind::CancelAtEnd => drop(self.struck.insert(i, BTreeSet::new())),
+            FaultKind::OddRequests => {
                 self.struck.insert(i, BTreeSet::new());
                 self.odd_requests(i);
             }
-            Trouble::CancelNow { count, hang_s } => self.cancel_now(*count, (hang_s * 1e6) as u64),
-            Trouble::Silent
-            | Trouble::Hang
-            | Trouble::Faulty
-            | Trouble::Die
-            | Trouble::Reborn
-            | Trouble::LateCopies { .. }
-            | Trouble::Deaf { .. }
-            | Trouble::Mute { .. }
-            | Trouble::TakeSpot { .. } => {
-                let spot_only = matches!(fault.trouble, Trouble::TakeSpot { .. });
+            FaultKind::CancelNow { count, hang_s } => self.cancel_now(*count, (hang_s * 1e6) as u64),
+            FaultKind::Silent
+            | FaultKind::Hang
+            | FaultKind::Faulty
+            | FaultKind::Die
+            | FaultKind::Reborn
+            | FaultKind::LateCopies { .. }
+            | FaultKind::Deaf { .. }
+            | FaultKind::Mute { .. }
+            | FaultKind::TakeSpot { .. } => {
+                let spot_only = matches!(fault.trouble, FaultKind::TakeSpot { .. });
                 let up: Vec<usize> = self
                     .workers
                     .iter()
@@ -87,7 +87,7 @@
                     .collect();
                 if matches!(
                     fault.trouble,
-                    Trouble::LateCopies { .. } | Trouble::Deaf { .. } | Trouble::Mute { .. }
+                    FaultKind::LateCopies { .. } | FaultKind::Deaf { .. } | FaultKind::Mute { .. }
                 ) {
                     self.struck.insert(i, struck.iter().copied().collect());
                 }
@@ -99,26 +99,26 @@
         self.at(for_us, Event::FaultOver(i, struck));
     }
 
-    pub(super) fn strike(&mut self, number: usize, trouble: &Trouble, for_us: u64) {
+    pub(super) fn strike(&mut self, number: usize, trouble: &FaultKind, for_us: u64) {
         let now = self.now;
         match trouble {
-            Trouble::Silent => drop(self.with_worker(number, |w, _| w.silent = true)),
-            Trouble::Die => self.take_machine(number),
-            Trouble::Reborn => {
+            FaultKind::Silent => drop(self.with_worker(number, |w, _| w.silent = true)),
+            FaultKind::Die => self.take_machine(number),
+            FaultKind::Reborn => {
                 // Connections to the earlier life end with it: what they held back
                 // never comes (statement 12 of `docs/design.md`).
-                let held = |e: &Event| matches!(e, Event::Orders(_, _, _, call, true) if machine_number(&call.machine) == number);
+                let held = |e: &Event| matches!(e, Event::Commands(_, _, _, call, true) if machine_number(&call.machine) == number);
                 self.queue.retain(|Reverse(timed)| !held(&timed.event));
                 self.with_worker(number, |w, ground| w.reborn(now, ground));
             }
-            Trouble::Faulty => drop(self.with_worker(number, |w, _| w.faulty = true)),
-            Trouble::Hang => {
+            FaultKind::Faulty => drop(self.with_worker(number, |w, _| w.faulty = true)),
+            FaultKind::Hang => {
                 drop(self.with_worker(number, |w, ground| w.hang(now, now + for_us, ground)))
             }
-            Trouble::TakeSpot { notice_s } => {
+            FaultKind::TakeSpot { notice_s } => {
                 let at = now + (notice_s * 1e6 * (0.5 + self.rng.random::<f64>())) as u64;
                 self.with_worker(number, |w, _| w.notice = (*notice_s > 0.0).then_some(at));
-                self.push(at, Event::TakeMachine(number));
+                self.push(at, Event::RemoveMachine(number));
             }
             _ => {}
         }
@@ -127,29 +127,29 @@
     pub(super) fn fault_over(&mut self, i: usize, struck: &[usize]) {
         let scenario = self.scenario.clone();
         match &scenario.faults[i].trouble {
-            Trouble::Roll => struck
+            FaultKind::Roll => struck
                 .iter()
                 .for_each(|&h| self.crash(h, (scenario.faults[i].for_s * 1e6 / 3.0) as u64)),
-            Trouble::StoreDown => self.store.recover(self.now),
-            Trouble::Cut(link) => drop(self.down.remove(link)),
-            Trouble::Alone { host } => {
+            FaultKind::StoreDown => self.store.recover(self.now),
+            FaultKind::Cut(link) => drop(self.down.remove(link)),
+            FaultKind::Alone { host } => {
                 let links = self.all_but_workers(*host);
                 self.down.retain(|link| !links.contains(link));
             }
-            Trouble::Deaf { .. }
-            | Trouble::LateCopies { .. }
-            | Trouble::Mute { .. }
-            | Trouble::CloseLooks
-            | Trouble::CancelAtEnd
-            | Trouble::OddRequests
-            | Trouble::LateWrites { .. }
-            | Trouble::StoreSlow { .. }
-            | Trouble::HeldOrders { .. } => drop(self.struck.remove(&i)),
-            Trouble::CloudDown => self.cloud.down = false,
-            Trouble::Boots { .. } => self.boots = None,
-            Trouble::Polls { .. } => self.asked_often = 1.0,
-            Trouble::CutZone { zone } => drop(self.cut_zones.remove(zone)),
-            Trouble::Silent => struck.iter().for_each(|&n| self.unsilence(n)),
+            FaultKind::Deaf { .. }
+            | FaultKind::LateCopies { .. }
+            | FaultKind::Mute { .. }
+            | FaultKind::CloseLooks
+            | FaultKind::CancelAtEnd
+            | FaultKind::OddRequests
+            | FaultKind::LateWrites { .. }
+            | FaultKind::StoreSlow { .. }
+            | FaultKind::HeldOrders { .. } => drop(self.struck.remove(&i)),
+            FaultKind::CloudDown => self.cloud.down = false,
+            FaultKind::Boots { .. } => self.boots = None,
+            FaultKind::Polls { .. } => self.asked_often = 1.0,
+            FaultKind::CutZone { zone } => drop(self.cut_zones.remove(zone)),
+            FaultKind::Silent => struck.iter().for_each(|&n| self.unsilence(n)),
             _ => {}
         }
     }
@@ -161,13 +161,13 @@
         others.chain([Link::Store(host)]).collect()
     }
 
-    fn struck_by(&self, number: usize) -> impl Iterator<Item = &Trouble> {
+    fn struck_by(&self, number: usize) -> impl Iterator<Item = &FaultKind> {
         let zone = self
             .workers
             .get(number)
             .and_then(Option::as_ref)
             .map(|w| &w.zone);
-        let here = move |trouble: &Trouble| matches!(trouble, Trouble::Deaf { zone: Some(z), .. } | Trouble::Mute { zone: Some(z) } if Some(z) == zone);
+        let here = move |trouble: &FaultKind| matches!(trouble, FaultKind::Deaf { zone: Some(z), .. } | FaultKind::Mute { zone: Some(z) } if Some(z) == zone);
         let faults = self
             .struck
             .iter()
@@ -183,7 +183,7 @@
         let scenario = self.scenario.clone();
         for i in self.struck.keys().copied().collect::<Vec<_>>() {
             let fault = &scenario.faults[i];
-            if let Trouble::HeldOrders { seconds } = fault.trouble
+            if let FaultKind::HeldOrders { seconds } = fault.trouble
                 && self.rng.random::<f64>() < fault.share
             {
                 self.held += 1;
@@ -200,7 +200,7 @@
     /// True if what a controller answers to a machine, or commands it, is lost.
     pub(super) fn deaf(&self, host: usize, number: usize, command: bool) -> bool {
         self.struck_by(number).any(|trouble| match trouble {
-            Trouble::Deaf {
+            FaultKind::Deaf {
                 host: only,
                 answers,
                 commands,
@@ -213,7 +213,7 @@
     /// True if a machine reaches no controller by itself.
     pub(super) fn mute(&self, number: usize) -> bool {
         self.struck_by(number)
-            .any(|trouble| matches!(trouble, Trouble::Mute { .. }))
+            .any(|trouble| matches!(trouble, FaultKind::Mute { .. }))
     }
 
     /// A copy of a report is kept for the next leader: an old one stays.
@@ -230,8 +230,8 @@
 
     /// A shard has a new leader: kept copies of reports reach every controller.
     pub(super) fn new_leader(&mut self) {
-        let kept_for_next = |trouble: &Trouble| match trouble {
-            Trouble::LateCopies {
+        let kept_for_next = |trouble: &FaultKind| match trouble {
+            FaultKind::LateCopies {
                 seconds,
                 for_next: true,
             } => Some(seconds.us()),
@@ -250,10 +250,10 @@
                 self.copies += 1;
                 self.push(
                     at,
-                    Event::To(
+                    Event::Deliver(
                         host,
                         incarnation,
-                        Box::new(Input::Report(0, report.clone(), at)),
+                        Box::new(Input::Heartbeat(0, report.clone(), at)),
                     ),
                 );
             }
@@ -263,8 +263,8 @@
     /// A report arrives again, much later, by then as nobody's: what is
     /// answered to it goes nowhere.
     pub(super) fn copy_report(&mut self, number: usize, report: &Heartbeat, host: usize) {
-        let late = |trouble: &Trouble| match trouble {
-            Trouble::LateCopies {
+        let late = |trouble: &FaultKind| match trouble {
+            FaultKind::LateCopies {
                 seconds,
                 for_next: false,
             } => Some(seconds.us()),
@@ -272,13 +272,13 @@
         };
         if self
             .struck_by(number)
-            .any(|trouble| matches!(trouble, Trouble::LateCopies { for_next: true, .. }))
+            .any(|trouble| matches!(trouble, FaultKind::LateCopies { for_next: true, .. }))
         {
             self.keep_report(report);
         }
         for range in self.struck_by(number).filter_map(late).collect::<Vec<_>>() {
             let later = self.rng.random_range(range);
-            self.at(later, Event::Copy(number, host, Box::new(report.clone())));
+            self.at(later, Event::DuplicateHeartbeat(number, host, Box::new(report.clone())));
         }
     }
 
@@ -299,7 +299,7 @@
         self.ground
             .history
             .note(self.now, "late copy", &report.machine, &to);
-        self.deliver(to, Input::Report(0, report, self.now));
+        self.deliver(to, Input::Heartbeat(0, report, self.now));
     }
 
     /// True while something is not as it should be.
--- a/crates/simulator/src/world/sending.rs
+++ b/crates/simulator/src/simulation/network.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl World {
+impl Simulation {
     /// True if what `a` sends to `b` does not get through, or its answer.
     pub(super) fn is_cut(&self, a: usize, b: usize) -> bool {
         self.down.contains(&Link::OneWay(a, b))
@@ -41,24 +41,24 @@
         core.config.members.iter().position(|m| m.host == *name)
     }
 
-    pub(super) fn send_txn(&mut self, host: usize, whose: For, cas: CompareAndSwap) {
+    pub(super) fn send_txn(&mut self, host: usize, whose: CasOrigin, cas: CompareAndSwap) {
         let (now, life) = (self.now, self.hosts[host].life);
         let h = &mut self.hosts[host];
         let wait = h
             .requests
             .take(1.0, now)
             .max(h.writes.take(cas.writes.len() as f64, now));
-        if matches!(whose, For::Core(_)) {
+        if matches!(whose, CasOrigin::Scheduler(_)) {
             self.measures.written(&cas, now, self.leaves(host));
         }
         let at = self.leaves(host) + wait + self.travel();
-        let way = self.way(host, Service::Store, ways::bytes(&cas));
+        let way = self.way(host, Service::Store, routes::bytes(&cas));
         self.push(
             at,
-            Event::PlacementRequest(
+            Event::StoreRequest(
                 host,
                 life,
-                Request::CompareAndSwap(whose, Box::new(cas)),
+                StoreRequest::CompareAndSwap(whose, Box::new(cas)),
                 way,
             ),
         );
@@ -87,7 +87,7 @@
         let held = if lost { None } else { self.held() };
         let late = !lost && (held.is_some() || self.chance(chances.late_command));
         if !lost && !late {
-            self.push(at, Event::Orders(host, life, lease, Box::new(call), false));
+            self.push(at, Event::Commands(host, life, lease, Box::new(call), false));
             return;
         }
         if late || self.chance(500) {
@@ -95,26 +95,26 @@
             let later = held.unwrap_or_else(|| self.rng.random_range(3_000..90_000) * MS);
             self.push(
                 at + later,
-                Event::Orders(host, life, lease, Box::new(call.clone()), true),
+                Event::Commands(host, life, lease, Box::new(call.clone()), true),
             );
         }
-        let unknown = Input::Command(lease, call, CommandResult::Unknown);
+        let unknown = Input::CommandResult(lease, call, CommandResult::Unknown);
         self.push(
             at + COMMAND_TIMEOUT_MS * MS,
-            Event::To(host, life, Box::new(unknown)),
+            Event::Deliver(host, life, Box::new(unknown)),
         );
     }
 
     pub(super) fn send_sync(&mut self, host: usize, lease: ShardLease, sync: SyncRequest, at: u64) {
         let life = self.hosts[host].life;
         let shard = sync.to;
-        let failed = move |lease| Box::new(Input::View(lease, shard, None));
+        let failed = move |lease| Box::new(Input::SyncResponse(lease, shard, None));
         self.hosts[host].work.peer_bytes += peer::written(&sync) as u64;
         let Some(to) = self
             .known_holder(host, shard)
             .filter(|to| self.hosts[*to].core.is_some())
         else {
-            self.push(at + 2 * MS, Event::To(host, life, failed(lease)));
+            self.push(at + 2 * MS, Event::Deliver(host, life, failed(lease)));
             return;
         };
         let lost = self.is_cut(host, to) || self.chance(self.scenario.chances.lost_sync);
@@ -124,25 +124,25 @@
                 let (to_life, sync) = (self.hosts[to].life, Box::new(sync));
                 self.push(
                     at + later,
-                    Event::To(
+                    Event::Deliver(
                         to,
                         to_life,
-                        Box::new(Input::Sync(usize::MAX, 0, lease, sync)),
+                        Box::new(Input::SyncRequest(usize::MAX, 0, lease, sync)),
                     ),
                 );
             }
             self.push(
                 at + SYNC_TIMEOUT_MS * MS,
-                Event::To(host, life, failed(lease)),
+                Event::Deliver(host, life, failed(lease)),
             );
         } else {
             let to_life = self.hosts[to].life;
             self.push(
                 at,
-                Event::To(
+                Event::Deliver(
                     to,
                     to_life,
-                    Box::new(Input::Sync(host, life, lease, Box::new(sync))),
+                    Box::new(Input::SyncRequest(host, life, lease, Box::new(sync))),
                 ),
             );
         }
@@ -151,22 +151,22 @@
     /// What was sent to a process that is no more has no answer.
     pub(super) fn unheard(&mut self, host: usize, input: Input) {
         let (to, life, failed) = match input {
-            Input::Sync(from, life, lease, sync) if from < self.hosts.len() => {
-                (from, life, Input::View(lease, sync.to, None))
+            Input::SyncRequest(from, life, lease, sync) if from < self.hosts.len() => {
+                (from, life, Input::SyncResponse(lease, sync.to, None))
             }
-            Input::Hail(life, word) => (
+            Input::Gossip(life, word) => (
                 usize::from(word.host),
                 life,
-                Input::Hailed(host as u16, None),
+                Input::GossipAnswer(host as u16, None),
             ),
-            Input::CarriedReport(number, report, sent, by, life) => (
+            Input::RelayedHeartbeat(number, report, sent, by, life) => (
                 by,
                 life,
-                Input::CarriedAnswer(number, report.session, sent, host, None),
+                Input::RelayedAnswer(number, report.session, sent, host, None),
             ),
             _ => return,
         };
-        self.at(SYNC_TIMEOUT_MS * MS, Event::To(to, life, Box::new(failed)));
+        self.at(SYNC_TIMEOUT_MS * MS, Event::Deliver(to, life, Box::new(failed)));
     }
 
     pub(super) fn mail(
@@ -183,7 +183,7 @@
         let piece = mail_piece_bytes((self.scenario.state.least_value_kb() * 1024.0) as usize);
         let cas = post(line, id, bytes, piece, hold);
         if cas.writes.len() <= self.scenario.state.least_txn_ops() {
-            self.send_txn(host, For::Nobody, cas);
+            self.send_txn(host, CasOrigin::Unattended, cas);
         }
     }
 }
--- a/crates/simulator/src/world/ways.rs
+++ b/crates/simulator/src/simulation/routes.rs
@@ -7,8 +7,8 @@
 use lemonweir_protocol::worker::Heartbeat;
 use rand::RngExt;
 
-use super::{Event, MS, World};
-use crate::host::Input;
+use super::{Event, MS, Simulation};
+use crate::controller::Input;
 use crate::scenario::Link;
 
 /// Bytes that a write of a transaction is taken to have: about a full chunk's.
@@ -16,14 +16,14 @@
 
 /// The way of a request to a service.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Way {
+pub(super) struct ServiceRoute {
     service: Service,
     bytes: usize,
     /// The controller that carries it.
     by: Option<u16>,
 }
 
-impl Way {
+impl ServiceRoute {
     pub(super) fn direct(service: Service) -> Self {
         Self {
             service,
@@ -38,15 +38,15 @@
     cas.writes.len() * WRITE_BYTES
 }
 
-impl World {
+impl Simulation {
     /// The way that a controller's core names for a request.
-    pub(super) fn way(&mut self, host: usize, service: Service, bytes: usize) -> Way {
+    pub(super) fn way(&mut self, host: usize, service: Service, bytes: usize) -> ServiceRoute {
         let ms = self.now / MS;
         let by = self.hosts[host]
             .core
             .as_mut()
             .and_then(|c| c.links.route(service, bytes, ms));
-        Way { service, bytes, by }
+        ServiceRoute { service, bytes, by }
     }
 
     fn reaches(&self, host: usize, service: Service) -> bool {
@@ -66,7 +66,7 @@
         there && !self.is_cut(host, by)
     }
 
-    pub(super) fn passes(&self, host: usize, way: Way) -> bool {
+    pub(super) fn passes(&self, host: usize, way: ServiceRoute) -> bool {
         if way.service == Service::Store && self.down.contains(&Link::Barred(host)) {
             return false;
         }
@@ -81,24 +81,24 @@
     }
 
     /// True if a request that arrives now is served; its controller hears.
-    pub(super) fn served(&mut self, host: usize, life: u64, way: Way) -> bool {
+    pub(super) fn served(&mut self, host: usize, life: u64, way: ServiceRoute) -> bool {
         let good = self.passes(host, way);
         self.tried(host, life, way, good, 0);
         good
     }
 
     /// A controller hears after so long what became of a request.
-    pub(super) fn tried(&mut self, host: usize, life: u64, way: Way, good: bool, after_us: u64) {
+    pub(super) fn tried(&mut self, host: usize, life: u64, way: ServiceRoute, good: bool, after_us: u64) {
         let at = self.now + after_us + self.travel();
         if way.by.is_some() {
             self.hosts[host].work.messages += 1;
         }
         self.push(
             at,
-            Event::To(
+            Event::Deliver(
                 host,
                 life,
-                Box::new(Input::Tried(way.service, way.by, way.bytes, good)),
+                Box::new(Input::RouteResult(way.service, way.by, way.bytes, good)),
             ),
         );
     }
@@ -135,24 +135,24 @@
                 self.rng.random_range(2_000..60_000) * MS,
                 self.hosts[to].life,
             );
-            let held = Input::CarriedReport(number, report, sent, host, life);
-            return self.push(at + later, Event::To(to, to_life, Box::new(held)));
+            let held = Input::RelayedHeartbeat(number, report, sent, host, life);
+            return self.push(at + later, Event::Deliver(to, to_life, Box::new(held)));
         }
         if !lost {
             let to_life = self.hosts[to].life;
             self.push(
                 at,
-                Event::To(
+                Event::Deliver(
                     to,
                     to_life,
-                    Box::new(Input::CarriedReport(number, report, sent, host, life)),
+                    Box::new(Input::RelayedHeartbeat(number, report, sent, host, life)),
                 ),
             );
         } else {
-            let lost = Input::CarriedAnswer(number, report.session, sent, to, None);
+            let lost = Input::RelayedAnswer(number, report.session, sent, to, None);
             self.push(
                 at + CARRY_REPORT_MS * MS,
-                Event::To(host, life, Box::new(lost)),
+                Event::Deliver(host, life, Box::new(lost)),
             );
         }
     }
@@ -168,8 +168,8 @@
         answer: HeartbeatAnswer,
     ) {
         let at = self.leaves(host) + self.travel();
-        let back = Input::CarriedAnswer(number, report.session, sent, host, Some(Box::new(answer)));
-        self.push(at, Event::To(by.0, by.1, Box::new(back)));
+        let back = Input::RelayedAnswer(number, report.session, sent, host, Some(Box::new(answer)));
+        self.push(at, Event::Deliver(by.0, by.1, Box::new(back)));
     }
 
     /// A controller tells another of its links.
@@ -179,12 +179,12 @@
             let to_life = self.hosts[number].life;
             self.push(
                 at,
-                Event::To(number, to_life, Box::new(Input::Hail(life, Box::new(word)))),
+                Event::Deliver(number, to_life, Box::new(Input::Gossip(life, Box::new(word)))),
             );
         } else {
             self.push(
                 at + SYNC_TIMEOUT_MS * MS,
-                Event::To(host, life, Box::new(Input::Hailed(to, None))),
+                Event::Deliver(host, life, Box::new(Input::GossipAnswer(to, None))),
             );
         }
     }
--- a/crates/simulator/src/world/waiting.rs
+++ b/crates/simulator/src/simulation/starvation.rs
@@ -11,7 +11,7 @@
 const LOOK_AT_WAITING_US: u64 = 5_000 * MS;
 
 /// A job that waits beside room that fits.
-struct Beside {
+struct WaitingBesideCapacity {
     /// Since when, µs.
     since: u64,
     /// The machines that have had room for it all the while.
@@ -20,14 +20,14 @@
 
 /// Jobs that wait beside room that fits.
 #[derive(Default)]
-pub(super) struct WaitingJobs {
+pub(super) struct StarvationMonitor {
     looked_at: u64,
-    beside: BTreeMap<JobId, Beside>,
+    beside: BTreeMap<JobId, WaitingBesideCapacity>,
     /// Named already.
     named: BTreeSet<JobId>,
 }
 
-impl World {
+impl Simulation {
     /// Names the jobs that have waited too long beside room that fits.
     pub(super) fn look_at_waiting_jobs(&mut self) {
         let now = self.now;
@@ -58,7 +58,7 @@
                     .broken
                     .push(format!("{} ms: waits_beside_room: {id} for 90 s", now / MS));
             }
-            self.waiting.beside.insert(id, Beside { since, machines });
+            self.waiting.beside.insert(id, WaitingBesideCapacity { since, machines });
         }
     }
 
--- a/crates/simulator/src/world/users.rs
+++ b/crates/simulator/src/simulation/users.rs
@@ -5,7 +5,7 @@
 /// µs after which a user looks again whether the jobs that the next one needs are accepted.
 const SUBMIT_AGAIN_US: u64 = 100 * MS;
 
-impl World {
+impl Simulation {
     pub(super) fn take_submission(&mut self, host: usize, id: JobId) {
         let Some(planned) = self.plan.get(&id) else {
             return;
@@ -36,9 +36,9 @@
                         .split_last()
                         .expect("a job is accepted by a transaction");
                     for page in pages {
-                        self.send_txn(host, For::Nobody, page.clone());
+                        self.send_txn(host, CasOrigin::Unattended, page.clone());
                     }
-                    self.send_txn(host, For::User(id, false, self.now), last.clone());
+                    self.send_txn(host, CasOrigin::User(id, false, self.now), last.clone());
                 }
                 DependencyAdmission::Unknown(ids) => self.find_awaited(host, id, &ids),
             }
@@ -63,7 +63,7 @@
         let life = self.hosts[host].life;
         self.at(
             REFRESH_IDLE_MS * MS,
-            Event::To(host, life, Box::new(Input::Submit(id))),
+            Event::Deliver(host, life, Box::new(Input::Submit(id))),
         );
     }
 
@@ -103,7 +103,7 @@
                 } else {
                     Input::Poll(id)
                 };
-                self.at(ms * MS, Event::To(host, life, Box::new(again)));
+                self.at(ms * MS, Event::Deliver(host, life, Box::new(again)));
             }
             _ => self.await_reading(host, id, withdraw),
         }
@@ -131,7 +131,7 @@
                 None
             };
             return match cas {
-                Some(cas) => self.send_txn(host, For::User(id, true, asked), cas),
+                Some(cas) => self.send_txn(host, CasOrigin::User(id, true, asked), cas),
                 None if withdraw => self.reply_to(host, id, None, 503, asked),
                 None => self.reply_to(host, id, Some(phase), 200, asked),
             };
@@ -181,7 +181,7 @@
         match self.known_holder(host, shard).filter(|to| *to != host) {
             Some(to) if !self.is_cut(host, to) => {
                 let (at, life) = (self.leaves(host) + self.travel(), self.hosts[to].life);
-                self.push(at, Event::To(to, life, Box::new(Input::Announced)));
+                self.push(at, Event::Deliver(to, life, Box::new(Input::JobAnnounced)));
             }
             Some(_) => {}
             None => self.want_reading(host),
@@ -210,7 +210,7 @@
             return false;
         };
         let (at, life) = (self.now + self.travel(), self.hosts[host].life);
-        self.push(at, Event::To(host, life, Box::new(input)));
+        self.push(at, Event::Deliver(host, life, Box::new(input)));
         true
     }
 
@@ -244,7 +244,7 @@
             user.first_try = now;
             if let Some(planned) = self.plan.get_mut(&id) {
                 let run_us = std::mem::take(&mut planned.load.run_us);
-                let load = Load {
+                let load = SimulatedJob {
                     spec: planned.load.spec.clone(),
                     run_us,
                     broken: planned.load.broken,
--- a/crates/simulator/src/world/workers.rs
+++ b/crates/simulator/src/simulation/workers.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl World {
+impl Simulation {
     pub(super) fn wake_worker(&mut self, number: usize) {
         let Some(w) = self.workers.get_mut(number).and_then(Option::as_mut) else {
             return;
@@ -10,14 +10,14 @@
         let at = w.next_event().max(self.now);
         if at < w.wake_at && at != NEVER {
             w.wake_at = at;
-            self.push(at, Event::Worker(number));
+            self.push(at, Event::WorkerWakes(number));
         }
     }
 
     /// What happened on one machine reaches others.
     pub(super) fn pass_calls(&mut self) {
         for call in std::mem::take(&mut self.ground.calls) {
-            self.at(0, Event::Call(call));
+            self.at(0, Event::GangSignal(call));
         }
         let completed = std::mem::take(&mut self.ground.completed);
         self.jobs_completed(completed);
@@ -27,7 +27,7 @@
     pub(super) fn with_worker<T>(
         &mut self,
         number: usize,
-        work: impl FnOnce(&mut Worker, &mut Ground) -> T,
+        work: impl FnOnce(&mut Worker, &mut WorkloadState) -> T,
     ) -> Option<T> {
         let mut w = self.workers.get_mut(number)?.take()?;
         let result = work(&mut w, &mut self.ground);
@@ -83,7 +83,7 @@
         let life = self.hosts[host].life;
         self.push(
             at,
-            Event::To(host, life, Box::new(Input::Report(number, report, now))),
+            Event::Deliver(host, life, Box::new(Input::Heartbeat(number, report, now))),
         );
     }
 
@@ -99,7 +99,7 @@
     ) {
         if !self.deaf(host, number, false) {
             let at = at + self.held().unwrap_or(0);
-            self.push(at, Event::Answer(number, session, sent, Box::new(answer)));
+            self.push(at, Event::HeartbeatAnswer(number, session, sent, Box::new(answer)));
         }
     }
 
@@ -161,13 +161,13 @@
         if let Some(at) = hung {
             // A machine that continues executes what came meanwhile.
             if !late {
-                let unknown = Input::Command(lease, call.clone(), CommandResult::Unknown);
+                let unknown = Input::CommandResult(lease, call.clone(), CommandResult::Unknown);
                 self.at(
                     COMMAND_TIMEOUT_MS * MS,
-                    Event::To(host, life, Box::new(unknown)),
+                    Event::Deliver(host, life, Box::new(unknown)),
                 );
             }
-            return self.push(at, Event::Orders(host, life, lease, Box::new(call), true));
+            return self.push(at, Event::Commands(host, life, lease, Box::new(call), true));
         }
         let answer = self.with_worker(number, |w, ground| w.commands(&call.commands, now, ground));
         let result = match answer {
@@ -179,7 +179,7 @@
             let at = now + self.travel();
             self.push(
                 at,
-                Event::To(host, life, Box::new(Input::Command(lease, call, result))),
+                Event::Deliver(host, life, Box::new(Input::CommandResult(lease, call, result))),
             );
         }
     }
--- a/crates/simulator/src/store.rs
+++ b/crates/simulator/src/store.rs
@@ -13,38 +13,38 @@
 
 /// A stored value.
 #[derive(Clone)]
-struct Held {
+struct StoredValue {
     value: Value,
     version: u64,
     hold: Option<u64>,
 }
 
-struct Hold {
+struct StoreLease {
     ttl_us: u64,
     ends_us: u64,
     keys: BTreeSet<String>,
 }
 
 /// How a transaction ended.
-pub enum TxnAnswer {
+pub enum CasAnswer {
     /// Made, at this revision.
-    Done(u64),
+    Committed(u64),
     /// Not made: these keys had another version.
     Conflict(Vec<String>),
     /// It names a hold that is no more.
-    NoHold,
+    LeaseExpired,
     /// It has more changes, or a larger value, than the store takes.
     TooLarge,
 }
 
 /// A limit that allows a burst of one second's worth.
-struct Rate {
+struct RateLimit {
     per_s: f64,
     tokens: f64,
     at_us: u64,
 }
 
-impl Rate {
+impl RateLimit {
     fn take(&mut self, n: f64, now: u64) -> bool {
         self.tokens = (self.tokens + now.saturating_sub(self.at_us) as f64 / 1e6 * self.per_s)
             .min(self.per_s);
@@ -65,12 +65,12 @@
     pub down: bool,
     /// Requests and changes served.
     pub served: (u64, u64),
-    keys: BTreeMap<String, Held>,
+    keys: BTreeMap<String, StoredValue>,
     log: VecDeque<WatchEvent>,
-    holds: BTreeMap<u64, Hold>,
+    holds: BTreeMap<u64, StoreLease>,
     next_hold: u64,
-    requests: Rate,
-    writes: Rate,
+    requests: RateLimit,
+    writes: RateLimit,
     /// Bytes of a value in the form that limits count, and changes of a transaction.
     value_bytes: usize,
     txn_ops: usize,
@@ -79,7 +79,7 @@
 impl Store {
     /// An empty store with these limits.
     pub fn new(limits: &StateLimits) -> Self {
-        let rate = |per_s: f64| Rate {
+        let rate = |per_s: f64| RateLimit {
             per_s,
             tokens: per_s,
             at_us: 0,
@@ -194,7 +194,7 @@
         });
         self.keys.insert(
             key.to_owned(),
-            Held {
+            StoredValue {
                 value,
                 version: self.revision,
                 hold,
@@ -215,9 +215,9 @@
     }
 
     /// Makes a transaction.
-    pub fn cas(&mut self, cas: &CompareAndSwap) -> TxnAnswer {
+    pub fn cas(&mut self, cas: &CompareAndSwap) -> CasAnswer {
         if !self.takes(cas) {
-            return TxnAnswer::TooLarge;
+            return CasAnswer::TooLarge;
         }
         let hold = |w: &Write| {
             if let Write::Put { hold, .. } = w {
@@ -232,7 +232,7 @@
             .filter_map(hold)
             .any(|h| !self.holds.contains_key(&h))
         {
-            return TxnAnswer::NoHold;
+            return CasAnswer::LeaseExpired;
         }
         let failed = |c: &&lemonweir_protocol::kv_store::Condition| {
             self.keys.get(&c.key).map_or(0, |k| k.version) != c.version
@@ -244,7 +244,7 @@
             .map(|c| c.key.clone())
             .collect();
         if !failed.is_empty() {
-            return TxnAnswer::Conflict(failed);
+            return CasAnswer::Conflict(failed);
         }
         if !cas.writes.is_empty() {
             self.revision += 1;
@@ -255,7 +255,7 @@
                 Write::Delete { key } => self.remove(key),
             }
         }
-        TxnAnswer::Done(self.revision)
+        CasAnswer::Committed(self.revision)
     }
 
     /// Opens a hold.
@@ -264,7 +264,7 @@
         let ttl_us = ttl_ms * 1_000;
         self.holds.insert(
             self.next_hold,
-            Hold {
+            StoreLease {
                 ttl_us,
                 ends_us: now + ttl_us,
                 keys: BTreeSet::new(),
--- a/crates/simulator/src/compare.rs
+++ b/crates/simulator/src/sweep.rs
@@ -9,8 +9,8 @@
 use indicatif::{ProgressBar, ProgressStyle};
 use statrs::distribution::{ContinuousCDF, StudentsT};
 
-use crate::measures::{Report, histogram};
-use crate::run::{self, Outcome, Placer, Replayed, Source};
+use crate::metrics::{RunReport, histogram};
+use crate::run::{self, RunOutcome, Placer, WorkloadReplay, LoadSource};
 use crate::scenario::Scenario;
 
 /// Seeds: one, or `FIRST..LAST`, both taken.
@@ -70,11 +70,11 @@
 pub fn sweep(
     scenario: &Arc<Scenario>,
     placer: Placer,
-    workload: Option<&Replayed>,
+    workload: Option<&WorkloadReplay>,
     seeds: &Seeds,
     jobs: usize,
-) -> Result<Vec<Outcome>, String> {
-    let source = || workload.map_or(Source::Synthetic, |w| Source::Workload(w.clone()));
+) -> Result<Vec<RunOutcome>, String> {
+    let source = || workload.map_or(LoadSource::Synthetic, |w| LoadSource::Workload(w.clone()));
     each(seeds, jobs, |seed| {
         run::once(scenario.clone(), source(), placer, seed, None)
     })
@@ -83,7 +83,7 @@
 }
 
 /// The figures that runs are compared by.
-fn figures(r: &Report) -> Vec<(String, f64)> {
+fn figures(r: &RunReport) -> Vec<(String, f64)> {
     let mut all = vec![
         ("allocation 50 %, ms".to_owned(), r.allocation.p50),
         ("allocation 90 %, ms".to_owned(), r.allocation.p90),
@@ -120,7 +120,7 @@
 }
 
 /// All figures of a sweep, with their confidence.
-pub fn summary(outcomes: &[Outcome]) -> String {
+pub fn summary(outcomes: &[RunOutcome]) -> String {
     let mut out = String::new();
     let rows: Vec<Vec<(String, f64)>> = outcomes.iter().map(|o| figures(&o.report)).collect();
     let names: Vec<&String> = rows
@@ -143,9 +143,9 @@
 }
 
 /// Two sweeps of the same seeds side by side, with the difference seed by seed.
-pub fn side_by_side(a: &[Outcome], b: &[Outcome]) -> String {
+pub fn side_by_side(a: &[RunOutcome], b: &[RunOutcome]) -> String {
     let mut out = String::new();
-    let rows = |list: &[Outcome]| list.iter().map(|o| figures(&o.report)).collect::<Vec<_>>();
+    let rows = |list: &[RunOutcome]| list.iter().map(|o| figures(&o.report)).collect::<Vec<_>>();
     let (left, right) = (rows(a), rows(b));
     let names: Vec<&String> = left
         .first()
@@ -180,7 +180,7 @@
 }
 
 /// The allocation times of all seeds together.
-pub fn merged(outcomes: &[Outcome]) -> Histogram<u64> {
+pub fn merged(outcomes: &[RunOutcome]) -> Histogram<u64> {
     let mut all = histogram();
     for outcome in outcomes {
         if let Err(error) = all.add(&outcome.allocation) {
--- a/crates/simulator/src/fields.rs
+++ b/crates/simulator/src/toml_section.rs
@@ -7,13 +7,13 @@
 use toml::de::{DeTable, DeValue};
 
 /// Faults of one file, each with its line and field.
-pub struct Faults<'a> {
+pub struct ParseFaults<'a> {
     file: &'a str,
     text: &'a str,
     list: RefCell<Vec<(usize, String)>>,
 }
 
-impl<'a> Faults<'a> {
+impl<'a> ParseFaults<'a> {
     /// Of a file of this name and text.
     pub fn new(file: &'a str, text: &'a str) -> Self {
         Self {
@@ -40,17 +40,17 @@
 }
 
 /// One table being read. Names that nobody asked for are faults.
-pub struct Section<'a> {
-    faults: &'a Faults<'a>,
+pub struct TomlSection<'a> {
+    faults: &'a ParseFaults<'a>,
     path: String,
     at: usize,
     table: Option<&'a DeTable<'a>>,
     asked: RefCell<BTreeSet<String>>,
 }
 
-impl<'a> Section<'a> {
+impl<'a> TomlSection<'a> {
     /// The file's own table.
-    pub fn root(faults: &'a Faults<'a>, table: &'a DeTable<'a>) -> Self {
+    pub fn root(faults: &'a ParseFaults<'a>, table: &'a DeTable<'a>) -> Self {
         Self {
             faults,
             path: String::new(),
@@ -180,13 +180,13 @@
     }
 
     /// A table; an empty one if it is absent.
-    pub fn table(&self, name: &str) -> Section<'a> {
+    pub fn table(&self, name: &str) -> TomlSection<'a> {
         let (at, table) = match self.find(name) {
             Some((at, DeValue::Table(t))) => (at, Some(t)),
             Some((at, _)) => (at, self.wrong(at, name, "must be a table")),
             None => (self.at, None),
         };
-        Section {
+        TomlSection {
             faults: self.faults,
             path: self.full(name),
             at,
@@ -196,7 +196,7 @@
     }
 
     /// A list of tables.
-    pub fn tables(&self, name: &str) -> Vec<Section<'a>> {
+    pub fn tables(&self, name: &str) -> Vec<TomlSection<'a>> {
         let Some((at, value)) = self.find(name) else {
             return Vec::new();
         };
@@ -208,7 +208,7 @@
         let section = |(i, v): (usize, &'a toml::Spanned<DeValue<'a>>)| match v.get_ref() {
             DeValue::Table(t) => {
                 let path = format!("{}[{i}]", self.full(name));
-                Some(Section {
+                Some(TomlSection {
                     faults: self.faults,
                     path,
                     at: v.span().start,
@@ -227,7 +227,7 @@
     }
 }
 
-impl Drop for Section<'_> {
+impl Drop for TomlSection<'_> {
     fn drop(&mut self) {
         let asked = self.asked.borrow();
         for (key, _) in self
--- a/crates/simulator/src/traces.rs
+++ b/crates/simulator/src/trace_commands.rs
@@ -32,7 +32,7 @@
         files: Files,
         /// What becomes of the rows when some are faulty.
         #[arg(long, value_enum, default_value = "stop")]
-        on_fault: Rows,
+        on_fault: FaultyRows,
         /// The workload to write.
         #[arg(short, value_name = "OUT")]
         out: PathBuf,
@@ -63,7 +63,7 @@
         placer: Placer,
         /// How large.
         #[command(flatten)]
-        size: Size,
+        size: ScenarioSize,
         /// Directory for report, plots and history.
         #[arg(long)]
         out: Option<PathBuf>,
@@ -72,7 +72,7 @@
 
 /// A scenario made larger.
 #[derive(Clone, Copy, clap::Args)]
-pub struct Size {
+pub struct ScenarioSize {
     /// Times the machines and the load; of a workload, whole copies.
     #[arg(long, default_value_t = 1.0)]
     pub scale: f64,
@@ -101,7 +101,7 @@
 
 /// What becomes of the rows.
 #[derive(Clone, Copy, ValueEnum)]
-pub enum Rows {
+pub enum FaultyRows {
     /// Nothing is written.
     Stop,
     /// Faulty rows are left out.
@@ -150,10 +150,10 @@
 }
 
 /// Imports; with `stop` and a fault nothing is written.
-pub fn import(files: &Files, on_fault: Rows, out: &Path) -> ExitCode {
+pub fn import(files: &Files, on_fault: FaultyRows, out: &Path) -> ExitCode {
     let on_fault = match on_fault {
-        Rows::Stop => OnFault::Stop,
-        Rows::Drop => OnFault::Drop,
+        FaultyRows::Stop => OnFault::Stop,
+        FaultyRows::Drop => OnFault::Drop,
     };
     let result = lemonweir_trace::import(
         files.format,
@@ -203,7 +203,7 @@
 
 /// Shows counts, ranges and the load over time.
 pub fn show(file: &Path, plot: Option<&Path>) -> ExitCode {
-    let mut seen = Seen::default();
+    let mut seen = WorkloadSummary::default();
     let header = match workload::read(file, |e| seen.take(&e)) {
         Ok(header) => header,
         Err(e) => {
@@ -254,7 +254,7 @@
 }
 
 #[derive(Default)]
-struct Seen {
+struct WorkloadSummary {
     jobs: u64,
     tasks: u64,
     shapes: [u64; 3],
@@ -267,7 +267,7 @@
     steps: std::collections::BTreeMap<u64, i64>,
 }
 
-impl Seen {
+impl WorkloadSummary {
     fn take(&mut self, e: &Entry) {
         self.jobs += 1;
         self.tasks += u64::from(e.tasks);
--- a/crates/simulator/src/worker.rs
+++ b/crates/simulator/src/worker.rs
@@ -9,8 +9,8 @@
     Command, CommandKind, CommandsRequest, Heartbeat, HeartbeatResponse, TaskPhase, TaskStatus,
 };
 
-use crate::checker::Place;
-use crate::ground::{Call, Ground};
+use crate::invariants::TaskPlacement;
+use crate::workload_state::{GangSignal, WorkloadState};
 
 /// A time that never comes.
 pub const NEVER: u64 = u64::MAX;
@@ -29,22 +29,22 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum End {
-    Done,
-    Error,
+enum TaskEnd {
+    Completed,
+    Failed,
     Stopped(bool),
-    Alone,
-    Peers,
+    GangTimeout,
+    PeerLost,
 }
 
-impl End {
+impl TaskEnd {
     fn cause(self) -> &'static str {
         match self {
-            End::Done => "done",
-            End::Error => "error",
-            End::Stopped(_) => "stopped",
-            End::Alone => "alone",
-            End::Peers => "peers",
+            TaskEnd::Completed => "done",
+            TaskEnd::Failed => "error",
+            TaskEnd::Stopped(_) => "stopped",
+            TaskEnd::GangTimeout => "alone",
+            TaskEnd::PeerLost => "peers",
         }
     }
 }
@@ -55,14 +55,14 @@
     cause: Option<&'static str>,
     saved: bool,
     /// What happens next, and when.
-    next: Option<(u64, End)>,
+    next: Option<(u64, TaskEnd)>,
     /// When it began to run, and with what progress.
     ran_from: u64,
     base: u64,
     need: Resources,
 }
 
-struct Fetch {
+struct ImageFetch {
     image: String,
     left_gb: f64,
 }
@@ -109,7 +109,7 @@
     tasks: BTreeMap<AttemptId, Task>,
     free: Resources,
     images: Vec<(String, f64)>,
-    fetches: Vec<Fetch>,
+    fetches: Vec<ImageFetch>,
     fetched_at: u64,
 }
 
@@ -174,7 +174,7 @@
     }
 
     /// µs of run time of the replicas that run now, in thousandths of a processor.
-    pub fn serving(&self, now: u64, ground: &Ground) -> u128 {
+    pub fn serving(&self, now: u64, ground: &WorkloadState) -> u128 {
         let service = |id: &AttemptId| {
             ground
                 .jobs
@@ -262,7 +262,7 @@
     }
 
     /// Lets time pass.
-    pub fn advance(&mut self, now: u64, ground: &mut Ground) {
+    pub fn advance(&mut self, now: u64, ground: &mut WorkloadState) {
         if now < self.up_at {
             return;
         }
@@ -289,7 +289,7 @@
         self.fetched_at = self.fetched_at.max(now);
     }
 
-    fn step(&mut self, at: u64, ground: &mut Ground) {
+    fn step(&mut self, at: u64, ground: &mut WorkloadState) {
         if at > self.lease_from + self.lease_us {
             ground.history.note(at, "lease over", &self.id, &"");
             ground.killed_by_lease += self.live() as u64;
@@ -310,7 +310,7 @@
             self.fetches.retain(|f| f.image != image);
             self.image_came(&image, at, ground);
         }
-        let due: Vec<(AttemptId, End)> = self
+        let due: Vec<(AttemptId, TaskEnd)> = self
             .tasks
             .iter()
             .filter_map(|(id, t)| {
@@ -330,7 +330,7 @@
     }
 
     /// Everything on it is gone.
-    pub fn kill_all(&mut self, now: u64, ground: &mut Ground) {
+    pub fn kill_all(&mut self, now: u64, ground: &mut WorkloadState) {
         let live: Vec<AttemptId> = self
             .tasks
             .iter()
@@ -350,7 +350,7 @@
 
     /// The machine is back at once under the same name, empty, and counts from
     /// the start.
-    pub fn reborn(&mut self, now: u64, ground: &mut Ground) {
+    pub fn reborn(&mut self, now: u64, ground: &mut WorkloadState) {
         self.advance(now, ground);
         self.kill_all(now, ground);
         ground.history.note(now, "reborn", &self.id, &"");
@@ -367,7 +367,7 @@
     }
 
     /// What a task that ends without saving keeps.
-    fn keep_checkpoint(&self, id: &AttemptId, now: u64, ground: &mut Ground) {
+    fn keep_checkpoint(&self, id: &AttemptId, now: u64, ground: &mut WorkloadState) {
         let (Some(t), Some(load)) = (self.tasks.get(id), ground.jobs.get(&id.job)) else {
             return;
         };
@@ -380,14 +380,14 @@
         if service {
             ground.useful += u128::from(now.saturating_sub(t.ran_from)) * u128::from(t.need.cpus);
         } else {
-            let kept = Ground::checkpoint(&load.spec, t.base + ran).max(t.base);
+            let kept = WorkloadState::checkpoint(&load.spec, t.base + ran).max(t.base);
             ground.saved.insert((id.job.clone(), id.task), kept);
         }
     }
 
-    fn exit(&mut self, id: &AttemptId, end: End, now: u64, ground: &mut Ground) {
+    fn exit(&mut self, id: &AttemptId, end: TaskEnd, now: u64, ground: &mut WorkloadState) {
         let work = ground.jobs.get(&id.job).map_or(0, |l| l.run_us(id.task));
-        if matches!(end, End::Error | End::Peers | End::Stopped(false)) {
+        if matches!(end, TaskEnd::Failed | TaskEnd::PeerLost | TaskEnd::Stopped(false)) {
             self.keep_checkpoint(id, now, ground);
         }
         let Some(t) = self
@@ -401,7 +401,7 @@
         t.phase = TaskPhase::Exited;
         ground.checker.gang_task_over(id);
         t.cause = Some(end.cause());
-        t.saved = end == End::Stopped(true);
+        t.saved = end == TaskEnd::Stopped(true);
         t.next = None;
         self.free = self.free.plus(&t.need);
         self.changed = true;
@@ -423,16 +423,16 @@
             ground.checker.left(&id.job, id.task, self.number);
         }
         match end {
-            End::Done => ground.finished(id, work),
-            End::Error | End::Alone | End::Stopped(false) => ground.lose(id, now),
-            End::Stopped(true) | End::Peers => {
+            TaskEnd::Completed => ground.finished(id, work),
+            TaskEnd::Failed | TaskEnd::GangTimeout | TaskEnd::Stopped(false) => ground.lose(id, now),
+            TaskEnd::Stopped(true) | TaskEnd::PeerLost => {
                 drop(ground.gang(id).map(|g| g.present.remove(&id.task)))
             }
         }
         ground.history.note(now, end.cause(), id, &self.id);
     }
 
-    fn image_came(&mut self, image: &str, now: u64, ground: &mut Ground) {
+    fn image_came(&mut self, image: &str, now: u64, ground: &mut WorkloadState) {
         let of = |id: &AttemptId| {
             ground
                 .jobs
@@ -468,12 +468,12 @@
         });
     }
 
-    fn has_image(&mut self, id: &AttemptId, now: u64, ground: &mut Ground) {
+    fn has_image(&mut self, id: &AttemptId, now: u64, ground: &mut WorkloadState) {
         let Some(load) = ground.jobs.get(&id.job) else {
             return;
         };
         let (spec, work, broken) = (load.spec.clone(), load.run_us(id.task), load.broken);
-        let place = Place {
+        let place = TaskPlacement {
             machine: self.number,
             kind: &self.kind.name,
             zone: &self.zone,
@@ -498,26 +498,26 @@
         };
         if done {
             t.phase = TaskPhase::Running;
-            t.next = Some((now, End::Done));
+            t.next = Some((now, TaskEnd::Completed));
         } else if gang {
             t.phase = TaskPhase::Gathering;
-            t.next = Some((now + us(ground.times.gang_wait_s), End::Alone));
+            t.next = Some((now + us(ground.times.gang_wait_s), TaskEnd::GangTimeout));
             ground.gather(id, self.number, self.speed, now);
         } else {
             (t.phase, t.ran_from, t.base) = (TaskPhase::Running, now, base);
             let until = now + (work.saturating_sub(base) as f64 / self.speed) as u64;
             t.next = if self.faulty || broken {
-                Some((now + FAILS_AFTER_US, End::Error))
+                Some((now + FAILS_AFTER_US, TaskEnd::Failed))
             } else {
-                (spec.shape != JobKind::Service).then_some((until, End::Done))
+                (spec.shape != JobKind::Service).then_some((until, TaskEnd::Completed))
             };
         }
     }
 
     /// Another machine's doing reaches a task here.
-    pub fn take_call(&mut self, call: Call, now: u64, ground: &mut Ground) {
+    pub fn take_call(&mut self, call: GangSignal, now: u64, ground: &mut WorkloadState) {
         match call {
-            Call::Run(_, id, until) => {
+            GangSignal::Start(_, id, until) => {
                 let faulty = self.faulty || ground.jobs.get(&id.job).is_some_and(|l| l.broken);
                 if let Some(t) = self
                     .tasks
@@ -526,32 +526,32 @@
                 {
                     t.phase = TaskPhase::Running;
                     t.next = Some(if faulty {
-                        (until.min(now + FAILS_AFTER_US), End::Error)
+                        (until.min(now + FAILS_AFTER_US), TaskEnd::Failed)
                     } else {
-                        (until, End::Done)
+                        (until, TaskEnd::Completed)
                     });
                     self.changed = true;
                 }
             }
-            Call::Peers(_, id, at) => {
+            GangSignal::PeerLost(_, id, at) => {
                 if let Some(t) = self
                     .tasks
                     .get_mut(&id)
                     .filter(|t| t.phase != TaskPhase::Exited)
                 {
-                    t.next = Some((at, End::Peers));
+                    t.next = Some((at, TaskEnd::PeerLost));
                 }
             }
-            Call::Stopped(_, id, at, saved) => {
+            GangSignal::Stopped(_, id, at, saved) => {
                 if let Some(t) = self
                     .tasks
                     .get_mut(&id)
                     .filter(|t| t.phase != TaskPhase::Exited)
                 {
-                    t.next = Some((at, End::Stopped(saved)));
+                    t.next = Some((at, TaskEnd::Stopped(saved)));
                 }
             }
-            Call::ProcessStall(_, id) => {
+            GangSignal::ProgressHalted(_, id) => {
                 if let Some(t) = self
                     .tasks
                     .get_mut(&id)
@@ -560,13 +560,13 @@
                     t.next = None;
                 }
             }
-            Call::Look(id, at) => ground.look(&id, at),
+            GangSignal::StopDeadline(id, at) => ground.look(&id, at),
         }
     }
 
     // ---- messages --------------------------------------------------------------
 
-    fn execute(&mut self, orders: &[Command], now: u64, ground: &mut Ground) {
+    fn execute(&mut self, orders: &[Command], now: u64, ground: &mut WorkloadState) {
         for o in orders {
             let Some(id) = AttemptId::parse(&o.piece, o.attempt) else {
                 continue;
@@ -591,7 +591,7 @@
         }
     }
 
-    fn launch(&mut self, id: AttemptId, now: u64, ground: &mut Ground) {
+    fn launch(&mut self, id: AttemptId, now: u64, ground: &mut WorkloadState) {
         ground
             .launched
             .entry((id.job.clone(), id.task))
@@ -639,14 +639,14 @@
             self.has_image(&id, now, ground);
         } else if !self.fetches.iter().any(|f| f.image == spec.image) {
             self.fetch_until(now);
-            self.fetches.push(Fetch {
+            self.fetches.push(ImageFetch {
                 image: spec.image.clone(),
                 left_gb: spec.image_gb,
             });
         }
     }
 
-    fn kill(&mut self, id: &AttemptId, grace_s: u32, now: u64, ground: &mut Ground) {
+    fn kill(&mut self, id: &AttemptId, grace_s: u32, now: u64, ground: &mut WorkloadState) {
         let Some(t) = self.tasks.get_mut(id) else {
             return;
         };
@@ -670,11 +670,11 @@
                         ground.stop_gang(id, us(spec.save_s), now);
                     }
                 } else {
-                    t.next = Some((now + us(spec.save_s), End::Stopped(true)));
+                    t.next = Some((now + us(spec.save_s), TaskEnd::Stopped(true)));
                     ground.saved.insert((id.job.clone(), id.task), progress);
                 }
             }
-            _ => self.exit(id, End::Stopped(false), now, ground),
+            _ => self.exit(id, TaskEnd::Stopped(false), now, ground),
         }
     }
 
@@ -683,7 +683,7 @@
         &mut self,
         c: &CommandsRequest,
         now: u64,
-        ground: &mut Ground,
+        ground: &mut WorkloadState,
     ) -> (bool, Heartbeat) {
         self.advance(now, ground);
         let good = c.token >= self.token && c.session == self.session;
@@ -734,7 +734,7 @@
         reply: &HeartbeatResponse,
         next_us: u64,
         now: u64,
-        ground: &mut Ground,
+        ground: &mut WorkloadState,
     ) {
         self.advance(now, ground);
         if self.in_flight == Some(sent) {
@@ -759,7 +759,7 @@
     }
 
     /// It stands still until then: what it does comes later by as much.
-    pub fn hang(&mut self, now: u64, until: u64, ground: &mut Ground) {
+    pub fn hang(&mut self, now: u64, until: u64, ground: &mut WorkloadState) {
         self.advance(now, ground);
         self.hung_until = until;
         let by = until.saturating_sub(now);
--- a/crates/simulator/src/ground.rs
+++ b/crates/simulator/src/workload_state.rs
@@ -7,12 +7,12 @@
 use lemonweir_model::settings::Workers;
 use lemonweir_model::{AttemptId, JobId, JobKind, JobSpec};
 
-use crate::checker::Checker;
+use crate::invariants::InvariantChecker;
 use crate::history::History;
 use crate::worker::{NEVER, us};
 
 /// A job as the world knows it.
-pub struct Load {
+pub struct SimulatedJob {
     /// What its user asks for.
     pub spec: Arc<JobSpec>,
     /// Run time of its tasks, µs; task `n` takes entry `n` modulo the length.
@@ -21,7 +21,7 @@
     pub broken: bool,
 }
 
-impl Load {
+impl SimulatedJob {
     /// Run time of one task, µs.
     pub fn run_us(&self, task: u32) -> u64 {
         self.run_us
@@ -54,29 +54,29 @@
 }
 
 /// What a worker asks of others after something happened on it.
-pub enum Call {
+pub enum GangSignal {
     /// A gang's task runs until then.
-    Run(usize, AttemptId, u64),
+    Start(usize, AttemptId, u64),
     /// It exits with `peers` then.
-    Peers(usize, AttemptId, u64),
+    PeerLost(usize, AttemptId, u64),
     /// It exits as stopped then; the flag tells whether its progress is safe.
     Stopped(usize, AttemptId, u64, bool),
     /// Its progress stopped.
-    ProcessStall(usize, AttemptId),
+    ProgressHalted(usize, AttemptId),
     /// Look then whether all of a stopping gang were told.
-    Look(AttemptId, u64),
+    StopDeadline(AttemptId, u64),
 }
 
 /// What all workers share.
-pub struct Ground {
+pub struct WorkloadState {
     /// Jobs that were submitted.
-    pub jobs: HashMap<JobId, Load>,
+    pub jobs: HashMap<JobId, SimulatedJob>,
     /// The rules.
-    pub checker: Checker,
+    pub checker: InvariantChecker,
     /// What happened.
     pub history: History,
     /// Calls to be carried out.
-    pub calls: Vec<Call>,
+    pub calls: Vec<GangSignal>,
     /// Jobs whose last task has just completed.
     pub completed: Vec<JobId>,
     /// First start of each task that is worth a figure, µs.
@@ -99,9 +99,9 @@
 /// The progress of a gang is one for all of its tasks.
 const WHOLE: u32 = u32::MAX;
 
-impl Ground {
+impl WorkloadState {
     /// Nothing has happened yet.
-    pub fn new(times: Workers, checker: Checker, history: History) -> Self {
+    pub fn new(times: Workers, checker: InvariantChecker, history: History) -> Self {
         Self {
             jobs: HashMap::new(),
             checker,
@@ -197,7 +197,7 @@
         self.calls.extend(
             members
                 .into_iter()
-                .map(|(task, m)| Call::Run(m, AttemptId { task, ..id.clone() }, until)),
+                .map(|(task, m)| GangSignal::Start(m, AttemptId { task, ..id.clone() }, until)),
         );
     }
 
@@ -226,7 +226,7 @@
         self.calls.extend(
             members
                 .into_iter()
-                .map(|(task, m)| Call::Peers(m, AttemptId { task, ..id.clone() }, notice(task))),
+                .map(|(task, m)| GangSignal::PeerLost(m, AttemptId { task, ..id.clone() }, notice(task))),
         );
     }
 
@@ -248,16 +248,16 @@
             self.calls.extend(
                 members
                     .into_iter()
-                    .map(|(t, m)| Call::Stopped(m, whole(t), now + flush_us, true)),
+                    .map(|(t, m)| GangSignal::Stopped(m, whole(t), now + flush_us, true)),
             );
         } else if first == now {
             self.calls.extend(
                 members
                     .into_iter()
                     .filter(|(t, _)| *t != id.task)
-                    .map(|(t, m)| Call::ProcessStall(m, whole(t))),
+                    .map(|(t, m)| GangSignal::ProgressHalted(m, whole(t))),
             );
-            self.calls.push(Call::Look(id.clone(), first + peer_us));
+            self.calls.push(GangSignal::StopDeadline(id.clone(), first + peer_us));
         }
     }
 
@@ -273,9 +273,9 @@
         for (task, m) in members {
             let id = AttemptId { task, ..id.clone() };
             self.calls.push(if told.contains(&task) {
-                Call::Stopped(m, id, now, false)
+                GangSignal::Stopped(m, id, now, false)
             } else {
-                Call::Peers(m, id, now)
+                GangSignal::PeerLost(m, id, now)
             });
         }
     }
--- a/crates/simulator/tests/meetings.rs
+++ b/crates/simulator/tests/concurrent_faults.rs
@@ -9,10 +9,10 @@
 use lemonweir_model::constants::HOLD_TTL_MS;
 use lemonweir_model::settings::Workers;
 use lemonweir_simulator::history::History;
-use lemonweir_simulator::hunt::broken_terms;
-use lemonweir_simulator::load::synthetic;
-use lemonweir_simulator::scenario::{Scenario, Trouble};
-use lemonweir_simulator::world::World;
+use lemonweir_simulator::fault_search::broken_terms;
+use lemonweir_simulator::load_generator::synthetic;
+use lemonweir_simulator::scenario::{Scenario, FaultKind};
+use lemonweir_simulator::simulation::Simulation;
 
 /// s after the last trouble: the 75 s of the term on forgotten jobs, and some more.
 const TAIL_S: f64 = 100.0;
@@ -62,7 +62,7 @@
     let (first, later) = moved.faults.split_first_mut().expect("a trouble");
     let by = first.at_s + offset - later.first().map_or(first.at_s, |f| f.at_s);
     later.iter_mut().for_each(|f| f.at_s += by);
-    if !matches!(first.trouble, Trouble::Crash { .. }) {
+    if !matches!(first.trouble, FaultKind::Crash { .. }) {
         first.for_s += offset;
     }
     moved.duration_s = moved.calm_s() + TAIL_S;
@@ -75,10 +75,10 @@
     Scenario::parse(name, &text).unwrap_or_else(|faults| panic!("{faults:?}"))
 }
 
-fn begun(scenario: Scenario, seed: u64) -> World {
+fn begun(scenario: Scenario, seed: u64) -> Simulation {
     let scenario = Arc::new(scenario);
     let load = synthetic(&scenario, seed);
-    World::new(scenario, load, seed, History::new(None))
+    Simulation::new(scenario, load, seed, History::new(None))
 }
 
 fn play(scenario: Scenario, seed: u64) -> Vec<String> {
@@ -139,7 +139,7 @@
 fn in_the_gap_a_part_has_two_leaders_unless_the_others_tell() {
     for (name, untold) in [("gap", false), ("gap-alone", true)] {
         let mut world = begun(scenario(name), 1);
-        let over = |world: &World| world.store.list("end/").len();
+        let over = |world: &Simulation| world.store.list("end/").len();
         world.run(78_000);
         let before = over(&world);
         world.run(5_000);
--- a/crates/simulator/tests/limits.rs
+++ b/crates/simulator/tests/fleet_limits.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::sync::Arc;
 
-use lemonweir_simulator::run::{self, Placer, Source};
+use lemonweir_simulator::run::{self, Placer, LoadSource};
 use lemonweir_simulator::scenario::Scenario;
 
 /// Machines of the fleet.
@@ -29,7 +29,7 @@
     assert_eq!(scenario.faults.len(), 6);
     let outcome = run::once(
         Arc::new(scenario),
-        Source::Synthetic,
+        LoadSource::Synthetic,
         Placer::Lemonweir,
         1,
         None,
--- a/crates/simulator/tests/ledger.rs
+++ b/crates/simulator/tests/gang_admission.rs
@@ -7,24 +7,24 @@
 use lemonweir_model::{JobId, JobKind, JobSpec};
 use lemonweir_protocol::kv_store::KeyValue;
 use lemonweir_protocol::users::JobPhase;
-use lemonweir_simulator::ground::Load;
+use lemonweir_simulator::workload_state::SimulatedJob;
 use lemonweir_simulator::history::History;
-use lemonweir_simulator::sample::{id, job};
+use lemonweir_simulator::fixtures::{id, job};
 use lemonweir_simulator::scenario::Scenario;
-use lemonweir_simulator::world::{Planned, World};
+use lemonweir_simulator::simulation::{PlannedSubmission, Simulation};
 use lemonweir_storage::packed_chunk::read_chunk;
 use lemonweir_storage::records::{GangAdmissionStep, parse_run_key};
 
 /// Three controllers, each with its zone's machines: so many in each, of 16
 /// processors and 4 accelerators, and none to rent.
-fn world(seed: u64, machines: u32) -> World {
+fn world(seed: u64, machines: u32) -> Simulation {
     let text = format!(
         "name = 'ledger'\nduration_s = 1e6\ncontrollers = 3\nzones = ['a', 'b', 'c']\n[state]\ntxn_ops = 12\n[policy]\nidle = 1e5\n\
          [[machine_type]]\nname = 'box'\ncpus = 16\ngpus = 4\nmemory_gb = 64\ncache_gb = 100\nprice = 4\nboot_s = 20\n\
          ordinary = {machines}\nat_start = {machines}\n[[team]]\nname = 'blue'\n[[team]]\nname = 'green'\n[[team]]\nname = 'red'\n"
     );
     let site = Scenario::parse("ledger", &text).unwrap_or_else(|faults| unreachable!("{faults:?}"));
-    World::new(Arc::new(site), Vec::new(), seed, History::new(None))
+    Simulation::new(Arc::new(site), Vec::new(), seed, History::new(None))
 }
 
 /// A gang of whole machines.
@@ -37,20 +37,20 @@
     }
 }
 
-fn submit(world: &mut World, spec: JobSpec, run_s: u64) {
-    let load = Load {
+fn submit(world: &mut Simulation, spec: JobSpec, run_s: u64) {
+    let load = SimulatedJob {
         spec: Arc::new(spec),
         run_us: vec![run_s * 1_000_000],
         broken: false,
     };
-    world.submit_at(Planned {
+    world.submit_at(PlannedSubmission {
         at_us: world.now,
         load,
         withdraw_us: None,
     });
 }
 
-fn assert_kept(world: &World, what: &str) {
+fn assert_kept(world: &Simulation, what: &str) {
     assert!(
         world.ground.checker.broken.is_empty(),
         "{what}: rules broken: {:#?}",
@@ -59,7 +59,7 @@
 }
 
 /// What the store says of a gang: its least step, its attempt, members named.
-fn step_of(world: &World, id: &JobId) -> Option<(GangAdmissionStep, u32, usize)> {
+fn step_of(world: &Simulation, id: &JobId) -> Option<(GangAdmissionStep, u32, usize)> {
     let entries = (0..3).flat_map(|shard| world.store.list(&format!("run/{shard}/{id}/")));
     let read = |e: KeyValue| read_chunk(&e.value, parse_run_key(&e.key)?.1);
     let chunks: Vec<_> = entries
@@ -95,13 +95,13 @@
         }
     }
 
-    fn launched(&self, world: &World) -> usize {
+    fn launched(&self, world: &Simulation) -> usize {
         (0..self.tasks)
             .filter(|t| world.ground.launched.contains_key(&(self.id.clone(), *t)))
             .count()
     }
 
-    fn run(&mut self, world: &mut World, ms: u64, until: impl Fn(&World, &Self) -> bool) -> bool {
+    fn run(&mut self, world: &mut Simulation, ms: u64, until: impl Fn(&Simulation, &Self) -> bool) -> bool {
         let end = world.now + ms * 1_000;
         while world.now < end {
             // Once all is launched nothing is to be seen between two messages.
@@ -136,18 +136,18 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum At {
-    Planned,
+    PlannedSubmission,
     /// Some owner has been asked, and its answer is on its way.
     QueryKind,
     Admitted,
     Launched,
 }
 
-const STEPS: [At; 4] = [At::Planned, At::QueryKind, At::Admitted, At::Launched];
+const STEPS: [At; 4] = [At::PlannedSubmission, At::QueryKind, At::Admitted, At::Launched];
 
 /// Brings a gang of 8 whole machines, which needs machines of all three parts, to a
 /// step; also the controllers that place and that own.
-fn brought_to(at: At, seed: u64) -> (World, Watch) {
+fn brought_to(at: At, seed: u64) -> (Simulation, Watch) {
     let mut world = world(seed, 3);
     world.run(12_000);
     submit(&mut world, gang(1, "blue", 8), 20);
@@ -155,7 +155,7 @@
     let there = watch.run(&mut world, 8_000, |world, watch| {
         let step = step_of(world, &watch.id).map(|s| s.0);
         match at {
-            At::Planned | At::QueryKind => step == Some(GangAdmissionStep::Planned),
+            At::PlannedSubmission | At::QueryKind => step == Some(GangAdmissionStep::Planned),
             At::Admitted => step == Some(GangAdmissionStep::Admitted),
             At::Launched => watch.launched(world) > 0,
         }
@@ -168,7 +168,7 @@
 }
 
 /// Who ends: the placer's controller, an owner's, or both.
-fn struck(world: &World, who: usize) -> Vec<usize> {
+fn struck(world: &Simulation, who: usize) -> Vec<usize> {
     let placer = (0..3).find(|h| world.hosts[*h].holds(0)).expect("a holder");
     let owner = (0..3).find(|h| *h != placer).expect("another");
     [vec![placer], vec![owner], vec![placer, owner]][who].clone()
--- a/crates/simulator/tests/weights.rs
+++ b/crates/simulator/tests/image_locality.rs
@@ -6,11 +6,11 @@
 use lemonweir_model::policy::Trade;
 use lemonweir_model::{AttemptId, JobKind, JobSpec, Priority};
 use lemonweir_protocol::worker::TaskPhase;
-use lemonweir_simulator::ground::Load;
+use lemonweir_simulator::workload_state::SimulatedJob;
 use lemonweir_simulator::history::History;
-use lemonweir_simulator::sample::{id, job};
+use lemonweir_simulator::fixtures::{id, job};
 use lemonweir_simulator::scenario::Scenario;
-use lemonweir_simulator::world::{Planned, World};
+use lemonweir_simulator::simulation::{PlannedSubmission, Simulation};
 
 /// Zones with a controller each and machines that are there from the start, boxes of
 /// 4 accelerators that fetch 0.3 GB a second into caches of 130 GB.
@@ -42,7 +42,7 @@
 
 /// What a test sees of the replicas: it looks twice a second.
 #[derive(Default)]
-struct Seen {
+struct WorkloadSummary {
     /// Attempts of services: seconds for which each was seen to fetch.
     fetched: HashMap<AttemptId, f64>,
     /// Fetches under way, and GB of all that began.
@@ -55,18 +55,18 @@
 }
 
 struct Lab {
-    world: World,
-    seen: Seen,
+    world: Simulation,
+    seen: WorkloadSummary,
     services: Vec<JobSpec>,
 }
 
 impl Lab {
     fn new(scenario: Scenario, seed: u64) -> Self {
-        let mut world = World::new(Arc::new(scenario), Vec::new(), seed, History::new(None));
+        let mut world = Simulation::new(Arc::new(scenario), Vec::new(), seed, History::new(None));
         world.run(6_000);
         Self {
             world,
-            seen: Seen::default(),
+            seen: WorkloadSummary::default(),
             services: Vec::new(),
         }
     }
@@ -75,12 +75,12 @@
         if spec.shape == JobKind::Service {
             self.services.push(spec.clone());
         }
-        let load = Load {
+        let load = SimulatedJob {
             spec: Arc::new(spec),
             run_us: vec![run_s * 1_000_000],
             broken: false,
         };
-        self.world.submit_at(Planned {
+        self.world.submit_at(PlannedSubmission {
             at_us: self.world.now,
             load,
             withdraw_us: None,
@@ -397,7 +397,7 @@
     lab.world.crash(0, 3_000_000);
     lab.run(20);
     lab.services.clear();
-    lab.seen = Seen::default();
+    lab.seen = WorkloadSummary::default();
     // One replica at a time, so that each start can learn from the one before.
     for n in 1..=12 {
         lab.submit(service(n, 2, "m", 10.0), 0);
--- a/crates/simulator/tests/troubles.rs
+++ b/crates/simulator/tests/injected_faults.rs
@@ -6,16 +6,16 @@
 
 use lemonweir_model::{AttemptId, JobKind};
 use lemonweir_protocol::kv_store::from_value;
-use lemonweir_simulator::checker::Checker;
+use lemonweir_simulator::invariants::InvariantChecker;
 use lemonweir_simulator::history::History;
-use lemonweir_simulator::load::synthetic;
-use lemonweir_simulator::sample::{id, job};
+use lemonweir_simulator::load_generator::synthetic;
+use lemonweir_simulator::fixtures::{id, job};
 use lemonweir_simulator::scenario::Scenario;
-use lemonweir_simulator::world::World;
+use lemonweir_simulator::simulation::Simulation;
 use lemonweir_storage::records::{JobRecord, job_key};
 
 /// A fleet of 8 with 6 services of two, and one trouble from 60 s to 100 s.
-fn day(trouble: &str) -> World {
+fn day(trouble: &str) -> Simulation {
     let text = format!(
         "name = 'troubles'\nduration_s = 300\nzones = ['a', 'b']\npoll_s = 5\n[workers]\ncancel_s = 40\n\
          [[machine_type]]\nname = 'box'\ncpus = 16\nmemory_gb = 64\nboot_s = 5\nordinary = 20\nat_start = 4\n\
@@ -26,7 +26,7 @@
         Scenario::parse("troubles", &text).unwrap_or_else(|faults| unreachable!("{faults:?}")),
     );
     let load = synthetic(&scenario, 1);
-    World::new(scenario, load, 1, History::new(None))
+    Simulation::new(scenario, load, 1, History::new(None))
 }
 
 #[test]
@@ -126,7 +126,7 @@
 /// before.
 #[test]
 fn a_job_without_an_answer_counts_as_forgotten_after_the_troubles() {
-    let mut checker = Checker::new(BTreeMap::new(), 1);
+    let mut checker = InvariantChecker::new(BTreeMap::new(), 1);
     checker.answered(&id(1), 10_000_000);
     checker.answered(&id(2), 10_000_000);
     checker.check_answers(200_000_000, 270_000_000);
@@ -142,7 +142,7 @@
 
 #[test]
 fn two_attempts_of_a_gang_at_once_are_seen() {
-    let mut checker = Checker::new(BTreeMap::new(), 1);
+    let mut checker = InvariantChecker::new(BTreeMap::new(), 1);
     let gang = Arc::new(job(1, "red", JobKind::Gang, 3));
     checker.submitted(&gang);
     let task = |task, attempt| AttemptId {
@@ -163,12 +163,12 @@
 
 /// Lets a user of the first service withdraw it at 61 s, with a trouble from 60 s on;
 /// s until the store shows that, and until it shows the end.
-fn withdrawal(trouble: &str) -> (World, u64, u64) {
+fn withdrawal(trouble: &str) -> (Simulation, u64, u64) {
     let mut world = day(trouble);
     world.run(61_000);
     let job = world.live().into_keys().next().expect("a service");
     world.withdraw(&job);
-    let marked = |world: &World| {
+    let marked = |world: &Simulation| {
         let record = world
             .store
             .get(&job_key(&job))
@@ -204,7 +204,7 @@
 }
 
 /// True if the store's last word to a controller is new.
-fn told(world: &World, host: usize) -> bool {
+fn told(world: &Simulation, host: usize) -> bool {
     world.hosts[host]
         .core
         .as_ref()
