--- a/crates/simulator/tests/rules.rs
+++ b/crates/simulator/tests/invariants.rs
@@ -5,15 +5,15 @@
 use lemonweir_model::{JobId, JobKind, JobSpec, Priority, Resources};
 use lemonweir_protocol::kv_store::{CompareAndSwap, Write};
 use lemonweir_protocol::users::JobPhase;
-use lemonweir_simulator::checker::{Checker, Place};
-use lemonweir_simulator::ground::Load;
+use lemonweir_simulator::invariants::{InvariantChecker, TaskPlacement};
+use lemonweir_simulator::workload_state::SimulatedJob;
 use lemonweir_simulator::history::History;
-use lemonweir_simulator::sample::{id, job, site};
-use lemonweir_simulator::scenario::{Chances, Link};
-use lemonweir_simulator::world::{Planned, World};
+use lemonweir_simulator::fixtures::{id, job, site};
+use lemonweir_simulator::scenario::{MessageFaults, Link};
+use lemonweir_simulator::simulation::{PlannedSubmission, Simulation};
 use lemonweir_storage::records::{JobEndRecord, end_key};
 
-const NO_FAULTS: Chances = Chances {
+const NO_FAULTS: MessageFaults = MessageFaults {
     lost_txn_reply: 0,
     late_txn: 0,
     lost_command: 0,
@@ -21,7 +21,7 @@
     lost_sync: 0,
     late_sync: 0,
 };
-const MANY_FAULTS: Chances = Chances {
+const MANY_FAULTS: MessageFaults = MessageFaults {
     lost_txn_reply: 60,
     late_txn: 60,
     lost_command: 80,
@@ -30,8 +30,8 @@
     late_sync: 500,
 };
 
-fn world(seed: u64, hosts: u16, capacity: u32, chances: Chances) -> World {
-    World::new(
+fn world(seed: u64, hosts: u16, capacity: u32, chances: MessageFaults) -> Simulation {
+    Simulation::new(
         Arc::new(site(hosts, capacity, chances)),
         Vec::new(),
         seed,
@@ -40,21 +40,21 @@
 }
 
 /// Submits a job that runs for so many s, withdrawn after a while if wanted.
-fn submit(world: &mut World, spec: JobSpec, run_s: u64, withdraw_after_s: Option<u64>) {
-    let load = Load {
+fn submit(world: &mut Simulation, spec: JobSpec, run_s: u64, withdraw_after_s: Option<u64>) {
+    let load = SimulatedJob {
         spec: Arc::new(spec),
         run_us: vec![run_s * 1_000_000],
         broken: false,
     };
     let withdraw_us = withdraw_after_s.map(|s| world.now + s * 1_000_000);
-    world.submit_at(Planned {
+    world.submit_at(PlannedSubmission {
         at_us: world.now + 1_000_000,
         load,
         withdraw_us,
     });
 }
 
-fn assert_kept(world: &World) {
+fn assert_kept(world: &Simulation) {
     assert!(
         world.ground.checker.broken.is_empty(),
         "rules broken: {:#?}",
@@ -62,12 +62,12 @@
     );
 }
 
-fn live(world: &World) -> usize {
+fn live(world: &Simulation) -> usize {
     world.workers.iter().flatten().map(|w| w.live()).sum()
 }
 
 /// A mix of jobs of both teams; returns those that must be done.
-fn mix(world: &mut World) -> Vec<JobId> {
+fn mix(world: &mut Simulation) -> Vec<JobId> {
     for n in 0..6 {
         let withdrawn = (n == 3).then_some(75);
         submit(
@@ -99,7 +99,7 @@
     [0, 1, 2, 4, 5, 11, 12].map(id).to_vec()
 }
 
-fn settle(world: &mut World, must: &[JobId], most_ms: u64) {
+fn settle(world: &mut Simulation, must: &[JobId], most_ms: u64) {
     let mut left = most_ms;
     while left > 0 && must.iter().any(|j| world.phase(j) != Some(JobPhase::Done)) {
         world.run(5_000);
@@ -115,7 +115,7 @@
     assert!(world.ground.checker.starts > 20);
 }
 
-fn silence(world: &mut World, machines: usize, silent: bool) {
+fn silence(world: &mut Simulation, machines: usize, silent: bool) {
     world
         .workers
         .iter_mut()
@@ -170,7 +170,7 @@
             seed,
             3,
             12,
-            Chances {
+            MessageFaults {
                 late_command: 100,
                 lost_command: 50,
                 ..NO_FAULTS
@@ -318,8 +318,8 @@
 
 // ---- the checker itself ----------------------------------------------------
 
-fn checker() -> Checker {
-    let mut c = Checker::new(
+fn checker() -> InvariantChecker {
+    let mut c = InvariantChecker::new(
         [(
             "red".to_owned(),
             Resources {
@@ -350,8 +350,8 @@
     c
 }
 
-fn on<'a>(machine: usize, zone: &'a str) -> Place<'a> {
-    Place {
+fn on<'a>(machine: usize, zone: &'a str) -> TaskPlacement<'a> {
+    TaskPlacement {
         machine,
         kind: "box",
         zone,
@@ -359,7 +359,7 @@
     }
 }
 
-fn first_fault(c: &Checker) -> &str {
+fn first_fault(c: &InvariantChecker) -> &str {
     c.broken.first().map(String::as_str).unwrap_or_default()
 }
 
@@ -386,7 +386,7 @@
     c.started(
         &id(4),
         0,
-        Place {
+        TaskPlacement {
             spot: true,
             ..on(1, "north")
         },
@@ -481,11 +481,11 @@
 }
 
 /// A site of a single machine.
-fn one_box(seed: u64) -> World {
+fn one_box(seed: u64) -> Simulation {
     let mut scenario = site(2, 1, NO_FAULTS);
     scenario.kinds[0].capacity = (0, 1);
     scenario.kinds[0].machine.zones.truncate(1);
-    World::new(Arc::new(scenario), Vec::new(), seed, History::new(None))
+    Simulation::new(Arc::new(scenario), Vec::new(), seed, History::new(None))
 }
 
 /// Found on afspraakloket: two jobs pushed each other out for ever, one by its
@@ -520,7 +520,7 @@
 
 /// Works a site until a service of 4 replicas is up on both sides, then cuts
 /// controller 1 from the store and from the other one.
-fn cut_off(seed: u64) -> World {
+fn cut_off(seed: u64) -> Simulation {
     let mut world = world(seed, 2, 12, NO_FAULTS);
     let service = JobSpec {
         spread: true,
@@ -584,7 +584,7 @@
 #[test]
 fn drawn_days_break_no_rule_and_services_come_back() {
     for seed in 1..=12 {
-        let day = lemonweir_simulator::hunt::day(seed, 90);
+        let day = lemonweir_simulator::fault_search::day(seed, 90);
         assert!(
             day.faults.is_empty(),
             "seed {seed}: {:?} with\n{}",
--- a/crates/simulator/tests/largest.rs
+++ b/crates/simulator/tests/large_jobs.rs
@@ -5,13 +5,13 @@
 
 use lemonweir_model::constants::*;
 use lemonweir_model::{JobKind, JobSpec, Priority};
-use lemonweir_simulator::ground::Load;
+use lemonweir_simulator::workload_state::SimulatedJob;
 use lemonweir_simulator::history::History;
-use lemonweir_simulator::sample::{id, job, site};
-use lemonweir_simulator::scenario::{Chances, Scenario};
-use lemonweir_simulator::world::{Planned, World};
+use lemonweir_simulator::fixtures::{id, job, site};
+use lemonweir_simulator::scenario::{MessageFaults, Scenario};
+use lemonweir_simulator::simulation::{PlannedSubmission, Simulation};
 
-const NO_FAULTS: Chances = Chances {
+const NO_FAULTS: MessageFaults = MessageFaults {
     lost_txn_reply: 0,
     late_txn: 0,
     lost_command: 0,
@@ -30,17 +30,17 @@
     scenario
 }
 
-fn built(seed: u64, scenario: Scenario) -> World {
-    World::new(Arc::new(scenario), Vec::new(), seed, History::new(None))
+fn built(seed: u64, scenario: Scenario) -> Simulation {
+    Simulation::new(Arc::new(scenario), Vec::new(), seed, History::new(None))
 }
 
-fn submit(world: &mut World, spec: JobSpec, run_s: u64) {
-    let load = Load {
+fn submit(world: &mut Simulation, spec: JobSpec, run_s: u64) {
+    let load = SimulatedJob {
         spec: Arc::new(spec),
         run_us: vec![run_s * 1_000_000],
         broken: false,
     };
-    world.submit_at(Planned {
+    world.submit_at(PlannedSubmission {
         at_us: world.now,
         load,
         withdraw_us: None,
@@ -48,7 +48,7 @@
 }
 
 /// s from a submission to the job's first start, if there was one.
-fn begun(world: &World, n: u32, since_us: u64) -> Option<u64> {
+fn begun(world: &Simulation, n: u32, since_us: u64) -> Option<u64> {
     let starts = world
         .ground
         .up
@@ -60,7 +60,7 @@
         .map(|at| at.saturating_sub(since_us) / 1_000_000)
 }
 
-fn assert_kept(world: &World, what: &str) {
+fn assert_kept(world: &Simulation, what: &str) {
     assert!(
         world.ground.checker.broken.is_empty(),
         "{what}: rules broken: {:#?}",
--- a/crates/simulator/tests/links.rs
+++ b/crates/simulator/tests/partitions.rs
@@ -7,13 +7,13 @@
 use lemonweir_model::{JobKind, JobSpec};
 use lemonweir_protocol::links::LinkState;
 use lemonweir_protocol::users::JobPhase;
-use lemonweir_simulator::ground::Load;
+use lemonweir_simulator::workload_state::SimulatedJob;
 use lemonweir_simulator::history::History;
-use lemonweir_simulator::sample::{id, job, site};
-use lemonweir_simulator::scenario::{Chances, Link, Scenario, host_name};
-use lemonweir_simulator::world::{Planned, World};
+use lemonweir_simulator::fixtures::{id, job, site};
+use lemonweir_simulator::scenario::{MessageFaults, Link, Scenario, host_name};
+use lemonweir_simulator::simulation::{PlannedSubmission, Simulation};
 
-const NO_FAULTS: Chances = Chances {
+const NO_FAULTS: MessageFaults = MessageFaults {
     lost_txn_reply: 0,
     late_txn: 0,
     lost_command: 0,
@@ -28,12 +28,12 @@
 /// The same where halls are cut.
 const HALLS: usize = 60;
 
-fn world(seed: u64, chances: Chances) -> World {
+fn world(seed: u64, chances: MessageFaults) -> Simulation {
     built(seed, site(3, 16, chances), REPLICAS)
 }
 
-fn built(seed: u64, site: Scenario, replicas: usize) -> World {
-    let mut world = World::new(Arc::new(site), Vec::new(), seed, History::new(None));
+fn built(seed: u64, site: Scenario, replicas: usize) -> Simulation {
+    let mut world = Simulation::new(Arc::new(site), Vec::new(), seed, History::new(None));
     for (n, team) in [(0, "red"), (1, "blue")] {
         let tasks = if team == "red" {
             4
@@ -57,27 +57,27 @@
 
 /// Halls large enough that a cut shows as one, and leases long enough for a
 /// worker to go round three controllers, two of them out of reach (15 s).
-fn halls(seed: u64, chances: Chances) -> World {
+fn halls(seed: u64, chances: MessageFaults) -> Simulation {
     let mut site = site(3, 16, chances);
     site.workers.lease_s = 24.0;
     site.workers.cancel_s = 60.0;
     built(seed, site, HALLS)
 }
 
-fn submit(world: &mut World, spec: JobSpec, run_s: u64) {
-    let load = Load {
+fn submit(world: &mut Simulation, spec: JobSpec, run_s: u64) {
+    let load = SimulatedJob {
         spec: Arc::new(spec),
         run_us: vec![run_s * 1_000_000],
         broken: false,
     };
-    world.submit_at(Planned {
+    world.submit_at(PlannedSubmission {
         at_us: world.now,
         load,
         withdraw_us: None,
     });
 }
 
-fn live(world: &World) -> usize {
+fn live(world: &Simulation) -> usize {
     world.workers.iter().flatten().map(|w| w.live()).sum()
 }
 
@@ -110,7 +110,7 @@
         }
     }
 
-    fn strike(&self, world: &mut World) {
+    fn strike(&self, world: &mut Simulation) {
         let peer = |p: usize| {
             if self.one_way {
                 Link::OneWay(0, p)
@@ -209,7 +209,7 @@
     );
 }
 
-fn standing(world: &World, host: usize, to: &str) -> (LinkState, Option<String>) {
+fn standing(world: &Simulation, host: usize, to: &str) -> (LinkState, Option<String>) {
     let rows = world.hosts[host]
         .core
         .as_ref()
@@ -296,7 +296,7 @@
 #[test]
 fn cuts_over_one_another_with_failing_carriers_break_no_rule() {
     use Carriers::*;
-    const FAULTS: Chances = Chances {
+    const FAULTS: MessageFaults = MessageFaults {
         lost_txn_reply: 40,
         late_txn: 40,
         lost_command: 60,
@@ -459,7 +459,7 @@
     let lines = each(&days, |(seed, crash_ms, length_ms)| {
         let mut world = halls(
             *seed,
-            Chances {
+            MessageFaults {
                 late_command: 60,
                 lost_command: 60,
                 ..NO_FAULTS
--- a/crates/simulator/tests/replay.rs
+++ b/crates/simulator/tests/replay.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 
 use lemonweir_model::Resources;
-use lemonweir_simulator::compare::{self, Seeds};
-use lemonweir_simulator::run::{self, Outcome, Placer, Replayed, Source};
+use lemonweir_simulator::sweep::{self, Seeds};
+use lemonweir_simulator::run::{self, RunOutcome, Placer, WorkloadReplay, LoadSource};
 use lemonweir_simulator::scenario::Scenario;
 use lemonweir_trace::{Format, OnFault, import};
 
@@ -21,7 +21,7 @@
     Arc::new(Scenario::parse(name, &text).expect("no fault"))
 }
 
-fn replay(format: Format, sample: &str, seed: u64) -> Outcome {
+fn replay(format: Format, sample: &str, seed: u64) -> RunOutcome {
     let dir = tempfile::tempdir().expect("directory");
     let workload = dir.path().join("w.jsonl");
     let machine = Some(Resources::offer(16.0, 4.0, 64.0));
@@ -37,7 +37,7 @@
     assert!(result.jobs > 0);
     run::once(
         scenario("scenarios/replay.toml"),
-        Source::Workload(Replayed {
+        LoadSource::Workload(WorkloadReplay {
             file: workload,
             speed: 1.0,
             copies: 1,
@@ -134,7 +134,7 @@
     );
     let digests = |jobs| {
         let outcomes =
-            compare::sweep(&scenario, Placer::Lemonweir, None, &seeds, jobs).expect("runs");
+            sweep::sweep(&scenario, Placer::Lemonweir, None, &seeds, jobs).expect("runs");
         outcomes
             .iter()
             .map(|o| (o.report.seed, o.report.digest.clone()))
@@ -155,13 +155,13 @@
 /// standard deviation 1.5811, and t at 4 degrees of freedom is 2.7764.
 #[test]
 fn confidence_is_students() {
-    let (mean, half) = compare::confidence(&[1.0, 2.0, 3.0, 4.0, 5.0]);
+    let (mean, half) = sweep::confidence(&[1.0, 2.0, 3.0, 4.0, 5.0]);
     assert!(
         (mean - 3.0).abs() < 1e-12 && (half - 1.9632).abs() < 1e-3,
         "{mean} {half}"
     );
     assert!(
-        compare::confidence(&[7.0]).1.is_infinite(),
+        sweep::confidence(&[7.0]).1.is_infinite(),
         "one run tells nothing of the spread"
     );
 }
@@ -177,7 +177,7 @@
     );
     let run = |placer: &str| {
         let placer = placer.parse().expect("placer");
-        run::once(scenario.clone(), Source::Synthetic, placer, 3, None)
+        run::once(scenario.clone(), LoadSource::Synthetic, placer, 3, None)
             .expect("run")
             .report
     };
@@ -201,7 +201,7 @@
     for seed in 1..4 {
         let outcome = run::once(
             scenario("scenarios/morning.toml"),
-            Source::Synthetic,
+            LoadSource::Synthetic,
             Placer::Lemonweir,
             seed,
             None,
--- a/crates/simulator/tests/nights.rs
+++ b/crates/simulator/tests/resilience.rs
@@ -6,13 +6,13 @@
 use lemonweir_model::constants::*;
 use lemonweir_model::{JobKind, JobSpec, Priority};
 use lemonweir_protocol::users::JobPhase;
-use lemonweir_simulator::ground::Load;
+use lemonweir_simulator::workload_state::SimulatedJob;
 use lemonweir_simulator::history::History;
-use lemonweir_simulator::sample::{id, job, site};
-use lemonweir_simulator::scenario::{Chances, Link, Scenario};
-use lemonweir_simulator::world::{Planned, World};
+use lemonweir_simulator::fixtures::{id, job, site};
+use lemonweir_simulator::scenario::{MessageFaults, Link, Scenario};
+use lemonweir_simulator::simulation::{PlannedSubmission, Simulation};
 
-const NO_FAULTS: Chances = Chances {
+const NO_FAULTS: MessageFaults = MessageFaults {
     lost_txn_reply: 0,
     late_txn: 0,
     lost_command: 0,
@@ -21,34 +21,34 @@
     late_sync: 0,
 };
 
-fn world(seed: u64, capacity: u32) -> World {
+fn world(seed: u64, capacity: u32) -> Simulation {
     built(seed, site(3, capacity, NO_FAULTS))
 }
 
-fn built(seed: u64, site: Scenario) -> World {
-    World::new(Arc::new(site), Vec::new(), seed, History::new(None))
+fn built(seed: u64, site: Scenario) -> Simulation {
+    Simulation::new(Arc::new(site), Vec::new(), seed, History::new(None))
 }
 
 /// Submits a job whose tasks run for so many s.
-fn submit(world: &mut World, spec: JobSpec, run_s: u64) {
+fn submit(world: &mut Simulation, spec: JobSpec, run_s: u64) {
     plan(world, spec, run_s, false, None);
 }
 
-fn plan(world: &mut World, spec: JobSpec, run_s: u64, broken: bool, withdraw_after_s: Option<u64>) {
-    let load = Load {
+fn plan(world: &mut Simulation, spec: JobSpec, run_s: u64, broken: bool, withdraw_after_s: Option<u64>) {
+    let load = SimulatedJob {
         spec: Arc::new(spec),
         run_us: vec![run_s * 1_000_000],
         broken,
     };
     let withdraw_us = withdraw_after_s.map(|s| world.now + s * 1_000_000);
-    world.submit_at(Planned {
+    world.submit_at(PlannedSubmission {
         at_us: world.now,
         load,
         withdraw_us,
     });
 }
 
-fn assert_kept(world: &World, what: &str) {
+fn assert_kept(world: &Simulation, what: &str) {
     assert!(
         world.ground.checker.broken.is_empty(),
         "{what}: rules broken: {:#?}",
@@ -56,19 +56,19 @@
     );
 }
 
-fn done(world: &World, jobs: impl IntoIterator<Item = u32>) -> Vec<u32> {
+fn done(world: &Simulation, jobs: impl IntoIterator<Item = u32>) -> Vec<u32> {
     jobs.into_iter()
         .filter(|n| world.phase(&id(*n)) != Some(JobPhase::Done))
         .collect()
 }
 
 /// Machines rented and not given back.
-fn rented(world: &World) -> usize {
+fn rented(world: &Simulation) -> usize {
     world.workers.iter().flatten().count()
 }
 
 /// s until the first start of each task of a job, the latest.
-fn waited(world: &World, n: u32, tasks: u32, since_us: u64) -> Option<u64> {
+fn waited(world: &Simulation, n: u32, tasks: u32, since_us: u64) -> Option<u64> {
     let at = |t: u32| {
         world
             .ground
@@ -267,7 +267,7 @@
 // ---- guests ----------------------------------------------------------------------
 
 /// s that a burst of replicas waited, with or without guests beside it.
-fn burst(seed: u64, guests: bool, crash: bool) -> (u64, World) {
+fn burst(seed: u64, guests: bool, crash: bool) -> (u64, Simulation) {
     let mut world = world(seed, 40);
     for n in 0..4 {
         submit(
--- a/crates/simulator/tests/watch.rs
+++ b/crates/simulator/tests/supervision.rs
@@ -6,15 +6,15 @@
 use lemonweir_model::constants::*;
 use lemonweir_model::{JobKind, JobSpec, Priority};
 use lemonweir_protocol::kv_store::{CompareAndSwap, Write, from_value};
-use lemonweir_simulator::ground::Load;
+use lemonweir_simulator::workload_state::SimulatedJob;
 use lemonweir_simulator::history::History;
-use lemonweir_simulator::sample::{job, site};
-use lemonweir_simulator::scenario::{Chances, Scenario, host_name};
-use lemonweir_simulator::world::{Planned, World};
+use lemonweir_simulator::fixtures::{job, site};
+use lemonweir_simulator::scenario::{MessageFaults, Scenario, host_name};
+use lemonweir_simulator::simulation::{PlannedSubmission, Simulation};
 use lemonweir_storage::failovers::{FailoverRecord, LeadershipChange, failover_key};
 use lemonweir_storage::records::{ShardRecord, shard_key};
 
-const NO_FAULTS: Chances = Chances {
+const NO_FAULTS: MessageFaults = MessageFaults {
     lost_txn_reply: 0,
     late_txn: 0,
     lost_command: 0,
@@ -22,7 +22,7 @@
     lost_sync: 0,
     late_sync: 0,
 };
-const SOME_FAULTS: Chances = Chances {
+const SOME_FAULTS: MessageFaults = MessageFaults {
     lost_txn_reply: 60,
     late_txn: 60,
     lost_command: 40,
@@ -33,12 +33,12 @@
 /// Replicas of the two services.
 const REPLICAS: usize = 14;
 
-fn built(seed: u64, site: Scenario) -> World {
-    World::new(Arc::new(site), Vec::new(), seed, History::new(None))
+fn built(seed: u64, site: Scenario) -> Simulation {
+    Simulation::new(Arc::new(site), Vec::new(), seed, History::new(None))
 }
 
 /// Two services that are up.
-fn served(seed: u64, chances: Chances) -> World {
+fn served(seed: u64, chances: MessageFaults) -> Simulation {
     let mut world = built(seed, site(3, 16, chances));
     for (n, team, tasks) in [(0, "red", 4), (1, "blue", 10)] {
         submit(
@@ -56,24 +56,24 @@
     world
 }
 
-fn submit(world: &mut World, spec: JobSpec, run_s: u64) {
-    let load = Load {
+fn submit(world: &mut Simulation, spec: JobSpec, run_s: u64) {
+    let load = SimulatedJob {
         spec: Arc::new(spec),
         run_us: vec![run_s * 1_000_000],
         broken: false,
     };
-    world.submit_at(Planned {
+    world.submit_at(PlannedSubmission {
         at_us: world.now,
         load,
         withdraw_us: None,
     });
 }
 
-fn live(world: &World) -> usize {
+fn live(world: &Simulation) -> usize {
     world.workers.iter().flatten().map(|w| w.live()).sum()
 }
 
-fn holder(world: &World, shard: u16) -> Option<(String, u64)> {
+fn holder(world: &Simulation, shard: u16) -> Option<(String, u64)> {
     let (value, token) = world.store.get(&shard_key(shard))?;
     Some((
         from_value::<ShardRecord>(value).expect("a holder").host,
@@ -81,7 +81,7 @@
     ))
 }
 
-fn ring(world: &World, shard: u16) -> Vec<(FailoverRecord, u64)> {
+fn ring(world: &Simulation, shard: u16) -> Vec<(FailoverRecord, u64)> {
     let entries = world.store.list(&format!("w/hand/{shard}/"));
     let mut all: Vec<_> = entries
         .iter()
@@ -97,7 +97,7 @@
 }
 
 /// One entry a change, none missing, the newest of the one who holds it.
-fn assert_entered(world: &World, what: &str) {
+fn assert_entered(world: &Simulation, what: &str) {
     for shard in 0..3 {
         let ring = ring(world, shard);
         for pair in ring.windows(2) {
@@ -125,7 +125,7 @@
 }
 
 /// Runs until another than its home holds the part.
-fn until_taken(world: &mut World, shard: u16, not: &[usize]) -> usize {
+fn until_taken(world: &mut Simulation, shard: u16, not: &[usize]) -> usize {
     for _ in 0..600 {
         world.run(50);
         let other =
@@ -440,13 +440,13 @@
         1,
     );
     world.run(40_000 + seed * 137 % 2_000);
-    world.withdraw(&lemonweir_simulator::sample::id(services));
+    world.withdraw(&lemonweir_simulator::fixtures::id(services));
     world.run(4_000);
-    let replicas = |world: &World| {
+    let replicas = |world: &Simulation| {
         world
             .live()
             .iter()
-            .filter(|(id, _)| **id < lemonweir_simulator::sample::id(services))
+            .filter(|(id, _)| **id < lemonweir_simulator::fixtures::id(services))
             .map(|(_, n)| n)
             .sum::<usize>()
     };
@@ -481,11 +481,11 @@
         if world
             .ground
             .launched
-            .contains_key(&(lemonweir_simulator::sample::id(services + 1), 0))
+            .contains_key(&(lemonweir_simulator::fixtures::id(services + 1), 0))
         {
             started.get_or_insert(ms);
         }
-        let known = |h: &lemonweir_simulator::host::Host| {
+        let known = |h: &lemonweir_simulator::controller::Controller| {
             h.core
                 .as_ref()
                 .filter(|_| h.holds(0))
@@ -541,7 +541,7 @@
 
 /// The row of a service in the picture of the controller that serves its team.
 fn row(
-    world: &World,
+    world: &Simulation,
     n: u32,
 ) -> Option<lemonweir_protocol::supervision::UnderReplicatedServiceRow> {
     let rows = world
@@ -549,7 +549,7 @@
         .iter()
         .filter_map(|h| h.core.as_ref())
         .flat_map(|c| c.watch(world.now / 1_000).short);
-    rows.filter(|r| r.job == lemonweir_simulator::sample::id(n).to_string())
+    rows.filter(|r| r.job == lemonweir_simulator::fixtures::id(n).to_string())
         .max_by_key(|r| r.short_s)
 }
 
@@ -600,7 +600,7 @@
         "nothing better is known: {before:?}"
     );
     // The machine with the image becomes free.
-    world.withdraw(&lemonweir_simulator::sample::id(0));
+    world.withdraw(&lemonweir_simulator::fixtures::id(0));
     world.run(25_000);
     assert_eq!(live(&world), 2, "{:?}", row(&world, 1));
     assert_eq!(row(&world, 1), None);
--- a/crates/simulator/tests/worker_sessions.rs
+++ b/crates/simulator/tests/worker_leases.rs
@@ -5,9 +5,9 @@
 use std::sync::Arc;
 
 use lemonweir_simulator::history::History;
-use lemonweir_simulator::load::synthetic;
+use lemonweir_simulator::load_generator::synthetic;
 use lemonweir_simulator::scenario::Scenario;
-use lemonweir_simulator::world::World;
+use lemonweir_simulator::simulation::Simulation;
 
 const DEAF: &str = "at_s = 55\nfor_s = 45\nkind = 'deaf'\nshare = 0.3";
 const DEAF_ANSWERS: &str = "at_s = 55\nfor_s = 45\nkind = 'deaf'\nshare = 0.3\nonly = 'answers'";
@@ -23,7 +23,7 @@
 const CUT: &str = "at_s = 50\nfor_s = 40\nkind = 'cut_zone'\nzone = 'a'";
 
 /// A day: services, arrays and gangs on some dozen machines of two zones.
-fn day(hosts: u16, lease_s: f64, seed: u64, faults: &[&str]) -> World {
+fn day(hosts: u16, lease_s: f64, seed: u64, faults: &[&str]) -> Simulation {
     let faults: String = faults.iter().map(|f| format!("[[fault]]\n{f}\n")).collect();
     let text = format!(
         "name = 'hearing'\nduration_s = 240\ncontrollers = {hosts}\nzones = ['a', 'b']\npoll_s = 5\n\
@@ -41,11 +41,11 @@
     let scenario =
         Arc::new(Scenario::parse("hearing", &text).unwrap_or_else(|faults| panic!("{faults:?}")));
     let load = synthetic(&scenario, seed);
-    World::new(scenario, load, seed, History::new(None))
+    Simulation::new(scenario, load, seed, History::new(None))
 }
 
 /// Replicas up, of the 16 that are wanted.
-fn serving(world: &World) -> usize {
+fn serving(world: &Simulation) -> usize {
     let services = world
         .ground
         .jobs
