--- a/crates/simulator/src/baseline.rs
+++ b/crates/simulator/src/baseline.rs
@@ -1,6 +1,6 @@
-//! Baselines of the project's own, for side-by-side runs on the same load:
-//! plain, short placers on the machines that are there from the start. They
-//! know no failures, no renting, no limits of teams and no preemption.
+//! Baselines of the project's own, for side-by-side runs on the same load: plain, short
+//! placers on the machines that are there from the start. They know no failures, no
+//! autoscaling, no quotas and no preemption.
 //!
 //! * [`BaselineKind::Central`]: one placer that sees everything at once; the bound.
 //! * [`BaselineKind::Sampler`]: for each task some machines drawn at random are asked
@@ -15,11 +15,11 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
+use crate::histograms::{NamedHistograms, RecordMicros, histogram};
 use crate::history::History;
-use crate::metrics::{JobCounts, NamedHistograms, RecordMicros, RunReport, LatencySummary, ControllerWork, histogram};
-use crate::run::RunOutcome;
+use crate::job::PlannedSubmission;
+use crate::report::{ControllerWork, JobCounts, LatencySummary, RunOutcome, RunReport};
 use crate::scenario::Scenario;
-use crate::simulation::PlannedSubmission;
 
 /// Which baseline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -53,7 +53,7 @@
 }
 
 struct Machine {
-    room: Resources,
+    capacity: Resources,
     free: Resources,
     queue: VecDeque<(usize, u32)>,
 }
@@ -66,8 +66,8 @@
     seq: u64,
     now: u64,
     machines: Vec<Machine>,
-    /// What the central placer thinks is free.
-    known: Vec<Resources>,
+    /// Free resources as the central placer knows them.
+    known_free: Vec<Resources>,
     /// Jobs that wait, by priority and age, and their next task.
     waiting: BTreeMap<(Priority, usize), u32>,
     busy_until: u64,
@@ -80,28 +80,36 @@
     withdrawn: Vec<bool>,
     work: ControllerWork,
     busy_us: u64,
-    broken: Vec<String>,
+    violations: Vec<String>,
     history: History,
 }
 
 /// Runs a baseline on a scenario's fixed machines.
-pub fn run(kind: BaselineKind, scenario: &Scenario, load: &[PlannedSubmission], seed: u64) -> RunOutcome {
+pub fn run(
+    kind: BaselineKind,
+    scenario: &Scenario,
+    load: &[PlannedSubmission],
+    seed: u64,
+) -> RunOutcome {
     let began = std::time::Instant::now();
     let machines: Vec<Machine> = scenario
-        .kinds
+        .machine_kinds
         .iter()
-        .flat_map(|k| {
-            std::iter::repeat_n(k.machine.room, k.at_start as usize * scenario.zones.len())
+        .flat_map(|kind| {
+            std::iter::repeat_n(
+                kind.machine.room,
+                kind.at_start as usize * scenario.zones.len(),
+            )
         })
         .map(|room| Machine {
-            room,
+            capacity: room,
             free: room,
             queue: VecDeque::new(),
         })
         .collect();
     let mut run = BaselineRun {
-        known: machines.iter().map(|m| m.room).collect(),
-        left: load.iter().map(|p| p.load.spec.tasks as u32).collect(),
+        known_free: machines.iter().map(|m| m.capacity).collect(),
+        left: load.iter().map(|p| p.job.spec.tasks as u32).collect(),
         withdrawn: vec![false; load.len()],
         scenario,
         load,
@@ -119,13 +127,13 @@
         finished: BTreeMap::new(),
         work: ControllerWork::default(),
         busy_us: 0,
-        broken: Vec::new(),
+        violations: Vec::new(),
         history: History::new(None),
     };
     for (n, planned) in load.iter().enumerate() {
-        run.push(planned.at_us, Event::JobArrives(n));
+        run.schedule_at(planned.at_us, Event::JobArrives(n));
         if let Some(at) = planned.withdraw_us {
-            run.push(at, Event::JobWithdrawn(n));
+            run.schedule_at(at, Event::JobWithdrawn(n));
         }
     }
     let end = (scenario.duration_s * 1e6) as u64;
@@ -135,7 +143,7 @@
     {
         run.now = at;
         events += 1;
-        run.handle(kind, event);
+        run.dispatch(kind, event);
     }
     run.now = end;
     let (report, allocation) = run.report(kind, seed);
@@ -148,61 +156,64 @@
 }
 
 impl BaselineRun<'_> {
-    fn push(&mut self, at: u64, event: Event) {
+    fn schedule_at(&mut self, at: u64, event: Event) {
         self.seq += 1;
         self.queue.push(Reverse((at, self.seq, event)));
     }
 
-    fn travel(&mut self) -> u64 {
+    fn network_delay(&mut self) -> u64 {
         let l = self.scenario.latency;
         self.work.messages += 1;
         self.rng.random_range(l.low_us..=l.high_us)
     }
 
     fn need(&self, job: usize) -> Resources {
-        self.load[job].load.spec.need()
+        self.load[job].job.spec.need()
     }
 
-    fn charge(&mut self, messages: u64, looks: u64) {
-        let us = (messages * self.scenario.costs.message_ns + looks * self.scenario.costs.look_ns)
+    fn charge(&mut self, messages: u64, candidates: u64) {
+        let us = (messages * self.scenario.costs.message_ns
+            + candidates * self.scenario.costs.candidate_ns)
             / 1_000;
         self.busy_until = self.busy_until.max(self.now) + us;
         self.busy_us += us;
-        self.work.looks += looks;
+        self.work.candidates_examined += candidates;
     }
 
-    fn handle(&mut self, kind: BaselineKind, event: Event) {
+    fn dispatch(&mut self, kind: BaselineKind, event: Event) {
         match (event, kind) {
             (Event::JobArrives(job), BaselineKind::Central) => {
-                let spec = &self.load[job].load.spec;
+                let spec = &self.load[job].job.spec;
                 self.history.note(self.now, "submit", &spec.id, &"");
                 self.waiting.insert((spec.rank, job), 0);
-                let at = self.now + self.travel();
-                self.wake(at);
+                let at = self.now + self.network_delay();
+                self.wake_placer(at);
             }
             (Event::JobArrives(job), BaselineKind::Sampler(d)) => {
                 self.history
-                    .note(self.now, "submit", &self.load[job].load.spec.id, &"");
-                (0..self.left[job]).for_each(|task| self.sample(job, task, d));
+                    .note(self.now, "submit", &self.load[job].job.spec.id, &"");
+                (0..self.left[job]).for_each(|task| self.send_to_sampled(job, task, d));
             }
             (Event::TaskPlacement, _) => {
                 self.placing = false;
-                self.place();
+                self.place_waiting();
+            }
+            (Event::TaskArrives(job, task, m), BaselineKind::Central) => {
+                self.start_task(job, task, m)
             }
-            (Event::TaskArrives(job, task, m), BaselineKind::Central) => self.start(job, task, m),
             (Event::TaskArrives(job, task, m), BaselineKind::Sampler(_)) => {
                 self.machines[m].queue.push_back((job, task));
-                self.serve(m);
+                self.serve_queue(m);
             }
-            (Event::TaskEnds(job, task, m), _) => self.end(kind, job, task, m),
+            (Event::TaskEnds(job, task, m), _) => self.end_task(kind, job, task, m),
             (Event::ResourcesFreed(job, m), _) => {
-                self.known[m] = self.known[m].plus(&self.need(job));
+                self.known_free[m] = self.known_free[m].plus(&self.need(job));
                 self.charge(1, 0);
-                self.wake(self.now);
+                self.wake_placer(self.now);
             }
             (Event::JobWithdrawn(job), _) => {
                 self.withdrawn[job] = true;
-                self.waiting.remove(&(self.load[job].load.spec.rank, job));
+                self.waiting.remove(&(self.load[job].job.spec.rank, job));
                 let tasks: Vec<((usize, u32), usize)> = self
                     .running
                     .range((job, 0)..(job + 1, 0))
@@ -210,38 +221,38 @@
                     .collect();
                 tasks
                     .into_iter()
-                    .for_each(|((job, task), m)| self.end(kind, job, task, m));
+                    .for_each(|((job, task), m)| self.end_task(kind, job, task, m));
             }
         }
     }
 
-    fn wake(&mut self, at: u64) {
+    fn wake_placer(&mut self, at: u64) {
         if !self.placing {
             self.placing = true;
-            self.push(at.max(self.busy_until), Event::TaskPlacement);
+            self.schedule_at(at.max(self.busy_until), Event::TaskPlacement);
         }
     }
 
     // ---- central ---------------------------------------------------------------
 
-    fn place(&mut self) {
+    fn place_waiting(&mut self) {
         let mut failed: Vec<Resources> = Vec::new();
         for (rank, job) in self.waiting.keys().copied().collect::<Vec<_>>() {
-            let (need, tasks) = (self.need(job), self.load[job].load.spec.tasks as u32);
+            let (need, tasks) = (self.need(job), self.load[job].job.spec.tasks as u32);
             // Nobody who asks as much or more finds room in the same pass.
             if failed.iter().any(|f| need.covers(f)) {
                 continue;
             }
-            let gang = self.load[job].load.spec.shape == JobKind::Gang;
+            let gang = self.load[job].job.spec.shape == JobKind::Gang;
             let mut next = self.waiting.get(&(rank, job)).copied().unwrap_or(tasks);
             let mut chosen = Vec::new();
             while next < tasks {
-                let found = self.known.iter().position(|free| free.covers(&need));
-                let looked =
-                    found.map_or(self.known.len(), |i| i + 1) as u64 + self.known.len() as u64 / 64;
-                self.charge(1, looked);
+                let found = self.known_free.iter().position(|free| free.covers(&need));
+                let examined = found.map_or(self.known_free.len(), |i| i + 1) as u64
+                    + self.known_free.len() as u64 / 64;
+                self.charge(1, examined);
                 let Some(m) = found else { break };
-                self.known[m] = self.known[m].minus(&need);
+                self.known_free[m] = self.known_free[m].minus(&need);
                 chosen.push((next, m));
                 next += 1;
             }
@@ -249,7 +260,7 @@
                 failed.push(need);
                 if gang {
                     for (_, m) in chosen.drain(..) {
-                        self.known[m] = self.known[m].plus(&need);
+                        self.known_free[m] = self.known_free[m].plus(&need);
                     }
                     continue;
                 }
@@ -260,23 +271,23 @@
             for (task, m) in chosen {
                 let leaves = self.busy_until.max(self.now);
                 self.sent.insert((job, task), (leaves, leaves - self.now));
-                let at = leaves + self.travel();
-                self.push(at, Event::TaskArrives(job, task, m));
+                let at = leaves + self.network_delay();
+                self.schedule_at(at, Event::TaskArrives(job, task, m));
             }
         }
     }
 
     // ---- sampler ---------------------------------------------------------------
 
-    fn sample(&mut self, job: usize, task: u32, d: u32) {
+    fn send_to_sampled(&mut self, job: usize, task: u32, d: u32) {
         let need = self.need(job);
         let mut best: Option<(usize, usize)> = None;
         let mut back = self.now;
         for _ in 0..d {
             let m = self.rng.random_range(0..self.machines.len());
-            let there = self.travel();
-            back = back.max(self.now + there + self.travel());
-            if self.machines[m].room.covers(&need) {
+            let there = self.network_delay();
+            back = back.max(self.now + there + self.network_delay());
+            if self.machines[m].capacity.covers(&need) {
                 let length = self.machines[m].queue.len()
                     + usize::from(!self.machines[m].free.covers(&need));
                 best = best.min(Some((length, m))).or(Some((length, m)));
@@ -285,16 +296,18 @@
         match best {
             Some((_, m)) => {
                 self.sent.insert((job, task), (back, 0));
-                let at = back + self.travel();
-                self.push(at, Event::TaskArrives(job, task, m));
+                let at = back + self.network_delay();
+                self.schedule_at(at, Event::TaskArrives(job, task, m));
             }
             // None of those asked could ever hold it: others are asked.
-            None if self.machines.iter().any(|m| m.room.covers(&need)) => self.sample(job, task, d),
+            None if self.machines.iter().any(|m| m.capacity.covers(&need)) => {
+                self.send_to_sampled(job, task, d)
+            }
             None => {}
         }
     }
 
-    fn serve(&mut self, m: usize) {
+    fn serve_queue(&mut self, m: usize) {
         while let Some(&(job, task)) = self.machines[m].queue.front() {
             let need = self.need(job);
             if !self.withdrawn[job] && !self.machines[m].free.covers(&need) {
@@ -302,20 +315,20 @@
             }
             self.machines[m].queue.pop_front();
             if !self.withdrawn[job] {
-                self.start(job, task, m);
+                self.start_task(job, task, m);
             }
         }
     }
 
     // ---- machines --------------------------------------------------------------
 
-    fn start(&mut self, job: usize, task: u32, m: usize) {
+    fn start_task(&mut self, job: usize, task: u32, m: usize) {
         let need = self.need(job);
         if self.withdrawn[job] {
-            return self.push(self.now, Event::ResourcesFreed(job, m));
+            return self.schedule_at(self.now, Event::ResourcesFreed(job, m));
         }
         if !self.machines[m].free.covers(&need) {
-            self.broken.push(format!(
+            self.violations.push(format!(
                 "{} ms: room given twice on machine {m}",
                 self.now / 1_000
             ));
@@ -323,15 +336,15 @@
         self.machines[m].free = self.machines[m].free.minus(&need);
         self.launched.insert((job, task), self.now);
         self.running.insert((job, task), m);
-        let load = &self.load[job].load;
+        let load = &self.load[job].job;
         self.history
             .note(self.now, "up", &format!("{}/{task}", load.spec.id), &m);
         if load.spec.shape != JobKind::Service {
-            self.push(self.now + load.run_us(task), Event::TaskEnds(job, task, m));
+            self.schedule_at(self.now + load.run_us(task), Event::TaskEnds(job, task, m));
         }
     }
 
-    fn end(&mut self, kind: BaselineKind, job: usize, task: u32, m: usize) {
+    fn end_task(&mut self, kind: BaselineKind, job: usize, task: u32, m: usize) {
         if self.running.remove(&(job, task)).is_none() {
             return;
         }
@@ -339,43 +352,46 @@
         self.left[job] -= 1;
         if self.left[job] == 0 {
             self.history
-                .note(self.now, "ended", &self.load[job].load.spec.id, &"");
+                .note(self.now, "ended", &self.load[job].job.spec.id, &"");
             self.finished.insert(job, self.now);
         }
         match kind {
             BaselineKind::Central => {
-                let at = self.now + self.travel();
-                self.push(at, Event::ResourcesFreed(job, m));
+                let at = self.now + self.network_delay();
+                self.schedule_at(at, Event::ResourcesFreed(job, m));
             }
-            BaselineKind::Sampler(_) => self.serve(m),
+            BaselineKind::Sampler(_) => self.serve_queue(m),
         }
     }
 
     fn report(self, kind: BaselineKind, seed: u64) -> (RunReport, hdrhistogram::Histogram<u64>) {
-        let mut whole = histogram();
-        let (mut pieces, mut waiting, mut finished) =
-            (NamedHistograms::default(), NamedHistograms::default(), NamedHistograms::default());
+        let mut allocation = histogram();
+        let (mut stages, mut time_to_start, mut time_to_finish) = (
+            NamedHistograms::default(),
+            NamedHistograms::default(),
+            NamedHistograms::default(),
+        );
         for ((job, task), &at) in &self.launched {
             let planned = &self.load[*job];
             let (sent, pass) = self.sent.get(&(*job, *task)).copied().unwrap_or_default();
-            pieces.record(
+            stages.record(
                 "2 queueing",
                 sent.saturating_sub(pass).saturating_sub(planned.at_us),
             );
-            pieces.record("3 processing", pass);
-            pieces.record("5 ordering", at.saturating_sub(sent));
-            whole.record_us(at - planned.at_us);
-            waiting.record(&planned.load.spec.class, at - planned.at_us);
+            stages.record("3 processing", pass);
+            stages.record("5 ordering", at.saturating_sub(sent));
+            allocation.record_us(at - planned.at_us);
+            time_to_start.record(&planned.job.spec.class, at - planned.at_us);
         }
         for (job, at) in self
             .finished
             .iter()
-            .filter(|(j, _)| self.load[**j].load.spec.shape != JobKind::Service)
+            .filter(|(j, _)| self.load[**j].job.spec.shape != JobKind::Service)
         {
             let planned = &self.load[*job];
-            finished.record(&planned.load.spec.class, at - planned.at_us);
+            time_to_finish.record(&planned.job.spec.class, at - planned.at_us);
         }
-        let (lines, digest) = self.history.digest();
+        let (history_lines, history_digest) = self.history.digest();
         let submitted = self.load.iter().filter(|p| p.at_us <= self.now).count() as u64;
         let report = RunReport {
             scenario: self.scenario.name.clone(),
@@ -387,27 +403,27 @@
                 submitted,
                 accepted: submitted,
                 refused: 0,
-                over: self.finished.len() as u64,
+                ended: self.finished.len() as u64,
             },
-            starts: self.launched.len() as u64,
-            allocation: LatencySummary::of(&whole),
-            pieces: pieces.spreads(),
-            waiting: waiting.spreads(),
-            finished: finished.spreads(),
-            served: BTreeMap::new(),
-            withdrawals: LatencySummary::default(),
+            task_starts: self.launched.len() as u64,
+            allocation: LatencySummary::of(&allocation),
+            allocation_stages: stages.summaries(),
+            time_to_start: time_to_start.summaries(),
+            time_to_finish: time_to_finish.summaries(),
+            started_by_group: BTreeMap::new(),
+            withdrawal_latency: LatencySummary::default(),
             killed_by_lease: 0,
-            money: 0.0,
-            useful: 0.0,
+            cost: 0.0,
+            useful_share: 0.0,
             work: ControllerWork {
-                busiest: self.busy_us as f64 / self.now.max(1) as f64,
+                busiest_share: self.busy_us as f64 / self.now.max(1) as f64,
                 ..self.work
             },
-            series: Vec::new(),
-            broken: self.broken,
-            lines,
-            digest,
+            fleet: Vec::new(),
+            violations: self.violations,
+            history_lines,
+            history_digest,
         };
-        (report, whole)
+        (report, allocation)
     }
 }
--- a/crates/simulator/src/cloud.rs
+++ b/crates/simulator/src/cloud.rs
@@ -1,5 +1,5 @@
-//! A stand-in for the cloud: who was rented when, what that costs, what is
-//! left, and the list that lags.
+//! A simulated cloud: which machines are provisioned since when, what that costs, what is
+//! available, and the list of instances that lags.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -8,39 +8,58 @@
 
 use crate::scenario::Scenario;
 
-/// s that a machine costs at least (protocol page).
-const LEAST_S: f64 = 60.0;
+/// s that a machine that is gone costs at least (protocol page).
+const LEAST_BILLED_S: f64 = 60.0;
+/// Machines on a page of the list of instances.
+const LIST_PAGE: usize = 500;
 /// µs for which a machine that is gone can still be on a list.
-const KEEP_GONE_US: u64 = 60_000_000;
+const LISTED_AFTER_END_US: u64 = 60_000_000;
 
 struct CloudMachine {
     id: MachineId,
     kind: usize,
     zone: String,
     spot: bool,
-    from: u64,
+    provisioned_at: u64,
     up_at: u64,
-    gone: Option<u64>,
+    gone_at: Option<u64>,
+}
+
+/// What a machine that is provisioned now is. Times are µs.
+pub struct NewMachine<'a> {
+    /// Its name.
+    pub id: MachineId,
+    /// Number of its type in the scenario.
+    pub kind: usize,
+    /// Its zone.
+    pub zone: &'a str,
+    /// Spot instance or on-demand machine.
+    pub spot: bool,
+    /// Since when it costs.
+    pub provisioned_at: u64,
+    /// When it is up.
+    pub up_at: u64,
 }
 
 /// The cloud.
 pub struct Cloud {
     /// True while its interface is down.
     pub down: bool,
-    /// Machines of each request.
+    /// Machines of each provisioning request, by its booking.
     pub bookings: HashMap<String, Vec<MachineId>>,
     machines: BTreeMap<usize, CloudMachine>,
     prices: Vec<(f64, f64)>,
-    /// Spent on machines that are gone.
+    /// Cost of machines that are gone.
     spent: f64,
-    count: BTreeMap<(usize, String, bool), u32>,
+    /// Machines by kind, zone and whether they are spot instances.
+    provisioned: BTreeMap<(usize, String, bool), u32>,
 }
 
 impl Cloud {
     /// A cloud with the scenario's types.
     pub fn new(scenario: &Scenario) -> Self {
         let prices = scenario
-            .kinds
+            .machine_kinds
             .iter()
             .map(|k| (k.machine.price, k.machine.spot_price))
             .collect();
@@ -50,35 +69,40 @@
             machines: BTreeMap::new(),
             prices,
             spent: 0.0,
-            count: BTreeMap::new(),
+            provisioned: BTreeMap::new(),
         }
     }
 
-    /// Machines of a kind that can still be rented in a zone.
-    pub fn left(&self, kind: usize, zone: &str, spot: bool, scenario: &Scenario) -> u32 {
-        let (ordinary, cheap) = scenario.kinds[kind].capacity;
-        let most = if spot { cheap } else { ordinary };
+    /// Machines of a kind that can still be provisioned in a zone.
+    pub fn available(&self, kind: usize, zone: &str, spot: bool, scenario: &Scenario) -> u32 {
+        let capacity = scenario.machine_kinds[kind].capacity;
+        let most = if spot {
+            capacity.spot
+        } else {
+            capacity.on_demand
+        };
         most.saturating_sub(
-            self.count
+            self.provisioned
                 .get(&(kind, zone.to_owned(), spot))
                 .copied()
                 .unwrap_or(0),
         )
     }
 
-    /// A machine was rented.
-    #[allow(clippy::too_many_arguments)]
-    pub fn add(
-        &mut self,
-        number: usize,
-        kind: usize,
-        zone: &str,
-        spot: bool,
-        from: u64,
-        up_at: u64,
-        id: MachineId,
-    ) {
-        *self.count.entry((kind, zone.to_owned(), spot)).or_default() += 1;
+    /// A machine was provisioned.
+    pub fn add(&mut self, number: usize, machine: NewMachine<'_>) {
+        let NewMachine {
+            id,
+            kind,
+            zone,
+            spot,
+            provisioned_at,
+            up_at,
+        } = machine;
+        *self
+            .provisioned
+            .entry((kind, zone.to_owned(), spot))
+            .or_default() += 1;
         self.machines.insert(
             number,
             CloudMachine {
@@ -86,54 +110,56 @@
                 kind,
                 zone: zone.to_owned(),
                 spot,
-                from,
+                provisioned_at,
                 up_at,
-                gone: None,
+                gone_at: None,
             },
         );
     }
 
-    /// A machine is no more.
-    pub fn gone(&mut self, number: usize, now: u64) {
+    /// A machine is gone.
+    pub fn remove(&mut self, number: usize, now: u64) {
         self.machines
-            .retain(|_, m| m.gone.is_none_or(|at| now < at + KEEP_GONE_US));
+            .retain(|_, m| m.gone_at.is_none_or(|at| now < at + LISTED_AFTER_END_US));
         if let Some(m) = self.machines.get_mut(&number)
-            && m.gone.is_none()
+            && m.gone_at.is_none()
         {
-            m.gone = Some(now);
+            m.gone_at = Some(now);
             self.spent += cost(&self.prices, m, now);
-            if let Some(n) = self.count.get_mut(&(m.kind, m.zone.clone(), m.spot)) {
+            if let Some(n) = self.provisioned.get_mut(&(m.kind, m.zone.clone(), m.spot)) {
                 *n -= 1;
             }
         }
     }
 
-    /// Money spent until now.
+    /// Cost of all machines until now.
     pub fn spent(&self, now: u64) -> f64 {
         self.spent
             + self
                 .machines
                 .values()
-                .filter(|m| m.gone.is_none())
+                .filter(|m| m.gone_at.is_none())
                 .map(|m| cost(&self.prices, m, now))
                 .sum::<f64>()
     }
 
-    /// Machines that a list holds.
-    pub fn listed(&self) -> usize {
-        self.machines.len() / 500
+    /// Pages that a list of instances has, besides the first.
+    pub fn list_pages(&self) -> usize {
+        self.machines.len() / LIST_PAGE
     }
 
     /// The list as of `at` µs.
     pub fn list(&self, at: u64, scenario: &Scenario) -> Vec<InstanceEntry> {
-        let there = |m: &&CloudMachine| m.from <= at && m.gone.is_none_or(|gone| gone > at);
+        let there = |m: &&CloudMachine| {
+            m.provisioned_at <= at && m.gone_at.is_none_or(|gone_at| gone_at > at)
+        };
         let entry = |m: &CloudMachine| InstanceEntry {
             id: m.id.clone(),
-            kind: scenario.kinds[m.kind].machine.name.clone(),
+            kind: scenario.machine_kinds[m.kind].machine.name.clone(),
             zone: m.zone.clone(),
             spot: m.spot,
             phase: if m.up_at > at { "starting" } else { "running" }.into(),
-            age_s: (at - m.from) as f64 / 1e6,
+            age_s: (at - m.provisioned_at) as f64 / 1e6,
         };
         self.machines.values().filter(there).map(entry).collect()
     }
@@ -141,7 +167,11 @@
 
 fn cost(prices: &[(f64, f64)], m: &CloudMachine, now: u64) -> f64 {
     let (price, spot_price) = prices[m.kind];
-    let held_s =
-        (now.saturating_sub(m.from) as f64 / 1e6).max(if m.gone.is_some() { LEAST_S } else { 0.0 });
-    held_s / 3_600.0 * if m.spot { spot_price } else { price }
+    let billed_s =
+        (now.saturating_sub(m.provisioned_at) as f64 / 1e6).max(if m.gone_at.is_some() {
+            LEAST_BILLED_S
+        } else {
+            0.0
+        });
+    billed_s / 3_600.0 * if m.spot { spot_price } else { price }
 }
--- /dev/null
+++ b/crates/simulator/src/fault_search/draw_faults.rs
@@ -0,0 +1,220 @@
+//! Draws the faults of a run as tables of a scenario. The order of the draws is part of what a
+//! seed means: a seed gives the same run in every version.
+
+use std::fmt::Write;
+
+use rand::RngExt;
+use rand::seq::IndexedRandom;
+use rand_chacha::ChaCha8Rng;
+
+use super::draw_site::DrawnSite;
+use super::{CALM_S, FAULTS_S, LONGEST_FAULT_S};
+
+/// s that a fault lasts at the least.
+const SHORTEST_FAULT_S: f64 = 3.0;
+
+/// Pairs of faults of which the second begins while the first lasts, and in some runs one
+/// more.
+pub(super) fn draw_faults(rng: &mut ChaCha8Rng, site: &DrawnSite) -> Vec<String> {
+    let mut faults = Vec::new();
+    for _ in 0..rng.random_range(1..=2) {
+        let at = CALM_S + rng.random::<f64>() * FAULTS_S;
+        let length = draw_length(rng);
+        faults.push(draw_fault(rng, site, at, length));
+        let second = (at + rng.random::<f64>() * length).min(CALM_S + FAULTS_S);
+        let length = draw_length(rng);
+        faults.push(draw_fault(rng, site, second, length));
+    }
+    if rng.random_range(0..2) == 0 {
+        let at = CALM_S + rng.random::<f64>() * FAULTS_S;
+        let length = draw_length(rng);
+        faults.push(draw_fault(rng, site, at, length));
+    }
+    faults
+}
+
+fn draw_length(rng: &mut ChaCha8Rng) -> f64 {
+    rng.random_range(SHORTEST_FAULT_S..LONGEST_FAULT_S)
+}
+
+/// What the kinds of one fault are made of.
+struct FaultParameters {
+    /// When it begins, s.
+    at: f64,
+    /// How long it lasts, s.
+    length: f64,
+    controller: usize,
+    other: usize,
+    zone: usize,
+    share: f64,
+    /// The line that makes a link flap, or nothing.
+    flap: String,
+    /// The lines that narrow an inbound loss, or nothing.
+    only: String,
+    /// A short time, s.
+    short: f64,
+    /// A range of delays, s.
+    low: f64,
+    high: f64,
+}
+
+/// Draws one fault as a table of the scenario's form.
+fn draw_fault(rng: &mut ChaCha8Rng, site: &DrawnSite, at: f64, length: f64) -> String {
+    let parameters = draw_parameters(rng, site, at, length);
+    let kinds = candidate_kinds(rng, site, &parameters);
+    let kind = kinds.choose(rng).map_or("", String::as_str);
+    format!("[[fault]]\nat_s = {at:.1}\n{kind}\n")
+}
+
+fn draw_parameters(
+    rng: &mut ChaCha8Rng,
+    site: &DrawnSite,
+    at: f64,
+    length: f64,
+) -> FaultParameters {
+    let controller = rng.random_range(0..site.controllers);
+    let other = rng.random_range(0..site.controllers);
+    let zone = rng.random_range(0..site.zones);
+    let share = rng.random_range(0.05..0.5f64);
+    let flap = if rng.random_range(0..4) == 0 {
+        format!("\nflap_s = {:.1}", rng.random_range(1.0..8.0f64))
+    } else {
+        String::new()
+    };
+    let mut only = ["", "\nonly = 'answers'", "\nonly = 'commands'"]
+        .choose(rng)
+        .map_or(String::new(), |line| (*line).to_owned());
+    if rng.random_range(0..3) == 0 {
+        // Writing into a string can't fail.
+        let _ = write!(only, "\ncontroller = {other}");
+    }
+    let short = rng.random_range(0.1..1.0f64);
+    let low = rng.random_range(1.0..site.lease_s);
+    let high = low + rng.random_range(0.0..2.0 * site.lease_s);
+    FaultParameters {
+        at,
+        length,
+        controller,
+        other,
+        zone,
+        share,
+        flap,
+        only,
+        short,
+        low,
+        high,
+    }
+}
+
+/// Each kind of fault with these parameters. Kinds that stand twice are drawn twice as often.
+fn candidate_kinds(
+    rng: &mut ChaCha8Rng,
+    site: &DrawnSite,
+    parameters: &FaultParameters,
+) -> Vec<String> {
+    let FaultParameters {
+        at,
+        length,
+        controller: a,
+        other: b,
+        zone,
+        share,
+        flap,
+        only,
+        short,
+        low,
+        high,
+    } = parameters;
+    let (controllers, machines) = (site.controllers, site.machines);
+    vec![
+        format!("kind = 'crash'\ncontroller = {a}\nfor_s = {length:.1}"),
+        format!("kind = 'crash'\nfor_s = {:.1}", length.min(10.0)),
+        "kind = 'roll'\nfor_s = 9".to_owned(),
+        format!("kind = 'store_down'\nfor_s = {length:.1}"),
+        format!("kind = 'refused'\ncontroller = {a}\nfor_s = {length:.1}{flap}"),
+        format!("kind = 'cloud_down'\nfor_s = {length:.1}"),
+        format!(
+            "kind = 'cut_controllers'\ncontroller = {a}\nother = {b}\nfor_s = {length:.1}{flap}"
+        ),
+        format!("kind = 'cut_workers'\ncontroller = {a}\nfor_s = {length:.1}{flap}"),
+        format!(
+            "kind = 'cut_workers'\ncontroller = {a}\nzone = 'z{zone}'\nfor_s = {length:.1}{flap}"
+        ),
+        format!("kind = 'cut_one_way'\ncontroller = {a}\nother = {b}\nfor_s = {length:.1}{flap}"),
+        format!("kind = 'cut_cloud'\ncontroller = {a}\nfor_s = {length:.1}"),
+        format!("kind = 'cut_users'\ncontroller = {a}\nfor_s = {length:.1}"),
+        format!(
+            "kind = 'freeze'\ncontroller = {a}\nfor_s = {:.1}",
+            length.min(40.0)
+        ),
+        format!("kind = 'cut_zone'\nzone = 'z{zone}'\nfor_s = {length:.1}"),
+        format!("kind = 'cut_zone'\nzone = 'z{zone}'\nfor_s = {length:.1}"),
+        format!("kind = 'silent'\nshare = {share:.2}\nfor_s = {length:.1}"),
+        format!("kind = 'hang'\nshare = {share:.2}\nfor_s = {length:.1}"),
+        format!("kind = 'faulty'\nshare = {:.2}\nfor_s = 1", share / 10.0),
+        format!(
+            "kind = 'boots'\nfactor = {}\nshare = {:.2}\nfor_s = {length:.1}",
+            [0.03, 8.0].choose(rng).unwrap_or(&1.0),
+            share / 2.0
+        ),
+        format!(
+            "kind = 'polls'\nfactor = {}\nfor_s = {length:.1}",
+            [8, 50].choose(rng).unwrap_or(&8)
+        ),
+        format!("kind = 'die'\nshare = {:.2}\nfor_s = 1", share / 2.0),
+        format!(
+            "kind = 'take_spot'\nshare = {share:.2}\nnotice_s = {}",
+            [0, 8].choose(rng).unwrap_or(&0)
+        ),
+        format!("kind = 'deaf'\nshare = {share:.2}\nfor_s = {length:.1}{only}"),
+        format!("kind = 'deaf'\nzone = 'z{zone}'\nfor_s = {length:.1}{only}"),
+        format!(
+            "kind = 'late_copies'\nshare = {:.2}\nfor_s = {length:.1}\nlow_s = {low:.1}\nhigh_s = {high:.1}",
+            2.0 * share
+        ),
+        format!("kind = 'alone'\ncontroller = {a}\nfor_s = {length:.1}"),
+        format!("kind = 'reborn'\nshare = {share:.2}\nfor_s = 1"),
+        format!("kind = 'late_writes'\nshare = {share:.2}\nfor_s = {length:.1}"),
+        format!(
+            "kind = 'store_slow'\nfor_s = {length:.1}\nlow_s = {:.2}\nhigh_s = {:.2}",
+            0.3 * short,
+            3.0 * short
+        ),
+        format!(
+            "kind = 'held_orders'\nshare = {share:.2}\nfor_s = {length:.1}\nlow_s = {low:.1}\nhigh_s = {high:.1}"
+        ),
+        format!("kind = 'late_writes'\nat_once = true\nshare = {share:.2}\nfor_s = {length:.1}"),
+        format!(
+            "kind = 'late_copies'\nfor_next = true\nshare = {:.2}\nfor_s = {length:.1}",
+            2.0 * share
+        ),
+        format!("kind = 'mute'\nshare = {share:.2}\nfor_s = {length:.1}"),
+        format!("kind = 'mute'\nzone = 'z{zone}'\nfor_s = {length:.1}"),
+        format!("kind = 'close_looks'\nfor_s = {length:.1}"),
+        format!(
+            "kind = 'cancel_at_end'\nshare = {:.2}\nfor_s = {length:.1}",
+            2.0 * share
+        ),
+        format!(
+            "kind = 'cancel_now'\ncount = {}\nfor_s = 1",
+            1 + machines / 8
+        ),
+        format!(
+            "kind = 'cancel_now'\ncount = {}\nhang_s = {length:.1}\nfor_s = 1",
+            1 + machines / 8
+        ),
+        format!("kind = 'odd_requests'\nfor_s = {length:.1}"),
+        "kind = 'state_limits'\nfor_s = 1".to_owned(),
+        format!("kind = 'refused'\ncontroller = {a}\ncarried = true\nfor_s = {length:.1}"),
+        format!("kind = 'refused'\ncontroller = {a}\ncarried = true\nfor_s = {length:.1}"),
+        format!("kind = 'crash'\ncontroller = {a}\nfor_s = {short:.1}"),
+        format!("kind = 'crash'\nfor_s = {short:.1}"),
+        // The second is back while the first one's part is being taken.
+        format!(
+            "kind = 'crash'\ncontroller = {a}\nfor_s = {:.1}\n[[fault]]\nat_s = {:.1}\nkind = 'crash'\ncontroller = {}\nfor_s = {short:.1}",
+            length.max(20.0),
+            at + rng.random_range(8.0..14.0),
+            (a + 1) % controllers
+        ),
+    ]
+}
--- /dev/null
+++ b/crates/simulator/src/fault_search/draw_site.rs
@@ -0,0 +1,162 @@
+//! Draws a site and its load as the text of a scenario. The order of the draws is part of what
+//! a seed means: a seed gives the same run in every version.
+
+use std::fmt::Write;
+
+use rand::RngExt;
+use rand_chacha::ChaCha8Rng;
+
+use super::DURATION_S;
+
+/// Machines of a site at the least.
+const LEAST_MACHINES: f64 = 40.0;
+
+/// A drawn site with what its faults depend on.
+pub(super) struct DrawnSite {
+    /// The text of its scenario.
+    pub(super) text: String,
+    pub(super) machines: u32,
+    pub(super) zones: usize,
+    pub(super) controllers: usize,
+    pub(super) lease_s: f64,
+}
+
+/// Draws a site with its load, with `most` machines at the most.
+pub(super) fn draw_site(rng: &mut ChaCha8Rng, most: u32) -> DrawnSite {
+    let range = f64::from(most.max(41)) / LEAST_MACHINES;
+    let machines = (LEAST_MACHINES * range.powf(rng.random::<f64>())) as u32;
+    let zones = rng.random_range(1..=8usize).min(1 + machines as usize / 10);
+    let controllers = rng.random_range(1..=12usize).min(1 + machines as usize / 8);
+    let lease_s = rng.random_range(8.0..27.0);
+    let mut site = DrawnSite {
+        text: String::new(),
+        machines,
+        zones,
+        controllers,
+        lease_s,
+    };
+    write_infrastructure(&mut site, rng);
+    write_load(&mut site, rng);
+    site
+}
+
+/// Controllers, workers, services, machine types and teams.
+fn write_infrastructure(site: &mut DrawnSite, rng: &mut ChaCha8Rng) {
+    let DrawnSite {
+        text,
+        machines,
+        zones,
+        controllers,
+        lease_s: lease,
+    } = site;
+    let (machines, controllers, lease) = (*machines, *controllers, *lease);
+    let report = lease / rng.random_range(4.0..6.0);
+    let cancel = lease * rng.random_range(1.6..3.0);
+    let per_zone = machines.div_ceil(*zones as u32);
+    let names: Vec<String> = (0..*zones).map(|zone| format!("'z{zone}'")).collect();
+    // Writing into a string can't fail.
+    let _ = write!(
+        text,
+        "name = 'hunt'\nduration_s = {DURATION_S}\ncontrollers = {controllers}\nzones = [{}]\npoll_s = 10\n\
+         [workers]\nreport_s = {report:.2}\nlease_s = {lease:.2}\ncancel_s = {cancel:.2}\n\
+         [state]\nrps = {}\nwrite_rps = {}\ntxn_ops = {}\n\
+         [state.next]\nwrite_rps = {}\nvalue_kb = 2\ntxn_ops = 4\n\
+         [cloud]\nrps = {}\nlist_lag_s = {:.1}\n\
+         [messages]\nlost_command = {}\nlate_command = {}\nlost_sync = {}\nlate_sync = 500\nlost_txn_reply = {}\nlate_txn = {}\n\
+         [[machine_type]]\nname = 'box'\ncpus = 16\ngpus = 4\nmemory_gb = 64\ncache_gb = 60\nfetch_gb_per_s = 0.8\nprice = 4\nspot_price = 1\n\
+         boot_s = {:.1}\nordinary = {per_zone}\nspot = {}\n\
+         [[team]]\nname = 'red'\ngpus = {}\n[[team]]\nname = 'blue'\n[[team]]\nname = 'guest'\n",
+        names.join(", "),
+        60 * controllers + machines as usize / 10,
+        40 + machines / 12,
+        rng.random_range(8..33),
+        28 + machines / 18,
+        rng.random_range(3..9) + controllers,
+        rng.random_range(2.0..15.0),
+        rng.random_range(0..30),
+        rng.random_range(0..30),
+        rng.random_range(0..30),
+        rng.random_range(0..20),
+        rng.random_range(0..20),
+        rng.random_range(10.0..40.0),
+        per_zone / 4,
+        machines,
+    );
+}
+
+/// The classes of jobs.
+fn write_load(site: &mut DrawnSite, rng: &mut ChaCha8Rng) {
+    let machines = site.machines;
+    let (spread, one_zone) = (rng.random::<bool>() && site.zones > 1, rng.random::<bool>());
+    let classes = [
+        format!(
+            "name = 'serve'\nshape = 'service'\npriority = 'production'\nspread = {spread}\ntasks = 4\nrun_s = 100000\nat_start = {}",
+            1 + machines / 5
+        ),
+        format!(
+            "name = 'brief'\nshape = 'service'\npriority = 'production'\ntasks = 2\nrun_s = 90\nper_min = {:.2}",
+            0.5 + f64::from(machines) / 100.0
+        ),
+        format!(
+            "name = 'batch'\nspot = true\ncheckpoint_s = 10\nsave_s = 2\nrun_s = 50\nper_min = {:.2}\ntasks = {{ dist = 'uniform', low = 1, high = 15 }}",
+            f64::from(machines) / 10.0
+        ),
+        format!(
+            "name = 'gang'\nshape = 'gang'\npriority = 'high'\none_zone = {one_zone}\ncheckpoint_s = 10\nsave_s = 2\nrun_s = 60\nper_min = {:.2}\n\
+             tasks = {{ dist = 'uniform', low = 2, high = 6 }}",
+            f64::from(machines) / 30.0
+        ),
+    ];
+    // Some sites have a guest, and jobs with a mistake.
+    let guest = (rng.random_range(0..3) == 0).then(|| guest_class(rng, machines));
+    let broken = if rng.random_range(0..2) == 0 {
+        0.04
+    } else {
+        0.0
+    };
+    for class in classes {
+        let _ = write!(
+            site.text,
+            "[[class]]\nteams = ['red', 'blue']\nbroken = {broken}\n{class}\ncpus = 4\ngpus = 1\nmemory_gb = 10\nimages = 6\nimage_gb = 4\n"
+        );
+    }
+    if let Some(guest) = guest {
+        let _ = write!(site.text, "[[class]]\nteams = ['guest']\n{guest}");
+    }
+    if rng.random::<bool>() {
+        site.text.push_str(&dependent_classes(machines));
+    }
+}
+
+/// Three classes across teams, of which the last is urgent and depends on both others.
+fn dependent_classes(machines: u32) -> String {
+    let per_min = 1.0 + f64::from(machines) / 60.0;
+    format!(
+        "[[class]]\nname = 'first'\nteams = ['red', 'blue']\npriority = 'low'\nspot = true\ncpus = 1\nmemory_gb = 2\nrun_s = 15\n\
+         tasks = {{ dist = 'uniform', low = 1, high = 80 }}\nper_min = {per_min:.2}\ncancelled = 0.15\n\
+         [[class]]\nname = 'second'\nteams = ['blue', 'red']\nshape = 'gang'\ncpus = 1\nmemory_gb = 2\nrun_s = 20\n\
+         tasks = {{ dist = 'uniform', low = 2, high = 4 }}\nawaits = ['first']\n\
+         [[class]]\nname = 'last'\nteams = ['red', 'blue']\npriority = 'high'\nspot = true\ncpus = 1\nmemory_gb = 2\nrun_s = 8\ntasks = 3\n\
+         awaits = ['first', 'second']\nlater_s = {{ dist = 'uniform', low = 0, high = 40 }}\ncancelled = 0.1\n"
+    )
+}
+
+/// One of the ways in which a guest without a guaranteed quota takes up resources: a huge
+/// array, many tiny jobs, or long idle work.
+fn guest_class(rng: &mut ChaCha8Rng, machines: u32) -> String {
+    match rng.random_range(0..3) {
+        0 => format!(
+            "name = 'huge'\ncpus = 1\nmemory_gb = 1\ntasks = {}\nrun_s = 10\nat_start = 1\n",
+            20 * machines
+        ),
+        1 => format!(
+            "name = 'tiny'\ncpus = 0.5\nmemory_gb = 0.5\nrun_s = 4\nat_start = {}\n",
+            2 * machines
+        ),
+        _ => format!(
+            "name = 'idle'\npriority = 'low'\nspot = true\ncpus = 5\nmemory_gb = 8\ncheckpoint_s = 30\nsave_s = 3\nrun_s = 120\n\
+             tasks = {}\nat_start = 2\n",
+            machines / 2
+        ),
+    }
+}
--- a/crates/simulator/src/fixtures.rs
+++ b/crates/simulator/src/fixtures.rs
@@ -5,16 +5,16 @@
 use crate::scenario::{MessageFaults, Scenario};
 
 /// Two zones, boxes of 16 processors and 4 accelerators, two teams.
-pub fn site(hosts: u16, capacity: u32, chances: MessageFaults) -> Scenario {
+pub fn site(controllers: u16, capacity: u32, message_faults: MessageFaults) -> Scenario {
     let text = format!(
-        "name = 'rules'\nduration_s = 1e6\ncontrollers = {hosts}\nzones = ['north', 'south']\n\
+        "name = 'rules'\nduration_s = 1e6\ncontrollers = {controllers}\nzones = ['north', 'south']\n\
          [state]\ntxn_ops = 12\n\
          [[machine_type]]\nname = 'box'\ncpus = 16\ngpus = 4\nmemory_gb = 64\ncache_gb = 100\nprice = 4\nspot_price = 1\n\
          boot_s = 20\nordinary = {capacity}\nspot = {capacity}\n\
          [[team]]\nname = 'red'\ngpus = 4\ngpus_max = 12\n[[team]]\nname = 'blue'\n"
     );
     Scenario {
-        chances,
+        message_faults,
         ..Scenario::parse("rules", &text).unwrap_or_else(|faults| unreachable!("{faults:?}"))
     }
 }
--- /dev/null
+++ b/crates/simulator/src/invariants/answers.rs
@@ -0,0 +1,128 @@
+//! What users are told of their jobs: true, never taken back, and in time.
+
+use std::collections::BTreeSet;
+
+use lemonweir_model::JobId;
+use lemonweir_protocol::users::JobPhase;
+
+use super::InvariantChecker;
+
+/// µs without an answer after which a job counts as forgotten.
+const FORGOTTEN_US: u64 = 75_000_000;
+
+/// The end of a job as a user was told it.
+pub(super) struct TerminalAnswer {
+    phase: JobPhase,
+    at: u64,
+}
+
+/// What a user was told of a job.
+#[derive(Clone, Copy, Debug)]
+pub struct UserAnswer {
+    /// The job's phase; none: 404, the job is unknown.
+    pub phase: Option<JobPhase>,
+    /// True if the user knew of the job's acceptance when it asked.
+    pub accepted: bool,
+    /// When the user asked, µs.
+    pub asked: u64,
+}
+
+impl InvariantChecker {
+    /// A user was told something of a job at `now`.
+    pub fn told(&mut self, job: &JobId, answer: UserAnswer, now: u64) {
+        let before = self
+            .told
+            .get(job)
+            .filter(|told| told.at <= answer.asked)
+            .map(|told| told.phase);
+        match answer.phase {
+            Some(phase @ (JobPhase::Queued | JobPhase::Running))
+                if self.is_orphaned(job, answer.asked) =>
+            {
+                let phase = Some(phase);
+                self.violation(
+                    now,
+                    format!(
+                        "orphaned: {job} is called {phase:?}, and a job that it needs is cancelled"
+                    ),
+                );
+            }
+            None if answer.accepted => self.violation(now, format!("forgotten: {job} got 404")),
+            Some(_) if !self.specs.contains_key(job) => {
+                self.violation(now, format!("invented: {job}"))
+            }
+            Some(phase) if before.is_some_and(|told| told != phase) => {
+                self.violation(
+                    now,
+                    format!("went_back: {job} was called {before:?} and is called {phase:?}"),
+                );
+            }
+            Some(JobPhase::Done) if self.ended.get(job) != Some(&JobPhase::Done) => {
+                self.violation(
+                    now,
+                    format!("not_done: {job} is called done, but its end is not written"),
+                );
+            }
+            Some(phase @ (JobPhase::Done | JobPhase::Withdrawn)) => {
+                self.told
+                    .entry(job.clone())
+                    .or_insert(TerminalAnswer { phase, at: now });
+            }
+            _ => {}
+        }
+    }
+
+    /// True if a dependency of a job, direct or indirect, was called cancelled for longer
+    /// than its dependents may take to follow.
+    fn is_orphaned(&self, job: &JobId, asked: u64) -> bool {
+        let (mut queue, mut seen) = (vec![job], BTreeSet::new());
+        while let Some(job) = queue.pop() {
+            for dependency in self
+                .specs
+                .get(job)
+                .into_iter()
+                .flat_map(|spec| &spec.awaits)
+                .filter(|dependency| seen.insert(*dependency))
+            {
+                if self
+                    .withdrawn
+                    .get(dependency)
+                    .is_some_and(|at| asked > at + self.cancel_us)
+                {
+                    return true;
+                }
+                queue.push(dependency);
+            }
+        }
+        false
+    }
+
+    /// A user waits for a job: a question about it was answered at `now`.
+    pub fn answered(&mut self, job: &JobId, now: u64) {
+        self.awaiting_answer.insert(job.clone(), now);
+    }
+
+    /// A user waits for a job no more.
+    pub fn no_longer_awaited(&mut self, job: &JobId) {
+        self.awaiting_answer.remove(job);
+    }
+
+    /// With all faults over since `quiet_since`, no job goes without an answer.
+    pub fn check_answers(&mut self, quiet_since: u64, now: u64) {
+        let late = |at: &u64| (*at).max(quiet_since) + FORGOTTEN_US < now;
+        let mut forgotten: Vec<JobId> = self
+            .awaiting_answer
+            .iter()
+            .filter(|(_, at)| late(at))
+            .map(|(job, _)| job.clone())
+            .collect();
+        forgotten.sort_unstable();
+        for job in forgotten {
+            self.awaiting_answer.remove(&job);
+            self.violation(
+                now,
+                format!("forgotten: no question about {job} is answered for 75 s"),
+            );
+        }
+    }
+}
--- /dev/null
+++ b/crates/simulator/src/invariants/gangs.rs
@@ -0,0 +1,39 @@
+//! Of a gang's attempts only one may be live at a time.
+
+use lemonweir_model::AttemptId;
+
+use super::InvariantChecker;
+use crate::job::is_real_gang;
+
+impl InvariantChecker {
+    /// A task's launch command was accepted: no other attempt of its gang may be live.
+    pub fn launched(&mut self, id: &AttemptId, now: u64) {
+        if !self
+            .specs
+            .get(&id.job)
+            .is_some_and(|spec| is_real_gang(spec))
+        {
+            return;
+        }
+        let attempts = self.live_gang_tasks.entry(id.job.clone()).or_default();
+        *attempts.entry(id.attempt).or_default() += 1;
+        if attempts.len() > 1 {
+            let text = format!(
+                "two_attempts: {} starts with {attempts:?} of its gang live",
+                id.piece()
+            );
+            self.violation(now, text);
+        }
+    }
+
+    /// A task exited, or is gone with its machine.
+    pub fn gang_task_over(&mut self, id: &AttemptId) {
+        let Some(attempts) = self.live_gang_tasks.get_mut(&id.job) else {
+            return;
+        };
+        if let Some(tasks) = attempts.get_mut(&id.attempt) {
+            *tasks -= 1;
+        }
+        attempts.retain(|_, tasks| *tasks > 0);
+    }
+}
--- a/crates/simulator/src/load_generator.rs
+++ b/crates/simulator/src/load_generator.rs
@@ -1,91 +1,136 @@
-//! Load for a world: synthetic classes drawn from distributions.
+//! Synthetic load: the jobs of a scenario's classes, drawn from distributions.
 
 use std::sync::Arc;
 
+use lemonweir_model::constants::MAX_TASKS;
 use lemonweir_model::{JobId, JobKind, JobSpec};
-use lemonweir_trace::workload::{self, Entry, WorkloadError};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::workload_state::SimulatedJob;
-use crate::run::WorkloadReplay;
-use crate::scenario::{JobClass, ValueDistribution, Scenario};
-use crate::simulation::PlannedSubmission;
+use crate::clock::micros;
+use crate::job::{PlannedSubmission, SimulatedJob};
+use crate::scenario::{JobClass, Scenario, ValueDistribution};
 
-/// Draws the jobs of a scenario's classes. Each class draws from a generator
-/// of its own, so that a change of one does not change the others.
+/// s from the submission to the withdrawal of a job with a mistake.
+const BROKEN_WITHDRAWN_S: std::ops::Range<f64> = 20.0..200.0;
+/// When a cancelled job is withdrawn, as a share of its mean run time.
+const CANCELLED_AT_SHARE: std::ops::Range<f64> = 0.1..1.1;
+
+/// A job of a class before the jobs of all classes are numbered.
+struct DrawnJob {
+    class: usize,
+    planned: PlannedSubmission,
+}
+
+/// Draws the jobs of a scenario's classes in the order of their submission. Each class draws
+/// from a generator of its own, so that a change of one does not change the others.
 pub fn synthetic(scenario: &Scenario, seed: u64) -> Vec<PlannedSubmission> {
-    let mut jobs: Vec<(u64, usize, PlannedSubmission)> = Vec::new();
-    // When each class's jobs come.
-    let mut times_of: Vec<Vec<u64>> = Vec::new();
-    for (c, class) in scenario.classes.iter().enumerate() {
+    // Jobs class by class, and the submission times of each class.
+    let mut jobs: Vec<DrawnJob> = Vec::new();
+    let mut times_of_class: Vec<Vec<u64>> = Vec::new();
+    for (number, class) in scenario.classes.iter().enumerate() {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        rng.set_stream(c as u64 + 1);
-        let mut times = vec![0; class.at_start as usize];
-        let mut at = 0.0;
-        let gap = ValueDistribution::Exponential(if class.per_min > 0.0 {
-            60.0 / class.per_min
-        } else {
-            f64::MAX
-        });
-        loop {
-            at += gap.draw(&mut rng);
-            if at >= scenario.duration_s {
-                break;
-            }
-            times.push((at * 1e6) as u64);
-        }
-        if !class.awaits.is_empty() {
-            let awaited: Vec<&Vec<u64>> = awaited_classes(scenario, class)
-                .map(|of| &times_of[of])
-                .collect();
-            let chains = awaited.iter().map(|times| times.len()).min().unwrap_or(0);
-            let last = |n: usize| awaited.iter().map(|times| times[n]).max().unwrap_or(0);
-            times = (0..chains)
-                .map(|n| last(n) + (class.later_s.draw(&mut rng) * 1e6) as u64)
+        rng.set_stream(number as u64 + 1);
+        let mut times = draw_submission_times(class, scenario.duration_s, &mut rng);
+        if !class.dependencies.is_empty() {
+            let dependencies: Vec<&Vec<u64>> = dependency_classes(scenario, class)
+                .map(|dependency| &times_of_class[dependency])
                 .collect();
+            times = draw_dependent_times(class, &dependencies, &mut rng);
         }
-        for (n, &at) in times.iter().enumerate() {
-            jobs.push((at, c, draw(class, n, at, &mut rng)));
+        for (n, &at_us) in times.iter().enumerate() {
+            jobs.push(DrawnJob {
+                class: number,
+                planned: draw_job(class, n, at_us, &mut rng),
+            });
+        }
+        times_of_class.push(times);
+    }
+    number_by_submission(scenario, jobs, &times_of_class)
+}
+
+/// When the jobs of a class are submitted, µs.
+fn draw_submission_times(class: &JobClass, duration_s: f64, rng: &mut ChaCha8Rng) -> Vec<u64> {
+    let mut times = vec![0; class.at_start as usize];
+    let mean_gap_s = if class.per_min > 0.0 {
+        60.0 / class.per_min
+    } else {
+        f64::MAX
+    };
+    let gap_s = ValueDistribution::Exponential { mean: mean_gap_s };
+    let mut at_s = 0.0;
+    loop {
+        at_s += gap_s.draw(rng);
+        if at_s >= duration_s {
+            return times;
         }
-        times_of.push(times);
+        times.push(micros(at_s));
     }
+}
+
+/// When the jobs of a class with dependencies are submitted: each after those that it
+/// depends on, µs.
+fn draw_dependent_times(
+    class: &JobClass,
+    dependencies: &[&Vec<u64>],
+    rng: &mut ChaCha8Rng,
+) -> Vec<u64> {
+    let jobs = dependencies
+        .iter()
+        .map(|times| times.len())
+        .min()
+        .unwrap_or(0);
+    let last_dependency = |n: usize| dependencies.iter().map(|times| times[n]).max().unwrap_or(0);
+    (0..jobs)
+        .map(|n| last_dependency(n) + micros(class.dependency_delay_s.draw(rng)))
+        .collect()
+}
+
+/// Numbers the jobs by their submission, and enters their dependencies.
+fn number_by_submission(
+    scenario: &Scenario,
+    jobs: Vec<DrawnJob>,
+    times_of_class: &[Vec<u64>],
+) -> Vec<PlannedSubmission> {
     let mut order: Vec<usize> = (0..jobs.len()).collect();
-    order.sort_by_key(|&i| (jobs[i].0, jobs[i].1));
+    order.sort_by_key(|&i| (jobs[i].planned.at_us, jobs[i].class));
     let mut ids = vec![job_id(0); jobs.len()];
     for (n, &i) in order.iter().enumerate() {
         ids[i] = job_id(n);
     }
     // Jobs stand class by class: where each class begins.
-    let begins: Vec<usize> = times_of
+    let class_begins: Vec<usize> = times_of_class
         .iter()
         .scan(0, |sum, times| {
             Some(std::mem::replace(sum, *sum + times.len()))
         })
         .collect();
-    let mut planned = Vec::new();
-    for &i in &order {
-        let (_, c, job) = &mut jobs[i];
-        let awaits = awaited_classes(scenario, &scenario.classes[*c])
-            .map(|of| ids[begins[of] + i - begins[*c]].clone())
+    let mut jobs: Vec<Option<DrawnJob>> = jobs.into_iter().map(Some).collect();
+    let mut planned = Vec::with_capacity(jobs.len());
+    for i in order {
+        let Some(mut job) = jobs[i].take() else {
+            continue;
+        };
+        let number_in_class = i - class_begins[job.class];
+        let dependencies = dependency_classes(scenario, &scenario.classes[job.class])
+            .map(|dependency| ids[class_begins[dependency] + number_in_class].clone())
             .collect();
-        job.load.spec = Arc::new(JobSpec {
+        job.planned.job.spec = Arc::new(JobSpec {
             id: ids[i].clone(),
-            awaits,
-            ..(*job.load.spec).clone()
+            awaits: dependencies,
+            ..(*job.planned.job.spec).clone()
         });
-        planned.push(i);
+        planned.push(job.planned);
     }
-    let mut jobs: Vec<Option<PlannedSubmission>> = jobs.into_iter().map(|(_, _, job)| Some(job)).collect();
-    planned.into_iter().filter_map(|i| jobs[i].take()).collect()
+    planned
 }
 
-/// The numbers of the classes that a class's jobs await.
-fn awaited_classes<'a>(
+/// The numbers of the classes that a class's jobs depend on.
+fn dependency_classes<'a>(
     scenario: &'a Scenario,
     class: &'a JobClass,
 ) -> impl Iterator<Item = usize> + 'a {
-    class.awaits.iter().filter_map(|name| {
+    class.dependencies.iter().filter_map(|name| {
         scenario
             .classes
             .iter()
@@ -93,140 +138,82 @@
     })
 }
 
-/// The jobs of a workload file. A team that the scenario does not know is one of its teams, the
-/// same one every time; constraints on attributes that its machines don't have
-/// are left out and counted.
-pub fn replay(
-    replayed: &WorkloadReplay,
-    scenario: &Scenario,
-) -> Result<(Vec<PlannedSubmission>, u64), WorkloadError> {
-    let (mut jobs, mut unknown, mut first) = (Vec::new(), 0, None);
-    let copies = u64::from(replayed.copies.max(1));
-    workload::read(&replayed.file, |e| {
-        // The first job comes at the start, wherever the trace's zero is.
-        let zero = *first.get_or_insert(e.at_ms);
-        unknown += e.constraints.len() as u64;
-        for copy in 0..copies {
-            let mut job = planned(jobs.len(), e.clone(), zero, scenario, replayed.speed);
-            // Copies come one after the other within a second.
-            let later = copy * 1_000_000 / copies;
-            job.at_us += later;
-            job.withdraw_us = job.withdraw_us.map(|at| at + later);
-            jobs.push(job);
-        }
-    })?;
-    Ok((jobs, unknown))
-}
-
-fn planned(n: usize, e: Entry, zero_ms: u64, scenario: &Scenario, speed: f64) -> PlannedSubmission {
-    let at_us = ((e.at_ms - zero_ms) as f64 * 1e3 / speed) as u64;
-    let run_us: Vec<u64> = e.run_ms.iter().map(|ms| ms * 1_000).collect();
-    let mean = run_us.iter().sum::<u64>() / run_us.len().max(1) as u64;
-    let service = e.shape == JobKind::Service;
-    let named = e.team.as_deref().unwrap_or_default();
-    let hash = blake3::hash(named.as_bytes());
-    let pick = usize::from(u16::from_le_bytes([hash.as_bytes()[0], hash.as_bytes()[1]]))
-        % scenario.teams.len().max(1);
-    let known = scenario
-        .teams
-        .iter()
-        .find(|t| t.name == named)
-        .or(scenario.teams.get(pick));
-    let amount = |milli: u64| milli as f64 / 1e3;
-    let spec = JobSpec {
-        id: job_id(n),
-        class: e.class.unwrap_or_else(|| "trace".into()),
-        team: known.map(|t| t.name.clone()).unwrap_or_default(),
-        shape: e.shape,
-        rank: e.rank,
-        tasks: u64::from(e.tasks),
-        cores: amount(e.need.cpus),
-        gpus: amount(e.need.gpus),
-        ram_gb: amount(e.need.memory),
-        types: None,
-        zone: None,
-        one_zone: false,
-        spread: false,
-        spot: true,
-        // Traces tell of no images: one that is nowhere and takes no time.
-        image: "none".into(),
-        image_gb: 0.0,
-        estimate_s: if service { 0.0 } else { mean as f64 / 1e6 },
-        checkpoint_s: 0.0,
-        save_s: 0.0,
-        deadline_s: None,
-        awaits: Vec::new(),
-    };
-    let withdraw_us = (service && mean > 0).then(|| at_us + mean);
-    PlannedSubmission {
-        at_us,
-        load: SimulatedJob {
-            spec: Arc::new(spec),
-            run_us,
-            broken: false,
-        },
-        withdraw_us,
-    }
-}
-
 /// Id of the n-th job.
 pub fn job_id(n: usize) -> JobId {
     JobId::from(format!("req-{n:06}").as_str())
 }
 
-fn draw(class: &JobClass, n: usize, at: u64, rng: &mut ChaCha8Rng) -> PlannedSubmission {
-    let tasks =
-        (class.tasks.draw(rng).round() as u64).clamp(1, lemonweir_model::constants::MAX_TASKS);
+/// Draws the n-th job of a class, without its number and dependencies.
+fn draw_job(class: &JobClass, n: usize, at_us: u64, rng: &mut ChaCha8Rng) -> PlannedSubmission {
+    let tasks = (class.tasks.draw(rng).round() as u64).clamp(1, MAX_TASKS);
     let service = class.shape == JobKind::Service;
     let gang = class.shape == JobKind::Gang;
-    let runs = if service || gang { 1 } else { tasks };
-    let run_s: Vec<f64> = (0..runs).map(|_| class.run_s.draw(rng)).collect();
-    let mean = run_s.iter().sum::<f64>() / run_s.len() as f64;
-    let off = 1.0 + class.estimate_off * rng.random::<f64>();
-    let estimate_s = if rng.random::<bool>() {
-        mean * off
-    } else {
-        mean / off
-    };
-    let image = rng.random_range(0..class.images.0);
+    let run_times = if service || gang { 1 } else { tasks };
+    let run_s: Vec<f64> = (0..run_times).map(|_| class.run_s.draw(rng)).collect();
+    let mean_run_s = run_s.iter().sum::<f64>() / run_s.len() as f64;
+    let estimate_s = draw_estimate(class, mean_run_s, rng);
+    let image = rng.random_range(0..class.images);
     let spec = JobSpec {
         id: job_id(0),
         class: class.name.clone(),
         team: class.teams[n % class.teams.len()].clone(),
         shape: class.shape,
-        rank: class.rank,
+        rank: class.priority,
         tasks,
-        cores: class.need.0,
-        gpus: class.need.1,
-        ram_gb: class.need.2,
+        cores: class.need.cpus,
+        gpus: class.need.gpus,
+        ram_gb: class.need.memory_gb,
         types: None,
         zone: class.zone.clone(),
         one_zone: class.one_zone,
         spread: class.spread,
         spot: class.spot,
         image: format!("{}-{image}", class.name),
-        image_gb: class.images.1,
+        image_gb: class.image_gb,
         estimate_s: if service { 0.0 } else { estimate_s },
-        checkpoint_s: class.save.0,
-        save_s: class.save.1,
+        checkpoint_s: class.checkpoint_s,
+        save_s: class.save_s,
         deadline_s: None,
         awaits: Vec::new(),
     };
-    let run_us = run_s.iter().map(|s| (s * 1e6) as u64).collect();
     // Drawn only where there are some, so that others draw what they drew before.
     let broken = class.broken > 0.0 && rng.random::<f64>() < class.broken;
-    let given_up = broken.then(|| at + (rng.random_range(20.0..200.0) * 1e6) as u64);
-    let cancelled = class.cancelled > 0.0 && rng.random::<f64>() < class.cancelled;
-    let given_up = given_up
-        .or_else(|| cancelled.then(|| at + (mean * 1e6 * rng.random_range(0.1..1.1)) as u64));
-    let withdraw_us = given_up.or(service.then(|| at + (mean * 1e6) as u64));
+    let withdraw_us = draw_withdrawal(class, at_us, mean_run_s, broken, rng);
     PlannedSubmission {
-        at_us: at,
-        load: SimulatedJob {
+        at_us,
+        job: SimulatedJob {
             spec: Arc::new(spec),
-            run_us,
+            run_us: run_s.into_iter().map(micros).collect(),
             broken,
         },
         withdraw_us,
     }
 }
+
+/// The user's estimate of the run time, s: too long or too short.
+fn draw_estimate(class: &JobClass, mean_run_s: f64, rng: &mut ChaCha8Rng) -> f64 {
+    let error = 1.0 + class.estimate_error * rng.random::<f64>();
+    if rng.random::<bool>() {
+        mean_run_s * error
+    } else {
+        mean_run_s / error
+    }
+}
+
+/// When a job's user withdraws it, µs: a broken job after a while, a cancelled one while it
+/// waits or runs, a service at the end of its run time.
+fn draw_withdrawal(
+    class: &JobClass,
+    at_us: u64,
+    mean_run_s: f64,
+    broken: bool,
+    rng: &mut ChaCha8Rng,
+) -> Option<u64> {
+    let given_up = broken.then(|| at_us + micros(rng.random_range(BROKEN_WITHDRAWN_S)));
+    let cancelled = class.cancelled > 0.0 && rng.random::<f64>() < class.cancelled;
+    let given_up = given_up.or_else(|| {
+        cancelled.then(|| at_us + (mean_run_s * 1e6 * rng.random_range(CANCELLED_AT_SHARE)) as u64)
+    });
+    let service = class.shape == JobKind::Service;
+    given_up.or(service.then(|| at_us + micros(mean_run_s)))
+}
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -1,15 +1,20 @@
-//! The laboratory's command line.
+//! The simulator's command line.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::sync::Arc;
 
 use clap::{Parser, Subcommand, ValueEnum};
+use lemonweir_simulator::report::RunOutcome;
 use lemonweir_simulator::scenario::Scenario;
 use lemonweir_simulator::trace_commands::{ScenarioSize, TraceCommand};
+use lemonweir_simulator::workload_replay::WorkloadReplay;
 use lemonweir_simulator::{fault_search, output, run, sweep, trace_commands};
 
-/// Runs lemonweir's real decisions against a simulated world.
+/// Violations that are printed of a run.
+const SHOWN_VIOLATIONS: usize = 3;
+
+/// Runs lemonweir's real decisions against a simulated site.
 #[derive(Parser)]
 #[command(version, about)]
 struct Args {
@@ -91,16 +96,17 @@
         #[command(flatten)]
         many: SweepArgs,
     },
-    /// Draw worlds and troubles by seed and look for broken rules and services
-    /// that do not come back.
-    Hunt {
+    /// Draw sites and faults by seed and look for violated invariants and services that do
+    /// not come back.
+    #[command(name = "fault-search", alias = "hunt")]
+    FaultSearch {
         /// The seeds: FIRST..LAST.
         #[arg(long, default_value = "1..12")]
         seeds: sweep::Seeds,
-        /// Machines of a world at the most; 40 at the least.
+        /// Machines of a site at the most; 40 at the least.
         #[arg(long, default_value_t = 5_000, value_parser = clap::value_parser!(u32).range(41..=100_000))]
         machines: u32,
-        /// Days at a time.
+        /// Runs at a time.
         #[arg(long, default_value_t = 4)]
         jobs: usize,
     },
@@ -161,11 +167,11 @@
 }
 
 /// A workload, if one is given.
-fn replayed(file: PathBuf, speed: f64, size: ScenarioSize) -> Result<run::WorkloadReplay, Vec<String>> {
+fn replayed(file: PathBuf, speed: f64, size: ScenarioSize) -> Result<WorkloadReplay, Vec<String>> {
     if !(speed.is_finite() && speed > 0.0) {
         return Err(vec![format!("--speed: {speed} must be over 0")]);
     }
-    Ok(run::WorkloadReplay {
+    Ok(WorkloadReplay {
         file,
         speed,
         copies: size.scale.round().max(1.0) as u32,
@@ -199,14 +205,14 @@
             size,
             out,
         } => {
-            let result = run::once(
+            let result = run::run_once(
                 sized(&file, size)?,
                 run::LoadSource::Synthetic,
                 placer,
                 seed,
                 out.as_deref(),
             )
-            .map_err(|e| vec![e])?;
+            .map_err(|error| vec![error.to_string()])?;
             finish(&result, out.as_deref())
         }
         Command::Sweep { file, many, placer } => {
@@ -222,35 +228,11 @@
             print!("{}", sweep::side_by_side(&left, &right));
             close(&[(&a, &left), (&b, &right)], many.out.as_deref())
         }
-        Command::Hunt {
+        Command::FaultSearch {
             seeds,
             machines,
             jobs,
-        } => {
-            let days = sweep::each(&seeds, jobs, |seed| fault_search::day(seed, machines));
-            let starts: u64 = days.iter().map(|d| d.starts).sum();
-            let failed: Vec<&fault_search::SearchResult> = days.iter().filter(|d| !d.faults.is_empty()).collect();
-            println!(
-                "{} days, {starts} starts, {} failed",
-                days.len(),
-                failed.len()
-            );
-            for day in &failed {
-                let faults: Vec<&str> = day.faults.iter().take(3).map(String::as_str).collect();
-                println!(
-                    "seed {}: {}\n{}{}",
-                    day.seed,
-                    faults.join("; "),
-                    day.world,
-                    day.troubles.concat()
-                );
-            }
-            Ok(if failed.is_empty() {
-                ExitCode::SUCCESS
-            } else {
-                ExitCode::FAILURE
-            })
-        }
+        } => Ok(search_faults(&seeds, machines, jobs)),
         Command::Trace {
             command: TraceCommand::Check { files },
         } => Ok(trace_commands::check(&files)),
@@ -278,42 +260,82 @@
                 },
         } => {
             let source = run::LoadSource::Workload(replayed(file, speed, size)?);
-            let result = run::once(
+            let result = run::run_once(
                 sized(&scenario, size)?,
                 source,
                 placer,
                 seed,
                 out.as_deref(),
             )
-            .map_err(|e| vec![e])?;
+            .map_err(|error| vec![error.to_string()])?;
             finish(&result, out.as_deref())
         }
     }
 }
 
+/// Searches faults with many seeds and prints those that failed.
+fn search_faults(seeds: &sweep::Seeds, machines: u32, jobs: usize) -> ExitCode {
+    let results = sweep::each(seeds, jobs, |seed| {
+        fault_search::search_seed(seed, machines)
+    });
+    let task_starts: u64 = results.iter().map(|result| result.task_starts).sum();
+    let failed: Vec<&fault_search::SearchResult> = results
+        .iter()
+        .filter(|result| !result.violations.is_empty())
+        .collect();
+    println!(
+        "{} days, {task_starts} starts, {} failed",
+        results.len(),
+        failed.len()
+    );
+    for result in &failed {
+        let violations: Vec<&str> = result
+            .violations
+            .iter()
+            .take(SHOWN_VIOLATIONS)
+            .map(String::as_str)
+            .collect();
+        println!(
+            "seed {}: {}\n{}{}",
+            result.seed,
+            violations.join("; "),
+            result.site,
+            result.faults.concat()
+        );
+    }
+    if failed.is_empty() {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::FAILURE
+    }
+}
+
 fn sweep(
     scenario: &Arc<Scenario>,
     placer: run::Placer,
     many: &SweepArgs,
-) -> Result<Vec<run::RunOutcome>, Vec<String>> {
+) -> Result<Vec<RunOutcome>, Vec<String>> {
     let workload = many
         .workload
         .clone()
         .map(|file| replayed(file, many.speed, many.size))
         .transpose()?;
-    sweep::sweep(scenario, placer, workload.as_ref(), &many.seeds, many.jobs).map_err(|e| vec![e])
+    sweep::sweep(scenario, placer, workload.as_ref(), &many.seeds, many.jobs)
+        .map_err(|error| vec![error.to_string()])
 }
 
 /// Runs one side of a comparison.
-fn side(spec: &str, many: &SweepArgs) -> Result<Vec<run::RunOutcome>, Vec<String>> {
+fn side(spec: &str, many: &SweepArgs) -> Result<Vec<RunOutcome>, Vec<String>> {
     let (file, placer) = spec.split_once('@').unwrap_or((spec, "lemonweir"));
-    let placer = placer.parse().map_err(|e| vec![e])?;
+    let placer = placer
+        .parse()
+        .map_err(|error: run::ParsePlacerError| vec![error.to_string()])?;
     sweep(&sized(Path::new(file), many.size)?, placer, many)
 }
 
 /// Writes what many runs gave; a broken rule in any of them is a failure.
 fn close(
-    sides: &[(&String, &Vec<run::RunOutcome>)],
+    sides: &[(&String, &Vec<RunOutcome>)],
     out: Option<&Path>,
 ) -> Result<ExitCode, Vec<String>> {
     if let Some(dir) = out {
@@ -325,7 +347,7 @@
         .flat_map(|(_, outcomes)| outcomes.iter())
         .flat_map(|o| {
             o.report
-                .broken
+                .violations
                 .iter()
                 .map(|b| format!("seed {}: rule broken: {b}", o.report.seed))
         })
@@ -338,19 +360,19 @@
 }
 
 /// Prints a run's figures; a broken rule is a failure.
-fn finish(result: &run::RunOutcome, out: Option<&Path>) -> Result<ExitCode, Vec<String>> {
+fn finish(result: &RunOutcome, out: Option<&Path>) -> Result<ExitCode, Vec<String>> {
     print!("{}", output::table(&result.report));
     println!("{}", output::pace(result));
     if let Some(dir) = out {
         output::write(result, dir).map_err(|e| vec![format!("{}: {e}", dir.display())])?;
         println!("report, plots and history are in {}", dir.display());
     }
-    if result.report.broken.is_empty() {
+    if result.report.violations.is_empty() {
         return Ok(ExitCode::SUCCESS);
     }
     Err(result
         .report
-        .broken
+        .violations
         .iter()
         .map(|b| format!("rule broken: {b}"))
         .collect())
--- a/crates/simulator/src/output.rs
+++ b/crates/simulator/src/output.rs
@@ -3,10 +3,9 @@
 use std::fmt::Write;
 use std::path::Path;
 
-use crate::sweep;
-use crate::metrics::{RunReport, LatencySummary};
 use crate::plots;
-use crate::run::RunOutcome;
+use crate::report::{LatencySummary, RunOutcome, RunReport};
+use crate::sweep;
 
 /// A duration in ms, as people read it.
 fn time(ms: f64) -> String {
@@ -47,31 +46,39 @@
     let _ = writeln!(
         out,
         "jobs: {} submitted, {} accepted, {} refused, {} over; {} starts, {} killed by their lease",
-        j.submitted, j.accepted, j.refused, j.over, r.starts, r.killed_by_lease
+        j.submitted, j.accepted, j.refused, j.ended, r.task_starts, r.killed_by_lease
     );
     let _ = writeln!(out, "  {:<24} {head}", "from submission");
     row(&mut out, "to a start order", &r.allocation);
-    for (name, s) in &r.pieces {
+    for (name, s) in &r.allocation_stages {
         row(&mut out, &format!("  {}", name.get(2..).unwrap_or(name)), s);
     }
-    for (name, s) in &r.waiting {
+    for (name, s) in &r.time_to_start {
         row(&mut out, &format!("to its start: {name}"), s);
     }
-    for (name, s) in &r.finished {
+    for (name, s) in &r.time_to_finish {
         row(&mut out, &format!("to its end: {name}"), s);
     }
-    if r.withdrawals.count > 0 {
-        row(&mut out, "from a withdrawal to its end", &r.withdrawals);
+    if r.withdrawal_latency.count > 0 {
+        row(
+            &mut out,
+            "from a withdrawal to its end",
+            &r.withdrawal_latency,
+        );
     }
-    for (name, (up, of)) in r.served.iter().filter(|(_, (up, of))| up * 2 < *of) {
+    for (name, (up, of)) in r
+        .started_by_group
+        .iter()
+        .filter(|(_, (up, of))| up * 2 < *of)
+    {
         let _ = writeln!(out, "FAILED: {name}: {up} of {of} tasks were started");
     }
-    let most = r.series.iter().map(|s| s.up).max().unwrap_or(0);
+    let most = r.fleet.iter().map(|s| s.up).max().unwrap_or(0);
     let _ = writeln!(
         out,
         "fleet: {most} machines up at most; money {:.2}; {:.1} % of the processor time paid for was of use",
-        r.money,
-        r.useful * 100.0
+        r.cost,
+        r.useful_share * 100.0
     );
     let w = r.work;
     let _ = writeln!(
@@ -79,19 +86,19 @@
         "work: {} messages, {} KiB between controllers, {} looks, {} refusals, {} preemptions, busiest controller {:.1} %; store {} requests, {} changes",
         w.messages,
         w.peer_bytes / 1024,
-        w.looks,
-        w.refusals,
+        w.candidates_examined,
+        w.refused_placements,
         w.preemptions,
-        w.busiest * 100.0,
+        w.busiest_share * 100.0,
         w.store_requests,
         w.store_writes
     );
     let _ = writeln!(
         out,
         "rules broken: {}; history of {} lines, digest {}",
-        r.broken.len(),
-        r.lines,
-        r.digest
+        r.violations.len(),
+        r.history_lines,
+        r.history_digest
     );
     out
 }
@@ -120,7 +127,7 @@
         plots::allocation(&line, &file("allocation")).map_err(other)?;
         plots::fleet(&o.report, &file("fleet")).map_err(other)?;
         plots::messages(&o.report, &file("messages")).map_err(other)?;
-        plots::waiting(&o.report, &file("waiting")).map_err(other)?;
+        plots::time_to_start(&o.report, &file("waiting")).map_err(other)?;
     }
     Ok(())
 }
@@ -138,12 +145,7 @@
     )?;
     let lines: Vec<(&str, Vec<(f64, f64)>)> = sides
         .iter()
-        .map(|(name, outcomes)| {
-            (
-                name.as_str(),
-                plots::distribution(&sweep::merged(outcomes)),
-            )
-        })
+        .map(|(name, outcomes)| (name.as_str(), plots::distribution(&sweep::merged(outcomes))))
         .collect();
     for kind in ["svg", "png"] {
         let file = dir.join(format!("allocation.{kind}"));
--- a/crates/simulator/src/plots.rs
+++ b/crates/simulator/src/plots.rs
@@ -7,9 +7,9 @@
 use plotters::prelude::*;
 use plotters::style::register_font;
 
-use crate::metrics::{RunReport, FleetSample};
+use crate::report::{FleetSample, RunReport};
 
-type Fault = Box<dyn std::error::Error>;
+type PlotError = Box<dyn std::error::Error>;
 type Line<'a> = (&'a str, Vec<(f64, f64)>);
 
 const SIZE: (u32, u32) = (800, 420);
@@ -22,7 +22,7 @@
 ];
 
 /// A font that is part of the program, so that plots are the same anywhere.
-fn font() -> Result<(), Fault> {
+fn font() -> Result<(), PlotError> {
     register_font(
         "sans-serif",
         FontStyle::Normal,
@@ -40,7 +40,7 @@
 }
 
 /// Draws lines over a common axis: as PNG if the name says so, else as SVG.
-fn lines(path: &Path, frame: &Frame<'_>, all: &[Line<'_>]) -> Result<(), Fault> {
+fn lines(path: &Path, frame: &Frame<'_>, all: &[Line<'_>]) -> Result<(), PlotError> {
     font()?;
     if path.extension().is_some_and(|e| e == "png") {
         draw(
@@ -57,7 +57,7 @@
     root: &DrawingArea<B, Shift>,
     frame: &Frame<'_>,
     all: &[Line<'_>],
-) -> Result<(), Fault>
+) -> Result<(), PlotError>
 where
     B::ErrorType: 'static,
 {
@@ -123,7 +123,7 @@
 }
 
 /// The distribution of allocation times, of one run or several.
-pub fn allocation(all: &[Line<'_>], path: &Path) -> Result<(), Fault> {
+pub fn allocation(all: &[Line<'_>], path: &Path) -> Result<(), PlotError> {
     let frame = Frame {
         title: "From submission to the start order",
         x: "ms",
@@ -133,11 +133,11 @@
     lines(path, &frame, all)
 }
 
-/// Fleet and use over time, and money.
-pub fn fleet(report: &RunReport, path: &Path) -> Result<(), Fault> {
+/// Fleet, its use and its cost over time.
+pub fn fleet(report: &RunReport, path: &Path) -> Result<(), PlotError> {
     let line = |f: &dyn Fn(&FleetSample) -> f64| {
         report
-            .series
+            .fleet
             .iter()
             .map(|s| (s.at_s, f(s)))
             .collect::<Vec<_>>()
@@ -155,7 +155,7 @@
                 }
             }),
         ),
-        ("money", line(&|s| s.money)),
+        ("money", line(&|s| s.cost)),
     ];
     lines(
         path,
@@ -170,7 +170,7 @@
 }
 
 /// Messages a second of all controllers together, and of the busiest.
-pub fn messages(report: &RunReport, path: &Path) -> Result<(), Fault> {
+pub fn messages(report: &RunReport, path: &Path) -> Result<(), PlotError> {
     let rate = |f: &dyn Fn(&FleetSample) -> u64| {
         let between = |w: &[FleetSample]| {
             (
@@ -178,7 +178,7 @@
                 f(&w[1]).saturating_sub(f(&w[0])) as f64 / (w[1].at_s - w[0].at_s),
             )
         };
-        report.series.windows(2).map(between).collect::<Vec<_>>()
+        report.fleet.windows(2).map(between).collect::<Vec<_>>()
     };
     let all = [
         ("all controllers", rate(&|s| s.messages.1)),
@@ -196,9 +196,9 @@
     )
 }
 
-/// Half and 90 % of the waiting of each class.
-pub fn waiting(report: &RunReport, path: &Path) -> Result<(), Fault> {
-    let steps = |s: &crate::metrics::LatencySummary| {
+/// Time to start of each class.
+pub fn time_to_start(report: &RunReport, path: &Path) -> Result<(), PlotError> {
+    let steps = |s: &crate::report::LatencySummary| {
         vec![
             (s.p50.max(1.0), 50.0),
             (s.p90.max(1.0), 90.0),
@@ -207,7 +207,7 @@
         ]
     };
     let all: Vec<Line<'_>> = report
-        .waiting
+        .time_to_start
         .iter()
         .map(|(class, s)| (class.as_str(), steps(s)))
         .collect();
@@ -224,7 +224,7 @@
 }
 
 /// What a workload's tasks would take if none of them waited.
-pub fn load(line: &[(f64, f64)], path: &Path) -> Result<(), Fault> {
+pub fn load(line: &[(f64, f64)], path: &Path) -> Result<(), PlotError> {
     let frame = Frame {
         title: "Load if nothing waited",
         x: "s",
--- a/crates/simulator/src/run.rs
+++ b/crates/simulator/src/run.rs
@@ -1,20 +1,23 @@
-//! One run of a scenario, from its load to its figures.
+//! One run of a scenario, from its load to its report.
 
-use std::path::{Path, PathBuf};
+use std::path::Path;
 use std::str::FromStr;
 use std::sync::Arc;
 use std::time::Instant;
 
-use hdrhistogram::Histogram;
+use lemonweir_trace::workload::WorkloadError;
 
 use crate::baseline;
 use crate::history::History;
+use crate::job::PlannedSubmission;
 use crate::load_generator;
-use crate::metrics::{RunReport, report};
+use crate::report::RunOutcome;
+use crate::run_report::run_report;
 use crate::scenario::Scenario;
 use crate::simulation::Simulation;
+use crate::workload_replay::{self, WorkloadReplay};
 
-/// Where the load comes from.
+/// Where the load of a run comes from.
 pub enum LoadSource {
     /// The scenario's classes.
     Synthetic,
@@ -22,18 +25,7 @@
     Workload(WorkloadReplay),
 }
 
-/// A workload to be replayed.
-#[derive(Clone, Debug)]
-pub struct WorkloadReplay {
-    /// The file.
-    pub file: PathBuf,
-    /// How many times as close together its submissions come.
-    pub speed: f64,
-    /// How many times each job comes.
-    pub copies: u32,
-}
-
-/// Who places.
+/// What places the tasks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Placer {
     /// The scenario's controllers.
@@ -42,77 +34,107 @@
     Baseline(baseline::BaselineKind),
 }
 
+/// A text that names no placer.
+#[derive(Debug, PartialEq, Eq, thiserror::Error)]
+pub enum ParsePlacerError {
+    /// The number of machines to sample is out of range.
+    #[error("{0}: from 1 to 64 machines can be asked")]
+    Samples(String),
+    /// No placer has this name.
+    #[error("{0}: must be lemonweir, central, or sampler:N")]
+    Unknown(String),
+}
+
 impl FromStr for Placer {
-    type Err = String;
+    type Err = ParsePlacerError;
 
-    fn from_str(text: &str) -> Result<Self, String> {
+    fn from_str(text: &str) -> Result<Self, ParsePlacerError> {
         match text.split_once(':').unwrap_or((text, "2")) {
             ("lemonweir", _) => Ok(Self::Lemonweir),
             ("central", _) => Ok(Self::Baseline(baseline::BaselineKind::Central)),
             ("sampler", d) => match d.parse() {
                 Ok(d @ 1..=64) => Ok(Self::Baseline(baseline::BaselineKind::Sampler(d))),
-                _ => Err(format!("{d}: from 1 to 64 machines can be asked")),
+                _ => Err(ParsePlacerError::Samples(d.to_owned())),
             },
-            _ => Err(format!("{text}: must be lemonweir, central, or sampler:N")),
+            _ => Err(ParsePlacerError::Unknown(text.to_owned())),
         }
     }
 }
 
-/// What a run gave.
-pub struct RunOutcome {
-    /// Its figures; the same for the same scenario, load and seed.
-    pub report: RunReport,
-    /// Allocation times, µs.
-    pub allocation: Histogram<u64>,
-    /// Events worked off.
-    pub events: u64,
-    /// s of wall time; of this machine, and no part of the figures.
-    pub wall_s: f64,
+/// Why a run could not be made.
+#[derive(Debug, thiserror::Error)]
+pub enum RunError {
+    /// The history could not be created.
+    #[error("{path}: {error}")]
+    History {
+        /// Its file.
+        path: String,
+        /// Why.
+        error: std::io::Error,
+    },
+    /// The workload could not be read.
+    #[error(transparent)]
+    Workload(#[from] WorkloadError),
 }
 
-/// Runs a scenario; the history goes to `out/history.txt` if there is a
-/// directory.
-pub fn once(
+/// Runs a scenario; the history goes to `out/history.txt` if there is a directory.
+///
+/// # Errors
+/// If the history can't be created or the workload can't be read.
+pub fn run_once(
     scenario: Arc<Scenario>,
     source: LoadSource,
     placer: Placer,
     seed: u64,
     out: Option<&Path>,
-) -> Result<RunOutcome, String> {
-    let sink = match out {
-        None => None,
-        Some(dir) => {
-            let path = dir.join("history.txt");
-            let file = std::fs::create_dir_all(dir).and_then(|()| std::fs::File::create(&path));
-            let file = file.map_err(|e| format!("{}: {e}", path.display()))?;
-            Some(Box::new(std::io::BufWriter::new(file)) as Box<dyn std::io::Write + Send>)
-        }
-    };
-    let load = match source {
-        LoadSource::Synthetic => load_generator::synthetic(&scenario, seed),
-        LoadSource::Workload(replayed) => {
-            let (jobs, unknown) = load_generator::replay(&replayed, &scenario).map_err(|e| e.to_string())?;
-            if unknown > 0 {
-                tracing::warn!(
-                    unknown,
-                    "constraints on attributes that the scenario's machines don't have are left out"
-                );
-            }
-            jobs
-        }
-    };
+) -> Result<RunOutcome, RunError> {
+    let history = create_history(out)?;
+    let load = generate_load(&scenario, source, seed)?;
     if let Placer::Baseline(kind) = placer {
         return Ok(baseline::run(kind, &scenario, &load, seed));
     }
     let began = Instant::now();
-    let ms = (scenario.duration_s * 1e3) as u64;
-    let mut world = Simulation::new(scenario, load, seed, History::new(sink));
-    world.run(ms);
-    let (report, allocation) = report(&world, seed);
+    let duration_ms = (scenario.duration_s * 1e3) as u64;
+    let mut simulation = Simulation::new(scenario, load, seed, history);
+    simulation.run(duration_ms);
+    let (report, allocation) = run_report(&simulation, seed);
     Ok(RunOutcome {
         report,
         allocation,
-        events: world.events,
+        events: simulation.events,
         wall_s: began.elapsed().as_secs_f64(),
     })
 }
+
+fn create_history(out: Option<&Path>) -> Result<History, RunError> {
+    let Some(dir) = out else {
+        return Ok(History::new(None));
+    };
+    let path = dir.join("history.txt");
+    let file = std::fs::create_dir_all(dir)
+        .and_then(|()| std::fs::File::create(&path))
+        .map_err(|error| RunError::History {
+            path: path.display().to_string(),
+            error,
+        })?;
+    Ok(History::new(Some(Box::new(std::io::BufWriter::new(file)))))
+}
+
+fn generate_load(
+    scenario: &Scenario,
+    source: LoadSource,
+    seed: u64,
+) -> Result<Vec<PlannedSubmission>, WorkloadError> {
+    let replay = match source {
+        LoadSource::Synthetic => return Ok(load_generator::synthetic(scenario, seed)),
+        LoadSource::Workload(replay) => replay,
+    };
+    let load = workload_replay::replay(&replay, scenario)?;
+    if load.ignored_constraints > 0 {
+        tracing::warn!(
+            ignored_constraints = load.ignored_constraints,
+            "constraints on attributes that the scenario's machines don't have are ignored"
+        );
+    }
+    Ok(load.jobs)
+}
--- a/crates/simulator/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -1,67 +1,56 @@
-//! A scenario: a site, its load and its troubles, as TOML.
+//! A scenario: a site, its load and its faults, as TOML. The names of its keys are written
+//! names (`docs/laboratory.md`); the fields here carry the field's terms.
 
-use lemonweir_model::constants::BLIND_MOST_MS;
-use lemonweir_model::policy::{Policy, Trade};
+mod distribution;
+mod fault;
+mod fault_history;
+mod fault_reader;
+mod reader;
+
+use lemonweir_model::policy::Policy;
 use lemonweir_model::settings::{
-    CloudLimits, Cluster, Limits, NextStateLimits, Objective, SeedController, Services, Settings,
-    StateLimits, Team, Workers,
+    CloudLimits, Cluster, Limits, Objective, SeedController, Services, Settings, StateLimits, Team,
+    Workers,
 };
-use lemonweir_model::{Catalog, JobKind, MachineType, Priority, Resources};
-use rand::RngExt;
-use rand_chacha::ChaCha8Rng;
-use rand_distr::{Distribution, Exp, LogNormal, Pareto};
-use toml::de::{DeTable, DeValue};
-
-mod fault;
+use lemonweir_model::{Catalog, JobKind, MachineType, Priority};
+use toml::de::DeTable;
 
-pub use fault::{Fault, LATE_WRITES, Link, Seconds, FaultKind};
+pub use distribution::ValueDistribution;
+pub use fault::{Fault, FaultKind, LATE_WRITES, Link, SecondsRange};
 
-use crate::toml_section::{ParseFaults, TomlSection, as_number};
+use crate::toml_section::{ParseFaults, TomlSection};
 
-/// How a number is drawn.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum ValueDistribution {
-    /// Always this.
-    Fixed(f64),
-    /// Anything between.
-    Uniform(f64, f64),
-    /// Exponential with this mean.
-    Exponential(f64),
-    /// Log-normal with this median and sigma.
-    LogNormal(f64, f64),
-    /// Pareto with this least value and shape.
-    Pareto(f64, f64),
-}
-
-impl ValueDistribution {
-    /// Draws one; never below zero.
-    pub fn draw(&self, rng: &mut ChaCha8Rng) -> f64 {
-        // The parameters were checked when the file was read; a distribution
-        // that can't be made draws its first parameter.
-        let x = match *self {
-            ValueDistribution::Fixed(x) => x,
-            ValueDistribution::Uniform(low, high) => low + (high - low) * rng.random::<f64>(),
-            ValueDistribution::Exponential(mean) => Exp::new(1.0 / mean).map_or(mean, |d| d.sample(rng)),
-            ValueDistribution::LogNormal(median, sigma) => {
-                LogNormal::new(median.ln(), sigma).map_or(median, |d| d.sample(rng))
-            }
-            ValueDistribution::Pareto(low, shape) => Pareto::new(low, shape).map_or(low, |d| d.sample(rng)),
-        };
-        x.max(0.0)
-    }
+/// Machines of a type that the cloud has in each zone.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct MachineCapacity {
+    /// On-demand machines.
+    pub on_demand: u32,
+    /// Spot instances.
+    pub spot: u32,
 }
 
 /// A machine type of the site.
 #[derive(Clone, Debug)]
 pub struct MachineKind {
-    /// The type as the catalog tells it.
+    /// The type as the catalog publishes it.
     pub machine: MachineType,
-    /// Machines of it that the cloud has, ordinary and spot, in each zone.
-    pub capacity: (u32, u32),
+    /// Machines of it that the cloud has in each zone.
+    pub capacity: MachineCapacity,
     /// Machines up at the start, in each zone.
     pub at_start: u32,
 }
 
+/// What one task takes.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct TaskNeed {
+    /// Processors.
+    pub cpus: f64,
+    /// Accelerators.
+    pub gpus: f64,
+    /// Memory, GB.
+    pub memory_gb: f64,
+}
+
 /// A class of synthetic jobs.
 #[derive(Clone, Debug)]
 pub struct JobClass {
@@ -72,40 +61,44 @@
     /// Array, gang or service.
     pub shape: JobKind,
     /// Priority.
-    pub rank: Priority,
+    pub priority: Priority,
     /// Tasks of a job.
     pub tasks: ValueDistribution,
-    /// What a task takes: processors, accelerators, GB.
-    pub need: (f64, f64, f64),
+    /// What a task takes.
+    pub need: TaskNeed,
     /// Run time, s; of a service: how long until it is withdrawn.
     pub run_s: ValueDistribution,
     /// How far the user's estimate is off: it is drawn between 1/(1+x) and 1+x
     /// times the run time.
-    pub estimate_off: f64,
-    /// Different images, and the size of one, GB.
-    pub images: (u32, f64),
-    /// Jobs a minute, and at the start.
+    pub estimate_error: f64,
+    /// Number of different images.
+    pub images: u32,
+    /// Size of an image, GB.
+    pub image_gb: f64,
+    /// Jobs a minute.
     pub per_min: f64,
     /// Jobs at the start.
     pub at_start: u32,
     /// The only zone where its tasks may be; none: any.
     pub zone: Option<String>,
-    /// All in one zone.
+    /// All tasks in one zone.
     pub one_zone: bool,
     /// At most half of the tasks in a zone.
     pub spread: bool,
-    /// May use spot machines.
+    /// May use spot instances.
     pub spot: bool,
-    /// Checkpoint interval and time to save, s.
-    pub save: (f64, f64),
-    /// Seconds within which its tasks should start; 0: not awaited.
+    /// Checkpoint interval, s; 0: no checkpoints.
+    pub checkpoint_s: f64,
+    /// Time to save a checkpoint, s.
+    pub save_s: f64,
+    /// Seconds within which its tasks should start; 0: no objective.
     pub start_within_s: f64,
     /// Share of its jobs that fail on every machine until they are withdrawn.
     pub broken: f64,
-    /// Classes whose jobs of the same number its jobs await.
-    pub awaits: Vec<String>,
-    /// s after the awaited jobs came at which its jobs come.
-    pub later_s: ValueDistribution,
+    /// Classes whose jobs of the same number its jobs depend on.
+    pub dependencies: Vec<String>,
+    /// s from the submission of the last dependency to that of the job.
+    pub dependency_delay_s: ValueDistribution,
     /// Share of its jobs that their users withdraw while they wait or run.
     pub cancelled: f64,
 }
@@ -113,13 +106,13 @@
 /// How likely faults of single messages are, in thousandths.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct MessageFaults {
-    /// The answer to a transaction is lost.
-    pub lost_txn_reply: u32,
-    /// A transaction is applied late.
-    pub late_txn: u32,
-    /// An order is lost.
+    /// The answer to a compare-and-swap is lost.
+    pub lost_cas_reply: u32,
+    /// A compare-and-swap is executed late.
+    pub late_cas: u32,
+    /// A command is lost.
     pub lost_command: u32,
-    /// An order arrives late.
+    /// A command arrives late.
     pub late_command: u32,
     /// A message between controllers is lost.
     pub lost_sync: u32,
@@ -130,13 +123,13 @@
 /// What work costs a controller, ns. With all of them 0 nothing takes time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ProcessingCosts {
-    /// Taking or sending one message.
+    /// Receiving or sending one message.
     pub message_ns: u64,
-    /// One look of a walk: a word of bits or a machine's room.
-    pub look_ns: u64,
+    /// Examining one candidate: a word of bits or a machine's free resources.
+    pub candidate_ns: u64,
 }
 
-/// How long messages travel, µs, at least and at most.
+/// Network delay of a message, µs; drawn uniformly.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NetworkLatency {
     /// At least.
@@ -152,38 +145,41 @@
     pub name: String,
     /// How long it lasts, s.
     pub duration_s: f64,
-    /// Controllers.
-    pub shards: u16,
+    /// Number of controllers.
+    pub controllers: u16,
     /// Zones; controllers and machines are spread over them.
     pub zones: Vec<String>,
     /// The workers' times.
     pub workers: Workers,
-    /// The store's limits.
+    /// Limits of the state service.
     pub state: StateLimits,
-    /// The cloud's limits.
+    /// Limits of the cloud.
     pub cloud: CloudLimits,
     /// The operators' own settings.
     pub policy: Policy,
     /// Machine types.
-    pub kinds: Vec<MachineKind>,
-    /// Teams with guarantee and limit.
+    pub machine_kinds: Vec<MachineKind>,
+    /// Teams with their quotas.
     pub teams: Vec<Team>,
     /// Synthetic load.
     pub classes: Vec<JobClass>,
-    /// Troubles.
+    /// Faults to inject.
     pub faults: Vec<Fault>,
-    /// Faults of messages.
-    pub chances: MessageFaults,
-    /// What work costs.
+    /// Faults of single messages.
+    pub message_faults: MessageFaults,
+    /// What work costs a controller.
     pub costs: ProcessingCosts,
-    /// How long messages travel.
+    /// Network delay.
     pub latency: NetworkLatency,
-    /// Seconds between two polls of a job; 0: none.
+    /// Seconds between two polls of a job by its user; 0: users do not poll.
     pub poll_s: f64,
 }
 
 impl Scenario {
-    /// Reads a scenario; every fault is one line that names file, line, field.
+    /// Reads a scenario.
+    ///
+    /// # Errors
+    /// One line for each error in the file, which names file, line and field.
     pub fn parse(file: &str, text: &str) -> Result<Self, Vec<String>> {
         let faults = ParseFaults::new(file, text);
         let doc = match DeTable::parse(text) {
@@ -193,7 +189,7 @@
                 return Err(faults.into_lines());
             }
         };
-        let scenario = read(&TomlSection::root(&faults, doc.get_ref()));
+        let scenario = reader::read_scenario(&TomlSection::root(&faults, doc.get_ref()));
         let lines = faults.into_lines();
         if lines.is_empty() {
             Ok(scenario)
@@ -202,14 +198,17 @@
         }
     }
 
-    /// The same with `factor` times the machines, the teams' amounts and the
-    /// synthetic load, that again `load` times, and another number of
-    /// controllers if wanted.
+    /// The same scenario with `factor` times the machines, the teams' quotas and the
+    /// synthetic load, with the load once more `load` times, and with another number of
+    /// controllers if one is given.
     pub fn scaled(mut self, factor: f64, load: f64, controllers: Option<u16>) -> Self {
-        let times = |n: u32| (f64::from(n) * factor).round() as u32;
-        for kind in &mut self.kinds {
-            kind.at_start = times(kind.at_start);
-            kind.capacity = (times(kind.capacity.0), times(kind.capacity.1));
+        let scale = |n: u32| (f64::from(n) * factor).round() as u32;
+        for kind in &mut self.machine_kinds {
+            kind.at_start = scale(kind.at_start);
+            kind.capacity = MachineCapacity {
+                on_demand: scale(kind.capacity.on_demand),
+                spot: scale(kind.capacity.spot),
+            };
         }
         for class in &mut self.classes {
             class.per_min *= factor * load;
@@ -225,33 +224,33 @@
                 *amount *= factor;
             }
         }
-        self.shards = controllers.unwrap_or(self.shards);
+        self.controllers = controllers.unwrap_or(self.controllers);
         self
     }
 
-    /// When all troubles are over, s.
-    pub fn calm_s(&self) -> f64 {
+    /// When all faults are over and nothing more comes of them, s.
+    pub fn faults_over_s(&self) -> f64 {
         self.faults
             .iter()
-            .map(|f| f.over_s(self.shards))
+            .map(|fault| fault.over_s(self.controllers))
             .fold(0.0, f64::max)
     }
 
-    /// The catalog that the cloud tells.
+    /// The catalog that the cloud publishes.
     pub fn catalog(&self) -> Catalog {
-        self.kinds
+        self.machine_kinds
             .iter()
-            .map(|k| (k.machine.name.clone(), k.machine.clone()))
+            .map(|kind| (kind.machine.name.clone(), kind.machine.clone()))
             .collect()
     }
 
     /// Zone of a controller.
-    pub fn zone_of(&self, host: usize) -> &str {
-        &self.zones[host % self.zones.len()]
+    pub fn zone_of(&self, controller: usize) -> &str {
+        &self.zones[controller % self.zones.len()]
     }
 
     /// The settings of one controller, as the platform would hand them over.
-    pub fn settings(&self, host: usize) -> Settings {
+    pub fn settings(&self, controller: usize) -> Settings {
         let address = |i: usize, port: u16| {
             std::net::SocketAddr::from(([10, 0, (i / 250) as u8, (i % 250 + 1) as u8], port))
         };
@@ -260,19 +259,22 @@
             zone: self.zone_of(i).to_owned(),
             address: address(i, 81),
         };
-        let awaited = self.classes.iter().filter(|c| c.start_within_s > 0.0);
-        let objective = |c: &JobClass| Objective {
+        let with_objective = self
+            .classes
+            .iter()
+            .filter(|class| class.start_within_s > 0.0);
+        let objective = |class: &JobClass| Objective {
             kind: "wait".into(),
-            class: Some(c.name.clone()),
-            within_s: Some(c.start_within_s),
+            class: Some(class.name.clone()),
+            within_s: Some(class.start_within_s),
         };
         Settings {
-            host_name: host_name(host),
-            zone: self.zone_of(host).to_owned(),
-            listen: address(host, 80),
-            internal_addr: address(host, 81),
-            seeds: (0..usize::from(self.shards))
-                .filter(|&i| i != host)
+            host_name: host_name(controller),
+            zone: self.zone_of(controller).to_owned(),
+            listen: address(controller, 80),
+            internal_addr: address(controller, 81),
+            seeds: (0..usize::from(self.controllers))
+                .filter(|&i| i != controller)
                 .map(seed)
                 .collect(),
             services: Services {
@@ -282,7 +284,7 @@
             cluster: Cluster {
                 zones: self.zones.clone(),
                 teams: self.teams.clone(),
-                objectives: awaited.map(objective).collect(),
+                objectives: with_objective.map(objective).collect(),
                 workers: self.workers.clone(),
                 state: self.state.clone(),
                 cloud: self.cloud.clone(),
@@ -298,279 +300,6 @@
 }
 
 /// Name of a controller; the order of names is that of numbers.
-pub fn host_name(host: usize) -> String {
-    format!("h{host:02}")
-}
-
-fn read(top: &TomlSection<'_>) -> Scenario {
-    let zones = top.texts("zones");
-    if zones.is_empty() {
-        top.fault("zones", "must name one zone at least");
-    }
-    let w = top.table("workers");
-    let s = top.table("state");
-    let c = top.table("cloud");
-    let p = top.table("policy");
-    let m = top.table("messages");
-    let o = top.table("costs");
-    let l = top.table("latency");
-    let chance = |name: &str| m.whole(name, 0, 1_000, Some(0)) as u32;
-    let scenario = Scenario {
-        name: top.text("name", None),
-        duration_s: top.number("duration_s", 1.0, 1e8, None),
-        shards: top.whole("controllers", 1, 64, Some(3)) as u16,
-        poll_s: top.number("poll_s", 0.0, 3_600.0, Some(5.0)),
-        workers: Workers {
-            report_s: w.number("report_s", 0.1, 600.0, Some(3.0)),
-            lease_s: w.number("lease_s", 0.5, 3_600.0, Some(14.0)),
-            gang_wait_s: w.number("gang_wait_s", 1.0, 3_600.0, Some(50.0)),
-            gang_peer_s: w.number("gang_peer_s", 0.1, 600.0, Some(8.0)),
-            cancel_s: w.number("cancel_s", 1.0, 7_200.0, Some(34.0)),
-        },
-        state: StateLimits {
-            rps: s.number("rps", 1.0, 1e9, Some(200.0)),
-            write_rps: s.number("write_rps", 1.0, 1e9, Some(80.0)),
-            value_kb: s.number("value_kb", 4.0, 1_024.0, Some(8.0)),
-            txn_ops: s.whole("txn_ops", 4, 100_000, Some(32)) as usize,
-            next: s.has("next").then(|| next_limits(&s.table("next"))),
-        },
-        cloud: CloudLimits {
-            rps: c.number("rps", 0.1, 1e9, Some(4.0)),
-            list_lag_s: c.number("list_lag_s", 0.0, 600.0, Some(10.0)),
-        },
-        policy: Policy {
-            idle: p.number("idle", 0.0, 1e6, Some(0.75)),
-            idle_spot: p.number("idle_spot", 0.0, 1e6, Some(1.5)),
-            silent_ms: (p.number("silent_s", 1.0, 3_600.0, Some(9.0)) * 1_000.0) as u64,
-            boot_patience: p.number("boot_patience", 1.5, 100.0, Some(3.0)),
-            blind_ms: (p.number("blind_s", 0.0, BLIND_MOST_MS as f64 / 1_000.0, Some(60.0))
-                * 1_000.0) as u64,
-            spare: p.number("spare", 0.0, 10.0, Some(0.5)),
-            trade: Trade::default(),
-        },
-        chances: MessageFaults {
-            lost_txn_reply: chance("lost_txn_reply"),
-            late_txn: chance("late_txn"),
-            lost_command: chance("lost_command"),
-            late_command: chance("late_command"),
-            lost_sync: chance("lost_sync"),
-            late_sync: chance("late_sync"),
-        },
-        costs: ProcessingCosts {
-            message_ns: o.whole("message_ns", 0, 1_000_000_000, Some(0)),
-            look_ns: o.whole("look_ns", 0, 1_000_000, Some(0)),
-        },
-        latency: NetworkLatency {
-            low_us: l.whole("low_us", 1, 10_000_000, Some(500)),
-            high_us: l.whole("high_us", 1, 10_000_000, Some(3_000)),
-        },
-        kinds: top
-            .tables("machine_type")
-            .iter()
-            .map(|t| kind(t, &zones))
-            .collect(),
-        teams: top.tables("team").iter().map(team).collect(),
-        classes: Vec::new(),
-        faults: Vec::new(),
-        zones,
-    };
-    if scenario.latency.high_us < scenario.latency.low_us {
-        l.fault("high_us", "is below low_us");
-    }
-    if scenario.workers.lease_s <= scenario.workers.report_s {
-        w.fault("lease_s", "must be over report_s");
-    }
-    if scenario.workers.cancel_s <= scenario.workers.lease_s {
-        w.fault("cancel_s", "must be over lease_s");
-    }
-    if scenario.kinds.is_empty() {
-        top.fault("machine_type", "one at least must be given");
-    }
-    if scenario.teams.is_empty() {
-        top.fault("team", "one at least must be given");
-    }
-    let mut classes: Vec<JobClass> = Vec::new();
-    for t in top.tables("class") {
-        let class = class(&t, &scenario);
-        // Only classes before it, so that no chain is a circle.
-        for awaited in class
-            .awaits
-            .iter()
-            .filter(|awaited| !classes.iter().any(|before| before.name == **awaited))
-        {
-            t.fault(
-                "awaits",
-                &format!("no class before this one is called {awaited}"),
-            );
-        }
-        classes.push(class);
-    }
-    let faults = top
-        .tables("fault")
-        .iter()
-        .filter_map(|t| fault::fault(t, &scenario))
-        .collect();
-    Scenario {
-        classes,
-        faults,
-        ..scenario
-    }
-}
-
-fn next_limits(t: &TomlSection<'_>) -> NextStateLimits {
-    let number = |name: &str, low: f64| t.has(name).then(|| t.number(name, low, 1e9, None));
-    NextStateLimits {
-        rps: number("rps", 1.0),
-        write_rps: number("write_rps", 1.0),
-        value_kb: number("value_kb", 1.0),
-        txn_ops: t
-            .has("txn_ops")
-            .then(|| t.whole("txn_ops", 4, 100_000, None) as usize),
-    }
-}
-
-fn kind(t: &TomlSection<'_>, zones: &[String]) -> MachineKind {
-    let price = t.number("price", 0.0, 1e6, Some(1.0));
-    MachineKind {
-        machine: MachineType {
-            name: t.text("name", None),
-            room: Resources::offer(
-                t.number("cpus", 0.001, 1e6, None),
-                t.number("gpus", 0.0, 1e4, Some(0.0)),
-                t.number("memory_gb", 0.001, 1e7, None),
-            ),
-            cache_gb: t.number("cache_gb", 0.0, 1e6, Some(200.0)),
-            fetch_gb_per_s: t.number("fetch_gb_per_s", 0.000_001, 1e6, Some(1.0)),
-            price,
-            spot_price: t.number("spot_price", 0.0, 1e6, Some(0.0)),
-            boot_s: t.number("boot_s", 0.0, 1e6, Some(30.0)),
-            zones: zones.to_vec(),
-        },
-        capacity: (
-            t.whole("ordinary", 0, 1_000_000, Some(10_000)) as u32,
-            t.whole("spot", 0, 1_000_000, Some(0)) as u32,
-        ),
-        at_start: t.whole("at_start", 0, 1_000_000, Some(0)) as u32,
-    }
-}
-
-fn team(t: &TomlSection<'_>) -> Team {
-    let amount = |name: &str| t.number(name, 0.0, 1e9, Some(0.0));
-    Team {
-        name: t.text("name", None),
-        cpus: amount("cpus"),
-        cpus_max: amount("cpus_max"),
-        gpus: amount("gpus"),
-        gpus_max: amount("gpus_max"),
-    }
-}
-
-fn class(t: &TomlSection<'_>, scenario: &Scenario) -> JobClass {
-    let shapes = [
-        ("array", JobKind::Array),
-        ("gang", JobKind::Gang),
-        ("service", JobKind::Service),
-    ];
-    let ranks = [
-        ("production", Priority::Production),
-        ("high", Priority::High),
-        ("normal", Priority::Normal),
-        ("low", Priority::Low),
-    ];
-    let mut teams = t.texts("teams");
-    for name in teams
-        .iter()
-        .filter(|n| !scenario.teams.iter().any(|team| team.name == **n))
-    {
-        t.fault("teams", &format!("no team is called {name}"));
-    }
-    if teams.is_empty() {
-        teams = scenario.teams.iter().map(|t| t.name.clone()).collect();
-    }
-    let need = (
-        t.number("cpus", 0.0, 1e6, None),
-        t.number("gpus", 0.0, 1e4, Some(0.0)),
-        t.number("memory_gb", 0.0, 1e7, Some(0.0)),
-    );
-    let room = Resources::need(need.0, need.1, need.2);
-    if !scenario.kinds.iter().any(|k| k.machine.room.covers(&room)) {
-        t.fault("cpus", "a task fits no machine type");
-    }
-    JobClass {
-        name: t.text("name", None),
-        teams,
-        shape: t
-            .word("shape", &shapes, Some(JobKind::Array))
-            .unwrap_or(JobKind::Array),
-        rank: t
-            .word("priority", &ranks, Some(Priority::Normal))
-            .unwrap_or(Priority::Normal),
-        tasks: dist(t, "tasks", Some(1.0)),
-        need,
-        run_s: dist(t, "run_s", None),
-        estimate_off: t.number("estimate_off", 0.0, 10.0, Some(0.5)),
-        images: (
-            t.whole("images", 1, 100_000, Some(1)) as u32,
-            t.number("image_gb", 0.0, 10_000.0, Some(0.0)),
-        ),
-        per_min: t.number("per_min", 0.0, 1e6, Some(0.0)),
-        at_start: t.whole("at_start", 0, 1_000_000, Some(0)) as u32,
-        zone: t.has("zone").then(|| fault::known_zone(t, scenario)),
-        one_zone: t.flag("one_zone", false),
-        spread: t.flag("spread", false),
-        spot: t.flag("spot", false),
-        save: (
-            t.number("checkpoint_s", 0.0, 1e6, Some(0.0)),
-            t.number("save_s", 0.0, 1e6, Some(0.0)),
-        ),
-        start_within_s: t.number("start_within_s", 0.0, 1e6, Some(0.0)),
-        broken: t.number("broken", 0.0, 1.0, Some(0.0)),
-        awaits: t.texts("awaits"),
-        later_s: dist(t, "later_s", Some(0.0)),
-        cancelled: t.number("cancelled", 0.0, 1.0, Some(0.0)),
-    }
-}
-
-/// A number, or a table that names a distribution.
-fn dist(t: &TomlSection<'_>, name: &str, or: Option<f64>) -> ValueDistribution {
-    match t.raw(name) {
-        Some(DeValue::Table(_)) => {}
-        Some(value) if as_number(value).is_some() => {
-            return ValueDistribution::Fixed(t.number(name, 0.0, 1e9, None));
-        }
-        _ => return ValueDistribution::Fixed(t.number(name, 0.0, 1e9, or)),
-    }
-    let d = t.table(name);
-    let most = 1e9;
-    match d.word(
-        "dist",
-        &[
-            ("uniform", 0),
-            ("exponential", 1),
-            ("lognormal", 2),
-            ("pareto", 3),
-        ],
-        None,
-    ) {
-        Some(0) => {
-            let (low, high) = (
-                d.number("low", 0.0, most, None),
-                d.number("high", 0.0, most, None),
-            );
-            if high < low {
-                d.fault("high", "is below low");
-            }
-            ValueDistribution::Uniform(low, high)
-        }
-        Some(1) => ValueDistribution::Exponential(d.number("mean", 1e-9, most, None)),
-        Some(2) => ValueDistribution::LogNormal(
-            d.number("median", 1e-9, most, None),
-            d.number("sigma", 0.0, 10.0, None),
-        ),
-        Some(3) => ValueDistribution::Pareto(
-            d.number("least", 1e-9, most, None),
-            d.number("shape", 0.01, 100.0, None),
-        ),
-        _ => ValueDistribution::Fixed(0.0),
-    }
+pub fn host_name(controller: usize) -> String {
+    format!("h{controller:02}")
 }
--- /dev/null
+++ b/crates/simulator/src/scenario/distribution.rs
@@ -0,0 +1,103 @@
+//! Numbers that are drawn from a distribution, as a scenario describes them.
+
+use rand::RngExt;
+use rand_chacha::ChaCha8Rng;
+use rand_distr::{Distribution, Exp, LogNormal, Pareto};
+use toml::de::DeValue;
+
+use crate::toml_section::{TomlSection, as_number};
+
+/// Largest parameter of a distribution.
+const LARGEST_PARAMETER: f64 = 1e9;
+
+/// How a number is drawn.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum ValueDistribution {
+    /// Always this value.
+    Fixed(f64),
+    /// Uniform between two bounds.
+    Uniform {
+        /// Least value.
+        low: f64,
+        /// Largest value.
+        high: f64,
+    },
+    /// Exponential.
+    Exponential {
+        /// Its mean.
+        mean: f64,
+    },
+    /// Log-normal.
+    LogNormal {
+        /// Its median.
+        median: f64,
+        /// Standard deviation of the logarithm.
+        sigma: f64,
+    },
+    /// Pareto.
+    Pareto {
+        /// Least value.
+        least: f64,
+        /// Shape.
+        shape: f64,
+    },
+}
+
+impl ValueDistribution {
+    /// Draws a value; never below zero.
+    pub fn draw(&self, rng: &mut ChaCha8Rng) -> f64 {
+        // The parameters were checked when the file was read; a distribution
+        // that can't be made draws its first parameter.
+        let value = match *self {
+            Self::Fixed(value) => value,
+            Self::Uniform { low, high } => low + (high - low) * rng.random::<f64>(),
+            Self::Exponential { mean } => Exp::new(1.0 / mean).map_or(mean, |d| d.sample(rng)),
+            Self::LogNormal { median, sigma } => {
+                LogNormal::new(median.ln(), sigma).map_or(median, |d| d.sample(rng))
+            }
+            Self::Pareto { least, shape } => {
+                Pareto::new(least, shape).map_or(least, |d| d.sample(rng))
+            }
+        };
+        value.max(0.0)
+    }
+
+    /// Reads a field: a number, or a table that names a distribution. `default` counts if
+    /// the field is absent; without one an absent field is an error.
+    pub(super) fn read(section: &TomlSection<'_>, name: &str, default: Option<f64>) -> Self {
+        match section.raw(name) {
+            Some(DeValue::Table(_)) => Self::read_table(&section.table(name)),
+            Some(value) if as_number(value).is_some() => {
+                Self::Fixed(section.number(name, 0.0, LARGEST_PARAMETER, None))
+            }
+            _ => Self::Fixed(section.number(name, 0.0, LARGEST_PARAMETER, default)),
+        }
+    }
+
+    fn read_table(table: &TomlSection<'_>) -> Self {
+        let parameter = |name: &str, least: f64, most: f64| table.number(name, least, most, None);
+        let kinds = ["uniform", "exponential", "lognormal", "pareto"].map(|kind| (kind, kind));
+        match table.word("dist", &kinds, None) {
+            Some("uniform") => {
+                let low = parameter("low", 0.0, LARGEST_PARAMETER);
+                let high = parameter("high", 0.0, LARGEST_PARAMETER);
+                if high < low {
+                    table.fault("high", "is below low");
+                }
+                Self::Uniform { low, high }
+            }
+            Some("exponential") => Self::Exponential {
+                mean: parameter("mean", 1e-9, LARGEST_PARAMETER),
+            },
+            Some("lognormal") => Self::LogNormal {
+                median: parameter("median", 1e-9, LARGEST_PARAMETER),
+                sigma: parameter("sigma", 0.0, 10.0),
+            },
+            Some("pareto") => Self::Pareto {
+                least: parameter("least", 1e-9, LARGEST_PARAMETER),
+                shape: parameter("shape", 0.01, 100.0),
+            },
+            _ => Self::Fixed(0.0),
+        }
+    }
+}
--- a/crates/simulator/src/scenario/fault.rs
+++ b/crates/simulator/src/scenario/fault.rs
@@ -1,102 +1,98 @@
-//! Troubles of a scenario: what goes wrong, when and for how long.
+//! Faults of a scenario: what goes wrong, when and for how long.
 
-use super::{Scenario, TomlSection};
+use std::ops::RangeInclusive;
 
-/// How much later a write is carried out that got no answer.
-pub const LATE_WRITES: Seconds = Seconds {
+/// How much later a write is executed that got no answer.
+pub const LATE_WRITES: SecondsRange = SecondsRange {
     low: 2.0,
     high: 12.0,
 };
-/// When kept copies of reports arrive after a shard has a new leader, if the scenario
-/// does not say.
-const KEPT_COPIES: Seconds = Seconds {
-    low: 0.0,
-    high: 1.0,
-};
+/// A spot machine goes at most so many times its notice after the fault.
+const LATEST_RECLAIM: f64 = 1.5;
 
-/// What goes wrong at a time.
+/// What goes wrong.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FaultKind {
-    /// A controller ends and comes back.
+    /// A controller process ends and is restarted.
     Crash {
         /// Which one; none: all of them.
-        host: Option<usize>,
+        controller: Option<usize>,
     },
     /// All controllers are restarted, one after the other.
-    Roll,
+    RollingRestart,
     /// The state service is down.
     StoreDown,
     /// A link fails while others are up.
-    Cut(Link),
+    LinkDown(Link),
     /// The cloud's interface is down.
     CloudDown,
-    /// A zone is cut off from everything; inside it goes on.
-    CutZone {
+    /// A zone is partitioned from everything outside it; inside it traffic goes on.
+    ZonePartition {
         /// Its name.
         zone: String,
     },
-    /// A controller stands still while its clocks run on.
-    Freeze {
+    /// A controller process stalls while its clocks run on.
+    ProcessStall {
         /// Which one.
-        host: usize,
+        controller: usize,
     },
-    /// Machines stop for good with all that is on them.
-    Die,
+    /// Machines are lost with all that is on them.
+    MachineLoss,
     /// Machines lose the network.
-    Silent,
+    NetworkLoss,
     /// Machines hang.
-    Hang,
-    /// Machines fail what they start.
-    Faulty,
-    /// Machines rented meanwhile take so many times as long to come up; the share
-    /// of the fault never does.
-    Boots {
+    MachineHang,
+    /// Machines fail every task that they start.
+    FaultyMachines,
+    /// Machines provisioned meanwhile take so many times as long to boot; the share of
+    /// the fault never boots.
+    BootTime {
         /// How many times as long.
         factor: f64,
         /// The only zone where it is so.
         zone: Option<String>,
     },
-    /// Users ask so many times as often, a third of them for jobs of nobody.
-    Polls {
+    /// Users poll so many times as often, a third of them for jobs that do not exist.
+    PollLoad {
         /// How many times as often.
         factor: f64,
     },
-    /// Machines' reports arrive, but answers or commands don't reach them.
-    Deaf {
+    /// Heartbeats of machines arrive, but answers or commands do not reach them.
+    InboundLoss {
         /// All machines of this zone; none: the share of the fault.
         zone: Option<String>,
         /// Only this controller's are lost.
-        host: Option<usize>,
+        controller: Option<usize>,
         /// Answers are lost.
         answers: bool,
         /// Commands are lost.
         commands: bool,
     },
-    /// Each report of some machines arrives a second time, so many s later.
-    LateCopies {
+    /// Each heartbeat of some machines arrives a second time, so many s later.
+    DelayedDuplicates {
         /// How much later.
-        seconds: Seconds,
+        seconds: SecondsRange,
         /// Some copies are kept until a shard has a new leader, and reach every
         /// controller so much after that.
         for_next: bool,
     },
     /// The share of all writes gets no answer.
     LateWrites {
-        /// They are carried out at once; otherwise later, after newer ones.
+        /// They are executed at once; otherwise later, after newer ones.
         at_once: bool,
     },
     /// Machines reach no controller, while direct commands reach them.
-    Mute {
+    OutboundLoss {
         /// All machines of this zone; none: the share of the fault.
         zone: Option<String>,
     },
     /// Users ask all controllers, and submit again, within milliseconds after a job
     /// was accepted, ended or confirmed as cancelled; a share cancels at once.
-    CloseLooks,
+    QueryBursts,
     /// The share of the jobs that end is cancelled at that moment.
-    CancelAtEnd,
+    CancelAtCompletion,
     /// Users cancel that many running jobs within a fifth of a second.
-    CancelNow {
+    CancelBurst {
         /// How many.
         count: usize,
         /// s for which up to eight of their machines hang; 0: none does.
@@ -104,88 +100,114 @@
     },
     /// Users submit unfinished jobs again, cancel jobs that are done, and submit jobs
     /// that fit no machine.
-    OddRequests,
-    /// The state service carries out and answers so much later.
+    InvalidRequests,
+    /// The state service executes requests and answers them so much later.
     StoreSlow {
         /// How much later.
-        seconds: Seconds,
+        seconds: SecondsRange,
     },
     /// The share of calls to machines and of answers to their reports arrives so much
     /// later, or what the machine says to a call is lost.
-    HeldOrders {
+    DelayedCommands {
         /// How much later.
-        seconds: Seconds,
+        seconds: SecondsRange,
     },
     /// The state service has its next limits from now on.
-    StateLimits,
-    /// A controller loses the state service and all others, not its workers.
-    Alone {
+    ReducedStoreLimits,
+    /// A controller loses the state service and all other controllers, not its workers.
+    ControllerIsolated {
         /// Which one.
-        host: usize,
+        controller: usize,
     },
-    /// Machines are back at once, empty, and count from the start.
-    Reborn,
-    /// Spot machines are taken back, with this notice.
-    TakeSpot {
-        /// Seconds of notice; 0: none.
+    /// Machines restart at once, empty, and count sessions from the start.
+    MachineRestart,
+    /// The cloud reclaims spot instances, with this notice.
+    SpotReclaim {
+        /// SecondsRange of notice; 0: none.
         notice_s: f64,
     },
 }
 
-/// How much later something comes, s.
+impl FaultKind {
+    /// True if it affects a share of the machines that are up, drawn when it begins.
+    pub fn affects_machines(&self) -> bool {
+        match self {
+            Self::NetworkLoss
+            | Self::MachineHang
+            | Self::FaultyMachines
+            | Self::MachineLoss
+            | Self::MachineRestart
+            | Self::DelayedDuplicates { .. }
+            | Self::InboundLoss { zone: None, .. }
+            | Self::OutboundLoss { zone: None }
+            | Self::SpotReclaim { .. } => true,
+            Self::Crash { .. }
+            | Self::RollingRestart
+            | Self::StoreDown
+            | Self::LinkDown(_)
+            | Self::CloudDown
+            | Self::ZonePartition { .. }
+            | Self::ProcessStall { .. }
+            | Self::BootTime { .. }
+            | Self::PollLoad { .. }
+            | Self::InboundLoss { zone: Some(_), .. }
+            | Self::LateWrites { .. }
+            | Self::OutboundLoss { zone: Some(_) }
+            | Self::QueryBursts
+            | Self::CancelAtCompletion
+            | Self::CancelBurst { .. }
+            | Self::InvalidRequests
+            | Self::StoreSlow { .. }
+            | Self::DelayedCommands { .. }
+            | Self::ReducedStoreLimits
+            | Self::ControllerIsolated { .. } => false,
+        }
+    }
+}
+
+/// A range of delays, s; a delay is drawn uniformly.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Seconds {
+pub struct SecondsRange {
     /// At least.
     pub low: f64,
     /// At most.
     pub high: f64,
 }
 
-impl Seconds {
-    fn read(t: &TomlSection<'_>) -> Self {
-        Self::read_or(t, None)
-    }
-
-    fn read_or(t: &TomlSection<'_>, usual: Option<Self>) -> Self {
-        let low = t.number("low_s", 0.0, 3_600.0, usual.map(|s| s.low));
-        Self {
-            low,
-            high: t.number("high_s", low, 3_600.0, usual.map(|s| s.high)),
-        }
-    }
-
+impl SecondsRange {
     /// The same in µs.
-    pub fn us(&self) -> std::ops::RangeInclusive<u64> {
+    pub fn micros(&self) -> RangeInclusive<u64> {
         (self.low * 1e6) as u64..=(self.high * 1e6) as u64
     }
 }
 
-/// A trouble with its time.
+/// A fault with its time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fault {
-    /// What.
-    pub trouble: FaultKind,
+    /// What goes wrong.
+    pub kind: FaultKind,
     /// When, s.
     pub at_s: f64,
     /// For how long, s.
     pub for_s: f64,
-    /// Share of the machines that it strikes.
+    /// Share of the machines, writes, calls or jobs that it affects.
     pub share: f64,
-    /// A link comes and goes at this interval, s; 0: it stays cut.
+    /// The link goes down and up at this interval, s; 0: it stays down.
     pub flap_s: f64,
 }
 
 impl Fault {
-    /// When nothing more comes of it, s: late copies have arrived, a roll is through.
-    pub(super) fn over_s(&self, hosts: u16) -> f64 {
-        let more = match self.trouble {
-            FaultKind::Roll => self.for_s * f64::from(hosts),
-            FaultKind::LateCopies { seconds, .. }
+    /// When nothing more comes of it, s: late copies have arrived, a rolling restart is
+    /// through.
+    pub(super) fn over_s(&self, controllers: u16) -> f64 {
+        let more = match self.kind {
+            FaultKind::RollingRestart => self.for_s * f64::from(controllers),
+            FaultKind::DelayedDuplicates { seconds, .. }
             | FaultKind::StoreSlow { seconds }
-            | FaultKind::HeldOrders { seconds } => seconds.high,
+            | FaultKind::DelayedCommands { seconds } => seconds.high,
             FaultKind::LateWrites { at_once: false } => LATE_WRITES.high,
-            FaultKind::CancelNow { hang_s, .. } => hang_s,
-            FaultKind::TakeSpot { notice_s } => 1.5 * notice_s,
+            FaultKind::CancelBurst { hang_s, .. } => hang_s,
+            FaultKind::SpotReclaim { notice_s } => LATEST_RECLAIM * notice_s,
             _ => 0.0,
         };
         self.at_s + self.for_s + more
@@ -197,171 +219,25 @@
 pub enum Link {
     /// A controller and the state service, which refuses it.
     Store(usize),
-    /// The same; it refuses what others carry for that controller too.
-    Barred(usize),
+    /// The same; it also refuses what others relay for that controller.
+    StoreDenied(usize),
     /// A controller and the cloud.
     Cloud(usize),
     /// A controller and all workers.
     Workers(usize),
     /// A controller and the workers of a zone.
-    Zone(usize, String),
+    WorkersInZone(usize, String),
     /// Two controllers.
-    Hosts(usize, usize),
+    Controllers(usize, usize),
     /// A controller can't reach another, which can reach it.
     OneWay(usize, usize),
     /// A controller and the users.
     Users(usize),
 }
 
-/// Names of the troubles in a scenario file.
-const KINDS: [&str; 32] = [
-    "crash",
-    "roll",
-    "store_down",
-    "refused",
-    "cloud_down",
-    "cut_controllers",
-    "silent",
-    "hang",
-    "faulty",
-    "take_spot",
-    "cut_zone",
-    "cut_workers",
-    "freeze",
-    "die",
-    "cut_cloud",
-    "cut_one_way",
-    "cut_users",
-    "boots",
-    "polls",
-    "deaf",
-    "late_copies",
-    "alone",
-    "reborn",
-    "late_writes",
-    "store_slow",
-    "held_orders",
-    "mute",
-    "close_looks",
-    "cancel_at_end",
-    "cancel_now",
-    "odd_requests",
-    "state_limits",
-];
-
-pub(super) fn known_zone(t: &TomlSection<'_>, scenario: &Scenario) -> String {
-    let zone = t.text("zone", None);
-    if !scenario.zones.contains(&zone) {
-        t.fault(
-            "zone",
-            &format!(
-                "no zone is called {zone}: must be one of {}",
-                scenario.zones.join(", ")
-            ),
-        );
+impl Link {
+    /// The link between two controllers, whichever is named first.
+    pub fn between(a: usize, b: usize) -> Self {
+        Self::Controllers(a.min(b), a.max(b))
     }
-    zone
-}
-
-pub(super) fn fault(t: &TomlSection<'_>, scenario: &Scenario) -> Option<Fault> {
-    let most = u64::from(scenario.shards) - 1;
-    let host = |name: &str| t.whole(name, 0, most, None) as usize;
-    let at_s = t.number("at_s", 0.0, scenario.duration_s, None);
-    let for_s = t.number("for_s", 0.0, scenario.duration_s - at_s, Some(5.0));
-    let trouble = match t.word("kind", &KINDS.map(|kind| (kind, kind)), None)? {
-        "crash" => FaultKind::Crash {
-            host: t.has("controller").then(|| host("controller")),
-        },
-        "roll" => FaultKind::Roll,
-        "store_down" => FaultKind::StoreDown,
-        "refused" if t.flag("carried", false) => FaultKind::Cut(Link::Barred(host("controller"))),
-        "refused" => FaultKind::Cut(Link::Store(host("controller"))),
-        "cloud_down" => FaultKind::CloudDown,
-        "cut_controllers" => {
-            let (a, b) = (host("controller"), host("other"));
-            FaultKind::Cut(Link::Hosts(a.min(b), a.max(b)))
-        }
-        "silent" => FaultKind::Silent,
-        "hang" => FaultKind::Hang,
-        "faulty" => FaultKind::Faulty,
-        "cut_zone" => FaultKind::CutZone {
-            zone: known_zone(t, scenario),
-        },
-        "cut_workers" if t.has("zone") => {
-            FaultKind::Cut(Link::Zone(host("controller"), known_zone(t, scenario)))
-        }
-        "cut_workers" => FaultKind::Cut(Link::Workers(host("controller"))),
-        "freeze" => FaultKind::Freeze {
-            host: host("controller"),
-        },
-        "die" => FaultKind::Die,
-        "cut_cloud" => FaultKind::Cut(Link::Cloud(host("controller"))),
-        "cut_one_way" => FaultKind::Cut(Link::OneWay(host("controller"), host("other"))),
-        "cut_users" => FaultKind::Cut(Link::Users(host("controller"))),
-        "boots" => FaultKind::Boots {
-            factor: t.number("factor", 0.001, 1_000.0, Some(1.0)),
-            zone: t.has("zone").then(|| known_zone(t, scenario)),
-        },
-        "polls" => FaultKind::Polls {
-            factor: t.number("factor", 1.0, 1_000.0, None),
-        },
-        "deaf" => {
-            let only = t
-                .has("only")
-                .then(|| t.word("only", &[("answers", true), ("commands", false)], None))
-                .flatten();
-            FaultKind::Deaf {
-                zone: t.has("zone").then(|| known_zone(t, scenario)),
-                host: t.has("controller").then(|| host("controller")),
-                answers: only != Some(false),
-                commands: only != Some(true),
-            }
-        }
-        "late_copies" => {
-            let for_next = t.flag("for_next", false);
-            FaultKind::LateCopies {
-                seconds: Seconds::read_or(t, for_next.then_some(KEPT_COPIES)),
-                for_next,
-            }
-        }
-        "alone" => FaultKind::Alone {
-            host: host("controller"),
-        },
-        "reborn" => FaultKind::Reborn,
-        "late_writes" => FaultKind::LateWrites {
-            at_once: t.flag("at_once", false),
-        },
-        "mute" => FaultKind::Mute {
-            zone: t.has("zone").then(|| known_zone(t, scenario)),
-        },
-        "close_looks" => FaultKind::CloseLooks,
-        "cancel_at_end" => FaultKind::CancelAtEnd,
-        "cancel_now" => FaultKind::CancelNow {
-            count: t.whole("count", 1, 100_000, Some(10)) as usize,
-            hang_s: t.number("hang_s", 0.0, 3_600.0, Some(0.0)),
-        },
-        "odd_requests" => FaultKind::OddRequests,
-        "state_limits" => FaultKind::StateLimits,
-        "store_slow" => FaultKind::StoreSlow {
-            seconds: Seconds::read(t),
-        },
-        "held_orders" => FaultKind::HeldOrders {
-            seconds: Seconds::read(t),
-        },
-        _ => FaultKind::TakeSpot {
-            notice_s: t.number("notice_s", 0.0, 3_600.0, Some(0.0)),
-        },
-    };
-    let usual_share = if matches!(trouble, FaultKind::Boots { .. }) {
-        0.0
-    } else {
-        0.1
-    };
-    Some(Fault {
-        trouble,
-        at_s,
-        for_s,
-        share: t.number("share", 0.0, 1.0, Some(usual_share)),
-        flap_s: t.number("flap_s", 0.0, 1e6, Some(0.0)),
-    })
 }
--- /dev/null
+++ b/crates/simulator/src/scenario/reader.rs
@@ -0,0 +1,313 @@
+//! Reads a scenario from its TOML tables, one section a function. Every error is noted at
+//! its field; what is read beside an error is a value within bounds that nobody uses.
+
+use lemonweir_model::constants::BLIND_MOST_MS;
+use lemonweir_model::policy::{Policy, Trade};
+use lemonweir_model::settings::{CloudLimits, NextStateLimits, StateLimits, Team, Workers};
+use lemonweir_model::{JobKind, MachineType, Priority, Resources};
+
+use super::fault_reader::read_fault;
+use super::{
+    JobClass, MachineCapacity, MachineKind, MessageFaults, NetworkLatency, ProcessingCosts,
+    Scenario, TaskNeed, ValueDistribution,
+};
+use crate::toml_section::TomlSection;
+
+/// Reads the whole file.
+pub(super) fn read_scenario(file: &TomlSection<'_>) -> Scenario {
+    let zones = file.texts("zones");
+    if zones.is_empty() {
+        file.fault("zones", "must name one zone at least");
+    }
+    let workers = file.table("workers");
+    let latency = file.table("latency");
+    let mut scenario = Scenario {
+        name: file.text("name", None),
+        duration_s: file.number("duration_s", 1.0, 1e8, None),
+        controllers: file.whole("controllers", 1, 64, Some(3)) as u16,
+        poll_s: file.number("poll_s", 0.0, 3_600.0, Some(5.0)),
+        workers: read_workers(&workers),
+        state: read_state_limits(&file.table("state")),
+        cloud: read_cloud_limits(&file.table("cloud")),
+        policy: read_policy(&file.table("policy")),
+        message_faults: read_message_faults(&file.table("messages")),
+        costs: read_costs(&file.table("costs")),
+        latency: read_latency(&latency),
+        machine_kinds: file
+            .tables("machine_type")
+            .iter()
+            .map(|table| read_machine_kind(table, &zones))
+            .collect(),
+        teams: file.tables("team").iter().map(read_team).collect(),
+        classes: Vec::new(),
+        faults: Vec::new(),
+        zones,
+    };
+    check_ranges(&scenario, file, &workers, &latency);
+    scenario.classes = read_classes(file, &scenario);
+    scenario.faults = file
+        .tables("fault")
+        .iter()
+        .filter_map(|table| read_fault(table, &scenario))
+        .collect();
+    scenario
+}
+
+/// Checks fields against one another, and what must not be empty.
+fn check_ranges(
+    scenario: &Scenario,
+    file: &TomlSection<'_>,
+    workers: &TomlSection<'_>,
+    latency: &TomlSection<'_>,
+) {
+    if scenario.latency.high_us < scenario.latency.low_us {
+        latency.fault("high_us", "is below low_us");
+    }
+    if scenario.workers.lease_s <= scenario.workers.report_s {
+        workers.fault("lease_s", "must be over report_s");
+    }
+    if scenario.workers.cancel_s <= scenario.workers.lease_s {
+        workers.fault("cancel_s", "must be over lease_s");
+    }
+    if scenario.machine_kinds.is_empty() {
+        file.fault("machine_type", "one at least must be given");
+    }
+    if scenario.teams.is_empty() {
+        file.fault("team", "one at least must be given");
+    }
+}
+
+fn read_workers(table: &TomlSection<'_>) -> Workers {
+    Workers {
+        report_s: table.number("report_s", 0.1, 600.0, Some(3.0)),
+        lease_s: table.number("lease_s", 0.5, 3_600.0, Some(14.0)),
+        gang_wait_s: table.number("gang_wait_s", 1.0, 3_600.0, Some(50.0)),
+        gang_peer_s: table.number("gang_peer_s", 0.1, 600.0, Some(8.0)),
+        cancel_s: table.number("cancel_s", 1.0, 7_200.0, Some(34.0)),
+    }
+}
+
+fn read_state_limits(table: &TomlSection<'_>) -> StateLimits {
+    StateLimits {
+        rps: table.number("rps", 1.0, 1e9, Some(200.0)),
+        write_rps: table.number("write_rps", 1.0, 1e9, Some(80.0)),
+        value_kb: table.number("value_kb", 4.0, 1_024.0, Some(8.0)),
+        txn_ops: table.whole("txn_ops", 4, 100_000, Some(32)) as usize,
+        next: table
+            .has("next")
+            .then(|| read_next_state_limits(&table.table("next"))),
+    }
+}
+
+fn read_next_state_limits(table: &TomlSection<'_>) -> NextStateLimits {
+    let number = |name: &str| table.has(name).then(|| table.number(name, 1.0, 1e9, None));
+    NextStateLimits {
+        rps: number("rps"),
+        write_rps: number("write_rps"),
+        value_kb: number("value_kb"),
+        txn_ops: table
+            .has("txn_ops")
+            .then(|| table.whole("txn_ops", 4, 100_000, None) as usize),
+    }
+}
+
+fn read_cloud_limits(table: &TomlSection<'_>) -> CloudLimits {
+    CloudLimits {
+        rps: table.number("rps", 0.1, 1e9, Some(4.0)),
+        list_lag_s: table.number("list_lag_s", 0.0, 600.0, Some(10.0)),
+    }
+}
+
+fn read_policy(table: &TomlSection<'_>) -> Policy {
+    let whole_ms = |seconds: f64| (seconds * 1_000.0) as u64;
+    let most_blind_s = BLIND_MOST_MS as f64 / 1_000.0;
+    Policy {
+        idle: table.number("idle", 0.0, 1e6, Some(0.75)),
+        idle_spot: table.number("idle_spot", 0.0, 1e6, Some(1.5)),
+        silent_ms: whole_ms(table.number("silent_s", 1.0, 3_600.0, Some(9.0))),
+        boot_patience: table.number("boot_patience", 1.5, 100.0, Some(3.0)),
+        blind_ms: whole_ms(table.number("blind_s", 0.0, most_blind_s, Some(60.0))),
+        spare: table.number("spare", 0.0, 10.0, Some(0.5)),
+        trade: Trade::default(),
+    }
+}
+
+fn read_message_faults(table: &TomlSection<'_>) -> MessageFaults {
+    let per_mille = |name: &str| table.whole(name, 0, 1_000, Some(0)) as u32;
+    MessageFaults {
+        lost_cas_reply: per_mille("lost_txn_reply"),
+        late_cas: per_mille("late_txn"),
+        lost_command: per_mille("lost_command"),
+        late_command: per_mille("late_command"),
+        lost_sync: per_mille("lost_sync"),
+        late_sync: per_mille("late_sync"),
+    }
+}
+
+fn read_costs(table: &TomlSection<'_>) -> ProcessingCosts {
+    ProcessingCosts {
+        message_ns: table.whole("message_ns", 0, 1_000_000_000, Some(0)),
+        candidate_ns: table.whole("look_ns", 0, 1_000_000, Some(0)),
+    }
+}
+
+fn read_latency(table: &TomlSection<'_>) -> NetworkLatency {
+    NetworkLatency {
+        low_us: table.whole("low_us", 1, 10_000_000, Some(500)),
+        high_us: table.whole("high_us", 1, 10_000_000, Some(3_000)),
+    }
+}
+
+fn read_machine_kind(table: &TomlSection<'_>, zones: &[String]) -> MachineKind {
+    // The order of reading is the order in which errors of one line are named.
+    let price = table.number("price", 0.0, 1e6, Some(1.0));
+    MachineKind {
+        machine: MachineType {
+            name: table.text("name", None),
+            room: Resources::offer(
+                table.number("cpus", 0.001, 1e6, None),
+                table.number("gpus", 0.0, 1e4, Some(0.0)),
+                table.number("memory_gb", 0.001, 1e7, None),
+            ),
+            cache_gb: table.number("cache_gb", 0.0, 1e6, Some(200.0)),
+            fetch_gb_per_s: table.number("fetch_gb_per_s", 0.000_001, 1e6, Some(1.0)),
+            price,
+            spot_price: table.number("spot_price", 0.0, 1e6, Some(0.0)),
+            boot_s: table.number("boot_s", 0.0, 1e6, Some(30.0)),
+            zones: zones.to_vec(),
+        },
+        capacity: MachineCapacity {
+            on_demand: table.whole("ordinary", 0, 1_000_000, Some(10_000)) as u32,
+            spot: table.whole("spot", 0, 1_000_000, Some(0)) as u32,
+        },
+        at_start: table.whole("at_start", 0, 1_000_000, Some(0)) as u32,
+    }
+}
+
+fn read_team(table: &TomlSection<'_>) -> Team {
+    let amount = |name: &str| table.number(name, 0.0, 1e9, Some(0.0));
+    Team {
+        name: table.text("name", None),
+        cpus: amount("cpus"),
+        cpus_max: amount("cpus_max"),
+        gpus: amount("gpus"),
+        gpus_max: amount("gpus_max"),
+    }
+}
+
+fn read_classes(file: &TomlSection<'_>, scenario: &Scenario) -> Vec<JobClass> {
+    let mut classes: Vec<JobClass> = Vec::new();
+    for table in file.tables("class") {
+        let class = read_class(&table, scenario);
+        // Only classes before it, so that the dependencies have no cycle.
+        for dependency in class
+            .dependencies
+            .iter()
+            .filter(|name| !classes.iter().any(|before| before.name == **name))
+        {
+            table.fault(
+                "awaits",
+                &format!("no class before this one is called {dependency}"),
+            );
+        }
+        classes.push(class);
+    }
+    classes
+}
+
+fn read_class(table: &TomlSection<'_>, scenario: &Scenario) -> JobClass {
+    let shapes = [
+        ("array", JobKind::Array),
+        ("gang", JobKind::Gang),
+        ("service", JobKind::Service),
+    ];
+    let priorities = [
+        ("production", Priority::Production),
+        ("high", Priority::High),
+        ("normal", Priority::Normal),
+        ("low", Priority::Low),
+    ];
+    let teams = read_class_teams(table, scenario);
+    let need = read_task_need(table, scenario);
+    JobClass {
+        name: table.text("name", None),
+        teams,
+        shape: table
+            .word("shape", &shapes, Some(JobKind::Array))
+            .unwrap_or(JobKind::Array),
+        priority: table
+            .word("priority", &priorities, Some(Priority::Normal))
+            .unwrap_or(Priority::Normal),
+        tasks: ValueDistribution::read(table, "tasks", Some(1.0)),
+        need,
+        run_s: ValueDistribution::read(table, "run_s", None),
+        estimate_error: table.number("estimate_off", 0.0, 10.0, Some(0.5)),
+        images: table.whole("images", 1, 100_000, Some(1)) as u32,
+        image_gb: table.number("image_gb", 0.0, 10_000.0, Some(0.0)),
+        per_min: table.number("per_min", 0.0, 1e6, Some(0.0)),
+        at_start: table.whole("at_start", 0, 1_000_000, Some(0)) as u32,
+        zone: table.has("zone").then(|| read_known_zone(table, scenario)),
+        one_zone: table.flag("one_zone", false),
+        spread: table.flag("spread", false),
+        spot: table.flag("spot", false),
+        checkpoint_s: table.number("checkpoint_s", 0.0, 1e6, Some(0.0)),
+        save_s: table.number("save_s", 0.0, 1e6, Some(0.0)),
+        start_within_s: table.number("start_within_s", 0.0, 1e6, Some(0.0)),
+        broken: table.number("broken", 0.0, 1.0, Some(0.0)),
+        dependencies: table.texts("awaits"),
+        dependency_delay_s: ValueDistribution::read(table, "later_s", Some(0.0)),
+        cancelled: table.number("cancelled", 0.0, 1.0, Some(0.0)),
+    }
+}
+
+/// The teams that submit a class; all teams if it names none.
+fn read_class_teams(table: &TomlSection<'_>, scenario: &Scenario) -> Vec<String> {
+    let teams = table.texts("teams");
+    for name in teams
+        .iter()
+        .filter(|name| !scenario.teams.iter().any(|team| team.name == **name))
+    {
+        table.fault("teams", &format!("no team is called {name}"));
+    }
+    if teams.is_empty() {
+        scenario
+            .teams
+            .iter()
+            .map(|team| team.name.clone())
+            .collect()
+    } else {
+        teams
+    }
+}
+
+fn read_task_need(table: &TomlSection<'_>, scenario: &Scenario) -> TaskNeed {
+    let need = TaskNeed {
+        cpus: table.number("cpus", 0.0, 1e6, None),
+        gpus: table.number("gpus", 0.0, 1e4, Some(0.0)),
+        memory_gb: table.number("memory_gb", 0.0, 1e7, Some(0.0)),
+    };
+    let resources = Resources::need(need.cpus, need.gpus, need.memory_gb);
+    if !scenario
+        .machine_kinds
+        .iter()
+        .any(|kind| kind.machine.room.covers(&resources))
+    {
+        table.fault("cpus", "a task fits no machine type");
+    }
+    need
+}
+
+/// The `zone` field, which must name a zone of the scenario.
+pub(super) fn read_known_zone(table: &TomlSection<'_>, scenario: &Scenario) -> String {
+    let zone = table.text("zone", None);
+    if !scenario.zones.contains(&zone) {
+        table.fault(
+            "zone",
+            &format!(
+                "no zone is called {zone}: must be one of {}",
+                scenario.zones.join(", ")
+            ),
+        );
+    }
+    zone
+}
--- a/crates/simulator/src/simulation.rs
+++ b/crates/simulator/src/simulation.rs
@@ -1,299 +1,267 @@
-//! The simulated world: controllers with the real core, the store, the cloud,
+//! The simulation: controllers with the real scheduling core, the state service, the cloud,
 //! workers and users, and the network between them, as one queue of events.
 //!
-//! Everything happens on one thread in the order of its time and, at the same
-//! time, of its making, and every draw comes from one seeded generator: the
-//! same scenario, load and seed give the same history.
+//! Everything happens on one thread, in the order of time and, at the same time, in the order
+//! of scheduling, and every draw comes from one seeded generator: the same scenario, load and
+//! seed give the same history.
 
-mod controllers;
 mod adversarial_users;
-mod network;
-mod external_services;
+mod cloud_service;
+mod controllers;
+mod dispatch;
+mod duplicates;
+mod effects;
+mod events;
 mod faults;
-mod users;
-mod starvation;
+mod inputs;
+mod inspection;
+mod lease_keeping;
+mod network;
 mod routes;
+mod starvation;
+mod state_reads;
+mod store_service;
+mod user_answers;
+mod users;
 mod workers;
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap};
 use std::sync::Arc;
 
-use lemonweir_coordination::dependencies::DependencyAdmission;
-use lemonweir_coordination::election::ElectionAction;
-use lemonweir_coordination::job_status::Answer;
-use lemonweir_coordination::owner::{CommandCall, CommandResult, SyncError};
-use lemonweir_coordination::placer::CompareAndSwapOutcome;
-use lemonweir_coordination::{
-    Effect, HeartbeatAnswer, ProvisioningResult, ShardLease, keys_to_reread, mail_piece_bytes,
-};
-use lemonweir_model::constants::*;
 use lemonweir_model::{JobId, MachineId};
-use lemonweir_protocol::cloud::ProvisioningRequest;
-use lemonweir_protocol::kv_store::{CompareAndSwap, KeyValue, Write, from_value};
-use lemonweir_protocol::links::Service;
-use lemonweir_protocol::peer::{self, ShardView, SyncRequest};
-use lemonweir_protocol::users::{JobPhase, never_runs, team_limit};
-use lemonweir_protocol::worker::{Heartbeat, HeartbeatResponse};
-use lemonweir_storage::dependencies::chain_key;
-use lemonweir_storage::packed_chunk::read_chunk;
-use lemonweir_storage::records::*;
-use rand::seq::IndexedRandom;
+use lemonweir_protocol::kv_store::from_value;
+use lemonweir_protocol::users::{JobPhase, team_limit};
+use lemonweir_protocol::worker::Heartbeat;
+use lemonweir_storage::records::{JobEndRecord, end_key};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::invariants::InvariantChecker;
-use crate::cloud::Cloud;
-use crate::workload_state::{GangSignal, WorkloadState, SimulatedJob};
+use crate::clock::{US_PER_MS, micros};
+use crate::cloud::{Cloud, NewMachine};
+use crate::controller::{Controller, Input, ProcessId};
 use crate::history::History;
-use crate::controller::{CasOrigin, Controller, Input, StateRead};
+use crate::invariants::InvariantChecker;
+use crate::job::PlannedSubmission;
 use crate::metrics::MetricsCollector;
-use crate::scenario::{LATE_WRITES, Link, Scenario, FaultKind};
-use crate::store::{Store, CasAnswer};
-use crate::worker::{NEVER, Worker};
-use external_services::followed;
-use routes::ServiceRoute;
-
-/// µs of a ms.
-const MS: u64 = 1_000;
-/// Messages worked off before a pump that is owed.
-const PUMP_EVERY: usize = 32;
-/// µs between two looks at what must be gone in time.
-const LOOK_US: u64 = 500 * MS;
-/// µs that a machine which never comes up takes: longer than any run.
-const NEVER_UP_US: u64 = 1 << 50;
-/// µs for which a user repeats a submission (protocol page).
-const PATIENCE_US: u64 = 60_000 * MS;
-/// µs for which a user waits for the answer to a poll (protocol page).
-const ANSWER_US: u64 = 2_000 * MS;
+use crate::scenario::{Link, Scenario};
+use crate::store::Store;
+use crate::worker::{MachineSpec, Worker};
+use crate::workload_state::WorkloadState;
+use events::{Attempt, Event, ScheduledEvent};
+use inspection::INSPECTION_INTERVAL_US;
+use users::UserJob;
 
-/// A job with the time of its submission.
-pub struct PlannedSubmission {
-    /// When, µs.
-    pub at_us: u64,
-    /// What.
-    pub load: SimulatedJob,
-    /// When its user withdraws it, µs.
-    pub withdraw_us: Option<u64>,
-}
-
-enum Event {
-    /// Something for a controller in this life.
-    Deliver(usize, u64, Box<Input>),
-    /// It goes on with its inbox.
-    ProcessInbox(usize, u64),
-    Tick(usize, u64),
-    ReadState(usize, u64),
-    KeepLeases(usize, u64),
-    ScheduleInstanceList(usize, u64),
-    /// A request reaches the store.
-    StoreRequest(usize, u64, StoreRequest, ServiceRoute),
-    /// The store carries it out; its answer takes so long, `None`: none comes.
-    StoreExecutes(usize, u64, StoreRequest, Option<u64>),
-    Commands(usize, u64, ShardLease, Box<CommandCall>, bool),
-    WorkerWakes(usize),
-    /// A report arrives a second time.
-    DuplicateHeartbeat(usize, usize, Box<Heartbeat>),
-    HeartbeatAnswer(usize, u64, u64, Box<HeartbeatAnswer>),
-    GangSignal(GangSignal),
-    Provision(usize, u64, ShardLease, Box<ProvisioningRequest>, ServiceRoute),
-    Release(usize, u64, ShardLease, Vec<MachineId>, ServiceRoute),
-    ListInstances(usize, u64, ServiceRoute),
-    /// The direct way to a service is tried.
-    Probe(usize, u64, Service),
-    Submit(JobId, u64),
-    /// A user hears; the question reached the controller at that time.
-    Reply(JobId, Option<JobPhase>, u16, u64),
-    Poll(JobId),
-    Withdraw(JobId),
-    Boot(usize),
-    Fault(usize),
-    /// A link goes down or comes up.
-    LinkFlaps(Link, bool),
-    FaultOver(usize, Vec<usize>),
-    RemoveMachine(usize),
-    /// Users send odd requests while this trouble lasts.
-    OddRequests(usize),
-    Inspect,
-}
+/// µs between the first starts of two controllers.
+const BOOT_STAGGER_US: u64 = 37 * US_PER_MS;
+/// µs within which the machines of the start are up.
+const FIRST_MACHINES_UP_US: u64 = 3_000 * US_PER_MS;
+/// Speed of the slowest machine, and by how much the fastest one exceeds it.
+const LEAST_SPEED: f64 = 0.95;
+const SPEED_RANGE: f64 = 0.1;
 
-/// What a controller asks of the store.
-enum StoreRequest {
-    CompareAndSwap(CasOrigin, Box<CompareAndSwap>),
-    /// The changes of the followed keys since a revision; when it was asked for.
-    StateRead(Option<u64>, u64),
-    /// A hold is renewed, or opened.
-    StoreLease(Option<u64>),
+/// How boot times of machines that are provisioned now are disturbed.
+#[derive(Clone, Debug)]
+pub struct BootDisturbance {
+    /// They take so many times as long.
+    pub factor: f64,
+    /// Chance that a machine never boots.
+    pub failure_chance: f64,
+    /// The only zone where it is so; none: all.
+    pub zone: Option<String>,
 }
 
-struct ScheduledEvent {
-    at: u64,
-    seq: u64,
-    event: Event,
-}
-
-impl PartialEq for ScheduledEvent {
-    fn eq(&self, other: &Self) -> bool {
-        (self.at, self.seq) == (other.at, other.seq)
-    }
-}
-impl Eq for ScheduledEvent {}
-impl PartialOrd for ScheduledEvent {
-    fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
-        Some(self.cmp(other))
-    }
-}
-impl Ord for ScheduledEvent {
-    fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        (self.at, self.seq).cmp(&(other.at, other.seq))
-    }
-}
-
-/// What a user knows of a job.
-#[derive(Default)]
-struct UserJob {
-    first_try: u64,
-    accepted: Option<u64>,
-    over: bool,
-    /// When it asked last, and when it will ask next.
-    asked: u64,
-    next: u64,
-    /// When it will submit again.
-    again: u64,
-    /// When it first asked for the job's end.
-    withdrew: Option<u64>,
-}
-
-/// The world.
+/// The simulation. All times are µs since its start.
 pub struct Simulation {
-    /// Time, µs.
+    /// Current time, µs.
     pub now: u64,
-    /// Events worked off.
+    /// Events processed.
     pub events: u64,
     /// The scenario.
     pub scenario: Arc<Scenario>,
     /// The state service.
     pub store: Store,
-    /// Machines, by number; `None` before they are rented and once they are gone.
+    /// Machines, by number; `None` before they are provisioned and once they are gone.
     pub workers: Vec<Option<Worker>>,
     /// The cloud.
     pub cloud: Cloud,
     /// What the workers share.
-    pub ground: WorkloadState,
-    /// Controllers.
-    pub hosts: Vec<Controller>,
+    pub workload: WorkloadState,
+    /// Controllers, by number.
+    pub controllers: Vec<Controller>,
     /// Links that are down.
-    pub down: BTreeSet<Link>,
-    /// Zones that are cut off from everything.
-    pub cut_zones: BTreeSet<String>,
-    /// Figures.
-    pub measures: MetricsCollector,
+    pub links_down: BTreeSet<Link>,
+    /// Zones that are partitioned from everything outside them.
+    pub partitioned_zones: BTreeSet<String>,
+    /// Metrics.
+    pub metrics: MetricsCollector,
     /// Bytes of the largest message that went through the store.
-    pub largest_mail: usize,
-    /// Machines that are rented now take so many times as long, or never come up
-    /// with this chance, in one zone or all.
-    pub boots: Option<(f64, f64, Option<String>)>,
-    /// Users ask so many times as often, a third of them for jobs of nobody.
-    pub asked_often: f64,
-    /// Reports that arrived a second time.
-    pub copies: u64,
-    /// Writes that the store carried out late, without an answer.
+    pub largest_store_message_bytes: usize,
+    /// How boots are disturbed now; none: they are not.
+    pub boot_disturbance: Option<BootDisturbance>,
+    /// Users poll so many times as often; over 1, a third of the polls are for jobs that do
+    /// not exist.
+    pub poll_factor: f64,
+    /// Heartbeats that were delivered a second time.
+    pub duplicates_delivered: u64,
+    /// Writes that the store executed without an answer.
     pub late_writes: u64,
-    /// Calls to machines, and answers to their reports, that were held up.
-    pub held: u64,
-    /// Machines that each trouble under way struck.
-    struck: BTreeMap<usize, BTreeSet<usize>>,
-    /// When something was last not as it should be.
-    troubled_at: u64,
+    /// Calls to machines, and answers to their heartbeats, that were delayed.
+    pub delayed_calls: u64,
+    /// Machines that each fault under way affects, by the fault's number.
+    affected: BTreeMap<usize, BTreeSet<usize>>,
+    /// When a fault was last active.
+    last_fault_at: u64,
     rng: ChaCha8Rng,
     queue: BinaryHeap<Reverse<ScheduledEvent>>,
-    seq: u64,
+    sequence: u64,
     users: HashMap<JobId, UserJob>,
-    /// Copies of reports that are kept for the next leader, with their machines.
-    kept_reports: Vec<Heartbeat>,
+    /// Copies of heartbeats that are retained for the next leader.
+    retained_heartbeats: Vec<Heartbeat>,
     /// Jobs that fit no machine.
-    unfit: BTreeSet<JobId>,
-    waiting: starvation::StarvationMonitor,
-    plan: HashMap<JobId, PlannedSubmission>,
+    unschedulable: BTreeSet<JobId>,
+    starvation: starvation::StarvationMonitor,
+    planned: HashMap<JobId, PlannedSubmission>,
 }
 
 impl Simulation {
-    /// A world at time 0, with its load to come.
-    pub fn new(scenario: Arc<Scenario>, load: Vec<PlannedSubmission>, seed: u64, history: History) -> Self {
-        let limits = scenario
+    /// A simulation at time 0, with its load to come. Controllers, machines, submissions and
+    /// faults of the scenario are scheduled.
+    pub fn new(
+        scenario: Arc<Scenario>,
+        load: Vec<PlannedSubmission>,
+        seed: u64,
+        history: History,
+    ) -> Self {
+        let mut simulation = Self::empty(scenario, seed, history);
+        for controller in 0..simulation.controllers.len() {
+            simulation.schedule_in(controller as u64 * BOOT_STAGGER_US, Event::Boot(controller));
+        }
+        simulation.start_machines();
+        for planned in load {
+            simulation.submit(planned);
+        }
+        for (i, fault) in simulation.scenario.clone().faults.iter().enumerate() {
+            simulation.schedule_in(micros(fault.at_s), Event::Fault(i));
+        }
+        simulation.schedule_in(INSPECTION_INTERVAL_US, Event::Inspect);
+        simulation
+    }
+
+    fn empty(scenario: Arc<Scenario>, seed: u64, history: History) -> Self {
+        let quota_limits = scenario
             .teams
             .iter()
-            .map(|t| (t.name.clone(), team_limit(t)))
+            .map(|team| (team.name.clone(), team_limit(team)))
             .collect();
-        let checker = InvariantChecker::new(limits, (scenario.workers.cancel_s * 1e6) as u64);
-        let mut world = Self {
+        let checker = InvariantChecker::new(quota_limits, micros(scenario.workers.cancel_s));
+        Self {
             now: 0,
             events: 0,
             store: Store::new(&scenario.state),
             workers: vec![None],
             cloud: Cloud::new(&scenario),
-            ground: WorkloadState::new(scenario.workers.clone(), checker, history),
-            hosts: (0..usize::from(scenario.shards))
+            workload: WorkloadState::new(scenario.workers.clone(), checker, history),
+            controllers: (0..usize::from(scenario.controllers))
                 .map(|_| Controller::new(&scenario))
                 .collect(),
-            down: BTreeSet::new(),
-            cut_zones: BTreeSet::new(),
-            measures: MetricsCollector::default(),
-            largest_mail: 0,
-            boots: None,
-            asked_often: 1.0,
-            copies: 0,
+            links_down: BTreeSet::new(),
+            partitioned_zones: BTreeSet::new(),
+            metrics: MetricsCollector::default(),
+            largest_store_message_bytes: 0,
+            boot_disturbance: None,
+            poll_factor: 1.0,
+            duplicates_delivered: 0,
             late_writes: 0,
-            held: 0,
-            struck: BTreeMap::new(),
-            troubled_at: 0,
+            delayed_calls: 0,
+            affected: BTreeMap::new(),
+            last_fault_at: 0,
             rng: ChaCha8Rng::seed_from_u64(seed),
             queue: BinaryHeap::new(),
-            seq: 0,
+            sequence: 0,
             users: HashMap::new(),
-            kept_reports: Vec::new(),
-            unfit: BTreeSet::new(),
-            waiting: starvation::StarvationMonitor::default(),
-            plan: HashMap::new(),
+            retained_heartbeats: Vec::new(),
+            unschedulable: BTreeSet::new(),
+            starvation: starvation::StarvationMonitor::default(),
+            planned: HashMap::new(),
             scenario,
-        };
-        for host in 0..world.hosts.len() {
-            world.at(host as u64 * 37 * MS, Event::Boot(host));
-        }
-        world.start_machines();
-        for planned in load {
-            world.submit_at(planned);
-        }
-        for (i, fault) in world.scenario.clone().faults.iter().enumerate() {
-            world.at((fault.at_s * 1e6) as u64, Event::Fault(i));
         }
-        world.at(LOOK_US, Event::Inspect);
-        world
     }
 
-    /// A job that comes at its time, or now if that is past.
-    pub fn submit_at(&mut self, planned: PlannedSubmission) {
-        let id = planned.load.spec.id.clone();
+    /// Submits a job at its time, or now if that is past.
+    pub fn submit(&mut self, planned: PlannedSubmission) {
+        let id = planned.job.spec.id.clone();
         let at = planned.at_us.max(self.now);
-        self.push(at, Event::Submit(id.clone(), 0));
+        self.schedule_at(at, Event::Submit(id.clone(), Attempt::First));
         if let Some(at) = planned.withdraw_us {
-            self.push(at, Event::Withdraw(id.clone()));
+            self.schedule_at(at, Event::Withdraw(id.clone()));
         }
-        self.plan.insert(id, planned);
+        self.planned.insert(id, planned);
     }
 
-    /// A job's user asks for its end now, and again until it is told.
+    /// A job's user withdraws it now, and repeats that until its end is confirmed.
     pub fn withdraw(&mut self, id: &JobId) {
-        self.push(self.now, Event::Withdraw(id.clone()));
+        self.schedule_at(self.now, Event::Withdraw(id.clone()));
     }
 
+    /// Lets `ms` pass.
+    pub fn run(&mut self, ms: u64) {
+        let end = self.now + ms * US_PER_MS;
+        while let Some(Reverse(next)) = self.queue.peek() {
+            if next.at > end {
+                break;
+            }
+            let Some(Reverse(ScheduledEvent { at, event, .. })) = self.queue.pop() else {
+                break;
+            };
+            self.now = self.now.max(at);
+            self.events += 1;
+            self.dispatch(event);
+        }
+        self.now = end;
+    }
+
+    /// When a job's user withdraws it, µs; none: never.
+    pub fn withdrawal(&self, id: &JobId) -> Option<u64> {
+        self.planned.get(id).and_then(|planned| planned.withdraw_us)
+    }
+
+    /// The end of a job as the store holds it.
+    pub fn phase(&self, id: &JobId) -> Option<JobPhase> {
+        self.store
+            .get(&end_key(id))
+            .and_then(|(value, _)| from_value::<JobEndRecord>(value))
+            .map(|record| record.phase)
+    }
+
+    /// Tasks that have not exited, by job.
+    pub fn live_tasks(&self) -> BTreeMap<JobId, usize> {
+        let mut live = BTreeMap::new();
+        for job in self
+            .workers
+            .iter()
+            .flatten()
+            .flat_map(|worker| worker.live_jobs())
+        {
+            *live.entry(job.clone()).or_default() += 1;
+        }
+        live
+    }
+
+    /// Current time, ms, as the controllers' clocks show it.
+    fn now_ms(&self) -> u64 {
+        self.now / US_PER_MS
+    }
+
+    // ---- machines --------------------------------------------------------------
+
     fn start_machines(&mut self) {
         let scenario = self.scenario.clone();
-        for (k, kind) in scenario.kinds.iter().enumerate() {
+        for (kind, machine_kind) in scenario.machine_kinds.iter().enumerate() {
             for zone in &scenario.zones {
-                for _ in 0..kind.at_start {
-                    let up = self.rng.random_range(0..3_000 * MS);
-                    self.add_machine(k, zone, false, 0, up);
+                for _ in 0..machine_kind.at_start {
+                    let up_at = self.rng.random_range(0..FIRST_MACHINES_UP_US);
+                    self.add_machine(kind, zone, false, 0, up_at);
                 }
             }
         }
@@ -304,287 +272,98 @@
         kind: usize,
         zone: &str,
         spot: bool,
-        rented: u64,
-        up: u64,
+        provisioned_at: u64,
+        up_at: u64,
     ) -> MachineId {
         let number = self.workers.len();
-        let speed = 0.95 + 0.1 * self.rng.random::<f64>();
-        let machine = &self.scenario.kinds[kind].machine;
-        let mut worker = Worker::new(
+        let speed = LEAST_SPEED + SPEED_RANGE * self.rng.random::<f64>();
+        let spec = MachineSpec {
             number,
-            machine,
+            kind: &self.scenario.machine_kinds[kind].machine,
             zone,
             spot,
-            up,
+            up_at,
             speed,
-            &self.scenario.workers,
-        );
-        worker.node = number % self.hosts.len();
+        };
+        let mut worker = Worker::new(spec, &self.scenario.workers);
+        worker.controller = number % self.controllers.len();
         let id = worker.id.clone();
-        self.cloud
-            .add(number, kind, zone, spot, rented, up, worker.id.clone());
+        self.cloud.add(
+            number,
+            NewMachine {
+                id: id.clone(),
+                kind,
+                zone,
+                spot,
+                provisioned_at,
+                up_at,
+            },
+        );
         self.workers.push(Some(worker));
-        self.wake_worker(number);
+        self.schedule_worker(number);
         id
     }
 
-    // ---- the queue -------------------------------------------------------------
+    fn worker(&self, number: usize) -> Option<&Worker> {
+        self.workers.get(number)?.as_ref()
+    }
 
-    fn push(&mut self, at: u64, event: Event) {
-        self.seq += 1;
+    // ---- the queue and the draws -----------------------------------------------
+
+    fn schedule_at(&mut self, at: u64, event: Event) {
+        self.sequence += 1;
         self.queue.push(Reverse(ScheduledEvent {
             at,
-            seq: self.seq,
+            sequence: self.sequence,
             event,
         }));
     }
 
-    fn at(&mut self, delay: u64, event: Event) {
-        self.push(self.now + delay, event);
-    }
-
-    fn travel(&mut self) -> u64 {
-        let l = self.scenario.latency;
-        self.rng.random_range(l.low_us..=l.high_us)
+    fn schedule_in(&mut self, delay_us: u64, event: Event) {
+        self.schedule_at(self.now + delay_us, event);
     }
 
-    fn chance(&mut self, per_mille: u32) -> bool {
-        per_mille > 0 && self.rng.random_range(0..1_000) < per_mille
+    fn deliver_at(&mut self, at: u64, to: ProcessId, input: Input) {
+        self.schedule_at(at, Event::Deliver(to, Box::new(input)));
     }
 
-    /// Lets `ms` pass.
-    pub fn run(&mut self, ms: u64) {
-        let end = self.now + ms * MS;
-        while let Some(Reverse(next)) = self.queue.peek() {
-            if next.at > end {
-                break;
-            }
-            let Some(Reverse(ScheduledEvent { at, event, .. })) = self.queue.pop() else {
-                break;
-            };
-            self.now = self.now.max(at);
-            self.events += 1;
-            self.handle(event);
-        }
-        self.now = end;
+    fn deliver_in(&mut self, delay_us: u64, to: ProcessId, input: Input) {
+        self.deliver_at(self.now + delay_us, to, input);
     }
 
-    fn alive(&self, host: usize, life: u64) -> bool {
-        self.hosts
-            .get(host)
-            .is_some_and(|h| h.life == life && h.core.is_some())
+    fn network_delay(&mut self) -> u64 {
+        let latency = self.scenario.latency;
+        self.rng.random_range(latency.low_us..=latency.high_us)
     }
 
-    fn handle(&mut self, event: Event) {
-        let now = self.now;
-        match event {
-            Event::Deliver(host, life, input) => {
-                if self.alive(host, life) {
-                    self.deliver(host, *input);
-                } else {
-                    self.unheard(host, *input);
-                }
-            }
-            Event::ProcessInbox(host, life) => {
-                if self.alive(host, life) {
-                    self.wake(host);
-                }
-            }
-            Event::Tick(host, life) => {
-                if self.alive(host, life) {
-                    self.deliver(host, Input::Tick);
-                    let hurried = self.hosts[host]
-                        .core
-                        .as_ref()
-                        .is_some_and(|c| c.hurried(now / MS));
-                    self.at(
-                        if hurried { SHORT_TICK_MS } else { TICK_MS } * MS,
-                        Event::Tick(host, life),
-                    );
-                }
-            }
-            // What a process that stands still would have begun.
-            Event::ReadState(host, life) if self.hosts[host].frozen_until > now => {
-                self.hosts[host].read_due = self.hosts[host].frozen_until;
-                self.push(self.hosts[host].frozen_until, Event::ReadState(host, life));
-            }
-            Event::KeepLeases(host, life) if self.hosts[host].frozen_until > now => {
-                self.push(self.hosts[host].frozen_until, Event::KeepLeases(host, life));
-            }
-            Event::ReadState(host, life) => {
-                if self.alive(host, life)
-                    && !self.hosts[host].reading
-                    && self.hosts[host].read_due == now
-                {
-                    let h = &mut self.hosts[host];
-                    (h.reading, h.read_wanted) = (true, false);
-                    let wait = h.requests.take(1.0, now);
-                    let after = h.core.as_ref().and_then(|c| c.cache.revision);
-                    let at = now + wait + self.travel();
-                    let way = self.way(host, Service::Store, 0);
-                    self.push(
-                        at,
-                        Event::StoreRequest(host, life, StoreRequest::StateRead(after, now), way),
-                    );
-                }
-            }
-            Event::KeepLeases(host, life) => self.holds(host, life),
-            Event::StoreRequest(host, life, request, way) => {
-                self.asked_of_store(host, life, request, way)
-            }
-            Event::StoreExecutes(host, life, request, answer_us) => {
-                self.serve(host, life, request, answer_us)
-            }
-            Event::Commands(host, life, lease, call, late) => {
-                self.orders_arrive(host, life, lease, *call, late)
-            }
-            Event::WorkerWakes(number) => self.worker_wakes(number),
-            Event::DuplicateHeartbeat(number, host, report) => self.copy_arrives(number, host, *report),
-            Event::HeartbeatAnswer(number, session, sent, answer) => {
-                self.worker_answered(number, session, sent, *answer)
-            }
-            Event::GangSignal(GangSignal::StopDeadline(id, at)) if at > now => {
-                self.push(at, Event::GangSignal(GangSignal::StopDeadline(id, at)))
-            }
-            Event::GangSignal(GangSignal::StopDeadline(id, _)) => {
-                self.ground.look(&id, now);
-                self.pass_calls();
-            }
-            Event::GangSignal(call) => {
-                let (GangSignal::Start(number, ..)
-                | GangSignal::PeerLost(number, ..)
-                | GangSignal::Stopped(number, ..)
-                | GangSignal::ProgressHalted(number, _)) = &call
-                else {
-                    return;
-                };
-                self.with_worker(*number, |w, ground| w.take_call(call, now, ground));
-            }
-            Event::Provision(host, life, lease, rental, way) => {
-                self.rent(host, life, lease, *rental, way)
-            }
-            Event::Release(host, life, lease, names, way) => {
-                if !self.served(host, life, way) {
-                    let way = self.way(host, Service::Cloud, 0);
-                    return self.at(
-                        CLOUD_TROUBLE_MS * MS,
-                        Event::Release(host, life, lease, names, way),
-                    );
-                }
-                for name in &names {
-                    self.take_machine(machine_number(name));
-                }
-                let at = now + self.travel();
-                self.push(
-                    at,
-                    Event::Deliver(host, life, Box::new(Input::Released(lease, names))),
-                );
-            }
-            Event::ScheduleInstanceList(host, life) => {
-                if self.alive(host, life) {
-                    let wait = self.hosts[host].cloud.take(1.0, now);
-                    let way = self.way(host, Service::Cloud, 0);
-                    self.at(wait, Event::ListInstances(host, life, way));
-                    self.at(
-                        LIST_EVERY_MS.max((self.cloud.listed() as u64) * 4) * MS,
-                        Event::ScheduleInstanceList(host, life),
-                    );
-                }
-            }
-            Event::Probe(host, life, service) => {
-                drop(self.served(host, life, ServiceRoute::direct(service)))
-            }
-            Event::ListInstances(host, life, way) => {
-                if self.served(host, life, way) {
-                    let lag = (self.scenario.cloud.list_lag_s * 1e6) as u64;
-                    let entries = self.cloud.list(now.saturating_sub(lag), &self.scenario);
-                    let at = now + self.travel();
-                    self.push(at, Event::Deliver(host, life, Box::new(Input::InstancesListed(entries))));
-                }
-            }
-            Event::Submit(id, tries) => self.user_submits(id, tries),
-            Event::Reply(id, phase, status, asked) => self.user_hears(id, phase, status, asked),
-            Event::Poll(id) => {
-                if self.asked_often > 1.0 && self.rng.random_range(0..3) == 0 {
-                    let nobodys = format!("req-{:09}", self.rng.random_range(0..100_000_000));
-                    self.ask(Input::Poll(JobId::from(nobodys.as_str())));
-                }
-                let (now, waits) = (
-                    self.now,
-                    self.users.get_mut(&id).filter(|u| !u.over && u.next == now),
-                );
-                if let Some(user) = waits {
-                    user.asked = now;
-                    let sent = self.ask(Input::Poll(id.clone()));
-                    self.poll_in(
-                        id,
-                        if sent {
-                            ANSWER_US + self.poll_us()
-                        } else {
-                            1_000 * MS
-                        },
-                    );
-                }
-            }
-            Event::Withdraw(id) => {
-                // Nobody withdraws what was not accepted yet.
-                let waits = self.users.get_mut(&id).filter(|u| !u.over);
-                if let Some(user) = waits {
-                    if user.accepted.is_some() {
-                        user.withdrew.get_or_insert(now);
-                        self.ask(Input::Withdraw(id.clone()));
-                    }
-                    self.at(2_000 * MS, Event::Withdraw(id));
-                }
-            }
-            Event::Boot(host) => self.boot(host),
-            Event::Fault(i) => self.fault(i),
-            Event::LinkFlaps(link, true) => drop(self.down.insert(link)),
-            Event::LinkFlaps(link, false) => drop(self.down.remove(&link)),
-            Event::FaultOver(i, struck) => self.fault_over(i, &struck),
-            Event::RemoveMachine(number) => self.take_machine(number),
-            Event::OddRequests(fault) => self.odd_requests(fault),
-            Event::Inspect => {
-                self.store.expire(now);
-                self.ground.checker.check_time(now);
-                if self.troubled() {
-                    self.troubled_at = now;
-                }
-                self.ground.checker.check_answers(self.troubled_at, now);
-                self.look_at_waiting_jobs();
-                self.measures
-                    .sample(now, &self.workers, &self.cloud, &self.hosts);
-                self.at(LOOK_US, Event::Inspect);
-            }
-        }
+    fn happens(&mut self, per_mille: u32) -> bool {
+        per_mille > 0 && self.rng.random_range(0..1_000) < per_mille
     }
 
-    /// When a job's user withdraws it, µs.
-    pub fn withdrawal(&self, id: &JobId) -> Option<u64> {
-        self.plan.get(id).and_then(|p| p.withdraw_us)
-    }
+    // ---- processes -------------------------------------------------------------
 
-    /// What the store says of a job's end.
-    pub fn phase(&self, id: &JobId) -> Option<JobPhase> {
-        self.store
-            .get(&end_key(id))
-            .and_then(|(v, _)| from_value::<JobEndRecord>(v))
-            .map(|r| r.phase)
+    /// The present incarnation of a controller.
+    fn process(&self, controller: usize) -> ProcessId {
+        ProcessId {
+            controller,
+            incarnation: self.controllers[controller].incarnation,
+        }
     }
 
-    /// Tasks that have not exited, by job.
-    pub fn live(&self) -> BTreeMap<JobId, usize> {
-        let mut live = BTreeMap::new();
-        for job in self.workers.iter().flatten().flat_map(|w| w.live_jobs()) {
-            *live.entry(job.clone()).or_default() += 1;
-        }
-        live
+    /// True if a process still runs in that incarnation.
+    fn is_current(&self, process: ProcessId) -> bool {
+        self.controllers
+            .get(process.controller)
+            .is_some_and(|controller| {
+                controller.incarnation == process.incarnation && controller.core.is_some()
+            })
     }
 }
 
+/// The number of a machine from its name; 0 if it has none.
 fn machine_number(id: &MachineId) -> usize {
     id.as_str()
         .get(2..)
-        .and_then(|n| n.parse().ok())
+        .and_then(|number| number.parse().ok())
         .unwrap_or(0)
 }
--- /dev/null
+++ b/crates/simulator/src/simulation/duplicates.rs
@@ -0,0 +1,126 @@
+//! Heartbeats that arrive a second time, much later, or under the next leader.
+
+use lemonweir_protocol::worker::Heartbeat;
+use rand::RngExt;
+
+use super::Simulation;
+use super::events::Event;
+use crate::controller::{Input, SentHeartbeat};
+use crate::scenario::FaultKind;
+
+/// Share of the heartbeats of which a copy is retained for the next leader, in thousandths.
+const RETAINED_PER_MILLE: u32 = 250;
+/// Copies of one machine's heartbeats that are retained at most.
+const RETAINED_PER_MACHINE: usize = 3;
+/// Share of the late copies that reach the controller that their worker reports to by then,
+/// in thousandths.
+const REROUTED_PER_MILLE: u32 = 500;
+/// The machine of a copy: nobody's, so that what is answered to it goes nowhere.
+const NO_MACHINE: usize = 0;
+
+impl Simulation {
+    /// A copy of a heartbeat is retained for the next leader: an old one stays.
+    fn retain_heartbeat(&mut self, heartbeat: &Heartbeat) {
+        let retained = self
+            .retained_heartbeats
+            .iter()
+            .filter(|retained| retained.machine == heartbeat.machine)
+            .count();
+        if retained < RETAINED_PER_MACHINE && self.happens(RETAINED_PER_MILLE) {
+            self.retained_heartbeats.push(heartbeat.clone());
+        }
+    }
+
+    /// A shard has a new leader: retained copies of heartbeats reach every controller.
+    pub(super) fn leader_elected(&mut self) {
+        let delay_for_next = |kind: &FaultKind| match kind {
+            FaultKind::DelayedDuplicates {
+                seconds,
+                for_next: true,
+            } => Some(seconds.micros()),
+            _ => None,
+        };
+        let mut kinds = self.scenario.faults.iter().map(|fault| &fault.kind);
+        let Some(delays) = kinds.find_map(delay_for_next) else {
+            return;
+        };
+        for heartbeat in std::mem::take(&mut self.retained_heartbeats) {
+            for controller in 0..self.controllers.len() {
+                let at = self.now + self.rng.random_range(delays.clone());
+                self.duplicates_delivered += 1;
+                let copy = SentHeartbeat {
+                    machine: NO_MACHINE,
+                    heartbeat: heartbeat.clone(),
+                    sent: at,
+                };
+                self.deliver_at(at, self.process(controller), Input::Heartbeat(copy));
+            }
+        }
+    }
+
+    /// A heartbeat may arrive again, much later, by then as nobody's.
+    pub(super) fn duplicate_heartbeat(
+        &mut self,
+        machine: usize,
+        heartbeat: &Heartbeat,
+        controller: usize,
+    ) {
+        if self
+            .faults_on(machine)
+            .any(|kind| matches!(kind, FaultKind::DelayedDuplicates { for_next: true, .. }))
+        {
+            self.retain_heartbeat(heartbeat);
+        }
+        let delay = |kind: &FaultKind| match kind {
+            FaultKind::DelayedDuplicates {
+                seconds,
+                for_next: false,
+            } => Some(seconds.micros()),
+            _ => None,
+        };
+        for delays in self
+            .faults_on(machine)
+            .filter_map(delay)
+            .collect::<Vec<_>>()
+        {
+            let delay_us = self.rng.random_range(delays);
+            self.schedule_in(
+                delay_us,
+                Event::DuplicateHeartbeat {
+                    machine,
+                    controller,
+                    heartbeat: Box::new(heartbeat.clone()),
+                },
+            );
+        }
+    }
+
+    /// A copy reaches the controller that the heartbeat was sent to, in whatever
+    /// incarnation, or the one that its worker reports to by now.
+    pub(super) fn duplicate_arrives(
+        &mut self,
+        machine: usize,
+        controller: usize,
+        heartbeat: Heartbeat,
+    ) {
+        let present = self
+            .worker(machine)
+            .map_or(controller, |worker| worker.controller);
+        let down = self.controllers[controller].core.is_none();
+        let to = if down || self.happens(REROUTED_PER_MILLE) {
+            present
+        } else {
+            controller
+        };
+        self.duplicates_delivered += 1;
+        self.workload
+            .history
+            .note(self.now, "late copy", &heartbeat.machine, &to);
+        let copy = SentHeartbeat {
+            machine: NO_MACHINE,
+            heartbeat,
+            sent: self.now,
+        };
+        self.enqueue(to, Input::Heartbeat(copy));
+    }
+}
--- /dev/null
+++ b/crates/simulator/src/simulation/effects.rs
@@ -0,0 +1,133 @@
+//! Executes the effects of a controller's core: what it sends, and to whom.
+
+use lemonweir_coordination::{Effect, ShardLease, mail_piece_bytes};
+use lemonweir_model::MachineId;
+use lemonweir_protocol::cloud::ProvisioningRequest;
+use lemonweir_protocol::links::Service;
+use lemonweir_protocol::peer;
+use lemonweir_storage::records::{StoreMessageKind, StoreMessageRoute, post};
+
+use super::Simulation;
+use super::events::Event;
+use crate::clock::US_PER_MS;
+use crate::controller::{CasOrigin, Input};
+
+/// µs that a request to the cloud takes at least.
+const CLOUD_REQUEST_US: u64 = 100 * US_PER_MS;
+
+impl Simulation {
+    pub(super) fn execute(&mut self, controller: usize, effect: Effect) {
+        let process = self.process(controller);
+        let at = self.departure_time(controller) + self.network_delay();
+        match effect {
+            Effect::CompareAndSwap(lease, cas) => {
+                self.send_cas(controller, CasOrigin::Scheduler(lease), cas)
+            }
+            Effect::Chain(cas) => self.send_cas(controller, CasOrigin::Dependencies, cas),
+            Effect::Note(cas) => self.send_cas(controller, CasOrigin::Unattended, cas),
+            Effect::ReadEnds(ids) => {
+                let at = at + self.network_delay();
+                self.deliver_at(at, process, Input::JobEndsRead(ids));
+            }
+            Effect::Command(lease, call) => self.send_commands(controller, lease, call, at),
+            Effect::Sync(lease, sync) => self.send_sync(controller, lease, sync, at),
+            Effect::MailSync(sync) => {
+                let route = StoreMessageRoute {
+                    kind: StoreMessageKind::Sync,
+                    from: sync.from,
+                    to: sync.to,
+                };
+                let id = (sync.from_token, sync.seq);
+                self.send_store_message(controller, route, id, &peer::write(&sync));
+            }
+            Effect::MailView(to, view) => {
+                let route = StoreMessageRoute {
+                    kind: StoreMessageKind::View,
+                    from: view.shard,
+                    to,
+                };
+                let id = (view.token, view.seq);
+                self.send_store_message(controller, route, id, &peer::write(&view));
+            }
+            Effect::Nudge(shard) => self.wake_shard(controller, shard, at),
+            Effect::Rent(lease, request) => {
+                self.request_provisioning(controller, lease, request, at)
+            }
+            Effect::Release(lease, names) => self.request_release(controller, lease, names, at),
+            Effect::Hail(to, gossip) => self.send_gossip(controller, to, gossip, at),
+            Effect::Probe(service) => self.schedule_at(at, Event::Probe(process, service)),
+        }
+    }
+
+    /// Tells the leader of a shard that the sender's shards have news for it.
+    fn wake_shard(&mut self, controller: usize, shard: u16, at: u64) {
+        let leases = self.controllers[controller]
+            .core
+            .as_ref()
+            .map(|core| core.held())
+            .unwrap_or_default();
+        let Some(leader) = self
+            .known_leader(controller, shard)
+            .filter(|leader| !self.controllers_partitioned(controller, *leader))
+        else {
+            return;
+        };
+        let process = self.process(leader);
+        for lease in leases {
+            let from = lease.shard;
+            self.deliver_at(at, process, Input::WakeShard { shard, from });
+        }
+    }
+
+    fn request_provisioning(
+        &mut self,
+        controller: usize,
+        lease: ShardLease,
+        request: ProvisioningRequest,
+        at: u64,
+    ) {
+        let process = self.process(controller);
+        let wait_us = self.controllers[controller].cloud.take(1.0, self.now);
+        let route = self.route(controller, Service::Cloud, 0);
+        self.schedule_at(
+            at + wait_us + CLOUD_REQUEST_US,
+            Event::Provision(process, lease, Box::new(request), route),
+        );
+    }
+
+    fn request_release(
+        &mut self,
+        controller: usize,
+        lease: ShardLease,
+        names: Vec<MachineId>,
+        at: u64,
+    ) {
+        let process = self.process(controller);
+        let wait_us = self.controllers[controller].cloud.take(1.0, self.now);
+        let route = self.route(controller, Service::Cloud, 0);
+        self.schedule_at(
+            at + wait_us + CLOUD_REQUEST_US,
+            Event::Release(process, lease, names, route),
+        );
+    }
+
+    /// A message between shards goes through the store, under the store lease.
+    fn send_store_message(
+        &mut self,
+        controller: usize,
+        route: StoreMessageRoute,
+        id: (u64, u64),
+        bytes: &[u8],
+    ) {
+        let Some(store_lease) = self.controllers[controller].store_lease else {
+            return;
+        };
+        self.largest_store_message_bytes = self.largest_store_message_bytes.max(bytes.len());
+        let limits = &self.scenario.state;
+        let piece_bytes = mail_piece_bytes((limits.least_value_kb() * 1024.0) as usize);
+        let cas = post(route, id, bytes, piece_bytes, store_lease);
+        if cas.writes.len() <= limits.least_txn_ops() {
+            self.send_cas(controller, CasOrigin::Unattended, cas);
+        }
+    }
+}
