--- a/crates/simulator/src/simulation/faults.rs
+++ b/crates/simulator/src/simulation/faults.rs
@@ -1,327 +1,312 @@
-//! What goes wrong, and when it is over.
+//! Faults of the scenario: what happens when one begins and when it ends, and what an active
+//! fault does to messages.
 
-use super::*;
+use std::cmp::Reverse;
+use std::collections::BTreeSet;
 
-/// Share of the reports of which a copy is kept for the next leader, in thousandths.
-const KEPT_REPORTS: u32 = 250;
-/// Copies of one machine's reports that are kept at most.
-const KEPT_OF_MACHINE: usize = 3;
+use rand::RngExt;
+
+use super::dispatch::is_delayed_command_for;
+use super::events::Event;
+use super::{BootDisturbance, Simulation};
+use crate::clock::micros;
+use crate::scenario::{Fault, FaultKind, Link};
+
+/// In a rolling restart each controller is down for one in so many parts of the time until the
+/// next one is restarted.
+const ROLLING_DOWN_ONE_IN: f64 = 3.0;
+/// Share of the delayed calls that arrive at once while their answer is lost, in thousandths.
+const ANSWER_LOST_PER_MILLE: u32 = 500;
+/// A spot instance goes after its notice times at least this, and at most 1 more.
+const LEAST_NOTICE_SHARE: f64 = 0.5;
 
 impl Simulation {
-    pub(super) fn fault(&mut self, i: usize) {
+    // ---- begin -----------------------------------------------------------------
+
+    pub(super) fn inject_fault(&mut self, i: usize) {
         let scenario = self.scenario.clone();
         let fault = &scenario.faults[i];
-        let for_us = (fault.for_s * 1e6) as u64;
-        self.ground
+        self.workload
             .history
-            .note(self.now, "trouble", &format!("{:?}", fault.trouble), &"");
-        let hosts = self.hosts.len();
-        let mut struck = Vec::new();
-        match &fault.trouble {
-            FaultKind::Crash { host: Some(host) } => self.crash(*host, for_us),
-            FaultKind::Crash { host: None } => (0..hosts).for_each(|h| self.crash(h, for_us)),
-            FaultKind::Roll => {
-                // Each is away for a third of the time until the next one goes.
-                for h in 0..hosts {
-                    self.at(for_us * h as u64, Event::FaultOver(i, vec![h]));
-                }
-                return;
+            .note(self.now, "trouble", &fault.kind, &"");
+        if fault.kind == FaultKind::RollingRestart {
+            return self.begin_rolling_restart(i, micros(fault.for_s));
+        }
+        let affected = if fault.kind.affects_machines() {
+            self.affect_machines(i, fault)
+        } else {
+            self.begin_fault(i, fault);
+            Vec::new()
+        };
+        self.schedule_in(micros(fault.for_s), Event::FaultOver(i, affected));
+    }
+
+    fn begin_rolling_restart(&mut self, i: usize, step_us: u64) {
+        for controller in 0..self.controllers.len() {
+            self.schedule_in(
+                step_us * controller as u64,
+                Event::FaultOver(i, vec![controller]),
+            );
+        }
+    }
+
+    /// Begins a fault that does not affect a share of the machines.
+    fn begin_fault(&mut self, i: usize, fault: &Fault) {
+        let for_us = micros(fault.for_s);
+        match &fault.kind {
+            FaultKind::Crash {
+                controller: Some(controller),
+            } => self.crash(*controller, for_us),
+            FaultKind::Crash { controller: None } => {
+                (0..self.controllers.len()).for_each(|number| self.crash(number, for_us))
             }
             FaultKind::StoreDown => self.store.down = true,
-            FaultKind::StateLimits => self.store.lower_limits(&scenario.state),
-            FaultKind::Cut(link) => {
-                self.down.insert(link.clone());
-                let flap_us = (fault.flap_s * 1e6) as u64;
-                for n in (1..).take_while(|n| flap_us > 0 && n * flap_us < for_us) {
-                    self.at(n * flap_us, Event::LinkFlaps(link.clone(), n % 2 == 0));
-                }
-            }
-            FaultKind::Alone { host } => {
-                let links = self.all_but_workers(*host);
-                self.down.extend(links);
+            FaultKind::ReducedStoreLimits => self.store.lower_limits(&self.scenario.state),
+            FaultKind::LinkDown(link) => self.take_link_down(link, fault),
+            FaultKind::ControllerIsolated { controller } => {
+                let links = self.links_except_workers(*controller);
+                self.links_down.extend(links);
             }
             FaultKind::CloudDown => self.cloud.down = true,
-            FaultKind::Boots { factor, zone } => {
-                self.boots = Some((*factor, fault.share, zone.clone()))
+            FaultKind::BootTime { factor, zone } => {
+                self.boot_disturbance = Some(BootDisturbance {
+                    factor: *factor,
+                    failure_chance: fault.share,
+                    zone: zone.clone(),
+                })
             }
-            FaultKind::Polls { factor } => self.asked_often = *factor,
-            FaultKind::CutZone { zone } => drop(self.cut_zones.insert(zone.clone())),
-            FaultKind::Freeze { host } => {
-                let until = self.now + for_us;
-                let h = &mut self.hosts[*host];
-                (h.frozen_until, h.busy_until) = (until, h.busy_until.max(until));
+            FaultKind::PollLoad { factor } => self.poll_factor = *factor,
+            FaultKind::ZonePartition { zone } => {
+                self.partitioned_zones.insert(zone.clone());
             }
-            // Also machines that are rented into the zone meanwhile.
-            FaultKind::Deaf { zone: Some(_), .. }
-            | FaultKind::Mute { zone: Some(_) }
+            FaultKind::ProcessStall { controller } => self.stall(*controller, for_us),
+            // Also machines that are provisioned in the zone meanwhile.
+            FaultKind::InboundLoss { .. }
+            | FaultKind::OutboundLoss { .. }
             | FaultKind::LateWrites { .. }
             | FaultKind::StoreSlow { .. }
-            | FaultKind::HeldOrders { .. }
-            | FaultKind::CloseLooks
-            | FaultKind::CancelAtEnd => drop(self.struck.insert(i, BTreeSet::new())),
-            FaultKind::OddRequests => {
-                self.struck.insert(i, BTreeSet::new());
-                self.odd_requests(i);
+            | FaultKind::DelayedCommands { .. }
+            | FaultKind::QueryBursts
+            | FaultKind::CancelAtCompletion => {
+                self.affected.insert(i, BTreeSet::new());
             }
-            FaultKind::CancelNow { count, hang_s } => self.cancel_now(*count, (hang_s * 1e6) as u64),
-            FaultKind::Silent
-            | FaultKind::Hang
-            | FaultKind::Faulty
-            | FaultKind::Die
-            | FaultKind::Reborn
-            | FaultKind::LateCopies { .. }
-            | FaultKind::Deaf { .. }
-            | FaultKind::Mute { .. }
-            | FaultKind::TakeSpot { .. } => {
-                let spot_only = matches!(fault.trouble, FaultKind::TakeSpot { .. });
-                let up: Vec<usize> = self
-                    .workers
-                    .iter()
-                    .flatten()
-                    .filter(|w| w.up_at <= self.now && (w.spot || !spot_only))
-                    .map(|w| w.number)
-                    .collect();
-                struck = up
-                    .into_iter()
-                    .filter(|_| self.rng.random::<f64>() < fault.share)
-                    .collect();
-                if matches!(
-                    fault.trouble,
-                    FaultKind::LateCopies { .. } | FaultKind::Deaf { .. } | FaultKind::Mute { .. }
-                ) {
-                    self.struck.insert(i, struck.iter().copied().collect());
-                }
-                for &number in &struck {
-                    self.strike(number, &fault.trouble, for_us);
-                }
+            FaultKind::InvalidRequests => {
+                self.affected.insert(i, BTreeSet::new());
+                self.invalid_requests(i);
             }
+            FaultKind::CancelBurst { count, hang_s } => self.cancel_burst(*count, micros(*hang_s)),
+            FaultKind::RollingRestart
+            | FaultKind::NetworkLoss
+            | FaultKind::MachineHang
+            | FaultKind::FaultyMachines
+            | FaultKind::MachineLoss
+            | FaultKind::MachineRestart
+            | FaultKind::DelayedDuplicates { .. }
+            | FaultKind::SpotReclaim { .. } => {}
         }
-        self.at(for_us, Event::FaultOver(i, struck));
     }
 
-    pub(super) fn strike(&mut self, number: usize, trouble: &FaultKind, for_us: u64) {
+    fn take_link_down(&mut self, link: &Link, fault: &Fault) {
+        self.links_down.insert(link.clone());
+        let (for_us, flap_us) = (micros(fault.for_s), micros(fault.flap_s));
+        for n in (1..).take_while(|n| flap_us > 0 && n * flap_us < for_us) {
+            let change = if n % 2 == 0 {
+                Event::LinkDown(link.clone())
+            } else {
+                Event::LinkUp(link.clone())
+            };
+            self.schedule_in(n * flap_us, change);
+        }
+    }
+
+    fn stall(&mut self, number: usize, for_us: u64) {
+        let until = self.now + for_us;
+        let controller = &mut self.controllers[number];
+        controller.stalled_until = until;
+        controller.busy_until = controller.busy_until.max(until);
+    }
+
+    /// Begins a fault on its share of the machines, and names those.
+    fn affect_machines(&mut self, i: usize, fault: &Fault) -> Vec<usize> {
+        let spot_only = matches!(fault.kind, FaultKind::SpotReclaim { .. });
+        let up: Vec<usize> = self
+            .workers
+            .iter()
+            .flatten()
+            .filter(|worker| worker.up_at <= self.now && (worker.spot || !spot_only))
+            .map(|worker| worker.number)
+            .collect();
+        let affected: Vec<usize> = up
+            .into_iter()
+            .filter(|_| self.rng.random::<f64>() < fault.share)
+            .collect();
+        if matches!(
+            fault.kind,
+            FaultKind::DelayedDuplicates { .. }
+                | FaultKind::InboundLoss { .. }
+                | FaultKind::OutboundLoss { .. }
+        ) {
+            self.affected.insert(i, affected.iter().copied().collect());
+        }
+        for &number in &affected {
+            self.affect_machine(number, &fault.kind, micros(fault.for_s));
+        }
+        affected
+    }
+
+    pub(super) fn affect_machine(&mut self, number: usize, kind: &FaultKind, for_us: u64) {
         let now = self.now;
-        match trouble {
-            FaultKind::Silent => drop(self.with_worker(number, |w, _| w.silent = true)),
-            FaultKind::Die => self.take_machine(number),
-            FaultKind::Reborn => {
-                // Connections to the earlier life end with it: what they held back
+        match kind {
+            FaultKind::NetworkLoss => {
+                self.with_worker(number, |worker, _| worker.silent = true);
+            }
+            FaultKind::MachineLoss => self.remove_machine(number),
+            FaultKind::MachineRestart => {
+                // Connections to the earlier incarnation end with it: what they held back
                 // never comes (statement 12 of `docs/design.md`).
-                let held = |e: &Event| matches!(e, Event::Commands(_, _, _, call, true) if machine_number(&call.machine) == number);
-                self.queue.retain(|Reverse(timed)| !held(&timed.event));
-                self.with_worker(number, |w, ground| w.reborn(now, ground));
+                self.queue
+                    .retain(|Reverse(scheduled)| !is_delayed_command_for(&scheduled.event, number));
+                self.with_worker(number, |worker, workload| worker.restart(now, workload));
             }
-            FaultKind::Faulty => drop(self.with_worker(number, |w, _| w.faulty = true)),
-            FaultKind::Hang => {
-                drop(self.with_worker(number, |w, ground| w.hang(now, now + for_us, ground)))
+            FaultKind::FaultyMachines => {
+                self.with_worker(number, |worker, _| worker.faulty = true);
             }
-            FaultKind::TakeSpot { notice_s } => {
-                let at = now + (notice_s * 1e6 * (0.5 + self.rng.random::<f64>())) as u64;
-                self.with_worker(number, |w, _| w.notice = (*notice_s > 0.0).then_some(at));
-                self.push(at, Event::RemoveMachine(number));
+            FaultKind::MachineHang => {
+                self.with_worker(number, |worker, workload| {
+                    worker.hang(now, now + for_us, workload)
+                });
+            }
+            FaultKind::SpotReclaim { notice_s } => {
+                let share = LEAST_NOTICE_SHARE + self.rng.random::<f64>();
+                let at = now + (notice_s * 1e6 * share) as u64;
+                self.with_worker(number, |worker, _| {
+                    worker.reclaim_at = (*notice_s > 0.0).then_some(at)
+                });
+                self.schedule_at(at, Event::RemoveMachine(number));
             }
             _ => {}
         }
     }
 
-    pub(super) fn fault_over(&mut self, i: usize, struck: &[usize]) {
+    // ---- end -------------------------------------------------------------------
+
+    pub(super) fn end_fault(&mut self, i: usize, affected: &[usize]) {
         let scenario = self.scenario.clone();
-        match &scenario.faults[i].trouble {
-            FaultKind::Roll => struck
-                .iter()
-                .for_each(|&h| self.crash(h, (scenario.faults[i].for_s * 1e6 / 3.0) as u64)),
+        let fault = &scenario.faults[i];
+        match &fault.kind {
+            FaultKind::RollingRestart => {
+                let down_us = (fault.for_s * 1e6 / ROLLING_DOWN_ONE_IN) as u64;
+                affected
+                    .iter()
+                    .for_each(|&controller| self.crash(controller, down_us))
+            }
             FaultKind::StoreDown => self.store.recover(self.now),
-            FaultKind::Cut(link) => drop(self.down.remove(link)),
-            FaultKind::Alone { host } => {
-                let links = self.all_but_workers(*host);
-                self.down.retain(|link| !links.contains(link));
+            FaultKind::LinkDown(link) => {
+                self.links_down.remove(link);
+            }
+            FaultKind::ControllerIsolated { controller } => {
+                let links = self.links_except_workers(*controller);
+                self.links_down.retain(|link| !links.contains(link));
             }
-            FaultKind::Deaf { .. }
-            | FaultKind::LateCopies { .. }
-            | FaultKind::Mute { .. }
-            | FaultKind::CloseLooks
-            | FaultKind::CancelAtEnd
-            | FaultKind::OddRequests
+            FaultKind::InboundLoss { .. }
+            | FaultKind::DelayedDuplicates { .. }
+            | FaultKind::OutboundLoss { .. }
+            | FaultKind::QueryBursts
+            | FaultKind::CancelAtCompletion
+            | FaultKind::InvalidRequests
             | FaultKind::LateWrites { .. }
             | FaultKind::StoreSlow { .. }
-            | FaultKind::HeldOrders { .. } => drop(self.struck.remove(&i)),
+            | FaultKind::DelayedCommands { .. } => {
+                self.affected.remove(&i);
+            }
             FaultKind::CloudDown => self.cloud.down = false,
-            FaultKind::Boots { .. } => self.boots = None,
-            FaultKind::Polls { .. } => self.asked_often = 1.0,
-            FaultKind::CutZone { zone } => drop(self.cut_zones.remove(zone)),
-            FaultKind::Silent => struck.iter().for_each(|&n| self.unsilence(n)),
-            _ => {}
+            FaultKind::BootTime { .. } => self.boot_disturbance = None,
+            FaultKind::PollLoad { .. } => self.poll_factor = 1.0,
+            FaultKind::ZonePartition { zone } => {
+                self.partitioned_zones.remove(zone);
+            }
+            FaultKind::NetworkLoss => affected.iter().for_each(|&number| {
+                self.with_worker(number, |worker, _| worker.silent = false);
+            }),
+            FaultKind::Crash { .. }
+            | FaultKind::ProcessStall { .. }
+            | FaultKind::MachineLoss
+            | FaultKind::MachineHang
+            | FaultKind::FaultyMachines
+            | FaultKind::MachineRestart
+            | FaultKind::SpotReclaim { .. }
+            | FaultKind::CancelBurst { .. }
+            | FaultKind::ReducedStoreLimits => {}
         }
     }
 
-    fn all_but_workers(&self, host: usize) -> Vec<Link> {
-        let others = (0..self.hosts.len())
-            .filter(|&o| o != host)
-            .map(|o| Link::Hosts(o.min(host), o.max(host)));
-        others.chain([Link::Store(host)]).collect()
+    fn links_except_workers(&self, controller: usize) -> Vec<Link> {
+        let others = (0..self.controllers.len())
+            .filter(|&other| other != controller)
+            .map(|other| Link::between(other, controller));
+        others.chain([Link::Store(controller)]).collect()
     }
 
-    fn struck_by(&self, number: usize) -> impl Iterator<Item = &FaultKind> {
-        let zone = self
-            .workers
-            .get(number)
-            .and_then(Option::as_ref)
-            .map(|w| &w.zone);
-        let here = move |trouble: &FaultKind| matches!(trouble, FaultKind::Deaf { zone: Some(z), .. } | FaultKind::Mute { zone: Some(z) } if Some(z) == zone);
+    // ---- what active faults do to messages -------------------------------------
+
+    /// The kinds of the active faults that affect a machine.
+    pub(super) fn faults_on(&self, number: usize) -> impl Iterator<Item = &FaultKind> {
+        let zone = self.worker(number).map(|worker| &worker.zone);
+        let in_zone = move |kind: &FaultKind| match kind {
+            FaultKind::InboundLoss {
+                zone: Some(name), ..
+            }
+            | FaultKind::OutboundLoss { zone: Some(name) } => Some(name) == zone,
+            _ => false,
+        };
         let faults = self
-            .struck
+            .affected
             .iter()
-            .map(|(i, struck)| (&self.scenario.faults[*i].trouble, struck));
+            .map(|(i, machines)| (&self.scenario.faults[*i].kind, machines));
         faults
-            .filter(move |(trouble, struck)| struck.contains(&number) || here(trouble))
-            .map(|(trouble, _)| trouble)
+            .filter(move |(kind, machines)| machines.contains(&number) || in_zone(kind))
+            .map(|(kind, _)| kind)
     }
 
-    /// For how long a call to a machine or an answer to its report is held up, µs;
-    /// 0: it arrives at once, and what the machine says to it is lost.
-    pub(super) fn held(&mut self) -> Option<u64> {
+    /// For how long a call to a machine or an answer to its heartbeat is delayed, µs; 0: it
+    /// arrives at once, and what the machine says to it is lost.
+    pub(super) fn draw_call_delay(&mut self) -> Option<u64> {
         let scenario = self.scenario.clone();
-        for i in self.struck.keys().copied().collect::<Vec<_>>() {
+        for i in self.affected.keys().copied().collect::<Vec<_>>() {
             let fault = &scenario.faults[i];
-            if let FaultKind::HeldOrders { seconds } = fault.trouble
+            if let FaultKind::DelayedCommands { seconds } = fault.kind
                 && self.rng.random::<f64>() < fault.share
             {
-                self.held += 1;
-                return Some(if self.chance(500) {
+                self.delayed_calls += 1;
+                return Some(if self.happens(ANSWER_LOST_PER_MILLE) {
                     0
                 } else {
-                    self.rng.random_range(seconds.us())
+                    self.rng.random_range(seconds.micros())
                 });
             }
         }
         None
     }
 
-    /// True if what a controller answers to a machine, or commands it, is lost.
-    pub(super) fn deaf(&self, host: usize, number: usize, command: bool) -> bool {
-        self.struck_by(number).any(|trouble| match trouble {
-            FaultKind::Deaf {
-                host: only,
-                answers,
-                commands,
-                ..
-            } => only.is_none_or(|h| h == host) && if command { *commands } else { *answers },
-            _ => false,
+    /// True if what a controller answers to a machine's heartbeat is lost.
+    pub(super) fn answer_dropped(&self, sender: usize, number: usize) -> bool {
+        self.faults_on(number).any(|kind| {
+            matches!(kind, FaultKind::InboundLoss { controller, answers: true, .. }
+                if controller.is_none_or(|only| only == sender))
         })
     }
 
-    /// True if a machine reaches no controller by itself.
-    pub(super) fn mute(&self, number: usize) -> bool {
-        self.struck_by(number)
-            .any(|trouble| matches!(trouble, FaultKind::Mute { .. }))
-    }
-
-    /// A copy of a report is kept for the next leader: an old one stays.
-    fn keep_report(&mut self, report: &Heartbeat) {
-        let kept_of_machine = self
-            .kept_reports
-            .iter()
-            .filter(|kept| kept.machine == report.machine)
-            .count();
-        if kept_of_machine < KEPT_OF_MACHINE && self.chance(KEPT_REPORTS) {
-            self.kept_reports.push(report.clone());
-        }
-    }
-
-    /// A shard has a new leader: kept copies of reports reach every controller.
-    pub(super) fn new_leader(&mut self) {
-        let kept_for_next = |trouble: &FaultKind| match trouble {
-            FaultKind::LateCopies {
-                seconds,
-                for_next: true,
-            } => Some(seconds.us()),
-            _ => None,
-        };
-        let faults = self.scenario.faults.iter().map(|fault| &fault.trouble);
-        let Some(range) = faults.filter_map(kept_for_next).next() else {
-            return;
-        };
-        for report in std::mem::take(&mut self.kept_reports) {
-            for host in 0..self.hosts.len() {
-                let (at, incarnation) = (
-                    self.now + self.rng.random_range(range.clone()),
-                    self.hosts[host].life,
-                );
-                self.copies += 1;
-                self.push(
-                    at,
-                    Event::Deliver(
-                        host,
-                        incarnation,
-                        Box::new(Input::Heartbeat(0, report.clone(), at)),
-                    ),
-                );
-            }
-        }
-    }
-
-    /// A report arrives again, much later, by then as nobody's: what is
-    /// answered to it goes nowhere.
-    pub(super) fn copy_report(&mut self, number: usize, report: &Heartbeat, host: usize) {
-        let late = |trouble: &FaultKind| match trouble {
-            FaultKind::LateCopies {
-                seconds,
-                for_next: false,
-            } => Some(seconds.us()),
-            _ => None,
-        };
-        if self
-            .struck_by(number)
-            .any(|trouble| matches!(trouble, FaultKind::LateCopies { for_next: true, .. }))
-        {
-            self.keep_report(report);
-        }
-        for range in self.struck_by(number).filter_map(late).collect::<Vec<_>>() {
-            let later = self.rng.random_range(range);
-            self.at(later, Event::DuplicateHeartbeat(number, host, Box::new(report.clone())));
-        }
-    }
-
-    /// To the controller that it was sent to, in whatever life, or to the one
-    /// that its worker reports to by now.
-    pub(super) fn copy_arrives(&mut self, number: usize, host: usize, report: Heartbeat) {
-        let now_to = self
-            .workers
-            .get(number)
-            .and_then(Option::as_ref)
-            .map_or(host, |w| w.node);
-        let to = if self.hosts[host].core.is_none() || self.chance(500) {
-            now_to
-        } else {
-            host
-        };
-        self.copies += 1;
-        self.ground
-            .history
-            .note(self.now, "late copy", &report.machine, &to);
-        self.deliver(to, Input::Heartbeat(0, report, self.now));
-    }
-
-    /// True while something is not as it should be.
-    pub(super) fn troubled(&self) -> bool {
-        let now = self.now;
-        now < (self.scenario.calm_s() * 1e6) as u64
-            || self.store.down
-            || self.cloud.down
-            || !self.down.is_empty()
-            || !self.cut_zones.is_empty()
-            || self
-                .hosts
-                .iter()
-                .any(|h| h.core.is_none() || h.frozen_until > now)
-            || self
-                .workers
-                .iter()
-                .flatten()
-                .any(|w| w.silent || w.hung_until > now)
+    /// True if what a controller commands a machine is lost.
+    pub(super) fn command_dropped(&self, sender: usize, number: usize) -> bool {
+        self.faults_on(number).any(|kind| {
+            matches!(kind, FaultKind::InboundLoss { controller, commands: true, .. }
+                if controller.is_none_or(|only| only == sender))
+        })
     }
 
-    pub(super) fn unsilence(&mut self, number: usize) {
-        self.with_worker(number, |w, _| w.silent = false);
+    /// True if a machine reaches no controller by itself.
+    pub(super) fn outbound_lost(&self, number: usize) -> bool {
+        self.faults_on(number)
+            .any(|kind| matches!(kind, FaultKind::OutboundLoss { .. }))
     }
 }
--- /dev/null
+++ b/crates/simulator/src/simulation/inputs.rs
@@ -0,0 +1,287 @@
+//! What a controller does with each message of its inbox.
+
+use lemonweir_coordination::election::ElectionAction;
+use lemonweir_coordination::job_status::Answer;
+use lemonweir_coordination::owner::SyncError;
+use lemonweir_coordination::placer::CompareAndSwapOutcome;
+use lemonweir_coordination::{HeartbeatAnswer, ShardLease};
+use lemonweir_model::JobId;
+use lemonweir_model::constants::TICK_MS;
+use lemonweir_protocol::kv_store::{CompareAndSwap, KeyValue, from_value};
+use lemonweir_protocol::links::{AvailabilityGossip, Service};
+use lemonweir_protocol::peer::{self, ShardView, SyncRequest};
+use lemonweir_storage::packed_chunk::read_chunk;
+use lemonweir_storage::records::{ImageLocationsRecord, TaskChunkRecord, parse_run_key};
+
+use super::Simulation;
+use super::state_reads::read_watched_keys;
+use crate::clock::US_PER_MS;
+use crate::controller::{CasOrigin, Input, ProcessId, RouteResult, SentHeartbeat, UserRequest};
+
+impl Simulation {
+    /// Processes one message.
+    pub(super) fn handle_input(&mut self, number: usize, input: Input) {
+        let now_ms = self.now_ms();
+        let controller = &mut self.controllers[number];
+        let Some(core) = controller.core.as_mut() else {
+            return;
+        };
+        controller.flush_due = true;
+        match input {
+            Input::Tick => {}
+            Input::Heartbeat(heartbeat) => self.handle_heartbeat(number, heartbeat),
+            Input::RelayedHeartbeat { heartbeat, relay } => {
+                let answer =
+                    core.carried_report(&heartbeat.heartbeat, relay.controller as u16, now_ms);
+                self.return_relayed_answer(number, heartbeat.reference(), relay, answer);
+            }
+            Input::RelayedAnswer {
+                heartbeat,
+                from,
+                answer,
+            } => {
+                core.links.reached(from as u16, answer.is_some(), now_ms);
+                let answer = answer.map_or(HeartbeatAnswer::Unable, |answer| *answer);
+                let at = self.departure_time(number) + self.network_delay();
+                self.send_heartbeat_answer(at, number, heartbeat, answer);
+            }
+            Input::RouteResult(RouteResult {
+                service,
+                relay,
+                bytes,
+                served,
+            }) => match relay {
+                None => core.links.tried(service, bytes, served, now_ms),
+                Some(relay) => core.links.carried(service, relay, served, now_ms),
+            },
+            Input::Gossip { reply_to, gossip } => self.handle_gossip(number, reply_to, *gossip),
+            Input::GossipAnswer(from, gossip) => {
+                let answered = gossip.is_some();
+                core.links
+                    .hailed(from, answered, gossip.map(|gossip| *gossip), now_ms)
+            }
+            Input::CommandResult(lease, call, result) => {
+                core.command_done(lease, &call, result, now_ms)
+            }
+            Input::SyncResponse(lease, to, view) => {
+                core.sync_done(lease, to, view.map(|view| *view), now_ms)
+            }
+            Input::Provisioned(lease, request, result) => {
+                core.rented(lease, &request, result, now_ms)
+            }
+            Input::Released(lease, names) => core.released(lease, &names, true, now_ms),
+            Input::InstancesListed(entries) => core.listed(&entries, now_ms),
+            Input::Superseded(by) => core.superseded(by, now_ms),
+            Input::WakeShard { shard, from } => core.nudged(shard, from),
+            Input::JobAnnounced => self.request_state_read(number),
+            Input::SyncRequest {
+                reply_to,
+                lease,
+                request,
+            } => self.handle_sync(number, reply_to, lease, &request),
+            Input::StateRead { began, read } => self.apply_state_read(number, began, read),
+            Input::ShardAcquired {
+                lease,
+                chunks,
+                images,
+            } => self.acquire_shard(number, lease, chunks, images),
+            Input::StoreLease(answer) => self.handle_store_lease(number, answer),
+            // Asked for again at the loop's next step.
+            Input::StoreLeaseUnknown => self.controllers[number].pending_lease_replies -= 1,
+            Input::JobEndsRead(ids) => {
+                self.learn_job_ends(number, &ids);
+                if let Some(core) = self.controllers[number].core.as_mut() {
+                    core.ends_read(&ids, now_ms);
+                }
+            }
+            Input::Submit(id) => self.handle_submission(number, id),
+            Input::Poll(id) => match core.answer(&id, now_ms) {
+                Answer::Unfinished(phase, ..) => self.reply(number, id, Some(phase), 200),
+                answer => self.answer_after_read(number, id, UserRequest::Query, answer),
+            },
+            Input::Withdraw(id) => {
+                let answer = core.answer(&id, now_ms);
+                self.answer_after_read(number, id, UserRequest::Withdrawal, answer);
+            }
+            Input::CasResult {
+                origin,
+                cas,
+                outcome,
+                versions,
+            } => self.cas_finished(number, origin, &cas, outcome, versions),
+        }
+    }
+
+    fn handle_heartbeat(&mut self, number: usize, heartbeat: SentHeartbeat) {
+        let now_ms = self.now_ms();
+        let Some(core) = self.controllers[number].core.as_mut() else {
+            return;
+        };
+        match core.report(&heartbeat.heartbeat, now_ms) {
+            HeartbeatAnswer::Carry(leader) => {
+                self.relay_heartbeat(number, usize::from(leader), heartbeat)
+            }
+            answer => {
+                let at = self.departure_time(number) + self.network_delay();
+                self.send_heartbeat_answer(at, number, heartbeat.reference(), answer);
+            }
+        }
+    }
+
+    fn handle_gossip(&mut self, number: usize, reply_to: ProcessId, gossip: AvailabilityGossip) {
+        let now_ms = self.now_ms();
+        let Some(core) = self.controllers[number].core.as_mut() else {
+            return;
+        };
+        let answer = Box::new(core.links.hail_in(gossip, now_ms));
+        let at = self.departure_time(number) + self.network_delay();
+        self.deliver_at(
+            at,
+            reply_to,
+            Input::GossipAnswer(number as u16, Some(answer)),
+        );
+    }
+
+    fn handle_sync(
+        &mut self,
+        number: usize,
+        reply_to: Option<ProcessId>,
+        lease: ShardLease,
+        request: &SyncRequest,
+    ) {
+        let now_ms = self.now_ms();
+        let Some(core) = self.controllers[number].core.as_mut() else {
+            return;
+        };
+        let answer = core.sync_in(request, now_ms);
+        let Some(reply_to) = reply_to else { return };
+        if let Err(SyncError::Superseded(by)) = &answer
+            && !self.controllers_partitioned(reply_to.controller, number)
+        {
+            let at = self.departure_time(number) + self.network_delay();
+            self.deliver_at(at, reply_to, Input::Superseded(by.clone()));
+        }
+        self.answer_sync(number, reply_to, lease, request.to, answer.ok());
+    }
+
+    fn answer_sync(
+        &mut self,
+        number: usize,
+        reply_to: ProcessId,
+        lease: ShardLease,
+        shard: u16,
+        view: Option<ShardView>,
+    ) {
+        let view = view.filter(|_| !self.controllers_partitioned(reply_to.controller, number));
+        if let Some(view) = &view {
+            self.controllers[number].load.peer_bytes += peer::written(view) as u64;
+        }
+        let at = self.departure_time(number) + self.network_delay();
+        self.deliver_at(
+            at,
+            reply_to,
+            Input::SyncResponse(lease, shard, view.map(Box::new)),
+        );
+    }
+
+    /// A shard's lease was acquired: its records go into the core.
+    fn acquire_shard(
+        &mut self,
+        number: usize,
+        lease: ShardLease,
+        chunks: Vec<KeyValue>,
+        images: Vec<KeyValue>,
+    ) {
+        // The jobs must be at least as new as the records: a read of them follows, here at
+        // the same moment.
+        if !self.service_reachable(number, Service::Store) {
+            let again = Input::ShardAcquired {
+                lease,
+                chunks,
+                images,
+            };
+            return self.deliver_in(TICK_MS * US_PER_MS, self.process(number), again);
+        }
+        let chunks: Vec<(JobId, u32, TaskChunkRecord, u64)> = chunks
+            .iter()
+            .filter_map(|entry| {
+                let (job, chunk) = parse_run_key(&entry.key)?;
+                Some((job, chunk, read_chunk(&entry.value, chunk)?, entry.version))
+            })
+            .collect();
+        let images = images
+            .iter()
+            .filter_map(|entry| from_value::<ImageLocationsRecord>(&entry.value))
+            .collect();
+        let now_ms = self.now_ms();
+        self.controllers[number].pending_lease_replies -= 1;
+        let Some(core) = self.controllers[number].core.as_mut() else {
+            return;
+        };
+        read_watched_keys(&self.store, core.cache.revision).apply(&mut core.cache, now_ms);
+        core.refreshed(now_ms, true);
+        let still_leader = core
+            .cache
+            .shards
+            .get(&lease.shard)
+            .is_some_and(|record| record.token == lease.token);
+        if still_leader {
+            core.acquire(lease, &chunks, images, now_ms);
+        }
+    }
+
+    /// A compare-and-swap ended; `None`: no answer came.
+    fn cas_finished(
+        &mut self,
+        number: usize,
+        origin: CasOrigin,
+        cas: &CompareAndSwap,
+        outcome: Option<CompareAndSwapOutcome>,
+        versions: Vec<(String, u64)>,
+    ) {
+        let now_ms = self.now_ms();
+        let controller = &mut self.controllers[number];
+        let Some(core) = controller.core.as_mut() else {
+            return;
+        };
+        match origin {
+            CasOrigin::Scheduler(lease) => {
+                for (key, version) in versions {
+                    if let Some((job, chunk)) = parse_run_key(&key) {
+                        core.reread(lease, &job, chunk, version);
+                    }
+                }
+                core.cas_done(
+                    lease,
+                    outcome.unwrap_or(CompareAndSwapOutcome::Again),
+                    now_ms,
+                );
+            }
+            CasOrigin::Unattended => {}
+            CasOrigin::Dependencies => {
+                core.chain_done(outcome.unwrap_or(CompareAndSwapOutcome::Again), now_ms);
+                self.request_state_read(number);
+            }
+            CasOrigin::Presence(lease) => {
+                controller.pending_lease_replies -= 1;
+                controller.store_lease =
+                    matches!(outcome, Some(CompareAndSwapOutcome::Done(_))).then_some(lease);
+            }
+            CasOrigin::LeaseKeeper(action) => {
+                controller.pending_lease_replies -= 1;
+                // Released here once it is released in the store.
+                if let (
+                    Some(ElectionAction::HandBack(lease) | ElectionAction::Leave(lease)),
+                    Some(CompareAndSwapOutcome::Done(_)),
+                ) = (action, outcome)
+                {
+                    core.release(lease.shard, now_ms);
+                }
+                self.request_state_read(number);
+            }
+            CasOrigin::User(id, request, asked) => {
+                self.user_cas_finished(number, id, request, asked, cas, outcome)
+            }
+        }
+    }
+}
--- a/crates/simulator/src/simulation/network.rs
+++ b/crates/simulator/src/simulation/network.rs
@@ -1,189 +1,226 @@
-//! What controllers send, and what of it gets through.
+//! What controllers send to one another, to the store and to machines, and what of it gets
+//! through.
 
-use super::*;
+use std::ops::Range;
 
-impl Simulation {
-    /// True if what `a` sends to `b` does not get through, or its answer.
-    pub(super) fn is_cut(&self, a: usize, b: usize) -> bool {
-        self.down.contains(&Link::OneWay(a, b))
-            || self.down.contains(&Link::Hosts(a.min(b), a.max(b)))
-            || self.parted(self.scenario.zone_of(a), self.scenario.zone_of(b))
-    }
-
-    /// True if a cut is between two zones.
-    pub(super) fn parted(&self, a: &str, b: &str) -> bool {
-        a != b && (self.cut_zones.contains(a) || self.cut_zones.contains(b))
-    }
+use lemonweir_coordination::owner::{CommandCall, CommandResult};
+use lemonweir_coordination::{HeartbeatAnswer, ShardLease};
+use lemonweir_model::constants::{CARRY_REPORT_MS, COMMAND_TIMEOUT_MS, GATHER_MS, SYNC_TIMEOUT_MS};
+use lemonweir_protocol::kv_store::CompareAndSwap;
+use lemonweir_protocol::links::{AvailabilityGossip, Service};
+use lemonweir_protocol::peer::{self, SyncRequest};
+use rand::RngExt;
 
-    /// True if a controller and a machine can't reach each other.
-    pub(super) fn far(&self, host: usize, number: usize) -> bool {
-        let zone = self
-            .workers
-            .get(number)
-            .and_then(Option::as_ref)
-            .map(|w| w.zone.as_str());
-        self.down.contains(&Link::Workers(host))
-            || zone.is_some_and(|zone| {
-                self.parted(self.scenario.zone_of(host), zone)
-                    || self.down.contains(&Link::Zone(host, zone.to_owned()))
-            })
-    }
+use super::events::{CommandDelivery, Event, StoreRequest};
+use super::routes::estimated_bytes;
+use super::{Simulation, machine_number};
+use crate::clock::US_PER_MS;
+use crate::controller::{CasOrigin, HeartbeatRef, Input, ProcessId, SentHeartbeat};
 
-    /// True if a controller can't reach what is outside the zones.
-    pub(super) fn inside_cut(&self, host: usize) -> bool {
-        self.cut_zones.contains(self.scenario.zone_of(host))
-    }
+/// How much later a delayed message between controllers arrives, ms.
+const LATE_PEER_MESSAGE_MS: Range<u64> = 2_000..60_000;
+/// How much later a delayed command arrives, ms.
+const LATE_COMMAND_MS: Range<u64> = 3_000..90_000;
+/// Share of the lost commands that arrive late all the same, in thousandths.
+const LATE_OF_LOST_COMMANDS: u32 = 500;
+/// µs after which a sync request without a known, running leader fails.
+const NO_LEADER_US: u64 = 2 * US_PER_MS;
 
-    /// The host that a controller's copy names as a part's holder.
-    pub(super) fn known_holder(&self, host: usize, shard: u16) -> Option<usize> {
-        let core = self.hosts[host].core.as_ref()?;
-        let name = &core.cache.shards.get(&shard)?.host;
-        core.config.members.iter().position(|m| m.host == *name)
-    }
-
-    pub(super) fn send_txn(&mut self, host: usize, whose: CasOrigin, cas: CompareAndSwap) {
-        let (now, life) = (self.now, self.hosts[host].life);
-        let h = &mut self.hosts[host];
-        let wait = h
+impl Simulation {
+    pub(super) fn send_cas(&mut self, number: usize, origin: CasOrigin, cas: CompareAndSwap) {
+        let (now, process) = (self.now, self.process(number));
+        let controller = &mut self.controllers[number];
+        let wait_us = controller
             .requests
             .take(1.0, now)
-            .max(h.writes.take(cas.writes.len() as f64, now));
-        if matches!(whose, CasOrigin::Scheduler(_)) {
-            self.measures.written(&cas, now, self.leaves(host));
+            .max(controller.writes.take(cas.writes.len() as f64, now));
+        if matches!(origin, CasOrigin::Scheduler(_)) {
+            self.metrics
+                .cas_sent(&cas, now, self.departure_time(number));
         }
-        let at = self.leaves(host) + wait + self.travel();
-        let way = self.way(host, Service::Store, routes::bytes(&cas));
-        self.push(
-            at,
-            Event::StoreRequest(
-                host,
-                life,
-                StoreRequest::CompareAndSwap(whose, Box::new(cas)),
-                way,
-            ),
-        );
+        let at = self.departure_time(number) + wait_us + self.network_delay();
+        let route = self.route(number, Service::Store, estimated_bytes(&cas));
+        let request = StoreRequest::CompareAndSwap(origin, Box::new(cas));
+        self.schedule_at(at, Event::StoreRequest(process, request, route));
     }
 
-    pub(super) fn send_orders(
+    pub(super) fn send_commands(
         &mut self,
-        host: usize,
+        controller: usize,
         lease: ShardLease,
         call: CommandCall,
         at: u64,
     ) {
-        let life = self.hosts[host].life;
-        let chances = self.scenario.chances;
+        let process = self.process(controller);
         let number = machine_number(&call.machine);
-        let silent = self
-            .workers
-            .get(number)
-            .and_then(Option::as_ref)
-            .is_some_and(|w| w.silent || w.hung_until > self.now);
-        let deaf = self.deaf(call.through.map_or(host, usize::from), number, true);
-        let lost = silent
-            || deaf
-            || self.blocked(host, call.through, number)
-            || self.chance(chances.lost_command);
-        let held = if lost { None } else { self.held() };
-        let late = !lost && (held.is_some() || self.chance(chances.late_command));
+        let lost = self.command_lost(controller, &call, number);
+        let delay_us = if lost { None } else { self.draw_call_delay() };
+        let late = !lost
+            && (delay_us.is_some() || self.happens(self.scenario.message_faults.late_command));
         if !lost && !late {
-            self.push(at, Event::Commands(host, life, lease, Box::new(call), false));
-            return;
+            let delivery = CommandDelivery {
+                lease,
+                call,
+                late: false,
+            };
+            return self.schedule_at(at, Event::Commands(process, delivery));
         }
-        if late || self.chance(500) {
-            // Held back: it may arrive much later.
-            let later = held.unwrap_or_else(|| self.rng.random_range(3_000..90_000) * MS);
-            self.push(
-                at + later,
-                Event::Commands(host, life, lease, Box::new(call.clone()), true),
-            );
+        if late || self.happens(LATE_OF_LOST_COMMANDS) {
+            // Held back in the network: it may arrive much later.
+            let delay_us =
+                delay_us.unwrap_or_else(|| self.rng.random_range(LATE_COMMAND_MS) * US_PER_MS);
+            let delivery = CommandDelivery {
+                lease,
+                call: call.clone(),
+                late: true,
+            };
+            self.schedule_at(at + delay_us, Event::Commands(process, delivery));
         }
         let unknown = Input::CommandResult(lease, call, CommandResult::Unknown);
-        self.push(
-            at + COMMAND_TIMEOUT_MS * MS,
-            Event::Deliver(host, life, Box::new(unknown)),
-        );
+        self.deliver_at(at + COMMAND_TIMEOUT_MS * US_PER_MS, process, unknown);
     }
 
-    pub(super) fn send_sync(&mut self, host: usize, lease: ShardLease, sync: SyncRequest, at: u64) {
-        let life = self.hosts[host].life;
-        let shard = sync.to;
-        let failed = move |lease| Box::new(Input::SyncResponse(lease, shard, None));
-        self.hosts[host].work.peer_bytes += peer::written(&sync) as u64;
-        let Some(to) = self
-            .known_holder(host, shard)
-            .filter(|to| self.hosts[*to].core.is_some())
+    fn command_lost(&mut self, controller: usize, call: &CommandCall, number: usize) -> bool {
+        let unresponsive = self
+            .worker(number)
+            .is_some_and(|worker| worker.silent || worker.hung_until > self.now);
+        let sender = call.through.map_or(controller, usize::from);
+        unresponsive
+            || self.command_dropped(sender, number)
+            || self.call_blocked(controller, call.through, number)
+            || self.happens(self.scenario.message_faults.lost_command)
+    }
+
+    pub(super) fn send_sync(
+        &mut self,
+        controller: usize,
+        lease: ShardLease,
+        request: SyncRequest,
+        at: u64,
+    ) {
+        let process = self.process(controller);
+        let failed = Input::SyncResponse(lease, request.to, None);
+        self.controllers[controller].load.peer_bytes += peer::written(&request) as u64;
+        let Some(leader) = self
+            .known_leader(controller, request.to)
+            .filter(|leader| self.controllers[*leader].core.is_some())
         else {
-            self.push(at + 2 * MS, Event::Deliver(host, life, failed(lease)));
-            return;
+            return self.deliver_at(at + NO_LEADER_US, process, failed);
         };
-        let lost = self.is_cut(host, to) || self.chance(self.scenario.chances.lost_sync);
-        if lost {
-            if self.chance(self.scenario.chances.late_sync) {
-                let later = self.rng.random_range(2_000..60_000) * MS;
-                let (to_life, sync) = (self.hosts[to].life, Box::new(sync));
-                self.push(
-                    at + later,
-                    Event::Deliver(
-                        to,
-                        to_life,
-                        Box::new(Input::SyncRequest(usize::MAX, 0, lease, sync)),
-                    ),
-                );
+        let faults = self.scenario.message_faults;
+        let lost =
+            self.controllers_partitioned(controller, leader) || self.happens(faults.lost_sync);
+        let mut delivery = Input::SyncRequest {
+            reply_to: Some(process),
+            lease,
+            request: Box::new(request),
+        };
+        let leader = self.process(leader);
+        if !lost {
+            return self.deliver_at(at, leader, delivery);
+        }
+        if self.happens(faults.late_sync) {
+            // Nobody waits for the answer any more when it arrives.
+            if let Input::SyncRequest { reply_to, .. } = &mut delivery {
+                *reply_to = None;
             }
-            self.push(
-                at + SYNC_TIMEOUT_MS * MS,
-                Event::Deliver(host, life, failed(lease)),
-            );
+            let delay_us = self.rng.random_range(LATE_PEER_MESSAGE_MS) * US_PER_MS;
+            self.deliver_at(at + delay_us, leader, delivery);
+        }
+        self.deliver_at(at + SYNC_TIMEOUT_MS * US_PER_MS, process, failed);
+    }
+
+    /// A heartbeat goes on to the leader.
+    pub(super) fn relay_heartbeat(
+        &mut self,
+        controller: usize,
+        leader: usize,
+        heartbeat: SentHeartbeat,
+    ) {
+        let relay = self.process(controller);
+        let at = self.departure_time(controller) + GATHER_MS * US_PER_MS + self.network_delay();
+        let faults = self.scenario.message_faults;
+        let lost = !self.peer_reachable(controller, leader) || self.happens(faults.lost_sync);
+        if lost && self.happens(faults.late_sync) {
+            // Held back: its worker has long moved on when the answer comes.
+            let delay_us = self.rng.random_range(LATE_PEER_MESSAGE_MS) * US_PER_MS;
+            let leader = self.process(leader);
+            let delayed = Input::RelayedHeartbeat { heartbeat, relay };
+            return self.deliver_at(at + delay_us, leader, delayed);
+        }
+        if lost {
+            let unanswered = Input::RelayedAnswer {
+                heartbeat: heartbeat.reference(),
+                from: leader,
+                answer: None,
+            };
+            self.deliver_at(at + CARRY_REPORT_MS * US_PER_MS, relay, unanswered);
         } else {
-            let to_life = self.hosts[to].life;
-            self.push(
-                at,
-                Event::Deliver(
-                    to,
-                    to_life,
-                    Box::new(Input::SyncRequest(host, life, lease, Box::new(sync))),
-                ),
-            );
+            let leader = self.process(leader);
+            self.deliver_at(at, leader, Input::RelayedHeartbeat { heartbeat, relay });
         }
     }
 
-    /// What was sent to a process that is no more has no answer.
-    pub(super) fn unheard(&mut self, host: usize, input: Input) {
-        let (to, life, failed) = match input {
-            Input::SyncRequest(from, life, lease, sync) if from < self.hosts.len() => {
-                (from, life, Input::SyncResponse(lease, sync.to, None))
-            }
-            Input::Gossip(life, word) => (
-                usize::from(word.host),
-                life,
-                Input::GossipAnswer(host as u16, None),
-            ),
-            Input::RelayedHeartbeat(number, report, sent, by, life) => (
-                by,
-                life,
-                Input::RelayedAnswer(number, report.session, sent, host, None),
-            ),
-            _ => return,
+    /// The leader's answer to a relayed heartbeat goes back.
+    pub(super) fn return_relayed_answer(
+        &mut self,
+        leader: usize,
+        heartbeat: HeartbeatRef,
+        relay: ProcessId,
+        answer: HeartbeatAnswer,
+    ) {
+        let at = self.departure_time(leader) + self.network_delay();
+        let relayed = Input::RelayedAnswer {
+            heartbeat,
+            from: leader,
+            answer: Some(Box::new(answer)),
         };
-        self.at(SYNC_TIMEOUT_MS * MS, Event::Deliver(to, life, Box::new(failed)));
+        self.deliver_at(at, relay, relayed);
     }
 
-    pub(super) fn mail(
+    /// A controller tells another of the availability of its links.
+    pub(super) fn send_gossip(
         &mut self,
-        host: usize,
-        line: StoreMessageRoute,
-        id: (u64, u64),
-        bytes: &[u8],
+        controller: usize,
+        to: u16,
+        gossip: AvailabilityGossip,
+        at: u64,
     ) {
-        let Some(hold) = self.hosts[host].hold else {
-            return;
-        };
-        self.largest_mail = self.largest_mail.max(bytes.len());
-        let piece = mail_piece_bytes((self.scenario.state.least_value_kb() * 1024.0) as usize);
-        let cas = post(line, id, bytes, piece, hold);
-        if cas.writes.len() <= self.scenario.state.least_txn_ops() {
-            self.send_txn(host, CasOrigin::Unattended, cas);
+        let process = self.process(controller);
+        let peer = usize::from(to);
+        if self.peer_reachable(controller, peer) {
+            let input = Input::Gossip {
+                reply_to: process,
+                gossip: Box::new(gossip),
+            };
+            self.deliver_at(at, self.process(peer), input);
+        } else {
+            let unanswered = Input::GossipAnswer(to, None);
+            self.deliver_at(at + SYNC_TIMEOUT_MS * US_PER_MS, process, unanswered);
         }
     }
+
+    /// What was sent to a process that is down gets no answer: its sender learns that.
+    pub(super) fn fail_unanswered(&mut self, controller: usize, input: Input) {
+        let (sender, failed) = match input {
+            Input::SyncRequest {
+                reply_to: Some(sender),
+                lease,
+                request,
+            } => (sender, Input::SyncResponse(lease, request.to, None)),
+            Input::Gossip { reply_to, .. } => {
+                (reply_to, Input::GossipAnswer(controller as u16, None))
+            }
+            Input::RelayedHeartbeat { heartbeat, relay } => (
+                relay,
+                Input::RelayedAnswer {
+                    heartbeat: heartbeat.reference(),
+                    from: controller,
+                    answer: None,
+                },
+            ),
+            _ => return,
+        };
+        self.deliver_in(SYNC_TIMEOUT_MS * US_PER_MS, sender, failed);
+    }
 }
--- a/crates/simulator/src/simulation/routes.rs
+++ b/crates/simulator/src/simulation/routes.rs
@@ -1,26 +1,24 @@
-//! Which way things go between the controllers, and through them.
+//! Routes: which service a controller reaches, directly or relayed by a peer, and which peer
+//! and machine it reaches.
 
-use lemonweir_coordination::HeartbeatAnswer;
-use lemonweir_model::constants::*;
 use lemonweir_protocol::kv_store::CompareAndSwap;
-use lemonweir_protocol::links::{AvailabilityGossip, Service};
-use lemonweir_protocol::worker::Heartbeat;
-use rand::RngExt;
+use lemonweir_protocol::links::Service;
 
-use super::{Event, MS, Simulation};
-use crate::controller::Input;
+use super::Simulation;
+use crate::controller::{Input, ProcessId, RouteResult};
 use crate::scenario::Link;
 
-/// Bytes that a write of a transaction is taken to have: about a full chunk's.
+/// Bytes that a write of a compare-and-swap is taken to have: about a full chunk's.
 const WRITE_BYTES: usize = 512;
 
-/// The way of a request to a service.
+/// The route of a request to a service.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ServiceRoute {
     service: Service,
+    /// Bytes of the request.
     bytes: usize,
-    /// The controller that carries it.
-    by: Option<u16>,
+    /// The controller that relays it; none: it goes directly.
+    relay: Option<u16>,
 }
 
 impl ServiceRoute {
@@ -28,164 +26,167 @@
         Self {
             service,
             bytes: 0,
-            by: None,
+            relay: None,
         }
     }
 }
 
-/// Bytes of a transaction, about.
-pub(super) fn bytes(cas: &CompareAndSwap) -> usize {
+/// Bytes of a compare-and-swap, about.
+pub(super) fn estimated_bytes(cas: &CompareAndSwap) -> usize {
     cas.writes.len() * WRITE_BYTES
 }
 
 impl Simulation {
-    /// The way that a controller's core names for a request.
-    pub(super) fn way(&mut self, host: usize, service: Service, bytes: usize) -> ServiceRoute {
-        let ms = self.now / MS;
-        let by = self.hosts[host]
+    // ---- services --------------------------------------------------------------
+
+    /// The route that a controller's core names for a request.
+    pub(super) fn route(
+        &mut self,
+        controller: usize,
+        service: Service,
+        bytes: usize,
+    ) -> ServiceRoute {
+        let now_ms = self.now_ms();
+        let relay = self.controllers[controller]
             .core
             .as_mut()
-            .and_then(|c| c.links.route(service, bytes, ms));
-        ServiceRoute { service, bytes, by }
+            .and_then(|core| core.links.route(service, bytes, now_ms));
+        ServiceRoute {
+            service,
+            bytes,
+            relay,
+        }
     }
 
-    fn reaches(&self, host: usize, service: Service) -> bool {
-        let there = match service {
-            Service::Store => !self.store.down && !self.down.contains(&Link::Store(host)),
-            Service::Cloud => !self.cloud.down && !self.down.contains(&Link::Cloud(host)),
+    fn reaches_service(&self, controller: usize, service: Service) -> bool {
+        let (down, link) = match service {
+            Service::Store => (self.store.down, Link::Store(controller)),
+            Service::Cloud => (self.cloud.down, Link::Cloud(controller)),
         };
-        there && !self.inside_cut(host)
+        !down && !self.links_down.contains(&link) && !self.controller_partitioned(controller)
     }
 
-    /// True if a controller can do something for another now.
-    fn helps(&self, by: usize, host: usize) -> bool {
-        let there = self
-            .hosts
-            .get(by)
-            .is_some_and(|h| h.core.is_some() && h.frozen_until <= self.now);
-        there && !self.is_cut(host, by)
+    /// True if a controller runs, and can relay something for another now.
+    fn can_relay(&self, relay: usize, controller: usize) -> bool {
+        let runs = self
+            .controllers
+            .get(relay)
+            .is_some_and(|relay| relay.core.is_some() && relay.stalled_until <= self.now);
+        runs && !self.controllers_partitioned(controller, relay)
     }
 
-    pub(super) fn passes(&self, host: usize, way: ServiceRoute) -> bool {
-        if way.service == Service::Store && self.down.contains(&Link::Barred(host)) {
+    /// True if a request on a route reaches its service now.
+    pub(super) fn route_works(&self, controller: usize, route: ServiceRoute) -> bool {
+        let denied = self.links_down.contains(&Link::StoreDenied(controller));
+        if route.service == Service::Store && denied {
             return false;
         }
-        let Some(by) = way.by.map(usize::from) else {
-            return self.reaches(host, way.service);
+        let Some(relay) = route.relay.map(usize::from) else {
+            return self.reaches_service(controller, route.service);
         };
-        let willing = self.hosts[by]
+        let willing = self.controllers[relay]
             .core
             .as_ref()
-            .is_some_and(|c| c.links.carries(way.service));
-        self.helps(by, host) && willing && self.reaches(by, way.service)
+            .is_some_and(|core| core.links.carries(route.service));
+        self.can_relay(relay, controller) && willing && self.reaches_service(relay, route.service)
     }
 
-    /// True if a request that arrives now is served; its controller hears.
-    pub(super) fn served(&mut self, host: usize, life: u64, way: ServiceRoute) -> bool {
-        let good = self.passes(host, way);
-        self.tried(host, life, way, good, 0);
-        good
+    /// True if a request that arrives now is served; its controller learns that.
+    pub(super) fn try_route(&mut self, process: ProcessId, route: ServiceRoute) -> bool {
+        let served = self.route_works(process.controller, route);
+        self.report_route_result(process, route, served, 0);
+        served
     }
 
-    /// A controller hears after so long what became of a request.
-    pub(super) fn tried(&mut self, host: usize, life: u64, way: ServiceRoute, good: bool, after_us: u64) {
-        let at = self.now + after_us + self.travel();
-        if way.by.is_some() {
-            self.hosts[host].work.messages += 1;
+    /// A controller learns after so many µs what became of a request.
+    pub(super) fn report_route_result(
+        &mut self,
+        process: ProcessId,
+        route: ServiceRoute,
+        served: bool,
+        after_us: u64,
+    ) {
+        let at = self.now + after_us + self.network_delay();
+        if route.relay.is_some() {
+            self.controllers[process.controller].load.messages += 1;
         }
-        self.push(
+        self.deliver_at(
             at,
-            Event::Deliver(
-                host,
-                life,
-                Box::new(Input::RouteResult(way.service, way.by, way.bytes, good)),
-            ),
+            process,
+            Input::RouteResult(RouteResult {
+                service: route.service,
+                relay: route.relay,
+                bytes: route.bytes,
+                served,
+            }),
         );
     }
 
-    /// True if some request of a controller would be served now.
-    pub(super) fn reachable(&mut self, host: usize, service: Service) -> bool {
-        let way = self.way(host, service, 0);
-        self.passes(host, way)
+    /// True if a request of a controller to a service would be served now.
+    pub(super) fn service_reachable(&mut self, controller: usize, service: Service) -> bool {
+        let route = self.route(controller, service, 0);
+        self.route_works(controller, route)
     }
 
-    /// True if a call to a machine does not get through.
-    pub(super) fn blocked(&self, host: usize, through: Option<u16>, number: usize) -> bool {
-        match through.map(usize::from) {
-            None => self.far(host, number),
-            Some(by) => !self.helps(by, host) || self.far(by, number),
-        }
+    // ---- peers and machines ----------------------------------------------------
+
+    /// True if a controller receives what another sends to it now, and can answer.
+    pub(super) fn peer_reachable(&self, from: usize, to: usize) -> bool {
+        self.can_relay(to, from)
     }
 
-    /// A report goes on to the owner.
-    pub(super) fn carry_report(
-        &mut self,
-        host: usize,
-        to: u16,
-        number: usize,
-        report: Heartbeat,
-        sent: u64,
-    ) {
-        let (to, life) = (usize::from(to), self.hosts[host].life);
-        let at = self.leaves(host) + GATHER_MS * MS + self.travel();
-        let lost = !self.helps(to, host) || self.chance(self.scenario.chances.lost_sync);
-        if lost && self.chance(self.scenario.chances.late_sync) {
-            // Held back: its worker has long moved on when the answer comes.
-            let (later, to_life) = (
-                self.rng.random_range(2_000..60_000) * MS,
-                self.hosts[to].life,
-            );
-            let held = Input::RelayedHeartbeat(number, report, sent, host, life);
-            return self.push(at + later, Event::Deliver(to, to_life, Box::new(held)));
-        }
-        if !lost {
-            let to_life = self.hosts[to].life;
-            self.push(
-                at,
-                Event::Deliver(
-                    to,
-                    to_life,
-                    Box::new(Input::RelayedHeartbeat(number, report, sent, host, life)),
-                ),
-            );
-        } else {
-            let lost = Input::RelayedAnswer(number, report.session, sent, to, None);
-            self.push(
-                at + CARRY_REPORT_MS * MS,
-                Event::Deliver(host, life, Box::new(lost)),
-            );
-        }
+    /// True if what `a` sends to `b` does not get through, or its answer does not.
+    pub(super) fn controllers_partitioned(&self, a: usize, b: usize) -> bool {
+        self.links_down.contains(&Link::OneWay(a, b))
+            || self.links_down.contains(&Link::between(a, b))
+            || self.zones_partitioned(self.scenario.zone_of(a), self.scenario.zone_of(b))
     }
 
-    /// Its owner's answer goes back.
-    pub(super) fn answer_carried(
-        &mut self,
-        host: usize,
-        number: usize,
-        report: &Heartbeat,
-        sent: u64,
-        by: (usize, u64),
-        answer: HeartbeatAnswer,
-    ) {
-        let at = self.leaves(host) + self.travel();
-        let back = Input::RelayedAnswer(number, report.session, sent, host, Some(Box::new(answer)));
-        self.push(at, Event::Deliver(by.0, by.1, Box::new(back)));
+    /// True if a partition is between two zones.
+    fn zones_partitioned(&self, a: &str, b: &str) -> bool {
+        a != b && (self.partitioned_zones.contains(a) || self.partitioned_zones.contains(b))
+    }
+
+    /// True if a controller can't reach what is outside the zones.
+    pub(super) fn controller_partitioned(&self, controller: usize) -> bool {
+        self.partitioned_zones
+            .contains(self.scenario.zone_of(controller))
     }
 
-    /// A controller tells another of its links.
-    pub(super) fn send_hail(&mut self, host: usize, to: u16, word: AvailabilityGossip, at: u64) {
-        let (number, life) = (usize::from(to), self.hosts[host].life);
-        if self.helps(number, host) {
-            let to_life = self.hosts[number].life;
-            self.push(
-                at,
-                Event::Deliver(number, to_life, Box::new(Input::Gossip(life, Box::new(word)))),
-            );
-        } else {
-            self.push(
-                at + SYNC_TIMEOUT_MS * MS,
-                Event::Deliver(host, life, Box::new(Input::GossipAnswer(to, None))),
-            );
+    /// True if a controller and a machine can't reach each other.
+    pub(super) fn machine_partitioned(&self, controller: usize, number: usize) -> bool {
+        let zone = self.worker(number).map(|worker| worker.zone.as_str());
+        self.links_down.contains(&Link::Workers(controller))
+            || zone.is_some_and(|zone| {
+                self.zones_partitioned(self.scenario.zone_of(controller), zone)
+                    || self
+                        .links_down
+                        .contains(&Link::WorkersInZone(controller, zone.to_owned()))
+            })
+    }
+
+    /// True if a call to a machine, relayed or not, does not get through.
+    pub(super) fn call_blocked(
+        &self,
+        controller: usize,
+        relay: Option<u16>,
+        number: usize,
+    ) -> bool {
+        match relay.map(usize::from) {
+            None => self.machine_partitioned(controller, number),
+            Some(relay) => {
+                !self.can_relay(relay, controller) || self.machine_partitioned(relay, number)
+            }
         }
     }
+
+    /// The controller that another one's cache names as a shard's leader.
+    pub(super) fn known_leader(&self, controller: usize, shard: u16) -> Option<usize> {
+        let core = self.controllers[controller].core.as_ref()?;
+        let name = &core.cache.shards.get(&shard)?.host;
+        core.config
+            .members
+            .iter()
+            .position(|member| member.host == *name)
+    }
 }
--- a/crates/simulator/src/simulation/starvation.rs
+++ b/crates/simulator/src/simulation/starvation.rs
@@ -1,16 +1,21 @@
-//! The term on waiting jobs: once all troubles are over, no job is left waiting beside
-//! a machine that has room for it while its team is under its limit.
+//! The term on waiting jobs: once all faults are over, no job is left waiting beside a
+//! machine that has free resources for it while its team is under its quota limit.
 
-use lemonweir_model::{JobKind, JobSpec, Resources};
+use std::collections::{BTreeMap, BTreeSet};
 
-use super::*;
+use lemonweir_model::{JobId, JobKind, JobSpec, Resources};
+use lemonweir_protocol::users::JobPhase;
 
-/// µs for which a job may wait beside room that fits.
-const WAIT_BESIDE_ROOM_US: u64 = 90_000 * MS;
-/// µs between two looks at waiting jobs.
-const LOOK_AT_WAITING_US: u64 = 5_000 * MS;
+use super::Simulation;
+use crate::clock::US_PER_MS;
+use crate::worker::Worker;
 
-/// A job that waits beside room that fits.
+/// µs for which a job may wait beside free resources that fit.
+const STARVATION_US: u64 = 90_000 * US_PER_MS;
+/// µs between two checks of waiting jobs.
+const CHECK_INTERVAL_US: u64 = 5_000 * US_PER_MS;
+
+/// A job that waits beside free resources that fit.
 struct WaitingBesideCapacity {
     /// Since when, µs.
     since: u64,
@@ -18,53 +23,56 @@
     machines: BTreeSet<usize>,
 }
 
-/// Jobs that wait beside room that fits.
+/// Jobs that wait beside free resources that fit.
 #[derive(Default)]
 pub(super) struct StarvationMonitor {
-    looked_at: u64,
-    beside: BTreeMap<JobId, WaitingBesideCapacity>,
-    /// Named already.
-    named: BTreeSet<JobId>,
+    checked_at: u64,
+    waiting: BTreeMap<JobId, WaitingBesideCapacity>,
+    /// Jobs that were named as starved already.
+    reported: BTreeSet<JobId>,
 }
 
 impl Simulation {
-    /// Names the jobs that have waited too long beside room that fits.
-    pub(super) fn look_at_waiting_jobs(&mut self) {
+    /// Names the jobs that have waited too long beside free resources that fit.
+    pub(super) fn check_starvation(&mut self) {
         let now = self.now;
-        if now < self.waiting.looked_at + LOOK_AT_WAITING_US {
+        if now < self.starvation.checked_at + CHECK_INTERVAL_US {
             return;
         }
-        self.waiting.looked_at = now;
-        if self.troubled_at == now {
-            return self.waiting.beside.clear();
+        self.starvation.checked_at = now;
+        if self.last_fault_at == now {
+            return self.starvation.waiting.clear();
         }
-        let before = std::mem::take(&mut self.waiting.beside);
-        let machines = self.usable_machines();
-        for id in self.waiting_jobs() {
-            let Some(spec) = self.ground.jobs.get(&id).map(|load| load.spec.clone()) else {
+        let before = std::mem::take(&mut self.starvation.waiting);
+        let usable = self.usable_machines();
+        for id in self.startable_jobs() {
+            let Some(spec) = self.workload.jobs.get(&id).map(|job| job.spec.clone()) else {
                 continue;
             };
             // A job whose tasks start one after the other is served.
-            let served = self.ground.checker.last_start(&id);
-            let beside = before.get(&id).filter(|beside| beside.since >= served);
-            let same = beside.map(|beside| (beside.since, beside.machines.clone()));
-            let (since, among) = same.unwrap_or_else(|| (now, machines.clone()));
-            let Some(machines) = self.room_for(&spec, &among) else {
+            let last_start = self.workload.checker.last_start(&id);
+            let (since, among) = match before.get(&id).filter(|w| w.since >= last_start) {
+                Some(waiting) => (waiting.since, &waiting.machines),
+                None => (now, &usable),
+            };
+            let Some(machines) = self.machines_with_capacity(&spec, among) else {
                 continue;
             };
-            if now >= since + WAIT_BESIDE_ROOM_US && self.waiting.named.insert(id.clone()) {
-                self.ground
-                    .checker
-                    .broken
-                    .push(format!("{} ms: waits_beside_room: {id} for 90 s", now / MS));
+            if now >= since + STARVATION_US && self.starvation.reported.insert(id.clone()) {
+                self.workload.checker.violations.push(format!(
+                    "{} ms: waits_beside_room: {id} for 90 s",
+                    now / US_PER_MS
+                ));
             }
-            self.waiting.beside.insert(id, WaitingBesideCapacity { since, machines });
+            self.starvation
+                .waiting
+                .insert(id, WaitingBesideCapacity { since, machines });
         }
     }
 
     fn usable_machines(&self) -> BTreeSet<usize> {
         let usable = |worker: &&Worker| {
-            worker.up_at <= self.now && !worker.faulty && worker.notice.is_none()
+            worker.up_at <= self.now && !worker.faulty && worker.reclaim_at.is_none()
         };
         self.workers
             .iter()
@@ -74,26 +82,26 @@
             .collect()
     }
 
-    /// Jobs that may start, and have a task that is nowhere.
-    fn waiting_jobs(&self) -> Vec<JobId> {
-        let live = self.live();
+    /// Jobs that may start, and have a task that is on no machine.
+    fn startable_jobs(&self) -> Vec<JobId> {
+        let live = self.live_tasks();
         let mut waiting = Vec::new();
         for (id, user) in &self.users {
-            let Some(load) = self.ground.jobs.get(id).filter(|load| !load.broken) else {
+            let Some(job) = self.workload.jobs.get(id).filter(|job| !job.broken) else {
                 continue;
             };
-            let may_start = load
+            let dependencies_done = job
                 .spec
                 .awaits
                 .iter()
-                .all(|awaited| self.phase(awaited) == Some(JobPhase::Done));
-            let unfinished = may_start
-                && user.accepted.is_some()
-                && user.withdrew.is_none()
-                && !user.over
+                .all(|dependency| self.phase(dependency) == Some(JobPhase::Done));
+            let unfinished = dependencies_done
+                && user.accepted_at.is_some()
+                && user.withdrawal_requested.is_none()
+                && !user.finished
                 && self.phase(id).is_none();
-            let here = live.get(id).copied().unwrap_or(0) as u64;
-            if unfinished && here + self.ground.done_tasks(id) < load.spec.tasks {
+            let on_machines = live.get(id).copied().unwrap_or(0) as u64;
+            if unfinished && on_machines + self.workload.completed_tasks(id) < job.spec.tasks {
                 waiting.push(id.clone());
             }
         }
@@ -102,50 +110,55 @@
     }
 
     /// Those of some machines that have room for what must start together; `None`: there is
-    /// not enough, or the team's limit does not allow it.
-    fn room_for(&self, spec: &JobSpec, among: &BTreeSet<usize>) -> Option<BTreeSet<usize>> {
-        let (tasks, need) = (
-            if spec.shape == JobKind::Gang {
-                spec.tasks
-            } else {
-                1
-            },
-            spec.need(),
-        );
-        if !self.ground.checker.within_limit(spec, tasks) {
+    /// not enough, or the team's quota limit does not allow it.
+    fn machines_with_capacity(
+        &self,
+        spec: &JobSpec,
+        among: &BTreeSet<usize>,
+    ) -> Option<BTreeSet<usize>> {
+        let tasks_together = if spec.shape == JobKind::Gang {
+            spec.tasks
+        } else {
+            1
+        };
+        if !self.workload.checker.within_limit(spec, tasks_together) {
             return None;
         }
-        let mut fitting: BTreeMap<&str, u64> = BTreeMap::new();
+        let mut fitting_in_zone: BTreeMap<&str, u64> = BTreeMap::new();
         let mut machines = BTreeSet::new();
-        for worker in among
-            .iter()
-            .filter_map(|number| self.workers.get(*number)?.as_ref())
-        {
-            let allowed = spec
-                .types
-                .as_ref()
-                .is_none_or(|types| types.contains(&worker.kind.name))
-                && spec.zone.as_ref().is_none_or(|zone| *zone == worker.zone)
-                && (spec.spot || !worker.spot)
-                && !self.ground.checker.zone_is_full(spec, &worker.zone);
-            let room = if allowed {
-                times(worker.free(), need).min(spec.tasks)
+        for worker in among.iter().filter_map(|number| self.worker(*number)) {
+            let fitting = if self.may_run_on(spec, worker) {
+                tasks_that_fit(worker.free(), spec.need()).min(spec.tasks)
             } else {
                 0
             };
-            if room > 0 {
+            if fitting > 0 {
                 machines.insert(worker.number);
-                *fitting.entry(&worker.zone).or_default() += room;
+                *fitting_in_zone.entry(&worker.zone).or_default() += fitting;
             }
         }
-        let most_in_zone = fitting.values().max().copied().unwrap_or(0);
-        let all: u64 = fitting.values().sum();
-        (tasks <= if spec.one_zone { most_in_zone } else { all }).then_some(machines)
+        let most_in_zone = fitting_in_zone.values().max().copied().unwrap_or(0);
+        let everywhere: u64 = fitting_in_zone.values().sum();
+        let capacity = if spec.one_zone {
+            most_in_zone
+        } else {
+            everywhere
+        };
+        (tasks_together <= capacity).then_some(machines)
+    }
+
+    fn may_run_on(&self, spec: &JobSpec, worker: &Worker) -> bool {
+        spec.types
+            .as_ref()
+            .is_none_or(|types| types.contains(&worker.kind.name))
+            && spec.zone.as_ref().is_none_or(|zone| *zone == worker.zone)
+            && (spec.spot || !worker.spot)
+            && !self.workload.checker.zone_is_full(spec, &worker.zone)
     }
 }
 
-/// How many times a need fits into some room.
-fn times(free: Resources, need: Resources) -> u64 {
+/// How many tasks of a need fit into free resources.
+fn tasks_that_fit(free: Resources, need: Resources) -> u64 {
     let by = |free: u64, need: u64| free.checked_div(need).unwrap_or(u64::MAX);
     by(free.cpus, need.cpus)
         .min(by(free.gpus, need.gpus))
--- /dev/null
+++ b/crates/simulator/src/simulation/state_reads.rs
@@ -0,0 +1,120 @@
+//! A controller's reads of the watched keys into its state cache.
+
+use lemonweir_model::JobId;
+use lemonweir_model::constants::{REFRESH_BUSY_MS, REFRESH_IDLE_MS};
+use lemonweir_protocol::links::Service;
+use lemonweir_storage::records::FOLLOWED;
+
+use super::Simulation;
+use super::events::{Event, StoreRequest};
+use crate::clock::US_PER_MS;
+use crate::controller::{PendingQuery, ProcessId, StateRead, UserRequest};
+use crate::store::Store;
+
+impl Simulation {
+    /// A read is due; one that was moved to another time is not begun.
+    pub(super) fn begin_state_read(&mut self, process: ProcessId) {
+        let (now, number) = (self.now, process.controller);
+        let controller = &mut self.controllers[number];
+        if controller.stalled_until > now {
+            // What a stalled process would have begun.
+            let until = controller.stalled_until;
+            controller.read_due = until;
+            return self.schedule_at(until, Event::ReadState(process));
+        }
+        if !self.is_current(process) {
+            return;
+        }
+        let controller = &mut self.controllers[number];
+        if controller.read_in_flight || controller.read_due != now {
+            return;
+        }
+        (controller.read_in_flight, controller.read_requested) = (true, false);
+        let wait_us = controller.requests.take(1.0, now);
+        let after = controller
+            .core
+            .as_ref()
+            .and_then(|core| core.cache.revision);
+        let at = now + wait_us + self.network_delay();
+        let route = self.route(number, Service::Store, 0);
+        let request = StoreRequest::StateRead { after, began: now };
+        self.schedule_at(at, Event::StoreRequest(process, request, route));
+    }
+
+    /// A read is wanted as soon as the last one is old enough.
+    pub(super) fn request_state_read(&mut self, number: usize) {
+        let (now, process) = (self.now, self.process(number));
+        let controller = &mut self.controllers[number];
+        if controller.read_requested {
+            return;
+        }
+        controller.read_requested = true;
+        if !controller.read_in_flight {
+            let at = (controller.read_at + REFRESH_BUSY_MS * US_PER_MS).max(now);
+            if at < controller.read_due {
+                controller.read_due = at;
+                self.schedule_at(at, Event::ReadState(process));
+            }
+        }
+    }
+
+    /// A user's question is answered from a read that begins from now on.
+    pub(super) fn queue_query(&mut self, controller: usize, job: JobId, request: UserRequest) {
+        self.controllers[controller]
+            .pending_queries
+            .push(PendingQuery {
+                asked: self.now,
+                job,
+                request,
+            });
+        self.request_state_read(controller);
+    }
+
+    /// A read ended: it goes into the cache, and answers the questions that are older.
+    pub(super) fn apply_state_read(&mut self, number: usize, began: u64, read: StateRead) {
+        let (now, now_ms) = (self.now, self.now_ms());
+        let controller = &mut self.controllers[number];
+        let Some(core) = controller.core.as_mut() else {
+            return;
+        };
+        controller.read_in_flight = false;
+        controller.read_at = now;
+        let mut effects = Vec::new();
+        let changed = read.apply(&mut core.cache, now_ms);
+        if let Some(changed) = changed {
+            core.refreshed(began / US_PER_MS, changed);
+            effects = core.take_mail(now_ms);
+        }
+        let expects_messages = core.mailing();
+        for effect in effects {
+            self.execute(number, effect);
+        }
+        let controller = &mut self.controllers[number];
+        let (answerable, later): (Vec<_>, Vec<_>) = std::mem::take(&mut controller.pending_queries)
+            .into_iter()
+            .partition(|query| query.asked <= began);
+        controller.pending_queries = later;
+        let busy =
+            controller.read_requested || expects_messages || !controller.pending_queries.is_empty();
+        let interval_ms = if busy {
+            REFRESH_BUSY_MS
+        } else {
+            REFRESH_IDLE_MS
+        };
+        let due = now + interval_ms * US_PER_MS;
+        controller.read_due = due;
+        let process = self.process(number);
+        self.schedule_at(due, Event::ReadState(process));
+        for query in answerable {
+            self.answer_query(number, query, changed.is_some());
+        }
+    }
+}
+
+/// What the store says of the watched keys since a revision, or of all.
+pub(super) fn read_watched_keys(store: &Store, after: Option<u64>) -> StateRead {
+    match after.and_then(|after| store.changes(FOLLOWED, after)) {
+        Some(changes) => StateRead::Changes(changes, store.revision),
+        None => StateRead::Snapshot(store.list(FOLLOWED), store.revision),
+    }
+}
--- /dev/null
+++ b/crates/simulator/src/simulation/store_service.rs
@@ -0,0 +1,269 @@
+//! What reaches the state service, when it is executed, and what is answered.
+
+use std::ops::Range;
+
+use lemonweir_coordination::election::ElectionAction;
+use lemonweir_coordination::placer::CompareAndSwapOutcome;
+use lemonweir_coordination::{ShardLease, keys_to_reread};
+use lemonweir_model::JobId;
+use lemonweir_model::constants::{HOLD_TTL_MS, STATE_TIMEOUT_MS, TICK_MS};
+use lemonweir_protocol::kv_store::{CompareAndSwap, Write};
+use lemonweir_storage::records::{images_prefix, run_prefix};
+use rand::RngExt;
+
+use super::Simulation;
+use super::events::{Event, StoreRequest};
+use super::routes::ServiceRoute;
+use super::state_reads::read_watched_keys;
+use crate::clock::US_PER_MS;
+use crate::controller::{CasOrigin, Input, ProcessId, StateRead};
+use crate::scenario::{FaultKind, LATE_WRITES};
+use crate::store::CasAnswer;
+
+/// µs for which a controller waits for an answer.
+const REQUEST_TIMEOUT_US: u64 = STATE_TIMEOUT_MS * US_PER_MS;
+/// µs after which the core's refused compare-and-swap is tried again.
+const REFUSED_CAS_WAIT_US: u64 = 2 * TICK_MS * US_PER_MS;
+/// How much later a single late compare-and-swap is executed, ms.
+const LATE_CAS_MS: Range<u64> = 3_000..30_000;
+
+/// How long the store takes for a request.
+#[derive(Clone, Copy)]
+struct StoreDelays {
+    /// µs until it executes the request.
+    execution_us: u64,
+    /// µs from then until it answers; none: the answer is lost.
+    answer_us: Option<u64>,
+}
+
+impl StoreRequest {
+    /// What its controller is left with when no answer comes.
+    fn unanswered(&self) -> Input {
+        match self {
+            StoreRequest::CompareAndSwap(origin, cas) => Input::CasResult {
+                origin: origin.clone(),
+                cas: (**cas).clone(),
+                outcome: None,
+                versions: Vec::new(),
+            },
+            StoreRequest::StateRead { began, .. } => Input::StateRead {
+                began: *began,
+                read: StateRead::Unavailable,
+            },
+            StoreRequest::StoreLease(_) => Input::StoreLeaseUnknown,
+        }
+    }
+
+    fn is_from_scheduler(&self) -> bool {
+        matches!(
+            self,
+            StoreRequest::CompareAndSwap(CasOrigin::Scheduler(_), _)
+        )
+    }
+}
+
+impl Simulation {
+    /// A request reaches the store. Its controller gives up after a while; what it asked for
+    /// is executed all the same, also once the controller is down.
+    pub(super) fn handle_store_request(
+        &mut self,
+        process: ProcessId,
+        request: StoreRequest,
+        route: ServiceRoute,
+    ) {
+        let passes = self.route_works(process.controller, route);
+        let delays = if passes {
+            self.store_delays(&request)
+        } else {
+            StoreDelays {
+                execution_us: 0,
+                answer_us: Some(0),
+            }
+        };
+        let answer_us = delays
+            .answer_us
+            .filter(|answer_us| delays.execution_us + answer_us < REQUEST_TIMEOUT_US);
+        self.report_route_result(
+            process,
+            route,
+            passes && answer_us.is_some(),
+            answer_us.map_or(REQUEST_TIMEOUT_US, |answer_us| {
+                delays.execution_us + answer_us
+            }),
+        );
+        if !passes || !self.store.admit(request.writes(), self.now) {
+            return self.refuse_store_request(process, request);
+        }
+        if answer_us.is_none() {
+            self.deliver_in(REQUEST_TIMEOUT_US, process, request.unanswered());
+        }
+        if delays.execution_us == 0 {
+            self.execute_store_request(process, request, answer_us);
+        } else {
+            self.schedule_in(
+                delays.execution_us,
+                Event::StoreExecutes(process, request, answer_us),
+            );
+        }
+    }
+
+    /// A request is refused: the process waits before it tries again.
+    fn refuse_store_request(&mut self, process: ProcessId, request: StoreRequest) {
+        let wait_us = if request.is_from_scheduler() {
+            REFUSED_CAS_WAIT_US
+        } else {
+            0
+        };
+        let input = match request {
+            StoreRequest::CompareAndSwap(origin, cas) => Input::CasResult {
+                origin,
+                cas: *cas,
+                outcome: Some(CompareAndSwapOutcome::Again),
+                versions: Vec::new(),
+            },
+            other => other.unanswered(),
+        };
+        let at = self.now + wait_us + self.network_delay();
+        self.deliver_at(at, process, input);
+    }
+
+    /// How long the store takes for a request, with message faults and active faults.
+    fn store_delays(&mut self, request: &StoreRequest) -> StoreDelays {
+        let mut delays = self.delays_by_message_faults(request);
+        let scenario = self.scenario.clone();
+        for i in self.affected.keys().copied().collect::<Vec<_>>() {
+            let fault = &scenario.faults[i];
+            match fault.kind {
+                FaultKind::StoreSlow { seconds } => {
+                    let whole_us = self.rng.random_range(seconds.micros());
+                    let before_us = self.rng.random_range(0..=whole_us);
+                    delays.execution_us += before_us;
+                    delays.answer_us = delays.answer_us.map(|us| us + whole_us - before_us);
+                }
+                FaultKind::LateWrites { at_once }
+                    if request.writes() > 0 && self.rng.random::<f64>() < fault.share =>
+                {
+                    if !at_once {
+                        delays.execution_us += self.rng.random_range(LATE_WRITES.micros());
+                    }
+                    delays.answer_us = None;
+                    self.late_writes += 1;
+                }
+                _ => {}
+            }
+        }
+        delays
+    }
+
+    fn delays_by_message_faults(&mut self, request: &StoreRequest) -> StoreDelays {
+        let faults = self.scenario.message_faults;
+        let from_scheduler = request.is_from_scheduler();
+        if from_scheduler && self.happens(faults.late_cas) {
+            return StoreDelays {
+                execution_us: self.rng.random_range(LATE_CAS_MS) * US_PER_MS,
+                answer_us: None,
+            };
+        }
+        let lost = from_scheduler && self.happens(faults.lost_cas_reply);
+        StoreDelays {
+            execution_us: 0,
+            answer_us: (!lost).then_some(0),
+        }
+    }
+
+    /// The store executes a request.
+    pub(super) fn execute_store_request(
+        &mut self,
+        process: ProcessId,
+        request: StoreRequest,
+        answer_us: Option<u64>,
+    ) {
+        let now = self.now;
+        let answer = match request {
+            StoreRequest::StateRead { after, began } => Input::StateRead {
+                began,
+                read: read_watched_keys(&self.store, after),
+            },
+            StoreRequest::StoreLease(Some(lease)) => {
+                Input::StoreLease(self.store.renew_lease(lease, now).then_some(lease))
+            }
+            StoreRequest::StoreLease(None) => {
+                Input::StoreLease(Some(self.store.grant_lease(HOLD_TTL_MS, now)))
+            }
+            StoreRequest::CompareAndSwap(origin, cas) => self.execute_cas(origin, *cas),
+        };
+        if let Some(answer_us) = answer_us {
+            let at = now + answer_us + self.network_delay();
+            self.deliver_at(at, process, answer);
+        }
+    }
+
+    fn execute_cas(&mut self, origin: CasOrigin, cas: CompareAndSwap) -> Input {
+        let mut versions = Vec::new();
+        let outcome = match self.store.compare_and_swap(&cas) {
+            CasAnswer::LeaseExpired => CompareAndSwapOutcome::Again,
+            CasAnswer::TooLarge => CompareAndSwapOutcome::Refused,
+            CasAnswer::Conflict(keys) => {
+                if let CasOrigin::Scheduler(lease) = origin {
+                    versions = self.reread_versions(lease, &keys);
+                }
+                CompareAndSwapOutcome::Conflict(keys)
+            }
+            CasAnswer::Committed(revision) => {
+                self.workload.checker.cas_committed(&cas, self.now);
+                self.metrics.cas_committed(&cas, self.now);
+                self.record_job_ends(&cas, revision);
+                CompareAndSwapOutcome::Done(revision)
+            }
+        };
+        if let (
+            CasOrigin::LeaseKeeper(Some(ElectionAction::Take { shard, .. })),
+            CompareAndSwapOutcome::Done(token),
+        ) = (&origin, &outcome)
+        {
+            let lease = ShardLease {
+                shard: *shard,
+                token: *token,
+            };
+            return self.shard_acquired(lease);
+        }
+        Input::CasResult {
+            origin,
+            cas,
+            outcome: Some(outcome),
+            versions,
+        }
+    }
+
+    /// The versions of the keys that the core wants to read again after a conflict.
+    fn reread_versions(&self, lease: ShardLease, keys: &[String]) -> Vec<(String, u64)> {
+        let version = |key: &str| self.store.get(key).map_or(0, |(_, version)| version);
+        keys_to_reread(lease, keys)
+            .into_iter()
+            .map(|key| (key.to_owned(), version(key)))
+            .collect()
+    }
+
+    /// A shard has a new leader, which gets the shard's records.
+    fn shard_acquired(&mut self, lease: ShardLease) -> Input {
+        self.leader_elected();
+        Input::ShardAcquired {
+            lease,
+            chunks: self.store.list(&run_prefix(lease.shard)),
+            images: self.store.list(&images_prefix(lease.shard)),
+        }
+    }
+
+    fn record_job_ends(&mut self, cas: &CompareAndSwap, revision: u64) {
+        for write in &cas.writes {
+            if let Write::Put { key, .. } = write
+                && let Some(id) = key.strip_prefix("end/").map(JobId::from)
+            {
+                self.workload
+                    .history
+                    .note(self.now, "ended", &id, &revision);
+                self.metrics.job_ended(&id, self.now);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/simulator/src/simulation/user_answers.rs
@@ -0,0 +1,268 @@
+//! How controllers answer users: submissions, polls and withdrawals.
+
+use lemonweir_coordination::dependencies::DependencyAdmission;
+use lemonweir_coordination::job_status::Answer;
+use lemonweir_coordination::placer::CompareAndSwapOutcome;
+use lemonweir_model::JobId;
+use lemonweir_model::constants::{REFRESH_IDLE_MS, SUBMIT_WAIT_MS, USER_TIMEOUT_MS};
+use lemonweir_protocol::kv_store::{CompareAndSwap, Write, from_value};
+use lemonweir_protocol::links::Service;
+use lemonweir_protocol::users::{JobPhase, never_runs};
+use lemonweir_storage::dependencies::chain_key;
+use lemonweir_storage::records::{JobEndRecord, end_key, job_key};
+
+use super::Simulation;
+use super::events::{Event, UserReply};
+use crate::clock::US_PER_MS;
+use crate::controller::{CasOrigin, Input, PendingQuery, UserRequest};
+
+impl Simulation {
+    pub(super) fn handle_submission(&mut self, number: usize, id: JobId) {
+        let (now, now_ms) = (self.now, self.now_ms());
+        let Some(planned) = self.planned.get(&id) else {
+            return;
+        };
+        let spec = planned.job.spec.clone();
+        let controller = &self.controllers[number];
+        let Some(core) = controller.core.as_ref() else {
+            return;
+        };
+        if core.cache.knows(&id) {
+            return match core.answer(&id, now_ms) {
+                Answer::Unfinished(phase, ..) => self.reply(number, id, Some(phase), 200),
+                answer => self.answer_after_read(number, id, UserRequest::Query, answer),
+            };
+        }
+        let never = |catalog| {
+            never_runs(&spec, &self.scenario.teams, &self.scenario.zones, catalog).is_some()
+        };
+        let wait_us = controller
+            .writes
+            .wait(now)
+            .max(controller.requests.wait(now));
+        if core.catalog.as_ref().is_some_and(never) {
+            self.reply(number, id, None, 422);
+        } else if wait_us > SUBMIT_WAIT_MS * US_PER_MS || !core.ready(now_ms) {
+            self.reply(number, id, None, 503);
+        } else {
+            match core.admit(&spec, now_ms) {
+                DependencyAdmission::Accept(cas_list, _) => {
+                    self.send_submission(number, id, &cas_list)
+                }
+                DependencyAdmission::Unknown(ids) => self.resolve_dependencies(number, id, &ids),
+            }
+        }
+    }
+
+    /// Sends the compare-and-swaps of a submission: the last one accepts the job, and further
+    /// pages of its dependencies mean nothing by themselves.
+    fn send_submission(&mut self, number: usize, id: JobId, cas_list: &[CompareAndSwap]) {
+        let (last, pages) = cas_list
+            .split_last()
+            .expect("a job is accepted by a compare-and-swap");
+        for page in pages {
+            self.send_cas(number, CasOrigin::Unattended, page.clone());
+        }
+        let origin = CasOrigin::User(id, UserRequest::Query, self.now);
+        self.send_cas(number, origin, last.clone());
+    }
+
+    /// A submission depends on jobs that its controller does not know: the store tells.
+    fn resolve_dependencies(&mut self, number: usize, id: JobId, ids: &[JobId]) {
+        if !self.service_reachable(number, Service::Store) {
+            return self.reply(number, id, None, 503);
+        }
+        let accepted = |id: &JobId| {
+            [job_key(id), chain_key(id), end_key(id)]
+                .iter()
+                .any(|key| self.store.get(key).is_some())
+        };
+        if !ids.iter().all(accepted) {
+            return self.reply(number, id, None, 422);
+        }
+        self.learn_job_ends(number, ids);
+        self.request_state_read(number);
+        self.deliver_in(
+            REFRESH_IDLE_MS * US_PER_MS,
+            self.process(number),
+            Input::Submit(id),
+        );
+    }
+
+    /// A controller learns the ends of jobs from the store, if it reaches that.
+    pub(super) fn learn_job_ends(&mut self, number: usize, ids: &[JobId]) {
+        if !self.service_reachable(number, Service::Store) {
+            return;
+        }
+        let end = |id: &JobId| {
+            let (value, version) = self.store.get(&end_key(id))?;
+            let record = from_value::<JobEndRecord>(value)?;
+            Some((id.clone(), record.phase, version))
+        };
+        let ends: Vec<(JobId, JobPhase, u64)> = ids.iter().filter_map(end).collect();
+        let now_ms = self.now_ms();
+        if let Some(core) = self.controllers[number].core.as_mut() {
+            for (id, phase, version) in &ends {
+                core.cache.settle(id, *phase, *version, now_ms);
+            }
+        }
+    }
+
+    /// Answers what the cache alone does not, or not yet.
+    pub(super) fn answer_after_read(
+        &mut self,
+        number: usize,
+        id: JobId,
+        request: UserRequest,
+        answer: Answer,
+    ) {
+        match answer {
+            Answer::Over(phase) => self.reply(number, id, Some(phase), 200),
+            Answer::Ends(ids) => {
+                self.learn_job_ends(number, &ids);
+                self.queue_query(number, id, request);
+            }
+            Answer::OverIn(ms) => {
+                let again = match request {
+                    UserRequest::Withdrawal => Input::Withdraw(id),
+                    UserRequest::Query => Input::Poll(id),
+                };
+                self.deliver_in(ms * US_PER_MS, self.process(number), again);
+            }
+            _ => self.queue_query(number, id, request),
+        }
+    }
+
+    /// Answers a poll or a withdrawal from a state read that began after it.
+    pub(super) fn answer_query(&mut self, number: usize, query: PendingQuery, read_worked: bool) {
+        let PendingQuery {
+            asked,
+            job: id,
+            request,
+        } = query;
+        if !read_worked || !self.service_reachable(number, Service::Store) {
+            return self.reply_to(number, id, None, 503, asked);
+        }
+        let now_ms = self.now_ms();
+        let Some(core) = self.controllers[number].core.as_ref() else {
+            return;
+        };
+        if let Some(Answer::Unfinished(phase, ..)) = core.unfinished(&id, now_ms) {
+            return match request {
+                UserRequest::Query => self.reply_to(number, id, Some(phase), 200, asked),
+                UserRequest::Withdrawal => match core.cancellation(&id) {
+                    Some(cas) => self.send_cas(number, CasOrigin::User(id, request, asked), cas),
+                    None => self.reply_to(number, id, None, 503, asked),
+                },
+            };
+        }
+        self.learn_job_ends(number, std::slice::from_ref(&id));
+        if let Some(core) = self.controllers[number]
+            .core
+            .as_ref()
+            .filter(|core| core.cache.knows(&id))
+        {
+            let answer = core.answer(&id, now_ms);
+            return self.answer_after_read(number, id, request, answer);
+        }
+        self.reply_to(number, id, None, 404, asked);
+    }
+
+    /// The compare-and-swap of a submission or a withdrawal ended; `None`: without an answer.
+    pub(super) fn user_cas_finished(
+        &mut self,
+        number: usize,
+        id: JobId,
+        request: UserRequest,
+        asked: u64,
+        cas: &CompareAndSwap,
+        outcome: Option<CompareAndSwapOutcome>,
+    ) {
+        let in_time = self.now < asked + USER_TIMEOUT_MS * US_PER_MS;
+        match (outcome, request) {
+            (Some(CompareAndSwapOutcome::Done(_)), UserRequest::Withdrawal) => {
+                // Its end is told to a later question.
+                self.announce(number, &id);
+                self.reply(number, id, None, 503);
+            }
+            (Some(CompareAndSwapOutcome::Done(_)), UserRequest::Query) => {
+                self.announce(number, &id);
+                // With a cancelled dependency it is cancelled from the start.
+                let ended = cas
+                    .writes
+                    .iter()
+                    .any(|write| matches!(write, Write::Put { key, .. } if *key == end_key(&id)));
+                let phase = if ended {
+                    JobPhase::Withdrawn
+                } else {
+                    JobPhase::Queued
+                };
+                self.reply(number, id, Some(phase), 201);
+            }
+            // Committed before, or changed meanwhile: what the store says now is the answer.
+            (Some(CompareAndSwapOutcome::Conflict(_)), _) => self.queue_query(number, id, request),
+            (None, UserRequest::Withdrawal) if in_time => self.queue_query(number, id, request),
+            (None, UserRequest::Query) if in_time => {
+                let origin = CasOrigin::User(id, request, asked);
+                self.send_cas(number, origin, cas.clone())
+            }
+            _ => self.reply(number, id, None, 503),
+        }
+    }
+
+    pub(super) fn reply(
+        &mut self,
+        controller: usize,
+        id: JobId,
+        phase: Option<JobPhase>,
+        status: u16,
+    ) {
+        self.reply_to(controller, id, phase, status, self.now);
+    }
+
+    /// Answers a question that came at `asked`.
+    fn reply_to(
+        &mut self,
+        controller: usize,
+        job: JobId,
+        phase: Option<JobPhase>,
+        status: u16,
+        asked: u64,
+    ) {
+        let at = self.departure_time(controller) + self.network_delay();
+        let reply = UserReply {
+            job,
+            phase,
+            status,
+            asked,
+        };
+        self.schedule_at(at, Event::Reply(reply));
+    }
+
+    /// Tells the leader of a job's shard that the job has changed.
+    fn announce(&mut self, controller: usize, id: &JobId) {
+        let Some(team) = self.planned.get(id).map(|p| p.job.spec.team.clone()) else {
+            return;
+        };
+        let Some(core) = self.controllers[controller].core.as_ref() else {
+            return;
+        };
+        let shard = core
+            .cache
+            .teams
+            .get(&team)
+            .copied()
+            .unwrap_or_else(|| core.config.default_shard(&team));
+        match self
+            .known_leader(controller, shard)
+            .filter(|leader| *leader != controller)
+        {
+            Some(leader) if !self.controllers_partitioned(controller, leader) => {
+                let at = self.departure_time(controller) + self.network_delay();
+                self.deliver_at(at, self.process(leader), Input::JobAnnounced);
+            }
+            Some(_) => {}
+            None => self.request_state_read(controller),
+        }
+    }
+}
--- a/crates/simulator/src/simulation/users.rs
+++ b/crates/simulator/src/simulation/users.rs
@@ -1,379 +1,323 @@
-//! Users and the load balancer.
+//! Users and the load balancer: users submit a job until it is accepted or refused, poll it,
+//! and withdraw it until its end is confirmed.
 
-use super::*;
+use lemonweir_model::JobId;
+use lemonweir_model::constants::RETRY_AFTER_S;
+use lemonweir_protocol::users::JobPhase;
+use rand::RngExt;
 
-/// µs after which a user looks again whether the jobs that the next one needs are accepted.
-const SUBMIT_AGAIN_US: u64 = 100 * MS;
+use super::Simulation;
+use super::events::{Attempt, Event, UserReply};
+use crate::clock::US_PER_MS;
+use crate::controller::Input;
+use crate::invariants::UserAnswer;
+use crate::job::SimulatedJob;
+use crate::scenario::Link;
+
+/// µs after which a user looks again whether the dependencies of its job are accepted.
+const DEPENDENCY_RETRY_US: u64 = 100 * US_PER_MS;
+/// µs for which a user repeats a submission (protocol page).
+const SUBMISSION_TIMEOUT_US: u64 = 60_000 * US_PER_MS;
+/// µs for which a user waits for the answer to a submission.
+const SUBMISSION_ANSWER_US: u64 = 5_000 * US_PER_MS;
+/// µs for which a user waits for the answer to a poll (protocol page).
+const POLL_ANSWER_US: u64 = 2_000 * US_PER_MS;
+/// µs between two withdrawals of a job.
+const WITHDRAWAL_INTERVAL_US: u64 = 2_000 * US_PER_MS;
+/// µs after which a user who reached no controller tries again.
+const NO_CONTROLLER_RETRY_US: u64 = 1_000 * US_PER_MS;
+/// µs after which a 503 asks users to try again.
+const RETRY_AFTER_US: u64 = RETRY_AFTER_S * 1_000 * US_PER_MS;
+/// Under a poll load one in so many polls is for a job that does not exist.
+const UNKNOWN_JOB_ONE_IN: u32 = 3;
+
+/// What a user knows of a job. Times are µs.
+#[derive(Default)]
+pub(super) struct UserJob {
+    first_submitted: u64,
+    pub(super) accepted_at: Option<u64>,
+    /// It ended, was refused, or its user gave up.
+    pub(super) finished: bool,
+    last_poll: u64,
+    next_poll: u64,
+    next_submission: u64,
+    /// When the user first asked for the job's end.
+    pub(super) withdrawal_requested: Option<u64>,
+}
 
 impl Simulation {
-    pub(super) fn take_submission(&mut self, host: usize, id: JobId) {
-        let Some(planned) = self.plan.get(&id) else {
-            return;
-        };
-        let spec = planned.load.spec.clone();
-        let h = &self.hosts[host];
-        let Some(core) = h.core.as_ref() else { return };
-        let known = core.cache.knows(&id);
-        let wait = h.writes.wait(self.now).max(h.requests.wait(self.now));
-        let never = |catalog| {
-            never_runs(&spec, &self.scenario.teams, &self.scenario.zones, catalog).is_some()
-        };
-        if known {
-            return match core.answer(&id, self.now / MS) {
-                Answer::Unfinished(phase, ..) => self.reply(host, id, Some(phase), 200),
-                answer => self.answer_late(host, id, false, answer),
-            };
-        }
-        if core.catalog.as_ref().is_some_and(never) {
-            self.reply(host, id, None, 422);
-        } else if wait > SUBMIT_WAIT_MS * MS || !core.ready(self.now / MS) {
-            self.reply(host, id, None, 503);
+    // ---- the load balancer -----------------------------------------------------
+
+    /// Some controller that takes requests.
+    fn pick_controller(&mut self) -> Option<usize> {
+        let ready: Vec<usize> = (0..self.controllers.len())
+            .filter(|&number| {
+                self.is_ready(number)
+                    && !self.controller_partitioned(number)
+                    && !self.links_down.contains(&Link::Users(number))
+                    && self.controllers[number].stalled_until <= self.now
+            })
+            .collect();
+        if ready.is_empty() {
+            None
         } else {
-            match core.admit(&spec, self.now / MS) {
-                DependencyAdmission::Accept(cas_list, _) => {
-                    // Further pages of what it awaits mean nothing by themselves.
-                    let (last, pages) = cas_list
-                        .split_last()
-                        .expect("a job is accepted by a transaction");
-                    for page in pages {
-                        self.send_txn(host, CasOrigin::Unattended, page.clone());
-                    }
-                    self.send_txn(host, CasOrigin::User(id, false, self.now), last.clone());
-                }
-                DependencyAdmission::Unknown(ids) => self.find_awaited(host, id, &ids),
-            }
+            Some(ready[self.rng.random_range(0..ready.len())])
         }
     }
 
-    /// A submission awaits jobs that its controller does not know: the store tells.
-    fn find_awaited(&mut self, host: usize, id: JobId, ids: &[JobId]) {
-        if !self.reachable(host, Service::Store) {
-            return self.reply(host, id, None, 503);
-        }
-        let accepted = |id: &JobId| {
-            [job_key(id), chain_key(id), end_key(id)]
-                .iter()
-                .any(|key| self.store.get(key).is_some())
+    /// Sends a user's request to some controller; false: none takes requests.
+    pub(super) fn send_to_any(&mut self, input: Input) -> bool {
+        let Some(controller) = self.pick_controller() else {
+            return false;
         };
-        if !ids.iter().all(accepted) {
-            return self.reply(host, id, None, 422);
-        }
-        self.settle_ends(host, ids);
-        self.want_reading(host);
-        let life = self.hosts[host].life;
-        self.at(
-            REFRESH_IDLE_MS * MS,
-            Event::Deliver(host, life, Box::new(Input::Submit(id))),
-        );
+        let at = self.now + self.network_delay();
+        self.deliver_at(at, self.process(controller), input);
+        true
     }
 
-    /// A controller learns the ends of jobs from the store, if it reaches it.
-    pub(super) fn settle_ends(&mut self, host: usize, ids: &[JobId]) {
-        if !self.reachable(host, Service::Store) {
+    // ---- submissions -----------------------------------------------------------
+
+    pub(super) fn user_submits(&mut self, id: JobId, attempt: Attempt) {
+        let now = self.now;
+        if attempt == Attempt::First && !self.dependencies_accepted(&id) {
             return;
         }
-        let end = |id: &JobId| {
-            let (value, version) = self.store.get(&end_key(id))?;
-            Some((
-                id.clone(),
-                from_value::<JobEndRecord>(value)?.phase,
-                version,
-            ))
-        };
-        let ends: Vec<(JobId, JobPhase, u64)> = ids.iter().filter_map(end).collect();
-        let ms = self.now / MS;
-        if let Some(core) = self.hosts[host].core.as_mut() {
-            ends.iter()
-                .for_each(|(id, phase, version)| core.cache.settle(id, *phase, *version, ms));
+        let user = self.users.entry(id.clone()).or_default();
+        let repeated = attempt == Attempt::Repeated;
+        if user.accepted_at.is_some() || user.finished || repeated && user.next_submission != now {
+            return;
         }
-    }
-
-    /// Answers what memory alone does not, or not yet.
-    pub(super) fn answer_late(&mut self, host: usize, id: JobId, withdraw: bool, answer: Answer) {
-        match answer {
-            Answer::Over(phase) => self.reply(host, id, Some(phase), 200),
-            Answer::Ends(ids) => {
-                self.settle_ends(host, &ids);
-                self.await_reading(host, id, withdraw);
-            }
-            Answer::OverIn(ms) => {
-                let life = self.hosts[host].life;
-                let again = if withdraw {
-                    Input::Withdraw(id)
-                } else {
-                    Input::Poll(id)
-                };
-                self.at(ms * MS, Event::Deliver(host, life, Box::new(again)));
-            }
-            _ => self.await_reading(host, id, withdraw),
+        if !repeated {
+            user.first_submitted = now;
+            self.record_first_submission(&id);
+        } else if now > user.first_submitted + SUBMISSION_TIMEOUT_US {
+            user.finished = true;
+            self.metrics.job_refused();
+            return;
         }
+        let sent = self.send_to_any(Input::Submit(id.clone()));
+        let again_us = if sent {
+            SUBMISSION_ANSWER_US
+        } else {
+            NO_CONTROLLER_RETRY_US
+        };
+        self.schedule_submission(id, again_us);
     }
 
-    /// Answers a poll or a withdrawal from a reading that began after it.
-    pub(super) fn answer_user(
-        &mut self,
-        host: usize,
-        id: JobId,
-        withdraw: bool,
-        good: bool,
-        asked: u64,
-    ) {
-        if !good || !self.reachable(host, Service::Store) {
-            return self.reply_to(host, id, None, 503, asked);
-        }
-        let Some(core) = self.hosts[host].core.as_ref() else {
-            return;
-        };
-        if let Some(Answer::Unfinished(phase, ..)) = core.unfinished(&id, self.now / MS) {
-            let cas = if withdraw {
-                core.cancellation(&id)
-            } else {
-                None
-            };
-            return match cas {
-                Some(cas) => self.send_txn(host, CasOrigin::User(id, true, asked), cas),
-                None if withdraw => self.reply_to(host, id, None, 503, asked),
-                None => self.reply_to(host, id, Some(phase), 200, asked),
+    fn record_first_submission(&mut self, id: &JobId) {
+        if let Some(planned) = self.planned.get_mut(id) {
+            let job = SimulatedJob {
+                spec: planned.job.spec.clone(),
+                run_us: std::mem::take(&mut planned.job.run_us),
+                broken: planned.job.broken,
             };
+            self.workload.checker.submitted(&job.spec);
+            self.workload.jobs.insert(id.clone(), job);
         }
-        self.settle_ends(host, std::slice::from_ref(&id));
-        if let Some(core) = self.hosts[host]
-            .core
-            .as_ref()
-            .filter(|core| core.cache.knows(&id))
-        {
-            let answer = core.answer(&id, self.now / MS);
-            return self.answer_late(host, id, withdraw, answer);
+        let dependencies: Vec<&str> = self
+            .workload
+            .jobs
+            .get(id)
+            .into_iter()
+            .flat_map(|job| job.spec.awaits.iter().map(JobId::as_str))
+            .collect();
+        self.workload
+            .history
+            .note(self.now, "submit", id, &dependencies.join(" "));
+        if !self.unschedulable.contains(id) {
+            self.metrics.job_submitted();
         }
-        self.reply_to(host, id, None, 404, asked);
-    }
-
-    pub(super) fn reply(&mut self, host: usize, id: JobId, phase: Option<JobPhase>, status: u16) {
-        self.reply_to(host, id, phase, status, self.now);
     }
 
-    /// Answers a question that came at `asked`.
-    pub(super) fn reply_to(
-        &mut self,
-        host: usize,
-        id: JobId,
-        phase: Option<JobPhase>,
-        status: u16,
-        asked: u64,
-    ) {
-        let at = self.leaves(host) + self.travel();
-        self.push(at, Event::Reply(id, phase, status, asked));
-    }
-
-    pub(super) fn announce(&mut self, host: usize, id: &JobId) {
-        let Some(team) = self.plan.get(id).map(|p| p.load.spec.team.clone()) else {
-            return;
+    /// Users submit a job once its dependencies are accepted, and not at all where one was
+    /// refused.
+    fn dependencies_accepted(&mut self, id: &JobId) -> bool {
+        let Some(planned) = self.planned.get(id) else {
+            return true;
         };
-        let Some(core) = self.hosts[host].core.as_ref() else {
-            return;
+        let accepted = |id: &JobId| {
+            self.users
+                .get(id)
+                .is_some_and(|user| user.accepted_at.is_some())
         };
-        let shard = core
-            .cache
-            .teams
-            .get(&team)
-            .copied()
-            .unwrap_or_else(|| core.config.default_shard(&team));
-        match self.known_holder(host, shard).filter(|to| *to != host) {
-            Some(to) if !self.is_cut(host, to) => {
-                let (at, life) = (self.leaves(host) + self.travel(), self.hosts[to].life);
-                self.push(at, Event::Deliver(to, life, Box::new(Input::JobAnnounced)));
-            }
-            Some(_) => {}
-            None => self.want_reading(host),
+        let refused =
+            |id: &JobId| !accepted(id) && self.users.get(id).is_some_and(|user| user.finished);
+        let dependencies = &planned.job.spec.awaits;
+        if dependencies.iter().all(accepted) {
+            return true;
         }
+        if !dependencies.iter().any(refused) {
+            self.schedule_in(
+                DEPENDENCY_RETRY_US,
+                Event::Submit(id.clone(), Attempt::First),
+            );
+        }
+        false
     }
 
-    /// The load balancer: some controller that takes requests.
-    pub(super) fn pick_host(&mut self) -> Option<usize> {
-        let ready: Vec<usize> = (0..self.hosts.len())
-            .filter(|&h| {
-                self.ready(h)
-                    && !self.inside_cut(h)
-                    && !self.down.contains(&Link::Users(h))
-                    && self.hosts[h].frozen_until <= self.now
-            })
-            .collect();
-        if ready.is_empty() {
-            None
-        } else {
-            Some(ready[self.rng.random_range(0..ready.len())])
+    /// A user submits again after so long, whatever was planned.
+    fn schedule_submission(&mut self, id: JobId, after_us: u64) {
+        let at = self.now + after_us;
+        if let Some(user) = self.users.get_mut(&id) {
+            user.next_submission = at;
+            self.schedule_at(at, Event::Submit(id, Attempt::Repeated));
         }
     }
 
-    pub(super) fn ask(&mut self, input: Input) -> bool {
-        let Some(host) = self.pick_host() else {
-            return false;
-        };
-        let (at, life) = (self.now + self.travel(), self.hosts[host].life);
-        self.push(at, Event::Deliver(host, life, Box::new(input)));
-        true
-    }
+    // ---- polls and withdrawals -------------------------------------------------
 
-    pub(super) fn poll_us(&self) -> u64 {
-        (self.scenario.poll_s * 1e6 / self.asked_often) as u64
+    fn poll_interval_us(&self) -> u64 {
+        (self.scenario.poll_s * 1e6 / self.poll_factor) as u64
     }
 
-    /// A user asks again after so long, or before that as was planned.
-    pub(super) fn poll_in(&mut self, id: JobId, us: u64) {
-        let at = self.now + us;
+    /// A user polls after so long, or before that as was planned.
+    fn schedule_poll(&mut self, id: JobId, after_us: u64) {
+        let at = self.now + after_us;
         if let Some(user) = self
             .users
             .get_mut(&id)
-            .filter(|u| u.next <= self.now || at < u.next)
+            .filter(|user| user.next_poll <= self.now || at < user.next_poll)
         {
-            user.next = at;
-            self.push(at, Event::Poll(id));
+            user.next_poll = at;
+            self.schedule_at(at, Event::Poll(id));
         }
     }
 
-    pub(super) fn user_submits(&mut self, id: JobId, tries: u64) {
+    pub(super) fn user_polls(&mut self, id: JobId) {
+        if self.poll_factor > 1.0 && self.rng.random_range(0..UNKNOWN_JOB_ONE_IN) == 0 {
+            let unknown = format!("req-{:09}", self.rng.random_range(0..100_000_000));
+            self.send_to_any(Input::Poll(JobId::from(unknown.as_str())));
+        }
         let now = self.now;
-        if !self.awaited_accepted(&id, tries) {
+        let Some(user) = self
+            .users
+            .get_mut(&id)
+            .filter(|user| !user.finished && user.next_poll == now)
+        else {
             return;
-        }
-        let user = self.users.entry(id.clone()).or_default();
-        if user.accepted.is_some() || user.over || tries > 0 && user.again != now {
+        };
+        user.last_poll = now;
+        let sent = self.send_to_any(Input::Poll(id.clone()));
+        let again_us = if sent {
+            POLL_ANSWER_US + self.poll_interval_us()
+        } else {
+            NO_CONTROLLER_RETRY_US
+        };
+        self.schedule_poll(id, again_us);
+    }
+
+    pub(super) fn user_withdraws(&mut self, id: JobId) {
+        let now = self.now;
+        let Some(user) = self.users.get_mut(&id).filter(|user| !user.finished) else {
             return;
+        };
+        // Nobody withdraws what was not accepted yet.
+        if user.accepted_at.is_some() {
+            user.withdrawal_requested.get_or_insert(now);
+            self.send_to_any(Input::Withdraw(id.clone()));
+        }
+        self.schedule_in(WITHDRAWAL_INTERVAL_US, Event::Withdraw(id));
+    }
+
+    // ---- answers ---------------------------------------------------------------
+
+    pub(super) fn user_receives(&mut self, reply: UserReply) {
+        let (now, poll_us) = (self.now, self.poll_interval_us());
+        let UserReply {
+            job: id,
+            phase,
+            status,
+            asked,
+        } = reply;
+        let Some(user) = self.users.get(&id) else {
+            let answer = UserAnswer {
+                phase,
+                accepted: false,
+                asked,
+            };
+            return self.workload.checker.told(&id, answer, now);
+        };
+        if status < 300 && self.unschedulable.contains(&id) {
+            return self.workload.checker.violations.push(format!(
+                "{} ms: accepted_unfit: {id} fits no machine",
+                now / US_PER_MS
+            ));
+        }
+        let accepted_when_asked = user.accepted_at.is_some_and(|at| at <= asked);
+        let (is_accepted, is_finished) = (user.accepted_at.is_some(), user.finished);
+        let answers_poll = matches!(status, 200 | 404) && now <= user.last_poll + POLL_ANSWER_US;
+        if poll_us > 0 && !is_finished && (!is_accepted && status < 300 || answers_poll) {
+            self.workload.checker.answered(&id, now);
         }
-        if tries == 0 {
-            user.first_try = now;
-            if let Some(planned) = self.plan.get_mut(&id) {
-                let run_us = std::mem::take(&mut planned.load.run_us);
-                let load = SimulatedJob {
-                    spec: planned.load.spec.clone(),
-                    run_us,
-                    broken: planned.load.broken,
+        match status {
+            200 | 201 if !is_accepted => self.user_accepted(id, poll_us),
+            422 if is_finished => {}
+            422 => self.user_refused(id),
+            503 if !is_accepted => self.schedule_submission(id, RETRY_AFTER_US),
+            200 | 201 | 404 => {
+                let answer = UserAnswer {
+                    phase,
+                    accepted: accepted_when_asked,
+                    asked,
                 };
-                self.ground.checker.submitted(&load.spec);
-                self.ground.jobs.insert(id.clone(), load);
-            }
-            let awaits = self
-                .ground
-                .jobs
-                .get(&id)
-                .map(|load| load.spec.awaits.clone())
-                .unwrap_or_default();
-            let awaits: Vec<&str> = awaits.iter().map(JobId::as_str).collect();
-            self.ground
-                .history
-                .note(now, "submit", &id, &awaits.join(" "));
-            if !self.unfit.contains(&id) {
-                self.measures.submitted();
+                self.workload.checker.told(&id, answer, now);
+                self.user_told_phase(id, phase, poll_us);
             }
-        } else if now > user.first_try + PATIENCE_US {
-            user.over = true;
-            self.measures.refused();
-            return;
+            _ if poll_us > 0 && !is_finished => self.schedule_poll(id, poll_us),
+            _ => {}
         }
-        let sent = self.ask(Input::Submit(id.clone()));
-        // No answer within 5 s, or none to ask: again.
-        self.submit_in(id, if sent { 5_000 * MS } else { 1_000 * MS });
     }
 
-    /// Users submit a job once those that it needs are accepted, and not at all where one
-    /// was refused.
-    fn awaited_accepted(&mut self, id: &JobId, tries: u64) -> bool {
-        let Some(planned) = self.plan.get(id).filter(|_| tries == 0) else {
-            return true;
-        };
-        let of = |id: &JobId| {
-            self.users
-                .get(id)
-                .map_or((false, false), |user| (user.accepted.is_some(), user.over))
+    fn user_accepted(&mut self, id: JobId, poll_us: u64) {
+        let now = self.now;
+        let Some(user) = self.users.get_mut(&id) else {
+            return;
         };
-        let awaited: Vec<(bool, bool)> = planned.load.spec.awaits.iter().map(of).collect();
-        if awaited.iter().all(|(accepted, _)| *accepted) {
-            return true;
-        }
-        if awaited.iter().all(|(accepted, over)| *accepted || !over) {
-            self.at(SUBMIT_AGAIN_US, Event::Submit(id.clone(), 0));
+        user.accepted_at = Some(now);
+        let first_submitted = user.first_submitted;
+        self.workload.history.note(now, "accepted", &id, &"");
+        let spec = self.workload.jobs.get(&id).map(|job| job.spec.clone());
+        self.metrics
+            .job_accepted(&id, first_submitted, now, spec.as_deref());
+        if poll_us > 0 {
+            self.schedule_poll(id.clone(), poll_us);
         }
-        false
+        self.job_accepted(&id);
     }
 
-    /// A user submits again after so long, whatever was planned.
-    fn submit_in(&mut self, id: JobId, us: u64) {
-        let at = self.now + us;
+    fn user_refused(&mut self, id: JobId) {
         if let Some(user) = self.users.get_mut(&id) {
-            user.again = at;
-            self.push(at, Event::Submit(id, 1));
+            user.finished = true;
+        }
+        self.workload.checker.refused(&id);
+        if !self.unschedulable.contains(&id) {
+            self.metrics.job_refused();
         }
+        self.query_burst(&id);
     }
 
-    pub(super) fn user_hears(
-        &mut self,
-        id: JobId,
-        phase: Option<JobPhase>,
-        status: u16,
-        asked: u64,
-    ) {
-        let (now, poll) = (self.now, self.poll_us());
+    /// A user of an accepted job was told its phase; `None`: 404.
+    fn user_told_phase(&mut self, id: JobId, phase: Option<JobPhase>, poll_us: u64) {
+        let now = self.now;
         let Some(user) = self.users.get_mut(&id) else {
-            return self.ground.checker.told(&id, phase, false, asked, now);
+            return;
         };
-        if status < 300 && self.unfit.contains(&id) {
-            return self.ground.checker.broken.push(format!(
-                "{} ms: accepted_unfit: {id} fits no machine",
-                now / MS
-            ));
-        }
-        let accepted = user.accepted.is_some_and(|at| at <= asked);
-        if poll > 0
-            && !user.over
-            && (user.accepted.is_none() && status < 300
-                || matches!(status, 200 | 404) && now <= user.asked + ANSWER_US)
-        {
-            self.ground.checker.answered(&id, now);
-        }
-        match status {
-            200 | 201 if user.accepted.is_none() => {
-                user.accepted = Some(now);
-                self.ground.history.note(now, "accepted", &id, &"");
-                let spec = self.ground.jobs.get(&id).map(|l| l.spec.clone());
-                self.measures
-                    .accepted(&id, user.first_try, now, spec.as_deref());
-                if poll > 0 {
-                    self.poll_in(id.clone(), poll);
-                }
-                self.accepted_closely(&id);
-            }
-            422 if user.over => {}
-            422 => {
-                user.over = true;
-                self.ground.checker.refused(&id);
-                if !self.unfit.contains(&id) {
-                    self.measures.refused();
-                }
-                self.look_closely(&id);
+        let ended = matches!(phase, Some(JobPhase::Done | JobPhase::Withdrawn));
+        if ended && !user.finished {
+            user.finished = true;
+            if let Some(requested) = user.withdrawal_requested {
+                self.metrics.withdrawal_confirmed(now - requested);
             }
-            503 if user.accepted.is_none() => self.submit_in(id, RETRY_AFTER_S * 1_000 * MS),
-            200 | 201 | 404 => {
-                self.ground.checker.told(&id, phase, accepted, asked, now);
-                let over = matches!(phase, Some(JobPhase::Done | JobPhase::Withdrawn));
-                if over && !user.over {
-                    user.over = true;
-                    if let Some(at) = user.withdrew {
-                        self.measures.withdrawal_told(now - at);
-                    }
-                    self.ground.checker.asked_last(&id);
-                    self.ground
-                        .history
-                        .note(now, "told over", &id, &format!("{phase:?}"));
-                    if phase == Some(JobPhase::Withdrawn) {
-                        self.ground.checker.withdrawn(&id, now);
-                    }
-                    self.look_closely(&id);
-                } else if poll > 0 && !over {
-                    self.poll_in(id, poll);
-                }
+            self.workload.checker.no_longer_awaited(&id);
+            self.workload
+                .history
+                .note(now, "told over", &id, &format!("{phase:?}"));
+            if phase == Some(JobPhase::Withdrawn) {
+                self.workload.checker.withdrawn(&id, now);
             }
-            _ if poll > 0 && !user.over => self.poll_in(id, poll),
-            _ => {}
+            self.query_burst(&id);
+        } else if poll_us > 0 && !ended {
+            self.schedule_poll(id, poll_us);
         }
     }
 }
--- a/crates/simulator/src/simulation/workers.rs
+++ b/crates/simulator/src/simulation/workers.rs
@@ -1,197 +1,228 @@
-//! Workers: their reports, the answers, and the orders that reach them.
+//! Workers: their heartbeats, the answers, and the commands that reach them.
 
-use super::*;
+use lemonweir_coordination::HeartbeatAnswer;
+use lemonweir_coordination::owner::CommandResult;
+use lemonweir_model::constants::COMMAND_TIMEOUT_MS;
+use lemonweir_protocol::worker::{Heartbeat, HeartbeatResponse};
+use rand::RngExt;
+
+use super::events::{CommandDelivery, Event};
+use super::{Simulation, machine_number};
+use crate::clock::{NEVER_US, US_PER_MS};
+use crate::controller::{HeartbeatRef, Input, ProcessId, SentHeartbeat};
+use crate::scenario::host_name;
+use crate::worker::{ReceivedAnswer, Worker};
+use crate::workload_state::WorkloadState;
+
+/// µs after which a worker whose controller is down or unable tries the next one.
+const NEXT_AFTER_REFUSAL_US: u64 = 1_000 * US_PER_MS;
+/// No response within 4 s, then the next controller 1 s later, µs.
+const NEXT_AFTER_TIMEOUT_US: u64 = 5_000 * US_PER_MS;
+/// µs after which a worker follows a redirect.
+const REDIRECT_US: u64 = 100 * US_PER_MS;
+/// Least interval of heartbeats as a share of the usual one, and by how much the longest
+/// exceeds it.
+const LEAST_INTERVAL_SHARE: f64 = 0.75;
+const INTERVAL_SHARE_RANGE: f64 = 0.5;
+
+/// A heartbeat that a worker sends now.
+struct OutgoingHeartbeat {
+    heartbeat: Heartbeat,
+    controller: usize,
+    /// The machine has lost the network.
+    silent: bool,
+}
 
 impl Simulation {
-    pub(super) fn wake_worker(&mut self, number: usize) {
-        let Some(w) = self.workers.get_mut(number).and_then(Option::as_mut) else {
+    /// Schedules a worker's next event, if it comes before the scheduled one.
+    pub(super) fn schedule_worker(&mut self, number: usize) {
+        let Some(worker) = self.workers.get_mut(number).and_then(Option::as_mut) else {
             return;
         };
-        let at = w.next_event().max(self.now);
-        if at < w.wake_at && at != NEVER {
-            w.wake_at = at;
-            self.push(at, Event::WorkerWakes(number));
+        let at = worker.next_event().max(self.now);
+        if at < worker.wake_at && at != NEVER_US {
+            worker.wake_at = at;
+            self.schedule_at(at, Event::WorkerWakes(number));
         }
     }
 
-    /// What happened on one machine reaches others.
-    pub(super) fn pass_calls(&mut self) {
-        for call in std::mem::take(&mut self.ground.calls) {
-            self.at(0, Event::GangSignal(call));
+    /// What happened on one machine reaches the others of its gang, and users.
+    pub(super) fn dispatch_gang_signals(&mut self) {
+        for signal in std::mem::take(&mut self.workload.signals) {
+            self.schedule_in(0, Event::GangSignal(signal));
         }
-        let completed = std::mem::take(&mut self.ground.completed);
+        let completed = std::mem::take(&mut self.workload.completed);
         self.jobs_completed(completed);
     }
 
-    /// Lets a machine and whom it reaches go on.
+    /// Lets something happen on a machine, and what follows from it.
     pub(super) fn with_worker<T>(
         &mut self,
         number: usize,
         work: impl FnOnce(&mut Worker, &mut WorkloadState) -> T,
     ) -> Option<T> {
-        let mut w = self.workers.get_mut(number)?.take()?;
-        let result = work(&mut w, &mut self.ground);
-        self.workers[number] = Some(w);
-        self.wake_worker(number);
-        self.pass_calls();
+        let mut worker = self.workers.get_mut(number)?.take()?;
+        let result = work(&mut worker, &mut self.workload);
+        self.workers[number] = Some(worker);
+        self.schedule_worker(number);
+        self.dispatch_gang_signals();
         Some(result)
     }
 
-    pub(super) fn worker_wakes(&mut self, number: usize) {
-        let (now, hosts) = (self.now, self.hosts.len());
+    pub(super) fn run_worker(&mut self, number: usize) {
+        let (now, controllers) = (self.now, self.controllers.len());
         match self.workers.get_mut(number).and_then(Option::as_mut) {
-            Some(w) if w.wake_at == now => w.wake_at = NEVER,
+            Some(worker) if worker.wake_at == now => worker.wake_at = NEVER_US,
             _ => return,
         }
-        let due = self.with_worker(number, |w, ground| {
-            w.advance(now, ground);
-            (w.hung_until <= now && w.due(now, hosts)).then(|| (w.report(now), w.node, w.silent))
+        let due = self.with_worker(number, |worker, workload| {
+            worker.advance(now, workload);
+            let sends = worker.hung_until <= now && worker.begin_heartbeat(now, controllers);
+            sends.then(|| OutgoingHeartbeat {
+                heartbeat: worker.heartbeat(now),
+                controller: worker.controller,
+                silent: worker.silent,
+            })
         });
-        if let Some(Some((report, host, silent))) = due {
-            self.send_report(number, report, host, silent);
+        if let Some(Some(outgoing)) = due {
+            self.send_heartbeat(number, outgoing);
         }
     }
 
-    pub(super) fn send_report(
-        &mut self,
-        number: usize,
-        report: Heartbeat,
-        host: usize,
-        silent: bool,
-    ) {
+    fn send_heartbeat(&mut self, number: usize, outgoing: OutgoingHeartbeat) {
+        let OutgoingHeartbeat {
+            heartbeat,
+            controller,
+            silent,
+        } = outgoing;
         if silent {
-            return self.wake_worker(number);
-        }
-        self.copy_report(number, &report, host);
-        let (now, at) = (self.now, self.now + self.travel());
-        if self.hosts[host].core.is_none() {
-            let next = (host + 1) % self.hosts.len();
-            self.with_worker(number, |w, _| w.turn_away(now, next, 1_000 * MS));
-            return;
+            return self.schedule_worker(number);
         }
-        if self.mute(number) {
-            let next = (host + 1) % self.hosts.len();
-            self.with_worker(number, |w, _| w.turn_away(now, next, 1_000 * MS));
-            return;
+        self.duplicate_heartbeat(number, &heartbeat, controller);
+        let (now, at) = (self.now, self.now + self.network_delay());
+        let next = (controller + 1) % self.controllers.len();
+        if self.controllers[controller].core.is_none() || self.outbound_lost(number) {
+            return self.redirect_worker(number, next, NEXT_AFTER_REFUSAL_US);
         }
-        if self.far(host, number) {
-            // No response within 4 s, then the next node 1 s later.
-            let next = (host + 1) % self.hosts.len();
-            self.with_worker(number, |w, _| w.turn_away(now, next, 5_000 * MS));
-            return;
+        if self.machine_partitioned(controller, number) {
+            return self.redirect_worker(number, next, NEXT_AFTER_TIMEOUT_US);
         }
-        let life = self.hosts[host].life;
-        self.push(
-            at,
-            Event::Deliver(host, life, Box::new(Input::Heartbeat(number, report, now))),
-        );
+        let sent = SentHeartbeat {
+            machine: number,
+            heartbeat,
+            sent: now,
+        };
+        self.deliver_at(at, self.process(controller), Input::Heartbeat(sent));
     }
 
-    /// An answer goes to a machine, if it hears that controller.
-    pub(super) fn answer(
+    fn redirect_worker(&mut self, number: usize, controller: usize, after_us: u64) {
+        let now = self.now;
+        self.with_worker(number, |worker, _| {
+            worker.redirect(now, controller, after_us)
+        });
+    }
+
+    /// An answer goes to a machine, if that receives what the controller answers.
+    pub(super) fn send_heartbeat_answer(
         &mut self,
         at: u64,
-        host: usize,
-        number: usize,
-        session: u64,
-        sent: u64,
+        controller: usize,
+        heartbeat: HeartbeatRef,
         answer: HeartbeatAnswer,
     ) {
-        if !self.deaf(host, number, false) {
-            let at = at + self.held().unwrap_or(0);
-            self.push(at, Event::HeartbeatAnswer(number, session, sent, Box::new(answer)));
+        if !self.answer_dropped(controller, heartbeat.machine) {
+            let at = at + self.draw_call_delay().unwrap_or(0);
+            self.schedule_at(at, Event::HeartbeatAnswer(heartbeat, Box::new(answer)));
         }
     }
 
-    pub(super) fn worker_answered(
+    pub(super) fn handle_heartbeat_answer(
         &mut self,
-        number: usize,
-        session: u64,
-        sent: u64,
+        heartbeat: HeartbeatRef,
         answer: HeartbeatAnswer,
     ) {
-        let (now, hosts) = (self.now, self.hosts.len());
-        let spread = 0.75 + 0.5 * self.rng.random::<f64>();
-        let next = (self.scenario.workers.report_s * 1e6 * spread) as u64;
-        let node = self
-            .workers
-            .get(number)
-            .and_then(Option::as_ref)
-            .filter(|w| !w.silent)
-            .map(|w| w.node);
-        let Some(node) = node else { return };
-        let elsewhere = |name: &str| (0..hosts).find(|h| crate::scenario::host_name(*h) == name);
+        let (now, number, controllers) = (self.now, heartbeat.machine, self.controllers.len());
+        let share = LEAST_INTERVAL_SHARE + INTERVAL_SHARE_RANGE * self.rng.random::<f64>();
+        let next_us = (self.scenario.workers.report_s * 1e6 * share) as u64;
+        let Some(controller) = self
+            .worker(number)
+            .filter(|worker| !worker.silent)
+            .map(|worker| worker.controller)
+        else {
+            return;
+        };
+        let next = (controller + 1) % controllers;
         match answer {
-            HeartbeatAnswer::Orders(reply) => {
-                let reply: HeartbeatResponse = reply;
-                self.with_worker(number, |w, ground| {
-                    w.answered(session, sent, &reply, next, now, ground)
+            HeartbeatAnswer::Orders(response) => {
+                let response: HeartbeatResponse = response;
+                let answer = ReceivedAnswer {
+                    session: heartbeat.session,
+                    sent: heartbeat.sent,
+                    response: &response,
+                    next_us,
+                };
+                self.with_worker(number, |worker, workload| {
+                    worker.handle_answer(&answer, now, workload)
                 });
             }
             HeartbeatAnswer::Elsewhere(name) => {
-                let to = elsewhere(&name).unwrap_or((node + 1) % hosts);
-                self.with_worker(number, |w, _| w.turn_away(now, to, 100 * MS));
+                let named = (0..controllers).find(|number| host_name(*number) == name);
+                self.redirect_worker(number, named.unwrap_or(next), REDIRECT_US);
             }
             HeartbeatAnswer::Unable | HeartbeatAnswer::Carry(_) => {
-                self.with_worker(number, |w, _| {
-                    w.turn_away(now, (node + 1) % hosts, 1_000 * MS)
-                });
+                self.redirect_worker(number, next, NEXT_AFTER_REFUSAL_US)
             }
         }
     }
 
-    pub(super) fn orders_arrive(
-        &mut self,
-        host: usize,
-        life: u64,
-        lease: ShardLease,
-        call: CommandCall,
-        late: bool,
-    ) {
+    pub(super) fn commands_arrive(&mut self, process: ProcessId, delivery: CommandDelivery) {
+        let CommandDelivery { lease, call, late } = delivery;
         let (now, number) = (self.now, machine_number(&call.machine));
-        if late && self.deaf(call.through.map_or(host, usize::from), number, true) {
+        let sender = call.through.map_or(process.controller, usize::from);
+        if late && self.command_dropped(sender, number) {
             return;
         }
-        let hung = self
-            .workers
-            .get(number)
-            .and_then(Option::as_ref)
-            .map(|w| w.hung_until)
-            .filter(|at| *at > now);
-        if let Some(at) = hung {
-            // A machine that continues executes what came meanwhile.
+        let hung_until = self
+            .worker(number)
+            .map(|worker| worker.hung_until)
+            .filter(|until| *until > now);
+        if let Some(until) = hung_until {
+            // A machine that goes on executes what came meanwhile.
             if !late {
                 let unknown = Input::CommandResult(lease, call.clone(), CommandResult::Unknown);
-                self.at(
-                    COMMAND_TIMEOUT_MS * MS,
-                    Event::Deliver(host, life, Box::new(unknown)),
-                );
+                self.deliver_in(COMMAND_TIMEOUT_MS * US_PER_MS, process, unknown);
             }
-            return self.push(at, Event::Commands(host, life, lease, Box::new(call), true));
+            let delivery = CommandDelivery {
+                lease,
+                call,
+                late: true,
+            };
+            return self.schedule_at(until, Event::Commands(process, delivery));
         }
-        let answer = self.with_worker(number, |w, ground| w.commands(&call.commands, now, ground));
-        let result = match answer {
+        let reply = self.with_worker(number, |worker, workload| {
+            worker.handle_commands(&call.commands, now, workload)
+        });
+        let result = match reply {
             None => CommandResult::NotSent,
-            Some((true, report)) => CommandResult::Executed(report),
-            Some((false, report)) => CommandResult::Refused(report),
+            Some(reply) if reply.executed => CommandResult::Executed(reply.heartbeat),
+            Some(reply) => CommandResult::Refused(reply.heartbeat),
         };
         if !late {
-            let at = now + self.travel();
-            self.push(
-                at,
-                Event::Deliver(host, life, Box::new(Input::CommandResult(lease, call, result))),
-            );
+            let at = now + self.network_delay();
+            self.deliver_at(at, process, Input::CommandResult(lease, call, result));
         }
     }
 
-    /// A machine is no more.
-    pub(super) fn take_machine(&mut self, number: usize) {
+    /// A machine is gone with all that is on it.
+    pub(super) fn remove_machine(&mut self, number: usize) {
         let now = self.now;
-        if let Some(mut w) = self.workers.get_mut(number).and_then(Option::take) {
-            w.kill_all(now, &mut self.ground);
-            self.ground.history.note(now, "machine gone", &w.id, &"");
-            self.cloud.gone(number, now);
-            self.pass_calls();
+        if let Some(mut worker) = self.workers.get_mut(number).and_then(Option::take) {
+            worker.kill_all(now, &mut self.workload);
+            self.workload
+                .history
+                .note(now, "machine gone", &worker.id, &"");
+            self.cloud.remove(number, now);
+            self.dispatch_gang_signals();
         }
     }
 }
--- a/crates/simulator/src/store.rs
+++ b/crates/simulator/src/store.rs
@@ -1,5 +1,5 @@
-//! A stand-in for the state service, from the protocol page: versions,
-//! conditions, changes, holds, limits.
+//! A simulated state service, from the protocol page: versions, compare-and-swap on
+//! conditions, watches, leases, limits.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -8,32 +8,32 @@
 use lemonweir_protocol::kv_store::{CompareAndSwap, KeyValue, WatchEvent, Write};
 use rmpv::Value;
 
-/// Changes that it keeps (protocol page).
-const KEPT: usize = 10_000;
+/// Watch events that it keeps (protocol page).
+const KEPT_EVENTS: usize = 10_000;
 
 /// A stored value.
 #[derive(Clone)]
 struct StoredValue {
     value: Value,
     version: u64,
-    hold: Option<u64>,
+    lease: Option<u64>,
 }
 
 struct StoreLease {
     ttl_us: u64,
-    ends_us: u64,
+    expires_us: u64,
     keys: BTreeSet<String>,
 }
 
-/// How a transaction ended.
+/// How a compare-and-swap ended.
 pub enum CasAnswer {
-    /// Made, at this revision.
+    /// Committed at this revision.
     Committed(u64),
-    /// Not made: these keys had another version.
+    /// Not committed: these keys had another version.
     Conflict(Vec<String>),
-    /// It names a hold that is no more.
+    /// It names a lease that has expired.
     LeaseExpired,
-    /// It has more changes, or a larger value, than the store takes.
+    /// It has more writes, or a larger value, than the store takes.
     TooLarge,
 }
 
@@ -57,23 +57,33 @@
     }
 }
 
+/// Requests that the store admitted.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct ServedCounts {
+    /// Requests.
+    pub requests: u64,
+    /// Writes in them.
+    pub writes: u64,
+}
+
 /// The store.
 pub struct Store {
     /// Revision of the newest change.
     pub revision: u64,
     /// True in an outage.
     pub down: bool,
-    /// Requests and changes served.
-    pub served: (u64, u64),
+    /// What it served.
+    pub served: ServedCounts,
     keys: BTreeMap<String, StoredValue>,
-    log: VecDeque<WatchEvent>,
-    holds: BTreeMap<u64, StoreLease>,
-    next_hold: u64,
+    events: VecDeque<WatchEvent>,
+    leases: BTreeMap<u64, StoreLease>,
+    next_lease: u64,
     requests: RateLimit,
     writes: RateLimit,
-    /// Bytes of a value in the form that limits count, and changes of a transaction.
+    /// Bytes of a value as JSON at most.
     value_bytes: usize,
-    txn_ops: usize,
+    /// Writes of a compare-and-swap at most.
+    cas_writes: usize,
 }
 
 impl Store {
@@ -87,27 +97,27 @@
         Self {
             revision: 0,
             down: false,
-            served: (0, 0),
+            served: ServedCounts::default(),
             keys: BTreeMap::new(),
-            log: VecDeque::new(),
-            holds: BTreeMap::new(),
-            next_hold: 0,
+            events: VecDeque::new(),
+            leases: BTreeMap::new(),
+            next_lease: 0,
             requests: rate(limits.rps),
             writes: rate(limits.write_rps),
             value_bytes: (limits.value_kb * 1024.0) as usize,
-            txn_ops: limits.txn_ops,
+            cas_writes: limits.txn_ops,
         }
     }
 
-    /// From now on it has its next limits. What is stored stays.
+    /// From now on its next limits hold. What is stored stays.
     pub fn lower_limits(&mut self, limits: &StateLimits) {
         self.requests.per_s = limits.least_rps();
         self.writes.per_s = limits.least_write_rps();
         self.value_bytes = (limits.least_value_kb() * 1024.0) as usize;
-        self.txn_ops = limits.least_txn_ops();
+        self.cas_writes = limits.least_txn_ops();
     }
 
-    fn takes(&self, cas: &CompareAndSwap) -> bool {
+    fn within_limits(&self, cas: &CompareAndSwap) -> bool {
         // A value that can't be written as JSON has no size that counts.
         let bytes = |value: &Value| serde_json::to_vec(value).map_or(0, |text| text.len());
         let fits = |write: &Write| {
@@ -117,17 +127,18 @@
                 true
             }
         };
-        cas.writes.len() <= self.txn_ops
-            && cas.conditions.len() <= CONDITIONS_A_CHANGE * self.txn_ops
+        cas.writes.len() <= self.cas_writes
+            && cas.conditions.len() <= CONDITIONS_A_CHANGE * self.cas_writes
             && cas.writes.iter().all(fits)
     }
 
-    /// False: 429, the request is over the limits.
+    /// Counts a request against the limits; false: 429, it is over them.
     pub fn admit(&mut self, writes: usize, now: u64) -> bool {
         let good =
             self.requests.take(1.0, now) && (writes == 0 || self.writes.take(writes as f64, now));
         if good {
-            self.served = (self.served.0 + 1, self.served.1 + writes as u64);
+            self.served.requests += 1;
+            self.served.writes += writes as u64;
         }
         good
     }
@@ -151,42 +162,44 @@
         .collect()
     }
 
-    /// The changes under a prefix since a revision; `None`: too old.
+    /// The watch events under a prefix since a revision; `None`: it is too old.
     pub fn changes(&self, prefix: &str, after: u64) -> Option<Vec<WatchEvent>> {
-        if self.log.front().is_some_and(|c| c.version > after + 1) && self.log.len() >= KEPT {
+        if self.events.front().is_some_and(|c| c.version > after + 1)
+            && self.events.len() >= KEPT_EVENTS
+        {
             return None;
         }
-        let from = self.log.partition_point(|c| c.version <= after);
+        let from = self.events.partition_point(|c| c.version <= after);
         let under = |c: &&WatchEvent| {
             c.set
                 .as_ref()
                 .or(c.drop.as_ref())
                 .is_some_and(|k| k.starts_with(prefix))
         };
-        Some(self.log.range(from..).filter(under).cloned().collect())
+        Some(self.events.range(from..).filter(under).cloned().collect())
     }
 
-    fn note(&mut self, change: WatchEvent) {
-        self.log.push_back(change);
-        if self.log.len() > KEPT {
-            self.log.pop_front();
+    fn record(&mut self, event: WatchEvent) {
+        self.events.push_back(event);
+        if self.events.len() > KEPT_EVENTS {
+            self.events.pop_front();
         }
     }
 
     fn detach(&mut self, key: &str) {
-        if let Some(hold) = self.keys.get(key).and_then(|h| h.hold)
-            && let Some(h) = self.holds.get_mut(&hold)
+        if let Some(lease) = self.keys.get(key).and_then(|stored| stored.lease)
+            && let Some(lease) = self.leases.get_mut(&lease)
         {
-            h.keys.remove(key);
+            lease.keys.remove(key);
         }
     }
 
-    fn set(&mut self, key: &str, value: Value, hold: Option<u64>) {
+    fn set(&mut self, key: &str, value: Value, lease: Option<u64>) {
         self.detach(key);
-        if let Some(h) = hold.and_then(|h| self.holds.get_mut(&h)) {
-            h.keys.insert(key.to_owned());
+        if let Some(lease) = lease.and_then(|id| self.leases.get_mut(&id)) {
+            lease.keys.insert(key.to_owned());
         }
-        self.note(WatchEvent {
+        self.record(WatchEvent {
             set: Some(key.to_owned()),
             drop: None,
             value: Some(value.clone()),
@@ -197,7 +210,7 @@
             StoredValue {
                 value,
                 version: self.revision,
-                hold,
+                lease,
             },
         );
     }
@@ -205,7 +218,7 @@
     fn remove(&mut self, key: &str) {
         self.detach(key);
         if self.keys.remove(key).is_some() {
-            self.note(WatchEvent {
+            self.record(WatchEvent {
                 set: None,
                 drop: Some(key.to_owned()),
                 value: None,
@@ -214,13 +227,13 @@
         }
     }
 
-    /// Makes a transaction.
-    pub fn cas(&mut self, cas: &CompareAndSwap) -> CasAnswer {
-        if !self.takes(cas) {
+    /// Executes a compare-and-swap.
+    pub fn compare_and_swap(&mut self, cas: &CompareAndSwap) -> CasAnswer {
+        if !self.within_limits(cas) {
             return CasAnswer::TooLarge;
         }
-        let hold = |w: &Write| {
-            if let Write::Put { hold, .. } = w {
+        let lease_of = |write: &Write| {
+            if let Write::Put { hold, .. } = write {
                 *hold
             } else {
                 None
@@ -229,8 +242,8 @@
         if cas
             .writes
             .iter()
-            .filter_map(hold)
-            .any(|h| !self.holds.contains_key(&h))
+            .filter_map(lease_of)
+            .any(|lease| !self.leases.contains_key(&lease))
         {
             return CasAnswer::LeaseExpired;
         }
@@ -258,42 +271,46 @@
         CasAnswer::Committed(self.revision)
     }
 
-    /// Opens a hold.
-    pub fn hold(&mut self, ttl_ms: u64, now: u64) -> u64 {
-        self.next_hold += 1;
+    /// Grants a lease and returns its id.
+    pub fn grant_lease(&mut self, ttl_ms: u64, now: u64) -> u64 {
+        self.next_lease += 1;
         let ttl_us = ttl_ms * 1_000;
-        self.holds.insert(
-            self.next_hold,
+        self.leases.insert(
+            self.next_lease,
             StoreLease {
                 ttl_us,
-                ends_us: now + ttl_us,
+                expires_us: now + ttl_us,
                 keys: BTreeSet::new(),
             },
         );
-        self.next_hold
+        self.next_lease
     }
 
-    /// Renews a hold; false: it has ended.
-    pub fn renew(&mut self, hold: u64, now: u64) -> bool {
-        self.holds
-            .get_mut(&hold)
-            .map(|h| h.ends_us = now + h.ttl_us)
+    /// Renews a lease; false: it has expired.
+    pub fn renew_lease(&mut self, lease: u64, now: u64) -> bool {
+        self.leases
+            .get_mut(&lease)
+            .map(|lease| lease.expires_us = now + lease.ttl_us)
             .is_some()
     }
 
-    /// Ends the holds whose time is over, with their keys.
-    pub fn expire(&mut self, now: u64) {
+    /// Expires the leases whose time is over, with their keys.
+    pub fn expire_leases(&mut self, now: u64) {
         if self.down {
             return;
         }
         let over: Vec<u64> = self
-            .holds
+            .leases
             .iter()
-            .filter(|(_, h)| now > h.ends_us)
+            .filter(|(_, lease)| now > lease.expires_us)
             .map(|(id, _)| *id)
             .collect();
         for id in over {
-            let keys = self.holds.remove(&id).map(|h| h.keys).unwrap_or_default();
+            let keys = self
+                .leases
+                .remove(&id)
+                .map(|lease| lease.keys)
+                .unwrap_or_default();
             if !keys.is_empty() {
                 self.revision += 1;
             }
@@ -303,11 +320,11 @@
         }
     }
 
-    /// An outage is over: all holds get their full time back.
+    /// An outage is over: all leases get their full time back.
     pub fn recover(&mut self, now: u64) {
         self.down = false;
-        self.holds
+        self.leases
             .values_mut()
-            .for_each(|h| h.ends_us = now + h.ttl_us);
+            .for_each(|lease| lease.expires_us = now + lease.ttl_us);
     }
 }
--- a/crates/simulator/src/sweep.rs
+++ b/crates/simulator/src/sweep.rs
@@ -9,9 +9,11 @@
 use indicatif::{ProgressBar, ProgressStyle};
 use statrs::distribution::{ContinuousCDF, StudentsT};
 
-use crate::metrics::{RunReport, histogram};
-use crate::run::{self, RunOutcome, Placer, WorkloadReplay, LoadSource};
+use crate::histograms::histogram;
+use crate::report::{RunOutcome, RunReport};
+use crate::run::{LoadSource, Placer, RunError, run_once};
 use crate::scenario::Scenario;
+use crate::workload_replay::WorkloadReplay;
 
 /// Seeds: one, or `FIRST..LAST`, both taken.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -73,10 +75,10 @@
     workload: Option<&WorkloadReplay>,
     seeds: &Seeds,
     jobs: usize,
-) -> Result<Vec<RunOutcome>, String> {
+) -> Result<Vec<RunOutcome>, RunError> {
     let source = || workload.map_or(LoadSource::Synthetic, |w| LoadSource::Workload(w.clone()));
     each(seeds, jobs, |seed| {
-        run::once(scenario.clone(), source(), placer, seed, None)
+        run_once(scenario.clone(), source(), placer, seed, None)
     })
     .into_iter()
     .collect()
@@ -89,19 +91,19 @@
         ("allocation 90 %, ms".to_owned(), r.allocation.p90),
         ("allocation 99 %, ms".to_owned(), r.allocation.p99),
         ("allocation 99.9 %, ms".to_owned(), r.allocation.p999),
-        ("starts".to_owned(), r.starts as f64),
-        ("jobs over".to_owned(), r.jobs.over as f64),
-        ("money".to_owned(), r.money),
-        ("useful share".to_owned(), r.useful),
+        ("starts".to_owned(), r.task_starts as f64),
+        ("jobs over".to_owned(), r.jobs.ended as f64),
+        ("money".to_owned(), r.cost),
+        ("useful share".to_owned(), r.useful_share),
         ("messages".to_owned(), r.work.messages as f64),
-        ("refusals".to_owned(), r.work.refusals as f64),
+        ("refusals".to_owned(), r.work.refused_placements as f64),
         ("preemptions".to_owned(), r.work.preemptions as f64),
-        ("rules broken".to_owned(), r.broken.len() as f64),
+        ("rules broken".to_owned(), r.violations.len() as f64),
     ];
-    for (class, s) in &r.waiting {
+    for (class, s) in &r.time_to_start {
         all.push((format!("wait 90 % {class}, ms"), s.p90));
     }
-    for (class, s) in &r.finished {
+    for (class, s) in &r.time_to_finish {
         all.push((format!("finished 90 % {class}, ms"), s.p90));
     }
     all
--- a/crates/simulator/src/worker.rs
+++ b/crates/simulator/src/worker.rs
@@ -1,73 +1,24 @@
-//! A stand-in for a worker, from the protocol page: sessions, leases, tokens,
-//! images that share a rate, gangs, saves, faulty and slow machines.
+//! A simulated worker, written from the protocol page: sessions, the worker's lease, fencing
+//! tokens, images that share a download rate, gangs, checkpoints, faulty and slow machines.
+
+mod images;
+mod messages;
+mod tasks;
 
 use std::collections::BTreeMap;
 
 use lemonweir_model::settings::Workers;
 use lemonweir_model::{AttemptId, JobId, JobKind, MachineId, MachineType, Resources};
-use lemonweir_protocol::worker::{
-    Command, CommandKind, CommandsRequest, Heartbeat, HeartbeatResponse, TaskPhase, TaskStatus,
-};
-
-use crate::invariants::TaskPlacement;
-use crate::workload_state::{GangSignal, WorkloadState};
-
-/// A time that never comes.
-pub const NEVER: u64 = u64::MAX;
-/// µs that a task runs on a faulty machine before it fails.
-const FAILS_AFTER_US: u64 = 2_000_000;
-/// µs between two reports at least (protocol page).
-const REPORT_GAP_US: u64 = 500_000;
-/// µs that a worker waits for an answer (protocol page).
-const ANSWER_US: u64 = 4_000_000;
-/// µs after which it tries the next node (protocol page).
-const NEXT_NODE_US: u64 = 1_000_000;
-
-/// µs of so many s.
-pub(crate) fn us(seconds: f64) -> u64 {
-    (seconds * 1e6) as u64
-}
+use lemonweir_protocol::worker::TaskPhase;
 
-#[derive(Clone, Copy, Debug, PartialEq)]
-enum TaskEnd {
-    Completed,
-    Failed,
-    Stopped(bool),
-    GangTimeout,
-    PeerLost,
-}
+use crate::clock::{NEVER_US, micros};
+use crate::workload_state::WorkloadState;
+pub use messages::{CommandsReply, ReceivedAnswer};
 
-impl TaskEnd {
-    fn cause(self) -> &'static str {
-        match self {
-            TaskEnd::Completed => "done",
-            TaskEnd::Failed => "error",
-            TaskEnd::Stopped(_) => "stopped",
-            TaskEnd::GangTimeout => "alone",
-            TaskEnd::PeerLost => "peers",
-        }
-    }
-}
+use images::ImageStore;
+use tasks::{Task, TaskEnd};
 
-#[derive(Debug)]
-struct Task {
-    phase: TaskPhase,
-    cause: Option<&'static str>,
-    saved: bool,
-    /// What happens next, and when.
-    next: Option<(u64, TaskEnd)>,
-    /// When it began to run, and with what progress.
-    ran_from: u64,
-    base: u64,
-    need: Resources,
-}
-
-struct ImageFetch {
-    image: String,
-    left_gb: f64,
-}
-
-/// A worker.
+/// A machine with its worker process.
 pub struct Worker {
     /// The machine's name.
     pub id: MachineId,
@@ -77,696 +28,248 @@
     pub kind: MachineType,
     /// Its zone.
     pub zone: String,
-    /// Spot or ordinary.
+    /// Spot instance or on-demand machine.
     pub spot: bool,
-    /// When it is up; [`NEVER`] if it never comes up.
+    /// When it is up, µs; [`NEVER_US`] if it never boots.
     pub up_at: u64,
-    /// Fails what it starts.
+    /// Fails every task that it starts.
     pub faulty: bool,
-    /// Can't be reached.
+    /// Has lost the network.
     pub silent: bool,
-    /// Hangs until then.
+    /// Hangs until then, µs.
     pub hung_until: u64,
-    /// Controller that it reports to.
-    pub node: usize,
-    /// When the cloud takes it, if it gave notice.
-    pub notice: Option<u64>,
-    /// When it next has something to do.
+    /// Controller that it sends heartbeats to.
+    pub controller: usize,
+    /// When the cloud reclaims it, if it gave notice, µs.
+    pub reclaim_at: Option<u64>,
+    /// When it is next scheduled, µs.
     pub wake_at: u64,
     speed: f64,
     session: u64,
-    seq: u64,
-    token: u64,
+    sequence: u64,
+    fencing_token: u64,
     lease_us: u64,
     lease_from: u64,
+    /// When the heartbeat was sent whose answer it waits for.
     in_flight: Option<u64>,
-    next_report: u64,
-    last_report: u64,
-    /// Since when it counts; answers to what was sent before are lost.
-    born: u64,
+    next_heartbeat: u64,
+    last_heartbeat: u64,
+    /// Since when it runs; answers to what was sent before are ignored.
+    started_at: u64,
+    /// Something happened that its leader should hear soon.
     changed: bool,
-    token_told: u64,
+    token_reported_at: u64,
     tasks: BTreeMap<AttemptId, Task>,
     free: Resources,
-    images: Vec<(String, f64)>,
-    fetches: Vec<ImageFetch>,
-    fetched_at: u64,
+    images: ImageStore,
+}
+
+/// What a new machine is.
+pub struct MachineSpec<'a> {
+    /// Its number.
+    pub number: usize,
+    /// Its type.
+    pub kind: &'a MachineType,
+    /// Its zone.
+    pub zone: &'a str,
+    /// Spot instance or on-demand machine.
+    pub spot: bool,
+    /// When it is up, µs.
+    pub up_at: u64,
+    /// Speed of its processors; 1: as the jobs' run times say.
+    pub speed: f64,
 }
 
 impl Worker {
-    /// A machine that will be up at `up_at`.
-    pub fn new(
-        number: usize,
-        kind: &MachineType,
-        zone: &str,
-        spot: bool,
-        up_at: u64,
-        speed: f64,
-        times: &Workers,
-    ) -> Self {
+    /// A machine that will be up at its time.
+    pub fn new(spec: MachineSpec<'_>, times: &Workers) -> Self {
+        let up_at = spec.up_at;
         Self {
-            id: machine_id(number),
-            number,
-            kind: kind.clone(),
-            zone: zone.to_owned(),
-            spot,
+            id: machine_id(spec.number),
+            number: spec.number,
+            kind: spec.kind.clone(),
+            zone: spec.zone.to_owned(),
+            spot: spec.spot,
             up_at,
             faulty: false,
             silent: false,
             hung_until: 0,
-            node: 0,
-            notice: None,
-            wake_at: NEVER,
-            speed,
+            controller: 0,
+            reclaim_at: None,
+            wake_at: NEVER_US,
+            speed: spec.speed,
             session: 1,
-            seq: 0,
-            token: 0,
-            lease_us: us(times.lease_s),
+            sequence: 0,
+            fencing_token: 0,
+            lease_us: micros(times.lease_s),
             lease_from: up_at,
             in_flight: None,
-            next_report: up_at,
-            last_report: 0,
-            born: up_at,
+            next_heartbeat: up_at,
+            last_heartbeat: 0,
+            started_at: up_at,
             changed: false,
-            token_told: 0,
+            token_reported_at: 0,
             tasks: BTreeMap::new(),
-            free: kind.room,
-            images: Vec::new(),
-            fetches: Vec::new(),
-            fetched_at: up_at,
+            free: spec.kind.room,
+            images: ImageStore::new(spec.kind, up_at),
         }
     }
 
-    /// Tasks that have not exited.
-    pub fn live(&self) -> usize {
+    fn live_tasks(&self) -> impl Iterator<Item = (&AttemptId, &Task)> {
         self.tasks
-            .values()
-            .filter(|t| t.phase != TaskPhase::Exited)
-            .count()
+            .iter()
+            .filter(|(_, task)| task.phase != TaskPhase::Exited)
     }
 
-    /// Jobs with a task that has not exited.
+    /// Number of tasks that have not exited.
+    pub fn live(&self) -> usize {
+        self.live_tasks().count()
+    }
+
+    /// The job of each task that has not exited.
     pub fn live_jobs(&self) -> impl Iterator<Item = &JobId> {
-        self.tasks
-            .iter()
-            .filter(|(_, t)| t.phase != TaskPhase::Exited)
-            .map(|(id, _)| &id.job)
+        self.live_tasks().map(|(id, _)| &id.job)
     }
 
-    /// µs of run time of the replicas that run now, in thousandths of a processor.
-    pub fn serving(&self, now: u64, ground: &WorkloadState) -> u128 {
-        let service = |id: &AttemptId| {
-            ground
+    /// µs of run time of the service replicas that run now, in thousandths of a processor.
+    pub fn serving(&self, now: u64, workload: &WorkloadState) -> u128 {
+        let is_service = |id: &AttemptId| {
+            workload
                 .jobs
                 .get(&id.job)
-                .is_some_and(|l| l.spec.shape == JobKind::Service)
+                .is_some_and(|job| job.spec.shape == JobKind::Service)
         };
-        let running = self
-            .tasks
+        self.tasks
             .iter()
-            .filter(|(id, t)| t.phase == TaskPhase::Running && service(id));
-        running
-            .map(|(_, t)| u128::from(now.saturating_sub(t.ran_from)) * u128::from(t.need.cpus))
+            .filter(|(id, task)| task.phase == TaskPhase::Running && is_service(id))
+            .map(|(_, task)| task.processor_time(now))
             .sum()
     }
 
-    /// Room that is not taken.
+    /// Free resources.
     pub fn free(&self) -> Resources {
         self.free
     }
 
-    /// Its report as of now.
-    pub fn report(&mut self, now: u64) -> Heartbeat {
-        self.seq += 1;
-        let n = self.number;
-        Heartbeat {
-            machine: self.id.clone(),
-            address: format!("10.{}.{}.{}:9000", 1 + n / 65_536, n / 256 % 256, n % 256),
-            kind: self.kind.name.clone(),
-            zone: self.zone.clone(),
-            spot: self.spot,
-            session: self.session,
-            seq: self.seq,
-            token: self.token,
-            notice_s: self.notice.map(|at| at.saturating_sub(now) as f64 / 1e6),
-            tasks: self
-                .tasks
-                .iter()
-                .map(|(id, t)| TaskStatus {
-                    piece: id.piece(),
-                    attempt: id.attempt,
-                    phase: t.phase,
-                    cause: t.cause.map(str::to_owned),
-                    saved: t.saved.then_some(true),
-                })
-                .collect(),
-        }
+    /// The session that its next message will name.
+    pub fn session(&self) -> u64 {
+        self.session
     }
 
-    // ---- time ----------------------------------------------------------------
-
-    fn fetch_rate(&self) -> f64 {
-        self.kind.fetch_gb_per_s / self.fetches.len().max(1) as f64 / 1e6
+    /// First moment at which its lease has expired.
+    fn lease_expiry(&self) -> u64 {
+        self.lease_from + self.lease_us + 1
     }
 
-    fn next_inside(&self) -> u64 {
+    /// When a task, an image or the lease next changes.
+    fn next_local_event(&self) -> u64 {
         let tasks = self
             .tasks
             .values()
-            .filter_map(|t| t.next.map(|(at, _)| at))
+            .filter_map(|task| task.next.map(|next| next.at))
             .min()
-            .unwrap_or(NEVER);
-        let least = self
-            .fetches
-            .iter()
-            .map(|f| f.left_gb)
-            .fold(f64::MAX, f64::min);
-        let fetch = if self.fetches.is_empty() {
-            NEVER
-        } else {
-            self.fetched_at + (least.max(0.0) / self.fetch_rate()).ceil() as u64
-        };
-        tasks.min(fetch).min(self.lease_from + self.lease_us + 1)
+            .unwrap_or(NEVER_US);
+        tasks
+            .min(self.images.next_fetched_at())
+            .min(self.lease_expiry())
     }
 
-    /// When something happens here next, a report included.
+    /// When something happens here next, a heartbeat included.
     pub fn next_event(&self) -> u64 {
-        let report = match self.in_flight {
-            Some(sent) => sent + ANSWER_US,
-            None if self.changed => self.next_report.min(self.last_report + REPORT_GAP_US),
-            None => self.next_report,
-        };
-        // A machine that hangs does nothing, but its lease runs out all the same.
-        let hung = self.hung_until.min(self.lease_from + self.lease_us + 1);
-        self.next_inside().min(report).max(hung).max(self.up_at)
+        // A machine that hangs does nothing, but its lease expires all the same.
+        let hung = self.hung_until.min(self.lease_expiry());
+        self.next_local_event()
+            .min(self.next_heartbeat_event())
+            .max(hung)
+            .max(self.up_at)
     }
 
-    /// Lets time pass.
-    pub fn advance(&mut self, now: u64, ground: &mut WorkloadState) {
+    /// Lets time pass up to `now`.
+    pub fn advance(&mut self, now: u64, workload: &mut WorkloadState) {
         if now < self.up_at {
             return;
         }
         if now < self.hung_until {
-            let over = self.lease_from + self.lease_us + 1;
-            if over <= now {
-                self.step(over, ground);
+            let expiry = self.lease_expiry();
+            if expiry <= now {
+                self.step(expiry, workload);
             }
             return;
         }
         loop {
-            let at = self.next_inside();
+            let at = self.next_local_event();
             if at > now {
                 break;
             }
-            self.step(at, ground);
+            self.step(at, workload);
         }
-        self.fetch_until(now);
+        self.images.fetch_until(now);
     }
 
-    fn fetch_until(&mut self, now: u64) {
-        let shard = now.saturating_sub(self.fetched_at) as f64 * self.fetch_rate();
-        self.fetches.iter_mut().for_each(|f| f.left_gb -= shard);
-        self.fetched_at = self.fetched_at.max(now);
-    }
-
-    fn step(&mut self, at: u64, ground: &mut WorkloadState) {
-        if at > self.lease_from + self.lease_us {
-            ground.history.note(at, "lease over", &self.id, &"");
-            ground.killed_by_lease += self.live() as u64;
-            self.kill_all(at, ground);
-            self.session += 1;
-            self.lease_from = at;
-            self.changed = true;
-            return;
+    /// Does what is due at `at`: lease expiry, or fetched images and ends of tasks.
+    fn step(&mut self, at: u64, workload: &mut WorkloadState) {
+        if at >= self.lease_expiry() {
+            return self.expire_lease(at, workload);
         }
-        self.fetch_until(at);
-        let there: Vec<String> = self
-            .fetches
-            .iter()
-            .filter(|f| f.left_gb <= 1e-9)
-            .map(|f| f.image.clone())
-            .collect();
-        for image in there {
-            self.fetches.retain(|f| f.image != image);
-            self.image_came(&image, at, ground);
+        self.images.fetch_until(at);
+        for image in self.images.take_fetched() {
+            self.image_fetched(&image, at, workload);
         }
         let due: Vec<(AttemptId, TaskEnd)> = self
             .tasks
             .iter()
-            .filter_map(|(id, t)| {
-                t.next
-                    .filter(|(when, _)| *when <= at)
-                    .map(|(_, e)| (id.clone(), e))
+            .filter_map(|(id, task)| {
+                task.next
+                    .filter(|next| next.at <= at)
+                    .map(|next| (id.clone(), next.end))
             })
             .collect();
         for (id, end) in due {
-            self.exit(&id, end, at, ground);
-        }
-    }
-
-    /// Its cache is empty, without a word.
-    pub fn drop_images(&mut self) {
-        self.images.clear();
-    }
-
-    /// Everything on it is gone.
-    pub fn kill_all(&mut self, now: u64, ground: &mut WorkloadState) {
-        let live: Vec<AttemptId> = self
-            .tasks
-            .iter()
-            .filter(|(_, t)| t.phase != TaskPhase::Exited)
-            .map(|(id, _)| id.clone())
-            .collect();
-        for id in live {
-            self.keep_checkpoint(&id, now, ground);
-            ground.checker.left(&id.job, id.task, self.number);
-            ground.checker.gang_task_over(&id);
-            ground.lose(&id, now);
-        }
-        self.tasks.clear();
-        self.fetches.clear();
-        self.free = self.kind.room;
-    }
-
-    /// The machine is back at once under the same name, empty, and counts from
-    /// the start.
-    pub fn reborn(&mut self, now: u64, ground: &mut WorkloadState) {
-        self.advance(now, ground);
-        self.kill_all(now, ground);
-        ground.history.note(now, "reborn", &self.id, &"");
-        (self.session, self.seq, self.token, self.token_told) = (1, 0, 0, 0);
-        (
-            self.lease_from,
-            self.next_report,
-            self.born,
-            self.hung_until,
-        ) = (now, now, now, 0);
-        (self.in_flight, self.changed) = (None, false);
-        self.images.clear();
-        self.fetched_at = now;
-    }
-
-    /// What a task that ends without saving keeps.
-    fn keep_checkpoint(&self, id: &AttemptId, now: u64, ground: &mut WorkloadState) {
-        let (Some(t), Some(load)) = (self.tasks.get(id), ground.jobs.get(&id.job)) else {
-            return;
-        };
-        let service = load.spec.shape == JobKind::Service;
-        if t.phase != TaskPhase::Running || load.spec.shape == JobKind::Gang && load.spec.tasks > 1
-        {
-            return;
-        }
-        let ran = (now.saturating_sub(t.ran_from) as f64 * self.speed) as u64;
-        if service {
-            ground.useful += u128::from(now.saturating_sub(t.ran_from)) * u128::from(t.need.cpus);
-        } else {
-            let kept = WorkloadState::checkpoint(&load.spec, t.base + ran).max(t.base);
-            ground.saved.insert((id.job.clone(), id.task), kept);
-        }
-    }
-
-    fn exit(&mut self, id: &AttemptId, end: TaskEnd, now: u64, ground: &mut WorkloadState) {
-        let work = ground.jobs.get(&id.job).map_or(0, |l| l.run_us(id.task));
-        if matches!(end, TaskEnd::Failed | TaskEnd::PeerLost | TaskEnd::Stopped(false)) {
-            self.keep_checkpoint(id, now, ground);
-        }
-        let Some(t) = self
-            .tasks
-            .get_mut(id)
-            .filter(|t| t.phase != TaskPhase::Exited)
-        else {
-            return;
-        };
-        let was = t.phase;
-        t.phase = TaskPhase::Exited;
-        ground.checker.gang_task_over(id);
-        t.cause = Some(end.cause());
-        t.saved = end == TaskEnd::Stopped(true);
-        t.next = None;
-        self.free = self.free.plus(&t.need);
-        self.changed = true;
-        let waits = |t: &Task| t.phase == TaskPhase::Fetching;
-        if was == TaskPhase::Fetching
-            && let Some(image) = ground.jobs.get(&id.job).map(|l| l.spec.image.clone())
-        {
-            // A fetch that nobody waits for any more is given up.
-            let wanted = |i: &AttemptId| {
-                ground
-                    .jobs
-                    .get(&i.job)
-                    .is_some_and(|l| l.spec.image == image)
-            };
-            if !self.tasks.iter().any(|(i, t)| waits(t) && wanted(i)) {
-                self.fetches.retain(|f| f.image != image);
-            }
-        } else {
-            ground.checker.left(&id.job, id.task, self.number);
+            self.exit(&id, end, at, workload);
         }
-        match end {
-            TaskEnd::Completed => ground.finished(id, work),
-            TaskEnd::Failed | TaskEnd::GangTimeout | TaskEnd::Stopped(false) => ground.lose(id, now),
-            TaskEnd::Stopped(true) | TaskEnd::PeerLost => {
-                drop(ground.gang(id).map(|g| g.present.remove(&id.task)))
-            }
-        }
-        ground.history.note(now, end.cause(), id, &self.id);
     }
 
-    fn image_came(&mut self, image: &str, now: u64, ground: &mut WorkloadState) {
-        let of = |id: &AttemptId| {
-            ground
-                .jobs
-                .get(&id.job)
-                .is_some_and(|l| l.spec.image == image)
-        };
-        let waiting: Vec<AttemptId> = self
-            .tasks
-            .iter()
-            .filter(|(id, t)| t.phase == TaskPhase::Fetching && of(id))
-            .map(|(id, _)| id.clone())
-            .collect();
-        if let Some(gb) = waiting
-            .first()
-            .and_then(|id| ground.jobs.get(&id.job))
-            .map(|l| l.spec.image_gb)
-        {
-            self.cache(image, gb);
-        }
-        for id in waiting {
-            self.has_image(&id, now, ground);
-        }
-    }
-
-    fn cache(&mut self, image: &str, gb: f64) {
-        self.images.retain(|(name, _)| name != image);
-        self.images.insert(0, (image.to_owned(), gb));
-        let mut sum = 0.0;
-        let most = self.kind.cache_gb;
-        self.images.retain(|(_, gb)| {
-            sum += gb;
-            sum <= most
-        });
-    }
-
-    fn has_image(&mut self, id: &AttemptId, now: u64, ground: &mut WorkloadState) {
-        let Some(load) = ground.jobs.get(&id.job) else {
-            return;
-        };
-        let (spec, work, broken) = (load.spec.clone(), load.run_us(id.task), load.broken);
-        let place = TaskPlacement {
-            machine: self.number,
-            kind: &self.kind.name,
-            zone: &self.zone,
-            spot: self.spot,
-        };
-        ground.checker.started(&id.job, id.task, place, now);
-        ground.history.note(now, "up", id, &self.id);
-        ground.up.entry((id.job.clone(), id.task)).or_insert(now);
+    fn expire_lease(&mut self, at: u64, workload: &mut WorkloadState) {
+        workload.history.note(at, "lease over", &self.id, &"");
+        workload.killed_by_lease += self.live() as u64;
+        self.kill_all(at, workload);
+        self.session += 1;
+        self.lease_from = at;
         self.changed = true;
-        let done = ground.done.contains(&(id.job.clone(), id.task));
-        let gang = spec.shape == JobKind::Gang && spec.tasks > 1;
-        let base = ground
-            .saved
-            .get(&(id.job.clone(), id.task))
-            .copied()
-            .unwrap_or(0);
-        if !gang {
-            ground.begun.entry(id.job.clone()).or_insert(now);
-        }
-        let Some(t) = self.tasks.get_mut(id) else {
-            return;
-        };
-        if done {
-            t.phase = TaskPhase::Running;
-            t.next = Some((now, TaskEnd::Completed));
-        } else if gang {
-            t.phase = TaskPhase::Gathering;
-            t.next = Some((now + us(ground.times.gang_wait_s), TaskEnd::GangTimeout));
-            ground.gather(id, self.number, self.speed, now);
-        } else {
-            (t.phase, t.ran_from, t.base) = (TaskPhase::Running, now, base);
-            let until = now + (work.saturating_sub(base) as f64 / self.speed) as u64;
-            t.next = if self.faulty || broken {
-                Some((now + FAILS_AFTER_US, TaskEnd::Failed))
-            } else {
-                (spec.shape != JobKind::Service).then_some((until, TaskEnd::Completed))
-            };
-        }
-    }
-
-    /// Another machine's doing reaches a task here.
-    pub fn take_call(&mut self, call: GangSignal, now: u64, ground: &mut WorkloadState) {
-        match call {
-            GangSignal::Start(_, id, until) => {
-                let faulty = self.faulty || ground.jobs.get(&id.job).is_some_and(|l| l.broken);
-                if let Some(t) = self
-                    .tasks
-                    .get_mut(&id)
-                    .filter(|t| t.phase == TaskPhase::Gathering)
-                {
-                    t.phase = TaskPhase::Running;
-                    t.next = Some(if faulty {
-                        (until.min(now + FAILS_AFTER_US), TaskEnd::Failed)
-                    } else {
-                        (until, TaskEnd::Completed)
-                    });
-                    self.changed = true;
-                }
-            }
-            GangSignal::PeerLost(_, id, at) => {
-                if let Some(t) = self
-                    .tasks
-                    .get_mut(&id)
-                    .filter(|t| t.phase != TaskPhase::Exited)
-                {
-                    t.next = Some((at, TaskEnd::PeerLost));
-                }
-            }
-            GangSignal::Stopped(_, id, at, saved) => {
-                if let Some(t) = self
-                    .tasks
-                    .get_mut(&id)
-                    .filter(|t| t.phase != TaskPhase::Exited)
-                {
-                    t.next = Some((at, TaskEnd::Stopped(saved)));
-                }
-            }
-            GangSignal::ProgressHalted(_, id) => {
-                if let Some(t) = self
-                    .tasks
-                    .get_mut(&id)
-                    .filter(|t| t.phase == TaskPhase::Running)
-                {
-                    t.next = None;
-                }
-            }
-            GangSignal::StopDeadline(id, at) => ground.look(&id, at),
-        }
     }
 
-    // ---- messages --------------------------------------------------------------
-
-    fn execute(&mut self, orders: &[Command], now: u64, ground: &mut WorkloadState) {
-        for o in orders {
-            let Some(id) = AttemptId::parse(&o.piece, o.attempt) else {
-                continue;
-            };
-            match o.verb {
-                CommandKind::Launch if !self.tasks.contains_key(&id) => {
-                    self.launch(id, now, ground)
-                }
-                CommandKind::Launch => {}
-                CommandKind::Kill => self.kill(&id, o.grace_s.unwrap_or(0), now, ground),
-                CommandKind::Forget => {
-                    if self
-                        .tasks
-                        .get(&id)
-                        .is_some_and(|t| t.phase == TaskPhase::Exited)
-                    {
-                        self.tasks.remove(&id);
-                        self.changed = true;
-                    }
-                }
-            }
-        }
+    /// The machine restarts at once under the same name, empty, and counts sessions and
+    /// messages from the start.
+    pub fn restart(&mut self, now: u64, workload: &mut WorkloadState) {
+        self.advance(now, workload);
+        self.kill_all(now, workload);
+        workload.history.note(now, "reborn", &self.id, &"");
+        (self.session, self.sequence) = (1, 0);
+        (self.fencing_token, self.token_reported_at) = (0, 0);
+        (self.lease_from, self.next_heartbeat, self.started_at) = (now, now, now);
+        self.hung_until = 0;
+        (self.in_flight, self.changed) = (None, false);
+        self.images.reset(now);
     }
 
-    fn launch(&mut self, id: AttemptId, now: u64, ground: &mut WorkloadState) {
-        ground
-            .launched
-            .entry((id.job.clone(), id.task))
-            .or_insert(now);
-        self.changed = true;
-        let load = ground
-            .jobs
-            .get(&id.job)
-            .filter(|l| u64::from(id.task) < l.spec.tasks)
-            .map(|l| l.spec.clone());
-        let need = load.as_ref().map(|s| s.need()).unwrap_or_default();
-        let other = self
+    /// The machine hangs until then: what it does comes later by as much.
+    pub fn hang(&mut self, now: u64, until: u64, workload: &mut WorkloadState) {
+        self.advance(now, workload);
+        self.hung_until = until;
+        let pause_us = until.saturating_sub(now);
+        for next in self
             .tasks
-            .iter()
-            .any(|(i, t)| i.job == id.job && i.task == id.task && t.phase != TaskPhase::Exited);
-        let refusal = match &load {
-            None => Some("unknown"),
-            Some(_) if other => Some("in_use"),
-            Some(_) if !self.free.covers(&need) => Some("no_room"),
-            Some(_) => None,
-        };
-        let mut task = Task {
-            phase: TaskPhase::Fetching,
-            cause: refusal,
-            saved: false,
-            next: None,
-            ran_from: now,
-            base: 0,
-            need,
-        };
-        if refusal.is_some() {
-            task.phase = TaskPhase::Exited;
-            ground
-                .history
-                .note(now, refusal.unwrap_or_default(), &id, &self.id);
-            self.tasks.insert(id, task);
-            return;
-        }
-        self.free = self.free.minus(&need);
-        self.tasks.insert(id.clone(), task);
-        let Some(spec) = load else { return };
-        ground.checker.launched(&id, now);
-        if self.images.iter().any(|(name, _)| *name == spec.image) || spec.image_gb <= 0.0 {
-            self.cache(&spec.image, spec.image_gb);
-            self.has_image(&id, now, ground);
-        } else if !self.fetches.iter().any(|f| f.image == spec.image) {
-            self.fetch_until(now);
-            self.fetches.push(ImageFetch {
-                image: spec.image.clone(),
-                left_gb: spec.image_gb,
-            });
-        }
-    }
-
-    fn kill(&mut self, id: &AttemptId, grace_s: u32, now: u64, ground: &mut WorkloadState) {
-        let Some(t) = self.tasks.get_mut(id) else {
-            return;
-        };
-        let Some(spec) = ground.jobs.get(&id.job).map(|l| l.spec.clone()) else {
-            return;
-        };
-        let saves = spec.checkpoint_s > 0.0
-            && f64::from(grace_s) >= spec.save_s
-            && spec.shape != JobKind::Service;
-        match t.phase {
-            TaskPhase::Exited => {}
-            TaskPhase::Saving if grace_s > 0 => {}
-            TaskPhase::Running if saves => {
-                t.phase = TaskPhase::Saving;
-                let progress = t.base + (now.saturating_sub(t.ran_from) as f64 * self.speed) as u64;
-                self.changed = true;
-                if spec.shape == JobKind::Gang && spec.tasks > 1 {
-                    // One that has lost a task exits with `peers` all the same.
-                    if ground.gang(id).is_some_and(|g| !g.over) {
-                        t.next = None;
-                        ground.stop_gang(id, us(spec.save_s), now);
-                    }
-                } else {
-                    t.next = Some((now + us(spec.save_s), TaskEnd::Stopped(true)));
-                    ground.saved.insert((id.job.clone(), id.task), progress);
-                }
-            }
-            _ => self.exit(id, TaskEnd::Stopped(false), now, ground),
-        }
-    }
-
-    /// `/commands`: the flag tells whether they were executed.
-    pub fn commands(
-        &mut self,
-        c: &CommandsRequest,
-        now: u64,
-        ground: &mut WorkloadState,
-    ) -> (bool, Heartbeat) {
-        self.advance(now, ground);
-        let good = c.token >= self.token && c.session == self.session;
-        if good {
-            self.see_token(c.token);
-            self.execute(&c.orders, now, ground);
-        }
-        (good, self.report(now))
-    }
-
-    fn see_token(&mut self, token: u64) {
-        if token > self.token {
-            self.token = token;
-            // A higher token counts as a change at most once in half a lease.
-            self.changed |= self.token_told + self.lease_us / 2 <= self.fetched_at;
-            self.token_told = self.fetched_at;
-        }
-    }
-
-    /// True if it should report now; it then waits for the answer.
-    pub fn due(&mut self, now: u64, hosts: usize) -> bool {
-        if let Some(sent) = self.in_flight {
-            if now >= sent + ANSWER_US {
-                self.turn_away(now, (self.node + 1) % hosts, NEXT_NODE_US);
-            }
-            return false;
-        }
-        if now < self.next_report && !(self.changed && now >= self.last_report + REPORT_GAP_US) {
-            return false;
-        }
-        (self.in_flight, self.last_report, self.changed) = (Some(now), now, false);
-        true
-    }
-
-    /// Its node does not take its report: it goes to another.
-    pub fn turn_away(&mut self, now: u64, node: usize, after_us: u64) {
-        self.in_flight = None;
-        self.node = node;
-        self.changed = false;
-        self.next_report = now + after_us;
-    }
-
-    /// The answer to a report that was sent at `sent` in `session`.
-    pub fn answered(
-        &mut self,
-        session: u64,
-        sent: u64,
-        reply: &HeartbeatResponse,
-        next_us: u64,
-        now: u64,
-        ground: &mut WorkloadState,
-    ) {
-        self.advance(now, ground);
-        if self.in_flight == Some(sent) {
-            self.in_flight = None;
-            self.next_report = sent + next_us;
-        }
-        if reply.token < self.token
-            || sent < self.born
-            || session != self.session
-            || now > sent + ANSWER_US
+            .values_mut()
+            .filter_map(|task| task.next.as_mut())
         {
-            return;
+            next.at = next.at.saturating_add(pause_us);
         }
-        self.see_token(reply.token);
-        self.lease_from = self.lease_from.max(sent);
-        self.execute(&reply.orders, now, ground);
+        self.images.stall_until(until);
     }
 
-    /// The session that its next message will name.
-    pub fn session(&self) -> u64 {
-        self.session
-    }
-
-    /// It stands still until then: what it does comes later by as much.
-    pub fn hang(&mut self, now: u64, until: u64, ground: &mut WorkloadState) {
-        self.advance(now, ground);
-        self.hung_until = until;
-        let by = until.saturating_sub(now);
-        for (at, _) in self.tasks.values_mut().filter_map(|t| t.next.as_mut()) {
-            *at = at.saturating_add(by);
-        }
-        self.fetched_at = until;
+    /// Its image cache becomes empty without notice.
+    pub fn drop_images(&mut self) {
+        self.images.drop_cached();
     }
 }
 
--- /dev/null
+++ b/crates/simulator/src/worker/images.rs
@@ -0,0 +1,145 @@
+//! Images on a machine: a cache of limited size, and downloads that share one rate.
+
+use lemonweir_model::MachineType;
+
+use crate::clock::NEVER_US;
+
+/// What is left of a download may be off by so many GB from rounding.
+const ROUNDING_GB: f64 = 1e-9;
+
+struct CachedImage {
+    name: String,
+    size_gb: f64,
+}
+
+struct ImageFetch {
+    image: String,
+    left_gb: f64,
+}
+
+/// Cached images and downloads of a machine.
+pub(super) struct ImageStore {
+    capacity_gb: f64,
+    fetch_gb_per_s: f64,
+    /// Most recently used first.
+    cached: Vec<CachedImage>,
+    fetches: Vec<ImageFetch>,
+    /// Up to when the downloads are accounted for, µs.
+    fetched_until: u64,
+}
+
+impl ImageStore {
+    pub(super) fn new(kind: &MachineType, up_at: u64) -> Self {
+        Self {
+            capacity_gb: kind.cache_gb,
+            fetch_gb_per_s: kind.fetch_gb_per_s,
+            cached: Vec::new(),
+            fetches: Vec::new(),
+            fetched_until: up_at,
+        }
+    }
+
+    /// Up to when the downloads are accounted for, µs.
+    pub(super) fn fetched_until(&self) -> u64 {
+        self.fetched_until
+    }
+
+    /// Rate of one download, GB/µs: all of them share the machine's.
+    fn rate(&self) -> f64 {
+        self.fetch_gb_per_s / self.fetches.len().max(1) as f64 / 1e6
+    }
+
+    /// When the next download is complete, µs.
+    pub(super) fn next_fetched_at(&self) -> u64 {
+        if self.fetches.is_empty() {
+            return NEVER_US;
+        }
+        let least_gb = self
+            .fetches
+            .iter()
+            .map(|fetch| fetch.left_gb)
+            .fold(f64::MAX, f64::min);
+        self.fetched_until + (least_gb.max(0.0) / self.rate()).ceil() as u64
+    }
+
+    /// Lets the downloads go on until `now`.
+    pub(super) fn fetch_until(&mut self, now: u64) {
+        let fetched_gb = now.saturating_sub(self.fetched_until) as f64 * self.rate();
+        self.fetches
+            .iter_mut()
+            .for_each(|fetch| fetch.left_gb -= fetched_gb);
+        self.fetched_until = self.fetched_until.max(now);
+    }
+
+    /// Ends the complete downloads and names their images.
+    pub(super) fn take_fetched(&mut self) -> Vec<String> {
+        let fetched: Vec<String> = self
+            .fetches
+            .iter()
+            .filter(|fetch| fetch.left_gb <= ROUNDING_GB)
+            .map(|fetch| fetch.image.clone())
+            .collect();
+        self.fetches.retain(|fetch| !fetched.contains(&fetch.image));
+        fetched
+    }
+
+    /// Begins a download, unless it is under way.
+    pub(super) fn fetch(&mut self, image: &str, size_gb: f64, now: u64) {
+        if self.fetches.iter().any(|fetch| fetch.image == image) {
+            return;
+        }
+        self.fetch_until(now);
+        self.fetches.push(ImageFetch {
+            image: image.to_owned(),
+            left_gb: size_gb,
+        });
+    }
+
+    /// Gives up a download.
+    pub(super) fn abort_fetch(&mut self, image: &str) {
+        self.fetches.retain(|fetch| fetch.image != image);
+    }
+
+    /// Gives up all downloads.
+    pub(super) fn abort_all_fetches(&mut self) {
+        self.fetches.clear();
+    }
+
+    pub(super) fn is_cached(&self, image: &str) -> bool {
+        self.cached.iter().any(|cached| cached.name == image)
+    }
+
+    /// Puts an image first in the cache; those used longest ago make room for it.
+    pub(super) fn cache(&mut self, image: &str, size_gb: f64) {
+        self.cached.retain(|cached| cached.name != image);
+        self.cached.insert(
+            0,
+            CachedImage {
+                name: image.to_owned(),
+                size_gb,
+            },
+        );
+        let mut sum_gb = 0.0;
+        let capacity_gb = self.capacity_gb;
+        self.cached.retain(|cached| {
+            sum_gb += cached.size_gb;
+            sum_gb <= capacity_gb
+        });
+    }
+
+    /// Empties the cache; downloads go on.
+    pub(super) fn drop_cached(&mut self) {
+        self.cached.clear();
+    }
+
+    /// The machine hangs: downloads go on from `until`.
+    pub(super) fn stall_until(&mut self, until: u64) {
+        self.fetched_until = until;
+    }
+
+    /// The machine begins anew with an empty cache.
+    pub(super) fn reset(&mut self, now: u64) {
+        self.drop_cached();
+        self.fetched_until = now;
+    }
+}
