--- /dev/null
+++ b/crates/simulator/src/workload_replay.rs
@@ -0,0 +1,122 @@
+//! Load from a recorded workload: the jobs of a trace, submitted to a scenario's teams.
+
+use std::path::PathBuf;
+use std::sync::Arc;
+
+use lemonweir_model::{JobKind, JobSpec};
+use lemonweir_trace::workload::{self, Entry, WorkloadError};
+
+use crate::job::{PlannedSubmission, SimulatedJob};
+use crate::load_generator::job_id;
+use crate::scenario::Scenario;
+
+/// Copies of a job are submitted one after the other within so many µs.
+const COPIES_WITHIN_US: u64 = 1_000_000;
+
+/// A workload to be replayed.
+#[derive(Clone, Debug)]
+pub struct WorkloadReplay {
+    /// The file.
+    pub file: PathBuf,
+    /// How many times as close together its submissions come.
+    pub speed: f64,
+    /// How many times each job is submitted.
+    pub copies: u32,
+}
+
+/// The load of a replay.
+pub struct ReplayedLoad {
+    /// The jobs in the order of the workload.
+    pub jobs: Vec<PlannedSubmission>,
+    /// Constraints that were ignored.
+    pub ignored_constraints: u64,
+}
+
+/// The jobs of a workload file. A team that the scenario does not know is replaced by one of
+/// its teams, the same one every time; constraints on attributes that its machines don't have
+/// are ignored and counted.
+///
+/// # Errors
+/// If the file can't be read or is no workload.
+pub fn replay(replay: &WorkloadReplay, scenario: &Scenario) -> Result<ReplayedLoad, WorkloadError> {
+    let (mut jobs, mut ignored_constraints, mut first_ms) = (Vec::new(), 0, None);
+    let copies = u64::from(replay.copies.max(1));
+    workload::read(&replay.file, |entry| {
+        // The first job comes at the start, wherever the trace's zero is.
+        let zero_ms = *first_ms.get_or_insert(entry.at_ms);
+        ignored_constraints += entry.constraints.len() as u64;
+        for copy in 0..copies {
+            let mut job =
+                planned_submission(jobs.len(), entry.clone(), zero_ms, scenario, replay.speed);
+            let later_us = copy * COPIES_WITHIN_US / copies;
+            job.at_us += later_us;
+            job.withdraw_us = job.withdraw_us.map(|at| at + later_us);
+            jobs.push(job);
+        }
+    })?;
+    Ok(ReplayedLoad {
+        jobs,
+        ignored_constraints,
+    })
+}
+
+fn planned_submission(
+    n: usize,
+    entry: Entry,
+    zero_ms: u64,
+    scenario: &Scenario,
+    speed: f64,
+) -> PlannedSubmission {
+    let at_us = ((entry.at_ms - zero_ms) as f64 * 1e3 / speed) as u64;
+    let run_us: Vec<u64> = entry.run_ms.iter().map(|ms| ms * 1_000).collect();
+    let mean_us = run_us.iter().sum::<u64>() / run_us.len().max(1) as u64;
+    let service = entry.shape == JobKind::Service;
+    let amount = |milli: u64| milli as f64 / 1e3;
+    let spec = JobSpec {
+        id: job_id(n),
+        team: team_for(entry.team.as_deref().unwrap_or_default(), scenario),
+        class: entry.class.unwrap_or_else(|| "trace".into()),
+        shape: entry.shape,
+        rank: entry.rank,
+        tasks: u64::from(entry.tasks),
+        cores: amount(entry.need.cpus),
+        gpus: amount(entry.need.gpus),
+        ram_gb: amount(entry.need.memory),
+        types: None,
+        zone: None,
+        one_zone: false,
+        spread: false,
+        spot: true,
+        // Traces tell of no images: one that is nowhere and takes no time.
+        image: "none".into(),
+        image_gb: 0.0,
+        estimate_s: if service { 0.0 } else { mean_us as f64 / 1e6 },
+        checkpoint_s: 0.0,
+        save_s: 0.0,
+        deadline_s: None,
+        awaits: Vec::new(),
+    };
+    PlannedSubmission {
+        at_us,
+        job: SimulatedJob {
+            spec: Arc::new(spec),
+            run_us,
+            broken: false,
+        },
+        withdraw_us: (service && mean_us > 0).then(|| at_us + mean_us),
+    }
+}
+
+/// The scenario's team of that name, or one that follows from the name.
+fn team_for(name: &str, scenario: &Scenario) -> String {
+    let hash = blake3::hash(name.as_bytes());
+    let pick = usize::from(u16::from_le_bytes([hash.as_bytes()[0], hash.as_bytes()[1]]))
+        % scenario.teams.len().max(1);
+    scenario
+        .teams
+        .iter()
+        .find(|team| team.name == name)
+        .or(scenario.teams.get(pick))
+        .map(|team| team.name.clone())
+        .unwrap_or_default()
+}
--- a/crates/simulator/tests/concurrent_faults.rs
+++ b/crates/simulator/tests/concurrent_faults.rs
@@ -9,9 +9,9 @@
 use lemonweir_model::constants::HOLD_TTL_MS;
 use lemonweir_model::settings::Workers;
 use lemonweir_simulator::history::History;
-use lemonweir_simulator::fault_search::broken_terms;
 use lemonweir_simulator::load_generator::synthetic;
-use lemonweir_simulator::scenario::{Scenario, FaultKind};
+use lemonweir_simulator::run_report::violated_terms;
+use lemonweir_simulator::scenario::{FaultKind, Scenario};
 use lemonweir_simulator::simulation::Simulation;
 
 /// s after the last trouble: the 75 s of the term on forgotten jobs, and some more.
@@ -62,10 +62,10 @@
     let (first, later) = moved.faults.split_first_mut().expect("a trouble");
     let by = first.at_s + offset - later.first().map_or(first.at_s, |f| f.at_s);
     later.iter_mut().for_each(|f| f.at_s += by);
-    if !matches!(first.trouble, FaultKind::Crash { .. }) {
+    if !matches!(first.kind, FaultKind::Crash { .. }) {
         first.for_s += offset;
     }
-    moved.duration_s = moved.calm_s() + TAIL_S;
+    moved.duration_s = moved.faults_over_s() + TAIL_S;
     moved
 }
 
@@ -83,9 +83,9 @@
 
 fn play(scenario: Scenario, seed: u64) -> Vec<String> {
     let ms = (scenario.duration_s * 1e3) as u64;
-    let mut world = begun(scenario, seed);
-    world.run(ms);
-    broken_terms(&world)
+    let mut simulation = begun(scenario, seed);
+    simulation.run(ms);
+    violated_terms(&simulation)
 }
 
 /// Plays one file over the whole table, `seeds` of each; what was broken.
@@ -138,24 +138,32 @@
 #[test]
 fn in_the_gap_a_part_has_two_leaders_unless_the_others_tell() {
     for (name, untold) in [("gap", false), ("gap-alone", true)] {
-        let mut world = begun(scenario(name), 1);
-        let over = |world: &Simulation| world.store.list("end/").len();
-        world.run(78_000);
-        let before = over(&world);
-        world.run(5_000);
-        let holder = world.hosts[2]
+        let mut simulation = begun(scenario(name), 1);
+        let over = |simulation: &Simulation| simulation.store.list("end/").len();
+        simulation.run(78_000);
+        let before = over(&simulation);
+        simulation.run(5_000);
+        let holder = simulation.controllers[2]
             .core
             .as_ref()
             .and_then(|c| c.cache.shards.get(&0))
             .map(|p| p.host.clone());
-        assert!(holder.is_some_and(|host| host != "h00"), "{name}");
-        assert_eq!(world.hosts[0].holds(0), untold, "{name}");
-        let nodes: Vec<usize> = world.workers.iter().flatten().map(|w| w.node).collect();
+        assert!(
+            holder.is_some_and(|controller| controller != "h00"),
+            "{name}"
+        );
+        assert_eq!(simulation.controllers[0].leads(0), untold, "{name}");
+        let nodes: Vec<usize> = simulation
+            .workers
+            .iter()
+            .flatten()
+            .map(|w| w.controller)
+            .collect();
         assert_eq!(nodes.contains(&0), untold, "{name}: {nodes:?}");
         assert!(
-            over(&world) > before && world.store.down,
+            over(&simulation) > before && simulation.store.down,
             "{name}: {before}, {}",
-            over(&world)
+            over(&simulation)
         );
     }
 }
--- a/crates/simulator/tests/fleet_limits.rs
+++ b/crates/simulator/tests/fleet_limits.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::sync::Arc;
 
-use lemonweir_simulator::run::{self, Placer, LoadSource};
+use lemonweir_simulator::run::{self, LoadSource, Placer};
 use lemonweir_simulator::scenario::Scenario;
 
 /// Machines of the fleet.
@@ -25,9 +25,9 @@
         .replace("at_s = 120\nfor_s = 30", "at_s = 45\nfor_s = 15")
         .replace("at_s = 220\nfor_s = 10", "at_s = 70\nfor_s = 5");
     let scenario = Scenario::parse("four-thousand.toml", &text).expect("no fault");
-    assert!(scenario.calm_s() < 95.0, "all troubles come");
+    assert!(scenario.faults_over_s() < 95.0, "all troubles come");
     assert_eq!(scenario.faults.len(), 6);
-    let outcome = run::once(
+    let outcome = run::run_once(
         Arc::new(scenario),
         LoadSource::Synthetic,
         Placer::Lemonweir,
@@ -36,11 +36,11 @@
     )
     .expect("run");
     let r = &outcome.report;
-    assert!(r.broken.is_empty(), "{:?}", r.broken);
-    let most = r.series.iter().map(|s| s.up).max();
+    assert!(r.violations.is_empty(), "{:?}", r.violations);
+    let most = r.fleet.iter().map(|s| s.up).max();
     assert_eq!(most, Some(MACHINES), "machines in service at once");
     assert!(
-        r.series
+        r.fleet
             .iter()
             .any(|s| s.used_cpus == 16.0 * MACHINES as f64),
         "every machine is used at once"
@@ -53,5 +53,5 @@
 fn a_scenario_without_a_number_of_machines_has_four_thousand_in_each_zone() {
     let text = text().replace("ordinary = 2_000\n", "");
     let scenario = Scenario::parse("four-thousand.toml", &text).expect("no fault");
-    assert!(scenario.kinds[0].capacity.0 as usize >= MACHINES);
+    assert!(scenario.machine_kinds[0].capacity.on_demand as usize >= MACHINES);
 }
--- a/crates/simulator/tests/gang_admission.rs
+++ b/crates/simulator/tests/gang_admission.rs
@@ -7,17 +7,17 @@
 use lemonweir_model::{JobId, JobKind, JobSpec};
 use lemonweir_protocol::kv_store::KeyValue;
 use lemonweir_protocol::users::JobPhase;
-use lemonweir_simulator::workload_state::SimulatedJob;
-use lemonweir_simulator::history::History;
 use lemonweir_simulator::fixtures::{id, job};
+use lemonweir_simulator::history::History;
+use lemonweir_simulator::job::{PlannedSubmission, SimulatedJob};
 use lemonweir_simulator::scenario::Scenario;
-use lemonweir_simulator::simulation::{PlannedSubmission, Simulation};
+use lemonweir_simulator::simulation::Simulation;
 use lemonweir_storage::packed_chunk::read_chunk;
 use lemonweir_storage::records::{GangAdmissionStep, parse_run_key};
 
 /// Three controllers, each with its zone's machines: so many in each, of 16
 /// processors and 4 accelerators, and none to rent.
-fn world(seed: u64, machines: u32) -> Simulation {
+fn simulation(seed: u64, machines: u32) -> Simulation {
     let text = format!(
         "name = 'ledger'\nduration_s = 1e6\ncontrollers = 3\nzones = ['a', 'b', 'c']\n[state]\ntxn_ops = 12\n[policy]\nidle = 1e5\n\
          [[machine_type]]\nname = 'box'\ncpus = 16\ngpus = 4\nmemory_gb = 64\ncache_gb = 100\nprice = 4\nboot_s = 20\n\
@@ -37,30 +37,30 @@
     }
 }
 
-fn submit(world: &mut Simulation, spec: JobSpec, run_s: u64) {
-    let load = SimulatedJob {
+fn submit(simulation: &mut Simulation, spec: JobSpec, run_s: u64) {
+    let job = SimulatedJob {
         spec: Arc::new(spec),
         run_us: vec![run_s * 1_000_000],
         broken: false,
     };
-    world.submit_at(PlannedSubmission {
-        at_us: world.now,
-        load,
+    simulation.submit(PlannedSubmission {
+        at_us: simulation.now,
+        job,
         withdraw_us: None,
     });
 }
 
-fn assert_kept(world: &Simulation, what: &str) {
+fn assert_kept(simulation: &Simulation, what: &str) {
     assert!(
-        world.ground.checker.broken.is_empty(),
+        simulation.workload.checker.violations.is_empty(),
         "{what}: rules broken: {:#?}",
-        world.ground.checker.broken
+        simulation.workload.checker.violations
     );
 }
 
 /// What the store says of a gang: its least step, its attempt, members named.
-fn step_of(world: &Simulation, id: &JobId) -> Option<(GangAdmissionStep, u32, usize)> {
-    let entries = (0..3).flat_map(|shard| world.store.list(&format!("run/{shard}/{id}/")));
+fn step_of(simulation: &Simulation, id: &JobId) -> Option<(GangAdmissionStep, u32, usize)> {
+    let entries = (0..3).flat_map(|shard| simulation.store.list(&format!("run/{shard}/{id}/")));
     let read = |e: KeyValue| read_chunk(&e.value, parse_run_key(&e.key)?.1);
     let chunks: Vec<_> = entries
         .filter_map(read)
@@ -95,24 +95,35 @@
         }
     }
 
-    fn launched(&self, world: &Simulation) -> usize {
+    fn launched(&self, simulation: &Simulation) -> usize {
         (0..self.tasks)
-            .filter(|t| world.ground.launched.contains_key(&(self.id.clone(), *t)))
+            .filter(|t| {
+                simulation
+                    .workload
+                    .launched
+                    .contains_key(&(self.id.clone(), *t))
+            })
             .count()
     }
 
-    fn run(&mut self, world: &mut Simulation, ms: u64, until: impl Fn(&Simulation, &Self) -> bool) -> bool {
-        let end = world.now + ms * 1_000;
-        while world.now < end {
+    fn run(
+        &mut self,
+        simulation: &mut Simulation,
+        ms: u64,
+        until: impl Fn(&Simulation, &Self) -> bool,
+    ) -> bool {
+        let end = simulation.now + ms * 1_000;
+        while simulation.now < end {
             // Once all is launched nothing is to be seen between two messages.
-            world.run(if self.launched(world) == self.tasks as usize {
+            simulation.run(if self.launched(simulation) == self.tasks as usize {
                 100
             } else {
                 1
             });
-            let news =
-                std::mem::replace(&mut self.seen, world.store.revision) != world.store.revision;
-            if let Some((step, attempt, _)) = news.then(|| step_of(world, &self.id)).flatten() {
+            let news = std::mem::replace(&mut self.seen, simulation.store.revision)
+                != simulation.store.revision;
+            if let Some((step, attempt, _)) = news.then(|| step_of(simulation, &self.id)).flatten()
+            {
                 if self.steps.last() != Some(&step) {
                     self.steps.push(step);
                 }
@@ -120,13 +131,13 @@
                     self.admitted.insert(attempt);
                 }
             }
-            let launched = self.launched(world);
+            let launched = self.launched(simulation);
             assert!(
                 launched == 0 || !self.admitted.is_empty(),
                 "{launched} tasks are launched, {:?}",
                 self.steps
             );
-            if until(world, self) {
+            if until(simulation, self) {
                 return true;
             }
         }
@@ -143,33 +154,40 @@
     Launched,
 }
 
-const STEPS: [At; 4] = [At::PlannedSubmission, At::QueryKind, At::Admitted, At::Launched];
+const STEPS: [At; 4] = [
+    At::PlannedSubmission,
+    At::QueryKind,
+    At::Admitted,
+    At::Launched,
+];
 
 /// Brings a gang of 8 whole machines, which needs machines of all three parts, to a
 /// step; also the controllers that place and that own.
 fn brought_to(at: At, seed: u64) -> (Simulation, Watch) {
-    let mut world = world(seed, 3);
-    world.run(12_000);
-    submit(&mut world, gang(1, "blue", 8), 20);
+    let mut simulation = simulation(seed, 3);
+    simulation.run(12_000);
+    submit(&mut simulation, gang(1, "blue", 8), 20);
     let mut watch = Watch::new(1, 8);
-    let there = watch.run(&mut world, 8_000, |world, watch| {
-        let step = step_of(world, &watch.id).map(|s| s.0);
+    let there = watch.run(&mut simulation, 8_000, |simulation, watch| {
+        let step = step_of(simulation, &watch.id).map(|s| s.0);
         match at {
             At::PlannedSubmission | At::QueryKind => step == Some(GangAdmissionStep::Planned),
             At::Admitted => step == Some(GangAdmissionStep::Admitted),
-            At::Launched => watch.launched(world) > 0,
+            At::Launched => watch.launched(simulation) > 0,
         }
     });
     assert!(there, "{at:?} was not reached: {:?}", watch.steps);
     if at == At::QueryKind {
-        watch.run(&mut world, 4, |_, _| false);
+        watch.run(&mut simulation, 4, |_, _| false);
     }
-    (world, watch)
+    (simulation, watch)
 }
 
 /// Who ends: the placer's controller, an owner's, or both.
-fn struck(world: &Simulation, who: usize) -> Vec<usize> {
-    let placer = (0..3).find(|h| world.hosts[*h].holds(0)).expect("a holder");
+fn struck(simulation: &Simulation, who: usize) -> Vec<usize> {
+    let placer = (0..3)
+        .find(|h| simulation.controllers[*h].leads(0))
+        .expect("a holder");
     let owner = (0..3).find(|h| *h != placer).expect("another");
     [vec![placer], vec![owner], vec![placer, owner]][who].clone()
 }
@@ -188,18 +206,18 @@
             (at, 2, 600_000),
         ]
     }) {
-        let (mut world, mut watch) = brought_to(at, 1 + who as u64);
+        let (mut simulation, mut watch) = brought_to(at, 1 + who as u64);
         let what = format!("{at:?}, {who}, back after {back_ms} ms");
-        for host in struck(&world, who) {
-            world.crash(host, back_ms * 1_000);
+        for controller in struck(&simulation, who) {
+            simulation.crash(controller, back_ms * 1_000);
         }
-        let done = watch.run(&mut world, 130_000, |world, watch| {
-            world.phase(&watch.id) == Some(JobPhase::Done)
+        let done = watch.run(&mut simulation, 130_000, |simulation, watch| {
+            simulation.phase(&watch.id) == Some(JobPhase::Done)
         });
         assert!(done, "{what}: {:?}", watch.steps);
-        assert_kept(&world, &what);
-        world.run(5_000);
-        assert!(world.live().is_empty(), "{what}");
+        assert_kept(&simulation, &what);
+        simulation.run(5_000);
+        assert!(simulation.live_tasks().is_empty(), "{what}");
     }
 }
 
@@ -209,17 +227,20 @@
 fn placer_or_owner_or_both_stand_still_at_each_step() {
     for at in STEPS {
         for who in 0..3 {
-            let (mut world, mut watch) = brought_to(at, 11 + who as u64);
+            let (mut simulation, mut watch) = brought_to(at, 11 + who as u64);
             let what = format!("{at:?}, {who}");
-            for host in struck(&world, who) {
-                let until = world.now + 30_000_000;
-                (world.hosts[host].frozen_until, world.hosts[host].busy_until) = (until, until);
+            for controller in struck(&simulation, who) {
+                let until = simulation.now + 30_000_000;
+                (
+                    simulation.controllers[controller].stalled_until,
+                    simulation.controllers[controller].busy_until,
+                ) = (until, until);
             }
-            let done = watch.run(&mut world, 200_000, |world, watch| {
-                world.phase(&watch.id) == Some(JobPhase::Done)
+            let done = watch.run(&mut simulation, 200_000, |simulation, watch| {
+                simulation.phase(&watch.id) == Some(JobPhase::Done)
             });
             assert!(done, "{what}: {:?}", watch.steps);
-            assert_kept(&world, &what);
+            assert_kept(&simulation, &what);
         }
     }
 }
@@ -228,13 +249,13 @@
 #[test]
 fn withdrawn_at_each_step() {
     for at in STEPS {
-        let (mut world, mut watch) = brought_to(at, 31);
-        world.withdraw(&watch.id);
-        let gone = watch.run(&mut world, 40_000, |world, watch| {
-            world.phase(&watch.id) == Some(JobPhase::Withdrawn)
+        let (mut simulation, mut watch) = brought_to(at, 31);
+        simulation.withdraw(&watch.id);
+        let gone = watch.run(&mut simulation, 40_000, |simulation, watch| {
+            simulation.phase(&watch.id) == Some(JobPhase::Withdrawn)
         });
         assert!(gone, "{at:?}");
-        assert_kept(&world, &format!("{at:?}"));
-        assert!(world.live().is_empty(), "{at:?}");
+        assert_kept(&simulation, &format!("{at:?}"));
+        assert!(simulation.live_tasks().is_empty(), "{at:?}");
     }
 }
--- a/crates/simulator/tests/image_locality.rs
+++ b/crates/simulator/tests/image_locality.rs
@@ -6,11 +6,11 @@
 use lemonweir_model::policy::Trade;
 use lemonweir_model::{AttemptId, JobKind, JobSpec, Priority};
 use lemonweir_protocol::worker::TaskPhase;
-use lemonweir_simulator::workload_state::SimulatedJob;
-use lemonweir_simulator::history::History;
 use lemonweir_simulator::fixtures::{id, job};
+use lemonweir_simulator::history::History;
+use lemonweir_simulator::job::{PlannedSubmission, SimulatedJob};
 use lemonweir_simulator::scenario::Scenario;
-use lemonweir_simulator::simulation::{PlannedSubmission, Simulation};
+use lemonweir_simulator::simulation::Simulation;
 
 /// Zones with a controller each and machines that are there from the start, boxes of
 /// 4 accelerators that fetch 0.3 GB a second into caches of 130 GB.
@@ -55,17 +55,18 @@
 }
 
 struct Lab {
-    world: Simulation,
+    simulation: Simulation,
     seen: WorkloadSummary,
     services: Vec<JobSpec>,
 }
 
 impl Lab {
     fn new(scenario: Scenario, seed: u64) -> Self {
-        let mut world = Simulation::new(Arc::new(scenario), Vec::new(), seed, History::new(None));
-        world.run(6_000);
+        let mut simulation =
+            Simulation::new(Arc::new(scenario), Vec::new(), seed, History::new(None));
+        simulation.run(6_000);
         Self {
-            world,
+            simulation,
             seen: WorkloadSummary::default(),
             services: Vec::new(),
         }
@@ -75,14 +76,14 @@
         if spec.shape == JobKind::Service {
             self.services.push(spec.clone());
         }
-        let load = SimulatedJob {
+        let job = SimulatedJob {
             spec: Arc::new(spec),
             run_us: vec![run_s * 1_000_000],
             broken: false,
         };
-        self.world.submit_at(PlannedSubmission {
-            at_us: self.world.now,
-            load,
+        self.simulation.submit(PlannedSubmission {
+            at_us: self.simulation.now,
+            job,
             withdraw_us: None,
         });
     }
@@ -90,22 +91,22 @@
     fn look(&mut self) {
         self.seen.running.clear();
         let mut under_way = BTreeSet::new();
-        self.seen.machine_s += 0.5 * self.world.workers.iter().flatten().count() as f64;
-        let now = self.world.now;
+        self.seen.machine_s += 0.5 * self.simulation.workers.iter().flatten().count() as f64;
+        let now = self.simulation.now;
         let names: BTreeMap<_, u32> = self
             .services
             .iter()
             .map(|s| (s.id.clone(), number(&s.id)))
             .collect();
         for w in self
-            .world
+            .simulation
             .workers
             .iter_mut()
             .flatten()
             .filter(|w| now >= w.up_at)
         {
             let (machine, zone) = (w.number, w.zone.clone());
-            for t in w.report(now).tasks {
+            for t in w.heartbeat(now).tasks {
                 let Some(attempt) = AttemptId::parse(&t.piece, t.attempt) else {
                     continue;
                 };
@@ -147,7 +148,7 @@
 
     fn run(&mut self, s: u64) {
         for _ in 0..2 * s {
-            self.world.run(500);
+            self.simulation.run(500);
             self.look();
         }
     }
@@ -165,17 +166,17 @@
 
     /// Lets time pass until all services are whole outside of these zones; s.
     fn until_whole(&mut self, lost: &[&str], most_s: u64) -> Option<f64> {
-        let since = self.world.now;
+        let since = self.simulation.now;
         let wants: Vec<(u32, usize)> = self
             .services
             .iter()
             .map(|s| (number(&s.id), s.tasks as usize))
             .collect();
-        while self.world.now < since + most_s * 1_000_000 {
-            self.world.run(500);
+        while self.simulation.now < since + most_s * 1_000_000 {
+            self.simulation.run(500);
             self.look();
             if wants.iter().all(|(n, tasks)| self.up(*n, lost) >= *tasks) {
-                return Some((self.world.now - since) as f64 / 1e6);
+                return Some((self.simulation.now - since) as f64 / 1e6);
             }
         }
         None
@@ -188,15 +189,15 @@
 
     /// A hall is gone with its controller.
     fn lose(&mut self, zone: &str) {
-        let host = self
-            .world
+        let controller = self
+            .simulation
             .scenario
             .zones
             .iter()
             .position(|z| z == zone)
             .expect("a zone");
-        self.world.cut_zones.insert(zone.to_owned());
-        self.world.crash(host, 3_600_000_000);
+        self.simulation.partitioned_zones.insert(zone.to_owned());
+        self.simulation.crash(controller, 3_600_000_000);
     }
 
     /// Starts of services seen, and of these the ones that fetched.
@@ -226,9 +227,9 @@
 
     fn assert_kept(&self, what: &str) {
         assert!(
-            self.world.ground.checker.broken.is_empty(),
+            self.simulation.workload.checker.violations.is_empty(),
             "{what}: rules broken: {:#?}",
-            self.world.ground.checker.broken
+            self.simulation.workload.checker.violations
         );
     }
 }
@@ -265,20 +266,20 @@
         assert!(first > 190.0, "{what}: {first} s");
         let (_, fetched) = lab.starts();
         let lost = lab.machine_of(1);
-        let zone = lab.world.workers[lost]
+        let zone = lab.simulation.workers[lost]
             .as_ref()
             .expect("there")
             .zone
             .clone();
-        lab.world.workers[lost].as_mut().expect("there").silent = true;
-        let host = lab
-            .world
+        lab.simulation.workers[lost].as_mut().expect("there").silent = true;
+        let controller = lab
+            .simulation
             .scenario
             .zones
             .iter()
             .position(|z| *z == zone)
             .expect("a zone");
-        lab.world.crash(host, 3_000_000);
+        lab.simulation.crash(controller, 3_000_000);
         lab.run(2);
         let left = lab.seen.running[&1]
             .iter()
@@ -322,12 +323,12 @@
         let two = zones.iter().filter(|z| z.len() == 2).count();
         let hall = zones[0].first().expect("runs").clone();
         // The operators' picture says the same, from any controller.
-        for host in &lab.world.hosts {
-            let picture = host
+        for controller in &lab.simulation.controllers {
+            let picture = controller
                 .core
                 .as_ref()
                 .expect("runs")
-                .weights("m-0", lab.world.now / 1_000);
+                .weights("m-0", lab.simulation.now / 1_000);
             assert_eq!(
                 (picture.mb, picture.users.len(), picture.users[0].tasks),
                 (Some(40_000), 1, 2)
@@ -383,18 +384,21 @@
     lab.run(20);
     // Four of eight machines lose their caches; nobody is told.
     let wrong: BTreeSet<usize> = lab
-        .world
+        .simulation
         .workers
         .iter()
         .flatten()
         .map(|w| w.number)
         .filter(|n| n % 2 == 0)
         .collect();
-    wrong
-        .iter()
-        .for_each(|n| lab.world.workers[*n].as_mut().expect("there").drop_images());
-    lab.world.withdraw(&id(0));
-    lab.world.crash(0, 3_000_000);
+    wrong.iter().for_each(|n| {
+        lab.simulation.workers[*n]
+            .as_mut()
+            .expect("there")
+            .drop_images()
+    });
+    lab.simulation.withdraw(&id(0));
+    lab.simulation.crash(0, 3_000_000);
     lab.run(20);
     lab.services.clear();
     lab.seen = WorkloadSummary::default();
@@ -426,7 +430,7 @@
     lab.until_whole(&[], 300).expect("whole");
     lab.run(60);
     let before = lab.starts();
-    lab.world.crash(1, 4_000_000);
+    lab.simulation.crash(1, 4_000_000);
     for n in 5..8 {
         lab.submit(service(n, 2, "hot", 20.0), 0);
         lab.run(15);
@@ -508,7 +512,7 @@
                 .get(&n)
                 .and_then(|r| r.first())
                 .map(|r| r.0);
-            if let Some(w) = machine.and_then(|m| lab.world.workers[m].as_mut()) {
+            if let Some(w) = machine.and_then(|m| lab.simulation.workers[m].as_mut()) {
                 w.silent = true;
             }
         }
--- a/crates/simulator/tests/injected_faults.rs
+++ b/crates/simulator/tests/injected_faults.rs
@@ -6,10 +6,10 @@
 
 use lemonweir_model::{AttemptId, JobKind};
 use lemonweir_protocol::kv_store::from_value;
-use lemonweir_simulator::invariants::InvariantChecker;
+use lemonweir_simulator::fixtures::{id, job};
 use lemonweir_simulator::history::History;
+use lemonweir_simulator::invariants::InvariantChecker;
 use lemonweir_simulator::load_generator::synthetic;
-use lemonweir_simulator::fixtures::{id, job};
 use lemonweir_simulator::scenario::Scenario;
 use lemonweir_simulator::simulation::Simulation;
 use lemonweir_storage::records::{JobRecord, job_key};
@@ -31,32 +31,32 @@
 
 #[test]
 fn machines_that_hear_no_answer_lose_their_lease_and_report_on() {
-    let mut world = day("kind = 'deaf'\nshare = 1.0\nonly = 'answers'");
-    world.run(60_000);
-    let before = world.live().values().sum::<usize>();
-    assert_eq!((before, world.ground.killed_by_lease), (12, 0));
-    world.run(30_000);
+    let mut simulation = day("kind = 'deaf'\nshare = 1.0\nonly = 'answers'");
+    simulation.run(60_000);
+    let before = simulation.live_tasks().values().sum::<usize>();
+    assert_eq!((before, simulation.workload.killed_by_lease), (12, 0));
+    simulation.run(30_000);
     assert!(
-        world.ground.killed_by_lease >= 12,
+        simulation.workload.killed_by_lease >= 12,
         "{}",
-        world.ground.killed_by_lease
+        simulation.workload.killed_by_lease
     );
     // Only one controller's answers: the others' reach them.
-    let mut world = day("kind = 'deaf'\nzone = 'a'\ncontroller = 0\nonly = 'answers'");
-    world.run(59_900);
-    world.run(41_000);
+    let mut simulation = day("kind = 'deaf'\nzone = 'a'\ncontroller = 0\nonly = 'answers'");
+    simulation.run(59_900);
+    simulation.run(41_000);
     assert!(
-        world.ground.killed_by_lease <= 6,
+        simulation.workload.killed_by_lease <= 6,
         "{}",
-        world.ground.killed_by_lease
+        simulation.workload.killed_by_lease
     );
     // Commands only: leases live on.
-    let mut world = day("kind = 'deaf'\nshare = 1.0\nonly = 'commands'");
-    world.run(100_000);
+    let mut simulation = day("kind = 'deaf'\nshare = 1.0\nonly = 'commands'");
+    simulation.run(100_000);
     assert_eq!(
         (
-            world.live().values().sum::<usize>(),
-            world.ground.killed_by_lease
+            simulation.live_tasks().values().sum::<usize>(),
+            simulation.workload.killed_by_lease
         ),
         (12, 0)
     );
@@ -64,15 +64,15 @@
 
 #[test]
 fn a_machine_that_is_reborn_is_empty_and_counts_from_the_start() {
-    let mut world = day("kind = 'reborn'\nshare = 1.0");
-    world.run(60_000);
-    world.run(1);
-    assert!(world.live().is_empty());
-    let reports: Vec<_> = world
+    let mut simulation = day("kind = 'reborn'\nshare = 1.0");
+    simulation.run(60_000);
+    simulation.run(1);
+    assert!(simulation.live_tasks().is_empty());
+    let reports: Vec<_> = simulation
         .workers
         .iter_mut()
         .flatten()
-        .map(|w| w.report(60_001_000))
+        .map(|w| w.heartbeat(60_001_000))
         .collect();
     assert!(
         reports
@@ -81,21 +81,25 @@
         "{reports:?}"
     );
     assert!(
-        world.ground.checker.broken.is_empty(),
+        simulation.workload.checker.violations.is_empty(),
         "{:?}",
-        world.ground.checker.broken
+        simulation.workload.checker.violations
     );
 }
 
 #[test]
 fn late_copies_come_and_are_answered_to_nobody() {
-    let mut world = day("kind = 'late_copies'\nshare = 1.0\nlow_s = 1\nhigh_s = 90");
-    world.run(300_000);
-    assert!(world.copies > 60, "{}", world.copies);
+    let mut simulation = day("kind = 'late_copies'\nshare = 1.0\nlow_s = 1\nhigh_s = 90");
+    simulation.run(300_000);
+    assert!(
+        simulation.duplicates_delivered > 60,
+        "{}",
+        simulation.duplicates_delivered
+    );
     assert!(
-        world.ground.checker.broken.is_empty(),
+        simulation.workload.checker.violations.is_empty(),
         "{:?}",
-        world.ground.checker.broken
+        simulation.workload.checker.violations
     );
 }
 
@@ -105,19 +109,19 @@
 #[test]
 fn an_answer_that_a_cut_keeps_back_fails_for_who_waits() {
     for frozen in 0..2 {
-        let mut world = day(&format!(
+        let mut simulation = day(&format!(
             "kind = 'freeze'\ncontroller = {frozen}\n[[fault]]\nat_s = 62\nfor_s = 58\nkind = 'cut_controllers'\ncontroller = 0\nother = 1"
         ));
-        world.run(300_000);
+        simulation.run(300_000);
         assert_eq!(
-            world.live().values().sum::<usize>(),
+            simulation.live_tasks().values().sum::<usize>(),
             12,
             "controller {frozen} stood still"
         );
         assert!(
-            world.ground.checker.broken.is_empty(),
+            simulation.workload.checker.violations.is_empty(),
             "{:?}",
-            world.ground.checker.broken
+            simulation.workload.checker.violations
         );
     }
 }
@@ -130,12 +134,12 @@
     checker.answered(&id(1), 10_000_000);
     checker.answered(&id(2), 10_000_000);
     checker.check_answers(200_000_000, 270_000_000);
-    assert!(checker.broken.is_empty(), "{:?}", checker.broken);
+    assert!(checker.violations.is_empty(), "{:?}", checker.violations);
     checker.answered(&id(2), 260_000_000);
     checker.check_answers(200_000_000, 276_000_000);
     checker.check_answers(200_000_000, 277_000_000);
     assert_eq!(
-        checker.broken,
+        checker.violations,
         ["276000 ms: forgotten: no question about req-000001 is answered for 75 s"]
     );
 }
@@ -154,61 +158,65 @@
     // One task is replaced in the same attempt.
     checker.gang_task_over(&task(2, 1));
     checker.launched(&task(2, 1), 2_000);
-    assert!(checker.broken.is_empty(), "{:?}", checker.broken);
+    assert!(checker.violations.is_empty(), "{:?}", checker.violations);
     (0..2).for_each(|t| checker.gang_task_over(&task(t, 1)));
     checker.launched(&task(0, 2), 3_000);
-    assert_eq!(checker.broken.len(), 1, "{:?}", checker.broken);
-    assert!(checker.broken[0].contains("two_attempts"));
+    assert_eq!(checker.violations.len(), 1, "{:?}", checker.violations);
+    assert!(checker.violations[0].contains("two_attempts"));
 }
 
 /// Lets a user of the first service withdraw it at 61 s, with a trouble from 60 s on;
 /// s until the store shows that, and until it shows the end.
 fn withdrawal(trouble: &str) -> (Simulation, u64, u64) {
-    let mut world = day(trouble);
-    world.run(61_000);
-    let job = world.live().into_keys().next().expect("a service");
-    world.withdraw(&job);
-    let marked = |world: &Simulation| {
-        let record = world
+    let mut simulation = day(trouble);
+    simulation.run(61_000);
+    let job = simulation
+        .live_tasks()
+        .into_keys()
+        .next()
+        .expect("a service");
+    simulation.withdraw(&job);
+    let marked = |simulation: &Simulation| {
+        let record = simulation
             .store
             .get(&job_key(&job))
             .and_then(|(value, _)| from_value::<JobRecord>(value));
         record.is_none_or(|r| r.withdrawn)
     };
     let mut seen = (None, None);
-    while world.now < 140_000_000 {
-        world.run(100);
-        let ms = world.now / 1_000 - 61_000;
-        seen.0 = seen.0.or(marked(&world).then_some(ms));
-        seen.1 = seen.1.or(world.phase(&job).map(|_| ms));
+    while simulation.now < 140_000_000 {
+        simulation.run(100);
+        let ms = simulation.now / 1_000 - 61_000;
+        seen.0 = seen.0.or(marked(&simulation).then_some(ms));
+        seen.1 = seen.1.or(simulation.phase(&job).map(|_| ms));
     }
     assert!(
-        world.ground.checker.broken.is_empty(),
+        simulation.workload.checker.violations.is_empty(),
         "{:?}",
-        world.ground.checker.broken
+        simulation.workload.checker.violations
     );
-    assert!(!world.live().contains_key(&job));
-    (world, seen.0.expect("marked"), seen.1.expect("ended"))
+    assert!(!simulation.live_tasks().contains_key(&job));
+    (simulation, seen.0.expect("marked"), seen.1.expect("ended"))
 }
 
 #[test]
 fn late_writes_get_no_answer_and_are_carried_out_later() {
-    let (world, marked, ended) = withdrawal("kind = 'late_writes'\nshare = 1.0");
+    let (simulation, marked, ended) = withdrawal("kind = 'late_writes'\nshare = 1.0");
     assert!(
         (2_000..=12_200).contains(&marked) && ended >= marked + 2_000,
         "{marked} ms, {ended} ms"
     );
-    assert!(world.late_writes > 2, "{}", world.late_writes);
+    assert!(simulation.late_writes > 2, "{}", simulation.late_writes);
     let (_, marked, ended) = withdrawal("kind = 'late_writes'\nshare = 0.0");
     assert!(marked <= 300 && ended <= 1_500, "{marked} ms, {ended} ms");
 }
 
 /// True if the store's last word to a controller is new.
-fn told(world: &Simulation, host: usize) -> bool {
-    world.hosts[host]
+fn told(simulation: &Simulation, controller: usize) -> bool {
+    simulation.controllers[controller]
         .core
         .as_ref()
-        .is_some_and(|c| c.links.store_told(world.now / 1_000))
+        .is_some_and(|c| c.links.store_told(simulation.now / 1_000))
 }
 
 #[test]
@@ -220,29 +228,30 @@
     );
     // Counted from its answer, the word of a reading would never be old.
     for (seconds, old) in [(0.6, false), (1.4, true)] {
-        let mut world = day(&format!(
+        let mut simulation = day(&format!(
             "kind = 'store_slow'\nlow_s = {seconds}\nhigh_s = {seconds}"
         ));
-        world.run(60_000);
+        simulation.run(60_000);
         let untold = (0..300).filter(|_| {
-            world.run(100);
-            (0..3).any(|host| !told(&world, host))
+            simulation.run(100);
+            (0..3).any(|controller| !told(&simulation, controller))
         });
         assert_eq!(untold.count() > 0, old, "{seconds} s");
     }
     // Slower than anybody waits: its answers are none, and what was asked for is done.
-    let mut world = day("kind = 'store_slow'\nlow_s = 2\nhigh_s = 4");
-    world.run(90_000);
+    let mut simulation = day("kind = 'store_slow'\nlow_s = 2\nhigh_s = 4");
+    simulation.run(90_000);
     assert!(
-        (0..3).all(|host| !told(&world, host) && world.hosts[host].holds(host as u16)),
+        (0..3).all(|controller| !told(&simulation, controller)
+            && simulation.controllers[controller].leads(controller as u16)),
         "nobody loses its hold"
     );
-    world.run(60_000);
-    assert!((0..3).all(|host| told(&world, host)));
+    simulation.run(60_000);
+    assert!((0..3).all(|controller| told(&simulation, controller)));
     assert!(
-        world.ground.checker.broken.is_empty(),
+        simulation.workload.checker.violations.is_empty(),
         "{:?}",
-        world.ground.checker.broken
+        simulation.workload.checker.violations
     );
 }
 
@@ -250,34 +259,34 @@
 #[test]
 fn a_controller_that_the_store_refuses_by_name_loses_its_hold() {
     for (carried, holders) in [(false, [true, false, false]), (true, [false, true, false])] {
-        let mut world = day(&format!(
+        let mut simulation = day(&format!(
             "kind = 'refused'\ncontroller = 0\ncarried = {carried}"
         ));
-        world.run(90_000);
-        let by_key = world.hosts[1]
+        simulation.run(90_000);
+        let by_key = simulation.controllers[1]
             .core
             .as_ref()
             .and_then(|c| c.cache.shards.get(&0))
             .map(|p| p.host.clone());
         assert_eq!(by_key.as_deref() == Some("h00"), holders[0], "{by_key:?}");
-        world.run(60_000);
-        assert!(world.hosts[0].holds(0), "its part comes back");
+        simulation.run(60_000);
+        assert!(simulation.controllers[0].leads(0), "its part comes back");
         assert!(
-            world.ground.checker.broken.is_empty(),
+            simulation.workload.checker.violations.is_empty(),
             "{:?}",
-            world.ground.checker.broken
+            simulation.workload.checker.violations
         );
     }
 }
 
 #[test]
 fn orders_that_are_held_up_reach_their_machine_later() {
-    let (world, marked, ended) =
+    let (simulation, marked, ended) =
         withdrawal("kind = 'held_orders'\nshare = 1.0\nlow_s = 5\nhigh_s = 5");
     assert!(
-        world.held > 10 && ended > marked + 2_000,
+        simulation.delayed_calls > 10 && ended > marked + 2_000,
         "{} held, {marked} ms, {ended} ms",
-        world.held
+        simulation.delayed_calls
     );
     assert!(ended < 40_000, "{ended} ms");
 }
--- a/crates/simulator/tests/invariants.rs
+++ b/crates/simulator/tests/invariants.rs
@@ -5,34 +5,34 @@
 use lemonweir_model::{JobId, JobKind, JobSpec, Priority, Resources};
 use lemonweir_protocol::kv_store::{CompareAndSwap, Write};
 use lemonweir_protocol::users::JobPhase;
-use lemonweir_simulator::invariants::{InvariantChecker, TaskPlacement};
-use lemonweir_simulator::workload_state::SimulatedJob;
-use lemonweir_simulator::history::History;
 use lemonweir_simulator::fixtures::{id, job, site};
-use lemonweir_simulator::scenario::{MessageFaults, Link};
-use lemonweir_simulator::simulation::{PlannedSubmission, Simulation};
+use lemonweir_simulator::history::History;
+use lemonweir_simulator::invariants::{InvariantChecker, TaskPlacement, UserAnswer};
+use lemonweir_simulator::job::{PlannedSubmission, SimulatedJob};
+use lemonweir_simulator::scenario::{Link, MachineCapacity, MessageFaults};
+use lemonweir_simulator::simulation::Simulation;
 use lemonweir_storage::records::{JobEndRecord, end_key};
 
 const NO_FAULTS: MessageFaults = MessageFaults {
-    lost_txn_reply: 0,
-    late_txn: 0,
+    lost_cas_reply: 0,
+    late_cas: 0,
     lost_command: 0,
     late_command: 0,
     lost_sync: 0,
     late_sync: 0,
 };
 const MANY_FAULTS: MessageFaults = MessageFaults {
-    lost_txn_reply: 60,
-    late_txn: 60,
+    lost_cas_reply: 60,
+    late_cas: 60,
     lost_command: 80,
     late_command: 80,
     lost_sync: 80,
     late_sync: 500,
 };
 
-fn world(seed: u64, hosts: u16, capacity: u32, chances: MessageFaults) -> Simulation {
+fn simulation(seed: u64, controllers: u16, capacity: u32, chances: MessageFaults) -> Simulation {
     Simulation::new(
-        Arc::new(site(hosts, capacity, chances)),
+        Arc::new(site(controllers, capacity, chances)),
         Vec::new(),
         seed,
         History::new(None),
@@ -40,38 +40,38 @@
 }
 
 /// Submits a job that runs for so many s, withdrawn after a while if wanted.
-fn submit(world: &mut Simulation, spec: JobSpec, run_s: u64, withdraw_after_s: Option<u64>) {
-    let load = SimulatedJob {
+fn submit(simulation: &mut Simulation, spec: JobSpec, run_s: u64, withdraw_after_s: Option<u64>) {
+    let job = SimulatedJob {
         spec: Arc::new(spec),
         run_us: vec![run_s * 1_000_000],
         broken: false,
     };
-    let withdraw_us = withdraw_after_s.map(|s| world.now + s * 1_000_000);
-    world.submit_at(PlannedSubmission {
-        at_us: world.now + 1_000_000,
-        load,
+    let withdraw_us = withdraw_after_s.map(|s| simulation.now + s * 1_000_000);
+    simulation.submit(PlannedSubmission {
+        at_us: simulation.now + 1_000_000,
+        job,
         withdraw_us,
     });
 }
 
-fn assert_kept(world: &Simulation) {
+fn assert_kept(simulation: &Simulation) {
     assert!(
-        world.ground.checker.broken.is_empty(),
+        simulation.workload.checker.violations.is_empty(),
         "rules broken: {:#?}",
-        world.ground.checker.broken
+        simulation.workload.checker.violations
     );
 }
 
-fn live(world: &Simulation) -> usize {
-    world.workers.iter().flatten().map(|w| w.live()).sum()
+fn live(simulation: &Simulation) -> usize {
+    simulation.workers.iter().flatten().map(|w| w.live()).sum()
 }
 
 /// A mix of jobs of both teams; returns those that must be done.
-fn mix(world: &mut Simulation) -> Vec<JobId> {
+fn mix(simulation: &mut Simulation) -> Vec<JobId> {
     for n in 0..6 {
         let withdrawn = (n == 3).then_some(75);
         submit(
-            world,
+            simulation,
             job(
                 n,
                 if n % 2 == 0 { "red" } else { "blue" },
@@ -85,10 +85,10 @@
     let mut spread = job(10, "blue", JobKind::Service, 3);
     spread.spread = true;
     spread.spot = false;
-    submit(world, spread, 15, Some(70));
-    submit(world, job(11, "red", JobKind::Gang, 1), 15, None);
+    submit(simulation, spread, 15, Some(70));
+    submit(simulation, job(11, "red", JobKind::Gang, 1), 15, None);
     submit(
-        world,
+        simulation,
         JobSpec {
             one_zone: true,
             ..job(12, "blue", JobKind::Gang, 6)
@@ -99,24 +99,28 @@
     [0, 1, 2, 4, 5, 11, 12].map(id).to_vec()
 }
 
-fn settle(world: &mut Simulation, must: &[JobId], most_ms: u64) {
+fn settle(simulation: &mut Simulation, must: &[JobId], most_ms: u64) {
     let mut left = most_ms;
-    while left > 0 && must.iter().any(|j| world.phase(j) != Some(JobPhase::Done)) {
-        world.run(5_000);
+    while left > 0
+        && must
+            .iter()
+            .any(|j| simulation.phase(j) != Some(JobPhase::Done))
+    {
+        simulation.run(5_000);
         left = left.saturating_sub(5_000);
     }
-    world.run(40_000);
-    assert_kept(world);
+    simulation.run(40_000);
+    assert_kept(simulation);
     let open: Vec<&JobId> = must
         .iter()
-        .filter(|j| world.phase(j) != Some(JobPhase::Done))
+        .filter(|j| simulation.phase(j) != Some(JobPhase::Done))
         .collect();
     assert!(open.is_empty(), "not done: {open:?}");
-    assert!(world.ground.checker.starts > 20);
+    assert!(simulation.workload.checker.starts > 20);
 }
 
-fn silence(world: &mut Simulation, machines: usize, silent: bool) {
-    world
+fn silence(simulation: &mut Simulation, machines: usize, silent: bool) {
+    simulation
         .workers
         .iter_mut()
         .flatten()
@@ -126,47 +130,50 @@
 
 #[test]
 fn a_quiet_day_finishes_everything() {
-    let mut world = world(1, 3, 12, NO_FAULTS);
-    let must = mix(&mut world);
-    settle(&mut world, &must, 400_000);
+    let mut simulation = simulation(1, 3, 12, NO_FAULTS);
+    let must = mix(&mut simulation);
+    settle(&mut simulation, &must, 400_000);
 }
 
 #[test]
 fn lost_and_late_messages_break_no_rule() {
     for seed in 0..12 {
-        let mut world = world(seed, 3, 12, MANY_FAULTS);
-        let must = mix(&mut world);
-        settle(&mut world, &must, 900_000);
+        let mut simulation = simulation(seed, 3, 12, MANY_FAULTS);
+        let must = mix(&mut simulation);
+        settle(&mut simulation, &must, 900_000);
     }
 }
 
 #[test]
 fn crashes_and_takeovers_break_no_rule() {
     for seed in 20..28 {
-        let mut world = world(seed, 3, 12, MANY_FAULTS);
-        let must = mix(&mut world);
-        world.run(45_000);
-        world.crash(0, 5_000_000);
-        world.run(13_000);
+        let mut simulation = simulation(seed, 3, 12, MANY_FAULTS);
+        let must = mix(&mut simulation);
+        simulation.run(45_000);
+        simulation.crash(0, 5_000_000);
+        simulation.run(13_000);
         // Away for longer than its hold: another node takes the part.
-        world.crash(1, 25_000_000);
-        world.run(20_000);
+        simulation.crash(1, 25_000_000);
+        simulation.run(20_000);
         assert!(
-            (0..3).any(|h| h != 1 && world.hosts[h].holds(1)),
+            (0..3).any(|h| h != 1 && simulation.controllers[h].leads(1)),
             "the part is taken over"
         );
-        world.run(20_000);
-        assert!(world.hosts[1].holds(1), "the part is handed back");
-        world.crash(2, 4_000_000);
-        world.crash(0, 4_000_000);
-        settle(&mut world, &must, 900_000);
+        simulation.run(20_000);
+        assert!(
+            simulation.controllers[1].leads(1),
+            "the part is handed back"
+        );
+        simulation.crash(2, 4_000_000);
+        simulation.crash(0, 4_000_000);
+        settle(&mut simulation, &must, 900_000);
     }
 }
 
 #[test]
 fn silent_machines_break_no_rule() {
     for seed in 40..46 {
-        let mut world = world(
+        let mut simulation = simulation(
             seed,
             3,
             12,
@@ -176,72 +183,76 @@
                 ..NO_FAULTS
             },
         );
-        let must = mix(&mut world);
-        world.run(50_000);
-        silence(&mut world, 2, true);
-        world.run(22_000);
-        silence(&mut world, 2, false);
-        settle(&mut world, &must, 900_000);
+        let must = mix(&mut simulation);
+        simulation.run(50_000);
+        silence(&mut simulation, 2, true);
+        simulation.run(22_000);
+        silence(&mut simulation, 2, false);
+        settle(&mut simulation, &must, 900_000);
     }
 }
 
 #[test]
 fn an_outage_of_the_store_breaks_no_rule() {
-    let mut world = world(60, 3, 12, NO_FAULTS);
-    let must = mix(&mut world);
-    world.run(40_000);
-    world.store.down = true;
-    world.run(25_000);
-    let now = world.now;
-    world.store.recover(now);
-    settle(&mut world, &must, 600_000);
+    let mut simulation = simulation(60, 3, 12, NO_FAULTS);
+    let must = mix(&mut simulation);
+    simulation.run(40_000);
+    simulation.store.down = true;
+    simulation.run(25_000);
+    let now = simulation.now;
+    simulation.store.recover(now);
+    settle(&mut simulation, &must, 600_000);
 }
 
 /// Found on a hunt: the placer's node and the owner's node were cut apart, and
 /// the stop order for a withdrawn job waited for the end of the cut.
 #[test]
 fn a_withdrawal_crosses_a_cut_between_controllers() {
-    let mut world = world(70, 2, 12, NO_FAULTS);
+    let mut simulation = simulation(70, 2, 12, NO_FAULTS);
     let mut service = job(1, "red", JobKind::Service, 4);
     service.spread = true;
-    submit(&mut world, service, 1, Some(75));
-    world.run(60_000);
+    submit(&mut simulation, service, 1, Some(75));
+    simulation.run(60_000);
     assert_eq!(
-        live(&world),
+        live(&simulation),
         4,
         "the service must be up on both sides of the cut"
     );
-    world.down.insert(Link::Hosts(0, 1));
-    world.run(75_000);
-    assert_kept(&world);
-    assert_eq!(live(&world), 0);
+    simulation.links_down.insert(Link::Controllers(0, 1));
+    simulation.run(75_000);
+    assert_kept(&simulation);
+    assert_eq!(live(&simulation), 0);
 }
 
 /// The same where neither side's state fits one message: what is told goes in
 /// pieces, and none is larger than a transaction of the store may be.
 #[test]
 fn a_withdrawal_crosses_a_cut_in_a_large_fleet() {
-    let mut world = world(71, 2, 150, NO_FAULTS);
+    let mut simulation = simulation(71, 2, 150, NO_FAULTS);
     for n in 1..9 {
         let mut wide = job(n, "blue", JobKind::Array, 60);
         wide.spread = n == 8;
-        submit(&mut world, wide, 300, Some(138));
+        submit(&mut simulation, wide, 300, Some(138));
     }
-    world.run(120_000);
-    assert!(live(&world) >= 480, "{} tasks run", live(&world));
-    world.down.insert(Link::Hosts(0, 1));
+    simulation.run(120_000);
+    assert!(live(&simulation) >= 480, "{} tasks run", live(&simulation));
+    simulation.links_down.insert(Link::Controllers(0, 1));
     // The owner behind the cut comes back with a new token: it is told all
     // that is wanted of it from nothing, through the store.
-    world.crash(1, 4_000_000);
-    world.run(78_000);
-    assert_kept(&world);
-    assert_eq!(live(&world), 0);
+    simulation.crash(1, 4_000_000);
+    simulation.run(78_000);
+    assert_kept(&simulation);
+    assert_eq!(live(&simulation), 0);
     assert!(
-        world.largest_mail > 16 * 1024,
+        simulation.largest_store_message_bytes > 16 * 1024,
         "the fleet must be large enough to need pieces: {}",
-        world.largest_mail
+        simulation.largest_store_message_bytes
+    );
+    assert!(
+        simulation.largest_store_message_bytes <= 26 * 1024,
+        "{}",
+        simulation.largest_store_message_bytes
     );
-    assert!(world.largest_mail <= 26 * 1024, "{}", world.largest_mail);
 }
 
 /// Found on apart of both grown deployments: a node that the store refused
@@ -249,24 +260,29 @@
 /// for as long as others carry them, and leaves users to others where none can.
 #[test]
 fn a_node_without_any_way_to_the_store_leaves_users_to_others() {
-    let mut world = world(72, 3, 12, NO_FAULTS);
-    world.run(20_000);
-    world.down.insert(Link::Store(1));
-    world.run(6_000);
-    assert_eq!([0, 1, 2].map(|h| world.ready(h)), [true; 3]);
-    world.down.extend([Link::Hosts(0, 1), Link::Hosts(1, 2)]);
-    world.run(8_000);
-    assert_eq!([0, 1, 2].map(|h| world.ready(h)), [true, false, true]);
-    world.down.remove(&Link::Store(1));
-    world.run(1_000);
-    assert!(world.ready(1));
-    world.down.clear();
-    world.run(6_000);
+    let mut simulation = simulation(72, 3, 12, NO_FAULTS);
+    simulation.run(20_000);
+    simulation.links_down.insert(Link::Store(1));
+    simulation.run(6_000);
+    assert_eq!([0, 1, 2].map(|h| simulation.is_ready(h)), [true; 3]);
+    simulation
+        .links_down
+        .extend([Link::Controllers(0, 1), Link::Controllers(1, 2)]);
+    simulation.run(8_000);
+    assert_eq!(
+        [0, 1, 2].map(|h| simulation.is_ready(h)),
+        [true, false, true]
+    );
+    simulation.links_down.remove(&Link::Store(1));
+    simulation.run(1_000);
+    assert!(simulation.is_ready(1));
+    simulation.links_down.clear();
+    simulation.run(6_000);
     // In an outage for all nobody else could do better.
-    world.store.down = true;
+    simulation.store.down = true;
     for _ in 0..20 {
-        world.run(500);
-        assert_eq!([0, 1, 2].map(|h| world.ready(h)), [true; 3]);
+        simulation.run(500);
+        assert_eq!([0, 1, 2].map(|h| simulation.is_ready(h)), [true; 3]);
     }
 }
 
@@ -275,45 +291,50 @@
 /// leases though both other controllers heard them.
 #[test]
 fn a_part_goes_to_who_hears_its_machines_where_nobody_can_carry() {
-    let mut world = world(75, 3, 12, NO_FAULTS);
+    let mut simulation = simulation(75, 3, 12, NO_FAULTS);
     let service = JobSpec {
         spread: true,
         spot: false,
         ..job(1, "blue", JobKind::Service, 40)
     };
-    submit(&mut world, service, 1, None);
-    world.run(60_000);
-    assert!(world.hosts[1].holds(1));
-    world.down.insert(Link::Workers(1));
+    submit(&mut simulation, service, 1, None);
+    simulation.run(60_000);
+    assert!(simulation.controllers[1].leads(1));
+    simulation.links_down.insert(Link::Workers(1));
     for _ in 0..40 {
-        world.run(1_000);
-        assert_eq!(live(&world), 40);
+        simulation.run(1_000);
+        assert_eq!(live(&simulation), 40);
         assert!(
-            world.hosts[1].holds(1),
+            simulation.controllers[1].leads(1),
             "what is carried needs no other holder"
         );
     }
-    world.down.clear();
-    world.run(20_000);
-    world.down.insert(Link::Workers(1));
-    world.down.extend([Link::Hosts(0, 1), Link::Hosts(1, 2)]);
+    simulation.links_down.clear();
+    simulation.run(20_000);
+    simulation.links_down.insert(Link::Workers(1));
+    simulation
+        .links_down
+        .extend([Link::Controllers(0, 1), Link::Controllers(1, 2)]);
     for _ in 0..40 {
-        world.run(1_000);
+        simulation.run(1_000);
         // A worker that comes round to the cut controller just before the part moves
         // waits 5 s for it, which a lease of 14 s may not outlast: one machine's, at
         // any time, and not for long.
-        assert!(live(&world) >= 36);
+        assert!(live(&simulation) >= 36);
     }
-    assert_eq!(live(&world), 40);
+    assert_eq!(live(&simulation), 40);
     assert!(
-        world.hosts[0].holds(1) || world.hosts[2].holds(1),
+        simulation.controllers[0].leads(1) || simulation.controllers[2].leads(1),
         "another holds the part"
     );
-    world.down.clear();
-    world.run(40_000);
-    assert!(world.hosts[1].holds(1), "it is handed back after a while");
-    assert_eq!(live(&world), 40);
-    assert_kept(&world);
+    simulation.links_down.clear();
+    simulation.run(40_000);
+    assert!(
+        simulation.controllers[1].leads(1),
+        "it is handed back after a while"
+    );
+    assert_eq!(live(&simulation), 40);
+    assert_kept(&simulation);
 }
 
 // ---- the checker itself ----------------------------------------------------
@@ -359,8 +380,16 @@
     }
 }
 
-fn first_fault(c: &InvariantChecker) -> &str {
-    c.broken.first().map(String::as_str).unwrap_or_default()
+fn answer(phase: Option<JobPhase>, accepted: bool, asked: u64) -> UserAnswer {
+    UserAnswer {
+        phase,
+        accepted,
+        asked,
+    }
+}
+
+fn first_violation(c: &InvariantChecker) -> &str {
+    c.violations.first().map(String::as_str).unwrap_or_default()
 }
 
 #[test]
@@ -369,19 +398,19 @@
     c.started(&id(2), 0, on(1, "north"), 1);
     c.left(&id(2), 0, 1);
     c.started(&id(2), 0, on(2, "north"), 3);
-    assert!(c.broken.is_empty());
+    assert!(c.violations.is_empty());
     c.started(&id(2), 0, on(1, "north"), 4);
-    assert!(first_fault(&c).contains("ran_twice"));
+    assert!(first_violation(&c).contains("ran_twice"));
 
     let mut c = checker();
     c.started(&id(1), 0, on(1, "north"), 1);
     c.started(&id(1), 1, on(2, "north"), 2);
-    assert!(first_fault(&c).contains("wrong_place"));
+    assert!(first_violation(&c).contains("wrong_place"));
     let mut c = checker();
     c.started(&id(4), 0, on(1, "north"), 1);
-    assert!(c.broken.is_empty());
+    assert!(c.violations.is_empty());
     c.started(&id(4), 1, on(2, "south"), 1);
-    assert!(first_fault(&c).contains("wrong_place"));
+    assert!(first_violation(&c).contains("wrong_place"));
     let mut c = checker();
     c.started(
         &id(4),
@@ -392,22 +421,22 @@
         },
         1,
     );
-    assert!(first_fault(&c).contains("wrong_place"));
+    assert!(first_violation(&c).contains("wrong_place"));
 
     let mut c = checker();
     c.started(&id(1), 0, on(1, "north"), 1);
     c.started(&id(3), 0, on(1, "north"), 1);
-    assert!(c.broken.is_empty());
+    assert!(c.violations.is_empty());
     c.started(&id(3), 1, on(1, "north"), 1);
-    assert!(first_fault(&c).contains("quota"));
+    assert!(first_violation(&c).contains("quota"));
 
     let mut c = checker();
     c.started(&id(2), 0, on(1, "north"), 1);
     c.withdrawn(&id(2), 10);
-    c.check_time(34_000_010);
-    assert!(c.broken.is_empty());
-    c.check_time(34_000_011);
-    assert!(first_fault(&c).contains("ran_cancelled"));
+    c.check_cancellations(34_000_010);
+    assert!(c.violations.is_empty());
+    c.check_cancellations(34_000_011);
+    assert!(first_violation(&c).contains("ran_cancelled"));
 
     let done = |n| CompareAndSwap {
         conditions: Vec::new(),
@@ -419,37 +448,40 @@
         )],
     };
     let mut c = checker();
-    c.task_done(&id(2), 0);
-    c.written(&done(2), 5);
-    assert!(first_fault(&c).contains("not_done"), "task 1 is not done");
+    c.task_completed(&id(2), 0);
+    c.cas_committed(&done(2), 5);
+    assert!(
+        first_violation(&c).contains("not_done"),
+        "task 1 is not done"
+    );
 
     let mut c = checker();
-    c.task_done(&id(2), 0);
-    c.task_done(&id(2), 1);
+    c.task_completed(&id(2), 0);
+    c.task_completed(&id(2), 1);
     c.withdrawn(&id(2), 4);
-    c.written(&done(2), 5);
-    assert!(first_fault(&c).contains("went_back"));
+    c.cas_committed(&done(2), 5);
+    assert!(first_violation(&c).contains("went_back"));
 
     let mut c = checker();
-    c.task_done(&id(2), 0);
-    c.task_done(&id(2), 1);
-    c.written(&done(2), 5);
-    c.told(&id(2), Some(JobPhase::Running), true, 1, 6);
-    c.told(&id(2), Some(JobPhase::Done), true, 6, 7);
-    c.told(&id(2), Some(JobPhase::Running), true, 6, 8);
-    assert!(c.broken.is_empty(), "asked before the end was told");
-    c.told(&id(2), Some(JobPhase::Running), true, 7, 9);
-    assert!(first_fault(&c).contains("went_back"));
+    c.task_completed(&id(2), 0);
+    c.task_completed(&id(2), 1);
+    c.cas_committed(&done(2), 5);
+    c.told(&id(2), answer(Some(JobPhase::Running), true, 1), 6);
+    c.told(&id(2), answer(Some(JobPhase::Done), true, 6), 7);
+    c.told(&id(2), answer(Some(JobPhase::Running), true, 6), 8);
+    assert!(c.violations.is_empty(), "asked before the end was told");
+    c.told(&id(2), answer(Some(JobPhase::Running), true, 7), 9);
+    assert!(first_violation(&c).contains("went_back"));
 
     let mut c = checker();
-    c.told(&id(2), Some(JobPhase::Done), true, 1, 2);
-    assert!(first_fault(&c).contains("not_done"));
+    c.told(&id(2), answer(Some(JobPhase::Done), true, 1), 2);
+    assert!(first_violation(&c).contains("not_done"));
     let mut c = checker();
-    c.told(&id(2), None, true, 1, 2);
-    assert!(first_fault(&c).contains("forgotten"));
+    c.told(&id(2), answer(None, true, 1), 2);
+    assert!(first_violation(&c).contains("forgotten"));
     let mut c = checker();
-    c.told(&id(9), Some(JobPhase::Queued), false, 1, 2);
-    assert!(first_fault(&c).contains("invented"));
+    c.told(&id(9), answer(Some(JobPhase::Queued), false, 1), 2);
+    assert!(first_violation(&c).contains("invented"));
 }
 
 // ---- preemption --------------------------------------------------------------
@@ -458,11 +490,16 @@
 /// was pushed out is done in the end.
 #[test]
 fn a_higher_priority_pushes_out_a_lower() {
-    let mut world = one_box(80);
-    submit(&mut world, job(1, "blue", JobKind::Array, 4), 120, None);
-    world.run(60_000);
+    let mut simulation = one_box(80);
+    submit(
+        &mut simulation,
+        job(1, "blue", JobKind::Array, 4),
+        120,
+        None,
+    );
+    simulation.run(60_000);
     submit(
-        &mut world,
+        &mut simulation,
         JobSpec {
             rank: Priority::Production,
             ..job(2, "blue", JobKind::Service, 1)
@@ -470,21 +507,24 @@
         1,
         Some(8),
     );
-    world.run(7_000);
+    simulation.run(7_000);
     assert!(
-        world.live().contains_key(&id(2)),
+        simulation.live_tasks().contains_key(&id(2)),
         "the replica has pushed a batch task out"
     );
-    world.run(400_000);
-    assert_eq!(world.phase(&id(1)), Some(JobPhase::Done));
-    assert_kept(&world);
+    simulation.run(400_000);
+    assert_eq!(simulation.phase(&id(1)), Some(JobPhase::Done));
+    assert_kept(&simulation);
 }
 
 /// A site of a single machine.
 fn one_box(seed: u64) -> Simulation {
     let mut scenario = site(2, 1, NO_FAULTS);
-    scenario.kinds[0].capacity = (0, 1);
-    scenario.kinds[0].machine.zones.truncate(1);
+    scenario.machine_kinds[0].capacity = MachineCapacity {
+        on_demand: 0,
+        spot: 1,
+    };
+    scenario.machine_kinds[0].machine.zones.truncate(1);
     Simulation::new(Arc::new(scenario), Vec::new(), seed, History::new(None))
 }
 
@@ -492,10 +532,10 @@
 /// priority and the other by its guarantee.
 #[test]
 fn nobody_is_pushed_out_for_ever() {
-    let mut world = one_box(81);
+    let mut simulation = one_box(81);
     // Blue has no guarantee but the higher priority; red is within its own.
     submit(
-        &mut world,
+        &mut simulation,
         JobSpec {
             rank: Priority::High,
             ..job(1, "blue", JobKind::Array, 4)
@@ -503,17 +543,17 @@
         20,
         None,
     );
-    world.run(40_000);
-    submit(&mut world, job(2, "red", JobKind::Array, 4), 20, None);
-    world.run(200_000);
-    assert_kept(&world);
+    simulation.run(40_000);
+    submit(&mut simulation, job(2, "red", JobKind::Array, 4), 20, None);
+    simulation.run(200_000);
+    assert_kept(&simulation);
     assert!(
-        world.ground.checker.starts <= 16,
+        simulation.workload.checker.starts <= 16,
         "{} starts for 8 tasks",
-        world.ground.checker.starts
+        simulation.workload.checker.starts
     );
-    assert_eq!(world.phase(&id(1)), Some(JobPhase::Done));
-    assert_eq!(world.phase(&id(2)), Some(JobPhase::Done));
+    assert_eq!(simulation.phase(&id(1)), Some(JobPhase::Done));
+    assert_eq!(simulation.phase(&id(2)), Some(JobPhase::Done));
 }
 
 // ---- withdrawals and blindness ---------------------------------------------------
@@ -521,76 +561,83 @@
 /// Works a site until a service of 4 replicas is up on both sides, then cuts
 /// controller 1 from the store and from the other one.
 fn cut_off(seed: u64) -> Simulation {
-    let mut world = world(seed, 2, 12, NO_FAULTS);
+    let mut simulation = simulation(seed, 2, 12, NO_FAULTS);
     let service = JobSpec {
         spread: true,
         spot: false,
         ..job(1, "red", JobKind::Service, 4)
     };
-    submit(&mut world, service, 1, None);
-    world.run(60_000);
-    assert_eq!(live(&world), 4, "the service must be up on both sides");
-    world.down.insert(Link::Store(1));
-    world.down.insert(Link::Hosts(0, 1));
-    world
+    submit(&mut simulation, service, 1, None);
+    simulation.run(60_000);
+    assert_eq!(live(&simulation), 4, "the service must be up on both sides");
+    simulation.links_down.insert(Link::Store(1));
+    simulation.links_down.insert(Link::Controllers(0, 1));
+    simulation
 }
 
 /// An owner that is cut off keeps its tasks; a withdrawal is told only once the
 /// last of them is proven over, and not before.
 #[test]
 fn a_withdrawal_is_not_told_while_an_owner_out_of_reach_may_run_it() {
-    let mut world = cut_off(73);
-    world.run(5_000);
-    world.withdraw(&id(1));
-    world.run(20_000);
+    let mut simulation = cut_off(73);
+    simulation.run(5_000);
+    simulation.withdraw(&id(1));
+    simulation.run(20_000);
     assert!(
-        live(&world) > 0,
+        live(&simulation) > 0,
         "behind the cut they go on: the owner there knows of nothing"
     );
-    assert_eq!(world.phase(&id(1)), None, "so it is told to nobody");
-    world.down.clear();
-    world.run(20_000);
-    assert_eq!(live(&world), 0);
-    assert_eq!(world.phase(&id(1)), Some(JobPhase::Withdrawn));
-    assert_kept(&world);
+    assert_eq!(simulation.phase(&id(1)), None, "so it is told to nobody");
+    simulation.links_down.clear();
+    simulation.run(20_000);
+    assert_eq!(live(&simulation), 0);
+    assert_eq!(simulation.phase(&id(1)), Some(JobPhase::Withdrawn));
+    assert_kept(&simulation);
 }
 
 /// A store that is away for longer than a lease costs no task: what is kept
 /// alive by workers' reports needs no word from it for that long.
 #[test]
 fn an_outage_of_the_store_longer_than_a_lease_costs_no_task() {
-    let mut world = world(74, 3, 12, NO_FAULTS);
+    let mut simulation = simulation(74, 3, 12, NO_FAULTS);
     let service = JobSpec {
         spot: false,
         ..job(1, "red", JobKind::Service, 4)
     };
-    submit(&mut world, service, 1, None);
-    world.run(60_000);
-    let starts = world.ground.checker.starts;
-    assert_eq!(live(&world), 4);
-    world.store.down = true;
+    submit(&mut simulation, service, 1, None);
+    simulation.run(60_000);
+    let starts = simulation.workload.checker.starts;
+    assert_eq!(live(&simulation), 4);
+    simulation.store.down = true;
     for _ in 0..45 {
-        world.run(1_000);
-        assert_eq!(live(&world), 4);
+        simulation.run(1_000);
+        assert_eq!(live(&simulation), 4);
     }
-    let now = world.now;
-    world.store.recover(now);
-    world.run(30_000);
-    assert_eq!((live(&world), world.ground.checker.starts), (4, starts));
-    assert_kept(&world);
+    let now = simulation.now;
+    simulation.store.recover(now);
+    simulation.run(30_000);
+    assert_eq!(
+        (live(&simulation), simulation.workload.checker.starts),
+        (4, starts)
+    );
+    assert_kept(&simulation);
 }
 
 /// A dozen drawn worlds with drawn troubles; `lemonweir-simulator hunt` plays more.
 #[test]
 fn drawn_days_break_no_rule_and_services_come_back() {
     for seed in 1..=12 {
-        let day = lemonweir_simulator::fault_search::day(seed, 90);
+        let result = lemonweir_simulator::fault_search::search_seed(seed, 90);
         assert!(
-            day.faults.is_empty(),
+            result.violations.is_empty(),
             "seed {seed}: {:?} with\n{}",
-            day.faults,
-            day.troubles.concat()
+            result.violations,
+            result.faults.concat()
+        );
+        assert!(
+            result.task_starts > 50,
+            "seed {seed}: {} starts",
+            result.task_starts
         );
-        assert!(day.starts > 50, "seed {seed}: {} starts", day.starts);
     }
 }
--- a/crates/simulator/tests/large_jobs.rs
+++ b/crates/simulator/tests/large_jobs.rs
@@ -5,15 +5,15 @@
 
 use lemonweir_model::constants::*;
 use lemonweir_model::{JobKind, JobSpec, Priority};
-use lemonweir_simulator::workload_state::SimulatedJob;
-use lemonweir_simulator::history::History;
 use lemonweir_simulator::fixtures::{id, job, site};
+use lemonweir_simulator::history::History;
+use lemonweir_simulator::job::{PlannedSubmission, SimulatedJob};
 use lemonweir_simulator::scenario::{MessageFaults, Scenario};
-use lemonweir_simulator::simulation::{PlannedSubmission, Simulation};
+use lemonweir_simulator::simulation::Simulation;
 
 const NO_FAULTS: MessageFaults = MessageFaults {
-    lost_txn_reply: 0,
-    late_txn: 0,
+    lost_cas_reply: 0,
+    late_cas: 0,
     lost_command: 0,
     late_command: 0,
     lost_sync: 0,
@@ -24,9 +24,9 @@
 const BEGUN_S: u64 = 200;
 
 /// A fleet without cheap machines: nothing costs little.
-fn dear(hosts: u16, capacity: u32) -> Scenario {
-    let mut scenario = site(hosts, capacity, NO_FAULTS);
-    scenario.kinds[0].capacity.1 = 0;
+fn dear(controllers: u16, capacity: u32) -> Scenario {
+    let mut scenario = site(controllers, capacity, NO_FAULTS);
+    scenario.machine_kinds[0].capacity.spot = 0;
     scenario
 }
 
@@ -34,24 +34,24 @@
     Simulation::new(Arc::new(scenario), Vec::new(), seed, History::new(None))
 }
 
-fn submit(world: &mut Simulation, spec: JobSpec, run_s: u64) {
-    let load = SimulatedJob {
+fn submit(simulation: &mut Simulation, spec: JobSpec, run_s: u64) {
+    let job = SimulatedJob {
         spec: Arc::new(spec),
         run_us: vec![run_s * 1_000_000],
         broken: false,
     };
-    world.submit_at(PlannedSubmission {
-        at_us: world.now,
-        load,
+    simulation.submit(PlannedSubmission {
+        at_us: simulation.now,
+        job,
         withdraw_us: None,
     });
 }
 
 /// s from a submission to the job's first start, if there was one.
-fn begun(world: &Simulation, n: u32, since_us: u64) -> Option<u64> {
-    let starts = world
-        .ground
-        .up
+fn begun(simulation: &Simulation, n: u32, since_us: u64) -> Option<u64> {
+    let starts = simulation
+        .workload
+        .task_started
         .iter()
         .filter(|((job, _), _)| *job == id(n))
         .map(|(_, at)| *at);
@@ -60,11 +60,11 @@
         .map(|at| at.saturating_sub(since_us) / 1_000_000)
 }
 
-fn assert_kept(world: &Simulation, what: &str) {
+fn assert_kept(simulation: &Simulation, what: &str) {
     assert!(
-        world.ground.checker.broken.is_empty(),
+        simulation.workload.checker.violations.is_empty(),
         "{what}: rules broken: {:#?}",
-        world.ground.checker.broken
+        simulation.workload.checker.violations
     );
 }
 
@@ -73,12 +73,12 @@
 /// before its patience ends: it begins in time, and costs one machine more.
 #[test]
 fn an_idle_array_as_large_as_the_fleet_begins_beside_a_burst_and_a_crash() {
-    for (seed, hosts) in [(1, 3), (2, 7)] {
-        let mut world = built(seed, dear(hosts, 80));
-        world.run(10_000);
-        let at = world.now;
+    for (seed, controllers) in [(1, 3), (2, 7)] {
+        let mut simulation = built(seed, dear(controllers, 80));
+        simulation.run(10_000);
+        let at = simulation.now;
         submit(
-            &mut world,
+            &mut simulation,
             JobSpec {
                 rank: Priority::Low,
                 ..job(900, "blue", JobKind::Array, 600)
@@ -94,23 +94,23 @@
                     gpus: 4.0,
                     ..job(step * 2 + k, "blue", JobKind::Array, 1)
                 };
-                submit(&mut world, spec, 40);
+                submit(&mut simulation, spec, 40);
             }
-            world.run(2_000);
+            simulation.run(2_000);
             if step >= 20 && step % 20 == 10 {
-                for host in 0..usize::from(hosts) {
-                    if host as u32 % 3 == step / 20 % 3 {
-                        world.crash(host, 300_000);
+                for controller in 0..usize::from(controllers) {
+                    if controller as u32 % 3 == step / 20 % 3 {
+                        simulation.crash(controller, 300_000);
                     }
                 }
             }
         }
-        let began = begun(&world, 900, at);
+        let began = begun(&simulation, 900, at);
         assert!(
             began.is_some_and(|s| s <= BEGUN_S),
-            "{hosts} controllers: it began after {began:?} s"
+            "{controllers} controllers: it began after {began:?} s"
         );
-        assert_kept(&world, "an idle array beside a burst");
+        assert_kept(&simulation, "an idle array beside a burst");
     }
 }
 
@@ -118,11 +118,11 @@
 /// class from its turn, and no more is rented than first tasks need.
 #[test]
 fn the_largest_of_idle_work_begins_beside_hundreds_of_small_jobs() {
-    let mut world = built(3, dear(3, 80));
-    world.run(10_000);
+    let mut simulation = built(3, dear(3, 80));
+    simulation.run(10_000);
     for n in 0..400 {
         submit(
-            &mut world,
+            &mut simulation,
             JobSpec {
                 rank: Priority::Low,
                 ..job(n, "blue", JobKind::Array, 1)
@@ -130,10 +130,10 @@
             200,
         );
     }
-    world.run(1_000);
-    let at = world.now;
+    simulation.run(1_000);
+    let at = simulation.now;
     submit(
-        &mut world,
+        &mut simulation,
         JobSpec {
             rank: Priority::Low,
             class: "render".into(),
@@ -142,7 +142,7 @@
         60,
     );
     submit(
-        &mut world,
+        &mut simulation,
         JobSpec {
             rank: Priority::Low,
             class: "train".into(),
@@ -150,21 +150,21 @@
         },
         60,
     );
-    world.run(100_000);
-    let machines = world.workers.iter().flatten().count();
+    simulation.run(100_000);
+    let machines = simulation.workers.iter().flatten().count();
     assert_eq!(machines, 0, "none is rented before its time");
-    world.run(100_000);
+    simulation.run(100_000);
     for n in [900, 901] {
-        let began = begun(&world, n, at);
+        let began = begun(&simulation, n, at);
         assert!(
             began.is_some_and(|s| s <= BEGUN_S),
             "{n} began after {began:?} s"
         );
     }
     // Four tasks on a machine, and a few where the gang lies apart.
-    let machines = world.workers.iter().flatten().count();
+    let machines = simulation.workers.iter().flatten().count();
     assert!(machines <= (400 + 1 + 8) / 4 + 10, "{machines} machines");
-    assert_kept(&world, "small idle jobs");
+    assert_kept(&simulation, "small idle jobs");
 }
 
 /// Arrays of tasks of a tenth of a processor, one of 100,000 on a fleet that is far
@@ -174,11 +174,11 @@
 #[test]
 fn huge_arrays_begin_and_leave_others_their_turn() {
     for (seed, tasks, capacity) in [(4, MAX_TASKS, 10), (5, 8_000, 60)] {
-        let mut world = built(seed, dear(3, capacity));
-        world.run(10_000);
-        let at = world.now;
+        let mut simulation = built(seed, dear(3, capacity));
+        simulation.run(10_000);
+        let at = simulation.now;
         submit(
-            &mut world,
+            &mut simulation,
             JobSpec {
                 rank: Priority::Production,
                 ..job(901, "red", JobKind::Service, 12)
@@ -191,40 +191,40 @@
             ram_gb: 0.05,
             ..job(n, "blue", JobKind::Array, tasks)
         };
-        submit(&mut world, tiny(900, tasks), 150);
-        world.run(5_000);
-        world.crash(1, 300_000);
-        world.run(60_000);
-        let later = world.now;
+        submit(&mut simulation, tiny(900, tasks), 150);
+        simulation.run(5_000);
+        simulation.crash(1, 300_000);
+        simulation.run(60_000);
+        let later = simulation.now;
         for n in 0..10 {
-            submit(&mut world, tiny(n, 2), 20);
+            submit(&mut simulation, tiny(n, 2), 20);
         }
-        world.run(5_000);
-        world.crash(0, 300_000);
-        world.run(60_000);
+        simulation.run(5_000);
+        simulation.crash(0, 300_000);
+        simulation.run(60_000);
         for n in [900, 901] {
-            let began = begun(&world, n, at);
+            let began = begun(&simulation, n, at);
             assert!(
                 began.is_some_and(|s| s <= 60),
                 "{n} began after {began:?} s"
             );
         }
         if tasks < MAX_TASKS {
-            let started = world
-                .ground
-                .up
+            let started = simulation
+                .workload
+                .task_started
                 .keys()
                 .filter(|(job, _)| *job == id(900))
                 .count();
             assert!(started as u64 * 2 >= tasks, "{started} of {tasks}");
             for n in 0..10 {
-                let began = begun(&world, n, later);
+                let began = begun(&simulation, n, later);
                 assert!(
                     began.is_some_and(|s| s <= 40),
                     "{n} began after {began:?} s"
                 );
             }
         }
-        assert_kept(&world, "a huge array");
+        assert_kept(&simulation, "a huge array");
     }
 }
--- a/crates/simulator/tests/partitions.rs
+++ b/crates/simulator/tests/partitions.rs
@@ -7,15 +7,15 @@
 use lemonweir_model::{JobKind, JobSpec};
 use lemonweir_protocol::links::LinkState;
 use lemonweir_protocol::users::JobPhase;
-use lemonweir_simulator::workload_state::SimulatedJob;
-use lemonweir_simulator::history::History;
 use lemonweir_simulator::fixtures::{id, job, site};
-use lemonweir_simulator::scenario::{MessageFaults, Link, Scenario, host_name};
-use lemonweir_simulator::simulation::{PlannedSubmission, Simulation};
+use lemonweir_simulator::history::History;
+use lemonweir_simulator::job::{PlannedSubmission, SimulatedJob};
+use lemonweir_simulator::scenario::{Link, MessageFaults, Scenario, host_name};
+use lemonweir_simulator::simulation::Simulation;
 
 const NO_FAULTS: MessageFaults = MessageFaults {
-    lost_txn_reply: 0,
-    late_txn: 0,
+    lost_cas_reply: 0,
+    late_cas: 0,
     lost_command: 0,
     late_command: 0,
     lost_sync: 0,
@@ -28,12 +28,12 @@
 /// The same where halls are cut.
 const HALLS: usize = 60;
 
-fn world(seed: u64, chances: MessageFaults) -> Simulation {
+fn simulation(seed: u64, chances: MessageFaults) -> Simulation {
     built(seed, site(3, 16, chances), REPLICAS)
 }
 
 fn built(seed: u64, site: Scenario, replicas: usize) -> Simulation {
-    let mut world = Simulation::new(Arc::new(site), Vec::new(), seed, History::new(None));
+    let mut simulation = Simulation::new(Arc::new(site), Vec::new(), seed, History::new(None));
     for (n, team) in [(0, "red"), (1, "blue")] {
         let tasks = if team == "red" {
             4
@@ -41,7 +41,7 @@
             replicas as u64 - 4
         };
         submit(
-            &mut world,
+            &mut simulation,
             JobSpec {
                 spread: true,
                 spot: false,
@@ -50,9 +50,9 @@
             1,
         );
     }
-    world.run(55_000);
-    assert_eq!(live(&world), replicas);
-    world
+    simulation.run(55_000);
+    assert_eq!(live(&simulation), replicas);
+    simulation
 }
 
 /// Halls large enough that a cut shows as one, and leases long enough for a
@@ -64,21 +64,21 @@
     built(seed, site, HALLS)
 }
 
-fn submit(world: &mut Simulation, spec: JobSpec, run_s: u64) {
-    let load = SimulatedJob {
+fn submit(simulation: &mut Simulation, spec: JobSpec, run_s: u64) {
+    let job = SimulatedJob {
         spec: Arc::new(spec),
         run_us: vec![run_s * 1_000_000],
         broken: false,
     };
-    world.submit_at(PlannedSubmission {
-        at_us: world.now,
-        load,
+    simulation.submit(PlannedSubmission {
+        at_us: simulation.now,
+        job,
         withdraw_us: None,
     });
 }
 
-fn live(world: &Simulation) -> usize {
-    world.workers.iter().flatten().map(|w| w.live()).sum()
+fn live(simulation: &Simulation) -> usize {
+    simulation.workers.iter().flatten().map(|w| w.live()).sum()
 }
 
 /// The links of controller 0 that are cut.
@@ -110,24 +110,24 @@
         }
     }
 
-    fn strike(&self, world: &mut Simulation) {
+    fn strike(&self, simulation: &mut Simulation) {
         let peer = |p: usize| {
             if self.one_way {
                 Link::OneWay(0, p)
             } else {
-                Link::Hosts(0, p)
+                Link::Controllers(0, p)
             }
         };
         let links = [
             (self.store, Link::Store(0)),
             (self.cloud, Link::Cloud(0)),
-            (self.north, Link::Zone(0, "north".to_owned())),
-            (self.south, Link::Zone(0, "south".to_owned())),
+            (self.north, Link::WorkersInZone(0, "north".to_owned())),
+            (self.south, Link::WorkersInZone(0, "south".to_owned())),
             (self.peers[0], peer(1)),
             (self.peers[1], peer(2)),
             (self.users, Link::Users(0)),
         ];
-        world.down.extend(
+        simulation.links_down.extend(
             links
                 .into_iter()
                 .filter(|(cut, _)| *cut)
@@ -146,27 +146,27 @@
 
 /// Plays one cut; what was lost without need, or broke a rule.
 fn play(cut: Cut) -> Option<String> {
-    let mut world = world(900, NO_FAULTS);
+    let mut simulation = simulation(900, NO_FAULTS);
     // As many as fit beside the services: no machine has to boot for them.
     let array = job(2, "blue", JobKind::Array, 4);
-    cut.strike(&mut world);
-    world.run(3_000);
-    submit(&mut world, array, 10);
-    world.run(cut.length_s * 1_000 - 3_000);
-    let killed = world.ground.killed_by_lease;
+    cut.strike(&mut simulation);
+    simulation.run(3_000);
+    submit(&mut simulation, array, 10);
+    simulation.run(cut.length_s * 1_000 - 3_000);
+    let killed = simulation.workload.killed_by_lease;
     let (went_on, kept) = (
-        world.phase(&id(2)) == Some(JobPhase::Done),
-        world.hosts[0].holds(0),
+        simulation.phase(&id(2)) == Some(JobPhase::Done),
+        simulation.controllers[0].leads(0),
     );
-    world.down.clear();
+    simulation.links_down.clear();
     // What a controller lost that could neither hear its machines nor rent others has
     // to boot first.
-    world.run(if cut.could_go_on() || !cut.cloud {
+    simulation.run(if cut.could_go_on() || !cut.cloud {
         30_000
     } else {
         60_000
     });
-    let mut faults = world.ground.checker.broken.clone();
+    let mut faults = simulation.workload.checker.violations.clone();
     if cut.could_go_on() && killed > 0 {
         faults.push(format!("{killed} killed by their lease"));
     }
@@ -177,10 +177,10 @@
     if cut.could_go_on() && cut.length_s > 4 * LEASE_S && !went_on {
         faults.push("nothing was placed during the cut".into());
     }
-    if live(&world) < REPLICAS {
-        faults.push(format!("{} replicas up after the end", live(&world)));
+    if live(&simulation) < REPLICAS {
+        faults.push(format!("{} replicas up after the end", live(&simulation)));
     }
-    if world.phase(&id(2)) != Some(JobPhase::Done) {
+    if simulation.phase(&id(2)) != Some(JobPhase::Done) {
         faults.push("the array waits after the end".into());
     }
     (!faults.is_empty()).then(|| format!("{cut:?}: {faults:?}"))
@@ -209,44 +209,55 @@
     );
 }
 
-fn standing(world: &Simulation, host: usize, to: &str) -> (LinkState, Option<String>) {
-    let rows = world.hosts[host]
+fn standing(simulation: &Simulation, controller: usize, to: &str) -> (LinkState, Option<String>) {
+    let rows = simulation.controllers[controller]
         .core
         .as_ref()
         .expect("alive")
         .links
-        .rows(world.now / 1_000);
+        .rows(simulation.now / 1_000);
     let row = rows
         .into_iter()
-        .find(|r| r.said_s == 0 && r.to == to && r.from == host_name(host))
+        .find(|r| r.said_s == 0 && r.to == to && r.from == host_name(controller))
         .expect("a row");
     (row.standing, row.carried_by)
 }
 
 #[test]
 fn the_picture_names_what_is_cut_and_who_carries() {
-    let mut world = world(901, NO_FAULTS);
-    assert_eq!(standing(&world, 0, "state service"), (LinkState::Up, None));
-    world.down.insert(Link::Store(0));
-    world.down.insert(Link::Hosts(0, 1));
-    world.down.insert(Link::OneWay(0, 2));
-    world.run(8_000);
-    assert_eq!(standing(&world, 0, "h01").0, LinkState::Down);
-    assert_eq!(standing(&world, 0, "h02").0, LinkState::OneWay);
+    let mut simulation = simulation(901, NO_FAULTS);
     assert_eq!(
-        standing(&world, 0, "state service"),
+        standing(&simulation, 0, "state service"),
+        (LinkState::Up, None)
+    );
+    simulation.links_down.insert(Link::Store(0));
+    simulation.links_down.insert(Link::Controllers(0, 1));
+    simulation.links_down.insert(Link::OneWay(0, 2));
+    simulation.run(8_000);
+    assert_eq!(standing(&simulation, 0, "h01").0, LinkState::Down);
+    assert_eq!(standing(&simulation, 0, "h02").0, LinkState::OneWay);
+    assert_eq!(
+        standing(&simulation, 0, "state service"),
         (LinkState::Down, None)
     );
-    world.down.remove(&Link::OneWay(0, 2));
-    world.run(6_000);
+    simulation.links_down.remove(&Link::OneWay(0, 2));
+    simulation.run(6_000);
     assert_eq!(
-        standing(&world, 0, "state service"),
+        standing(&simulation, 0, "state service"),
         (LinkState::Down, Some("h02".into()))
     );
-    world.down.clear();
-    world.run(10_000);
-    assert_eq!(standing(&world, 0, "state service"), (LinkState::Up, None));
-    let events = world.hosts[0].core.as_ref().expect("alive").links.events();
+    simulation.links_down.clear();
+    simulation.run(10_000);
+    assert_eq!(
+        standing(&simulation, 0, "state service"),
+        (LinkState::Up, None)
+    );
+    let events = simulation.controllers[0]
+        .core
+        .as_ref()
+        .expect("alive")
+        .links
+        .events();
     for text in [
         "the state service does not answer",
         "carried by h02",
@@ -297,8 +308,8 @@
 fn cuts_over_one_another_with_failing_carriers_break_no_rule() {
     use Carriers::*;
     const FAULTS: MessageFaults = MessageFaults {
-        lost_txn_reply: 40,
-        late_txn: 40,
+        lost_cas_reply: 40,
+        late_cas: 40,
         lost_command: 60,
         late_command: 60,
         lost_sync: 60,
@@ -312,10 +323,10 @@
         }
     }
     let lines = each(&days, |(seed, cut, what)| {
-        let mut world = world(*seed, FAULTS);
+        let mut simulation = simulation(*seed, FAULTS);
         for n in 10..14 {
             submit(
-                &mut world,
+                &mut simulation,
                 job(
                     n,
                     if n % 2 == 0 { "red" } else { "blue" },
@@ -329,36 +340,36 @@
             one_zone: true,
             ..job(14, "blue", JobKind::Gang, 3)
         };
-        submit(&mut world, gang, 20);
-        world.run(4_000);
-        cut.strike(&mut world);
-        world.run(9_000);
+        submit(&mut simulation, gang, 20);
+        simulation.run(4_000);
+        cut.strike(&mut simulation);
+        simulation.run(9_000);
         match what {
-            Crash => world.crash(1, 6_000_000),
-            StandStill => world.hosts[1].frozen_until = world.now + 12_000_000,
-            LoseStore => drop(world.down.insert(Link::Store(1))),
-            LoseWorkers => drop(world.down.insert(Link::Workers(1))),
-            Apart => drop(world.down.insert(Link::Hosts(1, 2))),
-            AllEnd => (0..3).for_each(|h| world.crash(h, 3_000_000)),
+            Crash => simulation.crash(1, 6_000_000),
+            StandStill => simulation.controllers[1].stalled_until = simulation.now + 12_000_000,
+            LoseStore => drop(simulation.links_down.insert(Link::Store(1))),
+            LoseWorkers => drop(simulation.links_down.insert(Link::Workers(1))),
+            Apart => drop(simulation.links_down.insert(Link::Controllers(1, 2))),
+            AllEnd => (0..3).for_each(|h| simulation.crash(h, 3_000_000)),
         }
-        world.withdraw(&id(10));
-        world.run(2_000);
-        world.crash(2, 5_000_000);
-        world.run(29_000);
-        world.down.clear();
-        world.run(150_000);
-        let mut faults = world.ground.checker.broken.clone();
+        simulation.withdraw(&id(10));
+        simulation.run(2_000);
+        simulation.crash(2, 5_000_000);
+        simulation.run(29_000);
+        simulation.links_down.clear();
+        simulation.run(150_000);
+        let mut faults = simulation.workload.checker.violations.clone();
         let open: Vec<u32> = (11..15)
-            .filter(|n| world.phase(&id(*n)) != Some(JobPhase::Done))
+            .filter(|n| simulation.phase(&id(*n)) != Some(JobPhase::Done))
             .collect();
-        if !open.is_empty() || world.phase(&id(10)).is_none() {
+        if !open.is_empty() || simulation.phase(&id(10)).is_none() {
             faults.push(format!(
                 "not over: {open:?}, withdrawn one {:?}",
-                world.phase(&id(10))
+                simulation.phase(&id(10))
             ));
         }
-        if live(&world) < REPLICAS {
-            faults.push(format!("{} replicas up", live(&world)));
+        if live(&simulation) < REPLICAS {
+            faults.push(format!("{} replicas up", live(&simulation)));
         }
         (!faults.is_empty()).then(|| format!("{seed} {cut:?} {what:?}: {faults:?}"))
     });
@@ -376,24 +387,24 @@
 /// minute.
 #[test]
 fn links_that_flap_move_no_part_about() {
-    let mut world = world(902, NO_FAULTS);
+    let mut simulation = simulation(902, NO_FAULTS);
     for second in 0..120 {
         if second % 6 < 3 {
-            world.down.insert(Link::Store(0));
-            world.down.insert(Link::Workers(1));
+            simulation.links_down.insert(Link::Store(0));
+            simulation.links_down.insert(Link::Workers(1));
         } else {
-            world.down.clear();
+            simulation.links_down.clear();
         }
-        world.run(1_000);
-        assert_eq!(live(&world), REPLICAS, "at {second} s");
+        simulation.run(1_000);
+        assert_eq!(live(&simulation), REPLICAS, "at {second} s");
     }
     assert!(
-        world.ground.checker.broken.is_empty(),
+        simulation.workload.checker.violations.is_empty(),
         "{:?}",
-        world.ground.checker.broken
+        simulation.workload.checker.violations
     );
-    for host in 0..3 {
-        let events = world.hosts[host]
+    for controller in 0..3 {
+        let events = simulation.controllers[controller]
             .core
             .as_ref()
             .expect("alive")
@@ -417,28 +428,28 @@
 #[test]
 fn a_hall_whose_controller_ends_inside_the_cut_keeps_what_runs() {
     for seed in 0..6 {
-        let mut world = halls(920 + seed, NO_FAULTS);
-        world.cut_zones.insert("south".into());
-        world.run(12_000);
-        world.crash(1, 3_000_000);
-        world.run(37_000);
+        let mut simulation = halls(920 + seed, NO_FAULTS);
+        simulation.partitioned_zones.insert("south".into());
+        simulation.run(12_000);
+        simulation.crash(1, 3_000_000);
+        simulation.run(37_000);
         assert_eq!(
-            (world.ground.killed_by_lease, live(&world)),
+            (simulation.workload.killed_by_lease, live(&simulation)),
             (0, HALLS),
             "seed {seed}"
         );
-        world.cut_zones.clear();
-        world.run(30_000);
+        simulation.partitioned_zones.clear();
+        simulation.run(30_000);
         assert_eq!(
-            (world.ground.killed_by_lease, live(&world)),
+            (simulation.workload.killed_by_lease, live(&simulation)),
             (0, HALLS),
             "seed {seed}"
         );
-        assert!(world.hosts[1].holds(1));
+        assert!(simulation.controllers[1].leads(1));
         assert!(
-            world.ground.checker.broken.is_empty(),
+            simulation.workload.checker.violations.is_empty(),
             "{:?}",
-            world.ground.checker.broken
+            simulation.workload.checker.violations
         );
     }
 }
@@ -457,7 +468,7 @@
         })
         .collect();
     let lines = each(&days, |(seed, crash_ms, length_ms)| {
-        let mut world = halls(
+        let mut simulation = halls(
             *seed,
             MessageFaults {
                 late_command: 60,
@@ -466,23 +477,23 @@
             },
         );
         let spare = job(3, "blue", JobKind::Service, 6);
-        submit(&mut world, spare, 1);
-        world.run(10_000);
-        world.cut_zones.insert("south".into());
-        world.run(*crash_ms);
-        world.crash(1, 3_000_000);
-        world.run(length_ms - crash_ms);
-        world.cut_zones.clear();
-        world.run(60_000);
+        submit(&mut simulation, spare, 1);
+        simulation.run(10_000);
+        simulation.partitioned_zones.insert("south".into());
+        simulation.run(*crash_ms);
+        simulation.crash(1, 3_000_000);
+        simulation.run(length_ms - crash_ms);
+        simulation.partitioned_zones.clear();
+        simulation.run(60_000);
         // A replica that is moved to a better place at this very moment is no lost one.
         for _ in 0..10 {
-            if live(&world) < HALLS + 6 {
-                world.run(1_000);
+            if live(&simulation) < HALLS + 6 {
+                simulation.run(1_000);
             }
         }
-        let mut faults = world.ground.checker.broken.clone();
-        if live(&world) < HALLS + 6 {
-            faults.push(format!("{} up", live(&world)));
+        let mut faults = simulation.workload.checker.violations.clone();
+        if live(&simulation) < HALLS + 6 {
+            faults.push(format!("{} up", live(&simulation)));
         }
         (!faults.is_empty())
             .then(|| format!("{seed} crash at {crash_ms}, cut for {length_ms}: {faults:?}"))
--- a/crates/simulator/tests/replay.rs
+++ b/crates/simulator/tests/replay.rs
@@ -5,9 +5,11 @@
 use std::sync::Arc;
 
 use lemonweir_model::Resources;
-use lemonweir_simulator::sweep::{self, Seeds};
-use lemonweir_simulator::run::{self, RunOutcome, Placer, WorkloadReplay, LoadSource};
+use lemonweir_simulator::report::RunOutcome;
+use lemonweir_simulator::run::{self, LoadSource, Placer};
 use lemonweir_simulator::scenario::Scenario;
+use lemonweir_simulator::sweep::{self, Seeds};
+use lemonweir_simulator::workload_replay::WorkloadReplay;
 use lemonweir_trace::{Format, OnFault, import};
 
 fn example(name: &str) -> PathBuf {
@@ -35,7 +37,7 @@
     )
     .expect("readable");
     assert!(result.jobs > 0);
-    run::once(
+    run::run_once(
         scenario("scenarios/replay.toml"),
         LoadSource::Workload(WorkloadReplay {
             file: workload,
@@ -52,21 +54,24 @@
 fn assert_replays(format: Format, sample: &str, digest: &str) {
     let first = replay(format, sample, 1);
     let r = &first.report;
-    assert!(r.broken.is_empty(), "{:?}", r.broken);
+    assert!(r.violations.is_empty(), "{:?}", r.violations);
     assert_eq!(
-        (r.jobs.accepted, r.jobs.over),
+        (r.jobs.accepted, r.jobs.ended),
         (r.jobs.submitted, r.jobs.submitted),
         "every job is accepted and done"
     );
-    assert_eq!(r.digest, digest, "{sample}");
+    assert_eq!(r.history_digest, digest, "{sample}");
     // At the same time on other threads: nothing is shared.
     let (again, other) = std::thread::scope(|s| {
         let again = s.spawn(|| replay(format, sample, 1));
         let other = s.spawn(|| replay(format, sample, 2));
         (again.join().expect("run"), other.join().expect("run"))
     });
-    assert_eq!(again.report.digest, r.digest);
-    assert_ne!(other.report.digest, r.digest, "the seed matters");
+    assert_eq!(again.report.history_digest, r.history_digest);
+    assert_ne!(
+        other.report.history_digest, r.history_digest,
+        "the seed matters"
+    );
 }
 
 #[test]
@@ -137,7 +142,7 @@
             sweep::sweep(&scenario, Placer::Lemonweir, None, &seeds, jobs).expect("runs");
         outcomes
             .iter()
-            .map(|o| (o.report.seed, o.report.digest.clone()))
+            .map(|o| (o.report.seed, o.report.history_digest.clone()))
             .collect::<Vec<_>>()
     };
     let one = digests(1);
@@ -177,21 +182,21 @@
     );
     let run = |placer: &str| {
         let placer = placer.parse().expect("placer");
-        run::once(scenario.clone(), LoadSource::Synthetic, placer, 3, None)
+        run::run_once(scenario.clone(), LoadSource::Synthetic, placer, 3, None)
             .expect("run")
             .report
     };
     let (real, central, sampler) = (run("lemonweir"), run("central"), run("sampler:2"));
-    assert!(central.starts >= real.starts && real.starts >= sampler.starts);
+    assert!(central.task_starts >= real.task_starts && real.task_starts >= sampler.task_starts);
     assert!(
         central.allocation.p99 < real.allocation.p99
             && real.allocation.p99 < sampler.allocation.p99
     );
     assert!(
-        central.broken.is_empty() && sampler.broken.is_empty(),
+        central.violations.is_empty() && sampler.violations.is_empty(),
         "no room is given twice"
     );
-    assert_eq!(run("central").digest, central.digest);
+    assert_eq!(run("central").history_digest, central.history_digest);
     assert!("sampler:0".parse::<Placer>().is_err() && "best".parse::<Placer>().is_err());
 }
 
@@ -199,7 +204,7 @@
 #[test]
 fn the_sample_scenario_keeps_the_rules() {
     for seed in 1..4 {
-        let outcome = run::once(
+        let outcome = run::run_once(
             scenario("scenarios/morning.toml"),
             LoadSource::Synthetic,
             Placer::Lemonweir,
@@ -208,11 +213,11 @@
         )
         .expect("run");
         assert!(
-            outcome.report.broken.is_empty(),
+            outcome.report.violations.is_empty(),
             "seed {seed}: {:?}",
-            outcome.report.broken
+            outcome.report.violations
         );
-        assert!(outcome.report.starts > 300);
+        assert!(outcome.report.task_starts > 300);
     }
 }
 
--- a/crates/simulator/tests/resilience.rs
+++ b/crates/simulator/tests/resilience.rs
@@ -6,22 +6,22 @@
 use lemonweir_model::constants::*;
 use lemonweir_model::{JobKind, JobSpec, Priority};
 use lemonweir_protocol::users::JobPhase;
-use lemonweir_simulator::workload_state::SimulatedJob;
-use lemonweir_simulator::history::History;
 use lemonweir_simulator::fixtures::{id, job, site};
-use lemonweir_simulator::scenario::{MessageFaults, Link, Scenario};
-use lemonweir_simulator::simulation::{PlannedSubmission, Simulation};
+use lemonweir_simulator::history::History;
+use lemonweir_simulator::job::{PlannedSubmission, SimulatedJob};
+use lemonweir_simulator::scenario::{Link, MessageFaults, Scenario};
+use lemonweir_simulator::simulation::{BootDisturbance, Simulation};
 
 const NO_FAULTS: MessageFaults = MessageFaults {
-    lost_txn_reply: 0,
-    late_txn: 0,
+    lost_cas_reply: 0,
+    late_cas: 0,
     lost_command: 0,
     late_command: 0,
     lost_sync: 0,
     late_sync: 0,
 };
 
-fn world(seed: u64, capacity: u32) -> Simulation {
+fn simulation(seed: u64, capacity: u32) -> Simulation {
     built(seed, site(3, capacity, NO_FAULTS))
 }
 
@@ -30,49 +30,55 @@
 }
 
 /// Submits a job whose tasks run for so many s.
-fn submit(world: &mut Simulation, spec: JobSpec, run_s: u64) {
-    plan(world, spec, run_s, false, None);
+fn submit(simulation: &mut Simulation, spec: JobSpec, run_s: u64) {
+    plan(simulation, spec, run_s, false, None);
 }
 
-fn plan(world: &mut Simulation, spec: JobSpec, run_s: u64, broken: bool, withdraw_after_s: Option<u64>) {
-    let load = SimulatedJob {
+fn plan(
+    simulation: &mut Simulation,
+    spec: JobSpec,
+    run_s: u64,
+    broken: bool,
+    withdraw_after_s: Option<u64>,
+) {
+    let job = SimulatedJob {
         spec: Arc::new(spec),
         run_us: vec![run_s * 1_000_000],
         broken,
     };
-    let withdraw_us = withdraw_after_s.map(|s| world.now + s * 1_000_000);
-    world.submit_at(PlannedSubmission {
-        at_us: world.now,
-        load,
+    let withdraw_us = withdraw_after_s.map(|s| simulation.now + s * 1_000_000);
+    simulation.submit(PlannedSubmission {
+        at_us: simulation.now,
+        job,
         withdraw_us,
     });
 }
 
-fn assert_kept(world: &Simulation, what: &str) {
+fn assert_kept(simulation: &Simulation, what: &str) {
     assert!(
-        world.ground.checker.broken.is_empty(),
+        simulation.workload.checker.violations.is_empty(),
         "{what}: rules broken: {:#?}",
-        world.ground.checker.broken
+        simulation.workload.checker.violations
     );
 }
 
-fn done(world: &Simulation, jobs: impl IntoIterator<Item = u32>) -> Vec<u32> {
+fn done(simulation: &Simulation, jobs: impl IntoIterator<Item = u32>) -> Vec<u32> {
     jobs.into_iter()
-        .filter(|n| world.phase(&id(*n)) != Some(JobPhase::Done))
+        .filter(|n| simulation.phase(&id(*n)) != Some(JobPhase::Done))
         .collect()
 }
 
 /// Machines rented and not given back.
-fn rented(world: &Simulation) -> usize {
-    world.workers.iter().flatten().count()
+fn rented(simulation: &Simulation) -> usize {
+    simulation.workers.iter().flatten().count()
 }
 
 /// s until the first start of each task of a job, the latest.
-fn waited(world: &Simulation, n: u32, tasks: u32, since_us: u64) -> Option<u64> {
+fn waited(simulation: &Simulation, n: u32, tasks: u32, since_us: u64) -> Option<u64> {
     let at = |t: u32| {
-        world
-            .ground
-            .up
+        simulation
+            .workload
+            .task_started
             .get(&(id(n), t))
             .map(|at| at.saturating_sub(since_us) / 1_000_000)
     };
@@ -102,32 +108,36 @@
         let what = format!("{factor} times, {fail} never, {zone:?}");
         let mut scenario = site(3, 40, NO_FAULTS);
         scenario.cloud.list_lag_s = 20.0;
-        let mut world = built(k as u64, scenario);
-        world.run(5_000);
-        world.boots = Some((factor, fail, zone.map(str::to_owned)));
+        let mut simulation = built(k as u64, scenario);
+        simulation.run(5_000);
+        simulation.boot_disturbance = Some(BootDisturbance {
+            factor,
+            failure_chance: fail,
+            zone: zone.map(str::to_owned),
+        });
         for n in 0..12 {
             let shape = [JobKind::Array, JobKind::Gang, JobKind::Array][n as usize % 3];
-            submit(&mut world, job(n, "blue", shape, 4), 30);
+            submit(&mut simulation, job(n, "blue", shape, 4), 30);
         }
         let mut most = 0;
         for _ in 0..40 {
-            world.run(10_000);
-            most = most.max(rented(&world));
+            simulation.run(10_000);
+            most = most.max(rented(&simulation));
         }
         // 48 tasks, four on a machine, and what is expected to come.
         assert!(
             most <= 12 + SPARE_MOST as usize + 2 * OVERDUE_LEAST * 3,
             "{what}: {most} machines"
         );
-        world.boots = None;
-        world.run(300_000);
-        assert_eq!(done(&world, 0..12), [0; 0], "{what}");
+        simulation.boot_disturbance = None;
+        simulation.run(300_000);
+        assert_eq!(done(&simulation, 0..12), [0; 0], "{what}");
         assert!(
-            rented(&world) <= 1,
+            rented(&simulation) <= 1,
             "{what}: {} machines are left",
-            rented(&world)
+            rented(&simulation)
         );
-        assert_kept(&world, &what);
+        assert_kept(&simulation, &what);
     }
 }
 
@@ -136,22 +146,26 @@
 #[test]
 fn machines_of_a_crashed_renter_are_used() {
     for seed in 0..4 {
-        let mut world = world(seed, 40);
-        world.run(5_000);
-        world.boots = Some((0.05, 0.0, None));
-        submit(&mut world, job(0, "blue", JobKind::Array, 16), 30);
+        let mut simulation = simulation(seed, 40);
+        simulation.run(5_000);
+        simulation.boot_disturbance = Some(BootDisturbance {
+            factor: 0.05,
+            failure_chance: 0.0,
+            zone: None,
+        });
+        submit(&mut simulation, job(0, "blue", JobKind::Array, 16), 30);
         // Step by step, until a request is out.
-        while rented(&world) == 0 {
-            world.run(1);
+        while rented(&simulation) == 0 {
+            simulation.run(1);
         }
-        for host in 0..3 {
-            world.crash(host, 3_000_000);
+        for controller in 0..3 {
+            simulation.crash(controller, 3_000_000);
         }
-        world.run(120_000);
-        assert_eq!(done(&world, 0..1), [0; 0]);
-        world.run(60_000);
-        assert_eq!(rented(&world), 0, "given back once idle");
-        assert_kept(&world, "crash between booking and answer");
+        simulation.run(120_000);
+        assert_eq!(done(&simulation, 0..1), [0; 0]);
+        simulation.run(60_000);
+        assert_eq!(rented(&simulation), 0, "given back once idle");
+        assert_kept(&simulation, "crash between booking and answer");
     }
 }
 
@@ -162,8 +176,8 @@
 #[test]
 fn jobs_with_a_mistake_harm_nobody() {
     for seed in 0..3 {
-        let mut world = world(seed, 60);
-        world.run(5_000);
+        let mut simulation = simulation(seed, 60);
+        simulation.run(5_000);
         let mut broken = BTreeSet::new();
         for round in 0..10u32 {
             for k in 0..10 {
@@ -175,7 +189,7 @@
                     broken.insert(n);
                 }
                 plan(
-                    &mut world,
+                    &mut simulation,
                     job(n, ["red", "blue"][n as usize % 2], shape, tasks),
                     15,
                     bad,
@@ -183,7 +197,7 @@
                 );
             }
             if round == 3 {
-                let struck: Vec<usize> = world
+                let struck: Vec<usize> = simulation
                     .workers
                     .iter()
                     .flatten()
@@ -192,20 +206,24 @@
                     .collect();
                 struck
                     .iter()
-                    .for_each(|n| world.workers[*n].as_mut().expect("there").faulty = true);
+                    .for_each(|n| simulation.workers[*n].as_mut().expect("there").faulty = true);
             }
-            world.run(12_000);
+            simulation.run(12_000);
         }
-        world.run(400_000);
+        simulation.run(400_000);
         assert_eq!(
-            done(&world, (0..100).filter(|n| !broken.contains(n))),
+            done(&simulation, (0..100).filter(|n| !broken.contains(n))),
             [0; 0],
             "seed {seed}"
         );
         for n in &broken {
-            assert_eq!(world.phase(&id(*n)), Some(JobPhase::Withdrawn), "job {n}");
+            assert_eq!(
+                simulation.phase(&id(*n)),
+                Some(JobPhase::Withdrawn),
+                "job {n}"
+            );
         }
-        assert_kept(&world, "mistakes");
+        assert_kept(&simulation, "mistakes");
     }
 }
 
@@ -213,65 +231,65 @@
 /// nothing is rented for it.
 #[test]
 fn a_broken_array_of_100_000_tasks_is_tried_one_by_one() {
-    let mut world = world(1, 30);
-    world.run(5_000);
+    let mut simulation = simulation(1, 30);
+    simulation.run(5_000);
     for n in 0..6 {
-        submit(&mut world, job(n, "blue", JobKind::Array, 3), 400);
+        submit(&mut simulation, job(n, "blue", JobKind::Array, 3), 400);
     }
-    world.run(60_000);
+    simulation.run(60_000);
     plan(
-        &mut world,
+        &mut simulation,
         job(50, "red", JobKind::Array, MAX_TASKS),
         15,
         true,
         Some(300),
     );
-    world.run(60_000);
-    let (before, machines) = (world.ground.checker.starts, rented(&world));
-    world.run(200_000);
-    let tries = world.ground.checker.starts - before;
+    simulation.run(60_000);
+    let (before, machines) = (simulation.workload.checker.starts, rented(&simulation));
+    simulation.run(200_000);
+    let tries = simulation.workload.checker.starts - before;
     assert!((1..=12).contains(&tries), "{tries} tries in 200 s");
     assert!(
-        rented(&world) <= machines,
+        rented(&simulation) <= machines,
         "{} machines after {machines}",
-        rented(&world)
+        rented(&simulation)
     );
-    world.run(120_000);
-    assert_eq!(world.phase(&id(50)), Some(JobPhase::Withdrawn));
-    assert_kept(&world, "a broken array");
+    simulation.run(120_000);
+    assert_eq!(simulation.phase(&id(50)), Some(JobPhase::Withdrawn));
+    assert_kept(&simulation, "a broken array");
 }
 
 /// A gang with a mistake holds no room between its tries, and its withdrawal
 /// between two of them is told.
 #[test]
 fn a_broken_gang_leaves_its_room_to_others() {
-    let mut world = world(2, 2);
-    world.run(5_000);
+    let mut simulation = simulation(2, 2);
+    simulation.run(5_000);
     plan(
-        &mut world,
+        &mut simulation,
         job(0, "blue", JobKind::Gang, 8),
         20,
         true,
         Some(260),
     );
     for n in 1..20 {
-        submit(&mut world, job(n, "blue", JobKind::Array, 4), 20);
-        world.run(10_000);
+        submit(&mut simulation, job(n, "blue", JobKind::Array, 4), 20);
+        simulation.run(10_000);
     }
-    world.run(200_000);
-    assert_eq!(done(&world, 1..20), [0; 0]);
-    assert_eq!(world.phase(&id(0)), Some(JobPhase::Withdrawn));
-    assert_kept(&world, "a broken gang");
+    simulation.run(200_000);
+    assert_eq!(done(&simulation, 1..20), [0; 0]);
+    assert_eq!(simulation.phase(&id(0)), Some(JobPhase::Withdrawn));
+    assert_kept(&simulation, "a broken gang");
 }
 
 // ---- guests ----------------------------------------------------------------------
 
 /// s that a burst of replicas waited, with or without guests beside it.
 fn burst(seed: u64, guests: bool, crash: bool) -> (u64, Simulation) {
-    let mut world = world(seed, 40);
+    let mut simulation = simulation(seed, 40);
     for n in 0..4 {
         submit(
-            &mut world,
+            &mut simulation,
             JobSpec {
                 spot: false,
                 ..job(n, "red", JobKind::Service, 1)
@@ -279,17 +297,17 @@
             1,
         );
     }
-    world.run(60_000);
+    simulation.run(60_000);
     if guests {
         let idle = JobSpec {
             rank: Priority::Low,
             gpus: 0.0,
             ..job(100, "blue", JobKind::Array, MAX_TASKS)
         };
-        submit(&mut world, idle, 60);
+        submit(&mut simulation, idle, 60);
         for n in 0..2_000 {
             submit(
-                &mut world,
+                &mut simulation,
                 JobSpec {
                     rank: Priority::Low,
                     cores: 0.5,
@@ -301,11 +319,11 @@
             );
         }
     }
-    world.run(30_000);
-    let at = world.now;
+    simulation.run(30_000);
+    let at = simulation.now;
     for n in 10..14 {
         submit(
-            &mut world,
+            &mut simulation,
             JobSpec {
                 rank: Priority::Production,
                 spot: false,
@@ -314,15 +332,15 @@
             1,
         );
     }
-    world.run(1_000);
+    simulation.run(1_000);
     if crash {
-        world.crash(1, 3_000_000);
+        simulation.crash(1, 3_000_000);
     }
-    world.run(60_000);
+    simulation.run(60_000);
     let waits: Vec<u64> = (10..14)
-        .map(|n| waited(&world, n, 2, at).unwrap_or(u64::MAX))
+        .map(|n| waited(&simulation, n, 2, at).unwrap_or(u64::MAX))
         .collect();
-    (waits.into_iter().max().unwrap_or(0), world)
+    (waits.into_iter().max().unwrap_or(0), simulation)
 }
 
 /// A guest's idle array of 100,000 and 2,000 tiny jobs: a burst of the other team
@@ -331,30 +349,35 @@
 fn guests_cost_others_nothing() {
     for (seed, crash) in [(0, false), (1, true)] {
         let (alone, _) = burst(seed, false, crash);
-        let (beside, world) = burst(seed, true, crash);
+        let (beside, simulation) = burst(seed, true, crash);
         // The longest boot, a fetch, and what a controller is away.
         let bound = 30 + 2 + 3 * u64::from(crash) + 1;
         assert!(
             alone <= bound && beside <= bound,
             "crash {crash}: {beside} s beside guests, {alone} s without"
         );
-        let array = world
-            .ground
-            .up
+        let array = simulation
+            .workload
+            .task_started
             .keys()
             .filter(|(job, _)| *job == id(100))
             .count();
         let tiny = (1_000..3_000)
-            .filter(|n| world.ground.up.contains_key(&(id(*n), 0)))
+            .filter(|n| simulation.workload.task_started.contains_key(&(id(*n), 0)))
             .count();
         assert!(
             array > 0 && tiny > 50,
             "the guests' work starts: {array} tasks and {tiny} tiny jobs"
         );
         // Idle work is not what ordinary machines are rented for.
-        let ordinary = world.workers.iter().flatten().filter(|w| !w.spot).count();
+        let ordinary = simulation
+            .workers
+            .iter()
+            .flatten()
+            .filter(|w| !w.spot)
+            .count();
         assert!(ordinary <= 8, "{ordinary} ordinary machines");
-        assert_kept(&world, "guests");
+        assert_kept(&simulation, "guests");
     }
 }
 
@@ -362,20 +385,20 @@
 #[test]
 fn idle_work_starts_in_the_end() {
     let mut scenario = site(3, 4, NO_FAULTS);
-    scenario.kinds[0].capacity.1 = 0;
-    let mut world = built(3, scenario);
+    scenario.machine_kinds[0].capacity.spot = 0;
+    let mut simulation = built(3, scenario);
     submit(
-        &mut world,
+        &mut simulation,
         JobSpec {
             rank: Priority::Low,
             ..job(0, "blue", JobKind::Array, 4)
         },
         20,
     );
-    world.run(IDLE_PATIENCE_MS - 10_000);
-    assert_eq!(rented(&world), 0);
-    world.run(120_000);
-    assert_eq!(done(&world, 0..1), [0; 0]);
+    simulation.run(IDLE_PATIENCE_MS - 10_000);
+    assert_eq!(rented(&simulation), 0);
+    simulation.run(120_000);
+    assert_eq!(done(&simulation, 0..1), [0; 0]);
 }
 
 // ---- floods of questions -----------------------------------------------------------
@@ -385,24 +408,24 @@
 #[test]
 fn floods_of_polls_break_nothing() {
     for (seed, factor) in [(1, 8.0), (2, 50.0)] {
-        let mut world = world(seed, 20);
+        let mut simulation = simulation(seed, 20);
         for n in 0..30 {
             submit(
-                &mut world,
+                &mut simulation,
                 job(n, ["red", "blue"][n as usize % 2], JobKind::Array, 2),
                 20,
             );
         }
-        world.run(30_000);
-        world.asked_often = factor;
-        world.down.insert(Link::Store(0));
-        world.run(30_000);
-        world.down.remove(&Link::Store(0));
-        world.run(30_000);
-        world.asked_often = 1.0;
-        world.run(200_000);
-        assert_eq!(done(&world, 0..30), [0; 0], "{factor}");
-        assert_kept(&world, "polls");
+        simulation.run(30_000);
+        simulation.poll_factor = factor;
+        simulation.links_down.insert(Link::Store(0));
+        simulation.run(30_000);
+        simulation.links_down.remove(&Link::Store(0));
+        simulation.run(30_000);
+        simulation.poll_factor = 1.0;
+        simulation.run(200_000);
+        assert_eq!(done(&simulation, 0..30), [0; 0], "{factor}");
+        assert_kept(&simulation, "polls");
     }
 }
 
@@ -421,16 +444,16 @@
             let cut = [
                 None,
                 Some(Link::Store(1)),
-                Some(Link::Hosts(0, 1)),
+                Some(Link::Controllers(0, 1)),
                 Some(Link::Workers(1)),
             ][(k + i) % 4]
                 .clone();
             let what = format!("{pause_ms} ms at {at_ms} ms, {cut:?}");
-            let mut world = world((10 * k + i) as u64, 12);
-            world.run(5_000);
+            let mut simulation = simulation((10 * k + i) as u64, 12);
+            simulation.run(5_000);
             for n in 0..6 {
                 submit(
-                    &mut world,
+                    &mut simulation,
                     job(
                         n,
                         ["red", "blue"][n as usize % 2],
@@ -441,26 +464,33 @@
                 );
             }
             plan(
-                &mut world,
+                &mut simulation,
                 job(9, "blue", JobKind::Service, 3),
                 1,
                 false,
                 Some(60),
             );
-            world.run(at_ms);
-            for host in 0..3 {
-                let until = world.now + pause_ms * 1_000;
-                if host != 2 {
-                    (world.hosts[host].frozen_until, world.hosts[host].busy_until) = (until, until);
+            simulation.run(at_ms);
+            for controller in 0..3 {
+                let until = simulation.now + pause_ms * 1_000;
+                if controller != 2 {
+                    (
+                        simulation.controllers[controller].stalled_until,
+                        simulation.controllers[controller].busy_until,
+                    ) = (until, until);
                 }
             }
-            world.down.extend(cut.clone());
-            world.run(pause_ms + 20_000);
-            world.down.retain(|l| Some(l) != cut.as_ref());
-            world.run(250_000);
-            assert_eq!(done(&world, 0..6), [0; 0], "{what}");
-            assert_eq!(world.phase(&id(9)), Some(JobPhase::Withdrawn), "{what}");
-            assert_kept(&world, &what);
+            simulation.links_down.extend(cut.clone());
+            simulation.run(pause_ms + 20_000);
+            simulation.links_down.retain(|l| Some(l) != cut.as_ref());
+            simulation.run(250_000);
+            assert_eq!(done(&simulation, 0..6), [0; 0], "{what}");
+            assert_eq!(
+                simulation.phase(&id(9)),
+                Some(JobPhase::Withdrawn),
+                "{what}"
+            );
+            assert_kept(&simulation, &what);
         }
     }
 }
@@ -469,28 +499,42 @@
 /// has shown that it still holds the part.
 #[test]
 fn no_answer_after_a_long_pause_without_proof() {
-    let mut world = world(5, 12);
-    submit(&mut world, job(0, "red", JobKind::Service, 4), 1);
-    world.run(40_000);
+    let mut simulation = simulation(5, 12);
+    submit(&mut simulation, job(0, "red", JobKind::Service, 4), 1);
+    simulation.run(40_000);
     let held = (0..3)
         .find(|h| {
-            world.hosts[*h].holds(*h as u16) && world.workers.iter().flatten().any(|w| w.node == *h)
+            simulation.controllers[*h].leads(*h as u16)
+                && simulation
+                    .workers
+                    .iter()
+                    .flatten()
+                    .any(|w| w.controller == *h)
         })
         .expect("one with workers");
     // Only its store is lost when it goes on.
-    let until = world.now + (HOLD_TTL_MS + 2_000) * 1_000;
-    (world.hosts[held].frozen_until, world.hosts[held].busy_until) = (until, until);
-    world.down.insert(Link::Store(held));
+    let until = simulation.now + (HOLD_TTL_MS + 2_000) * 1_000;
+    (
+        simulation.controllers[held].stalled_until,
+        simulation.controllers[held].busy_until,
+    ) = (until, until);
+    simulation.links_down.insert(Link::Store(held));
     for other in (0..3).filter(|h| *h != held) {
-        world
-            .down
-            .insert(Link::Hosts(held.min(other), held.max(other)));
+        simulation
+            .links_down
+            .insert(Link::Controllers(held.min(other), held.max(other)));
     }
-    world.run(HOLD_TTL_MS + 3_000);
-    let core = world.hosts[held].core.as_ref().expect("it runs");
+    simulation.run(HOLD_TTL_MS + 3_000);
+    let core = simulation.controllers[held].core.as_ref().expect("it runs");
     assert!(core.unproven(), "nothing has shown what it holds");
-    world.down.clear();
-    world.run(60_000);
-    assert!(!world.hosts[held].core.as_ref().expect("it runs").unproven());
-    assert_kept(&world, "a long pause");
+    simulation.links_down.clear();
+    simulation.run(60_000);
+    assert!(
+        !simulation.controllers[held]
+            .core
+            .as_ref()
+            .expect("it runs")
+            .unproven()
+    );
+    assert_kept(&simulation, "a long pause");
 }
--- a/crates/simulator/tests/supervision.rs
+++ b/crates/simulator/tests/supervision.rs
@@ -6,25 +6,25 @@
 use lemonweir_model::constants::*;
 use lemonweir_model::{JobKind, JobSpec, Priority};
 use lemonweir_protocol::kv_store::{CompareAndSwap, Write, from_value};
-use lemonweir_simulator::workload_state::SimulatedJob;
-use lemonweir_simulator::history::History;
 use lemonweir_simulator::fixtures::{job, site};
+use lemonweir_simulator::history::History;
+use lemonweir_simulator::job::{PlannedSubmission, SimulatedJob};
 use lemonweir_simulator::scenario::{MessageFaults, Scenario, host_name};
-use lemonweir_simulator::simulation::{PlannedSubmission, Simulation};
+use lemonweir_simulator::simulation::Simulation;
 use lemonweir_storage::failovers::{FailoverRecord, LeadershipChange, failover_key};
 use lemonweir_storage::records::{ShardRecord, shard_key};
 
 const NO_FAULTS: MessageFaults = MessageFaults {
-    lost_txn_reply: 0,
-    late_txn: 0,
+    lost_cas_reply: 0,
+    late_cas: 0,
     lost_command: 0,
     late_command: 0,
     lost_sync: 0,
     late_sync: 0,
 };
 const SOME_FAULTS: MessageFaults = MessageFaults {
-    lost_txn_reply: 60,
-    late_txn: 60,
+    lost_cas_reply: 60,
+    late_cas: 60,
     lost_command: 40,
     late_command: 40,
     lost_sync: 40,
@@ -39,10 +39,10 @@
 
 /// Two services that are up.
 fn served(seed: u64, chances: MessageFaults) -> Simulation {
-    let mut world = built(seed, site(3, 16, chances));
+    let mut simulation = built(seed, site(3, 16, chances));
     for (n, team, tasks) in [(0, "red", 4), (1, "blue", 10)] {
         submit(
-            &mut world,
+            &mut simulation,
             JobSpec {
                 spread: true,
                 spot: false,
@@ -51,38 +51,38 @@
             1,
         );
     }
-    world.run(70_000);
-    assert_eq!(live(&world), REPLICAS);
-    world
+    simulation.run(70_000);
+    assert_eq!(live(&simulation), REPLICAS);
+    simulation
 }
 
-fn submit(world: &mut Simulation, spec: JobSpec, run_s: u64) {
-    let load = SimulatedJob {
+fn submit(simulation: &mut Simulation, spec: JobSpec, run_s: u64) {
+    let job = SimulatedJob {
         spec: Arc::new(spec),
         run_us: vec![run_s * 1_000_000],
         broken: false,
     };
-    world.submit_at(PlannedSubmission {
-        at_us: world.now,
-        load,
+    simulation.submit(PlannedSubmission {
+        at_us: simulation.now,
+        job,
         withdraw_us: None,
     });
 }
 
-fn live(world: &Simulation) -> usize {
-    world.workers.iter().flatten().map(|w| w.live()).sum()
+fn live(simulation: &Simulation) -> usize {
+    simulation.workers.iter().flatten().map(|w| w.live()).sum()
 }
 
-fn holder(world: &Simulation, shard: u16) -> Option<(String, u64)> {
-    let (value, token) = world.store.get(&shard_key(shard))?;
+fn holder(simulation: &Simulation, shard: u16) -> Option<(String, u64)> {
+    let (value, token) = simulation.store.get(&shard_key(shard))?;
     Some((
         from_value::<ShardRecord>(value).expect("a holder").host,
         token,
     ))
 }
 
-fn ring(world: &Simulation, shard: u16) -> Vec<(FailoverRecord, u64)> {
-    let entries = world.store.list(&format!("w/hand/{shard}/"));
+fn ring(simulation: &Simulation, shard: u16) -> Vec<(FailoverRecord, u64)> {
+    let entries = simulation.store.list(&format!("w/hand/{shard}/"));
     let mut all: Vec<_> = entries
         .iter()
         .map(|e| {
@@ -97,9 +97,9 @@
 }
 
 /// One entry a change, none missing, the newest of the one who holds it.
-fn assert_entered(world: &Simulation, what: &str) {
+fn assert_entered(simulation: &Simulation, what: &str) {
     for shard in 0..3 {
-        let ring = ring(world, shard);
+        let ring = ring(simulation, shard);
         for pair in ring.windows(2) {
             assert_eq!(pair[0].0.n + 1, pair[1].0.n, "{what}: part {shard}");
             assert_eq!(
@@ -109,8 +109,12 @@
             );
         }
         let (newest, version) = ring.last().expect("it was taken");
-        let (host, token) = holder(world, shard).expect("a holder");
-        assert_eq!(newest.to.as_ref(), Some(&host), "{what}: part {shard}");
+        let (controller, token) = holder(simulation, shard).expect("a holder");
+        assert_eq!(
+            newest.to.as_ref(),
+            Some(&controller),
+            "{what}: part {shard}"
+        );
         assert_eq!(
             newest.closed.as_ref().map_or(Some(*version), |c| c.token),
             Some(token),
@@ -118,18 +122,18 @@
         );
     }
     assert!(
-        world.ground.checker.broken.is_empty(),
+        simulation.workload.checker.violations.is_empty(),
         "{what}: {:#?}",
-        world.ground.checker.broken
+        simulation.workload.checker.violations
     );
 }
 
 /// Runs until another than its home holds the part.
-fn until_taken(world: &mut Simulation, shard: u16, not: &[usize]) -> usize {
+fn until_taken(simulation: &mut Simulation, shard: u16, not: &[usize]) -> usize {
     for _ in 0..600 {
-        world.run(50);
-        let other =
-            holder(world, shard).and_then(|(host, _)| (0..3).find(|h| host_name(*h) == host));
+        simulation.run(50);
+        let other = holder(simulation, shard)
+            .and_then(|(controller, _)| (0..3).find(|h| host_name(*h) == controller));
         if let Some(h) = other.filter(|h| !not.contains(h)) {
             return h;
         }
@@ -143,27 +147,27 @@
 fn successors_that_end_at_each_step_leave_entries_that_are_closed() {
     for (k, after_ms) in [0, 2, 60, 400, 1_500, 6_000].into_iter().enumerate() {
         let what = format!("{after_ms} ms after the take");
-        let mut world = served(k as u64, if k % 2 == 0 { NO_FAULTS } else { SOME_FAULTS });
-        world.crash(0, 60_000_000);
+        let mut simulation = served(k as u64, if k % 2 == 0 { NO_FAULTS } else { SOME_FAULTS });
+        simulation.crash(0, 60_000_000);
         // Something to start for the first who can.
         submit(
-            &mut world,
+            &mut simulation,
             JobSpec {
                 rank: Priority::Normal,
                 ..job(9, "blue", JobKind::Array, 3)
             },
             30,
         );
-        let second = until_taken(&mut world, 0, &[0]);
-        world.run(after_ms);
-        world.crash(second, 60_000_000);
-        let third = until_taken(&mut world, 0, &[0, second]);
-        world.run(after_ms);
-        world.crash(third, 4_000_000);
-        world.run(CLOSE_MOST_MS + 100_000);
-        assert_eq!(live(&world), REPLICAS, "{what}");
-        assert_entered(&world, &what);
-        let entries = ring(&world, 0);
+        let second = until_taken(&mut simulation, 0, &[0]);
+        simulation.run(after_ms);
+        simulation.crash(second, 60_000_000);
+        let third = until_taken(&mut simulation, 0, &[0, second]);
+        simulation.run(after_ms);
+        simulation.crash(third, 4_000_000);
+        simulation.run(CLOSE_MOST_MS + 100_000);
+        assert_eq!(live(&simulation), REPLICAS, "{what}");
+        assert_entered(&simulation, &what);
+        let entries = ring(&simulation, 0);
         assert!(
             entries.len() >= 5,
             "{what}: first, two successors, back again: {entries:#?}"
@@ -192,16 +196,16 @@
 fn all_controllers_a_moment_apart() {
     for (k, back_ms) in [100, 300, 5_000, 20_000].into_iter().enumerate() {
         let what = format!("back after {back_ms} ms");
-        let mut world = served(20 + k as u64, SOME_FAULTS);
+        let mut simulation = served(20 + k as u64, SOME_FAULTS);
         for h in [2, 0, 1] {
-            world.crash(h, back_ms * 1_000);
-            world.run(300);
+            simulation.crash(h, back_ms * 1_000);
+            simulation.run(300);
         }
-        world.run(200_000);
-        assert_eq!(live(&world), REPLICAS, "{what}");
-        assert_entered(&world, &what);
+        simulation.run(200_000);
+        assert_eq!(live(&simulation), REPLICAS, "{what}");
+        assert_entered(&simulation, &what);
         for shard in 0..3 {
-            let reborn = ring(&world, shard)
+            let reborn = ring(&simulation, shard)
                 .iter()
                 .any(|(r, _)| r.how == LeadershipChange::Reborn);
             assert_eq!(
@@ -216,24 +220,24 @@
 /// The store can't be had when the entry should be closed: it is closed once it can.
 #[test]
 fn an_entry_that_cant_be_closed_for_a_minute_is_closed_then() {
-    let mut world = served(30, NO_FAULTS);
-    world.crash(0, 300_000_000);
-    submit(&mut world, job(9, "blue", JobKind::Array, 3), 30);
-    let second = until_taken(&mut world, 0, &[0]);
-    world.run(20);
-    world.store.down = true;
-    world.run(60_000);
-    assert!(ring(&world, 0).last().expect("an entry").0.open());
-    let (host, _) = holder(&world, 0).expect("a holder");
-    assert_eq!(host, host_name(second));
-    let now = world.now;
-    world.store.recover(now);
-    world.run(30_000);
-    let (record, _) = ring(&world, 0).pop().expect("an entry");
+    let mut simulation = served(30, NO_FAULTS);
+    simulation.crash(0, 300_000_000);
+    submit(&mut simulation, job(9, "blue", JobKind::Array, 3), 30);
+    let second = until_taken(&mut simulation, 0, &[0]);
+    simulation.run(20);
+    simulation.store.down = true;
+    simulation.run(60_000);
+    assert!(ring(&simulation, 0).last().expect("an entry").0.open());
+    let (controller, _) = holder(&simulation, 0).expect("a holder");
+    assert_eq!(controller, host_name(second));
+    let now = simulation.now;
+    simulation.store.recover(now);
+    simulation.run(30_000);
+    let (record, _) = ring(&simulation, 0).pop().expect("an entry");
     let closed = record.closed.expect("closed");
     assert_eq!(
         (closed.by, closed.found),
-        (host, Some((10, 0))),
+        (controller, Some((10, 0))),
         "the ten replicas of the part's service were found up"
     );
     assert!(
@@ -241,15 +245,15 @@
         "{:?}",
         closed.unknown
     );
-    assert_entered(&world, "closed late");
+    assert_entered(&simulation, "closed late");
 }
 
 /// A ring that is full, with an open entry as its oldest and one that nobody can
 /// read.
 #[test]
 fn a_full_ring_goes_on() {
-    let mut world = served(31, NO_FAULTS);
-    let first = ring(&world, 0).pop().expect("an entry").0;
+    let mut simulation = served(31, NO_FAULTS);
+    let first = ring(&simulation, 0).pop().expect("an entry").0;
     let mut fill = CompareAndSwap::default();
     for n in 2..=HANDOVERS_KEPT {
         let record = FailoverRecord {
@@ -268,25 +272,25 @@
     });
     // The store takes so many at a time.
     for write in fill.writes {
-        world.store.cas(&CompareAndSwap {
+        simulation.store.compare_and_swap(&CompareAndSwap {
             writes: vec![write],
             ..CompareAndSwap::default()
         });
     }
-    world.run(1_000);
+    simulation.run(1_000);
     for n in 0..3 {
-        world.crash(0, 3_000_000);
-        world.run(40_000);
-        let (host, _) = holder(&world, 0).expect("a holder");
-        let newest = world
+        simulation.crash(0, 3_000_000);
+        simulation.run(40_000);
+        let (controller, _) = holder(&simulation, 0).expect("a holder");
+        let newest = simulation
             .store
             .get(&failover_key(0, HANDOVERS_KEPT + 1 + n))
             .and_then(|(v, _)| from_value::<FailoverRecord>(v));
         assert_eq!(newest.expect("overwritten").n, HANDOVERS_KEPT + 1 + n);
-        assert_eq!(host, host_name(0), "the part is held all the same");
+        assert_eq!(controller, host_name(0), "the part is held all the same");
     }
     assert!(
-        world
+        simulation
             .store
             .get(&failover_key(0, 5))
             .is_some_and(|(v, _)| v.as_str() == Some("what")),
@@ -300,21 +304,21 @@
     for k in 0..14u64 {
         let back_ms = HOLD_TTL_MS - HOLD_RENEW_MS + 200 + 300 * k;
         let what = format!("back after {back_ms} ms");
-        let mut world = served(40 + k, if k % 2 == 0 { NO_FAULTS } else { SOME_FAULTS });
-        world.crash(0, back_ms * 1_000);
-        world.run(back_ms + 200);
+        let mut simulation = served(40 + k, if k % 2 == 0 { NO_FAULTS } else { SOME_FAULTS });
+        simulation.crash(0, back_ms * 1_000);
+        simulation.run(back_ms + 200);
         // And once more, in the middle of what it does then.
         if k % 3 == 0 {
-            world.crash(0, 200_000);
+            simulation.crash(0, 200_000);
         }
-        world.run(60_000);
+        simulation.run(60_000);
         assert_eq!(
-            holder(&world, 0).map(|(host, _)| host),
+            holder(&simulation, 0).map(|(controller, _)| controller),
             Some(host_name(0)),
             "{what}"
         );
-        assert_eq!(live(&world), REPLICAS, "{what}");
-        assert_entered(&world, &what);
+        assert_eq!(live(&simulation), REPLICAS, "{what}");
+        assert_entered(&simulation, &what);
     }
 }
 
@@ -325,10 +329,10 @@
     let mut site = site(3, 300, NO_FAULTS);
     site.state.write_rps = 400.0;
     site.state.txn_ops = 32;
-    let mut world = built(50, site);
+    let mut simulation = built(50, site);
     for n in 0..500 {
         submit(
-            &mut world,
+            &mut simulation,
             JobSpec {
                 spot: false,
                 cores: 1.0,
@@ -339,26 +343,26 @@
             1,
         );
     }
-    world.run(150_000);
-    assert_eq!(live(&world), 1_000);
-    let core = world.hosts[0].core.as_ref().expect("it runs");
-    let now = world.now / 1_000;
+    simulation.run(150_000);
+    assert_eq!(live(&simulation), 1_000);
+    let core = simulation.controllers[0].core.as_ref().expect("it runs");
+    let now = simulation.now / 1_000;
     let watch = core.watch(now);
     assert_eq!(
         (watch.services, watch.promised, watch.up, watch.short.len()),
         (500, 1_000, 1_000, 0)
     );
-    let before = world.store.served.1;
-    world.crash(0, 100_000_000);
-    let second = until_taken(&mut world, 0, &[0]);
-    world.run(40_000);
+    let before = simulation.store.served.writes;
+    simulation.crash(0, 100_000_000);
+    let second = until_taken(&mut simulation, 0, &[0]);
+    simulation.run(40_000);
     // Its part, presence and hold, the entry and its closing: nothing a service.
     assert!(
-        world.store.served.1 - before < 40,
+        simulation.store.served.writes - before < 40,
         "{} changes",
-        world.store.served.1 - before
+        simulation.store.served.writes - before
     );
-    let (record, _) = ring(&world, 0).pop().expect("an entry");
+    let (record, _) = ring(&simulation, 0).pop().expect("an entry");
     assert_eq!(record.from, Some(host_name(0)));
     assert!(
         record
@@ -369,41 +373,44 @@
         "{:?}",
         record.up
     );
-    let watch = world.hosts[second]
+    let watch = simulation.controllers[second]
         .core
         .as_ref()
         .expect("it runs")
-        .watch(world.now / 1_000);
+        .watch(simulation.now / 1_000);
     assert_eq!((watch.up, watch.short.len()), (1_000, 0));
     assert_eq!(
         watch.shards[0].holder.as_deref(),
         Some(host_name(second).as_str())
     );
-    let third = world.hosts[3 - second].core.as_ref().expect("it runs");
+    let third = simulation.controllers[3 - second]
+        .core
+        .as_ref()
+        .expect("it runs");
     assert_eq!(
-        third.watch(world.now / 1_000).up,
+        third.watch(simulation.now / 1_000).up,
         1_000,
         "any node shows it"
     );
     assert_eq!(
         third
-            .failovers(world.now / 1_000)
+            .failovers(simulation.now / 1_000)
             .changes
             .first()
             .and_then(|c| c.to.clone()),
         Some(host_name(second))
     );
-    assert!(world.ground.checker.broken.is_empty());
+    assert!(simulation.workload.checker.violations.is_empty());
 }
 
 // ---- how long it takes ---------------------------------------------------------
 
 /// A fleet of so many machines, most of them full of replicas, on so many
 /// controllers that pay for what they do.
-fn fleet(machines: u32, hosts: u16) -> Scenario {
+fn fleet(machines: u32, controllers: u16) -> Scenario {
     let each = machines / 2;
     let text = format!(
-        "name = 'fleet'\nduration_s = 1e6\ncontrollers = {hosts}\nzones = ['north', 'south']\n\
+        "name = 'fleet'\nduration_s = 1e6\ncontrollers = {controllers}\nzones = ['north', 'south']\n\
          [state]\nrps = 250\nwrite_rps = 4_000\nvalue_kb = 8\ntxn_ops = 24\n[costs]\nmessage_ns = 40_000\nlook_ns = 8\n\
          [[machine_type]]\nname = 'box'\ncpus = 16\ngpus = 4\nmemory_gb = 64\ncache_gb = 100\nprice = 4\nspot_price = 1\n\
          boot_s = 20\nordinary = {each}\nspot = 4\nat_start = {each}\n\
@@ -415,13 +422,13 @@
 /// One controller's end: ms until its part's key is gone, the part is taken, the
 /// first start of a job that came meanwhile, and all replicas are known to be up; and
 /// tasks lost by it.
-fn end_one(seed: u64, machines: u32, hosts: u16) -> [u64; 5] {
-    let mut world = built(seed, fleet(machines, hosts));
+fn end_one(seed: u64, machines: u32, controllers: u16) -> [u64; 5] {
+    let mut simulation = built(seed, fleet(machines, controllers));
     let services = machines / 8;
     for n in 0..services {
         let team = ["red", "blue", "green"][n as usize % 3];
         submit(
-            &mut world,
+            &mut simulation,
             JobSpec {
                 spread: true,
                 spot: false,
@@ -432,35 +439,35 @@
     }
     // Room for what comes: machines that are partly free.
     submit(
-        &mut world,
+        &mut simulation,
         JobSpec {
             spot: false,
             ..job(services, "red", JobKind::Service, 6)
         },
         1,
     );
-    world.run(40_000 + seed * 137 % 2_000);
-    world.withdraw(&lemonweir_simulator::fixtures::id(services));
-    world.run(4_000);
-    let replicas = |world: &Simulation| {
-        world
-            .live()
+    simulation.run(40_000 + seed * 137 % 2_000);
+    simulation.withdraw(&lemonweir_simulator::fixtures::id(services));
+    simulation.run(4_000);
+    let replicas = |simulation: &Simulation| {
+        simulation
+            .live_tasks()
             .iter()
             .filter(|(id, _)| **id < lemonweir_simulator::fixtures::id(services))
             .map(|(_, n)| n)
             .sum::<usize>()
     };
-    let before = replicas(&world);
+    let before = replicas(&simulation);
     assert!(
         before >= services as usize * 16 * 9 / 10,
         "{before} replicas of {}",
         services * 16
     );
-    let at = world.now;
-    world.crash(0, 400_000_000);
+    let at = simulation.now;
+    simulation.crash(0, 400_000_000);
     let (mut gone, mut taken, mut started) = (None, None, None);
     submit(
-        &mut world,
+        &mut simulation,
         JobSpec {
             spot: false,
             ..job(services + 1, "blue", JobKind::Array, 4)
@@ -469,17 +476,17 @@
     );
     let mut whole = None;
     for _ in 0..4_000 {
-        world.run(10);
-        let ms = (world.now - at) / 1_000;
-        let holder = holder(&world, 0).map(|(host, _)| host);
+        simulation.run(10);
+        let ms = (simulation.now - at) / 1_000;
+        let holder = holder(&simulation, 0).map(|(controller, _)| controller);
         if holder.is_none() {
             gone.get_or_insert(ms);
         }
         if holder.is_some_and(|h| h != host_name(0)) {
             taken.get_or_insert(ms);
         }
-        if world
-            .ground
+        if simulation
+            .workload
             .launched
             .contains_key(&(lemonweir_simulator::fixtures::id(services + 1), 0))
         {
@@ -488,13 +495,13 @@
         let known = |h: &lemonweir_simulator::controller::Controller| {
             h.core
                 .as_ref()
-                .filter(|_| h.holds(0))
-                .map(|c| c.watch(world.now / 1_000).short.len())
+                .filter(|_| h.leads(0))
+                .map(|c| c.watch(simulation.now / 1_000).short.len())
         };
         if whole.is_none()
             && taken.is_some()
             && (ms % 100 < 10)
-            && world.hosts.iter().find_map(known) == Some(0)
+            && simulation.controllers.iter().find_map(known) == Some(0)
         {
             whole = Some(ms);
         }
@@ -502,10 +509,10 @@
             break;
         }
     }
-    assert!(world.ground.checker.broken.is_empty());
+    assert!(simulation.workload.checker.violations.is_empty());
     let lost = before
-        .saturating_sub(replicas(&world))
-        .max(world.ground.killed_by_lease as usize) as u64;
+        .saturating_sub(replicas(&simulation))
+        .max(simulation.workload.killed_by_lease as usize) as u64;
     [gone, taken, started, whole, Some(lost)].map(|ms| ms.expect("within 40 s"))
 }
 
@@ -514,9 +521,9 @@
 #[test]
 #[ignore = "measures for minutes"]
 fn how_long_a_handover_takes() {
-    for (machines, hosts, seeds) in [(100, 3, 24), (1_337, 3, 12), (5_000, 5, 4)] {
+    for (machines, controllers, seeds) in [(100, 3, 24), (1_337, 3, 12), (5_000, 5, 4)] {
         let mut all: Vec<[u64; 5]> = (0..seeds)
-            .map(|seed| end_one(seed, machines, hosts))
+            .map(|seed| end_one(seed, machines, controllers))
             .collect();
         println!(
             "{machines} machines: {} tasks lost in {seeds} runs",
@@ -541,14 +548,14 @@
 
 /// The row of a service in the picture of the controller that serves its team.
 fn row(
-    world: &Simulation,
+    simulation: &Simulation,
     n: u32,
 ) -> Option<lemonweir_protocol::supervision::UnderReplicatedServiceRow> {
-    let rows = world
-        .hosts
+    let rows = simulation
+        .controllers
         .iter()
         .filter_map(|h| h.core.as_ref())
-        .flat_map(|c| c.watch(world.now / 1_000).short);
+        .flat_map(|c| c.watch(simulation.now / 1_000).short);
     rows.filter(|r| r.job == lemonweir_simulator::fixtures::id(n).to_string())
         .max_by_key(|r| r.short_s)
 }
@@ -557,27 +564,31 @@
 /// soon as one has room.
 #[test]
 fn a_replica_leaves_a_machine_that_does_not_get_it_up() {
-    let mut world = built(60, site(3, 16, NO_FAULTS));
-    world.run(5_000);
+    let mut simulation = built(60, site(3, 16, NO_FAULTS));
+    simulation.run(5_000);
     submit(
-        &mut world,
+        &mut simulation,
         JobSpec {
             spot: false,
             ..job(0, "blue", JobKind::Service, 4)
         },
         1,
     );
-    world.run(45_000);
-    assert_eq!(live(&world), 4, "its machine is full and has the image");
+    simulation.run(45_000);
+    assert_eq!(
+        live(&simulation),
+        4,
+        "its machine is full and has the image"
+    );
     submit(
-        &mut world,
+        &mut simulation,
         JobSpec {
             spot: false,
             ..job(1, "blue", JobKind::Service, 2)
         },
         1,
     );
-    let warm: Vec<usize> = world
+    let warm: Vec<usize> = simulation
         .workers
         .iter()
         .flatten()
@@ -585,59 +596,59 @@
         .map(|w| w.number)
         .collect();
     for _ in 0..600 {
-        world
+        simulation
             .workers
             .iter_mut()
             .flatten()
             .filter(|w| !warm.contains(&w.number))
             .for_each(|w| w.kind.fetch_gb_per_s = 0.000_1);
-        world.run(100);
+        simulation.run(100);
     }
-    let before = row(&world, 1).expect("it is short");
+    let before = row(&simulation, 1).expect("it is short");
     assert_eq!(before.up, 0);
     assert!(
         before.tried.is_empty() && before.short_s.is_some_and(|s| s >= 50),
         "nothing better is known: {before:?}"
     );
     // The machine with the image becomes free.
-    world.withdraw(&lemonweir_simulator::fixtures::id(0));
-    world.run(25_000);
-    assert_eq!(live(&world), 2, "{:?}", row(&world, 1));
-    assert_eq!(row(&world, 1), None);
-    assert!(world.ground.checker.broken.is_empty());
+    simulation.withdraw(&lemonweir_simulator::fixtures::id(0));
+    simulation.run(25_000);
+    assert_eq!(live(&simulation), 2, "{:?}", row(&simulation, 1));
+    assert_eq!(row(&simulation, 1), None);
+    assert!(simulation.workload.checker.violations.is_empty());
 }
 
 /// A service that avoids the only machine that can take it, since it failed there
 /// once, takes it again when nothing else has come in time.
 #[test]
 fn a_service_takes_what_it_avoided_when_nothing_else_is_left() {
-    let mut world = built(61, site(3, 1, NO_FAULTS));
+    let mut simulation = built(61, site(3, 1, NO_FAULTS));
     let north = |n| JobSpec {
         spot: false,
         zone: Some("north".into()),
         ..job(n, "blue", JobKind::Service, 1)
     };
-    submit(&mut world, north(0), 1);
-    world.run(50_000);
-    assert_eq!(live(&world), 1);
-    world
+    submit(&mut simulation, north(0), 1);
+    simulation.run(50_000);
+    assert_eq!(live(&simulation), 1);
+    simulation
         .workers
         .iter_mut()
         .flatten()
         .for_each(|w| w.faulty = true);
-    submit(&mut world, north(1), 1);
-    world.run(3_000);
-    world
+    submit(&mut simulation, north(1), 1);
+    simulation.run(3_000);
+    simulation
         .workers
         .iter_mut()
         .flatten()
         .for_each(|w| w.faulty = false);
-    world.run(20_000);
-    assert_eq!(live(&world), 1, "it avoids the only machine");
-    world.run(15_000);
-    let told = row(&world, 1).expect("it is short");
+    simulation.run(20_000);
+    assert_eq!(live(&simulation), 1, "it avoids the only machine");
+    simulation.run(15_000);
+    let told = row(&simulation, 1).expect("it is short");
     assert!(told.lacks.contains("0 of 1 replicas up for"), "{told:?}");
-    world.run(25_000);
-    assert_eq!(live(&world), 2, "{:?}", row(&world, 1));
-    assert!(world.ground.checker.broken.is_empty());
+    simulation.run(25_000);
+    assert_eq!(live(&simulation), 2, "{:?}", row(&simulation, 1));
+    assert!(simulation.workload.checker.violations.is_empty());
 }
--- a/crates/simulator/tests/worker_leases.rs
+++ b/crates/simulator/tests/worker_leases.rs
@@ -23,10 +23,10 @@
 const CUT: &str = "at_s = 50\nfor_s = 40\nkind = 'cut_zone'\nzone = 'a'";
 
 /// A day: services, arrays and gangs on some dozen machines of two zones.
-fn day(hosts: u16, lease_s: f64, seed: u64, faults: &[&str]) -> Simulation {
+fn day(controllers: u16, lease_s: f64, seed: u64, faults: &[&str]) -> Simulation {
     let faults: String = faults.iter().map(|f| format!("[[fault]]\n{f}\n")).collect();
     let text = format!(
-        "name = 'hearing'\nduration_s = 240\ncontrollers = {hosts}\nzones = ['a', 'b']\npoll_s = 5\n\
+        "name = 'hearing'\nduration_s = 240\ncontrollers = {controllers}\nzones = ['a', 'b']\npoll_s = 5\n\
          [workers]\nlease_s = {lease_s}\ncancel_s = {}\n\
          [[machine_type]]\nname = 'box'\ncpus = 16\nmemory_gb = 64\nboot_s = 15\nordinary = 40\nspot = 20\nspot_price = 0.3\nat_start = 14\n\
          [[team]]\nname = 'red'\ncpus_max = 120\n[[team]]\nname = 'blue'\n\
@@ -45,36 +45,36 @@
 }
 
 /// Replicas up, of the 16 that are wanted.
-fn serving(world: &Simulation) -> usize {
-    let services = world
-        .ground
+fn serving(simulation: &Simulation) -> usize {
+    let services = simulation
+        .workload
         .jobs
         .iter()
         .filter(|(_, l)| l.spec.class == "serve")
         .map(|(id, _)| id);
     services
-        .map(|id| world.live().get(id).copied().unwrap_or(0))
+        .map(|id| simulation.live_tasks().get(id).copied().unwrap_or(0))
         .sum()
 }
 
 /// Runs a day to its end; tells how many tasks their lease killed.
-fn kept(hosts: u16, lease_s: f64, seed: u64, faults: &[&str]) -> u64 {
-    let what = format!("{hosts} controllers, {lease_s} s, seed {seed}, {faults:?}");
-    let mut world = day(hosts, lease_s, seed, faults);
-    world.run(240_000);
-    let (up, ground) = (serving(&world), &world.ground);
+fn kept(controllers: u16, lease_s: f64, seed: u64, faults: &[&str]) -> u64 {
+    let what = format!("{controllers} controllers, {lease_s} s, seed {seed}, {faults:?}");
+    let mut simulation = day(controllers, lease_s, seed, faults);
+    simulation.run(240_000);
+    let (up, workload) = (serving(&simulation), &simulation.workload);
     assert!(
-        ground.checker.broken.is_empty(),
+        workload.checker.violations.is_empty(),
         "{what}: {:#?}",
-        ground.checker.broken
+        workload.checker.violations
     );
     assert_eq!(up, 16, "{what}: replicas up at the end");
     assert!(
-        ground.checker.starts > 60,
+        workload.checker.starts > 60,
         "{what}: {} starts",
-        ground.checker.starts
+        workload.checker.starts
     );
-    ground.killed_by_lease
+    workload.killed_by_lease
 }
 
 /// A few controllers with a short lease and many with a long one.
@@ -143,15 +143,15 @@
         [REBORN, CRASH],
     ];
     for (k, pair) in pairs.iter().enumerate() {
-        let (hosts, lease_s) = [(3, 14.0), (7, 26.5), (3, 26.5), (7, 14.0)][k % 4];
-        kept(hosts, lease_s, 10 + k as u64, pair);
+        let (controllers, lease_s) = [(3, 14.0), (7, 26.5), (3, 26.5), (7, 14.0)][k % 4];
+        kept(controllers, lease_s, 10 + k as u64, pair);
     }
 }
 
 #[test]
 fn each_trouble_inside_a_cut_breaks_no_rule() {
     for (k, fault) in [DEAF, COPIES, ALONE, REBORN, CRASH].into_iter().enumerate() {
-        let (hosts, lease_s) = [(7, 14.0), (3, 26.5), (3, 14.0)][k % 3];
-        kept(hosts, lease_s, 30 + k as u64, &[fault, CUT]);
+        let (controllers, lease_s) = [(7, 14.0), (3, 26.5), (3, 14.0)][k % 3];
+        kept(controllers, lease_s, 30 + k as u64, &[fault, CUT]);
     }
 }
