--- a/crates/simulator/src/baseline.rs
+++ b/crates/simulator/src/baseline.rs
@@ -15,6 +15,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
+use crate::clock::micros;
 use crate::histograms::{NamedHistograms, RecordMicros, histogram};
 use crate::history::History;
 use crate::job::PlannedSubmission;
@@ -42,8 +43,8 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     JobArrives(usize),
-    /// The placer is free again.
-    TaskPlacement,
+    /// The central placer is free again.
+    PlaceWaiting,
     /// A task reaches the machine that it was sent to: job, task, machine.
     TaskArrives(usize, u32, usize),
     /// A task ends on a machine; the placer hears of it a message later.
@@ -63,7 +64,7 @@
     load: &'a [PlannedSubmission],
     rng: ChaCha8Rng,
     queue: BinaryHeap<Reverse<(u64, u64, Event)>>,
-    seq: u64,
+    sequence: u64,
     now: u64,
     machines: Vec<Machine>,
     /// Free resources as the central placer knows them.
@@ -108,14 +109,14 @@
         })
         .collect();
     let mut run = BaselineRun {
-        known_free: machines.iter().map(|m| m.capacity).collect(),
+        known_free: machines.iter().map(|machine| machine.capacity).collect(),
         left: load.iter().map(|p| p.job.spec.tasks as u32).collect(),
         withdrawn: vec![false; load.len()],
         scenario,
         load,
         rng: ChaCha8Rng::seed_from_u64(seed),
         queue: BinaryHeap::new(),
-        seq: 0,
+        sequence: 0,
         now: 0,
         machines,
         waiting: BTreeMap::new(),
@@ -136,7 +137,7 @@
             run.schedule_at(at, Event::JobWithdrawn(n));
         }
     }
-    let end = (scenario.duration_s * 1e6) as u64;
+    let end = micros(scenario.duration_s);
     let mut events = 0;
     while let Some(Reverse((at, _, event))) =
         run.queue.pop().filter(|Reverse((at, _, _))| *at <= end)
@@ -157,14 +158,14 @@
 
 impl BaselineRun<'_> {
     fn schedule_at(&mut self, at: u64, event: Event) {
-        self.seq += 1;
-        self.queue.push(Reverse((at, self.seq, event)));
+        self.sequence += 1;
+        self.queue.push(Reverse((at, self.sequence, event)));
     }
 
     fn network_delay(&mut self) -> u64 {
-        let l = self.scenario.latency;
+        let latency = self.scenario.latency;
         self.work.messages += 1;
-        self.rng.random_range(l.low_us..=l.high_us)
+        self.rng.random_range(latency.low_us..=latency.high_us)
     }
 
     fn need(&self, job: usize) -> Resources {
@@ -194,20 +195,20 @@
                     .note(self.now, "submit", &self.load[job].job.spec.id, &"");
                 (0..self.left[job]).for_each(|task| self.send_to_sampled(job, task, d));
             }
-            (Event::TaskPlacement, _) => {
+            (Event::PlaceWaiting, _) => {
                 self.placing = false;
                 self.place_waiting();
             }
-            (Event::TaskArrives(job, task, m), BaselineKind::Central) => {
-                self.start_task(job, task, m)
+            (Event::TaskArrives(job, task, machine), BaselineKind::Central) => {
+                self.start_task(job, task, machine)
             }
-            (Event::TaskArrives(job, task, m), BaselineKind::Sampler(_)) => {
-                self.machines[m].queue.push_back((job, task));
-                self.serve_queue(m);
+            (Event::TaskArrives(job, task, machine), BaselineKind::Sampler(_)) => {
+                self.machines[machine].queue.push_back((job, task));
+                self.serve_queue(machine);
             }
-            (Event::TaskEnds(job, task, m), _) => self.end_task(kind, job, task, m),
-            (Event::ResourcesFreed(job, m), _) => {
-                self.known_free[m] = self.known_free[m].plus(&self.need(job));
+            (Event::TaskEnds(job, task, machine), _) => self.end_task(kind, job, task, machine),
+            (Event::ResourcesFreed(job, machine), _) => {
+                self.known_free[machine] = self.known_free[machine].plus(&self.need(job));
                 self.charge(1, 0);
                 self.wake_placer(self.now);
             }
@@ -217,11 +218,11 @@
                 let tasks: Vec<((usize, u32), usize)> = self
                     .running
                     .range((job, 0)..(job + 1, 0))
-                    .map(|(k, m)| (*k, *m))
+                    .map(|(k, machine)| (*k, *machine))
                     .collect();
                 tasks
                     .into_iter()
-                    .for_each(|((job, task), m)| self.end_task(kind, job, task, m));
+                    .for_each(|((job, task), machine)| self.end_task(kind, job, task, machine));
             }
         }
     }
@@ -229,7 +230,7 @@
     fn wake_placer(&mut self, at: u64) {
         if !self.placing {
             self.placing = true;
-            self.schedule_at(at.max(self.busy_until), Event::TaskPlacement);
+            self.schedule_at(at.max(self.busy_until), Event::PlaceWaiting);
         }
     }
 
@@ -251,16 +252,16 @@
                 let examined = found.map_or(self.known_free.len(), |i| i + 1) as u64
                     + self.known_free.len() as u64 / 64;
                 self.charge(1, examined);
-                let Some(m) = found else { break };
-                self.known_free[m] = self.known_free[m].minus(&need);
-                chosen.push((next, m));
+                let Some(machine) = found else { break };
+                self.known_free[machine] = self.known_free[machine].minus(&need);
+                chosen.push((next, machine));
                 next += 1;
             }
             if next < tasks {
                 failed.push(need);
                 if gang {
-                    for (_, m) in chosen.drain(..) {
-                        self.known_free[m] = self.known_free[m].plus(&need);
+                    for (_, machine) in chosen.drain(..) {
+                        self.known_free[machine] = self.known_free[machine].plus(&need);
                     }
                     continue;
                 }
@@ -268,11 +269,11 @@
             } else {
                 self.waiting.remove(&(rank, job));
             }
-            for (task, m) in chosen {
+            for (task, machine) in chosen {
                 let leaves = self.busy_until.max(self.now);
                 self.sent.insert((job, task), (leaves, leaves - self.now));
                 let at = leaves + self.network_delay();
-                self.schedule_at(at, Event::TaskArrives(job, task, m));
+                self.schedule_at(at, Event::TaskArrives(job, task, machine));
             }
         }
     }
@@ -284,71 +285,84 @@
         let mut best: Option<(usize, usize)> = None;
         let mut back = self.now;
         for _ in 0..d {
-            let m = self.rng.random_range(0..self.machines.len());
+            let machine = self.rng.random_range(0..self.machines.len());
             let there = self.network_delay();
             back = back.max(self.now + there + self.network_delay());
-            if self.machines[m].capacity.covers(&need) {
-                let length = self.machines[m].queue.len()
-                    + usize::from(!self.machines[m].free.covers(&need));
-                best = best.min(Some((length, m))).or(Some((length, m)));
+            if self.machines[machine].capacity.covers(&need) {
+                let length = self.machines[machine].queue.len()
+                    + usize::from(!self.machines[machine].free.covers(&need));
+                best = best
+                    .min(Some((length, machine)))
+                    .or(Some((length, machine)));
             }
         }
         match best {
-            Some((_, m)) => {
+            Some((_, machine)) => {
                 self.sent.insert((job, task), (back, 0));
                 let at = back + self.network_delay();
-                self.schedule_at(at, Event::TaskArrives(job, task, m));
+                self.schedule_at(at, Event::TaskArrives(job, task, machine));
             }
             // None of those asked could ever hold it: others are asked.
-            None if self.machines.iter().any(|m| m.capacity.covers(&need)) => {
+            None if self
+                .machines
+                .iter()
+                .any(|machine| machine.capacity.covers(&need)) =>
+            {
                 self.send_to_sampled(job, task, d)
             }
             None => {}
         }
     }
 
-    fn serve_queue(&mut self, m: usize) {
-        while let Some(&(job, task)) = self.machines[m].queue.front() {
+    fn serve_queue(&mut self, machine: usize) {
+        while let Some(&(job, task)) = self.machines[machine].queue.front() {
             let need = self.need(job);
-            if !self.withdrawn[job] && !self.machines[m].free.covers(&need) {
+            if !self.withdrawn[job] && !self.machines[machine].free.covers(&need) {
                 return;
             }
-            self.machines[m].queue.pop_front();
+            self.machines[machine].queue.pop_front();
             if !self.withdrawn[job] {
-                self.start_task(job, task, m);
+                self.start_task(job, task, machine);
             }
         }
     }
 
     // ---- machines --------------------------------------------------------------
 
-    fn start_task(&mut self, job: usize, task: u32, m: usize) {
+    fn start_task(&mut self, job: usize, task: u32, machine: usize) {
         let need = self.need(job);
         if self.withdrawn[job] {
-            return self.schedule_at(self.now, Event::ResourcesFreed(job, m));
+            return self.schedule_at(self.now, Event::ResourcesFreed(job, machine));
         }
-        if !self.machines[m].free.covers(&need) {
+        if !self.machines[machine].free.covers(&need) {
             self.violations.push(format!(
-                "{} ms: room given twice on machine {m}",
+                "{} ms: room given twice on machine {machine}",
                 self.now / 1_000
             ));
         }
-        self.machines[m].free = self.machines[m].free.minus(&need);
+        self.machines[machine].free = self.machines[machine].free.minus(&need);
         self.launched.insert((job, task), self.now);
-        self.running.insert((job, task), m);
+        self.running.insert((job, task), machine);
         let load = &self.load[job].job;
-        self.history
-            .note(self.now, "up", &format!("{}/{task}", load.spec.id), &m);
+        self.history.note(
+            self.now,
+            "up",
+            &format!("{}/{task}", load.spec.id),
+            &machine,
+        );
         if load.spec.shape != JobKind::Service {
-            self.schedule_at(self.now + load.run_us(task), Event::TaskEnds(job, task, m));
+            self.schedule_at(
+                self.now + load.run_us(task),
+                Event::TaskEnds(job, task, machine),
+            );
         }
     }
 
-    fn end_task(&mut self, kind: BaselineKind, job: usize, task: u32, m: usize) {
+    fn end_task(&mut self, kind: BaselineKind, job: usize, task: u32, machine: usize) {
         if self.running.remove(&(job, task)).is_none() {
             return;
         }
-        self.machines[m].free = self.machines[m].free.plus(&self.need(job));
+        self.machines[machine].free = self.machines[machine].free.plus(&self.need(job));
         self.left[job] -= 1;
         if self.left[job] == 0 {
             self.history
@@ -358,9 +372,9 @@
         match kind {
             BaselineKind::Central => {
                 let at = self.now + self.network_delay();
-                self.schedule_at(at, Event::ResourcesFreed(job, m));
+                self.schedule_at(at, Event::ResourcesFreed(job, machine));
             }
-            BaselineKind::Sampler(_) => self.serve_queue(m),
+            BaselineKind::Sampler(_) => self.serve_queue(machine),
         }
     }
 
--- a/crates/simulator/tests/concurrent_faults.rs
+++ b/crates/simulator/tests/concurrent_faults.rs
@@ -1,6 +1,6 @@
-//! Meetings of two troubles: each scenario of `examples/scenarios/meetings/`, with its
-//! later troubles moved against the first over the times that leases, holds and
-//! promises live, by both lengths of a lease, with several seeds.
+//! Concurrent faults: each scenario of `examples/scenarios/meetings/`, with its later faults
+//! moved against the first over the times for which shard leases, store leases and worker
+//! leases last, by both lengths of a lease, with several seeds.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 use lemonweir_simulator::scenario::{FaultKind, Scenario};
 use lemonweir_simulator::simulation::Simulation;
 
-/// s after the last trouble: the 75 s of the term on forgotten jobs, and some more.
+/// s after the last fault: the 75 s of the term on forgotten jobs, and some more.
 const TAIL_S: f64 = 100.0;
 /// Report interval, lease and time to cancel, s.
 const TIMES: [(f64, f64, f64); 2] = [(3.0, 14.0, 34.0), (5.0, 26.5, 60.0)];
@@ -25,7 +25,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/scenarios/meetings")
 }
 
-/// s of the second trouble after the first.
+/// s of the second fault after the first.
 fn offsets(scenario: &Scenario) -> Vec<f64> {
     let Workers {
         report_s,
@@ -45,7 +45,7 @@
     all
 }
 
-/// A scenario with these times, its later troubles moved by the second's offset.
+/// A scenario with these times, its later faults moved by the second's offset.
 /// The first one lasts into them, but for a process that is back by then.
 fn moved(
     scenario: &Scenario,
@@ -59,7 +59,7 @@
         cancel_s,
         ..moved.workers
     };
-    let (first, later) = moved.faults.split_first_mut().expect("a trouble");
+    let (first, later) = moved.faults.split_first_mut().expect("a fault");
     let by = first.at_s + offset - later.first().map_or(first.at_s, |f| f.at_s);
     later.iter_mut().for_each(|f| f.at_s += by);
     if !matches!(first.kind, FaultKind::Crash { .. }) {
@@ -89,7 +89,7 @@
 }
 
 /// Plays one file over the whole table, `seeds` of each; what was broken.
-fn meet(name: &str, seeds: u64) {
+fn play_with_offsets(name: &str, seeds: u64) {
     let scenario = scenario(name);
     let mut days = Vec::new();
     for times in TIMES {
@@ -109,7 +109,7 @@
             let faults = play(moved(&scenario, *times, *offset), seed);
             if !faults.is_empty() {
                 lines.push(format!(
-                    "seed {seed}, lease {} s, second trouble after {offset:.1} s: {faults:?}",
+                    "seed {seed}, lease {} s, second fault after {offset:.1} s: {faults:?}",
                     times.1
                 ));
             }
@@ -131,25 +131,25 @@
     );
 }
 
-/// What the gap is: the part has another leader, ends that users asked for are written,
-/// and then nobody can write. The others tell the old leader, which sends its workers
-/// on; where it is cut from them too, it takes itself for the leader still and hears
-/// its workers.
+/// What the gap is: the shard has another leader, ends that users asked for are committed,
+/// and then nobody can write. The peers tell the old leader, which redirects its workers;
+/// where it is partitioned from them too, it takes itself for the leader still and receives
+/// its workers' heartbeats.
 #[test]
-fn in_the_gap_a_part_has_two_leaders_unless_the_others_tell() {
+fn a_shard_has_two_leaders_in_a_store_gap_unless_peers_tell_of_the_failover() {
     for (name, untold) in [("gap", false), ("gap-alone", true)] {
         let mut simulation = begun(scenario(name), 1);
         let over = |simulation: &Simulation| simulation.store.list("end/").len();
         simulation.run(78_000);
         let before = over(&simulation);
         simulation.run(5_000);
-        let holder = simulation.controllers[2]
+        let leader = simulation.controllers[2]
             .core
             .as_ref()
             .and_then(|c| c.cache.shards.get(&0))
             .map(|p| p.host.clone());
         assert!(
-            holder.is_some_and(|controller| controller != "h00"),
+            leader.is_some_and(|controller| controller != "h00"),
             "{name}"
         );
         assert_eq!(simulation.controllers[0].leads(0), untold, "{name}");
@@ -168,16 +168,16 @@
     }
 }
 
-macro_rules! meetings {
+macro_rules! concurrent_fault_tests {
     ($($test:ident $file:literal $seeds:literal)*) => {
         $(#[test]
         fn $test() {
-            meet($file, $seeds);
+            play_with_offsets($file, $seeds);
         })*
 
         /// No scenario of the directory is left out.
         #[test]
-        fn every_meeting_is_played() {
+        fn every_concurrent_fault_scenario_is_played() {
             let mut names = Vec::new();
             for prefix in ["", "../chains/"] {
                 let files = std::fs::read_dir(directory().join(prefix)).expect("readable").map(|f| f.expect("readable").path());
@@ -191,7 +191,7 @@
     };
 }
 
-meetings! {
+concurrent_fault_tests! {
     the_store_refuses_the_leader_and_then_everybody "gap" 2
     the_leader_is_alone_and_then_the_store_is_down "gap-alone" 2
     orders_are_held_up_and_machines_go_on "held-order" 2
--- a/crates/simulator/tests/fleet_limits.rs
+++ b/crates/simulator/tests/fleet_limits.rs
@@ -19,7 +19,7 @@
 /// The cut between the zones and the end of a controller come earlier here, and the
 /// machines report less often.
 #[test]
-fn a_fleet_of_four_thousand_is_used_whole_and_keeps_the_rules() {
+fn a_fleet_of_four_thousand_is_used_whole_and_violates_no_invariant() {
     let text = text()
         .replace("duration_s = 420", "duration_s = 95")
         .replace("at_s = 120\nfor_s = 30", "at_s = 45\nfor_s = 15")
--- a/crates/simulator/tests/gang_admission.rs
+++ b/crates/simulator/tests/gang_admission.rs
@@ -1,5 +1,5 @@
-//! The gang admission ledger with several controllers that fail, in the simulated
-//! world with the real decisions.
+//! Gang admission with several controllers that fail, in the simulator with the real
+//! decisions.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -50,7 +50,7 @@
     });
 }
 
-fn assert_kept(simulation: &Simulation, what: &str) {
+fn assert_no_violation(simulation: &Simulation, what: &str) {
     assert!(
         simulation.workload.checker.violations.is_empty(),
         "{what}: rules broken: {:#?}",
@@ -197,7 +197,7 @@
 /// admitted, members of two attempts never meet, it is done in the end, and no room
 /// stays held.
 #[test]
-fn placer_or_owner_or_both_end_at_each_step() {
+fn gang_admission_survives_crashes_of_placer_or_owner_at_each_step() {
     for (at, who, back_ms) in STEPS.into_iter().flat_map(|at| {
         [
             (at, 0, 3_000),
@@ -215,7 +215,7 @@
             simulation.phase(&watch.id) == Some(JobPhase::Done)
         });
         assert!(done, "{what}: {:?}", watch.steps);
-        assert_kept(&simulation, &what);
+        assert_no_violation(&simulation, &what);
         simulation.run(5_000);
         assert!(simulation.live_tasks().is_empty(), "{what}");
     }
@@ -224,7 +224,7 @@
 /// The same with controllers that stand still for 30 s: they go on with what they
 /// were about to do, and find that others decided.
 #[test]
-fn placer_or_owner_or_both_stand_still_at_each_step() {
+fn gang_admission_survives_stalls_of_placer_or_owner_at_each_step() {
     for at in STEPS {
         for who in 0..3 {
             let (mut simulation, mut watch) = brought_to(at, 11 + who as u64);
@@ -240,14 +240,14 @@
                 simulation.phase(&watch.id) == Some(JobPhase::Done)
             });
             assert!(done, "{what}: {:?}", watch.steps);
-            assert_kept(&simulation, &what);
+            assert_no_violation(&simulation, &what);
         }
     }
 }
 
 /// Withdrawn at each step: it is told, and nothing of it is left.
 #[test]
-fn withdrawn_at_each_step() {
+fn gangs_may_be_withdrawn_at_each_admission_step() {
     for at in STEPS {
         let (mut simulation, mut watch) = brought_to(at, 31);
         simulation.withdraw(&watch.id);
@@ -255,7 +255,7 @@
             simulation.phase(&watch.id) == Some(JobPhase::Withdrawn)
         });
         assert!(gone, "{at:?}");
-        assert_kept(&simulation, &format!("{at:?}"));
+        assert_no_violation(&simulation, &format!("{at:?}"));
         assert!(simulation.live_tasks().is_empty(), "{at:?}");
     }
 }
--- a/crates/simulator/tests/image_locality.rs
+++ b/crates/simulator/tests/image_locality.rs
@@ -1,4 +1,4 @@
-//! Replicas and their weights, with the real decisions of several controllers that fail.
+//! Image locality of replicas, with the real decisions of several controllers that fail.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -225,7 +225,7 @@
         (machine, zone)
     }
 
-    fn assert_kept(&self, what: &str) {
+    fn assert_no_violation(&self, what: &str) {
         assert!(
             self.simulation.workload.checker.violations.is_empty(),
             "{what}: rules broken: {:#?}",
@@ -298,14 +298,14 @@
             .count();
         assert_eq!(up as u64, replicas, "{what}");
         assert_eq!(lab.starts().1, fetched, "{what}: nothing was fetched anew");
-        lab.assert_kept(&what);
+        lab.assert_no_violation(&what);
     }
 }
 
 /// All that hold a model in one hall, and the hall lost with its controller: by locality
 /// alone it is fetched for minutes; by default it lies in two halls beforehand.
 #[test]
-fn a_hall_is_lost_with_its_controller() {
+fn a_zone_is_lost_with_its_controller() {
     let mut took = Vec::new();
     for trade in [LOCALITY, Trade::default()] {
         let mut lab = Lab::new(site(&["north", "south"], 6, trade), 5);
@@ -353,7 +353,7 @@
         lab.lose(&hall);
         let whole = lab.until_whole(&[hall.as_str()], 600).expect("whole again");
         took.push((two, whole));
-        lab.assert_kept("a hall lost");
+        lab.assert_no_violation("a hall lost");
     }
     let [(_, cold), (two, warm)] = took[..] else {
         panic!("two runs")
@@ -366,7 +366,7 @@
 /// Every second entry of the picture is wrong when another controller takes the part:
 /// each wrong one costs one start its fetch, and is dropped.
 #[test]
-fn every_second_entry_of_the_picture_is_wrong() {
+fn every_second_image_location_is_wrong() {
     let mut lab = Lab::new(
         site(
             &["north"],
@@ -415,7 +415,7 @@
         "{cold} of {starts} starts fetched; {} entries were wrong",
         wrong.len()
     );
-    lab.assert_kept("a wrong picture");
+    lab.assert_no_violation("a wrong picture");
 }
 
 /// A model in demand doubles in a minute while a controller ends: its new replicas go
@@ -442,7 +442,7 @@
         starts >= 6 && 2 * cold <= starts,
         "{cold} of {starts} starts fetched"
     );
-    lab.assert_kept("a hot model");
+    lab.assert_no_violation("a hot model");
 }
 
 /// One site of the figures: zones, machines a zone, boxes, services and their images.
@@ -545,13 +545,13 @@
         seconds / starts as f64,
         gb / starts as f64,
     );
-    lab.assert_kept(name);
+    lab.assert_no_violation(name);
 }
 
 /// The figures of docs/night-watch/weights.md.
 #[test]
 #[ignore = "takes minutes; its figures are on the page"]
-fn figures_of_the_trade() {
+fn trade_off_figures() {
     let sites = [
         Figures {
             name: "small",
--- a/crates/simulator/tests/injected_faults.rs
+++ b/crates/simulator/tests/injected_faults.rs
@@ -1,4 +1,4 @@
-//! The laboratory's troubles do what their names say, and its checker sees what it
+//! The simulator's faults do what their names say, and its invariant checker detects what it
 //! is there for.
 
 use std::collections::BTreeMap;
@@ -14,13 +14,13 @@
 use lemonweir_simulator::simulation::Simulation;
 use lemonweir_storage::records::{JobRecord, job_key};
 
-/// A fleet of 8 with 6 services of two, and one trouble from 60 s to 100 s.
-fn day(trouble: &str) -> Simulation {
+/// A fleet of 8 with 6 services of two, and one fault from 60 s to 100 s.
+fn run_with_fault(fault: &str) -> Simulation {
     let text = format!(
         "name = 'troubles'\nduration_s = 300\nzones = ['a', 'b']\npoll_s = 5\n[workers]\ncancel_s = 40\n\
          [[machine_type]]\nname = 'box'\ncpus = 16\nmemory_gb = 64\nboot_s = 5\nordinary = 20\nat_start = 4\n\
          [[team]]\nname = 'red'\n[[class]]\nname = 'serve'\nshape = 'service'\npriority = 'production'\ntasks = 2\n\
-         run_s = 10000\ncpus = 8\nat_start = 6\n[[fault]]\nat_s = 60\nfor_s = 40\n{trouble}\n"
+         run_s = 10000\ncpus = 8\nat_start = 6\n[[fault]]\nat_s = 60\nfor_s = 40\n{fault}\n"
     );
     let scenario = Arc::new(
         Scenario::parse("troubles", &text).unwrap_or_else(|faults| unreachable!("{faults:?}")),
@@ -30,8 +30,8 @@
 }
 
 #[test]
-fn machines_that_hear_no_answer_lose_their_lease_and_report_on() {
-    let mut simulation = day("kind = 'deaf'\nshare = 1.0\nonly = 'answers'");
+fn machines_without_answers_lose_their_lease_and_go_on_sending_heartbeats() {
+    let mut simulation = run_with_fault("kind = 'deaf'\nshare = 1.0\nonly = 'answers'");
     simulation.run(60_000);
     let before = simulation.live_tasks().values().sum::<usize>();
     assert_eq!((before, simulation.workload.killed_by_lease), (12, 0));
@@ -42,7 +42,8 @@
         simulation.workload.killed_by_lease
     );
     // Only one controller's answers: the others' reach them.
-    let mut simulation = day("kind = 'deaf'\nzone = 'a'\ncontroller = 0\nonly = 'answers'");
+    let mut simulation =
+        run_with_fault("kind = 'deaf'\nzone = 'a'\ncontroller = 0\nonly = 'answers'");
     simulation.run(59_900);
     simulation.run(41_000);
     assert!(
@@ -51,7 +52,7 @@
         simulation.workload.killed_by_lease
     );
     // Commands only: leases live on.
-    let mut simulation = day("kind = 'deaf'\nshare = 1.0\nonly = 'commands'");
+    let mut simulation = run_with_fault("kind = 'deaf'\nshare = 1.0\nonly = 'commands'");
     simulation.run(100_000);
     assert_eq!(
         (
@@ -63,8 +64,8 @@
 }
 
 #[test]
-fn a_machine_that_is_reborn_is_empty_and_counts_from_the_start() {
-    let mut simulation = day("kind = 'reborn'\nshare = 1.0");
+fn a_restarted_machine_is_empty_and_counts_sessions_from_the_start() {
+    let mut simulation = run_with_fault("kind = 'reborn'\nshare = 1.0");
     simulation.run(60_000);
     simulation.run(1);
     assert!(simulation.live_tasks().is_empty());
@@ -88,8 +89,9 @@
 }
 
 #[test]
-fn late_copies_come_and_are_answered_to_nobody() {
-    let mut simulation = day("kind = 'late_copies'\nshare = 1.0\nlow_s = 1\nhigh_s = 90");
+fn delayed_duplicates_arrive_and_their_answers_go_nowhere() {
+    let mut simulation =
+        run_with_fault("kind = 'late_copies'\nshare = 1.0\nlow_s = 1\nhigh_s = 90");
     simulation.run(300_000);
     assert!(
         simulation.duplicates_delivered > 60,
@@ -107,9 +109,9 @@
 /// another an answer. Who waits for it must hear that it does not come: it once
 /// waited for ever, and a fifth of the replicas with it.
 #[test]
-fn an_answer_that_a_cut_keeps_back_fails_for_who_waits() {
+fn an_answer_lost_to_a_partition_fails_its_request() {
     for frozen in 0..2 {
-        let mut simulation = day(&format!(
+        let mut simulation = run_with_fault(&format!(
             "kind = 'freeze'\ncontroller = {frozen}\n[[fault]]\nat_s = 62\nfor_s = 58\nkind = 'cut_controllers'\ncontroller = 0\nother = 1"
         ));
         simulation.run(300_000);
@@ -126,10 +128,10 @@
     }
 }
 
-/// A user whose questions nobody answers counts once the troubles are over, and not
+/// A user whose questions nobody answers counts once the faults are over, and not
 /// before.
 #[test]
-fn a_job_without_an_answer_counts_as_forgotten_after_the_troubles() {
+fn a_job_without_an_answer_counts_as_forgotten_after_the_faults() {
     let mut checker = InvariantChecker::new(BTreeMap::new(), 1);
     checker.answered(&id(1), 10_000_000);
     checker.answered(&id(2), 10_000_000);
@@ -145,7 +147,7 @@
 }
 
 #[test]
-fn two_attempts_of_a_gang_at_once_are_seen() {
+fn two_live_attempts_of_a_gang_are_detected() {
     let mut checker = InvariantChecker::new(BTreeMap::new(), 1);
     let gang = Arc::new(job(1, "red", JobKind::Gang, 3));
     checker.submitted(&gang);
@@ -165,10 +167,10 @@
     assert!(checker.violations[0].contains("two_attempts"));
 }
 
-/// Lets a user of the first service withdraw it at 61 s, with a trouble from 60 s on;
+/// Lets a user of the first service withdraw it at 61 s, with a fault from 60 s on;
 /// s until the store shows that, and until it shows the end.
-fn withdrawal(trouble: &str) -> (Simulation, u64, u64) {
-    let mut simulation = day(trouble);
+fn withdrawal(fault: &str) -> (Simulation, u64, u64) {
+    let mut simulation = run_with_fault(fault);
     simulation.run(61_000);
     let job = simulation
         .live_tasks()
@@ -200,7 +202,7 @@
 }
 
 #[test]
-fn late_writes_get_no_answer_and_are_carried_out_later() {
+fn late_writes_get_no_answer_and_are_executed_later() {
     let (simulation, marked, ended) = withdrawal("kind = 'late_writes'\nshare = 1.0");
     assert!(
         (2_000..=12_200).contains(&marked) && ended >= marked + 2_000,
@@ -220,7 +222,7 @@
 }
 
 #[test]
-fn a_slow_store_answers_later_and_its_readings_count_from_when_they_were_asked_for() {
+fn a_slow_store_answers_later_and_state_reads_count_from_their_request() {
     let (_, marked, ended) = withdrawal("kind = 'store_slow'\nlow_s = 1.2\nhigh_s = 1.4");
     assert!(
         marked >= 600 && ended >= marked + 600,
@@ -228,7 +230,7 @@
     );
     // Counted from its answer, the word of a reading would never be old.
     for (seconds, old) in [(0.6, false), (1.4, true)] {
-        let mut simulation = day(&format!(
+        let mut simulation = run_with_fault(&format!(
             "kind = 'store_slow'\nlow_s = {seconds}\nhigh_s = {seconds}"
         ));
         simulation.run(60_000);
@@ -239,7 +241,7 @@
         assert_eq!(untold.count() > 0, old, "{seconds} s");
     }
     // Slower than anybody waits: its answers are none, and what was asked for is done.
-    let mut simulation = day("kind = 'store_slow'\nlow_s = 2\nhigh_s = 4");
+    let mut simulation = run_with_fault("kind = 'store_slow'\nlow_s = 2\nhigh_s = 4");
     simulation.run(90_000);
     assert!(
         (0..3).all(|controller| !told(&simulation, controller)
@@ -257,9 +259,9 @@
 
 /// What another carries keeps the hold alive, unless the store refuses that too.
 #[test]
-fn a_controller_that_the_store_refuses_by_name_loses_its_hold() {
-    for (carried, holders) in [(false, [true, false, false]), (true, [false, true, false])] {
-        let mut simulation = day(&format!(
+fn a_controller_denied_by_the_store_loses_its_store_lease() {
+    for (carried, leaders) in [(false, [true, false, false]), (true, [false, true, false])] {
+        let mut simulation = run_with_fault(&format!(
             "kind = 'refused'\ncontroller = 0\ncarried = {carried}"
         ));
         simulation.run(90_000);
@@ -268,7 +270,7 @@
             .as_ref()
             .and_then(|c| c.cache.shards.get(&0))
             .map(|p| p.host.clone());
-        assert_eq!(by_key.as_deref() == Some("h00"), holders[0], "{by_key:?}");
+        assert_eq!(by_key.as_deref() == Some("h00"), leaders[0], "{by_key:?}");
         simulation.run(60_000);
         assert!(simulation.controllers[0].leads(0), "its part comes back");
         assert!(
@@ -280,7 +282,7 @@
 }
 
 #[test]
-fn orders_that_are_held_up_reach_their_machine_later() {
+fn delayed_commands_reach_their_machine_later() {
     let (simulation, marked, ended) =
         withdrawal("kind = 'held_orders'\nshare = 1.0\nlow_s = 5\nhigh_s = 5");
     assert!(
--- a/crates/simulator/tests/invariants.rs
+++ b/crates/simulator/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! The rules under seeded faults, in simulated time.
+//! The invariants under seeded faults, in simulated time.
 
 use std::sync::Arc;
 
@@ -54,7 +54,7 @@
     });
 }
 
-fn assert_kept(simulation: &Simulation) {
+fn assert_no_violation(simulation: &Simulation) {
     assert!(
         simulation.workload.checker.violations.is_empty(),
         "rules broken: {:#?}",
@@ -110,7 +110,7 @@
         left = left.saturating_sub(5_000);
     }
     simulation.run(40_000);
-    assert_kept(simulation);
+    assert_no_violation(simulation);
     let open: Vec<&JobId> = must
         .iter()
         .filter(|j| simulation.phase(j) != Some(JobPhase::Done))
@@ -129,14 +129,14 @@
 }
 
 #[test]
-fn a_quiet_day_finishes_everything() {
+fn a_run_without_faults_completes_every_job() {
     let mut simulation = simulation(1, 3, 12, NO_FAULTS);
     let must = mix(&mut simulation);
     settle(&mut simulation, &must, 400_000);
 }
 
 #[test]
-fn lost_and_late_messages_break_no_rule() {
+fn lost_and_late_messages_violate_no_invariant() {
     for seed in 0..12 {
         let mut simulation = simulation(seed, 3, 12, MANY_FAULTS);
         let must = mix(&mut simulation);
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn crashes_and_takeovers_break_no_rule() {
+fn crashes_and_failovers_violate_no_invariant() {
     for seed in 20..28 {
         let mut simulation = simulation(seed, 3, 12, MANY_FAULTS);
         let must = mix(&mut simulation);
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn silent_machines_break_no_rule() {
+fn machines_without_network_violate_no_invariant() {
     for seed in 40..46 {
         let mut simulation = simulation(
             seed,
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn an_outage_of_the_store_breaks_no_rule() {
+fn a_store_outage_violates_no_invariant() {
     let mut simulation = simulation(60, 3, 12, NO_FAULTS);
     let must = mix(&mut simulation);
     simulation.run(40_000);
@@ -207,7 +207,7 @@
 /// Found on a hunt: the placer's node and the owner's node were cut apart, and
 /// the stop order for a withdrawn job waited for the end of the cut.
 #[test]
-fn a_withdrawal_crosses_a_cut_between_controllers() {
+fn a_withdrawal_crosses_a_partition_between_controllers() {
     let mut simulation = simulation(70, 2, 12, NO_FAULTS);
     let mut service = job(1, "red", JobKind::Service, 4);
     service.spread = true;
@@ -220,14 +220,14 @@
     );
     simulation.links_down.insert(Link::Controllers(0, 1));
     simulation.run(75_000);
-    assert_kept(&simulation);
+    assert_no_violation(&simulation);
     assert_eq!(live(&simulation), 0);
 }
 
 /// The same where neither side's state fits one message: what is told goes in
 /// pieces, and none is larger than a transaction of the store may be.
 #[test]
-fn a_withdrawal_crosses_a_cut_in_a_large_fleet() {
+fn a_withdrawal_crosses_a_partition_in_a_large_fleet() {
     let mut simulation = simulation(71, 2, 150, NO_FAULTS);
     for n in 1..9 {
         let mut wide = job(n, "blue", JobKind::Array, 60);
@@ -241,7 +241,7 @@
     // that is wanted of it from nothing, through the store.
     simulation.crash(1, 4_000_000);
     simulation.run(78_000);
-    assert_kept(&simulation);
+    assert_no_violation(&simulation);
     assert_eq!(live(&simulation), 0);
     assert!(
         simulation.largest_store_message_bytes > 16 * 1024,
@@ -259,7 +259,7 @@
 /// alone took users' requests all the while and refused each. Now it takes them
 /// for as long as others carry them, and leaves users to others where none can.
 #[test]
-fn a_node_without_any_way_to_the_store_leaves_users_to_others() {
+fn a_controller_without_a_route_to_the_store_is_not_ready_for_users() {
     let mut simulation = simulation(72, 3, 12, NO_FAULTS);
     simulation.run(20_000);
     simulation.links_down.insert(Link::Store(1));
@@ -287,10 +287,10 @@
 }
 
 /// Found on apart of zeltplatz-rechen-fleet: a controller that was cut from the
-/// workers alone kept its part, and 552 machines killed 2,600 tasks with their
+/// workers alone kept its shard, and 552 machines killed 2,600 tasks with their
 /// leases though both other controllers heard them.
 #[test]
-fn a_part_goes_to_who_hears_its_machines_where_nobody_can_carry() {
+fn a_shard_fails_over_to_the_controller_that_reaches_its_machines_when_no_peer_can_relay() {
     let mut simulation = simulation(75, 3, 12, NO_FAULTS);
     let service = JobSpec {
         spread: true,
@@ -334,7 +334,7 @@
         "it is handed back after a while"
     );
     assert_eq!(live(&simulation), 40);
-    assert_kept(&simulation);
+    assert_no_violation(&simulation);
 }
 
 // ---- the checker itself ----------------------------------------------------
@@ -393,7 +393,7 @@
 }
 
 #[test]
-fn the_checker_sees_each_rule_broken() {
+fn the_checker_detects_each_violation() {
     let mut c = checker();
     c.started(&id(2), 0, on(1, "north"), 1);
     c.left(&id(2), 0, 1);
@@ -489,7 +489,7 @@
 /// Where no room is left, a higher priority pushes out a lower one, and what
 /// was pushed out is done in the end.
 #[test]
-fn a_higher_priority_pushes_out_a_lower() {
+fn a_higher_priority_preempts_a_lower() {
     let mut simulation = one_box(80);
     submit(
         &mut simulation,
@@ -514,7 +514,7 @@
     );
     simulation.run(400_000);
     assert_eq!(simulation.phase(&id(1)), Some(JobPhase::Done));
-    assert_kept(&simulation);
+    assert_no_violation(&simulation);
 }
 
 /// A site of a single machine.
@@ -528,10 +528,10 @@
     Simulation::new(Arc::new(scenario), Vec::new(), seed, History::new(None))
 }
 
-/// Found on afspraakloket: two jobs pushed each other out for ever, one by its
-/// priority and the other by its guarantee.
+/// Found on afspraakloket: two jobs preempted each other for ever, one by its priority and
+/// the other by its guaranteed quota.
 #[test]
-fn nobody_is_pushed_out_for_ever() {
+fn jobs_do_not_preempt_each_other_forever() {
     let mut simulation = one_box(81);
     // Blue has no guarantee but the higher priority; red is within its own.
     submit(
@@ -546,7 +546,7 @@
     simulation.run(40_000);
     submit(&mut simulation, job(2, "red", JobKind::Array, 4), 20, None);
     simulation.run(200_000);
-    assert_kept(&simulation);
+    assert_no_violation(&simulation);
     assert!(
         simulation.workload.checker.starts <= 16,
         "{} starts for 8 tasks",
@@ -556,7 +556,7 @@
     assert_eq!(simulation.phase(&id(2)), Some(JobPhase::Done));
 }
 
-// ---- withdrawals and blindness ---------------------------------------------------
+// ---- withdrawals and store outages ---------------------------------------------------
 
 /// Works a site until a service of 4 replicas is up on both sides, then cuts
 /// controller 1 from the store and from the other one.
@@ -578,7 +578,7 @@
 /// An owner that is cut off keeps its tasks; a withdrawal is told only once the
 /// last of them is proven over, and not before.
 #[test]
-fn a_withdrawal_is_not_told_while_an_owner_out_of_reach_may_run_it() {
+fn a_withdrawal_is_not_confirmed_while_an_unreachable_owner_may_run_the_job() {
     let mut simulation = cut_off(73);
     simulation.run(5_000);
     simulation.withdraw(&id(1));
@@ -592,13 +592,13 @@
     simulation.run(20_000);
     assert_eq!(live(&simulation), 0);
     assert_eq!(simulation.phase(&id(1)), Some(JobPhase::Withdrawn));
-    assert_kept(&simulation);
+    assert_no_violation(&simulation);
 }
 
 /// A store that is away for longer than a lease costs no task: what is kept
 /// alive by workers' reports needs no word from it for that long.
 #[test]
-fn an_outage_of_the_store_longer_than_a_lease_costs_no_task() {
+fn a_store_outage_longer_than_a_lease_costs_no_task() {
     let mut simulation = simulation(74, 3, 12, NO_FAULTS);
     let service = JobSpec {
         spot: false,
@@ -620,12 +620,12 @@
         (live(&simulation), simulation.workload.checker.starts),
         (4, starts)
     );
-    assert_kept(&simulation);
+    assert_no_violation(&simulation);
 }
 
-/// A dozen drawn worlds with drawn troubles; `lemonweir-simulator hunt` plays more.
+/// A dozen drawn sites with drawn faults; `lemonweir-simulator fault-search` plays more.
 #[test]
-fn drawn_days_break_no_rule_and_services_come_back() {
+fn drawn_faults_violate_no_invariant_and_services_recover() {
     for seed in 1..=12 {
         let result = lemonweir_simulator::fault_search::search_seed(seed, 90);
         assert!(
--- a/crates/simulator/tests/large_jobs.rs
+++ b/crates/simulator/tests/large_jobs.rs
@@ -1,4 +1,4 @@
-//! The largest jobs begin in time, with the real decisions in the simulated world,
+//! The largest jobs begin in time, with the real decisions in the simulator,
 //! on several controllers that fail.
 
 use std::sync::Arc;
@@ -23,8 +23,8 @@
 /// s within which the largest begin.
 const BEGUN_S: u64 = 200;
 
-/// A fleet without cheap machines: nothing costs little.
-fn dear(controllers: u16, capacity: u32) -> Scenario {
+/// A fleet without spot instances.
+fn without_spot_instances(controllers: u16, capacity: u32) -> Scenario {
     let mut scenario = site(controllers, capacity, NO_FAULTS);
     scenario.machine_kinds[0].capacity.spot = 0;
     scenario
@@ -60,7 +60,7 @@
         .map(|at| at.saturating_sub(since_us) / 1_000_000)
 }
 
-fn assert_kept(simulation: &Simulation, what: &str) {
+fn assert_no_violation(simulation: &Simulation, what: &str) {
     assert!(
         simulation.workload.checker.violations.is_empty(),
         "{what}: rules broken: {:#?}",
@@ -72,9 +72,9 @@
 /// and the end of each controller in turn, one of them the one that places it just
 /// before its patience ends: it begins in time, and costs one machine more.
 #[test]
-fn an_idle_array_as_large_as_the_fleet_begins_beside_a_burst_and_a_crash() {
+fn a_low_priority_array_as_large_as_the_fleet_begins_beside_a_burst_and_a_crash() {
     for (seed, controllers) in [(1, 3), (2, 7)] {
-        let mut simulation = built(seed, dear(controllers, 80));
+        let mut simulation = built(seed, without_spot_instances(controllers, 80));
         simulation.run(10_000);
         let at = simulation.now;
         submit(
@@ -110,15 +110,15 @@
             began.is_some_and(|s| s <= BEGUN_S),
             "{controllers} controllers: it began after {began:?} s"
         );
-        assert_kept(&simulation, "an idle array beside a burst");
+        assert_no_violation(&simulation, "an idle array beside a burst");
     }
 }
 
 /// Hundreds of small idle jobs that came first do not keep the largest of another
 /// class from its turn, and no more is rented than first tasks need.
 #[test]
-fn the_largest_of_idle_work_begins_beside_hundreds_of_small_jobs() {
-    let mut simulation = built(3, dear(3, 80));
+fn the_largest_low_priority_job_begins_beside_hundreds_of_small_jobs() {
+    let mut simulation = built(3, without_spot_instances(3, 80));
     simulation.run(10_000);
     for n in 0..400 {
         submit(
@@ -164,7 +164,7 @@
     // Four tasks on a machine, and a few where the gang lies apart.
     let machines = simulation.workers.iter().flatten().count();
     assert!(machines <= (400 + 1 + 8) / 4 + 10, "{machines} machines");
-    assert_kept(&simulation, "small idle jobs");
+    assert_no_violation(&simulation, "small idle jobs");
 }
 
 /// Arrays of tasks of a tenth of a processor, one of 100,000 on a fleet that is far
@@ -172,9 +172,9 @@
 /// may have, while controllers end: all begin, what fits comes to half, and small jobs
 /// that come later don't wait for it.
 #[test]
-fn huge_arrays_begin_and_leave_others_their_turn() {
+fn huge_arrays_begin_without_starving_others() {
     for (seed, tasks, capacity) in [(4, MAX_TASKS, 10), (5, 8_000, 60)] {
-        let mut simulation = built(seed, dear(3, capacity));
+        let mut simulation = built(seed, without_spot_instances(3, capacity));
         simulation.run(10_000);
         let at = simulation.now;
         submit(
@@ -225,6 +225,6 @@
                 );
             }
         }
-        assert_kept(&simulation, "a huge array");
+        assert_no_violation(&simulation, "a huge array");
     }
 }
--- a/crates/simulator/tests/partitions.rs
+++ b/crates/simulator/tests/partitions.rs
@@ -1,5 +1,5 @@
-//! Cuts that leave some links up, over all subsets of one controller's links,
-//! held against what the true links would have allowed.
+//! Partial partitions, over all subsets of one controller's links, held against what the links
+//! that are up would have allowed.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -57,7 +57,7 @@
 
 /// Halls large enough that a cut shows as one, and leases long enough for a
 /// worker to go round three controllers, two of them out of reach (15 s).
-fn halls(seed: u64, chances: MessageFaults) -> Simulation {
+fn two_zones(seed: u64, chances: MessageFaults) -> Simulation {
     let mut site = site(3, 16, chances);
     site.workers.lease_s = 24.0;
     site.workers.cancel_s = 60.0;
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn the_picture_names_what_is_cut_and_who_carries() {
+fn the_links_report_names_links_down_and_relay_peers() {
     let mut simulation = simulation(901, NO_FAULTS);
     assert_eq!(
         standing(&simulation, 0, "state service"),
@@ -305,7 +305,7 @@
 /// while they carry, a withdrawal in the midst of it: no rule may break, and all
 /// must be well soon after.
 #[test]
-fn cuts_over_one_another_with_failing_carriers_break_no_rule() {
+fn overlapping_partitions_with_failing_relay_peers_violate_no_invariant() {
     use Carriers::*;
     const FAULTS: MessageFaults = MessageFaults {
         lost_cas_reply: 40,
@@ -386,7 +386,7 @@
 /// they have held for a while, and no part changes hands more than twice a
 /// minute.
 #[test]
-fn links_that_flap_move_no_part_about() {
+fn flapping_links_cause_no_failover() {
     let mut simulation = simulation(902, NO_FAULTS);
     for second in 0..120 {
         if second % 6 < 3 {
@@ -426,9 +426,9 @@
 /// A hall is cut off from everything, and its one controller ends inside the cut:
 /// what comes back there has no word from the store, no peer, and no memory.
 #[test]
-fn a_hall_whose_controller_ends_inside_the_cut_keeps_what_runs() {
+fn a_partitioned_zone_whose_controller_ends_keeps_its_tasks() {
     for seed in 0..6 {
-        let mut simulation = halls(920 + seed, NO_FAULTS);
+        let mut simulation = two_zones(920 + seed, NO_FAULTS);
         simulation.partitioned_zones.insert("south".into());
         simulation.run(12_000);
         simulation.crash(1, 3_000_000);
@@ -457,7 +457,7 @@
 /// The same for longer than what was promised: a successor starts the tasks anew
 /// once it has its proof, and none of them may still run behind the cut.
 #[test]
-fn what_was_promised_ends_before_a_successor_starts_anew() {
+fn worker_leases_expire_before_a_successor_restarts_tasks() {
     let days: Vec<(u64, u64, u64)> = (0..24)
         .map(|n| {
             (
@@ -468,7 +468,7 @@
         })
         .collect();
     let lines = each(&days, |(seed, crash_ms, length_ms)| {
-        let mut simulation = halls(
+        let mut simulation = two_zones(
             *seed,
             MessageFaults {
                 late_command: 60,
--- a/crates/simulator/tests/replay.rs
+++ b/crates/simulator/tests/replay.rs
@@ -174,7 +174,7 @@
 /// The baselines on a full fleet: the placer that sees everything wastes no
 /// room and no time, the sampler's tasks wait beside free machines.
 #[test]
-fn baselines_bound_what_can_be_had() {
+fn baselines_bound_the_allocation_time() {
     let scenario = Arc::new(
         (*scenario("scenarios/paper.toml"))
             .clone()
@@ -202,7 +202,7 @@
 
 /// The synthetic morning with its troubles keeps every rule.
 #[test]
-fn the_sample_scenario_keeps_the_rules() {
+fn the_sample_scenario_violates_no_invariant() {
     for seed in 1..4 {
         let outcome = run::run_once(
             scenario("scenarios/morning.toml"),
@@ -223,7 +223,7 @@
 
 /// Every fault of a scenario is named with its line and field.
 #[test]
-fn faults_of_a_scenario_are_named_all_at_once() {
+fn errors_of_a_scenario_are_named_all_at_once() {
     let text = "name = 7\nduration_s = -1\nzones = []\ncolour = 'red'\n\n[workers]\nlease_s = 1\n\n[[machine_type]]\nname = 'a'\ncpus = 0\n\
                 memory_gb = 'much'\n[[team]]\nname = 't'\n[[class]]\nname = 'c'\nteams = ['u']\ncpus = 99\nrun_s = { dist = 'bell' }\n\
                 shape = 'ring'\n[[fault]]\nkind = 'crash'\ncontroller = 3\nat_s = 1\n";
--- a/crates/simulator/tests/resilience.rs
+++ b/crates/simulator/tests/resilience.rs
@@ -1,4 +1,4 @@
-//! The operators' bad nights, with the real decisions in the simulated world.
+//! The operators' failure scenarios, with the real decisions in the simulator.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -54,7 +54,7 @@
     });
 }
 
-fn assert_kept(simulation: &Simulation, what: &str) {
+fn assert_no_violation(simulation: &Simulation, what: &str) {
     assert!(
         simulation.workload.checker.violations.is_empty(),
         "{what}: rules broken: {:#?}",
@@ -94,7 +94,7 @@
 /// In a second, late, or never, for one zone or all, with lists 20 s late: all is
 /// done, and the fleet stays within what was asked for and an eighth.
 #[test]
-fn boots_in_a_second_late_or_never_are_lived_with() {
+fn fast_slow_and_failed_boots_are_handled() {
     for (k, (factor, fail, zone)) in [
         (0.05, 0.0, None),
         (8.0, 0.0, Some("north")),
@@ -137,14 +137,14 @@
             "{what}: {} machines are left",
             rented(&simulation)
         );
-        assert_kept(&simulation, &what);
+        assert_no_violation(&simulation, &what);
     }
 }
 
 /// The controller that rented ends before it hears the answer: its machines are
 /// used or given back all the same.
 #[test]
-fn machines_of_a_crashed_renter_are_used() {
+fn machines_provisioned_before_a_crash_are_used() {
     for seed in 0..4 {
         let mut simulation = simulation(seed, 40);
         simulation.run(5_000);
@@ -165,7 +165,7 @@
         assert_eq!(done(&simulation, 0..1), [0; 0]);
         simulation.run(60_000);
         assert_eq!(rented(&simulation), 0, "given back once idle");
-        assert_kept(&simulation, "crash between booking and answer");
+        assert_no_violation(&simulation, "crash between booking and answer");
     }
 }
 
@@ -174,7 +174,7 @@
 /// One job in some with a mistake, of every shape, beside faulty machines: every
 /// sound job is done, and what the others cost is bounded.
 #[test]
-fn jobs_with_a_mistake_harm_nobody() {
+fn broken_jobs_do_not_delay_others() {
     for seed in 0..3 {
         let mut simulation = simulation(seed, 60);
         simulation.run(5_000);
@@ -223,14 +223,14 @@
                 "job {n}"
             );
         }
-        assert_kept(&simulation, "mistakes");
+        assert_no_violation(&simulation, "mistakes");
     }
 }
 
 /// A huge array with a mistake: after its first tries one task runs at a time, and
 /// nothing is rented for it.
 #[test]
-fn a_broken_array_of_100_000_tasks_is_tried_one_by_one() {
+fn a_broken_array_of_100_000_tasks_is_tried_one_task_at_a_time() {
     let mut simulation = simulation(1, 30);
     simulation.run(5_000);
     for n in 0..6 {
@@ -256,13 +256,13 @@
     );
     simulation.run(120_000);
     assert_eq!(simulation.phase(&id(50)), Some(JobPhase::Withdrawn));
-    assert_kept(&simulation, "a broken array");
+    assert_no_violation(&simulation, "a broken array");
 }
 
 /// A gang with a mistake holds no room between its tries, and its withdrawal
 /// between two of them is told.
 #[test]
-fn a_broken_gang_leaves_its_room_to_others() {
+fn a_broken_gang_releases_its_resources() {
     let mut simulation = simulation(2, 2);
     simulation.run(5_000);
     plan(
@@ -279,7 +279,7 @@
     simulation.run(200_000);
     assert_eq!(done(&simulation, 1..20), [0; 0]);
     assert_eq!(simulation.phase(&id(0)), Some(JobPhase::Withdrawn));
-    assert_kept(&simulation, "a broken gang");
+    assert_no_violation(&simulation, "a broken gang");
 }
 
 // ---- guests ----------------------------------------------------------------------
@@ -346,7 +346,7 @@
 /// A guest's idle array of 100,000 and 2,000 tiny jobs: a burst of the other team
 /// starts within a boot and a fetch, as without them, also when a controller ends.
 #[test]
-fn guests_cost_others_nothing() {
+fn teams_without_quota_do_not_delay_others() {
     for (seed, crash) in [(0, false), (1, true)] {
         let (alone, _) = burst(seed, false, crash);
         let (beside, simulation) = burst(seed, true, crash);
@@ -377,13 +377,13 @@
             .filter(|w| !w.spot)
             .count();
         assert!(ordinary <= 8, "{ordinary} ordinary machines");
-        assert_kept(&simulation, "guests");
+        assert_no_violation(&simulation, "guests");
     }
 }
 
 /// Idle work that no cheap machine is left for starts in the end.
 #[test]
-fn idle_work_starts_in_the_end() {
+fn low_priority_work_starts_in_the_end() {
     let mut scenario = site(3, 4, NO_FAULTS);
     scenario.machine_kinds[0].capacity.spot = 0;
     let mut simulation = built(3, scenario);
@@ -406,7 +406,7 @@
 /// 8 and 50 times as many polls, a third for jobs of nobody, during a cut from the
 /// store: answers never go back, and the day's work is done.
 #[test]
-fn floods_of_polls_break_nothing() {
+fn poll_floods_violate_no_invariant() {
     for (seed, factor) in [(1, 8.0), (2, 50.0)] {
         let mut simulation = simulation(seed, 20);
         for n in 0..30 {
@@ -425,7 +425,7 @@
         simulation.poll_factor = 1.0;
         simulation.run(200_000);
         assert_eq!(done(&simulation, 0..30), [0; 0], "{factor}");
-        assert_kept(&simulation, "polls");
+        assert_no_violation(&simulation, "polls");
     }
 }
 
@@ -434,7 +434,7 @@
 /// Pauses of 0.5 to 60 s of each controller at each step of a job, alone and
 /// inside a cut: no rule is broken and all is done.
 #[test]
-fn pauses_at_every_step_break_no_rule() {
+fn process_stalls_at_every_step_violate_no_invariant() {
     // ms after the submission: record, rental, launch, run, end, withdrawal.
     for (k, at_ms) in [20, 300, 22_000, 30_000, 45_000, 61_000]
         .into_iter()
@@ -490,15 +490,15 @@
                 Some(JobPhase::Withdrawn),
                 "{what}"
             );
-            assert_kept(&simulation, &what);
+            assert_no_violation(&simulation, &what);
         }
     }
 }
 
-/// One that stood still for longer than its hold answers no worker before the store
-/// has shown that it still holds the part.
+/// A process that stalled for longer than its store lease answers no worker before the store
+/// has shown that it still leads the shard.
 #[test]
-fn no_answer_after_a_long_pause_without_proof() {
+fn a_stalled_leader_answers_nothing_before_it_has_proved_its_lease() {
     let mut simulation = simulation(5, 12);
     submit(&mut simulation, job(0, "red", JobKind::Service, 4), 1);
     simulation.run(40_000);
@@ -536,5 +536,5 @@
             .expect("it runs")
             .unproven()
     );
-    assert_kept(&simulation, "a long pause");
+    assert_no_violation(&simulation, "a long pause");
 }
--- a/crates/simulator/tests/supervision.rs
+++ b/crates/simulator/tests/supervision.rs
@@ -1,5 +1,5 @@
-//! Changes of hands in the simulated world: successors that end at every step, and
-//! what the ring says of it.
+//! Failovers in the simulator: successors that crash at every step, and what the failover
+//! history records of it.
 
 use std::sync::Arc;
 
@@ -73,7 +73,7 @@
     simulation.workers.iter().flatten().map(|w| w.live()).sum()
 }
 
-fn holder(simulation: &Simulation, shard: u16) -> Option<(String, u64)> {
+fn leader(simulation: &Simulation, shard: u16) -> Option<(String, u64)> {
     let (value, token) = simulation.store.get(&shard_key(shard))?;
     Some((
         from_value::<ShardRecord>(value).expect("a holder").host,
@@ -109,7 +109,7 @@
             );
         }
         let (newest, version) = ring.last().expect("it was taken");
-        let (controller, token) = holder(simulation, shard).expect("a holder");
+        let (controller, token) = leader(simulation, shard).expect("a holder");
         assert_eq!(
             newest.to.as_ref(),
             Some(&controller),
@@ -132,7 +132,7 @@
 fn until_taken(simulation: &mut Simulation, shard: u16, not: &[usize]) -> usize {
     for _ in 0..600 {
         simulation.run(50);
-        let other = holder(simulation, shard)
+        let other = leader(simulation, shard)
             .and_then(|(controller, _)| (0..3).find(|h| host_name(*h) == controller));
         if let Some(h) = other.filter(|h| !not.contains(h)) {
             return h;
@@ -144,7 +144,7 @@
 /// The successor ends at each step of the handover, and its successor too: between
 /// the take and the reading, before and after the first start, before the closing.
 #[test]
-fn successors_that_end_at_each_step_leave_entries_that_are_closed() {
+fn failover_records_are_completed_when_successors_crash_at_each_step() {
     for (k, after_ms) in [0, 2, 60, 400, 1_500, 6_000].into_iter().enumerate() {
         let what = format!("{after_ms} ms after the take");
         let mut simulation = served(k as u64, if k % 2 == 0 { NO_FAULTS } else { SOME_FAULTS });
@@ -193,7 +193,7 @@
 
 /// All controllers end 0.3 s apart, for a moment and for longer than a hold.
 #[test]
-fn all_controllers_a_moment_apart() {
+fn all_controllers_crash_shortly_after_one_another() {
     for (k, back_ms) in [100, 300, 5_000, 20_000].into_iter().enumerate() {
         let what = format!("back after {back_ms} ms");
         let mut simulation = served(20 + k as u64, SOME_FAULTS);
@@ -219,7 +219,7 @@
 
 /// The store can't be had when the entry should be closed: it is closed once it can.
 #[test]
-fn an_entry_that_cant_be_closed_for_a_minute_is_closed_then() {
+fn a_failover_record_that_cannot_be_completed_for_a_minute_is_completed_later() {
     let mut simulation = served(30, NO_FAULTS);
     simulation.crash(0, 300_000_000);
     submit(&mut simulation, job(9, "blue", JobKind::Array, 3), 30);
@@ -228,7 +228,7 @@
     simulation.store.down = true;
     simulation.run(60_000);
     assert!(ring(&simulation, 0).last().expect("an entry").0.open());
-    let (controller, _) = holder(&simulation, 0).expect("a holder");
+    let (controller, _) = leader(&simulation, 0).expect("a holder");
     assert_eq!(controller, host_name(second));
     let now = simulation.now;
     simulation.store.recover(now);
@@ -248,10 +248,10 @@
     assert_entered(&simulation, "closed late");
 }
 
-/// A ring that is full, with an open entry as its oldest and one that nobody can
+/// A failover history that is full, with an open record as its oldest and one that nobody can
 /// read.
 #[test]
-fn a_full_ring_goes_on() {
+fn a_full_failover_history_keeps_recording() {
     let mut simulation = served(31, NO_FAULTS);
     let first = ring(&simulation, 0).pop().expect("an entry").0;
     let mut fill = CompareAndSwap::default();
@@ -281,7 +281,7 @@
     for n in 0..3 {
         simulation.crash(0, 3_000_000);
         simulation.run(40_000);
-        let (controller, _) = holder(&simulation, 0).expect("a holder");
+        let (controller, _) = leader(&simulation, 0).expect("a holder");
         let newest = simulation
             .store
             .get(&failover_key(0, HANDOVERS_KEPT + 1 + n))
@@ -300,7 +300,7 @@
 
 /// The home is back 0.2 s before, while and after the two others bid for its part.
 #[test]
-fn a_home_that_is_back_in_the_middle_of_the_bidding() {
+fn the_home_controller_returns_during_the_election() {
     for k in 0..14u64 {
         let back_ms = HOLD_TTL_MS - HOLD_RENEW_MS + 200 + 300 * k;
         let what = format!("back after {back_ms} ms");
@@ -313,7 +313,7 @@
         }
         simulation.run(60_000);
         assert_eq!(
-            holder(&simulation, 0).map(|(controller, _)| controller),
+            leader(&simulation, 0).map(|(controller, _)| controller),
             Some(host_name(0)),
             "{what}"
         );
@@ -325,7 +325,7 @@
 /// 500 services on one part: a change of hands costs two changes of the store for
 /// the entry, and the watch looks at nothing that nothing happened to.
 #[test]
-fn five_hundred_services_on_one_part() {
+fn five_hundred_services_on_one_shard() {
     let mut site = site(3, 300, NO_FAULTS);
     site.state.write_rps = 400.0;
     site.state.txn_ops = 32;
@@ -478,11 +478,11 @@
     for _ in 0..4_000 {
         simulation.run(10);
         let ms = (simulation.now - at) / 1_000;
-        let holder = holder(&simulation, 0).map(|(controller, _)| controller);
-        if holder.is_none() {
+        let leader = leader(&simulation, 0).map(|(controller, _)| controller);
+        if leader.is_none() {
             gone.get_or_insert(ms);
         }
-        if holder.is_some_and(|h| h != host_name(0)) {
+        if leader.is_some_and(|h| h != host_name(0)) {
             taken.get_or_insert(ms);
         }
         if simulation
@@ -520,7 +520,7 @@
 /// `cargo test --release -p lemonweir-simulator --test watch -- --ignored --nocapture`.
 #[test]
 #[ignore = "measures for minutes"]
-fn how_long_a_handover_takes() {
+fn failover_duration() {
     for (machines, controllers, seeds) in [(100, 3, 24), (1_337, 3, 12), (5_000, 5, 4)] {
         let mut all: Vec<[u64; 5]> = (0..seeds)
             .map(|seed| end_one(seed, machines, controllers))
@@ -563,7 +563,7 @@
 /// A replica on a machine that fetches for ever goes to one that has its image, as
 /// soon as one has room.
 #[test]
-fn a_replica_leaves_a_machine_that_does_not_get_it_up() {
+fn a_replica_leaves_a_machine_that_does_not_start_it() {
     let mut simulation = built(60, site(3, 16, NO_FAULTS));
     simulation.run(5_000);
     submit(
@@ -621,7 +621,7 @@
 /// A service that avoids the only machine that can take it, since it failed there
 /// once, takes it again when nothing else has come in time.
 #[test]
-fn a_service_takes_what_it_avoided_when_nothing_else_is_left() {
+fn a_service_uses_avoided_machines_when_nothing_else_is_left() {
     let mut simulation = built(61, site(3, 1, NO_FAULTS));
     let north = |n| JobSpec {
         spot: false,
--- a/crates/simulator/tests/worker_leases.rs
+++ b/crates/simulator/tests/worker_leases.rs
@@ -1,6 +1,6 @@
-//! Machines that hear nothing, late copies of reports, machines and controllers that
-//! are back at once, and a controller with its workers and nothing else: alone, in
-//! pairs and inside a cut, for 3 and 7 controllers and leases of 14 and 26.5 s.
+//! Unreachable machines, delayed duplicates of heartbeats, machines and controllers that
+//! restart at once, and a controller with its workers and nothing else: alone, in pairs and
+//! inside a partition, for 3 and 7 controllers and leases of 14 and 26.5 s.
 
 use std::sync::Arc;
 
@@ -23,7 +23,7 @@
 const CUT: &str = "at_s = 50\nfor_s = 40\nkind = 'cut_zone'\nzone = 'a'";
 
 /// A day: services, arrays and gangs on some dozen machines of two zones.
-fn day(controllers: u16, lease_s: f64, seed: u64, faults: &[&str]) -> Simulation {
+fn run_with_faults(controllers: u16, lease_s: f64, seed: u64, faults: &[&str]) -> Simulation {
     let faults: String = faults.iter().map(|f| format!("[[fault]]\n{f}\n")).collect();
     let text = format!(
         "name = 'hearing'\nduration_s = 240\ncontrollers = {controllers}\nzones = ['a', 'b']\npoll_s = 5\n\
@@ -60,7 +60,7 @@
 /// Runs a day to its end; tells how many tasks their lease killed.
 fn kept(controllers: u16, lease_s: f64, seed: u64, faults: &[&str]) -> u64 {
     let what = format!("{controllers} controllers, {lease_s} s, seed {seed}, {faults:?}");
-    let mut simulation = day(controllers, lease_s, seed, faults);
+    let mut simulation = run_with_faults(controllers, lease_s, seed, faults);
     simulation.run(240_000);
     let (up, workload) = (serving(&simulation), &simulation.workload);
     assert!(
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn machines_that_hear_nothing_lose_their_lease_and_no_rule() {
+fn unreachable_machines_lose_their_lease_and_violate_no_invariant() {
     for fault in [DEAF, DEAF_ANSWERS, DEAF_ZONE] {
         assert!(
             all(&[fault]) > 0,
@@ -93,14 +93,14 @@
 }
 
 #[test]
-fn nobody_loses_a_lease_to_one_way_alone() {
+fn one_lost_direction_alone_expires_no_lease() {
     for fault in [DEAF_COMMANDS, DEAF_WAY] {
         assert_eq!(all(&[fault]), 0, "{fault}");
     }
 }
 
 #[test]
-fn nobody_loses_a_lease_to_copies_or_short_restarts() {
+fn duplicates_and_short_restarts_expire_no_lease() {
     for fault in [COPIES, CRASH] {
         assert_eq!(all(&[fault]), 0, "{fault}");
     }
@@ -110,7 +110,7 @@
 /// Its hold runs out, others take its part, and its workers come to it until it
 /// stops; then they reach the successor with their leases alive.
 #[test]
-fn workers_of_a_controller_alone_reach_its_successor() {
+fn workers_of_an_isolated_controller_reach_its_successor() {
     for lease_s in [14.0, 20.0, 26.5] {
         assert_eq!(kept(3, lease_s, 2, &[ALONE]), 0, "a lease of {lease_s} s");
     }
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn pairs_of_troubles_break_no_rule() {
+fn pairs_of_faults_violate_no_invariant() {
     let pairs = [
         [DEAF, COPIES],
         [DEAF, AWAY],
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn each_trouble_inside_a_cut_breaks_no_rule() {
+fn each_fault_inside_a_partition_violates_no_invariant() {
     for (k, fault) in [DEAF, COPIES, ALONE, REBORN, CRASH].into_iter().enumerate() {
         let (controllers, lease_s) = [(7, 14.0), (3, 26.5), (3, 14.0)][k % 3];
         kept(controllers, lease_s, 30 + k as u64, &[fault, CUT]);
--- a/crates/trace/src/fault.rs
+++ b/crates/trace/src/fault.rs
@@ -2,6 +2,8 @@
 
 use std::fmt;
 
+use lemonweir_model::constants::MAX_TASKS;
+
 /// One fault: `FILE:LINE: field: what is wrong`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
@@ -27,21 +29,21 @@
 
 /// Takes faults as they are found.
 pub struct Faults<'a> {
-    tell: &'a mut dyn FnMut(&Fault),
+    on_each: &'a mut dyn FnMut(&Fault),
     /// How many there were.
     pub count: u64,
 }
 
 impl<'a> Faults<'a> {
-    /// Faults that go to `tell`.
-    pub fn new(tell: &'a mut dyn FnMut(&Fault)) -> Self {
-        Self { tell, count: 0 }
+    /// Faults that go to `on_each`.
+    pub fn new(on_each: &'a mut dyn FnMut(&Fault)) -> Self {
+        Self { on_each, count: 0 }
     }
 
     /// Notes a fault.
     pub fn note(&mut self, file: &str, line: u64, field: &str, what: impl Into<String>) {
         self.count += 1;
-        (self.tell)(&Fault {
+        (self.on_each)(&Fault {
             file: file.to_owned(),
             line,
             field: field.to_owned(),
@@ -64,7 +66,7 @@
 
 /// The largest amount or time that makes sense in any unit of the formats; up
 /// to it every whole number is exact.
-const MOST: f64 = 9_007_199_254_740_992.0;
+const LARGEST_AMOUNT: f64 = 9_007_199_254_740_992.0;
 
 impl<'r, 'f> Row<'r, 'f> {
     /// A row that is good so far.
@@ -91,7 +93,9 @@
                 self.fault(field, format!("{} is no finite number", shorten(text)))
             }
             Ok(x) if x < 0.0 => self.fault(field, format!("{} is negative", shorten(text))),
-            Ok(x) if x > MOST => self.fault(field, format!("{} is out of range", shorten(text))),
+            Ok(x) if x > LARGEST_AMOUNT => {
+                self.fault(field, format!("{} is out of range", shorten(text)))
+            }
             Ok(x) => return x,
         }
         0.0
@@ -117,14 +121,8 @@
     pub fn tasks(&mut self, field: &str, count: u64) -> u32 {
         match count {
             0 => self.fault(field, "no task at all"),
-            n if n > lemonweir_model::constants::MAX_TASKS => {
-                self.fault(
-                    field,
-                    format!(
-                        "{n} tasks; a job may have {}",
-                        lemonweir_model::constants::MAX_TASKS
-                    ),
-                );
+            n if n > MAX_TASKS => {
+                self.fault(field, format!("{n} tasks; a job may have {}", MAX_TASKS));
             }
             n => return n as u32,
         }
@@ -132,9 +130,12 @@
     }
 }
 
+/// Characters of a text that a message shows.
+const SHOWN_CHARACTERS: usize = 40;
+
 /// As much of a text as belongs into a message.
 pub fn shorten(text: &str) -> String {
-    let mut short: String = text.chars().take(40).collect();
+    let mut short: String = text.chars().take(SHOWN_CHARACTERS).collect();
     if short.len() < text.len() {
         short.push('…');
     }
--- a/crates/trace/src/formats/google.rs
+++ b/crates/trace/src/formats/google.rs
@@ -7,11 +7,11 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-use super::{rank, share, table};
+use super::{priority_class, share, table};
 use crate::csv_rows::rows;
 use crate::fault::{Faults, Row, json_fault, shorten};
 use crate::input;
-use crate::life::{Asked, Event, Lives};
+use crate::task_lifecycle::{TaskEvent, TaskRequest, TaskTracker};
 use crate::workload::{Constraint, Entry};
 
 const TASK_EVENTS: [&str; 13] = [
@@ -118,20 +118,20 @@
     faults: &mut Faults<'_>,
     out: &mut dyn FnMut(Entry),
 ) -> io::Result<()> {
-    let mut lives = Lives::default();
+    let mut tracker = TaskTracker::default();
     rows(file, input, &TASK_EVENTS, faults, |row, f| {
         let at = row.whole("time", f[0]);
         let task = (row.whole("job id", f[2]), row.whole("task index", f[3]));
         let event = match one_of(row, "event type", f[5], 8) {
-            0 => Event::Submit,
-            1 => Event::Start,
-            2 => Event::Evict,
-            3..=6 => Event::End,
-            _ => Event::Update,
+            0 => TaskEvent::Submit,
+            1 => TaskEvent::Start,
+            2 => TaskEvent::Evict,
+            3..=6 => TaskEvent::End,
+            _ => TaskEvent::Update,
         };
         let class = one_of(row, "scheduling class", f[7], 3);
         let priority = one_of(row, "priority", f[8], 11);
-        let asks = event == Event::Submit;
+        let asks = event == TaskEvent::Submit;
         let (cpus, memory) = if asks {
             (
                 part(row, "cpu request", f[9]),
@@ -145,10 +145,10 @@
             op: "different machine".into(),
             value: String::new(),
         };
-        let asked = Asked {
+        let request = TaskRequest {
             need: share(machine, cpus, memory),
             // 9 and up are production and monitoring, 0 and 1 gratis.
-            rank: rank(priority, 9, 4, 2),
+            rank: priority_class(priority, 9, 4, 2),
             class: format!("class-{class}"),
             team: if f[6].is_empty() {
                 "unknown".into()
@@ -162,10 +162,10 @@
             },
         };
         if row.good {
-            lives.take(row, task, at, event, asked, file, out);
+            tracker.record(row, task, at, event, request, file, out);
         }
     })?;
-    lives.finish(file, faults, out);
+    tracker.finish(file, faults, out);
     Ok(())
 }
 
@@ -189,18 +189,18 @@
     constraint: Vec<BTreeMap<String, Value>>,
 }
 
-const TYPES: [(&str, Event); 11] = [
-    ("SUBMIT", Event::Submit),
-    ("QUEUE", Event::Update),
-    ("ENABLE", Event::Update),
-    ("SCHEDULE", Event::Start),
-    ("EVICT", Event::Evict),
-    ("FAIL", Event::End),
-    ("FINISH", Event::End),
-    ("KILL", Event::End),
-    ("LOST", Event::End),
-    ("UPDATE_PENDING", Event::Update),
-    ("UPDATE_RUNNING", Event::Update),
+const TYPES: [(&str, TaskEvent); 11] = [
+    ("SUBMIT", TaskEvent::Submit),
+    ("QUEUE", TaskEvent::Update),
+    ("ENABLE", TaskEvent::Update),
+    ("SCHEDULE", TaskEvent::Start),
+    ("EVICT", TaskEvent::Evict),
+    ("FAIL", TaskEvent::End),
+    ("FINISH", TaskEvent::End),
+    ("KILL", TaskEvent::End),
+    ("LOST", TaskEvent::End),
+    ("UPDATE_PENDING", TaskEvent::Update),
+    ("UPDATE_RUNNING", TaskEvent::Update),
 ];
 
 fn text(value: Option<&Value>) -> Option<String> {
@@ -241,18 +241,18 @@
             return Ok(());
         }
     };
-    let mut lives = Lives::default();
+    let mut tracker = TaskTracker::default();
     input::rows(
         file,
         input,
         faults,
         |row, text| match serde_json::from_str::<EventLine>(text) {
             _ if text.bytes().all(|b| b.is_ascii_whitespace()) => {}
-            Ok(event) => event_2019(row, &event, instances, machine, &mut lives, file, out),
+            Ok(event) => event_2019(row, &event, instances, machine, &mut tracker, file, out),
             Err(e) => row.fault("row", json_fault(&e)),
         },
     )?;
-    lives.finish(file, faults, out);
+    tracker.finish(file, faults, out);
     Ok(())
 }
 
@@ -261,7 +261,7 @@
     e: &EventLine,
     instances: bool,
     machine: Resources,
-    lives: &mut Lives,
+    tracker: &mut TaskTracker,
     file: &str,
     out: &mut dyn FnMut(Entry),
 ) {
@@ -287,7 +287,7 @@
             &value.unwrap_or_default(),
         )
     };
-    let (cpus, memory) = if *event == Event::Submit {
+    let (cpus, memory) = if *event == TaskEvent::Submit {
         (request("cpus"), request("memory"))
     } else {
         (0.0, 0.0)
@@ -297,10 +297,10 @@
         op: text(c.get("relation")).unwrap_or_default(),
         value: text(c.get("value")).unwrap_or_default(),
     };
-    let asked = Asked {
+    let request = TaskRequest {
         need: share(machine, cpus, memory),
         // 360 and up are monitoring, 120 and up production, below 100 free.
-        rank: rank(priority, 120, 116, 100),
+        rank: priority_class(priority, 120, 116, 100),
         class: format!("class-{class}"),
         team: e
             .user
@@ -310,6 +310,6 @@
         constraints: e.constraint.iter().map(constraint).collect(),
     };
     if row.good {
-        lives.take(row, (id, index), at, *event, asked, file, out);
+        tracker.record(row, (id, index), at, *event, request, file, out);
     }
 }
--- a/crates/trace/src/formats/mod.rs
+++ b/crates/trace/src/formats/mod.rs
@@ -11,7 +11,7 @@
 use lemonweir_model::{Priority, Resources};
 
 use crate::fault::Faults;
-use crate::import::Format;
+use crate::format::Format;
 use crate::workload::Entry;
 
 /// Reads one file of a format.
@@ -41,7 +41,7 @@
 
 /// A share of a machine, in its thousandths.
 fn share(machine: Resources, cpus: f64, memory: f64) -> Resources {
-    let of = |whole: u64, part: f64| (whole as f64 * part).ceil() as u64;
+    let of = |whole: u64, fraction: f64| (whole as f64 * fraction).ceil() as u64;
     Resources {
         cpus: of(machine.cpus, cpus),
         gpus: 0,
@@ -50,7 +50,7 @@
 }
 
 /// A priority on a scale of the source: at least `production`, `high`, `normal`.
-fn rank(priority: u64, production: u64, high: u64, normal: u64) -> Priority {
+fn priority_class(priority: u64, production: u64, high: u64, normal: u64) -> Priority {
     match priority {
         p if p >= production => Priority::Production,
         p if p >= high => Priority::High,
--- a/crates/trace/src/sort.rs
+++ b/crates/trace/src/sort.rs
@@ -8,18 +8,18 @@
 use crate::workload::{Entry, entries, write_line};
 
 /// Entries of one run: some tens of MB.
-const RUN: usize = 100_000;
+const RUN_ENTRIES: usize = 100_000;
 
 /// Collects entries in any order.
 #[derive(Default)]
 pub struct Sorter {
-    held: Vec<Entry>,
+    buffered: Vec<Entry>,
     runs: Vec<std::fs::File>,
     /// Entries taken.
     pub count: u64,
 }
 
-fn key(e: &Entry) -> (u64, String, String) {
+fn sort_key(e: &Entry) -> (u64, String, String) {
     (e.at_ms, e.id.clone(), e.from.clone())
 }
 
@@ -27,11 +27,11 @@
     /// Takes an entry.
     pub fn push(&mut self, entry: Entry) -> io::Result<()> {
         self.count += 1;
-        self.held.push(entry);
-        if self.held.len() >= RUN {
-            self.held.sort_by_cached_key(key);
+        self.buffered.push(entry);
+        if self.buffered.len() >= RUN_ENTRIES {
+            self.buffered.sort_by_cached_key(sort_key);
             let mut file = BufWriter::new(tempfile::tempfile()?);
-            for e in self.held.drain(..) {
+            for e in self.buffered.drain(..) {
                 write_line(&mut file, &e)?;
             }
             let mut file = file.into_inner().map_err(io::Error::other)?;
@@ -43,25 +43,25 @@
 
     /// Writes all of them in order.
     pub fn write(mut self, out: &mut impl Write) -> io::Result<()> {
-        self.held.sort_by_cached_key(key);
-        let held: Box<dyn Iterator<Item = io::Result<Entry>>> =
-            Box::new(self.held.into_iter().map(Ok));
+        self.buffered.sort_by_cached_key(sort_key);
+        let buffered: Box<dyn Iterator<Item = io::Result<Entry>>> =
+            Box::new(self.buffered.into_iter().map(Ok));
         let runs = self.runs.into_iter().map(|f| {
             Box::new(entries(BufReader::new(f))) as Box<dyn Iterator<Item = io::Result<Entry>>>
         });
-        let mut runs: Vec<_> = runs.chain([held]).collect();
+        let mut runs: Vec<_> = runs.chain([buffered]).collect();
         let mut heads: Vec<Option<Entry>> = Vec::with_capacity(runs.len());
         let mut heap = BinaryHeap::new();
         for (i, run) in runs.iter_mut().enumerate() {
             heads.push(run.next().transpose()?);
-            heap.extend(heads[i].as_ref().map(|e| Reverse((key(e), i))));
+            heap.extend(heads[i].as_ref().map(|e| Reverse((sort_key(e), i))));
         }
         while let Some(Reverse((_, i))) = heap.pop() {
             if let Some(entry) = heads[i].take() {
                 write_line(out, &entry)?;
             }
             heads[i] = runs[i].next().transpose()?;
-            heap.extend(heads[i].as_ref().map(|e| Reverse((key(e), i))));
+            heap.extend(heads[i].as_ref().map(|e| Reverse((sort_key(e), i))));
         }
         out.flush()
     }
--- a/crates/trace/src/life.rs
+++ b/crates/trace/src/task_lifecycle.rs
@@ -1,6 +1,6 @@
-//! The life of tasks in traces that tell events: submitted, started, ended. A
-//! job's tasks are held until none of them is under way, then become entries,
-//! one for each set of tasks that came together and need the same.
+//! The lifecycle of tasks in traces of events: submitted, started, ended. A job's tasks are
+//! kept until none of them is in progress, then become entries, one for each set of tasks
+//! that were submitted together and need the same.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -12,7 +12,7 @@
 
 /// What happens to a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Event {
+pub enum TaskEvent {
     /// It waits from now on.
     Submit,
     /// It runs from now on.
@@ -27,7 +27,7 @@
 
 /// What a submission says.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Asked {
+pub struct TaskRequest {
     /// What it takes.
     pub need: Resources,
     /// Priority.
@@ -41,7 +41,7 @@
 }
 
 struct Task {
-    asked: Asked,
+    request: TaskRequest,
     submitted: u64,
     line: u64,
     started: Option<u64>,
@@ -51,27 +51,27 @@
 #[derive(Default)]
 struct Job {
     live: HashMap<u64, Task>,
-    over: Vec<(Task, u64)>,
+    finished: Vec<(Task, u64)>,
     ended: RoaringTreemap,
 }
 
 /// Follows all tasks of a trace. Times are µs.
 #[derive(Default)]
-pub struct Lives {
+pub struct TaskTracker {
     jobs: BTreeMap<u64, Job>,
     last: u64,
 }
 
-impl Lives {
-    /// Takes an event of a task; a job that is over is handed to `out`.
+impl TaskTracker {
+    /// Records an event of a task; a job that is over is handed to `out`.
     #[allow(clippy::too_many_arguments)]
-    pub fn take(
+    pub fn record(
         &mut self,
         row: &mut Row<'_, '_>,
         (job_id, index): (u64, u64),
         at: u64,
-        event: Event,
-        asked: Asked,
+        event: TaskEvent,
+        request: TaskRequest,
         file: &str,
         out: &mut dyn FnMut(Entry),
     ) {
@@ -80,10 +80,10 @@
         }
         self.last = at;
         let job = self.jobs.entry(job_id).or_default();
-        let known = job.live.get_mut(&index);
-        match (event, known) {
-            (Event::Submit, Some(t)) if t.evicted => (t.evicted, t.started) = (false, None),
-            (Event::Submit, Some(t)) => {
+        let known_task = job.live.get_mut(&index);
+        match (event, known_task) {
+            (TaskEvent::Submit, Some(t)) if t.evicted => (t.evicted, t.started) = (false, None),
+            (TaskEvent::Submit, Some(t)) => {
                 row.fault(
                     "task",
                     format!(
@@ -92,15 +92,15 @@
                     ),
                 );
             }
-            (Event::Submit, None) if job.ended.contains(index) => {
+            (TaskEvent::Submit, None) if job.ended.contains(index) => {
                 row.fault(
                     "task",
                     format!("{job_id}/{index} is submitted again after it ended"),
                 );
             }
-            (Event::Submit, None) => {
+            (TaskEvent::Submit, None) => {
                 let task = Task {
-                    asked,
+                    request,
                     submitted: at,
                     line: row.line,
                     started: None,
@@ -108,14 +108,14 @@
                 };
                 job.live.insert(index, task);
             }
-            (Event::Update, Some(_)) => {}
+            (TaskEvent::Update, Some(_)) => {}
             (_, None) => row.fault("task", format!("{job_id}/{index} was never submitted")),
-            (Event::Start, Some(t)) if t.started.is_some() => {
+            (TaskEvent::Start, Some(t)) if t.started.is_some() => {
                 row.fault("event", format!("{job_id}/{index} runs already"))
             }
-            (Event::Start, Some(t)) => t.started = Some(at),
-            (Event::Evict, Some(t)) => (t.evicted, t.started) = (true, None),
-            (Event::End, Some(t)) => {
+            (TaskEvent::Start, Some(t)) => t.started = Some(at),
+            (TaskEvent::Evict, Some(t)) => (t.evicted, t.started) = (true, None),
+            (TaskEvent::End, Some(t)) => {
                 if t.started.is_none() {
                     row.fault(
                         "event",
@@ -124,13 +124,13 @@
                 }
                 if let Some(t) = job.live.remove(&index) {
                     job.ended.insert(index);
-                    job.over.extend(t.started.is_some().then_some((t, at)));
+                    job.finished.extend(t.started.is_some().then_some((t, at)));
                 }
             }
         }
-        if event == Event::End && job.live.is_empty() {
-            let over = std::mem::take(&mut job.over);
-            emit(job_id, over, file, out);
+        if event == TaskEvent::End && job.live.is_empty() {
+            let finished = std::mem::take(&mut job.finished);
+            emit(job_id, finished, file, out);
         }
     }
 
@@ -143,22 +143,22 @@
             for (line, index) in open {
                 faults.note(file, line, "end", format!("{job_id}/{index} has no end"));
             }
-            emit(job_id, job.over, file, out);
+            emit(job_id, job.finished, file, out);
         }
     }
 }
 
-fn emit(job_id: u64, over: Vec<(Task, u64)>, file: &str, out: &mut dyn FnMut(Entry)) {
-    let mut sets: BTreeMap<(u64, Asked), (u64, Vec<u64>)> = BTreeMap::new();
-    for (task, end) in over {
+fn emit(job_id: u64, finished: Vec<(Task, u64)>, file: &str, out: &mut dyn FnMut(Entry)) {
+    let mut sets: BTreeMap<(u64, TaskRequest), (u64, Vec<u64>)> = BTreeMap::new();
+    for (task, end) in finished {
         let run = end.saturating_sub(task.started.unwrap_or(end)) / 1_000;
         let set = sets
-            .entry((task.submitted, task.asked))
+            .entry((task.submitted, task.request))
             .or_insert((task.line, Vec::new()));
         set.0 = set.0.min(task.line);
         set.1.push(run);
     }
-    for (n, ((at, asked), (line, mut run_ms))) in sets.into_iter().enumerate() {
+    for (n, ((at, request), (line, mut run_ms))) in sets.into_iter().enumerate() {
         let tasks = run_ms.len() as u32;
         run_ms.sort_unstable();
         if run_ms.first() == run_ms.last() {
@@ -171,14 +171,14 @@
             } else {
                 format!("{job_id}.{n}")
             },
-            class: Some(asked.class),
-            team: Some(asked.team),
-            rank: asked.rank,
+            class: Some(request.class),
+            team: Some(request.team),
+            rank: request.rank,
             shape: JobKind::Array,
             tasks,
-            need: asked.need,
+            need: request.need,
             run_ms,
-            constraints: asked.constraints,
+            constraints: request.constraints,
             from: format!("{file}:{line}"),
         });
     }
