--- a/crates/simulator/src/baseline.rs
+++ b/crates/simulator/src/baseline.rs
@@ -10,6 +10,7 @@
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
+use std::ops::Range;
 
 use lemonweir_model::{JobKind, Priority, Resources};
 use rand::{RngExt, SeedableRng};
@@ -236,45 +237,61 @@
 
     // ---- central ---------------------------------------------------------------
 
+    /// Places the waiting jobs, in the order of priority and age.
     fn place_waiting(&mut self) {
         let mut failed: Vec<Resources> = Vec::new();
         for (rank, job) in self.waiting.keys().copied().collect::<Vec<_>>() {
-            let (need, tasks) = (self.need(job), self.load[job].job.spec.tasks as u32);
-            // Nobody who asks as much or more finds room in the same pass.
-            if failed.iter().any(|f| need.covers(f)) {
+            let need = self.need(job);
+            // No task that needs as much or more finds resources in the same pass.
+            if failed.iter().any(|other| need.covers(other)) {
                 continue;
             }
-            let gang = self.load[job].job.spec.shape == JobKind::Gang;
+            let tasks = self.load[job].job.spec.tasks as u32;
             let mut next = self.waiting.get(&(rank, job)).copied().unwrap_or(tasks);
-            let mut chosen = Vec::new();
-            while next < tasks {
-                let found = self.known_free.iter().position(|free| free.covers(&need));
-                let examined = found.map_or(self.known_free.len(), |i| i + 1) as u64
-                    + self.known_free.len() as u64 / 64;
-                self.charge(1, examined);
-                let Some(machine) = found else { break };
-                self.known_free[machine] = self.known_free[machine].minus(&need);
-                chosen.push((next, machine));
-                next += 1;
-            }
+            let chosen = self.choose_machines(&need, next..tasks);
+            next += chosen.len() as u32;
             if next < tasks {
                 failed.push(need);
-                if gang {
-                    for (_, machine) in chosen.drain(..) {
-                        self.known_free[machine] = self.known_free[machine].plus(&need);
-                    }
+                if self.load[job].job.spec.shape == JobKind::Gang {
+                    self.give_back(&need, &chosen);
                     continue;
                 }
                 self.waiting.insert((rank, job), next);
             } else {
                 self.waiting.remove(&(rank, job));
             }
-            for (task, machine) in chosen {
-                let leaves = self.busy_until.max(self.now);
-                self.sent.insert((job, task), (leaves, leaves - self.now));
-                let at = leaves + self.network_delay();
-                self.schedule_at(at, Event::TaskArrives(job, task, machine));
-            }
+            self.send_tasks(job, chosen);
+        }
+    }
+
+    /// Takes the first machine that fits for each task, until none fits: tasks with their
+    /// machines.
+    fn choose_machines(&mut self, need: &Resources, tasks: Range<u32>) -> Vec<(u32, usize)> {
+        let mut chosen = Vec::new();
+        for task in tasks {
+            let found = self.known_free.iter().position(|free| free.covers(need));
+            let examined = found.map_or(self.known_free.len(), |i| i + 1) as u64
+                + self.known_free.len() as u64 / 64;
+            self.charge(1, examined);
+            let Some(machine) = found else { break };
+            self.known_free[machine] = self.known_free[machine].minus(need);
+            chosen.push((task, machine));
+        }
+        chosen
+    }
+
+    fn give_back(&mut self, need: &Resources, chosen: &[(u32, usize)]) {
+        for (_, machine) in chosen {
+            self.known_free[*machine] = self.known_free[*machine].plus(need);
+        }
+    }
+
+    fn send_tasks(&mut self, job: usize, chosen: Vec<(u32, usize)>) {
+        for (task, machine) in chosen {
+            let leaves = self.busy_until.max(self.now);
+            self.sent.insert((job, task), (leaves, leaves - self.now));
+            let at = leaves + self.network_delay();
+            self.schedule_at(at, Event::TaskArrives(job, task, machine));
         }
     }
 
--- a/crates/simulator/src/sweep.rs
+++ b/crates/simulator/src/sweep.rs
@@ -15,30 +15,45 @@
 use crate::scenario::Scenario;
 use crate::workload_replay::WorkloadReplay;
 
-/// Seeds: one, or `FIRST..LAST`, both taken.
+/// Seeds of a sweep at most.
+const MOST_SEEDS: u64 = 100_000;
+
+/// A text that names no seeds.
+#[derive(Debug, PartialEq, Eq, thiserror::Error)]
+pub enum ParseSeedsError {
+    /// It is no number.
+    #[error("{0:?} is no seed")]
+    NotANumber(String),
+    /// The range is empty or too long.
+    #[error("{0}: must be FIRST..LAST, at most 100,000 seeds")]
+    Range(String),
+}
+
+/// Seeds: one, or `FIRST..LAST`, both included.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Seeds(pub Vec<u64>);
 
 impl FromStr for Seeds {
-    type Err = String;
+    type Err = ParseSeedsError;
 
-    fn from_str(text: &str) -> Result<Self, String> {
-        let number = |t: &str| t.parse::<u64>().map_err(|_| format!("{t:?} is no seed"));
+    fn from_str(text: &str) -> Result<Self, ParseSeedsError> {
+        let number = |text: &str| {
+            text.parse::<u64>()
+                .map_err(|_| ParseSeedsError::NotANumber(text.to_owned()))
+        };
         let (first, last) = match text.split_once("..") {
             Some((first, last)) => (number(first)?, number(last)?),
             None => (number(text)?, number(text)?),
         };
-        if last < first || last - first >= 100_000 {
-            return Err(format!(
-                "{text}: must be FIRST..LAST, at most 100,000 seeds"
-            ));
+        if last < first || last - first >= MOST_SEEDS {
+            return Err(ParseSeedsError::Range(text.to_owned()));
         }
         Ok(Self((first..=last).collect()))
     }
 }
 
-/// Works every seed off on so many threads; the results are in the order of
-/// seeds, whatever the threads.
+/// Runs `work` for every seed on so many threads; the results are in the order of the seeds,
+/// whatever the threads.
 pub fn each<T: Send>(seeds: &Seeds, jobs: usize, work: impl Fn(u64) -> T + Sync) -> Vec<T> {
     let bar = ProgressBar::new(seeds.0.len() as u64);
     bar.set_style(
--- a/crates/simulator/src/trace_commands.rs
+++ b/crates/simulator/src/trace_commands.rs
@@ -88,11 +88,11 @@
 #[derive(clap::Args)]
 pub struct Files {
     /// Their format.
-    #[arg(long, value_parser = format_of)]
+    #[arg(long, value_parser = parse_format)]
     format: Format,
     /// Size of the trace's machine, for units that are shares of it:
     /// `cpus=64,memory_gb=256,gpus=8`.
-    #[arg(long, value_parser = machine_of)]
+    #[arg(long, value_parser = parse_machine)]
     machine: Option<Resources>,
     /// The files.
     #[arg(required = true)]
@@ -108,35 +108,52 @@
     Drop,
 }
 
-fn format_of(text: &str) -> Result<Format, String> {
-    let names = || Format::ALL.map(|(name, _)| name).join(", ");
+/// A text that names no trace format.
+#[derive(Debug, thiserror::Error)]
+#[error("must be one of {}", Format::ALL.map(|(name, _)| name).join(", "))]
+struct UnknownFormat;
+
+/// A text that gives no machine's size.
+#[derive(Debug, thiserror::Error)]
+enum ParseMachineError {
+    #[error("{0}: must be name=number")]
+    NoAssignment(String),
+    #[error("{0} is no amount")]
+    NoAmount(String),
+    #[error("{0}: must be cpus, gpus or memory_gb")]
+    UnknownResource(String),
+    #[error("cpus and memory_gb must be over 0")]
+    Empty,
+}
+
+fn parse_format(text: &str) -> Result<Format, UnknownFormat> {
     Format::ALL
         .iter()
         .find(|(name, _)| *name == text)
-        .map(|(_, f)| *f)
-        .ok_or_else(|| format!("must be one of {}", names()))
+        .map(|(_, format)| *format)
+        .ok_or(UnknownFormat)
 }
 
-fn machine_of(text: &str) -> Result<Resources, String> {
+fn parse_machine(text: &str) -> Result<Resources, ParseMachineError> {
     let (mut cpus, mut gpus, mut memory) = (0.0, 0.0, 0.0);
-    for shard in text.split(',') {
-        let (name, value) = shard
+    for assignment in text.split(',') {
+        let (name, value) = assignment
             .split_once('=')
-            .ok_or_else(|| format!("{shard}: must be name=number"))?;
-        let x: f64 = value
+            .ok_or_else(|| ParseMachineError::NoAssignment(assignment.to_owned()))?;
+        let amount: f64 = value
             .parse()
             .ok()
-            .filter(|x: &f64| x.is_finite() && *x >= 0.0)
-            .ok_or_else(|| format!("{value} is no amount"))?;
+            .filter(|amount: &f64| amount.is_finite() && *amount >= 0.0)
+            .ok_or_else(|| ParseMachineError::NoAmount(value.to_owned()))?;
         match name {
-            "cpus" => cpus = x,
-            "gpus" => gpus = x,
-            "memory_gb" => memory = x,
-            _ => return Err(format!("{name}: must be cpus, gpus or memory_gb")),
+            "cpus" => cpus = amount,
+            "gpus" => gpus = amount,
+            "memory_gb" => memory = amount,
+            _ => return Err(ParseMachineError::UnknownResource(name.to_owned())),
         }
     }
     if cpus <= 0.0 || memory <= 0.0 {
-        return Err("cpus and memory_gb must be over 0".into());
+        return Err(ParseMachineError::Empty);
     }
     Ok(Resources::offer(cpus, gpus, memory))
 }
@@ -144,7 +161,7 @@
 /// Checks; exit code 1 on any fault, 2 on a file that can't be read.
 pub fn check(files: &Files) -> ExitCode {
     report(
-        lemonweir_trace::check(files.format, &files.files, files.machine, &mut tell),
+        lemonweir_trace::check(files.format, &files.files, files.machine, &mut print_fault),
         "no fault",
     )
 }
@@ -161,7 +178,7 @@
         files.machine,
         on_fault,
         out,
-        &mut tell,
+        &mut print_fault,
     );
     match (&result, on_fault) {
         (Ok(r), OnFault::Drop) if r.faults > 0 => {
@@ -177,7 +194,7 @@
     }
 }
 
-fn tell(fault: &Fault) {
+fn print_fault(fault: &Fault) {
     println!("{fault}");
 }
 
@@ -203,8 +220,8 @@
 
 /// Shows counts, ranges and the load over time.
 pub fn show(file: &Path, plot: Option<&Path>) -> ExitCode {
-    let mut seen = WorkloadSummary::default();
-    let header = match workload::read(file, |e| seen.take(&e)) {
+    let mut summary = WorkloadSummary::default();
+    let header = match workload::read(file, |e| summary.record(&e)) {
         Ok(header) => header,
         Err(e) => {
             eprintln!("{e}");
@@ -215,12 +232,12 @@
         "{}: from {}, {} jobs, {} tasks",
         file.display(),
         header.source,
-        seen.jobs,
-        seen.tasks
+        summary.jobs,
+        summary.tasks
     );
     println!(
         "  arrays {}, gangs {}, services {}",
-        seen.shapes[0], seen.shapes[1], seen.shapes[2]
+        summary.shapes[0], summary.shapes[1], summary.shapes[2]
     );
     let line = |name: &str, (low, high): (u64, u64), unit: &str| {
         println!(
@@ -230,16 +247,16 @@
         );
     };
     for (name, range, unit) in [
-        ("submitted at", seen.at, "s"),
-        ("run time", seen.run, "s"),
-        ("processors", seen.cpus, "a task"),
-        ("accelerators", seen.gpus, "a task"),
-        ("memory", seen.memory, "GB a task"),
+        ("submitted at", summary.at, "s"),
+        ("run time", summary.run, "s"),
+        ("processors", summary.cpus, "a task"),
+        ("accelerators", summary.gpus, "a task"),
+        ("memory", summary.memory, "GB a task"),
     ] {
         line(name, range.unwrap_or_default(), unit);
     }
     if let Some(path) = plot
-        && let Err(e) = plots::load(&seen.load(), path)
+        && let Err(e) = plots::load(&summary.load(), path)
     {
         eprintln!("{}: {e}", path.display());
         return ExitCode::from(UNREADABLE);
@@ -268,7 +285,7 @@
 }
 
 impl WorkloadSummary {
-    fn take(&mut self, e: &Entry) {
+    fn record(&mut self, e: &Entry) {
         self.jobs += 1;
         self.tasks += u64::from(e.tasks);
         self.shapes[e.shape as usize] += 1;
