--- a/crates/simulator/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -18,7 +18,7 @@
 pub use distribution::ValueDistribution;
 pub use fault::{Fault, FaultKind, LATE_WRITES, Link, SecondsRange};
 
-use crate::toml_section::{ParseFaults, TomlSection};
+use crate::toml_section::{ParseErrors, TomlSection};
 
 /// Machines of a type that the cloud has in each zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -181,16 +181,16 @@
     /// # Errors
     /// One line for each error in the file, which names file, line and field.
     pub fn parse(file: &str, text: &str) -> Result<Self, Vec<String>> {
-        let faults = ParseFaults::new(file, text);
+        let errors = ParseErrors::new(file, text);
         let doc = match DeTable::parse(text) {
             Ok(doc) => doc,
             Err(e) => {
-                faults.note(e.span().map_or(0, |s| s.start), "file", e.message());
-                return Err(faults.into_lines());
+                errors.note(e.span().map_or(0, |s| s.start), "file", e.message());
+                return Err(errors.into_lines());
             }
         };
-        let scenario = reader::read_scenario(&TomlSection::root(&faults, doc.get_ref()));
-        let lines = faults.into_lines();
+        let scenario = reader::read_scenario(&TomlSection::root(&errors, doc.get_ref()));
+        let lines = errors.into_lines();
         if lines.is_empty() {
             Ok(scenario)
         } else {
--- a/crates/simulator/src/scenario/distribution.rs
+++ b/crates/simulator/src/scenario/distribution.rs
@@ -82,7 +82,7 @@
                 let low = parameter("low", 0.0, LARGEST_PARAMETER);
                 let high = parameter("high", 0.0, LARGEST_PARAMETER);
                 if high < low {
-                    table.fault("high", "is below low");
+                    table.error("high", "is below low");
                 }
                 Self::Uniform { low, high }
             }
--- a/crates/simulator/src/scenario/reader.rs
+++ b/crates/simulator/src/scenario/reader.rs
@@ -17,7 +17,7 @@
 pub(super) fn read_scenario(file: &TomlSection<'_>) -> Scenario {
     let zones = file.texts("zones");
     if zones.is_empty() {
-        file.fault("zones", "must name one zone at least");
+        file.error("zones", "must name one zone at least");
     }
     let workers = file.table("workers");
     let latency = file.table("latency");
@@ -61,19 +61,19 @@
     latency: &TomlSection<'_>,
 ) {
     if scenario.latency.high_us < scenario.latency.low_us {
-        latency.fault("high_us", "is below low_us");
+        latency.error("high_us", "is below low_us");
     }
     if scenario.workers.lease_s <= scenario.workers.report_s {
-        workers.fault("lease_s", "must be over report_s");
+        workers.error("lease_s", "must be over report_s");
     }
     if scenario.workers.cancel_s <= scenario.workers.lease_s {
-        workers.fault("cancel_s", "must be over lease_s");
+        workers.error("cancel_s", "must be over lease_s");
     }
     if scenario.machine_kinds.is_empty() {
-        file.fault("machine_type", "one at least must be given");
+        file.error("machine_type", "one at least must be given");
     }
     if scenario.teams.is_empty() {
-        file.fault("team", "one at least must be given");
+        file.error("team", "one at least must be given");
     }
 }
 
@@ -205,7 +205,7 @@
             .iter()
             .filter(|name| !classes.iter().any(|before| before.name == **name))
         {
-            table.fault(
+            table.error(
                 "awaits",
                 &format!("no class before this one is called {dependency}"),
             );
@@ -267,7 +267,7 @@
         .iter()
         .filter(|name| !scenario.teams.iter().any(|team| team.name == **name))
     {
-        table.fault("teams", &format!("no team is called {name}"));
+        table.error("teams", &format!("no team is called {name}"));
     }
     if teams.is_empty() {
         scenario
@@ -292,7 +292,7 @@
         .iter()
         .any(|kind| kind.machine.room.covers(&resources))
     {
-        table.fault("cpus", "a task fits no machine type");
+        table.error("cpus", "a task fits no machine type");
     }
     need
 }
@@ -301,7 +301,7 @@
 pub(super) fn read_known_zone(table: &TomlSection<'_>, scenario: &Scenario) -> String {
     let zone = table.text("zone", None);
     if !scenario.zones.contains(&zone) {
-        table.fault(
+        table.error(
             "zone",
             &format!(
                 "no zone is called {zone}: must be one of {}",
--- a/crates/simulator/src/toml_section.rs
+++ b/crates/simulator/src/toml_section.rs
@@ -1,19 +1,19 @@
-//! Reads a TOML table field by field and names every fault with its line,
-//! instead of the first alone.
+//! Reads a TOML table field by field and names every error with its line, instead of the
+//! first alone.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
 
 use toml::de::{DeTable, DeValue};
 
-/// Faults of one file, each with its line and field.
-pub struct ParseFaults<'a> {
+/// Errors of one file, each with its line and field.
+pub struct ParseErrors<'a> {
     file: &'a str,
     text: &'a str,
     list: RefCell<Vec<(usize, String)>>,
 }
 
-impl<'a> ParseFaults<'a> {
+impl<'a> ParseErrors<'a> {
     /// Of a file of this name and text.
     pub fn new(file: &'a str, text: &'a str) -> Self {
         Self {
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Notes a fault at a byte of the file.
+    /// Notes an error at a byte of the file.
     pub fn note(&self, at: usize, field: &str, what: &str) {
         let line = self.text[..at.min(self.text.len())].matches('\n').count() + 1;
         self.list
@@ -39,24 +39,24 @@
     }
 }
 
-/// One table being read. Names that nobody asked for are faults.
+/// One table being read. Fields that nobody read are errors.
 pub struct TomlSection<'a> {
-    faults: &'a ParseFaults<'a>,
+    errors: &'a ParseErrors<'a>,
     path: String,
     at: usize,
     table: Option<&'a DeTable<'a>>,
-    asked: RefCell<BTreeSet<String>>,
+    read_fields: RefCell<BTreeSet<String>>,
 }
 
 impl<'a> TomlSection<'a> {
     /// The file's own table.
-    pub fn root(faults: &'a ParseFaults<'a>, table: &'a DeTable<'a>) -> Self {
+    pub fn root(errors: &'a ParseErrors<'a>, table: &'a DeTable<'a>) -> Self {
         Self {
-            faults,
+            errors,
             path: String::new(),
             at: 0,
             table: Some(table),
-            asked: RefCell::default(),
+            read_fields: RefCell::default(),
         }
     }
 
@@ -69,7 +69,7 @@
     }
 
     fn find(&self, name: &str) -> Option<(usize, &'a DeValue<'a>)> {
-        self.asked.borrow_mut().insert(name.to_owned());
+        self.read_fields.borrow_mut().insert(name.to_owned());
         let (_, value) = self
             .table?
             .iter()
@@ -77,14 +77,14 @@
         Some((value.span().start, value.get_ref()))
     }
 
-    /// Notes a fault of a field, at the field or else at the table.
-    pub fn fault(&self, name: &str, what: &str) {
+    /// Notes an error of a field, at the field or else at the table.
+    pub fn error(&self, name: &str, what: &str) {
         let at = self.find(name).map_or(self.at, |(at, _)| at);
-        self.faults.note(at, &self.full(name), what);
+        self.errors.note(at, &self.full(name), what);
     }
 
-    fn wrong<T>(&self, at: usize, name: &str, want: &str) -> Option<T> {
-        self.faults.note(at, &self.full(name), want);
+    fn reject<T>(&self, at: usize, name: &str, want: &str) -> Option<T> {
+        self.errors.note(at, &self.full(name), want);
         None
     }
 
@@ -93,18 +93,18 @@
         self.find(name).is_some()
     }
 
-    /// A number within bounds; `or` if it is absent, and a fault if that is none.
+    /// A number within bounds; `or` if it is absent, and an error if that is none.
     pub fn number(&self, name: &str, low: f64, high: f64, or: Option<f64>) -> f64 {
         let Some((at, value)) = self.find(name) else {
             if or.is_none() {
-                self.faults.note(self.at, &self.full(name), "is missing");
+                self.errors.note(self.at, &self.full(name), "is missing");
             }
             return or.unwrap_or(low);
         };
         match as_number(value).filter(|x| (low..=high).contains(x)) {
             Some(x) => x,
             None => self
-                .wrong(at, name, &format!("must be a number from {low} to {high}"))
+                .reject(at, name, &format!("must be a number from {low} to {high}"))
                 .unwrap_or(low),
         }
     }
@@ -113,7 +113,7 @@
     pub fn whole(&self, name: &str, low: u64, high: u64, or: Option<u64>) -> u64 {
         let x = self.number(name, low as f64, high as f64, or.map(|x| x as f64));
         if x.fract() != 0.0 {
-            self.fault(name, "must be a whole number");
+            self.error(name, "must be a whole number");
         }
         x as u64
     }
@@ -122,10 +122,10 @@
     pub fn text(&self, name: &str, or: Option<&str>) -> String {
         match self.find(name) {
             Some((_, DeValue::String(s))) => s.to_string(),
-            Some((at, _)) => self.wrong(at, name, "must be a text").unwrap_or_default(),
+            Some((at, _)) => self.reject(at, name, "must be a text").unwrap_or_default(),
             None => {
                 if or.is_none() {
-                    self.faults.note(self.at, &self.full(name), "is missing");
+                    self.errors.note(self.at, &self.full(name), "is missing");
                 }
                 or.unwrap_or_default().to_owned()
             }
@@ -141,7 +141,7 @@
         let found = words.iter().find(|(w, _)| *w == text).map(|(_, t)| *t);
         if found.is_none() && self.has(name) {
             let list: Vec<&str> = words.iter().map(|(w, _)| *w).collect();
-            self.fault(name, &format!("must be one of {}", list.join(", ")));
+            self.error(name, &format!("must be one of {}", list.join(", ")));
         }
         found
     }
@@ -150,7 +150,7 @@
     pub fn flag(&self, name: &str, or: bool) -> bool {
         match self.find(name) {
             Some((_, DeValue::Boolean(b))) => *b,
-            Some((at, _)) => self.wrong(at, name, "must be true or false").unwrap_or(or),
+            Some((at, _)) => self.reject(at, name, "must be true or false").unwrap_or(or),
             None => or,
         }
     }
@@ -162,7 +162,7 @@
         };
         let DeValue::Array(list) = value else {
             return self
-                .wrong(at, name, "must be a list of texts")
+                .reject(at, name, "must be a list of texts")
                 .unwrap_or_default();
         };
         let text = |v: &DeValue<'_>| {
@@ -174,7 +174,7 @@
         };
         list.iter()
             .filter_map(|v| {
-                text(v.get_ref()).or_else(|| self.wrong(v.span().start, name, "must be a text"))
+                text(v.get_ref()).or_else(|| self.reject(v.span().start, name, "must be a text"))
             })
             .collect()
     }
@@ -183,15 +183,15 @@
     pub fn table(&self, name: &str) -> TomlSection<'a> {
         let (at, table) = match self.find(name) {
             Some((at, DeValue::Table(t))) => (at, Some(t)),
-            Some((at, _)) => (at, self.wrong(at, name, "must be a table")),
+            Some((at, _)) => (at, self.reject(at, name, "must be a table")),
             None => (self.at, None),
         };
         TomlSection {
-            faults: self.faults,
+            errors: self.errors,
             path: self.full(name),
             at,
             table,
-            asked: RefCell::default(),
+            read_fields: RefCell::default(),
         }
     }
 
@@ -202,21 +202,21 @@
         };
         let DeValue::Array(list) = value else {
             return self
-                .wrong(at, name, "must be a list of tables")
+                .reject(at, name, "must be a list of tables")
                 .unwrap_or_default();
         };
         let section = |(i, v): (usize, &'a toml::Spanned<DeValue<'a>>)| match v.get_ref() {
             DeValue::Table(t) => {
                 let path = format!("{}[{i}]", self.full(name));
                 Some(TomlSection {
-                    faults: self.faults,
+                    errors: self.errors,
                     path,
                     at: v.span().start,
                     table: Some(t),
-                    asked: RefCell::default(),
+                    read_fields: RefCell::default(),
                 })
             }
-            _ => self.wrong(v.span().start, name, "must be a table"),
+            _ => self.reject(v.span().start, name, "must be a table"),
         };
         list.iter().enumerate().filter_map(section).collect()
     }
@@ -229,14 +229,14 @@
 
 impl Drop for TomlSection<'_> {
     fn drop(&mut self) {
-        let asked = self.asked.borrow();
+        let read_fields = self.read_fields.borrow();
         for (key, _) in self
             .table
             .into_iter()
             .flat_map(|t| t.iter())
-            .filter(|(k, _)| !asked.contains(k.get_ref().as_ref()))
+            .filter(|(k, _)| !read_fields.contains(k.get_ref().as_ref()))
         {
-            self.faults
+            self.errors
                 .note(key.span().start, &self.full(key.get_ref()), "unknown field");
         }
     }
