--- a/crates/simulator/src/worker.rs
+++ b/crates/simulator/src/worker.rs
@@ -111,7 +111,7 @@
             token_reported_at: 0,
             tasks: BTreeMap::new(),
             free: spec.kind.room,
-            images: ImageStore::new(spec.kind, up_at),
+            images: ImageStore::new(up_at),
         }
     }
 
@@ -170,7 +170,7 @@
             .min()
             .unwrap_or(NEVER_US);
         tasks
-            .min(self.images.next_fetched_at())
+            .min(self.images.next_fetched_at(&self.kind))
             .min(self.lease_expiry())
     }
 
@@ -203,7 +203,7 @@
             }
             self.step(at, workload);
         }
-        self.images.fetch_until(now);
+        self.images.fetch_until(&self.kind, now);
     }
 
     /// Does what is due at `at`: lease expiry, or fetched images and ends of tasks.
@@ -211,7 +211,7 @@
         if at >= self.lease_expiry() {
             return self.expire_lease(at, workload);
         }
-        self.images.fetch_until(at);
+        self.images.fetch_until(&self.kind, at);
         for image in self.images.take_fetched() {
             self.image_fetched(&image, at, workload);
         }
--- a/crates/simulator/src/worker/images.rs
+++ b/crates/simulator/src/worker/images.rs
@@ -17,10 +17,9 @@
     left_gb: f64,
 }
 
-/// Cached images and downloads of a machine.
+/// Cached images and downloads of a machine. Cache size and rate are those of the machine's
+/// type at the moment: tests change them in the middle of a run.
 pub(super) struct ImageStore {
-    capacity_gb: f64,
-    fetch_gb_per_s: f64,
     /// Most recently used first.
     cached: Vec<CachedImage>,
     fetches: Vec<ImageFetch>,
@@ -29,10 +28,8 @@
 }
 
 impl ImageStore {
-    pub(super) fn new(kind: &MachineType, up_at: u64) -> Self {
+    pub(super) fn new(up_at: u64) -> Self {
         Self {
-            capacity_gb: kind.cache_gb,
-            fetch_gb_per_s: kind.fetch_gb_per_s,
             cached: Vec::new(),
             fetches: Vec::new(),
             fetched_until: up_at,
@@ -45,12 +42,12 @@
     }
 
     /// Rate of one download, GB/µs: all of them share the machine's.
-    fn rate(&self) -> f64 {
-        self.fetch_gb_per_s / self.fetches.len().max(1) as f64 / 1e6
+    fn rate(&self, kind: &MachineType) -> f64 {
+        kind.fetch_gb_per_s / self.fetches.len().max(1) as f64 / 1e6
     }
 
     /// When the next download is complete, µs.
-    pub(super) fn next_fetched_at(&self) -> u64 {
+    pub(super) fn next_fetched_at(&self, kind: &MachineType) -> u64 {
         if self.fetches.is_empty() {
             return NEVER_US;
         }
@@ -59,12 +56,12 @@
             .iter()
             .map(|fetch| fetch.left_gb)
             .fold(f64::MAX, f64::min);
-        self.fetched_until + (least_gb.max(0.0) / self.rate()).ceil() as u64
+        self.fetched_until + (least_gb.max(0.0) / self.rate(kind)).ceil() as u64
     }
 
     /// Lets the downloads go on until `now`.
-    pub(super) fn fetch_until(&mut self, now: u64) {
-        let fetched_gb = now.saturating_sub(self.fetched_until) as f64 * self.rate();
+    pub(super) fn fetch_until(&mut self, kind: &MachineType, now: u64) {
+        let fetched_gb = now.saturating_sub(self.fetched_until) as f64 * self.rate(kind);
         self.fetches
             .iter_mut()
             .for_each(|fetch| fetch.left_gb -= fetched_gb);
@@ -84,11 +81,11 @@
     }
 
     /// Begins a download, unless it is under way.
-    pub(super) fn fetch(&mut self, image: &str, size_gb: f64, now: u64) {
+    pub(super) fn fetch(&mut self, kind: &MachineType, image: &str, size_gb: f64, now: u64) {
         if self.fetches.iter().any(|fetch| fetch.image == image) {
             return;
         }
-        self.fetch_until(now);
+        self.fetch_until(kind, now);
         self.fetches.push(ImageFetch {
             image: image.to_owned(),
             left_gb: size_gb,
@@ -110,7 +107,7 @@
     }
 
     /// Puts an image first in the cache; those used longest ago make room for it.
-    pub(super) fn cache(&mut self, image: &str, size_gb: f64) {
+    pub(super) fn cache(&mut self, kind: &MachineType, image: &str, size_gb: f64) {
         self.cached.retain(|cached| cached.name != image);
         self.cached.insert(
             0,
@@ -120,7 +117,7 @@
             },
         );
         let mut sum_gb = 0.0;
-        let capacity_gb = self.capacity_gb;
+        let capacity_gb = kind.cache_gb;
         self.cached.retain(|cached| {
             sum_gb += cached.size_gb;
             sum_gb <= capacity_gb
--- a/crates/simulator/src/worker/tasks.rs
+++ b/crates/simulator/src/worker/tasks.rs
@@ -109,10 +109,11 @@
         let Some(spec) = spec else { return };
         workload.checker.launched(&id, now);
         if self.images.is_cached(&spec.image) || spec.image_gb <= 0.0 {
-            self.images.cache(&spec.image, spec.image_gb);
+            self.images.cache(&self.kind, &spec.image, spec.image_gb);
             self.start(&id, now, workload);
         } else {
-            self.images.fetch(&spec.image, spec.image_gb, now);
+            self.images
+                .fetch(&self.kind, &spec.image, spec.image_gb, now);
         }
     }
 
@@ -142,7 +143,7 @@
     pub(super) fn image_fetched(&mut self, image: &str, now: u64, workload: &mut WorkloadState) {
         let waiting = self.tasks_fetching(image, workload);
         if let Some(job) = waiting.first().and_then(|id| workload.jobs.get(&id.job)) {
-            self.images.cache(image, job.spec.image_gb);
+            self.images.cache(&self.kind, image, job.spec.image_gb);
         }
         for id in waiting {
             self.start(&id, now, workload);
