--- a/crates/node/src/cloud.rs
+++ b/crates/node/src/cloud.rs
@@ -1,15 +1,15 @@
-//! The cloud's client, and the loops that read its catalog and its list.
+//! Client of the cloud, and the loops that read its catalog and its list of instances.
 
 use std::rc::Rc;
 use std::time::Duration;
 
-use tracing::{info, warn};
+use tracing::{error, info, warn};
 
-use crate::Node;
-use crate::kv_client::Budget;
-use crate::router::Router;
+use crate::rate_limit_share::RateLimitShare;
+use crate::router::{Router, ServiceCall};
+use crate::{Node, sleep_ms};
 use lemonweir_coordination::ProvisioningResult;
-use lemonweir_model::constants::*;
+use lemonweir_model::constants::{CLOUD_TIMEOUT_MS, LIST_EVERY_MS};
 use lemonweir_model::{Catalog, MachineId};
 use lemonweir_protocol::cloud::{
     CatalogResponse, InstanceEntry, InstanceList, MachineNames, MalformedCloudEntry,
@@ -18,150 +18,180 @@
 use lemonweir_protocol::links::Service;
 use lemonweir_protocol::{decode, encode};
 
-/// The client; keeps this node's share of the cloud's limit.
-pub struct CloudClient {
-    courier: Rc<Router>,
-    budget: Budget,
-    /// Time that a page of the list is worth.
-    list_gap: Duration,
+/// Instances in a page of the list (protocol page).
+const LIST_PAGE_INSTANCES: u32 = 500;
+
+/// Share of this controller's part of the cloud's rate limit that readings of the list
+/// may use: a fleet of hundreds takes several pages, and provisioning goes first.
+const LIST_RATE_SHARE: f64 = 0.25;
+
+/// ms between two readings of the catalog: spot prices move slowly.
+const CATALOG_REFRESH_MS: u64 = 60_000;
+
+/// ms after a failed reading of the catalog while there is none: nothing can be placed or
+/// provisioned without it.
+const FIRST_CATALOG_RETRY_MS: u64 = 1_000;
+
+/// The cloud's answer to a call.
+struct CloudReply {
+    status: u16,
+    body: Vec<u8>,
+}
+
+/// The client; keeps this controller's share of the cloud's rate limit.
+pub(crate) struct CloudClient {
+    router: Rc<Router>,
+    rate_limit: RateLimitShare,
+    /// Time between two readings of the list, for each of its pages.
+    list_interval_per_page: Duration,
 }
 
 impl CloudClient {
-    /// A client that shares this many requests a second with the other nodes.
-    pub(crate) fn new(courier: Rc<Router>, per_s: f64, nodes: usize) -> Self {
-        let list_gap =
-            Duration::from_secs_f64(nodes as f64 / per_s.max(f64::MIN_POSITIVE) / LIST_SHARE);
+    /// A client that shares a limit of so many requests a second with the other
+    /// controllers.
+    pub(crate) fn new(router: Rc<Router>, limit_per_s: f64, controllers: usize) -> Self {
+        let page_interval_s =
+            controllers as f64 / limit_per_s.max(f64::MIN_POSITIVE) / LIST_RATE_SHARE;
         Self {
-            courier,
-            budget: Budget::new(per_s, nodes),
-            list_gap,
+            router,
+            rate_limit: RateLimitShare::new(limit_per_s, controllers),
+            list_interval_per_page: Duration::from_secs_f64(page_interval_s),
         }
     }
 
-    async fn call(&self, method: &str, path: &str, body: &[u8]) -> Option<(u16, Vec<u8>)> {
-        let wait = self.budget.take(1.0);
+    /// Makes a call in its turn. `None`: no answer came.
+    async fn call(&self, method: &str, path: &str, body: &[u8]) -> Option<CloudReply> {
+        let wait = self.rate_limit.reserve(1.0);
         if !wait.is_zero() {
             smol::Timer::after(wait).await;
         }
         let response = self
-            .courier
-            .call(Service::Cloud, method, path, body, CLOUD_TIMEOUT_MS)
+            .router
+            .call(&ServiceCall {
+                service: Service::Cloud,
+                method,
+                path,
+                body,
+                timeout_ms: CLOUD_TIMEOUT_MS,
+            })
             .await
             .ok()?;
         if response.status == 429 {
-            self.budget.refused();
+            self.rate_limit.on_rejected();
         }
-        Some((response.status, response.body))
+        Some(CloudReply {
+            status: response.status,
+            body: response.body,
+        })
     }
 
-    /// Rents machines.
-    pub async fn rent(&self, rental: &ProvisioningRequest) -> ProvisioningResult {
-        match self.call("POST", "/rentals", &encode(rental)).await {
-            Some((200, body)) => match decode::<MachineNames>(&body) {
-                Ok(reply) => ProvisioningResult::Rented(reply.machines),
+    /// Provisions instances.
+    pub(crate) async fn provision(&self, request: &ProvisioningRequest) -> ProvisioningResult {
+        let Some(reply) = self.call("POST", "/rentals", &encode(request)).await else {
+            return ProvisioningResult::Again;
+        };
+        match reply.status {
+            200 => match decode::<MachineNames>(&reply.body) {
+                Ok(names) => ProvisioningResult::Rented(names.machines),
                 Err(error) => {
-                    warn!(%error, "rental answer");
+                    warn!(%error, "provisioning response malformed");
                     ProvisioningResult::Again
                 }
             },
-            Some((503, body))
-                if decode::<MalformedCloudEntry>(&body).is_ok_and(|f| f.error == "no capacity") =>
+            503 if decode::<MalformedCloudEntry>(&reply.body)
+                .is_ok_and(|fault| fault.error == "no capacity") =>
             {
                 ProvisioningResult::NoCapacity
             }
-            Some((400, _)) => {
-                tracing::error!(?rental, "the cloud refused a rental as malformed");
+            400 => {
+                error!(
+                    ?request,
+                    "provisioning request refused as malformed by the cloud"
+                );
                 ProvisioningResult::NoCapacity
             }
             _ => ProvisioningResult::Again,
         }
     }
 
-    /// Gives machines back; true once they are surely gone.
-    pub async fn release(&self, machines: &[MachineId]) -> bool {
-        matches!(
-            self.call(
-                "POST",
-                "/rentals/release",
-                &encode(&MachineNames {
-                    machines: machines.to_vec()
-                })
-            )
-            .await,
-            Some((200, _))
-        )
+    /// Releases instances; true once they are surely gone.
+    pub(crate) async fn release(&self, machines: &[MachineId]) -> bool {
+        let names = MachineNames {
+            machines: machines.to_vec(),
+        };
+        self.call("POST", "/rentals/release", &encode(&names))
+            .await
+            .is_some_and(|reply| reply.status == 200)
     }
 
     async fn catalog(&self) -> Option<Catalog> {
-        match self.call("GET", "/catalog", &[]).await {
-            Some((200, body)) => {
-                let (catalog, faults) = decode::<CatalogResponse>(&body).ok()?.into_catalog();
-                faults
-                    .iter()
-                    .for_each(|fault| warn!(fault, "machine type not understood"));
-                Some(catalog)
-            }
-            _ => None,
+        let reply = self.call("GET", "/catalog", &[]).await?;
+        if reply.status != 200 {
+            return None;
+        }
+        let (catalog, faults) = decode::<CatalogResponse>(&reply.body).ok()?.into_catalog();
+        for fault in &faults {
+            warn!(fault, "machine type malformed");
         }
+        Some(catalog)
     }
 
-    async fn list(&self) -> Option<Vec<InstanceEntry>> {
-        let mut all: Vec<InstanceEntry> = Vec::new();
+    /// All instances, page by page.
+    async fn instances(&self) -> Option<Vec<InstanceEntry>> {
+        let mut instances: Vec<InstanceEntry> = Vec::new();
         loop {
-            let after = all
+            let after = instances
                 .last()
-                .map(|m| format!("after={}&", m.id))
+                .map(|last| format!("after={}&", last.id))
                 .unwrap_or_default();
-            let (200, body) = self
-                .call("GET", &format!("/rentals?{after}limit={LIST_PAGE}"), &[])
-                .await?
-            else {
+            let path = format!("/rentals?{after}limit={LIST_PAGE_INSTANCES}");
+            let reply = self.call("GET", &path, &[]).await?;
+            if reply.status != 200 {
                 return None;
-            };
-            let page: InstanceList = decode(&body).ok()?;
+            }
+            let page: InstanceList = decode(&reply.body).ok()?;
             let more = page.more;
             let (entries, faults) = page.entries();
-            faults
-                .iter()
-                .for_each(|fault| warn!(fault, "entry of the rental list not understood"));
+            for fault in &faults {
+                warn!(fault, "instance list entry malformed");
+            }
             let empty = entries.is_empty();
-            all.extend(entries);
+            instances.extend(entries);
             if !more || empty {
-                return Some(all);
+                return Some(instances);
             }
         }
     }
 }
 
-/// Reads the catalog until it is known, then now and then.
-pub async fn catalog(node: Rc<Node>) {
+/// Reads the catalog until it is known, then now and then, for ever.
+pub(crate) async fn refresh_catalog(node: Rc<Node>) {
     loop {
-        let wait = match node.cloud.catalog().await {
+        let catalog = node.cloud.catalog().await;
+        let wait_ms = node.with_core(|core, _| match catalog {
             Some(catalog) if !catalog.is_empty() => {
-                let mut core = node.core();
                 if core.catalog.is_none() {
-                    info!(types = catalog.len(), "catalog read");
+                    info!(machine_types = catalog.len(), "catalog loaded");
                 }
                 core.set_catalog(catalog);
-                CATALOG_EVERY_MS
+                CATALOG_REFRESH_MS
             }
-            _ if node.core().catalog.is_some() => CATALOG_EVERY_MS / 4,
-            _ => 1_000,
-        };
-        smol::Timer::after(Duration::from_millis(wait)).await;
+            _ if core.catalog.is_some() => CATALOG_REFRESH_MS / 4,
+            _ => FIRST_CATALOG_RETRY_MS,
+        });
+        sleep_ms(wait_ms).await;
     }
 }
 
-/// Reads the rental list.
-pub async fn list(node: Rc<Node>) {
+/// Reads the list of instances, for ever.
+pub(crate) async fn refresh_instances(node: Rc<Node>) {
     loop {
         let mut pages = 1;
-        if let Some(entries) = node.cloud.list().await {
-            let now = node.now();
-            node.core().listed(&entries, now);
-            pages = entries.len() as u32 / LIST_PAGE + 1;
+        if let Some(instances) = node.cloud.instances().await {
+            node.with_core(|core, now| core.listed(&instances, now));
+            pages = instances.len() as u32 / LIST_PAGE_INSTANCES + 1;
         }
-        smol::Timer::after(Duration::from_millis(LIST_EVERY_MS).max(node.cloud.list_gap * pages))
-            .await;
+        let wait = Duration::from_millis(LIST_EVERY_MS);
+        smol::Timer::after(wait.max(node.cloud.list_interval_per_page * pages)).await;
     }
 }
--- a/crates/node/src/effect_executor.rs
+++ b/crates/node/src/effect_executor.rs
@@ -1,21 +1,26 @@
-//! Carries out what the core asks for, and takes other controllers' messages.
+//! Executes the effects that the core asks for, one function each. The end of an effect
+//! is an event of the core.
 
 use std::rc::Rc;
 
 use tracing::{debug, error, info};
 
+use crate::job_lookup::read_job_end;
 use crate::kv_client::{CompareAndSwapResult, KvError};
-use crate::lookups::end;
-use crate::router::take_reports;
-use crate::{Node, peer_address};
-use lemonweir_coordination::owner::{CommandCall, CommandResult, SyncError};
+use crate::router::{ServiceCall, WORKER_COMMANDS_PATH};
+use crate::{Node, peer_api, sleep_ms};
+use lemonweir_coordination::owner::{CommandCall, CommandResult};
 use lemonweir_coordination::placer::{CompareAndSwapOutcome, ShardOwnership};
-use lemonweir_coordination::{Effect, keys_to_reread, mail_piece_bytes};
-use lemonweir_model::constants::*;
+use lemonweir_coordination::{Effect, ShardLease, keys_to_reread, mail_piece_bytes};
+use lemonweir_model::constants::{
+    CLOUD_TIMEOUT_MS, CLOUD_TROUBLE_MS, COMMAND_TIMEOUT_MS, STATE_TIMEOUT_MS, SYNC_TIMEOUT_MS,
+    TICK_MS,
+};
+use lemonweir_model::{JobId, MachineId};
+use lemonweir_protocol::cloud::ProvisioningRequest;
 use lemonweir_protocol::kv_store::CompareAndSwap;
 use lemonweir_protocol::links::{
-    self, AvailabilityGossip, GOSSIP_PATH, LINKS_VERSION, RELAY_HEARTBEATS_PATH, RELAY_PATH,
-    RelayRequest, RelayTarget, RelayedHeartbeats, Service,
+    self, AvailabilityGossip, GOSSIP_PATH, LINKS_VERSION, RelayRequest, RelayTarget, Service,
 };
 use lemonweir_protocol::peer::{self, ShardView, Superseded, SyncRequest};
 use lemonweir_protocol::worker::Heartbeat;
@@ -23,253 +28,200 @@
 use lemonweir_storage::records::{
     StoreMessageKind, StoreMessageRoute, parse_run_key, post, shard_key,
 };
-use lemonweir_transport::{CallError, Handler, Reply, Request};
+use lemonweir_transport::CallError;
 
-/// Starts an effect; its end is an event of the core.
-pub fn carry(node: &Rc<Node>, effect: Effect) {
-    let node2 = node.clone();
-    let work = async move {
-        let node = node2;
-        match effect {
-            Effect::CompareAndSwap(lease, cas) => transaction(&node, lease, &cas).await,
-            Effect::Chain(cas) => {
-                let outcome = chain_transaction(&node, &cas).await;
-                let now = node.now();
-                node.core().chain_done(outcome, now);
-            }
-            Effect::ReadEnds(ids) => {
-                for id in &ids {
-                    if let Err(fault) = end(&node, id).await {
-                        debug!(job = %id, %fault, "end not read");
+/// ms after which a request to the store is repeated that got no answer.
+const STORE_RETRY_MS: u64 = 2 * TICK_MS;
+
+/// Starts to execute an effect.
+pub(crate) fn execute(node: &Rc<Node>, effect: Effect) {
+    let task_node = node.clone();
+    node.executor
+        .spawn(async move {
+            run(&task_node, effect).await;
+            task_node.wake();
+        })
+        .detach();
+}
+
+/// Executes an effect to its end.
+async fn run(node: &Node, effect: Effect) {
+    match effect {
+        Effect::CompareAndSwap(lease, cas) => commit_task_records(node, lease, &cas).await,
+        Effect::Chain(cas) => commit_dependent_jobs(node, &cas).await,
+        Effect::ReadEnds(ids) => read_job_ends(node, &ids).await,
+        Effect::Note(cas) => write_hint(node, &cas).await,
+        Effect::Command(lease, call) => send_command(node, lease, &call).await,
+        Effect::Sync(lease, sync) => sync_with_peer(node, lease, &sync).await,
+        Effect::MailSync(sync) => store_sync_request(node, &sync).await,
+        Effect::MailView(to, view) => store_shard_view(node, to, &view).await,
+        Effect::Nudge(shard) => wake_peer(node, shard).await,
+        Effect::Rent(lease, request) => provision(node, lease, &request).await,
+        Effect::Release(lease, machines) => release_instances(node, lease, &machines).await,
+        Effect::Hail(host, gossip) => send_gossip(node, host, &gossip).await,
+        Effect::Probe(service) => probe_direct_route(node, service).await,
+    }
+}
+
+/// Commits task records of a shard, and tells the core how it ended.
+async fn commit_task_records(node: &Node, lease: ShardLease, cas: &CompareAndSwap) {
+    let outcome = match node.kv_store.cas(cas).await {
+        Ok(CompareAndSwapResult::Done(revision)) => CompareAndSwapOutcome::Done(revision),
+        Ok(CompareAndSwapResult::Conflict(keys)) => {
+            // Guards against placing on versions of keys that a lost answer has changed:
+            // they are read before the compare-and-swap counts as ended.
+            let versions = reread_versions(node, lease, &keys).await;
+            info!(
+                shard = lease.shard,
+                fencing_token = lease.token,
+                ?keys,
+                "compare-and-swap conflict"
+            );
+            node.with_core(|core, _| {
+                for (key, version) in &versions {
+                    if let Some((job, chunk)) = parse_run_key(key) {
+                        core.reread(lease, &job, chunk, *version);
                     }
                 }
-                let now = node.now();
-                node.core().ends_read(&ids, now);
-            }
-            Effect::Command(lease, call) => {
-                let result = command(&node, &call).await;
-                let now = node.now();
-                node.core().command_done(lease, &call, result, now);
-            }
-            Effect::Sync(lease, sync) => {
-                let view = send_sync(&node, &sync).await;
-                let now = node.now();
-                node.core().sync_done(lease, sync.to, view, now);
-            }
-            Effect::Note(cas) => {
-                if let Err(fault) = node.state.cas(&cas).await {
-                    debug!(%fault, "hint not written");
-                }
-            }
-            Effect::MailSync(sync) => {
-                let line = StoreMessageRoute {
-                    kind: StoreMessageKind::Sync,
-                    from: sync.from,
-                    to: sync.to,
-                };
-                mail(
-                    &node,
-                    line,
-                    (sync.from_token, sync.seq),
-                    &peer::write(&sync),
-                )
-                .await;
-            }
-            Effect::MailView(to, view) => {
-                let line = StoreMessageRoute {
-                    kind: StoreMessageKind::View,
-                    from: view.shard,
-                    to,
-                };
-                mail(&node, line, (view.token, view.seq), &peer::write(&view)).await;
-            }
-            Effect::Nudge(shard) => nudge(&node, shard).await,
-            Effect::Rent(lease, rental) => {
-                let result = node.cloud.rent(&rental).await;
-                let now = node.now();
-                node.core().rented(lease, &rental, result, now);
-            }
-            Effect::Release(lease, machines) => {
-                let done = node.cloud.release(&machines).await;
-                if !done {
-                    smol::Timer::after(std::time::Duration::from_millis(CLOUD_TROUBLE_MS)).await;
-                }
-                let now = node.now();
-                node.core().released(lease, &machines, done, now);
-            }
-            Effect::Hail(host, word) => {
-                let answer = hail(&node, host, &word).await;
-                let now = node.now();
-                node.core()
-                    .links
-                    .hailed(host, answer.is_some(), answer.flatten(), now);
-            }
-            Effect::Probe(service) => {
-                // Reads what is there anyway; only whether it answers counts.
-                let (path, wait_ms) = match service {
-                    Service::Store => (format!("/store/{}", shard_key(0)), STATE_TIMEOUT_MS),
-                    Service::Cloud => ("/catalog".to_owned(), CLOUD_TIMEOUT_MS),
-                };
-                let _ = node
-                    .courier
-                    .call_direct(service, "GET", &path, &[], wait_ms)
-                    .await;
-            }
+            });
+            CompareAndSwapOutcome::Conflict(keys)
+        }
+        Err(KvError::Refused) => {
+            error!(
+                shard = lease.shard,
+                writes = cas.writes.len(),
+                "compare-and-swap refused as malformed by the key-value store"
+            );
+            CompareAndSwapOutcome::Refused
+        }
+        Err(_) => {
+            // Whether it was committed or not, the same change is tried again under the
+            // same conditions; a conflict then tells.
+            sleep_ms(STORE_RETRY_MS).await;
+            CompareAndSwapOutcome::Again
         }
-        node.poke();
     };
-    node.executor.spawn(work).detach();
+    let ownership = node.with_core(|core, now| core.cas_done(lease, outcome, now));
+    if ownership == ShardOwnership::Lost {
+        let _ = node.refresh_cache().await;
+    }
+}
+
+/// The present versions of the task records among these keys; 0: no such key. Reads each
+/// as often as it takes.
+async fn reread_versions(
+    node: &Node,
+    lease: ShardLease,
+    conflicts: &[String],
+) -> Vec<(String, u64)> {
+    let mut versions = Vec::new();
+    for key in keys_to_reread(lease, conflicts) {
+        let version = loop {
+            match node.kv_store.get(key).await {
+                Ok(entry) => break entry.map_or(0, |entry| entry.version),
+                Err(_) => sleep_ms(STORE_RETRY_MS).await,
+            }
+        };
+        versions.push((key.to_owned(), version));
+    }
+    versions
 }
 
-/// Makes a transaction for waiting jobs; after one that moved something the copy is read
-/// again, so that what may start is placed at once.
-async fn chain_transaction(node: &Node, cas: &CompareAndSwap) -> CompareAndSwapOutcome {
-    match node.state.cas(cas).await {
+/// Commits a change of jobs that depend on others. After one that moved something the
+/// cache is refreshed, so that what may start is placed at once.
+async fn commit_dependent_jobs(node: &Node, cas: &CompareAndSwap) {
+    let outcome = match node.kv_store.cas(cas).await {
         Ok(CompareAndSwapResult::Done(revision)) => {
-            node.fresh().await;
+            let _ = node.refresh_cache().await;
             CompareAndSwapOutcome::Done(revision)
         }
         Ok(CompareAndSwapResult::Conflict(keys)) => {
-            info!(?keys, "transaction for waiting jobs met other versions");
-            node.fresh().await;
+            info!(?keys, "compare-and-swap conflict of dependent jobs");
+            let _ = node.refresh_cache().await;
             CompareAndSwapOutcome::Conflict(keys)
         }
         Err(fault) => {
-            debug!(%fault, "transaction for waiting jobs not made");
+            debug!(%fault, "compare-and-swap of dependent jobs failed");
             CompareAndSwapOutcome::Again
         }
-    }
+    };
+    node.with_core(|core, now| core.chain_done(outcome, now));
 }
 
-async fn transaction(node: &Node, lease: lemonweir_coordination::ShardLease, cas: &CompareAndSwap) {
-    let outcome = match node.state.cas(cas).await {
-        Ok(CompareAndSwapResult::Done(revision)) => CompareAndSwapOutcome::Done(revision),
-        Ok(CompareAndSwapResult::Conflict(keys)) => CompareAndSwapOutcome::Conflict(keys),
-        Err(error) => {
-            if error == KvError::Refused {
-                error!(
-                    shard = lease.shard,
-                    writes = cas.writes.len(),
-                    "the store refused a transaction as malformed"
-                );
-                CompareAndSwapOutcome::Refused
-            } else {
-                // Whether it was made or not, the same change is tried again under
-                // the same conditions; a conflict then tells.
-                smol::Timer::after(std::time::Duration::from_millis(2 * TICK_MS)).await;
-                CompareAndSwapOutcome::Again
-            }
-        }
-    };
-    let verdict = match outcome {
-        // Guards against placing on versions of keys that a lost answer has
-        // changed: they are read before the transaction counts as ended.
-        CompareAndSwapOutcome::Conflict(ref keys) => {
-            let mut versions = Vec::new();
-            for key in keys_to_reread(lease, keys) {
-                let version = loop {
-                    match node.state.get(key).await {
-                        Ok(entry) => break entry.map_or(0, |e| e.version),
-                        Err(_) => {
-                            smol::Timer::after(std::time::Duration::from_millis(2 * TICK_MS)).await
-                        }
-                    };
-                };
-                versions.push((key.to_owned(), version));
-            }
-            let mut core = node.core();
-            for (key, version) in &versions {
-                if let Some((job, chunk)) = parse_run_key(key) {
-                    core.reread(lease, &job, chunk, *version);
-                }
-            }
-            info!(shard = lease.shard, ?keys, "transaction met other versions");
-            core.cas_done(lease, outcome, node.now())
-        }
-        outcome => {
-            let now = node.now();
-            node.core().cas_done(lease, outcome, now)
+/// Reads the ends of jobs that others depend on.
+async fn read_job_ends(node: &Node, ids: &[JobId]) {
+    for id in ids {
+        if let Err(fault) = read_job_end(node, id).await {
+            debug!(job_id = %id, %fault, "job end not read");
         }
-    };
-    if verdict == ShardOwnership::Lost {
-        node.fresh().await;
     }
+    node.with_core(|core, now| core.ends_read(ids, now));
 }
 
-async fn command(node: &Node, call: &CommandCall) -> CommandResult {
-    debug!(machine = %call.machine, through = ?call.through, orders = ?call.commands.orders, "orders");
-    let (path, body) = ("/commands", encode(&call.commands));
-    let answer = match call.through {
+/// Writes a hint; its end does not matter.
+async fn write_hint(node: &Node, cas: &CompareAndSwap) {
+    if let Err(fault) = node.kv_store.cas(cas).await {
+        debug!(%fault, "hint not written");
+    }
+}
+
+/// Sends commands to a worker, and tells the core how it ended.
+async fn send_command(node: &Node, lease: ShardLease, call: &CommandCall) {
+    debug!(machine = %call.machine, relay_peer = ?call.through, commands = ?call.commands.orders, "sending commands");
+    let body = encode(&call.commands);
+    let response = match call.through {
         None => {
             node.http
-                .call(call.addr, "POST", path, &body, COMMAND_TIMEOUT_MS)
-                .await
-        }
-        Some(by) => {
-            let goal = RelayTarget::Worker(call.addr.to_string());
-            let (method, path) = ("POST".to_owned(), path.to_owned());
-            node.courier
-                .ask(
-                    by,
-                    &RelayRequest {
-                        version: LINKS_VERSION,
-                        goal,
-                        method,
-                        path,
-                        body,
-                        wait_ms: COMMAND_TIMEOUT_MS,
-                    },
+                .call(
+                    call.addr,
+                    "POST",
+                    WORKER_COMMANDS_PATH,
+                    &body,
+                    COMMAND_TIMEOUT_MS,
                 )
                 .await
         }
+        Some(relay_peer) => {
+            let request = RelayRequest {
+                version: LINKS_VERSION,
+                goal: RelayTarget::Worker(call.addr.to_string()),
+                method: "POST".to_owned(),
+                path: WORKER_COMMANDS_PATH.to_owned(),
+                body,
+                wait_ms: COMMAND_TIMEOUT_MS,
+            };
+            node.router.send_relay_request(relay_peer, &request).await
+        }
     };
-    match answer {
+    let result = match response {
         Ok(response) => match (response.status, decode::<Heartbeat>(&response.body)) {
-            (200, Ok(report)) => CommandResult::Executed(report),
-            (409, Ok(report)) => CommandResult::Refused(report),
+            (200, Ok(heartbeat)) => CommandResult::Executed(heartbeat),
+            (409, Ok(heartbeat)) => CommandResult::Refused(heartbeat),
             (400, _) => CommandResult::NotSent,
             _ => CommandResult::Unknown,
         },
         Err(CallError::NotSent) => CommandResult::NotSent,
         Err(CallError::Unknown) => CommandResult::Unknown,
-    }
+    };
+    node.with_core(|core, now| core.command_done(lease, call, result, now));
 }
 
-/// Tells another controller of our links; its answer, if one comes, with what it
-/// says of its own, if it does.
-async fn hail(
-    node: &Node,
-    host: u16,
-    word: &AvailabilityGossip,
-) -> Option<Option<AvailabilityGossip>> {
-    let addr = *node.courier.peers.get(&host)?;
-    let response = node
-        .http
-        .call(
-            addr,
-            "POST",
-            GOSSIP_PATH,
-            &links::write(word),
-            SYNC_TIMEOUT_MS,
-        )
-        .await
-        .ok()?;
-    Some(
-        links::read::<AvailabilityGossip>(&response.body)
-            .ok()
-            .filter(|_| response.status == 200),
-    )
+/// Reconciles with the leader of a shard on another controller, directly.
+async fn sync_with_peer(node: &Node, lease: ShardLease, sync: &SyncRequest) {
+    let view = send_sync_request(node, sync).await;
+    node.with_core(|core, now| core.sync_done(lease, sync.to, view, now));
 }
 
-async fn send_sync(node: &Node, sync: &SyncRequest) -> Option<ShardView> {
-    let host = node.core().cache.shards.get(&sync.to)?.host.clone();
-    let addr = peer_address(node, &host)?;
+/// Sends a sync request to the leader of its shard. `None`: no view came.
+async fn send_sync_request(node: &Node, sync: &SyncRequest) -> Option<ShardView> {
+    let host = leader_host(node, sync.to)?;
+    let address = node.peer_address(&host)?;
     let response = node
         .http
         .call(
-            addr,
+            address,
             "POST",
-            "/peer/sync",
+            peer_api::SYNC_PATH,
             &peer::write(sync),
             SYNC_TIMEOUT_MS,
         )
@@ -278,150 +230,155 @@
     if response.status == 409
         && let Ok(by) = peer::read::<Superseded>(&response.body)
     {
-        let now = node.now();
-        node.core().superseded(by, now);
+        node.with_core(|core, now| core.superseded(by, now));
         return None;
     }
     if response.status != 200 {
         debug!(
-            shard = sync.from,
-            to = sync.to,
+            from_shard = sync.from,
+            to_shard = sync.to,
             status = response.status,
-            "sync refused"
+            "sync refused by peer"
         );
         return None;
     }
     match peer::read::<ShardView>(&response.body) {
         Ok(view) => Some(view),
         Err(fault) => {
-            info!(%addr, fault, "answer of another controller not understood");
+            info!(%address, %fault, "response of peer malformed");
             None
         }
     }
 }
 
-/// Writes a peer message to the store, in as many values as it takes. It is
-/// not repeated: the next message of the line says all again.
-async fn mail(node: &Node, line: StoreMessageRoute, id: (u64, u64), bytes: &[u8]) {
-    let hold = match node.hold.get() {
-        0 => return,
-        hold => hold,
+/// Host of the controller that leads a shard, by the cache.
+fn leader_host(node: &Node, shard: u16) -> Option<String> {
+    node.with_core(|core, _| {
+        core.cache
+            .shards
+            .get(&shard)
+            .map(|leader| leader.host.clone())
+    })
+}
+
+/// Sends a sync request by way of the store.
+async fn store_sync_request(node: &Node, sync: &SyncRequest) {
+    let route = StoreMessageRoute {
+        kind: StoreMessageKind::Sync,
+        from: sync.from,
+        to: sync.to,
+    };
+    store_message(node, route, (sync.from_token, sync.seq), &peer::write(sync)).await;
+}
+
+/// Answers a sync request by way of the store.
+async fn store_shard_view(node: &Node, to: u16, view: &ShardView) {
+    let route = StoreMessageRoute {
+        kind: StoreMessageKind::View,
+        from: view.shard,
+        to,
     };
-    let piece_bytes = mail_piece_bytes(node.core().config.value_bytes);
-    let cas = post(line, id, bytes, piece_bytes, hold);
-    if cas.writes.len() > node.core().config.txn_ops {
-        error!(bytes = bytes.len(), "message too large for the store");
+    store_message(node, route, (view.token, view.seq), &peer::write(view)).await;
+}
+
+/// Writes a peer message to the store, in as many values as it takes. It is not repeated:
+/// the next message of the route says all again.
+async fn store_message(node: &Node, route: StoreMessageRoute, id: (u64, u64), bytes: &[u8]) {
+    let Some(lease) = node.store_lease.get() else {
+        return;
+    };
+    let (piece_bytes, max_writes) = node.with_core(|core, _| {
+        (
+            mail_piece_bytes(core.config.value_bytes),
+            core.config.txn_ops,
+        )
+    });
+    let cas = post(route, id, bytes, piece_bytes, lease.get());
+    if cas.writes.len() > max_writes {
+        error!(
+            message_bytes = bytes.len(),
+            "peer message too large for the key-value store"
+        );
         return;
     }
-    if let Err(fault) = node.state.cas(&cas).await {
-        debug!(from = line.from, to = line.to, %fault, "message not stored");
+    if let Err(fault) = node.kv_store.cas(&cas).await {
+        debug!(from_shard = route.from, to_shard = route.to, %fault, "peer message not stored");
     }
 }
 
-async fn nudge(node: &Node, shard: u16) {
-    let Some((host, from)) = ({
-        let core = node.core();
-        core.cache
-            .shards
-            .get(&shard)
-            .map(|h| (h.host.clone(), core.held()))
-    }) else {
+/// Asks the leader of a shard on another controller to sync with all shards led here.
+async fn wake_peer(node: &Node, shard: u16) {
+    let Some(host) = leader_host(node, shard) else {
         return;
     };
-    let Some(addr) = peer_address(node, &host) else {
+    let leases = node.with_core(|core, _| core.held());
+    let Some(address) = node.peer_address(&host) else {
         return;
     };
-    for lease in from {
+    for lease in leases {
+        let path = peer_api::wake_path(shard, lease.shard);
         // Only a hint: the regular sync comes anyway.
         let _ = node
             .http
-            .call(
-                addr,
-                "POST",
-                &format!("/peer/nudge/{shard}/{}", lease.shard),
-                &[],
-                SYNC_TIMEOUT_MS,
-            )
+            .call(address, "POST", &path, &[], SYNC_TIMEOUT_MS)
             .await;
     }
 }
 
-/// Answers a message of another controller, if it is one.
-fn understood<T>(message: Result<T, String>, answer: impl FnOnce(T) -> Reply) -> Reply {
-    match message {
-        Ok(message) => answer(message),
-        Err(fault) => {
-            info!(fault, "message of another controller not understood");
-            Reply::empty(400)
-        }
+/// Provisions instances, and tells the core how it ended.
+async fn provision(node: &Node, lease: ShardLease, request: &ProvisioningRequest) {
+    let result = node.cloud.provision(request).await;
+    node.with_core(|core, now| core.rented(lease, request, result, now));
+}
+
+/// Releases instances, and tells the core how it ended.
+async fn release_instances(node: &Node, lease: ShardLease, machines: &[MachineId]) {
+    let released = node.cloud.release(machines).await;
+    if !released {
+        sleep_ms(CLOUD_TROUBLE_MS).await;
     }
+    node.with_core(|core, now| core.released(lease, machines, released, now));
 }
 
-/// What other controllers may ask.
-pub struct PeerApi(pub Rc<Node>);
+/// Tells another controller what is reachable from here. Its answer brings the same of
+/// its own, if it is understood.
+async fn send_gossip(node: &Node, host: u16, gossip: &AvailabilityGossip) {
+    let response = match node.router.peers.get(&host) {
+        Some(address) => node
+            .http
+            .call(
+                *address,
+                "POST",
+                GOSSIP_PATH,
+                &links::write(gossip),
+                SYNC_TIMEOUT_MS,
+            )
+            .await
+            .ok(),
+        None => None,
+    };
+    let answered = response.is_some();
+    let peer_gossip = response
+        .filter(|response| response.status == 200)
+        .and_then(|response| links::read::<AvailabilityGossip>(&response.body).ok());
+    node.with_core(|core, now| core.links.hailed(host, answered, peer_gossip, now));
+}
 
-impl Handler for PeerApi {
-    async fn handle(&self, request: Request) -> Reply {
-        let node = &self.0;
-        match (request.method.as_str(), request.path.as_str()) {
-            ("POST", "/peer/sync") => match peer::read::<SyncRequest>(&request.body) {
-                Ok(sync) => {
-                    let now = node.now();
-                    let answer = node.core().sync_in(&sync, now);
-                    node.poke();
-                    match answer {
-                        Ok(view) => Reply::new(200, peer::write(&view)),
-                        Err(refusal) => {
-                            debug!(from = sync.from, to = sync.to, %refusal, "sync not taken");
-                            match refusal {
-                                SyncError::Superseded(by) => Reply::new(409, peer::write(&by)),
-                                _ => Reply::empty(409),
-                            }
-                        }
-                    }
-                }
-                Err(fault) => understood(Err(fault), |()| Reply::empty(500)),
-            },
-            ("POST", GOSSIP_PATH) => {
-                understood(links::read::<AvailabilityGossip>(&request.body), |word| {
-                    let now = node.now();
-                    Reply::new(200, links::write(&node.core().links.hail_in(word, now)))
-                })
-            }
-            ("POST", RELAY_HEARTBEATS_PATH) => {
-                understood(links::read::<RelayedHeartbeats>(&request.body), |reports| {
-                    take_reports(node, &reports)
-                })
-            }
-            ("POST", CARRY) => match links::read::<RelayRequest>(&request.body) {
-                Ok(call) => node.courier.carry(&call).await,
-                Err(fault) => understood(Err(fault), |()| Reply::empty(500)),
-            },
-            ("POST", path) if path.starts_with("/peer/nudge/") => {
-                let mut numbers = path
-                    .trim_start_matches("/peer/nudge/")
-                    .split('/')
-                    .map(str::parse::<u16>);
-                match (numbers.next(), numbers.next()) {
-                    (Some(Ok(shard)), Some(Ok(from))) => {
-                        node.core().nudged(shard, from);
-                        node.poke();
-                        Reply::empty(200)
-                    }
-                    _ => Reply::empty(400),
-                }
-            }
-            ("POST", "/peer/jobs") => {
-                // A job was accepted elsewhere: read it now rather than at the
-                // next regular reading.
-                let node = node.clone();
-                node.clone()
-                    .executor
-                    .spawn(async move { node.fresh().await })
-                    .detach();
-                Reply::empty(200)
-            }
-            _ => Reply::empty(404),
-        }
-    }
+/// Tries the direct route to a service with a request that changes nothing. Only whether
+/// it is answered counts, which the router records.
+async fn probe_direct_route(node: &Node, service: Service) {
+    let (path, timeout_ms) = match service {
+        Service::Store => (format!("/store/{}", shard_key(0)), STATE_TIMEOUT_MS),
+        Service::Cloud => ("/catalog".to_owned(), CLOUD_TIMEOUT_MS),
+    };
+    let _ = node
+        .router
+        .call_direct(&ServiceCall {
+            service,
+            method: "GET",
+            path: &path,
+            body: &[],
+            timeout_ms,
+        })
+        .await;
 }
--- a/crates/node/src/kv_client.rs
+++ b/crates/node/src/kv_client.rs
@@ -1,13 +1,15 @@
-//! The state service's client. It keeps this node's share of the service's
-//! limits, so that no node starves another.
+//! Client of the consensus-backed key-value store. It keeps this controller's share of
+//! the store's request limits, so that no controller starves another.
 
 use std::cell::RefCell;
+use std::num::NonZeroU64;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use crate::router::Router;
-use lemonweir_coordination::rate_limit::{RequestBudget, TokenBucket};
-use lemonweir_model::constants::{BUDGET_PERCENT, STATE_TIMEOUT_MS, STORE_PAGE};
+use crate::rate_limit_share::RateLimitShare;
+use crate::router::{Router, ServiceCall};
+use lemonweir_coordination::rate_limit::RequestBudget;
+use lemonweir_model::constants::{BUDGET_PERCENT, STATE_TIMEOUT_MS};
 use lemonweir_model::settings::StateLimits;
 use lemonweir_protocol::kv_store::{
     CompareAndSwap, CompareAndSwapResponse, KeyValue, LeaseRequest, LeaseResponse, ListResponse,
@@ -17,96 +19,83 @@
 use lemonweir_protocol::{decode, encode};
 use lemonweir_transport::{CallError, Response};
 
+/// Entries in a page of a store listing: the 512 KiB of a page hold at least this many
+/// of our largest records.
+const LIST_PAGE_ENTRIES: u32 = 400;
+
+/// Path of a compare-and-swap; its rejections also bound the rate of writes.
+const COMPARE_AND_SWAP_PATH: &str = "/txn";
+
 /// Why the store gave no result.
 #[derive(Debug, thiserror::Error, PartialEq, Eq, Clone, Copy)]
 pub enum KvError {
     /// Not executed: no connection, 429 or 503.
-    #[error("state service unavailable")]
+    #[error("key-value store unavailable")]
     Unavailable,
-    /// May have been executed, or may be later.
-    #[error("no response from the state service")]
+    /// May have been executed, or may still be.
+    #[error("no response from the key-value store")]
     Unknown,
-    /// The hold has ended.
-    #[error("no such hold")]
-    NoHold,
-    /// The revision asked for is too old.
-    #[error("revision too old")]
-    TooOld,
+    /// The store lease has expired.
+    #[error("store lease expired")]
+    LeaseExpired,
+    /// The changes since the given revision are no longer kept (compacted).
+    #[error("revision compacted")]
+    RevisionCompacted,
     /// Refused as malformed.
-    #[error("refused by the state service")]
+    #[error("refused by the key-value store as malformed")]
     Refused,
 }
 
-/// What became of a transaction.
+/// Outcome of a compare-and-swap that the store answered.
 #[derive(Debug, PartialEq, Eq, Clone)]
 pub enum CompareAndSwapResult {
-    /// Made, at this revision.
+    /// Committed, at this revision.
     Done(u64),
-    /// Not made: these keys had another version.
+    /// Not committed: these keys had another version than the conditions demand.
     Conflict(Vec<String>),
 }
 
-/// A [`TokenBucket`] on this process's steady clock.
-pub(crate) struct Budget {
-    bucket: RefCell<TokenBucket>,
-    started: Instant,
-}
-
-impl Budget {
-    /// A budget for one of `nodes` that share `whole` a second.
-    pub(crate) fn new(whole: f64, nodes: usize) -> Self {
-        Self::falling(whole, whole, nodes)
-    }
-
-    /// The same where the whole may fall to `least` without notice.
-    pub(crate) fn falling(whole: f64, least: f64, nodes: usize) -> Self {
-        Self {
-            bucket: RefCell::new(TokenBucket::new(whole, nodes, 0).falling_to(least)),
-            started: Instant::now(),
-        }
-    }
-
-    fn now_us(&self) -> u64 {
-        self.started.elapsed().as_micros() as u64
-    }
-
-    /// Takes `n` tokens; returns how long to wait for them.
-    pub(crate) fn take(&self, n: f64) -> Duration {
-        Duration::from_micros(self.bucket.borrow_mut().take(n, self.now_us()))
-    }
+/// Id of a lease in the store. Keys written with it are deleted by the store when the
+/// lease expires.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct StoreLeaseId(NonZeroU64);
 
-    /// How long something taken now would have to wait.
-    fn wait(&self) -> Duration {
-        Duration::from_micros(self.bucket.borrow().wait(self.now_us()))
+impl StoreLeaseId {
+    /// The id as it is sent.
+    pub fn get(self) -> u64 {
+        self.0.get()
     }
+}
 
-    /// The other side refused.
-    pub(crate) fn refused(&self) {
-        self.bucket.borrow_mut().refused_for_good();
-    }
+/// The entries under a prefix, with the revision that they are at least as new as.
+pub struct Listing {
+    /// All entries, in the order of their keys.
+    pub entries: Vec<KeyValue>,
+    /// Revision of the first page: following the changes from there misses nothing.
+    pub revision: u64,
 }
 
 /// The client; cheap to clone.
 #[derive(Clone)]
 pub struct KvClient {
-    courier: Rc<Router>,
+    router: Rc<Router>,
     requests: Rc<RefCell<RequestBudget>>,
-    writes: Rc<Budget>,
+    writes: Rc<RateLimitShare>,
     started: Instant,
 }
 
 impl KvClient {
-    /// A client that shares the limits with the other nodes.
-    pub(crate) fn new(courier: Rc<Router>, limits: &StateLimits, nodes: usize) -> Self {
-        let ours = |x: f64| x * BUDGET_PERCENT as f64 / 100.0;
-        let requests = Rc::new(RefCell::new(RequestBudget::new(ours(limits.rps), nodes, 0)));
+    /// A client that shares the store's limits with the other controllers.
+    pub(crate) fn new(router: Rc<Router>, limits: &StateLimits, controllers: usize) -> Self {
+        let usable = |rate: f64| rate * BUDGET_PERCENT as f64 / 100.0;
+        let requests = RequestBudget::new(usable(limits.rps), controllers, 0);
         Self {
-            courier,
-            requests,
-            writes: Rc::new(Budget::falling(
-                ours(limits.write_rps),
-                ours(limits.least_write_rps()),
-                nodes,
+            router,
+            requests: Rc::new(RefCell::new(requests)),
+            writes: Rc::new(RateLimitShare::with_minimum(
+                usable(limits.write_rps),
+                usable(limits.least_write_rps()),
+                controllers,
             )),
             started: Instant::now(),
         }
@@ -116,32 +105,31 @@
         self.started.elapsed().as_micros() as u64
     }
 
-    /// How long a change would have to wait for its turn.
+    /// How long a write would have to wait for its turn.
     pub fn write_wait(&self) -> Duration {
-        self.writes.wait().max(Duration::from_micros(
-            self.requests.borrow().wait(self.now_us()),
-        ))
+        let request_wait = Duration::from_micros(self.requests.borrow().wait(self.now_us()));
+        self.writes.current_wait().max(request_wait)
     }
 
-    /// How long a question would have to wait for its turn.
-    pub(crate) fn question_wait(&self) -> Duration {
+    /// How long a user's query would have to wait for its turn.
+    pub(crate) fn query_wait(&self) -> Duration {
         Duration::from_micros(self.requests.borrow().question_wait(self.now_us()))
     }
 
-    /// Waits for the budget of what answers users.
-    async fn question(&self) {
-        let wait = self.requests.borrow_mut().ask(self.now_us());
-        if wait > 0 {
-            smol::Timer::after(Duration::from_micros(wait)).await;
+    /// Waits for the turn of a request that answers a user.
+    async fn wait_for_query_turn(&self) {
+        let wait_us = self.requests.borrow_mut().ask(self.now_us());
+        if wait_us > 0 {
+            smol::Timer::after(Duration::from_micros(wait_us)).await;
         }
     }
 
-    /// Waits for the budget. Holds are renewed without waiting: losing a part
-    /// costs far more than a request over the share.
-    async fn budget(&self, writes: usize) {
+    /// Waits for the turn of a request with so many writes. Store leases are renewed
+    /// without waiting: losing a shard costs far more than a request over the share.
+    async fn wait_for_turn(&self, writes: usize) {
         let mut wait = Duration::from_micros(self.requests.borrow_mut().take(self.now_us()));
         if writes > 0 {
-            wait = wait.max(self.writes.take(writes as f64));
+            wait = wait.max(self.writes.reserve(writes as f64));
         }
         if !wait.is_zero() {
             smol::Timer::after(wait).await;
@@ -150,18 +138,24 @@
 
     async fn call(&self, method: &str, path: &str, body: &[u8]) -> Result<Response, KvError> {
         let response = self
-            .courier
-            .call(Service::Store, method, path, body, STATE_TIMEOUT_MS)
+            .router
+            .call(&ServiceCall {
+                service: Service::Store,
+                method,
+                path,
+                body,
+                timeout_ms: STATE_TIMEOUT_MS,
+            })
             .await
-            .map_err(|e| match e {
+            .map_err(|error| match error {
                 CallError::NotSent => KvError::Unavailable,
                 CallError::Unknown => KvError::Unknown,
             })?;
         match response.status {
             429 => {
                 self.requests.borrow_mut().refused();
-                if path == "/txn" {
-                    self.writes.refused();
+                if path == COMPARE_AND_SWAP_PATH {
+                    self.writes.on_rejected();
                 }
                 Err(KvError::Unavailable)
             }
@@ -170,21 +164,17 @@
         }
     }
 
-    /// Reads some keys with a prefix, in their order, for a user's question.
-    pub(crate) async fn page(
+    /// Reads up to `limit` entries with a prefix that come after a key, in the order of
+    /// their keys, for a user's query.
+    pub(crate) async fn read_page(
         &self,
         prefix: &str,
         after: &str,
         limit: u32,
     ) -> Result<Vec<KeyValue>, KvError> {
-        self.question().await;
-        let response = self
-            .call(
-                "GET",
-                &format!("/store?under={prefix}&after={after}&limit={limit}"),
-                &[],
-            )
-            .await?;
+        self.wait_for_query_turn().await;
+        let path = format!("/store?under={prefix}&after={after}&limit={limit}");
+        let response = self.call("GET", &path, &[]).await?;
         match response.status {
             200 => decode::<ListResponse>(&response.body)
                 .map(|page| page.entries)
@@ -193,9 +183,9 @@
         }
     }
 
-    /// Reads a key.
+    /// Reads a key. `None`: it does not exist.
     pub async fn get(&self, key: &str) -> Result<Option<KeyValue>, KvError> {
-        self.budget(0).await;
+        self.wait_for_turn(0).await;
         let response = self.call("GET", &format!("/store/{key}"), &[]).await?;
         match response.status {
             200 => decode(&response.body)
@@ -206,101 +196,93 @@
         }
     }
 
-    /// Reads all keys with a prefix. The revision is that of the first page:
-    /// following the changes from there misses nothing.
-    pub async fn list(&self, prefix: &str) -> Result<(Vec<KeyValue>, u64), KvError> {
-        let mut all: Vec<KeyValue> = Vec::new();
-        let mut first = None;
+    /// Reads all entries with a prefix, page by page.
+    pub async fn list(&self, prefix: &str) -> Result<Listing, KvError> {
+        let mut entries: Vec<KeyValue> = Vec::new();
+        let mut first_revision = None;
         loop {
-            self.budget(0).await;
-            let after = all
+            self.wait_for_turn(0).await;
+            let after = entries
                 .last()
-                .map(|e| format!("&after={}", e.key))
+                .map(|entry| format!("&after={}", entry.key))
                 .unwrap_or_default();
-            let response = self
-                .call(
-                    "GET",
-                    &format!("/store?under={prefix}{after}&limit={STORE_PAGE}"),
-                    &[],
-                )
-                .await?;
+            let path = format!("/store?under={prefix}{after}&limit={LIST_PAGE_ENTRIES}");
+            let response = self.call("GET", &path, &[]).await?;
             if response.status != 200 {
                 return Err(KvError::Refused);
             }
             let page: ListResponse = decode(&response.body).map_err(|_| KvError::Unknown)?;
-            first.get_or_insert(page.revision);
+            first_revision.get_or_insert(page.revision);
             let empty = page.entries.is_empty();
-            all.extend(page.entries);
+            entries.extend(page.entries);
             if !page.more || empty {
-                return Ok((all, first.unwrap_or_default()));
+                return Ok(Listing {
+                    entries,
+                    revision: first_revision.unwrap_or_default(),
+                });
             }
         }
     }
 
-    /// Makes a transaction.
+    /// Commits a compare-and-swap, or tells which keys conflict. One without writes only
+    /// checks its conditions, and waits as a user's query does.
     pub async fn cas(&self, cas: &CompareAndSwap) -> Result<CompareAndSwapResult, KvError> {
         match cas.writes.len() {
-            // Only asks.
-            0 => self.question().await,
-            writes => self.budget(writes).await,
+            0 => self.wait_for_query_turn().await,
+            writes => self.wait_for_turn(writes).await,
         }
-        let response = self.call("POST", "/txn", &encode(cas)).await?;
+        let response = self
+            .call("POST", COMPARE_AND_SWAP_PATH, &encode(cas))
+            .await?;
+        let body =
+            || decode::<CompareAndSwapResponse>(&response.body).map_err(|_| KvError::Unknown);
         match response.status {
-            200 => Ok(CompareAndSwapResult::Done(
-                decode::<CompareAndSwapResponse>(&response.body)
-                    .map_err(|_| KvError::Unknown)?
-                    .revision,
-            )),
-            409 => Ok(CompareAndSwapResult::Conflict(
-                decode::<CompareAndSwapResponse>(&response.body)
-                    .map_err(|_| KvError::Unknown)?
-                    .failed,
-            )),
+            200 => Ok(CompareAndSwapResult::Done(body()?.revision)),
+            409 => Ok(CompareAndSwapResult::Conflict(body()?.failed)),
             400 if String::from_utf8_lossy(&response.body).contains("no such lease") => {
-                Err(KvError::NoHold)
+                Err(KvError::LeaseExpired)
             }
             _ => Err(KvError::Refused),
         }
     }
 
-    /// Gets a hold.
-    pub async fn hold(&self, ttl_ms: u64) -> Result<u64, KvError> {
+    /// Creates a store lease that lives for `ttl_ms` without renewal.
+    pub async fn grant_lease(&self, ttl_ms: u64) -> Result<StoreLeaseId, KvError> {
         let response = self
             .call("POST", "/holds", &encode(&LeaseRequest { ttl_ms }))
             .await?;
-        match response.status {
-            200 => decode::<LeaseResponse>(&response.body)
-                .map(|r| r.hold)
-                .map_err(|_| KvError::Unknown),
-            _ => Err(KvError::Refused),
+        if response.status != 200 {
+            return Err(KvError::Refused);
         }
+        let granted: LeaseResponse = decode(&response.body).map_err(|_| KvError::Unknown)?;
+        NonZeroU64::new(granted.hold)
+            .map(StoreLeaseId)
+            .ok_or(KvError::Refused)
     }
 
-    /// Renews a hold.
-    pub async fn renew(&self, hold: u64) -> Result<(), KvError> {
-        let response = self
-            .call("POST", &format!("/holds/{hold}/renew"), &[])
-            .await?;
+    /// Renews a store lease for its whole time to live.
+    pub async fn renew_lease(&self, lease: StoreLeaseId) -> Result<(), KvError> {
+        let path = format!("/holds/{}/renew", lease.get());
+        let response = self.call("POST", &path, &[]).await?;
         match response.status {
             200 => Ok(()),
-            404 => Err(KvError::NoHold),
+            404 => Err(KvError::LeaseExpired),
             _ => Err(KvError::Refused),
         }
     }
 
-    /// Reads the changes under a prefix since a revision, without waiting.
-    pub async fn changes(&self, prefix: &str, after: u64) -> Result<WatchResponse, KvError> {
-        self.question().await;
-        let response = self
-            .call(
-                "GET",
-                &format!("/watch?under={prefix}&after={after}&waitMs=0"),
-                &[],
-            )
-            .await?;
+    /// Reads the changes under a prefix since a revision, without waiting for one.
+    pub async fn changes_since(
+        &self,
+        prefix: &str,
+        revision: u64,
+    ) -> Result<WatchResponse, KvError> {
+        self.wait_for_query_turn().await;
+        let path = format!("/watch?under={prefix}&after={revision}&waitMs=0");
+        let response = self.call("GET", &path, &[]).await?;
         match response.status {
             200 => decode(&response.body).map_err(|_| KvError::Unknown),
-            410 => Err(KvError::TooOld),
+            410 => Err(KvError::RevisionCompacted),
             _ => Err(KvError::Refused),
         }
     }
--- /dev/null
+++ b/crates/node/src/public_api/job_status.rs
@@ -0,0 +1,126 @@
+//! Users' queries of a job's status.
+
+use std::rc::Rc;
+
+use super::replies::{answer, not_found, refuse};
+use crate::job_lookup::{LookupError, StoredJob, look_up_job};
+use crate::{Node, RefreshError, sleep_ms};
+use lemonweir_coordination::job_status::Answer;
+use lemonweir_coordination::query_admission::{QueryKind, QueryRefusal};
+use lemonweir_model::JobId;
+use lemonweir_model::constants::USER_TIMEOUT_MS;
+use lemonweir_protocol::users::{JobPhase, JobStatus};
+use lemonweir_transport::{Reply, within};
+
+/// Answers a user's query of a job's status.
+pub(super) async fn job_status(node: &Rc<Node>, id: &str) -> Reply {
+    let Some(id) = JobId::parse(id) else {
+        return Reply::empty(404);
+    };
+    // Guards against a flood of polls that heartbeats and submissions wait behind; but no
+    // job is refused for that again and again.
+    if node.overloaded() && !node.query_admission.borrow().first(&id, node.now_ms()) {
+        return refuse(node, &id, QueryKind::Poll, QueryRefusal::Behind);
+    }
+    match find_status(node, &id).await {
+        Ok(Some(status)) => answer(node, 200, &status),
+        Ok(None) => not_found(node, &id),
+        Err(refusal) => refuse(node, &id, QueryKind::Poll, refusal),
+    }
+}
+
+/// The status of a job, in the time that a user waits for an answer. `Ok(None)`: there is
+/// no such job. `Err`: it can't be told now.
+pub(super) async fn find_status(
+    node: &Rc<Node>,
+    id: &JobId,
+) -> Result<Option<JobStatus>, QueryRefusal> {
+    within(USER_TIMEOUT_MS, find_status_unbounded(node, id))
+        .await
+        .unwrap_or(Err(QueryRefusal::Store))
+}
+
+/// The same without bound of time. From memory where that is new enough; else by a
+/// query to the store that begins after the request came.
+async fn find_status_unbounded(
+    node: &Rc<Node>,
+    id: &JobId,
+) -> Result<Option<JobStatus>, QueryRefusal> {
+    let mut unreadable = false;
+    loop {
+        let (cached, store_reachable) =
+            node.with_core(|core, now| (core.answer(id, now), core.links.store_told(now)));
+        match cached {
+            // A moment in which others may still answer from before its end.
+            Answer::OverIn(ms) => sleep_ms(ms).await,
+            // Guards against users who are held back for a store that answers nobody
+            // here: they had better come again, or go elsewhere.
+            Answer::Reading | Answer::Unknown if !store_reachable => {
+                return Err(QueryRefusal::NoWord);
+            }
+            Answer::Reading => {
+                node.refresh_cache().await.map_err(refresh_refusal)?;
+                if let Some(status) = node.with_core(|core, now| core.unfinished(id, now)) {
+                    return Ok(status_of(id, status));
+                }
+            }
+            Answer::Ends(ids) => read_dependencies(node, &ids).await?,
+            Answer::Unknown => match look_up_job(node, id).await.map_err(lookup_refusal)? {
+                StoredJob::NotFound => return Ok(None),
+                StoredJob::Ended(_) => {}
+                // Guards against a record that this process can't read, which is asked
+                // for again and again: the job is there, and unfinished.
+                StoredJob::Unfinished if unreadable => {
+                    return Ok(Some(JobStatus::plain(id.clone(), JobPhase::Queued)));
+                }
+                StoredJob::Unfinished => {
+                    unreadable = true;
+                    node.refresh_cache().await.map_err(refresh_refusal)?;
+                }
+            },
+            Answer::Over(_) | Answer::Unfinished(..) => return Ok(status_of(id, cached)),
+        }
+    }
+}
+
+/// Reads the ends of jobs that others depend on; those that are still unfinished are in
+/// the cache then.
+async fn read_dependencies(node: &Rc<Node>, ids: &[JobId]) -> Result<(), QueryRefusal> {
+    let mut any_unfinished = false;
+    for id in ids {
+        let stored = look_up_job(node, id).await.map_err(lookup_refusal)?;
+        any_unfinished |= stored == StoredJob::Unfinished;
+    }
+    // Guards against repeating without a pause for what the cache does not show yet.
+    if any_unfinished {
+        node.refresh_cache().await.map_err(refresh_refusal)?;
+    }
+    Ok(())
+}
+
+/// What a user is told of a job that the cache knows.
+fn status_of(id: &JobId, cached: Answer) -> Option<JobStatus> {
+    match cached {
+        Answer::Over(phase) => Some(JobStatus::plain(id.clone(), phase)),
+        Answer::Unfinished(phase, done, running, reason) => Some(JobStatus {
+            id: id.clone(),
+            phase,
+            done: Some(done),
+            running: Some(running),
+            reason: (!reason.is_empty()).then_some(reason),
+        }),
+        Answer::OverIn(_) | Answer::Reading | Answer::Ends(_) | Answer::Unknown => None,
+    }
+}
+
+/// The refusal that a failed lookup leads to.
+pub(super) fn lookup_refusal(error: LookupError) -> QueryRefusal {
+    match error {
+        LookupError::Refused => QueryRefusal::Lookups,
+        LookupError::StoreUnavailable => QueryRefusal::Store,
+    }
+}
+
+fn refresh_refusal(RefreshError: RefreshError) -> QueryRefusal {
+    QueryRefusal::Store
+}
--- /dev/null
+++ b/crates/node/src/public_api/submit.rs
@@ -0,0 +1,275 @@
+//! Users' submissions of jobs. A repeated one is answered as the first was.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use tracing::{debug, info};
+
+use super::job_status::{find_status, lookup_refusal};
+use super::replies::{RETRY_AFTER_S, answer, refuse, refuse_for, unprocessable};
+use crate::job_lookup::{StoredJob, look_up_job};
+use crate::kv_client::{CompareAndSwapResult, KvError};
+use crate::shared_core::wall_clock_ms;
+use crate::{Node, peer_api};
+use lemonweir_coordination::dependencies::DependencyAdmission;
+use lemonweir_coordination::query_admission::{QueryKind, QueryRefusal};
+use lemonweir_model::constants::{SUBMIT_WAIT_MS, SYNC_TIMEOUT_MS, USER_TIMEOUT_MS};
+use lemonweir_model::{JobId, JobSpec};
+use lemonweir_protocol::encode;
+use lemonweir_protocol::kv_store::CompareAndSwap;
+use lemonweir_protocol::users::{JobPhase, JobStatus, never_runs, read_submission};
+use lemonweir_transport::Reply;
+
+/// Seconds that a refused user is asked to wait at most (protocol page).
+const MAX_RETRY_AFTER_S: u64 = 30;
+
+/// Whether a job can run on any machine type of the catalog.
+enum Runnable {
+    /// It can.
+    Yes,
+    /// It never can, for this reason.
+    Never(String),
+    /// The machine types are not known yet.
+    CatalogUnknown,
+}
+
+/// What accepts a job.
+struct AdmittedJob {
+    /// The compare-and-swaps to commit, in this order.
+    cas_list: Vec<CompareAndSwap>,
+    /// The phase that its user is told of then.
+    phase: JobPhase,
+}
+
+/// How the commit of an admitted job ended.
+enum Commit {
+    /// The job is accepted now.
+    Accepted,
+    /// The keys exist: the job was accepted before.
+    AlreadyAccepted,
+    /// The store did not answer, or not in time.
+    StoreUnavailable,
+}
+
+/// Answers a submission.
+pub(super) async fn submit(node: &Rc<Node>, body: &[u8]) -> Reply {
+    let spec = match read_submission(body) {
+        Ok(spec) => spec,
+        Err(fault) => {
+            debug!(%fault, "submission malformed");
+            return Reply::new(400, encode(&fault.to_string()));
+        }
+    };
+    let id = spec.id.clone();
+    if node.with_core(|core, _| core.cache.knows(&id)) {
+        return answer_known_job(node, &id).await;
+    }
+    match check_runnable(node, &spec) {
+        Runnable::Yes => {}
+        Runnable::Never(reason) => return reject_never_runnable(node, &id, &reason).await,
+        Runnable::CatalogUnknown => return refuse_submission(node, &id, QueryRefusal::NoCatalog),
+    }
+    if !node.store_reachable() {
+        return refuse_submission(node, &id, QueryRefusal::NoWord);
+    }
+    // Guards against taking in more than can be written before its user gives up: the
+    // answer then would come after the user asked again.
+    let write_wait = node.kv_store.write_wait();
+    if write_wait > Duration::from_millis(SUBMIT_WAIT_MS) {
+        return refuse_for_write_queue(node, &id, write_wait).await;
+    }
+    let admitted = match admit(node, &spec).await {
+        Ok(admitted) => admitted,
+        Err(reply) => return reply,
+    };
+    match commit(node, &admitted.cas_list).await {
+        Commit::Accepted => {}
+        Commit::AlreadyAccepted => return answer_known_job(node, &id).await,
+        Commit::StoreUnavailable => return refuse_submission(node, &id, QueryRefusal::Store),
+    }
+    info!(
+        job_id = %id,
+        team = spec.team,
+        class = spec.class,
+        tasks = spec.tasks,
+        dependencies = spec.awaits.len(),
+        phase = ?admitted.phase,
+        "job accepted"
+    );
+    notify_leader(node, &spec.team);
+    answer(node, 201, &JobStatus::plain(id, admitted.phase))
+}
+
+fn refuse_submission(node: &Node, id: &JobId, refusal: QueryRefusal) -> Reply {
+    refuse(node, id, QueryKind::Submission, refusal)
+}
+
+/// Answers the repeated submission of a job that was accepted.
+async fn answer_known_job(node: &Rc<Node>, id: &JobId) -> Reply {
+    match find_status(node, id).await {
+        Ok(Some(status)) => answer(node, 200, &status),
+        Ok(None) => refuse_submission(node, id, QueryRefusal::Store),
+        Err(refusal) => refuse_submission(node, id, refusal),
+    }
+}
+
+fn check_runnable(node: &Node, spec: &JobSpec) -> Runnable {
+    let cluster = &node.settings.cluster;
+    node.with_core(|core, _| match core.catalog.as_ref() {
+        None => Runnable::CatalogUnknown,
+        Some(catalog) => match never_runs(spec, &cluster.teams, &cluster.zones, catalog) {
+            Some(reason) => Runnable::Never(reason),
+            None => Runnable::Yes,
+        },
+    })
+}
+
+/// Rejects a job that can never run.
+///
+/// Guards against one that was accepted when there were other machine types, and has
+/// ended: a repeated submission must not be rejected.
+async fn reject_never_runnable(node: &Rc<Node>, id: &JobId, reason: &str) -> Reply {
+    match find_status(node, id).await {
+        Ok(Some(status)) => answer(node, 200, &status),
+        Ok(None) => {
+            info!(job_id = %id, reason, "job rejected; it can never run");
+            unprocessable(node, id, reason)
+        }
+        Err(refusal) => refuse_submission(node, id, refusal),
+    }
+}
+
+/// Refuses a submission that would wait for so long to be written.
+async fn refuse_for_write_queue(node: &Rc<Node>, id: &JobId, write_wait: Duration) -> Reply {
+    // Guards against a job that was accepted long ago, of which its user asks so: that
+    // needs no writing.
+    let has_priority = node.query_admission.borrow().first(id, node.now_ms());
+    if has_priority && let Ok(Some(status)) = find_status(node, id).await {
+        return answer(node, 200, &status);
+    }
+    let retry_after_s = RETRY_AFTER_S
+        .max(write_wait.as_secs_f64().ceil() as u64)
+        .min(MAX_RETRY_AFTER_S);
+    refuse_for(
+        node,
+        id,
+        QueryKind::Submission,
+        QueryRefusal::Writes,
+        retry_after_s,
+    )
+}
+
+/// What accepts a job. `Err`: the answer to a submission that can't be accepted, or not
+/// now.
+async fn admit(node: &Rc<Node>, spec: &JobSpec) -> Result<AdmittedJob, Reply> {
+    let mut refreshed = false;
+    loop {
+        let admission = node.with_core(|core, _| core.admit(spec, wall_clock_ms()));
+        let unknown = match admission {
+            DependencyAdmission::Accept(cas_list, phase) => {
+                return Ok(AdmittedJob { cas_list, phase });
+            }
+            DependencyAdmission::Unknown(ids) => ids,
+        };
+        check_dependencies_exist(node, &spec.id, &unknown).await?;
+        if refreshed || node.refresh_cache().await.is_err() {
+            return Err(refuse_submission(node, &spec.id, QueryRefusal::Store));
+        }
+        refreshed = true;
+    }
+}
+
+/// Looks up the dependencies of a job that the cache does not know. `Err`: the answer to
+/// a submission with one that does not exist, or can't be looked up.
+///
+/// Guards against rejecting what only this controller's cache does not know.
+async fn check_dependencies_exist(
+    node: &Rc<Node>,
+    id: &JobId,
+    unknown: &[JobId],
+) -> Result<(), Reply> {
+    for dependency in unknown {
+        match look_up_job(node, dependency).await {
+            Ok(StoredJob::NotFound) => {
+                return Err(reject_unknown_dependency(node, id, dependency).await);
+            }
+            Ok(StoredJob::Unfinished | StoredJob::Ended(_)) => {}
+            Err(error) => return Err(refuse_submission(node, id, lookup_refusal(error))),
+        }
+    }
+    Ok(())
+}
+
+/// Rejects a job that depends on one that was never accepted, unless it is itself
+/// accepted already.
+async fn reject_unknown_dependency(node: &Rc<Node>, id: &JobId, dependency: &JobId) -> Reply {
+    match find_status(node, id).await {
+        Ok(Some(status)) => answer(node, 200, &status),
+        Ok(None) => {
+            info!(job_id = %id, %dependency, "job rejected; dependency was never accepted");
+            unprocessable(
+                node,
+                id,
+                &format!("awaits: {dependency} was never accepted"),
+            )
+        }
+        Err(refusal) => refuse_submission(node, id, refusal),
+    }
+}
+
+/// Commits what accepts a job, in the time that its user waits.
+async fn commit(node: &Node, cas_list: &[CompareAndSwap]) -> Commit {
+    let deadline_ms = node.now_ms() + USER_TIMEOUT_MS;
+    for cas in cas_list {
+        loop {
+            match node.kv_store.cas(cas).await {
+                Ok(CompareAndSwapResult::Done(_)) => break,
+                Ok(CompareAndSwapResult::Conflict(_)) => return Commit::AlreadyAccepted,
+                // May have been committed: the same compare-and-swap tells, since its
+                // conditions then fail.
+                Err(KvError::Unknown) if node.now_ms() < deadline_ms => {}
+                Err(_) => return Commit::StoreUnavailable,
+            }
+        }
+    }
+    Commit::Accepted
+}
+
+/// Tells the leader of a team's shard that a job of the team has changed.
+pub(super) fn notify_leader(node: &Rc<Node>, team: &str) {
+    let leader = node.with_core(|core, _| {
+        let shard = core
+            .cache
+            .teams
+            .get(team)
+            .copied()
+            .unwrap_or_else(|| core.config.default_shard(team));
+        core.cache
+            .shards
+            .get(&shard)
+            .map(|leader| leader.host.clone())
+    });
+    let task_node = node.clone();
+    node.executor
+        .spawn(async move {
+            match leader.and_then(|host| task_node.peer_address(&host)) {
+                Some(address) => {
+                    // Only a hint: the leader reads the job at its next refresh anyway.
+                    let _ = task_node
+                        .http
+                        .call(
+                            address,
+                            "POST",
+                            peer_api::JOB_ACCEPTED_PATH,
+                            &[],
+                            SYNC_TIMEOUT_MS,
+                        )
+                        .await;
+                }
+                None => {
+                    let _ = task_node.refresh_cache().await;
+                }
+            }
+        })
+        .detach();
+}
--- a/crates/node/src/router.rs
+++ b/crates/node/src/router.rs
@@ -1,46 +1,53 @@
-//! Calls to the services, by themselves or through another controller, and what
-//! this process carries for others.
+//! Calls to the services, directly or relayed by another controller, and the calls that
+//! this controller relays for others.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
-use std::sync::Mutex;
-use std::time::{Duration, Instant};
 
-use smol::channel::{Sender, bounded};
-use tracing::debug;
-
-use crate::Node;
-use lemonweir_coordination::{Core, HeartbeatAnswer};
-use lemonweir_model::constants::*;
-use lemonweir_protocol::encode;
+use crate::shared_core::SharedCore;
+use lemonweir_model::constants::{CLOUD_TIMEOUT_MS, TICK_MS};
 use lemonweir_protocol::links::{
-    self, LINKS_VERSION, RELAY_HEARTBEATS_PATH, RELAY_PATH, RelayOutcome, RelayRequest,
-    RelayResponse, RelayTarget, RelayedAnswers, RelayedHeartbeats, Service,
+    self, LINKS_VERSION, RELAY_PATH, RelayOutcome, RelayRequest, RelayResponse, RelayTarget,
+    Service,
 };
-use lemonweir_protocol::worker::{Heartbeat, Redirect};
-use lemonweir_transport::{CallError, Client, Reply, Response, within};
+use lemonweir_transport::{CallError, Client, Reply, Response};
+
+/// Path of a worker's command endpoint: the only one that is relayed to workers.
+pub(crate) const WORKER_COMMANDS_PATH: &str = "/commands";
+
+/// ms that a relay peer is given on top of the call itself: for the second message.
+const RELAY_OVERHEAD_MS: u64 = TICK_MS;
+
+/// A call to one of the services.
+pub(crate) struct ServiceCall<'a> {
+    /// The service.
+    pub(crate) service: Service,
+    /// HTTP method.
+    pub(crate) method: &'a str,
+    /// Path with query.
+    pub(crate) path: &'a str,
+    /// Body; empty for none.
+    pub(crate) body: &'a [u8],
+    /// ms after which an unanswered call is given up.
+    pub(crate) timeout_ms: u64,
+}
 
-/// Makes calls to the services on the way that the core names.
+/// Makes calls to the services by the route that the core chooses.
 pub(crate) struct Router {
+    /// The HTTP client of the process.
     pub(crate) http: Rc<Client>,
-    pub(crate) core: Rc<Mutex<Core>>,
+    /// Chooses the route, and is told how each call ended.
+    pub(crate) core: SharedCore,
     /// Other controllers' addresses, by their numbers.
     pub(crate) peers: HashMap<u16, SocketAddr>,
+    /// Address of the key-value store.
     pub(crate) store: SocketAddr,
+    /// Address of the cloud.
     pub(crate) cloud: SocketAddr,
-    pub(crate) started: Instant,
 }
 
 impl Router {
-    fn now(&self) -> u64 {
-        self.started.elapsed().as_millis() as u64
-    }
-
-    fn core(&self) -> std::sync::MutexGuard<'_, Core> {
-        self.core.lock().unwrap_or_else(|e| e.into_inner())
-    }
-
     fn address(&self, service: Service) -> SocketAddr {
         match service {
             Service::Store => self.store,
@@ -48,118 +55,134 @@
         }
     }
 
-    /// Calls a service. An answer that it is in trouble counts as none for the
-    /// way: others may still be served.
-    pub(crate) async fn call(
+    /// Calls a service, directly or by a relay peer.
+    pub(crate) async fn call(&self, call: &ServiceCall<'_>) -> Result<Response, CallError> {
+        let relay_peer = self
+            .core
+            .with(|core, now| core.links.route(call.service, call.body.len(), now));
+        match relay_peer {
+            None => self.call_direct(call).await,
+            Some(relay_peer) => self.call_relayed(relay_peer, call).await,
+        }
+    }
+
+    /// Calls a service directly, and records how it went.
+    pub(crate) async fn call_direct(&self, call: &ServiceCall<'_>) -> Result<Response, CallError> {
+        let began_ms = self.core.now_ms();
+        let result = self
+            .http
+            .call(
+                self.address(call.service),
+                call.method,
+                call.path,
+                call.body,
+                call.timeout_ms,
+            )
+            .await;
+        self.record_response_time(call.service, began_ms, &result);
+        let served = was_served(call.service, &result);
+        self.core
+            .with(|core, now| core.links.tried(call.service, call.body.len(), served, now));
+        result
+    }
+
+    /// Calls a service by a relay peer, and records how it went.
+    async fn call_relayed(
         &self,
-        service: Service,
-        method: &str,
-        path: &str,
-        body: &[u8],
-        wait_ms: u64,
+        relay_peer: u16,
+        call: &ServiceCall<'_>,
     ) -> Result<Response, CallError> {
-        let now = self.now();
-        let by = self.core().links.route(service, body.len(), now);
-        let Some(by) = by else {
-            return self.call_direct(service, method, path, body, wait_ms).await;
-        };
-        let call = RelayRequest {
+        let began_ms = self.core.now_ms();
+        let request = RelayRequest {
             version: LINKS_VERSION,
-            goal: RelayTarget::Service(service),
-            method: method.to_owned(),
-            path: path.to_owned(),
-            body: body.to_vec(),
-            wait_ms,
+            goal: RelayTarget::Service(call.service),
+            method: call.method.to_owned(),
+            path: call.path.to_owned(),
+            body: call.body.to_vec(),
+            wait_ms: call.timeout_ms,
         };
-        let result = self.ask(by, &call).await;
-        let good = result.as_ref().is_ok_and(|r| served(service, r.status));
-        self.took(service, now, result.is_ok());
-        let now = self.now();
-        self.core().links.carried(service, by, good, now);
+        let result = self.send_relay_request(relay_peer, &request).await;
+        self.record_response_time(call.service, began_ms, &result);
+        let served = was_served(call.service, &result);
+        self.core
+            .with(|core, now| core.links.carried(call.service, relay_peer, served, now));
         result
     }
 
-    /// Calls a service by itself.
-    pub(crate) async fn call_direct(
+    fn record_response_time(
         &self,
         service: Service,
-        method: &str,
-        path: &str,
-        body: &[u8],
-        wait_ms: u64,
-    ) -> Result<Response, CallError> {
-        let began = self.now();
-        let result = self
-            .http
-            .call(self.address(service), method, path, body, wait_ms)
-            .await;
-        self.took(service, began, result.is_ok());
-        let good = result.as_ref().is_ok_and(|r| served(service, r.status));
-        let now = self.now();
-        self.core().links.tried(service, body.len(), good, now);
-        result
-    }
-
-    fn took(&self, service: Service, began: u64, answered: bool) {
-        let now = self.now();
-        if answered {
-            self.core()
-                .links
-                .took(service, now.saturating_sub(began), now);
+        began_ms: u64,
+        result: &Result<Response, CallError>,
+    ) {
+        if result.is_ok() {
+            self.core.with(|core, now| {
+                core.links.took(service, now.saturating_sub(began_ms), now);
+            });
         }
     }
 
-    /// Asks another controller to make a call in our place.
-    pub(crate) async fn ask(&self, by: u16, call: &RelayRequest) -> Result<Response, CallError> {
-        let addr = self.peers.get(&by).copied().ok_or(CallError::NotSent)?;
-        // A moment for the second message on top of what the first may take.
+    /// Has another controller make a call on our behalf.
+    pub(crate) async fn send_relay_request(
+        &self,
+        relay_peer: u16,
+        request: &RelayRequest,
+    ) -> Result<Response, CallError> {
+        let address = self
+            .peers
+            .get(&relay_peer)
+            .copied()
+            .ok_or(CallError::NotSent)?;
         let response = self
             .http
             .call(
-                addr,
+                address,
                 "POST",
                 RELAY_PATH,
-                &links::write(call),
-                call.wait_ms + TICK_MS,
+                &links::write(request),
+                request.wait_ms + RELAY_OVERHEAD_MS,
             )
             .await?;
         if response.status != 200 {
-            // Not taken: it is not in a state to carry, or doesn't know how.
+            // Not relayed: the peer is not in a state to do so, or doesn't know how.
             return Err(CallError::NotSent);
         }
-        match links::read::<RelayResponse>(&response.body) {
-            Ok(RelayResponse {
-                fate: RelayOutcome::Answer { status, body },
-                ..
-            }) => Ok(Response { status, body }),
-            Ok(RelayResponse {
-                fate: RelayOutcome::NotSent,
-                ..
-            }) => Err(CallError::NotSent),
-            Ok(RelayResponse {
-                fate: RelayOutcome::Unknown,
-                ..
-            })
-            | Err(_) => Err(CallError::Unknown),
+        match links::read::<RelayResponse>(&response.body).map(|response| response.fate) {
+            Ok(RelayOutcome::Answer { status, body }) => Ok(Response { status, body }),
+            Ok(RelayOutcome::NotSent) => Err(CallError::NotSent),
+            Ok(RelayOutcome::Unknown) | Err(_) => Err(CallError::Unknown),
         }
     }
 
-    /// Makes a call in another controller's place.
-    pub(crate) async fn carry(&self, call: &RelayRequest) -> Reply {
-        let wait_ms = call.wait_ms.min(CLOUD_TIMEOUT_MS);
-        let result = match &call.goal {
+    /// Makes a call on another controller's behalf.
+    pub(crate) async fn relay(&self, request: &RelayRequest) -> Reply {
+        let timeout_ms = request.wait_ms.min(CLOUD_TIMEOUT_MS);
+        let result = match &request.goal {
             RelayTarget::Service(service) => {
-                // Guards against calls that go round: nothing is carried on.
-                if !self.core().links.carries(*service) {
+                // Guards against calls that go in a circle: what is relayed here is
+                // never relayed on.
+                if !self.core.with(|core, _| core.links.carries(*service)) {
                     return Reply::empty(503);
                 }
-                self.call_direct(*service, &call.method, &call.path, &call.body, wait_ms)
-                    .await
+                self.call_direct(&ServiceCall {
+                    service: *service,
+                    method: &request.method,
+                    path: &request.path,
+                    body: &request.body,
+                    timeout_ms,
+                })
+                .await
             }
-            RelayTarget::Worker(addr) => match addr.parse() {
-                Ok(addr) if call.path == "/commands" => {
+            RelayTarget::Worker(address) => match address.parse() {
+                Ok(address) if request.path == WORKER_COMMANDS_PATH => {
                     self.http
-                        .call(addr, &call.method, &call.path, &call.body, wait_ms)
+                        .call(
+                            address,
+                            &request.method,
+                            &request.path,
+                            &request.body,
+                            timeout_ms,
+                        )
                         .await
                 }
                 _ => return Reply::empty(400),
@@ -173,135 +196,19 @@
             Err(CallError::NotSent) => RelayOutcome::NotSent,
             Err(CallError::Unknown) => RelayOutcome::Unknown,
         };
-        Reply::new(
-            200,
-            links::write(&RelayResponse {
-                version: LINKS_VERSION,
-                fate,
-            }),
-        )
-    }
-}
-
-/// True if an answer shows that the service serves us.
-fn served(service: Service, status: u16) -> bool {
-    service == Service::Cloud || status != 503
-}
-
-/// What waits for the owner's answer to a report.
-type Waiting = (Vec<u8>, Sender<(u16, Vec<u8>)>);
-
-/// Reports that wait to be carried, by the owner's number.
-#[derive(Default)]
-pub(crate) struct HeartbeatBatch {
-    waiting: HashMap<u16, Vec<Waiting>>,
-}
-
-/// Has a worker's report answered by its owner.
-pub(crate) async fn carry_report(node: &Rc<Node>, to: u16, body: &[u8]) -> Reply {
-    let (answer, answered) = bounded(1);
-    let first = {
-        let mut gathered = node.gathered.borrow_mut();
-        let waiting = gathered.waiting.entry(to).or_default();
-        if waiting.len() >= CARRY_QUEUE {
-            return Reply::empty(503);
-        }
-        waiting.push((body.to_vec(), answer));
-        waiting.len() == 1
-    };
-    if first {
-        let node2 = node.clone();
-        node.executor
-            .spawn(async move { send_gathered(&node2, to).await })
-            .detach();
-    }
-    match within(CARRY_REPORT_MS + GATHER_MS, answered.recv()).await {
-        Some(Ok((status, body))) => Reply::new(status, body),
-        _ => Reply::empty(503),
-    }
-}
-
-/// Sends what has gathered within a moment, in messages of a bounded size.
-async fn send_gathered(node: &Rc<Node>, to: u16) {
-    smol::Timer::after(Duration::from_millis(GATHER_MS)).await;
-    let mut all = node
-        .gathered
-        .borrow_mut()
-        .waiting
-        .remove(&to)
-        .unwrap_or_default();
-    while !all.is_empty() {
-        let rest = all.split_off(all.len().min(GATHER_MOST));
-        let batch = std::mem::replace(&mut all, rest);
-        let node = node.clone();
-        node.clone()
-            .executor
-            .spawn(async move { send_batch(&node, to, batch).await })
-            .detach();
-    }
-}
-
-async fn send_batch(node: &Node, to: u16, batch: Vec<Waiting>) {
-    let (reports, senders): (Vec<Vec<u8>>, Vec<_>) = batch.into_iter().unzip();
-    let by = node.core().config.me;
-    let message = links::write(&RelayedHeartbeats {
-        version: LINKS_VERSION,
-        by,
-        reports,
-    });
-    let response = match node.courier.peers.get(&to) {
-        Some(addr) => {
-            node.http
-                .call(
-                    *addr,
-                    "POST",
-                    RELAY_HEARTBEATS_PATH,
-                    &message,
-                    CARRY_REPORT_MS,
-                )
-                .await
-        }
-        None => Err(CallError::NotSent),
-    };
-    let now = node.now();
-    node.core().links.reached(to, response.is_ok(), now);
-    let Ok(response) = response else { return };
-    match links::read::<RelayedAnswers>(&response.body) {
-        Ok(RelayedAnswers { answers, .. }) if response.status == 200 => {
-            for (sender, answer) in senders.iter().zip(answers) {
-                // Who asked may have given up.
-                let _ = sender.try_send(answer);
-            }
-        }
-        _ => debug!(to, status = response.status, "reports were not taken"),
-    }
-}
-
-/// Answers reports that another controller carries here.
-pub(crate) fn take_reports(node: &Node, reports: &RelayedHeartbeats) -> Reply {
-    let now = node.now();
-    let mut answers = Vec::with_capacity(reports.reports.len());
-    for body in &reports.reports {
-        answers.push(match lemonweir_protocol::decode::<Heartbeat>(body) {
-            Ok(report) => status_and_body(node.core().carried_report(&report, reports.by, now)),
-            Err(_) => (400, Vec::new()),
-        });
-    }
-    node.poke();
-    Reply::new(
-        200,
-        links::write(&RelayedAnswers {
+        let response = RelayResponse {
             version: LINKS_VERSION,
-            answers,
-        }),
-    )
+            fate,
+        };
+        Reply::new(200, links::write(&response))
+    }
 }
 
-/// What a worker is answered, where nothing is to be carried.
-pub(crate) fn status_and_body(answer: HeartbeatAnswer) -> (u16, Vec<u8>) {
-    match answer {
-        HeartbeatAnswer::Orders(reply) => (200, encode(&reply)),
-        HeartbeatAnswer::Elsewhere(host) => (421, encode(&Redirect { host: Some(host) })),
-        HeartbeatAnswer::Carry(_) | HeartbeatAnswer::Unable => (503, Vec::new()),
-    }
+/// True if a call was answered, and the answer shows that the service serves us. One of
+/// the store that it is in trouble (503) counts as none for the route: other controllers
+/// may still be served.
+fn was_served(service: Service, result: &Result<Response, CallError>) -> bool {
+    result
+        .as_ref()
+        .is_ok_and(|response| service == Service::Cloud || response.status != 503)
 }
--- /dev/null
+++ b/crates/node/src/shard_loading.rs
@@ -0,0 +1,120 @@
+//! Loads the records of a shard that this controller was elected for.
+
+use std::collections::BTreeMap;
+use std::rc::Rc;
+
+use tracing::{error, info};
+
+use crate::kv_client::KvError;
+use crate::{Node, sleep_ms};
+use lemonweir_coordination::ShardLease;
+use lemonweir_model::JobId;
+use lemonweir_model::constants::TICK_MS;
+use lemonweir_protocol::kv_store::from_value;
+use lemonweir_storage::packed_chunk::read_chunk;
+use lemonweir_storage::records::{
+    ImageLocationsRecord, TaskChunkRecord, images_prefix, parse_images_key, parse_run_key,
+    run_prefix,
+};
+
+/// A chunk of task records: its job, its number, the record and the version of its key.
+type VersionedChunk = (JobId, u32, TaskChunkRecord, u64);
+
+/// What the store keeps of a shard.
+struct ShardRecords {
+    chunks: Vec<VersionedChunk>,
+    images: Vec<ImageLocationsRecord>,
+}
+
+/// Loads a shard that was acquired with this fencing token, unless it is lost meanwhile.
+pub(crate) async fn load_shard(node: &Rc<Node>, lease: ShardLease) {
+    // From here on no earlier leader can write this shard's records: all its
+    // compare-and-swaps demand its own token.
+    let Some(records) = read_records_while_leading(node, lease).await else {
+        return;
+    };
+    // The jobs must be at least as new as the records.
+    while node.refresh_cache().await.is_err() {
+        sleep_ms(TICK_MS).await;
+    }
+    node.with_core(|core, now| {
+        let leading = core
+            .cache
+            .shards
+            .get(&lease.shard)
+            .is_some_and(|leader| leader.token == lease.token);
+        if leading {
+            core.acquire(lease, &records.chunks, records.images, now);
+        }
+    });
+    node.wake();
+}
+
+/// Reads a shard's records, as often as it takes. `None`: the shard has got another
+/// leader, or this one under another token.
+async fn read_records_while_leading(node: &Node, lease: ShardLease) -> Option<ShardRecords> {
+    loop {
+        match read_records(node, lease.shard).await {
+            Ok(records) => return Some(records),
+            // Guards against a shard that is acquired anew, with another token, for each
+            // page that the store does not answer.
+            Err(fault) => info!(shard = lease.shard, %fault, "shard records not read; retrying"),
+        }
+        sleep_ms(2 * TICK_MS).await;
+        let lost = node.with_core(|core, _| {
+            core.cache.revision >= Some(lease.token)
+                && core
+                    .cache
+                    .shards
+                    .get(&lease.shard)
+                    .is_none_or(|leader| leader.token != lease.token)
+        });
+        if lost {
+            return None;
+        }
+    }
+}
+
+/// Reads a shard's task records, and what it recorded of images.
+async fn read_records(node: &Node, shard: u16) -> Result<ShardRecords, KvError> {
+    Ok(ShardRecords {
+        chunks: read_task_records(node, shard).await?,
+        images: read_image_locations(node, shard).await?,
+    })
+}
+
+async fn read_task_records(node: &Node, shard: u16) -> Result<Vec<VersionedChunk>, KvError> {
+    let entries = node.kv_store.list(&run_prefix(shard)).await?.entries;
+    let mut chunks = Vec::with_capacity(entries.len());
+    for entry in &entries {
+        let record = |(job, chunk): (JobId, u32)| {
+            Some((job, chunk, read_chunk(&entry.value, chunk)?, entry.version))
+        };
+        match parse_run_key(&entry.key).and_then(record) {
+            Some(record) => chunks.push(record),
+            None => error!(key = entry.key, "task record malformed"),
+        }
+    }
+    Ok(chunks)
+}
+
+async fn read_image_locations(
+    node: &Node,
+    shard: u16,
+) -> Result<Vec<ImageLocationsRecord>, KvError> {
+    let entries = node.kv_store.list(&images_prefix(shard)).await?.entries;
+    let mut pages: BTreeMap<usize, ImageLocationsRecord> = BTreeMap::new();
+    for entry in &entries {
+        match (
+            parse_images_key(&entry.key),
+            from_value::<ImageLocationsRecord>(&entry.value),
+        ) {
+            (Some(page), Some(record)) => {
+                pages.insert(page, record);
+            }
+            // Only a hint: a page that is malformed is written anew.
+            _ => info!(key = entry.key, "image locations record malformed"),
+        }
+    }
+    Ok(pages.into_values().collect())
+}
--- /dev/null
+++ b/crates/node/src/startup.rs
@@ -0,0 +1,149 @@
+//! Builds the process from its settings and starts its tasks.
+
+use std::cell::{Cell, RefCell};
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::rc::Rc;
+
+use smol::LocalExecutor;
+use smol::channel::{Receiver, Sender, bounded, unbounded};
+use tracing::info;
+
+use crate::cloud::CloudClient;
+use crate::heartbeat_relay::HeartbeatQueues;
+use crate::kv_client::KvClient;
+use crate::peer_api::PeerApi;
+use crate::public_api::PublicApi;
+use crate::router::Router;
+use crate::shared_core::{SharedCore, wall_clock_ms};
+use crate::{Node, cache_refresh, cloud, elections, flush_loop, lease_keeper, public_api};
+use lemonweir_coordination::{Config, Core};
+use lemonweir_model::constants::{MAX_BODY_BYTES, MAX_RESPONSE_BYTES};
+use lemonweir_model::policy::Policy;
+use lemonweir_model::settings::Settings;
+use lemonweir_transport::server::{listen, serve};
+use lemonweir_transport::{Client, Gate};
+
+/// The ends of the node's channels that its loops read.
+struct Requests {
+    refresh: Receiver<Sender<bool>>,
+    flush: Receiver<()>,
+}
+
+/// Runs a controller until the process is killed.
+///
+/// # Errors
+///
+/// If one of the two addresses of the settings can't be listened on.
+pub fn run(settings: Settings, policy: Policy) -> std::io::Result<()> {
+    // The executor lives as long as the process; tasks need it for ever.
+    let executor: &'static LocalExecutor<'static> = Box::leak(Box::new(LocalExecutor::new()));
+    smol::block_on(executor.run(async move {
+        let public = listen(settings.listen).await?;
+        let internal = listen(settings.internal_addr).await?;
+        let mut config = Config::new(&settings);
+        config.wall_offset_ms = wall_clock_ms();
+        let sockets = config.sockets;
+        let (node, requests) = build(executor, settings, config, policy);
+        let gate = Gate::new(sockets.public, sockets.crowded_at(), sockets.users());
+        let api = Rc::new(PublicApi(node.clone()));
+        executor
+            .spawn(serve(executor, public, gate, MAX_BODY_BYTES, api))
+            .detach();
+        let gate = Gate::new(sockets.peers, sockets.peers / 2, 0);
+        let api = Rc::new(PeerApi(node.clone()));
+        executor
+            .spawn(serve(executor, internal, gate, MAX_RESPONSE_BYTES, api))
+            .detach();
+        start_background_tasks(&node, requests.refresh);
+        flush_loop::run(node, requests.flush).await;
+        Ok(())
+    }))
+}
+
+/// Builds what the tasks share.
+fn build(
+    executor: &'static LocalExecutor<'static>,
+    settings: Settings,
+    config: Config,
+    policy: Policy,
+) -> (Rc<Node>, Requests) {
+    let sockets = config.sockets;
+    let controllers = config.members.len();
+    let http = Rc::new(Client::new(sockets.idle));
+    let peers = peer_addresses(&settings, &config);
+    let core = SharedCore::new(Core::new(config, policy));
+    let router = Rc::new(Router {
+        http: http.clone(),
+        core: core.clone(),
+        peers,
+        store: settings.services.state,
+        cloud: settings.services.cloud,
+    });
+    let kv_store = KvClient::new(router.clone(), &settings.cluster.state, controllers);
+    let cloud = CloudClient::new(router.clone(), settings.cluster.cloud.rps, controllers);
+    let (refresh_requests, refresh) = unbounded();
+    let (flush_requests, flush) = bounded(1);
+    info!(host = settings.host_name, zone = settings.zone, listen = %settings.listen, "controller starting");
+    info!(
+        ?sockets,
+        close_above = sockets.crowded_at(),
+        "socket limits; above `close_above` connections of workers and users, answers close theirs"
+    );
+    let node = Node {
+        settings,
+        core,
+        router,
+        heartbeat_queues: HeartbeatQueues::default(),
+        job_lookups: RefCell::default(),
+        query_admission: RefCell::default(),
+        overloaded_until_ms: Cell::new(0),
+        kv_store,
+        cloud,
+        http,
+        executor,
+        store_lease: Cell::new(None),
+        refresh_requests,
+        flush_requests,
+    };
+    (Rc::new(node), Requests { refresh, flush })
+}
+
+/// Addresses of the other controllers, by their numbers among the members.
+fn peer_addresses(settings: &Settings, config: &Config) -> HashMap<u16, SocketAddr> {
+    let number = |host: &str| {
+        config
+            .members
+            .iter()
+            .position(|member| member.host == host)
+            .map(|position| position as u16)
+    };
+    settings
+        .seeds
+        .iter()
+        .filter_map(|seed| Some((number(&seed.host_name)?, seed.address)))
+        .collect()
+}
+
+/// Starts the loops of the process, other than that of the core.
+fn start_background_tasks(node: &Rc<Node>, refresh_requests: Receiver<Sender<bool>>) {
+    let executor = node.executor;
+    executor
+        .spawn(cache_refresh::run(node.clone(), refresh_requests))
+        .detach();
+    executor
+        .spawn(lease_keeper::renew_store_lease(node.clone()))
+        .detach();
+    executor
+        .spawn(elections::run_elections(node.clone()))
+        .detach();
+    executor
+        .spawn(public_api::log_refused_queries(node.clone()))
+        .detach();
+    executor
+        .spawn(cloud::refresh_catalog(node.clone()))
+        .detach();
+    executor
+        .spawn(cloud::refresh_instances(node.clone()))
+        .detach();
+}
--- /dev/null
+++ b/crates/node/tests/peer_api.rs
@@ -0,0 +1,78 @@
+//! The routes that other controllers use, on a controller process without services.
+
+use std::net::{SocketAddr, TcpListener};
+use std::time::{Duration, Instant};
+
+use lemonweir_model::settings::Settings;
+use lemonweir_transport::Client;
+
+const TIMEOUT_MS: u64 = 5_000;
+
+fn unused_address() -> SocketAddr {
+    TcpListener::bind(("127.0.0.1", 0))
+        .expect("a port")
+        .local_addr()
+        .expect("an address")
+}
+
+fn settings(internal_addr: SocketAddr) -> Settings {
+    serde_json::from_value(serde_json::json!({
+        "host_name": "h0", "zone": "north", "listen": "127.0.0.1:0", "internal_addr": internal_addr,
+        "seeds": [],
+        "services": {"cloud": "127.0.0.1:9", "state": "127.0.0.1:9"},
+        "cluster": {
+            "zones": ["north"], "teams": [{"name": "red"}], "objectives": [],
+            "workers": {"report_s": 3.0, "lease_s": 14.0, "gang_wait_s": 50.0, "gang_peer_s": 8.0, "cancel_s": 34.0},
+            "state": {"rps": 200.0, "write_rps": 80.0, "value_kb": 8.0, "txn_ops": 4},
+            "cloud": {"rps": 4.0, "list_lag_s": 10.0},
+            "limits": {"cpu_share": 0.12, "mem_mb": 104.0, "fd_limit": 1800},
+            "clock_off_ms": 250.0
+        }
+    }))
+    .expect("settings")
+}
+
+/// Starts a controller that runs until the test's process ends; waits until it listens.
+fn start() -> SocketAddr {
+    let address = unused_address();
+    std::thread::spawn(move || {
+        lemonweir_node::run(
+            settings(address),
+            lemonweir_policy::embedded().expect("policy"),
+        )
+    });
+    let began = Instant::now();
+    while std::net::TcpStream::connect(address).is_err() {
+        assert!(began.elapsed() < Duration::from_secs(60), "no connection");
+        std::thread::sleep(Duration::from_millis(20));
+    }
+    address
+}
+
+/// A message of one route is not taken for that of another: wake-ups and notices of
+/// accepted jobs carry no body, and a relayed call without one is malformed.
+#[test]
+fn each_peer_route_answers_its_own_messages() {
+    let address = start();
+    let client = Client::new(4);
+    for (method, path, status) in [
+        ("POST", "/peer/jobs", 200),
+        ("POST", "/peer/nudge/0/1", 200),
+        ("POST", "/peer/nudge/0", 400),
+        ("POST", "/peer/nudge/x/y", 400),
+        ("POST", "/peer/sync", 400),
+        ("POST", lemonweir_protocol::links::GOSSIP_PATH, 400),
+        ("POST", lemonweir_protocol::links::RELAY_PATH, 400),
+        (
+            "POST",
+            lemonweir_protocol::links::RELAY_HEARTBEATS_PATH,
+            400,
+        ),
+        ("POST", "/peer/unknown", 404),
+        ("GET", "/peer/jobs", 404),
+    ] {
+        let response = smol::block_on(client.call(address, method, path, &[], TIMEOUT_MS))
+            .unwrap_or_else(|error| panic!("{method} {path}: {error}"));
+        assert_eq!(response.status, status, "{method} {path}");
+    }
+}
--- a/crates/node/tests/holds.rs
+++ b/crates/node/tests/store_lease.rs
@@ -1,5 +1,5 @@
-//! A controller process against a store that answers slowly: its hold, and the part
-//! that it takes.
+//! A controller process against a store that answers slowly: its store lease, and the
+//! shard that it acquires.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write as _};
@@ -15,30 +15,30 @@
 use lemonweir_protocol::{decode, encode};
 use lemonweir_storage::records::{TaskChunkRecord, run_prefix, shard_key};
 
-/// Pages of the part's task records, and how long each answer takes.
+/// Pages of the shard's task records, and how long each answer takes.
 const PAGES: usize = 9;
-const PAGE_TAKES: Duration = Duration::from_millis(1_000);
+const PAGE_LATENCY: Duration = Duration::from_millis(1_000);
 /// The page that is refused when it is first asked for.
-const REFUSED: usize = 3;
+const REFUSED_PAGE: usize = 3;
 
 #[derive(Clone, Debug, PartialEq)]
-enum Seen {
-    Renewal,
-    ListResponse(usize),
-    Taking,
-    Images,
+enum ObservedRequest {
+    LeaseRenewal,
+    TaskRecordsPage(usize),
+    ShardAcquisition,
+    ImageLocations,
 }
 
 #[derive(Default)]
-struct Store {
+struct FakeStore {
     revision: u64,
     versions: BTreeMap<String, u64>,
     log: Vec<WatchEvent>,
-    seen: Vec<Seen>,
+    observed: Vec<ObservedRequest>,
     refused: bool,
 }
 
-impl Store {
+impl FakeStore {
     fn cas(&mut self, cas: &CompareAndSwap) -> (u16, Vec<u8>) {
         let version = |key: &String| self.versions.get(key).copied().unwrap_or(0);
         let failed: Vec<String> = cas
@@ -58,10 +58,10 @@
         }
         self.revision += 1;
         for write in &cas.writes {
-            let change = match write {
+            let event = match write {
                 Write::Put { key, value, .. } => {
                     if *key == shard_key(0) {
-                        self.seen.push(Seen::Taking);
+                        self.observed.push(ObservedRequest::ShardAcquisition);
                     }
                     self.versions.insert(key.clone(), self.revision);
                     WatchEvent {
@@ -81,7 +81,7 @@
                     }
                 }
             };
-            self.log.push(change);
+            self.log.push(event);
         }
         (
             200,
@@ -93,7 +93,7 @@
     }
 }
 
-fn answer(store: &Mutex<Store>, method: &str, path: &str, body: &[u8]) -> (u16, Vec<u8>) {
+fn answer(store: &Mutex<FakeStore>, method: &str, path: &str, body: &[u8]) -> (u16, Vec<u8>) {
     let page = |entries: Vec<KeyValue>, more: bool, revision: u64| {
         (
             200,
@@ -105,33 +105,35 @@
         )
     };
     if method == "GET" && path.contains(&format!("under={}", run_prefix(0))) {
-        std::thread::sleep(PAGE_TAKES);
-        let asked = path
+        std::thread::sleep(PAGE_LATENCY);
+        let last_page = path
             .split("&after=run/0/req-000001/")
             .nth(1)
             .and_then(|rest| rest.split('&').next()?.parse::<usize>().ok());
-        let n = asked.map_or(0, |last| last + 1);
+        let page_number = last_page.map_or(0, |last| last + 1);
         let mut store = store.lock().expect("unbroken");
-        if n == REFUSED && !std::mem::replace(&mut store.refused, true) {
+        if page_number == REFUSED_PAGE && !std::mem::replace(&mut store.refused, true) {
             return (503, Vec::new());
         }
-        store.seen.push(Seen::ListResponse(n));
+        store
+            .observed
+            .push(ObservedRequest::TaskRecordsPage(page_number));
         let entry = KeyValue {
-            key: format!("{}req-000001/{n}", run_prefix(0)),
+            key: format!("{}req-000001/{page_number}", run_prefix(0)),
             value: to_value(&TaskChunkRecord::default()),
             version: 1,
         };
-        return page(vec![entry], n + 1 < PAGES, store.revision);
+        return page(vec![entry], page_number + 1 < PAGES, store.revision);
     }
     let mut store = store.lock().expect("unbroken");
     match (method, path) {
         ("POST", "/holds") => (200, encode(&LeaseResponse { hold: 7 })),
         ("POST", "/holds/7/renew") => {
-            store.seen.push(Seen::Renewal);
+            store.observed.push(ObservedRequest::LeaseRenewal);
             (200, encode(&LeaseResponse { hold: 7 }))
         }
         ("POST", "/txn") => {
-            let cas = decode::<CompareAndSwap>(body).expect("a transaction");
+            let cas = decode::<CompareAndSwap>(body).expect("a compare-and-swap");
             store.cas(&cas)
         }
         ("GET", path) if path.starts_with("/watch") => {
@@ -156,7 +158,7 @@
         }
         ("GET", path) if path.contains("under=") => {
             if path.contains("under=img/") {
-                store.seen.push(Seen::Images);
+                store.observed.push(ObservedRequest::ImageLocations);
             }
             page(Vec::new(), false, store.revision)
         }
@@ -165,7 +167,7 @@
 }
 
 /// Answers the requests of one connection.
-fn serve(stream: TcpStream, store: &Mutex<Store>) -> Option<()> {
+fn serve(stream: TcpStream, store: &Mutex<FakeStore>) -> Option<()> {
     let mut reader = BufReader::new(stream.try_clone().ok()?);
     let mut stream = stream;
     loop {
@@ -214,15 +216,15 @@
     .expect("settings")
 }
 
-/// Reading the records of a part takes longer than a hold lives, and one page is
-/// refused: the hold is renewed all the same, and the part is taken once.
+/// Reading the records of a shard takes longer than a store lease lives, and one page is
+/// refused: the lease is renewed all the same, and the shard is acquired once.
 #[test]
-fn a_hold_is_renewed_while_a_part_is_read_slowly() {
+fn store_lease_is_renewed_while_shard_records_load_slowly() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let port = listener.local_addr().expect("an address").port();
-    let store = Arc::new(Mutex::new(Store {
+    let store = Arc::new(Mutex::new(FakeStore {
         revision: 1,
-        ..Store::default()
+        ..FakeStore::default()
     }));
     let shared = store.clone();
     std::thread::spawn(move || {
@@ -239,27 +241,34 @@
         )
     });
     let began = Instant::now();
-    let seen = loop {
+    let observed = loop {
         std::thread::sleep(Duration::from_millis(100));
-        let seen = store.lock().expect("unbroken").seen.clone();
-        if seen.contains(&Seen::Images) {
-            break seen;
+        let observed = store.lock().expect("unbroken").observed.clone();
+        if observed.contains(&ObservedRequest::ImageLocations) {
+            break observed;
         }
-        assert!(began.elapsed() < Duration::from_secs(120), "{seen:?}");
+        assert!(began.elapsed() < Duration::from_secs(120), "{observed:?}");
     };
     assert_eq!(
-        seen.iter().filter(|s| **s == Seen::Taking).count(),
+        observed
+            .iter()
+            .filter(|request| **request == ObservedRequest::ShardAcquisition)
+            .count(),
         1,
-        "{seen:?}"
+        "{observed:?}"
     );
-    // In pages, each of which takes a seventh of what a hold lives.
-    let longest = seen
-        .split(|s| *s == Seen::Renewal)
-        .map(|s| {
-            s.iter()
-                .filter(|s| matches!(s, Seen::ListResponse(_)))
+    // In pages, each of which takes a seventh of what a lease lives.
+    let most_pages_between_renewals = observed
+        .split(|request| *request == ObservedRequest::LeaseRenewal)
+        .map(|requests| {
+            requests
+                .iter()
+                .filter(|request| matches!(request, ObservedRequest::TaskRecordsPage(_)))
                 .count()
         })
         .max();
-    assert!(longest.is_some_and(|pages| pages <= 5), "{seen:?}");
+    assert!(
+        most_pages_between_renewals.is_some_and(|pages| pages <= 5),
+        "{observed:?}"
+    );
 }
