--- a/crates/node/src/cache_refresh.rs
+++ b/crates/node/src/cache_refresh.rs
@@ -2,11 +2,11 @@
 
 use std::rc::Rc;
 
-use smol::channel::{Receiver, Sender};
+use smol::channel::Receiver;
 use tracing::{info, warn};
 
 use crate::kv_client::KvError;
-use crate::{Node, effect_executor, sleep_ms};
+use crate::{Node, RefreshError, RefreshWaiter, effect_executor, sleep_ms};
 use lemonweir_model::constants::{REFRESH_BUSY_MS, REFRESH_IDLE_MS};
 use lemonweir_storage::records::FOLLOWED;
 use lemonweir_transport::within;
@@ -22,8 +22,8 @@
 
 /// Refreshes the cache, for ever. Users' queries that wait share one refresh that began
 /// after all of them had arrived.
-pub(crate) async fn run(node: Rc<Node>, requests: Receiver<Sender<bool>>) {
-    let mut waiting: Vec<Sender<bool>> = Vec::new();
+pub(crate) async fn run(node: Rc<Node>, requests: Receiver<RefreshWaiter>) {
+    let mut waiting: Vec<RefreshWaiter> = Vec::new();
     loop {
         while let Ok(waiter) = requests.try_recv() {
             waiting.push(waiter);
@@ -35,7 +35,7 @@
         }
         for waiter in waiting.drain(..) {
             // The waiter may have given up.
-            let _ = waiter.try_send(outcome.is_ok());
+            let _ = waiter.try_send(outcome.map(|_| ()).map_err(|_| RefreshError));
         }
         sleep_ms(REFRESH_BUSY_MS).await;
         if requests.is_empty()
@@ -48,7 +48,8 @@
     }
 }
 
-/// Tells the core of a refresh that began then, and runs what came through the store.
+/// Hands the core a refresh that began then, and executes the peers' messages that came
+/// with it.
 fn on_refreshed(node: &Rc<Node>, began_ms: u64, refresh: Refresh) {
     let changed = refresh == Refresh::Changed;
     let effects = node.with_core(|core, now| {
--- a/crates/node/src/effect_executor.rs
+++ b/crates/node/src/effect_executor.rs
@@ -63,7 +63,7 @@
     }
 }
 
-/// Commits task records of a shard, and tells the core how it ended.
+/// Commits task records of a shard, and reports the outcome to the core.
 async fn commit_task_records(node: &Node, lease: ShardLease, cas: &CompareAndSwap) {
     let outcome = match node.kv_store.cas(cas).await {
         Ok(CompareAndSwapResult::Done(revision)) => CompareAndSwapOutcome::Done(revision),
@@ -96,7 +96,7 @@
         }
         Err(_) => {
             // Whether it was committed or not, the same change is tried again under the
-            // same conditions; a conflict then tells.
+            // same conditions; a conflict then shows it.
             sleep_ms(STORE_RETRY_MS).await;
             CompareAndSwapOutcome::Again
         }
@@ -165,7 +165,7 @@
     }
 }
 
-/// Sends commands to a worker, and tells the core how it ended.
+/// Sends commands to a worker, and reports the result to the core.
 async fn send_command(node: &Node, lease: ShardLease, call: &CommandCall) {
     debug!(machine = %call.machine, relay_peer = ?call.through, commands = ?call.commands.orders, "sending commands");
     let body = encode(&call.commands);
@@ -325,13 +325,13 @@
     }
 }
 
-/// Provisions instances, and tells the core how it ended.
+/// Provisions instances, and reports the result to the core.
 async fn provision(node: &Node, lease: ShardLease, request: &ProvisioningRequest) {
     let result = node.cloud.provision(request).await;
     node.with_core(|core, now| core.rented(lease, request, result, now));
 }
 
-/// Releases instances, and tells the core how it ended.
+/// Releases instances, and reports the result to the core.
 async fn release_instances(node: &Node, lease: ShardLease, machines: &[MachineId]) {
     let released = node.cloud.release(machines).await;
     if !released {
@@ -340,8 +340,8 @@
     node.with_core(|core, now| core.released(lease, machines, released, now));
 }
 
-/// Tells another controller what is reachable from here. Its answer brings the same of
-/// its own, if it is understood.
+/// Sends another controller what is reachable from here. Its response has the same of its
+/// own, unless it is malformed.
 async fn send_gossip(node: &Node, host: u16, gossip: &AvailabilityGossip) {
     let response = match node.router.peers.get(&host) {
         Some(address) => node
--- a/crates/node/src/elections.rs
+++ b/crates/node/src/elections.rs
@@ -88,7 +88,7 @@
     }
 }
 
-/// Carries out here what the store has committed at this revision.
+/// Applies here what the store has committed at this revision.
 async fn on_election_committed(node: &Rc<Node>, action: ElectionAction, revision: u64) {
     match action {
         // The revision of the acquisition is the fencing token.
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -72,8 +72,8 @@
     executor: &'static LocalExecutor<'static>,
     /// The lease in the store that this controller's keys live with, while it has one.
     store_lease: Cell<Option<StoreLeaseId>>,
-    /// Takes who waits for a refresh of the cache; each is told whether it succeeded.
-    refresh_requests: Sender<Sender<bool>>,
+    /// Takes who waits for a refresh of the state cache.
+    refresh_requests: Sender<RefreshWaiter>,
     /// Takes requests to flush the core before the next tick.
     flush_requests: Sender<()>,
 }
@@ -83,6 +83,9 @@
 #[error("state cache could not be refreshed from the key-value store")]
 pub(crate) struct RefreshError;
 
+/// Is sent the result of a refresh that began after it was queued.
+type RefreshWaiter = Sender<Result<(), RefreshError>>;
+
 impl Node {
     /// Runs a step of the core, with the present time of the steady clock in ms.
     fn with_core<R>(&self, step: impl FnOnce(&mut Core, u64) -> R) -> R {
@@ -113,14 +116,14 @@
 
     /// Waits for a refresh of the state cache that begins after this call.
     async fn refresh_cache(&self) -> Result<(), RefreshError> {
-        let (done, refreshed) = bounded(1);
-        if self.refresh_requests.try_send(done).is_err() {
+        let (waiter, result) = bounded(1);
+        if self.refresh_requests.try_send(waiter).is_err() {
             return Err(RefreshError);
         }
-        match within(USER_TIMEOUT_MS, refreshed.recv()).await {
-            Some(Ok(true)) => Ok(()),
-            _ => Err(RefreshError),
-        }
+        within(USER_TIMEOUT_MS, result.recv())
+            .await
+            .and_then(Result::ok)
+            .unwrap_or(Err(RefreshError))
     }
 
     /// Address on which another controller takes its peers' messages.
--- a/crates/node/src/public_api/job_status.rs
+++ b/crates/node/src/public_api/job_status.rs
@@ -30,7 +30,7 @@
 }
 
 /// The status of a job, in the time that a user waits for an answer. `Ok(None)`: there is
-/// no such job. `Err`: it can't be told now.
+/// no such job. `Err`: it can't be determined now.
 pub(super) async fn find_status(
     node: &Rc<Node>,
     id: &JobId,
@@ -98,7 +98,7 @@
     Ok(())
 }
 
-/// What a user is told of a job that the cache knows.
+/// The status, as users see it, of a job that the cache knows.
 fn status_of(id: &JobId, cached: Answer) -> Option<JobStatus> {
     match cached {
         Answer::Over(phase) => Some(JobStatus::plain(id.clone(), phase)),
--- a/crates/node/src/public_api/submit.rs
+++ b/crates/node/src/public_api/submit.rs
@@ -37,7 +37,7 @@
 struct AdmittedJob {
     /// The compare-and-swaps to commit, in this order.
     cas_list: Vec<CompareAndSwap>,
-    /// The phase that its user is told of then.
+    /// The phase that its user is answered with then.
     phase: JobPhase,
 }
 
@@ -225,7 +225,7 @@
             match node.kv_store.cas(cas).await {
                 Ok(CompareAndSwapResult::Done(_)) => break,
                 Ok(CompareAndSwapResult::Conflict(_)) => return Commit::AlreadyAccepted,
-                // May have been committed: the same compare-and-swap tells, since its
+                // May have been committed: the same compare-and-swap shows it, since its
                 // conditions then fail.
                 Err(KvError::Unknown) if node.now_ms() < deadline_ms => {}
                 Err(_) => return Commit::StoreUnavailable,
@@ -235,7 +235,7 @@
     Commit::Accepted
 }
 
-/// Tells the leader of a team's shard that a job of the team has changed.
+/// Notifies the leader of a team's shard that a job of the team has changed.
 pub(super) fn notify_leader(node: &Rc<Node>, team: &str) {
     let leader = node.with_core(|core, _| {
         let shard = core
--- a/crates/node/src/router.rs
+++ b/crates/node/src/router.rs
@@ -37,7 +37,7 @@
 pub(crate) struct Router {
     /// The HTTP client of the process.
     pub(crate) http: Rc<Client>,
-    /// Chooses the route, and is told how each call ended.
+    /// Chooses the route, and records the result of each call.
     pub(crate) core: SharedCore,
     /// Other controllers' addresses, by their numbers.
     pub(crate) peers: HashMap<u16, SocketAddr>,
--- a/crates/node/src/startup.rs
+++ b/crates/node/src/startup.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 use smol::LocalExecutor;
-use smol::channel::{Receiver, Sender, bounded, unbounded};
+use smol::channel::{Receiver, bounded, unbounded};
 use tracing::info;
 
 use crate::cloud::CloudClient;
@@ -16,7 +16,9 @@
 use crate::public_api::PublicApi;
 use crate::router::Router;
 use crate::shared_core::{SharedCore, wall_clock_ms};
-use crate::{Node, cache_refresh, cloud, elections, flush_loop, lease_keeper, public_api};
+use crate::{
+    Node, RefreshWaiter, cache_refresh, cloud, elections, flush_loop, lease_keeper, public_api,
+};
 use lemonweir_coordination::{Config, Core};
 use lemonweir_model::constants::{MAX_BODY_BYTES, MAX_RESPONSE_BYTES};
 use lemonweir_model::policy::Policy;
@@ -26,7 +28,7 @@
 
 /// The ends of the node's channels that its loops read.
 struct Requests {
-    refresh: Receiver<Sender<bool>>,
+    refresh: Receiver<RefreshWaiter>,
     flush: Receiver<()>,
 }
 
@@ -126,7 +128,7 @@
 }
 
 /// Starts the loops of the process, other than that of the core.
-fn start_background_tasks(node: &Rc<Node>, refresh_requests: Receiver<Sender<bool>>) {
+fn start_background_tasks(node: &Rc<Node>, refresh_requests: Receiver<RefreshWaiter>) {
     let executor = node.executor;
     executor
         .spawn(cache_refresh::run(node.clone(), refresh_requests))
