--- a/crates/coordination/src/flush.rs
+++ b/crates/coordination/src/flush.rs
@@ -51,7 +51,7 @@
                 continue;
             };
             let lease = shard.lease;
-            shard.placer.records_version = self.cache.records_version.0;
+            shard.placer.record_format_version = self.cache.records_version.0;
             shard.owner.pause_launches(outlived);
             // What came in during a pause goes first.
             if !reading {
@@ -116,14 +116,14 @@
             let nudges: Vec<u16> = shard.nudged.keys().copied().collect();
             shard.nudged.clear();
             effects.extend(nudges.into_iter().map(Effect::Nudge));
-            if shard.placer.wants_pass(now) && now >= shard.last_place + PLACE_GAP_MS {
+            if shard.placer.placement_is_due(now) && now >= shard.last_place + PLACE_GAP_MS {
                 shard.last_place = now;
-                shard.placer.place(now);
+                shard.placer.run_placement_pass(now);
             }
-            shard.placer.keep_ledger(now, self.config.wall_offset_ms);
+            shard.placer.advance_gang_admissions(now, self.config.wall_offset_ms);
             shard
                 .placer
-                .consolidate(now, now + self.config.wall_offset_ms);
+                .consolidate_replicas(now, now + self.config.wall_offset_ms);
             if let Some(cas) = shard.placer.next_cas(now) {
                 effects.push(Effect::CompareAndSwap(lease, cas));
             }
@@ -157,9 +157,9 @@
             };
             let token = local.unwrap_or(holder.token);
             let line = &mut shard.lines[usize::from(to)];
-            line.dirty |= shard.placer.unsent(to, token);
+            line.dirty |= shard.placer.has_unsent_changes(to, token);
             let mail = local.is_none() && line.failures >= MAIL_AFTER_FAILURES;
-            shard.placer.by_mail(to, mail);
+            shard.placer.set_via_store(to, mail);
             let gap = if mail { MAIL_GAP_MS } else { SYNC_GAP_MS };
             let due = now >= line.last + COPY_REFRESH_MS
                 || line.dirty && now >= line.last + gap
@@ -180,7 +180,7 @@
             // them, and the regular refresh.
             let sync = shard
                 .placer
-                .sync_for(to, token, room, local.is_none() && !by_mail, now);
+                .sync_request(to, token, room, local.is_none() && !by_mail, now);
             if local.is_none() {
                 let sync = SyncRequest {
                     store_age_ms: age,
@@ -201,7 +201,7 @@
                 .get_mut(&to)
                 .and_then(|p| p.owner.sync(&sync, SYNC_BYTES, now).ok());
             if let (Some(view), Some(shard)) = (view, self.shards.get_mut(&index)) {
-                again |= shard.placer.take_view(view, now);
+                again |= shard.placer.apply_view(view, now);
             }
         }
         again
@@ -218,8 +218,8 @@
         if now < shard.rent_after {
             return;
         }
-        if shard.planned < shard.placer.passes && shard.rentals.len() < RENTALS_AT_ONCE {
-            shard.planned = shard.placer.passes;
+        if shard.planned < shard.placer.placement_passes && shard.rentals.len() < RENTALS_AT_ONCE {
+            shard.planned = shard.placer.placement_passes;
             for ScaleOut { pool, count } in shard.plan(index, catalog, now) {
                 if shard.rentals.len() >= RENTALS_AT_ONCE
                     || shard
@@ -255,12 +255,12 @@
     /// What to rent for what the placer lacks, beyond what boots already or is
     /// asked for.
     fn plan(&self, index: u16, catalog: &Catalog, now: u64) -> Vec<ScaleOut> {
-        if self.placer.lacking.is_empty() {
+        if self.placer.unmet_demand.is_empty() {
             return Vec::new();
         }
         // What boots in a zone out of sight can't be heard; what is there
         // already is waited for by those who may run nowhere else.
-        let hidden = self.placer.hidden_zones();
+        let hidden = self.placer.partitioned_zones();
         let bin = |kind: &str, zone: &str, spot: bool| {
             let free = catalog.get(kind).map(|t| t.room).unwrap_or_default();
             CapacityBin {
@@ -293,9 +293,9 @@
             }));
         bins.extend(
             self.placer
-                .promises
+                .pending_instances
                 .iter()
-                .map(|p| bin(&p.rented.kind, &p.rented.zone, p.rented.spot)),
+                .map(|p| bin(&p.instance.kind, &p.instance.zone, p.instance.spot)),
         );
         for (r, _) in &self.rentals {
             bins.extend((0..r.count).map(|_| bin(&r.kind, &r.zone, r.spot)));
@@ -306,6 +306,6 @@
             catalog,
             shortages: &self.shortage,
         };
-        plan_scale_out(&self.placer.lacking, &bins, &zones, &market, now)
+        plan_scale_out(&self.placer.unmet_demand, &bins, &zones, &market, now)
     }
 }
--- a/crates/coordination/src/image_locality/report.rs
+++ b/crates/coordination/src/image_locality/report.rs
@@ -18,7 +18,7 @@
         let placer = self.shards.values().next().map(|shard| &shard.placer);
         let shards = placer
             .into_iter()
-            .flat_map(|p| p.told(now))
+            .flat_map(|p| p.view_ages_s(now))
             .map(|(shard, told_s)| ShardImageRow { shard, told_s })
             .collect();
         ImageLocalityReport {
@@ -58,7 +58,7 @@
 
     /// Copies of the image in each zone, as far as the placer knows.
     fn image_zones(&self, image: &str, placer: Option<&Placer>) -> Vec<ZoneImageRow> {
-        let partitioned = placer.map(Placer::hidden_zones).unwrap_or_default();
+        let partitioned = placer.map(Placer::partitioned_zones).unwrap_or_default();
         let mut zones: BTreeMap<&str, ZoneImageRow> = BTreeMap::new();
         for zone in &self.config.zones {
             let row = ZoneImageRow {
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -93,7 +93,7 @@
 impl Shard {
     /// The owner learns which images services use.
     fn know_needs(&mut self) {
-        if let Some(images) = self.placer.book.take_needed() {
+        if let Some(images) = self.placer.image_usage.take_changed_service_images() {
             self.owner.set_service_images(images);
         }
     }
@@ -106,7 +106,7 @@
     fn take_view(&mut self, view: ShardView, now: u64) {
         if self
             .placer
-            .wants_told_to(view.shard)
+            .recipient_token(view.shard)
             .is_some_and(|token| view.token < token)
         {
             debug!(
@@ -117,7 +117,7 @@
             );
             return;
         }
-        self.placer.take_view(view, now);
+        self.placer.apply_view(view, now);
     }
 }
 
@@ -214,19 +214,19 @@
             owner.set_types(catalog.values());
         }
         let terms = PlacerConfig {
-            limits: self.config.limits.clone(),
-            guarantees: self.config.guarantees.clone(),
+            quota_limits: self.config.limits.clone(),
+            guaranteed_quotas: self.config.guarantees.clone(),
             zones: self.config.zones.clone(),
-            txn_ops: self.config.txn_ops,
-            spare: self.policy.spare,
-            idle_writes: self.config.idle_writes,
+            max_cas_operations: self.config.txn_ops,
+            headroom_share: self.policy.spare,
+            low_priority_writes_per_s: self.config.idle_writes,
             gang_wait_ms: self.config.gang_wait_ms,
             wall_offset_ms: self.config.wall_offset_ms,
             trade: self.policy.trade,
         };
         let mut placer = Placer::new(lease.shard, lease.token, shards, terms, now);
         if let Some(catalog) = &self.catalog {
-            placer.expect(
+            placer.set_start_objectives(
                 &self.config.start_within,
                 self.config.guarantee_within,
                 catalog,
@@ -262,21 +262,21 @@
         // All jobs of its teams, and those of its records that are over.
         let (cache, config, chains) = (&self.cache, &self.config, &self.chains);
         if let Some(shard) = self.shards.get_mut(&lease.shard) {
-            let known: Vec<JobId> = shard.placer.known().cloned().collect();
+            let known: Vec<JobId> = shard.placer.known_jobs().cloned().collect();
             for id in known.iter().filter(|id| !cache.jobs.contains_key(*id)) {
-                shard.placer.set_job(id, None, now);
+                shard.placer.apply_job(id, None, now);
             }
             for (id, job) in &cache.jobs {
-                shard.placer.book.note(id, uses(job));
+                shard.placer.image_usage.record_job(id, uses(job));
                 if Self::team_shard(cache, config, &job.record.spec.team) == lease.shard {
                     shard
                         .placer
-                        .set_job(id, Some(&with_rank(job, chains.lent(id))), now);
+                        .apply_job(id, Some(&with_rank(job, chains.lent(id))), now);
                 }
             }
             shard.know_needs();
         }
-        self.begin_takeover(lease, now);
+        self.begin_failover(lease, now);
     }
 
     /// Gives a part up.
@@ -296,7 +296,7 @@
     pub fn set_catalog(&mut self, catalog: Catalog) {
         for shard in self.shards.values_mut() {
             shard.owner.set_types(catalog.values());
-            shard.placer.expect(
+            shard.placer.set_start_objectives(
                 &self.config.start_within,
                 self.config.guarantee_within,
                 &catalog,
@@ -348,20 +348,20 @@
             match cache.jobs.get(&id) {
                 Some(job) => {
                     for shard in self.shards.values_mut() {
-                        shard.placer.book.note(&id, uses(job));
+                        shard.placer.image_usage.record_job(&id, uses(job));
                     }
                     let index = Self::team_shard(cache, config, &job.record.spec.team);
                     if let Some(shard) = self.shards.get_mut(&index) {
                         shard
                             .placer
-                            .set_job(&id, Some(&with_rank(job, chains.lent(&id))), now);
+                            .apply_job(&id, Some(&with_rank(job, chains.lent(&id))), now);
                     }
                 }
                 None => {
                     self.notes.remove(&id);
                     for shard in self.shards.values_mut() {
-                        shard.placer.book.note(&id, None);
-                        shard.placer.set_job(&id, None, now);
+                        shard.placer.image_usage.record_job(&id, None);
+                        shard.placer.apply_job(&id, None, now);
                     }
                 }
             }
@@ -374,7 +374,7 @@
         let own = self
             .shards
             .values()
-            .find_map(|p| p.placer.job_note(id, now));
+            .find_map(|p| p.placer.job_status(id, now));
         let lost = if own.is_none() {
             self.lost_placer(id, now)
         } else {
@@ -506,7 +506,7 @@
                     shard.take_view(view, now);
                 }
                 None => {
-                    shard.placer.lost(to);
+                    shard.placer.message_lost(to);
                     line.failures += 1;
                     if line.failures == MAIL_AFTER_FAILURES {
                         info!(
@@ -574,14 +574,14 @@
         now: u64,
     ) -> ShardOwnership {
         let Some(shard) = self.shard(lease) else {
-            return ShardOwnership::Fine;
+            return ShardOwnership::Held;
         };
-        let revision = if let CompareAndSwapOutcome::Done(revision) = outcome {
+        let revision = if let CompareAndSwapOutcome::Committed(revision) = outcome {
             revision
         } else {
             0
         };
-        let (verdict, ends) = shard.placer.cas_done(outcome, now);
+        let (verdict, ends) = shard.placer.apply_cas_outcome(outcome, now);
         for (id, phase) in ends {
             self.cache.settle(&id, phase, revision, now);
         }
@@ -594,7 +594,7 @@
     /// A key of ours was read again.
     pub fn reread(&mut self, lease: ShardLease, job: &JobId, chunk: u32, version: u64) {
         if let Some(shard) = self.shard(lease) {
-            shard.placer.reread(job, chunk, version);
+            shard.placer.apply_reread_version(job, chunk, version);
         }
     }
 
@@ -612,8 +612,8 @@
                 .iter()
                 .map(|id| PendingInstance {
                     shard: place(id),
-                    at: now,
-                    rented: ProvisionedInstance {
+                    provisioned_at: now,
+                    instance: ProvisionedInstance {
                         machine: id.clone(),
                         kind: rental.kind.clone(),
                         zone: rental.zone.clone(),
@@ -649,11 +649,11 @@
                     "machines rented"
                 );
                 if (machines.len() as u32) < rental.count {
-                    shard.shortage.note(rental, now);
+                    shard.shortage.record(rental, now);
                 }
                 for p in promises {
                     shard.lines[usize::from(p.shard)].dirty = true;
-                    shard.placer.promises.push(p);
+                    shard.placer.pending_instances.push(p);
                 }
             }
             ProvisioningResult::NoCapacity => {
@@ -664,7 +664,7 @@
                     spot = rental.spot,
                     "no capacity"
                 );
-                shard.shortage.note(rental, now);
+                shard.shortage.record(rental, now);
             }
             ProvisioningResult::Again => shard.rent_after = now + CLOUD_TROUBLE_MS,
         }
@@ -710,7 +710,7 @@
     /// True if something only waits for one of the short gaps to pass.
     pub fn hurried(&self, now: u64) -> bool {
         self.shards.values().any(|p| {
-            p.placer.wants_pass(now)
+            p.placer.placement_is_due(now)
                 || p.lines
                     .iter()
                     .any(|l| l.dirty && !l.busy && l.failures < MAIL_AFTER_FAILURES)
@@ -725,7 +725,7 @@
             .fold(WorkCounters::default(), |sum, shard| {
                 let placements = shard.owner.placement_counts();
                 WorkCounters {
-                    looked: sum.looked + shard.placer.looked(),
+                    looked: sum.looked + shard.placer.inspected(),
                     refused: sum.refused + placements.refused,
                     pushed_out: sum.pushed_out + placements.preempted,
                 }
--- a/crates/coordination/src/placer/accounting.rs
+++ b/crates/coordination/src/placer/accounting.rs
@@ -119,15 +119,15 @@
         let Some(index) = self.indexes.get_mut(usize::from(shard)) else {
             return;
         };
-        let Some(slot) = index.find(machine) else {
+        let Some(slot) = index.position(machine) else {
             return;
         };
-        index.restore(slot);
+        index.revert_reservations(slot);
         for key in self.unobserved_attempts.get(machine).into_iter().flatten() {
             if let Some(job) = self.jobs.get(&key.job) {
-                index.take(slot, &job.need, job.spec().map_or("", |s| s.image.as_str()));
+                index.reserve(slot, &job.need, job.spec().map_or("", |s| s.image.as_str()));
                 if job.is_service() {
-                    index.stays(slot);
+                    index.mark_long_running(slot);
                 }
             }
         }
--- a/crates/coordination/src/placer/attempt_events.rs
+++ b/crates/coordination/src/placer/attempt_events.rs
@@ -74,7 +74,7 @@
                 .push(TaskKey::new(&id.job, id.task));
         }
         if job.is_service() {
-            self.services.touch(&id.job);
+            self.services.mark_changed(&id.job);
         }
         self.changed_jobs.insert(id.job.clone());
         if job.admission.is_some() {
@@ -163,7 +163,7 @@
         }
         let touched = self
             .fault_attribution
-            .ran(&id.job, &live.machine, live.placed_at);
+            .record_success(&id.job, &live.machine, live.placed_at);
         self.apply_suspicions(touched.jobs, now);
     }
 
@@ -211,7 +211,7 @@
     /// An attempt failed, by its job's fault or its machine's.
     fn apply_failure(&mut self, id: &AttemptId, live: &LiveAttempt, now: u64) {
         self.credit_long_running(&live.machine, &id.job, now);
-        let touched = self.fault_attribution.failed(&id.job, &live.machine, now);
+        let touched = self.fault_attribution.record_failure(&id.job, &live.machine, now);
         self.apply_suspicions(touched.jobs, now);
         let Some(job) = self.jobs.get_mut(&id.job) else {
             return;
@@ -249,14 +249,14 @@
             })
             .collect();
         for (job, placed_at) in long_running {
-            self.fault_attribution.ran(&job, machine, placed_at);
+            self.fault_attribution.record_success(&job, machine, placed_at);
         }
     }
 
     /// Applies what fault attribution now says of jobs.
     fn apply_suspicions(&mut self, jobs: BTreeSet<JobId>, now: u64) {
         for id in jobs {
-            let suspect = self.fault_attribution.suspect(&id);
+            let suspect = self.fault_attribution.suspect_evidence(&id);
             let Some(job) = self.jobs.get_mut(&id).filter(|job| job.suspect != suspect) else {
                 continue;
             };
--- a/crates/coordination/src/placer/escalation.rs
+++ b/crates/coordination/src/placer/escalation.rs
@@ -19,10 +19,10 @@
 use super::requests::{allowed_zones, replica_request};
 use super::supervision::START_STEP_MS;
 use crate::autoscaler::CapacityShortages;
-use crate::image_locality::trade::{ImageLocality, classes};
-use crate::image_locality::walk::Walk;
+use crate::image_locality::scoring::{ImageLocality, placement_classes};
+use crate::placement::{Candidate, CandidateShard, CandidateWalk};
 use crate::job::LiveAttempt;
-use crate::supervision::services::{PreemptionStep, RecoveryActivity, RecoveryAttempt};
+use crate::supervision::services::{EscalationStep, RecoveryActivity, RecoveryAttempt};
 
 /// Services that one look escalates for, so that hundreds that are late at once don't
 /// hold up heartbeats: ten looks a second come to all of them soon.
@@ -38,19 +38,19 @@
 impl Placer {
     /// Tries another way for services that are late.
     pub(crate) fn escalate(&mut self, shortage: &CapacityShortages, now: u64) {
-        for id in self.services.late(now, MAX_SERVICES_PER_LOOK) {
-            let Some(doing) = self.services.get(&id).map(|s| s.seen.doing) else {
+        for id in self.services.overdue(now, MAX_SERVICES_PER_LOOK) {
+            let Some(doing) = self.services.get(&id).map(|s| s.observation.activity) else {
                 continue;
             };
             let attempts = match doing {
                 RecoveryActivity::Starting => self.relocate_stalled_replicas(&id, now),
-                RecoveryActivity::Resources => self.widen_placement(&id, shortage, now),
+                RecoveryActivity::AwaitingCapacity => self.widen_placement(&id, shortage, now),
                 _ => Vec::new(),
             };
             for attempt in &attempts {
-                info!(job_id = %id, shard = self.shard, action = attempt.what, "service recovery escalated");
+                info!(job_id = %id, shard = self.shard, action = attempt.description, "service recovery escalated");
             }
-            self.services.looked(&id, attempts, now);
+            self.services.record_escalation(&id, attempts, now);
         }
     }
 
@@ -75,7 +75,7 @@
                 continue;
             };
             let target = self.tentative_use(place);
-            self.indexes[place.shard].take(place.slot, &need, &spec.image);
+            self.indexes[place.shard].reserve(place.slot, &need, &spec.image);
             let StalledReplica {
                 task,
                 machine,
@@ -83,9 +83,9 @@
             } = replica;
             let after_s = now.saturating_sub(placed_at) / 1_000;
             attempts.push(RecoveryAttempt {
-                rung: PreemptionStep::Elsewhere,
-                at: now,
-                what: format!(
+                step: EscalationStep::MoveReplica,
+                at_ms: now,
+                description: format!(
                     "replica {task} left {machine}, not up after {after_s} s; {} has its image",
                     target.machine
                 ),
@@ -126,8 +126,8 @@
                 .get(usize::from(live.shard))
                 .and_then(|index| {
                     index
-                        .find(&live.machine)
-                        .map(|slot| index.slots[slot].fetches)
+                        .position(&live.machine)
+                        .map(|slot| index.slots[slot].fetch_count)
                 })
                 .unwrap_or(0);
             now >= live.placed_at + fetch_ms * u64::from(fetches.max(1)) + START_STEP_MS
@@ -170,11 +170,11 @@
         let request = replica_request(spec, zones, &avoid);
         let order = self.shard_search_order();
         let scoring = self.scoring_inputs(id, Some(replica.task), &request, &order, now);
-        let mut warm = classes(&self.trade, &scoring.risk);
-        warm.retain(|class| class.near == ImageLocality::Here);
-        Walk::new(&self.indexes, &order, &request, &scoring.placed_replicas)
+        let mut warm = placement_classes(&self.trade, &scoring.risk);
+        warm.retain(|class| class.image_locality == ImageLocality::Cached);
+        CandidateWalk::new(&self.indexes, &order, &request, &scoring.placed_replicas)
             .find(&warm)
-            .map(|(shard, slot, _)| SlotRef { shard, slot })
+            .map(|Candidate { shard, slot, .. }| SlotRef { shard, slot })
     }
 
     /// A service that found no room for as long as a machine takes to come.
@@ -190,10 +190,10 @@
         let Some(service) = self.services.get(id) else {
             return Vec::new();
         };
-        let has_tried = |step| service.tries.iter().any(|attempt| attempt.rung == step);
+        let has_tried = |step| service.attempts.iter().any(|attempt| attempt.step == step);
         let (has_lifted, has_asked) = (
-            has_tried(PreemptionStep::Avoided),
-            has_tried(PreemptionStep::Rented),
+            has_tried(EscalationStep::LiftExclusions),
+            has_tried(EscalationStep::RequestInstances),
         );
         let Some(job) = self.jobs.get_mut(id).filter(|job| job.suspect.is_none()) else {
             return Vec::new();
@@ -204,16 +204,16 @@
             job.avoided_machines.clear();
             self.placement_due = true;
             attempts.push(RecoveryAttempt {
-                rung: PreemptionStep::Avoided,
-                at: now,
-                what: format!("{machines} machines that it avoided may take it again"),
+                step: EscalationStep::LiftExclusions,
+                at_ms: now,
+                description: format!("{machines} machines that it avoided may take it again"),
             });
         }
         if !has_asked {
             attempts.push(RecoveryAttempt {
-                rung: PreemptionStep::Rented,
-                at: now,
-                what: format!("machines are asked for; {}", shortage_note(shortage, now)),
+                step: EscalationStep::RequestInstances,
+                at_ms: now,
+                description: format!("machines are asked for; {}", shortage_note(shortage, now)),
             });
         }
         attempts
@@ -226,7 +226,7 @@
 }
 
 fn shortage_note(shortage: &CapacityShortages, now: u64) -> String {
-    let unavailable = shortage.closed(now);
+    let unavailable = shortage.describe(now);
     if unavailable.is_empty() {
         "none has come up in time".to_owned()
     } else {
--- a/crates/coordination/src/placer/headroom.rs
+++ b/crates/coordination/src/placer/headroom.rs
@@ -6,13 +6,14 @@
 
 use lemonweir_model::constants::{CHUNK_TASKS, SPARE_MOST};
 use lemonweir_model::{JobSpec, Resources};
+use lemonweir_protocol::peer::PreemptionScope;
 use lemonweir_storage::records::JobRecord;
 
 use super::Placer;
 use super::accounting::{SlotRef, TentativeUse};
 use super::quotas::within_quota;
 use crate::autoscaler::CapacityDemand;
-use crate::placement::PlacementRequest;
+use crate::placement::{ImageRequirement, PlacementRequest};
 
 /// ms over which arrivals are counted to tell what will come: long enough for
 /// a few of them, short enough to follow a day.
@@ -124,31 +125,31 @@
     ) -> u32 {
         let request = PlacementRequest {
             need: spec.need(),
-            types: spec.types.as_deref(),
+            machine_types: spec.types.as_deref(),
             zones: None,
-            spot: spec.spot,
-            lasting: false,
+            spot_allowed: spec.spot,
+            long_running: false,
             image: &spec.image,
             image_mb: spec.image_mb(),
-            avoid: &[],
-            only: None,
-            frugal: false,
+            excluded_machines: &[],
+            restricted_to: None,
+            avoid_idle_on_demand: false,
         };
         let mut placed = 0;
         for _ in 0..tasks {
             let found = self.indexes.iter().enumerate().find_map(|(shard, index)| {
                 index
                     .first_fit(&request)
-                    .or_else(|| index.evict_fit(&request, spec.rank, false, false, None))
+                    .or_else(|| index.preemptive_fit(&request, spec.rank, PreemptionScope::Lower, ImageRequirement::Optional, None))
                     .map(|slot| SlotRef { shard, slot })
             });
             let Some(place) = found else { continue };
             let index = &mut self.indexes[place.shard];
-            if index.slots[place.slot].busy == 0 {
+            if index.slots[place.slot].task_count == 0 {
                 self.reserved_machines
                     .push(index.slots[place.slot].id.clone());
             }
-            index.take(place.slot, &request.need, &spec.image);
+            index.reserve(place.slot, &request.need, &spec.image);
             taken.push(self.tentative_use(place));
             placed += 1;
         }
@@ -160,13 +161,13 @@
     CapacityDemand {
         team: spec.team.clone(),
         need: spec.need(),
-        types: spec.types.clone(),
+        machine_types: spec.types.clone(),
         zone: spec.zone.clone(),
-        spot: spec.spot,
+        spot_allowed: spec.spot,
         count,
-        one_zone: false,
-        only_spot: spec.spot,
+        single_zone: false,
+        spot_only: spec.spot,
         idle: false,
-        first: false,
+        must_start_now: false,
     }
 }
--- a/crates/coordination/src/placer/mod.rs
+++ b/crates/coordination/src/placer/mod.rs
@@ -50,7 +50,7 @@
 use crate::autoscaler::CapacityDemand;
 use crate::change_log::ChangeLog;
 use crate::fault_attribution::FaultAttribution;
-use crate::image_locality::book::Book;
+use crate::image_locality::usage::ImageUsage;
 use crate::job::Job;
 use crate::placement::PlacementIndex;
 use crate::supervision::services::SupervisedServices;
@@ -205,7 +205,7 @@
     /// Where the search for better places goes on.
     rebalance_cursor: Option<JobId>,
     /// Sizes and use of images.
-    pub image_usage: Book,
+    pub image_usage: ImageUsage,
     /// Image caches by machine type, thousandths of a GB.
     cache_mb_by_type: HashMap<String, u64>,
     /// The team that the next pass begins with.
@@ -306,7 +306,7 @@
             fetch_gb_per_s: f64::MAX,
             trade,
             rebalance_cursor: None,
-            image_usage: Book::default(),
+            image_usage: ImageUsage::default(),
             cache_mb_by_type: HashMap::new(),
             team_cursor: 0,
             in_flight: None,
@@ -397,7 +397,7 @@
 
     /// Words of bits and machines that this placer's searches have inspected.
     pub fn inspected(&self) -> u64 {
-        self.indexes.iter().map(PlacementIndex::looked).sum()
+        self.indexes.iter().map(PlacementIndex::candidates_examined).sum()
     }
 
     /// The priority that a job is placed with.
--- a/crates/coordination/src/placer/owner_channel.rs
+++ b/crates/coordination/src/placer/owner_channel.rs
@@ -253,7 +253,7 @@
         let machines = self
             .reserved_machines
             .iter()
-            .filter(|machine| index.find(machine).is_some())
+            .filter(|machine| index.position(machine).is_some())
             .cloned();
         take_fitting(machines, bytes, written)
     }
--- a/crates/coordination/src/placer/partitions.rs
+++ b/crates/coordination/src/placer/partitions.rs
@@ -33,7 +33,7 @@
 /// An index of another shard's machines before its owner has published any. Each
 /// shard's searches begin elsewhere, so that placers don't meet on one machine.
 pub(super) fn empty_index(own_shard: u16, shard: u16, shards: u16) -> PlacementIndex {
-    PlacementIndex::begins_at(
+    PlacementIndex::with_start_offset(
         usize::from((shard + shards - own_shard % shards.max(1)) % shards.max(1)),
         usize::from(shards),
     )
@@ -77,7 +77,7 @@
                 .values()
                 .any(|live| live.shard == shard && has_changed(&live.zone))
             {
-                self.services.touch(id);
+                self.services.mark_changed(id);
                 self.changed_jobs.insert(id.clone());
             }
         }
--- a/crates/coordination/src/placer/placement_pass.rs
+++ b/crates/coordination/src/placer/placement_pass.rs
@@ -251,8 +251,8 @@
     }
 
     fn note_not_placed(&mut self, turn: &JobTurn, unmet: &mut UnmetDemand, now: u64) {
-        if self.services.has(&turn.job) {
-            self.services.touch(&turn.job);
+        if self.services.contains(&turn.job) {
+            self.services.mark_changed(&turn.job);
         }
         if turn.share != TurnShare::HalfOfReplicas {
             self.record_unmet_demand(&turn.job, unmet, now);
@@ -276,10 +276,10 @@
         // Guards against money spent on low-priority work while other work waits.
         if demand.iter().any(|d| !d.idle) {
             self.last_shortage_at = now;
-            demand.retain(|d| !d.idle || d.first);
+            demand.retain(|d| !d.idle || d.must_start_now);
         }
         // What boots is counted for others before it is for these.
-        demand.sort_by_key(|d| d.first);
+        demand.sort_by_key(|d| d.must_start_now);
         if now >= self.headroom_planned_at + HEADROOM_INTERVAL_MS {
             self.headroom_planned_at = now;
             self.headroom_demand = self.plan_headroom(now);
--- a/crates/coordination/src/placer/placing.rs
+++ b/crates/coordination/src/placer/placing.rs
@@ -14,8 +14,8 @@
 use super::quotas::within_quota;
 use super::requests::{all_zones, allowed_zones};
 use crate::gang_admission::GangAdmission;
-use crate::image_locality::trade::{ImageLocality, PlacementClass, classes};
-use crate::image_locality::walk::Walk;
+use crate::image_locality::scoring::{ImageLocality, PlacementClass, placement_classes};
+use crate::placement::{Candidate, ImageRequirement, CandidateShard, CandidateWalk};
 use crate::job::{Job, LiveAttempt};
 use crate::placement::PlacementRequest;
 
@@ -60,7 +60,7 @@
     avoid: Vec<MachineId>,
     /// Indexes in the order in which they are searched, each with whether its owner is
     /// reached through the store.
-    order: Vec<(usize, bool)>,
+    order: Vec<CandidateShard>,
     now: u64,
 }
 
@@ -221,7 +221,7 @@
             HashMap::new()
         };
         // Where something else ran well of late, a suspect's failure tells most.
-        let trusted = unit.is_suspect.then(|| self.fault_attribution.trusted(now));
+        let trusted = unit.is_suspect.then(|| self.fault_attribution.healthy_machines(now));
         let machine_sets = if unit.is_suspect {
             vec![trusted.as_ref(), None]
         } else {
@@ -271,9 +271,9 @@
             let place = found.place;
             let index = &mut self.indexes[place.shard];
             let is_warm = index.has_image(place.slot, &spec.image);
-            index.take(place.slot, &search.need, &spec.image);
+            index.reserve(place.slot, &search.need, &spec.image);
             if spec.shape == JobKind::Service {
-                index.stays(place.slot);
+                index.mark_long_running(place.slot);
             }
             if spec.spread {
                 *attempts_per_zone
@@ -313,7 +313,7 @@
         let (spec, unit) = (search.spec, search.unit);
         let request = PlacementRequest {
             need: search.need,
-            types: spec.types.as_deref(),
+            machine_types: spec.types.as_deref(),
             zones: allowed_zones(
                 spec,
                 area.zone,
@@ -321,43 +321,43 @@
                 search.job_tasks,
                 &self.indexes,
             ),
-            spot: spec.spot,
-            lasting: spec.shape == JobKind::Service,
+            spot_allowed: spec.spot,
+            long_running: spec.shape == JobKind::Service,
             image: &spec.image,
             image_mb: spec.image_mb(),
-            avoid: &search.avoid,
-            only: area.machines,
-            frugal: unit.is_frugal,
+            excluded_machines: &search.avoid,
+            restricted_to: area.machines,
+            avoid_idle_on_demand: unit.is_frugal,
         };
         let mut scoring =
             self.scoring_inputs(search.job, None, &request, &search.order, search.now);
-        scoring.risk.here_first = unit.needs_image && !search.is_relocating;
-        let classes = classes(&self.trade, &scoring.risk);
+        scoring.risk.cached_first = unit.needs_image && !search.is_relocating;
+        let classes = placement_classes(&self.trade, &scoring.risk);
         let (warm, cold) = if unit.needs_image {
             let warm = classes
                 .iter()
-                .take_while(|class| class.near == ImageLocality::Here)
+                .take_while(|class| class.image_locality == ImageLocality::Cached)
                 .count();
             classes.split_at(warm)
         } else {
             classes.split_at(classes.len())
         };
         let replicas = &scoring.placed_replicas;
-        let mut walk = Walk::new(&self.indexes, &search.order, &request, replicas);
+        let mut walk = CandidateWalk::new(&self.indexes, &search.order, &request, replicas);
         let mut free = |classes: &[PlacementClass]| {
-            walk.find(classes).map(|(shard, slot, _)| FoundPlace {
+            walk.find(classes).map(|Candidate { shard, slot, .. }| FoundPlace {
                 place: SlotRef { shard, slot },
                 preemption: PreemptionScope::Nobody,
             })
         };
-        let preempting = |with_image| {
-            search.order.iter().find_map(|&(shard, _)| {
+        let preempting = |image| {
+            search.order.iter().find_map(|&CandidateShard { shard, .. }| {
                 self.indexes[shard]
-                    .evict_fit(
+                    .preemptive_fit(
                         &request,
                         spec.rank,
-                        unit.is_guaranteed,
-                        with_image,
+                        unit.preemption_scope(),
+                        image,
                         replicas.get(shard),
                     )
                     .map(|slot| FoundPlace {
@@ -369,7 +369,7 @@
         free(warm)
             .or_else(|| {
                 if unit.needs_image && !unit.is_suspect {
-                    preempting(true)
+                    preempting(ImageRequirement::Cached)
                 } else {
                     None
                 }
@@ -379,7 +379,7 @@
                 if unit.is_suspect {
                     None
                 } else {
-                    preempting(false)
+                    preempting(ImageRequirement::Optional)
                 }
             })
     }
--- a/crates/coordination/src/placer/queues.rs
+++ b/crates/coordination/src/placer/queues.rs
@@ -75,7 +75,7 @@
             job.delete_finished_chunks();
         }
         if job.is_service() {
-            self.services.touch(id);
+            self.services.mark_changed(id);
         }
         self.changed_jobs.insert(id.clone());
         if job.admission.is_some() {
--- a/crates/coordination/src/placer/rebalancing.rs
+++ b/crates/coordination/src/placer/rebalancing.rs
@@ -14,8 +14,8 @@
 use super::partitions::partition_of;
 use super::requests::{all_zones, allowed_zones, replica_request};
 use super::scoring::MAX_SPREAD_TASKS;
-use crate::image_locality::trade::{ImageLocality, PlacementClass, PlacementRisk, classes};
-use crate::image_locality::walk::Walk;
+use crate::image_locality::scoring::{ImageLocality, PlacementClass, PlacementRisk, ZoneShare, placement_classes};
+use crate::placement::{Candidate, CandidateShard, CandidateWalk};
 use crate::job::{Job, LiveAttempt};
 use crate::placement::PlacementRequest;
 
@@ -40,7 +40,7 @@
 const MAX_SERVICES_PER_LOOK: usize = 16;
 
 /// A machine whose replicas might be moved to others.
-struct Candidate {
+struct ConsolidationCandidate {
     replicas: u32,
     machine: MachineId,
 }
@@ -73,7 +73,7 @@
         let mut moves_left = self.max_moves();
         let mut leaving: Vec<MachineId> = Vec::new();
         let mut taken: Vec<TentativeUse> = Vec::new();
-        for Candidate { replicas, machine } in candidates {
+        for ConsolidationCandidate { replicas, machine } in candidates {
             // One machine at least, however few replicas there are.
             if !leaving.is_empty() && replicas > moves_left
                 || taken.iter().any(|used| used.machine == machine)
@@ -120,8 +120,8 @@
 
     /// Machines that hold nothing but replicas that have been there for long. Those with
     /// most tasks are the least likely to fit elsewhere, and are left out.
-    fn consolidation_candidates(&self, now: u64) -> Vec<Candidate> {
-        let mut candidates: Vec<Candidate> = Vec::new();
+    fn consolidation_candidates(&self, now: u64) -> Vec<ConsolidationCandidate> {
+        let mut candidates: Vec<ConsolidationCandidate> = Vec::new();
         for slot in self.indexes.iter().flat_map(|index| &index.slots) {
             let Some(tasks) = self.attempts_by_machine.get(&slot.id) else {
                 continue;
@@ -136,9 +136,9 @@
                             .is_some_and(|live| now >= live.placed_at + MIN_STAY_MS)
                 })
             });
-            if is_settled && tasks.len() as u32 == slot.busy {
-                candidates.push(Candidate {
-                    replicas: slot.busy,
+            if is_settled && tasks.len() as u32 == slot.task_count {
+                candidates.push(ConsolidationCandidate {
+                    replicas: slot.task_count,
                     machine: slot.id.clone(),
                 });
             }
@@ -177,8 +177,8 @@
                     continue;
                 };
                 let place = relocation.place;
-                self.indexes[place.shard].take(place.slot, &need, &image);
-                self.indexes[place.shard].stays(place.slot);
+                self.indexes[place.shard].reserve(place.slot, &need, &image);
+                self.indexes[place.shard].mark_long_running(place.slot);
                 taken.push(self.tentative_use(place));
                 moves.push((id, relocation));
             }
@@ -186,7 +186,7 @@
         self.release_tentative(taken);
         for (id, Relocation { task, class, .. }) in moves {
             self.last_rebalance_at = now;
-            info!(job_id = %id, task, shard = self.shard, image_locality = ?class.near, "relocating a replica to a better place");
+            info!(job_id = %id, task, shard = self.shard, image_locality = ?class.image_locality, "relocating a replica to a better place");
             if let Some(job) = self.jobs.get_mut(&id) {
                 job.relocating = true;
                 if let Some(live) = job.live.get_mut(&task) {
@@ -220,18 +220,23 @@
     fn exposure_s(&self, job: &Job, live: &LiveAttempt, risk: &PlacementRisk) -> f64 {
         let on_machine = job.colocated_count(live, |l| &l.machine);
         let in_zone = job.colocated_count(live, |l| &l.zone);
-        let is_underused = if risk.one_zone {
+        let is_below_share = if risk.single_zone {
             in_zone == 1
         } else {
-            in_zone <= risk.fair()
+            in_zone <= risk.fair_zone_share()
         };
-        let machine_s = if risk.kin {
-            risk.kin_cost(&self.trade, risk.kin(on_machine.saturating_sub(1)))
+        let zone_share = if is_below_share {
+            ZoneShare::Below
+        } else {
+            ZoneShare::Reached
+        };
+        let machine_s = if risk.has_replicas {
+            risk.replica_cost_s(&self.trade, risk.replica_spread(on_machine.saturating_sub(1)))
         } else {
             0.0
         };
-        let zone_s = if risk.zones > 1 {
-            risk.zone_cost(&self.trade, is_underused)
+        let zone_s = if risk.zone_count > 1 {
+            risk.zone_cost_s(&self.trade, zone_share)
         } else {
             0.0
         };
@@ -261,24 +266,24 @@
         avoid.push(live.machine.clone());
         let request = replica_request(spec, Some(zones), &avoid);
         // A start through the store is no quiet move.
-        let order: Vec<(usize, bool)> = self
+        let order: Vec<CandidateShard> = self
             .shard_search_order()
             .into_iter()
-            .filter(|(_, via_store)| !via_store)
+            .filter(|candidate| !candidate.via_store)
             .collect();
         let scoring = self.scoring_inputs(id, Some(task), &request, &order, now);
         let exposure_s = self.exposure_s(job, live, &scoring.risk);
         let min_gain_s = self.trade.move_s + MOVE_DOWNTIME_MS as f64 / 1000.0;
-        let better: Vec<PlacementClass> = classes(&self.trade, &scoring.risk)
+        let better: Vec<PlacementClass> = placement_classes(&self.trade, &scoring.risk)
             .into_iter()
-            .take_while(|class| class.cost + min_gain_s < exposure_s)
+            .take_while(|class| class.cost_s + min_gain_s < exposure_s)
             .collect();
-        let (shard, slot, class) =
-            Walk::new(&self.indexes, &order, &request, &scoring.placed_replicas).find(&better)?;
+        let Candidate { shard, slot, class } =
+            CandidateWalk::new(&self.indexes, &order, &request, &scoring.placed_replicas).find(&better)?;
         let place = SlotRef { shard, slot };
         // Guards against others taking that room meanwhile: the replica would wait for
         // a fetch that it was not moved for.
-        (class.near != ImageLocality::Here || self.fits_in_addition(&request, place))
+        (class.image_locality != ImageLocality::Cached || self.fits_in_addition(&request, place))
             .then_some(Relocation { task, place, class })
     }
 
@@ -307,7 +312,7 @@
             } else {
                 usize::MAX
             };
-            index.fits_besides(request, taken)
+            index.fits_one_more(request, taken)
         })
     }
 
@@ -355,8 +360,8 @@
                 self.release_tentative(taken.drain(before..));
                 return false;
             };
-            self.indexes[place.shard].take(place.slot, &need, &image);
-            self.indexes[place.shard].stays(place.slot);
+            self.indexes[place.shard].reserve(place.slot, &need, &image);
+            self.indexes[place.shard].mark_long_running(place.slot);
             taken.push(self.tentative_use(place));
         }
         true
@@ -383,16 +388,16 @@
             .live
             .get(&task)
             .map_or(0.0, |live| self.exposure_s(job, live, &scoring.risk));
-        let mut warm = classes(&self.trade, &scoring.risk);
+        let mut warm = placement_classes(&self.trade, &scoring.risk);
         warm.retain(|class| {
-            class.near == ImageLocality::Here && class.cost <= exposure_s + 2.0 * self.trade.pin_s
+            class.image_locality == ImageLocality::Cached && class.cost_s <= exposure_s + 2.0 * self.trade.pin_s
         });
         // Guards against others taking that room meanwhile: another place
         // must be left, or the replica would wait for a fetch.
-        Walk::new(&self.indexes, &order, &request, &scoring.placed_replicas)
+        CandidateWalk::new(&self.indexes, &order, &request, &scoring.placed_replicas)
             .find(&warm)
-            .map(|(shard, slot, _)| SlotRef { shard, slot })
-            .filter(|place| self.indexes[place.shard].slots[place.slot].busy > 0)
+            .map(|Candidate { shard, slot, .. }| SlotRef { shard, slot })
+            .filter(|place| self.indexes[place.shard].slots[place.slot].task_count > 0)
             .filter(|place| self.fits_in_addition(&request, *place))
     }
 }
--- a/crates/coordination/src/placer/requests.rs
+++ b/crates/coordination/src/placer/requests.rs
@@ -14,15 +14,15 @@
 ) -> PlacementRequest<'a> {
     PlacementRequest {
         need: spec.need(),
-        types: spec.types.as_deref(),
+        machine_types: spec.types.as_deref(),
         zones,
-        spot: spec.spot,
-        lasting: true,
+        spot_allowed: spec.spot,
+        long_running: true,
         image: &spec.image,
         image_mb: spec.image_mb(),
-        avoid,
-        only: None,
-        frugal: false,
+        excluded_machines: avoid,
+        restricted_to: None,
+        avoid_idle_on_demand: false,
     }
 }
 
--- a/crates/coordination/src/placer/scoring.rs
+++ b/crates/coordination/src/placer/scoring.rs
@@ -7,8 +7,8 @@
 
 use super::Placer;
 use super::requests::all_zones;
-use crate::image_locality::trade::PlacementRisk;
-use crate::image_locality::walk::PlacedReplicas;
+use crate::image_locality::scoring::PlacementRisk;
+use crate::placement::{CandidateShard, PlacedReplicas};
 use crate::job::{Job, LiveAttempt};
 use crate::placement::PlacementRequest;
 
@@ -31,16 +31,16 @@
     /// The indexes in the order in which machines are searched: our own shard's, then
     /// others in turn, and at the end those whose owner is reached through the store,
     /// since a start there is a second or two later; these are marked.
-    pub(super) fn shard_search_order(&self) -> Vec<(usize, bool)> {
+    pub(super) fn shard_search_order(&self) -> Vec<CandidateShard> {
         let (own, shards) = (usize::from(self.shard), self.indexes.len() as u16);
         let others = (1..=shards)
             .map(|k| usize::from((self.next_remote_shard + k) % shards))
             .filter(|&shard| shard != own);
-        let mut order: Vec<(usize, bool)> = std::iter::once(own)
+        let mut order: Vec<CandidateShard> = std::iter::once(own)
             .chain(others)
-            .map(|shard| (shard, self.owner_channels[shard].via_store))
+            .map(|shard| CandidateShard { shard, via_store: self.owner_channels[shard].via_store })
             .collect();
-        order.sort_by_key(|&(_, via_store)| via_store);
+        order.sort_by_key(|candidate| candidate.via_store);
         order
     }
 
@@ -51,12 +51,12 @@
         id: &JobId,
         replaced: Option<u32>,
         request: &PlacementRequest<'_>,
-        order: &[(usize, bool)],
+        order: &[CandidateShard],
         now: u64,
     ) -> ScoringInputs {
         let mut scoring = ScoringInputs {
             risk: PlacementRisk {
-                lasting: request.lasting,
+                long_running: request.long_running,
                 ..PlacementRisk::default()
             },
             placed_replicas: Vec::new(),
@@ -68,16 +68,16 @@
         else {
             return scoring;
         };
-        if !request.lasting {
+        if !request.long_running {
             return scoring;
         }
         let risk = &mut scoring.risk;
-        risk.tasks = job.tasks;
+        risk.task_count = job.tasks;
         risk.fetch_s = spec.image_gb / self.fetch_gb_per_s.max(f64::MIN_POSITIVE);
-        risk.coming_s = fetch_left_s(job, risk.fetch_s, now);
-        risk.spot = request.spot;
-        risk.plain = request.need.gpus == 0;
-        risk.mail = order.iter().any(|(_, via_store)| *via_store);
+        risk.remaining_fetch_s = fetch_left_s(job, risk.fetch_s, now);
+        risk.spot_allowed = request.spot_allowed;
+        risk.without_gpus = request.need.gpus == 0;
+        risk.via_store = order.iter().any(|candidate| candidate.via_store);
         let others: Vec<&LiveAttempt> = job
             .live
             .iter()
@@ -87,16 +87,16 @@
         if job.tasks < 2 || job.tasks > MAX_SPREAD_TASKS || others.is_empty() {
             return scoring;
         }
-        risk.kin = true;
+        risk.has_replicas = true;
         if spec.spot {
-            risk.wave = 2 * self.count_on_spot(&others) >= job.tasks;
+            risk.half_on_spot = 2 * self.count_on_spot(&others) >= job.tasks;
         }
         let underused = self.underused_zones(spec, request, &others, risk);
         scoring.placed_replicas = self
             .indexes
             .iter()
             .map(|index| {
-                PlacedReplicas::of(
+                PlacedReplicas::new(
                     index,
                     risk,
                     others.iter().map(|live| &live.machine),
@@ -111,7 +111,7 @@
         let is_on_spot = |live: &LiveAttempt| {
             self.indexes
                 .get(usize::from(live.shard))
-                .and_then(|index| index.find(&live.machine).map(|slot| index.slots[slot].spot))
+                .and_then(|index| index.position(&live.machine).map(|slot| index.slots[slot].spot))
                 .unwrap_or(false)
         };
         replicas.iter().filter(|live| is_on_spot(live)).count() as u32
@@ -130,7 +130,7 @@
         for live in others {
             *replicas.entry(&live.zone).or_default() += 1;
         }
-        risk.one_zone = replicas.len() == 1;
+        risk.single_zone = replicas.len() == 1;
         // A job that must be in one zone can't be spread over them.
         let open: BTreeSet<&str> = match (&request.zones, spec.one_zone || spec.zone.is_some()) {
             (_, true) => BTreeSet::new(),
@@ -140,8 +140,8 @@
         if self.trade.zone.max(self.trade.one_zone) <= 0.0 || open.len() <= 1 {
             return None;
         }
-        risk.zones = open.len() as u32;
-        let fair_share = if risk.one_zone { 1 } else { risk.fair() };
+        risk.zone_count = open.len() as u32;
+        let fair_share = if risk.single_zone { 1 } else { risk.fair_zone_share() };
         Some(
             open.into_iter()
                 .filter(|zone| replicas.get(zone).copied().unwrap_or(0) < fair_share)
--- a/crates/coordination/src/placer/status.rs
+++ b/crates/coordination/src/placer/status.rs
@@ -52,11 +52,11 @@
     /// What a service's status says first, if it has lacked replicas for a while.
     fn shortfall_status(&self, id: &JobId, now: u64) -> Option<String> {
         let service = self.services.get(id)?;
-        let lacking_s = now.saturating_sub(service.short_since?) / 1_000;
+        let lacking_s = now.saturating_sub(service.under_replicated_since?) / 1_000;
         if lacking_s < SHORTFALL_SHOWN_AFTER_S {
             return None;
         }
-        let attempts: Vec<&str> = service.tries.iter().map(|t| t.what.as_str()).collect();
+        let attempts: Vec<&str> = service.attempts.iter().map(|t| t.description.as_str()).collect();
         let tried = if attempts.is_empty() {
             String::new()
         } else {
@@ -64,7 +64,7 @@
         };
         Some(format!(
             "{} of {} replicas up for {lacking_s} s; {tried}",
-            service.seen.up, service.seen.promised
+            service.observation.running, service.observation.desired
         ))
     }
 }
--- a/crates/coordination/src/placer/supervision.rs
+++ b/crates/coordination/src/placer/supervision.rs
@@ -9,7 +9,7 @@
 use super::placing::{REASON_AT_LIMIT, REASON_NO_ROOM};
 use super::{Placer, ReplicaEvent};
 use crate::job::Job;
-use crate::supervision::failover::Failover;
+use crate::supervision::failover::{Failover, StartedBy};
 use crate::supervision::services::{RecoveryActivity, ServiceObservation};
 
 /// ms that each step of a start takes at the most on an ordinary day: its turn, its
@@ -45,19 +45,24 @@
                         .filter(|job| job.is_service())
                         .and_then(Job::spec)
                         .map(|spec| spec.class.as_str());
-                    failover.ran(&job, task, class, placed_here, now);
+                    let started_by = if placed_here {
+                        StartedBy::ThisLeader
+                    } else {
+                        StartedBy::PreviousLeader
+                    };
+                    failover.task_running(&job, task, class, started_by, now);
                 }
-                ReplicaEvent::Lost { job, task } => failover.lost(&job, task, now),
+                ReplicaEvent::Lost { job, task } => failover.replica_lost(&job, task, now),
             }
         }
-        for id in self.services.take_touched() {
+        for id in self.services.take_changed() {
             let job = self.jobs.get(&id);
             let observation = job.and_then(|job| self.observe_service(job, now));
             let is_suspect = job.is_some_and(|job| job.suspect.is_some());
-            if is_suspect || observation.as_ref().is_none_or(|s| s.up >= s.promised) {
-                failover.done(&id, now);
+            if is_suspect || observation.as_ref().is_none_or(|s| s.running >= s.desired) {
+                failover.service_recovered(&id, now);
             }
-            self.services.set(&id, observation, now);
+            self.services.observe(&id, observation, now);
         }
     }
 
@@ -68,10 +73,10 @@
         let replicas = self.count_replicas(job);
         let (doing, within) = self.recovery_activity(job, &replicas, now);
         Some(ServiceObservation {
-            promised: job.tasks,
-            up: replicas.running,
-            doing,
-            within,
+            desired: job.tasks,
+            running: replicas.running,
+            activity: doing,
+            expected_within_ms: within,
         })
     }
 
@@ -107,33 +112,33 @@
     ) -> (RecoveryActivity, Option<u64>) {
         let fetch_ms = job.spec().map_or(0, |spec| self.max_fetch_ms(spec));
         if replicas.running >= job.tasks {
-            (RecoveryActivity::Nothing, None)
+            (RecoveryActivity::FullyReplicated, None)
         } else if job.waiting_count() > 0 {
             match job.pending_reason {
                 _ if job.suspect.is_some()
                     || job.consecutive_failures > 1 && job.backoff_until > now =>
                 {
-                    (RecoveryActivity::Pausing, None)
+                    (RecoveryActivity::BackingOff, None)
                 }
                 REASON_NO_ROOM => (
-                    RecoveryActivity::Resources,
+                    RecoveryActivity::AwaitingCapacity,
                     Some(self.boot_time_ms + self.boot_time_ms / 2 + fetch_ms + START_STEP_MS),
                 ),
-                REASON_AT_LIMIT => (RecoveryActivity::Limit, None),
+                REASON_AT_LIMIT => (RecoveryActivity::AtQuotaLimit, None),
                 _ => (RecoveryActivity::Queued, Some(START_STEP_MS)),
             }
         } else if let Some(until) = replicas.partitioned_until {
             (
-                RecoveryActivity::OutOfSight,
+                RecoveryActivity::ZonePartitioned,
                 Some(until.saturating_sub(now)),
             )
         } else if replicas.has_unconfirmed {
-            (RecoveryActivity::Unheard, None)
+            (RecoveryActivity::AwaitingHeartbeats, None)
         } else if replicas.has_unwritten {
-            (RecoveryActivity::Writing, Some(START_STEP_MS))
+            (RecoveryActivity::RecordingStart, Some(START_STEP_MS))
         } else if replicas.has_stopping {
             (
-                RecoveryActivity::Stopping,
+                RecoveryActivity::StoppingOthers,
                 Some(EVICT_WAIT_MS + START_STEP_MS),
             )
         } else {
--- a/crates/coordination/src/placer/unmet_demand.rs
+++ b/crates/coordination/src/placer/unmet_demand.rs
@@ -110,14 +110,14 @@
         (count > 0).then(|| CapacityDemand {
             team: job.team.clone(),
             need: job.need,
-            types: spec.types.clone(),
+            machine_types: spec.types.clone(),
             zone: spec.zone.clone(),
-            spot: spec.spot,
+            spot_allowed: spec.spot,
             count: count as u32,
-            one_zone: spec.one_zone,
-            only_spot: is_low_priority && !is_starved && !must_begin,
+            single_zone: spec.one_zone,
+            spot_only: is_low_priority && !is_starved && !must_begin,
             idle: is_low_priority,
-            first: must_begin,
+            must_start_now: must_begin,
         })
     }
 
--- a/crates/coordination/src/supervision/failover_log.rs
+++ b/crates/coordination/src/supervision/failover_log.rs
@@ -77,7 +77,7 @@
             to,
             how: change,
             at: now + self.config.wall_offset_ms,
-            up: informed.and_then(|s| s.placer.known_up(shard)),
+            up: informed.and_then(|s| s.placer.running_counts(shard)),
             closed: None,
         };
         NewFailover {
@@ -140,7 +140,7 @@
             r.at.saturating_sub(self.config.wall_offset_ms).min(now)
         });
         if let Some(shard) = self.shards.get_mut(&lease.shard) {
-            shard.placer.look(&mut shard.failover, now);
+            shard.placer.observe_services(&mut shard.failover, now);
             let recovering = shard.placer.services.under_replicated().clone();
             shard.failover = Failover::new(record_number, lease.token, began_at, recovering, now);
         }
@@ -152,7 +152,7 @@
         let Some(shard) = self.shards.get_mut(&index) else {
             return;
         };
-        shard.placer.look(&mut shard.failover, now);
+        shard.placer.observe_services(&mut shard.failover, now);
         shard.placer.escalate(&shard.shortage, now);
         let Some(number) = shard.failover.completion_due(now) else {
             return;
@@ -167,7 +167,7 @@
             return shard.failover.completed();
         };
         // Guards against a record that delays a start.
-        if shard.placer.starts_wait() {
+        if shard.placer.has_unwritten_starts() {
             return;
         }
         shard.failover.completion_attempted(now);
--- a/crates/coordination/src/supervision/report.rs
+++ b/crates/coordination/src/supervision/report.rs
@@ -105,9 +105,9 @@
             return row;
         };
         add_supervision(&mut row, service, now);
-        row.zones = placer.zones_up(id);
+        row.zones = placer.running_replicas_by_zone(id);
         row.lacks = placer
-            .job_note(id, now)
+            .job_status(id, now)
             .map(|(_, _, reason)| reason)
             .unwrap_or_default();
         row
--- a/crates/coordination/tests/changes.rs
+++ b/crates/coordination/tests/changes.rs
@@ -196,7 +196,7 @@
             )
             .expect("taken");
         assert_eq!(first.machines.len(), machines);
-        assert!(owner.calls(20, ROOM).is_empty());
+        assert!(owner.due_calls(20, ROOM).is_empty());
         let span = ChangeRange {
             since: 0,
             upto: 1,
@@ -211,9 +211,9 @@
             "{machines} machines"
         );
         assert_eq!(view.wants_at, 1);
-        assert_eq!(owner.calls(30, ROOM).len(), 1);
+        assert_eq!(owner.due_calls(30, ROOM).len(), 1);
         // A report that says nothing new is no news.
-        assert!(owner.report(&report(7, 2), None, 40).is_some());
+        assert!(owner.handle_heartbeat(&report(7, 2), None, 40).is_some());
         let quiet = owner
             .sync(
                 &sync(
@@ -255,11 +255,11 @@
             20,
         )
         .expect("taken");
-    assert_eq!(owner.calls(20, ROOM).len(), 2);
+    assert_eq!(owner.due_calls(20, ROOM).len(), 2);
     for n in 0..2 {
         assert!(
             owner
-                .report(
+                .handle_heartbeat(
                     &Heartbeat {
                         tasks: vec![running_task(n)],
                         ..report(n, 2)
@@ -293,7 +293,7 @@
     ];
     owner.sync(&piece, ROOM, 40).expect("taken");
     let reply = owner
-        .report(
+        .handle_heartbeat(
             &Heartbeat {
                 tasks: vec![running_task(1)],
                 ..report(1, 3)
@@ -307,7 +307,7 @@
         vec![CommandKind::Kill]
     );
     let reply = owner
-        .report(
+        .handle_heartbeat(
             &Heartbeat {
                 tasks: vec![running_task(0)],
                 ..report(0, 3)
@@ -392,7 +392,7 @@
     for n in 0..MACHINES {
         assert!(
             owner
-                .report(
+                .handle_heartbeat(
                     &Heartbeat {
                         tasks: vec![running_task(n)],
                         ..report(n, 2)
@@ -403,7 +403,7 @@
                 .is_some()
         );
     }
-    let pages = owner.images_note(60_000, VALUE, 12);
+    let pages = owner.changed_image_pages(60_000, VALUE, 12);
     assert!(pages.len() > 1, "this fleet needs several pages");
     let pages: Vec<ImageLocationsRecord> = pages
         .into_iter()
@@ -415,7 +415,7 @@
             .all(|p| lemonweir_protocol::encode(p).len() <= VALUE)
     );
     assert!(
-        owner.images_note(120_000, VALUE, 12).is_empty(),
+        owner.changed_image_pages(120_000, VALUE, 12).is_empty(),
         "nothing new, nothing written"
     );
     let mut next = Owner::new(
@@ -426,11 +426,11 @@
         lemonweir_policy::embedded().expect("policy"),
         0,
     );
-    next.learn_images(pages);
+    next.restore_image_pages(pages);
     for n in 0..MACHINES {
         let token = (TOKEN + 1) << lemonweir_model::constants::FENCE_BITS;
         assert!(
-            next.report(
+            next.handle_heartbeat(
                 &Heartbeat {
                     token,
                     ..report(n, 3)
@@ -580,17 +580,17 @@
             .find(|m| m.id == machine(5))
             .map(|m| m.open)
     };
-    owner.listed(&[entry("starting")], 1_000);
+    owner.instances_listed(&[entry("starting")], 1_000);
     owner.tick(30_000, 30_000);
     assert_eq!(open(&mut owner), Some(true), "it boots");
-    owner.listed(&[entry("running")], 30_000);
+    owner.instances_listed(&[entry("running")], 30_000);
     owner.tick(31_000, 31_000);
     assert_eq!(open(&mut owner), Some(true), "it may just be up");
     (31_000..45_000)
         .step_by(500)
         .for_each(|now| owner.tick(now, now));
     assert_eq!(open(&mut owner), Some(false));
-    assert!(owner.report(&report(5, 1), None, 46_000).is_some());
+    assert!(owner.handle_heartbeat(&report(5, 1), None, 46_000).is_some());
     assert_eq!(open(&mut owner), Some(true), "it was only late");
 }
 
@@ -609,7 +609,7 @@
             20,
         )
         .expect("taken");
-    assert!(owner.calls(20, ROOM).len() == 1);
+    assert!(owner.due_calls(20, ROOM).len() == 1);
     // Late, of another token, of a shard that there is not.
     assert_eq!(
         owner
@@ -626,7 +626,7 @@
     assert_eq!(owner.sync(&other, ROOM, 21).err(), Some(SyncError::Token));
     let mut other = sync(6, whole, Vec::new(), ObservedState::default());
     other.from = 9;
-    assert_eq!(owner.sync(&other, ROOM, 21).err(), Some(SyncError::Part));
+    assert_eq!(owner.sync(&other, ROOM, 21).err(), Some(SyncError::UnknownShard));
     // A gap, and a span that ends before it begins: all is asked for again, and
     // the attempt is still held.
     for (seq, span) in [
--- a/crates/coordination/tests/ends.rs
+++ b/crates/coordination/tests/ends.rs
@@ -487,9 +487,9 @@
                     .placer
                     .apply_cas_outcome(CompareAndSwapOutcome::Indeterminate, now);
             }
-            for call in leader.owner.calls(now, 64) {
+            for call in leader.owner.due_calls(now, 64) {
                 let result = self.deliver_command(&call);
-                leader.owner.call_done(&call, result, now);
+                leader.owner.handle_call_result(&call, result, now);
             }
         }
         all.append(&mut self.stale_leaders);
@@ -585,7 +585,7 @@
         let Some(leader) = old.or(self.leaders[shard].as_mut()) else {
             return;
         };
-        let Some(reply) = leader.owner.report(&report, None, now) else {
+        let Some(reply) = leader.owner.handle_heartbeat(&report, None, now) else {
             return;
         };
         if reply.token < self.workers[n].token {
@@ -600,9 +600,9 @@
             return;
         };
         // What is released is replaced.
-        let workers_created = leader.owner.releases();
+        let workers_created = leader.owner.next_releases();
         if !workers_created.is_empty() {
-            leader.owner.released(&workers_created, true, self.now);
+            leader.owner.instances_released(&workers_created, true, self.now);
         }
         for n in 0..WORKERS {
             if workers_created.contains(&machine(self.workers[n].name)) {
@@ -613,10 +613,10 @@
         let Some(leader) = self.leaders[shard].as_mut() else {
             return;
         };
-        for call in leader.owner.calls(self.now, 64) {
+        for call in leader.owner.due_calls(self.now, 64) {
             let result = self.deliver_command(&call);
             if let Some(leader) = self.leaders[shard].as_mut() {
-                leader.owner.call_done(&call, result, self.now);
+                leader.owner.handle_call_result(&call, result, self.now);
             }
         }
     }
@@ -761,7 +761,7 @@
                     .map_or(0, |h| h.token);
                 leader
                     .owner
-                    .watch_placers(&self.shard_leaders, self.revision, now);
+                    .observe_leaders(&self.shard_leaders, self.revision, now);
                 leader.owner.tick(now, now);
             }
             self.send_commands(shard);
--- a/crates/coordination/tests/image_locality.rs
+++ b/crates/coordination/tests/image_locality.rs
@@ -633,7 +633,7 @@
         owner.sync(&message, support::ROOM, now).expect("taken");
     };
     sync(owner, vec![wanted], Vec::new());
-    drop(owner.calls(now, support::ROOM));
+    drop(owner.due_calls(now, support::ROOM));
     for (k, phase) in [TaskPhase::Running, TaskPhase::Exited]
         .into_iter()
         .enumerate()
@@ -647,7 +647,7 @@
             saved: None,
         };
         owner
-            .report(
+            .handle_heartbeat(
                 &Heartbeat {
                     tasks: vec![task],
                     ..support::report(n, now + k as u64)
@@ -659,7 +659,7 @@
     }
     sync(owner, Vec::new(), vec![id]);
     owner
-        .report(&support::report(n, now + 2), None, now)
+        .handle_heartbeat(&support::report(n, now + 2), None, now)
         .expect("answered");
 }
 
@@ -667,7 +667,7 @@
 /// with the only copy of the service's image first.
 fn first_released(service_images: &[&str]) -> (MachineId, usize) {
     let mut owner = support::fleet(3);
-    owner.set_needed(service_images.iter().map(|i| (*i).to_owned()).collect());
+    owner.set_service_images(service_images.iter().map(|i| (*i).to_owned()).collect());
     let (mut state, mut now) = (0, 1_000);
     for (n, image) in ["model", "batch", "batch"].into_iter().enumerate() {
         run_once(&mut owner, n, n, image, &mut state, now);
@@ -678,11 +678,11 @@
     while now < 90_000 {
         now += 100;
         for n in (0..3).filter(|_| now % 3_000 == 0) {
-            owner.report(&support::report(n, now), None, now);
+            owner.handle_heartbeat(&support::report(n, now), None, now);
         }
         owner.tick(now, now);
-        let names = owner.releases();
-        owner.released(&names, true, now);
+        let names = owner.next_releases();
+        owner.instances_released(&names, true, now);
         released += names.len();
         first = first.or(names.into_iter().next());
     }
--- a/crates/coordination/tests/largest.rs
+++ b/crates/coordination/tests/largest.rs
@@ -207,17 +207,17 @@
             let first: Vec<u64> = placer
                 .unmet_demand
                 .iter()
-                .filter(|d| d.first)
+                .filter(|d| d.must_start_now)
                 .map(|d| u64::from(d.count))
                 .collect();
             assert_eq!(first, units, "seed {seed}: {jobs:?}");
-            assert!(placer.unmet_demand.iter().all(|d| !d.only_spot));
+            assert!(placer.unmet_demand.iter().all(|d| !d.spot_only));
             assert_eq!(
                 placer.unmet_demand.iter().filter(|d| !d.idle).count(),
                 usize::from(others)
             );
             assert!(
-                placer.unmet_demand.is_sorted_by_key(|d| d.first),
+                placer.unmet_demand.is_sorted_by_key(|d| d.must_start_now),
                 "others come before"
             );
         }
--- a/crates/coordination/tests/ledger.rs
+++ b/crates/coordination/tests/ledger.rs
@@ -681,7 +681,7 @@
         let Some((owner, _)) = self.shards[shard].owner.as_mut() else {
             return;
         };
-        let Some(reply) = owner.report(&report, None, self.now) else {
+        let Some(reply) = owner.handle_heartbeat(&report, None, self.now) else {
             return;
         };
         if self.fault_odds > 0 && self.random.one_in(self.fault_odds)
@@ -697,7 +697,7 @@
         let Some((owner, _)) = self.shards[shard].owner.as_mut() else {
             return;
         };
-        for call in owner.calls(self.now, 64) {
+        for call in owner.due_calls(self.now, 64) {
             let fault_odds = self.fault_odds > 0 && self.random.one_in(self.fault_odds);
             let result = match (fault_odds, self.random.below(3)) {
                 (true, 0) => CommandResult::NotSent,
@@ -712,7 +712,7 @@
                 (false, _) => self.deliver_command(&call),
             };
             if let Some((owner, _)) = self.shards[shard].owner.as_mut() {
-                owner.call_done(&call, result, self.now);
+                owner.handle_call_result(&call, result, self.now);
             }
         }
     }
@@ -843,7 +843,7 @@
                 self.start_owner(shard);
             }
             if let Some((owner, _)) = self.shards[shard].owner.as_mut() {
-                owner.watch_placers(&self.shard_leaders, self.revision, self.now);
+                owner.observe_leaders(&self.shard_leaders, self.revision, self.now);
                 owner.tick(self.now, self.now);
             }
             self.send_commands(shard);
--- a/crates/coordination/tests/mass_failure_recovery.rs
+++ b/crates/coordination/tests/mass_failure_recovery.rs
@@ -57,7 +57,7 @@
 
     /// All machines fail, with all that runs on them.
     fn fail_all_machines(&mut self) {
-        let all = self.placer.sync_for(0, TOKEN, ROOM, false, 0).wants;
+        let all = self.placer.sync_request(0, TOKEN, ROOM, false, 0).wants;
         for standing in [AttemptState::Running, AttemptState::Gone] {
             let attempts = all
                 .iter()
@@ -93,7 +93,7 @@
         let view = shown(self.machine_count, 4);
         self.machines.push(view.clone());
         self.publish(vec![view], Vec::new(), Vec::new(), partitioned);
-        let wants = self.placer.sync_for(0, TOKEN, ROOM, false, 0).wants;
+        let wants = self.placer.sync_request(0, TOKEN, ROOM, false, 0).wants;
         let last = &self.machines[self.machines.len() - 1].id;
         wants
             .into_iter()
@@ -109,7 +109,7 @@
         attempts: Vec<AttemptStatus>,
         partitioned: Vec<PartitionedZone>,
     ) {
-        let seq = self.placer.sync_for(0, TOKEN, ROOM, false, 0).seq;
+        let seq = self.placer.sync_request(0, TOKEN, ROOM, false, 0).seq;
         let since = self.machines_state;
         self.machines_state += 1;
         let view = ShardView {
@@ -134,12 +134,12 @@
             },
             attempts,
         };
-        self.placer.take_view(view, 0);
-        self.placer.place(0);
+        self.placer.apply_view(view, 0);
+        self.placer.run_placement_pass(0);
         while self.placer.next_cas(0).is_some() {
             self.store_revision += 1;
             self.placer
-                .cas_done(CompareAndSwapOutcome::Done(self.store_revision), 0);
+                .cas_completed(CompareAndSwapOutcome::Committed(self.store_revision), 0);
         }
     }
 }
@@ -195,17 +195,17 @@
     let mut cluster = Cluster::new(1);
     assert_eq!(cluster.add_machine(Vec::new()).len(), 4);
     let id = JobId::from("req-000100");
-    assert_eq!(cluster.placer.job_note(&id, 0), Some((0, 0, String::new())));
+    assert_eq!(cluster.placer.job_status(&id, 0), Some((0, 0, String::new())));
     cluster.add_machine(vec![PartitionedZone {
         zone: "north".into(),
         for_ms: 12_400,
         over_in_ms: 30_100,
     }]);
-    let reason = cluster.placer.job_note(&id, 15_000).expect("known").2;
+    let reason = cluster.placer.job_status(&id, 15_000).expect("known").2;
     assert_eq!(
         reason,
         "zone north out of sight since 15 s, its attempts there end by proof in at most 16 s"
     );
     cluster.add_machine(Vec::new());
-    assert_eq!(cluster.placer.job_note(&id, 0), Some((0, 0, String::new())));
+    assert_eq!(cluster.placer.job_status(&id, 0), Some((0, 0, String::new())));
 }
--- a/crates/coordination/tests/support/controllers.rs
+++ b/crates/coordination/tests/support/controllers.rs
@@ -274,7 +274,7 @@
     pub fn apply(&mut self, cas: &CompareAndSwap) -> CompareAndSwapOutcome {
         let lives = |w: &Write| !matches!(w, Write::Put { hold: Some(h), .. } if !self.leases.contains_key(h));
         if !cas.writes.iter().all(lives) {
-            return CompareAndSwapOutcome::Again;
+            return CompareAndSwapOutcome::Indeterminate;
         }
         let failed: Vec<String> = cas
             .conditions
@@ -301,24 +301,24 @@
                 Write::Delete { key } => self.drop_key(key),
             }
         }
-        CompareAndSwapOutcome::Done(self.revision)
+        CompareAndSwapOutcome::Committed(self.revision)
     }
 
     /// What becomes of a compare-and-swap that a controller sends.
     pub fn transact(&mut self, node: usize, cas: &CompareAndSwap) -> CompareAndSwapOutcome {
         if !self.reaches_store(node) {
-            return CompareAndSwapOutcome::Again;
+            return CompareAndSwapOutcome::Indeterminate;
         }
         match (self.draw_message_fault(), self.random.below(3)) {
             (false, _) => self.apply(cas),
-            (true, 0) => CompareAndSwapOutcome::Again,
+            (true, 0) => CompareAndSwapOutcome::Indeterminate,
             (true, 1) => {
                 self.apply(cas);
-                CompareAndSwapOutcome::Again
+                CompareAndSwapOutcome::Indeterminate
             }
             (true, _) => {
                 self.delay(DelayedMessage::CompareAndSwap(cas.clone()));
-                CompareAndSwapOutcome::Again
+                CompareAndSwapOutcome::Indeterminate
             }
         }
     }
@@ -456,12 +456,12 @@
             let left = membership.left(core, now);
             let cas = core.election_cas(&claim, hold, left, now);
             match (claim, self.apply(&cas)) {
-                (ElectionAction::Take { shard, .. }, CompareAndSwapOutcome::Done(token)) => {
+                (ElectionAction::Take { shard, .. }, CompareAndSwapOutcome::Committed(token)) => {
                     self.acquire(node, ShardLease { shard, token })
                 }
                 (
                     ElectionAction::HandBack(lease) | ElectionAction::Leave(lease),
-                    CompareAndSwapOutcome::Done(_),
+                    CompareAndSwapOutcome::Committed(_),
                 ) => {
                     self.nodes[node].core.release(lease.shard, now);
                     self.read(node);
