--- a/crates/coordination/src/change_log.rs
+++ b/crates/coordination/src/change_log.rs
@@ -1,6 +1,6 @@
-//! A numbered log of the newest changes, from which any follower can be told
+//! A numbered, compacted log of changes, from which any follower can be sent
 //! what is new since the number it acknowledged. Each key is in it once, so a
-//! follower that starts from nothing is told the whole state by the same walk.
+//! follower that starts from nothing is sent the whole state by the same walk.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::hash::Hash;
@@ -8,22 +8,31 @@
 
 use lemonweir_protocol::peer::ChangeRange;
 
-/// The log.
+/// The log: the newest change of each key, by number. Numbers begin at 1.
 pub struct ChangeLog<K, V> {
+    /// Number of the newest change.
     last: u64,
-    state: HashMap<K, (u64, Option<V>)>,
+    entries: HashMap<K, Entry<V>>,
+    /// Keys by the numbers of their changes.
     order: BTreeMap<u64, K>,
     /// Numbers of the changes that only say that a key is gone.
-    ends: BTreeSet<u64>,
+    tombstones: BTreeSet<u64>,
+}
+
+/// The newest change of a key.
+struct Entry<V> {
+    number: u64,
+    /// `None`: the key is gone.
+    value: Option<V>,
 }
 
 impl<K, V> Default for ChangeLog<K, V> {
     fn default() -> Self {
         Self {
             last: 0,
-            state: HashMap::new(),
+            entries: HashMap::new(),
             order: BTreeMap::new(),
-            ends: BTreeSet::new(),
+            tombstones: BTreeSet::new(),
         }
     }
 }
@@ -36,95 +45,81 @@
 
     /// The newest value of a key.
     pub fn get(&self, key: &K) -> Option<&V> {
-        self.state.get(key).and_then(|(_, value)| value.as_ref())
+        self.entries.get(key).and_then(|entry| entry.value.as_ref())
     }
 
-    /// Notes a value; the same value again is no change.
+    /// Sets a key's value; the same value again is no change.
     pub fn put(&mut self, key: &K, value: V) {
-        if self
-            .state
-            .get(key)
-            .is_some_and(|(_, old)| old.as_ref() == Some(&value))
-        {
-            return;
+        if self.get(key) != Some(&value) {
+            self.append(key, Some(value));
         }
-        self.note(key, Some(value));
     }
 
-    /// Notes that a key is gone.
+    /// Records that a key is gone.
     pub fn remove(&mut self, key: &K) {
-        if self
-            .state
-            .get(key)
-            .is_some_and(|(_, value)| value.is_some())
-        {
-            self.note(key, None);
+        if self.get(key).is_some() {
+            self.append(key, None);
         }
     }
 
-    fn note(&mut self, key: &K, value: Option<V>) {
+    fn append(&mut self, key: &K, value: Option<V>) {
         self.erase(key);
         self.last += 1;
         if value.is_none() {
-            self.ends.insert(self.last);
+            self.tombstones.insert(self.last);
         }
-        self.state.insert(key.clone(), (self.last, value));
-        self.order.insert(self.last, key.clone());
+        let number = self.last;
+        self.entries.insert(key.clone(), Entry { number, value });
+        self.order.insert(number, key.clone());
     }
 
-    /// Drops a key that its follower itself has given up: it need not be told.
+    /// Drops a key that its follower itself has given up: it need not be sent.
     pub fn erase(&mut self, key: &K) {
-        if let Some((at, _)) = self.state.remove(key) {
-            self.order.remove(&at);
-            self.ends.remove(&at);
+        if let Some(Entry { number, .. }) = self.entries.remove(key) {
+            self.order.remove(&number);
+            self.tombstones.remove(&number);
         }
     }
 
-    /// Drops what only says that a key is gone, up to a number that every
-    /// follower has acknowledged.
-    pub fn forget(&mut self, upto: u64) {
-        while let Some(at) = self.ends.first().copied().filter(|&at| at <= upto) {
-            self.ends.remove(&at);
-            if let Some(key) = self.order.remove(&at) {
-                self.state.remove(&key);
+    /// Drops the tombstones up to a number that every follower has acknowledged.
+    pub fn compact(&mut self, upto: u64) {
+        while let Some(number) = self.tombstones.first().copied().filter(|&n| n <= upto) {
+            self.tombstones.remove(&number);
+            if let Some(key) = self.order.remove(&number) {
+                self.entries.remove(&key);
             }
         }
     }
 
     /// Values that are newer than a number.
-    pub fn beyond(&self, upto: u64) -> impl Iterator<Item = (&K, &V)> {
+    pub fn newer_than(&self, upto: u64) -> impl Iterator<Item = (&K, &V)> {
         let newer = self.order.range((Bound::Excluded(upto), Bound::Unbounded));
-        newer.filter_map(|(_, key)| {
-            self.state
-                .get(key)
-                .and_then(|(_, v)| v.as_ref())
-                .map(|v| (key, v))
-        })
+        newer.filter_map(|(_, key)| self.get(key).map(|value| (key, value)))
     }
 
     /// Changes since a number, oldest first, as far as `room` bytes by `size`
-    /// go, but at least one. From nothing on, keys that are gone are left out.
-    pub fn since<'a>(
+    /// go, but at least one. Since 0, that is from nothing on, tombstones are left out.
+    pub fn changes_since<'a>(
         &'a self,
         since: u64,
         room: &mut usize,
         size: impl Fn(&K, Option<&V>) -> usize,
     ) -> (ChangeRange, Vec<(&'a K, Option<&'a V>)>) {
         let mut changes = Vec::new();
-        let mut span = ChangeRange {
+        let mut range = ChangeRange {
             since,
             upto: self.last.max(since),
             last: true,
         };
         let mut upto = since;
-        for (&at, key) in self.order.range((Bound::Excluded(since), Bound::Unbounded)) {
-            let value = self.state.get(key).and_then(|(_, v)| v.as_ref());
+        for (&number, key) in self.order.range((Bound::Excluded(since), Bound::Unbounded)) {
+            let value = self.get(key);
             if since == 0 && value.is_none() {
                 continue;
             }
             let bytes = size(key, value);
             if bytes > *room && !changes.is_empty() {
-                span = ChangeRange {
+                range = ChangeRange {
                     since,
                     upto,
                     last: false,
@@ -132,9 +127,9 @@
                 break;
             }
             *room = room.saturating_sub(bytes);
-            upto = at;
+            upto = number;
             changes.push((key, value));
         }
-        (span, changes)
+        (range, changes)
     }
 }
--- a/crates/coordination/src/config.rs
+++ b/crates/coordination/src/config.rs
@@ -4,48 +4,62 @@
 
 use crate::owner::Timing;
 use crate::socket_shares::SocketShares;
-use lemonweir_model::constants::*;
+use lemonweir_model::constants::TXN_BYTES;
 use lemonweir_model::settings::{ClusterMember, Settings};
 use lemonweir_model::{MachineId, Resources};
 use lemonweir_protocol::users::team_limit;
 
+/// ms of the time that a cancellation allows which are kept for delivery when
+/// a controller answers heartbeats without knowing the store, while some controller still
+/// publishes cancellations before the last attempt's end.
+const STORE_OUTAGE_GRACE_MARGIN_MS: u64 = 2_000;
+/// Share of a controller's equal part of the store's changes up to which its placer
+/// writes for idle work, other work's changes counted: above its part it would take
+/// from others' starts.
+const IDLE_WRITES_SHARE: f64 = 0.7;
+/// Bytes of changes in one message through the store: less than a compare-and-swap
+/// may hold, once in base64 and with keys. The rest follows in order.
+const STORE_MESSAGE_BYTES: usize = 24 * 1024;
+/// Bytes of a store message's value left for its other fields and its encoding.
+const STORE_MESSAGE_OVERHEAD_BYTES: usize = 512;
+
 /// Facts that do not change while the process runs.
 pub struct Config {
-    /// All controllers; the index is the part.
+    /// All controllers; the index is the number of the controller and of its home shard.
     pub members: Vec<ClusterMember>,
-    /// Our own index.
-    pub me: u16,
-    /// Limits of the teams.
-    pub limits: HashMap<String, Resources>,
-    /// Guarantees of the teams; 0: none.
-    pub guarantees: HashMap<String, Resources>,
-    /// Seconds within which tasks of a class should start.
-    pub start_within: HashMap<String, f64>,
-    /// Seconds within which work within a guarantee should start.
-    pub guarantee_within: f64,
-    /// Zones.
+    /// Index of this controller among them.
+    pub own_index: u16,
+    /// Quota limits of the teams.
+    pub quota_limits: HashMap<String, Resources>,
+    /// Guaranteed quotas of the teams; 0: none.
+    pub guaranteed_quotas: HashMap<String, Resources>,
+    /// Objectives: seconds within which tasks of a class should start.
+    pub start_objectives_s: HashMap<String, f64>,
+    /// Objective: seconds within which work within a guaranteed quota should start.
+    pub guarantee_objective_s: f64,
+    /// Zones that the settings name.
     pub zones: Vec<String>,
     /// Team names in order.
     pub teams: Vec<String>,
     /// ms for which a gang's task waits on its machine for the others.
     pub gang_wait_ms: u64,
-    /// Times of the workers.
+    /// Lease and heartbeat times of the workers.
     pub timing: Timing,
-    /// ms after the last proof of the store's word for which reports may be
-    /// answered without a newer one while a node of an earlier format lives.
-    pub short_blind_ms: u64,
+    /// ms after the last answer of the store for which heartbeats may be
+    /// answered without a newer one while a controller of an earlier format lives.
+    pub short_store_outage_grace_ms: u64,
     /// Bytes that a value in the store may have, now and later.
     pub value_bytes: usize,
     /// Time of day at the steady clock's zero, ms.
     pub wall_offset_ms: u64,
     /// ms by which a clock's time of day may be off.
-    pub clock_off_ms: u64,
-    /// Changes a transaction may hold, now and later.
-    pub txn_ops: usize,
+    pub max_clock_offset_ms: u64,
+    /// Changes a compare-and-swap may hold, now and later.
+    pub cas_max_changes: usize,
     /// Changes a second that one placer may write for idle work.
-    pub idle_writes: usize,
+    pub idle_writes_per_s: usize,
     /// Bytes of changes that a message through the store may hold.
-    pub mail_bytes: usize,
+    pub store_message_bytes: usize,
     /// Sockets for each kind of traffic.
     pub sockets: SocketShares,
 }
@@ -54,15 +68,15 @@
     /// Derives the facts from the settings.
     pub fn new(settings: &Settings) -> Self {
         let members = settings.members();
-        let me = members
+        let own_index = members
             .iter()
             .position(|m| m.host == settings.host_name)
             .unwrap_or(0) as u16;
-        let w = &settings.cluster.workers;
+        let workers = &settings.cluster.workers;
         let ms = |s: f64| (s * 1000.0) as u64;
         let objectives = &settings.cluster.objectives;
         let value_bytes = (settings.cluster.state.least_value_kb() * 1024.0) as usize;
-        let txn_ops = settings.cluster.state.least_txn_ops();
+        let cas_max_changes = settings.cluster.state.least_txn_ops();
         let mut teams: Vec<String> = settings
             .cluster
             .teams
@@ -71,64 +85,67 @@
             .collect();
         teams.sort_unstable();
         Self {
-            limits: settings
+            quota_limits: settings
                 .cluster
                 .teams
                 .iter()
                 .map(|t| (t.name.clone(), team_limit(t)))
                 .collect(),
-            guarantees: settings
+            guaranteed_quotas: settings
                 .cluster
                 .teams
                 .iter()
                 .map(|t| (t.name.clone(), Resources::offer(t.cpus, t.gpus, 0.0)))
                 .collect(),
-            start_within: objectives
+            start_objectives_s: objectives
                 .iter()
                 .filter(|o| o.kind == "wait")
                 .filter_map(|o| Some((o.class.clone()?, o.within_s?)))
                 .collect(),
-            guarantee_within: objectives
+            guarantee_objective_s: objectives
                 .iter()
                 .filter(|o| o.kind == "guarantee")
                 .filter_map(|o| o.within_s)
                 .fold(f64::MAX, f64::min),
             zones: settings.cluster.zones.clone(),
             teams,
-            gang_wait_ms: ms(w.gang_wait_s),
+            gang_wait_ms: ms(workers.gang_wait_s),
             timing: Timing {
-                lease_ms: ms(w.lease_s),
-                report_ms: ms(w.report_s),
+                lease_ms: ms(workers.lease_s),
+                report_ms: ms(workers.report_s),
             },
-            // A node of an earlier format tells of a cancellation before its
-            // tasks have ended. One told right after our last word from the
-            // store must still be carried out in time: whatever we keep alive
+            // A controller of an earlier format publishes a cancellation before its
+            // tasks have ended. One published right after the store's last answer to
+            // us must still be carried out in time: whatever we keep alive
             // until then ends with its lease.
-            short_blind_ms: ms(w.cancel_s - w.lease_s).saturating_sub(BLIND_MARGIN_MS),
+            short_store_outage_grace_ms: ms(workers.cancel_s - workers.lease_s)
+                .saturating_sub(STORE_OUTAGE_GRACE_MARGIN_MS),
             value_bytes,
             wall_offset_ms: 0,
-            clock_off_ms: settings.cluster.clock_off_ms.ceil() as u64,
-            txn_ops,
-            idle_writes: (settings.cluster.state.least_write_rps() * IDLE_WRITES_SHARE
+            max_clock_offset_ms: settings.cluster.clock_off_ms.ceil() as u64,
+            cas_max_changes,
+            idle_writes_per_s: (settings.cluster.state.least_write_rps() * IDLE_WRITES_SHARE
                 / members.len().max(1) as f64)
                 .ceil() as usize,
             // Half of what would just fit: the other fields of a message take
             // some, and one change may be larger than another.
-            mail_bytes: MAIL_BYTES.min(mail_piece_bytes(value_bytes) * txn_ops / 2),
-            sockets: SocketShares::of(settings.cluster.limits.fd_limit),
+            store_message_bytes: STORE_MESSAGE_BYTES
+                .min(store_message_piece_bytes(value_bytes) * cas_max_changes / 2),
+            sockets: SocketShares::divide(settings.cluster.limits.fd_limit),
             members,
-            me,
+            own_index,
         }
     }
 
-    /// Pages of the note of images in one transaction: no more than its changes, nor
+    /// Pages of image locations in one compare-and-swap: no more than its changes, nor
     /// than its bytes.
-    pub fn image_pages(&self) -> usize {
+    pub fn image_pages_per_cas(&self) -> usize {
         let bytes = TXN_BYTES / self.value_bytes.max(1);
-        self.txn_ops.min(bytes).max(1)
+        self.cas_max_changes.min(bytes).max(1)
     }
 
-    /// The part that a machine belongs to: one of its zone's, by its name.
+    /// The shard that a machine belongs to: one of its zone's, by a hash of its name, so
+    /// that every controller finds the same.
     pub fn shard_of(&self, zone: &str, machine: &MachineId) -> u16 {
         let local: Vec<u16> = (0..self.members.len() as u16)
             .filter(|&i| self.members[usize::from(i)].zone == zone)
@@ -145,19 +162,19 @@
         }
     }
 
-    /// The part that serves a team unless the store says otherwise.
+    /// The shard whose placer runs a team's jobs unless the store says otherwise.
     pub fn default_shard(&self, team: &str) -> u16 {
         let at = self.teams.iter().position(|t| t == team).unwrap_or(0);
         (at % self.members.len()) as u16
     }
 }
 
-/// Bytes of a peer message that fit one value of the store: base64 makes four
+/// Bytes of a peer's message that fit one value of the store: base64 makes four
 /// bytes of three.
-pub fn mail_piece_bytes(value_bytes: usize) -> usize {
+pub fn store_message_piece_bytes(value_bytes: usize) -> usize {
     value_bytes
-        .saturating_sub(MAIL_OVERHEAD_BYTES)
-        .max(MAIL_OVERHEAD_BYTES)
+        .saturating_sub(STORE_MESSAGE_OVERHEAD_BYTES)
+        .max(STORE_MESSAGE_OVERHEAD_BYTES)
         / 4
         * 3
 }
--- a/crates/coordination/src/effects.rs
+++ b/crates/coordination/src/effects.rs
@@ -11,59 +11,59 @@
 
 use crate::owner::CommandCall;
 
-/// What the process has to do. Each names the part and its token, so that an
-/// answer to a part that is no longer held is dropped.
+/// What the process has to do. Each names the lease under which it was asked, so that
+/// the result for a shard that is no longer led is dropped.
 #[derive(Debug)]
 pub enum Effect {
-    /// Make a transaction.
+    /// Make a compare-and-swap for a shard.
     CompareAndSwap(ShardLease, CompareAndSwap),
-    /// Make a transaction for jobs that wait for others.
-    Chain(CompareAndSwap),
-    /// Read the ends of these jobs.
-    ReadEnds(Vec<JobId>),
-    /// Write a hint; its end does not matter.
-    Note(CompareAndSwap),
-    /// Call a worker.
+    /// Make a compare-and-swap for jobs that wait for their dependencies.
+    DependencyCompareAndSwap(CompareAndSwap),
+    /// Read the final states of these jobs.
+    ReadFinalStates(Vec<JobId>),
+    /// Write a hint; its result does not matter.
+    WriteHint(CompareAndSwap),
+    /// Command a worker.
     Command(ShardLease, CommandCall),
-    /// Sync with an owner on another node.
+    /// Sync with an owner on another controller.
     Sync(ShardLease, SyncRequest),
     /// Send a sync through the store.
-    MailSync(SyncRequest),
-    /// Answer a sync through the store, to this part.
-    MailView(u16, ShardView),
-    /// Ask another part's placer to sync with us.
-    Nudge(u16),
-    /// Rent machines.
-    Rent(ShardLease, ProvisioningRequest),
-    /// Give machines back.
-    Release(ShardLease, Vec<MachineId>),
-    /// Tell another controller of our links.
-    Hail(u16, AvailabilityGossip),
-    /// Try a service's direct way with a request that changes nothing.
-    Probe(Service),
+    StoreSync(SyncRequest),
+    /// Answer a sync through the store, to this shard.
+    StoreView(u16, ShardView),
+    /// Ask the placer of another controller's shard to sync with us.
+    WakePeer(u16),
+    /// Scale out: provision instances.
+    Provision(ShardLease, ProvisioningRequest),
+    /// Scale in: release instances.
+    ReleaseInstances(ShardLease, Vec<MachineId>),
+    /// Send our availability gossip to another controller.
+    SendGossip(u16, AvailabilityGossip),
+    /// Try a service's direct route with a request that changes nothing.
+    ProbeService(Service),
 }
 
 /// Counted work and judgements.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WorkCounters {
-    /// Words of bits and machines that walks looked at.
-    pub looked: u64,
+    /// Words of bits and machines that candidate walks looked at.
+    pub candidates_examined: u64,
     /// Placements refused for want of room.
-    pub refused: u64,
-    /// Attempts pushed out for others.
-    pub pushed_out: u64,
+    pub placements_refused: u64,
+    /// Attempts preempted.
+    pub attempts_preempted: u64,
 }
 
-/// A part with the token under which something was asked.
+/// A shard's lease: the shard with the fencing token under which it is led.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShardLease {
-    /// The part.
+    /// The shard.
     pub shard: u16,
-    /// Its token.
+    /// Fencing token: the revision at which the lease was acquired.
     pub token: u64,
 }
 
-/// Keys of task records to read again after a transaction for a shard met other
+/// Keys of task records to read again after a compare-and-swap for a shard met other
 /// versions: those among `conflicts`, or none if the shard itself is lost.
 ///
 /// Guards against a deposed leader that reads its records again, one by one, while its
@@ -79,27 +79,27 @@
         .collect()
 }
 
-/// What to answer to a worker's report.
+/// What to answer to a worker's heartbeat.
 #[derive(Debug)]
 pub enum HeartbeatAnswer {
-    /// 200 with orders.
-    Orders(HeartbeatResponse),
-    /// 421: report to this controller.
-    Elsewhere(String),
-    /// Carry the report to the owner, the controller of this number, and answer
+    /// 200 with commands.
+    Commands(HeartbeatResponse),
+    /// 421: send heartbeats to the controller of this host name.
+    Redirect(String),
+    /// Relay the heartbeat to the leader, the controller of this number, and answer
     /// with its answer.
-    Carry(u16),
+    Relay(u16),
     /// 503.
-    Unable,
+    Unavailable,
 }
 
-/// How a rental went.
+/// How a provisioning request went.
 #[derive(Debug)]
 pub enum ProvisioningResult {
-    /// These machines were rented.
-    Rented(Vec<MachineId>),
+    /// These instances were provisioned.
+    Provisioned(Vec<MachineId>),
     /// None available.
     NoCapacity,
-    /// Ask again, with the same name: it may have been executed.
-    Again,
+    /// Ask again, under the same booking: it may have been executed.
+    Retry,
 }
--- a/crates/coordination/src/heartbeats.rs
+++ b/crates/coordination/src/heartbeats.rs
@@ -1,195 +1,223 @@
-//! Workers' reports and calls to workers: who answers, for how long without word from the
-//! store, and after this process stood still.
+//! Workers' heartbeats and commands to workers: who answers, for how long without an
+//! answer of the store, and after a stall of this process.
 
 use tracing::warn;
 
 use crate::links::{MisroutedHeartbeat, MisroutedHeartbeatAction};
 use crate::owner::{CommandCall, CommandResult};
+use crate::process_stall::STALL_MS;
 use crate::{Core, HeartbeatAnswer, ShardLease, incarnation, worker_lease};
-use lemonweir_model::constants::*;
+use lemonweir_model::constants::{FENCE_BITS, HOLD_TTL_MS, PEER_VERSION};
 use lemonweir_protocol::worker::{Heartbeat, HeartbeatResponse};
 
+/// Zones that no setting names which are logged, each once.
+const UNKNOWN_ZONES_LOGGED: usize = 64;
+
 impl Core {
-    // ---- standing still ------------------------------------------------------
+    // ---- process stalls --------------------------------------------------------
 
-    /// Something happens: notes whether this process stood still before it.
-    pub(crate) fn awake(&mut self, now: u64) {
-        if let Some(gap) = self.pause.pass(now) {
-            self.stood_still(gap, now);
+    /// Something happens: finds out whether this process stalled before it.
+    pub(crate) fn detect_stall(&mut self, now: u64) {
+        if let Some(gap) = self.stall.record_event(now) {
+            self.apply_stall(gap, now);
         }
     }
 
-    pub(crate) fn stood_still(&mut self, gap: u64, now: u64) {
+    fn apply_stall(&mut self, gap: u64, now: u64) {
         self.links
-            .note(now, format!("this controller stood still for {gap} ms"));
-        self.links.stood_still(gap, now);
+            .record_event(now, format!("this controller stalled for {gap} ms"));
+        self.links.apply_stall(gap, now);
         for shard in self.shards.values_mut() {
             shard.owner.stood_still(gap, now);
         }
     }
 
-    /// True if this process stood still for so long that another may hold what it
-    /// held, and the store has not shown otherwise yet.
-    pub fn unproven(&self) -> bool {
-        self.pause.unproven(self.links.store_heard())
+    /// True if this process stalled for so long that another may lead what it led,
+    /// and the store has not confirmed its leases since.
+    pub fn lease_unconfirmed(&self) -> bool {
+        self.stall.lease_unconfirmed(self.links.last_store_answer())
     }
 
-    /// A worker reported.
-    pub fn report(&mut self, report: &Heartbeat, now: u64) -> HeartbeatAnswer {
-        self.awake(now);
-        // A zone that nobody knows is no link.
-        let known = self.config.zones.contains(&report.zone);
-        if !known && self.odd_zones.len() < ODD_ZONES && self.odd_zones.insert(report.zone.clone())
-        {
-            warn!(machine = %report.machine, zone = report.zone, "machine of a zone that is not in the settings");
-        }
-        let shard = self.config.shard_of(&report.zone, &report.machine);
-        if self.cache.revision.is_none() && shard == self.config.me {
-            self.links.came(&report.zone, known, now);
-            return self.keep_promise(report, now);
+    /// The time of day at the steady clock's `now`, ms: the two drift apart.
+    pub fn set_wall_clock(&mut self, now: u64, wall_ms: u64) {
+        let offset = wall_ms.saturating_sub(now);
+        let jump =
+            offset.saturating_sub(std::mem::replace(&mut self.config.wall_offset_ms, offset));
+        // Guards against a stall in which the steady clock stood: only the time of
+        // day shows it, as far as that is right.
+        if jump > 2 * self.config.max_clock_offset_ms + STALL_MS {
+            let gap = self.stall.record_stall(jump, now);
+            self.apply_stall(gap, now);
         }
-        if let Some(shard) = self.shards.get(&shard) {
+    }
+
+    // ---- heartbeats ------------------------------------------------------------
+
+    /// Handles a worker's heartbeat.
+    pub fn handle_heartbeat(&mut self, heartbeat: &Heartbeat, now: u64) -> HeartbeatAnswer {
+        self.detect_stall(now);
+        let zone_known = self.check_zone(heartbeat);
+        let index = self.config.shard_of(&heartbeat.zone, &heartbeat.machine);
+        if self.cache.revision.is_none() && index == self.config.own_index {
             self.links
-                .came(&report.zone, known && shard.owner.is_news(report), now);
+                .record_heartbeat(&heartbeat.zone, zone_known, now);
+            return self.confirm_worker_lease(heartbeat, now);
         }
-        if self.shards.contains_key(&shard) {
-            return self.answer_report(report, shard, None, now);
+        if let Some(shard) = self.shards.get(&index) {
+            let fresh = zone_known && shard.owner.is_news(heartbeat);
+            self.links.record_heartbeat(&heartbeat.zone, fresh, now);
+            return self.answer_heartbeat(heartbeat, index, None, now);
         }
-        let (again, news) = self.links.strays.came(
+        self.handle_misrouted_heartbeat(heartbeat, index, zone_known, now)
+    }
+
+    /// True if the settings name the worker's zone. One that nobody knows is no link.
+    fn check_zone(&mut self, heartbeat: &Heartbeat) -> bool {
+        let known = self.config.zones.contains(&heartbeat.zone);
+        if !known
+            && self.unknown_zones.len() < UNKNOWN_ZONES_LOGGED
+            && self.unknown_zones.insert(heartbeat.zone.clone())
+        {
+            warn!(machine = %heartbeat.machine, zone = heartbeat.zone, "zone not in the settings");
+        }
+        known
+    }
+
+    /// A worker's heartbeat reached us, and another controller leads its shard, or nobody.
+    fn handle_misrouted_heartbeat(
+        &mut self,
+        heartbeat: &Heartbeat,
+        shard: u16,
+        zone_known: bool,
+        now: u64,
+    ) -> HeartbeatAnswer {
+        let (repeated, fresh) = self.links.misrouted.came(
             shard,
-            &report.machine,
-            incarnation::MessageSequence::of(report),
+            &heartbeat.machine,
+            incarnation::MessageSequence::of(heartbeat),
             now,
         );
-        self.links.came(&report.zone, known && news, now);
+        self.links
+            .record_heartbeat(&heartbeat.zone, zone_known && fresh, now);
         let members = &self.config.members;
-        let holder = self
-            .cache
-            .shards
-            .get(&shard)
-            .filter(|h| h.host != members[usize::from(self.config.me)].host);
-        let Some((number, holder)) =
-            holder.and_then(|h| Some((members.iter().position(|m| m.host == h.host)? as u16, h)))
-        else {
-            return HeartbeatAnswer::Unable;
+        let own_host = &members[usize::from(self.config.own_index)].host;
+        let leader = self.cache.shards.get(&shard);
+        let Some(leader) = leader.filter(|leader| leader.host != *own_host) else {
+            return HeartbeatAnswer::Unavailable;
+        };
+        let Some(number) = members.iter().position(|m| m.host == leader.host) else {
+            return HeartbeatAnswer::Unavailable;
         };
-        let knows = report.token >> FENCE_BITS == holder.token;
-        let stray = MisroutedHeartbeat {
+        let misrouted = MisroutedHeartbeat {
             shard,
-            holder: number,
-            zone: &report.zone,
-            machine: &report.machine,
-            again,
-            knows,
+            leader: number as u16,
+            zone: &heartbeat.zone,
+            machine: &heartbeat.machine,
+            repeated,
+            knows_leader: heartbeat.token >> FENCE_BITS == leader.token,
         };
-        match self.links.stray(&stray, now) {
-            MisroutedHeartbeatAction::Carry => HeartbeatAnswer::Carry(number),
-            MisroutedHeartbeatAction::Send => HeartbeatAnswer::Elsewhere(holder.host.clone()),
-            MisroutedHeartbeatAction::Unable => HeartbeatAnswer::Unable,
+        match self.links.route_misrouted(&misrouted, now) {
+            MisroutedHeartbeatAction::Relay => HeartbeatAnswer::Relay(misrouted.leader),
+            MisroutedHeartbeatAction::Redirect => HeartbeatAnswer::Redirect(leader.host.clone()),
+            MisroutedHeartbeatAction::Unavailable => HeartbeatAnswer::Unavailable,
         }
     }
 
-    /// A worker of our home's part came to a process that has had no word from
-    /// the store yet.
-    pub(crate) fn keep_promise(&self, report: &Heartbeat, now: u64) -> HeartbeatAnswer {
+    /// A worker of our home shard reached a process that has had no answer from
+    /// the store yet: the lease that its token shows is still in force, or not.
+    fn confirm_worker_lease(&self, heartbeat: &Heartbeat, now: u64) -> HeartbeatAnswer {
         let wall = now + self.config.wall_offset_ms;
-        match worker_lease::kept_until(report.token, wall, self.config.clock_off_ms) {
-            Some(until) if wall <= until => HeartbeatAnswer::Orders(HeartbeatResponse {
-                token: report.token,
+        match worker_lease::kept_until(heartbeat.token, wall, self.config.max_clock_offset_ms) {
+            Some(until) if wall <= until => HeartbeatAnswer::Commands(HeartbeatResponse {
+                token: heartbeat.token,
                 orders: Vec::new(),
             }),
-            _ => HeartbeatAnswer::Unable,
-        }
-    }
-
-    /// The time of day at the steady clock's `now`, ms: the two drift apart.
-    pub fn set_clock(&mut self, now: u64, wall_ms: u64) {
-        let offset = wall_ms.saturating_sub(now);
-        let jump =
-            offset.saturating_sub(std::mem::replace(&mut self.config.wall_offset_ms, offset));
-        // Guards against a pause in which the steady clock stood: only the time of
-        // day tells of it, as far as that is right.
-        if jump > 2 * self.config.clock_off_ms + STOOD_STILL_MS {
-            let gap = self.pause.stood(jump, now);
-            self.stood_still(gap, now);
+            _ => HeartbeatAnswer::Unavailable,
         }
     }
 
-    /// Another controller carries a worker's report here. Only an owner answers
-    /// it: nothing is carried on.
-    pub fn carried_report(&mut self, report: &Heartbeat, by: u16, now: u64) -> HeartbeatAnswer {
-        self.awake(now);
-        let shard = self.config.shard_of(&report.zone, &report.machine);
-        self.answer_report(report, shard, Some(by), now)
+    /// Another controller relays a worker's heartbeat. Only an owner answers
+    /// it: nothing is relayed twice.
+    pub fn handle_relayed_heartbeat(
+        &mut self,
+        heartbeat: &Heartbeat,
+        relayed_by: u16,
+        now: u64,
+    ) -> HeartbeatAnswer {
+        self.detect_stall(now);
+        let shard = self.config.shard_of(&heartbeat.zone, &heartbeat.machine);
+        self.answer_heartbeat(heartbeat, shard, Some(relayed_by), now)
     }
 
-    pub(crate) fn answer_report(
+    fn answer_heartbeat(
         &mut self,
-        report: &Heartbeat,
-        shard: u16,
-        by: Option<u16>,
+        heartbeat: &Heartbeat,
+        index: u16,
+        relayed_by: Option<u16>,
         now: u64,
     ) -> HeartbeatAnswer {
-        let blind = self.blind(now);
-        let began = self
-            .links
-            .store_heard()
-            .map(|at| at + self.config.wall_offset_ms);
-        let at_home = shard == self.config.me;
-        match self.shards.get_mut(&shard) {
-            Some(shard) if !blind => {
-                if let Some(began) = began.filter(|_| at_home) {
-                    shard.owner.promise(&report.machine, began, now);
-                }
-                shard
-                    .owner
-                    .report(report, by, now)
-                    .map_or(HeartbeatAnswer::Unable, HeartbeatAnswer::Orders)
-            }
-            _ => HeartbeatAnswer::Unable,
+        if self.store_outage_grace_exceeded(now) {
+            return HeartbeatAnswer::Unavailable;
         }
+        let Some(shard) = self.shards.get_mut(&index) else {
+            return HeartbeatAnswer::Unavailable;
+        };
+        if index == self.config.own_index
+            && let Some(at) = self.links.last_store_answer()
+        {
+            let answered = at + self.config.wall_offset_ms;
+            shard.owner.promise(&heartbeat.machine, answered, now);
+        }
+        shard
+            .owner
+            .report(heartbeat, relayed_by, now)
+            .map_or(HeartbeatAnswer::Unavailable, HeartbeatAnswer::Commands)
     }
 
-    /// Too long without word from the store to act for a part, or none since a
-    /// pause.
-    pub(crate) fn blind(&self, now: u64) -> bool {
-        self.unproven()
+    // ---- store outages ---------------------------------------------------------
+
+    /// Too long without an answer of the store to act for a shard, or none since a
+    /// stall.
+    pub(crate) fn store_outage_grace_exceeded(&self, now: u64) -> bool {
+        self.lease_unconfirmed()
             || self
                 .links
-                .store_heard()
-                .is_none_or(|at| now > at + self.blind_ms())
+                .last_store_answer()
+                .is_none_or(|at| now > at + self.store_outage_grace_ms())
     }
 
-    /// True if this controller has had no word from the store for as long as its hold
-    /// lives. Its workers are answered all the same, but another may have its part by
+    /// True if this controller has had no answer from the store for as long as its store
+    /// lease lives. Its workers are answered all the same, but another may lead its shard by
     /// now, and what that has proven over must not be started here.
-    pub(crate) fn outlived(&self, now: u64) -> bool {
+    pub(crate) fn store_lease_may_have_expired(&self, now: u64) -> bool {
         self.links.store_age(now) > HOLD_TTL_MS
     }
 
-    /// ms after the last word from the store for which reports are answered.
-    /// Without it withdrawals may be asked for that we don't see; none is told
+    /// ms after the last answer of the store for which heartbeats are answered.
+    /// Meanwhile cancellations may be asked for that we don't see; none is published
     /// to its user before its last attempt is proven over (`Job::finished`), so
-    /// what runs on meanwhile breaks no promise.
-    pub(crate) fn blind_ms(&self) -> u64 {
-        let alike = self.cache.nodes.values().all(|n| n.format >= PEER_VERSION);
-        if alike {
+    /// what runs on meanwhile breaks no guarantee.
+    fn store_outage_grace_ms(&self) -> u64 {
+        let same_format = self.cache.nodes.values().all(|n| n.format >= PEER_VERSION);
+        if same_format {
             self.policy.blind_ms
         } else {
-            self.config.short_blind_ms.min(self.policy.blind_ms)
+            self.config
+                .short_store_outage_grace_ms
+                .min(self.policy.blind_ms)
         }
     }
 
-    /// A call to a worker ended.
-    pub fn command_done(
+    /// A command to a worker ended.
+    pub fn command_completed(
         &mut self,
         lease: ShardLease,
         call: &CommandCall,
         result: CommandResult,
         now: u64,
     ) {
-        self.calls = self.calls.saturating_sub(1);
-        if let Some(shard) = self.shard(lease) {
+        self.commands_in_flight = self.commands_in_flight.saturating_sub(1);
+        if let Some(shard) = self.shard_under(lease) {
             shard.owner.call_done(call, result, now);
         }
     }
--- a/crates/coordination/src/job_status.rs
+++ b/crates/coordination/src/job_status.rs
@@ -1,82 +1,110 @@
-//! What users are told of a job, from memory.
+//! What users are answered about a job, from memory.
 //!
-//! A node answers for an unfinished job from its copy for [`MEMORY_MS`] after the
-//! reading that brought it up to date began. No node tells of an end until
-//! [`TOLD_AFTER_MS`] after it learned of it, which is after it was written. So when
-//! the first user is told, every reading that began before the end is too old to
-//! answer from, at every node: nobody is given an older answer after a newer one.
-//! Both times run on steady clocks, whose drift the second allows for.
+//! A controller answers for an unfinished job from its cache for
+//! [`CACHE_ANSWER_MAX_AGE_MS`] after the reading that brought it up to date began. None
+//! publishes a final state until [`FINAL_STATE_DELAY_MS`] after it learned of it, which is
+//! after it was written. So when the first user is answered so, every reading that began
+//! before the final state is too old to answer from, at every controller: nobody is given
+//! an older answer after a newer one. Both times run on steady clocks, whose drift the
+//! second allows for.
 
-use crate::Core;
 use crate::dependencies::DependencyState;
+use crate::{Core, JobProgressReport};
 use lemonweir_model::JobId;
-use lemonweir_model::constants::{MEMORY_MS, TOLD_AFTER_MS};
 use lemonweir_protocol::users::JobPhase;
 use lemonweir_storage::state_cache::FinalState;
 
-/// What this node can say of a job now.
+/// ms for which a reading of the store answers polls of unfinished jobs from
+/// the cache, from when it began: the regular ones are some 220 ms apart.
+pub const CACHE_ANSWER_MAX_AGE_MS: u64 = 300;
+/// ms from when a controller learns of a job's final state until it answers a user with
+/// it: by then no other controller answers from a reading that began before that state,
+/// whatever the drift of the clocks. Users expect the end within 3 s (protocol page).
+pub const FINAL_STATE_DELAY_MS: u64 = CACHE_ANSWER_MAX_AGE_MS + 20;
+
+/// What this controller can say of a job now.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum JobStatusAnswer {
     /// It is over.
-    Over(JobPhase),
-    /// It is over, which may be told after so many ms.
-    OverIn(u64),
-    /// It is unfinished: phase, tasks done and running, why it waits.
-    Unfinished(JobPhase, u64, u64, String),
-    /// It was unfinished; only a reading that begins now tells whether it still is.
-    Reading,
-    /// It waits for others, of which these may be over: their ends must be read first.
-    Ends(Vec<JobId>),
-    /// This node knows nothing of it.
+    Finished(JobPhase),
+    /// It is over, which may be published after so many ms.
+    FinishedIn(u64),
+    /// It is unfinished.
+    Unfinished(JobProgressReport),
+    /// It was unfinished; only a reading that begins now shows whether it still is.
+    NeedsRefresh,
+    /// It depends on others, of which these may be over: their final states must be
+    /// read first.
+    NeedsFinalStates(Vec<JobId>),
+    /// This controller knows nothing of it.
     Unknown,
 }
 
-impl Answer {
-    /// What may be told of a job by an end that decides it: its own, or that of a
-    /// cancelled job that it needs.
-    pub(crate) fn of_end(end: FinalState, now: u64) -> Self {
-        match (end.learned + TOLD_AFTER_MS).saturating_sub(now) {
-            0 => Answer::Over(end.phase),
-            ms => Answer::OverIn(ms),
+impl JobStatusAnswer {
+    /// What may be published of a job by a final state that decides it: its own, or that
+    /// of a cancelled job that it depends on.
+    fn from_final_state(state: FinalState, now: u64) -> Self {
+        match (state.learned + FINAL_STATE_DELAY_MS).saturating_sub(now) {
+            0 => Self::Finished(state.phase),
+            ms => Self::FinishedIn(ms),
         }
     }
 }
 
 impl Core {
-    /// What may be told of a job, in constant time.
-    pub fn answer(&self, id: &JobId, now: u64) -> Answer {
-        if let Some(end) = self.cache.end(id) {
-            return Answer::of_end(end, now);
+    /// What may be answered about a job, in constant time.
+    pub fn job_status(&self, id: &JobId, now: u64) -> JobStatusAnswer {
+        if let Some(state) = self.cache.end(id) {
+            return JobStatusAnswer::from_final_state(state, now);
         }
         if self.cache.waiting.contains_key(id) {
-            return self.chain_answer(id, now);
+            return self.dependent_job_status(id, now);
         }
         if !self.cache.jobs.contains_key(id) {
-            return Answer::Unknown;
+            return JobStatusAnswer::Unknown;
+        }
+        if self.cache_too_old(now) {
+            return JobStatusAnswer::NeedsRefresh;
         }
-        // Guards against a process that stood still, or that the store does not
-        // answer: its memory is old however few events it had since.
-        if self.links.store_age(now) > MEMORY_MS {
-            return Answer::Reading;
+        self.unfinished_status(id, now)
+            .unwrap_or(JobStatusAnswer::Unknown)
+    }
+
+    /// Guards against a process that stalled, or that the store does not
+    /// answer: its cache is old however few events it had since.
+    fn cache_too_old(&self, now: u64) -> bool {
+        self.links.store_age(now) > CACHE_ANSWER_MAX_AGE_MS
+    }
+
+    /// What may be answered about a job that waits for its dependencies.
+    fn dependent_job_status(&self, id: &JobId, now: u64) -> JobStatusAnswer {
+        match self.dependency_state(id) {
+            DependencyState::Cancelled(state) => JobStatusAnswer::from_final_state(state, now),
+            DependencyState::Unread(ids) if ids.is_empty() => JobStatusAnswer::NeedsRefresh,
+            DependencyState::Unread(ids) => JobStatusAnswer::NeedsFinalStates(ids),
+            DependencyState::Waiting(_) | DependencyState::Ready(_) if self.cache_too_old(now) => {
+                JobStatusAnswer::NeedsRefresh
+            }
+            state @ (DependencyState::Waiting(_) | DependencyState::Ready(_)) => {
+                JobStatusAnswer::Unfinished(JobProgressReport::queued(state.wait_reason()))
+            }
         }
-        self.unfinished(id, now).unwrap_or(Answer::Unknown)
     }
 
-    /// The state of an unfinished job as the copy has it; for who has just had it
+    /// The status of an unfinished job as the cache has it; for who has just had it
     /// brought up to date.
-    pub fn unfinished(&self, id: &JobId, now: u64) -> Option<Answer> {
+    pub fn unfinished_status(&self, id: &JobId, now: u64) -> Option<JobStatusAnswer> {
         if self.cache.waiting.contains_key(id) {
-            return match self.chain_standing(id) {
-                DependencyState::Waits(_) | DependencyState::Ready(_) => {
-                    Some(Answer::Unfinished(JobPhase::Queued, 0, 0, String::new()))
-                }
-                _ => None,
+            return match self.dependency_state(id) {
+                DependencyState::Waiting(_) | DependencyState::Ready(_) => Some(
+                    JobStatusAnswer::Unfinished(JobProgressReport::queued(String::new())),
+                ),
+                DependencyState::Cancelled(_) | DependencyState::Unread(_) => None,
             };
         }
         if self.cache.end(id).is_some() || !self.cache.jobs.contains_key(id) {
             return None;
         }
-        let (phase, done, running, reason) = self.progress(id, now);
-        Some(Answer::Unfinished(phase, done, running, reason))
+        Some(JobStatusAnswer::Unfinished(self.job_progress(id, now)))
     }
 }
--- /dev/null
+++ b/crates/coordination/src/links/services.rs
@@ -0,0 +1,127 @@
+//! Links to the services: direct calls, and the choice of who relays them.
+
+use std::cmp::Reverse;
+
+use super::peers::Peer;
+use super::upstream_route::{CallOutcome, RelayCandidate, RequestSize, UpstreamRoute};
+use super::{Links, service_name};
+use lemonweir_protocol::links::Service;
+
+/// ms since a controller's own last answer from the state service up to which it
+/// is asked to relay: it reads several times a second, and gossips every 2 s.
+const STORE_RELAY_FRESH_MS: u64 = 3_500;
+/// The same for the cloud, which each controller asks every few seconds.
+const CLOUD_RELAY_FRESH_MS: u64 = 20_000;
+
+impl Links {
+    fn upstream(&mut self, service: Service) -> &mut UpstreamRoute {
+        match service {
+            Service::Store => &mut self.store,
+            Service::Cloud => &mut self.cloud,
+        }
+    }
+
+    /// Controllers that could relay to a service, the one it answered last first.
+    fn relay_candidates(&self, service: Service, now: u64) -> Vec<RelayCandidate> {
+        let last_answer = |peer: &Peer| {
+            let gossip = peer.gossip.as_ref()?;
+            gossip
+                .received_at
+                .checked_sub(gossip.content.age_ms(service)?)
+        };
+        let mut candidates: Vec<RelayCandidate> = self
+            .other_peers()
+            .filter(|(_, peer)| !peer.detector.is_down())
+            .filter_map(|(host, peer)| {
+                let last_answer =
+                    last_answer(peer).filter(|at| now <= at + relay_fresh_ms(service))?;
+                Some(RelayCandidate { host, last_answer })
+            })
+            .collect();
+        candidates.sort_unstable_by_key(|c| (Reverse(c.last_answer), c.host));
+        candidates
+    }
+
+    /// Who relays a request of so many bytes to a service; `None`: it goes directly.
+    pub fn route(&mut self, service: Service, bytes: usize, now: u64) -> Option<u16> {
+        let size = RequestSize::of(bytes);
+        if !self.upstream(service).is_down_for(size) {
+            return None;
+        }
+        let candidates = self.relay_candidates(service, now);
+        let upstream = self.upstream(service);
+        let before = upstream.relay();
+        let relay = upstream.route(size, &candidates, now);
+        if let Some(host) = relay.filter(|_| relay != before) {
+            let text = format!(
+                "calls to the {} are relayed by {}",
+                service_name(service),
+                self.hosts[usize::from(host)]
+            );
+            self.record_event(now, text);
+        }
+        relay
+    }
+
+    /// What became of a request of so many bytes to a service that went directly.
+    pub fn record_direct_call(&mut self, service: Service, bytes: usize, answered: bool, now: u64) {
+        if !answered && now < self.stall_grace_until {
+            return;
+        }
+        let (size, outcome) = (RequestSize::of(bytes), CallOutcome::of(answered));
+        if !self.upstream(service).record_direct(size, outcome, now) {
+            return;
+        }
+        let name = service_name(service);
+        let text = match (outcome, size) {
+            (CallOutcome::Answered, _) => format!("the {name} answers"),
+            (CallOutcome::Failed, RequestSize::Small) => format!("the {name} does not answer"),
+            (CallOutcome::Failed, RequestSize::Large) => {
+                format!("the {name} does not answer large requests")
+            }
+        };
+        self.record_event(now, text);
+    }
+
+    /// What became of a request to a service that another controller relayed.
+    pub fn record_relayed_call(&mut self, service: Service, relay: u16, answered: bool, now: u64) {
+        self.upstream(service)
+            .record_relayed(relay, CallOutcome::of(answered), now);
+    }
+
+    /// True if this controller may relay to a service now: only on its own direct route, so
+    /// that nothing goes on from relay to relay.
+    pub fn can_relay(&self, service: Service) -> bool {
+        match service {
+            Service::Store => !self.store.small.is_down(),
+            Service::Cloud => !self.cloud.small.is_down(),
+        }
+    }
+
+    /// Services whose direct route should be probed now.
+    pub(crate) fn due_probes(&mut self, now: u64) -> Vec<Service> {
+        [Service::Store, Service::Cloud]
+            .into_iter()
+            .filter(|service| self.upstream(*service).take_due_probe(now))
+            .collect()
+    }
+
+    /// An answer of a service took so long, directly or relayed.
+    pub fn record_latency(&mut self, service: Service, latency_ms: u64, now: u64) {
+        if service == Service::Store {
+            self.store_answers.record_latency(latency_ms);
+        }
+        self.latencies
+            .entry(service)
+            .or_default()
+            .record(latency_ms, now);
+    }
+}
+
+/// ms since a service's last answer up to which who got it counts as reaching it.
+pub(super) fn relay_fresh_ms(service: Service) -> u64 {
+    match service {
+        Service::Store => STORE_RELAY_FRESH_MS,
+        Service::Cloud => CLOUD_RELAY_FRESH_MS,
+    }
+}
--- a/crates/coordination/src/owner/reconciliation.rs
+++ b/crates/coordination/src/owner/reconciliation.rs
@@ -223,12 +223,12 @@
         if self.askers.len() >= usize::from(self.shards) {
             // A placer that comes anew is told all from nothing.
             self.views
-                .forget(self.askers.values().map(|a| a.have).min().unwrap_or(0));
+                .compact(self.askers.values().map(|a| a.have).min().unwrap_or(0));
         }
         let told = self.askers.entry(sync.from).or_default();
         let (attempts_span, attempts) = told
             .told
-            .since(sync.have.attempts, &mut room, |_, _| ATTEMPT_BYTES);
+            .changes_since(sync.have.attempts, &mut room, |_, _| ATTEMPT_BYTES);
         let attempts = attempts
             .into_iter()
             .filter_map(|(id, s)| {
@@ -238,7 +238,7 @@
                 })
             })
             .collect();
-        let (machines_span, changes) = self.views.since(sync.have.machines, &mut room, |_, m| {
+        let (machines_span, changes) = self.views.changes_since(sync.have.machines, &mut room, |_, m| {
             m.map_or(ATTEMPT_BYTES, written)
         });
         let (mut machines, mut gone) = (Vec::new(), Vec::new());
--- /dev/null
+++ b/crates/coordination/src/peer_sync.rs
@@ -0,0 +1,297 @@
+//! Syncs between a placer and the owners of all shards: what a placer desires goes one
+//! way, the owner's view of its machines the other.
+//!
+//! An owner in the same process is called at once, one on another controller over the
+//! network, or, while that does not answer, by messages through the store.
+
+use tracing::{debug, info};
+
+use crate::owner::SyncError;
+use crate::shard::STORE_ROUTE_AFTER_FAILURES;
+use crate::{Core, Effect, ShardLease};
+use lemonweir_model::constants::{COPY_REFRESH_MS, PEER_VERSION};
+use lemonweir_protocol::peer::{self, ShardView, Superseded, SyncRequest};
+use lemonweir_storage::records::StoreMessageKind;
+
+/// ms between two syncs with one owner when something changed: batches the
+/// tasks of one job without being felt by a user.
+const SYNC_GAP_MS: u64 = 40;
+/// ms between two syncs through the store: mostly one value each way, which
+/// must fit the write budget beside everything else.
+const STORE_SYNC_GAP_MS: u64 = 600;
+/// ms between two direct tries while messages go through the store.
+const DIRECT_RETRY_MS: u64 = 4_000;
+/// ms between two syncs with an owner whose machines send their heartbeats to us.
+const MISROUTED_SYNC_GAP_MS: u64 = 500;
+/// Bytes of changes in one direct message between controllers: some hundred
+/// machines, so that one message does not hold up heartbeats for long.
+const SYNC_BYTES: usize = 128 * 1024;
+
+/// How a due sync goes to its owner.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum SyncRoute {
+    /// The owner is in this process.
+    Local,
+    /// Over the network.
+    Direct,
+    /// By a message through the store.
+    Store,
+}
+
+/// A sync that is due now.
+struct DueSync {
+    route: SyncRoute,
+    /// Fencing token of the owner's lease, as far as we know.
+    token: u64,
+}
+
+impl Core {
+    /// A placer on another controller sends what it desires of one of our shards.
+    ///
+    /// # Errors
+    ///
+    /// The placer's shard has a newer leader, or its request does not fit our lease.
+    pub fn handle_sync(&mut self, sync: &SyncRequest, now: u64) -> Result<ShardView, SyncError> {
+        self.detect_stall(now);
+        self.check_sender(sync)?;
+        for progress in &sync.notes {
+            if self.cache.jobs.contains_key(&progress.job) {
+                self.peer_progress
+                    .insert(progress.job.clone(), progress.clone());
+            }
+        }
+        self.apply_sync(sync, SYNC_BYTES, now)
+    }
+
+    /// Guards against a controller that the store refuses alone and that
+    /// goes on answering its workers, while its successor waits for them.
+    fn check_sender(&self, sync: &SyncRequest) -> Result<(), SyncError> {
+        match self.cache.shards.get(&sync.from) {
+            Some(leader) if leader.token > sync.from_token => {
+                Err(SyncError::Superseded(Superseded {
+                    version: PEER_VERSION,
+                    shard: sync.from,
+                    token: leader.token,
+                    host: leader.host.clone(),
+                }))
+            }
+            _ => Ok(()),
+        }
+    }
+
+    fn apply_sync(
+        &mut self,
+        sync: &SyncRequest,
+        room: usize,
+        now: u64,
+    ) -> Result<ShardView, SyncError> {
+        self.links.record_peer_store_age(sync.store_age_ms, now);
+        let store_age_ms = self.links.store_age(now);
+        let shard = self.shards.get_mut(&sync.to).ok_or(SyncError::Token)?;
+        shard.owner.sync(sync, room, now).map(|view| ShardView {
+            store_age_ms,
+            ..view
+        })
+    }
+
+    /// An owner on another controller answered a direct sync, or did not (`None`).
+    pub fn sync_completed(
+        &mut self,
+        lease: ShardLease,
+        to: u16,
+        view: Option<ShardView>,
+        now: u64,
+    ) {
+        if let Some(view) = &view {
+            self.links.record_peer_store_age(view.store_age_ms, now);
+        }
+        let Some(shard) = self.shard_under(lease) else {
+            return;
+        };
+        let channel = &mut shard.peer_channels[usize::from(to)];
+        channel.in_flight = false;
+        match view {
+            Some(view) => {
+                channel.failures = 0;
+                shard.apply_view(view, now);
+            }
+            None => {
+                shard.placer.lost(to);
+                channel.failures += 1;
+                if channel.failures == STORE_ROUTE_AFTER_FAILURES {
+                    info!(
+                        shard = lease.shard,
+                        to,
+                        failures = channel.failures,
+                        "owner unreachable, syncing through the store"
+                    );
+                }
+            }
+        }
+    }
+
+    /// Handles peers' messages that came through the store. Guards against two
+    /// controllers that can't reach each other: without this route a stop command
+    /// for a cancelled job would wait for the end of the partition.
+    pub fn handle_store_messages(&mut self, now: u64) -> Vec<Effect> {
+        let mut effects = Vec::new();
+        for (route, bytes) in self.cache.take_mail() {
+            if !self.shards.contains_key(&route.to) {
+                continue;
+            }
+            match route.kind {
+                StoreMessageKind::Sync => match peer::read::<SyncRequest>(&bytes) {
+                    Ok(sync) if sync.to == route.to => {
+                        effects.extend(self.answer_store_sync(&sync, now));
+                    }
+                    _ => info!(
+                        from = route.from,
+                        to = route.to,
+                        "unreadable sync in the store"
+                    ),
+                },
+                StoreMessageKind::View => {
+                    let shard = self.shards.get_mut(&route.to);
+                    match (peer::read::<ShardView>(&bytes), shard) {
+                        (Ok(view), Some(shard)) => shard.apply_view(view, now),
+                        _ => info!(
+                            from = route.from,
+                            to = route.to,
+                            "unreadable view in the store"
+                        ),
+                    }
+                }
+            }
+        }
+        effects
+    }
+
+    fn answer_store_sync(&mut self, sync: &SyncRequest, now: u64) -> Option<Effect> {
+        match self.apply_sync(sync, self.config.store_message_bytes, now) {
+            Ok(view) => Some(Effect::StoreView(sync.from, view)),
+            Err(refusal) => {
+                debug!(from = sync.from, to = sync.to, %refusal, "sync through the store refused");
+                None
+            }
+        }
+    }
+
+    /// An owner on another controller has news for one of our shards.
+    pub fn handle_wake(&mut self, shard: u16, from: u16) {
+        if let Some(channel) = self
+            .shards
+            .get_mut(&shard)
+            .and_then(|shard| shard.peer_channels.get_mut(usize::from(from)))
+        {
+            channel.dirty = true;
+        }
+    }
+
+    /// True if an owner is reached through the store only: its news come that way too.
+    pub fn uses_store_messages(&self) -> bool {
+        self.shards
+            .values()
+            .any(|shard| shard.peer_channels.iter().any(|c| c.through_store()))
+    }
+
+    /// Sends the syncs of one shard's placer that are due. True if one within this process
+    /// gave the placer something to do.
+    pub(crate) fn flush_syncs(&mut self, index: u16, now: u64, effects: &mut Vec<Effect>) -> bool {
+        let mut placer_woken = false;
+        for to in 0..self.config.members.len() as u16 {
+            if self.shards.contains_key(&to) {
+                self.links.misrouted.forget(to);
+            }
+            let Some(due) = self.due_sync(index, to, now) else {
+                continue;
+            };
+            let Some(sync) = self.build_sync(index, to, &due, now) else {
+                return placer_woken;
+            };
+            match due.route {
+                SyncRoute::Local => placer_woken |= self.sync_locally(index, &sync, now),
+                SyncRoute::Direct => {
+                    if let Some(shard) = self.shards.get_mut(&index) {
+                        let channel = &mut shard.peer_channels[usize::from(to)];
+                        channel.in_flight = true;
+                        channel.last_direct_sync = now;
+                        effects.push(Effect::Sync(shard.lease, sync));
+                    }
+                }
+                SyncRoute::Store => effects.push(Effect::StoreSync(sync)),
+            }
+        }
+        placer_woken
+    }
+
+    /// Whether one shard's placer is to sync with an owner now, and by which route.
+    fn due_sync(&mut self, index: u16, to: u16, now: u64) -> Option<DueSync> {
+        let misrouted = self.links.misrouted.any(to, now);
+        let leader = self.cache.shards.get(&to)?;
+        let local = self.shards.get(&to).map(|shard| shard.lease.token);
+        let shard = self.shards.get_mut(&index)?;
+        let token = local.unwrap_or(leader.token);
+        let channel = &mut shard.peer_channels[usize::from(to)];
+        channel.dirty |= shard.placer.unsent(to, token);
+        let through_store = local.is_none() && channel.through_store();
+        shard.placer.by_mail(to, through_store);
+        let gap = if through_store {
+            STORE_SYNC_GAP_MS
+        } else {
+            SYNC_GAP_MS
+        };
+        let due = now >= channel.last_sync + COPY_REFRESH_MS
+            || channel.dirty && now >= channel.last_sync + gap
+            || misrouted && now >= channel.last_sync + gap.max(MISROUTED_SYNC_GAP_MS);
+        if !due || channel.in_flight && !through_store {
+            return None;
+        }
+        // Through the store goes what can't go directly; now and then the direct
+        // route is tried again.
+        let direct = !through_store
+            || !channel.in_flight && now >= channel.last_direct_sync + DIRECT_RETRY_MS;
+        channel.last_sync = now;
+        channel.dirty = false;
+        let route = match (local, direct) {
+            (Some(_), _) => SyncRoute::Local,
+            (None, true) => SyncRoute::Direct,
+            (None, false) => SyncRoute::Store,
+        };
+        Some(DueSync { route, token })
+    }
+
+    fn build_sync(&mut self, index: u16, to: u16, due: &DueSync, now: u64) -> Option<SyncRequest> {
+        let room = match due.route {
+            SyncRoute::Store => self.config.store_message_bytes,
+            SyncRoute::Local | SyncRoute::Direct => SYNC_BYTES,
+        };
+        // Progress is for answers of other controllers; what is sent anyway brings
+        // it, and the regular refresh.
+        let with_progress = due.route == SyncRoute::Direct;
+        let store_age_ms = self.links.store_age(now);
+        let shard = self.shards.get_mut(&index)?;
+        let sync = shard
+            .placer
+            .sync_for(to, due.token, room, with_progress, now);
+        if due.route == SyncRoute::Local {
+            return Some(sync);
+        }
+        Some(SyncRequest {
+            store_age_ms,
+            strays: self.links.misrouted.count(to, now),
+            ..sync
+        })
+    }
+
+    /// True if the owner's view gives the placer something to do.
+    fn sync_locally(&mut self, index: u16, sync: &SyncRequest, now: u64) -> bool {
+        let view = self
+            .shards
+            .get_mut(&sync.to)
+            .and_then(|shard| shard.owner.sync(sync, SYNC_BYTES, now).ok());
+        match (view, self.shards.get_mut(&index)) {
+            (Some(view), Some(shard)) => shard.placer.take_view(view, now),
+            _ => false,
+        }
+    }
+}
--- a/crates/coordination/src/placer/reconciliation.rs
+++ b/crates/coordination/src/placer/reconciliation.rs
@@ -133,7 +133,7 @@
             (link.to_token, link.acked, link.notes_acked) = (to_token, 0, 0);
         }
         link.seq += 1;
-        let (span, changes) = link.wants.since(link.acked, &mut room, |_, w| {
+        let (span, changes) = link.wants.changes_since(link.acked, &mut room, |_, w| {
             w.map_or(ATTEMPT_BYTES, written)
         });
         link.sent = span.upto;
@@ -155,7 +155,7 @@
         if notes {
             let (span, changes) = self
                 .notes
-                .since(link.notes_acked, &mut room, |_, _| NOTE_BYTES);
+                .changes_since(link.notes_acked, &mut room, |_, _| NOTE_BYTES);
             link.notes_sent = span.upto;
             told = changes
                 .into_iter()
@@ -247,7 +247,7 @@
             } else {
                 view.wants_at
             };
-            link.wants.forget(link.acked);
+            link.wants.compact(link.acked);
             link.notes_acked = link.notes_acked.max(link.notes_sent);
             if link.acked == 0 {
                 link.sent = 0;
@@ -543,7 +543,7 @@
     room: usize,
 ) -> Vec<(AttemptId, u32)> {
     wants
-        .beyond(upto)
+        .newer_than(upto)
         .filter_map(|(id, w)| w.kill.map(|grace| (id.clone(), grace)))
         .take(room / ATTEMPT_BYTES)
         .collect()
--- a/crates/coordination/src/process_stall.rs
+++ b/crates/coordination/src/process_stall.rs
@@ -1,70 +1,55 @@
-//! Standing still: a process that did not run for a while, whether its clocks ran
+//! Process stalls: this process did not run for a while, whether its clocks ran
 //! on or stood. What it had judged from silence is void, what came in meanwhile is
-//! not read yet, and another may have taken what it holds.
+//! not read yet, and another may have taken over what it leads.
 //!
 //! One guard for all timers: whoever would conclude something from time asks it.
 
-use lemonweir_model::constants::{HOLD_TTL_MS, STOOD_STILL_MS};
+use lemonweir_model::constants::HOLD_TTL_MS;
 
-/// What is known of the last pause.
+/// ms without an event after which this process counts as having stalled.
+pub(crate) const STALL_MS: u64 = 1_000;
+
+/// What is known of the last stall.
 #[derive(Debug, Default)]
 pub(crate) struct ProcessStall {
     /// When something last happened here, ms.
-    last: Option<u64>,
-    /// When it last went on after a pause, ms.
-    awake: Option<u64>,
-    /// Only a reading of the store that began from then on shows what is held.
-    proof_from: u64,
+    last_event: Option<u64>,
+    /// When it last went on after a stall, ms.
+    resumed_at: Option<u64>,
+    /// Only a reading of the store that began from then on confirms our leases, ms.
+    confirm_from: u64,
 }
 
 impl ProcessStall {
-    /// Something happens now; how long the process stood still before, if it did.
-    pub(crate) fn pass(&mut self, now: u64) -> Option<u64> {
-        let before = self
-            .last
-            .replace(self.last.map_or(now, |last| last.max(now)))?;
+    /// Something happens now; for how many ms the process stalled before, if it did.
+    pub(crate) fn record_event(&mut self, now: u64) -> Option<u64> {
+        let latest = self.last_event.map_or(now, |last| last.max(now));
+        let before = self.last_event.replace(latest)?;
         let gap = now.saturating_sub(before);
-        (gap > STOOD_STILL_MS).then(|| self.stood(gap, now))
+        (gap > STALL_MS).then(|| self.record_stall(gap, now))
     }
 
-    /// The process stood still for so long, as far as any of its clocks tells.
-    pub(crate) fn stood(&mut self, gap: u64, now: u64) -> u64 {
-        self.awake = Some(now);
-        // In a shorter one no hold can have ended.
-        if gap + STOOD_STILL_MS > HOLD_TTL_MS {
-            self.proof_from = now;
+    /// The process stalled for `gap` ms, as far as any of its clocks tells.
+    pub(crate) fn record_stall(&mut self, gap: u64, now: u64) -> u64 {
+        self.resumed_at = Some(now);
+        // In a shorter one no store lease can have expired.
+        if gap + STALL_MS > HOLD_TTL_MS {
+            self.confirm_from = now;
         }
         gap
     }
 
-    /// True until the store has shown again what is held. `word`: when the last
-    /// reading of it began.
-    pub(crate) fn unproven(&self, word: Option<u64>) -> bool {
-        self.proof_from > 0 && word.is_none_or(|at| at < self.proof_from)
+    /// True until the store has confirmed again what we lead. `last_answer`: when the
+    /// last reading of it began, ms.
+    pub(crate) fn lease_unconfirmed(&self, last_answer: Option<u64>) -> bool {
+        self.confirm_from > 0 && last_answer.is_none_or(|at| at < self.confirm_from)
     }
 
-    /// True while what came in during a pause may not be read yet.
-    pub(crate) fn reading(&self, now: u64) -> bool {
-        self.awake.is_some_and(|at| now < at + STOOD_STILL_MS)
+    /// True while what came in during a stall may not be read yet.
+    pub(crate) fn backlog_unread(&self, now: u64) -> bool {
+        self.resumed_at.is_some_and(|at| now < at + STALL_MS)
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_pause_voids_what_time_told_until_proof_comes() {
-        let mut pause = ProcessStall::default();
-        for now in (0..5_000).step_by(100) {
-            assert_eq!(pause.pass(now), None);
-        }
-        assert!(!pause.unproven(Some(4_000)) && !pause.reading(4_900));
-        assert_eq!(pause.pass(7_900), Some(3_000));
-        assert!(pause.reading(8_000) && !pause.reading(9_000));
-        assert!(!pause.unproven(Some(4_000)), "no hold ends in 3 s");
-        assert_eq!(pause.pass(17_900 + HOLD_TTL_MS), Some(10_000 + HOLD_TTL_MS));
-        assert!(pause.unproven(Some(7_000)) && pause.unproven(None));
-        assert!(!pause.unproven(Some(17_900 + HOLD_TTL_MS)));
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/coordination/src/provisioning.rs
@@ -0,0 +1,256 @@
+//! Scale-out and scale-in: requests to the cloud for instances, and their results.
+
+use std::collections::BTreeMap;
+
+use tracing::info;
+
+use crate::autoscaler::{CapacityBin, FailingPools, ProvisioningOptions, plan};
+use crate::placer::PendingInstance;
+use crate::shard::{PendingProvisioning, Shard};
+use crate::{Core, Effect, ProvisioningResult, ShardLease};
+use lemonweir_model::constants::CLOUD_TROUBLE_MS;
+use lemonweir_model::{Catalog, MachineId};
+use lemonweir_protocol::cloud::{InstanceEntry, ProvisioningRequest};
+use lemonweir_protocol::peer::ProvisionedInstance;
+
+/// Provisioning requests of one shard under way at a time: the answers take some tenths
+/// of a second, and a fleet of hundreds rises in requests of at most 50.
+const PROVISIONING_IN_FLIGHT_MAX: usize = 4;
+
+impl Core {
+    /// A provisioning request ended.
+    pub fn provisioning_completed(
+        &mut self,
+        lease: ShardLease,
+        request: &ProvisioningRequest,
+        result: ProvisioningResult,
+        now: u64,
+    ) {
+        let instances: Vec<PendingInstance> = match &result {
+            ProvisioningResult::Provisioned(machines) => machines
+                .iter()
+                .map(|id| self.pending_instance(request, id, now))
+                .collect(),
+            ProvisioningResult::NoCapacity | ProvisioningResult::Retry => Vec::new(),
+        };
+        let Some(shard) = self.shard_under(lease) else {
+            return;
+        };
+        shard.end_request(request, &result);
+        match result {
+            ProvisioningResult::Provisioned(machines) => {
+                info!(
+                    shard = lease.shard,
+                    count = machines.len(),
+                    requested = request.count,
+                    instance_type = request.kind,
+                    zone = request.zone,
+                    spot = request.spot,
+                    "instances provisioned"
+                );
+                if (machines.len() as u32) < request.count {
+                    shard.shortages.note(request, now);
+                }
+                for instance in instances {
+                    shard.peer_channels[usize::from(instance.shard)].dirty = true;
+                    shard.placer.promises.push(instance);
+                }
+            }
+            ProvisioningResult::NoCapacity => {
+                info!(
+                    shard = lease.shard,
+                    instance_type = request.kind,
+                    zone = request.zone,
+                    spot = request.spot,
+                    "no capacity for instances"
+                );
+                shard.shortages.note(request, now);
+            }
+            ProvisioningResult::Retry => shard.provisioning_not_before = now + CLOUD_TROUBLE_MS,
+        }
+    }
+
+    fn pending_instance(
+        &self,
+        request: &ProvisioningRequest,
+        id: &MachineId,
+        now: u64,
+    ) -> PendingInstance {
+        PendingInstance {
+            shard: self.config.shard_of(&request.zone, id),
+            at: now,
+            rented: ProvisionedInstance {
+                machine: id.clone(),
+                kind: request.kind.clone(),
+                zone: request.zone.clone(),
+                spot: request.spot,
+                age_ms: 0,
+            },
+        }
+    }
+
+    /// The release of instances ended; `done`: the cloud carried it out.
+    pub fn instances_released(
+        &mut self,
+        lease: ShardLease,
+        machines: &[MachineId],
+        done: bool,
+        now: u64,
+    ) {
+        if let Some(shard) = self.shard_under(lease) {
+            shard.owner.released(machines, done, now);
+        }
+    }
+
+    /// The cloud's list of instances was read.
+    pub fn instances_listed(&mut self, entries: &[InstanceEntry], now: u64) {
+        let mut by_shard: BTreeMap<u16, Vec<InstanceEntry>> = BTreeMap::new();
+        for entry in entries {
+            by_shard
+                .entry(self.config.shard_of(&entry.zone, &entry.id))
+                .or_default()
+                .push(entry.clone());
+        }
+        for (index, shard) in &mut self.shards {
+            shard
+                .owner
+                .listed(by_shard.get(index).map_or(&[], Vec::as_slice), now);
+        }
+    }
+
+    /// Requests the instances that one shard's placer lacks.
+    pub(crate) fn flush_provisioning(&mut self, index: u16, now: u64, effects: &mut Vec<Effect>) {
+        if self.lease_unconfirmed() {
+            return;
+        }
+        let Some(catalog) = &self.catalog else { return };
+        let Some(shard) = self.shards.get_mut(&index) else {
+            return;
+        };
+        if now < shard.provisioning_not_before {
+            return;
+        }
+        if shard.planned_pass < shard.placer.passes
+            && shard.provisioning.len() < PROVISIONING_IN_FLIGHT_MAX
+        {
+            shard.planned_pass = shard.placer.passes;
+            shard.plan_provisioning(catalog, now);
+        }
+        let lease = shard.lease;
+        for pending in shard.provisioning.iter_mut().filter(|p| !p.in_flight) {
+            pending.in_flight = true;
+            effects.push(Effect::Provision(lease, pending.request.clone()));
+        }
+    }
+}
+
+impl Shard {
+    fn end_request(&mut self, request: &ProvisioningRequest, result: &ProvisioningResult) {
+        let Some(at) = self
+            .provisioning
+            .iter()
+            .position(|pending| pending.request.booking == request.booking)
+        else {
+            return;
+        };
+        match result {
+            ProvisioningResult::Retry => self.provisioning[at].in_flight = false,
+            ProvisioningResult::Provisioned(_) | ProvisioningResult::NoCapacity => {
+                self.provisioning.remove(at);
+            }
+        }
+    }
+
+    /// Adds the requests for what the placer lacks, one at a time for each kind, zone and
+    /// market.
+    fn plan_provisioning(&mut self, catalog: &Catalog, now: u64) {
+        for (kind, zone, spot, count) in self.plan(catalog, now) {
+            let same = |r: &ProvisioningRequest| r.kind == kind && r.zone == zone && r.spot == spot;
+            if self.provisioning.len() >= PROVISIONING_IN_FLIGHT_MAX
+                || self.provisioning.iter().any(|p| same(&p.request))
+            {
+                continue;
+            }
+            self.bookings += 1;
+            // The lease's fencing token never comes again, so the name is never reused.
+            let booking = format!(
+                "r-{}-{}-{}",
+                self.lease.shard, self.lease.token, self.bookings
+            );
+            self.provisioning.push(PendingProvisioning {
+                request: ProvisioningRequest {
+                    booking,
+                    kind,
+                    zone,
+                    spot,
+                    count,
+                },
+                in_flight: false,
+            });
+        }
+    }
+
+    /// What to provision (kind, zone, spot, count) for what the placer lacks, beyond what
+    /// boots already or is requested.
+    fn plan(&self, catalog: &Catalog, now: u64) -> Vec<(String, String, bool, u32)> {
+        if self.placer.lacking.is_empty() {
+            return Vec::new();
+        }
+        // What boots in a partitioned zone can't be reached; what is there
+        // already is waited for by those who may run nowhere else.
+        let partitioned = self.placer.hidden_zones();
+        let mut machines_by_zone: BTreeMap<String, usize> = BTreeMap::new();
+        for machine in self.placer.machines() {
+            match machines_by_zone.get_mut(&machine.zone) {
+                Some(count) => *count += 1,
+                None => drop(machines_by_zone.insert(machine.zone.clone(), 1)),
+            }
+        }
+        // What is overdue boots, and is not open.
+        let booting = self.placer.machines().filter(|m| !m.up && m.busy == 0);
+        let failing =
+            FailingPools::of(booting.map(|m| (m.kind.as_str(), m.zone.as_str(), m.spot, !m.open)));
+        let options = ProvisioningOptions {
+            hidden: &partitioned,
+            failing: &failing,
+            catalog,
+            shortage: &self.shortages,
+        };
+        plan(
+            &self.placer.lacking,
+            &self.capacity_under_way(catalog),
+            &machines_by_zone,
+            &options,
+            now,
+        )
+    }
+
+    /// Machines that boot for this shard's placer, were provisioned for it, or are requested.
+    fn capacity_under_way(&self, catalog: &Catalog) -> Vec<CapacityBin> {
+        let partitioned = self.placer.hidden_zones();
+        let bin = |kind: &str, zone: &str, spot: bool| CapacityBin {
+            kind: kind.to_owned(),
+            zone: zone.to_owned(),
+            spot,
+            free: catalog.get(kind).map(|t| t.room).unwrap_or_default(),
+        };
+        let booting = self.placer.machines().filter(|m| {
+            !m.up
+                && (m.open || partitioned.contains(m.zone.as_str()))
+                && m.renter.is_none_or(|renter| renter == self.lease.shard)
+        });
+        let mut bins: Vec<CapacityBin> = booting.map(|m| bin(&m.kind, &m.zone, m.spot)).collect();
+        bins.extend(
+            self.placer
+                .promises
+                .iter()
+                .map(|p| bin(&p.rented.kind, &p.rented.zone, p.rented.spot)),
+        );
+        for PendingProvisioning { request, .. } in &self.provisioning {
+            bins.extend(
+                (0..request.count).map(|_| bin(&request.kind, &request.zone, request.spot)),
+            );
+        }
+        bins
+    }
+}
--- a/crates/coordination/src/rate_limit.rs
+++ b/crates/coordination/src/rate_limit.rs
@@ -1,125 +1,144 @@
-//! This node's share of a limit that all nodes have in common.
-
-use lemonweir_model::constants::{
-    BUDGET_FALL, BUDGET_RISE, QUESTIONS_SHARE, WHOLE_FALL, WHOLE_RISE,
-};
-
-/// Tokens that refill with time; callers wait for theirs.
+//! This controller's share of a rate limit that all controllers have in common.
+
+/// Share of a common limit by which a controller that waits raises its rate in a
+/// second: it has the whole within some seconds if nobody else wants it.
+const RATE_INCREASE_PER_S: f64 = 0.2;
+/// What a controller's rate is cut to, in shares of it, by a refusal.
+const RATE_DECREASE: f64 = 0.7;
+/// What the common limit is taken to be, in shares of it, after a refusal at a controller's
+/// equal share: some ten of them follow a limit that fell to two thirds.
+const LIMIT_DECREASE: f64 = 0.95;
+/// Share by which the learned limit rises again in a second without refusals: one that
+/// fell to two thirds is tried in full after some minutes.
+const LIMIT_INCREASE_PER_S: f64 = 0.001;
+/// Share of a controller's equal part of the store's requests that is kept for readings
+/// and queries of users, however much waits to be written.
+pub const QUERY_SHARE: f64 = 0.5;
+
+/// A token bucket: tokens refill with time; callers wait for theirs.
 ///
-/// The limit is all nodes' together. Each may always use its equal share; one
+/// The limit is all controllers' together. Each may always use its equal share; one
 /// that waits for tokens takes more, up to the whole, and falls back when the
 /// other side refuses: one placer may do nearly all the writing while the
 /// others only read. Times are µs by any steady clock.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
+    /// This controller's equal share of the limit, per second.
     share: f64,
-    /// What all nodes together take at most, and what the settings promise.
-    whole: f64,
-    promised: f64,
+    /// What all controllers together may take, as learned from refusals, per second.
+    limit: f64,
+    /// The same as the settings state it.
+    configured_limit: f64,
     /// What it will be at the least.
-    least: f64,
-    per_s: f64,
+    min_limit: f64,
+    /// The rate at which tokens refill now, per second.
+    rate: f64,
+    /// Tokens at hand; below 0: in debt.
     tokens: f64,
-    at: u64,
+    /// When they were last counted, µs.
+    counted_at: u64,
 }
 
 impl TokenBucket {
-    /// A bucket for one of `nodes` that share `whole` a second.
-    pub fn new(whole: f64, nodes: usize, now_us: u64) -> Self {
-        let share = whole / nodes as f64;
+    /// A bucket for one of `controllers` that share `limit` a second.
+    pub fn new(limit: f64, controllers: usize, now_us: u64) -> Self {
+        let share = limit / controllers as f64;
         Self {
             share,
-            whole,
-            promised: whole,
-            least: whole,
-            per_s: share,
+            limit,
+            configured_limit: limit,
+            min_limit: limit,
+            rate: share,
             tokens: share.max(1.0),
-            at: now_us,
+            counted_at: now_us,
         }
     }
 
-    /// The same where the whole may fall to `least` without notice.
-    pub fn falling_to(self, least: f64) -> Self {
+    /// The same where the limit may fall to `min_limit` without notice.
+    pub fn with_min_limit(self, min_limit: f64) -> Self {
         Self {
-            least: least.min(self.whole),
+            min_limit: min_limit.min(self.limit),
             ..self
         }
     }
 
     /// Takes `n` tokens, going into debt; returns how long to wait for them, µs.
     pub fn take(&mut self, n: f64, now_us: u64) -> u64 {
-        let past_s = now_us.saturating_sub(self.at) as f64 / 1e6;
-        self.recover(past_s);
+        let elapsed_s = now_us.saturating_sub(self.counted_at) as f64 / 1e6;
+        self.recover_limit(elapsed_s);
         if self.tokens < 0.0 {
-            self.per_s = (self.per_s + self.whole * BUDGET_RISE * past_s).min(self.whole);
+            self.rate = (self.rate + self.limit * RATE_INCREASE_PER_S * elapsed_s).min(self.limit);
         } else {
             // What is not needed is left to the others.
-            self.per_s = (self.per_s - self.whole * BUDGET_RISE * past_s / 4.0).max(self.share);
+            self.rate =
+                (self.rate - self.limit * RATE_INCREASE_PER_S * elapsed_s / 4.0).max(self.share);
         }
-        self.tokens = (self.tokens + past_s * self.per_s).min(self.per_s.max(1.0));
-        self.at = now_us;
+        self.tokens = (self.tokens + elapsed_s * self.rate).min(self.rate.max(1.0));
+        self.counted_at = now_us;
         self.tokens -= n;
         if self.tokens >= 0.0 {
             0
         } else {
-            (-self.tokens / self.per_s * 1e6) as u64
+            (-self.tokens / self.rate * 1e6) as u64
         }
     }
 
     /// How long something taken now would have to wait, µs.
     pub fn wait(&self, now_us: u64) -> u64 {
-        let tokens = self.tokens + now_us.saturating_sub(self.at) as f64 / 1e6 * self.per_s;
-        ((-tokens).max(0.0) / self.per_s * 1e6) as u64
+        let elapsed_s = now_us.saturating_sub(self.counted_at) as f64 / 1e6;
+        let tokens = self.tokens + elapsed_s * self.rate;
+        ((-tokens).max(0.0) / self.rate * 1e6) as u64
     }
 
-    /// The other side refused, which may take less than it did. What all nodes together may
-    /// take is learned from refusals at the equal share, down to what the settings name.
+    /// The other side refused, which may take less than it did. What all controllers
+    /// together may take is learned from refusals at the equal share, down to what the settings name.
     ///
     /// Guards against changes that are refused again and again once the service takes fewer,
-    /// without notice. Where the settings name no lower limit nothing is learned: a node at
-    /// its equal share is refused too while another one takes more than its own.
-    pub fn refused_for_good(&mut self) {
-        if self.per_s <= self.share {
-            let lower = (self.whole * WHOLE_FALL).max(self.least);
-            self.share *= lower / self.whole;
-            self.whole = lower;
+    /// without notice. Where the settings name no lower limit nothing is learned: a controller
+    /// at its equal share is refused too while another one takes more than its own.
+    pub fn refused_by_lower_limit(&mut self) {
+        if self.rate <= self.share {
+            let lower = (self.limit * LIMIT_DECREASE).max(self.min_limit);
+            self.share *= lower / self.limit;
+            self.limit = lower;
         }
         self.refused();
     }
 
-    /// The other side refused: others need their part.
+    /// The other side refused: others need their share.
     pub fn refused(&mut self) {
-        self.per_s = (self.per_s * BUDGET_FALL).max(self.share);
+        self.rate = (self.rate * RATE_DECREASE).max(self.share);
         self.tokens = self.tokens.min(0.0);
     }
 
-    /// Nothing was refused for `past_s`: what was learned from refusals is tried again,
+    /// Nothing was refused for `elapsed_s`: what was learned from refusals is tried again,
     /// slowly.
-    fn recover(&mut self, past_s: f64) {
-        let whole = (self.whole * (1.0 + WHOLE_RISE * past_s)).min(self.promised);
-        self.share *= whole / self.whole;
-        self.whole = whole;
+    fn recover_limit(&mut self, elapsed_s: f64) {
+        let limit =
+            (self.limit * (1.0 + LIMIT_INCREASE_PER_S * elapsed_s)).min(self.configured_limit);
+        self.share *= limit / self.limit;
+        self.limit = limit;
     }
 }
 
-/// A node's share of the store's requests, of which a part is kept for readings and
-/// users' questions.
+/// A controller's share of the store's requests, some of which is kept for readings and
+/// users' queries.
 ///
-/// Guards against questions that wait for as long as more is to be written than can
-/// be: one waits for its turn among all requests or in that part, whichever comes
+/// Guards against queries that wait for as long as more is to be written than can
+/// be: one waits for its turn among all requests or in what is kept, whichever comes
 /// first. It counts as a request all the same, so the others wait for it.
 #[derive(Clone, Debug)]
 pub struct RequestBudget {
     all: TokenBucket,
-    kept: TokenBucket,
+    queries: TokenBucket,
 }
 
 impl RequestBudget {
-    /// The share of one of `nodes` of `whole` a second.
-    pub fn new(whole: f64, nodes: usize, now_us: u64) -> Self {
+    /// The share of one of `controllers` of `limit` a second.
+    pub fn new(limit: f64, controllers: usize, now_us: u64) -> Self {
         Self {
-            all: TokenBucket::new(whole, nodes, now_us),
-            kept: TokenBucket::new(whole / nodes as f64 * QUESTIONS_SHARE, 1, now_us),
+            all: TokenBucket::new(limit, controllers, now_us),
+            queries: TokenBucket::new(limit / controllers as f64 * QUERY_SHARE, 1, now_us),
         }
     }
 
@@ -128,11 +147,11 @@
         self.all.take(1.0, now_us)
     }
 
-    /// Takes a question's turn; returns how long to wait for it, µs.
-    pub fn ask(&mut self, now_us: u64) -> u64 {
+    /// Takes a query's turn; returns how long to wait for it, µs.
+    pub fn take_query(&mut self, now_us: u64) -> u64 {
         match self.all.take(1.0, now_us) {
             0 => 0,
-            wait => wait.min(self.kept.take(1.0, now_us)),
+            wait => wait.min(self.queries.take(1.0, now_us)),
         }
     }
 
@@ -141,12 +160,12 @@
         self.all.wait(now_us)
     }
 
-    /// How long a question would have to wait, µs.
-    pub fn question_wait(&self, now_us: u64) -> u64 {
-        self.all.wait(now_us).min(self.kept.wait(now_us))
+    /// How long a query would have to wait, µs.
+    pub fn query_wait(&self, now_us: u64) -> u64 {
+        self.all.wait(now_us).min(self.queries.wait(now_us))
     }
 
-    /// The store refused: others need their part.
+    /// The store refused: others need their share.
     pub fn refused(&mut self) {
         self.all.refused();
     }
--- /dev/null
+++ b/crates/coordination/src/shard.rs
@@ -0,0 +1,134 @@
+//! The state of one shard that this controller leads.
+
+use std::collections::BTreeMap;
+
+use tracing::debug;
+
+use crate::autoscaler::CapacityShortages;
+use crate::owner::Owner;
+use crate::placer::Placer;
+use crate::supervision::failover::Failover;
+use crate::{Config, ShardLease};
+use lemonweir_model::Catalog;
+use lemonweir_protocol::cloud::ProvisioningRequest;
+use lemonweir_protocol::peer::ShardView;
+
+/// Direct syncs that must fail in a row before messages go through the store.
+pub const STORE_ROUTE_AFTER_FAILURES: u32 = 2;
+
+/// The placer's channel to one owner.
+#[derive(Clone, Default)]
+pub(crate) struct PeerChannel {
+    /// When the last sync was sent, ms.
+    pub(crate) last_sync: u64,
+    /// A direct sync is under way.
+    pub(crate) in_flight: bool,
+    /// Something changed since the last sync.
+    pub(crate) dirty: bool,
+    /// Direct syncs that failed in a row.
+    pub(crate) failures: u32,
+    /// When the last direct sync was sent, ms.
+    pub(crate) last_direct_sync: u64,
+}
+
+impl PeerChannel {
+    /// True if messages to this owner go through the store.
+    pub(crate) fn through_store(&self) -> bool {
+        self.failures >= STORE_ROUTE_AFTER_FAILURES
+    }
+
+    /// True if a direct sync only waits for the gap between two of them.
+    pub(crate) fn waits_for_gap(&self) -> bool {
+        self.dirty && !self.in_flight && !self.through_store()
+    }
+}
+
+/// A request for instances that has no final answer yet.
+pub(crate) struct PendingProvisioning {
+    pub(crate) request: ProvisioningRequest,
+    /// A call is out; otherwise it is to be sent, for the first time or again.
+    pub(crate) in_flight: bool,
+}
+
+/// A shard that this controller leads.
+pub(crate) struct Shard {
+    pub(crate) lease: ShardLease,
+    pub(crate) owner: Owner,
+    pub(crate) placer: Placer,
+    /// The placer's channels to the owners of all shards, by shard.
+    pub(crate) peer_channels: Vec<PeerChannel>,
+    /// When the placer's last pass was, ms.
+    pub(crate) last_placement: u64,
+    pub(crate) provisioning: Vec<PendingProvisioning>,
+    /// The cloud is left alone until then, ms.
+    pub(crate) provisioning_not_before: u64,
+    /// Pass of the placer that the last provisioning plan was made for.
+    pub(crate) planned_pass: u64,
+    /// Bookings named so far under this lease.
+    pub(crate) bookings: u64,
+    pub(crate) shortages: CapacityShortages,
+    /// Placers of other controllers' shards to be asked to sync, each with the time since
+    /// when there are news for it, ms.
+    pub(crate) peers_to_wake: BTreeMap<u16, u64>,
+    /// What was found since the shard was acquired.
+    pub(crate) failover: Failover,
+}
+
+impl Shard {
+    /// A shard just acquired, with channels to the owners of `shards` shards.
+    pub(crate) fn new(lease: ShardLease, owner: Owner, placer: Placer, shards: u16) -> Self {
+        Self {
+            lease,
+            owner,
+            placer,
+            peer_channels: vec![PeerChannel::default(); usize::from(shards)],
+            last_placement: 0,
+            provisioning: Vec::new(),
+            provisioning_not_before: 0,
+            planned_pass: 0,
+            bookings: 0,
+            shortages: CapacityShortages::default(),
+            peers_to_wake: BTreeMap::new(),
+            failover: Failover::default(),
+        }
+    }
+
+    /// Applies the machine types of the cloud's catalog to both sides.
+    pub(crate) fn apply_catalog(&mut self, config: &Config, catalog: &Catalog) {
+        self.owner.set_types(catalog.values());
+        self.placer.expect(
+            &config.start_objectives_s,
+            config.guarantee_objective_s,
+            catalog,
+        );
+    }
+
+    /// Hands the images that services use to the owner, if they changed.
+    pub(crate) fn update_needed_images(&mut self) {
+        if let Some(images) = self.placer.book.take_needed() {
+            self.owner.set_needed(images);
+        }
+    }
+
+    /// Applies the view of an owner on another controller, by whatever route it came.
+    ///
+    /// Guards against the view of a former owner that comes after its successor was
+    /// sent what is desired: what the one refused the other may have started, so that
+    /// it would run twice, or on after its job is published as cancelled.
+    pub(crate) fn apply_view(&mut self, view: ShardView, now: u64) {
+        if self
+            .placer
+            .wants_told_to(view.shard)
+            .is_some_and(|token| view.token < token)
+        {
+            debug!(
+                shard = self.lease.shard,
+                from = view.shard,
+                fencing_token = view.token,
+                "stale view of a former owner ignored"
+            );
+            return;
+        }
+        self.placer.take_view(view, now);
+    }
+}
--- /dev/null
+++ b/crates/coordination/src/shard_lifecycle.rs
@@ -0,0 +1,205 @@
+//! Acquiring and releasing the leases of shards, and writing under them.
+
+use tracing::info;
+
+use crate::core::{active_spec, with_inherited_priority};
+use crate::owner::Owner;
+use crate::placer::{CompareAndSwapOutcome, Placer, PlacerConfig, ShardOwnership};
+use crate::shard::Shard;
+use crate::{Core, ShardLease};
+use lemonweir_model::JobId;
+use lemonweir_protocol::peer::Superseded;
+use lemonweir_storage::records::{ImageLocationsRecord, TaskChunkRecord};
+use lemonweir_storage::state_cache::ShardLeader;
+
+impl Core {
+    /// Leases of the shards led.
+    pub fn leases(&self) -> Vec<ShardLease> {
+        self.shards.values().map(|shard| shard.lease).collect()
+    }
+
+    /// The shard, if it is still led under this lease.
+    pub(crate) fn shard_under(&mut self, lease: ShardLease) -> Option<&mut Shard> {
+        self.shards
+            .get_mut(&lease.shard)
+            .filter(|shard| shard.lease == lease)
+    }
+
+    /// Begins to lead a shard with its task records (job, chunk, record, version) and
+    /// its image locations.
+    pub fn acquire(
+        &mut self,
+        lease: ShardLease,
+        chunks: &[(JobId, u32, TaskChunkRecord, u64)],
+        images: Vec<ImageLocationsRecord>,
+        now: u64,
+    ) {
+        let shards = self.config.members.len() as u16;
+        let owner = self.new_owner(lease, shards, images, now);
+        let placer = self.new_placer(lease, shards, now);
+        let mut shard = Shard::new(lease, owner, placer, shards);
+        if let Some(catalog) = &self.catalog {
+            shard.apply_catalog(&self.config, catalog);
+        }
+        for (id, chunk, record, version) in chunks {
+            shard.placer.load_chunk(id, *chunk, record, *version);
+        }
+        info!(
+            shard = lease.shard,
+            fencing_token = lease.token,
+            chunks = chunks.len(),
+            "shard acquired"
+        );
+        self.links
+            .record_event(now, format!("shard {} acquired", lease.shard));
+        self.load_jobs(&mut shard, now);
+        self.shards.insert(lease.shard, shard);
+        self.begin_takeover(lease, now);
+    }
+
+    fn new_owner(
+        &self,
+        lease: ShardLease,
+        shards: u16,
+        images: Vec<ImageLocationsRecord>,
+        now: u64,
+    ) -> Owner {
+        let mut owner = Owner::new(
+            lease.shard,
+            lease.token,
+            shards,
+            self.config.timing,
+            self.policy.clone(),
+            now,
+        );
+        owner.learn_images(images);
+        owner
+    }
+
+    fn new_placer(&self, lease: ShardLease, shards: u16, now: u64) -> Placer {
+        let config = PlacerConfig {
+            limits: self.config.quota_limits.clone(),
+            guarantees: self.config.guaranteed_quotas.clone(),
+            zones: self.config.zones.clone(),
+            txn_ops: self.config.cas_max_changes,
+            spare: self.policy.spare,
+            idle_writes: self.config.idle_writes_per_s,
+            gang_wait_ms: self.config.gang_wait_ms,
+            wall_offset_ms: self.config.wall_offset_ms,
+            trade: self.policy.trade,
+        };
+        Placer::new(lease.shard, lease.token, shards, config, now)
+    }
+
+    /// Loads all jobs of the shard's teams, and drops those of its records that are over.
+    fn load_jobs(&self, shard: &mut Shard, now: u64) {
+        let known: Vec<JobId> = shard.placer.known().cloned().collect();
+        for id in &known {
+            if !self.cache.jobs.contains_key(id) {
+                shard.placer.set_job(id, None, now);
+            }
+        }
+        for (id, job) in &self.cache.jobs {
+            shard.placer.book.note(id, active_spec(job));
+            let team = &job.record.spec.team;
+            if Self::team_shard(&self.cache, &self.config, team) == shard.lease.shard {
+                let job = with_inherited_priority(job, self.dependencies.inherited_priority(id));
+                shard.placer.set_job(id, Some(&job), now);
+            }
+        }
+        shard.update_needed_images();
+    }
+
+    /// Stops leading a shard.
+    pub fn release(&mut self, shard: u16, now: u64) {
+        if self.shards.remove(&shard).is_some() {
+            self.links
+                .record_event(now, format!("shard {shard} released"));
+        }
+    }
+
+    /// A compare-and-swap for a shard ended; task records of ours that met other versions
+    /// have been read again ([`Core::chunk_reread`]). Says whether the shard is lost.
+    pub fn cas_completed(
+        &mut self,
+        lease: ShardLease,
+        outcome: CompareAndSwapOutcome,
+        now: u64,
+    ) -> ShardOwnership {
+        let Some(shard) = self.shard_under(lease) else {
+            return ShardOwnership::Fine;
+        };
+        let revision = if let CompareAndSwapOutcome::Done(revision) = outcome {
+            revision
+        } else {
+            0
+        };
+        let (ownership, final_states) = shard.placer.cas_done(outcome, now);
+        for (id, phase) in final_states {
+            self.cache.settle(&id, phase, revision, now);
+        }
+        if ownership == ShardOwnership::Lost {
+            self.release(lease.shard, now);
+        }
+        ownership
+    }
+
+    /// A task record of a shard was read again and has this version.
+    pub fn chunk_reread(&mut self, lease: ShardLease, job: &JobId, chunk: u32, version: u64) {
+        if let Some(shard) = self.shard_under(lease) {
+            shard.placer.reread(job, chunk, version);
+        }
+    }
+
+    /// Releases the shards whose key in the store names another lease, or none.
+    pub(crate) fn release_lost_shards(&mut self, now: u64) {
+        let revision = self.cache.revision.unwrap_or_default();
+        let stored_token = |shard: u16| self.cache.shards.get(&shard).map(|leader| leader.token);
+        // A copy from before the acquisition says nothing of it.
+        let lost: Vec<u16> = self
+            .shards
+            .values()
+            .map(|shard| shard.lease)
+            .filter(|lease| {
+                revision >= lease.token && stored_token(lease.shard) != Some(lease.token)
+            })
+            .map(|lease| lease.shard)
+            .collect();
+        for shard in lost {
+            self.release(shard, now);
+        }
+    }
+
+    /// Another controller says who leads a shard now. If that is ours under an older
+    /// fencing token, it is released, and its workers are redirected.
+    pub fn handle_superseded(&mut self, by: Superseded, now: u64) {
+        let known = self
+            .cache
+            .shards
+            .get(&by.shard)
+            .map_or(0, |leader| leader.token);
+        if by.token <= known || usize::from(by.shard) >= self.config.members.len() {
+            return;
+        }
+        if self
+            .shards
+            .get(&by.shard)
+            .is_some_and(|shard| shard.lease.token < by.token)
+        {
+            info!(
+                shard = by.shard,
+                leader = by.host,
+                fencing_token = by.token,
+                "shard superseded by another controller"
+            );
+            self.release(by.shard, now);
+        }
+        self.cache.shards.insert(
+            by.shard,
+            ShardLeader {
+                host: by.host,
+                token: by.token,
+            },
+        );
+    }
+}
--- a/crates/coordination/src/supervision/entries.rs
+++ b/crates/coordination/src/supervision/entries.rs
@@ -20,9 +20,9 @@
         left: Vec<u16>,
         now: u64,
     ) -> CompareAndSwap {
-        let me = &self.config.members[usize::from(self.config.me)];
+        let me = &self.config.members[usize::from(self.config.own_index)];
         match *claim {
-            ElectionAction::Take { shard, version } => {
+            ElectionAction::Acquire { shard, version } => {
                 let how = if version == 0 {
                     LeadershipChange::Vacant
                 } else {
@@ -30,7 +30,7 @@
                 };
                 acquire_shard(version, &me.host, hold, &self.entry(shard, how, now))
             }
-            ElectionAction::HandBack(lease) => {
+            ElectionAction::ReturnToHome(lease) => {
                 let mut cas = release_shard(
                     lease.token,
                     &self.entry(lease.shard, LeadershipChange::HandedBack, now),
@@ -38,7 +38,7 @@
                 self.close_now(lease, &mut cas, now);
                 cas
             }
-            ElectionAction::Leave(lease) => {
+            ElectionAction::Cede(lease) => {
                 let entry = self.entry(lease.shard, LeadershipChange::Left, now);
                 let mut cas = cede_shard(lease.token, &entry, &me.host, &me.zone, hold, left);
                 self.close_now(lease, &mut cas, now);
@@ -49,7 +49,7 @@
 
     /// The entry of a change of hands that is made now.
     fn entry(&self, shard: u16, how: LeadershipChange, now: u64) -> NewFailover {
-        let me = &self.config.members[usize::from(self.config.me)].host;
+        let me = &self.config.members[usize::from(self.config.own_index)].host;
         let (n, slot_version) = self.cache.failovers.next(shard);
         let (from, to) = match how {
             LeadershipChange::Vacant => (
@@ -87,7 +87,7 @@
 
     /// Closes a part's open entry with what is known, as it is given up.
     fn close_now(&self, lease: ShardLease, cas: &mut CompareAndSwap, now: u64) {
-        let me = &self.config.members[usize::from(self.config.me)].host;
+        let me = &self.config.members[usize::from(self.config.own_index)].host;
         let failover = self
             .shards
             .get(&lease.shard)
@@ -134,12 +134,12 @@
     /// Looks at the services that something happened to, and closes the part's
     /// entry once it is time and the store's changes are to spare.
     pub(crate) fn pump_watch(&mut self, index: u16, now: u64, effects: &mut Vec<Effect>) {
-        let me = &self.config.members[usize::from(self.config.me)].host;
+        let me = &self.config.members[usize::from(self.config.own_index)].host;
         let Some(shard) = self.shards.get_mut(&index) else {
             return;
         };
         shard.placer.look(&mut shard.failover, now);
-        shard.placer.escalate(&shard.shortage, now);
+        shard.placer.escalate(&shard.shortages, now);
         let Some(number) = shard.failover.due(now) else {
             return;
         };
@@ -169,7 +169,7 @@
             .enumerate()
             .filter(|(_, (r, _))| r.n < number && r.open())
         {
-            if cas.writes.len() >= self.config.txn_ops {
+            if cas.writes.len() >= self.config.cas_max_changes {
                 break;
             }
             let held_ms = all
@@ -188,6 +188,6 @@
             }
             .join(&mut cas);
         }
-        effects.push(Effect::Note(cas));
+        effects.push(Effect::WriteHint(cas));
     }
 }
--- a/crates/coordination/src/supervision/picture.rs
+++ b/crates/coordination/src/supervision/picture.rs
@@ -33,7 +33,7 @@
         let me = self
             .config
             .members
-            .get(usize::from(self.config.me))
+            .get(usize::from(self.config.own_index))
             .map(|m| m.host.clone())
             .unwrap_or_default();
         (me, self.cache.revision.map(|_| self.links.store_age(now)))
@@ -90,7 +90,7 @@
         let spec = &job.record.spec;
         let shard = Self::team_shard(&self.cache, &self.config, &spec.team);
         let tasks = spec.tasks.min(u64::from(u32::MAX)) as u32;
-        let note = self.notes.get(&spec.id);
+        let note = self.peer_progress.get(&spec.id);
         let mut row = UnderReplicatedServiceRow {
             job: spec.id.to_string(),
             class: spec.class.clone(),
--- a/crates/coordination/tests/answers.rs
+++ b/crates/coordination/tests/answers.rs
@@ -2,10 +2,13 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lemonweir_coordination::query_admission::{Line, QueryAdmission, QueryKind, QueryRefusal};
-use lemonweir_coordination::rate_limit::{RequestBudget, TokenBucket};
+use lemonweir_coordination::query_admission::{
+    LookupQueue, PENDING_REPLIES_MAX, PENDING_REPLY_KEPT_MS, QueryAdmission, QueryKind,
+    QueryRefusal, REPLY_PRIORITY_AFTER_MS, RefusalSummary,
+};
+use lemonweir_coordination::rate_limit::{QUERY_SHARE, RequestBudget, TokenBucket};
 use lemonweir_model::JobId;
-use lemonweir_model::constants::*;
+use lemonweir_model::constants::{LOOKUPS_MOST, SUBMIT_WAIT_MS};
 
 /// Numbers from a seed.
 struct Draw(u64);
@@ -69,15 +72,19 @@
 fn the_line_serves_whom_a_plain_list_would() {
     for seed in 0..20 {
         let mut draw = Draw(seed);
-        let (mut line, mut plain) = (Line::new(12), PlainLine::default());
+        let (mut line, mut plain) = (LookupQueue::new(12), PlainLine::default());
         for waiter in 0..3_000 {
             let (n, since) = (draw.below(40), draw.below(30));
             if draw.below(6) == 0 {
                 let most = draw.below(8) as usize;
-                assert_eq!(line.take(most), plain.take(most), "seed {seed}, {waiter}");
+                assert_eq!(
+                    line.dequeue(most),
+                    plain.take(most),
+                    "seed {seed}, {waiter}"
+                );
             } else {
                 assert_eq!(
-                    line.enter(&id(n), since, waiter),
+                    line.enqueue(&id(n), since, waiter),
                     plain.enter(&id(n), since, waiter, 12),
                     "seed {seed}, {waiter}"
                 );
@@ -91,7 +98,7 @@
 /// One node's lookups, as many at a time as the store's limits allow.
 struct Node {
     questions: QueryAdmission,
-    line: Line<u64>,
+    line: LookupQueue<u64>,
     behind: bool,
 }
 
@@ -107,7 +114,7 @@
     let mut all: Vec<Node> = (0..nodes)
         .map(|n| Node {
             questions: QueryAdmission::default(),
-            line: Line::new(LOOKUPS_MOST),
+            line: LookupQueue::new(LOOKUPS_MOST),
             behind: n < behind,
         })
         .collect();
@@ -126,17 +133,17 @@
         for (id, job) in asked {
             let node = &mut all[draw.below(nodes as u64) as usize];
             let since = if fair {
-                node.questions.since(&id, now)
+                node.questions.pending_since(&id, now)
             } else {
                 0
             };
-            if node.behind && !(fair && node.questions.first(&id, now)) {
+            if node.behind && !(fair && node.questions.has_priority(&id, now)) {
                 node.questions
-                    .turned_away(&id, QueryKind::Poll, QueryRefusal::Behind, now);
+                    .record_refusal(&id, QueryKind::Poll, QueryRefusal::Overloaded, now);
                 continue;
             }
             let waiter = job.map_or(u64::MAX, |n| n as u64);
-            for gone in node.line.enter(&id, since, waiter) {
+            for gone in node.line.enqueue(&id, since, waiter) {
                 let who = if gone == waiter {
                     id.clone()
                 } else if gone == u64::MAX {
@@ -144,13 +151,17 @@
                 } else {
                     self::id(100_000 + gone)
                 };
-                node.questions
-                    .turned_away(&who, QueryKind::Poll, QueryRefusal::Lookups, now);
+                node.questions.record_refusal(
+                    &who,
+                    QueryKind::Poll,
+                    QueryRefusal::LookupQueueFull,
+                    now,
+                );
             }
         }
         for node in &mut all {
-            for (id, waiters) in node.line.take(A_QUESTION) {
-                node.questions.answered(&id);
+            for (id, waiters) in node.line.dequeue(A_QUESTION) {
+                node.questions.record_answer(&id);
                 for n in waiters.into_iter().filter(|n| *n != u64::MAX) {
                     longest = longest.max(now - answered[n as usize]);
                     answered[n as usize] = now;
@@ -184,43 +195,48 @@
 #[test]
 fn claims_end_and_are_bounded() {
     let mut questions = QueryAdmission::default();
-    questions.turned_away(&id(1), QueryKind::Poll, QueryRefusal::Behind, 1_000);
-    questions.turned_away(&id(1), QueryKind::Poll, QueryRefusal::Lookups, 6_000);
+    questions.record_refusal(&id(1), QueryKind::Poll, QueryRefusal::Overloaded, 1_000);
+    questions.record_refusal(
+        &id(1),
+        QueryKind::Poll,
+        QueryRefusal::LookupQueueFull,
+        6_000,
+    );
     assert!(
-        !questions.first(&id(1), 1_000 + OWED_FIRST_MS - 1)
-            && questions.first(&id(1), 1_000 + OWED_FIRST_MS)
+        !questions.has_priority(&id(1), 1_000 + REPLY_PRIORITY_AFTER_MS - 1)
+            && questions.has_priority(&id(1), 1_000 + REPLY_PRIORITY_AFTER_MS)
     );
     assert_eq!(
-        questions.told(),
-        Some((
-            BTreeMap::from([
-                ((QueryKind::Poll, QueryRefusal::Behind), 1),
-                ((QueryKind::Poll, QueryRefusal::Lookups), 1)
+        questions.take_refusals(),
+        Some(RefusalSummary {
+            counts: BTreeMap::from([
+                ((QueryKind::Poll, QueryRefusal::Overloaded), 1),
+                ((QueryKind::Poll, QueryRefusal::LookupQueueFull), 1)
             ]),
-            5_000
-        ))
+            longest_ms: 5_000
+        })
     );
-    assert_eq!(questions.told(), None);
-    questions.answered(&id(1));
-    assert_eq!(questions.since(&id(1), 20_000), 20_000);
+    assert_eq!(questions.take_refusals(), None);
+    questions.record_answer(&id(1));
+    assert_eq!(questions.pending_since(&id(1), 20_000), 20_000);
     // A withdrawal that is under way is no question in vain.
-    questions.turned_away(&id(2), QueryKind::Poll, QueryRefusal::Stopping, 20_000);
-    assert!(!questions.first(&id(2), 60_000));
-    for n in 0..2 * OWED_MOST as u64 {
-        questions.turned_away(&id(n), QueryKind::Poll, QueryRefusal::Behind, 30_000);
+    questions.record_refusal(&id(2), QueryKind::Poll, QueryRefusal::JobStopping, 20_000);
+    assert!(!questions.has_priority(&id(2), 60_000));
+    for n in 0..2 * PENDING_REPLIES_MAX as u64 {
+        questions.record_refusal(&id(n), QueryKind::Poll, QueryRefusal::Overloaded, 30_000);
     }
-    let owed = (0..2 * OWED_MOST as u64)
-        .filter(|n| questions.since(&id(*n), 50_000) == 30_000)
+    let owed = (0..2 * PENDING_REPLIES_MAX as u64)
+        .filter(|n| questions.pending_since(&id(*n), 50_000) == 30_000)
         .count();
-    assert_eq!(owed, OWED_MOST);
-    questions.turned_away(
+    assert_eq!(owed, PENDING_REPLIES_MAX);
+    questions.record_refusal(
         &id(7),
         QueryKind::Poll,
-        QueryRefusal::Behind,
-        40_000 + OWED_KEPT_MS,
+        QueryRefusal::Overloaded,
+        40_000 + PENDING_REPLY_KEPT_MS,
     );
-    let owed: BTreeSet<u64> = (0..OWED_MOST as u64)
-        .filter(|n| questions.since(&id(*n), u64::MAX) < u64::MAX)
+    let owed: BTreeSet<u64> = (0..PENDING_REPLIES_MAX as u64)
+        .filter(|n| questions.pending_since(&id(*n), u64::MAX) < u64::MAX)
         .collect();
     assert_eq!(owed, BTreeSet::from([7]), "the others have given up");
 }
@@ -236,7 +252,7 @@
         // The store refuses what is over the share.
         let share = whole / nodes as f64;
         let (mut worst, mut written, mut turn_us) = (0, 0, 0);
-        let per_s = (share * QUESTIONS_SHARE).min(25.0) as u64;
+        let per_s = (share * QUERY_SHARE).min(25.0) as u64;
         for now_us in (0..60_000_000u64).step_by(10_000) {
             requests.refused();
             // A flood of submissions, each taken while its turn is 0.8 s away at most.
@@ -246,7 +262,7 @@
             }
             if now_us >= turn_us {
                 turn_us += 1_000_000 / per_s;
-                worst = worst.max(requests.ask(now_us));
+                worst = worst.max(requests.take_query(now_us));
             }
         }
         assert!(
@@ -266,7 +282,7 @@
 fn only_a_limit_that_the_settings_name_is_learned() {
     let rate = |bucket: &mut TokenBucket| {
         for now_us in (0..20_000_000u64).step_by(100_000) {
-            bucket.refused_for_good();
+            bucket.refused_by_lower_limit();
             bucket.take(1.0, now_us);
         }
         // What waits now waits for so long a change.
@@ -276,7 +292,7 @@
     };
     let (unnamed, named) = (
         rate(&mut TokenBucket::new(60.0, 3, 0)),
-        rate(&mut TokenBucket::new(60.0, 3, 0).falling_to(42.0)),
+        rate(&mut TokenBucket::new(60.0, 3, 0).with_min_limit(42.0)),
     );
     assert!(unnamed > 19.0, "{unnamed}");
     assert!((13.0..16.0).contains(&named), "{named}");
--- a/crates/coordination/tests/cancellations.rs
+++ b/crates/coordination/tests/cancellations.rs
@@ -6,10 +6,10 @@
 mod support;
 
 use controllers::*;
-use lemonweir_coordination::job_status::Answer;
+use lemonweir_coordination::job_status::JobStatusAnswer;
 use lemonweir_coordination::owner::{CommandResult, Owner};
 use lemonweir_coordination::placer::CompareAndSwapOutcome;
-use lemonweir_coordination::{Config, Core, Effect, ShardLease};
+use lemonweir_coordination::{Config, Core, Effect, STORE_ROUTE_AFTER_FAILURES, ShardLease};
 use lemonweir_model::constants::*;
 use lemonweir_model::{JobId, JobSpec};
 use lemonweir_protocol::kv_store::{CompareAndSwap, KeyValue, WatchEvent, Write, to_value};
@@ -81,7 +81,7 @@
         };
         core.cache
             .replace(&[accepted, holder(0, TOKEN), holder(1, OWN)], 100);
-        core.refreshed(10, true);
+        core.cache_refreshed(10, true);
         core.acquire(lease, &[], Vec::new(), 10);
         let mut asker = Self {
             core,
@@ -104,7 +104,7 @@
             vec![shown(1, 4)],
             Vec::new(),
         );
-        asker.core.sync_done(lease, 0, Some(shows), asker.now);
+        asker.core.sync_completed(lease, 0, Some(shows), asker.now);
         asker
     }
 
@@ -115,13 +115,13 @@
             let mut found = None;
             self.now += 50;
             // The store answers it all the while.
-            self.core.refreshed(self.now, false);
-            for effect in self.core.pump(self.now) {
+            self.core.cache_refreshed(self.now, false);
+            for effect in self.core.flush(self.now) {
                 match effect {
                     Effect::CompareAndSwap(lease, cas) => {
                         self.ended |= ends(&cas, &self.job);
                         self.revision += 1;
-                        self.core.cas_done(
+                        self.core.cas_completed(
                             lease,
                             CompareAndSwapOutcome::Done(self.revision),
                             self.now,
@@ -129,7 +129,7 @@
                     }
                     effect if found.is_none() && look(&effect).is_some() => found = look(&effect),
                     Effect::Sync(lease, sync) => {
-                        self.core.sync_done(lease, sync.to, None, self.now)
+                        self.core.sync_completed(lease, sync.to, None, self.now)
                     }
                     _ => {}
                 }
@@ -154,7 +154,7 @@
 
     fn mailed(&mut self) -> SyncRequest {
         self.until(|e| {
-            if let Effect::MailSync(sync) = e {
+            if let Effect::StoreSync(sync) = e {
                 Some(sync.clone())
             } else {
                 None
@@ -166,16 +166,16 @@
     /// A direct sync to the former owner that wants the attempt, whose answer is
     /// still out, and one through the store to the next owner after it.
     fn told_both(&mut self) -> (SyncRequest, SyncRequest) {
-        for _ in 0..MAIL_AFTER_FAILURES {
+        for _ in 0..STORE_ROUTE_AFTER_FAILURES {
             self.direct();
-            self.core.sync_done(self.lease, 0, None, self.now);
+            self.core.sync_completed(self.lease, 0, None, self.now);
         }
         let out = loop {
             let sync = self.direct();
             if !sync.wants.is_empty() {
                 break sync;
             }
-            self.core.sync_done(self.lease, 0, None, self.now);
+            self.core.sync_completed(self.lease, 0, None, self.now);
         };
         let taken = ShardRecord { host: "h2".into() };
         self.learn(shard_key(0), to_value(&taken), NEXT);
@@ -200,7 +200,7 @@
             self.revision,
             self.now,
         );
-        self.core.refreshed(self.now, true);
+        self.core.cache_refreshed(self.now, true);
     }
 
     /// Its user withdraws the job; true if it counts as over within some seconds.
@@ -303,9 +303,9 @@
                     };
                     asker.learn(key, value, asker.revision + 1);
                 }
-                asker.core.take_mail(asker.now);
+                asker.core.handle_store_messages(asker.now);
             } else {
-                asker.core.sync_done(asker.lease, 0, Some(late), asker.now);
+                asker.core.sync_completed(asker.lease, 0, Some(late), asker.now);
             }
             assert!(
                 !asker.withdrawn(),
@@ -314,13 +314,13 @@
             // Proven over by the next one, it is.
             for runs in [true, false] {
                 let sync = asker.until(|e| match e {
-                    Effect::Sync(_, sync) | Effect::MailSync(sync) => Some(sync.clone()),
+                    Effect::Sync(_, sync) | Effect::StoreSync(sync) => Some(sync.clone()),
                     _ => None,
                 });
                 let sync = sync.expect("a sync");
                 let now = asker.now;
                 let answer = next.sync(&sync, ROOM, now).expect("taken");
-                asker.core.sync_done(asker.lease, 0, Some(answer), now);
+                asker.core.sync_completed(asker.lease, 0, Some(answer), now);
                 if runs {
                     let call = next.calls(now, ROOM).pop().expect("stopped");
                     assert!(
@@ -349,8 +349,8 @@
         let mut asker = Asker::new();
         let (key, now) = (job_key(&asker.job), asker.now);
         assert!(matches!(
-            asker.core.answer(&asker.job, now),
-            Answer::Unfinished(..)
+            asker.core.job_status(&asker.job, now),
+            JobStatusAnswer::Unfinished(..)
         ));
         if full {
             let holder = |shard: u16, token| KeyValue {
@@ -385,10 +385,10 @@
             };
             asker.core.cache.apply(&[set, left], 200, now);
         }
-        asker.core.refreshed(now, true);
+        asker.core.cache_refreshed(now, true);
         assert_eq!(
-            asker.core.answer(&asker.job, now + 60_000),
-            Answer::Unknown,
+            asker.core.job_status(&asker.job, now + 60_000),
+            JobStatusAnswer::Unknown,
             "only the store tells which; full: {full}"
         );
         asker
@@ -396,8 +396,8 @@
             .cache
             .settle(&asker.job, JobPhase::Withdrawn, 1, now);
         assert_eq!(
-            asker.core.answer(&asker.job, now + 60_000),
-            Answer::Over(JobPhase::Withdrawn)
+            asker.core.job_status(&asker.job, now + 60_000),
+            JobStatusAnswer::Finished(JobPhase::Withdrawn)
         );
     }
 }
--- a/crates/coordination/tests/chains.rs
+++ b/crates/coordination/tests/chains.rs
@@ -7,10 +7,10 @@
 
 use controllers::settings;
 use lemonweir_coordination::dependencies::{DependencyAdmission, DependencyState};
-use lemonweir_coordination::job_status::Answer;
+use lemonweir_coordination::job_status::{FINAL_STATE_DELAY_MS, JobStatusAnswer};
 use lemonweir_coordination::placer::CompareAndSwapOutcome;
-use lemonweir_coordination::{Config, Core, Effect, ShardLease};
-use lemonweir_model::constants::*;
+use lemonweir_coordination::{Config, Core, Effect, JobProgressReport, ShardLease};
+use lemonweir_model::constants::CONDITIONS_A_CHANGE;
 use lemonweir_model::{JobId, JobSpec, Priority};
 use lemonweir_protocol::kv_store::{
     CompareAndSwap, Condition, KeyValue, WatchEvent, Write, to_value,
@@ -58,7 +58,7 @@
             version: TOKEN,
         };
         core.cache.replace(&[holder], 100);
-        core.refreshed(10, true);
+        core.cache_refreshed(10, true);
         core.acquire(LOT, &[], Vec::new(), 10);
         Self {
             core,
@@ -94,7 +94,7 @@
         };
         let changes: Vec<WatchEvent> = cas.writes.iter().map(change).filter(followed).collect();
         self.core.cache.apply(&changes, version, self.now);
-        self.core.refreshed(self.now, true);
+        self.core.cache_refreshed(self.now, true);
         version
     }
 
@@ -108,7 +108,7 @@
         let cas_list = if spec.awaits.is_empty() {
             vec![accept_job(&record)]
         } else {
-            accept_waiting(&record, self.core.config.txn_ops)
+            accept_waiting(&record, self.core.config.cas_max_changes)
         };
         cas_list
             .iter()
@@ -148,12 +148,12 @@
     /// The next transaction for waiting jobs, and the ends that are to be read.
     fn due(&mut self) -> (Option<CompareAndSwap>, Vec<JobId>) {
         self.now += 1_000;
-        self.core.refreshed(self.now, false);
+        self.core.cache_refreshed(self.now, false);
         let (mut due, mut reads) = (None, Vec::new());
-        for effect in self.core.pump(self.now) {
+        for effect in self.core.flush(self.now) {
             match effect {
-                Effect::Chain(cas) => due = Some(cas),
-                Effect::ReadEnds(ids) => reads.extend(ids),
+                Effect::DependencyCompareAndSwap(cas) => due = Some(cas),
+                Effect::ReadFinalStates(ids) => reads.extend(ids),
                 _ => {}
             }
         }
@@ -184,8 +184,8 @@
     let own = leader.accept(&spec(3, &[1, 2]));
     assert_eq!(leader.due(), (None, Vec::new()));
     assert_eq!(
-        leader.core.chain_standing(&id(3)),
-        DependencyState::Waits(vec![id(1), id(2)])
+        leader.core.dependency_state(&id(3)),
+        DependencyState::Waiting(vec![id(1), id(2)])
     );
     let first = leader.ends(1);
     assert_eq!(leader.due(), (None, Vec::new()), "one is not enough");
@@ -208,12 +208,12 @@
     // Its answer is lost: nothing but the same is tried again, once the copy was read.
     leader
         .core
-        .chain_done(CompareAndSwapOutcome::Again, leader.now);
+        .dependency_cas_completed(CompareAndSwapOutcome::Again, leader.now);
     assert_eq!(leader.due().0, Some(cas.clone()));
     let revision = leader.make(&cas);
     leader
         .core
-        .chain_done(CompareAndSwapOutcome::Done(revision), leader.now);
+        .dependency_cas_completed(CompareAndSwapOutcome::Done(revision), leader.now);
     assert!(leader.core.cache.jobs.contains_key(&id(3)));
     assert_eq!(leader.due(), (None, Vec::new()));
 }
@@ -225,8 +225,8 @@
     leader.accept(&spec(3, &[1, 2]));
     assert_eq!(leader.due(), (None, vec![id(1), id(2)]));
     assert_eq!(
-        leader.core.answer(&id(3), leader.now),
-        Answer::Ends(vec![id(1), id(2)])
+        leader.core.job_status(&id(3), leader.now),
+        JobStatusAnswer::NeedsFinalStates(vec![id(1), id(2)])
     );
     assert_eq!(leader.due(), (None, Vec::new()), "once at a time");
     for n in [1, 2] {
@@ -235,7 +235,7 @@
             .cache
             .settle(&id(n), JobPhase::Done, 40 + n as u64, leader.now);
     }
-    leader.core.ends_read(&[id(1), id(2)], leader.now);
+    leader.core.final_states_read(&[id(1), id(2)], leader.now);
     assert!(
         leader
             .due()
@@ -262,21 +262,26 @@
     }
     let all = [1, LONG / 2, LONG, LONG + 1, LONG + WIDE];
     leader.now += 1;
-    leader.core.refreshed(leader.now, false);
+    leader.core.cache_refreshed(leader.now, false);
     assert!(all.iter().all(|n| matches!(
-        leader.core.answer(&id(*n), leader.now),
-        Answer::Unfinished(JobPhase::Queued, ..)
+        leader.core.job_status(&id(*n), leader.now),
+        JobStatusAnswer::Unfinished(JobProgressReport {
+            phase: JobPhase::Queued,
+            ..
+        })
     )));
     leader.cancelled(0);
     for n in all {
         assert_eq!(
-            leader.core.answer(&id(n), leader.now),
-            Answer::OverIn(TOLD_AFTER_MS),
+            leader.core.job_status(&id(n), leader.now),
+            JobStatusAnswer::FinishedIn(FINAL_STATE_DELAY_MS),
             "{n}"
         );
         assert_eq!(
-            leader.core.answer(&id(n), leader.now + TOLD_AFTER_MS),
-            Answer::Over(JobPhase::Withdrawn),
+            leader
+                .core
+                .job_status(&id(n), leader.now + FINAL_STATE_DELAY_MS),
+            JobStatusAnswer::Finished(JobPhase::Withdrawn),
             "{n}"
         );
     }
@@ -284,8 +289,8 @@
     let (cas, _) = leader.due();
     let cas = cas.expect("some are written");
     assert!(
-        cas.writes.len() <= leader.core.config.txn_ops
-            && cas.writes.len() > leader.core.config.txn_ops - 2
+        cas.writes.len() <= leader.core.config.cas_max_changes
+            && cas.writes.len() > leader.core.config.cas_max_changes - 2
     );
     assert!(
         cas.writes
@@ -321,7 +326,7 @@
     let mut confirmed = Vec::new();
     for _ in 0..MANY {
         let cas = leader.due().0.expect("it goes on");
-        assert!(cas.conditions.len() <= CONDITIONS_A_CHANGE * leader.core.config.txn_ops);
+        assert!(cas.conditions.len() <= CONDITIONS_A_CHANGE * leader.core.config.cas_max_changes);
         confirmed.extend(
             cas.conditions
                 .iter()
@@ -331,7 +336,7 @@
         let revision = leader.make(&cas);
         leader
             .core
-            .chain_done(CompareAndSwapOutcome::Done(revision), leader.now);
+            .dependency_cas_completed(CompareAndSwapOutcome::Done(revision), leader.now);
         if sets(&cas, &job_key(&id(MANY))) {
             break;
         }
@@ -361,9 +366,9 @@
     leader.accept(&rank(3, &[1], Priority::Low));
     let order = |leader: &mut Leader| {
         leader.now += 1_000;
-        leader.core.refreshed(leader.now, false);
-        leader.core.pump(leader.now);
-        [1, 2].map(|n| leader.core.placed_rank(&id(n)))
+        leader.core.cache_refreshed(leader.now, false);
+        leader.core.flush(leader.now);
+        [1, 2].map(|n| leader.core.placed_priority(&id(n)))
     };
     assert_eq!(
         order(&mut leader),
@@ -393,7 +398,7 @@
     let mut leader = Leader::new();
     leader.accept(&spec(1, &[]));
     leader.accept(&spec(2, &[1]));
-    let admit = |leader: &Leader, awaits: &[usize]| leader.core.admit(&spec(9, awaits), 1);
+    let admit = |leader: &Leader, awaits: &[usize]| leader.core.admit_job(&spec(9, awaits), 1);
     assert_eq!(
         admit(&leader, &[1, 7, 9]),
         DependencyAdmission::Unknown(vec![id(7), id(9)]),
--- a/crates/coordination/tests/changes.rs
+++ b/crates/coordination/tests/changes.rs
@@ -97,7 +97,7 @@
 }
 
 fn message(log: &ChangeLog<u8, u32>, acked: u64, seq: u64, mut room: usize) -> Message {
-    let (span, changes) = log.since(acked, &mut room, |_, _| 1);
+    let (span, changes) = log.changes_since(acked, &mut room, |_, _| 1);
     (
         seq,
         span,
@@ -120,7 +120,7 @@
         let mut late: Vec<(u64, Message)> = Vec::new();
         let answer = |acked: &mut u64, log: &mut ChangeLog<u8, u32>, at: u64| {
             *acked = if at < *acked { 0 } else { at };
-            log.forget(*acked);
+            log.compact(*acked);
         };
         for s in steps {
             match s {
--- a/crates/coordination/tests/elections.rs
+++ b/crates/coordination/tests/elections.rs
@@ -3,10 +3,12 @@
 
 use std::sync::LazyLock;
 
-use lemonweir_coordination::election::{ElectionAction, LeaderElection};
+use lemonweir_coordination::election::{
+    CEDE_MS, ELECTION_STAGGER_MS, ElectionAction, FAILOVER_WAIT_MS, LeaderElection,
+};
 use lemonweir_coordination::owner::SyncError;
 use lemonweir_coordination::{Config, Core, ShardLease};
-use lemonweir_model::constants::*;
+use lemonweir_model::constants::{CARRIED_PART_MS, PEER_VERSION};
 use lemonweir_model::policy::Policy;
 use lemonweir_model::settings::Settings;
 use lemonweir_protocol::kv_store::{KeyValue, WatchEvent, to_value};
@@ -77,7 +79,7 @@
 /// A reading that began at `now` shows these changes.
 fn read(core: &mut Core, changes: &[WatchEvent], revision: u64, now: u64) {
     core.cache.apply(changes, revision, now);
-    core.refreshed(now, true);
+    core.cache_refreshed(now, true);
 }
 
 /// The controller of this number, which has read that it and two others live.
@@ -93,7 +95,7 @@
 }
 
 fn holds(core: &mut Core, shard: u16, token: u64, now: u64) {
-    let me = core.config.me;
+    let me = core.config.own_index;
     read(core, &[taken(shard, me, token)], token, now);
     core.acquire(ShardLease { shard, token }, &[], Vec::new(), now);
 }
@@ -120,10 +122,10 @@
         24,
         3_000,
     );
-    assert_eq!(core.held(), Vec::new());
+    assert_eq!(core.leases(), Vec::new());
     assert_eq!(
-        membership().claim(&core, 0, 3_100),
-        Some(ElectionAction::Take {
+        membership().next_action(&core, 0, 3_100),
+        Some(ElectionAction::Acquire {
             shard: 0,
             version: 23
         })
@@ -140,13 +142,13 @@
         3_200,
     );
     assert_eq!(
-        core.held(),
+        core.leases(),
         vec![ShardLease {
             shard: 0,
             token: 30
         }]
     );
-    assert_eq!(membership().claim(&core, 0, 3_300), None);
+    assert_eq!(membership().next_action(&core, 0, 3_300), None);
 }
 
 /// A taking of the host's earlier process is made late, of a part that is not its home:
@@ -155,19 +157,19 @@
 fn a_late_taking_of_an_earlier_process_is_taken_over_and_handed_back() {
     let mut core = among(1);
     read(&mut core, &[taken(0, 1, 12)], 12, 2_000);
-    assert_eq!(core.held(), Vec::new(), "it has not decided to hold it");
+    assert_eq!(core.leases(), Vec::new(), "it has not decided to hold it");
     let mut membership = membership();
     assert_eq!(
-        membership.claim(&core, 0, 2_100),
-        Some(ElectionAction::Take {
+        membership.next_action(&core, 0, 2_100),
+        Some(ElectionAction::Acquire {
             shard: 0,
             version: 12
         })
     );
     holds(&mut core, 0, 13, 2_200);
     assert_eq!(
-        membership.claim(&core, 0, 2_300),
-        Some(ElectionAction::HandBack(ShardLease {
+        membership.next_action(&core, 0, 2_300),
+        Some(ElectionAction::ReturnToHome(ShardLease {
             shard: 0,
             token: 13
         }))
@@ -188,14 +190,14 @@
     let mut membership = membership();
     let claims = |membership: &mut LeaderElection, core: &Core, now| {
         (0..HOSTS)
-            .map(|p| membership.claim(core, p, now))
+            .map(|p| membership.next_action(core, p, now))
             .collect::<Vec<_>>()
     };
     assert_eq!(
         claims(&mut membership, &core, 2_000),
         [
             None,
-            Some(ElectionAction::Take {
+            Some(ElectionAction::Acquire {
                 shard: 1,
                 version: 11
             }),
@@ -220,16 +222,16 @@
         [None, None, None],
         "their homes go first"
     );
-    let later = 9_000 + TAKEOVER_WAIT_MS + HEIR_STEP_MS * u64::from(HOSTS);
+    let later = 9_000 + FAILOVER_WAIT_MS + ELECTION_STAGGER_MS * u64::from(HOSTS);
     assert_eq!(
         claims(&mut membership, &core, later),
         [
-            Some(ElectionAction::Take {
+            Some(ElectionAction::Acquire {
                 shard: 0,
                 version: 0
             }),
             None,
-            Some(ElectionAction::Take {
+            Some(ElectionAction::Acquire {
                 shard: 2,
                 version: 0
             })
@@ -270,7 +272,7 @@
     let mut core = among(1);
     holds(&mut core, 1, 10, 2_000);
     read(&mut core, &[taken(0, 0, 11)], 11, 2_100);
-    core.superseded(
+    core.handle_superseded(
         Superseded {
             version: PEER_VERSION,
             shard: 0,
@@ -281,13 +283,13 @@
     );
     read(&mut core, &[given_up(0, 20), taken(0, 0, 30)], 31, 2_300);
     assert!(
-        matches!(core.sync_in(&sync(0, 30, 1, 10), 2_400), Err(SyncError::Superseded(by)) if by.token == 50)
+        matches!(core.handle_sync(&sync(0, 30, 1, 10), 2_400), Err(SyncError::Superseded(by)) if by.token == 50)
     );
     read(&mut core, &[given_up(0, 40)], 41, 2_500);
     assert!(
-        matches!(core.sync_in(&sync(0, 30, 1, 10), 2_600), Err(SyncError::Superseded(by)) if by.token == 50)
+        matches!(core.handle_sync(&sync(0, 30, 1, 10), 2_600), Err(SyncError::Superseded(by)) if by.token == 50)
     );
-    assert!(core.sync_in(&sync(0, 50, 1, 10), 2_700).is_ok());
+    assert!(core.handle_sync(&sync(0, 50, 1, 10), 2_700).is_ok());
 }
 
 /// The same of the controller's own part: told that it is superseded it gives the part
@@ -296,7 +298,7 @@
 fn who_is_superseded_does_not_take_its_part_by_an_earlier_taking() {
     let mut core = among(0);
     holds(&mut core, 0, 10, 2_000);
-    core.superseded(
+    core.handle_superseded(
         Superseded {
             version: PEER_VERSION,
             shard: 0,
@@ -305,11 +307,11 @@
         },
         2_100,
     );
-    assert_eq!(core.held(), Vec::new());
+    assert_eq!(core.leases(), Vec::new());
     read(&mut core, &[given_up(0, 20), taken(0, 0, 30)], 31, 2_200);
-    assert_eq!(membership().claim(&core, 0, 2_300), None);
+    assert_eq!(membership().next_action(&core, 0, 2_300), None);
     // Late word of an earlier holder changes nothing.
-    core.superseded(
+    core.handle_superseded(
         Superseded {
             version: PEER_VERSION,
             shard: 0,
@@ -337,9 +339,9 @@
     holds(&mut core, 1, 110, 2_100);
     // The first page is of revision 100, the parts' page of one before part 1 was taken.
     core.cache.replace(&[entry(0, 2, 90), entry(1, 1, 5)], 100);
-    core.refreshed(2_200, true);
+    core.cache_refreshed(2_200, true);
     assert_eq!(
-        core.held(),
+        core.leases(),
         vec![ShardLease {
             shard: 1,
             token: 110
@@ -347,7 +349,7 @@
     );
     read(&mut core, &[given_up(1, 105), taken(1, 0, 110)], 111, 2_300);
     assert_eq!(
-        core.held(),
+        core.leases(),
         vec![ShardLease {
             shard: 1,
             token: 110
@@ -380,42 +382,42 @@
         notice_s: None,
         tasks: Vec::new(),
     };
-    core.carried_report(&report, 1, 2_100);
+    core.handle_relayed_heartbeat(&report, 1, 2_100);
     let mut membership = membership();
     let since = 2_100 + CARRIED_PART_MS + 1;
     read(&mut core, &[lives(0, 11)], 11, since);
     for again in 0..5 {
         assert_eq!(
-            membership.claim(&core, 0, since + 1_700 * again),
-            Some(ElectionAction::Leave(ShardLease {
+            membership.next_action(&core, 0, since + 1_700 * again),
+            Some(ElectionAction::Cede(ShardLease {
                 shard: 0,
                 token: 10
             }))
         );
     }
     core.release(0, since + 8_000);
-    assert!(membership.left(&core, since + 8_000).contains(&0));
+    assert!(membership.ceded(&core, since + 8_000).contains(&0));
     assert_eq!(
-        membership.left(&core, since + 8_000 + DEAF_MS),
+        membership.ceded(&core, since + 8_000 + CEDE_MS),
         Vec::<u16>::new()
     );
     // The next time it is for twice as long.
-    read(&mut core, &[given_up(0, 12)], 12, since + 10_000 + DEAF_MS);
-    holds(&mut core, 0, 20, since + 10_000 + DEAF_MS);
-    core.carried_report(&Heartbeat { seq: 2, ..report }, 1, since + 10_000 + DEAF_MS);
-    let anew = since + 10_000 + DEAF_MS + CARRIED_PART_MS + 1;
+    read(&mut core, &[given_up(0, 12)], 12, since + 10_000 + CEDE_MS);
+    holds(&mut core, 0, 20, since + 10_000 + CEDE_MS);
+    core.handle_relayed_heartbeat(&Heartbeat { seq: 2, ..report }, 1, since + 10_000 + CEDE_MS);
+    let anew = since + 10_000 + CEDE_MS + CARRIED_PART_MS + 1;
     read(&mut core, &[lives(0, 21)], 21, anew);
     assert_eq!(
-        membership.claim(&core, 0, anew),
-        Some(ElectionAction::Leave(ShardLease {
+        membership.next_action(&core, 0, anew),
+        Some(ElectionAction::Cede(ShardLease {
             shard: 0,
             token: 20
         }))
     );
     core.release(0, anew);
-    assert!(membership.left(&core, anew + 2 * DEAF_MS - 1).contains(&0));
+    assert!(membership.ceded(&core, anew + 2 * CEDE_MS - 1).contains(&0));
     assert_eq!(
-        membership.left(&core, anew + 2 * DEAF_MS),
+        membership.ceded(&core, anew + 2 * CEDE_MS),
         Vec::<u16>::new()
     );
 }
--- a/crates/coordination/tests/late_orders.rs
+++ b/crates/coordination/tests/late_orders.rs
@@ -399,7 +399,7 @@
             None => drop(core.cache.shards.remove(&0)),
         }
         core.cache.revision = core.cache.revision.max(Some(revision));
-        core.refreshed(began, true);
+        core.cache_refreshed(began, true);
     }
 
     fn read_store(&mut self) {
@@ -448,7 +448,7 @@
                 .get(&0)
                 .is_some_and(|h| h.host == format!("h{n}"));
             if ours
-                && core.held().is_empty()
+                && core.leases().is_empty()
                 && host.taken.is_none()
                 && self.holder.as_ref() == core.cache.shards.get(&0)
             {
@@ -575,7 +575,7 @@
                     None if sent => CommandResult::Unknown,
                     None => CommandResult::NotSent,
                 };
-                core.command_done(p.lease, &p.call, result, now);
+                core.command_completed(p.lease, &p.call, result, now);
                 self.pump(p.host);
             }
         }
@@ -593,24 +593,24 @@
     ) {
         let now = self.now;
         let answer = match self.hosts[host].core.as_mut() {
-            None => HeartbeatAnswer::Unable,
+            None => HeartbeatAnswer::Unavailable,
             Some(core) => match by {
-                None => core.report(&report, now),
-                Some(by) => core.carried_report(&report, by, now),
+                None => core.handle_heartbeat(&report, now),
+                Some(by) => core.handle_relayed_heartbeat(&report, by, now),
             },
         };
         if self.hosts[host]
             .core
             .as_ref()
-            .is_some_and(|c| !c.held().is_empty())
+            .is_some_and(|c| !c.leases().is_empty())
         {
             self.hosts[host].heard = self.hosts[host].heard.max(life);
         }
         self.note(|| format!("h{host} hears {report:?} by {by:?}, copy {copy}: {answer:?}"));
         self.pump(host);
         let answer = match answer {
-            HeartbeatAnswer::Orders(reply) => Ok(reply),
-            HeartbeatAnswer::Carry(to) => {
+            HeartbeatAnswer::Commands(reply) => Ok(reply),
+            HeartbeatAnswer::Relay(to) => {
                 let report = Message::Report {
                     report,
                     life,
@@ -621,8 +621,8 @@
                 };
                 return self.post(40, report);
             }
-            HeartbeatAnswer::Elsewhere(name) => Err(name[1..].parse().ok()),
-            HeartbeatAnswer::Unable => Err(None),
+            HeartbeatAnswer::Redirect(name) => Err(name[1..].parse().ok()),
+            HeartbeatAnswer::Unavailable => Err(None),
         };
         let lost = now < self.answers_lost
             || now < self.unreachable
@@ -648,18 +648,18 @@
         let Some(core) = self.hosts[n].runs(now) else {
             return;
         };
-        for effect in core.pump(now) {
+        for effect in core.flush(now) {
             match effect {
                 Effect::Command(lease, call) => self.call(n, lease, call),
-                Effect::Release(lease, names) => {
+                Effect::ReleaseInstances(lease, names) => {
                     // The cloud answers nothing here: ends are proven by the machine
                     // or time.
                     self.given_back = true;
                     if let Some(core) = self.hosts[n].core.as_mut() {
-                        core.released(lease, &names, false, now);
+                        core.instances_released(lease, &names, false, now);
                     }
                 }
-                Effect::Hail(to, word) => self.hail(n, usize::from(to), word),
+                Effect::SendGossip(to, word) => self.hail(n, usize::from(to), word),
                 _ => {}
             }
         }
@@ -669,9 +669,9 @@
         let now = self.now;
         let answer = self.hosts[to]
             .runs(now)
-            .map(|core| core.links.hail_in(word, now));
+            .map(|core| core.links.handle_gossip(word, now));
         if let Some(core) = self.hosts[from].core.as_mut() {
-            core.links.hailed(to as u16, answer.is_some(), answer, now);
+            core.links.gossip_completed(to as u16, answer.is_some(), answer, now);
         }
     }
 
@@ -836,7 +836,7 @@
         let (now, to) = (self.now, self.to);
         let at = |h: &Host| {
             h.core.as_ref().is_some_and(|c| {
-                c.held().contains(&ShardLease {
+                c.leases().contains(&ShardLease {
                     shard: 0,
                     token: to,
                 })
@@ -867,7 +867,7 @@
             let Some(core) = self.hosts[n].core.as_mut() else {
                 return;
             };
-            let Ok(view) = core.sync_in(&message, now) else {
+            let Ok(view) = core.handle_sync(&message, now) else {
                 return;
             };
             // An answer may be lost.
@@ -953,7 +953,7 @@
                     self.processes += 1;
                     (host.core, host.process, host.read_at) = (Some(core(n)), self.processes, now);
                     if let Some(core) = host.core.as_mut() {
-                        core.set_clock(now, DAY_MS + now);
+                        core.set_wall_clock(now, DAY_MS + now);
                     }
                 }
                 if now >= host.stands_until && !host.held.is_empty() {
@@ -971,7 +971,7 @@
             if now.is_multiple_of(100) {
                 for n in 0..HOSTS {
                     if let Some(core) = self.hosts[n].runs(now) {
-                        core.set_clock(now, DAY_MS + now);
+                        core.set_wall_clock(now, DAY_MS + now);
                     }
                     self.pump(n);
                 }
--- a/crates/coordination/tests/limits.rs
+++ b/crates/coordination/tests/limits.rs
@@ -154,7 +154,7 @@
             settings.cluster.state.value_kb = value_kb;
             settings.cluster.state.txn_ops = txn_ops;
             let config = Config::new(&settings);
-            let pages = config.image_pages();
+            let pages = config.image_pages_per_cas();
             assert!(pages >= 1 && pages <= txn_ops);
             assert!(pages == 1 || pages * config.value_bytes <= MAX_BODY_BYTES);
         }
--- a/crates/coordination/tests/links.rs
+++ b/crates/coordination/tests/links.rs
@@ -1,8 +1,9 @@
 //! One core among others: what it carries, and what it has carried for it.
 
-use lemonweir_coordination::links::Links;
+use lemonweir_coordination::election::{ELECTION_STAGGER_MS, FAILOVER_WAIT_MS};
+use lemonweir_coordination::links::{GOSSIP_INTERVAL_MS, Links};
 use lemonweir_coordination::{Config, Core, Effect, HeartbeatAnswer};
-use lemonweir_model::constants::*;
+use lemonweir_model::constants::{FENCE_BITS, PEER_VERSION, SILENT_SLACK_MS};
 use lemonweir_model::settings::Settings;
 use lemonweir_protocol::kv_store::{KeyValue, to_value};
 use lemonweir_protocol::links::{AvailabilityGossip, LINKS_VERSION, LinkState, Service};
@@ -46,7 +47,7 @@
         }],
         50,
     );
-    core.refreshed(0, true);
+    core.cache_refreshed(0, true);
     core
 }
 
@@ -91,26 +92,31 @@
 fn who_comes_from_its_owner_is_carried_and_who_is_new_is_sent_there() {
     let mut core = core();
     core.links
-        .hailed(0, true, Some(word(0, Some(50), None)), 1_000);
+        .gossip_completed(0, true, Some(word(0, Some(50), None)), 1_000);
     let new = of_part_0(&core, 0).next().expect("some");
-    assert!(matches!(core.report(&new, 1_100), HeartbeatAnswer::Elsewhere(host) if host == "h0"));
+    assert!(
+        matches!(core.handle_heartbeat(&new, 1_100), HeartbeatAnswer::Redirect(host) if host == "h0")
+    );
     let known = of_part_0(&core, TOKEN << FENCE_BITS | 3)
         .nth(1)
         .expect("some");
     assert!(matches!(
-        core.report(&known, 1_200),
-        HeartbeatAnswer::Carry(0)
+        core.handle_heartbeat(&known, 1_200),
+        HeartbeatAnswer::Relay(0)
     ));
     // One that knows only an earlier owner has not been there yet.
     let earlier = of_part_0(&core, (TOKEN - 1) << FENCE_BITS)
         .nth(2)
         .expect("some");
     assert!(matches!(
-        core.report(&earlier, 1_300),
-        HeartbeatAnswer::Elsewhere(_)
+        core.handle_heartbeat(&earlier, 1_300),
+        HeartbeatAnswer::Redirect(_)
     ));
     assert!(
-        matches!(core.report(&earlier, 4_000), HeartbeatAnswer::Carry(0)),
+        matches!(
+            core.handle_heartbeat(&earlier, 4_000),
+            HeartbeatAnswer::Relay(0)
+        ),
         "it came back: in vain"
     );
 }
@@ -119,13 +125,16 @@
 fn nothing_is_carried_to_an_owner_of_an_earlier_format_or_out_of_reach() {
     for (answered, said) in [(true, None), (false, Some(word(0, Some(50), None)))] {
         let mut core = core();
-        core.links.hailed(0, true, said, 1_000);
+        core.links.gossip_completed(0, true, said, 1_000);
         for at in [2_000, 2_500, 3_000] {
-            core.links.hailed(0, answered, None, at);
+            core.links.gossip_completed(0, answered, None, at);
         }
         let known = of_part_0(&core, TOKEN << FENCE_BITS).next().expect("some");
         assert!(
-            matches!(core.report(&known, 3_100), HeartbeatAnswer::Unable),
+            matches!(
+                core.handle_heartbeat(&known, 3_100),
+                HeartbeatAnswer::Unavailable
+            ),
             "it tries whoever is next"
         );
     }
@@ -135,14 +144,14 @@
 fn a_zone_that_nobody_knows_is_no_link() {
     let mut core = core();
     let stray = of_part_0(&core, 0).next().expect("some");
-    core.report(
+    core.handle_heartbeat(
         &Heartbeat {
             zone: "nowhere".into(),
             ..stray.clone()
         },
         1_000,
     );
-    core.report(&Heartbeat { seq: 2, ..stray }, 1_100);
+    core.handle_heartbeat(&Heartbeat { seq: 2, ..stray }, 1_100);
     let zones: Vec<String> = core
         .links
         .rows(1_200)
@@ -157,12 +166,12 @@
 fn a_carried_report_is_answered_by_an_owner_only() {
     let mut core = core();
     core.links
-        .hailed(0, true, Some(word(0, Some(50), None)), 1_000);
+        .gossip_completed(0, true, Some(word(0, Some(50), None)), 1_000);
     let known = of_part_0(&core, TOKEN << FENCE_BITS).next().expect("some");
     assert!(
         matches!(
-            core.carried_report(&known, 2, 1_100),
-            HeartbeatAnswer::Unable
+            core.handle_relayed_heartbeat(&known, 2, 1_100),
+            HeartbeatAnswer::Unavailable
         ),
         "nothing is carried on"
     );
@@ -173,26 +182,26 @@
 fn what_is_carried_goes_round_nobody() {
     let mut core = core();
     let links: &mut Links = &mut core.links;
-    links.tried(Service::Store, 0, true, 1_000);
-    links.hail_in(word(0, Some(100), None), 2_000);
-    links.hailed(0, true, Some(word(0, Some(100), None)), 2_000);
+    links.record_direct_call(Service::Store, 0, true, 1_000);
+    links.handle_gossip(word(0, Some(100), None), 2_000);
+    links.gossip_completed(0, true, Some(word(0, Some(100), None)), 2_000);
     for at in [3_000, 4_500] {
-        links.tried(Service::Store, 0, false, at);
+        links.record_direct_call(Service::Store, 0, false, at);
     }
     assert_eq!(links.route(Service::Store, 0, 4_600), Some(0));
-    assert!(!links.carries(Service::Store), "it has no way of its own");
+    assert!(!links.can_relay(Service::Store), "it has no way of its own");
     // Number 0 loses it too: its word of its own way grows old, though it hears
     // from the store through others.
-    links.hail_in(word(0, Some(3_000), None), 6_000);
+    links.handle_gossip(word(0, Some(3_000), None), 6_000);
     assert_eq!(links.route(Service::Store, 0, 6_100), Some(0));
-    links.hail_in(word(0, Some(5_000), None), 8_000);
+    links.handle_gossip(word(0, Some(5_000), None), 8_000);
     assert_eq!(links.route(Service::Store, 0, 8_100), None);
     // Who refuses to carry is left alone for a while, where there is another.
-    links.hail_in(word(0, Some(10), None), 9_000);
-    links.hail_in(word(2, Some(400), None), 9_000);
-    links.hailed(2, true, None, 9_000);
+    links.handle_gossip(word(0, Some(10), None), 9_000);
+    links.handle_gossip(word(2, Some(400), None), 9_000);
+    links.gossip_completed(2, true, None, 9_000);
     assert_eq!(links.route(Service::Store, 0, 9_100), Some(0));
-    links.carried(Service::Store, 0, false, 9_200);
+    links.record_relayed_call(Service::Store, 0, false, 9_200);
     assert_eq!(links.route(Service::Store, 0, 9_300), Some(2));
 }
 
@@ -200,10 +209,10 @@
 fn each_other_controller_is_told_every_two_seconds_and_one_at_a_time() {
     let mut core = core();
     let hails = |core: &mut Core, now| -> Vec<u16> {
-        core.pump(now)
+        core.flush(now)
             .into_iter()
             .filter_map(|e| {
-                if let Effect::Hail(host, _) = e {
+                if let Effect::SendGossip(host, _) = e {
                     Some(host)
                 } else {
                     None
@@ -213,11 +222,11 @@
     };
     assert_eq!(hails(&mut core, 1_000), [0, 2]);
     assert!(
-        hails(&mut core, 1_000 + HAIL_MS).is_empty(),
+        hails(&mut core, 1_000 + GOSSIP_INTERVAL_MS).is_empty(),
         "neither has answered yet"
     );
-    core.links.hailed(0, false, None, 2_500);
-    assert_eq!(hails(&mut core, 1_000 + HAIL_MS), [0]);
+    core.links.gossip_completed(0, false, None, 2_500);
+    assert_eq!(hails(&mut core, 1_000 + GOSSIP_INTERVAL_MS), [0]);
 }
 
 /// A worker that is sent round by a controller that is itself cut off from its
@@ -253,7 +262,7 @@
         ],
         70,
     );
-    core.refreshed(0, true);
+    core.cache_refreshed(0, true);
     core.acquire(
         ShardLease {
             shard: 1,
@@ -266,28 +275,28 @@
     let token = 55 << FENCE_BITS;
     let reports: Vec<Heartbeat> = of_part_0(&core, token).take(6).collect();
     for r in &reports {
-        core.report(r, 1_000);
+        core.handle_heartbeat(r, 1_000);
     }
     // Part 0 has no holder; its home, which lives, leaves it.
     let mut membership = LeaderElection::new(3);
-    assert_eq!(membership.claim(&core, 0, 3_000), None, "not at once");
-    let waits = TAKEOVER_WAIT_MS + HEIR_STEP_MS;
+    assert_eq!(membership.next_action(&core, 0, 3_000), None, "not at once");
+    let waits = FAILOVER_WAIT_MS + ELECTION_STAGGER_MS;
     assert_eq!(
-        membership.claim(&core, 0, 3_000 + waits - 1),
+        membership.next_action(&core, 0, 3_000 + waits - 1),
         None,
         "one that holds nothing goes first"
     );
     assert_eq!(
-        membership.claim(&core, 0, 3_000 + waits),
-        Some(ElectionAction::Take {
+        membership.next_action(&core, 0, 3_000 + waits),
+        Some(ElectionAction::Acquire {
             shard: 0,
             version: 0
         })
     );
     let deaf_at = 1_000 + 2 * 3_000 + SILENT_SLACK_MS + 1;
-    assert_eq!(membership.left(&core, deaf_at), [0, 1, 2]);
+    assert_eq!(membership.ceded(&core, deaf_at), [0, 1, 2]);
     assert_eq!(
-        membership.claim(&core, 0, deaf_at),
+        membership.next_action(&core, 0, deaf_at),
         None,
         "another lives that may hear"
     );
@@ -303,8 +312,8 @@
     );
     let mut membership = LeaderElection::new(3);
     assert_eq!(
-        membership.claim(&core, 0, 3_000),
-        Some(ElectionAction::Take {
+        membership.next_action(&core, 0, 3_000),
+        Some(ElectionAction::Acquire {
             shard: 0,
             version: 0
         })
--- a/crates/coordination/tests/nights.rs
+++ b/crates/coordination/tests/nights.rs
@@ -4,10 +4,12 @@
 
 use std::collections::BTreeSet;
 
-use lemonweir_coordination::job_status::Answer;
+use lemonweir_coordination::job_status::{
+    CACHE_ANSWER_MAX_AGE_MS, FINAL_STATE_DELAY_MS, JobStatusAnswer,
+};
 use lemonweir_coordination::owner::Owner;
-use lemonweir_coordination::{Config, Core, HeartbeatAnswer};
-use lemonweir_model::constants::*;
+use lemonweir_coordination::{Config, Core, HeartbeatAnswer, JobProgressReport};
+use lemonweir_model::constants::{FENCE_BITS, HOLD_TTL_MS, OVERDUE_LEAST, OVERDUE_OF, TRIAL_MS};
 use lemonweir_model::settings::Settings;
 use lemonweir_model::{AttemptId, JobId};
 use lemonweir_protocol::kv_store::{KeyValue, WatchEvent, to_value};
@@ -326,7 +328,7 @@
         ],
         50,
     );
-    core.refreshed(1_000, true);
+    core.cache_refreshed(1_000, true);
     core.acquire(
         lemonweir_coordination::ShardLease {
             shard: 0,
@@ -354,26 +356,43 @@
 fn polls_are_answered_from_memory_and_ends_told_after_it() {
     let (mut core, job) = core(false);
     assert!(matches!(
-        core.answer(&job, 1_000 + MEMORY_MS),
-        Answer::Unfinished(JobPhase::Queued, 0, 0, _)
+        core.job_status(&job, 1_000 + CACHE_ANSWER_MAX_AGE_MS),
+        JobStatusAnswer::Unfinished(JobProgressReport {
+            phase: JobPhase::Queued,
+            done: 0,
+            running: 0,
+            ..
+        })
     ));
-    assert_eq!(core.answer(&job, 1_001 + MEMORY_MS), Answer::Reading);
     assert_eq!(
-        core.answer(&JobId::from("req-999999"), 1_100),
-        Answer::Unknown
+        core.job_status(&job, 1_001 + CACHE_ANSWER_MAX_AGE_MS),
+        JobStatusAnswer::NeedsRefresh
+    );
+    assert_eq!(
+        core.job_status(&JobId::from("req-999999"), 1_100),
+        JobStatusAnswer::Unknown
     );
     core.cache.apply(&[left(&job)], 51, 2_000);
-    core.refreshed(1_990, true);
+    core.cache_refreshed(1_990, true);
     // Nobody asked for its withdrawal: it can only be done.
-    assert_eq!(core.answer(&job, 2_000), Answer::OverIn(TOLD_AFTER_MS));
-    assert_eq!(core.answer(&job, 1_999 + TOLD_AFTER_MS), Answer::OverIn(1));
     assert_eq!(
-        core.answer(&job, 2_000 + TOLD_AFTER_MS),
-        Answer::Over(JobPhase::Done)
+        core.job_status(&job, 2_000),
+        JobStatusAnswer::FinishedIn(FINAL_STATE_DELAY_MS)
+    );
+    assert_eq!(
+        core.job_status(&job, 1_999 + FINAL_STATE_DELAY_MS),
+        JobStatusAnswer::FinishedIn(1)
+    );
+    assert_eq!(
+        core.job_status(&job, 2_000 + FINAL_STATE_DELAY_MS),
+        JobStatusAnswer::Finished(JobPhase::Done)
     );
     // Learned again later, it is told as before.
     core.cache.settle(&job, JobPhase::Done, 1, 9_000);
-    assert_eq!(core.answer(&job, 9_001), Answer::Over(JobPhase::Done));
+    assert_eq!(
+        core.job_status(&job, 9_001),
+        JobStatusAnswer::Finished(JobPhase::Done)
+    );
 }
 
 /// A job whose withdrawal was asked for may be done or withdrawn: only the store
@@ -382,8 +401,8 @@
 fn the_end_of_a_job_that_was_to_be_withdrawn_is_read() {
     let (mut core, job) = core(true);
     core.cache.apply(&[left(&job)], 51, 2_000);
-    core.refreshed(1_990, true);
-    assert_eq!(core.answer(&job, 60_000), Answer::Unknown);
+    core.cache_refreshed(1_990, true);
+    assert_eq!(core.job_status(&job, 60_000), JobStatusAnswer::Unknown);
 }
 
 /// After a pause longer than its hold a controller answers no worker until a
@@ -392,31 +411,34 @@
 fn a_long_pause_is_followed_by_proof() {
     for stood in [false, true] {
         let (mut core, _) = core(false);
-        core.set_clock(1_000, 5_000_000);
+        core.set_wall_clock(1_000, 5_000_000);
         let mut now = 1_000;
         while now < 4_000 {
             now += 100;
-            core.pump(now);
+            core.flush(now);
         }
-        core.refreshed(now, false);
+        core.cache_refreshed(now, false);
         assert!(matches!(
-            core.report(&report(0, 1), now),
-            HeartbeatAnswer::Orders(_)
+            core.handle_heartbeat(&report(0, 1), now),
+            HeartbeatAnswer::Commands(_)
         ));
         let pause = HOLD_TTL_MS + 5_000;
         if stood {
             now += 100;
-            core.set_clock(now, 5_000_000 + now - 1_000 + pause);
+            core.set_wall_clock(now, 5_000_000 + now - 1_000 + pause);
         } else {
             now += pause;
         }
         assert!(
-            matches!(core.report(&report(0, 2), now), HeartbeatAnswer::Unable),
+            matches!(
+                core.handle_heartbeat(&report(0, 2), now),
+                HeartbeatAnswer::Unavailable
+            ),
             "stood: {stood}"
         );
-        assert!(core.unproven());
+        assert!(core.lease_unconfirmed());
         let effects: BTreeSet<String> = core
-            .pump(now)
+            .flush(now)
             .iter()
             .map(|e| format!("{e:?}").chars().take(7).collect())
             .collect();
@@ -426,21 +448,24 @@
                 || e.starts_with("Release")),
             "{effects:?}"
         );
-        core.refreshed(now - 1, false);
+        core.cache_refreshed(now - 1, false);
         assert!(
-            matches!(core.report(&report(0, 3), now), HeartbeatAnswer::Unable),
+            matches!(
+                core.handle_heartbeat(&report(0, 3), now),
+                HeartbeatAnswer::Unavailable
+            ),
             "that reading began before"
         );
-        core.refreshed(now + 1, false);
+        core.cache_refreshed(now + 1, false);
         assert!(matches!(
-            core.report(&report(0, 4), now + 5),
-            HeartbeatAnswer::Orders(_)
+            core.handle_heartbeat(&report(0, 4), now + 5),
+            HeartbeatAnswer::Commands(_)
         ));
         // A short one needs no proof: no hold ends in it.
         now += 4_000;
         assert!(matches!(
-            core.report(&report(0, 5), now),
-            HeartbeatAnswer::Orders(_)
+            core.handle_heartbeat(&report(0, 5), now),
+            HeartbeatAnswer::Commands(_)
         ));
     }
 }
--- a/crates/coordination/tests/slow_store.rs
+++ b/crates/coordination/tests/slow_store.rs
@@ -6,7 +6,7 @@
 
 use controllers::settings;
 use lemonweir_coordination::{Config, Core};
-use lemonweir_model::constants::*;
+use lemonweir_model::constants::{REFRESH_IDLE_MS, STATE_TIMEOUT_MS, UNREADY_MS};
 use lemonweir_protocol::links::Service;
 
 fn core() -> Core {
@@ -41,12 +41,13 @@
         let (mut told, mut looked) = (0, 0);
         for now in (10_000..59_000).step_by(10) {
             while let Some((began, ended)) = next.next_if(|(_, ended)| *ended <= now) {
-                core.links.took(Service::Store, ended - began, ended);
-                core.refreshed(began, false);
+                core.links
+                    .record_latency(Service::Store, ended - began, ended);
+                core.cache_refreshed(began, false);
             }
             if now > 14_000 {
                 looked += 1;
-                told += usize::from(core.links.store_told(now) && core.ready(now));
+                told += usize::from(core.links.store_answers_of_late(now) && core.ready(now));
             }
         }
         assert_eq!(told, looked, "answers after {took} ms");
@@ -58,11 +59,15 @@
 fn an_outage_after_slow_answers_is_one_within_seconds() {
     for took in [5, 1_490] {
         let mut core = core();
-        core.links.took(Service::Store, took, 20_000);
-        core.refreshed(20_000 - took, false);
+        core.links.record_latency(Service::Store, took, 20_000);
+        core.cache_refreshed(20_000 - took, false);
         let heard = 20_000 - took;
-        assert!(core.links.store_told(heard + UNREADY_MS));
-        assert!(!core.links.store_told(heard + UNREADY_MS + took + 1));
+        assert!(core.links.store_answers_of_late(heard + UNREADY_MS));
+        assert!(
+            !core
+                .links
+                .store_answers_of_late(heard + UNREADY_MS + took + 1)
+        );
     }
 }
 
@@ -71,21 +76,22 @@
 #[test]
 fn a_readings_word_is_as_old_as_its_beginning() {
     let mut core = core();
-    core.refreshed(20_000, false);
-    core.links.took(Service::Store, STATE_TIMEOUT_MS, 24_000);
+    core.cache_refreshed(20_000, false);
+    core.links
+        .record_latency(Service::Store, STATE_TIMEOUT_MS, 24_000);
     assert!(
         !core
             .links
-            .store_told(20_000 + UNREADY_MS + STATE_TIMEOUT_MS + 1)
+            .store_answers_of_late(20_000 + UNREADY_MS + STATE_TIMEOUT_MS + 1)
     );
-    core.refreshed(30_000, false);
-    core.refreshed(26_000, false);
-    assert!(core.links.store_told(30_000 + UNREADY_MS));
+    core.cache_refreshed(30_000, false);
+    core.cache_refreshed(26_000, false);
+    assert!(core.links.store_answers_of_late(30_000 + UNREADY_MS));
     // A carried answer that took longer than anybody waits for one counts no more.
-    core.links.took(Service::Store, 60_000, 31_000);
+    core.links.record_latency(Service::Store, 60_000, 31_000);
     assert!(
         !core
             .links
-            .store_told(30_000 + UNREADY_MS + STATE_TIMEOUT_MS + 1)
+            .store_answers_of_late(30_000 + UNREADY_MS + STATE_TIMEOUT_MS + 1)
     );
 }
--- a/crates/coordination/tests/starts.rs
+++ b/crates/coordination/tests/starts.rs
@@ -9,7 +9,7 @@
 use lemonweir_coordination::placer::CompareAndSwapOutcome;
 use lemonweir_coordination::{Config, Core, Effect, HeartbeatAnswer, ShardLease, keys_to_reread};
 use lemonweir_model::JobSpec;
-use lemonweir_model::constants::*;
+use lemonweir_model::constants::HOLD_TTL_MS;
 use lemonweir_protocol::kv_store::{KeyValue, to_value};
 use lemonweir_protocol::worker::{Command, CommandKind, Heartbeat, HeartbeatResponse};
 use lemonweir_storage::records::*;
@@ -31,7 +31,7 @@
 fn called(core: &mut Core, now: u64) -> usize {
     let effects: Vec<Effect> = (now..now + 200)
         .step_by(10)
-        .flat_map(|now| core.pump(now))
+        .flat_map(|now| core.flush(now))
         .collect();
     let orders = |effect: &Effect| {
         if let Effect::Command(_, call) = effect {
@@ -72,16 +72,16 @@
         version: 46,
     };
     core.cache.replace(&[job, holder], 100);
-    core.refreshed(10, true);
+    core.cache_refreshed(10, true);
     core.acquire(LOT, &[], Vec::new(), 10);
     let first = report(own_machine(&core), 1);
     let token = reported(&mut core, &first, 20).token;
-    core.refreshed(now, false);
+    core.cache_refreshed(now, false);
     (core, token)
 }
 
 fn reported(core: &mut Core, report: &Heartbeat, now: u64) -> HeartbeatResponse {
-    let HeartbeatAnswer::Orders(reply) = core.report(report, now) else {
+    let HeartbeatAnswer::Commands(reply) = core.handle_heartbeat(report, now) else {
         panic!("not answered at {now}")
     };
     reply
@@ -100,12 +100,12 @@
     let (mut written, mut answered) = (false, 0);
     for (seq, now) in (2..).zip((1_000..at).step_by(1_000).chain([at])) {
         written |= (now - 1_000..now).step_by(50).any(|now| {
-            core.pump(now)
+            core.flush(now)
                 .iter()
                 .any(|effect| matches!(effect, Effect::CompareAndSwap(..)))
         });
         if now == at {
-            core.cas_done(LOT, CompareAndSwapOutcome::Done(200), at);
+            core.cas_completed(LOT, CompareAndSwapOutcome::Done(200), at);
         }
         let next = Heartbeat {
             token,
@@ -133,7 +133,7 @@
             "{age} ms after the last word"
         );
         // With word from the store it goes on.
-        core.refreshed(at + 220, false);
+        core.cache_refreshed(at + 220, false);
         assert_eq!(called(&mut core, at + 230), 1 - starts);
     }
 }
--- a/crates/coordination/tests/support/controllers.rs
+++ b/crates/coordination/tests/support/controllers.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use lemonweir_coordination::election::{ElectionAction, LeaderElection};
-use lemonweir_coordination::job_status::Answer;
+use lemonweir_coordination::job_status::JobStatusAnswer;
 use lemonweir_coordination::owner::{CommandCall, CommandResult, SyncError};
 use lemonweir_coordination::placer::CompareAndSwapOutcome;
 use lemonweir_coordination::{
@@ -166,7 +166,7 @@
     };
     let mut core = Core::new(Config::new(&settings(me)), policy);
     core.set_catalog([(kind().name, kind())].into_iter().collect());
-    core.set_clock(now, 1_000_000 + now);
+    core.set_wall_clock(now, 1_000_000 + now);
     Node {
         core,
         membership: LeaderElection::new(CORES),
@@ -412,8 +412,8 @@
                 !changes.is_empty()
             }
         };
-        core.refreshed(now, changed);
-        for effect in core.take_mail(now) {
+        core.cache_refreshed(now, changed);
+        for effect in core.handle_store_messages(now) {
             self.carry(node, effect);
         }
     }
@@ -446,17 +446,17 @@
             let Node {
                 core, membership, ..
             } = &mut self.nodes[node];
-            let Some(claim) = membership.claim(core, shard, now) else {
+            let Some(claim) = membership.next_action(core, shard, now) else {
                 continue;
             };
-            let left = membership.left(core, now);
+            let left = membership.ceded(core, now);
             let cas = core.claim_txn(&claim, hold, left, now);
             match (claim, self.apply(&cas)) {
-                (ElectionAction::Take { shard, .. }, CompareAndSwapOutcome::Done(token)) => {
+                (ElectionAction::Acquire { shard, .. }, CompareAndSwapOutcome::Done(token)) => {
                     self.acquire(node, ShardLease { shard, token })
                 }
                 (
-                    ElectionAction::HandBack(lease) | ElectionAction::Leave(lease),
+                    ElectionAction::ReturnToHome(lease) | ElectionAction::Cede(lease),
                     CompareAndSwapOutcome::Done(_),
                 ) => {
                     self.nodes[node].core.release(lease.shard, now);
@@ -468,7 +468,7 @@
         let Node {
             core, membership, ..
         } = &self.nodes[node];
-        if let Some(left) = membership.unshown(core, now) {
+        if let Some(left) = membership.unpublished_ceded(core, now) {
             self.apply(&show_node(&format!("h{node}"), "north", hold, left));
             self.read(node);
         }
@@ -500,7 +500,7 @@
 
     pub fn pump(&mut self, node: usize) {
         let now = self.now;
-        for effect in self.nodes[node].core.pump(now) {
+        for effect in self.nodes[node].core.flush(now) {
             self.carry(node, effect);
         }
     }
@@ -519,33 +519,35 @@
                     for key in keys_to_reread(lease, keys) {
                         let (version, (job, chunk)) =
                             (self.version(key), parse_run_key(key).expect("a key"));
-                        self.nodes[node].core.reread(lease, &job, chunk, version);
+                        self.nodes[node]
+                            .core
+                            .chunk_reread(lease, &job, chunk, version);
                     }
                 }
-                self.nodes[node].core.cas_done(lease, outcome, now);
+                self.nodes[node].core.cas_completed(lease, outcome, now);
             }
-            Effect::Note(cas) => drop(self.transact(node, &cas)),
-            Effect::Chain(cas) => {
+            Effect::WriteHint(cas) => drop(self.transact(node, &cas)),
+            Effect::DependencyCompareAndSwap(cas) => {
                 let outcome = self.transact(node, &cas);
-                self.nodes[node].core.chain_done(outcome, now);
+                self.nodes[node].core.dependency_cas_completed(outcome, now);
             }
-            Effect::ReadEnds(ids) => {
+            Effect::ReadFinalStates(ids) => {
                 for id in &ids {
                     if let Some(phase) = self.end(id).filter(|_| self.has_store(node)) {
                         let version = self.version(&end_key(id));
                         self.nodes[node].core.cache.settle(id, phase, version, now);
                     }
                 }
-                self.nodes[node].core.ends_read(&ids, now);
+                self.nodes[node].core.final_states_read(&ids, now);
             }
             Effect::Command(lease, call) => {
                 let result = self.command(node, &call);
                 self.nodes[node]
                     .core
-                    .command_done(lease, &call, result, now);
+                    .command_completed(lease, &call, result, now);
             }
             Effect::Sync(lease, sync) => self.sync(node, lease, sync),
-            Effect::MailSync(sync) => {
+            Effect::StoreSync(sync) => {
                 let line = StoreMessageRoute {
                     kind: StoreMessageKind::Sync,
                     from: sync.from,
@@ -553,7 +555,7 @@
                 };
                 self.mail(node, line, (sync.from_token, sync.seq), &peer::write(&sync));
             }
-            Effect::MailView(to, view) => {
+            Effect::StoreView(to, view) => {
                 let line = StoreMessageRoute {
                     kind: StoreMessageKind::View,
                     from: view.shard,
@@ -561,41 +563,46 @@
                 };
                 self.mail(node, line, (view.token, view.seq), &peer::write(&view));
             }
-            Effect::Nudge(shard) => {
+            Effect::WakePeer(shard) => {
                 if let Some(to) = self.holder(node, shard).filter(|to| !self.apart(node, *to)) {
                     let from: Vec<u16> = self.nodes[node]
                         .core
-                        .held()
+                        .leases()
                         .iter()
                         .map(|l| l.shard)
                         .collect();
                     from.into_iter()
-                        .for_each(|from| self.nodes[to].core.nudged(shard, from));
+                        .for_each(|from| self.nodes[to].core.handle_wake(shard, from));
                 }
             }
-            Effect::Rent(lease, rental) => {
-                self.nodes[node]
-                    .core
-                    .rented(lease, &rental, ProvisioningResult::NoCapacity, now)
-            }
-            Effect::Release(lease, machines) => {
+            Effect::Provision(lease, rental) => self.nodes[node].core.provisioning_completed(
+                lease,
+                &rental,
+                ProvisioningResult::NoCapacity,
+                now,
+            ),
+            Effect::ReleaseInstances(lease, machines) => {
                 for id in &machines {
                     let n = (0..BOXES).find(|n| machine(*n) == *id).expect("a machine");
                     self.boxes[n].gone = true;
                     self.boxes[n].tasks.clear();
                 }
-                self.nodes[node].core.released(lease, &machines, true, now);
-            }
-            Effect::Hail(to, word) => {
-                let to = usize::from(to);
-                let answer =
-                    (!self.apart(node, to)).then(|| self.nodes[to].core.links.hail_in(word, now));
                 self.nodes[node]
                     .core
-                    .links
-                    .hailed(to as u16, answer.is_some(), answer, now);
+                    .instances_released(lease, &machines, true, now);
             }
-            Effect::Probe(_) => {}
+            Effect::SendGossip(to, word) => {
+                let to = usize::from(to);
+                let answer = (!self.apart(node, to))
+                    .then(|| self.nodes[to].core.links.handle_gossip(word, now));
+                self.nodes[node].core.links.gossip_completed(
+                    to as u16,
+                    answer.is_some(),
+                    answer,
+                    now,
+                );
+            }
+            Effect::ProbeService(_) => {}
         }
     }
 
@@ -618,7 +625,7 @@
                 self.hold_back(Late::Sync(to, Box::new(sync.clone())));
                 None
             }
-            (Some(to), late, _) => match self.nodes[to].core.sync_in(&sync, now) {
+            (Some(to), late, _) => match self.nodes[to].core.handle_sync(&sync, now) {
                 Ok(view) if late => {
                     // The answer comes late: the line is busy until then.
                     self.hold_back(Late::View(node, lease, Box::new(view)));
@@ -626,13 +633,15 @@
                 }
                 Ok(view) => Some(view),
                 Err(SyncError::Superseded(by)) => {
-                    self.nodes[node].core.superseded(by, now);
+                    self.nodes[node].core.handle_superseded(by, now);
                     None
                 }
                 Err(_) => None,
             },
         };
-        self.nodes[node].core.sync_done(lease, sync.to, view, now);
+        self.nodes[node]
+            .core
+            .sync_completed(lease, sync.to, view, now);
     }
 
     pub fn command(&mut self, node: usize, call: &CommandCall) -> CommandResult {
@@ -670,12 +679,12 @@
                     .push((self.days.down.1, Late::CompareAndSwap(cas))),
                 Late::CompareAndSwap(cas) => drop(self.apply(&cas)),
                 Late::Call(call) => drop(self.execute_call(&call)),
-                Late::Sync(to, sync) => drop(self.nodes[to].core.sync_in(&sync, now)),
+                Late::Sync(to, sync) => drop(self.nodes[to].core.handle_sync(&sync, now)),
                 Late::View(node, lease, view) => {
                     let shard = view.shard;
                     self.nodes[node]
                         .core
-                        .sync_done(lease, shard, Some(*view), now);
+                        .sync_completed(lease, shard, Some(*view), now);
                 }
             }
         }
@@ -756,23 +765,23 @@
         let now = self.now;
         let (at, report) = (self.boxes[n].at, self.report_of(n));
         let lost = self.trouble();
-        let answer = match self.nodes[at].core.report(&report, now) {
-            HeartbeatAnswer::Carry(to) if !self.apart(at, usize::from(to)) => self.nodes
+        let answer = match self.nodes[at].core.handle_heartbeat(&report, now) {
+            HeartbeatAnswer::Relay(to) if !self.apart(at, usize::from(to)) => self.nodes
                 [usize::from(to)]
             .core
-            .carried_report(&report, at as u16, now),
+            .handle_relayed_heartbeat(&report, at as u16, now),
             answer => answer,
         };
         let b = &mut self.boxes[n];
         match answer {
-            HeartbeatAnswer::Orders(reply) if !lost => {
+            HeartbeatAnswer::Commands(reply) if !lost => {
                 b.next = now + 3_000;
                 if reply.token >= b.token {
                     (b.token, b.answered) = (reply.token, now);
                     self.execute(n, &reply.orders);
                 }
             }
-            HeartbeatAnswer::Elsewhere(host) if !lost => {
+            HeartbeatAnswer::Redirect(host) if !lost => {
                 let to: usize = host[1..].parse().expect("a controller");
                 b.next = now + if to == at { 1_000 } else { 300 };
                 b.at = if to == at { (at + 1) % CORES } else { to };
@@ -857,7 +866,7 @@
                 continue;
             }
             let core = &self.nodes[at].core;
-            if let Answer::Over(phase) = core.answer(&id, now) {
+            if let JobStatusAnswer::Finished(phase) = core.job_status(&id, now) {
                 assert_eq!(
                     Some(phase),
                     self.end(&id),
@@ -891,7 +900,7 @@
             self.nodes[self.days.ends.0] = process(self.days.ends.0, now);
         }
         for node in 0..CORES {
-            self.nodes[node].core.set_clock(now, 1_000_000 + now);
+            self.nodes[node].core.set_wall_clock(now, 1_000_000 + now);
             self.read(node);
             if (now / 100) as usize % 4 == node {
                 self.keep(node);
@@ -914,7 +923,7 @@
                 .collect();
             self.nodes
                 .iter_mut()
-                .for_each(|node| node.core.listed(&list, now));
+                .for_each(|node| node.core.instances_listed(&list, now));
         }
         self.users_ask();
     }
--- a/crates/coordination/tests/watch.rs
+++ b/crates/coordination/tests/watch.rs
@@ -257,7 +257,7 @@
         p.core
             .cache
             .apply(&self.store.log[from..], self.store.revision, self.now);
-        p.core.refreshed(self.now, true);
+        p.core.cache_refreshed(self.now, true);
     }
 
     /// Sends a transaction; its revision if it was made and the answer came.
@@ -279,10 +279,10 @@
         let Some(p) = &mut self.processes[h] else {
             return;
         };
-        let lease = p.core.held().into_iter().find(|l| l.shard == shard);
+        let lease = p.core.leases().into_iter().find(|l| l.shard == shard);
         let claim = match lease.filter(|_| leave) {
-            Some(lease) => Some(ElectionAction::Leave(lease)),
-            None => p.membership.claim(&p.core, shard, now),
+            Some(lease) => Some(ElectionAction::Cede(lease)),
+            None => p.membership.next_action(&p.core, shard, now),
         };
         let Some(claim) = claim else { return };
         let cas = p.core.claim_txn(&claim, p.hold, Vec::new(), now);
@@ -291,7 +291,7 @@
         };
         let p = self.processes[h].as_mut().expect("it acts");
         match claim {
-            ElectionAction::Take { shard, .. } => {
+            ElectionAction::Acquire { shard, .. } => {
                 self.read(h);
                 let p = self.processes[h].as_mut().expect("it acts");
                 if p.core
@@ -311,7 +311,7 @@
                     );
                 }
             }
-            ElectionAction::HandBack(lease) | ElectionAction::Leave(lease) => {
+            ElectionAction::ReturnToHome(lease) | ElectionAction::Cede(lease) => {
                 p.core.release(lease.shard, now)
             }
         }
@@ -322,8 +322,8 @@
         let Some(p) = &mut self.processes[h] else {
             return;
         };
-        for effect in p.core.pump(now) {
-            if let Effect::Note(cas) = effect {
+        for effect in p.core.flush(now) {
+            if let Effect::WriteHint(cas) = effect {
                 self.send(cas, fate);
             }
         }
@@ -560,7 +560,7 @@
         ));
     }
     core.cache.replace(&entries, 20);
-    core.refreshed(5_000, true);
+    core.cache_refreshed(5_000, true);
     core.acquire(
         ShardLease {
             shard: 0,
@@ -571,8 +571,8 @@
         5_000,
     );
     let notes = |core: &mut Core, now| {
-        let notes = core.pump(now).into_iter().filter_map(|e| {
-            if let Effect::Note(cas) = e {
+        let notes = core.flush(now).into_iter().filter_map(|e| {
+            if let Effect::WriteHint(cas) = e {
                 Some(cas)
             } else {
                 None
