--- a/crates/node/src/cloud.rs
+++ b/crates/node/src/cloud.rs
@@ -58,10 +58,10 @@
     pub async fn rent(&self, rental: &ProvisioningRequest) -> ProvisioningResult {
         match self.call("POST", "/rentals", &encode(rental)).await {
             Some((200, body)) => match decode::<MachineNames>(&body) {
-                Ok(reply) => ProvisioningResult::Rented(reply.machines),
+                Ok(reply) => ProvisioningResult::Provisioned(reply.machines),
                 Err(error) => {
                     warn!(%error, "rental answer");
-                    ProvisioningResult::Again
+                    ProvisioningResult::Retry
                 }
             },
             Some((503, body))
@@ -73,7 +73,7 @@
                 tracing::error!(?rental, "the cloud refused a rental as malformed");
                 ProvisioningResult::NoCapacity
             }
-            _ => ProvisioningResult::Again,
+            _ => ProvisioningResult::Retry,
         }
     }
 
@@ -158,7 +158,7 @@
         let mut pages = 1;
         if let Some(entries) = node.cloud.list().await {
             let now = node.now();
-            node.core().listed(&entries, now);
+            node.core().instances_listed(&entries, now);
             pages = entries.len() as u32 / LIST_PAGE + 1;
         }
         smol::Timer::after(Duration::from_millis(LIST_EVERY_MS).max(node.cloud.list_gap * pages))
--- a/crates/node/src/effect_executor.rs
+++ b/crates/node/src/effect_executor.rs
@@ -10,7 +10,7 @@
 use crate::{Node, peer_address};
 use lemonweir_coordination::owner::{CommandCall, CommandResult, SyncError};
 use lemonweir_coordination::placer::{CompareAndSwapOutcome, ShardOwnership};
-use lemonweir_coordination::{Effect, keys_to_reread, mail_piece_bytes};
+use lemonweir_coordination::{Effect, keys_to_reread, store_message_piece_bytes};
 use lemonweir_model::constants::*;
 use lemonweir_protocol::kv_store::CompareAndSwap;
 use lemonweir_protocol::links::{
@@ -32,36 +32,36 @@
         let node = node2;
         match effect {
             Effect::CompareAndSwap(lease, cas) => transaction(&node, lease, &cas).await,
-            Effect::Chain(cas) => {
+            Effect::DependencyCompareAndSwap(cas) => {
                 let outcome = chain_transaction(&node, &cas).await;
                 let now = node.now();
-                node.core().chain_done(outcome, now);
+                node.core().dependency_cas_completed(outcome, now);
             }
-            Effect::ReadEnds(ids) => {
+            Effect::ReadFinalStates(ids) => {
                 for id in &ids {
                     if let Err(fault) = end(&node, id).await {
                         debug!(job = %id, %fault, "end not read");
                     }
                 }
                 let now = node.now();
-                node.core().ends_read(&ids, now);
+                node.core().final_states_read(&ids, now);
             }
             Effect::Command(lease, call) => {
                 let result = command(&node, &call).await;
                 let now = node.now();
-                node.core().command_done(lease, &call, result, now);
+                node.core().command_completed(lease, &call, result, now);
             }
             Effect::Sync(lease, sync) => {
                 let view = send_sync(&node, &sync).await;
                 let now = node.now();
-                node.core().sync_done(lease, sync.to, view, now);
+                node.core().sync_completed(lease, sync.to, view, now);
             }
-            Effect::Note(cas) => {
+            Effect::WriteHint(cas) => {
                 if let Err(fault) = node.state.cas(&cas).await {
                     debug!(%fault, "hint not written");
                 }
             }
-            Effect::MailSync(sync) => {
+            Effect::StoreSync(sync) => {
                 let line = StoreMessageRoute {
                     kind: StoreMessageKind::Sync,
                     from: sync.from,
@@ -75,7 +75,7 @@
                 )
                 .await;
             }
-            Effect::MailView(to, view) => {
+            Effect::StoreView(to, view) => {
                 let line = StoreMessageRoute {
                     kind: StoreMessageKind::View,
                     from: view.shard,
@@ -83,28 +83,28 @@
                 };
                 mail(&node, line, (view.token, view.seq), &peer::write(&view)).await;
             }
-            Effect::Nudge(shard) => nudge(&node, shard).await,
-            Effect::Rent(lease, rental) => {
+            Effect::WakePeer(shard) => nudge(&node, shard).await,
+            Effect::Provision(lease, rental) => {
                 let result = node.cloud.rent(&rental).await;
                 let now = node.now();
-                node.core().rented(lease, &rental, result, now);
+                node.core().provisioning_completed(lease, &rental, result, now);
             }
-            Effect::Release(lease, machines) => {
+            Effect::ReleaseInstances(lease, machines) => {
                 let done = node.cloud.release(&machines).await;
                 if !done {
                     smol::Timer::after(std::time::Duration::from_millis(CLOUD_TROUBLE_MS)).await;
                 }
                 let now = node.now();
-                node.core().released(lease, &machines, done, now);
+                node.core().instances_released(lease, &machines, done, now);
             }
-            Effect::Hail(host, word) => {
+            Effect::SendGossip(host, word) => {
                 let answer = hail(&node, host, &word).await;
                 let now = node.now();
                 node.core()
                     .links
-                    .hailed(host, answer.is_some(), answer.flatten(), now);
+                    .gossip_completed(host, answer.is_some(), answer.flatten(), now);
             }
-            Effect::Probe(service) => {
+            Effect::ProbeService(service) => {
                 // Reads what is there anyway; only whether it answers counts.
                 let (path, wait_ms) = match service {
                     Service::Store => (format!("/store/{}", shard_key(0)), STATE_TIMEOUT_MS),
@@ -180,15 +180,15 @@
             let mut core = node.core();
             for (key, version) in &versions {
                 if let Some((job, chunk)) = parse_run_key(key) {
-                    core.reread(lease, &job, chunk, *version);
+                    core.chunk_reread(lease, &job, chunk, *version);
                 }
             }
             info!(shard = lease.shard, ?keys, "transaction met other versions");
-            core.cas_done(lease, outcome, node.now())
+            core.cas_completed(lease, outcome, node.now())
         }
         outcome => {
             let now = node.now();
-            node.core().cas_done(lease, outcome, now)
+            node.core().cas_completed(lease, outcome, now)
         }
     };
     if verdict == ShardOwnership::Lost {
@@ -279,7 +279,7 @@
         && let Ok(by) = peer::read::<Superseded>(&response.body)
     {
         let now = node.now();
-        node.core().superseded(by, now);
+        node.core().handle_superseded(by, now);
         return None;
     }
     if response.status != 200 {
@@ -307,9 +307,9 @@
         0 => return,
         hold => hold,
     };
-    let piece_bytes = mail_piece_bytes(node.core().config.value_bytes);
+    let piece_bytes = store_message_piece_bytes(node.core().config.value_bytes);
     let cas = post(line, id, bytes, piece_bytes, hold);
-    if cas.writes.len() > node.core().config.txn_ops {
+    if cas.writes.len() > node.core().config.cas_max_changes {
         error!(bytes = bytes.len(), "message too large for the store");
         return;
     }
@@ -324,7 +324,7 @@
         core.cache
             .shards
             .get(&shard)
-            .map(|h| (h.host.clone(), core.held()))
+            .map(|h| (h.host.clone(), core.leases()))
     }) else {
         return;
     };
@@ -367,7 +367,7 @@
             ("POST", "/peer/sync") => match peer::read::<SyncRequest>(&request.body) {
                 Ok(sync) => {
                     let now = node.now();
-                    let answer = node.core().sync_in(&sync, now);
+                    let answer = node.core().handle_sync(&sync, now);
                     node.poke();
                     match answer {
                         Ok(view) => Reply::new(200, peer::write(&view)),
@@ -385,7 +385,7 @@
             ("POST", GOSSIP_PATH) => {
                 understood(links::read::<AvailabilityGossip>(&request.body), |word| {
                     let now = node.now();
-                    Reply::new(200, links::write(&node.core().links.hail_in(word, now)))
+                    Reply::new(200, links::write(&node.core().links.handle_gossip(word, now)))
                 })
             }
             ("POST", RELAY_HEARTBEATS_PATH) => {
@@ -404,7 +404,7 @@
                     .map(str::parse::<u16>);
                 match (numbers.next(), numbers.next()) {
                     (Some(Ok(shard)), Some(Ok(from))) => {
-                        node.core().nudged(shard, from);
+                        node.core().handle_wake(shard, from);
                         node.poke();
                         Reply::empty(200)
                     }
--- a/crates/node/src/kv_client.rs
+++ b/crates/node/src/kv_client.rs
@@ -61,7 +61,7 @@
     /// The same where the whole may fall to `least` without notice.
     pub(crate) fn falling(whole: f64, least: f64, nodes: usize) -> Self {
         Self {
-            bucket: RefCell::new(TokenBucket::new(whole, nodes, 0).falling_to(least)),
+            bucket: RefCell::new(TokenBucket::new(whole, nodes, 0).with_min_limit(least)),
             started: Instant::now(),
         }
     }
@@ -82,7 +82,7 @@
 
     /// The other side refused.
     pub(crate) fn refused(&self) {
-        self.bucket.borrow_mut().refused_for_good();
+        self.bucket.borrow_mut().refused_by_lower_limit();
     }
 }
 
@@ -125,12 +125,12 @@
 
     /// How long a question would have to wait for its turn.
     pub(crate) fn question_wait(&self) -> Duration {
-        Duration::from_micros(self.requests.borrow().question_wait(self.now_us()))
+        Duration::from_micros(self.requests.borrow().query_wait(self.now_us()))
     }
 
     /// Waits for the budget of what answers users.
     async fn question(&self) {
-        let wait = self.requests.borrow_mut().ask(self.now_us());
+        let wait = self.requests.borrow_mut().take_query(self.now_us());
         if wait > 0 {
             smol::Timer::after(Duration::from_micros(wait)).await;
         }
--- a/crates/node/src/lease_keeper.rs
+++ b/crates/node/src/lease_keeper.rs
@@ -32,7 +32,7 @@
         }
         // A hold lives from when its renewal was executed, which is after this.
         let now = node.now();
-        node.core().set_clock(now, wall_ms());
+        node.core().set_wall_clock(now, wall_ms());
         match node.hold.get() {
             0 => {
                 if let Ok(hold) = node.state.hold(HOLD_TTL_MS).await {
@@ -86,7 +86,7 @@
     membership: &mut LeaderElection,
 ) -> Result<(), KvError> {
     if *shown != hold {
-        let left = membership.left(&node.core(), node.now());
+        let left = membership.ceded(&node.core(), node.now());
         node.state
             .cas(&show_node(
                 &node.settings.host_name,
@@ -121,22 +121,22 @@
 ) -> Result<(), KvError> {
     let now = node.now();
     for index in 0..membership.shards() {
-        let claim = membership.claim(&node.core(), index, now);
+        let claim = membership.next_action(&node.core(), index, now);
         let Some(claim) = claim else { continue };
-        let left = membership.left(&node.core(), now);
+        let left = membership.ceded(&node.core(), now);
         let cas = node.core().claim_txn(&claim, hold, left, now);
         let result = node.state.cas(&cas).await?;
         match (claim, result) {
             // An entry's slot or the part's key has changed meanwhile.
             (_, CompareAndSwapResult::Conflict(_)) => drop(node.fresh().await),
-            (ElectionAction::Take { shard, .. }, CompareAndSwapResult::Done(token)) => {
+            (ElectionAction::Acquire { shard, .. }, CompareAndSwapResult::Done(token)) => {
                 acquire(node, shard, token).await
             }
-            (ElectionAction::HandBack(lease), CompareAndSwapResult::Done(_)) => {
+            (ElectionAction::ReturnToHome(lease), CompareAndSwapResult::Done(_)) => {
                 info!(shard = lease.shard, "handed the part back");
                 give_up(node, lease).await;
             }
-            (ElectionAction::Leave(lease), CompareAndSwapResult::Done(_)) => {
+            (ElectionAction::Cede(lease), CompareAndSwapResult::Done(_)) => {
                 warn!(
                     shard = lease.shard,
                     "its machines reach other nodes but not this one; leaving the part to them"
@@ -145,14 +145,14 @@
             }
         }
     }
-    let raised = node.core().version_cas();
+    let raised = node.core().records_version_cas();
     if let Some(cas) = raised
         && let CompareAndSwapResult::Done(_) = node.state.cas(&cas).await?
     {
         info!("every controller reads the newest records");
         node.fresh().await;
     }
-    let unshown = membership.unshown(&node.core(), now);
+    let unshown = membership.unpublished_ceded(&node.core(), now);
     if let Some(left) = unshown {
         node.state
             .cas(&show_node(
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -81,7 +81,7 @@
     /// True if the store was heard a moment ago: what needs it can be asked.
     fn told(&self) -> bool {
         let now = self.now();
-        self.core().links.store_told(now)
+        self.core().links.store_answers_of_late(now)
     }
 
     /// Waits for a reading of the store that begins after this call. False:
@@ -129,7 +129,7 @@
         let (fresh_wanted, fresh_requests) = unbounded();
         let (pump_wanted, pump_requests) = bounded(1);
         info!(host = settings.host_name, zone = settings.zone, listen = %settings.listen, "starting");
-        info!(?shares, kept = shares.crowded_at(), "sockets; beyond so many workers and users, answers close their connections");
+        info!(?shares, kept = shares.close_above(), "sockets; beyond so many workers and users, answers close their connections");
         let node = Rc::new(Node {
             core,
             courier,
@@ -147,7 +147,7 @@
             fresh_wanted,
             pump_wanted,
         });
-        let gate = Gate::new(shares.public, shares.crowded_at(), shares.users());
+        let gate = Gate::new(shares.public, shares.close_above(), shares.user_keep_alive());
         executor.spawn(serve(executor, public, gate, MAX_BODY_BYTES, Rc::new(public_api::PublicApi(node.clone())))).detach();
         executor
             .spawn(serve(
@@ -173,11 +173,11 @@
 async fn pump(node: Rc<Node>, requests: Receiver<()>) {
     loop {
         let now = node.now();
-        let effects = node.core().pump(now);
+        let effects = node.core().flush(now);
         for effect in effects {
             effect_executor::carry(&node, effect);
         }
-        let wait = if node.core().hurried(now) {
+        let wait = if node.core().needs_short_tick(now) {
             SHORT_TICK_MS
         } else {
             TICK_MS
@@ -205,8 +205,8 @@
         if let Ok(changed) = outcome {
             let effects = {
                 let mut core = node.core();
-                core.refreshed(began, changed);
-                core.take_mail(node.now())
+                core.cache_refreshed(began, changed);
+                core.handle_store_messages(node.now())
             };
             for effect in effects {
                 effect_executor::carry(&node, effect);
@@ -221,7 +221,7 @@
         }
         smol::Timer::after(Duration::from_millis(REFRESH_BUSY_MS)).await;
         if requests.is_empty()
-            && !node.core().mailing()
+            && !node.core().uses_store_messages()
             && let Some(Ok(w)) = within(REFRESH_IDLE_MS - REFRESH_BUSY_MS, requests.recv()).await
         {
             waiting.push(w);
--- a/crates/node/src/lookups.rs
+++ b/crates/node/src/lookups.rs
@@ -9,7 +9,7 @@
 
 use crate::Node;
 use crate::kv_client::{CompareAndSwapResult, KvError};
-use lemonweir_coordination::query_admission::Line;
+use lemonweir_coordination::query_admission::LookupQueue;
 use lemonweir_model::JobId;
 use lemonweir_model::constants::*;
 use lemonweir_protocol::kv_store::from_value;
@@ -44,14 +44,14 @@
 
 /// Ids that wait to be asked for, with who waits for each.
 pub(crate) struct Lookups {
-    line: Line<Sender<Fate>>,
+    line: LookupQueue<Sender<Fate>>,
     running: bool,
 }
 
 impl Default for Lookups {
     fn default() -> Self {
         Self {
-            line: Line::new(LOOKUPS_MOST),
+            line: LookupQueue::new(LOOKUPS_MOST),
             running: false,
         }
     }
@@ -64,7 +64,7 @@
     let now = node.now();
     let (since, first) = {
         let questions = node.questions.borrow();
-        (questions.since(id, now), questions.first(id, now))
+        (questions.pending_since(id, now), questions.has_priority(id, now))
     };
     if !first && node.state.question_wait() > Duration::from_millis(LOOKUP_WAIT_MS) {
         return Err(Missed::Turn);
@@ -72,7 +72,7 @@
     let (answer, answered) = bounded(1);
     let start = {
         let mut lookups = node.lookups.borrow_mut();
-        for gone in lookups.line.enter(id, since, answer) {
+        for gone in lookups.line.enqueue(id, since, answer) {
             // Who asked may have given up.
             let _ = gone.try_send(Err(Missed::Turn));
         }
@@ -93,11 +93,11 @@
 /// Works off what waits, some ids at a time.
 async fn run(node: &Rc<Node>) {
     smol::Timer::after(Duration::from_millis(GATHER_MS)).await;
-    let most = (CONDITIONS_A_CHANGE * node.core().config.txn_ops / ABSENT_CONDITIONS).max(1);
+    let most = (CONDITIONS_A_CHANGE * node.core().config.cas_max_changes / ABSENT_CONDITIONS).max(1);
     loop {
         let asked = {
             let mut lookups = node.lookups.borrow_mut();
-            let asked = lookups.line.take(most);
+            let asked = lookups.line.dequeue(most);
             if asked.is_empty() {
                 lookups.running = false;
                 return;
--- a/crates/node/src/public_api.rs
+++ b/crates/node/src/public_api.rs
@@ -11,7 +11,7 @@
 use crate::{Node, peer_address, wall_ms};
 use lemonweir_coordination::HeartbeatAnswer;
 use lemonweir_coordination::dependencies::DependencyAdmission;
-use lemonweir_coordination::job_status::Answer;
+use lemonweir_coordination::job_status::JobStatusAnswer;
 use lemonweir_coordination::query_admission::{QueryKind, QueryRefusal};
 use lemonweir_model::constants::*;
 use lemonweir_model::{JobId, JobSpec};
@@ -46,7 +46,7 @@
                     200,
                     encode(&LinksReport {
                         links: core.links.rows(now),
-                        carried_workers: core.links.riders(now),
+                        carried_workers: core.links.relayed_workers(now),
                     }),
                 )
             }
@@ -90,9 +90,9 @@
         }
     };
     let now = node.now();
-    let answer = node.core().report(&report, now);
+    let answer = node.core().handle_heartbeat(&report, now);
     node.poke();
-    if let HeartbeatAnswer::Carry(to) = answer {
+    if let HeartbeatAnswer::Relay(to) = answer {
         return carry_report(node, to, body).await;
     }
     let (status, body) = status_and_body(answer);
@@ -108,25 +108,25 @@
         let (answer, heard) = {
             let now = node.now();
             let core = node.core();
-            (core.answer(id, now), core.links.store_told(now))
+            (core.job_status(id, now), core.links.store_answers_of_late(now))
         };
         match answer {
             // A moment in which others may still answer from before its end.
-            Answer::OverIn(ms) => drop(smol::Timer::after(Duration::from_millis(ms)).await),
+            JobStatusAnswer::FinishedIn(ms) => drop(smol::Timer::after(Duration::from_millis(ms)).await),
             // Guards against users who are held back for a store that answers
             // nobody here: they had better come again, or go elsewhere.
-            Answer::Reading | Answer::Unknown if !heard => return Err(QueryRefusal::NoWord),
-            Answer::Reading => {
+            JobStatusAnswer::NeedsRefresh | JobStatusAnswer::Unknown if !heard => return Err(QueryRefusal::StoreSilent),
+            JobStatusAnswer::NeedsRefresh => {
                 if !node.fresh().await {
-                    return Err(QueryRefusal::Store);
+                    return Err(QueryRefusal::StoreFailed);
                 }
                 let now = node.now();
-                if let Some(answer) = node.core().unfinished(id, now) {
+                if let Some(answer) = node.core().unfinished_status(id, now) {
                     return Ok(state_of(id, answer));
                 }
             }
-            Answer::Ends(ids) => read_ends(node, &ids).await?,
-            Answer::Unknown => match look(node, id).await.map_err(refusal)? {
+            JobStatusAnswer::NeedsFinalStates(ids) => read_ends(node, &ids).await?,
+            JobStatusAnswer::Unknown => match look(node, id).await.map_err(refusal)? {
                 Found::Nowhere => return Ok(None),
                 Found::Over(_) => {}
                 // Guards against a record that this process can't read, which is
@@ -137,7 +137,7 @@
                 Found::Unfinished => {
                     unread = true;
                     if !node.fresh().await {
-                        return Err(QueryRefusal::Store);
+                        return Err(QueryRefusal::StoreFailed);
                     }
                 }
             },
@@ -154,15 +154,15 @@
     }
     // Guards against going round without a pause for what the copy does not show yet.
     if unfinished && !node.fresh().await {
-        return Err(QueryRefusal::Store);
+        return Err(QueryRefusal::StoreFailed);
     }
     Ok(())
 }
 
 fn refusal(missed: Missed) -> QueryRefusal {
     match missed {
-        Missed::Turn => QueryRefusal::Lookups,
-        Missed::Store => QueryRefusal::Store,
+        Missed::Turn => QueryRefusal::LookupQueueFull,
+        Missed::Store => QueryRefusal::StoreFailed,
     }
 }
 
@@ -170,7 +170,7 @@
 async fn look_up_in_time(node: &Rc<Node>, id: &JobId) -> Result<Option<JobStatus>, QueryRefusal> {
     within(USER_TIMEOUT_MS, look_up(node, id))
         .await
-        .unwrap_or(Err(QueryRefusal::Store))
+        .unwrap_or(Err(QueryRefusal::StoreFailed))
 }
 
 /// Turns a question away at once, and notes that the job is owed an answer.
@@ -188,10 +188,10 @@
     let now = node.now();
     let mut questions = node.questions.borrow_mut();
     debug!(job = %id, ?asked, ?why, "turned away");
-    questions.turned_away(id, asked, why, now);
+    questions.record_refusal(id, asked, why, now);
     // Guards against users who stay with a node that can tell them nothing while
     // others can: the load balancer does not move open connections.
-    let leave = !node.core().ready(now) || questions.first(id, now);
+    let leave = !node.core().ready(now) || questions.has_priority(id, now);
     Reply {
         leave,
         ..Reply::busy(after_s)
@@ -200,7 +200,7 @@
 
 /// A question was answered.
 fn answer(node: &Node, status: u16, state: &JobStatus) -> Reply {
-    node.questions.borrow_mut().answered(&state.id);
+    node.questions.borrow_mut().record_answer(&state.id);
     Reply::new(status, encode(state))
 }
 
@@ -208,30 +208,30 @@
 pub(crate) async fn tell(node: Rc<Node>) {
     loop {
         smol::Timer::after(Duration::from_millis(SUMMARY_MS)).await;
-        let told = node.questions.borrow_mut().told();
-        if let Some((refusals, longest_ms)) = told {
+        let told = node.questions.borrow_mut().take_refusals();
+        if let Some(told) = told {
             info!(
-                ?refusals,
-                longest_ms, "turned away; so long the same job at most"
+                refusals = ?told.counts,
+                longest_ms = told.longest_ms, "turned away; so long the same job at most"
             );
         }
     }
 }
 
-fn state_of(id: &JobId, answer: Answer) -> Option<JobStatus> {
+fn state_of(id: &JobId, answer: JobStatusAnswer) -> Option<JobStatus> {
     match answer {
-        Answer::Over(phase) => Some(JobStatus::plain(id.clone(), phase)),
-        Answer::Unfinished(phase, done, running, reason) => {
-            let reason = (!reason.is_empty()).then_some(reason);
+        JobStatusAnswer::Finished(phase) => Some(JobStatus::plain(id.clone(), phase)),
+        JobStatusAnswer::Unfinished(progress) => {
+            let reason = (!progress.reason.is_empty()).then_some(progress.reason);
             Some(JobStatus {
                 id: id.clone(),
-                phase,
-                done: Some(done),
-                running: Some(running),
+                phase: progress.phase,
+                done: Some(progress.done),
+                running: Some(progress.running),
                 reason,
             })
         }
-        Answer::OverIn(_) | Answer::Reading | Answer::Ends(_) | Answer::Unknown => None,
+        JobStatusAnswer::FinishedIn(_) | JobStatusAnswer::NeedsRefresh | JobStatusAnswer::NeedsFinalStates(_) | JobStatusAnswer::Unknown => None,
     }
 }
 
@@ -241,8 +241,8 @@
     };
     // Guards against a flood of polls that reports and submissions wait behind; but
     // no job is turned away for that again and again.
-    if node.behind() && !node.questions.borrow().first(&id, node.now()) {
-        return turn_away(node, &id, QueryKind::Poll, QueryRefusal::Behind);
+    if node.behind() && !node.questions.borrow().has_priority(&id, node.now()) {
+        return turn_away(node, &id, QueryKind::Poll, QueryRefusal::Overloaded);
     }
     match look_up_in_time(node, &id).await {
         Ok(Some(state)) => answer(node, 200, &state),
@@ -253,7 +253,7 @@
 
 /// No such job.
 fn nobodys(node: &Node, id: &JobId) -> Reply {
-    node.questions.borrow_mut().answered(id);
+    node.questions.borrow_mut().record_answer(id);
     Reply::empty(404)
 }
 
@@ -289,14 +289,14 @@
             Ok(Some(state)) => answer(node, 200, &state),
             Ok(None) => {
                 info!(job = %id, why, "job can never run");
-                node.questions.borrow_mut().answered(&id);
+                node.questions.borrow_mut().record_answer(&id);
                 Reply::new(422, encode(&why))
             }
             Err(why) => turn_away(node, &id, QueryKind::Submission, why),
         };
     }
     if !node.told() {
-        return turn_away(node, &id, QueryKind::Submission, QueryRefusal::NoWord);
+        return turn_away(node, &id, QueryKind::Submission, QueryRefusal::StoreSilent);
     }
     // Guards against taking in more than can be written before its user gives
     // up: the answer then would come after the user asked again.
@@ -304,7 +304,7 @@
     if wait > Duration::from_millis(SUBMIT_WAIT_MS) {
         // Guards against a job that was accepted long ago, of which its user asks so:
         // that needs no writing.
-        let first = node.questions.borrow().first(&id, node.now());
+        let first = node.questions.borrow().has_priority(&id, node.now());
         if first && let Ok(Some(state)) = look_up_in_time(node, &id).await {
             return answer(node, 200, &state);
         }
@@ -315,7 +315,7 @@
             node,
             &id,
             QueryKind::Submission,
-            QueryRefusal::Writes,
+            QueryRefusal::WriteQueueFull,
             after,
         );
     }
@@ -332,7 +332,7 @@
                 // May have been made: the same transaction tells, since its
                 // conditions then fail.
                 Err(KvError::Unknown) if node.now() < deadline => {}
-                Err(_) => return turn_away(node, &id, QueryKind::Submission, QueryRefusal::Store),
+                Err(_) => return turn_away(node, &id, QueryKind::Submission, QueryRefusal::StoreFailed),
             }
         }
     }
@@ -350,7 +350,7 @@
     let id = &spec.id;
     let mut asked = false;
     loop {
-        let admission = node.core().admit(spec, wall_ms());
+        let admission = node.core().admit_job(spec, wall_ms());
         let unknown = match admission {
             DependencyAdmission::Accept(cas_list, phase) => return Ok((cas_list, phase)),
             DependencyAdmission::Unknown(ids) => ids,
@@ -371,7 +371,7 @@
                 node,
                 id,
                 QueryKind::Submission,
-                QueryRefusal::Store,
+                QueryRefusal::StoreFailed,
             ));
         }
         asked = true;
@@ -385,7 +385,7 @@
         Ok(Some(state)) => answer(node, 200, &state),
         Ok(None) => {
             info!(job = %id, %awaited, "awaits a job that was never accepted");
-            node.questions.borrow_mut().answered(id);
+            node.questions.borrow_mut().record_answer(id);
             Reply::new(
                 422,
                 encode(&format!("awaits: {awaited} was never accepted")),
@@ -398,7 +398,7 @@
 async fn known_job(node: &Rc<Node>, id: &JobId) -> Reply {
     match look_up_in_time(node, id).await {
         Ok(Some(state)) => answer(node, 200, &state),
-        Ok(None) => turn_away(node, id, QueryKind::Submission, QueryRefusal::Store),
+        Ok(None) => turn_away(node, id, QueryKind::Submission, QueryRefusal::StoreFailed),
         Err(why) => turn_away(node, id, QueryKind::Submission, why),
     }
 }
@@ -448,13 +448,13 @@
                 return answer(node, 200, &state);
             }
             Ok(Some(_)) => {}
-            Err(why) => return turn_away(node, &id, QueryKind::Withdrawal, why),
+            Err(why) => return turn_away(node, &id, QueryKind::Cancellation, why),
         }
         let (team, cancellation) = {
             let core = node.core();
             (
                 core.cache.spec(&id).map(|spec| spec.team.clone()),
-                core.cancellation(&id),
+                core.cancellation_cas(&id),
             )
         };
         let Some(team) = team else {
@@ -463,18 +463,18 @@
             if node.now() < deadline {
                 continue;
             }
-            return turn_away(node, &id, QueryKind::Withdrawal, QueryRefusal::Store);
+            return turn_away(node, &id, QueryKind::Cancellation, QueryRefusal::StoreFailed);
         };
         let Some(cancellation) = cancellation else {
             if until.is_none_or(|until| node.now() >= until) {
-                return turn_away(node, &id, QueryKind::Withdrawal, QueryRefusal::Stopping);
+                return turn_away(node, &id, QueryKind::Cancellation, QueryRefusal::JobStopping);
             }
             smol::Timer::after(Duration::from_millis(TICK_MS)).await;
             continue;
         };
         // Guards against a user who is held back for as long as others' changes take.
         if node.state.write_wait() > Duration::from_millis(SUBMIT_WAIT_MS) {
-            return turn_away(node, &id, QueryKind::Withdrawal, QueryRefusal::Writes);
+            return turn_away(node, &id, QueryKind::Cancellation, QueryRefusal::WriteQueueFull);
         }
         match node.state.cas(&cancellation).await {
             Ok(CompareAndSwapResult::Done(_)) => {
@@ -489,7 +489,7 @@
             {
                 drop(node.fresh().await)
             }
-            _ => return turn_away(node, &id, QueryKind::Withdrawal, QueryRefusal::Store),
+            _ => return turn_away(node, &id, QueryKind::Cancellation, QueryRefusal::StoreFailed),
         }
     }
 }
--- a/crates/node/src/router.rs
+++ b/crates/node/src/router.rs
@@ -75,7 +75,7 @@
         let good = result.as_ref().is_ok_and(|r| served(service, r.status));
         self.took(service, now, result.is_ok());
         let now = self.now();
-        self.core().links.carried(service, by, good, now);
+        self.core().links.record_relayed_call(service, by, good, now);
         result
     }
 
@@ -96,7 +96,7 @@
         self.took(service, began, result.is_ok());
         let good = result.as_ref().is_ok_and(|r| served(service, r.status));
         let now = self.now();
-        self.core().links.tried(service, body.len(), good, now);
+        self.core().links.record_direct_call(service, body.len(), good, now);
         result
     }
 
@@ -105,7 +105,7 @@
         if answered {
             self.core()
                 .links
-                .took(service, now.saturating_sub(began), now);
+                .record_latency(service, now.saturating_sub(began), now);
         }
     }
 
@@ -150,7 +150,7 @@
         let result = match &call.goal {
             RelayTarget::Service(service) => {
                 // Guards against calls that go round: nothing is carried on.
-                if !self.core().links.carries(*service) {
+                if !self.core().links.can_relay(*service) {
                     return Reply::empty(503);
                 }
                 self.call_direct(*service, &call.method, &call.path, &call.body, wait_ms)
@@ -243,7 +243,7 @@
 
 async fn send_batch(node: &Node, to: u16, batch: Vec<Waiting>) {
     let (reports, senders): (Vec<Vec<u8>>, Vec<_>) = batch.into_iter().unzip();
-    let by = node.core().config.me;
+    let by = node.core().config.own_index;
     let message = links::write(&RelayedHeartbeats {
         version: LINKS_VERSION,
         by,
@@ -264,7 +264,7 @@
         None => Err(CallError::NotSent),
     };
     let now = node.now();
-    node.core().links.reached(to, response.is_ok(), now);
+    node.core().links.record_peer_call(to, response.is_ok(), now);
     let Ok(response) = response else { return };
     match links::read::<RelayedAnswers>(&response.body) {
         Ok(RelayedAnswers { answers, .. }) if response.status == 200 => {
@@ -283,7 +283,7 @@
     let mut answers = Vec::with_capacity(reports.reports.len());
     for body in &reports.reports {
         answers.push(match lemonweir_protocol::decode::<Heartbeat>(body) {
-            Ok(report) => status_and_body(node.core().carried_report(&report, reports.by, now)),
+            Ok(report) => status_and_body(node.core().handle_relayed_heartbeat(&report, reports.by, now)),
             Err(_) => (400, Vec::new()),
         });
     }
@@ -300,8 +300,8 @@
 /// What a worker is answered, where nothing is to be carried.
 pub(crate) fn status_and_body(answer: HeartbeatAnswer) -> (u16, Vec<u8>) {
     match answer {
-        HeartbeatAnswer::Orders(reply) => (200, encode(&reply)),
-        HeartbeatAnswer::Elsewhere(host) => (421, encode(&Redirect { host: Some(host) })),
-        HeartbeatAnswer::Carry(_) | HeartbeatAnswer::Unable => (503, Vec::new()),
+        HeartbeatAnswer::Commands(reply) => (200, encode(&reply)),
+        HeartbeatAnswer::Redirect(host) => (421, encode(&Redirect { host: Some(host) })),
+        HeartbeatAnswer::Relay(_) | HeartbeatAnswer::Unavailable => (503, Vec::new()),
     }
 }
--- a/crates/node/tests/limits.rs
+++ b/crates/node/tests/limits.rs
@@ -13,7 +13,7 @@
         assert_eq!(waiting, machines, "reports wait");
         let messages = waiting.div_ceil(GATHER_MOST);
         for sockets in [1_800, 2_262, 65_536] {
-            let peers = SocketShares::of(sockets).peers;
+            let peers = SocketShares::divide(sockets).peers;
             assert!(messages <= peers, "{messages} messages, {peers} peers");
         }
         let bytes = waiting.min(GATHER_MOST) * MAX_BODY_BYTES;
--- a/crates/simulator/src/host.rs
+++ b/crates/simulator/src/host.rs
@@ -249,6 +249,6 @@
     pub fn holds(&self, shard: u16) -> bool {
         self.core
             .as_ref()
-            .is_some_and(|c| c.held().iter().any(|l| l.shard == shard))
+            .is_some_and(|c| c.leases().iter().any(|l| l.shard == shard))
     }
 }
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -21,11 +21,11 @@
 
 use lemonweir_coordination::dependencies::DependencyAdmission;
 use lemonweir_coordination::election::ElectionAction;
-use lemonweir_coordination::job_status::Answer;
+use lemonweir_coordination::job_status::JobStatusAnswer;
 use lemonweir_coordination::owner::{CommandCall, CommandResult, SyncError};
 use lemonweir_coordination::placer::CompareAndSwapOutcome;
 use lemonweir_coordination::{
-    Effect, HeartbeatAnswer, ProvisioningResult, ShardLease, keys_to_reread, mail_piece_bytes,
+    Effect, HeartbeatAnswer, ProvisioningResult, ShardLease, keys_to_reread, store_message_piece_bytes,
 };
 use lemonweir_model::constants::*;
 use lemonweir_model::{JobId, MachineId};
@@ -396,7 +396,7 @@
                     let hurried = self.hosts[host]
                         .core
                         .as_ref()
-                        .is_some_and(|c| c.hurried(now / MS));
+                        .is_some_and(|c| c.needs_short_tick(now / MS));
                     self.at(
                         if hurried { SHORT_TICK_MS } else { TICK_MS } * MS,
                         Event::Tick(host, life),
--- a/crates/simulator/src/world/controllers.rs
+++ b/crates/simulator/src/world/controllers.rs
@@ -59,12 +59,12 @@
         let costs = self.scenario.costs;
         let now = self.now;
         let h = &mut self.hosts[host];
-        let tally = h.core.as_ref().map(|c| c.tally()).unwrap_or_default();
+        let tally = h.core.as_ref().map(|c| c.work_counters()).unwrap_or_default();
         // Less than before: a part was given up.
         let grown = |now: u64, before: u64| now.checked_sub(before).unwrap_or(now);
-        let looks = grown(tally.looked, h.tally.looked);
-        h.work.judged.0 += grown(tally.refused, h.tally.refused);
-        h.work.judged.1 += grown(tally.pushed_out, h.tally.pushed_out);
+        let looks = grown(tally.candidates_examined, h.tally.candidates_examined);
+        h.work.judged.0 += grown(tally.placements_refused, h.tally.placements_refused);
+        h.work.judged.1 += grown(tally.attempts_preempted, h.tally.attempts_preempted);
         h.tally = tally;
         let ns = h.work.rest_ns + messages * costs.message_ns + looks * costs.look_ns;
         h.work.rest_ns = ns % 1_000;
@@ -110,7 +110,7 @@
         let Some(core) = self.hosts[host].core.as_mut() else {
             return;
         };
-        let effects = core.pump(ms);
+        let effects = core.flush(ms);
         let sent = effects.len() as u64;
         self.charge(host, sent);
         for effect in effects {
@@ -123,15 +123,15 @@
         let at = self.leaves(host) + self.travel();
         match effect {
             Effect::CompareAndSwap(lease, cas) => self.send_txn(host, For::Core(lease), cas),
-            Effect::Chain(cas) => self.send_txn(host, For::Chain, cas),
-            Effect::ReadEnds(ids) => {
+            Effect::DependencyCompareAndSwap(cas) => self.send_txn(host, For::Chain, cas),
+            Effect::ReadFinalStates(ids) => {
                 let at = at + self.travel();
                 self.push(at, Event::To(host, life, Box::new(Input::EndsRead(ids))));
             }
-            Effect::Note(cas) => self.send_txn(host, For::Nobody, cas),
+            Effect::WriteHint(cas) => self.send_txn(host, For::Nobody, cas),
             Effect::Command(lease, call) => self.send_orders(host, lease, call, at),
             Effect::Sync(lease, sync) => self.send_sync(host, lease, sync, at),
-            Effect::MailSync(sync) => {
+            Effect::StoreSync(sync) => {
                 let line = StoreMessageRoute {
                     kind: StoreMessageKind::Sync,
                     from: sync.from,
@@ -139,7 +139,7 @@
                 };
                 self.mail(host, line, (sync.from_token, sync.seq), &peer::write(&sync));
             }
-            Effect::MailView(to, view) => {
+            Effect::StoreView(to, view) => {
                 let line = StoreMessageRoute {
                     kind: StoreMessageKind::View,
                     from: view.shard,
@@ -147,11 +147,11 @@
                 };
                 self.mail(host, line, (view.token, view.seq), &peer::write(&view));
             }
-            Effect::Nudge(shard) => {
+            Effect::WakePeer(shard) => {
                 let held = self.hosts[host]
                     .core
                     .as_ref()
-                    .map(|c| c.held())
+                    .map(|c| c.leases())
                     .unwrap_or_default();
                 if let Some(to) = self
                     .known_holder(host, shard)
@@ -166,7 +166,7 @@
                     }
                 }
             }
-            Effect::Rent(lease, rental) => {
+            Effect::Provision(lease, rental) => {
                 let wait = self.hosts[host].cloud.take(1.0, self.now);
                 let way = self.way(host, Service::Cloud, 0);
                 self.push(
@@ -174,7 +174,7 @@
                     Event::Rent(host, life, lease, Box::new(rental), way),
                 );
             }
-            Effect::Release(lease, names) => {
+            Effect::ReleaseInstances(lease, names) => {
                 let wait = self.hosts[host].cloud.take(1.0, self.now);
                 let way = self.way(host, Service::Cloud, 0);
                 self.push(
@@ -182,8 +182,8 @@
                     Event::Release(host, life, lease, names, way),
                 );
             }
-            Effect::Hail(to, word) => self.send_hail(host, to, word, at),
-            Effect::Probe(service) => self.push(at, Event::Probe(host, life, service)),
+            Effect::SendGossip(to, word) => self.send_hail(host, to, word, at),
+            Effect::ProbeService(service) => self.push(at, Event::Probe(host, life, service)),
         }
     }
 
@@ -219,8 +219,8 @@
             Input::Tick => {}
             Input::Report(number, report, sent) => {
                 let session = report.session;
-                match core.report(&report, ms) {
-                    HeartbeatAnswer::Carry(to) => self.carry_report(host, to, number, report, sent),
+                match core.handle_heartbeat(&report, ms) {
+                    HeartbeatAnswer::Relay(to) => self.carry_report(host, to, number, report, sent),
                     answer => {
                         let at = self.leaves(host) + self.travel();
                         self.answer(at, host, number, session, sent, answer);
@@ -228,20 +228,20 @@
                 }
             }
             Input::CarriedReport(number, report, sent, by, life) => {
-                let answer = core.carried_report(&report, by as u16, ms);
+                let answer = core.handle_relayed_heartbeat(&report, by as u16, ms);
                 self.answer_carried(host, number, &report, sent, (by, life), answer);
             }
             Input::CarriedAnswer(number, session, sent, from, answer) => {
-                core.links.reached(from as u16, answer.is_some(), ms);
-                let answer = answer.map_or(HeartbeatAnswer::Unable, |a| *a);
+                core.links.record_peer_call(from as u16, answer.is_some(), ms);
+                let answer = answer.map_or(HeartbeatAnswer::Unavailable, |a| *a);
                 let at = self.leaves(host) + self.travel();
                 self.answer(at, host, number, session, sent, answer);
             }
-            Input::Tried(service, None, bytes, good) => core.links.tried(service, bytes, good, ms),
-            Input::Tried(service, Some(by), _, good) => core.links.carried(service, by, good, ms),
+            Input::Tried(service, None, bytes, good) => core.links.record_direct_call(service, bytes, good, ms),
+            Input::Tried(service, Some(by), _, good) => core.links.record_relayed_call(service, by, good, ms),
             Input::Hail(life, word) => {
                 let from = usize::from(word.host);
-                let answer = Box::new(core.links.hail_in(*word, ms));
+                let answer = Box::new(core.links.handle_gossip(*word, ms));
                 let at = self.leaves(host) + self.travel();
                 self.push(
                     at,
@@ -254,18 +254,18 @@
             }
             Input::Hailed(from, word) => {
                 core.links
-                    .hailed(from, word.is_some(), word.map(|w| *w), ms)
+                    .gossip_completed(from, word.is_some(), word.map(|w| *w), ms)
             }
-            Input::Command(lease, call, result) => core.command_done(lease, &call, result, ms),
-            Input::View(lease, to, view) => core.sync_done(lease, to, view.map(|v| *v), ms),
-            Input::Rented(lease, rental, result) => core.rented(lease, &rental, result, ms),
-            Input::Released(lease, names) => core.released(lease, &names, true, ms),
-            Input::Listed(entries) => core.listed(&entries, ms),
-            Input::Superseded(by) => core.superseded(by, ms),
-            Input::Nudge(shard, from) => core.nudged(shard, from),
+            Input::Command(lease, call, result) => core.command_completed(lease, &call, result, ms),
+            Input::View(lease, to, view) => core.sync_completed(lease, to, view.map(|v| *v), ms),
+            Input::Rented(lease, rental, result) => core.provisioning_completed(lease, &rental, result, ms),
+            Input::Released(lease, names) => core.instances_released(lease, &names, true, ms),
+            Input::Listed(entries) => core.instances_listed(&entries, ms),
+            Input::Superseded(by) => core.handle_superseded(by, ms),
+            Input::Nudge(shard, from) => core.handle_wake(shard, from),
             Input::Announced => self.want_reading(host),
             Input::Sync(from, life, lease, sync) => {
-                let answer = core.sync_in(&sync, ms);
+                let answer = core.handle_sync(&sync, ms);
                 if let Err(SyncError::Superseded(by)) = &answer
                     && from < self.hosts.len()
                     && !self.is_cut(from, host)
@@ -286,16 +286,16 @@
             Input::EndsRead(ids) => {
                 self.settle_ends(host, &ids);
                 if let Some(core) = self.hosts[host].core.as_mut() {
-                    core.ends_read(&ids, ms);
+                    core.final_states_read(&ids, ms);
                 }
             }
             Input::Submit(id) => self.take_submission(host, id),
-            Input::Poll(id) => match core.answer(&id, ms) {
-                Answer::Unfinished(phase, ..) => self.reply(host, id, Some(phase), 200),
+            Input::Poll(id) => match core.job_status(&id, ms) {
+                JobStatusAnswer::Unfinished(job) => self.reply(host, id, Some(job.phase), 200),
                 answer => self.answer_late(host, id, false, answer),
             },
             Input::Withdraw(id) => {
-                let answer = core.answer(&id, ms);
+                let answer = core.job_status(&id, ms);
                 self.answer_late(host, id, true, answer);
             }
             Input::CompareAndSwap(whose, cas, outcome, versions) => {
@@ -341,10 +341,10 @@
         let changed = reading.apply(&mut core.cache, now / MS);
         let good = changed.is_some();
         if let Some(changed) = changed {
-            core.refreshed(began / MS, changed);
-            effects = core.take_mail(now / MS);
+            core.cache_refreshed(began / MS, changed);
+            effects = core.handle_store_messages(now / MS);
         }
-        let mailing = core.mailing();
+        let mailing = core.uses_store_messages();
         for effect in effects {
             self.carry(host, effect);
         }
@@ -401,7 +401,7 @@
             return;
         };
         followed(&self.store, core.cache.revision).apply(&mut core.cache, ms);
-        core.refreshed(ms, true);
+        core.cache_refreshed(ms, true);
         if core
             .cache
             .shards
@@ -428,14 +428,14 @@
             For::Core(lease) => {
                 for (key, version) in versions {
                     if let Some((job, chunk)) = parse_run_key(&key) {
-                        core.reread(lease, &job, chunk, version);
+                        core.chunk_reread(lease, &job, chunk, version);
                     }
                 }
-                core.cas_done(lease, outcome.unwrap_or(CompareAndSwapOutcome::Again), ms);
+                core.cas_completed(lease, outcome.unwrap_or(CompareAndSwapOutcome::Again), ms);
             }
             For::Nobody => {}
             For::Chain => {
-                core.chain_done(outcome.unwrap_or(CompareAndSwapOutcome::Again), ms);
+                core.dependency_cas_completed(outcome.unwrap_or(CompareAndSwapOutcome::Again), ms);
                 self.want_reading(host);
             }
             For::Presence(hold) => {
@@ -446,7 +446,7 @@
                 h.keeping -= 1;
                 // Given up here once it is given up in the store.
                 if let (
-                    Some(ElectionAction::HandBack(lease) | ElectionAction::Leave(lease)),
+                    Some(ElectionAction::ReturnToHome(lease) | ElectionAction::Cede(lease)),
                     Some(CompareAndSwapOutcome::Done(_)),
                 ) = (claim, outcome)
                 {
--- a/crates/simulator/src/world/sending.rs
+++ b/crates/simulator/src/world/sending.rs
@@ -180,7 +180,7 @@
             return;
         };
         self.largest_mail = self.largest_mail.max(bytes.len());
-        let piece = mail_piece_bytes((self.scenario.state.least_value_kb() * 1024.0) as usize);
+        let piece = store_message_piece_bytes((self.scenario.state.least_value_kb() * 1024.0) as usize);
         let cas = post(line, id, bytes, piece, hold);
         if cas.writes.len() <= self.scenario.state.least_txn_ops() {
             self.send_txn(host, For::Nobody, cas);
--- a/crates/simulator/src/world/services.rs
+++ b/crates/simulator/src/world/services.rs
@@ -49,12 +49,12 @@
         let h = &mut self.hosts[host];
         let Some(core) = h.core.as_ref() else { return };
         let teams = core.unassigned_teams();
-        let raised = core.version_cas();
-        let unshown = h.membership.unshown(core, now / MS);
+        let raised = core.records_version_cas();
+        let unshown = h.membership.unpublished_ceded(core, now / MS);
         let claims: Vec<ElectionAction> = (0..h.membership.shards())
-            .filter_map(|shard| h.membership.claim(core, shard, now / MS))
+            .filter_map(|shard| h.membership.next_action(core, shard, now / MS))
             .collect();
-        let left = h.membership.left(core, now / MS);
+        let left = h.membership.ceded(core, now / MS);
         // One at a time: what it brings counts for the next.
         let claimed = claims
             .first()
@@ -96,7 +96,7 @@
         h.renewed = now;
         match (h.hold, answer, h.core.as_ref()) {
             (None, Some(id), Some(core)) => {
-                let left = h.membership.left(core, now / MS);
+                let left = h.membership.ceded(core, now / MS);
                 h.keeping += 1;
                 let cas = self.presence(host, id, left);
                 self.send_txn(host, For::Presence(id), cas);
@@ -242,7 +242,7 @@
             }
         };
         if let (
-            For::Keeper(Some(ElectionAction::Take { shard, .. })),
+            For::Keeper(Some(ElectionAction::Acquire { shard, .. })),
             CompareAndSwapOutcome::Done(token),
         ) = (&whose, &outcome)
         {
@@ -281,9 +281,9 @@
     ) {
         let now = self.now;
         let result = if !self.served(host, life, way) {
-            ProvisioningResult::Again
+            ProvisioningResult::Retry
         } else if let Some(before) = self.cloud.bookings.get(&rental.booking) {
-            ProvisioningResult::Rented(before.clone())
+            ProvisioningResult::Provisioned(before.clone())
         } else {
             let kind = self
                 .scenario
@@ -323,7 +323,7 @@
                 self.cloud
                     .bookings
                     .insert(rental.booking.clone(), names.clone());
-                ProvisioningResult::Rented(names)
+                ProvisioningResult::Provisioned(names)
             }
         };
         let at = now + self.travel();
--- a/crates/simulator/src/world/users.rs
+++ b/crates/simulator/src/world/users.rs
@@ -19,8 +19,8 @@
             never_runs(&spec, &self.scenario.teams, &self.scenario.zones, catalog).is_some()
         };
         if known {
-            return match core.answer(&id, self.now / MS) {
-                Answer::Unfinished(phase, ..) => self.reply(host, id, Some(phase), 200),
+            return match core.job_status(&id, self.now / MS) {
+                JobStatusAnswer::Unfinished(job) => self.reply(host, id, Some(job.phase), 200),
                 answer => self.answer_late(host, id, false, answer),
             };
         }
@@ -29,7 +29,7 @@
         } else if wait > SUBMIT_WAIT_MS * MS || !core.ready(self.now / MS) {
             self.reply(host, id, None, 503);
         } else {
-            match core.admit(&spec, self.now / MS) {
+            match core.admit_job(&spec, self.now / MS) {
                 DependencyAdmission::Accept(cas_list, _) => {
                     // Further pages of what it awaits mean nothing by themselves.
                     let (last, pages) = cas_list
@@ -89,14 +89,14 @@
     }
 
     /// Answers what memory alone does not, or not yet.
-    pub(super) fn answer_late(&mut self, host: usize, id: JobId, withdraw: bool, answer: Answer) {
+    pub(super) fn answer_late(&mut self, host: usize, id: JobId, withdraw: bool, answer: JobStatusAnswer) {
         match answer {
-            Answer::Over(phase) => self.reply(host, id, Some(phase), 200),
-            Answer::Ends(ids) => {
+            JobStatusAnswer::Finished(phase) => self.reply(host, id, Some(phase), 200),
+            JobStatusAnswer::NeedsFinalStates(ids) => {
                 self.settle_ends(host, &ids);
                 self.await_reading(host, id, withdraw);
             }
-            Answer::OverIn(ms) => {
+            JobStatusAnswer::FinishedIn(ms) => {
                 let life = self.hosts[host].life;
                 let again = if withdraw {
                     Input::Withdraw(id)
@@ -124,16 +124,16 @@
         let Some(core) = self.hosts[host].core.as_ref() else {
             return;
         };
-        if let Some(Answer::Unfinished(phase, ..)) = core.unfinished(&id, self.now / MS) {
+        if let Some(JobStatusAnswer::Unfinished(job)) = core.unfinished_status(&id, self.now / MS) {
             let cas = if withdraw {
-                core.cancellation(&id)
+                core.cancellation_cas(&id)
             } else {
                 None
             };
             return match cas {
                 Some(cas) => self.send_txn(host, For::User(id, true, asked), cas),
                 None if withdraw => self.reply_to(host, id, None, 503, asked),
-                None => self.reply_to(host, id, Some(phase), 200, asked),
+                None => self.reply_to(host, id, Some(job.phase), 200, asked),
             };
         }
         self.settle_ends(host, std::slice::from_ref(&id));
@@ -142,7 +142,7 @@
             .as_ref()
             .filter(|core| core.cache.knows(&id))
         {
-            let answer = core.answer(&id, self.now / MS);
+            let answer = core.job_status(&id, self.now / MS);
             return self.answer_late(host, id, withdraw, answer);
         }
         self.reply_to(host, id, None, 404, asked);
--- a/crates/simulator/src/world/ways.rs
+++ b/crates/simulator/src/world/ways.rs
@@ -76,7 +76,7 @@
         let willing = self.hosts[by]
             .core
             .as_ref()
-            .is_some_and(|c| c.links.carries(way.service));
+            .is_some_and(|c| c.links.can_relay(way.service));
         self.helps(by, host) && willing && self.reaches(by, way.service)
     }
 
--- a/crates/simulator/src/world/workers.rs
+++ b/crates/simulator/src/world/workers.rs
@@ -122,17 +122,17 @@
         let Some(node) = node else { return };
         let elsewhere = |name: &str| (0..hosts).find(|h| crate::scenario::host_name(*h) == name);
         match answer {
-            HeartbeatAnswer::Orders(reply) => {
+            HeartbeatAnswer::Commands(reply) => {
                 let reply: HeartbeatResponse = reply;
                 self.with_worker(number, |w, ground| {
                     w.answered(session, sent, &reply, next, now, ground)
                 });
             }
-            HeartbeatAnswer::Elsewhere(name) => {
+            HeartbeatAnswer::Redirect(name) => {
                 let to = elsewhere(&name).unwrap_or((node + 1) % hosts);
                 self.with_worker(number, |w, _| w.turn_away(now, to, 100 * MS));
             }
-            HeartbeatAnswer::Unable | HeartbeatAnswer::Carry(_) => {
+            HeartbeatAnswer::Unavailable | HeartbeatAnswer::Relay(_) => {
                 self.with_worker(number, |w, _| {
                     w.turn_away(now, (node + 1) % hosts, 1_000 * MS)
                 });
--- a/crates/simulator/tests/nights.rs
+++ b/crates/simulator/tests/nights.rs
@@ -488,9 +488,9 @@
     }
     world.run(HOLD_TTL_MS + 3_000);
     let core = world.hosts[held].core.as_ref().expect("it runs");
-    assert!(core.unproven(), "nothing has shown what it holds");
+    assert!(core.lease_unconfirmed(), "nothing has shown what it holds");
     world.down.clear();
     world.run(60_000);
-    assert!(!world.hosts[held].core.as_ref().expect("it runs").unproven());
+    assert!(!world.hosts[held].core.as_ref().expect("it runs").lease_unconfirmed());
     assert_kept(&world, "a long pause");
 }
--- a/crates/simulator/tests/troubles.rs
+++ b/crates/simulator/tests/troubles.rs
@@ -208,7 +208,7 @@
     world.hosts[host]
         .core
         .as_ref()
-        .is_some_and(|c| c.links.store_told(world.now / 1_000))
+        .is_some_and(|c| c.links.store_answers_of_late(world.now / 1_000))
 }
 
 #[test]
--- a/fuzz/tests/edges.rs
+++ b/fuzz/tests/edges.rs
@@ -339,12 +339,12 @@
             if let Some(word) = form::<AvailabilityGossip>(&bytes) {
                 let mut core =
                     Core::new(Config::new(&scenario.settings(0)), scenario.policy.clone());
-                let own = core.links.hail_in(word.clone(), 1_000);
+                let own = core.links.handle_gossip(word.clone(), 1_000);
                 assert_eq!((own.version, own.host), (LINKS_VERSION, 0));
                 core.links
-                    .hailed(word.host, true, Some(word.clone()), 1_100);
+                    .gossip_completed(word.host, true, Some(word.clone()), 1_100);
                 for at in [2_000, 4_000] {
-                    core.links.tried(Service::Store, 0, false, at);
+                    core.links.record_direct_call(Service::Store, 0, false, at);
                 }
                 let by = core.links.route(Service::Store, 0, 4_100);
                 assert!(
