--- a/crates/coordination/src/links/services.rs
+++ b/crates/coordination/src/links/services.rs
@@ -54,7 +54,7 @@
         let relay = upstream.route(size, &candidates, now);
         if let Some(host) = relay.filter(|_| relay != before) {
             let text = format!(
-                "calls to the {} are relayed by {}",
+                "what goes to the {} is carried by {}",
                 service_name(service),
                 self.hosts[usize::from(host)]
             );
