--- a/crates/coordination/src/config.rs
+++ b/crates/coordination/src/config.rs
@@ -116,7 +116,7 @@
             },
             // A controller of an earlier format publishes a cancellation before its
             // tasks have ended. One published right after the store's last answer to
-            // us must still be carried out in time: whatever we keep alive
+            // us must still be executed in time: whatever we keep alive
             // until then ends with its lease.
             short_store_outage_grace_ms: ms(workers.cancel_s - workers.lease_s)
                 .saturating_sub(STORE_OUTAGE_GRACE_MARGIN_MS),
--- a/crates/coordination/src/effects.rs
+++ b/crates/coordination/src/effects.rs
@@ -1,4 +1,4 @@
-//! What the decisions ask the process to do, and how it tells them of the end.
+//! What the decisions ask the process to do, and the results that it reports back.
 
 use lemonweir_model::JobId;
 use lemonweir_model::MachineId;
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -9,8 +9,8 @@
 //!    a newer copy of the store ([`Core::cache_refreshed`]) and others.
 //! 2. The method changes state and answers at once where an answer is due.
 //! 3. [`Core::flush`] follows after each event and at each tick. It does all that is due
-//!    by now and returns [`Effect`]s, which the process carries out. The end of each
-//!    comes back as an event.
+//!    by now and returns [`Effect`]s, which the process executes. The result of
+//!    each comes back as an event.
 //!
 //! # State
 //!
--- a/crates/coordination/src/links/mod.rs
+++ b/crates/coordination/src/links/mod.rs
@@ -1,4 +1,4 @@
-//! One picture of who reaches what.
+//! Connectivity: who reaches what, judged in one place.
 //!
 //! Each controller judges its own links to the state service, the cloud, the
 //! other controllers and the workers of each zone from what went over them, and
--- a/crates/coordination/src/links/table.rs
+++ b/crates/coordination/src/links/table.rs
@@ -1,4 +1,4 @@
-//! The picture as a table for operators.
+//! All links as a table for operators.
 
 use super::latency::LatencyWindow;
 use super::peers::ReceivedGossip;
@@ -8,7 +8,7 @@
 use lemonweir_protocol::links::{LinkRow, LinkState, Service};
 
 impl Links {
-    /// The picture, this controller's links first and then what others say of theirs.
+    /// All links, this controller's first and then what others say of theirs.
     pub fn rows(&self, now: u64) -> Vec<LinkRow> {
         let mut rows = vec![
             self.service_row(Service::Store, &self.store, now),
--- a/crates/coordination/src/process_stall.rs
+++ b/crates/coordination/src/process_stall.rs
@@ -29,7 +29,7 @@
         (gap > STALL_MS).then(|| self.record_stall(gap, now))
     }
 
-    /// The process stalled for `gap` ms, as far as any of its clocks tells.
+    /// The process stalled for `gap` ms, as far as any of its clocks shows.
     pub(crate) fn record_stall(&mut self, gap: u64, now: u64) -> u64 {
         self.resumed_at = Some(now);
         // In a shorter one no store lease can have expired.
--- a/crates/coordination/src/provisioning.rs
+++ b/crates/coordination/src/provisioning.rs
@@ -89,7 +89,7 @@
         }
     }
 
-    /// The release of instances ended; `done`: the cloud carried it out.
+    /// The release of instances ended; `done`: the cloud executed it.
     pub fn instances_released(
         &mut self,
         lease: ShardLease,
