--- a/crates/node/tests/limits.rs
+++ b/crates/node/tests/limits.rs
@@ -14,7 +14,7 @@
         assert_eq!(waiting, machines, "heartbeats wait");
         let messages = waiting.div_ceil(MAX_HEARTBEATS_PER_BATCH);
         for sockets in [1_800, 2_262, 65_536] {
-            let peers = SocketShares::of(sockets).peers;
+            let peers = SocketShares::divide(sockets).peers;
             assert!(messages <= peers, "{messages} messages, {peers} peers");
         }
         let bytes = waiting.min(MAX_HEARTBEATS_PER_BATCH) * MAX_BODY_BYTES;
