--- a/crates/coordination/src/config.rs
+++ b/crates/coordination/src/config.rs
@@ -112,7 +112,7 @@
             gang_wait_ms: ms(workers.gang_wait_s),
             timing: Timing {
                 lease_ms: ms(workers.lease_s),
-                report_ms: ms(workers.report_s),
+                heartbeat_interval_ms: ms(workers.report_s),
             },
             // A controller of an earlier format publishes a cancellation before its
             // tasks have ended. One published right after the store's last answer to
--- a/crates/coordination/src/core.rs
+++ b/crates/coordination/src/core.rs
@@ -110,20 +110,20 @@
             return;
         };
         for shard in self.shards.values_mut() {
-            shard.placer.book.note(id, active_spec(job));
+            shard.placer.image_usage.record_job(id, active_spec(job));
         }
         let index = Self::team_shard(&self.cache, &self.config, &job.record.spec.team);
         if let Some(shard) = self.shards.get_mut(&index) {
             let job = with_inherited_priority(job, self.dependencies.inherited_priority(id));
-            shard.placer.set_job(id, Some(&job), now);
+            shard.placer.apply_job(id, Some(&job), now);
         }
     }
 
     fn remove_job(&mut self, id: &JobId, now: u64) {
         self.peer_progress.remove(id);
         for shard in self.shards.values_mut() {
-            shard.placer.book.note(id, None);
-            shard.placer.set_job(id, None, now);
+            shard.placer.image_usage.record_job(id, None);
+            shard.placer.apply_job(id, None, now);
         }
     }
 
@@ -140,7 +140,7 @@
     /// tick had better come early.
     pub fn needs_short_tick(&self, now: u64) -> bool {
         self.shards.values().any(|shard| {
-            shard.placer.wants_pass(now)
+            shard.placer.placement_is_due(now)
                 || shard
                     .peer_channels
                     .iter()
@@ -154,9 +154,9 @@
         self.shards
             .values()
             .fold(WorkCounters::default(), |sum, shard| {
-                let (refused, preempted) = shard.owner.judged();
+                let (refused, preempted) = shard.owner.placement_counts();
                 WorkCounters {
-                    candidates_examined: sum.candidates_examined + shard.placer.looked(),
+                    candidates_examined: sum.candidates_examined + shard.placer.inspected(),
                     placements_refused: sum.placements_refused + refused,
                     attempts_preempted: sum.attempts_preempted + preempted,
                 }
--- a/crates/coordination/src/dependencies/mod.rs
+++ b/crates/coordination/src/dependencies/mod.rs
@@ -204,7 +204,7 @@
 
     /// The priority that a job is placed with here, if this controller places it.
     pub fn placed_priority(&self, id: &JobId) -> Option<Priority> {
-        self.shards.values().find_map(|shard| shard.placer.rank(id))
+        self.shards.values().find_map(|shard| shard.placer.priority(id))
     }
 
     /// Follows the changes of waiting jobs: the jobs whose priority has changed.
@@ -323,7 +323,7 @@
             return;
         };
         self.dependencies.last_survey = None;
-        let CompareAndSwapOutcome::Done(revision) = outcome else {
+        let CompareAndSwapOutcome::Committed(revision) = outcome else {
             // What it was made of has changed: a newer reading of the store shows it.
             self.dependencies.not_before = now + CAS_RETRY_MS;
             return;
--- a/crates/coordination/src/flush.rs
+++ b/crates/coordination/src/flush.rs
@@ -67,13 +67,13 @@
         let Some(shard) = self.shards.get_mut(&index) else {
             return;
         };
-        shard.placer.records_version = self.cache.records_version.0;
-        shard.owner.hold_starts(lease_may_have_expired);
+        shard.placer.record_format_version = self.cache.records_version.0;
+        shard.owner.pause_launches(lease_may_have_expired);
         if backlog_unread {
             return;
         }
         if let Some(revision) = self.cache.revision {
-            shard.owner.watch_placers(&self.cache.shards, revision, now);
+            shard.owner.observe_leaders(&self.cache.shards, revision, now);
         }
         shard.owner.tick(now, last_answer);
     }
@@ -85,7 +85,7 @@
         let Some(shard) = self.shards.get_mut(&index) else {
             return;
         };
-        let pages = shard.owner.images_note(now, value_bytes, pages_per_cas);
+        let pages = shard.owner.changed_image_pages(now, value_bytes, pages_per_cas);
         if pages.is_empty() {
             return;
         }
@@ -113,7 +113,7 @@
         let sockets = self.config.sockets.commands;
         let calls = shard
             .owner
-            .calls(now, sockets.saturating_sub(self.commands_in_flight));
+            .due_calls(now, sockets.saturating_sub(self.commands_in_flight));
         self.commands_in_flight += calls.len();
         let lease = shard.lease;
         effects.extend(calls.into_iter().map(|call| Effect::Command(lease, call)));
@@ -122,7 +122,7 @@
     /// Scale-in: the release of instances that stand empty.
     fn flush_instance_releases(&mut self, index: u16, effects: &mut Vec<Effect>) {
         if let Some(shard) = self.shards.get_mut(&index) {
-            let machines = shard.owner.releases();
+            let machines = shard.owner.next_releases();
             if !machines.is_empty() {
                 effects.push(Effect::ReleaseInstances(shard.lease, machines));
             }
@@ -135,7 +135,7 @@
         let Some(shard) = self.shards.get_mut(&index) else {
             return;
         };
-        for placer in shard.owner.take_dirty() {
+        for placer in shard.owner.take_changed_placers() {
             if let Some(shard) = self.shards.get_mut(&placer) {
                 shard.peer_channels[usize::from(index)].dirty = true;
             } else if let Some(shard) = self.shards.get_mut(&index) {
@@ -153,12 +153,12 @@
         let woken = std::mem::take(&mut shard.peers_to_wake);
         effects.extend(woken.into_keys().map(Effect::WakePeer));
         shard.place_if_due(now);
-        shard.placer.keep_ledger(now, wall_offset_ms);
-        shard.placer.consolidate(now, now + wall_offset_ms);
+        shard.placer.advance_gang_admissions(now, wall_offset_ms);
+        shard.placer.consolidate_replicas(now, now + wall_offset_ms);
         if let Some(cas) = shard.placer.next_cas(now) {
             effects.push(Effect::CompareAndSwap(shard.lease, cas));
         }
-        self.pump_watch(index, now, effects);
+        self.flush_supervision(index, now, effects);
         self.flush_provisioning(index, now, effects);
         self.flush_syncs(index, now, effects)
     }
@@ -168,15 +168,15 @@
     pub fn workers_unreachable(&self, shard: u16, now: u64) -> bool {
         self.shards
             .get(&shard)
-            .is_some_and(|shard| shard.owner.deaf(now))
+            .is_some_and(|shard| shard.owner.workers_unreachable(now))
     }
 }
 
 impl Shard {
     fn place_if_due(&mut self, now: u64) {
-        if self.placer.wants_pass(now) && now >= self.last_placement + PLACE_GAP_MS {
+        if self.placer.placement_is_due(now) && now >= self.last_placement + PLACE_GAP_MS {
             self.last_placement = now;
-            self.placer.place(now);
+            self.placer.run_placement_pass(now);
         }
     }
 }
--- a/crates/coordination/src/heartbeats.rs
+++ b/crates/coordination/src/heartbeats.rs
@@ -28,7 +28,7 @@
             .record_event(now, format!("this controller stalled for {gap} ms"));
         self.links.apply_stall(gap, now);
         for shard in self.shards.values_mut() {
-            shard.owner.stood_still(gap, now);
+            shard.owner.handle_stall(gap, now);
         }
     }
 
@@ -64,7 +64,7 @@
             return self.confirm_worker_lease(heartbeat, now);
         }
         if let Some(shard) = self.shards.get(&index) {
-            let fresh = zone_known && shard.owner.is_news(heartbeat);
+            let fresh = zone_known && shard.owner.is_current(heartbeat);
             self.links.record_heartbeat(&heartbeat.zone, fresh, now);
             return self.answer_heartbeat(heartbeat, index, None, now);
         }
@@ -127,7 +127,7 @@
     /// the store yet: the lease that its token shows is still in force, or not.
     fn confirm_worker_lease(&self, heartbeat: &Heartbeat, now: u64) -> HeartbeatAnswer {
         let wall = now + self.config.wall_offset_ms;
-        match worker_lease::kept_until(heartbeat.token, wall, self.config.max_clock_offset_ms) {
+        match worker_lease::renewable_until(heartbeat.token, wall, self.config.max_clock_offset_ms) {
             Some(until) if wall <= until => HeartbeatAnswer::Commands(HeartbeatResponse {
                 token: heartbeat.token,
                 orders: Vec::new(),
@@ -166,11 +166,11 @@
             && let Some(at) = self.links.last_store_answer()
         {
             let answered = at + self.config.wall_offset_ms;
-            shard.owner.promise(&heartbeat.machine, answered, now);
+            shard.owner.renew_worker_lease(&heartbeat.machine, answered, now);
         }
         shard
             .owner
-            .report(heartbeat, relayed_by, now)
+            .handle_heartbeat(heartbeat, relayed_by, now)
             .map_or(HeartbeatAnswer::Unavailable, HeartbeatAnswer::Commands)
     }
 
@@ -218,7 +218,7 @@
     ) {
         self.commands_in_flight = self.commands_in_flight.saturating_sub(1);
         if let Some(shard) = self.shard_under(lease) {
-            shard.owner.call_done(call, result, now);
+            shard.owner.handle_call_result(call, result, now);
         }
     }
 }
--- a/crates/coordination/src/job_progress.rs
+++ b/crates/coordination/src/job_progress.rs
@@ -36,7 +36,7 @@
         let own = self
             .shards
             .values()
-            .find_map(|shard| shard.placer.job_note(id, now));
+            .find_map(|shard| shard.placer.job_status(id, now));
         let unreachable = match own {
             Some(_) => None,
             None => self.unreachable_placer(id, now),
--- a/crates/coordination/src/links/mod.rs
+++ b/crates/coordination/src/links/mod.rs
@@ -69,7 +69,7 @@
     ) -> Self {
         Self {
             own_index,
-            heartbeat_ms: timing.report_ms,
+            heartbeat_ms: timing.heartbeat_interval_ms,
             wall_offset_ms,
             store: UpstreamRoute::default(),
             cloud: UpstreamRoute::default(),
--- a/crates/coordination/src/owner/published_state.rs
+++ b/crates/coordination/src/owner/published_state.rs
@@ -87,7 +87,7 @@
         self.refresh();
         if self.placers.len() >= usize::from(self.shards) {
             // A new placer is sent the whole state.
-            self.machine_views.forget(
+            self.machine_views.compact(
                 self.placers
                     .values()
                     .map(|p| p.acknowledged_version)
@@ -99,7 +99,7 @@
         let (attempts_span, attempts) =
             placer
                 .published
-                .since(sync.have.attempts, &mut max_bytes, |_, _| ATTEMPT_BYTES);
+                .changes_since(sync.have.attempts, &mut max_bytes, |_, _| ATTEMPT_BYTES);
         let attempts = attempts
             .into_iter()
             .filter_map(|(id, state)| {
@@ -111,7 +111,7 @@
             .collect();
         let (machines_span, changes) =
             self.machine_views
-                .since(sync.have.machines, &mut max_bytes, |_, m| {
+                .changes_since(sync.have.machines, &mut max_bytes, |_, m| {
                     m.map_or(ATTEMPT_BYTES, written)
                 });
         let (mut machines, mut gone) = (Vec::new(), Vec::new());
--- a/crates/coordination/src/peer_sync.rs
+++ b/crates/coordination/src/peer_sync.rs
@@ -116,7 +116,7 @@
                 shard.apply_view(view, now);
             }
             None => {
-                shard.placer.lost(to);
+                shard.placer.message_lost(to);
                 channel.failures += 1;
                 if channel.failures == STORE_ROUTE_AFTER_FAILURES {
                     info!(
@@ -232,9 +232,9 @@
         let shard = self.shards.get_mut(&index)?;
         let token = local.unwrap_or(leader.token);
         let channel = &mut shard.peer_channels[usize::from(to)];
-        channel.dirty |= shard.placer.unsent(to, token);
+        channel.dirty |= shard.placer.has_unsent_changes(to, token);
         let through_store = local.is_none() && channel.through_store();
-        shard.placer.by_mail(to, through_store);
+        shard.placer.set_via_store(to, through_store);
         let gap = if through_store {
             STORE_SYNC_GAP_MS
         } else {
@@ -272,7 +272,7 @@
         let shard = self.shards.get_mut(&index)?;
         let sync = shard
             .placer
-            .sync_for(to, due.token, room, with_progress, now);
+            .sync_request(to, due.token, room, with_progress, now);
         if due.route == SyncRoute::Local {
             return Some(sync);
         }
@@ -290,7 +290,7 @@
             .get_mut(&sync.to)
             .and_then(|shard| shard.owner.sync(sync, SYNC_BYTES, now).ok());
         match (view, self.shards.get_mut(&index)) {
-            (Some(view), Some(shard)) => shard.placer.take_view(view, now),
+            (Some(view), Some(shard)) => shard.placer.apply_view(view, now),
             _ => false,
         }
     }
--- a/crates/coordination/src/placer/owner_channel.rs
+++ b/crates/coordination/src/placer/owner_channel.rs
@@ -74,7 +74,7 @@
         } else {
             desired_at
         };
-        self.desired.forget(self.desired_acked);
+        self.desired.compact(self.desired_acked);
         self.progress_acked = self.progress_acked.max(self.progress_sent);
         if self.desired_acked == 0 {
             self.desired_sent = 0;
@@ -106,7 +106,7 @@
     bytes: usize,
 ) -> Vec<(AttemptId, u32)> {
     desired
-        .beyond(upto)
+        .newer_than(upto)
         .filter_map(|(id, attempt)| attempt.kill.map(|grace| (id.clone(), grace)))
         .take(bytes / ATTEMPT_BYTES)
         .collect()
@@ -159,7 +159,7 @@
         let (span, changes) =
             channel
                 .desired
-                .since(channel.desired_acked, &mut room, |_, attempt| {
+                .changes_since(channel.desired_acked, &mut room, |_, attempt| {
                     attempt.map_or(ATTEMPT_BYTES, written)
                 });
         channel.desired_sent = span.upto;
@@ -219,7 +219,7 @@
         let channel = &mut self.owner_channels[usize::from(to)];
         let (span, changes) = self
             .job_progress
-            .since(channel.progress_acked, &mut room, |_, _| PROGRESS_BYTES);
+            .changes_since(channel.progress_acked, &mut room, |_, _| PROGRESS_BYTES);
         channel.progress_sent = span.upto;
         changes
             .into_iter()
--- a/crates/coordination/src/placer/reconciliation.rs
+++ b/crates/coordination/src/placer/reconciliation.rs
@@ -112,7 +112,7 @@
         }
         let index = &self.indexes[usize::from(shard)];
         self.pending_instances.retain(|pending| {
-            pending.shard != shard || index.find(&pending.instance.machine).is_none()
+            pending.shard != shard || index.position(&pending.instance.machine).is_none()
         });
     }
 
@@ -123,10 +123,10 @@
             .get(&machine.kind)
             .copied()
             .unwrap_or(u64::MAX);
-        let spare_mb = self.image_usage.spare_mb(&machine.images, cache_mb);
+        let spare_mb = self.image_usage.cache_headroom_mb(&machine.images, cache_mb);
         let index = &mut self.indexes[usize::from(shard)];
-        index.set(machine);
-        index.set_spare(&id, spare_mb);
+        index.upsert(machine);
+        index.set_cache_headroom(&id, spare_mb);
         self.apply_machine_figures(&id, shard);
         if is_leaving {
             self.evict_machine(&id, shard, now);
--- a/crates/coordination/src/provisioning.rs
+++ b/crates/coordination/src/provisioning.rs
@@ -4,7 +4,7 @@
 
 use tracing::info;
 
-use crate::autoscaler::{CapacityBin, FailingPools, ProvisioningOptions, plan};
+use crate::autoscaler::{CapacityBin, FailingPools, ProvisioningOptions, plan_scale_out};
 use crate::placer::PendingInstance;
 use crate::shard::{PendingProvisioning, Shard};
 use crate::{Core, Effect, ProvisioningResult, ShardLease};
@@ -49,11 +49,11 @@
                     "instances provisioned"
                 );
                 if (machines.len() as u32) < request.count {
-                    shard.shortages.note(request, now);
+                    shard.shortages.record(request, now);
                 }
                 for instance in instances {
                     shard.peer_channels[usize::from(instance.shard)].dirty = true;
-                    shard.placer.promises.push(instance);
+                    shard.placer.pending_instances.push(instance);
                 }
             }
             ProvisioningResult::NoCapacity => {
@@ -64,7 +64,7 @@
                     spot = request.spot,
                     "no capacity for instances"
                 );
-                shard.shortages.note(request, now);
+                shard.shortages.record(request, now);
             }
             ProvisioningResult::Retry => shard.provisioning_not_before = now + CLOUD_TROUBLE_MS,
         }
@@ -78,8 +78,8 @@
     ) -> PendingInstance {
         PendingInstance {
             shard: self.config.shard_of(&request.zone, id),
-            at: now,
-            rented: ProvisionedInstance {
+            provisioned_at: now,
+            instance: ProvisionedInstance {
                 machine: id.clone(),
                 kind: request.kind.clone(),
                 zone: request.zone.clone(),
@@ -98,7 +98,7 @@
         now: u64,
     ) {
         if let Some(shard) = self.shard_under(lease) {
-            shard.owner.released(machines, done, now);
+            shard.owner.instances_released(machines, done, now);
         }
     }
 
@@ -114,7 +114,7 @@
         for (index, shard) in &mut self.shards {
             shard
                 .owner
-                .listed(by_shard.get(index).map_or(&[], Vec::as_slice), now);
+                .instances_listed(by_shard.get(index).map_or(&[], Vec::as_slice), now);
         }
     }
 
@@ -130,10 +130,10 @@
         if now < shard.provisioning_not_before {
             return;
         }
-        if shard.planned_pass < shard.placer.passes
+        if shard.planned_pass < shard.placer.placement_passes
             && shard.provisioning.len() < PROVISIONING_IN_FLIGHT_MAX
         {
-            shard.planned_pass = shard.placer.passes;
+            shard.planned_pass = shard.placer.placement_passes;
             shard.plan_provisioning(catalog, now);
         }
         let lease = shard.lease;
@@ -193,12 +193,12 @@
     /// What to provision (kind, zone, spot, count) for what the placer lacks, beyond what
     /// boots already or is requested.
     fn plan(&self, catalog: &Catalog, now: u64) -> Vec<(String, String, bool, u32)> {
-        if self.placer.lacking.is_empty() {
+        if self.placer.unmet_demand.is_empty() {
             return Vec::new();
         }
         // What boots in a partitioned zone can't be reached; what is there
         // already is waited for by those who may run nowhere else.
-        let partitioned = self.placer.hidden_zones();
+        let partitioned = self.placer.partitioned_zones();
         let mut machines_by_zone: BTreeMap<String, usize> = BTreeMap::new();
         for machine in self.placer.machines() {
             match machines_by_zone.get_mut(&machine.zone) {
@@ -209,15 +209,15 @@
         // What is overdue boots, and is not open.
         let booting = self.placer.machines().filter(|m| !m.up && m.busy == 0);
         let failing =
-            FailingPools::of(booting.map(|m| (m.kind.as_str(), m.zone.as_str(), m.spot, !m.open)));
+            FailingPools::new(booting.map(|m| (m.kind.as_str(), m.zone.as_str(), m.spot, !m.open)));
         let options = ProvisioningOptions {
-            hidden: &partitioned,
-            failing: &failing,
+            partitioned_zones: &partitioned,
+            failing_pools: &failing,
             catalog,
-            shortage: &self.shortages,
+            shortages: &self.shortages,
         };
-        plan(
-            &self.placer.lacking,
+        plan_scale_out(
+            &self.placer.unmet_demand,
             &self.capacity_under_way(catalog),
             &machines_by_zone,
             &options,
@@ -227,7 +227,7 @@
 
     /// Machines that boot for this shard's placer, were provisioned for it, or are requested.
     fn capacity_under_way(&self, catalog: &Catalog) -> Vec<CapacityBin> {
-        let partitioned = self.placer.hidden_zones();
+        let partitioned = self.placer.partitioned_zones();
         let bin = |kind: &str, zone: &str, spot: bool| CapacityBin {
             kind: kind.to_owned(),
             zone: zone.to_owned(),
@@ -242,9 +242,9 @@
         let mut bins: Vec<CapacityBin> = booting.map(|m| bin(&m.kind, &m.zone, m.spot)).collect();
         bins.extend(
             self.placer
-                .promises
+                .pending_instances
                 .iter()
-                .map(|p| bin(&p.rented.kind, &p.rented.zone, p.rented.spot)),
+                .map(|p| bin(&p.instance.kind, &p.instance.zone, p.instance.spot)),
         );
         for PendingProvisioning { request, .. } in &self.provisioning {
             bins.extend(
--- a/crates/coordination/src/shard.rs
+++ b/crates/coordination/src/shard.rs
@@ -96,7 +96,7 @@
     /// Applies the machine types of the cloud's catalog to both sides.
     pub(crate) fn apply_catalog(&mut self, config: &Config, catalog: &Catalog) {
         self.owner.set_types(catalog.values());
-        self.placer.expect(
+        self.placer.set_start_objectives(
             &config.start_objectives_s,
             config.guarantee_objective_s,
             catalog,
@@ -105,8 +105,8 @@
 
     /// Hands the images that services use to the owner, if they changed.
     pub(crate) fn update_needed_images(&mut self) {
-        if let Some(images) = self.placer.book.take_needed() {
-            self.owner.set_needed(images);
+        if let Some(images) = self.placer.image_usage.take_changed_service_images() {
+            self.owner.set_service_images(images);
         }
     }
 
@@ -118,7 +118,7 @@
     pub(crate) fn apply_view(&mut self, view: ShardView, now: u64) {
         if self
             .placer
-            .wants_told_to(view.shard)
+            .recipient_token(view.shard)
             .is_some_and(|token| view.token < token)
         {
             debug!(
@@ -129,6 +129,6 @@
             );
             return;
         }
-        self.placer.take_view(view, now);
+        self.placer.apply_view(view, now);
     }
 }
--- a/crates/coordination/src/shard_lifecycle.rs
+++ b/crates/coordination/src/shard_lifecycle.rs
@@ -54,7 +54,7 @@
             .record_event(now, format!("shard {} acquired", lease.shard));
         self.load_jobs(&mut shard, now);
         self.shards.insert(lease.shard, shard);
-        self.begin_takeover(lease, now);
+        self.begin_failover(lease, now);
     }
 
     fn new_owner(
@@ -72,18 +72,18 @@
             self.policy.clone(),
             now,
         );
-        owner.learn_images(images);
+        owner.restore_image_pages(images);
         owner
     }
 
     fn new_placer(&self, lease: ShardLease, shards: u16, now: u64) -> Placer {
         let config = PlacerConfig {
-            limits: self.config.quota_limits.clone(),
-            guarantees: self.config.guaranteed_quotas.clone(),
+            quota_limits: self.config.quota_limits.clone(),
+            guaranteed_quotas: self.config.guaranteed_quotas.clone(),
             zones: self.config.zones.clone(),
-            txn_ops: self.config.cas_max_changes,
-            spare: self.policy.spare,
-            idle_writes: self.config.idle_writes_per_s,
+            cas_max_changes: self.config.cas_max_changes,
+            headroom_share: self.policy.spare,
+            idle_writes_per_s: self.config.idle_writes_per_s,
             gang_wait_ms: self.config.gang_wait_ms,
             wall_offset_ms: self.config.wall_offset_ms,
             trade: self.policy.trade,
@@ -93,18 +93,18 @@
 
     /// Loads all jobs of the shard's teams, and drops those of its records that are over.
     fn load_jobs(&self, shard: &mut Shard, now: u64) {
-        let known: Vec<JobId> = shard.placer.known().cloned().collect();
+        let known: Vec<JobId> = shard.placer.known_jobs().cloned().collect();
         for id in &known {
             if !self.cache.jobs.contains_key(id) {
-                shard.placer.set_job(id, None, now);
+                shard.placer.apply_job(id, None, now);
             }
         }
         for (id, job) in &self.cache.jobs {
-            shard.placer.book.note(id, active_spec(job));
+            shard.placer.image_usage.record_job(id, active_spec(job));
             let team = &job.record.spec.team;
             if Self::team_shard(&self.cache, &self.config, team) == shard.lease.shard {
                 let job = with_inherited_priority(job, self.dependencies.inherited_priority(id));
-                shard.placer.set_job(id, Some(&job), now);
+                shard.placer.apply_job(id, Some(&job), now);
             }
         }
         shard.update_needed_images();
@@ -127,14 +127,14 @@
         now: u64,
     ) -> ShardOwnership {
         let Some(shard) = self.shard_under(lease) else {
-            return ShardOwnership::Fine;
+            return ShardOwnership::Held;
         };
-        let revision = if let CompareAndSwapOutcome::Done(revision) = outcome {
+        let revision = if let CompareAndSwapOutcome::Committed(revision) = outcome {
             revision
         } else {
             0
         };
-        let (ownership, final_states) = shard.placer.cas_done(outcome, now);
+        let (ownership, final_states) = shard.placer.cas_completed(outcome, now);
         for (id, phase) in final_states {
             self.cache.settle(&id, phase, revision, now);
         }
@@ -147,7 +147,7 @@
     /// A task record of a shard was read again and has this version.
     pub fn chunk_reread(&mut self, lease: ShardLease, job: &JobId, chunk: u32, version: u64) {
         if let Some(shard) = self.shard_under(lease) {
-            shard.placer.reread(job, chunk, version);
+            shard.placer.chunk_reread(job, chunk, version);
         }
     }
 
--- a/crates/coordination/src/supervision/failover_log.rs
+++ b/crates/coordination/src/supervision/failover_log.rs
@@ -22,9 +22,9 @@
         ceded_shards: Vec<u16>,
         now: u64,
     ) -> CompareAndSwap {
-        let me = &self.config.members[usize::from(self.config.me)];
+        let me = &self.config.members[usize::from(self.config.own_index)];
         match *action {
-            ElectionAction::Take { shard, version } => {
+            ElectionAction::Acquire { shard, version } => {
                 let change = if version == 0 {
                     LeadershipChange::Vacant
                 } else {
@@ -33,13 +33,13 @@
                 let record = self.new_failover(shard, change, now);
                 acquire_shard(version, &me.host, store_lease, &record)
             }
-            ElectionAction::HandBack(lease) => {
+            ElectionAction::ReturnToHome(lease) => {
                 let record = self.new_failover(lease.shard, LeadershipChange::HandedBack, now);
                 let mut cas = release_shard(lease.token, &record);
                 self.complete_on_release(lease, &mut cas, now);
                 cas
             }
-            ElectionAction::Leave(lease) => {
+            ElectionAction::Cede(lease) => {
                 let record = self.new_failover(lease.shard, LeadershipChange::Left, now);
                 let mut cas = cede_shard(
                     lease.token,
@@ -89,7 +89,7 @@
 
     /// Host of this controller.
     fn host(&self) -> &str {
-        &self.config.members[usize::from(self.config.me)].host
+        &self.config.members[usize::from(self.config.own_index)].host
     }
 
     /// Host of the last known leader of a shard.
@@ -153,7 +153,7 @@
             return;
         };
         shard.placer.observe_services(&mut shard.failover, now);
-        shard.placer.escalate(&shard.shortage, now);
+        shard.placer.escalate(&shard.shortages, now);
         let Some(number) = shard.failover.completion_due(now) else {
             return;
         };
@@ -172,7 +172,7 @@
         }
         shard.failover.completion_attempted(now);
         if let Some(cas) = self.completion_cas(index, completed, now) {
-            effects.push(Effect::Note(cas));
+            effects.push(Effect::WriteHint(cas));
         }
     }
 
@@ -196,7 +196,7 @@
         };
         completed.join(&mut cas);
         for abandoned in self.abandoned_records(index, number) {
-            if cas.writes.len() >= self.config.txn_ops {
+            if cas.writes.len() >= self.config.cas_max_changes {
                 break;
             }
             abandoned.join(&mut cas);
--- a/crates/coordination/src/supervision/report.rs
+++ b/crates/coordination/src/supervision/report.rs
@@ -36,7 +36,7 @@
         let host = self
             .config
             .members
-            .get(usize::from(self.config.me))
+            .get(usize::from(self.config.own_index))
             .map(|member| member.host.clone())
             .unwrap_or_default();
         let cache_age_ms = self.cache.revision.map(|_| self.links.store_age(now));
@@ -118,7 +118,7 @@
     fn service_row_from_notes(&self, job: &CachedJob) -> UnderReplicatedServiceRow {
         let spec = &job.record.spec;
         let desired = spec.tasks.min(u64::from(u32::MAX)) as u32;
-        let note = self.notes.get(&spec.id);
+        let note = self.peer_progress.get(&spec.id);
         UnderReplicatedServiceRow {
             job: spec.id.to_string(),
             class: spec.class.clone(),
