--- a/tests/edges.rs
+++ b/tests/edges.rs
@@ -1,7 +1,8 @@
 //! Bad input at each edge: refused with a fault that is named, changing nothing.
 
 use lemonweir_coordination::autoscaler::{
-    CapacityBin, CapacityDemand, CapacityShortages, FailingPools, ProvisioningOptions, plan,
+    BootingInstance, CapacityBin, CapacityDemand, CapacityShortages, FailingPools, InstancePool,
+    Market, ProvisioningOptions, ScaleOut, plan_scale_out,
 };
 use lemonweir_model::settings::Settings;
 use lemonweir_model::{JobId, JobKind, Resources};
@@ -227,76 +228,74 @@
     assert!(JobId::parse("req-000412/3").is_none());
 }
 
-// ---- what to rent ----------------------------------------------------------
+// ---- scale out ----------------------------------------------------------
 
 fn demand(count: u32, spot: bool) -> CapacityDemand {
     CapacityDemand {
         team: "red".into(),
         need: Resources::offer(4.0, 1.0, 8.0),
-        types: None,
+        machine_types: None,
         zone: None,
-        spot,
-        only_spot: false,
+        spot_allowed: spot,
+        spot_only: false,
         count,
-        one_zone: false,
+        single_zone: false,
         idle: false,
-        first: false,
+        must_start_now: false,
     }
 }
 
-/// What is rented for this where nothing is out of sight.
-fn rent(
-    lacking: &[CapacityDemand],
+/// What is requested for this where no zone is partitioned.
+fn scale_out(
+    demands: &[CapacityDemand],
     booting: &[CapacityBin],
-    failing: &FailingPools,
-    shortage: &CapacityShortages,
-) -> Vec<(String, String, bool, u32)> {
-    let (hidden, catalog) = (Default::default(), catalog());
-    plan(
-        lacking,
+    failing_pools: &FailingPools,
+    shortages: &CapacityShortages,
+) -> Vec<ScaleOut> {
+    let (partitioned_zones, catalog) = (Default::default(), catalog());
+    plan_scale_out(
+        demands,
         booting,
         &Default::default(),
         &ProvisioningOptions {
-            hidden: &hidden,
-            failing,
+            partitioned_zones: &partitioned_zones,
+            failing_pools,
             catalog: &catalog,
-            shortage,
+            shortages,
         },
         0,
     )
 }
 
 #[test]
-fn renting_counts_what_boots_and_takes_the_cheapest() {
-    let rented = |demand, booting: &[CapacityBin]| {
-        rent(
+fn scale_out_counts_booting_instances_and_takes_the_cheapest() {
+    let requested = |demand, booting: &[CapacityBin]| {
+        scale_out(
             &[demand],
             booting,
             &FailingPools::default(),
             &CapacityShortages::default(),
         )
     };
-    let count = |plan: Vec<(String, String, bool, u32)>| {
+    let count = |plan: Vec<ScaleOut>| {
         (
-            plan.iter().map(|p| p.3).sum::<u32>(),
-            plan.iter().all(|p| p.2),
+            plan.iter().map(|p| p.count).sum::<u32>(),
+            plan.iter().all(|p| p.pool.market == Market::Spot),
         )
     };
     assert_eq!(
-        count(rented(demand(9, true), &[])),
+        count(requested(demand(9, true), &[])),
         (3, true),
-        "nine on spot machines of four"
+        "nine on spot instances of four"
     );
-    assert_eq!(count(rented(demand(4, false), &[])).0, 1);
+    assert_eq!(count(requested(demand(4, false), &[])).0, 1);
     let booting = CapacityBin {
-        kind: "box".into(),
-        zone: "north".into(),
-        spot: false,
+        pool: InstancePool::new("box", "north", Market::OnDemand),
         free: Resources::offer(16.0, 4.0, 64.0),
     };
     assert!(
-        rented(demand(4, false), &[booting]).is_empty(),
-        "it is on its way"
+        requested(demand(4, false), &[booting]).is_empty(),
+        "it is booting"
     );
 }
 
@@ -305,51 +304,56 @@
 #[test]
 fn a_gang_of_one_zone_gets_machines_of_one_zone() {
     let mut gang = demand(9, true);
-    gang.one_zone = true;
-    let plan = rent(
+    gang.single_zone = true;
+    let plan = scale_out(
         &[gang],
         &[],
         &FailingPools::default(),
         &CapacityShortages::default(),
     );
     assert_eq!(plan.len(), 1, "{plan:?}");
-    assert_eq!(plan[0].3, 3);
+    assert_eq!(plan[0].count, 3);
 }
 
-/// Where most of what was rented does not come up, others are asked for first,
-/// dearer ones last of all.
+/// Where most of the booting instances are overdue, other pools are asked first, more
+/// expensive ones last of all.
 #[test]
-fn what_does_not_come_up_is_replaced_elsewhere() {
+fn failing_pools_are_avoided_while_others_have_capacity() {
     let none = CapacityShortages::default();
-    let first = rent(&[demand(4, true)], &[], &FailingPools::default(), &none).remove(0);
-    let overdue = |n: usize, all: usize| {
-        FailingPools::of((0..all).map(|i| (first.0.as_str(), first.1.as_str(), first.2, i < n)))
+    let first = scale_out(&[demand(4, true)], &[], &FailingPools::default(), &none).remove(0);
+    let overdue = |overdue: usize, all: usize| {
+        FailingPools::new((0..all).map(|i| BootingInstance {
+            machine_type: &first.pool.machine_type,
+            zone: &first.pool.zone,
+            market: first.pool.market,
+            overdue: i < overdue,
+        }))
     };
-    let then = rent(&[demand(4, true)], &[], &overdue(3, 4), &none).remove(0);
+    let next = scale_out(&[demand(4, true)], &[], &overdue(3, 4), &none).remove(0);
     assert_ne!(
-        (&then.1, then.2),
-        (&first.1, first.2),
-        "another zone or kind"
+        (&next.pool.zone, next.pool.market),
+        (&first.pool.zone, first.pool.market),
+        "another zone or market"
     );
     assert_eq!(
-        rent(&[demand(4, true)], &[], &overdue(2, 4), &none).remove(0),
+        scale_out(&[demand(4, true)], &[], &overdue(2, 4), &none).remove(0),
         first,
         "two may be chance"
     );
     assert_eq!(
-        rent(&[demand(4, true)], &[], &overdue(4, 9), &none).remove(0),
+        scale_out(&[demand(4, true)], &[], &overdue(4, 9), &none).remove(0),
         first,
         "most come up"
     );
     let bound = CapacityDemand {
-        zone: Some(first.1.clone()),
-        only_spot: true,
+        zone: Some(first.pool.zone.clone()),
+        spot_only: true,
         ..demand(4, true)
     };
     assert_eq!(
-        rent(&[bound], &[], &overdue(4, 4), &none).remove(0),
+        scale_out(&[bound], &[], &overdue(4, 4), &none).remove(0),
         first,
-        "nothing else will do"
+        "no other pool is allowed"
     );
 }
 
