--- a/crates/coordination/src/core.rs
+++ b/crates/coordination/src/core.rs
@@ -154,11 +154,11 @@
         self.shards
             .values()
             .fold(WorkCounters::default(), |sum, shard| {
-                let (refused, preempted) = shard.owner.placement_counts();
+                let counts = shard.owner.placement_counts();
                 WorkCounters {
                     candidates_examined: sum.candidates_examined + shard.placer.inspected(),
-                    placements_refused: sum.placements_refused + refused,
-                    attempts_preempted: sum.attempts_preempted + preempted,
+                    placements_refused: sum.placements_refused + counts.refused,
+                    attempts_preempted: sum.attempts_preempted + counts.preempted,
                 }
             })
     }
--- a/crates/coordination/src/flush.rs
+++ b/crates/coordination/src/flush.rs
@@ -168,7 +168,7 @@
     pub fn workers_unreachable(&self, shard: u16, now: u64) -> bool {
         self.shards
             .get(&shard)
-            .is_some_and(|shard| shard.owner.workers_unreachable(now))
+            .is_some_and(|shard| shard.owner.is_unreachable(now))
     }
 }
 
--- a/crates/coordination/src/heartbeats.rs
+++ b/crates/coordination/src/heartbeats.rs
@@ -4,6 +4,7 @@
 use tracing::warn;
 
 use crate::links::{MisroutedHeartbeat, MisroutedHeartbeatAction};
+use crate::misrouted_heartbeats::MisroutedArrival;
 use crate::owner::{CommandCall, CommandResult};
 use crate::process_stall::STALL_MS;
 use crate::{Core, HeartbeatAnswer, ShardLease, incarnation, worker_lease};
@@ -91,7 +92,10 @@
         zone_known: bool,
         now: u64,
     ) -> HeartbeatAnswer {
-        let (repeated, fresh) = self.links.misrouted.came(
+        let MisroutedArrival {
+            repeated,
+            is_new: fresh,
+        } = self.links.misrouted.record(
             shard,
             &heartbeat.machine,
             incarnation::MessageSequence::of(heartbeat),
--- a/crates/coordination/src/links/mod.rs
+++ b/crates/coordination/src/links/mod.rs
@@ -20,7 +20,7 @@
 use std::collections::BTreeMap;
 
 use crate::machine::Timing;
-use crate::machine_health::MisroutedHeartbeats;
+use crate::misrouted_heartbeats::MisroutedHeartbeats;
 use crate::process_stall::STALL_MS;
 use history::EventHistory;
 use latency::LatencyWindow;
--- a/crates/coordination/src/peer_sync.rs
+++ b/crates/coordination/src/peer_sync.rs
@@ -226,7 +226,7 @@
 
     /// Whether one shard's placer is to sync with an owner now, and by which route.
     fn due_sync(&mut self, index: u16, to: u16, now: u64) -> Option<DueSync> {
-        let misrouted = self.links.misrouted.any(to, now);
+        let misrouted = self.links.misrouted.any_recent(to, now);
         let leader = self.cache.shards.get(&to)?;
         let local = self.shards.get(&to).map(|shard| shard.lease.token);
         let shard = self.shards.get_mut(&index)?;
@@ -278,7 +278,7 @@
         }
         Some(SyncRequest {
             store_age_ms,
-            strays: self.links.misrouted.count(to, now),
+            strays: self.links.misrouted.count_recent(to, now),
             ..sync
         })
     }
--- a/crates/coordination/src/provisioning.rs
+++ b/crates/coordination/src/provisioning.rs
@@ -4,7 +4,10 @@
 
 use tracing::info;
 
-use crate::autoscaler::{CapacityBin, FailingPools, ProvisioningOptions, plan_scale_out};
+use crate::autoscaler::{
+    BootingInstance, CapacityBin, FailingPools, InstancePool, Market, ProvisioningOptions, ScaleOut,
+    plan_scale_out,
+};
 use crate::placer::PendingInstance;
 use crate::shard::{PendingProvisioning, Shard};
 use crate::{Core, Effect, ProvisioningResult, ShardLease};
@@ -98,7 +101,7 @@
         now: u64,
     ) {
         if let Some(shard) = self.shard_under(lease) {
-            shard.owner.instances_released(machines, done, now);
+            shard.owner.release_finished(machines, done, now);
         }
     }
 
@@ -114,7 +117,7 @@
         for (index, shard) in &mut self.shards {
             shard
                 .owner
-                .instances_listed(by_shard.get(index).map_or(&[], Vec::as_slice), now);
+                .apply_inventory(by_shard.get(index).map_or(&[], Vec::as_slice), now);
         }
     }
 
@@ -164,10 +167,12 @@
     /// Adds the requests for what the placer lacks, one at a time for each kind, zone and
     /// market.
     fn plan_provisioning(&mut self, catalog: &Catalog, now: u64) {
-        for (kind, zone, spot, count) in self.plan(catalog, now) {
-            let same = |r: &ProvisioningRequest| r.kind == kind && r.zone == zone && r.spot == spot;
+        for ScaleOut { pool, count } in self.plan(catalog, now) {
             if self.provisioning.len() >= PROVISIONING_IN_FLIGHT_MAX
-                || self.provisioning.iter().any(|p| same(&p.request))
+                || self
+                    .provisioning
+                    .iter()
+                    .any(|pending| InstancePool::from(&pending.request) == pool)
             {
                 continue;
             }
@@ -180,9 +185,9 @@
             self.provisioning.push(PendingProvisioning {
                 request: ProvisioningRequest {
                     booking,
-                    kind,
-                    zone,
-                    spot,
+                    kind: pool.machine_type,
+                    zone: pool.zone,
+                    spot: pool.market.is_spot(),
                     count,
                 },
                 in_flight: false,
@@ -190,9 +195,9 @@
         }
     }
 
-    /// What to provision (kind, zone, spot, count) for what the placer lacks, beyond what
+    /// What to provision for what the placer lacks, beyond what
     /// boots already or is requested.
-    fn plan(&self, catalog: &Catalog, now: u64) -> Vec<(String, String, bool, u32)> {
+    fn plan(&self, catalog: &Catalog, now: u64) -> Vec<ScaleOut> {
         if self.placer.unmet_demand.is_empty() {
             return Vec::new();
         }
@@ -209,7 +214,12 @@
         // What is overdue boots, and is not open.
         let booting = self.placer.machines().filter(|m| !m.up && m.busy == 0);
         let failing =
-            FailingPools::new(booting.map(|m| (m.kind.as_str(), m.zone.as_str(), m.spot, !m.open)));
+            FailingPools::new(booting.map(|m| BootingInstance {
+                machine_type: &m.kind,
+                zone: &m.zone,
+                market: Market::from_spot_flag(m.spot),
+                overdue: !m.open,
+            }));
         let options = ProvisioningOptions {
             partitioned_zones: &partitioned,
             failing_pools: &failing,
@@ -229,9 +239,7 @@
     fn capacity_under_way(&self, catalog: &Catalog) -> Vec<CapacityBin> {
         let partitioned = self.placer.partitioned_zones();
         let bin = |kind: &str, zone: &str, spot: bool| CapacityBin {
-            kind: kind.to_owned(),
-            zone: zone.to_owned(),
-            spot,
+            pool: InstancePool::new(kind, zone, Market::from_spot_flag(spot)),
             free: catalog.get(kind).map(|t| t.room).unwrap_or_default(),
         };
         let booting = self.placer.machines().filter(|m| {
--- a/crates/coordination/src/shard_lifecycle.rs
+++ b/crates/coordination/src/shard_lifecycle.rs
@@ -81,9 +81,9 @@
             quota_limits: self.config.quota_limits.clone(),
             guaranteed_quotas: self.config.guaranteed_quotas.clone(),
             zones: self.config.zones.clone(),
-            cas_max_changes: self.config.cas_max_changes,
+            max_cas_operations: self.config.cas_max_changes,
             headroom_share: self.policy.spare,
-            idle_writes_per_s: self.config.idle_writes_per_s,
+            low_priority_writes_per_s: self.config.idle_writes_per_s,
             gang_wait_ms: self.config.gang_wait_ms,
             wall_offset_ms: self.config.wall_offset_ms,
             trade: self.policy.trade,
@@ -134,7 +134,7 @@
         } else {
             0
         };
-        let (ownership, final_states) = shard.placer.cas_completed(outcome, now);
+        let (ownership, final_states) = shard.placer.apply_cas_outcome(outcome, now);
         for (id, phase) in final_states {
             self.cache.settle(&id, phase, revision, now);
         }
@@ -147,7 +147,7 @@
     /// A task record of a shard was read again and has this version.
     pub fn chunk_reread(&mut self, lease: ShardLease, job: &JobId, chunk: u32, version: u64) {
         if let Some(shard) = self.shard_under(lease) {
-            shard.placer.chunk_reread(job, chunk, version);
+            shard.placer.apply_reread_version(job, chunk, version);
         }
     }
 
--- a/crates/coordination/tests/cancellations.rs
+++ b/crates/coordination/tests/cancellations.rs
@@ -6,7 +6,7 @@
 mod support;
 
 use controllers::*;
-use lemonweir_coordination::job_status::Answer;
+use lemonweir_coordination::job_status::JobStatusAnswer;
 use lemonweir_coordination::owner::{CommandResult, Owner};
 use lemonweir_coordination::placer::CompareAndSwapOutcome;
 use lemonweir_coordination::{Config, Core, Effect, ShardLease};
@@ -81,7 +81,7 @@
         };
         core.cache
             .replace(&[accepted, holder(0, TOKEN), holder(1, OWN)], 100);
-        core.refreshed(10, true);
+        core.cache_refreshed(10, true);
         core.acquire(lease, &[], Vec::new(), 10);
         let mut asker = Self {
             core,
@@ -104,7 +104,7 @@
             vec![shown(1, 4)],
             Vec::new(),
         );
-        asker.core.sync_done(lease, 0, Some(shows), asker.now);
+        asker.core.sync_completed(lease, 0, Some(shows), asker.now);
         asker
     }
 
@@ -115,13 +115,13 @@
             let mut found = None;
             self.now += 50;
             // The store answers it all the while.
-            self.core.refreshed(self.now, false);
-            for effect in self.core.pump(self.now) {
+            self.core.cache_refreshed(self.now, false);
+            for effect in self.core.flush(self.now) {
                 match effect {
                     Effect::CompareAndSwap(lease, cas) => {
                         self.ended |= ends(&cas, &self.job);
                         self.revision += 1;
-                        self.core.cas_done(
+                        self.core.cas_completed(
                             lease,
                             CompareAndSwapOutcome::Committed(self.revision),
                             self.now,
@@ -129,7 +129,7 @@
                     }
                     effect if found.is_none() && look(&effect).is_some() => found = look(&effect),
                     Effect::Sync(lease, sync) => {
-                        self.core.sync_done(lease, sync.to, None, self.now)
+                        self.core.sync_completed(lease, sync.to, None, self.now)
                     }
                     _ => {}
                 }
@@ -154,7 +154,7 @@
 
     fn mailed(&mut self) -> SyncRequest {
         self.until(|e| {
-            if let Effect::MailSync(sync) = e {
+            if let Effect::StoreSync(sync) = e {
                 Some(sync.clone())
             } else {
                 None
@@ -168,14 +168,14 @@
     fn told_both(&mut self) -> (SyncRequest, SyncRequest) {
         for _ in 0..MAIL_AFTER_FAILURES {
             self.direct();
-            self.core.sync_done(self.lease, 0, None, self.now);
+            self.core.sync_completed(self.lease, 0, None, self.now);
         }
         let out = loop {
             let sync = self.direct();
             if !sync.wants.is_empty() {
                 break sync;
             }
-            self.core.sync_done(self.lease, 0, None, self.now);
+            self.core.sync_completed(self.lease, 0, None, self.now);
         };
         let taken = ShardRecord { host: "h2".into() };
         self.learn(shard_key(0), to_value(&taken), NEXT);
@@ -200,7 +200,7 @@
             self.revision,
             self.now,
         );
-        self.core.refreshed(self.now, true);
+        self.core.cache_refreshed(self.now, true);
     }
 
     /// Its user withdraws the job; true if it counts as over within some seconds.
@@ -253,17 +253,17 @@
         0,
     );
     next.set_types([kind()].iter());
-    next.report(&seen(1, false), None, now).expect("answered");
+    next.handle_heartbeat(&seen(1, false), None, now).expect("answered");
     next.tick(now + 10, now + 10);
     next.sync(told, ROOM, now + 20).expect("taken");
-    let call = next.calls(now + 30, ROOM).pop().expect("started");
+    let call = next.due_calls(now + 30, ROOM).pop().expect("started");
     assert!(
         call.commands
             .orders
             .iter()
             .any(|o| o.verb == CommandKind::Launch)
     );
-    next.call_done(&call, CommandResult::Executed(seen(2, true)), now + 40);
+    next.handle_call_result(&call, CommandResult::Executed(seen(2, true)), now + 40);
     next
 }
 
@@ -303,9 +303,9 @@
                     };
                     asker.learn(key, value, asker.revision + 1);
                 }
-                asker.core.take_mail(asker.now);
+                asker.core.handle_store_messages(asker.now);
             } else {
-                asker.core.sync_done(asker.lease, 0, Some(late), asker.now);
+                asker.core.sync_completed(asker.lease, 0, Some(late), asker.now);
             }
             assert!(
                 !asker.withdrawn(),
@@ -314,22 +314,22 @@
             // Proven over by the next one, it is.
             for runs in [true, false] {
                 let sync = asker.until(|e| match e {
-                    Effect::Sync(_, sync) | Effect::MailSync(sync) => Some(sync.clone()),
+                    Effect::Sync(_, sync) | Effect::StoreSync(sync) => Some(sync.clone()),
                     _ => None,
                 });
                 let sync = sync.expect("a sync");
                 let now = asker.now;
                 let answer = next.sync(&sync, ROOM, now).expect("taken");
-                asker.core.sync_done(asker.lease, 0, Some(answer), now);
+                asker.core.sync_completed(asker.lease, 0, Some(answer), now);
                 if runs {
-                    let call = next.calls(now, ROOM).pop().expect("stopped");
+                    let call = next.due_calls(now, ROOM).pop().expect("stopped");
                     assert!(
                         call.commands
                             .orders
                             .iter()
                             .any(|o| o.verb == CommandKind::Kill)
                     );
-                    next.call_done(&call, CommandResult::Executed(seen(3, false)), now + 10);
+                    next.handle_call_result(&call, CommandResult::Executed(seen(3, false)), now + 10);
                 }
             }
             asker.until(|_| None::<()>);
@@ -349,8 +349,8 @@
         let mut asker = Asker::new();
         let (key, now) = (job_key(&asker.job), asker.now);
         assert!(matches!(
-            asker.core.answer(&asker.job, now),
-            Answer::Unfinished(..)
+            asker.core.job_status(&asker.job, now),
+            JobStatusAnswer::Unfinished(..)
         ));
         if full {
             let holder = |shard: u16, token| KeyValue {
@@ -385,10 +385,10 @@
             };
             asker.core.cache.apply(&[set, left], 200, now);
         }
-        asker.core.refreshed(now, true);
+        asker.core.cache_refreshed(now, true);
         assert_eq!(
-            asker.core.answer(&asker.job, now + 60_000),
-            Answer::Unknown,
+            asker.core.job_status(&asker.job, now + 60_000),
+            JobStatusAnswer::Unknown,
             "only the store tells which; full: {full}"
         );
         asker
@@ -396,8 +396,8 @@
             .cache
             .settle(&asker.job, JobPhase::Withdrawn, 1, now);
         assert_eq!(
-            asker.core.answer(&asker.job, now + 60_000),
-            Answer::Over(JobPhase::Withdrawn)
+            asker.core.job_status(&asker.job, now + 60_000),
+            JobStatusAnswer::Finished(JobPhase::Withdrawn)
         );
     }
 }
--- a/crates/coordination/tests/chains.rs
+++ b/crates/coordination/tests/chains.rs
@@ -208,12 +208,12 @@
     // Its answer is lost: nothing but the same is tried again, once the store was read.
     leader
         .core
-        .dependency_cas_completed(CompareAndSwapOutcome::Again, leader.now);
+        .dependency_cas_completed(CompareAndSwapOutcome::Indeterminate, leader.now);
     assert_eq!(leader.next_work().0, Some(cas.clone()));
     let revision = leader.commit(&cas);
     leader
         .core
-        .dependency_cas_completed(CompareAndSwapOutcome::Done(revision), leader.now);
+        .dependency_cas_completed(CompareAndSwapOutcome::Committed(revision), leader.now);
     assert!(leader.core.cache.jobs.contains_key(&id(3)));
     assert_eq!(leader.next_work(), (None, Vec::new()));
 }
@@ -336,7 +336,7 @@
         let revision = leader.commit(&cas);
         leader
             .core
-            .dependency_cas_completed(CompareAndSwapOutcome::Done(revision), leader.now);
+            .dependency_cas_completed(CompareAndSwapOutcome::Committed(revision), leader.now);
         if sets(&cas, &job_key(&id(MANY))) {
             break;
         }
--- a/crates/coordination/tests/late_orders.rs
+++ b/crates/coordination/tests/late_orders.rs
@@ -401,7 +401,7 @@
             None => drop(core.cache.shards.remove(&0)),
         }
         core.cache.revision = core.cache.revision.max(Some(revision));
-        core.refreshed(began, true);
+        core.cache_refreshed(began, true);
     }
 
     fn read_store(&mut self) {
@@ -450,7 +450,7 @@
                 .get(&0)
                 .is_some_and(|h| h.host == format!("h{n}"));
             if ours
-                && core.held().is_empty()
+                && core.leases().is_empty()
                 && host.acquired.is_none()
                 && self.leader.as_ref() == core.cache.shards.get(&0)
             {
@@ -579,7 +579,7 @@
                     None if sent => CommandResult::Unknown,
                     None => CommandResult::NotSent,
                 };
-                core.command_done(p.lease, &p.call, result, now);
+                core.command_completed(p.lease, &p.call, result, now);
                 self.flush(p.host);
             }
         }
@@ -597,24 +597,24 @@
     ) {
         let now = self.now;
         let answer = match self.hosts[host].core.as_mut() {
-            None => HeartbeatAnswer::Unable,
+            None => HeartbeatAnswer::Unavailable,
             Some(core) => match by {
-                None => core.report(&report, now),
-                Some(by) => core.carried_report(&report, by, now),
+                None => core.handle_heartbeat(&report, now),
+                Some(by) => core.handle_relayed_heartbeat(&report, by, now),
             },
         };
         if self.hosts[host]
             .core
             .as_ref()
-            .is_some_and(|c| !c.held().is_empty())
+            .is_some_and(|c| !c.leases().is_empty())
         {
             self.hosts[host].heard = self.hosts[host].heard.max(incarnation);
         }
         self.note(|| format!("h{host} receives {report:?} by {by:?}, copy {copy}: {answer:?}"));
         self.flush(host);
         let answer = match answer {
-            HeartbeatAnswer::Orders(reply) => Ok(reply),
-            HeartbeatAnswer::Carry(to) => {
+            HeartbeatAnswer::Commands(reply) => Ok(reply),
+            HeartbeatAnswer::Relay(to) => {
                 let report = Message::Report {
                     report,
                     incarnation,
@@ -625,8 +625,8 @@
                 };
                 return self.post(40, report);
             }
-            HeartbeatAnswer::Elsewhere(name) => Err(name[1..].parse().ok()),
-            HeartbeatAnswer::Unable => Err(None),
+            HeartbeatAnswer::Redirect(name) => Err(name[1..].parse().ok()),
+            HeartbeatAnswer::Unavailable => Err(None),
         };
         let lost = now < self.replies_lost_until
             || now < self.unreachable
@@ -656,18 +656,18 @@
         let Some(core) = self.hosts[n].running_core(now) else {
             return;
         };
-        for effect in core.pump(now) {
+        for effect in core.flush(now) {
             match effect {
                 Effect::Command(lease, call) => self.call(n, lease, call),
-                Effect::Release(lease, names) => {
+                Effect::ReleaseInstances(lease, names) => {
                     // The provider confirms nothing here: ends are proven by the machine
                     // or time.
                     self.release_requested = true;
                     if let Some(core) = self.hosts[n].core.as_mut() {
-                        core.released(lease, &names, false, now);
+                        core.instances_released(lease, &names, false, now);
                     }
                 }
-                Effect::Hail(to, word) => self.hail(n, usize::from(to), word),
+                Effect::SendGossip(to, word) => self.hail(n, usize::from(to), word),
                 _ => {}
             }
         }
@@ -677,9 +677,9 @@
         let now = self.now;
         let answer = self.hosts[to]
             .running_core(now)
-            .map(|core| core.links.hail_in(word, now));
+            .map(|core| core.links.handle_gossip(word, now));
         if let Some(core) = self.hosts[from].core.as_mut() {
-            core.links.hailed(to as u16, answer.is_some(), answer, now);
+            core.links.gossip_completed(to as u16, answer.is_some(), answer, now);
         }
     }
 
@@ -851,7 +851,7 @@
         let (now, to) = (self.now, self.to);
         let at = |h: &Host| {
             h.core.as_ref().is_some_and(|c| {
-                c.held().contains(&ShardLease {
+                c.leases().contains(&ShardLease {
                     shard: 0,
                     token: to,
                 })
@@ -882,7 +882,7 @@
             let Some(core) = self.hosts[n].core.as_mut() else {
                 return;
             };
-            let Ok(view) = core.sync_in(&message, now) else {
+            let Ok(view) = core.handle_sync(&message, now) else {
                 return;
             };
             // A reply may be lost.
@@ -968,7 +968,7 @@
                     self.processes += 1;
                     (host.core, host.process, host.read_at) = (Some(core(n)), self.processes, now);
                     if let Some(core) = host.core.as_mut() {
-                        core.set_clock(now, DAY_MS + now);
+                        core.set_wall_clock(now, DAY_MS + now);
                     }
                 }
                 if now >= host.stalled_until && !host.held.is_empty() {
@@ -988,7 +988,7 @@
             if now.is_multiple_of(100) {
                 for n in 0..HOSTS {
                     if let Some(core) = self.hosts[n].running_core(now) {
-                        core.set_clock(now, DAY_MS + now);
+                        core.set_wall_clock(now, DAY_MS + now);
                     }
                     self.flush(n);
                 }
--- a/crates/coordination/tests/starts.rs
+++ b/crates/coordination/tests/starts.rs
@@ -105,7 +105,7 @@
                 .any(|effect| matches!(effect, Effect::CompareAndSwap(..)))
         });
         if now == at {
-            core.cas_completed(LEASE, CompareAndSwapOutcome::Done(200), at);
+            core.cas_completed(LEASE, CompareAndSwapOutcome::Committed(200), at);
         }
         let next = Heartbeat {
             token,
--- a/crates/coordination/tests/supervision.rs
+++ b/crates/coordination/tests/supervision.rs
@@ -283,7 +283,7 @@
         p.core
             .cache
             .apply(&self.store.log[from..], self.store.revision, self.now);
-        p.core.refreshed(self.now, true);
+        p.core.cache_refreshed(self.now, true);
     }
 
     /// Sends a compare-and-swap; its revision if it was applied and the answer came.
@@ -305,10 +305,10 @@
         let Some(p) = &mut self.processes[h] else {
             return;
         };
-        let lease = p.core.held().into_iter().find(|l| l.shard == shard);
+        let lease = p.core.leases().into_iter().find(|l| l.shard == shard);
         let action = match lease.filter(|_| leave) {
-            Some(lease) => Some(ElectionAction::Leave(lease)),
-            None => p.election.claim(&p.core, shard, now),
+            Some(lease) => Some(ElectionAction::Cede(lease)),
+            None => p.election.next_action(&p.core, shard, now),
         };
         let Some(action) = action else { return };
         let cas = p.core.election_cas(&action, p.store_lease, Vec::new(), now);
@@ -317,7 +317,7 @@
         };
         let p = self.processes[h].as_mut().expect("it acts");
         match action {
-            ElectionAction::Take { shard, .. } => {
+            ElectionAction::Acquire { shard, .. } => {
                 self.read(h);
                 let p = self.processes[h].as_mut().expect("it acts");
                 if p.core
@@ -337,7 +337,7 @@
                     );
                 }
             }
-            ElectionAction::HandBack(lease) | ElectionAction::Leave(lease) => {
+            ElectionAction::ReturnToHome(lease) | ElectionAction::Cede(lease) => {
                 p.core.release(lease.shard, now)
             }
         }
@@ -348,8 +348,8 @@
         let Some(p) = &mut self.processes[h] else {
             return;
         };
-        for effect in p.core.pump(now) {
-            if let Effect::Note(cas) = effect {
+        for effect in p.core.flush(now) {
+            if let Effect::WriteHint(cas) = effect {
                 self.send(cas, delivery);
             }
         }
@@ -581,7 +581,7 @@
         ));
     }
     core.cache.replace(&entries, 20);
-    core.refreshed(5_000, true);
+    core.cache_refreshed(5_000, true);
     core.acquire(
         ShardLease {
             shard: 0,
@@ -592,8 +592,8 @@
         5_000,
     );
     let completions = |core: &mut Core, now| {
-        let notes = core.pump(now).into_iter().filter_map(|e| {
-            if let Effect::Note(cas) = e {
+        let notes = core.flush(now).into_iter().filter_map(|e| {
+            if let Effect::WriteHint(cas) = e {
                 Some(cas)
             } else {
                 None
--- a/crates/coordination/tests/support/controllers.rs
+++ b/crates/coordination/tests/support/controllers.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use lemonweir_coordination::election::{ElectionAction, LeaderElection};
-use lemonweir_coordination::job_status::Answer;
+use lemonweir_coordination::job_status::JobStatusAnswer;
 use lemonweir_coordination::owner::{CommandCall, CommandResult, SyncError};
 use lemonweir_coordination::placer::CompareAndSwapOutcome;
 use lemonweir_coordination::{
@@ -167,7 +167,7 @@
     };
     let mut core = Core::new(Config::new(&settings(me)), policy);
     core.set_catalog([(kind().name, kind())].into_iter().collect());
-    core.set_clock(now, 1_000_000 + now);
+    core.set_wall_clock(now, 1_000_000 + now);
     SimulatedController {
         core,
         membership: LeaderElection::new(CONTROLLERS),
@@ -274,7 +274,7 @@
     pub fn apply(&mut self, cas: &CompareAndSwap) -> CompareAndSwapOutcome {
         let lives = |w: &Write| !matches!(w, Write::Put { hold: Some(h), .. } if !self.leases.contains_key(h));
         if !cas.writes.iter().all(lives) {
-            return CompareAndSwapOutcome::Again;
+            return CompareAndSwapOutcome::Indeterminate;
         }
         let failed: Vec<String> = cas
             .conditions
@@ -301,24 +301,24 @@
                 Write::Delete { key } => self.drop_key(key),
             }
         }
-        CompareAndSwapOutcome::Done(self.revision)
+        CompareAndSwapOutcome::Committed(self.revision)
     }
 
     /// What becomes of a compare-and-swap that a controller sends.
     pub fn transact(&mut self, node: usize, cas: &CompareAndSwap) -> CompareAndSwapOutcome {
         if !self.reaches_store(node) {
-            return CompareAndSwapOutcome::Again;
+            return CompareAndSwapOutcome::Indeterminate;
         }
         match (self.draw_message_fault(), self.random.below(3)) {
             (false, _) => self.apply(cas),
-            (true, 0) => CompareAndSwapOutcome::Again,
+            (true, 0) => CompareAndSwapOutcome::Indeterminate,
             (true, 1) => {
                 self.apply(cas);
-                CompareAndSwapOutcome::Again
+                CompareAndSwapOutcome::Indeterminate
             }
             (true, _) => {
                 self.delay(DelayedMessage::CompareAndSwap(cas.clone()));
-                CompareAndSwapOutcome::Again
+                CompareAndSwapOutcome::Indeterminate
             }
         }
     }
@@ -413,8 +413,8 @@
                 !changes.is_empty()
             }
         };
-        core.refreshed(now, changed);
-        for effect in core.take_mail(now) {
+        core.cache_refreshed(now, changed);
+        for effect in core.handle_store_messages(now) {
             self.carry(node, effect);
         }
     }
@@ -450,18 +450,18 @@
             let SimulatedController {
                 core, membership, ..
             } = &mut self.nodes[node];
-            let Some(claim) = membership.claim(core, shard, now) else {
+            let Some(claim) = membership.next_action(core, shard, now) else {
                 continue;
             };
-            let left = membership.left(core, now);
+            let left = membership.ceded(core, now);
             let cas = core.election_cas(&claim, hold, left, now);
             match (claim, self.apply(&cas)) {
-                (ElectionAction::Take { shard, .. }, CompareAndSwapOutcome::Done(token)) => {
+                (ElectionAction::Acquire { shard, .. }, CompareAndSwapOutcome::Committed(token)) => {
                     self.acquire(node, ShardLease { shard, token })
                 }
                 (
-                    ElectionAction::HandBack(lease) | ElectionAction::Leave(lease),
-                    CompareAndSwapOutcome::Done(_),
+                    ElectionAction::ReturnToHome(lease) | ElectionAction::Cede(lease),
+                    CompareAndSwapOutcome::Committed(_),
                 ) => {
                     self.nodes[node].core.release(lease.shard, now);
                     self.read(node);
@@ -472,7 +472,7 @@
         let SimulatedController {
             core, membership, ..
         } = &self.nodes[node];
-        if let Some(left) = membership.unshown(core, now) {
+        if let Some(left) = membership.unpublished_ceded(core, now) {
             self.apply(&show_node(&format!("h{node}"), "north", hold, left));
             self.read(node);
         }
@@ -504,7 +504,7 @@
 
     pub fn pump(&mut self, node: usize) {
         let now = self.now;
-        for effect in self.nodes[node].core.pump(now) {
+        for effect in self.nodes[node].core.flush(now) {
             self.carry(node, effect);
         }
     }
@@ -523,33 +523,33 @@
                     for key in keys_to_reread(lease, keys) {
                         let (version, (job, chunk)) =
                             (self.version(key), parse_run_key(key).expect("a key"));
-                        self.nodes[node].core.reread(lease, &job, chunk, version);
+                        self.nodes[node].core.chunk_reread(lease, &job, chunk, version);
                     }
                 }
-                self.nodes[node].core.cas_done(lease, outcome, now);
+                self.nodes[node].core.cas_completed(lease, outcome, now);
             }
-            Effect::Note(cas) => drop(self.transact(node, &cas)),
-            Effect::Chain(cas) => {
+            Effect::WriteHint(cas) => drop(self.transact(node, &cas)),
+            Effect::DependencyCompareAndSwap(cas) => {
                 let outcome = self.transact(node, &cas);
-                self.nodes[node].core.chain_done(outcome, now);
+                self.nodes[node].core.dependency_cas_completed(outcome, now);
             }
-            Effect::ReadEnds(ids) => {
+            Effect::ReadFinalStates(ids) => {
                 for id in &ids {
                     if let Some(phase) = self.end(id).filter(|_| self.reaches_store(node)) {
                         let version = self.version(&end_key(id));
                         self.nodes[node].core.cache.settle(id, phase, version, now);
                     }
                 }
-                self.nodes[node].core.ends_read(&ids, now);
+                self.nodes[node].core.final_states_read(&ids, now);
             }
             Effect::Command(lease, call) => {
                 let result = self.command(node, &call);
                 self.nodes[node]
                     .core
-                    .command_done(lease, &call, result, now);
+                    .command_completed(lease, &call, result, now);
             }
             Effect::Sync(lease, sync) => self.sync(node, lease, sync),
-            Effect::MailSync(sync) => {
+            Effect::StoreSync(sync) => {
                 let line = StoreMessageRoute {
                     kind: StoreMessageKind::Sync,
                     from: sync.from,
@@ -557,7 +557,7 @@
                 };
                 self.mail(node, line, (sync.from_token, sync.seq), &peer::write(&sync));
             }
-            Effect::MailView(to, view) => {
+            Effect::StoreView(to, view) => {
                 let line = StoreMessageRoute {
                     kind: StoreMessageKind::View,
                     from: view.shard,
@@ -565,27 +565,27 @@
                 };
                 self.mail(node, line, (view.token, view.seq), &peer::write(&view));
             }
-            Effect::Nudge(shard) => {
+            Effect::WakePeer(shard) => {
                 if let Some(to) = self
                     .holder(node, shard)
                     .filter(|to| !self.partitioned(node, *to))
                 {
                     let from: Vec<u16> = self.nodes[node]
                         .core
-                        .held()
+                        .leases()
                         .iter()
                         .map(|l| l.shard)
                         .collect();
                     from.into_iter()
-                        .for_each(|from| self.nodes[to].core.nudged(shard, from));
+                        .for_each(|from| self.nodes[to].core.handle_wake(shard, from));
                 }
             }
-            Effect::Rent(lease, rental) => {
+            Effect::Provision(lease, rental) => {
                 self.nodes[node]
                     .core
-                    .rented(lease, &rental, ProvisioningResult::NoCapacity, now)
+                    .provisioning_completed(lease, &rental, ProvisioningResult::NoCapacity, now)
             }
-            Effect::Release(lease, machines) => {
+            Effect::ReleaseInstances(lease, machines) => {
                 for id in &machines {
                     let n = (0..MACHINES)
                         .find(|n| machine(*n) == *id)
@@ -593,18 +593,18 @@
                     self.machines[n].gone = true;
                     self.machines[n].tasks.clear();
                 }
-                self.nodes[node].core.released(lease, &machines, true, now);
+                self.nodes[node].core.instances_released(lease, &machines, true, now);
             }
-            Effect::Hail(to, word) => {
+            Effect::SendGossip(to, word) => {
                 let to = usize::from(to);
                 let answer = (!self.partitioned(node, to))
-                    .then(|| self.nodes[to].core.links.hail_in(word, now));
+                    .then(|| self.nodes[to].core.links.handle_gossip(word, now));
                 self.nodes[node]
                     .core
                     .links
-                    .hailed(to as u16, answer.is_some(), answer, now);
+                    .gossip_completed(to as u16, answer.is_some(), answer, now);
             }
-            Effect::Probe(_) => {}
+            Effect::ProbeService(_) => {}
         }
     }
 
@@ -627,7 +627,7 @@
                 self.delay(DelayedMessage::Sync(to, Box::new(sync.clone())));
                 None
             }
-            (Some(to), delayed, _) => match self.nodes[to].core.sync_in(&sync, now) {
+            (Some(to), delayed, _) => match self.nodes[to].core.handle_sync(&sync, now) {
                 Ok(view) if delayed => {
                     // The answer is delayed: the channel is busy until then.
                     self.delay(DelayedMessage::View(node, lease, Box::new(view)));
@@ -635,13 +635,13 @@
                 }
                 Ok(view) => Some(view),
                 Err(SyncError::Superseded(by)) => {
-                    self.nodes[node].core.superseded(by, now);
+                    self.nodes[node].core.handle_superseded(by, now);
                     None
                 }
                 Err(_) => None,
             },
         };
-        self.nodes[node].core.sync_done(lease, sync.to, view, now);
+        self.nodes[node].core.sync_completed(lease, sync.to, view, now);
     }
 
     pub fn command(&mut self, node: usize, call: &CommandCall) -> CommandResult {
@@ -680,12 +680,12 @@
                 )),
                 DelayedMessage::CompareAndSwap(cas) => drop(self.apply(&cas)),
                 DelayedMessage::Call(call) => drop(self.execute_call(&call)),
-                DelayedMessage::Sync(to, sync) => drop(self.nodes[to].core.sync_in(&sync, now)),
+                DelayedMessage::Sync(to, sync) => drop(self.nodes[to].core.handle_sync(&sync, now)),
                 DelayedMessage::View(node, lease, view) => {
                     let shard = view.shard;
                     self.nodes[node]
                         .core
-                        .sync_done(lease, shard, Some(*view), now);
+                        .sync_completed(lease, shard, Some(*view), now);
                 }
             }
         }
@@ -766,23 +766,23 @@
         let now = self.now;
         let (at, report) = (self.machines[n].at, self.heartbeat_of(n));
         let lost = self.draw_message_fault();
-        let answer = match self.nodes[at].core.report(&report, now) {
-            HeartbeatAnswer::Carry(to) if !self.partitioned(at, usize::from(to)) => self.nodes
+        let answer = match self.nodes[at].core.handle_heartbeat(&report, now) {
+            HeartbeatAnswer::Relay(to) if !self.partitioned(at, usize::from(to)) => self.nodes
                 [usize::from(to)]
             .core
-            .carried_report(&report, at as u16, now),
+            .handle_relayed_heartbeat(&report, at as u16, now),
             answer => answer,
         };
         let b = &mut self.machines[n];
         match answer {
-            HeartbeatAnswer::Orders(reply) if !lost => {
+            HeartbeatAnswer::Commands(reply) if !lost => {
                 b.next = now + 3_000;
                 if reply.token >= b.token {
                     (b.token, b.answered) = (reply.token, now);
                     self.execute(n, &reply.orders);
                 }
             }
-            HeartbeatAnswer::Elsewhere(host) if !lost => {
+            HeartbeatAnswer::Redirect(host) if !lost => {
                 let to: usize = host[1..].parse().expect("a controller");
                 b.next = now + if to == at { 1_000 } else { 300 };
                 b.at = if to == at { (at + 1) % CONTROLLERS } else { to };
@@ -867,7 +867,7 @@
                 continue;
             }
             let core = &self.nodes[at].core;
-            if let Answer::Over(phase) = core.answer(&id, now) {
+            if let JobStatusAnswer::Finished(phase) = core.job_status(&id, now) {
                 assert_eq!(
                     Some(phase),
                     self.end(&id),
@@ -901,7 +901,7 @@
             self.nodes[self.faults.restarts.0] = process(self.faults.restarts.0, now);
         }
         for node in 0..CONTROLLERS {
-            self.nodes[node].core.set_clock(now, 1_000_000 + now);
+            self.nodes[node].core.set_wall_clock(now, 1_000_000 + now);
             self.read(node);
             if (now / 100) as usize % 4 == node {
                 self.keep(node);
@@ -924,7 +924,7 @@
                 .collect();
             self.nodes
                 .iter_mut()
-                .for_each(|node| node.core.listed(&list, now));
+                .for_each(|node| node.core.instances_listed(&list, now));
         }
         self.poll_users();
     }
