--- a/crates/coordination/src/dependencies/mod.rs
+++ b/crates/coordination/src/dependencies/mod.rs
@@ -204,7 +204,9 @@
 
     /// The priority that a job is placed with here, if this controller places it.
     pub fn placed_priority(&self, id: &JobId) -> Option<Priority> {
-        self.shards.values().find_map(|shard| shard.placer.priority(id))
+        self.shards
+            .values()
+            .find_map(|shard| shard.placer.priority(id))
     }
 
     /// Follows the changes of waiting jobs: the jobs whose priority has changed.
--- a/crates/coordination/src/flush.rs
+++ b/crates/coordination/src/flush.rs
@@ -73,7 +73,9 @@
             return;
         }
         if let Some(revision) = self.cache.revision {
-            shard.owner.observe_leaders(&self.cache.shards, revision, now);
+            shard
+                .owner
+                .observe_leaders(&self.cache.shards, revision, now);
         }
         shard.owner.tick(now, last_answer);
     }
@@ -85,7 +87,9 @@
         let Some(shard) = self.shards.get_mut(&index) else {
             return;
         };
-        let pages = shard.owner.changed_image_pages(now, value_bytes, pages_per_cas);
+        let pages = shard
+            .owner
+            .changed_image_pages(now, value_bytes, pages_per_cas);
         if pages.is_empty() {
             return;
         }
--- a/crates/coordination/src/heartbeats.rs
+++ b/crates/coordination/src/heartbeats.rs
@@ -131,7 +131,8 @@
     /// the store yet: the lease that its token shows is still in force, or not.
     fn confirm_worker_lease(&self, heartbeat: &Heartbeat, now: u64) -> HeartbeatAnswer {
         let wall = now + self.config.wall_offset_ms;
-        match worker_lease::renewable_until(heartbeat.token, wall, self.config.max_clock_offset_ms) {
+        match worker_lease::renewable_until(heartbeat.token, wall, self.config.max_clock_offset_ms)
+        {
             Some(until) if wall <= until => HeartbeatAnswer::Commands(HeartbeatResponse {
                 token: heartbeat.token,
                 orders: Vec::new(),
@@ -170,7 +171,9 @@
             && let Some(at) = self.links.last_store_answer()
         {
             let answered = at + self.config.wall_offset_ms;
-            shard.owner.renew_worker_lease(&heartbeat.machine, answered, now);
+            shard
+                .owner
+                .renew_worker_lease(&heartbeat.machine, answered, now);
         }
         shard
             .owner
--- a/crates/coordination/src/placer/attempt_events.rs
+++ b/crates/coordination/src/placer/attempt_events.rs
@@ -211,7 +211,9 @@
     /// An attempt failed, by its job's fault or its machine's.
     fn apply_failure(&mut self, id: &AttemptId, live: &LiveAttempt, now: u64) {
         self.credit_long_running(&live.machine, &id.job, now);
-        let touched = self.fault_attribution.record_failure(&id.job, &live.machine, now);
+        let touched = self
+            .fault_attribution
+            .record_failure(&id.job, &live.machine, now);
         self.apply_suspicions(touched.jobs, now);
         let Some(job) = self.jobs.get_mut(&id.job) else {
             return;
@@ -249,7 +251,8 @@
             })
             .collect();
         for (job, placed_at) in long_running {
-            self.fault_attribution.record_success(&job, machine, placed_at);
+            self.fault_attribution
+                .record_success(&job, machine, placed_at);
         }
     }
 
--- a/crates/coordination/src/placer/escalation.rs
+++ b/crates/coordination/src/placer/escalation.rs
@@ -20,8 +20,8 @@
 use super::supervision::START_STEP_MS;
 use crate::autoscaler::CapacityShortages;
 use crate::image_locality::scoring::{ImageLocality, placement_classes};
-use crate::placement::{Candidate, CandidateShard, CandidateWalk};
 use crate::job::LiveAttempt;
+use crate::placement::{Candidate, CandidateShard, CandidateWalk};
 use crate::supervision::services::{EscalationStep, RecoveryActivity, RecoveryAttempt};
 
 /// Services that one look escalates for, so that hundreds that are late at once don't
--- a/crates/coordination/src/placer/headroom.rs
+++ b/crates/coordination/src/placer/headroom.rs
@@ -140,7 +140,15 @@
             let found = self.indexes.iter().enumerate().find_map(|(shard, index)| {
                 index
                     .first_fit(&request)
-                    .or_else(|| index.preemptive_fit(&request, spec.rank, PreemptionScope::Lower, ImageRequirement::Optional, None))
+                    .or_else(|| {
+                        index.preemptive_fit(
+                            &request,
+                            spec.rank,
+                            PreemptionScope::Lower,
+                            ImageRequirement::Optional,
+                            None,
+                        )
+                    })
                     .map(|slot| SlotRef { shard, slot })
             });
             let Some(place) = found else { continue };
--- a/crates/coordination/src/placer/mod.rs
+++ b/crates/coordination/src/placer/mod.rs
@@ -397,7 +397,10 @@
 
     /// Words of bits and machines that this placer's searches have inspected.
     pub fn inspected(&self) -> u64 {
-        self.indexes.iter().map(PlacementIndex::candidates_examined).sum()
+        self.indexes
+            .iter()
+            .map(PlacementIndex::candidates_examined)
+            .sum()
     }
 
     /// The priority that a job is placed with.
--- a/crates/coordination/src/placer/owner_channel.rs
+++ b/crates/coordination/src/placer/owner_channel.rs
@@ -217,9 +217,9 @@
     /// Progress of jobs that an owner's node does not have yet, in `room` bytes.
     fn unsent_progress(&mut self, to: u16, mut room: usize) -> Vec<JobProgress> {
         let channel = &mut self.owner_channels[usize::from(to)];
-        let (span, changes) = self
-            .job_progress
-            .changes_since(channel.progress_acked, &mut room, |_, _| PROGRESS_BYTES);
+        let (span, changes) =
+            self.job_progress
+                .changes_since(channel.progress_acked, &mut room, |_, _| PROGRESS_BYTES);
         channel.progress_sent = span.upto;
         changes
             .into_iter()
--- a/crates/coordination/src/placer/placing.rs
+++ b/crates/coordination/src/placer/placing.rs
@@ -15,9 +15,9 @@
 use super::requests::{all_zones, allowed_zones};
 use crate::gang_admission::GangAdmission;
 use crate::image_locality::scoring::{ImageLocality, PlacementClass, placement_classes};
-use crate::placement::{Candidate, ImageRequirement, CandidateShard, CandidateWalk};
 use crate::job::{Job, LiveAttempt};
 use crate::placement::PlacementRequest;
+use crate::placement::{Candidate, CandidateShard, CandidateWalk, ImageRequirement};
 
 /// How much longer than usual a fetch may well take (protocol page: the rate is
 /// given or take a third).
@@ -221,7 +221,9 @@
             HashMap::new()
         };
         // Where something else ran well of late, a suspect's failure tells most.
-        let trusted = unit.is_suspect.then(|| self.fault_attribution.healthy_machines(now));
+        let trusted = unit
+            .is_suspect
+            .then(|| self.fault_attribution.healthy_machines(now));
         let machine_sets = if unit.is_suspect {
             vec![trusted.as_ref(), None]
         } else {
@@ -345,26 +347,30 @@
         let replicas = &scoring.placed_replicas;
         let mut walk = CandidateWalk::new(&self.indexes, &search.order, &request, replicas);
         let mut free = |classes: &[PlacementClass]| {
-            walk.find(classes).map(|Candidate { shard, slot, .. }| FoundPlace {
-                place: SlotRef { shard, slot },
-                preemption: PreemptionScope::Nobody,
-            })
+            walk.find(classes)
+                .map(|Candidate { shard, slot, .. }| FoundPlace {
+                    place: SlotRef { shard, slot },
+                    preemption: PreemptionScope::Nobody,
+                })
         };
         let preempting = |image| {
-            search.order.iter().find_map(|&CandidateShard { shard, .. }| {
-                self.indexes[shard]
-                    .preemptive_fit(
-                        &request,
-                        spec.rank,
-                        unit.preemption_scope(),
-                        image,
-                        replicas.get(shard),
-                    )
-                    .map(|slot| FoundPlace {
-                        place: SlotRef { shard, slot },
-                        preemption: unit.preemption_scope(),
-                    })
-            })
+            search
+                .order
+                .iter()
+                .find_map(|&CandidateShard { shard, .. }| {
+                    self.indexes[shard]
+                        .preemptive_fit(
+                            &request,
+                            spec.rank,
+                            unit.preemption_scope(),
+                            image,
+                            replicas.get(shard),
+                        )
+                        .map(|slot| FoundPlace {
+                            place: SlotRef { shard, slot },
+                            preemption: unit.preemption_scope(),
+                        })
+                })
         };
         free(warm)
             .or_else(|| {
--- a/crates/coordination/src/placer/rebalancing.rs
+++ b/crates/coordination/src/placer/rebalancing.rs
@@ -14,10 +14,12 @@
 use super::partitions::partition_of;
 use super::requests::{all_zones, allowed_zones, replica_request};
 use super::scoring::MAX_SPREAD_TASKS;
-use crate::image_locality::scoring::{ImageLocality, PlacementClass, PlacementRisk, ZoneShare, placement_classes};
-use crate::placement::{Candidate, CandidateShard, CandidateWalk};
+use crate::image_locality::scoring::{
+    ImageLocality, PlacementClass, PlacementRisk, ZoneShare, placement_classes,
+};
 use crate::job::{Job, LiveAttempt};
 use crate::placement::PlacementRequest;
+use crate::placement::{Candidate, CandidateShard, CandidateWalk};
 
 /// ms without any lack of room after which replicas are consolidated.
 const QUIET_PERIOD_MS: u64 = 20_000;
@@ -231,7 +233,10 @@
             ZoneShare::Reached
         };
         let machine_s = if risk.has_replicas {
-            risk.replica_cost_s(&self.trade, risk.replica_spread(on_machine.saturating_sub(1)))
+            risk.replica_cost_s(
+                &self.trade,
+                risk.replica_spread(on_machine.saturating_sub(1)),
+            )
         } else {
             0.0
         };
@@ -279,7 +284,8 @@
             .take_while(|class| class.cost_s + min_gain_s < exposure_s)
             .collect();
         let Candidate { shard, slot, class } =
-            CandidateWalk::new(&self.indexes, &order, &request, &scoring.placed_replicas).find(&better)?;
+            CandidateWalk::new(&self.indexes, &order, &request, &scoring.placed_replicas)
+                .find(&better)?;
         let place = SlotRef { shard, slot };
         // Guards against others taking that room meanwhile: the replica would wait for
         // a fetch that it was not moved for.
@@ -390,7 +396,8 @@
             .map_or(0.0, |live| self.exposure_s(job, live, &scoring.risk));
         let mut warm = placement_classes(&self.trade, &scoring.risk);
         warm.retain(|class| {
-            class.image_locality == ImageLocality::Cached && class.cost_s <= exposure_s + 2.0 * self.trade.pin_s
+            class.image_locality == ImageLocality::Cached
+                && class.cost_s <= exposure_s + 2.0 * self.trade.pin_s
         });
         // Guards against others taking that room meanwhile: another place
         // must be left, or the replica would wait for a fetch.
--- a/crates/coordination/src/placer/reconciliation.rs
+++ b/crates/coordination/src/placer/reconciliation.rs
@@ -123,7 +123,9 @@
             .get(&machine.kind)
             .copied()
             .unwrap_or(u64::MAX);
-        let spare_mb = self.image_usage.cache_headroom_mb(&machine.images, cache_mb);
+        let spare_mb = self
+            .image_usage
+            .cache_headroom_mb(&machine.images, cache_mb);
         let index = &mut self.indexes[usize::from(shard)];
         index.upsert(machine);
         index.set_cache_headroom(&id, spare_mb);
--- a/crates/coordination/src/placer/scoring.rs
+++ b/crates/coordination/src/placer/scoring.rs
@@ -8,9 +8,9 @@
 use super::Placer;
 use super::requests::all_zones;
 use crate::image_locality::scoring::PlacementRisk;
-use crate::placement::{CandidateShard, PlacedReplicas};
 use crate::job::{Job, LiveAttempt};
 use crate::placement::PlacementRequest;
+use crate::placement::{CandidateShard, PlacedReplicas};
 
 /// Share of a whole fetch that is left of one under way for another job: a machine's
 /// owner publishes that it fetches, not since when.
@@ -38,7 +38,10 @@
             .filter(|&shard| shard != own);
         let mut order: Vec<CandidateShard> = std::iter::once(own)
             .chain(others)
-            .map(|shard| CandidateShard { shard, via_store: self.owner_channels[shard].via_store })
+            .map(|shard| CandidateShard {
+                shard,
+                via_store: self.owner_channels[shard].via_store,
+            })
             .collect();
         order.sort_by_key(|candidate| candidate.via_store);
         order
@@ -111,7 +114,11 @@
         let is_on_spot = |live: &LiveAttempt| {
             self.indexes
                 .get(usize::from(live.shard))
-                .and_then(|index| index.position(&live.machine).map(|slot| index.slots[slot].spot))
+                .and_then(|index| {
+                    index
+                        .position(&live.machine)
+                        .map(|slot| index.slots[slot].spot)
+                })
                 .unwrap_or(false)
         };
         replicas.iter().filter(|live| is_on_spot(live)).count() as u32
@@ -141,7 +148,11 @@
             return None;
         }
         risk.zone_count = open.len() as u32;
-        let fair_share = if risk.single_zone { 1 } else { risk.fair_zone_share() };
+        let fair_share = if risk.single_zone {
+            1
+        } else {
+            risk.fair_zone_share()
+        };
         Some(
             open.into_iter()
                 .filter(|zone| replicas.get(zone).copied().unwrap_or(0) < fair_share)
--- a/crates/coordination/src/placer/status.rs
+++ b/crates/coordination/src/placer/status.rs
@@ -56,7 +56,11 @@
         if lacking_s < SHORTFALL_SHOWN_AFTER_S {
             return None;
         }
-        let attempts: Vec<&str> = service.attempts.iter().map(|t| t.description.as_str()).collect();
+        let attempts: Vec<&str> = service
+            .attempts
+            .iter()
+            .map(|t| t.description.as_str())
+            .collect();
         let tried = if attempts.is_empty() {
             String::new()
         } else {
--- a/crates/coordination/src/provisioning.rs
+++ b/crates/coordination/src/provisioning.rs
@@ -5,8 +5,8 @@
 use tracing::info;
 
 use crate::autoscaler::{
-    BootingInstance, CapacityBin, FailingPools, InstancePool, Market, ProvisioningOptions, ScaleOut,
-    plan_scale_out,
+    BootingInstance, CapacityBin, FailingPools, InstancePool, Market, ProvisioningOptions,
+    ScaleOut, plan_scale_out,
 };
 use crate::placer::PendingInstance;
 use crate::shard::{PendingProvisioning, Shard};
@@ -213,13 +213,12 @@
         }
         // What is overdue boots, and is not open.
         let booting = self.placer.machines().filter(|m| !m.up && m.busy == 0);
-        let failing =
-            FailingPools::new(booting.map(|m| BootingInstance {
-                machine_type: &m.kind,
-                zone: &m.zone,
-                market: Market::from_spot_flag(m.spot),
-                overdue: !m.open,
-            }));
+        let failing = FailingPools::new(booting.map(|m| BootingInstance {
+            machine_type: &m.kind,
+            zone: &m.zone,
+            market: Market::from_spot_flag(m.spot),
+            overdue: !m.open,
+        }));
         let options = ProvisioningOptions {
             partitioned_zones: &partitioned,
             failing_pools: &failing,
--- a/crates/coordination/tests/cancellations.rs
+++ b/crates/coordination/tests/cancellations.rs
@@ -247,13 +247,14 @@
     let mut next = Owner::new(
         0,
         NEXT,
-        CORES as u16,
+        CONTROLLERS as u16,
         TIMING,
         lemonweir_policy::embedded().expect("policy"),
         0,
     );
     next.set_types([kind()].iter());
-    next.handle_heartbeat(&seen(1, false), None, now).expect("answered");
+    next.handle_heartbeat(&seen(1, false), None, now)
+        .expect("answered");
     next.tick(now + 10, now + 10);
     next.sync(told, ROOM, now + 20).expect("taken");
     let call = next.due_calls(now + 30, ROOM).pop().expect("started");
@@ -305,7 +306,9 @@
                 }
                 asker.core.handle_store_messages(asker.now);
             } else {
-                asker.core.sync_completed(asker.lease, 0, Some(late), asker.now);
+                asker
+                    .core
+                    .sync_completed(asker.lease, 0, Some(late), asker.now);
             }
             assert!(
                 !asker.withdrawn(),
@@ -329,7 +332,11 @@
                             .iter()
                             .any(|o| o.verb == CommandKind::Kill)
                     );
-                    next.handle_call_result(&call, CommandResult::Executed(seen(3, false)), now + 10);
+                    next.handle_call_result(
+                        &call,
+                        CommandResult::Executed(seen(3, false)),
+                        now + 10,
+                    );
                 }
             }
             asker.until(|_| None::<()>);
@@ -406,36 +413,44 @@
 
 /// Of the withdrawals: how many were answered within a user's patience, the longest
 /// wait for an answer and for the stop of all tasks, ms.
-fn told(site: &Site) -> (usize, u64, u64) {
-    let wait = |u: &User| u.told.map_or(u64::MAX, |(at, _)| at - u.asks);
-    let stop = |u: &User| u.stopped.map_or(u64::MAX, |at| at - u.asks);
-    let in_time = site.users.iter().filter(|u| wait(u) <= PATIENCE_MS).count();
+fn cancellation_latency(cluster: &SimulatedCluster) -> (usize, u64, u64) {
+    let wait = |u: &SimulatedUser| u.answer.map_or(u64::MAX, |(at, _)| at - u.cancelled_at);
+    let stop = |u: &SimulatedUser| u.stopped.map_or(u64::MAX, |at| at - u.cancelled_at);
+    let in_time = cluster
+        .users
+        .iter()
+        .filter(|u| wait(u) <= PATIENCE_MS)
+        .count();
     (
         in_time,
-        site.users.iter().map(wait).max().unwrap_or(0),
-        site.users.iter().map(stop).max().unwrap_or(0),
+        cluster.users.iter().map(wait).max().unwrap_or(0),
+        cluster.users.iter().map(stop).max().unwrap_or(0),
     )
 }
 
-/// Offsets of the meeting around the heartbeat interval, the store's hold, the lease, the
+/// Offsets of the meeting around the report interval, the store's hold, the lease, the
 /// time for which a controller answers blindly, and `cancel_s`.
-fn days(draws: &mut Draws, trouble: u64) -> Days {
+fn random_faults(random: &mut RandomSource, one_fault_in: u64) -> FaultSchedule {
     const OFFSETS: [u64; 10] = [
         0, 500, 3_000, 7_000, 8_500, 14_000, 20_000, 34_000, 45_000, 61_000,
     ];
-    let mut some = || OFFSETS[draws.below(OFFSETS.len() as u64) as usize] + draws.below(4) * 100;
+    let mut some = || OFFSETS[random.below(OFFSETS.len() as u64) as usize] + random.below(4) * 100;
     let from = 24_000 + some();
-    let refused = (from, from + 2_000 + 2 * some());
-    let apart = (from + some(), from + some() + some());
-    let down = (from + some(), from + 2 * some() + some());
+    let store_unreachable = (from, from + 2_000 + 2 * some());
+    let partitioned = (from + some(), from + some() + some());
+    let store_down = (from + some(), from + 2 * some() + some());
     let back = from + some() + some();
-    let ends = (draws.below(2 * CORES as u64) as usize, back);
-    Days {
-        refused,
-        apart,
-        down,
-        ends: if ends.0 < CORES { ends } else { (0, 0) },
-        trouble,
+    let restarts = (random.below(2 * CONTROLLERS as u64) as usize, back);
+    FaultSchedule {
+        store_unreachable,
+        partitioned,
+        store_down,
+        restarts: if restarts.0 < CONTROLLERS {
+            restarts
+        } else {
+            (0, 0)
+        },
+        one_fault_in,
     }
 }
 
@@ -445,36 +460,36 @@
 #[test]
 fn withdrawal_is_not_confirmed_while_a_task_runs() {
     for seed in 1..=SEEDS {
-        let mut draws = Draws(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1);
-        let days = days(&mut draws, [0, 5, 12, 40][seed as usize % 4]);
-        let mut site =
-            Site::new(seed, days).with_jobs(24_000 + draws.below(20_000), 200 + draws.below(6_000));
+        let mut random = RandomSource(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1);
+        let faults = random_faults(&mut random, [0, 5, 12, 40][seed as usize % 4]);
+        let mut cluster = SimulatedCluster::new(seed, faults)
+            .with_running_jobs(24_000 + random.below(20_000), 200 + random.below(6_000));
         if seed % 2 == 0 {
-            site.lasts = 10_000 + draws.below(60_000);
+            cluster.task_ms = 10_000 + random.below(60_000);
         }
         // More come all the while, and are withdrawn before, while and after they start.
         for n in 0..30 {
-            let step = 200 + draws.below(6_000);
-            site.until(site.now + step);
-            while site.down() {
-                site.step();
+            let step = 200 + random.below(6_000);
+            cluster.until(cluster.now + step);
+            while cluster.store_down() {
+                cluster.step();
             }
-            let job = site.submit(100 + n);
-            site.withdraws(
+            let job = cluster.submit(100 + n);
+            cluster.cancel_from(
                 &job,
-                site.now + [0, 100, 300, 1_000, 4_000, 15_000][draws.below(6) as usize],
+                cluster.now + [0, 100, 300, 1_000, 4_000, 15_000][random.below(6) as usize],
             );
         }
-        site.until(24_000 + 400_000);
+        cluster.until(24_000 + 400_000);
         assert!(
-            site.users.iter().all(|u| u.told.is_some()),
-            "seed {seed}: {days:?}"
+            cluster.users.iter().all(|u| u.answer.is_some()),
+            "seed {seed}: {faults:?}"
         );
     }
 }
 
 /// The store refuses the leader alone, which reaches no other controller either, while
-/// its machines go on coming to it; another takes its shard and withdraws its jobs; then
+/// its machines go on coming to it; another takes its part and withdraws its jobs; then
 /// the store is down for all. At each offset each withdrawal that is told is true, and
 /// those of the leader's machines are stopped when their lease, or the time for which
 /// it may answer blindly, is over.
@@ -486,28 +501,32 @@
         for after in [1_000, 8_500, 14_000, 34_000, 61_000, 76_000] {
             for long in [0, 20_000, 45_000, 70_000] {
                 let cut = (FROM, FROM + alone);
-                let days = Days {
-                    refused: cut,
-                    apart: cut,
-                    down: (FROM + after, FROM + after + long),
-                    ..Days::default()
+                let faults = FaultSchedule {
+                    store_unreachable: cut,
+                    partitioned: cut,
+                    store_down: (FROM + after, FROM + after + long),
+                    ..FaultSchedule::default()
                 };
-                let mut site = Site::new(alone + after + long, days).with_jobs(FROM + 1_000, 2_000);
-                site.until(FROM + 330_000);
-                let (in_time, _, stop) = told(&site);
-                (asked, answered) = (asked + site.users.len(), answered + in_time);
-                assert!(site.users.iter().all(|u| u.told.is_some()), "{days:?}");
+                let mut cluster = SimulatedCluster::new(alone + after + long, faults)
+                    .with_running_jobs(FROM + 1_000, 2_000);
+                cluster.until(FROM + 330_000);
+                let (in_time, _, stop) = cancellation_latency(&cluster);
+                (asked, answered) = (asked + cluster.users.len(), answered + in_time);
+                assert!(
+                    cluster.users.iter().all(|u| u.answer.is_some()),
+                    "{faults:?}"
+                );
                 // A user's asking waits for the store; then a stop for whoever can't
                 // know of it.
                 if long == 0 {
                     assert!(
                         in_time >= 8 && stop <= BLIND_MOST_MS + 2_000,
-                        "{in_time} told in time, stopped after {stop} ms; {days:?}"
+                        "{in_time} told in time, stopped after {stop} ms; {faults:?}"
                     );
                 }
                 assert!(
                     stop <= long + BLIND_MOST_MS + TIMING.lease_ms + 10_000,
-                    "{stop} ms; {days:?}"
+                    "{stop} ms; {faults:?}"
                 );
             }
         }
--- a/crates/coordination/tests/changes.rs
+++ b/crates/coordination/tests/changes.rs
@@ -580,17 +580,21 @@
             .find(|m| m.id == machine(5))
             .map(|m| m.open)
     };
-    owner.instances_listed(&[entry("starting")], 1_000);
+    owner.apply_inventory(&[entry("starting")], 1_000);
     owner.tick(30_000, 30_000);
     assert_eq!(open(&mut owner), Some(true), "it boots");
-    owner.instances_listed(&[entry("running")], 30_000);
+    owner.apply_inventory(&[entry("running")], 30_000);
     owner.tick(31_000, 31_000);
     assert_eq!(open(&mut owner), Some(true), "it may just be up");
     (31_000..45_000)
         .step_by(500)
         .for_each(|now| owner.tick(now, now));
     assert_eq!(open(&mut owner), Some(false));
-    assert!(owner.handle_heartbeat(&report(5, 1), None, 46_000).is_some());
+    assert!(
+        owner
+            .handle_heartbeat(&report(5, 1), None, 46_000)
+            .is_some()
+    );
     assert_eq!(open(&mut owner), Some(true), "it was only late");
 }
 
@@ -626,7 +630,10 @@
     assert_eq!(owner.sync(&other, ROOM, 21).err(), Some(SyncError::Token));
     let mut other = sync(6, whole, Vec::new(), ObservedState::default());
     other.from = 9;
-    assert_eq!(owner.sync(&other, ROOM, 21).err(), Some(SyncError::UnknownShard));
+    assert_eq!(
+        owner.sync(&other, ROOM, 21).err(),
+        Some(SyncError::UnknownShard)
+    );
     // A gap, and a span that ends before it begins: all is asked for again, and
     // the attempt is still held.
     for (seq, span) in [
--- a/crates/coordination/tests/ends.rs
+++ b/crates/coordination/tests/ends.rs
@@ -602,7 +602,9 @@
         // What is released is replaced.
         let workers_created = leader.owner.next_releases();
         if !workers_created.is_empty() {
-            leader.owner.instances_released(&workers_created, true, self.now);
+            leader
+                .owner
+                .release_finished(&workers_created, true, self.now);
         }
         for n in 0..WORKERS {
             if workers_created.contains(&machine(self.workers[n].name)) {
--- a/crates/coordination/tests/image_locality.rs
+++ b/crates/coordination/tests/image_locality.rs
@@ -682,7 +682,7 @@
         }
         owner.tick(now, now);
         let names = owner.next_releases();
-        owner.instances_released(&names, true, now);
+        owner.release_finished(&names, true, now);
         released += names.len();
         first = first.or(names.into_iter().next());
     }
--- a/crates/coordination/tests/late_orders.rs
+++ b/crates/coordination/tests/late_orders.rs
@@ -679,7 +679,8 @@
             .running_core(now)
             .map(|core| core.links.handle_gossip(word, now));
         if let Some(core) = self.hosts[from].core.as_mut() {
-            core.links.gossip_completed(to as u16, answer.is_some(), answer, now);
+            core.links
+                .gossip_completed(to as u16, answer.is_some(), answer, now);
         }
     }
 
--- a/crates/coordination/tests/mass_failure_recovery.rs
+++ b/crates/coordination/tests/mass_failure_recovery.rs
@@ -139,7 +139,7 @@
         while self.placer.next_cas(0).is_some() {
             self.store_revision += 1;
             self.placer
-                .cas_completed(CompareAndSwapOutcome::Committed(self.store_revision), 0);
+                .apply_cas_outcome(CompareAndSwapOutcome::Committed(self.store_revision), 0);
         }
     }
 }
@@ -195,7 +195,10 @@
     let mut cluster = Cluster::new(1);
     assert_eq!(cluster.add_machine(Vec::new()).len(), 4);
     let id = JobId::from("req-000100");
-    assert_eq!(cluster.placer.job_status(&id, 0), Some((0, 0, String::new())));
+    assert_eq!(
+        cluster.placer.job_status(&id, 0),
+        Some((0, 0, String::new()))
+    );
     cluster.add_machine(vec![PartitionedZone {
         zone: "north".into(),
         for_ms: 12_400,
@@ -207,5 +210,8 @@
         "zone north out of sight since 15 s, its attempts there end by proof in at most 16 s"
     );
     cluster.add_machine(Vec::new());
-    assert_eq!(cluster.placer.job_status(&id, 0), Some((0, 0, String::new())));
+    assert_eq!(
+        cluster.placer.job_status(&id, 0),
+        Some((0, 0, String::new()))
+    );
 }
--- a/crates/coordination/tests/nights.rs
+++ b/crates/coordination/tests/nights.rs
@@ -245,7 +245,9 @@
     assert!(shard.open(overdue), "what comes after all is used");
     for seq in 2..18 {
         shard.pass(3_000);
-        shard.owner.handle_heartbeat(&report(overdue, seq), None, shard.now);
+        shard
+            .owner
+            .handle_heartbeat(&report(overdue, seq), None, shard.now);
     }
     let released: BTreeSet<_> = shard.owner.next_releases().into_iter().collect();
     let never = late
--- a/crates/coordination/tests/support/controllers.rs
+++ b/crates/coordination/tests/support/controllers.rs
@@ -456,9 +456,10 @@
             let left = membership.ceded(core, now);
             let cas = core.election_cas(&claim, hold, left, now);
             match (claim, self.apply(&cas)) {
-                (ElectionAction::Acquire { shard, .. }, CompareAndSwapOutcome::Committed(token)) => {
-                    self.acquire(node, ShardLease { shard, token })
-                }
+                (
+                    ElectionAction::Acquire { shard, .. },
+                    CompareAndSwapOutcome::Committed(token),
+                ) => self.acquire(node, ShardLease { shard, token }),
                 (
                     ElectionAction::ReturnToHome(lease) | ElectionAction::Cede(lease),
                     CompareAndSwapOutcome::Committed(_),
@@ -523,7 +524,9 @@
                     for key in keys_to_reread(lease, keys) {
                         let (version, (job, chunk)) =
                             (self.version(key), parse_run_key(key).expect("a key"));
-                        self.nodes[node].core.chunk_reread(lease, &job, chunk, version);
+                        self.nodes[node]
+                            .core
+                            .chunk_reread(lease, &job, chunk, version);
                     }
                 }
                 self.nodes[node].core.cas_completed(lease, outcome, now);
@@ -580,11 +583,12 @@
                         .for_each(|from| self.nodes[to].core.handle_wake(shard, from));
                 }
             }
-            Effect::Provision(lease, rental) => {
-                self.nodes[node]
-                    .core
-                    .provisioning_completed(lease, &rental, ProvisioningResult::NoCapacity, now)
-            }
+            Effect::Provision(lease, rental) => self.nodes[node].core.provisioning_completed(
+                lease,
+                &rental,
+                ProvisioningResult::NoCapacity,
+                now,
+            ),
             Effect::ReleaseInstances(lease, machines) => {
                 for id in &machines {
                     let n = (0..MACHINES)
@@ -593,16 +597,20 @@
                     self.machines[n].gone = true;
                     self.machines[n].tasks.clear();
                 }
-                self.nodes[node].core.instances_released(lease, &machines, true, now);
+                self.nodes[node]
+                    .core
+                    .instances_released(lease, &machines, true, now);
             }
             Effect::SendGossip(to, word) => {
                 let to = usize::from(to);
                 let answer = (!self.partitioned(node, to))
                     .then(|| self.nodes[to].core.links.handle_gossip(word, now));
-                self.nodes[node]
-                    .core
-                    .links
-                    .gossip_completed(to as u16, answer.is_some(), answer, now);
+                self.nodes[node].core.links.gossip_completed(
+                    to as u16,
+                    answer.is_some(),
+                    answer,
+                    now,
+                );
             }
             Effect::ProbeService(_) => {}
         }
@@ -641,7 +649,9 @@
                 Err(_) => None,
             },
         };
-        self.nodes[node].core.sync_completed(lease, sync.to, view, now);
+        self.nodes[node]
+            .core
+            .sync_completed(lease, sync.to, view, now);
     }
 
     pub fn command(&mut self, node: usize, call: &CommandCall) -> CommandResult {
--- a/crates/node/src/cache_refresh.rs
+++ b/crates/node/src/cache_refresh.rs
@@ -39,7 +39,7 @@
         }
         sleep_ms(REFRESH_BUSY_MS).await;
         if requests.is_empty()
-            && !node.with_core(|core, _| core.mailing())
+            && !node.with_core(|core, _| core.uses_store_messages())
             && let Some(Ok(waiter)) =
                 within(REFRESH_IDLE_MS - REFRESH_BUSY_MS, requests.recv()).await
         {
@@ -53,8 +53,8 @@
 fn on_refreshed(node: &Rc<Node>, began_ms: u64, refresh: Refresh) {
     let changed = refresh == Refresh::Changed;
     let effects = node.with_core(|core, now| {
-        core.refreshed(began_ms, changed);
-        core.take_mail(now)
+        core.cache_refreshed(began_ms, changed);
+        core.handle_store_messages(now)
     });
     for effect in effects {
         effect_executor::execute(node, effect);
--- a/crates/node/src/cloud.rs
+++ b/crates/node/src/cloud.rs
@@ -88,14 +88,14 @@
     /// Provisions instances.
     pub(crate) async fn provision(&self, request: &ProvisioningRequest) -> ProvisioningResult {
         let Some(reply) = self.call("POST", "/rentals", &encode(request)).await else {
-            return ProvisioningResult::Again;
+            return ProvisioningResult::Retry;
         };
         match reply.status {
             200 => match decode::<MachineNames>(&reply.body) {
-                Ok(names) => ProvisioningResult::Rented(names.machines),
+                Ok(names) => ProvisioningResult::Provisioned(names.machines),
                 Err(error) => {
                     warn!(%error, "provisioning response malformed");
-                    ProvisioningResult::Again
+                    ProvisioningResult::Retry
                 }
             },
             503 if decode::<MalformedCloudEntry>(&reply.body)
@@ -110,7 +110,7 @@
                 );
                 ProvisioningResult::NoCapacity
             }
-            _ => ProvisioningResult::Again,
+            _ => ProvisioningResult::Retry,
         }
     }
 
@@ -188,7 +188,7 @@
     loop {
         let mut pages = 1;
         if let Some(instances) = node.cloud.instances().await {
-            node.with_core(|core, now| core.listed(&instances, now));
+            node.with_core(|core, now| core.instances_listed(&instances, now));
             pages = instances.len() as u32 / LIST_PAGE_INSTANCES + 1;
         }
         let wait = Duration::from_millis(LIST_EVERY_MS);
--- a/crates/node/src/effect_executor.rs
+++ b/crates/node/src/effect_executor.rs
@@ -11,7 +11,7 @@
 use crate::{Node, peer_api, sleep_ms};
 use lemonweir_coordination::owner::{CommandCall, CommandResult};
 use lemonweir_coordination::placer::{CompareAndSwapOutcome, ShardOwnership};
-use lemonweir_coordination::{Effect, ShardLease, keys_to_reread, mail_piece_bytes};
+use lemonweir_coordination::{Effect, ShardLease, keys_to_reread, store_message_piece_bytes};
 use lemonweir_model::constants::{
     CLOUD_TIMEOUT_MS, CLOUD_TROUBLE_MS, COMMAND_TIMEOUT_MS, STATE_TIMEOUT_MS, SYNC_TIMEOUT_MS,
     TICK_MS,
@@ -48,25 +48,27 @@
 async fn run(node: &Node, effect: Effect) {
     match effect {
         Effect::CompareAndSwap(lease, cas) => commit_task_records(node, lease, &cas).await,
-        Effect::Chain(cas) => commit_dependent_jobs(node, &cas).await,
-        Effect::ReadEnds(ids) => read_job_ends(node, &ids).await,
-        Effect::Note(cas) => write_hint(node, &cas).await,
+        Effect::DependencyCompareAndSwap(cas) => commit_dependent_jobs(node, &cas).await,
+        Effect::ReadFinalStates(ids) => read_job_ends(node, &ids).await,
+        Effect::WriteHint(cas) => write_hint(node, &cas).await,
         Effect::Command(lease, call) => send_command(node, lease, &call).await,
         Effect::Sync(lease, sync) => sync_with_peer(node, lease, &sync).await,
-        Effect::MailSync(sync) => store_sync_request(node, &sync).await,
-        Effect::MailView(to, view) => store_shard_view(node, to, &view).await,
-        Effect::Nudge(shard) => wake_peer(node, shard).await,
-        Effect::Rent(lease, request) => provision(node, lease, &request).await,
-        Effect::Release(lease, machines) => release_instances(node, lease, &machines).await,
-        Effect::Hail(host, gossip) => send_gossip(node, host, &gossip).await,
-        Effect::Probe(service) => probe_direct_route(node, service).await,
+        Effect::StoreSync(sync) => store_sync_request(node, &sync).await,
+        Effect::StoreView(to, view) => store_shard_view(node, to, &view).await,
+        Effect::WakePeer(shard) => wake_peer(node, shard).await,
+        Effect::Provision(lease, request) => provision(node, lease, &request).await,
+        Effect::ReleaseInstances(lease, machines) => {
+            release_instances(node, lease, &machines).await
+        }
+        Effect::SendGossip(host, gossip) => send_gossip(node, host, &gossip).await,
+        Effect::ProbeService(service) => probe_direct_route(node, service).await,
     }
 }
 
 /// Commits task records of a shard, and reports the outcome to the core.
 async fn commit_task_records(node: &Node, lease: ShardLease, cas: &CompareAndSwap) {
     let outcome = match node.kv_store.cas(cas).await {
-        Ok(CompareAndSwapResult::Done(revision)) => CompareAndSwapOutcome::Done(revision),
+        Ok(CompareAndSwapResult::Done(revision)) => CompareAndSwapOutcome::Committed(revision),
         Ok(CompareAndSwapResult::Conflict(keys)) => {
             // Guards against placing on versions of keys that a lost answer has changed:
             // they are read before the compare-and-swap counts as ended.
@@ -80,7 +82,7 @@
             node.with_core(|core, _| {
                 for (key, version) in &versions {
                     if let Some((job, chunk)) = parse_run_key(key) {
-                        core.reread(lease, &job, chunk, *version);
+                        core.chunk_reread(lease, &job, chunk, *version);
                     }
                 }
             });
@@ -92,16 +94,16 @@
                 writes = cas.writes.len(),
                 "compare-and-swap refused as malformed by the key-value store"
             );
-            CompareAndSwapOutcome::Refused
+            CompareAndSwapOutcome::Rejected
         }
         Err(_) => {
             // Whether it was committed or not, the same change is tried again under the
             // same conditions; a conflict then shows it.
             sleep_ms(STORE_RETRY_MS).await;
-            CompareAndSwapOutcome::Again
+            CompareAndSwapOutcome::Indeterminate
         }
     };
-    let ownership = node.with_core(|core, now| core.cas_done(lease, outcome, now));
+    let ownership = node.with_core(|core, now| core.cas_completed(lease, outcome, now));
     if ownership == ShardOwnership::Lost {
         let _ = node.refresh_cache().await;
     }
@@ -133,7 +135,7 @@
     let outcome = match node.kv_store.cas(cas).await {
         Ok(CompareAndSwapResult::Done(revision)) => {
             let _ = node.refresh_cache().await;
-            CompareAndSwapOutcome::Done(revision)
+            CompareAndSwapOutcome::Committed(revision)
         }
         Ok(CompareAndSwapResult::Conflict(keys)) => {
             info!(?keys, "compare-and-swap conflict of dependent jobs");
@@ -142,10 +144,10 @@
         }
         Err(fault) => {
             debug!(%fault, "compare-and-swap of dependent jobs failed");
-            CompareAndSwapOutcome::Again
+            CompareAndSwapOutcome::Indeterminate
         }
     };
-    node.with_core(|core, now| core.chain_done(outcome, now));
+    node.with_core(|core, now| core.dependency_cas_completed(outcome, now));
 }
 
 /// Reads the ends of jobs that others depend on.
@@ -155,7 +157,7 @@
             debug!(job_id = %id, %fault, "job end not read");
         }
     }
-    node.with_core(|core, now| core.ends_read(ids, now));
+    node.with_core(|core, now| core.final_states_read(ids, now));
 }
 
 /// Writes a hint; its end does not matter.
@@ -203,13 +205,13 @@
         Err(CallError::NotSent) => CommandResult::NotSent,
         Err(CallError::Unknown) => CommandResult::Unknown,
     };
-    node.with_core(|core, now| core.command_done(lease, call, result, now));
+    node.with_core(|core, now| core.command_completed(lease, call, result, now));
 }
 
 /// Reconciles with the leader of a shard on another controller, directly.
 async fn sync_with_peer(node: &Node, lease: ShardLease, sync: &SyncRequest) {
     let view = send_sync_request(node, sync).await;
-    node.with_core(|core, now| core.sync_done(lease, sync.to, view, now));
+    node.with_core(|core, now| core.sync_completed(lease, sync.to, view, now));
 }
 
 /// Sends a sync request to the leader of its shard. `None`: no view came.
@@ -230,7 +232,7 @@
     if response.status == 409
         && let Ok(by) = peer::read::<Superseded>(&response.body)
     {
-        node.with_core(|core, now| core.superseded(by, now));
+        node.with_core(|core, now| core.handle_superseded(by, now));
         return None;
     }
     if response.status != 200 {
@@ -289,8 +291,8 @@
     };
     let (piece_bytes, max_writes) = node.with_core(|core, _| {
         (
-            mail_piece_bytes(core.config.value_bytes),
-            core.config.txn_ops,
+            store_message_piece_bytes(core.config.value_bytes),
+            core.config.cas_max_changes,
         )
     });
     let cas = post(route, id, bytes, piece_bytes, lease.get());
@@ -311,7 +313,7 @@
     let Some(host) = leader_host(node, shard) else {
         return;
     };
-    let leases = node.with_core(|core, _| core.held());
+    let leases = node.with_core(|core, _| core.leases());
     let Some(address) = node.peer_address(&host) else {
         return;
     };
@@ -328,7 +330,7 @@
 /// Provisions instances, and reports the result to the core.
 async fn provision(node: &Node, lease: ShardLease, request: &ProvisioningRequest) {
     let result = node.cloud.provision(request).await;
-    node.with_core(|core, now| core.rented(lease, request, result, now));
+    node.with_core(|core, now| core.provisioning_completed(lease, request, result, now));
 }
 
 /// Releases instances, and reports the result to the core.
@@ -337,7 +339,7 @@
     if !released {
         sleep_ms(CLOUD_TROUBLE_MS).await;
     }
-    node.with_core(|core, now| core.released(lease, machines, released, now));
+    node.with_core(|core, now| core.instances_released(lease, machines, released, now));
 }
 
 /// Sends another controller what is reachable from here. Its response has the same of its
@@ -361,7 +363,10 @@
     let peer_gossip = response
         .filter(|response| response.status == 200)
         .and_then(|response| links::read::<AvailabilityGossip>(&response.body).ok());
-    node.with_core(|core, now| core.links.hailed(host, answered, peer_gossip, now));
+    node.with_core(|core, now| {
+        core.links
+            .gossip_completed(host, answered, peer_gossip, now)
+    });
 }
 
 /// Tries the direct route to a service with a request that changes nothing. Only whether
--- a/crates/node/src/elections.rs
+++ b/crates/node/src/elections.rs
@@ -41,7 +41,7 @@
     /// Does all that is due with this store lease.
     async fn run_once(&mut self, node: &Rc<Node>, lease: StoreLeaseId) -> Result<(), KvError> {
         if self.published_with != Some(lease) {
-            let left = node.with_core(|core, now| self.election.left(core, now));
+            let left = node.with_core(|core, now| self.election.ceded(core, now));
             publish_presence(node, lease, left).await?;
             self.published_with = Some(lease);
         }
@@ -49,7 +49,7 @@
         let now_ms = node.now_ms();
         self.campaign(node, lease, now_ms).await?;
         raise_record_version(node).await?;
-        let unpublished = node.with_core(|core, _| self.election.unshown(core, now_ms));
+        let unpublished = node.with_core(|core, _| self.election.unpublished_ceded(core, now_ms));
         if let Some(left) = unpublished {
             publish_presence(node, lease, left).await?;
             let _ = node.refresh_cache().await;
@@ -67,9 +67,9 @@
     ) -> Result<(), KvError> {
         for shard in 0..self.election.shards() {
             let step = node.with_core(|core, _| {
-                let action = self.election.claim(core, shard, now_ms)?;
-                let left = self.election.left(core, now_ms);
-                let cas = core.claim_txn(&action, lease.get(), left, now_ms);
+                let action = self.election.next_action(core, shard, now_ms)?;
+                let left = self.election.ceded(core, now_ms);
+                let cas = core.election_cas(&action, lease.get(), left, now_ms);
                 Some((action, cas))
             });
             let Some((action, cas)) = step else { continue };
@@ -92,11 +92,11 @@
 async fn on_election_committed(node: &Rc<Node>, action: ElectionAction, revision: u64) {
     match action {
         // The revision of the acquisition is the fencing token.
-        ElectionAction::Take { shard, .. } => {
+        ElectionAction::Acquire { shard, .. } => {
             let token = revision;
             load_shard(node, ShardLease { shard, token }).await;
         }
-        ElectionAction::HandBack(lease) => {
+        ElectionAction::ReturnToHome(lease) => {
             info!(
                 shard = lease.shard,
                 fencing_token = lease.token,
@@ -104,7 +104,7 @@
             );
             release_shard(node, lease).await;
         }
-        ElectionAction::Leave(lease) => {
+        ElectionAction::Cede(lease) => {
             warn!(
                 shard = lease.shard,
                 fencing_token = lease.token,
@@ -139,7 +139,7 @@
 
 /// Raises the version that records are written in, once every controller reads it.
 async fn raise_record_version(node: &Node) -> Result<(), KvError> {
-    let cas = node.with_core(|core, _| core.version_cas());
+    let cas = node.with_core(|core, _| core.records_version_cas());
     if let Some(cas) = cas
         && let CompareAndSwapResult::Done(_) = node.kv_store.cas(&cas).await?
     {
--- a/crates/node/src/flush_loop.rs
+++ b/crates/node/src/flush_loop.rs
@@ -19,11 +19,11 @@
 pub(crate) async fn run(node: Rc<Node>, flush_requests: Receiver<()>) {
     loop {
         let now_ms = node.now_ms();
-        let effects = node.with_core(|core, _| core.pump(now_ms));
+        let effects = node.with_core(|core, _| core.flush(now_ms));
         for effect in effects {
             effect_executor::execute(&node, effect);
         }
-        let wait_ms = if node.with_core(|core, _| core.hurried(now_ms)) {
+        let wait_ms = if node.with_core(|core, _| core.needs_short_tick(now_ms)) {
             SHORT_TICK_MS
         } else {
             TICK_MS
--- a/crates/node/src/heartbeat_relay.rs
+++ b/crates/node/src/heartbeat_relay.rs
@@ -119,7 +119,7 @@
         .unzip();
     let message = links::write(&RelayedHeartbeats {
         version: LINKS_VERSION,
-        by: node.with_core(|core, _| core.config.me),
+        by: node.with_core(|core, _| core.config.own_index),
         reports,
     });
     let response = match node.router.peers.get(&leader) {
@@ -136,7 +136,7 @@
         }
         None => Err(CallError::NotSent),
     };
-    node.with_core(|core, now| core.links.reached(leader, response.is_ok(), now));
+    node.with_core(|core, now| core.links.record_peer_call(leader, response.is_ok(), now));
     let Ok(response) = response else { return };
     match links::read::<RelayedAnswers>(&response.body) {
         Ok(RelayedAnswers { answers, .. }) if response.status == 200 => {
@@ -159,7 +159,9 @@
         let mut answers = Vec::with_capacity(relayed.reports.len());
         for body in &relayed.reports {
             answers.push(match decode::<Heartbeat>(body) {
-                Ok(heartbeat) => worker_reply(core.carried_report(&heartbeat, relayed.by, now)),
+                Ok(heartbeat) => {
+                    worker_reply(core.handle_relayed_heartbeat(&heartbeat, relayed.by, now))
+                }
                 Err(_) => (400, Vec::new()),
             });
         }
@@ -178,8 +180,8 @@
 /// What a worker is answered where its heartbeat is not relayed.
 pub(crate) fn worker_reply(answer: HeartbeatAnswer) -> WorkerReply {
     match answer {
-        HeartbeatAnswer::Orders(commands) => (200, encode(&commands)),
-        HeartbeatAnswer::Elsewhere(host) => (421, encode(&Redirect { host: Some(host) })),
-        HeartbeatAnswer::Carry(_) | HeartbeatAnswer::Unable => (503, Vec::new()),
+        HeartbeatAnswer::Commands(commands) => (200, encode(&commands)),
+        HeartbeatAnswer::Redirect(host) => (421, encode(&Redirect { host: Some(host) })),
+        HeartbeatAnswer::Relay(_) | HeartbeatAnswer::Unavailable => (503, Vec::new()),
     }
 }
--- a/crates/node/src/job_lookup.rs
+++ b/crates/node/src/job_lookup.rs
@@ -11,7 +11,7 @@
 
 use crate::kv_client::{CompareAndSwapResult, KvError};
 use crate::{Node, sleep_ms};
-use lemonweir_coordination::query_admission::Line;
+use lemonweir_coordination::query_admission::LookupQueue;
 use lemonweir_model::JobId;
 use lemonweir_model::constants::{CONDITIONS_A_CHANGE, GATHER_MS, LOOKUPS_MOST, USER_TIMEOUT_MS};
 use lemonweir_protocol::kv_store::from_value;
@@ -60,7 +60,7 @@
 
 /// Ids that wait to be looked up, with who waits for each.
 pub(crate) struct JobLookupQueue {
-    queue: Line<Sender<LookupResult>>,
+    queue: LookupQueue<Sender<LookupResult>>,
     /// True while a task takes batches from the queue.
     running: bool,
 }
@@ -68,7 +68,7 @@
 impl Default for JobLookupQueue {
     fn default() -> Self {
         Self {
-            queue: Line::new(LOOKUPS_MOST),
+            queue: LookupQueue::new(LOOKUPS_MOST),
             running: false,
         }
     }
@@ -84,7 +84,10 @@
     let now_ms = node.now_ms();
     let (owed_since_ms, has_priority) = {
         let admission = node.query_admission.borrow();
-        (admission.since(id, now_ms), admission.first(id, now_ms))
+        (
+            admission.pending_since(id, now_ms),
+            admission.has_priority(id, now_ms),
+        )
     };
     if !has_priority && node.kv_store.query_wait() > MAX_QUERY_WAIT {
         return Err(LookupError::Refused);
@@ -105,7 +108,7 @@
 /// Lets somebody wait for an id; true if batches have to be started.
 fn enqueue(node: &Node, id: &JobId, owed_since_ms: u64, reply_to: Sender<LookupResult>) -> bool {
     let mut lookups = node.job_lookups.borrow_mut();
-    for displaced in lookups.queue.enter(id, owed_since_ms, reply_to) {
+    for displaced in lookups.queue.enqueue(id, owed_since_ms, reply_to) {
         // Who waits may have given up.
         let _ = displaced.try_send(Err(LookupError::Refused));
     }
@@ -115,12 +118,12 @@
 /// Looks up what waits, batch by batch, until nothing does.
 async fn run_batches(node: &Rc<Node>) {
     sleep_ms(GATHER_MS).await;
-    let max_cas_writes = node.with_core(|core, _| core.config.txn_ops);
+    let max_cas_writes = node.with_core(|core, _| core.config.cas_max_changes);
     let max_batch = (CONDITIONS_A_CHANGE * max_cas_writes / ABSENT_CONDITIONS).max(1);
     loop {
         let batch = {
             let mut lookups = node.job_lookups.borrow_mut();
-            let batch = lookups.queue.take(max_batch);
+            let batch = lookups.queue.dequeue(max_batch);
             if batch.is_empty() {
                 lookups.running = false;
                 return;
--- a/crates/node/src/kv_client.rs
+++ b/crates/node/src/kv_client.rs
@@ -113,12 +113,12 @@
 
     /// How long a user's query would have to wait for its turn.
     pub(crate) fn query_wait(&self) -> Duration {
-        Duration::from_micros(self.requests.borrow().question_wait(self.now_us()))
+        Duration::from_micros(self.requests.borrow().query_wait(self.now_us()))
     }
 
     /// Waits for the turn of a request that answers a user.
     async fn wait_for_query_turn(&self) {
-        let wait_us = self.requests.borrow_mut().ask(self.now_us());
+        let wait_us = self.requests.borrow_mut().take_query(self.now_us());
         if wait_us > 0 {
             smol::Timer::after(Duration::from_micros(wait_us)).await;
         }
--- a/crates/node/src/lease_keeper.rs
+++ b/crates/node/src/lease_keeper.rs
@@ -22,7 +22,7 @@
         }
         // A lease lives from when its renewal was executed, which is after this.
         let now_ms = node.now_ms();
-        node.with_core(|core, _| core.set_clock(now_ms, wall_clock_ms()));
+        node.with_core(|core, _| core.set_wall_clock(now_ms, wall_clock_ms()));
         match node.store_lease.get() {
             None => {
                 if let Ok(lease) = node.kv_store.grant_lease(HOLD_TTL_MS).await {
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -111,7 +111,7 @@
 
     /// True if the store answered recently: what needs it can be asked for.
     fn store_reachable(&self) -> bool {
-        self.with_core(|core, now| core.links.store_told(now))
+        self.with_core(|core, now| core.links.store_answers_of_late(now))
     }
 
     /// Waits for a refresh of the state cache that begins after this call.
--- a/crates/node/src/peer_api.rs
+++ b/crates/node/src/peer_api.rs
@@ -99,7 +99,7 @@
             },
             PeerRoute::Gossip => match links::read::<AvailabilityGossip>(&request.body) {
                 Ok(gossip) => {
-                    let own = node.with_core(|core, now| core.links.hail_in(gossip, now));
+                    let own = node.with_core(|core, now| core.links.handle_gossip(gossip, now));
                     Reply::new(200, links::write(&own))
                 }
                 Err(fault) => malformed(fault),
@@ -113,7 +113,7 @@
                 Err(fault) => malformed(fault),
             },
             PeerRoute::Wake { shard, from } => {
-                node.with_core(|core, _| core.nudged(shard, from));
+                node.with_core(|core, _| core.handle_wake(shard, from));
                 node.wake();
                 Reply::empty(200)
             }
@@ -134,7 +134,7 @@
 
 /// Answers the sync request of another shard's placer with the view of the shard.
 fn handle_sync(node: &Node, sync: &SyncRequest) -> Reply {
-    let answer = node.with_core(|core, now| core.sync_in(sync, now));
+    let answer = node.with_core(|core, now| core.handle_sync(sync, now));
     node.wake();
     match answer {
         Ok(view) => Reply::new(200, peer::write(&view)),
--- a/crates/node/src/public_api/cancel.rs
+++ b/crates/node/src/public_api/cancel.rs
@@ -43,7 +43,7 @@
     let Some(id) = JobId::parse(id) else {
         return Reply::empty(404);
     };
-    let refused = |refusal| refuse(node, &id, QueryKind::Withdrawal, refusal);
+    let refused = |refusal| refuse(node, &id, QueryKind::Cancellation, refusal);
     let deadline_ms = node.now_ms() + USER_TIMEOUT_MS;
     let mut wait_until_ms: Option<u64> = None;
     loop {
@@ -58,10 +58,10 @@
         match pending_cancellation(node, &id) {
             // Guards against repeating for ever for a record that this process can't read.
             PendingCancellation::NotCached if node.now_ms() < deadline_ms => {}
-            PendingCancellation::NotCached => return refused(QueryRefusal::Store),
+            PendingCancellation::NotCached => return refused(QueryRefusal::StoreFailed),
             PendingCancellation::Requested => {
                 if wait_until_ms.is_none_or(|until_ms| node.now_ms() >= until_ms) {
-                    return refused(QueryRefusal::Stopping);
+                    return refused(QueryRefusal::JobStopping);
                 }
                 sleep_ms(TICK_MS).await;
             }
@@ -69,7 +69,7 @@
                 // Guards against a user who is held back for as long as others' writes
                 // take.
                 if node.kv_store.write_wait() > Duration::from_millis(SUBMIT_WAIT_MS) {
-                    return refused(QueryRefusal::Writes);
+                    return refused(QueryRefusal::WriteQueueFull);
                 }
                 match node.kv_store.cas(&cas).await {
                     Ok(CompareAndSwapResult::Done(_)) => {
@@ -85,7 +85,7 @@
                         let _ = node.refresh_cache().await;
                     }
                     Ok(CompareAndSwapResult::Conflict(_)) | Err(_) => {
-                        return refused(QueryRefusal::Store);
+                        return refused(QueryRefusal::StoreFailed);
                     }
                 }
             }
@@ -99,7 +99,7 @@
             return PendingCancellation::NotCached;
         };
         let team = spec.team.clone();
-        match core.cancellation(id) {
+        match core.cancellation_cas(id) {
             None => PendingCancellation::Requested,
             Some(cas) => PendingCancellation::ToWrite { team, cas },
         }
--- a/crates/node/src/public_api/heartbeat.rs
+++ b/crates/node/src/public_api/heartbeat.rs
@@ -21,9 +21,9 @@
             return Reply::empty(400);
         }
     };
-    let answer = node.with_core(|core, now| core.report(&heartbeat, now));
+    let answer = node.with_core(|core, now| core.handle_heartbeat(&heartbeat, now));
     node.wake();
-    if let HeartbeatAnswer::Carry(leader) = answer {
+    if let HeartbeatAnswer::Relay(leader) = answer {
         return relay_heartbeat(node, leader, body).await;
     }
     let (status, body) = worker_reply(answer);
--- a/crates/node/src/public_api/job_status.rs
+++ b/crates/node/src/public_api/job_status.rs
@@ -5,7 +5,7 @@
 use super::replies::{answer, not_found, refuse};
 use crate::job_lookup::{LookupError, StoredJob, look_up_job};
 use crate::{Node, RefreshError, sleep_ms};
-use lemonweir_coordination::job_status::Answer;
+use lemonweir_coordination::job_status::JobStatusAnswer;
 use lemonweir_coordination::query_admission::{QueryKind, QueryRefusal};
 use lemonweir_model::JobId;
 use lemonweir_model::constants::USER_TIMEOUT_MS;
@@ -19,8 +19,13 @@
     };
     // Guards against a flood of polls that heartbeats and submissions wait behind; but no
     // job is refused for that again and again.
-    if node.overloaded() && !node.query_admission.borrow().first(&id, node.now_ms()) {
-        return refuse(node, &id, QueryKind::Poll, QueryRefusal::Behind);
+    if node.overloaded()
+        && !node
+            .query_admission
+            .borrow()
+            .has_priority(&id, node.now_ms())
+    {
+        return refuse(node, &id, QueryKind::Poll, QueryRefusal::Overloaded);
     }
     match find_status(node, &id).await {
         Ok(Some(status)) => answer(node, 200, &status),
@@ -37,7 +42,7 @@
 ) -> Result<Option<JobStatus>, QueryRefusal> {
     within(USER_TIMEOUT_MS, find_status_unbounded(node, id))
         .await
-        .unwrap_or(Err(QueryRefusal::Store))
+        .unwrap_or(Err(QueryRefusal::StoreFailed))
 }
 
 /// The same without bound of time. From memory where that is new enough; else by a
@@ -48,37 +53,45 @@
 ) -> Result<Option<JobStatus>, QueryRefusal> {
     let mut unreadable = false;
     loop {
-        let (cached, store_reachable) =
-            node.with_core(|core, now| (core.answer(id, now), core.links.store_told(now)));
+        let (cached, store_reachable) = node.with_core(|core, now| {
+            (
+                core.job_status(id, now),
+                core.links.store_answers_of_late(now),
+            )
+        });
         match cached {
             // A moment in which others may still answer from before its end.
-            Answer::OverIn(ms) => sleep_ms(ms).await,
+            JobStatusAnswer::FinishedIn(ms) => sleep_ms(ms).await,
             // Guards against users who are held back for a store that answers nobody
             // here: they had better come again, or go elsewhere.
-            Answer::Reading | Answer::Unknown if !store_reachable => {
-                return Err(QueryRefusal::NoWord);
+            JobStatusAnswer::NeedsRefresh | JobStatusAnswer::Unknown if !store_reachable => {
+                return Err(QueryRefusal::StoreSilent);
             }
-            Answer::Reading => {
+            JobStatusAnswer::NeedsRefresh => {
                 node.refresh_cache().await.map_err(refresh_refusal)?;
-                if let Some(status) = node.with_core(|core, now| core.unfinished(id, now)) {
+                if let Some(status) = node.with_core(|core, now| core.unfinished_status(id, now)) {
                     return Ok(status_of(id, status));
                 }
             }
-            Answer::Ends(ids) => read_dependencies(node, &ids).await?,
-            Answer::Unknown => match look_up_job(node, id).await.map_err(lookup_refusal)? {
-                StoredJob::NotFound => return Ok(None),
-                StoredJob::Ended(_) => {}
-                // Guards against a record that this process can't read, which is asked
-                // for again and again: the job is there, and unfinished.
-                StoredJob::Unfinished if unreadable => {
-                    return Ok(Some(JobStatus::plain(id.clone(), JobPhase::Queued)));
+            JobStatusAnswer::NeedsFinalStates(ids) => read_dependencies(node, &ids).await?,
+            JobStatusAnswer::Unknown => {
+                match look_up_job(node, id).await.map_err(lookup_refusal)? {
+                    StoredJob::NotFound => return Ok(None),
+                    StoredJob::Ended(_) => {}
+                    // Guards against a record that this process can't read, which is asked
+                    // for again and again: the job is there, and unfinished.
+                    StoredJob::Unfinished if unreadable => {
+                        return Ok(Some(JobStatus::plain(id.clone(), JobPhase::Queued)));
+                    }
+                    StoredJob::Unfinished => {
+                        unreadable = true;
+                        node.refresh_cache().await.map_err(refresh_refusal)?;
+                    }
                 }
-                StoredJob::Unfinished => {
-                    unreadable = true;
-                    node.refresh_cache().await.map_err(refresh_refusal)?;
-                }
-            },
-            Answer::Over(_) | Answer::Unfinished(..) => return Ok(status_of(id, cached)),
+            }
+            JobStatusAnswer::Finished(_) | JobStatusAnswer::Unfinished(..) => {
+                return Ok(status_of(id, cached));
+            }
         }
     }
 }
@@ -99,28 +112,31 @@
 }
 
 /// The status, as users see it, of a job that the cache knows.
-fn status_of(id: &JobId, cached: Answer) -> Option<JobStatus> {
+fn status_of(id: &JobId, cached: JobStatusAnswer) -> Option<JobStatus> {
     match cached {
-        Answer::Over(phase) => Some(JobStatus::plain(id.clone(), phase)),
-        Answer::Unfinished(phase, done, running, reason) => Some(JobStatus {
+        JobStatusAnswer::Finished(phase) => Some(JobStatus::plain(id.clone(), phase)),
+        JobStatusAnswer::Unfinished(progress) => Some(JobStatus {
             id: id.clone(),
-            phase,
-            done: Some(done),
-            running: Some(running),
-            reason: (!reason.is_empty()).then_some(reason),
+            phase: progress.phase,
+            done: Some(progress.done),
+            running: Some(progress.running),
+            reason: (!progress.reason.is_empty()).then_some(progress.reason),
         }),
-        Answer::OverIn(_) | Answer::Reading | Answer::Ends(_) | Answer::Unknown => None,
+        JobStatusAnswer::FinishedIn(_)
+        | JobStatusAnswer::NeedsRefresh
+        | JobStatusAnswer::NeedsFinalStates(_)
+        | JobStatusAnswer::Unknown => None,
     }
 }
 
 /// The refusal that a failed lookup leads to.
 pub(super) fn lookup_refusal(error: LookupError) -> QueryRefusal {
     match error {
-        LookupError::Refused => QueryRefusal::Lookups,
-        LookupError::StoreUnavailable => QueryRefusal::Store,
+        LookupError::Refused => QueryRefusal::LookupQueueFull,
+        LookupError::StoreUnavailable => QueryRefusal::StoreFailed,
     }
 }
 
 fn refresh_refusal(RefreshError: RefreshError) -> QueryRefusal {
-    QueryRefusal::Store
+    QueryRefusal::StoreFailed
 }
--- a/crates/node/src/public_api/operator_pages.rs
+++ b/crates/node/src/public_api/operator_pages.rs
@@ -20,20 +20,20 @@
 pub(super) fn links(node: &Node) -> Reply {
     let report = node.with_core(|core, now| LinksReport {
         links: core.links.rows(now),
-        carried_workers: core.links.riders(now),
+        carried_workers: core.links.relayed_workers(now),
     });
     Reply::new(200, encode(&report))
 }
 
 /// Services that lack replicas, and the leaders of shards.
 pub(super) fn supervision(node: &Node) -> Reply {
-    let report = node.with_core(|core, now| core.watch(now));
+    let report = node.with_core(|core, now| core.supervision_report(now));
     Reply::new(200, encode(&report))
 }
 
 /// Failovers on record.
 pub(super) fn failovers(node: &Node) -> Reply {
-    let report = node.with_core(|core, now| core.failovers(now));
+    let report = node.with_core(|core, now| core.failover_report(now));
     Reply::new(200, encode(&report))
 }
 
@@ -44,6 +44,6 @@
 
 /// Where an image is cached, who uses it, and what the loss of each zone would leave.
 pub(super) fn image_locality(node: &Node, image: &str) -> Reply {
-    let report = node.with_core(|core, now| core.weights(image, now));
+    let report = node.with_core(|core, now| core.image_locality_report(image, now));
     Reply::new(200, encode(&report))
 }
--- a/crates/node/src/public_api/replies.rs
+++ b/crates/node/src/public_api/replies.rs
@@ -5,7 +5,7 @@
 use tracing::{debug, info};
 
 use crate::{Node, sleep_ms};
-use lemonweir_coordination::query_admission::{QueryKind, QueryRefusal};
+use lemonweir_coordination::query_admission::{QueryKind, QueryRefusal, RefusalSummary};
 use lemonweir_model::JobId;
 use lemonweir_model::constants::SUMMARY_MS;
 use lemonweir_protocol::encode;
@@ -16,19 +16,19 @@
 
 /// Answers a user's query of a job.
 pub(super) fn answer(node: &Node, http_status: u16, status: &JobStatus) -> Reply {
-    node.query_admission.borrow_mut().answered(&status.id);
+    node.query_admission.borrow_mut().record_answer(&status.id);
     Reply::new(http_status, encode(status))
 }
 
 /// Answers that there is no such job.
 pub(super) fn not_found(node: &Node, id: &JobId) -> Reply {
-    node.query_admission.borrow_mut().answered(id);
+    node.query_admission.borrow_mut().record_answer(id);
     Reply::empty(404)
 }
 
 /// Refuses a job that can't be accepted, with the reason.
 pub(super) fn unprocessable(node: &Node, id: &JobId, reason: &str) -> Reply {
-    node.query_admission.borrow_mut().answered(id);
+    node.query_admission.borrow_mut().record_answer(id);
     Reply::new(422, encode(&reason))
 }
 
@@ -48,10 +48,10 @@
     let now_ms = node.now_ms();
     let mut admission = node.query_admission.borrow_mut();
     debug!(job_id = %id, ?query, ?refusal, "query refused");
-    admission.turned_away(id, query, refusal, now_ms);
+    admission.record_refusal(id, query, refusal, now_ms);
     // Guards against users who stay with a controller that can tell them nothing while
     // others can: the load balancer does not move open connections.
-    let leave = !node.with_core(|core, _| core.ready(now_ms)) || admission.first(id, now_ms);
+    let leave = !node.with_core(|core, _| core.ready(now_ms)) || admission.has_priority(id, now_ms);
     Reply {
         leave,
         ..Reply::busy(retry_after_s)
@@ -62,10 +62,10 @@
 pub(crate) async fn log_refused_queries(node: Rc<Node>) {
     loop {
         sleep_ms(SUMMARY_MS).await;
-        let summary = node.query_admission.borrow_mut().told();
-        if let Some((refusals, longest_ms)) = summary {
+        let summary = node.query_admission.borrow_mut().take_refusals();
+        if let Some(RefusalSummary { counts, longest_ms }) = summary {
             info!(
-                ?refusals,
+                refusals = ?counts,
                 longest_refused_ms = longest_ms,
                 "queries refused"
             );
--- a/crates/node/src/public_api/submit.rs
+++ b/crates/node/src/public_api/submit.rs
@@ -70,7 +70,7 @@
         Runnable::CatalogUnknown => return refuse_submission(node, &id, QueryRefusal::NoCatalog),
     }
     if !node.store_reachable() {
-        return refuse_submission(node, &id, QueryRefusal::NoWord);
+        return refuse_submission(node, &id, QueryRefusal::StoreSilent);
     }
     // Guards against taking in more than can be written before its user gives up: the
     // answer then would come after the user asked again.
@@ -85,7 +85,7 @@
     match commit(node, &admitted.cas_list).await {
         Commit::Accepted => {}
         Commit::AlreadyAccepted => return answer_known_job(node, &id).await,
-        Commit::StoreUnavailable => return refuse_submission(node, &id, QueryRefusal::Store),
+        Commit::StoreUnavailable => return refuse_submission(node, &id, QueryRefusal::StoreFailed),
     }
     info!(
         job_id = %id,
@@ -108,7 +108,7 @@
 async fn answer_known_job(node: &Rc<Node>, id: &JobId) -> Reply {
     match find_status(node, id).await {
         Ok(Some(status)) => answer(node, 200, &status),
-        Ok(None) => refuse_submission(node, id, QueryRefusal::Store),
+        Ok(None) => refuse_submission(node, id, QueryRefusal::StoreFailed),
         Err(refusal) => refuse_submission(node, id, refusal),
     }
 }
@@ -143,7 +143,10 @@
 async fn refuse_for_write_queue(node: &Rc<Node>, id: &JobId, write_wait: Duration) -> Reply {
     // Guards against a job that was accepted long ago, of which its user asks so: that
     // needs no writing.
-    let has_priority = node.query_admission.borrow().first(id, node.now_ms());
+    let has_priority = node
+        .query_admission
+        .borrow()
+        .has_priority(id, node.now_ms());
     if has_priority && let Ok(Some(status)) = find_status(node, id).await {
         return answer(node, 200, &status);
     }
@@ -154,7 +157,7 @@
         node,
         id,
         QueryKind::Submission,
-        QueryRefusal::Writes,
+        QueryRefusal::WriteQueueFull,
         retry_after_s,
     )
 }
@@ -164,7 +167,7 @@
 async fn admit(node: &Rc<Node>, spec: &JobSpec) -> Result<AdmittedJob, Reply> {
     let mut refreshed = false;
     loop {
-        let admission = node.with_core(|core, _| core.admit(spec, wall_clock_ms()));
+        let admission = node.with_core(|core, _| core.admit_job(spec, wall_clock_ms()));
         let unknown = match admission {
             DependencyAdmission::Accept(cas_list, phase) => {
                 return Ok(AdmittedJob { cas_list, phase });
@@ -173,7 +176,7 @@
         };
         check_dependencies_exist(node, &spec.id, &unknown).await?;
         if refreshed || node.refresh_cache().await.is_err() {
-            return Err(refuse_submission(node, &spec.id, QueryRefusal::Store));
+            return Err(refuse_submission(node, &spec.id, QueryRefusal::StoreFailed));
         }
         refreshed = true;
     }
--- a/crates/node/src/rate_limit_share.rs
+++ b/crates/node/src/rate_limit_share.rs
@@ -19,7 +19,7 @@
 
     /// The same where the common limit may fall to `minimum_per_s` without notice.
     pub(crate) fn with_minimum(limit_per_s: f64, minimum_per_s: f64, controllers: usize) -> Self {
-        let bucket = TokenBucket::new(limit_per_s, controllers, 0).falling_to(minimum_per_s);
+        let bucket = TokenBucket::new(limit_per_s, controllers, 0).with_min_limit(minimum_per_s);
         Self {
             bucket: RefCell::new(bucket),
             started: Instant::now(),
@@ -42,6 +42,6 @@
 
     /// The service rejected a request for its rate (429).
     pub(crate) fn on_rejected(&self) {
-        self.bucket.borrow_mut().refused_for_good();
+        self.bucket.borrow_mut().refused_by_lower_limit();
     }
 }
--- a/crates/node/src/router.rs
+++ b/crates/node/src/router.rs
@@ -81,8 +81,10 @@
             .await;
         self.record_response_time(call.service, began_ms, &result);
         let served = was_served(call.service, &result);
-        self.core
-            .with(|core, now| core.links.tried(call.service, call.body.len(), served, now));
+        self.core.with(|core, now| {
+            core.links
+                .record_direct_call(call.service, call.body.len(), served, now)
+        });
         result
     }
 
@@ -104,8 +106,10 @@
         let result = self.send_relay_request(relay_peer, &request).await;
         self.record_response_time(call.service, began_ms, &result);
         let served = was_served(call.service, &result);
-        self.core
-            .with(|core, now| core.links.carried(call.service, relay_peer, served, now));
+        self.core.with(|core, now| {
+            core.links
+                .record_relayed_call(call.service, relay_peer, served, now)
+        });
         result
     }
 
@@ -117,7 +121,8 @@
     ) {
         if result.is_ok() {
             self.core.with(|core, now| {
-                core.links.took(service, now.saturating_sub(began_ms), now);
+                core.links
+                    .record_latency(service, now.saturating_sub(began_ms), now);
             });
         }
     }
@@ -161,7 +166,7 @@
             RelayTarget::Service(service) => {
                 // Guards against calls that go in a circle: what is relayed here is
                 // never relayed on.
-                if !self.core.with(|core, _| core.links.carries(*service)) {
+                if !self.core.with(|core, _| core.links.can_relay(*service)) {
                     return Reply::empty(503);
                 }
                 self.call_direct(&ServiceCall {
--- a/crates/node/src/startup.rs
+++ b/crates/node/src/startup.rs
@@ -47,7 +47,11 @@
         config.wall_offset_ms = wall_clock_ms();
         let sockets = config.sockets;
         let (node, requests) = build(executor, settings, config, policy);
-        let gate = Gate::new(sockets.public, sockets.crowded_at(), sockets.users());
+        let gate = Gate::new(
+            sockets.public,
+            sockets.close_above(),
+            sockets.user_keep_alive(),
+        );
         let api = Rc::new(PublicApi(node.clone()));
         executor
             .spawn(serve(executor, public, gate, MAX_BODY_BYTES, api))
@@ -89,7 +93,7 @@
     info!(host = settings.host_name, zone = settings.zone, listen = %settings.listen, "controller starting");
     info!(
         ?sockets,
-        close_above = sockets.crowded_at(),
+        close_above = sockets.close_above(),
         "socket limits; above `close_above` connections of workers and users, answers close theirs"
     );
     let node = Node {
--- a/crates/simulator/src/controller.rs
+++ b/crates/simulator/src/controller.rs
@@ -367,6 +367,6 @@
     pub fn leads(&self, shard: u16) -> bool {
         self.core
             .as_ref()
-            .is_some_and(|core| core.held().iter().any(|lease| lease.shard == shard))
+            .is_some_and(|core| core.leases().iter().any(|lease| lease.shard == shard))
     }
 }
--- a/crates/simulator/src/simulation/cloud_service.rs
+++ b/crates/simulator/src/simulation/cloud_service.rs
@@ -30,9 +30,9 @@
         route: ServiceRoute,
     ) {
         let result = if !self.try_route(process, route) {
-            ProvisioningResult::Again
+            ProvisioningResult::Retry
         } else if let Some(before) = self.cloud.bookings.get(&request.booking) {
-            ProvisioningResult::Rented(before.clone())
+            ProvisioningResult::Provisioned(before.clone())
         } else {
             self.provision_new(&request)
         };
@@ -69,7 +69,7 @@
         self.cloud
             .bookings
             .insert(request.booking.clone(), names.clone());
-        ProvisioningResult::Rented(names)
+        ProvisioningResult::Provisioned(names)
     }
 
     /// When a machine that is provisioned now will be up, µs.
--- a/crates/simulator/src/simulation/controllers.rs
+++ b/crates/simulator/src/simulation/controllers.rs
@@ -60,7 +60,7 @@
         let urgent = self.controllers[process.controller]
             .core
             .as_ref()
-            .is_some_and(|core| core.hurried(self.now_ms()));
+            .is_some_and(|core| core.needs_short_tick(self.now_ms()));
         let interval_ms = if urgent { SHORT_TICK_MS } else { TICK_MS };
         self.schedule_in(interval_ms * US_PER_MS, Event::Tick(process));
     }
@@ -116,7 +116,7 @@
         let Some(core) = self.controllers[number].core.as_mut() else {
             return;
         };
-        let effects = core.pump(now_ms);
+        let effects = core.flush(now_ms);
         self.charge(number, effects.len() as u64);
         for effect in effects {
             self.execute(number, effect);
@@ -131,15 +131,15 @@
         let counted = controller
             .core
             .as_ref()
-            .map(|core| core.tally())
+            .map(|core| core.work_counters())
             .unwrap_or_default();
         // Less than before: a shard was released, and its counters with it.
         let grown = |now: u64, before: u64| now.checked_sub(before).unwrap_or(now);
         let before = controller.counted;
-        let examined = grown(counted.looked, before.looked);
+        let examined = grown(counted.candidates_examined, before.candidates_examined);
         let load = &mut controller.load;
-        load.refused_placements += grown(counted.refused, before.refused);
-        load.preemptions += grown(counted.pushed_out, before.pushed_out);
+        load.refused_placements += grown(counted.placements_refused, before.placements_refused);
+        load.preemptions += grown(counted.attempts_preempted, before.attempts_preempted);
         let cost_ns = load.rest_ns + messages * costs.message_ns + examined * costs.candidate_ns;
         load.rest_ns = cost_ns % 1_000;
         load.busy_us += cost_ns / 1_000;
--- a/crates/simulator/src/simulation/effects.rs
+++ b/crates/simulator/src/simulation/effects.rs
@@ -1,6 +1,6 @@
 //! Executes the effects of a controller's core: what it sends, and to whom.
 
-use lemonweir_coordination::{Effect, ShardLease, mail_piece_bytes};
+use lemonweir_coordination::{Effect, ShardLease, store_message_piece_bytes};
 use lemonweir_model::MachineId;
 use lemonweir_protocol::cloud::ProvisioningRequest;
 use lemonweir_protocol::links::Service;
@@ -23,15 +23,17 @@
             Effect::CompareAndSwap(lease, cas) => {
                 self.send_cas(controller, CasOrigin::Scheduler(lease), cas)
             }
-            Effect::Chain(cas) => self.send_cas(controller, CasOrigin::Dependencies, cas),
-            Effect::Note(cas) => self.send_cas(controller, CasOrigin::Unattended, cas),
-            Effect::ReadEnds(ids) => {
+            Effect::DependencyCompareAndSwap(cas) => {
+                self.send_cas(controller, CasOrigin::Dependencies, cas)
+            }
+            Effect::WriteHint(cas) => self.send_cas(controller, CasOrigin::Unattended, cas),
+            Effect::ReadFinalStates(ids) => {
                 let at = at + self.network_delay();
                 self.deliver_at(at, process, Input::JobEndsRead(ids));
             }
             Effect::Command(lease, call) => self.send_commands(controller, lease, call, at),
             Effect::Sync(lease, sync) => self.send_sync(controller, lease, sync, at),
-            Effect::MailSync(sync) => {
+            Effect::StoreSync(sync) => {
                 let route = StoreMessageRoute {
                     kind: StoreMessageKind::Sync,
                     from: sync.from,
@@ -40,7 +42,7 @@
                 let id = (sync.from_token, sync.seq);
                 self.send_store_message(controller, route, id, &peer::write(&sync));
             }
-            Effect::MailView(to, view) => {
+            Effect::StoreView(to, view) => {
                 let route = StoreMessageRoute {
                     kind: StoreMessageKind::View,
                     from: view.shard,
@@ -49,13 +51,15 @@
                 let id = (view.token, view.seq);
                 self.send_store_message(controller, route, id, &peer::write(&view));
             }
-            Effect::Nudge(shard) => self.wake_shard(controller, shard, at),
-            Effect::Rent(lease, request) => {
+            Effect::WakePeer(shard) => self.wake_shard(controller, shard, at),
+            Effect::Provision(lease, request) => {
                 self.request_provisioning(controller, lease, request, at)
             }
-            Effect::Release(lease, names) => self.request_release(controller, lease, names, at),
-            Effect::Hail(to, gossip) => self.send_gossip(controller, to, gossip, at),
-            Effect::Probe(service) => self.schedule_at(at, Event::Probe(process, service)),
+            Effect::ReleaseInstances(lease, names) => {
+                self.request_release(controller, lease, names, at)
+            }
+            Effect::SendGossip(to, gossip) => self.send_gossip(controller, to, gossip, at),
+            Effect::ProbeService(service) => self.schedule_at(at, Event::Probe(process, service)),
         }
     }
 
@@ -64,7 +68,7 @@
         let leases = self.controllers[controller]
             .core
             .as_ref()
-            .map(|core| core.held())
+            .map(|core| core.leases())
             .unwrap_or_default();
         let Some(leader) = self
             .known_leader(controller, shard)
@@ -124,7 +128,7 @@
         };
         self.largest_store_message_bytes = self.largest_store_message_bytes.max(bytes.len());
         let limits = &self.scenario.state;
-        let piece_bytes = mail_piece_bytes((limits.least_value_kb() * 1024.0) as usize);
+        let piece_bytes = store_message_piece_bytes((limits.least_value_kb() * 1024.0) as usize);
         let cas = post(route, id, bytes, piece_bytes, store_lease);
         if cas.writes.len() <= limits.least_txn_ops() {
             self.send_cas(controller, CasOrigin::Unattended, cas);
--- a/crates/simulator/src/simulation/inputs.rs
+++ b/crates/simulator/src/simulation/inputs.rs
@@ -1,7 +1,7 @@
 //! What a controller does with each message of its inbox.
 
 use lemonweir_coordination::election::ElectionAction;
-use lemonweir_coordination::job_status::Answer;
+use lemonweir_coordination::job_status::JobStatusAnswer;
 use lemonweir_coordination::owner::SyncError;
 use lemonweir_coordination::placer::CompareAndSwapOutcome;
 use lemonweir_coordination::{HeartbeatAnswer, ShardLease};
@@ -31,8 +31,11 @@
             Input::Tick => {}
             Input::Heartbeat(heartbeat) => self.handle_heartbeat(number, heartbeat),
             Input::RelayedHeartbeat { heartbeat, relay } => {
-                let answer =
-                    core.carried_report(&heartbeat.heartbeat, relay.controller as u16, now_ms);
+                let answer = core.handle_relayed_heartbeat(
+                    &heartbeat.heartbeat,
+                    relay.controller as u16,
+                    now_ms,
+                );
                 self.return_relayed_answer(number, heartbeat.reference(), relay, answer);
             }
             Input::RelayedAnswer {
@@ -40,8 +43,9 @@
                 from,
                 answer,
             } => {
-                core.links.reached(from as u16, answer.is_some(), now_ms);
-                let answer = answer.map_or(HeartbeatAnswer::Unable, |answer| *answer);
+                core.links
+                    .record_peer_call(from as u16, answer.is_some(), now_ms);
+                let answer = answer.map_or(HeartbeatAnswer::Unavailable, |answer| *answer);
                 let at = self.departure_time(number) + self.network_delay();
                 self.send_heartbeat_answer(at, number, heartbeat, answer);
             }
@@ -51,28 +55,32 @@
                 bytes,
                 served,
             }) => match relay {
-                None => core.links.tried(service, bytes, served, now_ms),
-                Some(relay) => core.links.carried(service, relay, served, now_ms),
+                None => core
+                    .links
+                    .record_direct_call(service, bytes, served, now_ms),
+                Some(relay) => core
+                    .links
+                    .record_relayed_call(service, relay, served, now_ms),
             },
             Input::Gossip { reply_to, gossip } => self.handle_gossip(number, reply_to, *gossip),
             Input::GossipAnswer(from, gossip) => {
                 let answered = gossip.is_some();
                 core.links
-                    .hailed(from, answered, gossip.map(|gossip| *gossip), now_ms)
+                    .gossip_completed(from, answered, gossip.map(|gossip| *gossip), now_ms)
             }
             Input::CommandResult(lease, call, result) => {
-                core.command_done(lease, &call, result, now_ms)
+                core.command_completed(lease, &call, result, now_ms)
             }
             Input::SyncResponse(lease, to, view) => {
-                core.sync_done(lease, to, view.map(|view| *view), now_ms)
+                core.sync_completed(lease, to, view.map(|view| *view), now_ms)
             }
             Input::Provisioned(lease, request, result) => {
-                core.rented(lease, &request, result, now_ms)
+                core.provisioning_completed(lease, &request, result, now_ms)
             }
-            Input::Released(lease, names) => core.released(lease, &names, true, now_ms),
-            Input::InstancesListed(entries) => core.listed(&entries, now_ms),
-            Input::Superseded(by) => core.superseded(by, now_ms),
-            Input::WakeShard { shard, from } => core.nudged(shard, from),
+            Input::Released(lease, names) => core.instances_released(lease, &names, true, now_ms),
+            Input::InstancesListed(entries) => core.instances_listed(&entries, now_ms),
+            Input::Superseded(by) => core.handle_superseded(by, now_ms),
+            Input::WakeShard { shard, from } => core.handle_wake(shard, from),
             Input::JobAnnounced => self.request_state_read(number),
             Input::SyncRequest {
                 reply_to,
@@ -91,16 +99,18 @@
             Input::JobEndsRead(ids) => {
                 self.learn_job_ends(number, &ids);
                 if let Some(core) = self.controllers[number].core.as_mut() {
-                    core.ends_read(&ids, now_ms);
+                    core.final_states_read(&ids, now_ms);
                 }
             }
             Input::Submit(id) => self.handle_submission(number, id),
-            Input::Poll(id) => match core.answer(&id, now_ms) {
-                Answer::Unfinished(phase, ..) => self.reply(number, id, Some(phase), 200),
+            Input::Poll(id) => match core.job_status(&id, now_ms) {
+                JobStatusAnswer::Unfinished(progress) => {
+                    self.reply(number, id, Some(progress.phase), 200)
+                }
                 answer => self.answer_after_read(number, id, UserRequest::Query, answer),
             },
             Input::Withdraw(id) => {
-                let answer = core.answer(&id, now_ms);
+                let answer = core.job_status(&id, now_ms);
                 self.answer_after_read(number, id, UserRequest::Withdrawal, answer);
             }
             Input::CasResult {
@@ -117,8 +127,8 @@
         let Some(core) = self.controllers[number].core.as_mut() else {
             return;
         };
-        match core.report(&heartbeat.heartbeat, now_ms) {
-            HeartbeatAnswer::Carry(leader) => {
+        match core.handle_heartbeat(&heartbeat.heartbeat, now_ms) {
+            HeartbeatAnswer::Relay(leader) => {
                 self.relay_heartbeat(number, usize::from(leader), heartbeat)
             }
             answer => {
@@ -133,7 +143,7 @@
         let Some(core) = self.controllers[number].core.as_mut() else {
             return;
         };
-        let answer = Box::new(core.links.hail_in(gossip, now_ms));
+        let answer = Box::new(core.links.handle_gossip(gossip, now_ms));
         let at = self.departure_time(number) + self.network_delay();
         self.deliver_at(
             at,
@@ -153,7 +163,7 @@
         let Some(core) = self.controllers[number].core.as_mut() else {
             return;
         };
-        let answer = core.sync_in(request, now_ms);
+        let answer = core.handle_sync(request, now_ms);
         let Some(reply_to) = reply_to else { return };
         if let Err(SyncError::Superseded(by)) = &answer
             && !self.controllers_partitioned(reply_to.controller, number)
@@ -219,7 +229,7 @@
             return;
         };
         read_watched_keys(&self.store, core.cache.revision).apply(&mut core.cache, now_ms);
-        core.refreshed(now_ms, true);
+        core.cache_refreshed(now_ms, true);
         let still_leader = core
             .cache
             .shards
@@ -248,31 +258,34 @@
             CasOrigin::Scheduler(lease) => {
                 for (key, version) in versions {
                     if let Some((job, chunk)) = parse_run_key(&key) {
-                        core.reread(lease, &job, chunk, version);
+                        core.chunk_reread(lease, &job, chunk, version);
                     }
                 }
-                core.cas_done(
+                core.cas_completed(
                     lease,
-                    outcome.unwrap_or(CompareAndSwapOutcome::Again),
+                    outcome.unwrap_or(CompareAndSwapOutcome::Indeterminate),
                     now_ms,
                 );
             }
             CasOrigin::Unattended => {}
             CasOrigin::Dependencies => {
-                core.chain_done(outcome.unwrap_or(CompareAndSwapOutcome::Again), now_ms);
+                core.dependency_cas_completed(
+                    outcome.unwrap_or(CompareAndSwapOutcome::Indeterminate),
+                    now_ms,
+                );
                 self.request_state_read(number);
             }
             CasOrigin::Presence(lease) => {
                 controller.pending_lease_replies -= 1;
                 controller.store_lease =
-                    matches!(outcome, Some(CompareAndSwapOutcome::Done(_))).then_some(lease);
+                    matches!(outcome, Some(CompareAndSwapOutcome::Committed(_))).then_some(lease);
             }
             CasOrigin::LeaseKeeper(action) => {
                 controller.pending_lease_replies -= 1;
                 // Released here once it is released in the store.
                 if let (
-                    Some(ElectionAction::HandBack(lease) | ElectionAction::Leave(lease)),
-                    Some(CompareAndSwapOutcome::Done(_)),
+                    Some(ElectionAction::ReturnToHome(lease) | ElectionAction::Cede(lease)),
+                    Some(CompareAndSwapOutcome::Committed(_)),
                 ) = (action, outcome)
                 {
                     core.release(lease.shard, now_ms);
--- a/crates/simulator/src/simulation/lease_keeping.rs
+++ b/crates/simulator/src/simulation/lease_keeping.rs
@@ -73,16 +73,16 @@
         let controller = &mut self.controllers[number];
         let core = controller.core.as_ref()?;
         let teams = core.unassigned_teams();
-        let raised_version = core.version_cas();
-        let unpublished = controller.election.unshown(core, now_ms);
+        let raised_version = core.records_version_cas();
+        let unpublished = controller.election.unpublished_ceded(core, now_ms);
         let bids: Vec<ElectionAction> = (0..controller.election.shards())
-            .filter_map(|shard| controller.election.claim(core, shard, now_ms))
+            .filter_map(|shard| controller.election.next_action(core, shard, now_ms))
             .collect();
-        let left = controller.election.left(core, now_ms);
+        let left = controller.election.ceded(core, now_ms);
         // One bid at a time: what it brings counts for the next.
         let bid = bids
             .first()
-            .map(|bid| (*bid, core.claim_txn(bid, store_lease, left, now_ms)));
+            .map(|bid| (*bid, core.election_cas(bid, store_lease, left, now_ms)));
         Some(LeaseStep {
             assigned_teams: (!teams.is_empty()).then(|| assign_teams(&teams)),
             raised_version,
@@ -136,7 +136,7 @@
         controller.lease_renewed_at = now;
         match (controller.store_lease, answer, controller.core.as_ref()) {
             (None, Some(lease), Some(core)) => {
-                let left = controller.election.left(core, now_ms);
+                let left = controller.election.ceded(core, now_ms);
                 controller.pending_lease_replies += 1;
                 let cas = self.presence_cas(number, lease, left);
                 self.send_cas(number, CasOrigin::Presence(lease), cas);
--- a/crates/simulator/src/simulation/routes.rs
+++ b/crates/simulator/src/simulation/routes.rs
@@ -87,7 +87,7 @@
         let willing = self.controllers[relay]
             .core
             .as_ref()
-            .is_some_and(|core| core.links.carries(route.service));
+            .is_some_and(|core| core.links.can_relay(route.service));
         self.can_relay(relay, controller) && willing && self.reaches_service(relay, route.service)
     }
 
--- a/crates/simulator/src/simulation/state_reads.rs
+++ b/crates/simulator/src/simulation/state_reads.rs
@@ -82,10 +82,10 @@
         let mut effects = Vec::new();
         let changed = read.apply(&mut core.cache, now_ms);
         if let Some(changed) = changed {
-            core.refreshed(began / US_PER_MS, changed);
-            effects = core.take_mail(now_ms);
+            core.cache_refreshed(began / US_PER_MS, changed);
+            effects = core.handle_store_messages(now_ms);
         }
-        let expects_messages = core.mailing();
+        let expects_messages = core.uses_store_messages();
         for effect in effects {
             self.execute(number, effect);
         }
--- a/crates/simulator/src/simulation/store_service.rs
+++ b/crates/simulator/src/simulation/store_service.rs
@@ -118,7 +118,7 @@
             StoreRequest::CompareAndSwap(origin, cas) => Input::CasResult {
                 origin,
                 cas: *cas,
-                outcome: Some(CompareAndSwapOutcome::Again),
+                outcome: Some(CompareAndSwapOutcome::Indeterminate),
                 versions: Vec::new(),
             },
             other => other.unanswered(),
@@ -201,8 +201,8 @@
     fn execute_cas(&mut self, origin: CasOrigin, cas: CompareAndSwap) -> Input {
         let mut versions = Vec::new();
         let outcome = match self.store.compare_and_swap(&cas) {
-            CasAnswer::LeaseExpired => CompareAndSwapOutcome::Again,
-            CasAnswer::TooLarge => CompareAndSwapOutcome::Refused,
+            CasAnswer::LeaseExpired => CompareAndSwapOutcome::Indeterminate,
+            CasAnswer::TooLarge => CompareAndSwapOutcome::Rejected,
             CasAnswer::Conflict(keys) => {
                 if let CasOrigin::Scheduler(lease) = origin {
                     versions = self.reread_versions(lease, &keys);
@@ -213,12 +213,12 @@
                 self.workload.checker.cas_committed(&cas, self.now);
                 self.metrics.cas_committed(&cas, self.now);
                 self.record_job_ends(&cas, revision);
-                CompareAndSwapOutcome::Done(revision)
+                CompareAndSwapOutcome::Committed(revision)
             }
         };
         if let (
-            CasOrigin::LeaseKeeper(Some(ElectionAction::Take { shard, .. })),
-            CompareAndSwapOutcome::Done(token),
+            CasOrigin::LeaseKeeper(Some(ElectionAction::Acquire { shard, .. })),
+            CompareAndSwapOutcome::Committed(token),
         ) = (&origin, &outcome)
         {
             let lease = ShardLease {
--- a/crates/simulator/src/simulation/user_answers.rs
+++ b/crates/simulator/src/simulation/user_answers.rs
@@ -1,7 +1,7 @@
 //! How controllers answer users: submissions, polls and withdrawals.
 
 use lemonweir_coordination::dependencies::DependencyAdmission;
-use lemonweir_coordination::job_status::Answer;
+use lemonweir_coordination::job_status::JobStatusAnswer;
 use lemonweir_coordination::placer::CompareAndSwapOutcome;
 use lemonweir_model::JobId;
 use lemonweir_model::constants::{REFRESH_IDLE_MS, SUBMIT_WAIT_MS, USER_TIMEOUT_MS};
@@ -28,8 +28,10 @@
             return;
         };
         if core.cache.knows(&id) {
-            return match core.answer(&id, now_ms) {
-                Answer::Unfinished(phase, ..) => self.reply(number, id, Some(phase), 200),
+            return match core.job_status(&id, now_ms) {
+                JobStatusAnswer::Unfinished(progress) => {
+                    self.reply(number, id, Some(progress.phase), 200)
+                }
                 answer => self.answer_after_read(number, id, UserRequest::Query, answer),
             };
         }
@@ -45,7 +47,7 @@
         } else if wait_us > SUBMIT_WAIT_MS * US_PER_MS || !core.ready(now_ms) {
             self.reply(number, id, None, 503);
         } else {
-            match core.admit(&spec, now_ms) {
+            match core.admit_job(&spec, now_ms) {
                 DependencyAdmission::Accept(cas_list, _) => {
                     self.send_submission(number, id, &cas_list)
                 }
@@ -114,15 +116,15 @@
         number: usize,
         id: JobId,
         request: UserRequest,
-        answer: Answer,
+        answer: JobStatusAnswer,
     ) {
         match answer {
-            Answer::Over(phase) => self.reply(number, id, Some(phase), 200),
-            Answer::Ends(ids) => {
+            JobStatusAnswer::Finished(phase) => self.reply(number, id, Some(phase), 200),
+            JobStatusAnswer::NeedsFinalStates(ids) => {
                 self.learn_job_ends(number, &ids);
                 self.queue_query(number, id, request);
             }
-            Answer::OverIn(ms) => {
+            JobStatusAnswer::FinishedIn(ms) => {
                 let again = match request {
                     UserRequest::Withdrawal => Input::Withdraw(id),
                     UserRequest::Query => Input::Poll(id),
@@ -147,10 +149,10 @@
         let Some(core) = self.controllers[number].core.as_ref() else {
             return;
         };
-        if let Some(Answer::Unfinished(phase, ..)) = core.unfinished(&id, now_ms) {
+        if let Some(JobStatusAnswer::Unfinished(progress)) = core.unfinished_status(&id, now_ms) {
             return match request {
-                UserRequest::Query => self.reply_to(number, id, Some(phase), 200, asked),
-                UserRequest::Withdrawal => match core.cancellation(&id) {
+                UserRequest::Query => self.reply_to(number, id, Some(progress.phase), 200, asked),
+                UserRequest::Withdrawal => match core.cancellation_cas(&id) {
                     Some(cas) => self.send_cas(number, CasOrigin::User(id, request, asked), cas),
                     None => self.reply_to(number, id, None, 503, asked),
                 },
@@ -162,7 +164,7 @@
             .as_ref()
             .filter(|core| core.cache.knows(&id))
         {
-            let answer = core.answer(&id, now_ms);
+            let answer = core.job_status(&id, now_ms);
             return self.answer_after_read(number, id, request, answer);
         }
         self.reply_to(number, id, None, 404, asked);
@@ -180,12 +182,12 @@
     ) {
         let in_time = self.now < asked + USER_TIMEOUT_MS * US_PER_MS;
         match (outcome, request) {
-            (Some(CompareAndSwapOutcome::Done(_)), UserRequest::Withdrawal) => {
+            (Some(CompareAndSwapOutcome::Committed(_)), UserRequest::Withdrawal) => {
                 // Its end is told to a later question.
                 self.announce(number, &id);
                 self.reply(number, id, None, 503);
             }
-            (Some(CompareAndSwapOutcome::Done(_)), UserRequest::Query) => {
+            (Some(CompareAndSwapOutcome::Committed(_)), UserRequest::Query) => {
                 self.announce(number, &id);
                 // With a cancelled dependency it is cancelled from the start.
                 let ended = cas
--- a/crates/simulator/src/simulation/workers.rs
+++ b/crates/simulator/src/simulation/workers.rs
@@ -153,7 +153,7 @@
         };
         let next = (controller + 1) % controllers;
         match answer {
-            HeartbeatAnswer::Orders(response) => {
+            HeartbeatAnswer::Commands(response) => {
                 let response: HeartbeatResponse = response;
                 let answer = ReceivedAnswer {
                     session: heartbeat.session,
@@ -165,11 +165,11 @@
                     worker.handle_answer(&answer, now, workload)
                 });
             }
-            HeartbeatAnswer::Elsewhere(name) => {
+            HeartbeatAnswer::Redirect(name) => {
                 let named = (0..controllers).find(|number| host_name(*number) == name);
                 self.redirect_worker(number, named.unwrap_or(next), REDIRECT_US);
             }
-            HeartbeatAnswer::Unable | HeartbeatAnswer::Carry(_) => {
+            HeartbeatAnswer::Unavailable | HeartbeatAnswer::Relay(_) => {
                 self.redirect_worker(number, next, NEXT_AFTER_REFUSAL_US)
             }
         }
--- a/crates/simulator/tests/image_locality.rs
+++ b/crates/simulator/tests/image_locality.rs
@@ -328,7 +328,7 @@
                 .core
                 .as_ref()
                 .expect("runs")
-                .weights("m-0", lab.simulation.now / 1_000);
+                .image_locality_report("m-0", lab.simulation.now / 1_000);
             assert_eq!(
                 (picture.mb, picture.users.len(), picture.users[0].tasks),
                 (Some(40_000), 1, 2)
--- a/crates/simulator/tests/resilience.rs
+++ b/crates/simulator/tests/resilience.rs
@@ -526,7 +526,7 @@
     }
     simulation.run(HOLD_TTL_MS + 3_000);
     let core = simulation.controllers[held].core.as_ref().expect("it runs");
-    assert!(core.unproven(), "nothing has shown what it holds");
+    assert!(core.lease_unconfirmed(), "nothing has shown what it holds");
     simulation.links_down.clear();
     simulation.run(60_000);
     assert!(
@@ -534,7 +534,7 @@
             .core
             .as_ref()
             .expect("it runs")
-            .unproven()
+            .lease_unconfirmed()
     );
     assert_no_violation(&simulation, "a long pause");
 }
--- a/crates/simulator/tests/supervision.rs
+++ b/crates/simulator/tests/supervision.rs
@@ -347,7 +347,7 @@
     assert_eq!(live(&simulation), 1_000);
     let core = simulation.controllers[0].core.as_ref().expect("it runs");
     let now = simulation.now / 1_000;
-    let watch = core.watch(now);
+    let watch = core.supervision_report(now);
     assert_eq!(
         (watch.services, watch.promised, watch.up, watch.short.len()),
         (500, 1_000, 1_000, 0)
@@ -377,7 +377,7 @@
         .core
         .as_ref()
         .expect("it runs")
-        .watch(simulation.now / 1_000);
+        .supervision_report(simulation.now / 1_000);
     assert_eq!((watch.up, watch.short.len()), (1_000, 0));
     assert_eq!(
         watch.shards[0].holder.as_deref(),
@@ -388,13 +388,13 @@
         .as_ref()
         .expect("it runs");
     assert_eq!(
-        third.watch(simulation.now / 1_000).up,
+        third.supervision_report(simulation.now / 1_000).up,
         1_000,
         "any node shows it"
     );
     assert_eq!(
         third
-            .failovers(simulation.now / 1_000)
+            .failover_report(simulation.now / 1_000)
             .changes
             .first()
             .and_then(|c| c.to.clone()),
@@ -496,7 +496,7 @@
             h.core
                 .as_ref()
                 .filter(|_| h.leads(0))
-                .map(|c| c.watch(simulation.now / 1_000).short.len())
+                .map(|c| c.supervision_report(simulation.now / 1_000).short.len())
         };
         if whole.is_none()
             && taken.is_some()
@@ -555,7 +555,7 @@
         .controllers
         .iter()
         .filter_map(|h| h.core.as_ref())
-        .flat_map(|c| c.watch(simulation.now / 1_000).short);
+        .flat_map(|c| c.supervision_report(simulation.now / 1_000).short);
     rows.filter(|r| r.job == lemonweir_simulator::fixtures::id(n).to_string())
         .max_by_key(|r| r.short_s)
 }
--- a/fuzz/tests/malformed_input.rs
+++ b/fuzz/tests/malformed_input.rs
@@ -136,7 +136,7 @@
 
 #[test]
 fn messagepack_messages() {
-    let spec = lemonweir_simulator::sample::job(1, "red", JobKind::Array, 3);
+    let spec = lemonweir_simulator::fixtures::job(1, "red", JobKind::Array, 3);
     let heartbeat = Heartbeat {
         machine: MachineId::from("n-000001"),
         address: "10.0.0.1:9000".into(),
@@ -271,7 +271,7 @@
             return;
         };
         match Scenario::parse("s.toml", text) {
-            Ok(scenario) => assert!(!scenario.zones.is_empty() && scenario.shards > 0),
+            Ok(scenario) => assert!(!scenario.zones.is_empty() && scenario.controllers > 0),
             Err(faults) => {
                 assert!(faults.iter().all(|f| f.starts_with("s.toml:")) && !faults.is_empty())
             }
@@ -322,7 +322,7 @@
         links::write(&heartbeats),
         links::write(&answers),
     ];
-    let scenario = lemonweir_simulator::sample::site(3, 4, Default::default());
+    let scenario = lemonweir_simulator::fixtures::site(3, 4, Default::default());
     check!()
         .with_type::<(u8, Edits)>()
         .for_each(|(which, edits)| {
@@ -341,12 +341,12 @@
             if let Some(gossip) = read_exactly::<AvailabilityGossip>(&bytes) {
                 let mut core =
                     Core::new(Config::new(&scenario.settings(0)), scenario.policy.clone());
-                let own = core.links.hail_in(gossip.clone(), 1_000);
+                let own = core.links.handle_gossip(gossip.clone(), 1_000);
                 assert_eq!((own.version, own.host), (LINKS_VERSION, 0));
                 core.links
-                    .hailed(gossip.host, true, Some(gossip.clone()), 1_100);
+                    .gossip_completed(gossip.host, true, Some(gossip.clone()), 1_100);
                 for at in [2_000, 4_000] {
-                    core.links.tried(Service::Store, 0, false, at);
+                    core.links.record_direct_call(Service::Store, 0, false, at);
                 }
                 let relay_peer = core.links.route(Service::Store, 0, 4_100);
                 assert!(
--- a/tests/malformed_input.rs
+++ b/tests/malformed_input.rs
@@ -2,7 +2,8 @@
 //! nothing.
 
 use lemonweir_coordination::autoscaler::{
-    CapacityBin, CapacityDemand, CapacityShortages, FailingPools, ProvisioningOptions, plan,
+    BootingInstance, CapacityBin, CapacityDemand, CapacityShortages, FailingPools, InstancePool,
+    Market, ProvisioningOptions, ScaleOut, plan_scale_out,
 };
 use lemonweir_model::settings::Settings;
 use lemonweir_model::{JobId, JobKind, Resources};
@@ -10,7 +11,7 @@
 use lemonweir_protocol::users::{never_runs, read_submission};
 use lemonweir_protocol::worker::Heartbeat;
 use lemonweir_protocol::{decode, encode};
-use lemonweir_simulator::sample::{job, site};
+use lemonweir_simulator::fixtures::{job, site};
 use lemonweir_storage::StateCache;
 use lemonweir_storage::records::{StoreMessageKind, StoreMessageRecord, mail_key};
 use rmpv::Value;
@@ -234,14 +235,14 @@
     CapacityDemand {
         team: "red".into(),
         need: Resources::offer(4.0, 1.0, 8.0),
-        types: None,
+        machine_types: None,
         zone: None,
-        spot,
-        only_spot: false,
+        spot_allowed: spot,
+        spot_only: false,
         count,
-        one_zone: false,
+        single_zone: false,
         idle: false,
-        first: false,
+        must_start_now: false,
     }
 }
 
@@ -251,17 +252,17 @@
     booting: &[CapacityBin],
     failing: &FailingPools,
     shortage: &CapacityShortages,
-) -> Vec<(String, String, bool, u32)> {
+) -> Vec<ScaleOut> {
     let (hidden, catalog) = (Default::default(), catalog());
-    plan(
+    plan_scale_out(
         lacking,
         booting,
         &Default::default(),
         &ProvisioningOptions {
-            hidden: &hidden,
-            failing,
+            partitioned_zones: &hidden,
+            failing_pools: failing,
             catalog: &catalog,
-            shortage,
+            shortages: shortage,
         },
         0,
     )
@@ -277,10 +278,10 @@
             &CapacityShortages::default(),
         )
     };
-    let count = |plan: Vec<(String, String, bool, u32)>| {
+    let count = |plan: Vec<ScaleOut>| {
         (
-            plan.iter().map(|p| p.3).sum::<u32>(),
-            plan.iter().all(|p| p.2),
+            plan.iter().map(|p| p.count).sum::<u32>(),
+            plan.iter().all(|p| p.pool.market == Market::Spot),
         )
     };
     assert_eq!(
@@ -290,9 +291,7 @@
     );
     assert_eq!(count(provisioned(demand(4, false), &[])).0, 1);
     let booting = CapacityBin {
-        kind: "box".into(),
-        zone: "north".into(),
-        spot: false,
+        pool: InstancePool::new("box", "north", Market::OnDemand),
         free: Resources::offer(16.0, 4.0, 64.0),
     };
     assert!(
@@ -306,7 +305,7 @@
 #[test]
 fn single_zone_gang_gets_machines_of_one_zone() {
     let mut gang = demand(9, true);
-    gang.one_zone = true;
+    gang.single_zone = true;
     let plan = scale_out(
         &[gang],
         &[],
@@ -314,7 +313,7 @@
         &CapacityShortages::default(),
     );
     assert_eq!(plan.len(), 1, "{plan:?}");
-    assert_eq!(plan[0].3, 3);
+    assert_eq!(plan[0].count, 3);
 }
 
 /// Where most of what was provisioned does not boot, other pools are asked first, dearer
@@ -324,12 +323,17 @@
     let none = CapacityShortages::default();
     let usual = scale_out(&[demand(4, true)], &[], &FailingPools::default(), &none).remove(0);
     let overdue = |n: usize, all: usize| {
-        FailingPools::of((0..all).map(|i| (usual.0.as_str(), usual.1.as_str(), usual.2, i < n)))
+        FailingPools::new((0..all).map(|i| BootingInstance {
+            machine_type: &usual.pool.machine_type,
+            zone: &usual.pool.zone,
+            market: usual.pool.market,
+            overdue: i < n,
+        }))
     };
     let replacement = scale_out(&[demand(4, true)], &[], &overdue(3, 4), &none).remove(0);
     assert_ne!(
-        (&replacement.1, replacement.2),
-        (&usual.1, usual.2),
+        (&replacement.pool.zone, replacement.pool.market),
+        (&usual.pool.zone, usual.pool.market),
         "another zone or kind"
     );
     assert_eq!(
@@ -343,8 +347,8 @@
         "most of them boot"
     );
     let one_pool_only = CapacityDemand {
-        zone: Some(usual.1.clone()),
-        only_spot: true,
+        zone: Some(usual.pool.zone.clone()),
+        spot_only: true,
         ..demand(4, true)
     };
     assert_eq!(
--- a/tests/user_queries.rs
+++ b/tests/user_queries.rs
@@ -17,8 +17,8 @@
 };
 use lemonweir_protocol::users::JobPhase;
 use lemonweir_protocol::{decode, encode};
-use lemonweir_simulator::sample::job;
-use lemonweir_simulator::store::{Store, TxnAnswer};
+use lemonweir_simulator::fixtures::job;
+use lemonweir_simulator::store::{CasAnswer, Store};
 use lemonweir_storage::records::{JobEndRecord, end_key};
 use lemonweir_transport::server::listen;
 use lemonweir_transport::{Gate, Handler, Reply, Request, serve};
@@ -82,7 +82,7 @@
                 Ok(hold) => Reply::new(
                     200,
                     encode(&LeaseResponse {
-                        hold: store.hold(hold.ttl_ms * 1_000_000, 0),
+                        hold: store.grant_lease(hold.ttl_ms * 1_000_000, 0),
                     }),
                 ),
                 Err(_) => Reply::empty(400),
@@ -141,25 +141,25 @@
                     services
                         .checks
                         .fetch_add(usize::from(cas.writes.is_empty()), Ordering::Relaxed);
-                    match store.cas(&cas) {
-                        TxnAnswer::Done(revision) => Reply::new(
+                    match store.compare_and_swap(&cas) {
+                        CasAnswer::Committed(revision) => Reply::new(
                             200,
                             encode(&CompareAndSwapResponse {
                                 failed: Vec::new(),
                                 revision,
                             }),
                         ),
-                        TxnAnswer::Conflict(failed) => Reply::new(
+                        CasAnswer::Conflict(failed) => Reply::new(
                             409,
                             encode(&CompareAndSwapResponse {
                                 failed,
                                 revision: store.revision,
                             }),
                         ),
-                        TxnAnswer::NoHold => {
+                        CasAnswer::LeaseExpired => {
                             Reply::new(400, encode(&serde_json::json!({"error": "no such lease"})))
                         }
-                        TxnAnswer::TooLarge => {
+                        CasAnswer::TooLarge => {
                             Reply::new(400, encode(&serde_json::json!({"error": "too large"})))
                         }
                     }
@@ -376,7 +376,7 @@
             JobPhase::Done
         };
         let id = job(n, "red", JobKind::Array, 1).id;
-        store.cas(&CompareAndSwap {
+        store.compare_and_swap(&CompareAndSwap {
             conditions: Vec::new(),
             writes: vec![lemonweir_protocol::kv_store::Write::put(
                 end_key(&id),
@@ -389,7 +389,7 @@
         value: to_value(&"no record"),
         hold: None,
     };
-    store.cas(&CompareAndSwap {
+    store.compare_and_swap(&CompareAndSwap {
         conditions: Vec::new(),
         writes: vec![unreadable],
     });
