--- a/crates/coordination/src/placer/escalation.rs
+++ b/crates/coordination/src/placer/escalation.rs
@@ -21,7 +21,7 @@
 use crate::autoscaler::CapacityShortages;
 use crate::image_locality::scoring::{ImageLocality, placement_classes};
 use crate::job::LiveAttempt;
-use crate::placement::{Candidate, CandidateShard, CandidateWalk};
+use crate::placement::{Candidate, CandidateWalk};
 use crate::supervision::services::{EscalationStep, RecoveryActivity, RecoveryAttempt};
 
 /// Services that one look escalates for, so that hundreds that are late at once don't
