--- a/crates/coordination/src/config.rs
+++ b/crates/coordination/src/config.rs
@@ -7,7 +7,7 @@
 use lemonweir_model::constants::*;
 use lemonweir_model::settings::{ClusterMember, Settings};
 use lemonweir_model::{MachineId, Resources};
-use lemonweir_protocol::users::team_limit;
+use lemonweir_protocol::users::quota_limit;
 
 /// Facts that do not change while the process runs.
 pub struct Config {
@@ -75,7 +75,7 @@
                 .cluster
                 .teams
                 .iter()
-                .map(|t| (t.name.clone(), team_limit(t)))
+                .map(|t| (t.name.clone(), quota_limit(t)))
                 .collect(),
             guarantees: settings
                 .cluster
--- a/crates/coordination/src/dependencies.rs
+++ b/crates/coordination/src/dependencies.rs
@@ -24,7 +24,7 @@
 use lemonweir_protocol::users::JobPhase;
 use lemonweir_storage::StateCache;
 use lemonweir_storage::dependencies::*;
-use lemonweir_storage::records::{JobRecord, accept_job, withdraw_job};
+use lemonweir_storage::records::{JobRecord, create_job, request_cancellation};
 use lemonweir_storage::state_cache::FinalState;
 
 /// How a job that waits stands, by the ends of all that it needs.
@@ -241,7 +241,7 @@
         let (before, _) = cancelled_before(&self.cache, &waits);
         if cancelled || before.is_some() {
             return DependencyAdmission::Accept(
-                vec![accept_cancelled(&spec.id)],
+                vec![create_cancelled_job(&spec.id)],
                 JobPhase::Withdrawn,
             );
         }
@@ -254,9 +254,9 @@
             awaited: 0,
         };
         let cas_list = if spec.awaits.is_empty() {
-            vec![accept_job(&record)]
+            vec![create_job(&record)]
         } else {
-            accept_waiting(&record, self.config.txn_ops)
+            create_blocked_job(&record, self.config.txn_ops)
         };
         DependencyAdmission::Accept(cas_list, JobPhase::Queued)
     }
@@ -265,12 +265,12 @@
     /// cancelled already, or not known here.
     pub fn cancellation(&self, id: &JobId) -> Option<CompareAndSwap> {
         if let Some(job) = self.cache.jobs.get(id) {
-            return (!job.record.withdrawn).then(|| withdraw_job(&job.record, job.version));
+            return (!job.record.withdrawn).then(|| request_cancellation(&job.record, job.version));
         }
         self.cache
             .waiting
             .get(id)
-            .map(|waiting| cancel_waiting(id, waiting.version))
+            .map(|waiting| cancel_blocked_job(id, waiting.version))
     }
 
     /// The priority that a job is placed with here, if this node places it.
@@ -390,7 +390,7 @@
                 if cas == CompareAndSwap::default() {
                     let some = &unverified[..most_conditions];
                     return Some((
-                        ends_stand(some),
+                        check_ends_unchanged(some),
                         Pending {
                             verified: some.iter().map(|(id, _)| id.clone()).collect(),
                             ..pending
@@ -399,7 +399,7 @@
                 }
                 break;
             }
-            let next = release_waiting(&waiting.record, waiting.version, &unverified);
+            let next = unblock_job(&waiting.record, waiting.version, &unverified);
             if !join(&mut cas, next, most_writes, most_conditions) {
                 break;
             }
@@ -411,7 +411,7 @@
             };
             if !join(
                 &mut cas,
-                cancel_waiting(id, waiting.version),
+                cancel_blocked_job(id, waiting.version),
                 most_writes,
                 most_conditions,
             ) {
@@ -422,11 +422,11 @@
         for (id, page) in self.cache.stray_pages() {
             let gone = CompareAndSwap {
                 conditions: vec![Condition {
-                    key: chain_key(id),
+                    key: blocked_job_key(id),
                     version: 0,
                 }],
                 writes: vec![Write::Delete {
-                    key: awaits_key(id, *page),
+                    key: dependency_page_key(id, *page),
                 }],
             };
             if self.cache.knows(id) && !join(&mut cas, gone, most_writes, most_conditions) {
--- a/crates/coordination/src/effects.rs
+++ b/crates/coordination/src/effects.rs
@@ -7,7 +7,7 @@
 use lemonweir_protocol::links::{AvailabilityGossip, Service};
 use lemonweir_protocol::peer::{ShardView, SyncRequest};
 use lemonweir_protocol::worker::HeartbeatResponse;
-use lemonweir_storage::records::{parse_run_key, shard_key};
+use lemonweir_storage::records::{parse_task_chunk_key, shard_key};
 
 use crate::owner::CommandCall;
 
@@ -75,7 +75,7 @@
     conflicts
         .iter()
         .map(String::as_str)
-        .filter(|key| parse_run_key(key).is_some())
+        .filter(|key| parse_task_chunk_key(key).is_some())
         .collect()
 }
 
--- a/crates/coordination/src/election.rs
+++ b/crates/coordination/src/election.rs
@@ -12,7 +12,7 @@
 use crate::{Core, ShardLease};
 use lemonweir_model::constants::{DEAF_MOST_MS, DEAF_MS, HEIR_STEP_MS, TAKEOVER_WAIT_MS};
 use lemonweir_protocol::kv_store::CompareAndSwap;
-use lemonweir_storage::records::raise_version;
+use lemonweir_storage::records::advance_record_version;
 
 /// What a node should do about a part now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -205,7 +205,7 @@
             .map(|member| reads(&member.host))
             .min()
             .unwrap_or(0);
-        (all > version).then(|| raise_version(all, key_version))
+        (all > version).then(|| advance_record_version(all, key_version))
     }
 
     /// Teams that no record assigns to a part yet, with the part that each
--- a/crates/coordination/src/flush.rs
+++ b/crates/coordination/src/flush.rs
@@ -9,7 +9,7 @@
 use lemonweir_protocol::cloud::ProvisioningRequest;
 use lemonweir_protocol::kv_store::{CompareAndSwap, Condition, Write};
 use lemonweir_protocol::peer::SyncRequest;
-use lemonweir_storage::records::{ImageLocationsRecord, images_key, shard_key};
+use lemonweir_storage::records::{ImageLocationsRecord, image_locations_key, shard_key};
 
 impl Core {
     // ---- the pump ----------------------------------------------------------
@@ -67,9 +67,9 @@
                     version: lease.token,
                 };
                 let write = |(page, record): (usize, Option<ImageLocationsRecord>)| match record {
-                    Some(record) => Write::put(images_key(index, page), &record),
+                    Some(record) => Write::put(image_locations_key(index, page), &record),
                     None => Write::Delete {
-                        key: images_key(index, page),
+                        key: image_locations_key(index, page),
                     },
                 };
                 effects.push(Effect::Note(CompareAndSwap {
--- a/crates/coordination/src/image_locality/trade.rs
+++ b/crates/coordination/src/image_locality/trade.rs
@@ -3,7 +3,7 @@
 use lemonweir_model::constants::{
     FETCH_BESIDE, FETCH_CROWDED, FEW_TOGETHER, LOST_S, MAIL_START_S, MOST_RISK,
 };
-use lemonweir_model::policy::Trade;
+use lemonweir_model::policy::ServicePlacementWeights;
 
 /// How near the weights are to a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -125,7 +125,7 @@
     }
 
     /// Seconds that lying with others of its job on one machine is worth.
-    pub fn kin_cost(&self, trade: &Trade, kin: ReplicaSpread) -> f64 {
+    pub fn kin_cost(&self, trade: &ServicePlacementWeights, kin: ReplicaSpread) -> f64 {
         let share = match kin {
             ReplicaSpread::Nobody => 0.0,
             ReplicaSpread::One => self.share(2),
@@ -137,7 +137,7 @@
 
     /// Seconds that going to a zone is worth which has its share already, or where all
     /// others of its job are.
-    pub fn zone_cost(&self, trade: &Trade, light: bool) -> f64 {
+    pub fn zone_cost(&self, trade: &ServicePlacementWeights, light: bool) -> f64 {
         let beyond = trade.zone * self.share(self.fair() + 1);
         let risk = match (light, self.one_zone) {
             (true, _) => 0.0,
@@ -148,7 +148,7 @@
     }
 
     /// Seconds that going to a spot machine is worth when half of its job is on some.
-    fn wave_cost(&self, trade: &Trade) -> f64 {
+    fn wave_cost(&self, trade: &ServicePlacementWeights) -> f64 {
         if self.wave {
             trade.zone * self.share(self.tasks / 2 + 1) * self.lost_s()
         } else {
@@ -160,7 +160,7 @@
 /// The classes in the order of their costs; of what costs the same, the one with the
 /// nearer weights goes first. What makes no difference is no class of its own, so
 /// that a job without replicas, or weights of 0, cost few walks.
-pub fn classes(trade: &Trade, stakes: &PlacementRisk) -> Vec<PlacementClass> {
+pub fn classes(trade: &ServicePlacementWeights, stakes: &PlacementRisk) -> Vec<PlacementClass> {
     let any = PlacementClass {
         cost: 0.0,
         near: ImageLocality::Here,
--- a/crates/coordination/src/placer/mod.rs
+++ b/crates/coordination/src/placer/mod.rs
@@ -33,7 +33,7 @@
 use crate::placement::{PlacementIndex, PlacementRequest};
 use crate::supervision::services::SupervisedServices;
 use lemonweir_model::constants::*;
-use lemonweir_model::policy::Trade;
+use lemonweir_model::policy::ServicePlacementWeights;
 use lemonweir_model::{
     AttemptId, Catalog, JobId, JobKind, JobSpec, MachineId, MachineType, Priority, Resources,
 };
@@ -45,7 +45,7 @@
 use lemonweir_protocol::users::JobPhase;
 use lemonweir_storage::packed_chunk::chunk_value;
 use lemonweir_storage::records::{
-    JobEndRecord, JobRecord, TaskChunkRecord, end_key, job_key, run_key, shard_key,
+    JobEndRecord, JobRecord, TaskChunkRecord, end_key, job_key, task_chunk_key, shard_key,
 };
 use lemonweir_storage::state_cache::CachedJob;
 
@@ -146,7 +146,7 @@
     /// Time of day at the steady clock's zero, ms.
     pub wall_offset_ms: u64,
     /// What a replica's place may cost against what it risks.
-    pub trade: Trade,
+    pub trade: ServicePlacementWeights,
 }
 
 /// What became of a task.
@@ -220,7 +220,7 @@
     fetch_gb_per_s: f64,
     /// What a replica's place may cost against what it risks, and where the look for
     /// better places goes on.
-    trade: Trade,
+    trade: ServicePlacementWeights,
     better_after: Option<JobId>,
     /// Sizes and use of images, and caches by machine type, thousandths of a GB.
     pub book: Book,
--- a/crates/coordination/src/placer/records.rs
+++ b/crates/coordination/src/placer/records.rs
@@ -224,7 +224,7 @@
                 idle += usize::from(turn >= Turn::IdleStart);
                 let record = job.chunk_record(index);
                 let empty = job.over && record.live.is_empty();
-                let key = run_key(self.shard, id, index);
+                let key = task_chunk_key(self.shard, id, index);
                 if empty && chunk.version == 0 {
                     // Guards against a chunk that stays for ever, since the answer to
                     // its creation was lost: now that the job is over it can't be made
--- a/crates/coordination/tests/chains.rs
+++ b/crates/coordination/tests/chains.rs
@@ -16,7 +16,7 @@
     CompareAndSwap, Condition, KeyValue, WatchEvent, Write, to_value,
 };
 use lemonweir_protocol::users::JobPhase;
-use lemonweir_storage::dependencies::{accept_waiting, awaits_key, chain_key};
+use lemonweir_storage::dependencies::{create_blocked_job, dependency_page_key, blocked_job_key};
 use lemonweir_storage::records::*;
 use support::*;
 
@@ -106,9 +106,9 @@
             awaited: 0,
         };
         let cas_list = if spec.awaits.is_empty() {
-            vec![accept_job(&record)]
+            vec![create_job(&record)]
         } else {
-            accept_waiting(&record, self.core.config.txn_ops)
+            create_blocked_job(&record, self.core.config.txn_ops)
         };
         cas_list
             .iter()
@@ -194,7 +194,7 @@
     let cas = cas.expect("it may start");
     let wanted = vec![
         Condition {
-            key: chain_key(&id(3)),
+            key: blocked_job_key(&id(3)),
             version: own,
         },
         end_at(1, first),
@@ -312,7 +312,7 @@
             .map(|awaits| awaits.len()),
         Some(MANY)
     );
-    let missing = awaits_key(&id(MANY), 3);
+    let missing = dependency_page_key(&id(MANY), 3);
     let mut versions = Vec::new();
     for n in 0..MANY {
         assert_eq!(leader.due().0, None, "{n} are done");
@@ -378,7 +378,7 @@
     leader.make(&CompareAndSwap {
         conditions: Vec::new(),
         writes: vec![Write::Delete {
-            key: chain_key(&id(4)),
+            key: blocked_job_key(&id(4)),
         }],
     });
     assert_eq!(
@@ -403,7 +403,7 @@
         panic!("accepted")
     };
     assert!(
-        sets(cas_list.last().expect("one"), &chain_key(&id(9)))
+        sets(cas_list.last().expect("one"), &blocked_job_key(&id(9)))
             && cas_list.iter().all(|cas| !sets(cas, &job_key(&id(9))))
     );
     // Done or not is for the store to say: it waits all the same.
@@ -411,7 +411,7 @@
     let DependencyAdmission::Accept(cas_list, JobPhase::Queued) = admit(&leader, &[1]) else {
         panic!("accepted")
     };
-    assert!(sets(&cas_list[0], &chain_key(&id(9))));
+    assert!(sets(&cas_list[0], &blocked_job_key(&id(9))));
     // With a cancelled job before it, at whatever distance, it is cancelled from the start.
     let mut leader = Leader::new();
     leader.accept(&spec(1, &[]));
--- a/crates/coordination/tests/elections.rs
+++ b/crates/coordination/tests/elections.rs
@@ -12,7 +12,7 @@
 use lemonweir_protocol::kv_store::{KeyValue, WatchEvent, to_value};
 use lemonweir_protocol::peer::{ChangeRange, ObservedState, Superseded, SyncRequest};
 use lemonweir_protocol::worker::Heartbeat;
-use lemonweir_storage::records::{ControllerRecord, ShardRecord, node_key, shard_key};
+use lemonweir_storage::records::{ControllerRecord, ShardRecord, controller_key, shard_key};
 
 const HOSTS: u16 = 3;
 
@@ -67,7 +67,7 @@
         reads: 0,
     });
     WatchEvent {
-        set: Some(node_key(&format!("h{host}"))),
+        set: Some(controller_key(&format!("h{host}"))),
         drop: None,
         value: Some(value),
         version,
@@ -205,7 +205,7 @@
     holds(&mut core, 1, 13, 2_100);
     let ended = |host: u16, version| WatchEvent {
         set: None,
-        drop: Some(node_key(&format!("h{host}"))),
+        drop: Some(controller_key(&format!("h{host}"))),
         value: None,
         version,
     };
--- a/crates/coordination/tests/ends.rs
+++ b/crates/coordination/tests/ends.rs
@@ -18,7 +18,7 @@
 use lemonweir_protocol::users::JobPhase;
 use lemonweir_protocol::worker::{Command, CommandKind, Heartbeat, TaskPhase, TaskStatus};
 use lemonweir_storage::records::{
-    JobEndRecord, JobRecord, TaskChunkRecord, end_key, job_key, parse_run_key, run_key, shard_key,
+    JobEndRecord, JobRecord, TaskChunkRecord, end_key, job_key, parse_task_chunk_key, task_chunk_key, shard_key,
 };
 use lemonweir_storage::state_cache::{CachedJob, ShardLeader};
 use proptest::prelude::*;
@@ -236,7 +236,7 @@
             .range(format!("run/{shard}/")..)
             .take_while(|(k, _)| k.starts_with(&format!("run/{shard}/")))
         {
-            let (id, chunk) = parse_run_key(key).expect("a key");
+            let (id, chunk) = parse_task_chunk_key(key).expect("a key");
             placer.load_chunk(
                 &id,
                 chunk,
@@ -283,7 +283,7 @@
     fn done_written(&self, id: &JobId, task: u32) -> bool {
         let chunk = |shard: usize| {
             self.store
-                .get(&run_key(shard as u16, id, task / CHUNK_TASKS))
+                .get(&task_chunk_key(shard as u16, id, task / CHUNK_TASKS))
         };
         let done = |e: &KeyValue| {
             from_value::<TaskChunkRecord>(&e.value)
@@ -398,7 +398,7 @@
         let reread: Vec<(JobId, u32, u64)> = match &outcome {
             CompareAndSwapOutcome::Conflict(keys) => keys
                 .iter()
-                .filter_map(|k| parse_run_key(k).map(|(id, chunk)| (id, chunk, self.version(k))))
+                .filter_map(|k| parse_task_chunk_key(k).map(|(id, chunk)| (id, chunk, self.version(k))))
                 .collect(),
             _ => Vec::new(),
         };
@@ -807,7 +807,7 @@
         };
         let told: Vec<_> = left
             .iter()
-            .map(|id| (id, told(id), self.store.get(&run_key(0, id, 0))))
+            .map(|id| (id, told(id), self.store.get(&task_chunk_key(0, id, 0))))
             .collect();
         let there: Vec<_> = self
             .boxes
@@ -1159,7 +1159,7 @@
     placer.set_job(&id(2), None, 0);
     let cas = placer.next_cas(2 * END_LAG_MS).expect("one goes");
     assert!(
-        matches!(&cas.writes[..], [Write::Delete { key }] if *key == run_key(0, &id(2), 0)),
+        matches!(&cas.writes[..], [Write::Delete { key }] if *key == task_chunk_key(0, &id(2), 0)),
         "{:?}",
         cas.writes
     );
@@ -1223,20 +1223,20 @@
             assert!(
                 absent.writes.is_empty()
                     && absent.conditions.contains(&Condition {
-                        key: run_key(0, &id(1), 0),
+                        key: task_chunk_key(0, &id(1), 0),
                         version: 0
                     })
             );
             placer.reread(&id(1), 0, 45);
             placer.cas_done(
-                CompareAndSwapOutcome::Conflict(vec![run_key(0, &id(1), 0)]),
+                CompareAndSwapOutcome::Conflict(vec![task_chunk_key(0, &id(1), 0)]),
                 70 + END_LAG_MS,
             );
             let gone = placer.next_cas(70 + END_LAG_MS).expect("its removal");
             assert_eq!(
                 gone.writes,
                 [Write::Delete {
-                    key: run_key(0, &id(1), 0)
+                    key: task_chunk_key(0, &id(1), 0)
                 }]
             );
             placer.cas_done(CompareAndSwapOutcome::Done(51), 80 + END_LAG_MS);
--- a/crates/coordination/tests/late_transactions.rs
+++ b/crates/coordination/tests/late_transactions.rs
@@ -14,8 +14,8 @@
 use lemonweir_protocol::peer::{AttemptState, AttemptStatus, ChangeRange, ExitCause};
 use lemonweir_protocol::users::JobPhase;
 use lemonweir_storage::records::{
-    JobEndRecord, JobRecord, ShardRecord, TaskChunkRecord, end_key, job_key, parse_run_key,
-    run_key, run_prefix, shard_key, withdraw_job,
+    JobEndRecord, JobRecord, ShardRecord, TaskChunkRecord, end_key, job_key, parse_task_chunk_key,
+    task_chunk_key, task_chunks_prefix, shard_key, request_cancellation,
 };
 use lemonweir_storage::state_cache::CachedJob;
 use rmpv::Value;
@@ -94,15 +94,15 @@
     fn recorded(&self) -> BTreeSet<JobId> {
         self.keys
             .keys()
-            .filter(|k| k.starts_with(&run_prefix(0)))
-            .filter_map(|k| parse_run_key(k))
+            .filter(|k| k.starts_with(&task_chunks_prefix(0)))
+            .filter_map(|k| parse_task_chunk_key(k))
             .map(|(job, _)| job)
             .collect()
     }
 
     fn live(&self, id: &AttemptId) -> bool {
         let record = self
-            .value(&run_key(0, &id.job, id.task / CHUNK_TASKS))
+            .value(&task_chunk_key(0, &id.job, id.task / CHUNK_TASKS))
             .and_then(from_value::<TaskChunkRecord>);
         record.is_some_and(|r| r.live.iter().any(|l| (l.t, l.a) == (id.task, id.attempt)))
     }
@@ -170,7 +170,7 @@
             return;
         };
         let version = self.store.version(&job_key(id));
-        assert!(self.store.makes(&withdraw_job(&record, version)));
+        assert!(self.store.makes(&request_cancellation(&record, version)));
     }
 
     /// The owner of four machines is told what is wanted, and tells this.
@@ -225,7 +225,7 @@
     fn end(&mut self, outcome: CompareAndSwapOutcome) -> Vec<(JobId, JobPhase)> {
         if let CompareAndSwapOutcome::Conflict(keys) = &outcome {
             for key in keys {
-                if let Some((job, chunk)) = parse_run_key(key) {
+                if let Some((job, chunk)) = parse_task_chunk_key(key) {
                     self.placer.reread(&job, chunk, self.store.version(key));
                 }
             }
@@ -403,7 +403,7 @@
             (all[1].clone(), AttemptState::Exited(ExitCause::Done)),
         ]);
         let cas = night.next(END_LAG_MS + 1).expect("two ends");
-        let key = run_key(0, &spec.id, 0);
+        let key = task_chunk_key(0, &spec.id, 0);
         let read = night.store.version(&key);
         // Another key's conflict made the process read this one too; the late one
         // comes before or after.
--- a/crates/coordination/tests/ledger.rs
+++ b/crates/coordination/tests/ledger.rs
@@ -19,7 +19,7 @@
 use lemonweir_protocol::peer::{ShardView, SyncRequest};
 use lemonweir_protocol::worker::{Command, CommandKind, Heartbeat, TaskPhase, TaskStatus};
 use lemonweir_storage::records::{
-    GangAdmissionRecord, GangAdmissionStep, JobRecord, TaskChunkRecord, job_key, parse_run_key,
+    GangAdmissionRecord, GangAdmissionStep, JobRecord, TaskChunkRecord, job_key, parse_task_chunk_key,
     shard_key,
 };
 use lemonweir_storage::state_cache::{CachedJob, ShardLeader};
@@ -385,7 +385,7 @@
             .range(format!("run/{shard}/")..)
             .take_while(|(k, _)| k.starts_with(&format!("run/{shard}/")))
         {
-            let (id, chunk) = parse_run_key(key).expect("a key");
+            let (id, chunk) = parse_task_chunk_key(key).expect("a key");
             placer.load_chunk(
                 &id,
                 chunk,
@@ -448,7 +448,7 @@
                 Write::Delete { key } => drop(self.store.remove(key)),
             }
             let (Write::Put { key, .. } | Write::Delete { key }) = w;
-            if let Some((id, _)) = parse_run_key(key) {
+            if let Some((id, _)) = parse_task_chunk_key(key) {
                 *self.changes.entry(id).or_default() += 1;
             }
         }
@@ -459,7 +459,7 @@
             .range("run/".to_owned()..)
             .take_while(|(k, _)| k.starts_with("run/"))
         {
-            let (id, _) = parse_run_key(key).expect("a key");
+            let (id, _) = parse_task_chunk_key(key).expect("a key");
             let record: TaskChunkRecord = from_value(&e.value).expect("a chunk");
             let step = record.gang.as_ref().map(|g| g.step);
             steps
@@ -517,7 +517,7 @@
         let reread: Vec<(JobId, u32, u64)> = match &outcome {
             CompareAndSwapOutcome::Conflict(keys) => keys
                 .iter()
-                .filter_map(|k| parse_run_key(k).map(|(id, chunk)| (id, chunk, self.version(k))))
+                .filter_map(|k| parse_task_chunk_key(k).map(|(id, chunk)| (id, chunk, self.version(k))))
                 .collect(),
             _ => Vec::new(),
         };
--- a/crates/coordination/tests/links.rs
+++ b/crates/coordination/tests/links.rs
@@ -226,10 +226,10 @@
 fn who_hears_nobody_any_more_takes_nothing() {
     use lemonweir_coordination::ShardLease;
     use lemonweir_coordination::election::{ElectionAction, LeaderElection};
-    use lemonweir_storage::records::{ControllerRecord, node_key};
+    use lemonweir_storage::records::{ControllerRecord, controller_key};
     let mut core = core();
     let present = |host: &str, deaf: Vec<u16>| KeyValue {
-        key: node_key(host),
+        key: controller_key(host),
         value: to_value(&ControllerRecord {
             zone: "north".into(),
             format: PEER_VERSION,
--- a/crates/coordination/tests/starts.rs
+++ b/crates/coordination/tests/starts.rs
@@ -142,7 +142,7 @@
 /// while the store is busy with its new leader.
 #[test]
 fn a_lost_shard_reads_no_records_again() {
-    let chunk = run_key(0, &array(1).id, 0);
+    let chunk = task_chunk_key(0, &array(1).id, 0);
     let job = job_key(&array(1).id);
     assert_eq!(
         keys_to_reread(LOT, &[chunk.clone(), job.clone()]),
--- a/crates/coordination/tests/support/controllers.rs
+++ b/crates/coordination/tests/support/controllers.rs
@@ -469,19 +469,19 @@
             core, membership, ..
         } = &self.nodes[node];
         if let Some(left) = membership.unshown(core, now) {
-            self.apply(&show_node(&format!("h{node}"), "north", hold, left));
+            self.apply(&register_controller(&format!("h{node}"), "north", hold, left));
             self.read(node);
         }
     }
 
     pub fn acquire(&mut self, node: usize, lease: ShardLease) {
-        let prefix = run_prefix(lease.shard);
+        let prefix = task_chunks_prefix(lease.shard);
         let chunks: Vec<(JobId, u32, TaskChunkRecord, u64)> = self
             .store
             .range(prefix.clone()..)
             .take_while(|(k, _)| k.starts_with(&prefix))
             .map(|(k, e)| {
-                let (id, chunk) = parse_run_key(k).expect("a key");
+                let (id, chunk) = parse_task_chunk_key(k).expect("a key");
                 (id, chunk, from_value(&e.value).expect("a chunk"), e.version)
             })
             .collect();
@@ -518,7 +518,7 @@
                 if let CompareAndSwapOutcome::Conflict(keys) = &outcome {
                     for key in keys_to_reread(lease, keys) {
                         let (version, (job, chunk)) =
-                            (self.version(key), parse_run_key(key).expect("a key"));
+                            (self.version(key), parse_task_chunk_key(key).expect("a key"));
                         self.nodes[node].core.reread(lease, &job, chunk, version);
                     }
                 }
@@ -816,7 +816,7 @@
             ..array(TASKS)
         };
         let id = spec.id.clone();
-        self.apply(&accept_job(&JobRecord {
+        self.apply(&create_job(&JobRecord {
             spec,
             at: 1_000_000 + self.now,
             withdrawn: false,
@@ -876,7 +876,7 @@
                 continue;
             };
             if !job.record.withdrawn {
-                self.transact(at, &withdraw_job(&job.record, job.version));
+                self.transact(at, &request_cancellation(&job.record, job.version));
             }
         }
     }
--- a/crates/coordination/tests/watch.rs
+++ b/crates/coordination/tests/watch.rs
@@ -20,7 +20,7 @@
 use lemonweir_storage::failovers::{
     FailoverCompletion, FailoverRecord, LeadershipChange, failover_key, parse_failover_key,
 };
-use lemonweir_storage::records::{ShardRecord, shard_key, show_node};
+use lemonweir_storage::records::{ShardRecord, shard_key, register_controller};
 use rmpv::Value;
 
 const HOSTS: u16 = 3;
@@ -233,7 +233,7 @@
     fn start(&mut self, h: usize) {
         self.holds += 1;
         self.store.holds.push(self.holds);
-        self.store.cas(&show_node(
+        self.store.cas(&register_controller(
             &format!("h{h}"),
             "north",
             self.holds,
--- a/crates/coordination/tests/weights.rs
+++ b/crates/coordination/tests/weights.rs
@@ -11,7 +11,7 @@
 use lemonweir_coordination::owner::Owner;
 use lemonweir_coordination::placement::{PlacementIndex, PlacementRequest};
 use lemonweir_model::constants::*;
-use lemonweir_model::policy::Trade;
+use lemonweir_model::policy::ServicePlacementWeights;
 use lemonweir_model::{AttemptId, JobId, JobKind, JobSpec, MachineId, Resources};
 use lemonweir_protocol::peer::{
     ChangeRange, DesiredAttempt, MachineView, ObservedState, SyncRequest,
@@ -35,7 +35,7 @@
     /// Machines with replicas of its job, each once a replica.
     live: Vec<(MachineId, &'static str)>,
     tasks: u32,
-    trade: Trade,
+    trade: ServicePlacementWeights,
     here_first: bool,
     lasting: bool,
 }
@@ -98,7 +98,7 @@
     let live = live.collect();
     let weight = |rng: &mut ChaCha8Rng| [0.0, 0.3, 1.0, 20.0][rng.random_range(0..4usize)];
     let pin_s = [0.0, 8.0, 40.0][rng.random_range(0..3usize)];
-    let trade = Trade {
+    let trade = ServicePlacementWeights {
         machine: weight(rng),
         zone: weight(rng),
         one_zone: weight(rng),
@@ -352,7 +352,7 @@
     let (mut looks, mut before) = ([0, 0], [0, 0]);
     for n in 0..1_500 {
         let mut d = draw(&mut rng, if n % 3 == 0 { 450 } else { 60 });
-        d.trade = Trade::default();
+        d.trade = ServicePlacementWeights::default();
         let ((place, now), (then, was)) = (d.walk(), d.before());
         if !d.lasting {
             assert_eq!(place, then);
@@ -381,7 +381,7 @@
         ..PlacementRisk::default()
     };
     let locality = classes(
-        &Trade {
+        &ServicePlacementWeights {
             machine: 0.0,
             zone: 0.0,
             one_zone: 0.0,
@@ -401,7 +401,7 @@
         ]
     );
     let spread = classes(
-        &Trade {
+        &ServicePlacementWeights {
             machine: TRADE_MOST,
             zone: TRADE_MOST,
             one_zone: TRADE_MOST,
@@ -418,7 +418,7 @@
         "spread first, then near"
     );
     // By default: in use and warm, beside one of its own, before a machine that is pinned anew.
-    let usual = classes(&Trade::default(), &stakes);
+    let usual = classes(&ServicePlacementWeights::default(), &stakes);
     let at = |kin, hold| {
         usual.iter().position(|c| {
             (c.near, c.kin, c.light, c.hold)
@@ -445,7 +445,7 @@
 fn the_policys_weights_are_checked() {
     assert_eq!(
         lemonweir_policy::embedded().expect("fine").trade,
-        Trade::default()
+        ServicePlacementWeights::default()
     );
     let with = |from: &str, to: &str| {
         lemonweir_policy::evaluate(&lemonweir_policy::DEFAULT_POLICY.replace(from, to))
--- a/crates/model/src/policy.rs
+++ b/crates/model/src/policy.rs
@@ -20,14 +20,14 @@
     /// Spare room kept per expected arrival while a machine boots.
     pub spare: f64,
     /// Where replicas go.
-    pub trade: Trade,
+    pub trade: ServicePlacementWeights,
 }
 
 /// What a place may cost a replica against what it risks. A risk counts in times of
 /// what a lost replica is down for where its weights must be fetched, all else in
 /// seconds until it serves.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Trade {
+pub struct ServicePlacementWeights {
     /// Where one machine would hold all of a job's replicas; for a share of them, that
     /// share of it.
     pub machine: f64,
@@ -44,7 +44,7 @@
     pub move_s: f64,
 }
 
-impl Default for Trade {
+impl Default for ServicePlacementWeights {
     /// The values of the embedded policy.
     fn default() -> Self {
         Self {
--- a/crates/model/src/settings.rs
+++ b/crates/model/src/settings.rs
@@ -64,7 +64,8 @@
 /// The workers' times, in seconds.
 #[derive(Clone, Debug, Deserialize)]
 #[allow(missing_docs)]
-pub struct Workers {
+#[serde(rename = "Workers")]
+pub struct WorkerTiming {
     pub report_s: f64,
     pub lease_s: f64,
     pub gang_wait_s: f64,
@@ -75,19 +76,21 @@
 /// The state service's limits.
 #[derive(Clone, Debug, Deserialize)]
 #[allow(missing_docs)]
-pub struct StateLimits {
+#[serde(rename = "StateLimits")]
+pub struct KvStoreLimits {
     pub rps: f64,
     pub write_rps: f64,
     pub value_kb: f64,
     pub txn_ops: usize,
     #[serde(default)]
-    pub next: Option<NextStateLimits>,
+    pub next: Option<UpcomingKvStoreLimits>,
 }
 
 /// Limits that the state service will have from some moment on, which it does not tell.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[allow(missing_docs)]
-pub struct NextStateLimits {
+#[serde(rename = "NextStateLimits")]
+pub struct UpcomingKvStoreLimits {
     #[serde(default)]
     pub rps: Option<f64>,
     #[serde(default)]
@@ -98,8 +101,8 @@
     pub txn_ops: Option<usize>,
 }
 
-impl StateLimits {
-    fn next(&self) -> NextStateLimits {
+impl KvStoreLimits {
+    fn next(&self) -> UpcomingKvStoreLimits {
         self.next.clone().unwrap_or_default()
     }
 
@@ -150,8 +153,8 @@
     pub teams: Vec<Team>,
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    pub workers: Workers,
-    pub state: StateLimits,
+    pub workers: WorkerTiming,
+    pub state: KvStoreLimits,
     pub cloud: CloudLimits,
     pub limits: Limits,
     #[serde(default)]
--- a/crates/node/src/cloud.rs
+++ b/crates/node/src/cloud.rs
@@ -12,7 +12,7 @@
 use lemonweir_model::constants::*;
 use lemonweir_model::{Catalog, MachineId};
 use lemonweir_protocol::cloud::{
-    CatalogResponse, InstanceEntry, InstanceList, MachineNames, MalformedCloudEntry,
+    CatalogResponse, InstanceEntry, InstanceList, MachineNames, CloudErrorBody,
     ProvisioningRequest,
 };
 use lemonweir_protocol::links::Service;
@@ -65,7 +65,7 @@
                 }
             },
             Some((503, body))
-                if decode::<MalformedCloudEntry>(&body).is_ok_and(|f| f.error == "no capacity") =>
+                if decode::<CloudErrorBody>(&body).is_ok_and(|f| f.error == "no capacity") =>
             {
                 ProvisioningResult::NoCapacity
             }
--- a/crates/node/src/effect_executor.rs
+++ b/crates/node/src/effect_executor.rs
@@ -21,7 +21,7 @@
 use lemonweir_protocol::worker::Heartbeat;
 use lemonweir_protocol::{decode, encode};
 use lemonweir_storage::records::{
-    StoreMessageKind, StoreMessageRoute, parse_run_key, post, shard_key,
+    StoreMessageKind, StoreMessageRoute, parse_task_chunk_key, post, shard_key,
 };
 use lemonweir_transport::{CallError, Handler, Reply, Request};
 
@@ -179,7 +179,7 @@
             }
             let mut core = node.core();
             for (key, version) in &versions {
-                if let Some((job, chunk)) = parse_run_key(key) {
+                if let Some((job, chunk)) = parse_task_chunk_key(key) {
                     core.reread(lease, &job, chunk, *version);
                 }
             }
--- a/crates/node/src/kv_client.rs
+++ b/crates/node/src/kv_client.rs
@@ -8,7 +8,7 @@
 use crate::router::Router;
 use lemonweir_coordination::rate_limit::{RequestBudget, TokenBucket};
 use lemonweir_model::constants::{BUDGET_PERCENT, STATE_TIMEOUT_MS, STORE_PAGE};
-use lemonweir_model::settings::StateLimits;
+use lemonweir_model::settings::KvStoreLimits;
 use lemonweir_protocol::kv_store::{
     CompareAndSwap, CompareAndSwapResponse, KeyValue, LeaseRequest, LeaseResponse, ListResponse,
     WatchResponse,
@@ -97,7 +97,7 @@
 
 impl KvClient {
     /// A client that shares the limits with the other nodes.
-    pub(crate) fn new(courier: Rc<Router>, limits: &StateLimits, nodes: usize) -> Self {
+    pub(crate) fn new(courier: Rc<Router>, limits: &KvStoreLimits, nodes: usize) -> Self {
         let ours = |x: f64| x * BUDGET_PERCENT as f64 / 100.0;
         let requests = Rc::new(RefCell::new(RequestBudget::new(ours(limits.rps), nodes, 0)));
         Self {
--- a/crates/node/src/lease_keeper.rs
+++ b/crates/node/src/lease_keeper.rs
@@ -15,8 +15,8 @@
 use lemonweir_protocol::kv_store::from_value;
 use lemonweir_storage::packed_chunk::read_chunk;
 use lemonweir_storage::records::{
-    ImageLocationsRecord, TaskChunkRecord, assign_teams, images_prefix, parse_images_key,
-    parse_run_key, run_prefix, show_node,
+    ImageLocationsRecord, TaskChunkRecord, assign_teams, image_locations_prefix, parse_image_locations_key,
+    parse_task_chunk_key, task_chunks_prefix, register_controller,
 };
 
 /// Keeps the hold alive, for ever. Nothing else is waited for here.
@@ -88,7 +88,7 @@
     if *shown != hold {
         let left = membership.left(&node.core(), node.now());
         node.state
-            .cas(&show_node(
+            .cas(&register_controller(
                 &node.settings.host_name,
                 &node.settings.zone,
                 hold,
@@ -155,7 +155,7 @@
     let unshown = membership.unshown(&node.core(), now);
     if let Some(left) = unshown {
         node.state
-            .cas(&show_node(
+            .cas(&register_controller(
                 &node.settings.host_name,
                 &node.settings.zone,
                 hold,
@@ -227,22 +227,22 @@
 
 /// Reads a part's records of tasks, and its notes of images.
 async fn records(node: &Node, index: u16) -> Result<(Chunks, Vec<ImageLocationsRecord>), KvError> {
-    let (entries, _) = node.state.list(&run_prefix(index)).await?;
+    let (entries, _) = node.state.list(&task_chunks_prefix(index)).await?;
     let mut chunks: Chunks = Vec::with_capacity(entries.len());
     for e in &entries {
         let record = |(job, chunk): (JobId, u32)| {
             Some((job, chunk, read_chunk(&e.value, chunk)?, e.version))
         };
-        match parse_run_key(&e.key).and_then(record) {
+        match parse_task_chunk_key(&e.key).and_then(record) {
             Some(record) => chunks.push(record),
             None => tracing::error!(key = e.key, "task record not understood"),
         }
     }
-    let (entries, _) = node.state.list(&images_prefix(index)).await?;
+    let (entries, _) = node.state.list(&image_locations_prefix(index)).await?;
     let mut images: BTreeMap<usize, ImageLocationsRecord> = BTreeMap::new();
     for e in &entries {
         match (
-            parse_images_key(&e.key),
+            parse_image_locations_key(&e.key),
             from_value::<ImageLocationsRecord>(&e.value),
         ) {
             (Some(page), Some(record)) => drop(images.insert(page, record)),
--- a/crates/node/src/lookups.rs
+++ b/crates/node/src/lookups.rs
@@ -14,9 +14,9 @@
 use lemonweir_model::constants::*;
 use lemonweir_protocol::kv_store::from_value;
 use lemonweir_protocol::users::JobPhase;
-use lemonweir_storage::dependencies::chain_key;
+use lemonweir_storage::dependencies::blocked_job_key;
 use lemonweir_storage::records::{
-    ABSENT_CONDITIONS, END_PREFIX, JobEndRecord, absent, end_key, job_key,
+    CONDITIONS_PER_ABSENT_JOB, END_PREFIX, JobEndRecord, absent, end_key, job_key,
 };
 use lemonweir_transport::within;
 
@@ -93,7 +93,7 @@
 /// Works off what waits, some ids at a time.
 async fn run(node: &Rc<Node>) {
     smol::Timer::after(Duration::from_millis(GATHER_MS)).await;
-    let most = (CONDITIONS_A_CHANGE * node.core().config.txn_ops / ABSENT_CONDITIONS).max(1);
+    let most = (CONDITIONS_A_CHANGE * node.core().config.txn_ops / CONDITIONS_PER_ABSENT_JOB).max(1);
     loop {
         let asked = {
             let mut lookups = node.lookups.borrow_mut();
@@ -126,7 +126,7 @@
             Ok(keys) if keys.contains(&end_key(&id)) => {
                 end(node, &id).await.map_err(|_| Missed::Store)
             }
-            Ok(keys) if keys.contains(&job_key(&id)) || keys.contains(&chain_key(&id)) => {
+            Ok(keys) if keys.contains(&job_key(&id)) || keys.contains(&blocked_job_key(&id)) => {
                 Ok(Found::Unfinished)
             }
             Ok(_) => Ok(Found::Nowhere),
--- a/crates/node/src/public_api.rs
+++ b/crates/node/src/public_api.rs
@@ -17,7 +17,7 @@
 use lemonweir_model::{JobId, JobSpec};
 use lemonweir_protocol::kv_store::CompareAndSwap;
 use lemonweir_protocol::links::LinksReport;
-use lemonweir_protocol::users::{JobPhase, JobStatus, never_runs, read_submission};
+use lemonweir_protocol::users::{JobPhase, JobStatus, unschedulable_reason, decode_submission};
 use lemonweir_protocol::worker::Heartbeat;
 use lemonweir_protocol::{decode, encode};
 use lemonweir_transport::{Handler, Reply, Request, within};
@@ -258,7 +258,7 @@
 }
 
 async fn submit(node: &Rc<Node>, body: &[u8]) -> Reply {
-    let spec = match read_submission(body) {
+    let spec = match decode_submission(body) {
         Ok(spec) => spec,
         Err(fault) => {
             debug!(%fault, "submission refused");
@@ -280,7 +280,7 @@
             return turn_away(node, &id, QueryKind::Submission, QueryRefusal::NoCatalog);
         };
         let cluster = &node.settings.cluster;
-        never_runs(&spec, &cluster.teams, &cluster.zones, catalog)
+        unschedulable_reason(&spec, &cluster.teams, &cluster.zones, catalog)
     };
     if let Some(why) = never {
         // Guards against a job that was accepted when there were other machine
--- a/crates/node/src/router.rs
+++ b/crates/node/src/router.rs
@@ -16,7 +16,7 @@
 use lemonweir_protocol::encode;
 use lemonweir_protocol::links::{
     self, LINKS_VERSION, RELAY_HEARTBEATS_PATH, RELAY_PATH, RelayOutcome, RelayRequest,
-    RelayResponse, RelayTarget, RelayedAnswers, RelayedHeartbeats, Service,
+    RelayResponse, RelayTarget, RelayedResponses, RelayedHeartbeats, Service,
 };
 use lemonweir_protocol::worker::{Heartbeat, Redirect};
 use lemonweir_transport::{CallError, Client, Reply, Response, within};
@@ -266,8 +266,8 @@
     let now = node.now();
     node.core().links.reached(to, response.is_ok(), now);
     let Ok(response) = response else { return };
-    match links::read::<RelayedAnswers>(&response.body) {
-        Ok(RelayedAnswers { answers, .. }) if response.status == 200 => {
+    match links::read::<RelayedResponses>(&response.body) {
+        Ok(RelayedResponses { answers, .. }) if response.status == 200 => {
             for (sender, answer) in senders.iter().zip(answers) {
                 // Who asked may have given up.
                 let _ = sender.try_send(answer);
@@ -290,7 +290,7 @@
     node.poke();
     Reply::new(
         200,
-        links::write(&RelayedAnswers {
+        links::write(&RelayedResponses {
             version: LINKS_VERSION,
             answers,
         }),
--- a/crates/node/tests/holds.rs
+++ b/crates/node/tests/holds.rs
@@ -13,7 +13,7 @@
     WatchResponse, Write, to_value,
 };
 use lemonweir_protocol::{decode, encode};
-use lemonweir_storage::records::{TaskChunkRecord, run_prefix, shard_key};
+use lemonweir_storage::records::{TaskChunkRecord, task_chunks_prefix, shard_key};
 
 /// Pages of the part's task records, and how long each answer takes.
 const PAGES: usize = 9;
@@ -104,7 +104,7 @@
             }),
         )
     };
-    if method == "GET" && path.contains(&format!("under={}", run_prefix(0))) {
+    if method == "GET" && path.contains(&format!("under={}", task_chunks_prefix(0))) {
         std::thread::sleep(PAGE_TAKES);
         let asked = path
             .split("&after=run/0/req-000001/")
@@ -117,7 +117,7 @@
         }
         store.seen.push(Seen::ListResponse(n));
         let entry = KeyValue {
-            key: format!("{}req-000001/{n}", run_prefix(0)),
+            key: format!("{}req-000001/{n}", task_chunks_prefix(0)),
             value: to_value(&TaskChunkRecord::default()),
             version: 1,
         };
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -10,7 +10,7 @@
     BLIND_MOST_MS, POLICY_LOOK_INSTRUCTIONS, POLICY_MEMORY_BYTES, POLICY_TIME_MS, TRADE_MOST,
     TRADE_MOST_S,
 };
-use lemonweir_model::policy::{Policy, Trade};
+use lemonweir_model::policy::{Policy, ServicePlacementWeights};
 use mlua::{HookTriggers, Lua, LuaOptions, StdLib, Table, Value, VmState};
 
 /// The embedded default, which names every setting with its unit.
@@ -105,7 +105,7 @@
         boot_patience: number("boot_patience", 1.5, 100.0),
         blind_ms: (number("blind_s", 0.0, BLIND_MOST_MS as f64 / 1000.0) * 1000.0) as u64,
         spare: number("spare", 0.0, 10.0),
-        trade: Trade {
+        trade: ServicePlacementWeights {
             machine: number("risk_machine", 0.0, TRADE_MOST),
             zone: number("risk_zone", 0.0, TRADE_MOST),
             one_zone: number("risk_one_zone", 0.0, TRADE_MOST),
--- a/crates/policy/tests/golden_policy.rs
+++ b/crates/policy/tests/golden_policy.rs
@@ -1,7 +1,7 @@
 //! Every name of the operators' policy, with its value in the embedded script and
 //! with one that a script gives it.
 
-use lemonweir_model::policy::{Policy, Trade};
+use lemonweir_model::policy::{Policy, ServicePlacementWeights};
 use lemonweir_policy::{embedded, evaluate};
 
 /// Every name, with a value of its own.
@@ -34,7 +34,7 @@
         boot_patience: 3.0,
         blind_ms: 60_000,
         spare: 0.5,
-        trade: Trade {
+        trade: ServicePlacementWeights {
             machine: 0.25,
             zone: 0.1,
             one_zone: 3.0,
@@ -43,7 +43,7 @@
         },
     };
     assert_eq!(policy, expected);
-    assert_eq!(policy.trade, Trade::default());
+    assert_eq!(policy.trade, ServicePlacementWeights::default());
 }
 
 #[test]
@@ -56,7 +56,7 @@
         boot_patience: 4.25,
         blind_ms: 50_500,
         spare: 0.625,
-        trade: Trade {
+        trade: ServicePlacementWeights {
             machine: 0.375,
             zone: 0.125,
             one_zone: 5.5,
--- a/crates/protocol/src/cloud.rs
+++ b/crates/protocol/src/cloud.rs
@@ -140,7 +140,7 @@
 
 /// The body of a refusal.
 #[derive(Debug, Deserialize, Serialize)]
-pub struct MalformedCloudEntry {
+pub struct CloudErrorBody {
     /// `no capacity` or `trouble`.
     #[serde(default)]
     pub error: String,
--- a/crates/protocol/src/links.rs
+++ b/crates/protocol/src/links.rs
@@ -161,7 +161,7 @@
 
 /// The owner's own answers, in the order of the reports: status and body.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct RelayedAnswers {
+pub struct RelayedResponses {
     /// Format.
     pub version: u8,
     /// One for each report.
@@ -188,7 +188,7 @@
 pub struct LinksReport {
     /// Links, the asked controller's own first.
     pub links: Vec<LinkRow>,
-    /// Workers whose reports it carries to their owners.
+    /// WorkerTiming whose reports it carries to their owners.
     pub carried_workers: usize,
 }
 
--- a/crates/protocol/src/users.rs
+++ b/crates/protocol/src/users.rs
@@ -59,7 +59,7 @@
 }
 
 /// Reads a submission; anything missing or out of range is a fault (400).
-pub fn read_submission(body: &[u8]) -> Result<JobSpec, Malformed> {
+pub fn decode_submission(body: &[u8]) -> Result<JobSpec, Malformed> {
     let mut spec: JobSpec = decode(body)?;
     let fault = |text: &str| Err(Malformed(text.to_owned()));
     if JobId::parse(spec.id.as_str()).is_none() {
@@ -111,7 +111,7 @@
 }
 
 /// Says why a well-formed job can never run (422), if it can't.
-pub fn never_runs(
+pub fn unschedulable_reason(
     spec: &JobSpec,
     teams: &[Team],
     zones: &[String],
@@ -138,7 +138,7 @@
         JobKind::Array => need,
         JobKind::Gang | JobKind::Service => need.times(spec.tasks),
     };
-    let limit = team_limit(team);
+    let limit = quota_limit(team);
     if !limit.covers(&Resources { memory: 0, ..all }) {
         return Some("needs more than the team's limit".into());
     }
@@ -146,7 +146,7 @@
 }
 
 /// A team's limit; no limit is as large as can be.
-pub fn team_limit(team: &Team) -> Resources {
+pub fn quota_limit(team: &Team) -> Resources {
     let offer = Resources::offer(team.cpus_max, team.gpus_max, 0.0);
     let or_none = |x: u64| if x == 0 { u64::MAX } else { x };
     Resources {
--- a/crates/protocol/src/worker.rs
+++ b/crates/protocol/src/worker.rs
@@ -1,4 +1,4 @@
-//! Workers: reports, orders, and the `/commands` call.
+//! WorkerTiming: reports, orders, and the `/commands` call.
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/protocol/tests/golden_messages.rs
+++ b/crates/protocol/tests/golden_messages.rs
@@ -16,7 +16,7 @@
 use lemonweir_protocol::links::{
     self, AvailabilityGossip, EventRow, GOSSIP_PATH, LINKS_VERSION, LinkRow, LinksReport,
     RELAY_HEARTBEATS_PATH, RELAY_PATH, RelayOutcome, RelayRequest, RelayResponse, RelayTarget,
-    RelayedAnswers, RelayedHeartbeats, Service,
+    RelayedResponses, RelayedHeartbeats, Service,
 };
 use lemonweir_protocol::peer::{
     self, AttemptState, AttemptStatus, ChangeRange, DesiredAttempt, ExitCause, JobProgress,
@@ -27,7 +27,7 @@
     FailoverCompletionRow, FailoverReport, FailoverRow, SupervisionReport,
     UnderReplicatedServiceRow,
 };
-use lemonweir_protocol::users::{JobPhase, JobStatus, read_submission};
+use lemonweir_protocol::users::{JobPhase, JobStatus, decode_submission};
 use lemonweir_protocol::worker::*;
 use lemonweir_protocol::{Malformed, decode, encode, image_locality, supervision};
 use rmpv::Value;
@@ -220,7 +220,7 @@
         ),
     ] {
         golden.both_ways(name, &job);
-        let read = read_submission(&encode(&job)).expect("a submission");
+        let read = decode_submission(&encode(&job)).expect("a submission");
         assert_eq!(read, job, "{name}");
     }
     let id = || JobId::from("req-000412");
@@ -255,7 +255,7 @@
     let fault = |change: &dyn Fn(&mut JobSpec)| {
         let mut job = full_job();
         change(&mut job);
-        read_submission(&encode(&job)).expect_err("refused").0
+        decode_submission(&encode(&job)).expect_err("refused").0
     };
     let named: [(Fault, &str); 14] = [
         (&|j| j.id = JobId::from("x"), "nameId is not a job id"),
@@ -443,7 +443,7 @@
     let (entries, faults) = list.entries();
     assert!(entries.len() == 1 && faults.is_empty(), "{faults:?}");
     assert_eq!(encode(&entries[0]), encode(&entry));
-    let fault = MalformedCloudEntry {
+    let fault = CloudErrorBody {
         error: "no capacity".into(),
     };
     golden.both_ways("refusal", &fault);
@@ -764,7 +764,7 @@
         reports: vec![vec![6], vec![7, 8]],
     };
     golden.of_links("reports", &reports);
-    let answers = RelayedAnswers {
+    let answers = RelayedResponses {
         version: LINKS_VERSION,
         answers: vec![(200, vec![9]), (421, Vec::new())],
     };
--- a/crates/simulator/src/ground.rs
+++ b/crates/simulator/src/ground.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
 
-use lemonweir_model::settings::Workers;
+use lemonweir_model::settings::WorkerTiming;
 use lemonweir_model::{AttemptId, JobId, JobKind, JobSpec};
 
 use crate::checker::Checker;
@@ -89,7 +89,7 @@
     pub useful: u128,
     /// Tasks that ended with their worker's lease.
     pub killed_by_lease: u64,
-    pub(crate) times: Workers,
+    pub(crate) times: WorkerTiming,
     gangs: HashMap<(JobId, u32), Gang>,
     pub(crate) saved: HashMap<(JobId, u32), u64>,
     pub(crate) done: HashSet<(JobId, u32)>,
@@ -101,7 +101,7 @@
 
 impl Ground {
     /// Nothing has happened yet.
-    pub fn new(times: Workers, checker: Checker, history: History) -> Self {
+    pub fn new(times: WorkerTiming, checker: Checker, history: History) -> Self {
         Self {
             jobs: HashMap::new(),
             checker,
--- a/crates/simulator/src/measures.rs
+++ b/crates/simulator/src/measures.rs
@@ -7,7 +7,7 @@
 use lemonweir_model::{JobId, JobKind, JobSpec};
 use lemonweir_protocol::kv_store::{CompareAndSwap, Write};
 use lemonweir_storage::packed_chunk::read_chunk;
-use lemonweir_storage::records::parse_run_key;
+use lemonweir_storage::records::parse_task_chunk_key;
 use serde::{Deserialize, Serialize};
 
 use crate::cloud::Cloud;
@@ -287,7 +287,7 @@
     fn each_live(cas: &CompareAndSwap, mut f: impl FnMut((JobId, u32))) {
         for w in &cas.writes {
             if let Write::Put { key, value, .. } = w
-                && let Some((job, chunk)) = parse_run_key(key)
+                && let Some((job, chunk)) = parse_task_chunk_key(key)
                 && let Some(record) = read_chunk(value, chunk)
             {
                 record.live.iter().for_each(|l| f((job.clone(), l.t)));
--- a/crates/simulator/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -1,10 +1,10 @@
 //! A scenario: a site, its load and its troubles, as TOML.
 
 use lemonweir_model::constants::BLIND_MOST_MS;
-use lemonweir_model::policy::{Policy, Trade};
+use lemonweir_model::policy::{Policy, ServicePlacementWeights};
 use lemonweir_model::settings::{
-    CloudLimits, Cluster, Limits, NextStateLimits, Objective, SeedController, Services, Settings,
-    StateLimits, Team, Workers,
+    CloudLimits, Cluster, Limits, UpcomingKvStoreLimits, Objective, SeedController, Services, Settings,
+    KvStoreLimits, Team, WorkerTiming,
 };
 use lemonweir_model::{Catalog, JobKind, MachineType, Priority, Resources};
 use rand::RngExt;
@@ -157,9 +157,9 @@
     /// Zones; controllers and machines are spread over them.
     pub zones: Vec<String>,
     /// The workers' times.
-    pub workers: Workers,
+    pub workers: WorkerTiming,
     /// The store's limits.
-    pub state: StateLimits,
+    pub state: KvStoreLimits,
     /// The cloud's limits.
     pub cloud: CloudLimits,
     /// The operators' own settings.
@@ -320,14 +320,14 @@
         duration_s: top.number("duration_s", 1.0, 1e8, None),
         shards: top.whole("controllers", 1, 64, Some(3)) as u16,
         poll_s: top.number("poll_s", 0.0, 3_600.0, Some(5.0)),
-        workers: Workers {
+        workers: WorkerTiming {
             report_s: w.number("report_s", 0.1, 600.0, Some(3.0)),
             lease_s: w.number("lease_s", 0.5, 3_600.0, Some(14.0)),
             gang_wait_s: w.number("gang_wait_s", 1.0, 3_600.0, Some(50.0)),
             gang_peer_s: w.number("gang_peer_s", 0.1, 600.0, Some(8.0)),
             cancel_s: w.number("cancel_s", 1.0, 7_200.0, Some(34.0)),
         },
-        state: StateLimits {
+        state: KvStoreLimits {
             rps: s.number("rps", 1.0, 1e9, Some(200.0)),
             write_rps: s.number("write_rps", 1.0, 1e9, Some(80.0)),
             value_kb: s.number("value_kb", 4.0, 1_024.0, Some(8.0)),
@@ -346,7 +346,7 @@
             blind_ms: (p.number("blind_s", 0.0, BLIND_MOST_MS as f64 / 1_000.0, Some(60.0))
                 * 1_000.0) as u64,
             spare: p.number("spare", 0.0, 10.0, Some(0.5)),
-            trade: Trade::default(),
+            trade: ServicePlacementWeights::default(),
         },
         chances: Chances {
             lost_txn_reply: chance("lost_txn_reply"),
@@ -417,9 +417,9 @@
     }
 }
 
-fn next_limits(t: &Section<'_>) -> NextStateLimits {
+fn next_limits(t: &Section<'_>) -> UpcomingKvStoreLimits {
     let number = |name: &str, low: f64| t.has(name).then(|| t.number(name, low, 1e9, None));
-    NextStateLimits {
+    UpcomingKvStoreLimits {
         rps: number("rps", 1.0),
         write_rps: number("write_rps", 1.0),
         value_kb: number("value_kb", 1.0),
--- a/crates/simulator/src/scenario/trouble.rs
+++ b/crates/simulator/src/scenario/trouble.rs
@@ -117,7 +117,7 @@
         seconds: Seconds,
     },
     /// The state service has its next limits from now on.
-    StateLimits,
+    KvStoreLimits,
     /// A controller loses the state service and all others, not its workers.
     Alone {
         /// Which one.
@@ -202,7 +202,7 @@
     /// A controller and the cloud.
     Cloud(usize),
     /// A controller and all workers.
-    Workers(usize),
+    WorkerTiming(usize),
     /// A controller and the workers of a zone.
     Zone(usize, String),
     /// Two controllers.
@@ -290,7 +290,7 @@
         "cut_workers" if t.has("zone") => {
             Trouble::Cut(Link::Zone(host("controller"), known_zone(t, scenario)))
         }
-        "cut_workers" => Trouble::Cut(Link::Workers(host("controller"))),
+        "cut_workers" => Trouble::Cut(Link::WorkerTiming(host("controller"))),
         "freeze" => Trouble::Freeze {
             host: host("controller"),
         },
@@ -341,7 +341,7 @@
             hang_s: t.number("hang_s", 0.0, 3_600.0, Some(0.0)),
         },
         "odd_requests" => Trouble::OddRequests,
-        "state_limits" => Trouble::StateLimits,
+        "state_limits" => Trouble::KvStoreLimits,
         "store_slow" => Trouble::StoreSlow {
             seconds: Seconds::read(t),
         },
--- a/crates/simulator/src/store.rs
+++ b/crates/simulator/src/store.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use lemonweir_model::constants::CONDITIONS_A_CHANGE;
-use lemonweir_model::settings::StateLimits;
+use lemonweir_model::settings::KvStoreLimits;
 use lemonweir_protocol::kv_store::{CompareAndSwap, KeyValue, WatchEvent, Write};
 use rmpv::Value;
 
@@ -78,7 +78,7 @@
 
 impl Store {
     /// An empty store with these limits.
-    pub fn new(limits: &StateLimits) -> Self {
+    pub fn new(limits: &KvStoreLimits) -> Self {
         let rate = |per_s: f64| Rate {
             per_s,
             tokens: per_s,
@@ -100,7 +100,7 @@
     }
 
     /// From now on it has its next limits. What is stored stays.
-    pub fn lower_limits(&mut self, limits: &StateLimits) {
+    pub fn lower_limits(&mut self, limits: &KvStoreLimits) {
         self.requests.per_s = limits.least_rps();
         self.writes.per_s = limits.least_write_rps();
         self.value_bytes = (limits.least_value_kb() * 1024.0) as usize;
--- a/crates/simulator/src/worker.rs
+++ b/crates/simulator/src/worker.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use lemonweir_model::settings::Workers;
+use lemonweir_model::settings::WorkerTiming;
 use lemonweir_model::{AttemptId, JobId, JobKind, MachineId, MachineType, Resources};
 use lemonweir_protocol::worker::{
     Command, CommandKind, CommandsRequest, Heartbeat, HeartbeatResponse, TaskPhase, TaskStatus,
@@ -122,7 +122,7 @@
         spot: bool,
         up_at: u64,
         speed: f64,
-        times: &Workers,
+        times: &WorkerTiming,
     ) -> Self {
         Self {
             id: machine_id(number),
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -33,9 +33,9 @@
 use lemonweir_protocol::kv_store::{CompareAndSwap, KeyValue, Write, from_value};
 use lemonweir_protocol::links::Service;
 use lemonweir_protocol::peer::{self, ShardView, SyncRequest};
-use lemonweir_protocol::users::{JobPhase, never_runs, team_limit};
+use lemonweir_protocol::users::{JobPhase, unschedulable_reason, quota_limit};
 use lemonweir_protocol::worker::{Heartbeat, HeartbeatResponse};
-use lemonweir_storage::dependencies::chain_key;
+use lemonweir_storage::dependencies::blocked_job_key;
 use lemonweir_storage::packed_chunk::read_chunk;
 use lemonweir_storage::records::*;
 use rand::seq::IndexedRandom;
@@ -223,7 +223,7 @@
         let limits = scenario
             .teams
             .iter()
-            .map(|t| (t.name.clone(), team_limit(t)))
+            .map(|t| (t.name.clone(), quota_limit(t)))
             .collect();
         let checker = Checker::new(limits, (scenario.workers.cancel_s * 1e6) as u64);
         let mut world = Self {
--- a/crates/simulator/src/world/controllers.rs
+++ b/crates/simulator/src/world/controllers.rs
@@ -387,7 +387,7 @@
         let chunks: Vec<(JobId, u32, TaskChunkRecord, u64)> = chunks
             .iter()
             .filter_map(|e| {
-                parse_run_key(&e.key)
+                parse_task_chunk_key(&e.key)
                     .and_then(|(j, c)| Some((j, c, read_chunk(&e.value, c)?, e.version)))
             })
             .collect();
@@ -427,7 +427,7 @@
         match whose {
             For::Core(lease) => {
                 for (key, version) in versions {
-                    if let Some((job, chunk)) = parse_run_key(&key) {
+                    if let Some((job, chunk)) = parse_task_chunk_key(&key) {
                         core.reread(lease, &job, chunk, version);
                     }
                 }
--- a/crates/simulator/src/world/sending.rs
+++ b/crates/simulator/src/world/sending.rs
@@ -22,7 +22,7 @@
             .get(number)
             .and_then(Option::as_ref)
             .map(|w| w.zone.as_str());
-        self.down.contains(&Link::Workers(host))
+        self.down.contains(&Link::WorkerTiming(host))
             || zone.is_some_and(|zone| {
                 self.parted(self.scenario.zone_of(host), zone)
                     || self.down.contains(&Link::Zone(host, zone.to_owned()))
--- a/crates/simulator/src/world/services.rs
+++ b/crates/simulator/src/world/services.rs
@@ -80,7 +80,7 @@
     }
 
     fn presence(&self, host: usize, hold: u64, left: Vec<u16>) -> CompareAndSwap {
-        show_node(
+        register_controller(
             &crate::scenario::host_name(host),
             self.scenario.zone_of(host),
             hold,
@@ -253,8 +253,8 @@
             self.new_leader();
             return Input::Adopt(
                 lease,
-                self.store.list(&run_prefix(*shard)),
-                self.store.list(&images_prefix(*shard)),
+                self.store.list(&task_chunks_prefix(*shard)),
+                self.store.list(&image_locations_prefix(*shard)),
             );
         }
         Input::CompareAndSwap(whose, cas, Some(outcome), versions)
--- a/crates/simulator/src/world/troubles.rs
+++ b/crates/simulator/src/world/troubles.rs
@@ -28,7 +28,7 @@
                 return;
             }
             Trouble::StoreDown => self.store.down = true,
-            Trouble::StateLimits => self.store.lower_limits(&scenario.state),
+            Trouble::KvStoreLimits => self.store.lower_limits(&scenario.state),
             Trouble::Cut(link) => {
                 self.down.insert(link.clone());
                 let flap_us = (fault.flap_s * 1e6) as u64;
--- a/crates/simulator/src/world/users.rs
+++ b/crates/simulator/src/world/users.rs
@@ -16,7 +16,7 @@
         let known = core.cache.knows(&id);
         let wait = h.writes.wait(self.now).max(h.requests.wait(self.now));
         let never = |catalog| {
-            never_runs(&spec, &self.scenario.teams, &self.scenario.zones, catalog).is_some()
+            unschedulable_reason(&spec, &self.scenario.teams, &self.scenario.zones, catalog).is_some()
         };
         if known {
             return match core.answer(&id, self.now / MS) {
@@ -51,7 +51,7 @@
             return self.reply(host, id, None, 503);
         }
         let accepted = |id: &JobId| {
-            [job_key(id), chain_key(id), end_key(id)]
+            [job_key(id), blocked_job_key(id), end_key(id)]
                 .iter()
                 .any(|key| self.store.get(key).is_some())
         };
--- a/crates/simulator/tests/ledger.rs
+++ b/crates/simulator/tests/ledger.rs
@@ -13,7 +13,7 @@
 use lemonweir_simulator::scenario::Scenario;
 use lemonweir_simulator::world::{Planned, World};
 use lemonweir_storage::packed_chunk::read_chunk;
-use lemonweir_storage::records::{GangAdmissionStep, parse_run_key};
+use lemonweir_storage::records::{GangAdmissionStep, parse_task_chunk_key};
 
 /// Three controllers, each with its zone's machines: so many in each, of 16
 /// processors and 4 accelerators, and none to rent.
@@ -61,7 +61,7 @@
 /// What the store says of a gang: its least step, its attempt, members named.
 fn step_of(world: &World, id: &JobId) -> Option<(GangAdmissionStep, u32, usize)> {
     let entries = (0..3).flat_map(|shard| world.store.list(&format!("run/{shard}/{id}/")));
-    let read = |e: KeyValue| read_chunk(&e.value, parse_run_key(&e.key)?.1);
+    let read = |e: KeyValue| read_chunk(&e.value, parse_task_chunk_key(&e.key)?.1);
     let chunks: Vec<_> = entries
         .filter_map(read)
         .filter(|c| !c.live.is_empty())
--- a/crates/simulator/tests/links.rs
+++ b/crates/simulator/tests/links.rs
@@ -337,7 +337,7 @@
             Crash => world.crash(1, 6_000_000),
             StandStill => world.hosts[1].frozen_until = world.now + 12_000_000,
             LoseStore => drop(world.down.insert(Link::Store(1))),
-            LoseWorkers => drop(world.down.insert(Link::Workers(1))),
+            LoseWorkers => drop(world.down.insert(Link::WorkerTiming(1))),
             Apart => drop(world.down.insert(Link::Hosts(1, 2))),
             AllEnd => (0..3).for_each(|h| world.crash(h, 3_000_000)),
         }
@@ -380,7 +380,7 @@
     for second in 0..120 {
         if second % 6 < 3 {
             world.down.insert(Link::Store(0));
-            world.down.insert(Link::Workers(1));
+            world.down.insert(Link::WorkerTiming(1));
         } else {
             world.down.clear();
         }
--- a/crates/simulator/tests/meetings.rs
+++ b/crates/simulator/tests/meetings.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 use lemonweir_model::constants::HOLD_TTL_MS;
-use lemonweir_model::settings::Workers;
+use lemonweir_model::settings::WorkerTiming;
 use lemonweir_simulator::history::History;
 use lemonweir_simulator::hunt::broken_terms;
 use lemonweir_simulator::load::synthetic;
@@ -27,7 +27,7 @@
 
 /// s of the second trouble after the first.
 fn offsets(scenario: &Scenario) -> Vec<f64> {
-    let Workers {
+    let WorkerTiming {
         report_s,
         lease_s,
         cancel_s,
@@ -53,7 +53,7 @@
     offset: f64,
 ) -> Scenario {
     let mut moved = scenario.clone();
-    moved.workers = Workers {
+    moved.workers = WorkerTiming {
         report_s,
         lease_s,
         cancel_s,
--- a/crates/simulator/tests/nights.rs
+++ b/crates/simulator/tests/nights.rs
@@ -422,7 +422,7 @@
                 None,
                 Some(Link::Store(1)),
                 Some(Link::Hosts(0, 1)),
-                Some(Link::Workers(1)),
+                Some(Link::WorkerTiming(1)),
             ][(k + i) % 4]
                 .clone();
             let what = format!("{pause_ms} ms at {at_ms} ms, {cut:?}");
--- a/crates/simulator/tests/rules.rs
+++ b/crates/simulator/tests/rules.rs
@@ -284,7 +284,7 @@
     submit(&mut world, service, 1, None);
     world.run(60_000);
     assert!(world.hosts[1].holds(1));
-    world.down.insert(Link::Workers(1));
+    world.down.insert(Link::WorkerTiming(1));
     for _ in 0..40 {
         world.run(1_000);
         assert_eq!(live(&world), 40);
@@ -295,7 +295,7 @@
     }
     world.down.clear();
     world.run(20_000);
-    world.down.insert(Link::Workers(1));
+    world.down.insert(Link::WorkerTiming(1));
     world.down.extend([Link::Hosts(0, 1), Link::Hosts(1, 2)]);
     for _ in 0..40 {
         world.run(1_000);
--- a/crates/simulator/tests/weights.rs
+++ b/crates/simulator/tests/weights.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
-use lemonweir_model::policy::Trade;
+use lemonweir_model::policy::ServicePlacementWeights;
 use lemonweir_model::{AttemptId, JobKind, JobSpec, Priority};
 use lemonweir_protocol::worker::TaskPhase;
 use lemonweir_simulator::ground::Load;
@@ -14,7 +14,7 @@
 
 /// Zones with a controller each and machines that are there from the start, boxes of
 /// 4 accelerators that fetch 0.3 GB a second into caches of 130 GB.
-fn site(zones: &[&str], a_zone: u32, trade: Trade) -> Scenario {
+fn site(zones: &[&str], a_zone: u32, trade: ServicePlacementWeights) -> Scenario {
     let text = format!(
         "name = 'weights'\nduration_s = 1e6\ncontrollers = {}\nzones = {zones:?}\npoll_s = 0\n[policy]\nidle = 1000\n\
          [[machine_type]]\nname = 'box'\ncpus = 16\ngpus = 4\nmemory_gb = 64\ncache_gb = 130\nfetch_gb_per_s = 0.3\nprice = 4\nspot_price = 1\n\
@@ -240,7 +240,7 @@
         .expect("a number")
 }
 
-const LOCALITY: Trade = Trade {
+const LOCALITY: ServicePlacementWeights = ServicePlacementWeights {
     machine: 0.0,
     zone: 0.0,
     one_zone: 0.0,
@@ -255,7 +255,7 @@
     for (machines, replicas) in [(2, 2), (20, 10), (200, 20)] {
         let what = format!("{machines} machines");
         let mut lab = Lab::new(
-            site(&["north", "south"], machines / 2, Trade::default()),
+            site(&["north", "south"], machines / 2, ServicePlacementWeights::default()),
             u64::from(machines),
         );
         lab.submit(service(1, replicas, "large", 60.0), 0);
@@ -306,7 +306,7 @@
 #[test]
 fn a_hall_is_lost_with_its_controller() {
     let mut took = Vec::new();
-    for trade in [LOCALITY, Trade::default()] {
+    for trade in [LOCALITY, ServicePlacementWeights::default()] {
         let mut lab = Lab::new(site(&["north", "south"], 6, trade), 5);
         for n in 0..2 {
             lab.submit(service(n, 2, &format!("m-{n}"), 40.0), 0);
@@ -370,9 +370,9 @@
         site(
             &["north"],
             8,
-            Trade {
+            ServicePlacementWeights {
                 move_s: 3_600.0,
-                ..Trade::default()
+                ..ServicePlacementWeights::default()
             },
         ),
         9,
@@ -418,7 +418,7 @@
 /// where the weights lie as long as there is room, and all serve.
 #[test]
 fn a_hot_model_doubles_in_a_minute() {
-    let mut lab = Lab::new(site(&["north", "south", "west"], 8, Trade::default()), 3);
+    let mut lab = Lab::new(site(&["north", "south", "west"], 8, ServicePlacementWeights::default()), 3);
     lab.submit(service(0, 6, "hot", 20.0), 0);
     for n in 1..4 {
         lab.submit(service(n, 2, &format!("m-{n}"), 20.0), 0);
@@ -459,7 +459,7 @@
 
 /// Replicas without `scatter`, beside batch work that comes and goes; machines are lost,
 /// services come and go, and at the end a hall is lost with its controller.
-fn figures(f: &Figures, name: &str, trade: Trade, seed: u64) {
+fn figures(f: &Figures, name: &str, trade: ServicePlacementWeights, seed: u64) {
     let text = format!(
         "name = 'figures'\nduration_s = 1e6\ncontrollers = {}\nzones = {:?}\npoll_s = 0\n\
          [[machine_type]]\nname = 'box'\ncpus = {}\ngpus = {}\nmemory_gb = {}\ncache_gb = {}\nfetch_gb_per_s = {}\nprice = 4\nspot_price = 1\n\
@@ -586,22 +586,22 @@
             gb: 60.0,
         },
     ];
-    let spread = Trade {
+    let spread = ServicePlacementWeights {
         machine: 1_000.0,
         zone: 1_000.0,
         one_zone: 1_000.0,
         pin_s: 0.0,
         move_s: 1.0,
     };
-    let careful = Trade {
+    let careful = ServicePlacementWeights {
         machine: 2.0,
         zone: 0.5,
-        ..Trade::default()
+        ..ServicePlacementWeights::default()
     };
     let trades = [
         ("locality", LOCALITY),
         ("spread", spread),
-        ("trade", Trade::default()),
+        ("trade", ServicePlacementWeights::default()),
         ("careful", careful),
     ];
     std::thread::scope(|scope| {
--- a/crates/storage/src/dependencies.rs
+++ b/crates/storage/src/dependencies.rs
@@ -25,17 +25,17 @@
 }
 
 /// Key of a job that waits for others.
-pub fn chain_key(id: &JobId) -> String {
+pub fn blocked_job_key(id: &JobId) -> String {
     format!("w/chain/{id}")
 }
 
 /// Key of a further page of the jobs that it awaits, from 1 on.
-pub fn awaits_key(id: &JobId, page: usize) -> String {
+pub fn dependency_page_key(id: &JobId, page: usize) -> String {
     format!("w/chain/{id}/{page}")
 }
 
 /// Reads the job and the page, 0 for the job itself, from a key below `w/chain/`.
-pub fn parse_chain_key(rest: &str) -> Option<(JobId, usize)> {
+pub fn parse_blocked_job_key(rest: &str) -> Option<(JobId, usize)> {
     match rest.split_once('/') {
         None => Some((JobId::parse(rest)?, 0)),
         Some((id, page)) => Some((
@@ -50,15 +50,15 @@
 }
 
 /// Neither the job nor its end may be known, whether or not it waits for others.
-pub fn unknown_job(id: &JobId) -> Vec<Condition> {
-    [job_key(id), chain_key(id), end_key(id)]
+pub fn job_absent_conditions(id: &JobId) -> Vec<Condition> {
+    [job_key(id), blocked_job_key(id), end_key(id)]
         .map(absent)
         .to_vec()
 }
 
 /// The transactions that accept a job which waits for others, in their order: further
 /// pages first, which mean nothing by themselves, then the job, which counts.
-pub fn accept_waiting(record: &JobRecord, txn_ops: usize) -> Vec<CompareAndSwap> {
+pub fn create_blocked_job(record: &JobRecord, txn_ops: usize) -> Vec<CompareAndSwap> {
     let id = &record.spec.id;
     let mut pages = record.spec.awaits.chunks(AWAITS_PAGE);
     let first = pages.next().unwrap_or_default().to_vec();
@@ -66,7 +66,7 @@
         .zip(1..)
         .map(|(awaits, page)| {
             Write::put(
-                awaits_key(id, page),
+                dependency_page_key(id, page),
                 &DependencyPage {
                     awaits: awaits.to_vec(),
                 },
@@ -76,7 +76,7 @@
     let mut cas_list: Vec<CompareAndSwap> = rest
         .chunks(txn_ops.max(1))
         .map(|writes| CompareAndSwap {
-            conditions: unknown_job(id),
+            conditions: job_absent_conditions(id),
             writes: writes.to_vec(),
         })
         .collect();
@@ -84,16 +84,16 @@
     head.awaited = record.spec.awaits.len();
     head.spec.awaits = first;
     cas_list.push(CompareAndSwap {
-        conditions: unknown_job(id),
-        writes: vec![Write::put(chain_key(id), &head)],
+        conditions: job_absent_conditions(id),
+        writes: vec![Write::put(blocked_job_key(id), &head)],
     });
     cas_list
 }
 
 /// Accepts a job that needs a cancelled one: it is cancelled from the start.
-pub fn accept_cancelled(id: &JobId) -> CompareAndSwap {
+pub fn create_cancelled_job(id: &JobId) -> CompareAndSwap {
     CompareAndSwap {
-        conditions: unknown_job(id),
+        conditions: job_absent_conditions(id),
         writes: vec![Write::put(
             end_key(id),
             &JobEndRecord {
@@ -104,10 +104,10 @@
 }
 
 /// Cancels a job that waits, whose key has this version: no task of it was ever started.
-pub fn cancel_waiting(id: &JobId, version: u64) -> CompareAndSwap {
+pub fn cancel_blocked_job(id: &JobId, version: u64) -> CompareAndSwap {
     CompareAndSwap {
         conditions: vec![Condition {
-            key: chain_key(id),
+            key: blocked_job_key(id),
             version,
         }],
         writes: vec![
@@ -117,7 +117,7 @@
                     phase: JobPhase::Withdrawn,
                 },
             ),
-            Write::Delete { key: chain_key(id) },
+            Write::Delete { key: blocked_job_key(id) },
         ],
     }
 }
@@ -127,10 +127,10 @@
 ///
 /// Guards against a start before all awaited jobs are done: the ends in `done`, each with
 /// the version under which it says so, are conditions.
-pub fn release_waiting(record: &JobRecord, version: u64, done: &[(JobId, u64)]) -> CompareAndSwap {
+pub fn unblock_job(record: &JobRecord, version: u64, done: &[(JobId, u64)]) -> CompareAndSwap {
     let id = &record.spec.id;
     let mut conditions = vec![Condition {
-        key: chain_key(id),
+        key: blocked_job_key(id),
         version,
     }];
     conditions.extend(done.iter().map(|(awaited, version)| Condition {
@@ -144,13 +144,13 @@
         conditions,
         writes: vec![
             Write::put(job_key(id), &job),
-            Write::Delete { key: chain_key(id) },
+            Write::Delete { key: blocked_job_key(id) },
         ],
     }
 }
 
 /// Asks whether these ends have these versions, without a write: an end never changes.
-pub fn ends_stand(done: &[(JobId, u64)]) -> CompareAndSwap {
+pub fn check_ends_unchanged(done: &[(JobId, u64)]) -> CompareAndSwap {
     let conditions = done
         .iter()
         .map(|(awaited, version)| Condition {
--- a/crates/storage/src/records.rs
+++ b/crates/storage/src/records.rs
@@ -20,7 +20,7 @@
 use base64::prelude::{BASE64_STANDARD, Engine};
 use serde::{Deserialize, Serialize};
 
-use crate::dependencies::unknown_job;
+use crate::dependencies::job_absent_conditions;
 use crate::failovers::NewFailover;
 use lemonweir_model::constants::{PACKED_VERSION, PEER_VERSION};
 use lemonweir_model::{JobId, JobSpec, MachineId, Resources};
@@ -49,7 +49,7 @@
 }
 
 /// Key of a node's presence.
-pub fn node_key(host: &str) -> String {
+pub fn controller_key(host: &str) -> String {
     format!("w/node/{host}")
 }
 
@@ -59,17 +59,17 @@
 }
 
 /// Prefix of a part's task records.
-pub fn run_prefix(shard: u16) -> String {
+pub fn task_chunks_prefix(shard: u16) -> String {
     format!("run/{shard}/")
 }
 
 /// Key of one chunk of a job's task record.
-pub fn run_key(shard: u16, job: &JobId, chunk: u32) -> String {
+pub fn task_chunk_key(shard: u16, job: &JobId, chunk: u32) -> String {
     format!("run/{shard}/{job}/{chunk}")
 }
 
 /// Reads the job and the chunk from a key of a task record.
-pub fn parse_run_key(key: &str) -> Option<(JobId, u32)> {
+pub fn parse_task_chunk_key(key: &str) -> Option<(JobId, u32)> {
     let mut segments = key.strip_prefix("run/")?.split('/');
     let _part = segments.next()?;
     let job = JobId::parse(segments.next()?)?;
@@ -134,7 +134,7 @@
 
 /// Records that every controller reads this version, instead of the earlier one whose
 /// record has that version of its key.
-pub fn raise_version(version: u32, earlier: u64) -> CompareAndSwap {
+pub fn advance_record_version(version: u32, earlier: u64) -> CompareAndSwap {
     CompareAndSwap {
         conditions: vec![Condition {
             key: VERSION_KEY.to_owned(),
@@ -148,17 +148,17 @@
 }
 
 /// Prefix of what an owner knows of its machines' images.
-pub fn images_prefix(shard: u16) -> String {
+pub fn image_locations_prefix(shard: u16) -> String {
     format!("img/{shard}/")
 }
 
 /// Key of one page of it.
-pub fn images_key(shard: u16, page: usize) -> String {
+pub fn image_locations_key(shard: u16, page: usize) -> String {
     format!("img/{shard}/{page}")
 }
 
 /// Reads the page from a key of it.
-pub fn parse_images_key(key: &str) -> Option<usize> {
+pub fn parse_image_locations_key(key: &str) -> Option<usize> {
     key.strip_prefix("img/")?.split_once('/')?.1.parse().ok()
 }
 
@@ -249,22 +249,22 @@
 }
 
 /// Accepts a job: neither it nor its end may be known.
-pub fn accept_job(record: &JobRecord) -> CompareAndSwap {
+pub fn create_job(record: &JobRecord) -> CompareAndSwap {
     let id = &record.spec.id;
     CompareAndSwap {
-        conditions: unknown_job(id),
+        conditions: job_absent_conditions(id),
         writes: vec![Write::put(job_key(id), record)],
     }
 }
 
 /// Conditions of [`absent`] for one job.
-pub const ABSENT_CONDITIONS: usize = 3;
+pub const CONDITIONS_PER_ABSENT_JOB: usize = 3;
 
 /// Asks whether no such jobs are: neither unfinished, waiting for others nor over. It
 /// writes nothing; what it fails on is there.
 pub fn absent(jobs: &[JobId]) -> CompareAndSwap {
     CompareAndSwap {
-        conditions: jobs.iter().flat_map(unknown_job).collect(),
+        conditions: jobs.iter().flat_map(job_absent_conditions).collect(),
         writes: Vec::new(),
     }
 }
@@ -272,7 +272,7 @@
 /// Asks for the end of a job whose key has this version: if it has ended
 /// meanwhile, the key has another. Its placer writes the end once every attempt
 /// is proven to be over.
-pub fn withdraw_job(record: &JobRecord, version: u64) -> CompareAndSwap {
+pub fn request_cancellation(record: &JobRecord, version: u64) -> CompareAndSwap {
     let key = job_key(&record.spec.id);
     let asked = JobRecord {
         withdrawn: true,
@@ -335,12 +335,12 @@
     deaf: Vec<u16>,
 ) -> CompareAndSwap {
     let mut cas = release_shard(token, entry);
-    cas.writes.extend(show_node(host, zone, hold, deaf).writes);
+    cas.writes.extend(register_controller(host, zone, hold, deaf).writes);
     cas
 }
 
 /// Shows a node's presence, to live with its hold.
-pub fn show_node(host: &str, zone: &str, hold: u64, deaf: Vec<u16>) -> CompareAndSwap {
+pub fn register_controller(host: &str, zone: &str, hold: u64, deaf: Vec<u16>) -> CompareAndSwap {
     let record = ControllerRecord {
         zone: zone.to_owned(),
         format: PEER_VERSION,
@@ -350,7 +350,7 @@
     CompareAndSwap {
         conditions: Vec::new(),
         writes: vec![Write::Put {
-            key: node_key(host),
+            key: controller_key(host),
             value: to_value(&record),
             hold: Some(hold),
         }],
@@ -375,7 +375,7 @@
 }
 
 /// Key of one piece of a peer message that travels through the store.
-pub fn mail_key(kind: StoreMessageKind, from: u16, to: u16, piece: usize) -> String {
+pub fn store_message_key(kind: StoreMessageKind, from: u16, to: u16, piece: usize) -> String {
     let kind = match kind {
         StoreMessageKind::Sync => "sync",
         StoreMessageKind::View => "view",
@@ -404,7 +404,7 @@
 }
 
 /// Reads line and piece from the key below `w/mail/`.
-pub fn parse_mail_key(rest: &str) -> Option<(StoreMessageRoute, usize)> {
+pub fn parse_store_message_key(rest: &str) -> Option<(StoreMessageRoute, usize)> {
     let mut segments = rest.split('/');
     let kind = match segments.next()? {
         "sync" => StoreMessageKind::Sync,
@@ -449,7 +449,7 @@
         })
     };
     let put = |(k, piece): (usize, &&[u8])| Write::Put {
-        key: mail_key(line.kind, line.from, line.to, k),
+        key: store_message_key(line.kind, line.from, line.to, k),
         value: value(piece),
         hold: Some(hold),
     };
--- a/crates/storage/src/state_cache.rs
+++ b/crates/storage/src/state_cache.rs
@@ -7,11 +7,11 @@
 
 use base64::prelude::{BASE64_STANDARD, Engine};
 
-use crate::dependencies::{DependencyPage, parse_chain_key};
+use crate::dependencies::{DependencyPage, parse_blocked_job_key};
 use crate::failovers::FailoverHistory;
 use crate::records::{
     ControllerRecord, JobRecord, ShardRecord, StoreMessageRecord, StoreMessageRoute,
-    TeamAssignmentRecord, VERSION_KEY, VersionRecord, parse_mail_key,
+    TeamAssignmentRecord, VERSION_KEY, VersionRecord, parse_store_message_key,
 };
 use lemonweir_model::constants::ENDS_REMEMBERED;
 use lemonweir_model::{JobId, JobSpec};
@@ -181,7 +181,7 @@
                 true
             }
             Some(("mail", rest)) => match (
-                parse_mail_key(rest),
+                parse_store_message_key(rest),
                 from_value::<StoreMessageRecord>(value),
             ) {
                 (Some((line, piece)), Some(record)) => {
@@ -213,7 +213,7 @@
             }
             Some(("chain", rest)) => {
                 self.waiting_changes += 1;
-                match parse_chain_key(rest) {
+                match parse_blocked_job_key(rest) {
                     Some((id, 0)) => drop(self.waiting.remove(&id)),
                     Some(page) => drop(self.awaits_pages.remove(&page)),
                     None => {}
@@ -235,7 +235,7 @@
             }
             Some(("hand", rest)) => self.failovers.remove(rest),
             Some(("mail", rest)) => {
-                if let Some(key) = parse_mail_key(rest) {
+                if let Some(key) = parse_store_message_key(rest) {
                     self.mail.remove(&key);
                 }
             }
@@ -245,7 +245,7 @@
 
     fn set_waiting(&mut self, rest: &str, value: &rmpv::Value, version: u64) -> bool {
         self.waiting_changes += 1;
-        match parse_chain_key(rest) {
+        match parse_blocked_job_key(rest) {
             Some((id, 0)) => {
                 let Some(record) = from_value::<JobRecord>(value) else {
                     return false;
--- a/crates/storage/tests/golden_records.rs
+++ b/crates/storage/tests/golden_records.rs
@@ -352,21 +352,21 @@
     assert_eq!(job_key(&id(412)), "w/job/req-000412");
     assert_eq!(end_key(&id(412)), "end/req-000412");
     assert_eq!(shard_key(2), "w/part/2");
-    assert_eq!(node_key("hutte-0"), "w/node/hutte-0");
+    assert_eq!(controller_key("hutte-0"), "w/node/hutte-0");
     assert_eq!(team_key("vision"), "w/team/vision");
-    assert_eq!(run_prefix(2), "run/2/");
-    assert_eq!(run_key(2, &id(412), 5), "run/2/req-000412/5");
-    assert_eq!(images_prefix(2), "img/2/");
-    assert_eq!(images_key(2, 3), "img/2/3");
-    assert_eq!(chain_key(&id(412)), "w/chain/req-000412");
-    assert_eq!(awaits_key(&id(412), 3), "w/chain/req-000412/3");
+    assert_eq!(task_chunks_prefix(2), "run/2/");
+    assert_eq!(task_chunk_key(2, &id(412), 5), "run/2/req-000412/5");
+    assert_eq!(image_locations_prefix(2), "img/2/");
+    assert_eq!(image_locations_key(2, 3), "img/2/3");
+    assert_eq!(blocked_job_key(&id(412)), "w/chain/req-000412");
+    assert_eq!(dependency_page_key(&id(412), 3), "w/chain/req-000412/3");
     assert_eq!(failover_key(2, 35), "w/hand/2/3");
     assert_eq!(
-        mail_key(StoreMessageKind::Sync, 1, 2, 3),
+        store_message_key(StoreMessageKind::Sync, 1, 2, 3),
         "w/mail/sync/1/2/3"
     );
     assert_eq!(
-        mail_key(StoreMessageKind::View, 1, 2, 3),
+        store_message_key(StoreMessageKind::View, 1, 2, 3),
         "w/mail/view/1/2/3"
     );
     assert_eq!((AWAITS_PAGE, CHUNK_TASKS, HANDOVERS_KEPT), (40, 64, 32));
@@ -374,10 +374,10 @@
 
 #[test]
 fn keys_are_read_as_they_are_spelled() {
-    assert_eq!(parse_run_key("run/2/req-000412/5"), Some((id(412), 5)));
-    assert_eq!(parse_images_key("img/2/3"), Some(3));
-    assert_eq!(parse_chain_key("req-000412"), Some((id(412), 0)));
-    assert_eq!(parse_chain_key("req-000412/3"), Some((id(412), 3)));
+    assert_eq!(parse_task_chunk_key("run/2/req-000412/5"), Some((id(412), 5)));
+    assert_eq!(parse_image_locations_key("img/2/3"), Some(3));
+    assert_eq!(parse_blocked_job_key("req-000412"), Some((id(412), 0)));
+    assert_eq!(parse_blocked_job_key("req-000412/3"), Some((id(412), 3)));
     assert_eq!(parse_failover_key("2/3"), Some((2, 3)));
     for (rest, kind) in [
         ("sync/1/2/3", StoreMessageKind::Sync),
@@ -388,7 +388,7 @@
             from: 1,
             to: 2,
         };
-        assert_eq!(parse_mail_key(rest), Some((line, 3)));
+        assert_eq!(parse_store_message_key(rest), Some((line, 3)));
     }
 }
 
@@ -397,9 +397,9 @@
 #[test]
 fn transactions_of_records_are_their_samples() {
     let mut golden = Golden::of(include_str!("samples/golden/transactions.json"));
-    golden.cas("accept a job", &accept_job(&job(0, false)));
+    golden.cas("accept a job", &create_job(&job(0, false)));
     golden.cas("ask whether jobs are absent", &absent(&[id(1), id(2)]));
-    golden.cas("cancel a job", &withdraw_job(&job(0, false), 50));
+    golden.cas("cancel a job", &request_cancellation(&job(0, false), 50));
     let taken = entry(LeadershipChange::Vacant, Some("hutte-2"), Some("hutte-0"));
     golden.cas("take a shard", &acquire_shard(49, "hutte-0", 9, &taken));
     let back = entry(LeadershipChange::HandedBack, Some("hutte-0"), None);
@@ -409,12 +409,12 @@
         "leave a shard",
         &cede_shard(42, &left, "hutte-0", "eemsmond", 9, vec![2, 4]),
     );
-    golden.cas("show a node", &show_node("hutte-0", "eemsmond", 9, vec![2]));
+    golden.cas("show a node", &register_controller("hutte-0", "eemsmond", 9, vec![2]));
     golden.cas(
         "assign teams",
         &assign_teams(&[("vision".into(), 2), ("speech".into(), 0)]),
     );
-    golden.cas("raise the version", &raise_version(1, 12));
+    golden.cas("raise the version", &advance_record_version(1, 12));
     for (name, kind) in [
         ("post a sync", StoreMessageKind::Sync),
         ("post a view", StoreMessageKind::View),
@@ -432,18 +432,18 @@
 #[test]
 fn transactions_of_chains_are_their_samples() {
     let mut golden = Golden::of(include_str!("samples/golden/chain_transactions.json"));
-    let accepted = accept_waiting(&job(2 * AWAITS_PAGE + 1, false), 1);
+    let accepted = create_blocked_job(&job(2 * AWAITS_PAGE + 1, false), 1);
     assert_eq!(accepted.len(), 3);
     for (i, cas) in accepted.iter().enumerate() {
         golden.cas(&format!("accept a job that waits, {i}"), cas);
     }
-    golden.cas("accept a cancelled job", &accept_cancelled(&id(412)));
-    golden.cas("cancel a job that waits", &cancel_waiting(&id(412), 51));
+    golden.cas("accept a cancelled job", &create_cancelled_job(&id(412)));
+    golden.cas("cancel a job that waits", &cancel_blocked_job(&id(412), 51));
     let done = [(id(1), 60), (id(2), 61)];
     golden.cas(
         "release a job that waited",
-        &release_waiting(&job(2, false), 52, &done),
+        &unblock_job(&job(2, false), 52, &done),
     );
-    golden.cas("ask whether ends stand", &ends_stand(&done));
+    golden.cas("ask whether ends stand", &check_ends_unchanged(&done));
     golden.all();
 }
--- a/crates/storage/tests/late.rs
+++ b/crates/storage/tests/late.rs
@@ -11,8 +11,8 @@
 use lemonweir_storage::StateCache;
 use lemonweir_storage::failovers::{FailoverRecord, LeadershipChange, NewFailover};
 use lemonweir_storage::records::{
-    JobEndRecord, JobRecord, ShardRecord, accept_job, acquire_shard, end_key, job_key,
-    release_shard, shard_key, withdraw_job,
+    JobEndRecord, JobRecord, ShardRecord, create_job, acquire_shard, end_key, job_key,
+    release_shard, shard_key, request_cancellation,
 };
 use lemonweir_storage::state_cache::ShardLeader;
 
@@ -168,16 +168,16 @@
 #[test]
 fn a_job_that_is_over_is_not_accepted_by_a_late_transaction() {
     let mut store = Store::default();
-    let late = accept_job(&job());
+    let late = create_job(&job());
     let version = store
-        .cas(&accept_job(&JobRecord { at: 5, ..job() }))
+        .cas(&create_job(&JobRecord { at: 5, ..job() }))
         .expect("nobody knows it");
     assert_eq!(store.cas(&late), None, "it is known");
     // A withdrawal and an end that were sent before others changed the job.
-    let late_withdrawal = withdraw_job(&job(), version);
+    let late_withdrawal = request_cancellation(&job(), version);
     let late_end = over(version, JobPhase::Done);
     let withdrawn = store
-        .cas(&withdraw_job(&job(), version))
+        .cas(&request_cancellation(&job(), version))
         .expect("it is not over");
     assert_eq!(store.cas(&late_end), None, "it was withdrawn since");
     store
--- a/crates/storage/tests/versions.rs
+++ b/crates/storage/tests/versions.rs
@@ -9,7 +9,7 @@
 use lemonweir_protocol::kv_store::{Write, from_value, to_value};
 use lemonweir_protocol::peer::{self, ShardView, SyncRequest};
 use lemonweir_protocol::users::JobPhase;
-use lemonweir_storage::dependencies::{accept_waiting, chain_key, release_waiting};
+use lemonweir_storage::dependencies::{create_blocked_job, blocked_job_key, unblock_job};
 use lemonweir_storage::failovers::FailoverRecord;
 use lemonweir_storage::packed_chunk::{chunk_value, read_chunk};
 use lemonweir_storage::records::*;
@@ -124,7 +124,7 @@
         withdrawn: false,
         awaited: 0,
     };
-    for cas in accept_waiting(&record, 4) {
+    for cas in create_blocked_job(&record, 4) {
         for write in &cas.writes {
             let Write::Put { key, .. } = write else {
                 panic!("nothing is removed")
@@ -140,14 +140,14 @@
             );
         }
     }
-    let released = release_waiting(&record, 3, &[(JobId::from("req-000001"), 2)]);
+    let released = unblock_job(&record, 3, &[(JobId::from("req-000001"), 2)]);
     let [Write::Put { key, value, .. }, Write::Delete { key: gone }] = released.writes.as_slice()
     else {
         panic!("two changes")
     };
     assert_eq!(
         (key.as_str(), gone),
-        ("w/job/req-000412", &chain_key(&record.spec.id))
+        ("w/job/req-000412", &blocked_job_key(&record.spec.id))
     );
     let earlier: EarlierJob = from_value(value).expect("read");
     assert_eq!(
@@ -163,7 +163,7 @@
         from_value::<JobRecord>(value).is_some_and(|job| job.spec.awaits.is_empty()),
         "nothing is lost if it writes it back"
     );
-    let shown = show_node("hutte-0", "eemsmond", 1, Vec::new());
+    let shown = register_controller("hutte-0", "eemsmond", 1, Vec::new());
     let [Write::Put { value, .. }] = shown.writes.as_slice() else {
         panic!("one change")
     };
--- a/fuzz/tests/edges.rs
+++ b/fuzz/tests/edges.rs
@@ -11,7 +11,7 @@
 use lemonweir_protocol::kv_store::{CompareAndSwapResponse, ListResponse, WatchResponse};
 use lemonweir_protocol::links::{
     self, AvailabilityGossip, LINKS_VERSION, LinkState, RelayOutcome, RelayRequest, RelayResponse,
-    RelayTarget, RelayedAnswers, RelayedHeartbeats, Service,
+    RelayTarget, RelayedResponses, RelayedHeartbeats, Service,
 };
 use lemonweir_protocol::peer::{
     self, ChangeRange, DesiredAttempt, ObservedState, PreemptionScope, ShardView, SyncRequest,
@@ -154,7 +154,7 @@
         .with_type::<(bool, Edits)>()
         .for_each(|(which, edits)| {
             let bytes = edited(&goods[usize::from(*which)], edits);
-            if let Ok(spec) = users::read_submission(&bytes) {
+            if let Ok(spec) = users::decode_submission(&bytes) {
                 assert!(
                     JobId::parse(spec.id.as_str()).is_some()
                         && spec.tasks > 0
@@ -311,7 +311,7 @@
         by: 2,
         reports: vec![vec![5, 6], Vec::new()],
     };
-    let answers = RelayedAnswers {
+    let answers = RelayedResponses {
         version: LINKS_VERSION,
         answers: vec![(200, vec![7]), (503, Vec::new())],
     };
@@ -335,7 +335,7 @@
             form::<RelayRequest>(&bytes);
             form::<RelayResponse>(&bytes);
             form::<RelayedHeartbeats>(&bytes);
-            form::<RelayedAnswers>(&bytes);
+            form::<RelayedResponses>(&bytes);
             if let Some(word) = form::<AvailabilityGossip>(&bytes) {
                 let mut core =
                     Core::new(Config::new(&scenario.settings(0)), scenario.policy.clone());
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use lemonweir_model::settings::Settings;
-use lemonweir_model::settings::StateLimits;
+use lemonweir_model::settings::KvStoreLimits;
 use lemonweir_model::{JobKind, JobSpec};
 use lemonweir_protocol::kv_store::{
     CompareAndSwap, CompareAndSwapResponse, KeyValue, LeaseRequest, LeaseResponse, ListResponse,
@@ -37,8 +37,8 @@
 struct Services(Arc<Stand>);
 
 /// A store that takes whatever comes.
-fn unlimited() -> StateLimits {
-    StateLimits {
+fn unlimited() -> KvStoreLimits {
+    KvStoreLimits {
         rps: 1e9,
         write_rps: 1e9,
         value_kb: 1e6,
--- a/tests/edges.rs
+++ b/tests/edges.rs
@@ -6,12 +6,12 @@
 use lemonweir_model::settings::Settings;
 use lemonweir_model::{JobId, JobKind, Resources};
 use lemonweir_protocol::peer::{self, ShardView, SyncRequest};
-use lemonweir_protocol::users::{never_runs, read_submission};
+use lemonweir_protocol::users::{unschedulable_reason, decode_submission};
 use lemonweir_protocol::worker::Heartbeat;
 use lemonweir_protocol::{decode, encode};
 use lemonweir_simulator::sample::{job, site};
 use lemonweir_storage::StateCache;
-use lemonweir_storage::records::{StoreMessageKind, StoreMessageRecord, mail_key};
+use lemonweir_storage::records::{StoreMessageKind, StoreMessageRecord, store_message_key};
 use rmpv::Value;
 
 fn settings_text(host: usize, hosts: usize) -> String {
@@ -53,7 +53,7 @@
 ) -> Result<lemonweir_model::JobSpec, lemonweir_protocol::Malformed> {
     let mut bytes = Vec::new();
     rmpv::encode::write_value(&mut bytes, &Value::Map(fields)).expect("written");
-    read_submission(&bytes)
+    decode_submission(&bytes)
 }
 
 #[test]
@@ -96,18 +96,18 @@
         with("cores", 4.into()).is_ok(),
         "a whole number is an amount too"
     );
-    assert!(read_submission(b"{\"json\":1}").is_err());
-    assert!(read_submission(&[]).is_err());
+    assert!(decode_submission(b"{\"json\":1}").is_err());
+    assert!(decode_submission(&[]).is_err());
     let mut extra = encode(&job(1, "red", JobKind::Array, 3));
     extra.push(0);
-    assert!(read_submission(&extra).is_err(), "trailing bytes");
+    assert!(decode_submission(&extra).is_err(), "trailing bytes");
 }
 
 #[test]
 fn jobs_that_can_never_run_are_told_why() {
     let settings = Settings::parse(&settings_text(0, 3)).expect("settings");
     let c = &settings.cluster;
-    let why = |spec| never_runs(&spec, &c.teams, &c.zones, &catalog());
+    let why = |spec| unschedulable_reason(&spec, &c.teams, &c.zones, &catalog());
     assert_eq!(
         why(job(1, "red", JobKind::Array, 1000)),
         None,
@@ -202,7 +202,7 @@
         })
     };
     let set = |k, value, version| lemonweir_protocol::kv_store::WatchEvent {
-        set: Some(mail_key(StoreMessageKind::Sync, 0, 1, k)),
+        set: Some(store_message_key(StoreMessageKind::Sync, 0, 1, k)),
         drop: None,
         value: Some(value),
         version,
@@ -357,7 +357,7 @@
 fn garbage_from_the_cloud_and_the_store_is_refused() {
     use lemonweir_protocol::cloud::{CatalogResponse, InstanceList, MachineNames};
     use lemonweir_protocol::kv_store::{ListResponse, WatchResponse, from_value};
-    use lemonweir_storage::records::{JobRecord, TaskChunkRecord, parse_run_key};
+    use lemonweir_storage::records::{JobRecord, TaskChunkRecord, parse_task_chunk_key};
     for body in [&b""[..], b"\xc0", b"\x80", b"<html>", &[0xff; 30]] {
         assert!(decode::<CatalogResponse>(body).is_err());
         assert!(decode::<MachineNames>(body).is_err());
@@ -367,8 +367,8 @@
     }
     assert!(from_value::<TaskChunkRecord>(&Value::from("x")).is_none());
     assert!(from_value::<JobRecord>(&Value::Nil).is_none());
-    assert!(parse_run_key("run/0/req-1").is_none());
-    assert!(parse_run_key("run/0/other/3").is_none());
+    assert!(parse_task_chunk_key("run/0/req-1").is_none());
+    assert!(parse_task_chunk_key("run/0/other/3").is_none());
     // A key that is not understood changes nothing and ends nothing.
     let mut cache = StateCache::default();
     let change = |key: &str| lemonweir_protocol::kv_store::WatchEvent {
