--- a/crates/coordination/src/dependencies.rs
+++ b/crates/coordination/src/dependencies.rs
@@ -91,7 +91,7 @@
     let (waits, mut unread) = match direct {
         DependencyState::Waits(waits) => (waits, Vec::new()),
         // What the others need may still tell that it is cancelled.
-        DependencyState::Unread(unread) => (cache.awaits(id).unwrap_or_default(), unread),
+        DependencyState::Unread(unread) => (cache.dependencies(id).unwrap_or_default(), unread),
         decided => return decided,
     };
     let (cancelled, further) = cancelled_before(cache, &waits);
@@ -105,15 +105,15 @@
 
 /// The same, by the jobs that it names alone.
 fn direct_standing(cache: &StateCache, id: &JobId) -> DependencyState {
-    let Some(awaits) = cache.awaits(id) else {
+    let Some(awaits) = cache.dependencies(id) else {
         return DependencyState::Unread(Vec::new());
     };
     let (mut done, mut waits, mut unread) = (Vec::new(), Vec::new(), Vec::new());
     for awaited in &awaits {
-        match cache.end(awaited) {
+        match cache.job_end(awaited) {
             Some(end) if end.phase == JobPhase::Done => done.push((awaited.clone(), end.version)),
             Some(end) => return DependencyState::Cancelled(end),
-            None if cache.jobs.contains_key(awaited) || cache.waiting.contains_key(awaited) => {
+            None if cache.jobs.contains_key(awaited) || cache.blocked_jobs.contains_key(awaited) => {
                 waits.push(awaited.clone())
             }
             None => unread.push(awaited.clone()),
@@ -131,9 +131,9 @@
 fn cancelled_with(cache: &StateCache) -> HashMap<JobId, FinalState> {
     let mut needed_by: HashMap<JobId, Vec<&JobId>> = HashMap::new();
     let mut queue: Vec<(&JobId, FinalState)> = Vec::new();
-    for id in cache.waiting.keys() {
-        for awaited in cache.awaits(id).unwrap_or_default() {
-            match cache.end(&awaited) {
+    for id in cache.blocked_jobs.keys() {
+        for awaited in cache.dependencies(id).unwrap_or_default() {
+            match cache.job_end(&awaited) {
                 Some(end) if end.phase == JobPhase::Withdrawn => queue.push((id, end)),
                 Some(_) => {}
                 None => needed_by.entry(awaited).or_default().push(id),
@@ -162,15 +162,15 @@
     let mut seen: BTreeSet<JobId> = jobs.iter().cloned().collect();
     let mut queue: Vec<JobId> = jobs.to_vec();
     while let Some(id) = queue.pop() {
-        if !cache.waiting.contains_key(&id) {
+        if !cache.blocked_jobs.contains_key(&id) {
             continue;
         }
-        for awaited in cache.awaits(&id).unwrap_or_default() {
-            match cache.end(&awaited) {
+        for awaited in cache.dependencies(&id).unwrap_or_default() {
+            match cache.job_end(&awaited) {
                 Some(end) if end.phase == JobPhase::Withdrawn => return (Some(end), unread),
                 Some(_) => {}
                 None if cache.jobs.contains_key(&awaited) => {}
-                None if cache.waiting.contains_key(&awaited) => {
+                None if cache.blocked_jobs.contains_key(&awaited) => {
                     if seen.insert(awaited.clone()) {
                         queue.push(awaited);
                     }
@@ -185,14 +185,14 @@
 /// The highest priority of the jobs that need each job, directly or through others.
 fn lent_priorities(cache: &StateCache) -> HashMap<JobId, Priority> {
     let mut lent: HashMap<JobId, Priority> = HashMap::new();
-    let mut queue: Vec<JobId> = cache.waiting.keys().cloned().collect();
+    let mut queue: Vec<JobId> = cache.blocked_jobs.keys().cloned().collect();
     while let Some(id) = queue.pop() {
-        let Some(waiting) = cache.waiting.get(&id) else {
+        let Some(waiting) = cache.blocked_jobs.get(&id) else {
             continue;
         };
         let own = waiting.record.spec.rank;
         let rank = lent.get(&id).map_or(own, |lent| own.min(*lent));
-        for awaited in cache.awaits(&id).unwrap_or_default() {
+        for awaited in cache.dependencies(&id).unwrap_or_default() {
             if lent.get(&awaited).is_none_or(|before| rank < *before) {
                 lent.insert(awaited.clone(), rank);
                 queue.push(awaited);
@@ -224,7 +224,7 @@
         let unknown: Vec<JobId> = spec
             .awaits
             .iter()
-            .filter(|id| !self.cache.knows(id))
+            .filter(|id| !self.cache.is_known(id))
             .cloned()
             .collect();
         if !unknown.is_empty() {
@@ -232,7 +232,7 @@
         }
         let (mut waits, mut cancelled) = (Vec::new(), false);
         for id in &spec.awaits {
-            match self.cache.end(id).map(|end| end.phase) {
+            match self.cache.job_end(id).map(|end| end.phase) {
                 Some(JobPhase::Withdrawn) => cancelled = true,
                 Some(_) => {}
                 None => waits.push(id.clone()),
@@ -249,9 +249,9 @@
         // confirmed by the store, unless nothing else is awaited.
         let record = JobRecord {
             spec: spec.clone(),
-            at,
-            withdrawn: false,
-            awaited: 0,
+            submitted_at_ms: at,
+            cancel_requested: false,
+            dependency_count: 0,
         };
         let cas_list = if spec.awaits.is_empty() {
             vec![create_job(&record)]
@@ -265,10 +265,10 @@
     /// cancelled already, or not known here.
     pub fn cancellation(&self, id: &JobId) -> Option<CompareAndSwap> {
         if let Some(job) = self.cache.jobs.get(id) {
-            return (!job.record.withdrawn).then(|| request_cancellation(&job.record, job.version));
+            return (!job.record.cancel_requested).then(|| request_cancellation(&job.record, job.version));
         }
         self.cache
-            .waiting
+            .blocked_jobs
             .get(id)
             .map(|waiting| cancel_blocked_job(id, waiting.version))
     }
@@ -280,10 +280,10 @@
 
     /// Follows the changes of waiting jobs: the jobs whose priority has changed.
     pub(crate) fn relend(&mut self) -> Vec<JobId> {
-        if self.chains.seen == self.cache.waiting_changes {
+        if self.chains.seen == self.cache.blocked_job_changes {
             return Vec::new();
         }
-        self.chains.seen = self.cache.waiting_changes;
+        self.chains.seen = self.cache.blocked_job_changes;
         let before = std::mem::replace(&mut self.chains.lent, lent_priorities(&self.cache));
         let lent = &self.chains.lent;
         let ids: BTreeSet<&JobId> = before
@@ -301,11 +301,11 @@
     /// nobody does and it is the first that lives.
     fn keeps_chains_of(&self, team: &str) -> bool {
         let shard = Self::team_shard(&self.cache, &self.config, team);
-        match self.cache.shards.get(&shard) {
+        match self.cache.shard_leaders.get(&shard) {
             Some(_) => self.shards.contains_key(&shard),
             None => self
                 .cache
-                .nodes
+                .controllers
                 .keys()
                 .next()
                 .is_some_and(|host| *host == own_host(&self.config)),
@@ -314,13 +314,13 @@
 
     /// What is due for waiting jobs: ends to be read, and one transaction at a time.
     pub(crate) fn pump_chains(&mut self, now: u64, effects: &mut Vec<Effect>) {
-        if self.cache.waiting.is_empty() && self.cache.stray_pages().next().is_none()
+        if self.cache.blocked_jobs.is_empty() && self.cache.orphaned_dependency_pages().next().is_none()
             || now < self.chains.not_before
         {
             return;
         }
         // Guards against a look at thousands of waiting jobs at every event.
-        let changes = self.cache.chain_changes();
+        let changes = self.cache.dependency_changes();
         let looked = |(before, at): (u64, u64)| {
             now < at + CHAIN_LOOK_MS || before == changes && now < at + COPY_REFRESH_MS
         };
@@ -330,7 +330,7 @@
         self.chains.surveyed = Some((changes, now));
         let kept: Vec<JobId> = self
             .cache
-            .waiting
+            .blocked_jobs
             .iter()
             .filter(|(_, w)| self.keeps_chains_of(&w.record.spec.team))
             .map(|(id, _)| id.clone())
@@ -377,7 +377,7 @@
         let most_conditions = CONDITIONS_A_CHANGE * most_writes;
         let (mut cas, mut pending) = (CompareAndSwap::default(), Pending::default());
         for (id, done) in ready {
-            let Some(waiting) = self.cache.waiting.get(id) else {
+            let Some(waiting) = self.cache.blocked_jobs.get(id) else {
                 continue;
             };
             let unverified: Vec<(JobId, u64)> = done
@@ -406,7 +406,7 @@
             pending.released.push(id.clone());
         }
         for id in cancelled {
-            let Some(waiting) = self.cache.waiting.get(id) else {
+            let Some(waiting) = self.cache.blocked_jobs.get(id) else {
                 continue;
             };
             if !join(
@@ -419,7 +419,7 @@
             }
             pending.cancelled.push(id.clone());
         }
-        for (id, page) in self.cache.stray_pages() {
+        for (id, page) in self.cache.orphaned_dependency_pages() {
             let gone = CompareAndSwap {
                 conditions: vec![Condition {
                     key: blocked_job_key(id),
@@ -429,7 +429,7 @@
                     key: dependency_page_key(id, *page),
                 }],
             };
-            if self.cache.knows(id) && !join(&mut cas, gone, most_writes, most_conditions) {
+            if self.cache.is_known(id) && !join(&mut cas, gone, most_writes, most_conditions) {
                 break;
             }
         }
@@ -449,15 +449,15 @@
         };
         for id in &pending.released {
             info!(job = %id, "all jobs that it awaits are done");
-            self.cache.waiting.remove(id);
+            self.cache.blocked_jobs.remove(id);
         }
         for id in &pending.cancelled {
             info!(job = %id, "cancelled with a job that it needs");
-            self.cache.waiting.remove(id);
-            self.cache.settle(id, JobPhase::Withdrawn, revision, now);
+            self.cache.blocked_jobs.remove(id);
+            self.cache.record_end(id, JobPhase::Withdrawn, revision, now);
         }
         self.chains.verified.extend(pending.verified);
-        if self.cache.waiting.is_empty() {
+        if self.cache.blocked_jobs.is_empty() {
             self.chains.verified.clear();
         }
     }
@@ -467,7 +467,7 @@
         for id in ids {
             self.chains.reading.remove(id);
             self.chains.surveyed = None;
-            if !self.cache.knows(id) {
+            if !self.cache.is_known(id) {
                 self.chains.not_before = now + CHAIN_RETRY_MS;
             }
         }
--- a/crates/coordination/src/election.rs
+++ b/crates/coordination/src/election.rs
@@ -78,9 +78,9 @@
         let me = &core.config.members[usize::from(core.config.me)].host;
         let left = self.left(core, now);
         core.cache
-            .nodes
+            .controllers
             .get(me)
-            .is_none_or(|n| n.deaf != left)
+            .is_none_or(|n| n.ceded_shards != left)
             .then_some(left)
     }
 
@@ -96,21 +96,21 @@
         let me = &members[usize::from(core.config.me)].host;
         let leaves = |host: &str| {
             core.cache
-                .nodes
+                .controllers
                 .get(host)
-                .is_some_and(|n| n.deaf.contains(&shard))
+                .is_some_and(|n| n.ceded_shards.contains(&shard))
         };
-        let home_serves = core.cache.nodes.contains_key(home) && !leaves(home);
+        let home_serves = core.cache.controllers.contains_key(home) && !leaves(home);
         // Where all that live leave it, somebody must hold it all the same.
         let spared = self.left(core, now).contains(&shard)
-            && core.cache.nodes.keys().any(|n| n != me && !leaves(n));
+            && core.cache.controllers.keys().any(|n| n != me && !leaves(n));
         // Its home lives and can't serve it, nor can anybody else: no use waiting.
-        let alone = core.cache.nodes.contains_key(home)
-            && core.cache.nodes.keys().all(|n| n == me || leaves(n));
+        let alone = core.cache.controllers.contains_key(home)
+            && core.cache.controllers.keys().all(|n| n == me || leaves(n));
         let held = core.held();
         let lease = held.iter().find(|l| l.shard == shard).copied();
         let slot = self.empty_since.get_mut(usize::from(shard))?;
-        match (core.cache.shards.get(&shard), lease) {
+        match (core.cache.shard_leaders.get(&shard), lease) {
             (None, None) => {
                 let since = *slot.get_or_insert(now);
                 let wait = if alone {
@@ -124,7 +124,7 @@
             // Left by an earlier process of this name, which is no more.
             (Some(h), None) if h.host == *me => Some(ElectionAction::Take {
                 shard,
-                version: h.token,
+                version: h.fencing_token,
             }),
             (Some(_), Some(lease)) if home != me && home_serves => {
                 *slot = None;
@@ -134,7 +134,7 @@
             // alone is cut from the workers.
             (Some(_), Some(lease))
                 if core.deaf(shard, now)
-                    && core.cache.nodes.keys().any(|n| n != me && !leaves(n)) =>
+                    && core.cache.controllers.keys().any(|n| n != me && !leaves(n)) =>
             {
                 *slot = None;
                 // Guards against a longer time for each try that got no answer: what it
@@ -169,16 +169,16 @@
     let mine = rank(usize::from(core.config.me), held);
     let holds = |host: &str| {
         core.cache
-            .shards
+            .shard_leaders
             .values()
             .filter(|h| h.host == host)
             .count()
     };
     let willing = |host: &str| {
         core.cache
-            .nodes
+            .controllers
             .get(host)
-            .is_some_and(|n| !n.deaf.contains(&shard))
+            .is_some_and(|n| !n.ceded_shards.contains(&shard))
     };
     let others = members
         .iter()
@@ -197,7 +197,7 @@
     /// ones, and so starts again what they say runs.
     pub fn version_cas(&self) -> Option<CompareAndSwap> {
         let (version, key_version) = self.cache.records_version;
-        let reads = |host: &str| self.cache.nodes.get(host).map_or(0, |node| node.reads);
+        let reads = |host: &str| self.cache.controllers.get(host).map_or(0, |node| node.record_version);
         let all = self
             .config
             .members
@@ -215,7 +215,7 @@
             .config
             .teams
             .iter()
-            .filter(|t| !self.cache.teams.contains_key(*t));
+            .filter(|t| !self.cache.team_shards.contains_key(*t));
         new.map(|t| (t.clone(), self.config.default_shard(t)))
             .take(self.config.txn_ops)
             .collect()
--- a/crates/coordination/src/flush.rs
+++ b/crates/coordination/src/flush.rs
@@ -53,7 +53,7 @@
             // What came in during a pause goes first.
             if !reading {
                 if let Some(revision) = self.cache.revision {
-                    shard.owner.watch_placers(&self.cache.shards, revision, now);
+                    shard.owner.watch_placers(&self.cache.shard_leaders, revision, now);
                 }
                 shard.owner.tick(now, word);
             }
@@ -145,14 +145,14 @@
                 self.links.strays.forget(to);
             }
             let strays = self.links.strays.any(to, now);
-            let Some(holder) = self.cache.shards.get(&to) else {
+            let Some(holder) = self.cache.shard_leaders.get(&to) else {
                 continue;
             };
             let local = self.shards.get(&to).map(|p| p.lease.token);
             let Some(shard) = self.shards.get_mut(&index) else {
                 return again;
             };
-            let token = local.unwrap_or(holder.token);
+            let token = local.unwrap_or(holder.fencing_token);
             let line = &mut shard.lines[usize::from(to)];
             line.dirty |= shard.placer.unsent(to, token);
             let mail = local.is_none() && line.failures >= MAIL_AFTER_FAILURES;
--- a/crates/coordination/src/gang_admission/mod.rs
+++ b/crates/coordination/src/gang_admission/mod.rs
@@ -49,8 +49,8 @@
     pub fn record(&self) -> GangAdmissionRecord {
         GangAdmissionRecord {
             step: self.step,
-            at: self.at,
-            a: self.attempt,
+            at_ms: self.at,
+            attempt: self.attempt,
         }
     }
 }
@@ -69,7 +69,7 @@
             None | Some(GangAdmissionStep::Other) => GangAdmissionStep::Admitted,
             Some(step) => step,
         };
-        let at = record.map_or(0, |r| r.at);
+        let at = record.map_or(0, |r| r.at_ms);
         found = Some(match found {
             None => (step, at, attempt),
             // Guards against members of two attempts, as a placer leaves them that
--- a/crates/coordination/src/heartbeats.rs
+++ b/crates/coordination/src/heartbeats.rs
@@ -65,7 +65,7 @@
         let members = &self.config.members;
         let holder = self
             .cache
-            .shards
+            .shard_leaders
             .get(&shard)
             .filter(|h| h.host != members[usize::from(self.config.me)].host);
         let Some((number, holder)) =
@@ -73,7 +73,7 @@
         else {
             return HeartbeatAnswer::Unable;
         };
-        let knows = report.token >> FENCE_BITS == holder.token;
+        let knows = report.token >> FENCE_BITS == holder.fencing_token;
         let stray = MisroutedHeartbeat {
             shard,
             holder: number,
@@ -172,11 +172,11 @@
     /// to its user before its last attempt is proven over (`Job::finished`), so
     /// what runs on meanwhile breaks no promise.
     pub(crate) fn blind_ms(&self) -> u64 {
-        let alike = self.cache.nodes.values().all(|n| n.format >= PEER_VERSION);
+        let alike = self.cache.controllers.values().all(|n| n.peer_version >= PEER_VERSION);
         if alike {
-            self.policy.blind_ms
+            self.policy.store_outage_grace_ms
         } else {
-            self.config.short_blind_ms.min(self.policy.blind_ms)
+            self.config.short_blind_ms.min(self.policy.store_outage_grace_ms)
         }
     }
 
--- a/crates/coordination/src/image_locality/show.rs
+++ b/crates/coordination/src/image_locality/show.rs
@@ -16,7 +16,7 @@
             .cache
             .jobs
             .values()
-            .filter(|j| !j.record.withdrawn && j.record.spec.image == image);
+            .filter(|j| !j.record.cancel_requested && j.record.spec.image == image);
         let mut mb = None;
         for spec in unfinished.map(|j| &j.record.spec) {
             mb = Some(spec.image_mb());
--- a/crates/coordination/src/image_locality/trade.rs
+++ b/crates/coordination/src/image_locality/trade.rs
@@ -132,16 +132,16 @@
             ReplicaSpread::Few => self.share(FEW_TOGETHER),
             ReplicaSpread::Most => MOST_RISK,
         };
-        trade.machine * self.lost_s() * share
+        trade.machine_loss * self.lost_s() * share
     }
 
     /// Seconds that going to a zone is worth which has its share already, or where all
     /// others of its job are.
     pub fn zone_cost(&self, trade: &ServicePlacementWeights, light: bool) -> f64 {
-        let beyond = trade.zone * self.share(self.fair() + 1);
+        let beyond = trade.zone_loss * self.share(self.fair() + 1);
         let risk = match (light, self.one_zone) {
             (true, _) => 0.0,
-            (false, true) => trade.one_zone.max(beyond),
+            (false, true) => trade.single_zone.max(beyond),
             (false, false) => beyond,
         };
         risk * self.lost_s()
@@ -150,7 +150,7 @@
     /// Seconds that going to a spot machine is worth when half of its job is on some.
     fn wave_cost(&self, trade: &ServicePlacementWeights) -> f64 {
         if self.wave {
-            trade.zone * self.share(self.tasks / 2 + 1) * self.lost_s()
+            trade.zone_loss * self.share(self.tasks / 2 + 1) * self.lost_s()
         } else {
             0.0
         }
@@ -187,7 +187,7 @@
         (ImageLocality::Beside, FETCH_BESIDE * fetch),
         (ImageLocality::Crowded, FETCH_CROWDED * fetch),
     ];
-    let kins: Vec<Option<ReplicaSpread>> = if stakes.kin && trade.machine > 0.0 {
+    let kins: Vec<Option<ReplicaSpread>> = if stakes.kin && trade.machine_loss > 0.0 {
         [
             ReplicaSpread::Nobody,
             ReplicaSpread::One,
@@ -205,13 +205,13 @@
         vec![None]
     };
     let mut holds: Vec<(Option<MachineUsage>, f64)> = vec![(None, 0.0)];
-    if trade.pin_s > 0.0 || stakes.spot {
+    if trade.machine_pin_cost_s > 0.0 || stakes.spot {
         // An ordinary machine for who may use spot ones is paid for anew.
-        let dear = if stakes.spot { trade.pin_s } else { 0.0 };
+        let dear = if stakes.spot { trade.machine_pin_cost_s } else { 0.0 };
         holds = vec![
             (Some(MachineUsage::Settled), dear),
-            (Some(MachineUsage::Used), dear + trade.pin_s),
-            (Some(MachineUsage::Empty), dear + 2.0 * trade.pin_s),
+            (Some(MachineUsage::Used), dear + trade.machine_pin_cost_s),
+            (Some(MachineUsage::Empty), dear + 2.0 * trade.machine_pin_cost_s),
         ];
     }
     if stakes.spot {
@@ -219,7 +219,7 @@
     }
     // What strands accelerators is dearer than a machine that holds nothing else.
     let strands: Vec<(Option<bool>, f64)> = if stakes.plain {
-        vec![(Some(false), 0.0), (Some(true), 2.0 * trade.pin_s)]
+        vec![(Some(false), 0.0), (Some(true), 2.0 * trade.machine_pin_cost_s)]
     } else {
         vec![(None, 0.0)]
     };
--- a/crates/coordination/src/job.rs
+++ b/crates/coordination/src/job.rs
@@ -206,7 +206,7 @@
     /// Nothing of it shall run any more: it is over, or will be once no attempt
     /// is left.
     pub(super) fn stopping(&self) -> bool {
-        self.over || self.record.as_ref().is_some_and(|r| r.withdrawn)
+        self.over || self.record.as_ref().is_some_and(|r| r.cancel_requested)
     }
 
     /// The end that may be written now. Guards against telling a user that a
@@ -280,13 +280,13 @@
         let since = self
             .record
             .as_ref()
-            .map_or(0, |r| time_of_day.saturating_sub(r.at));
+            .map_or(0, |r| time_of_day.saturating_sub(r.submitted_at_ms));
         since.max(now.saturating_sub(self.known_at))
     }
 
     /// Time of day of its submission, ms.
     pub(super) fn at(&self) -> u64 {
-        self.record.as_ref().map_or(0, |r| r.at)
+        self.record.as_ref().map_or(0, |r| r.submitted_at_ms)
     }
 
     pub(super) fn is_done(&self, task: u32) -> bool {
@@ -386,24 +386,24 @@
             .live
             .range(first..end)
             .map(|(&t, l)| LiveAttemptRecord {
-                t,
-                a: l.attempt,
-                m: l.machine.clone(),
-                p: l.shard,
-                z: l.zone.clone(),
+                task: t,
+                attempt: l.attempt,
+                machine: l.machine.clone(),
+                shard: l.shard,
+                zone: l.zone.clone(),
             })
             .collect();
         let gang = self
             .admission
             .as_ref()
-            .filter(|a| live.iter().any(|l| l.a == a.attempt))
+            .filter(|a| live.iter().any(|l| l.attempt == a.attempt))
             .map(GangAdmission::record);
         TaskChunkRecord {
             team: self.team.clone(),
-            need: self.need,
-            next: self.next,
-            done,
-            live,
+            task_resources: self.need,
+            next_attempt: self.next,
+            done_ranges: done,
+            live_attempts: live,
             gang,
         }
     }
--- a/crates/coordination/src/job_status.rs
+++ b/crates/coordination/src/job_status.rs
@@ -35,7 +35,7 @@
     /// What may be told of a job by an end that decides it: its own, or that of a
     /// cancelled job that it needs.
     pub(crate) fn of_end(end: FinalState, now: u64) -> Self {
-        match (end.learned + TOLD_AFTER_MS).saturating_sub(now) {
+        match (end.learned_at_ms + TOLD_AFTER_MS).saturating_sub(now) {
             0 => Answer::Over(end.phase),
             ms => Answer::OverIn(ms),
         }
@@ -45,10 +45,10 @@
 impl Core {
     /// What may be told of a job, in constant time.
     pub fn answer(&self, id: &JobId, now: u64) -> Answer {
-        if let Some(end) = self.cache.end(id) {
+        if let Some(end) = self.cache.job_end(id) {
             return Answer::of_end(end, now);
         }
-        if self.cache.waiting.contains_key(id) {
+        if self.cache.blocked_jobs.contains_key(id) {
             return self.chain_answer(id, now);
         }
         if !self.cache.jobs.contains_key(id) {
@@ -65,7 +65,7 @@
     /// The state of an unfinished job as the copy has it; for who has just had it
     /// brought up to date.
     pub fn unfinished(&self, id: &JobId, now: u64) -> Option<Answer> {
-        if self.cache.waiting.contains_key(id) {
+        if self.cache.blocked_jobs.contains_key(id) {
             return match self.chain_standing(id) {
                 DependencyState::Waits(_) | DependencyState::Ready(_) => {
                     Some(Answer::Unfinished(JobPhase::Queued, 0, 0, String::new()))
@@ -73,7 +73,7 @@
                 _ => None,
             };
         }
-        if self.cache.end(id).is_some() || !self.cache.jobs.contains_key(id) {
+        if self.cache.job_end(id).is_some() || !self.cache.jobs.contains_key(id) {
             return None;
         }
         let (phase, done, running, reason) = self.progress(id, now);
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -122,7 +122,7 @@
 
 /// What a job uses, unless it shall end.
 fn uses(job: &CachedJob) -> Option<&JobSpec> {
-    (!job.record.withdrawn).then_some(&job.record.spec)
+    (!job.record.cancel_requested).then_some(&job.record.spec)
 }
 
 /// A job with the priority that those who need it give it, if that is higher.
@@ -217,11 +217,11 @@
             guarantees: self.config.guarantees.clone(),
             zones: self.config.zones.clone(),
             txn_ops: self.config.txn_ops,
-            spare: self.policy.spare,
+            spare: self.policy.headroom_per_arrival,
             idle_writes: self.config.idle_writes,
             gang_wait_ms: self.config.gang_wait_ms,
             wall_offset_ms: self.config.wall_offset_ms,
-            trade: self.policy.trade,
+            trade: self.policy.placement_weights,
         };
         let mut placer = Placer::new(lease.shard, lease.token, shards, terms, now);
         if let Some(catalog) = &self.catalog {
@@ -318,9 +318,9 @@
                 revision >= p.lease.token
                     && self
                         .cache
-                        .shards
+                        .shard_leaders
                         .get(&p.lease.shard)
-                        .is_none_or(|h| h.token != p.lease.token)
+                        .is_none_or(|h| h.fencing_token != p.lease.token)
             })
             .map(|p| p.lease.shard)
             .collect();
@@ -332,7 +332,7 @@
 
     fn team_shard(cache: &StateCache, config: &Config, team: &str) -> u16 {
         cache
-            .teams
+            .team_shards
             .get(team)
             .copied()
             .filter(|&p| usize::from(p) < config.members.len())
@@ -340,7 +340,7 @@
     }
 
     fn jobs_changed(&mut self, now: u64) {
-        let mut touched = self.cache.take_touched();
+        let mut touched = self.cache.take_changed_jobs();
         touched.extend(self.relend());
         let (cache, config, chains) = (&self.cache, &self.config, &self.chains);
         for id in touched {
@@ -404,7 +404,7 @@
         let team = &self.cache.jobs.get(id)?.record.spec.team;
         let Some(holder) =
             self.cache
-                .shards
+                .shard_leaders
                 .get(&Self::team_shard(&self.cache, &self.config, team))
         else {
             return Some(format!(
@@ -428,11 +428,11 @@
         // goes on answering its workers, while its successor waits for them.
         if let Some(holder) = self
             .cache
-            .shards
+            .shard_leaders
             .get(&sync.from)
-            .filter(|h| h.token > sync.from_token)
+            .filter(|h| h.fencing_token > sync.from_token)
         {
-            let (token, host) = (holder.token, holder.host.clone());
+            let (token, host) = (holder.fencing_token, holder.host.clone());
             return Err(SyncError::Superseded(Superseded {
                 version: PEER_VERSION,
                 shard: sync.from,
@@ -466,7 +466,7 @@
     /// Another node says who holds a part now; if that is ours by an older
     /// token, it is given up, and its workers are sent there.
     pub fn superseded(&mut self, by: Superseded, now: u64) {
-        let known = self.cache.shards.get(&by.shard).map_or(0, |h| h.token);
+        let known = self.cache.shard_leaders.get(&by.shard).map_or(0, |h| h.fencing_token);
         if by.token <= known || usize::from(by.shard) >= self.config.members.len() {
             return;
         }
@@ -482,11 +482,11 @@
             );
             self.release(by.shard, now);
         }
-        self.cache.shards.insert(
+        self.cache.shard_leaders.insert(
             by.shard,
             ShardLeader {
                 host: by.host,
-                token: by.token,
+                fencing_token: by.token,
             },
         );
     }
@@ -523,7 +523,7 @@
     /// for a withdrawn job would wait for the end of the cut.
     pub fn take_mail(&mut self, now: u64) -> Vec<Effect> {
         let mut effects = Vec::new();
-        for (line, bytes) in self.cache.take_mail() {
+        for (line, bytes) in self.cache.take_messages() {
             if !self.shards.contains_key(&line.to) {
                 continue;
             }
@@ -582,7 +582,7 @@
         };
         let (verdict, ends) = shard.placer.cas_done(outcome, now);
         for (id, phase) in ends {
-            self.cache.settle(&id, phase, revision, now);
+            self.cache.record_end(&id, phase, revision, now);
         }
         if verdict == ShardOwnership::Lost {
             self.release(lease.shard, now);
--- a/crates/coordination/src/owner/maintenance.rs
+++ b/crates/coordination/src/owner/maintenance.rs
@@ -140,7 +140,7 @@
                 self.stale.insert(id.clone());
             }
             // Machines that come in a second were rented among others that don't.
-            let patience = (boot_ms.max(listed_ms) as f64 * self.policy.boot_patience) as u64;
+            let patience = (boot_ms.max(listed_ms) as f64 * self.policy.provisioning_timeout_multiple) as u64;
             let since = m
                 .booked
                 .max(self.started.saturating_sub(patience))
@@ -188,9 +188,9 @@
             let keep = (restart as f64
                 * lull
                 * if m.spot {
-                    self.policy.idle_spot
+                    self.policy.spot_idle_multiple
                 } else {
-                    self.policy.idle
+                    self.policy.on_demand_idle_multiple
                 }) as u64;
             if m.idle_since.is_some_and(|at| now > at + keep)
                 || hopeless(m) && m.idle_since.is_some()
@@ -416,15 +416,15 @@
             let Some(page) = all.last_mut() else { break };
             let mut have = Vec::with_capacity(m.images.len());
             for image in &m.images {
-                let at = page.n.iter().position(|i| i == image).unwrap_or_else(|| {
+                let at = page.images.iter().position(|i| i == image).unwrap_or_else(|| {
                     bytes += image.0.len() + IMAGE_NAME_BYTES;
-                    page.n.push(image.clone());
-                    page.n.len() - 1
+                    page.images.push(image.clone());
+                    page.images.len() - 1
                 });
                 have.push(at as u16);
             }
             bytes += id.as_str().len() + IMAGE_MARK_BYTES * (have.len() + 2);
-            page.m.push((id.clone(), have));
+            page.machines.push((id.clone(), have));
         }
         let most = all.len().max(self.noted.len());
         // What is no more goes first, the last page before those before it: the note
@@ -457,10 +457,10 @@
     /// Takes the note of an earlier owner, page by page.
     pub fn learn_images(&mut self, pages: Vec<ImageLocationsRecord>) {
         for page in &pages {
-            for (id, have) in &page.m {
+            for (id, have) in &page.machines {
                 let images = have
                     .iter()
-                    .filter_map(|&at| page.n.get(usize::from(at)).cloned())
+                    .filter_map(|&at| page.images.get(usize::from(at)).cloned())
                     .collect();
                 self.earlier.insert(id.clone(), images);
             }
--- a/crates/coordination/src/owner/mod.rs
+++ b/crates/coordination/src/owner/mod.rs
@@ -290,7 +290,7 @@
             missing: BTreeMap::new(),
             strays: BTreeMap::new(),
             listed_at: 0,
-            sight: MachineFailureDetector::new(timing, policy.silent_ms, now),
+            sight: MachineFailureDetector::new(timing, policy.spot_silence_timeout_ms, now),
             faults: FaultAttribution::default(),
             boots: BootTimes::default(),
             inherited_judged: false,
--- a/crates/coordination/src/owner/orphaned_grants.rs
+++ b/crates/coordination/src/owner/orphaned_grants.rs
@@ -12,7 +12,7 @@
     pub fn watch_placers(&mut self, holders: &BTreeMap<u16, ShardLeader>, revision: u64, now: u64) {
         for (shard, asker) in &mut self.askers {
             let lost = revision >= asker.token
-                && holders.get(shard).is_none_or(|h| h.token != asker.token);
+                && holders.get(shard).is_none_or(|h| h.fencing_token != asker.token);
             if !lost {
                 asker.lost = None;
             } else if asker.lost.is_none() {
--- a/crates/coordination/src/placer/mod.rs
+++ b/crates/coordination/src/placer/mod.rs
@@ -573,7 +573,7 @@
                 self.regauge.insert(spec.team.clone());
                 job.inherit(self.gang_wait_ms, now, now + self.wall_offset_ms);
                 self.place_again = true;
-                if m.record.withdrawn {
+                if m.record.cancel_requested {
                     self.drop_unrecorded(id);
                 }
             }
--- a/crates/coordination/src/placer/rebalancing.rs
+++ b/crates/coordination/src/placer/rebalancing.rs
@@ -226,7 +226,7 @@
             .collect();
         let weighed = self.weigh(id, Some(task), &ask, &order, now);
         let risks = self.risks(job, live, &weighed.stakes);
-        let least = self.trade.move_s + MOVE_DOWN_MS as f64 / 1000.0;
+        let least = self.trade.min_migration_gain_s + MOVE_DOWN_MS as f64 / 1000.0;
         let better: Vec<PlacementClass> = classes(&self.trade, &weighed.stakes)
             .into_iter()
             .take_while(|c| c.cost + least < risks)
@@ -294,7 +294,7 @@
                 .get(&task)
                 .map_or(0.0, |live| self.risks(job, live, &weighed.stakes));
             warm.retain(|c| {
-                c.near == ImageLocality::Here && c.cost <= risks + 2.0 * self.trade.pin_s
+                c.near == ImageLocality::Here && c.cost <= risks + 2.0 * self.trade.machine_pin_cost_s
             });
             let mut walk = Walk::new(&self.fields, &order, &ask, &weighed.kindred);
             let found = walk
--- a/crates/coordination/src/placer/records.rs
+++ b/crates/coordination/src/placer/records.rs
@@ -26,11 +26,11 @@
     pub fn load_chunk(&mut self, id: &JobId, chunk: u32, record: &TaskChunkRecord, version: u64) {
         let job = self.jobs.entry(id.clone()).or_insert_with(Job::empty);
         job.team = record.team.clone();
-        job.need = record.need;
-        job.next = job.next.max(record.next);
+        job.need = record.task_resources;
+        job.next = job.next.max(record.next_attempt);
         // Guards against a service that lost most of its replicas with its
         // controller and comes behind others that are whole.
-        job.ran |= !record.live.is_empty();
+        job.ran |= !record.live_attempts.is_empty();
         let (first, end) = (chunk * CHUNK_TASKS, (chunk + 1) * CHUNK_TASKS);
         job.chunks.insert(
             chunk,
@@ -40,22 +40,22 @@
                 ..TaskChunk::default()
             },
         );
-        for &(a, b) in &record.done {
+        for &(a, b) in &record.done_ranges {
             for task in a.max(first)..=b.min(end - 1) {
                 job.set_done(task);
             }
         }
         let shards = self.links.len();
         for l in record
-            .live
+            .live_attempts
             .iter()
-            .filter(|l| (first..end).contains(&l.t) && usize::from(l.p) < shards)
+            .filter(|l| (first..end).contains(&l.task) && usize::from(l.shard) < shards)
         {
             let live = LiveAttempt {
-                attempt: l.a,
-                machine: l.m.clone(),
-                shard: l.p,
-                zone: l.z.clone(),
+                attempt: l.attempt,
+                machine: l.machine.clone(),
+                shard: l.shard,
+                zone: l.zone.clone(),
                 change: 0,
                 standing: None,
                 kill: None,
@@ -63,7 +63,7 @@
                 since: 0,
                 over: true,
             };
-            self.enter(id, l.t, live);
+            self.enter(id, l.task, live);
         }
         self.settle(id, 0);
     }
@@ -223,7 +223,7 @@
                 }
                 idle += usize::from(turn >= Turn::IdleStart);
                 let record = job.chunk_record(index);
-                let empty = job.over && record.live.is_empty();
+                let empty = job.over && record.live_attempts.is_empty();
                 let key = task_chunk_key(self.shard, id, index);
                 if empty && chunk.version == 0 {
                     // Guards against a chunk that stays for ever, since the answer to
@@ -255,8 +255,8 @@
                     cas.writes.push(Write::Delete { key });
                 } else {
                     bytes += RECORD_BYTES
-                        + record.live.len() * LIVE_BYTES
-                        + record.done.len() * RANGE_BYTES;
+                        + record.live_attempts.len() * LIVE_BYTES
+                        + record.done_ranges.len() * RANGE_BYTES;
                     cas.writes.push(Write::Put {
                         key,
                         value: chunk_value(&record, self.records_version),
--- a/crates/coordination/src/placer/scoring.rs
+++ b/crates/coordination/src/placer/scoring.rs
@@ -95,7 +95,7 @@
         others().for_each(|l| *zones.entry(&l.zone).or_default() += 1);
         stakes.one_zone = zones.len() == 1;
         let light: Option<Vec<&str>> =
-            (self.trade.zone.max(self.trade.one_zone) > 0.0 && open.len() > 1).then(|| {
+            (self.trade.zone_loss.max(self.trade.single_zone) > 0.0 && open.len() > 1).then(|| {
                 stakes.zones = open.len() as u32;
                 let fair = if stakes.one_zone { 1 } else { stakes.fair() };
                 open.iter()
--- a/crates/coordination/src/supervision/entries.rs
+++ b/crates/coordination/src/supervision/entries.rs
@@ -26,20 +26,20 @@
                 let how = if version == 0 {
                     LeadershipChange::Vacant
                 } else {
-                    LeadershipChange::Reborn
+                    LeadershipChange::Restarted
                 };
                 acquire_shard(version, &me.host, hold, &self.entry(shard, how, now))
             }
             ElectionAction::HandBack(lease) => {
                 let mut cas = release_shard(
                     lease.token,
-                    &self.entry(lease.shard, LeadershipChange::HandedBack, now),
+                    &self.entry(lease.shard, LeadershipChange::ReturnedHome, now),
                 );
                 self.close_now(lease, &mut cas, now);
                 cas
             }
             ElectionAction::Leave(lease) => {
-                let entry = self.entry(lease.shard, LeadershipChange::Left, now);
+                let entry = self.entry(lease.shard, LeadershipChange::Ceded, now);
                 let mut cas = cede_shard(lease.token, &entry, &me.host, &me.zone, hold, left);
                 self.close_now(lease, &mut cas, now);
                 cas
@@ -50,17 +50,17 @@
     /// The entry of a change of hands that is made now.
     fn entry(&self, shard: u16, how: LeadershipChange, now: u64) -> NewFailover {
         let me = &self.config.members[usize::from(self.config.me)].host;
-        let (n, slot_version) = self.cache.failovers.next(shard);
+        let (n, slot_version) = self.cache.failovers.next_slot(shard);
         let (from, to) = match how {
             LeadershipChange::Vacant => (
                 self.cache
                     .failovers
-                    .of(shard)
+                    .entries_of(shard)
                     .last()
-                    .and_then(|(r, _)| r.last_holder().cloned()),
+                    .and_then(|(r, _)| r.last_leader().cloned()),
                 Some(me.clone()),
             ),
-            LeadershipChange::Reborn => (Some(me.clone()), Some(me.clone())),
+            LeadershipChange::Restarted => (Some(me.clone()), Some(me.clone())),
             _ => (Some(me.clone()), None),
         };
         // Its own placer knows best what is up, another's from its copy.
@@ -70,13 +70,13 @@
             .or_else(|| self.shards.values().next());
         let up = knows.and_then(|p| p.placer.known_up(shard));
         let record = FailoverRecord {
-            n,
-            from,
-            to,
-            how,
-            at: now + self.config.wall_offset_ms,
+            number: n,
+            previous_leader: from,
+            new_leader: to,
+            change: how,
+            at_ms: now + self.config.wall_offset_ms,
             up,
-            closed: None,
+            completion: None,
         };
         NewFailover {
             shard,
@@ -97,18 +97,18 @@
             return;
         };
         // Its slot may be the one that the new entry takes.
-        let key = |n: &NewFailover| lemonweir_storage::failovers::failover_key(n.shard, n.record.n);
+        let key = |n: &NewFailover| lemonweir_storage::failovers::failover_key(n.shard, n.record.number);
         if let Some(mut entry) = self
             .cache
             .failovers
-            .again(lease.shard, number)
-            .filter(|e| e.record.open())
+            .rewrite(lease.shard, number)
+            .filter(|e| e.record.is_open())
         {
             if cas.conditions.iter().any(|c| c.key == key(&entry)) {
                 return;
             }
-            entry.record.closed = Some(failover.closing(me, now));
-            entry.join(cas);
+            entry.record.completion = Some(failover.closing(me, now));
+            entry.add_to(cas);
         }
     }
 
@@ -117,10 +117,10 @@
         let entry = self
             .cache
             .failovers
-            .of(lease.shard)
+            .entries_of(lease.shard)
             .into_iter()
             .find(|(_, version)| *version == lease.token)
-            .map(|(r, _)| (r.n, r.at));
+            .map(|(r, _)| (r.number, r.at_ms));
         let began = entry.map_or(now, |(_, at)| {
             at.saturating_sub(self.config.wall_offset_ms).min(now)
         });
@@ -144,7 +144,7 @@
             return;
         };
         let rings = &self.cache.failovers;
-        let Some(mut entry) = rings.again(index, number).filter(|e| e.record.open()) else {
+        let Some(mut entry) = rings.rewrite(index, number).filter(|e| e.record.is_open()) else {
             // Closed, as the copy shows, or the ring has come round.
             return shard.failover.closed();
         };
@@ -153,7 +153,7 @@
             return;
         }
         shard.failover.tried(now);
-        entry.record.closed = Some(shard.failover.closing(me, now));
+        entry.record.completion = Some(shard.failover.closing(me, now));
         let mut cas = CompareAndSwap {
             conditions: vec![Condition {
                 key: shard_key(index),
@@ -161,24 +161,24 @@
             }],
             writes: Vec::new(),
         };
-        entry.join(&mut cas);
+        entry.add_to(&mut cas);
         // Those that earlier holders left open, each with when it was over.
-        let all = rings.of(index);
+        let all = rings.entries_of(index);
         for (i, (record, version)) in all
             .iter()
             .enumerate()
-            .filter(|(_, (r, _))| r.n < number && r.open())
+            .filter(|(_, (r, _))| r.number < number && r.is_open())
         {
             if cas.writes.len() >= self.config.txn_ops {
                 break;
             }
             let held_ms = all
                 .get(i + 1)
-                .filter(|(next, _)| next.n == record.n + 1)
-                .map(|(next, _)| next.at.saturating_sub(record.at));
+                .filter(|(next, _)| next.number == record.number + 1)
+                .map(|(next, _)| next.at_ms.saturating_sub(record.at_ms));
             let closed = Some(left_open(me, *version, held_ms));
             let record = FailoverRecord {
-                closed,
+                completion: closed,
                 ..(*record).clone()
             };
             NewFailover {
@@ -186,7 +186,7 @@
                 slot_version: *version,
                 record,
             }
-            .join(&mut cas);
+            .add_to(&mut cas);
         }
         effects.push(Effect::Note(cas));
     }
--- a/crates/coordination/src/supervision/failover.rs
+++ b/crates/coordination/src/supervision/failover.rs
@@ -145,15 +145,15 @@
             ));
         }
         FailoverCompletion {
-            by: host.to_owned(),
-            read_ms: Some(since(self.read)),
+            reported_by: host.to_owned(),
+            state_loaded_ms: Some(since(self.read)),
             first_start_ms: self.first_start.map(since),
-            whole_ms: self.whole.map(since),
+            services_restored_ms: self.whole.map(since),
             found: Some(self.found),
             gaps,
             unknown,
-            token: Some(self.token),
-            held_ms: None,
+            fencing_token: Some(self.token),
+            leadership_ms: None,
         }
     }
 }
@@ -167,12 +167,12 @@
         "when all services were whole",
     ];
     FailoverCompletion {
-        by: host.to_owned(),
+        reported_by: host.to_owned(),
         unknown: unknown
             .map(|what| format!("{what}: its holder ended before it wrote that"))
             .to_vec(),
-        token: Some(token),
-        held_ms,
+        fencing_token: Some(token),
+        leadership_ms: held_ms,
         ..FailoverCompletion::default()
     }
 }
--- a/crates/coordination/src/supervision/picture.rs
+++ b/crates/coordination/src/supervision/picture.rs
@@ -44,13 +44,13 @@
         let (host, age_ms) = self.told_by(now);
         let rings = &self.cache.failovers;
         let shard = |(shard, home): (u16, &lemonweir_model::settings::ClusterMember)| {
-            let holder = self.cache.shards.get(&shard);
+            let holder = self.cache.shard_leaders.get(&shard);
             ShardRow {
                 shard,
                 home: home.host.clone(),
                 holder: holder.map(|h| h.host.clone()),
-                token: holder.map(|h| h.token),
-                since: rings.of(shard).last().map(|(r, _)| r.at),
+                token: holder.map(|h| h.fencing_token),
+                since: rings.entries_of(shard).last().map(|(r, _)| r.at_ms),
             }
         };
         let shards = (0..).zip(&self.config.members).map(shard).collect();
@@ -67,7 +67,7 @@
             .cache
             .jobs
             .values()
-            .filter(|j| j.record.spec.shape == JobKind::Service && !j.record.withdrawn)
+            .filter(|j| j.record.spec.shape == JobKind::Service && !j.record.cancel_requested)
         {
             let row = self.service_row(job, now);
             watch.services += 1;
@@ -139,7 +139,7 @@
         let rings = &self.cache.failovers;
         let rows = |shard: u16| {
             rings
-                .of(shard)
+                .entries_of(shard)
                 .into_iter()
                 .map(move |(record, version)| row_of(shard, record, version))
         };
@@ -157,25 +157,25 @@
 }
 
 fn row_of(shard: u16, record: &FailoverRecord, version: u64) -> FailoverRow {
-    let how = match record.how {
-        LeadershipChange::Vacant if record.from.is_none() => "taken: no holder known",
+    let how = match record.change {
+        LeadershipChange::Vacant if record.previous_leader.is_none() => "taken: no holder known",
         LeadershipChange::Vacant => "taken: its holder had given it up, or its hold had run out",
-        LeadershipChange::Reborn => "taken by a later life of its holder",
-        LeadershipChange::HandedBack => "given up for its home, which lives",
-        LeadershipChange::Left => "left: its machines are not heard",
+        LeadershipChange::Restarted => "taken by a later life of its holder",
+        LeadershipChange::ReturnedHome => "given up for its home, which lives",
+        LeadershipChange::Ceded => "left: its machines are not heard",
         LeadershipChange::Other => "in a way that a later version knows",
     };
-    let closed = record.closed.clone();
+    let closed = record.completion.clone();
     let token = closed
         .as_ref()
-        .map_or(Some(version), |c| c.token)
-        .filter(|_| record.to.is_some());
+        .map_or(Some(version), |c| c.fencing_token)
+        .filter(|_| record.new_leader.is_some());
     FailoverRow {
         shard,
-        n: record.n,
-        at: record.at,
-        from: record.from.clone(),
-        to: record.to.clone(),
+        n: record.number,
+        at: record.at_ms,
+        from: record.previous_leader.clone(),
+        to: record.new_leader.clone(),
         how: how.into(),
         token,
         up: record.up,
@@ -185,15 +185,15 @@
 
 fn closed_row(c: FailoverCompletion) -> FailoverCompletionRow {
     let FailoverCompletion {
-        by,
-        read_ms,
+        reported_by: by,
+        state_loaded_ms: read_ms,
         first_start_ms,
-        whole_ms,
+        services_restored_ms: whole_ms,
         found,
         gaps,
         unknown,
-        token: _,
-        held_ms,
+        fencing_token: _,
+        leadership_ms: held_ms,
     } = c;
     FailoverCompletionRow {
         by,
--- a/crates/coordination/tests/cancellations.rs
+++ b/crates/coordination/tests/cancellations.rs
@@ -73,14 +73,14 @@
             key: job_key(&job),
             value: to_value(&JobRecord {
                 spec: spec.clone(),
-                at: 1,
-                withdrawn: false,
-                awaited: 0,
+                submitted_at_ms: 1,
+                cancel_requested: false,
+                dependency_count: 0,
             }),
             version: 46,
         };
         core.cache
-            .replace(&[accepted, holder(0, TOKEN), holder(1, OWN)], 100);
+            .load_snapshot(&[accepted, holder(0, TOKEN), holder(1, OWN)], 100);
         core.refreshed(10, true);
         core.acquire(lease, &[], Vec::new(), 10);
         let mut asker = Self {
@@ -190,7 +190,7 @@
     fn learn(&mut self, key: String, value: rmpv::Value, version: u64) {
         self.now += 50;
         self.revision = self.revision.max(version) + 1;
-        self.core.cache.apply(
+        self.core.cache.apply_changes(
             &[WatchEvent {
                 set: Some(key),
                 drop: None,
@@ -208,9 +208,9 @@
         self.version = self.revision + 1;
         let record = JobRecord {
             spec: self.spec.clone(),
-            at: 1,
-            withdrawn: true,
-            awaited: 0,
+            submitted_at_ms: 1,
+            cancel_requested: true,
+            dependency_count: 0,
         };
         self.learn(job_key(&self.job), to_value(&record), self.version);
         self.until(|_| None::<()>);
@@ -363,13 +363,13 @@
             asker
                 .core
                 .cache
-                .replace(&[holder(0, TOKEN), holder(1, OWN)], 200);
+                .load_snapshot(&[holder(0, TOKEN), holder(1, OWN)], 200);
         } else {
             let asked = to_value(&JobRecord {
                 spec: asker.spec.clone(),
-                at: 1,
-                withdrawn: true,
-                awaited: 0,
+                submitted_at_ms: 1,
+                cancel_requested: true,
+                dependency_count: 0,
             });
             let set = WatchEvent {
                 set: Some(key.clone()),
@@ -383,7 +383,7 @@
                 value: None,
                 version: 199,
             };
-            asker.core.cache.apply(&[set, left], 200, now);
+            asker.core.cache.apply_changes(&[set, left], 200, now);
         }
         asker.core.refreshed(now, true);
         assert_eq!(
@@ -394,7 +394,7 @@
         asker
             .core
             .cache
-            .settle(&asker.job, JobPhase::Withdrawn, 1, now);
+            .record_end(&asker.job, JobPhase::Withdrawn, 1, now);
         assert_eq!(
             asker.core.answer(&asker.job, now + 60_000),
             Answer::Over(JobPhase::Withdrawn)
--- a/crates/coordination/tests/chains.rs
+++ b/crates/coordination/tests/chains.rs
@@ -57,7 +57,7 @@
             value: to_value(&ShardRecord { host: "h0".into() }),
             version: TOKEN,
         };
-        core.cache.replace(&[holder], 100);
+        core.cache.load_snapshot(&[holder], 100);
         core.refreshed(10, true);
         core.acquire(LOT, &[], Vec::new(), 10);
         Self {
@@ -93,7 +93,7 @@
                 .all(|key| key.starts_with(FOLLOWED))
         };
         let changes: Vec<WatchEvent> = cas.writes.iter().map(change).filter(followed).collect();
-        self.core.cache.apply(&changes, version, self.now);
+        self.core.cache.apply_changes(&changes, version, self.now);
         self.core.refreshed(self.now, true);
         version
     }
@@ -101,9 +101,9 @@
     fn accept(&mut self, spec: &JobSpec) -> u64 {
         let record = JobRecord {
             spec: spec.clone(),
-            at: 1,
-            withdrawn: false,
-            awaited: 0,
+            submitted_at_ms: 1,
+            cancel_requested: false,
+            dependency_count: 0,
         };
         let cas_list = if spec.awaits.is_empty() {
             vec![create_job(&record)]
@@ -131,9 +131,9 @@
     fn cancelled(&mut self, n: usize) {
         let record = JobRecord {
             spec: spec(n, &[]),
-            at: 1,
-            withdrawn: true,
-            awaited: 0,
+            submitted_at_ms: 1,
+            cancel_requested: true,
+            dependency_count: 0,
         };
         self.make(&CompareAndSwap {
             conditions: Vec::new(),
@@ -142,7 +142,7 @@
         let revision = self.ends(n);
         self.core
             .cache
-            .settle(&id(n), JobPhase::Withdrawn, revision, self.now);
+            .record_end(&id(n), JobPhase::Withdrawn, revision, self.now);
     }
 
     /// The next transaction for waiting jobs, and the ends that are to be read.
@@ -233,7 +233,7 @@
         leader
             .core
             .cache
-            .settle(&id(n), JobPhase::Done, 40 + n as u64, leader.now);
+            .record_end(&id(n), JobPhase::Done, 40 + n as u64, leader.now);
     }
     leader.core.ends_read(&[id(1), id(2)], leader.now);
     assert!(
@@ -308,7 +308,7 @@
         leader
             .core
             .cache
-            .awaits(&id(MANY))
+            .dependencies(&id(MANY))
             .map(|awaits| awaits.len()),
         Some(MANY)
     );
--- a/crates/coordination/tests/elections.rs
+++ b/crates/coordination/tests/elections.rs
@@ -62,9 +62,9 @@
 fn lives(host: u16, version: u64) -> WatchEvent {
     let value = to_value(&ControllerRecord {
         zone: "north".into(),
-        format: PEER_VERSION,
-        deaf: Vec::new(),
-        reads: 0,
+        peer_version: PEER_VERSION,
+        ceded_shards: Vec::new(),
+        record_version: 0,
     });
     WatchEvent {
         set: Some(controller_key(&format!("h{host}"))),
@@ -76,7 +76,7 @@
 
 /// A reading that began at `now` shows these changes.
 fn read(core: &mut Core, changes: &[WatchEvent], revision: u64, now: u64) {
-    core.cache.apply(changes, revision, now);
+    core.cache.apply_changes(changes, revision, now);
     core.refreshed(now, true);
 }
 
@@ -318,7 +318,7 @@
         },
         2_400,
     );
-    assert_eq!(core.cache.shards.get(&0).map(|h| h.token), Some(50));
+    assert_eq!(core.cache.shard_leaders.get(&0).map(|h| h.fencing_token), Some(50));
 }
 
 /// A full reading whose pages are of different moments: a part that was taken after the
@@ -336,7 +336,7 @@
     holds(&mut core, 0, 10, 2_000);
     holds(&mut core, 1, 110, 2_100);
     // The first page is of revision 100, the parts' page of one before part 1 was taken.
-    core.cache.replace(&[entry(0, 2, 90), entry(1, 1, 5)], 100);
+    core.cache.load_snapshot(&[entry(0, 2, 90), entry(1, 1, 5)], 100);
     core.refreshed(2_200, true);
     assert_eq!(
         core.held(),
--- a/crates/coordination/tests/ends.rs
+++ b/crates/coordination/tests/ends.rs
@@ -170,9 +170,9 @@
     fn submit(&mut self, shard: usize, spec: JobSpec) {
         let record = JobRecord {
             spec: spec.clone(),
-            at: self.now,
-            withdrawn: false,
-            awaited: 0,
+            submitted_at_ms: self.now,
+            cancel_requested: false,
+            dependency_count: 0,
         };
         self.revision += 1;
         self.put(job_key(&spec.id), to_value(&record));
@@ -185,7 +185,7 @@
             return;
         };
         let record = JobRecord {
-            withdrawn: true,
+            cancel_requested: true,
             ..from_value(&entry.value).expect("a job")
         };
         self.revision += 1;
@@ -214,13 +214,13 @@
             shard as u16,
             ShardLeader {
                 host: format!("h{token}"),
-                token,
+                fencing_token: token,
             },
         );
         self.put(shard_key(shard as u16), to_value(&0));
         let policy = Policy {
-            idle: 1e6,
-            idle_spot: 1e6,
+            on_demand_idle_multiple: 1e6,
+            spot_idle_multiple: 1e6,
             ..lemonweir_policy::embedded().expect("policy")
         };
         let mut owner = Owner::new(shard as u16, token, PARTS as u16, TIMING, policy, self.now);
@@ -288,7 +288,7 @@
         let done = |e: &KeyValue| {
             from_value::<TaskChunkRecord>(&e.value)
                 .expect("a chunk")
-                .done
+                .done_ranges
                 .iter()
                 .any(|r| (r.0..=r.1).contains(&task))
         };
@@ -740,7 +740,7 @@
             }
             if let Some(leader) = self.leaders[shard].as_mut() {
                 leader.word = now;
-                leader.other = self.holders.get(&(1 - shard as u16)).map_or(0, |h| h.token);
+                leader.other = self.holders.get(&(1 - shard as u16)).map_or(0, |h| h.fencing_token);
                 leader
                     .owner
                     .watch_placers(&self.holders, self.revision, now);
@@ -1117,9 +1117,9 @@
     placer.cas_done(CompareAndSwapOutcome::Done(50), 20);
     let asked = JobRecord {
         spec: job(1, 1),
-        at: 0,
-        withdrawn: true,
-        awaited: 0,
+        submitted_at_ms: 0,
+        cancel_requested: true,
+        dependency_count: 0,
     };
     placer.set_job(
         &id(1),
@@ -1147,10 +1147,10 @@
         let need = job(n, 1).need();
         let record = TaskChunkRecord {
             team: "red".into(),
-            need,
-            next: 65,
-            done,
-            live: Vec::new(),
+            task_resources: need,
+            next_attempt: 65,
+            done_ranges: done,
+            live_attempts: Vec::new(),
             gang: None,
         };
         placer.load_chunk(&id(n), chunk, &record, 30 + u64::from(chunk));
@@ -1190,9 +1190,9 @@
         placer.next_cas(0).expect("its starts");
         let asked = JobRecord {
             spec: job(1, 2),
-            at: 0,
-            withdrawn: true,
-            awaited: 0,
+            submitted_at_ms: 0,
+            cancel_requested: true,
+            dependency_count: 0,
         };
         placer.set_job(
             &id(1),
--- a/crates/coordination/tests/late_orders.rs
+++ b/crates/coordination/tests/late_orders.rs
@@ -384,7 +384,7 @@
         self.revision += 1;
         self.holder = Some(ShardLeader {
             host: format!("h{n}"),
-            token: self.revision,
+            fencing_token: self.revision,
         });
         let wait = 20 + self.dice.below(600);
         self.hosts[n].taken = Some((self.revision, now + wait));
@@ -393,10 +393,10 @@
     }
 
     fn show(core: &mut Core, holder: Option<ShardLeader>, began: u64) {
-        let revision = holder.as_ref().map_or(1, |h| h.token);
+        let revision = holder.as_ref().map_or(1, |h| h.fencing_token);
         match holder {
-            Some(holder) => drop(core.cache.shards.insert(0, holder)),
-            None => drop(core.cache.shards.remove(&0)),
+            Some(holder) => drop(core.cache.shard_leaders.insert(0, holder)),
+            None => drop(core.cache.shard_leaders.remove(&0)),
         }
         core.cache.revision = core.cache.revision.max(Some(revision));
         core.refreshed(began, true);
@@ -431,7 +431,7 @@
             if let Some((token, _)) = host.taken.take_if(|(_, at)| now >= *at) {
                 // The reading before it adopts the part.
                 Self::show(core, holder.clone(), now - 1);
-                if holder.is_some_and(|h| h.token == token) {
+                if holder.is_some_and(|h| h.fencing_token == token) {
                     core.acquire(ShardLease { shard: 0, token }, &[], Vec::new(), now);
                 }
             }
@@ -444,13 +444,13 @@
             };
             let ours = core
                 .cache
-                .shards
+                .shard_leaders
                 .get(&0)
                 .is_some_and(|h| h.host == format!("h{n}"));
             if ours
                 && core.held().is_empty()
                 && host.taken.is_none()
-                && self.holder.as_ref() == core.cache.shards.get(&0)
+                && self.holder.as_ref() == core.cache.shard_leaders.get(&0)
             {
                 self.take(n);
             }
@@ -829,7 +829,7 @@
             want.kill = Some(0);
         }
         // It learns of changes of hands some time after.
-        let newest = self.holder.as_ref().map_or(0, |h| h.token);
+        let newest = self.holder.as_ref().map_or(0, |h| h.fencing_token);
         if newest > self.to && (self.to == 0 || self.dice.chance(5)) {
             self.to = newest;
         }
--- a/crates/coordination/tests/late_transactions.rs
+++ b/crates/coordination/tests/late_transactions.rs
@@ -104,7 +104,7 @@
         let record = self
             .value(&task_chunk_key(0, &id.job, id.task / CHUNK_TASKS))
             .and_then(from_value::<TaskChunkRecord>);
-        record.is_some_and(|r| r.live.iter().any(|l| (l.t, l.a) == (id.task, id.attempt)))
+        record.is_some_and(|r| r.live_attempts.iter().any(|l| (l.task, l.attempt) == (id.task, id.attempt)))
     }
 }
 
@@ -139,9 +139,9 @@
             job_key(&spec.id),
             to_value(&JobRecord {
                 spec: spec.clone(),
-                at: 0,
-                withdrawn: false,
-                awaited: 0,
+                submitted_at_ms: 0,
+                cancel_requested: false,
+                dependency_count: 0,
             }),
         );
         self.copy(&spec.id);
@@ -165,7 +165,7 @@
             .store
             .value(&job_key(id))
             .and_then(from_value::<JobRecord>)
-            .filter(|r| !r.withdrawn)
+            .filter(|r| !r.cancel_requested)
         else {
             return;
         };
@@ -424,7 +424,7 @@
             .value(&key)
             .and_then(from_value::<TaskChunkRecord>)
             .expect("a record");
-        assert_eq!(record.done, vec![(0, 1)], "between: {between}");
+        assert_eq!(record.done_ranges, vec![(0, 1)], "between: {between}");
     }
 }
 
--- a/crates/coordination/tests/ledger.rs
+++ b/crates/coordination/tests/ledger.rs
@@ -135,8 +135,8 @@
             .map(|(i, k)| {
                 kinds[*k].map(|step| GangAdmissionRecord {
                     step,
-                    at: i as u64,
-                    a: 4,
+                    at_ms: i as u64,
+                    attempt: 4,
                 })
             })
             .collect();
@@ -290,9 +290,9 @@
     fn submit(&mut self, shard: usize, spec: JobSpec) {
         let record = JobRecord {
             spec: spec.clone(),
-            at: self.now,
-            withdrawn: false,
-            awaited: 0,
+            submitted_at_ms: self.now,
+            cancel_requested: false,
+            dependency_count: 0,
         };
         self.revision += 1;
         self.put(KeyValue {
@@ -308,7 +308,7 @@
         let key = job_key(id);
         if let Some(entry) = self.store.get(&key) {
             let record = JobRecord {
-                withdrawn: true,
+                cancel_requested: true,
                 ..from_value(&entry.value).expect("a job")
             };
             self.revision += 1;
@@ -338,8 +338,8 @@
         self.revision += 1;
         // Nothing is given back: the fleet is fixed.
         let policy = Policy {
-            idle: 1e6,
-            idle_spot: 1e6,
+            on_demand_idle_multiple: 1e6,
+            spot_idle_multiple: 1e6,
             ..lemonweir_policy::embedded().expect("policy")
         };
         let mut owner = Owner::new(
@@ -361,7 +361,7 @@
             shard as u16,
             ShardLeader {
                 host: format!("h{shard}"),
-                token,
+                fencing_token: token,
             },
         );
         self.put(KeyValue {
@@ -465,7 +465,7 @@
             steps
                 .entry(id)
                 .or_default()
-                .extend(record.live.iter().map(|l| (l.a, step)));
+                .extend(record.live_attempts.iter().map(|l| (l.attempt, step)));
         }
         for (id, members) in steps {
             let first = members.first().map_or(0, |m| m.0);
@@ -945,7 +945,7 @@
 fn step_of(site: &Site) -> Option<(GangAdmissionStep, usize)> {
     let chunk: TaskChunkRecord =
         from_value(&site.store.get("run/0/req-000001/0")?.value).expect("a chunk");
-    chunk.gang.map(|g| (g.step, chunk.live.len()))
+    chunk.gang.map(|g| (g.step, chunk.live_attempts.len()))
 }
 
 /// A gang of 8 whole machines on three parts, brought to where its first step is
--- a/crates/coordination/tests/limits.rs
+++ b/crates/coordination/tests/limits.rs
@@ -81,7 +81,7 @@
 
     fn machines(&self) -> BTreeMap<MachineId, usize> {
         let mut all = BTreeMap::new();
-        for (machine, images) in self.0.values().flat_map(|page| &page.m) {
+        for (machine, images) in self.0.values().flat_map(|page| &page.machines) {
             *all.entry(machine.clone()).or_default() += images.len();
         }
         all
--- a/crates/coordination/tests/links.rs
+++ b/crates/coordination/tests/links.rs
@@ -38,7 +38,7 @@
         lemonweir_policy::embedded().expect("policy"),
     );
     let holder = ShardRecord { host: "h0".into() };
-    core.cache.replace(
+    core.cache.load_snapshot(
         &[KeyValue {
             key: shard_key(0),
             value: to_value(&holder),
@@ -232,9 +232,9 @@
         key: controller_key(host),
         value: to_value(&ControllerRecord {
             zone: "north".into(),
-            format: PEER_VERSION,
-            deaf,
-            reads: 0,
+            peer_version: PEER_VERSION,
+            ceded_shards: deaf,
+            record_version: 0,
         }),
         version: 60,
     };
@@ -244,7 +244,7 @@
         value: to_value(&own),
         version,
     };
-    core.cache.replace(
+    core.cache.load_snapshot(
         &[
             present("h0", vec![0]),
             present("h1", Vec::new()),
@@ -292,7 +292,7 @@
         "another lives that may hear"
     );
     // Only it could: then there is no use in waiting.
-    core.cache.replace(
+    core.cache.load_snapshot(
         &[
             present("h0", vec![0]),
             present("h1", Vec::new()),
--- a/crates/coordination/tests/nights.rs
+++ b/crates/coordination/tests/nights.rs
@@ -305,9 +305,9 @@
     let job = spec.id.clone();
     let record = JobRecord {
         spec,
-        at: 1,
-        withdrawn,
-        awaited: 0,
+        submitted_at_ms: 1,
+        cancel_requested: withdrawn,
+        dependency_count: 0,
     };
     let shard = ShardRecord { host: "h0".into() };
     let job_entry = KeyValue {
@@ -315,7 +315,7 @@
         value: to_value(&record),
         version: 41,
     };
-    core.cache.replace(
+    core.cache.load_snapshot(
         &[
             job_entry,
             KeyValue {
@@ -362,7 +362,7 @@
         core.answer(&JobId::from("req-999999"), 1_100),
         Answer::Unknown
     );
-    core.cache.apply(&[left(&job)], 51, 2_000);
+    core.cache.apply_changes(&[left(&job)], 51, 2_000);
     core.refreshed(1_990, true);
     // Nobody asked for its withdrawal: it can only be done.
     assert_eq!(core.answer(&job, 2_000), Answer::OverIn(TOLD_AFTER_MS));
@@ -372,7 +372,7 @@
         Answer::Over(JobPhase::Done)
     );
     // Learned again later, it is told as before.
-    core.cache.settle(&job, JobPhase::Done, 1, 9_000);
+    core.cache.record_end(&job, JobPhase::Done, 1, 9_000);
     assert_eq!(core.answer(&job, 9_001), Answer::Over(JobPhase::Done));
 }
 
@@ -381,7 +381,7 @@
 #[test]
 fn the_end_of_a_job_that_was_to_be_withdrawn_is_read() {
     let (mut core, job) = core(true);
-    core.cache.apply(&[left(&job)], 51, 2_000);
+    core.cache.apply_changes(&[left(&job)], 51, 2_000);
     core.refreshed(1_990, true);
     assert_eq!(core.answer(&job, 60_000), Answer::Unknown);
 }
--- a/crates/coordination/tests/slow_store.rs
+++ b/crates/coordination/tests/slow_store.rs
@@ -14,7 +14,7 @@
         Config::new(&settings(1)),
         lemonweir_policy::embedded().expect("policy"),
     );
-    core.cache.replace(&[], 50);
+    core.cache.load_snapshot(&[], 50);
     core.set_catalog(Default::default());
     core
 }
--- a/crates/coordination/tests/starts.rs
+++ b/crates/coordination/tests/starts.rs
@@ -57,9 +57,9 @@
     };
     let record = JobRecord {
         spec: spec.clone(),
-        at: 1,
-        withdrawn: false,
-        awaited: 0,
+        submitted_at_ms: 1,
+        cancel_requested: false,
+        dependency_count: 0,
     };
     let holder = KeyValue {
         key: shard_key(0),
@@ -71,7 +71,7 @@
         value: to_value(&record),
         version: 46,
     };
-    core.cache.replace(&[job, holder], 100);
+    core.cache.load_snapshot(&[job, holder], 100);
     core.refreshed(10, true);
     core.acquire(LOT, &[], Vec::new(), 10);
     let first = report(own_machine(&core), 1);
--- a/crates/coordination/tests/support/controllers.rs
+++ b/crates/coordination/tests/support/controllers.rs
@@ -160,8 +160,8 @@
 pub fn process(me: usize, now: u64) -> Node {
     // Nothing is given back for being empty.
     let policy = Policy {
-        idle: 1e6,
-        idle_spot: 1e6,
+        on_demand_idle_multiple: 1e6,
+        spot_idle_multiple: 1e6,
         ..lemonweir_policy::embedded().expect("policy")
     };
     let mut core = Core::new(Config::new(&settings(me)), policy);
@@ -396,7 +396,7 @@
                     .take_while(|(k, _)| k.starts_with("w/"))
                     .map(|(_, e)| e.clone())
                     .collect();
-                core.cache.replace(&entries, revision);
+                core.cache.load_snapshot(&entries, revision);
                 true
             }
             Some(after) => {
@@ -408,7 +408,7 @@
                             .is_some_and(|k| k.starts_with("w/"))
                 };
                 let changes: Vec<WatchEvent> = self.changes.iter().filter(of).cloned().collect();
-                core.cache.apply(&changes, revision, now);
+                core.cache.apply_changes(&changes, revision, now);
                 !changes.is_empty()
             }
         };
@@ -490,9 +490,9 @@
         let core = &mut self.nodes[node].core;
         if core
             .cache
-            .shards
+            .shard_leaders
             .get(&lease.shard)
-            .is_some_and(|h| h.token == lease.token)
+            .is_some_and(|h| h.fencing_token == lease.token)
         {
             core.acquire(lease, &chunks, Vec::new(), now);
         }
@@ -506,7 +506,7 @@
     }
 
     pub fn holder(&self, node: usize, shard: u16) -> Option<usize> {
-        let host = &self.nodes[node].core.cache.shards.get(&shard)?.host;
+        let host = &self.nodes[node].core.cache.shard_leaders.get(&shard)?.host;
         host[1..].parse().ok()
     }
 
@@ -533,7 +533,7 @@
                 for id in &ids {
                     if let Some(phase) = self.end(id).filter(|_| self.has_store(node)) {
                         let version = self.version(&end_key(id));
-                        self.nodes[node].core.cache.settle(id, phase, version, now);
+                        self.nodes[node].core.cache.record_end(id, phase, version, now);
                     }
                 }
                 self.nodes[node].core.ends_read(&ids, now);
@@ -818,9 +818,9 @@
         let id = spec.id.clone();
         self.apply(&create_job(&JobRecord {
             spec,
-            at: 1_000_000 + self.now,
-            withdrawn: false,
-            awaited: 0,
+            submitted_at_ms: 1_000_000 + self.now,
+            cancel_requested: false,
+            dependency_count: 0,
         }));
         id
     }
@@ -871,11 +871,11 @@
             let Some(job) = core.cache.jobs.get(&id).cloned() else {
                 // Nobody here knows it: the end is read.
                 if let Some(phase) = self.end(&id) {
-                    self.nodes[at].core.cache.settle(&id, phase, 1, now);
+                    self.nodes[at].core.cache.record_end(&id, phase, 1, now);
                 }
                 continue;
             };
-            if !job.record.withdrawn {
+            if !job.record.cancel_requested {
                 self.transact(at, &request_cancellation(&job.record, job.version));
             }
         }
--- a/crates/coordination/tests/support/mod.rs
+++ b/crates/coordination/tests/support/mod.rs
@@ -182,9 +182,9 @@
     let job = CachedJob {
         record: Arc::new(JobRecord {
             spec: spec.clone(),
-            at,
-            withdrawn: false,
-            awaited: 0,
+            submitted_at_ms: at,
+            cancel_requested: false,
+            dependency_count: 0,
         }),
         version: 1,
     };
--- a/crates/coordination/tests/turns.rs
+++ b/crates/coordination/tests/turns.rs
@@ -75,9 +75,9 @@
         let job = CachedJob {
             record: Arc::new(JobRecord {
                 spec: spec.clone(),
-                at: 0,
-                withdrawn: true,
-                awaited: 0,
+                submitted_at_ms: 0,
+                cancel_requested: true,
+                dependency_count: 0,
             }),
             version: 7,
         };
--- a/crates/coordination/tests/watch.rs
+++ b/crates/coordination/tests/watch.rs
@@ -130,27 +130,27 @@
         };
         let (shard, slot) = parse_failover_key(rest).expect("a slot");
         let record: FailoverRecord = from_value(value).expect("an entry");
-        assert_eq!(record.n % HANDOVERS_KEPT, slot);
+        assert_eq!(record.number % HANDOVERS_KEPT, slot);
         let before = self
             .keys
             .get(key)
             .and_then(|(v, _, _)| from_value::<FailoverRecord>(v));
-        let Some(closed) = &record.closed else {
+        let Some(closed) = &record.completion else {
             self.opened.push((shard, self.revision, record));
             return;
         };
         let before = before.expect("what is closed was open");
-        assert!(before.open(), "closed once: {before:?}");
+        assert!(before.is_open(), "closed once: {before:?}");
         assert_eq!(
             FailoverRecord {
-                closed: None,
+                completion: None,
                 ..record.clone()
             },
             before,
             "closing changes nothing else"
         );
         assert_eq!(
-            closed.token,
+            closed.fencing_token,
             Some(self.version(key)),
             "with the part's token"
         );
@@ -256,7 +256,7 @@
         let from = self.store.log.partition_point(|c| c.version <= after);
         p.core
             .cache
-            .apply(&self.store.log[from..], self.store.revision, self.now);
+            .apply_changes(&self.store.log[from..], self.store.revision, self.now);
         p.core.refreshed(self.now, true);
     }
 
@@ -296,9 +296,9 @@
                 let p = self.processes[h].as_mut().expect("it acts");
                 if p.core
                     .cache
-                    .shards
+                    .shard_leaders
                     .get(&shard)
-                    .is_some_and(|holder| holder.token == revision)
+                    .is_some_and(|holder| holder.fencing_token == revision)
                 {
                     p.core.acquire(
                         ShardLease {
@@ -345,12 +345,12 @@
             let mut holder: Option<String> = None;
             for (i, (_, _, record)) in entries.enumerate() {
                 assert_eq!(
-                    record.n,
+                    record.number,
                     i as u64 + 1,
                     "seed {seed}: no number twice, and none left out"
                 );
-                assert_eq!(record.from, holder, "seed {seed}: {record:?}");
-                holder = record.to.clone().or(holder);
+                assert_eq!(record.previous_leader, holder, "seed {seed}: {record:?}");
+                holder = record.new_leader.clone().or(holder);
             }
         }
     }
@@ -420,7 +420,7 @@
                 .store
                 .opened
                 .iter()
-                .map(|(_, _, r)| r.n)
+                .map(|(_, _, r)| r.number)
                 .max()
                 .unwrap_or(0),
         );
@@ -436,13 +436,13 @@
 
 fn record(n: u64, to: Option<&str>, closed: Option<FailoverCompletion>) -> FailoverRecord {
     FailoverRecord {
-        n,
-        from: None,
-        to: to.map(str::to_owned),
-        how: LeadershipChange::Vacant,
-        at: n * 1_000,
+        number: n,
+        previous_leader: None,
+        new_leader: to.map(str::to_owned),
+        change: LeadershipChange::Vacant,
+        at_ms: n * 1_000,
         up: None,
-        closed,
+        completion: closed,
     }
 }
 
@@ -460,9 +460,9 @@
 #[test]
 fn a_full_ring_gives_its_oldest_slot() {
     let mut cache = StateCache::default();
-    assert_eq!(cache.failovers.next(4), (1, 0));
+    assert_eq!(cache.failovers.next_slot(4), (1, 0));
     for n in 1..=HANDOVERS_KEPT {
-        cache.apply(
+        cache.apply_changes(
             &[set(
                 failover_key(4, n),
                 to_value(&record(n, Some("a"), None)),
@@ -476,10 +476,10 @@
         } else {
             (n + 1, 0)
         };
-        assert_eq!(cache.failovers.next(4), next);
+        assert_eq!(cache.failovers.next_slot(4), next);
     }
     let n = HANDOVERS_KEPT + 1;
-    cache.apply(
+    cache.apply_changes(
         &[set(
             failover_key(4, n),
             to_value(&record(n, Some("a"), None)),
@@ -488,9 +488,9 @@
         900,
         0,
     );
-    assert_eq!(cache.failovers.of(4).len() as u64, HANDOVERS_KEPT);
-    assert_eq!(cache.failovers.next(4), (n + 1, 102));
-    assert!(cache.failovers.again(4, 1).is_none(), "overwritten");
+    assert_eq!(cache.failovers.entries_of(4).len() as u64, HANDOVERS_KEPT);
+    assert_eq!(cache.failovers.next_slot(4), (n + 1, 102));
+    assert!(cache.failovers.rewrite(4, 1).is_none(), "overwritten");
 }
 
 /// What can't be read is passed over, and what it says is not believed.
@@ -498,7 +498,7 @@
 fn entries_that_cant_be_read_are_skipped() {
     let mut cache = StateCache::default();
     let good = |n| to_value(&record(n, Some("a"), None));
-    cache.apply(
+    cache.apply_changes(
         &[
             set(failover_key(1, 1), good(1), 10),
             set(failover_key(1, 2), Value::from("what"), 11),
@@ -514,9 +514,9 @@
         20,
         0,
     );
-    assert_eq!(cache.failovers.of(1).len(), 1);
+    assert_eq!(cache.failovers.entries_of(1).len(), 1);
     assert_eq!(
-        cache.failovers.next(1),
+        cache.failovers.next_slot(1),
         (5, 0),
         "slots 2 to 4 are left to who can read them"
     );
@@ -524,8 +524,8 @@
     let odd: Vec<Changed> = (0..HANDOVERS_KEPT)
         .map(|n| set(failover_key(1, n), Value::Nil, 30 + n))
         .collect();
-    cache.apply(&odd, 70, 0);
-    assert_eq!(cache.failovers.next(1), (1, 31));
+    cache.apply_changes(&odd, 70, 0);
+    assert_eq!(cache.failovers.next_slot(1), (1, 31));
     // A later version's way of changing hands is read, with what else it knows.
     let Value::Map(mut fields) = good(6) else {
         panic!("a map")
@@ -536,8 +536,8 @@
         .expect("how")
         .1 = "by_vote".into();
     fields.push(("votes".into(), 3.into()));
-    cache.apply(&[set(failover_key(1, 6), Value::Map(fields), 80)], 80, 0);
-    assert_eq!(cache.failovers.of(1)[0].0.how, LeadershipChange::Other);
+    cache.apply_changes(&[set(failover_key(1, 6), Value::Map(fields), 80)], 80, 0);
+    assert_eq!(cache.failovers.entries_of(1)[0].0.change, LeadershipChange::Other);
 }
 
 /// A process that takes a part closes what its predecessors left open, each with
@@ -559,7 +559,7 @@
             version,
         ));
     }
-    core.cache.replace(&entries, 20);
+    core.cache.load_snapshot(&entries, 20);
     core.refreshed(5_000, true);
     core.acquire(
         ShardLease {
@@ -604,16 +604,16 @@
             }
         })
         .collect();
-    let own = told[0].closed.as_ref().expect("closed");
+    let own = told[0].completion.as_ref().expect("closed");
     assert_eq!(
-        (told[0].n, own.whole_ms, own.first_start_ms, own.token),
+        (told[0].number, own.services_restored_ms, own.first_start_ms, own.fencing_token),
         (4, Some(1_000), None, Some(14))
     );
     assert!(own.unknown.iter().any(|u| u.starts_with("the first start")));
     for (n, left) in told[1..].iter().enumerate() {
-        let closed = left.closed.as_ref().expect("closed");
+        let closed = left.completion.as_ref().expect("closed");
         assert_eq!(
-            (left.n, closed.held_ms, closed.token, closed.unknown.len()),
+            (left.number, closed.leadership_ms, closed.fencing_token, closed.unknown.len()),
             (n as u64 + 1, Some(1_000), Some(11 + n as u64), 3)
         );
     }
@@ -622,8 +622,8 @@
     assert_eq!(notes(&mut core, due + CLOSE_RETRY_MS).len(), 1);
     // Once the copy shows it closed, it is not written again.
     for (record, version) in told.iter().zip(30..) {
-        core.cache.apply(
-            &[set(failover_key(0, record.n), to_value(record), version)],
+        core.cache.apply_changes(
+            &[set(failover_key(0, record.number), to_value(record), version)],
             version,
             0,
         );
--- a/crates/coordination/tests/weights.rs
+++ b/crates/coordination/tests/weights.rs
@@ -99,11 +99,11 @@
     let weight = |rng: &mut ChaCha8Rng| [0.0, 0.3, 1.0, 20.0][rng.random_range(0..4usize)];
     let pin_s = [0.0, 8.0, 40.0][rng.random_range(0..3usize)];
     let trade = ServicePlacementWeights {
-        machine: weight(rng),
-        zone: weight(rng),
-        one_zone: weight(rng),
-        pin_s,
-        move_s: 1.0,
+        machine_loss: weight(rng),
+        zone_loss: weight(rng),
+        single_zone: weight(rng),
+        machine_pin_cost_s: pin_s,
+        min_migration_gain_s: 1.0,
     };
     let mut order: Vec<(usize, bool)> = (0..shards.len())
         .map(|p| (p, rng.random::<f64>() < 0.2))
@@ -223,26 +223,26 @@
         let lost = FETCH_S + 5.0;
         let machine = match self.live.iter().filter(|(id, _)| *id == m.id).count() {
             0 => 0.0,
-            n if (n + 1) as f64 > tasks / 2.0 => self.trade.machine * lost * 4.0,
-            1 => self.trade.machine * lost * 2.0 / tasks,
-            _ => self.trade.machine * lost * 4.0 / tasks,
+            n if (n + 1) as f64 > tasks / 2.0 => self.trade.machine_loss * lost * 4.0,
+            1 => self.trade.machine_loss * lost * 2.0 / tasks,
+            _ => self.trade.machine_loss * lost * 4.0 / tasks,
         };
         let stakes = self.stakes();
         let in_zone = self.live.iter().filter(|(_, zone)| *zone == m.zone).count() as u32;
         // A zone counts as one that has its share just reached, however far beyond.
-        let beyond = self.trade.zone * lost * (f64::from(stakes.fair() + 1) / tasks).min(1.0);
+        let beyond = self.trade.zone_loss * lost * (f64::from(stakes.fair() + 1) / tasks).min(1.0);
         let all = in_zone > 0 && in_zone as usize == self.live.len();
         let zone = match (stakes.zones > 1, all) {
-            (true, true) => beyond.max(self.trade.one_zone * lost),
+            (true, true) => beyond.max(self.trade.single_zone * lost),
             (true, false) if in_zone >= stakes.fair() => beyond,
             _ => 0.0,
         };
         let wave = if stakes.wave && m.spot {
-            self.trade.zone * lost * (f64::from(self.tasks / 2 + 1) / tasks).min(1.0)
+            self.trade.zone_loss * lost * (f64::from(self.tasks / 2 + 1) / tasks).min(1.0)
         } else {
             0.0
         };
-        let pin = self.trade.pin_s;
+        let pin = self.trade.machine_pin_cost_s;
         let pay = if m.spot {
             0.0
         } else {
@@ -382,11 +382,11 @@
     };
     let locality = classes(
         &ServicePlacementWeights {
-            machine: 0.0,
-            zone: 0.0,
-            one_zone: 0.0,
-            pin_s: 0.0,
-            move_s: 1.0,
+            machine_loss: 0.0,
+            zone_loss: 0.0,
+            single_zone: 0.0,
+            machine_pin_cost_s: 0.0,
+            min_migration_gain_s: 1.0,
         },
         &stakes,
     );
@@ -402,11 +402,11 @@
     );
     let spread = classes(
         &ServicePlacementWeights {
-            machine: TRADE_MOST,
-            zone: TRADE_MOST,
-            one_zone: TRADE_MOST,
-            pin_s: 0.0,
-            move_s: 1.0,
+            machine_loss: TRADE_MOST,
+            zone_loss: TRADE_MOST,
+            single_zone: TRADE_MOST,
+            machine_pin_cost_s: 0.0,
+            min_migration_gain_s: 1.0,
         },
         &stakes,
     );
@@ -444,7 +444,7 @@
 #[test]
 fn the_policys_weights_are_checked() {
     assert_eq!(
-        lemonweir_policy::embedded().expect("fine").trade,
+        lemonweir_policy::embedded().expect("fine").placement_weights,
         ServicePlacementWeights::default()
     );
     let with = |from: &str, to: &str| {
@@ -470,8 +470,8 @@
     assert_eq!(
         with("risk_one_zone = 3", "risk_one_zone = 0")
             .expect("never mind")
-            .trade
-            .one_zone,
+            .placement_weights
+            .single_zone,
         0.0
     );
 }
--- a/crates/model/src/policy.rs
+++ b/crates/model/src/policy.rs
@@ -6,21 +6,21 @@
 pub struct Policy {
     /// How long an empty ordinary machine is kept, as a multiple of the time
     /// that a new one takes to boot and to fetch an image.
-    pub idle: f64,
+    pub on_demand_idle_multiple: f64,
     /// The same for a spot machine.
-    pub idle_spot: f64,
+    pub spot_idle_multiple: f64,
     /// ms of silence after which a spot machine is released; an ordinary one
     /// gets its lease and twice this.
-    pub silent_ms: u64,
+    pub spot_silence_timeout_ms: u64,
     /// A machine that boots this many times as long as usual is released.
-    pub boot_patience: f64,
+    pub provisioning_timeout_multiple: f64,
     /// ms after the last word from the store for which workers' reports are
     /// answered, so that their tasks go on.
-    pub blind_ms: u64,
+    pub store_outage_grace_ms: u64,
     /// Spare room kept per expected arrival while a machine boots.
-    pub spare: f64,
+    pub headroom_per_arrival: f64,
     /// Where replicas go.
-    pub trade: ServicePlacementWeights,
+    pub placement_weights: ServicePlacementWeights,
 }
 
 /// What a place may cost a replica against what it risks. A risk counts in times of
@@ -30,29 +30,29 @@
 pub struct ServicePlacementWeights {
     /// Where one machine would hold all of a job's replicas; for a share of them, that
     /// share of it.
-    pub machine: f64,
+    pub machine_loss: f64,
     /// The same of one zone, for more than its equal share, and of spot machines, for
     /// more than half.
-    pub zone: f64,
+    pub zone_loss: f64,
     /// Where all of a job's replicas would be in one zone.
-    pub one_zone: f64,
+    pub single_zone: f64,
     /// Later by so many s rather than keep one machine more for as long as the replica
     /// lasts: one without replicas so far; twice this for an empty one.
-    pub pin_s: f64,
+    pub machine_pin_cost_s: f64,
     /// A replica that serves is moved only where so many s are gained beyond those for
     /// which it is down.
-    pub move_s: f64,
+    pub min_migration_gain_s: f64,
 }
 
 impl Default for ServicePlacementWeights {
     /// The values of the embedded policy.
     fn default() -> Self {
         Self {
-            machine: 0.25,
-            zone: 0.1,
-            one_zone: 3.0,
-            pin_s: 6.0,
-            move_s: 1.0,
+            machine_loss: 0.25,
+            zone_loss: 0.1,
+            single_zone: 3.0,
+            machine_pin_cost_s: 6.0,
+            min_migration_gain_s: 1.0,
         }
     }
 }
--- a/crates/node/src/effect_executor.rs
+++ b/crates/node/src/effect_executor.rs
@@ -213,11 +213,11 @@
                     by,
                     &RelayRequest {
                         version: LINKS_VERSION,
-                        goal,
+                        target: goal,
                         method,
                         path,
                         body,
-                        wait_ms: COMMAND_TIMEOUT_MS,
+                        timeout_ms: COMMAND_TIMEOUT_MS,
                     },
                 )
                 .await
@@ -262,7 +262,7 @@
 }
 
 async fn send_sync(node: &Node, sync: &SyncRequest) -> Option<ShardView> {
-    let host = node.core().cache.shards.get(&sync.to)?.host.clone();
+    let host = node.core().cache.shard_leaders.get(&sync.to)?.host.clone();
     let addr = peer_address(node, &host)?;
     let response = node
         .http
@@ -322,7 +322,7 @@
     let Some((host, from)) = ({
         let core = node.core();
         core.cache
-            .shards
+            .shard_leaders
             .get(&shard)
             .map(|h| (h.host.clone(), core.held()))
     }) else {
--- a/crates/node/src/lease_keeper.rs
+++ b/crates/node/src/lease_keeper.rs
@@ -189,9 +189,9 @@
         if core.cache.revision >= Some(token)
             && core
                 .cache
-                .shards
+                .shard_leaders
                 .get(&index)
-                .is_none_or(|h| h.token != token)
+                .is_none_or(|h| h.fencing_token != token)
         {
             return;
         }
@@ -204,9 +204,9 @@
     let mut core = node.core();
     if core
         .cache
-        .shards
+        .shard_leaders
         .get(&index)
-        .is_some_and(|h| h.token == token)
+        .is_some_and(|h| h.fencing_token == token)
     {
         core.acquire(
             ShardLease {
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -238,7 +238,7 @@
                 let now = node.now();
                 node.core()
                     .cache
-                    .apply(&changes.events, changes.revision, now);
+                    .apply_changes(&changes.events, changes.revision, now);
                 return Ok(!changes.events.is_empty());
             }
             Err(KvError::TooOld) => warn!("changes too old; reading all keys again"),
@@ -249,7 +249,7 @@
     info!(keys = entries.len(), revision, "read all followed keys");
     // The pages may be of different moments: the changes since the first
     // bring the copy to one state.
-    node.core().cache.replace(&entries, revision);
+    node.core().cache.load_snapshot(&entries, revision);
     Ok(true)
 }
 
--- a/crates/node/src/lookups.rs
+++ b/crates/node/src/lookups.rs
@@ -142,7 +142,7 @@
 /// so that a process that has just started, whom users ask for all that is over,
 /// does not read them one by one.
 pub(crate) async fn end(node: &Node, id: &JobId) -> Result<Found, KvError> {
-    if let Some(end) = node.core().cache.end(id) {
+    if let Some(end) = node.core().cache.job_end(id) {
         return Ok(Found::Over(end.phase));
     }
     let key = end_key(id);
@@ -161,13 +161,13 @@
         ) {
             (Some(id), Some(record)) => {
                 core.cache
-                    .settle(&JobId::from(id), record.phase, entry.version, now)
+                    .record_end(&JobId::from(id), record.phase, entry.version, now)
             }
             _ => tracing::error!(key = entry.key, "end not understood"),
         }
     }
     core.cache
-        .end(id)
+        .job_end(id)
         .map(|end| Found::Over(end.phase))
         .ok_or(KvError::Refused)
 }
--- a/crates/node/src/public_api.rs
+++ b/crates/node/src/public_api.rs
@@ -268,7 +268,7 @@
     let id = spec.id.clone();
     let known = {
         let core = node.core();
-        core.cache.knows(&id)
+        core.cache.is_known(&id)
     };
     if known {
         return known_job(node, &id).await;
@@ -409,11 +409,11 @@
         let core = node.core();
         let shard = core
             .cache
-            .teams
+            .team_shards
             .get(team)
             .copied()
             .unwrap_or_else(|| core.config.default_shard(team));
-        core.cache.shards.get(&shard).map(|h| h.host.clone())
+        core.cache.shard_leaders.get(&shard).map(|h| h.host.clone())
     };
     let node2 = node.clone();
     node.executor
@@ -453,7 +453,7 @@
         let (team, cancellation) = {
             let core = node.core();
             (
-                core.cache.spec(&id).map(|spec| spec.team.clone()),
+                core.cache.job_spec(&id).map(|spec| spec.team.clone()),
                 core.cancellation(&id),
             )
         };
--- a/crates/node/src/router.rs
+++ b/crates/node/src/router.rs
@@ -65,11 +65,11 @@
         };
         let call = RelayRequest {
             version: LINKS_VERSION,
-            goal: RelayTarget::Service(service),
+            target: RelayTarget::Service(service),
             method: method.to_owned(),
             path: path.to_owned(),
             body: body.to_vec(),
-            wait_ms,
+            timeout_ms: wait_ms,
         };
         let result = self.ask(by, &call).await;
         let good = result.as_ref().is_ok_and(|r| served(service, r.status));
@@ -120,7 +120,7 @@
                 "POST",
                 RELAY_PATH,
                 &links::write(call),
-                call.wait_ms + TICK_MS,
+                call.timeout_ms + TICK_MS,
             )
             .await?;
         if response.status != 200 {
@@ -129,15 +129,15 @@
         }
         match links::read::<RelayResponse>(&response.body) {
             Ok(RelayResponse {
-                fate: RelayOutcome::Answer { status, body },
+                outcome: RelayOutcome::Answer { status, body },
                 ..
             }) => Ok(Response { status, body }),
             Ok(RelayResponse {
-                fate: RelayOutcome::NotSent,
+                outcome: RelayOutcome::NotSent,
                 ..
             }) => Err(CallError::NotSent),
             Ok(RelayResponse {
-                fate: RelayOutcome::Unknown,
+                outcome: RelayOutcome::Unknown,
                 ..
             })
             | Err(_) => Err(CallError::Unknown),
@@ -146,8 +146,8 @@
 
     /// Makes a call in another controller's place.
     pub(crate) async fn carry(&self, call: &RelayRequest) -> Reply {
-        let wait_ms = call.wait_ms.min(CLOUD_TIMEOUT_MS);
-        let result = match &call.goal {
+        let wait_ms = call.timeout_ms.min(CLOUD_TIMEOUT_MS);
+        let result = match &call.target {
             RelayTarget::Service(service) => {
                 // Guards against calls that go round: nothing is carried on.
                 if !self.core().links.carries(*service) {
@@ -177,7 +177,7 @@
             200,
             links::write(&RelayResponse {
                 version: LINKS_VERSION,
-                fate,
+                outcome: fate,
             }),
         )
     }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -99,18 +99,18 @@
         }
     };
     let policy = Policy {
-        idle: number("idle", 0.0, 1_000.0),
-        idle_spot: number("idle_spot", 0.0, 1_000.0),
-        silent_ms: (number("silent_s", 1.0, 3_600.0) * 1000.0) as u64,
-        boot_patience: number("boot_patience", 1.5, 100.0),
-        blind_ms: (number("blind_s", 0.0, BLIND_MOST_MS as f64 / 1000.0) * 1000.0) as u64,
-        spare: number("spare", 0.0, 10.0),
-        trade: ServicePlacementWeights {
-            machine: number("risk_machine", 0.0, TRADE_MOST),
-            zone: number("risk_zone", 0.0, TRADE_MOST),
-            one_zone: number("risk_one_zone", 0.0, TRADE_MOST),
-            pin_s: number("pin_s", 0.0, TRADE_MOST_S),
-            move_s: number("move_s", 0.0, TRADE_MOST_S),
+        on_demand_idle_multiple: number("idle", 0.0, 1_000.0),
+        spot_idle_multiple: number("idle_spot", 0.0, 1_000.0),
+        spot_silence_timeout_ms: (number("silent_s", 1.0, 3_600.0) * 1000.0) as u64,
+        provisioning_timeout_multiple: number("boot_patience", 1.5, 100.0),
+        store_outage_grace_ms: (number("blind_s", 0.0, BLIND_MOST_MS as f64 / 1000.0) * 1000.0) as u64,
+        headroom_per_arrival: number("spare", 0.0, 10.0),
+        placement_weights: ServicePlacementWeights {
+            machine_loss: number("risk_machine", 0.0, TRADE_MOST),
+            zone_loss: number("risk_zone", 0.0, TRADE_MOST),
+            single_zone: number("risk_one_zone", 0.0, TRADE_MOST),
+            machine_pin_cost_s: number("pin_s", 0.0, TRADE_MOST_S),
+            min_migration_gain_s: number("move_s", 0.0, TRADE_MOST_S),
         },
     };
     if faults.is_empty() {
--- a/crates/policy/tests/golden_policy.rs
+++ b/crates/policy/tests/golden_policy.rs
@@ -28,40 +28,40 @@
 fn the_embedded_policy_has_its_values() {
     let policy = embedded().expect("a policy without faults");
     let expected = Policy {
-        idle: 0.75,
-        idle_spot: 1.5,
-        silent_ms: 9_000,
-        boot_patience: 3.0,
-        blind_ms: 60_000,
-        spare: 0.5,
-        trade: ServicePlacementWeights {
-            machine: 0.25,
-            zone: 0.1,
-            one_zone: 3.0,
-            pin_s: 6.0,
-            move_s: 1.0,
+        on_demand_idle_multiple: 0.75,
+        spot_idle_multiple: 1.5,
+        spot_silence_timeout_ms: 9_000,
+        provisioning_timeout_multiple: 3.0,
+        store_outage_grace_ms: 60_000,
+        headroom_per_arrival: 0.5,
+        placement_weights: ServicePlacementWeights {
+            machine_loss: 0.25,
+            zone_loss: 0.1,
+            single_zone: 3.0,
+            machine_pin_cost_s: 6.0,
+            min_migration_gain_s: 1.0,
         },
     };
     assert_eq!(policy, expected);
-    assert_eq!(policy.trade, ServicePlacementWeights::default());
+    assert_eq!(policy.placement_weights, ServicePlacementWeights::default());
 }
 
 #[test]
 fn each_name_of_a_script_sets_its_own_value() {
     let policy = evaluate(&script(&EVERY_NAME)).expect("a policy without faults");
     let expected = Policy {
-        idle: 1.25,
-        idle_spot: 2.25,
-        silent_ms: 10_500,
-        boot_patience: 4.25,
-        blind_ms: 50_500,
-        spare: 0.625,
-        trade: ServicePlacementWeights {
-            machine: 0.375,
-            zone: 0.125,
-            one_zone: 5.5,
-            pin_s: 7.5,
-            move_s: 8.5,
+        on_demand_idle_multiple: 1.25,
+        spot_idle_multiple: 2.25,
+        spot_silence_timeout_ms: 10_500,
+        provisioning_timeout_multiple: 4.25,
+        store_outage_grace_ms: 50_500,
+        headroom_per_arrival: 0.625,
+        placement_weights: ServicePlacementWeights {
+            machine_loss: 0.375,
+            zone_loss: 0.125,
+            single_zone: 5.5,
+            machine_pin_cost_s: 7.5,
+            min_migration_gain_s: 8.5,
         },
     };
     assert_eq!(policy, expected);
--- a/crates/protocol/src/links.rs
+++ b/crates/protocol/src/links.rs
@@ -112,7 +112,7 @@
     /// Format.
     pub version: u8,
     /// Whom it shall reach.
-    pub goal: RelayTarget,
+    pub target: RelayTarget,
     /// Method.
     pub method: String,
     /// Path.
@@ -120,7 +120,7 @@
     /// Body, as it is.
     pub body: Vec<u8>,
     /// ms that the carrier waits for the answer.
-    pub wait_ms: u64,
+    pub timeout_ms: u64,
 }
 
 /// The carrier's answer.
@@ -129,7 +129,7 @@
     /// Format.
     pub version: u8,
     /// What became of the call.
-    pub fate: RelayOutcome,
+    pub outcome: RelayOutcome,
 }
 
 /// What became of a carried call.
--- a/crates/protocol/tests/golden_messages.rs
+++ b/crates/protocol/tests/golden_messages.rs
@@ -733,11 +733,11 @@
     ] {
         let carry = RelayRequest {
             version: LINKS_VERSION,
-            goal,
+            target: goal,
             method: "POST".into(),
             path: "/commands".into(),
             body: vec![1, 2, 3],
-            wait_ms: 900,
+            timeout_ms: 900,
         };
         golden.of_links(name, &carry);
     }
@@ -754,7 +754,7 @@
     ] {
         let carried = RelayResponse {
             version: LINKS_VERSION,
-            fate,
+            outcome: fate,
         };
         golden.of_links(name, &carried);
     }
--- a/crates/simulator/src/host.rs
+++ b/crates/simulator/src/host.rs
@@ -54,11 +54,11 @@
     pub fn apply(self, cache: &mut StateCache, now_ms: u64) -> Option<bool> {
         match self {
             Reading::Changes(changes, revision) => {
-                cache.apply(&changes, revision, now_ms);
+                cache.apply_changes(&changes, revision, now_ms);
                 Some(!changes.is_empty())
             }
             Reading::All(entries, revision) => {
-                cache.replace(&entries, revision);
+                cache.load_snapshot(&entries, revision);
                 Some(true)
             }
             Reading::Failed => None,
--- a/crates/simulator/src/hunt.rs
+++ b/crates/simulator/src/hunt.rs
@@ -342,7 +342,7 @@
             .store
             .get(&job_key(id))
             .and_then(|(v, _)| from_value(v));
-        if record.is_some_and(|r| !r.withdrawn && r.at + 60_000 < ms) {
+        if record.is_some_and(|r| !r.cancel_requested && r.submitted_at_ms + 60_000 < ms) {
             wanted += job.spec.tasks as usize;
             up += live
                 .get(id)
--- a/crates/simulator/src/measures.rs
+++ b/crates/simulator/src/measures.rs
@@ -290,7 +290,7 @@
                 && let Some((job, chunk)) = parse_task_chunk_key(key)
                 && let Some(record) = read_chunk(value, chunk)
             {
-                record.live.iter().for_each(|l| f((job.clone(), l.t)));
+                record.live_attempts.iter().for_each(|l| f((job.clone(), l.task)));
             }
         }
     }
--- a/crates/simulator/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -339,14 +339,14 @@
             list_lag_s: c.number("list_lag_s", 0.0, 600.0, Some(10.0)),
         },
         policy: Policy {
-            idle: p.number("idle", 0.0, 1e6, Some(0.75)),
-            idle_spot: p.number("idle_spot", 0.0, 1e6, Some(1.5)),
-            silent_ms: (p.number("silent_s", 1.0, 3_600.0, Some(9.0)) * 1_000.0) as u64,
-            boot_patience: p.number("boot_patience", 1.5, 100.0, Some(3.0)),
-            blind_ms: (p.number("blind_s", 0.0, BLIND_MOST_MS as f64 / 1_000.0, Some(60.0))
+            on_demand_idle_multiple: p.number("idle", 0.0, 1e6, Some(0.75)),
+            spot_idle_multiple: p.number("idle_spot", 0.0, 1e6, Some(1.5)),
+            spot_silence_timeout_ms: (p.number("silent_s", 1.0, 3_600.0, Some(9.0)) * 1_000.0) as u64,
+            provisioning_timeout_multiple: p.number("boot_patience", 1.5, 100.0, Some(3.0)),
+            store_outage_grace_ms: (p.number("blind_s", 0.0, BLIND_MOST_MS as f64 / 1_000.0, Some(60.0))
                 * 1_000.0) as u64,
-            spare: p.number("spare", 0.0, 10.0, Some(0.5)),
-            trade: ServicePlacementWeights::default(),
+            headroom_per_arrival: p.number("spare", 0.0, 10.0, Some(0.5)),
+            placement_weights: ServicePlacementWeights::default(),
         },
         chances: Chances {
             lost_txn_reply: chance("lost_txn_reply"),
--- a/crates/simulator/src/world/controllers.rs
+++ b/crates/simulator/src/world/controllers.rs
@@ -404,9 +404,9 @@
         core.refreshed(ms, true);
         if core
             .cache
-            .shards
+            .shard_leaders
             .get(&lease.shard)
-            .is_some_and(|p| p.token == lease.token)
+            .is_some_and(|p| p.fencing_token == lease.token)
         {
             core.acquire(lease, &chunks, images, ms);
         }
--- a/crates/simulator/src/world/sending.rs
+++ b/crates/simulator/src/world/sending.rs
@@ -37,7 +37,7 @@
     /// The host that a controller's copy names as a part's holder.
     pub(super) fn known_holder(&self, host: usize, shard: u16) -> Option<usize> {
         let core = self.hosts[host].core.as_ref()?;
-        let name = &core.cache.shards.get(&shard)?.host;
+        let name = &core.cache.shard_leaders.get(&shard)?.host;
         core.config.members.iter().position(|m| m.host == *name)
     }
 
--- a/crates/simulator/src/world/users.rs
+++ b/crates/simulator/src/world/users.rs
@@ -13,7 +13,7 @@
         let spec = planned.load.spec.clone();
         let h = &self.hosts[host];
         let Some(core) = h.core.as_ref() else { return };
-        let known = core.cache.knows(&id);
+        let known = core.cache.is_known(&id);
         let wait = h.writes.wait(self.now).max(h.requests.wait(self.now));
         let never = |catalog| {
             unschedulable_reason(&spec, &self.scenario.teams, &self.scenario.zones, catalog).is_some()
@@ -84,7 +84,7 @@
         let ms = self.now / MS;
         if let Some(core) = self.hosts[host].core.as_mut() {
             ends.iter()
-                .for_each(|(id, phase, version)| core.cache.settle(id, *phase, *version, ms));
+                .for_each(|(id, phase, version)| core.cache.record_end(id, *phase, *version, ms));
         }
     }
 
@@ -140,7 +140,7 @@
         if let Some(core) = self.hosts[host]
             .core
             .as_ref()
-            .filter(|core| core.cache.knows(&id))
+            .filter(|core| core.cache.is_known(&id))
         {
             let answer = core.answer(&id, self.now / MS);
             return self.answer_late(host, id, withdraw, answer);
@@ -174,7 +174,7 @@
         };
         let shard = core
             .cache
-            .teams
+            .team_shards
             .get(&team)
             .copied()
             .unwrap_or_else(|| core.config.default_shard(&team));
--- a/crates/simulator/tests/ledger.rs
+++ b/crates/simulator/tests/ledger.rs
@@ -64,14 +64,14 @@
     let read = |e: KeyValue| read_chunk(&e.value, parse_task_chunk_key(&e.key)?.1);
     let chunks: Vec<_> = entries
         .filter_map(read)
-        .filter(|c| !c.live.is_empty())
+        .filter(|c| !c.live_attempts.is_empty())
         .collect();
     let gang = chunks
         .iter()
         .map(|c| c.gang.as_ref())
         .collect::<Option<Vec<_>>>()?;
     let least = gang.iter().map(|g| g.step).min()?;
-    Some((least, gang[0].a, chunks.iter().map(|c| c.live.len()).sum()))
+    Some((least, gang[0].attempt, chunks.iter().map(|c| c.live_attempts.len()).sum()))
 }
 
 /// Goes on ms by ms; whatever of the gang is launched must be admitted.
--- a/crates/simulator/tests/meetings.rs
+++ b/crates/simulator/tests/meetings.rs
@@ -35,7 +35,7 @@
     } = scenario.workers;
     let (hold, blind) = (
         HOLD_TTL_MS as f64 / 1e3,
-        scenario.policy.blind_ms as f64 / 1e3,
+        scenario.policy.store_outage_grace_ms as f64 / 1e3,
     );
     let around = [report_s, hold, lease_s, cancel_s, blind];
     let mut all = vec![0.1];
@@ -146,7 +146,7 @@
         let holder = world.hosts[2]
             .core
             .as_ref()
-            .and_then(|c| c.cache.shards.get(&0))
+            .and_then(|c| c.cache.shard_leaders.get(&0))
             .map(|p| p.host.clone());
         assert!(holder.is_some_and(|host| host != "h00"), "{name}");
         assert_eq!(world.hosts[0].holds(0), untold, "{name}");
--- a/crates/simulator/tests/troubles.rs
+++ b/crates/simulator/tests/troubles.rs
@@ -173,7 +173,7 @@
             .store
             .get(&job_key(&job))
             .and_then(|(value, _)| from_value::<JobRecord>(value));
-        record.is_none_or(|r| r.withdrawn)
+        record.is_none_or(|r| r.cancel_requested)
     };
     let mut seen = (None, None);
     while world.now < 140_000_000 {
@@ -257,7 +257,7 @@
         let by_key = world.hosts[1]
             .core
             .as_ref()
-            .and_then(|c| c.cache.shards.get(&0))
+            .and_then(|c| c.cache.shard_leaders.get(&0))
             .map(|p| p.host.clone());
         assert_eq!(by_key.as_deref() == Some("h00"), holders[0], "{by_key:?}");
         world.run(60_000);
--- a/crates/simulator/tests/watch.rs
+++ b/crates/simulator/tests/watch.rs
@@ -92,7 +92,7 @@
             )
         })
         .collect();
-    all.sort_by_key(|(r, _)| r.n);
+    all.sort_by_key(|(r, _)| r.number);
     all
 }
 
@@ -101,18 +101,18 @@
     for shard in 0..3 {
         let ring = ring(world, shard);
         for pair in ring.windows(2) {
-            assert_eq!(pair[0].0.n + 1, pair[1].0.n, "{what}: part {shard}");
+            assert_eq!(pair[0].0.number + 1, pair[1].0.number, "{what}: part {shard}");
             assert_eq!(
-                pair[0].0.last_holder(),
-                pair[1].0.from.as_ref(),
+                pair[0].0.last_leader(),
+                pair[1].0.previous_leader.as_ref(),
                 "{what}: part {shard}"
             );
         }
         let (newest, version) = ring.last().expect("it was taken");
         let (host, token) = holder(world, shard).expect("a holder");
-        assert_eq!(newest.to.as_ref(), Some(&host), "{what}: part {shard}");
+        assert_eq!(newest.new_leader.as_ref(), Some(&host), "{what}: part {shard}");
         assert_eq!(
-            newest.closed.as_ref().map_or(Some(*version), |c| c.token),
+            newest.completion.as_ref().map_or(Some(*version), |c| c.fencing_token),
             Some(token),
             "{what}: part {shard}"
         );
@@ -169,18 +169,18 @@
             "{what}: first, two successors, back again: {entries:#?}"
         );
         assert!(
-            entries.iter().all(|(r, _)| !r.open()),
+            entries.iter().all(|(r, _)| !r.is_open()),
             "{what}: all are closed: {entries:#?}"
         );
         let left = entries
             .iter()
-            .filter(|(r, _)| r.closed.as_ref().is_some_and(|c| c.held_ms.is_some()))
+            .filter(|(r, _)| r.completion.as_ref().is_some_and(|c| c.leadership_ms.is_some()))
             .count();
         assert!(left >= 1 || after_ms == 6_000, "{what}: {entries:#?}");
         // No replica that ran is lost by it: none was started anew.
         let anew: u32 = entries
             .iter()
-            .filter_map(|(r, _)| r.closed.as_ref()?.found)
+            .filter_map(|(r, _)| r.completion.as_ref()?.found)
             .map(|(_, anew)| anew)
             .sum();
         assert_eq!(anew, 0, "{what}: {entries:#?}");
@@ -203,7 +203,7 @@
         for shard in 0..3 {
             let reborn = ring(&world, shard)
                 .iter()
-                .any(|(r, _)| r.how == LeadershipChange::Reborn);
+                .any(|(r, _)| r.change == LeadershipChange::Restarted);
             assert_eq!(
                 reborn,
                 back_ms < HOLD_TTL_MS - HOLD_RENEW_MS,
@@ -223,21 +223,21 @@
     world.run(20);
     world.store.down = true;
     world.run(60_000);
-    assert!(ring(&world, 0).last().expect("an entry").0.open());
+    assert!(ring(&world, 0).last().expect("an entry").0.is_open());
     let (host, _) = holder(&world, 0).expect("a holder");
     assert_eq!(host, host_name(second));
     let now = world.now;
     world.store.recover(now);
     world.run(30_000);
     let (record, _) = ring(&world, 0).pop().expect("an entry");
-    let closed = record.closed.expect("closed");
+    let closed = record.completion.expect("closed");
     assert_eq!(
-        (closed.by, closed.found),
+        (closed.reported_by, closed.found),
         (host, Some((10, 0))),
         "the ten replicas of the part's service were found up"
     );
     assert!(
-        closed.whole_ms.is_some_and(|ms| ms < 10_000) && closed.first_start_ms.is_some(),
+        closed.services_restored_ms.is_some_and(|ms| ms < 10_000) && closed.first_start_ms.is_some(),
         "{:?}",
         closed.unknown
     );
@@ -253,10 +253,10 @@
     let mut fill = CompareAndSwap::default();
     for n in 2..=HANDOVERS_KEPT {
         let record = FailoverRecord {
-            n,
-            from: Some(host_name(0)),
-            to: Some(host_name(0)),
-            closed: None,
+            number: n,
+            previous_leader: Some(host_name(0)),
+            new_leader: Some(host_name(0)),
+            completion: None,
             ..first.clone()
         };
         fill.writes.push(Write::put(failover_key(0, n), &record));
@@ -282,7 +282,7 @@
             .store
             .get(&failover_key(0, HANDOVERS_KEPT + 1 + n))
             .and_then(|(v, _)| from_value::<FailoverRecord>(v));
-        assert_eq!(newest.expect("overwritten").n, HANDOVERS_KEPT + 1 + n);
+        assert_eq!(newest.expect("overwritten").number, HANDOVERS_KEPT + 1 + n);
         assert_eq!(host, host_name(0), "the part is held all the same");
     }
     assert!(
@@ -359,7 +359,7 @@
         world.store.served.1 - before
     );
     let (record, _) = ring(&world, 0).pop().expect("an entry");
-    assert_eq!(record.from, Some(host_name(0)));
+    assert_eq!(record.previous_leader, Some(host_name(0)));
     assert!(
         record
             .up
--- a/crates/simulator/tests/weights.rs
+++ b/crates/simulator/tests/weights.rs
@@ -23,7 +23,7 @@
     );
     let mut scenario =
         Scenario::parse("weights", &text).unwrap_or_else(|faults| panic!("{faults:?}"));
-    scenario.policy.trade = trade;
+    scenario.policy.placement_weights = trade;
     scenario
 }
 
@@ -241,11 +241,11 @@
 }
 
 const LOCALITY: ServicePlacementWeights = ServicePlacementWeights {
-    machine: 0.0,
-    zone: 0.0,
-    one_zone: 0.0,
-    pin_s: 0.0,
-    move_s: 3_600.0,
+    machine_loss: 0.0,
+    zone_loss: 0.0,
+    single_zone: 0.0,
+    machine_pin_cost_s: 0.0,
+    min_migration_gain_s: 3_600.0,
 };
 
 /// 60 GB take 200 s: a replica whose machine is lost starts again where the weights lie,
@@ -371,7 +371,7 @@
             &["north"],
             8,
             ServicePlacementWeights {
-                move_s: 3_600.0,
+                min_migration_gain_s: 3_600.0,
                 ..ServicePlacementWeights::default()
             },
         ),
@@ -476,7 +476,7 @@
     );
     let mut scenario =
         Scenario::parse("figures", &text).unwrap_or_else(|faults| panic!("{faults:?}"));
-    scenario.policy.trade = trade;
+    scenario.policy.placement_weights = trade;
     let mut lab = Lab::new(scenario, seed);
     let image = |n: u32| format!("m-{}", n * n % f.images);
     for n in 0..f.services {
@@ -587,15 +587,15 @@
         },
     ];
     let spread = ServicePlacementWeights {
-        machine: 1_000.0,
-        zone: 1_000.0,
-        one_zone: 1_000.0,
-        pin_s: 0.0,
-        move_s: 1.0,
+        machine_loss: 1_000.0,
+        zone_loss: 1_000.0,
+        single_zone: 1_000.0,
+        machine_pin_cost_s: 0.0,
+        min_migration_gain_s: 1.0,
     };
     let careful = ServicePlacementWeights {
-        machine: 2.0,
-        zone: 0.5,
+        machine_loss: 2.0,
+        zone_loss: 0.5,
         ..ServicePlacementWeights::default()
     };
     let trades = [
--- a/crates/storage/src/dependencies.rs
+++ b/crates/storage/src/dependencies.rs
@@ -21,7 +21,8 @@
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Eq)]
 pub struct DependencyPage {
     /// Their ids.
-    pub awaits: Vec<JobId>,
+    #[serde(rename = "awaits")]
+    pub depends_on: Vec<JobId>,
 }
 
 /// Key of a job that waits for others.
@@ -68,7 +69,7 @@
             Write::put(
                 dependency_page_key(id, page),
                 &DependencyPage {
-                    awaits: awaits.to_vec(),
+                    depends_on: awaits.to_vec(),
                 },
             )
         })
@@ -81,7 +82,7 @@
         })
         .collect();
     let mut head = record.clone();
-    head.awaited = record.spec.awaits.len();
+    head.dependency_count = record.spec.awaits.len();
     head.spec.awaits = first;
     cas_list.push(CompareAndSwap {
         conditions: job_absent_conditions(id),
@@ -139,7 +140,7 @@
     }));
     let mut job = record.clone();
     job.spec.awaits.clear();
-    job.awaited = 0;
+    job.dependency_count = 0;
     CompareAndSwap {
         conditions,
         writes: vec![
--- a/crates/storage/src/failovers.rs
+++ b/crates/storage/src/failovers.rs
@@ -38,11 +38,14 @@
     /// Taken without a holder: the last one's hold has run out, or none ever was.
     Vacant,
     /// Taken by a later life of the process that held it.
-    Reborn,
+    #[serde(rename = "reborn")]
+    Restarted,
     /// Given to its home, which lives again.
-    HandedBack,
+    #[serde(rename = "handed_back")]
+    ReturnedHome,
     /// Left by a holder that can't hear its machines.
-    Left,
+    #[serde(rename = "left")]
+    Ceded,
     /// What a later version knows.
     #[serde(other)]
     Other,
@@ -52,39 +55,43 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FailoverRecord {
     /// Its number among the part's, from 1.
-    pub n: u64,
+    #[serde(rename = "n")]
+    pub number: u64,
     /// Who held the part before; none: nobody known.
-    #[serde(default)]
-    pub from: Option<String>,
+    #[serde(rename = "from", default)]
+    pub previous_leader: Option<String>,
     /// Who takes it; none: it is given up.
-    #[serde(default)]
-    pub to: Option<String>,
+    #[serde(rename = "to", default)]
+    pub new_leader: Option<String>,
     /// How.
-    pub how: LeadershipChange,
+    #[serde(rename = "how")]
+    pub change: LeadershipChange,
     /// Time of day, ms.
-    pub at: u64,
+    #[serde(rename = "at")]
+    pub at_ms: u64,
     /// Replicas, other tasks and machines that the writer knew to be up in the part.
     #[serde(default)]
     pub up: Option<(u32, u32, u32)>,
     /// What was found afterwards; none: not written yet, or nobody lived to.
-    #[serde(default)]
-    pub closed: Option<FailoverCompletion>,
+    #[serde(rename = "closed", default)]
+    pub completion: Option<FailoverCompletion>,
 }
 
 /// What was found after a change of hands.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FailoverCompletion {
     /// Who wrote it: the taker, or a successor that can only tell what it found.
-    pub by: String,
+    #[serde(rename = "by")]
+    pub reported_by: String,
     /// ms from the change until records and machines were read.
-    #[serde(default)]
-    pub read_ms: Option<u64>,
+    #[serde(rename = "read_ms", default)]
+    pub state_loaded_ms: Option<u64>,
     /// ms until the first start by the new holder.
     #[serde(default)]
     pub first_start_ms: Option<u64>,
     /// ms until all replicas were up again.
-    #[serde(default)]
-    pub whole_ms: Option<u64>,
+    #[serde(rename = "whole_ms", default)]
+    pub services_restored_ms: Option<u64>,
     /// Replicas that were found up, and that had to be started anew.
     #[serde(default)]
     pub found: Option<(u32, u32)>,
@@ -95,22 +102,22 @@
     #[serde(default)]
     pub unknown: Vec<String>,
     /// The part's token, if this took it.
-    #[serde(default)]
-    pub token: Option<u64>,
+    #[serde(rename = "token", default)]
+    pub fencing_token: Option<u64>,
     /// ms until the next change of hands, where a later holder closes it.
-    #[serde(default)]
-    pub held_ms: Option<u64>,
+    #[serde(rename = "held_ms", default)]
+    pub leadership_ms: Option<u64>,
 }
 
 impl FailoverRecord {
     /// Somebody took the part, and what was found is not written yet.
-    pub fn open(&self) -> bool {
-        self.to.is_some() && self.closed.is_none()
+    pub fn is_open(&self) -> bool {
+        self.new_leader.is_some() && self.completion.is_none()
     }
 
     /// Who held the part last, as far as this tells.
-    pub fn last_holder(&self) -> Option<&String> {
-        self.to.as_ref().or(self.from.as_ref())
+    pub fn last_leader(&self) -> Option<&String> {
+        self.new_leader.as_ref().or(self.previous_leader.as_ref())
     }
 }
 
@@ -127,8 +134,8 @@
 
 impl NewFailover {
     /// Adds it to the transaction that it tells of, or that closes it.
-    pub fn join(&self, cas: &mut CompareAndSwap) {
-        let key = failover_key(self.shard, self.record.n);
+    pub fn add_to(&self, cas: &mut CompareAndSwap) {
+        let key = failover_key(self.shard, self.record.number);
         cas.conditions.push(Condition {
             key: key.clone(),
             version: self.slot_version,
@@ -143,16 +150,16 @@
     /// Entries by part and slot, with the versions of their keys.
     entries: BTreeMap<(u16, u64), (FailoverRecord, u64)>,
     /// Versions of those that can't be read.
-    odd: BTreeMap<(u16, u64), u64>,
+    unreadable: BTreeMap<(u16, u64), u64>,
     /// Keys that were named in the log.
-    named: BTreeSet<String>,
+    logged_keys: BTreeSet<String>,
 }
 
 impl FailoverHistory {
     /// Forgets all; a full reading follows.
     pub(crate) fn clear(&mut self) {
         self.entries.clear();
-        self.odd.clear();
+        self.unreadable.clear();
     }
 
     /// Takes the value of the key below `w/hand/`.
@@ -162,20 +169,20 @@
         // Guards against a number that no count of changes reaches: all later ones
         // would follow it.
         let record = record.filter(|r| {
-            (1..=HANDOVERS_MOST).contains(&r.n)
-                && slot.is_some_and(|(_, s)| r.n % HANDOVERS_KEPT == s)
+            (1..=HANDOVERS_MOST).contains(&r.number)
+                && slot.is_some_and(|(_, s)| r.number % HANDOVERS_KEPT == s)
         });
         match (slot, record) {
             (Some(slot), Some(record)) => {
-                self.odd.remove(&slot);
+                self.unreadable.remove(&slot);
                 self.entries.insert(slot, (record, version));
             }
             (slot, _) => {
                 if let Some(slot) = slot {
                     self.entries.remove(&slot);
-                    self.odd.insert(slot, version);
+                    self.unreadable.insert(slot, version);
                 }
-                if self.named.len() < ODD_HANDOVERS && self.named.insert(rest.to_owned()) {
+                if self.logged_keys.len() < ODD_HANDOVERS && self.logged_keys.insert(rest.to_owned()) {
                     tracing::error!(key = rest, "entry of a handover not understood; skipped");
                 }
             }
@@ -186,18 +193,18 @@
     pub(crate) fn remove(&mut self, rest: &str) {
         if let Some(slot) = parse_failover_key(rest) {
             self.entries.remove(&slot);
-            self.odd.remove(&slot);
+            self.unreadable.remove(&slot);
         }
     }
 
     /// A part's entries in their order, each with its version.
-    pub fn of(&self, shard: u16) -> Vec<(&FailoverRecord, u64)> {
+    pub fn entries_of(&self, shard: u16) -> Vec<(&FailoverRecord, u64)> {
         let mut all: Vec<_> = self
             .entries
             .range((shard, 0)..=(shard, u64::MAX))
             .map(|(_, (r, v))| (r, *v))
             .collect();
-        all.sort_by_key(|(r, _)| r.n);
+        all.sort_by_key(|(r, _)| r.number);
         all
     }
 
@@ -207,11 +214,11 @@
     }
 
     /// The entry with this number, as one to be written anew.
-    pub fn again(&self, shard: u16, number: u64) -> Option<NewFailover> {
+    pub fn rewrite(&self, shard: u16, number: u64) -> Option<NewFailover> {
         let (record, version) = self
             .entries
             .get(&(shard, number % HANDOVERS_KEPT))
-            .filter(|(r, _)| r.n == number)?;
+            .filter(|(r, _)| r.number == number)?;
         Some(NewFailover {
             shard,
             slot_version: *version,
@@ -221,9 +228,9 @@
 
     /// The number of a part's next entry, and the version that its slot has. What
     /// can't be read is left to who can, unless there is nothing else.
-    pub fn next(&self, shard: u16) -> (u64, u64) {
-        let newest = self.of(shard).last().map_or(0, |(r, _)| r.n);
-        let odd = |n: u64| self.odd.contains_key(&(shard, n % HANDOVERS_KEPT));
+    pub fn next_slot(&self, shard: u16) -> (u64, u64) {
+        let newest = self.entries_of(shard).last().map_or(0, |(r, _)| r.number);
+        let odd = |n: u64| self.unreadable.contains_key(&(shard, n % HANDOVERS_KEPT));
         let number = (newest + 1..=newest + HANDOVERS_KEPT)
             .find(|n| !odd(*n))
             .unwrap_or(newest + 1);
@@ -233,7 +240,7 @@
             self.entries
                 .get(&slot)
                 .map(|(_, v)| *v)
-                .or_else(|| self.odd.get(&slot).copied())
+                .or_else(|| self.unreadable.get(&slot).copied())
                 .unwrap_or(0),
         )
     }
--- a/crates/storage/src/packed_chunk.rs
+++ b/crates/storage/src/packed_chunk.rs
@@ -15,31 +15,35 @@
 #[derive(Debug, Serialize, Deserialize)]
 struct PackedChunk {
     team: String,
-    need: Resources,
-    next: u32,
-    done: Vec<(u32, u32)>,
+    #[serde(rename = "need")]
+    task_resources: Resources,
+    #[serde(rename = "next")]
+    next_attempt: u32,
+    #[serde(rename = "done")]
+    done_ranges: Vec<(u32, u32)>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     gang: Option<GangAdmissionRecord>,
     /// Zones of the attempts' machines.
     zones: Vec<String>,
     /// Task within the chunk, attempt, shard, position in `zones`, machine.
-    packed: Vec<String>,
+    #[serde(rename = "packed")]
+    live_attempts: Vec<String>,
 }
 
 fn pack(live: &LiveAttemptRecord, zones: &mut Vec<String>) -> String {
     let zone = zones
         .iter()
-        .position(|zone| *zone == live.z)
+        .position(|zone| *zone == live.zone)
         .unwrap_or_else(|| {
-            zones.push(live.z.clone());
+            zones.push(live.zone.clone());
             zones.len() - 1
         });
     format!(
         "{}.{}.{}.{zone}.{}",
-        live.t % CHUNK_TASKS,
-        live.a,
-        live.p,
-        live.m
+        live.task % CHUNK_TASKS,
+        live.attempt,
+        live.shard,
+        live.machine
     )
 }
 
@@ -48,11 +52,11 @@
     let mut number = || fields.next()?.parse::<u32>().ok();
     let (task, attempt, shard, zone) = (number()?, number()?, number()?, number()?);
     Some(LiveAttemptRecord {
-        t: chunk * CHUNK_TASKS + task,
-        a: attempt,
-        p: u16::try_from(shard).ok()?,
-        z: zones.get(zone as usize)?.clone(),
-        m: MachineId::from(fields.next()?),
+        task: chunk * CHUNK_TASKS + task,
+        attempt: attempt,
+        shard: u16::try_from(shard).ok()?,
+        zone: zones.get(zone as usize)?.clone(),
+        machine: MachineId::from(fields.next()?),
     })
 }
 
@@ -63,26 +67,26 @@
     }
     let mut zones = Vec::new();
     let packed = record
-        .live
+        .live_attempts
         .iter()
         .map(|live| pack(live, &mut zones))
         .collect();
     let TaskChunkRecord {
         team,
-        need,
-        next,
-        done,
+        task_resources: need,
+        next_attempt: next,
+        done_ranges: done,
         gang,
         ..
     } = record.clone();
     to_value(&PackedChunk {
         team,
-        need,
-        next,
-        done,
+        task_resources: need,
+        next_attempt: next,
+        done_ranges: done,
         gang,
         zones,
-        packed,
+        live_attempts: packed,
     })
 }
 
@@ -90,12 +94,12 @@
 pub fn read_chunk(value: &rmpv::Value, chunk: u32) -> Option<TaskChunkRecord> {
     let Some(PackedChunk {
         team,
-        need,
-        next,
-        done,
+        task_resources: need,
+        next_attempt: next,
+        done_ranges: done,
         gang,
         zones,
-        packed,
+        live_attempts: packed,
     }) = from_value(value)
     else {
         return from_value(value);
@@ -107,10 +111,10 @@
         .collect();
     Some(TaskChunkRecord {
         team,
-        need,
-        next,
-        done,
-        live: live?,
+        task_resources: need,
+        next_attempt: next,
+        done_ranges: done,
+        live_attempts: live?,
         gang,
     })
 }
--- a/crates/storage/src/records.rs
+++ b/crates/storage/src/records.rs
@@ -82,15 +82,16 @@
     /// What the user asked for.
     pub spec: JobSpec,
     /// Time of day of the submission, ms.
-    pub at: u64,
+    #[serde(rename = "at")]
+    pub submitted_at_ms: u64,
     /// Its user asked to withdraw it: nothing of it starts any more, and once
     /// no attempt is left its end is written.
-    #[serde(default)]
-    pub withdrawn: bool,
+    #[serde(rename = "withdrawn", default)]
+    pub cancel_requested: bool,
     /// Jobs that it awaits, of which its `spec` may name only the first page; 0 once it
     /// may start.
-    #[serde(default, skip_serializing_if = "is_zero")]
-    pub awaited: usize,
+    #[serde(rename = "awaited", default, skip_serializing_if = "is_zero")]
+    pub dependency_count: usize,
 }
 
 fn is_zero(count: &usize) -> bool {
@@ -111,14 +112,14 @@
     pub zone: String,
     /// Format of the messages between controllers that it speaks; 0: an earlier
     /// one than the first that is told here.
-    #[serde(default)]
-    pub format: u8,
+    #[serde(rename = "format", default)]
+    pub peer_version: u8,
     /// Parts whose machines it can't hear, which it leaves to others.
-    #[serde(default)]
-    pub deaf: Vec<u16>,
+    #[serde(rename = "deaf", default)]
+    pub ceded_shards: Vec<u16>,
     /// Newest form of the records that it reads; 0: one before the first that is told.
-    #[serde(default)]
-    pub reads: u32,
+    #[serde(rename = "reads", default)]
+    pub record_version: u32,
 }
 
 /// Key of the version that all controllers know.
@@ -168,9 +169,11 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq, Eq)]
 pub struct ImageLocationsRecord {
     /// Images with their sizes in thousandths of a GB.
-    pub n: Vec<(String, u64)>,
+    #[serde(rename = "n")]
+    pub images: Vec<(String, u64)>,
     /// Machines with their images, as positions in `n`, most recently used first.
-    pub m: Vec<(MachineId, Vec<u16>)>,
+    #[serde(rename = "m")]
+    pub machines: Vec<(MachineId, Vec<u16>)>,
 }
 
 /// Which part serves a team.
@@ -194,13 +197,17 @@
     /// The team, so that its use is counted when the job itself is over.
     pub team: String,
     /// What a task takes.
-    pub need: Resources,
+    #[serde(rename = "need")]
+    pub task_resources: Resources,
     /// The next attempt number of the job.
-    pub next: u32,
+    #[serde(rename = "next")]
+    pub next_attempt: u32,
     /// Ranges of done tasks, first and last.
-    pub done: Vec<(u32, u32)>,
+    #[serde(rename = "done")]
+    pub done_ranges: Vec<(u32, u32)>,
     /// Attempts not proven to be over.
-    pub live: Vec<LiveAttemptRecord>,
+    #[serde(rename = "live")]
+    pub live_attempts: Vec<LiveAttemptRecord>,
     /// Of a gang: how far its admission has come. None of a gang that an earlier
     /// version admitted: it may have been started.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -213,9 +220,11 @@
     /// How far it has come.
     pub step: GangAdmissionStep,
     /// Time of day of that step, ms.
-    pub at: u64,
+    #[serde(rename = "at")]
+    pub at_ms: u64,
     /// The attempt that its members share.
-    pub a: u32,
+    #[serde(rename = "a")]
+    pub attempt: u32,
 }
 
 /// Steps of a gang's admission, in their order.
@@ -237,15 +246,20 @@
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub struct LiveAttemptRecord {
     /// Task.
-    pub t: u32,
+    #[serde(rename = "t")]
+    pub task: u32,
     /// Attempt.
-    pub a: u32,
+    #[serde(rename = "a")]
+    pub attempt: u32,
     /// Machine.
-    pub m: MachineId,
+    #[serde(rename = "m")]
+    pub machine: MachineId,
     /// Part of the machine.
-    pub p: u16,
+    #[serde(rename = "p")]
+    pub shard: u16,
     /// Zone of the machine.
-    pub z: String,
+    #[serde(rename = "z")]
+    pub zone: String,
 }
 
 /// Accepts a job: neither it nor its end may be known.
@@ -275,7 +289,7 @@
 pub fn request_cancellation(record: &JobRecord, version: u64) -> CompareAndSwap {
     let key = job_key(&record.spec.id);
     let asked = JobRecord {
-        withdrawn: true,
+        cancel_requested: true,
         ..record.clone()
     };
     CompareAndSwap {
@@ -306,7 +320,7 @@
             hold: Some(hold),
         }],
     };
-    entry.join(&mut cas);
+    entry.add_to(&mut cas);
     cas
 }
 
@@ -320,7 +334,7 @@
         }],
         writes: vec![Write::Delete { key }],
     };
-    entry.join(&mut cas);
+    entry.add_to(&mut cas);
     cas
 }
 
@@ -343,9 +357,9 @@
 pub fn register_controller(host: &str, zone: &str, hold: u64, deaf: Vec<u16>) -> CompareAndSwap {
     let record = ControllerRecord {
         zone: zone.to_owned(),
-        format: PEER_VERSION,
-        deaf,
-        reads: PACKED_VERSION,
+        peer_version: PEER_VERSION,
+        ceded_shards: deaf,
+        record_version: PACKED_VERSION,
     };
     CompareAndSwap {
         conditions: Vec::new(),
@@ -424,11 +438,14 @@
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Eq)]
 pub struct StoreMessageRecord {
     /// Pieces of the message.
-    pub n: usize,
+    #[serde(rename = "n")]
+    pub chunk_count: usize,
     /// Token and number of the message: pieces of one message agree.
-    pub id: (u64, u64),
+    #[serde(rename = "id")]
+    pub message_id: (u64, u64),
     /// The bytes.
-    pub b: String,
+    #[serde(rename = "b")]
+    pub payload_base64: String,
 }
 
 /// Writes a peer message in as many values of `piece_bytes` as it takes, to
@@ -443,9 +460,9 @@
     let pieces: Vec<&[u8]> = bytes.chunks(piece_bytes.max(1)).collect();
     let value = |piece: &[u8]| {
         to_value(&StoreMessageRecord {
-            n: pieces.len(),
-            id,
-            b: BASE64_STANDARD.encode(piece),
+            chunk_count: pieces.len(),
+            message_id: id,
+            payload_base64: BASE64_STANDARD.encode(piece),
         })
     };
     let put = |(k, piece): (usize, &&[u8])| Write::Put {
--- a/crates/storage/src/state_cache.rs
+++ b/crates/storage/src/state_cache.rs
@@ -42,7 +42,7 @@
     /// Done or cancelled.
     pub phase: JobPhase,
     /// When this node learned of it, ms.
-    pub learned: u64,
+    pub learned_at_ms: u64,
     /// Version of its key.
     pub version: u64,
 }
@@ -53,7 +53,7 @@
     /// Host name.
     pub host: String,
     /// The part's token: the version of its key.
-    pub token: u64,
+    pub fencing_token: u64,
 }
 
 /// The copy.
@@ -64,27 +64,27 @@
     /// Unfinished jobs.
     pub jobs: BTreeMap<JobId, CachedJob>,
     /// Jobs that wait for others.
-    pub waiting: BTreeMap<JobId, BlockedJob>,
+    pub blocked_jobs: BTreeMap<JobId, BlockedJob>,
     /// Further pages of what they await.
-    awaits_pages: BTreeMap<(JobId, usize), Vec<JobId>>,
+    dependency_pages: BTreeMap<(JobId, usize), Vec<JobId>>,
     /// Counts changes of jobs that wait.
-    pub waiting_changes: u64,
+    pub blocked_job_changes: u64,
     /// Counts jobs that ended or went.
     ended_changes: u64,
     /// Owners of parts.
-    pub shards: BTreeMap<u16, ShardLeader>,
+    pub shard_leaders: BTreeMap<u16, ShardLeader>,
     /// Living nodes.
-    pub nodes: BTreeMap<String, ControllerRecord>,
+    pub controllers: BTreeMap<String, ControllerRecord>,
     /// Newest form of the records that every controller reads, and the version of its key.
     pub records_version: (u32, u64),
     /// Parts of teams.
-    pub teams: BTreeMap<String, u16>,
+    pub team_shards: BTreeMap<String, u16>,
     /// The parts' changes of hands.
     pub failovers: FailoverHistory,
     /// Jobs that came, changed or went since they were last looked at.
-    touched: BTreeSet<JobId>,
-    mail: BTreeMap<(StoreMessageRoute, usize), StoreMessageRecord>,
-    new_mail: BTreeSet<StoreMessageRoute>,
+    changed_jobs: BTreeSet<JobId>,
+    messages: BTreeMap<(StoreMessageRoute, usize), StoreMessageRecord>,
+    unread_messages: BTreeSet<StoreMessageRoute>,
     /// Settled ends.
     ends: HashMap<JobId, FinalState>,
     ends_order: VecDeque<JobId>,
@@ -92,17 +92,17 @@
 
 impl StateCache {
     /// Takes a full reading.
-    pub fn replace(&mut self, entries: &[KeyValue], revision: u64) {
-        self.touched
+    pub fn load_snapshot(&mut self, entries: &[KeyValue], revision: u64) {
+        self.changed_jobs
             .extend(std::mem::take(&mut self.jobs).into_keys());
-        self.waiting.clear();
-        self.awaits_pages.clear();
-        self.waiting_changes += 1;
-        self.shards.clear();
-        self.nodes.clear();
-        self.teams.clear();
+        self.blocked_jobs.clear();
+        self.dependency_pages.clear();
+        self.blocked_job_changes += 1;
+        self.shard_leaders.clear();
+        self.controllers.clear();
+        self.team_shards.clear();
         self.failovers.clear();
-        self.mail.clear();
+        self.messages.clear();
         for entry in entries {
             self.set(&entry.key, &entry.value, entry.version);
         }
@@ -110,7 +110,7 @@
     }
 
     /// Takes changes in their order, as they are learned at `now`, ms.
-    pub fn apply(&mut self, changes: &[WatchEvent], revision: u64, now: u64) {
+    pub fn apply_changes(&mut self, changes: &[WatchEvent], revision: u64, now: u64) {
         for change in changes {
             match (&change.set, &change.drop, &change.value) {
                 (Some(key), _, Some(value)) => self.set(key, value, change.version),
@@ -125,7 +125,7 @@
         let known = match key.strip_prefix("w/").and_then(|k| k.split_once('/')) {
             Some(("job", id)) => match (JobId::parse(id), from_value::<JobRecord>(value)) {
                 (Some(id), Some(record)) => {
-                    self.touched.insert(id.clone());
+                    self.changed_jobs.insert(id.clone());
                     self.jobs.insert(
                         id,
                         CachedJob {
@@ -142,12 +142,12 @@
                 (Ok(index), Some(record)) => {
                     // Guards against going back to a holder from before one that a
                     // peer has told of already: the copy learns what lies between later.
-                    if self.shards.get(&index).is_none_or(|h| h.token < version) {
-                        self.shards.insert(
+                    if self.shard_leaders.get(&index).is_none_or(|h| h.fencing_token < version) {
+                        self.shard_leaders.insert(
                             index,
                             ShardLeader {
                                 host: record.host,
-                                token: version,
+                                fencing_token: version,
                             },
                         );
                     }
@@ -157,7 +157,7 @@
             },
             Some(("node", host)) => match from_value::<ControllerRecord>(value) {
                 Some(record) => {
-                    self.nodes.insert(host.to_owned(), record);
+                    self.controllers.insert(host.to_owned(), record);
                     true
                 }
                 None => false,
@@ -171,7 +171,7 @@
             },
             Some(("team", team)) => match from_value::<TeamAssignmentRecord>(value) {
                 Some(record) => {
-                    self.teams.insert(team.to_owned(), record.shard);
+                    self.team_shards.insert(team.to_owned(), record.shard);
                     true
                 }
                 None => false,
@@ -185,8 +185,8 @@
                 from_value::<StoreMessageRecord>(value),
             ) {
                 (Some((line, piece)), Some(record)) => {
-                    self.mail.insert((line, piece), record);
-                    self.new_mail.insert(line);
+                    self.messages.insert((line, piece), record);
+                    self.unread_messages.insert(line);
                     true
                 }
                 _ => false,
@@ -205,38 +205,38 @@
                 self.ended_changes += 1;
                 // A job that nobody asked to withdraw leaves when it is done: its
                 // end needs no reading.
-                if self.jobs.remove(&id).is_some_and(|j| !j.record.withdrawn) {
+                if self.jobs.remove(&id).is_some_and(|j| !j.record.cancel_requested) {
                     // The end was written in the same transaction, at this revision.
-                    self.settle(&id, JobPhase::Done, version, now);
+                    self.record_end(&id, JobPhase::Done, version, now);
                 }
-                self.touched.insert(id);
+                self.changed_jobs.insert(id);
             }
             Some(("chain", rest)) => {
-                self.waiting_changes += 1;
+                self.blocked_job_changes += 1;
                 match parse_blocked_job_key(rest) {
-                    Some((id, 0)) => drop(self.waiting.remove(&id)),
-                    Some(page) => drop(self.awaits_pages.remove(&page)),
+                    Some((id, 0)) => drop(self.blocked_jobs.remove(&id)),
+                    Some(page) => drop(self.dependency_pages.remove(&page)),
                     None => {}
                 }
             }
             Some(("part", index)) => {
                 // The same guard: a holder that came after this is still there.
                 if let Ok(index) = index.parse::<u16>()
-                    && self.shards.get(&index).is_some_and(|h| h.token < version)
+                    && self.shard_leaders.get(&index).is_some_and(|h| h.fencing_token < version)
                 {
-                    self.shards.remove(&index);
+                    self.shard_leaders.remove(&index);
                 }
             }
             Some(("node", host)) => {
-                self.nodes.remove(host);
+                self.controllers.remove(host);
             }
             Some(("team", team)) => {
-                self.teams.remove(team);
+                self.team_shards.remove(team);
             }
             Some(("hand", rest)) => self.failovers.remove(rest),
             Some(("mail", rest)) => {
                 if let Some(key) = parse_store_message_key(rest) {
-                    self.mail.remove(&key);
+                    self.messages.remove(&key);
                 }
             }
             _ => {}
@@ -244,13 +244,13 @@
     }
 
     fn set_waiting(&mut self, rest: &str, value: &rmpv::Value, version: u64) -> bool {
-        self.waiting_changes += 1;
+        self.blocked_job_changes += 1;
         match parse_blocked_job_key(rest) {
             Some((id, 0)) => {
                 let Some(record) = from_value::<JobRecord>(value) else {
                     return false;
                 };
-                self.waiting.insert(
+                self.blocked_jobs.insert(
                     id,
                     BlockedJob {
                         record: Arc::new(record),
@@ -260,10 +260,10 @@
                 true
             }
             Some(page) => {
-                let Some(DependencyPage { awaits }) = from_value(value) else {
+                let Some(DependencyPage { depends_on: awaits }) = from_value(value) else {
                     return false;
                 };
-                self.awaits_pages.insert(page, awaits);
+                self.dependency_pages.insert(page, awaits);
                 true
             }
             None => false,
@@ -271,38 +271,38 @@
     }
 
     /// The jobs that one awaits, if all pages of them are here.
-    pub fn awaits(&self, id: &JobId) -> Option<Vec<JobId>> {
-        let record = &self.waiting.get(id)?.record;
+    pub fn dependencies(&self, id: &JobId) -> Option<Vec<JobId>> {
+        let record = &self.blocked_jobs.get(id)?.record;
         let mut awaits = record.spec.awaits.clone();
         for page in 1.. {
-            if awaits.len() >= record.awaited {
+            if awaits.len() >= record.dependency_count {
                 break;
             }
-            awaits.extend(self.awaits_pages.get(&(id.clone(), page))?.iter().cloned());
+            awaits.extend(self.dependency_pages.get(&(id.clone(), page))?.iter().cloned());
         }
         Some(awaits)
     }
 
     /// Further pages of jobs that wait no more.
-    pub fn stray_pages(&self) -> impl Iterator<Item = &(JobId, usize)> {
-        self.awaits_pages
+    pub fn orphaned_dependency_pages(&self) -> impl Iterator<Item = &(JobId, usize)> {
+        self.dependency_pages
             .keys()
-            .filter(|(id, _)| !self.waiting.contains_key(id))
+            .filter(|(id, _)| !self.blocked_jobs.contains_key(id))
     }
 
     /// Changes with any of which waiting jobs may stand otherwise.
-    pub fn chain_changes(&self) -> u64 {
-        self.waiting_changes + self.ended_changes
+    pub fn dependency_changes(&self) -> u64 {
+        self.blocked_job_changes + self.ended_changes
     }
 
     /// True if the job is accepted, as far as this copy tells.
-    pub fn knows(&self, id: &JobId) -> bool {
-        self.jobs.contains_key(id) || self.waiting.contains_key(id) || self.ends.contains_key(id)
+    pub fn is_known(&self, id: &JobId) -> bool {
+        self.jobs.contains_key(id) || self.blocked_jobs.contains_key(id) || self.ends.contains_key(id)
     }
 
     /// What the user of an unfinished job asked for.
-    pub fn spec(&self, id: &JobId) -> Option<&JobSpec> {
-        let waiting = || self.waiting.get(id).map(|waiting| &waiting.record.spec);
+    pub fn job_spec(&self, id: &JobId) -> Option<&JobSpec> {
+        let waiting = || self.blocked_jobs.get(id).map(|waiting| &waiting.record.spec);
         self.jobs
             .get(id)
             .map(|job| &job.record.spec)
@@ -310,32 +310,32 @@
     }
 
     /// Jobs that came, changed or went since the last call.
-    pub fn take_touched(&mut self) -> BTreeSet<JobId> {
-        std::mem::take(&mut self.touched)
+    pub fn take_changed_jobs(&mut self) -> BTreeSet<JobId> {
+        std::mem::take(&mut self.changed_jobs)
     }
 
     /// Messages that came since the last call, whole ones only.
-    pub fn take_mail(&mut self) -> Vec<(StoreMessageRoute, Vec<u8>)> {
-        let lines = std::mem::take(&mut self.new_mail);
+    pub fn take_messages(&mut self) -> Vec<(StoreMessageRoute, Vec<u8>)> {
+        let lines = std::mem::take(&mut self.unread_messages);
         lines
             .into_iter()
-            .filter_map(|line| self.letter(line).map(|bytes| (line, bytes)))
+            .filter_map(|line| self.assemble_message(line).map(|bytes| (line, bytes)))
             .collect()
     }
 
     /// Puts the pieces of a message together, if they agree.
-    fn letter(&self, line: StoreMessageRoute) -> Option<Vec<u8>> {
-        let first = self.mail.get(&(line, 0))?;
+    fn assemble_message(&self, line: StoreMessageRoute) -> Option<Vec<u8>> {
+        let first = self.messages.get(&(line, 0))?;
         let mut bytes = Vec::new();
-        for piece in 0..first.n {
-            let record = self.mail.get(&(line, piece)).filter(|r| r.id == first.id)?;
-            bytes.extend(BASE64_STANDARD.decode(&record.b).ok()?);
+        for piece in 0..first.chunk_count {
+            let record = self.messages.get(&(line, piece)).filter(|r| r.message_id == first.message_id)?;
+            bytes.extend(BASE64_STANDARD.decode(&record.payload_base64).ok()?);
         }
         Some(bytes)
     }
 
     /// Remembers a settled end, learned now; it never changes.
-    pub fn settle(&mut self, job: &JobId, phase: JobPhase, version: u64, now: u64) {
+    pub fn record_end(&mut self, job: &JobId, phase: JobPhase, version: u64, now: u64) {
         if self.ends.contains_key(job) {
             return;
         }
@@ -344,7 +344,7 @@
             job.clone(),
             FinalState {
                 phase,
-                learned: now,
+                learned_at_ms: now,
                 version,
             },
         );
@@ -357,7 +357,7 @@
     }
 
     /// A settled end, if remembered.
-    pub fn end(&self, job: &JobId) -> Option<FinalState> {
+    pub fn job_end(&self, job: &JobId) -> Option<FinalState> {
         self.ends.get(job).copied()
     }
 }
--- a/crates/storage/tests/golden_records.rs
+++ b/crates/storage/tests/golden_records.rs
@@ -140,52 +140,52 @@
             deadline_s: Some(900.0),
             awaits: (1..=awaits).map(id).collect(),
         },
-        at: NOW,
-        withdrawn,
-        awaited: awaits,
+        submitted_at_ms: NOW,
+        cancel_requested: withdrawn,
+        dependency_count: awaits,
     }
 }
 
 fn chunk(index: u32, gang: Option<GangAdmissionStep>) -> TaskChunkRecord {
     let first = index * CHUNK_TASKS;
     let live = |t, a, m: &str, p, z: &str| LiveAttemptRecord {
-        t: first + t,
-        a,
-        m: MachineId::from(m),
-        p,
-        z: z.into(),
+        task: first + t,
+        attempt: a,
+        machine: MachineId::from(m),
+        shard: p,
+        zone: z.into(),
     };
     TaskChunkRecord {
         team: "vision".into(),
-        need: Resources {
+        task_resources: Resources {
             cpus: 8_250,
             gpus: 1_000,
             memory: 64_500,
         },
-        next: 9,
-        done: vec![(first, first + 2), (first + 4, first + 4)],
-        live: vec![
+        next_attempt: 9,
+        done_ranges: vec![(first, first + 2), (first + 4, first + 4)],
+        live_attempts: vec![
             live(3, 7, "n-000231", 1, "eemsmond"),
             live(5, 8, "n-0.2.32", 2, "rijnmond"),
             live(63, 6, "n-000233", 1, "eemsmond"),
         ],
         gang: gang.map(|step| GangAdmissionRecord {
             step,
-            at: NOW,
-            a: 7,
+            at_ms: NOW,
+            attempt: 7,
         }),
     }
 }
 
 fn failover(how: LeadershipChange, from: Option<&str>, to: Option<&str>) -> FailoverRecord {
     FailoverRecord {
-        n: 35,
-        from: from.map(str::to_owned),
-        to: to.map(str::to_owned),
-        how,
-        at: NOW,
+        number: 35,
+        previous_leader: from.map(str::to_owned),
+        new_leader: to.map(str::to_owned),
+        change: how,
+        at_ms: NOW,
         up: Some((30, 20, 10)),
-        closed: None,
+        completion: None,
     }
 }
 
@@ -209,8 +209,8 @@
     ] {
         let read = golden.record(name, &record);
         assert_eq!(
-            (read.spec, read.at, read.withdrawn, read.awaited),
-            (record.spec, record.at, record.withdrawn, record.awaited)
+            (read.spec, read.submitted_at_ms, read.cancel_requested, read.dependency_count),
+            (record.spec, record.submitted_at_ms, record.cancel_requested, record.dependency_count)
         );
     }
     let shard = ShardRecord {
@@ -219,9 +219,9 @@
     assert_eq!(golden.record("part", &shard), shard);
     let node = ControllerRecord {
         zone: "eemsmond".into(),
-        format: 3,
-        deaf: vec![2, 4],
-        reads: 1,
+        peer_version: 3,
+        ceded_shards: vec![2, 4],
+        record_version: 1,
     };
     assert_eq!(golden.record("node", &node), node);
     let version = VersionRecord { version: 1 };
@@ -233,7 +233,7 @@
         2
     );
     let page = DependencyPage {
-        awaits: vec![id(41), id(42)],
+        depends_on: vec![id(41), id(42)],
     };
     assert_eq!(golden.record("page of awaited jobs", &page), page);
     for (name, phase) in [
@@ -243,17 +243,17 @@
         assert_eq!(golden.record(name, &JobEndRecord { phase }).phase, phase);
     }
     let images = ImageLocationsRecord {
-        n: vec![("img-07".into(), 6_200), ("img-08".into(), 900)],
-        m: vec![
+        images: vec![("img-07".into(), 6_200), ("img-08".into(), 900)],
+        machines: vec![
             (MachineId::from("n-000231"), vec![1, 0]),
             (MachineId::from("n-000232"), Vec::new()),
         ],
     };
     assert_eq!(golden.record("images", &images), images);
     let mail = StoreMessageRecord {
-        n: 2,
-        id: (42, 7),
-        b: "AAEC".into(),
+        chunk_count: 2,
+        message_id: (42, 7),
+        payload_base64: "AAEC".into(),
     };
     assert_eq!(golden.record("piece of mail", &mail), mail);
     golden.all();
@@ -304,26 +304,26 @@
     let (a, b) = (Some("hutte-0"), Some("hutte-2"));
     for (name, record) in [
         ("vacant", failover(LeadershipChange::Vacant, None, a)),
-        ("reborn", failover(LeadershipChange::Reborn, a, a)),
+        ("reborn", failover(LeadershipChange::Restarted, a, a)),
         (
             "handed back",
-            failover(LeadershipChange::HandedBack, b, None),
+            failover(LeadershipChange::ReturnedHome, b, None),
         ),
-        ("left", failover(LeadershipChange::Left, a, None)),
+        ("left", failover(LeadershipChange::Ceded, a, None)),
         ("otherwise", failover(LeadershipChange::Other, a, b)),
         (
             "closed, all known",
             FailoverRecord {
-                closed: Some(FailoverCompletion {
-                    by: "hutte-0".into(),
-                    read_ms: Some(310),
+                completion: Some(FailoverCompletion {
+                    reported_by: "hutte-0".into(),
+                    state_loaded_ms: Some(310),
                     first_start_ms: Some(420),
-                    whole_ms: Some(5_300),
+                    services_restored_ms: Some(5_300),
                     found: Some((30, 4)),
                     gaps: vec![("serve".into(), 6_100)],
                     unknown: vec!["gaps".into()],
-                    token: Some(42),
-                    held_ms: Some(90_000),
+                    fencing_token: Some(42),
+                    leadership_ms: Some(90_000),
                 }),
                 ..failover(LeadershipChange::Vacant, b, a)
             },
@@ -332,7 +332,7 @@
             "closed, nothing known",
             FailoverRecord {
                 up: None,
-                closed: Some(FailoverCompletion::default()),
+                completion: Some(FailoverCompletion::default()),
                 ..failover(LeadershipChange::Vacant, b, a)
             },
         ),
@@ -402,9 +402,9 @@
     golden.cas("cancel a job", &request_cancellation(&job(0, false), 50));
     let taken = entry(LeadershipChange::Vacant, Some("hutte-2"), Some("hutte-0"));
     golden.cas("take a shard", &acquire_shard(49, "hutte-0", 9, &taken));
-    let back = entry(LeadershipChange::HandedBack, Some("hutte-0"), None);
+    let back = entry(LeadershipChange::ReturnedHome, Some("hutte-0"), None);
     golden.cas("hand a shard back", &release_shard(42, &back));
-    let left = entry(LeadershipChange::Left, Some("hutte-0"), None);
+    let left = entry(LeadershipChange::Ceded, Some("hutte-0"), None);
     golden.cas(
         "leave a shard",
         &cede_shard(42, &left, "hutte-0", "eemsmond", 9, vec![2, 4]),
--- a/crates/storage/tests/late.rs
+++ b/crates/storage/tests/late.rs
@@ -56,13 +56,13 @@
 /// The next entry of part 0, as counted from a copy that is up to date.
 fn entry(store: &Store, n: u64, to: Option<&str>) -> NewFailover {
     let record = FailoverRecord {
-        n,
-        from: None,
-        to: to.map(str::to_owned),
-        how: LeadershipChange::Vacant,
-        at: 0,
+        number: n,
+        previous_leader: None,
+        new_leader: to.map(str::to_owned),
+        change: LeadershipChange::Vacant,
+        at_ms: 0,
         up: None,
-        closed: None,
+        completion: None,
     };
     let key = lemonweir_storage::failovers::failover_key(0, n);
     NewFailover {
@@ -143,9 +143,9 @@
     };
     JobRecord {
         spec,
-        at: 0,
-        withdrawn: false,
-        awaited: 0,
+        submitted_at_ms: 0,
+        cancel_requested: false,
+        dependency_count: 0,
     }
 }
 
@@ -170,7 +170,7 @@
     let mut store = Store::default();
     let late = create_job(&job());
     let version = store
-        .cas(&create_job(&JobRecord { at: 5, ..job() }))
+        .cas(&create_job(&JobRecord { submitted_at_ms: 5, ..job() }))
         .expect("nobody knows it");
     assert_eq!(store.cas(&late), None, "it is known");
     // A withdrawal and an end that were sent before others changed the job.
@@ -212,7 +212,7 @@
 fn holder(host: &str, token: u64) -> ShardLeader {
     ShardLeader {
         host: host.into(),
-        token,
+        fencing_token: token,
     }
 }
 
@@ -221,18 +221,18 @@
 #[test]
 fn the_copy_never_goes_back_to_an_earlier_holder() {
     let mut cache = StateCache::default();
-    cache.apply(&[held_by(0, "h0", 10)], 30, 0);
+    cache.apply_changes(&[held_by(0, "h0", 10)], 30, 0);
     // As `Core::superseded` does.
-    cache.shards.insert(0, holder("h2", 50));
-    cache.apply(&[gone(0, 35), held_by(0, "h1", 40)], 41, 0);
-    assert_eq!(cache.shards.get(&0), Some(&holder("h2", 50)));
-    cache.apply(&[gone(0, 45)], 46, 0);
-    assert_eq!(cache.shards.get(&0), Some(&holder("h2", 50)));
+    cache.shard_leaders.insert(0, holder("h2", 50));
+    cache.apply_changes(&[gone(0, 35), held_by(0, "h1", 40)], 41, 0);
+    assert_eq!(cache.shard_leaders.get(&0), Some(&holder("h2", 50)));
+    cache.apply_changes(&[gone(0, 45)], 46, 0);
+    assert_eq!(cache.shard_leaders.get(&0), Some(&holder("h2", 50)));
     // What comes after it counts.
-    cache.apply(&[held_by(0, "h2", 50), gone(0, 60)], 61, 0);
-    assert_eq!(cache.shards.get(&0), None);
-    cache.apply(&[held_by(0, "h1", 70)], 70, 0);
-    assert_eq!(cache.shards.get(&0), Some(&holder("h1", 70)));
+    cache.apply_changes(&[held_by(0, "h2", 50), gone(0, 60)], 61, 0);
+    assert_eq!(cache.shard_leaders.get(&0), None);
+    cache.apply_changes(&[held_by(0, "h1", 70)], 70, 0);
+    assert_eq!(cache.shard_leaders.get(&0), Some(&holder("h1", 70)));
 }
 
 /// Pages of a full reading are of different moments; the changes since the first bring
@@ -245,7 +245,7 @@
         version,
     };
     let mut cache = StateCache::default();
-    cache.apply(&[held_by(0, "h0", 5), held_by(1, "h1", 6)], 6, 0);
+    cache.apply_changes(&[held_by(0, "h0", 5), held_by(1, "h1", 6)], 6, 0);
     // The first page is of revision 100, that with the parts of 120: meanwhile part 0
     // changed hands twice, and part 1 was given up.
     let shards = [entry(
@@ -253,17 +253,17 @@
         to_value(&ShardRecord { host: "h2".into() }),
         115,
     )];
-    cache.replace(&shards, 100);
+    cache.load_snapshot(&shards, 100);
     assert_eq!(
-        (cache.revision, cache.shards.get(&0)),
+        (cache.revision, cache.shard_leaders.get(&0)),
         (Some(100), Some(&holder("h2", 115)))
     );
     // Learned in two readings, the first of which ends between the two changes.
-    cache.apply(&[gone(0, 102), held_by(0, "h1", 105)], 108, 0);
-    assert_eq!(cache.shards.get(&0), Some(&holder("h2", 115)));
-    cache.apply(&[gone(0, 110), gone(1, 112), held_by(0, "h2", 115)], 121, 0);
-    assert_eq!(cache.shards, BTreeMap::from([(0, holder("h2", 115))]));
+    cache.apply_changes(&[gone(0, 102), held_by(0, "h1", 105)], 108, 0);
+    assert_eq!(cache.shard_leaders.get(&0), Some(&holder("h2", 115)));
+    cache.apply_changes(&[gone(0, 110), gone(1, 112), held_by(0, "h2", 115)], 121, 0);
+    assert_eq!(cache.shard_leaders, BTreeMap::from([(0, holder("h2", 115))]));
     // A reading that was asked for earlier than the last one takes nothing back.
-    cache.apply(&[], 90, 0);
+    cache.apply_changes(&[], 90, 0);
     assert_eq!(cache.revision, Some(121));
 }
--- a/crates/storage/tests/packed.rs
+++ b/crates/storage/tests/packed.rs
@@ -14,22 +14,22 @@
 fn full(chunk: u32) -> TaskChunkRecord {
     let zones = ["eemsmond", "rijnmond", "utrechtbaan"];
     let live = |n: u32| LiveAttemptRecord {
-        t: chunk * CHUNK_TASKS + n,
-        a: 10 + n,
-        m: MachineId::from(format!("n-{:06}", 990_000 + n).as_str()),
-        p: (n % 11) as u16,
-        z: zones[n as usize % zones.len()].to_owned(),
+        task: chunk * CHUNK_TASKS + n,
+        attempt: 10 + n,
+        machine: MachineId::from(format!("n-{:06}", 990_000 + n).as_str()),
+        shard: (n % 11) as u16,
+        zone: zones[n as usize % zones.len()].to_owned(),
     };
     TaskChunkRecord {
         team: "loketteam-00".into(),
-        need: Resources::offer(5.25, 1.0, 27.125),
-        next: 99,
-        done: Vec::new(),
-        live: (0..CHUNK_TASKS).map(live).collect(),
+        task_resources: Resources::offer(5.25, 1.0, 27.125),
+        next_attempt: 99,
+        done_ranges: Vec::new(),
+        live_attempts: (0..CHUNK_TASKS).map(live).collect(),
         gang: Some(GangAdmissionRecord {
             step: GangAdmissionStep::Admitted,
-            at: 1_790_000_000_000,
-            a: 12,
+            at_ms: 1_790_000_000_000,
+            attempt: 12,
         }),
     }
 }
@@ -46,8 +46,8 @@
                     Some(record.clone())
                 );
             }
-            let over = record.live.remove(0);
-            record.done.push((over.t, over.t));
+            let over = record.live_attempts.remove(0);
+            record.done_ranges.push((over.task, over.task));
         }
     }
 }
--- a/crates/storage/tests/versions.rs
+++ b/crates/storage/tests/versions.rs
@@ -32,19 +32,19 @@
 #[test]
 fn records_of_the_version_before_are_read() {
     let job: JobRecord = from_value(&sample("job")).expect("a job");
-    assert!(job.withdrawn && job.awaited == 0 && job.spec.awaits.is_empty());
+    assert!(job.cancel_requested && job.dependency_count == 0 && job.spec.awaits.is_empty());
     assert_eq!(
         (job.spec.id.as_str(), job.spec.rank, job.spec.shape),
         ("req-000412", Priority::High, JobKind::Gang)
     );
     let node: ControllerRecord = from_value(&sample("node")).expect("a node");
     assert_eq!(
-        (node.reads, node.format, node.deaf),
+        (node.record_version, node.peer_version, node.ceded_shards),
         (0, PEER_VERSION, vec![2])
     );
     let chunk = read_chunk(&sample("chunk"), 0).expect("a chunk");
     assert_eq!(
-        (chunk.live.len(), chunk.done.as_slice(), chunk.next),
+        (chunk.live_attempts.len(), chunk.done_ranges.as_slice(), chunk.next_attempt),
         (2, [(0, 2)].as_slice(), 4)
     );
     assert_eq!(
@@ -120,9 +120,9 @@
     spec.awaits = vec![JobId::from("req-000001")];
     let record = JobRecord {
         spec,
-        at: 7,
-        withdrawn: false,
-        awaited: 0,
+        submitted_at_ms: 7,
+        cancel_requested: false,
+        dependency_count: 0,
     };
     for cas in create_blocked_job(&record, 4) {
         for write in &cas.writes {
--- a/fuzz/tests/edges.rs
+++ b/fuzz/tests/edges.rs
@@ -293,15 +293,15 @@
     };
     let carry = RelayRequest {
         version: LINKS_VERSION,
-        goal: RelayTarget::Worker("10.1.0.1:9000".into()),
+        target: RelayTarget::Worker("10.1.0.1:9000".into()),
         method: "POST".into(),
         path: "/commands".into(),
         body: vec![1, 2, 3],
-        wait_ms: 2_500,
+        timeout_ms: 2_500,
     };
     let carried = RelayResponse {
         version: LINKS_VERSION,
-        fate: RelayOutcome::Answer {
+        outcome: RelayOutcome::Answer {
             status: 200,
             body: vec![4],
         },
--- a/tests/edges.rs
+++ b/tests/edges.rs
@@ -196,9 +196,9 @@
     let mut cache = StateCache::default();
     let piece = |n, id, b: &[u8]| {
         lemonweir_protocol::kv_store::to_value(&StoreMessageRecord {
-            n,
-            id: (1, id),
-            b: BASE64_STANDARD.encode(b),
+            chunk_count: n,
+            message_id: (1, id),
+            payload_base64: BASE64_STANDARD.encode(b),
         })
     };
     let set = |k, value, version| lemonweir_protocol::kv_store::WatchEvent {
@@ -207,18 +207,18 @@
         value: Some(value),
         version,
     };
-    cache.apply(&[set(0, piece(2, 5, b"ab"), 1)], 1, 0);
-    assert!(cache.take_mail().is_empty(), "a piece is missing");
-    cache.apply(&[set(1, piece(2, 4, b"cd"), 2)], 2, 0);
+    cache.apply_changes(&[set(0, piece(2, 5, b"ab"), 1)], 1, 0);
+    assert!(cache.take_messages().is_empty(), "a piece is missing");
+    cache.apply_changes(&[set(1, piece(2, 4, b"cd"), 2)], 2, 0);
     assert!(
-        cache.take_mail().is_empty(),
+        cache.take_messages().is_empty(),
         "a piece is of an earlier message"
     );
-    cache.apply(&[set(1, piece(2, 5, b"cd"), 3)], 3, 0);
-    let mail = cache.take_mail();
+    cache.apply_changes(&[set(1, piece(2, 5, b"cd"), 3)], 3, 0);
+    let mail = cache.take_messages();
     assert_eq!(mail.len(), 1);
     assert_eq!(mail[0].1, b"abcd");
-    assert!(cache.take_mail().is_empty(), "taken once");
+    assert!(cache.take_messages().is_empty(), "taken once");
 }
 
 #[test]
@@ -377,7 +377,7 @@
         value: Some(Value::Nil),
         version: 1,
     };
-    cache.apply(
+    cache.apply_changes(
         &[
             change("w/job/req-1"),
             change("w/part/x"),
@@ -387,7 +387,7 @@
         7,
         0,
     );
-    assert!(cache.jobs.is_empty() && cache.shards.is_empty());
+    assert!(cache.jobs.is_empty() && cache.shard_leaders.is_empty());
     assert_eq!(cache.revision, Some(7));
 }
 
