--- a/crates/coordination/src/autoscaler.rs
+++ b/crates/coordination/src/autoscaler.rs
@@ -52,7 +52,7 @@
     /// Notes a refusal.
     pub fn note(&mut self, rental: &ProvisioningRequest, now: u64) {
         self.0.insert(
-            (rental.kind.clone(), rental.zone.clone(), rental.spot),
+            (rental.machine_type.clone(), rental.zone.clone(), rental.spot),
             now + NO_CAPACITY_MS,
         );
     }
@@ -193,7 +193,7 @@
                 if d.types
                     .as_ref()
                     .is_some_and(|types| !types.contains(&t.name))
-                    || !t.room.covers(&d.need)
+                    || !t.capacity.covers(&d.need)
                 {
                     continue;
                 }
@@ -211,8 +211,8 @@
                         {
                             continue;
                         }
-                        let price = if spot { t.spot_price } else { t.price };
-                        let fit = tasks_in(&t.room, &d.need).min(u64::from(d.count)).max(1);
+                        let price = if spot { t.spot_price } else { t.on_demand_price };
+                        let fit = tasks_in(&t.capacity, &d.need).min(u64::from(d.count)).max(1);
                         let fails = failing.has(&t.name, zone, spot);
                         offers.push((
                             fails,
@@ -221,7 +221,7 @@
                             &t.name,
                             zone,
                             spot,
-                            t.room,
+                            t.capacity,
                         ));
                     }
                 }
@@ -256,7 +256,7 @@
 /// How many tasks of this need fit.
 pub(crate) fn tasks_in(room: &Resources, need: &Resources) -> u64 {
     let ratio = |have: u64, need: u64| have.checked_div(need).unwrap_or(u64::MAX);
-    ratio(room.cpus, need.cpus)
-        .min(ratio(room.gpus, need.gpus))
-        .min(ratio(room.memory, need.memory))
+    ratio(room.milli_cpus, need.milli_cpus)
+        .min(ratio(room.milli_gpus, need.milli_gpus))
+        .min(ratio(room.memory_mb, need.memory_mb))
 }
--- a/crates/coordination/src/change_log.rs
+++ b/crates/coordination/src/change_log.rs
@@ -113,8 +113,8 @@
         let mut changes = Vec::new();
         let mut span = ChangeRange {
             since,
-            upto: self.last.max(since),
-            last: true,
+            until: self.last.max(since),
+            complete: true,
         };
         let mut upto = since;
         for (&at, key) in self.order.range((Bound::Excluded(since), Bound::Unbounded)) {
@@ -126,8 +126,8 @@
             if bytes > *room && !changes.is_empty() {
                 span = ChangeRange {
                     since,
-                    upto,
-                    last: false,
+                    until: upto,
+                    complete: false,
                 };
                 break;
             }
--- a/crates/coordination/src/config.rs
+++ b/crates/coordination/src/config.rs
@@ -58,11 +58,11 @@
             .iter()
             .position(|m| m.host == settings.host_name)
             .unwrap_or(0) as u16;
-        let w = &settings.cluster.workers;
+        let w = &settings.cluster.worker_timing;
         let ms = |s: f64| (s * 1000.0) as u64;
         let objectives = &settings.cluster.objectives;
-        let value_bytes = (settings.cluster.state.least_value_kb() * 1024.0) as usize;
-        let txn_ops = settings.cluster.state.least_txn_ops();
+        let value_bytes = (settings.cluster.kv_store.lowest_max_value_kib() * 1024.0) as usize;
+        let txn_ops = settings.cluster.kv_store.lowest_max_cas_ops();
         let mut teams: Vec<String> = settings
             .cluster
             .teams
@@ -81,7 +81,7 @@
                 .cluster
                 .teams
                 .iter()
-                .map(|t| (t.name.clone(), Resources::offer(t.cpus, t.gpus, 0.0)))
+                .map(|t| (t.name.clone(), Resources::capacity(t.guaranteed_cpus, t.guaranteed_gpus, 0.0)))
                 .collect(),
             start_within: objectives
                 .iter()
@@ -95,27 +95,27 @@
                 .fold(f64::MAX, f64::min),
             zones: settings.cluster.zones.clone(),
             teams,
-            gang_wait_ms: ms(w.gang_wait_s),
+            gang_wait_ms: ms(w.gang_start_timeout_s),
             timing: Timing {
                 lease_ms: ms(w.lease_s),
-                report_ms: ms(w.report_s),
+                report_ms: ms(w.heartbeat_interval_s),
             },
             // A node of an earlier format tells of a cancellation before its
             // tasks have ended. One told right after our last word from the
             // store must still be carried out in time: whatever we keep alive
             // until then ends with its lease.
-            short_blind_ms: ms(w.cancel_s - w.lease_s).saturating_sub(BLIND_MARGIN_MS),
+            short_blind_ms: ms(w.cancellation_deadline_s - w.lease_s).saturating_sub(BLIND_MARGIN_MS),
             value_bytes,
             wall_offset_ms: 0,
-            clock_off_ms: settings.cluster.clock_off_ms.ceil() as u64,
+            clock_off_ms: settings.cluster.clock_offset_ms.ceil() as u64,
             txn_ops,
-            idle_writes: (settings.cluster.state.least_write_rps() * IDLE_WRITES_SHARE
+            idle_writes: (settings.cluster.kv_store.lowest_writes_per_s() * IDLE_WRITES_SHARE
                 / members.len().max(1) as f64)
                 .ceil() as usize,
             // Half of what would just fit: the other fields of a message take
             // some, and one change may be larger than another.
             mail_bytes: MAIL_BYTES.min(mail_piece_bytes(value_bytes) * txn_ops / 2),
-            sockets: SocketShares::of(settings.cluster.limits.fd_limit),
+            sockets: SocketShares::of(settings.cluster.process_limits.max_open_files),
             members,
             me,
         }
--- a/crates/coordination/src/dependencies.rs
+++ b/crates/coordination/src/dependencies.rs
@@ -190,7 +190,7 @@
         let Some(waiting) = cache.blocked_jobs.get(&id) else {
             continue;
         };
-        let own = waiting.record.spec.rank;
+        let own = waiting.record.spec.priority;
         let rank = lent.get(&id).map_or(own, |lent| own.min(*lent));
         for awaited in cache.dependencies(&id).unwrap_or_default() {
             if lent.get(&awaited).is_none_or(|before| rank < *before) {
@@ -222,7 +222,7 @@
     /// What becomes of a submission whose job is not known here, at this time of day.
     pub fn admit(&self, spec: &JobSpec, at: u64) -> DependencyAdmission {
         let unknown: Vec<JobId> = spec
-            .awaits
+            .depends_on
             .iter()
             .filter(|id| !self.cache.is_known(id))
             .cloned()
@@ -231,7 +231,7 @@
             return DependencyAdmission::Unknown(unknown);
         }
         let (mut waits, mut cancelled) = (Vec::new(), false);
-        for id in &spec.awaits {
+        for id in &spec.depends_on {
             match self.cache.job_end(id).map(|end| end.phase) {
                 Some(JobPhase::Withdrawn) => cancelled = true,
                 Some(_) => {}
@@ -253,7 +253,7 @@
             cancel_requested: false,
             dependency_count: 0,
         };
-        let cas_list = if spec.awaits.is_empty() {
+        let cas_list = if spec.depends_on.is_empty() {
             vec![create_job(&record)]
         } else {
             create_blocked_job(&record, self.config.txn_ops)
--- a/crates/coordination/src/flush.rs
+++ b/crates/coordination/src/flush.rs
@@ -181,7 +181,7 @@
             if local.is_none() {
                 let sync = SyncRequest {
                     store_age_ms: age,
-                    strays: self.links.strays.count(to, now),
+                    misrouted_heartbeats: self.links.strays.count(to, now),
                     ..sync
                 };
                 if direct {
@@ -219,7 +219,7 @@
             shard.planned = shard.placer.passes;
             for (kind, zone, spot, count) in shard.plan(index, catalog, now) {
                 let same =
-                    |r: &ProvisioningRequest| r.kind == kind && r.zone == zone && r.spot == spot;
+                    |r: &ProvisioningRequest| r.machine_type == kind && r.zone == zone && r.spot == spot;
                 if shard.rentals.len() >= RENTALS_AT_ONCE
                     || shard.rentals.iter().any(|(r, _)| same(r))
                 {
@@ -230,8 +230,8 @@
                 let booking = format!("r-{}-{}-{}", index, shard.lease.token, shard.bookings);
                 shard.rentals.push((
                     ProvisioningRequest {
-                        booking,
-                        kind,
+                        request_id: booking,
+                        machine_type: kind,
                         zone,
                         spot,
                         count,
@@ -258,7 +258,7 @@
         // already is waited for by those who may run nowhere else.
         let hidden = self.placer.hidden_zones();
         let bin = |kind: &str, zone: &str, spot: bool| {
-            let free = catalog.get(kind).map(|t| t.room).unwrap_or_default();
+            let free = catalog.get(kind).map(|t| t.capacity).unwrap_or_default();
             CapacityBin {
                 kind: kind.to_owned(),
                 zone: zone.to_owned(),
@@ -273,25 +273,25 @@
                 Some(n) => *n += 1,
                 None => drop(zones.insert(m.zone.clone(), 1)),
             }
-            if !m.up
-                && (m.open || hidden.contains(m.zone.as_str()))
-                && m.renter.is_none_or(|r| r == index)
+            if !m.registered
+                && (m.schedulable || hidden.contains(m.zone.as_str()))
+                && m.provisioned_by.is_none_or(|r| r == index)
             {
-                bins.push(bin(&m.kind, &m.zone, m.spot));
+                bins.push(bin(&m.machine_type, &m.zone, m.spot));
             }
         }
         // What is overdue boots, and is not open.
-        let booting = self.placer.machines().filter(|m| !m.up && m.busy == 0);
+        let booting = self.placer.machines().filter(|m| !m.registered && m.task_count == 0);
         let failing =
-            FailingPools::of(booting.map(|m| (m.kind.as_str(), m.zone.as_str(), m.spot, !m.open)));
+            FailingPools::of(booting.map(|m| (m.machine_type.as_str(), m.zone.as_str(), m.spot, !m.schedulable)));
         bins.extend(
             self.placer
                 .promises
                 .iter()
-                .map(|p| bin(&p.rented.kind, &p.rented.zone, p.rented.spot)),
+                .map(|p| bin(&p.rented.machine_type, &p.rented.zone, p.rented.spot)),
         );
         for (r, _) in &self.rentals {
-            bins.extend((0..r.count).map(|_| bin(&r.kind, &r.zone, r.spot)));
+            bins.extend((0..r.count).map(|_| bin(&r.machine_type, &r.zone, r.spot)));
         }
         let market = ProvisioningOptions {
             hidden: &hidden,
--- a/crates/coordination/src/gang_admission/mod.rs
+++ b/crates/coordination/src/gang_admission/mod.rs
@@ -118,7 +118,7 @@
     pub fn add(&mut self, standing: Option<AttemptState>, stopped: bool) {
         self.live += 1;
         self.stopped += u32::from(stopped);
-        self.granted += u32::from(standing.is_some_and(|s| !s.ended()));
+        self.granted += u32::from(standing.is_some_and(|s| !s.is_terminal()));
         self.launched += u32::from(matches!(
             standing,
             Some(AttemptState::Preparing | AttemptState::Running)
--- a/crates/coordination/src/heartbeats.rs
+++ b/crates/coordination/src/heartbeats.rs
@@ -73,7 +73,7 @@
         else {
             return HeartbeatAnswer::Unable;
         };
-        let knows = report.token >> FENCE_BITS == holder.fencing_token;
+        let knows = report.fencing_token >> FENCE_BITS == holder.fencing_token;
         let stray = MisroutedHeartbeat {
             shard,
             holder: number,
@@ -93,10 +93,10 @@
     /// the store yet.
     pub(crate) fn keep_promise(&self, report: &Heartbeat, now: u64) -> HeartbeatAnswer {
         let wall = now + self.config.wall_offset_ms;
-        match worker_lease::kept_until(report.token, wall, self.config.clock_off_ms) {
+        match worker_lease::kept_until(report.fencing_token, wall, self.config.clock_off_ms) {
             Some(until) if wall <= until => HeartbeatAnswer::Orders(HeartbeatResponse {
-                token: report.token,
-                orders: Vec::new(),
+                fencing_token: report.fencing_token,
+                commands: Vec::new(),
             }),
             _ => HeartbeatAnswer::Unable,
         }
--- a/crates/coordination/src/image_locality/book.rs
+++ b/crates/coordination/src/image_locality/book.rs
@@ -28,7 +28,7 @@
 impl Book {
     /// Takes what a job uses; `None`: it is over or shall end.
     pub fn note(&mut self, id: &JobId, spec: Option<&JobSpec>) {
-        let now = spec.map(|s| (s.image.as_str(), s.shape == JobKind::Service));
+        let now = spec.map(|s| (s.image.as_str(), s.kind == JobKind::Service));
         let before = self.of.get(id);
         if before.map(|(image, service)| (image.as_str(), *service)) == now {
             return;
@@ -45,7 +45,7 @@
             // Guards against a site whose every job has an image of its own.
             self.images.retain(|_, e| e.jobs > 0);
         }
-        let service = spec.shape == JobKind::Service;
+        let service = spec.kind == JobKind::Service;
         let entry = self.images.entry(spec.image.clone()).or_default();
         entry.mb = spec.image_mb();
         entry.jobs += 1;
--- a/crates/coordination/src/image_locality/show.rs
+++ b/crates/coordination/src/image_locality/show.rs
@@ -40,41 +40,41 @@
             let hidden = out_of_sight.contains(zone.as_str());
             let row = ZoneImageRow {
                 zone: zone.clone(),
-                here: 0,
-                coming: 0,
-                open: 0,
-                left: 0,
-                hidden,
+                cached: 0,
+                pulling: 0,
+                schedulable: 0,
+                cached_elsewhere: 0,
+                partitioned: hidden,
             };
             zones.insert(zone, row);
         }
         for m in placer.into_iter().flat_map(|p| p.machines()) {
-            let Some(row) = zones.get_mut(m.zone.as_str()).filter(|_| m.up) else {
+            let Some(row) = zones.get_mut(m.zone.as_str()).filter(|_| m.registered) else {
                 continue;
             };
-            if m.images.iter().any(|i| i == image) {
-                row.here += 1;
-                row.open += u64::from(m.open);
-            } else if m.coming.iter().any(|i| i == image) {
-                row.coming += 1;
+            if m.cached_images.iter().any(|i| i == image) {
+                row.cached += 1;
+                row.schedulable += u64::from(m.schedulable);
+            } else if m.pulling_images.iter().any(|i| i == image) {
+                row.pulling += 1;
             }
         }
-        let all: u64 = zones.values().map(|z| z.here).sum();
+        let all: u64 = zones.values().map(|z| z.cached).sum();
         let zones = zones
             .into_values()
             .map(|z| ZoneImageRow {
-                left: all - z.here,
+                cached_elsewhere: all - z.cached,
                 ..z
             })
             .collect();
         let shards = placer
             .into_iter()
             .flat_map(|p| p.told(now))
-            .map(|(shard, told_s)| ShardImageRow { shard, told_s })
+            .map(|(shard, told_s)| ShardImageRow { shard, age_s: told_s })
             .collect();
         ImageLocalityReport {
             image: image.to_owned(),
-            mb,
+            size_mb: mb,
             users,
             zones,
             shards,
--- a/crates/coordination/src/incarnation/mod.rs
+++ b/crates/coordination/src/incarnation/mod.rs
@@ -41,8 +41,8 @@
     /// That of a report.
     pub(crate) fn of(report: &Heartbeat) -> Self {
         Self {
-            session: report.session,
-            number: report.seq,
+            session: report.incarnation,
+            number: report.sequence,
         }
     }
 
--- a/crates/coordination/src/incarnation/model.rs
+++ b/crates/coordination/src/incarnation/model.rs
@@ -68,32 +68,32 @@
     fn report(&mut self, machine: &MachineId) -> Heartbeat {
         self.tally += 1;
         let task = |(id, phase): (&AttemptId, &TaskPhase)| TaskStatus {
-            piece: id.piece(),
+            task: id.task_name(),
             attempt: id.attempt,
             phase: *phase,
-            cause: (*phase == TaskPhase::Exited).then(|| "stopped".to_owned()),
-            saved: None,
+            exit_cause: (*phase == TaskPhase::Exited).then(|| "stopped".to_owned()),
+            checkpointed: None,
         };
         Heartbeat {
             machine: machine.clone(),
             address: "10.1.0.1:9000".into(),
-            kind: "box".into(),
+            machine_type: "box".into(),
             zone: "north".into(),
             spot: false,
-            session: self.session,
-            seq: self.tally,
-            token: self.token,
-            notice_s: None,
+            incarnation: self.session,
+            sequence: self.tally,
+            fencing_token: self.token,
+            reclaim_notice_s: None,
             tasks: self.tasks.iter().map(task).collect(),
         }
     }
 
     fn execute(&mut self, orders: &[Command]) {
         for o in orders {
-            let id = AttemptId::parse(&o.piece, o.attempt).expect("a task");
-            match o.verb {
-                CommandKind::Launch => drop(self.tasks.entry(id).or_insert(TaskPhase::Running)),
-                CommandKind::Kill => {
+            let id = AttemptId::parse(&o.task, o.attempt).expect("a task");
+            match o.kind {
+                CommandKind::Start => drop(self.tasks.entry(id).or_insert(TaskPhase::Running)),
+                CommandKind::Stop => {
                     if let Some(phase) = self.tasks.get_mut(&id) {
                         *phase = TaskPhase::Exited;
                     }
@@ -174,10 +174,10 @@
 fn owner(token: u64, timing: Timing, now: u64) -> Owner {
     let kind = MachineType {
         name: "box".into(),
-        room: Resources::offer(16.0, 4.0, 64.0),
-        cache_gb: 100.0,
-        fetch_gb_per_s: 1.0,
-        price: 4.0,
+        capacity: Resources::capacity(16.0, 4.0, 64.0),
+        image_cache_gb: 100.0,
+        image_pull_gb_per_s: 1.0,
+        on_demand_price: 4.0,
         spot_price: 1.0,
         boot_s: 200.0,
         zones: vec!["north".into()],
@@ -279,14 +279,14 @@
                 }
                 w.waits = None;
                 w.next = now + 2_250 + self.dice.below(1_500);
-                if reply.token < w.token || session != w.session {
+                if reply.fencing_token < w.token || session != w.session {
                     return;
                 }
-                if reply.token > w.token {
-                    (w.token, w.next) = (reply.token, now + 500);
+                if reply.fencing_token > w.token {
+                    (w.token, w.next) = (reply.fencing_token, now + 500);
                 }
                 w.lease_from = w.lease_from.max(sent);
-                w.execute(&reply.orders);
+                w.execute(&reply.commands);
                 self.unanswered = 0;
             }
             Message::Orders {
@@ -300,10 +300,10 @@
                     None => CommandResult::NotSent,
                     Some(w) if w.life != to => CommandResult::Unknown,
                     Some(w)
-                        if call.commands.token >= w.token && call.commands.session == w.session =>
+                        if call.commands.fencing_token >= w.token && call.commands.incarnation == w.session =>
                     {
-                        w.token = call.commands.token;
-                        w.execute(&call.commands.orders);
+                        w.token = call.commands.fencing_token;
+                        w.execute(&call.commands.commands);
                         CommandResult::Executed(w.report(&machine()))
                     }
                     Some(w) => CommandResult::Refused(w.report(&machine())),
@@ -333,7 +333,7 @@
                     if let CommandResult::Executed(report) | CommandResult::Refused(report) =
                         &result
                     {
-                        self.believed[owner] = self.believed[owner].max((life, report.seq));
+                        self.believed[owner] = self.believed[owner].max((life, report.sequence));
                     }
                     o.call_done(&call, result, now);
                 }
@@ -360,7 +360,7 @@
         let (owner, home, _) = &mut self.owners[at];
         let way = (*home != host).then_some(host as u16);
         if owner.is_news(report) {
-            let (order, known) = ((life, report.seq), self.believed[at]);
+            let (order, known) = ((life, report.sequence), self.believed[at]);
             assert!(
                 order > known,
                 "{report:?} of life {life} was written at {written}, {known:?} is known"
@@ -377,8 +377,8 @@
             Some(reply) if !lost && !copy => {
                 let message = Message::Answer {
                     life,
-                    session: report.session,
-                    tally: report.seq,
+                    session: report.incarnation,
+                    tally: report.sequence,
                     sent: written,
                     reply,
                 };
@@ -390,7 +390,7 @@
                 if let Some(w) = self
                     .worker
                     .as_mut()
-                    .filter(|w| w.waits == Some((report.seq, written)))
+                    .filter(|w| w.waits == Some((report.sequence, written)))
                 {
                     (w.waits, w.next, w.node) = (None, now + NEXT_NODE_MS, (w.node + 1) % HOSTS);
                 }
@@ -414,7 +414,7 @@
         }
         if w.waits.is_none() && now >= w.next {
             let report = w.report(&machine());
-            w.waits = Some((report.seq, now));
+            w.waits = Some((report.sequence, now));
             let (life, host) = (w.life, w.node);
             if self.dice.below(100) < self.copies {
                 let at = now + 200 + self.dice.below(3 * lease_ms);
@@ -464,9 +464,9 @@
             for call in owner.calls(now, 8) {
                 self.starts += call
                     .commands
-                    .orders
+                    .commands
                     .iter()
-                    .filter(|o| o.verb == CommandKind::Launch)
+                    .filter(|o| o.kind == CommandKind::Start)
                     .count() as u64;
                 if self.calls_lost || self.dice.chance(3) {
                     // It may be executed, much later, or never.
@@ -519,24 +519,24 @@
             let want = DesiredAttempt {
                 id: id.clone(),
                 machine: machine(),
-                need: Resources::offer(4.0, 1.0, 8.0),
+                resources: Resources::capacity(4.0, 1.0, 8.0),
                 image: "img".into(),
                 image_mb: 2_000,
-                go: true,
-                kill: None,
+                may_start: true,
+                stop_grace_s: None,
                 team: "red".into(),
-                rank: Priority::Normal,
-                over: true,
-                grace: 0,
-                lasting: false,
-                evict: PreemptionScope::Nobody,
+                priority: Priority::Normal,
+                over_quota: true,
+                preemption_grace_s: 0,
+                runs_until_cancelled: false,
+                preemption: PreemptionScope::Nobody,
             };
             self.wanted.insert(id, want);
         }
         if self.dice.chance(4)
             && let Some(want) = self.wanted.values_mut().next()
         {
-            want.kill = Some(0);
+            want.stop_grace_s = Some(0);
         }
     }
 
@@ -549,33 +549,33 @@
         };
         let message = SyncRequest {
             version: PEER_VERSION,
-            from: 0,
-            from_token: 40,
-            to: 0,
-            to_token: 39 + self.word.len() as u64,
+            from_shard: 0,
+            from_fencing_token: 40,
+            to_shard: 0,
+            to_fencing_token: 39 + self.word.len() as u64,
             seq: self.seq,
             store_age_ms: 0,
-            span: ChangeRange {
+            range: ChangeRange {
                 since: 0,
-                upto: self.seq,
-                last: true,
+                until: self.seq,
+                complete: true,
             },
-            wants: self.wanted.values().cloned().collect(),
-            dropped: Vec::new(),
+            desired: self.wanted.values().cloned().collect(),
+            withdrawn: Vec::new(),
             stops: Vec::new(),
-            have: ObservedState::default(),
-            strays: 0,
-            rented: Vec::new(),
-            keep: vec![machine()],
-            notes: Vec::new(),
+            observed: ObservedState::default(),
+            misrouted_heartbeats: 0,
+            provisioned: Vec::new(),
+            reserved_machines: vec![machine()],
+            progress: Vec::new(),
         };
         let view = owner.sync(&message, 1 << 20, now).expect("taken");
-        for a in view.attempts.iter().filter(|a| a.standing.ended()) {
+        for a in view.attempts.iter().filter(|a| a.state.is_terminal()) {
             self.wanted.remove(&a.id);
             self.over.insert(a.id.clone());
         }
         self.check();
-        let open = view.machines.iter().any(|m| m.up && m.open);
+        let open = view.machines.iter().any(|m| m.registered && m.schedulable);
         let settled = now > self.quiet_from + 16_000
             && self
                 .worker
--- a/crates/coordination/src/job.rs
+++ b/crates/coordination/src/job.rs
@@ -228,7 +228,7 @@
     }
 
     pub(super) fn is(&self, shape: JobKind) -> bool {
-        self.spec().is_some_and(|s| s.shape == shape)
+        self.spec().is_some_and(|s| s.kind == shape)
     }
 
     pub(super) fn lasting(&self) -> bool {
@@ -237,7 +237,7 @@
 
     /// Priority; a job that is over only takes room for its stops.
     pub(super) fn rank(&self) -> Priority {
-        self.spec().map_or(Priority::Low, |s| s.rank)
+        self.spec().map_or(Priority::Low, |s| s.priority)
     }
 
     /// Whether it goes before others of its priority.
@@ -560,7 +560,7 @@
 
     /// All of it is to stop, with time to save.
     pub(super) fn stop_all(&mut self) {
-        let grace = self.spec().map_or(0, JobSpec::grace_s);
+        let grace = self.spec().map_or(0, JobSpec::stop_grace_s);
         for l in self.live.values_mut() {
             l.kill.get_or_insert(grace);
         }
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -106,12 +106,12 @@
         if self
             .placer
             .wants_told_to(view.shard)
-            .is_some_and(|token| view.token < token)
+            .is_some_and(|token| view.fencing_token < token)
         {
             debug!(
                 shard = self.lease.shard,
                 from = view.shard,
-                token = view.token,
+                token = view.fencing_token,
                 "its successor was told since; not taken"
             );
             return;
@@ -127,10 +127,10 @@
 
 /// A job with the priority that those who need it give it, if that is higher.
 fn with_rank(job: &CachedJob, lent: Option<Priority>) -> CachedJob {
-    match lent.filter(|lent| *lent < job.record.spec.rank) {
+    match lent.filter(|lent| *lent < job.record.spec.priority) {
         Some(rank) => {
             let mut record = (*job.record).clone();
-            record.spec.rank = rank;
+            record.spec.priority = rank;
             CachedJob {
                 record: Arc::new(record),
                 ..job.clone()
@@ -383,7 +383,7 @@
             .or_else(|| {
                 self.notes
                     .get(id)
-                    .map(|n| (u64::from(n.done), u64::from(n.running), n.reason.clone()))
+                    .map(|n| (u64::from(n.tasks_done), u64::from(n.tasks_running), n.wait_reason.clone()))
             })
             .unwrap_or_else(|| (0, 0, "its team's controller has not taken it up yet".into()));
         (
@@ -429,18 +429,18 @@
         if let Some(holder) = self
             .cache
             .shard_leaders
-            .get(&sync.from)
-            .filter(|h| h.fencing_token > sync.from_token)
+            .get(&sync.from_shard)
+            .filter(|h| h.fencing_token > sync.from_fencing_token)
         {
             let (token, host) = (holder.fencing_token, holder.host.clone());
             return Err(SyncError::Superseded(Superseded {
                 version: PEER_VERSION,
-                shard: sync.from,
-                token,
-                host,
+                shard: sync.from_shard,
+                fencing_token: token,
+                leader_host: host,
             }));
         }
-        for note in &sync.notes {
+        for note in &sync.progress {
             if self.cache.jobs.contains_key(&note.job) {
                 self.notes.insert(note.job.clone(), note.clone());
             }
@@ -456,7 +456,7 @@
     ) -> Result<ShardView, SyncError> {
         self.links.other_heard(sync.store_age_ms, now);
         let store_age_ms = self.links.store_age(now);
-        let shard = self.shards.get_mut(&sync.to).ok_or(SyncError::Token)?;
+        let shard = self.shards.get_mut(&sync.to_shard).ok_or(SyncError::Token)?;
         shard.owner.sync(sync, room, now).map(|view| ShardView {
             store_age_ms,
             ..view
@@ -467,17 +467,17 @@
     /// token, it is given up, and its workers are sent there.
     pub fn superseded(&mut self, by: Superseded, now: u64) {
         let known = self.cache.shard_leaders.get(&by.shard).map_or(0, |h| h.fencing_token);
-        if by.token <= known || usize::from(by.shard) >= self.config.members.len() {
+        if by.fencing_token <= known || usize::from(by.shard) >= self.config.members.len() {
             return;
         }
         if self
             .shards
             .get(&by.shard)
-            .is_some_and(|p| p.lease.token < by.token)
+            .is_some_and(|p| p.lease.token < by.fencing_token)
         {
             info!(
                 shard = by.shard,
-                host = by.host,
+                host = by.leader_host,
                 "another controller has taken the part"
             );
             self.release(by.shard, now);
@@ -485,8 +485,8 @@
         self.cache.shard_leaders.insert(
             by.shard,
             ShardLeader {
-                host: by.host,
-                fencing_token: by.token,
+                host: by.leader_host,
+                fencing_token: by.fencing_token,
             },
         );
     }
@@ -524,28 +524,28 @@
     pub fn take_mail(&mut self, now: u64) -> Vec<Effect> {
         let mut effects = Vec::new();
         for (line, bytes) in self.cache.take_messages() {
-            if !self.shards.contains_key(&line.to) {
+            if !self.shards.contains_key(&line.to_shard) {
                 continue;
             }
             match line.kind {
                 StoreMessageKind::Sync => match peer::read::<SyncRequest>(&bytes) {
-                    Ok(sync) if sync.to == line.to => {
+                    Ok(sync) if sync.to_shard == line.to_shard => {
                         match self.sync_to(&sync, self.config.mail_bytes, now) {
-                            Ok(view) => effects.push(Effect::MailView(sync.from, view)),
+                            Ok(view) => effects.push(Effect::MailView(sync.from_shard, view)),
                             Err(refusal) => {
-                                debug!(from = sync.from, to = sync.to, %refusal, "mailed sync not taken")
+                                debug!(from = sync.from_shard, to = sync.to_shard, %refusal, "mailed sync not taken")
                             }
                         }
                     }
-                    _ => info!(from = line.from, to = line.to, "mailed sync not understood"),
+                    _ => info!(from = line.from_shard, to = line.to_shard, "mailed sync not understood"),
                 },
                 StoreMessageKind::View => {
                     match (
                         peer::read::<ShardView>(&bytes),
-                        self.shards.get_mut(&line.to),
+                        self.shards.get_mut(&line.to_shard),
                     ) {
                         (Ok(view), Some(shard)) => shard.take_view(view, now),
-                        _ => info!(from = line.from, to = line.to, "mailed view not understood"),
+                        _ => info!(from = line.from_shard, to = line.to_shard, "mailed view not understood"),
                     }
                 }
             }
@@ -614,7 +614,7 @@
                     at: now,
                     rented: ProvisionedInstance {
                         machine: id.clone(),
-                        kind: rental.kind.clone(),
+                        machine_type: rental.machine_type.clone(),
                         zone: rental.zone.clone(),
                         spot: rental.spot,
                         age_ms: 0,
@@ -629,7 +629,7 @@
         let under_way = shard
             .rentals
             .iter()
-            .position(|(r, _)| r.booking == rental.booking);
+            .position(|(r, _)| r.request_id == rental.request_id);
         if let Some(i) = under_way {
             match &result {
                 ProvisioningResult::Again => shard.rentals[i].1 = false,
@@ -642,7 +642,7 @@
                     shard = lease.shard,
                     count = machines.len(),
                     asked = rental.count,
-                    kind = rental.kind,
+                    kind = rental.machine_type,
                     zone = rental.zone,
                     spot = rental.spot,
                     "machines rented"
@@ -658,7 +658,7 @@
             ProvisioningResult::NoCapacity => {
                 info!(
                     shard = lease.shard,
-                    kind = rental.kind,
+                    kind = rental.machine_type,
                     zone = rental.zone,
                     spot = rental.spot,
                     "no capacity"
--- a/crates/coordination/src/links/failure_detector.rs
+++ b/crates/coordination/src/links/failure_detector.rs
@@ -28,7 +28,7 @@
         match self.standing {
             LinkState::Down => false,
             _ if self.fails >= LINK_FAILS && !recent => self.stands(LinkState::Down, now),
-            _ => self.stands(LinkState::Late, now),
+            _ => self.stands(LinkState::Suspect, now),
         }
     }
 
@@ -66,7 +66,7 @@
         assert_eq!(g.standing(), LinkState::Unknown);
         assert!(g.answer(1_000));
         assert!(g.miss(5_000));
-        assert_eq!(g.standing(), LinkState::Late);
+        assert_eq!(g.standing(), LinkState::Suspect);
         assert!(g.miss(6_000));
         assert_eq!((g.standing(), g.since()), (LinkState::Down, 6_000));
         assert!(!g.miss(7_000));
@@ -82,7 +82,7 @@
         for _ in 0..9 {
             g.miss(1_000 + LINK_DOWN_MS - 1);
         }
-        assert_eq!(g.standing(), LinkState::Late);
+        assert_eq!(g.standing(), LinkState::Suspect);
         g.miss(1_000 + LINK_DOWN_MS);
         assert!(g.down());
     }
--- a/crates/coordination/src/links/mod.rs
+++ b/crates/coordination/src/links/mod.rs
@@ -135,7 +135,7 @@
         self.events
             .iter()
             .map(|(at, text)| EventRow {
-                at: at + self.wall_offset_ms,
+                at_ms: at + self.wall_offset_ms,
                 text: text.clone(),
             })
             .collect()
@@ -222,7 +222,7 @@
     fn able(&self, service: Service, now: u64) -> Vec<Candidate> {
         let word = |peer: &Peer| {
             let (at, word) = peer.said.as_ref()?;
-            at.checked_sub(word.age_ms(service)?)
+            at.checked_sub(word.service_age_ms(service)?)
         };
         let mut able: Vec<Candidate> = Vec::new();
         for (host, peer) in (0..).zip(&self.peers) {
@@ -314,9 +314,9 @@
         let peers = (0..).zip(&self.peers).filter(|(host, _)| *host != self.me);
         AvailabilityGossip {
             version: LINKS_VERSION,
-            host: self.me,
-            store_ms: age(self.store.word()),
-            cloud_ms: age(self.cloud.word()),
+            controller: self.me,
+            store_age_ms: age(self.store.word()),
+            cloud_age_ms: age(self.cloud.word()),
             peers: peers
                 .map(|(host, p)| {
                     (
@@ -326,7 +326,7 @@
                     )
                 })
                 .collect(),
-            zones: self
+            unreachable_zones: self
                 .zones
                 .iter()
                 .map(|(zone, at)| (zone.clone(), now.saturating_sub(*at)))
@@ -372,7 +372,7 @@
                 );
             }
         }
-        if let Some(word) = word.filter(|w| w.host == host) {
+        if let Some(word) = word.filter(|w| w.controller == host) {
             self.said(word, now);
         }
         self.reached(host, answered, now);
@@ -387,8 +387,8 @@
     fn said(&mut self, word: AvailabilityGossip, now: u64) {
         if let Some(peer) = self
             .peers
-            .get_mut(usize::from(word.host))
-            .filter(|_| word.host != self.me)
+            .get_mut(usize::from(word.controller))
+            .filter(|_| word.controller != self.me)
         {
             peer.heard = Some(now);
             peer.said = Some((now, word));
@@ -431,7 +431,7 @@
         };
         match peer.out.standing() {
             LinkState::Down if peer.heard.is_some_and(|at| now <= at + HEARD_MS) => {
-                LinkState::OneWay
+                LinkState::InboundOnly
             }
             standing => standing,
         }
@@ -477,7 +477,7 @@
     pub(crate) fn stray(&mut self, r: &MisroutedHeartbeat, now: u64) -> MisroutedHeartbeatAction {
         let (unheard_ms, reachable) = (
             self.unheard_ms(),
-            matches!(self.peer(r.holder, now), LinkState::Up | LinkState::Late),
+            matches!(self.peer(r.holder, now), LinkState::Up | LinkState::Suspect),
         );
         let word = self
             .peers
@@ -494,7 +494,7 @@
             };
         };
         let heard = word
-            .zones
+            .unreachable_zones
             .iter()
             .any(|(zone, ms)| zone == r.zone && *ms <= unheard_ms);
         self.carriage.choose(r, r.knows || r.again, heard, now)
@@ -514,11 +514,11 @@
         let own = |to: String, standing, since: u64, carried_by, took_ms| LinkRow {
             from: host(self.me),
             to,
-            standing,
+            state: standing,
             for_s: now.saturating_sub(since) / 1_000,
-            carried_by,
-            took_ms,
-            said_s: 0,
+            relayed_by: carried_by,
+            latency_ms: took_ms,
+            age_s: 0,
         };
         for (service, way) in [(Service::Store, &self.store), (Service::Cloud, &self.cloud)] {
             let carried = way
@@ -561,16 +561,16 @@
         for (at, word) in self.peers.iter().filter_map(|p| p.said.as_ref()) {
             let said_s = now.saturating_sub(*at) / 1_000;
             let row = |to: String, standing, for_ms: u64| LinkRow {
-                from: host(word.host),
+                from: host(word.controller),
                 to,
-                standing,
+                state: standing,
                 for_s: for_ms / 1_000,
-                carried_by: None,
-                took_ms: None,
-                said_s,
+                relayed_by: None,
+                latency_ms: None,
+                age_s: said_s,
             };
             for service in [Service::Store, Service::Cloud] {
-                let age = word.age_ms(service);
+                let age = word.service_age_ms(service);
                 let standing = age.map_or(LinkState::Unknown, |ms| {
                     if ms <= fresh_ms(service) {
                         LinkState::Up
@@ -586,7 +586,7 @@
                     .map(|(h, standing, ms)| row(host(*h), *standing, *ms)),
             );
             rows.extend(
-                word.zones
+                word.unreachable_zones
                     .iter()
                     .map(|(zone, ms)| row(format!("workers of {zone}"), zone_standing(*ms), *ms)),
             );
--- a/crates/coordination/src/machine_health.rs
+++ b/crates/coordination/src/machine_health.rs
@@ -328,8 +328,8 @@
             let since = z.hidden?;
             Some(PartitionedZone {
                 zone: name.clone(),
-                for_ms: now.saturating_sub(since),
-                over_in_ms: z.over_at.saturating_sub(now),
+                partitioned_for_ms: now.saturating_sub(since),
+                presumed_lost_in_ms: z.over_at.saturating_sub(now),
             })
         };
         self.zones.iter().filter_map(told).collect()
--- a/crates/coordination/src/owner/commands.rs
+++ b/crates/coordination/src/owner/commands.rs
@@ -20,8 +20,8 @@
             return Vec::new();
         };
         let order = |verb, id: &AttemptId, grace_s| Command {
-            verb,
-            piece: id.piece(),
+            kind: verb,
+            task: id.task_name(),
             attempt: id.attempt,
             grace_s,
         };
@@ -39,18 +39,18 @@
                     {
                         // A task that is saving must not be told again with
                         // less grace, which would end it.
-                        let grace = if seen.phase == TaskPhase::Saving {
+                        let grace = if seen.phase == TaskPhase::Checkpointing {
                             grace.max(1)
                         } else {
                             grace
                         };
-                        orders.push(order(CommandKind::Kill, id, Some(grace)));
+                        orders.push(order(CommandKind::Stop, id, Some(grace)));
                         killed.push(id.clone());
                     }
                 }
                 // Nobody wants it, and everybody has spoken.
                 None if seen.phase != TaskPhase::Exited && all_heard => {
-                    orders.push(order(CommandKind::Kill, id, Some(0)))
+                    orders.push(order(CommandKind::Stop, id, Some(0)))
                 }
                 // Guards against a start that is repeated after its attempt
                 // was forgotten, which would run it again.
@@ -69,7 +69,7 @@
         if by.starts() && m.worker_session.may_start(self.word) && !self.starts_held {
             for (id, h) in self.here(machine) {
                 if h.awaits_start(id, m) {
-                    orders.push(order(CommandKind::Launch, id, None));
+                    orders.push(order(CommandKind::Start, id, None));
                     started.push(id.clone());
                 }
             }
@@ -154,9 +154,9 @@
                 machine: id.clone(),
                 addr,
                 commands: CommandsRequest {
-                    token: m.worker_session.call(),
-                    session: m.worker_session.session_to_ask(),
-                    orders,
+                    fencing_token: m.worker_session.call(),
+                    incarnation: m.worker_session.session_to_ask(),
+                    commands: orders,
                 },
                 through: m.carried.map(|(by, _)| by),
             });
@@ -209,7 +209,7 @@
         self.deaf_calls -= usize::from(std::mem::take(&mut m.deaf_call));
         if failed {
             // One that has seen a newer token than the call is called again at once.
-            let overtaken = matches!(&result, CommandResult::Refused(r) if r.token > call.commands.token && r.token >> FENCE_BITS == self.token);
+            let overtaken = matches!(&result, CommandResult::Refused(r) if r.fencing_token > call.commands.fencing_token && r.fencing_token >> FENCE_BITS == self.token);
             let wait = if m.heard.is_some() {
                 COMMAND_RETRY_MS
             } else {
@@ -227,17 +227,17 @@
             }
             CommandResult::NotSent => self.unsend(call),
             // What had no orders can bring none late.
-            CommandResult::Unknown if call.commands.orders.is_empty() => {}
+            CommandResult::Unknown if call.commands.commands.is_empty() => {}
             CommandResult::Unknown => {
                 // Guards against an order that arrives minutes late: from now
                 // on the machine is given a higher token, and until it shows
                 // that, nothing is concluded from an absence.
-                let sent = call.commands.token;
+                let sent = call.commands.fencing_token;
                 if call
                     .commands
-                    .orders
+                    .commands
                     .iter()
-                    .any(|o| o.verb == CommandKind::Launch)
+                    .any(|o| o.kind == CommandKind::Start)
                 {
                     m.lost_start = Some(now);
                 }
@@ -253,12 +253,12 @@
     fn untell(&mut self, call: &CommandCall) {
         for o in call
             .commands
-            .orders
+            .commands
             .iter()
-            .filter(|o| o.verb == CommandKind::Kill)
+            .filter(|o| o.kind == CommandKind::Stop)
         {
             if let Some(h) =
-                AttemptId::parse(&o.piece, o.attempt).and_then(|id| self.held.get_mut(&id))
+                AttemptId::parse(&o.task, o.attempt).and_then(|id| self.held.get_mut(&id))
             {
                 h.killed_at = None;
             }
@@ -276,11 +276,11 @@
         }
         for o in call
             .commands
-            .orders
+            .commands
             .iter()
-            .filter(|o| o.verb == CommandKind::Launch)
+            .filter(|o| o.kind == CommandKind::Start)
         {
-            if let Some(id) = AttemptId::parse(&o.piece, o.attempt)
+            if let Some(id) = AttemptId::parse(&o.task, o.attempt)
                 && let Some(h) = self.held.get_mut(&id)
                 && matches!(h.stage, Stage::Accepted { seen: false, .. })
             {
--- a/crates/coordination/src/owner/maintenance.rs
+++ b/crates/coordination/src/owner/maintenance.rs
@@ -14,7 +14,7 @@
         if self.gone.contains(&said.machine) {
             return None;
         }
-        let room = self.rooms.get(&said.kind).copied().unwrap_or_default();
+        let room = self.rooms.get(&said.machine_type).copied().unwrap_or_default();
         let base = self.base();
         let (stale, missing, earlier) = (&mut self.stale, &self.missing, &self.earlier);
         let m = self
@@ -22,7 +22,7 @@
             .entry(said.machine.clone())
             .or_insert_with(|| {
                 stale.insert(said.machine.clone());
-                let mut m = Machine::new(&said.kind, &said.zone, said.spot, room, base, now);
+                let mut m = Machine::new(&said.machine_type, &said.zone, said.spot, room, base, now);
                 // An attempt there or a note of its images: it ran before.
                 m.ran = missing
                     .get(&said.machine)
@@ -53,7 +53,7 @@
         for e in entries {
             let said = ProvisionedInstance {
                 machine: e.id.clone(),
-                kind: e.kind.clone(),
+                machine_type: e.machine_type.clone(),
                 zone: e.zone.clone(),
                 spot: e.spot,
                 age_ms: (e.age_s * 1000.0) as u64,
@@ -304,17 +304,17 @@
             .machines
             .keys()
             .filter_map(|id| self.views.get(id))
-            .filter(|v| v.up)
+            .filter(|v| v.registered)
         {
             up += 1;
-            empty += usize::from(view.busy == 0);
+            empty += usize::from(view.task_count == 0);
             spot += usize::from(view.spot);
             free = free.plus(&view.free);
-            if view.busy > 0 {
+            if view.task_count > 0 {
                 free_in_use = free_in_use.plus(&view.free);
             }
         }
-        let gpus = |room: Resources| room.gpus / 1000;
+        let gpus = |room: Resources| room.milli_gpus / 1000;
         info!(
             shard = self.shard,
             machines = self.machines.len(),
--- a/crates/coordination/src/owner/mod.rs
+++ b/crates/coordination/src/owner/mod.rs
@@ -105,13 +105,13 @@
 impl Held {
     /// Seconds of grace if it shall end, for whatever reason.
     fn ending(&self) -> Option<u32> {
-        self.want.kill.or(self.evicted)
+        self.want.stop_grace_s.or(self.evicted)
     }
 
     /// It has room and shall start, and its machine has not shown it yet.
     fn awaits_start(&self, id: &AttemptId, m: &Machine) -> bool {
         let accepted = matches!(self.stage, Stage::Accepted { seen: false, .. });
-        self.want.go && self.ending().is_none() && accepted && !m.tasks.contains_key(id)
+        self.want.may_start && self.ending().is_none() && accepted && !m.tasks.contains_key(id)
     }
 }
 
@@ -323,12 +323,12 @@
     /// Learns the machine types.
     pub fn set_types<'a>(&mut self, types: impl Iterator<Item = &'a lemonweir_model::MachineType>) {
         for t in types {
-            self.rooms.insert(t.name.clone(), t.room);
+            self.rooms.insert(t.name.clone(), t.capacity);
             self.boot_ms
                 .insert(t.name.clone(), (t.boot_s * 1000.0) as u64);
-            self.fetch.insert(t.name.clone(), t.fetch_gb_per_s);
+            self.fetch.insert(t.name.clone(), t.image_pull_gb_per_s);
             self.caches
-                .insert(t.name.clone(), (t.cache_gb * 1000.0) as u64);
+                .insert(t.name.clone(), (t.image_cache_gb * 1000.0) as u64);
         }
         for m in self.machines.values_mut() {
             m.room = self.rooms.get(&m.kind).copied().unwrap_or_default();
@@ -420,13 +420,13 @@
         let freshness = |m: &Machine| {
             m.worker_session.weigh(
                 MessageSequence::of(report),
-                report.token,
+                report.fencing_token,
                 Origin::Report(None),
             )
         };
         self.machines
             .get(&report.machine)
-            .map_or(report.token >> FENCE_BITS == self.token, |m| {
+            .map_or(report.fencing_token >> FENCE_BITS == self.token, |m| {
                 matches!(freshness(m), Freshness::Current | Freshness::Restarted)
             })
     }
@@ -442,7 +442,7 @@
         if self.gone.contains(&report.machine) {
             return None;
         }
-        if report.token >> FENCE_BITS > self.token {
+        if report.fencing_token >> FENCE_BITS > self.token {
             // The worker has seen a later owner: our answer would only hold it
             // here while its lease runs out.
             return None;
@@ -450,11 +450,11 @@
         let newer = self.take_report(report, Origin::Report(by), now);
         let m = self.machines.get_mut(&report.machine)?;
         // One that shows none of our tokens may be the first of a new life.
-        if report.session <= m.dead_session && m.worker_session.ours(report.token) {
+        if report.incarnation <= m.dead_session && m.worker_session.ours(report.fencing_token) {
             return None;
         }
         m.worker_session
-            .answered(MessageSequence::of(report), report.token, by, now);
+            .answered(MessageSequence::of(report), report.fencing_token, by, now);
         if newer || m.heard.is_none() {
             // Orders go the way that the newest report came.
             m.carried = by.map(|carrier| (carrier, m.carried.map_or(now, |(_, since)| since)));
@@ -472,25 +472,25 @@
         };
         let orders = self.orders(&report.machine, now, by);
         let m = self.machines.get_mut(&report.machine)?;
-        if orders.iter().any(|o| o.verb == CommandKind::Launch) {
-            m.answered_with_starts = Some(report.seq);
+        if orders.iter().any(|o| o.kind == CommandKind::Start) {
+            m.answered_with_starts = Some(report.sequence);
         }
         Some(HeartbeatResponse {
-            token: m.worker_session.answer_token(),
-            orders,
+            fencing_token: m.worker_session.answer_token(),
+            commands: orders,
         })
     }
 
     /// Takes a report of any origin; true if it tells how its machine is now.
     fn take_report(&mut self, report: &Heartbeat, origin: Origin, now: u64) -> bool {
-        let room = self.rooms.get(&report.kind).copied().unwrap_or_default();
+        let room = self.rooms.get(&report.machine_type).copied().unwrap_or_default();
         let (base, numbers) = (self.base(), MessageSequence::of(report));
         let (missing, earlier) = (&self.missing, &self.earlier);
         let m = self
             .machines
             .entry(report.machine.clone())
             .or_insert_with(|| {
-                let mut m = Machine::new(&report.kind, &report.zone, report.spot, room, base, now);
+                let mut m = Machine::new(&report.machine_type, &report.zone, report.spot, room, base, now);
                 // An attempt there or a note of its images: it ran before.
                 m.ran = missing
                     .get(&report.machine)
@@ -499,9 +499,9 @@
                 m
             });
         self.missing.remove(&report.machine);
-        let freshness = m.worker_session.weigh(numbers, report.token, origin);
+        let freshness = m.worker_session.weigh(numbers, report.fencing_token, origin);
         match freshness {
-            Freshness::Current if report.session <= m.dead_session => return false,
+            Freshness::Current if report.incarnation <= m.dead_session => return false,
             Freshness::Current => {}
             Freshness::Restarted => {
                 info!(machine = %report.machine, shard = self.shard, "machine counts from the start again");
@@ -516,10 +516,10 @@
                 let mut ask = false;
                 if let Origin::Report(way) = origin {
                     m.worker_session
-                        .overtaken(numbers, report.token, way, &self.timing, now);
+                        .overtaken(numbers, report.fencing_token, way, &self.timing, now);
                     ask = m
                         .worker_session
-                        .suspect(numbers, report.token, &self.timing, now);
+                        .suspect(numbers, report.fencing_token, &self.timing, now);
                 }
                 if m.worker_session.heard_of(numbers, now) {
                     m.addr = report.address.parse().ok();
@@ -546,21 +546,21 @@
                 self.boots.came_up(&m.kind, &m.zone, m.spot, after_ms);
             }
             m.overdue = false;
-            if !self.rooms.is_empty() && !self.rooms.contains_key(&report.kind) {
-                warn!(machine = %report.machine, kind = report.kind, "machine of a type that is not in the catalog; nothing is placed there");
+            if !self.rooms.is_empty() && !self.rooms.contains_key(&report.machine_type) {
+                warn!(machine = %report.machine, kind = report.machine_type, "machine of a type that is not in the catalog; nothing is placed there");
             }
         }
-        if freshness == Freshness::Current && report.session > m.worker_session.session() {
+        if freshness == Freshness::Current && report.incarnation > m.worker_session.session() {
             // Orders for an earlier session are refused by the worker.
             (m.ambiguous, m.lost_start) = (None, None);
             m.answered_with_starts = None;
             if m.worker_session.session() > 0 {
-                info!(machine = %report.machine, session = report.session, "new session");
+                info!(machine = %report.machine, session = report.incarnation, "new session");
             }
         }
         let heard = m.worker_session.hears();
         m.worker_session
-            .take(numbers, report.token, origin, &self.timing, now);
+            .take(numbers, report.fencing_token, origin, &self.timing, now);
         if m.worker_session.hears() != heard {
             info!(machine = %report.machine, shard = self.shard, hears = !heard, "whether answers reach the machine");
         }
@@ -570,24 +570,24 @@
             // It is wanted again: it is not empty since it was last seen.
             m.idle_since = m.idle_since.map(|_| now);
         }
-        if report.notice_s.is_some() && !m.notice {
+        if report.reclaim_notice_s.is_some() && !m.notice {
             m.notice = true;
-            info!(machine = %report.machine, seconds = report.notice_s, "the cloud takes this machine");
+            info!(machine = %report.machine, seconds = report.reclaim_notice_s, "the cloud takes this machine");
         }
         if m.ambiguous.is_some_and(|t| m.worker_session.shown() > t) {
             (m.ambiguous, m.lost_start) = (None, None);
         }
         if matches!(origin, Origin::Report(_))
-            && m.answered_with_starts.is_some_and(|seq| report.seq > seq)
+            && m.answered_with_starts.is_some_and(|seq| report.sequence > seq)
         {
             m.answered_with_starts = None;
         }
         m.tasks.clear();
         for t in &report.tasks {
-            match AttemptId::parse(&t.piece, t.attempt) {
+            match AttemptId::parse(&t.task, t.attempt) {
                 Some(id) => {
                     let cause =
-                        (t.phase == TaskPhase::Exited).then(|| ExitCause::read(t.cause.as_deref()));
+                        (t.phase == TaskPhase::Exited).then(|| ExitCause::from_wire(t.exit_cause.as_deref()));
                     m.tasks.insert(
                         id,
                         ReportedTask {
@@ -597,7 +597,7 @@
                     );
                 }
                 None => {
-                    warn!(machine = %report.machine, piece = t.piece, "task name not understood")
+                    warn!(machine = %report.machine, piece = t.task, "task name not understood")
                 }
             }
         }
--- a/crates/coordination/src/owner/orphaned_grants.rs
+++ b/crates/coordination/src/owner/orphaned_grants.rs
@@ -43,7 +43,7 @@
             return;
         }
         let unused = |h: &Held| {
-            !h.want.go
+            !h.want.may_start
                 && matches!(
                     h.stage,
                     Stage::Waiting(_)
--- a/crates/coordination/src/owner/preemption.rs
+++ b/crates/coordination/src/owner/preemption.rs
@@ -25,30 +25,30 @@
         let claimed = self
             .here(&want.machine)
             .filter(|(_, h)| matches!(h.stage, Stage::Waiting(_)))
-            .fold(Resources::default(), |s, (_, h)| s.plus(&h.want.need));
+            .fold(Resources::default(), |s, (_, h)| s.plus(&h.want.resources));
         let staying = self
             .here(&want.machine)
             .filter(|(_, h)| matches!(h.stage, Stage::Accepted { .. }) && h.ending().is_none())
-            .fold(Resources::default(), |s, (_, h)| s.plus(&h.want.need));
+            .fold(Resources::default(), |s, (_, h)| s.plus(&h.want.resources));
         let mut free = m.room.minus(&claimed.plus(&staying));
         let mut candidates: Vec<(bool, Priority, bool, u64, AttemptId, Resources)> = self
             .here(&want.machine)
             .filter(|(_, h)| matches!(h.stage, Stage::Accepted { .. }) && h.ending().is_none())
-            .filter(|(_, h)| want.evict.allows(&want.team, want.rank, &h.want))
+            .filter(|(_, h)| want.preemption.allows(&want.team, want.priority, &h.want))
             .map(|(id, h)| {
                 (
-                    h.want.over,
-                    h.want.rank,
+                    h.want.over_quota,
+                    h.want.priority,
                     now > h.since + FRESH_START_MS,
                     h.since,
                     id.clone(),
-                    h.want.need,
+                    h.want.resources,
                 )
             })
             .collect();
         candidates.sort_unstable();
         let mut victims = Vec::new();
-        while !free.covers(&want.need) {
+        while !free.covers(&want.resources) {
             let Some((_, _, _, _, victim, room)) = candidates.pop() else {
                 return false;
             };
@@ -59,10 +59,10 @@
         for victim in victims {
             if let Some(h) = self.held.get_mut(&victim) {
                 info!(attempt = %victim, machine = %want.machine, shard = self.shard, by = %id, "pushed out");
-                let grace = if want.rank == Priority::Production {
+                let grace = if want.priority == Priority::Production {
                     0
                 } else {
-                    h.want.grace
+                    h.want.preemption_grace_s
                 };
                 h.evicted = Some(grace);
                 h.killed_at = None;
@@ -87,7 +87,7 @@
         let taken = self
             .here(machine)
             .filter(|(other, h)| *other != id && matches!(h.stage, Stage::Accepted { .. }))
-            .fold(Resources::default(), |sum, (_, h)| sum.plus(&h.want.need));
+            .fold(Resources::default(), |sum, (_, h)| sum.plus(&h.want.resources));
         m.room.minus(&taken)
     }
 
@@ -100,16 +100,16 @@
             .filter(|(_, h)| matches!(h.stage, Stage::Accepted { .. }) && h.ending().is_none())
         {
             for rank in 0..3 {
-                let below = h.want.rank.index() > rank;
-                if below && h.want.over {
-                    lower[rank] = lower[rank].plus(&h.want.need);
+                let below = h.want.priority.index() > rank;
+                if below && h.want.over_quota {
+                    lower[rank] = lower[rank].plus(&h.want.resources);
                 }
                 if below
-                    || h.want.over
-                        && h.want.rank.index() == rank
-                        && h.want.rank != Priority::Production
+                    || h.want.over_quota
+                        && h.want.priority.index() == rank
+                        && h.want.priority != Priority::Production
                 {
-                    over[rank] = over[rank].plus(&h.want.need);
+                    over[rank] = over[rank].plus(&h.want.resources);
                 }
             }
         }
@@ -124,7 +124,7 @@
         };
         self.here(machine)
             .filter(|(_, h)| matches!(h.stage, Stage::Accepted { .. } | Stage::Waiting(_)))
-            .fold(m.room, |free, (_, h)| free.minus(&h.want.need))
+            .fold(m.room, |free, (_, h)| free.minus(&h.want.resources))
     }
 
     pub(super) fn busy(&self, machine: &MachineId) -> usize {
@@ -144,7 +144,7 @@
     pub(super) fn lasting(&self, machine: &MachineId) -> u16 {
         let count = self
             .here(machine)
-            .filter(|(_, h)| h.want.lasting && !matches!(h.stage, Stage::Ended(_)))
+            .filter(|(_, h)| h.want.runs_until_cancelled && !matches!(h.stage, Stage::Ended(_)))
             .count();
         count.min(usize::from(u16::MAX)) as u16
     }
--- a/crates/coordination/src/owner/proof.rs
+++ b/crates/coordination/src/owner/proof.rs
@@ -58,13 +58,13 @@
         let past_fetch = |m: &Machine| {
             m.tasks.get(id).is_some_and(|t| {
                 t.cause == Some(ExitCause::Done)
-                    || !matches!(t.phase, TaskPhase::Fetching | TaskPhase::Exited)
+                    || !matches!(t.phase, TaskPhase::PullingImage | TaskPhase::Exited)
             })
         };
         let fetches = |m: &Machine| {
             m.tasks
                 .get(id)
-                .is_some_and(|t| t.phase == TaskPhase::Fetching)
+                .is_some_and(|t| t.phase == TaskPhase::PullingImage)
         };
         if let Some(m) = self.machines.get_mut(&machine) {
             if past_fetch(m) {
@@ -97,7 +97,7 @@
             if self
                 .held
                 .get(id)
-                .is_some_and(|h| h.want.rank != Priority::Low)
+                .is_some_and(|h| h.want.priority != Priority::Low)
             {
                 self.accepted_at = now;
             }
@@ -165,7 +165,7 @@
             Stage::Unjudged => {
                 let fits = m.open()
                     && m.worker_session.session() > m.dead_session
-                    && self.free(&held.want.machine).covers(&held.want.need);
+                    && self.free(&held.want.machine).covers(&held.want.resources);
                 if fits {
                     Stage::Accepted {
                         sent: None,
@@ -185,7 +185,7 @@
                 }
                 // Its own claim is part of what is taken.
                 let free = self.room_without(&held.want.machine, id);
-                if free.covers(&held.want.need) {
+                if free.covers(&held.want.resources) {
                     Stage::Accepted {
                         sent: None,
                         seen: false,
@@ -242,7 +242,7 @@
         now: u64,
     ) {
         let touched = match standing {
-            AttemptState::Exited(ExitCause::Error) => {
+            AttemptState::Exited(ExitCause::Failed) => {
                 self.faults.failed(&id.job, machine, now).machines
             }
             AttemptState::Exited(ExitCause::Done) => {
@@ -251,7 +251,7 @@
             }
             _ => BTreeSet::from([machine.clone()]),
         };
-        let own_fault = standing == AttemptState::Exited(ExitCause::Error)
+        let own_fault = standing == AttemptState::Exited(ExitCause::Failed)
             && self.faults.suspect(&id.job).is_none();
         if let Some(aside) = self
             .machines
--- a/crates/coordination/src/owner/reconciliation.rs
+++ b/crates/coordination/src/owner/reconciliation.rs
@@ -11,69 +11,69 @@
         room: usize,
         now: u64,
     ) -> Result<ShardView, SyncError> {
-        if sync.to_token != self.token {
+        if sync.to_fencing_token != self.token {
             return Err(SyncError::Token);
         }
-        if sync.from >= self.shards {
+        if sync.from_shard >= self.shards {
             return Err(SyncError::Part);
         }
-        let asker = self.askers.entry(sync.from).or_default();
-        if sync.from_token < asker.token {
+        let asker = self.askers.entry(sync.from_shard).or_default();
+        if sync.from_fencing_token < asker.token {
             return Err(SyncError::Token);
         }
         // Guards against a held-back message that asks again for an attempt
         // whose end was already answered.
-        if sync.from_token == asker.token && sync.seq <= asker.seq {
+        if sync.from_fencing_token == asker.token && sync.seq <= asker.seq {
             return Err(SyncError::Stale);
         }
-        if sync.from_token > asker.token {
+        if sync.from_fencing_token > asker.token {
             // Guards against going on from what an earlier placer of that part
             // had told: only a state told from nothing counts for this one.
             asker.at = 0;
             asker.complete = false;
             asker.lost = None;
         }
-        asker.token = sync.from_token;
+        asker.token = sync.from_fencing_token;
         asker.seq = sync.seq;
-        asker.have = sync.have.machines;
-        self.strays.insert(sync.from, (sync.strays, now));
-        for r in &sync.rented {
-            self.expect(r, sync.from, now);
+        asker.have = sync.observed.machines_revision;
+        self.strays.insert(sync.from_shard, (sync.misrouted_heartbeats, now));
+        for r in &sync.provisioned {
+            self.expect(r, sync.from_shard, now);
         }
-        for id in &sync.keep {
+        for id in &sync.reserved_machines {
             if let Some(m) = self.machines.get_mut(id) {
                 m.idle_since = m.idle_since.map(|_| now);
             }
         }
         let wants_at = self.take_wants(sync, now);
-        self.dirty.remove(&sync.from);
+        self.dirty.remove(&sync.from_shard);
         let mut view = self.view(sync, room);
-        view.wants_at = wants_at;
-        view.hidden = self.sight.hidden(now);
+        view.desired_revision = wants_at;
+        view.partitioned_zones = self.sight.hidden(now);
         Ok(view)
     }
 
     /// Takes the changes of a placer's wants; tells the state that we now have
     /// of them, 0 if something is missing between.
     pub(super) fn take_wants(&mut self, sync: &SyncRequest, now: u64) -> u64 {
-        let Some(asker) = self.askers.get_mut(&sync.from) else {
+        let Some(asker) = self.askers.get_mut(&sync.from_shard) else {
             return 0;
         };
-        match sync.span.follows(asker.at) {
-            Some(Continuation::Anew) => {
+        match sync.range.continues_from(asker.at) {
+            Some(Continuation::Snapshot) => {
                 asker.at = 0;
                 asker.complete = false;
-                asker.unnamed = asker_attempts(&self.held, sync.from);
+                asker.unnamed = asker_attempts(&self.held, sync.from_shard);
             }
-            Some(Continuation::On) => {}
+            Some(Continuation::Delta) => {}
             None => return 0,
         }
-        asker.at = asker.at.max(sync.span.upto);
-        for w in &sync.wants {
+        asker.at = asker.at.max(sync.range.until);
+        for w in &sync.desired {
             asker.unnamed.remove(&w.id);
         }
-        let mut over: Vec<AttemptId> = sync.dropped.clone();
-        if sync.span.last {
+        let mut over: Vec<AttemptId> = sync.withdrawn.clone();
+        if sync.range.complete {
             asker.complete = true;
             over.extend(std::mem::take(&mut asker.unnamed));
         }
@@ -81,7 +81,7 @@
         let mut touched = BTreeSet::new();
         for id in over {
             // Another part's attempts are none of its business.
-            if self.held.get(&id).is_some_and(|h| h.from == sync.from) {
+            if self.held.get(&id).is_some_and(|h| h.from == sync.from_shard) {
                 touched.extend(self.let_go(&id));
             }
         }
@@ -89,20 +89,20 @@
             if let Some(held) = self
                 .held
                 .get_mut(id)
-                .filter(|h| h.from == sync.from && h.want.kill.is_none())
+                .filter(|h| h.from == sync.from_shard && h.want.stop_grace_s.is_none())
             {
-                held.want.kill = Some(*grace);
+                held.want.stop_grace_s = Some(*grace);
                 held.killed_at = None;
                 touched.insert(held.want.machine.clone());
             }
         }
-        for w in &sync.wants {
+        for w in &sync.desired {
             if self
                 .held
                 .get(&w.id)
-                .is_some_and(|h| h.want.machine != w.machine || h.from != sync.from)
+                .is_some_and(|h| h.want.machine != w.machine || h.from != sync.from_shard)
             {
-                warn!(attempt = %w.id, from = sync.from, "an attempt can't change its machine or its part; not taken");
+                warn!(attempt = %w.id, from = sync.from_shard, "an attempt can't change its machine or its part; not taken");
                 continue;
             }
             if !self.held.contains_key(&w.id) {
@@ -111,7 +111,7 @@
                     .or_default()
                     .insert(w.id.clone());
                 let held = Held {
-                    from: sync.from,
+                    from: sync.from_shard,
                     want: w.clone(),
                     evicted: None,
                     killed_at: None,
@@ -122,13 +122,13 @@
                 };
                 self.held.insert(w.id.clone(), held);
             } else if let Some(held) = self.held.get_mut(&w.id) {
-                if held.want.kill != w.kill {
+                if held.want.stop_grace_s != w.stop_grace_s {
                     held.killed_at = None;
                 }
                 // Guards against a late go of a placer that has lost its part: its
                 // successor decides what becomes of the gang.
-                let go = w.go && (held.want.go || !lost);
-                held.want = DesiredAttempt { go, ..w.clone() };
+                let go = w.may_start && (held.want.may_start || !lost);
+                held.want = DesiredAttempt { may_start: go, ..w.clone() };
             }
             touched.insert(w.machine.clone());
             match self.machines.get_mut(&w.machine) {
@@ -175,23 +175,23 @@
         let (soft, soft_over) = self.soft(id);
         MachineView {
             id: id.clone(),
-            kind: m.kind.clone(),
+            machine_type: m.kind.clone(),
             zone: m.zone.clone(),
             spot: m.spot,
-            up: m.heard.is_some()
+            registered: m.heard.is_some()
                 && m.worker_session.fresh()
                 && m.worker_session.session() > m.dead_session,
-            open: m.open(),
+            schedulable: m.open(),
             // A machine that fails what it starts may go on with what runs.
-            leaving: m.notice,
+            draining: m.notice,
             free: self.free(id),
-            soft,
-            soft_over,
-            busy: self.busy(id).min(usize::from(u16::MAX)) as u16,
-            lasting: self.lasting(id),
-            images: m.images.iter().map(|(name, _)| name.clone()).collect(),
-            coming: self.coming(id, m),
-            renter: m.renter,
+            preemptible: soft,
+            preemptible_or_over_quota: soft_over,
+            task_count: self.busy(id).min(usize::from(u16::MAX)) as u16,
+            service_task_count: self.lasting(id),
+            cached_images: m.images.iter().map(|(name, _)| name.clone()).collect(),
+            pulling_images: self.coming(id, m),
+            provisioned_by: m.renter,
         }
     }
 
@@ -201,7 +201,7 @@
             Stage::Ended(standing) => standing,
             // A gang has room only once those who were pushed out for it are gone:
             // until then none of it is launched.
-            Stage::Waiting(_) if !held.want.go => return None,
+            Stage::Waiting(_) if !held.want.may_start => return None,
             Stage::Waiting(_) => AttemptState::Accepted,
             Stage::Accepted { .. } => match self
                 .machines
@@ -209,7 +209,7 @@
                 .and_then(|m| m.tasks.get(id))
                 .map(|s| s.phase)
             {
-                Some(TaskPhase::Running | TaskPhase::Saving) => AttemptState::Running,
+                Some(TaskPhase::Running | TaskPhase::Checkpointing) => AttemptState::Running,
                 Some(_) => AttemptState::Preparing,
                 None => AttemptState::Accepted,
             },
@@ -225,20 +225,20 @@
             self.views
                 .forget(self.askers.values().map(|a| a.have).min().unwrap_or(0));
         }
-        let told = self.askers.entry(sync.from).or_default();
+        let told = self.askers.entry(sync.from_shard).or_default();
         let (attempts_span, attempts) = told
             .told
-            .since(sync.have.attempts, &mut room, |_, _| ATTEMPT_BYTES);
+            .since(sync.observed.attempts_revision, &mut room, |_, _| ATTEMPT_BYTES);
         let attempts = attempts
             .into_iter()
             .filter_map(|(id, s)| {
                 s.map(|&standing| AttemptStatus {
                     id: id.clone(),
-                    standing,
+                    state: standing,
                 })
             })
             .collect();
-        let (machines_span, changes) = self.views.since(sync.have.machines, &mut room, |_, m| {
+        let (machines_span, changes) = self.views.since(sync.observed.machines_revision, &mut room, |_, m| {
             m.map_or(ATTEMPT_BYTES, written)
         });
         let (mut machines, mut gone) = (Vec::new(), Vec::new());
@@ -251,15 +251,15 @@
         ShardView {
             version: PEER_VERSION,
             shard: self.shard,
-            token: self.token,
+            fencing_token: self.token,
             seq: sync.seq,
             store_age_ms: u64::MAX,
-            wants_at: 0,
-            hidden: Vec::new(),
-            machines_span,
+            desired_revision: 0,
+            partitioned_zones: Vec::new(),
+            machines_range: machines_span,
             machines,
-            gone,
-            attempts_span,
+            removed_machines: gone,
+            attempts_range: attempts_span,
             attempts,
         }
     }
--- a/crates/coordination/src/placement.rs
+++ b/crates/coordination/src/placement.rs
@@ -124,12 +124,12 @@
             zone: m.zone.clone(),
             spot: m.spot,
             free: m.free,
-            busy: u32::from(m.busy),
-            lasting: u32::from(m.lasting),
-            fetches: m.coming.len() as u32,
+            busy: u32::from(m.task_count),
+            lasting: u32::from(m.service_task_count),
+            fetches: m.pulling_images.len() as u32,
             spare_mb: u64::MAX,
-            soft: m.soft,
-            soft_over: m.soft_over,
+            soft: m.preemptible,
+            soft_over: m.preemptible_or_over_quota,
         }
     }
 }
@@ -241,18 +241,18 @@
             }
         };
         self.wipe(i);
-        if m.up && m.open {
+        if m.registered && m.schedulable {
             self.ready.set(i);
         }
         if m.spot {
             self.spot.set(i);
         }
-        mark(&mut self.types, &m.kind, i);
+        mark(&mut self.types, &m.machine_type, i);
         mark(&mut self.zones, &m.zone, i);
-        for image in &m.images {
+        for image in &m.cached_images {
             mark(&mut self.images, image, i);
         }
-        for image in &m.coming {
+        for image in &m.pulling_images {
             mark(&mut self.coming, image, i);
         }
         self.slots[i] = MachineSlot::of(&m);
@@ -276,7 +276,7 @@
         self.used.put(i, slot.busy > 0);
         self.fetching.put(i, slot.fetches > 0);
         self.crowded.put(i, slot.fetches > 1);
-        self.gpus.put(i, slot.free.gpus > 0);
+        self.gpus.put(i, slot.free.milli_gpus > 0);
     }
 
     fn wipe(&mut self, i: usize) {
@@ -309,7 +309,7 @@
         self.slots[i] = MachineSlot::of(m);
         self.slots[i].spare_mb = self.spares[i];
         self.coming.values_mut().for_each(|row| row.clear(i));
-        for image in &m.coming {
+        for image in &m.pulling_images {
             mark(&mut self.coming, image, i);
         }
         self.mark_use(i);
@@ -508,7 +508,7 @@
         let drops = anywhere && ask.image_mb > slot.spare_mb;
         let fetches = if anywhere { slot.fetches } else { 0 };
         // What needs no accelerator goes where none is left idle beside it.
-        let strands = ask.need.gpus == 0 && slot.free.gpus > 0;
+        let strands = ask.need.milli_gpus == 0 && slot.free.milli_gpus > 0;
         let (after, of) = self.begins;
         let begin = if ask.lasting {
             self.slots.len() * after / of.max(1)
--- a/crates/coordination/src/placer/gangs.rs
+++ b/crates/coordination/src/placer/gangs.rs
@@ -61,7 +61,7 @@
         let late: Vec<MachineId> = job
             .live
             .values()
-            .filter(|l| !matches!(l.standing, Some(s) if !s.ended()))
+            .filter(|l| !matches!(l.standing, Some(s) if !s.is_terminal()))
             .map(|l| l.machine.clone())
             .collect();
         info!(job = %id, shard = self.shard, ?why, live = job.live.len(), late = late.len(), "gang is released");
--- a/crates/coordination/src/placer/headroom.rs
+++ b/crates/coordination/src/placer/headroom.rs
@@ -11,7 +11,7 @@
         }
         let guarantee = self.guarantees.get(&spec.team);
         (1..=spec.tasks.min(u64::from(CHUNK_TASKS)))
-            .take_while(|&n| within(&spec.need().times(n), guarantee))
+            .take_while(|&n| within(&spec.task_resources().times(n), guarantee))
             .last()
             .unwrap_or(0)
     }
@@ -41,14 +41,14 @@
             let spec = &record.spec;
             let restart_ms = self.boot_ms as f64 + spec.image_gb / self.fetch_gb_per_s * 1000.0;
             // Room that costs less is kept for more.
-            let share = if spec.spot {
+            let share = if spec.allow_spot {
                 self.spare * self.spot_discount
             } else {
                 self.spare
             };
             let expected = self.awaited(spec) as f64 * restart_ms / seen_ms as f64 * share;
             groups
-                .entry((spec.need(), spec.spot))
+                .entry((spec.task_resources(), spec.allow_spot))
                 .or_insert_with(|| (0.0, record.clone()))
                 .0 += expected;
         }
@@ -57,14 +57,14 @@
         // The largest first: what is left of whole machines is of no use to them.
         for (expected, record) in groups.into_values().rev() {
             let spec = &record.spec;
-            let need = spec.need();
+            let need = spec.task_resources();
             let mut count = 0;
             for _ in 0..(expected.round() as u32).min(most) {
                 let ask = PlacementRequest {
                     need,
-                    types: spec.types.as_deref(),
+                    types: spec.machine_types.as_deref(),
                     zones: None,
-                    spot: spec.spot,
+                    spot: spec.allow_spot,
                     lasting: false,
                     image: &spec.image,
                     image_mb: spec.image_mb(),
@@ -75,7 +75,7 @@
                 let found = self.fields.iter().enumerate().find_map(|(p, field)| {
                     let fit = field
                         .first_fit(&ask)
-                        .or_else(|| field.evict_fit(&ask, spec.rank, false, false, None));
+                        .or_else(|| field.evict_fit(&ask, spec.priority, false, false, None));
                     fit.map(|i| (p, i))
                 });
                 let Some((p, i)) = found else {
@@ -94,12 +94,12 @@
                 lacking.push(CapacityDemand {
                     team: spec.team.clone(),
                     need,
-                    types: spec.types.clone(),
+                    types: spec.machine_types.clone(),
                     zone,
-                    spot: spec.spot,
+                    spot: spec.allow_spot,
                     count,
                     one_zone: false,
-                    only_spot: spec.spot,
+                    only_spot: spec.allow_spot,
                     idle: false,
                     first: false,
                 });
--- a/crates/coordination/src/placer/mod.rs
+++ b/crates/coordination/src/placer/mod.rs
@@ -354,7 +354,7 @@
         self.guarantee_within = guarantee_within;
         let discount = |t: &MachineType| {
             if t.spot_price > 0.0 {
-                t.price / t.spot_price
+                t.on_demand_price / t.spot_price
             } else {
                 1.0
             }
@@ -369,14 +369,14 @@
             .map(|t| (t.boot_s * 1000.0) as u64)
             .max()
             .unwrap_or(0);
-        self.rooms = catalog.values().map(|t| t.room).collect();
+        self.rooms = catalog.values().map(|t| t.capacity).collect();
         self.fetch_gb_per_s = catalog
             .values()
-            .map(|t| t.fetch_gb_per_s)
+            .map(|t| t.image_pull_gb_per_s)
             .fold(0.0, f64::max);
         self.caches = catalog
             .values()
-            .map(|t| (t.name.clone(), (t.cache_gb * 1000.0) as u64))
+            .map(|t| (t.name.clone(), (t.image_cache_gb * 1000.0) as u64))
             .collect();
     }
 
@@ -551,7 +551,7 @@
                 let same_rank = job
                     .record
                     .as_ref()
-                    .is_some_and(|record| record.spec.rank == m.record.spec.rank);
+                    .is_some_and(|record| record.spec.priority == m.record.spec.priority);
                 if same_rank && job.version == m.version {
                     return;
                 }
@@ -559,12 +559,12 @@
                 let news =
                     job.record.is_none() && job.chunks.is_empty() && now > self.started + SETTLE_MS;
                 let guaranteed = self.guarantee_within < f64::MAX
-                    && within(&spec.need(), self.guarantees.get(&spec.team));
+                    && within(&spec.task_resources(), self.guarantees.get(&spec.team));
                 if news && (self.start_within.contains_key(&spec.class) || guaranteed) {
                     self.arrivals.push_back((now, m.record.clone()));
                 }
                 job.team = spec.team.clone();
-                job.need = spec.need();
+                job.need = spec.task_resources();
                 job.tasks = spec.tasks.min(u64::from(u32::MAX)) as u32;
                 job.version = m.version;
                 job.record = Some(m.record.clone());
@@ -698,8 +698,8 @@
             (
                 h.zone,
                 HiddenZone {
-                    since: now.saturating_sub(h.for_ms),
-                    over_at: now + h.over_in_ms,
+                    since: now.saturating_sub(h.partitioned_for_ms),
+                    over_at: now + h.presumed_lost_in_ms,
                 },
             )
         };
@@ -777,7 +777,7 @@
 /// What the owners are told of a job, with the part that each is for.
 fn wants_of(id: &JobId, job: &Job) -> Vec<(u16, DesiredAttempt)> {
     let image = job.spec().map(|s| s.image.clone()).unwrap_or_default();
-    let grace = job.spec().map_or(0, JobSpec::way_grace_s);
+    let grace = job.spec().map_or(0, JobSpec::preemption_grace_s);
     let all_known = || {
         job.live.len() as u32 == job.tasks - job.done_count.min(job.tasks)
             && job.live.values().all(|l| l.standing.is_some())
@@ -787,17 +787,17 @@
     let want = |id: AttemptId, machine: &MachineId| DesiredAttempt {
         id,
         machine: machine.clone(),
-        need: job.need,
+        resources: job.need,
         image: image.clone(),
         image_mb,
-        go: false,
-        kill: Some(0),
+        may_start: false,
+        stop_grace_s: Some(0),
         team: job.team.clone(),
-        rank: job.rank(),
-        over: true,
-        grace: 0,
-        lasting: false,
-        evict: PreemptionScope::Nobody,
+        priority: job.rank(),
+        over_quota: true,
+        preemption_grace_s: 0,
+        runs_until_cancelled: false,
+        preemption: PreemptionScope::Nobody,
     };
     let mut wants = Vec::new();
     for (&task, l) in job.live.iter().filter(|(t, l)| job.recorded(**t, l)) {
@@ -808,12 +808,12 @@
         };
         let kill = if job.stopping() { Some(0) } else { l.kill };
         let want = DesiredAttempt {
-            go,
-            kill,
-            over: l.over,
-            grace,
-            lasting: job.lasting(),
-            evict: l.evict,
+            may_start: go,
+            stop_grace_s: kill,
+            over_quota: l.over,
+            preemption_grace_s: grace,
+            runs_until_cancelled: job.lasting(),
+            preemption: l.evict,
             ..want(id, &l.machine)
         };
         wants.push((l.shard, want));
@@ -828,17 +828,17 @@
 
 /// What a team that has no limit may take.
 const NO_LIMIT: Resources = Resources {
-    cpus: u64::MAX,
-    gpus: u64::MAX,
-    memory: u64::MAX,
+    milli_cpus: u64::MAX,
+    milli_gpus: u64::MAX,
+    memory_mb: u64::MAX,
 };
 
 /// True if a use is within a guarantee; one that names nothing holds nothing.
 fn within(used: &Resources, guarantee: Option<&Resources>) -> bool {
-    let Some(g) = guarantee.filter(|g| g.cpus > 0 || g.gpus > 0) else {
+    let Some(g) = guarantee.filter(|g| g.milli_cpus > 0 || g.milli_gpus > 0) else {
         return false;
     };
-    (g.cpus == 0 || used.cpus <= g.cpus) && (g.gpus == 0 || used.gpus <= g.gpus)
+    (g.milli_cpus == 0 || used.milli_cpus <= g.milli_cpus) && (g.milli_gpus == 0 || used.milli_gpus <= g.milli_gpus)
 }
 
 /// What a replica that runs already asks of another machine.
@@ -848,10 +848,10 @@
     avoid: &'a [MachineId],
 ) -> PlacementRequest<'a> {
     PlacementRequest {
-        need: spec.need(),
-        types: spec.types.as_deref(),
+        need: spec.task_resources(),
+        types: spec.machine_types.as_deref(),
         zones,
-        spot: spec.spot,
+        spot: spec.allow_spot,
         lasting: true,
         image: &spec.image,
         image_mb: spec.image_mb(),
--- a/crates/coordination/src/placer/placing.rs
+++ b/crates/coordination/src/placer/placing.rs
@@ -238,10 +238,10 @@
         };
         let Some(spec) = job.spec() else { return };
         let limit = self.limits.get(&job.team).copied().unwrap_or(NO_LIMIT);
-        let idle = spec.rank == Priority::Low;
+        let idle = spec.priority == Priority::Low;
         let starved = idle && job.starved(now);
         let first = self.must_begin(job, now);
-        if idle && !spec.spot && !starved && !first {
+        if idle && !spec.allow_spot && !starved && !first {
             return;
         }
         let already = asked.get(&job.team).copied().unwrap_or_default();
@@ -251,7 +251,7 @@
             .copied()
             .unwrap_or_default()
             .plus(&already);
-        let gang = spec.shape == JobKind::Gang;
+        let gang = spec.kind == JobKind::Gang;
         let waiting = match u64::from(job.waiting()) {
             _ if first && !gang => 1,
             waiting if starved => waiting.min(job.to_half()).min(DEMAND_MOST),
@@ -260,7 +260,7 @@
         };
         let left = limit.minus(&used);
         let ratio = |have: u64, need: u64| have.checked_div(need).unwrap_or(u64::MAX);
-        let most = ratio(left.cpus, job.need.cpus).min(ratio(left.gpus, job.need.gpus));
+        let most = ratio(left.milli_cpus, job.need.milli_cpus).min(ratio(left.milli_gpus, job.need.milli_gpus));
         // A gang needs all of its room. A service that its team's limit keeps from
         // being whole begins all the same.
         let count = if !gang || waiting <= most {
@@ -275,11 +275,11 @@
         let demand = CapacityDemand {
             team: job.team.clone(),
             need: job.need,
-            types: spec.types.clone(),
+            types: spec.machine_types.clone(),
             zone: spec.zone.clone(),
-            spot: spec.spot,
+            spot: spec.allow_spot,
             count: count as u32,
-            one_zone: spec.one_zone,
+            one_zone: spec.same_zone,
             only_spot: idle && !starved && !first,
             idle,
             first,
@@ -342,7 +342,7 @@
         };
         // Guards against idle work that takes up room long before it is its turn to
         // be written, and against a pass that places 100,000 tasks.
-        let first_start = spec.rank == Priority::Low
+        let first_start = spec.priority == Priority::Low
             && job
                 .chunks
                 .get(&(first / CHUNK_TASKS))
@@ -351,7 +351,7 @@
             job.reason = IDLE_TURN;
             return false;
         }
-        let tasks: Vec<u32> = if spec.shape == JobKind::Gang {
+        let tasks: Vec<u32> = if spec.kind == JobKind::Gang {
             (first..job.tasks).filter(|t| !job.is_done(*t)).collect()
         } else {
             vec![first]
@@ -359,15 +359,15 @@
         let limit = self.limits.get(&job.team).copied().unwrap_or(NO_LIMIT);
         let used = self.usage.get(&job.team).copied().unwrap_or_default();
         let after = used.plus(&job.need.times(tasks.len() as u64));
-        if !limit.covers(&Resources { memory: 0, ..after }) {
+        if !limit.covers(&Resources { memory_mb: 0, ..after }) {
             job.reason = AT_LIMIT;
             return false;
         }
         let guaranteed = within(&after, self.guarantees.get(&job.team));
         let evict = if guaranteed {
-            PreemptionScope::LowerAndOver
+            PreemptionScope::LowerPriorityOrOverQuota
         } else {
-            PreemptionScope::Lower
+            PreemptionScope::LowerPriority
         };
         let soon = self
             .start_within
@@ -381,15 +381,15 @@
         };
         // A replica that was up is down while it fetches.
         let too_slow = spec.image_gb * FETCH_SPREAD > soon * self.fetch_gb_per_s
-            || spec.shape == JobKind::Service && job.ran;
+            || spec.kind == JobKind::Service && job.ran;
         // Jobs that ask the same, or less, found no room a moment ago.
-        let frugal = spec.rank == Priority::Low && !job.starved(now) && !must_begin;
+        let frugal = spec.priority == Priority::Low && !job.starved(now) && !must_begin;
         let shape = {
             let mut hasher = DefaultHasher::new();
             (
-                &spec.types,
+                &spec.machine_types,
                 &spec.zone,
-                spec.spot,
+                spec.allow_spot,
                 spec.spread && job.tasks > 1,
                 tasks.len(),
                 suspect,
@@ -399,9 +399,9 @@
             (
                 &job.avoid,
                 &job.late,
-                spec.rank as u8,
+                spec.priority as u8,
                 guaranteed,
-                spec.one_zone && tasks.len() > 1,
+                spec.same_zone && tasks.len() > 1,
             )
                 .hash(&mut hasher);
             hasher.finish()
@@ -411,7 +411,7 @@
             return false;
         }
         let mut zone_sets: Vec<Option<String>> = vec![None];
-        if spec.one_zone && tasks.len() + job.live.len() > 1 {
+        if spec.same_zone && tasks.len() + job.live.len() > 1 {
             let present: BTreeSet<String> = job.live.values().map(|l| l.zone.clone()).collect();
             let all: BTreeSet<String> = self
                 .fields
@@ -460,10 +460,10 @@
                     allowed_zones(spec, zone.as_deref(), &per_zone, job_tasks, &self.fields);
                 let ask = PlacementRequest {
                     need,
-                    types: spec.types.as_deref(),
+                    types: spec.machine_types.as_deref(),
                     zones,
-                    spot: spec.spot,
-                    lasting: spec.shape == JobKind::Service,
+                    spot: spec.allow_spot,
+                    lasting: spec.kind == JobKind::Service,
                     image: &spec.image,
                     image_mb: spec.image_mb(),
                     avoid: &avoid,
@@ -480,7 +480,7 @@
                 let (fields, kindred) = (&self.fields, &weighed.kindred);
                 let pushed = |with_image| {
                     let fit = |p: usize| {
-                        fields[p].evict_fit(&ask, spec.rank, guaranteed, with_image, kindred.get(p))
+                        fields[p].evict_fit(&ask, spec.priority, guaranteed, with_image, kindred.get(p))
                     };
                     order
                         .iter()
@@ -513,7 +513,7 @@
                 let field = &mut self.fields[p];
                 let warm = field.has_image(i, &spec.image);
                 field.take(i, &need, &spec.image);
-                if spec.shape == JobKind::Service {
+                if spec.kind == JobKind::Service {
                     field.stays(i);
                 }
                 if spec.spread {
@@ -571,7 +571,7 @@
             pass.idle_left -= usize::from(first_start);
             // A replica that was only moved is no sign of new work, nor is a try
             // of a suspect, nor idle work.
-            if !(spec.shape == JobKind::Service && ran || suspect || spec.rank == Priority::Low) {
+            if !(spec.kind == JobKind::Service && ran || suspect || spec.priority == Priority::Low) {
                 self.placed_at = now;
             }
             self.settle(id, now);
--- a/crates/coordination/src/placer/preemption.rs
+++ b/crates/coordination/src/placer/preemption.rs
@@ -76,7 +76,7 @@
                 .live
                 .get(&task)
                 .map(|l| l.zone.clone())
-                .filter(|_| spec.one_zone);
+                .filter(|_| spec.same_zone);
             let mut avoid = job.avoid.clone();
             avoid.push(machine.clone());
             let need = job.need;
--- a/crates/coordination/src/placer/reconciliation.rs
+++ b/crates/coordination/src/placer/reconciliation.rs
@@ -62,7 +62,7 @@
         let Some(guarantee) = self
             .guarantees
             .get(team)
-            .filter(|g| g.cpus > 0 || g.gpus > 0)
+            .filter(|g| g.milli_cpus > 0 || g.milli_gpus > 0)
         else {
             return;
         };
@@ -136,7 +136,7 @@
         let (span, changes) = link.wants.since(link.acked, &mut room, |_, w| {
             w.map_or(ATTEMPT_BYTES, written)
         });
-        link.sent = span.upto;
+        link.sent = span.until;
         let (mut wants, mut dropped) = (Vec::new(), Vec::new());
         for (id, want) in changes {
             match want {
@@ -146,25 +146,25 @@
         }
         // Guards against a stop order that waits behind hundreds of starts
         // where a message holds few.
-        let stops = if span.last {
+        let stops = if span.complete {
             Vec::new()
         } else {
-            stops_beyond(&link.wants, span.upto, room.max(STOPS_BYTES.min(beside)))
+            stops_beyond(&link.wants, span.until, room.max(STOPS_BYTES.min(beside)))
         };
         let mut told = Vec::new();
         if notes {
             let (span, changes) = self
                 .notes
                 .since(link.notes_acked, &mut room, |_, _| NOTE_BYTES);
-            link.notes_sent = span.upto;
+            link.notes_sent = span.until;
             told = changes
                 .into_iter()
                 .filter_map(|(job, note)| {
                     note.map(|(done, running, reason)| JobProgress {
                         job: job.clone(),
-                        done: *done,
-                        running: *running,
-                        reason: reason.clone().into_owned(),
+                        tasks_done: *done,
+                        tasks_running: *running,
+                        wait_reason: reason.clone().into_owned(),
                     })
                 })
                 .collect();
@@ -181,24 +181,24 @@
         let field = &self.fields[usize::from(to)];
         SyncRequest {
             version: PEER_VERSION,
-            from: self.shard,
-            from_token: self.token,
-            to,
-            to_token,
+            from_shard: self.shard,
+            from_fencing_token: self.token,
+            to_shard: to,
+            to_fencing_token: to_token,
             seq: link.seq,
             store_age_ms: u64::MAX,
-            span,
-            wants,
-            dropped,
+            range: span,
+            desired: wants,
+            withdrawn: dropped,
             stops,
-            have: if link.token == to_token {
+            observed: if link.token == to_token {
                 link.have
             } else {
                 ObservedState::default()
             },
-            strays: 0,
-            rented,
-            keep: fitting(
+            misrouted_heartbeats: 0,
+            provisioned: rented,
+            reserved_machines: fitting(
                 self.keep
                     .iter()
                     .filter(|m| field.find(m).is_some())
@@ -206,7 +206,7 @@
                 beside,
                 written,
             ),
-            notes: told,
+            progress: told,
         }
     }
 
@@ -215,7 +215,7 @@
         let Some(link) = self.links.get_mut(usize::from(view.shard)) else {
             return false;
         };
-        if view.token < link.token || view.token == link.token && view.seq <= link.got {
+        if view.fencing_token < link.token || view.fencing_token == link.token && view.seq <= link.got {
             return false;
         }
         // Guards against an answer to an earlier holder's message that comes late
@@ -223,7 +223,7 @@
         if view.seq <= self.token << FENCE_BITS {
             return false;
         }
-        if view.seq > link.seq || view.token == link.to_token && view.wants_at > link.wants.last() {
+        if view.seq > link.seq || view.fencing_token == link.to_token && view.desired_revision > link.wants.last() {
             warn!(
                 shard = self.shard,
                 from = view.shard,
@@ -231,21 +231,21 @@
             );
             return false;
         }
-        if view.token > link.token {
-            (link.token, link.have) = (view.token, ObservedState::default());
+        if view.fencing_token > link.token {
+            (link.token, link.have) = (view.fencing_token, ObservedState::default());
         }
         link.got = view.seq;
         link.told_at = Some(now);
-        self.take_hidden(view.shard, std::mem::take(&mut view.hidden), now);
+        self.take_hidden(view.shard, std::mem::take(&mut view.partitioned_zones), now);
         let Some(link) = self.links.get_mut(usize::from(view.shard)) else {
             return false;
         };
-        if view.token == link.to_token {
+        if view.fencing_token == link.to_token {
             // An owner that has less than it once said starts from nothing.
-            link.acked = if view.wants_at < link.acked {
+            link.acked = if view.desired_revision < link.acked {
                 0
             } else {
-                view.wants_at
+                view.desired_revision
             };
             link.wants.forget(link.acked);
             link.notes_acked = link.notes_acked.max(link.notes_sent);
@@ -253,36 +253,36 @@
                 link.sent = 0;
             }
         }
-        let machines = view.machines_span.follows(link.have.machines);
-        let attempts = view.attempts_span.follows(link.have.attempts);
+        let machines = view.machines_range.continues_from(link.have.machines_revision);
+        let attempts = view.attempts_range.continues_from(link.have.attempts_revision);
         if attempts.is_some() {
-            link.have.attempts = view.attempts_span.upto;
+            link.have.attempts_revision = view.attempts_range.until;
         }
         if machines.is_some() {
-            link.have.machines = view.machines_span.upto;
+            link.have.machines_revision = view.machines_range.until;
         }
         if attempts.is_some() {
             for a in &view.attempts {
-                self.moved_on(&a.id, a.standing, view.shard, now);
+                self.moved_on(&a.id, a.state, view.shard, now);
             }
         }
         let shard = view.shard;
-        let news = !view.machines.is_empty() || !view.gone.is_empty() || !view.attempts.is_empty();
+        let news = !view.machines.is_empty() || !view.removed_machines.is_empty() || !view.attempts.is_empty();
         match machines {
-            Some(Continuation::Anew) => {
+            Some(Continuation::Snapshot) => {
                 self.fields[usize::from(shard)] =
                     fresh_field(self.shard, shard, self.links.len() as u16);
             }
-            Some(Continuation::On) => {}
+            Some(Continuation::Delta) => {}
             None => return news,
         }
-        for id in &view.gone {
+        for id in &view.removed_machines {
             self.fields[usize::from(shard)].remove(id);
         }
         for m in view.machines {
-            let (id, leaving) = (m.id.clone(), m.leaving);
-            let cache_mb = self.caches.get(&m.kind).copied().unwrap_or(u64::MAX);
-            let spare_mb = self.book.spare_mb(&m.images, cache_mb);
+            let (id, leaving) = (m.id.clone(), m.draining);
+            let cache_mb = self.caches.get(&m.machine_type).copied().unwrap_or(u64::MAX);
+            let spare_mb = self.book.spare_mb(&m.cached_images, cache_mb);
             let field = &mut self.fields[usize::from(shard)];
             field.set(m);
             field.set_spare(&id, spare_mb);
@@ -291,7 +291,7 @@
                 self.empty(&id, shard, now);
             }
         }
-        if view.machines_span.last {
+        if view.machines_range.complete {
             // All figures are as new as what was told of the attempts.
             let machines: Vec<MachineId> = self.links[usize::from(shard)]
                 .uncounted
@@ -354,7 +354,7 @@
                 .push(TaskFate::Ran(id.job.clone(), id.task, live.since > 0));
         }
         job.ran |= standing == AttemptState::Running;
-        if standing.ended() {
+        if standing.is_terminal() {
             self.attempt_over(id, standing, now);
             self.settle(&id.job, now);
         } else {
@@ -391,7 +391,7 @@
             let Some(job) = self.jobs.get_mut(&id).filter(|j| !j.stopping()) else {
                 continue;
             };
-            let Some(grace) = job.spec().map(JobSpec::grace_s) else {
+            let Some(grace) = job.spec().map(JobSpec::stop_grace_s) else {
                 continue;
             };
             let gang = job.is(JobKind::Gang);
@@ -441,7 +441,7 @@
                 self.suspect(touched.jobs, now);
                 return;
             }
-            AttemptState::Exited(ExitCause::Error) => {
+            AttemptState::Exited(ExitCause::Failed) => {
                 self.note_failure(id, &live, now);
             }
             AttemptState::Refused => {
@@ -459,7 +459,7 @@
                     };
             }
             AttemptState::Exited(
-                ExitCause::NoRoom | ExitCause::InUse | ExitCause::Unknown | ExitCause::Alone,
+                ExitCause::InsufficientResources | ExitCause::TaskConflict | ExitCause::UnknownJob | ExitCause::GangIncomplete,
             ) => job.not_before = now + START_REFUSED_PAUSE_MS,
             _ => {}
         }
@@ -544,7 +544,7 @@
 ) -> Vec<(AttemptId, u32)> {
     wants
         .beyond(upto)
-        .filter_map(|(id, w)| w.kill.map(|grace| (id.clone(), grace)))
+        .filter_map(|(id, w)| w.stop_grace_s.map(|grace| (id.clone(), grace)))
         .take(room / ATTEMPT_BYTES)
         .collect()
 }
--- a/crates/coordination/src/placer/records.rs
+++ b/crates/coordination/src/placer/records.rs
@@ -260,7 +260,7 @@
                     cas.writes.push(Write::Put {
                         key,
                         value: chunk_value(&record, self.records_version),
-                        hold: None,
+                        lease: None,
                     });
                 }
                 pending
--- a/crates/coordination/src/placer/scoring.rs
+++ b/crates/coordination/src/placer/scoring.rs
@@ -64,7 +64,7 @@
             (stakes.fetch_s - now.saturating_sub(at) as f64 / 1000.0).max(0.0)
         });
         stakes.spot = ask.spot;
-        stakes.plain = ask.need.gpus == 0;
+        stakes.plain = ask.need.milli_gpus == 0;
         stakes.mail = order.iter().any(|(_, mail)| *mail);
         let others = || {
             job.live
@@ -76,7 +76,7 @@
             return weighed;
         }
         stakes.kin = true;
-        if spec.spot {
+        if spec.allow_spot {
             let on_spot = |l: &LiveAttempt| {
                 let field = self.fields.get(usize::from(l.shard));
                 field
@@ -86,7 +86,7 @@
             stakes.wave = 2 * others().filter(|l| on_spot(l)).count() as u32 >= job.tasks;
         }
         // A job that must be in one zone can't be spread over them.
-        let open: BTreeSet<&str> = match (&ask.zones, spec.one_zone || spec.zone.is_some()) {
+        let open: BTreeSet<&str> = match (&ask.zones, spec.same_zone || spec.zone.is_some()) {
             (_, true) => BTreeSet::new(),
             (Some(zones), _) => zones.iter().copied().collect(),
             (None, _) => self.fields.iter().flat_map(PlacementIndex::zones).collect(),
--- a/crates/coordination/src/placer/supervision.rs
+++ b/crates/coordination/src/placer/supervision.rs
@@ -115,12 +115,12 @@
     /// owner told.
     pub(crate) fn known_up(&self, shard: u16) -> Option<(u32, u32, u32)> {
         let field = self.fields.get(usize::from(shard))?;
-        let up = field.machines().filter(|m| m.up);
+        let up = field.machines().filter(|m| m.registered);
         let sum = |(replicas, others, machines), m: &lemonweir_protocol::peer::MachineView| {
-            let lasting = u32::from(m.lasting);
+            let lasting = u32::from(m.service_task_count);
             (
                 replicas + lasting,
-                others + u32::from(m.busy).saturating_sub(lasting),
+                others + u32::from(m.task_count).saturating_sub(lasting),
                 machines + 1,
             )
         };
--- a/crates/coordination/src/supervision/picture.rs
+++ b/crates/coordination/src/supervision/picture.rs
@@ -47,41 +47,41 @@
             let holder = self.cache.shard_leaders.get(&shard);
             ShardRow {
                 shard,
-                home: home.host.clone(),
-                holder: holder.map(|h| h.host.clone()),
-                token: holder.map(|h| h.fencing_token),
-                since: rings.entries_of(shard).last().map(|(r, _)| r.at_ms),
+                preferred_leader: home.host.clone(),
+                leader: holder.map(|h| h.host.clone()),
+                fencing_token: holder.map(|h| h.fencing_token),
+                leader_since_ms: rings.entries_of(shard).last().map(|(r, _)| r.at_ms),
             }
         };
         let shards = (0..).zip(&self.config.members).map(shard).collect();
         let mut watch = SupervisionReport {
             host,
-            age_ms,
+            store_age_ms: age_ms,
             shards,
             services: 0,
-            promised: 0,
-            up: 0,
-            short: Vec::new(),
+            desired: 0,
+            running: 0,
+            under_replicated: Vec::new(),
         };
         for job in self
             .cache
             .jobs
             .values()
-            .filter(|j| j.record.spec.shape == JobKind::Service && !j.record.cancel_requested)
+            .filter(|j| j.record.spec.kind == JobKind::Service && !j.record.cancel_requested)
         {
             let row = self.service_row(job, now);
             watch.services += 1;
-            watch.promised += u64::from(row.promised);
-            watch.up += u64::from(row.up);
-            if row.up < row.promised {
-                watch.short.push(row);
+            watch.desired += u64::from(row.desired);
+            watch.running += u64::from(row.running);
+            if row.running < row.desired {
+                watch.under_replicated.push(row);
             }
         }
         let missing = |r: &UnderReplicatedServiceRow| {
-            u64::from(r.promised - r.up) * 1_000_000 / u64::from(r.promised.max(1))
+            u64::from(r.desired - r.running) * 1_000_000 / u64::from(r.desired.max(1))
         };
         watch
-            .short
+            .under_replicated
             .sort_by(|a, b| missing(b).cmp(&missing(a)).then_with(|| a.job.cmp(&b.job)));
         watch
     }
@@ -96,16 +96,16 @@
             class: spec.class.clone(),
             team: spec.team.clone(),
             shard,
-            promised: tasks,
+            desired: tasks,
             half: tasks.div_ceil(2),
-            up: note.map_or(0, |n| n.running).min(tasks),
+            running: note.map_or(0, |n| n.tasks_running).min(tasks),
             zones: Vec::new(),
-            short_s: None,
+            under_replicated_s: None,
             below_half_s: None,
-            doing: "its team's controller knows".into(),
-            due_s: None,
-            lacks: note.map(|n| n.reason.clone()).unwrap_or_default(),
-            tried: Vec::new(),
+            action: "its team's controller knows".into(),
+            due_in_s: None,
+            blocked_by: note.map(|n| n.wait_reason.clone()).unwrap_or_default(),
+            escalations: Vec::new(),
         };
         let Some(own) = self.shards.get(&shard) else {
             return row;
@@ -114,18 +114,18 @@
             return row;
         };
         let s = |since: u64| now.saturating_sub(since) / 1_000;
-        row.up = service.seen.up.min(tasks);
+        row.running = service.seen.up.min(tasks);
         row.zones = own.placer.zones_up(&spec.id);
-        row.short_s = service.short_since.map(s);
+        row.under_replicated_s = service.short_since.map(s);
         row.below_half_s = service.below_half_since.map(s);
-        row.doing = service.seen.doing.text().into();
-        row.due_s = service.by.map(|by| (by as i64 - now as i64) / 1_000);
-        row.lacks = own
+        row.action = service.seen.doing.text().into();
+        row.due_in_s = service.by.map(|by| (by as i64 - now as i64) / 1_000);
+        row.blocked_by = own
             .placer
             .job_note(&spec.id, now)
             .map(|(_, _, reason)| reason)
             .unwrap_or_default();
-        row.tried = service
+        row.escalations = service
             .tries
             .iter()
             .map(|t| format!("{} s ago: {}", s(t.at), t.what))
@@ -145,13 +145,13 @@
         };
         let mut changes: Vec<FailoverRow> = rings.shards().into_iter().flat_map(rows).collect();
         changes.sort_by(|a, b| {
-            b.at.cmp(&a.at)
-                .then_with(|| (b.shard, b.n).cmp(&(a.shard, a.n)))
+            b.at_ms.cmp(&a.at_ms)
+                .then_with(|| (b.shard, b.number).cmp(&(a.shard, a.number)))
         });
         FailoverReport {
             host,
-            age_ms,
-            changes,
+            store_age_ms: age_ms,
+            failovers: changes,
         }
     }
 }
@@ -172,14 +172,14 @@
         .filter(|_| record.new_leader.is_some());
     FailoverRow {
         shard,
-        n: record.number,
-        at: record.at_ms,
-        from: record.previous_leader.clone(),
-        to: record.new_leader.clone(),
-        how: how.into(),
-        token,
+        number: record.number,
+        at_ms: record.at_ms,
+        previous_leader: record.previous_leader.clone(),
+        new_leader: record.new_leader.clone(),
+        change: how.into(),
+        fencing_token: token,
         up: record.up,
-        closed: closed.map(closed_row),
+        completion: closed.map(closed_row),
     }
 }
 
@@ -196,11 +196,11 @@
         leadership_ms: held_ms,
     } = c;
     FailoverCompletionRow {
-        by,
-        read_ms,
+        reported_by: by,
+        state_loaded_ms: read_ms,
         first_start_ms,
-        whole_ms,
-        held_ms,
+        services_restored_ms: whole_ms,
+        leadership_ms: held_ms,
         found,
         gaps,
         unknown,
--- a/crates/coordination/tests/cancellations.rs
+++ b/crates/coordination/tests/cancellations.rs
@@ -98,8 +98,8 @@
             first.seq,
             ChangeRange {
                 since: 0,
-                upto: 1,
-                last: true,
+                until: 1,
+                complete: true,
             },
             vec![shown(1, 4)],
             Vec::new(),
@@ -129,7 +129,7 @@
                     }
                     effect if found.is_none() && look(&effect).is_some() => found = look(&effect),
                     Effect::Sync(lease, sync) => {
-                        self.core.sync_done(lease, sync.to, None, self.now)
+                        self.core.sync_done(lease, sync.to_shard, None, self.now)
                     }
                     _ => {}
                 }
@@ -172,7 +172,7 @@
         }
         let out = loop {
             let sync = self.direct();
-            if !sync.wants.is_empty() {
+            if !sync.desired.is_empty() {
                 break sync;
             }
             self.core.sync_done(self.lease, 0, None, self.now);
@@ -181,7 +181,7 @@
         self.learn(shard_key(0), to_value(&taken), NEXT);
         let told = self.mailed();
         assert_eq!(
-            (out.to_token, told.to_token, told.wants.len()),
+            (out.to_fencing_token, told.to_fencing_token, told.desired.len()),
             (TOKEN, NEXT, 1)
         );
         (out, told)
@@ -228,16 +228,16 @@
 fn former(sync: &SyncRequest, standing: AttemptState) -> ShardView {
     let span = ChangeRange {
         since: 1,
-        upto: 1,
-        last: true,
+        until: 1,
+        complete: true,
     };
     view(
         sync.seq,
         span,
         Vec::new(),
         vec![AttemptStatus {
-            id: sync.wants[0].id.clone(),
-            standing,
+            id: sync.desired[0].id.clone(),
+            state: standing,
         }],
     )
 }
@@ -259,9 +259,9 @@
     let call = next.calls(now + 30, ROOM).pop().expect("started");
     assert!(
         call.commands
-            .orders
+            .commands
             .iter()
-            .any(|o| o.verb == CommandKind::Launch)
+            .any(|o| o.kind == CommandKind::Start)
     );
     next.call_done(&call, CommandResult::Executed(seen(2, true)), now + 40);
     next
@@ -270,7 +270,7 @@
 /// Machine 1, which has seen the next owner, with the task or without.
 fn seen(seq: u64, runs: bool) -> Heartbeat {
     Heartbeat {
-        token: NEXT << FENCE_BITS,
+        fencing_token: NEXT << FENCE_BITS,
         tasks: runs.then(|| running_task(0)).into_iter().collect(),
         ..report(1, seq)
     }
@@ -285,7 +285,7 @@
         for standing in [
             AttemptState::Refused,
             AttemptState::Gone,
-            AttemptState::Exited(ExitCause::NoRoom),
+            AttemptState::Exited(ExitCause::InsufficientResources),
         ] {
             let mut asker = Asker::new();
             let (out, told) = asker.told_both();
@@ -294,8 +294,8 @@
             if by_mail {
                 let line = StoreMessageRoute {
                     kind: StoreMessageKind::View,
-                    from: 0,
-                    to: 1,
+                    from_shard: 0,
+                    to_shard: 1,
                 };
                 for write in post(line, (TOKEN, late.seq), &peer::write(&late), 6_000, 1).writes {
                     let Write::Put { key, value, .. } = write else {
@@ -325,9 +325,9 @@
                     let call = next.calls(now, ROOM).pop().expect("stopped");
                     assert!(
                         call.commands
-                            .orders
+                            .commands
                             .iter()
-                            .any(|o| o.verb == CommandKind::Kill)
+                            .any(|o| o.kind == CommandKind::Stop)
                     );
                     next.call_done(&call, CommandResult::Executed(seen(3, false)), now + 10);
                 }
--- a/crates/coordination/tests/chains.rs
+++ b/crates/coordination/tests/chains.rs
@@ -33,7 +33,7 @@
     JobSpec {
         id: id(n),
         team: "amber".into(),
-        awaits: awaits.iter().map(|n| id(*n)).collect(),
+        depends_on: awaits.iter().map(|n| id(*n)).collect(),
         ..array(1)
     }
 }
@@ -105,7 +105,7 @@
             cancel_requested: false,
             dependency_count: 0,
         };
-        let cas_list = if spec.awaits.is_empty() {
+        let cas_list = if spec.depends_on.is_empty() {
             vec![create_job(&record)]
         } else {
             create_blocked_job(&record, self.core.config.txn_ops)
@@ -352,7 +352,7 @@
 #[test]
 fn the_jobs_before_an_urgent_one_come_first() {
     let rank = |n, awaits: &[usize], rank| JobSpec {
-        rank,
+        priority: rank,
         ..spec(n, awaits)
     };
     let mut leader = Leader::new();
--- a/crates/coordination/tests/elections.rs
+++ b/crates/coordination/tests/elections.rs
@@ -240,25 +240,25 @@
 fn sync(from: u16, from_token: u64, to: u16, to_token: u64) -> SyncRequest {
     SyncRequest {
         version: PEER_VERSION,
-        from,
-        from_token,
-        to,
-        to_token,
+        from_shard: from,
+        from_fencing_token: from_token,
+        to_shard: to,
+        to_fencing_token: to_token,
         seq: 1,
         store_age_ms: 0,
-        span: ChangeRange {
+        range: ChangeRange {
             since: 0,
-            upto: 0,
-            last: true,
+            until: 0,
+            complete: true,
         },
-        wants: Vec::new(),
-        dropped: Vec::new(),
+        desired: Vec::new(),
+        withdrawn: Vec::new(),
         stops: Vec::new(),
-        have: ObservedState::default(),
-        strays: 0,
-        rented: Vec::new(),
-        keep: Vec::new(),
-        notes: Vec::new(),
+        observed: ObservedState::default(),
+        misrouted_heartbeats: 0,
+        provisioned: Vec::new(),
+        reserved_machines: Vec::new(),
+        progress: Vec::new(),
     }
 }
 
@@ -274,18 +274,18 @@
         Superseded {
             version: PEER_VERSION,
             shard: 0,
-            token: 50,
-            host: "h2".into(),
+            fencing_token: 50,
+            leader_host: "h2".into(),
         },
         2_200,
     );
     read(&mut core, &[given_up(0, 20), taken(0, 0, 30)], 31, 2_300);
     assert!(
-        matches!(core.sync_in(&sync(0, 30, 1, 10), 2_400), Err(SyncError::Superseded(by)) if by.token == 50)
+        matches!(core.sync_in(&sync(0, 30, 1, 10), 2_400), Err(SyncError::Superseded(by)) if by.fencing_token == 50)
     );
     read(&mut core, &[given_up(0, 40)], 41, 2_500);
     assert!(
-        matches!(core.sync_in(&sync(0, 30, 1, 10), 2_600), Err(SyncError::Superseded(by)) if by.token == 50)
+        matches!(core.sync_in(&sync(0, 30, 1, 10), 2_600), Err(SyncError::Superseded(by)) if by.fencing_token == 50)
     );
     assert!(core.sync_in(&sync(0, 50, 1, 10), 2_700).is_ok());
 }
@@ -300,8 +300,8 @@
         Superseded {
             version: PEER_VERSION,
             shard: 0,
-            token: 50,
-            host: "h1".into(),
+            fencing_token: 50,
+            leader_host: "h1".into(),
         },
         2_100,
     );
@@ -313,8 +313,8 @@
         Superseded {
             version: PEER_VERSION,
             shard: 0,
-            token: 40,
-            host: "h2".into(),
+            fencing_token: 40,
+            leader_host: "h2".into(),
         },
         2_400,
     );
@@ -371,13 +371,13 @@
             .as_str()
             .into(),
         address: "10.1.0.1:9000".into(),
-        kind: "box".into(),
+        machine_type: "box".into(),
         zone: "north".into(),
         spot: false,
-        session: 1,
-        seq: 1,
-        token: 0,
-        notice_s: None,
+        incarnation: 1,
+        sequence: 1,
+        fencing_token: 0,
+        reclaim_notice_s: None,
         tasks: Vec::new(),
     };
     core.carried_report(&report, 1, 2_100);
@@ -402,7 +402,7 @@
     // The next time it is for twice as long.
     read(&mut core, &[given_up(0, 12)], 12, since + 10_000 + DEAF_MS);
     holds(&mut core, 0, 20, since + 10_000 + DEAF_MS);
-    core.carried_report(&Heartbeat { seq: 2, ..report }, 1, since + 10_000 + DEAF_MS);
+    core.carried_report(&Heartbeat { sequence: 2, ..report }, 1, since + 10_000 + DEAF_MS);
     let anew = since + 10_000 + DEAF_MS + CARRIED_PART_MS + 1;
     read(&mut core, &[lives(0, 21)], 21, anew);
     assert_eq!(
--- a/crates/coordination/tests/ends.rs
+++ b/crates/coordination/tests/ends.rs
@@ -485,15 +485,15 @@
         let b = &mut self.boxes[n];
         b.seq += 1;
         let tasks = b.tasks.iter().map(|(id, t)| TaskStatus {
-            piece: id.piece(),
+            task: id.task_name(),
             attempt: id.attempt,
             phase: t.phase,
-            cause: t.cause.map(str::to_owned),
-            saved: None,
+            exit_cause: t.cause.map(str::to_owned),
+            checkpointed: None,
         });
         Heartbeat {
-            session: b.session,
-            token: b.token,
+            incarnation: b.session,
+            fencing_token: b.token,
             tasks: tasks.collect(),
             spot: (b.name / 2).is_multiple_of(2),
             ..report(b.name, b.seq)
@@ -502,10 +502,10 @@
 
     fn execute(&mut self, n: usize, orders: &[Command]) {
         for o in orders {
-            let id = AttemptId::parse(&o.piece, o.attempt).expect("a task");
-            match o.verb {
-                CommandKind::Launch if self.boxes[n].tasks.contains_key(&id) => {}
-                CommandKind::Launch => {
+            let id = AttemptId::parse(&o.task, o.attempt).expect("a task");
+            match o.kind {
+                CommandKind::Start if self.boxes[n].tasks.contains_key(&id) => {}
+                CommandKind::Start => {
                     let twice = |b: &Box_| {
                         b.tasks.iter().any(|(i, t)| {
                             (&i.job, i.task) == (&id.job, id.task) && t.phase != TaskPhase::Exited
@@ -520,13 +520,13 @@
                     self.boxes[n].tasks.insert(
                         id,
                         Task {
-                            phase: TaskPhase::Fetching,
+                            phase: TaskPhase::PullingImage,
                             cause: None,
                             since: self.now,
                         },
                     );
                 }
-                CommandKind::Kill => self.exit(n, &id, "stopped"),
+                CommandKind::Stop => self.exit(n, &id, "stopped"),
                 CommandKind::Forget => {
                     let done = self.boxes[n]
                         .tasks
@@ -573,11 +573,11 @@
         let Some(reply) = leader.owner.report(&report, None, now) else {
             return;
         };
-        if reply.token < self.boxes[n].token {
+        if reply.fencing_token < self.boxes[n].token {
             return;
         }
-        (self.boxes[n].token, self.boxes[n].answered) = (reply.token, now);
-        self.execute(n, &reply.orders);
+        (self.boxes[n].token, self.boxes[n].answered) = (reply.fencing_token, now);
+        self.execute(n, &reply.commands);
     }
 
     fn calls(&mut self, shard: usize) {
@@ -615,18 +615,18 @@
             b.held.push(call.clone());
             return CommandResult::Unknown;
         }
-        if call.commands.token < b.token || call.commands.session != b.session {
+        if call.commands.fencing_token < b.token || call.commands.incarnation != b.session {
             return CommandResult::Refused(self.report_of(n));
         }
-        b.token = call.commands.token;
-        self.execute(n, &call.commands.orders);
+        b.token = call.commands.fencing_token;
+        self.execute(n, &call.commands.commands);
         CommandResult::Executed(self.report_of(n))
     }
 
     fn is_gang(&self, id: &JobId) -> Option<u64> {
         self.jobs
             .iter()
-            .find(|(_, s)| s.id == *id && s.shape == JobKind::Gang)
+            .find(|(_, s)| s.id == *id && s.kind == JobKind::Gang)
             .map(|(_, s)| s.tasks)
     }
 
@@ -681,14 +681,14 @@
         }
         let mut there: HashMap<(JobId, u32), u64> = HashMap::new();
         for (id, t) in self.boxes.iter().flat_map(|b| &b.tasks) {
-            if matches!(t.phase, TaskPhase::Gathering | TaskPhase::Running) {
+            if matches!(t.phase, TaskPhase::AwaitingGang | TaskPhase::Running) {
                 *there.entry((id.job.clone(), id.attempt)).or_default() += 1;
             }
         }
         let gangs: BTreeMap<JobId, u64> = self
             .jobs
             .iter()
-            .filter(|(_, s)| s.shape == JobKind::Gang)
+            .filter(|(_, s)| s.kind == JobKind::Gang)
             .map(|(_, s)| (s.id.clone(), s.tasks))
             .collect();
         for b in &mut self.boxes {
@@ -697,9 +697,9 @@
                     .get(&id.job)
                     .is_none_or(|n| there.get(&(id.job.clone(), id.attempt)) == Some(n));
                 let next = match t.phase {
-                    TaskPhase::Fetching if now >= t.since + 300 => (TaskPhase::Gathering, None),
-                    TaskPhase::Gathering if whole => (TaskPhase::Running, None),
-                    TaskPhase::Gathering if now >= t.since + 50_000 => {
+                    TaskPhase::PullingImage if now >= t.since + 300 => (TaskPhase::AwaitingGang, None),
+                    TaskPhase::AwaitingGang if whole => (TaskPhase::Running, None),
+                    TaskPhase::AwaitingGang if now >= t.since + 50_000 => {
                         (TaskPhase::Exited, Some("alone"))
                     }
                     TaskPhase::Running if !whole => (TaskPhase::Exited, Some("peers")),
@@ -854,7 +854,7 @@
 
 fn gang(n: u32, tasks: u64) -> JobSpec {
     JobSpec {
-        shape: JobKind::Gang,
+        kind: JobKind::Gang,
         ..job(n, tasks)
     }
 }
@@ -936,7 +936,7 @@
                     site.withdraw(&id);
                 }
                 Step::Submit(shard, tasks, 0) => site.submit(shard, gang(n, tasks)),
-                Step::Submit(shard, tasks, 1) => site.submit(shard, JobSpec { rank: Priority::Low, ..job(n, tasks) }),
+                Step::Submit(shard, tasks, 1) => site.submit(shard, JobSpec { priority: Priority::Low, ..job(n, tasks) }),
                 Step::Submit(shard, tasks, _) => site.submit(shard, job(n, tasks)),
             }
         }
@@ -1096,8 +1096,8 @@
     let seq = placer.sync_for(0, TOKEN, ROOM, false, 0).seq;
     let whole = lemonweir_protocol::peer::ChangeRange {
         since: 0,
-        upto: 1,
-        last: true,
+        until: 1,
+        complete: true,
     };
     placer.take_view(view(seq, whole, vec![shown(0, 4)], Vec::new()), 0);
     placer.place(0);
@@ -1144,7 +1144,7 @@
     let mut placer = Placer::new(0, TOKEN, 1, terms(), 0);
     for (n, chunk) in [(1, 0), (1, 1), (2, 0)] {
         let done = vec![(chunk * CHUNK_TASKS, chunk * CHUNK_TASKS + CHUNK_TASKS - 1)];
-        let need = job(n, 1).need();
+        let need = job(n, 1).task_resources();
         let record = TaskChunkRecord {
             team: "red".into(),
             task_resources: need,
@@ -1182,8 +1182,8 @@
         let seq = placer.sync_for(0, TOKEN, ROOM, false, 0).seq;
         let whole = lemonweir_protocol::peer::ChangeRange {
             since: 0,
-            upto: 1,
-            last: true,
+            until: 1,
+            complete: true,
         };
         placer.take_view(view(seq, whole, vec![shown(0, 4)], Vec::new()), 0);
         placer.place(0);
@@ -1217,7 +1217,7 @@
         placer.cas_done(CompareAndSwapOutcome::Done(50), 50);
         // What may have been made is asked for; a refusal tells that it was.
         assert_eq!(placer.known().count(), usize::from(unknown));
-        assert!(placer.sync_for(0, TOKEN, ROOM, false, 60).wants.is_empty());
+        assert!(placer.sync_for(0, TOKEN, ROOM, false, 60).desired.is_empty());
         if unknown {
             let absent = placer.next_cas(60 + END_LAG_MS).expect("a question");
             assert!(
--- a/crates/coordination/tests/late_orders.rs
+++ b/crates/coordination/tests/late_orders.rs
@@ -112,16 +112,16 @@
     fn report(&mut self) -> Heartbeat {
         self.seq += 1;
         let task = |(id, phase): (&AttemptId, &TaskPhase)| TaskStatus {
-            piece: id.piece(),
+            task: id.task_name(),
             attempt: id.attempt,
             phase: *phase,
-            cause: (*phase == TaskPhase::Exited).then(|| "stopped".to_owned()),
-            saved: None,
+            exit_cause: (*phase == TaskPhase::Exited).then(|| "stopped".to_owned()),
+            checkpointed: None,
         };
         Heartbeat {
-            session: self.session,
-            seq: self.seq,
-            token: self.token,
+            incarnation: self.session,
+            sequence: self.seq,
+            fencing_token: self.token,
             tasks: self.tasks.iter().map(task).collect(),
             ..report(0, 0)
         }
@@ -129,10 +129,10 @@
 
     fn execute(&mut self, orders: &[Command]) {
         for o in orders {
-            let id = AttemptId::parse(&o.piece, o.attempt).expect("a task");
-            match o.verb {
-                CommandKind::Launch => drop(self.tasks.entry(id).or_insert(TaskPhase::Running)),
-                CommandKind::Kill => {
+            let id = AttemptId::parse(&o.task, o.attempt).expect("a task");
+            match o.kind {
+                CommandKind::Start => drop(self.tasks.entry(id).or_insert(TaskPhase::Running)),
+                CommandKind::Stop => {
                     if let Some(phase) = self.tasks.get_mut(&id) {
                         *phase = TaskPhase::Exited;
                     }
@@ -507,14 +507,14 @@
                     Err(_) => return w.turns(now),
                 };
                 (w.waits, w.next) = (None, now + 2_250 + pick);
-                if reply.token < w.token || session != w.session {
+                if reply.fencing_token < w.token || session != w.session {
                     return;
                 }
-                if reply.token > w.token {
-                    (w.token, w.next) = (reply.token, now + 500);
+                if reply.fencing_token > w.token {
+                    (w.token, w.next) = (reply.fencing_token, now + 500);
                 }
                 w.lease_from = w.lease_from.max(sent);
-                w.execute(&reply.orders);
+                w.execute(&reply.commands);
                 self.note(|| format!("answer to {session}/{seq}: {reply:?}"));
             }
             Message::Orders {
@@ -531,10 +531,10 @@
                 if w.life != to || !heard && w.session > 1 {
                     return;
                 }
-                let executed = call.commands.token >= w.token && call.commands.session == w.session;
+                let executed = call.commands.fencing_token >= w.token && call.commands.incarnation == w.session;
                 if executed {
-                    w.token = call.commands.token;
-                    w.execute(&call.commands.orders);
+                    w.token = call.commands.fencing_token;
+                    w.execute(&call.commands.commands);
                 }
                 let report = w.report();
                 self.note(|| {
@@ -635,8 +635,8 @@
             most,
             Message::Answer {
                 life,
-                session: report.session,
-                seq: report.seq,
+                session: report.incarnation,
+                seq: report.sequence,
                 sent,
                 answer,
             },
@@ -681,9 +681,9 @@
         let number = self.called;
         self.starts += call
             .commands
-            .orders
+            .commands
             .iter()
-            .filter(|o| o.verb == CommandKind::Launch)
+            .filter(|o| o.kind == CommandKind::Start)
             .count() as u64;
         let (to, process) = (self.worker.life, self.hosts[host].process);
         self.note(|| {
@@ -780,7 +780,7 @@
             *phase = TaskPhase::Exited;
         }
         let report = w.report();
-        w.waits = Some((report.seq, now));
+        w.waits = Some((report.sequence, now));
         let (life, host) = (w.life, w.node);
         let message = |host, copy| Message::Report {
             report: report.clone(),
@@ -826,7 +826,7 @@
         if self.dice.chance(5)
             && let Some(want) = self.wanted.values_mut().next()
         {
-            want.kill = Some(0);
+            want.stop_grace_s = Some(0);
         }
         // It learns of changes of hands some time after.
         let newest = self.holder.as_ref().map_or(0, |h| h.fencing_token);
@@ -854,14 +854,14 @@
             };
             let span = ChangeRange {
                 since: 0,
-                upto: self.sync,
-                last: true,
+                until: self.sync,
+                complete: true,
             };
             let message = SyncRequest {
-                from,
-                from_token: 39,
-                to_token: to,
-                keep: vec![machine(0)],
+                from_shard: from,
+                from_fencing_token: 39,
+                to_fencing_token: to,
+                reserved_machines: vec![machine(0)],
                 ..sync(self.sync, span, wants, ObservedState::default())
             };
             let Some(core) = self.hosts[n].core.as_mut() else {
@@ -874,10 +874,10 @@
             if from != 1 || self.dice.chance(10) {
                 continue;
             }
-            self.open = view.machines.iter().any(|m| m.up && m.open);
-            for a in view.attempts.iter().filter(|a| a.standing.ended()) {
+            self.open = view.machines.iter().any(|m| m.registered && m.schedulable);
+            for a in view.attempts.iter().filter(|a| a.state.is_terminal()) {
                 if self.wanted.remove(&a.id).is_some() {
-                    self.note(|| format!("h{n} tells that {} is over: {:?}", a.id, a.standing));
+                    self.note(|| format!("h{n} tells that {} is over: {:?}", a.id, a.state));
                 }
                 self.over.insert(a.id.clone());
             }
@@ -1099,17 +1099,17 @@
 ) -> Vec<(AttemptId, AttemptState)> {
     let span = ChangeRange {
         since: 0,
-        upto: seq,
-        last: true,
+        until: seq,
+        complete: true,
     };
     let message = SyncRequest {
-        keep: vec![machine(0)],
+        reserved_machines: vec![machine(0)],
         ..sync(seq, span, wants, ObservedState::default())
     };
     let view = owner.sync(&message, ROOM, now).expect("taken");
     view.attempts
         .into_iter()
-        .map(|a| (a.id, a.standing))
+        .map(|a| (a.id, a.state))
         .collect()
 }
 
@@ -1122,7 +1122,7 @@
 fn the_first_report_of_a_new_life_is_answered_with_a_token_that_the_earlier_one_never_saw() {
     let mut owner = fleet(1);
     let before = |seq, tasks| Heartbeat {
-        session: 3,
+        incarnation: 3,
         tasks,
         ..report(0, seq)
     };
@@ -1133,17 +1133,17 @@
     let first = owner
         .report(
             &Heartbeat {
-                token: 0,
+                fencing_token: 0,
                 ..report(0, 1)
             },
             None,
             3_300,
         )
         .expect("answered");
-    assert!(first.token > BASE, "only the new life will show this one");
+    assert!(first.fencing_token > BASE, "only the new life will show this one");
     let question = owner.calls(3_310, 4).pop().expect("it is asked");
     assert!(
-        question.commands.orders.is_empty(),
+        question.commands.commands.is_empty(),
         "nothing is started on what may be another"
     );
     owner.call_done(&question, CommandResult::NotSent, 3_320);
@@ -1155,22 +1155,22 @@
         told.iter().all(|(_, s)| *s == AttemptState::Accepted),
         "that is not believed: {told:?}"
     );
-    let mut token = first.token;
+    let mut token = first.fencing_token;
     for seq in 2..5 {
         let said = Heartbeat {
-            token,
+            fencing_token: token,
             ..report(0, seq)
         };
         token = owner
             .report(&said, None, 3_400 + 500 * seq)
             .expect("answered")
-            .token;
+            .fencing_token;
     }
     owner.tick(6_000, 6_000);
     tell(&mut owner, 3, vec![want(0, 0)], 6_000);
     let start = owner.calls(6_000, 4).pop().expect("a start");
     assert_eq!(
-        (start.commands.session, start.commands.orders.len()),
+        (start.commands.incarnation, start.commands.commands.len()),
         (1, 1)
     );
 }
@@ -1182,7 +1182,7 @@
     tell(&mut owner, 1, vec![want(0, 0)], 20);
     let start = owner.calls(20, 4).pop().expect("a start");
     let seen = |seq, token| Heartbeat {
-        token,
+        fencing_token: token,
         tasks: vec![running_task(0)],
         ..report(0, seq)
     };
@@ -1192,7 +1192,7 @@
         owner
             .report(
                 &Heartbeat {
-                    token: 0,
+                    fencing_token: 0,
                     ..report(0, 1)
                 },
                 None,
@@ -1204,7 +1204,7 @@
     let question = owner.calls(5_000, 4).pop().expect("a question");
     owner.call_done(
         &question,
-        CommandResult::Executed(seen(4, question.commands.token)),
+        CommandResult::Executed(seen(4, question.commands.fencing_token)),
         5_020,
     );
     assert!(owner.calls(5_100, 4).is_empty());
@@ -1229,7 +1229,7 @@
         owner.tick(now, now);
         let ended = tell(&mut owner, step, vec![want(0, 0)], now)
             .iter()
-            .any(|(_, s)| s.ended());
+            .any(|(_, s)| s.is_terminal());
         over_at = over_at.or(ended.then_some(now));
     }
     let over_at = over_at.expect("in the end it is over");
@@ -1242,18 +1242,18 @@
     tell(&mut owner, 1, vec![want(0, 0)], 20);
     let start = owner.calls(20, 4).pop().expect("a start");
     owner.call_done(&start, CommandResult::Unknown, 2_600);
-    (owner, start.commands.token)
+    (owner, start.commands.fencing_token)
 }
 
 fn stopped(n: u32) -> DesiredAttempt {
     DesiredAttempt {
-        kill: Some(0),
+        stop_grace_s: Some(0),
         ..want(n, 0)
     }
 }
 
 fn ended(told: &[(AttemptId, AttemptState)], n: u32) -> bool {
-    told.iter().any(|(id, s)| *id == want(n, 0).id && s.ended())
+    told.iter().any(|(id, s)| *id == want(n, 0).id && s.is_terminal())
 }
 
 /// A start that was held back arrives after a second one of the same attempt ran, ended
@@ -1263,18 +1263,18 @@
     let (mut owner, first) = with_a_lost_start();
     let again = owner.calls(4_000, 4).pop().expect("it is started again");
     assert!(
-        again.commands.token > first,
+        again.commands.fencing_token > first,
         "who takes the second refuses the first"
     );
     owner.call_done(&again, CommandResult::Unknown, 6_500);
     // The first was executed; the second is still on its way.
     let exited = TaskStatus {
         phase: TaskPhase::Exited,
-        cause: Some("done".into()),
+        exit_cause: Some("done".into()),
         ..running_task(0)
     };
     let said = |seq, token| Heartbeat {
-        token,
+        fencing_token: token,
         tasks: vec![exited.clone()],
         ..report(0, seq)
     };
@@ -1285,13 +1285,13 @@
     let reply = owner
         .report(&said(4, first), None, 9_600)
         .expect("answered");
-    assert_eq!(reply.orders, [], "the second would start it anew");
-    assert!(reply.token > again.commands.token);
+    assert_eq!(reply.commands, [], "the second would start it anew");
+    assert!(reply.fencing_token > again.commands.fencing_token);
     let reply = owner
-        .report(&said(5, reply.token), None, 10_100)
+        .report(&said(5, reply.fencing_token), None, 10_100)
         .expect("answered");
     assert!(
-        reply.orders.iter().any(|o| o.verb == CommandKind::Forget),
+        reply.commands.iter().any(|o| o.kind == CommandKind::Forget),
         "from now on it is refused: {reply:?}"
     );
 }
@@ -1309,7 +1309,7 @@
     let token = owner
         .report(&report(0, 3), None, 4_300)
         .expect("answered")
-        .token;
+        .fencing_token;
     assert!(
         !ended(&tell(&mut owner, 3, vec![stopped(0)], 4_400), 0),
         "and still"
@@ -1318,7 +1318,7 @@
         owner
             .report(
                 &Heartbeat {
-                    token,
+                    fencing_token: token,
                     ..report(0, 4)
                 },
                 None,
@@ -1340,7 +1340,7 @@
     let (mut owner, _) = with_a_lost_start();
     let reply = owner.report(&report(0, 3), None, 2_700).expect("answered");
     assert!(
-        reply.orders.iter().any(|o| o.verb == CommandKind::Launch),
+        reply.commands.iter().any(|o| o.kind == CommandKind::Start),
         "{reply:?}"
     );
     tell(&mut owner, 2, vec![stopped(0), want(1, 0)], 3_000);
@@ -1357,7 +1357,7 @@
     owner
         .report(
             &Heartbeat {
-                token: reply.token,
+                fencing_token: reply.fencing_token,
                 ..report(0, 4)
             },
             None,
@@ -1377,14 +1377,14 @@
     let token = owner
         .report(
             &Heartbeat {
-                token: 0,
+                fencing_token: 0,
                 ..report(0, 1)
             },
             None,
             3_000,
         )
         .expect("answered")
-        .token;
+        .fencing_token;
     assert!(
         !ended(&tell(&mut owner, 1, vec![stopped(0)], 3_100), 0),
         "an earlier owner may have started it"
@@ -1392,7 +1392,7 @@
     owner
         .report(
             &Heartbeat {
-                token,
+                fencing_token: token,
                 ..report(0, 2)
             },
             None,
@@ -1418,7 +1418,7 @@
     owner.set_types([kind()].iter());
     tell(&mut owner, 1, vec![want(0, 0)], 10);
     let said = Heartbeat {
-        token: (TOKEN - 1) << FENCE_BITS,
+        fencing_token: (TOKEN - 1) << FENCE_BITS,
         tasks: vec![running_task(0)],
         ..report(0, 70)
     };
@@ -1438,7 +1438,7 @@
 fn a_worker_that_has_seen_a_later_owner_is_not_answered() {
     let mut owner = fleet(1);
     let later = Heartbeat {
-        token: (TOKEN + 1) << FENCE_BITS,
+        fencing_token: (TOKEN + 1) << FENCE_BITS,
         ..report(0, 9)
     };
     assert!(owner.report(&later, None, 3_000).is_none());
--- a/crates/coordination/tests/late_transactions.rs
+++ b/crates/coordination/tests/late_transactions.rs
@@ -177,21 +177,21 @@
     fn sync(&mut self, attempts: &[(AttemptId, AttemptState)]) {
         let sync = self.placer.sync_for(0, TOKEN, ROOM, false, self.now);
         assert!(
-            sync.span.since == 0 && sync.span.last,
+            sync.range.since == 0 && sync.range.complete,
             "all is told anew each time"
         );
-        self.told = sync.wants.iter().map(|w| w.id.clone()).collect();
+        self.told = sync.desired.iter().map(|w| w.id.clone()).collect();
         self.wanted = sync
-            .wants
+            .desired
             .iter()
-            .filter(|w| w.kill.is_none())
+            .filter(|w| w.stop_grace_s.is_none())
             .map(|w| w.id.clone())
             .collect();
         let attempts: Vec<AttemptStatus> = attempts
             .iter()
             .map(|(id, standing)| AttemptStatus {
                 id: id.clone(),
-                standing: *standing,
+                state: *standing,
             })
             .collect();
         let machines: Vec<_> = (0..4).map(|n| shown(n, 4)).collect();
@@ -200,8 +200,8 @@
                 sync.seq,
                 ChangeRange {
                     since: 0,
-                    upto: 1,
-                    last: true,
+                    until: 1,
+                    complete: true,
                 },
                 machines,
                 attempts,
@@ -442,8 +442,8 @@
         seq,
         ChangeRange {
             since: 0,
-            upto: 4,
-            last: true,
+            until: 4,
+            complete: true,
         },
         vec![shown(0, 4)],
         Vec::new(),
@@ -454,13 +454,13 @@
         placer.sync_for(0, TOKEN, ROOM, false, 0);
     }
     assert!(!placer.take_view(late, 100));
-    assert_eq!(placer.sync_for(0, TOKEN, ROOM, false, 0).have.machines, 0);
+    assert_eq!(placer.sync_for(0, TOKEN, ROOM, false, 0).observed.machines_revision, 0);
     let answer = view(
         first,
         ChangeRange {
             since: 0,
-            upto: 1,
-            last: true,
+            until: 1,
+            complete: true,
         },
         vec![shown(0, 4)],
         Vec::new(),
@@ -554,7 +554,7 @@
                     night.sync(&now);
                     for id in &night.wanted {
                         assert!(
-                            night.store.live(id) || standing.get(id).is_some_and(|s| s.ended()),
+                            night.store.live(id) || standing.get(id).is_some_and(|s| s.is_terminal()),
                             "seed {seed}: {id} is not recorded"
                         );
                     }
@@ -570,7 +570,7 @@
                             AttemptState::Running
                         };
                         let before = standing.get(&id).copied();
-                        if before.is_none_or(|s| !s.ended()) {
+                        if before.is_none_or(|s| !s.is_terminal()) {
                             standing.insert(id, next);
                         }
                     }
@@ -592,7 +592,7 @@
                         standing
                             .get(id)
                             .copied()
-                            .filter(|s| s.ended())
+                            .filter(|s| s.is_terminal())
                             .unwrap_or(AttemptState::Gone),
                     )
                 })
--- a/crates/coordination/tests/ledger.rs
+++ b/crates/coordination/tests/ledger.rs
@@ -569,7 +569,7 @@
     }
 
     fn deliver(&mut self, to: usize, sync: &SyncRequest, answered: bool) {
-        let from = usize::from(sync.from);
+        let from = usize::from(sync.from_shard);
         let Some((owner, _)) = self.shards[to].owner.as_mut() else {
             return;
         };
@@ -587,15 +587,15 @@
         let b = &mut self.boxes[n];
         b.seq += 1;
         let tasks = b.tasks.iter().map(|(id, t)| TaskStatus {
-            piece: id.piece(),
+            task: id.task_name(),
             attempt: id.attempt,
             phase: t.phase,
-            cause: t.cause.map(str::to_owned),
-            saved: None,
+            exit_cause: t.cause.map(str::to_owned),
+            checkpointed: None,
         });
         Heartbeat {
-            session: b.session,
-            token: b.token,
+            incarnation: b.session,
+            fencing_token: b.token,
             tasks: tasks.collect(),
             ..report(n, b.seq)
         }
@@ -603,15 +603,15 @@
 
     fn execute(&mut self, n: usize, orders: &[Command]) {
         for o in orders {
-            let id = AttemptId::parse(&o.piece, o.attempt).expect("a task");
-            match o.verb {
-                CommandKind::Launch if self.boxes[n].tasks.contains_key(&id) => {}
-                CommandKind::Launch => {
+            let id = AttemptId::parse(&o.task, o.attempt).expect("a task");
+            match o.kind {
+                CommandKind::Start if self.boxes[n].tasks.contains_key(&id) => {}
+                CommandKind::Start => {
                     self.launches += 1;
                     let gang = self
                         .jobs
                         .iter()
-                        .any(|(_, s)| s.id == id.job && s.shape == JobKind::Gang && s.tasks > 1);
+                        .any(|(_, s)| s.id == id.job && s.kind == JobKind::Gang && s.tasks > 1);
                     assert!(
                         !gang || self.admitted.contains(&(id.job.clone(), id.attempt)),
                         "{id} is launched and not admitted"
@@ -625,23 +625,23 @@
                     self.boxes[n].tasks.insert(
                         id,
                         Task {
-                            phase: TaskPhase::Fetching,
+                            phase: TaskPhase::PullingImage,
                             cause: None,
                             since: self.now,
                         },
                     );
                 }
                 // It saves for a while.
-                CommandKind::Kill if o.grace_s.is_some_and(|s| s > 0) => {
+                CommandKind::Stop if o.grace_s.is_some_and(|s| s > 0) => {
                     if let Some(t) = self.boxes[n]
                         .tasks
                         .get_mut(&id)
                         .filter(|t| t.phase == TaskPhase::Running)
                     {
-                        (t.phase, t.since) = (TaskPhase::Saving, self.now);
+                        (t.phase, t.since) = (TaskPhase::Checkpointing, self.now);
                     }
                 }
-                CommandKind::Kill => self.exit(n, &id, "stopped"),
+                CommandKind::Stop => self.exit(n, &id, "stopped"),
                 CommandKind::Forget => drop(self.boxes[n].tasks.remove(&id)),
             }
         }
@@ -665,7 +665,7 @@
             let gang = self
                 .jobs
                 .iter()
-                .any(|(_, s)| s.id == id.job && s.shape == JobKind::Gang);
+                .any(|(_, s)| s.id == id.job && s.kind == JobKind::Gang);
             if gang && t.phase != TaskPhase::Exited {
                 let first = *attempts.entry(&id.job).or_insert(id.attempt);
                 assert_eq!(first, id.attempt, "{}: members of two attempts", id.job);
@@ -682,12 +682,12 @@
         let Some(reply) = owner.report(&report, None, self.now) else {
             return;
         };
-        if self.trouble > 0 && self.draws.one_in(self.trouble) || reply.token < self.boxes[n].token
+        if self.trouble > 0 && self.draws.one_in(self.trouble) || reply.fencing_token < self.boxes[n].token
         {
             return;
         }
-        (self.boxes[n].token, self.boxes[n].answered) = (reply.token, self.now);
-        self.execute(n, &reply.orders);
+        (self.boxes[n].token, self.boxes[n].answered) = (reply.fencing_token, self.now);
+        self.execute(n, &reply.commands);
     }
 
     fn calls(&mut self, shard: usize) {
@@ -719,11 +719,11 @@
             .find(|n| machine(*n) == call.machine)
             .expect("a machine");
         let b = &mut self.boxes[n];
-        if call.commands.token < b.token || call.commands.session != b.session {
+        if call.commands.fencing_token < b.token || call.commands.incarnation != b.session {
             return CommandResult::Refused(self.report_of(n));
         }
-        b.token = call.commands.token;
-        self.execute(n, &call.commands.orders);
+        b.token = call.commands.fencing_token;
+        self.execute(n, &call.commands.commands);
         CommandResult::Executed(self.report_of(n))
     }
 
@@ -735,7 +735,7 @@
             let group = there
                 .entry((id.job.clone(), id.attempt))
                 .or_insert((0, true));
-            group.0 += usize::from(matches!(t.phase, TaskPhase::Gathering | TaskPhase::Running));
+            group.0 += usize::from(matches!(t.phase, TaskPhase::AwaitingGang | TaskPhase::Running));
             group.1 &= t.phase != TaskPhase::Exited || t.cause == Some("done");
         }
         let tasks_of = |id: &JobId| {
@@ -744,7 +744,7 @@
                 .find(|(_, s)| s.id == *id)
                 .map_or(
                     1,
-                    |(_, s)| if s.shape == JobKind::Gang { s.tasks } else { 1 },
+                    |(_, s)| if s.kind == JobKind::Gang { s.tasks } else { 1 },
                 )
         };
         let needed: HashMap<JobId, u64> = there
@@ -757,16 +757,16 @@
                 let whole = count as u64 >= needed[&id.job];
                 let gang = needed[&id.job] > 1;
                 match t.phase {
-                    TaskPhase::Fetching if now >= t.since + 600 => {
-                        (t.phase, t.since) = (TaskPhase::Gathering, now)
+                    TaskPhase::PullingImage if now >= t.since + 600 => {
+                        (t.phase, t.since) = (TaskPhase::AwaitingGang, now)
                     }
-                    TaskPhase::Gathering if whole || !gang => {
+                    TaskPhase::AwaitingGang if whole || !gang => {
                         (t.phase, t.since) = (TaskPhase::Running, now)
                     }
-                    TaskPhase::Gathering if now >= t.since + GANG_WAIT_MS => {
+                    TaskPhase::AwaitingGang if now >= t.since + GANG_WAIT_MS => {
                         (t.phase, t.cause) = (TaskPhase::Exited, Some("alone"))
                     }
-                    TaskPhase::Saving if now >= t.since + 2_000 => {
+                    TaskPhase::Checkpointing if now >= t.since + 2_000 => {
                         (t.phase, t.cause) = (TaskPhase::Exited, Some("stopped"))
                     }
                     TaskPhase::Running if gang && !(whole && sound) => {
@@ -868,9 +868,9 @@
 fn gang(n: u32, tasks: u64, gpus: f64) -> JobSpec {
     JobSpec {
         id: JobId::from(format!("req-{n:06}").as_str()),
-        shape: JobKind::Gang,
+        kind: JobKind::Gang,
         gpus,
-        cores: gpus * 4.0,
+        cpus: gpus * 4.0,
         ..array(tasks)
     }
 }
@@ -987,7 +987,7 @@
     };
     let array = written(JobSpec {
         gpus: 4.0,
-        cores: 16.0,
+        cpus: 16.0,
         ..array(8)
     });
     assert_eq!(written(gang(1, 8, 4.0)), array + 1);
@@ -1123,7 +1123,7 @@
             placer
                 .machines()
                 .filter(there)
-                .all(|m| m.free.gpus == 4_000),
+                .all(|m| m.free.milli_gpus == 4_000),
             "part {shard}"
         );
     }
@@ -1139,10 +1139,10 @@
     (0..30).for_each(|_| site.step());
     let low = JobSpec {
         id: JobId::from("req-000007"),
-        checkpoint_s: 60.0,
-        save_s: 2.0,
+        checkpoint_interval_s: 60.0,
+        checkpoint_duration_s: 2.0,
         gpus: 4.0,
-        cores: 16.0,
+        cpus: 16.0,
         ..array(5)
     };
     site.submit(1, low);
@@ -1156,7 +1156,7 @@
     site.submit(
         0,
         JobSpec {
-            rank: Priority::High,
+            priority: Priority::High,
             ..gang(1, 8, 4.0)
         },
     );
@@ -1168,13 +1168,13 @@
             .boxes
             .iter()
             .flat_map(|b| b.tasks.values())
-            .filter(|t| t.phase == TaskPhase::Saving)
+            .filter(|t| t.phase == TaskPhase::Checkpointing)
             .count();
         most_leaving = most_leaving.max(leaving);
         site.step();
     }
     assert_eq!(most_leaving, 4);
-    let saving = |b: &Box_| b.tasks.values().any(|t| t.phase == TaskPhase::Saving);
+    let saving = |b: &Box_| b.tasks.values().any(|t| t.phase == TaskPhase::Checkpointing);
     assert!(!site.boxes.iter().any(saving));
     (0..200).for_each(|_| site.step());
     assert!(site.over(&JobId::from(ONE)));
@@ -1198,12 +1198,12 @@
         .expect("there")
         .0
         .sync_for(1, token, ROOM, false, site.now);
-    assert!(late.wants.iter().all(|w| w.go) && !late.wants.is_empty());
+    assert!(late.desired.iter().all(|w| w.may_start) && !late.desired.is_empty());
     site.end_placer(0, 600_000);
     let ended = site.now;
     let free = |site: &Site| {
         let (placer, _) = site.shards[2].placer.as_ref().expect("there");
-        placer.machines().filter(|m| m.free.gpus == 4_000).count()
+        placer.machines().filter(|m| m.free.milli_gpus == 4_000).count()
     };
     let mut at = None;
     while at.is_none() {
@@ -1240,6 +1240,6 @@
         assert!(site.over(&JobId::from(ONE)), "{steps}");
         assert_eq!((site.launches, running(&site)), (launched, 0), "{steps}");
         let (placer, _) = site.shards[1].placer.as_ref().expect("there");
-        assert!(placer.machines().all(|m| m.free.gpus == 4_000), "{steps}");
+        assert!(placer.machines().all(|m| m.free.milli_gpus == 4_000), "{steps}");
     }
 }
--- a/crates/coordination/tests/limits.rs
+++ b/crates/coordination/tests/limits.rs
@@ -38,8 +38,8 @@
     let upto = u64::from(round) * machines as u64;
     let span = ChangeRange {
         since: upto - machines as u64,
-        upto,
-        last: true,
+        until: upto,
+        complete: true,
     };
     owner
         .sync(
@@ -151,8 +151,8 @@
     for value_kb in [2.0, 4.0, 8.0, 64.0, 1_024.0] {
         for txn_ops in [4, 32, 512] {
             let mut settings = controllers::settings(1);
-            settings.cluster.state.value_kb = value_kb;
-            settings.cluster.state.txn_ops = txn_ops;
+            settings.cluster.kv_store.max_value_kib = value_kb;
+            settings.cluster.kv_store.max_cas_ops = txn_ops;
             let config = Config::new(&settings);
             let pages = config.image_pages();
             assert!(pages >= 1 && pages <= txn_ops);
--- a/crates/coordination/tests/links.rs
+++ b/crates/coordination/tests/links.rs
@@ -57,11 +57,11 @@
         .collect();
     AvailabilityGossip {
         version: LINKS_VERSION,
-        host,
-        store_ms,
-        cloud_ms: store_ms,
+        controller: host,
+        store_age_ms: store_ms,
+        cloud_age_ms: store_ms,
         peers: Vec::new(),
-        zones,
+        unreachable_zones: zones,
     }
 }
 
@@ -76,13 +76,13 @@
     numbers.into_iter().map(move |n| Heartbeat {
         machine: format!("n-{n:06}").as_str().into(),
         address: "10.1.0.1:9000".into(),
-        kind: "box".into(),
+        machine_type: "box".into(),
         zone: "north".into(),
         spot: false,
-        session: 1,
-        seq: 1,
-        token,
-        notice_s: None,
+        incarnation: 1,
+        sequence: 1,
+        fencing_token: token,
+        reclaim_notice_s: None,
         tasks: Vec::new(),
     })
 }
@@ -142,7 +142,7 @@
         },
         1_000,
     );
-    core.report(&Heartbeat { seq: 2, ..stray }, 1_100);
+    core.report(&Heartbeat { sequence: 2, ..stray }, 1_100);
     let zones: Vec<String> = core
         .links
         .rows(1_200)
@@ -314,7 +314,7 @@
             .rows(deaf_at)
             .iter()
             .find(|r| r.to == "workers of north")
-            .map(|r| r.standing),
+            .map(|r| r.state),
         Some(LinkState::Unknown)
     );
 }
--- a/crates/coordination/tests/nights.rs
+++ b/crates/coordination/tests/nights.rs
@@ -58,15 +58,15 @@
         self.state += 1;
         let span = ChangeRange {
             since,
-            upto: self.state,
-            last: true,
+            until: self.state,
+            complete: true,
         };
         // Nothing is given back for being empty.
         let keep = (0..self.reports.len()).map(machine).collect();
         let message = lemonweir_protocol::peer::SyncRequest {
-            dropped,
-            rented,
-            keep,
+            withdrawn: dropped,
+            provisioned: rented,
+            reserved_machines: keep,
             ..sync(self.seq, span, wants, self.have)
         };
         let view = self.owner.sync(&message, ROOM, self.now).expect("taken");
@@ -84,7 +84,7 @@
             .iter()
             .find(|v| v.id == machine(n))
             .expect("told")
-            .open
+            .schedulable
     }
 
     fn pass(&mut self, ms: u64) {
@@ -104,14 +104,14 @@
         self.reports[n] += 1;
         let said = Heartbeat {
             tasks,
-            token: self.tokens[n],
+            fencing_token: self.tokens[n],
             ..report(n, self.reports[n])
         };
         self.tokens[n] = self
             .owner
             .report(&said, None, self.now)
             .expect("answered")
-            .token;
+            .fencing_token;
     }
 
     /// A job's task on a machine ends so, or is refused there.
@@ -132,14 +132,14 @@
         let took = view
             .attempts
             .iter()
-            .any(|a| a.id == id && !a.standing.ended());
+            .any(|a| a.id == id && !a.state.is_terminal());
         if took {
             let seen = |phase, cause: Option<&str>| TaskStatus {
-                piece: id.piece(),
+                task: id.task_name(),
                 attempt: id.attempt,
                 phase,
-                cause: cause.map(str::to_owned),
-                saved: None,
+                exit_cause: cause.map(str::to_owned),
+                checkpointed: None,
             };
             drop(self.owner.calls(self.now, ROOM));
             self.report(n, vec![seen(TaskPhase::Running, None)]);
@@ -197,7 +197,7 @@
         Vec::new(),
         Vec::new(),
     );
-    let taken = view.attempts.iter().filter(|a| !a.standing.ended()).count();
+    let taken = view.attempts.iter().filter(|a| !a.state.is_terminal()).count();
     assert_eq!((view.attempts.len(), taken), (3, 1));
     shard.tell(Vec::new(), (3..6).map(id).collect(), Vec::new());
     shard.report(0, Vec::new());
@@ -215,7 +215,7 @@
     let late: Vec<usize> = (100..124).collect();
     let rented = |n: &usize| ProvisionedInstance {
         machine: machine(*n),
-        kind: "box".into(),
+        machine_type: "box".into(),
         zone: "north".into(),
         spot: false,
         age_ms: 0,
@@ -266,7 +266,7 @@
     assert!(shard.open(1) && shard.run(1, 1, "done"));
     let told = ProvisionedInstance {
         machine: machine(1),
-        kind: "box".into(),
+        machine_type: "box".into(),
         zone: "north".into(),
         spot: false,
         age_ms: 1_500,
--- a/crates/coordination/tests/placement.rs
+++ b/crates/coordination/tests/placement.rs
@@ -13,9 +13,9 @@
 
 fn room() -> impl Strategy<Value = Resources> {
     (0..9u64, 0..3u64, 0..5u64).prop_map(|(c, g, m)| Resources {
-        cpus: c * 500,
-        gpus: g * 1000,
-        memory: m * 4000,
+        milli_cpus: c * 500,
+        milli_gpus: g * 1000,
+        memory_mb: m * 4000,
     })
 }
 
@@ -33,25 +33,25 @@
         .prop_map(
             move |(free, soft, zone, kind, [spot, up, open], busy, lasting, images)| MachineView {
                 id: named(n),
-                kind: KINDS[kind].into(),
+                machine_type: KINDS[kind].into(),
                 zone: ZONES[zone].into(),
                 spot,
-                up,
-                open,
-                leaving: false,
+                registered: up,
+                schedulable: open,
+                draining: false,
                 free,
-                soft: [soft, soft, Resources::default()],
-                soft_over: [soft; 3],
-                busy,
-                lasting,
-                coming: IMAGES
+                preemptible: [soft, soft, Resources::default()],
+                preemptible_or_over_quota: [soft; 3],
+                task_count: busy,
+                service_task_count: lasting,
+                pulling_images: IMAGES
                     .iter()
                     .filter(|i| !images.contains(i))
                     .take(usize::from(busy) % 2)
                     .map(|i| (*i).to_owned())
                     .collect(),
-                images: images.into_iter().map(str::to_owned).collect(),
-                renter: None,
+                cached_images: images.into_iter().map(str::to_owned).collect(),
+                provisioned_by: None,
             },
         )
 }
@@ -119,9 +119,9 @@
     }
 
     fn allows(&self, m: &MachineView) -> bool {
-        m.up && m.open
+        m.registered && m.schedulable
             && (self.spot || !m.spot)
-            && self.types.as_ref().is_none_or(|t| t.contains(&m.kind))
+            && self.types.as_ref().is_none_or(|t| t.contains(&m.machine_type))
             && self
                 .zones
                 .as_ref()
@@ -138,8 +138,8 @@
     #[test]
     fn evict_fit_suffices(machines in machines(), wish in wish(), over in any::<bool>(), with_image in any::<bool>()) {
         let suffices = |m: &MachineView| {
-            let soft = if over { m.soft_over } else { m.soft };
-            wish.allows(m) && (!with_image || m.images.iter().any(|i| i == wish.image)) && m.free.plus(&soft[Priority::High.index()]).covers(&wish.need)
+            let soft = if over { m.preemptible_or_over_quota } else { m.preemptible };
+            wish.allows(m) && (!with_image || m.cached_images.iter().any(|i| i == wish.image)) && m.free.plus(&soft[Priority::High.index()]).covers(&wish.need)
         };
         match PlacementIndex::new(&machines).evict_fit(&wish.ask(), Priority::High, over, with_image, None) {
             Some(i) => prop_assert!(suffices(&machines[i])),
--- a/crates/coordination/tests/recovery.rs
+++ b/crates/coordination/tests/recovery.rs
@@ -34,8 +34,8 @@
                 &mut placer,
                 JobSpec {
                     id,
-                    shape: JobKind::Service,
-                    rank: Priority::Production,
+                    kind: JobKind::Service,
+                    priority: Priority::Production,
                     ..array(4)
                 },
                 10 + n as u64,
@@ -54,13 +54,13 @@
 
     /// All that runs is lost, with its machines.
     fn lose_all(&mut self) {
-        let all = self.placer.sync_for(0, TOKEN, ROOM, false, 0).wants;
+        let all = self.placer.sync_for(0, TOKEN, ROOM, false, 0).desired;
         for standing in [AttemptState::Running, AttemptState::Gone] {
             let attempts = all
                 .iter()
                 .map(|w| AttemptStatus {
                     id: w.id.clone(),
-                    standing,
+                    state: standing,
                 })
                 .collect();
             let gone = if standing == AttemptState::Gone {
@@ -71,7 +71,7 @@
             self.told += all.len() as u64;
             let full = |m: &MachineView| MachineView {
                 free: Resources::default(),
-                busy: 4,
+                task_count: 4,
                 ..m.clone()
             };
             let machines = self.machines.iter().map(full).collect();
@@ -90,7 +90,7 @@
         let view = shown(self.number, 4);
         self.machines.push(view.clone());
         self.tell(vec![view], Vec::new(), Vec::new(), hidden);
-        let wants = self.placer.sync_for(0, TOKEN, ROOM, false, 0).wants;
+        let wants = self.placer.sync_for(0, TOKEN, ROOM, false, 0).desired;
         let last = &self.machines[self.machines.len() - 1].id;
         wants
             .into_iter()
@@ -112,22 +112,22 @@
         let view = ShardView {
             version: lemonweir_model::constants::PEER_VERSION,
             shard: 0,
-            token: TOKEN,
+            fencing_token: TOKEN,
             seq,
             store_age_ms: 0,
-            wants_at: 0,
-            hidden,
-            machines_span: ChangeRange {
+            desired_revision: 0,
+            partitioned_zones: hidden,
+            machines_range: ChangeRange {
                 since,
-                upto: self.state,
-                last: true,
+                until: self.state,
+                complete: true,
             },
             machines,
-            gone,
-            attempts_span: ChangeRange {
+            removed_machines: gone,
+            attempts_range: ChangeRange {
                 since: 0,
-                upto: self.told,
-                last: true,
+                until: self.told,
+                complete: true,
             },
             attempts,
         };
@@ -195,8 +195,8 @@
     assert_eq!(site.placer.job_note(&id, 0), Some((0, 0, String::new())));
     site.one_more(vec![PartitionedZone {
         zone: "north".into(),
-        for_ms: 12_400,
-        over_in_ms: 30_100,
+        partitioned_for_ms: 12_400,
+        presumed_lost_in_ms: 30_100,
     }]);
     let said = site.placer.job_note(&id, 15_000).expect("known").2;
     assert_eq!(
--- a/crates/coordination/tests/starts.rs
+++ b/crates/coordination/tests/starts.rs
@@ -23,7 +23,7 @@
 fn launches(orders: &[Command]) -> usize {
     orders
         .iter()
-        .filter(|order| order.verb == CommandKind::Launch)
+        .filter(|order| order.kind == CommandKind::Start)
         .count()
 }
 
@@ -35,7 +35,7 @@
         .collect();
     let orders = |effect: &Effect| {
         if let Effect::Command(_, call) = effect {
-            launches(&call.commands.orders)
+            launches(&call.commands.commands)
         } else {
             0
         }
@@ -75,7 +75,7 @@
     core.refreshed(10, true);
     core.acquire(LOT, &[], Vec::new(), 10);
     let first = report(own_machine(&core), 1);
-    let token = reported(&mut core, &first, 20).token;
+    let token = reported(&mut core, &first, 20).fencing_token;
     core.refreshed(now, false);
     (core, token)
 }
@@ -108,11 +108,11 @@
             core.cas_done(LOT, CompareAndSwapOutcome::Done(200), at);
         }
         let next = Heartbeat {
-            token,
+            fencing_token: token,
             ..report(own_machine(core), seq)
         };
         let reply = reported(core, &next, now);
-        (token, answered) = (reply.token, launches(&reply.orders));
+        (token, answered) = (reply.fencing_token, launches(&reply.commands));
     }
     assert!(written, "a start is written");
     answered
--- a/crates/coordination/tests/support/controllers.rs
+++ b/crates/coordination/tests/support/controllers.rs
@@ -270,7 +270,7 @@
     }
 
     pub fn apply(&mut self, cas: &CompareAndSwap) -> CompareAndSwapOutcome {
-        let lives = |w: &Write| !matches!(w, Write::Put { hold: Some(h), .. } if !self.holds.contains_key(h));
+        let lives = |w: &Write| !matches!(w, Write::Put { lease: Some(h), .. } if !self.holds.contains_key(h));
         if !cas.writes.iter().all(lives) {
             return CompareAndSwapOutcome::Again;
         }
@@ -286,7 +286,7 @@
         self.revision += 1;
         for w in &cas.writes {
             match w {
-                Write::Put { key, value, hold } => {
+                Write::Put { key, value, lease: hold } => {
                     self.set(key, value.clone());
                     match hold {
                         Some(hold) => drop(self.tied.insert(key.clone(), *hold)),
@@ -548,18 +548,18 @@
             Effect::MailSync(sync) => {
                 let line = StoreMessageRoute {
                     kind: StoreMessageKind::Sync,
-                    from: sync.from,
-                    to: sync.to,
+                    from_shard: sync.from_shard,
+                    to_shard: sync.to_shard,
                 };
-                self.mail(node, line, (sync.from_token, sync.seq), &peer::write(&sync));
+                self.mail(node, line, (sync.from_fencing_token, sync.seq), &peer::write(&sync));
             }
             Effect::MailView(to, view) => {
                 let line = StoreMessageRoute {
                     kind: StoreMessageKind::View,
-                    from: view.shard,
-                    to,
+                    from_shard: view.shard,
+                    to_shard: to,
                 };
-                self.mail(node, line, (view.token, view.seq), &peer::write(&view));
+                self.mail(node, line, (view.fencing_token, view.seq), &peer::write(&view));
             }
             Effect::Nudge(shard) => {
                 if let Some(to) = self.holder(node, shard).filter(|to| !self.apart(node, *to)) {
@@ -610,7 +610,7 @@
     pub fn sync(&mut self, node: usize, lease: ShardLease, sync: SyncRequest) {
         let now = self.now;
         let to = self
-            .holder(node, sync.to)
+            .holder(node, sync.to_shard)
             .filter(|to| !self.apart(node, *to));
         let view = match (to, self.trouble(), self.draws.below(3)) {
             (None, ..) | (Some(_), true, 0) => None,
@@ -632,7 +632,7 @@
                 Err(_) => None,
             },
         };
-        self.nodes[node].core.sync_done(lease, sync.to, view, now);
+        self.nodes[node].core.sync_done(lease, sync.to_shard, view, now);
     }
 
     pub fn command(&mut self, node: usize, call: &CommandCall) -> CommandResult {
@@ -687,19 +687,19 @@
         let b = &mut self.boxes[n];
         b.seq += 1;
         let tasks = b.tasks.iter().map(|(id, (_, cause))| TaskStatus {
-            piece: id.piece(),
+            task: id.task_name(),
             attempt: id.attempt,
             phase: if cause.is_some() {
                 TaskPhase::Exited
             } else {
                 TaskPhase::Running
             },
-            cause: cause.map(str::to_owned),
-            saved: None,
+            exit_cause: cause.map(str::to_owned),
+            checkpointed: None,
         });
         Heartbeat {
-            session: b.session,
-            token: b.token,
+            incarnation: b.session,
+            fencing_token: b.token,
             tasks: tasks.collect(),
             ..report(n, b.seq)
         }
@@ -707,10 +707,10 @@
 
     pub fn execute(&mut self, n: usize, orders: &[Command]) {
         for o in orders {
-            let id = AttemptId::parse(&o.piece, o.attempt).expect("a task");
-            match o.verb {
-                CommandKind::Launch if self.boxes[n].tasks.contains_key(&id) => {}
-                CommandKind::Launch => {
+            let id = AttemptId::parse(&o.task, o.attempt).expect("a task");
+            match o.kind {
+                CommandKind::Start if self.boxes[n].tasks.contains_key(&id) => {}
+                CommandKind::Start => {
                     let same = |b: &Box_| {
                         b.tasks.iter().any(|(i, (_, c))| {
                             (&i.job, i.task) == (&id.job, id.task) && c.is_none()
@@ -725,7 +725,7 @@
                     self.boxes[n].tasks.insert(id.clone(), (self.now, None));
                     self.check_end(&id.job);
                 }
-                CommandKind::Kill => drop(
+                CommandKind::Stop => drop(
                     self.boxes[n]
                         .tasks
                         .get_mut(&id)
@@ -744,11 +744,11 @@
         if b.gone {
             return CommandResult::Unknown;
         }
-        if call.commands.token < b.token || call.commands.session != b.session {
+        if call.commands.fencing_token < b.token || call.commands.incarnation != b.session {
             return CommandResult::Refused(self.report_of(n));
         }
-        b.token = call.commands.token;
-        self.execute(n, &call.commands.orders);
+        b.token = call.commands.fencing_token;
+        self.execute(n, &call.commands.commands);
         CommandResult::Executed(self.report_of(n))
     }
 
@@ -767,9 +767,9 @@
         match answer {
             HeartbeatAnswer::Orders(reply) if !lost => {
                 b.next = now + 3_000;
-                if reply.token >= b.token {
-                    (b.token, b.answered) = (reply.token, now);
-                    self.execute(n, &reply.orders);
+                if reply.fencing_token >= b.token {
+                    (b.token, b.answered) = (reply.fencing_token, now);
+                    self.execute(n, &reply.commands);
                 }
             }
             HeartbeatAnswer::Elsewhere(host) if !lost => {
@@ -902,7 +902,7 @@
         if now.is_multiple_of(4_000) {
             let entry = |n| InstanceEntry {
                 id: machine(n),
-                kind: "box".into(),
+                machine_type: "box".into(),
                 zone: "north".into(),
                 spot: false,
                 phase: "running".into(),
--- a/crates/coordination/tests/support/mod.rs
+++ b/crates/coordination/tests/support/mod.rs
@@ -30,13 +30,13 @@
     Heartbeat {
         machine: machine(n),
         address: "10.1.0.1:9000".into(),
-        kind: "box".into(),
+        machine_type: "box".into(),
         zone: "north".into(),
         spot: false,
-        session: 1,
-        seq,
-        token: TOKEN << lemonweir_model::constants::FENCE_BITS,
-        notice_s: None,
+        incarnation: 1,
+        sequence: seq,
+        fencing_token: TOKEN << lemonweir_model::constants::FENCE_BITS,
+        reclaim_notice_s: None,
         tasks: Vec::new(),
     }
 }
@@ -45,10 +45,10 @@
 pub fn kind() -> MachineType {
     MachineType {
         name: "box".into(),
-        room: Resources::offer(16.0, 4.0, 64.0),
-        cache_gb: 100.0,
-        fetch_gb_per_s: 1.0,
-        price: 4.0,
+        capacity: Resources::capacity(16.0, 4.0, 64.0),
+        image_cache_gb: 100.0,
+        image_pull_gb_per_s: 1.0,
+        on_demand_price: 4.0,
         spot_price: 1.0,
         boot_s: 20.0,
         zones: vec!["north".into()],
@@ -81,17 +81,17 @@
             attempt: 1,
         },
         machine: machine(on),
-        need: Resources::offer(4.0, 1.0, 8.0),
+        resources: Resources::capacity(4.0, 1.0, 8.0),
         image: "img".into(),
         image_mb: 2_000,
-        go: true,
-        kill: None,
+        may_start: true,
+        stop_grace_s: None,
         team: "red".into(),
-        rank: Priority::Normal,
-        over: true,
-        grace: 0,
-        lasting: false,
-        evict: PreemptionScope::Nobody,
+        priority: Priority::Normal,
+        over_quota: true,
+        preemption_grace_s: 0,
+        runs_until_cancelled: false,
+        preemption: PreemptionScope::Nobody,
     }
 }
 
@@ -103,28 +103,28 @@
 ) -> SyncRequest {
     SyncRequest {
         version: lemonweir_model::constants::PEER_VERSION,
-        from: 0,
-        from_token: TOKEN,
-        to: 0,
-        to_token: TOKEN,
+        from_shard: 0,
+        from_fencing_token: TOKEN,
+        to_shard: 0,
+        to_fencing_token: TOKEN,
         seq,
         store_age_ms: 0,
-        span,
-        wants,
-        dropped: Vec::new(),
+        range: span,
+        desired: wants,
+        withdrawn: Vec::new(),
         stops: Vec::new(),
-        have,
-        strays: 0,
-        rented: Vec::new(),
-        keep: Vec::new(),
-        notes: Vec::new(),
+        observed: have,
+        misrouted_heartbeats: 0,
+        provisioned: Vec::new(),
+        reserved_machines: Vec::new(),
+        progress: Vec::new(),
     }
 }
 
 pub fn have(view: &ShardView) -> ObservedState {
     ObservedState {
-        machines: view.machines_span.upto,
-        attempts: view.attempts_span.upto,
+        machines_revision: view.machines_range.until,
+        attempts_revision: view.attempts_range.until,
     }
 }
 
@@ -132,11 +132,11 @@
 
 pub fn running_task(n: usize) -> TaskStatus {
     TaskStatus {
-        piece: format!("req-000001/{n}"),
+        task: format!("req-000001/{n}"),
         attempt: 1,
         phase: TaskPhase::Running,
-        cause: None,
-        saved: None,
+        exit_cause: None,
+        checkpointed: None,
     }
 }
 
@@ -145,20 +145,20 @@
 pub fn shown(n: usize, gpus: u64) -> MachineView {
     MachineView {
         id: machine(n),
-        kind: "box".into(),
+        machine_type: "box".into(),
         zone: "north".into(),
         spot: false,
-        up: true,
-        open: true,
-        leaving: false,
-        free: Resources::offer(gpus as f64 * 4.0, gpus as f64, gpus as f64 * 16.0),
-        soft: Default::default(),
-        soft_over: Default::default(),
-        busy: 4 - gpus as u16,
-        lasting: 0,
-        images: Vec::new(),
-        coming: Vec::new(),
-        renter: None,
+        registered: true,
+        schedulable: true,
+        draining: false,
+        free: Resources::capacity(gpus as f64 * 4.0, gpus as f64, gpus as f64 * 16.0),
+        preemptible: Default::default(),
+        preemptible_or_over_quota: Default::default(),
+        task_count: 4 - gpus as u16,
+        service_task_count: 0,
+        cached_images: Vec::new(),
+        pulling_images: Vec::new(),
+        provisioned_by: None,
     }
 }
 
@@ -202,18 +202,18 @@
     ShardView {
         version: lemonweir_model::constants::PEER_VERSION,
         shard: 0,
-        token: TOKEN,
+        fencing_token: TOKEN,
         seq,
         store_age_ms: 0,
-        wants_at: 0,
-        hidden: Vec::new(),
-        machines_span,
+        desired_revision: 0,
+        partitioned_zones: Vec::new(),
+        machines_range: machines_span,
         machines,
-        gone: Vec::new(),
-        attempts_span: ChangeRange {
+        removed_machines: Vec::new(),
+        attempts_range: ChangeRange {
             since: 0,
-            upto: attempts.len() as u64,
-            last: true,
+            until: attempts.len() as u64,
+            complete: true,
         },
         attempts,
     }
@@ -225,23 +225,23 @@
         id: JobId::from("req-000001"),
         class: "work".into(),
         team: "red".into(),
-        shape: JobKind::Array,
-        rank: Priority::Normal,
+        kind: JobKind::Array,
+        priority: Priority::Normal,
         tasks,
-        cores: 4.0,
+        cpus: 4.0,
         gpus: 1.0,
-        ram_gb: 8.0,
-        types: None,
+        memory_gb: 8.0,
+        machine_types: None,
         zone: None,
-        one_zone: false,
+        same_zone: false,
         spread: false,
-        spot: true,
+        allow_spot: true,
         image: "img".into(),
         image_gb: 2.0,
-        estimate_s: 20.0,
-        checkpoint_s: 0.0,
-        save_s: 0.0,
+        estimated_runtime_s: 20.0,
+        checkpoint_interval_s: 0.0,
+        checkpoint_duration_s: 0.0,
         deadline_s: None,
-        awaits: Vec::new(),
+        depends_on: Vec::new(),
     }
 }
--- a/crates/coordination/tests/turns.rs
+++ b/crates/coordination/tests/turns.rs
@@ -37,8 +37,8 @@
             seq,
             ChangeRange {
                 since: 0,
-                upto: 200,
-                last: true,
+                until: 200,
+                complete: true,
             },
             machines,
             Vec::new(),
@@ -50,7 +50,7 @@
             &mut placer,
             JobSpec {
                 id: id(n),
-                rank: Priority::Production,
+                priority: Priority::Production,
                 ..array(20)
             },
             0,
@@ -69,7 +69,7 @@
     for (n, at) in (0..20).rev().zip(10..) {
         let spec = JobSpec {
             id: id(n),
-            rank: ranks[n as usize % 4],
+            priority: ranks[n as usize % 4],
             ..array(2)
         };
         let job = CachedJob {
@@ -113,7 +113,7 @@
     for n in 0..500 {
         let rented = ProvisionedInstance {
             machine: machine(n),
-            kind: "box".into(),
+            machine_type: "box".into(),
             zone: "north".into(),
             spot: false,
             age_ms: 0,
@@ -131,6 +131,6 @@
             "{room}: {}",
             peer::write(&sync).len()
         );
-        assert!(!sync.rented.is_empty(), "{room}");
+        assert!(!sync.provisioned.is_empty(), "{room}");
     }
 }
--- a/crates/coordination/tests/watch.rs
+++ b/crates/coordination/tests/watch.rs
@@ -80,7 +80,7 @@
     fn cas(&mut self, cas: &CompareAndSwap) -> Option<u64> {
         assert!(cas.writes.len() <= 4, "more than a transaction may hold");
         let hold = |w: &Write| {
-            if let Write::Put { hold, .. } = w {
+            if let Write::Put { lease: hold, .. } = w {
                 *hold
             } else {
                 None
@@ -105,7 +105,7 @@
         for write in &cas.writes {
             self.note(write);
             match write {
-                Write::Put { key, value, hold } => {
+                Write::Put { key, value, lease: hold } => {
                     self.log
                         .push(set(key.clone(), value.clone(), self.revision));
                     self.keys
--- a/crates/coordination/tests/weights.rs
+++ b/crates/coordination/tests/weights.rs
@@ -70,16 +70,16 @@
                     }]
                     .into();
                     m.spot = spots && rng.random();
-                    m.open = rng.random::<f64>() < 0.95;
-                    m.busy = busy;
-                    m.lasting = rng.random_range(0..=busy);
+                    m.schedulable = rng.random::<f64>() < 0.95;
+                    m.task_count = busy;
+                    m.service_task_count = rng.random_range(0..=busy);
                     if rng.random::<f64>() < warm {
-                        m.images.push("img".into());
+                        m.cached_images.push("img".into());
                     } else if rng.random::<f64>() < 0.1 {
-                        m.coming.push("img".into());
+                        m.pulling_images.push("img".into());
                     }
                     let others = [0, 0, 0, 1, 2][rng.random_range(0..5usize)];
-                    m.coming.extend((0..others).map(|n| format!("other-{n}")));
+                    m.pulling_images.extend((0..others).map(|n| format!("other-{n}")));
                     m
                 })
                 .collect()
@@ -111,7 +111,7 @@
     order.sort_by_key(|(_, mail)| *mail);
     Draw {
         order,
-        need: Resources::offer(4.0, if rng.random::<f64>() < 0.2 { 0.0 } else { 1.0 }, 8.0),
+        need: Resources::capacity(4.0, if rng.random::<f64>() < 0.2 { 0.0 } else { 1.0 }, 8.0),
         image_mb: 2_000,
         spot: spots && rng.random(),
         live,
@@ -157,7 +157,7 @@
             wave: self.spot
                 && kin
                 && 2 * self.live.iter().filter(|(id, _)| on_spot(id)).count() as u32 >= self.tasks,
-            plain: self.need.gpus == 0,
+            plain: self.need.milli_gpus == 0,
             kin,
             zones: if kin && zones.len() > 1 {
                 zones.len() as u32
@@ -203,16 +203,16 @@
     }
 
     fn has_room(&self, m: &MachineView) -> bool {
-        m.up && m.open && (self.spot || !m.spot) && m.free.covers(&self.need)
+        m.registered && m.schedulable && (self.spot || !m.spot) && m.free.covers(&self.need)
     }
 
     /// Seconds that a place costs, straight from the words of the policy.
     fn score(&self, m: &MachineView, mail: bool) -> f64 {
         let (here, coming) = (
-            m.images.iter().any(|i| i == "img"),
-            m.coming.iter().any(|i| i == "img"),
+            m.cached_images.iter().any(|i| i == "img"),
+            m.pulling_images.iter().any(|i| i == "img"),
         );
-        let wait = match (here, coming, m.coming.len()) {
+        let wait = match (here, coming, m.pulling_images.len()) {
             (true, _, _) => 0.0,
             (_, true, _) => FETCH_S / 2.0,
             (_, _, 0) => FETCH_S,
@@ -247,10 +247,10 @@
             0.0
         } else {
             pin * [0.0, 1.0, 2.0]
-                [usize::from(m.lasting == 0) + usize::from(m.lasting == 0 && m.busy == 0)]
+                [usize::from(m.service_task_count == 0) + usize::from(m.service_task_count == 0 && m.task_count == 0)]
         };
         let ordinary = if self.spot && !m.spot { pin } else { 0.0 };
-        let strands = if self.need.gpus == 0 && m.free.gpus > 0 {
+        let strands = if self.need.milli_gpus == 0 && m.free.milli_gpus > 0 {
             2.0 * pin
         } else {
             0.0
@@ -267,26 +267,26 @@
                 let machines = &self.shards[p];
                 looks += machines.len().div_ceil(64) as u64;
                 let of = |m: &&MachineView| match near {
-                    0 => m.images.iter().any(|i| i == "img"),
-                    1 => m.coming.iter().any(|i| i == "img"),
+                    0 => m.cached_images.iter().any(|i| i == "img"),
+                    1 => m.pulling_images.iter().any(|i| i == "img"),
                     _ => true,
                 };
-                let open = |m: &&MachineView| m.up && m.open && (self.spot || !m.spot);
+                let open = |m: &&MachineView| m.registered && m.schedulable && (self.spot || !m.spot);
                 looks += machines.iter().filter(of).filter(open).count() as u64;
                 let best = machines
                     .iter()
                     .enumerate()
                     .filter(|(_, m)| of(m) && self.has_room(m))
                     .min_by_key(|(i, m)| {
-                        let company = if self.lasting { m.lasting } else { 0 };
-                        let fetches = if near == 2 { m.coming.len() } else { 0 };
-                        let strands = self.need.gpus == 0 && m.free.gpus > 0;
+                        let company = if self.lasting { m.service_task_count } else { 0 };
+                        let fetches = if near == 2 { m.pulling_images.len() } else { 0 };
+                        let strands = self.need.milli_gpus == 0 && m.free.milli_gpus > 0;
                         (
                             strands,
                             self.spot && !m.spot,
-                            m.busy == 0,
+                            m.task_count == 0,
                             fetches,
-                            Reverse((company, m.busy)),
+                            Reverse((company, m.task_count)),
                             *i,
                         )
                     });
@@ -313,7 +313,7 @@
         for &(p, mail) in &d.order {
             for m in d.shards[p].iter().filter(|m| d.has_room(m)) {
                 let one = (
-                    d.here_first && !m.images.iter().any(|i| i == "img"),
+                    d.here_first && !m.cached_images.iter().any(|i| i == "img"),
                     d.score(m, mail),
                 );
                 least = Some(least.filter(|l| *l <= one).unwrap_or(one));
@@ -324,7 +324,7 @@
                 let m = &d.shards[p][i];
                 let mail = d.order.iter().any(|(q, mail)| *q == p && *mail);
                 assert!(d.has_room(m));
-                let here = m.images.iter().any(|i| i == "img");
+                let here = m.cached_images.iter().any(|i| i == "img");
                 assert!(
                     (d.score(m, mail) - least).abs() < 1e-9,
                     "score {} of {least}",
@@ -481,7 +481,7 @@
         id: JobId::from(format!("req-{n:06}").as_str()),
         image: image.into(),
         image_gb: gb,
-        shape,
+        kind: shape,
         ..support::array(1)
     }
 }
@@ -509,14 +509,14 @@
     );
     // Of two machines alike the third model goes where it drops nothing.
     let mut machines = [support::shown(1, 2), support::shown(2, 2)];
-    machines[0].images = cached(&["one", "two"]);
-    machines[1].images = cached(&["one"]);
+    machines[0].cached_images = cached(&["one", "two"]);
+    machines[1].cached_images = cached(&["one"]);
     let mut field = PlacementIndex::new(&machines);
     for m in &machines {
-        field.set_spare(&m.id, book.spare_mb(&m.images, 100_000));
+        field.set_spare(&m.id, book.spare_mb(&m.cached_images, 100_000));
     }
     let mut d = draw(&mut ChaCha8Rng::seed_from_u64(1), 2);
-    (d.need, d.spot, d.lasting) = (Resources::offer(4.0, 1.0, 8.0), false, false);
+    (d.need, d.spot, d.lasting) = (Resources::capacity(4.0, 1.0, 8.0), false, false);
     let place = |mb| {
         field.first_fit(&PlacementRequest {
             image: "third",
@@ -556,11 +556,11 @@
         *state += 1;
         let span = ChangeRange {
             since: *state - 1,
-            upto: *state,
-            last: true,
+            until: *state,
+            complete: true,
         };
         let message = SyncRequest {
-            dropped,
+            withdrawn: dropped,
             ..support::sync(*state, span, wants, ObservedState::default())
         };
         owner.sync(&message, support::ROOM, now).expect("taken");
@@ -573,11 +573,11 @@
     {
         let cause = (phase == TaskPhase::Exited).then(|| "done".to_owned());
         let task = TaskStatus {
-            piece: id.piece(),
+            task: id.task_name(),
             attempt: 1,
             phase,
-            cause,
-            saved: None,
+            exit_cause: cause,
+            checkpointed: None,
         };
         owner
             .report(
