--- a/crates/coordination/tests/worker_sessions.rs
+++ b/crates/coordination/tests/worker_sessions.rs
@@ -57,15 +57,15 @@
         self.state += 1;
         let span = ChangeRange {
             since: 0,
-            upto: self.state,
-            last: true,
+            until: self.state,
+            complete: true,
         };
         // Nothing is given back for being empty.
         let keep = (0..self.seqs.len()).map(machine).collect();
         let message = SyncRequest {
-            keep,
-            strays: self.strays,
-            to_token: self.token,
+            reserved_machines: keep,
+            misrouted_heartbeats: self.strays,
+            to_fencing_token: self.token,
             ..sync(self.state, span, wants, ObservedState::default())
         };
         self.owner.sync(&message, ROOM, self.now).expect("taken")
@@ -79,7 +79,7 @@
     }
 
     fn open(&mut self, n: usize) -> bool {
-        self.view(n, Vec::new()).is_some_and(|m| m.up && m.open)
+        self.view(n, Vec::new()).is_some_and(|m| m.registered && m.schedulable)
     }
 
     fn pass(&mut self, until: u64) {
@@ -91,13 +91,13 @@
     fn report(&mut self, n: usize, by: Option<u16>, reaches: bool, tasks: Vec<TaskStatus>) {
         self.seqs[n] += 1;
         let said = Heartbeat {
-            token: self.tokens[n],
+            fencing_token: self.tokens[n],
             tasks,
             ..report(n, self.seqs[n])
         };
         let reply = self.owner.report(&said, by, self.now).expect("answered");
         if reaches {
-            self.tokens[n] = self.tokens[n].max(reply.token);
+            self.tokens[n] = self.tokens[n].max(reply.fencing_token);
         }
     }
 
@@ -113,7 +113,7 @@
     view.attempts
         .iter()
         .find(|a| a.id == want(n, 0).id)
-        .map(|a| a.standing)
+        .map(|a| a.state)
 }
 
 #[test]
@@ -150,7 +150,7 @@
     shard.pass(8_050);
     shard.report(0, Some(1), false, vec![running_task(0)]);
     let stopped = DesiredAttempt {
-        kill: Some(0),
+        stop_grace_s: Some(0),
         ..want(0, 0)
     };
     shard.tell(vec![stopped.clone()]);
@@ -158,15 +158,15 @@
         let Some(call) = shard.call() else { break };
         assert!(
             call.commands
-                .orders
+                .commands
                 .iter()
-                .all(|o| o.verb == CommandKind::Kill),
+                .all(|o| o.kind == CommandKind::Stop),
             "a withdrawal is told by call"
         );
-        shard.tokens[0] = shard.tokens[0].max(call.commands.token);
+        shard.tokens[0] = shard.tokens[0].max(call.commands.fencing_token);
         shard.seqs[0] += 1;
         let said = Heartbeat {
-            token: shard.tokens[0],
+            fencing_token: shard.tokens[0],
             ..report(0, shard.seqs[0])
         };
         shard.now += 20;
@@ -187,7 +187,7 @@
 fn what_waits_on_a_deaf_machine_is_over_unstarted() {
     let mut shard = Part::new(1);
     let member = DesiredAttempt {
-        go: false,
+        may_start: false,
         ..want(0, 0)
     };
     shard.tell(vec![member.clone()]);
@@ -207,8 +207,8 @@
         standing(&shard.tell(vec![member.clone()]), 0),
         Some(AttemptState::Gone)
     );
-    shard.tell(vec![DesiredAttempt { go: true, ..member }]);
-    assert!(shard.call().is_none_or(|c| c.commands.orders.is_empty()));
+    shard.tell(vec![DesiredAttempt { may_start: true, ..member }]);
+    assert!(shard.call().is_none_or(|c| c.commands.commands.is_empty()));
 }
 
 /// Forty of sixty: they come to other controllers, and the part is not lost.
@@ -238,12 +238,12 @@
 fn a_copy_of_long_ago_is_a_hint() {
     let exited = TaskStatus {
         phase: TaskPhase::Exited,
-        cause: Some("error".into()),
+        exit_cause: Some("error".into()),
         ..running_task(1)
     };
     let copy = Heartbeat {
-        token: BASE | 5,
-        notice_s: Some(20.0),
+        fencing_token: BASE | 5,
+        reclaim_notice_s: Some(20.0),
         tasks: vec![running_task(0), exited],
         ..report(0, 70)
     };
@@ -272,7 +272,7 @@
                 shard.owner.report(&copy, Some(1), shard.now);
             }
             for call in shard.owner.calls(shard.now, 4) {
-                assert!(call.commands.orders.is_empty(), "a question has no orders");
+                assert!(call.commands.commands.is_empty(), "a question has no orders");
                 asked += 1;
                 shard
                     .owner
@@ -280,7 +280,7 @@
             }
             let view = shard.tell(wants());
             assert!(
-                view.machines.iter().all(|m| !m.up && !m.leaving),
+                view.machines.iter().all(|m| !m.registered && !m.draining),
                 "{:?}",
                 view.machines
             );
@@ -288,7 +288,7 @@
             assert!(
                 view.attempts
                     .iter()
-                    .all(|a| a.standing == AttemptState::Gone && released.is_some()),
+                    .all(|a| a.state == AttemptState::Gone && released.is_some()),
                 "{:?}",
                 view.attempts
             );
@@ -316,7 +316,7 @@
     let mut said = Vec::new();
     let done = TaskStatus {
         phase: TaskPhase::Exited,
-        cause: Some("done".into()),
+        exit_cause: Some("done".into()),
         ..running_task(0)
     };
     for k in 0..40u64 {
@@ -329,7 +329,7 @@
         // Before its start it is not there.
         let tasks = if k < 5 { Vec::new() } else { tasks };
         said.push(Heartbeat {
-            token: shard.tokens[0],
+            fencing_token: shard.tokens[0],
             tasks: tasks.clone(),
             ..report(0, shard.seqs[0] + 1)
         });
@@ -345,7 +345,7 @@
     for &k in &order {
         shard.now += 10;
         shard.owner.report(&said[k], None, shard.now);
-        assert!(shard.view(0, vec![want(0, 0)]).is_some_and(|m| m.open));
+        assert!(shard.view(0, vec![want(0, 0)]).is_some_and(|m| m.schedulable));
         assert_eq!(
             standing(&shard.tell(vec![want(0, 0)]), 0),
             Some(AttemptState::Exited(ExitCause::Done))
@@ -381,8 +381,8 @@
         shard.seqs[0] = 80;
         shard.pass(3_000);
         let before = |seq| Heartbeat {
-            session,
-            token: BASE,
+            incarnation: session,
+            fencing_token: BASE,
             tasks: vec![running_task(0)],
             ..report(0, seq)
         };
@@ -397,13 +397,13 @@
             .owner
             .report(&report_with(1, 0), None, shard.now)
             .expect("answered")
-            .token;
+            .fencing_token;
         shard.now += 500;
         let token = shard
             .owner
             .report(&report_with(2, token), None, shard.now)
             .expect("answered")
-            .token;
+            .fencing_token;
         shard.now += 500;
         shard
             .owner
@@ -418,7 +418,7 @@
         assert!(
             shard
                 .view(0, vec![want(0, 0)])
-                .is_some_and(|m| m.up && m.open)
+                .is_some_and(|m| m.registered && m.schedulable)
         );
         // Its earlier life speaks up once more.
         shard.owner.report(&before(90), None, shard.now);
@@ -427,7 +427,7 @@
                 .tell(vec![want(0, 0)])
                 .attempts
                 .iter()
-                .all(|a| a.standing == AttemptState::Gone)
+                .all(|a| a.state == AttemptState::Gone)
         );
         let next = DesiredAttempt {
             id: lemonweir_model::AttemptId {
@@ -438,14 +438,14 @@
         };
         shard.tell(vec![next]);
         let call = shard.call().expect("a start");
-        assert_eq!((call.commands.session, call.commands.orders.len()), (1, 1));
-        assert!(call.commands.token > token - 1);
+        assert_eq!((call.commands.incarnation, call.commands.commands.len()), (1, 1));
+        assert!(call.commands.fencing_token > token - 1);
     }
 }
 
 fn report_with(seq: u64, token: u64) -> Heartbeat {
     Heartbeat {
-        token,
+        fencing_token: token,
         ..report(0, seq)
     }
 }
@@ -459,22 +459,22 @@
     shard.seqs[0] = 50;
     shard.report(0, None, true, vec![running_task(0)]);
     shard.tell(vec![DesiredAttempt {
-        kill: Some(0),
+        stop_grace_s: Some(0),
         ..want(0, 0)
     }]);
     let call = shard.call().expect("a stop");
     shard.owner.call_done(
         &call,
-        CommandResult::Executed(report_with(1, call.commands.token)),
+        CommandResult::Executed(report_with(1, call.commands.fencing_token)),
         shard.now,
     );
     let question = shard
         .call()
         .expect("with a token that its earlier life can't have seen");
-    assert!(question.commands.token > call.commands.token);
+    assert!(question.commands.fencing_token > call.commands.fencing_token);
     shard.owner.call_done(
         &question,
-        CommandResult::Executed(report_with(2, question.commands.token)),
+        CommandResult::Executed(report_with(2, question.commands.fencing_token)),
         shard.now,
     );
     assert_eq!(
@@ -498,7 +498,7 @@
     shard.owner.tick(5_200, 5_040);
     assert!(shard.call().is_none(), "so did this");
     shard.owner.tick(5_200, 5_100);
-    assert_eq!(shard.call().expect("at once").commands.orders.len(), 1);
+    assert_eq!(shard.call().expect("at once").commands.commands.len(), 1);
 }
 
 /// A deaf machine is given back while a call to it is under way: its place among the
@@ -508,7 +508,7 @@
 fn a_deaf_machine_that_goes_leaves_its_call_to_others() {
     let mut shard = Part::new(2 * DEAF_CALLS);
     let stopped = |n: usize| DesiredAttempt {
-        kill: Some(0),
+        stop_grace_s: Some(0),
         ..want(n as u32, n)
     };
     let all: Vec<DesiredAttempt> = (0..2 * DEAF_CALLS).map(stopped).collect();
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -71,7 +71,7 @@
 
 impl AttemptId {
     /// The task's name on the wire.
-    pub fn piece(&self) -> String {
+    pub fn task_name(&self) -> String {
         format!("{}/{}", self.job, self.task)
     }
 
@@ -111,63 +111,66 @@
 )]
 pub struct Resources {
     /// Thousandths of a processor.
-    pub cpus: u64,
+    #[serde(rename = "cpus")]
+    pub milli_cpus: u64,
     /// Thousandths of an accelerator.
-    pub gpus: u64,
+    #[serde(rename = "gpus")]
+    pub milli_gpus: u64,
     /// Thousandths of a gigabyte.
-    pub memory: u64,
+    #[serde(rename = "memory")]
+    pub memory_mb: u64,
 }
 
 impl Resources {
     /// What a task needs: rounded up, so that it is never counted too small.
-    pub fn need(cpus: f64, gpus: f64, memory_gb: f64) -> Self {
+    pub fn request(cpus: f64, gpus: f64, memory_gb: f64) -> Self {
         let up = |x: f64| (x * 1000.0 - 1e-6).ceil().max(0.0) as u64;
         Self {
-            cpus: up(cpus),
-            gpus: up(gpus),
-            memory: up(memory_gb),
+            milli_cpus: up(cpus),
+            milli_gpus: up(gpus),
+            memory_mb: up(memory_gb),
         }
     }
 
     /// What a machine or a limit offers: rounded down.
-    pub fn offer(cpus: f64, gpus: f64, memory_gb: f64) -> Self {
+    pub fn capacity(cpus: f64, gpus: f64, memory_gb: f64) -> Self {
         let down = |x: f64| (x * 1000.0 + 1e-6).floor().max(0.0) as u64;
         Self {
-            cpus: down(cpus),
-            gpus: down(gpus),
-            memory: down(memory_gb),
+            milli_cpus: down(cpus),
+            milli_gpus: down(gpus),
+            memory_mb: down(memory_gb),
         }
     }
 
     /// True if `need` fits into this room in every resource.
     pub fn covers(&self, need: &Resources) -> bool {
-        self.cpus >= need.cpus && self.gpus >= need.gpus && self.memory >= need.memory
+        self.milli_cpus >= need.milli_cpus && self.milli_gpus >= need.milli_gpus && self.memory_mb >= need.memory_mb
     }
 
     /// The sum.
     pub fn plus(&self, other: &Resources) -> Resources {
         Resources {
-            cpus: self.cpus + other.cpus,
-            gpus: self.gpus + other.gpus,
-            memory: self.memory + other.memory,
+            milli_cpus: self.milli_cpus + other.milli_cpus,
+            milli_gpus: self.milli_gpus + other.milli_gpus,
+            memory_mb: self.memory_mb + other.memory_mb,
         }
     }
 
     /// What is left, never below zero.
     pub fn minus(&self, other: &Resources) -> Resources {
         Resources {
-            cpus: self.cpus.saturating_sub(other.cpus),
-            gpus: self.gpus.saturating_sub(other.gpus),
-            memory: self.memory.saturating_sub(other.memory),
+            milli_cpus: self.milli_cpus.saturating_sub(other.milli_cpus),
+            milli_gpus: self.milli_gpus.saturating_sub(other.milli_gpus),
+            memory_mb: self.memory_mb.saturating_sub(other.memory_mb),
         }
     }
 
     /// `n` times this room.
     pub fn times(&self, n: u64) -> Resources {
         Resources {
-            cpus: self.cpus.saturating_mul(n),
-            gpus: self.gpus.saturating_mul(n),
-            memory: self.memory.saturating_mul(n),
+            milli_cpus: self.milli_cpus.saturating_mul(n),
+            milli_gpus: self.milli_gpus.saturating_mul(n),
+            memory_mb: self.memory_mb.saturating_mul(n),
         }
     }
 }
@@ -235,34 +238,37 @@
     #[serde(rename = "owner")]
     pub team: String,
     /// Array, gang or service.
-    pub shape: JobKind,
+    #[serde(rename = "shape")]
+    pub kind: JobKind,
     /// Priority.
-    pub rank: Priority,
+    #[serde(rename = "rank")]
+    pub priority: Priority,
     /// Number of tasks.
     #[serde(rename = "pieces")]
     pub tasks: u64,
     /// Processors a task takes.
-    pub cores: f64,
+    #[serde(rename = "cores")]
+    pub cpus: f64,
     /// Accelerators a task takes.
     pub gpus: f64,
     /// Memory a task takes.
     #[serde(rename = "ramGb")]
-    pub ram_gb: f64,
+    pub memory_gb: f64,
     /// Allowed machine types.
     #[serde(rename = "hardware", default)]
-    pub types: Option<Vec<String>>,
+    pub machine_types: Option<Vec<String>>,
     /// The only allowed zone.
     #[serde(rename = "hall", default)]
     pub zone: Option<String>,
     /// All tasks in one zone.
     #[serde(rename = "samePlace")]
-    pub one_zone: bool,
+    pub same_zone: bool,
     /// At most half of the tasks in a zone.
     #[serde(rename = "scatter")]
     pub spread: bool,
     /// May use spot machines.
     #[serde(rename = "standby")]
-    pub spot: bool,
+    pub allow_spot: bool,
     /// Image.
     #[serde(rename = "bundle")]
     pub image: String,
@@ -271,13 +277,13 @@
     pub image_gb: f64,
     /// Estimated run time, s.
     #[serde(rename = "expectS")]
-    pub estimate_s: f64,
+    pub estimated_runtime_s: f64,
     /// Checkpoint interval, s; 0: none.
     #[serde(rename = "savepointS")]
-    pub checkpoint_s: f64,
+    pub checkpoint_interval_s: f64,
     /// Time to save when stopped, s.
     #[serde(rename = "flushS")]
-    pub save_s: f64,
+    pub checkpoint_duration_s: f64,
     /// Deadline from submission, s.
     #[serde(rename = "dueS", default)]
     pub deadline_s: Option<f64>,
@@ -287,7 +293,8 @@
         skip_serializing_if = "Vec::is_empty",
         deserialize_with = "list_or_null"
     )]
-    pub awaits: Vec<JobId>,
+    #[serde(rename = "awaits")]
+    pub depends_on: Vec<JobId>,
 }
 
 /// A field that may be null may also be absent (protocol page).
@@ -297,8 +304,8 @@
 
 impl JobSpec {
     /// What one task takes.
-    pub fn need(&self) -> Resources {
-        Resources::need(self.cores, self.gpus, self.ram_gb)
+    pub fn task_resources(&self) -> Resources {
+        Resources::request(self.cpus, self.gpus, self.memory_gb)
     }
 
     /// Size of its image in thousandths of a GB.
@@ -307,9 +314,9 @@
     }
 
     /// Seconds of grace that let a task save, or 0 if it never saves.
-    pub fn grace_s(&self) -> u32 {
-        if self.checkpoint_s > 0.0 {
-            self.save_s.ceil() as u32 + 1
+    pub fn stop_grace_s(&self) -> u32 {
+        if self.checkpoint_interval_s > 0.0 {
+            self.checkpoint_duration_s.ceil() as u32 + 1
         } else {
             0
         }
@@ -321,11 +328,11 @@
     /// none if saving takes longer than what is lost without it. A task that
     /// is stopped at once loses half a checkpoint interval on average, and
     /// whoever it makes way for starts at once.
-    pub fn way_grace_s(&self) -> u32 {
-        if self.save_s >= self.checkpoint_s / 2.0 {
+    pub fn preemption_grace_s(&self) -> u32 {
+        if self.checkpoint_duration_s >= self.checkpoint_interval_s / 2.0 {
             0
         } else {
-            self.grace_s()
+            self.stop_grace_s()
         }
     }
 }
@@ -336,13 +343,13 @@
     /// Its name.
     pub name: String,
     /// What a machine offers.
-    pub room: Resources,
+    pub capacity: Resources,
     /// Image cache, GB.
-    pub cache_gb: f64,
+    pub image_cache_gb: f64,
     /// Image fetch, GB/s.
-    pub fetch_gb_per_s: f64,
+    pub image_pull_gb_per_s: f64,
     /// Price of an ordinary machine an hour.
-    pub price: f64,
+    pub on_demand_price: f64,
     /// Price of a spot machine an hour.
     pub spot_price: f64,
     /// Usual boot time, s.
--- a/crates/model/src/settings.rs
+++ b/crates/model/src/settings.rs
@@ -26,7 +26,8 @@
     /// The cloud.
     pub cloud: SocketAddr,
     /// The state service.
-    pub state: SocketAddr,
+    #[serde(rename = "state")]
+    pub kv_store: SocketAddr,
 }
 
 /// A team's guarantee and limit; 0 means none.
@@ -35,17 +36,17 @@
     /// Its name.
     pub name: String,
     /// Guaranteed processors.
-    #[serde(default)]
-    pub cpus: f64,
+    #[serde(rename = "cpus", default)]
+    pub guaranteed_cpus: f64,
     /// Most processors.
-    #[serde(default)]
-    pub cpus_max: f64,
+    #[serde(rename = "cpus_max", default)]
+    pub max_cpus: f64,
     /// Guaranteed accelerators.
-    #[serde(default)]
-    pub gpus: f64,
+    #[serde(rename = "gpus", default)]
+    pub guaranteed_gpus: f64,
     /// Most accelerators.
-    #[serde(default)]
-    pub gpus_max: f64,
+    #[serde(rename = "gpus_max", default)]
+    pub max_gpus: f64,
 }
 
 /// What is expected of a class of jobs.
@@ -66,11 +67,15 @@
 #[allow(missing_docs)]
 #[serde(rename = "Workers")]
 pub struct WorkerTiming {
-    pub report_s: f64,
+    #[serde(rename = "report_s")]
+    pub heartbeat_interval_s: f64,
     pub lease_s: f64,
-    pub gang_wait_s: f64,
-    pub gang_peer_s: f64,
-    pub cancel_s: f64,
+    #[serde(rename = "gang_wait_s")]
+    pub gang_start_timeout_s: f64,
+    #[serde(rename = "gang_peer_s")]
+    pub gang_peer_timeout_s: f64,
+    #[serde(rename = "cancel_s")]
+    pub cancellation_deadline_s: f64,
 }
 
 /// The state service's limits.
@@ -78,12 +83,16 @@
 #[allow(missing_docs)]
 #[serde(rename = "StateLimits")]
 pub struct KvStoreLimits {
-    pub rps: f64,
-    pub write_rps: f64,
-    pub value_kb: f64,
-    pub txn_ops: usize,
-    #[serde(default)]
-    pub next: Option<UpcomingKvStoreLimits>,
+    #[serde(rename = "rps")]
+    pub requests_per_s: f64,
+    #[serde(rename = "write_rps")]
+    pub writes_per_s: f64,
+    #[serde(rename = "value_kb")]
+    pub max_value_kib: f64,
+    #[serde(rename = "txn_ops")]
+    pub max_cas_ops: usize,
+    #[serde(rename = "next", default)]
+    pub upcoming: Option<UpcomingKvStoreLimits>,
 }
 
 /// Limits that the state service will have from some moment on, which it does not tell.
@@ -91,40 +100,40 @@
 #[allow(missing_docs)]
 #[serde(rename = "NextStateLimits")]
 pub struct UpcomingKvStoreLimits {
-    #[serde(default)]
-    pub rps: Option<f64>,
-    #[serde(default)]
-    pub write_rps: Option<f64>,
-    #[serde(default)]
-    pub value_kb: Option<f64>,
-    #[serde(default)]
-    pub txn_ops: Option<usize>,
+    #[serde(rename = "rps", default)]
+    pub requests_per_s: Option<f64>,
+    #[serde(rename = "write_rps", default)]
+    pub writes_per_s: Option<f64>,
+    #[serde(rename = "value_kb", default)]
+    pub max_value_kib: Option<f64>,
+    #[serde(rename = "txn_ops", default)]
+    pub max_cas_ops: Option<usize>,
 }
 
 impl KvStoreLimits {
     fn next(&self) -> UpcomingKvStoreLimits {
-        self.next.clone().unwrap_or_default()
+        self.upcoming.clone().unwrap_or_default()
     }
 
     /// KiB that a value may have now and later.
-    pub fn least_value_kb(&self) -> f64 {
-        self.value_kb.min(self.next().value_kb.unwrap_or(f64::MAX))
+    pub fn lowest_max_value_kib(&self) -> f64 {
+        self.max_value_kib.min(self.next().max_value_kib.unwrap_or(f64::MAX))
     }
 
     /// Changes that a transaction may hold now and later.
-    pub fn least_txn_ops(&self) -> usize {
-        self.txn_ops.min(self.next().txn_ops.unwrap_or(usize::MAX))
+    pub fn lowest_max_cas_ops(&self) -> usize {
+        self.max_cas_ops.min(self.next().max_cas_ops.unwrap_or(usize::MAX))
     }
 
     /// Changes a second that are taken now and later.
-    pub fn least_write_rps(&self) -> f64 {
-        self.write_rps
-            .min(self.next().write_rps.unwrap_or(f64::MAX))
+    pub fn lowest_writes_per_s(&self) -> f64 {
+        self.writes_per_s
+            .min(self.next().writes_per_s.unwrap_or(f64::MAX))
     }
 
     /// Requests a second that are taken now and later.
-    pub fn least_rps(&self) -> f64 {
-        self.rps.min(self.next().rps.unwrap_or(f64::MAX))
+    pub fn lowest_requests_per_s(&self) -> f64 {
+        self.requests_per_s.min(self.next().requests_per_s.unwrap_or(f64::MAX))
     }
 }
 
@@ -132,8 +141,10 @@
 #[derive(Clone, Debug, Deserialize)]
 #[allow(missing_docs)]
 pub struct CloudLimits {
-    pub rps: f64,
-    pub list_lag_s: f64,
+    #[serde(rename = "rps")]
+    pub requests_per_s: f64,
+    #[serde(rename = "list_lag_s")]
+    pub list_staleness_s: f64,
 }
 
 /// This process's limits.
@@ -141,8 +152,10 @@
 #[allow(missing_docs)]
 pub struct Limits {
     pub cpu_share: f64,
-    pub mem_mb: f64,
-    pub fd_limit: usize,
+    #[serde(rename = "mem_mb")]
+    pub memory_mb: f64,
+    #[serde(rename = "fd_limit")]
+    pub max_open_files: usize,
 }
 
 /// What all controllers share.
@@ -153,12 +166,15 @@
     pub teams: Vec<Team>,
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    pub workers: WorkerTiming,
-    pub state: KvStoreLimits,
+    #[serde(rename = "workers")]
+    pub worker_timing: WorkerTiming,
+    #[serde(rename = "state")]
+    pub kv_store: KvStoreLimits,
     pub cloud: CloudLimits,
-    pub limits: Limits,
-    #[serde(default)]
-    pub clock_off_ms: f64,
+    #[serde(rename = "limits")]
+    pub process_limits: Limits,
+    #[serde(rename = "clock_off_ms", default)]
+    pub clock_offset_ms: f64,
 }
 
 /// The whole file.
@@ -167,9 +183,11 @@
 pub struct Settings {
     pub host_name: String,
     pub zone: String,
-    pub listen: SocketAddr,
+    #[serde(rename = "listen")]
+    pub listen_addr: SocketAddr,
     pub internal_addr: SocketAddr,
-    pub seeds: Vec<SeedController>,
+    #[serde(rename = "seeds")]
+    pub seed_controllers: Vec<SeedController>,
     pub services: Services,
     pub cluster: Cluster,
 }
@@ -217,7 +235,7 @@
         check(!self.host_name.is_empty(), "host_name is empty".into());
         check(!c.zones.is_empty(), "cluster.zones is empty".into());
         check(!c.teams.is_empty(), "cluster.teams is empty".into());
-        let mut hosts: Vec<&str> = self.seeds.iter().map(|s| s.host_name.as_str()).collect();
+        let mut hosts: Vec<&str> = self.seed_controllers.iter().map(|s| s.host_name.as_str()).collect();
         hosts.push(&self.host_name);
         hosts.sort_unstable();
         check(
@@ -225,7 +243,7 @@
             "two controllers have the same host_name".into(),
         );
         check(hosts.len() <= 200, "more than 200 controllers".into());
-        for zone in self.seeds.iter().map(|s| &s.zone).chain([&self.zone]) {
+        for zone in self.seed_controllers.iter().map(|s| &s.zone).chain([&self.zone]) {
             check(
                 c.zones.contains(zone),
                 format!("zone {zone} is not in cluster.zones"),
@@ -238,7 +256,7 @@
             "two teams have the same name".into(),
         );
         for t in &c.teams {
-            for (what, min, max) in [("cpus", t.cpus, t.cpus_max), ("gpus", t.gpus, t.gpus_max)] {
+            for (what, min, max) in [("cpus", t.guaranteed_cpus, t.max_cpus), ("gpus", t.guaranteed_gpus, t.max_gpus)] {
                 check(
                     min.is_finite() && max.is_finite() && min >= 0.0 && max >= 0.0,
                     format!("team {}: {what} must be 0 or more", t.name),
@@ -249,30 +267,30 @@
                 );
             }
         }
-        let w = &c.workers;
+        let w = &c.worker_timing;
         for (what, value) in [
-            ("workers.report_s", w.report_s),
+            ("workers.report_s", w.heartbeat_interval_s),
             ("workers.lease_s", w.lease_s),
-            ("workers.gang_wait_s", w.gang_wait_s),
-            ("workers.gang_peer_s", w.gang_peer_s),
-            ("workers.cancel_s", w.cancel_s),
-            ("state.rps", c.state.rps),
-            ("state.write_rps", c.state.write_rps),
-            ("state.value_kb", c.state.value_kb),
-            ("cloud.rps", c.cloud.rps),
-            ("limits.cpu_share", c.limits.cpu_share),
-            ("limits.mem_mb", c.limits.mem_mb),
+            ("workers.gang_wait_s", w.gang_start_timeout_s),
+            ("workers.gang_peer_s", w.gang_peer_timeout_s),
+            ("workers.cancel_s", w.cancellation_deadline_s),
+            ("state.rps", c.kv_store.requests_per_s),
+            ("state.write_rps", c.kv_store.writes_per_s),
+            ("state.value_kb", c.kv_store.max_value_kib),
+            ("cloud.rps", c.cloud.requests_per_s),
+            ("limits.cpu_share", c.process_limits.cpu_share),
+            ("limits.mem_mb", c.process_limits.memory_mb),
         ] {
             check(
                 value.is_finite() && value > 0.0,
                 format!("cluster.{what} must be over 0"),
             );
         }
-        let next = c.state.next();
+        let next = c.kv_store.next();
         for (what, value) in [
-            ("rps", next.rps),
-            ("write_rps", next.write_rps),
-            ("value_kb", next.value_kb),
+            ("rps", next.requests_per_s),
+            ("write_rps", next.writes_per_s),
+            ("value_kb", next.max_value_kib),
         ] {
             check(
                 value.is_none_or(|value| value.is_finite() && value > 0.0),
@@ -280,27 +298,27 @@
             );
         }
         check(
-            c.cloud.list_lag_s >= 0.0,
+            c.cloud.list_staleness_s >= 0.0,
             "cluster.cloud.list_lag_s must be 0 or more".into(),
         );
         check(
-            w.lease_s > w.report_s,
+            w.lease_s > w.heartbeat_interval_s,
             "cluster.workers.lease_s must be over report_s".into(),
         );
         check(
-            w.cancel_s > w.lease_s,
+            w.cancellation_deadline_s > w.lease_s,
             "cluster.workers.cancel_s must be over lease_s".into(),
         );
         check(
-            c.state.txn_ops >= 4,
+            c.kv_store.max_cas_ops >= 4,
             "cluster.state.txn_ops must be 4 or more".into(),
         );
         check(
-            next.txn_ops.is_none_or(|ops| ops >= 4),
+            next.max_cas_ops.is_none_or(|ops| ops >= 4),
             "cluster.state.next.txn_ops must be 4 or more".into(),
         );
         check(
-            c.limits.fd_limit >= 64,
+            c.process_limits.max_open_files >= 64,
             "cluster.limits.fd_limit must be 64 or more".into(),
         );
         faults
@@ -310,7 +328,7 @@
     /// the same list, so an index into it names a part.
     pub fn members(&self) -> Vec<ClusterMember> {
         let mut members: Vec<ClusterMember> = self
-            .seeds
+            .seed_controllers
             .iter()
             .map(|s| ClusterMember {
                 host: s.host_name.clone(),
--- a/crates/model/tests/golden_settings.rs
+++ b/crates/model/tests/golden_settings.rs
@@ -15,12 +15,12 @@
     let settings = read(EVERY_FIELD);
     assert_eq!(settings.host_name, "hutte-1");
     assert_eq!(settings.zone, "rijnmond");
-    assert_eq!(settings.listen.to_string(), "0.0.0.0:8080");
+    assert_eq!(settings.listen_addr.to_string(), "0.0.0.0:8080");
     assert_eq!(settings.internal_addr.to_string(), "10.0.2.1:8081");
     assert_eq!(settings.services.cloud.to_string(), "10.0.9.1:7001");
-    assert_eq!(settings.services.state.to_string(), "10.0.9.2:7002");
+    assert_eq!(settings.services.kv_store.to_string(), "10.0.9.2:7002");
     let seeds: Vec<_> = settings
-        .seeds
+        .seed_controllers
         .iter()
         .map(|s| (s.host_name.as_str(), s.zone.as_str(), s.address.to_string()))
         .collect();
@@ -58,7 +58,7 @@
     let teams: Vec<_> = c
         .teams
         .iter()
-        .map(|t| (t.name.as_str(), t.cpus, t.cpus_max, t.gpus, t.gpus_max))
+        .map(|t| (t.name.as_str(), t.guaranteed_cpus, t.max_cpus, t.guaranteed_gpus, t.max_gpus))
         .collect();
     assert_eq!(
         teams,
@@ -79,35 +79,35 @@
             ("guarantee", None, None),
         ]
     );
-    let w = &c.workers;
+    let w = &c.worker_timing;
     assert_eq!(
         [
-            w.report_s,
+            w.heartbeat_interval_s,
             w.lease_s,
-            w.gang_wait_s,
-            w.gang_peer_s,
-            w.cancel_s
+            w.gang_start_timeout_s,
+            w.gang_peer_timeout_s,
+            w.cancellation_deadline_s
         ],
         [2.5, 12.5, 20.5, 6.5, 40.5]
     );
-    let s = &c.state;
-    assert_eq!([s.rps, s.write_rps, s.value_kb], [300.5, 90.5, 16.5]);
-    assert_eq!(s.txn_ops, 32);
-    let next = s.next.as_ref().expect("later limits");
+    let s = &c.kv_store;
+    assert_eq!([s.requests_per_s, s.writes_per_s, s.max_value_kib], [300.5, 90.5, 16.5]);
+    assert_eq!(s.max_cas_ops, 32);
+    let next = s.upcoming.as_ref().expect("later limits");
     assert_eq!(
-        [next.rps, next.write_rps, next.value_kb],
+        [next.requests_per_s, next.writes_per_s, next.max_value_kib],
         [Some(200.5), Some(60.5), Some(8.5)]
     );
-    assert_eq!(next.txn_ops, Some(16));
+    assert_eq!(next.max_cas_ops, Some(16));
     assert_eq!(
-        [s.least_rps(), s.least_write_rps(), s.least_value_kb()],
+        [s.lowest_requests_per_s(), s.lowest_writes_per_s(), s.lowest_max_value_kib()],
         [200.5, 60.5, 8.5]
     );
-    assert_eq!(s.least_txn_ops(), 16);
-    assert_eq!([c.cloud.rps, c.cloud.list_lag_s], [20.5, 3.5]);
-    assert_eq!([c.limits.cpu_share, c.limits.mem_mb], [0.75, 512.5]);
-    assert_eq!(c.limits.fd_limit, 1024);
-    assert_eq!(c.clock_off_ms, -12.5);
+    assert_eq!(s.lowest_max_cas_ops(), 16);
+    assert_eq!([c.cloud.requests_per_s, c.cloud.list_staleness_s], [20.5, 3.5]);
+    assert_eq!([c.process_limits.cpu_share, c.process_limits.memory_mb], [0.75, 512.5]);
+    assert_eq!(c.process_limits.max_open_files, 1024);
+    assert_eq!(c.clock_offset_ms, -12.5);
 }
 
 #[test]
@@ -115,12 +115,12 @@
     let c = read(NEEDED_FIELDS).cluster;
     let team = &c.teams[0];
     assert_eq!(
-        [team.cpus, team.cpus_max, team.gpus, team.gpus_max],
+        [team.guaranteed_cpus, team.max_cpus, team.guaranteed_gpus, team.max_gpus],
         [0.0; 4]
     );
-    assert!(c.objectives.is_empty() && c.state.next.is_none());
-    assert_eq!(c.clock_off_ms, 0.0);
-    assert_eq!(c.state.least_txn_ops(), c.state.txn_ops);
+    assert!(c.objectives.is_empty() && c.kv_store.upcoming.is_none());
+    assert_eq!(c.clock_offset_ms, 0.0);
+    assert_eq!(c.kv_store.lowest_max_cas_ops(), c.kv_store.max_cas_ops);
 }
 
 /// The lines that `lemonweir check` prints: a field is called by its name in the file.
--- a/crates/node/src/cloud.rs
+++ b/crates/node/src/cloud.rs
@@ -119,8 +119,8 @@
                 return None;
             };
             let page: InstanceList = decode(&body).ok()?;
-            let more = page.more;
-            let (entries, faults) = page.entries();
+            let more = page.truncated;
+            let (entries, faults) = page.into_entries();
             faults
                 .iter()
                 .for_each(|fault| warn!(fault, "entry of the rental list not understood"));
--- a/crates/node/src/effect_executor.rs
+++ b/crates/node/src/effect_executor.rs
@@ -54,7 +54,7 @@
             Effect::Sync(lease, sync) => {
                 let view = send_sync(&node, &sync).await;
                 let now = node.now();
-                node.core().sync_done(lease, sync.to, view, now);
+                node.core().sync_done(lease, sync.to_shard, view, now);
             }
             Effect::Note(cas) => {
                 if let Err(fault) = node.state.cas(&cas).await {
@@ -64,13 +64,13 @@
             Effect::MailSync(sync) => {
                 let line = StoreMessageRoute {
                     kind: StoreMessageKind::Sync,
-                    from: sync.from,
-                    to: sync.to,
+                    from_shard: sync.from_shard,
+                    to_shard: sync.to_shard,
                 };
                 mail(
                     &node,
                     line,
-                    (sync.from_token, sync.seq),
+                    (sync.from_fencing_token, sync.seq),
                     &peer::write(&sync),
                 )
                 .await;
@@ -78,10 +78,10 @@
             Effect::MailView(to, view) => {
                 let line = StoreMessageRoute {
                     kind: StoreMessageKind::View,
-                    from: view.shard,
-                    to,
+                    from_shard: view.shard,
+                    to_shard: to,
                 };
-                mail(&node, line, (view.token, view.seq), &peer::write(&view)).await;
+                mail(&node, line, (view.fencing_token, view.seq), &peer::write(&view)).await;
             }
             Effect::Nudge(shard) => nudge(&node, shard).await,
             Effect::Rent(lease, rental) => {
@@ -197,7 +197,7 @@
 }
 
 async fn command(node: &Node, call: &CommandCall) -> CommandResult {
-    debug!(machine = %call.machine, through = ?call.through, orders = ?call.commands.orders, "orders");
+    debug!(machine = %call.machine, through = ?call.through, orders = ?call.commands.commands, "orders");
     let (path, body) = ("/commands", encode(&call.commands));
     let answer = match call.through {
         None => {
@@ -262,7 +262,7 @@
 }
 
 async fn send_sync(node: &Node, sync: &SyncRequest) -> Option<ShardView> {
-    let host = node.core().cache.shard_leaders.get(&sync.to)?.host.clone();
+    let host = node.core().cache.shard_leaders.get(&sync.to_shard)?.host.clone();
     let addr = peer_address(node, &host)?;
     let response = node
         .http
@@ -284,8 +284,8 @@
     }
     if response.status != 200 {
         debug!(
-            shard = sync.from,
-            to = sync.to,
+            shard = sync.from_shard,
+            to = sync.to_shard,
             status = response.status,
             "sync refused"
         );
@@ -314,7 +314,7 @@
         return;
     }
     if let Err(fault) = node.state.cas(&cas).await {
-        debug!(from = line.from, to = line.to, %fault, "message not stored");
+        debug!(from = line.from_shard, to = line.to_shard, %fault, "message not stored");
     }
 }
 
@@ -372,7 +372,7 @@
                     match answer {
                         Ok(view) => Reply::new(200, peer::write(&view)),
                         Err(refusal) => {
-                            debug!(from = sync.from, to = sync.to, %refusal, "sync not taken");
+                            debug!(from = sync.from_shard, to = sync.to_shard, %refusal, "sync not taken");
                             match refusal {
                                 SyncError::Superseded(by) => Reply::new(409, peer::write(&by)),
                                 _ => Reply::empty(409),
--- a/crates/node/src/kv_client.rs
+++ b/crates/node/src/kv_client.rs
@@ -99,13 +99,13 @@
     /// A client that shares the limits with the other nodes.
     pub(crate) fn new(courier: Rc<Router>, limits: &KvStoreLimits, nodes: usize) -> Self {
         let ours = |x: f64| x * BUDGET_PERCENT as f64 / 100.0;
-        let requests = Rc::new(RefCell::new(RequestBudget::new(ours(limits.rps), nodes, 0)));
+        let requests = Rc::new(RefCell::new(RequestBudget::new(ours(limits.requests_per_s), nodes, 0)));
         Self {
             courier,
             requests,
             writes: Rc::new(Budget::falling(
-                ours(limits.write_rps),
-                ours(limits.least_write_rps()),
+                ours(limits.writes_per_s),
+                ours(limits.lowest_writes_per_s()),
                 nodes,
             )),
             started: Instant::now(),
@@ -231,7 +231,7 @@
             first.get_or_insert(page.revision);
             let empty = page.entries.is_empty();
             all.extend(page.entries);
-            if !page.more || empty {
+            if !page.truncated || empty {
                 return Ok((all, first.unwrap_or_default()));
             }
         }
@@ -270,7 +270,7 @@
             .await?;
         match response.status {
             200 => decode::<LeaseResponse>(&response.body)
-                .map(|r| r.hold)
+                .map(|r| r.lease)
                 .map_err(|_| KvError::Unknown),
             _ => Err(KvError::Refused),
         }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -111,7 +111,7 @@
     // The executor lives as long as the process; tasks need it for ever.
     let executor: &'static LocalExecutor<'static> = Box::leak(Box::new(LocalExecutor::new()));
     smol::block_on(executor.run(async move {
-        let public = listen(settings.listen).await?;
+        let public = listen(settings.listen_addr).await?;
         let internal = listen(settings.internal_addr).await?;
         let mut config = Config::new(&settings);
         let shares = config.sockets;
@@ -120,15 +120,15 @@
         let nodes = config.members.len();
         let started = Instant::now();
         let number = |host: &str| config.members.iter().position(|m| m.host == host).map(|at| at as u16);
-        let peers: HashMap<u16, SocketAddr> = settings.seeds.iter().filter_map(|s| Some((number(&s.host_name)?, s.address))).collect();
+        let peers: HashMap<u16, SocketAddr> = settings.seed_controllers.iter().filter_map(|s| Some((number(&s.host_name)?, s.address))).collect();
         let core = Rc::new(Mutex::new(Core::new(config, policy)));
-        let (store, cloud) = (settings.services.state, settings.services.cloud);
+        let (store, cloud) = (settings.services.kv_store, settings.services.cloud);
         let courier = Rc::new(Router { http: http.clone(), core: core.clone(), peers, store, cloud, started });
-        let state = KvClient::new(courier.clone(), &settings.cluster.state, nodes);
-        let cloud = cloud::CloudClient::new(courier.clone(), settings.cluster.cloud.rps, nodes);
+        let state = KvClient::new(courier.clone(), &settings.cluster.kv_store, nodes);
+        let cloud = cloud::CloudClient::new(courier.clone(), settings.cluster.cloud.requests_per_s, nodes);
         let (fresh_wanted, fresh_requests) = unbounded();
         let (pump_wanted, pump_requests) = bounded(1);
-        info!(host = settings.host_name, zone = settings.zone, listen = %settings.listen, "starting");
+        info!(host = settings.host_name, zone = settings.zone, listen = %settings.listen_addr, "starting");
         info!(?shares, kept = shares.crowded_at(), "sockets; beyond so many workers and users, answers close their connections");
         let node = Rc::new(Node {
             core,
@@ -256,7 +256,7 @@
 /// Address on which a controller takes messages of others.
 fn peer_address(node: &Node, host: &str) -> Option<SocketAddr> {
     node.settings
-        .seeds
+        .seed_controllers
         .iter()
         .find(|s| s.host_name == host)
         .map(|s| s.address)
--- a/crates/node/src/public_api.rs
+++ b/crates/node/src/public_api.rs
@@ -46,7 +46,7 @@
                     200,
                     encode(&LinksReport {
                         links: core.links.rows(now),
-                        carried_workers: core.links.riders(now),
+                        relayed_workers: core.links.riders(now),
                     }),
                 )
             }
@@ -132,7 +132,7 @@
                 // Guards against a record that this process can't read, which is
                 // asked for again and again: the job is there, and unfinished.
                 Found::Unfinished if unread => {
-                    return Ok(Some(JobStatus::plain(id.clone(), JobPhase::Queued)));
+                    return Ok(Some(JobStatus::without_counts(id.clone(), JobPhase::Queued)));
                 }
                 Found::Unfinished => {
                     unread = true;
@@ -220,7 +220,7 @@
 
 fn state_of(id: &JobId, answer: Answer) -> Option<JobStatus> {
     match answer {
-        Answer::Over(phase) => Some(JobStatus::plain(id.clone(), phase)),
+        Answer::Over(phase) => Some(JobStatus::without_counts(id.clone(), phase)),
         Answer::Unfinished(phase, done, running, reason) => {
             let reason = (!reason.is_empty()).then_some(reason);
             Some(JobStatus {
@@ -336,9 +336,9 @@
             }
         }
     }
-    info!(job = %id, team = spec.team, class = spec.class, tasks = spec.tasks, awaits = spec.awaits.len(), ?phase, "job accepted");
+    info!(job = %id, team = spec.team, class = spec.class, tasks = spec.tasks, awaits = spec.depends_on.len(), ?phase, "job accepted");
     announce(node, &spec.team);
-    answer(node, 201, &JobStatus::plain(id, phase))
+    answer(node, 201, &JobStatus::without_counts(id, phase))
 }
 
 /// The transactions that accept a job, and what its user is told then; `Err`: the answer
--- a/crates/node/src/router.rs
+++ b/crates/node/src/router.rs
@@ -129,7 +129,7 @@
         }
         match links::read::<RelayResponse>(&response.body) {
             Ok(RelayResponse {
-                outcome: RelayOutcome::Answer { status, body },
+                outcome: RelayOutcome::Answered { status, body },
                 ..
             }) => Ok(Response { status, body }),
             Ok(RelayResponse {
@@ -166,7 +166,7 @@
             },
         };
         let fate = match result {
-            Ok(response) => RelayOutcome::Answer {
+            Ok(response) => RelayOutcome::Answered {
                 status: response.status,
                 body: response.body,
             },
@@ -246,8 +246,8 @@
     let by = node.core().config.me;
     let message = links::write(&RelayedHeartbeats {
         version: LINKS_VERSION,
-        by,
-        reports,
+        relayed_by: by,
+        heartbeats: reports,
     });
     let response = match node.courier.peers.get(&to) {
         Some(addr) => {
@@ -280,10 +280,10 @@
 /// Answers reports that another controller carries here.
 pub(crate) fn take_reports(node: &Node, reports: &RelayedHeartbeats) -> Reply {
     let now = node.now();
-    let mut answers = Vec::with_capacity(reports.reports.len());
-    for body in &reports.reports {
+    let mut answers = Vec::with_capacity(reports.heartbeats.len());
+    for body in &reports.heartbeats {
         answers.push(match lemonweir_protocol::decode::<Heartbeat>(body) {
-            Ok(report) => status_and_body(node.core().carried_report(&report, reports.by, now)),
+            Ok(report) => status_and_body(node.core().carried_report(&report, reports.relayed_by, now)),
             Err(_) => (400, Vec::new()),
         });
     }
--- a/crates/node/tests/holds.rs
+++ b/crates/node/tests/holds.rs
@@ -99,7 +99,7 @@
             200,
             encode(&ListResponse {
                 entries,
-                more,
+                truncated: more,
                 revision,
             }),
         )
@@ -125,10 +125,10 @@
     }
     let mut store = store.lock().expect("unbroken");
     match (method, path) {
-        ("POST", "/holds") => (200, encode(&LeaseResponse { hold: 7 })),
+        ("POST", "/holds") => (200, encode(&LeaseResponse { lease: 7 })),
         ("POST", "/holds/7/renew") => {
             store.seen.push(Seen::Renewal);
-            (200, encode(&LeaseResponse { hold: 7 }))
+            (200, encode(&LeaseResponse { lease: 7 }))
         }
         ("POST", "/txn") => {
             let cas = decode::<CompareAndSwap>(body).expect("a transaction");
--- a/crates/protocol/src/cloud.rs
+++ b/crates/protocol/src/cloud.rs
@@ -55,11 +55,11 @@
             .into_iter()
             .map(|t| {
                 let machine_type = MachineType {
-                    room: Resources::offer(t.cores, t.gpus, t.ram_gb),
+                    capacity: Resources::capacity(t.cores, t.gpus, t.ram_gb),
                     name: t.name.clone(),
-                    cache_gb: t.cache_gb,
-                    fetch_gb_per_s: t.pull_gb_per_s,
-                    price: t.hourly,
+                    image_cache_gb: t.cache_gb,
+                    image_pull_gb_per_s: t.pull_gb_per_s,
+                    on_demand_price: t.hourly,
                     spot_price: t.spot_price,
                     boot_s: t.boot_s,
                     zones: t.halls,
@@ -75,10 +75,11 @@
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub struct ProvisioningRequest {
     /// Name of the request, never used twice.
-    pub booking: String,
+    #[serde(rename = "booking")]
+    pub request_id: String,
     /// Machine type.
     #[serde(rename = "build")]
-    pub kind: String,
+    pub machine_type: String,
     /// Zone.
     #[serde(rename = "hall")]
     pub zone: String,
@@ -106,12 +107,12 @@
     pub machines: Vec<rmpv::Value>,
     /// True if more follow.
     #[serde(rename = "truncated", default)]
-    pub more: bool,
+    pub truncated: bool,
 }
 
 impl InstanceList {
     /// The machines, and a line for each entry that is malformed.
-    pub fn entries(self) -> (Vec<InstanceEntry>, Vec<String>) {
+    pub fn into_entries(self) -> (Vec<InstanceEntry>, Vec<String>) {
         each(self.machines, "boxes")
     }
 }
@@ -124,7 +125,7 @@
     pub id: MachineId,
     /// Its type.
     #[serde(rename = "build")]
-    pub kind: String,
+    pub machine_type: String,
     /// Its zone.
     #[serde(rename = "hall")]
     pub zone: String,
--- a/crates/protocol/src/image_locality.rs
+++ b/crates/protocol/src/image_locality.rs
@@ -8,8 +8,8 @@
     /// The image.
     pub image: String,
     /// Its size in thousandths of a GB, if an unfinished job tells it.
-    #[serde(skip_serializing_if = "Option::is_none", default)]
-    pub mb: Option<u64>,
+    #[serde(rename = "mb", skip_serializing_if = "Option::is_none", default)]
+    pub size_mb: Option<u64>,
     /// Unfinished jobs that use it, by class.
     pub users: Vec<ImageUserRow>,
     /// Zones in which it lies or could lie.
@@ -36,15 +36,20 @@
     /// Its name.
     pub zone: String,
     /// Machines that have the image, and that fetch it.
-    pub here: u64,
+    #[serde(rename = "here")]
+    pub cached: u64,
     /// See `here`.
-    pub coming: u64,
+    #[serde(rename = "coming")]
+    pub pulling: u64,
     /// Of those that have it, those that take new tasks.
-    pub open: u64,
+    #[serde(rename = "open")]
+    pub schedulable: u64,
     /// Machines elsewhere that have it, which the loss of this zone would leave.
-    pub left: u64,
+    #[serde(rename = "left")]
+    pub cached_elsewhere: u64,
     /// True if an owner can't see this zone.
-    pub hidden: bool,
+    #[serde(rename = "hidden")]
+    pub partitioned: bool,
 }
 
 /// A part's word.
@@ -54,5 +59,6 @@
     #[serde(rename = "part")]
     pub shard: u16,
     /// Seconds since its owner last told of its machines; none: never.
-    pub told_s: Option<u64>,
+    #[serde(rename = "told_s")]
+    pub age_s: Option<u64>,
 }
--- a/crates/protocol/src/kv_store.rs
+++ b/crates/protocol/src/kv_store.rs
@@ -24,7 +24,7 @@
     pub entries: Vec<KeyValue>,
     /// True if more follow.
     #[serde(rename = "truncated", default)]
-    pub more: bool,
+    pub truncated: bool,
     /// Revision of the store.
     #[serde(rename = "ledger")]
     pub revision: u64,
@@ -55,7 +55,7 @@
         value: Value,
         /// The hold that the key lives with.
         #[serde(rename = "permit", skip_serializing_if = "Option::is_none", default)]
-        hold: Option<u64>,
+        lease: Option<u64>,
     },
     /// Removes a key.
     Delete {
@@ -71,7 +71,7 @@
         Write::Put {
             key,
             value: to_value(value),
-            hold: None,
+            lease: None,
         }
     }
 }
@@ -110,7 +110,7 @@
 pub struct LeaseResponse {
     /// Its id.
     #[serde(rename = "permit")]
-    pub hold: u64,
+    pub lease: u64,
 }
 
 /// Changes since a revision.
--- a/crates/protocol/src/links.rs
+++ b/crates/protocol/src/links.rs
@@ -40,9 +40,11 @@
     /// Answers come.
     Up,
     /// The last answer failed to come; the next one tells.
-    Late,
+    #[serde(rename = "late")]
+    Suspect,
     /// What we send is not answered, though messages come from there.
-    OneWay,
+    #[serde(rename = "one_way")]
+    InboundOnly,
     /// Nothing goes through.
     Down,
 }
@@ -53,24 +55,24 @@
     /// Format.
     pub version: u8,
     /// Who says so: its number among the controllers.
-    pub host: u16,
+    pub controller: u16,
     /// Since the state service last answered it, not through others; `None`:
     /// never.
-    pub store_ms: Option<u64>,
+    pub store_age_ms: Option<u64>,
     /// The same of the cloud.
-    pub cloud_ms: Option<u64>,
+    pub cloud_age_ms: Option<u64>,
     /// Its links to the other controllers, and for how long they stand so.
     pub peers: Vec<(u16, LinkState, u64)>,
     /// Zones, and since when no worker of them came to it by itself.
-    pub zones: Vec<(String, u64)>,
+    pub unreachable_zones: Vec<(String, u64)>,
 }
 
 impl AvailabilityGossip {
     /// ms since a service last answered it by itself.
-    pub fn age_ms(&self, service: Service) -> Option<u64> {
+    pub fn service_age_ms(&self, service: Service) -> Option<u64> {
         match service {
-            Service::Store => self.store_ms,
-            Service::Cloud => self.cloud_ms,
+            Service::Store => self.store_age_ms,
+            Service::Cloud => self.cloud_age_ms,
         }
     }
 }
@@ -136,7 +138,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum RelayOutcome {
     /// Answered.
-    Answer {
+    Answered {
         /// Status.
         status: u16,
         /// Body, as it is.
@@ -154,9 +156,9 @@
     /// Format.
     pub version: u8,
     /// Number of the controller that carries them.
-    pub by: u16,
+    pub relayed_by: u16,
     /// The reports, as they came.
-    pub reports: Vec<Vec<u8>>,
+    pub heartbeats: Vec<Vec<u8>>,
 }
 
 /// The owner's own answers, in the order of the reports: status and body.
@@ -189,7 +191,8 @@
     /// Links, the asked controller's own first.
     pub links: Vec<LinkRow>,
     /// WorkerTiming whose reports it carries to their owners.
-    pub carried_workers: usize,
+    #[serde(rename = "carried_workers")]
+    pub relayed_workers: usize,
 }
 
 /// One line of it.
@@ -200,24 +203,27 @@
     /// `state service`, `cloud`, a controller, or `workers of` a zone.
     pub to: String,
     /// How it stands.
-    pub standing: LinkState,
+    #[serde(rename = "standing")]
+    pub state: LinkState,
     /// Seconds for which it has stood so, as far as is known.
     pub for_s: u64,
     /// Controller that carries what goes over it.
-    #[serde(skip_serializing_if = "Option::is_none", default)]
-    pub carried_by: Option<String>,
+    #[serde(rename = "carried_by", skip_serializing_if = "Option::is_none", default)]
+    pub relayed_by: Option<String>,
     /// Median and 99th of a hundred of its answers of late, ms.
-    #[serde(skip_serializing_if = "Option::is_none", default)]
-    pub took_ms: Option<(u64, u64)>,
+    #[serde(rename = "took_ms", skip_serializing_if = "Option::is_none", default)]
+    pub latency_ms: Option<(u64, u64)>,
     /// Seconds since this was said; 0: this controller's own.
-    pub said_s: u64,
+    #[serde(rename = "said_s")]
+    pub age_s: u64,
 }
 
 /// One line of `GET /v1/events`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EventRow {
     /// Time of day, ms.
-    pub at: u64,
+    #[serde(rename = "at")]
+    pub at_ms: u64,
     /// What happened.
     pub text: String,
 }
--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -21,18 +21,18 @@
     /// The state that the changes build on; 0: nothing.
     pub since: u64,
     /// The state that they lead to.
-    pub upto: u64,
+    pub until: u64,
     /// True if there was nothing newer.
-    pub last: bool,
+    pub complete: bool,
 }
 
 impl ChangeRange {
     /// What a receiver at state `at` can do with it: `None` if something is
     /// missing between, or if the numbers make no sense.
-    pub fn follows(&self, at: u64) -> Option<Continuation> {
+    pub fn continues_from(&self, at: u64) -> Option<Continuation> {
         match self.since {
-            0 => Some(Continuation::Anew),
-            since if since <= at && since <= self.upto => Some(Continuation::On),
+            0 => Some(Continuation::Snapshot),
+            since if since <= at && since <= self.until => Some(Continuation::Delta),
             _ => None,
         }
     }
@@ -42,9 +42,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Continuation {
     /// From nothing: what it and its successors don't name is no more.
-    Anew,
+    Snapshot,
     /// From what there is.
-    On,
+    Delta,
 }
 
 /// What a placer wants of an owner.
@@ -53,37 +53,37 @@
     /// Format.
     pub version: u8,
     /// Part of the placer.
-    pub from: u16,
+    pub from_shard: u16,
     /// Token of that part.
-    pub from_token: u64,
+    pub from_fencing_token: u64,
     /// Part of the owner.
-    pub to: u16,
+    pub to_shard: u16,
     /// Token of that part, as the placer knows it.
-    pub to_token: u64,
+    pub to_fencing_token: u64,
     /// Grows with every message of this pair of tokens.
     pub seq: u64,
     /// ms since the sender's node last heard from the store.
     pub store_age_ms: u64,
     /// Which changes of the recorded attempts on the owner's machines follow.
-    pub span: ChangeRange,
+    pub range: ChangeRange,
     /// Attempts that are new or wanted differently.
-    pub wants: Vec<DesiredAttempt>,
+    pub desired: Vec<DesiredAttempt>,
     /// Attempts that are no longer wanted, since their end is written.
-    pub dropped: Vec<AttemptId>,
+    pub withdrawn: Vec<AttemptId>,
     /// Stops that stand behind the changes that had room here, with their grace:
     /// they don't wait for their turn.
     pub stops: Vec<(AttemptId, u32)>,
     /// States of the owner's machines and of its attempts that the placer has.
-    pub have: ObservedState,
+    pub observed: ObservedState,
     /// Machines of the owner that reported to the placer's node of late: they
     /// can't reach the owner.
-    pub strays: u32,
+    pub misrouted_heartbeats: u32,
     /// Machines rented by the placer that belong to the owner.
-    pub rented: Vec<ProvisionedInstance>,
+    pub provisioned: Vec<ProvisionedInstance>,
     /// Empty machines that the placer counts on for work to come.
-    pub keep: Vec<MachineId>,
+    pub reserved_machines: Vec<MachineId>,
     /// Counts of the placer's jobs that changed, for answers at any node.
-    pub notes: Vec<JobProgress>,
+    pub progress: Vec<JobProgress>,
 }
 
 /// Why a sync was not answered: its sender's part has been taken by another
@@ -95,18 +95,18 @@
     /// The sender's part.
     pub shard: u16,
     /// Its token now.
-    pub token: u64,
+    pub fencing_token: u64,
     /// Who holds it.
-    pub host: String,
+    pub leader_host: String,
 }
 
 /// How much of an owner's state a placer has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct ObservedState {
     /// Number of its machines' state.
-    pub machines: u64,
+    pub machines_revision: u64,
     /// Number of the attempts' state.
-    pub attempts: u64,
+    pub attempts_revision: u64,
 }
 
 /// One attempt that shall run, or shall end.
@@ -117,28 +117,28 @@
     /// Where.
     pub machine: MachineId,
     /// What it takes.
-    pub need: Resources,
+    pub resources: Resources,
     /// Its image.
     pub image: String,
     /// Size of the image, thousandths of a GB.
     pub image_mb: u64,
     /// False while a gang's other tasks have no room yet: hold the room, but
     /// don't start.
-    pub go: bool,
+    pub may_start: bool,
     /// Set when it shall end: seconds of grace.
-    pub kill: Option<u32>,
+    pub stop_grace_s: Option<u32>,
     /// Its team.
     pub team: String,
     /// Priority of its job.
-    pub rank: Priority,
+    pub priority: Priority,
     /// True if its team runs it beyond its guarantee.
-    pub over: bool,
+    pub over_quota: bool,
     /// Seconds of grace that it gets when it makes way for other work.
-    pub grace: u32,
+    pub preemption_grace_s: u32,
     /// True if it runs until its job is cancelled.
-    pub lasting: bool,
+    pub runs_until_cancelled: bool,
     /// Whom it may push out if there is no room.
-    pub evict: PreemptionScope,
+    pub preemption: PreemptionScope,
 }
 
 /// Whom an attempt may push out.
@@ -147,9 +147,9 @@
     /// Nobody.
     Nobody,
     /// Work of lower priority.
-    Lower,
+    LowerPriority,
     /// That, and what other teams run beyond their guarantee.
-    LowerAndOver,
+    LowerPriorityOrOverQuota,
 }
 
 impl PreemptionScope {
@@ -162,12 +162,12 @@
     pub fn allows(self, team: &str, rank: Priority, victim: &DesiredAttempt) -> bool {
         match self {
             PreemptionScope::Nobody => false,
-            PreemptionScope::Lower => victim.over && victim.rank > rank,
-            PreemptionScope::LowerAndOver => {
+            PreemptionScope::LowerPriority => victim.over_quota && victim.priority > rank,
+            PreemptionScope::LowerPriorityOrOverQuota => {
                 let others = victim.team != team
-                    && victim.rank >= rank
-                    && victim.rank != Priority::Production;
-                victim.rank > rank || victim.over && others
+                    && victim.priority >= rank
+                    && victim.priority != Priority::Production;
+                victim.priority > rank || victim.over_quota && others
             }
         }
     }
@@ -179,7 +179,7 @@
     /// Its name.
     pub machine: MachineId,
     /// Its type.
-    pub kind: String,
+    pub machine_type: String,
     /// Its zone.
     pub zone: String,
     /// Spot or ordinary.
@@ -194,11 +194,11 @@
     /// The job.
     pub job: JobId,
     /// Tasks done.
-    pub done: u32,
+    pub tasks_done: u32,
     /// Tasks that run.
-    pub running: u32,
+    pub tasks_running: u32,
     /// Why it waits, if it does.
-    pub reason: String,
+    pub wait_reason: String,
 }
 
 /// What an owner has.
@@ -209,23 +209,23 @@
     /// Part of the owner.
     pub shard: u16,
     /// Token of that part.
-    pub token: u64,
+    pub fencing_token: u64,
     /// Number of the message that this answers.
     pub seq: u64,
     /// ms since the sender's node last heard from the store.
     pub store_age_ms: u64,
     /// State of the asker's wants that the owner has; 0: it needs all.
-    pub wants_at: u64,
+    pub desired_revision: u64,
     /// Zones of the part that are out of its owner's sight.
-    pub hidden: Vec<PartitionedZone>,
+    pub partitioned_zones: Vec<PartitionedZone>,
     /// Which changes of machines follow.
-    pub machines_span: ChangeRange,
+    pub machines_range: ChangeRange,
     /// Machines that are new or changed.
     pub machines: Vec<MachineView>,
     /// Machines that are no more.
-    pub gone: Vec<MachineId>,
+    pub removed_machines: Vec<MachineId>,
     /// Which changes of attempts follow.
-    pub attempts_span: ChangeRange,
+    pub attempts_range: ChangeRange,
     /// The asker's attempts that moved on.
     pub attempts: Vec<AttemptStatus>,
 }
@@ -236,9 +236,9 @@
     /// The zone.
     pub zone: String,
     /// ms since when.
-    pub for_ms: u64,
+    pub partitioned_for_ms: u64,
     /// ms until what ran there is proven over, if none of it is heard again.
-    pub over_in_ms: u64,
+    pub presumed_lost_in_ms: u64,
 }
 
 /// A machine as its owner sees it.
@@ -247,33 +247,33 @@
     /// Its name.
     pub id: MachineId,
     /// Its type.
-    pub kind: String,
+    pub machine_type: String,
     /// Its zone.
     pub zone: String,
     /// Spot or ordinary.
     pub spot: bool,
     /// False while it boots.
-    pub up: bool,
+    pub registered: bool,
     /// True if it takes new tasks once up.
-    pub open: bool,
+    pub schedulable: bool,
     /// True if the tasks on it should move: the cloud takes it.
-    pub leaving: bool,
+    pub draining: bool,
     /// Free room.
     pub free: Resources,
     /// Room of attempts below each priority, highest first.
-    pub soft: [Resources; 3],
+    pub preemptible: [Resources; 3],
     /// The same with all that teams run beyond their guarantees.
-    pub soft_over: [Resources; 3],
+    pub preemptible_or_over_quota: [Resources; 3],
     /// Tasks on it.
-    pub busy: u16,
+    pub task_count: u16,
     /// Tasks on it that run until their jobs are cancelled.
-    pub lasting: u16,
+    pub service_task_count: u16,
     /// Images that it has.
-    pub images: Vec<String>,
+    pub cached_images: Vec<String>,
     /// Images that it fetches.
-    pub coming: Vec<String>,
+    pub pulling_images: Vec<String>,
     /// Part that rented it, if known.
-    pub renter: Option<u16>,
+    pub provisioned_by: Option<u16>,
 }
 
 /// An attempt as its owner sees it.
@@ -282,7 +282,7 @@
     /// The attempt.
     pub id: AttemptId,
     /// How it stands.
-    pub standing: AttemptState,
+    pub state: AttemptState,
 }
 
 /// How an attempt stands.
@@ -304,7 +304,7 @@
 
 impl AttemptState {
     /// True if the attempt is proven to be over.
-    pub fn ended(self) -> bool {
+    pub fn is_terminal(self) -> bool {
         matches!(
             self,
             AttemptState::Exited(_) | AttemptState::Gone | AttemptState::Refused
@@ -320,31 +320,31 @@
     /// Stopped by command.
     Stopped,
     /// Another task of the gang is gone.
-    Peers,
+    PeerLost,
     /// The gang was not complete in time.
-    Alone,
+    GangIncomplete,
     /// Failed.
-    Error,
+    Failed,
     /// Start refused: no room.
-    NoRoom,
+    InsufficientResources,
     /// Start refused: another attempt is on the machine.
-    InUse,
+    TaskConflict,
     /// Start refused: no such job.
-    Unknown,
+    UnknownJob,
 }
 
 impl ExitCause {
     /// Reads a cause from a report; what we don't know counts as a failure.
-    pub fn read(text: Option<&str>) -> Self {
+    pub fn from_wire(text: Option<&str>) -> Self {
         match text {
             Some("done") => ExitCause::Done,
             Some("stopped") => ExitCause::Stopped,
-            Some("peers") => ExitCause::Peers,
-            Some("alone") => ExitCause::Alone,
-            Some("no_room") => ExitCause::NoRoom,
-            Some("in_use") => ExitCause::InUse,
-            Some("unknown") => ExitCause::Unknown,
-            _ => ExitCause::Error,
+            Some("peers") => ExitCause::PeerLost,
+            Some("alone") => ExitCause::GangIncomplete,
+            Some("no_room") => ExitCause::InsufficientResources,
+            Some("in_use") => ExitCause::TaskConflict,
+            Some("unknown") => ExitCause::UnknownJob,
+            _ => ExitCause::Failed,
         }
     }
 }
--- a/crates/protocol/src/supervision.rs
+++ b/crates/protocol/src/supervision.rs
@@ -8,18 +8,22 @@
     /// The controller.
     pub host: String,
     /// ms since its last reading of the store began; none: it has not read it yet.
-    pub age_ms: Option<u64>,
+    #[serde(rename = "age_ms")]
+    pub store_age_ms: Option<u64>,
     /// The parts.
     #[serde(rename = "parts")]
     pub shards: Vec<ShardRow>,
     /// Services, and replicas promised and up, of all parts.
     pub services: usize,
     /// Replicas promised.
-    pub promised: u64,
+    #[serde(rename = "promised")]
+    pub desired: u64,
     /// Replicas up; of services of other controllers' parts as these told last.
-    pub up: u64,
+    #[serde(rename = "up")]
+    pub running: u64,
     /// Services that lack replicas, the largest share first.
-    pub short: Vec<UnderReplicatedServiceRow>,
+    #[serde(rename = "short")]
+    pub under_replicated: Vec<UnderReplicatedServiceRow>,
 }
 
 /// A part.
@@ -29,13 +33,17 @@
     #[serde(rename = "part")]
     pub shard: u16,
     /// Whose it is by right.
-    pub home: String,
+    #[serde(rename = "home")]
+    pub preferred_leader: String,
     /// Who holds it.
-    pub holder: Option<String>,
+    #[serde(rename = "holder")]
+    pub leader: Option<String>,
     /// Its token.
-    pub token: Option<u64>,
+    #[serde(rename = "token")]
+    pub fencing_token: Option<u64>,
     /// Time of day of its last change of hands, ms.
-    pub since: Option<u64>,
+    #[serde(rename = "since")]
+    pub leader_since_ms: Option<u64>,
 }
 
 /// A service that lacks replicas.
@@ -51,25 +59,32 @@
     #[serde(rename = "part")]
     pub shard: u16,
     /// Replicas promised.
-    pub promised: u32,
+    #[serde(rename = "promised")]
+    pub desired: u32,
     /// The half of them that comes first after a loss.
     pub half: u32,
     /// Replicas up.
-    pub up: u32,
+    #[serde(rename = "up")]
+    pub running: u32,
     /// Replicas up by zone, where this controller places them.
     pub zones: Vec<(String, u32)>,
     /// s for which replicas have been missing; none: another controller knows.
-    pub short_s: Option<u64>,
+    #[serde(rename = "short_s")]
+    pub under_replicated_s: Option<u64>,
     /// s for which more than half have been missing.
     pub below_half_s: Option<u64>,
     /// What is being done about it.
-    pub doing: String,
+    #[serde(rename = "doing")]
+    pub action: String,
     /// s in which that should have worked; below zero: it is late.
-    pub due_s: Option<i64>,
+    #[serde(rename = "due_s")]
+    pub due_in_s: Option<i64>,
     /// What keeps it from being whole.
-    pub lacks: String,
+    #[serde(rename = "lacks")]
+    pub blocked_by: String,
     /// What was tried beyond the usual way, the first first.
-    pub tried: Vec<String>,
+    #[serde(rename = "tried")]
+    pub escalations: Vec<String>,
 }
 
 /// The parts' changes of hands.
@@ -78,9 +93,11 @@
     /// The controller that tells.
     pub host: String,
     /// ms since its last reading of the store began; none: it has not read it yet.
-    pub age_ms: Option<u64>,
+    #[serde(rename = "age_ms")]
+    pub store_age_ms: Option<u64>,
     /// The changes, the newest first.
-    pub changes: Vec<FailoverRow>,
+    #[serde(rename = "changes")]
+    pub failovers: Vec<FailoverRow>,
 }
 
 /// A change of hands.
@@ -90,36 +107,47 @@
     #[serde(rename = "part")]
     pub shard: u16,
     /// Its number among the part's.
-    pub n: u64,
+    #[serde(rename = "n")]
+    pub number: u64,
     /// Time of day, ms.
-    pub at: u64,
+    #[serde(rename = "at")]
+    pub at_ms: u64,
     /// Who held it.
-    pub from: Option<String>,
+    #[serde(rename = "from")]
+    pub previous_leader: Option<String>,
     /// Who took it; none: it was given up.
-    pub to: Option<String>,
+    #[serde(rename = "to")]
+    pub new_leader: Option<String>,
     /// How, and by which proof.
-    pub how: String,
+    #[serde(rename = "how")]
+    pub change: String,
     /// The part's token, if this took it.
-    pub token: Option<u64>,
+    #[serde(rename = "token")]
+    pub fencing_token: Option<u64>,
     /// Replicas, other tasks and machines known to be up.
     pub up: Option<(u32, u32, u32)>,
     /// What was found; none: that is not written yet.
-    pub closed: Option<FailoverCompletionRow>,
+    #[serde(rename = "closed")]
+    pub completion: Option<FailoverCompletionRow>,
 }
 
 /// What was found after it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FailoverCompletionRow {
     /// Who told.
-    pub by: String,
+    #[serde(rename = "by")]
+    pub reported_by: String,
     /// ms until records and jobs were read, the first start, all services whole.
-    pub read_ms: Option<u64>,
+    #[serde(rename = "read_ms")]
+    pub state_loaded_ms: Option<u64>,
     /// See [`Self::read_ms`].
     pub first_start_ms: Option<u64>,
     /// See [`Self::read_ms`].
-    pub whole_ms: Option<u64>,
+    #[serde(rename = "whole_ms")]
+    pub services_restored_ms: Option<u64>,
     /// ms until the next change of hands, of an entry that was left open.
-    pub held_ms: Option<u64>,
+    #[serde(rename = "held_ms")]
+    pub leadership_ms: Option<u64>,
     /// Replicas found up, and started anew.
     pub found: Option<(u32, u32)>,
     /// Longest gap by class, ms, the worst first.
--- a/crates/protocol/src/users.rs
+++ b/crates/protocol/src/users.rs
@@ -47,7 +47,7 @@
 
 impl JobStatus {
     /// A state without counts.
-    pub fn plain(id: JobId, phase: JobPhase) -> Self {
+    pub fn without_counts(id: JobId, phase: JobPhase) -> Self {
         Self {
             id,
             phase,
@@ -69,13 +69,13 @@
         return fault("pieces out of range");
     }
     let amounts = [
-        ("cores", spec.cores),
+        ("cores", spec.cpus),
         ("gpus", spec.gpus),
-        ("ramGb", spec.ram_gb),
+        ("ramGb", spec.memory_gb),
         ("sizeGb", spec.image_gb),
-        ("expectS", spec.estimate_s),
-        ("savepointS", spec.checkpoint_s),
-        ("flushS", spec.save_s),
+        ("expectS", spec.estimated_runtime_s),
+        ("savepointS", spec.checkpoint_interval_s),
+        ("flushS", spec.checkpoint_duration_s),
         ("dueS", spec.deadline_s.unwrap_or(0.0)),
     ];
     for (name, value) in amounts {
@@ -88,17 +88,17 @@
     }
     let long = [&spec.class, &spec.team, &spec.image]
         .into_iter()
-        .chain(spec.types.iter().flatten())
+        .chain(spec.machine_types.iter().flatten())
         .chain(spec.zone.iter())
         .any(|s| s.len() > 200);
-    if long || spec.types.as_ref().is_some_and(|t| t.len() > 100) {
+    if long || spec.machine_types.as_ref().is_some_and(|t| t.len() > 100) {
         return fault("name or list too long");
     }
-    if spec.awaits.len() > AWAITS_MOST {
+    if spec.depends_on.len() > AWAITS_MOST {
         return fault("awaits names too many jobs");
     }
     if spec
-        .awaits
+        .depends_on
         .iter()
         .any(|id| JobId::parse(id.as_str()).is_none())
     {
@@ -106,7 +106,7 @@
     }
     // A job that is named twice is awaited once.
     let mut named = BTreeSet::new();
-    spec.awaits.retain(|id| named.insert(id.clone()));
+    spec.depends_on.retain(|id| named.insert(id.clone()));
     Ok(spec)
 }
 
@@ -120,26 +120,26 @@
     let Some(team) = teams.iter().find(|t| t.name == spec.team) else {
         return Some(format!("unknown team {}", spec.team));
     };
-    let need = spec.need();
+    let need = spec.task_resources();
     let fits = catalog.values().any(|t| {
-        spec.types
+        spec.machine_types
             .as_ref()
             .is_none_or(|allowed| allowed.contains(&t.name))
             && spec
                 .zone
                 .as_ref()
                 .is_none_or(|z| t.zones.contains(z) && zones.contains(z))
-            && t.room.covers(&need)
+            && t.capacity.covers(&need)
     });
     if !fits {
         return Some("a task fits no allowed machine type".into());
     }
-    let all = match spec.shape {
+    let all = match spec.kind {
         JobKind::Array => need,
         JobKind::Gang | JobKind::Service => need.times(spec.tasks),
     };
     let limit = quota_limit(team);
-    if !limit.covers(&Resources { memory: 0, ..all }) {
+    if !limit.covers(&Resources { memory_mb: 0, ..all }) {
         return Some("needs more than the team's limit".into());
     }
     None
@@ -147,11 +147,11 @@
 
 /// A team's limit; no limit is as large as can be.
 pub fn quota_limit(team: &Team) -> Resources {
-    let offer = Resources::offer(team.cpus_max, team.gpus_max, 0.0);
+    let offer = Resources::capacity(team.max_cpus, team.max_gpus, 0.0);
     let or_none = |x: u64| if x == 0 { u64::MAX } else { x };
     Resources {
-        cpus: or_none(offer.cpus),
-        gpus: or_none(offer.gpus),
-        memory: u64::MAX,
+        milli_cpus: or_none(offer.milli_cpus),
+        milli_gpus: or_none(offer.milli_gpus),
+        memory_mb: u64::MAX,
     }
 }
--- a/crates/protocol/src/worker.rs
+++ b/crates/protocol/src/worker.rs
@@ -14,7 +14,7 @@
     pub address: String,
     /// Its type.
     #[serde(rename = "build")]
-    pub kind: String,
+    pub machine_type: String,
     /// Its zone.
     #[serde(rename = "hall")]
     pub zone: String,
@@ -23,16 +23,16 @@
     pub spot: bool,
     /// Session; a lease that ran out ends one.
     #[serde(rename = "shift")]
-    pub session: u64,
+    pub incarnation: u64,
     /// Grows with every message of the worker.
     #[serde(rename = "tally")]
-    pub seq: u64,
+    pub sequence: u64,
     /// Highest token that the worker has seen.
     #[serde(rename = "mandate", default)]
-    pub token: u64,
+    pub fencing_token: u64,
     /// Seconds until the cloud takes the machine, if it gave notice.
     #[serde(rename = "warningS", default)]
-    pub notice_s: Option<f64>,
+    pub reclaim_notice_s: Option<f64>,
     /// Tasks on the machine.
     #[serde(rename = "pieces", default)]
     pub tasks: Vec<TaskStatus>,
@@ -42,18 +42,19 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct TaskStatus {
     /// The task.
-    pub piece: String,
+    #[serde(rename = "piece")]
+    pub task: String,
     /// The attempt.
     #[serde(rename = "try")]
     pub attempt: u32,
     /// Its phase.
     pub phase: TaskPhase,
     /// Why it exited.
-    #[serde(default)]
-    pub cause: Option<String>,
+    #[serde(rename = "cause", default)]
+    pub exit_cause: Option<String>,
     /// True if a stopped task's progress was saved.
-    #[serde(default)]
-    pub saved: Option<bool>,
+    #[serde(rename = "saved", default)]
+    pub checkpointed: Option<bool>,
 }
 
 /// A task's phase on its machine.
@@ -61,13 +62,16 @@
 #[serde(rename_all = "lowercase")]
 pub enum TaskPhase {
     /// Waits for its image.
-    Fetching,
+    #[serde(rename = "fetching")]
+    PullingImage,
     /// Waits for the other tasks of its gang.
-    Gathering,
+    #[serde(rename = "gathering")]
+    AwaitingGang,
     /// Runs.
     Running,
     /// Was told to stop and saves.
-    Saving,
+    #[serde(rename = "saving")]
+    Checkpointing,
     /// Ended.
     Exited,
 }
@@ -76,9 +80,11 @@
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub struct Command {
     /// What to do.
-    pub verb: CommandKind,
+    #[serde(rename = "verb")]
+    pub kind: CommandKind,
     /// The task.
-    pub piece: String,
+    #[serde(rename = "piece")]
+    pub task: String,
     /// The attempt.
     #[serde(rename = "try")]
     pub attempt: u32,
@@ -92,9 +98,11 @@
 #[serde(rename_all = "lowercase")]
 pub enum CommandKind {
     /// Start an attempt.
-    Launch,
+    #[serde(rename = "launch")]
+    Start,
     /// Stop an attempt.
-    Kill,
+    #[serde(rename = "kill")]
+    Stop,
     /// Drop an exited attempt from the reports.
     Forget,
 }
@@ -104,9 +112,10 @@
 pub struct HeartbeatResponse {
     /// Our token.
     #[serde(rename = "mandate")]
-    pub token: u64,
+    pub fencing_token: u64,
     /// Orders, executed in turn.
-    pub orders: Vec<Command>,
+    #[serde(rename = "orders")]
+    pub commands: Vec<Command>,
 }
 
 /// The body of `/commands`.
@@ -114,12 +123,13 @@
 pub struct CommandsRequest {
     /// Our token.
     #[serde(rename = "mandate")]
-    pub token: u64,
+    pub fencing_token: u64,
     /// The session that the orders are meant for.
     #[serde(rename = "shift")]
-    pub session: u64,
+    pub incarnation: u64,
     /// Orders, executed in turn.
-    pub orders: Vec<Command>,
+    #[serde(rename = "orders")]
+    pub commands: Vec<Command>,
 }
 
 /// The body of a 421: where to report instead.
--- a/crates/protocol/tests/golden_messages.rs
+++ b/crates/protocol/tests/golden_messages.rs
@@ -165,38 +165,38 @@
         id: JobId::from("req-000412"),
         class: "train".into(),
         team: "vision".into(),
-        shape: JobKind::Gang,
-        rank: Priority::High,
+        kind: JobKind::Gang,
+        priority: Priority::High,
         tasks: 16,
-        cores: 8.25,
+        cpus: 8.25,
         gpus: 1.0,
-        ram_gb: 64.5,
-        types: Some(text(&["g8", "g4"])),
+        memory_gb: 64.5,
+        machine_types: Some(text(&["g8", "g4"])),
         zone: Some("eemsmond".into()),
-        one_zone: true,
+        same_zone: true,
         spread: false,
-        spot: true,
+        allow_spot: true,
         image: "img-07".into(),
         image_gb: 6.2,
-        estimate_s: 240.0,
-        checkpoint_s: 30.0,
-        save_s: 4.0,
+        estimated_runtime_s: 240.0,
+        checkpoint_interval_s: 30.0,
+        checkpoint_duration_s: 4.0,
         deadline_s: Some(900.0),
-        awaits: vec![JobId::from("req-000001"), JobId::from("req-000002")],
+        depends_on: vec![JobId::from("req-000001"), JobId::from("req-000002")],
     }
 }
 
 fn least_job(shape: JobKind, rank: Priority) -> JobSpec {
     JobSpec {
-        shape,
-        rank,
-        types: None,
+        kind: shape,
+        priority: rank,
+        machine_types: None,
         zone: None,
-        one_zone: false,
+        same_zone: false,
         spread: true,
-        spot: false,
+        allow_spot: false,
         deadline_s: None,
-        awaits: Vec::new(),
+        depends_on: Vec::new(),
         ..full_job()
     }
 }
@@ -230,7 +230,7 @@
         ("state, done", JobPhase::Done),
         ("state, withdrawn", JobPhase::Withdrawn),
     ] {
-        golden.written(name, &JobStatus::plain(id(), phase));
+        golden.written(name, &JobStatus::without_counts(id(), phase));
     }
     let state = JobStatus {
         id: id(),
@@ -260,22 +260,22 @@
     let named: [(Fault, &str); 14] = [
         (&|j| j.id = JobId::from("x"), "nameId is not a job id"),
         (&|j| j.tasks = 0, "pieces out of range"),
-        (&|j| j.cores = -1.0, "cores out of range"),
+        (&|j| j.cpus = -1.0, "cores out of range"),
         (&|j| j.gpus = -1.0, "gpus out of range"),
-        (&|j| j.ram_gb = -1.0, "ramGb out of range"),
+        (&|j| j.memory_gb = -1.0, "ramGb out of range"),
         (&|j| j.image_gb = -1.0, "sizeGb out of range"),
-        (&|j| j.estimate_s = -1.0, "expectS out of range"),
-        (&|j| j.checkpoint_s = -1.0, "savepointS out of range"),
-        (&|j| j.save_s = -1.0, "flushS out of range"),
+        (&|j| j.estimated_runtime_s = -1.0, "expectS out of range"),
+        (&|j| j.checkpoint_interval_s = -1.0, "savepointS out of range"),
+        (&|j| j.checkpoint_duration_s = -1.0, "flushS out of range"),
         (&|j| j.deadline_s = Some(-1.0), "dueS out of range"),
         (&|j| j.team = String::new(), "empty name"),
         (&|j| j.image = "x".repeat(201), "name or list too long"),
         (
-            &|j| j.awaits = vec![JobId::from("req-1"); 10_000],
+            &|j| j.depends_on = vec![JobId::from("req-1"); 10_000],
             "awaits names too many jobs",
         ),
         (
-            &|j| j.awaits = vec![JobId::from("x")],
+            &|j| j.depends_on = vec![JobId::from("x")],
             "awaits holds something that is not a job id",
         ),
     ];
@@ -288,8 +288,8 @@
 
 fn order(verb: CommandKind, grace_s: Option<u32>) -> Command {
     Command {
-        verb,
-        piece: "req-000412/3".into(),
+        kind: verb,
+        task: "req-000412/3".into(),
         attempt: 2,
         grace_s,
     }
@@ -299,58 +299,58 @@
 fn messages_of_workers_are_their_samples() {
     let mut golden = Golden::of(include_str!("samples/golden/workers.json"));
     let task = |phase, cause: Option<&str>, saved| TaskStatus {
-        piece: "req-000412/3".into(),
+        task: "req-000412/3".into(),
         attempt: 2,
         phase,
-        cause: cause.map(str::to_owned),
-        saved,
+        exit_cause: cause.map(str::to_owned),
+        checkpointed: saved,
     };
     let report = Heartbeat {
         machine: MachineId::from("n-000231"),
         address: "10.0.3.7:9100".into(),
-        kind: "g8".into(),
+        machine_type: "g8".into(),
         zone: "eemsmond".into(),
         spot: true,
-        session: 4,
-        seq: 17,
-        token: 42,
-        notice_s: Some(29.5),
+        incarnation: 4,
+        sequence: 17,
+        fencing_token: 42,
+        reclaim_notice_s: Some(29.5),
         tasks: vec![
-            task(TaskPhase::Fetching, None, None),
-            task(TaskPhase::Gathering, None, None),
+            task(TaskPhase::PullingImage, None, None),
+            task(TaskPhase::AwaitingGang, None, None),
             task(TaskPhase::Running, None, None),
-            task(TaskPhase::Saving, None, Some(false)),
+            task(TaskPhase::Checkpointing, None, Some(false)),
             task(TaskPhase::Exited, Some("stopped"), Some(true)),
         ],
     };
     golden.both_ways("report, every phase", &report);
     let empty = Heartbeat {
-        notice_s: None,
+        reclaim_notice_s: None,
         tasks: Vec::new(),
         ..report
     };
     golden.both_ways("report, no tasks", &empty);
     for (name, order) in [
-        ("order, launch", order(CommandKind::Launch, None)),
-        ("order, kill", order(CommandKind::Kill, Some(5))),
+        ("order, launch", order(CommandKind::Start, None)),
+        ("order, kill", order(CommandKind::Stop, Some(5))),
         ("order, forget", order(CommandKind::Forget, None)),
     ] {
         golden.both_ways(name, &order);
     }
     let orders = vec![
-        order(CommandKind::Launch, None),
-        order(CommandKind::Kill, Some(0)),
+        order(CommandKind::Start, None),
+        order(CommandKind::Stop, Some(0)),
         order(CommandKind::Forget, None),
     ];
     let reply = HeartbeatResponse {
-        token: 43,
-        orders: orders.clone(),
+        fencing_token: 43,
+        commands: orders.clone(),
     };
     golden.both_ways("report reply", &reply);
     let commands = CommandsRequest {
-        token: 44,
-        session: 4,
-        orders,
+        fencing_token: 44,
+        incarnation: 4,
+        commands: orders,
     };
     golden.both_ways("commands", &commands);
     for (name, host) in [
@@ -367,14 +367,14 @@
     for (name, cause) in [
         ("done", ExitCause::Done),
         ("stopped", ExitCause::Stopped),
-        ("peers", ExitCause::Peers),
-        ("alone", ExitCause::Alone),
-        ("no_room", ExitCause::NoRoom),
-        ("in_use", ExitCause::InUse),
-        ("unknown", ExitCause::Unknown),
-        ("error", ExitCause::Error),
+        ("peers", ExitCause::PeerLost),
+        ("alone", ExitCause::GangIncomplete),
+        ("no_room", ExitCause::InsufficientResources),
+        ("in_use", ExitCause::TaskConflict),
+        ("unknown", ExitCause::UnknownJob),
+        ("error", ExitCause::Failed),
     ] {
-        assert_eq!(ExitCause::read(Some(name)), cause, "{name}");
+        assert_eq!(ExitCause::from_wire(Some(name)), cause, "{name}");
     }
 }
 
@@ -404,19 +404,19 @@
     assert!(faults.is_empty(), "{faults:?}");
     let read = &types["g8"];
     assert_eq!(
-        (read.name.as_str(), read.room),
-        ("g8", Resources::offer(96.0, 8.0, 768.5))
+        (read.name.as_str(), read.capacity),
+        ("g8", Resources::capacity(96.0, 8.0, 768.5))
     );
-    assert_eq!((read.cache_gb, read.fetch_gb_per_s), (400.0, 1.25));
+    assert_eq!((read.image_cache_gb, read.image_pull_gb_per_s), (400.0, 1.25));
     assert_eq!(
-        (read.price, read.spot_price, read.boot_s),
+        (read.on_demand_price, read.spot_price, read.boot_s),
         (32.0, 11.5, 90.0)
     );
     assert_eq!(read.zones, text(&["eemsmond", "rijnmond"]));
 
     let rental = ProvisioningRequest {
-        booking: "hutte-0-42-7".into(),
-        kind: "g8".into(),
+        request_id: "hutte-0-42-7".into(),
+        machine_type: "g8".into(),
         zone: "eemsmond".into(),
         spot: true,
         count: 3,
@@ -428,7 +428,7 @@
     golden.both_ways("machines, of a reply and of a release", &machines);
     let entry = InstanceEntry {
         id: MachineId::from("n-000231"),
-        kind: "g8".into(),
+        machine_type: "g8".into(),
         zone: "eemsmond".into(),
         spot: false,
         phase: "running".into(),
@@ -437,10 +437,10 @@
     golden.both_ways("entry of the list", &entry);
     let list = InstanceList {
         machines: vec![to_value(&entry)],
-        more: true,
+        truncated: true,
     };
     golden.both_ways("page of the list", &list);
-    let (entries, faults) = list.entries();
+    let (entries, faults) = list.into_entries();
     assert!(entries.len() == 1 && faults.is_empty(), "{faults:?}");
     assert_eq!(encode(&entries[0]), encode(&entry));
     let fault = CloudErrorBody {
@@ -465,7 +465,7 @@
     for (name, more) in [("page, more follow", true), ("page, the last", false)] {
         let page = ListResponse {
             entries: vec![entry.clone()],
-            more,
+            truncated: more,
             revision: 77,
         };
         golden.both_ways(name, &page);
@@ -479,7 +479,7 @@
     let put = |hold| Write::Put {
         key: "w/part/1".into(),
         value: value(),
-        hold,
+        lease: hold,
     };
     let delete = || Write::Delete {
         key: "w/part/3".into(),
@@ -510,7 +510,7 @@
         golden.both_ways(name, &reply);
     }
     golden.both_ways("hold request", &LeaseRequest { ttl_ms: 9_000 });
-    golden.both_ways("hold reply", &LeaseResponse { hold: 9 });
+    golden.both_ways("hold reply", &LeaseResponse { lease: 9 });
     let change = |set: Option<&str>, drop: Option<&str>, version| WatchEvent {
         set: set.map(str::to_owned),
         drop: drop.map(str::to_owned),
@@ -540,9 +540,9 @@
 
 fn room(n: u64) -> Resources {
     Resources {
-        cpus: n,
-        gpus: n + 1,
-        memory: n + 2,
+        milli_cpus: n,
+        milli_gpus: n + 1,
+        memory_mb: n + 2,
     }
 }
 
@@ -550,17 +550,17 @@
     DesiredAttempt {
         id: attempt(task),
         machine: MachineId::from("n-000231"),
-        need: room(8_000),
+        resources: room(8_000),
         image: "img-07".into(),
         image_mb: 6_200,
-        go: true,
-        kill,
+        may_start: true,
+        stop_grace_s: kill,
         team: "vision".into(),
-        rank,
-        over: false,
-        grace: 5,
-        lasting: true,
-        evict,
+        priority: rank,
+        over_quota: false,
+        preemption_grace_s: 5,
+        runs_until_cancelled: true,
+        preemption: evict,
     }
 }
 
@@ -569,56 +569,56 @@
     let mut golden = Golden::of(include_str!("samples/golden/peers.json"));
     let sync = SyncRequest {
         version: PEER_VERSION,
-        from: 1,
-        from_token: 42,
-        to: 2,
-        to_token: 43,
+        from_shard: 1,
+        from_fencing_token: 42,
+        to_shard: 2,
+        to_fencing_token: 43,
         seq: 7,
         store_age_ms: 120,
-        span: ChangeRange {
+        range: ChangeRange {
             since: 3,
-            upto: 5,
-            last: true,
+            until: 5,
+            complete: true,
         },
-        wants: vec![
+        desired: vec![
             want(0, Priority::Production, PreemptionScope::Nobody, None),
-            want(1, Priority::High, PreemptionScope::Lower, Some(4)),
-            want(2, Priority::Normal, PreemptionScope::LowerAndOver, None),
+            want(1, Priority::High, PreemptionScope::LowerPriority, Some(4)),
+            want(2, Priority::Normal, PreemptionScope::LowerPriorityOrOverQuota, None),
             DesiredAttempt {
-                go: false,
-                over: true,
-                lasting: false,
+                may_start: false,
+                over_quota: true,
+                runs_until_cancelled: false,
                 ..want(3, Priority::Low, PreemptionScope::Nobody, None)
             },
         ],
-        dropped: vec![attempt(4)],
+        withdrawn: vec![attempt(4)],
         stops: vec![(attempt(5), 6)],
-        have: ObservedState {
-            machines: 8,
-            attempts: 9,
+        observed: ObservedState {
+            machines_revision: 8,
+            attempts_revision: 9,
         },
-        strays: 10,
-        rented: vec![ProvisionedInstance {
+        misrouted_heartbeats: 10,
+        provisioned: vec![ProvisionedInstance {
             machine: MachineId::from("n-000240"),
-            kind: "g8".into(),
+            machine_type: "g8".into(),
             zone: "eemsmond".into(),
             spot: true,
             age_ms: 11,
         }],
-        keep: vec![MachineId::from("n-000241")],
-        notes: vec![JobProgress {
+        reserved_machines: vec![MachineId::from("n-000241")],
+        progress: vec![JobProgress {
             job: JobId::from("req-000413"),
-            done: 12,
-            running: 13,
-            reason: "waits for room".into(),
+            tasks_done: 12,
+            tasks_running: 13,
+            wait_reason: "waits for room".into(),
         }],
     };
     golden.of_peers("sync, every field", &sync);
     let superseded = Superseded {
         version: PEER_VERSION,
         shard: 1,
-        token: 44,
-        host: "hutte-2".into(),
+        fencing_token: 44,
+        leader_host: "hutte-2".into(),
     };
     golden.of_peers("superseded", &superseded);
     let standings = [
@@ -627,48 +627,48 @@
         AttemptState::Running,
         AttemptState::Exited(ExitCause::Done),
         AttemptState::Exited(ExitCause::Stopped),
-        AttemptState::Exited(ExitCause::Peers),
-        AttemptState::Exited(ExitCause::Alone),
-        AttemptState::Exited(ExitCause::Error),
-        AttemptState::Exited(ExitCause::NoRoom),
-        AttemptState::Exited(ExitCause::InUse),
-        AttemptState::Exited(ExitCause::Unknown),
+        AttemptState::Exited(ExitCause::PeerLost),
+        AttemptState::Exited(ExitCause::GangIncomplete),
+        AttemptState::Exited(ExitCause::Failed),
+        AttemptState::Exited(ExitCause::InsufficientResources),
+        AttemptState::Exited(ExitCause::TaskConflict),
+        AttemptState::Exited(ExitCause::UnknownJob),
         AttemptState::Gone,
         AttemptState::Refused,
     ];
     let machine = |renter, spot, up, open, leaving| MachineView {
         id: MachineId::from("n-000231"),
-        kind: "g8".into(),
+        machine_type: "g8".into(),
         zone: "eemsmond".into(),
         spot,
-        up,
-        open,
-        leaving,
+        registered: up,
+        schedulable: open,
+        draining: leaving,
         free: room(100),
-        soft: [room(200), room(300), room(400)],
-        soft_over: [room(500), room(600), room(700)],
-        busy: 3,
-        lasting: 2,
-        images: text(&["img-07"]),
-        coming: text(&["img-08", "img-09"]),
-        renter,
+        preemptible: [room(200), room(300), room(400)],
+        preemptible_or_over_quota: [room(500), room(600), room(700)],
+        task_count: 3,
+        service_task_count: 2,
+        cached_images: text(&["img-07"]),
+        pulling_images: text(&["img-08", "img-09"]),
+        provisioned_by: renter,
     };
     let view = ShardView {
         version: PEER_VERSION,
         shard: 2,
-        token: 43,
+        fencing_token: 43,
         seq: 7,
         store_age_ms: 130,
-        wants_at: 5,
-        hidden: vec![PartitionedZone {
+        desired_revision: 5,
+        partitioned_zones: vec![PartitionedZone {
             zone: "rijnmond".into(),
-            for_ms: 1_500,
-            over_in_ms: 2_500,
+            partitioned_for_ms: 1_500,
+            presumed_lost_in_ms: 2_500,
         }],
-        machines_span: ChangeRange {
+        machines_range: ChangeRange {
             since: 0,
-            upto: 8,
-            last: false,
+            until: 8,
+            complete: false,
         },
         machines: vec![
             machine(Some(1), true, false, false, false),
@@ -676,17 +676,17 @@
             machine(None, false, false, true, false),
             machine(None, false, false, false, true),
         ],
-        gone: vec![MachineId::from("n-000230")],
-        attempts_span: ChangeRange {
+        removed_machines: vec![MachineId::from("n-000230")],
+        attempts_range: ChangeRange {
             since: 6,
-            upto: 9,
-            last: true,
+            until: 9,
+            complete: true,
         },
         attempts: (0..)
             .zip(standings)
             .map(|(task, standing)| AttemptStatus {
                 id: attempt(task),
-                standing,
+                state: standing,
             })
             .collect(),
     };
@@ -703,21 +703,21 @@
     let mut golden = Golden::of(include_str!("samples/golden/links.json"));
     let word = AvailabilityGossip {
         version: LINKS_VERSION,
-        host: 1,
-        store_ms: Some(120),
-        cloud_ms: None,
+        controller: 1,
+        store_age_ms: Some(120),
+        cloud_age_ms: None,
         peers: vec![
             (2, links::LinkState::Unknown, 10),
             (3, links::LinkState::Up, 20),
-            (4, links::LinkState::Late, 30),
-            (5, links::LinkState::OneWay, 40),
+            (4, links::LinkState::Suspect, 30),
+            (5, links::LinkState::InboundOnly, 40),
             (6, links::LinkState::Down, 50),
         ],
-        zones: vec![("rijnmond".into(), 60)],
+        unreachable_zones: vec![("rijnmond".into(), 60)],
     };
     golden.of_links("word", &word);
     assert_eq!(
-        (word.age_ms(Service::Store), word.age_ms(Service::Cloud)),
+        (word.service_age_ms(Service::Store), word.service_age_ms(Service::Cloud)),
         (Some(120), None)
     );
     for (name, goal) in [
@@ -744,7 +744,7 @@
     for (name, fate) in [
         (
             "carried, answered",
-            RelayOutcome::Answer {
+            RelayOutcome::Answered {
                 status: 200,
                 body: vec![4, 5],
             },
@@ -760,8 +760,8 @@
     }
     let reports = RelayedHeartbeats {
         version: LINKS_VERSION,
-        by: 3,
-        reports: vec![vec![6], vec![7, 8]],
+        relayed_by: 3,
+        heartbeats: vec![vec![6], vec![7, 8]],
     };
     golden.of_links("reports", &reports);
     let answers = RelayedResponses {
@@ -782,11 +782,11 @@
     LinkRow {
         from: "hutte-0".into(),
         to: "state service".into(),
-        standing,
+        state: standing,
         for_s: 17,
-        carried_by: carried_by.map(str::to_owned),
-        took_ms,
-        said_s: 2,
+        relayed_by: carried_by.map(str::to_owned),
+        latency_ms: took_ms,
+        age_s: 2,
     }
 }
 
@@ -797,11 +797,11 @@
         links: vec![
             link(links::LinkState::Unknown, None, None),
             link(links::LinkState::Up, None, Some((3, 40))),
-            link(links::LinkState::Late, None, None),
-            link(links::LinkState::OneWay, None, None),
+            link(links::LinkState::Suspect, None, None),
+            link(links::LinkState::InboundOnly, None, None),
             link(links::LinkState::Down, Some("hutte-1"), None),
         ],
-        carried_workers: 12,
+        relayed_workers: 12,
     };
     golden.both_ways("links", &picture);
     for (name, service) in [
@@ -811,44 +811,44 @@
         golden.both_ways(name, &service);
     }
     let events = vec![EventRow {
-        at: 1_790_000_000_000,
+        at_ms: 1_790_000_000_000,
         text: "took part 2".into(),
     }];
     golden.both_ways("events", &events);
     let shard = |holder: Option<&str>, token, since| supervision::ShardRow {
         shard: 1,
-        home: "hutte-1".into(),
-        holder: holder.map(str::to_owned),
-        token,
-        since,
+        preferred_leader: "hutte-1".into(),
+        leader: holder.map(str::to_owned),
+        fencing_token: token,
+        leader_since_ms: since,
     };
     let short = |zones, short_s, below_half_s, due_s, tried| UnderReplicatedServiceRow {
         job: "req-000412".into(),
         class: "serve".into(),
         team: "vision".into(),
         shard: 1,
-        promised: 8,
+        desired: 8,
         half: 4,
-        up: 3,
+        running: 3,
         zones,
-        short_s,
+        under_replicated_s: short_s,
         below_half_s,
-        doing: "starts 5".into(),
-        due_s,
-        lacks: "room".into(),
-        tried,
+        action: "starts 5".into(),
+        due_in_s: due_s,
+        blocked_by: "room".into(),
+        escalations: tried,
     };
     let watch = SupervisionReport {
         host: "hutte-0".into(),
-        age_ms: Some(250),
+        store_age_ms: Some(250),
         shards: vec![
             shard(Some("hutte-0"), Some(42), Some(1_790_000_000_000)),
             shard(None, None, None),
         ],
         services: 6,
-        promised: 48,
-        up: 43,
-        short: vec![
+        desired: 48,
+        running: 43,
+        under_replicated: vec![
             short(
                 vec![("eemsmond".into(), 2), ("rijnmond".into(), 1)],
                 Some(20),
@@ -861,30 +861,30 @@
     };
     golden.both_ways("watch", &watch);
     let closed = FailoverCompletionRow {
-        by: "hutte-0".into(),
-        read_ms: Some(310),
+        reported_by: "hutte-0".into(),
+        state_loaded_ms: Some(310),
         first_start_ms: Some(420),
-        whole_ms: Some(5_300),
-        held_ms: Some(90_000),
+        services_restored_ms: Some(5_300),
+        leadership_ms: Some(90_000),
         found: Some((30, 4)),
         gaps: vec![("serve".into(), 6_100)],
         unknown: text(&["first start"]),
     };
     let failover = |from: Option<&str>, to: Option<&str>, token, up, closed| FailoverRow {
         shard: 2,
-        n: 5,
-        at: 1_790_000_000_000,
-        from: from.map(str::to_owned),
-        to: to.map(str::to_owned),
-        how: "vacant".into(),
-        token,
+        number: 5,
+        at_ms: 1_790_000_000_000,
+        previous_leader: from.map(str::to_owned),
+        new_leader: to.map(str::to_owned),
+        change: "vacant".into(),
+        fencing_token: token,
         up,
-        closed,
+        completion: closed,
     };
     let failovers = FailoverReport {
         host: "hutte-0".into(),
-        age_ms: None,
-        changes: vec![
+        store_age_ms: None,
+        failovers: vec![
             failover(
                 Some("hutte-2"),
                 Some("hutte-0"),
@@ -898,7 +898,7 @@
     golden.both_ways("handovers", &failovers);
     let weights = ImageLocalityReport {
         image: "img-07".into(),
-        mb: Some(6_200),
+        size_mb: Some(6_200),
         users: vec![ImageUserRow {
             class: "serve".into(),
             jobs: 2,
@@ -906,20 +906,20 @@
         }],
         zones: vec![ZoneImageRow {
             zone: "eemsmond".into(),
-            here: 5,
-            coming: 1,
-            open: 4,
-            left: 3,
-            hidden: true,
+            cached: 5,
+            pulling: 1,
+            schedulable: 4,
+            cached_elsewhere: 3,
+            partitioned: true,
         }],
         shards: vec![
             image_locality::ShardImageRow {
                 shard: 0,
-                told_s: Some(2),
+                age_s: Some(2),
             },
             image_locality::ShardImageRow {
                 shard: 1,
-                told_s: None,
+                age_s: None,
             },
         ],
     };
@@ -934,38 +934,38 @@
 fn fields_that_may_be_absent_have_their_defaults_and_no_others_may() {
     let names = ["hardware", "hall", "dueS", "awaits"];
     let job = without(&full_job(), &names);
-    assert!(job.types.is_none() && job.zone.is_none());
-    assert!(job.deadline_s.is_none() && job.awaits.is_empty());
+    assert!(job.machine_types.is_none() && job.zone.is_none());
+    assert!(job.deadline_s.is_none() && job.depends_on.is_empty());
     needs_all_but(&full_job(), &names);
 
     let task = TaskStatus {
-        piece: "req-000412/3".into(),
+        task: "req-000412/3".into(),
         attempt: 2,
         phase: TaskPhase::Exited,
-        cause: Some("done".into()),
-        saved: Some(true),
+        exit_cause: Some("done".into()),
+        checkpointed: Some(true),
     };
     let names = ["cause", "saved"];
     let read = without(&task, &names);
-    assert!(read.cause.is_none() && read.saved.is_none());
+    assert!(read.exit_cause.is_none() && read.checkpointed.is_none());
     needs_all_but(&task, &names);
     let report = Heartbeat {
         machine: MachineId::from("n-000231"),
         address: "10.0.3.7:9100".into(),
-        kind: "g8".into(),
+        machine_type: "g8".into(),
         zone: "eemsmond".into(),
         spot: true,
-        session: 4,
-        seq: 17,
-        token: 42,
-        notice_s: Some(29.5),
+        incarnation: 4,
+        sequence: 17,
+        fencing_token: 42,
+        reclaim_notice_s: Some(29.5),
         tasks: vec![task],
     };
     let names = ["mandate", "warningS", "pieces"];
     let read = without(&report, &names);
-    assert!(read.token == 0 && read.notice_s.is_none() && read.tasks.is_empty());
+    assert!(read.fencing_token == 0 && read.reclaim_notice_s.is_none() && read.tasks.is_empty());
     needs_all_but(&report, &names);
-    let kill = order(CommandKind::Kill, Some(5));
+    let kill = order(CommandKind::Stop, Some(5));
     assert_eq!(without(&kill, &["courtesyS"]).grace_s, None);
     needs_all_but(&kill, &["courtesyS"]);
 
@@ -994,17 +994,17 @@
     needs_all_but(&machine_type, &names);
     let list = InstanceList {
         machines: Vec::new(),
-        more: true,
+        truncated: true,
     };
-    assert!(!without(&list, &["truncated"]).more);
+    assert!(!without(&list, &["truncated"]).truncated);
     needs_all_but(&list, &["truncated"]);
 
     let page = ListResponse {
         entries: Vec::new(),
-        more: true,
+        truncated: true,
         revision: 77,
     };
-    assert!(!without(&page, &["truncated"]).more);
+    assert!(!without(&page, &["truncated"]).truncated);
     needs_all_but(&page, &["truncated"]);
     let reply = CompareAndSwapResponse {
         failed: text(&["w/part/2"]),
--- a/crates/simulator/src/baseline.rs
+++ b/crates/simulator/src/baseline.rs
@@ -91,7 +91,7 @@
         .kinds
         .iter()
         .flat_map(|k| {
-            std::iter::repeat_n(k.machine.room, k.at_start as usize * scenario.zones.len())
+            std::iter::repeat_n(k.machine.capacity, k.at_start as usize * scenario.zones.len())
         })
         .map(|room| Machine {
             room,
@@ -160,7 +160,7 @@
     }
 
     fn need(&self, job: usize) -> Resources {
-        self.load[job].load.spec.need()
+        self.load[job].load.spec.task_resources()
     }
 
     fn charge(&mut self, messages: u64, looks: u64) {
@@ -176,7 +176,7 @@
             (Event::Arrives(job), Kind::Central) => {
                 let spec = &self.load[job].load.spec;
                 self.history.note(self.now, "submit", &spec.id, &"");
-                self.waiting.insert((spec.rank, job), 0);
+                self.waiting.insert((spec.priority, job), 0);
                 let at = self.now + self.travel();
                 self.wake(at);
             }
@@ -202,7 +202,7 @@
             }
             (Event::Withdrawn(job), _) => {
                 self.withdrawn[job] = true;
-                self.waiting.remove(&(self.load[job].load.spec.rank, job));
+                self.waiting.remove(&(self.load[job].load.spec.priority, job));
                 let tasks: Vec<((usize, u32), usize)> = self
                     .running
                     .range((job, 0)..(job + 1, 0))
@@ -232,7 +232,7 @@
             if failed.iter().any(|f| need.covers(f)) {
                 continue;
             }
-            let gang = self.load[job].load.spec.shape == JobKind::Gang;
+            let gang = self.load[job].load.spec.kind == JobKind::Gang;
             let mut next = self.waiting.get(&(rank, job)).copied().unwrap_or(tasks);
             let mut chosen = Vec::new();
             while next < tasks {
@@ -326,7 +326,7 @@
         let load = &self.load[job].load;
         self.history
             .note(self.now, "up", &format!("{}/{task}", load.spec.id), &m);
-        if load.spec.shape != JobKind::Service {
+        if load.spec.kind != JobKind::Service {
             self.push(self.now + load.run_us(task), Event::Ends(job, task, m));
         }
     }
@@ -370,7 +370,7 @@
         for (job, at) in self
             .finished
             .iter()
-            .filter(|(j, _)| self.load[**j].load.spec.shape != JobKind::Service)
+            .filter(|(j, _)| self.load[**j].load.spec.kind != JobKind::Service)
         {
             let planned = &self.load[*job];
             finished.record(&planned.load.spec.class, at - planned.at_us);
--- a/crates/simulator/src/checker.rs
+++ b/crates/simulator/src/checker.rs
@@ -90,10 +90,10 @@
             .get(&spec.team)
             .copied()
             .unwrap_or_default()
-            .plus(&spec.need().times(tasks));
+            .plus(&spec.task_resources().times(tasks));
         self.limits
             .get(&spec.team)
-            .is_none_or(|limit| used.cpus <= limit.cpus && used.gpus <= limit.gpus)
+            .is_none_or(|limit| used.milli_cpus <= limit.milli_cpus && used.milli_gpus <= limit.milli_gpus)
     }
 
     /// True if no more tasks of a job may be in a zone.
@@ -105,7 +105,7 @@
         let elsewhere = zones
             .iter()
             .any(|(other, tasks)| other != zone && *tasks > 0);
-        spec.spread && here >= spec.tasks.div_ceil(2) || spec.one_zone && elsewhere
+        spec.spread && here >= spec.tasks.div_ceil(2) || spec.same_zone && elsewhere
     }
 
     fn tasks_on(&self, job: &JobId) -> u32 {
@@ -176,7 +176,7 @@
                 .specs
                 .get(job)
                 .into_iter()
-                .flat_map(|spec| &spec.awaits)
+                .flat_map(|spec| &spec.depends_on)
                 .filter(|awaited| seen.insert(*awaited))
             {
                 if self
@@ -275,7 +275,7 @@
             return self.fault(now, format!("unknown job {job}"));
         };
         if let Some(awaited) = spec
-            .awaits
+            .depends_on
             .iter()
             .find(|awaited| self.over.get(*awaited) != Some(&JobPhase::Done))
         {
@@ -290,7 +290,7 @@
         *here += 1;
         let crowded = spec.spread && u64::from(*here) > spec.tasks.div_ceil(2);
         let other_type = spec
-            .types
+            .machine_types
             .as_ref()
             .is_some_and(|t| !t.iter().any(|t| t == place.kind));
         let wrong = other_type
@@ -300,8 +300,8 @@
                 .as_ref()
                 .is_some_and(|z| z != place.zone)
                 .then_some("zone"))
-            .or((place.spot && !spec.spot).then_some("kind"))
-            .or((spec.one_zone && elsewhere).then_some("zone, given the others,"))
+            .or((place.spot && !spec.allow_spot).then_some("kind"))
+            .or((spec.same_zone && elsewhere).then_some("zone, given the others,"))
             .or(crowded.then_some("zone: one too many"));
         if let Some(what) = wrong {
             self.fault(
@@ -317,12 +317,12 @@
             self.lingering.insert(job.clone());
         }
         let used = self.used.entry(spec.team.clone()).or_default();
-        *used = used.plus(&spec.need());
+        *used = used.plus(&spec.task_resources());
         let used = *used;
         if self
             .limits
             .get(&spec.team)
-            .is_some_and(|l| used.cpus > l.cpus || used.gpus > l.gpus)
+            .is_some_and(|l| used.milli_cpus > l.milli_cpus || used.milli_gpus > l.milli_gpus)
         {
             self.fault(now, format!("quota: team {} uses {used:?}", spec.team));
         }
@@ -347,7 +347,7 @@
         if let Some(spec) = self.specs.get(job)
             && let Some(used) = self.used.get_mut(&spec.team)
         {
-            *used = used.minus(&spec.need());
+            *used = used.minus(&spec.task_resources());
         }
         if self.tasks_on(job) == 0 {
             self.lingering.remove(job);
@@ -360,7 +360,7 @@
         if self
             .specs
             .get(&id.job)
-            .is_none_or(|s| s.shape != JobKind::Gang || s.tasks < 2)
+            .is_none_or(|s| s.kind != JobKind::Gang || s.tasks < 2)
         {
             return;
         }
@@ -369,7 +369,7 @@
         if attempts.len() > 1 {
             let text = format!(
                 "two_attempts: {} starts with {attempts:?} of its gang live",
-                id.piece()
+                id.task_name()
             );
             self.fault(now, text);
         }
--- a/crates/simulator/src/cloud.rs
+++ b/crates/simulator/src/cloud.rs
@@ -42,7 +42,7 @@
         let prices = scenario
             .kinds
             .iter()
-            .map(|k| (k.machine.price, k.machine.spot_price))
+            .map(|k| (k.machine.on_demand_price, k.machine.spot_price))
             .collect();
         Self {
             down: false,
@@ -129,7 +129,7 @@
         let there = |m: &&Rented| m.from <= at && m.gone.is_none_or(|gone| gone > at);
         let entry = |m: &Rented| InstanceEntry {
             id: m.id.clone(),
-            kind: scenario.kinds[m.kind].machine.name.clone(),
+            machine_type: scenario.kinds[m.kind].machine.name.clone(),
             zone: m.zone.clone(),
             spot: m.spot,
             phase: if m.up_at > at { "starting" } else { "running" }.into(),
--- a/crates/simulator/src/ground.rs
+++ b/crates/simulator/src/ground.rs
@@ -123,7 +123,7 @@
 
     /// Progress since a start, floored to what is saved by itself.
     pub(crate) fn checkpoint(spec: &JobSpec, progress: u64) -> u64 {
-        let every = us(spec.checkpoint_s);
+        let every = us(spec.checkpoint_interval_s);
         progress.checked_div(every).map_or(0, |n| n * every)
     }
 
@@ -131,7 +131,7 @@
         let gang = self
             .jobs
             .get(&id.job)
-            .is_some_and(|l| l.spec.shape == JobKind::Gang && l.spec.tasks > 1);
+            .is_some_and(|l| l.spec.kind == JobKind::Gang && l.spec.tasks > 1);
         if gang {
             Some(self.gangs.entry((id.job.clone(), id.attempt)).or_default())
         } else {
@@ -143,9 +143,9 @@
         let Some(load) = self.jobs.get(&id.job) else {
             return;
         };
-        let (need, tasks) = (load.spec.need(), load.spec.tasks as u32);
-        self.useful += u128::from(worked_us) * u128::from(need.cpus);
-        if load.spec.shape == JobKind::Gang && tasks > 1 {
+        let (need, tasks) = (load.spec.task_resources(), load.spec.tasks as u32);
+        self.useful += u128::from(worked_us) * u128::from(need.milli_cpus);
+        if load.spec.kind == JobKind::Gang && tasks > 1 {
             (0..tasks).for_each(|task| self.task_done(&id.job, task, tasks));
             if let Some(gang) = self.gangs.get_mut(&(id.job.clone(), id.attempt)) {
                 gang.over = true;
@@ -203,7 +203,7 @@
 
     /// A gang's task is no more on its machine, or was stopped without saving.
     pub(crate) fn lose(&mut self, id: &AttemptId, now: u64) {
-        let peer_us = us(self.times.gang_peer_s);
+        let peer_us = us(self.times.gang_peer_timeout_s);
         let spec = self.jobs.get(&id.job).map(|l| l.spec.clone());
         let Some(gang) = self.gang(id) else { return };
         let there = gang.present.remove(&id.task).is_some();
@@ -232,7 +232,7 @@
 
     /// A running gang's task was told to stop with enough time to save.
     pub(crate) fn stop_gang(&mut self, id: &AttemptId, flush_us: u64, now: u64) {
-        let peer_us = us(self.times.gang_peer_s);
+        let peer_us = us(self.times.gang_peer_timeout_s);
         let Some(gang) = self.gang(id) else { return };
         let first = *gang.stopping.get_or_insert(now);
         gang.told.insert(id.task);
--- a/crates/simulator/src/host.rs
+++ b/crates/simulator/src/host.rs
@@ -213,9 +213,9 @@
             read_at: 0,
             read_due: 0,
             waiting: Vec::new(),
-            requests: share(scenario.state.rps * most),
-            writes: share(scenario.state.write_rps * most),
-            cloud: share(scenario.cloud.rps),
+            requests: share(scenario.state.requests_per_s * most),
+            writes: share(scenario.state.writes_per_s * most),
+            cloud: share(scenario.cloud.requests_per_s),
             work: Work::default(),
             tally: WorkCounters::default(),
         }
--- a/crates/simulator/src/hunt.rs
+++ b/crates/simulator/src/hunt.rs
@@ -336,7 +336,7 @@
         .ground
         .jobs
         .iter()
-        .filter(|(_, l)| l.spec.shape == JobKind::Service && !l.broken)
+        .filter(|(_, l)| l.spec.kind == JobKind::Service && !l.broken)
     {
         let record: Option<JobRecord> = world
             .store
--- a/crates/simulator/src/measures.rs
+++ b/crates/simulator/src/measures.rs
@@ -266,7 +266,7 @@
     /// A user heard that a job is accepted.
     pub fn accepted(&mut self, id: &JobId, first_try: u64, now: u64, spec: Option<&JobSpec>) {
         let Some(spec) = spec else { return };
-        let service = spec.shape == JobKind::Service;
+        let service = spec.kind == JobKind::Service;
         let times = JobTimes {
             first_try,
             accepted: now,
@@ -338,8 +338,8 @@
             sample.machines += 1;
             if w.up_at <= now {
                 sample.up += 1;
-                sample.cpus += w.kind.room.cpus as f64 / 1e3;
-                sample.used_cpus += w.kind.room.minus(&w.free()).cpus as f64 / 1e3;
+                sample.cpus += w.kind.capacity.milli_cpus as f64 / 1e3;
+                sample.used_cpus += w.kind.capacity.minus(&w.free()).milli_cpus as f64 / 1e3;
             }
         }
         self.series.push(sample);
@@ -353,7 +353,7 @@
             .ground
             .jobs
             .iter()
-            .filter(|(_, l)| !l.broken && l.spec.awaits.is_empty())
+            .filter(|(_, l)| !l.broken && l.spec.depends_on.is_empty())
         {
             by_class
                 .entry(&load.spec.class)
@@ -405,7 +405,7 @@
         let mut served: BTreeMap<String, (u64, u64)> = BTreeMap::new();
         let largest = Self::largest(world);
         for (id, load) in world.ground.jobs.iter().filter(|(_, l)| !l.broken) {
-            let cancelled = load.spec.shape != JobKind::Service
+            let cancelled = load.spec.kind != JobKind::Service
                 && (world.withdrawal(id).is_some() || world.ground.checker.is_cancelled(id));
             if cancelled
                 || self
--- a/crates/simulator/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -217,10 +217,10 @@
         }
         for team in &mut self.teams {
             for amount in [
-                &mut team.cpus,
-                &mut team.cpus_max,
-                &mut team.gpus,
-                &mut team.gpus_max,
+                &mut team.guaranteed_cpus,
+                &mut team.max_cpus,
+                &mut team.guaranteed_gpus,
+                &mut team.max_gpus,
             ] {
                 *amount *= factor;
             }
@@ -269,29 +269,29 @@
         Settings {
             host_name: host_name(host),
             zone: self.zone_of(host).to_owned(),
-            listen: address(host, 80),
+            listen_addr: address(host, 80),
             internal_addr: address(host, 81),
-            seeds: (0..usize::from(self.shards))
+            seed_controllers: (0..usize::from(self.shards))
                 .filter(|&i| i != host)
                 .map(seed)
                 .collect(),
             services: Services {
                 cloud: address(1_000, 1),
-                state: address(1_000, 2),
+                kv_store: address(1_000, 2),
             },
             cluster: Cluster {
                 zones: self.zones.clone(),
                 teams: self.teams.clone(),
                 objectives: awaited.map(objective).collect(),
-                workers: self.workers.clone(),
-                state: self.state.clone(),
+                worker_timing: self.workers.clone(),
+                kv_store: self.state.clone(),
                 cloud: self.cloud.clone(),
-                limits: Limits {
+                process_limits: Limits {
                     cpu_share: 1.0,
-                    mem_mb: 4_096.0,
-                    fd_limit: 65_536,
+                    memory_mb: 4_096.0,
+                    max_open_files: 65_536,
                 },
-                clock_off_ms: 0.0,
+                clock_offset_ms: 0.0,
             },
         }
     }
@@ -321,22 +321,22 @@
         shards: top.whole("controllers", 1, 64, Some(3)) as u16,
         poll_s: top.number("poll_s", 0.0, 3_600.0, Some(5.0)),
         workers: WorkerTiming {
-            report_s: w.number("report_s", 0.1, 600.0, Some(3.0)),
+            heartbeat_interval_s: w.number("report_s", 0.1, 600.0, Some(3.0)),
             lease_s: w.number("lease_s", 0.5, 3_600.0, Some(14.0)),
-            gang_wait_s: w.number("gang_wait_s", 1.0, 3_600.0, Some(50.0)),
-            gang_peer_s: w.number("gang_peer_s", 0.1, 600.0, Some(8.0)),
-            cancel_s: w.number("cancel_s", 1.0, 7_200.0, Some(34.0)),
+            gang_start_timeout_s: w.number("gang_wait_s", 1.0, 3_600.0, Some(50.0)),
+            gang_peer_timeout_s: w.number("gang_peer_s", 0.1, 600.0, Some(8.0)),
+            cancellation_deadline_s: w.number("cancel_s", 1.0, 7_200.0, Some(34.0)),
         },
         state: KvStoreLimits {
-            rps: s.number("rps", 1.0, 1e9, Some(200.0)),
-            write_rps: s.number("write_rps", 1.0, 1e9, Some(80.0)),
-            value_kb: s.number("value_kb", 4.0, 1_024.0, Some(8.0)),
-            txn_ops: s.whole("txn_ops", 4, 100_000, Some(32)) as usize,
-            next: s.has("next").then(|| next_limits(&s.table("next"))),
+            requests_per_s: s.number("rps", 1.0, 1e9, Some(200.0)),
+            writes_per_s: s.number("write_rps", 1.0, 1e9, Some(80.0)),
+            max_value_kib: s.number("value_kb", 4.0, 1_024.0, Some(8.0)),
+            max_cas_ops: s.whole("txn_ops", 4, 100_000, Some(32)) as usize,
+            upcoming: s.has("next").then(|| next_limits(&s.table("next"))),
         },
         cloud: CloudLimits {
-            rps: c.number("rps", 0.1, 1e9, Some(4.0)),
-            list_lag_s: c.number("list_lag_s", 0.0, 600.0, Some(10.0)),
+            requests_per_s: c.number("rps", 0.1, 1e9, Some(4.0)),
+            list_staleness_s: c.number("list_lag_s", 0.0, 600.0, Some(10.0)),
         },
         policy: Policy {
             on_demand_idle_multiple: p.number("idle", 0.0, 1e6, Some(0.75)),
@@ -377,10 +377,10 @@
     if scenario.latency.high_us < scenario.latency.low_us {
         l.fault("high_us", "is below low_us");
     }
-    if scenario.workers.lease_s <= scenario.workers.report_s {
+    if scenario.workers.lease_s <= scenario.workers.heartbeat_interval_s {
         w.fault("lease_s", "must be over report_s");
     }
-    if scenario.workers.cancel_s <= scenario.workers.lease_s {
+    if scenario.workers.cancellation_deadline_s <= scenario.workers.lease_s {
         w.fault("cancel_s", "must be over lease_s");
     }
     if scenario.kinds.is_empty() {
@@ -420,10 +420,10 @@
 fn next_limits(t: &Section<'_>) -> UpcomingKvStoreLimits {
     let number = |name: &str, low: f64| t.has(name).then(|| t.number(name, low, 1e9, None));
     UpcomingKvStoreLimits {
-        rps: number("rps", 1.0),
-        write_rps: number("write_rps", 1.0),
-        value_kb: number("value_kb", 1.0),
-        txn_ops: t
+        requests_per_s: number("rps", 1.0),
+        writes_per_s: number("write_rps", 1.0),
+        max_value_kib: number("value_kb", 1.0),
+        max_cas_ops: t
             .has("txn_ops")
             .then(|| t.whole("txn_ops", 4, 100_000, None) as usize),
     }
@@ -434,14 +434,14 @@
     Kind {
         machine: MachineType {
             name: t.text("name", None),
-            room: Resources::offer(
+            capacity: Resources::capacity(
                 t.number("cpus", 0.001, 1e6, None),
                 t.number("gpus", 0.0, 1e4, Some(0.0)),
                 t.number("memory_gb", 0.001, 1e7, None),
             ),
-            cache_gb: t.number("cache_gb", 0.0, 1e6, Some(200.0)),
-            fetch_gb_per_s: t.number("fetch_gb_per_s", 0.000_001, 1e6, Some(1.0)),
-            price,
+            image_cache_gb: t.number("cache_gb", 0.0, 1e6, Some(200.0)),
+            image_pull_gb_per_s: t.number("fetch_gb_per_s", 0.000_001, 1e6, Some(1.0)),
+            on_demand_price: price,
             spot_price: t.number("spot_price", 0.0, 1e6, Some(0.0)),
             boot_s: t.number("boot_s", 0.0, 1e6, Some(30.0)),
             zones: zones.to_vec(),
@@ -458,10 +458,10 @@
     let amount = |name: &str| t.number(name, 0.0, 1e9, Some(0.0));
     Team {
         name: t.text("name", None),
-        cpus: amount("cpus"),
-        cpus_max: amount("cpus_max"),
-        gpus: amount("gpus"),
-        gpus_max: amount("gpus_max"),
+        guaranteed_cpus: amount("cpus"),
+        max_cpus: amount("cpus_max"),
+        guaranteed_gpus: amount("gpus"),
+        max_gpus: amount("gpus_max"),
     }
 }
 
@@ -492,8 +492,8 @@
         t.number("gpus", 0.0, 1e4, Some(0.0)),
         t.number("memory_gb", 0.0, 1e7, Some(0.0)),
     );
-    let room = Resources::need(need.0, need.1, need.2);
-    if !scenario.kinds.iter().any(|k| k.machine.room.covers(&room)) {
+    let room = Resources::request(need.0, need.1, need.2);
+    if !scenario.kinds.iter().any(|k| k.machine.capacity.covers(&room)) {
         t.fault("cpus", "a task fits no machine type");
     }
     Class {
--- a/crates/simulator/src/store.rs
+++ b/crates/simulator/src/store.rs
@@ -92,19 +92,19 @@
             log: VecDeque::new(),
             holds: BTreeMap::new(),
             next_hold: 0,
-            requests: rate(limits.rps),
-            writes: rate(limits.write_rps),
-            value_bytes: (limits.value_kb * 1024.0) as usize,
-            txn_ops: limits.txn_ops,
+            requests: rate(limits.requests_per_s),
+            writes: rate(limits.writes_per_s),
+            value_bytes: (limits.max_value_kib * 1024.0) as usize,
+            txn_ops: limits.max_cas_ops,
         }
     }
 
     /// From now on it has its next limits. What is stored stays.
     pub fn lower_limits(&mut self, limits: &KvStoreLimits) {
-        self.requests.per_s = limits.least_rps();
-        self.writes.per_s = limits.least_write_rps();
-        self.value_bytes = (limits.least_value_kb() * 1024.0) as usize;
-        self.txn_ops = limits.least_txn_ops();
+        self.requests.per_s = limits.lowest_requests_per_s();
+        self.writes.per_s = limits.lowest_writes_per_s();
+        self.value_bytes = (limits.lowest_max_value_kib() * 1024.0) as usize;
+        self.txn_ops = limits.lowest_max_cas_ops();
     }
 
     fn takes(&self, cas: &CompareAndSwap) -> bool {
@@ -220,7 +220,7 @@
             return TxnAnswer::TooLarge;
         }
         let hold = |w: &Write| {
-            if let Write::Put { hold, .. } = w {
+            if let Write::Put { lease: hold, .. } = w {
                 *hold
             } else {
                 None
@@ -251,7 +251,7 @@
         }
         for w in &cas.writes {
             match w {
-                Write::Put { key, value, hold } => self.set(key, value.clone(), *hold),
+                Write::Put { key, value, lease: hold } => self.set(key, value.clone(), *hold),
                 Write::Delete { key } => self.remove(key),
             }
         }
--- a/crates/simulator/src/traces.rs
+++ b/crates/simulator/src/traces.rs
@@ -138,7 +138,7 @@
     if cpus <= 0.0 || memory <= 0.0 {
         return Err("cpus and memory_gb must be over 0".into());
     }
-    Ok(Resources::offer(cpus, gpus, memory))
+    Ok(Resources::capacity(cpus, gpus, memory))
 }
 
 /// Checks; exit code 1 on any fault, 2 on a file that can't be read.
@@ -273,14 +273,14 @@
         self.tasks += u64::from(e.tasks);
         self.shapes[e.shape as usize] += 1;
         widen(&mut self.at, e.at_ms);
-        widen(&mut self.cpus, e.need.cpus);
-        widen(&mut self.gpus, e.need.gpus);
-        widen(&mut self.memory, e.need.memory);
+        widen(&mut self.cpus, e.need.milli_cpus);
+        widen(&mut self.gpus, e.need.milli_gpus);
+        widen(&mut self.memory, e.need.memory_mb);
         for &run in &e.run_ms {
             widen(&mut self.run, run);
         }
         let each = e.run_ms.len().max(1) as u64;
-        let cpus = (e.need.cpus.max(e.need.gpus) * u64::from(e.tasks) / each) as i64;
+        let cpus = (e.need.milli_cpus.max(e.need.milli_gpus) * u64::from(e.tasks) / each) as i64;
         for n in 0..each as usize {
             *self.steps.entry(e.at_ms / 1_000).or_default() += cpus;
             if let Some(run) = e.run_ms.get(n) {
--- a/crates/simulator/src/worker.rs
+++ b/crates/simulator/src/worker.rs
@@ -150,7 +150,7 @@
             changed: false,
             token_told: 0,
             tasks: BTreeMap::new(),
-            free: kind.room,
+            free: kind.capacity,
             images: Vec::new(),
             fetches: Vec::new(),
             fetched_at: up_at,
@@ -179,14 +179,14 @@
             ground
                 .jobs
                 .get(&id.job)
-                .is_some_and(|l| l.spec.shape == JobKind::Service)
+                .is_some_and(|l| l.spec.kind == JobKind::Service)
         };
         let running = self
             .tasks
             .iter()
             .filter(|(id, t)| t.phase == TaskPhase::Running && service(id));
         running
-            .map(|(_, t)| u128::from(now.saturating_sub(t.ran_from)) * u128::from(t.need.cpus))
+            .map(|(_, t)| u128::from(now.saturating_sub(t.ran_from)) * u128::from(t.need.milli_cpus))
             .sum()
     }
 
@@ -202,22 +202,22 @@
         Heartbeat {
             machine: self.id.clone(),
             address: format!("10.{}.{}.{}:9000", 1 + n / 65_536, n / 256 % 256, n % 256),
-            kind: self.kind.name.clone(),
+            machine_type: self.kind.name.clone(),
             zone: self.zone.clone(),
             spot: self.spot,
-            session: self.session,
-            seq: self.seq,
-            token: self.token,
-            notice_s: self.notice.map(|at| at.saturating_sub(now) as f64 / 1e6),
+            incarnation: self.session,
+            sequence: self.seq,
+            fencing_token: self.token,
+            reclaim_notice_s: self.notice.map(|at| at.saturating_sub(now) as f64 / 1e6),
             tasks: self
                 .tasks
                 .iter()
                 .map(|(id, t)| TaskStatus {
-                    piece: id.piece(),
+                    task: id.task_name(),
                     attempt: id.attempt,
                     phase: t.phase,
-                    cause: t.cause.map(str::to_owned),
-                    saved: t.saved.then_some(true),
+                    exit_cause: t.cause.map(str::to_owned),
+                    checkpointed: t.saved.then_some(true),
                 })
                 .collect(),
         }
@@ -226,7 +226,7 @@
     // ---- time ----------------------------------------------------------------
 
     fn fetch_rate(&self) -> f64 {
-        self.kind.fetch_gb_per_s / self.fetches.len().max(1) as f64 / 1e6
+        self.kind.image_pull_gb_per_s / self.fetches.len().max(1) as f64 / 1e6
     }
 
     fn next_inside(&self) -> u64 {
@@ -345,7 +345,7 @@
         }
         self.tasks.clear();
         self.fetches.clear();
-        self.free = self.kind.room;
+        self.free = self.kind.capacity;
     }
 
     /// The machine is back at once under the same name, empty, and counts from
@@ -371,14 +371,14 @@
         let (Some(t), Some(load)) = (self.tasks.get(id), ground.jobs.get(&id.job)) else {
             return;
         };
-        let service = load.spec.shape == JobKind::Service;
-        if t.phase != TaskPhase::Running || load.spec.shape == JobKind::Gang && load.spec.tasks > 1
+        let service = load.spec.kind == JobKind::Service;
+        if t.phase != TaskPhase::Running || load.spec.kind == JobKind::Gang && load.spec.tasks > 1
         {
             return;
         }
         let ran = (now.saturating_sub(t.ran_from) as f64 * self.speed) as u64;
         if service {
-            ground.useful += u128::from(now.saturating_sub(t.ran_from)) * u128::from(t.need.cpus);
+            ground.useful += u128::from(now.saturating_sub(t.ran_from)) * u128::from(t.need.milli_cpus);
         } else {
             let kept = Ground::checkpoint(&load.spec, t.base + ran).max(t.base);
             ground.saved.insert((id.job.clone(), id.task), kept);
@@ -405,8 +405,8 @@
         t.next = None;
         self.free = self.free.plus(&t.need);
         self.changed = true;
-        let waits = |t: &Task| t.phase == TaskPhase::Fetching;
-        if was == TaskPhase::Fetching
+        let waits = |t: &Task| t.phase == TaskPhase::PullingImage;
+        if was == TaskPhase::PullingImage
             && let Some(image) = ground.jobs.get(&id.job).map(|l| l.spec.image.clone())
         {
             // A fetch that nobody waits for any more is given up.
@@ -442,7 +442,7 @@
         let waiting: Vec<AttemptId> = self
             .tasks
             .iter()
-            .filter(|(id, t)| t.phase == TaskPhase::Fetching && of(id))
+            .filter(|(id, t)| t.phase == TaskPhase::PullingImage && of(id))
             .map(|(id, _)| id.clone())
             .collect();
         if let Some(gb) = waiting
@@ -461,7 +461,7 @@
         self.images.retain(|(name, _)| name != image);
         self.images.insert(0, (image.to_owned(), gb));
         let mut sum = 0.0;
-        let most = self.kind.cache_gb;
+        let most = self.kind.image_cache_gb;
         self.images.retain(|(_, gb)| {
             sum += gb;
             sum <= most
@@ -484,7 +484,7 @@
         ground.up.entry((id.job.clone(), id.task)).or_insert(now);
         self.changed = true;
         let done = ground.done.contains(&(id.job.clone(), id.task));
-        let gang = spec.shape == JobKind::Gang && spec.tasks > 1;
+        let gang = spec.kind == JobKind::Gang && spec.tasks > 1;
         let base = ground
             .saved
             .get(&(id.job.clone(), id.task))
@@ -500,8 +500,8 @@
             t.phase = TaskPhase::Running;
             t.next = Some((now, End::Done));
         } else if gang {
-            t.phase = TaskPhase::Gathering;
-            t.next = Some((now + us(ground.times.gang_wait_s), End::Alone));
+            t.phase = TaskPhase::AwaitingGang;
+            t.next = Some((now + us(ground.times.gang_start_timeout_s), End::Alone));
             ground.gather(id, self.number, self.speed, now);
         } else {
             (t.phase, t.ran_from, t.base) = (TaskPhase::Running, now, base);
@@ -509,7 +509,7 @@
             t.next = if self.faulty || broken {
                 Some((now + FAILS_AFTER_US, End::Error))
             } else {
-                (spec.shape != JobKind::Service).then_some((until, End::Done))
+                (spec.kind != JobKind::Service).then_some((until, End::Done))
             };
         }
     }
@@ -522,7 +522,7 @@
                 if let Some(t) = self
                     .tasks
                     .get_mut(&id)
-                    .filter(|t| t.phase == TaskPhase::Gathering)
+                    .filter(|t| t.phase == TaskPhase::AwaitingGang)
                 {
                     t.phase = TaskPhase::Running;
                     t.next = Some(if faulty {
@@ -568,15 +568,15 @@
 
     fn execute(&mut self, orders: &[Command], now: u64, ground: &mut Ground) {
         for o in orders {
-            let Some(id) = AttemptId::parse(&o.piece, o.attempt) else {
+            let Some(id) = AttemptId::parse(&o.task, o.attempt) else {
                 continue;
             };
-            match o.verb {
-                CommandKind::Launch if !self.tasks.contains_key(&id) => {
+            match o.kind {
+                CommandKind::Start if !self.tasks.contains_key(&id) => {
                     self.launch(id, now, ground)
                 }
-                CommandKind::Launch => {}
-                CommandKind::Kill => self.kill(&id, o.grace_s.unwrap_or(0), now, ground),
+                CommandKind::Start => {}
+                CommandKind::Stop => self.kill(&id, o.grace_s.unwrap_or(0), now, ground),
                 CommandKind::Forget => {
                     if self
                         .tasks
@@ -602,7 +602,7 @@
             .get(&id.job)
             .filter(|l| u64::from(id.task) < l.spec.tasks)
             .map(|l| l.spec.clone());
-        let need = load.as_ref().map(|s| s.need()).unwrap_or_default();
+        let need = load.as_ref().map(|s| s.task_resources()).unwrap_or_default();
         let other = self
             .tasks
             .iter()
@@ -614,7 +614,7 @@
             Some(_) => None,
         };
         let mut task = Task {
-            phase: TaskPhase::Fetching,
+            phase: TaskPhase::PullingImage,
             cause: refusal,
             saved: false,
             next: None,
@@ -653,24 +653,24 @@
         let Some(spec) = ground.jobs.get(&id.job).map(|l| l.spec.clone()) else {
             return;
         };
-        let saves = spec.checkpoint_s > 0.0
-            && f64::from(grace_s) >= spec.save_s
-            && spec.shape != JobKind::Service;
+        let saves = spec.checkpoint_interval_s > 0.0
+            && f64::from(grace_s) >= spec.checkpoint_duration_s
+            && spec.kind != JobKind::Service;
         match t.phase {
             TaskPhase::Exited => {}
-            TaskPhase::Saving if grace_s > 0 => {}
+            TaskPhase::Checkpointing if grace_s > 0 => {}
             TaskPhase::Running if saves => {
-                t.phase = TaskPhase::Saving;
+                t.phase = TaskPhase::Checkpointing;
                 let progress = t.base + (now.saturating_sub(t.ran_from) as f64 * self.speed) as u64;
                 self.changed = true;
-                if spec.shape == JobKind::Gang && spec.tasks > 1 {
+                if spec.kind == JobKind::Gang && spec.tasks > 1 {
                     // One that has lost a task exits with `peers` all the same.
                     if ground.gang(id).is_some_and(|g| !g.over) {
                         t.next = None;
-                        ground.stop_gang(id, us(spec.save_s), now);
+                        ground.stop_gang(id, us(spec.checkpoint_duration_s), now);
                     }
                 } else {
-                    t.next = Some((now + us(spec.save_s), End::Stopped(true)));
+                    t.next = Some((now + us(spec.checkpoint_duration_s), End::Stopped(true)));
                     ground.saved.insert((id.job.clone(), id.task), progress);
                 }
             }
@@ -686,10 +686,10 @@
         ground: &mut Ground,
     ) -> (bool, Heartbeat) {
         self.advance(now, ground);
-        let good = c.token >= self.token && c.session == self.session;
+        let good = c.fencing_token >= self.token && c.incarnation == self.session;
         if good {
-            self.see_token(c.token);
-            self.execute(&c.orders, now, ground);
+            self.see_token(c.fencing_token);
+            self.execute(&c.commands, now, ground);
         }
         (good, self.report(now))
     }
@@ -741,16 +741,16 @@
             self.in_flight = None;
             self.next_report = sent + next_us;
         }
-        if reply.token < self.token
+        if reply.fencing_token < self.token
             || sent < self.born
             || session != self.session
             || now > sent + ANSWER_US
         {
             return;
         }
-        self.see_token(reply.token);
+        self.see_token(reply.fencing_token);
         self.lease_from = self.lease_from.max(sent);
-        self.execute(&reply.orders, now, ground);
+        self.execute(&reply.commands, now, ground);
     }
 
     /// The session that its next message will name.
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -225,7 +225,7 @@
             .iter()
             .map(|t| (t.name.clone(), quota_limit(t)))
             .collect();
-        let checker = Checker::new(limits, (scenario.workers.cancel_s * 1e6) as u64);
+        let checker = Checker::new(limits, (scenario.workers.cancellation_deadline_s * 1e6) as u64);
         let mut world = Self {
             now: 0,
             events: 0,
@@ -496,7 +496,7 @@
             }
             Event::List(host, life, way) => {
                 if self.served(host, life, way) {
-                    let lag = (self.scenario.cloud.list_lag_s * 1e6) as u64;
+                    let lag = (self.scenario.cloud.list_staleness_s * 1e6) as u64;
                     let entries = self.cloud.list(now.saturating_sub(lag), &self.scenario);
                     let at = now + self.travel();
                     self.push(at, Event::To(host, life, Box::new(Input::Listed(entries))));
--- a/crates/simulator/src/world/controllers.rs
+++ b/crates/simulator/src/world/controllers.rs
@@ -134,18 +134,18 @@
             Effect::MailSync(sync) => {
                 let line = StoreMessageRoute {
                     kind: StoreMessageKind::Sync,
-                    from: sync.from,
-                    to: sync.to,
+                    from_shard: sync.from_shard,
+                    to_shard: sync.to_shard,
                 };
-                self.mail(host, line, (sync.from_token, sync.seq), &peer::write(&sync));
+                self.mail(host, line, (sync.from_fencing_token, sync.seq), &peer::write(&sync));
             }
             Effect::MailView(to, view) => {
                 let line = StoreMessageRoute {
                     kind: StoreMessageKind::View,
-                    from: view.shard,
-                    to,
+                    from_shard: view.shard,
+                    to_shard: to,
                 };
-                self.mail(host, line, (view.token, view.seq), &peer::write(&view));
+                self.mail(host, line, (view.fencing_token, view.seq), &peer::write(&view));
             }
             Effect::Nudge(shard) => {
                 let held = self.hosts[host]
@@ -218,7 +218,7 @@
         match input {
             Input::Tick => {}
             Input::Report(number, report, sent) => {
-                let session = report.session;
+                let session = report.incarnation;
                 match core.report(&report, ms) {
                     HeartbeatAnswer::Carry(to) => self.carry_report(host, to, number, report, sent),
                     answer => {
@@ -240,7 +240,7 @@
             Input::Tried(service, None, bytes, good) => core.links.tried(service, bytes, good, ms),
             Input::Tried(service, Some(by), _, good) => core.links.carried(service, by, good, ms),
             Input::Hail(life, word) => {
-                let from = usize::from(word.host);
+                let from = usize::from(word.controller);
                 let answer = Box::new(core.links.hail_in(*word, ms));
                 let at = self.leaves(host) + self.travel();
                 self.push(
@@ -276,7 +276,7 @@
                         Event::To(from, life, Box::new(Input::Superseded(by.clone()))),
                     );
                 }
-                self.answer_sync(host, from, life, lease, sync.to, answer.ok());
+                self.answer_sync(host, from, life, lease, sync.to_shard, answer.ok());
             }
             Input::Read(began, reading) => self.take_reading(host, began, reading),
             Input::Adopt(lease, chunks, images) => self.acquire(host, lease, chunks, images),
--- a/crates/simulator/src/world/requests.rs
+++ b/crates/simulator/src/world/requests.rs
@@ -170,13 +170,13 @@
             .scenario
             .kinds
             .iter()
-            .map(|kind| kind.machine.room.cpus)
+            .map(|kind| kind.machine.capacity.milli_cpus)
             .max()
             .unwrap_or(0);
         let cores = most as f64 / 1e3 * FITS_NONE;
         let spec = Arc::new(lemonweir_model::JobSpec {
             id: id.clone(),
-            cores,
+            cpus: cores,
             ..(*spec).clone()
         });
         self.unfit.insert(id.clone());
--- a/crates/simulator/src/world/sending.rs
+++ b/crates/simulator/src/world/sending.rs
@@ -107,7 +107,7 @@
 
     pub(super) fn send_sync(&mut self, host: usize, lease: ShardLease, sync: SyncRequest, at: u64) {
         let life = self.hosts[host].life;
-        let shard = sync.to;
+        let shard = sync.to_shard;
         let failed = move |lease| Box::new(Input::View(lease, shard, None));
         self.hosts[host].work.peer_bytes += peer::written(&sync) as u64;
         let Some(to) = self
@@ -152,17 +152,17 @@
     pub(super) fn unheard(&mut self, host: usize, input: Input) {
         let (to, life, failed) = match input {
             Input::Sync(from, life, lease, sync) if from < self.hosts.len() => {
-                (from, life, Input::View(lease, sync.to, None))
+                (from, life, Input::View(lease, sync.to_shard, None))
             }
             Input::Hail(life, word) => (
-                usize::from(word.host),
+                usize::from(word.controller),
                 life,
                 Input::Hailed(host as u16, None),
             ),
             Input::CarriedReport(number, report, sent, by, life) => (
                 by,
                 life,
-                Input::CarriedAnswer(number, report.session, sent, host, None),
+                Input::CarriedAnswer(number, report.incarnation, sent, host, None),
             ),
             _ => return,
         };
@@ -180,9 +180,9 @@
             return;
         };
         self.largest_mail = self.largest_mail.max(bytes.len());
-        let piece = mail_piece_bytes((self.scenario.state.least_value_kb() * 1024.0) as usize);
+        let piece = mail_piece_bytes((self.scenario.state.lowest_max_value_kib() * 1024.0) as usize);
         let cas = post(line, id, bytes, piece, hold);
-        if cas.writes.len() <= self.scenario.state.least_txn_ops() {
+        if cas.writes.len() <= self.scenario.state.lowest_max_cas_ops() {
             self.send_txn(host, For::Nobody, cas);
         }
     }
--- a/crates/simulator/src/world/services.rs
+++ b/crates/simulator/src/world/services.rs
@@ -282,14 +282,14 @@
         let now = self.now;
         let result = if !self.served(host, life, way) {
             ProvisioningResult::Again
-        } else if let Some(before) = self.cloud.bookings.get(&rental.booking) {
+        } else if let Some(before) = self.cloud.bookings.get(&rental.request_id) {
             ProvisioningResult::Rented(before.clone())
         } else {
             let kind = self
                 .scenario
                 .kinds
                 .iter()
-                .position(|k| k.machine.name == rental.kind);
+                .position(|k| k.machine.name == rental.machine_type);
             let left = kind.map_or(0, |k| {
                 self.cloud
                     .left(k, &rental.zone, rental.spot, &self.scenario)
@@ -319,10 +319,10 @@
             } else {
                 self.ground
                     .history
-                    .note(now, "rented", &rental.booking, &names.len());
+                    .note(now, "rented", &rental.request_id, &names.len());
                 self.cloud
                     .bookings
-                    .insert(rental.booking.clone(), names.clone());
+                    .insert(rental.request_id.clone(), names.clone());
                 ProvisioningResult::Rented(names)
             }
         };
--- a/crates/simulator/src/world/users.rs
+++ b/crates/simulator/src/world/users.rs
@@ -256,7 +256,7 @@
                 .ground
                 .jobs
                 .get(&id)
-                .map(|load| load.spec.awaits.clone())
+                .map(|load| load.spec.depends_on.clone())
                 .unwrap_or_default();
             let awaits: Vec<&str> = awaits.iter().map(JobId::as_str).collect();
             self.ground
@@ -286,7 +286,7 @@
                 .get(id)
                 .map_or((false, false), |user| (user.accepted.is_some(), user.over))
         };
-        let awaited: Vec<(bool, bool)> = planned.load.spec.awaits.iter().map(of).collect();
+        let awaited: Vec<(bool, bool)> = planned.load.spec.depends_on.iter().map(of).collect();
         if awaited.iter().all(|(accepted, _)| *accepted) {
             return true;
         }
--- a/crates/simulator/src/world/waiting.rs
+++ b/crates/simulator/src/world/waiting.rs
@@ -84,7 +84,7 @@
             };
             let may_start = load
                 .spec
-                .awaits
+                .depends_on
                 .iter()
                 .all(|awaited| self.phase(awaited) == Some(JobPhase::Done));
             let unfinished = may_start
@@ -105,12 +105,12 @@
     /// not enough, or the team's limit does not allow it.
     fn room_for(&self, spec: &JobSpec, among: &BTreeSet<usize>) -> Option<BTreeSet<usize>> {
         let (tasks, need) = (
-            if spec.shape == JobKind::Gang {
+            if spec.kind == JobKind::Gang {
                 spec.tasks
             } else {
                 1
             },
-            spec.need(),
+            spec.task_resources(),
         );
         if !self.ground.checker.within_limit(spec, tasks) {
             return None;
@@ -122,11 +122,11 @@
             .filter_map(|number| self.workers.get(*number)?.as_ref())
         {
             let allowed = spec
-                .types
+                .machine_types
                 .as_ref()
                 .is_none_or(|types| types.contains(&worker.kind.name))
                 && spec.zone.as_ref().is_none_or(|zone| *zone == worker.zone)
-                && (spec.spot || !worker.spot)
+                && (spec.allow_spot || !worker.spot)
                 && !self.ground.checker.zone_is_full(spec, &worker.zone);
             let room = if allowed {
                 times(worker.free(), need).min(spec.tasks)
@@ -140,14 +140,14 @@
         }
         let most_in_zone = fitting.values().max().copied().unwrap_or(0);
         let all: u64 = fitting.values().sum();
-        (tasks <= if spec.one_zone { most_in_zone } else { all }).then_some(machines)
+        (tasks <= if spec.same_zone { most_in_zone } else { all }).then_some(machines)
     }
 }
 
 /// How many times a need fits into some room.
 fn times(free: Resources, need: Resources) -> u64 {
     let by = |free: u64, need: u64| free.checked_div(need).unwrap_or(u64::MAX);
-    by(free.cpus, need.cpus)
-        .min(by(free.gpus, need.gpus))
-        .min(by(free.memory, need.memory))
+    by(free.milli_cpus, need.milli_cpus)
+        .min(by(free.milli_gpus, need.milli_gpus))
+        .min(by(free.memory_mb, need.memory_mb))
 }
--- a/crates/simulator/src/world/ways.rs
+++ b/crates/simulator/src/world/ways.rs
@@ -149,7 +149,7 @@
                 ),
             );
         } else {
-            let lost = Input::CarriedAnswer(number, report.session, sent, to, None);
+            let lost = Input::CarriedAnswer(number, report.incarnation, sent, to, None);
             self.push(
                 at + CARRY_REPORT_MS * MS,
                 Event::To(host, life, Box::new(lost)),
@@ -168,7 +168,7 @@
         answer: HeartbeatAnswer,
     ) {
         let at = self.leaves(host) + self.travel();
-        let back = Input::CarriedAnswer(number, report.session, sent, host, Some(Box::new(answer)));
+        let back = Input::CarriedAnswer(number, report.incarnation, sent, host, Some(Box::new(answer)));
         self.push(at, Event::To(by.0, by.1, Box::new(back)));
     }
 
--- a/crates/simulator/src/world/workers.rs
+++ b/crates/simulator/src/world/workers.rs
@@ -112,7 +112,7 @@
     ) {
         let (now, hosts) = (self.now, self.hosts.len());
         let spread = 0.75 + 0.5 * self.rng.random::<f64>();
-        let next = (self.scenario.workers.report_s * 1e6 * spread) as u64;
+        let next = (self.scenario.workers.heartbeat_interval_s * 1e6 * spread) as u64;
         let node = self
             .workers
             .get(number)
--- a/crates/simulator/tests/largest.rs
+++ b/crates/simulator/tests/largest.rs
@@ -80,7 +80,7 @@
         submit(
             &mut world,
             JobSpec {
-                rank: Priority::Low,
+                priority: Priority::Low,
                 ..job(900, "blue", JobKind::Array, 600)
             },
             60,
@@ -89,8 +89,8 @@
             // A growing burst of whole machines: something lacks room all the time.
             for k in 0..2 {
                 let spec = JobSpec {
-                    rank: Priority::High,
-                    cores: 16.0,
+                    priority: Priority::High,
+                    cpus: 16.0,
                     gpus: 4.0,
                     ..job(step * 2 + k, "blue", JobKind::Array, 1)
                 };
@@ -124,7 +124,7 @@
         submit(
             &mut world,
             JobSpec {
-                rank: Priority::Low,
+                priority: Priority::Low,
                 ..job(n, "blue", JobKind::Array, 1)
             },
             200,
@@ -135,7 +135,7 @@
     submit(
         &mut world,
         JobSpec {
-            rank: Priority::Low,
+            priority: Priority::Low,
             class: "render".into(),
             ..job(900, "blue", JobKind::Array, 3_000)
         },
@@ -144,7 +144,7 @@
     submit(
         &mut world,
         JobSpec {
-            rank: Priority::Low,
+            priority: Priority::Low,
             class: "train".into(),
             ..job(901, "blue", JobKind::Gang, 8)
         },
@@ -180,15 +180,15 @@
         submit(
             &mut world,
             JobSpec {
-                rank: Priority::Production,
+                priority: Priority::Production,
                 ..job(901, "red", JobKind::Service, 12)
             },
             1,
         );
         let tiny = |n: u32, tasks: u64| JobSpec {
-            cores: 0.1,
+            cpus: 0.1,
             gpus: 0.0,
-            ram_gb: 0.05,
+            memory_gb: 0.05,
             ..job(n, "blue", JobKind::Array, tasks)
         };
         submit(&mut world, tiny(900, tasks), 150);
--- a/crates/simulator/tests/ledger.rs
+++ b/crates/simulator/tests/ledger.rs
@@ -30,7 +30,7 @@
 /// A gang of whole machines.
 fn gang(n: u32, team: &str, tasks: u64) -> JobSpec {
     JobSpec {
-        cores: 16.0,
+        cpus: 16.0,
         gpus: 4.0,
         class: "train".into(),
         ..job(n, team, JobKind::Gang, tasks)
--- a/crates/simulator/tests/links.rs
+++ b/crates/simulator/tests/links.rs
@@ -44,7 +44,7 @@
             &mut world,
             JobSpec {
                 spread: true,
-                spot: false,
+                allow_spot: false,
                 ..job(n, team, JobKind::Service, tasks)
             },
             1,
@@ -60,7 +60,7 @@
 fn halls(seed: u64, chances: Chances) -> World {
     let mut site = site(3, 16, chances);
     site.workers.lease_s = 24.0;
-    site.workers.cancel_s = 60.0;
+    site.workers.cancellation_deadline_s = 60.0;
     built(seed, site, HALLS)
 }
 
@@ -218,9 +218,9 @@
         .rows(world.now / 1_000);
     let row = rows
         .into_iter()
-        .find(|r| r.said_s == 0 && r.to == to && r.from == host_name(host))
+        .find(|r| r.age_s == 0 && r.to == to && r.from == host_name(host))
         .expect("a row");
-    (row.standing, row.carried_by)
+    (row.state, row.relayed_by)
 }
 
 #[test]
@@ -232,7 +232,7 @@
     world.down.insert(Link::OneWay(0, 2));
     world.run(8_000);
     assert_eq!(standing(&world, 0, "h01").0, LinkState::Down);
-    assert_eq!(standing(&world, 0, "h02").0, LinkState::OneWay);
+    assert_eq!(standing(&world, 0, "h02").0, LinkState::InboundOnly);
     assert_eq!(
         standing(&world, 0, "state service"),
         (LinkState::Down, None)
@@ -326,7 +326,7 @@
             );
         }
         let gang = JobSpec {
-            one_zone: true,
+            same_zone: true,
             ..job(14, "blue", JobKind::Gang, 3)
         };
         submit(&mut world, gang, 20);
@@ -401,7 +401,7 @@
             .events();
         let taken = events
             .iter()
-            .filter(|e| e.at > 55_000 && e.text.ends_with("taken"))
+            .filter(|e| e.at_ms > 55_000 && e.text.ends_with("taken"))
             .count();
         assert!(taken <= 4, "in two minutes: {events:?}");
         let swings = events
--- a/crates/simulator/tests/meetings.rs
+++ b/crates/simulator/tests/meetings.rs
@@ -28,9 +28,9 @@
 /// s of the second trouble after the first.
 fn offsets(scenario: &Scenario) -> Vec<f64> {
     let WorkerTiming {
-        report_s,
+        heartbeat_interval_s: report_s,
         lease_s,
-        cancel_s,
+        cancellation_deadline_s: cancel_s,
         ..
     } = scenario.workers;
     let (hold, blind) = (
@@ -54,9 +54,9 @@
 ) -> Scenario {
     let mut moved = scenario.clone();
     moved.workers = WorkerTiming {
-        report_s,
+        heartbeat_interval_s: report_s,
         lease_s,
-        cancel_s,
+        cancellation_deadline_s: cancel_s,
         ..moved.workers
     };
     let (first, later) = moved.faults.split_first_mut().expect("a trouble");
--- a/crates/simulator/tests/nights.rs
+++ b/crates/simulator/tests/nights.rs
@@ -101,7 +101,7 @@
     {
         let what = format!("{factor} times, {fail} never, {zone:?}");
         let mut scenario = site(3, 40, NO_FAULTS);
-        scenario.cloud.list_lag_s = 20.0;
+        scenario.cloud.list_staleness_s = 20.0;
         let mut world = built(k as u64, scenario);
         world.run(5_000);
         world.boots = Some((factor, fail, zone.map(str::to_owned)));
@@ -273,7 +273,7 @@
         submit(
             &mut world,
             JobSpec {
-                spot: false,
+                allow_spot: false,
                 ..job(n, "red", JobKind::Service, 1)
             },
             1,
@@ -282,7 +282,7 @@
     world.run(60_000);
     if guests {
         let idle = JobSpec {
-            rank: Priority::Low,
+            priority: Priority::Low,
             gpus: 0.0,
             ..job(100, "blue", JobKind::Array, MAX_TASKS)
         };
@@ -291,10 +291,10 @@
             submit(
                 &mut world,
                 JobSpec {
-                    rank: Priority::Low,
-                    cores: 0.5,
+                    priority: Priority::Low,
+                    cpus: 0.5,
                     gpus: 0.0,
-                    ram_gb: 0.5,
+                    memory_gb: 0.5,
                     ..job(1_000 + n, "blue", JobKind::Array, 1)
                 },
                 4,
@@ -307,8 +307,8 @@
         submit(
             &mut world,
             JobSpec {
-                rank: Priority::Production,
-                spot: false,
+                priority: Priority::Production,
+                allow_spot: false,
                 ..job(n, "red", JobKind::Service, 2)
             },
             1,
@@ -367,7 +367,7 @@
     submit(
         &mut world,
         JobSpec {
-            rank: Priority::Low,
+            priority: Priority::Low,
             ..job(0, "blue", JobKind::Array, 4)
         },
         20,
--- a/crates/simulator/tests/replay.rs
+++ b/crates/simulator/tests/replay.rs
@@ -24,7 +24,7 @@
 fn replay(format: Format, sample: &str, seed: u64) -> Outcome {
     let dir = tempfile::tempdir().expect("directory");
     let workload = dir.path().join("w.jsonl");
-    let machine = Some(Resources::offer(16.0, 4.0, 64.0));
+    let machine = Some(Resources::capacity(16.0, 4.0, 64.0));
     let result = import(
         format,
         &[example(sample)],
--- a/crates/simulator/tests/rules.rs
+++ b/crates/simulator/tests/rules.rs
@@ -84,13 +84,13 @@
     }
     let mut spread = job(10, "blue", JobKind::Service, 3);
     spread.spread = true;
-    spread.spot = false;
+    spread.allow_spot = false;
     submit(world, spread, 15, Some(70));
     submit(world, job(11, "red", JobKind::Gang, 1), 15, None);
     submit(
         world,
         JobSpec {
-            one_zone: true,
+            same_zone: true,
             ..job(12, "blue", JobKind::Gang, 6)
         },
         40,
@@ -278,7 +278,7 @@
     let mut world = world(75, 3, 12, NO_FAULTS);
     let service = JobSpec {
         spread: true,
-        spot: false,
+        allow_spot: false,
         ..job(1, "blue", JobKind::Service, 40)
     };
     submit(&mut world, service, 1, None);
@@ -323,9 +323,9 @@
         [(
             "red".to_owned(),
             Resources {
-                cpus: u64::MAX,
-                gpus: 2_000,
-                memory: u64::MAX,
+                milli_cpus: u64::MAX,
+                milli_gpus: 2_000,
+                memory_mb: u64::MAX,
             },
         )]
         .into(),
@@ -343,8 +343,8 @@
         c.submitted(&Arc::new(spec));
     }
     c.submitted(&Arc::new(JobSpec {
-        spot: false,
-        one_zone: true,
+        allow_spot: false,
+        same_zone: true,
         ..job(4, "blue", JobKind::Gang, 2)
     }));
     c
@@ -464,7 +464,7 @@
     submit(
         &mut world,
         JobSpec {
-            rank: Priority::Production,
+            priority: Priority::Production,
             ..job(2, "blue", JobKind::Service, 1)
         },
         1,
@@ -497,7 +497,7 @@
     submit(
         &mut world,
         JobSpec {
-            rank: Priority::High,
+            priority: Priority::High,
             ..job(1, "blue", JobKind::Array, 4)
         },
         20,
@@ -524,7 +524,7 @@
     let mut world = world(seed, 2, 12, NO_FAULTS);
     let service = JobSpec {
         spread: true,
-        spot: false,
+        allow_spot: false,
         ..job(1, "red", JobKind::Service, 4)
     };
     submit(&mut world, service, 1, None);
@@ -561,7 +561,7 @@
 fn an_outage_of_the_store_longer_than_a_lease_costs_no_task() {
     let mut world = world(74, 3, 12, NO_FAULTS);
     let service = JobSpec {
-        spot: false,
+        allow_spot: false,
         ..job(1, "red", JobKind::Service, 4)
     };
     submit(&mut world, service, 1, None);
--- a/crates/simulator/tests/troubles.rs
+++ b/crates/simulator/tests/troubles.rs
@@ -77,7 +77,7 @@
     assert!(
         reports
             .iter()
-            .all(|r| (r.session, r.token) == (1, 0) && r.seq <= 2 && r.tasks.is_empty()),
+            .all(|r| (r.incarnation, r.fencing_token) == (1, 0) && r.sequence <= 2 && r.tasks.is_empty()),
         "{reports:?}"
     );
     assert!(
--- a/crates/simulator/tests/watch.rs
+++ b/crates/simulator/tests/watch.rs
@@ -45,7 +45,7 @@
             &mut world,
             JobSpec {
                 spread: true,
-                spot: false,
+                allow_spot: false,
                 ..job(n, team, JobKind::Service, tasks)
             },
             1,
@@ -149,7 +149,7 @@
         submit(
             &mut world,
             JobSpec {
-                rank: Priority::Normal,
+                priority: Priority::Normal,
                 ..job(9, "blue", JobKind::Array, 3)
             },
             30,
@@ -264,7 +264,7 @@
     fill.writes.push(Write::Put {
         key: failover_key(0, 5),
         value: "what".into(),
-        hold: None,
+        lease: None,
     });
     // The store takes so many at a time.
     for write in fill.writes {
@@ -323,17 +323,17 @@
 #[test]
 fn five_hundred_services_on_one_part() {
     let mut site = site(3, 300, NO_FAULTS);
-    site.state.write_rps = 400.0;
-    site.state.txn_ops = 32;
+    site.state.writes_per_s = 400.0;
+    site.state.max_cas_ops = 32;
     let mut world = built(50, site);
     for n in 0..500 {
         submit(
             &mut world,
             JobSpec {
-                spot: false,
-                cores: 1.0,
+                allow_spot: false,
+                cpus: 1.0,
                 gpus: 0.25,
-                ram_gb: 1.0,
+                memory_gb: 1.0,
                 ..job(n, "blue", JobKind::Service, 2)
             },
             1,
@@ -345,7 +345,7 @@
     let now = world.now / 1_000;
     let watch = core.watch(now);
     assert_eq!(
-        (watch.services, watch.promised, watch.up, watch.short.len()),
+        (watch.services, watch.desired, watch.running, watch.under_replicated.len()),
         (500, 1_000, 1_000, 0)
     );
     let before = world.store.served.1;
@@ -374,23 +374,23 @@
         .as_ref()
         .expect("it runs")
         .watch(world.now / 1_000);
-    assert_eq!((watch.up, watch.short.len()), (1_000, 0));
+    assert_eq!((watch.running, watch.under_replicated.len()), (1_000, 0));
     assert_eq!(
-        watch.shards[0].holder.as_deref(),
+        watch.shards[0].leader.as_deref(),
         Some(host_name(second).as_str())
     );
     let third = world.hosts[3 - second].core.as_ref().expect("it runs");
     assert_eq!(
-        third.watch(world.now / 1_000).up,
+        third.watch(world.now / 1_000).running,
         1_000,
         "any node shows it"
     );
     assert_eq!(
         third
             .failovers(world.now / 1_000)
-            .changes
+            .failovers
             .first()
-            .and_then(|c| c.to.clone()),
+            .and_then(|c| c.new_leader.clone()),
         Some(host_name(second))
     );
     assert!(world.ground.checker.broken.is_empty());
@@ -424,7 +424,7 @@
             &mut world,
             JobSpec {
                 spread: true,
-                spot: false,
+                allow_spot: false,
                 ..job(n, team, JobKind::Service, 16)
             },
             1,
@@ -434,7 +434,7 @@
     submit(
         &mut world,
         JobSpec {
-            spot: false,
+            allow_spot: false,
             ..job(services, "red", JobKind::Service, 6)
         },
         1,
@@ -462,7 +462,7 @@
     submit(
         &mut world,
         JobSpec {
-            spot: false,
+            allow_spot: false,
             ..job(services + 1, "blue", JobKind::Array, 4)
         },
         60,
@@ -489,7 +489,7 @@
             h.core
                 .as_ref()
                 .filter(|_| h.holds(0))
-                .map(|c| c.watch(world.now / 1_000).short.len())
+                .map(|c| c.watch(world.now / 1_000).under_replicated.len())
         };
         if whole.is_none()
             && taken.is_some()
@@ -548,9 +548,9 @@
         .hosts
         .iter()
         .filter_map(|h| h.core.as_ref())
-        .flat_map(|c| c.watch(world.now / 1_000).short);
+        .flat_map(|c| c.watch(world.now / 1_000).under_replicated);
     rows.filter(|r| r.job == lemonweir_simulator::sample::id(n).to_string())
-        .max_by_key(|r| r.short_s)
+        .max_by_key(|r| r.under_replicated_s)
 }
 
 /// A replica on a machine that fetches for ever goes to one that has its image, as
@@ -562,7 +562,7 @@
     submit(
         &mut world,
         JobSpec {
-            spot: false,
+            allow_spot: false,
             ..job(0, "blue", JobKind::Service, 4)
         },
         1,
@@ -572,7 +572,7 @@
     submit(
         &mut world,
         JobSpec {
-            spot: false,
+            allow_spot: false,
             ..job(1, "blue", JobKind::Service, 2)
         },
         1,
@@ -590,13 +590,13 @@
             .iter_mut()
             .flatten()
             .filter(|w| !warm.contains(&w.number))
-            .for_each(|w| w.kind.fetch_gb_per_s = 0.000_1);
+            .for_each(|w| w.kind.image_pull_gb_per_s = 0.000_1);
         world.run(100);
     }
     let before = row(&world, 1).expect("it is short");
-    assert_eq!(before.up, 0);
+    assert_eq!(before.running, 0);
     assert!(
-        before.tried.is_empty() && before.short_s.is_some_and(|s| s >= 50),
+        before.escalations.is_empty() && before.under_replicated_s.is_some_and(|s| s >= 50),
         "nothing better is known: {before:?}"
     );
     // The machine with the image becomes free.
@@ -613,7 +613,7 @@
 fn a_service_takes_what_it_avoided_when_nothing_else_is_left() {
     let mut world = built(61, site(3, 1, NO_FAULTS));
     let north = |n| JobSpec {
-        spot: false,
+        allow_spot: false,
         zone: Some("north".into()),
         ..job(n, "blue", JobKind::Service, 1)
     };
@@ -636,7 +636,7 @@
     assert_eq!(live(&world), 1, "it avoids the only machine");
     world.run(15_000);
     let told = row(&world, 1).expect("it is short");
-    assert!(told.lacks.contains("0 of 1 replicas up for"), "{told:?}");
+    assert!(told.blocked_by.contains("0 of 1 replicas up for"), "{told:?}");
     world.run(25_000);
     assert_eq!(live(&world), 2, "{:?}", row(&world, 1));
     assert!(world.ground.checker.broken.is_empty());
--- a/crates/simulator/tests/weights.rs
+++ b/crates/simulator/tests/weights.rs
@@ -31,11 +31,11 @@
     let team = ["red", "blue"][n as usize % 2];
     JobSpec {
         class: "model".into(),
-        rank: Priority::Production,
-        spot: false,
+        priority: Priority::Production,
+        allow_spot: false,
         image: image.into(),
         image_gb: gb,
-        checkpoint_s: 0.0,
+        checkpoint_interval_s: 0.0,
         ..job(n, team, JobKind::Service, replicas)
     }
 }
@@ -72,7 +72,7 @@
     }
 
     fn submit(&mut self, spec: JobSpec, run_s: u64) {
-        if spec.shape == JobKind::Service {
+        if spec.kind == JobKind::Service {
             self.services.push(spec.clone());
         }
         let load = Load {
@@ -106,14 +106,14 @@
         {
             let (machine, zone) = (w.number, w.zone.clone());
             for t in w.report(now).tasks {
-                let Some(attempt) = AttemptId::parse(&t.piece, t.attempt) else {
+                let Some(attempt) = AttemptId::parse(&t.task, t.attempt) else {
                     continue;
                 };
                 let Some(&n) = names.get(&attempt.job) else {
                     continue;
                 };
                 match t.phase {
-                    TaskPhase::Fetching => {
+                    TaskPhase::PullingImage => {
                         under_way.insert((machine, n));
                         *self.seen.fetched.entry(attempt).or_default() += 0.5;
                     }
@@ -329,24 +329,24 @@
                 .expect("runs")
                 .weights("m-0", lab.world.now / 1_000);
             assert_eq!(
-                (picture.mb, picture.users.len(), picture.users[0].tasks),
+                (picture.size_mb, picture.users.len(), picture.users[0].tasks),
                 (Some(40_000), 1, 2)
             );
             assert_eq!(
-                picture.zones.iter().filter(|z| z.here > 0).count(),
+                picture.zones.iter().filter(|z| z.cached > 0).count(),
                 zones[0].len()
             );
             assert!(
                 picture
                     .zones
                     .iter()
-                    .all(|z| (z.left > 0) == zones[0].iter().any(|zone| *zone != z.zone))
+                    .all(|z| (z.cached_elsewhere > 0) == zones[0].iter().any(|zone| *zone != z.zone))
             );
             assert!(
                 picture
                     .shards
                     .iter()
-                    .all(|p| p.told_s.is_some_and(|s| s < 10))
+                    .all(|p| p.age_s.is_some_and(|s| s < 10))
             );
         }
         lab.lose(&hall);
@@ -491,7 +491,7 @@
         let spec = JobSpec {
             image: format!("b-{}", k % 14),
             image_gb: 7.0,
-            spot: false,
+            allow_spot: false,
             ..job(10_000 + k, "blue", JobKind::Array, 20)
         };
         lab.submit(spec, 60);
--- a/crates/storage/src/dependencies.rs
+++ b/crates/storage/src/dependencies.rs
@@ -61,7 +61,7 @@
 /// pages first, which mean nothing by themselves, then the job, which counts.
 pub fn create_blocked_job(record: &JobRecord, txn_ops: usize) -> Vec<CompareAndSwap> {
     let id = &record.spec.id;
-    let mut pages = record.spec.awaits.chunks(AWAITS_PAGE);
+    let mut pages = record.spec.depends_on.chunks(AWAITS_PAGE);
     let first = pages.next().unwrap_or_default().to_vec();
     let rest: Vec<Write> = pages
         .zip(1..)
@@ -82,8 +82,8 @@
         })
         .collect();
     let mut head = record.clone();
-    head.dependency_count = record.spec.awaits.len();
-    head.spec.awaits = first;
+    head.dependency_count = record.spec.depends_on.len();
+    head.spec.depends_on = first;
     cas_list.push(CompareAndSwap {
         conditions: job_absent_conditions(id),
         writes: vec![Write::put(blocked_job_key(id), &head)],
@@ -139,7 +139,7 @@
         version: *version,
     }));
     let mut job = record.clone();
-    job.spec.awaits.clear();
+    job.spec.depends_on.clear();
     job.dependency_count = 0;
     CompareAndSwap {
         conditions,
--- a/crates/storage/src/records.rs
+++ b/crates/storage/src/records.rs
@@ -317,7 +317,7 @@
         writes: vec![Write::Put {
             key,
             value: to_value(&record),
-            hold: Some(hold),
+            lease: Some(hold),
         }],
     };
     entry.add_to(&mut cas);
@@ -366,7 +366,7 @@
         writes: vec![Write::Put {
             key: controller_key(host),
             value: to_value(&record),
-            hold: Some(hold),
+            lease: Some(hold),
         }],
     }
 }
@@ -412,9 +412,9 @@
     /// What it carries.
     pub kind: StoreMessageKind,
     /// Part of the sender.
-    pub from: u16,
+    pub from_shard: u16,
     /// Part of the receiver.
-    pub to: u16,
+    pub to_shard: u16,
 }
 
 /// Reads line and piece from the key below `w/mail/`.
@@ -427,8 +427,8 @@
     };
     let line = StoreMessageRoute {
         kind,
-        from: segments.next()?.parse().ok()?,
-        to: segments.next()?.parse().ok()?,
+        from_shard: segments.next()?.parse().ok()?,
+        to_shard: segments.next()?.parse().ok()?,
     };
     Some((line, segments.next()?.parse().ok()?))
 }
@@ -466,9 +466,9 @@
         })
     };
     let put = |(k, piece): (usize, &&[u8])| Write::Put {
-        key: store_message_key(line.kind, line.from, line.to, k),
+        key: store_message_key(line.kind, line.from_shard, line.to_shard, k),
         value: value(piece),
-        hold: Some(hold),
+        lease: Some(hold),
     };
     CompareAndSwap {
         conditions: Vec::new(),
--- a/crates/storage/src/state_cache.rs
+++ b/crates/storage/src/state_cache.rs
@@ -273,7 +273,7 @@
     /// The jobs that one awaits, if all pages of them are here.
     pub fn dependencies(&self, id: &JobId) -> Option<Vec<JobId>> {
         let record = &self.blocked_jobs.get(id)?.record;
-        let mut awaits = record.spec.awaits.clone();
+        let mut awaits = record.spec.depends_on.clone();
         for page in 1.. {
             if awaits.len() >= record.dependency_count {
                 break;
--- a/crates/storage/tests/golden_records.rs
+++ b/crates/storage/tests/golden_records.rs
@@ -121,24 +121,24 @@
             id: id(412),
             class: "train".into(),
             team: "vision".into(),
-            shape: JobKind::Gang,
-            rank: Priority::High,
+            kind: JobKind::Gang,
+            priority: Priority::High,
             tasks: 16,
-            cores: 8.25,
+            cpus: 8.25,
             gpus: 1.0,
-            ram_gb: 64.5,
-            types: Some(vec!["g8".into()]),
+            memory_gb: 64.5,
+            machine_types: Some(vec!["g8".into()]),
             zone: None,
-            one_zone: true,
+            same_zone: true,
             spread: false,
-            spot: true,
+            allow_spot: true,
             image: "img-07".into(),
             image_gb: 6.2,
-            estimate_s: 240.0,
-            checkpoint_s: 30.0,
-            save_s: 4.0,
+            estimated_runtime_s: 240.0,
+            checkpoint_interval_s: 30.0,
+            checkpoint_duration_s: 4.0,
             deadline_s: Some(900.0),
-            awaits: (1..=awaits).map(id).collect(),
+            depends_on: (1..=awaits).map(id).collect(),
         },
         submitted_at_ms: NOW,
         cancel_requested: withdrawn,
@@ -158,9 +158,9 @@
     TaskChunkRecord {
         team: "vision".into(),
         task_resources: Resources {
-            cpus: 8_250,
-            gpus: 1_000,
-            memory: 64_500,
+            milli_cpus: 8_250,
+            milli_gpus: 1_000,
+            memory_mb: 64_500,
         },
         next_attempt: 9,
         done_ranges: vec![(first, first + 2), (first + 4, first + 4)],
@@ -385,8 +385,8 @@
     ] {
         let line = StoreMessageRoute {
             kind,
-            from: 1,
-            to: 2,
+            from_shard: 1,
+            to_shard: 2,
         };
         assert_eq!(parse_store_message_key(rest), Some((line, 3)));
     }
@@ -421,8 +421,8 @@
     ] {
         let line = StoreMessageRoute {
             kind,
-            from: 1,
-            to: 2,
+            from_shard: 1,
+            to_shard: 2,
         };
         golden.cas(name, &post(line, (42, 7), &[0, 1, 2, 253, 254], 3, 9));
     }
--- a/crates/storage/tests/packed.rs
+++ b/crates/storage/tests/packed.rs
@@ -22,7 +22,7 @@
     };
     TaskChunkRecord {
         team: "loketteam-00".into(),
-        task_resources: Resources::offer(5.25, 1.0, 27.125),
+        task_resources: Resources::capacity(5.25, 1.0, 27.125),
         next_attempt: 99,
         done_ranges: Vec::new(),
         live_attempts: (0..CHUNK_TASKS).map(live).collect(),
--- a/crates/storage/tests/versions.rs
+++ b/crates/storage/tests/versions.rs
@@ -32,9 +32,9 @@
 #[test]
 fn records_of_the_version_before_are_read() {
     let job: JobRecord = from_value(&sample("job")).expect("a job");
-    assert!(job.cancel_requested && job.dependency_count == 0 && job.spec.awaits.is_empty());
+    assert!(job.cancel_requested && job.dependency_count == 0 && job.spec.depends_on.is_empty());
     assert_eq!(
-        (job.spec.id.as_str(), job.spec.rank, job.spec.shape),
+        (job.spec.id.as_str(), job.spec.priority, job.spec.kind),
         ("req-000412", Priority::High, JobKind::Gang)
     );
     let node: ControllerRecord = from_value(&sample("node")).expect("a node");
@@ -76,7 +76,7 @@
 fn messages_are_those_of_the_version_before() {
     let sync: SyncRequest = peer::read(&message("sync")).expect("a sync");
     assert_eq!(
-        (sync.wants.len(), sync.notes.len(), peer::write(&sync)),
+        (sync.desired.len(), sync.progress.len(), peer::write(&sync)),
         (1, 1, message("sync"))
     );
     let view: ShardView = peer::read(&message("view")).expect("a view");
@@ -117,7 +117,7 @@
 #[test]
 fn the_version_before_reads_what_may_start_and_nothing_that_waits() {
     let mut spec: JobSpec = from_value::<JobRecord>(&sample("job")).expect("a job").spec;
-    spec.awaits = vec![JobId::from("req-000001")];
+    spec.depends_on = vec![JobId::from("req-000001")];
     let record = JobRecord {
         spec,
         submitted_at_ms: 7,
@@ -160,7 +160,7 @@
     );
     assert_eq!((earlier.at, earlier.withdrawn), (7, false));
     assert!(
-        from_value::<JobRecord>(value).is_some_and(|job| job.spec.awaits.is_empty()),
+        from_value::<JobRecord>(value).is_some_and(|job| job.spec.depends_on.is_empty()),
         "nothing is lost if it writes it back"
     );
     let shown = register_controller("hutte-0", "eemsmond", 1, Vec::new());
--- a/crates/trace/src/formats/alibaba.rs
+++ b/crates/trace/src/formats/alibaba.rs
@@ -162,8 +162,8 @@
             }
             if row.good {
                 let need = Resources {
-                    memory,
-                    ..Resources::need(cpus, 0.0, 0.0)
+                    memory_mb: memory,
+                    ..Resources::request(cpus, 0.0, 0.0)
                 };
                 out(batch(row, id, f[3], from, to, tasks, need, JobKind::Array));
             }
@@ -180,8 +180,8 @@
             // A container has a row for each look at it; the first is its begin.
             if row.good && names.first(f[0]) {
                 let need = Resources {
-                    memory,
-                    ..Resources::need(cpus, 0.0, 0.0)
+                    memory_mb: memory,
+                    ..Resources::request(cpus, 0.0, 0.0)
                 };
                 let entry = batch(
                     row,
@@ -220,7 +220,7 @@
     if x > 100.0 {
         row.fault(field, format!("{x} is over 100 %"));
     }
-    (machine.memory as f64 * x / 100.0).ceil() as u64
+    (machine.memory_mb as f64 * x / 100.0).ceil() as u64
 }
 
 #[allow(clippy::too_many_arguments)]
@@ -291,7 +291,7 @@
                     from,
                     to,
                     tasks,
-                    Resources::need(cpus, gpus, memory),
+                    Resources::request(cpus, gpus, memory),
                     shape,
                 ));
             }
--- a/crates/trace/src/formats/mod.rs
+++ b/crates/trace/src/formats/mod.rs
@@ -43,9 +43,9 @@
 fn share(machine: Resources, cpus: f64, memory: f64) -> Resources {
     let of = |whole: u64, part: f64| (whole as f64 * part).ceil() as u64;
     Resources {
-        cpus: of(machine.cpus, cpus),
-        gpus: 0,
-        memory: of(machine.memory, memory),
+        milli_cpus: of(machine.milli_cpus, cpus),
+        milli_gpus: 0,
+        memory_mb: of(machine.memory_mb, memory),
     }
 }
 
--- a/crates/trace/src/formats/philly.rs
+++ b/crates/trace/src/formats/philly.rs
@@ -135,7 +135,7 @@
             JobKind::Array
         },
         tasks,
-        need: Resources::need(0.0, gpus as f64, 0.0),
+        need: Resources::request(0.0, gpus as f64, 0.0),
         run_ms: vec![run_ms],
         constraints: Vec::new(),
         from: format!("{}:{}", row.file, row.line),
--- a/crates/trace/src/formats/swf.rs
+++ b/crates/trace/src/formats/swf.rs
@@ -123,7 +123,7 @@
             JobKind::Array
         },
         tasks,
-        need: Resources::need(1.0, 0.0, memory_kb / 1e6),
+        need: Resources::request(1.0, 0.0, memory_kb / 1e6),
         run_ms: vec![(run.unwrap_or(0.0) * 1e3) as u64],
         constraints: Vec::new(),
         from: format!("{}:{}", row.file, row.line),
--- a/crates/trace/src/import.rs
+++ b/crates/trace/src/import.rs
@@ -106,7 +106,7 @@
                 format!("{why}: state the machine's size with --machine"),
             );
             // The rest is checked all the same.
-            Resources::offer(1.0, 1.0, 1.0)
+            Resources::capacity(1.0, 1.0, 1.0)
         }
     };
     for path in files {
--- a/crates/trace/tests/readers.rs
+++ b/crates/trace/tests/readers.rs
@@ -16,7 +16,7 @@
 }
 
 fn machine() -> Option<Resources> {
-    Some(Resources::offer(16.0, 4.0, 64.0))
+    Some(Resources::capacity(16.0, 4.0, 64.0))
 }
 
 /// Faults as `line: field`.
@@ -302,9 +302,9 @@
     assert_eq!(
         e.need,
         Resources {
-            cpus: 1_000,
-            gpus: 0,
-            memory: 1_000
+            milli_cpus: 1_000,
+            milli_gpus: 0,
+            memory_mb: 1_000
         }
     );
     // Shares of 16 processors and 64 GB; 400 is four processors.
@@ -313,7 +313,7 @@
         "google-2011/task_events-small.csv",
         "6030",
     );
-    assert_eq!(e.need.cpus, 500);
+    assert_eq!(e.need.milli_cpus, 500);
     let e = one(
         Format::Alibaba2018,
         "alibaba-2018/container_meta-small.csv",
@@ -323,9 +323,9 @@
         (e.need, e.shape, e.rank),
         (
             Resources {
-                cpus: 4_000,
-                gpus: 0,
-                memory: 1_984
+                milli_cpus: 4_000,
+                milli_gpus: 0,
+                memory_mb: 1_984
             },
             JobKind::Service,
             Priority::Production
@@ -338,7 +338,7 @@
     )
     .expect("written");
     let shares: BTreeMap<u64, usize> = all.iter().fold(BTreeMap::new(), |mut m, e| {
-        *m.entry(e.need.gpus).or_default() += 1;
+        *m.entry(e.need.milli_gpus).or_default() += 1;
         m
     });
     assert_eq!(
--- a/fuzz/tests/edges.rs
+++ b/fuzz/tests/edges.rs
@@ -60,7 +60,7 @@
         std::fs::write(&file, edited(&good, edits)).expect("written");
         let run = || {
             let mut faults: Vec<Fault> = Vec::new();
-            let machine = Some(Resources::offer(16.0, 4.0, 64.0));
+            let machine = Some(Resources::capacity(16.0, 4.0, 64.0));
             let result =
                 lemonweir_trace::check(format, std::slice::from_ref(&file), machine, &mut |f| {
                     faults.push(f.clone())
@@ -140,13 +140,13 @@
     let report = Heartbeat {
         machine: MachineId::from("n-000001"),
         address: "10.0.0.1:9000".into(),
-        kind: "box".into(),
+        machine_type: "box".into(),
         zone: "north".into(),
         spot: true,
-        session: 1,
-        seq: 2,
-        token: 3,
-        notice_s: Some(1.5),
+        incarnation: 1,
+        sequence: 2,
+        fencing_token: 3,
+        reclaim_notice_s: Some(1.5),
         tasks: Vec::new(),
     };
     let goods = [encode(&spec), encode(&report)];
@@ -158,15 +158,15 @@
                 assert!(
                     JobId::parse(spec.id.as_str()).is_some()
                         && spec.tasks > 0
-                        && spec.need().cpus < u64::MAX
+                        && spec.task_resources().milli_cpus < u64::MAX
                 );
             }
             // What is understood can be said again, and is understood the same.
             if let Ok(report) = decode::<Heartbeat>(&bytes) {
                 let again = decode::<Heartbeat>(&encode(&report)).expect("what we wrote");
                 assert_eq!(
-                    (again.machine, again.seq, again.token),
-                    (report.machine, report.seq, report.token)
+                    (again.machine, again.sequence, again.fencing_token),
+                    (report.machine, report.sequence, report.fencing_token)
                 );
             }
             let _ = (
@@ -194,39 +194,39 @@
             attempt: 1,
         },
         machine: MachineId::from("n-000001"),
-        need: Resources::offer(1.0, 0.0, 1.0),
+        resources: Resources::capacity(1.0, 0.0, 1.0),
         image: "i".into(),
         image_mb: 1,
-        go: true,
-        kill: None,
+        may_start: true,
+        stop_grace_s: None,
         team: "t".into(),
-        rank: Priority::Normal,
-        over: false,
-        grace: 0,
-        lasting: false,
-        evict: PreemptionScope::Nobody,
+        priority: Priority::Normal,
+        over_quota: false,
+        preemption_grace_s: 0,
+        runs_until_cancelled: false,
+        preemption: PreemptionScope::Nobody,
     };
     let good = peer::write(&SyncRequest {
         version: lemonweir_model::constants::PEER_VERSION,
-        from: 0,
-        from_token: 1,
-        to: 1,
-        to_token: 2,
+        from_shard: 0,
+        from_fencing_token: 1,
+        to_shard: 1,
+        to_fencing_token: 2,
         seq: 3,
         store_age_ms: 4,
-        span: ChangeRange {
+        range: ChangeRange {
             since: 0,
-            upto: 1,
-            last: true,
+            until: 1,
+            complete: true,
         },
-        wants: vec![want],
-        dropped: Vec::new(),
+        desired: vec![want],
+        withdrawn: Vec::new(),
         stops: Vec::new(),
-        have: ObservedState::default(),
-        strays: 0,
-        rented: Vec::new(),
-        keep: Vec::new(),
-        notes: Vec::new(),
+        observed: ObservedState::default(),
+        misrouted_heartbeats: 0,
+        provisioned: Vec::new(),
+        reserved_machines: Vec::new(),
+        progress: Vec::new(),
     });
     check!().with_type::<Edits>().for_each(|edits| {
         let bytes = edited(&good, edits);
@@ -285,11 +285,11 @@
 fn link_messages() {
     let word = AvailabilityGossip {
         version: LINKS_VERSION,
-        host: 1,
-        store_ms: Some(40),
-        cloud_ms: None,
-        peers: vec![(0, LinkState::OneWay, 900), (2, LinkState::Up, 3)],
-        zones: vec![("north".into(), 12), ("south".into(), 90_000)],
+        controller: 1,
+        store_age_ms: Some(40),
+        cloud_age_ms: None,
+        peers: vec![(0, LinkState::InboundOnly, 900), (2, LinkState::Up, 3)],
+        unreachable_zones: vec![("north".into(), 12), ("south".into(), 90_000)],
     };
     let carry = RelayRequest {
         version: LINKS_VERSION,
@@ -301,15 +301,15 @@
     };
     let carried = RelayResponse {
         version: LINKS_VERSION,
-        outcome: RelayOutcome::Answer {
+        outcome: RelayOutcome::Answered {
             status: 200,
             body: vec![4],
         },
     };
     let reports = RelayedHeartbeats {
         version: LINKS_VERSION,
-        by: 2,
-        reports: vec![vec![5, 6], Vec::new()],
+        relayed_by: 2,
+        heartbeats: vec![vec![5, 6], Vec::new()],
     };
     let answers = RelayedResponses {
         version: LINKS_VERSION,
@@ -340,15 +340,15 @@
                 let mut core =
                     Core::new(Config::new(&scenario.settings(0)), scenario.policy.clone());
                 let own = core.links.hail_in(word.clone(), 1_000);
-                assert_eq!((own.version, own.host), (LINKS_VERSION, 0));
+                assert_eq!((own.version, own.controller), (LINKS_VERSION, 0));
                 core.links
-                    .hailed(word.host, true, Some(word.clone()), 1_100);
+                    .hailed(word.controller, true, Some(word.clone()), 1_100);
                 for at in [2_000, 4_000] {
                     core.links.tried(Service::Store, 0, false, at);
                 }
                 let by = core.links.route(Service::Store, 0, 4_100);
                 assert!(
-                    by.is_none_or(|by| by == word.host && by != 0),
+                    by.is_none_or(|by| by == word.controller && by != 0),
                     "only one that said so carries"
                 );
                 assert!(core.links.rows(5_000).iter().all(|r| !r.to.is_empty()));
--- a/src/image_locality.rs
+++ b/src/image_locality.rs
@@ -14,7 +14,7 @@
         return call(node, "GET", &path, &[]);
     }
     let picture: ImageLocalityReport = ask(node, &path)?;
-    let gb = picture.mb.map_or_else(
+    let gb = picture.size_mb.map_or_else(
         || "size unknown".to_owned(),
         |mb| format!("{:.1} GB", mb as f64 / 1000.0),
     );
@@ -31,24 +31,24 @@
         "left without the zone",
     ]);
     for z in &picture.zones {
-        let name = if z.hidden {
+        let name = if z.partitioned {
             format!("{} (out of sight)", z.zone)
         } else {
             z.zone.clone()
         };
         zones.add_row([
             name,
-            z.here.to_string(),
-            z.open.to_string(),
-            z.coming.to_string(),
-            z.left.to_string(),
+            z.cached.to_string(),
+            z.schedulable.to_string(),
+            z.pulling.to_string(),
+            z.cached_elsewhere.to_string(),
         ]);
     }
     let mut shards = table(["part", "told s ago"]);
     for p in &picture.shards {
         shards.add_row([
             p.shard.to_string(),
-            p.told_s
+            p.age_s
                 .map_or_else(|| "never".to_owned(), |s| s.to_string()),
         ]);
     }
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -41,22 +41,22 @@
         "said s ago",
     ]);
     for l in &picture.links {
-        let took = l.took_ms.map(|(half, most)| format!("{half} / {most}"));
+        let took = l.latency_ms.map(|(half, most)| format!("{half} / {most}"));
         table.add_row([
             l.from.clone(),
             l.to.clone(),
-            standing(l.standing).to_owned(),
+            standing(l.state).to_owned(),
             l.for_s.to_string(),
-            l.carried_by.clone().unwrap_or_default(),
+            l.relayed_by.clone().unwrap_or_default(),
             took.unwrap_or_default(),
-            l.said_s.to_string(),
+            l.age_s.to_string(),
         ]);
     }
     println!("{table}");
-    if picture.carried_workers > 0 {
+    if picture.relayed_workers > 0 {
         println!(
             "carries the reports of {} workers to their owners",
-            picture.carried_workers
+            picture.relayed_workers
         );
     }
     Ok(ExitCode::SUCCESS)
@@ -70,7 +70,7 @@
     let events: Vec<EventRow> = ask(node, "/v1/events")?;
     let mut table = table(["time of day (UTC)", "event"]);
     for e in events {
-        table.add_row([time_of_day(e.at), e.text]);
+        table.add_row([time_of_day(e.at_ms), e.text]);
     }
     println!("{table}");
     Ok(ExitCode::SUCCESS)
@@ -88,8 +88,8 @@
     match s {
         LinkState::Unknown => "unknown",
         LinkState::Up => "up",
-        LinkState::Late => "late",
-        LinkState::OneWay => "down one way",
+        LinkState::Suspect => "late",
+        LinkState::InboundOnly => "down one way",
         LinkState::Down => "down",
     }
 }
--- a/src/supervision.rs
+++ b/src/supervision.rs
@@ -15,16 +15,16 @@
     let watch: SupervisionReport = ask(node, "/v1/watch")?;
     let mut shards = table(["part", "home", "holder", "since (UTC)"]);
     for p in watch.shards {
-        let holder = p.holder.unwrap_or_else(|| "nobody".into());
+        let holder = p.leader.unwrap_or_else(|| "nobody".into());
         shards.add_row([
             p.shard.to_string(),
-            p.home,
+            p.preferred_leader,
             holder,
-            p.since.map(time_of_day).unwrap_or_default(),
+            p.leader_since_ms.map(time_of_day).unwrap_or_default(),
         ]);
     }
     println!("{shards}\n");
-    if !watch.short.is_empty() {
+    if !watch.under_replicated.is_empty() {
         let mut short = table([
             "service",
             "class",
@@ -36,7 +36,7 @@
             "lacks",
             "tried",
         ]);
-        for s in watch.short {
+        for s in watch.under_replicated {
             let zones: Vec<String> = s
                 .zones
                 .iter()
@@ -46,22 +46,22 @@
             short.add_row([
                 s.job,
                 s.class,
-                format!("{} of {}", s.up, s.promised),
+                format!("{} of {}", s.running, s.desired),
                 zones.join(", "),
-                number(s.short_s),
-                s.doing,
-                s.due_s.map(|n| n.to_string()).unwrap_or_default(),
-                s.lacks,
-                s.tried.join("; "),
+                number(s.under_replicated_s),
+                s.action,
+                s.due_in_s.map(|n| n.to_string()).unwrap_or_default(),
+                s.blocked_by,
+                s.escalations.join("; "),
             ]);
         }
         println!("{short}\n");
     }
     println!(
         "{} of {} replicas of {} services are up",
-        watch.up, watch.promised, watch.services
+        watch.running, watch.desired, watch.services
     );
-    println!("{}", age(&watch.host, watch.age_ms));
+    println!("{}", age(&watch.host, watch.store_age_ms));
     Ok(ExitCode::SUCCESS)
 }
 
@@ -86,27 +86,27 @@
         "found",
     ];
     let mut rows = table(head);
-    for c in told.changes {
+    for c in told.failovers {
         let up = c.up.map(|(replicas, others, machines)| {
             format!("{replicas} replicas, {others} others, {machines} machines")
         });
-        let open = if c.to.is_some() {
+        let open = if c.new_leader.is_some() {
             "not written yet"
         } else {
             ""
         };
-        let (first, whole, replicas, found) = c.closed.map_or(
+        let (first, whole, replicas, found) = c.completion.map_or(
             (String::new(), String::new(), String::new(), open.to_owned()),
             closed,
         );
         rows.add_row([
-            time_of_day(c.at),
+            time_of_day(c.at_ms),
             c.shard.to_string(),
-            c.n.to_string(),
-            c.from.unwrap_or_default(),
-            c.to.unwrap_or_default(),
-            c.how,
-            c.token.map(|t| t.to_string()).unwrap_or_default(),
+            c.number.to_string(),
+            c.previous_leader.unwrap_or_default(),
+            c.new_leader.unwrap_or_default(),
+            c.change,
+            c.fencing_token.map(|t| t.to_string()).unwrap_or_default(),
             up.unwrap_or_default(),
             first,
             whole,
@@ -115,7 +115,7 @@
         ]);
     }
     println!("{rows}");
-    println!("{}", age(&told.host, told.age_ms));
+    println!("{}", age(&told.host, told.store_age_ms));
     Ok(ExitCode::SUCCESS)
 }
 
@@ -126,11 +126,11 @@
         .map(|(found, anew)| format!("{found} found up, {anew} started"));
     let gaps = c.gaps.iter().map(|(class, ms)| format!("{class} {ms} ms"));
     let unknown = c.unknown.iter().map(|what| format!("unknown: {what}"));
-    let held = c.held_ms.map(|ms| format!("held for {ms} ms"));
+    let held = c.leadership_ms.map(|ms| format!("held for {ms} ms"));
     let found: Vec<String> = gaps.chain(held).chain(unknown).collect();
     (
         ms(c.first_start_ms),
-        ms(c.whole_ms),
+        ms(c.services_restored_ms),
         replicas.unwrap_or_default(),
         found.join("; "),
     )
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -39,11 +39,11 @@
 /// A store that takes whatever comes.
 fn unlimited() -> KvStoreLimits {
     KvStoreLimits {
-        rps: 1e9,
-        write_rps: 1e9,
-        value_kb: 1e6,
-        txn_ops: 1_000_000,
-        next: None,
+        requests_per_s: 1e9,
+        writes_per_s: 1e9,
+        max_value_kib: 1e6,
+        max_cas_ops: 1_000_000,
+        upcoming: None,
     }
 }
 
@@ -80,7 +80,7 @@
                 Ok(hold) => Reply::new(
                     200,
                     encode(&LeaseResponse {
-                        hold: store.hold(hold.ttl_ms * 1_000_000, 0),
+                        lease: store.hold(hold.ttl_ms * 1_000_000, 0),
                     }),
                 ),
                 Err(_) => Reply::empty(400),
@@ -115,7 +115,7 @@
                     200,
                     encode(&ListResponse {
                         entries,
-                        more,
+                        truncated: more,
                         revision: store.revision,
                     }),
                 )
@@ -385,7 +385,7 @@
     let bad = lemonweir_protocol::kv_store::Write::Put {
         key: "w/job/req-000900".into(),
         value: to_value(&"no record"),
-        hold: None,
+        lease: None,
     };
     store.cas(&CompareAndSwap {
         conditions: Vec::new(),
@@ -407,7 +407,7 @@
     assert!(read <= 2 + 300 / 200, "{read} readings for 300 ends");
     // Long after, with a machine type that is no more.
     let gone = JobSpec {
-        types: Some(vec!["no-such".into()]),
+        machine_types: Some(vec!["no-such".into()]),
         ..job(7, "red", JobKind::Array, 1)
     };
     assert_eq!(
@@ -415,7 +415,7 @@
         is("done")
     );
     let never = JobSpec {
-        types: Some(vec!["no-such".into()]),
+        machine_types: Some(vec!["no-such".into()]),
         ..job(800, "red", JobKind::Array, 1)
     };
     assert_eq!(user.ask("POST", "/v1/jobs", &encode(&never)).0, 422);
--- a/tests/edges.rs
+++ b/tests/edges.rs
@@ -232,7 +232,7 @@
 fn demand(count: u32, spot: bool) -> CapacityDemand {
     CapacityDemand {
         team: "red".into(),
-        need: Resources::offer(4.0, 1.0, 8.0),
+        need: Resources::capacity(4.0, 1.0, 8.0),
         types: None,
         zone: None,
         spot,
@@ -292,7 +292,7 @@
         kind: "box".into(),
         zone: "north".into(),
         spot: false,
-        free: Resources::offer(16.0, 4.0, 64.0),
+        free: Resources::capacity(16.0, 4.0, 64.0),
     };
     assert!(
         rented(demand(4, false), &[booting]).is_empty(),
