--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -144,7 +144,9 @@
 
     /// True if `need` fits into this room in every resource.
     pub fn covers(&self, need: &Resources) -> bool {
-        self.milli_cpus >= need.milli_cpus && self.milli_gpus >= need.milli_gpus && self.memory_mb >= need.memory_mb
+        self.milli_cpus >= need.milli_cpus
+            && self.milli_gpus >= need.milli_gpus
+            && self.memory_mb >= need.memory_mb
     }
 
     /// The sum.
--- a/crates/model/src/settings.rs
+++ b/crates/model/src/settings.rs
@@ -117,12 +117,14 @@
 
     /// KiB that a value may have now and later.
     pub fn lowest_max_value_kib(&self) -> f64 {
-        self.max_value_kib.min(self.next().max_value_kib.unwrap_or(f64::MAX))
+        self.max_value_kib
+            .min(self.next().max_value_kib.unwrap_or(f64::MAX))
     }
 
     /// Changes that a transaction may hold now and later.
     pub fn lowest_max_cas_ops(&self) -> usize {
-        self.max_cas_ops.min(self.next().max_cas_ops.unwrap_or(usize::MAX))
+        self.max_cas_ops
+            .min(self.next().max_cas_ops.unwrap_or(usize::MAX))
     }
 
     /// Changes a second that are taken now and later.
@@ -133,7 +135,8 @@
 
     /// Requests a second that are taken now and later.
     pub fn lowest_requests_per_s(&self) -> f64 {
-        self.requests_per_s.min(self.next().requests_per_s.unwrap_or(f64::MAX))
+        self.requests_per_s
+            .min(self.next().requests_per_s.unwrap_or(f64::MAX))
     }
 }
 
@@ -235,7 +238,11 @@
         check(!self.host_name.is_empty(), "host_name is empty".into());
         check(!c.zones.is_empty(), "cluster.zones is empty".into());
         check(!c.teams.is_empty(), "cluster.teams is empty".into());
-        let mut hosts: Vec<&str> = self.seed_controllers.iter().map(|s| s.host_name.as_str()).collect();
+        let mut hosts: Vec<&str> = self
+            .seed_controllers
+            .iter()
+            .map(|s| s.host_name.as_str())
+            .collect();
         hosts.push(&self.host_name);
         hosts.sort_unstable();
         check(
@@ -243,7 +250,12 @@
             "two controllers have the same host_name".into(),
         );
         check(hosts.len() <= 200, "more than 200 controllers".into());
-        for zone in self.seed_controllers.iter().map(|s| &s.zone).chain([&self.zone]) {
+        for zone in self
+            .seed_controllers
+            .iter()
+            .map(|s| &s.zone)
+            .chain([&self.zone])
+        {
             check(
                 c.zones.contains(zone),
                 format!("zone {zone} is not in cluster.zones"),
@@ -256,7 +268,10 @@
             "two teams have the same name".into(),
         );
         for t in &c.teams {
-            for (what, min, max) in [("cpus", t.guaranteed_cpus, t.max_cpus), ("gpus", t.guaranteed_gpus, t.max_gpus)] {
+            for (what, min, max) in [
+                ("cpus", t.guaranteed_cpus, t.max_cpus),
+                ("gpus", t.guaranteed_gpus, t.max_gpus),
+            ] {
                 check(
                     min.is_finite() && max.is_finite() && min >= 0.0 && max >= 0.0,
                     format!("team {}: {what} must be 0 or more", t.name),
--- a/crates/model/tests/golden_settings.rs
+++ b/crates/model/tests/golden_settings.rs
@@ -58,7 +58,15 @@
     let teams: Vec<_> = c
         .teams
         .iter()
-        .map(|t| (t.name.as_str(), t.guaranteed_cpus, t.max_cpus, t.guaranteed_gpus, t.max_gpus))
+        .map(|t| {
+            (
+                t.name.as_str(),
+                t.guaranteed_cpus,
+                t.max_cpus,
+                t.guaranteed_gpus,
+                t.max_gpus,
+            )
+        })
         .collect();
     assert_eq!(
         teams,
@@ -91,7 +99,10 @@
         [2.5, 12.5, 20.5, 6.5, 40.5]
     );
     let s = &c.kv_store;
-    assert_eq!([s.requests_per_s, s.writes_per_s, s.max_value_kib], [300.5, 90.5, 16.5]);
+    assert_eq!(
+        [s.requests_per_s, s.writes_per_s, s.max_value_kib],
+        [300.5, 90.5, 16.5]
+    );
     assert_eq!(s.max_cas_ops, 32);
     let next = s.upcoming.as_ref().expect("later limits");
     assert_eq!(
@@ -100,12 +111,22 @@
     );
     assert_eq!(next.max_cas_ops, Some(16));
     assert_eq!(
-        [s.lowest_requests_per_s(), s.lowest_writes_per_s(), s.lowest_max_value_kib()],
+        [
+            s.lowest_requests_per_s(),
+            s.lowest_writes_per_s(),
+            s.lowest_max_value_kib()
+        ],
         [200.5, 60.5, 8.5]
     );
     assert_eq!(s.lowest_max_cas_ops(), 16);
-    assert_eq!([c.cloud.requests_per_s, c.cloud.list_staleness_s], [20.5, 3.5]);
-    assert_eq!([c.process_limits.cpu_share, c.process_limits.memory_mb], [0.75, 512.5]);
+    assert_eq!(
+        [c.cloud.requests_per_s, c.cloud.list_staleness_s],
+        [20.5, 3.5]
+    );
+    assert_eq!(
+        [c.process_limits.cpu_share, c.process_limits.memory_mb],
+        [0.75, 512.5]
+    );
     assert_eq!(c.process_limits.max_open_files, 1024);
     assert_eq!(c.clock_offset_ms, -12.5);
 }
@@ -115,7 +136,12 @@
     let c = read(NEEDED_FIELDS).cluster;
     let team = &c.teams[0];
     assert_eq!(
-        [team.guaranteed_cpus, team.max_cpus, team.guaranteed_gpus, team.max_gpus],
+        [
+            team.guaranteed_cpus,
+            team.max_cpus,
+            team.guaranteed_gpus,
+            team.max_gpus
+        ],
         [0.0; 4]
     );
     assert!(c.objectives.is_empty() && c.kv_store.upcoming.is_none());
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -103,7 +103,8 @@
         spot_idle_multiple: number("idle_spot", 0.0, 1_000.0),
         spot_silence_timeout_ms: (number("silent_s", 1.0, 3_600.0) * 1000.0) as u64,
         provisioning_timeout_multiple: number("boot_patience", 1.5, 100.0),
-        store_outage_grace_ms: (number("blind_s", 0.0, BLIND_MOST_MS as f64 / 1000.0) * 1000.0) as u64,
+        store_outage_grace_ms: (number("blind_s", 0.0, BLIND_MOST_MS as f64 / 1000.0) * 1000.0)
+            as u64,
         headroom_per_arrival: number("spare", 0.0, 10.0),
         placement_weights: ServicePlacementWeights {
             machine_loss: number("risk_machine", 0.0, TRADE_MOST),
--- a/crates/protocol/src/links.rs
+++ b/crates/protocol/src/links.rs
@@ -208,7 +208,11 @@
     /// Seconds for which it has stood so, as far as is known.
     pub for_s: u64,
     /// Controller that carries what goes over it.
-    #[serde(rename = "carried_by", skip_serializing_if = "Option::is_none", default)]
+    #[serde(
+        rename = "carried_by",
+        skip_serializing_if = "Option::is_none",
+        default
+    )]
     pub relayed_by: Option<String>,
     /// Median and 99th of a hundred of its answers of late, ms.
     #[serde(rename = "took_ms", skip_serializing_if = "Option::is_none", default)]
--- a/crates/protocol/src/users.rs
+++ b/crates/protocol/src/users.rs
@@ -139,7 +139,10 @@
         JobKind::Gang | JobKind::Service => need.times(spec.tasks),
     };
     let limit = quota_limit(team);
-    if !limit.covers(&Resources { memory_mb: 0, ..all }) {
+    if !limit.covers(&Resources {
+        memory_mb: 0,
+        ..all
+    }) {
         return Some("needs more than the team's limit".into());
     }
     None
--- a/crates/protocol/tests/golden_messages.rs
+++ b/crates/protocol/tests/golden_messages.rs
@@ -16,7 +16,7 @@
 use lemonweir_protocol::links::{
     self, AvailabilityGossip, EventRow, GOSSIP_PATH, LINKS_VERSION, LinkRow, LinksReport,
     RELAY_HEARTBEATS_PATH, RELAY_PATH, RelayOutcome, RelayRequest, RelayResponse, RelayTarget,
-    RelayedResponses, RelayedHeartbeats, Service,
+    RelayedHeartbeats, RelayedResponses, Service,
 };
 use lemonweir_protocol::peer::{
     self, AttemptState, AttemptStatus, ChangeRange, DesiredAttempt, ExitCause, JobProgress,
@@ -265,7 +265,10 @@
         (&|j| j.memory_gb = -1.0, "ramGb out of range"),
         (&|j| j.image_gb = -1.0, "sizeGb out of range"),
         (&|j| j.estimated_runtime_s = -1.0, "expectS out of range"),
-        (&|j| j.checkpoint_interval_s = -1.0, "savepointS out of range"),
+        (
+            &|j| j.checkpoint_interval_s = -1.0,
+            "savepointS out of range",
+        ),
         (&|j| j.checkpoint_duration_s = -1.0, "flushS out of range"),
         (&|j| j.deadline_s = Some(-1.0), "dueS out of range"),
         (&|j| j.team = String::new(), "empty name"),
@@ -407,7 +410,10 @@
         (read.name.as_str(), read.capacity),
         ("g8", Resources::capacity(96.0, 8.0, 768.5))
     );
-    assert_eq!((read.image_cache_gb, read.image_pull_gb_per_s), (400.0, 1.25));
+    assert_eq!(
+        (read.image_cache_gb, read.image_pull_gb_per_s),
+        (400.0, 1.25)
+    );
     assert_eq!(
         (read.on_demand_price, read.spot_price, read.boot_s),
         (32.0, 11.5, 90.0)
@@ -583,7 +589,12 @@
         desired: vec![
             want(0, Priority::Production, PreemptionScope::Nobody, None),
             want(1, Priority::High, PreemptionScope::LowerPriority, Some(4)),
-            want(2, Priority::Normal, PreemptionScope::LowerPriorityOrOverQuota, None),
+            want(
+                2,
+                Priority::Normal,
+                PreemptionScope::LowerPriorityOrOverQuota,
+                None,
+            ),
             DesiredAttempt {
                 may_start: false,
                 over_quota: true,
@@ -717,7 +728,10 @@
     };
     golden.of_links("word", &word);
     assert_eq!(
-        (word.service_age_ms(Service::Store), word.service_age_ms(Service::Cloud)),
+        (
+            word.service_age_ms(Service::Store),
+            word.service_age_ms(Service::Cloud)
+        ),
         (Some(120), None)
     );
     for (name, goal) in [
--- a/crates/storage/src/dependencies.rs
+++ b/crates/storage/src/dependencies.rs
@@ -118,7 +118,9 @@
                     phase: JobPhase::Withdrawn,
                 },
             ),
-            Write::Delete { key: blocked_job_key(id) },
+            Write::Delete {
+                key: blocked_job_key(id),
+            },
         ],
     }
 }
@@ -145,7 +147,9 @@
         conditions,
         writes: vec![
             Write::put(job_key(id), &job),
-            Write::Delete { key: blocked_job_key(id) },
+            Write::Delete {
+                key: blocked_job_key(id),
+            },
         ],
     }
 }
--- a/crates/storage/src/failovers.rs
+++ b/crates/storage/src/failovers.rs
@@ -182,7 +182,9 @@
                     self.entries.remove(&slot);
                     self.unreadable.insert(slot, version);
                 }
-                if self.logged_keys.len() < ODD_HANDOVERS && self.logged_keys.insert(rest.to_owned()) {
+                if self.logged_keys.len() < ODD_HANDOVERS
+                    && self.logged_keys.insert(rest.to_owned())
+                {
                     tracing::error!(key = rest, "entry of a handover not understood; skipped");
                 }
             }
--- a/crates/storage/src/records.rs
+++ b/crates/storage/src/records.rs
@@ -349,7 +349,8 @@
     deaf: Vec<u16>,
 ) -> CompareAndSwap {
     let mut cas = release_shard(token, entry);
-    cas.writes.extend(register_controller(host, zone, hold, deaf).writes);
+    cas.writes
+        .extend(register_controller(host, zone, hold, deaf).writes);
     cas
 }
 
--- a/crates/storage/src/state_cache.rs
+++ b/crates/storage/src/state_cache.rs
@@ -142,7 +142,11 @@
                 (Ok(index), Some(record)) => {
                     // Guards against going back to a holder from before one that a
                     // peer has told of already: the copy learns what lies between later.
-                    if self.shard_leaders.get(&index).is_none_or(|h| h.fencing_token < version) {
+                    if self
+                        .shard_leaders
+                        .get(&index)
+                        .is_none_or(|h| h.fencing_token < version)
+                    {
                         self.shard_leaders.insert(
                             index,
                             ShardLeader {
@@ -205,7 +209,11 @@
                 self.ended_changes += 1;
                 // A job that nobody asked to withdraw leaves when it is done: its
                 // end needs no reading.
-                if self.jobs.remove(&id).is_some_and(|j| !j.record.cancel_requested) {
+                if self
+                    .jobs
+                    .remove(&id)
+                    .is_some_and(|j| !j.record.cancel_requested)
+                {
                     // The end was written in the same transaction, at this revision.
                     self.record_end(&id, JobPhase::Done, version, now);
                 }
@@ -222,7 +230,10 @@
             Some(("part", index)) => {
                 // The same guard: a holder that came after this is still there.
                 if let Ok(index) = index.parse::<u16>()
-                    && self.shard_leaders.get(&index).is_some_and(|h| h.fencing_token < version)
+                    && self
+                        .shard_leaders
+                        .get(&index)
+                        .is_some_and(|h| h.fencing_token < version)
                 {
                     self.shard_leaders.remove(&index);
                 }
@@ -278,7 +289,12 @@
             if awaits.len() >= record.dependency_count {
                 break;
             }
-            awaits.extend(self.dependency_pages.get(&(id.clone(), page))?.iter().cloned());
+            awaits.extend(
+                self.dependency_pages
+                    .get(&(id.clone(), page))?
+                    .iter()
+                    .cloned(),
+            );
         }
         Some(awaits)
     }
@@ -297,12 +313,18 @@
 
     /// True if the job is accepted, as far as this copy tells.
     pub fn is_known(&self, id: &JobId) -> bool {
-        self.jobs.contains_key(id) || self.blocked_jobs.contains_key(id) || self.ends.contains_key(id)
+        self.jobs.contains_key(id)
+            || self.blocked_jobs.contains_key(id)
+            || self.ends.contains_key(id)
     }
 
     /// What the user of an unfinished job asked for.
     pub fn job_spec(&self, id: &JobId) -> Option<&JobSpec> {
-        let waiting = || self.blocked_jobs.get(id).map(|waiting| &waiting.record.spec);
+        let waiting = || {
+            self.blocked_jobs
+                .get(id)
+                .map(|waiting| &waiting.record.spec)
+        };
         self.jobs
             .get(id)
             .map(|job| &job.record.spec)
@@ -328,7 +350,10 @@
         let first = self.messages.get(&(line, 0))?;
         let mut bytes = Vec::new();
         for piece in 0..first.chunk_count {
-            let record = self.messages.get(&(line, piece)).filter(|r| r.message_id == first.message_id)?;
+            let record = self
+                .messages
+                .get(&(line, piece))
+                .filter(|r| r.message_id == first.message_id)?;
             bytes.extend(BASE64_STANDARD.decode(&record.payload_base64).ok()?);
         }
         Some(bytes)
--- a/crates/storage/tests/golden_records.rs
+++ b/crates/storage/tests/golden_records.rs
@@ -209,8 +209,18 @@
     ] {
         let read = golden.record(name, &record);
         assert_eq!(
-            (read.spec, read.submitted_at_ms, read.cancel_requested, read.dependency_count),
-            (record.spec, record.submitted_at_ms, record.cancel_requested, record.dependency_count)
+            (
+                read.spec,
+                read.submitted_at_ms,
+                read.cancel_requested,
+                read.dependency_count
+            ),
+            (
+                record.spec,
+                record.submitted_at_ms,
+                record.cancel_requested,
+                record.dependency_count
+            )
         );
     }
     let shard = ShardRecord {
@@ -374,7 +384,10 @@
 
 #[test]
 fn keys_are_read_as_they_are_spelled() {
-    assert_eq!(parse_task_chunk_key("run/2/req-000412/5"), Some((id(412), 5)));
+    assert_eq!(
+        parse_task_chunk_key("run/2/req-000412/5"),
+        Some((id(412), 5))
+    );
     assert_eq!(parse_image_locations_key("img/2/3"), Some(3));
     assert_eq!(parse_blocked_job_key("req-000412"), Some((id(412), 0)));
     assert_eq!(parse_blocked_job_key("req-000412/3"), Some((id(412), 3)));
@@ -409,7 +422,10 @@
         "leave a shard",
         &cede_shard(42, &left, "hutte-0", "eemsmond", 9, vec![2, 4]),
     );
-    golden.cas("show a node", &register_controller("hutte-0", "eemsmond", 9, vec![2]));
+    golden.cas(
+        "show a node",
+        &register_controller("hutte-0", "eemsmond", 9, vec![2]),
+    );
     golden.cas(
         "assign teams",
         &assign_teams(&[("vision".into(), 2), ("speech".into(), 0)]),
--- a/crates/storage/tests/late.rs
+++ b/crates/storage/tests/late.rs
@@ -11,8 +11,8 @@
 use lemonweir_storage::StateCache;
 use lemonweir_storage::failovers::{FailoverRecord, LeadershipChange, NewFailover};
 use lemonweir_storage::records::{
-    JobEndRecord, JobRecord, ShardRecord, create_job, acquire_shard, end_key, job_key,
-    release_shard, shard_key, request_cancellation,
+    JobEndRecord, JobRecord, ShardRecord, acquire_shard, create_job, end_key, job_key,
+    release_shard, request_cancellation, shard_key,
 };
 use lemonweir_storage::state_cache::ShardLeader;
 
@@ -170,7 +170,10 @@
     let mut store = Store::default();
     let late = create_job(&job());
     let version = store
-        .cas(&create_job(&JobRecord { submitted_at_ms: 5, ..job() }))
+        .cas(&create_job(&JobRecord {
+            submitted_at_ms: 5,
+            ..job()
+        }))
         .expect("nobody knows it");
     assert_eq!(store.cas(&late), None, "it is known");
     // A withdrawal and an end that were sent before others changed the job.
@@ -262,7 +265,10 @@
     cache.apply_changes(&[gone(0, 102), held_by(0, "h1", 105)], 108, 0);
     assert_eq!(cache.shard_leaders.get(&0), Some(&holder("h2", 115)));
     cache.apply_changes(&[gone(0, 110), gone(1, 112), held_by(0, "h2", 115)], 121, 0);
-    assert_eq!(cache.shard_leaders, BTreeMap::from([(0, holder("h2", 115))]));
+    assert_eq!(
+        cache.shard_leaders,
+        BTreeMap::from([(0, holder("h2", 115))])
+    );
     // A reading that was asked for earlier than the last one takes nothing back.
     cache.apply_changes(&[], 90, 0);
     assert_eq!(cache.revision, Some(121));
--- a/crates/storage/tests/versions.rs
+++ b/crates/storage/tests/versions.rs
@@ -9,7 +9,7 @@
 use lemonweir_protocol::kv_store::{Write, from_value, to_value};
 use lemonweir_protocol::peer::{self, ShardView, SyncRequest};
 use lemonweir_protocol::users::JobPhase;
-use lemonweir_storage::dependencies::{create_blocked_job, blocked_job_key, unblock_job};
+use lemonweir_storage::dependencies::{blocked_job_key, create_blocked_job, unblock_job};
 use lemonweir_storage::failovers::FailoverRecord;
 use lemonweir_storage::packed_chunk::{chunk_value, read_chunk};
 use lemonweir_storage::records::*;
@@ -44,7 +44,11 @@
     );
     let chunk = read_chunk(&sample("chunk"), 0).expect("a chunk");
     assert_eq!(
-        (chunk.live_attempts.len(), chunk.done_ranges.as_slice(), chunk.next_attempt),
+        (
+            chunk.live_attempts.len(),
+            chunk.done_ranges.as_slice(),
+            chunk.next_attempt
+        ),
         (2, [(0, 2)].as_slice(), 4)
     );
     assert_eq!(
