--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -528,7 +528,7 @@
                 continue;
             }
             match line.kind {
-                StoreMessageKind::Sync => match peer::read::<SyncRequest>(&bytes) {
+                StoreMessageKind::Sync => match peer::decode::<SyncRequest>(&bytes) {
                     Ok(sync) if sync.to_shard == line.to_shard => {
                         match self.sync_to(&sync, self.config.mail_bytes, now) {
                             Ok(view) => effects.push(Effect::MailView(sync.from_shard, view)),
@@ -541,7 +541,7 @@
                 },
                 StoreMessageKind::View => {
                     match (
-                        peer::read::<ShardView>(&bytes),
+                        peer::decode::<ShardView>(&bytes),
                         self.shards.get_mut(&line.to_shard),
                     ) {
                         (Ok(view), Some(shard)) => shard.take_view(view, now),
--- a/crates/coordination/src/owner/mod.rs
+++ b/crates/coordination/src/owner/mod.rs
@@ -38,7 +38,7 @@
 use lemonweir_protocol::cloud::InstanceEntry;
 use lemonweir_protocol::peer::{
     AttemptState, AttemptStatus, Continuation, DesiredAttempt, ExitCause, MachineView,
-    ProvisionedInstance, ShardView, Superseded, SyncRequest, written,
+    ProvisionedInstance, ShardView, Superseded, SyncRequest, encoded_len,
 };
 use lemonweir_protocol::worker::{
     Command, CommandKind, CommandsRequest, Heartbeat, HeartbeatResponse, TaskPhase,
--- a/crates/coordination/src/owner/reconciliation.rs
+++ b/crates/coordination/src/owner/reconciliation.rs
@@ -239,7 +239,7 @@
             })
             .collect();
         let (machines_span, changes) = self.views.since(sync.observed.machines_revision, &mut room, |_, m| {
-            m.map_or(ATTEMPT_BYTES, written)
+            m.map_or(ATTEMPT_BYTES, encoded_len)
         });
         let (mut machines, mut gone) = (Vec::new(), Vec::new());
         for (id, m) in changes {
--- a/crates/coordination/src/placer/mod.rs
+++ b/crates/coordination/src/placer/mod.rs
@@ -40,7 +40,7 @@
 use lemonweir_protocol::kv_store::{CompareAndSwap, Condition, Write};
 use lemonweir_protocol::peer::{
     AttemptState, Continuation, DesiredAttempt, ExitCause, JobProgress, ObservedState,
-    PartitionedZone, PreemptionScope, ProvisionedInstance, ShardView, SyncRequest, written,
+    PartitionedZone, PreemptionScope, ProvisionedInstance, ShardView, SyncRequest, encoded_len,
 };
 use lemonweir_protocol::users::JobPhase;
 use lemonweir_storage::packed_chunk::chunk_value;
--- a/crates/coordination/src/placer/reconciliation.rs
+++ b/crates/coordination/src/placer/reconciliation.rs
@@ -134,7 +134,7 @@
         }
         link.seq += 1;
         let (span, changes) = link.wants.since(link.acked, &mut room, |_, w| {
-            w.map_or(ATTEMPT_BYTES, written)
+            w.map_or(ATTEMPT_BYTES, encoded_len)
         });
         link.sent = span.until;
         let (mut wants, mut dropped) = (Vec::new(), Vec::new());
@@ -177,7 +177,7 @@
                 age_ms: now.saturating_sub(p.at),
                 ..p.rented.clone()
             });
-        let rented = fitting(rented, beside, written);
+        let rented = fitting(rented, beside, encoded_len);
         let field = &self.fields[usize::from(to)];
         SyncRequest {
             version: PEER_VERSION,
@@ -204,7 +204,7 @@
                     .filter(|m| field.find(m).is_some())
                     .cloned(),
                 beside,
-                written,
+                encoded_len,
             ),
             progress: told,
         }
--- a/crates/coordination/tests/cancellations.rs
+++ b/crates/coordination/tests/cancellations.rs
@@ -297,7 +297,7 @@
                     from_shard: 0,
                     to_shard: 1,
                 };
-                for write in post(line, (TOKEN, late.seq), &peer::write(&late), 6_000, 1).writes {
+                for write in post(line, (TOKEN, late.seq), &peer::encode(&late), 6_000, 1).writes {
                     let Write::Put { key, value, .. } = write else {
                         continue;
                     };
--- a/crates/coordination/tests/changes.rs
+++ b/crates/coordination/tests/changes.rs
@@ -344,7 +344,7 @@
             )
             .expect("taken");
         assert!(
-            lemonweir_protocol::peer::write(&view).len() < 9 * 1024,
+            lemonweir_protocol::peer::encode(&view).len() < 9 * 1024,
             "a message keeps to its room"
         );
         pieces += 1;
--- a/crates/coordination/tests/support/controllers.rs
+++ b/crates/coordination/tests/support/controllers.rs
@@ -551,7 +551,7 @@
                     from_shard: sync.from_shard,
                     to_shard: sync.to_shard,
                 };
-                self.mail(node, line, (sync.from_fencing_token, sync.seq), &peer::write(&sync));
+                self.mail(node, line, (sync.from_fencing_token, sync.seq), &peer::encode(&sync));
             }
             Effect::MailView(to, view) => {
                 let line = StoreMessageRoute {
@@ -559,7 +559,7 @@
                     from_shard: view.shard,
                     to_shard: to,
                 };
-                self.mail(node, line, (view.fencing_token, view.seq), &peer::write(&view));
+                self.mail(node, line, (view.fencing_token, view.seq), &peer::encode(&view));
             }
             Effect::Nudge(shard) => {
                 if let Some(to) = self.holder(node, shard).filter(|to| !self.apart(node, *to)) {
--- a/crates/coordination/tests/turns.rs
+++ b/crates/coordination/tests/turns.rs
@@ -127,9 +127,9 @@
     for room in [700, 2_700, 24_000] {
         let sync = placer.sync_for(1, TOKEN, room, false, 10);
         assert!(
-            peer::write(&sync).len() <= 2 * room,
+            peer::encode(&sync).len() <= 2 * room,
             "{room}: {}",
-            peer::write(&sync).len()
+            peer::encode(&sync).len()
         );
         assert!(!sync.provisioned.is_empty(), "{room}");
     }
--- a/crates/node/src/effect_executor.rs
+++ b/crates/node/src/effect_executor.rs
@@ -71,7 +71,7 @@
                     &node,
                     line,
                     (sync.from_fencing_token, sync.seq),
-                    &peer::write(&sync),
+                    &peer::encode(&sync),
                 )
                 .await;
             }
@@ -81,7 +81,7 @@
                     from_shard: view.shard,
                     to_shard: to,
                 };
-                mail(&node, line, (view.fencing_token, view.seq), &peer::write(&view)).await;
+                mail(&node, line, (view.fencing_token, view.seq), &peer::encode(&view)).await;
             }
             Effect::Nudge(shard) => nudge(&node, shard).await,
             Effect::Rent(lease, rental) => {
@@ -249,13 +249,13 @@
             addr,
             "POST",
             GOSSIP_PATH,
-            &links::write(word),
+            &links::encode(word),
             SYNC_TIMEOUT_MS,
         )
         .await
         .ok()?;
     Some(
-        links::read::<AvailabilityGossip>(&response.body)
+        links::decode::<AvailabilityGossip>(&response.body)
             .ok()
             .filter(|_| response.status == 200),
     )
@@ -270,13 +270,13 @@
             addr,
             "POST",
             "/peer/sync",
-            &peer::write(sync),
+            &peer::encode(sync),
             SYNC_TIMEOUT_MS,
         )
         .await
         .ok()?;
     if response.status == 409
-        && let Ok(by) = peer::read::<Superseded>(&response.body)
+        && let Ok(by) = peer::decode::<Superseded>(&response.body)
     {
         let now = node.now();
         node.core().superseded(by, now);
@@ -291,7 +291,7 @@
         );
         return None;
     }
-    match peer::read::<ShardView>(&response.body) {
+    match peer::decode::<ShardView>(&response.body) {
         Ok(view) => Some(view),
         Err(fault) => {
             info!(%addr, fault, "answer of another controller not understood");
@@ -364,17 +364,17 @@
     async fn handle(&self, request: Request) -> Reply {
         let node = &self.0;
         match (request.method.as_str(), request.path.as_str()) {
-            ("POST", "/peer/sync") => match peer::read::<SyncRequest>(&request.body) {
+            ("POST", "/peer/sync") => match peer::decode::<SyncRequest>(&request.body) {
                 Ok(sync) => {
                     let now = node.now();
                     let answer = node.core().sync_in(&sync, now);
                     node.poke();
                     match answer {
-                        Ok(view) => Reply::new(200, peer::write(&view)),
+                        Ok(view) => Reply::new(200, peer::encode(&view)),
                         Err(refusal) => {
                             debug!(from = sync.from_shard, to = sync.to_shard, %refusal, "sync not taken");
                             match refusal {
-                                SyncError::Superseded(by) => Reply::new(409, peer::write(&by)),
+                                SyncError::Superseded(by) => Reply::new(409, peer::encode(&by)),
                                 _ => Reply::empty(409),
                             }
                         }
@@ -383,17 +383,17 @@
                 Err(fault) => understood(Err(fault), |()| Reply::empty(500)),
             },
             ("POST", GOSSIP_PATH) => {
-                understood(links::read::<AvailabilityGossip>(&request.body), |word| {
+                understood(links::decode::<AvailabilityGossip>(&request.body), |word| {
                     let now = node.now();
-                    Reply::new(200, links::write(&node.core().links.hail_in(word, now)))
+                    Reply::new(200, links::encode(&node.core().links.hail_in(word, now)))
                 })
             }
             ("POST", RELAY_HEARTBEATS_PATH) => {
-                understood(links::read::<RelayedHeartbeats>(&request.body), |reports| {
+                understood(links::decode::<RelayedHeartbeats>(&request.body), |reports| {
                     take_reports(node, &reports)
                 })
             }
-            ("POST", CARRY) => match links::read::<RelayRequest>(&request.body) {
+            ("POST", CARRY) => match links::decode::<RelayRequest>(&request.body) {
                 Ok(call) => node.courier.carry(&call).await,
                 Err(fault) => understood(Err(fault), |()| Reply::empty(500)),
             },
--- a/crates/node/src/router.rs
+++ b/crates/node/src/router.rs
@@ -119,7 +119,7 @@
                 addr,
                 "POST",
                 RELAY_PATH,
-                &links::write(call),
+                &links::encode(call),
                 call.timeout_ms + TICK_MS,
             )
             .await?;
@@ -127,7 +127,7 @@
             // Not taken: it is not in a state to carry, or doesn't know how.
             return Err(CallError::NotSent);
         }
-        match links::read::<RelayResponse>(&response.body) {
+        match links::decode::<RelayResponse>(&response.body) {
             Ok(RelayResponse {
                 outcome: RelayOutcome::Answered { status, body },
                 ..
@@ -175,7 +175,7 @@
         };
         Reply::new(
             200,
-            links::write(&RelayResponse {
+            links::encode(&RelayResponse {
                 version: LINKS_VERSION,
                 outcome: fate,
             }),
@@ -244,7 +244,7 @@
 async fn send_batch(node: &Node, to: u16, batch: Vec<Waiting>) {
     let (reports, senders): (Vec<Vec<u8>>, Vec<_>) = batch.into_iter().unzip();
     let by = node.core().config.me;
-    let message = links::write(&RelayedHeartbeats {
+    let message = links::encode(&RelayedHeartbeats {
         version: LINKS_VERSION,
         relayed_by: by,
         heartbeats: reports,
@@ -266,7 +266,7 @@
     let now = node.now();
     node.core().links.reached(to, response.is_ok(), now);
     let Ok(response) = response else { return };
-    match links::read::<RelayedResponses>(&response.body) {
+    match links::decode::<RelayedResponses>(&response.body) {
         Ok(RelayedResponses { answers, .. }) if response.status == 200 => {
             for (sender, answer) in senders.iter().zip(answers) {
                 // Who asked may have given up.
@@ -290,7 +290,7 @@
     node.poke();
     Reply::new(
         200,
-        links::write(&RelayedResponses {
+        links::encode(&RelayedResponses {
             version: LINKS_VERSION,
             answers,
         }),
--- a/crates/protocol/src/links.rs
+++ b/crates/protocol/src/links.rs
@@ -171,7 +171,7 @@
 }
 
 /// Reads a message of this format.
-pub fn read<T: BorshDeserialize>(bytes: &[u8]) -> Result<T, String> {
+pub fn decode<T: BorshDeserialize>(bytes: &[u8]) -> Result<T, String> {
     match bytes.first() {
         Some(&LINKS_VERSION) => borsh::from_slice(bytes).map_err(|e| e.to_string()),
         Some(other) => Err(format!("format {other}")),
@@ -180,8 +180,8 @@
 }
 
 /// Writes a message.
-pub fn write<T: BorshSerialize>(message: &T) -> Vec<u8> {
-    // Writing into memory can't fail; an empty message is refused by `read`.
+pub fn encode<T: BorshSerialize>(message: &T) -> Vec<u8> {
+    // Writing into memory can't fail; an empty message is refused by `decode`.
     borsh::to_vec(message).unwrap_or_default()
 }
 
--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -350,7 +350,7 @@
 }
 
 /// Reads a message of this format.
-pub fn read<T: BorshDeserialize>(bytes: &[u8]) -> Result<T, String> {
+pub fn decode<T: BorshDeserialize>(bytes: &[u8]) -> Result<T, String> {
     match bytes.first() {
         Some(&PEER_VERSION) => borsh::from_slice(bytes).map_err(|e| e.to_string()),
         Some(other) => Err(format!("format {other}")),
@@ -359,12 +359,12 @@
 }
 
 /// Bytes that something takes in a message.
-pub fn written<T: BorshSerialize>(item: &T) -> usize {
+pub fn encoded_len<T: BorshSerialize>(item: &T) -> usize {
     borsh::object_length(item).unwrap_or(usize::MAX)
 }
 
 /// Writes a message.
-pub fn write<T: BorshSerialize>(message: &T) -> Vec<u8> {
-    // Writing into memory can't fail; an empty message is refused by `read`.
+pub fn encode<T: BorshSerialize>(message: &T) -> Vec<u8> {
+    // Writing into memory can't fail; an empty message is refused by `decode`.
     borsh::to_vec(message).unwrap_or_default()
 }
--- a/crates/protocol/tests/golden_messages.rs
+++ b/crates/protocol/tests/golden_messages.rs
@@ -97,11 +97,11 @@
     where
         T: BorshSerialize + BorshDeserialize + PartialEq + std::fmt::Debug,
     {
-        let bytes = self.same(name, &peer::write(message));
-        let read: T = peer::read(&bytes).unwrap_or_else(|e| panic!("{name}: {e}"));
+        let bytes = self.same(name, &peer::encode(message));
+        let read: T = peer::decode(&bytes).unwrap_or_else(|e| panic!("{name}: {e}"));
         assert_eq!(&read, message, "{name} is read");
         assert_eq!(
-            peer::write(&read),
+            peer::encode(&read),
             bytes,
             "{name} is written as it was read"
         );
@@ -112,11 +112,11 @@
     where
         T: BorshSerialize + BorshDeserialize + PartialEq + std::fmt::Debug,
     {
-        let bytes = self.same(name, &links::write(message));
-        let read: T = links::read(&bytes).unwrap_or_else(|e| panic!("{name}: {e}"));
+        let bytes = self.same(name, &links::encode(message));
+        let read: T = links::decode(&bytes).unwrap_or_else(|e| panic!("{name}: {e}"));
         assert_eq!(&read, message, "{name} is read");
         assert_eq!(
-            links::write(&read),
+            links::encode(&read),
             bytes,
             "{name} is written as it was read"
         );
--- a/crates/simulator/src/world/controllers.rs
+++ b/crates/simulator/src/world/controllers.rs
@@ -137,7 +137,7 @@
                     from_shard: sync.from_shard,
                     to_shard: sync.to_shard,
                 };
-                self.mail(host, line, (sync.from_fencing_token, sync.seq), &peer::write(&sync));
+                self.mail(host, line, (sync.from_fencing_token, sync.seq), &peer::encode(&sync));
             }
             Effect::MailView(to, view) => {
                 let line = StoreMessageRoute {
@@ -145,7 +145,7 @@
                     from_shard: view.shard,
                     to_shard: to,
                 };
-                self.mail(host, line, (view.fencing_token, view.seq), &peer::write(&view));
+                self.mail(host, line, (view.fencing_token, view.seq), &peer::encode(&view));
             }
             Effect::Nudge(shard) => {
                 let held = self.hosts[host]
@@ -318,7 +318,7 @@
         }
         let view = view.filter(|_| !self.is_cut(from, host));
         if let Some(view) = &view {
-            self.hosts[host].work.peer_bytes += peer::written(view) as u64;
+            self.hosts[host].work.peer_bytes += peer::encoded_len(view) as u64;
         }
         let at = self.leaves(host) + self.travel();
         self.push(
--- a/crates/simulator/src/world/sending.rs
+++ b/crates/simulator/src/world/sending.rs
@@ -109,7 +109,7 @@
         let life = self.hosts[host].life;
         let shard = sync.to_shard;
         let failed = move |lease| Box::new(Input::View(lease, shard, None));
-        self.hosts[host].work.peer_bytes += peer::written(&sync) as u64;
+        self.hosts[host].work.peer_bytes += peer::encoded_len(&sync) as u64;
         let Some(to) = self
             .known_holder(host, shard)
             .filter(|to| self.hosts[*to].core.is_some())
--- a/crates/storage/tests/versions.rs
+++ b/crates/storage/tests/versions.rs
@@ -78,14 +78,14 @@
 /// Messages between controllers keep their format: byte for byte what they were.
 #[test]
 fn messages_are_those_of_the_version_before() {
-    let sync: SyncRequest = peer::read(&message("sync")).expect("a sync");
+    let sync: SyncRequest = peer::decode(&message("sync")).expect("a sync");
     assert_eq!(
-        (sync.desired.len(), sync.progress.len(), peer::write(&sync)),
+        (sync.desired.len(), sync.progress.len(), peer::encode(&sync)),
         (1, 1, message("sync"))
     );
-    let view: ShardView = peer::read(&message("view")).expect("a view");
+    let view: ShardView = peer::decode(&message("view")).expect("a view");
     assert_eq!(
-        (view.machines.len(), peer::write(&view)),
+        (view.machines.len(), peer::encode(&view)),
         (1, message("view"))
     );
 }
--- a/fuzz/tests/edges.rs
+++ b/fuzz/tests/edges.rs
@@ -206,7 +206,7 @@
         runs_until_cancelled: false,
         preemption: PreemptionScope::Nobody,
     };
-    let good = peer::write(&SyncRequest {
+    let good = peer::encode(&SyncRequest {
         version: lemonweir_model::constants::PEER_VERSION,
         from_shard: 0,
         from_fencing_token: 1,
@@ -230,11 +230,11 @@
     });
     check!().with_type::<Edits>().for_each(|edits| {
         let bytes = edited(&good, edits);
-        if let Ok(sync) = peer::read::<SyncRequest>(&bytes) {
-            assert_eq!(peer::write(&sync), bytes, "one message, one form");
+        if let Ok(sync) = peer::decode::<SyncRequest>(&bytes) {
+            assert_eq!(peer::encode(&sync), bytes, "one message, one form");
         }
         assert!(
-            peer::read::<ShardView>(&bytes).is_err()
+            peer::decode::<ShardView>(&bytes).is_err()
                 || !edits.0.is_empty()
                 || !edits.1.is_empty()
                 || edits.2.is_some()
@@ -316,19 +316,19 @@
         answers: vec![(200, vec![7]), (503, Vec::new())],
     };
     let good = [
-        links::write(&word),
-        links::write(&carry),
-        links::write(&carried),
-        links::write(&reports),
-        links::write(&answers),
+        links::encode(&word),
+        links::encode(&carry),
+        links::encode(&carried),
+        links::encode(&reports),
+        links::encode(&answers),
     ];
     let scenario = lemonweir_simulator::sample::site(3, 4, Default::default());
     check!()
         .with_type::<(u8, Edits)>()
         .for_each(|(which, edits)| {
             fn form<T: borsh::BorshDeserialize + borsh::BorshSerialize>(bytes: &[u8]) -> Option<T> {
-                let message = links::read::<T>(bytes).ok()?;
-                assert_eq!(links::write(&message), bytes, "one message, one form");
+                let message = links::decode::<T>(bytes).ok()?;
+                assert_eq!(links::encode(&message), bytes, "one message, one form");
                 Some(message)
             }
             let bytes = edited(&good[usize::from(*which) % good.len()], edits);
--- a/tests/edges.rs
+++ b/tests/edges.rs
@@ -178,16 +178,16 @@
 fn garbage_from_workers_and_peers_is_refused() {
     assert!(decode::<Heartbeat>(b"\x81\xa3box\x01").is_err());
     assert!(decode::<Heartbeat>(&[0xff; 40]).is_err());
-    assert!(peer::read::<SyncRequest>(&[]).is_err());
+    assert!(peer::decode::<SyncRequest>(&[]).is_err());
     assert!(
-        peer::read::<SyncRequest>(&[9, 0, 0])
+        peer::decode::<SyncRequest>(&[9, 0, 0])
             .expect_err("format")
             .contains("format 9")
     );
     // A length that promises more than there is must not be believed.
     let mut bytes = vec![lemonweir_model::constants::PEER_VERSION];
     bytes.extend([0xff; 64]);
-    assert!(peer::read::<ShardView>(&bytes).is_err());
+    assert!(peer::decode::<ShardView>(&bytes).is_err());
 }
 
 #[test]
