--- a/crates/coordination/src/placer/placing.rs
+++ b/crates/coordination/src/placer/placing.rs
@@ -341,7 +341,7 @@
             return false;
         };
         // Guards against idle work that takes up room long before it is its turn to
-        // be encoded_len, and against a pass that places 100,000 tasks.
+        // be written, and against a pass that places 100,000 tasks.
         let first_start = spec.priority == Priority::Low
             && job
                 .chunks
--- a/crates/coordination/src/placer/supervision.rs
+++ b/crates/coordination/src/placer/supervision.rs
@@ -104,7 +104,7 @@
             .collect()
     }
 
-    /// True if starts wait to be encoded_len, of other than idle work: that may wait
+    /// True if starts wait to be written, of other than idle work: that may wait
     /// for hours.
     pub(crate) fn starts_wait(&self) -> bool {
         let mut jobs = self.unsaved.keys().filter_map(|id| self.jobs.get(id));
