--- a/crates/coordination/src/change_log.rs
+++ b/crates/coordination/src/change_log.rs
@@ -108,8 +108,8 @@
         let mut changes = Vec::new();
         let mut range = ChangeRange {
             since,
-            upto: self.last.max(since),
-            last: true,
+            until: self.last.max(since),
+            complete: true,
         };
         let mut upto = since;
         for (&number, key) in self.order.range((Bound::Excluded(since), Bound::Unbounded)) {
@@ -121,8 +121,8 @@
             if bytes > *room && !changes.is_empty() {
                 range = ChangeRange {
                     since,
-                    upto,
-                    last: false,
+                    until: upto,
+                    complete: false,
                 };
                 break;
             }
--- a/crates/coordination/tests/limits.rs
+++ b/crates/coordination/tests/limits.rs
@@ -38,8 +38,8 @@
     let upto = u64::from(round) * machines as u64;
     let span = ChangeRange {
         since: upto - machines as u64,
-        upto,
-        last: true,
+        until: upto,
+        complete: true,
     };
     owner
         .sync(
@@ -81,7 +81,7 @@
 
     fn machines(&self) -> BTreeMap<MachineId, usize> {
         let mut all = BTreeMap::new();
-        for (machine, images) in self.0.values().flat_map(|page| &page.m) {
+        for (machine, images) in self.0.values().flat_map(|page| &page.machines) {
             *all.entry(machine.clone()).or_default() += images.len();
         }
         all
@@ -151,8 +151,8 @@
     for value_kb in [2.0, 4.0, 8.0, 64.0, 1_024.0] {
         for txn_ops in [4, 32, 512] {
             let mut settings = controllers::settings(1);
-            settings.cluster.state.value_kb = value_kb;
-            settings.cluster.state.txn_ops = txn_ops;
+            settings.cluster.kv_store.max_value_kib = value_kb;
+            settings.cluster.kv_store.max_cas_ops = txn_ops;
             let config = Config::new(&settings);
             let pages = config.image_pages_per_cas();
             assert!(pages >= 1 && pages <= txn_ops);
--- a/crates/coordination/tests/turns.rs
+++ b/crates/coordination/tests/turns.rs
@@ -37,8 +37,8 @@
             seq,
             ChangeRange {
                 since: 0,
-                upto: 200,
-                last: true,
+                until: 200,
+                complete: true,
             },
             machines,
             Vec::new(),
@@ -50,7 +50,7 @@
             &mut placer,
             JobSpec {
                 id: id(n),
-                rank: Priority::Production,
+                priority: Priority::Production,
                 ..array(20)
             },
             0,
@@ -69,15 +69,15 @@
     for (n, at) in (0..20).rev().zip(10..) {
         let spec = JobSpec {
             id: id(n),
-            rank: ranks[n as usize % 4],
+            priority: ranks[n as usize % 4],
             ..array(2)
         };
         let job = CachedJob {
             record: Arc::new(JobRecord {
                 spec: spec.clone(),
-                at: 0,
-                withdrawn: true,
-                awaited: 0,
+                submitted_at_ms: 0,
+                cancel_requested: true,
+                dependency_count: 0,
             }),
             version: 7,
         };
@@ -113,7 +113,7 @@
     for n in 0..500 {
         let rented = ProvisionedInstance {
             machine: machine(n),
-            kind: "box".into(),
+            machine_type: "box".into(),
             zone: "north".into(),
             spot: false,
             age_ms: 0,
@@ -127,10 +127,10 @@
     for room in [700, 2_700, 24_000] {
         let sync = placer.sync_request(1, TOKEN, room, false, 10);
         assert!(
-            peer::write(&sync).len() <= 2 * room,
+            peer::encode(&sync).len() <= 2 * room,
             "{room}: {}",
-            peer::write(&sync).len()
+            peer::encode(&sync).len()
         );
-        assert!(!sync.rented.is_empty(), "{room}");
+        assert!(!sync.provisioned.is_empty(), "{room}");
     }
 }
--- a/crates/simulator/tests/concurrent_faults.rs
+++ b/crates/simulator/tests/concurrent_faults.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 use lemonweir_model::constants::HOLD_TTL_MS;
-use lemonweir_model::settings::Workers;
+use lemonweir_model::settings::WorkerTiming;
 use lemonweir_simulator::history::History;
 use lemonweir_simulator::load_generator::synthetic;
 use lemonweir_simulator::run_report::violated_terms;
@@ -27,15 +27,15 @@
 
 /// s of the second fault after the first.
 fn offsets(scenario: &Scenario) -> Vec<f64> {
-    let Workers {
-        report_s,
+    let WorkerTiming {
+        heartbeat_interval_s: report_s,
         lease_s,
-        cancel_s,
+        cancellation_deadline_s: cancel_s,
         ..
     } = scenario.workers;
     let (hold, blind) = (
         HOLD_TTL_MS as f64 / 1e3,
-        scenario.policy.blind_ms as f64 / 1e3,
+        scenario.policy.store_outage_grace_ms as f64 / 1e3,
     );
     let around = [report_s, hold, lease_s, cancel_s, blind];
     let mut all = vec![0.1];
@@ -53,10 +53,10 @@
     offset: f64,
 ) -> Scenario {
     let mut moved = scenario.clone();
-    moved.workers = Workers {
-        report_s,
+    moved.workers = WorkerTiming {
+        heartbeat_interval_s: report_s,
         lease_s,
-        cancel_s,
+        cancellation_deadline_s: cancel_s,
         ..moved.workers
     };
     let (first, later) = moved.faults.split_first_mut().expect("a fault");
@@ -146,7 +146,7 @@
         let leader = simulation.controllers[2]
             .core
             .as_ref()
-            .and_then(|c| c.cache.shards.get(&0))
+            .and_then(|c| c.cache.shard_leaders.get(&0))
             .map(|p| p.host.clone());
         assert!(
             leader.is_some_and(|controller| controller != "h00"),
--- a/crates/simulator/tests/injected_faults.rs
+++ b/crates/simulator/tests/injected_faults.rs
@@ -78,7 +78,7 @@
     assert!(
         reports
             .iter()
-            .all(|r| (r.session, r.token) == (1, 0) && r.seq <= 2 && r.tasks.is_empty()),
+            .all(|r| (r.incarnation, r.fencing_token) == (1, 0) && r.sequence <= 2 && r.tasks.is_empty()),
         "{reports:?}"
     );
     assert!(
@@ -183,7 +183,7 @@
             .store
             .get(&job_key(&job))
             .and_then(|(value, _)| from_value::<JobRecord>(value));
-        record.is_none_or(|r| r.withdrawn)
+        record.is_none_or(|r| r.cancel_requested)
     };
     let mut seen = (None, None);
     while simulation.now < 140_000_000 {
@@ -268,7 +268,7 @@
         let by_key = simulation.controllers[1]
             .core
             .as_ref()
-            .and_then(|c| c.cache.shards.get(&0))
+            .and_then(|c| c.cache.shard_leaders.get(&0))
             .map(|p| p.host.clone());
         assert_eq!(by_key.as_deref() == Some("h00"), leaders[0], "{by_key:?}");
         simulation.run(60_000);
--- a/crates/storage/src/records.rs
+++ b/crates/storage/src/records.rs
@@ -20,7 +20,7 @@
 use base64::prelude::{BASE64_STANDARD, Engine};
 use serde::{Deserialize, Serialize};
 
-use crate::dependencies::unknown_job;
+use crate::dependencies::job_absent_conditions;
 use crate::failovers::NewFailover;
 use lemonweir_model::constants::{PACKED_VERSION, PEER_VERSION};
 use lemonweir_model::{JobId, JobSpec, MachineId, Resources};
@@ -49,7 +49,7 @@
 }
 
 /// Key of a node's presence.
-pub fn node_key(host: &str) -> String {
+pub fn controller_key(host: &str) -> String {
     format!("w/node/{host}")
 }
 
@@ -59,17 +59,17 @@
 }
 
 /// Prefix of a part's task records.
-pub fn run_prefix(shard: u16) -> String {
+pub fn task_chunks_prefix(shard: u16) -> String {
     format!("run/{shard}/")
 }
 
 /// Key of one chunk of a job's task record.
-pub fn run_key(shard: u16, job: &JobId, chunk: u32) -> String {
+pub fn task_chunk_key(shard: u16, job: &JobId, chunk: u32) -> String {
     format!("run/{shard}/{job}/{chunk}")
 }
 
 /// Reads the job and the chunk from a key of a task record.
-pub fn parse_run_key(key: &str) -> Option<(JobId, u32)> {
+pub fn parse_task_chunk_key(key: &str) -> Option<(JobId, u32)> {
     let mut segments = key.strip_prefix("run/")?.split('/');
     let _part = segments.next()?;
     let job = JobId::parse(segments.next()?)?;
@@ -82,15 +82,16 @@
     /// What the user asked for.
     pub spec: JobSpec,
     /// Time of day of the submission, ms.
-    pub at: u64,
+    #[serde(rename = "at")]
+    pub submitted_at_ms: u64,
     /// Its user asked to withdraw it: nothing of it starts any more, and once
     /// no attempt is left its end is written.
-    #[serde(default)]
-    pub withdrawn: bool,
+    #[serde(rename = "withdrawn", default)]
+    pub cancel_requested: bool,
     /// Jobs that it awaits, of which its `spec` may name only the first page; 0 once it
     /// may start.
-    #[serde(default, skip_serializing_if = "is_zero")]
-    pub awaited: usize,
+    #[serde(rename = "awaited", default, skip_serializing_if = "is_zero")]
+    pub dependency_count: usize,
 }
 
 fn is_zero(count: &usize) -> bool {
@@ -111,14 +112,14 @@
     pub zone: String,
     /// Format of the messages between controllers that it speaks; 0: an earlier
     /// one than the first that is told here.
-    #[serde(default)]
-    pub format: u8,
+    #[serde(rename = "format", default)]
+    pub peer_version: u8,
     /// Parts whose machines it can't hear, which it leaves to others.
-    #[serde(default)]
-    pub deaf: Vec<u16>,
+    #[serde(rename = "deaf", default)]
+    pub ceded_shards: Vec<u16>,
     /// Newest form of the records that it reads; 0: one before the first that is told.
-    #[serde(default)]
-    pub reads: u32,
+    #[serde(rename = "reads", default)]
+    pub record_version: u32,
 }
 
 /// Key of the version that all controllers know.
@@ -134,7 +135,7 @@
 
 /// Records that every controller reads this version, instead of the earlier one whose
 /// record has that version of its key.
-pub fn raise_version(version: u32, earlier: u64) -> CompareAndSwap {
+pub fn advance_record_version(version: u32, earlier: u64) -> CompareAndSwap {
     CompareAndSwap {
         conditions: vec![Condition {
             key: VERSION_KEY.to_owned(),
@@ -148,17 +149,17 @@
 }
 
 /// Prefix of what an owner knows of its machines' images.
-pub fn images_prefix(shard: u16) -> String {
+pub fn image_locations_prefix(shard: u16) -> String {
     format!("img/{shard}/")
 }
 
 /// Key of one page of it.
-pub fn images_key(shard: u16, page: usize) -> String {
+pub fn image_locations_key(shard: u16, page: usize) -> String {
     format!("img/{shard}/{page}")
 }
 
 /// Reads the page from a key of it.
-pub fn parse_images_key(key: &str) -> Option<usize> {
+pub fn parse_image_locations_key(key: &str) -> Option<usize> {
     key.strip_prefix("img/")?.split_once('/')?.1.parse().ok()
 }
 
@@ -168,9 +169,11 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq, Eq)]
 pub struct ImageLocationsRecord {
     /// Images with their sizes in thousandths of a GB.
-    pub n: Vec<(String, u64)>,
+    #[serde(rename = "n")]
+    pub images: Vec<(String, u64)>,
     /// Machines with their images, as positions in `n`, most recently used first.
-    pub m: Vec<(MachineId, Vec<u16>)>,
+    #[serde(rename = "m")]
+    pub machines: Vec<(MachineId, Vec<u16>)>,
 }
 
 /// Which part serves a team.
@@ -194,13 +197,17 @@
     /// The team, so that its use is counted when the job itself is over.
     pub team: String,
     /// What a task takes.
-    pub need: Resources,
+    #[serde(rename = "need")]
+    pub task_resources: Resources,
     /// The next attempt number of the job.
-    pub next: u32,
+    #[serde(rename = "next")]
+    pub next_attempt: u32,
     /// Ranges of done tasks, first and last.
-    pub done: Vec<(u32, u32)>,
+    #[serde(rename = "done")]
+    pub done_ranges: Vec<(u32, u32)>,
     /// Attempts not proven to be over.
-    pub live: Vec<LiveAttemptRecord>,
+    #[serde(rename = "live")]
+    pub live_attempts: Vec<LiveAttemptRecord>,
     /// Of a gang: how far its admission has come. None of a gang that an earlier
     /// version admitted: it may have been started.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -213,9 +220,11 @@
     /// How far it has come.
     pub step: GangAdmissionStep,
     /// Time of day of that step, ms.
-    pub at: u64,
+    #[serde(rename = "at")]
+    pub at_ms: u64,
     /// The attempt that its members share.
-    pub a: u32,
+    #[serde(rename = "a")]
+    pub attempt: u32,
 }
 
 /// Steps of a gang's admission, in their order.
@@ -237,34 +246,39 @@
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub struct LiveAttemptRecord {
     /// Task.
-    pub t: u32,
+    #[serde(rename = "t")]
+    pub task: u32,
     /// Attempt.
-    pub a: u32,
+    #[serde(rename = "a")]
+    pub attempt: u32,
     /// Machine.
-    pub m: MachineId,
+    #[serde(rename = "m")]
+    pub machine: MachineId,
     /// Part of the machine.
-    pub p: u16,
+    #[serde(rename = "p")]
+    pub shard: u16,
     /// Zone of the machine.
-    pub z: String,
+    #[serde(rename = "z")]
+    pub zone: String,
 }
 
 /// Accepts a job: neither it nor its end may be known.
-pub fn accept_job(record: &JobRecord) -> CompareAndSwap {
+pub fn create_job(record: &JobRecord) -> CompareAndSwap {
     let id = &record.spec.id;
     CompareAndSwap {
-        conditions: unknown_job(id),
+        conditions: job_absent_conditions(id),
         writes: vec![Write::put(job_key(id), record)],
     }
 }
 
 /// Conditions of [`absent`] for one job.
-pub const ABSENT_CONDITIONS: usize = 3;
+pub const CONDITIONS_PER_ABSENT_JOB: usize = 3;
 
 /// Asks whether no such jobs are: neither unfinished, waiting for others nor over. It
 /// writes nothing; what it fails on is there.
 pub fn absent(jobs: &[JobId]) -> CompareAndSwap {
     CompareAndSwap {
-        conditions: jobs.iter().flat_map(unknown_job).collect(),
+        conditions: jobs.iter().flat_map(job_absent_conditions).collect(),
         writes: Vec::new(),
     }
 }
@@ -272,10 +286,10 @@
 /// Asks for the end of a job whose key has this version: if it has ended
 /// meanwhile, the key has another. Its placer writes the end once every attempt
 /// is proven to be over.
-pub fn withdraw_job(record: &JobRecord, version: u64) -> CompareAndSwap {
+pub fn request_cancellation(record: &JobRecord, version: u64) -> CompareAndSwap {
     let key = job_key(&record.spec.id);
     let asked = JobRecord {
-        withdrawn: true,
+        cancel_requested: true,
         ..record.clone()
     };
     CompareAndSwap {
@@ -303,10 +317,10 @@
         writes: vec![Write::Put {
             key,
             value: to_value(&record),
-            hold: Some(hold),
+            lease: Some(hold),
         }],
     };
-    entry.join(&mut cas);
+    entry.add_to(&mut cas);
     cas
 }
 
@@ -320,7 +334,7 @@
         }],
         writes: vec![Write::Delete { key }],
     };
-    entry.join(&mut cas);
+    entry.add_to(&mut cas);
     cas
 }
 
@@ -335,24 +349,25 @@
     deaf: Vec<u16>,
 ) -> CompareAndSwap {
     let mut cas = release_shard(token, entry);
-    cas.writes.extend(show_node(host, zone, hold, deaf).writes);
+    cas.writes
+        .extend(register_controller(host, zone, hold, deaf).writes);
     cas
 }
 
 /// Shows a node's presence, to live with its hold.
-pub fn show_node(host: &str, zone: &str, hold: u64, deaf: Vec<u16>) -> CompareAndSwap {
+pub fn register_controller(host: &str, zone: &str, hold: u64, deaf: Vec<u16>) -> CompareAndSwap {
     let record = ControllerRecord {
         zone: zone.to_owned(),
-        format: PEER_VERSION,
-        deaf,
-        reads: PACKED_VERSION,
+        peer_version: PEER_VERSION,
+        ceded_shards: deaf,
+        record_version: PACKED_VERSION,
     };
     CompareAndSwap {
         conditions: Vec::new(),
         writes: vec![Write::Put {
-            key: node_key(host),
+            key: controller_key(host),
             value: to_value(&record),
-            hold: Some(hold),
+            lease: Some(hold),
         }],
     }
 }
@@ -375,7 +390,7 @@
 }
 
 /// Key of one piece of a peer message that travels through the store.
-pub fn mail_key(kind: StoreMessageKind, from: u16, to: u16, piece: usize) -> String {
+pub fn store_message_key(kind: StoreMessageKind, from: u16, to: u16, piece: usize) -> String {
     let kind = match kind {
         StoreMessageKind::Sync => "sync",
         StoreMessageKind::View => "view",
@@ -398,13 +413,13 @@
     /// What it carries.
     pub kind: StoreMessageKind,
     /// Part of the sender.
-    pub from: u16,
+    pub from_shard: u16,
     /// Part of the receiver.
-    pub to: u16,
+    pub to_shard: u16,
 }
 
 /// Reads line and piece from the key below `w/mail/`.
-pub fn parse_mail_key(rest: &str) -> Option<(StoreMessageRoute, usize)> {
+pub fn parse_store_message_key(rest: &str) -> Option<(StoreMessageRoute, usize)> {
     let mut segments = rest.split('/');
     let kind = match segments.next()? {
         "sync" => StoreMessageKind::Sync,
@@ -413,8 +428,8 @@
     };
     let line = StoreMessageRoute {
         kind,
-        from: segments.next()?.parse().ok()?,
-        to: segments.next()?.parse().ok()?,
+        from_shard: segments.next()?.parse().ok()?,
+        to_shard: segments.next()?.parse().ok()?,
     };
     Some((line, segments.next()?.parse().ok()?))
 }
@@ -424,11 +439,14 @@
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Eq)]
 pub struct StoreMessageRecord {
     /// Pieces of the message.
-    pub n: usize,
+    #[serde(rename = "n")]
+    pub chunk_count: usize,
     /// Token and number of the message: pieces of one message agree.
-    pub id: (u64, u64),
+    #[serde(rename = "id")]
+    pub message_id: (u64, u64),
     /// The bytes.
-    pub b: String,
+    #[serde(rename = "b")]
+    pub payload_base64: String,
 }
 
 /// Writes a peer message in as many values of `piece_bytes` as it takes, to
@@ -443,15 +461,15 @@
     let pieces: Vec<&[u8]> = bytes.chunks(piece_bytes.max(1)).collect();
     let value = |piece: &[u8]| {
         to_value(&StoreMessageRecord {
-            n: pieces.len(),
-            id,
-            b: BASE64_STANDARD.encode(piece),
+            chunk_count: pieces.len(),
+            message_id: id,
+            payload_base64: BASE64_STANDARD.encode(piece),
         })
     };
     let put = |(k, piece): (usize, &&[u8])| Write::Put {
-        key: mail_key(line.kind, line.from, line.to, k),
+        key: store_message_key(line.kind, line.from_shard, line.to_shard, k),
         value: value(piece),
-        hold: Some(hold),
+        lease: Some(hold),
     };
     CompareAndSwap {
         conditions: Vec::new(),
--- a/crates/storage/tests/golden_records.rs
+++ b/crates/storage/tests/golden_records.rs
@@ -121,71 +121,71 @@
             id: id(412),
             class: "train".into(),
             team: "vision".into(),
-            shape: JobKind::Gang,
-            rank: Priority::High,
+            kind: JobKind::Gang,
+            priority: Priority::High,
             tasks: 16,
-            cores: 8.25,
+            cpus: 8.25,
             gpus: 1.0,
-            ram_gb: 64.5,
-            types: Some(vec!["g8".into()]),
+            memory_gb: 64.5,
+            machine_types: Some(vec!["g8".into()]),
             zone: None,
-            one_zone: true,
+            same_zone: true,
             spread: false,
-            spot: true,
+            allow_spot: true,
             image: "img-07".into(),
             image_gb: 6.2,
-            estimate_s: 240.0,
-            checkpoint_s: 30.0,
-            save_s: 4.0,
+            estimated_runtime_s: 240.0,
+            checkpoint_interval_s: 30.0,
+            checkpoint_duration_s: 4.0,
             deadline_s: Some(900.0),
-            awaits: (1..=awaits).map(id).collect(),
+            depends_on: (1..=awaits).map(id).collect(),
         },
-        at: NOW,
-        withdrawn,
-        awaited: awaits,
+        submitted_at_ms: NOW,
+        cancel_requested: withdrawn,
+        dependency_count: awaits,
     }
 }
 
 fn chunk(index: u32, gang: Option<GangAdmissionStep>) -> TaskChunkRecord {
     let first = index * CHUNK_TASKS;
     let live = |t, a, m: &str, p, z: &str| LiveAttemptRecord {
-        t: first + t,
-        a,
-        m: MachineId::from(m),
-        p,
-        z: z.into(),
+        task: first + t,
+        attempt: a,
+        machine: MachineId::from(m),
+        shard: p,
+        zone: z.into(),
     };
     TaskChunkRecord {
         team: "vision".into(),
-        need: Resources {
-            cpus: 8_250,
-            gpus: 1_000,
-            memory: 64_500,
+        task_resources: Resources {
+            milli_cpus: 8_250,
+            milli_gpus: 1_000,
+            memory_mb: 64_500,
         },
-        next: 9,
-        done: vec![(first, first + 2), (first + 4, first + 4)],
-        live: vec![
+        next_attempt: 9,
+        done_ranges: vec![(first, first + 2), (first + 4, first + 4)],
+        live_attempts: vec![
             live(3, 7, "n-000231", 1, "eemsmond"),
             live(5, 8, "n-0.2.32", 2, "rijnmond"),
             live(63, 6, "n-000233", 1, "eemsmond"),
         ],
         gang: gang.map(|step| GangAdmissionRecord {
             step,
-            at: NOW,
-            a: 7,
+            at_ms: NOW,
+            attempt: 7,
         }),
     }
 }
 
 fn failover(how: LeadershipChange, from: Option<&str>, to: Option<&str>) -> FailoverRecord {
     FailoverRecord {
-        n: 35,
-        from: from.map(str::to_owned),
-        to: to.map(str::to_owned),
-        how,
-        at: NOW,
+        number: 35,
+        previous_leader: from.map(str::to_owned),
+        new_leader: to.map(str::to_owned),
+        change: how,
+        at_ms: NOW,
         up: Some((30, 20, 10)),
-        closed: None,
+        completion: None,
     }
 }
 
@@ -209,8 +209,18 @@
     ] {
         let read = golden.record(name, &record);
         assert_eq!(
-            (read.spec, read.at, read.withdrawn, read.awaited),
-            (record.spec, record.at, record.withdrawn, record.awaited)
+            (
+                read.spec,
+                read.submitted_at_ms,
+                read.cancel_requested,
+                read.dependency_count
+            ),
+            (
+                record.spec,
+                record.submitted_at_ms,
+                record.cancel_requested,
+                record.dependency_count
+            )
         );
     }
     let shard = ShardRecord {
@@ -219,9 +229,9 @@
     assert_eq!(golden.record("part", &shard), shard);
     let node = ControllerRecord {
         zone: "eemsmond".into(),
-        format: 3,
-        deaf: vec![2, 4],
-        reads: 1,
+        peer_version: 3,
+        ceded_shards: vec![2, 4],
+        record_version: 1,
     };
     assert_eq!(golden.record("node", &node), node);
     let version = VersionRecord { version: 1 };
@@ -233,7 +243,7 @@
         2
     );
     let page = DependencyPage {
-        awaits: vec![id(41), id(42)],
+        depends_on: vec![id(41), id(42)],
     };
     assert_eq!(golden.record("page of awaited jobs", &page), page);
     for (name, phase) in [
@@ -243,17 +253,17 @@
         assert_eq!(golden.record(name, &JobEndRecord { phase }).phase, phase);
     }
     let images = ImageLocationsRecord {
-        n: vec![("img-07".into(), 6_200), ("img-08".into(), 900)],
-        m: vec![
+        images: vec![("img-07".into(), 6_200), ("img-08".into(), 900)],
+        machines: vec![
             (MachineId::from("n-000231"), vec![1, 0]),
             (MachineId::from("n-000232"), Vec::new()),
         ],
     };
     assert_eq!(golden.record("images", &images), images);
     let mail = StoreMessageRecord {
-        n: 2,
-        id: (42, 7),
-        b: "AAEC".into(),
+        chunk_count: 2,
+        message_id: (42, 7),
+        payload_base64: "AAEC".into(),
     };
     assert_eq!(golden.record("piece of mail", &mail), mail);
     golden.all();
@@ -304,26 +314,26 @@
     let (a, b) = (Some("hutte-0"), Some("hutte-2"));
     for (name, record) in [
         ("vacant", failover(LeadershipChange::Vacant, None, a)),
-        ("reborn", failover(LeadershipChange::Reborn, a, a)),
+        ("reborn", failover(LeadershipChange::Restarted, a, a)),
         (
             "handed back",
-            failover(LeadershipChange::HandedBack, b, None),
+            failover(LeadershipChange::ReturnedHome, b, None),
         ),
-        ("left", failover(LeadershipChange::Left, a, None)),
+        ("left", failover(LeadershipChange::Ceded, a, None)),
         ("otherwise", failover(LeadershipChange::Other, a, b)),
         (
             "closed, all known",
             FailoverRecord {
-                closed: Some(FailoverCompletion {
-                    by: "hutte-0".into(),
-                    read_ms: Some(310),
+                completion: Some(FailoverCompletion {
+                    reported_by: "hutte-0".into(),
+                    state_loaded_ms: Some(310),
                     first_start_ms: Some(420),
-                    whole_ms: Some(5_300),
+                    services_restored_ms: Some(5_300),
                     found: Some((30, 4)),
                     gaps: vec![("serve".into(), 6_100)],
                     unknown: vec!["gaps".into()],
-                    token: Some(42),
-                    held_ms: Some(90_000),
+                    fencing_token: Some(42),
+                    leadership_ms: Some(90_000),
                 }),
                 ..failover(LeadershipChange::Vacant, b, a)
             },
@@ -332,7 +342,7 @@
             "closed, nothing known",
             FailoverRecord {
                 up: None,
-                closed: Some(FailoverCompletion::default()),
+                completion: Some(FailoverCompletion::default()),
                 ..failover(LeadershipChange::Vacant, b, a)
             },
         ),
@@ -352,21 +362,21 @@
     assert_eq!(job_key(&id(412)), "w/job/req-000412");
     assert_eq!(end_key(&id(412)), "end/req-000412");
     assert_eq!(shard_key(2), "w/part/2");
-    assert_eq!(node_key("hutte-0"), "w/node/hutte-0");
+    assert_eq!(controller_key("hutte-0"), "w/node/hutte-0");
     assert_eq!(team_key("vision"), "w/team/vision");
-    assert_eq!(run_prefix(2), "run/2/");
-    assert_eq!(run_key(2, &id(412), 5), "run/2/req-000412/5");
-    assert_eq!(images_prefix(2), "img/2/");
-    assert_eq!(images_key(2, 3), "img/2/3");
-    assert_eq!(chain_key(&id(412)), "w/chain/req-000412");
-    assert_eq!(awaits_key(&id(412), 3), "w/chain/req-000412/3");
+    assert_eq!(task_chunks_prefix(2), "run/2/");
+    assert_eq!(task_chunk_key(2, &id(412), 5), "run/2/req-000412/5");
+    assert_eq!(image_locations_prefix(2), "img/2/");
+    assert_eq!(image_locations_key(2, 3), "img/2/3");
+    assert_eq!(blocked_job_key(&id(412)), "w/chain/req-000412");
+    assert_eq!(dependency_page_key(&id(412), 3), "w/chain/req-000412/3");
     assert_eq!(failover_key(2, 35), "w/hand/2/3");
     assert_eq!(
-        mail_key(StoreMessageKind::Sync, 1, 2, 3),
+        store_message_key(StoreMessageKind::Sync, 1, 2, 3),
         "w/mail/sync/1/2/3"
     );
     assert_eq!(
-        mail_key(StoreMessageKind::View, 1, 2, 3),
+        store_message_key(StoreMessageKind::View, 1, 2, 3),
         "w/mail/view/1/2/3"
     );
     assert_eq!((AWAITS_PAGE, CHUNK_TASKS, HANDOVERS_KEPT), (40, 64, 32));
@@ -374,10 +384,13 @@
 
 #[test]
 fn keys_are_read_as_they_are_spelled() {
-    assert_eq!(parse_run_key("run/2/req-000412/5"), Some((id(412), 5)));
-    assert_eq!(parse_images_key("img/2/3"), Some(3));
-    assert_eq!(parse_chain_key("req-000412"), Some((id(412), 0)));
-    assert_eq!(parse_chain_key("req-000412/3"), Some((id(412), 3)));
+    assert_eq!(
+        parse_task_chunk_key("run/2/req-000412/5"),
+        Some((id(412), 5))
+    );
+    assert_eq!(parse_image_locations_key("img/2/3"), Some(3));
+    assert_eq!(parse_blocked_job_key("req-000412"), Some((id(412), 0)));
+    assert_eq!(parse_blocked_job_key("req-000412/3"), Some((id(412), 3)));
     assert_eq!(parse_failover_key("2/3"), Some((2, 3)));
     for (rest, kind) in [
         ("sync/1/2/3", StoreMessageKind::Sync),
@@ -385,10 +398,10 @@
     ] {
         let line = StoreMessageRoute {
             kind,
-            from: 1,
-            to: 2,
+            from_shard: 1,
+            to_shard: 2,
         };
-        assert_eq!(parse_mail_key(rest), Some((line, 3)));
+        assert_eq!(parse_store_message_key(rest), Some((line, 3)));
     }
 }
 
@@ -397,32 +410,35 @@
 #[test]
 fn transactions_of_records_are_their_samples() {
     let mut golden = Golden::of(include_str!("samples/golden/transactions.json"));
-    golden.cas("accept a job", &accept_job(&job(0, false)));
+    golden.cas("accept a job", &create_job(&job(0, false)));
     golden.cas("ask whether jobs are absent", &absent(&[id(1), id(2)]));
-    golden.cas("cancel a job", &withdraw_job(&job(0, false), 50));
+    golden.cas("cancel a job", &request_cancellation(&job(0, false), 50));
     let taken = entry(LeadershipChange::Vacant, Some("hutte-2"), Some("hutte-0"));
     golden.cas("take a shard", &acquire_shard(49, "hutte-0", 9, &taken));
-    let back = entry(LeadershipChange::HandedBack, Some("hutte-0"), None);
+    let back = entry(LeadershipChange::ReturnedHome, Some("hutte-0"), None);
     golden.cas("hand a shard back", &release_shard(42, &back));
-    let left = entry(LeadershipChange::Left, Some("hutte-0"), None);
+    let left = entry(LeadershipChange::Ceded, Some("hutte-0"), None);
     golden.cas(
         "leave a shard",
         &cede_shard(42, &left, "hutte-0", "eemsmond", 9, vec![2, 4]),
     );
-    golden.cas("show a node", &show_node("hutte-0", "eemsmond", 9, vec![2]));
+    golden.cas(
+        "show a node",
+        &register_controller("hutte-0", "eemsmond", 9, vec![2]),
+    );
     golden.cas(
         "assign teams",
         &assign_teams(&[("vision".into(), 2), ("speech".into(), 0)]),
     );
-    golden.cas("raise the version", &raise_version(1, 12));
+    golden.cas("raise the version", &advance_record_version(1, 12));
     for (name, kind) in [
         ("post a sync", StoreMessageKind::Sync),
         ("post a view", StoreMessageKind::View),
     ] {
         let line = StoreMessageRoute {
             kind,
-            from: 1,
-            to: 2,
+            from_shard: 1,
+            to_shard: 2,
         };
         golden.cas(name, &post(line, (42, 7), &[0, 1, 2, 253, 254], 3, 9));
     }
@@ -432,18 +448,18 @@
 #[test]
 fn transactions_of_chains_are_their_samples() {
     let mut golden = Golden::of(include_str!("samples/golden/chain_transactions.json"));
-    let accepted = accept_waiting(&job(2 * AWAITS_PAGE + 1, false), 1);
+    let accepted = create_blocked_job(&job(2 * AWAITS_PAGE + 1, false), 1);
     assert_eq!(accepted.len(), 3);
     for (i, cas) in accepted.iter().enumerate() {
         golden.cas(&format!("accept a job that waits, {i}"), cas);
     }
-    golden.cas("accept a cancelled job", &accept_cancelled(&id(412)));
-    golden.cas("cancel a job that waits", &cancel_waiting(&id(412), 51));
+    golden.cas("accept a cancelled job", &create_cancelled_job(&id(412)));
+    golden.cas("cancel a job that waits", &cancel_blocked_job(&id(412), 51));
     let done = [(id(1), 60), (id(2), 61)];
     golden.cas(
         "release a job that waited",
-        &release_waiting(&job(2, false), 52, &done),
+        &unblock_job(&job(2, false), 52, &done),
     );
-    golden.cas("ask whether ends stand", &ends_stand(&done));
+    golden.cas("ask whether ends stand", &check_ends_unchanged(&done));
     golden.all();
 }
--- a/crates/storage/tests/versions.rs
+++ b/crates/storage/tests/versions.rs
@@ -9,7 +9,7 @@
 use lemonweir_protocol::kv_store::{Write, from_value, to_value};
 use lemonweir_protocol::peer::{self, ShardView, SyncRequest};
 use lemonweir_protocol::users::JobPhase;
-use lemonweir_storage::dependencies::{accept_waiting, chain_key, release_waiting};
+use lemonweir_storage::dependencies::{blocked_job_key, create_blocked_job, unblock_job};
 use lemonweir_storage::failovers::FailoverRecord;
 use lemonweir_storage::packed_chunk::{chunk_value, read_chunk};
 use lemonweir_storage::records::*;
@@ -32,19 +32,23 @@
 #[test]
 fn records_of_the_version_before_are_read() {
     let job: JobRecord = from_value(&sample("job")).expect("a job");
-    assert!(job.withdrawn && job.awaited == 0 && job.spec.awaits.is_empty());
+    assert!(job.cancel_requested && job.dependency_count == 0 && job.spec.depends_on.is_empty());
     assert_eq!(
-        (job.spec.id.as_str(), job.spec.rank, job.spec.shape),
+        (job.spec.id.as_str(), job.spec.priority, job.spec.kind),
         ("req-000412", Priority::High, JobKind::Gang)
     );
     let node: ControllerRecord = from_value(&sample("node")).expect("a node");
     assert_eq!(
-        (node.reads, node.format, node.deaf),
+        (node.record_version, node.peer_version, node.ceded_shards),
         (0, PEER_VERSION, vec![2])
     );
     let chunk = read_chunk(&sample("chunk"), 0).expect("a chunk");
     assert_eq!(
-        (chunk.live.len(), chunk.done.as_slice(), chunk.next),
+        (
+            chunk.live_attempts.len(),
+            chunk.done_ranges.as_slice(),
+            chunk.next_attempt
+        ),
         (2, [(0, 2)].as_slice(), 4)
     );
     assert_eq!(
@@ -74,14 +78,14 @@
 /// Messages between controllers keep their format: byte for byte what they were.
 #[test]
 fn messages_are_those_of_the_version_before() {
-    let sync: SyncRequest = peer::read(&message("sync")).expect("a sync");
+    let sync: SyncRequest = peer::decode(&message("sync")).expect("a sync");
     assert_eq!(
-        (sync.wants.len(), sync.notes.len(), peer::write(&sync)),
+        (sync.desired.len(), sync.progress.len(), peer::encode(&sync)),
         (1, 1, message("sync"))
     );
-    let view: ShardView = peer::read(&message("view")).expect("a view");
+    let view: ShardView = peer::decode(&message("view")).expect("a view");
     assert_eq!(
-        (view.machines.len(), peer::write(&view)),
+        (view.machines.len(), peer::encode(&view)),
         (1, message("view"))
     );
 }
@@ -117,14 +121,14 @@
 #[test]
 fn the_version_before_reads_what_may_start_and_nothing_that_waits() {
     let mut spec: JobSpec = from_value::<JobRecord>(&sample("job")).expect("a job").spec;
-    spec.awaits = vec![JobId::from("req-000001")];
+    spec.depends_on = vec![JobId::from("req-000001")];
     let record = JobRecord {
         spec,
-        at: 7,
-        withdrawn: false,
-        awaited: 0,
+        submitted_at_ms: 7,
+        cancel_requested: false,
+        dependency_count: 0,
     };
-    for cas in accept_waiting(&record, 4) {
+    for cas in create_blocked_job(&record, 4) {
         for write in &cas.writes {
             let Write::Put { key, .. } = write else {
                 panic!("nothing is removed")
@@ -140,14 +144,14 @@
             );
         }
     }
-    let released = release_waiting(&record, 3, &[(JobId::from("req-000001"), 2)]);
+    let released = unblock_job(&record, 3, &[(JobId::from("req-000001"), 2)]);
     let [Write::Put { key, value, .. }, Write::Delete { key: gone }] = released.writes.as_slice()
     else {
         panic!("two changes")
     };
     assert_eq!(
         (key.as_str(), gone),
-        ("w/job/req-000412", &chain_key(&record.spec.id))
+        ("w/job/req-000412", &blocked_job_key(&record.spec.id))
     );
     let earlier: EarlierJob = from_value(value).expect("read");
     assert_eq!(
@@ -160,10 +164,10 @@
     );
     assert_eq!((earlier.at, earlier.withdrawn), (7, false));
     assert!(
-        from_value::<JobRecord>(value).is_some_and(|job| job.spec.awaits.is_empty()),
+        from_value::<JobRecord>(value).is_some_and(|job| job.spec.depends_on.is_empty()),
         "nothing is lost if it writes it back"
     );
-    let shown = show_node("hutte-0", "eemsmond", 1, Vec::new());
+    let shown = register_controller("hutte-0", "eemsmond", 1, Vec::new());
     let [Write::Put { value, .. }] = shown.writes.as_slice() else {
         panic!("one change")
     };
