--- a/crates/coordination/src/autoscaler.rs
+++ b/crates/coordination/src/autoscaler.rs
@@ -59,7 +59,7 @@
 impl From<&ProvisioningRequest> for InstancePool {
     fn from(request: &ProvisioningRequest) -> Self {
         let market = Market::from_spot_flag(request.spot);
-        Self::new(&request.kind, &request.zone, market)
+        Self::new(&request.machine_type, &request.zone, market)
     }
 }
 
@@ -357,7 +357,7 @@
         let catalog = self.options.catalog;
         catalog
             .values()
-            .filter(|t| demand.allows_type(&t.name) && t.room.covers(&demand.need))
+            .filter(|t| demand.allows_type(&t.name) && t.capacity.covers(&demand.need))
             .flat_map(|machine_type| {
                 let zones = machine_type.zones.iter();
                 zones
@@ -384,13 +384,13 @@
         let price = match market {
             Market::Spot if machine_type.spot_price <= 0.0 => return None,
             Market::Spot => machine_type.spot_price,
-            Market::OnDemand => machine_type.price,
+            Market::OnDemand => machine_type.on_demand_price,
         };
         let pool = InstancePool::new(&machine_type.name, zone, market);
         if !demand.allows_market(market) || !self.options.shortages.may_request(&pool, self.now) {
             return None;
         }
-        let tasks = tasks_in(&machine_type.room, &demand.need)
+        let tasks = tasks_in(&machine_type.capacity, &demand.need)
             .min(u64::from(demand.count))
             .max(1);
         Some(Offer {
@@ -407,7 +407,7 @@
         let Offer {
             pool, machine_type, ..
         } = offer;
-        let room = machine_type.room;
+        let room = machine_type.capacity;
         *self.machines_by_zone.entry(pool.zone.clone()).or_default() += 1;
         let packed = tasks_in(&room, &demand.need).clamp(1, unplaced);
         self.bins.push(CapacityBin {
@@ -436,7 +436,7 @@
 /// How many tasks of this need fit into free resources.
 pub(crate) fn tasks_in(free: &Resources, need: &Resources) -> u64 {
     let ratio = |have: u64, need: u64| have.checked_div(need).unwrap_or(u64::MAX);
-    ratio(free.cpus, need.cpus)
-        .min(ratio(free.gpus, need.gpus))
-        .min(ratio(free.memory, need.memory))
+    ratio(free.milli_cpus, need.milli_cpus)
+        .min(ratio(free.milli_gpus, need.milli_gpus))
+        .min(ratio(free.memory_mb, need.memory_mb))
 }
--- a/crates/coordination/src/config.rs
+++ b/crates/coordination/src/config.rs
@@ -7,7 +7,7 @@
 use lemonweir_model::constants::TXN_BYTES;
 use lemonweir_model::settings::{ClusterMember, Settings};
 use lemonweir_model::{MachineId, Resources};
-use lemonweir_protocol::users::team_limit;
+use lemonweir_protocol::users::quota_limit;
 
 /// ms of the time that a cancellation allows which are kept for delivery when
 /// a controller answers heartbeats without knowing the store, while some controller still
@@ -72,11 +72,11 @@
             .iter()
             .position(|m| m.host == settings.host_name)
             .unwrap_or(0) as u16;
-        let workers = &settings.cluster.workers;
+        let workers = &settings.cluster.worker_timing;
         let ms = |s: f64| (s * 1000.0) as u64;
         let objectives = &settings.cluster.objectives;
-        let value_bytes = (settings.cluster.state.least_value_kb() * 1024.0) as usize;
-        let cas_max_changes = settings.cluster.state.least_txn_ops();
+        let value_bytes = (settings.cluster.kv_store.lowest_max_value_kib() * 1024.0) as usize;
+        let cas_max_changes = settings.cluster.kv_store.lowest_max_cas_ops();
         let mut teams: Vec<String> = settings
             .cluster
             .teams
@@ -89,13 +89,18 @@
                 .cluster
                 .teams
                 .iter()
-                .map(|t| (t.name.clone(), team_limit(t)))
+                .map(|t| (t.name.clone(), quota_limit(t)))
                 .collect(),
             guaranteed_quotas: settings
                 .cluster
                 .teams
                 .iter()
-                .map(|t| (t.name.clone(), Resources::offer(t.cpus, t.gpus, 0.0)))
+                .map(|t| {
+                    (
+                        t.name.clone(),
+                        Resources::capacity(t.guaranteed_cpus, t.guaranteed_gpus, 0.0),
+                    )
+                })
                 .collect(),
             start_objectives_s: objectives
                 .iter()
@@ -109,29 +114,29 @@
                 .fold(f64::MAX, f64::min),
             zones: settings.cluster.zones.clone(),
             teams,
-            gang_wait_ms: ms(workers.gang_wait_s),
+            gang_wait_ms: ms(workers.gang_start_timeout_s),
             timing: Timing {
                 lease_ms: ms(workers.lease_s),
-                heartbeat_interval_ms: ms(workers.report_s),
+                heartbeat_interval_ms: ms(workers.heartbeat_interval_s),
             },
             // A controller of an earlier format publishes a cancellation before its
             // tasks have ended. One published right after the store's last answer to
             // us must still be executed in time: whatever we keep alive
             // until then ends with its lease.
-            short_store_outage_grace_ms: ms(workers.cancel_s - workers.lease_s)
+            short_store_outage_grace_ms: ms(workers.cancellation_deadline_s - workers.lease_s)
                 .saturating_sub(STORE_OUTAGE_GRACE_MARGIN_MS),
             value_bytes,
             wall_offset_ms: 0,
-            max_clock_offset_ms: settings.cluster.clock_off_ms.ceil() as u64,
+            max_clock_offset_ms: settings.cluster.clock_offset_ms.ceil() as u64,
             cas_max_changes,
-            idle_writes_per_s: (settings.cluster.state.least_write_rps() * IDLE_WRITES_SHARE
+            idle_writes_per_s: (settings.cluster.kv_store.lowest_writes_per_s() * IDLE_WRITES_SHARE
                 / members.len().max(1) as f64)
                 .ceil() as usize,
             // Half of what would just fit: the other fields of a message take
             // some, and one change may be larger than another.
             store_message_bytes: STORE_MESSAGE_BYTES
                 .min(store_message_piece_bytes(value_bytes) * cas_max_changes / 2),
-            sockets: SocketShares::divide(settings.cluster.limits.fd_limit),
+            sockets: SocketShares::divide(settings.cluster.process_limits.max_open_files),
             members,
             own_index,
         }
--- a/crates/coordination/src/core.rs
+++ b/crates/coordination/src/core.rs
@@ -82,7 +82,7 @@
     /// The shard whose placer runs a team's jobs.
     pub(crate) fn team_shard(cache: &StateCache, config: &Config, team: &str) -> u16 {
         cache
-            .teams
+            .team_shards
             .get(team)
             .copied()
             .filter(|&shard| usize::from(shard) < config.members.len())
@@ -91,7 +91,7 @@
 
     /// Hands the changed jobs to the placers that run them.
     fn apply_job_changes(&mut self, now: u64) {
-        let mut changed = self.cache.take_touched();
+        let mut changed = self.cache.take_changed_jobs();
         changed.extend(self.refresh_inherited_priorities());
         for id in changed {
             if self.cache.jobs.contains_key(&id) {
@@ -166,15 +166,15 @@
 
 /// What a job uses, unless it is being cancelled.
 pub(crate) fn active_spec(job: &CachedJob) -> Option<&JobSpec> {
-    (!job.record.withdrawn).then_some(&job.record.spec)
+    (!job.record.cancel_requested).then_some(&job.record.spec)
 }
 
 /// A job with the priority of the jobs that depend on it, if that is higher.
 pub(crate) fn with_inherited_priority(job: &CachedJob, inherited: Option<Priority>) -> CachedJob {
-    match inherited.filter(|inherited| *inherited < job.record.spec.rank) {
+    match inherited.filter(|inherited| *inherited < job.record.spec.priority) {
         Some(rank) => {
             let mut record = (*job.record).clone();
-            record.spec.rank = rank;
+            record.spec.priority = rank;
             CachedJob {
                 record: Arc::new(record),
                 ..job.clone()
--- a/crates/coordination/src/dependencies/batch.rs
+++ b/crates/coordination/src/dependencies/batch.rs
@@ -7,7 +7,7 @@
 use lemonweir_protocol::kv_store::{CompareAndSwap, Condition, Write};
 use lemonweir_storage::StateCache;
 use lemonweir_storage::dependencies::{
-    awaits_key, cancel_waiting, chain_key, ends_stand, release_waiting,
+    blocked_job_key, cancel_blocked_job, check_ends_unchanged, dependency_page_key, unblock_job,
 };
 
 /// What a compare-and-swap for waiting jobs is for.
@@ -61,7 +61,7 @@
         verified: &HashSet<JobId>,
     ) {
         for (id, done) in ready {
-            let Some(waiting) = cache.waiting.get(id) else {
+            let Some(waiting) = cache.blocked_jobs.get(id) else {
                 continue;
             };
             let unverified: Vec<(JobId, u64)> = done
@@ -76,7 +76,7 @@
                 }
                 return;
             }
-            let release = release_waiting(&waiting.record, waiting.version, &unverified);
+            let release = unblock_job(&waiting.record, waiting.version, &unverified);
             if !self.append(release) {
                 return;
             }
@@ -85,7 +85,7 @@
     }
 
     fn confirm(&mut self, done: &[(JobId, u64)]) {
-        self.cas = ends_stand(done);
+        self.cas = check_ends_unchanged(done);
         self.pending.verified = done.iter().map(|(id, _)| id.clone()).collect();
         self.full = true;
     }
@@ -93,10 +93,10 @@
     /// Adds the end of jobs that are cancelled with a dependency.
     pub(super) fn add_cancelled(&mut self, cache: &StateCache, cancelled: &[JobId]) {
         for id in cancelled {
-            let Some(waiting) = cache.waiting.get(id) else {
+            let Some(waiting) = cache.blocked_jobs.get(id) else {
                 continue;
             };
-            if !self.append(cancel_waiting(id, waiting.version)) {
+            if !self.append(cancel_blocked_job(id, waiting.version)) {
                 return;
             }
             self.pending.cancelled.push(id.clone());
@@ -105,17 +105,17 @@
 
     /// Adds the deletion of pages of dependencies whose jobs wait no more.
     pub(super) fn add_orphaned_pages(&mut self, cache: &StateCache) {
-        for (id, page) in cache.stray_pages() {
+        for (id, page) in cache.orphaned_dependency_pages() {
             let deletion = CompareAndSwap {
                 conditions: vec![Condition {
-                    key: chain_key(id),
+                    key: blocked_job_key(id),
                     version: 0,
                 }],
                 writes: vec![Write::Delete {
-                    key: awaits_key(id, *page),
+                    key: dependency_page_key(id, *page),
                 }],
             };
-            if cache.knows(id) && !self.append(deletion) {
+            if cache.is_known(id) && !self.append(deletion) {
                 return;
             }
         }
--- a/crates/coordination/src/dependencies/graph.rs
+++ b/crates/coordination/src/dependencies/graph.rs
@@ -13,7 +13,7 @@
     let (waiting, mut unread) = match direct_state(cache, id) {
         DependencyState::Waiting(waiting) => (waiting, Vec::new()),
         // What the others depend on may still show that it is cancelled.
-        DependencyState::Unread(unread) => (cache.awaits(id).unwrap_or_default(), unread),
+        DependencyState::Unread(unread) => (cache.dependencies(id).unwrap_or_default(), unread),
         decided @ (DependencyState::Ready(_) | DependencyState::Cancelled(_)) => return decided,
     };
     let before = search_before(cache, &waiting);
@@ -27,12 +27,12 @@
 
 /// The same by the direct dependencies alone.
 pub(super) fn direct_state(cache: &StateCache, id: &JobId) -> DependencyState {
-    let Some(dependencies) = cache.awaits(id) else {
+    let Some(dependencies) = cache.dependencies(id) else {
         return DependencyState::Unread(Vec::new());
     };
     let (mut done, mut waiting, mut unread) = (Vec::new(), Vec::new(), Vec::new());
     for dependency in &dependencies {
-        match cache.end(dependency) {
+        match cache.job_end(dependency) {
             Some(state) if state.phase == JobPhase::Done => {
                 done.push((dependency.clone(), state.version));
             }
@@ -49,7 +49,7 @@
 }
 
 fn is_unfinished(cache: &StateCache, id: &JobId) -> bool {
-    cache.jobs.contains_key(id) || cache.waiting.contains_key(id)
+    cache.jobs.contains_key(id) || cache.blocked_jobs.contains_key(id)
 }
 
 /// Waiting jobs that depend on a cancelled one, each with the final state that cancels it.
@@ -57,9 +57,9 @@
 pub(super) fn cancelled_jobs(cache: &StateCache) -> HashMap<JobId, FinalState> {
     let mut dependents: HashMap<JobId, Vec<&JobId>> = HashMap::new();
     let mut queue: Vec<(&JobId, FinalState)> = Vec::new();
-    for id in cache.waiting.keys() {
-        for dependency in cache.awaits(id).unwrap_or_default() {
-            match cache.end(&dependency) {
+    for id in cache.blocked_jobs.keys() {
+        for dependency in cache.dependencies(id).unwrap_or_default() {
+            match cache.job_end(&dependency) {
                 Some(state) if state.phase == JobPhase::Withdrawn => queue.push((id, state)),
                 Some(_) => {}
                 None => dependents.entry(dependency).or_default().push(id),
@@ -91,18 +91,18 @@
     let mut seen: BTreeSet<JobId> = jobs.iter().cloned().collect();
     let mut queue: Vec<JobId> = jobs.to_vec();
     while let Some(id) = queue.pop() {
-        if !cache.waiting.contains_key(&id) {
+        if !cache.blocked_jobs.contains_key(&id) {
             continue;
         }
-        for dependency in cache.awaits(&id).unwrap_or_default() {
-            match cache.end(&dependency) {
+        for dependency in cache.dependencies(&id).unwrap_or_default() {
+            match cache.job_end(&dependency) {
                 Some(state) if state.phase == JobPhase::Withdrawn => {
                     let cancelled = Some(state);
                     return Search { cancelled, unread };
                 }
                 Some(_) => {}
                 None if cache.jobs.contains_key(&dependency) => {}
-                None if cache.waiting.contains_key(&dependency) => {
+                None if cache.blocked_jobs.contains_key(&dependency) => {
                     if seen.insert(dependency.clone()) {
                         queue.push(dependency);
                     }
@@ -120,14 +120,14 @@
 /// The highest priority of the jobs that depend on each job, directly or through others.
 pub(super) fn inherited_priorities(cache: &StateCache) -> HashMap<JobId, Priority> {
     let mut inherited: HashMap<JobId, Priority> = HashMap::new();
-    let mut queue: Vec<JobId> = cache.waiting.keys().cloned().collect();
+    let mut queue: Vec<JobId> = cache.blocked_jobs.keys().cloned().collect();
     while let Some(id) = queue.pop() {
-        let Some(waiting) = cache.waiting.get(&id) else {
+        let Some(waiting) = cache.blocked_jobs.get(&id) else {
             continue;
         };
-        let own = waiting.record.spec.rank;
+        let own = waiting.record.spec.priority;
         let priority = inherited.get(&id).map_or(own, |higher| own.min(*higher));
-        for dependency in cache.awaits(&id).unwrap_or_default() {
+        for dependency in cache.dependencies(&id).unwrap_or_default() {
             if inherited
                 .get(&dependency)
                 .is_none_or(|before| priority < *before)
--- a/crates/coordination/src/dependencies/mod.rs
+++ b/crates/coordination/src/dependencies/mod.rs
@@ -25,8 +25,10 @@
 use lemonweir_model::{JobId, JobSpec, Priority};
 use lemonweir_protocol::kv_store::CompareAndSwap;
 use lemonweir_protocol::users::JobPhase;
-use lemonweir_storage::dependencies::{accept_cancelled, accept_waiting, cancel_waiting};
-use lemonweir_storage::records::{JobRecord, accept_job, withdraw_job};
+use lemonweir_storage::dependencies::{
+    cancel_blocked_job, create_blocked_job, create_cancelled_job,
+};
+use lemonweir_storage::records::{JobRecord, create_job, request_cancellation};
 use lemonweir_storage::state_cache::FinalState;
 
 /// Dependencies that are named to a user who asks why a job waits.
@@ -146,9 +148,9 @@
     /// What becomes of a submission whose job is not known here, at this time of day, ms.
     pub fn admit_job(&self, spec: &JobSpec, at: u64) -> DependencyAdmission {
         let unknown: Vec<JobId> = spec
-            .awaits
+            .depends_on
             .iter()
-            .filter(|id| !self.cache.knows(id))
+            .filter(|id| !self.cache.is_known(id))
             .cloned()
             .collect();
         if !unknown.is_empty() {
@@ -156,7 +158,7 @@
         }
         if self.depends_on_cancelled(spec) {
             return DependencyAdmission::Accept(
-                vec![accept_cancelled(&spec.id)],
+                vec![create_cancelled_job(&spec.id)],
                 JobPhase::Withdrawn,
             );
         }
@@ -164,22 +166,22 @@
         // state is still to be confirmed by the store, unless the job depends on nothing.
         let record = JobRecord {
             spec: spec.clone(),
-            at,
-            withdrawn: false,
-            awaited: 0,
+            submitted_at_ms: at,
+            cancel_requested: false,
+            dependency_count: 0,
         };
-        let cas_list = if spec.awaits.is_empty() {
-            vec![accept_job(&record)]
+        let cas_list = if spec.depends_on.is_empty() {
+            vec![create_job(&record)]
         } else {
-            accept_waiting(&record, self.config.cas_max_changes)
+            create_blocked_job(&record, self.config.cas_max_changes)
         };
         DependencyAdmission::Accept(cas_list, JobPhase::Queued)
     }
 
     fn depends_on_cancelled(&self, spec: &JobSpec) -> bool {
         let mut unfinished = Vec::new();
-        for id in &spec.awaits {
-            match self.cache.end(id).map(|state| state.phase) {
+        for id in &spec.depends_on {
+            match self.cache.job_end(id).map(|state| state.phase) {
                 Some(JobPhase::Withdrawn) => return true,
                 Some(_) => {}
                 None => unfinished.push(id.clone()),
@@ -194,12 +196,13 @@
     /// cancelled already, or not known here.
     pub fn cancellation_cas(&self, id: &JobId) -> Option<CompareAndSwap> {
         if let Some(job) = self.cache.jobs.get(id) {
-            return (!job.record.withdrawn).then(|| withdraw_job(&job.record, job.version));
+            return (!job.record.cancel_requested)
+                .then(|| request_cancellation(&job.record, job.version));
         }
         self.cache
-            .waiting
+            .blocked_jobs
             .get(id)
-            .map(|waiting| cancel_waiting(id, waiting.version))
+            .map(|waiting| cancel_blocked_job(id, waiting.version))
     }
 
     /// The priority that a job is placed with here, if this controller places it.
@@ -211,10 +214,10 @@
 
     /// Follows the changes of waiting jobs: the jobs whose priority has changed.
     pub(crate) fn refresh_inherited_priorities(&mut self) -> Vec<JobId> {
-        if self.dependencies.applied_changes == self.cache.waiting_changes {
+        if self.dependencies.applied_changes == self.cache.blocked_job_changes {
             return Vec::new();
         }
-        self.dependencies.applied_changes = self.cache.waiting_changes;
+        self.dependencies.applied_changes = self.cache.blocked_job_changes;
         let newest = graph::inherited_priorities(&self.cache);
         let before = std::mem::replace(&mut self.dependencies.inherited, newest);
         let newest = &self.dependencies.inherited;
@@ -234,11 +237,11 @@
     /// or nobody does and it is the first that lives.
     fn manages_dependencies_of(&self, team: &str) -> bool {
         let shard = Self::team_shard(&self.cache, &self.config, team);
-        match self.cache.shards.get(&shard) {
+        match self.cache.shard_leaders.get(&shard) {
             Some(_) => self.shards.contains_key(&shard),
             None => self
                 .cache
-                .nodes
+                .controllers
                 .keys()
                 .next()
                 .is_some_and(|host| *host == own_host(&self.config)),
@@ -248,12 +251,12 @@
     /// What is due for waiting jobs: final states to be read, and one compare-and-swap at a
     /// time.
     pub(crate) fn flush_dependencies(&mut self, now: u64, effects: &mut Vec<Effect>) {
-        let nothing_waits =
-            self.cache.waiting.is_empty() && self.cache.stray_pages().next().is_none();
+        let nothing_waits = self.cache.blocked_jobs.is_empty()
+            && self.cache.orphaned_dependency_pages().next().is_none();
         if nothing_waits || now < self.dependencies.not_before {
             return;
         }
-        let changes = self.cache.chain_changes();
+        let changes = self.cache.dependency_changes();
         if self.dependencies.pending.is_some()
             || self
                 .dependencies
@@ -274,7 +277,7 @@
     fn survey_waiting_jobs(&self) -> DueWork {
         let cancelled = graph::cancelled_jobs(&self.cache);
         let mut due = DueWork::default();
-        for (id, waiting) in &self.cache.waiting {
+        for (id, waiting) in &self.cache.blocked_jobs {
             if !self.manages_dependencies_of(&waiting.record.spec.team) {
                 continue;
             }
@@ -332,15 +335,16 @@
         };
         for id in &pending.released {
             info!(job_id = %id, "all dependencies done, job released");
-            self.cache.waiting.remove(id);
+            self.cache.blocked_jobs.remove(id);
         }
         for id in &pending.cancelled {
             info!(job_id = %id, "job cancelled with a dependency");
-            self.cache.waiting.remove(id);
-            self.cache.settle(id, JobPhase::Withdrawn, revision, now);
+            self.cache.blocked_jobs.remove(id);
+            self.cache
+                .record_end(id, JobPhase::Withdrawn, revision, now);
         }
         self.dependencies.verified.extend(pending.verified);
-        if self.cache.waiting.is_empty() {
+        if self.cache.blocked_jobs.is_empty() {
             self.dependencies.verified.clear();
         }
     }
@@ -351,7 +355,7 @@
         for id in ids {
             self.dependencies.reading.remove(id);
             self.dependencies.last_survey = None;
-            if !self.cache.knows(id) {
+            if !self.cache.is_known(id) {
                 self.dependencies.not_before = now + CAS_RETRY_MS;
             }
         }
--- a/crates/coordination/src/election.rs
+++ b/crates/coordination/src/election.rs
@@ -11,7 +11,7 @@
 
 use crate::{Core, ShardLease};
 use lemonweir_protocol::kv_store::CompareAndSwap;
-use lemonweir_storage::records::raise_version;
+use lemonweir_storage::records::advance_record_version;
 
 /// ms that a shard must have been without leader before a controller other than its
 /// home acquires it: a home that is just starting goes first.
@@ -75,16 +75,16 @@
         let members = &core.config.members;
         let home = &members.get(usize::from(shard))?.host;
         let own_host = members[usize::from(core.config.own_index)].host.as_str();
-        let nodes = &core.cache.nodes;
+        let nodes = &core.cache.controllers;
         let home_record = nodes.get(home);
         Some(Self {
             own_host,
             own_home: home == own_host,
             home_lives: home_record.is_some(),
-            home_serves: home_record.is_some_and(|node| !node.deaf.contains(&shard)),
+            home_serves: home_record.is_some_and(|node| !node.ceded_shards.contains(&shard)),
             others_serve: nodes
                 .iter()
-                .any(|(host, node)| host != own_host && !node.deaf.contains(&shard)),
+                .any(|(host, node)| host != own_host && !node.ceded_shards.contains(&shard)),
         })
     }
 }
@@ -128,9 +128,9 @@
         let own_host = &core.config.members[usize::from(core.config.own_index)].host;
         let ceded = self.ceded(core, now);
         core.cache
-            .nodes
+            .controllers
             .get(own_host)
-            .is_none_or(|node| node.deaf != ceded)
+            .is_none_or(|node| node.ceded_shards != ceded)
             .then_some(ceded)
     }
 
@@ -146,7 +146,7 @@
         let lease = leases.iter().find(|lease| lease.shard == shard).copied();
         let slot = usize::from(shard);
         self.leaderless_since.get(slot)?;
-        match (core.cache.shards.get(&shard), lease) {
+        match (core.cache.shard_leaders.get(&shard), lease) {
             (None, None) => {
                 let since = *self.leaderless_since[slot].get_or_insert(now);
                 let wait = failover_wait_ms(core, &candidacy, shard, leases.len());
@@ -159,7 +159,7 @@
             (Some(leader), None) if leader.host == candidacy.own_host => {
                 Some(ElectionAction::Acquire {
                     shard,
-                    version: leader.token,
+                    version: leader.fencing_token,
                 })
             }
             (Some(_), Some(lease)) if !candidacy.own_home && candidacy.home_serves => {
@@ -220,16 +220,16 @@
     let own_rank = rank(own_index, led);
     let shards_led = |host: &str| {
         core.cache
-            .shards
+            .shard_leaders
             .values()
             .filter(|leader| leader.host == host)
             .count()
     };
     let serves = |host: &str| {
         core.cache
-            .nodes
+            .controllers
             .get(host)
-            .is_some_and(|node| !node.deaf.contains(&shard))
+            .is_some_and(|node| !node.ceded_shards.contains(&shard))
     };
     members
         .iter()
@@ -247,7 +247,12 @@
     /// ones, and so starts again what they say runs.
     pub fn records_version_cas(&self) -> Option<CompareAndSwap> {
         let (version, key_version) = self.cache.records_version;
-        let reads = |host: &str| self.cache.nodes.get(host).map_or(0, |node| node.reads);
+        let reads = |host: &str| {
+            self.cache
+                .controllers
+                .get(host)
+                .map_or(0, |node| node.record_version)
+        };
         let all = self
             .config
             .members
@@ -255,7 +260,7 @@
             .map(|member| reads(&member.host))
             .min()
             .unwrap_or(0);
-        (all > version).then(|| raise_version(all, key_version))
+        (all > version).then(|| advance_record_version(all, key_version))
     }
 
     /// Teams that no record assigns to a shard yet, with the shard that each
@@ -265,7 +270,7 @@
             .config
             .teams
             .iter()
-            .filter(|team| !self.cache.teams.contains_key(*team));
+            .filter(|team| !self.cache.team_shards.contains_key(*team));
         new.map(|team| (team.clone(), self.config.default_shard(team)))
             .take(self.config.cas_max_changes)
             .collect()
--- a/crates/coordination/src/flush.rs
+++ b/crates/coordination/src/flush.rs
@@ -3,7 +3,7 @@
 use crate::{Core, Effect, Shard};
 use lemonweir_model::constants::PLACE_GAP_MS;
 use lemonweir_protocol::kv_store::{CompareAndSwap, Condition, Write};
-use lemonweir_storage::records::{ImageLocationsRecord, images_key, shard_key};
+use lemonweir_storage::records::{ImageLocationsRecord, image_locations_key, shard_key};
 
 /// Rounds of one flush: a sync within this process may give a placer something to do at
 /// once.
@@ -75,7 +75,7 @@
         if let Some(revision) = self.cache.revision {
             shard
                 .owner
-                .observe_leaders(&self.cache.shards, revision, now);
+                .observe_leaders(&self.cache.shard_leaders, revision, now);
         }
         shard.owner.tick(now, last_answer);
     }
@@ -98,9 +98,9 @@
             version: shard.lease.token,
         };
         let write = |(page, record): (usize, Option<ImageLocationsRecord>)| match record {
-            Some(record) => Write::put(images_key(index, page), &record),
+            Some(record) => Write::put(image_locations_key(index, page), &record),
             None => Write::Delete {
-                key: images_key(index, page),
+                key: image_locations_key(index, page),
             },
         };
         effects.push(Effect::WriteHint(CompareAndSwap {
--- a/crates/coordination/src/gang_admission/mod.rs
+++ b/crates/coordination/src/gang_admission/mod.rs
@@ -58,8 +58,8 @@
     pub fn record(&self) -> GangAdmissionRecord {
         GangAdmissionRecord {
             step: self.step,
-            at: self.at,
-            a: self.attempt,
+            at_ms: self.at,
+            attempt: self.attempt,
         }
     }
 }
@@ -89,7 +89,7 @@
                 None | Some(GangAdmissionStep::Other) => GangAdmissionStep::Admitted,
                 Some(step) => step,
             },
-            at: record.map_or(0, |record| record.at),
+            at: record.map_or(0, |record| record.at_ms),
             attempt,
         })
         .reduce(|before, next| InheritedAdmission {
@@ -138,7 +138,7 @@
     pub fn add(&mut self, state: Option<AttemptState>, stopped: bool) {
         self.live += 1;
         self.stopped += u32::from(stopped);
-        self.granted += u32::from(state.is_some_and(|state| !state.ended()));
+        self.granted += u32::from(state.is_some_and(|state| !state.is_terminal()));
         self.launched += u32::from(matches!(
             state,
             Some(AttemptState::Preparing | AttemptState::Running)
--- a/crates/coordination/src/heartbeats.rs
+++ b/crates/coordination/src/heartbeats.rs
@@ -105,7 +105,7 @@
             .record_heartbeat(&heartbeat.zone, zone_known && fresh, now);
         let members = &self.config.members;
         let own_host = &members[usize::from(self.config.own_index)].host;
-        let leader = self.cache.shards.get(&shard);
+        let leader = self.cache.shard_leaders.get(&shard);
         let Some(leader) = leader.filter(|leader| leader.host != *own_host) else {
             return HeartbeatAnswer::Unavailable;
         };
@@ -118,7 +118,7 @@
             zone: &heartbeat.zone,
             machine: &heartbeat.machine,
             repeated,
-            knows_leader: heartbeat.token >> FENCE_BITS == leader.token,
+            knows_leader: heartbeat.fencing_token >> FENCE_BITS == leader.fencing_token,
         };
         match self.links.route_misrouted(&misrouted, now) {
             MisroutedHeartbeatAction::Relay => HeartbeatAnswer::Relay(misrouted.leader),
@@ -131,11 +131,14 @@
     /// the store yet: the lease that its token shows is still in force, or not.
     fn confirm_worker_lease(&self, heartbeat: &Heartbeat, now: u64) -> HeartbeatAnswer {
         let wall = now + self.config.wall_offset_ms;
-        match worker_lease::renewable_until(heartbeat.token, wall, self.config.max_clock_offset_ms)
-        {
+        match worker_lease::renewable_until(
+            heartbeat.fencing_token,
+            wall,
+            self.config.max_clock_offset_ms,
+        ) {
             Some(until) if wall <= until => HeartbeatAnswer::Commands(HeartbeatResponse {
-                token: heartbeat.token,
-                orders: Vec::new(),
+                fencing_token: heartbeat.fencing_token,
+                commands: Vec::new(),
             }),
             _ => HeartbeatAnswer::Unavailable,
         }
@@ -205,13 +208,17 @@
     /// to its user before its last attempt is proven over (`Job::finished`), so
     /// what runs on meanwhile breaks no guarantee.
     fn store_outage_grace_ms(&self) -> u64 {
-        let same_format = self.cache.nodes.values().all(|n| n.format >= PEER_VERSION);
+        let same_format = self
+            .cache
+            .controllers
+            .values()
+            .all(|n| n.peer_version >= PEER_VERSION);
         if same_format {
-            self.policy.blind_ms
+            self.policy.store_outage_grace_ms
         } else {
             self.config
                 .short_store_outage_grace_ms
-                .min(self.policy.blind_ms)
+                .min(self.policy.store_outage_grace_ms)
         }
     }
 
--- a/crates/coordination/src/image_locality/report.rs
+++ b/crates/coordination/src/image_locality/report.rs
@@ -19,11 +19,14 @@
         let shards = placer
             .into_iter()
             .flat_map(|p| p.view_ages_s(now))
-            .map(|(shard, told_s)| ShardImageRow { shard, told_s })
+            .map(|(shard, told_s)| ShardImageRow {
+                shard,
+                age_s: told_s,
+            })
             .collect();
         ImageLocalityReport {
             image: image.to_owned(),
-            mb,
+            size_mb: mb,
             users,
             zones: self.image_zones(image, placer),
             shards,
@@ -38,7 +41,7 @@
             .cache
             .jobs
             .values()
-            .filter(|job| !job.record.withdrawn && job.record.spec.image == image);
+            .filter(|job| !job.record.cancel_requested && job.record.spec.image == image);
         for spec in unfinished.map(|job| &job.record.spec) {
             size_mb = Some(spec.image_mb());
             let (jobs, tasks) = by_class.entry(&spec.class).or_default();
@@ -63,30 +66,33 @@
         for zone in &self.config.zones {
             let row = ZoneImageRow {
                 zone: zone.clone(),
-                here: 0,
-                coming: 0,
-                open: 0,
-                left: 0,
-                hidden: partitioned.contains(zone.as_str()),
+                cached: 0,
+                pulling: 0,
+                schedulable: 0,
+                cached_elsewhere: 0,
+                partitioned: partitioned.contains(zone.as_str()),
             };
             zones.insert(zone, row);
         }
         for machine in placer.into_iter().flat_map(|p| p.machines()) {
-            let Some(row) = zones.get_mut(machine.zone.as_str()).filter(|_| machine.up) else {
+            let Some(row) = zones
+                .get_mut(machine.zone.as_str())
+                .filter(|_| machine.registered)
+            else {
                 continue;
             };
-            if machine.images.iter().any(|i| i == image) {
-                row.here += 1;
-                row.open += u64::from(machine.open);
-            } else if machine.coming.iter().any(|i| i == image) {
-                row.coming += 1;
+            if machine.cached_images.iter().any(|i| i == image) {
+                row.cached += 1;
+                row.schedulable += u64::from(machine.schedulable);
+            } else if machine.pulling_images.iter().any(|i| i == image) {
+                row.pulling += 1;
             }
         }
-        let all: u64 = zones.values().map(|row| row.here).sum();
+        let all: u64 = zones.values().map(|row| row.cached).sum();
         zones
             .into_values()
             .map(|row| ZoneImageRow {
-                left: all - row.here,
+                cached_elsewhere: all - row.cached,
                 ..row
             })
             .collect()
--- a/crates/coordination/src/image_locality/scoring.rs
+++ b/crates/coordination/src/image_locality/scoring.rs
@@ -1,6 +1,6 @@
 //! Locality scoring: the places for a replica as classes, in the order of their cost.
 
-use lemonweir_model::policy::Trade;
+use lemonweir_model::policy::ServicePlacementWeights;
 
 /// How many times as long a fetch counts beside another on the same machine: less than
 /// twice, since part of the other is mostly over.
@@ -178,32 +178,32 @@
     }
 
     /// Cost of sharing a machine with so many others of its job, s.
-    pub fn replica_cost_s(&self, policy: &Trade, spread: ReplicaSpread) -> f64 {
+    pub fn replica_cost_s(&self, policy: &ServicePlacementWeights, spread: ReplicaSpread) -> f64 {
         let lost = match spread {
             ReplicaSpread::Zero => 0.0,
             ReplicaSpread::One => self.fraction(2),
             ReplicaSpread::Several => self.fraction(SEVERAL_REPLICAS),
             ReplicaSpread::Majority => MAJORITY_RISK_FACTOR,
         };
-        policy.machine * self.downtime_s() * lost
+        policy.machine_loss * self.downtime_s() * lost
     }
 
     /// Cost of going to a zone which has its share already, or where all others of its job
     /// are, s.
-    pub fn zone_cost_s(&self, policy: &Trade, share: ZoneShare) -> f64 {
-        let beyond_share = policy.zone * self.fraction(self.fair_zone_share() + 1);
+    pub fn zone_cost_s(&self, policy: &ServicePlacementWeights, share: ZoneShare) -> f64 {
+        let beyond_share = policy.zone_loss * self.fraction(self.fair_zone_share() + 1);
         let risk = match (share, self.single_zone) {
             (ZoneShare::Below, _) => 0.0,
-            (ZoneShare::Reached, true) => policy.one_zone.max(beyond_share),
+            (ZoneShare::Reached, true) => policy.single_zone.max(beyond_share),
             (ZoneShare::Reached, false) => beyond_share,
         };
         risk * self.downtime_s()
     }
 
     /// Cost of going to a spot instance when half of its job is on some, s.
-    fn spot_cost_s(&self, policy: &Trade) -> f64 {
+    fn spot_cost_s(&self, policy: &ServicePlacementWeights) -> f64 {
         if self.half_on_spot {
-            policy.zone * self.fraction(self.task_count / 2 + 1) * self.downtime_s()
+            policy.zone_loss * self.fraction(self.task_count / 2 + 1) * self.downtime_s()
         } else {
             0.0
         }
@@ -213,7 +213,10 @@
 /// The classes in the order of their costs; of those that cost the same, the one with the
 /// nearer image goes first. What makes no difference is no class of its own, so that a job
 /// without replicas, or risk weights of 0, cost few walks.
-pub fn placement_classes(policy: &Trade, risk: &PlacementRisk) -> Vec<PlacementClass> {
+pub fn placement_classes(
+    policy: &ServicePlacementWeights,
+    risk: &PlacementRisk,
+) -> Vec<PlacementClass> {
     if !risk.long_running {
         return run_to_completion_classes();
     }
@@ -297,12 +300,19 @@
 }
 
 /// What is paid anew for a machine.
-fn usage_options(policy: &Trade, risk: &PlacementRisk) -> Vec<(Option<MachineUsage>, f64)> {
-    if policy.pin_s <= 0.0 && !risk.spot_allowed {
+fn usage_options(
+    policy: &ServicePlacementWeights,
+    risk: &PlacementRisk,
+) -> Vec<(Option<MachineUsage>, f64)> {
+    if policy.machine_pin_cost_s <= 0.0 && !risk.spot_allowed {
         return vec![(None, 0.0)];
     }
     // An on-demand machine for a task that may use spot instances is paid for anew.
-    let on_demand_s = if risk.spot_allowed { policy.pin_s } else { 0.0 };
+    let on_demand_s = if risk.spot_allowed {
+        policy.machine_pin_cost_s
+    } else {
+        0.0
+    };
     let mut options = Vec::with_capacity(4);
     if risk.spot_allowed {
         options.push((Some(MachineUsage::Spot), risk.spot_cost_s(policy)));
@@ -311,17 +321,23 @@
         (Some(MachineUsage::LongRunning), on_demand_s),
         (
             Some(MachineUsage::RunToCompletion),
-            on_demand_s + policy.pin_s,
+            on_demand_s + policy.machine_pin_cost_s,
+        ),
+        (
+            Some(MachineUsage::Idle),
+            on_demand_s + 2.0 * policy.machine_pin_cost_s,
         ),
-        (Some(MachineUsage::Idle), on_demand_s + 2.0 * policy.pin_s),
     ]);
     options
 }
 
 /// What stranded GPUs cost: more than a machine that has no other tasks.
-fn gpu_options(policy: &Trade, risk: &PlacementRisk) -> Vec<(Option<bool>, f64)> {
+fn gpu_options(policy: &ServicePlacementWeights, risk: &PlacementRisk) -> Vec<(Option<bool>, f64)> {
     if risk.without_gpus {
-        vec![(Some(false), 0.0), (Some(true), 2.0 * policy.pin_s)]
+        vec![
+            (Some(false), 0.0),
+            (Some(true), 2.0 * policy.machine_pin_cost_s),
+        ]
     } else {
         vec![(None, 0.0)]
     }
@@ -335,7 +351,7 @@
 }
 
 /// What the loss of a machine or a zone would take of the job, as one sum.
-fn spread_options(policy: &Trade, risk: &PlacementRisk) -> Vec<(Spread, f64)> {
+fn spread_options(policy: &ServicePlacementWeights, risk: &PlacementRisk) -> Vec<(Spread, f64)> {
     let mut options = Vec::new();
     for (replicas, machine_cost_s) in replica_options(policy, risk) {
         for (zone_share, zone_cost_s) in zone_options(policy, risk) {
@@ -349,8 +365,11 @@
     options
 }
 
-fn replica_options(policy: &Trade, risk: &PlacementRisk) -> Vec<(Option<ReplicaSpread>, f64)> {
-    if !risk.has_replicas || policy.machine <= 0.0 {
+fn replica_options(
+    policy: &ServicePlacementWeights,
+    risk: &PlacementRisk,
+) -> Vec<(Option<ReplicaSpread>, f64)> {
+    if !risk.has_replicas || policy.machine_loss <= 0.0 {
         return vec![(None, 0.0)];
     }
     [
@@ -363,7 +382,10 @@
     .to_vec()
 }
 
-fn zone_options(policy: &Trade, risk: &PlacementRisk) -> Vec<(Option<ZoneShare>, f64)> {
+fn zone_options(
+    policy: &ServicePlacementWeights,
+    risk: &PlacementRisk,
+) -> Vec<(Option<ZoneShare>, f64)> {
     if risk.zone_count <= 1 || risk.zone_cost_s(policy, ZoneShare::Reached) <= 0.0 {
         return vec![(None, 0.0)];
     }
--- a/crates/coordination/src/image_locality/usage.rs
+++ b/crates/coordination/src/image_locality/usage.rs
@@ -38,7 +38,7 @@
 impl ImageUsage {
     /// Records the image that a job uses; `None`: the job is over or is being cancelled.
     pub fn record_job(&mut self, id: &JobId, spec: Option<&JobSpec>) {
-        let current = spec.map(|s| (s.image.as_str(), s.shape == JobKind::Service));
+        let current = spec.map(|s| (s.image.as_str(), s.kind == JobKind::Service));
         let previous = self.by_job.get(id);
         if previous.map(|job| (job.image.as_str(), job.is_service)) == current {
             return;
@@ -64,7 +64,7 @@
             // Guards against a site whose every job has an image of its own.
             self.images.retain(|_, entry| entry.job_count > 0);
         }
-        let is_service = spec.shape == JobKind::Service;
+        let is_service = spec.kind == JobKind::Service;
         let entry = self.images.entry(spec.image.clone()).or_default();
         entry.size_mb = spec.image_mb();
         entry.job_count += 1;
--- a/crates/coordination/src/incarnation/mod.rs
+++ b/crates/coordination/src/incarnation/mod.rs
@@ -41,8 +41,8 @@
     /// That of a heartbeat, or of the status in the answer to a call.
     pub(crate) fn of(heartbeat: &Heartbeat) -> Self {
         Self {
-            session: heartbeat.session,
-            number: heartbeat.seq,
+            session: heartbeat.incarnation,
+            number: heartbeat.sequence,
         }
     }
 
--- a/crates/coordination/src/incarnation/tests.rs
+++ b/crates/coordination/src/incarnation/tests.rs
@@ -70,32 +70,32 @@
     fn next_heartbeat(&mut self, machine: &MachineId) -> Heartbeat {
         self.message_number += 1;
         let task = |(id, phase): (&AttemptId, &TaskPhase)| TaskStatus {
-            piece: id.piece(),
+            task: id.task_name(),
             attempt: id.attempt,
             phase: *phase,
-            cause: (*phase == TaskPhase::Exited).then(|| "stopped".to_owned()),
-            saved: None,
+            exit_cause: (*phase == TaskPhase::Exited).then(|| "stopped".to_owned()),
+            checkpointed: None,
         };
         Heartbeat {
             machine: machine.clone(),
             address: "10.1.0.1:9000".into(),
-            kind: "box".into(),
+            machine_type: "box".into(),
             zone: "north".into(),
             spot: false,
-            session: self.session,
-            seq: self.message_number,
-            token: self.token,
-            notice_s: None,
+            incarnation: self.session,
+            sequence: self.message_number,
+            fencing_token: self.token,
+            reclaim_notice_s: None,
             tasks: self.tasks.iter().map(task).collect(),
         }
     }
 
     fn execute(&mut self, orders: &[Command]) {
         for o in orders {
-            let id = AttemptId::parse(&o.piece, o.attempt).expect("a task");
-            match o.verb {
-                CommandKind::Launch => drop(self.tasks.entry(id).or_insert(TaskPhase::Running)),
-                CommandKind::Kill => {
+            let id = AttemptId::parse(&o.task, o.attempt).expect("a task");
+            match o.kind {
+                CommandKind::Start => drop(self.tasks.entry(id).or_insert(TaskPhase::Running)),
+                CommandKind::Stop => {
                     if let Some(phase) = self.tasks.get_mut(&id) {
                         *phase = TaskPhase::Exited;
                     }
@@ -176,10 +176,10 @@
 fn owner(token: u64, timing: Timing, now: u64) -> Owner {
     let kind = MachineType {
         name: "box".into(),
-        room: Resources::offer(16.0, 4.0, 64.0),
-        cache_gb: 100.0,
-        fetch_gb_per_s: 1.0,
-        price: 4.0,
+        capacity: Resources::capacity(16.0, 4.0, 64.0),
+        image_cache_gb: 100.0,
+        image_pull_gb_per_s: 1.0,
+        on_demand_price: 4.0,
         spot_price: 1.0,
         boot_s: 200.0,
         zones: vec!["north".into()],
@@ -279,14 +279,14 @@
                 }
                 w.in_flight = None;
                 w.next = now + 2_250 + self.random.below(1_500);
-                if reply.token < w.token || session != w.session {
+                if reply.fencing_token < w.token || session != w.session {
                     return;
                 }
-                if reply.token > w.token {
-                    (w.token, w.next) = (reply.token, now + 500);
+                if reply.fencing_token > w.token {
+                    (w.token, w.next) = (reply.fencing_token, now + 500);
                 }
                 w.lease_from = w.lease_from.max(sent);
-                w.execute(&reply.orders);
+                w.execute(&reply.commands);
                 self.heartbeats_without_reply = 0;
             }
             Message::Call {
@@ -300,10 +300,11 @@
                     None => CommandResult::NotSent,
                     Some(w) if w.incarnation != to => CommandResult::Unknown,
                     Some(w)
-                        if call.commands.token >= w.token && call.commands.session == w.session =>
+                        if call.commands.fencing_token >= w.token
+                            && call.commands.incarnation == w.session =>
                     {
-                        w.token = call.commands.token;
-                        w.execute(&call.commands.orders);
+                        w.token = call.commands.fencing_token;
+                        w.execute(&call.commands.commands);
                         CommandResult::Executed(w.next_heartbeat(&machine()))
                     }
                     Some(w) => CommandResult::Refused(w.next_heartbeat(&machine())),
@@ -334,7 +335,7 @@
                         &result
                     {
                         self.accepted[owner] =
-                            self.accepted[owner].max((incarnation, heartbeat.seq));
+                            self.accepted[owner].max((incarnation, heartbeat.sequence));
                     }
                     o.handle_call_result(&call, result, now);
                 }
@@ -361,7 +362,7 @@
         let (owner, home_host, _) = &mut self.owners[at];
         let way = (*home_host != host).then_some(host as u16);
         if owner.is_current(heartbeat) {
-            let (order, known) = ((incarnation, heartbeat.seq), self.accepted[at]);
+            let (order, known) = ((incarnation, heartbeat.sequence), self.accepted[at]);
             assert!(
                 order > known,
                 "{heartbeat:?} of incarnation {incarnation} was written at {written_at}, {known:?} is known"
@@ -384,8 +385,8 @@
             Some(reply) if !lost && !copy => {
                 let message = Message::Reply {
                     incarnation,
-                    session: heartbeat.session,
-                    message_number: heartbeat.seq,
+                    session: heartbeat.incarnation,
+                    message_number: heartbeat.sequence,
                     sent: written_at,
                     reply,
                 };
@@ -397,7 +398,7 @@
                 if let Some(w) = self
                     .worker
                     .as_mut()
-                    .filter(|w| w.in_flight == Some((heartbeat.seq, written_at)))
+                    .filter(|w| w.in_flight == Some((heartbeat.sequence, written_at)))
                 {
                     (w.in_flight, w.next, w.node) =
                         (None, now + NEXT_NODE_MS, (w.node + 1) % HOSTS);
@@ -422,7 +423,7 @@
         }
         if w.in_flight.is_none() && now >= w.next {
             let heartbeat = w.next_heartbeat(&machine());
-            w.in_flight = Some((heartbeat.seq, now));
+            w.in_flight = Some((heartbeat.sequence, now));
             let (incarnation, host) = (w.incarnation, w.node);
             if self.random.below(100) < self.copy_percent {
                 let at = now + 200 + self.random.below(3 * lease_ms);
@@ -472,9 +473,9 @@
             for call in owner.due_calls(now, 8) {
                 self.launches += call
                     .commands
-                    .orders
+                    .commands
                     .iter()
-                    .filter(|o| o.verb == CommandKind::Launch)
+                    .filter(|o| o.kind == CommandKind::Start)
                     .count() as u64;
                 if self.calls_lost || self.random.chance(3) {
                     // It may be executed, much later, or never.
@@ -527,24 +528,24 @@
             let attempt = DesiredAttempt {
                 id: id.clone(),
                 machine: machine(),
-                need: Resources::offer(4.0, 1.0, 8.0),
+                resources: Resources::capacity(4.0, 1.0, 8.0),
                 image: "img".into(),
                 image_mb: 2_000,
-                go: true,
-                kill: None,
+                may_start: true,
+                stop_grace_s: None,
                 team: "red".into(),
-                rank: Priority::Normal,
-                over: true,
-                grace: 0,
-                lasting: false,
-                evict: PreemptionScope::Nobody,
+                priority: Priority::Normal,
+                over_quota: true,
+                preemption_grace_s: 0,
+                runs_until_cancelled: false,
+                preemption: PreemptionScope::Nobody,
             };
             self.desired.insert(id, attempt);
         }
         if self.random.chance(4)
             && let Some(attempt) = self.desired.values_mut().next()
         {
-            attempt.kill = Some(0);
+            attempt.stop_grace_s = Some(0);
         }
     }
 
@@ -557,33 +558,33 @@
         };
         let message = SyncRequest {
             version: PEER_VERSION,
-            from: 0,
-            from_token: 40,
-            to: 0,
-            to_token: 39 + self.store_answer_at.len() as u64,
+            from_shard: 0,
+            from_fencing_token: 40,
+            to_shard: 0,
+            to_fencing_token: 39 + self.store_answer_at.len() as u64,
             seq: self.seq,
             store_age_ms: 0,
-            span: ChangeRange {
+            range: ChangeRange {
                 since: 0,
-                upto: self.seq,
-                last: true,
+                until: self.seq,
+                complete: true,
             },
-            wants: self.desired.values().cloned().collect(),
-            dropped: Vec::new(),
+            desired: self.desired.values().cloned().collect(),
+            withdrawn: Vec::new(),
             stops: Vec::new(),
-            have: ObservedState::default(),
-            strays: 0,
-            rented: Vec::new(),
-            keep: vec![machine()],
-            notes: Vec::new(),
+            observed: ObservedState::default(),
+            misrouted_heartbeats: 0,
+            provisioned: Vec::new(),
+            reserved_machines: vec![machine()],
+            progress: Vec::new(),
         };
         let view = owner.sync(&message, 1 << 20, now).expect("taken");
-        for a in view.attempts.iter().filter(|a| a.standing.ended()) {
+        for a in view.attempts.iter().filter(|a| a.state.is_terminal()) {
             self.desired.remove(&a.id);
             self.published_ended.insert(a.id.clone());
         }
         self.assert_no_ended_attempt_runs();
-        let open = view.machines.iter().any(|m| m.up && m.open);
+        let open = view.machines.iter().any(|m| m.registered && m.schedulable);
         let settled = now > self.stable_since + 16_000
             && self
                 .worker
--- a/crates/coordination/src/job.rs
+++ b/crates/coordination/src/job.rs
@@ -212,7 +212,7 @@
 
     /// True if it is known to be of this kind.
     pub(super) fn is_kind(&self, kind: JobKind) -> bool {
-        self.spec().is_some_and(|spec| spec.shape == kind)
+        self.spec().is_some_and(|spec| spec.kind == kind)
     }
 
     /// True if its tasks are replicas that run until it is withdrawn.
@@ -223,7 +223,11 @@
     /// Nothing of it shall run any more: it has ended, or will have once no attempt
     /// is left.
     pub(super) fn is_stopping(&self) -> bool {
-        self.ended || self.record.as_ref().is_some_and(|record| record.withdrawn)
+        self.ended
+            || self
+                .record
+                .as_ref()
+                .is_some_and(|record| record.cancel_requested)
     }
 
     /// The end that may be written now. Guards against telling a user that a
@@ -260,7 +264,7 @@
 impl Job {
     /// Priority; a job that has ended only takes room for its stops.
     pub(super) fn priority(&self) -> Priority {
-        self.spec().map_or(Priority::Low, |spec| spec.rank)
+        self.spec().map_or(Priority::Low, |spec| spec.priority)
     }
 
     /// Whether it goes before others of its priority.
@@ -298,16 +302,17 @@
 
     /// Time of day of its submission, ms.
     pub(super) fn submitted_at(&self) -> u64 {
-        self.record.as_ref().map_or(0, |record| record.at)
+        self.record
+            .as_ref()
+            .map_or(0, |record| record.submitted_at_ms)
     }
 
     /// ms since it was submitted, by the time of day, or since this placer knows of
     /// it: a failover does not begin its wait anew.
     pub(super) fn waited_ms(&self, now: u64, time_of_day_ms: u64) -> u64 {
-        let since_submission = self
-            .record
-            .as_ref()
-            .map_or(0, |record| time_of_day_ms.saturating_sub(record.at));
+        let since_submission = self.record.as_ref().map_or(0, |record| {
+            time_of_day_ms.saturating_sub(record.submitted_at_ms)
+        });
         since_submission.max(now.saturating_sub(self.first_seen_at))
     }
 
@@ -356,7 +361,7 @@
 
     /// Stops all of it, with time for a checkpoint.
     pub(super) fn stop_all(&mut self) {
-        let grace_s = self.spec().map_or(0, JobSpec::grace_s);
+        let grace_s = self.spec().map_or(0, JobSpec::stop_grace_s);
         for live in self.live.values_mut() {
             live.stop_grace_s.get_or_insert(grace_s);
         }
--- a/crates/coordination/src/job/chunks.rs
+++ b/crates/coordination/src/job/chunks.rs
@@ -107,24 +107,27 @@
             .live
             .range(first..end)
             .map(|(&task, live)| LiveAttemptRecord {
-                t: task,
-                a: live.attempt,
-                m: live.machine.clone(),
-                p: live.shard,
-                z: live.zone.clone(),
+                task: task,
+                attempt: live.attempt,
+                machine: live.machine.clone(),
+                shard: live.shard,
+                zone: live.zone.clone(),
             })
             .collect();
         let gang = self
             .admission
             .as_ref()
-            .filter(|admission| live.iter().any(|member| member.a == admission.attempt))
+            .filter(|admission| {
+                live.iter()
+                    .any(|member| member.attempt == admission.attempt)
+            })
             .map(GangAdmission::record);
         TaskChunkRecord {
             team: self.team.clone(),
-            need: self.need,
-            next: self.next_attempt,
-            done: self.done_ranges(first, end),
-            live,
+            task_resources: self.need,
+            next_attempt: self.next_attempt,
+            done_ranges: self.done_ranges(first, end),
+            live_attempts: live,
             gang,
         }
     }
--- a/crates/coordination/src/job_progress.rs
+++ b/crates/coordination/src/job_progress.rs
@@ -44,8 +44,8 @@
         let (done, running, reason) = own
             .or_else(|| {
                 let sent = self.peer_progress.get(id)?;
-                let (done, running) = (u64::from(sent.done), u64::from(sent.running));
-                Some((done, running, sent.reason.clone()))
+                let (done, running) = (u64::from(sent.tasks_done), u64::from(sent.tasks_running));
+                Some((done, running, sent.wait_reason.clone()))
             })
             .unwrap_or_else(|| (0, 0, "its team's controller has not taken it up yet".into()));
         JobProgressReport {
@@ -65,7 +65,7 @@
     fn unreachable_placer(&self, id: &JobId, now: u64) -> Option<String> {
         let team = &self.cache.jobs.get(id)?.record.spec.team;
         let shard = Self::team_shard(&self.cache, &self.config, team);
-        let Some(leader) = self.cache.shards.get(&shard) else {
+        let Some(leader) = self.cache.shard_leaders.get(&shard) else {
             return Some(format!(
                 "no controller places for {team}; another takes over within seconds"
             ));
--- a/crates/coordination/src/job_status.rs
+++ b/crates/coordination/src/job_status.rs
@@ -44,7 +44,7 @@
     /// What may be published of a job by a final state that decides it: its own, or that
     /// of a cancelled job that it depends on.
     fn from_final_state(state: FinalState, now: u64) -> Self {
-        match (state.learned + FINAL_STATE_DELAY_MS).saturating_sub(now) {
+        match (state.learned_at_ms + FINAL_STATE_DELAY_MS).saturating_sub(now) {
             0 => Self::Finished(state.phase),
             ms => Self::FinishedIn(ms),
         }
@@ -54,10 +54,10 @@
 impl Core {
     /// What may be answered about a job, in constant time.
     pub fn job_status(&self, id: &JobId, now: u64) -> JobStatusAnswer {
-        if let Some(state) = self.cache.end(id) {
+        if let Some(state) = self.cache.job_end(id) {
             return JobStatusAnswer::from_final_state(state, now);
         }
-        if self.cache.waiting.contains_key(id) {
+        if self.cache.blocked_jobs.contains_key(id) {
             return self.dependent_job_status(id, now);
         }
         if !self.cache.jobs.contains_key(id) {
@@ -94,7 +94,7 @@
     /// The status of an unfinished job as the cache has it; for who has just had it
     /// brought up to date.
     pub fn unfinished_status(&self, id: &JobId, now: u64) -> Option<JobStatusAnswer> {
-        if self.cache.waiting.contains_key(id) {
+        if self.cache.blocked_jobs.contains_key(id) {
             return match self.dependency_state(id) {
                 DependencyState::Waiting(_) | DependencyState::Ready(_) => Some(
                     JobStatusAnswer::Unfinished(JobProgressReport::queued(String::new())),
@@ -102,7 +102,7 @@
                 DependencyState::Cancelled(_) | DependencyState::Unread(_) => None,
             };
         }
-        if self.cache.end(id).is_some() || !self.cache.jobs.contains_key(id) {
+        if self.cache.job_end(id).is_some() || !self.cache.jobs.contains_key(id) {
             return None;
         }
         Some(JobStatusAnswer::Unfinished(self.job_progress(id, now)))
--- a/crates/coordination/src/links/failure_detector.rs
+++ b/crates/coordination/src/links/failure_detector.rs
@@ -38,7 +38,7 @@
             _ if self.failures >= FAILURES_UNTIL_DOWN && !recent => {
                 self.set_state(LinkState::Down, now)
             }
-            _ => self.set_state(LinkState::Late, now),
+            _ => self.set_state(LinkState::Suspect, now),
         }
     }
 
--- a/crates/coordination/src/links/failure_detector/tests.rs
+++ b/crates/coordination/src/links/failure_detector/tests.rs
@@ -8,7 +8,7 @@
     assert_eq!(detector.state(), LinkState::Unknown);
     assert!(detector.record_success(1_000));
     assert!(detector.record_failure(5_000));
-    assert_eq!(detector.state(), LinkState::Late);
+    assert_eq!(detector.state(), LinkState::Suspect);
     assert!(detector.record_failure(6_000));
     assert_eq!(
         (detector.state(), detector.since()),
@@ -27,7 +27,7 @@
     for _ in 0..9 {
         detector.record_failure(1_000 + DOWN_AFTER_MS - 1);
     }
-    assert_eq!(detector.state(), LinkState::Late);
+    assert_eq!(detector.state(), LinkState::Suspect);
     detector.record_failure(1_000 + DOWN_AFTER_MS);
     assert!(detector.is_down());
 }
--- a/crates/coordination/src/links/peers.rs
+++ b/crates/coordination/src/links/peers.rs
@@ -45,11 +45,11 @@
         let zone = |(zone, at): (&String, &u64)| (zone.clone(), now.saturating_sub(*at));
         AvailabilityGossip {
             version: LINKS_VERSION,
-            host: self.own_index,
-            store_ms: age(self.store.last_answer()),
-            cloud_ms: age(self.cloud.last_answer()),
+            controller: self.own_index,
+            store_age_ms: age(self.store.last_answer()),
+            cloud_age_ms: age(self.cloud.last_answer()),
             peers: self.other_peers().map(peer).collect(),
-            zones: self.zones.iter().map(zone).collect(),
+            unreachable_zones: self.zones.iter().map(zone).collect(),
         }
     }
 
@@ -90,7 +90,7 @@
                 peer.latency.record(now.saturating_sub(sent_at), now);
             }
         }
-        if let Some(gossip) = gossip.filter(|gossip| gossip.host == host) {
+        if let Some(gossip) = gossip.filter(|gossip| gossip.controller == host) {
             self.store_gossip(gossip, now);
         }
         self.record_peer_call(host, answered, now);
@@ -103,10 +103,10 @@
     }
 
     fn store_gossip(&mut self, content: AvailabilityGossip, now: u64) {
-        if content.host == self.own_index {
+        if content.controller == self.own_index {
             return;
         }
-        if let Some(peer) = self.peers.get_mut(usize::from(content.host)) {
+        if let Some(peer) = self.peers.get_mut(usize::from(content.controller)) {
             peer.last_message = Some(now);
             peer.gossip = Some(ReceivedGossip {
                 received_at: now,
@@ -153,7 +153,7 @@
             .last_message
             .is_some_and(|at| now <= at + PEER_MESSAGE_FRESH_MS);
         match peer.detector.state() {
-            LinkState::Down if reaches_us => LinkState::OneWay,
+            LinkState::Down if reaches_us => LinkState::InboundOnly,
             state => state,
         }
     }
--- a/crates/coordination/src/links/services.rs
+++ b/crates/coordination/src/links/services.rs
@@ -27,7 +27,7 @@
             let gossip = peer.gossip.as_ref()?;
             gossip
                 .received_at
-                .checked_sub(gossip.content.age_ms(service)?)
+                .checked_sub(gossip.content.service_age_ms(service)?)
         };
         let mut candidates: Vec<RelayCandidate> = self
             .other_peers()
--- a/crates/coordination/src/links/table.rs
+++ b/crates/coordination/src/links/table.rs
@@ -16,7 +16,7 @@
         ];
         for (index, peer) in self.other_peers() {
             rows.push(LinkRow {
-                took_ms: peer.latency.median_and_p99(),
+                latency_ms: peer.latency.median_and_p99(),
                 ..self.own_row(
                     self.host(index),
                     self.peer_state(index, now),
@@ -54,11 +54,11 @@
         LinkRow {
             from: self.host(self.own_index),
             to,
-            standing: state,
+            state: state,
             for_s: now.saturating_sub(since) / 1_000,
-            carried_by: None,
-            took_ms: None,
-            said_s: 0,
+            relayed_by: None,
+            latency_ms: None,
+            age_s: 0,
         }
     }
 
@@ -67,8 +67,8 @@
         let relay = route.relay().filter(|_| relayed);
         let latency = self.latencies.get(&service);
         LinkRow {
-            carried_by: relay.map(|index| self.host(index)),
-            took_ms: latency.and_then(LatencyWindow::median_and_p99),
+            relayed_by: relay.map(|index| self.host(index)),
+            latency_ms: latency.and_then(LatencyWindow::median_and_p99),
             ..self.own_row(
                 service_name(service).to_owned(),
                 route.small.state(),
@@ -82,16 +82,16 @@
         let content = &gossip.content;
         let said_s = now.saturating_sub(gossip.received_at) / 1_000;
         let row = |to: String, state: LinkState, for_ms: u64| LinkRow {
-            from: self.host(content.host),
+            from: self.host(content.controller),
             to,
-            standing: state,
+            state: state,
             for_s: for_ms / 1_000,
-            carried_by: None,
-            took_ms: None,
-            said_s,
+            relayed_by: None,
+            latency_ms: None,
+            age_s: said_s,
         };
         for service in [Service::Store, Service::Cloud] {
-            let age_ms = content.age_ms(service);
+            let age_ms = content.service_age_ms(service);
             let state = match age_ms {
                 None => LinkState::Unknown,
                 Some(ms) if ms <= relay_fresh_ms(service) => LinkState::Up,
@@ -106,7 +106,7 @@
         for (index, state, in_state_ms) in &content.peers {
             rows.push(row(self.host(*index), *state, *in_state_ms));
         }
-        for (zone, silent_ms) in &content.zones {
+        for (zone, silent_ms) in &content.unreachable_zones {
             let state = self.zone_state(*silent_ms);
             rows.push(row(zone_name(zone), state, *silent_ms));
         }
--- a/crates/coordination/src/links/workers.rs
+++ b/crates/coordination/src/links/workers.rs
@@ -90,7 +90,7 @@
             };
         };
         let reached = gossip
-            .zones
+            .unreachable_zones
             .iter()
             .any(|(zone, ms)| zone == heartbeat.zone && *ms <= silence_ms);
         let zone = if reached {
@@ -105,7 +105,7 @@
     fn reachable_leader_gossip(&self, leader: u16, now: u64) -> Option<&AvailabilityGossip> {
         if !matches!(
             self.peer_state(leader, now),
-            LinkState::Up | LinkState::Late
+            LinkState::Up | LinkState::Suspect
         ) {
             return None;
         }
--- a/crates/coordination/src/machine_failure_detector.rs
+++ b/crates/coordination/src/machine_failure_detector.rs
@@ -322,8 +322,8 @@
             let since = z.partitioned_since?;
             Some(PartitionedZone {
                 zone: name.clone(),
-                for_ms: now.saturating_sub(since),
-                over_in_ms: z.leases_expired_at.saturating_sub(now),
+                partitioned_for_ms: now.saturating_sub(since),
+                presumed_lost_in_ms: z.leases_expired_at.saturating_sub(now),
             })
         };
         self.zones.iter().filter_map(partition).collect()
--- a/crates/coordination/src/owner/attempt.rs
+++ b/crates/coordination/src/owner/attempt.rs
@@ -64,7 +64,7 @@
 
     /// Grace in s if it is to stop, for whatever reason.
     pub(super) fn stop_grace_s(&self) -> Option<u32> {
-        self.desired.kill.or(self.preemption_grace_s)
+        self.desired.stop_grace_s.or(self.preemption_grace_s)
     }
 
     /// It has room and is to be launched, and its machine has not reported it yet.
@@ -76,6 +76,9 @@
                 ..
             }
         );
-        self.desired.go && self.stop_grace_s().is_none() && accepted && !m.tasks.contains_key(id)
+        self.desired.may_start
+            && self.stop_grace_s().is_none()
+            && accepted
+            && !m.tasks.contains_key(id)
     }
 }
--- a/crates/coordination/src/owner/catalog.rs
+++ b/crates/coordination/src/owner/catalog.rs
@@ -24,10 +24,10 @@
     /// Adds a type, or replaces what is known of it.
     pub(super) fn insert(&mut self, machine_type: &MachineType) {
         let profile = TypeProfile {
-            capacity: machine_type.room,
+            capacity: machine_type.capacity,
             boot_ms: (machine_type.boot_s * 1000.0) as u64,
-            image_cache_mb: (machine_type.cache_gb * 1000.0) as u64,
-            fetch_gb_per_s: machine_type.fetch_gb_per_s,
+            image_cache_mb: (machine_type.image_cache_gb * 1000.0) as u64,
+            fetch_gb_per_s: machine_type.image_pull_gb_per_s,
         };
         self.by_name.insert(machine_type.name.clone(), profile);
     }
--- a/crates/coordination/src/owner/commands.rs
+++ b/crates/coordination/src/owner/commands.rs
@@ -43,8 +43,8 @@
 
 fn command(kind: CommandKind, id: &AttemptId, grace_s: Option<u32>) -> Command {
     Command {
-        verb: kind,
-        piece: id.piece(),
+        kind: kind,
+        task: id.task_name(),
         attempt: id.attempt,
         grace_s,
     }
@@ -53,7 +53,7 @@
 /// Seconds of grace of a repeated stop: a task that is saving its checkpoint must not
 /// be given less, which would end it.
 fn repeated_grace_s(grace_s: u32, phase: TaskPhase) -> u32 {
-    if phase == TaskPhase::Saving {
+    if phase == TaskPhase::Checkpointing {
         grace_s.max(1)
     } else {
         grace_s
@@ -99,14 +99,14 @@
         commands.extend(
             stops
                 .into_iter()
-                .map(|(id, grace_s)| (id, CommandKind::Kill, Some(grace_s))),
+                .map(|(id, grace_s)| (id, CommandKind::Stop, Some(grace_s))),
         );
         // By attempt, as the machine's tasks are.
         commands.sort_by(|(a, ..), (b, ..)| a.cmp(b));
         commands.extend(
             launches
                 .into_iter()
-                .map(|id| (id, CommandKind::Launch, None)),
+                .map(|id| (id, CommandKind::Start, None)),
         );
         commands
             .into_iter()
@@ -156,7 +156,7 @@
             .filter_map(|(id, task)| match task.phase {
                 TaskPhase::Exited if may_forget => Some((id.clone(), CommandKind::Forget, None)),
                 TaskPhase::Exited => None,
-                _ => Some((id.clone(), CommandKind::Kill, Some(0))),
+                _ => Some((id.clone(), CommandKind::Stop, Some(0))),
             })
             .collect()
     }
--- a/crates/coordination/src/owner/heartbeat.rs
+++ b/crates/coordination/src/owner/heartbeat.rs
@@ -9,13 +9,13 @@
         let freshness = |m: &Machine| {
             m.incarnation.classify(
                 MessageSequence::of(heartbeat),
-                heartbeat.token,
+                heartbeat.fencing_token,
                 Origin::Heartbeat(None),
             )
         };
         self.machines
             .get(&heartbeat.machine)
-            .map_or(heartbeat.token >> FENCE_BITS == self.token, |m| {
+            .map_or(heartbeat.fencing_token >> FENCE_BITS == self.token, |m| {
                 matches!(freshness(m), Freshness::Current | Freshness::Restarted)
             })
     }
@@ -31,7 +31,7 @@
         if self.released_machines.contains(&heartbeat.machine) {
             return None;
         }
-        if heartbeat.token >> FENCE_BITS > self.token {
+        if heartbeat.fencing_token >> FENCE_BITS > self.token {
             // The worker has seen a later owner: our answer would only keep it
             // here while its lease expires.
             return None;
@@ -39,13 +39,14 @@
         let current = self.apply_heartbeat(heartbeat, Origin::Heartbeat(relayed_by), now);
         let m = self.machines.get_mut(&heartbeat.machine)?;
         // One that shows none of our tokens may be the first of a new incarnation.
-        if heartbeat.session <= m.expired_session && m.incarnation.is_trusted_token(heartbeat.token)
+        if heartbeat.incarnation <= m.expired_session
+            && m.incarnation.is_trusted_token(heartbeat.fencing_token)
         {
             return None;
         }
         m.incarnation.record_reply(
             MessageSequence::of(heartbeat),
-            heartbeat.token,
+            heartbeat.fencing_token,
             relayed_by,
             now,
         );
@@ -57,12 +58,12 @@
         let channel = reply_channel(m, current);
         let orders = self.commands_for(&heartbeat.machine, now, channel);
         let m = self.machines.get_mut(&heartbeat.machine)?;
-        if orders.iter().any(|o| o.verb == CommandKind::Launch) {
-            m.launches_in_response_to = Some(heartbeat.seq);
+        if orders.iter().any(|o| o.kind == CommandKind::Start) {
+            m.launches_in_response_to = Some(heartbeat.sequence);
         }
         Some(HeartbeatResponse {
-            token: m.incarnation.reply_token(),
-            orders,
+            fencing_token: m.incarnation.reply_token(),
+            commands: orders,
         })
     }
 
@@ -76,16 +77,24 @@
     ) -> bool {
         let id = &heartbeat.machine;
         if !self.machines.contains_key(id) {
-            self.insert_machine(id, &heartbeat.kind, &heartbeat.zone, heartbeat.spot, now);
+            self.insert_machine(
+                id,
+                &heartbeat.machine_type,
+                &heartbeat.zone,
+                heartbeat.spot,
+                now,
+            );
         }
         self.unseen_machines.remove(id);
         let Some(m) = self.machines.get_mut(id) else {
             return false;
         };
         let sequence = MessageSequence::of(heartbeat);
-        let freshness = m.incarnation.classify(sequence, heartbeat.token, origin);
+        let freshness = m
+            .incarnation
+            .classify(sequence, heartbeat.fencing_token, origin);
         match freshness {
-            Freshness::Current if heartbeat.session <= m.expired_session => return false,
+            Freshness::Current if heartbeat.incarnation <= m.expired_session => return false,
             Freshness::Current => {}
             Freshness::Restarted => {
                 info!(machine = %id, shard = self.shard, "worker restarted");
@@ -100,12 +109,12 @@
         let Some(m) = self.machines.get_mut(id) else {
             return false;
         };
-        if freshness == Freshness::Current && heartbeat.session > m.incarnation.session() {
+        if freshness == Freshness::Current && heartbeat.incarnation > m.incarnation.session() {
             begin_session(m, heartbeat);
         }
         let was_reachable = m.incarnation.is_reachable();
         m.incarnation
-            .apply(sequence, heartbeat.token, origin, &self.timing, now);
+            .apply(sequence, heartbeat.fencing_token, origin, &self.timing, now);
         if m.incarnation.is_reachable() != was_reachable {
             info!(machine = %id, shard = self.shard, reachable = !was_reachable, "worker reachability changed");
         }
@@ -128,11 +137,16 @@
         let sequence = MessageSequence::of(heartbeat);
         let mut query = false;
         if let Origin::Heartbeat(route) = origin {
-            m.incarnation
-                .apply_late_heartbeat(sequence, heartbeat.token, route, &self.timing, now);
-            query = m
-                .incarnation
-                .suspect_restart(sequence, heartbeat.token, &self.timing, now);
+            m.incarnation.apply_late_heartbeat(
+                sequence,
+                heartbeat.fencing_token,
+                route,
+                &self.timing,
+                now,
+            );
+            query =
+                m.incarnation
+                    .suspect_restart(sequence, heartbeat.fencing_token, &self.timing, now);
         }
         if m.incarnation.record_unverified(sequence, now) {
             m.address = heartbeat.address.parse().ok();
@@ -167,8 +181,8 @@
                 .record_boot(&m.kind, &m.zone, m.spot, boot_elapsed_ms);
         }
         m.overdue = false;
-        if self.catalog.lacks(&heartbeat.kind) {
-            warn!(machine = %id, machine_type = heartbeat.kind, "machine type not in the catalog; excluded from placement");
+        if self.catalog.lacks(&heartbeat.machine_type) {
+            warn!(machine = %id, machine_type = heartbeat.machine_type, "machine type not in the catalog; excluded from placement");
         }
     }
 }
@@ -192,7 +206,7 @@
     (m.unresolved_call_token, m.unresolved_launch_at) = (None, None);
     m.launches_in_response_to = None;
     if m.incarnation.session() > 0 {
-        info!(machine = %heartbeat.machine, session = heartbeat.session, "worker session started");
+        info!(machine = %heartbeat.machine, session = heartbeat.incarnation, "worker session started");
     }
 }
 
@@ -203,9 +217,9 @@
         // It is in use again: it has not been idle since it was last seen.
         m.idle_since = m.idle_since.map(|_| now);
     }
-    if heartbeat.notice_s.is_some() && !m.termination_notice {
+    if heartbeat.reclaim_notice_s.is_some() && !m.termination_notice {
         m.termination_notice = true;
-        info!(machine = %heartbeat.machine, notice_s = heartbeat.notice_s, "termination notice received");
+        info!(machine = %heartbeat.machine, notice_s = heartbeat.reclaim_notice_s, "termination notice received");
     }
 }
 
@@ -218,7 +232,7 @@
     }
     if matches!(origin, Origin::Heartbeat(_))
         && m.launches_in_response_to
-            .is_some_and(|seq| heartbeat.seq > seq)
+            .is_some_and(|seq| heartbeat.sequence > seq)
     {
         m.launches_in_response_to = None;
     }
@@ -227,11 +241,12 @@
 fn replace_tasks(m: &mut Machine, heartbeat: &Heartbeat) {
     m.tasks.clear();
     for t in &heartbeat.tasks {
-        let Some(id) = AttemptId::parse(&t.piece, t.attempt) else {
-            warn!(machine = %heartbeat.machine, task = t.piece, "invalid task id in heartbeat");
+        let Some(id) = AttemptId::parse(&t.task, t.attempt) else {
+            warn!(machine = %heartbeat.machine, task = t.task, "invalid task id in heartbeat");
             continue;
         };
-        let cause = (t.phase == TaskPhase::Exited).then(|| ExitCause::read(t.cause.as_deref()));
+        let cause =
+            (t.phase == TaskPhase::Exited).then(|| ExitCause::from_wire(t.exit_cause.as_deref()));
         m.tasks.insert(
             id,
             ReportedTask {
--- a/crates/coordination/src/owner/image_pages.rs
+++ b/crates/coordination/src/owner/image_pages.rs
@@ -110,15 +110,19 @@
             let Some(page) = pages.last_mut() else { break };
             let mut held = Vec::with_capacity(m.images.len());
             for image in &m.images {
-                let index = page.n.iter().position(|i| i == image).unwrap_or_else(|| {
-                    bytes += image.0.len() + IMAGE_ENTRY_OVERHEAD_BYTES;
-                    page.n.push(image.clone());
-                    page.n.len() - 1
-                });
+                let index = page
+                    .images
+                    .iter()
+                    .position(|i| i == image)
+                    .unwrap_or_else(|| {
+                        bytes += image.0.len() + IMAGE_ENTRY_OVERHEAD_BYTES;
+                        page.images.push(image.clone());
+                        page.images.len() - 1
+                    });
                 held.push(index as u16);
             }
             bytes += id.as_str().len() + IMAGE_REFERENCE_BYTES * (held.len() + 2);
-            page.m.push((id.clone(), held));
+            page.machines.push((id.clone(), held));
         }
         pages
     }
@@ -126,10 +130,10 @@
     /// Restores what an earlier owner recorded, page by page.
     pub fn restore_image_pages(&mut self, pages: Vec<ImageLocationsRecord>) {
         for page in &pages {
-            for (id, held) in &page.m {
+            for (id, held) in &page.machines {
                 let images = held
                     .iter()
-                    .filter_map(|&at| page.n.get(usize::from(at)).cloned())
+                    .filter_map(|&at| page.images.get(usize::from(at)).cloned())
                     .collect();
                 self.inherited_images.insert(id.clone(), images);
             }
--- a/crates/coordination/src/owner/inventory.rs
+++ b/crates/coordination/src/owner/inventory.rs
@@ -18,7 +18,7 @@
             self.changed_machines.insert(instance.machine.clone());
             self.insert_machine(
                 &instance.machine,
-                &instance.kind,
+                &instance.machine_type,
                 &instance.zone,
                 instance.spot,
                 now,
@@ -73,7 +73,7 @@
         for entry in entries {
             let instance = ProvisionedInstance {
                 machine: entry.id.clone(),
-                kind: entry.kind.clone(),
+                machine_type: entry.machine_type.clone(),
                 zone: entry.zone.clone(),
                 spot: entry.spot,
                 age_ms: (entry.age_s * 1000.0) as u64,
--- a/crates/coordination/src/owner/maintenance.rs
+++ b/crates/coordination/src/owner/maintenance.rs
@@ -118,8 +118,8 @@
         }
         // The longer of both: machines that boot within a second were requested among
         // others that don't.
-        let patience_ms =
-            (outlook.boot_ms.max(outlook.listed_boot_ms) as f64 * self.policy.boot_patience) as u64;
+        let patience_ms = (outlook.boot_ms.max(outlook.listed_boot_ms) as f64
+            * self.policy.provisioning_timeout_multiple) as u64;
         let provisioned_at = m
             .provisioned_at
             .max(self.acquired_at.saturating_sub(patience_ms))
@@ -193,9 +193,9 @@
             1.0
         };
         let factor = if m.spot {
-            self.policy.idle_spot
+            self.policy.spot_idle_multiple
         } else {
-            self.policy.idle
+            self.policy.on_demand_idle_multiple
         };
         let keep_ms = (outlook.rebuild_ms as f64 * lull * factor) as u64;
         if self.now > idle_since + keep_ms || not_worth_keeping(m) {
--- a/crates/coordination/src/owner/mod.rs
+++ b/crates/coordination/src/owner/mod.rs
@@ -54,7 +54,7 @@
 use lemonweir_protocol::cloud::InstanceEntry;
 use lemonweir_protocol::peer::{
     AttemptState, AttemptStatus, Continuation, DesiredAttempt, ExitCause, MachineView,
-    ProvisionedInstance, ShardView, Superseded, SyncRequest, written,
+    ProvisionedInstance, ShardView, Superseded, SyncRequest, encoded_len,
 };
 use lemonweir_protocol::worker::{
     Command, CommandKind, CommandsRequest, Heartbeat, HeartbeatResponse, TaskPhase,
@@ -203,7 +203,11 @@
             unseen_machines: BTreeMap::new(),
             peer_heartbeat_counts: BTreeMap::new(),
             inventory_read_at: 0,
-            failure_detector: MachineFailureDetector::new(timing, policy.silent_ms, now),
+            failure_detector: MachineFailureDetector::new(
+                timing,
+                policy.spot_silence_timeout_ms,
+                now,
+            ),
             fault_attribution: FaultAttribution::default(),
             boot_times: BootTimes::default(),
             inherited_expiry_applied: false,
--- a/crates/coordination/src/owner/orphaned_grants.rs
+++ b/crates/coordination/src/owner/orphaned_grants.rs
@@ -18,7 +18,9 @@
     ) {
         for (shard, placer) in &mut self.placers {
             let lost = revision >= placer.token
-                && leaders.get(shard).is_none_or(|h| h.token != placer.token);
+                && leaders
+                    .get(shard)
+                    .is_none_or(|h| h.fencing_token != placer.token);
             if !lost {
                 placer.lease_lost_at = None;
             } else if placer.lease_lost_at.is_none() {
@@ -48,7 +50,7 @@
             return;
         }
         let unused = |a: &TrackedAttempt| {
-            !a.desired.go
+            !a.desired.may_start
                 && matches!(
                     a.stage,
                     AttemptStage::AwaitingPreemption(_) | AttemptStage::NOT_LAUNCHED
--- a/crates/coordination/src/owner/outcomes.rs
+++ b/crates/coordination/src/owner/outcomes.rs
@@ -13,7 +13,7 @@
         now: u64,
     ) {
         let affected = match state {
-            AttemptState::Exited(ExitCause::Error) => {
+            AttemptState::Exited(ExitCause::Failed) => {
                 self.fault_attribution
                     .record_failure(&id.job, machine, now)
                     .machines
@@ -30,7 +30,7 @@
             }
             _ => BTreeSet::from([machine.clone()]),
         };
-        let own_fault = state == AttemptState::Exited(ExitCause::Error)
+        let own_fault = state == AttemptState::Exited(ExitCause::Failed)
             && self.fault_attribution.suspect_evidence(&id.job).is_none();
         if let Some(quarantine) = self
             .machines
--- a/crates/coordination/src/owner/preemption.rs
+++ b/crates/coordination/src/owner/preemption.rs
@@ -22,7 +22,7 @@
     attempts: impl Iterator<Item = (&'a AttemptId, &'a TrackedAttempt)>,
 ) -> Resources {
     attempts.fold(Resources::default(), |sum, (_, a)| {
-        sum.plus(&a.desired.need)
+        sum.plus(&a.desired.resources)
     })
 }
 
@@ -40,7 +40,7 @@
         };
         self.placement_counts.preempted += victims.len() as u64;
         for victim in victims {
-            self.preempt(&victim, id, desired.rank);
+            self.preempt(&victim, id, desired.priority);
             self.reevaluate_attempt(&victim, now);
         }
         true
@@ -66,21 +66,21 @@
             .staying_on(&desired.machine)
             .filter(|(_, a)| {
                 desired
-                    .evict
-                    .allows(&desired.team, desired.rank, &a.desired)
+                    .preemption
+                    .allows(&desired.team, desired.priority, &a.desired)
             })
             .map(|(id, a)| PreemptionCandidate {
-                over_quota: a.desired.over,
-                priority: a.desired.rank,
+                over_quota: a.desired.over_quota,
+                priority: a.desired.priority,
                 past_start: now > a.tracked_since + RECENT_START_MS,
                 tracked_since: a.tracked_since,
                 id: id.clone(),
-                need: a.desired.need,
+                need: a.desired.resources,
             })
             .collect();
         candidates.sort_unstable();
         let mut victims = Vec::new();
-        while !free.covers(&desired.need) {
+        while !free.covers(&desired.resources) {
             let victim = candidates.pop()?;
             free = free.plus(&victim.need);
             victims.push(victim.id);
@@ -96,7 +96,7 @@
         info!(attempt = %victim, machine = %tracked.desired.machine, shard = self.shard, preempted_by = %by, "attempt preempted");
         let grace_s = match priority {
             Priority::Production => 0,
-            _ => tracked.desired.grace,
+            _ => tracked.desired.preemption_grace_s,
         };
         tracked.preemption_grace_s = Some(grace_s);
         tracked.stop_sent_at = None;
@@ -132,7 +132,7 @@
             .attempts_on(machine)
             .filter(|(other, a)| *other != id && matches!(a.stage, AttemptStage::Accepted { .. }))
             .fold(Resources::default(), |sum, (_, a)| {
-                sum.plus(&a.desired.need)
+                sum.plus(&a.desired.resources)
             });
         m.capacity.minus(&taken)
     }
@@ -143,16 +143,16 @@
         let (mut lower, mut over) = ([Resources::default(); 3], [Resources::default(); 3]);
         for (_, a) in self.staying_on(machine) {
             for rank in 0..3 {
-                let below = a.desired.rank.index() > rank;
-                if below && a.desired.over {
-                    lower[rank] = lower[rank].plus(&a.desired.need);
+                let below = a.desired.priority.index() > rank;
+                if below && a.desired.over_quota {
+                    lower[rank] = lower[rank].plus(&a.desired.resources);
                 }
                 if below
-                    || a.desired.over
-                        && a.desired.rank.index() == rank
-                        && a.desired.rank != Priority::Production
+                    || a.desired.over_quota
+                        && a.desired.priority.index() == rank
+                        && a.desired.priority != Priority::Production
                 {
-                    over[rank] = over[rank].plus(&a.desired.need);
+                    over[rank] = over[rank].plus(&a.desired.resources);
                 }
             }
         }
@@ -176,7 +176,7 @@
                     AttemptStage::Accepted { .. } | AttemptStage::AwaitingPreemption(_)
                 )
             })
-            .fold(m.capacity, |free, (_, a)| free.minus(&a.desired.need))
+            .fold(m.capacity, |free, (_, a)| free.minus(&a.desired.resources))
     }
 
     /// Attempts that have not ended, and tasks that no placer has named.
@@ -200,7 +200,9 @@
     pub(super) fn service_replicas(&self, machine: &MachineId) -> u16 {
         let count = self
             .attempts_on(machine)
-            .filter(|(_, a)| a.desired.lasting && !matches!(a.stage, AttemptStage::Ended(_)))
+            .filter(|(_, a)| {
+                a.desired.runs_until_cancelled && !matches!(a.stage, AttemptStage::Ended(_))
+            })
             .count();
         count.min(usize::from(u16::MAX)) as u16
     }
--- a/crates/coordination/src/owner/proof.rs
+++ b/crates/coordination/src/owner/proof.rs
@@ -72,11 +72,11 @@
         };
         let image = &tracked.desired.image;
         let past_fetch = task.cause == Some(ExitCause::Done)
-            || !matches!(task.phase, TaskPhase::Fetching | TaskPhase::Exited);
+            || !matches!(task.phase, TaskPhase::PullingImage | TaskPhase::Exited);
         if past_fetch {
             let cache_mb = self.catalog.image_cache_mb(&m.kind);
             m.remember_image(image, tracked.desired.image_mb, cache_mb);
-        } else if task.phase == TaskPhase::Fetching && m.forget_image(image) {
+        } else if task.phase == TaskPhase::PullingImage && m.forget_image(image) {
             info!(machine = %machine, shard = self.shard, image, "image missing from the machine's cache");
             self.changed_machines.insert(machine.clone());
         }
@@ -102,7 +102,7 @@
         if self
             .attempts
             .get(id)
-            .is_some_and(|a| a.desired.rank != Priority::Low)
+            .is_some_and(|a| a.desired.priority != Priority::Low)
         {
             self.last_accepted_at = now;
         }
@@ -186,7 +186,7 @@
             && m.incarnation.session() > m.expired_session
             && self
                 .free(&tracked.desired.machine)
-                .covers(&tracked.desired.need);
+                .covers(&tracked.desired.resources);
         if fits {
             AttemptStage::NOT_LAUNCHED
         } else {
@@ -210,7 +210,7 @@
         }
         // Its own reservation is part of what is taken.
         let free = self.free_without(&tracked.desired.machine, id);
-        if free.covers(&tracked.desired.need) {
+        if free.covers(&tracked.desired.resources) {
             AttemptStage::NOT_LAUNCHED
         } else {
             tracked.stage
--- a/crates/coordination/src/owner/published_state.rs
+++ b/crates/coordination/src/owner/published_state.rs
@@ -35,23 +35,23 @@
         let (soft, soft_over) = self.preemptible(id);
         MachineView {
             id: id.clone(),
-            kind: m.kind.clone(),
+            machine_type: m.kind.clone(),
             zone: m.zone.clone(),
             spot: m.spot,
-            up: m.last_heartbeat_at.is_some()
+            registered: m.last_heartbeat_at.is_some()
                 && m.incarnation.is_confirmed()
                 && m.incarnation.session() > m.expired_session,
-            open: m.is_schedulable(),
+            schedulable: m.is_schedulable(),
             // A quarantined machine may go on with what runs.
-            leaving: m.termination_notice,
+            draining: m.termination_notice,
             free: self.free(id),
-            soft,
-            soft_over,
-            busy: self.occupant_count(id).min(usize::from(u16::MAX)) as u16,
-            lasting: self.service_replicas(id),
-            images: m.images.iter().map(|(name, _)| name.clone()).collect(),
-            coming: self.images_in_transfer(id, m),
-            renter: m.requested_by,
+            preemptible: soft,
+            preemptible_or_over_quota: soft_over,
+            task_count: self.occupant_count(id).min(usize::from(u16::MAX)) as u16,
+            service_task_count: self.service_replicas(id),
+            cached_images: m.images.iter().map(|(name, _)| name.clone()).collect(),
+            pulling_images: self.images_in_transfer(id, m),
+            provisioned_by: m.requested_by,
         }
     }
 
@@ -62,7 +62,7 @@
             AttemptStage::Ended(state) => state,
             // A gang has room only once those that are preempted for it are over:
             // until then none of it is launched.
-            AttemptStage::AwaitingPreemption(_) if !tracked.desired.go => return None,
+            AttemptStage::AwaitingPreemption(_) if !tracked.desired.may_start => return None,
             AttemptStage::AwaitingPreemption(_) => AttemptState::Accepted,
             AttemptStage::Accepted { .. } => match self
                 .machines
@@ -70,7 +70,7 @@
                 .and_then(|m| m.tasks.get(id))
                 .map(|task| task.phase)
             {
-                Some(TaskPhase::Running | TaskPhase::Saving) => AttemptState::Running,
+                Some(TaskPhase::Running | TaskPhase::Checkpointing) => AttemptState::Running,
                 Some(_) => AttemptState::Preparing,
                 None => AttemptState::Accepted,
             },
@@ -95,25 +95,26 @@
                     .unwrap_or(0),
             );
         }
-        let placer = self.placers.entry(sync.from).or_default();
-        let (attempts_span, attempts) =
-            placer
-                .published
-                .changes_since(sync.have.attempts, &mut max_bytes, |_, _| ATTEMPT_BYTES);
+        let placer = self.placers.entry(sync.from_shard).or_default();
+        let (attempts_span, attempts) = placer.published.changes_since(
+            sync.observed.attempts_revision,
+            &mut max_bytes,
+            |_, _| ATTEMPT_BYTES,
+        );
         let attempts = attempts
             .into_iter()
             .filter_map(|(id, state)| {
                 state.map(|&state| AttemptStatus {
                     id: id.clone(),
-                    standing: state,
+                    state: state,
                 })
             })
             .collect();
-        let (machines_span, changes) =
-            self.machine_views
-                .changes_since(sync.have.machines, &mut max_bytes, |_, m| {
-                    m.map_or(ATTEMPT_BYTES, written)
-                });
+        let (machines_span, changes) = self.machine_views.changes_since(
+            sync.observed.machines_revision,
+            &mut max_bytes,
+            |_, m| m.map_or(ATTEMPT_BYTES, encoded_len),
+        );
         let (mut machines, mut gone) = (Vec::new(), Vec::new());
         for (id, m) in changes {
             match m {
@@ -124,15 +125,15 @@
         ShardView {
             version: PEER_VERSION,
             shard: self.shard,
-            token: self.token,
+            fencing_token: self.token,
             seq: sync.seq,
             store_age_ms: u64::MAX,
-            wants_at: 0,
-            hidden: Vec::new(),
-            machines_span,
+            desired_revision: 0,
+            partitioned_zones: Vec::new(),
+            machines_range: machines_span,
             machines,
-            gone,
-            attempts_span,
+            removed_machines: gone,
+            attempts_range: attempts_span,
             attempts,
         }
     }
--- a/crates/coordination/src/owner/reconciliation.rs
+++ b/crates/coordination/src/owner/reconciliation.rs
@@ -26,24 +26,24 @@
 impl PlacerSession {
     /// Accepts the order of a message, or says why it is refused.
     fn accept(&mut self, sync: &SyncRequest) -> Result<(), SyncError> {
-        if sync.from_token < self.token {
+        if sync.from_fencing_token < self.token {
             return Err(SyncError::Token);
         }
         // Guards against a delayed message that asks again for an attempt whose end was
         // already published.
-        if sync.from_token == self.token && sync.seq <= self.seq {
+        if sync.from_fencing_token == self.token && sync.seq <= self.seq {
             return Err(SyncError::Stale);
         }
-        if sync.from_token > self.token {
+        if sync.from_fencing_token > self.token {
             // Guards against continuing from what an earlier placer of that shard had
             // published: only a full resend counts for this one.
             self.desired_version = 0;
             self.complete = false;
             self.lease_lost_at = None;
         }
-        self.token = sync.from_token;
+        self.token = sync.from_fencing_token;
         self.seq = sync.seq;
-        self.acknowledged_version = sync.have.machines;
+        self.acknowledged_version = sync.observed.machines_revision;
         Ok(())
     }
 }
@@ -57,29 +57,32 @@
         max_bytes: usize,
         now: u64,
     ) -> Result<ShardView, SyncError> {
-        if sync.to_token != self.token {
+        if sync.to_fencing_token != self.token {
             return Err(SyncError::Token);
         }
-        if sync.from >= self.shards {
+        if sync.from_shard >= self.shards {
             return Err(SyncError::UnknownShard);
         }
-        self.placers.entry(sync.from).or_default().accept(sync)?;
+        self.placers
+            .entry(sync.from_shard)
+            .or_default()
+            .accept(sync)?;
         self.peer_heartbeat_counts.insert(
-            sync.from,
+            sync.from_shard,
             PeerCount {
-                machines: sync.strays,
+                machines: sync.misrouted_heartbeats,
                 at: now,
             },
         );
-        for instance in &sync.rented {
-            self.expect_instance(instance, sync.from, now);
+        for instance in &sync.provisioned {
+            self.expect_instance(instance, sync.from_shard, now);
         }
-        self.restart_idle_time(&sync.keep, now);
+        self.restart_idle_time(&sync.reserved_machines, now);
         let wants_at = self.reconcile_desired(sync, now);
-        self.changed_placers.remove(&sync.from);
+        self.changed_placers.remove(&sync.from_shard);
         let mut view = self.unacknowledged_view(sync, max_bytes);
-        view.wants_at = wants_at;
-        view.hidden = self.failure_detector.partitioned_zones(now);
+        view.desired_revision = wants_at;
+        view.partitioned_zones = self.failure_detector.partitioned_zones(now);
         Ok(view)
     }
 
@@ -101,15 +104,15 @@
         let mut affected = BTreeSet::new();
         for id in dropped {
             // The attempts of another shard's placer are none of its business.
-            if self.is_tracked_for(&id, sync.from) {
+            if self.is_tracked_for(&id, sync.from_shard) {
                 affected.extend(self.untrack(&id));
             }
         }
         for (id, grace_s) in &sync.stops {
-            affected.extend(self.request_stop(id, sync.from, *grace_s));
+            affected.extend(self.request_stop(id, sync.from_shard, *grace_s));
         }
-        for desired in &sync.wants {
-            if self.track(desired, sync.from, now) {
+        for desired in &sync.desired {
+            if self.track(desired, sync.from_shard, now) {
                 affected.insert(desired.machine.clone());
                 self.note_placement(&desired.machine, now);
             }
@@ -118,28 +121,28 @@
             self.reevaluate(&machine, now);
         }
         self.placers
-            .get(&sync.from)
+            .get(&sync.from_shard)
             .map_or(0, |placer| placer.desired_version)
     }
 
     /// Advances to the message's version; the attempts that the placer has dropped, or
     /// `None` if a change before it is missing.
     fn advance_desired_version(&mut self, sync: &SyncRequest) -> Option<Vec<AttemptId>> {
-        let placer = self.placers.get_mut(&sync.from)?;
-        match sync.span.follows(placer.desired_version)? {
-            Continuation::Anew => {
+        let placer = self.placers.get_mut(&sync.from_shard)?;
+        match sync.range.continues_from(placer.desired_version)? {
+            Continuation::Snapshot => {
                 placer.desired_version = 0;
                 placer.complete = false;
-                placer.unmentioned = attempts_of_placer(&self.attempts, sync.from);
+                placer.unmentioned = attempts_of_placer(&self.attempts, sync.from_shard);
             }
-            Continuation::On => {}
+            Continuation::Delta => {}
         }
-        placer.desired_version = placer.desired_version.max(sync.span.upto);
-        for desired in &sync.wants {
+        placer.desired_version = placer.desired_version.max(sync.range.until);
+        for desired in &sync.desired {
             placer.unmentioned.remove(&desired.id);
         }
-        let mut dropped = sync.dropped.clone();
-        if sync.span.last {
+        let mut dropped = sync.withdrawn.clone();
+        if sync.range.complete {
             placer.complete = true;
             dropped.extend(std::mem::take(&mut placer.unmentioned));
         }
@@ -155,8 +158,8 @@
         let tracked = self
             .attempts
             .get_mut(id)
-            .filter(|a| a.from == placer && a.desired.kill.is_none())?;
-        tracked.desired.kill = Some(grace_s);
+            .filter(|a| a.from == placer && a.desired.stop_grace_s.is_none())?;
+        tracked.desired.stop_grace_s = Some(grace_s);
         tracked.stop_sent_at = None;
         Some(tracked.desired.machine.clone())
     }
@@ -182,14 +185,14 @@
             warn!(attempt = %desired.id, placer, "attempt moved to another machine or shard; change ignored");
             return false;
         }
-        if tracked.desired.kill != desired.kill {
+        if tracked.desired.stop_grace_s != desired.stop_grace_s {
             tracked.stop_sent_at = None;
         }
         // Guards against a late `go` of a placer that has lost its lease: its successor
         // decides what becomes of the gang.
-        let go = desired.go && (tracked.desired.go || !lease_lost);
+        let go = desired.may_start && (tracked.desired.may_start || !lease_lost);
         tracked.desired = DesiredAttempt {
-            go,
+            may_start: go,
             ..desired.clone()
         };
         true
--- a/crates/coordination/src/owner/summary.rs
+++ b/crates/coordination/src/owner/summary.rs
@@ -17,17 +17,17 @@
             .machines
             .keys()
             .filter_map(|id| self.machine_views.get(id))
-            .filter(|v| v.up)
+            .filter(|v| v.registered)
         {
             up += 1;
-            empty += usize::from(view.busy == 0);
+            empty += usize::from(view.task_count == 0);
             spot += usize::from(view.spot);
             free = free.plus(&view.free);
-            if view.busy > 0 {
+            if view.task_count > 0 {
                 free_in_use = free_in_use.plus(&view.free);
             }
         }
-        let gpus = |resources: Resources| resources.gpus / 1000;
+        let gpus = |resources: Resources| resources.milli_gpus / 1000;
         info!(
             shard = self.shard,
             machines = self.machines.len(),
--- a/crates/coordination/src/owner/worker_calls.rs
+++ b/crates/coordination/src/owner/worker_calls.rs
@@ -38,17 +38,17 @@
     /// Attempts that it carries commands of this kind for.
     fn attempts(&self, kind: CommandKind) -> impl Iterator<Item = AttemptId> {
         self.commands
-            .orders
+            .commands
             .iter()
-            .filter(move |command| command.verb == kind)
-            .filter_map(|command| AttemptId::parse(&command.piece, command.attempt))
+            .filter(move |command| command.kind == kind)
+            .filter_map(|command| AttemptId::parse(&command.task, command.attempt))
     }
 
     fn launches(&self) -> bool {
         self.commands
-            .orders
+            .commands
             .iter()
-            .any(|command| command.verb == CommandKind::Launch)
+            .any(|command| command.kind == CommandKind::Start)
     }
 }
 
@@ -138,9 +138,9 @@
             machine: id.clone(),
             addr: address,
             commands: CommandsRequest {
-                token: m.incarnation.begin_call(),
-                session: m.incarnation.call_session(),
-                orders,
+                fencing_token: m.incarnation.begin_call(),
+                incarnation: m.incarnation.call_session(),
+                commands: orders,
             },
             through: m.relay.map(|relay| relay.peer),
         })
@@ -187,7 +187,7 @@
         self.unreachable_calls -= usize::from(std::mem::take(&mut m.unreachable_call));
         if failed {
             // One that has seen a newer token than the call's is called again at once.
-            let superseded = matches!(&result, CommandResult::Refused(status) if status.token > call.commands.token && status.token >> FENCE_BITS == self.token);
+            let superseded = matches!(&result, CommandResult::Refused(status) if status.fencing_token > call.commands.fencing_token && status.fencing_token >> FENCE_BITS == self.token);
             let retry_ms = if superseded {
                 0
             } else if m.last_heartbeat_at.is_some() {
@@ -214,7 +214,7 @@
     /// Stops of a failed call may not have been executed: they are due again as soon as
     /// the machine may be called.
     fn reset_stop_times(&mut self, call: &CommandCall) {
-        for id in call.attempts(CommandKind::Kill) {
+        for id in call.attempts(CommandKind::Stop) {
             if let Some(tracked) = self.attempts.get_mut(&id) {
                 tracked.stop_sent_at = None;
             }
@@ -230,7 +230,7 @@
         if unresolved {
             return;
         }
-        for id in call.attempts(CommandKind::Launch) {
+        for id in call.attempts(CommandKind::Start) {
             if let Some(tracked) = self.attempts.get_mut(&id)
                 && matches!(
                     tracked.stage,
@@ -253,10 +253,10 @@
     /// given a higher token, and until it shows that, nothing is concluded from an
     /// absence. A call without commands can bring none late.
     fn fence_unresolved_call(&mut self, call: &CommandCall, now: u64) {
-        if call.commands.orders.is_empty() {
+        if call.commands.commands.is_empty() {
             return;
         }
-        let sent = call.commands.token;
+        let sent = call.commands.fencing_token;
         if call.launches() {
             self.unresolved_launch_at = Some(now);
         }
--- a/crates/coordination/src/peer_sync.rs
+++ b/crates/coordination/src/peer_sync.rs
@@ -54,7 +54,7 @@
     pub fn handle_sync(&mut self, sync: &SyncRequest, now: u64) -> Result<ShardView, SyncError> {
         self.detect_stall(now);
         self.check_sender(sync)?;
-        for progress in &sync.notes {
+        for progress in &sync.progress {
             if self.cache.jobs.contains_key(&progress.job) {
                 self.peer_progress
                     .insert(progress.job.clone(), progress.clone());
@@ -66,13 +66,13 @@
     /// Guards against a controller that the store refuses alone and that
     /// goes on answering its workers, while its successor waits for them.
     fn check_sender(&self, sync: &SyncRequest) -> Result<(), SyncError> {
-        match self.cache.shards.get(&sync.from) {
-            Some(leader) if leader.token > sync.from_token => {
+        match self.cache.shard_leaders.get(&sync.from_shard) {
+            Some(leader) if leader.fencing_token > sync.from_fencing_token => {
                 Err(SyncError::Superseded(Superseded {
                     version: PEER_VERSION,
-                    shard: sync.from,
-                    token: leader.token,
-                    host: leader.host.clone(),
+                    shard: sync.from_shard,
+                    fencing_token: leader.fencing_token,
+                    leader_host: leader.host.clone(),
                 }))
             }
             _ => Ok(()),
@@ -87,7 +87,10 @@
     ) -> Result<ShardView, SyncError> {
         self.links.record_peer_store_age(sync.store_age_ms, now);
         let store_age_ms = self.links.store_age(now);
-        let shard = self.shards.get_mut(&sync.to).ok_or(SyncError::Token)?;
+        let shard = self
+            .shards
+            .get_mut(&sync.to_shard)
+            .ok_or(SyncError::Token)?;
         shard.owner.sync(sync, room, now).map(|view| ShardView {
             store_age_ms,
             ..view
@@ -135,28 +138,28 @@
     /// for a cancelled job would wait for the end of the partition.
     pub fn handle_store_messages(&mut self, now: u64) -> Vec<Effect> {
         let mut effects = Vec::new();
-        for (route, bytes) in self.cache.take_mail() {
-            if !self.shards.contains_key(&route.to) {
+        for (route, bytes) in self.cache.take_messages() {
+            if !self.shards.contains_key(&route.to_shard) {
                 continue;
             }
             match route.kind {
-                StoreMessageKind::Sync => match peer::read::<SyncRequest>(&bytes) {
-                    Ok(sync) if sync.to == route.to => {
+                StoreMessageKind::Sync => match peer::decode::<SyncRequest>(&bytes) {
+                    Ok(sync) if sync.to_shard == route.to_shard => {
                         effects.extend(self.answer_store_sync(&sync, now));
                     }
                     _ => info!(
-                        from = route.from,
-                        to = route.to,
+                        from = route.from_shard,
+                        to = route.to_shard,
                         "unreadable sync in the store"
                     ),
                 },
                 StoreMessageKind::View => {
-                    let shard = self.shards.get_mut(&route.to);
-                    match (peer::read::<ShardView>(&bytes), shard) {
+                    let shard = self.shards.get_mut(&route.to_shard);
+                    match (peer::decode::<ShardView>(&bytes), shard) {
                         (Ok(view), Some(shard)) => shard.apply_view(view, now),
                         _ => info!(
-                            from = route.from,
-                            to = route.to,
+                            from = route.from_shard,
+                            to = route.to_shard,
                             "unreadable view in the store"
                         ),
                     }
@@ -168,9 +171,9 @@
 
     fn answer_store_sync(&mut self, sync: &SyncRequest, now: u64) -> Option<Effect> {
         match self.apply_sync(sync, self.config.store_message_bytes, now) {
-            Ok(view) => Some(Effect::StoreView(sync.from, view)),
+            Ok(view) => Some(Effect::StoreView(sync.from_shard, view)),
             Err(refusal) => {
-                debug!(from = sync.from, to = sync.to, %refusal, "sync through the store refused");
+                debug!(from = sync.from_shard, to = sync.to_shard, %refusal, "sync through the store refused");
                 None
             }
         }
@@ -227,10 +230,10 @@
     /// Whether one shard's placer is to sync with an owner now, and by which route.
     fn due_sync(&mut self, index: u16, to: u16, now: u64) -> Option<DueSync> {
         let misrouted = self.links.misrouted.any_recent(to, now);
-        let leader = self.cache.shards.get(&to)?;
+        let leader = self.cache.shard_leaders.get(&to)?;
         let local = self.shards.get(&to).map(|shard| shard.lease.token);
         let shard = self.shards.get_mut(&index)?;
-        let token = local.unwrap_or(leader.token);
+        let token = local.unwrap_or(leader.fencing_token);
         let channel = &mut shard.peer_channels[usize::from(to)];
         channel.dirty |= shard.placer.has_unsent_changes(to, token);
         let through_store = local.is_none() && channel.through_store();
@@ -278,7 +281,7 @@
         }
         Some(SyncRequest {
             store_age_ms,
-            strays: self.links.misrouted.count_recent(to, now),
+            misrouted_heartbeats: self.links.misrouted.count_recent(to, now),
             ..sync
         })
     }
@@ -287,7 +290,7 @@
     fn sync_locally(&mut self, index: u16, sync: &SyncRequest, now: u64) -> bool {
         let view = self
             .shards
-            .get_mut(&sync.to)
+            .get_mut(&sync.to_shard)
             .and_then(|shard| shard.owner.sync(sync, SYNC_BYTES, now).ok());
         match (view, self.shards.get_mut(&index)) {
             (Some(view), Some(shard)) => shard.placer.apply_view(view, now),
--- a/crates/coordination/src/placement/fit.rs
+++ b/crates/coordination/src/placement/fit.rs
@@ -143,7 +143,7 @@
             0
         };
         PackingKey {
-            strands_gpus: request.need.gpus == 0 && slot.free.gpus > 0,
+            strands_gpus: request.need.milli_gpus == 0 && slot.free.milli_gpus > 0,
             on_demand_for_spot: request.spot_allowed && !slot.spot,
             idle: slot.task_count == 0,
             evicts_image: may_fetch && request.image_mb > slot.cache_headroom_mb,
--- a/crates/coordination/src/placement/index.rs
+++ b/crates/coordination/src/placement/index.rs
@@ -94,18 +94,18 @@
     pub fn upsert(&mut self, view: MachineView) {
         let slot = self.slot_for(&view);
         self.clear_rows(slot);
-        if view.up && view.open {
+        if view.registered && view.schedulable {
             self.schedulable.set(slot);
         }
         if view.spot {
             self.spot.set(slot);
         }
-        set_in_row(&mut self.by_machine_type, &view.kind, slot);
+        set_in_row(&mut self.by_machine_type, &view.machine_type, slot);
         set_in_row(&mut self.by_zone, &view.zone, slot);
-        for image in &view.images {
+        for image in &view.cached_images {
             set_in_row(&mut self.by_cached_image, image, slot);
         }
-        for image in &view.coming {
+        for image in &view.pulling_images {
             set_in_row(&mut self.by_fetching_image, image, slot);
         }
         self.slots[slot] = MachineSlot::from(&view);
@@ -146,7 +146,7 @@
         self.busy.assign(position, slot.task_count > 0);
         self.fetching.assign(position, slot.fetch_count > 0);
         self.fetching_several.assign(position, slot.fetch_count > 1);
-        self.free_gpus.assign(position, slot.free.gpus > 0);
+        self.free_gpus.assign(position, slot.free.milli_gpus > 0);
     }
 
     /// Clears the rows that are set from a machine's view.
@@ -209,7 +209,7 @@
         self.by_fetching_image
             .values_mut()
             .for_each(|row| row.clear(slot));
-        for image in &view.coming {
+        for image in &view.pulling_images {
             set_in_row(&mut self.by_fetching_image, image, slot);
         }
         self.update_usage_rows(slot);
--- a/crates/coordination/src/placement/machine_slot.rs
+++ b/crates/coordination/src/placement/machine_slot.rs
@@ -37,12 +37,12 @@
             zone: view.zone.clone(),
             spot: view.spot,
             free: view.free,
-            task_count: u32::from(view.busy),
-            long_running_count: u32::from(view.lasting),
-            fetch_count: view.coming.len() as u32,
+            task_count: u32::from(view.task_count),
+            long_running_count: u32::from(view.service_task_count),
+            fetch_count: view.pulling_images.len() as u32,
             cache_headroom_mb: u64::MAX,
-            preemptible: view.soft,
-            preemptible_over_quota: view.soft_over,
+            preemptible: view.preemptible,
+            preemptible_over_quota: view.preemptible_or_over_quota,
         }
     }
 }
--- a/crates/coordination/src/placement/preemption.rs
+++ b/crates/coordination/src/placement/preemption.rs
@@ -67,8 +67,8 @@
         let slot = &self.slots[position];
         let preemptible = match scope {
             PreemptionScope::Nobody => return None,
-            PreemptionScope::Lower => &slot.preemptible,
-            PreemptionScope::LowerAndOver => &slot.preemptible_over_quota,
+            PreemptionScope::LowerPriority => &slot.preemptible,
+            PreemptionScope::LowerPriorityOrOverQuota => &slot.preemptible_over_quota,
         };
         let available = slot.free.plus(preemptible.get(priority.index())?);
         if !available.covers(&request.need) {
--- a/crates/coordination/src/placer/attempt_events.rs
+++ b/crates/coordination/src/placer/attempt_events.rs
@@ -59,7 +59,7 @@
             });
             job.has_run = true;
         }
-        if state.ended() {
+        if state.is_terminal() {
             self.apply_attempt_end(id, state, now);
             self.update_indexes(&id.job, now);
             return;
@@ -96,7 +96,7 @@
             let Some(job) = self.jobs.get_mut(&id).filter(|job| !job.is_stopping()) else {
                 continue;
             };
-            let Some(grace_s) = job.spec().map(JobSpec::grace_s) else {
+            let Some(grace_s) = job.spec().map(JobSpec::stop_grace_s) else {
                 continue;
             };
             let is_gang = job.is_kind(JobKind::Gang);
@@ -139,10 +139,13 @@
                 self.apply_completion(id, &live, now);
                 return;
             }
-            AttemptState::Exited(ExitCause::Error) => self.apply_failure(id, &live, now),
+            AttemptState::Exited(ExitCause::Failed) => self.apply_failure(id, &live, now),
             AttemptState::Refused => self.back_off_refused(id, live.shard, now),
             AttemptState::Exited(
-                ExitCause::NoRoom | ExitCause::InUse | ExitCause::Unknown | ExitCause::Alone,
+                ExitCause::InsufficientResources
+                | ExitCause::TaskConflict
+                | ExitCause::UnknownJob
+                | ExitCause::GangIncomplete,
             ) => job.backoff_until = now + START_REFUSED_BACKOFF_MS,
             _ => {}
         }
--- a/crates/coordination/src/placer/desired.rs
+++ b/crates/coordination/src/placer/desired.rs
@@ -20,21 +20,21 @@
 fn desired_attempts(id: &JobId, job: &Job) -> Vec<ShardAttempt> {
     let image = job.spec().map(|s| s.image.clone()).unwrap_or_default();
     let image_mb = job.spec().map_or(0, JobSpec::image_mb);
-    let preemption_grace_s = job.spec().map_or(0, JobSpec::way_grace_s);
+    let preemption_grace_s = job.spec().map_or(0, JobSpec::preemption_grace_s);
     let ending = |id: AttemptId, machine: &MachineId| DesiredAttempt {
         id,
         machine: machine.clone(),
-        need: job.need,
+        resources: job.need,
         image: image.clone(),
         image_mb,
-        go: false,
-        kill: Some(0),
+        may_start: false,
+        stop_grace_s: Some(0),
         team: job.team.clone(),
-        rank: job.priority(),
-        over: true,
-        grace: 0,
-        lasting: false,
-        evict: PreemptionScope::Nobody,
+        priority: job.priority(),
+        over_quota: true,
+        preemption_grace_s: 0,
+        runs_until_cancelled: false,
+        preemption: PreemptionScope::Nobody,
     };
     let may_launch = may_launch(job);
     let live = job
@@ -50,16 +50,16 @@
             ShardAttempt {
                 shard: live.shard,
                 desired: DesiredAttempt {
-                    go: may_launch,
-                    kill: if job.is_stopping() {
+                    may_start: may_launch,
+                    stop_grace_s: if job.is_stopping() {
                         Some(0)
                     } else {
                         live.stop_grace_s
                     },
-                    over: live.over_quota,
-                    grace: preemption_grace_s,
-                    lasting: job.is_service(),
-                    evict: live.preemption,
+                    over_quota: live.over_quota,
+                    preemption_grace_s: preemption_grace_s,
+                    runs_until_cancelled: job.is_service(),
+                    preemption: live.preemption,
                     ..ending(id, &live.machine)
                 },
             }
--- a/crates/coordination/src/placer/escalation.rs
+++ b/crates/coordination/src/placer/escalation.rs
@@ -157,7 +157,7 @@
             .live
             .get(&replica.task)
             .map(|live| live.zone.as_str())
-            .filter(|_| spec.one_zone);
+            .filter(|_| spec.same_zone);
         let mut avoid = job.avoided_machines.clone();
         avoid.push(replica.machine.clone());
         let zones = allowed_zones(
--- a/crates/coordination/src/placer/gangs.rs
+++ b/crates/coordination/src/placer/gangs.rs
@@ -69,7 +69,7 @@
         let unresponsive: Vec<MachineId> = job
             .live
             .values()
-            .filter(|live| !matches!(live.state, Some(state) if !state.ended()))
+            .filter(|live| !matches!(live.state, Some(state) if !state.is_terminal()))
             .map(|live| live.machine.clone())
             .collect();
         info!(
--- a/crates/coordination/src/placer/headroom.rs
+++ b/crates/coordination/src/placer/headroom.rs
@@ -84,7 +84,7 @@
             let spec = &record.spec;
             let start_ms = self.boot_time_ms as f64 + spec.image_gb / self.fetch_gb_per_s * 1000.0;
             // Room that costs less is kept for more.
-            let share = if spec.spot {
+            let share = if spec.allow_spot {
                 self.headroom_share * self.spot_discount
             } else {
                 self.headroom_share
@@ -92,7 +92,7 @@
             let tasks =
                 self.tasks_with_objective(spec) as f64 * start_ms / observed_ms as f64 * share;
             expected
-                .entry((spec.need(), spec.spot))
+                .entry((spec.task_resources(), spec.allow_spot))
                 .or_insert_with(|| ExpectedWork {
                     tasks: 0.0,
                     example: record.clone(),
@@ -110,7 +110,7 @@
         }
         let guaranteed = self.guaranteed_quotas.get(&spec.team);
         (1..=spec.tasks.min(u64::from(CHUNK_TASKS)))
-            .take_while(|&n| within_quota(&spec.need().times(n), guaranteed))
+            .take_while(|&n| within_quota(&spec.task_resources().times(n), guaranteed))
             .last()
             .unwrap_or(0)
     }
@@ -124,10 +124,10 @@
         taken: &mut Vec<TentativeUse>,
     ) -> u32 {
         let request = PlacementRequest {
-            need: spec.need(),
-            machine_types: spec.types.as_deref(),
+            need: spec.task_resources(),
+            machine_types: spec.machine_types.as_deref(),
             zones: None,
-            spot_allowed: spec.spot,
+            spot_allowed: spec.allow_spot,
             long_running: false,
             image: &spec.image,
             image_mb: spec.image_mb(),
@@ -143,8 +143,8 @@
                     .or_else(|| {
                         index.preemptive_fit(
                             &request,
-                            spec.rank,
-                            PreemptionScope::Lower,
+                            spec.priority,
+                            PreemptionScope::LowerPriority,
                             ImageRequirement::Optional,
                             None,
                         )
@@ -168,13 +168,13 @@
 fn headroom_demand(spec: &JobSpec, count: u32) -> CapacityDemand {
     CapacityDemand {
         team: spec.team.clone(),
-        need: spec.need(),
-        machine_types: spec.types.clone(),
+        need: spec.task_resources(),
+        machine_types: spec.machine_types.clone(),
         zone: spec.zone.clone(),
-        spot_allowed: spec.spot,
+        spot_allowed: spec.allow_spot,
         count,
         single_zone: false,
-        spot_only: spec.spot,
+        spot_only: spec.allow_spot,
         idle: false,
         must_start_now: false,
     }
--- a/crates/coordination/src/placer/jobs.rs
+++ b/crates/coordination/src/placer/jobs.rs
@@ -33,19 +33,22 @@
         let same_priority = job
             .record
             .as_ref()
-            .is_some_and(|record| record.spec.rank == spec.rank);
+            .is_some_and(|record| record.spec.priority == spec.priority);
         if same_priority && job.key_version == cached.version {
             return false;
         }
         let has_arrived =
             job.record.is_none() && job.chunks.is_empty() && now > self.started_at + BACKLOG_MS;
         let is_guaranteed = self.guaranteed_start_objective_s < f64::MAX
-            && within_quota(&spec.need(), self.guaranteed_quotas.get(&spec.team));
+            && within_quota(
+                &spec.task_resources(),
+                self.guaranteed_quotas.get(&spec.team),
+            );
         if has_arrived && (self.start_objectives_s.contains_key(&spec.class) || is_guaranteed) {
             self.recent_arrivals.push_back((now, cached.record.clone()));
         }
         job.team = spec.team.clone();
-        job.need = spec.need();
+        job.need = spec.task_resources();
         job.tasks = spec.tasks.min(u64::from(u32::MAX)) as u32;
         job.key_version = cached.version;
         job.record = Some(cached.record.clone());
@@ -54,7 +57,7 @@
         self.quota_dirty_teams.insert(spec.team.clone());
         job.resume_admission(self.gang_wait_ms, now, now + self.wall_offset_ms);
         self.placement_due = true;
-        if cached.record.withdrawn {
+        if cached.record.cancel_requested {
             self.drop_unrecorded_attempts(id);
         }
         true
--- a/crates/coordination/src/placer/mod.rs
+++ b/crates/coordination/src/placer/mod.rs
@@ -42,7 +42,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::sync::Arc;
 
-use lemonweir_model::policy::Trade;
+use lemonweir_model::policy::ServicePlacementWeights;
 use lemonweir_model::{Catalog, JobId, MachineId, MachineType, Priority, Resources};
 use lemonweir_protocol::peer::{MachineView, ProvisionedInstance};
 use lemonweir_storage::records::JobRecord;
@@ -118,7 +118,7 @@
     /// Time of day at the steady clock's zero, ms.
     pub wall_offset_ms: u64,
     /// What a replica's place may cost against what it risks.
-    pub trade: Trade,
+    pub trade: ServicePlacementWeights,
 }
 
 /// What happened to a replica or task, for the supervision of services.
@@ -201,7 +201,7 @@
     /// Usual rate at which images are fetched.
     fetch_gb_per_s: f64,
     /// What a replica's place may cost against what it risks.
-    trade: Trade,
+    trade: ServicePlacementWeights,
     /// Where the search for better places goes on.
     rebalance_cursor: Option<JobId>,
     /// Sizes and use of images.
@@ -346,7 +346,7 @@
         self.guaranteed_start_objective_s = guaranteed_start_objective_s;
         let discount = |t: &MachineType| {
             if t.spot_price > 0.0 {
-                t.price / t.spot_price
+                t.on_demand_price / t.spot_price
             } else {
                 1.0
             }
@@ -361,14 +361,14 @@
             .map(|t| (t.boot_s * 1000.0) as u64)
             .max()
             .unwrap_or(0);
-        self.machine_capacities = catalog.values().map(|t| t.room).collect();
+        self.machine_capacities = catalog.values().map(|t| t.capacity).collect();
         self.fetch_gb_per_s = catalog
             .values()
-            .map(|t| t.fetch_gb_per_s)
+            .map(|t| t.image_pull_gb_per_s)
             .fold(0.0, f64::max);
         self.cache_mb_by_type = catalog
             .values()
-            .map(|t| (t.name.clone(), (t.cache_gb * 1000.0) as u64))
+            .map(|t| (t.name.clone(), (t.image_cache_gb * 1000.0) as u64))
             .collect();
     }
 
--- a/crates/coordination/src/placer/owner_channel.rs
+++ b/crates/coordination/src/placer/owner_channel.rs
@@ -5,7 +5,7 @@
 use lemonweir_model::constants::{ATTEMPT_BYTES, FENCE_BITS, PEER_VERSION};
 use lemonweir_model::{AttemptId, MachineId};
 use lemonweir_protocol::peer::{
-    DesiredAttempt, JobProgress, ObservedState, ProvisionedInstance, SyncRequest, written,
+    DesiredAttempt, JobProgress, ObservedState, ProvisionedInstance, SyncRequest, encoded_len,
 };
 
 use super::Placer;
@@ -107,7 +107,7 @@
 ) -> Vec<(AttemptId, u32)> {
     desired
         .newer_than(upto)
-        .filter_map(|(id, attempt)| attempt.kill.map(|grace| (id.clone(), grace)))
+        .filter_map(|(id, attempt)| attempt.stop_grace_s.map(|grace| (id.clone(), grace)))
         .take(bytes / ATTEMPT_BYTES)
         .collect()
 }
@@ -160,9 +160,9 @@
             channel
                 .desired
                 .changes_since(channel.desired_acked, &mut room, |_, attempt| {
-                    attempt.map_or(ATTEMPT_BYTES, written)
+                    attempt.map_or(ATTEMPT_BYTES, encoded_len)
                 });
-        channel.desired_sent = span.upto;
+        channel.desired_sent = span.until;
         let (mut wants, mut dropped) = (Vec::new(), Vec::new());
         for (id, attempt) in changes {
             match attempt {
@@ -172,12 +172,12 @@
         }
         // Guards against a stop that waits behind hundreds of starts where a message
         // holds few.
-        let stops = if span.last {
+        let stops = if span.complete {
             Vec::new()
         } else {
             stops_after(
                 &channel.desired,
-                span.upto,
+                span.until,
                 room.max(MAX_STOPS_BYTES.min(share)),
             )
         };
@@ -196,21 +196,21 @@
         };
         SyncRequest {
             version: PEER_VERSION,
-            from: self.shard,
-            from_token: self.fencing_token,
-            to,
-            to_token,
+            from_shard: self.shard,
+            from_fencing_token: self.fencing_token,
+            to_shard: to,
+            to_fencing_token: to_token,
             seq,
             store_age_ms: u64::MAX,
-            span,
-            wants,
-            dropped,
+            range: span,
+            desired: wants,
+            withdrawn: dropped,
             stops,
-            have,
-            strays: 0,
-            rented: self.pending_instances_of(to, share, now),
-            keep: self.reserved_machines_of(to, share),
-            notes,
+            observed: have,
+            misrouted_heartbeats: 0,
+            provisioned: self.pending_instances_of(to, share, now),
+            reserved_machines: self.reserved_machines_of(to, share),
+            progress: notes,
         }
     }
 
@@ -220,15 +220,15 @@
         let (span, changes) =
             self.job_progress
                 .changes_since(channel.progress_acked, &mut room, |_, _| PROGRESS_BYTES);
-        channel.progress_sent = span.upto;
+        channel.progress_sent = span.until;
         changes
             .into_iter()
             .filter_map(|(job, progress)| {
                 progress.map(|progress| JobProgress {
                     job: job.clone(),
-                    done: progress.done,
-                    running: progress.running,
-                    reason: progress.reason.clone().into_owned(),
+                    tasks_done: progress.done,
+                    tasks_running: progress.running,
+                    wait_reason: progress.reason.clone().into_owned(),
                 })
             })
             .collect()
@@ -244,7 +244,7 @@
                 age_ms: now.saturating_sub(pending.provisioned_at),
                 ..pending.instance.clone()
             });
-        take_fitting(instances, bytes, written)
+        take_fitting(instances, bytes, encoded_len)
     }
 
     /// Empty machines of a shard that its owner should keep for expected work.
@@ -255,6 +255,6 @@
             .iter()
             .filter(|machine| index.position(machine).is_some())
             .cloned();
-        take_fitting(machines, bytes, written)
+        take_fitting(machines, bytes, encoded_len)
     }
 }
--- a/crates/coordination/src/placer/partitions.rs
+++ b/crates/coordination/src/placer/partitions.rs
@@ -57,8 +57,8 @@
             (
                 zone.zone,
                 ZonePartition {
-                    since: now.saturating_sub(zone.for_ms),
-                    attempts_end_at: now + zone.over_in_ms,
+                    since: now.saturating_sub(zone.partitioned_for_ms),
+                    attempts_end_at: now + zone.presumed_lost_in_ms,
                 },
             )
         };
--- a/crates/coordination/src/placer/placing.rs
+++ b/crates/coordination/src/placer/placing.rs
@@ -131,7 +131,7 @@
         let first = job.next_waiting_task()?;
         // Guards against low-priority work that takes up room long before it is its
         // turn to be written, and against a pass that places 100,000 tasks.
-        let is_first_low_priority_start = spec.rank == Priority::Low
+        let is_first_low_priority_start = spec.priority == Priority::Low
             && job
                 .chunks
                 .get(&(first / CHUNK_TASKS))
@@ -140,7 +140,7 @@
             job.pending_reason = REASON_LOW_PRIORITY_TURN;
             return None;
         }
-        let tasks: Vec<u32> = if spec.shape == JobKind::Gang {
+        let tasks: Vec<u32> = if spec.kind == JobKind::Gang {
             (first..job.tasks)
                 .filter(|task| !job.is_task_done(*task))
                 .collect()
@@ -151,7 +151,7 @@
         let job = self.jobs.get(id)?;
         let used_after = self.usage_of(&job.team).plus(&needed);
         let counted = Resources {
-            memory: 0,
+            memory_mb: 0,
             ..used_after
         };
         if !self.quota_limit(&job.team).covers(&counted) {
@@ -159,8 +159,9 @@
             return None;
         }
         let is_guaranteed = within_quota(&used_after, self.guaranteed_quotas.get(&job.team));
-        let is_frugal =
-            spec.rank == Priority::Low && !job.is_starved(now) && !self.must_begin_now(job, now);
+        let is_frugal = spec.priority == Priority::Low
+            && !job.is_starved(now)
+            && !self.must_begin_now(job, now);
         Some(PlacementUnit {
             tasks,
             is_suspect,
@@ -185,7 +186,7 @@
         };
         // A replica that was up is down while it fetches.
         spec.image_gb * FETCH_SPREAD > objective_s * self.fetch_gb_per_s
-            || spec.shape == JobKind::Service && job.has_run
+            || spec.kind == JobKind::Service && job.has_run
     }
 
     /// Reserves room for all of a unit's tasks, in the first area that has it.
@@ -242,7 +243,7 @@
 
     /// The zones that a unit is tried in, one after the other; `None`: any.
     fn zone_choices(&self, job: &Job, spec: &JobSpec, tasks: usize) -> Vec<Option<String>> {
-        if !spec.one_zone || tasks + job.live.len() <= 1 {
+        if !spec.same_zone || tasks + job.live.len() <= 1 {
             return vec![None];
         }
         let present: BTreeSet<&str> = job.live.values().map(|live| live.zone.as_str()).collect();
@@ -274,7 +275,7 @@
             let index = &mut self.indexes[place.shard];
             let is_warm = index.has_image(place.slot, &spec.image);
             index.reserve(place.slot, &search.need, &spec.image);
-            if spec.shape == JobKind::Service {
+            if spec.kind == JobKind::Service {
                 index.mark_long_running(place.slot);
             }
             if spec.spread {
@@ -315,7 +316,7 @@
         let (spec, unit) = (search.spec, search.unit);
         let request = PlacementRequest {
             need: search.need,
-            machine_types: spec.types.as_deref(),
+            machine_types: spec.machine_types.as_deref(),
             zones: allowed_zones(
                 spec,
                 area.zone,
@@ -323,8 +324,8 @@
                 search.job_tasks,
                 &self.indexes,
             ),
-            spot_allowed: spec.spot,
-            long_running: spec.shape == JobKind::Service,
+            spot_allowed: spec.allow_spot,
+            long_running: spec.kind == JobKind::Service,
             image: &spec.image,
             image_mb: spec.image_mb(),
             excluded_machines: &search.avoid,
@@ -361,7 +362,7 @@
                     self.indexes[shard]
                         .preemptive_fit(
                             &request,
-                            spec.rank,
+                            spec.priority,
                             unit.preemption_scope(),
                             image,
                             replicas.get(shard),
@@ -415,8 +416,8 @@
         }
         // A replica that was only moved is no sign of new work, nor is a try
         // of a suspect, nor low-priority work.
-        let is_relocated = spec.shape == JobKind::Service && has_run;
-        if !(is_relocated || unit.is_suspect || spec.rank == Priority::Low) {
+        let is_relocated = spec.kind == JobKind::Service && has_run;
+        if !(is_relocated || unit.is_suspect || spec.priority == Priority::Low) {
             self.last_placement_at = now;
         }
     }
@@ -494,9 +495,9 @@
 
     fn preemption_scope(&self) -> PreemptionScope {
         if self.is_guaranteed {
-            PreemptionScope::LowerAndOver
+            PreemptionScope::LowerPriorityOrOverQuota
         } else {
-            PreemptionScope::Lower
+            PreemptionScope::LowerPriority
         }
     }
 }
@@ -505,9 +506,9 @@
 fn request_signature(job: &Job, spec: &JobSpec, unit: &PlacementUnit) -> u64 {
     let mut hasher = DefaultHasher::new();
     (
-        &spec.types,
+        &spec.machine_types,
         &spec.zone,
-        spec.spot,
+        spec.allow_spot,
         spec.spread && job.tasks > 1,
         unit.tasks.len(),
         unit.is_suspect,
@@ -517,9 +518,9 @@
     (
         &job.avoided_machines,
         &job.unresponsive_machines,
-        spec.rank as u8,
+        spec.priority as u8,
         unit.is_guaranteed,
-        spec.one_zone && unit.tasks.len() > 1,
+        spec.same_zone && unit.tasks.len() > 1,
     )
         .hash(&mut hasher);
     hasher.finish()
--- a/crates/coordination/src/placer/quotas.rs
+++ b/crates/coordination/src/placer/quotas.rs
@@ -7,17 +7,19 @@
 
 /// What a team without a quota limit may use.
 pub(super) const NO_LIMIT: Resources = Resources {
-    cpus: u64::MAX,
-    gpus: u64::MAX,
-    memory: u64::MAX,
+    milli_cpus: u64::MAX,
+    milli_gpus: u64::MAX,
+    memory_mb: u64::MAX,
 };
 
 /// True if a use is within a guaranteed quota; one that names nothing holds nothing.
 pub(super) fn within_quota(used: &Resources, guaranteed: Option<&Resources>) -> bool {
-    let Some(quota) = guaranteed.filter(|quota| quota.cpus > 0 || quota.gpus > 0) else {
+    let Some(quota) = guaranteed.filter(|quota| quota.milli_cpus > 0 || quota.milli_gpus > 0)
+    else {
         return false;
     };
-    (quota.cpus == 0 || used.cpus <= quota.cpus) && (quota.gpus == 0 || used.gpus <= quota.gpus)
+    (quota.milli_cpus == 0 || used.milli_cpus <= quota.milli_cpus)
+        && (quota.milli_gpus == 0 || used.milli_gpus <= quota.milli_gpus)
 }
 
 impl Placer {
@@ -38,7 +40,7 @@
         let Some(guaranteed) = self
             .guaranteed_quotas
             .get(team)
-            .filter(|quota| quota.cpus > 0 || quota.gpus > 0)
+            .filter(|quota| quota.milli_cpus > 0 || quota.milli_gpus > 0)
         else {
             return;
         };
--- a/crates/coordination/src/placer/rebalancing.rs
+++ b/crates/coordination/src/placer/rebalancing.rs
@@ -278,7 +278,7 @@
             .collect();
         let scoring = self.scoring_inputs(id, Some(task), &request, &order, now);
         let exposure_s = self.exposure_s(job, live, &scoring.risk);
-        let min_gain_s = self.trade.move_s + MOVE_DOWNTIME_MS as f64 / 1000.0;
+        let min_gain_s = self.trade.min_migration_gain_s + MOVE_DOWNTIME_MS as f64 / 1000.0;
         let better: Vec<PlacementClass> = placement_classes(&self.trade, &scoring.risk)
             .into_iter()
             .take_while(|class| class.cost_s + min_gain_s < exposure_s)
@@ -397,7 +397,7 @@
         let mut warm = placement_classes(&self.trade, &scoring.risk);
         warm.retain(|class| {
             class.image_locality == ImageLocality::Cached
-                && class.cost_s <= exposure_s + 2.0 * self.trade.pin_s
+                && class.cost_s <= exposure_s + 2.0 * self.trade.machine_pin_cost_s
         });
         // Guards against others taking that room meanwhile: another place
         // must be left, or the replica would wait for a fetch.
--- a/crates/coordination/src/placer/reconciliation.rs
+++ b/crates/coordination/src/placer/reconciliation.rs
@@ -17,28 +17,33 @@
         }
         let shard = view.shard;
         self.record_view(&view, now);
-        self.apply_partitions(shard, std::mem::take(&mut view.hidden), now);
+        self.apply_partitions(shard, std::mem::take(&mut view.partitioned_zones), now);
 
         let channel = &mut self.owner_channels[usize::from(shard)];
-        if view.token == channel.recipient_token {
-            channel.acknowledge(view.wants_at);
+        if view.fencing_token == channel.recipient_token {
+            channel.acknowledge(view.desired_revision);
         }
-        let machines = view.machines_span.follows(channel.observed.machines);
-        let attempts = view.attempts_span.follows(channel.observed.attempts);
+        let machines = view
+            .machines_range
+            .continues_from(channel.observed.machines_revision);
+        let attempts = view
+            .attempts_range
+            .continues_from(channel.observed.attempts_revision);
         if attempts.is_some() {
-            channel.observed.attempts = view.attempts_span.upto;
+            channel.observed.attempts_revision = view.attempts_range.until;
         }
         if machines.is_some() {
-            channel.observed.machines = view.machines_span.upto;
+            channel.observed.machines_revision = view.machines_range.until;
         }
 
         if attempts.is_some() {
             for attempt in &view.attempts {
-                self.apply_attempt_state(&attempt.id, attempt.standing, shard, now);
+                self.apply_attempt_state(&attempt.id, attempt.state, shard, now);
             }
         }
-        let has_news =
-            !view.machines.is_empty() || !view.gone.is_empty() || !view.attempts.is_empty();
+        let has_news = !view.machines.is_empty()
+            || !view.removed_machines.is_empty()
+            || !view.attempts.is_empty();
         let Some(continuation) = machines else {
             return has_news;
         };
@@ -52,8 +57,8 @@
         let Some(channel) = self.owner_channels.get(usize::from(view.shard)) else {
             return false;
         };
-        let is_old = view.token < channel.observed_token
-            || view.token == channel.observed_token && view.seq <= channel.last_view_seq;
+        let is_old = view.fencing_token < channel.observed_token
+            || view.fencing_token == channel.observed_token && view.seq <= channel.last_view_seq;
         // Guards against an answer to an earlier leader's message that comes late
         // through the store: it acknowledges what this one never sent.
         let is_to_earlier_leader = view.seq <= self.fencing_token << FENCE_BITS;
@@ -61,7 +66,8 @@
             return false;
         }
         let is_impossible = view.seq > channel.last_sent_seq
-            || view.token == channel.recipient_token && view.wants_at > channel.desired.last();
+            || view.fencing_token == channel.recipient_token
+                && view.desired_revision > channel.desired.last();
         if is_impossible {
             warn!(
                 shard = self.shard,
@@ -76,8 +82,9 @@
     /// Notes from whom and when the newest view came.
     fn record_view(&mut self, view: &ShardView, now: u64) {
         let channel = &mut self.owner_channels[usize::from(view.shard)];
-        if view.token > channel.observed_token {
-            (channel.observed_token, channel.observed) = (view.token, ObservedState::default());
+        if view.fencing_token > channel.observed_token {
+            (channel.observed_token, channel.observed) =
+                (view.fencing_token, ObservedState::default());
         }
         channel.last_view_seq = view.seq;
         channel.last_view_at = Some(now);
@@ -87,19 +94,19 @@
     fn apply_machines(&mut self, view: ShardView, continuation: &Continuation, now: u64) {
         let shard = view.shard;
         match continuation {
-            Continuation::Anew => {
+            Continuation::Snapshot => {
                 self.indexes[usize::from(shard)] =
                     empty_index(self.shard, shard, self.owner_channels.len() as u16);
             }
-            Continuation::On => {}
+            Continuation::Delta => {}
         }
-        for machine in &view.gone {
+        for machine in &view.removed_machines {
             self.indexes[usize::from(shard)].remove(machine);
         }
         for machine in view.machines {
             self.apply_machine(machine, shard, now);
         }
-        if view.machines_span.last {
+        if view.machines_range.complete {
             // All figures are as new as the states of the attempts.
             let machines: Vec<MachineId> = self.owner_channels[usize::from(shard)]
                 .uncounted
@@ -117,15 +124,15 @@
     }
 
     fn apply_machine(&mut self, machine: MachineView, shard: u16, now: u64) {
-        let (id, is_leaving) = (machine.id.clone(), machine.leaving);
+        let (id, is_leaving) = (machine.id.clone(), machine.draining);
         let cache_mb = self
             .cache_mb_by_type
-            .get(&machine.kind)
+            .get(&machine.machine_type)
             .copied()
             .unwrap_or(u64::MAX);
         let spare_mb = self
             .image_usage
-            .cache_headroom_mb(&machine.images, cache_mb);
+            .cache_headroom_mb(&machine.cached_images, cache_mb);
         let index = &mut self.indexes[usize::from(shard)];
         index.upsert(machine);
         index.set_cache_headroom(&id, spare_mb);
--- a/crates/coordination/src/placer/records.rs
+++ b/crates/coordination/src/placer/records.rs
@@ -23,11 +23,11 @@
     pub fn load_chunk(&mut self, id: &JobId, chunk: u32, record: &TaskChunkRecord, version: u64) {
         let job = self.jobs.entry(id.clone()).or_insert_with(Job::unconfirmed);
         job.team = record.team.clone();
-        job.need = record.need;
-        job.next_attempt = job.next_attempt.max(record.next);
+        job.need = record.task_resources;
+        job.next_attempt = job.next_attempt.max(record.next_attempt);
         // Guards against a service that lost most of its replicas with its
         // controller and comes behind others that are whole.
-        job.has_run |= !record.live.is_empty();
+        job.has_run |= !record.live_attempts.is_empty();
         let (first, end) = (chunk * CHUNK_TASKS, (chunk + 1) * CHUNK_TASKS);
         job.chunks.insert(
             chunk,
@@ -37,22 +37,20 @@
                 ..TaskChunk::default()
             },
         );
-        for &(a, b) in &record.done {
+        for &(a, b) in &record.done_ranges {
             for task in a.max(first)..=b.min(end - 1) {
                 job.set_task_done(task);
             }
         }
         let shards = self.owner_channels.len();
-        for attempt in record
-            .live
-            .iter()
-            .filter(|attempt| (first..end).contains(&attempt.t) && usize::from(attempt.p) < shards)
-        {
+        for attempt in record.live_attempts.iter().filter(|attempt| {
+            (first..end).contains(&attempt.task) && usize::from(attempt.shard) < shards
+        }) {
             let live = LiveAttempt {
-                attempt: attempt.a,
-                machine: attempt.m.clone(),
-                shard: attempt.p,
-                zone: attempt.z.clone(),
+                attempt: attempt.attempt,
+                machine: attempt.machine.clone(),
+                shard: attempt.shard,
+                zone: attempt.zone.clone(),
                 recorded_by: 0,
                 state: None,
                 stop_grace_s: None,
@@ -60,7 +58,7 @@
                 placed_at: 0,
                 over_quota: true,
             };
-            self.add_attempt(id, attempt.t, live);
+            self.add_attempt(id, attempt.task, live);
         }
         self.update_indexes(id, 0);
     }
--- a/crates/coordination/src/placer/requests.rs
+++ b/crates/coordination/src/placer/requests.rs
@@ -13,10 +13,10 @@
     avoid: &'a [MachineId],
 ) -> PlacementRequest<'a> {
     PlacementRequest {
-        need: spec.need(),
-        machine_types: spec.types.as_deref(),
+        need: spec.task_resources(),
+        machine_types: spec.machine_types.as_deref(),
         zones,
-        spot_allowed: spec.spot,
+        spot_allowed: spec.allow_spot,
         long_running: true,
         image: &spec.image,
         image_mb: spec.image_mb(),
--- a/crates/coordination/src/placer/scoring.rs
+++ b/crates/coordination/src/placer/scoring.rs
@@ -79,7 +79,7 @@
         risk.fetch_s = spec.image_gb / self.fetch_gb_per_s.max(f64::MIN_POSITIVE);
         risk.remaining_fetch_s = fetch_left_s(job, risk.fetch_s, now);
         risk.spot_allowed = request.spot_allowed;
-        risk.without_gpus = request.need.gpus == 0;
+        risk.without_gpus = request.need.milli_gpus == 0;
         risk.via_store = order.iter().any(|candidate| candidate.via_store);
         let others: Vec<&LiveAttempt> = job
             .live
@@ -91,7 +91,7 @@
             return scoring;
         }
         risk.has_replicas = true;
-        if spec.spot {
+        if spec.allow_spot {
             risk.half_on_spot = 2 * self.count_on_spot(&others) >= job.tasks;
         }
         let underused = self.underused_zones(spec, request, &others, risk);
@@ -139,12 +139,12 @@
         }
         risk.single_zone = replicas.len() == 1;
         // A job that must be in one zone can't be spread over them.
-        let open: BTreeSet<&str> = match (&request.zones, spec.one_zone || spec.zone.is_some()) {
+        let open: BTreeSet<&str> = match (&request.zones, spec.same_zone || spec.zone.is_some()) {
             (_, true) => BTreeSet::new(),
             (Some(zones), _) => zones.iter().copied().collect(),
             (None, _) => all_zones(&self.indexes),
         };
-        if self.trade.zone.max(self.trade.one_zone) <= 0.0 || open.len() <= 1 {
+        if self.trade.zone_loss.max(self.trade.single_zone) <= 0.0 || open.len() <= 1 {
             return None;
         }
         risk.zone_count = open.len() as u32;
--- a/crates/coordination/src/placer/supervision.rs
+++ b/crates/coordination/src/placer/supervision.rs
@@ -171,17 +171,17 @@
         let index = self.indexes.get(usize::from(shard))?;
         index.machines().next()?;
         let add = |(replicas, others, machines), machine: &MachineView| {
-            let here = u32::from(machine.lasting);
+            let here = u32::from(machine.service_task_count);
             (
                 replicas + here,
-                others + u32::from(machine.busy).saturating_sub(here),
+                others + u32::from(machine.task_count).saturating_sub(here),
                 machines + 1,
             )
         };
         Some(
             index
                 .machines()
-                .filter(|machine| machine.up)
+                .filter(|machine| machine.registered)
                 .fold((0, 0, 0), add),
         )
     }
--- a/crates/coordination/src/placer/unmet_demand.rs
+++ b/crates/coordination/src/placer/unmet_demand.rs
@@ -86,13 +86,13 @@
         already: &Resources,
         now: u64,
     ) -> Option<CapacityDemand> {
-        let is_low_priority = spec.rank == Priority::Low;
+        let is_low_priority = spec.priority == Priority::Low;
         let is_starved = is_low_priority && job.is_starved(now);
         let must_begin = self.must_begin_now(job, now);
-        if is_low_priority && !spec.spot && !is_starved && !must_begin {
+        if is_low_priority && !spec.allow_spot && !is_starved && !must_begin {
             return None;
         }
-        let is_gang = spec.shape == JobKind::Gang;
+        let is_gang = spec.kind == JobKind::Gang;
         let waiting = match u64::from(job.waiting_count()) {
             _ if must_begin && !is_gang => 1,
             waiting if is_starved => waiting.min(job.missing_to_half()).min(MAX_DEMAND_TASKS),
@@ -110,11 +110,11 @@
         (count > 0).then(|| CapacityDemand {
             team: job.team.clone(),
             need: job.need,
-            machine_types: spec.types.clone(),
+            machine_types: spec.machine_types.clone(),
             zone: spec.zone.clone(),
-            spot_allowed: spec.spot,
+            spot_allowed: spec.allow_spot,
             count: count as u32,
-            single_zone: spec.one_zone,
+            single_zone: spec.same_zone,
             spot_only: is_low_priority && !is_starved && !must_begin,
             idle: is_low_priority,
             must_start_now: must_begin,
@@ -138,7 +138,7 @@
         let used = self.usage_of(&job.team).plus(already);
         let left = self.quota_limit(&job.team).minus(&used);
         let tasks = |have: u64, need: u64| have.checked_div(need).unwrap_or(u64::MAX);
-        tasks(left.cpus, job.need.cpus).min(tasks(left.gpus, job.need.gpus))
+        tasks(left.milli_cpus, job.need.milli_cpus).min(tasks(left.milli_gpus, job.need.milli_gpus))
     }
 
     /// A spread job lacks room zone by zone: machines that boot in one zone are of no
--- a/crates/coordination/src/placer/write_queue.rs
+++ b/crates/coordination/src/placer/write_queue.rs
@@ -7,7 +7,7 @@
 use lemonweir_protocol::users::JobPhase;
 use lemonweir_storage::packed_chunk::chunk_value;
 use lemonweir_storage::records::{
-    JobEndRecord, TaskChunkRecord, end_key, job_key, run_key, shard_key,
+    JobEndRecord, TaskChunkRecord, end_key, job_key, shard_key, task_chunk_key,
 };
 
 use super::Placer;
@@ -334,8 +334,8 @@
         }
         let id = due.id;
         let record = job.chunk_record(index);
-        let is_removal = job.ended && record.live.is_empty();
-        let key = run_key(self.placer.shard, id, index);
+        let is_removal = job.ended && record.live_attempts.is_empty();
+        let key = task_chunk_key(self.placer.shard, id, index);
         let write = ChunkWrite {
             job: id.clone(),
             index,
@@ -371,7 +371,7 @@
             self.cas.writes.push(Write::Put {
                 key,
                 value: chunk_value(&record, self.placer.record_format_version),
-                hold: None,
+                lease: None,
             });
         }
         self.in_flight.chunks.push(write);
@@ -432,5 +432,7 @@
 }
 
 fn record_bytes(record: &TaskChunkRecord) -> usize {
-    RECORD_BYTES + record.live.len() * LIVE_ATTEMPT_BYTES + record.done.len() * DONE_RANGE_BYTES
+    RECORD_BYTES
+        + record.live_attempts.len() * LIVE_ATTEMPT_BYTES
+        + record.done_ranges.len() * DONE_RANGE_BYTES
 }
--- a/crates/coordination/src/provisioning.rs
+++ b/crates/coordination/src/provisioning.rs
@@ -46,7 +46,7 @@
                     shard = lease.shard,
                     count = machines.len(),
                     requested = request.count,
-                    instance_type = request.kind,
+                    instance_type = request.machine_type,
                     zone = request.zone,
                     spot = request.spot,
                     "instances provisioned"
@@ -62,7 +62,7 @@
             ProvisioningResult::NoCapacity => {
                 info!(
                     shard = lease.shard,
-                    instance_type = request.kind,
+                    instance_type = request.machine_type,
                     zone = request.zone,
                     spot = request.spot,
                     "no capacity for instances"
@@ -84,7 +84,7 @@
             provisioned_at: now,
             instance: ProvisionedInstance {
                 machine: id.clone(),
-                kind: request.kind.clone(),
+                machine_type: request.machine_type.clone(),
                 zone: request.zone.clone(),
                 spot: request.spot,
                 age_ms: 0,
@@ -152,7 +152,7 @@
         let Some(at) = self
             .provisioning
             .iter()
-            .position(|pending| pending.request.booking == request.booking)
+            .position(|pending| pending.request.request_id == request.request_id)
         else {
             return;
         };
@@ -184,8 +184,8 @@
             );
             self.provisioning.push(PendingProvisioning {
                 request: ProvisioningRequest {
-                    booking,
-                    kind: pool.machine_type,
+                    request_id: booking,
+                    machine_type: pool.machine_type,
                     zone: pool.zone,
                     spot: pool.market.is_spot(),
                     count,
@@ -212,12 +212,15 @@
             }
         }
         // What is overdue boots, and is not open.
-        let booting = self.placer.machines().filter(|m| !m.up && m.busy == 0);
+        let booting = self
+            .placer
+            .machines()
+            .filter(|m| !m.registered && m.task_count == 0);
         let failing = FailingPools::new(booting.map(|m| BootingInstance {
-            machine_type: &m.kind,
+            machine_type: &m.machine_type,
             zone: &m.zone,
             market: Market::from_spot_flag(m.spot),
-            overdue: !m.open,
+            overdue: !m.schedulable,
         }));
         let options = ProvisioningOptions {
             partitioned_zones: &partitioned,
@@ -239,23 +242,26 @@
         let partitioned = self.placer.partitioned_zones();
         let bin = |kind: &str, zone: &str, spot: bool| CapacityBin {
             pool: InstancePool::new(kind, zone, Market::from_spot_flag(spot)),
-            free: catalog.get(kind).map(|t| t.room).unwrap_or_default(),
+            free: catalog.get(kind).map(|t| t.capacity).unwrap_or_default(),
         };
         let booting = self.placer.machines().filter(|m| {
-            !m.up
-                && (m.open || partitioned.contains(m.zone.as_str()))
-                && m.renter.is_none_or(|renter| renter == self.lease.shard)
+            !m.registered
+                && (m.schedulable || partitioned.contains(m.zone.as_str()))
+                && m.provisioned_by
+                    .is_none_or(|renter| renter == self.lease.shard)
         });
-        let mut bins: Vec<CapacityBin> = booting.map(|m| bin(&m.kind, &m.zone, m.spot)).collect();
+        let mut bins: Vec<CapacityBin> = booting
+            .map(|m| bin(&m.machine_type, &m.zone, m.spot))
+            .collect();
         bins.extend(
             self.placer
                 .pending_instances
                 .iter()
-                .map(|p| bin(&p.instance.kind, &p.instance.zone, p.instance.spot)),
+                .map(|p| bin(&p.instance.machine_type, &p.instance.zone, p.instance.spot)),
         );
         for PendingProvisioning { request, .. } in &self.provisioning {
             bins.extend(
-                (0..request.count).map(|_| bin(&request.kind, &request.zone, request.spot)),
+                (0..request.count).map(|_| bin(&request.machine_type, &request.zone, request.spot)),
             );
         }
         bins
--- a/crates/coordination/src/shard.rs
+++ b/crates/coordination/src/shard.rs
@@ -119,12 +119,12 @@
         if self
             .placer
             .recipient_token(view.shard)
-            .is_some_and(|token| view.token < token)
+            .is_some_and(|token| view.fencing_token < token)
         {
             debug!(
                 shard = self.lease.shard,
                 from = view.shard,
-                fencing_token = view.token,
+                fencing_token = view.fencing_token,
                 "stale view of a former owner ignored"
             );
             return;
--- a/crates/coordination/src/shard_lifecycle.rs
+++ b/crates/coordination/src/shard_lifecycle.rs
@@ -82,11 +82,11 @@
             guaranteed_quotas: self.config.guaranteed_quotas.clone(),
             zones: self.config.zones.clone(),
             max_cas_operations: self.config.cas_max_changes,
-            headroom_share: self.policy.spare,
+            headroom_share: self.policy.headroom_per_arrival,
             low_priority_writes_per_s: self.config.idle_writes_per_s,
             gang_wait_ms: self.config.gang_wait_ms,
             wall_offset_ms: self.config.wall_offset_ms,
-            trade: self.policy.trade,
+            trade: self.policy.placement_weights,
         };
         Placer::new(lease.shard, lease.token, shards, config, now)
     }
@@ -136,7 +136,7 @@
         };
         let (ownership, final_states) = shard.placer.apply_cas_outcome(outcome, now);
         for (id, phase) in final_states {
-            self.cache.settle(&id, phase, revision, now);
+            self.cache.record_end(&id, phase, revision, now);
         }
         if ownership == ShardOwnership::Lost {
             self.release(lease.shard, now);
@@ -154,7 +154,12 @@
     /// Releases the shards whose key in the store names another lease, or none.
     pub(crate) fn release_lost_shards(&mut self, now: u64) {
         let revision = self.cache.revision.unwrap_or_default();
-        let stored_token = |shard: u16| self.cache.shards.get(&shard).map(|leader| leader.token);
+        let stored_token = |shard: u16| {
+            self.cache
+                .shard_leaders
+                .get(&shard)
+                .map(|leader| leader.fencing_token)
+        };
         // A copy from before the acquisition says nothing of it.
         let lost: Vec<u16> = self
             .shards
@@ -175,30 +180,30 @@
     pub fn handle_superseded(&mut self, by: Superseded, now: u64) {
         let known = self
             .cache
-            .shards
+            .shard_leaders
             .get(&by.shard)
-            .map_or(0, |leader| leader.token);
-        if by.token <= known || usize::from(by.shard) >= self.config.members.len() {
+            .map_or(0, |leader| leader.fencing_token);
+        if by.fencing_token <= known || usize::from(by.shard) >= self.config.members.len() {
             return;
         }
         if self
             .shards
             .get(&by.shard)
-            .is_some_and(|shard| shard.lease.token < by.token)
+            .is_some_and(|shard| shard.lease.token < by.fencing_token)
         {
             info!(
                 shard = by.shard,
-                leader = by.host,
-                fencing_token = by.token,
+                leader = by.leader_host,
+                fencing_token = by.fencing_token,
                 "shard superseded by another controller"
             );
             self.release(by.shard, now);
         }
-        self.cache.shards.insert(
+        self.cache.shard_leaders.insert(
             by.shard,
             ShardLeader {
-                host: by.host,
-                token: by.token,
+                host: by.leader_host,
+                fencing_token: by.fencing_token,
             },
         );
     }
--- a/crates/coordination/src/supervision/failover.rs
+++ b/crates/coordination/src/supervision/failover.rs
@@ -165,15 +165,15 @@
     pub fn completion(&self, host: &str, now: u64) -> FailoverCompletion {
         let elapsed_ms = |at: u64| at.saturating_sub(self.began_at);
         FailoverCompletion {
-            by: host.to_owned(),
-            read_ms: Some(elapsed_ms(self.loaded_at)),
+            reported_by: host.to_owned(),
+            state_loaded_ms: Some(elapsed_ms(self.loaded_at)),
             first_start_ms: self.first_start_at.map(elapsed_ms),
-            whole_ms: self.recovered_at.map(elapsed_ms),
+            services_restored_ms: self.recovered_at.map(elapsed_ms),
             found: Some((self.replicas.found_running, self.replicas.restarted)),
             gaps: self.worst_gaps(),
             unknown: self.unknown_facts(elapsed_ms(now) / 1_000),
-            token: Some(self.fencing_token),
-            held_ms: None,
+            fencing_token: Some(self.fencing_token),
+            leadership_ms: None,
         }
     }
 
@@ -218,12 +218,12 @@
         "when all services were whole",
     ];
     FailoverCompletion {
-        by: host.to_owned(),
+        reported_by: host.to_owned(),
         unknown: unknown
             .map(|what| format!("{what}: its holder ended before it wrote that"))
             .to_vec(),
-        token: Some(fencing_token),
-        held_ms,
+        fencing_token: Some(fencing_token),
+        leadership_ms: held_ms,
         ..FailoverCompletion::default()
     }
 }
--- a/crates/coordination/src/supervision/failover_log.rs
+++ b/crates/coordination/src/supervision/failover_log.rs
@@ -28,19 +28,19 @@
                 let change = if version == 0 {
                     LeadershipChange::Vacant
                 } else {
-                    LeadershipChange::Reborn
+                    LeadershipChange::Restarted
                 };
                 let record = self.new_failover(shard, change, now);
                 acquire_shard(version, &me.host, store_lease, &record)
             }
             ElectionAction::ReturnToHome(lease) => {
-                let record = self.new_failover(lease.shard, LeadershipChange::HandedBack, now);
+                let record = self.new_failover(lease.shard, LeadershipChange::ReturnedHome, now);
                 let mut cas = release_shard(lease.token, &record);
                 self.complete_on_release(lease, &mut cas, now);
                 cas
             }
             ElectionAction::Cede(lease) => {
-                let record = self.new_failover(lease.shard, LeadershipChange::Left, now);
+                let record = self.new_failover(lease.shard, LeadershipChange::Ceded, now);
                 let mut cas = cede_shard(
                     lease.token,
                     &record,
@@ -58,11 +58,11 @@
     /// The record of a change of leaders that is made now.
     fn new_failover(&self, shard: u16, change: LeadershipChange, now: u64) -> NewFailover {
         let me = self.host();
-        let (n, slot_version) = self.cache.failovers.next(shard);
+        let (n, slot_version) = self.cache.failovers.next_slot(shard);
         let (from, to) = match change {
             LeadershipChange::Vacant => (self.last_leader(shard), Some(me.to_owned())),
-            LeadershipChange::Reborn => (Some(me.to_owned()), Some(me.to_owned())),
-            LeadershipChange::HandedBack | LeadershipChange::Left | LeadershipChange::Other => {
+            LeadershipChange::Restarted => (Some(me.to_owned()), Some(me.to_owned())),
+            LeadershipChange::ReturnedHome | LeadershipChange::Ceded | LeadershipChange::Other => {
                 (Some(me.to_owned()), None)
             }
         };
@@ -72,13 +72,13 @@
             .get(&shard)
             .or_else(|| self.shards.values().next());
         let record = FailoverRecord {
-            n,
-            from,
-            to,
-            how: change,
-            at: now + self.config.wall_offset_ms,
+            number: n,
+            previous_leader: from,
+            new_leader: to,
+            change: change,
+            at_ms: now + self.config.wall_offset_ms,
             up: informed.and_then(|s| s.placer.running_counts(shard)),
-            closed: None,
+            completion: None,
         };
         NewFailover {
             shard,
@@ -94,9 +94,9 @@
 
     /// Host of the last known leader of a shard.
     fn last_leader(&self, shard: u16) -> Option<String> {
-        let records = self.cache.failovers.of(shard);
+        let records = self.cache.failovers.entries_of(shard);
         let (record, _) = records.last()?;
-        record.last_holder().cloned()
+        record.last_leader().cloned()
     }
 
     /// Completes a shard's record with what is known, as its lease is released.
@@ -112,18 +112,18 @@
         let Some(mut completed) = self
             .cache
             .failovers
-            .again(lease.shard, number)
-            .filter(|f| f.record.open())
+            .rewrite(lease.shard, number)
+            .filter(|f| f.record.is_open())
         else {
             return;
         };
         // Its slot may be the one that the new record takes.
-        let key = failover_key(completed.shard, completed.record.n);
+        let key = failover_key(completed.shard, completed.record.number);
         if cas.conditions.iter().any(|c| c.key == key) {
             return;
         }
-        completed.record.closed = Some(failover.completion(self.host(), now));
-        completed.join(cas);
+        completed.record.completion = Some(failover.completion(self.host(), now));
+        completed.add_to(cas);
     }
 
     /// From now on, what is observed after the failover of this shard is kept.
@@ -131,13 +131,13 @@
         let record = self
             .cache
             .failovers
-            .of(lease.shard)
+            .entries_of(lease.shard)
             .into_iter()
             .find(|(_, version)| *version == lease.token)
             .map(|(record, _)| record);
-        let record_number = record.map(|r| r.n);
+        let record_number = record.map(|r| r.number);
         let began_at = record.map_or(now, |r| {
-            r.at.saturating_sub(self.config.wall_offset_ms).min(now)
+            r.at_ms.saturating_sub(self.config.wall_offset_ms).min(now)
         });
         if let Some(shard) = self.shards.get_mut(&lease.shard) {
             shard.placer.observe_services(&mut shard.failover, now);
@@ -160,8 +160,8 @@
         let Some(completed) = self
             .cache
             .failovers
-            .again(index, number)
-            .filter(|f| f.record.open())
+            .rewrite(index, number)
+            .filter(|f| f.record.is_open())
         else {
             // Completed, as the state cache shows, or the ring has come round.
             return shard.failover.completed();
@@ -185,8 +185,8 @@
         now: u64,
     ) -> Option<CompareAndSwap> {
         let shard = self.shards.get(&index)?;
-        let number = completed.record.n;
-        completed.record.closed = Some(shard.failover.completion(self.host(), now));
+        let number = completed.record.number;
+        completed.record.completion = Some(shard.failover.completion(self.host(), now));
         let mut cas = CompareAndSwap {
             conditions: vec![Condition {
                 key: shard_key(index),
@@ -194,12 +194,12 @@
             }],
             writes: Vec::new(),
         };
-        completed.join(&mut cas);
+        completed.add_to(&mut cas);
         for abandoned in self.abandoned_records(index, number) {
             if cas.writes.len() >= self.config.cas_max_changes {
                 break;
             }
-            abandoned.join(&mut cas);
+            abandoned.add_to(&mut cas);
         }
         Some(cas)
     }
@@ -207,22 +207,22 @@
     /// Records before `number` that leaders of a shard left open, each completed with how
     /// long its leadership lasted.
     fn abandoned_records(&self, index: u16, number: u64) -> Vec<NewFailover> {
-        let records = self.cache.failovers.of(index);
+        let records = self.cache.failovers.entries_of(index);
         let mut abandoned = Vec::new();
         for (i, (record, version)) in records.iter().enumerate() {
-            if record.n >= number || !record.open() {
+            if record.number >= number || !record.is_open() {
                 continue;
             }
             let held_ms = records
                 .get(i + 1)
-                .filter(|(next, _)| next.n == record.n + 1)
-                .map(|(next, _)| next.at.saturating_sub(record.at));
+                .filter(|(next, _)| next.number == record.number + 1)
+                .map(|(next, _)| next.at_ms.saturating_sub(record.at_ms));
             let closed = Some(abandoned_completion(self.host(), *version, held_ms));
             abandoned.push(NewFailover {
                 shard: index,
                 slot_version: *version,
                 record: FailoverRecord {
-                    closed,
+                    completion: closed,
                     ..(*record).clone()
                 },
             });
--- a/crates/coordination/src/supervision/report.rs
+++ b/crates/coordination/src/supervision/report.rs
@@ -48,34 +48,33 @@
         let (host, age_ms) = self.answering_host(now);
         let mut report = SupervisionReport {
             host,
-            age_ms,
+            store_age_ms: age_ms,
             shards: (0..)
                 .zip(&self.config.members)
                 .map(|(shard, home)| self.shard_row(shard, home))
                 .collect(),
             services: 0,
-            promised: 0,
-            up: 0,
-            short: Vec::new(),
+            desired: 0,
+            running: 0,
+            under_replicated: Vec::new(),
         };
-        for job in self
-            .cache
-            .jobs
-            .values()
-            .filter(|job| job.record.spec.shape == JobKind::Service && !job.record.withdrawn)
+        for job in
+            self.cache.jobs.values().filter(|job| {
+                job.record.spec.kind == JobKind::Service && !job.record.cancel_requested
+            })
         {
             let row = self.service_row(job, now);
             report.services += 1;
-            report.promised += u64::from(row.promised);
-            report.up += u64::from(row.up);
-            if row.up < row.promised {
-                report.short.push(row);
+            report.desired += u64::from(row.desired);
+            report.running += u64::from(row.running);
+            if row.running < row.desired {
+                report.under_replicated.push(row);
             }
         }
         let missing_millionths = |row: &UnderReplicatedServiceRow| {
-            u64::from(row.promised - row.up) * 1_000_000 / u64::from(row.promised.max(1))
+            u64::from(row.desired - row.running) * 1_000_000 / u64::from(row.desired.max(1))
         };
-        report.short.sort_by(|a, b| {
+        report.under_replicated.sort_by(|a, b| {
             missing_millionths(b)
                 .cmp(&missing_millionths(a))
                 .then_with(|| a.job.cmp(&b.job))
@@ -84,14 +83,14 @@
     }
 
     fn shard_row(&self, shard: u16, home: &ClusterMember) -> ShardRow {
-        let leader = self.cache.shards.get(&shard);
-        let failovers = self.cache.failovers.of(shard);
+        let leader = self.cache.shard_leaders.get(&shard);
+        let failovers = self.cache.failovers.entries_of(shard);
         ShardRow {
             shard,
-            home: home.host.clone(),
-            holder: leader.map(|l| l.host.clone()),
-            token: leader.map(|l| l.token),
-            since: failovers.last().map(|(record, _)| record.at),
+            preferred_leader: home.host.clone(),
+            leader: leader.map(|l| l.host.clone()),
+            fencing_token: leader.map(|l| l.fencing_token),
+            leader_since_ms: failovers.last().map(|(record, _)| record.at_ms),
         }
     }
 
@@ -106,7 +105,7 @@
         };
         add_supervision(&mut row, service, now);
         row.zones = placer.running_replicas_by_zone(id);
-        row.lacks = placer
+        row.blocked_by = placer
             .job_status(id, now)
             .map(|(_, _, reason)| reason)
             .unwrap_or_default();
@@ -124,16 +123,16 @@
             class: spec.class.clone(),
             team: spec.team.clone(),
             shard: Self::team_shard(&self.cache, &self.config, &spec.team),
-            promised: desired,
+            desired: desired,
             half: desired.div_ceil(2),
-            up: note.map_or(0, |n| n.running).min(desired),
+            running: note.map_or(0, |n| n.tasks_running).min(desired),
             zones: Vec::new(),
-            short_s: None,
+            under_replicated_s: None,
             below_half_s: None,
-            doing: "its team's controller knows".into(),
-            due_s: None,
-            lacks: note.map(|n| n.reason.clone()).unwrap_or_default(),
-            tried: Vec::new(),
+            action: "its team's controller knows".into(),
+            due_in_s: None,
+            blocked_by: note.map(|n| n.wait_reason.clone()).unwrap_or_default(),
+            escalations: Vec::new(),
         }
     }
 
@@ -142,19 +141,20 @@
         let (host, age_ms) = self.answering_host(now);
         let log = &self.cache.failovers;
         let rows = |shard: u16| {
-            log.of(shard)
+            log.entries_of(shard)
                 .into_iter()
                 .map(move |(record, version)| failover_row(shard, record, version))
         };
         let mut changes: Vec<FailoverRow> = log.shards().into_iter().flat_map(rows).collect();
         changes.sort_by(|a, b| {
-            b.at.cmp(&a.at)
-                .then_with(|| (b.shard, b.n).cmp(&(a.shard, a.n)))
+            b.at_ms
+                .cmp(&a.at_ms)
+                .then_with(|| (b.shard, b.number).cmp(&(a.shard, a.number)))
         });
         FailoverReport {
             host,
-            age_ms,
-            changes,
+            store_age_ms: age_ms,
+            failovers: changes,
         }
     }
 }
@@ -162,12 +162,12 @@
 /// Adds what the supervision of its team's controller knows of a service.
 fn add_supervision(row: &mut UnderReplicatedServiceRow, service: &SupervisedService, now: u64) {
     let elapsed_s = |since: u64| now.saturating_sub(since) / 1_000;
-    row.up = service.observation.running.min(row.promised);
-    row.short_s = service.under_replicated_since.map(elapsed_s);
+    row.running = service.observation.running.min(row.desired);
+    row.under_replicated_s = service.under_replicated_since.map(elapsed_s);
     row.below_half_s = service.below_half_since.map(elapsed_s);
-    row.doing = service.observation.activity.description().into();
-    row.due_s = service.due_at.map(|at| (at as i64 - now as i64) / 1_000);
-    row.tried = service
+    row.action = service.observation.activity.description().into();
+    row.due_in_s = service.due_at.map(|at| (at as i64 - now as i64) / 1_000);
+    row.escalations = service
         .attempts
         .iter()
         .map(|attempt| {
@@ -181,50 +181,50 @@
 }
 
 fn failover_row(shard: u16, record: &FailoverRecord, version: u64) -> FailoverRow {
-    let how = match record.how {
-        LeadershipChange::Vacant if record.from.is_none() => "taken: no holder known",
+    let how = match record.change {
+        LeadershipChange::Vacant if record.previous_leader.is_none() => "taken: no holder known",
         LeadershipChange::Vacant => "taken: its holder had given it up, or its hold had run out",
-        LeadershipChange::Reborn => "taken by a later life of its holder",
-        LeadershipChange::HandedBack => "given up for its home, which lives",
-        LeadershipChange::Left => "left: its machines are not heard",
+        LeadershipChange::Restarted => "taken by a later life of its holder",
+        LeadershipChange::ReturnedHome => "given up for its home, which lives",
+        LeadershipChange::Ceded => "left: its machines are not heard",
         LeadershipChange::Other => "in a way that a later version knows",
     };
-    let completion = record.closed.clone();
+    let completion = record.completion.clone();
     let token = completion
         .as_ref()
-        .map_or(Some(version), |c| c.token)
-        .filter(|_| record.to.is_some());
+        .map_or(Some(version), |c| c.fencing_token)
+        .filter(|_| record.new_leader.is_some());
     FailoverRow {
         shard,
-        n: record.n,
-        at: record.at,
-        from: record.from.clone(),
-        to: record.to.clone(),
-        how: how.into(),
-        token,
+        number: record.number,
+        at_ms: record.at_ms,
+        previous_leader: record.previous_leader.clone(),
+        new_leader: record.new_leader.clone(),
+        change: how.into(),
+        fencing_token: token,
         up: record.up,
-        closed: completion.map(completion_row),
+        completion: completion.map(completion_row),
     }
 }
 
 fn completion_row(completion: FailoverCompletion) -> FailoverCompletionRow {
     let FailoverCompletion {
-        by,
-        read_ms,
+        reported_by: by,
+        state_loaded_ms: read_ms,
         first_start_ms,
-        whole_ms,
+        services_restored_ms: whole_ms,
         found,
         gaps,
         unknown,
-        token: _,
-        held_ms,
+        fencing_token: _,
+        leadership_ms: held_ms,
     } = completion;
     FailoverCompletionRow {
-        by,
-        read_ms,
+        reported_by: by,
+        state_loaded_ms: read_ms,
         first_start_ms,
-        whole_ms,
-        held_ms,
+        services_restored_ms: whole_ms,
+        leadership_ms: held_ms,
         found,
         gaps,
         unknown,
--- a/crates/coordination/tests/cancellations.rs
+++ b/crates/coordination/tests/cancellations.rs
@@ -73,14 +73,14 @@
             key: job_key(&job),
             value: to_value(&JobRecord {
                 spec: spec.clone(),
-                at: 1,
-                withdrawn: false,
-                awaited: 0,
+                submitted_at_ms: 1,
+                cancel_requested: false,
+                dependency_count: 0,
             }),
             version: 46,
         };
         core.cache
-            .replace(&[accepted, holder(0, TOKEN), holder(1, OWN)], 100);
+            .load_snapshot(&[accepted, holder(0, TOKEN), holder(1, OWN)], 100);
         core.cache_refreshed(10, true);
         core.acquire(lease, &[], Vec::new(), 10);
         let mut asker = Self {
@@ -98,8 +98,8 @@
             first.seq,
             ChangeRange {
                 since: 0,
-                upto: 1,
-                last: true,
+                until: 1,
+                complete: true,
             },
             vec![shown(1, 4)],
             Vec::new(),
@@ -129,7 +129,8 @@
                     }
                     effect if found.is_none() && look(&effect).is_some() => found = look(&effect),
                     Effect::Sync(lease, sync) => {
-                        self.core.sync_completed(lease, sync.to, None, self.now)
+                        self.core
+                            .sync_completed(lease, sync.to_shard, None, self.now)
                     }
                     _ => {}
                 }
@@ -172,7 +173,7 @@
         }
         let out = loop {
             let sync = self.direct();
-            if !sync.wants.is_empty() {
+            if !sync.desired.is_empty() {
                 break sync;
             }
             self.core.sync_completed(self.lease, 0, None, self.now);
@@ -181,7 +182,11 @@
         self.learn(shard_key(0), to_value(&taken), NEXT);
         let told = self.mailed();
         assert_eq!(
-            (out.to_token, told.to_token, told.wants.len()),
+            (
+                out.to_fencing_token,
+                told.to_fencing_token,
+                told.desired.len()
+            ),
             (TOKEN, NEXT, 1)
         );
         (out, told)
@@ -190,7 +195,7 @@
     fn learn(&mut self, key: String, value: rmpv::Value, version: u64) {
         self.now += 50;
         self.revision = self.revision.max(version) + 1;
-        self.core.cache.apply(
+        self.core.cache.apply_changes(
             &[WatchEvent {
                 set: Some(key),
                 drop: None,
@@ -208,9 +213,9 @@
         self.version = self.revision + 1;
         let record = JobRecord {
             spec: self.spec.clone(),
-            at: 1,
-            withdrawn: true,
-            awaited: 0,
+            submitted_at_ms: 1,
+            cancel_requested: true,
+            dependency_count: 0,
         };
         self.learn(job_key(&self.job), to_value(&record), self.version);
         self.until(|_| None::<()>);
@@ -228,16 +233,16 @@
 fn former(sync: &SyncRequest, standing: AttemptState) -> ShardView {
     let span = ChangeRange {
         since: 1,
-        upto: 1,
-        last: true,
+        until: 1,
+        complete: true,
     };
     view(
         sync.seq,
         span,
         Vec::new(),
         vec![AttemptStatus {
-            id: sync.wants[0].id.clone(),
-            standing,
+            id: sync.desired[0].id.clone(),
+            state: standing,
         }],
     )
 }
@@ -260,9 +265,9 @@
     let call = next.due_calls(now + 30, ROOM).pop().expect("started");
     assert!(
         call.commands
-            .orders
+            .commands
             .iter()
-            .any(|o| o.verb == CommandKind::Launch)
+            .any(|o| o.kind == CommandKind::Start)
     );
     next.handle_call_result(&call, CommandResult::Executed(seen(2, true)), now + 40);
     next
@@ -271,7 +276,7 @@
 /// Machine 1, which has seen the next owner, with the task or without.
 fn seen(seq: u64, runs: bool) -> Heartbeat {
     Heartbeat {
-        token: NEXT << FENCE_BITS,
+        fencing_token: NEXT << FENCE_BITS,
         tasks: runs.then(|| running_task(0)).into_iter().collect(),
         ..report(1, seq)
     }
@@ -286,7 +291,7 @@
         for standing in [
             AttemptState::Refused,
             AttemptState::Gone,
-            AttemptState::Exited(ExitCause::NoRoom),
+            AttemptState::Exited(ExitCause::InsufficientResources),
         ] {
             let mut asker = Asker::new();
             let (out, told) = asker.told_both();
@@ -295,10 +300,10 @@
             if by_mail {
                 let line = StoreMessageRoute {
                     kind: StoreMessageKind::View,
-                    from: 0,
-                    to: 1,
+                    from_shard: 0,
+                    to_shard: 1,
                 };
-                for write in post(line, (TOKEN, late.seq), &peer::write(&late), 6_000, 1).writes {
+                for write in post(line, (TOKEN, late.seq), &peer::encode(&late), 6_000, 1).writes {
                     let Write::Put { key, value, .. } = write else {
                         continue;
                     };
@@ -328,9 +333,9 @@
                     let call = next.due_calls(now, ROOM).pop().expect("stopped");
                     assert!(
                         call.commands
-                            .orders
+                            .commands
                             .iter()
-                            .any(|o| o.verb == CommandKind::Kill)
+                            .any(|o| o.kind == CommandKind::Stop)
                     );
                     next.handle_call_result(
                         &call,
@@ -370,13 +375,13 @@
             asker
                 .core
                 .cache
-                .replace(&[holder(0, TOKEN), holder(1, OWN)], 200);
+                .load_snapshot(&[holder(0, TOKEN), holder(1, OWN)], 200);
         } else {
             let asked = to_value(&JobRecord {
                 spec: asker.spec.clone(),
-                at: 1,
-                withdrawn: true,
-                awaited: 0,
+                submitted_at_ms: 1,
+                cancel_requested: true,
+                dependency_count: 0,
             });
             let set = WatchEvent {
                 set: Some(key.clone()),
@@ -390,7 +395,7 @@
                 value: None,
                 version: 199,
             };
-            asker.core.cache.apply(&[set, left], 200, now);
+            asker.core.cache.apply_changes(&[set, left], 200, now);
         }
         asker.core.cache_refreshed(now, true);
         assert_eq!(
@@ -401,7 +406,7 @@
         asker
             .core
             .cache
-            .settle(&asker.job, JobPhase::Withdrawn, 1, now);
+            .record_end(&asker.job, JobPhase::Withdrawn, 1, now);
         assert_eq!(
             asker.core.job_status(&asker.job, now + 60_000),
             JobStatusAnswer::Finished(JobPhase::Withdrawn)
--- a/crates/coordination/tests/chains.rs
+++ b/crates/coordination/tests/chains.rs
@@ -16,7 +16,7 @@
     CompareAndSwap, Condition, KeyValue, WatchEvent, Write, to_value,
 };
 use lemonweir_protocol::users::JobPhase;
-use lemonweir_storage::dependencies::{accept_waiting, awaits_key, chain_key};
+use lemonweir_storage::dependencies::{blocked_job_key, create_blocked_job, dependency_page_key};
 use lemonweir_storage::records::*;
 use support::*;
 
@@ -33,7 +33,7 @@
     JobSpec {
         id: id(n),
         team: "amber".into(),
-        awaits: awaits.iter().map(|n| id(*n)).collect(),
+        depends_on: awaits.iter().map(|n| id(*n)).collect(),
         ..array(1)
     }
 }
@@ -57,7 +57,7 @@
             value: to_value(&ShardRecord { host: "h0".into() }),
             version: TOKEN,
         };
-        core.cache.replace(&[holder], 100);
+        core.cache.load_snapshot(&[holder], 100);
         core.cache_refreshed(10, true);
         core.acquire(LEASE, &[], Vec::new(), 10);
         Self {
@@ -93,7 +93,7 @@
                 .all(|key| key.starts_with(FOLLOWED))
         };
         let changes: Vec<WatchEvent> = cas.writes.iter().map(change).filter(followed).collect();
-        self.core.cache.apply(&changes, version, self.now);
+        self.core.cache.apply_changes(&changes, version, self.now);
         self.core.cache_refreshed(self.now, true);
         version
     }
@@ -101,14 +101,14 @@
     fn accept(&mut self, spec: &JobSpec) -> u64 {
         let record = JobRecord {
             spec: spec.clone(),
-            at: 1,
-            withdrawn: false,
-            awaited: 0,
+            submitted_at_ms: 1,
+            cancel_requested: false,
+            dependency_count: 0,
         };
-        let cas_list = if spec.awaits.is_empty() {
-            vec![accept_job(&record)]
+        let cas_list = if spec.depends_on.is_empty() {
+            vec![create_job(&record)]
         } else {
-            accept_waiting(&record, self.core.config.cas_max_changes)
+            create_blocked_job(&record, self.core.config.cas_max_changes)
         };
         cas_list
             .iter()
@@ -131,9 +131,9 @@
     fn cancel(&mut self, n: usize) {
         let record = JobRecord {
             spec: spec(n, &[]),
-            at: 1,
-            withdrawn: true,
-            awaited: 0,
+            submitted_at_ms: 1,
+            cancel_requested: true,
+            dependency_count: 0,
         };
         self.commit(&CompareAndSwap {
             conditions: Vec::new(),
@@ -142,7 +142,7 @@
         let revision = self.finish(n);
         self.core
             .cache
-            .settle(&id(n), JobPhase::Withdrawn, revision, self.now);
+            .record_end(&id(n), JobPhase::Withdrawn, revision, self.now);
     }
 
     /// The next compare-and-swap for waiting jobs, and the final states that are to be read.
@@ -194,7 +194,7 @@
     let cas = cas.expect("it may start");
     let wanted = vec![
         Condition {
-            key: chain_key(&id(3)),
+            key: blocked_job_key(&id(3)),
             version: own_version,
         },
         end_at(1, first),
@@ -233,7 +233,7 @@
         leader
             .core
             .cache
-            .settle(&id(n), JobPhase::Done, 40 + n as u64, leader.now);
+            .record_end(&id(n), JobPhase::Done, 40 + n as u64, leader.now);
     }
     leader.core.final_states_read(&[id(1), id(2)], leader.now);
     assert!(
@@ -313,11 +313,11 @@
         leader
             .core
             .cache
-            .awaits(&id(MANY))
+            .dependencies(&id(MANY))
             .map(|awaits| awaits.len()),
         Some(MANY)
     );
-    let missing = awaits_key(&id(MANY), 3);
+    let missing = dependency_page_key(&id(MANY), 3);
     let mut versions = Vec::new();
     for n in 0..MANY {
         assert_eq!(leader.next_work().0, None, "{n} are done");
@@ -357,7 +357,7 @@
 #[test]
 fn dependencies_inherit_the_priority_of_urgent_dependents() {
     let rank = |n, awaits: &[usize], rank| JobSpec {
-        rank,
+        priority: rank,
         ..spec(n, awaits)
     };
     let mut leader = Leader::new();
@@ -383,7 +383,7 @@
     leader.commit(&CompareAndSwap {
         conditions: Vec::new(),
         writes: vec![Write::Delete {
-            key: chain_key(&id(4)),
+            key: blocked_job_key(&id(4)),
         }],
     });
     assert_eq!(
@@ -408,7 +408,7 @@
         panic!("accepted")
     };
     assert!(
-        sets(cas_list.last().expect("one"), &chain_key(&id(9)))
+        sets(cas_list.last().expect("one"), &blocked_job_key(&id(9)))
             && cas_list.iter().all(|cas| !sets(cas, &job_key(&id(9))))
     );
     // Done or not is for the store to say: it waits all the same.
@@ -416,7 +416,7 @@
     let DependencyAdmission::Accept(cas_list, JobPhase::Queued) = admit(&leader, &[1]) else {
         panic!("accepted")
     };
-    assert!(sets(&cas_list[0], &chain_key(&id(9))));
+    assert!(sets(&cas_list[0], &blocked_job_key(&id(9))));
     // With a cancelled job before it, at whatever distance, it is cancelled from the start.
     let mut leader = Leader::new();
     leader.accept(&spec(1, &[]));
