--- a/crates/coordination/tests/changes.rs
+++ b/crates/coordination/tests/changes.rs
@@ -69,16 +69,16 @@
             return None;
         }
         self.seq = *seq;
-        match span.follows(self.at) {
+        match span.continues_from(self.at) {
             None => return Some(0),
-            Some(Continuation::Anew) => {
+            Some(Continuation::Snapshot) => {
                 self.at = 0;
                 self.complete = false;
                 self.unnamed = self.state.keys().copied().collect();
             }
-            Some(Continuation::On) => {}
+            Some(Continuation::Delta) => {}
         }
-        self.at = self.at.max(span.upto);
+        self.at = self.at.max(span.until);
         for (key, value) in changes {
             self.unnamed.retain(|k| k != key);
             match value {
@@ -86,7 +86,7 @@
                 None => drop(self.state.remove(key)),
             }
         }
-        if span.last {
+        if span.complete {
             self.complete = true;
             for key in std::mem::take(&mut self.unnamed) {
                 self.state.remove(&key);
@@ -160,7 +160,7 @@
         for _ in 0..200 {
             seq += 1;
             let m = message(&log, acked, seq, 5);
-            let last = m.1.last;
+            let last = m.1.complete;
             let at = receiver.take(token, &m).expect("taken");
             answer(&mut acked, &mut log, at);
             if last && receiver.complete && at == log.last() {
@@ -185,8 +185,8 @@
                     1,
                     ChangeRange {
                         since: 0,
-                        upto: 0,
-                        last: true,
+                        until: 0,
+                        complete: true,
                     },
                     Vec::new(),
                     ObservedState::default(),
@@ -199,8 +199,8 @@
         assert!(owner.due_calls(20, ROOM).is_empty());
         let span = ChangeRange {
             since: 0,
-            upto: 1,
-            last: true,
+            until: 1,
+            complete: true,
         };
         let view = owner
             .sync(&sync(2, span, vec![want(0, 3)], have(&first)), ROOM, 30)
@@ -210,7 +210,7 @@
             (1, 1),
             "{machines} machines"
         );
-        assert_eq!(view.wants_at, 1);
+        assert_eq!(view.desired_revision, 1);
         assert_eq!(owner.due_calls(30, ROOM).len(), 1);
         // A report that says nothing new is no news.
         assert!(owner.handle_heartbeat(&report(7, 2), None, 40).is_some());
@@ -220,8 +220,8 @@
                     3,
                     ChangeRange {
                         since: 1,
-                        upto: 1,
-                        last: true,
+                        until: 1,
+                        complete: true,
                     },
                     Vec::new(),
                     have(&view),
@@ -240,8 +240,8 @@
     let mut owner = fleet(3);
     let two = ChangeRange {
         since: 0,
-        upto: 2,
-        last: true,
+        until: 2,
+        complete: true,
     };
     owner
         .sync(
@@ -274,8 +274,8 @@
         2,
         ChangeRange {
             since: 2,
-            upto: 3,
-            last: false,
+            until: 3,
+            complete: false,
         },
         vec![want(2, 2)],
         ObservedState::default(),
@@ -303,8 +303,8 @@
         )
         .expect("answered");
     assert_eq!(
-        reply.orders.iter().map(|o| o.verb).collect::<Vec<_>>(),
-        vec![CommandKind::Kill]
+        reply.commands.iter().map(|o| o.kind).collect::<Vec<_>>(),
+        vec![CommandKind::Stop]
     );
     let reply = owner
         .handle_heartbeat(
@@ -316,7 +316,7 @@
             50,
         )
         .expect("answered");
-    assert!(reply.orders.is_empty());
+    assert!(reply.commands.is_empty());
 }
 
 /// A state that does not fit one message comes in several, and all of it comes.
@@ -333,8 +333,8 @@
                     seq,
                     ChangeRange {
                         since: 0,
-                        upto: 0,
-                        last: true,
+                        until: 0,
+                        complete: true,
                     },
                     Vec::new(),
                     at,
@@ -344,13 +344,13 @@
             )
             .expect("taken");
         assert!(
-            lemonweir_protocol::peer::write(&view).len() < 9 * 1024,
+            lemonweir_protocol::peer::encode(&view).len() < 9 * 1024,
             "a message keeps to its room"
         );
         pieces += 1;
         at = have(&view);
         seen.extend(view.machines.iter().map(|m| (m.id.clone(), m.free)));
-        if view.machines_span.last {
+        if view.machines_range.complete {
             break;
         }
     }
@@ -379,8 +379,8 @@
                 1,
                 ChangeRange {
                     since: 0,
-                    upto: 400,
-                    last: true,
+                    until: 400,
+                    complete: true,
                 },
                 wants,
                 ObservedState::default(),
@@ -432,7 +432,7 @@
         assert!(
             next.handle_heartbeat(
                 &Heartbeat {
-                    token,
+                    fencing_token: token,
                     ..report(n, 3)
                 },
                 None,
@@ -445,18 +445,18 @@
         2,
         ChangeRange {
             since: 0,
-            upto: 0,
-            last: true,
+            until: 0,
+            complete: true,
         },
         Vec::new(),
         ObservedState::default(),
     );
-    first.to_token = TOKEN + 1;
+    first.to_fencing_token = TOKEN + 1;
     let view = next.sync(&first, ROOM, 50).expect("taken");
     assert_eq!(view.machines.len(), MACHINES);
     for m in &view.machines {
         let n: usize = m.id.as_str()[2..].parse().expect("number");
-        assert_eq!(m.images, vec![image(n)]);
+        assert_eq!(m.cached_images, vec![image(n)]);
     }
 }
 
@@ -480,14 +480,14 @@
             revision += 1;
             placer.apply_cas_outcome(CompareAndSwapOutcome::Committed(revision), 0);
         }
-        placer.sync_request(0, TOKEN, ROOM, false, 0).wants
+        placer.sync_request(0, TOKEN, ROOM, false, 0).desired
     };
     let first = tell(
         vec![machine(4)],
         ChangeRange {
             since: 0,
-            upto: 1,
-            last: true,
+            until: 1,
+            complete: true,
         },
         Vec::new(),
     );
@@ -496,7 +496,7 @@
         .iter()
         .map(|w| AttemptStatus {
             id: w.id.clone(),
-            standing: AttemptState::Accepted,
+            state: AttemptState::Accepted,
         })
         .collect();
     // The attempts have room; what is left on their machine is not told yet.
@@ -505,8 +505,8 @@
             Vec::new(),
             ChangeRange {
                 since: 1,
-                upto: 1,
-                last: false
+                until: 1,
+                complete: false
             },
             taken.clone()
         )
@@ -518,8 +518,8 @@
             vec![machine(0)],
             ChangeRange {
                 since: 1,
-                upto: 2,
-                last: false
+                until: 2,
+                complete: false
             },
             taken.clone()
         )
@@ -532,8 +532,8 @@
             vec![machine(1)],
             ChangeRange {
                 since: 2,
-                upto: 3,
-                last: true
+                until: 3,
+                complete: true
             },
             taken
         )
@@ -550,7 +550,7 @@
     let mut owner = fleet(1);
     let entry = |phase: &str| InstanceEntry {
         id: machine(5),
-        kind: "box".into(),
+        machine_type: "box".into(),
         zone: "north".into(),
         spot: false,
         phase: phase.into(),
@@ -565,8 +565,8 @@
                     seq,
                     ChangeRange {
                         since: 0,
-                        upto: 0,
-                        last: true,
+                        until: 0,
+                        complete: true,
                     },
                     Vec::new(),
                     ObservedState::default(),
@@ -578,7 +578,7 @@
         view.machines
             .iter()
             .find(|m| m.id == machine(5))
-            .map(|m| m.open)
+            .map(|m| m.schedulable)
     };
     owner.apply_inventory(&[entry("starting")], 1_000);
     owner.tick(30_000, 30_000);
@@ -603,8 +603,8 @@
     let mut owner = fleet(3);
     let whole = ChangeRange {
         since: 0,
-        upto: 5,
-        last: true,
+        until: 5,
+        complete: true,
     };
     owner
         .sync(
@@ -626,10 +626,10 @@
         Some(SyncError::Stale)
     );
     let mut other = sync(6, whole, Vec::new(), ObservedState::default());
-    other.to_token = TOKEN + 1;
+    other.to_fencing_token = TOKEN + 1;
     assert_eq!(owner.sync(&other, ROOM, 21).err(), Some(SyncError::Token));
     let mut other = sync(6, whole, Vec::new(), ObservedState::default());
-    other.from = 9;
+    other.from_shard = 9;
     assert_eq!(
         owner.sync(&other, ROOM, 21).err(),
         Some(SyncError::UnknownShard)
@@ -641,16 +641,16 @@
             6,
             ChangeRange {
                 since: 9,
-                upto: 12,
-                last: true,
+                until: 12,
+                complete: true,
             },
         ),
         (
             7,
             ChangeRange {
                 since: 4,
-                upto: 2,
-                last: true,
+                until: 2,
+                complete: true,
             },
         ),
     ] {
@@ -661,17 +661,17 @@
                 22,
             )
             .expect("answered");
-        assert_eq!(view.wants_at, 0);
+        assert_eq!(view.desired_revision, 0);
         assert_eq!(view.attempts.len(), 1, "only the first attempt is known");
-        assert_eq!(view.attempts[0].standing, AttemptState::Accepted);
+        assert_eq!(view.attempts[0].state, AttemptState::Accepted);
     }
     // An attempt can't move to another machine under the same name.
     let mut moved = want(0, 2);
-    moved.need = Resources::offer(16.0, 4.0, 64.0);
+    moved.resources = Resources::capacity(16.0, 4.0, 64.0);
     let on = ChangeRange {
         since: 5,
-        upto: 6,
-        last: true,
+        until: 6,
+        complete: true,
     };
     let view = owner
         .sync(
@@ -686,20 +686,20 @@
             .find(|m| m.id == machine(n))
             .map(|m| m.free)
     };
-    assert_eq!(free(2), Some(Resources::offer(16.0, 4.0, 64.0)));
-    assert_eq!(free(1), Some(Resources::offer(12.0, 3.0, 56.0)));
+    assert_eq!(free(2), Some(Resources::capacity(16.0, 4.0, 64.0)));
+    assert_eq!(free(1), Some(Resources::capacity(12.0, 3.0, 56.0)));
     // States that were never told: nothing follows, nothing ends.
     let ahead = ObservedState {
-        machines: u64::MAX,
-        attempts: u64::MAX,
+        machines_revision: u64::MAX,
+        attempts_revision: u64::MAX,
     };
     let view = owner.sync(
         &sync(
             9,
             ChangeRange {
                 since: 6,
-                upto: 6,
-                last: true,
+                until: 6,
+                complete: true,
             },
             Vec::new(),
             ahead,
--- a/crates/coordination/tests/elections.rs
+++ b/crates/coordination/tests/elections.rs
@@ -14,7 +14,7 @@
 use lemonweir_protocol::kv_store::{KeyValue, WatchEvent, to_value};
 use lemonweir_protocol::peer::{ChangeRange, ObservedState, Superseded, SyncRequest};
 use lemonweir_protocol::worker::Heartbeat;
-use lemonweir_storage::records::{ControllerRecord, ShardRecord, node_key, shard_key};
+use lemonweir_storage::records::{ControllerRecord, ShardRecord, controller_key, shard_key};
 
 const HOSTS: u16 = 3;
 
@@ -64,12 +64,12 @@
 fn alive(host: u16, version: u64) -> WatchEvent {
     let value = to_value(&ControllerRecord {
         zone: "north".into(),
-        format: PEER_VERSION,
-        deaf: Vec::new(),
-        reads: 0,
+        peer_version: PEER_VERSION,
+        ceded_shards: Vec::new(),
+        record_version: 0,
     });
     WatchEvent {
-        set: Some(node_key(&format!("h{host}"))),
+        set: Some(controller_key(&format!("h{host}"))),
         drop: None,
         value: Some(value),
         version,
@@ -78,7 +78,7 @@
 
 /// A reading that began at `now` shows these changes.
 fn read(core: &mut Core, changes: &[WatchEvent], revision: u64, now: u64) {
-    core.cache.apply(changes, revision, now);
+    core.cache.apply_changes(changes, revision, now);
     core.cache_refreshed(now, true);
 }
 
@@ -207,7 +207,7 @@
     leads(&mut core, 1, 13, 2_100);
     let ended = |host: u16, version| WatchEvent {
         set: None,
-        drop: Some(node_key(&format!("h{host}"))),
+        drop: Some(controller_key(&format!("h{host}"))),
         value: None,
         version,
     };
@@ -242,25 +242,25 @@
 fn sync(from: u16, from_token: u64, to: u16, to_token: u64) -> SyncRequest {
     SyncRequest {
         version: PEER_VERSION,
-        from,
-        from_token,
-        to,
-        to_token,
+        from_shard: from,
+        from_fencing_token: from_token,
+        to_shard: to,
+        to_fencing_token: to_token,
         seq: 1,
         store_age_ms: 0,
-        span: ChangeRange {
+        range: ChangeRange {
             since: 0,
-            upto: 0,
-            last: true,
+            until: 0,
+            complete: true,
         },
-        wants: Vec::new(),
-        dropped: Vec::new(),
+        desired: Vec::new(),
+        withdrawn: Vec::new(),
         stops: Vec::new(),
-        have: ObservedState::default(),
-        strays: 0,
-        rented: Vec::new(),
-        keep: Vec::new(),
-        notes: Vec::new(),
+        observed: ObservedState::default(),
+        misrouted_heartbeats: 0,
+        provisioned: Vec::new(),
+        reserved_machines: Vec::new(),
+        progress: Vec::new(),
     }
 }
 
@@ -276,18 +276,18 @@
         Superseded {
             version: PEER_VERSION,
             shard: 0,
-            token: 50,
-            host: "h2".into(),
+            fencing_token: 50,
+            leader_host: "h2".into(),
         },
         2_200,
     );
     read(&mut core, &[released(0, 20), acquired(0, 0, 30)], 31, 2_300);
     assert!(
-        matches!(core.handle_sync(&sync(0, 30, 1, 10), 2_400), Err(SyncError::Superseded(by)) if by.token == 50)
+        matches!(core.handle_sync(&sync(0, 30, 1, 10), 2_400), Err(SyncError::Superseded(by)) if by.fencing_token == 50)
     );
     read(&mut core, &[released(0, 40)], 41, 2_500);
     assert!(
-        matches!(core.handle_sync(&sync(0, 30, 1, 10), 2_600), Err(SyncError::Superseded(by)) if by.token == 50)
+        matches!(core.handle_sync(&sync(0, 30, 1, 10), 2_600), Err(SyncError::Superseded(by)) if by.fencing_token == 50)
     );
     assert!(core.handle_sync(&sync(0, 50, 1, 10), 2_700).is_ok());
 }
@@ -302,8 +302,8 @@
         Superseded {
             version: PEER_VERSION,
             shard: 0,
-            token: 50,
-            host: "h1".into(),
+            fencing_token: 50,
+            leader_host: "h1".into(),
         },
         2_100,
     );
@@ -315,12 +315,15 @@
         Superseded {
             version: PEER_VERSION,
             shard: 0,
-            token: 40,
-            host: "h2".into(),
+            fencing_token: 40,
+            leader_host: "h2".into(),
         },
         2_400,
     );
-    assert_eq!(core.cache.shards.get(&0).map(|h| h.token), Some(50));
+    assert_eq!(
+        core.cache.shard_leaders.get(&0).map(|h| h.fencing_token),
+        Some(50)
+    );
 }
 
 /// A full reading whose pages are of different moments: a shard that was acquired after the
@@ -338,7 +341,8 @@
     leads(&mut core, 0, 10, 2_000);
     leads(&mut core, 1, 110, 2_100);
     // The first page is of revision 100, the shards' page of one before shard 1 was acquired.
-    core.cache.replace(&[entry(0, 2, 90), entry(1, 1, 5)], 100);
+    core.cache
+        .load_snapshot(&[entry(0, 2, 90), entry(1, 1, 5)], 100);
     core.cache_refreshed(2_200, true);
     assert_eq!(
         core.leases(),
@@ -378,13 +382,13 @@
             .as_str()
             .into(),
         address: "10.1.0.1:9000".into(),
-        kind: "box".into(),
+        machine_type: "box".into(),
         zone: "north".into(),
         spot: false,
-        session: 1,
-        seq: 1,
-        token: 0,
-        notice_s: None,
+        incarnation: 1,
+        sequence: 1,
+        fencing_token: 0,
+        reclaim_notice_s: None,
         tasks: Vec::new(),
     };
     core.handle_relayed_heartbeat(&heartbeat, 1, 2_100);
@@ -411,7 +415,7 @@
     leads(&mut core, 0, 20, since + 10_000 + CEDE_MS);
     core.handle_relayed_heartbeat(
         &Heartbeat {
-            seq: 2,
+            sequence: 2,
             ..heartbeat
         },
         1,
--- a/crates/coordination/tests/ends.rs
+++ b/crates/coordination/tests/ends.rs
@@ -21,7 +21,8 @@
 use lemonweir_protocol::users::JobPhase;
 use lemonweir_protocol::worker::{Command, CommandKind, Heartbeat, TaskPhase, TaskStatus};
 use lemonweir_storage::records::{
-    JobEndRecord, JobRecord, TaskChunkRecord, end_key, job_key, parse_run_key, run_key, shard_key,
+    JobEndRecord, JobRecord, TaskChunkRecord, end_key, job_key, parse_task_chunk_key, shard_key,
+    task_chunk_key,
 };
 use lemonweir_storage::state_cache::{CachedJob, ShardLeader};
 use proptest::prelude::*;
@@ -175,9 +176,9 @@
     fn submit(&mut self, shard: usize, spec: JobSpec) {
         let record = JobRecord {
             spec: spec.clone(),
-            at: self.now,
-            withdrawn: false,
-            awaited: 0,
+            submitted_at_ms: self.now,
+            cancel_requested: false,
+            dependency_count: 0,
         };
         self.revision += 1;
         self.put(job_key(&spec.id), to_value(&record));
@@ -190,7 +191,7 @@
             return;
         };
         let record = JobRecord {
-            withdrawn: true,
+            cancel_requested: true,
             ..from_value(&entry.value).expect("a job")
         };
         self.revision += 1;
@@ -221,13 +222,13 @@
             shard as u16,
             ShardLeader {
                 host: format!("h{token}"),
-                token,
+                fencing_token: token,
             },
         );
         self.put(shard_key(shard as u16), to_value(&0));
         let policy = Policy {
-            idle: 1e6,
-            idle_spot: 1e6,
+            on_demand_idle_multiple: 1e6,
+            spot_idle_multiple: 1e6,
             ..lemonweir_policy::embedded().expect("policy")
         };
         let mut owner = Owner::new(shard as u16, token, SHARDS as u16, TIMING, policy, self.now);
@@ -243,7 +244,7 @@
             .range(format!("run/{shard}/")..)
             .take_while(|(k, _)| k.starts_with(&format!("run/{shard}/")))
         {
-            let (id, chunk) = parse_run_key(key).expect("a key");
+            let (id, chunk) = parse_task_chunk_key(key).expect("a key");
             placer.load_chunk(
                 &id,
                 chunk,
@@ -290,12 +291,12 @@
     fn is_completion_written(&self, id: &JobId, task: u32) -> bool {
         let chunk = |shard: usize| {
             self.store
-                .get(&run_key(shard as u16, id, task / CHUNK_TASKS))
+                .get(&task_chunk_key(shard as u16, id, task / CHUNK_TASKS))
         };
         let done = |e: &KeyValue| {
             from_value::<TaskChunkRecord>(&e.value)
                 .expect("a chunk")
-                .done
+                .done_ranges
                 .iter()
                 .any(|r| (r.0..=r.1).contains(&task))
         };
@@ -407,7 +408,9 @@
         let reread: Vec<(JobId, u32, u64)> = match &outcome {
             CompareAndSwapOutcome::Conflict(keys) => keys
                 .iter()
-                .filter_map(|k| parse_run_key(k).map(|(id, chunk)| (id, chunk, self.version(k))))
+                .filter_map(|k| {
+                    parse_task_chunk_key(k).map(|(id, chunk)| (id, chunk, self.version(k)))
+                })
                 .collect(),
             _ => Vec::new(),
         };
@@ -500,15 +503,15 @@
         let b = &mut self.workers[n];
         b.seq += 1;
         let tasks = b.tasks.iter().map(|(id, t)| TaskStatus {
-            piece: id.piece(),
+            task: id.task_name(),
             attempt: id.attempt,
             phase: t.phase,
-            cause: t.cause.map(str::to_owned),
-            saved: None,
+            exit_cause: t.cause.map(str::to_owned),
+            checkpointed: None,
         });
         Heartbeat {
-            session: b.session,
-            token: b.token,
+            incarnation: b.session,
+            fencing_token: b.token,
             tasks: tasks.collect(),
             spot: (b.name / 2).is_multiple_of(2),
             ..report(b.name, b.seq)
@@ -517,10 +520,10 @@
 
     fn execute(&mut self, n: usize, orders: &[Command]) {
         for o in orders {
-            let id = AttemptId::parse(&o.piece, o.attempt).expect("a task");
-            match o.verb {
-                CommandKind::Launch if self.workers[n].tasks.contains_key(&id) => {}
-                CommandKind::Launch => {
+            let id = AttemptId::parse(&o.task, o.attempt).expect("a task");
+            match o.kind {
+                CommandKind::Start if self.workers[n].tasks.contains_key(&id) => {}
+                CommandKind::Start => {
                     let twice = |b: &Worker| {
                         b.tasks.iter().any(|(i, t)| {
                             (&i.job, i.task) == (&id.job, id.task) && t.phase != TaskPhase::Exited
@@ -535,13 +538,13 @@
                     self.workers[n].tasks.insert(
                         id,
                         Task {
-                            phase: TaskPhase::Fetching,
+                            phase: TaskPhase::PullingImage,
                             cause: None,
                             since: self.now,
                         },
                     );
                 }
-                CommandKind::Kill => self.exit(n, &id, "stopped"),
+                CommandKind::Stop => self.exit(n, &id, "stopped"),
                 CommandKind::Forget => {
                     let done = self.workers[n]
                         .tasks
@@ -588,11 +591,11 @@
         let Some(reply) = leader.owner.handle_heartbeat(&report, None, now) else {
             return;
         };
-        if reply.token < self.workers[n].token {
+        if reply.fencing_token < self.workers[n].token {
             return;
         }
-        (self.workers[n].token, self.workers[n].last_answer_at) = (reply.token, now);
-        self.execute(n, &reply.orders);
+        (self.workers[n].token, self.workers[n].last_answer_at) = (reply.fencing_token, now);
+        self.execute(n, &reply.commands);
     }
 
     fn send_commands(&mut self, shard: usize) {
@@ -632,18 +635,18 @@
             b.held_calls.push(call.clone());
             return CommandResult::Unknown;
         }
-        if call.commands.token < b.token || call.commands.session != b.session {
+        if call.commands.fencing_token < b.token || call.commands.incarnation != b.session {
             return CommandResult::Refused(self.heartbeat_of(n));
         }
-        b.token = call.commands.token;
-        self.execute(n, &call.commands.orders);
+        b.token = call.commands.fencing_token;
+        self.execute(n, &call.commands.commands);
         CommandResult::Executed(self.heartbeat_of(n))
     }
 
     fn is_gang(&self, id: &JobId) -> Option<u64> {
         self.jobs
             .iter()
-            .find(|(_, s)| s.id == *id && s.shape == JobKind::Gang)
+            .find(|(_, s)| s.id == *id && s.kind == JobKind::Gang)
             .map(|(_, s)| s.tasks)
     }
 
@@ -698,14 +701,14 @@
         }
         let mut there: HashMap<(JobId, u32), u64> = HashMap::new();
         for (id, t) in self.workers.iter().flat_map(|b| &b.tasks) {
-            if matches!(t.phase, TaskPhase::Gathering | TaskPhase::Running) {
+            if matches!(t.phase, TaskPhase::AwaitingGang | TaskPhase::Running) {
                 *there.entry((id.job.clone(), id.attempt)).or_default() += 1;
             }
         }
         let gangs: BTreeMap<JobId, u64> = self
             .jobs
             .iter()
-            .filter(|(_, s)| s.shape == JobKind::Gang)
+            .filter(|(_, s)| s.kind == JobKind::Gang)
             .map(|(_, s)| (s.id.clone(), s.tasks))
             .collect();
         for b in &mut self.workers {
@@ -714,9 +717,11 @@
                     .get(&id.job)
                     .is_none_or(|n| there.get(&(id.job.clone(), id.attempt)) == Some(n));
                 let next = match t.phase {
-                    TaskPhase::Fetching if now >= t.since + 300 => (TaskPhase::Gathering, None),
-                    TaskPhase::Gathering if whole => (TaskPhase::Running, None),
-                    TaskPhase::Gathering if now >= t.since + 50_000 => {
+                    TaskPhase::PullingImage if now >= t.since + 300 => {
+                        (TaskPhase::AwaitingGang, None)
+                    }
+                    TaskPhase::AwaitingGang if whole => (TaskPhase::Running, None),
+                    TaskPhase::AwaitingGang if now >= t.since + 50_000 => {
                         (TaskPhase::Exited, Some("alone"))
                     }
                     TaskPhase::Running if !whole => (TaskPhase::Exited, Some("peers")),
@@ -760,7 +765,7 @@
                 leader.other_owner_token = self
                     .shard_leaders
                     .get(&(1 - shard as u16))
-                    .map_or(0, |h| h.token);
+                    .map_or(0, |h| h.fencing_token);
                 leader
                     .owner
                     .observe_leaders(&self.shard_leaders, self.revision, now);
@@ -828,7 +833,7 @@
         };
         let told: Vec<_> = left
             .iter()
-            .map(|id| (id, told(id), self.store.get(&run_key(0, id, 0))))
+            .map(|id| (id, told(id), self.store.get(&task_chunk_key(0, id, 0))))
             .collect();
         let there: Vec<_> = self
             .workers
@@ -875,7 +880,7 @@
 
 fn gang(n: u32, tasks: u64) -> JobSpec {
     JobSpec {
-        shape: JobKind::Gang,
+        kind: JobKind::Gang,
         ..job(n, tasks)
     }
 }
@@ -957,7 +962,7 @@
                     cluster.withdraw(&id);
                 }
                 Step::Submit(shard, tasks, 0) => cluster.submit(shard, gang(n, tasks)),
-                Step::Submit(shard, tasks, 1) => cluster.submit(shard, JobSpec { rank: Priority::Low, ..job(n, tasks) }),
+                Step::Submit(shard, tasks, 1) => cluster.submit(shard, JobSpec { priority: Priority::Low, ..job(n, tasks) }),
                 Step::Submit(shard, tasks, _) => cluster.submit(shard, job(n, tasks)),
             }
         }
@@ -1126,8 +1131,8 @@
     let seq = placer.sync_request(0, TOKEN, ROOM, false, 0).seq;
     let whole = lemonweir_protocol::peer::ChangeRange {
         since: 0,
-        upto: 1,
-        last: true,
+        until: 1,
+        complete: true,
     };
     placer.apply_view(view(seq, whole, vec![shown(0, 4)], Vec::new()), 0);
     placer.run_placement_pass(0);
@@ -1147,9 +1152,9 @@
     placer.apply_cas_outcome(CompareAndSwapOutcome::Committed(50), 20);
     let asked = JobRecord {
         spec: job(1, 1),
-        at: 0,
-        withdrawn: true,
-        awaited: 0,
+        submitted_at_ms: 0,
+        cancel_requested: true,
+        dependency_count: 0,
     };
     placer.apply_job(
         &id(1),
@@ -1174,13 +1179,13 @@
     let mut placer = Placer::new(0, TOKEN, 1, terms(), 0);
     for (n, chunk) in [(1, 0), (1, 1), (2, 0)] {
         let done = vec![(chunk * CHUNK_TASKS, chunk * CHUNK_TASKS + CHUNK_TASKS - 1)];
-        let need = job(n, 1).need();
+        let need = job(n, 1).task_resources();
         let record = TaskChunkRecord {
             team: "red".into(),
-            need,
-            next: 65,
-            done,
-            live: Vec::new(),
+            task_resources: need,
+            next_attempt: 65,
+            done_ranges: done,
+            live_attempts: Vec::new(),
             gang: None,
         };
         placer.load_chunk(&id(n), chunk, &record, 30 + u64::from(chunk));
@@ -1191,7 +1196,7 @@
         .next_cas(2 * ATTEMPT_END_WRITE_DELAY_MS)
         .expect("one goes");
     assert!(
-        matches!(&cas.writes[..], [Write::Delete { key }] if *key == run_key(0, &id(2), 0)),
+        matches!(&cas.writes[..], [Write::Delete { key }] if *key == task_chunk_key(0, &id(2), 0)),
         "{:?}",
         cas.writes
     );
@@ -1217,17 +1222,17 @@
         let seq = placer.sync_request(0, TOKEN, ROOM, false, 0).seq;
         let whole = lemonweir_protocol::peer::ChangeRange {
             since: 0,
-            upto: 1,
-            last: true,
+            until: 1,
+            complete: true,
         };
         placer.apply_view(view(seq, whole, vec![shown(0, 4)], Vec::new()), 0);
         placer.run_placement_pass(0);
         placer.next_cas(0).expect("its starts");
         let asked = JobRecord {
             spec: job(1, 2),
-            at: 0,
-            withdrawn: true,
-            awaited: 0,
+            submitted_at_ms: 0,
+            cancel_requested: true,
+            dependency_count: 0,
         };
         placer.apply_job(
             &id(1),
@@ -1255,7 +1260,7 @@
         assert!(
             placer
                 .sync_request(0, TOKEN, ROOM, false, 60)
-                .wants
+                .desired
                 .is_empty()
         );
         if unknown {
@@ -1265,13 +1270,13 @@
             assert!(
                 absent.writes.is_empty()
                     && absent.conditions.contains(&Condition {
-                        key: run_key(0, &id(1), 0),
+                        key: task_chunk_key(0, &id(1), 0),
                         version: 0
                     })
             );
             placer.apply_reread_version(&id(1), 0, 45);
             placer.apply_cas_outcome(
-                CompareAndSwapOutcome::Conflict(vec![run_key(0, &id(1), 0)]),
+                CompareAndSwapOutcome::Conflict(vec![task_chunk_key(0, &id(1), 0)]),
                 70 + ATTEMPT_END_WRITE_DELAY_MS,
             );
             let gone = placer
@@ -1280,7 +1285,7 @@
             assert_eq!(
                 gone.writes,
                 [Write::Delete {
-                    key: run_key(0, &id(1), 0)
+                    key: task_chunk_key(0, &id(1), 0)
                 }]
             );
             placer.apply_cas_outcome(
--- a/crates/coordination/tests/evidence.rs
+++ b/crates/coordination/tests/evidence.rs
@@ -24,7 +24,7 @@
 fn entry(n: usize) -> InstanceEntry {
     InstanceEntry {
         id: machine(n),
-        kind: "box".into(),
+        machine_type: "box".into(),
         zone: "north".into(),
         spot: false,
         phase: "running".into(),
@@ -75,8 +75,8 @@
         scenario.sync_placer(
             ChangeRange {
                 since: 0,
-                upto: 40,
-                last: true,
+                until: 40,
+                complete: true,
             },
             wants,
         );
@@ -90,7 +90,7 @@
     ) -> ShardView {
         self.seq += 1;
         let message = lemonweir_protocol::peer::SyncRequest {
-            to_token: NEXT,
+            to_fencing_token: NEXT,
             ..sync(self.seq, span, wants, self.have)
         };
         let view = self.owner.sync(&message, ROOM, self.now).expect("taken");
@@ -98,9 +98,9 @@
         if let Some(a) = view
             .attempts
             .iter()
-            .find(|a| a.id == want(0, 0).id && a.standing.ended())
+            .find(|a| a.id == want(0, 0).id && a.state.is_terminal())
         {
-            self.ended.get_or_insert((self.now, a.standing));
+            self.ended.get_or_insert((self.now, a.state));
         }
         view
     }
@@ -132,9 +132,9 @@
                     };
                     let session = if kept { 1 } else { 2 };
                     let said = Heartbeat {
-                        seq: self.now,
-                        token: NEXT << FENCE_BITS,
-                        session,
+                        sequence: self.now,
+                        fencing_token: NEXT << FENCE_BITS,
+                        incarnation: session,
                         tasks,
                         ..report(n, 0)
                     };
@@ -152,8 +152,8 @@
             self.sync_placer(
                 ChangeRange {
                     since: 40,
-                    upto: 40,
-                    last: true,
+                    until: 40,
+                    complete: true,
                 },
                 Vec::new(),
             );
@@ -296,29 +296,35 @@
     let view = scenario.sync_placer(
         ChangeRange {
             since: 40,
-            upto: 40,
-            last: true,
+            until: 40,
+            complete: true,
         },
         Vec::new(),
     );
-    let [zone] = view.hidden.as_slice() else {
-        panic!("{:?}", view.hidden)
+    let [zone] = view.partitioned_zones.as_slice() else {
+        panic!("{:?}", view.partitioned_zones)
     };
     assert_eq!(zone.zone, "north");
-    assert!((29_000..=30_000).contains(&zone.for_ms), "{zone:?}");
-    assert!((40_000..60_000).contains(&zone.over_in_ms), "{zone:?}");
+    assert!(
+        (29_000..=30_000).contains(&zone.partitioned_for_ms),
+        "{zone:?}"
+    );
+    assert!(
+        (40_000..60_000).contains(&zone.presumed_lost_in_ms),
+        "{zone:?}"
+    );
     scenario.pass(40_000, all);
     assert_eq!(
         scenario
             .sync_placer(
                 ChangeRange {
                     since: 40,
-                    upto: 40,
-                    last: true
+                    until: 40,
+                    complete: true
                 },
                 Vec::new()
             )
-            .hidden,
+            .partitioned_zones,
         []
     );
 }
@@ -345,7 +351,7 @@
             if now % 3_000 == 200 {
                 for n in 0..MACHINES {
                     let said = Heartbeat {
-                        token: NEXT << FENCE_BITS,
+                        fencing_token: NEXT << FENCE_BITS,
                         ..report(n, now)
                     };
                     assert!(owner.handle_heartbeat(&said, None, now).is_some());
--- a/crates/coordination/tests/image_locality.rs
+++ b/crates/coordination/tests/image_locality.rs
@@ -13,7 +13,7 @@
     CandidateShard, CandidateWalk, PlacedReplicas, PlacementIndex, PlacementRequest,
 };
 use lemonweir_model::constants::TRADE_MOST;
-use lemonweir_model::policy::Trade;
+use lemonweir_model::policy::ServicePlacementWeights;
 use lemonweir_model::{AttemptId, JobId, JobKind, JobSpec, MachineId, Resources};
 use lemonweir_protocol::peer::{
     ChangeRange, DesiredAttempt, MachineView, ObservedState, SyncRequest,
@@ -37,7 +37,7 @@
     /// Machine and zone of each placed replica of its job.
     placed: Vec<(MachineId, &'static str)>,
     task_count: u32,
-    policy: Trade,
+    policy: ServicePlacementWeights,
     cached_first: bool,
     long_running: bool,
 }
@@ -72,12 +72,12 @@
     let placed = placed.collect();
     let weight = |rng: &mut ChaCha8Rng| [0.0, 0.3, 1.0, 20.0][rng.random_range(0..4usize)];
     let pin_s = [0.0, 8.0, 40.0][rng.random_range(0..3usize)];
-    let policy = Trade {
-        machine: weight(rng),
-        zone: weight(rng),
-        one_zone: weight(rng),
-        pin_s,
-        move_s: 1.0,
+    let policy = ServicePlacementWeights {
+        machine_loss: weight(rng),
+        zone_loss: weight(rng),
+        single_zone: weight(rng),
+        machine_pin_cost_s: pin_s,
+        min_migration_gain_s: 1.0,
     };
     let mut shard_order: Vec<CandidateShard> = (0..shards.len())
         .map(|shard| CandidateShard {
@@ -88,7 +88,7 @@
     shard_order.sort_by_key(|s| s.via_store);
     Scenario {
         shard_order,
-        need: Resources::offer(4.0, if rng.random::<f64>() < 0.2 { 0.0 } else { 1.0 }, 8.0),
+        need: Resources::capacity(4.0, if rng.random::<f64>() < 0.2 { 0.0 } else { 1.0 }, 8.0),
         image_mb: 2_000,
         spot_allowed: spot_exists && rng.random(),
         placed,
@@ -126,26 +126,26 @@
     }]
     .into();
     m.spot = spot_exists && rng.random();
-    m.open = rng.random::<f64>() < 0.95;
-    m.busy = busy;
-    m.lasting = rng.random_range(0..=busy);
+    m.schedulable = rng.random::<f64>() < 0.95;
+    m.task_count = busy;
+    m.service_task_count = rng.random_range(0..=busy);
     if rng.random::<f64>() < warm {
-        m.images.push("img".into());
+        m.cached_images.push("img".into());
     } else if rng.random::<f64>() < 0.1 {
-        m.coming.push("img".into());
+        m.pulling_images.push("img".into());
     }
     let other_fetches = [0, 0, 0, 1, 2][rng.random_range(0..5usize)];
-    m.coming
+    m.pulling_images
         .extend((0..other_fetches).map(|n| format!("other-{n}")));
     m
 }
 
 fn has_image(m: &MachineView) -> bool {
-    m.images.iter().any(|i| i == "img")
+    m.cached_images.iter().any(|i| i == "img")
 }
 
 fn fetches_image(m: &MachineView) -> bool {
-    m.coming.iter().any(|i| i == "img")
+    m.pulling_images.iter().any(|i| i == "img")
 }
 
 impl Scenario {
@@ -181,7 +181,7 @@
             remaining_fetch_s: FETCH_S / 2.0,
             spot_allowed: self.spot_allowed,
             half_on_spot: self.spot_allowed && has_replicas && 2 * spot_replicas >= self.task_count,
-            without_gpus: self.need.gpus == 0,
+            without_gpus: self.need.milli_gpus == 0,
             has_replicas,
             zone_count: if has_replicas && zones.len() > 1 {
                 zones.len() as u32
@@ -233,12 +233,12 @@
     }
 
     fn fits(&self, m: &MachineView) -> bool {
-        m.up && m.open && (self.spot_allowed || !m.spot) && m.free.covers(&self.need)
+        m.registered && m.schedulable && (self.spot_allowed || !m.spot) && m.free.covers(&self.need)
     }
 
     /// Cost of a place, s, straight from the definition of the policy.
     fn full_score_s(&self, m: &MachineView, via_store: bool) -> f64 {
-        let wait = match (has_image(m), fetches_image(m), m.coming.len()) {
+        let wait = match (has_image(m), fetches_image(m), m.pulling_images.len()) {
             (true, _, _) => 0.0,
             (_, true, _) => FETCH_S / 2.0,
             (_, _, 0) => FETCH_S,
@@ -249,42 +249,42 @@
         let downtime_s = FETCH_S + 5.0;
         let machine = match self.placed.iter().filter(|(id, _)| *id == m.id).count() {
             0 => 0.0,
-            n if (n + 1) as f64 > tasks / 2.0 => self.policy.machine * downtime_s * 4.0,
-            1 => self.policy.machine * downtime_s * 2.0 / tasks,
-            _ => self.policy.machine * downtime_s * 4.0 / tasks,
+            n if (n + 1) as f64 > tasks / 2.0 => self.policy.machine_loss * downtime_s * 4.0,
+            1 => self.policy.machine_loss * downtime_s * 2.0 / tasks,
+            _ => self.policy.machine_loss * downtime_s * 4.0 / tasks,
         };
         let risk = self.risk();
         let in_zone = self.placed.iter().filter(|(_, z)| *z == m.zone).count() as u32;
         // A zone counts as one that has its share just reached, however far beyond.
-        let beyond_share = self.policy.zone
+        let beyond_share = self.policy.zone_loss
             * downtime_s
             * (f64::from(risk.fair_zone_share() + 1) / tasks).min(1.0);
         let all_in_zone = in_zone > 0 && in_zone as usize == self.placed.len();
         let zone = match (risk.zone_count > 1, all_in_zone) {
-            (true, true) => beyond_share.max(self.policy.one_zone * downtime_s),
+            (true, true) => beyond_share.max(self.policy.single_zone * downtime_s),
             (true, false) if in_zone >= risk.fair_zone_share() => beyond_share,
             _ => 0.0,
         };
         let spot_loss = if risk.half_on_spot && m.spot {
             let lost = (f64::from(self.task_count / 2 + 1) / tasks).min(1.0);
-            self.policy.zone * downtime_s * lost
+            self.policy.zone_loss * downtime_s * lost
         } else {
             0.0
         };
-        let pin_s = self.policy.pin_s;
+        let pin_s = self.policy.machine_pin_cost_s;
         let usage = if m.spot {
             0.0
         } else {
             pin_s
-                * [0.0, 1.0, 2.0]
-                    [usize::from(m.lasting == 0) + usize::from(m.lasting == 0 && m.busy == 0)]
+                * [0.0, 1.0, 2.0][usize::from(m.service_task_count == 0)
+                    + usize::from(m.service_task_count == 0 && m.task_count == 0)]
         };
         let on_demand = if self.spot_allowed && !m.spot {
             pin_s
         } else {
             0.0
         };
-        let stranded_gpus = if self.need.gpus == 0 && m.free.gpus > 0 {
+        let stranded_gpus = if self.need.milli_gpus == 0 && m.free.milli_gpus > 0 {
             2.0 * pin_s
         } else {
             0.0
@@ -306,7 +306,9 @@
                     1 => fetches_image(m),
                     _ => true,
                 };
-                let eligible = |m: &&MachineView| m.up && m.open && (self.spot_allowed || !m.spot);
+                let eligible = |m: &&MachineView| {
+                    m.registered && m.schedulable && (self.spot_allowed || !m.spot)
+                };
                 examined += machines
                     .iter()
                     .filter(has_locality)
@@ -317,15 +319,23 @@
                     .enumerate()
                     .filter(|(_, m)| has_locality(m) && self.fits(m))
                     .min_by_key(|(slot, m)| {
-                        let long_running = if self.long_running { m.lasting } else { 0 };
-                        let fetch_count = if locality == 2 { m.coming.len() } else { 0 };
-                        let strands_gpus = self.need.gpus == 0 && m.free.gpus > 0;
+                        let long_running = if self.long_running {
+                            m.service_task_count
+                        } else {
+                            0
+                        };
+                        let fetch_count = if locality == 2 {
+                            m.pulling_images.len()
+                        } else {
+                            0
+                        };
+                        let strands_gpus = self.need.milli_gpus == 0 && m.free.milli_gpus > 0;
                         (
                             strands_gpus,
                             self.spot_allowed && !m.spot,
-                            m.busy == 0,
+                            m.task_count == 0,
                             fetch_count,
-                            Reverse((long_running, m.busy)),
+                            Reverse((long_running, m.task_count)),
                             *slot,
                         )
                     });
@@ -393,7 +403,7 @@
     let (mut examined, mut examined_before) = ([0, 0], [0, 0]);
     for n in 0..1_500 {
         let mut case = scenario(&mut rng, if n % 3 == 0 { 450 } else { 60 });
-        case.policy = Trade::default();
+        case.policy = ServicePlacementWeights::default();
         let ((place, count), (place_before, count_before)) =
             (case.walk(), case.walk_before_scoring());
         if !case.long_running {
@@ -423,12 +433,12 @@
         ..PlacementRisk::default()
     };
     let by_locality = placement_classes(
-        &Trade {
-            machine: 0.0,
-            zone: 0.0,
-            one_zone: 0.0,
-            pin_s: 0.0,
-            move_s: 1.0,
+        &ServicePlacementWeights {
+            machine_loss: 0.0,
+            zone_loss: 0.0,
+            single_zone: 0.0,
+            machine_pin_cost_s: 0.0,
+            min_migration_gain_s: 1.0,
         },
         &risk,
     );
@@ -446,12 +456,12 @@
         ]
     );
     let by_spread = placement_classes(
-        &Trade {
-            machine: TRADE_MOST,
-            zone: TRADE_MOST,
-            one_zone: TRADE_MOST,
-            pin_s: 0.0,
-            move_s: 1.0,
+        &ServicePlacementWeights {
+            machine_loss: TRADE_MOST,
+            zone_loss: TRADE_MOST,
+            single_zone: TRADE_MOST,
+            machine_pin_cost_s: 0.0,
+            min_migration_gain_s: 1.0,
         },
         &risk,
     );
@@ -464,7 +474,7 @@
     );
     // By default: in use and cached, beside one of its own, before a machine that is paid
     // for anew.
-    let by_default = placement_classes(&Trade::default(), &risk);
+    let by_default = placement_classes(&ServicePlacementWeights::default(), &risk);
     let rank = |replicas, usage| {
         by_default.iter().position(|c| {
             (c.image_locality, c.replicas, c.zone_share, c.usage)
@@ -495,8 +505,10 @@
 #[test]
 fn policy_weights_out_of_range_or_unknown_are_rejected() {
     assert_eq!(
-        lemonweir_policy::embedded().expect("fine").trade,
-        Trade::default()
+        lemonweir_policy::embedded()
+            .expect("fine")
+            .placement_weights,
+        ServicePlacementWeights::default()
     );
     let with = |from: &str, to: &str| {
         lemonweir_policy::evaluate(&lemonweir_policy::DEFAULT_POLICY.replace(from, to))
@@ -521,8 +533,8 @@
     assert_eq!(
         with("risk_one_zone = 3", "risk_one_zone = 0")
             .expect("never mind")
-            .trade
-            .one_zone,
+            .placement_weights
+            .single_zone,
         0.0
     );
 }
@@ -532,7 +544,7 @@
         id: JobId::from(format!("req-{n:06}").as_str()),
         image: image.into(),
         image_gb: gb,
-        shape,
+        kind: shape,
         ..support::array(1)
     }
 }
@@ -569,15 +581,15 @@
     );
     // Of two machines alike the third model goes where it evicts nothing.
     let mut machines = [support::shown(1, 2), support::shown(2, 2)];
-    machines[0].images = cached(&["one", "two"]);
-    machines[1].images = cached(&["one"]);
+    machines[0].cached_images = cached(&["one", "two"]);
+    machines[1].cached_images = cached(&["one"]);
     let mut index = PlacementIndex::new(&machines);
     for m in &machines {
-        index.set_cache_headroom(&m.id, usage.cache_headroom_mb(&m.images, 100_000));
+        index.set_cache_headroom(&m.id, usage.cache_headroom_mb(&m.cached_images, 100_000));
     }
     let mut case = scenario(&mut ChaCha8Rng::seed_from_u64(1), 2);
     (case.need, case.spot_allowed, case.long_running) =
-        (Resources::offer(4.0, 1.0, 8.0), false, false);
+        (Resources::capacity(4.0, 1.0, 8.0), false, false);
     let place = |mb| {
         index.first_fit(&PlacementRequest {
             image: "third",
@@ -623,11 +635,11 @@
         *state += 1;
         let span = ChangeRange {
             since: *state - 1,
-            upto: *state,
-            last: true,
+            until: *state,
+            complete: true,
         };
         let message = SyncRequest {
-            dropped,
+            withdrawn: dropped,
             ..support::sync(*state, span, wants, ObservedState::default())
         };
         owner.sync(&message, support::ROOM, now).expect("taken");
@@ -640,11 +652,11 @@
     {
         let cause = (phase == TaskPhase::Exited).then(|| "done".to_owned());
         let task = TaskStatus {
-            piece: id.piece(),
+            task: id.task_name(),
             attempt: 1,
             phase,
-            cause,
-            saved: None,
+            exit_cause: cause,
+            checkpointed: None,
         };
         owner
             .handle_heartbeat(
--- a/crates/coordination/tests/largest.rs
+++ b/crates/coordination/tests/largest.rs
@@ -44,8 +44,8 @@
 fn idle(n: u64, tasks: u64) -> JobSpec {
     JobSpec {
         id: id(n),
-        rank: Priority::Low,
-        spot: false,
+        priority: Priority::Low,
+        allow_spot: false,
         ..array(tasks)
     }
 }
@@ -54,11 +54,11 @@
 /// with their tasks.
 fn room_for(placer: &mut Placer, tasks: u64, now: u64) -> BTreeMap<JobId, usize> {
     let seq = placer.sync_request(0, TOKEN, ROOM, false, now).seq;
-    let free = Resources::offer(4.0 * tasks as f64, tasks as f64, 16.0 * tasks as f64);
+    let free = Resources::capacity(4.0 * tasks as f64, tasks as f64, 16.0 * tasks as f64);
     // Some other work is on it.
     let machine = lemonweir_protocol::peer::MachineView {
         free,
-        busy: 1,
+        task_count: 1,
         ..shown(1, 4)
     };
     placer.apply_view(
@@ -66,8 +66,8 @@
             seq,
             ChangeRange {
                 since: 0,
-                upto: 1,
-                last: true,
+                until: 1,
+                complete: true,
             },
             vec![machine],
             Vec::new(),
@@ -76,7 +76,7 @@
     );
     pass(placer, now);
     let mut on = BTreeMap::new();
-    for want in placer.sync_request(0, TOKEN, ROOM, false, now).wants {
+    for want in placer.sync_request(0, TOKEN, ROOM, false, now).desired {
         *on.entry(want.id.job).or_default() += 1;
     }
     on
@@ -175,7 +175,7 @@
                 submit(
                     &mut placer,
                     JobSpec {
-                        shape,
+                        kind: shape,
                         ..idle(*n, (*tasks).min(300))
                     },
                     *at,
@@ -253,17 +253,17 @@
     ] {
         let mut placer = placer(
             Some(Resources {
-                cpus: u64::MAX,
-                gpus: Resources::offer(0.0, 12.0, 0.0).gpus,
-                memory: u64::MAX,
+                milli_cpus: u64::MAX,
+                milli_gpus: Resources::capacity(0.0, 12.0, 0.0).milli_gpus,
+                memory_mb: u64::MAX,
             }),
             0,
         );
         submit(
             &mut placer,
             JobSpec {
-                rank: Priority::Production,
-                shape: JobKind::Service,
+                priority: Priority::Production,
+                kind: JobKind::Service,
                 ..array(4)
             },
             0,
@@ -274,8 +274,8 @@
             &mut placer,
             JobSpec {
                 id: id(2),
-                rank: Priority::Production,
-                shape,
+                priority: Priority::Production,
+                kind: shape,
                 ..array(12)
             },
             1,
@@ -299,9 +299,9 @@
         &mut placer,
         JobSpec {
             id: id(1),
-            cores: 0.1,
+            cpus: 0.1,
             gpus: 0.0,
-            ram_gb: 0.1,
+            memory_gb: 0.1,
             ..array(MAX_TASKS)
         },
         0,
@@ -312,9 +312,9 @@
             &mut placer,
             JobSpec {
                 id: id(n),
-                cores: 0.1,
+                cpus: 0.1,
                 gpus: 0.0,
-                ram_gb: 0.1,
+                memory_gb: 0.1,
                 ..array(1)
             },
             n,
@@ -334,12 +334,12 @@
     let seq = placer.sync_request(0, TOKEN, ROOM, false, 0).seq;
     let span = ChangeRange {
         since: 0,
-        upto: 1,
-        last: true,
+        until: 1,
+        complete: true,
     };
     let machines = (0..40)
         .map(|n| lemonweir_protocol::peer::MachineView {
-            free: Resources::offer(100.0, 0.0, 400.0),
+            free: Resources::capacity(100.0, 0.0, 400.0),
             ..shown(n, 4)
         })
         .collect();
--- a/crates/coordination/tests/late_orders.rs
+++ b/crates/coordination/tests/late_orders.rs
@@ -112,16 +112,16 @@
     fn report(&mut self) -> Heartbeat {
         self.seq += 1;
         let task = |(id, phase): (&AttemptId, &TaskPhase)| TaskStatus {
-            piece: id.piece(),
+            task: id.task_name(),
             attempt: id.attempt,
             phase: *phase,
-            cause: (*phase == TaskPhase::Exited).then(|| "stopped".to_owned()),
-            saved: None,
+            exit_cause: (*phase == TaskPhase::Exited).then(|| "stopped".to_owned()),
+            checkpointed: None,
         };
         Heartbeat {
-            session: self.session,
-            seq: self.seq,
-            token: self.token,
+            incarnation: self.session,
+            sequence: self.seq,
+            fencing_token: self.token,
             tasks: self.tasks.iter().map(task).collect(),
             ..report(0, 0)
         }
@@ -129,10 +129,10 @@
 
     fn execute(&mut self, orders: &[Command]) {
         for o in orders {
-            let id = AttemptId::parse(&o.piece, o.attempt).expect("a task");
-            match o.verb {
-                CommandKind::Launch => drop(self.tasks.entry(id).or_insert(TaskPhase::Running)),
-                CommandKind::Kill => {
+            let id = AttemptId::parse(&o.task, o.attempt).expect("a task");
+            match o.kind {
+                CommandKind::Start => drop(self.tasks.entry(id).or_insert(TaskPhase::Running)),
+                CommandKind::Stop => {
                     if let Some(phase) = self.tasks.get_mut(&id) {
                         *phase = TaskPhase::Exited;
                     }
@@ -386,7 +386,7 @@
         self.revision += 1;
         self.leader = Some(ShardLeader {
             host: format!("h{n}"),
-            token: self.revision,
+            fencing_token: self.revision,
         });
         let wait = 20 + self.random.below(600);
         self.hosts[n].acquired = Some((self.revision, now + wait));
@@ -395,10 +395,10 @@
     }
 
     fn show(core: &mut Core, leader: Option<ShardLeader>, began: u64) {
-        let revision = leader.as_ref().map_or(1, |h| h.token);
+        let revision = leader.as_ref().map_or(1, |h| h.fencing_token);
         match leader {
-            Some(leader) => drop(core.cache.shards.insert(0, leader)),
-            None => drop(core.cache.shards.remove(&0)),
+            Some(leader) => drop(core.cache.shard_leaders.insert(0, leader)),
+            None => drop(core.cache.shard_leaders.remove(&0)),
         }
         core.cache.revision = core.cache.revision.max(Some(revision));
         core.cache_refreshed(began, true);
@@ -433,7 +433,7 @@
             if let Some((token, _)) = host.acquired.take_if(|(_, at)| now >= *at) {
                 // The reading before it loads the shard.
                 Self::show(core, leader.clone(), now - 1);
-                if leader.is_some_and(|h| h.token == token) {
+                if leader.is_some_and(|h| h.fencing_token == token) {
                     core.acquire(ShardLease { shard: 0, token }, &[], Vec::new(), now);
                 }
             }
@@ -446,13 +446,13 @@
             };
             let ours = core
                 .cache
-                .shards
+                .shard_leaders
                 .get(&0)
                 .is_some_and(|h| h.host == format!("h{n}"));
             if ours
                 && core.leases().is_empty()
                 && host.acquired.is_none()
-                && self.leader.as_ref() == core.cache.shards.get(&0)
+                && self.leader.as_ref() == core.cache.shard_leaders.get(&0)
             {
                 self.acquire(n);
             }
@@ -511,14 +511,14 @@
                     Err(_) => return w.try_next_controller(now),
                 };
                 (w.in_flight, w.next) = (None, now + 2_250 + pick);
-                if reply.token < w.token || session != w.session {
+                if reply.fencing_token < w.token || session != w.session {
                     return;
                 }
-                if reply.token > w.token {
-                    (w.token, w.next) = (reply.token, now + 500);
+                if reply.fencing_token > w.token {
+                    (w.token, w.next) = (reply.fencing_token, now + 500);
                 }
                 w.lease_from = w.lease_from.max(sent);
-                w.execute(&reply.orders);
+                w.execute(&reply.commands);
                 self.note(|| format!("answer to {session}/{seq}: {reply:?}"));
             }
             Message::Orders {
@@ -535,10 +535,11 @@
                 if w.incarnation != to || !heard && w.session > 1 {
                     return;
                 }
-                let executed = call.commands.token >= w.token && call.commands.session == w.session;
+                let executed = call.commands.fencing_token >= w.token
+                    && call.commands.incarnation == w.session;
                 if executed {
-                    w.token = call.commands.token;
-                    w.execute(&call.commands.orders);
+                    w.token = call.commands.fencing_token;
+                    w.execute(&call.commands.commands);
                 }
                 let report = w.report();
                 self.note(|| {
@@ -643,8 +644,8 @@
             most,
             Message::Answer {
                 incarnation,
-                session: report.session,
-                seq: report.seq,
+                session: report.incarnation,
+                seq: report.sequence,
                 sent,
                 answer,
             },
@@ -690,9 +691,9 @@
         let number = self.called;
         self.starts += call
             .commands
-            .orders
+            .commands
             .iter()
-            .filter(|o| o.verb == CommandKind::Launch)
+            .filter(|o| o.kind == CommandKind::Start)
             .count() as u64;
         let (to, process) = (self.worker.incarnation, self.hosts[host].process);
         self.note(|| {
@@ -796,7 +797,7 @@
             *phase = TaskPhase::Exited;
         }
         let report = w.report();
-        w.in_flight = Some((report.seq, now));
+        w.in_flight = Some((report.sequence, now));
         let (incarnation, host) = (w.incarnation, w.node);
         let message = |host, copy| Message::Report {
             report: report.clone(),
@@ -842,10 +843,10 @@
         if self.random.chance(5)
             && let Some(want) = self.desired.values_mut().next()
         {
-            want.kill = Some(0);
+            want.stop_grace_s = Some(0);
         }
         // It learns of failovers some time after.
-        let newest = self.leader.as_ref().map_or(0, |h| h.token);
+        let newest = self.leader.as_ref().map_or(0, |h| h.fencing_token);
         if newest > self.to && (self.to == 0 || self.random.chance(5)) {
             self.to = newest;
         }
@@ -870,14 +871,14 @@
             };
             let span = ChangeRange {
                 since: 0,
-                upto: self.sync,
-                last: true,
+                until: self.sync,
+                complete: true,
             };
             let message = SyncRequest {
-                from,
-                from_token: 39,
-                to_token: to,
-                keep: vec![machine(0)],
+                from_shard: from,
+                from_fencing_token: 39,
+                to_fencing_token: to,
+                reserved_machines: vec![machine(0)],
                 ..sync(self.sync, span, wants, ObservedState::default())
             };
             let Some(core) = self.hosts[n].core.as_mut() else {
@@ -890,10 +891,10 @@
             if from != 1 || self.random.chance(10) {
                 continue;
             }
-            self.open = view.machines.iter().any(|m| m.up && m.open);
-            for a in view.attempts.iter().filter(|a| a.standing.ended()) {
+            self.open = view.machines.iter().any(|m| m.registered && m.schedulable);
+            for a in view.attempts.iter().filter(|a| a.state.is_terminal()) {
                 if self.desired.remove(&a.id).is_some() {
-                    self.note(|| format!("h{n} publishes that {} ended: {:?}", a.id, a.standing));
+                    self.note(|| format!("h{n} publishes that {} ended: {:?}", a.id, a.state));
                 }
                 self.published_ended.insert(a.id.clone());
             }
@@ -1120,18 +1121,15 @@
 ) -> Vec<(AttemptId, AttemptState)> {
     let span = ChangeRange {
         since: 0,
-        upto: seq,
-        last: true,
+        until: seq,
+        complete: true,
     };
     let message = SyncRequest {
-        keep: vec![machine(0)],
+        reserved_machines: vec![machine(0)],
         ..sync(seq, span, wants, ObservedState::default())
     };
     let view = owner.sync(&message, ROOM, now).expect("taken");
-    view.attempts
-        .into_iter()
-        .map(|a| (a.id, a.standing))
-        .collect()
+    view.attempts.into_iter().map(|a| (a.id, a.state)).collect()
 }
 
 /// Drawn by an earlier form of the histories above: a machine came back under an owner that had just taken the
@@ -1143,7 +1141,7 @@
 fn first_heartbeat_of_a_new_incarnation_gets_an_unseen_token() {
     let mut owner = fleet(1);
     let before = |seq, tasks| Heartbeat {
-        session: 3,
+        incarnation: 3,
         tasks,
         ..report(0, seq)
     };
@@ -1158,7 +1156,7 @@
     let first = owner
         .handle_heartbeat(
             &Heartbeat {
-                token: 0,
+                fencing_token: 0,
                 ..report(0, 1)
             },
             None,
@@ -1166,12 +1164,12 @@
         )
         .expect("answered");
     assert!(
-        first.token > BASE,
+        first.fencing_token > BASE,
         "only the new incarnation will show this one"
     );
     let query = owner.due_calls(3_310, 4).pop().expect("it is asked");
     assert!(
-        query.commands.orders.is_empty(),
+        query.commands.commands.is_empty(),
         "nothing is started on what may be another"
     );
     owner.handle_call_result(&query, CommandResult::NotSent, 3_320);
@@ -1183,22 +1181,22 @@
         published.iter().all(|(_, s)| *s == AttemptState::Accepted),
         "that proves nothing: {published:?}"
     );
-    let mut token = first.token;
+    let mut token = first.fencing_token;
     for seq in 2..5 {
         let said = Heartbeat {
-            token,
+            fencing_token: token,
             ..report(0, seq)
         };
         token = owner
             .handle_heartbeat(&said, None, 3_400 + 500 * seq)
             .expect("answered")
-            .token;
+            .fencing_token;
     }
     owner.tick(6_000, 6_000);
     sync_placer(&mut owner, 3, vec![want(0, 0)], 6_000);
     let start = owner.due_calls(6_000, 4).pop().expect("a start");
     assert_eq!(
-        (start.commands.session, start.commands.orders.len()),
+        (start.commands.incarnation, start.commands.commands.len()),
         (1, 1)
     );
 }
@@ -1210,7 +1208,7 @@
     sync_placer(&mut owner, 1, vec![want(0, 0)], 20);
     let start = owner.due_calls(20, 4).pop().expect("a start");
     let seen = |seq, token| Heartbeat {
-        token,
+        fencing_token: token,
         tasks: vec![running_task(0)],
         ..report(0, seq)
     };
@@ -1220,7 +1218,7 @@
         owner
             .handle_heartbeat(
                 &Heartbeat {
-                    token: 0,
+                    fencing_token: 0,
                     ..report(0, 1)
                 },
                 None,
@@ -1232,7 +1230,7 @@
     let query = owner.due_calls(5_000, 4).pop().expect("a question");
     owner.handle_call_result(
         &query,
-        CommandResult::Executed(seen(4, query.commands.token)),
+        CommandResult::Executed(seen(4, query.commands.fencing_token)),
         5_020,
     );
     assert!(owner.due_calls(5_100, 4).is_empty());
@@ -1257,7 +1255,7 @@
         owner.tick(now, now);
         let ended = sync_placer(&mut owner, step, vec![want(0, 0)], now)
             .iter()
-            .any(|(_, s)| s.ended());
+            .any(|(_, s)| s.is_terminal());
         over_at = over_at.or(ended.then_some(now));
     }
     let over_at = over_at.expect("in the end it is over");
@@ -1270,12 +1268,12 @@
     sync_placer(&mut owner, 1, vec![want(0, 0)], 20);
     let start = owner.due_calls(20, 4).pop().expect("a start");
     owner.handle_call_result(&start, CommandResult::Unknown, 2_600);
-    (owner, start.commands.token)
+    (owner, start.commands.fencing_token)
 }
 
 fn stopped(n: u32) -> DesiredAttempt {
     DesiredAttempt {
-        kill: Some(0),
+        stop_grace_s: Some(0),
         ..want(n, 0)
     }
 }
@@ -1283,7 +1281,7 @@
 fn ended(published: &[(AttemptId, AttemptState)], n: u32) -> bool {
     published
         .iter()
-        .any(|(id, s)| *id == want(n, 0).id && s.ended())
+        .any(|(id, s)| *id == want(n, 0).id && s.is_terminal())
 }
 
 /// A start that was delayed arrives after a second one of the same attempt ran, ended
@@ -1296,18 +1294,18 @@
         .pop()
         .expect("it is started again");
     assert!(
-        again.commands.token > first,
+        again.commands.fencing_token > first,
         "who takes the second refuses the first"
     );
     owner.handle_call_result(&again, CommandResult::Unknown, 6_500);
     // The first was executed; the second is still on its way.
     let exited = TaskStatus {
         phase: TaskPhase::Exited,
-        cause: Some("done".into()),
+        exit_cause: Some("done".into()),
         ..running_task(0)
     };
     let said = |seq, token| Heartbeat {
-        token,
+        fencing_token: token,
         tasks: vec![exited.clone()],
         ..report(0, seq)
     };
@@ -1325,13 +1323,13 @@
     let reply = owner
         .handle_heartbeat(&said(4, first), None, 9_600)
         .expect("answered");
-    assert_eq!(reply.orders, [], "the second would start it anew");
-    assert!(reply.token > again.commands.token);
+    assert_eq!(reply.commands, [], "the second would start it anew");
+    assert!(reply.fencing_token > again.commands.fencing_token);
     let reply = owner
-        .handle_heartbeat(&said(5, reply.token), None, 10_100)
+        .handle_heartbeat(&said(5, reply.fencing_token), None, 10_100)
         .expect("answered");
     assert!(
-        reply.orders.iter().any(|o| o.verb == CommandKind::Forget),
+        reply.commands.iter().any(|o| o.kind == CommandKind::Forget),
         "from now on it is refused: {reply:?}"
     );
 }
@@ -1352,7 +1350,7 @@
     let token = owner
         .handle_heartbeat(&report(0, 3), None, 4_300)
         .expect("answered")
-        .token;
+        .fencing_token;
     assert!(
         !ended(&sync_placer(&mut owner, 3, vec![stopped(0)], 4_400), 0),
         "and still"
@@ -1361,7 +1359,7 @@
         owner
             .handle_heartbeat(
                 &Heartbeat {
-                    token,
+                    fencing_token: token,
                     ..report(0, 4)
                 },
                 None,
@@ -1385,7 +1383,7 @@
         .handle_heartbeat(&report(0, 3), None, 2_700)
         .expect("answered");
     assert!(
-        reply.orders.iter().any(|o| o.verb == CommandKind::Launch),
+        reply.commands.iter().any(|o| o.kind == CommandKind::Start),
         "{reply:?}"
     );
     sync_placer(&mut owner, 2, vec![stopped(0), want(1, 0)], 3_000);
@@ -1402,7 +1400,7 @@
     owner
         .handle_heartbeat(
             &Heartbeat {
-                token: reply.token,
+                fencing_token: reply.fencing_token,
                 ..report(0, 4)
             },
             None,
@@ -1422,14 +1420,14 @@
     let token = owner
         .handle_heartbeat(
             &Heartbeat {
-                token: 0,
+                fencing_token: 0,
                 ..report(0, 1)
             },
             None,
             3_000,
         )
         .expect("answered")
-        .token;
+        .fencing_token;
     assert!(
         !ended(&sync_placer(&mut owner, 1, vec![stopped(0)], 3_100), 0),
         "an earlier owner may have started it"
@@ -1437,7 +1435,7 @@
     owner
         .handle_heartbeat(
             &Heartbeat {
-                token,
+                fencing_token: token,
                 ..report(0, 2)
             },
             None,
@@ -1466,7 +1464,7 @@
     owner.set_types([kind()].iter());
     sync_placer(&mut owner, 1, vec![want(0, 0)], 10);
     let said = Heartbeat {
-        token: (TOKEN - 1) << FENCE_BITS,
+        fencing_token: (TOKEN - 1) << FENCE_BITS,
         tasks: vec![running_task(0)],
         ..report(0, 70)
     };
@@ -1489,7 +1487,7 @@
 fn worker_of_a_later_owner_gets_no_reply() {
     let mut owner = fleet(1);
     let later = Heartbeat {
-        token: (TOKEN + 1) << FENCE_BITS,
+        fencing_token: (TOKEN + 1) << FENCE_BITS,
         ..report(0, 9)
     };
     assert!(owner.handle_heartbeat(&later, None, 3_000).is_none());
--- a/crates/coordination/tests/late_transactions.rs
+++ b/crates/coordination/tests/late_transactions.rs
@@ -16,8 +16,8 @@
 use lemonweir_protocol::peer::{AttemptState, AttemptStatus, ChangeRange, ExitCause};
 use lemonweir_protocol::users::JobPhase;
 use lemonweir_storage::records::{
-    JobEndRecord, JobRecord, ShardRecord, TaskChunkRecord, end_key, job_key, parse_run_key,
-    run_key, run_prefix, shard_key, withdraw_job,
+    JobEndRecord, JobRecord, ShardRecord, TaskChunkRecord, end_key, job_key, parse_task_chunk_key,
+    request_cancellation, shard_key, task_chunk_key, task_chunks_prefix,
 };
 use lemonweir_storage::state_cache::CachedJob;
 use rmpv::Value;
@@ -97,17 +97,21 @@
     fn recorded(&self) -> BTreeSet<JobId> {
         self.keys
             .keys()
-            .filter(|k| k.starts_with(&run_prefix(0)))
-            .filter_map(|k| parse_run_key(k))
+            .filter(|k| k.starts_with(&task_chunks_prefix(0)))
+            .filter_map(|k| parse_task_chunk_key(k))
             .map(|(job, _)| job)
             .collect()
     }
 
     fn live(&self, id: &AttemptId) -> bool {
         let record = self
-            .value(&run_key(0, &id.job, id.task / CHUNK_TASKS))
+            .value(&task_chunk_key(0, &id.job, id.task / CHUNK_TASKS))
             .and_then(from_value::<TaskChunkRecord>);
-        record.is_some_and(|r| r.live.iter().any(|l| (l.t, l.a) == (id.task, id.attempt)))
+        record.is_some_and(|r| {
+            r.live_attempts
+                .iter()
+                .any(|l| (l.task, l.attempt) == (id.task, id.attempt))
+        })
     }
 }
 
@@ -142,9 +146,9 @@
             job_key(&spec.id),
             to_value(&JobRecord {
                 spec: spec.clone(),
-                at: 0,
-                withdrawn: false,
-                awaited: 0,
+                submitted_at_ms: 0,
+                cancel_requested: false,
+                dependency_count: 0,
             }),
         );
         self.copy(&spec.id);
@@ -168,33 +172,33 @@
             .store
             .value(&job_key(id))
             .and_then(from_value::<JobRecord>)
-            .filter(|r| !r.withdrawn)
+            .filter(|r| !r.cancel_requested)
         else {
             return;
         };
         let version = self.store.version(&job_key(id));
-        assert!(self.store.makes(&withdraw_job(&record, version)));
+        assert!(self.store.makes(&request_cancellation(&record, version)));
     }
 
     /// The owner of four machines is told what is wanted, and tells this.
     fn sync(&mut self, attempts: &[(AttemptId, AttemptState)]) {
         let sync = self.placer.sync_request(0, TOKEN, ROOM, false, self.now);
         assert!(
-            sync.span.since == 0 && sync.span.last,
+            sync.range.since == 0 && sync.range.complete,
             "all is told anew each time"
         );
-        self.told = sync.wants.iter().map(|w| w.id.clone()).collect();
+        self.told = sync.desired.iter().map(|w| w.id.clone()).collect();
         self.wanted = sync
-            .wants
+            .desired
             .iter()
-            .filter(|w| w.kill.is_none())
+            .filter(|w| w.stop_grace_s.is_none())
             .map(|w| w.id.clone())
             .collect();
         let attempts: Vec<AttemptStatus> = attempts
             .iter()
             .map(|(id, standing)| AttemptStatus {
                 id: id.clone(),
-                standing: *standing,
+                state: *standing,
             })
             .collect();
         let machines: Vec<_> = (0..4).map(|n| shown(n, 4)).collect();
@@ -203,8 +207,8 @@
                 sync.seq,
                 ChangeRange {
                     since: 0,
-                    upto: 1,
-                    last: true,
+                    until: 1,
+                    complete: true,
                 },
                 machines,
                 attempts,
@@ -228,7 +232,7 @@
     fn end(&mut self, outcome: CompareAndSwapOutcome) -> Vec<(JobId, JobPhase)> {
         if let CompareAndSwapOutcome::Conflict(keys) = &outcome {
             for key in keys {
-                if let Some((job, chunk)) = parse_run_key(key) {
+                if let Some((job, chunk)) = parse_task_chunk_key(key) {
                     self.placer
                         .apply_reread_version(&job, chunk, self.store.version(key));
                 }
@@ -415,7 +419,7 @@
         let cas = cluster
             .next(ATTEMPT_END_WRITE_DELAY_MS + 1)
             .expect("two ends");
-        let key = run_key(0, &spec.id, 0);
+        let key = task_chunk_key(0, &spec.id, 0);
         let read = cluster.store.version(&key);
         // Another key's conflict made the process read this one too; the late one
         // comes before or after.
@@ -436,7 +440,7 @@
             .value(&key)
             .and_then(from_value::<TaskChunkRecord>)
             .expect("a record");
-        assert_eq!(record.done, vec![(0, 1)], "between: {between}");
+        assert_eq!(record.done_ranges, vec![(0, 1)], "between: {between}");
     }
 }
 
@@ -454,8 +458,8 @@
         seq,
         ChangeRange {
             since: 0,
-            upto: 4,
-            last: true,
+            until: 4,
+            complete: true,
         },
         vec![shown(0, 4)],
         Vec::new(),
@@ -467,15 +471,18 @@
     }
     assert!(!placer.apply_view(late, 100));
     assert_eq!(
-        placer.sync_request(0, TOKEN, ROOM, false, 0).have.machines,
+        placer
+            .sync_request(0, TOKEN, ROOM, false, 0)
+            .observed
+            .machines_revision,
         0
     );
     let answer = view(
         first,
         ChangeRange {
             since: 0,
-            upto: 1,
-            last: true,
+            until: 1,
+            complete: true,
         },
         vec![shown(0, 4)],
         Vec::new(),
@@ -569,7 +576,8 @@
                     cluster.sync(&now);
                     for id in &cluster.wanted {
                         assert!(
-                            cluster.store.live(id) || standing.get(id).is_some_and(|s| s.ended()),
+                            cluster.store.live(id)
+                                || standing.get(id).is_some_and(|s| s.is_terminal()),
                             "seed {seed}: {id} is not recorded"
                         );
                     }
@@ -585,7 +593,7 @@
                             AttemptState::Running
                         };
                         let before = standing.get(&id).copied();
-                        if before.is_none_or(|s| !s.ended()) {
+                        if before.is_none_or(|s| !s.is_terminal()) {
                             standing.insert(id, next);
                         }
                     }
@@ -607,7 +615,7 @@
                         standing
                             .get(id)
                             .copied()
-                            .filter(|s| s.ended())
+                            .filter(|s| s.is_terminal())
                             .unwrap_or(AttemptState::Gone),
                     )
                 })
--- a/crates/coordination/tests/ledger.rs
+++ b/crates/coordination/tests/ledger.rs
@@ -20,8 +20,8 @@
 use lemonweir_protocol::peer::{ShardView, SyncRequest};
 use lemonweir_protocol::worker::{Command, CommandKind, Heartbeat, TaskPhase, TaskStatus};
 use lemonweir_storage::records::{
-    GangAdmissionRecord, GangAdmissionStep, JobRecord, TaskChunkRecord, job_key, parse_run_key,
-    shard_key,
+    GangAdmissionRecord, GangAdmissionStep, JobRecord, TaskChunkRecord, job_key,
+    parse_task_chunk_key, shard_key,
 };
 use lemonweir_storage::state_cache::{CachedJob, ShardLeader};
 use support::*;
@@ -136,8 +136,8 @@
             .map(|(i, k)| {
                 kinds[*k].map(|step| GangAdmissionRecord {
                     step,
-                    at: i as u64,
-                    a: 4,
+                    at_ms: i as u64,
+                    attempt: 4,
                 })
             })
             .collect();
@@ -292,9 +292,9 @@
     fn submit(&mut self, shard: usize, spec: JobSpec) {
         let record = JobRecord {
             spec: spec.clone(),
-            at: self.now,
-            withdrawn: false,
-            awaited: 0,
+            submitted_at_ms: self.now,
+            cancel_requested: false,
+            dependency_count: 0,
         };
         self.revision += 1;
         self.put(KeyValue {
@@ -310,7 +310,7 @@
         let key = job_key(id);
         if let Some(entry) = self.store.get(&key) {
             let record = JobRecord {
-                withdrawn: true,
+                cancel_requested: true,
                 ..from_value(&entry.value).expect("a job")
             };
             self.revision += 1;
@@ -340,8 +340,8 @@
         self.revision += 1;
         // Nothing is released: the fleet is fixed.
         let policy = Policy {
-            idle: 1e6,
-            idle_spot: 1e6,
+            on_demand_idle_multiple: 1e6,
+            spot_idle_multiple: 1e6,
             ..lemonweir_policy::embedded().expect("policy")
         };
         let mut owner = Owner::new(
@@ -363,7 +363,7 @@
             shard as u16,
             ShardLeader {
                 host: format!("h{shard}"),
-                token,
+                fencing_token: token,
             },
         );
         self.put(KeyValue {
@@ -387,7 +387,7 @@
             .range(format!("run/{shard}/")..)
             .take_while(|(k, _)| k.starts_with(&format!("run/{shard}/")))
         {
-            let (id, chunk) = parse_run_key(key).expect("a key");
+            let (id, chunk) = parse_task_chunk_key(key).expect("a key");
             placer.load_chunk(
                 &id,
                 chunk,
@@ -450,7 +450,7 @@
                 Write::Delete { key } => drop(self.store.remove(key)),
             }
             let (Write::Put { key, .. } | Write::Delete { key }) = w;
-            if let Some((id, _)) = parse_run_key(key) {
+            if let Some((id, _)) = parse_task_chunk_key(key) {
                 *self.chunk_writes.entry(id).or_default() += 1;
             }
         }
@@ -461,13 +461,13 @@
             .range("run/".to_owned()..)
             .take_while(|(k, _)| k.starts_with("run/"))
         {
-            let (id, _) = parse_run_key(key).expect("a key");
+            let (id, _) = parse_task_chunk_key(key).expect("a key");
             let record: TaskChunkRecord = from_value(&e.value).expect("a chunk");
             let step = record.gang.as_ref().map(|g| g.step);
             steps
                 .entry(id)
                 .or_default()
-                .extend(record.live.iter().map(|l| (l.a, step)));
+                .extend(record.live_attempts.iter().map(|l| (l.attempt, step)));
         }
         for (id, members) in steps {
             let first = members.first().map_or(0, |m| m.0);
@@ -519,7 +519,9 @@
         let reread: Vec<(JobId, u32, u64)> = match &outcome {
             CompareAndSwapOutcome::Conflict(keys) => keys
                 .iter()
-                .filter_map(|k| parse_run_key(k).map(|(id, chunk)| (id, chunk, self.version(k))))
+                .filter_map(|k| {
+                    parse_task_chunk_key(k).map(|(id, chunk)| (id, chunk, self.version(k)))
+                })
                 .collect(),
             _ => Vec::new(),
         };
@@ -571,7 +573,7 @@
     }
 
     fn deliver(&mut self, to: usize, sync: &SyncRequest, answered: bool) {
-        let from = usize::from(sync.from);
+        let from = usize::from(sync.from_shard);
         let Some((owner, _)) = self.shards[to].owner.as_mut() else {
             return;
         };
@@ -589,15 +591,15 @@
         let b = &mut self.workers[n];
         b.seq += 1;
         let tasks = b.tasks.iter().map(|(id, t)| TaskStatus {
-            piece: id.piece(),
+            task: id.task_name(),
             attempt: id.attempt,
             phase: t.phase,
-            cause: t.cause.map(str::to_owned),
-            saved: None,
+            exit_cause: t.cause.map(str::to_owned),
+            checkpointed: None,
         });
         Heartbeat {
-            session: b.session,
-            token: b.token,
+            incarnation: b.session,
+            fencing_token: b.token,
             tasks: tasks.collect(),
             ..report(n, b.seq)
         }
@@ -605,15 +607,15 @@
 
     fn execute(&mut self, n: usize, orders: &[Command]) {
         for o in orders {
-            let id = AttemptId::parse(&o.piece, o.attempt).expect("a task");
-            match o.verb {
-                CommandKind::Launch if self.workers[n].tasks.contains_key(&id) => {}
-                CommandKind::Launch => {
+            let id = AttemptId::parse(&o.task, o.attempt).expect("a task");
+            match o.kind {
+                CommandKind::Start if self.workers[n].tasks.contains_key(&id) => {}
+                CommandKind::Start => {
                     self.launches += 1;
                     let gang = self
                         .jobs
                         .iter()
-                        .any(|(_, s)| s.id == id.job && s.shape == JobKind::Gang && s.tasks > 1);
+                        .any(|(_, s)| s.id == id.job && s.kind == JobKind::Gang && s.tasks > 1);
                     assert!(
                         !gang || self.admitted.contains(&(id.job.clone(), id.attempt)),
                         "{id} is launched and not admitted"
@@ -627,23 +629,23 @@
                     self.workers[n].tasks.insert(
                         id,
                         Task {
-                            phase: TaskPhase::Fetching,
+                            phase: TaskPhase::PullingImage,
                             cause: None,
                             since: self.now,
                         },
                     );
                 }
                 // It saves for a while.
-                CommandKind::Kill if o.grace_s.is_some_and(|s| s > 0) => {
+                CommandKind::Stop if o.grace_s.is_some_and(|s| s > 0) => {
                     if let Some(t) = self.workers[n]
                         .tasks
                         .get_mut(&id)
                         .filter(|t| t.phase == TaskPhase::Running)
                     {
-                        (t.phase, t.since) = (TaskPhase::Saving, self.now);
+                        (t.phase, t.since) = (TaskPhase::Checkpointing, self.now);
                     }
                 }
-                CommandKind::Kill => self.exit(n, &id, "stopped"),
+                CommandKind::Stop => self.exit(n, &id, "stopped"),
                 CommandKind::Forget => drop(self.workers[n].tasks.remove(&id)),
             }
         }
@@ -667,7 +669,7 @@
             let gang = self
                 .jobs
                 .iter()
-                .any(|(_, s)| s.id == id.job && s.shape == JobKind::Gang);
+                .any(|(_, s)| s.id == id.job && s.kind == JobKind::Gang);
             if gang && t.phase != TaskPhase::Exited {
                 let first = *attempts.entry(&id.job).or_insert(id.attempt);
                 assert_eq!(first, id.attempt, "{}: members of two attempts", id.job);
@@ -685,12 +687,12 @@
             return;
         };
         if self.fault_odds > 0 && self.random.one_in(self.fault_odds)
-            || reply.token < self.workers[n].token
+            || reply.fencing_token < self.workers[n].token
         {
             return;
         }
-        (self.workers[n].token, self.workers[n].last_answer_at) = (reply.token, self.now);
-        self.execute(n, &reply.orders);
+        (self.workers[n].token, self.workers[n].last_answer_at) = (reply.fencing_token, self.now);
+        self.execute(n, &reply.commands);
     }
 
     fn send_commands(&mut self, shard: usize) {
@@ -722,11 +724,11 @@
             .find(|n| machine(*n) == call.machine)
             .expect("a machine");
         let b = &mut self.workers[n];
-        if call.commands.token < b.token || call.commands.session != b.session {
+        if call.commands.fencing_token < b.token || call.commands.incarnation != b.session {
             return CommandResult::Refused(self.heartbeat_of(n));
         }
-        b.token = call.commands.token;
-        self.execute(n, &call.commands.orders);
+        b.token = call.commands.fencing_token;
+        self.execute(n, &call.commands.commands);
         CommandResult::Executed(self.heartbeat_of(n))
     }
 
@@ -738,7 +740,10 @@
             let group = there
                 .entry((id.job.clone(), id.attempt))
                 .or_insert((0, true));
-            group.0 += usize::from(matches!(t.phase, TaskPhase::Gathering | TaskPhase::Running));
+            group.0 += usize::from(matches!(
+                t.phase,
+                TaskPhase::AwaitingGang | TaskPhase::Running
+            ));
             group.1 &= t.phase != TaskPhase::Exited || t.cause == Some("done");
         }
         let tasks_of = |id: &JobId| {
@@ -747,7 +752,7 @@
                 .find(|(_, s)| s.id == *id)
                 .map_or(
                     1,
-                    |(_, s)| if s.shape == JobKind::Gang { s.tasks } else { 1 },
+                    |(_, s)| if s.kind == JobKind::Gang { s.tasks } else { 1 },
                 )
         };
         let needed: HashMap<JobId, u64> = there
@@ -760,16 +765,16 @@
                 let whole = count as u64 >= needed[&id.job];
                 let gang = needed[&id.job] > 1;
                 match t.phase {
-                    TaskPhase::Fetching if now >= t.since + 600 => {
-                        (t.phase, t.since) = (TaskPhase::Gathering, now)
+                    TaskPhase::PullingImage if now >= t.since + 600 => {
+                        (t.phase, t.since) = (TaskPhase::AwaitingGang, now)
                     }
-                    TaskPhase::Gathering if whole || !gang => {
+                    TaskPhase::AwaitingGang if whole || !gang => {
                         (t.phase, t.since) = (TaskPhase::Running, now)
                     }
-                    TaskPhase::Gathering if now >= t.since + GANG_WAIT_MS => {
+                    TaskPhase::AwaitingGang if now >= t.since + GANG_WAIT_MS => {
                         (t.phase, t.cause) = (TaskPhase::Exited, Some("alone"))
                     }
-                    TaskPhase::Saving if now >= t.since + 2_000 => {
+                    TaskPhase::Checkpointing if now >= t.since + 2_000 => {
                         (t.phase, t.cause) = (TaskPhase::Exited, Some("stopped"))
                     }
                     TaskPhase::Running if gang && !(whole && sound) => {
@@ -872,9 +877,9 @@
 fn gang(n: u32, tasks: u64, gpus: f64) -> JobSpec {
     JobSpec {
         id: JobId::from(format!("req-{n:06}").as_str()),
-        shape: JobKind::Gang,
+        kind: JobKind::Gang,
         gpus,
-        cores: gpus * 4.0,
+        cpus: gpus * 4.0,
         ..array(tasks)
     }
 }
@@ -950,7 +955,7 @@
 fn step_of(cluster: &Cluster) -> Option<(GangAdmissionStep, usize)> {
     let chunk: TaskChunkRecord =
         from_value(&cluster.store.get("run/0/req-000001/0")?.value).expect("a chunk");
-    chunk.gang.map(|g| (g.step, chunk.live.len()))
+    chunk.gang.map(|g| (g.step, chunk.live_attempts.len()))
 }
 
 /// A gang of 8 whole machines on three shards, brought to where its first step is
@@ -993,7 +998,7 @@
     };
     let array = written(JobSpec {
         gpus: 4.0,
-        cores: 16.0,
+        cpus: 16.0,
         ..array(8)
     });
     assert_eq!(written(gang(1, 8, 4.0)), array + 1);
@@ -1130,7 +1135,7 @@
             placer
                 .machines()
                 .filter(there)
-                .all(|m| m.free.gpus == 4_000),
+                .all(|m| m.free.milli_gpus == 4_000),
             "shard {shard}"
         );
     }
@@ -1146,10 +1151,10 @@
     (0..30).for_each(|_| cluster.step());
     let low = JobSpec {
         id: JobId::from("req-000007"),
-        checkpoint_s: 60.0,
-        save_s: 2.0,
+        checkpoint_interval_s: 60.0,
+        checkpoint_duration_s: 2.0,
         gpus: 4.0,
-        cores: 16.0,
+        cpus: 16.0,
         ..array(5)
     };
     cluster.submit(1, low);
@@ -1168,7 +1173,7 @@
     cluster.submit(
         0,
         JobSpec {
-            rank: Priority::High,
+            priority: Priority::High,
             ..gang(1, 8, 4.0)
         },
     );
@@ -1180,13 +1185,17 @@
             .workers
             .iter()
             .flat_map(|b| b.tasks.values())
-            .filter(|t| t.phase == TaskPhase::Saving)
+            .filter(|t| t.phase == TaskPhase::Checkpointing)
             .count();
         most_leaving = most_leaving.max(leaving);
         cluster.step();
     }
     assert_eq!(most_leaving, 4);
-    let saving = |b: &Worker| b.tasks.values().any(|t| t.phase == TaskPhase::Saving);
+    let saving = |b: &Worker| {
+        b.tasks
+            .values()
+            .any(|t| t.phase == TaskPhase::Checkpointing)
+    };
     assert!(!cluster.workers.iter().any(saving));
     (0..200).for_each(|_| cluster.step());
     assert!(cluster.has_ended(&JobId::from(ONE)));
@@ -1210,12 +1219,15 @@
         .expect("there")
         .0
         .sync_request(1, token, ROOM, false, cluster.now);
-    assert!(late.wants.iter().all(|w| w.go) && !late.wants.is_empty());
+    assert!(late.desired.iter().all(|w| w.may_start) && !late.desired.is_empty());
     cluster.stop_placer(0, 600_000);
     let ended = cluster.now;
     let free = |cluster: &Cluster| {
         let (placer, _) = cluster.shards[2].placer.as_ref().expect("there");
-        placer.machines().filter(|m| m.free.gpus == 4_000).count()
+        placer
+            .machines()
+            .filter(|m| m.free.milli_gpus == 4_000)
+            .count()
     };
     let mut at = None;
     while at.is_none() {
@@ -1256,6 +1268,9 @@
             "{steps}"
         );
         let (placer, _) = cluster.shards[1].placer.as_ref().expect("there");
-        assert!(placer.machines().all(|m| m.free.gpus == 4_000), "{steps}");
+        assert!(
+            placer.machines().all(|m| m.free.milli_gpus == 4_000),
+            "{steps}"
+        );
     }
 }
--- a/crates/coordination/tests/links.rs
+++ b/crates/coordination/tests/links.rs
@@ -39,7 +39,7 @@
         lemonweir_policy::embedded().expect("policy"),
     );
     let leader = ShardRecord { host: "h0".into() };
-    core.cache.replace(
+    core.cache.load_snapshot(
         &[KeyValue {
             key: shard_key(0),
             value: to_value(&leader),
@@ -58,11 +58,11 @@
         .collect();
     AvailabilityGossip {
         version: LINKS_VERSION,
-        host,
-        store_ms,
-        cloud_ms: store_ms,
+        controller: host,
+        store_age_ms: store_ms,
+        cloud_age_ms: store_ms,
         peers: Vec::new(),
-        zones,
+        unreachable_zones: zones,
     }
 }
 
@@ -77,13 +77,13 @@
     numbers.into_iter().map(move |n| Heartbeat {
         machine: format!("n-{n:06}").as_str().into(),
         address: "10.1.0.1:9000".into(),
-        kind: "box".into(),
+        machine_type: "box".into(),
         zone: "north".into(),
         spot: false,
-        session: 1,
-        seq: 1,
-        token,
-        notice_s: None,
+        incarnation: 1,
+        sequence: 1,
+        fencing_token: token,
+        reclaim_notice_s: None,
         tasks: Vec::new(),
     })
 }
@@ -156,7 +156,7 @@
     );
     core.handle_heartbeat(
         &Heartbeat {
-            seq: 2,
+            sequence: 2,
             ..misrouted
         },
         1_100,
@@ -246,15 +246,15 @@
 fn controller_that_reaches_no_worker_acquires_no_shard() {
     use lemonweir_coordination::ShardLease;
     use lemonweir_coordination::election::{ElectionAction, LeaderElection};
-    use lemonweir_storage::records::{ControllerRecord, node_key};
+    use lemonweir_storage::records::{ControllerRecord, controller_key};
     let mut core = core();
     let present = |host: &str, deaf: Vec<u16>| KeyValue {
-        key: node_key(host),
+        key: controller_key(host),
         value: to_value(&ControllerRecord {
             zone: "north".into(),
-            format: PEER_VERSION,
-            deaf,
-            reads: 0,
+            peer_version: PEER_VERSION,
+            ceded_shards: deaf,
+            record_version: 0,
         }),
         version: 60,
     };
@@ -264,7 +264,7 @@
         value: to_value(&own),
         version,
     };
-    core.cache.replace(
+    core.cache.load_snapshot(
         &[
             present("h0", vec![0]),
             present("h1", Vec::new()),
@@ -312,7 +312,7 @@
         "another lives that may reach the workers"
     );
     // Nobody else could: then there is no use in waiting.
-    core.cache.replace(
+    core.cache.load_snapshot(
         &[
             present("h0", vec![0]),
             present("h1", Vec::new()),
@@ -334,7 +334,7 @@
             .rows(silent_at)
             .iter()
             .find(|r| r.to == "workers of north")
-            .map(|r| r.standing),
+            .map(|r| r.state),
         Some(LinkState::Unknown)
     );
 }
--- a/crates/coordination/tests/mass_failure_recovery.rs
+++ b/crates/coordination/tests/mass_failure_recovery.rs
@@ -37,8 +37,8 @@
                 &mut placer,
                 JobSpec {
                     id,
-                    shape: JobKind::Service,
-                    rank: Priority::Production,
+                    kind: JobKind::Service,
+                    priority: Priority::Production,
                     ..array(4)
                 },
                 10 + n as u64,
@@ -57,13 +57,13 @@
 
     /// All machines fail, with all that runs on them.
     fn fail_all_machines(&mut self) {
-        let all = self.placer.sync_request(0, TOKEN, ROOM, false, 0).wants;
+        let all = self.placer.sync_request(0, TOKEN, ROOM, false, 0).desired;
         for standing in [AttemptState::Running, AttemptState::Gone] {
             let attempts = all
                 .iter()
                 .map(|w| AttemptStatus {
                     id: w.id.clone(),
-                    standing,
+                    state: standing,
                 })
                 .collect();
             let gone = if standing == AttemptState::Gone {
@@ -74,7 +74,7 @@
             self.attempts_state += all.len() as u64;
             let full = |m: &MachineView| MachineView {
                 free: Resources::default(),
-                busy: 4,
+                task_count: 4,
                 ..m.clone()
             };
             let machines = self.machines.iter().map(full).collect();
@@ -93,7 +93,7 @@
         let view = shown(self.machine_count, 4);
         self.machines.push(view.clone());
         self.publish(vec![view], Vec::new(), Vec::new(), partitioned);
-        let wants = self.placer.sync_request(0, TOKEN, ROOM, false, 0).wants;
+        let wants = self.placer.sync_request(0, TOKEN, ROOM, false, 0).desired;
         let last = &self.machines[self.machines.len() - 1].id;
         wants
             .into_iter()
@@ -115,22 +115,22 @@
         let view = ShardView {
             version: lemonweir_model::constants::PEER_VERSION,
             shard: 0,
-            token: TOKEN,
+            fencing_token: TOKEN,
             seq,
             store_age_ms: 0,
-            wants_at: 0,
-            hidden: partitioned,
-            machines_span: ChangeRange {
+            desired_revision: 0,
+            partitioned_zones: partitioned,
+            machines_range: ChangeRange {
                 since,
-                upto: self.machines_state,
-                last: true,
+                until: self.machines_state,
+                complete: true,
             },
             machines,
-            gone,
-            attempts_span: ChangeRange {
+            removed_machines: gone,
+            attempts_range: ChangeRange {
                 since: 0,
-                upto: self.attempts_state,
-                last: true,
+                until: self.attempts_state,
+                complete: true,
             },
             attempts,
         };
@@ -201,8 +201,8 @@
     );
     cluster.add_machine(vec![PartitionedZone {
         zone: "north".into(),
-        for_ms: 12_400,
-        over_in_ms: 30_100,
+        partitioned_for_ms: 12_400,
+        presumed_lost_in_ms: 30_100,
     }]);
     let reason = cluster.placer.job_status(&id, 15_000).expect("known").2;
     assert_eq!(
--- a/crates/coordination/tests/nights.rs
+++ b/crates/coordination/tests/nights.rs
@@ -60,15 +60,15 @@
         self.state += 1;
         let span = ChangeRange {
             since,
-            upto: self.state,
-            last: true,
+            until: self.state,
+            complete: true,
         };
         // Nothing is given back for being empty.
         let keep = (0..self.reports.len()).map(machine).collect();
         let message = lemonweir_protocol::peer::SyncRequest {
-            dropped,
-            rented,
-            keep,
+            withdrawn: dropped,
+            provisioned: rented,
+            reserved_machines: keep,
             ..sync(self.seq, span, wants, self.have)
         };
         let view = self.owner.sync(&message, ROOM, self.now).expect("taken");
@@ -86,7 +86,7 @@
             .iter()
             .find(|v| v.id == machine(n))
             .expect("told")
-            .open
+            .schedulable
     }
 
     fn pass(&mut self, ms: u64) {
@@ -106,14 +106,14 @@
         self.reports[n] += 1;
         let said = Heartbeat {
             tasks,
-            token: self.tokens[n],
+            fencing_token: self.tokens[n],
             ..report(n, self.reports[n])
         };
         self.tokens[n] = self
             .owner
             .handle_heartbeat(&said, None, self.now)
             .expect("answered")
-            .token;
+            .fencing_token;
     }
 
     /// A job's task on a machine ends so, or is refused there.
@@ -134,14 +134,14 @@
         let accepted = view
             .attempts
             .iter()
-            .any(|a| a.id == id && !a.standing.ended());
+            .any(|a| a.id == id && !a.state.is_terminal());
         if accepted {
             let seen = |phase, cause: Option<&str>| TaskStatus {
-                piece: id.piece(),
+                task: id.task_name(),
                 attempt: id.attempt,
                 phase,
-                cause: cause.map(str::to_owned),
-                saved: None,
+                exit_cause: cause.map(str::to_owned),
+                checkpointed: None,
             };
             drop(self.owner.due_calls(self.now, ROOM));
             self.report(n, vec![seen(TaskPhase::Running, None)]);
@@ -199,7 +199,11 @@
         Vec::new(),
         Vec::new(),
     );
-    let taken = view.attempts.iter().filter(|a| !a.standing.ended()).count();
+    let taken = view
+        .attempts
+        .iter()
+        .filter(|a| !a.state.is_terminal())
+        .count();
     assert_eq!((view.attempts.len(), taken), (3, 1));
     shard.sync(Vec::new(), (3..6).map(id).collect(), Vec::new());
     shard.report(0, Vec::new());
@@ -217,7 +221,7 @@
     let late: Vec<usize> = (100..124).collect();
     let rented = |n: &usize| ProvisionedInstance {
         machine: machine(*n),
-        kind: "box".into(),
+        machine_type: "box".into(),
         zone: "north".into(),
         spot: false,
         age_ms: 0,
@@ -270,7 +274,7 @@
     assert!(shard.open(1) && shard.run(1, 1, "done"));
     let announced = ProvisionedInstance {
         machine: machine(1),
-        kind: "box".into(),
+        machine_type: "box".into(),
         zone: "north".into(),
         spot: false,
         age_ms: 1_500,
@@ -309,9 +313,9 @@
     let job = spec.id.clone();
     let record = JobRecord {
         spec,
-        at: 1,
-        withdrawn,
-        awaited: 0,
+        submitted_at_ms: 1,
+        cancel_requested: withdrawn,
+        dependency_count: 0,
     };
     let shard = ShardRecord { host: "h0".into() };
     let job_entry = KeyValue {
@@ -319,7 +323,7 @@
         value: to_value(&record),
         version: 41,
     };
-    core.cache.replace(
+    core.cache.load_snapshot(
         &[
             job_entry,
             KeyValue {
@@ -374,7 +378,7 @@
         core.job_status(&JobId::from("req-999999"), 1_100),
         JobStatusAnswer::Unknown
     );
-    core.cache.apply(&[removed(&job)], 51, 2_000);
+    core.cache.apply_changes(&[removed(&job)], 51, 2_000);
     core.cache_refreshed(1_990, true);
     // Nobody asked to cancel it: it can only be done.
     assert_eq!(
@@ -390,7 +394,7 @@
         JobStatusAnswer::Finished(JobPhase::Done)
     );
     // Learned again later, it is published as before.
-    core.cache.settle(&job, JobPhase::Done, 1, 9_000);
+    core.cache.record_end(&job, JobPhase::Done, 1, 9_000);
     assert_eq!(
         core.job_status(&job, 9_001),
         JobStatusAnswer::Finished(JobPhase::Done)
@@ -402,7 +406,7 @@
 #[test]
 fn final_state_of_a_job_under_cancellation_is_read() {
     let (mut core, job) = core(true);
-    core.cache.apply(&[removed(&job)], 51, 2_000);
+    core.cache.apply_changes(&[removed(&job)], 51, 2_000);
     core.cache_refreshed(1_990, true);
     assert_eq!(core.job_status(&job, 60_000), JobStatusAnswer::Unknown);
 }
--- a/crates/coordination/tests/placement.rs
+++ b/crates/coordination/tests/placement.rs
@@ -13,9 +13,9 @@
 
 fn resources() -> impl Strategy<Value = Resources> {
     (0..9u64, 0..3u64, 0..5u64).prop_map(|(c, g, m)| Resources {
-        cpus: c * 500,
-        gpus: g * 1000,
-        memory: m * 4000,
+        milli_cpus: c * 500,
+        milli_gpus: g * 1000,
+        memory_mb: m * 4000,
     })
 }
 
@@ -42,25 +42,25 @@
                 images,
             )| MachineView {
                 id: machine_id(n),
-                kind: MACHINE_TYPES[machine_type].into(),
+                machine_type: MACHINE_TYPES[machine_type].into(),
                 zone: ZONES[zone].into(),
                 spot,
-                up,
-                open,
-                leaving: false,
+                registered: up,
+                schedulable: open,
+                draining: false,
                 free,
-                soft: [preemptible, preemptible, Resources::default()],
-                soft_over: [preemptible; 3],
-                busy,
-                lasting,
-                coming: IMAGES
+                preemptible: [preemptible, preemptible, Resources::default()],
+                preemptible_or_over_quota: [preemptible; 3],
+                task_count: busy,
+                service_task_count: lasting,
+                pulling_images: IMAGES
                     .iter()
                     .filter(|i| !images.contains(i))
                     .take(usize::from(busy) % 2)
                     .map(|i| (*i).to_owned())
                     .collect(),
-                images: images.into_iter().map(str::to_owned).collect(),
-                renter: None,
+                cached_images: images.into_iter().map(str::to_owned).collect(),
+                provisioned_by: None,
             },
         )
 }
@@ -136,12 +136,13 @@
     }
 
     fn is_eligible(&self, m: &MachineView) -> bool {
-        m.up && m.open
+        m.registered
+            && m.schedulable
             && (self.spot_allowed || !m.spot)
             && self
                 .machine_types
                 .as_ref()
-                .is_none_or(|t| t.contains(&m.kind))
+                .is_none_or(|t| t.contains(&m.machine_type))
             && self
                 .zones
                 .as_ref()
@@ -161,12 +162,12 @@
     #[test]
     fn preemptive_fit_suffices(machines in machines(), case in request_case(), over_quota in any::<bool>(), image_required in any::<bool>()) {
         let (scope, image) = (
-            if over_quota { PreemptionScope::LowerAndOver } else { PreemptionScope::Lower },
+            if over_quota { PreemptionScope::LowerPriorityOrOverQuota } else { PreemptionScope::LowerPriority },
             if image_required { ImageRequirement::Cached } else { ImageRequirement::Optional },
         );
         let suffices = |m: &MachineView| {
-            let preemptible = if over_quota { m.soft_over } else { m.soft };
-            let has_image = m.images.iter().any(|i| i == case.image);
+            let preemptible = if over_quota { m.preemptible_or_over_quota } else { m.preemptible };
+            let has_image = m.cached_images.iter().any(|i| i == case.image);
             case.is_eligible(m) && (!image_required || has_image) && m.free.plus(&preemptible[Priority::High.index()]).covers(&case.need)
         };
         match PlacementIndex::new(&machines).preemptive_fit(&case.request(), Priority::High, scope, image, None) {
--- a/crates/coordination/tests/sessions.rs
+++ b/crates/coordination/tests/sessions.rs
@@ -23,8 +23,8 @@
                         seq,
                         ChangeRange {
                             since,
-                            upto,
-                            last: true,
+                            until: upto,
+                            complete: true,
                         },
                         wants,
                         ObservedState::default(),
@@ -41,8 +41,8 @@
     let call = owner.due_calls(14_500, 1).pop().expect("a call");
     let base = TOKEN << FENCE_BITS;
     let second = |seq, tasks| Heartbeat {
-        session: 2,
-        token: base,
+        incarnation: 2,
+        fencing_token: base,
         tasks,
         ..report(0, seq)
     };
@@ -51,7 +51,7 @@
         .due_calls(16_000, 1)
         .pop()
         .expect("a call in the new session");
-    assert_eq!(call.commands.session, 2);
+    assert_eq!(call.commands.incarnation, 2);
     owner.handle_call_result(
         &call,
         CommandResult::Executed(second(6, vec![running_task(0)])),
@@ -60,7 +60,7 @@
     for now in (16_100..28_000).step_by(100) {
         owner.tick(now, now);
         let view = sync_placer(&mut owner, now, 1, 1, Vec::new(), now);
-        let ended = view.attempts.iter().find(|a| a.standing.ended());
+        let ended = view.attempts.iter().find(|a| a.state.is_terminal());
         assert!(
             ended.is_none(),
             "{now} ms: {ended:?}, and its lease runs until 28 s"
@@ -71,7 +71,7 @@
     }
     let view = sync_placer(&mut owner, 40_000, 1, 1, Vec::new(), 32_000);
     assert!(
-        view.attempts.iter().any(|a| a.standing.ended()),
+        view.attempts.iter().any(|a| a.state.is_terminal()),
         "and no longer: {:?}",
         view.attempts
     );
--- a/crates/coordination/tests/starts.rs
+++ b/crates/coordination/tests/starts.rs
@@ -23,7 +23,7 @@
 fn launches(orders: &[Command]) -> usize {
     orders
         .iter()
-        .filter(|order| order.verb == CommandKind::Launch)
+        .filter(|order| order.kind == CommandKind::Start)
         .count()
 }
 
@@ -35,7 +35,7 @@
         .collect();
     let orders = |effect: &Effect| {
         if let Effect::Command(_, call) = effect {
-            launches(&call.commands.orders)
+            launches(&call.commands.commands)
         } else {
             0
         }
@@ -57,9 +57,9 @@
     };
     let record = JobRecord {
         spec: spec.clone(),
-        at: 1,
-        withdrawn: false,
-        awaited: 0,
+        submitted_at_ms: 1,
+        cancel_requested: false,
+        dependency_count: 0,
     };
     let holder = KeyValue {
         key: shard_key(0),
@@ -71,11 +71,11 @@
         value: to_value(&record),
         version: 46,
     };
-    core.cache.replace(&[job, holder], 100);
+    core.cache.load_snapshot(&[job, holder], 100);
     core.cache_refreshed(10, true);
     core.acquire(LEASE, &[], Vec::new(), 10);
     let first = report(own_machine(&core), 1);
-    let token = heartbeat_response(&mut core, &first, 20).token;
+    let token = heartbeat_response(&mut core, &first, 20).fencing_token;
     core.cache_refreshed(now, false);
     (core, token)
 }
@@ -108,11 +108,11 @@
             core.cas_completed(LEASE, CompareAndSwapOutcome::Committed(200), at);
         }
         let next = Heartbeat {
-            token,
+            fencing_token: token,
             ..report(own_machine(core), seq)
         };
         let reply = heartbeat_response(core, &next, now);
-        (token, answered) = (reply.token, launches(&reply.orders));
+        (token, answered) = (reply.fencing_token, launches(&reply.commands));
     }
     assert!(written, "a start is written");
     answered
@@ -142,7 +142,7 @@
 /// while the store is busy with its new leader.
 #[test]
 fn lost_shard_rereads_no_records() {
-    let chunk = run_key(0, &array(1).id, 0);
+    let chunk = task_chunk_key(0, &array(1).id, 0);
     let job = job_key(&array(1).id);
     assert_eq!(
         keys_to_reread(LEASE, &[chunk.clone(), job.clone()]),
--- a/crates/coordination/tests/stops.rs
+++ b/crates/coordination/tests/stops.rs
@@ -14,8 +14,8 @@
     let mut owner = fleet(1);
     let on = |since, upto| ChangeRange {
         since,
-        upto,
-        last: true,
+        until: upto,
+        complete: true,
     };
     owner
         .sync(
@@ -34,7 +34,7 @@
         now,
     );
     let stop = DesiredAttempt {
-        kill: Some(0),
+        stop_grace_s: Some(0),
         ..want(0, 0)
     };
     owner
@@ -48,7 +48,7 @@
 }
 
 fn stops(reply: &HeartbeatResponse) -> bool {
-    reply.orders.iter().any(|o| o.verb == CommandKind::Kill)
+    reply.commands.iter().any(|o| o.kind == CommandKind::Stop)
 }
 
 /// Found on zone of zeltplatz-rechen-fleet with twice the machines: a process
@@ -132,7 +132,7 @@
                         seq += 2;
                     }
                     let token = if shows_token { TOKEN << FENCE_BITS } else { 0 };
-                    let said = Heartbeat { tasks: vec![running_task(0)], token, ..report(0, if late { seq - 1 } else { seq }) };
+                    let said = Heartbeat { tasks: vec![running_task(0)], fencing_token: token, ..report(0, if late { seq - 1 } else { seq }) };
                     if let Some(reply) = owner.handle_heartbeat(&said, None, now) {
                         answers += 1;
                         prop_assert!(stops(&reply), "{said:?}");
@@ -157,8 +157,8 @@
                 1,
                 ChangeRange {
                     since: 0,
-                    upto: 50,
-                    last: true,
+                    until: 50,
+                    complete: true,
                 },
                 wants,
                 ObservedState::default(),
--- a/crates/coordination/tests/supervision.rs
+++ b/crates/coordination/tests/supervision.rs
@@ -23,7 +23,7 @@
 use lemonweir_storage::failovers::{
     FailoverCompletion, FailoverRecord, LeadershipChange, failover_key, parse_failover_key,
 };
-use lemonweir_storage::records::{ShardRecord, shard_key, show_node};
+use lemonweir_storage::records::{ShardRecord, register_controller, shard_key};
 use rmpv::Value;
 
 const HOSTS: u16 = 3;
@@ -99,7 +99,7 @@
             "more writes than a compare-and-swap may hold"
         );
         let lease = |w: &Write| {
-            if let Write::Put { hold, .. } = w {
+            if let Write::Put { lease: hold, .. } = w {
                 *hold
             } else {
                 None
@@ -124,7 +124,11 @@
         for write in &cas.writes {
             self.record(write);
             match write {
-                Write::Put { key, value, hold } => {
+                Write::Put {
+                    key,
+                    value,
+                    lease: hold,
+                } => {
                     self.log
                         .push(set(key.clone(), value.clone(), self.revision));
                     self.keys
@@ -151,12 +155,12 @@
         };
         let (shard, slot) = parse_failover_key(rest).expect("a slot");
         let record: FailoverRecord = from_value(value).expect("a failover record");
-        assert_eq!(record.n % HANDOVERS_KEPT, slot);
+        assert_eq!(record.number % HANDOVERS_KEPT, slot);
         let before = self
             .keys
             .get(key)
             .and_then(|(v, _, _)| from_value::<FailoverRecord>(v));
-        let Some(closed) = &record.closed else {
+        let Some(closed) = &record.completion else {
             let at = LeaderChange {
                 shard,
                 revision: self.revision,
@@ -165,17 +169,17 @@
             return;
         };
         let before = before.expect("what is completed was open");
-        assert!(before.open(), "completed once: {before:?}");
+        assert!(before.is_open(), "completed once: {before:?}");
         assert_eq!(
             FailoverRecord {
-                closed: None,
+                completion: None,
                 ..record.clone()
             },
             before,
             "completion changes nothing else"
         );
         assert_eq!(
-            closed.token,
+            closed.fencing_token,
             Some(self.version(key)),
             "with the fencing token of the shard"
         );
@@ -259,7 +263,7 @@
     fn start(&mut self, h: usize) {
         self.leases_granted += 1;
         self.store.leases.push(self.leases_granted);
-        self.store.cas(&show_node(
+        self.store.cas(&register_controller(
             &format!("h{h}"),
             "north",
             self.leases_granted,
@@ -282,7 +286,7 @@
         let from = self.store.log.partition_point(|c| c.version <= after);
         p.core
             .cache
-            .apply(&self.store.log[from..], self.store.revision, self.now);
+            .apply_changes(&self.store.log[from..], self.store.revision, self.now);
         p.core.cache_refreshed(self.now, true);
     }
 
@@ -322,9 +326,9 @@
                 let p = self.processes[h].as_mut().expect("it acts");
                 if p.core
                     .cache
-                    .shards
+                    .shard_leaders
                     .get(&shard)
-                    .is_some_and(|leader| leader.token == revision)
+                    .is_some_and(|leader| leader.fencing_token == revision)
                 {
                     p.core.acquire(
                         ShardLease {
@@ -366,12 +370,12 @@
             let mut leader: Option<String> = None;
             for (i, OpenedRecord { record, .. }) in opened.enumerate() {
                 assert_eq!(
-                    record.n,
+                    record.number,
                     i as u64 + 1,
                     "seed {seed}: no number twice, and none left out"
                 );
-                assert_eq!(record.from, leader, "seed {seed}: {record:?}");
-                leader = record.to.clone().or(leader);
+                assert_eq!(record.previous_leader, leader, "seed {seed}: {record:?}");
+                leader = record.new_leader.clone().or(leader);
             }
         }
     }
@@ -441,7 +445,7 @@
                 .store
                 .opened
                 .iter()
-                .map(|o| o.record.n)
+                .map(|o| o.record.number)
                 .max()
                 .unwrap_or(0),
         );
@@ -457,13 +461,13 @@
 
 fn record(n: u64, to: Option<&str>, closed: Option<FailoverCompletion>) -> FailoverRecord {
     FailoverRecord {
-        n,
-        from: None,
-        to: to.map(str::to_owned),
-        how: LeadershipChange::Vacant,
-        at: n * 1_000,
+        number: n,
+        previous_leader: None,
+        new_leader: to.map(str::to_owned),
+        change: LeadershipChange::Vacant,
+        at_ms: n * 1_000,
         up: None,
-        closed,
+        completion: closed,
     }
 }
 
@@ -481,9 +485,9 @@
 #[test]
 fn a_full_ring_overwrites_its_oldest_record() {
     let mut cache = StateCache::default();
-    assert_eq!(cache.failovers.next(4), (1, 0));
+    assert_eq!(cache.failovers.next_slot(4), (1, 0));
     for n in 1..=HANDOVERS_KEPT {
-        cache.apply(
+        cache.apply_changes(
             &[set(
                 failover_key(4, n),
                 to_value(&record(n, Some("a"), None)),
@@ -497,10 +501,10 @@
         } else {
             (n + 1, 0)
         };
-        assert_eq!(cache.failovers.next(4), next);
+        assert_eq!(cache.failovers.next_slot(4), next);
     }
     let n = HANDOVERS_KEPT + 1;
-    cache.apply(
+    cache.apply_changes(
         &[set(
             failover_key(4, n),
             to_value(&record(n, Some("a"), None)),
@@ -509,9 +513,9 @@
         900,
         0,
     );
-    assert_eq!(cache.failovers.of(4).len() as u64, HANDOVERS_KEPT);
-    assert_eq!(cache.failovers.next(4), (n + 1, 102));
-    assert!(cache.failovers.again(4, 1).is_none(), "overwritten");
+    assert_eq!(cache.failovers.entries_of(4).len() as u64, HANDOVERS_KEPT);
+    assert_eq!(cache.failovers.next_slot(4), (n + 1, 102));
+    assert!(cache.failovers.rewrite(4, 1).is_none(), "overwritten");
 }
 
 /// Records that can't be decoded are skipped, and what they say is not believed.
@@ -519,7 +523,7 @@
 fn undecodable_records_are_skipped() {
     let mut cache = StateCache::default();
     let good = |n| to_value(&record(n, Some("a"), None));
-    cache.apply(
+    cache.apply_changes(
         &[
             set(failover_key(1, 1), good(1), 10),
             set(failover_key(1, 2), Value::from("what"), 11),
@@ -535,9 +539,9 @@
         20,
         0,
     );
-    assert_eq!(cache.failovers.of(1).len(), 1);
+    assert_eq!(cache.failovers.entries_of(1).len(), 1);
     assert_eq!(
-        cache.failovers.next(1),
+        cache.failovers.next_slot(1),
         (5, 0),
         "slots 2 to 4 are left to those who can decode them"
     );
@@ -545,8 +549,8 @@
     let odd: Vec<WatchEvent> = (0..HANDOVERS_KEPT)
         .map(|n| set(failover_key(1, n), Value::Nil, 30 + n))
         .collect();
-    cache.apply(&odd, 70, 0);
-    assert_eq!(cache.failovers.next(1), (1, 31));
+    cache.apply_changes(&odd, 70, 0);
+    assert_eq!(cache.failovers.next_slot(1), (1, 31));
     // A change of leaders of a later version is read, with fields that are not known here.
     let Value::Map(mut fields) = good(6) else {
         panic!("a map")
@@ -557,8 +561,11 @@
         .expect("how")
         .1 = "by_vote".into();
     fields.push(("votes".into(), 3.into()));
-    cache.apply(&[set(failover_key(1, 6), Value::Map(fields), 80)], 80, 0);
-    assert_eq!(cache.failovers.of(1)[0].0.how, LeadershipChange::Other);
+    cache.apply_changes(&[set(failover_key(1, 6), Value::Map(fields), 80)], 80, 0);
+    assert_eq!(
+        cache.failovers.entries_of(1)[0].0.change,
+        LeadershipChange::Other
+    );
 }
 
 /// A process that acquires a shard completes the records that leaders before it left open,
@@ -580,7 +587,7 @@
             version,
         ));
     }
-    core.cache.replace(&entries, 20);
+    core.cache.load_snapshot(&entries, 20);
     core.cache_refreshed(5_000, true);
     core.acquire(
         ShardLease {
@@ -625,19 +632,24 @@
             }
         })
         .collect();
-    let own = written[0].closed.as_ref().expect("completed");
+    let own = written[0].completion.as_ref().expect("completed");
     assert_eq!(
-        (written[0].n, own.whole_ms, own.first_start_ms, own.token),
+        (
+            written[0].number,
+            own.services_restored_ms,
+            own.first_start_ms,
+            own.fencing_token
+        ),
         (4, Some(1_000), None, Some(14))
     );
     assert!(own.unknown.iter().any(|u| u.starts_with("the first start")));
     for (n, abandoned) in written[1..].iter().enumerate() {
-        let closed = abandoned.closed.as_ref().expect("completed");
+        let closed = abandoned.completion.as_ref().expect("completed");
         assert_eq!(
             (
-                abandoned.n,
-                closed.held_ms,
-                closed.token,
+                abandoned.number,
+                closed.leadership_ms,
+                closed.fencing_token,
                 closed.unknown.len()
             ),
             (n as u64 + 1, Some(1_000), Some(11 + n as u64), 3)
@@ -648,8 +660,12 @@
     assert_eq!(completions(&mut core, due + COMPLETION_RETRY_MS).len(), 1);
     // Once the state cache shows it completed, it is not written again.
     for (record, version) in written.iter().zip(30..) {
-        core.cache.apply(
-            &[set(failover_key(0, record.n), to_value(record), version)],
+        core.cache.apply_changes(
+            &[set(
+                failover_key(0, record.number),
+                to_value(record),
+                version,
+            )],
             version,
             0,
         );
--- a/crates/coordination/tests/support/controllers.rs
+++ b/crates/coordination/tests/support/controllers.rs
@@ -161,8 +161,8 @@
 pub fn process(me: usize, now: u64) -> SimulatedController {
     // Nothing is given back for being empty.
     let policy = Policy {
-        idle: 1e6,
-        idle_spot: 1e6,
+        on_demand_idle_multiple: 1e6,
+        spot_idle_multiple: 1e6,
         ..lemonweir_policy::embedded().expect("policy")
     };
     let mut core = Core::new(Config::new(&settings(me)), policy);
@@ -272,7 +272,7 @@
     }
 
     pub fn apply(&mut self, cas: &CompareAndSwap) -> CompareAndSwapOutcome {
-        let lives = |w: &Write| !matches!(w, Write::Put { hold: Some(h), .. } if !self.leases.contains_key(h));
+        let lives = |w: &Write| !matches!(w, Write::Put { lease: Some(h), .. } if !self.leases.contains_key(h));
         if !cas.writes.iter().all(lives) {
             return CompareAndSwapOutcome::Indeterminate;
         }
@@ -288,7 +288,11 @@
         self.revision += 1;
         for w in &cas.writes {
             match w {
-                Write::Put { key, value, hold } => {
+                Write::Put {
+                    key,
+                    value,
+                    lease: hold,
+                } => {
                     self.set(key, value.clone());
                     match hold {
                         Some(hold) => drop(self.leased_keys.insert(key.clone(), *hold)),
@@ -397,7 +401,7 @@
                     .take_while(|(k, _)| k.starts_with("w/"))
                     .map(|(_, e)| e.clone())
                     .collect();
-                core.cache.replace(&entries, revision);
+                core.cache.load_snapshot(&entries, revision);
                 true
             }
             Some(after) => {
@@ -409,7 +413,7 @@
                             .is_some_and(|k| k.starts_with("w/"))
                 };
                 let changes: Vec<WatchEvent> = self.changes.iter().filter(of).cloned().collect();
-                core.cache.apply(&changes, revision, now);
+                core.cache.apply_changes(&changes, revision, now);
                 !changes.is_empty()
             }
         };
@@ -474,19 +478,24 @@
             core, membership, ..
         } = &self.nodes[node];
         if let Some(left) = membership.unpublished_ceded(core, now) {
-            self.apply(&show_node(&format!("h{node}"), "north", hold, left));
+            self.apply(&register_controller(
+                &format!("h{node}"),
+                "north",
+                hold,
+                left,
+            ));
             self.read(node);
         }
     }
 
     pub fn acquire(&mut self, node: usize, lease: ShardLease) {
-        let prefix = run_prefix(lease.shard);
+        let prefix = task_chunks_prefix(lease.shard);
         let chunks: Vec<(JobId, u32, TaskChunkRecord, u64)> = self
             .store
             .range(prefix.clone()..)
             .take_while(|(k, _)| k.starts_with(&prefix))
             .map(|(k, e)| {
-                let (id, chunk) = parse_run_key(k).expect("a key");
+                let (id, chunk) = parse_task_chunk_key(k).expect("a key");
                 (id, chunk, from_value(&e.value).expect("a chunk"), e.version)
             })
             .collect();
@@ -495,9 +504,9 @@
         let core = &mut self.nodes[node].core;
         if core
             .cache
-            .shards
+            .shard_leaders
             .get(&lease.shard)
-            .is_some_and(|h| h.token == lease.token)
+            .is_some_and(|h| h.fencing_token == lease.token)
         {
             core.acquire(lease, &chunks, Vec::new(), now);
         }
@@ -511,7 +520,7 @@
     }
 
     pub fn holder(&self, node: usize, shard: u16) -> Option<usize> {
-        let host = &self.nodes[node].core.cache.shards.get(&shard)?.host;
+        let host = &self.nodes[node].core.cache.shard_leaders.get(&shard)?.host;
         host[1..].parse().ok()
     }
 
@@ -523,7 +532,7 @@
                 if let CompareAndSwapOutcome::Conflict(keys) = &outcome {
                     for key in keys_to_reread(lease, keys) {
                         let (version, (job, chunk)) =
-                            (self.version(key), parse_run_key(key).expect("a key"));
+                            (self.version(key), parse_task_chunk_key(key).expect("a key"));
                         self.nodes[node]
                             .core
                             .chunk_reread(lease, &job, chunk, version);
@@ -540,7 +549,10 @@
                 for id in &ids {
                     if let Some(phase) = self.end(id).filter(|_| self.reaches_store(node)) {
                         let version = self.version(&end_key(id));
-                        self.nodes[node].core.cache.settle(id, phase, version, now);
+                        self.nodes[node]
+                            .core
+                            .cache
+                            .record_end(id, phase, version, now);
                     }
                 }
                 self.nodes[node].core.final_states_read(&ids, now);
@@ -555,18 +567,28 @@
             Effect::StoreSync(sync) => {
                 let line = StoreMessageRoute {
                     kind: StoreMessageKind::Sync,
-                    from: sync.from,
-                    to: sync.to,
+                    from_shard: sync.from_shard,
+                    to_shard: sync.to_shard,
                 };
-                self.mail(node, line, (sync.from_token, sync.seq), &peer::write(&sync));
+                self.mail(
+                    node,
+                    line,
+                    (sync.from_fencing_token, sync.seq),
+                    &peer::encode(&sync),
+                );
             }
             Effect::StoreView(to, view) => {
                 let line = StoreMessageRoute {
                     kind: StoreMessageKind::View,
-                    from: view.shard,
-                    to,
+                    from_shard: view.shard,
+                    to_shard: to,
                 };
-                self.mail(node, line, (view.token, view.seq), &peer::write(&view));
+                self.mail(
+                    node,
+                    line,
+                    (view.fencing_token, view.seq),
+                    &peer::encode(&view),
+                );
             }
             Effect::WakePeer(shard) => {
                 if let Some(to) = self
@@ -627,7 +649,7 @@
     pub fn sync(&mut self, node: usize, lease: ShardLease, sync: SyncRequest) {
         let now = self.now;
         let to = self
-            .holder(node, sync.to)
+            .holder(node, sync.to_shard)
             .filter(|to| !self.partitioned(node, *to));
         let view = match (to, self.draw_message_fault(), self.random.below(3)) {
             (None, ..) | (Some(_), true, 0) => None,
@@ -651,7 +673,7 @@
         };
         self.nodes[node]
             .core
-            .sync_completed(lease, sync.to, view, now);
+            .sync_completed(lease, sync.to_shard, view, now);
     }
 
     pub fn command(&mut self, node: usize, call: &CommandCall) -> CommandResult {
@@ -707,19 +729,19 @@
         let b = &mut self.machines[n];
         b.seq += 1;
         let tasks = b.tasks.iter().map(|(id, (_, cause))| TaskStatus {
-            piece: id.piece(),
+            task: id.task_name(),
             attempt: id.attempt,
             phase: if cause.is_some() {
                 TaskPhase::Exited
             } else {
                 TaskPhase::Running
             },
-            cause: cause.map(str::to_owned),
-            saved: None,
+            exit_cause: cause.map(str::to_owned),
+            checkpointed: None,
         });
         Heartbeat {
-            session: b.session,
-            token: b.token,
+            incarnation: b.session,
+            fencing_token: b.token,
             tasks: tasks.collect(),
             ..report(n, b.seq)
         }
@@ -727,10 +749,10 @@
 
     pub fn execute(&mut self, n: usize, orders: &[Command]) {
         for o in orders {
-            let id = AttemptId::parse(&o.piece, o.attempt).expect("a task");
-            match o.verb {
-                CommandKind::Launch if self.machines[n].tasks.contains_key(&id) => {}
-                CommandKind::Launch => {
+            let id = AttemptId::parse(&o.task, o.attempt).expect("a task");
+            match o.kind {
+                CommandKind::Start if self.machines[n].tasks.contains_key(&id) => {}
+                CommandKind::Start => {
                     let same = |b: &SimulatedMachine| {
                         b.tasks.iter().any(|(i, (_, c))| {
                             (&i.job, i.task) == (&id.job, id.task) && c.is_none()
@@ -745,7 +767,7 @@
                     self.machines[n].tasks.insert(id.clone(), (self.now, None));
                     self.check_end(&id.job);
                 }
-                CommandKind::Kill => drop(
+                CommandKind::Stop => drop(
                     self.machines[n]
                         .tasks
                         .get_mut(&id)
@@ -764,11 +786,11 @@
         if b.gone {
             return CommandResult::Unknown;
         }
-        if call.commands.token < b.token || call.commands.session != b.session {
+        if call.commands.fencing_token < b.token || call.commands.incarnation != b.session {
             return CommandResult::Refused(self.heartbeat_of(n));
         }
-        b.token = call.commands.token;
-        self.execute(n, &call.commands.orders);
+        b.token = call.commands.fencing_token;
+        self.execute(n, &call.commands.commands);
         CommandResult::Executed(self.heartbeat_of(n))
     }
 
@@ -787,9 +809,9 @@
         match answer {
             HeartbeatAnswer::Commands(reply) if !lost => {
                 b.next = now + 3_000;
-                if reply.token >= b.token {
-                    (b.token, b.answered) = (reply.token, now);
-                    self.execute(n, &reply.orders);
+                if reply.fencing_token >= b.token {
+                    (b.token, b.answered) = (reply.fencing_token, now);
+                    self.execute(n, &reply.commands);
                 }
             }
             HeartbeatAnswer::Redirect(host) if !lost => {
@@ -836,11 +858,11 @@
             ..array(TASKS)
         };
         let id = spec.id.clone();
-        self.apply(&accept_job(&JobRecord {
+        self.apply(&create_job(&JobRecord {
             spec,
-            at: 1_000_000 + self.now,
-            withdrawn: false,
-            awaited: 0,
+            submitted_at_ms: 1_000_000 + self.now,
+            cancel_requested: false,
+            dependency_count: 0,
         }));
         id
     }
@@ -891,12 +913,12 @@
             let Some(job) = core.cache.jobs.get(&id).cloned() else {
                 // Nobody here knows it: the end is read.
                 if let Some(phase) = self.end(&id) {
-                    self.nodes[at].core.cache.settle(&id, phase, 1, now);
+                    self.nodes[at].core.cache.record_end(&id, phase, 1, now);
                 }
                 continue;
             };
-            if !job.record.withdrawn {
-                self.transact(at, &withdraw_job(&job.record, job.version));
+            if !job.record.cancel_requested {
+                self.transact(at, &request_cancellation(&job.record, job.version));
             }
         }
     }
@@ -922,7 +944,7 @@
         if now.is_multiple_of(4_000) {
             let entry = |n| InstanceEntry {
                 id: machine(n),
-                kind: "box".into(),
+                machine_type: "box".into(),
                 zone: "north".into(),
                 spot: false,
                 phase: "running".into(),
--- a/crates/coordination/tests/worker_sessions.rs
+++ b/crates/coordination/tests/worker_sessions.rs
@@ -58,15 +58,15 @@
         self.state += 1;
         let span = ChangeRange {
             since: 0,
-            upto: self.state,
-            last: true,
+            until: self.state,
+            complete: true,
         };
         // Nothing is released for being empty.
         let keep = (0..self.numbers.len()).map(machine).collect();
         let message = SyncRequest {
-            keep,
-            strays: self.misrouted,
-            to_token: self.token,
+            reserved_machines: keep,
+            misrouted_heartbeats: self.misrouted,
+            to_fencing_token: self.token,
             ..sync(self.state, span, wants, ObservedState::default())
         };
         self.owner.sync(&message, ROOM, self.now).expect("taken")
@@ -80,7 +80,8 @@
     }
 
     fn open(&mut self, n: usize) -> bool {
-        self.view(n, Vec::new()).is_some_and(|m| m.up && m.open)
+        self.view(n, Vec::new())
+            .is_some_and(|m| m.registered && m.schedulable)
     }
 
     fn pass(&mut self, until: u64) {
@@ -92,7 +93,7 @@
     fn report(&mut self, n: usize, by: Option<u16>, reaches: bool, tasks: Vec<TaskStatus>) {
         self.numbers[n] += 1;
         let heartbeat = Heartbeat {
-            token: self.tokens[n],
+            fencing_token: self.tokens[n],
             tasks,
             ..report(n, self.numbers[n])
         };
@@ -101,7 +102,7 @@
             .handle_heartbeat(&heartbeat, by, self.now)
             .expect("answered");
         if reaches {
-            self.tokens[n] = self.tokens[n].max(reply.token);
+            self.tokens[n] = self.tokens[n].max(reply.fencing_token);
         }
     }
 
@@ -117,7 +118,7 @@
     view.attempts
         .iter()
         .find(|a| a.id == want(n, 0).id)
-        .map(|a| a.standing)
+        .map(|a| a.state)
 }
 
 #[test]
@@ -154,7 +155,7 @@
     shard.pass(8_050);
     shard.report(0, Some(1), false, vec![running_task(0)]);
     let stopped = DesiredAttempt {
-        kill: Some(0),
+        stop_grace_s: Some(0),
         ..want(0, 0)
     };
     shard.sync_placer(vec![stopped.clone()]);
@@ -162,15 +163,15 @@
         let Some(call) = shard.call() else { break };
         assert!(
             call.commands
-                .orders
+                .commands
                 .iter()
-                .all(|o| o.verb == CommandKind::Kill),
+                .all(|o| o.kind == CommandKind::Stop),
             "a withdrawal is told by call"
         );
-        shard.tokens[0] = shard.tokens[0].max(call.commands.token);
+        shard.tokens[0] = shard.tokens[0].max(call.commands.fencing_token);
         shard.numbers[0] += 1;
         let heartbeat = Heartbeat {
-            token: shard.tokens[0],
+            fencing_token: shard.tokens[0],
             ..report(0, shard.numbers[0])
         };
         shard.now += 20;
@@ -191,7 +192,7 @@
 fn accepted_attempt_on_an_unreachable_machine_ends_unlaunched() {
     let mut shard = ShardUnderTest::new(1);
     let member = DesiredAttempt {
-        go: false,
+        may_start: false,
         ..want(0, 0)
     };
     shard.sync_placer(vec![member.clone()]);
@@ -211,8 +212,11 @@
         attempt_state(&shard.sync_placer(vec![member.clone()]), 0),
         Some(AttemptState::Gone)
     );
-    shard.sync_placer(vec![DesiredAttempt { go: true, ..member }]);
-    assert!(shard.call().is_none_or(|c| c.commands.orders.is_empty()));
+    shard.sync_placer(vec![DesiredAttempt {
+        may_start: true,
+        ..member
+    }]);
+    assert!(shard.call().is_none_or(|c| c.commands.commands.is_empty()));
 }
 
 /// Forty of sixty: they come to other controllers, and the shard is not lost.
@@ -242,12 +246,12 @@
 fn old_copy_of_a_heartbeat_only_causes_a_query() {
     let exited = TaskStatus {
         phase: TaskPhase::Exited,
-        cause: Some("error".into()),
+        exit_cause: Some("error".into()),
         ..running_task(1)
     };
     let copy = Heartbeat {
-        token: BASE | 5,
-        notice_s: Some(20.0),
+        fencing_token: BASE | 5,
+        reclaim_notice_s: Some(20.0),
         tasks: vec![running_task(0), exited],
         ..report(0, 70)
     };
@@ -279,7 +283,10 @@
                 shard.owner.handle_heartbeat(&copy, Some(1), shard.now);
             }
             for call in shard.owner.due_calls(shard.now, 4) {
-                assert!(call.commands.orders.is_empty(), "a question has no orders");
+                assert!(
+                    call.commands.commands.is_empty(),
+                    "a question has no orders"
+                );
                 asked += 1;
                 shard
                     .owner
@@ -287,7 +294,7 @@
             }
             let view = shard.sync_placer(wants());
             assert!(
-                view.machines.iter().all(|m| !m.up && !m.leaving),
+                view.machines.iter().all(|m| !m.registered && !m.draining),
                 "{:?}",
                 view.machines
             );
@@ -295,7 +302,7 @@
             assert!(
                 view.attempts
                     .iter()
-                    .all(|a| a.standing == AttemptState::Gone && released.is_some()),
+                    .all(|a| a.state == AttemptState::Gone && released.is_some()),
                 "{:?}",
                 view.attempts
             );
@@ -326,7 +333,7 @@
     let mut heartbeat = Vec::new();
     let done = TaskStatus {
         phase: TaskPhase::Exited,
-        cause: Some("done".into()),
+        exit_cause: Some("done".into()),
         ..running_task(0)
     };
     for k in 0..40u64 {
@@ -339,7 +346,7 @@
         // Before its start it is not there.
         let tasks = if k < 5 { Vec::new() } else { tasks };
         heartbeat.push(Heartbeat {
-            token: shard.tokens[0],
+            fencing_token: shard.tokens[0],
             tasks: tasks.clone(),
             ..report(0, shard.numbers[0] + 1)
         });
@@ -355,7 +362,11 @@
     for &k in &order {
         shard.now += 10;
         shard.owner.handle_heartbeat(&heartbeat[k], None, shard.now);
-        assert!(shard.view(0, vec![want(0, 0)]).is_some_and(|m| m.open));
+        assert!(
+            shard
+                .view(0, vec![want(0, 0)])
+                .is_some_and(|m| m.schedulable)
+        );
         assert_eq!(
             attempt_state(&shard.sync_placer(vec![want(0, 0)]), 0),
             Some(AttemptState::Exited(ExitCause::Done))
@@ -396,8 +407,8 @@
         shard.numbers[0] = 80;
         shard.pass(3_000);
         let before = |seq| Heartbeat {
-            session,
-            token: BASE,
+            incarnation: session,
+            fencing_token: BASE,
             tasks: vec![running_task(0)],
             ..report(0, seq)
         };
@@ -417,13 +428,13 @@
             .owner
             .handle_heartbeat(&report_with(1, 0), None, shard.now)
             .expect("answered")
-            .token;
+            .fencing_token;
         shard.now += 500;
         let token = shard
             .owner
             .handle_heartbeat(&report_with(2, token), None, shard.now)
             .expect("answered")
-            .token;
+            .fencing_token;
         shard.now += 500;
         shard
             .owner
@@ -438,7 +449,7 @@
         assert!(
             shard
                 .view(0, vec![want(0, 0)])
-                .is_some_and(|m| m.up && m.open)
+                .is_some_and(|m| m.registered && m.schedulable)
         );
         // Its earlier incarnation sends another heartbeat.
         shard.owner.handle_heartbeat(&before(90), None, shard.now);
@@ -447,7 +458,7 @@
                 .sync_placer(vec![want(0, 0)])
                 .attempts
                 .iter()
-                .all(|a| a.standing == AttemptState::Gone)
+                .all(|a| a.state == AttemptState::Gone)
         );
         let next = DesiredAttempt {
             id: lemonweir_model::AttemptId {
@@ -458,14 +469,17 @@
         };
         shard.sync_placer(vec![next]);
         let call = shard.call().expect("a start");
-        assert_eq!((call.commands.session, call.commands.orders.len()), (1, 1));
-        assert!(call.commands.token > token - 1);
+        assert_eq!(
+            (call.commands.incarnation, call.commands.commands.len()),
+            (1, 1)
+        );
+        assert!(call.commands.fencing_token > token - 1);
     }
 }
 
 fn report_with(seq: u64, token: u64) -> Heartbeat {
     Heartbeat {
-        token,
+        fencing_token: token,
         ..report(0, seq)
     }
 }
@@ -479,22 +493,22 @@
     shard.numbers[0] = 50;
     shard.report(0, None, true, vec![running_task(0)]);
     shard.sync_placer(vec![DesiredAttempt {
-        kill: Some(0),
+        stop_grace_s: Some(0),
         ..want(0, 0)
     }]);
     let call = shard.call().expect("a stop");
     shard.owner.handle_call_result(
         &call,
-        CommandResult::Executed(report_with(1, call.commands.token)),
+        CommandResult::Executed(report_with(1, call.commands.fencing_token)),
         shard.now,
     );
     let question = shard
         .call()
         .expect("with a token that its earlier life can't have seen");
-    assert!(question.commands.token > call.commands.token);
+    assert!(question.commands.fencing_token > call.commands.fencing_token);
     shard.owner.handle_call_result(
         &question,
-        CommandResult::Executed(report_with(2, question.commands.token)),
+        CommandResult::Executed(report_with(2, question.commands.fencing_token)),
         shard.now,
     );
     assert_eq!(
@@ -518,7 +532,7 @@
     shard.owner.tick(5_200, 5_040);
     assert!(shard.call().is_none(), "so did this");
     shard.owner.tick(5_200, 5_100);
-    assert_eq!(shard.call().expect("at once").commands.orders.len(), 1);
+    assert_eq!(shard.call().expect("at once").commands.commands.len(), 1);
 }
 
 /// An unreachable machine is released while a call to it is in progress: its place among the
@@ -528,7 +542,7 @@
 fn released_unreachable_machine_frees_its_call_slot() {
     let mut shard = ShardUnderTest::new(2 * UNREACHABLE_CALLS_MAX);
     let stopped = |n: usize| DesiredAttempt {
-        kill: Some(0),
+        stop_grace_s: Some(0),
         ..want(n as u32, n)
     };
     let all: Vec<DesiredAttempt> = (0..2 * UNREACHABLE_CALLS_MAX).map(stopped).collect();
--- a/crates/node/src/cache_refresh.rs
+++ b/crates/node/src/cache_refresh.rs
@@ -71,7 +71,8 @@
         match node.kv_store.changes_since(FOLLOWED, revision).await {
             Ok(changes) => {
                 node.with_core(|core, now| {
-                    core.cache.apply(&changes.events, changes.revision, now);
+                    core.cache
+                        .apply_changes(&changes.events, changes.revision, now);
                 });
                 return Ok(if changes.events.is_empty() {
                     Refresh::Unchanged
@@ -93,6 +94,6 @@
     );
     // The pages may be of different moments: the changes since the first bring the copy
     // to one state.
-    node.with_core(|core, _| core.cache.replace(&listing.entries, listing.revision));
+    node.with_core(|core, _| core.cache.load_snapshot(&listing.entries, listing.revision));
     Ok(Refresh::Changed)
 }
--- a/crates/node/src/cloud.rs
+++ b/crates/node/src/cloud.rs
@@ -12,8 +12,7 @@
 use lemonweir_model::constants::{CLOUD_TIMEOUT_MS, LIST_EVERY_MS};
 use lemonweir_model::{Catalog, MachineId};
 use lemonweir_protocol::cloud::{
-    CatalogResponse, InstanceEntry, InstanceList, MachineNames, MalformedCloudEntry,
-    ProvisioningRequest,
+    CatalogResponse, CloudErrorBody, InstanceEntry, InstanceList, MachineNames, ProvisioningRequest,
 };
 use lemonweir_protocol::links::Service;
 use lemonweir_protocol::{decode, encode};
@@ -98,7 +97,7 @@
                     ProvisioningResult::Retry
                 }
             },
-            503 if decode::<MalformedCloudEntry>(&reply.body)
+            503 if decode::<CloudErrorBody>(&reply.body)
                 .is_ok_and(|fault| fault.error == "no capacity") =>
             {
                 ProvisioningResult::NoCapacity
@@ -150,8 +149,8 @@
                 return None;
             }
             let page: InstanceList = decode(&reply.body).ok()?;
-            let more = page.more;
-            let (entries, faults) = page.entries();
+            let more = page.truncated;
+            let (entries, faults) = page.into_entries();
             for fault in &faults {
                 warn!(fault, "instance list entry malformed");
             }
--- a/crates/node/src/effect_executor.rs
+++ b/crates/node/src/effect_executor.rs
@@ -26,7 +26,7 @@
 use lemonweir_protocol::worker::Heartbeat;
 use lemonweir_protocol::{decode, encode};
 use lemonweir_storage::records::{
-    StoreMessageKind, StoreMessageRoute, parse_run_key, post, shard_key,
+    StoreMessageKind, StoreMessageRoute, parse_task_chunk_key, post, shard_key,
 };
 use lemonweir_transport::CallError;
 
@@ -81,7 +81,7 @@
             );
             node.with_core(|core, _| {
                 for (key, version) in &versions {
-                    if let Some((job, chunk)) = parse_run_key(key) {
+                    if let Some((job, chunk)) = parse_task_chunk_key(key) {
                         core.chunk_reread(lease, &job, chunk, *version);
                     }
                 }
@@ -169,7 +169,7 @@
 
 /// Sends commands to a worker, and reports the result to the core.
 async fn send_command(node: &Node, lease: ShardLease, call: &CommandCall) {
-    debug!(machine = %call.machine, relay_peer = ?call.through, commands = ?call.commands.orders, "sending commands");
+    debug!(machine = %call.machine, relay_peer = ?call.through, commands = ?call.commands.commands, "sending commands");
     let body = encode(&call.commands);
     let response = match call.through {
         None => {
@@ -186,11 +186,11 @@
         Some(relay_peer) => {
             let request = RelayRequest {
                 version: LINKS_VERSION,
-                goal: RelayTarget::Worker(call.addr.to_string()),
+                target: RelayTarget::Worker(call.addr.to_string()),
                 method: "POST".to_owned(),
                 path: WORKER_COMMANDS_PATH.to_owned(),
                 body,
-                wait_ms: COMMAND_TIMEOUT_MS,
+                timeout_ms: COMMAND_TIMEOUT_MS,
             };
             node.router.send_relay_request(relay_peer, &request).await
         }
@@ -211,12 +211,12 @@
 /// Reconciles with the leader of a shard on another controller, directly.
 async fn sync_with_peer(node: &Node, lease: ShardLease, sync: &SyncRequest) {
     let view = send_sync_request(node, sync).await;
-    node.with_core(|core, now| core.sync_completed(lease, sync.to, view, now));
+    node.with_core(|core, now| core.sync_completed(lease, sync.to_shard, view, now));
 }
 
 /// Sends a sync request to the leader of its shard. `None`: no view came.
 async fn send_sync_request(node: &Node, sync: &SyncRequest) -> Option<ShardView> {
-    let host = leader_host(node, sync.to)?;
+    let host = leader_host(node, sync.to_shard)?;
     let address = node.peer_address(&host)?;
     let response = node
         .http
@@ -224,27 +224,27 @@
             address,
             "POST",
             peer_api::SYNC_PATH,
-            &peer::write(sync),
+            &peer::encode(sync),
             SYNC_TIMEOUT_MS,
         )
         .await
         .ok()?;
     if response.status == 409
-        && let Ok(by) = peer::read::<Superseded>(&response.body)
+        && let Ok(by) = peer::decode::<Superseded>(&response.body)
     {
         node.with_core(|core, now| core.handle_superseded(by, now));
         return None;
     }
     if response.status != 200 {
         debug!(
-            from_shard = sync.from,
-            to_shard = sync.to,
+            from_shard = sync.from_shard,
+            to_shard = sync.to_shard,
             status = response.status,
             "sync refused by peer"
         );
         return None;
     }
-    match peer::read::<ShardView>(&response.body) {
+    match peer::decode::<ShardView>(&response.body) {
         Ok(view) => Some(view),
         Err(fault) => {
             info!(%address, %fault, "response of peer malformed");
@@ -257,7 +257,7 @@
 fn leader_host(node: &Node, shard: u16) -> Option<String> {
     node.with_core(|core, _| {
         core.cache
-            .shards
+            .shard_leaders
             .get(&shard)
             .map(|leader| leader.host.clone())
     })
@@ -267,20 +267,32 @@
 async fn store_sync_request(node: &Node, sync: &SyncRequest) {
     let route = StoreMessageRoute {
         kind: StoreMessageKind::Sync,
-        from: sync.from,
-        to: sync.to,
+        from_shard: sync.from_shard,
+        to_shard: sync.to_shard,
     };
-    store_message(node, route, (sync.from_token, sync.seq), &peer::write(sync)).await;
+    store_message(
+        node,
+        route,
+        (sync.from_fencing_token, sync.seq),
+        &peer::encode(sync),
+    )
+    .await;
 }
 
 /// Answers a sync request by way of the store.
 async fn store_shard_view(node: &Node, to: u16, view: &ShardView) {
     let route = StoreMessageRoute {
         kind: StoreMessageKind::View,
-        from: view.shard,
-        to,
+        from_shard: view.shard,
+        to_shard: to,
     };
-    store_message(node, route, (view.token, view.seq), &peer::write(view)).await;
+    store_message(
+        node,
+        route,
+        (view.fencing_token, view.seq),
+        &peer::encode(view),
+    )
+    .await;
 }
 
 /// Writes a peer message to the store, in as many values as it takes. It is not repeated:
@@ -304,7 +316,7 @@
         return;
     }
     if let Err(fault) = node.kv_store.cas(&cas).await {
-        debug!(from_shard = route.from, to_shard = route.to, %fault, "peer message not stored");
+        debug!(from_shard = route.from_shard, to_shard = route.to_shard, %fault, "peer message not stored");
     }
 }
 
@@ -352,7 +364,7 @@
                 *address,
                 "POST",
                 GOSSIP_PATH,
-                &links::write(gossip),
+                &links::encode(gossip),
                 SYNC_TIMEOUT_MS,
             )
             .await
@@ -362,7 +374,7 @@
     let answered = response.is_some();
     let peer_gossip = response
         .filter(|response| response.status == 200)
-        .and_then(|response| links::read::<AvailabilityGossip>(&response.body).ok());
+        .and_then(|response| links::decode::<AvailabilityGossip>(&response.body).ok());
     node.with_core(|core, now| {
         core.links
             .gossip_completed(host, answered, peer_gossip, now)
--- a/crates/node/src/elections.rs
+++ b/crates/node/src/elections.rs
@@ -10,7 +10,7 @@
 use lemonweir_coordination::ShardLease;
 use lemonweir_coordination::election::{ElectionAction, LeaderElection};
 use lemonweir_model::constants::TICK_MS;
-use lemonweir_storage::records::{assign_teams, show_node};
+use lemonweir_storage::records::{assign_teams, register_controller};
 
 /// Publishes this controller's presence, and acquires and releases shards, for ever.
 pub(crate) async fn run_elections(node: Rc<Node>) {
@@ -117,7 +117,7 @@
 
 /// Publishes this controller, and the shards that it has left to others.
 async fn publish_presence(node: &Node, lease: StoreLeaseId, left: Vec<u16>) -> Result<(), KvError> {
-    let presence = show_node(
+    let presence = register_controller(
         &node.settings.host_name,
         &node.settings.zone,
         lease.get(),
--- a/crates/node/src/heartbeat_relay.rs
+++ b/crates/node/src/heartbeat_relay.rs
@@ -12,7 +12,7 @@
 use lemonweir_coordination::HeartbeatAnswer;
 use lemonweir_model::constants::{CARRY_REPORT_MS, GATHER_MS};
 use lemonweir_protocol::links::{
-    self, LINKS_VERSION, RELAY_HEARTBEATS_PATH, RelayedAnswers, RelayedHeartbeats,
+    self, LINKS_VERSION, RELAY_HEARTBEATS_PATH, RelayedHeartbeats, RelayedResponses,
 };
 use lemonweir_protocol::worker::{Heartbeat, Redirect};
 use lemonweir_protocol::{decode, encode};
@@ -117,10 +117,10 @@
         .into_iter()
         .map(|heartbeat| (heartbeat.body, heartbeat.reply_to))
         .unzip();
-    let message = links::write(&RelayedHeartbeats {
+    let message = links::encode(&RelayedHeartbeats {
         version: LINKS_VERSION,
-        by: node.with_core(|core, _| core.config.own_index),
-        reports,
+        relayed_by: node.with_core(|core, _| core.config.own_index),
+        heartbeats: reports,
     });
     let response = match node.router.peers.get(&leader) {
         Some(address) => {
@@ -138,8 +138,8 @@
     };
     node.with_core(|core, now| core.links.record_peer_call(leader, response.is_ok(), now));
     let Ok(response) = response else { return };
-    match links::read::<RelayedAnswers>(&response.body) {
-        Ok(RelayedAnswers { answers, .. }) if response.status == 200 => {
+    match links::decode::<RelayedResponses>(&response.body) {
+        Ok(RelayedResponses { answers, .. }) if response.status == 200 => {
             for (reply_to, answer) in reply_channels.iter().zip(answers) {
                 // Who waits may have given up.
                 let _ = reply_to.try_send(answer);
@@ -156,11 +156,11 @@
 /// Answers heartbeats that another controller relays here.
 pub(crate) fn handle_relayed_heartbeats(node: &Node, relayed: &RelayedHeartbeats) -> Reply {
     let answers = node.with_core(|core, now| {
-        let mut answers = Vec::with_capacity(relayed.reports.len());
-        for body in &relayed.reports {
+        let mut answers = Vec::with_capacity(relayed.heartbeats.len());
+        for body in &relayed.heartbeats {
             answers.push(match decode::<Heartbeat>(body) {
                 Ok(heartbeat) => {
-                    worker_reply(core.handle_relayed_heartbeat(&heartbeat, relayed.by, now))
+                    worker_reply(core.handle_relayed_heartbeat(&heartbeat, relayed.relayed_by, now))
                 }
                 Err(_) => (400, Vec::new()),
             });
@@ -170,7 +170,7 @@
     node.wake();
     Reply::new(
         200,
-        links::write(&RelayedAnswers {
+        links::encode(&RelayedResponses {
             version: LINKS_VERSION,
             answers,
         }),
--- a/crates/node/src/job_lookup.rs
+++ b/crates/node/src/job_lookup.rs
@@ -16,9 +16,9 @@
 use lemonweir_model::constants::{CONDITIONS_A_CHANGE, GATHER_MS, LOOKUPS_MOST, USER_TIMEOUT_MS};
 use lemonweir_protocol::kv_store::from_value;
 use lemonweir_protocol::users::JobPhase;
-use lemonweir_storage::dependencies::chain_key;
+use lemonweir_storage::dependencies::blocked_job_key;
 use lemonweir_storage::records::{
-    ABSENT_CONDITIONS, END_PREFIX, JobEndRecord, absent, end_key, job_key,
+    CONDITIONS_PER_ABSENT_JOB, END_PREFIX, JobEndRecord, absent, end_key, job_key,
 };
 use lemonweir_transport::within;
 
@@ -119,7 +119,7 @@
 async fn run_batches(node: &Rc<Node>) {
     sleep_ms(GATHER_MS).await;
     let max_cas_writes = node.with_core(|core, _| core.config.cas_max_changes);
-    let max_batch = (CONDITIONS_A_CHANGE * max_cas_writes / ABSENT_CONDITIONS).max(1);
+    let max_batch = (CONDITIONS_A_CHANGE * max_cas_writes / CONDITIONS_PER_ABSENT_JOB).max(1);
     loop {
         let batch = {
             let mut lookups = node.job_lookups.borrow_mut();
@@ -153,7 +153,7 @@
                 .await
                 .map(StoredJob::Ended)
                 .map_err(|_| LookupError::StoreUnavailable),
-            Ok(keys) if keys.contains(&job_key(&id)) || keys.contains(&chain_key(&id)) => {
+            Ok(keys) if keys.contains(&job_key(&id)) || keys.contains(&blocked_job_key(&id)) => {
                 Ok(StoredJob::Unfinished)
             }
             Ok(_) => Ok(StoredJob::NotFound),
@@ -190,7 +190,7 @@
             ) {
                 (Some(id), Some(record)) => {
                     core.cache
-                        .settle(&JobId::from(id), record.phase, entry.version, now);
+                        .record_end(&JobId::from(id), record.phase, entry.version, now);
                 }
                 _ => error!(key = entry.key, "job end record malformed"),
             }
@@ -200,5 +200,5 @@
 }
 
 fn cached_job_end(node: &Node, id: &JobId) -> Option<JobPhase> {
-    node.with_core(|core, _| core.cache.end(id).map(|end| end.phase))
+    node.with_core(|core, _| core.cache.job_end(id).map(|end| end.phase))
 }
--- a/crates/node/src/kv_client.rs
+++ b/crates/node/src/kv_client.rs
@@ -10,7 +10,7 @@
 use crate::router::{Router, ServiceCall};
 use lemonweir_coordination::rate_limit::RequestBudget;
 use lemonweir_model::constants::{BUDGET_PERCENT, STATE_TIMEOUT_MS};
-use lemonweir_model::settings::StateLimits;
+use lemonweir_model::settings::KvStoreLimits;
 use lemonweir_protocol::kv_store::{
     CompareAndSwap, CompareAndSwapResponse, KeyValue, LeaseRequest, LeaseResponse, ListResponse,
     WatchResponse,
@@ -86,15 +86,15 @@
 
 impl KvClient {
     /// A client that shares the store's limits with the other controllers.
-    pub(crate) fn new(router: Rc<Router>, limits: &StateLimits, controllers: usize) -> Self {
+    pub(crate) fn new(router: Rc<Router>, limits: &KvStoreLimits, controllers: usize) -> Self {
         let usable = |rate: f64| rate * BUDGET_PERCENT as f64 / 100.0;
-        let requests = RequestBudget::new(usable(limits.rps), controllers, 0);
+        let requests = RequestBudget::new(usable(limits.requests_per_s), controllers, 0);
         Self {
             router,
             requests: Rc::new(RefCell::new(requests)),
             writes: Rc::new(RateLimitShare::with_minimum(
-                usable(limits.write_rps),
-                usable(limits.least_write_rps()),
+                usable(limits.writes_per_s),
+                usable(limits.lowest_writes_per_s()),
                 controllers,
             )),
             started: Instant::now(),
@@ -215,7 +215,7 @@
             first_revision.get_or_insert(page.revision);
             let empty = page.entries.is_empty();
             entries.extend(page.entries);
-            if !page.more || empty {
+            if !page.truncated || empty {
                 return Ok(Listing {
                     entries,
                     revision: first_revision.unwrap_or_default(),
@@ -255,7 +255,7 @@
             return Err(KvError::Refused);
         }
         let granted: LeaseResponse = decode(&response.body).map_err(|_| KvError::Unknown)?;
-        NonZeroU64::new(granted.hold)
+        NonZeroU64::new(granted.lease)
             .map(StoreLeaseId)
             .ok_or(KvError::Refused)
     }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -129,7 +129,7 @@
     /// Address on which another controller takes its peers' messages.
     fn peer_address(&self, host: &str) -> Option<SocketAddr> {
         self.settings
-            .seeds
+            .seed_controllers
             .iter()
             .find(|seed| seed.host_name == host)
             .map(|seed| seed.address)
--- a/crates/node/src/peer_api.rs
+++ b/crates/node/src/peer_api.rs
@@ -93,22 +93,22 @@
             return Reply::empty(404);
         };
         match route {
-            PeerRoute::Sync => match peer::read::<SyncRequest>(&request.body) {
+            PeerRoute::Sync => match peer::decode::<SyncRequest>(&request.body) {
                 Ok(sync) => handle_sync(node, &sync),
                 Err(fault) => malformed(fault),
             },
-            PeerRoute::Gossip => match links::read::<AvailabilityGossip>(&request.body) {
+            PeerRoute::Gossip => match links::decode::<AvailabilityGossip>(&request.body) {
                 Ok(gossip) => {
                     let own = node.with_core(|core, now| core.links.handle_gossip(gossip, now));
-                    Reply::new(200, links::write(&own))
+                    Reply::new(200, links::encode(&own))
                 }
                 Err(fault) => malformed(fault),
             },
-            PeerRoute::RelayHeartbeats => match links::read::<RelayedHeartbeats>(&request.body) {
+            PeerRoute::RelayHeartbeats => match links::decode::<RelayedHeartbeats>(&request.body) {
                 Ok(relayed) => handle_relayed_heartbeats(node, &relayed),
                 Err(fault) => malformed(fault),
             },
-            PeerRoute::Relay => match links::read::<RelayRequest>(&request.body) {
+            PeerRoute::Relay => match links::decode::<RelayRequest>(&request.body) {
                 Ok(relay_request) => node.router.relay(&relay_request).await,
                 Err(fault) => malformed(fault),
             },
@@ -137,11 +137,11 @@
     let answer = node.with_core(|core, now| core.handle_sync(sync, now));
     node.wake();
     match answer {
-        Ok(view) => Reply::new(200, peer::write(&view)),
+        Ok(view) => Reply::new(200, peer::encode(&view)),
         Err(refusal) => {
-            debug!(from_shard = sync.from, to_shard = sync.to, %refusal, "sync refused");
+            debug!(from_shard = sync.from_shard, to_shard = sync.to_shard, %refusal, "sync refused");
             match refusal {
-                SyncError::Superseded(by) => Reply::new(409, peer::write(&by)),
+                SyncError::Superseded(by) => Reply::new(409, peer::encode(&by)),
                 _ => Reply::empty(409),
             }
         }
--- a/crates/node/src/public_api/cancel.rs
+++ b/crates/node/src/public_api/cancel.rs
@@ -95,7 +95,7 @@
 
 fn pending_cancellation(node: &Node, id: &JobId) -> PendingCancellation {
     node.with_core(|core, _| {
-        let Some(spec) = core.cache.spec(id) else {
+        let Some(spec) = core.cache.job_spec(id) else {
             return PendingCancellation::NotCached;
         };
         let team = spec.team.clone();
--- a/crates/node/src/public_api/job_status.rs
+++ b/crates/node/src/public_api/job_status.rs
@@ -81,7 +81,10 @@
                     // Guards against a record that this process can't read, which is asked
                     // for again and again: the job is there, and unfinished.
                     StoredJob::Unfinished if unreadable => {
-                        return Ok(Some(JobStatus::plain(id.clone(), JobPhase::Queued)));
+                        return Ok(Some(JobStatus::without_counts(
+                            id.clone(),
+                            JobPhase::Queued,
+                        )));
                     }
                     StoredJob::Unfinished => {
                         unreadable = true;
@@ -114,7 +117,7 @@
 /// The status, as users see it, of a job that the cache knows.
 fn status_of(id: &JobId, cached: JobStatusAnswer) -> Option<JobStatus> {
     match cached {
-        JobStatusAnswer::Finished(phase) => Some(JobStatus::plain(id.clone(), phase)),
+        JobStatusAnswer::Finished(phase) => Some(JobStatus::without_counts(id.clone(), phase)),
         JobStatusAnswer::Unfinished(progress) => Some(JobStatus {
             id: id.clone(),
             phase: progress.phase,
--- a/crates/node/src/public_api/operator_pages.rs
+++ b/crates/node/src/public_api/operator_pages.rs
@@ -20,7 +20,7 @@
 pub(super) fn links(node: &Node) -> Reply {
     let report = node.with_core(|core, now| LinksReport {
         links: core.links.rows(now),
-        carried_workers: core.links.relayed_workers(now),
+        relayed_workers: core.links.relayed_workers(now),
     });
     Reply::new(200, encode(&report))
 }
--- a/crates/node/src/public_api/submit.rs
+++ b/crates/node/src/public_api/submit.rs
@@ -17,7 +17,7 @@
 use lemonweir_model::{JobId, JobSpec};
 use lemonweir_protocol::encode;
 use lemonweir_protocol::kv_store::CompareAndSwap;
-use lemonweir_protocol::users::{JobPhase, JobStatus, never_runs, read_submission};
+use lemonweir_protocol::users::{JobPhase, JobStatus, decode_submission, unschedulable_reason};
 use lemonweir_transport::Reply;
 
 /// Seconds that a refused user is asked to wait at most (protocol page).
@@ -53,7 +53,7 @@
 
 /// Answers a submission.
 pub(super) async fn submit(node: &Rc<Node>, body: &[u8]) -> Reply {
-    let spec = match read_submission(body) {
+    let spec = match decode_submission(body) {
         Ok(spec) => spec,
         Err(fault) => {
             debug!(%fault, "submission malformed");
@@ -61,7 +61,7 @@
         }
     };
     let id = spec.id.clone();
-    if node.with_core(|core, _| core.cache.knows(&id)) {
+    if node.with_core(|core, _| core.cache.is_known(&id)) {
         return answer_known_job(node, &id).await;
     }
     match check_runnable(node, &spec) {
@@ -92,12 +92,12 @@
         team = spec.team,
         class = spec.class,
         tasks = spec.tasks,
-        dependencies = spec.awaits.len(),
+        dependencies = spec.depends_on.len(),
         phase = ?admitted.phase,
         "job accepted"
     );
     notify_leader(node, &spec.team);
-    answer(node, 201, &JobStatus::plain(id, admitted.phase))
+    answer(node, 201, &JobStatus::without_counts(id, admitted.phase))
 }
 
 fn refuse_submission(node: &Node, id: &JobId, refusal: QueryRefusal) -> Reply {
@@ -117,10 +117,12 @@
     let cluster = &node.settings.cluster;
     node.with_core(|core, _| match core.catalog.as_ref() {
         None => Runnable::CatalogUnknown,
-        Some(catalog) => match never_runs(spec, &cluster.teams, &cluster.zones, catalog) {
-            Some(reason) => Runnable::Never(reason),
-            None => Runnable::Yes,
-        },
+        Some(catalog) => {
+            match unschedulable_reason(spec, &cluster.teams, &cluster.zones, catalog) {
+                Some(reason) => Runnable::Never(reason),
+                None => Runnable::Yes,
+            }
+        }
     })
 }
 
@@ -243,12 +245,12 @@
     let leader = node.with_core(|core, _| {
         let shard = core
             .cache
-            .teams
+            .team_shards
             .get(team)
             .copied()
             .unwrap_or_else(|| core.config.default_shard(team));
         core.cache
-            .shards
+            .shard_leaders
             .get(&shard)
             .map(|leader| leader.host.clone())
     });
--- a/crates/node/src/router.rs
+++ b/crates/node/src/router.rs
@@ -97,11 +97,11 @@
         let began_ms = self.core.now_ms();
         let request = RelayRequest {
             version: LINKS_VERSION,
-            goal: RelayTarget::Service(call.service),
+            target: RelayTarget::Service(call.service),
             method: call.method.to_owned(),
             path: call.path.to_owned(),
             body: call.body.to_vec(),
-            wait_ms: call.timeout_ms,
+            timeout_ms: call.timeout_ms,
         };
         let result = self.send_relay_request(relay_peer, &request).await;
         self.record_response_time(call.service, began_ms, &result);
@@ -144,16 +144,16 @@
                 address,
                 "POST",
                 RELAY_PATH,
-                &links::write(request),
-                request.wait_ms + RELAY_OVERHEAD_MS,
+                &links::encode(request),
+                request.timeout_ms + RELAY_OVERHEAD_MS,
             )
             .await?;
         if response.status != 200 {
             // Not relayed: the peer is not in a state to do so, or doesn't know how.
             return Err(CallError::NotSent);
         }
-        match links::read::<RelayResponse>(&response.body).map(|response| response.fate) {
-            Ok(RelayOutcome::Answer { status, body }) => Ok(Response { status, body }),
+        match links::decode::<RelayResponse>(&response.body).map(|response| response.outcome) {
+            Ok(RelayOutcome::Answered { status, body }) => Ok(Response { status, body }),
             Ok(RelayOutcome::NotSent) => Err(CallError::NotSent),
             Ok(RelayOutcome::Unknown) | Err(_) => Err(CallError::Unknown),
         }
@@ -161,8 +161,8 @@
 
     /// Makes a call on another controller's behalf.
     pub(crate) async fn relay(&self, request: &RelayRequest) -> Reply {
-        let timeout_ms = request.wait_ms.min(CLOUD_TIMEOUT_MS);
-        let result = match &request.goal {
+        let timeout_ms = request.timeout_ms.min(CLOUD_TIMEOUT_MS);
+        let result = match &request.target {
             RelayTarget::Service(service) => {
                 // Guards against calls that go in a circle: what is relayed here is
                 // never relayed on.
@@ -194,7 +194,7 @@
             },
         };
         let fate = match result {
-            Ok(response) => RelayOutcome::Answer {
+            Ok(response) => RelayOutcome::Answered {
                 status: response.status,
                 body: response.body,
             },
@@ -203,9 +203,9 @@
         };
         let response = RelayResponse {
             version: LINKS_VERSION,
-            fate,
+            outcome: fate,
         };
-        Reply::new(200, links::write(&response))
+        Reply::new(200, links::encode(&response))
     }
 }
 
--- a/crates/node/src/shard_loading.rs
+++ b/crates/node/src/shard_loading.rs
@@ -13,8 +13,8 @@
 use lemonweir_protocol::kv_store::from_value;
 use lemonweir_storage::packed_chunk::read_chunk;
 use lemonweir_storage::records::{
-    ImageLocationsRecord, TaskChunkRecord, images_prefix, parse_images_key, parse_run_key,
-    run_prefix,
+    ImageLocationsRecord, TaskChunkRecord, image_locations_prefix, parse_image_locations_key,
+    parse_task_chunk_key, task_chunks_prefix,
 };
 
 /// A chunk of task records: its job, its number, the record and the version of its key.
@@ -40,9 +40,9 @@
     node.with_core(|core, now| {
         let leading = core
             .cache
-            .shards
+            .shard_leaders
             .get(&lease.shard)
-            .is_some_and(|leader| leader.token == lease.token);
+            .is_some_and(|leader| leader.fencing_token == lease.token);
         if leading {
             core.acquire(lease, &records.chunks, records.images, now);
         }
@@ -65,9 +65,9 @@
             core.cache.revision >= Some(lease.token)
                 && core
                     .cache
-                    .shards
+                    .shard_leaders
                     .get(&lease.shard)
-                    .is_none_or(|leader| leader.token != lease.token)
+                    .is_none_or(|leader| leader.fencing_token != lease.token)
         });
         if lost {
             return None;
@@ -84,13 +84,17 @@
 }
 
 async fn read_task_records(node: &Node, shard: u16) -> Result<Vec<VersionedChunk>, KvError> {
-    let entries = node.kv_store.list(&run_prefix(shard)).await?.entries;
+    let entries = node
+        .kv_store
+        .list(&task_chunks_prefix(shard))
+        .await?
+        .entries;
     let mut chunks = Vec::with_capacity(entries.len());
     for entry in &entries {
         let record = |(job, chunk): (JobId, u32)| {
             Some((job, chunk, read_chunk(&entry.value, chunk)?, entry.version))
         };
-        match parse_run_key(&entry.key).and_then(record) {
+        match parse_task_chunk_key(&entry.key).and_then(record) {
             Some(record) => chunks.push(record),
             None => error!(key = entry.key, "task record malformed"),
         }
@@ -102,11 +106,15 @@
     node: &Node,
     shard: u16,
 ) -> Result<Vec<ImageLocationsRecord>, KvError> {
-    let entries = node.kv_store.list(&images_prefix(shard)).await?.entries;
+    let entries = node
+        .kv_store
+        .list(&image_locations_prefix(shard))
+        .await?
+        .entries;
     let mut pages: BTreeMap<usize, ImageLocationsRecord> = BTreeMap::new();
     for entry in &entries {
         match (
-            parse_images_key(&entry.key),
+            parse_image_locations_key(&entry.key),
             from_value::<ImageLocationsRecord>(&entry.value),
         ) {
             (Some(page), Some(record)) => {
--- a/crates/node/src/startup.rs
+++ b/crates/node/src/startup.rs
@@ -41,7 +41,7 @@
     // The executor lives as long as the process; tasks need it for ever.
     let executor: &'static LocalExecutor<'static> = Box::leak(Box::new(LocalExecutor::new()));
     smol::block_on(executor.run(async move {
-        let public = listen(settings.listen).await?;
+        let public = listen(settings.listen_addr).await?;
         let internal = listen(settings.internal_addr).await?;
         let mut config = Config::new(&settings);
         config.wall_offset_ms = wall_clock_ms();
@@ -83,14 +83,18 @@
         http: http.clone(),
         core: core.clone(),
         peers,
-        store: settings.services.state,
+        store: settings.services.kv_store,
         cloud: settings.services.cloud,
     });
-    let kv_store = KvClient::new(router.clone(), &settings.cluster.state, controllers);
-    let cloud = CloudClient::new(router.clone(), settings.cluster.cloud.rps, controllers);
+    let kv_store = KvClient::new(router.clone(), &settings.cluster.kv_store, controllers);
+    let cloud = CloudClient::new(
+        router.clone(),
+        settings.cluster.cloud.requests_per_s,
+        controllers,
+    );
     let (refresh_requests, refresh) = unbounded();
     let (flush_requests, flush) = bounded(1);
-    info!(host = settings.host_name, zone = settings.zone, listen = %settings.listen, "controller starting");
+    info!(host = settings.host_name, zone = settings.zone, listen = %settings.listen_addr, "controller starting");
     info!(
         ?sockets,
         close_above = sockets.close_above(),
@@ -125,7 +129,7 @@
             .map(|position| position as u16)
     };
     settings
-        .seeds
+        .seed_controllers
         .iter()
         .filter_map(|seed| Some((number(&seed.host_name)?, seed.address)))
         .collect()
--- a/crates/node/tests/store_lease.rs
+++ b/crates/node/tests/store_lease.rs
@@ -13,7 +13,7 @@
     WatchResponse, Write, to_value,
 };
 use lemonweir_protocol::{decode, encode};
-use lemonweir_storage::records::{TaskChunkRecord, run_prefix, shard_key};
+use lemonweir_storage::records::{TaskChunkRecord, shard_key, task_chunks_prefix};
 
 /// Pages of the shard's task records, and how long each answer takes.
 const PAGES: usize = 9;
@@ -99,12 +99,12 @@
             200,
             encode(&ListResponse {
                 entries,
-                more,
+                truncated: more,
                 revision,
             }),
         )
     };
-    if method == "GET" && path.contains(&format!("under={}", run_prefix(0))) {
+    if method == "GET" && path.contains(&format!("under={}", task_chunks_prefix(0))) {
         std::thread::sleep(PAGE_LATENCY);
         let last_page = path
             .split("&after=run/0/req-000001/")
@@ -119,7 +119,7 @@
             .observed
             .push(ObservedRequest::TaskRecordsPage(page_number));
         let entry = KeyValue {
-            key: format!("{}req-000001/{page_number}", run_prefix(0)),
+            key: format!("{}req-000001/{page_number}", task_chunks_prefix(0)),
             value: to_value(&TaskChunkRecord::default()),
             version: 1,
         };
@@ -127,10 +127,10 @@
     }
     let mut store = store.lock().expect("unbroken");
     match (method, path) {
-        ("POST", "/holds") => (200, encode(&LeaseResponse { hold: 7 })),
+        ("POST", "/holds") => (200, encode(&LeaseResponse { lease: 7 })),
         ("POST", "/holds/7/renew") => {
             store.observed.push(ObservedRequest::LeaseRenewal);
-            (200, encode(&LeaseResponse { hold: 7 }))
+            (200, encode(&LeaseResponse { lease: 7 }))
         }
         ("POST", "/txn") => {
             let cas = decode::<CompareAndSwap>(body).expect("a compare-and-swap");
--- a/crates/simulator/src/baseline.rs
+++ b/crates/simulator/src/baseline.rs
@@ -99,7 +99,7 @@
         .iter()
         .flat_map(|kind| {
             std::iter::repeat_n(
-                kind.machine.room,
+                kind.machine.capacity,
                 kind.at_start as usize * scenario.zones.len(),
             )
         })
@@ -170,7 +170,7 @@
     }
 
     fn need(&self, job: usize) -> Resources {
-        self.load[job].job.spec.need()
+        self.load[job].job.spec.task_resources()
     }
 
     fn charge(&mut self, messages: u64, candidates: u64) {
@@ -187,7 +187,7 @@
             (Event::JobArrives(job), BaselineKind::Central) => {
                 let spec = &self.load[job].job.spec;
                 self.history.note(self.now, "submit", &spec.id, &"");
-                self.waiting.insert((spec.rank, job), 0);
+                self.waiting.insert((spec.priority, job), 0);
                 let at = self.now + self.network_delay();
                 self.wake_placer(at);
             }
@@ -215,7 +215,8 @@
             }
             (Event::JobWithdrawn(job), _) => {
                 self.withdrawn[job] = true;
-                self.waiting.remove(&(self.load[job].job.spec.rank, job));
+                self.waiting
+                    .remove(&(self.load[job].job.spec.priority, job));
                 let tasks: Vec<((usize, u32), usize)> = self
                     .running
                     .range((job, 0)..(job + 1, 0))
@@ -252,7 +253,7 @@
             next += chosen.len() as u32;
             if next < tasks {
                 failed.push(need);
-                if self.load[job].job.spec.shape == JobKind::Gang {
+                if self.load[job].job.spec.kind == JobKind::Gang {
                     self.give_back(&need, &chosen);
                     continue;
                 }
@@ -367,7 +368,7 @@
             &format!("{}/{task}", load.spec.id),
             &machine,
         );
-        if load.spec.shape != JobKind::Service {
+        if load.spec.kind != JobKind::Service {
             self.schedule_at(
                 self.now + load.run_us(task),
                 Event::TaskEnds(job, task, machine),
@@ -417,7 +418,7 @@
         for (job, at) in self
             .finished
             .iter()
-            .filter(|(j, _)| self.load[**j].job.spec.shape != JobKind::Service)
+            .filter(|(j, _)| self.load[**j].job.spec.kind != JobKind::Service)
         {
             let planned = &self.load[*job];
             time_to_finish.record(&planned.job.spec.class, at - planned.at_us);
--- a/crates/simulator/src/cloud.rs
+++ b/crates/simulator/src/cloud.rs
@@ -61,7 +61,7 @@
         let prices = scenario
             .machine_kinds
             .iter()
-            .map(|k| (k.machine.price, k.machine.spot_price))
+            .map(|k| (k.machine.on_demand_price, k.machine.spot_price))
             .collect();
         Self {
             down: false,
@@ -155,7 +155,7 @@
         };
         let entry = |m: &CloudMachine| InstanceEntry {
             id: m.id.clone(),
-            kind: scenario.machine_kinds[m.kind].machine.name.clone(),
+            machine_type: scenario.machine_kinds[m.kind].machine.name.clone(),
             zone: m.zone.clone(),
             spot: m.spot,
             phase: if m.up_at > at { "starting" } else { "running" }.into(),
--- a/crates/simulator/src/controller.rs
+++ b/crates/simulator/src/controller.rs
@@ -73,11 +73,11 @@
     pub fn apply(self, cache: &mut StateCache, now_ms: u64) -> Option<bool> {
         match self {
             StateRead::Changes(changes, revision) => {
-                cache.apply(&changes, revision, now_ms);
+                cache.apply_changes(&changes, revision, now_ms);
                 Some(!changes.is_empty())
             }
             StateRead::Snapshot(entries, revision) => {
-                cache.replace(&entries, revision);
+                cache.load_snapshot(&entries, revision);
                 Some(true)
             }
             StateRead::Unavailable => None,
@@ -120,7 +120,7 @@
     pub fn reference(&self) -> HeartbeatRef {
         HeartbeatRef {
             machine: self.machine,
-            session: self.heartbeat.session,
+            session: self.heartbeat.incarnation,
             sent: self.sent,
         }
     }
@@ -331,9 +331,9 @@
             read_at: 0,
             read_due: 0,
             pending_queries: Vec::new(),
-            requests: share(scenario.state.rps * usable),
-            writes: share(scenario.state.write_rps * usable),
-            cloud: share(scenario.cloud.rps),
+            requests: share(scenario.state.requests_per_s * usable),
+            writes: share(scenario.state.writes_per_s * usable),
+            cloud: share(scenario.cloud.requests_per_s),
             load: ControllerLoad::default(),
             counted: WorkCounters::default(),
         }
--- a/crates/simulator/src/fault_search.rs
+++ b/crates/simulator/src/fault_search.rs
@@ -131,14 +131,15 @@
         .workload
         .jobs
         .iter()
-        .filter(|(_, job)| job.spec.shape == JobKind::Service && !job.broken)
+        .filter(|(_, job)| job.spec.kind == JobKind::Service && !job.broken)
     {
         let record: Option<JobRecord> = simulation
             .store
             .get(&job_key(id))
             .and_then(|(value, _)| from_value(value));
-        let should_be_up =
-            |record: JobRecord| !record.withdrawn && record.at + FRESH_SERVICE_MS < end_ms;
+        let should_be_up = |record: JobRecord| {
+            !record.cancel_requested && record.submitted_at_ms + FRESH_SERVICE_MS < end_ms
+        };
         if record.is_some_and(should_be_up) {
             let wanted = job.spec.tasks as usize;
             replicas.wanted += wanted;
--- a/crates/simulator/src/invariants/answers.rs
+++ b/crates/simulator/src/invariants/answers.rs
@@ -81,7 +81,7 @@
                 .specs
                 .get(job)
                 .into_iter()
-                .flat_map(|spec| &spec.awaits)
+                .flat_map(|spec| &spec.depends_on)
                 .filter(|dependency| seen.insert(*dependency))
             {
                 if self
--- a/crates/simulator/src/invariants/gangs.rs
+++ b/crates/simulator/src/invariants/gangs.rs
@@ -20,7 +20,7 @@
         if attempts.len() > 1 {
             let text = format!(
                 "two_attempts: {} starts with {attempts:?} of its gang live",
-                id.piece()
+                id.task_name()
             );
             self.violation(now, text);
         }
--- a/crates/simulator/src/invariants/placement.rs
+++ b/crates/simulator/src/invariants/placement.rs
@@ -52,10 +52,10 @@
             .get(&spec.team)
             .copied()
             .unwrap_or_default()
-            .plus(&spec.need().times(tasks));
-        self.quota_limits
-            .get(&spec.team)
-            .is_none_or(|limit| usage.cpus <= limit.cpus && usage.gpus <= limit.gpus)
+            .plus(&spec.task_resources().times(tasks));
+        self.quota_limits.get(&spec.team).is_none_or(|limit| {
+            usage.milli_cpus <= limit.milli_cpus && usage.milli_gpus <= limit.milli_gpus
+        })
     }
 
     /// True if no more tasks of a job may be in a zone.
@@ -67,7 +67,7 @@
         let elsewhere = zones
             .iter()
             .any(|(other, tasks)| other != zone && *tasks > 0);
-        spec.spread && here >= spec.tasks.div_ceil(2) || spec.one_zone && elsewhere
+        spec.spread && here >= spec.tasks.div_ceil(2) || spec.same_zone && elsewhere
     }
 
     pub(super) fn tasks_on_machines(&self, job: &JobId) -> u32 {
@@ -127,7 +127,7 @@
 
     fn check_dependencies(&mut self, spec: &JobSpec, task: u32, now: u64) {
         if let Some(dependency) = spec
-            .awaits
+            .depends_on
             .iter()
             .find(|dependency| self.ended.get(*dependency) != Some(&JobPhase::Done))
         {
@@ -154,13 +154,11 @@
 
     fn charge_quota(&mut self, spec: &JobSpec, now: u64) {
         let usage = self.usage.entry(spec.team.clone()).or_default();
-        *usage = usage.plus(&spec.need());
+        *usage = usage.plus(&spec.task_resources());
         let usage = *usage;
-        if self
-            .quota_limits
-            .get(&spec.team)
-            .is_some_and(|limit| usage.cpus > limit.cpus || usage.gpus > limit.gpus)
-        {
+        if self.quota_limits.get(&spec.team).is_some_and(|limit| {
+            usage.milli_cpus > limit.milli_cpus || usage.milli_gpus > limit.milli_gpus
+        }) {
             self.violation(now, format!("quota: team {} uses {usage:?}", spec.team));
         }
     }
@@ -188,7 +186,7 @@
         if let Some(spec) = self.specs.get(job)
             && let Some(usage) = self.usage.get_mut(&spec.team)
         {
-            *usage = usage.minus(&spec.need());
+            *usage = usage.minus(&spec.task_resources());
         }
         if self.tasks_on_machines(job) == 0 {
             self.lingering.remove(job);
@@ -204,7 +202,7 @@
     zone_load: &ZoneLoad,
 ) -> Option<&'static str> {
     let wrong_type = spec
-        .types
+        .machine_types
         .as_ref()
         .is_some_and(|types| !types.iter().any(|name| name == placement.kind));
     let wrong_zone = spec
@@ -216,9 +214,9 @@
         Some("type")
     } else if wrong_zone {
         Some("zone")
-    } else if placement.spot && !spec.spot {
+    } else if placement.spot && !spec.allow_spot {
         Some("kind")
-    } else if spec.one_zone && zone_load.in_other_zones {
+    } else if spec.same_zone && zone_load.in_other_zones {
         Some("zone, given the others,")
     } else if crowded {
         Some("zone: one too many")
--- a/crates/simulator/src/job.rs
+++ b/crates/simulator/src/job.rs
@@ -37,5 +37,5 @@
 
 /// True if a job is a gang of several tasks, which start and end together.
 pub(crate) fn is_real_gang(spec: &JobSpec) -> bool {
-    spec.shape == JobKind::Gang && spec.tasks > 1
+    spec.kind == JobKind::Gang && spec.tasks > 1
 }
--- a/crates/simulator/src/load_generator.rs
+++ b/crates/simulator/src/load_generator.rs
@@ -117,7 +117,7 @@
             .collect();
         job.planned.job.spec = Arc::new(JobSpec {
             id: ids[i].clone(),
-            awaits: dependencies,
+            depends_on: dependencies,
             ..(*job.planned.job.spec).clone()
         });
         planned.push(job.planned);
@@ -157,24 +157,24 @@
         id: job_id(0),
         class: class.name.clone(),
         team: class.teams[n % class.teams.len()].clone(),
-        shape: class.shape,
-        rank: class.priority,
+        kind: class.shape,
+        priority: class.priority,
         tasks,
-        cores: class.need.cpus,
+        cpus: class.need.cpus,
         gpus: class.need.gpus,
-        ram_gb: class.need.memory_gb,
-        types: None,
+        memory_gb: class.need.memory_gb,
+        machine_types: None,
         zone: class.zone.clone(),
-        one_zone: class.one_zone,
+        same_zone: class.one_zone,
         spread: class.spread,
-        spot: class.spot,
+        allow_spot: class.spot,
         image: format!("{}-{image}", class.name),
         image_gb: class.image_gb,
-        estimate_s: if service { 0.0 } else { estimate_s },
-        checkpoint_s: class.checkpoint_s,
-        save_s: class.save_s,
+        estimated_runtime_s: if service { 0.0 } else { estimate_s },
+        checkpoint_interval_s: class.checkpoint_s,
+        checkpoint_duration_s: class.save_s,
         deadline_s: None,
-        awaits: Vec::new(),
+        depends_on: Vec::new(),
     };
     // Drawn only where there are some, so that others draw what they drew before.
     let broken = class.broken > 0.0 && rng.random::<f64>() < class.broken;
--- a/crates/simulator/src/metrics.rs
+++ b/crates/simulator/src/metrics.rs
@@ -7,7 +7,7 @@
 use lemonweir_model::{JobId, JobKind, JobSpec};
 use lemonweir_protocol::kv_store::{CompareAndSwap, Write};
 use lemonweir_storage::packed_chunk::read_chunk;
-use lemonweir_storage::records::parse_run_key;
+use lemonweir_storage::records::parse_task_chunk_key;
 
 use crate::cloud::Cloud;
 use crate::controller::Controller;
@@ -91,7 +91,7 @@
         spec: Option<&JobSpec>,
     ) {
         let Some(spec) = spec else { return };
-        let service = spec.shape == JobKind::Service;
+        let service = spec.kind == JobKind::Service;
         let timeline = JobTimeline {
             first_submitted,
             accepted: now,
@@ -112,13 +112,13 @@
     fn for_each_live_task(cas: &CompareAndSwap, mut visit: impl FnMut((JobId, u32))) {
         for write in &cas.writes {
             if let Write::Put { key, value, .. } = write
-                && let Some((job, chunk)) = parse_run_key(key)
+                && let Some((job, chunk)) = parse_task_chunk_key(key)
                 && let Some(record) = read_chunk(value, chunk)
             {
                 record
-                    .live
+                    .live_attempts
                     .iter()
-                    .for_each(|task| visit((job.clone(), task.t)));
+                    .for_each(|task| visit((job.clone(), task.task)));
             }
         }
     }
@@ -179,8 +179,9 @@
             sample.machines += 1;
             if worker.up_at <= now {
                 sample.up += 1;
-                sample.cpus += worker.kind.room.cpus as f64 / 1e3;
-                sample.used_cpus += worker.kind.room.minus(&worker.free()).cpus as f64 / 1e3;
+                sample.cpus += worker.kind.capacity.milli_cpus as f64 / 1e3;
+                sample.used_cpus +=
+                    worker.kind.capacity.minus(&worker.free()).milli_cpus as f64 / 1e3;
             }
         }
         self.fleet.push(sample);
--- a/crates/simulator/src/run_report.rs
+++ b/crates/simulator/src/run_report.rs
@@ -178,7 +178,7 @@
         .workload
         .jobs
         .iter()
-        .filter(|(_, job)| !job.broken && job.spec.awaits.is_empty())
+        .filter(|(_, job)| !job.broken && job.spec.depends_on.is_empty())
     {
         by_class
             .entry(&job.spec.class)
@@ -262,7 +262,7 @@
 /// True if a job's user cancels it; every service ends by a withdrawal, which is no
 /// cancellation.
 fn is_cancelled(simulation: &Simulation, id: &JobId, job: &SimulatedJob) -> bool {
-    job.spec.shape != JobKind::Service
+    job.spec.kind != JobKind::Service
         && (simulation.withdrawal(id).is_some() || simulation.workload.checker.is_cancelled(id))
 }
 
--- a/crates/simulator/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -9,8 +9,8 @@
 
 use lemonweir_model::policy::Policy;
 use lemonweir_model::settings::{
-    CloudLimits, Cluster, Limits, Objective, SeedController, Services, Settings, StateLimits, Team,
-    Workers,
+    CloudLimits, Cluster, KvStoreLimits, Limits, Objective, SeedController, Services, Settings,
+    Team, WorkerTiming,
 };
 use lemonweir_model::{Catalog, JobKind, MachineType, Priority};
 use toml::de::DeTable;
@@ -150,9 +150,9 @@
     /// Zones; controllers and machines are spread over them.
     pub zones: Vec<String>,
     /// The workers' times.
-    pub workers: Workers,
+    pub workers: WorkerTiming,
     /// Limits of the state service.
-    pub state: StateLimits,
+    pub state: KvStoreLimits,
     /// Limits of the cloud.
     pub cloud: CloudLimits,
     /// The operators' own settings.
@@ -216,10 +216,10 @@
         }
         for team in &mut self.teams {
             for amount in [
-                &mut team.cpus,
-                &mut team.cpus_max,
-                &mut team.gpus,
-                &mut team.gpus_max,
+                &mut team.guaranteed_cpus,
+                &mut team.max_cpus,
+                &mut team.guaranteed_gpus,
+                &mut team.max_gpus,
             ] {
                 *amount *= factor;
             }
@@ -271,29 +271,29 @@
         Settings {
             host_name: host_name(controller),
             zone: self.zone_of(controller).to_owned(),
-            listen: address(controller, 80),
+            listen_addr: address(controller, 80),
             internal_addr: address(controller, 81),
-            seeds: (0..usize::from(self.controllers))
+            seed_controllers: (0..usize::from(self.controllers))
                 .filter(|&i| i != controller)
                 .map(seed)
                 .collect(),
             services: Services {
                 cloud: address(1_000, 1),
-                state: address(1_000, 2),
+                kv_store: address(1_000, 2),
             },
             cluster: Cluster {
                 zones: self.zones.clone(),
                 teams: self.teams.clone(),
                 objectives: with_objective.map(objective).collect(),
-                workers: self.workers.clone(),
-                state: self.state.clone(),
+                worker_timing: self.workers.clone(),
+                kv_store: self.state.clone(),
                 cloud: self.cloud.clone(),
-                limits: Limits {
+                process_limits: Limits {
                     cpu_share: 1.0,
-                    mem_mb: 4_096.0,
-                    fd_limit: 65_536,
+                    memory_mb: 4_096.0,
+                    max_open_files: 65_536,
                 },
-                clock_off_ms: 0.0,
+                clock_offset_ms: 0.0,
             },
         }
     }
