--- a/crates/simulator/src/scenario/reader.rs
+++ b/crates/simulator/src/scenario/reader.rs
@@ -2,8 +2,10 @@
 //! its field; what is read beside an error is a value within bounds that nobody uses.
 
 use lemonweir_model::constants::BLIND_MOST_MS;
-use lemonweir_model::policy::{Policy, Trade};
-use lemonweir_model::settings::{CloudLimits, NextStateLimits, StateLimits, Team, Workers};
+use lemonweir_model::policy::{Policy, ServicePlacementWeights};
+use lemonweir_model::settings::{
+    CloudLimits, KvStoreLimits, Team, UpcomingKvStoreLimits, WorkerTiming,
+};
 use lemonweir_model::{JobKind, MachineType, Priority, Resources};
 
 use super::fault_reader::read_fault;
@@ -63,10 +65,10 @@
     if scenario.latency.high_us < scenario.latency.low_us {
         latency.error("high_us", "is below low_us");
     }
-    if scenario.workers.lease_s <= scenario.workers.report_s {
+    if scenario.workers.lease_s <= scenario.workers.heartbeat_interval_s {
         workers.error("lease_s", "must be over report_s");
     }
-    if scenario.workers.cancel_s <= scenario.workers.lease_s {
+    if scenario.workers.cancellation_deadline_s <= scenario.workers.lease_s {
         workers.error("cancel_s", "must be over lease_s");
     }
     if scenario.machine_kinds.is_empty() {
@@ -77,35 +79,35 @@
     }
 }
 
-fn read_workers(table: &TomlSection<'_>) -> Workers {
-    Workers {
-        report_s: table.number("report_s", 0.1, 600.0, Some(3.0)),
+fn read_workers(table: &TomlSection<'_>) -> WorkerTiming {
+    WorkerTiming {
+        heartbeat_interval_s: table.number("report_s", 0.1, 600.0, Some(3.0)),
         lease_s: table.number("lease_s", 0.5, 3_600.0, Some(14.0)),
-        gang_wait_s: table.number("gang_wait_s", 1.0, 3_600.0, Some(50.0)),
-        gang_peer_s: table.number("gang_peer_s", 0.1, 600.0, Some(8.0)),
-        cancel_s: table.number("cancel_s", 1.0, 7_200.0, Some(34.0)),
+        gang_start_timeout_s: table.number("gang_wait_s", 1.0, 3_600.0, Some(50.0)),
+        gang_peer_timeout_s: table.number("gang_peer_s", 0.1, 600.0, Some(8.0)),
+        cancellation_deadline_s: table.number("cancel_s", 1.0, 7_200.0, Some(34.0)),
     }
 }
 
-fn read_state_limits(table: &TomlSection<'_>) -> StateLimits {
-    StateLimits {
-        rps: table.number("rps", 1.0, 1e9, Some(200.0)),
-        write_rps: table.number("write_rps", 1.0, 1e9, Some(80.0)),
-        value_kb: table.number("value_kb", 4.0, 1_024.0, Some(8.0)),
-        txn_ops: table.whole("txn_ops", 4, 100_000, Some(32)) as usize,
-        next: table
+fn read_state_limits(table: &TomlSection<'_>) -> KvStoreLimits {
+    KvStoreLimits {
+        requests_per_s: table.number("rps", 1.0, 1e9, Some(200.0)),
+        writes_per_s: table.number("write_rps", 1.0, 1e9, Some(80.0)),
+        max_value_kib: table.number("value_kb", 4.0, 1_024.0, Some(8.0)),
+        max_cas_ops: table.whole("txn_ops", 4, 100_000, Some(32)) as usize,
+        upcoming: table
             .has("next")
             .then(|| read_next_state_limits(&table.table("next"))),
     }
 }
 
-fn read_next_state_limits(table: &TomlSection<'_>) -> NextStateLimits {
+fn read_next_state_limits(table: &TomlSection<'_>) -> UpcomingKvStoreLimits {
     let number = |name: &str| table.has(name).then(|| table.number(name, 1.0, 1e9, None));
-    NextStateLimits {
-        rps: number("rps"),
-        write_rps: number("write_rps"),
-        value_kb: number("value_kb"),
-        txn_ops: table
+    UpcomingKvStoreLimits {
+        requests_per_s: number("rps"),
+        writes_per_s: number("write_rps"),
+        max_value_kib: number("value_kb"),
+        max_cas_ops: table
             .has("txn_ops")
             .then(|| table.whole("txn_ops", 4, 100_000, None) as usize),
     }
@@ -113,8 +115,8 @@
 
 fn read_cloud_limits(table: &TomlSection<'_>) -> CloudLimits {
     CloudLimits {
-        rps: table.number("rps", 0.1, 1e9, Some(4.0)),
-        list_lag_s: table.number("list_lag_s", 0.0, 600.0, Some(10.0)),
+        requests_per_s: table.number("rps", 0.1, 1e9, Some(4.0)),
+        list_staleness_s: table.number("list_lag_s", 0.0, 600.0, Some(10.0)),
     }
 }
 
@@ -122,13 +124,13 @@
     let whole_ms = |seconds: f64| (seconds * 1_000.0) as u64;
     let most_blind_s = BLIND_MOST_MS as f64 / 1_000.0;
     Policy {
-        idle: table.number("idle", 0.0, 1e6, Some(0.75)),
-        idle_spot: table.number("idle_spot", 0.0, 1e6, Some(1.5)),
-        silent_ms: whole_ms(table.number("silent_s", 1.0, 3_600.0, Some(9.0))),
-        boot_patience: table.number("boot_patience", 1.5, 100.0, Some(3.0)),
-        blind_ms: whole_ms(table.number("blind_s", 0.0, most_blind_s, Some(60.0))),
-        spare: table.number("spare", 0.0, 10.0, Some(0.5)),
-        trade: Trade::default(),
+        on_demand_idle_multiple: table.number("idle", 0.0, 1e6, Some(0.75)),
+        spot_idle_multiple: table.number("idle_spot", 0.0, 1e6, Some(1.5)),
+        spot_silence_timeout_ms: whole_ms(table.number("silent_s", 1.0, 3_600.0, Some(9.0))),
+        provisioning_timeout_multiple: table.number("boot_patience", 1.5, 100.0, Some(3.0)),
+        store_outage_grace_ms: whole_ms(table.number("blind_s", 0.0, most_blind_s, Some(60.0))),
+        headroom_per_arrival: table.number("spare", 0.0, 10.0, Some(0.5)),
+        placement_weights: ServicePlacementWeights::default(),
     }
 }
 
@@ -164,14 +166,14 @@
     MachineKind {
         machine: MachineType {
             name: table.text("name", None),
-            room: Resources::offer(
+            capacity: Resources::capacity(
                 table.number("cpus", 0.001, 1e6, None),
                 table.number("gpus", 0.0, 1e4, Some(0.0)),
                 table.number("memory_gb", 0.001, 1e7, None),
             ),
-            cache_gb: table.number("cache_gb", 0.0, 1e6, Some(200.0)),
-            fetch_gb_per_s: table.number("fetch_gb_per_s", 0.000_001, 1e6, Some(1.0)),
-            price,
+            image_cache_gb: table.number("cache_gb", 0.0, 1e6, Some(200.0)),
+            image_pull_gb_per_s: table.number("fetch_gb_per_s", 0.000_001, 1e6, Some(1.0)),
+            on_demand_price: price,
             spot_price: table.number("spot_price", 0.0, 1e6, Some(0.0)),
             boot_s: table.number("boot_s", 0.0, 1e6, Some(30.0)),
             zones: zones.to_vec(),
@@ -188,10 +190,10 @@
     let amount = |name: &str| table.number(name, 0.0, 1e9, Some(0.0));
     Team {
         name: table.text("name", None),
-        cpus: amount("cpus"),
-        cpus_max: amount("cpus_max"),
-        gpus: amount("gpus"),
-        gpus_max: amount("gpus_max"),
+        guaranteed_cpus: amount("cpus"),
+        max_cpus: amount("cpus_max"),
+        guaranteed_gpus: amount("gpus"),
+        max_gpus: amount("gpus_max"),
     }
 }
 
@@ -286,11 +288,11 @@
         gpus: table.number("gpus", 0.0, 1e4, Some(0.0)),
         memory_gb: table.number("memory_gb", 0.0, 1e7, Some(0.0)),
     };
-    let resources = Resources::need(need.cpus, need.gpus, need.memory_gb);
+    let resources = Resources::request(need.cpus, need.gpus, need.memory_gb);
     if !scenario
         .machine_kinds
         .iter()
-        .any(|kind| kind.machine.room.covers(&resources))
+        .any(|kind| kind.machine.capacity.covers(&resources))
     {
         table.error("cpus", "a task fits no machine type");
     }
--- a/crates/simulator/src/simulation.rs
+++ b/crates/simulator/src/simulation.rs
@@ -31,7 +31,7 @@
 
 use lemonweir_model::{JobId, MachineId};
 use lemonweir_protocol::kv_store::from_value;
-use lemonweir_protocol::users::{JobPhase, team_limit};
+use lemonweir_protocol::users::{JobPhase, quota_limit};
 use lemonweir_protocol::worker::Heartbeat;
 use lemonweir_storage::records::{JobEndRecord, end_key};
 use rand::{RngExt, SeedableRng};
@@ -152,9 +152,12 @@
         let quota_limits = scenario
             .teams
             .iter()
-            .map(|team| (team.name.clone(), team_limit(team)))
+            .map(|team| (team.name.clone(), quota_limit(team)))
             .collect();
-        let checker = InvariantChecker::new(quota_limits, micros(scenario.workers.cancel_s));
+        let checker = InvariantChecker::new(
+            quota_limits,
+            micros(scenario.workers.cancellation_deadline_s),
+        );
         Self {
             now: 0,
             events: 0,
--- a/crates/simulator/src/simulation/adversarial_users.rs
+++ b/crates/simulator/src/simulation/adversarial_users.rs
@@ -189,13 +189,13 @@
             .scenario
             .machine_kinds
             .iter()
-            .map(|kind| kind.machine.room.cpus)
+            .map(|kind| kind.machine.capacity.milli_cpus)
             .max()
             .unwrap_or(0);
         let cores = most as f64 / 1e3 * UNSCHEDULABLE_SIZE;
         let spec = Arc::new(JobSpec {
             id: id.clone(),
-            cores,
+            cpus: cores,
             ..(*spec).clone()
         });
         self.unschedulable.insert(id.clone());
--- a/crates/simulator/src/simulation/cloud_service.rs
+++ b/crates/simulator/src/simulation/cloud_service.rs
@@ -31,7 +31,7 @@
     ) {
         let result = if !self.try_route(process, route) {
             ProvisioningResult::Retry
-        } else if let Some(before) = self.cloud.bookings.get(&request.booking) {
+        } else if let Some(before) = self.cloud.bookings.get(&request.request_id) {
             ProvisioningResult::Provisioned(before.clone())
         } else {
             self.provision_new(&request)
@@ -46,7 +46,7 @@
             .scenario
             .machine_kinds
             .iter()
-            .position(|kind| kind.machine.name == request.kind);
+            .position(|kind| kind.machine.name == request.machine_type);
         let Some(kind) = kind else {
             return ProvisioningResult::NoCapacity;
         };
@@ -65,10 +65,10 @@
         }
         self.workload
             .history
-            .note(self.now, "rented", &request.booking, &names.len());
+            .note(self.now, "rented", &request.request_id, &names.len());
         self.cloud
             .bookings
-            .insert(request.booking.clone(), names.clone());
+            .insert(request.request_id.clone(), names.clone());
         ProvisioningResult::Provisioned(names)
     }
 
@@ -131,7 +131,7 @@
         if !self.try_route(process, route) {
             return;
         }
-        let lag_us = micros(self.scenario.cloud.list_lag_s);
+        let lag_us = micros(self.scenario.cloud.list_staleness_s);
         let entries = self
             .cloud
             .list(self.now.saturating_sub(lag_us), &self.scenario);
--- a/crates/simulator/src/simulation/effects.rs
+++ b/crates/simulator/src/simulation/effects.rs
@@ -36,20 +36,20 @@
             Effect::StoreSync(sync) => {
                 let route = StoreMessageRoute {
                     kind: StoreMessageKind::Sync,
-                    from: sync.from,
-                    to: sync.to,
+                    from_shard: sync.from_shard,
+                    to_shard: sync.to_shard,
                 };
-                let id = (sync.from_token, sync.seq);
-                self.send_store_message(controller, route, id, &peer::write(&sync));
+                let id = (sync.from_fencing_token, sync.seq);
+                self.send_store_message(controller, route, id, &peer::encode(&sync));
             }
             Effect::StoreView(to, view) => {
                 let route = StoreMessageRoute {
                     kind: StoreMessageKind::View,
-                    from: view.shard,
-                    to,
+                    from_shard: view.shard,
+                    to_shard: to,
                 };
-                let id = (view.token, view.seq);
-                self.send_store_message(controller, route, id, &peer::write(&view));
+                let id = (view.fencing_token, view.seq);
+                self.send_store_message(controller, route, id, &peer::encode(&view));
             }
             Effect::WakePeer(shard) => self.wake_shard(controller, shard, at),
             Effect::Provision(lease, request) => {
@@ -128,9 +128,10 @@
         };
         self.largest_store_message_bytes = self.largest_store_message_bytes.max(bytes.len());
         let limits = &self.scenario.state;
-        let piece_bytes = store_message_piece_bytes((limits.least_value_kb() * 1024.0) as usize);
+        let piece_bytes =
+            store_message_piece_bytes((limits.lowest_max_value_kib() * 1024.0) as usize);
         let cas = post(route, id, bytes, piece_bytes, store_lease);
-        if cas.writes.len() <= limits.least_txn_ops() {
+        if cas.writes.len() <= limits.lowest_max_cas_ops() {
             self.send_cas(controller, CasOrigin::Unattended, cas);
         }
     }
--- a/crates/simulator/src/simulation/inputs.rs
+++ b/crates/simulator/src/simulation/inputs.rs
@@ -11,7 +11,7 @@
 use lemonweir_protocol::links::{AvailabilityGossip, Service};
 use lemonweir_protocol::peer::{self, ShardView, SyncRequest};
 use lemonweir_storage::packed_chunk::read_chunk;
-use lemonweir_storage::records::{ImageLocationsRecord, TaskChunkRecord, parse_run_key};
+use lemonweir_storage::records::{ImageLocationsRecord, TaskChunkRecord, parse_task_chunk_key};
 
 use super::Simulation;
 use super::state_reads::read_watched_keys;
@@ -171,7 +171,7 @@
             let at = self.departure_time(number) + self.network_delay();
             self.deliver_at(at, reply_to, Input::Superseded(by.clone()));
         }
-        self.answer_sync(number, reply_to, lease, request.to, answer.ok());
+        self.answer_sync(number, reply_to, lease, request.to_shard, answer.ok());
     }
 
     fn answer_sync(
@@ -184,7 +184,7 @@
     ) {
         let view = view.filter(|_| !self.controllers_partitioned(reply_to.controller, number));
         if let Some(view) = &view {
-            self.controllers[number].load.peer_bytes += peer::written(view) as u64;
+            self.controllers[number].load.peer_bytes += peer::encoded_len(view) as u64;
         }
         let at = self.departure_time(number) + self.network_delay();
         self.deliver_at(
@@ -215,7 +215,7 @@
         let chunks: Vec<(JobId, u32, TaskChunkRecord, u64)> = chunks
             .iter()
             .filter_map(|entry| {
-                let (job, chunk) = parse_run_key(&entry.key)?;
+                let (job, chunk) = parse_task_chunk_key(&entry.key)?;
                 Some((job, chunk, read_chunk(&entry.value, chunk)?, entry.version))
             })
             .collect();
@@ -232,9 +232,9 @@
         core.cache_refreshed(now_ms, true);
         let still_leader = core
             .cache
-            .shards
+            .shard_leaders
             .get(&lease.shard)
-            .is_some_and(|record| record.token == lease.token);
+            .is_some_and(|record| record.fencing_token == lease.token);
         if still_leader {
             core.acquire(lease, &chunks, images, now_ms);
         }
@@ -257,7 +257,7 @@
         match origin {
             CasOrigin::Scheduler(lease) => {
                 for (key, version) in versions {
-                    if let Some((job, chunk)) = parse_run_key(&key) {
+                    if let Some((job, chunk)) = parse_task_chunk_key(&key) {
                         core.chunk_reread(lease, &job, chunk, version);
                     }
                 }
--- a/crates/simulator/src/simulation/lease_keeping.rs
+++ b/crates/simulator/src/simulation/lease_keeping.rs
@@ -5,7 +5,7 @@
 use lemonweir_model::constants::{HOLD_RENEW_MS, TICK_MS};
 use lemonweir_protocol::kv_store::CompareAndSwap;
 use lemonweir_protocol::links::Service;
-use lemonweir_storage::records::{assign_teams, show_node};
+use lemonweir_storage::records::{assign_teams, register_controller};
 
 use super::Simulation;
 use super::events::{Event, StoreRequest};
@@ -119,7 +119,7 @@
 
     /// Writes the controller's membership entry.
     fn presence_cas(&self, controller: usize, store_lease: u64, left: Vec<u16>) -> CompareAndSwap {
-        show_node(
+        register_controller(
             &host_name(controller),
             self.scenario.zone_of(controller),
             store_lease,
--- a/crates/simulator/src/simulation/network.rs
+++ b/crates/simulator/src/simulation/network.rs
@@ -99,10 +99,10 @@
         at: u64,
     ) {
         let process = self.process(controller);
-        let failed = Input::SyncResponse(lease, request.to, None);
-        self.controllers[controller].load.peer_bytes += peer::written(&request) as u64;
+        let failed = Input::SyncResponse(lease, request.to_shard, None);
+        self.controllers[controller].load.peer_bytes += peer::encoded_len(&request) as u64;
         let Some(leader) = self
-            .known_leader(controller, request.to)
+            .known_leader(controller, request.to_shard)
             .filter(|leader| self.controllers[*leader].core.is_some())
         else {
             return self.deliver_at(at + NO_LEADER_US, process, failed);
@@ -207,7 +207,7 @@
                 reply_to: Some(sender),
                 lease,
                 request,
-            } => (sender, Input::SyncResponse(lease, request.to, None)),
+            } => (sender, Input::SyncResponse(lease, request.to_shard, None)),
             Input::Gossip { reply_to, .. } => {
                 (reply_to, Input::GossipAnswer(controller as u16, None))
             }
--- a/crates/simulator/src/simulation/routes.rs
+++ b/crates/simulator/src/simulation/routes.rs
@@ -183,7 +183,7 @@
     /// The controller that another one's cache names as a shard's leader.
     pub(super) fn known_leader(&self, controller: usize, shard: u16) -> Option<usize> {
         let core = self.controllers[controller].core.as_ref()?;
-        let name = &core.cache.shards.get(&shard)?.host;
+        let name = &core.cache.shard_leaders.get(&shard)?.host;
         core.config
             .members
             .iter()
--- a/crates/simulator/src/simulation/starvation.rs
+++ b/crates/simulator/src/simulation/starvation.rs
@@ -92,7 +92,7 @@
             };
             let dependencies_done = job
                 .spec
-                .awaits
+                .depends_on
                 .iter()
                 .all(|dependency| self.phase(dependency) == Some(JobPhase::Done));
             let unfinished = dependencies_done
@@ -116,7 +116,7 @@
         spec: &JobSpec,
         among: &BTreeSet<usize>,
     ) -> Option<BTreeSet<usize>> {
-        let tasks_together = if spec.shape == JobKind::Gang {
+        let tasks_together = if spec.kind == JobKind::Gang {
             spec.tasks
         } else {
             1
@@ -128,7 +128,7 @@
         let mut machines = BTreeSet::new();
         for worker in among.iter().filter_map(|number| self.worker(*number)) {
             let fitting = if self.may_run_on(spec, worker) {
-                tasks_that_fit(worker.free(), spec.need()).min(spec.tasks)
+                tasks_that_fit(worker.free(), spec.task_resources()).min(spec.tasks)
             } else {
                 0
             };
@@ -139,7 +139,7 @@
         }
         let most_in_zone = fitting_in_zone.values().max().copied().unwrap_or(0);
         let everywhere: u64 = fitting_in_zone.values().sum();
-        let capacity = if spec.one_zone {
+        let capacity = if spec.same_zone {
             most_in_zone
         } else {
             everywhere
@@ -148,11 +148,11 @@
     }
 
     fn may_run_on(&self, spec: &JobSpec, worker: &Worker) -> bool {
-        spec.types
+        spec.machine_types
             .as_ref()
             .is_none_or(|types| types.contains(&worker.kind.name))
             && spec.zone.as_ref().is_none_or(|zone| *zone == worker.zone)
-            && (spec.spot || !worker.spot)
+            && (spec.allow_spot || !worker.spot)
             && !self.workload.checker.zone_is_full(spec, &worker.zone)
     }
 }
@@ -160,7 +160,7 @@
 /// How many tasks of a need fit into free resources.
 fn tasks_that_fit(free: Resources, need: Resources) -> u64 {
     let by = |free: u64, need: u64| free.checked_div(need).unwrap_or(u64::MAX);
-    by(free.cpus, need.cpus)
-        .min(by(free.gpus, need.gpus))
-        .min(by(free.memory, need.memory))
+    by(free.milli_cpus, need.milli_cpus)
+        .min(by(free.milli_gpus, need.milli_gpus))
+        .min(by(free.memory_mb, need.memory_mb))
 }
--- a/crates/simulator/src/simulation/store_service.rs
+++ b/crates/simulator/src/simulation/store_service.rs
@@ -8,7 +8,7 @@
 use lemonweir_model::JobId;
 use lemonweir_model::constants::{HOLD_TTL_MS, STATE_TIMEOUT_MS, TICK_MS};
 use lemonweir_protocol::kv_store::{CompareAndSwap, Write};
-use lemonweir_storage::records::{images_prefix, run_prefix};
+use lemonweir_storage::records::{image_locations_prefix, task_chunks_prefix};
 use rand::RngExt;
 
 use super::Simulation;
@@ -249,8 +249,8 @@
         self.leader_elected();
         Input::ShardAcquired {
             lease,
-            chunks: self.store.list(&run_prefix(lease.shard)),
-            images: self.store.list(&images_prefix(lease.shard)),
+            chunks: self.store.list(&task_chunks_prefix(lease.shard)),
+            images: self.store.list(&image_locations_prefix(lease.shard)),
         }
     }
 
--- a/crates/simulator/src/simulation/user_answers.rs
+++ b/crates/simulator/src/simulation/user_answers.rs
@@ -7,8 +7,8 @@
 use lemonweir_model::constants::{REFRESH_IDLE_MS, SUBMIT_WAIT_MS, USER_TIMEOUT_MS};
 use lemonweir_protocol::kv_store::{CompareAndSwap, Write, from_value};
 use lemonweir_protocol::links::Service;
-use lemonweir_protocol::users::{JobPhase, never_runs};
-use lemonweir_storage::dependencies::chain_key;
+use lemonweir_protocol::users::{JobPhase, unschedulable_reason};
+use lemonweir_storage::dependencies::blocked_job_key;
 use lemonweir_storage::records::{JobEndRecord, end_key, job_key};
 
 use super::Simulation;
@@ -27,7 +27,7 @@
         let Some(core) = controller.core.as_ref() else {
             return;
         };
-        if core.cache.knows(&id) {
+        if core.cache.is_known(&id) {
             return match core.job_status(&id, now_ms) {
                 JobStatusAnswer::Unfinished(progress) => {
                     self.reply(number, id, Some(progress.phase), 200)
@@ -36,7 +36,8 @@
             };
         }
         let never = |catalog| {
-            never_runs(&spec, &self.scenario.teams, &self.scenario.zones, catalog).is_some()
+            unschedulable_reason(&spec, &self.scenario.teams, &self.scenario.zones, catalog)
+                .is_some()
         };
         let wait_us = controller
             .writes
@@ -75,7 +76,7 @@
             return self.reply(number, id, None, 503);
         }
         let accepted = |id: &JobId| {
-            [job_key(id), chain_key(id), end_key(id)]
+            [job_key(id), blocked_job_key(id), end_key(id)]
                 .iter()
                 .any(|key| self.store.get(key).is_some())
         };
@@ -105,7 +106,7 @@
         let now_ms = self.now_ms();
         if let Some(core) = self.controllers[number].core.as_mut() {
             for (id, phase, version) in &ends {
-                core.cache.settle(id, *phase, *version, now_ms);
+                core.cache.record_end(id, *phase, *version, now_ms);
             }
         }
     }
@@ -162,7 +163,7 @@
         if let Some(core) = self.controllers[number]
             .core
             .as_ref()
-            .filter(|core| core.cache.knows(&id))
+            .filter(|core| core.cache.is_known(&id))
         {
             let answer = core.job_status(&id, now_ms);
             return self.answer_after_read(number, id, request, answer);
@@ -251,7 +252,7 @@
         };
         let shard = core
             .cache
-            .teams
+            .team_shards
             .get(&team)
             .copied()
             .unwrap_or_else(|| core.config.default_shard(&team));
--- a/crates/simulator/src/simulation/users.rs
+++ b/crates/simulator/src/simulation/users.rs
@@ -119,7 +119,7 @@
             .jobs
             .get(id)
             .into_iter()
-            .flat_map(|job| job.spec.awaits.iter().map(JobId::as_str))
+            .flat_map(|job| job.spec.depends_on.iter().map(JobId::as_str))
             .collect();
         self.workload
             .history
@@ -142,7 +142,7 @@
         };
         let refused =
             |id: &JobId| !accepted(id) && self.users.get(id).is_some_and(|user| user.finished);
-        let dependencies = &planned.job.spec.awaits;
+        let dependencies = &planned.job.spec.depends_on;
         if dependencies.iter().all(accepted) {
             return true;
         }
--- a/crates/simulator/src/simulation/workers.rs
+++ b/crates/simulator/src/simulation/workers.rs
@@ -143,7 +143,7 @@
     ) {
         let (now, number, controllers) = (self.now, heartbeat.machine, self.controllers.len());
         let share = LEAST_INTERVAL_SHARE + INTERVAL_SHARE_RANGE * self.rng.random::<f64>();
-        let next_us = (self.scenario.workers.report_s * 1e6 * share) as u64;
+        let next_us = (self.scenario.workers.heartbeat_interval_s * 1e6 * share) as u64;
         let Some(controller) = self
             .worker(number)
             .filter(|worker| !worker.silent)
--- a/crates/simulator/src/store.rs
+++ b/crates/simulator/src/store.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use lemonweir_model::constants::CONDITIONS_A_CHANGE;
-use lemonweir_model::settings::StateLimits;
+use lemonweir_model::settings::KvStoreLimits;
 use lemonweir_protocol::kv_store::{CompareAndSwap, KeyValue, WatchEvent, Write};
 use rmpv::Value;
 
@@ -88,7 +88,7 @@
 
 impl Store {
     /// An empty store with these limits.
-    pub fn new(limits: &StateLimits) -> Self {
+    pub fn new(limits: &KvStoreLimits) -> Self {
         let rate = |per_s: f64| RateLimit {
             per_s,
             tokens: per_s,
@@ -102,19 +102,19 @@
             events: VecDeque::new(),
             leases: BTreeMap::new(),
             next_lease: 0,
-            requests: rate(limits.rps),
-            writes: rate(limits.write_rps),
-            value_bytes: (limits.value_kb * 1024.0) as usize,
-            cas_writes: limits.txn_ops,
+            requests: rate(limits.requests_per_s),
+            writes: rate(limits.writes_per_s),
+            value_bytes: (limits.max_value_kib * 1024.0) as usize,
+            cas_writes: limits.max_cas_ops,
         }
     }
 
     /// From now on its next limits hold. What is stored stays.
-    pub fn lower_limits(&mut self, limits: &StateLimits) {
-        self.requests.per_s = limits.least_rps();
-        self.writes.per_s = limits.least_write_rps();
-        self.value_bytes = (limits.least_value_kb() * 1024.0) as usize;
-        self.cas_writes = limits.least_txn_ops();
+    pub fn lower_limits(&mut self, limits: &KvStoreLimits) {
+        self.requests.per_s = limits.lowest_requests_per_s();
+        self.writes.per_s = limits.lowest_writes_per_s();
+        self.value_bytes = (limits.lowest_max_value_kib() * 1024.0) as usize;
+        self.cas_writes = limits.lowest_max_cas_ops();
     }
 
     fn within_limits(&self, cas: &CompareAndSwap) -> bool {
@@ -233,7 +233,7 @@
             return CasAnswer::TooLarge;
         }
         let lease_of = |write: &Write| {
-            if let Write::Put { hold, .. } = write {
+            if let Write::Put { lease: hold, .. } = write {
                 *hold
             } else {
                 None
@@ -264,7 +264,11 @@
         }
         for w in &cas.writes {
             match w {
-                Write::Put { key, value, hold } => self.set(key, value.clone(), *hold),
+                Write::Put {
+                    key,
+                    value,
+                    lease: hold,
+                } => self.set(key, value.clone(), *hold),
                 Write::Delete { key } => self.remove(key),
             }
         }
--- a/crates/simulator/src/worker.rs
+++ b/crates/simulator/src/worker.rs
@@ -7,7 +7,7 @@
 
 use std::collections::BTreeMap;
 
-use lemonweir_model::settings::Workers;
+use lemonweir_model::settings::WorkerTiming;
 use lemonweir_model::{AttemptId, JobId, JobKind, MachineId, MachineType, Resources};
 use lemonweir_protocol::worker::TaskPhase;
 
@@ -82,7 +82,7 @@
 
 impl Worker {
     /// A machine that will be up at its time.
-    pub fn new(spec: MachineSpec<'_>, times: &Workers) -> Self {
+    pub fn new(spec: MachineSpec<'_>, times: &WorkerTiming) -> Self {
         let up_at = spec.up_at;
         Self {
             id: machine_id(spec.number),
@@ -110,7 +110,7 @@
             changed: false,
             token_reported_at: 0,
             tasks: BTreeMap::new(),
-            free: spec.kind.room,
+            free: spec.kind.capacity,
             images: ImageStore::new(up_at),
         }
     }
@@ -137,7 +137,7 @@
             workload
                 .jobs
                 .get(&id.job)
-                .is_some_and(|job| job.spec.shape == JobKind::Service)
+                .is_some_and(|job| job.spec.kind == JobKind::Service)
         };
         self.tasks
             .iter()
--- a/crates/simulator/src/worker/images.rs
+++ b/crates/simulator/src/worker/images.rs
@@ -43,7 +43,7 @@
 
     /// Rate of one download, GB/µs: all of them share the machine's.
     fn rate(&self, kind: &MachineType) -> f64 {
-        kind.fetch_gb_per_s / self.fetches.len().max(1) as f64 / 1e6
+        kind.image_pull_gb_per_s / self.fetches.len().max(1) as f64 / 1e6
     }
 
     /// When the next download is complete, µs.
@@ -117,7 +117,7 @@
             },
         );
         let mut sum_gb = 0.0;
-        let capacity_gb = kind.cache_gb;
+        let capacity_gb = kind.image_cache_gb;
         self.cached.retain(|cached| {
             sum_gb += cached.size_gb;
             sum_gb <= capacity_gb
--- a/crates/simulator/src/worker/messages.rs
+++ b/crates/simulator/src/worker/messages.rs
@@ -43,24 +43,24 @@
         Heartbeat {
             machine: self.id.clone(),
             address: format!("10.{}.{}.{}:9000", 1 + n / 65_536, n / 256 % 256, n % 256),
-            kind: self.kind.name.clone(),
+            machine_type: self.kind.name.clone(),
             zone: self.zone.clone(),
             spot: self.spot,
-            session: self.session,
-            seq: self.sequence,
-            token: self.fencing_token,
-            notice_s: self
+            incarnation: self.session,
+            sequence: self.sequence,
+            fencing_token: self.fencing_token,
+            reclaim_notice_s: self
                 .reclaim_at
                 .map(|at| at.saturating_sub(now) as f64 / 1e6),
             tasks: self
                 .tasks
                 .iter()
                 .map(|(id, task)| TaskStatus {
-                    piece: id.piece(),
+                    task: id.task_name(),
                     attempt: id.attempt,
                     phase: task.phase,
-                    cause: task.cause.map(str::to_owned),
-                    saved: task.saved.then_some(true),
+                    exit_cause: task.cause.map(str::to_owned),
+                    checkpointed: task.saved.then_some(true),
                 })
                 .collect(),
         }
@@ -114,16 +114,16 @@
             self.in_flight = None;
             self.next_heartbeat = answer.sent + answer.next_us;
         }
-        if answer.response.token < self.fencing_token
+        if answer.response.fencing_token < self.fencing_token
             || answer.sent < self.started_at
             || answer.session != self.session
             || now > answer.sent + ANSWER_TIMEOUT_US
         {
             return;
         }
-        self.observe_token(answer.response.token);
+        self.observe_token(answer.response.fencing_token);
         self.lease_from = self.lease_from.max(answer.sent);
-        self.execute(&answer.response.orders, now, workload);
+        self.execute(&answer.response.commands, now, workload);
     }
 
     /// Takes a `/commands` call.
@@ -134,10 +134,11 @@
         workload: &mut WorkloadState,
     ) -> CommandsReply {
         self.advance(now, workload);
-        let executed = request.token >= self.fencing_token && request.session == self.session;
+        let executed =
+            request.fencing_token >= self.fencing_token && request.incarnation == self.session;
         if executed {
-            self.observe_token(request.token);
-            self.execute(&request.orders, now, workload);
+            self.observe_token(request.fencing_token);
+            self.execute(&request.commands, now, workload);
         }
         CommandsReply {
             executed,
@@ -158,15 +159,15 @@
 
     fn execute(&mut self, commands: &[Command], now: u64, workload: &mut WorkloadState) {
         for command in commands {
-            let Some(id) = AttemptId::parse(&command.piece, command.attempt) else {
+            let Some(id) = AttemptId::parse(&command.task, command.attempt) else {
                 continue;
             };
-            match command.verb {
-                CommandKind::Launch if !self.tasks.contains_key(&id) => {
+            match command.kind {
+                CommandKind::Start if !self.tasks.contains_key(&id) => {
                     self.launch(id, now, workload)
                 }
-                CommandKind::Launch => {}
-                CommandKind::Kill => self.kill(&id, command.grace_s.unwrap_or(0), now, workload),
+                CommandKind::Start => {}
+                CommandKind::Stop => self.kill(&id, command.grace_s.unwrap_or(0), now, workload),
                 CommandKind::Forget => self.forget(&id),
             }
         }
--- a/crates/simulator/src/worker/tasks.rs
+++ b/crates/simulator/src/worker/tasks.rs
@@ -64,7 +64,7 @@
 impl Task {
     /// µs for which it has run, in thousandths of a processor.
     pub(super) fn processor_time(&self, now: u64) -> u128 {
-        u128::from(now.saturating_sub(self.running_since)) * u128::from(self.need.cpus)
+        u128::from(now.saturating_sub(self.running_since)) * u128::from(self.need.milli_cpus)
     }
 
     fn ends(&mut self, at: u64, end: TaskEnd) {
@@ -84,13 +84,16 @@
             .get(&id.job)
             .filter(|job| u64::from(id.task) < job.spec.tasks)
             .map(|job| job.spec.clone());
-        let need = spec.as_ref().map(|spec| spec.need()).unwrap_or_default();
+        let need = spec
+            .as_ref()
+            .map(|spec| spec.task_resources())
+            .unwrap_or_default();
         let refusal = self.launch_refusal(&id, spec.as_ref(), &need);
         let task = Task {
             phase: if refusal.is_some() {
                 TaskPhase::Exited
             } else {
-                TaskPhase::Fetching
+                TaskPhase::PullingImage
             },
             cause: refusal,
             saved: false,
@@ -159,7 +162,7 @@
         };
         self.tasks
             .iter()
-            .filter(|(id, task)| task.phase == TaskPhase::Fetching && needs_image(id))
+            .filter(|(id, task)| task.phase == TaskPhase::PullingImage && needs_image(id))
             .map(|(id, _)| id.clone())
             .collect()
     }
@@ -194,9 +197,9 @@
             task.phase = TaskPhase::Running;
             task.ends(now, TaskEnd::Completed);
         } else if gang {
-            task.phase = TaskPhase::Gathering;
+            task.phase = TaskPhase::AwaitingGang;
             task.ends(
-                now + micros(workload.times.gang_wait_s),
+                now + micros(workload.times.gang_start_timeout_s),
                 TaskEnd::GangTimeout,
             );
             workload.gang_task_present(id, self.number, self.speed, now);
@@ -205,7 +208,7 @@
             let until = now + (work_us.saturating_sub(base_us) as f64 / self.speed) as u64;
             if self.faulty || broken {
                 task.ends(now + FAILS_AFTER_US, TaskEnd::Failed);
-            } else if spec.shape == JobKind::Service {
+            } else if spec.kind == JobKind::Service {
                 task.next = None;
             } else {
                 task.ends(until, TaskEnd::Completed);
@@ -218,7 +221,7 @@
         match signal {
             GangSignal::Start(_, id, until) => {
                 let fails = self.faulty || workload.jobs.get(&id.job).is_some_and(|job| job.broken);
-                if let Some(task) = self.task_in(&id, TaskPhase::Gathering) {
+                if let Some(task) = self.task_in(&id, TaskPhase::AwaitingGang) {
                     task.phase = TaskPhase::Running;
                     if fails {
                         task.ends(until.min(now + FAILS_AFTER_US), TaskEnd::Failed);
@@ -271,12 +274,12 @@
         let Some(spec) = workload.jobs.get(&id.job).map(|job| job.spec.clone()) else {
             return;
         };
-        let saves = spec.checkpoint_s > 0.0
-            && f64::from(grace_s) >= spec.save_s
-            && spec.shape != JobKind::Service;
+        let saves = spec.checkpoint_interval_s > 0.0
+            && f64::from(grace_s) >= spec.checkpoint_duration_s
+            && spec.kind != JobKind::Service;
         match task.phase {
             TaskPhase::Exited => {}
-            TaskPhase::Saving if grace_s > 0 => {}
+            TaskPhase::Checkpointing if grace_s > 0 => {}
             TaskPhase::Running if saves => self.save_and_stop(id, &spec, now, workload),
             _ => self.exit(id, TaskEnd::Stopped(false), now, workload),
         }
@@ -293,18 +296,21 @@
         let Some(task) = self.tasks.get_mut(id) else {
             return;
         };
-        task.phase = TaskPhase::Saving;
+        task.phase = TaskPhase::Checkpointing;
         self.changed = true;
         if is_real_gang(spec) {
             // One that has lost a task exits with `peers` all the same.
             if workload.gang(id).is_some_and(|gang| !gang.over) {
                 task.next = None;
-                workload.stop_gang_task(id, micros(spec.save_s), now);
+                workload.stop_gang_task(id, micros(spec.checkpoint_duration_s), now);
             }
         } else {
             let progress =
                 task.base_us + (now.saturating_sub(task.running_since) as f64 * speed) as u64;
-            task.ends(now + micros(spec.save_s), TaskEnd::Stopped(true));
+            task.ends(
+                now + micros(spec.checkpoint_duration_s),
+                TaskEnd::Stopped(true),
+            );
             workload
                 .checkpoints
                 .insert((id.job.clone(), id.task), progress);
@@ -348,7 +354,7 @@
         workload.checker.gang_task_over(id);
         self.free = self.free.plus(&need);
         self.changed = true;
-        if was == TaskPhase::Fetching
+        if was == TaskPhase::PullingImage
             && let Some(image) = workload.jobs.get(&id.job).map(|job| job.spec.image.clone())
         {
             // A download that no task waits for any more is given up.
@@ -380,7 +386,7 @@
         if task.phase != TaskPhase::Running || is_real_gang(&job.spec) {
             return;
         }
-        if job.spec.shape == JobKind::Service {
+        if job.spec.kind == JobKind::Service {
             workload.useful += task.processor_time(now);
         } else {
             let ran_us = (now.saturating_sub(task.running_since) as f64 * self.speed) as u64;
@@ -403,6 +409,6 @@
         }
         self.tasks.clear();
         self.images.abort_all_fetches();
-        self.free = self.kind.room;
+        self.free = self.kind.capacity;
     }
 }
--- a/crates/simulator/src/workload_state.rs
+++ b/crates/simulator/src/workload_state.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-use lemonweir_model::settings::Workers;
+use lemonweir_model::settings::WorkerTiming;
 use lemonweir_model::{AttemptId, JobId, JobSpec};
 
 use crate::clock::{NEVER_US, micros};
@@ -93,7 +93,7 @@
     pub useful: u128,
     /// Tasks that ended with their worker's lease.
     pub killed_by_lease: u64,
-    pub(crate) times: Workers,
+    pub(crate) times: WorkerTiming,
     gangs: HashMap<(JobId, u32), Gang>,
     /// Saved progress of each task, µs of run time.
     pub(crate) checkpoints: HashMap<(JobId, u32), u64>,
@@ -104,7 +104,7 @@
 
 impl WorkloadState {
     /// The state before anything has happened.
-    pub fn new(times: Workers, checker: InvariantChecker, history: History) -> Self {
+    pub fn new(times: WorkerTiming, checker: InvariantChecker, history: History) -> Self {
         Self {
             jobs: HashMap::new(),
             checker,
@@ -126,7 +126,7 @@
 
     /// Progress since a start, down to the last checkpoint that a task makes by itself.
     pub(crate) fn checkpointed(spec: &JobSpec, progress_us: u64) -> u64 {
-        let interval_us = micros(spec.checkpoint_s);
+        let interval_us = micros(spec.checkpoint_interval_s);
         progress_us
             .checked_div(interval_us)
             .map_or(0, |checkpoints| checkpoints * interval_us)
@@ -155,8 +155,8 @@
         let Some(job) = self.jobs.get(&id.job) else {
             return;
         };
-        let (need, tasks) = (job.spec.need(), job.spec.tasks as u32);
-        self.useful += u128::from(worked_us) * u128::from(need.cpus);
+        let (need, tasks) = (job.spec.task_resources(), job.spec.tasks as u32);
+        self.useful += u128::from(worked_us) * u128::from(need.milli_cpus);
         if is_real_gang(&job.spec) {
             (0..tasks).for_each(|task| self.record_completed(&id.job, task, tasks));
             if let Some(gang) = self.gangs.get_mut(&(id.job.clone(), id.attempt)) {
@@ -225,7 +225,7 @@
     /// A gang's task is no more on its machine, or was stopped without a checkpoint: the
     /// attempt is over, and its other tasks notice within the bound.
     pub(crate) fn gang_task_lost(&mut self, id: &AttemptId, now: u64) {
-        let peer_us = micros(self.times.gang_peer_s);
+        let peer_us = micros(self.times.gang_peer_timeout_s);
         let spec = self.jobs.get(&id.job).map(|job| job.spec.clone());
         let Some(gang) = self.gang(id) else { return };
         let was_present = gang.present.remove(&id.task).is_some();
@@ -256,7 +256,7 @@
     /// A running gang's task was told to stop with enough time to save a checkpoint. The
     /// checkpoint is saved once all tasks were told in time.
     pub(crate) fn stop_gang_task(&mut self, id: &AttemptId, save_us: u64, now: u64) {
-        let peer_us = micros(self.times.gang_peer_s);
+        let peer_us = micros(self.times.gang_peer_timeout_s);
         let Some(gang) = self.gang(id) else { return };
         let first_told = *gang.stopping_since.get_or_insert(now);
         gang.told_to_stop.insert(id.task);
--- a/crates/simulator/tests/gang_admission.rs
+++ b/crates/simulator/tests/gang_admission.rs
@@ -13,7 +13,7 @@
 use lemonweir_simulator::scenario::Scenario;
 use lemonweir_simulator::simulation::Simulation;
 use lemonweir_storage::packed_chunk::read_chunk;
-use lemonweir_storage::records::{GangAdmissionStep, parse_run_key};
+use lemonweir_storage::records::{GangAdmissionStep, parse_task_chunk_key};
 
 /// Three controllers, each with its zone's machines: so many in each, of 16
 /// processors and 4 accelerators, and none to rent.
@@ -30,7 +30,7 @@
 /// A gang of whole machines.
 fn gang(n: u32, team: &str, tasks: u64) -> JobSpec {
     JobSpec {
-        cores: 16.0,
+        cpus: 16.0,
         gpus: 4.0,
         class: "train".into(),
         ..job(n, team, JobKind::Gang, tasks)
@@ -61,17 +61,21 @@
 /// What the store says of a gang: its least step, its attempt, members named.
 fn step_of(simulation: &Simulation, id: &JobId) -> Option<(GangAdmissionStep, u32, usize)> {
     let entries = (0..3).flat_map(|shard| simulation.store.list(&format!("run/{shard}/{id}/")));
-    let read = |e: KeyValue| read_chunk(&e.value, parse_run_key(&e.key)?.1);
+    let read = |e: KeyValue| read_chunk(&e.value, parse_task_chunk_key(&e.key)?.1);
     let chunks: Vec<_> = entries
         .filter_map(read)
-        .filter(|c| !c.live.is_empty())
+        .filter(|c| !c.live_attempts.is_empty())
         .collect();
     let gang = chunks
         .iter()
         .map(|c| c.gang.as_ref())
         .collect::<Option<Vec<_>>>()?;
     let least = gang.iter().map(|g| g.step).min()?;
-    Some((least, gang[0].a, chunks.iter().map(|c| c.live.len()).sum()))
+    Some((
+        least,
+        gang[0].attempt,
+        chunks.iter().map(|c| c.live_attempts.len()).sum(),
+    ))
 }
 
 /// Goes on ms by ms; whatever of the gang is launched must be admitted.
--- a/crates/simulator/tests/image_locality.rs
+++ b/crates/simulator/tests/image_locality.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
-use lemonweir_model::policy::Trade;
+use lemonweir_model::policy::ServicePlacementWeights;
 use lemonweir_model::{AttemptId, JobKind, JobSpec, Priority};
 use lemonweir_protocol::worker::TaskPhase;
 use lemonweir_simulator::fixtures::{id, job};
@@ -14,7 +14,7 @@
 
 /// Zones with a controller each and machines that are there from the start, boxes of
 /// 4 accelerators that fetch 0.3 GB a second into caches of 130 GB.
-fn site(zones: &[&str], a_zone: u32, trade: Trade) -> Scenario {
+fn site(zones: &[&str], a_zone: u32, trade: ServicePlacementWeights) -> Scenario {
     let text = format!(
         "name = 'weights'\nduration_s = 1e6\ncontrollers = {}\nzones = {zones:?}\npoll_s = 0\n[policy]\nidle = 1000\n\
          [[machine_type]]\nname = 'box'\ncpus = 16\ngpus = 4\nmemory_gb = 64\ncache_gb = 130\nfetch_gb_per_s = 0.3\nprice = 4\nspot_price = 1\n\
@@ -23,7 +23,7 @@
     );
     let mut scenario =
         Scenario::parse("weights", &text).unwrap_or_else(|faults| panic!("{faults:?}"));
-    scenario.policy.trade = trade;
+    scenario.policy.placement_weights = trade;
     scenario
 }
 
@@ -31,11 +31,11 @@
     let team = ["red", "blue"][n as usize % 2];
     JobSpec {
         class: "model".into(),
-        rank: Priority::Production,
-        spot: false,
+        priority: Priority::Production,
+        allow_spot: false,
         image: image.into(),
         image_gb: gb,
-        checkpoint_s: 0.0,
+        checkpoint_interval_s: 0.0,
         ..job(n, team, JobKind::Service, replicas)
     }
 }
@@ -73,7 +73,7 @@
     }
 
     fn submit(&mut self, spec: JobSpec, run_s: u64) {
-        if spec.shape == JobKind::Service {
+        if spec.kind == JobKind::Service {
             self.services.push(spec.clone());
         }
         let job = SimulatedJob {
@@ -107,14 +107,14 @@
         {
             let (machine, zone) = (w.number, w.zone.clone());
             for t in w.heartbeat(now).tasks {
-                let Some(attempt) = AttemptId::parse(&t.piece, t.attempt) else {
+                let Some(attempt) = AttemptId::parse(&t.task, t.attempt) else {
                     continue;
                 };
                 let Some(&n) = names.get(&attempt.job) else {
                     continue;
                 };
                 match t.phase {
-                    TaskPhase::Fetching => {
+                    TaskPhase::PullingImage => {
                         under_way.insert((machine, n));
                         *self.seen.fetched.entry(attempt).or_default() += 0.5;
                     }
@@ -241,12 +241,12 @@
         .expect("a number")
 }
 
-const LOCALITY: Trade = Trade {
-    machine: 0.0,
-    zone: 0.0,
-    one_zone: 0.0,
-    pin_s: 0.0,
-    move_s: 3_600.0,
+const LOCALITY: ServicePlacementWeights = ServicePlacementWeights {
+    machine_loss: 0.0,
+    zone_loss: 0.0,
+    single_zone: 0.0,
+    machine_pin_cost_s: 0.0,
+    min_migration_gain_s: 3_600.0,
 };
 
 /// 60 GB take 200 s: a replica whose machine is lost starts again where the weights lie,
@@ -256,7 +256,11 @@
     for (machines, replicas) in [(2, 2), (20, 10), (200, 20)] {
         let what = format!("{machines} machines");
         let mut lab = Lab::new(
-            site(&["north", "south"], machines / 2, Trade::default()),
+            site(
+                &["north", "south"],
+                machines / 2,
+                ServicePlacementWeights::default(),
+            ),
             u64::from(machines),
         );
         lab.submit(service(1, replicas, "large", 60.0), 0);
@@ -307,7 +311,7 @@
 #[test]
 fn a_zone_is_lost_with_its_controller() {
     let mut took = Vec::new();
-    for trade in [LOCALITY, Trade::default()] {
+    for trade in [LOCALITY, ServicePlacementWeights::default()] {
         let mut lab = Lab::new(site(&["north", "south"], 6, trade), 5);
         for n in 0..2 {
             lab.submit(service(n, 2, &format!("m-{n}"), 40.0), 0);
@@ -330,24 +334,23 @@
                 .expect("runs")
                 .image_locality_report("m-0", lab.simulation.now / 1_000);
             assert_eq!(
-                (picture.mb, picture.users.len(), picture.users[0].tasks),
+                (picture.size_mb, picture.users.len(), picture.users[0].tasks),
                 (Some(40_000), 1, 2)
             );
             assert_eq!(
-                picture.zones.iter().filter(|z| z.here > 0).count(),
+                picture.zones.iter().filter(|z| z.cached > 0).count(),
                 zones[0].len()
             );
             assert!(
-                picture
-                    .zones
-                    .iter()
-                    .all(|z| (z.left > 0) == zones[0].iter().any(|zone| *zone != z.zone))
+                picture.zones.iter().all(
+                    |z| (z.cached_elsewhere > 0) == zones[0].iter().any(|zone| *zone != z.zone)
+                )
             );
             assert!(
                 picture
                     .shards
                     .iter()
-                    .all(|p| p.told_s.is_some_and(|s| s < 10))
+                    .all(|p| p.age_s.is_some_and(|s| s < 10))
             );
         }
         lab.lose(&hall);
@@ -371,9 +374,9 @@
         site(
             &["north"],
             8,
-            Trade {
-                move_s: 3_600.0,
-                ..Trade::default()
+            ServicePlacementWeights {
+                min_migration_gain_s: 3_600.0,
+                ..ServicePlacementWeights::default()
             },
         ),
         9,
@@ -422,7 +425,14 @@
 /// where the weights lie as long as there is room, and all serve.
 #[test]
 fn a_hot_model_doubles_in_a_minute() {
-    let mut lab = Lab::new(site(&["north", "south", "west"], 8, Trade::default()), 3);
+    let mut lab = Lab::new(
+        site(
+            &["north", "south", "west"],
+            8,
+            ServicePlacementWeights::default(),
+        ),
+        3,
+    );
     lab.submit(service(0, 6, "hot", 20.0), 0);
     for n in 1..4 {
         lab.submit(service(n, 2, &format!("m-{n}"), 20.0), 0);
@@ -463,7 +473,7 @@
 
 /// Replicas without `scatter`, beside batch work that comes and goes; machines are lost,
 /// services come and go, and at the end a hall is lost with its controller.
-fn figures(f: &Figures, name: &str, trade: Trade, seed: u64) {
+fn figures(f: &Figures, name: &str, trade: ServicePlacementWeights, seed: u64) {
     let text = format!(
         "name = 'figures'\nduration_s = 1e6\ncontrollers = {}\nzones = {:?}\npoll_s = 0\n\
          [[machine_type]]\nname = 'box'\ncpus = {}\ngpus = {}\nmemory_gb = {}\ncache_gb = {}\nfetch_gb_per_s = {}\nprice = 4\nspot_price = 1\n\
@@ -480,7 +490,7 @@
     );
     let mut scenario =
         Scenario::parse("figures", &text).unwrap_or_else(|faults| panic!("{faults:?}"));
-    scenario.policy.trade = trade;
+    scenario.policy.placement_weights = trade;
     let mut lab = Lab::new(scenario, seed);
     let image = |n: u32| format!("m-{}", n * n % f.images);
     for n in 0..f.services {
@@ -495,7 +505,7 @@
         let spec = JobSpec {
             image: format!("b-{}", k % 14),
             image_gb: 7.0,
-            spot: false,
+            allow_spot: false,
             ..job(10_000 + k, "blue", JobKind::Array, 20)
         };
         lab.submit(spec, 60);
@@ -590,22 +600,22 @@
             gb: 60.0,
         },
     ];
-    let spread = Trade {
-        machine: 1_000.0,
-        zone: 1_000.0,
-        one_zone: 1_000.0,
-        pin_s: 0.0,
-        move_s: 1.0,
+    let spread = ServicePlacementWeights {
+        machine_loss: 1_000.0,
+        zone_loss: 1_000.0,
+        single_zone: 1_000.0,
+        machine_pin_cost_s: 0.0,
+        min_migration_gain_s: 1.0,
     };
-    let careful = Trade {
-        machine: 2.0,
-        zone: 0.5,
-        ..Trade::default()
+    let careful = ServicePlacementWeights {
+        machine_loss: 2.0,
+        zone_loss: 0.5,
+        ..ServicePlacementWeights::default()
     };
     let trades = [
         ("locality", LOCALITY),
         ("spread", spread),
-        ("trade", Trade::default()),
+        ("trade", ServicePlacementWeights::default()),
         ("careful", careful),
     ];
     std::thread::scope(|scope| {
--- a/crates/simulator/tests/injected_faults.rs
+++ b/crates/simulator/tests/injected_faults.rs
@@ -78,7 +78,9 @@
     assert!(
         reports
             .iter()
-            .all(|r| (r.incarnation, r.fencing_token) == (1, 0) && r.sequence <= 2 && r.tasks.is_empty()),
+            .all(|r| (r.incarnation, r.fencing_token) == (1, 0)
+                && r.sequence <= 2
+                && r.tasks.is_empty()),
         "{reports:?}"
     );
     assert!(
--- a/crates/simulator/tests/invariants.rs
+++ b/crates/simulator/tests/invariants.rs
@@ -84,13 +84,13 @@
     }
     let mut spread = job(10, "blue", JobKind::Service, 3);
     spread.spread = true;
-    spread.spot = false;
+    spread.allow_spot = false;
     submit(simulation, spread, 15, Some(70));
     submit(simulation, job(11, "red", JobKind::Gang, 1), 15, None);
     submit(
         simulation,
         JobSpec {
-            one_zone: true,
+            same_zone: true,
             ..job(12, "blue", JobKind::Gang, 6)
         },
         40,
@@ -294,7 +294,7 @@
     let mut simulation = simulation(75, 3, 12, NO_FAULTS);
     let service = JobSpec {
         spread: true,
-        spot: false,
+        allow_spot: false,
         ..job(1, "blue", JobKind::Service, 40)
     };
     submit(&mut simulation, service, 1, None);
@@ -344,9 +344,9 @@
         [(
             "red".to_owned(),
             Resources {
-                cpus: u64::MAX,
-                gpus: 2_000,
-                memory: u64::MAX,
+                milli_cpus: u64::MAX,
+                milli_gpus: 2_000,
+                memory_mb: u64::MAX,
             },
         )]
         .into(),
@@ -364,8 +364,8 @@
         c.submitted(&Arc::new(spec));
     }
     c.submitted(&Arc::new(JobSpec {
-        spot: false,
-        one_zone: true,
+        allow_spot: false,
+        same_zone: true,
         ..job(4, "blue", JobKind::Gang, 2)
     }));
     c
@@ -501,7 +501,7 @@
     submit(
         &mut simulation,
         JobSpec {
-            rank: Priority::Production,
+            priority: Priority::Production,
             ..job(2, "blue", JobKind::Service, 1)
         },
         1,
@@ -537,7 +537,7 @@
     submit(
         &mut simulation,
         JobSpec {
-            rank: Priority::High,
+            priority: Priority::High,
             ..job(1, "blue", JobKind::Array, 4)
         },
         20,
@@ -564,7 +564,7 @@
     let mut simulation = simulation(seed, 2, 12, NO_FAULTS);
     let service = JobSpec {
         spread: true,
-        spot: false,
+        allow_spot: false,
         ..job(1, "red", JobKind::Service, 4)
     };
     submit(&mut simulation, service, 1, None);
@@ -601,7 +601,7 @@
 fn a_store_outage_longer_than_a_lease_costs_no_task() {
     let mut simulation = simulation(74, 3, 12, NO_FAULTS);
     let service = JobSpec {
-        spot: false,
+        allow_spot: false,
         ..job(1, "red", JobKind::Service, 4)
     };
     submit(&mut simulation, service, 1, None);
--- a/crates/simulator/tests/partitions.rs
+++ b/crates/simulator/tests/partitions.rs
@@ -44,7 +44,7 @@
             &mut simulation,
             JobSpec {
                 spread: true,
-                spot: false,
+                allow_spot: false,
                 ..job(n, team, JobKind::Service, tasks)
             },
             1,
@@ -60,7 +60,7 @@
 fn two_zones(seed: u64, chances: MessageFaults) -> Simulation {
     let mut site = site(3, 16, chances);
     site.workers.lease_s = 24.0;
-    site.workers.cancel_s = 60.0;
+    site.workers.cancellation_deadline_s = 60.0;
     built(seed, site, HALLS)
 }
 
@@ -218,9 +218,9 @@
         .rows(simulation.now / 1_000);
     let row = rows
         .into_iter()
-        .find(|r| r.said_s == 0 && r.to == to && r.from == host_name(controller))
+        .find(|r| r.age_s == 0 && r.to == to && r.from == host_name(controller))
         .expect("a row");
-    (row.standing, row.carried_by)
+    (row.state, row.relayed_by)
 }
 
 #[test]
@@ -235,7 +235,7 @@
     simulation.links_down.insert(Link::OneWay(0, 2));
     simulation.run(8_000);
     assert_eq!(standing(&simulation, 0, "h01").0, LinkState::Down);
-    assert_eq!(standing(&simulation, 0, "h02").0, LinkState::OneWay);
+    assert_eq!(standing(&simulation, 0, "h02").0, LinkState::InboundOnly);
     assert_eq!(
         standing(&simulation, 0, "state service"),
         (LinkState::Down, None)
@@ -337,7 +337,7 @@
             );
         }
         let gang = JobSpec {
-            one_zone: true,
+            same_zone: true,
             ..job(14, "blue", JobKind::Gang, 3)
         };
         submit(&mut simulation, gang, 20);
@@ -412,7 +412,7 @@
             .events();
         let taken = events
             .iter()
-            .filter(|e| e.at > 55_000 && e.text.ends_with("taken"))
+            .filter(|e| e.at_ms > 55_000 && e.text.ends_with("taken"))
             .count();
         assert!(taken <= 4, "in two minutes: {events:?}");
         let swings = events
--- a/crates/simulator/tests/resilience.rs
+++ b/crates/simulator/tests/resilience.rs
@@ -107,7 +107,7 @@
     {
         let what = format!("{factor} times, {fail} never, {zone:?}");
         let mut scenario = site(3, 40, NO_FAULTS);
-        scenario.cloud.list_lag_s = 20.0;
+        scenario.cloud.list_staleness_s = 20.0;
         let mut simulation = built(k as u64, scenario);
         simulation.run(5_000);
         simulation.boot_disturbance = Some(BootDisturbance {
@@ -291,7 +291,7 @@
         submit(
             &mut simulation,
             JobSpec {
-                spot: false,
+                allow_spot: false,
                 ..job(n, "red", JobKind::Service, 1)
             },
             1,
@@ -300,7 +300,7 @@
     simulation.run(60_000);
     if guests {
         let idle = JobSpec {
-            rank: Priority::Low,
+            priority: Priority::Low,
             gpus: 0.0,
             ..job(100, "blue", JobKind::Array, MAX_TASKS)
         };
@@ -309,10 +309,10 @@
             submit(
                 &mut simulation,
                 JobSpec {
-                    rank: Priority::Low,
-                    cores: 0.5,
+                    priority: Priority::Low,
+                    cpus: 0.5,
                     gpus: 0.0,
-                    ram_gb: 0.5,
+                    memory_gb: 0.5,
                     ..job(1_000 + n, "blue", JobKind::Array, 1)
                 },
                 4,
@@ -325,8 +325,8 @@
         submit(
             &mut simulation,
             JobSpec {
-                rank: Priority::Production,
-                spot: false,
+                priority: Priority::Production,
+                allow_spot: false,
                 ..job(n, "red", JobKind::Service, 2)
             },
             1,
@@ -390,7 +390,7 @@
     submit(
         &mut simulation,
         JobSpec {
-            rank: Priority::Low,
+            priority: Priority::Low,
             ..job(0, "blue", JobKind::Array, 4)
         },
         20,
--- a/crates/simulator/tests/supervision.rs
+++ b/crates/simulator/tests/supervision.rs
@@ -45,7 +45,7 @@
             &mut simulation,
             JobSpec {
                 spread: true,
-                spot: false,
+                allow_spot: false,
                 ..job(n, team, JobKind::Service, tasks)
             },
             1,
@@ -92,7 +92,7 @@
             )
         })
         .collect();
-    all.sort_by_key(|(r, _)| r.n);
+    all.sort_by_key(|(r, _)| r.number);
     all
 }
 
@@ -101,22 +101,29 @@
     for shard in 0..3 {
         let ring = ring(simulation, shard);
         for pair in ring.windows(2) {
-            assert_eq!(pair[0].0.n + 1, pair[1].0.n, "{what}: part {shard}");
             assert_eq!(
-                pair[0].0.last_holder(),
-                pair[1].0.from.as_ref(),
+                pair[0].0.number + 1,
+                pair[1].0.number,
+                "{what}: part {shard}"
+            );
+            assert_eq!(
+                pair[0].0.last_leader(),
+                pair[1].0.previous_leader.as_ref(),
                 "{what}: part {shard}"
             );
         }
         let (newest, version) = ring.last().expect("it was taken");
         let (controller, token) = leader(simulation, shard).expect("a holder");
         assert_eq!(
-            newest.to.as_ref(),
+            newest.new_leader.as_ref(),
             Some(&controller),
             "{what}: part {shard}"
         );
         assert_eq!(
-            newest.closed.as_ref().map_or(Some(*version), |c| c.token),
+            newest
+                .completion
+                .as_ref()
+                .map_or(Some(*version), |c| c.fencing_token),
             Some(token),
             "{what}: part {shard}"
         );
@@ -153,7 +160,7 @@
         submit(
             &mut simulation,
             JobSpec {
-                rank: Priority::Normal,
+                priority: Priority::Normal,
                 ..job(9, "blue", JobKind::Array, 3)
             },
             30,
@@ -173,18 +180,22 @@
             "{what}: first, two successors, back again: {entries:#?}"
         );
         assert!(
-            entries.iter().all(|(r, _)| !r.open()),
+            entries.iter().all(|(r, _)| !r.is_open()),
             "{what}: all are closed: {entries:#?}"
         );
         let left = entries
             .iter()
-            .filter(|(r, _)| r.closed.as_ref().is_some_and(|c| c.held_ms.is_some()))
+            .filter(|(r, _)| {
+                r.completion
+                    .as_ref()
+                    .is_some_and(|c| c.leadership_ms.is_some())
+            })
             .count();
         assert!(left >= 1 || after_ms == 6_000, "{what}: {entries:#?}");
         // No replica that ran is lost by it: none was started anew.
         let anew: u32 = entries
             .iter()
-            .filter_map(|(r, _)| r.closed.as_ref()?.found)
+            .filter_map(|(r, _)| r.completion.as_ref()?.found)
             .map(|(_, anew)| anew)
             .sum();
         assert_eq!(anew, 0, "{what}: {entries:#?}");
@@ -207,7 +218,7 @@
         for shard in 0..3 {
             let reborn = ring(&simulation, shard)
                 .iter()
-                .any(|(r, _)| r.how == LeadershipChange::Reborn);
+                .any(|(r, _)| r.change == LeadershipChange::Restarted);
             assert_eq!(
                 reborn,
                 back_ms < HOLD_TTL_MS - HOLD_RENEW_MS,
@@ -227,21 +238,22 @@
     simulation.run(20);
     simulation.store.down = true;
     simulation.run(60_000);
-    assert!(ring(&simulation, 0).last().expect("an entry").0.open());
+    assert!(ring(&simulation, 0).last().expect("an entry").0.is_open());
     let (controller, _) = leader(&simulation, 0).expect("a holder");
     assert_eq!(controller, host_name(second));
     let now = simulation.now;
     simulation.store.recover(now);
     simulation.run(30_000);
     let (record, _) = ring(&simulation, 0).pop().expect("an entry");
-    let closed = record.closed.expect("closed");
+    let closed = record.completion.expect("closed");
     assert_eq!(
-        (closed.by, closed.found),
+        (closed.reported_by, closed.found),
         (controller, Some((10, 0))),
         "the ten replicas of the part's service were found up"
     );
     assert!(
-        closed.whole_ms.is_some_and(|ms| ms < 10_000) && closed.first_start_ms.is_some(),
+        closed.services_restored_ms.is_some_and(|ms| ms < 10_000)
+            && closed.first_start_ms.is_some(),
         "{:?}",
         closed.unknown
     );
@@ -257,10 +269,10 @@
     let mut fill = CompareAndSwap::default();
     for n in 2..=HANDOVERS_KEPT {
         let record = FailoverRecord {
-            n,
-            from: Some(host_name(0)),
-            to: Some(host_name(0)),
-            closed: None,
+            number: n,
+            previous_leader: Some(host_name(0)),
+            new_leader: Some(host_name(0)),
+            completion: None,
             ..first.clone()
         };
         fill.writes.push(Write::put(failover_key(0, n), &record));
@@ -268,7 +280,7 @@
     fill.writes.push(Write::Put {
         key: failover_key(0, 5),
         value: "what".into(),
-        hold: None,
+        lease: None,
     });
     // The store takes so many at a time.
     for write in fill.writes {
@@ -286,7 +298,7 @@
             .store
             .get(&failover_key(0, HANDOVERS_KEPT + 1 + n))
             .and_then(|(v, _)| from_value::<FailoverRecord>(v));
-        assert_eq!(newest.expect("overwritten").n, HANDOVERS_KEPT + 1 + n);
+        assert_eq!(newest.expect("overwritten").number, HANDOVERS_KEPT + 1 + n);
         assert_eq!(controller, host_name(0), "the part is held all the same");
     }
     assert!(
@@ -327,17 +339,17 @@
 #[test]
 fn five_hundred_services_on_one_shard() {
     let mut site = site(3, 300, NO_FAULTS);
-    site.state.write_rps = 400.0;
-    site.state.txn_ops = 32;
+    site.state.writes_per_s = 400.0;
+    site.state.max_cas_ops = 32;
     let mut simulation = built(50, site);
     for n in 0..500 {
         submit(
             &mut simulation,
             JobSpec {
-                spot: false,
-                cores: 1.0,
+                allow_spot: false,
+                cpus: 1.0,
                 gpus: 0.25,
-                ram_gb: 1.0,
+                memory_gb: 1.0,
                 ..job(n, "blue", JobKind::Service, 2)
             },
             1,
@@ -349,7 +361,12 @@
     let now = simulation.now / 1_000;
     let watch = core.supervision_report(now);
     assert_eq!(
-        (watch.services, watch.promised, watch.up, watch.short.len()),
+        (
+            watch.services,
+            watch.desired,
+            watch.running,
+            watch.under_replicated.len()
+        ),
         (500, 1_000, 1_000, 0)
     );
     let before = simulation.store.served.writes;
@@ -363,7 +380,7 @@
         simulation.store.served.writes - before
     );
     let (record, _) = ring(&simulation, 0).pop().expect("an entry");
-    assert_eq!(record.from, Some(host_name(0)));
+    assert_eq!(record.previous_leader, Some(host_name(0)));
     assert!(
         record
             .up
@@ -378,9 +395,9 @@
         .as_ref()
         .expect("it runs")
         .supervision_report(simulation.now / 1_000);
-    assert_eq!((watch.up, watch.short.len()), (1_000, 0));
+    assert_eq!((watch.running, watch.under_replicated.len()), (1_000, 0));
     assert_eq!(
-        watch.shards[0].holder.as_deref(),
+        watch.shards[0].leader.as_deref(),
         Some(host_name(second).as_str())
     );
     let third = simulation.controllers[3 - second]
@@ -388,16 +405,16 @@
         .as_ref()
         .expect("it runs");
     assert_eq!(
-        third.supervision_report(simulation.now / 1_000).up,
+        third.supervision_report(simulation.now / 1_000).running,
         1_000,
         "any node shows it"
     );
     assert_eq!(
         third
             .failover_report(simulation.now / 1_000)
-            .changes
+            .failovers
             .first()
-            .and_then(|c| c.to.clone()),
+            .and_then(|c| c.new_leader.clone()),
         Some(host_name(second))
     );
     assert!(simulation.workload.checker.violations.is_empty());
@@ -431,7 +448,7 @@
             &mut simulation,
             JobSpec {
                 spread: true,
-                spot: false,
+                allow_spot: false,
                 ..job(n, team, JobKind::Service, 16)
             },
             1,
@@ -441,7 +458,7 @@
     submit(
         &mut simulation,
         JobSpec {
-            spot: false,
+            allow_spot: false,
             ..job(services, "red", JobKind::Service, 6)
         },
         1,
@@ -469,7 +486,7 @@
     submit(
         &mut simulation,
         JobSpec {
-            spot: false,
+            allow_spot: false,
             ..job(services + 1, "blue", JobKind::Array, 4)
         },
         60,
@@ -493,10 +510,11 @@
             started.get_or_insert(ms);
         }
         let known = |h: &lemonweir_simulator::controller::Controller| {
-            h.core
-                .as_ref()
-                .filter(|_| h.leads(0))
-                .map(|c| c.supervision_report(simulation.now / 1_000).short.len())
+            h.core.as_ref().filter(|_| h.leads(0)).map(|c| {
+                c.supervision_report(simulation.now / 1_000)
+                    .under_replicated
+                    .len()
+            })
         };
         if whole.is_none()
             && taken.is_some()
@@ -555,9 +573,12 @@
         .controllers
         .iter()
         .filter_map(|h| h.core.as_ref())
-        .flat_map(|c| c.supervision_report(simulation.now / 1_000).short);
+        .flat_map(|c| {
+            c.supervision_report(simulation.now / 1_000)
+                .under_replicated
+        });
     rows.filter(|r| r.job == lemonweir_simulator::fixtures::id(n).to_string())
-        .max_by_key(|r| r.short_s)
+        .max_by_key(|r| r.under_replicated_s)
 }
 
 /// A replica on a machine that fetches for ever goes to one that has its image, as
@@ -569,7 +590,7 @@
     submit(
         &mut simulation,
         JobSpec {
-            spot: false,
+            allow_spot: false,
             ..job(0, "blue", JobKind::Service, 4)
         },
         1,
@@ -583,7 +604,7 @@
     submit(
         &mut simulation,
         JobSpec {
-            spot: false,
+            allow_spot: false,
             ..job(1, "blue", JobKind::Service, 2)
         },
         1,
@@ -601,13 +622,13 @@
             .iter_mut()
             .flatten()
             .filter(|w| !warm.contains(&w.number))
-            .for_each(|w| w.kind.fetch_gb_per_s = 0.000_1);
+            .for_each(|w| w.kind.image_pull_gb_per_s = 0.000_1);
         simulation.run(100);
     }
     let before = row(&simulation, 1).expect("it is short");
-    assert_eq!(before.up, 0);
+    assert_eq!(before.running, 0);
     assert!(
-        before.tried.is_empty() && before.short_s.is_some_and(|s| s >= 50),
+        before.escalations.is_empty() && before.under_replicated_s.is_some_and(|s| s >= 50),
         "nothing better is known: {before:?}"
     );
     // The machine with the image becomes free.
@@ -624,7 +645,7 @@
 fn a_service_uses_avoided_machines_when_nothing_else_is_left() {
     let mut simulation = built(61, site(3, 1, NO_FAULTS));
     let north = |n| JobSpec {
-        spot: false,
+        allow_spot: false,
         zone: Some("north".into()),
         ..job(n, "blue", JobKind::Service, 1)
     };
@@ -647,7 +668,10 @@
     assert_eq!(live(&simulation), 1, "it avoids the only machine");
     simulation.run(15_000);
     let told = row(&simulation, 1).expect("it is short");
-    assert!(told.lacks.contains("0 of 1 replicas up for"), "{told:?}");
+    assert!(
+        told.blocked_by.contains("0 of 1 replicas up for"),
+        "{told:?}"
+    );
     simulation.run(25_000);
     assert_eq!(live(&simulation), 2, "{:?}", row(&simulation, 1));
     assert!(simulation.workload.checker.violations.is_empty());
--- a/fuzz/tests/malformed_input.rs
+++ b/fuzz/tests/malformed_input.rs
@@ -11,7 +11,7 @@
 use lemonweir_protocol::kv_store::{CompareAndSwapResponse, ListResponse, WatchResponse};
 use lemonweir_protocol::links::{
     self, AvailabilityGossip, LINKS_VERSION, LinkState, RelayOutcome, RelayRequest, RelayResponse,
-    RelayTarget, RelayedAnswers, RelayedHeartbeats, Service,
+    RelayTarget, RelayedHeartbeats, RelayedResponses, Service,
 };
 use lemonweir_protocol::peer::{
     self, ChangeRange, DesiredAttempt, ObservedState, PreemptionScope, ShardView, SyncRequest,
@@ -60,7 +60,7 @@
         std::fs::write(&file, mutated(&valid, edits)).expect("written");
         let run = || {
             let mut faults: Vec<Fault> = Vec::new();
-            let machine = Some(Resources::offer(16.0, 4.0, 64.0));
+            let machine = Some(Resources::capacity(16.0, 4.0, 64.0));
             let result =
                 lemonweir_trace::check(format, std::slice::from_ref(&file), machine, &mut |f| {
                     faults.push(f.clone())
@@ -140,13 +140,13 @@
     let heartbeat = Heartbeat {
         machine: MachineId::from("n-000001"),
         address: "10.0.0.1:9000".into(),
-        kind: "box".into(),
+        machine_type: "box".into(),
         zone: "north".into(),
         spot: true,
-        session: 1,
-        seq: 2,
-        token: 3,
-        notice_s: Some(1.5),
+        incarnation: 1,
+        sequence: 2,
+        fencing_token: 3,
+        reclaim_notice_s: Some(1.5),
         tasks: Vec::new(),
     };
     let valid = [encode(&spec), encode(&heartbeat)];
@@ -154,19 +154,23 @@
         .with_type::<(bool, Edits)>()
         .for_each(|(which, edits)| {
             let bytes = mutated(&valid[usize::from(*which)], edits);
-            if let Ok(spec) = users::read_submission(&bytes) {
+            if let Ok(spec) = users::decode_submission(&bytes) {
                 assert!(
                     JobId::parse(spec.id.as_str()).is_some()
                         && spec.tasks > 0
-                        && spec.need().cpus < u64::MAX
+                        && spec.task_resources().milli_cpus < u64::MAX
                 );
             }
             // What is decoded can be encoded again, and is decoded the same.
             if let Ok(heartbeat) = decode::<Heartbeat>(&bytes) {
                 let again = decode::<Heartbeat>(&encode(&heartbeat)).expect("what we wrote");
                 assert_eq!(
-                    (again.machine, again.seq, again.token),
-                    (heartbeat.machine, heartbeat.seq, heartbeat.token)
+                    (again.machine, again.sequence, again.fencing_token),
+                    (
+                        heartbeat.machine,
+                        heartbeat.sequence,
+                        heartbeat.fencing_token
+                    )
                 );
             }
             let _ = (
@@ -194,47 +198,47 @@
             attempt: 1,
         },
         machine: MachineId::from("n-000001"),
-        need: Resources::offer(1.0, 0.0, 1.0),
+        resources: Resources::capacity(1.0, 0.0, 1.0),
         image: "i".into(),
         image_mb: 1,
-        go: true,
-        kill: None,
+        may_start: true,
+        stop_grace_s: None,
         team: "t".into(),
-        rank: Priority::Normal,
-        over: false,
-        grace: 0,
-        lasting: false,
-        evict: PreemptionScope::Nobody,
+        priority: Priority::Normal,
+        over_quota: false,
+        preemption_grace_s: 0,
+        runs_until_cancelled: false,
+        preemption: PreemptionScope::Nobody,
     };
-    let valid = peer::write(&SyncRequest {
+    let valid = peer::encode(&SyncRequest {
         version: lemonweir_model::constants::PEER_VERSION,
-        from: 0,
-        from_token: 1,
-        to: 1,
-        to_token: 2,
+        from_shard: 0,
+        from_fencing_token: 1,
+        to_shard: 1,
+        to_fencing_token: 2,
         seq: 3,
         store_age_ms: 4,
-        span: ChangeRange {
+        range: ChangeRange {
             since: 0,
-            upto: 1,
-            last: true,
+            until: 1,
+            complete: true,
         },
-        wants: vec![desired],
-        dropped: Vec::new(),
+        desired: vec![desired],
+        withdrawn: Vec::new(),
         stops: Vec::new(),
-        have: ObservedState::default(),
-        strays: 0,
-        rented: Vec::new(),
-        keep: Vec::new(),
-        notes: Vec::new(),
+        observed: ObservedState::default(),
+        misrouted_heartbeats: 0,
+        provisioned: Vec::new(),
+        reserved_machines: Vec::new(),
+        progress: Vec::new(),
     });
     check!().with_type::<Edits>().for_each(|edits| {
         let bytes = mutated(&valid, edits);
-        if let Ok(sync) = peer::read::<SyncRequest>(&bytes) {
-            assert_eq!(peer::write(&sync), bytes, "one message, one encoding");
+        if let Ok(sync) = peer::decode::<SyncRequest>(&bytes) {
+            assert_eq!(peer::encode(&sync), bytes, "one message, one encoding");
         }
         assert!(
-            peer::read::<ShardView>(&bytes).is_err()
+            peer::decode::<ShardView>(&bytes).is_err()
                 || !edits.0.is_empty()
                 || !edits.1.is_empty()
                 || edits.2.is_some()
@@ -285,42 +289,42 @@
 fn link_messages() {
     let gossip = AvailabilityGossip {
         version: LINKS_VERSION,
-        host: 1,
-        store_ms: Some(40),
-        cloud_ms: None,
-        peers: vec![(0, LinkState::OneWay, 900), (2, LinkState::Up, 3)],
-        zones: vec![("north".into(), 12), ("south".into(), 90_000)],
+        controller: 1,
+        store_age_ms: Some(40),
+        cloud_age_ms: None,
+        peers: vec![(0, LinkState::InboundOnly, 900), (2, LinkState::Up, 3)],
+        unreachable_zones: vec![("north".into(), 12), ("south".into(), 90_000)],
     };
     let request = RelayRequest {
         version: LINKS_VERSION,
-        goal: RelayTarget::Worker("10.1.0.1:9000".into()),
+        target: RelayTarget::Worker("10.1.0.1:9000".into()),
         method: "POST".into(),
         path: "/commands".into(),
         body: vec![1, 2, 3],
-        wait_ms: 2_500,
+        timeout_ms: 2_500,
     };
     let response = RelayResponse {
         version: LINKS_VERSION,
-        fate: RelayOutcome::Answer {
+        outcome: RelayOutcome::Answered {
             status: 200,
             body: vec![4],
         },
     };
     let heartbeats = RelayedHeartbeats {
         version: LINKS_VERSION,
-        by: 2,
-        reports: vec![vec![5, 6], Vec::new()],
+        relayed_by: 2,
+        heartbeats: vec![vec![5, 6], Vec::new()],
     };
-    let answers = RelayedAnswers {
+    let answers = RelayedResponses {
         version: LINKS_VERSION,
         answers: vec![(200, vec![7]), (503, Vec::new())],
     };
     let valid = [
-        links::write(&gossip),
-        links::write(&request),
-        links::write(&response),
-        links::write(&heartbeats),
-        links::write(&answers),
+        links::encode(&gossip),
+        links::encode(&request),
+        links::encode(&response),
+        links::encode(&heartbeats),
+        links::encode(&answers),
     ];
     let scenario = lemonweir_simulator::fixtures::site(3, 4, Default::default());
     check!()
@@ -329,28 +333,28 @@
             fn read_exactly<T: borsh::BorshDeserialize + borsh::BorshSerialize>(
                 bytes: &[u8],
             ) -> Option<T> {
-                let message = links::read::<T>(bytes).ok()?;
-                assert_eq!(links::write(&message), bytes, "one message, one encoding");
+                let message = links::decode::<T>(bytes).ok()?;
+                assert_eq!(links::encode(&message), bytes, "one message, one encoding");
                 Some(message)
             }
             let bytes = mutated(&valid[usize::from(*which) % valid.len()], edits);
             read_exactly::<RelayRequest>(&bytes);
             read_exactly::<RelayResponse>(&bytes);
             read_exactly::<RelayedHeartbeats>(&bytes);
-            read_exactly::<RelayedAnswers>(&bytes);
+            read_exactly::<RelayedResponses>(&bytes);
             if let Some(gossip) = read_exactly::<AvailabilityGossip>(&bytes) {
                 let mut core =
                     Core::new(Config::new(&scenario.settings(0)), scenario.policy.clone());
                 let own = core.links.handle_gossip(gossip.clone(), 1_000);
-                assert_eq!((own.version, own.host), (LINKS_VERSION, 0));
+                assert_eq!((own.version, own.controller), (LINKS_VERSION, 0));
                 core.links
-                    .gossip_completed(gossip.host, true, Some(gossip.clone()), 1_100);
+                    .gossip_completed(gossip.controller, true, Some(gossip.clone()), 1_100);
                 for at in [2_000, 4_000] {
                     core.links.record_direct_call(Service::Store, 0, false, at);
                 }
                 let relay_peer = core.links.route(Service::Store, 0, 4_100);
                 assert!(
-                    relay_peer.is_none_or(|peer| peer == gossip.host && peer != 0),
+                    relay_peer.is_none_or(|peer| peer == gossip.controller && peer != 0),
                     "only a peer that offered it relays"
                 );
                 assert!(core.links.rows(5_000).iter().all(|r| !r.to.is_empty()));
--- a/src/commands/image_locality.rs
+++ b/src/commands/image_locality.rs
@@ -21,7 +21,7 @@
         return print_response(controller, "GET", &path, &[]);
     }
     let report: ImageLocalityReport = fetch(controller, &path)?;
-    let size = report.mb.map_or_else(
+    let size = report.size_mb.map_or_else(
         || "size unknown".to_owned(),
         |mb| format!("{:.1} GB", mb as f64 / 1000.0),
     );
@@ -42,22 +42,22 @@
         "left without the zone",
     ]);
     for row in &report.zones {
-        let zone = if row.hidden {
+        let zone = if row.partitioned {
             format!("{} (partitioned)", row.zone)
         } else {
             row.zone.clone()
         };
         zones.add_row([
             zone,
-            row.here.to_string(),
-            row.open.to_string(),
-            row.coming.to_string(),
-            row.left.to_string(),
+            row.cached.to_string(),
+            row.schedulable.to_string(),
+            row.pulling.to_string(),
+            row.cached_elsewhere.to_string(),
         ]);
     }
     let mut shards = table(["shard", "reported s ago"]);
     for row in &report.shards {
-        let reported_s = row.told_s.map(|s| s.to_string());
+        let reported_s = row.age_s.map(|s| s.to_string());
         shards.add_row([
             row.shard.to_string(),
             reported_s.unwrap_or_else(|| "never".to_owned()),
--- a/src/commands/links.rs
+++ b/src/commands/links.rs
@@ -27,23 +27,23 @@
     ]);
     for link in &report.links {
         let response_ms = link
-            .took_ms
+            .latency_ms
             .map(|(median, p99)| format!("{median} / {p99}"));
         table.add_row([
             link.from.clone(),
             link.to.clone(),
-            link_state(link.standing).to_owned(),
+            link_state(link.state).to_owned(),
             link.for_s.to_string(),
-            link.carried_by.clone().unwrap_or_default(),
+            link.relayed_by.clone().unwrap_or_default(),
             or_empty(response_ms),
-            link.said_s.to_string(),
+            link.age_s.to_string(),
         ]);
     }
     println!("{table}");
-    if report.carried_workers > 0 {
+    if report.relayed_workers > 0 {
         println!(
             "relays the heartbeats of {} workers to their leaders",
-            report.carried_workers
+            report.relayed_workers
         );
     }
     Ok(())
@@ -53,8 +53,8 @@
     match state {
         LinkState::Unknown => "unknown",
         LinkState::Up => "up",
-        LinkState::Late => "late",
-        LinkState::OneWay => "down one way",
+        LinkState::Suspect => "late",
+        LinkState::InboundOnly => "down one way",
         LinkState::Down => "down",
     }
 }
@@ -68,7 +68,7 @@
     let events: Vec<EventRow> = fetch(controller, path)?;
     let mut table = table(["time of day (UTC)", "event"]);
     for event in events {
-        table.add_row([time_of_day(event.at), event.text]);
+        table.add_row([time_of_day(event.at_ms), event.text]);
     }
     println!("{table}");
     Ok(())
--- a/src/commands/supervision.rs
+++ b/src/commands/supervision.rs
@@ -24,14 +24,14 @@
     }
     let report: SupervisionReport = fetch(controller, path)?;
     println!("{}\n", shard_table(report.shards));
-    if !report.short.is_empty() {
-        println!("{}\n", under_replicated_table(report.short));
+    if !report.under_replicated.is_empty() {
+        println!("{}\n", under_replicated_table(report.under_replicated));
     }
     println!(
         "{} of {} replicas of {} services are up",
-        report.up, report.promised, report.services
+        report.running, report.desired, report.services
     );
-    println!("{}", state_age(&report.host, report.age_ms));
+    println!("{}", state_age(&report.host, report.store_age_ms));
     Ok(())
 }
 
@@ -40,9 +40,9 @@
     for row in rows {
         shards.add_row([
             row.shard.to_string(),
-            row.home,
-            row.holder.unwrap_or_else(|| "nobody".into()),
-            or_empty(row.since.map(time_of_day)),
+            row.preferred_leader,
+            row.leader.unwrap_or_else(|| "nobody".into()),
+            or_empty(row.leader_since_ms.map(time_of_day)),
         ]);
     }
     shards
@@ -69,13 +69,13 @@
         services.add_row([
             row.job,
             row.class,
-            format!("{} of {}", row.up, row.promised),
+            format!("{} of {}", row.running, row.desired),
             zones.join(", "),
-            or_empty(row.short_s),
-            row.doing,
-            or_empty(row.due_s),
-            row.lacks,
-            row.tried.join("; "),
+            or_empty(row.under_replicated_s),
+            row.action,
+            or_empty(row.due_in_s),
+            row.blocked_by,
+            row.escalations.join("; "),
         ]);
     }
     services
@@ -102,11 +102,11 @@
         "replicas",
         "findings",
     ]);
-    for row in report.changes {
+    for row in report.failovers {
         failovers.add_row(failover_cells(row));
     }
     println!("{failovers}");
-    println!("{}", state_age(&report.host, report.age_ms));
+    println!("{}", state_age(&report.host, report.store_age_ms));
     Ok(())
 }
 
@@ -114,7 +114,7 @@
     let up_before = row.up.map(|(replicas, others, machines)| {
         format!("{replicas} replicas, {others} others, {machines} machines")
     });
-    let completion = match (row.closed, &row.to) {
+    let completion = match (row.completion, &row.new_leader) {
         (Some(completion), _) => CompletionCells::of(completion),
         // Only what somebody acquired has something to be found.
         (None, Some(_)) => CompletionCells {
@@ -124,13 +124,13 @@
         (None, None) => CompletionCells::default(),
     };
     [
-        time_of_day(row.at),
+        time_of_day(row.at_ms),
         row.shard.to_string(),
-        row.n.to_string(),
-        row.from.unwrap_or_default(),
-        row.to.unwrap_or_default(),
-        row.how,
-        or_empty(row.token),
+        row.number.to_string(),
+        row.previous_leader.unwrap_or_default(),
+        row.new_leader.unwrap_or_default(),
+        row.change,
+        or_empty(row.fencing_token),
         or_empty(up_before),
         completion.first_start,
         completion.services_restored,
@@ -158,12 +158,12 @@
             .gaps
             .iter()
             .map(|(class, ms)| format!("{class} {ms} ms"));
-        let held = row.held_ms.map(|ms| format!("held for {ms} ms"));
+        let held = row.leadership_ms.map(|ms| format!("held for {ms} ms"));
         let unknown = row.unknown.iter().map(|what| format!("unknown: {what}"));
         let findings: Vec<String> = gaps.chain(held).chain(unknown).collect();
         Self {
             first_start: ms(row.first_start_ms),
-            services_restored: ms(row.whole_ms),
+            services_restored: ms(row.services_restored_ms),
             replicas: or_empty(replicas),
             findings: findings.join("; "),
         }
--- a/tests/malformed_input.rs
+++ b/tests/malformed_input.rs
@@ -8,12 +8,12 @@
 use lemonweir_model::settings::Settings;
 use lemonweir_model::{JobId, JobKind, Resources};
 use lemonweir_protocol::peer::{self, ShardView, SyncRequest};
-use lemonweir_protocol::users::{never_runs, read_submission};
+use lemonweir_protocol::users::{decode_submission, unschedulable_reason};
 use lemonweir_protocol::worker::Heartbeat;
 use lemonweir_protocol::{decode, encode};
 use lemonweir_simulator::fixtures::{job, site};
 use lemonweir_storage::StateCache;
-use lemonweir_storage::records::{StoreMessageKind, StoreMessageRecord, mail_key};
+use lemonweir_storage::records::{StoreMessageKind, StoreMessageRecord, store_message_key};
 use rmpv::Value;
 
 fn settings_text(host: usize, hosts: usize) -> String {
@@ -55,7 +55,7 @@
 ) -> Result<lemonweir_model::JobSpec, lemonweir_protocol::Malformed> {
     let mut bytes = Vec::new();
     rmpv::encode::write_value(&mut bytes, &Value::Map(fields)).expect("written");
-    read_submission(&bytes)
+    decode_submission(&bytes)
 }
 
 #[test]
@@ -98,18 +98,18 @@
         with("cores", 4.into()).is_ok(),
         "a whole number is an amount too"
     );
-    assert!(read_submission(b"{\"json\":1}").is_err());
-    assert!(read_submission(&[]).is_err());
+    assert!(decode_submission(b"{\"json\":1}").is_err());
+    assert!(decode_submission(&[]).is_err());
     let mut extra = encode(&job(1, "red", JobKind::Array, 3));
     extra.push(0);
-    assert!(read_submission(&extra).is_err(), "trailing bytes");
+    assert!(decode_submission(&extra).is_err(), "trailing bytes");
 }
 
 #[test]
 fn unschedulable_jobs_are_rejected_with_a_reason() {
     let settings = Settings::parse(&settings_text(0, 3)).expect("settings");
     let cluster = &settings.cluster;
-    let reason = |spec| never_runs(&spec, &cluster.teams, &cluster.zones, &catalog());
+    let reason = |spec| unschedulable_reason(&spec, &cluster.teams, &cluster.zones, &catalog());
     assert_eq!(
         reason(job(1, "red", JobKind::Array, 1000)),
         None,
@@ -180,16 +180,16 @@
 fn malformed_messages_of_workers_and_peers_are_refused() {
     assert!(decode::<Heartbeat>(b"\x81\xa3box\x01").is_err());
     assert!(decode::<Heartbeat>(&[0xff; 40]).is_err());
-    assert!(peer::read::<SyncRequest>(&[]).is_err());
+    assert!(peer::decode::<SyncRequest>(&[]).is_err());
     assert!(
-        peer::read::<SyncRequest>(&[9, 0, 0])
+        peer::decode::<SyncRequest>(&[9, 0, 0])
             .expect_err("format")
             .contains("format 9")
     );
     // A length that promises more than there is must not be believed.
     let mut bytes = vec![lemonweir_model::constants::PEER_VERSION];
     bytes.extend([0xff; 64]);
-    assert!(peer::read::<ShardView>(&bytes).is_err());
+    assert!(peer::decode::<ShardView>(&bytes).is_err());
 }
 
 #[test]
@@ -198,29 +198,29 @@
     let mut cache = StateCache::default();
     let piece = |n, id, b: &[u8]| {
         lemonweir_protocol::kv_store::to_value(&StoreMessageRecord {
-            n,
-            id: (1, id),
-            b: BASE64_STANDARD.encode(b),
+            chunk_count: n,
+            message_id: (1, id),
+            payload_base64: BASE64_STANDARD.encode(b),
         })
     };
     let set = |k, value, version| lemonweir_protocol::kv_store::WatchEvent {
-        set: Some(mail_key(StoreMessageKind::Sync, 0, 1, k)),
+        set: Some(store_message_key(StoreMessageKind::Sync, 0, 1, k)),
         drop: None,
         value: Some(value),
         version,
     };
-    cache.apply(&[set(0, piece(2, 5, b"ab"), 1)], 1, 0);
-    assert!(cache.take_mail().is_empty(), "a piece is missing");
-    cache.apply(&[set(1, piece(2, 4, b"cd"), 2)], 2, 0);
+    cache.apply_changes(&[set(0, piece(2, 5, b"ab"), 1)], 1, 0);
+    assert!(cache.take_messages().is_empty(), "a piece is missing");
+    cache.apply_changes(&[set(1, piece(2, 4, b"cd"), 2)], 2, 0);
     assert!(
-        cache.take_mail().is_empty(),
+        cache.take_messages().is_empty(),
         "a piece is of an earlier message"
     );
-    cache.apply(&[set(1, piece(2, 5, b"cd"), 3)], 3, 0);
-    let messages = cache.take_mail();
+    cache.apply_changes(&[set(1, piece(2, 5, b"cd"), 3)], 3, 0);
+    let messages = cache.take_messages();
     assert_eq!(messages.len(), 1);
     assert_eq!(messages[0].1, b"abcd");
-    assert!(cache.take_mail().is_empty(), "delivered once");
+    assert!(cache.take_messages().is_empty(), "delivered once");
 }
 
 #[test]
@@ -234,7 +234,7 @@
 fn demand(count: u32, spot: bool) -> CapacityDemand {
     CapacityDemand {
         team: "red".into(),
-        need: Resources::offer(4.0, 1.0, 8.0),
+        need: Resources::capacity(4.0, 1.0, 8.0),
         machine_types: None,
         zone: None,
         spot_allowed: spot,
@@ -292,7 +292,7 @@
     assert_eq!(count(provisioned(demand(4, false), &[])).0, 1);
     let booting = CapacityBin {
         pool: InstancePool::new("box", "north", Market::OnDemand),
-        free: Resources::offer(16.0, 4.0, 64.0),
+        free: Resources::capacity(16.0, 4.0, 64.0),
     };
     assert!(
         provisioned(demand(4, false), &[booting]).is_empty(),
@@ -362,7 +362,7 @@
 fn malformed_responses_of_cloud_and_store_are_refused() {
     use lemonweir_protocol::cloud::{CatalogResponse, InstanceList, MachineNames};
     use lemonweir_protocol::kv_store::{ListResponse, WatchResponse, from_value};
-    use lemonweir_storage::records::{JobRecord, TaskChunkRecord, parse_run_key};
+    use lemonweir_storage::records::{JobRecord, TaskChunkRecord, parse_task_chunk_key};
     for body in [&b""[..], b"\xc0", b"\x80", b"<html>", &[0xff; 30]] {
         assert!(decode::<CatalogResponse>(body).is_err());
         assert!(decode::<MachineNames>(body).is_err());
@@ -372,8 +372,8 @@
     }
     assert!(from_value::<TaskChunkRecord>(&Value::from("x")).is_none());
     assert!(from_value::<JobRecord>(&Value::Nil).is_none());
-    assert!(parse_run_key("run/0/req-1").is_none());
-    assert!(parse_run_key("run/0/other/3").is_none());
+    assert!(parse_task_chunk_key("run/0/req-1").is_none());
+    assert!(parse_task_chunk_key("run/0/other/3").is_none());
     // A key that is malformed changes nothing and ends nothing.
     let mut cache = StateCache::default();
     let change = |key: &str| lemonweir_protocol::kv_store::WatchEvent {
@@ -382,7 +382,7 @@
         value: Some(Value::Nil),
         version: 1,
     };
-    cache.apply(
+    cache.apply_changes(
         &[
             change("w/job/req-1"),
             change("w/part/x"),
@@ -392,7 +392,7 @@
         7,
         0,
     );
-    assert!(cache.jobs.is_empty() && cache.shards.is_empty());
+    assert!(cache.jobs.is_empty() && cache.shard_leaders.is_empty());
     assert_eq!(cache.revision, Some(7));
 }
 
--- a/tests/supervision.rs
+++ b/tests/supervision.rs
@@ -59,41 +59,41 @@
 fn supervision_report(age_ms: Option<u64>) -> SupervisionReport {
     SupervisionReport {
         host: "h1".into(),
-        age_ms,
+        store_age_ms: age_ms,
         shards: vec![
             ShardRow {
                 shard: 0,
-                home: "h0".into(),
-                holder: None,
-                token: None,
-                since: None,
+                preferred_leader: "h0".into(),
+                leader: None,
+                fencing_token: None,
+                leader_since_ms: None,
             },
             ShardRow {
                 shard: 1,
-                home: "h1".into(),
-                holder: Some("h1".into()),
-                token: Some(40),
-                since: Some(1_790_000_000_000),
+                preferred_leader: "h1".into(),
+                leader: Some("h1".into()),
+                fencing_token: Some(40),
+                leader_since_ms: Some(1_790_000_000_000),
             },
         ],
         services: 2,
-        promised: 12,
-        up: 9,
-        short: vec![UnderReplicatedServiceRow {
+        desired: 12,
+        running: 9,
+        under_replicated: vec![UnderReplicatedServiceRow {
             job: "req-000007".into(),
             class: "photo-check".into(),
             team: "red".into(),
             shard: 1,
-            promised: 4,
+            desired: 4,
             half: 2,
-            up: 1,
+            running: 1,
             zones: vec![("north".into(), 1)],
-            short_s: Some(140),
+            under_replicated_s: Some(140),
             below_half_s: Some(20),
-            doing: "starting, or fetching its image".into(),
-            due_s: Some(-12),
-            lacks: String::new(),
-            tried: vec!["3 s ago: replica 2 left n-000009".into()],
+            action: "starting, or fetching its image".into(),
+            due_in_s: Some(-12),
+            blocked_by: String::new(),
+            escalations: vec!["3 s ago: replica 2 left n-000009".into()],
         }],
     }
 }
@@ -136,29 +136,29 @@
 fn failovers_are_shown_open_and_completed() {
     let row = |n, to: Option<&str>, closed| FailoverRow {
         shard: 0,
-        n,
-        at: 1_790_000_000_000,
-        from: Some("h0".into()),
-        to: to.map(str::to_owned),
-        how: "taken".into(),
-        token: to.map(|_| 77),
+        number: n,
+        at_ms: 1_790_000_000_000,
+        previous_leader: Some("h0".into()),
+        new_leader: to.map(str::to_owned),
+        change: "taken".into(),
+        fencing_token: to.map(|_| 77),
         up: Some((11, 2, 5)),
-        closed,
+        completion: closed,
     };
     let completion = FailoverCompletionRow {
-        by: "h2".into(),
-        read_ms: Some(40),
+        reported_by: "h2".into(),
+        state_loaded_ms: Some(40),
         first_start_ms: Some(310),
-        whole_ms: None,
-        held_ms: Some(9_000),
+        services_restored_ms: None,
+        leadership_ms: Some(9_000),
         found: Some((10, 1)),
         gaps: vec![("photo-check".into(), 8_200)],
         unknown: vec!["when all services were whole".into()],
     };
     let report = FailoverReport {
         host: "h1".into(),
-        age_ms: Some(120),
-        changes: vec![
+        store_age_ms: Some(120),
+        failovers: vec![
             row(9, None, None),
             row(8, Some("h2"), None),
             row(7, Some("h2"), Some(completion)),
@@ -209,8 +209,8 @@
 fn former_names_of_commands_do_the_same() {
     let failovers = FailoverReport {
         host: "h1".into(),
-        age_ms: Some(120),
-        changes: Vec::new(),
+        store_age_ms: Some(120),
+        failovers: Vec::new(),
     };
     let cancelled = serde_json::json!({"id": "req-1"});
     for (body, former, main) in [
--- a/tests/user_queries.rs
+++ b/tests/user_queries.rs
@@ -8,8 +8,8 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
+use lemonweir_model::settings::KvStoreLimits;
 use lemonweir_model::settings::Settings;
-use lemonweir_model::settings::StateLimits;
 use lemonweir_model::{JobKind, JobSpec};
 use lemonweir_protocol::kv_store::{
     CompareAndSwap, CompareAndSwapResponse, KeyValue, LeaseRequest, LeaseResponse, ListResponse,
@@ -38,13 +38,13 @@
 struct FakeServicesApi(Arc<FakeServices>);
 
 /// Limits that no request reaches.
-fn unlimited() -> StateLimits {
-    StateLimits {
-        rps: 1e9,
-        write_rps: 1e9,
-        value_kb: 1e6,
-        txn_ops: 1_000_000,
-        next: None,
+fn unlimited() -> KvStoreLimits {
+    KvStoreLimits {
+        requests_per_s: 1e9,
+        writes_per_s: 1e9,
+        max_value_kib: 1e6,
+        max_cas_ops: 1_000_000,
+        upcoming: None,
     }
 }
 
@@ -82,7 +82,7 @@
                 Ok(hold) => Reply::new(
                     200,
                     encode(&LeaseResponse {
-                        hold: store.grant_lease(hold.ttl_ms * 1_000_000, 0),
+                        lease: store.grant_lease(hold.ttl_ms * 1_000_000, 0),
                     }),
                 ),
                 Err(_) => Reply::empty(400),
@@ -117,7 +117,7 @@
                     200,
                     encode(&ListResponse {
                         entries,
-                        more,
+                        truncated: more,
                         revision: store.revision,
                     }),
                 )
@@ -387,7 +387,7 @@
     let unreadable = lemonweir_protocol::kv_store::Write::Put {
         key: "w/job/req-000900".into(),
         value: to_value(&"no record"),
-        hold: None,
+        lease: None,
     };
     store.compare_and_swap(&CompareAndSwap {
         conditions: Vec::new(),
@@ -412,7 +412,7 @@
     );
     // Submitted again long after, when its machine type is gone.
     let ended = JobSpec {
-        types: Some(vec!["no-such".into()]),
+        machine_types: Some(vec!["no-such".into()]),
         ..job(7, "red", JobKind::Array, 1)
     };
     assert_eq!(
@@ -420,7 +420,7 @@
         ok_with_phase("done")
     );
     let never = JobSpec {
-        types: Some(vec!["no-such".into()]),
+        machine_types: Some(vec!["no-such".into()]),
         ..job(800, "red", JobKind::Array, 1)
     };
     assert_eq!(user.ask("POST", "/v1/jobs", &encode(&never)).0, 422);
