--- a/crates/coordination/src/autoscaler.rs
+++ b/crates/coordination/src/autoscaler.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lemonweir_model::constants::MAX_RENT;
+use lemonweir_model::constants::MAX_INSTANCES_PER_REQUEST;
 use lemonweir_model::{Catalog, MachineType, Resources};
 use lemonweir_protocol::cloud::ProvisioningRequest;
 
@@ -214,7 +214,7 @@
 pub struct ScaleOut {
     /// The pool.
     pub pool: InstancePool,
-    /// How many, at most [`MAX_RENT`].
+    /// How many, at most [`MAX_INSTANCES_PER_REQUEST`].
     pub count: u32,
 }
 
@@ -369,7 +369,7 @@
                             .filter_map(move |market| self.offer(demand, machine_type, z, market))
                     })
             })
-            .min_by(|a, b| a.preference(b))
+            .min_by(Offer::preference)
     }
 
     /// The offer of one pool for a demand; `None`: the pool is not allowed for it, or had no
@@ -427,7 +427,7 @@
             .into_iter()
             .map(|(pool, count)| ScaleOut {
                 pool,
-                count: count.min(MAX_RENT),
+                count: count.min(MAX_INSTANCES_PER_REQUEST),
             })
             .collect()
     }
--- a/crates/coordination/src/config.rs
+++ b/crates/coordination/src/config.rs
@@ -4,7 +4,7 @@
 
 use crate::owner::Timing;
 use crate::socket_shares::SocketShares;
-use lemonweir_model::constants::TXN_BYTES;
+use lemonweir_model::constants::MAX_CAS_BYTES;
 use lemonweir_model::settings::{ClusterMember, Settings};
 use lemonweir_model::{MachineId, Resources};
 use lemonweir_protocol::users::quota_limit;
@@ -145,7 +145,7 @@
     /// Pages of image locations in one compare-and-swap: no more than its changes, nor
     /// than its bytes.
     pub fn image_pages_per_cas(&self) -> usize {
-        let bytes = TXN_BYTES / self.value_bytes.max(1);
+        let bytes = MAX_CAS_BYTES / self.value_bytes.max(1);
         self.cas_max_changes.min(bytes).max(1)
     }
 
--- a/crates/coordination/src/core.rs
+++ b/crates/coordination/src/core.rs
@@ -144,7 +144,7 @@
                 || shard
                     .peer_channels
                     .iter()
-                    .any(|channel| channel.waits_for_gap())
+                    .any(super::shard::PeerChannel::waits_for_gap)
         })
     }
 
--- a/crates/coordination/src/dependencies/mod.rs
+++ b/crates/coordination/src/dependencies/mod.rs
@@ -21,7 +21,7 @@
 use crate::placer::CompareAndSwapOutcome;
 use crate::{Config, Core, Effect};
 use batch::{CasBatch, PendingCas};
-use lemonweir_model::constants::COPY_REFRESH_MS;
+use lemonweir_model::constants::SHARD_VIEW_REFRESH_MS;
 use lemonweir_model::{JobId, JobSpec, Priority};
 use lemonweir_protocol::kv_store::CompareAndSwap;
 use lemonweir_protocol::users::JobPhase;
@@ -98,7 +98,8 @@
 impl Survey {
     /// Guards against a look at thousands of waiting jobs at every event.
     fn still_valid(self, changes: u64, now: u64) -> bool {
-        now < self.at + SURVEY_GAP_MS || self.changes == changes && now < self.at + COPY_REFRESH_MS
+        now < self.at + SURVEY_GAP_MS
+            || self.changes == changes && now < self.at + SHARD_VIEW_REFRESH_MS
     }
 }
 
--- a/crates/coordination/src/flush.rs
+++ b/crates/coordination/src/flush.rs
@@ -1,7 +1,7 @@
 //! What is due: the core's own motion, after every event and at every tick.
 
 use crate::{Core, Effect, Shard};
-use lemonweir_model::constants::PLACE_GAP_MS;
+use lemonweir_model::constants::PLACEMENT_INTERVAL_MS;
 use lemonweir_protocol::kv_store::{CompareAndSwap, Condition, Write};
 use lemonweir_storage::records::{ImageLocationsRecord, image_locations_key, shard_key};
 
@@ -178,7 +178,7 @@
 
 impl Shard {
     fn place_if_due(&mut self, now: u64) {
-        if self.placer.placement_is_due(now) && now >= self.last_placement + PLACE_GAP_MS {
+        if self.placer.placement_is_due(now) && now >= self.last_placement + PLACEMENT_INTERVAL_MS {
             self.last_placement = now;
             self.placer.run_placement_pass(now);
         }
--- a/crates/coordination/src/gang_admission/mod.rs
+++ b/crates/coordination/src/gang_admission/mod.rs
@@ -16,7 +16,7 @@
 use lemonweir_storage::records::{GangAdmissionRecord, GangAdmissionStep};
 
 /// ms after its record within which every owner must have granted a gang room: more
-/// than any wait for who is preempted (`EVICT_WAIT_MS`) and the messages about it. A
+/// than any wait for who is preempted (`PREEMPTION_TIMEOUT_MS`) and the messages about it. A
 /// placer or a successor then releases all of it and tries elsewhere.
 pub const GANG_GRANT_TIMEOUT_MS: u64 = 20_000;
 /// ms that a successor gives every owner at least to be heard of an admitted gang,
--- a/crates/coordination/src/heartbeats.rs
+++ b/crates/coordination/src/heartbeats.rs
@@ -8,7 +8,7 @@
 use crate::owner::{CommandCall, CommandResult};
 use crate::process_stall::STALL_MS;
 use crate::{Core, HeartbeatAnswer, ShardLease, incarnation, worker_lease};
-use lemonweir_model::constants::{FENCE_BITS, HOLD_TTL_MS, PEER_VERSION};
+use lemonweir_model::constants::{MACHINE_TOKEN_BITS, PEER_VERSION, STORE_LEASE_TTL_MS};
 use lemonweir_protocol::worker::{Heartbeat, HeartbeatResponse};
 
 /// Zones that no setting names which are logged, each once.
@@ -118,7 +118,7 @@
             zone: &heartbeat.zone,
             machine: &heartbeat.machine,
             repeated,
-            knows_leader: heartbeat.fencing_token >> FENCE_BITS == leader.fencing_token,
+            knows_leader: heartbeat.fencing_token >> MACHINE_TOKEN_BITS == leader.fencing_token,
         };
         match self.links.route_misrouted(&misrouted, now) {
             MisroutedHeartbeatAction::Relay => HeartbeatAnswer::Relay(misrouted.leader),
@@ -200,7 +200,7 @@
     /// lease lives. Its workers are answered all the same, but another may lead its shard by
     /// now, and what that has proven over must not be started here.
     pub(crate) fn store_lease_may_have_expired(&self, now: u64) -> bool {
-        self.links.store_age(now) > HOLD_TTL_MS
+        self.links.store_age(now) > STORE_LEASE_TTL_MS
     }
 
     /// ms after the last answer of the store for which heartbeats are answered.
--- a/crates/coordination/src/image_locality/report.rs
+++ b/crates/coordination/src/image_locality/report.rs
@@ -74,7 +74,10 @@
             };
             zones.insert(zone, row);
         }
-        for machine in placer.into_iter().flat_map(|p| p.machines()) {
+        for machine in placer
+            .into_iter()
+            .flat_map(super::super::placer::Placer::machines)
+        {
             let Some(row) = zones
                 .get_mut(machine.zone.as_str())
                 .filter(|_| machine.registered)
--- a/crates/coordination/src/incarnation/mod.rs
+++ b/crates/coordination/src/incarnation/mod.rs
@@ -24,7 +24,7 @@
 
 use crate::machine::Timing;
 use crate::worker_lease;
-use lemonweir_model::constants::FENCE_BITS;
+use lemonweir_model::constants::MACHINE_TOKEN_BITS;
 use lemonweir_protocol::worker::Heartbeat;
 
 /// Session and number of a worker's message: both only rise in one incarnation of the
@@ -189,7 +189,9 @@
         let lower = token < self.shown_token;
         match origin {
             // Nothing of a worker that has seen a later owner is ours to judge.
-            _ if token >> FENCE_BITS > self.base_token >> FENCE_BITS => Freshness::Unverified,
+            _ if token >> MACHINE_TOKEN_BITS > self.base_token >> MACHINE_TOKEN_BITS => {
+                Freshness::Unverified
+            }
             // It was written after the call was made, when these were known.
             Origin::CallResponse if sequence <= self.newest_at_call => Freshness::Restarted,
             Origin::Heartbeat(_) if token < self.trusted_from => Freshness::Unverified,
@@ -218,7 +220,7 @@
         match origin {
             Origin::Heartbeat(route) => self.observe_delivery(sequence, token, route, timing, now),
             Origin::CallResponse if token > self.shown_token.max(self.highest_call_token) => {
-                self.confirm_reachable(token)
+                self.confirm_reachable(token);
             }
             Origin::CallResponse => {}
         }
--- a/crates/coordination/src/incarnation/tests.rs
+++ b/crates/coordination/src/incarnation/tests.rs
@@ -9,7 +9,7 @@
 use crate::machine::Timing;
 use crate::owner::{CommandCall, CommandResult, Owner};
 use lemonweir_model::constants::{
-    COMMAND_TIMEOUT_MS, NEXT_NODE_MS, PEER_VERSION, WORKER_PATIENCE_MS,
+    COMMAND_TIMEOUT_MS, PEER_VERSION, WORKER_RESPONSE_TIMEOUT_MS, WORKER_RETRY_MS,
 };
 use lemonweir_model::{AttemptId, JobId, MachineId, MachineType, Priority, Resources};
 use lemonweir_protocol::peer::{
@@ -274,7 +274,7 @@
                 }) else {
                     return;
                 };
-                if now > sent + WORKER_PATIENCE_MS {
+                if now > sent + WORKER_RESPONSE_TIMEOUT_MS {
                     return;
                 }
                 w.in_flight = None;
@@ -401,7 +401,7 @@
                     .filter(|w| w.in_flight == Some((heartbeat.sequence, written_at)))
                 {
                     (w.in_flight, w.next, w.node) =
-                        (None, now + NEXT_NODE_MS, (w.node + 1) % HOSTS);
+                        (None, now + WORKER_RETRY_MS, (w.node + 1) % HOSTS);
                 }
             }
         }
@@ -417,9 +417,9 @@
             (w.session, w.lease_from, w.next) = (w.session + 1, now, now);
         }
         if w.in_flight
-            .is_some_and(|(_, sent)| now >= sent + WORKER_PATIENCE_MS)
+            .is_some_and(|(_, sent)| now >= sent + WORKER_RESPONSE_TIMEOUT_MS)
         {
-            (w.in_flight, w.next, w.node) = (None, now + NEXT_NODE_MS, (w.node + 1) % HOSTS);
+            (w.in_flight, w.next, w.node) = (None, now + WORKER_RETRY_MS, (w.node + 1) % HOSTS);
         }
         if w.in_flight.is_none() && now >= w.next {
             let heartbeat = w.next_heartbeat(&machine());
@@ -616,7 +616,7 @@
             2 => self.unreachable_host = Some(self.random.below(HOSTS as u64) as usize),
             3 => self.calls_lost = true,
             4 | 5 => {
-                (self.replies_lost, self.unreachable_host, self.calls_lost) = (false, None, false)
+                (self.replies_lost, self.unreachable_host, self.calls_lost) = (false, None, false);
             }
             6 => {
                 self.copy_percent = [0, 30, 100][self.random.below(3) as usize];
--- a/crates/coordination/src/job.rs
+++ b/crates/coordination/src/job.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use lemonweir_model::constants::{IDLE_PATIENCE_MS, MAX_TASKS};
+use lemonweir_model::constants::{IDLE_WORK_PATIENCE_MS, MAX_TASKS};
 use lemonweir_model::{AttemptId, JobKind, JobSpec, MachineId, Priority, Resources};
 use lemonweir_protocol::peer::{AttemptState, PreemptionScope};
 use lemonweir_protocol::users::JobPhase;
@@ -319,7 +319,7 @@
     /// True if it has waited for so long, with less than half of it begun, that it
     /// may cost more than low-priority work usually does.
     pub(super) fn is_starved(&self, now: u64) -> bool {
-        self.is_below_half() && now >= self.first_seen_at + IDLE_PATIENCE_MS
+        self.is_below_half() && now >= self.first_seen_at + IDLE_WORK_PATIENCE_MS
     }
 
     /// True if some task of it can be placed now.
--- a/crates/coordination/src/job/chunks.rs
+++ b/crates/coordination/src/job/chunks.rs
@@ -1,6 +1,6 @@
 //! The chunks of a job's task record: what has changed, and what of it is written.
 
-use lemonweir_model::constants::CHUNK_TASKS;
+use lemonweir_model::constants::TASKS_PER_CHUNK;
 use lemonweir_storage::records::{GangAdmissionRecord, LiveAttemptRecord, TaskChunkRecord};
 
 use super::{Job, LiveAttempt};
@@ -39,7 +39,7 @@
 impl Job {
     /// Notes a change of a task's chunk, and returns its number.
     pub(crate) fn mark_chunk_dirty(&mut self, task: u32) -> u64 {
-        let chunk = self.chunks.entry(task / CHUNK_TASKS).or_default();
+        let chunk = self.chunks.entry(task / TASKS_PER_CHUNK).or_default();
         chunk.change += 1;
         chunk.change
     }
@@ -54,7 +54,7 @@
     /// Notes a start of a task, and of a gang its first step with it.
     pub(crate) fn mark_start_unwritten(&mut self, task: u32) -> u64 {
         let change = self.mark_chunk_dirty(task);
-        if let Some(chunk) = self.chunks.get_mut(&(task / CHUNK_TASKS)) {
+        if let Some(chunk) = self.chunks.get_mut(&(task / TASKS_PER_CHUNK)) {
             chunk.newest_start = change;
             if self.admission.is_some() {
                 chunk.newest_step = change;
@@ -71,7 +71,7 @@
     /// True if a live attempt is written: its owner may learn of it.
     pub(crate) fn is_recorded(&self, task: u32, live: &LiveAttempt) -> bool {
         self.chunks
-            .get(&(task / CHUNK_TASKS))
+            .get(&(task / TASKS_PER_CHUNK))
             .is_some_and(|chunk| chunk.written >= live.recorded_by)
     }
 
@@ -80,7 +80,7 @@
         let chunks = &self.chunks;
         self.ending.retain(|end| {
             chunks
-                .get(&(end.id.task / CHUNK_TASKS))
+                .get(&(end.id.task / TASKS_PER_CHUNK))
                 .is_some_and(|chunk| chunk.written < end.recorded_by)
         });
     }
@@ -93,7 +93,7 @@
             .iter_mut()
             .filter(|(_, chunk)| chunk.version > 0 && !chunk.is_dirty())
         {
-            let (first, end) = (index * CHUNK_TASKS, (index + 1) * CHUNK_TASKS);
+            let (first, end) = (index * TASKS_PER_CHUNK, (index + 1) * TASKS_PER_CHUNK);
             if live.range(first..end).next().is_none() {
                 chunk.change += 1;
             }
@@ -102,12 +102,12 @@
 
     /// The record of one chunk as it should be in the store.
     pub(crate) fn chunk_record(&self, chunk: u32) -> TaskChunkRecord {
-        let (first, end) = (chunk * CHUNK_TASKS, (chunk + 1) * CHUNK_TASKS);
+        let (first, end) = (chunk * TASKS_PER_CHUNK, (chunk + 1) * TASKS_PER_CHUNK);
         let live: Vec<LiveAttemptRecord> = self
             .live
             .range(first..end)
             .map(|(&task, live)| LiveAttemptRecord {
-                task: task,
+                task,
                 attempt: live.attempt,
                 machine: live.machine.clone(),
                 shard: live.shard,
--- a/crates/coordination/src/job/gang.rs
+++ b/crates/coordination/src/job/gang.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use lemonweir_model::JobKind;
-use lemonweir_model::constants::CHUNK_TASKS;
+use lemonweir_model::constants::TASKS_PER_CHUNK;
 use lemonweir_storage::records::GangAdmissionStep;
 
 use super::{Job, LiveAttempt};
@@ -25,7 +25,7 @@
             (
                 live.attempt,
                 self.chunks
-                    .get(&(task / CHUNK_TASKS))
+                    .get(&(task / TASKS_PER_CHUNK))
                     .and_then(|chunk| chunk.loaded_admission.as_ref()),
             )
         };
@@ -65,9 +65,13 @@
             return;
         };
         admission.advance(step, time_of_day_ms);
-        let chunks: BTreeSet<u32> = self.live.keys().map(|task| task / CHUNK_TASKS).collect();
+        let chunks: BTreeSet<u32> = self
+            .live
+            .keys()
+            .map(|task| task / TASKS_PER_CHUNK)
+            .collect();
         for index in chunks {
-            let change = self.mark_chunk_dirty(index * CHUNK_TASKS);
+            let change = self.mark_chunk_dirty(index * TASKS_PER_CHUNK);
             if let Some(chunk) = self.chunks.get_mut(&index) {
                 chunk.newest_step = change;
             }
--- a/crates/coordination/src/links/store_answers.rs
+++ b/crates/coordination/src/links/store_answers.rs
@@ -1,7 +1,9 @@
 //! When the store last answered, us and others.
 
 use super::Links;
-use lemonweir_model::constants::{COPY_REFRESH_MS, STATE_TIMEOUT_MS, UNREADY_MS};
+use lemonweir_model::constants::{
+    SHARD_VIEW_REFRESH_MS, STORE_TIMEOUT_MS, UNREADY_AFTER_STORE_SILENCE_MS,
+};
 use lemonweir_protocol::links::LinkState;
 
 /// The store's answers, by whatever route they came.
@@ -18,7 +20,7 @@
 impl StoreAnswers {
     /// An answer took so long; more than the time-out is not waited for.
     pub(super) fn record_latency(&mut self, latency_ms: u64) {
-        self.latency_ms = latency_ms.min(STATE_TIMEOUT_MS);
+        self.latency_ms = latency_ms.min(STORE_TIMEOUT_MS);
     }
 }
 
@@ -50,7 +52,7 @@
     /// slow answers that count as none: one reading follows another, so the newest answer
     /// is up to two latencies old though each came in time.
     fn store_silence_ms(&self) -> u64 {
-        UNREADY_MS + self.store_answers.latency_ms
+        UNREADY_AFTER_STORE_SILENCE_MS + self.store_answers.latency_ms
     }
 
     /// Another controller says how long ago the store answered it.
@@ -71,8 +73,8 @@
         // fails for all: its answers to others must be newer by more than the
         // moments by which readings differ.
         let answers_others = last_to_others.is_some_and(|others| {
-            now <= others + UNREADY_MS + COPY_REFRESH_MS
-                && last.is_none_or(|own| others > own + UNREADY_MS)
+            now <= others + UNREADY_AFTER_STORE_SILENCE_MS + SHARD_VIEW_REFRESH_MS
+                && last.is_none_or(|own| others > own + UNREADY_AFTER_STORE_SILENCE_MS)
         });
         answers_others || !self.store_answers_of_late(now) && self.isolated_from_peers(now)
     }
--- a/crates/coordination/src/links/table.rs
+++ b/crates/coordination/src/links/table.rs
@@ -54,7 +54,7 @@
         LinkRow {
             from: self.host(self.own_index),
             to,
-            state: state,
+            state,
             for_s: now.saturating_sub(since) / 1_000,
             relayed_by: None,
             latency_ms: None,
@@ -84,7 +84,7 @@
         let row = |to: String, state: LinkState, for_ms: u64| LinkRow {
             from: self.host(content.controller),
             to,
-            state: state,
+            state,
             for_s: for_ms / 1_000,
             relayed_by: None,
             latency_ms: None,
--- a/crates/coordination/src/links/workers.rs
+++ b/crates/coordination/src/links/workers.rs
@@ -5,7 +5,7 @@
 use super::relay::{LeaderLink, ZoneReachability};
 use crate::election::CEDE_MS;
 use lemonweir_model::MachineId;
-use lemonweir_model::constants::{MASS_SILENT, SILENT_SLACK_MS};
+use lemonweir_model::constants::{HEARTBEAT_TIMEOUT_SLACK_MS, MAX_INDIVIDUAL_LOSSES};
 use lemonweir_protocol::links::{AvailabilityGossip, LinkState};
 
 /// How a worker whose shard another controller leads is to be answered.
@@ -61,14 +61,14 @@
 
     /// ms without a heartbeat from which on a zone counts as unreachable.
     pub(super) fn zone_silence_ms(&self) -> u64 {
-        2 * self.heartbeat_ms + SILENT_SLACK_MS
+        2 * self.heartbeat_ms + HEARTBEAT_TIMEOUT_SLACK_MS
     }
 
     /// True if no worker reaches us any more, though some did a moment ago. After a
     /// while that says nothing: all may have gone to other controllers.
     pub(crate) fn no_worker_reachable(&self, now: u64) -> bool {
         let newest = self.zones.values().max().copied().unwrap_or(0);
-        self.heartbeats > MASS_SILENT as u64
+        self.heartbeats > MAX_INDIVIDUAL_LOSSES as u64
             && now > newest + self.zone_silence_ms()
             && now < newest + CEDE_MS
     }
--- a/crates/coordination/src/machine.rs
+++ b/crates/coordination/src/machine.rs
@@ -6,7 +6,8 @@
 
 use crate::incarnation::{Origin, WorkerIncarnation};
 use lemonweir_model::constants::{
-    BLIND_MOST_MS, NEXT_NODE_MS, SILENT_SLACK_MS, TRIAL_MS, WORKER_PATIENCE_MS,
+    HEARTBEAT_TIMEOUT_SLACK_MS, MAX_STORE_OUTAGE_GRACE_MS, QUARANTINE_TRIAL_MS,
+    WORKER_RESPONSE_TIMEOUT_MS, WORKER_RETRY_MS,
 };
 use lemonweir_model::{AttemptId, Resources};
 use lemonweir_protocol::peer::ExitCause;
@@ -45,15 +46,18 @@
     /// heartbeat within an interval and a quarter. Between the two, if they lie apart.
     pub(crate) fn unanswered_after_ms(&self) -> u64 {
         let regular = self.heartbeat_interval_ms + self.heartbeat_interval_ms / 4;
-        ((regular + WORKER_PATIENCE_MS + NEXT_NODE_MS) / 2).max(regular + SILENT_SLACK_MS)
+        ((regular + WORKER_RESPONSE_TIMEOUT_MS + WORKER_RETRY_MS) / 2)
+            .max(regular + HEARTBEAT_TIMEOUT_SLACK_MS)
     }
 
     /// ms after acquiring a shard from which on every lease that an earlier owner could
     /// renew has surely expired: the last reading of the store that showed that one as the
-    /// leader began before the shard was acquired, it replied for [`BLIND_MOST_MS`] after
+    /// leader began before the shard was acquired, it replied for [`MAX_STORE_OUTAGE_GRACE_MS`] after
     /// that at most, and a lease runs from a heartbeat that was sent before its reply.
     pub fn inherited_lease_expiry_ms(&self) -> u64 {
-        BLIND_MOST_MS + BLIND_MOST_MS * CLOCK_DRIFT_PER_MILLE / 1000 + self.lease_expiry_ms()
+        MAX_STORE_OUTAGE_GRACE_MS
+            + MAX_STORE_OUTAGE_GRACE_MS * CLOCK_DRIFT_PER_MILLE / 1000
+            + self.lease_expiry_ms()
     }
 }
 
@@ -93,7 +97,7 @@
     /// Quarantined from now on.
     pub(super) fn new(confirmed: bool, now: u64) -> Self {
         Self {
-            trial_at: now + TRIAL_MS,
+            trial_at: now + QUARANTINE_TRIAL_MS,
             failed_trials: 0,
             trial_due: false,
             trial_attempt: None,
@@ -110,7 +114,7 @@
     pub(super) fn record_failed_trial(&mut self, now: u64) {
         self.failed_trials += 1;
         self.trial_due = false;
-        self.trial_at = now + (TRIAL_MS << self.failed_trials.min(10));
+        self.trial_at = now + (QUARANTINE_TRIAL_MS << self.failed_trials.min(10));
     }
 
     /// It is released once idle.
--- a/crates/coordination/src/machine_failure_detector.rs
+++ b/crates/coordination/src/machine_failure_detector.rs
@@ -15,7 +15,7 @@
 use tracing::info;
 
 use crate::machine::{Machine, Timing};
-use lemonweir_model::constants::{MASS_SILENT, SILENT_SLACK_MS};
+use lemonweir_model::constants::{HEARTBEAT_TIMEOUT_SLACK_MS, MAX_INDIVIDUAL_LOSSES};
 use lemonweir_protocol::peer::PartitionedZone;
 
 /// ms after a zone is reachable again in which none of its idle machines is released:
@@ -94,7 +94,8 @@
     /// heartbeat each is enough to say so, and it must be: the first of them are released
     /// for themselves soon after.
     fn update_partition(&mut self, name: &str, late_ms: u64, now: u64) {
-        let partitioned = self.unreachable > MASS_SILENT && self.unreachable * 2 > self.known;
+        let partitioned =
+            self.unreachable > MAX_INDIVIDUAL_LOSSES && self.unreachable * 2 > self.known;
         match (self.partitioned_since, partitioned) {
             (None, true) => {
                 info!(
@@ -139,7 +140,8 @@
     /// Of an owner that acquires its shard now. `silent_ms`: the silence that the policy
     /// allows a machine, at least two heartbeat intervals and some slack.
     pub(crate) fn new(timing: Timing, silent_ms: u64, now: u64) -> Self {
-        let silent_ms = silent_ms.max(2 * timing.heartbeat_interval_ms + SILENT_SLACK_MS);
+        let silent_ms =
+            silent_ms.max(2 * timing.heartbeat_interval_ms + HEARTBEAT_TIMEOUT_SLACK_MS);
         Self {
             acquired_at: now,
             timing,
@@ -191,7 +193,7 @@
             .zones
             .values()
             .fold((0, 0), |(known, late), z| (known + z.known, late + z.late));
-        (late > MASS_SILENT && late * 2 > known).then_some(known)
+        (late > MAX_INDIVIDUAL_LOSSES && late * 2 > known).then_some(known)
     }
 
     /// ms of silence after which a machine of a partitioned zone is released. Until its
--- a/crates/coordination/src/owner/commands.rs
+++ b/crates/coordination/src/owner/commands.rs
@@ -43,7 +43,7 @@
 
 fn command(kind: CommandKind, id: &AttemptId, grace_s: Option<u32>) -> Command {
     Command {
-        kind: kind,
+        kind,
         task: id.task_name(),
         attempt: id.attempt,
         grace_s,
--- a/crates/coordination/src/owner/heartbeat.rs
+++ b/crates/coordination/src/owner/heartbeat.rs
@@ -13,11 +13,10 @@
                 Origin::Heartbeat(None),
             )
         };
-        self.machines
-            .get(&heartbeat.machine)
-            .map_or(heartbeat.fencing_token >> FENCE_BITS == self.token, |m| {
-                matches!(freshness(m), Freshness::Current | Freshness::Restarted)
-            })
+        self.machines.get(&heartbeat.machine).map_or(
+            heartbeat.fencing_token >> MACHINE_TOKEN_BITS == self.token,
+            |m| matches!(freshness(m), Freshness::Current | Freshness::Restarted),
+        )
     }
 
     /// Handles a heartbeat that came directly or was relayed by the controller
@@ -31,7 +30,7 @@
         if self.released_machines.contains(&heartbeat.machine) {
             return None;
         }
-        if heartbeat.fencing_token >> FENCE_BITS > self.token {
+        if heartbeat.fencing_token >> MACHINE_TOKEN_BITS > self.token {
             // The worker has seen a later owner: our answer would only keep it
             // here while its lease expires.
             return None;
--- a/crates/coordination/src/owner/maintenance.rs
+++ b/crates/coordination/src/owner/maintenance.rs
@@ -3,13 +3,15 @@
 
 use super::scale_in::not_worth_keeping;
 use super::*;
-use lemonweir_model::constants::{OVERDUE_LEAST, OVERDUE_OF, TICK_MS, UNREADY_MS};
+use lemonweir_model::constants::{
+    MIN_OVERDUE_REPLACEMENTS, OVERDUE_REPLACEMENT_DIVISOR, TICK_MS, UNREADY_AFTER_STORE_SILENCE_MS,
+};
 
 /// ms without a newly accepted attempt after which idle machines are kept for less
 /// long.
-const DEMAND_LULL_AFTER_MS: u64 = 40_000;
+const LOW_DEMAND_AFTER_MS: u64 = 40_000;
 /// Share of the usual time that idle machines are then kept.
-const DEMAND_LULL_KEEP_SHARE: f64 = 0.3;
+const LOW_DEMAND_KEEP_SHARE: f64 = 0.3;
 
 /// A machine whose provisioning timed out.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -44,7 +46,7 @@
     /// Machines may be released and counted as overdue.
     may_release: bool,
     /// No attempt was accepted of late.
-    demand_lull: bool,
+    low_demand: bool,
     inherited_leases_expired: bool,
     surplus: HashSet<MachineId>,
     changed_machines: &'a mut BTreeSet<MachineId>,
@@ -187,8 +189,8 @@
         let Some(idle_since) = m.idle_since else {
             return;
         };
-        let lull = if self.demand_lull || self.surplus.contains(id) {
-            DEMAND_LULL_KEEP_SHARE
+        let low_demand = if self.low_demand || self.surplus.contains(id) {
+            LOW_DEMAND_KEEP_SHARE
         } else {
             1.0
         };
@@ -197,7 +199,7 @@
         } else {
             self.policy.on_demand_idle_multiple
         };
-        let keep_ms = (outlook.rebuild_ms as f64 * lull * factor) as u64;
+        let keep_ms = (outlook.rebuild_ms as f64 * low_demand * factor) as u64;
         if self.now > idle_since + keep_ms || not_worth_keeping(m) {
             m.scale_in_pending = true;
             self.scale_in_candidates.insert(id.clone());
@@ -276,8 +278,9 @@
             timing: self.timing,
             // Guards against an owner that releases what its successor uses: it
             // releases nothing without a recent answer of the store.
-            may_release: now <= self.store_answer_at + UNREADY_MS && !self.is_resuming(now),
-            demand_lull: now > self.last_accepted_at + DEMAND_LULL_AFTER_MS,
+            may_release: now <= self.store_answer_at + UNREADY_AFTER_STORE_SILENCE_MS
+                && !self.is_resuming(now),
+            low_demand: now > self.last_accepted_at + LOW_DEMAND_AFTER_MS,
             inherited_leases_expired: self.inherited_leases_expired(),
             surplus: self.surplus(),
             policy: &self.policy,
@@ -306,7 +309,7 @@
     /// replaced at a time. One that comes up after all is used.
     fn discount_overdue(&mut self, mut overdue: Vec<OverdueMachine>) {
         overdue.sort_unstable();
-        let most = OVERDUE_LEAST.max(self.machines.len() / OVERDUE_OF);
+        let most = MIN_OVERDUE_REPLACEMENTS.max(self.machines.len() / OVERDUE_REPLACEMENT_DIVISOR);
         for machine in overdue.into_iter().take(most).filter(|m| !m.known) {
             info!(machine = %machine.id, shard = self.shard, "machine provisioning timed out");
             if let Some(m) = self.machines.get_mut(&machine.id) {
--- a/crates/coordination/src/owner/mod.rs
+++ b/crates/coordination/src/owner/mod.rs
@@ -48,7 +48,7 @@
 use commands::CommandChannel;
 use image_pages::ImageRecord;
 use last_copies::ServiceImages;
-use lemonweir_model::constants::{CARRIED_PART_MS, FENCE_BITS};
+use lemonweir_model::constants::{MACHINE_TOKEN_BITS, RELAYED_SHARD_TIMEOUT_MS};
 use lemonweir_model::policy::Policy;
 use lemonweir_model::{AttemptId, MachineId, Priority, Resources};
 use lemonweir_protocol::cloud::InstanceEntry;
@@ -292,7 +292,7 @@
 
     /// The lowest token of this owner towards its workers.
     fn base_token(&self) -> u64 {
-        self.token << FENCE_BITS
+        self.token << MACHINE_TOKEN_BITS
     }
 
     /// Shards whose placers have unpublished changes; empties the set.
@@ -306,7 +306,7 @@
     pub fn is_unreachable(&self, now: u64) -> bool {
         let relayed_long = |m: &&Machine| {
             m.relay
-                .is_some_and(|relay| now > relay.since + CARRIED_PART_MS)
+                .is_some_and(|relay| now > relay.since + RELAYED_SHARD_TIMEOUT_MS)
         };
         if self.machines.values().filter(relayed_long).count() * 2 > self.machines.len() {
             return true;
--- a/crates/coordination/src/owner/orphaned_grants.rs
+++ b/crates/coordination/src/owner/orphaned_grants.rs
@@ -1,7 +1,7 @@
 //! Grants that a placer asked for and will never use, since it has lost its lease.
 
 use super::*;
-use lemonweir_model::constants::ORPHAN_ROOM_MS;
+use lemonweir_model::constants::ORPHANED_GRANT_MS;
 use lemonweir_storage::state_cache::ShardLeader;
 
 impl Owner {
@@ -39,7 +39,10 @@
     /// the gang, and one that comes later learns that the grant is gone and releases the
     /// rest. What was launched, or may have been, ends by its machine's proof alone.
     pub(super) fn release_orphaned_grants(&mut self, now: u64) {
-        let due = |p: &PlacerSession| p.lease_lost_at.is_some_and(|at| now >= at + ORPHAN_ROOM_MS);
+        let due = |p: &PlacerSession| {
+            p.lease_lost_at
+                .is_some_and(|at| now >= at + ORPHANED_GRANT_MS)
+        };
         let superseded: BTreeSet<u16> = self
             .placers
             .iter()
--- a/crates/coordination/src/owner/outcomes.rs
+++ b/crates/coordination/src/owner/outcomes.rs
@@ -1,7 +1,7 @@
 //! Outcomes of attempts, the failures attributed to machines by them, and quarantine.
 
 use super::*;
-use lemonweir_model::constants::WELL_AFTER_MS;
+use lemonweir_model::constants::SUCCESS_AFTER_MS;
 
 impl Owner {
     /// Records what an attempt's end says of its job and its machine.
@@ -52,7 +52,7 @@
             return;
         };
         let since = *tracked.running_since.get_or_insert(now);
-        if tracked.success_recorded || now < since + WELL_AFTER_MS {
+        if tracked.success_recorded || now < since + SUCCESS_AFTER_MS {
             return;
         }
         tracked.success_recorded = true;
--- a/crates/coordination/src/owner/proof.rs
+++ b/crates/coordination/src/owner/proof.rs
@@ -1,7 +1,7 @@
 //! The proof of end: how far each attempt of a machine has come.
 
 use super::*;
-use lemonweir_model::constants::EVICT_WAIT_MS;
+use lemonweir_model::constants::PREEMPTION_TIMEOUT_MS;
 
 impl Owner {
     /// Evaluates all attempts of a machine again.
@@ -204,7 +204,7 @@
     ) -> AttemptStage {
         if !m.is_schedulable()
             || m.incarnation.session() <= m.expired_session
-            || now > since + EVICT_WAIT_MS
+            || now > since + PREEMPTION_TIMEOUT_MS
         {
             return AttemptStage::Ended(AttemptState::Refused);
         }
--- a/crates/coordination/src/owner/published_state.rs
+++ b/crates/coordination/src/owner/published_state.rs
@@ -1,7 +1,7 @@
 //! The state of this shard that is published to placers: machines and attempts.
 
 use super::*;
-use lemonweir_model::constants::{ATTEMPT_BYTES, PEER_VERSION};
+use lemonweir_model::constants::{ENCODED_ATTEMPT_BYTES, PEER_VERSION};
 
 impl Owner {
     /// Brings the published state up to date with the machines that changed.
@@ -99,21 +99,21 @@
         let (attempts_span, attempts) = placer.published.changes_since(
             sync.observed.attempts_revision,
             &mut max_bytes,
-            |_, _| ATTEMPT_BYTES,
+            |_, _| ENCODED_ATTEMPT_BYTES,
         );
         let attempts = attempts
             .into_iter()
             .filter_map(|(id, state)| {
                 state.map(|&state| AttemptStatus {
                     id: id.clone(),
-                    state: state,
+                    state,
                 })
             })
             .collect();
         let (machines_span, changes) = self.machine_views.changes_since(
             sync.observed.machines_revision,
             &mut max_bytes,
-            |_, m| m.map_or(ATTEMPT_BYTES, encoded_len),
+            |_, m| m.map_or(ENCODED_ATTEMPT_BYTES, encoded_len),
         );
         let (mut machines, mut gone) = (Vec::new(), Vec::new());
         for (id, m) in changes {
--- a/crates/coordination/src/owner/worker_calls.rs
+++ b/crates/coordination/src/owner/worker_calls.rs
@@ -187,7 +187,7 @@
         self.unreachable_calls -= usize::from(std::mem::take(&mut m.unreachable_call));
         if failed {
             // One that has seen a newer token than the call's is called again at once.
-            let superseded = matches!(&result, CommandResult::Refused(status) if status.fencing_token > call.commands.fencing_token && status.fencing_token >> FENCE_BITS == self.token);
+            let superseded = matches!(&result, CommandResult::Refused(status) if status.fencing_token > call.commands.fencing_token && status.fencing_token >> MACHINE_TOKEN_BITS == self.token);
             let retry_ms = if superseded {
                 0
             } else if m.last_heartbeat_at.is_some() {
--- a/crates/coordination/src/peer_sync.rs
+++ b/crates/coordination/src/peer_sync.rs
@@ -9,7 +9,7 @@
 use crate::owner::SyncError;
 use crate::shard::STORE_ROUTE_AFTER_FAILURES;
 use crate::{Core, Effect, ShardLease};
-use lemonweir_model::constants::{COPY_REFRESH_MS, PEER_VERSION};
+use lemonweir_model::constants::{PEER_VERSION, SHARD_VIEW_REFRESH_MS};
 use lemonweir_protocol::peer::{self, ShardView, Superseded, SyncRequest};
 use lemonweir_storage::records::StoreMessageKind;
 
@@ -192,9 +192,12 @@
 
     /// True if an owner is reached through the store only: its news come that way too.
     pub fn uses_store_messages(&self) -> bool {
-        self.shards
-            .values()
-            .any(|shard| shard.peer_channels.iter().any(|c| c.through_store()))
+        self.shards.values().any(|shard| {
+            shard
+                .peer_channels
+                .iter()
+                .any(super::shard::PeerChannel::through_store)
+        })
     }
 
     /// Sends the syncs of one shard's placer that are due. True if one within this process
@@ -243,7 +246,7 @@
         } else {
             SYNC_GAP_MS
         };
-        let due = now >= channel.last_sync + COPY_REFRESH_MS
+        let due = now >= channel.last_sync + SHARD_VIEW_REFRESH_MS
             || channel.dirty && now >= channel.last_sync + gap
             || misrouted && now >= channel.last_sync + gap.max(MISROUTED_SYNC_GAP_MS);
         if !due || channel.in_flight && !through_store {
--- a/crates/coordination/src/placer/attempt_events.rs
+++ b/crates/coordination/src/placer/attempt_events.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeSet;
 
-use lemonweir_model::constants::WELL_AFTER_MS;
+use lemonweir_model::constants::SUCCESS_AFTER_MS;
 use lemonweir_model::{AttemptId, JobId, JobKind, JobSpec, MachineId};
 use lemonweir_protocol::peer::{AttemptState, ExitCause};
 use lemonweir_storage::records::GangAdmissionStep;
@@ -249,7 +249,7 @@
                 let live = self.jobs.get(&key.job)?.live.get(&key.task)?;
                 let runs_well = live.state == Some(AttemptState::Running)
                     && live.placed_at > 0
-                    && now >= live.placed_at + 2 * WELL_AFTER_MS;
+                    && now >= live.placed_at + 2 * SUCCESS_AFTER_MS;
                 runs_well.then(|| (key.job.clone(), live.placed_at))
             })
             .collect();
--- a/crates/coordination/src/placer/desired.rs
+++ b/crates/coordination/src/placer/desired.rs
@@ -57,7 +57,7 @@
                         live.stop_grace_s
                     },
                     over_quota: live.over_quota,
-                    preemption_grace_s: preemption_grace_s,
+                    preemption_grace_s,
                     runs_until_cancelled: job.is_service(),
                     preemption: live.preemption,
                     ..ending(id, &live.machine)
--- a/crates/coordination/src/placer/headroom.rs
+++ b/crates/coordination/src/placer/headroom.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use lemonweir_model::constants::{CHUNK_TASKS, SPARE_MOST};
+use lemonweir_model::constants::{MAX_HEADROOM_TASKS, TASKS_PER_CHUNK};
 use lemonweir_model::{JobSpec, Resources};
 use lemonweir_protocol::peer::PreemptionScope;
 use lemonweir_storage::records::JobRecord;
@@ -73,7 +73,7 @@
     /// Tasks of one size that headroom is kept for: as many as a fleet of this size can
     /// be expected to need at once.
     fn max_headroom_tasks(&self) -> u32 {
-        SPARE_MOST.max(self.machines().count() as u32 / MACHINES_PER_HEADROOM_TASK)
+        MAX_HEADROOM_TASKS.max(self.machines().count() as u32 / MACHINES_PER_HEADROOM_TASK)
     }
 
     /// What the arrivals of the last `observed_ms` let expect, by the needs of a task
@@ -109,7 +109,7 @@
             return spec.tasks;
         }
         let guaranteed = self.guaranteed_quotas.get(&spec.team);
-        (1..=spec.tasks.min(u64::from(CHUNK_TASKS)))
+        (1..=spec.tasks.min(u64::from(TASKS_PER_CHUNK)))
             .take_while(|&n| within_quota(&spec.task_resources().times(n), guaranteed))
             .last()
             .unwrap_or(0)
--- a/crates/coordination/src/placer/jobs.rs
+++ b/crates/coordination/src/placer/jobs.rs
@@ -1,7 +1,7 @@
 //! Jobs as the store's keys show them.
 
 use lemonweir_model::JobId;
-use lemonweir_model::constants::CHUNK_TASKS;
+use lemonweir_model::constants::TASKS_PER_CHUNK;
 use lemonweir_storage::state_cache::CachedJob;
 use tracing::info;
 
@@ -84,7 +84,7 @@
         let is_in_flight = |task: u32| {
             self.in_flight
                 .as_ref()
-                .is_some_and(|in_flight| in_flight.writes_chunk(id, task / CHUNK_TASKS))
+                .is_some_and(|in_flight| in_flight.writes_chunk(id, task / TASKS_PER_CHUNK))
         };
         let tasks: Vec<u32> = job
             .live
--- a/crates/coordination/src/placer/owner_channel.rs
+++ b/crates/coordination/src/placer/owner_channel.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use lemonweir_model::constants::{ATTEMPT_BYTES, FENCE_BITS, PEER_VERSION};
+use lemonweir_model::constants::{ENCODED_ATTEMPT_BYTES, MACHINE_TOKEN_BITS, PEER_VERSION};
 use lemonweir_model::{AttemptId, MachineId};
 use lemonweir_protocol::peer::{
     DesiredAttempt, JobProgress, ObservedState, ProvisionedInstance, SyncRequest, encoded_len,
@@ -50,7 +50,7 @@
     /// A channel of a placer with this fencing token.
     pub(super) fn new(fencing_token: u64) -> Self {
         Self {
-            last_sent_seq: fencing_token << FENCE_BITS,
+            last_sent_seq: fencing_token << MACHINE_TOKEN_BITS,
             ..Self::default()
         }
     }
@@ -108,7 +108,7 @@
     desired
         .newer_than(upto)
         .filter_map(|(id, attempt)| attempt.stop_grace_s.map(|grace| (id.clone(), grace)))
-        .take(bytes / ATTEMPT_BYTES)
+        .take(bytes / ENCODED_ATTEMPT_BYTES)
         .collect()
 }
 
@@ -160,7 +160,7 @@
             channel
                 .desired
                 .changes_since(channel.desired_acked, &mut room, |_, attempt| {
-                    attempt.map_or(ATTEMPT_BYTES, encoded_len)
+                    attempt.map_or(ENCODED_ATTEMPT_BYTES, encoded_len)
                 });
         channel.desired_sent = span.until;
         let (mut wants, mut dropped) = (Vec::new(), Vec::new());
--- a/crates/coordination/src/placer/placing.rs
+++ b/crates/coordination/src/placer/placing.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeSet, HashMap};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-use lemonweir_model::constants::CHUNK_TASKS;
+use lemonweir_model::constants::TASKS_PER_CHUNK;
 use lemonweir_model::{JobId, JobKind, JobSpec, MachineId, Priority, Resources};
 use lemonweir_protocol::peer::PreemptionScope;
 use tracing::info;
@@ -134,7 +134,7 @@
         let is_first_low_priority_start = spec.priority == Priority::Low
             && job
                 .chunks
-                .get(&(first / CHUNK_TASKS))
+                .get(&(first / TASKS_PER_CHUNK))
                 .is_none_or(|chunk| !chunk.has_unwritten_start());
         if is_first_low_priority_start && pass.low_priority_chunks_left == 0 {
             job.pending_reason = REASON_LOW_PRIORITY_TURN;
--- a/crates/coordination/src/placer/rebalancing.rs
+++ b/crates/coordination/src/placer/rebalancing.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 use std::ops::Bound;
 
-use lemonweir_model::constants::COPY_REFRESH_MS;
+use lemonweir_model::constants::SHARD_VIEW_REFRESH_MS;
 use lemonweir_model::{JobId, MachineId};
 use lemonweir_protocol::peer::AttemptState;
 use tracing::info;
@@ -67,7 +67,7 @@
             return;
         }
         // Look again soon, but not at every event: the look goes through everything.
-        self.last_rebalance_at = (now + COPY_REFRESH_MS).saturating_sub(MOVE_INTERVAL_MS);
+        self.last_rebalance_at = (now + SHARD_VIEW_REFRESH_MS).saturating_sub(MOVE_INTERVAL_MS);
         if self.has_moving_replicas() {
             return;
         }
--- a/crates/coordination/src/placer/reconciliation.rs
+++ b/crates/coordination/src/placer/reconciliation.rs
@@ -2,7 +2,7 @@
 //! which state, and what its machines hold.
 
 use lemonweir_model::MachineId;
-use lemonweir_model::constants::FENCE_BITS;
+use lemonweir_model::constants::MACHINE_TOKEN_BITS;
 use lemonweir_protocol::peer::{Continuation, MachineView, ObservedState, ShardView};
 use tracing::warn;
 
@@ -61,7 +61,7 @@
             || view.fencing_token == channel.observed_token && view.seq <= channel.last_view_seq;
         // Guards against an answer to an earlier leader's message that comes late
         // through the store: it acknowledges what this one never sent.
-        let is_to_earlier_leader = view.seq <= self.fencing_token << FENCE_BITS;
+        let is_to_earlier_leader = view.seq <= self.fencing_token << MACHINE_TOKEN_BITS;
         if is_old || is_to_earlier_leader {
             return false;
         }
--- a/crates/coordination/src/placer/records.rs
+++ b/crates/coordination/src/placer/records.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 
 use lemonweir_model::JobId;
-use lemonweir_model::constants::CHUNK_TASKS;
+use lemonweir_model::constants::TASKS_PER_CHUNK;
 use lemonweir_protocol::peer::PreemptionScope;
 use lemonweir_protocol::users::JobPhase;
 use lemonweir_storage::records::{TaskChunkRecord, job_key, shard_key};
@@ -28,7 +28,7 @@
         // Guards against a service that lost most of its replicas with its
         // controller and comes behind others that are whole.
         job.has_run |= !record.live_attempts.is_empty();
-        let (first, end) = (chunk * CHUNK_TASKS, (chunk + 1) * CHUNK_TASKS);
+        let (first, end) = (chunk * TASKS_PER_CHUNK, (chunk + 1) * TASKS_PER_CHUNK);
         job.chunks.insert(
             chunk,
             TaskChunk {
--- a/crates/coordination/src/placer/supervision.rs
+++ b/crates/coordination/src/placer/supervision.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use lemonweir_model::JobId;
-use lemonweir_model::constants::EVICT_WAIT_MS;
+use lemonweir_model::constants::PREEMPTION_TIMEOUT_MS;
 use lemonweir_protocol::peer::{AttemptState, MachineView};
 
 use super::placing::{REASON_AT_LIMIT, REASON_NO_ROOM};
@@ -139,7 +139,7 @@
         } else if replicas.has_stopping {
             (
                 RecoveryActivity::StoppingOthers,
-                Some(EVICT_WAIT_MS + START_STEP_MS),
+                Some(PREEMPTION_TIMEOUT_MS + START_STEP_MS),
             )
         } else {
             (RecoveryActivity::Starting, Some(fetch_ms + START_STEP_MS))
--- a/crates/coordination/src/placer/write_queue.rs
+++ b/crates/coordination/src/placer/write_queue.rs
@@ -1,7 +1,7 @@
 //! The write queue: which records are due, in which order, and the next
 //! compare-and-swap that writes them.
 
-use lemonweir_model::constants::{CONDITIONS_A_CHANGE, TXN_BYTES};
+use lemonweir_model::constants::{CONDITIONS_PER_CHANGE, MAX_CAS_BYTES};
 use lemonweir_model::{JobId, Priority};
 use lemonweir_protocol::kv_store::{CompareAndSwap, Condition, Write};
 use lemonweir_protocol::users::JobPhase;
@@ -381,8 +381,8 @@
     fn is_full_for_chunk(&self) -> bool {
         let max_operations = self.placer.max_cas_operations;
         self.cas.writes.len() + 1 > max_operations
-            || self.cas.conditions.len() + 2 > CONDITIONS_A_CHANGE * max_operations
-            || self.bytes > TXN_BYTES
+            || self.cas.conditions.len() + 2 > CONDITIONS_PER_CHANGE * max_operations
+            || self.bytes > MAX_CAS_BYTES
             || self.in_flight.record_count() >= self.placer.max_records_per_cas
     }
 
@@ -425,7 +425,7 @@
             .count();
         let bytes = chunks * RECORD_BYTES + job.live.len() * LIVE_ATTEMPT_BYTES;
         let fits = |writes: usize, bytes: usize| {
-            writes <= self.placer.max_cas_operations && bytes <= TXN_BYTES
+            writes <= self.placer.max_cas_operations && bytes <= MAX_CAS_BYTES
         };
         fits(chunks, bytes) && !fits(self.cas.writes.len() + chunks, self.bytes + bytes)
     }
--- a/crates/coordination/src/process_stall.rs
+++ b/crates/coordination/src/process_stall.rs
@@ -4,7 +4,7 @@
 //!
 //! One guard for all timers: whoever would conclude something from time asks it.
 
-use lemonweir_model::constants::HOLD_TTL_MS;
+use lemonweir_model::constants::STORE_LEASE_TTL_MS;
 
 /// ms without an event after which this process counts as having stalled.
 pub(crate) const STALL_MS: u64 = 1_000;
@@ -33,7 +33,7 @@
     pub(crate) fn record_stall(&mut self, gap: u64, now: u64) -> u64 {
         self.resumed_at = Some(now);
         // In a shorter one no store lease can have expired.
-        if gap + STALL_MS > HOLD_TTL_MS {
+        if gap + STALL_MS > STORE_LEASE_TTL_MS {
             self.confirm_from = now;
         }
         gap
--- a/crates/coordination/src/process_stall/tests.rs
+++ b/crates/coordination/src/process_stall/tests.rs
@@ -16,9 +16,9 @@
         "no lease expires in 3 s"
     );
     assert_eq!(
-        stall.record_event(17_900 + HOLD_TTL_MS),
-        Some(10_000 + HOLD_TTL_MS)
+        stall.record_event(17_900 + STORE_LEASE_TTL_MS),
+        Some(10_000 + STORE_LEASE_TTL_MS)
     );
     assert!(stall.lease_unconfirmed(Some(7_000)) && stall.lease_unconfirmed(None));
-    assert!(!stall.lease_unconfirmed(Some(17_900 + HOLD_TTL_MS)));
+    assert!(!stall.lease_unconfirmed(Some(17_900 + STORE_LEASE_TTL_MS)));
 }
--- a/crates/coordination/src/provisioning.rs
+++ b/crates/coordination/src/provisioning.rs
@@ -248,7 +248,7 @@
             !m.registered
                 && (m.schedulable || partitioned.contains(m.zone.as_str()))
                 && m.provisioned_by
-                    .is_none_or(|renter| renter == self.lease.shard)
+                    .is_none_or(|provisioner| provisioner == self.lease.shard)
         });
         let mut bins: Vec<CapacityBin> = booting
             .map(|m| bin(&m.machine_type, &m.zone, m.spot))
--- a/crates/coordination/src/supervision/failover_log.rs
+++ b/crates/coordination/src/supervision/failover_log.rs
@@ -75,7 +75,7 @@
             number: n,
             previous_leader: from,
             new_leader: to,
-            change: change,
+            change,
             at_ms: now + self.config.wall_offset_ms,
             up: informed.and_then(|s| s.placer.running_counts(shard)),
             completion: None,
--- a/crates/coordination/src/supervision/report.rs
+++ b/crates/coordination/src/supervision/report.rs
@@ -123,7 +123,7 @@
             class: spec.class.clone(),
             team: spec.team.clone(),
             shard: Self::team_shard(&self.cache, &self.config, &spec.team),
-            desired: desired,
+            desired,
             half: desired.div_ceil(2),
             running: note.map_or(0, |n| n.tasks_running).min(desired),
             zones: Vec::new(),
--- a/crates/coordination/src/worker_lease.rs
+++ b/crates/coordination/src/worker_lease.rs
@@ -6,7 +6,7 @@
 //! token to whoever it sends heartbeats to. A later process of the same host knows that
 //! this owner is no more, so that nobody infers anything from that owner's own replies any
 //! longer; and whoever acquires the shard does so after that reading. What a successor
-//! infers from time allows for replies up to [`BLIND_MOST_MS`] after the reading, whoever
+//! infers from time allows for replies up to [`MAX_STORE_OUTAGE_GRACE_MS`] after the reading, whoever
 //! gives them (`docs/design.md`, proof of end). Until then the new process replies with
 //! the worker's own token and no commands.
 //!
@@ -14,7 +14,7 @@
 //! of [`READING_STEP_MS`], and the fence counter.
 
 use crate::machine::LEASE_MARGIN_MS;
-use lemonweir_model::constants::{BLIND_MOST_MS, FENCE_BITS};
+use lemonweir_model::constants::{MACHINE_TOKEN_BITS, MAX_STORE_OUTAGE_GRACE_MS};
 
 /// Bits of the fence counter: calls of unknown outcome between two lease renewals, which
 /// are some seconds apart or, without the store, a minute.
@@ -27,9 +27,9 @@
 const LEASE_RENEWAL_MS: u64 = 12_000;
 
 /// Marks a token that tells the time of a reading.
-const HAS_READING: u64 = 1 << (FENCE_BITS - 1);
+const HAS_READING: u64 = 1 << (MACHINE_TOKEN_BITS - 1);
 /// Times that are told apart.
-const READING_STEPS: u64 = 1 << (FENCE_BITS - 1 - FENCE_COUNTER_BITS);
+const READING_STEPS: u64 = 1 << (MACHINE_TOKEN_BITS - 1 - FENCE_COUNTER_BITS);
 
 /// The low bits of a token that tells a reading which began at `wall_ms`, in time of day.
 fn reading_bits(wall_ms: u64) -> u64 {
@@ -53,7 +53,7 @@
 /// The time of day, ms, until which the lease of a worker that shows this token may be
 /// renewed, by a clock that reads `wall_ms` and is off by `clock_error_ms` at most.
 pub(crate) fn renewable_until(token: u64, wall_ms: u64, clock_error_ms: u64) -> Option<u64> {
-    let low = token & ((1 << FENCE_BITS) - 1);
+    let low = token & ((1 << MACHINE_TOKEN_BITS) - 1);
     if low & HAS_READING == 0 {
         return None;
     }
@@ -65,7 +65,7 @@
     let began = now.checked_sub((now % READING_STEPS + READING_STEPS - step) % READING_STEPS)?
         * READING_STEP_MS;
     // Both clocks may be off, that of the predecessor and ours.
-    (began + BLIND_MOST_MS).checked_sub(2 * clock_error_ms + LEASE_MARGIN_MS)
+    (began + MAX_STORE_OUTAGE_GRACE_MS).checked_sub(2 * clock_error_ms + LEASE_MARGIN_MS)
 }
 
 #[cfg(test)]
--- a/crates/coordination/src/worker_lease/tests.rs
+++ b/crates/coordination/src/worker_lease/tests.rs
@@ -5,18 +5,18 @@
 #[test]
 fn reading_time_is_recovered_and_never_extended() {
     for began in (0..40_000).step_by(700).map(|ms| DAY_MS + ms) {
-        let token = 77 << FENCE_BITS | raised(reading_bits(began)).expect("room");
+        let token = 77 << MACHINE_TOKEN_BITS | raised(reading_bits(began)).expect("room");
         for later in [0, 1_000, 30_000, 59_000] {
             let until = renewable_until(token, began + later, 250).expect("a reading");
-            assert!(until <= began + BLIND_MOST_MS - 500, "{until}");
+            assert!(until <= began + MAX_STORE_OUTAGE_GRACE_MS - 500, "{until}");
             assert!(
-                until + READING_STEP_MS + 1_500 > began + BLIND_MOST_MS,
+                until + READING_STEP_MS + 1_500 > began + MAX_STORE_OUTAGE_GRACE_MS,
                 "{until}"
             );
         }
     }
     assert_eq!(
-        renewable_until(77 << FENCE_BITS | 5, DAY_MS, 250),
+        renewable_until(77 << MACHINE_TOKEN_BITS | 5, DAY_MS, 250),
         None,
         "it tells no reading"
     );
@@ -27,7 +27,7 @@
 fn reading_of_a_fast_clock_is_not_taken_for_one_of_weeks_ago() {
     let began = DAY_MS / READING_STEP_MS * READING_STEP_MS;
     let until = renewable_until(reading_bits(began), began - 400, 250).expect("a reading");
-    assert!(until > began + 50_000 && until < began + BLIND_MOST_MS);
+    assert!(until > began + 50_000 && until < began + MAX_STORE_OUTAGE_GRACE_MS);
 }
 
 #[test]
--- a/crates/coordination/tests/answers.rs
+++ b/crates/coordination/tests/answers.rs
@@ -8,7 +8,7 @@
 };
 use lemonweir_coordination::rate_limit::{QUERY_SHARE, RequestBudget, TokenBucket};
 use lemonweir_model::JobId;
-use lemonweir_model::constants::{LOOKUPS_MOST, SUBMIT_WAIT_MS};
+use lemonweir_model::constants::{MAX_PENDING_LOOKUPS, SUBMISSION_TIMEOUT_MS};
 
 /// Numbers from a seed.
 struct Draw(u64);
@@ -121,7 +121,7 @@
     let mut all: Vec<Node> = (0..nodes)
         .map(|n| Node {
             admission: QueryAdmission::default(),
-            queue: LookupQueue::new(LOOKUPS_MOST),
+            queue: LookupQueue::new(MAX_PENDING_LOOKUPS),
             overloaded: n < overloaded,
         })
         .collect();
@@ -264,7 +264,7 @@
         for now_us in (0..60_000_000u64).step_by(10_000) {
             requests.refused();
             // A flood of submissions, each taken while its turn is 0.8 s away at most.
-            while requests.wait(now_us) <= SUBMIT_WAIT_MS * 1_000 {
+            while requests.wait(now_us) <= SUBMISSION_TIMEOUT_MS * 1_000 {
                 requests.take(now_us);
                 written += 1;
             }
--- a/crates/coordination/tests/cancellations.rs
+++ b/crates/coordination/tests/cancellations.rs
@@ -9,8 +9,8 @@
 use lemonweir_coordination::job_status::JobStatusAnswer;
 use lemonweir_coordination::owner::{CommandResult, Owner};
 use lemonweir_coordination::placer::CompareAndSwapOutcome;
-use lemonweir_coordination::{Config, Core, Effect, ShardLease};
-use lemonweir_model::constants::{BLIND_MOST_MS, FENCE_BITS, MAIL_AFTER_FAILURES};
+use lemonweir_coordination::{Config, Core, Effect, STORE_ROUTE_AFTER_FAILURES, ShardLease};
+use lemonweir_model::constants::{MACHINE_TOKEN_BITS, MAX_STORE_OUTAGE_GRACE_MS};
 use lemonweir_model::{JobId, JobSpec};
 use lemonweir_protocol::kv_store::{CompareAndSwap, KeyValue, WatchEvent, Write, to_value};
 use lemonweir_protocol::peer::{
@@ -130,7 +130,7 @@
                     effect if found.is_none() && look(&effect).is_some() => found = look(&effect),
                     Effect::Sync(lease, sync) => {
                         self.core
-                            .sync_completed(lease, sync.to_shard, None, self.now)
+                            .sync_completed(lease, sync.to_shard, None, self.now);
                     }
                     _ => {}
                 }
@@ -167,7 +167,7 @@
     /// A direct sync to the former owner that wants the attempt, whose answer is
     /// still out, and one through the store to the next owner after it.
     fn told_both(&mut self) -> (SyncRequest, SyncRequest) {
-        for _ in 0..MAIL_AFTER_FAILURES {
+        for _ in 0..STORE_ROUTE_AFTER_FAILURES {
             self.direct();
             self.core.sync_completed(self.lease, 0, None, self.now);
         }
@@ -276,7 +276,7 @@
 /// Machine 1, which has seen the next owner, with the task or without.
 fn seen(seq: u64, runs: bool) -> Heartbeat {
     Heartbeat {
-        fencing_token: NEXT << FENCE_BITS,
+        fencing_token: NEXT << MACHINE_TOKEN_BITS,
         tasks: runs.then(|| running_task(0)).into_iter().collect(),
         ..report(1, seq)
     }
@@ -525,12 +525,12 @@
                 // know of it.
                 if long == 0 {
                     assert!(
-                        in_time >= 8 && stop <= BLIND_MOST_MS + 2_000,
+                        in_time >= 8 && stop <= MAX_STORE_OUTAGE_GRACE_MS + 2_000,
                         "{in_time} told in time, stopped after {stop} ms; {faults:?}"
                     );
                 }
                 assert!(
-                    stop <= long + BLIND_MOST_MS + TIMING.lease_ms + 10_000,
+                    stop <= long + MAX_STORE_OUTAGE_GRACE_MS + TIMING.lease_ms + 10_000,
                     "{stop} ms; {faults:?}"
                 );
             }
--- a/crates/coordination/tests/changes.rs
+++ b/crates/coordination/tests/changes.rs
@@ -428,7 +428,7 @@
     );
     next.restore_image_pages(pages);
     for n in 0..MACHINES {
-        let token = (TOKEN + 1) << lemonweir_model::constants::FENCE_BITS;
+        let token = (TOKEN + 1) << lemonweir_model::constants::MACHINE_TOKEN_BITS;
         assert!(
             next.handle_heartbeat(
                 &Heartbeat {
--- a/crates/coordination/tests/elections.rs
+++ b/crates/coordination/tests/elections.rs
@@ -8,7 +8,7 @@
 };
 use lemonweir_coordination::owner::SyncError;
 use lemonweir_coordination::{Config, Core, ShardLease};
-use lemonweir_model::constants::{CARRIED_PART_MS, PEER_VERSION};
+use lemonweir_model::constants::{PEER_VERSION, RELAYED_SHARD_TIMEOUT_MS};
 use lemonweir_model::policy::Policy;
 use lemonweir_model::settings::Settings;
 use lemonweir_protocol::kv_store::{KeyValue, WatchEvent, to_value};
@@ -393,7 +393,7 @@
     };
     core.handle_relayed_heartbeat(&heartbeat, 1, 2_100);
     let mut election = election();
-    let since = 2_100 + CARRIED_PART_MS + 1;
+    let since = 2_100 + RELAYED_SHARD_TIMEOUT_MS + 1;
     read(&mut core, &[alive(0, 11)], 11, since);
     for again in 0..5 {
         assert_eq!(
@@ -421,7 +421,7 @@
         1,
         since + 10_000 + CEDE_MS,
     );
-    let anew = since + 10_000 + CEDE_MS + CARRIED_PART_MS + 1;
+    let anew = since + 10_000 + CEDE_MS + RELAYED_SHARD_TIMEOUT_MS + 1;
     read(&mut core, &[alive(0, 21)], 21, anew);
     assert_eq!(
         election.next_action(&core, 0, anew),
--- a/crates/coordination/tests/ends.rs
+++ b/crates/coordination/tests/ends.rs
@@ -12,7 +12,9 @@
     ATTEMPT_END_WRITE_DELAY_MS, CompareAndSwapOutcome, LOW_PRIORITY_START_DEADLINE_MS, Placer,
     ShardOwnership,
 };
-use lemonweir_model::constants::{BLIND_MOST_MS, CHUNK_TASKS, PLACE_GAP_MS, TICK_MS};
+use lemonweir_model::constants::{
+    MAX_STORE_OUTAGE_GRACE_MS, PLACEMENT_INTERVAL_MS, TASKS_PER_CHUNK, TICK_MS,
+};
 use lemonweir_model::policy::Policy;
 use lemonweir_model::{AttemptId, JobId, JobKind, JobSpec, Priority};
 use lemonweir_protocol::kv_store::{
@@ -291,7 +293,7 @@
     fn is_completion_written(&self, id: &JobId, task: u32) -> bool {
         let chunk = |shard: usize| {
             self.store
-                .get(&task_chunk_key(shard as u16, id, task / CHUNK_TASKS))
+                .get(&task_chunk_key(shard as u16, id, task / TASKS_PER_CHUNK))
         };
         let done = |e: &KeyValue| {
             from_value::<TaskChunkRecord>(&e.value)
@@ -369,7 +371,8 @@
             return;
         }
         leader.placer.advance_gang_admissions(now, 0);
-        if leader.placer.placement_is_due(now) && now >= leader.last_pass_at + PLACE_GAP_MS {
+        if leader.placer.placement_is_due(now) && now >= leader.last_pass_at + PLACEMENT_INTERVAL_MS
+        {
             leader.last_pass_at = now;
             leader.placer.run_placement_pass(now);
         }
@@ -809,7 +812,10 @@
             b.silent_until = b.silent_until.min(self.now + 1_000);
         }
         // Longer than any proof by time, any late compare-and-swap, and low-priority work waits.
-        let end = self.now + BLIND_MOST_MS + 2 * TIMING.lease_ms + LOW_PRIORITY_START_DEADLINE_MS;
+        let end = self.now
+            + MAX_STORE_OUTAGE_GRACE_MS
+            + 2 * TIMING.lease_ms
+            + LOW_PRIORITY_START_DEADLINE_MS;
         let settled = |cluster: &Self| {
             cluster.jobs.iter().all(|(_, s)| cluster.has_ended(&s.id))
                 && cluster.chunk_keys().is_empty()
@@ -1178,7 +1184,10 @@
 fn new_leader_does_not_rewrite_finished_chunks() {
     let mut placer = Placer::new(0, TOKEN, 1, terms(), 0);
     for (n, chunk) in [(1, 0), (1, 1), (2, 0)] {
-        let done = vec![(chunk * CHUNK_TASKS, chunk * CHUNK_TASKS + CHUNK_TASKS - 1)];
+        let done = vec![(
+            chunk * TASKS_PER_CHUNK,
+            chunk * TASKS_PER_CHUNK + TASKS_PER_CHUNK - 1,
+        )];
         let need = job(n, 1).task_resources();
         let record = TaskChunkRecord {
             team: "red".into(),
--- a/crates/coordination/tests/evidence.rs
+++ b/crates/coordination/tests/evidence.rs
@@ -9,7 +9,7 @@
     CLOCK_DRIFT_PER_MILLE, LEASE_MARGIN_MS, Owner, ZONE_RECOVERY_MS,
 };
 use lemonweir_model::MachineId;
-use lemonweir_model::constants::{BLIND_MOST_MS, FENCE_BITS};
+use lemonweir_model::constants::{MACHINE_TOKEN_BITS, MAX_STORE_OUTAGE_GRACE_MS};
 use lemonweir_protocol::cloud::InstanceEntry;
 use lemonweir_protocol::peer::{AttemptState, ChangeRange, ObservedState, ShardView};
 use lemonweir_protocol::worker::Heartbeat;
@@ -108,7 +108,7 @@
     /// True once every lease has expired that an earlier owner renewed: the
     /// machines are in another session then, without tasks.
     fn leases_are_over(&self) -> bool {
-        self.now > BLIND_MOST_MS + TIMING.lease_ms
+        self.now > MAX_STORE_OUTAGE_GRACE_MS + TIMING.lease_ms
     }
 
     /// Lets time pass; machines that `reachable` names send a heartbeat every 3 s.
@@ -133,7 +133,7 @@
                     let session = if kept { 1 } else { 2 };
                     let said = Heartbeat {
                         sequence: self.now,
-                        fencing_token: NEXT << FENCE_BITS,
+                        fencing_token: NEXT << MACHINE_TOKEN_BITS,
                         incarnation: session,
                         tasks,
                         ..report(n, 0)
@@ -206,7 +206,7 @@
     scenario.pass(400_000, nobody);
     assert_eq!(scenario.released.len(), MACHINES);
     let (first, last) = (scenario.released[0].0, scenario.released[MACHINES - 1].0);
-    let over = BLIND_MOST_MS + TIMING.lease_ms;
+    let over = MAX_STORE_OUTAGE_GRACE_MS + TIMING.lease_ms;
     assert!(
         first > over + 2 * 20_000,
         "it may run on behind the cut, and costs a boot each: {first} ms"
@@ -243,7 +243,7 @@
     let mut scenario = Scenario::new(true);
     scenario.pass(110_000, nobody);
     let drifted = |ms: u64| ms + ms * CLOCK_DRIFT_PER_MILLE / 1_000;
-    let least = drifted(BLIND_MOST_MS) + drifted(TIMING.lease_ms) + LEASE_MARGIN_MS;
+    let least = drifted(MAX_STORE_OUTAGE_GRACE_MS) + drifted(TIMING.lease_ms) + LEASE_MARGIN_MS;
     let (at, standing) = scenario.ended.expect("ended");
     assert_eq!(standing, AttemptState::Gone);
     assert!(
@@ -351,7 +351,7 @@
             if now % 3_000 == 200 {
                 for n in 0..MACHINES {
                     let said = Heartbeat {
-                        fencing_token: NEXT << FENCE_BITS,
+                        fencing_token: NEXT << MACHINE_TOKEN_BITS,
                         ..report(n, now)
                     };
                     assert!(owner.handle_heartbeat(&said, None, now).is_some());
--- a/crates/coordination/tests/image_locality.rs
+++ b/crates/coordination/tests/image_locality.rs
@@ -12,7 +12,7 @@
 use lemonweir_coordination::placement::{
     CandidateShard, CandidateWalk, PlacedReplicas, PlacementIndex, PlacementRequest,
 };
-use lemonweir_model::constants::TRADE_MOST;
+use lemonweir_model::constants::MAX_RISK_WEIGHT;
 use lemonweir_model::policy::ServicePlacementWeights;
 use lemonweir_model::{AttemptId, JobId, JobKind, JobSpec, MachineId, Resources};
 use lemonweir_protocol::peer::{
@@ -457,9 +457,9 @@
     );
     let by_spread = placement_classes(
         &ServicePlacementWeights {
-            machine_loss: TRADE_MOST,
-            zone_loss: TRADE_MOST,
-            single_zone: TRADE_MOST,
+            machine_loss: MAX_RISK_WEIGHT,
+            zone_loss: MAX_RISK_WEIGHT,
+            single_zone: MAX_RISK_WEIGHT,
             machine_pin_cost_s: 0.0,
             min_migration_gain_s: 1.0,
         },
--- a/crates/coordination/tests/largest.rs
+++ b/crates/coordination/tests/largest.rs
@@ -9,7 +9,7 @@
     CompareAndSwapOutcome, LOW_PRIORITY_START_DEADLINE_MS, LOW_PRIORITY_START_SLACK_MS, Placer,
     PlacerConfig,
 };
-use lemonweir_model::constants::{IDLE_PATIENCE_MS, MAX_TASKS};
+use lemonweir_model::constants::{IDLE_WORK_PATIENCE_MS, MAX_TASKS};
 use lemonweir_model::{Catalog, JobId, JobKind, JobSpec, MachineType, Priority, Resources};
 use lemonweir_protocol::peer::ChangeRange;
 use support::*;
@@ -230,7 +230,7 @@
     let mut placer = placer(None, 0);
     submit(&mut placer, idle(1, 500), 0, 0);
     assert_eq!(room_for(&mut placer, 1, 1_000).len(), 1);
-    for now in [150_000, 300_000, IDLE_PATIENCE_MS - 1] {
+    for now in [150_000, 300_000, IDLE_WORK_PATIENCE_MS - 1] {
         pass(&mut placer, now);
         assert!(
             placer.unmet_demand.is_empty(),
@@ -238,7 +238,7 @@
             placer.unmet_demand
         );
     }
-    pass(&mut placer, IDLE_PATIENCE_MS);
+    pass(&mut placer, IDLE_WORK_PATIENCE_MS);
     assert_eq!(placer.unmet_demand.len(), 1);
 }
 
--- a/crates/coordination/tests/late_orders.rs
+++ b/crates/coordination/tests/late_orders.rs
@@ -11,7 +11,10 @@
 use lemonweir_coordination::owner::{CommandCall, CommandResult, Owner};
 use lemonweir_coordination::{Config, Core, Effect, HeartbeatAnswer, ShardLease};
 use lemonweir_model::AttemptId;
-use lemonweir_model::constants::*;
+use lemonweir_model::constants::{
+    CACHE_REFRESH_IDLE_MS, COMMAND_TIMEOUT_MS, CONNECT_MS, MACHINE_TOKEN_BITS,
+    WORKER_RESPONSE_TIMEOUT_MS, WORKER_RETRY_MS,
+};
 use lemonweir_model::policy::Policy;
 use lemonweir_protocol::links::AvailabilityGossip;
 use lemonweir_protocol::peer::{
@@ -145,7 +148,7 @@
     /// It tries the next controller 1 s later.
     fn try_next_controller(&mut self, now: u64) {
         (self.in_flight, self.next, self.node) =
-            (None, now + NEXT_NODE_MS, (self.node + 1) % HOSTS);
+            (None, now + WORKER_RETRY_MS, (self.node + 1) % HOSTS);
     }
 }
 
@@ -422,7 +425,7 @@
             }
             if let Some((began, _, shown)) = host.reading.take_if(|(_, ends, _)| now >= *ends) {
                 Self::show(core, shown, began);
-                host.read_at = now + REFRESH_IDLE_MS;
+                host.read_at = now + CACHE_REFRESH_IDLE_MS;
             }
             if now < host.store_partition_until {
                 continue;
@@ -499,7 +502,7 @@
                 if w.incarnation != incarnation || w.in_flight != Some((seq, sent)) {
                     return;
                 }
-                if now >= sent + WORKER_PATIENCE_MS {
+                if now >= sent + WORKER_RESPONSE_TIMEOUT_MS {
                     return w.try_next_controller(now);
                 }
                 let reply = match answer {
@@ -668,13 +671,13 @@
                         core.instances_released(lease, &names, false, now);
                     }
                 }
-                Effect::SendGossip(to, word) => self.hail(n, usize::from(to), word),
+                Effect::SendGossip(to, word) => self.gossip(n, usize::from(to), word),
                 _ => {}
             }
         }
     }
 
-    fn hail(&mut self, from: usize, to: usize, word: AvailabilityGossip) {
+    fn gossip(&mut self, from: usize, to: usize, word: AvailabilityGossip) {
         let now = self.now;
         let answer = self.hosts[to]
             .running_core(now)
@@ -783,7 +786,7 @@
         }
         let w = &mut self.worker;
         if w.in_flight
-            .is_some_and(|(_, sent)| now >= sent + WORKER_PATIENCE_MS)
+            .is_some_and(|(_, sent)| now >= sent + WORKER_RESPONSE_TIMEOUT_MS)
         {
             w.try_next_controller(now);
         }
@@ -1111,7 +1114,7 @@
 
 // ---- scripted histories ------------------------------------------------------------
 
-const BASE: u64 = TOKEN << FENCE_BITS;
+const BASE: u64 = TOKEN << MACHINE_TOKEN_BITS;
 
 fn sync_placer(
     owner: &mut Owner,
@@ -1464,7 +1467,7 @@
     owner.set_types([kind()].iter());
     sync_placer(&mut owner, 1, vec![want(0, 0)], 10);
     let said = Heartbeat {
-        fencing_token: (TOKEN - 1) << FENCE_BITS,
+        fencing_token: (TOKEN - 1) << MACHINE_TOKEN_BITS,
         tasks: vec![running_task(0)],
         ..report(0, 70)
     };
@@ -1487,7 +1490,7 @@
 fn worker_of_a_later_owner_gets_no_reply() {
     let mut owner = fleet(1);
     let later = Heartbeat {
-        fencing_token: (TOKEN + 1) << FENCE_BITS,
+        fencing_token: (TOKEN + 1) << MACHINE_TOKEN_BITS,
         ..report(0, 9)
     };
     assert!(owner.handle_heartbeat(&later, None, 3_000).is_none());
--- a/crates/coordination/tests/late_transactions.rs
+++ b/crates/coordination/tests/late_transactions.rs
@@ -10,7 +10,7 @@
 use lemonweir_coordination::placer::{
     ATTEMPT_END_WRITE_DELAY_MS, CompareAndSwapOutcome, Placer, ShardOwnership,
 };
-use lemonweir_model::constants::CHUNK_TASKS;
+use lemonweir_model::constants::TASKS_PER_CHUNK;
 use lemonweir_model::{AttemptId, JobId, JobSpec};
 use lemonweir_protocol::kv_store::{CompareAndSwap, Write, from_value, to_value};
 use lemonweir_protocol::peer::{AttemptState, AttemptStatus, ChangeRange, ExitCause};
@@ -105,7 +105,7 @@
 
     fn live(&self, id: &AttemptId) -> bool {
         let record = self
-            .value(&task_chunk_key(0, &id.job, id.task / CHUNK_TASKS))
+            .value(&task_chunk_key(0, &id.job, id.task / TASKS_PER_CHUNK))
             .and_then(from_value::<TaskChunkRecord>);
         record.is_some_and(|r| {
             r.live_attempts
@@ -400,7 +400,7 @@
 fn write_committed_between_two_reads_is_overwritten() {
     for between in [true, false] {
         let mut cluster = Cluster::new();
-        let spec = array(2 * u64::from(CHUNK_TASKS));
+        let spec = array(2 * u64::from(TASKS_PER_CHUNK));
         cluster.submit(&spec);
         cluster.place();
         cluster.write();
@@ -568,7 +568,7 @@
                 }
                 5 => specs.iter().for_each(|spec| cluster.copy(&spec.id)),
                 6 if random.below(20) == 0 || step == 520 => {
-                    cluster.withdraw(&specs[random.below(4) as usize].id.clone())
+                    cluster.withdraw(&specs[random.below(4) as usize].id.clone());
                 }
                 _ => {
                     let now: Vec<(AttemptId, AttemptState)> =
--- a/crates/coordination/tests/ledger.rs
+++ b/crates/coordination/tests/ledger.rs
@@ -13,7 +13,7 @@
 };
 use lemonweir_coordination::owner::{CommandCall, CommandResult, Owner};
 use lemonweir_coordination::placer::{CompareAndSwapOutcome, Placer, PlacerConfig, ShardOwnership};
-use lemonweir_model::constants::{EVICT_WAIT_MS, ORPHAN_ROOM_MS, PLACE_GAP_MS};
+use lemonweir_model::constants::{ORPHANED_GRANT_MS, PLACEMENT_INTERVAL_MS, PREEMPTION_TIMEOUT_MS};
 use lemonweir_model::policy::Policy;
 use lemonweir_model::{AttemptId, JobId, JobKind, JobSpec, Priority};
 use lemonweir_protocol::kv_store::{CompareAndSwap, KeyValue, Write, from_value, to_value};
@@ -495,7 +495,7 @@
         };
         let token = *token;
         placer.advance_gang_admissions(now, 1_000_000);
-        if placer.placement_is_due(now) && now >= *last_pass_at + PLACE_GAP_MS {
+        if placer.placement_is_due(now) && now >= *last_pass_at + PLACEMENT_INTERVAL_MS {
             *last_pass_at = now;
             placer.run_placement_pass(now);
         }
@@ -766,19 +766,19 @@
                 let gang = needed[&id.job] > 1;
                 match t.phase {
                     TaskPhase::PullingImage if now >= t.since + 600 => {
-                        (t.phase, t.since) = (TaskPhase::AwaitingGang, now)
+                        (t.phase, t.since) = (TaskPhase::AwaitingGang, now);
                     }
                     TaskPhase::AwaitingGang if whole || !gang => {
-                        (t.phase, t.since) = (TaskPhase::Running, now)
+                        (t.phase, t.since) = (TaskPhase::Running, now);
                     }
                     TaskPhase::AwaitingGang if now >= t.since + GANG_WAIT_MS => {
-                        (t.phase, t.cause) = (TaskPhase::Exited, Some("alone"))
+                        (t.phase, t.cause) = (TaskPhase::Exited, Some("alone"));
                     }
                     TaskPhase::Checkpointing if now >= t.since + 2_000 => {
-                        (t.phase, t.cause) = (TaskPhase::Exited, Some("stopped"))
+                        (t.phase, t.cause) = (TaskPhase::Exited, Some("stopped"));
                     }
                     TaskPhase::Running if gang && !(whole && sound) => {
-                        (t.phase, t.cause) = (TaskPhase::Exited, Some("peers"))
+                        (t.phase, t.cause) = (TaskPhase::Exited, Some("peers"));
                     }
                     _ => {}
                 }
@@ -1179,7 +1179,7 @@
     );
     let before = cluster.launches;
     let mut most_leaving = 0;
-    let limit = cluster.now + EVICT_WAIT_MS;
+    let limit = cluster.now + PREEMPTION_TIMEOUT_MS;
     while cluster.launches == before && cluster.now < limit {
         let leaving = cluster
             .workers
@@ -1202,7 +1202,7 @@
 }
 
 /// A placer is gone for good. Its owners keep the room it was granted for
-/// [`ORPHAN_ROOM_MS`] after the store has shown it, and not longer; a go of it that
+/// [`ORPHANED_GRANT_MS`] after the store has shown it, and not longer; a go of it that
 /// comes late launches nothing, and neither does a late grant of theirs.
 #[test]
 fn grants_of_a_dead_placer_are_released_in_time() {
@@ -1235,10 +1235,10 @@
         if cluster.now > ended + 1_000 && cluster.now <= ended + 1_100 {
             cluster.deliver(1, &late, false);
         }
-        assert!(cluster.now <= ended + ORPHAN_ROOM_MS + 300, "still held");
+        assert!(cluster.now <= ended + ORPHANED_GRANT_MS + 300, "still held");
         at = (free(&cluster) == WORKERS).then_some(cluster.now);
     }
-    assert!(at >= Some(ended + ORPHAN_ROOM_MS));
+    assert!(at >= Some(ended + ORPHANED_GRANT_MS));
     assert_eq!(cluster.launches, 0, "a late go launches nothing");
     (0..50).for_each(|_| cluster.step());
     cluster.deliver(1, &late, false);
--- a/crates/coordination/tests/limits.rs
+++ b/crates/coordination/tests/limits.rs
@@ -9,7 +9,7 @@
 use lemonweir_coordination::Config;
 use lemonweir_coordination::owner::Owner;
 use lemonweir_model::MachineId;
-use lemonweir_model::constants::*;
+use lemonweir_model::constants::{MAX_BODY_BYTES, MAX_CAS_BYTES};
 use lemonweir_protocol::peer::{ChangeRange, DesiredAttempt, ObservedState};
 use lemonweir_storage::records::ImageLocationsRecord;
 use support::*;
@@ -18,7 +18,7 @@
 const MACHINES: usize = 4_000;
 /// Bytes of a value, and the pages that a compare-and-swap takes of that size.
 const VALUE: usize = 8 * 1024;
-const PAGES: usize = TXN_BYTES / VALUE;
+const PAGES: usize = MAX_CAS_BYTES / VALUE;
 
 /// Each machine runs a task, each with one of 40 images.
 fn busy_fleet(machines: usize) -> Owner {
--- a/crates/coordination/tests/links.rs
+++ b/crates/coordination/tests/links.rs
@@ -3,7 +3,7 @@
 use lemonweir_coordination::election::{ELECTION_STAGGER_MS, FAILOVER_WAIT_MS};
 use lemonweir_coordination::links::{GOSSIP_INTERVAL_MS, Links};
 use lemonweir_coordination::{Config, Core, Effect, HeartbeatAnswer};
-use lemonweir_model::constants::{FENCE_BITS, PEER_VERSION, SILENT_SLACK_MS};
+use lemonweir_model::constants::{HEARTBEAT_TIMEOUT_SLACK_MS, MACHINE_TOKEN_BITS, PEER_VERSION};
 use lemonweir_model::settings::Settings;
 use lemonweir_protocol::kv_store::{KeyValue, to_value};
 use lemonweir_protocol::links::{AvailabilityGossip, LINKS_VERSION, LinkState, Service};
@@ -97,7 +97,7 @@
     assert!(
         matches!(core.handle_heartbeat(&new, 1_100), HeartbeatAnswer::Redirect(host) if host == "h0")
     );
-    let known = heartbeats_of_shard_0(&core, TOKEN << FENCE_BITS | 3)
+    let known = heartbeats_of_shard_0(&core, TOKEN << MACHINE_TOKEN_BITS | 3)
         .nth(1)
         .expect("some");
     assert!(matches!(
@@ -105,7 +105,7 @@
         HeartbeatAnswer::Relay(0)
     ));
     // One that knows only an earlier leader has not tried the new one yet.
-    let earlier = heartbeats_of_shard_0(&core, (TOKEN - 1) << FENCE_BITS)
+    let earlier = heartbeats_of_shard_0(&core, (TOKEN - 1) << MACHINE_TOKEN_BITS)
         .nth(2)
         .expect("some");
     assert!(matches!(
@@ -130,7 +130,7 @@
         for at in [2_000, 2_500, 3_000] {
             core.links.gossip_completed(0, answered, None, at);
         }
-        let known = heartbeats_of_shard_0(&core, TOKEN << FENCE_BITS)
+        let known = heartbeats_of_shard_0(&core, TOKEN << MACHINE_TOKEN_BITS)
             .next()
             .expect("some");
         assert!(
@@ -176,7 +176,7 @@
     let mut core = core();
     core.links
         .gossip_completed(0, true, Some(gossip(0, Some(50), None)), 1_000);
-    let known = heartbeats_of_shard_0(&core, TOKEN << FENCE_BITS)
+    let known = heartbeats_of_shard_0(&core, TOKEN << MACHINE_TOKEN_BITS)
         .next()
         .expect("some");
     assert!(
@@ -283,7 +283,7 @@
         Vec::new(),
         0,
     );
-    let token = 55 << FENCE_BITS;
+    let token = 55 << MACHINE_TOKEN_BITS;
     let heartbeats: Vec<Heartbeat> = heartbeats_of_shard_0(&core, token).take(6).collect();
     for r in &heartbeats {
         core.handle_heartbeat(r, 1_000);
@@ -304,7 +304,7 @@
             version: 0
         })
     );
-    let silent_at = 1_000 + 2 * 3_000 + SILENT_SLACK_MS + 1;
+    let silent_at = 1_000 + 2 * 3_000 + HEARTBEAT_TIMEOUT_SLACK_MS + 1;
     assert_eq!(election.ceded(&core, silent_at), [0, 1, 2]);
     assert_eq!(
         election.next_action(&core, 0, silent_at),
--- a/crates/coordination/tests/nights.rs
+++ b/crates/coordination/tests/nights.rs
@@ -9,7 +9,10 @@
 };
 use lemonweir_coordination::owner::Owner;
 use lemonweir_coordination::{Config, Core, Effect, HeartbeatAnswer, JobProgressReport};
-use lemonweir_model::constants::{FENCE_BITS, HOLD_TTL_MS, OVERDUE_LEAST, OVERDUE_OF, TRIAL_MS};
+use lemonweir_model::constants::{
+    MACHINE_TOKEN_BITS, MIN_OVERDUE_REPLACEMENTS, OVERDUE_REPLACEMENT_DIVISOR, QUARANTINE_TRIAL_MS,
+    STORE_LEASE_TTL_MS,
+};
 use lemonweir_model::settings::Settings;
 use lemonweir_model::{AttemptId, JobId};
 use lemonweir_protocol::kv_store::{KeyValue, WatchEvent, to_value};
@@ -36,7 +39,10 @@
 
 impl TestShard {
     fn new(machines: usize) -> Self {
-        let (reports, tokens) = (vec![1; machines], vec![TOKEN << FENCE_BITS; machines]);
+        let (reports, tokens) = (
+            vec![1; machines],
+            vec![TOKEN << MACHINE_TOKEN_BITS; machines],
+        );
         Self {
             owner: fleet(machines),
             now: 20,
@@ -181,7 +187,7 @@
     let mut shard = TestShard::new(3);
     assert!(shard.run(1, 0, "error") && shard.run(2, 0, "error"));
     assert!(!shard.open(0), "two jobs failed in a row");
-    shard.pass(TRIAL_MS + 3_000);
+    shard.pass(QUARANTINE_TRIAL_MS + 3_000);
     assert!(shard.open(0), "a trial is due");
     // The first is the trial; while it runs there is room for no other.
     let id = |n: usize| AttemptId {
@@ -209,7 +215,7 @@
     shard.report(0, Vec::new());
     assert!(shard.run(7, 0, "error"), "another trial");
     assert!(!shard.open(0));
-    shard.pass(2 * TRIAL_MS + 3_000);
+    shard.pass(2 * QUARANTINE_TRIAL_MS + 3_000);
     assert!(shard.run(8, 0, "done"));
     assert!(shard.open(0) && shard.run(9, 0, "done"));
 }
@@ -236,7 +242,7 @@
     let counted = late.iter().filter(|n| shard.open(**n)).count();
     assert_eq!(
         late.len() - counted,
-        OVERDUE_LEAST.max(32 / OVERDUE_OF),
+        MIN_OVERDUE_REPLACEMENTS.max(32 / OVERDUE_REPLACEMENT_DIVISOR),
         "so many are replaced at a time"
     );
     let overdue = *late.iter().find(|n| !shard.open(**n)).expect("some");
@@ -428,7 +434,7 @@
             core.handle_heartbeat(&report(0, 1), now),
             HeartbeatAnswer::Commands(_)
         ));
-        let stall_ms = HOLD_TTL_MS + 5_000;
+        let stall_ms = STORE_LEASE_TTL_MS + 5_000;
         if clock_stood {
             now += 100;
             core.set_wall_clock(now, 5_000_000 + now - 1_000 + stall_ms);
--- a/crates/coordination/tests/sessions.rs
+++ b/crates/coordination/tests/sessions.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use lemonweir_coordination::owner::CommandResult;
-use lemonweir_model::constants::FENCE_BITS;
+use lemonweir_model::constants::MACHINE_TOKEN_BITS;
 use lemonweir_protocol::peer::{ChangeRange, ObservedState};
 use lemonweir_protocol::worker::Heartbeat;
 use support::*;
@@ -39,7 +39,7 @@
     // The lease ends at 14 s. The next start meets the new session.
     sync_placer(&mut owner, 1, 0, 1, vec![want(0, 0)], 14_500);
     let call = owner.due_calls(14_500, 1).pop().expect("a call");
-    let base = TOKEN << FENCE_BITS;
+    let base = TOKEN << MACHINE_TOKEN_BITS;
     let second = |seq, tasks| Heartbeat {
         incarnation: 2,
         fencing_token: base,
--- a/crates/coordination/tests/slow_store.rs
+++ b/crates/coordination/tests/slow_store.rs
@@ -6,7 +6,9 @@
 
 use controllers::settings;
 use lemonweir_coordination::{Config, Core};
-use lemonweir_model::constants::{REFRESH_IDLE_MS, STATE_TIMEOUT_MS, UNREADY_MS};
+use lemonweir_model::constants::{
+    CACHE_REFRESH_IDLE_MS, STORE_TIMEOUT_MS, UNREADY_AFTER_STORE_SILENCE_MS,
+};
 use lemonweir_protocol::links::Service;
 
 fn core() -> Core {
@@ -26,7 +28,7 @@
     let mut began = 10_000;
     while began + took < until {
         all.push((began, began + took));
-        began += took + REFRESH_IDLE_MS;
+        began += took + CACHE_REFRESH_IDLE_MS;
     }
     all
 }
@@ -62,11 +64,14 @@
         core.links.record_latency(Service::Store, took, 20_000);
         core.cache_refreshed(20_000 - took, false);
         let last_answer = 20_000 - took;
-        assert!(core.links.store_answers_of_late(last_answer + UNREADY_MS));
+        assert!(
+            core.links
+                .store_answers_of_late(last_answer + UNREADY_AFTER_STORE_SILENCE_MS)
+        );
         assert!(
             !core
                 .links
-                .store_answers_of_late(last_answer + UNREADY_MS + took + 1)
+                .store_answers_of_late(last_answer + UNREADY_AFTER_STORE_SILENCE_MS + took + 1)
         );
     }
 }
@@ -78,20 +83,23 @@
     let mut core = core();
     core.cache_refreshed(20_000, false);
     core.links
-        .record_latency(Service::Store, STATE_TIMEOUT_MS, 24_000);
+        .record_latency(Service::Store, STORE_TIMEOUT_MS, 24_000);
     assert!(
         !core
             .links
-            .store_answers_of_late(20_000 + UNREADY_MS + STATE_TIMEOUT_MS + 1)
+            .store_answers_of_late(20_000 + UNREADY_AFTER_STORE_SILENCE_MS + STORE_TIMEOUT_MS + 1)
     );
     core.cache_refreshed(30_000, false);
     core.cache_refreshed(26_000, false);
-    assert!(core.links.store_answers_of_late(30_000 + UNREADY_MS));
+    assert!(
+        core.links
+            .store_answers_of_late(30_000 + UNREADY_AFTER_STORE_SILENCE_MS)
+    );
     // A relayed answer that took longer than anybody waits for one counts no more.
     core.links.record_latency(Service::Store, 60_000, 31_000);
     assert!(
         !core
             .links
-            .store_answers_of_late(30_000 + UNREADY_MS + STATE_TIMEOUT_MS + 1)
+            .store_answers_of_late(30_000 + UNREADY_AFTER_STORE_SILENCE_MS + STORE_TIMEOUT_MS + 1)
     );
 }
--- a/crates/coordination/tests/starts.rs
+++ b/crates/coordination/tests/starts.rs
@@ -9,7 +9,7 @@
 use lemonweir_coordination::placer::CompareAndSwapOutcome;
 use lemonweir_coordination::{Config, Core, Effect, HeartbeatAnswer, ShardLease, keys_to_reread};
 use lemonweir_model::JobSpec;
-use lemonweir_model::constants::HOLD_TTL_MS;
+use lemonweir_model::constants::STORE_LEASE_TTL_MS;
 use lemonweir_protocol::kv_store::{KeyValue, to_value};
 use lemonweir_protocol::worker::{Command, CommandKind, Heartbeat, HeartbeatResponse};
 use lemonweir_storage::records::*;
@@ -123,7 +123,10 @@
 /// Fails without `Owner::hold_starts`.
 #[test]
 fn nothing_starts_without_an_answer_of_the_store_for_a_lease() {
-    for (age, starts) in [(HOLD_TTL_MS - 1_000, 1), (HOLD_TTL_MS + 1_000, 0)] {
+    for (age, starts) in [
+        (STORE_LEASE_TTL_MS - 1_000, 1),
+        (STORE_LEASE_TTL_MS + 1_000, 0),
+    ] {
         let (mut core, token) = with_waiting_job(100);
         let at = 100 + age;
         let answered = starts_after_cas(&mut core, token, at);
--- a/crates/coordination/tests/stops.rs
+++ b/crates/coordination/tests/stops.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use lemonweir_coordination::owner::{CommandResult, Owner};
-use lemonweir_model::constants::FENCE_BITS;
+use lemonweir_model::constants::MACHINE_TOKEN_BITS;
 use lemonweir_protocol::peer::{ChangeRange, DesiredAttempt, ObservedState};
 use lemonweir_protocol::worker::{CommandKind, Heartbeat, HeartbeatResponse};
 use proptest::prelude::*;
@@ -131,7 +131,7 @@
                     if !late {
                         seq += 2;
                     }
-                    let token = if shows_token { TOKEN << FENCE_BITS } else { 0 };
+                    let token = if shows_token { TOKEN << MACHINE_TOKEN_BITS } else { 0 };
                     let said = Heartbeat { tasks: vec![running_task(0)], fencing_token: token, ..report(0, if late { seq - 1 } else { seq }) };
                     if let Some(reply) = owner.handle_heartbeat(&said, None, now) {
                         answers += 1;
--- a/crates/coordination/tests/supervision.rs
+++ b/crates/coordination/tests/supervision.rs
@@ -13,7 +13,7 @@
 };
 use lemonweir_coordination::{Config, Core, Effect, ShardLease};
 use lemonweir_model::JobId;
-use lemonweir_model::constants::HANDOVERS_KEPT;
+use lemonweir_model::constants::FAILOVER_RECORDS_KEPT;
 use lemonweir_model::policy::Policy;
 use lemonweir_model::settings::Settings;
 use lemonweir_protocol::kv_store::{
@@ -155,7 +155,7 @@
         };
         let (shard, slot) = parse_failover_key(rest).expect("a slot");
         let record: FailoverRecord = from_value(value).expect("a failover record");
-        assert_eq!(record.number % HANDOVERS_KEPT, slot);
+        assert_eq!(record.number % FAILOVER_RECORDS_KEPT, slot);
         let before = self
             .keys
             .get(key)
@@ -342,7 +342,7 @@
                 }
             }
             ElectionAction::ReturnToHome(lease) | ElectionAction::Cede(lease) => {
-                p.core.release(lease.shard, now)
+                p.core.release(lease.shard, now);
             }
         }
     }
@@ -454,7 +454,10 @@
         changes > 2_000 && completions > 300,
         "{changes} failovers, {completions} completed"
     );
-    assert!(highest > HANDOVERS_KEPT, "a ring came round: {highest}");
+    assert!(
+        highest > FAILOVER_RECORDS_KEPT,
+        "a ring came round: {highest}"
+    );
 }
 
 // ---- the ring ----------------------------------------------------------------------
@@ -486,7 +489,7 @@
 fn a_full_ring_overwrites_its_oldest_record() {
     let mut cache = StateCache::default();
     assert_eq!(cache.failovers.next_slot(4), (1, 0));
-    for n in 1..=HANDOVERS_KEPT {
+    for n in 1..=FAILOVER_RECORDS_KEPT {
         cache.apply_changes(
             &[set(
                 failover_key(4, n),
@@ -496,14 +499,14 @@
             100 + n,
             0,
         );
-        let next = if n == HANDOVERS_KEPT {
+        let next = if n == FAILOVER_RECORDS_KEPT {
             (n + 1, 101)
         } else {
             (n + 1, 0)
         };
         assert_eq!(cache.failovers.next_slot(4), next);
     }
-    let n = HANDOVERS_KEPT + 1;
+    let n = FAILOVER_RECORDS_KEPT + 1;
     cache.apply_changes(
         &[set(
             failover_key(4, n),
@@ -513,7 +516,10 @@
         900,
         0,
     );
-    assert_eq!(cache.failovers.entries_of(4).len() as u64, HANDOVERS_KEPT);
+    assert_eq!(
+        cache.failovers.entries_of(4).len() as u64,
+        FAILOVER_RECORDS_KEPT
+    );
     assert_eq!(cache.failovers.next_slot(4), (n + 1, 102));
     assert!(cache.failovers.rewrite(4, 1).is_none(), "overwritten");
 }
@@ -546,7 +552,7 @@
         "slots 2 to 4 are left to those who can decode them"
     );
     // A ring in which nothing can be decoded gives a slot all the same.
-    let odd: Vec<WatchEvent> = (0..HANDOVERS_KEPT)
+    let odd: Vec<WatchEvent> = (0..FAILOVER_RECORDS_KEPT)
         .map(|n| set(failover_key(1, n), Value::Nil, 30 + n))
         .collect();
     cache.apply_changes(&odd, 70, 0);
--- a/crates/coordination/tests/support/controllers.rs
+++ b/crates/coordination/tests/support/controllers.rs
@@ -12,7 +12,7 @@
 use lemonweir_coordination::{
     Config, Core, Effect, HeartbeatAnswer, ProvisioningResult, ShardLease, keys_to_reread,
 };
-use lemonweir_model::constants::*;
+use lemonweir_model::constants::STORE_LEASE_TTL_MS;
 use lemonweir_model::policy::Policy;
 use lemonweir_model::settings::Settings;
 use lemonweir_model::{AttemptId, JobId, JobSpec};
@@ -330,7 +330,7 @@
     pub fn expire_leases(&mut self) {
         if self.store_down() {
             // All leases get their full time back after an outage.
-            let full = self.now + HOLD_TTL_MS;
+            let full = self.now + STORE_LEASE_TTL_MS;
             self.leases.values_mut().for_each(|end| *end = full);
             return;
         }
@@ -443,7 +443,7 @@
         self.nodes[node].hold = Some(hold);
         if now >= self.nodes[node].renewed + 1_000 {
             self.nodes[node].renewed = now;
-            self.leases.insert(hold, now + HOLD_TTL_MS);
+            self.leases.insert(hold, now + STORE_LEASE_TTL_MS);
         }
         let teams = self.nodes[node].core.unassigned_teams();
         if !teams.is_empty() {
@@ -512,7 +512,7 @@
         }
     }
 
-    pub fn pump(&mut self, node: usize) {
+    pub fn flush(&mut self, node: usize) {
         let now = self.now;
         for effect in self.nodes[node].core.flush(now) {
             self.carry(node, effect);
@@ -938,7 +938,7 @@
             if (now / 100) as usize % 4 == node {
                 self.keep(node);
             }
-            self.pump(node);
+            self.flush(node);
         }
         self.step_machines();
         if now.is_multiple_of(4_000) {
--- a/crates/coordination/tests/support/mod.rs
+++ b/crates/coordination/tests/support/mod.rs
@@ -35,7 +35,7 @@
         spot: false,
         incarnation: 1,
         sequence: seq,
-        fencing_token: TOKEN << lemonweir_model::constants::FENCE_BITS,
+        fencing_token: TOKEN << lemonweir_model::constants::MACHINE_TOKEN_BITS,
         reclaim_notice_s: None,
         tasks: Vec::new(),
     }
--- a/crates/coordination/tests/worker_sessions.rs
+++ b/crates/coordination/tests/worker_sessions.rs
@@ -5,7 +5,7 @@
 mod support;
 
 use lemonweir_coordination::owner::{CommandCall, CommandResult, Owner, UNREACHABLE_CALLS_MAX};
-use lemonweir_model::constants::FENCE_BITS;
+use lemonweir_model::constants::MACHINE_TOKEN_BITS;
 use lemonweir_protocol::peer::{
     AttemptState, ChangeRange, DesiredAttempt, ExitCause, MachineView, ObservedState, ShardView,
     SyncRequest,
@@ -13,7 +13,7 @@
 use lemonweir_protocol::worker::{CommandKind, Heartbeat, TaskPhase, TaskStatus};
 use support::*;
 
-const BASE: u64 = TOKEN << FENCE_BITS;
+const BASE: u64 = TOKEN << MACHINE_TOKEN_BITS;
 
 /// An owner, what its placer tells it, and the machines' numbers and tokens.
 struct ShardUnderTest {
--- a/crates/model/src/constants.rs
+++ b/crates/model/src/constants.rs
@@ -10,82 +10,62 @@
 /// Bytes of a response that we read at most. Watches have no limit of their
 /// own, so this guards only against a runaway peer.
 pub const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
-/// Bytes of the head of a request or response; ours are below 1 KiB.
-pub const MAX_HEAD_BYTES: usize = 8 * 1024;
 /// Headers of a request or response; enough for any ordinary client.
 pub const MAX_HEADERS: usize = 48;
 /// Tasks a job may have (protocol page).
 pub const MAX_TASKS: u64 = 100_000;
 /// Machines a rental request may ask for (protocol page).
-pub const MAX_RENT: u32 = 50;
+pub const MAX_INSTANCES_PER_REQUEST: u32 = 50;
 
 // ---- connections -----------------------------------------------------------
 
-/// Idle connections kept per address beyond those in use; calls to one address
-/// rarely overlap more than this.
-pub const IDLE_PER_ADDRESS: usize = 4;
-/// ms that an idle connection of ours is kept: longer than the regular calls
-/// are apart, and short enough that those to machines that are gone don't pile
-/// up.
-pub const IDLE_KEEP_MS: u64 = 10_000;
 /// ms to wait for a connection; within a zone one takes a few.
 pub const CONNECT_MS: u64 = 1_000;
 
-// ---- operators' policy -----------------------------------------------------
-
-/// Bytes of memory that a policy script may use; it computes a few numbers.
-pub const POLICY_MEMORY_BYTES: usize = 4 * 1024 * 1024;
-/// ms that a policy script may take.
-pub const POLICY_TIME_MS: u64 = 500;
-/// Lua instructions between two looks at the clock.
-pub const POLICY_LOOK_INSTRUCTIONS: u32 = 10_000;
-
 // ---- parts -----------------------------------------------------------------
 
 /// ms that a hold lives without renewal. Longer than a restart takes (3 to 5 s
 /// and loading), so that a node takes its own part back and nothing moves; no
 /// longer, since a part whose holder is gone waits for it.
-pub const HOLD_TTL_MS: u64 = 7_000;
+pub const STORE_LEASE_TTL_MS: u64 = 7_000;
 /// ms between renewals: four unanswered ones may come before the hold ends, and a
 /// hold that outlives its holder does so by 6 to 7 s.
-pub const HOLD_RENEW_MS: u64 = 1_000;
+pub const STORE_LEASE_RENEWAL_MS: u64 = 1_000;
 /// Bits of a machine token below the part's token: whether it holds a promise
 /// (the highest), when the reading of the store began that it rests on, and the
 /// machine's own fence counter. Revisions stay below 2^36, which takes ten years
 /// at 200 changes a second.
-pub const FENCE_BITS: u32 = 28;
+pub const MACHINE_TOKEN_BITS: u32 = 28;
 /// ms for which any owner answers reports without word from the store, at most:
 /// `blind_s` of the policy can't be longer, since a successor that can't hear
 /// the machines infers their end from it whatever its own policy says. Longer
 /// than cuts seen so far (30 to 52 s); each second of it is one that work
 /// behind a lost hall waits to begin anew.
-pub const BLIND_MOST_MS: u64 = 60_000;
+pub const MAX_STORE_OUTAGE_GRACE_MS: u64 = 60_000;
 
 // ---- peers -----------------------------------------------------------------
 
 /// ms between two refreshes of a copy of another part (design page).
-pub const COPY_REFRESH_MS: u64 = 2_000;
+pub const SHARD_VIEW_REFRESH_MS: u64 = 2_000;
 /// ms after which an unanswered direct sync is given up.
 pub const SYNC_TIMEOUT_MS: u64 = 1_500;
-/// Direct syncs that must fail in a row before the mailbox is used.
-pub const MAIL_AFTER_FAILURES: u32 = 2;
 /// Version of the format between controllers.
 pub const PEER_VERSION: u8 = 3;
 /// Bytes that the naming of an attempt or a machine takes in a message.
-pub const ATTEMPT_BYTES: usize = 40;
+pub const ENCODED_ATTEMPT_BYTES: usize = 40;
 
 // ---- links -----------------------------------------------------------------
 
 /// ms for which reports to one owner are gathered into one message.
-pub const GATHER_MS: u64 = 20;
+pub const HEARTBEAT_BATCH_MS: u64 = 20;
 /// ms that a report may take to its owner and back: less than the 4 s that its
 /// worker waits (protocol page).
-pub const CARRY_REPORT_MS: u64 = 2_500;
+pub const RELAYED_HEARTBEAT_TIMEOUT_MS: u64 = 2_500;
 /// ms for which most of a part's machines are carried before the part is given
 /// to a controller that they reach. Giving it up costs its teams some seconds
 /// without starts, twice; carrying costs each report a second message. Cuts
 /// seen so far (30 to 52 s) end before.
-pub const CARRIED_PART_MS: u64 = 90_000;
+pub const RELAYED_SHARD_TIMEOUT_MS: u64 = 90_000;
 
 // ---- workers ---------------------------------------------------------------
 
@@ -96,39 +76,33 @@
 
 /// Awaited jobs in one record: with ids of 24 bytes they take half of a value of 2 KiB,
 /// which leaves room for the job itself.
-pub const AWAITS_PAGE: usize = 40;
-
-/// Jobs that one may await: what a submission's 64 KiB can name.
-pub const AWAITS_MOST: usize = 2_000;
+pub const DEPENDENCIES_PER_PAGE: usize = 40;
 
 /// ms after which an unanswered store request is given up.
-pub const STATE_TIMEOUT_MS: u64 = 1_500;
+pub const STORE_TIMEOUT_MS: u64 = 1_500;
 /// ms without word from the store after which a node leaves users to those who
 /// have it: two of its timeouts, and less than a user's patience.
-pub const UNREADY_MS: u64 = 2_000;
+pub const UNREADY_AFTER_STORE_SILENCE_MS: u64 = 2_000;
 /// ms between two refreshes of the job table while polls wait for one.
-pub const REFRESH_BUSY_MS: u64 = 60;
+pub const CACHE_REFRESH_BUSY_MS: u64 = 60;
 /// ms between two refreshes when nobody waits: bounds how late a new job or a
 /// cancellation is seen by the part that has to act on it.
-pub const REFRESH_IDLE_MS: u64 = 200;
+pub const CACHE_REFRESH_IDLE_MS: u64 = 200;
 /// Share of the store's request budget left to other nodes' bursts, percent.
-pub const BUDGET_PERCENT: u64 = 90;
+pub const STORE_BUDGET_PERCENT: u64 = 90;
 /// Bytes of task records in one transaction: below the 64 KiB that it may
 /// hold, with room for conditions.
-pub const TXN_BYTES: usize = 40_000;
+pub const MAX_CAS_BYTES: usize = 40_000;
 /// Tasks in one chunk of a job's task record: a full chunk of live attempts
 /// stays well below the smallest value size that the settings allow.
-pub const CHUNK_TASKS: u32 = 64;
+pub const TASKS_PER_CHUNK: u32 = 64;
 /// Version of the records from which on task records are written packed.
-pub const PACKED_VERSION: u32 = 1;
+pub const PACKED_RECORD_VERSION: u32 = 1;
 /// Conditions of a transaction for each of its changes (protocol page).
-pub const CONDITIONS_A_CHANGE: usize = 4;
+pub const CONDITIONS_PER_CHANGE: usize = 4;
 /// Ids that nobody here knows that wait for one another to be asked for together.
 /// Beyond it who asks is turned away at once.
-pub const LOOKUPS_MOST: usize = 256;
-/// Settled ends of jobs remembered by a node, so that repeated polls need no
-/// read; about 60 bytes each.
-pub const ENDS_REMEMBERED: usize = 20_000;
+pub const MAX_PENDING_LOOKUPS: usize = 256;
 
 // ---- users -----------------------------------------------------------------
 
@@ -136,16 +110,9 @@
 pub const RETRY_AFTER_S: u64 = 1;
 /// ms that a submission may have to wait for its turn to be written; beyond
 /// that it is refused at once.
-pub const SUBMIT_WAIT_MS: u64 = 800;
+pub const SUBMISSION_TIMEOUT_MS: u64 = 800;
 /// ms a user request may wait for the store before it is refused.
 pub const USER_TIMEOUT_MS: u64 = 1_600;
-/// Connections that wait to be accepted at the most (the system may allow fewer): a
-/// process that stood still for a moment has those of all workers before it.
-pub const LISTEN_BACKLOG: i32 = 4_096;
-/// ms a connection may be idle before it is closed.
-pub const IDLE_TIMEOUT_MS: u64 = 65_000;
-/// ms that a request may take to arrive in full.
-pub const READ_TIMEOUT_MS: u64 = 10_000;
 
 // ---- cloud -----------------------------------------------------------------
 
@@ -153,22 +120,22 @@
 pub const CLOUD_TIMEOUT_MS: u64 = 5_000;
 /// One of so many machines of a part may be overdue and not counted on at a
 /// time, so that a late wave is replaced by an eighth at most.
-pub const OVERDUE_OF: usize = 8;
+pub const OVERDUE_REPLACEMENT_DIVISOR: usize = 8;
 /// The same in a small part.
-pub const OVERDUE_LEAST: usize = 4;
+pub const MIN_OVERDUE_REPLACEMENTS: usize = 4;
 /// ms between two readings of the rental list by one node, at least.
-pub const LIST_EVERY_MS: u64 = 4_000;
+pub const INSTANCE_LIST_INTERVAL_MS: u64 = 4_000;
 /// ms that a cloud in trouble is left alone.
 pub const CLOUD_TROUBLE_MS: u64 = 2_000;
 
 // ---- placement -------------------------------------------------------------
 
 /// ms between two passes of the placer.
-pub const PLACE_GAP_MS: u64 = 50;
+pub const PLACEMENT_INTERVAL_MS: u64 = 50;
 /// ms that idle work waits for room that costs nothing or little. Then, if nothing
 /// else lacks room, it may rent what others may until half of it has begun: some
 /// minutes more are little to who waits anyway, and it starts in the end.
-pub const IDLE_PATIENCE_MS: u64 = 600_000;
+pub const IDLE_WORK_PATIENCE_MS: u64 = 600_000;
 /// ms of the tick while something waits for a short gap to pass: a start goes
 /// through several of them, and each would cost a whole tick.
 pub const SHORT_TICK_MS: u64 = 15;
@@ -176,40 +143,35 @@
 pub const TICK_MS: u64 = 100;
 /// Tasks of one size that room is kept for at most, in a small fleet, and one
 /// more for each so many machines of a larger one.
-pub const SPARE_MOST: u32 = 4;
+pub const MAX_HEADROOM_TASKS: u32 = 4;
 /// ms between two lines of the log that say how full a part is.
 pub const SUMMARY_MS: u64 = 20_000;
 /// ms added to two report intervals before a machine counts as silent.
-pub const SILENT_SLACK_MS: u64 = 500;
+pub const HEARTBEAT_TIMEOUT_SLACK_MS: u64 = 500;
 /// Silent machines up to which each counts as lost for itself.
-pub const MASS_SILENT: usize = 3;
+pub const MAX_INDIVIDUAL_LOSSES: usize = 3;
 /// ms that an attempt waits for those pushed out for it; longer than any save
 /// seen in the field, after which the placer tries elsewhere.
-pub const EVICT_WAIT_MS: u64 = 15_000;
+pub const PREEMPTION_TIMEOUT_MS: u64 = 15_000;
 /// ms that a task must have run to count as a success before it ends: replicas
 /// never end, and mistakes and faults show within seconds.
-pub const WELL_AFTER_MS: u64 = 30_000;
+pub const SUCCESS_AFTER_MS: u64 = 30_000;
 /// ms that a machine is set aside before a trial; doubled with each that fails.
 /// As long as a few starts elsewhere take to tell whose fault it was.
-pub const TRIAL_MS: u64 = 10_000;
+pub const QUARANTINE_TRIAL_MS: u64 = 10_000;
 
 // ---- hearing and being heard ------------------------------------------------
 
 /// ms that a worker waits for an answer to its report (protocol page).
-pub const WORKER_PATIENCE_MS: u64 = 4_000;
+pub const WORKER_RESPONSE_TIMEOUT_MS: u64 = 4_000;
 /// ms after which it then tries the next controller (protocol page).
-pub const NEXT_NODE_MS: u64 = 1_000;
+pub const WORKER_RETRY_MS: u64 = 1_000;
 
 // ---- the watch --------------------------------------------------------------
 
 /// Changes of hands that are kept of each part: a day with dozens of them, and
 /// some 300 bytes each in every controller's memory.
-pub const HANDOVERS_KEPT: u64 = 32;
-/// Entries that can't be read which are named in the log, each once.
-pub const ODD_HANDOVERS: usize = 64;
-/// ms after a change of hands at which its entry is closed though services still
-/// lack replicas: what keeps them from being whole by then is no matter of it.
-pub const CLOSE_MOST_MS: u64 = 300_000;
+pub const FAILOVER_RECORDS_KEPT: u64 = 32;
 
 // ---- the gang ledger --------------------------------------------------------
 
@@ -217,11 +179,9 @@
 /// the room that it granted it and that was never used. A successor takes a part
 /// within a second or two and asks within one more, so what it can finish is still
 /// there; nobody else waits longer for room that is kept for nobody.
-pub const ORPHAN_ROOM_MS: u64 = 10_000;
+pub const ORPHANED_GRANT_MS: u64 = 10_000;
 
 // ---- the largest jobs -----------------------------------------------------------
 
-/// s that a weight of the trade may have at most: beyond an hour it decides alone.
-pub const TRADE_MOST_S: f64 = 3_600.0;
 /// Times that a risk may count at most: beyond it, it decides alone.
-pub const TRADE_MOST: f64 = 1_000.0;
+pub const MAX_RISK_WEIGHT: f64 = 1_000.0;
--- a/crates/node/src/cache_refresh.rs
+++ b/crates/node/src/cache_refresh.rs
@@ -7,7 +7,7 @@
 
 use crate::kv_client::KvError;
 use crate::{Node, RefreshError, RefreshWaiter, effect_executor, sleep_ms};
-use lemonweir_model::constants::{REFRESH_BUSY_MS, REFRESH_IDLE_MS};
+use lemonweir_model::constants::{CACHE_REFRESH_BUSY_MS, CACHE_REFRESH_IDLE_MS};
 use lemonweir_storage::records::FOLLOWED;
 use lemonweir_transport::within;
 
@@ -37,11 +37,14 @@
             // The waiter may have given up.
             let _ = waiter.try_send(outcome.map(|_| ()).map_err(|_| RefreshError));
         }
-        sleep_ms(REFRESH_BUSY_MS).await;
+        sleep_ms(CACHE_REFRESH_BUSY_MS).await;
         if requests.is_empty()
             && !node.with_core(|core, _| core.uses_store_messages())
-            && let Some(Ok(waiter)) =
-                within(REFRESH_IDLE_MS - REFRESH_BUSY_MS, requests.recv()).await
+            && let Some(Ok(waiter)) = within(
+                CACHE_REFRESH_IDLE_MS - CACHE_REFRESH_BUSY_MS,
+                requests.recv(),
+            )
+            .await
         {
             waiting.push(waiter);
         }
--- a/crates/node/src/cloud.rs
+++ b/crates/node/src/cloud.rs
@@ -9,7 +9,7 @@
 use crate::router::{Router, ServiceCall};
 use crate::{Node, sleep_ms};
 use lemonweir_coordination::ProvisioningResult;
-use lemonweir_model::constants::{CLOUD_TIMEOUT_MS, LIST_EVERY_MS};
+use lemonweir_model::constants::{CLOUD_TIMEOUT_MS, INSTANCE_LIST_INTERVAL_MS};
 use lemonweir_model::{Catalog, MachineId};
 use lemonweir_protocol::cloud::{
     CatalogResponse, CloudErrorBody, InstanceEntry, InstanceList, MachineNames, ProvisioningRequest,
@@ -190,7 +190,7 @@
             node.with_core(|core, now| core.instances_listed(&instances, now));
             pages = instances.len() as u32 / LIST_PAGE_INSTANCES + 1;
         }
-        let wait = Duration::from_millis(LIST_EVERY_MS);
+        let wait = Duration::from_millis(INSTANCE_LIST_INTERVAL_MS);
         smol::Timer::after(wait.max(node.cloud.list_interval_per_page * pages)).await;
     }
 }
--- a/crates/node/src/effect_executor.rs
+++ b/crates/node/src/effect_executor.rs
@@ -13,7 +13,7 @@
 use lemonweir_coordination::placer::{CompareAndSwapOutcome, ShardOwnership};
 use lemonweir_coordination::{Effect, ShardLease, keys_to_reread, store_message_piece_bytes};
 use lemonweir_model::constants::{
-    CLOUD_TIMEOUT_MS, CLOUD_TROUBLE_MS, COMMAND_TIMEOUT_MS, STATE_TIMEOUT_MS, SYNC_TIMEOUT_MS,
+    CLOUD_TIMEOUT_MS, CLOUD_TROUBLE_MS, COMMAND_TIMEOUT_MS, STORE_TIMEOUT_MS, SYNC_TIMEOUT_MS,
     TICK_MS,
 };
 use lemonweir_model::{JobId, MachineId};
@@ -58,7 +58,7 @@
         Effect::WakePeer(shard) => wake_peer(node, shard).await,
         Effect::Provision(lease, request) => provision(node, lease, &request).await,
         Effect::ReleaseInstances(lease, machines) => {
-            release_instances(node, lease, &machines).await
+            release_instances(node, lease, &machines).await;
         }
         Effect::SendGossip(host, gossip) => send_gossip(node, host, &gossip).await,
         Effect::ProbeService(service) => probe_direct_route(node, service).await,
@@ -377,7 +377,7 @@
         .and_then(|response| links::decode::<AvailabilityGossip>(&response.body).ok());
     node.with_core(|core, now| {
         core.links
-            .gossip_completed(host, answered, peer_gossip, now)
+            .gossip_completed(host, answered, peer_gossip, now);
     });
 }
 
@@ -385,7 +385,7 @@
 /// it is answered counts, which the router records.
 async fn probe_direct_route(node: &Node, service: Service) {
     let (path, timeout_ms) = match service {
-        Service::Store => (format!("/store/{}", shard_key(0)), STATE_TIMEOUT_MS),
+        Service::Store => (format!("/store/{}", shard_key(0)), STORE_TIMEOUT_MS),
         Service::Cloud => ("/catalog".to_owned(), CLOUD_TIMEOUT_MS),
     };
     let _ = node
--- a/crates/node/src/heartbeat_relay.rs
+++ b/crates/node/src/heartbeat_relay.rs
@@ -10,7 +10,7 @@
 
 use crate::{Node, sleep_ms};
 use lemonweir_coordination::HeartbeatAnswer;
-use lemonweir_model::constants::{CARRY_REPORT_MS, GATHER_MS};
+use lemonweir_model::constants::{HEARTBEAT_BATCH_MS, RELAYED_HEARTBEAT_TIMEOUT_MS};
 use lemonweir_protocol::links::{
     self, LINKS_VERSION, RELAY_HEARTBEATS_PATH, RelayedHeartbeats, RelayedResponses,
 };
@@ -92,7 +92,12 @@
         }
         Enqueued::Joined => {}
     }
-    match within(CARRY_REPORT_MS + GATHER_MS, reply.recv()).await {
+    match within(
+        RELAYED_HEARTBEAT_TIMEOUT_MS + HEARTBEAT_BATCH_MS,
+        reply.recv(),
+    )
+    .await
+    {
         Some(Ok((status, body))) => Reply::new(status, body),
         _ => Reply::empty(503),
     }
@@ -100,7 +105,7 @@
 
 /// Sends what came within the batching interval, in messages of a bounded size.
 async fn send_batches(node: &Rc<Node>, leader: u16) {
-    sleep_ms(GATHER_MS).await;
+    sleep_ms(HEARTBEAT_BATCH_MS).await;
     let mut waiting = node.heartbeat_queues.take_all(leader);
     while !waiting.is_empty() {
         let rest = waiting.split_off(waiting.len().min(MAX_HEARTBEATS_PER_BATCH));
@@ -130,7 +135,7 @@
                     "POST",
                     RELAY_HEARTBEATS_PATH,
                     &message,
-                    CARRY_REPORT_MS,
+                    RELAYED_HEARTBEAT_TIMEOUT_MS,
                 )
                 .await
         }
--- a/crates/node/src/job_lookup.rs
+++ b/crates/node/src/job_lookup.rs
@@ -13,7 +13,9 @@
 use crate::{Node, sleep_ms};
 use lemonweir_coordination::query_admission::LookupQueue;
 use lemonweir_model::JobId;
-use lemonweir_model::constants::{CONDITIONS_A_CHANGE, GATHER_MS, LOOKUPS_MOST, USER_TIMEOUT_MS};
+use lemonweir_model::constants::{
+    CONDITIONS_PER_CHANGE, HEARTBEAT_BATCH_MS, MAX_PENDING_LOOKUPS, USER_TIMEOUT_MS,
+};
 use lemonweir_protocol::kv_store::from_value;
 use lemonweir_protocol::users::JobPhase;
 use lemonweir_storage::dependencies::blocked_job_key;
@@ -68,7 +70,7 @@
 impl Default for JobLookupQueue {
     fn default() -> Self {
         Self {
-            queue: LookupQueue::new(LOOKUPS_MOST),
+            queue: LookupQueue::new(MAX_PENDING_LOOKUPS),
             running: false,
         }
     }
@@ -82,7 +84,7 @@
 /// the store is busy with what goes first.
 pub(crate) async fn look_up_job(node: &Rc<Node>, id: &JobId) -> LookupResult {
     let now_ms = node.now_ms();
-    let (owed_since_ms, has_priority) = {
+    let (pending_since_ms, has_priority) = {
         let admission = node.query_admission.borrow();
         (
             admission.pending_since(id, now_ms),
@@ -93,7 +95,7 @@
         return Err(LookupError::Refused);
     }
     let (reply_to, reply) = bounded(1);
-    if enqueue(node, id, owed_since_ms, reply_to) {
+    if enqueue(node, id, pending_since_ms, reply_to) {
         let task_node = node.clone();
         node.executor
             .spawn(async move { run_batches(&task_node).await })
@@ -106,9 +108,9 @@
 }
 
 /// Lets somebody wait for an id; true if batches have to be started.
-fn enqueue(node: &Node, id: &JobId, owed_since_ms: u64, reply_to: Sender<LookupResult>) -> bool {
+fn enqueue(node: &Node, id: &JobId, pending_since_ms: u64, reply_to: Sender<LookupResult>) -> bool {
     let mut lookups = node.job_lookups.borrow_mut();
-    for displaced in lookups.queue.enqueue(id, owed_since_ms, reply_to) {
+    for displaced in lookups.queue.enqueue(id, pending_since_ms, reply_to) {
         // Who waits may have given up.
         let _ = displaced.try_send(Err(LookupError::Refused));
     }
@@ -117,9 +119,9 @@
 
 /// Looks up what waits, batch by batch, until nothing does.
 async fn run_batches(node: &Rc<Node>) {
-    sleep_ms(GATHER_MS).await;
+    sleep_ms(HEARTBEAT_BATCH_MS).await;
     let max_cas_writes = node.with_core(|core, _| core.config.cas_max_changes);
-    let max_batch = (CONDITIONS_A_CHANGE * max_cas_writes / CONDITIONS_PER_ABSENT_JOB).max(1);
+    let max_batch = (CONDITIONS_PER_CHANGE * max_cas_writes / CONDITIONS_PER_ABSENT_JOB).max(1);
     loop {
         let batch = {
             let mut lookups = node.job_lookups.borrow_mut();
--- a/crates/node/src/kv_client.rs
+++ b/crates/node/src/kv_client.rs
@@ -9,7 +9,7 @@
 use crate::rate_limit_share::RateLimitShare;
 use crate::router::{Router, ServiceCall};
 use lemonweir_coordination::rate_limit::RequestBudget;
-use lemonweir_model::constants::{BUDGET_PERCENT, STATE_TIMEOUT_MS};
+use lemonweir_model::constants::{STORE_BUDGET_PERCENT, STORE_TIMEOUT_MS};
 use lemonweir_model::settings::KvStoreLimits;
 use lemonweir_protocol::kv_store::{
     CompareAndSwap, CompareAndSwapResponse, KeyValue, LeaseRequest, LeaseResponse, ListResponse,
@@ -87,7 +87,7 @@
 impl KvClient {
     /// A client that shares the store's limits with the other controllers.
     pub(crate) fn new(router: Rc<Router>, limits: &KvStoreLimits, controllers: usize) -> Self {
-        let usable = |rate: f64| rate * BUDGET_PERCENT as f64 / 100.0;
+        let usable = |rate: f64| rate * STORE_BUDGET_PERCENT as f64 / 100.0;
         let requests = RequestBudget::new(usable(limits.requests_per_s), controllers, 0);
         Self {
             router,
@@ -144,7 +144,7 @@
                 method,
                 path,
                 body,
-                timeout_ms: STATE_TIMEOUT_MS,
+                timeout_ms: STORE_TIMEOUT_MS,
             })
             .await
             .map_err(|error| match error {
--- a/crates/node/src/lease_keeper.rs
+++ b/crates/node/src/lease_keeper.rs
@@ -7,7 +7,7 @@
 use crate::kv_client::KvError;
 use crate::shared_core::wall_clock_ms;
 use crate::{Node, sleep_ms};
-use lemonweir_model::constants::{HOLD_RENEW_MS, HOLD_TTL_MS, TICK_MS};
+use lemonweir_model::constants::{STORE_LEASE_RENEWAL_MS, STORE_LEASE_TTL_MS, TICK_MS};
 
 /// Obtains a store lease and keeps it alive, for ever. Nothing else is waited for here.
 ///
@@ -25,17 +25,17 @@
         node.with_core(|core, _| core.set_wall_clock(now_ms, wall_clock_ms()));
         match node.store_lease.get() {
             None => {
-                if let Ok(lease) = node.kv_store.grant_lease(HOLD_TTL_MS).await {
+                if let Ok(lease) = node.kv_store.grant_lease(STORE_LEASE_TTL_MS).await {
                     info!(
                         store_lease_id = lease.get(),
-                        ttl_ms = HOLD_TTL_MS,
+                        ttl_ms = STORE_LEASE_TTL_MS,
                         "store lease granted"
                     );
                     node.store_lease.set(Some(lease));
                     renewed_ms = now_ms;
                 }
             }
-            Some(lease) if now_ms >= renewed_ms + HOLD_RENEW_MS => {
+            Some(lease) if now_ms >= renewed_ms + STORE_LEASE_RENEWAL_MS => {
                 match node.kv_store.renew_lease(lease).await {
                     Ok(()) => renewed_ms = now_ms,
                     Err(KvError::LeaseExpired) => {
--- a/crates/node/src/public_api/cancel.rs
+++ b/crates/node/src/public_api/cancel.rs
@@ -12,7 +12,7 @@
 use crate::{Node, sleep_ms};
 use lemonweir_coordination::query_admission::{QueryKind, QueryRefusal};
 use lemonweir_model::JobId;
-use lemonweir_model::constants::{SUBMIT_WAIT_MS, TICK_MS, USER_TIMEOUT_MS};
+use lemonweir_model::constants::{SUBMISSION_TIMEOUT_MS, TICK_MS, USER_TIMEOUT_MS};
 use lemonweir_protocol::kv_store::CompareAndSwap;
 use lemonweir_protocol::users::JobPhase;
 use lemonweir_transport::Reply;
@@ -68,7 +68,7 @@
             PendingCancellation::ToWrite { team, cas } => {
                 // Guards against a user who is held back for as long as others' writes
                 // take.
-                if node.kv_store.write_wait() > Duration::from_millis(SUBMIT_WAIT_MS) {
+                if node.kv_store.write_wait() > Duration::from_millis(SUBMISSION_TIMEOUT_MS) {
                     return refused(QueryRefusal::WriteQueueFull);
                 }
                 match node.kv_store.cas(&cas).await {
--- a/crates/node/src/public_api/submit.rs
+++ b/crates/node/src/public_api/submit.rs
@@ -13,7 +13,7 @@
 use crate::{Node, peer_api};
 use lemonweir_coordination::dependencies::DependencyAdmission;
 use lemonweir_coordination::query_admission::{QueryKind, QueryRefusal};
-use lemonweir_model::constants::{SUBMIT_WAIT_MS, SYNC_TIMEOUT_MS, USER_TIMEOUT_MS};
+use lemonweir_model::constants::{SUBMISSION_TIMEOUT_MS, SYNC_TIMEOUT_MS, USER_TIMEOUT_MS};
 use lemonweir_model::{JobId, JobSpec};
 use lemonweir_protocol::encode;
 use lemonweir_protocol::kv_store::CompareAndSwap;
@@ -75,7 +75,7 @@
     // Guards against taking in more than can be written before its user gives up: the
     // answer then would come after the user asked again.
     let write_wait = node.kv_store.write_wait();
-    if write_wait > Duration::from_millis(SUBMIT_WAIT_MS) {
+    if write_wait > Duration::from_millis(SUBMISSION_TIMEOUT_MS) {
         return refuse_for_write_queue(node, &id, write_wait).await;
     }
     let admitted = match admit(node, &spec).await {
--- a/crates/node/src/router.rs
+++ b/crates/node/src/router.rs
@@ -83,7 +83,7 @@
         let served = was_served(call.service, &result);
         self.core.with(|core, now| {
             core.links
-                .record_direct_call(call.service, call.body.len(), served, now)
+                .record_direct_call(call.service, call.body.len(), served, now);
         });
         result
     }
@@ -108,7 +108,7 @@
         let served = was_served(call.service, &result);
         self.core.with(|core, now| {
             core.links
-                .record_relayed_call(call.service, relay_peer, served, now)
+                .record_relayed_call(call.service, relay_peer, served, now);
         });
         result
     }
--- a/crates/node/src/shared_core.rs
+++ b/crates/node/src/shared_core.rs
@@ -32,7 +32,10 @@
     /// be called within another step.
     pub(crate) fn with<R>(&self, step: impl FnOnce(&mut Core, u64) -> R) -> R {
         let now_ms = self.now_ms();
-        let mut core = self.core.lock().unwrap_or_else(|e| e.into_inner());
+        let mut core = self
+            .core
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner);
         step(&mut core, now_ms)
     }
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -6,13 +6,22 @@
 
 use std::time::{Duration, Instant};
 
-use lemonweir_model::constants::{
-    BLIND_MOST_MS, POLICY_LOOK_INSTRUCTIONS, POLICY_MEMORY_BYTES, POLICY_TIME_MS, TRADE_MOST,
-    TRADE_MOST_S,
-};
+use lemonweir_model::constants::{MAX_RISK_WEIGHT, MAX_STORE_OUTAGE_GRACE_MS};
 use lemonweir_model::policy::{Policy, ServicePlacementWeights};
 use mlua::{HookTriggers, Lua, LuaOptions, StdLib, Table, Value, VmState};
 
+/// s that a weight of the trade may have at most: beyond an hour it decides alone.
+const MAX_WEIGHT_S: f64 = 3_600.0;
+
+/// Lua instructions between two looks at the clock.
+const POLICY_LOOK_INSTRUCTIONS: u32 = 10_000;
+
+/// ms that a policy script may take.
+const POLICY_TIME_MS: u64 = 500;
+
+/// Bytes of memory that a policy script may use; it computes a few numbers.
+const POLICY_MEMORY_BYTES: usize = 4 * 1024 * 1024;
+
 /// The embedded default, which names every setting with its unit.
 pub const DEFAULT_POLICY: &str = include_str!("policy.lua");
 
@@ -103,15 +112,15 @@
         spot_idle_multiple: number("idle_spot", 0.0, 1_000.0),
         spot_silence_timeout_ms: (number("silent_s", 1.0, 3_600.0) * 1000.0) as u64,
         provisioning_timeout_multiple: number("boot_patience", 1.5, 100.0),
-        store_outage_grace_ms: (number("blind_s", 0.0, BLIND_MOST_MS as f64 / 1000.0) * 1000.0)
-            as u64,
+        store_outage_grace_ms: (number("blind_s", 0.0, MAX_STORE_OUTAGE_GRACE_MS as f64 / 1000.0)
+            * 1000.0) as u64,
         headroom_per_arrival: number("spare", 0.0, 10.0),
         placement_weights: ServicePlacementWeights {
-            machine_loss: number("risk_machine", 0.0, TRADE_MOST),
-            zone_loss: number("risk_zone", 0.0, TRADE_MOST),
-            single_zone: number("risk_one_zone", 0.0, TRADE_MOST),
-            machine_pin_cost_s: number("pin_s", 0.0, TRADE_MOST_S),
-            min_migration_gain_s: number("move_s", 0.0, TRADE_MOST_S),
+            machine_loss: number("risk_machine", 0.0, MAX_RISK_WEIGHT),
+            zone_loss: number("risk_zone", 0.0, MAX_RISK_WEIGHT),
+            single_zone: number("risk_one_zone", 0.0, MAX_RISK_WEIGHT),
+            machine_pin_cost_s: number("pin_s", 0.0, MAX_WEIGHT_S),
+            min_migration_gain_s: number("move_s", 0.0, MAX_WEIGHT_S),
         },
     };
     if faults.is_empty() {
--- a/crates/protocol/src/users.rs
+++ b/crates/protocol/src/users.rs
@@ -5,10 +5,13 @@
 use serde::Serialize;
 
 use crate::{Malformed, decode};
-use lemonweir_model::constants::{AWAITS_MOST, MAX_TASKS};
+use lemonweir_model::constants::MAX_TASKS;
 use lemonweir_model::settings::Team;
 use lemonweir_model::{Catalog, JobId, JobKind, JobSpec, Resources};
 
+/// Jobs that one may await: what a submission's 64 KiB can name.
+const MAX_DEPENDENCIES: usize = 2_000;
+
 /// What a user is told of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, serde::Deserialize)]
 pub enum JobPhase {
@@ -94,7 +97,7 @@
     if long || spec.machine_types.as_ref().is_some_and(|t| t.len() > 100) {
         return fault("name or list too long");
     }
-    if spec.depends_on.len() > AWAITS_MOST {
+    if spec.depends_on.len() > MAX_DEPENDENCIES {
         return fault("awaits names too many jobs");
     }
     if spec
--- a/crates/protocol/tests/golden_messages.rs
+++ b/crates/protocol/tests/golden_messages.rs
@@ -647,7 +647,7 @@
         AttemptState::Gone,
         AttemptState::Refused,
     ];
-    let machine = |renter, spot, up, open, leaving| MachineView {
+    let machine = |provisioner, spot, up, open, leaving| MachineView {
         id: MachineId::from("n-000231"),
         machine_type: "g8".into(),
         zone: "eemsmond".into(),
@@ -662,7 +662,7 @@
         service_task_count: 2,
         cached_images: text(&["img-07"]),
         pulling_images: text(&["img-08", "img-09"]),
-        provisioned_by: renter,
+        provisioned_by: provisioner,
     };
     let view = ShardView {
         version: PEER_VERSION,
--- a/crates/simulator/src/baseline.rs
+++ b/crates/simulator/src/baseline.rs
@@ -201,7 +201,7 @@
                 self.place_waiting();
             }
             (Event::TaskArrives(job, task, machine), BaselineKind::Central) => {
-                self.start_task(job, task, machine)
+                self.start_task(job, task, machine);
             }
             (Event::TaskArrives(job, task, machine), BaselineKind::Sampler(_)) => {
                 self.machines[machine].queue.push_back((job, task));
@@ -326,7 +326,7 @@
                 .iter()
                 .any(|machine| machine.capacity.covers(&need)) =>
             {
-                self.send_to_sampled(job, task, d)
+                self.send_to_sampled(job, task, d);
             }
             None => {}
         }
--- a/crates/simulator/src/controller.rs
+++ b/crates/simulator/src/controller.rs
@@ -10,7 +10,7 @@
 use lemonweir_coordination::{
     Config, Core, HeartbeatAnswer, ProvisioningResult, ShardLease, WorkCounters,
 };
-use lemonweir_model::constants::BUDGET_PERCENT;
+use lemonweir_model::constants::STORE_BUDGET_PERCENT;
 use lemonweir_model::{JobId, MachineId};
 use lemonweir_protocol::cloud::{InstanceEntry, ProvisioningRequest};
 use lemonweir_protocol::kv_store::{CompareAndSwap, KeyValue, WatchEvent};
@@ -313,7 +313,7 @@
     pub fn new(scenario: &Scenario) -> Self {
         let controllers = usize::from(scenario.controllers);
         let share = |per_s: f64| TokenBucket::new(per_s, controllers, 0);
-        let usable = BUDGET_PERCENT as f64 / 100.0;
+        let usable = STORE_BUDGET_PERCENT as f64 / 100.0;
         Self {
             core: None,
             incarnation: 0,
--- a/crates/simulator/src/invariants/answers.rs
+++ b/crates/simulator/src/invariants/answers.rs
@@ -49,7 +49,7 @@
             }
             None if answer.accepted => self.violation(now, format!("forgotten: {job} got 404")),
             Some(_) if !self.specs.contains_key(job) => {
-                self.violation(now, format!("invented: {job}"))
+                self.violation(now, format!("invented: {job}"));
             }
             Some(phase) if before.is_some_and(|told| told != phase) => {
                 self.violation(
--- a/crates/simulator/src/scenario/reader.rs
+++ b/crates/simulator/src/scenario/reader.rs
@@ -1,7 +1,7 @@
 //! Reads a scenario from its TOML tables, one section a function. Every error is noted at
 //! its field; what is read beside an error is a value within bounds that nobody uses.
 
-use lemonweir_model::constants::BLIND_MOST_MS;
+use lemonweir_model::constants::MAX_STORE_OUTAGE_GRACE_MS;
 use lemonweir_model::policy::{Policy, ServicePlacementWeights};
 use lemonweir_model::settings::{
     CloudLimits, KvStoreLimits, Team, UpcomingKvStoreLimits, WorkerTiming,
@@ -122,7 +122,7 @@
 
 fn read_policy(table: &TomlSection<'_>) -> Policy {
     let whole_ms = |seconds: f64| (seconds * 1_000.0) as u64;
-    let most_blind_s = BLIND_MOST_MS as f64 / 1_000.0;
+    let most_blind_s = MAX_STORE_OUTAGE_GRACE_MS as f64 / 1_000.0;
     Policy {
         on_demand_idle_multiple: table.number("idle", 0.0, 1e6, Some(0.75)),
         spot_idle_multiple: table.number("idle_spot", 0.0, 1e6, Some(1.5)),
--- a/crates/simulator/src/simulation.rs
+++ b/crates/simulator/src/simulation.rs
@@ -244,7 +244,7 @@
             .workers
             .iter()
             .flatten()
-            .flat_map(|worker| worker.live_jobs())
+            .flat_map(super::worker::Worker::live_jobs)
         {
             *live.entry(job.clone()).or_default() += 1;
         }
--- a/crates/simulator/src/simulation/cloud_service.rs
+++ b/crates/simulator/src/simulation/cloud_service.rs
@@ -2,7 +2,9 @@
 
 use lemonweir_coordination::{ProvisioningResult, ShardLease};
 use lemonweir_model::MachineId;
-use lemonweir_model::constants::{CLOUD_TROUBLE_MS, LIST_EVERY_MS, MAX_RENT};
+use lemonweir_model::constants::{
+    CLOUD_TROUBLE_MS, INSTANCE_LIST_INTERVAL_MS, MAX_INSTANCES_PER_REQUEST,
+};
 use lemonweir_protocol::cloud::ProvisioningRequest;
 use lemonweir_protocol::links::Service;
 use rand::RngExt;
@@ -53,7 +55,7 @@
         let available = self
             .cloud
             .available(kind, &request.zone, request.spot, &self.scenario);
-        let count = request.count.min(available).min(MAX_RENT);
+        let count = request.count.min(available).min(MAX_INSTANCES_PER_REQUEST);
         let names: Vec<MachineId> = (0..count)
             .map(|_| {
                 let up_at = self.draw_up_at(kind, &request.zone);
@@ -120,7 +122,8 @@
             .take(1.0, self.now);
         let route = self.route(process.controller, Service::Cloud, 0);
         self.schedule_in(wait_us, Event::ListInstances(process, route));
-        let interval_ms = LIST_EVERY_MS.max(self.cloud.list_pages() as u64 * LIST_PAGE_MS);
+        let interval_ms =
+            INSTANCE_LIST_INTERVAL_MS.max(self.cloud.list_pages() as u64 * LIST_PAGE_MS);
         self.schedule_in(
             interval_ms * US_PER_MS,
             Event::ScheduleInstanceList(process),
--- a/crates/simulator/src/simulation/controllers.rs
+++ b/crates/simulator/src/simulation/controllers.rs
@@ -1,6 +1,6 @@
 //! Controller processes: start and end, the inbox, and what work costs.
 
-use lemonweir_model::constants::{LIST_EVERY_MS, SHORT_TICK_MS, TICK_MS};
+use lemonweir_model::constants::{INSTANCE_LIST_INTERVAL_MS, SHORT_TICK_MS, TICK_MS};
 use rand::RngExt;
 
 use super::Simulation;
@@ -48,7 +48,9 @@
         self.schedule_in(0, Event::ReadState(process));
         self.schedule_in(US_PER_MS, Event::Tick(process));
         self.schedule_in(FIRST_LEASE_STEP_US, Event::KeepLeases(process));
-        let first_list_us = self.rng.random_range(0..LIST_EVERY_MS * US_PER_MS);
+        let first_list_us = self
+            .rng
+            .random_range(0..INSTANCE_LIST_INTERVAL_MS * US_PER_MS);
         self.schedule_in(first_list_us, Event::ScheduleInstanceList(process));
     }
 
@@ -131,7 +133,7 @@
         let counted = controller
             .core
             .as_ref()
-            .map(|core| core.work_counters())
+            .map(lemonweir_coordination::Core::work_counters)
             .unwrap_or_default();
         // Less than before: a shard was released, and its counters with it.
         let grown = |now: u64, before: u64| now.checked_sub(before).unwrap_or(now);
--- a/crates/simulator/src/simulation/dispatch.rs
+++ b/crates/simulator/src/simulation/dispatch.rs
@@ -8,7 +8,7 @@
     pub(super) fn dispatch(&mut self, event: Event) {
         match event {
             Event::Deliver(process, input) if self.is_current(process) => {
-                self.enqueue(process.controller, *input)
+                self.enqueue(process.controller, *input);
             }
             Event::Deliver(process, input) => self.fail_unanswered(process.controller, *input),
             Event::ProcessInbox(process) => {
@@ -21,10 +21,10 @@
             Event::KeepLeases(process) => self.keep_leases(process),
             Event::ScheduleInstanceList(process) => self.schedule_instance_list(process),
             Event::StoreRequest(process, request, route) => {
-                self.handle_store_request(process, request, route)
+                self.handle_store_request(process, request, route);
             }
             Event::StoreExecutes(process, request, answer_us) => {
-                self.execute_store_request(process, request, answer_us)
+                self.execute_store_request(process, request, answer_us);
             }
             Event::Commands(process, delivery) => self.commands_arrive(process, delivery),
             Event::WorkerWakes(number) => self.run_worker(number),
@@ -34,14 +34,14 @@
                 heartbeat,
             } => self.duplicate_arrives(machine, controller, *heartbeat),
             Event::HeartbeatAnswer(heartbeat, answer) => {
-                self.handle_heartbeat_answer(heartbeat, *answer)
+                self.handle_heartbeat_answer(heartbeat, *answer);
             }
             Event::GangSignal(signal) => self.handle_gang_signal(signal),
             Event::Provision(process, lease, request, route) => {
-                self.provision(process, lease, *request, route)
+                self.provision(process, lease, *request, route);
             }
             Event::Release(process, lease, names, route) => {
-                self.release_machines(process, lease, names, route)
+                self.release_machines(process, lease, names, route);
             }
             Event::ListInstances(process, route) => self.list_instances(process, route),
             Event::Probe(process, service) => self.probe(process, service),
@@ -68,7 +68,7 @@
         let now = self.now;
         match signal {
             GangSignal::StopDeadline(id, at) if at > now => {
-                self.schedule_at(at, Event::GangSignal(GangSignal::StopDeadline(id, at)))
+                self.schedule_at(at, Event::GangSignal(GangSignal::StopDeadline(id, at)));
             }
             GangSignal::StopDeadline(id, _) => {
                 self.workload.stop_deadline_passed(&id, now);
@@ -79,7 +79,7 @@
             | GangSignal::Stopped(number, ..)
             | GangSignal::ProgressHalted(number, _) => {
                 self.with_worker(number, |worker, workload| {
-                    worker.handle_signal(signal, now, workload)
+                    worker.handle_signal(signal, now, workload);
                 });
             }
         }
--- a/crates/simulator/src/simulation/effects.rs
+++ b/crates/simulator/src/simulation/effects.rs
@@ -21,10 +21,10 @@
         let at = self.departure_time(controller) + self.network_delay();
         match effect {
             Effect::CompareAndSwap(lease, cas) => {
-                self.send_cas(controller, CasOrigin::Scheduler(lease), cas)
+                self.send_cas(controller, CasOrigin::Scheduler(lease), cas);
             }
             Effect::DependencyCompareAndSwap(cas) => {
-                self.send_cas(controller, CasOrigin::Dependencies, cas)
+                self.send_cas(controller, CasOrigin::Dependencies, cas);
             }
             Effect::WriteHint(cas) => self.send_cas(controller, CasOrigin::Unattended, cas),
             Effect::ReadFinalStates(ids) => {
@@ -53,10 +53,10 @@
             }
             Effect::WakePeer(shard) => self.wake_shard(controller, shard, at),
             Effect::Provision(lease, request) => {
-                self.request_provisioning(controller, lease, request, at)
+                self.request_provisioning(controller, lease, request, at);
             }
             Effect::ReleaseInstances(lease, names) => {
-                self.request_release(controller, lease, names, at)
+                self.request_release(controller, lease, names, at);
             }
             Effect::SendGossip(to, gossip) => self.send_gossip(controller, to, gossip, at),
             Effect::ProbeService(service) => self.schedule_at(at, Event::Probe(process, service)),
@@ -68,7 +68,7 @@
         let leases = self.controllers[controller]
             .core
             .as_ref()
-            .map(|core| core.leases())
+            .map(lemonweir_coordination::Core::leases)
             .unwrap_or_default();
         let Some(leader) = self
             .known_leader(controller, shard)
--- a/crates/simulator/src/simulation/faults.rs
+++ b/crates/simulator/src/simulation/faults.rs
@@ -58,7 +58,7 @@
                 controller: Some(controller),
             } => self.crash(*controller, for_us),
             FaultKind::Crash { controller: None } => {
-                (0..self.controllers.len()).for_each(|number| self.crash(number, for_us))
+                (0..self.controllers.len()).for_each(|number| self.crash(number, for_us));
             }
             FaultKind::StoreDown => self.store.down = true,
             FaultKind::ReducedStoreLimits => self.store.lower_limits(&self.scenario.state),
@@ -73,7 +73,7 @@
                     factor: *factor,
                     failure_chance: fault.share,
                     zone: zone.clone(),
-                })
+                });
             }
             FaultKind::PollLoad { factor } => self.poll_factor = *factor,
             FaultKind::ZonePartition { zone } => {
@@ -173,14 +173,14 @@
             }
             FaultKind::MachineHang => {
                 self.with_worker(number, |worker, workload| {
-                    worker.hang(now, now + for_us, workload)
+                    worker.hang(now, now + for_us, workload);
                 });
             }
             FaultKind::SpotReclaim { notice_s } => {
                 let share = LEAST_NOTICE_SHARE + self.rng.random::<f64>();
                 let at = now + (notice_s * 1e6 * share) as u64;
                 self.with_worker(number, |worker, _| {
-                    worker.reclaim_at = (*notice_s > 0.0).then_some(at)
+                    worker.reclaim_at = (*notice_s > 0.0).then_some(at);
                 });
                 self.schedule_at(at, Event::RemoveMachine(number));
             }
@@ -198,7 +198,7 @@
                 let down_us = (fault.for_s * 1e6 / ROLLING_DOWN_ONE_IN) as u64;
                 affected
                     .iter()
-                    .for_each(|&controller| self.crash(controller, down_us))
+                    .for_each(|&controller| self.crash(controller, down_us));
             }
             FaultKind::StoreDown => self.store.recover(self.now),
             FaultKind::LinkDown(link) => {
--- a/crates/simulator/src/simulation/inputs.rs
+++ b/crates/simulator/src/simulation/inputs.rs
@@ -66,16 +66,16 @@
             Input::GossipAnswer(from, gossip) => {
                 let answered = gossip.is_some();
                 core.links
-                    .gossip_completed(from, answered, gossip.map(|gossip| *gossip), now_ms)
+                    .gossip_completed(from, answered, gossip.map(|gossip| *gossip), now_ms);
             }
             Input::CommandResult(lease, call, result) => {
-                core.command_completed(lease, &call, result, now_ms)
+                core.command_completed(lease, &call, result, now_ms);
             }
             Input::SyncResponse(lease, to, view) => {
-                core.sync_completed(lease, to, view.map(|view| *view), now_ms)
+                core.sync_completed(lease, to, view.map(|view| *view), now_ms);
             }
             Input::Provisioned(lease, request, result) => {
-                core.provisioning_completed(lease, &request, result, now_ms)
+                core.provisioning_completed(lease, &request, result, now_ms);
             }
             Input::Released(lease, names) => core.instances_released(lease, &names, true, now_ms),
             Input::InstancesListed(entries) => core.instances_listed(&entries, now_ms),
@@ -105,7 +105,7 @@
             Input::Submit(id) => self.handle_submission(number, id),
             Input::Poll(id) => match core.job_status(&id, now_ms) {
                 JobStatusAnswer::Unfinished(progress) => {
-                    self.reply(number, id, Some(progress.phase), 200)
+                    self.reply(number, id, Some(progress.phase), 200);
                 }
                 answer => self.answer_after_read(number, id, UserRequest::Query, answer),
             },
@@ -129,7 +129,7 @@
         };
         match core.handle_heartbeat(&heartbeat.heartbeat, now_ms) {
             HeartbeatAnswer::Relay(leader) => {
-                self.relay_heartbeat(number, usize::from(leader), heartbeat)
+                self.relay_heartbeat(number, usize::from(leader), heartbeat);
             }
             answer => {
                 let at = self.departure_time(number) + self.network_delay();
@@ -293,7 +293,7 @@
                 self.request_state_read(number);
             }
             CasOrigin::User(id, request, asked) => {
-                self.user_cas_finished(number, id, request, asked, cas, outcome)
+                self.user_cas_finished(number, id, request, asked, cas, outcome);
             }
         }
     }
--- a/crates/simulator/src/simulation/lease_keeping.rs
+++ b/crates/simulator/src/simulation/lease_keeping.rs
@@ -2,7 +2,7 @@
 //! the other.
 
 use lemonweir_coordination::election::ElectionAction;
-use lemonweir_model::constants::{HOLD_RENEW_MS, TICK_MS};
+use lemonweir_model::constants::{STORE_LEASE_RENEWAL_MS, TICK_MS};
 use lemonweir_protocol::kv_store::CompareAndSwap;
 use lemonweir_protocol::links::Service;
 use lemonweir_storage::records::{assign_teams, register_controller};
@@ -46,7 +46,7 @@
             return;
         }
         let store_lease = controller.store_lease;
-        let renewal_due = now >= controller.lease_renewed_at + HOLD_RENEW_MS * US_PER_MS;
+        let renewal_due = now >= controller.lease_renewed_at + STORE_LEASE_RENEWAL_MS * US_PER_MS;
         if store_lease.is_none() || renewal_due {
             self.request_store_lease(process, store_lease);
         }
--- a/crates/simulator/src/simulation/network.rs
+++ b/crates/simulator/src/simulation/network.rs
@@ -5,7 +5,9 @@
 
 use lemonweir_coordination::owner::{CommandCall, CommandResult};
 use lemonweir_coordination::{HeartbeatAnswer, ShardLease};
-use lemonweir_model::constants::{CARRY_REPORT_MS, COMMAND_TIMEOUT_MS, GATHER_MS, SYNC_TIMEOUT_MS};
+use lemonweir_model::constants::{
+    COMMAND_TIMEOUT_MS, HEARTBEAT_BATCH_MS, RELAYED_HEARTBEAT_TIMEOUT_MS, SYNC_TIMEOUT_MS,
+};
 use lemonweir_protocol::kv_store::CompareAndSwap;
 use lemonweir_protocol::links::{AvailabilityGossip, Service};
 use lemonweir_protocol::peer::{self, SyncRequest};
@@ -138,7 +140,8 @@
         heartbeat: SentHeartbeat,
     ) {
         let relay = self.process(controller);
-        let at = self.departure_time(controller) + GATHER_MS * US_PER_MS + self.network_delay();
+        let at =
+            self.departure_time(controller) + HEARTBEAT_BATCH_MS * US_PER_MS + self.network_delay();
         let faults = self.scenario.message_faults;
         let lost = !self.peer_reachable(controller, leader) || self.happens(faults.lost_sync);
         if lost && self.happens(faults.late_sync) {
@@ -154,7 +157,11 @@
                 from: leader,
                 answer: None,
             };
-            self.deliver_at(at + CARRY_REPORT_MS * US_PER_MS, relay, unanswered);
+            self.deliver_at(
+                at + RELAYED_HEARTBEAT_TIMEOUT_MS * US_PER_MS,
+                relay,
+                unanswered,
+            );
         } else {
             let leader = self.process(leader);
             self.deliver_at(at, leader, Input::RelayedHeartbeat { heartbeat, relay });
--- a/crates/simulator/src/simulation/state_reads.rs
+++ b/crates/simulator/src/simulation/state_reads.rs
@@ -1,7 +1,7 @@
 //! A controller's reads of the watched keys into its state cache.
 
 use lemonweir_model::JobId;
-use lemonweir_model::constants::{REFRESH_BUSY_MS, REFRESH_IDLE_MS};
+use lemonweir_model::constants::{CACHE_REFRESH_BUSY_MS, CACHE_REFRESH_IDLE_MS};
 use lemonweir_protocol::links::Service;
 use lemonweir_storage::records::FOLLOWED;
 
@@ -50,7 +50,7 @@
         }
         controller.read_requested = true;
         if !controller.read_in_flight {
-            let at = (controller.read_at + REFRESH_BUSY_MS * US_PER_MS).max(now);
+            let at = (controller.read_at + CACHE_REFRESH_BUSY_MS * US_PER_MS).max(now);
             if at < controller.read_due {
                 controller.read_due = at;
                 self.schedule_at(at, Event::ReadState(process));
@@ -97,9 +97,9 @@
         let busy =
             controller.read_requested || expects_messages || !controller.pending_queries.is_empty();
         let interval_ms = if busy {
-            REFRESH_BUSY_MS
+            CACHE_REFRESH_BUSY_MS
         } else {
-            REFRESH_IDLE_MS
+            CACHE_REFRESH_IDLE_MS
         };
         let due = now + interval_ms * US_PER_MS;
         controller.read_due = due;
--- a/crates/simulator/src/simulation/store_service.rs
+++ b/crates/simulator/src/simulation/store_service.rs
@@ -6,7 +6,7 @@
 use lemonweir_coordination::placer::CompareAndSwapOutcome;
 use lemonweir_coordination::{ShardLease, keys_to_reread};
 use lemonweir_model::JobId;
-use lemonweir_model::constants::{HOLD_TTL_MS, STATE_TIMEOUT_MS, TICK_MS};
+use lemonweir_model::constants::{STORE_LEASE_TTL_MS, STORE_TIMEOUT_MS, TICK_MS};
 use lemonweir_protocol::kv_store::{CompareAndSwap, Write};
 use lemonweir_storage::records::{image_locations_prefix, task_chunks_prefix};
 use rand::RngExt;
@@ -21,7 +21,7 @@
 use crate::store::CasAnswer;
 
 /// µs for which a controller waits for an answer.
-const REQUEST_TIMEOUT_US: u64 = STATE_TIMEOUT_MS * US_PER_MS;
+const REQUEST_TIMEOUT_US: u64 = STORE_TIMEOUT_MS * US_PER_MS;
 /// µs after which the core's refused compare-and-swap is tried again.
 const REFUSED_CAS_WAIT_US: u64 = 2 * TICK_MS * US_PER_MS;
 /// How much later a single late compare-and-swap is executed, ms.
@@ -188,7 +188,7 @@
                 Input::StoreLease(self.store.renew_lease(lease, now).then_some(lease))
             }
             StoreRequest::StoreLease(None) => {
-                Input::StoreLease(Some(self.store.grant_lease(HOLD_TTL_MS, now)))
+                Input::StoreLease(Some(self.store.grant_lease(STORE_LEASE_TTL_MS, now)))
             }
             StoreRequest::CompareAndSwap(origin, cas) => self.execute_cas(origin, *cas),
         };
--- a/crates/simulator/src/simulation/user_answers.rs
+++ b/crates/simulator/src/simulation/user_answers.rs
@@ -4,7 +4,7 @@
 use lemonweir_coordination::job_status::JobStatusAnswer;
 use lemonweir_coordination::placer::CompareAndSwapOutcome;
 use lemonweir_model::JobId;
-use lemonweir_model::constants::{REFRESH_IDLE_MS, SUBMIT_WAIT_MS, USER_TIMEOUT_MS};
+use lemonweir_model::constants::{CACHE_REFRESH_IDLE_MS, SUBMISSION_TIMEOUT_MS, USER_TIMEOUT_MS};
 use lemonweir_protocol::kv_store::{CompareAndSwap, Write, from_value};
 use lemonweir_protocol::links::Service;
 use lemonweir_protocol::users::{JobPhase, unschedulable_reason};
@@ -30,7 +30,7 @@
         if core.cache.is_known(&id) {
             return match core.job_status(&id, now_ms) {
                 JobStatusAnswer::Unfinished(progress) => {
-                    self.reply(number, id, Some(progress.phase), 200)
+                    self.reply(number, id, Some(progress.phase), 200);
                 }
                 answer => self.answer_after_read(number, id, UserRequest::Query, answer),
             };
@@ -45,12 +45,12 @@
             .max(controller.requests.wait(now));
         if core.catalog.as_ref().is_some_and(never) {
             self.reply(number, id, None, 422);
-        } else if wait_us > SUBMIT_WAIT_MS * US_PER_MS || !core.ready(now_ms) {
+        } else if wait_us > SUBMISSION_TIMEOUT_MS * US_PER_MS || !core.ready(now_ms) {
             self.reply(number, id, None, 503);
         } else {
             match core.admit_job(&spec, now_ms) {
                 DependencyAdmission::Accept(cas_list, _) => {
-                    self.send_submission(number, id, &cas_list)
+                    self.send_submission(number, id, &cas_list);
                 }
                 DependencyAdmission::Unknown(ids) => self.resolve_dependencies(number, id, &ids),
             }
@@ -86,7 +86,7 @@
         self.learn_job_ends(number, ids);
         self.request_state_read(number);
         self.deliver_in(
-            REFRESH_IDLE_MS * US_PER_MS,
+            CACHE_REFRESH_IDLE_MS * US_PER_MS,
             self.process(number),
             Input::Submit(id),
         );
@@ -207,7 +207,7 @@
             (None, UserRequest::Withdrawal) if in_time => self.queue_query(number, id, request),
             (None, UserRequest::Query) if in_time => {
                 let origin = CasOrigin::User(id, request, asked);
-                self.send_cas(number, origin, cas.clone())
+                self.send_cas(number, origin, cas.clone());
             }
             _ => self.reply(number, id, None, 503),
         }
--- a/crates/simulator/src/simulation/workers.rs
+++ b/crates/simulator/src/simulation/workers.rs
@@ -118,7 +118,7 @@
     fn redirect_worker(&mut self, number: usize, controller: usize, after_us: u64) {
         let now = self.now;
         self.with_worker(number, |worker, _| {
-            worker.redirect(now, controller, after_us)
+            worker.redirect(now, controller, after_us);
         });
     }
 
@@ -162,7 +162,7 @@
                     next_us,
                 };
                 self.with_worker(number, |worker, workload| {
-                    worker.handle_answer(&answer, now, workload)
+                    worker.handle_answer(&answer, now, workload);
                 });
             }
             HeartbeatAnswer::Redirect(name) => {
@@ -170,7 +170,7 @@
                 self.redirect_worker(number, named.unwrap_or(next), REDIRECT_US);
             }
             HeartbeatAnswer::Unavailable | HeartbeatAnswer::Relay(_) => {
-                self.redirect_worker(number, next, NEXT_AFTER_REFUSAL_US)
+                self.redirect_worker(number, next, NEXT_AFTER_REFUSAL_US);
             }
         }
     }
--- a/crates/simulator/src/sweep.rs
+++ b/crates/simulator/src/sweep.rs
@@ -71,14 +71,16 @@
                     let result = work(seed);
                     bar.inc(1);
                     done.lock()
-                        .unwrap_or_else(|e| e.into_inner())
+                        .unwrap_or_else(std::sync::PoisonError::into_inner)
                         .push((i, result));
                 }
             });
         }
     });
     bar.finish_and_clear();
-    let mut done = done.into_inner().unwrap_or_else(|e| e.into_inner());
+    let mut done = done
+        .into_inner()
+        .unwrap_or_else(std::sync::PoisonError::into_inner);
     done.sort_by_key(|(i, _)| *i);
     done.into_iter().map(|(_, result)| result).collect()
 }
--- a/crates/simulator/src/worker/messages.rs
+++ b/crates/simulator/src/worker/messages.rs
@@ -164,7 +164,7 @@
             };
             match command.kind {
                 CommandKind::Start if !self.tasks.contains_key(&id) => {
-                    self.launch(id, now, workload)
+                    self.launch(id, now, workload);
                 }
                 CommandKind::Start => {}
                 CommandKind::Stop => self.kill(&id, command.grace_s.unwrap_or(0), now, workload),
--- a/crates/simulator/src/worker/tasks.rs
+++ b/crates/simulator/src/worker/tasks.rs
@@ -367,7 +367,7 @@
         match end {
             TaskEnd::Completed => workload.task_completed(id, work_us),
             TaskEnd::Failed | TaskEnd::GangTimeout | TaskEnd::Stopped(false) => {
-                workload.gang_task_lost(id, now)
+                workload.gang_task_lost(id, now);
             }
             TaskEnd::Stopped(true) | TaskEnd::PeerLost => {
                 if let Some(gang) = workload.gang(id) {
--- a/crates/simulator/tests/concurrent_faults.rs
+++ b/crates/simulator/tests/concurrent_faults.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use lemonweir_model::constants::HOLD_TTL_MS;
+use lemonweir_model::constants::STORE_LEASE_TTL_MS;
 use lemonweir_model::settings::WorkerTiming;
 use lemonweir_simulator::history::History;
 use lemonweir_simulator::load_generator::synthetic;
@@ -34,7 +34,7 @@
         ..
     } = scenario.workers;
     let (hold, blind) = (
-        HOLD_TTL_MS as f64 / 1e3,
+        STORE_LEASE_TTL_MS as f64 / 1e3,
         scenario.policy.store_outage_grace_ms as f64 / 1e3,
     );
     let around = [report_s, hold, lease_s, cancel_s, blind];
--- a/crates/simulator/tests/image_locality.rs
+++ b/crates/simulator/tests/image_locality.rs
@@ -54,13 +54,13 @@
     running: BTreeMap<u32, Vec<(usize, String)>>,
 }
 
-struct Lab {
+struct TestCluster {
     simulation: Simulation,
     seen: WorkloadSummary,
     services: Vec<JobSpec>,
 }
 
-impl Lab {
+impl TestCluster {
     fn new(scenario: Scenario, seed: u64) -> Self {
         let mut simulation =
             Simulation::new(Arc::new(scenario), Vec::new(), seed, History::new(None));
@@ -255,7 +255,7 @@
 fn a_large_model_on_2_20_and_200_machines() {
     for (machines, replicas) in [(2, 2), (20, 10), (200, 20)] {
         let what = format!("{machines} machines");
-        let mut lab = Lab::new(
+        let mut cluster = TestCluster::new(
             site(
                 &["north", "south"],
                 machines / 2,
@@ -263,29 +263,32 @@
             ),
             u64::from(machines),
         );
-        lab.submit(service(1, replicas, "large", 60.0), 0);
-        let first = lab
+        cluster.submit(service(1, replicas, "large", 60.0), 0);
+        let first = cluster
             .until_whole(&[], 400)
             .unwrap_or_else(|| panic!("{what}: not whole"));
         assert!(first > 190.0, "{what}: {first} s");
-        let (_, fetched) = lab.starts();
-        let lost = lab.machine_of(1);
-        let zone = lab.simulation.workers[lost]
+        let (_, fetched) = cluster.starts();
+        let lost = cluster.machine_of(1);
+        let zone = cluster.simulation.workers[lost]
             .as_ref()
             .expect("there")
             .zone
             .clone();
-        lab.simulation.workers[lost].as_mut().expect("there").silent = true;
-        let controller = lab
+        cluster.simulation.workers[lost]
+            .as_mut()
+            .expect("there")
+            .silent = true;
+        let controller = cluster
             .simulation
             .scenario
             .zones
             .iter()
             .position(|z| *z == zone)
             .expect("a zone");
-        lab.simulation.crash(controller, 3_000_000);
-        lab.run(2);
-        let left = lab.seen.running[&1]
+        cluster.simulation.crash(controller, 3_000_000);
+        cluster.run(2);
+        let left = cluster.seen.running[&1]
             .iter()
             .filter(|(m, _)| *m != lost)
             .count();
@@ -295,14 +298,18 @@
         );
         // The proof that what ran there is over, after its owner ended too, and a start;
         // no fetch.
-        lab.run(98);
-        let up = lab.seen.running[&1]
+        cluster.run(98);
+        let up = cluster.seen.running[&1]
             .iter()
             .filter(|(m, _)| *m != lost)
             .count();
         assert_eq!(up as u64, replicas, "{what}");
-        assert_eq!(lab.starts().1, fetched, "{what}: nothing was fetched anew");
-        lab.assert_no_violation(&what);
+        assert_eq!(
+            cluster.starts().1,
+            fetched,
+            "{what}: nothing was fetched anew"
+        );
+        cluster.assert_no_violation(&what);
     }
 }
 
@@ -312,13 +319,13 @@
 fn a_zone_is_lost_with_its_controller() {
     let mut took = Vec::new();
     for trade in [LOCALITY, ServicePlacementWeights::default()] {
-        let mut lab = Lab::new(site(&["north", "south"], 6, trade), 5);
+        let mut cluster = TestCluster::new(site(&["north", "south"], 6, trade), 5);
         for n in 0..2 {
-            lab.submit(service(n, 2, &format!("m-{n}"), 40.0), 0);
+            cluster.submit(service(n, 2, &format!("m-{n}"), 40.0), 0);
         }
-        lab.until_whole(&[], 300).expect("whole");
-        lab.run(60);
-        let zones: Vec<BTreeSet<String>> = lab
+        cluster.until_whole(&[], 300).expect("whole");
+        cluster.run(60);
+        let zones: Vec<BTreeSet<String>> = cluster
             .seen
             .running
             .values()
@@ -327,12 +334,12 @@
         let two = zones.iter().filter(|z| z.len() == 2).count();
         let hall = zones[0].first().expect("runs").clone();
         // The operators' picture says the same, from any controller.
-        for controller in &lab.simulation.controllers {
+        for controller in &cluster.simulation.controllers {
             let picture = controller
                 .core
                 .as_ref()
                 .expect("runs")
-                .image_locality_report("m-0", lab.simulation.now / 1_000);
+                .image_locality_report("m-0", cluster.simulation.now / 1_000);
             assert_eq!(
                 (picture.size_mb, picture.users.len(), picture.users[0].tasks),
                 (Some(40_000), 1, 2)
@@ -353,10 +360,12 @@
                     .all(|p| p.age_s.is_some_and(|s| s < 10))
             );
         }
-        lab.lose(&hall);
-        let whole = lab.until_whole(&[hall.as_str()], 600).expect("whole again");
+        cluster.lose(&hall);
+        let whole = cluster
+            .until_whole(&[hall.as_str()], 600)
+            .expect("whole again");
         took.push((two, whole));
-        lab.assert_no_violation("a hall lost");
+        cluster.assert_no_violation("a hall lost");
     }
     let [(_, cold), (two, warm)] = took[..] else {
         panic!("two runs")
@@ -370,7 +379,7 @@
 /// each wrong one costs one start its fetch, and is dropped.
 #[test]
 fn every_second_image_location_is_wrong() {
-    let mut lab = Lab::new(
+    let mut cluster = TestCluster::new(
         site(
             &["north"],
             8,
@@ -382,11 +391,11 @@
         9,
     );
     // The model lies on all machines: on each it ran.
-    lab.submit(service(0, 32, "m", 10.0), 0);
-    lab.until_whole(&[], 200).expect("whole");
-    lab.run(20);
+    cluster.submit(service(0, 32, "m", 10.0), 0);
+    cluster.until_whole(&[], 200).expect("whole");
+    cluster.run(20);
     // Four of eight machines lose their caches; nobody is told.
-    let wrong: BTreeSet<usize> = lab
+    let wrong: BTreeSet<usize> = cluster
         .simulation
         .workers
         .iter()
@@ -395,37 +404,37 @@
         .filter(|n| n % 2 == 0)
         .collect();
     wrong.iter().for_each(|n| {
-        lab.simulation.workers[*n]
+        cluster.simulation.workers[*n]
             .as_mut()
             .expect("there")
-            .drop_images()
+            .drop_images();
     });
-    lab.simulation.withdraw(&id(0));
-    lab.simulation.crash(0, 3_000_000);
-    lab.run(20);
-    lab.services.clear();
-    lab.seen = WorkloadSummary::default();
+    cluster.simulation.withdraw(&id(0));
+    cluster.simulation.crash(0, 3_000_000);
+    cluster.run(20);
+    cluster.services.clear();
+    cluster.seen = WorkloadSummary::default();
     // One replica at a time, so that each start can learn from the one before.
     for n in 1..=12 {
-        lab.submit(service(n, 2, "m", 10.0), 0);
-        lab.run(6);
+        cluster.submit(service(n, 2, "m", 10.0), 0);
+        cluster.run(6);
     }
-    lab.until_whole(&[], 100).expect("whole");
-    let (starts, cold) = lab.starts();
+    cluster.until_whole(&[], 100).expect("whole");
+    let (starts, cold) = cluster.starts();
     assert!(starts >= 24, "{starts}");
     assert!(
         cold <= 2 * wrong.len(),
         "{cold} of {starts} starts fetched; {} entries were wrong",
         wrong.len()
     );
-    lab.assert_no_violation("a wrong picture");
+    cluster.assert_no_violation("a wrong picture");
 }
 
 /// A model in demand doubles in a minute while a controller ends: its new replicas go
 /// where the weights lie as long as there is room, and all serve.
 #[test]
 fn a_hot_model_doubles_in_a_minute() {
-    let mut lab = Lab::new(
+    let mut cluster = TestCluster::new(
         site(
             &["north", "south", "west"],
             8,
@@ -433,26 +442,26 @@
         ),
         3,
     );
-    lab.submit(service(0, 6, "hot", 20.0), 0);
+    cluster.submit(service(0, 6, "hot", 20.0), 0);
     for n in 1..4 {
-        lab.submit(service(n, 2, &format!("m-{n}"), 20.0), 0);
+        cluster.submit(service(n, 2, &format!("m-{n}"), 20.0), 0);
     }
-    lab.until_whole(&[], 300).expect("whole");
-    lab.run(60);
-    let before = lab.starts();
-    lab.simulation.crash(1, 4_000_000);
+    cluster.until_whole(&[], 300).expect("whole");
+    cluster.run(60);
+    let before = cluster.starts();
+    cluster.simulation.crash(1, 4_000_000);
     for n in 5..8 {
-        lab.submit(service(n, 2, "hot", 20.0), 0);
-        lab.run(15);
+        cluster.submit(service(n, 2, "hot", 20.0), 0);
+        cluster.run(15);
     }
-    lab.until_whole(&[], 200).expect("whole");
-    let (starts, cold) = lab.starts();
+    cluster.until_whole(&[], 200).expect("whole");
+    let (starts, cold) = cluster.starts();
     let (starts, cold) = (starts - before.0, cold - before.1);
     assert!(
         starts >= 6 && 2 * cold <= starts,
         "{cold} of {starts} starts fetched"
     );
-    lab.assert_no_violation("a hot model");
+    cluster.assert_no_violation("a hot model");
 }
 
 /// One site of the figures: zones, machines a zone, boxes, services and their images.
@@ -491,43 +500,45 @@
     let mut scenario =
         Scenario::parse("figures", &text).unwrap_or_else(|faults| panic!("{faults:?}"));
     scenario.policy.placement_weights = trade;
-    let mut lab = Lab::new(scenario, seed);
+    let mut cluster = TestCluster::new(scenario, seed);
     let image = |n: u32| format!("m-{}", n * n % f.images);
     for n in 0..f.services {
-        lab.submit(
+        cluster.submit(
             service(n, f.sizes[n as usize % f.sizes.len()], &image(n), f.gb),
             0,
         );
     }
     let fetch = (f.gb / f.rate) as u64;
     let mut next = f.services;
-    let batch = |lab: &mut Lab, k: u32| {
+    let batch = |cluster: &mut TestCluster, k: u32| {
         let spec = JobSpec {
             image: format!("b-{}", k % 14),
             image_gb: 7.0,
             allow_spot: false,
             ..job(10_000 + k, "blue", JobKind::Array, 20)
         };
-        lab.submit(spec, 60);
+        cluster.submit(spec, 60);
     };
-    let first = lab.until_whole(&[], 3 * fetch + 200).unwrap_or(f64::NAN);
+    let first = cluster
+        .until_whole(&[], 3 * fetch + 200)
+        .unwrap_or(f64::NAN);
     for k in 0..24u32 {
-        batch(&mut lab, k);
+        batch(&mut cluster, k);
         if k % 4 == 1 {
             // The machine of some replica stops for good.
             let n = (k * 7 + seed as u32) % f.services;
-            let machine = lab
+            let machine = cluster
                 .seen
                 .running
                 .get(&n)
                 .and_then(|r| r.first())
                 .map(|r| r.0);
-            if let Some(w) = machine.and_then(|m| lab.simulation.workers[m].as_mut()) {
+            if let Some(w) = machine.and_then(|m| cluster.simulation.workers[m].as_mut()) {
                 w.silent = true;
             }
         }
         if k % 4 == 3 {
-            lab.submit(
+            cluster.submit(
                 service(
                     next,
                     f.sizes[next as usize % f.sizes.len()],
@@ -538,16 +549,16 @@
             );
             next += 1;
         }
-        lab.run(15);
+        cluster.run(15);
     }
-    lab.run(120 + fetch);
-    let (machine, zone) = lab.at_most();
-    let (starts, cold) = lab.starts();
-    let seconds: f64 = lab.seen.fetched.values().sum();
-    let (gb, hours) = (lab.seen.fetched_gb, lab.seen.machine_s / 3_600.0);
+    cluster.run(120 + fetch);
+    let (machine, zone) = cluster.at_most();
+    let (starts, cold) = cluster.starts();
+    let seconds: f64 = cluster.seen.fetched.values().sum();
+    let (gb, hours) = (cluster.seen.fetched_gb, cluster.seen.machine_s / 3_600.0);
     let hall = f.zones[0];
-    lab.lose(hall);
-    let whole = lab.until_whole(&[hall], 900).unwrap_or(f64::NAN);
+    cluster.lose(hall);
+    let whole = cluster.until_whole(&[hall], 900).unwrap_or(f64::NAN);
     println!(
         "{:8} {name:9} seed {seed}: whole after {first:5.1} s; {starts} starts, {:.2} warm, {:.1} s and {:.2} GB a start; lost with a machine {machine:.3}, with a zone {zone:.3}; whole after a hall {whole:5.1} s; {hours:.1} machine hours",
         f.name,
@@ -555,7 +566,7 @@
         seconds / starts as f64,
         gb / starts as f64,
     );
-    lab.assert_no_violation(name);
+    cluster.assert_no_violation(name);
 }
 
 /// The figures of docs/night-watch/weights.md.
@@ -623,7 +634,7 @@
             let (sites, trades) = (&sites, &trades);
             scope.spawn(move || {
                 for f in sites {
-                    for (name, trade) in trades.iter() {
+                    for (name, trade) in trades {
                         (1..=3)
                             .filter(|seed| seed % 2 == half)
                             .for_each(|seed| figures(f, name, *trade, seed));
--- a/crates/simulator/tests/invariants.rs
+++ b/crates/simulator/tests/invariants.rs
@@ -63,7 +63,12 @@
 }
 
 fn live(simulation: &Simulation) -> usize {
-    simulation.workers.iter().flatten().map(|w| w.live()).sum()
+    simulation
+        .workers
+        .iter()
+        .flatten()
+        .map(lemonweir_simulator::worker::Worker::live)
+        .sum()
 }
 
 /// A mix of jobs of both teams; returns those that must be done.
--- a/crates/simulator/tests/large_jobs.rs
+++ b/crates/simulator/tests/large_jobs.rs
@@ -3,7 +3,7 @@
 
 use std::sync::Arc;
 
-use lemonweir_model::constants::*;
+use lemonweir_model::constants::MAX_TASKS;
 use lemonweir_model::{JobKind, JobSpec, Priority};
 use lemonweir_simulator::fixtures::{id, job, site};
 use lemonweir_simulator::history::History;
--- a/crates/simulator/tests/partitions.rs
+++ b/crates/simulator/tests/partitions.rs
@@ -78,7 +78,12 @@
 }
 
 fn live(simulation: &Simulation) -> usize {
-    simulation.workers.iter().flatten().map(|w| w.live()).sum()
+    simulation
+        .workers
+        .iter()
+        .flatten()
+        .map(lemonweir_simulator::worker::Worker::live)
+        .sum()
 }
 
 /// The links of controller 0 that are cut.
--- a/crates/simulator/tests/resilience.rs
+++ b/crates/simulator/tests/resilience.rs
@@ -3,7 +3,10 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use lemonweir_model::constants::*;
+use lemonweir_model::constants::{
+    IDLE_WORK_PATIENCE_MS, MAX_HEADROOM_TASKS, MAX_TASKS, MIN_OVERDUE_REPLACEMENTS,
+    STORE_LEASE_TTL_MS,
+};
 use lemonweir_model::{JobKind, JobSpec, Priority};
 use lemonweir_protocol::users::JobPhase;
 use lemonweir_simulator::fixtures::{id, job, site};
@@ -126,7 +129,7 @@
         }
         // 48 tasks, four on a machine, and what is expected to come.
         assert!(
-            most <= 12 + SPARE_MOST as usize + 2 * OVERDUE_LEAST * 3,
+            most <= 12 + MAX_HEADROOM_TASKS as usize + 2 * MIN_OVERDUE_REPLACEMENTS * 3,
             "{what}: {most} machines"
         );
         simulation.boot_disturbance = None;
@@ -395,7 +398,7 @@
         },
         20,
     );
-    simulation.run(IDLE_PATIENCE_MS - 10_000);
+    simulation.run(IDLE_WORK_PATIENCE_MS - 10_000);
     assert_eq!(rented(&simulation), 0);
     simulation.run(120_000);
     assert_eq!(done(&simulation, 0..1), [0; 0]);
@@ -513,7 +516,7 @@
         })
         .expect("one with workers");
     // Only its store is lost when it goes on.
-    let until = simulation.now + (HOLD_TTL_MS + 2_000) * 1_000;
+    let until = simulation.now + (STORE_LEASE_TTL_MS + 2_000) * 1_000;
     (
         simulation.controllers[held].stalled_until,
         simulation.controllers[held].busy_until,
@@ -524,7 +527,7 @@
             .links_down
             .insert(Link::Controllers(held.min(other), held.max(other)));
     }
-    simulation.run(HOLD_TTL_MS + 3_000);
+    simulation.run(STORE_LEASE_TTL_MS + 3_000);
     let core = simulation.controllers[held].core.as_ref().expect("it runs");
     assert!(core.lease_unconfirmed(), "nothing has shown what it holds");
     simulation.links_down.clear();
--- a/crates/simulator/tests/supervision.rs
+++ b/crates/simulator/tests/supervision.rs
@@ -1,9 +1,12 @@
 //! Failovers in the simulator: successors that crash at every step, and what the failover
 //! history records of it.
 
+use lemonweir_coordination::supervision::failover::COMPLETION_TIMEOUT_MS;
 use std::sync::Arc;
 
-use lemonweir_model::constants::*;
+use lemonweir_model::constants::{
+    FAILOVER_RECORDS_KEPT, STORE_LEASE_RENEWAL_MS, STORE_LEASE_TTL_MS,
+};
 use lemonweir_model::{JobKind, JobSpec, Priority};
 use lemonweir_protocol::kv_store::{CompareAndSwap, Write, from_value};
 use lemonweir_simulator::fixtures::{job, site};
@@ -70,7 +73,12 @@
 }
 
 fn live(simulation: &Simulation) -> usize {
-    simulation.workers.iter().flatten().map(|w| w.live()).sum()
+    simulation
+        .workers
+        .iter()
+        .flatten()
+        .map(lemonweir_simulator::worker::Worker::live)
+        .sum()
 }
 
 fn leader(simulation: &Simulation, shard: u16) -> Option<(String, u64)> {
@@ -171,7 +179,7 @@
         let third = until_taken(&mut simulation, 0, &[0, second]);
         simulation.run(after_ms);
         simulation.crash(third, 4_000_000);
-        simulation.run(CLOSE_MOST_MS + 100_000);
+        simulation.run(COMPLETION_TIMEOUT_MS + 100_000);
         assert_eq!(live(&simulation), REPLICAS, "{what}");
         assert_entered(&simulation, &what);
         let entries = ring(&simulation, 0);
@@ -221,7 +229,7 @@
                 .any(|(r, _)| r.change == LeadershipChange::Restarted);
             assert_eq!(
                 reborn,
-                back_ms < HOLD_TTL_MS - HOLD_RENEW_MS,
+                back_ms < STORE_LEASE_TTL_MS - STORE_LEASE_RENEWAL_MS,
                 "{what}: a hold outlives a short absence"
             );
         }
@@ -267,7 +275,7 @@
     let mut simulation = served(31, NO_FAULTS);
     let first = ring(&simulation, 0).pop().expect("an entry").0;
     let mut fill = CompareAndSwap::default();
-    for n in 2..=HANDOVERS_KEPT {
+    for n in 2..=FAILOVER_RECORDS_KEPT {
         let record = FailoverRecord {
             number: n,
             previous_leader: Some(host_name(0)),
@@ -296,9 +304,12 @@
         let (controller, _) = leader(&simulation, 0).expect("a holder");
         let newest = simulation
             .store
-            .get(&failover_key(0, HANDOVERS_KEPT + 1 + n))
+            .get(&failover_key(0, FAILOVER_RECORDS_KEPT + 1 + n))
             .and_then(|(v, _)| from_value::<FailoverRecord>(v));
-        assert_eq!(newest.expect("overwritten").number, HANDOVERS_KEPT + 1 + n);
+        assert_eq!(
+            newest.expect("overwritten").number,
+            FAILOVER_RECORDS_KEPT + 1 + n
+        );
         assert_eq!(controller, host_name(0), "the part is held all the same");
     }
     assert!(
@@ -314,7 +325,7 @@
 #[test]
 fn the_home_controller_returns_during_the_election() {
     for k in 0..14u64 {
-        let back_ms = HOLD_TTL_MS - HOLD_RENEW_MS + 200 + 300 * k;
+        let back_ms = STORE_LEASE_TTL_MS - STORE_LEASE_RENEWAL_MS + 200 + 300 * k;
         let what = format!("back after {back_ms} ms");
         let mut simulation = served(40 + k, if k % 2 == 0 { NO_FAULTS } else { SOME_FAULTS });
         simulation.crash(0, back_ms * 1_000);
--- a/crates/storage/src/dependencies.rs
+++ b/crates/storage/src/dependencies.rs
@@ -13,7 +13,7 @@
 
 use crate::records::{JobEndRecord, JobRecord, end_key, job_key};
 use lemonweir_model::JobId;
-use lemonweir_model::constants::AWAITS_PAGE;
+use lemonweir_model::constants::DEPENDENCIES_PER_PAGE;
 use lemonweir_protocol::kv_store::{CompareAndSwap, Condition, Write};
 use lemonweir_protocol::users::JobPhase;
 
@@ -61,7 +61,7 @@
 /// pages first, which mean nothing by themselves, then the job, which counts.
 pub fn create_blocked_job(record: &JobRecord, txn_ops: usize) -> Vec<CompareAndSwap> {
     let id = &record.spec.id;
-    let mut pages = record.spec.depends_on.chunks(AWAITS_PAGE);
+    let mut pages = record.spec.depends_on.chunks(DEPENDENCIES_PER_PAGE);
     let first = pages.next().unwrap_or_default().to_vec();
     let rest: Vec<Write> = pages
         .zip(1..)
--- a/crates/storage/src/failovers.rs
+++ b/crates/storage/src/failovers.rs
@@ -17,12 +17,15 @@
 
 use serde::{Deserialize, Serialize};
 
-use lemonweir_model::constants::{HANDOVERS_KEPT, ODD_HANDOVERS};
+use lemonweir_model::constants::FAILOVER_RECORDS_KEPT;
 use lemonweir_protocol::kv_store::{CompareAndSwap, Condition, Write, from_value};
 
+/// Entries that can't be read which are named in the log, each once.
+const LOGGED_UNREADABLE_RECORDS: usize = 64;
+
 /// Key of the entry with this number, which counts a part's changes of hands from 1.
 pub fn failover_key(shard: u16, number: u64) -> String {
-    format!("w/hand/{shard}/{}", number % HANDOVERS_KEPT)
+    format!("w/hand/{shard}/{}", number % FAILOVER_RECORDS_KEPT)
 }
 
 /// Reads part and slot from the key below `w/hand/`.
@@ -164,13 +167,13 @@
 
     /// Takes the value of the key below `w/hand/`.
     pub(crate) fn set(&mut self, rest: &str, value: &rmpv::Value, version: u64) {
-        let slot = parse_failover_key(rest).filter(|(_, slot)| *slot < HANDOVERS_KEPT);
+        let slot = parse_failover_key(rest).filter(|(_, slot)| *slot < FAILOVER_RECORDS_KEPT);
         let record = from_value::<FailoverRecord>(value);
         // Guards against a number that no count of changes reaches: all later ones
         // would follow it.
         let record = record.filter(|r| {
             (1..=HANDOVERS_MOST).contains(&r.number)
-                && slot.is_some_and(|(_, s)| r.number % HANDOVERS_KEPT == s)
+                && slot.is_some_and(|(_, s)| r.number % FAILOVER_RECORDS_KEPT == s)
         });
         match (slot, record) {
             (Some(slot), Some(record)) => {
@@ -182,7 +185,7 @@
                     self.entries.remove(&slot);
                     self.unreadable.insert(slot, version);
                 }
-                if self.logged_keys.len() < ODD_HANDOVERS
+                if self.logged_keys.len() < LOGGED_UNREADABLE_RECORDS
                     && self.logged_keys.insert(rest.to_owned())
                 {
                     tracing::error!(key = rest, "entry of a handover not understood; skipped");
@@ -219,7 +222,7 @@
     pub fn rewrite(&self, shard: u16, number: u64) -> Option<NewFailover> {
         let (record, version) = self
             .entries
-            .get(&(shard, number % HANDOVERS_KEPT))
+            .get(&(shard, number % FAILOVER_RECORDS_KEPT))
             .filter(|(r, _)| r.number == number)?;
         Some(NewFailover {
             shard,
@@ -232,11 +235,14 @@
     /// can't be read is left to who can, unless there is nothing else.
     pub fn next_slot(&self, shard: u16) -> (u64, u64) {
         let newest = self.entries_of(shard).last().map_or(0, |(r, _)| r.number);
-        let odd = |n: u64| self.unreadable.contains_key(&(shard, n % HANDOVERS_KEPT));
-        let number = (newest + 1..=newest + HANDOVERS_KEPT)
+        let odd = |n: u64| {
+            self.unreadable
+                .contains_key(&(shard, n % FAILOVER_RECORDS_KEPT))
+        };
+        let number = (newest + 1..=newest + FAILOVER_RECORDS_KEPT)
             .find(|n| !odd(*n))
             .unwrap_or(newest + 1);
-        let slot = (shard, number % HANDOVERS_KEPT);
+        let slot = (shard, number % FAILOVER_RECORDS_KEPT);
         (
             number,
             self.entries
--- a/crates/storage/src/packed_chunk.rs
+++ b/crates/storage/src/packed_chunk.rs
@@ -1,13 +1,13 @@
 //! Task records in little room: a full chunk of live attempts stays below 2 KiB.
 //!
-//! Versions before [`PACKED_VERSION`] read only [`TaskChunkRecord`] as it is written by itself,
+//! Versions before [`PACKED_RECORD_VERSION`] read only [`TaskChunkRecord`] as it is written by itself,
 //! so the packed form is written once the store says that every controller knows it
 //! ([`crate::records::VersionRecord`]). Both forms are read at any time.
 
 use serde::{Deserialize, Serialize};
 
 use crate::records::{GangAdmissionRecord, LiveAttemptRecord, TaskChunkRecord};
-use lemonweir_model::constants::{CHUNK_TASKS, PACKED_VERSION};
+use lemonweir_model::constants::{PACKED_RECORD_VERSION, TASKS_PER_CHUNK};
 use lemonweir_model::{MachineId, Resources};
 use lemonweir_protocol::kv_store::{from_value, to_value};
 
@@ -40,7 +40,7 @@
         });
     format!(
         "{}.{}.{}.{zone}.{}",
-        live.task % CHUNK_TASKS,
+        live.task % TASKS_PER_CHUNK,
         live.attempt,
         live.shard,
         live.machine
@@ -52,8 +52,8 @@
     let mut number = || fields.next()?.parse::<u32>().ok();
     let (task, attempt, shard, zone) = (number()?, number()?, number()?, number()?);
     Some(LiveAttemptRecord {
-        task: chunk * CHUNK_TASKS + task,
-        attempt: attempt,
+        task: chunk * TASKS_PER_CHUNK + task,
+        attempt,
         shard: u16::try_from(shard).ok()?,
         zone: zones.get(zone as usize)?.clone(),
         machine: MachineId::from(fields.next()?),
@@ -62,7 +62,7 @@
 
 /// The value of a chunk for a store that all controllers of this version read.
 pub fn chunk_value(record: &TaskChunkRecord, version: u32) -> rmpv::Value {
-    if version < PACKED_VERSION {
+    if version < PACKED_RECORD_VERSION {
         return to_value(record);
     }
     let mut zones = Vec::new();
--- a/crates/storage/src/records.rs
+++ b/crates/storage/src/records.rs
@@ -22,7 +22,7 @@
 
 use crate::dependencies::job_absent_conditions;
 use crate::failovers::NewFailover;
-use lemonweir_model::constants::{PACKED_VERSION, PEER_VERSION};
+use lemonweir_model::constants::{PACKED_RECORD_VERSION, PEER_VERSION};
 use lemonweir_model::{JobId, JobSpec, MachineId, Resources};
 use lemonweir_protocol::kv_store::{CompareAndSwap, Condition, Write, to_value};
 use lemonweir_protocol::users::JobPhase;
@@ -360,7 +360,7 @@
         zone: zone.to_owned(),
         peer_version: PEER_VERSION,
         ceded_shards: deaf,
-        record_version: PACKED_VERSION,
+        record_version: PACKED_RECORD_VERSION,
     };
     CompareAndSwap {
         conditions: Vec::new(),
--- a/crates/storage/src/state_cache.rs
+++ b/crates/storage/src/state_cache.rs
@@ -13,11 +13,14 @@
     ControllerRecord, JobRecord, ShardRecord, StoreMessageRecord, StoreMessageRoute,
     TeamAssignmentRecord, VERSION_KEY, VersionRecord, parse_store_message_key,
 };
-use lemonweir_model::constants::ENDS_REMEMBERED;
 use lemonweir_model::{JobId, JobSpec};
 use lemonweir_protocol::kv_store::{KeyValue, WatchEvent, from_value};
 use lemonweir_protocol::users::JobPhase;
 
+/// Settled ends of jobs remembered by a node, so that repeated polls need no
+/// read; about 60 bytes each.
+const MAX_CACHED_JOB_ENDS: usize = 20_000;
+
 /// An unfinished job with the version of its key.
 #[derive(Clone, Debug)]
 pub struct CachedJob {
@@ -374,7 +377,7 @@
             },
         );
         self.ends_order.push_back(job.clone());
-        if self.ends_order.len() > ENDS_REMEMBERED
+        if self.ends_order.len() > MAX_CACHED_JOB_ENDS
             && let Some(oldest) = self.ends_order.pop_front()
         {
             self.ends.remove(&oldest);
--- a/crates/storage/tests/golden_records.rs
+++ b/crates/storage/tests/golden_records.rs
@@ -8,7 +8,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lemonweir_model::constants::{AWAITS_PAGE, CHUNK_TASKS, HANDOVERS_KEPT, PACKED_VERSION};
+use lemonweir_model::constants::{
+    DEPENDENCIES_PER_PAGE, FAILOVER_RECORDS_KEPT, PACKED_RECORD_VERSION, TASKS_PER_CHUNK,
+};
 use lemonweir_model::{JobId, JobKind, JobSpec, MachineId, Priority, Resources};
 use lemonweir_protocol::kv_store::{CompareAndSwap, from_value, to_value};
 use lemonweir_protocol::users::JobPhase;
@@ -147,7 +149,7 @@
 }
 
 fn chunk(index: u32, gang: Option<GangAdmissionStep>) -> TaskChunkRecord {
-    let first = index * CHUNK_TASKS;
+    let first = index * TASKS_PER_CHUNK;
     let live = |t, a, m: &str, p, z: &str| LiveAttemptRecord {
         task: first + t,
         attempt: a,
@@ -272,7 +274,7 @@
 #[test]
 fn task_records_are_their_samples_in_each_form() {
     let mut golden = Golden::of(include_str!("samples/golden/chunks.json"));
-    for (form, version) in [("plain", 0), ("packed", PACKED_VERSION)] {
+    for (form, version) in [("plain", 0), ("packed", PACKED_RECORD_VERSION)] {
         for (of, index, record) in [
             ("no gang", 0, chunk(0, None)),
             ("no gang, third", 2, chunk(2, None)),
@@ -379,7 +381,14 @@
         store_message_key(StoreMessageKind::View, 1, 2, 3),
         "w/mail/view/1/2/3"
     );
-    assert_eq!((AWAITS_PAGE, CHUNK_TASKS, HANDOVERS_KEPT), (40, 64, 32));
+    assert_eq!(
+        (
+            DEPENDENCIES_PER_PAGE,
+            TASKS_PER_CHUNK,
+            FAILOVER_RECORDS_KEPT
+        ),
+        (40, 64, 32)
+    );
 }
 
 #[test]
@@ -448,7 +457,7 @@
 #[test]
 fn transactions_of_chains_are_their_samples() {
     let mut golden = Golden::of(include_str!("samples/golden/chain_transactions.json"));
-    let accepted = create_blocked_job(&job(2 * AWAITS_PAGE + 1, false), 1);
+    let accepted = create_blocked_job(&job(2 * DEPENDENCIES_PER_PAGE + 1, false), 1);
     assert_eq!(accepted.len(), 3);
     for (i, cas) in accepted.iter().enumerate() {
         golden.cas(&format!("accept a job that waits, {i}"), cas);
--- a/crates/storage/tests/packed.rs
+++ b/crates/storage/tests/packed.rs
@@ -1,7 +1,7 @@
 //! Task records in both forms: what is read is what was written, and a full chunk fits
 //! the smallest value.
 
-use lemonweir_model::constants::{CHUNK_TASKS, PACKED_VERSION};
+use lemonweir_model::constants::{PACKED_RECORD_VERSION, TASKS_PER_CHUNK};
 use lemonweir_model::{MachineId, Resources};
 use lemonweir_storage::packed_chunk::{chunk_value, read_chunk};
 use lemonweir_storage::records::{
@@ -14,7 +14,7 @@
 fn full(chunk: u32) -> TaskChunkRecord {
     let zones = ["eemsmond", "rijnmond", "utrechtbaan"];
     let live = |n: u32| LiveAttemptRecord {
-        task: chunk * CHUNK_TASKS + n,
+        task: chunk * TASKS_PER_CHUNK + n,
         attempt: 10 + n,
         machine: MachineId::from(format!("n-{:06}", 990_000 + n).as_str()),
         shard: (n % 11) as u16,
@@ -25,7 +25,7 @@
         task_resources: Resources::capacity(5.25, 1.0, 27.125),
         next_attempt: 99,
         done_ranges: Vec::new(),
-        live_attempts: (0..CHUNK_TASKS).map(live).collect(),
+        live_attempts: (0..TASKS_PER_CHUNK).map(live).collect(),
         gang: Some(GangAdmissionRecord {
             step: GangAdmissionStep::Admitted,
             at_ms: 1_790_000_000_000,
@@ -39,8 +39,8 @@
 fn each_form_is_read_as_it_was_written() {
     for chunk in [0, 1, 1_562] {
         let mut record = full(chunk);
-        for _ in 0..CHUNK_TASKS {
-            for version in [0, PACKED_VERSION] {
+        for _ in 0..TASKS_PER_CHUNK {
+            for version in [0, PACKED_RECORD_VERSION] {
                 assert_eq!(
                     read_chunk(&chunk_value(&record, version), chunk),
                     Some(record.clone())
@@ -65,9 +65,9 @@
         bytes(0)
     );
     assert!(
-        bytes(PACKED_VERSION) < SMALLEST_VALUE * 9 / 10,
+        bytes(PACKED_RECORD_VERSION) < SMALLEST_VALUE * 9 / 10,
         "{}",
-        bytes(PACKED_VERSION)
+        bytes(PACKED_RECORD_VERSION)
     );
 }
 
@@ -76,7 +76,7 @@
 #[test]
 fn a_broken_attempt_is_no_missing_one() {
     let broken = |text: &str| {
-        let value = chunk_value(&full(0), PACKED_VERSION);
+        let value = chunk_value(&full(0), PACKED_RECORD_VERSION);
         let text = serde_json::to_string(&value).expect("JSON").replacen(
             "\"0.10.0.0.n-990000\"",
             &format!("\"{text}\""),
--- a/crates/trace/src/fault.rs
+++ b/crates/trace/src/fault.rs
@@ -90,11 +90,11 @@
         match text.trim().parse::<f64>() {
             Err(_) => self.fault(field, format!("{:?} is not a number", shorten(text))),
             Ok(x) if !x.is_finite() => {
-                self.fault(field, format!("{} is no finite number", shorten(text)))
+                self.fault(field, format!("{} is no finite number", shorten(text)));
             }
             Ok(x) if x < 0.0 => self.fault(field, format!("{} is negative", shorten(text))),
             Ok(x) if x > LARGEST_AMOUNT => {
-                self.fault(field, format!("{} is out of range", shorten(text)))
+                self.fault(field, format!("{} is out of range", shorten(text)));
             }
             Ok(x) => return x,
         }
@@ -107,7 +107,7 @@
         match text.parse::<u64>() {
             Ok(x) => return x,
             Err(_) if text.starts_with('-') => {
-                self.fault(field, format!("{} is negative", shorten(text)))
+                self.fault(field, format!("{} is negative", shorten(text)));
             }
             Err(_) => self.fault(
                 field,
@@ -122,7 +122,7 @@
         match count {
             0 => self.fault(field, "no task at all"),
             n if n > MAX_TASKS => {
-                self.fault(field, format!("{n} tasks; a job may have {}", MAX_TASKS));
+                self.fault(field, format!("{n} tasks; a job may have {MAX_TASKS}"));
             }
             n => return n as u32,
         }
--- a/crates/trace/src/formats/google.rs
+++ b/crates/trace/src/formats/google.rs
@@ -302,11 +302,7 @@
         // 360 and up are monitoring, 120 and up production, below 100 free.
         rank: priority_class(priority, 120, 116, 100),
         class: format!("class-{class}"),
-        team: e
-            .user
-            .as_deref()
-            .map(shorten)
-            .unwrap_or_else(|| "unknown".into()),
+        team: e.user.as_deref().map_or_else(|| "unknown".into(), shorten),
         constraints: e.constraint.iter().map(constraint).collect(),
     };
     if row.good {
--- a/crates/trace/src/formats/philly.rs
+++ b/crates/trace/src/formats/philly.rs
@@ -102,7 +102,7 @@
         }
         match (from, to) {
             (Some(from), Some(to)) if to < from => {
-                row.fault("attempts.end_time", "it ends before its start")
+                row.fault("attempts.end_time", "it ends before its start");
             }
             (Some(from), Some(to)) => run_ms = (to - from) as u64,
             _ => {}
--- a/crates/trace/src/import.rs
+++ b/crates/trace/src/import.rs
@@ -143,7 +143,9 @@
     write_line(&mut out, header)?;
     sorter.write(&mut out)?;
     out.flush()?;
-    let file = out.into_inner().map_err(|e| e.into_error())?;
+    let file = out
+        .into_inner()
+        .map_err(std::io::IntoInnerError::into_error)?;
     file.persist(to).map_err(|e| e.error)?;
     Ok(())
 }
--- a/crates/trace/src/task_lifecycle.rs
+++ b/crates/trace/src/task_lifecycle.rs
@@ -111,7 +111,7 @@
             (TaskEvent::Update, Some(_)) => {}
             (_, None) => row.fault("task", format!("{job_id}/{index} was never submitted")),
             (TaskEvent::Start, Some(t)) if t.started.is_some() => {
-                row.fault("event", format!("{job_id}/{index} runs already"))
+                row.fault("event", format!("{job_id}/{index} runs already"));
             }
             (TaskEvent::Start, Some(t)) => t.started = Some(at),
             (TaskEvent::Evict, Some(t)) => (t.evicted, t.started) = (true, None),
--- a/crates/trace/tests/readers.rs
+++ b/crates/trace/tests/readers.rs
@@ -243,7 +243,7 @@
     ] {
         let mut lines = Vec::new();
         check(format, &[sample(name)], None, &mut |f| {
-            lines.push(format!("{}: {}", f.line, f.field))
+            lines.push(format!("{}: {}", f.line, f.field));
         })
         .expect("readable");
         assert_eq!(
@@ -431,7 +431,7 @@
         kept.push(Entry {
             from: String::new(),
             ..e
-        })
+        });
     })
     .expect("a workload");
     let fresh = entries(Format::Swf, &[sample("small.swf")], OnFault::Stop).expect("written");
--- a/crates/transport/src/client.rs
+++ b/crates/transport/src/client.rs
@@ -10,9 +10,16 @@
 use smol::net::TcpStream;
 
 use super::within;
-use lemonweir_model::constants::{
-    CONNECT_MS, IDLE_KEEP_MS, IDLE_PER_ADDRESS, MAX_HEADERS, MAX_RESPONSE_BYTES,
-};
+use lemonweir_model::constants::{CONNECT_MS, MAX_HEADERS, MAX_RESPONSE_BYTES};
+
+/// ms that an idle connection of ours is kept: longer than the regular calls
+/// are apart, and short enough that those to machines that are gone don't pile
+/// up.
+const IDLE_KEEP_MS: u64 = 10_000;
+
+/// Idle connections kept per address beyond those in use; calls to one address
+/// rarely overlap more than this.
+const IDLE_PER_ADDRESS: usize = 4;
 
 /// An answer.
 #[derive(Debug)]
@@ -137,7 +144,9 @@
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, Idle> {
-        self.idle.lock().unwrap_or_else(|e| e.into_inner())
+        self.idle
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 }
 
--- a/crates/transport/src/server.rs
+++ b/crates/transport/src/server.rs
@@ -9,9 +9,20 @@
 use tracing::{debug, info};
 
 use super::within;
-use lemonweir_model::constants::{
-    IDLE_TIMEOUT_MS, LISTEN_BACKLOG, MAX_HEAD_BYTES, MAX_HEADERS, READ_TIMEOUT_MS,
-};
+use lemonweir_model::constants::MAX_HEADERS;
+
+/// ms that a request may take to arrive in full.
+const READ_TIMEOUT_MS: u64 = 10_000;
+
+/// ms a connection may be idle before it is closed.
+const IDLE_TIMEOUT_MS: u64 = 65_000;
+
+/// Connections that wait to be accepted at the most (the system may allow fewer): a
+/// process that stood still for a moment has those of all workers before it.
+const LISTEN_BACKLOG: i32 = 4_096;
+
+/// Bytes of the head of a request or response; ours are below 1 KiB.
+const MAX_HEAD_BYTES: usize = 8 * 1024;
 
 /// A request as it came.
 #[derive(Debug)]
@@ -254,7 +265,7 @@
         match within(limit, stream.read(&mut chunk)).await {
             None if buffer.is_empty() => return Ok(None),
             None => return Err((408, "request took too long")),
-            Some(Ok(0)) | Some(Err(_)) => return Ok(None),
+            Some(Ok(0) | Err(_)) => return Ok(None),
             Some(Ok(n)) => buffer.extend_from_slice(&chunk[..n]),
         }
     }
--- a/fuzz/tests/malformed_input.rs
+++ b/fuzz/tests/malformed_input.rs
@@ -63,7 +63,7 @@
             let machine = Some(Resources::capacity(16.0, 4.0, 64.0));
             let result =
                 lemonweir_trace::check(format, std::slice::from_ref(&file), machine, &mut |f| {
-                    faults.push(f.clone())
+                    faults.push(f.clone());
                 });
             (result.map_err(|e| e.to_string()), faults)
         };
@@ -277,7 +277,7 @@
         match Scenario::parse("s.toml", text) {
             Ok(scenario) => assert!(!scenario.zones.is_empty() && scenario.controllers > 0),
             Err(faults) => {
-                assert!(faults.iter().all(|f| f.starts_with("s.toml:")) && !faults.is_empty())
+                assert!(faults.iter().all(|f| f.starts_with("s.toml:")) && !faults.is_empty());
             }
         }
     });
