--- a/crates/coordination/src/query_admission.rs
+++ b/crates/coordination/src/query_admission.rs
@@ -5,7 +5,7 @@
 //! the same job again and again while others are answered. So a controller records
 //! the jobs with a pending reply, and since when: the one that is pending longest goes
 //! first, and one that is pending for [`REPLY_PRIORITY_AFTER_MS`] is no longer refused
-//! for this controller's own load. `docs/night-watch/answers.md` states the bounds.
+//! for this controller's own load. `docs/supervision/query-admission.md` states the bounds.
 
 use std::collections::{BTreeMap, HashMap};
 
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -326,10 +326,10 @@
 }
 
 impl JobSpec {
-    /// Seconds of grace when it makes way for other work: enough to save, but
+    /// Seconds of grace when it is preempted for other work: enough to save, but
     /// none if saving takes longer than what is lost without it. A task that
     /// is stopped at once loses half a checkpoint interval on average, and
-    /// whoever it makes way for starts at once.
+    /// whoever it is preempted for starts at once.
     pub fn preemption_grace_s(&self) -> u32 {
         if self.checkpoint_duration_s >= self.checkpoint_interval_s / 2.0 {
             0
--- a/crates/model/src/policy.rs
+++ b/crates/model/src/policy.rs
@@ -14,7 +14,7 @@
     pub spot_silence_timeout_ms: u64,
     /// A machine that boots this many times as long as usual is released.
     pub provisioning_timeout_multiple: f64,
-    /// ms after the last word from the store for which workers' reports are
+    /// ms after the last answer of the store for which workers' heartbeats are
     /// answered, so that their tasks go on.
     pub store_outage_grace_ms: u64,
     /// Spare room kept per expected arrival while a machine boots.
--- a/crates/model/src/settings.rs
+++ b/crates/model/src/settings.rs
@@ -25,7 +25,7 @@
 pub struct Services {
     /// The cloud.
     pub cloud: SocketAddr,
-    /// The state service.
+    /// The store.
     #[serde(rename = "state")]
     pub kv_store: SocketAddr,
 }
@@ -78,7 +78,7 @@
     pub cancellation_deadline_s: f64,
 }
 
-/// The state service's limits.
+/// The store's limits.
 #[derive(Clone, Debug, Deserialize)]
 #[allow(missing_docs)]
 #[serde(rename = "StateLimits")]
@@ -95,7 +95,7 @@
     pub upcoming: Option<UpcomingKvStoreLimits>,
 }
 
-/// Limits that the state service will have from some moment on, which it does not tell.
+/// Limits that the store will have from some moment on, which it does not tell.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[allow(missing_docs)]
 #[serde(rename = "NextStateLimits")]
@@ -195,7 +195,7 @@
     pub cluster: Cluster,
 }
 
-/// A controller as every node sees it. Its index is its part's.
+/// A controller as every node sees it. Its index is its shard's.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClusterMember {
     /// Host name.
@@ -340,7 +340,7 @@
     }
 
     /// All controllers in the order of their host names; every node computes
-    /// the same list, so an index into it names a part.
+    /// the same list, so an index into it names a shard.
     pub fn members(&self) -> Vec<ClusterMember> {
         let mut members: Vec<ClusterMember> = self
             .seed_controllers
--- a/crates/protocol/src/image_locality.rs
+++ b/crates/protocol/src/image_locality.rs
@@ -14,7 +14,7 @@
     pub users: Vec<ImageUserRow>,
     /// Zones in which it lies or could lie.
     pub zones: Vec<ZoneImageRow>,
-    /// How old the word of each part's owner is.
+    /// How old the word of each shard's owner is.
     #[serde(rename = "parts")]
     pub shards: Vec<ShardImageRow>,
 }
@@ -52,10 +52,10 @@
     pub partitioned: bool,
 }
 
-/// A part's word.
+/// A shard's word.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardImageRow {
-    /// The part.
+    /// The shard.
     #[serde(rename = "part")]
     pub shard: u16,
     /// Seconds since its owner last told of its machines; none: never.
--- a/crates/protocol/src/kv_store.rs
+++ b/crates/protocol/src/kv_store.rs
@@ -1,4 +1,4 @@
-//! The state service.
+//! The store.
 
 use rmpv::Value;
 use serde::{Deserialize, Serialize};
@@ -53,7 +53,7 @@
         /// Value.
         #[serde(rename = "data")]
         value: Value,
-        /// The hold that the key lives with.
+        /// The store lease that the key lives with.
         #[serde(rename = "permit", skip_serializing_if = "Option::is_none", default)]
         lease: Option<u64>,
     },
@@ -97,7 +97,7 @@
     pub revision: u64,
 }
 
-/// Asks for a hold.
+/// Asks for a store lease.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct LeaseRequest {
     /// Time to live, ms.
@@ -105,7 +105,7 @@
     pub ttl_ms: u64,
 }
 
-/// A hold.
+/// A store lease.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct LeaseResponse {
     /// Its id.
--- a/crates/protocol/src/links.rs
+++ b/crates/protocol/src/links.rs
@@ -1,4 +1,4 @@
-//! What controllers tell each other of their links, and what they carry for one
+//! What controllers tell each other of their links, and what they relay for one
 //! another.
 //!
 //! The messages name their format themselves, and travel on paths of their own:
@@ -12,7 +12,7 @@
 pub const GOSSIP_PATH: &str = "/peer/links";
 /// Path on which a controller asks for a call to be made in its place.
 pub const RELAY_PATH: &str = "/peer/carry";
-/// Path on which workers' reports are carried to the owner.
+/// Path on which workers' heartbeats are relayed to the owner.
 pub const RELAY_HEARTBEATS_PATH: &str = "/peer/reports";
 /// Version of these messages.
 pub const LINKS_VERSION: u8 = 1;
@@ -56,7 +56,7 @@
     pub version: u8,
     /// Who says so: its number among the controllers.
     pub controller: u16,
-    /// Since the state service last answered it, not through others; `None`:
+    /// Since the store last answered it, not through others; `None`:
     /// never.
     pub store_age_ms: Option<u64>,
     /// The same of the cloud.
@@ -93,16 +93,16 @@
 )]
 #[serde(rename_all = "snake_case")]
 pub enum Service {
-    /// The state service.
+    /// The store.
     Store,
     /// The cloud.
     Cloud,
 }
 
-/// Whom a carried call shall reach.
+/// Whom a relayed call shall reach.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum RelayTarget {
-    /// One of the services, at the address that the carrier knows.
+    /// One of the services, at the address that the relay peer knows.
     Service(Service),
     /// A worker's `/commands`, at this address.
     Worker(String),
@@ -121,11 +121,11 @@
     pub path: String,
     /// Body, as it is.
     pub body: Vec<u8>,
-    /// ms that the carrier waits for the answer.
+    /// ms that the relay peer waits for the answer.
     pub timeout_ms: u64,
 }
 
-/// The carrier's answer.
+/// The relay peer's answer.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct RelayResponse {
     /// Format.
@@ -134,7 +134,7 @@
     pub outcome: RelayOutcome,
 }
 
-/// What became of a carried call.
+/// What became of a relayed call.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum RelayOutcome {
     /// Answered.
@@ -150,14 +150,14 @@
     Unknown,
 }
 
-/// Reports of workers that can't reach their machine's owner.
+/// Heartbeats of workers that can't reach their machine's owner.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct RelayedHeartbeats {
     /// Format.
     pub version: u8,
-    /// Number of the controller that carries them.
+    /// Number of the controller that relays them.
     pub relayed_by: u16,
-    /// The reports, as they came.
+    /// The heartbeats, as they came.
     pub heartbeats: Vec<Vec<u8>>,
 }
 
@@ -166,7 +166,7 @@
 pub struct RelayedResponses {
     /// Format.
     pub version: u8,
-    /// One for each report.
+    /// One for each heartbeat.
     pub answers: Vec<(u16, Vec<u8>)>,
 }
 
@@ -190,7 +190,7 @@
 pub struct LinksReport {
     /// Links, the asked controller's own first.
     pub links: Vec<LinkRow>,
-    /// WorkerTiming whose reports it carries to their owners.
+    /// Workers whose heartbeats it relays to their owners.
     #[serde(rename = "carried_workers")]
     pub relayed_workers: usize,
 }
@@ -200,14 +200,14 @@
 pub struct LinkRow {
     /// Who sees it so.
     pub from: String,
-    /// `state service`, `cloud`, a controller, or `workers of` a zone.
+    /// `store`, `cloud`, a controller, or `workers of` a zone.
     pub to: String,
     /// How it stands.
     #[serde(rename = "standing")]
     pub state: LinkState,
     /// Seconds for which it has stood so, as far as is known.
     pub for_s: u64,
-    /// Controller that carries what goes over it.
+    /// Controller that relays what goes over it.
     #[serde(
         rename = "carried_by",
         skip_serializing_if = "Option::is_none",
--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -1,7 +1,7 @@
 //! Controllers among themselves.
 //!
-//! There is one exchange. A part's placer says what it wants of another part
-//! ([`SyncRequest`]); that part's owner answers with what it has ([`ShardView`]). Both say
+//! There is one exchange. A shard's placer says what it wants of another shard
+//! ([`SyncRequest`]); that shard's owner answers with what it has ([`ShardView`]). Both say
 //! what changed since the state that the other side acknowledged, as a
 //! [`ChangeRange`] of numbers; one that begins at 0 starts from nothing, which is how
 //! a whole state is told. A change carries the newest value, so a repeated one
@@ -52,13 +52,13 @@
 pub struct SyncRequest {
     /// Format.
     pub version: u8,
-    /// Part of the placer.
+    /// Shard of the placer.
     pub from_shard: u16,
-    /// Token of that part.
+    /// Token of that shard.
     pub from_fencing_token: u64,
-    /// Part of the owner.
+    /// Shard of the owner.
     pub to_shard: u16,
-    /// Token of that part, as the placer knows it.
+    /// Token of that shard, as the placer knows it.
     pub to_fencing_token: u64,
     /// Grows with every message of this pair of tokens.
     pub seq: u64,
@@ -78,7 +78,7 @@
     /// Machines of the owner that reported to the placer's node of late: they
     /// can't reach the owner.
     pub misrouted_heartbeats: u32,
-    /// Machines rented by the placer that belong to the owner.
+    /// Machines provisioned by the placer that belong to the owner.
     pub provisioned: Vec<ProvisionedInstance>,
     /// Empty machines that the placer counts on for work to come.
     pub reserved_machines: Vec<MachineId>,
@@ -133,15 +133,15 @@
     pub priority: Priority,
     /// True if its team runs it beyond its guarantee.
     pub over_quota: bool,
-    /// Seconds of grace that it gets when it makes way for other work.
+    /// Seconds of grace that it gets when it is preempted for other work.
     pub preemption_grace_s: u32,
     /// True if it runs until its job is cancelled.
     pub runs_until_cancelled: bool,
-    /// Whom it may push out if there is no room.
+    /// Whom it may preempt if there is no room.
     pub preemption: PreemptionScope,
 }
 
-/// Whom an attempt may push out.
+/// Whom an attempt may preempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum PreemptionScope {
     /// Nobody.
@@ -153,11 +153,11 @@
 }
 
 impl PreemptionScope {
-    /// True if an attempt of this team and priority may push out another.
-    /// Work within its team's guarantee is pushed out only by a higher
+    /// True if an attempt of this team and priority may preempt another.
+    /// Work within its team's guarantee is preempted only by a higher
     /// priority that is within its own: otherwise it would come back at once
-    /// and push out whoever took its place, for ever. Nor do
-    /// shares push out production or a higher priority: a replica that is
+    /// and preempt whoever took its place, for ever. Nor do
+    /// shares preempt production or a higher priority: a replica that is
     /// down costs its users more than a batch task that waits.
     pub fn allows(self, team: &str, rank: Priority, victim: &DesiredAttempt) -> bool {
         match self {
@@ -173,7 +173,7 @@
     }
 }
 
-/// A machine that was rented and has not shown up yet.
+/// A machine that was provisioned and has not shown up yet.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct ProvisionedInstance {
     /// Its name.
@@ -206,9 +206,9 @@
 pub struct ShardView {
     /// Format.
     pub version: u8,
-    /// Part of the owner.
+    /// Shard of the owner.
     pub shard: u16,
-    /// Token of that part.
+    /// Token of that shard.
     pub fencing_token: u64,
     /// Number of the message that this answers.
     pub seq: u64,
@@ -216,7 +216,7 @@
     pub store_age_ms: u64,
     /// State of the asker's wants that the owner has; 0: it needs all.
     pub desired_revision: u64,
-    /// Zones of the part that are out of its owner's sight.
+    /// Zones of the shard that are partitioned from its owner.
     pub partitioned_zones: Vec<PartitionedZone>,
     /// Which changes of machines follow.
     pub machines_range: ChangeRange,
@@ -272,7 +272,7 @@
     pub cached_images: Vec<String>,
     /// Images that it fetches.
     pub pulling_images: Vec<String>,
-    /// Part that rented it, if known.
+    /// Shard that provisioned it, if known.
     pub provisioned_by: Option<u16>,
 }
 
@@ -334,7 +334,7 @@
 }
 
 impl ExitCause {
-    /// Reads a cause from a report; what we don't know counts as a failure.
+    /// Reads a cause from a heartbeat; what we don't know counts as a failure.
     pub fn from_wire(text: Option<&str>) -> Self {
         match text {
             Some("done") => ExitCause::Done,
--- a/crates/protocol/src/supervision.rs
+++ b/crates/protocol/src/supervision.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The state of parts and services as one controller knows it.
+/// The state of shards and services as one controller knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SupervisionReport {
     /// The controller.
@@ -10,15 +10,15 @@
     /// ms since its last reading of the store began; none: it has not read it yet.
     #[serde(rename = "age_ms")]
     pub store_age_ms: Option<u64>,
-    /// The parts.
+    /// The shards.
     #[serde(rename = "parts")]
     pub shards: Vec<ShardRow>,
-    /// Services, and replicas promised and up, of all parts.
+    /// Services, and replicas promised and up, of all shards.
     pub services: usize,
     /// Replicas promised.
     #[serde(rename = "promised")]
     pub desired: u64,
-    /// Replicas up; of services of other controllers' parts as these told last.
+    /// Replicas up; of services of other controllers' shards as these told last.
     #[serde(rename = "up")]
     pub running: u64,
     /// Services that lack replicas, the largest share first.
@@ -26,7 +26,7 @@
     pub under_replicated: Vec<UnderReplicatedServiceRow>,
 }
 
-/// A part.
+/// A shard.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardRow {
     /// Its number.
@@ -41,7 +41,7 @@
     /// Its token.
     #[serde(rename = "token")]
     pub fencing_token: Option<u64>,
-    /// Time of day of its last change of hands, ms.
+    /// Time of day of its last failover, ms.
     #[serde(rename = "since")]
     pub leader_since_ms: Option<u64>,
 }
@@ -55,7 +55,7 @@
     pub class: String,
     /// Its team.
     pub team: String,
-    /// The part that serves the team.
+    /// The shard that serves the team.
     #[serde(rename = "part")]
     pub shard: u16,
     /// Replicas promised.
@@ -87,7 +87,7 @@
     pub escalations: Vec<String>,
 }
 
-/// The parts' changes of hands.
+/// The shards' failovers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FailoverReport {
     /// The controller that tells.
@@ -100,13 +100,13 @@
     pub failovers: Vec<FailoverRow>,
 }
 
-/// A change of hands.
+/// A failover.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FailoverRow {
-    /// The part.
+    /// The shard.
     #[serde(rename = "part")]
     pub shard: u16,
-    /// Its number among the part's.
+    /// Its number among the shard's.
     #[serde(rename = "n")]
     pub number: u64,
     /// Time of day, ms.
@@ -121,7 +121,7 @@
     /// How, and by which proof.
     #[serde(rename = "how")]
     pub change: String,
-    /// The part's token, if this took it.
+    /// The shard's token, if this took it.
     #[serde(rename = "token")]
     pub fencing_token: Option<u64>,
     /// Replicas, other tasks and machines known to be up.
@@ -145,7 +145,7 @@
     /// See [`Self::read_ms`].
     #[serde(rename = "whole_ms")]
     pub services_restored_ms: Option<u64>,
-    /// ms until the next change of hands, of an entry that was left open.
+    /// ms until the next failover, of an entry that was left open.
     #[serde(rename = "held_ms")]
     pub leadership_ms: Option<u64>,
     /// Replicas found up, and started anew.
--- a/crates/protocol/src/worker.rs
+++ b/crates/protocol/src/worker.rs
@@ -1,10 +1,10 @@
-//! WorkerTiming: reports, orders, and the `/commands` call.
+//! Workers: heartbeats, commands, and the `/commands` call.
 
 use serde::{Deserialize, Serialize};
 
 use lemonweir_model::MachineId;
 
-/// A worker's report, from `/hello`, `/commands` or `/inspect`.
+/// A worker's heartbeat, from `/hello`, `/commands` or `/inspect`.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Heartbeat {
     /// The machine.
@@ -38,7 +38,7 @@
     pub tasks: Vec<TaskStatus>,
 }
 
-/// One task of a report.
+/// One task of a heartbeat.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct TaskStatus {
     /// The task.
@@ -93,7 +93,7 @@
     pub grace_s: Option<u32>,
 }
 
-/// The kinds of orders.
+/// The kinds of commands.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum CommandKind {
@@ -103,17 +103,17 @@
     /// Stop an attempt.
     #[serde(rename = "kill")]
     Stop,
-    /// Drop an exited attempt from the reports.
+    /// Drop an exited attempt from the heartbeats.
     Forget,
 }
 
-/// The answer to a report.
+/// The answer to a heartbeat.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct HeartbeatResponse {
     /// Our token.
     #[serde(rename = "mandate")]
     pub fencing_token: u64,
-    /// Orders, executed in turn.
+    /// Commands, executed in turn.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
@@ -124,10 +124,10 @@
     /// Our token.
     #[serde(rename = "mandate")]
     pub fencing_token: u64,
-    /// The session that the orders are meant for.
+    /// The session that the commands are meant for.
     #[serde(rename = "shift")]
     pub incarnation: u64,
-    /// Orders, executed in turn.
+    /// Commands, executed in turn.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -1,6 +1,6 @@
 //! Deterministic discrete-event simulator: the real scheduling core of lemonweir runs
 //! against simulated machines, users, network, key-value store and cloud, written from
-//! the protocol page. `docs/laboratory.md` says what is modelled, what is left out, and
+//! the protocol page. `docs/simulator.md` says what is modelled, what is left out, and
 //! what its figures are worth.
 
 pub mod baseline;
--- a/crates/simulator/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -1,5 +1,5 @@
 //! A scenario: a site, its load and its faults, as TOML. The names of its keys are written
-//! names (`docs/laboratory.md`); the fields here carry the field's terms.
+//! names (`docs/simulator.md`); the fields here carry the field's terms.
 
 mod distribution;
 mod fault;
--- a/crates/simulator/tests/image_locality.rs
+++ b/crates/simulator/tests/image_locality.rs
@@ -569,7 +569,7 @@
     cluster.assert_no_violation(name);
 }
 
-/// The figures of docs/night-watch/weights.md.
+/// The figures of docs/supervision/image-locality.md.
 #[test]
 #[ignore = "takes minutes; its figures are on the page"]
 fn trade_off_figures() {
--- a/crates/simulator/tests/supervision.rs
+++ b/crates/simulator/tests/supervision.rs
@@ -545,7 +545,7 @@
     [gone, taken, started, whole, Some(lost)].map(|ms| ms.expect("within 40 s"))
 }
 
-/// Prints what docs/night-watch/handovers.md tells:
+/// Prints what docs/supervision/failovers.md tells:
 /// `cargo test --release -p lemonweir-simulator --test watch -- --ignored --nocapture`.
 #[test]
 #[ignore = "measures for minutes"]
--- a/crates/storage/src/dependencies.rs
+++ b/crates/storage/src/dependencies.rs
@@ -17,7 +17,7 @@
 use lemonweir_protocol::kv_store::{CompareAndSwap, Condition, Write};
 use lemonweir_protocol::users::JobPhase;
 
-/// More awaited jobs than the first page holds.
+/// More dependencies than the first page holds.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Eq)]
 pub struct DependencyPage {
     /// Their ids.
@@ -30,7 +30,7 @@
     format!("w/chain/{id}")
 }
 
-/// Key of a further page of the jobs that it awaits, from 1 on.
+/// Key of a further page of the jobs that it depends on, from 1 on.
 pub fn dependency_page_key(id: &JobId, page: usize) -> String {
     format!("w/chain/{id}/{page}")
 }
@@ -128,7 +128,7 @@
 /// Lets a job start that has waited, whose key has this version: from now on it is a job
 /// like any other.
 ///
-/// Guards against a start before all awaited jobs are done: the ends in `done`, each with
+/// Guards against a start before all dependencies are done: the ends in `done`, each with
 /// the version under which it says so, are conditions.
 pub fn unblock_job(record: &JobRecord, version: u64, done: &[(JobId, u64)]) -> CompareAndSwap {
     let id = &record.spec.id;
--- a/crates/storage/src/failovers.rs
+++ b/crates/storage/src/failovers.rs
@@ -1,15 +1,15 @@
-//! What the controllers record of every change of hands of a part: a ring of
-//! entries under each part, written by the transaction that changes it.
+//! What the controllers record of every failover of a shard: a ring of
+//! entries under each shard, written by the transaction that changes it.
 //!
 //! | key | value | life |
 //! | --- | --- | --- |
 //! | `w/hand/<part>/<slot>` | [`FailoverRecord`] | until the ring comes round |
 //!
-//! An entry's version is the revision of its change of hands: of one that takes a
-//! part, the part's token. Closing it, in spare writes, gives it a later one and
-//! writes the token down.
+//! An entry's version is the revision of its failover: of one that takes a
+//! shard, the shard's fencing token. Closing it, in spare writes, gives it a later one and
+//! writes the fencing token down.
 //!
-//! The transaction that changes a part's key writes the entry, and each of them
+//! The transaction that changes a shard's key writes the entry, and each of them
 //! demands the version that its slot had: so there is one entry for each change,
 //! none without, and no number comes twice, however late or often it is sent.
 
@@ -23,7 +23,7 @@
 /// Entries that can't be read which are named in the log, each once.
 const LOGGED_UNREADABLE_RECORDS: usize = 64;
 
-/// Key of the entry with this number, which counts a part's changes of hands from 1.
+/// Key of the entry with this number, which counts a shard's failovers from 1.
 pub fn failover_key(shard: u16, number: u64) -> String {
     format!("w/hand/{shard}/{}", number % FAILOVER_RECORDS_KEPT)
 }
@@ -34,11 +34,11 @@
     Some((shard.parse().ok()?, slot.parse().ok()?))
 }
 
-/// How a part changed hands.
+/// How a shard changed hands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LeadershipChange {
-    /// Taken without a holder: the last one's hold has run out, or none ever was.
+    /// Taken without a leader: the last one's store lease has expired, or none ever was.
     Vacant,
     /// Taken by a later life of the process that held it.
     #[serde(rename = "reborn")]
@@ -46,7 +46,7 @@
     /// Given to its home, which lives again.
     #[serde(rename = "handed_back")]
     ReturnedHome,
-    /// Left by a holder that can't hear its machines.
+    /// Left by a leader that can't hear its machines.
     #[serde(rename = "left")]
     Ceded,
     /// What a later version knows.
@@ -54,13 +54,13 @@
     Other,
 }
 
-/// One change of hands.
+/// One failover.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FailoverRecord {
-    /// Its number among the part's, from 1.
+    /// Its number among the shard's, from 1.
     #[serde(rename = "n")]
     pub number: u64,
-    /// Who held the part before; none: nobody known.
+    /// Who held the shard before; none: nobody known.
     #[serde(rename = "from", default)]
     pub previous_leader: Option<String>,
     /// Who takes it; none: it is given up.
@@ -72,7 +72,7 @@
     /// Time of day, ms.
     #[serde(rename = "at")]
     pub at_ms: u64,
-    /// Replicas, other tasks and machines that the writer knew to be up in the part.
+    /// Replicas, other tasks and machines that the writer knew to be up in the shard.
     #[serde(default)]
     pub up: Option<(u32, u32, u32)>,
     /// What was found afterwards; none: not written yet, or nobody lived to.
@@ -80,7 +80,7 @@
     pub completion: Option<FailoverCompletion>,
 }
 
-/// What was found after a change of hands.
+/// What was found after a failover.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FailoverCompletion {
     /// Who wrote it: the taker, or a successor that can only tell what it found.
@@ -89,7 +89,7 @@
     /// ms from the change until records and machines were read.
     #[serde(rename = "read_ms", default)]
     pub state_loaded_ms: Option<u64>,
-    /// ms until the first start by the new holder.
+    /// ms until the first start by the new leader.
     #[serde(default)]
     pub first_start_ms: Option<u64>,
     /// ms until all replicas were up again.
@@ -104,21 +104,21 @@
     /// What can't be known any more.
     #[serde(default)]
     pub unknown: Vec<String>,
-    /// The part's token, if this took it.
+    /// The shard's token, if this took it.
     #[serde(rename = "token", default)]
     pub fencing_token: Option<u64>,
-    /// ms until the next change of hands, where a later holder closes it.
+    /// ms until the next failover, where a later leader closes it.
     #[serde(rename = "held_ms", default)]
     pub leadership_ms: Option<u64>,
 }
 
 impl FailoverRecord {
-    /// Somebody took the part, and what was found is not written yet.
+    /// Somebody took the shard, and what was found is not written yet.
     pub fn is_open(&self) -> bool {
         self.new_leader.is_some() && self.completion.is_none()
     }
 
-    /// Who held the part last, as far as this tells.
+    /// Who held the shard last, as far as this tells.
     pub fn last_leader(&self) -> Option<&String> {
         self.new_leader.as_ref().or(self.previous_leader.as_ref())
     }
@@ -127,7 +127,7 @@
 /// An entry to be written, with the version that its slot must have.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NewFailover {
-    /// The part.
+    /// The shard.
     pub shard: u16,
     /// Version of the slot's key; 0: no key.
     pub slot_version: u64,
@@ -202,7 +202,7 @@
         }
     }
 
-    /// A part's entries in their order, each with its version.
+    /// A shard's entries in their order, each with its version.
     pub fn entries_of(&self, shard: u16) -> Vec<(&FailoverRecord, u64)> {
         let mut all: Vec<_> = self
             .entries
@@ -213,7 +213,7 @@
         all
     }
 
-    /// The parts that have entries.
+    /// The shards that have entries.
     pub fn shards(&self) -> BTreeSet<u16> {
         self.entries.keys().map(|(shard, _)| *shard).collect()
     }
@@ -231,7 +231,7 @@
         })
     }
 
-    /// The number of a part's next entry, and the version that its slot has. What
+    /// The number of a shard's next entry, and the version that its slot has. What
     /// can't be read is left to who can, unless there is nothing else.
     pub fn next_slot(&self, shard: u16) -> (u64, u64) {
         let newest = self.entries_of(shard).last().map_or(0, |(r, _)| r.number);
@@ -254,5 +254,5 @@
     }
 }
 
-/// Changes of hands that a part can have: one a second for a million years.
+/// Failovers that a shard can have: one a second for a million years.
 const HANDOVERS_MOST: u64 = 1 << 45;
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -1,5 +1,5 @@
-//! The records kept in the state service, and the copy of the keys that every
-//! node follows. No I/O: the state service's client is the node's.
+//! The records kept in the store, and the copy of the keys that every
+//! node follows. No I/O: the store's client is the node's.
 
 pub mod dependencies;
 pub mod failovers;
--- a/crates/storage/src/records.rs
+++ b/crates/storage/src/records.rs
@@ -1,4 +1,4 @@
-//! Keys and values in the state service.
+//! Keys and values in the store.
 //!
 //! | key | value | life |
 //! | --- | --- | --- |
@@ -43,7 +43,7 @@
     format!("{END_PREFIX}{id}")
 }
 
-/// Key of a part's ownership.
+/// Key of a shard's ownership.
 pub fn shard_key(shard: u16) -> String {
     format!("w/part/{shard}")
 }
@@ -58,7 +58,7 @@
     format!("w/team/{team}")
 }
 
-/// Prefix of a part's task records.
+/// Prefix of a shard's task records.
 pub fn task_chunks_prefix(shard: u16) -> String {
     format!("run/{shard}/")
 }
@@ -84,11 +84,11 @@
     /// Time of day of the submission, ms.
     #[serde(rename = "at")]
     pub submitted_at_ms: u64,
-    /// Its user asked to withdraw it: nothing of it starts any more, and once
+    /// Its user asked to cancel it: nothing of it starts any more, and once
     /// no attempt is left its end is written.
     #[serde(rename = "withdrawn", default)]
     pub cancel_requested: bool,
-    /// Jobs that it awaits, of which its `spec` may name only the first page; 0 once it
+    /// Jobs that it depends on, of which its `spec` may name only the first page; 0 once it
     /// may start.
     #[serde(rename = "awaited", default, skip_serializing_if = "is_zero")]
     pub dependency_count: usize,
@@ -98,7 +98,7 @@
     *count == 0
 }
 
-/// A part's owner.
+/// A shard's owner.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Eq)]
 pub struct ShardRecord {
     /// Host name.
@@ -114,7 +114,7 @@
     /// one than the first that is told here.
     #[serde(rename = "format", default)]
     pub peer_version: u8,
-    /// Parts whose machines it can't hear, which it leaves to others.
+    /// Shards whose machines it can't hear, which it leaves to others.
     #[serde(rename = "deaf", default)]
     pub ceded_shards: Vec<u16>,
     /// Newest form of the records that it reads; 0: one before the first that is told.
@@ -176,10 +176,10 @@
     pub machines: Vec<(MachineId, Vec<u16>)>,
 }
 
-/// Which part serves a team.
+/// Which shard serves a team.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct TeamAssignmentRecord {
-    /// The part.
+    /// The shard.
     #[serde(rename = "part")]
     pub shard: u16,
 }
@@ -187,7 +187,7 @@
 /// How a job ended.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct JobEndRecord {
-    /// Done or withdrawn.
+    /// Done or cancelled.
     pub phase: JobPhase,
 }
 
@@ -235,7 +235,7 @@
     Planned,
     /// Every owner has granted room: it may be launched from now on.
     Admitted,
-    /// All of it is being given back.
+    /// All of it is being released.
     Released,
     /// What a later version knows.
     #[serde(other)]
@@ -254,7 +254,7 @@
     /// Machine.
     #[serde(rename = "m")]
     pub machine: MachineId,
-    /// Part of the machine.
+    /// Shard of the machine.
     #[serde(rename = "p")]
     pub shard: u16,
     /// Zone of the machine.
@@ -301,7 +301,7 @@
     }
 }
 
-/// Takes a part whose key has this version (0: no key), to live with a hold.
+/// Takes a shard whose key has this version (0: no key), to live with a store lease.
 pub fn acquire_shard(version: u64, host: &str, hold: u64, entry: &NewFailover) -> CompareAndSwap {
     let (key, record) = (
         shard_key(entry.shard),
@@ -324,7 +324,7 @@
     cas
 }
 
-/// Gives up a part that is held with this token.
+/// Gives up a shard that is held with this token.
 pub fn release_shard(token: u64, entry: &NewFailover) -> CompareAndSwap {
     let key = shard_key(entry.shard);
     let mut cas = CompareAndSwap {
@@ -338,7 +338,7 @@
     cas
 }
 
-/// Gives up a part that is held with this token, and shows with the node's
+/// Gives up a shard that is held with this token, and shows with the node's
 /// presence that it leaves it to others.
 pub fn cede_shard(
     token: u64,
@@ -354,7 +354,7 @@
     cas
 }
 
-/// Shows a node's presence, to live with its hold.
+/// Shows a node's presence, to live with its store lease.
 pub fn register_controller(host: &str, zone: &str, hold: u64, deaf: Vec<u16>) -> CompareAndSwap {
     let record = ControllerRecord {
         zone: zone.to_owned(),
@@ -372,7 +372,7 @@
     }
 }
 
-/// Records the parts of teams that have none.
+/// Records the shards of teams that have none.
 pub fn assign_teams(teams: &[(String, u16)]) -> CompareAndSwap {
     CompareAndSwap {
         conditions: teams
@@ -412,9 +412,9 @@
 pub struct StoreMessageRoute {
     /// What it carries.
     pub kind: StoreMessageKind,
-    /// Part of the sender.
+    /// Shard of the sender.
     pub from_shard: u16,
-    /// Part of the receiver.
+    /// Shard of the receiver.
     pub to_shard: u16,
 }
 
@@ -450,7 +450,7 @@
 }
 
 /// Writes a peer message in as many values of `piece_bytes` as it takes, to
-/// live with the sender's hold.
+/// live with the sender's store lease.
 pub fn post(
     line: StoreMessageRoute,
     id: (u64, u64),
--- a/crates/storage/src/state_cache.rs
+++ b/crates/storage/src/state_cache.rs
@@ -33,7 +33,7 @@
 /// A job that waits for others.
 #[derive(Clone, Debug)]
 pub struct BlockedJob {
-    /// The record; its `spec` names the first page of the jobs that it awaits.
+    /// The record; its `spec` names the first page of the jobs that it depends on.
     pub record: Arc<JobRecord>,
     /// Version of the key.
     pub version: u64,
@@ -50,12 +50,12 @@
     pub version: u64,
 }
 
-/// A part's owner with the part's token.
+/// A shard's owner with the shard's fencing token.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ShardLeader {
     /// Host name.
     pub host: String,
-    /// The part's token: the version of its key.
+    /// The shard's token: the version of its key.
     pub fencing_token: u64,
 }
 
@@ -74,15 +74,15 @@
     pub blocked_job_changes: u64,
     /// Counts jobs that ended or went.
     ended_changes: u64,
-    /// Owners of parts.
+    /// Owners of shards.
     pub shard_leaders: BTreeMap<u16, ShardLeader>,
     /// Living nodes.
     pub controllers: BTreeMap<String, ControllerRecord>,
     /// Newest form of the records that every controller reads, and the version of its key.
     pub records_version: (u32, u64),
-    /// Parts of teams.
+    /// Shards of teams.
     pub team_shards: BTreeMap<String, u16>,
-    /// The parts' changes of hands.
+    /// The shards' failovers.
     pub failovers: FailoverHistory,
     /// Jobs that came, changed or went since they were last looked at.
     changed_jobs: BTreeSet<JobId>,
@@ -143,7 +143,7 @@
             Some(("chain", rest)) => self.set_waiting(rest, value, version),
             Some(("part", index)) => match (index.parse(), from_value::<ShardRecord>(value)) {
                 (Ok(index), Some(record)) => {
-                    // Guards against going back to a holder from before one that a
+                    // Guards against going back to a leader from before one that a
                     // peer has told of already: the copy learns what lies between later.
                     if self
                         .shard_leaders
@@ -210,7 +210,7 @@
             Some(("job", id)) => {
                 let id = JobId::from(id);
                 self.ended_changes += 1;
-                // A job that nobody asked to withdraw leaves when it is done: its
+                // A job that nobody asked to cancel leaves when it is done: its
                 // end needs no reading.
                 if self
                     .jobs
@@ -231,7 +231,7 @@
                 }
             }
             Some(("part", index)) => {
-                // The same guard: a holder that came after this is still there.
+                // The same guard: a leader that came after this is still there.
                 if let Ok(index) = index.parse::<u16>()
                     && self
                         .shard_leaders
@@ -284,7 +284,7 @@
         }
     }
 
-    /// The jobs that one awaits, if all pages of them are here.
+    /// The dependencies of a job, if all pages of them are here.
     pub fn dependencies(&self, id: &JobId) -> Option<Vec<JobId>> {
         let record = &self.blocked_jobs.get(id)?.record;
         let mut awaits = record.spec.depends_on.clone();
--- a/crates/transport/src/server.rs
+++ b/crates/transport/src/server.rs
@@ -18,7 +18,7 @@
 const IDLE_TIMEOUT_MS: u64 = 65_000;
 
 /// Connections that wait to be accepted at the most (the system may allow fewer): a
-/// process that stood still for a moment has those of all workers before it.
+/// process that stalled for a moment has those of all workers before it.
 const LISTEN_BACKLOG: i32 = 4_096;
 
 /// Bytes of the head of a request or response; ours are below 1 KiB.
