--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -10,6 +10,7 @@
 pub mod users;
 pub mod worker;
 
+use borsh::BorshDeserialize;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
@@ -35,3 +36,26 @@
     }
     Ok(message)
 }
+
+/// Why a message between controllers was not understood.
+#[derive(Debug, thiserror::Error)]
+pub enum DecodeError {
+    /// It holds nothing.
+    #[error("empty")]
+    Empty,
+    /// Its first byte names a format that this version doesn't read.
+    #[error("format {0}")]
+    UnknownFormat(u8),
+    /// What follows is no message of that format.
+    #[error("{0}")]
+    Malformed(#[from] std::io::Error),
+}
+
+/// Reads a message between controllers, whose first byte names its format.
+fn decode_format<T: BorshDeserialize>(bytes: &[u8], format: u8) -> Result<T, DecodeError> {
+    match bytes.first() {
+        Some(&found) if found == format => Ok(borsh::from_slice(bytes)?),
+        Some(&found) => Err(DecodeError::UnknownFormat(found)),
+        None => Err(DecodeError::Empty),
+    }
+}
--- a/crates/protocol/src/links.rs
+++ b/crates/protocol/src/links.rs
@@ -5,6 +5,7 @@
 //! a controller that doesn't know them answers 404, and is asked to carry
 //! nothing.
 
+use crate::{DecodeError, decode_format};
 use borsh::{BorshDeserialize, BorshSerialize};
 use serde::{Deserialize, Serialize};
 
@@ -171,12 +172,8 @@
 }
 
 /// Reads a message of this format.
-pub fn decode<T: BorshDeserialize>(bytes: &[u8]) -> Result<T, String> {
-    match bytes.first() {
-        Some(&LINKS_VERSION) => borsh::from_slice(bytes).map_err(|e| e.to_string()),
-        Some(other) => Err(format!("format {other}")),
-        None => Err("empty".into()),
-    }
+pub fn decode<T: BorshDeserialize>(bytes: &[u8]) -> Result<T, DecodeError> {
+    decode_format(bytes, LINKS_VERSION)
 }
 
 /// Writes a message.
--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -9,6 +9,7 @@
 //! bytes travel over HTTP or, when two controllers can't reach each other,
 //! through the store.
 
+use crate::{DecodeError, decode_format};
 use borsh::{BorshDeserialize, BorshSerialize};
 
 use lemonweir_model::constants::PEER_VERSION;
@@ -350,12 +351,8 @@
 }
 
 /// Reads a message of this format.
-pub fn decode<T: BorshDeserialize>(bytes: &[u8]) -> Result<T, String> {
-    match bytes.first() {
-        Some(&PEER_VERSION) => borsh::from_slice(bytes).map_err(|e| e.to_string()),
-        Some(other) => Err(format!("format {other}")),
-        None => Err("empty".into()),
-    }
+pub fn decode<T: BorshDeserialize>(bytes: &[u8]) -> Result<T, DecodeError> {
+    decode_format(bytes, PEER_VERSION)
 }
 
 /// Bytes that something takes in a message.
--- /dev/null
+++ b/crates/storage/src/followed_key.rs
@@ -0,0 +1,44 @@
+//! The kinds of keys that every controller follows, by their names below `w/`.
+
+use crate::records::{FOLLOWED, VERSION_KEY};
+
+/// A followed key; what is left of its name is not checked yet.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum FollowedKey<'a> {
+    /// `w/job/<id>`.
+    Job(&'a str),
+    /// `w/chain/<id>` or `w/chain/<id>/<page>`.
+    BlockedJob(&'a str),
+    /// `w/part/<index>`.
+    Shard(&'a str),
+    /// `w/node/<host>`.
+    Controller(&'a str),
+    /// `w/version`.
+    Version,
+    /// `w/team/<name>`.
+    Team(&'a str),
+    /// `w/hand/<shard>/<slot>`.
+    Failover(&'a str),
+    /// `w/mail/<kind>/<from>/<to>/<piece>`.
+    StoreMessage(&'a str),
+}
+
+impl<'a> FollowedKey<'a> {
+    /// Tells the kind of a key; `None`: one that this version doesn't know.
+    pub(crate) fn parse(key: &'a str) -> Option<Self> {
+        if key == VERSION_KEY {
+            return Some(Self::Version);
+        }
+        let (kind, rest) = key.strip_prefix(FOLLOWED)?.split_once('/')?;
+        match kind {
+            "job" => Some(Self::Job(rest)),
+            "chain" => Some(Self::BlockedJob(rest)),
+            "part" => Some(Self::Shard(rest)),
+            "node" => Some(Self::Controller(rest)),
+            "team" => Some(Self::Team(rest)),
+            "hand" => Some(Self::Failover(rest)),
+            "mail" => Some(Self::StoreMessage(rest)),
+            _ => None,
+        }
+    }
+}
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -3,6 +3,7 @@
 
 pub mod dependencies;
 pub mod failovers;
+mod followed_key;
 pub mod packed_chunk;
 pub mod records;
 pub mod state_cache;
--- a/crates/storage/src/state_cache.rs
+++ b/crates/storage/src/state_cache.rs
@@ -9,9 +9,10 @@
 
 use crate::dependencies::{DependencyPage, parse_blocked_job_key};
 use crate::failovers::FailoverHistory;
+use crate::followed_key::FollowedKey;
 use crate::records::{
     ControllerRecord, JobRecord, ShardRecord, StoreMessageRecord, StoreMessageRoute,
-    TeamAssignmentRecord, VERSION_KEY, VersionRecord, parse_store_message_key,
+    TeamAssignmentRecord, VersionRecord, parse_store_message_key,
 };
 use lemonweir_model::{JobId, JobSpec};
 use lemonweir_protocol::kv_store::{KeyValue, WatchEvent, from_value};
@@ -125,162 +126,145 @@
     }
 
     fn set(&mut self, key: &str, value: &rmpv::Value, version: u64) {
-        let known = match key.strip_prefix("w/").and_then(|k| k.split_once('/')) {
-            Some(("job", id)) => match (JobId::parse(id), from_value::<JobRecord>(value)) {
-                (Some(id), Some(record)) => {
-                    self.changed_jobs.insert(id.clone());
-                    self.jobs.insert(
-                        id,
-                        CachedJob {
-                            record: Arc::new(record),
-                            version,
-                        },
-                    );
-                    true
-                }
-                _ => false,
-            },
-            Some(("chain", rest)) => self.set_waiting(rest, value, version),
-            Some(("part", index)) => match (index.parse(), from_value::<ShardRecord>(value)) {
-                (Ok(index), Some(record)) => {
-                    // Guards against going back to a leader from before one that a
-                    // peer has told of already: the copy learns what lies between later.
-                    if self
-                        .shard_leaders
-                        .get(&index)
-                        .is_none_or(|h| h.fencing_token < version)
-                    {
-                        self.shard_leaders.insert(
-                            index,
-                            ShardLeader {
-                                host: record.host,
-                                fencing_token: version,
-                            },
-                        );
-                    }
-                    true
-                }
-                _ => false,
-            },
-            Some(("node", host)) => match from_value::<ControllerRecord>(value) {
-                Some(record) => {
-                    self.controllers.insert(host.to_owned(), record);
-                    true
-                }
-                None => false,
-            },
-            None if key == VERSION_KEY => match from_value::<VersionRecord>(value) {
-                Some(record) => {
-                    self.records_version = (record.version, version);
-                    true
-                }
-                None => false,
-            },
-            Some(("team", team)) => match from_value::<TeamAssignmentRecord>(value) {
-                Some(record) => {
-                    self.team_shards.insert(team.to_owned(), record.shard);
-                    true
-                }
-                None => false,
-            },
-            Some(("hand", rest)) => {
+        let applied = FollowedKey::parse(key).and_then(|kind| match kind {
+            FollowedKey::Job(id) => self.set_job(id, value, version),
+            FollowedKey::BlockedJob(rest) => self.set_blocked_job(rest, value, version),
+            FollowedKey::Shard(index) => self.set_shard_leader(index, value, version),
+            FollowedKey::Controller(host) => self.set_controller(host, value),
+            FollowedKey::Version => self.set_records_version(value, version),
+            FollowedKey::Team(team) => self.set_team_shard(team, value),
+            FollowedKey::Failover(rest) => {
                 self.failovers.set(rest, value, version);
-                true
+                Some(())
             }
-            Some(("mail", rest)) => match (
-                parse_store_message_key(rest),
-                from_value::<StoreMessageRecord>(value),
-            ) {
-                (Some((line, piece)), Some(record)) => {
-                    self.messages.insert((line, piece), record);
-                    self.unread_messages.insert(line);
-                    true
-                }
-                _ => false,
-            },
-            _ => false,
-        };
-        if !known {
+            FollowedKey::StoreMessage(rest) => self.set_message(rest, value),
+        });
+        if applied.is_none() {
             tracing::error!(key, "record not understood");
         }
     }
 
-    fn remove(&mut self, key: &str, version: u64, now: u64) {
-        match key.strip_prefix("w/").and_then(|k| k.split_once('/')) {
-            Some(("job", id)) => {
-                let id = JobId::from(id);
-                self.ended_changes += 1;
-                // A job that nobody asked to cancel leaves when it is done: its
-                // end needs no reading.
-                if self
-                    .jobs
-                    .remove(&id)
-                    .is_some_and(|j| !j.record.cancel_requested)
-                {
-                    // The end was written in the same transaction, at this revision.
-                    self.record_end(&id, JobPhase::Done, version, now);
-                }
-                self.changed_jobs.insert(id);
-            }
-            Some(("chain", rest)) => {
-                self.blocked_job_changes += 1;
-                match parse_blocked_job_key(rest) {
-                    Some((id, 0)) => drop(self.blocked_jobs.remove(&id)),
-                    Some(page) => drop(self.dependency_pages.remove(&page)),
-                    None => {}
-                }
+    fn set_job(&mut self, id: &str, value: &rmpv::Value, version: u64) -> Option<()> {
+        let id = JobId::parse(id)?;
+        let record = Arc::new(from_value::<JobRecord>(value)?);
+        self.changed_jobs.insert(id.clone());
+        self.jobs.insert(id, CachedJob { record, version });
+        Some(())
+    }
+
+    fn set_blocked_job(&mut self, rest: &str, value: &rmpv::Value, version: u64) -> Option<()> {
+        self.blocked_job_changes += 1;
+        match parse_blocked_job_key(rest)? {
+            (id, 0) => {
+                let record = Arc::new(from_value::<JobRecord>(value)?);
+                self.blocked_jobs.insert(id, BlockedJob { record, version });
             }
-            Some(("part", index)) => {
-                // The same guard: a leader that came after this is still there.
-                if let Ok(index) = index.parse::<u16>()
-                    && self
-                        .shard_leaders
-                        .get(&index)
-                        .is_some_and(|h| h.fencing_token < version)
-                {
-                    self.shard_leaders.remove(&index);
-                }
+            page => {
+                let DependencyPage { depends_on } = from_value(value)?;
+                self.dependency_pages.insert(page, depends_on);
             }
-            Some(("node", host)) => {
+        }
+        Some(())
+    }
+
+    fn set_shard_leader(&mut self, index: &str, value: &rmpv::Value, version: u64) -> Option<()> {
+        let index = index.parse().ok()?;
+        let ShardRecord { host } = from_value(value)?;
+        // Guards against going back to a leader from before one that a peer has told
+        // of already: the cache learns what lies between later.
+        if self.leads_since_before(index, version).unwrap_or(true) {
+            let fencing_token = version;
+            self.shard_leaders.insert(
+                index,
+                ShardLeader {
+                    host,
+                    fencing_token,
+                },
+            );
+        }
+        Some(())
+    }
+
+    /// True if the known leader of a shard was there before a revision; `None`: none is
+    /// known.
+    fn leads_since_before(&self, shard: u16, revision: u64) -> Option<bool> {
+        let leader = self.shard_leaders.get(&shard)?;
+        Some(leader.fencing_token < revision)
+    }
+
+    fn set_controller(&mut self, host: &str, value: &rmpv::Value) -> Option<()> {
+        let record = from_value::<ControllerRecord>(value)?;
+        self.controllers.insert(host.to_owned(), record);
+        Some(())
+    }
+
+    fn set_records_version(&mut self, value: &rmpv::Value, version: u64) -> Option<()> {
+        let record = from_value::<VersionRecord>(value)?;
+        self.records_version = (record.version, version);
+        Some(())
+    }
+
+    fn set_team_shard(&mut self, team: &str, value: &rmpv::Value) -> Option<()> {
+        let record = from_value::<TeamAssignmentRecord>(value)?;
+        self.team_shards.insert(team.to_owned(), record.shard);
+        Some(())
+    }
+
+    fn set_message(&mut self, rest: &str, value: &rmpv::Value) -> Option<()> {
+        let (route, piece) = parse_store_message_key(rest)?;
+        let record = from_value::<StoreMessageRecord>(value)?;
+        self.messages.insert((route, piece), record);
+        self.unread_messages.insert(route);
+        Some(())
+    }
+
+    fn remove(&mut self, key: &str, version: u64, now: u64) {
+        match FollowedKey::parse(key) {
+            Some(FollowedKey::Job(id)) => self.remove_job(JobId::from(id), version, now),
+            Some(FollowedKey::BlockedJob(rest)) => self.remove_blocked_job(rest),
+            Some(FollowedKey::Shard(index)) => self.remove_shard_leader(index, version),
+            Some(FollowedKey::Controller(host)) => {
                 self.controllers.remove(host);
             }
-            Some(("team", team)) => {
+            Some(FollowedKey::Team(team)) => {
                 self.team_shards.remove(team);
             }
-            Some(("hand", rest)) => self.failovers.remove(rest),
-            Some(("mail", rest)) => {
+            Some(FollowedKey::Failover(rest)) => self.failovers.remove(rest),
+            Some(FollowedKey::StoreMessage(rest)) => {
                 if let Some(key) = parse_store_message_key(rest) {
                     self.messages.remove(&key);
                 }
             }
-            _ => {}
+            // The version is never deleted; what a later version follows is its own.
+            Some(FollowedKey::Version) | None => {}
+        }
+    }
+
+    fn remove_job(&mut self, id: JobId, version: u64, now: u64) {
+        self.ended_changes += 1;
+        let removed = self.jobs.remove(&id);
+        // A job that nobody asked to cancel leaves when it is done: its end needs no
+        // reading. It was written in the same transaction, at this revision.
+        if removed.is_some_and(|job| !job.record.cancel_requested) {
+            self.record_end(&id, JobPhase::Done, version, now);
         }
+        self.changed_jobs.insert(id);
     }
 
-    fn set_waiting(&mut self, rest: &str, value: &rmpv::Value, version: u64) -> bool {
+    fn remove_blocked_job(&mut self, rest: &str) {
         self.blocked_job_changes += 1;
         match parse_blocked_job_key(rest) {
-            Some((id, 0)) => {
-                let Some(record) = from_value::<JobRecord>(value) else {
-                    return false;
-                };
-                self.blocked_jobs.insert(
-                    id,
-                    BlockedJob {
-                        record: Arc::new(record),
-                        version,
-                    },
-                );
-                true
-            }
-            Some(page) => {
-                let Some(DependencyPage { depends_on: awaits }) = from_value(value) else {
-                    return false;
-                };
-                self.dependency_pages.insert(page, awaits);
-                true
-            }
-            None => false,
+            Some((id, 0)) => drop(self.blocked_jobs.remove(&id)),
+            Some(page) => drop(self.dependency_pages.remove(&page)),
+            None => {}
+        }
+    }
+
+    fn remove_shard_leader(&mut self, index: &str, version: u64) {
+        let Ok(index) = index.parse() else { return };
+        // Guards against dropping a leader that came after this.
+        if self.leads_since_before(index, version).unwrap_or(false) {
+            self.shard_leaders.remove(&index);
         }
     }
 
--- a/tests/malformed_input.rs
+++ b/tests/malformed_input.rs
@@ -184,6 +184,7 @@
     assert!(
         peer::decode::<SyncRequest>(&[9, 0, 0])
             .expect_err("format")
+            .to_string()
             .contains("format 9")
     );
     // A length that promises more than there is must not be believed.
