--- a/crates/coordination/src/supervision/services.rs
+++ b/crates/coordination/src/supervision/services.rs
@@ -201,7 +201,7 @@
     }
 
     /// Records the steps of an escalation, which may be none; the next comes after
-    /// [`ESCALATION_INTERVAL_MS`].
+    /// `ESCALATION_INTERVAL_MS`.
     pub fn record_escalation(&mut self, id: &JobId, attempts: Vec<RecoveryAttempt>, now: u64) {
         let Some(service) = self.services.get_mut(id) else {
             return;
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,5 +1,5 @@
 //! One controller process: ties transport, protocol, coordination and storage together.
-//! Everything runs on one thread. The tasks of the process share a [`Node`]; its core is
+//! Everything runs on one thread. The tasks of the process share a `Node`; its core is
 //! behind a lock that is never held across an await (`shared_core`).
 //!
 //! - `startup` builds the process and starts its tasks;
--- a/crates/protocol/src/supervision.rs
+++ b/crates/protocol/src/supervision.rs
@@ -140,9 +140,9 @@
     /// ms until records and jobs were read, the first start, all services whole.
     #[serde(rename = "read_ms")]
     pub state_loaded_ms: Option<u64>,
-    /// See [`Self::read_ms`].
+    /// See [`Self::state_loaded_ms`].
     pub first_start_ms: Option<u64>,
-    /// See [`Self::read_ms`].
+    /// See [`Self::state_loaded_ms`].
     #[serde(rename = "whole_ms")]
     pub services_restored_ms: Option<u64>,
     /// ms until the next failover, of an entry that was left open.
