--- /dev/null
+++ b/src/commands/links.rs
@@ -0,0 +1,75 @@
+//! `links` and `events`.
+
+use std::net::SocketAddr;
+
+use lemonweir_protocol::links::{EventRow, LinkState, LinksReport};
+
+use crate::args::OutputFormat;
+use crate::controller_client::{fetch, print_response};
+use crate::error::CommandError;
+use crate::output::{or_empty, table, time_of_day};
+
+/// Shows the links of a controller and its peers.
+pub(crate) fn links(controller: SocketAddr, format: OutputFormat) -> Result<(), CommandError> {
+    let path = "/v1/links";
+    if format == OutputFormat::Json {
+        return print_response(controller, "GET", path, &[]);
+    }
+    let report: LinksReport = fetch(controller, path)?;
+    let mut table = table([
+        "from",
+        "to",
+        "state",
+        "for s",
+        "relay peer",
+        "response ms (p50 / p99)",
+        "observed s ago",
+    ]);
+    for link in &report.links {
+        let response_ms = link
+            .took_ms
+            .map(|(median, p99)| format!("{median} / {p99}"));
+        table.add_row([
+            link.from.clone(),
+            link.to.clone(),
+            link_state(link.standing).to_owned(),
+            link.for_s.to_string(),
+            link.carried_by.clone().unwrap_or_default(),
+            or_empty(response_ms),
+            link.said_s.to_string(),
+        ]);
+    }
+    println!("{table}");
+    if report.carried_workers > 0 {
+        println!(
+            "relays the heartbeats of {} workers to their leaders",
+            report.carried_workers
+        );
+    }
+    Ok(())
+}
+
+fn link_state(state: LinkState) -> &'static str {
+    match state {
+        LinkState::Unknown => "unknown",
+        LinkState::Up => "up",
+        LinkState::Late => "late",
+        LinkState::OneWay => "down one way",
+        LinkState::Down => "down",
+    }
+}
+
+/// Shows the events that a controller has recorded.
+pub(crate) fn events(controller: SocketAddr, format: OutputFormat) -> Result<(), CommandError> {
+    let path = "/v1/events";
+    if format == OutputFormat::Json {
+        return print_response(controller, "GET", path, &[]);
+    }
+    let events: Vec<EventRow> = fetch(controller, path)?;
+    let mut table = table(["time of day (UTC)", "event"]);
+    for event in events {
+        table.add_row([time_of_day(event.at), event.text]);
+    }
+    println!("{table}");
+    Ok(())
+}
--- /dev/null
+++ b/src/commands/mod.rs
@@ -0,0 +1,6 @@
+//! The operators' commands against a running controller.
+
+pub(crate) mod image_locality;
+pub(crate) mod jobs;
+pub(crate) mod links;
+pub(crate) mod supervision;
--- a/tests/golden_cli.rs
+++ b/tests/golden_cli.rs
@@ -1,4 +1,5 @@
-//! The command line: names of commands and flags are the operators' and stay as they are.
+//! The command line: commands and flags, and the names that they had before, which stay
+//! understood.
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
@@ -49,10 +50,66 @@
     }
 }
 
+/// The names in the field's terms: the main ones, which the help shows.
 #[test]
-fn another_name_or_a_missing_value_is_not_understood() {
+fn every_main_name_is_understood_and_shown() {
     let lines: [&[&str]; 5] = [
         &["cancel", "--node", NOBODY, "req-1"],
+        &["supervision", "--node", NOBODY],
+        &["supervision", "--node", NOBODY, "--json"],
+        &["supervision", "--node", NOBODY, "--failovers", "--json"],
+        &[
+            "supervision",
+            "--node",
+            NOBODY,
+            "--image-locality",
+            "img-07",
+            "--json",
+        ],
+    ];
+    for line in lines {
+        let output = lemonweir(line);
+        let text = String::from_utf8_lossy(&output.stderr);
+        assert_eq!(output.status.code(), Some(1), "{line:?}: {text}");
+        assert!(text.starts_with("lemonweir: "), "{line:?}: {text}");
+    }
+    for (line, shown, hidden) in [
+        (
+            &["--help"][..],
+            &["  cancel ", "  supervision "][..],
+            &["withdraw", "  watch "][..],
+        ),
+        (
+            &["supervision", "--help"],
+            &["--failovers", "--image-locality"],
+            &["--handovers", "--weights"],
+        ),
+    ] {
+        let output = lemonweir(line);
+        let text = String::from_utf8_lossy(&output.stdout);
+        assert!(output.status.success(), "{line:?}");
+        for name in shown {
+            assert!(text.contains(name), "{name} in {line:?}: {text}");
+        }
+        for name in hidden {
+            assert!(!text.contains(name), "{name} in {line:?}: {text}");
+        }
+    }
+}
+
+#[test]
+fn another_name_or_a_missing_value_is_not_understood() {
+    let lines: [&[&str]; 7] = [
+        &["delete", "--node", NOBODY, "req-1"],
+        &["supervision", "--node", NOBODY, "--image-locality"],
+        &[
+            "supervision",
+            "--node",
+            NOBODY,
+            "--image-locality",
+            "img-07",
+            "--failovers",
+        ],
         &["status", "req-1"],
         &["links", "--node", NOBODY, "--text"],
         &["watch", "--node", NOBODY, "--weights"],
