--- a/crates/coordination/src/placer/accounting.rs
+++ b/crates/coordination/src/placer/accounting.rs
@@ -1,5 +1,5 @@
-//! What each machine holds: live attempts, those that its owner's figures don't
-//! count yet, and room that is only reserved while a decision is made.
+//! Accounting of live attempts by team and machine, including attempts that the machines'
+//! published usage does not include yet and tentative reservations of a search.
 
 use lemonweir_model::{JobId, MachineId};
 
@@ -26,21 +26,21 @@
     }
 }
 
-/// A machine by its place in the indexes.
+/// Position of a machine in the placement indexes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct SlotRef {
     pub(super) shard: usize,
     pub(super) slot: usize,
 }
 
-/// A machine on which room was reserved to see what else fits.
+/// A machine with a reservation that is reverted after a search.
 pub(super) struct TentativeUse {
     pub(super) machine: MachineId,
     shard: u16,
 }
 
 impl Placer {
-    /// Adds a live attempt wherever it counts.
+    /// Adds a live attempt to its job and to the usage of its team and machine.
     pub(super) fn add_attempt(&mut self, id: &JobId, task: u32, live: LiveAttempt) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -56,12 +56,12 @@
             .or_default()
             .insert(TaskKey::new(id, task));
         self.quota_dirty_teams.insert(job.team.clone());
-        // It begins as beyond the guaranteed quota.
+        // A new attempt counts as beyond the guaranteed quota until the flags are updated.
         job.uniform_over_quota = job.uniform_over_quota.filter(|&over| over);
         job.live.insert(task, live);
     }
 
-    /// Removes a live attempt wherever it counts.
+    /// Removes a live attempt from its job and from the usage of its team and machine.
     pub(super) fn remove_attempt(&mut self, id: &JobId, task: u32) -> Option<LiveAttempt> {
         let job = self.jobs.get_mut(id)?;
         let live = job.live.remove(&task)?;
@@ -80,7 +80,8 @@
         Some(live)
     }
 
-    /// A view has shown an attempt: from now on the machine's own figures count it.
+    /// Removes an attempt from those that the machine's published usage does not include
+    /// yet, and recomputes the machine's free resources.
     fn attempt_observed(&mut self, machine: &MachineId, shard: u16, id: &JobId, task: u32) {
         if let Some(uncounted) = self
             .owner_channels
@@ -100,7 +101,8 @@
         }
     }
 
-    /// The figures of a machine now count the attempts that its owner has accepted.
+    /// Handles new usage published for a machine: it includes the attempts that the owner
+    /// had accepted, so they are no longer added to it.
     pub(super) fn apply_machine_figures(&mut self, machine: &MachineId, shard: u16) {
         let counted = self.owner_channels[usize::from(shard)]
             .uncounted
@@ -115,8 +117,8 @@
         self.refresh_usage(machine, shard);
     }
 
-    /// Sets a machine's room to what its owner published, less what no view has
-    /// shown yet.
+    /// Recomputes a machine's free resources: those that its owner published, less the
+    /// attempts that the published usage does not include yet.
     pub(super) fn refresh_usage(&mut self, machine: &MachineId, shard: u16) {
         let Some(index) = self.indexes.get_mut(usize::from(shard)) else {
             return;
@@ -135,7 +137,7 @@
         }
     }
 
-    /// What [`Placer::release_tentative`] needs to undo a use of this machine.
+    /// Handle with which [`Placer::release_tentative`] reverts reservations on this machine.
     pub(super) fn tentative_use(&self, place: SlotRef) -> TentativeUse {
         TentativeUse {
             machine: self.indexes[place.shard].slots[place.slot].id.clone(),
@@ -143,7 +145,7 @@
         }
     }
 
-    /// Gives back room that was only reserved to decide by.
+    /// Reverts the tentative reservations on these machines.
     pub(super) fn release_tentative(&mut self, uses: impl IntoIterator<Item = TentativeUse>) {
         for TentativeUse { machine, shard } in uses {
             self.refresh_usage(&machine, shard);
--- a/crates/coordination/src/placer/attempt_events.rs
+++ b/crates/coordination/src/placer/attempt_events.rs
@@ -1,5 +1,5 @@
-//! What follows when an attempt's state changes: it is placed again, it counts for
-//! or against its job and its machine, and the rest of its gang is stopped.
+//! Handling of attempt state changes: tasks are requeued, results are attributed to the job
+//! and the machine, and the rest of a gang is stopped when one of its tasks ends.
 
 use std::collections::BTreeSet;
 
@@ -13,20 +13,20 @@
 use super::{Placer, ReplicaEvent};
 use crate::job::{EndingAttempt, LiveAttempt};
 
-/// ms that a job backs off after a worker refused a start of it, or its gang was
-/// not complete: the next heartbeats show more.
+/// ms that a job backs off after a worker refused to start a task, or its gang was
+/// incomplete: until then the next heartbeats bring newer state.
 const START_REFUSED_BACKOFF_MS: u64 = 500;
-/// ms that a refused placement backs off before it is tried again: the refusal
-/// brought the owner's newest state, and the next pass uses it. As long as the
-/// gap between two syncs, so that what others took at the same time shows too;
-/// at six times that most starts among many controllers waited for this alone.
+/// ms that a job backs off after an owner refused an attempt. The refusal carries the
+/// owner's newest state, which the next pass uses. As long as the gap between two syncs, so
+/// that concurrent placements of other controllers show as well. At six times this value,
+/// with many controllers, most starts waited for nothing but this backoff.
 const REFUSED_BACKOFF_MS: u64 = 40;
-/// ms that it backs off if the owner is reached through the store: its state is
-/// older then, and each try is written.
+/// The same if the owner is reached only through the store, ms: its state is older then, and
+/// each attempt is another write.
 const REFUSED_VIA_STORE_BACKOFF_MS: u64 = 250;
 
 impl Placer {
-    /// Applies the state of an attempt as the owner of `shard` observed it.
+    /// Applies the state of an attempt as observed by the owner of `shard`.
     pub(super) fn apply_attempt_state(
         &mut self,
         id: &AttemptId,
@@ -65,8 +65,9 @@
             return;
         }
         if is_first_state {
-            // Guards against placing twice on the same room: the machine's
-            // own figures may come in a later message than this.
+            // The machine's published usage may include this attempt only in a later
+            // message. Until then the attempt is still counted separately, so that its
+            // resources are not allocated twice.
             self.owner_channels[usize::from(shard)]
                 .uncounted
                 .entry(machine)
@@ -85,8 +86,8 @@
         }
     }
 
-    /// Stops the tasks of a machine that leaves, with time for a checkpoint; those of
-    /// a gang all of them.
+    /// Stops the attempts on a draining machine, with time for a checkpoint. A gang with a
+    /// task there is stopped as a whole.
     pub(super) fn evict_machine(&mut self, machine: &MachineId, shard: u16, now: u64) {
         let ids: BTreeSet<JobId> = self
             .attempts_by_machine
@@ -114,7 +115,7 @@
         }
     }
 
-    /// Applies the end of an attempt.
+    /// Applies the end of an attempt: requeues its task and handles the result.
     fn apply_attempt_end(&mut self, id: &AttemptId, state: AttemptState, now: u64) {
         let Some(live) = self.remove_attempt(&id.job, id.task) else {
             return;
@@ -170,7 +171,7 @@
         );
     }
 
-    /// A task is done. The tasks of a gang complete together.
+    /// Marks a task as done; for a gang, all of its tasks.
     fn apply_completion(&mut self, id: &AttemptId, live: &LiveAttempt, now: u64) {
         if let Some(job) = self.jobs.get_mut(&id.job) {
             job.consecutive_failures = 0;
@@ -188,10 +189,10 @@
         self.apply_suspicions(touched.jobs, now);
     }
 
-    /// An owner had no room for a start.
+    /// Backs off after an owner refused an attempt for lack of room.
     ///
-    /// Guards against asking an owner again and again whose state comes through the
-    /// store, behind what others have taken.
+    /// The backoff is longer for an owner reached through the store: its state lags behind
+    /// the placements of others, and early retries would be refused again and again.
     fn back_off_refused(&mut self, id: &AttemptId, shard: u16, now: u64) {
         let is_via_store = self
             .owner_channels
@@ -207,8 +208,8 @@
         }
     }
 
-    /// Without one task the rest of a gang can't go on: they stop, and the gang starts
-    /// anew once all of them have ended.
+    /// Stops the remaining tasks of a gang, which can't go on without the one that ended. The
+    /// gang is placed again once all of them have ended.
     fn stop_rest_of_gang(&mut self, id: &JobId, now: u64) {
         let time_of_day_ms = now + self.wall_offset_ms;
         let Some(job) = self
@@ -224,12 +225,12 @@
             .as_mut()
             .filter(|admission| admission.step != GangAdmissionStep::Released)
         {
-            // Written with the ends of its attempts: nothing depends on it.
+            // Nothing waits for this step, so it is written together with the attempts' ends.
             admission.advance(GangAdmissionStep::Released, time_of_day_ms);
         }
     }
 
-    /// An attempt failed, by its job's fault or its machine's.
+    /// Attributes a failed attempt to its job or its machine, and backs off.
     fn apply_failure(&mut self, id: &AttemptId, live: &LiveAttempt, now: u64) {
         self.credit_long_running(&live.machine, &id.job, now);
         let touched = self
@@ -255,7 +256,8 @@
         }
     }
 
-    /// What other jobs have run on a machine for long speaks for the machine.
+    /// Records a success for each attempt of another job that has been running on a machine
+    /// for long: such attempts are evidence that the machine is healthy.
     fn credit_long_running(&mut self, machine: &MachineId, failed: &JobId, now: u64) {
         let long_running: Vec<(JobId, u64)> = self
             .attempts_by_machine
@@ -277,7 +279,7 @@
         }
     }
 
-    /// Applies what fault attribution now says of jobs.
+    /// Updates which of these jobs are suspected of their failures.
     fn apply_suspicions(&mut self, jobs: BTreeSet<JobId>, now: u64) {
         for id in jobs {
             let suspect = self.fault_attribution.suspect_evidence(&id);
--- a/crates/coordination/src/placer/desired.rs
+++ b/crates/coordination/src/placer/desired.rs
@@ -1,4 +1,5 @@
-//! The desired state: every recorded attempt, as its machine's owner should have it.
+//! The desired state sent to the machines' owners: every recorded attempt, and whether it may
+//! start or has to stop.
 
 use std::collections::HashSet;
 
@@ -9,15 +10,14 @@
 use super::{Placer, PublishedProgress};
 use crate::job::Job;
 
-/// An attempt in the desired state, with the shard whose owner it is for.
+/// An attempt in the desired state, and the shard whose owner it is sent to.
 struct ShardAttempt {
     shard: u16,
     desired: DesiredAttempt,
 }
 
-/// What the owners should have of a job: its recorded attempts, and those that ended
-/// as long as that is not written.
-/// `launches_held`: none of it may be launched now.
+/// The desired state of a job: its recorded live attempts, and ended attempts whose end is
+/// not written yet. With `launches_held` no attempt may be launched.
 fn desired_attempts(id: &JobId, job: &Job, launches_held: bool) -> Vec<ShardAttempt> {
     let image = job.spec().map(|s| s.image.clone()).unwrap_or_default();
     let image_mb = job.spec().map_or(0, JobSpec::image_mb);
@@ -72,8 +72,8 @@
     live.chain(ended).collect()
 }
 
-/// True if a job's attempts may be launched: those of a gang once all of it is
-/// admitted and accepted by the owners.
+/// True if a job's attempts may be launched. Those of a gang may be once the gang is admitted
+/// and the owners have reported a state for each of them.
 fn may_launch(job: &Job) -> bool {
     let all_accepted = || {
         job.live.len() as u32 == job.tasks - job.done_count.min(job.tasks)
@@ -83,7 +83,7 @@
 }
 
 impl Placer {
-    /// Brings the desired state and the published progress up to date.
+    /// Updates the desired state and the published progress of changed jobs.
     pub(super) fn publish_changes(&mut self) {
         for team in std::mem::take(&mut self.quota_dirty_teams) {
             self.update_quota_marks(&team);
--- a/crates/coordination/src/placer/gangs.rs
+++ b/crates/coordination/src/placer/gangs.rs
@@ -1,4 +1,4 @@
-//! Admission of this placer's gangs: the next step of each.
+//! Admission of gangs: advances each to its next step, or releases it.
 
 use lemonweir_model::{JobId, MachineId};
 use lemonweir_storage::records::GangAdmissionStep;
@@ -9,8 +9,8 @@
 use crate::job::Job;
 
 impl Placer {
-    /// Takes the next steps of gangs that something happened to, or whose deadline has
-    /// come. `wall_offset_ms`: the time of day at the steady clock's zero.
+    /// Evaluates gangs with events since the last call or an expired deadline.
+    /// `wall_offset_ms` is the time of day at zero of the monotonic clock.
     pub fn advance_gang_admissions(&mut self, now: u64, wall_offset_ms: u64) {
         self.wall_offset_ms = wall_offset_ms;
         while let Some((at, id)) = self
@@ -58,9 +58,9 @@
         }
     }
 
-    /// Releases all of a gang, by one decision that is recorded: what was launched is
-    /// stopped, what was granted is free again. Its next attempt begins once the end of
-    /// each member is proven.
+    /// Releases a gang as a whole and records the decision: launched members are stopped, and
+    /// granted resources are freed. The gang is placed again once every member is proven to
+    /// have ended.
     pub(super) fn release_gang(&mut self, id: &JobId, reason: ReleaseReason, now: u64) {
         let time_of_day_ms = now + self.wall_offset_ms;
         let Some(job) = self.jobs.get_mut(id) else {
@@ -82,13 +82,14 @@
         );
         job.advance_admission(GangAdmissionStep::Released, time_of_day_ms);
         job.stop_all();
-        // Guards against asking at once the same owner again that nothing is heard of.
+        // The next attempt avoids these machines, so that it does not immediately wait for the
+        // same unresponsive owner again.
         job.unresponsive_machines = unresponsive;
         self.update_indexes(id, now);
     }
 
-    /// Gangs that stand at a step which is not written yet go first: their owners
-    /// hold room for them that nobody can use.
+    /// True if a gang has an unwritten step after planning. Such steps are written first,
+    /// because owners hold resources for the gang that nothing can use meanwhile.
     pub(super) fn admission_step_first(job: &Job) -> bool {
         !job.is_stopping()
             && job.has_unwritten_step()
--- a/crates/coordination/src/placer/jobs.rs
+++ b/crates/coordination/src/placer/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs as the store's keys show them.
+//! Job records: applies changes and ends of jobs as read from the store.
 
 use lemonweir_model::JobId;
 use lemonweir_model::constants::TASKS_PER_CHUNK;
@@ -11,8 +11,7 @@
 use crate::job::Job;
 
 impl Placer {
-    /// Applies what the followed keys say of a job of this shard's teams; `None`:
-    /// it has ended.
+    /// Applies the cached record of a job of this shard's teams; `None`: the job has ended.
     pub fn apply_job(&mut self, id: &JobId, cached: Option<&CachedJob>, now: u64) {
         let changed = match cached {
             Some(cached) => self.apply_job_record(id, cached, now),
@@ -23,7 +22,7 @@
         }
     }
 
-    /// Takes a job's record; false if it is as before.
+    /// Applies a job's record; false if it is unchanged.
     fn apply_job_record(&mut self, id: &JobId, cached: &CachedJob, now: u64) -> bool {
         let job = self
             .jobs
@@ -63,7 +62,7 @@
         true
     }
 
-    /// Takes that a job's key is gone; false if the job is not known.
+    /// Marks a job as ended after its key was deleted; false if the job is not known.
     fn apply_job_end(&mut self, id: &JobId) -> bool {
         let Some(job) = self.jobs.get_mut(id) else {
             return false;
@@ -76,8 +75,8 @@
         true
     }
 
-    /// Drops attempts of a job that are neither recorded nor in the compare-and-swap
-    /// in flight: no owner has learned of them.
+    /// Drops the attempts of a cancelled job that are neither recorded nor part of the
+    /// compare-and-swap in flight: no owner has been told of them.
     pub(super) fn drop_unrecorded_attempts(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
         info!(job_id = %id, shard = self.shard, live_attempts = job.live.len(), "job withdrawn");
--- a/crates/coordination/src/placer/mod.rs
+++ b/crates/coordination/src/placer/mod.rs
@@ -1,19 +1,19 @@
-//! The placer's side of a shard: its teams' jobs, their recorded attempts, and
-//! where the next ones run.
+//! The placer of a shard: keeps the jobs and attempts of the shard's teams, and decides
+//! which machines the next attempts run on.
 //!
-//! Every attempt is written to the store before its owner learns of it, and stays
-//! in the desired state of this placer until its end has been written too.
+//! Every attempt is written to the store before its machine's owner is told of it, and
+//! stays in the desired state until its end has been written too.
 //!
-//! | module | job |
+//! | module | responsible for |
 //! | --- | --- |
 //! | `jobs`, `queues`, `quotas`, `over_limit` | jobs from the store, the teams' queues, quotas |
-//! | `placement_pass`, `units`, `placing`, `scoring`, `requests` | what is placed next, and where |
-//! | `unmet_demand`, `headroom` | what the autoscaler is asked for |
-//! | `accounting`, `partitions` | what each machine holds, and which zones are partitioned |
+//! | `placement_pass`, `units`, `placing`, `scoring`, `requests` | next tasks and their machines |
+//! | `unmet_demand`, `headroom` | demand for the autoscaler |
+//! | `accounting`, `partitions` | usage of machines, partitioned zones |
 //! | `desired`, `owner_channel`, `reconciliation`, `attempt_events` | exchange with the owners |
-//! | `write_queue`, `records` | what is written to the store, and what was found there |
-//! | `gangs` | admission of gangs |
-//! | `rebalancing`, `escalation`, `supervision`, `status` | services, and what users are told |
+//! | `write_queue`, `records` | records written to and loaded from the store |
+//! | `gangs` | admission and release of gangs |
+//! | `rebalancing`, `escalation`, `supervision`, `status` | services, and job status for users |
 
 mod accounting;
 mod attempt_events;
@@ -64,11 +64,11 @@
 pub use write_queue::ATTEMPT_END_WRITE_DELAY_MS;
 use write_queue::InFlightCas;
 
-/// Limit of [`Placer::spot_discount`]: how many times the usual share headroom is
-/// kept for on spot instances at most, however little they cost: there are few.
+/// Upper bound of [`Placer::spot_discount`]: headroom on spot instances is at most this many
+/// times the usual share, however cheap they are, because spot capacity is scarce.
 const MAX_SPOT_DISCOUNT: f64 = 2.0;
 
-/// What the end of a compare-and-swap means for the shard.
+/// Whether this controller still leads the shard after a compare-and-swap.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ShardOwnership {
     /// This controller still leads the shard.
@@ -77,31 +77,31 @@
     Lost,
 }
 
-/// How a compare-and-swap ended.
+/// Result of a compare-and-swap.
 #[derive(Debug)]
 pub enum CompareAndSwapOutcome {
     /// Committed at this revision.
     Committed(u64),
-    /// Not committed: these keys had another version.
+    /// Not committed: these keys had a different version.
     Conflict(Vec<String>),
-    /// Not committed, or not known to be: try again.
+    /// Not committed, or not known whether it was; to be retried.
     Indeterminate,
-    /// Not committed, and it never will be as it is: a value or the whole is too large.
+    /// Not committed: a value or the whole request is too large, so a retry would fail too.
     Rejected,
 }
 
-/// An instance provisioned by this placer that no view has shown yet.
+/// An instance provisioned by this placer that no shard view has included yet.
 #[derive(Clone, Debug)]
 pub struct PendingInstance {
-    /// What it is.
+    /// The instance.
     pub instance: ProvisionedInstance,
-    /// Its shard.
+    /// Shard that the instance belongs to.
     pub shard: u16,
-    /// When it was provisioned, ms of the steady clock.
+    /// When it was provisioned, ms of the monotonic clock.
     pub provisioned_at: u64,
 }
 
-/// What a placer is configured with when it starts.
+/// Configuration of a [`Placer`].
 pub struct PlacerConfig {
     /// Quota limits of the teams.
     pub quota_limits: HashMap<String, Resources>,
@@ -109,34 +109,34 @@
     pub guaranteed_quotas: HashMap<String, Resources>,
     /// Zones of the deployment.
     pub zones: Vec<String>,
-    /// Operations that one compare-and-swap may hold.
+    /// Maximum number of operations in one compare-and-swap.
     pub max_cas_operations: usize,
-    /// Share of the expected work that headroom is kept for; 0 turns it off.
+    /// Share of the expected work that headroom is kept for; 0 disables headroom.
     pub headroom_share: f64,
-    /// Operations a second that low-priority work may write.
+    /// Store writes per second allowed for low-priority work.
     pub low_priority_writes_per_s: usize,
-    /// ms for which a gang's task waits on its machine for the others.
+    /// Time that a launched task of a gang waits on its machine for the others, ms.
     pub gang_wait_ms: u64,
-    /// Time of day at the steady clock's zero, ms.
+    /// Time of day at zero of the monotonic clock, ms.
     pub wall_offset_ms: u64,
-    /// What a replica's place may cost against what it risks.
+    /// Weights of cost and risk in the placement of service replicas.
     pub trade: ServicePlacementWeights,
 }
 
-/// What happened to a replica or task, for the supervision of services.
+/// An event of a task, for the supervision of services.
 enum ReplicaEvent {
-    /// It runs.
+    /// The task runs.
     Running {
         job: JobId,
         task: u32,
-        /// This placer started it, not an earlier leader.
+        /// True if this placer placed it, false if an earlier leader of the shard did.
         placed_here: bool,
     },
-    /// A replica ended.
+    /// The replica ended.
     Lost { job: JobId, task: u32 },
 }
 
-/// Progress of a job as it is published to the owners' nodes.
+/// Progress of a job as published to the owners' nodes.
 #[derive(Clone, PartialEq, Eq)]
 struct PublishedProgress {
     done: u32,
@@ -144,115 +144,120 @@
     reason: Cow<'static, str>,
 }
 
-/// The placer of a shard.
+/// Places the jobs of one shard's teams on the machines of all shards.
 pub struct Placer {
     shard: u16,
     fencing_token: u64,
     jobs: BTreeMap<JobId, Job>,
     /// Exchange with the owner of each shard.
     owner_channels: Vec<OwnerChannel>,
-    /// The machines of each shard, as its owner published them.
+    /// Placement index of each shard's machines, as published by the shard's owner.
     indexes: Vec<PlacementIndex>,
-    /// Live attempts on each machine, and those of them that no view has shown yet.
+    /// Live attempts on each machine, and those that its published usage does not include
+    /// yet.
     attempts_by_machine: HashMap<MachineId, BTreeSet<TaskKey>>,
     unobserved_attempts: HashMap<MachineId, BTreeSet<TaskKey>>,
-    /// What each team's attempts use.
+    /// Resources used by each team's live attempts.
     team_usage: HashMap<String, Resources>,
-    /// Teams that the loaded records hold more of than their quota limit.
+    /// Teams whose loaded attempts exceed their quota limit.
     teams_over_limit: BTreeSet<String>,
     /// Jobs with a task to place, by team.
     queues: BTreeMap<String, BTreeSet<QueueKey>>,
-    /// Where the next pass goes on in a queue that is too long for one.
+    /// Where the next pass resumes in a queue that is too long for one pass.
     queue_cursors: HashMap<String, Option<QueueKey>>,
     /// Jobs with a live attempt, by team.
     running_by_team: BTreeMap<String, BTreeSet<QuotaOrderKey>>,
-    /// Jobs that back off until a time, ms.
+    /// Jobs in backoff, by its end, ms.
     backing_off: BTreeSet<(u64, JobId)>,
     /// Jobs whose desired state or progress may have changed since it was published.
     changed_jobs: BTreeSet<JobId>,
     /// Teams whose use of their guaranteed quota may have changed.
     quota_dirty_teams: BTreeSet<String>,
-    /// Jobs with something to write, and since when, ms.
+    /// Jobs with unwritten changes, and since when, ms.
     dirty_jobs: BTreeMap<JobId, u64>,
     job_progress: ChangeLog<JobId, PublishedProgress>,
     /// Partitioned zones, by the shard whose owner can't reach them.
     partitions: Vec<BTreeMap<String, ZonePartition>>,
-    /// Whether failures are a job's or a machine's fault.
+    /// Attributes failures to jobs or machines.
     fault_attribution: FaultAttribution,
     quota_limits: HashMap<String, Resources>,
     guaranteed_quotas: HashMap<String, Resources>,
-    /// Seconds within which tasks of a class should start.
+    /// Start objectives by job class, seconds.
     start_objectives_s: HashMap<String, f64>,
-    /// Seconds within which work within a guaranteed quota should start.
+    /// Start objective of work within a guaranteed quota, seconds.
     guaranteed_start_objective_s: f64,
-    /// Jobs with a start objective that arrived of late, with the time, ms.
+    /// Recently arrived jobs with a start objective, by time of arrival, ms.
     recent_arrivals: VecDeque<(u64, Arc<JobRecord>)>,
-    /// Empty machines that expected work would use.
+    /// Idle machines reserved as headroom for expected work.
     reserved_machines: Vec<MachineId>,
-    /// What expected work lacks, and when that was last planned, ms.
+    /// Capacity that expected work lacks, and when it was last planned, ms.
     headroom_demand: Vec<CapacityDemand>,
     headroom_planned_at: u64,
-    /// Share of the expected work that headroom is kept for.
+    /// Share of the expected work that headroom is kept for; 0 disables headroom.
     headroom_share: f64,
-    /// How many times the price of a spot instance an on-demand one costs, within bounds.
+    /// Highest ratio of on-demand to spot price in the catalog, between 1 and
+    /// [`MAX_SPOT_DISCOUNT`].
     spot_discount: f64,
-    /// The longest boot time of the catalog's machine types, ms.
+    /// Longest boot time of the catalog's machine types, ms.
     boot_time_ms: u64,
     /// Capacities of the machine types.
     machine_capacities: Vec<Resources>,
     /// When this placer started, ms.
     started_at: u64,
-    /// Usual rate at which images are fetched.
+    /// Highest image fetch rate of the catalog's machine types, GB/s.
     fetch_gb_per_s: f64,
-    /// What a replica's place may cost against what it risks.
+    /// Weights of cost and risk in the placement of service replicas.
     trade: ServicePlacementWeights,
-    /// Where the search for better places goes on.
+    /// Job after which the next search for better places begins.
     rebalance_cursor: Option<JobId>,
     /// Sizes and use of images.
     pub image_usage: ImageUsage,
-    /// Image caches by machine type, thousandths of a GB.
+    /// Image cache size by machine type, MB.
     cache_mb_by_type: HashMap<String, u64>,
-    /// The team that the next pass begins with.
+    /// Team that the next pass begins with.
     team_cursor: usize,
     in_flight: Option<InFlightCas>,
-    /// Provisioned instances that no view has shown yet.
+    /// Provisioned instances that no shard view has included yet.
     pub pending_instances: Vec<PendingInstance>,
-    /// What found no capacity in the last pass.
+    /// Work that found no capacity in the last pass, and headroom that is lacking.
     pub unmet_demand: Vec<CapacityDemand>,
-    /// Passes made: unmet demand is worth a new plan after one.
+    /// Number of passes so far. Provisioning is planned at most once per pass.
     pub placement_passes: u64,
     max_cas_operations: usize,
-    /// Records that a compare-and-swap may hold: few after one was rejected for its size.
+    /// Maximum number of records in one compare-and-swap. Reduced to 1 when the store
+    /// rejects one for its size, and doubled with each one that is committed.
     max_records_per_cas: usize,
-    /// Newest format of the records that every controller reads.
+    /// Newest record format that every controller can read.
     pub(crate) record_format_version: u32,
-    /// Operations a second that low-priority work may write, and when it may again, ms.
+    /// Store writes per second allowed for low-priority work, and when the next one is
+    /// allowed, ms.
     low_priority_writes_per_s: usize,
     low_priority_writes_resume_at: u64,
     gang_wait_ms: u64,
-    /// Time of day at the steady clock's zero, ms.
+    /// Time of day at zero of the monotonic clock, ms.
     wall_offset_ms: u64,
-    /// Gangs that something happened to, and when others have to be evaluated, ms.
+    /// Gangs to evaluate because of an event, and deadlines of others, ms.
     gangs_to_evaluate: BTreeSet<JobId>,
     gang_deadlines: BTreeSet<(u64, JobId)>,
     zones: Vec<String>,
-    /// Something changed that the next pass should see.
+    /// A change since the last pass may allow another placement.
     placement_due: bool,
-    /// Times of the last events of their kind, ms.
+    /// When each of these last happened, ms.
     last_pass_at: u64,
     last_shortage_at: u64,
     last_placement_at: u64,
     last_rebalance_at: u64,
-    /// The other shard that machines were last taken from.
+    /// Other shard that a task was last placed in; the next search of other shards starts
+    /// after it.
     next_remote_shard: u16,
-    /// State of the services.
+    /// Services under supervision, and their observed state.
     pub(crate) services: SupervisedServices,
-    /// What supervision should learn of replicas, in order.
+    /// Events not handed to supervision yet, oldest first.
     replica_events: Vec<ReplicaEvent>,
 }
 
 impl Placer {
-    /// A placer that has just acquired its shard, one of `shards`, at `now` ms.
+    /// Creates the placer of a shard, one of `shards`, that was acquired at `now` ms.
     pub fn new(
         shard: u16,
         fencing_token: u64,
@@ -339,8 +344,8 @@
         }
     }
 
-    /// Takes the objectives of starts, in seconds by class and for work within a
-    /// guaranteed quota, and what the catalog says of machine types.
+    /// Sets the start objectives, in seconds, by job class and for work within a guaranteed
+    /// quota, and what placement needs of the catalog's machine types.
     pub fn set_start_objectives(
         &mut self,
         start_objectives_s: &HashMap<String, f64>,
@@ -377,17 +382,17 @@
             .collect();
     }
 
-    /// Jobs that this placer knows.
+    /// IDs of all jobs that this placer keeps.
     pub fn known_jobs(&self) -> impl Iterator<Item = &JobId> {
         self.jobs.keys()
     }
 
-    /// Machines of all shards, as their owners published them.
+    /// Machines of all shards, as published by their owners.
     pub fn machines(&self) -> impl Iterator<Item = &MachineView> {
         self.indexes.iter().flat_map(PlacementIndex::machines)
     }
 
-    /// Seconds since each shard's owner last published its machines.
+    /// Seconds since the last view of each shard's owner; `None`: none has arrived.
     pub fn view_ages_s(&self, now: u64) -> impl Iterator<Item = (u16, Option<u64>)> {
         let age = move |channel: &OwnerChannel| {
             channel
@@ -400,7 +405,7 @@
             .map(move |(shard, channel)| (shard as u16, age(channel)))
     }
 
-    /// Words of bits and machines that this placer's searches have inspected.
+    /// Number of bit set words and machines examined by this placer's searches.
     pub fn inspected(&self) -> u64 {
         self.indexes
             .iter()
@@ -408,7 +413,7 @@
             .sum()
     }
 
-    /// The priority that a job is placed with.
+    /// Priority of a job, if this placer keeps it.
     pub(crate) fn priority(&self, id: &JobId) -> Option<Priority> {
         self.jobs.get(id).map(Job::priority)
     }
--- a/crates/coordination/src/placer/over_limit.rs
+++ b/crates/coordination/src/placer/over_limit.rs
@@ -1,8 +1,8 @@
-//! Teams of which the loaded records hold more than their quota limit.
+//! Teams whose loaded attempts exceed their quota limit.
 //!
-//! An earlier leader may have given the room of an attempt that had ended to another one,
-//! and ended itself before it recorded that end; or the limit was lowered since. Until the
-//! team is within its limit nothing of it is launched, and what is on no machine is stopped.
+//! This happens when an earlier leader reused the resources of an ended attempt and stopped
+//! before it recorded the end, or when the limit was lowered since. Until the team is within
+//! its limit, none of its attempts are launched, and those not launched yet are stopped.
 
 use lemonweir_model::{JobId, Resources};
 use lemonweir_protocol::peer::AttemptState;
@@ -13,7 +13,7 @@
 use crate::job::Job;
 
 impl Placer {
-    /// True if a team may use so much.
+    /// True if a usage is within a team's quota limit. Memory is not limited.
     pub(super) fn is_within_limit(&self, team: &str, used: &Resources) -> bool {
         let limited = Resources {
             memory_mb: 0,
@@ -22,14 +22,14 @@
         self.quota_limit(team).covers(&limited)
     }
 
-    /// Notes whether the records loaded so far hold more of a team than its limit.
+    /// Marks a team as over its limit if the attempts loaded so far exceed it.
     pub(super) fn note_loaded_usage(&mut self, team: &str) {
         if !self.is_within_limit(team, &self.usage_of(team)) {
             self.teams_over_limit.insert(team.to_owned());
         }
     }
 
-    /// Lets the attempts of a team be launched again once it is within its limit.
+    /// Resumes launches of a team once its usage is within its limit.
     pub(super) fn end_launch_hold(&mut self, team: &str) {
         let usage = self.usage_of(team);
         if !self.teams_over_limit.contains(team) || !self.is_within_limit(team, &usage) {
@@ -41,8 +41,8 @@
         self.changed_jobs.extend(jobs.map(|key| key.job.clone()));
     }
 
-    /// Stops what an owner has shown to be on no machine, of a team that would be over its
-    /// limit with it.
+    /// Stops an attempt, or the gang it belongs to, that its owner reports as accepted but not
+    /// launched, if its team's attempts that are not being stopped exceed the limit.
     pub(super) fn stop_unlaunched_over_limit(&mut self, id: &JobId, task: u32, now: u64) {
         let Some(job) = self.jobs.get_mut(id).filter(|job| !job.is_stopping()) else {
             return;
@@ -58,7 +58,8 @@
         };
         if job.is_gang() {
             let members = job.gang_members();
-            // Guards against a release of a gang that runs on a machine not heard of yet.
+            // A member without a reported state may be running, so the gang is released only
+            // when all members are reported and none is launched.
             if members.launched == 0 && members.granted == members.live {
                 self.release_gang(id, ReleaseReason::OverQuotaLimit, now);
             }
@@ -71,7 +72,7 @@
         }
     }
 
-    /// What a team uses without the attempts that are to stop.
+    /// Usage of a team without the attempts that are being stopped.
     fn staying_usage(&self, team: &str) -> Resources {
         let staying = |job: &Job| {
             let staying = job.live.values().filter(|live| live.stop_grace_s.is_none());
--- a/crates/coordination/src/placer/placement_pass.rs
+++ b/crates/coordination/src/placer/placement_pass.rs
@@ -1,5 +1,5 @@
-//! A pass over the teams' queues: whose turn it is, and how much of a job is placed
-//! in it.
+//! The placement pass: takes the teams in turn, and limits how much of each job is placed
+//! before the next one.
 
 use std::collections::{BTreeSet, HashMap};
 use std::ops::Bound;
@@ -11,31 +11,31 @@
 use super::unmet_demand::UnmetDemand;
 use crate::job::Urgency;
 
-/// Jobs of a team that one pass looks at: more than wait in a large fleet's first
-/// minute, and some ms of work.
+/// Jobs of a team that one pass considers: more than are waiting in the first minute of a
+/// large fleet, and a few ms of work.
 const MAX_JOBS_PER_TEAM: usize = 768;
-/// ms after a pass from which on there is another if something waits, though
-/// nothing happened.
+/// ms after which another pass is due if jobs are queued, even without any event.
 const PASS_INTERVAL_MS: u64 = 2_000;
-/// Tasks and gangs that one pass places at most: some tens of ms of work. The next
-/// pass goes on.
+/// Tasks and gangs that one pass places at most: some tens of ms of work. The next pass
+/// places the rest.
 const MAX_STARTS: usize = 2_048;
-/// Of these, tasks of one job: an array of 100,000 leaves others their turn.
+/// Units of one job that a [`TurnShare::All`] turn places at most, so that an array of 100,000
+/// does not starve other jobs.
 const MAX_STARTS_PER_JOB: usize = 512;
-/// ms between two plans of headroom: it changes as arrivals do, and a plan costs as
-/// much as a whole pass.
+/// ms between two plans of headroom. A plan costs as much as a whole pass, and changes only
+/// as fast as the arrivals do.
 const HEADROOM_INTERVAL_MS: u64 = 1_000;
 
-/// How much of a job is placed in its turn.
+/// How much of a job is placed in one turn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum TurnShare {
-    /// Up to half of its replicas; it comes again for the others.
+    /// Up to half of its replicas; a second turn in the same pass places the others.
     HalfOfReplicas,
-    /// The first task, or the gang; the others have their turn in the next pass.
+    /// The first task, or the gang. The other tasks are placed in the next pass.
     FirstUnit,
-    /// Up to half of its tasks; likewise.
+    /// Up to half of its tasks. The others are placed in the next pass.
     HalfOfTasks,
-    /// All that fits.
+    /// Everything that fits, up to [`MAX_STARTS_PER_JOB`] units.
     All,
 }
 
@@ -46,9 +46,9 @@
     share: TurnShare,
 }
 
-/// The jobs of a queue in the order of their turns: those of a priority that have
-/// less than half of their replicas come once for that, before all of it; low-priority
-/// ones for a first unit, then for half of their tasks, then for all.
+/// Orders the turns of a queue's jobs. Services below half of their replicas have two turns:
+/// all those of one priority are brought to half before any of them gets the rest.
+/// Low-priority jobs have one: for their first unit, for half of their tasks, or for all.
 fn order_turns<'a>(queue: impl Iterator<Item = &'a QueueKey>) -> Vec<JobTurn> {
     let turn = |job: JobId, share| JobTurn { job, share };
     let mut turns = Vec::new();
@@ -78,9 +78,9 @@
     turns
 }
 
-/// The turns of one team in one pass. Guards against a team whose thousands of
-/// jobs cost all others time: of a long queue a pass looks at its head, and goes
-/// on with the rest where the pass before stopped.
+/// The turns of one team in one pass. Of a long queue, a pass considers the head, and a part
+/// of the rest that starts where the previous pass stopped: thousands of jobs of one team
+/// must not delay the other teams.
 fn team_turns(queue: &BTreeSet<QueueKey>, cursor: &mut Option<QueueKey>) -> Vec<JobTurn> {
     if queue.len() <= MAX_JOBS_PER_TEAM {
         *cursor = None;
@@ -105,25 +105,25 @@
     turns
 }
 
-/// What found no room in this pass: for each kind of request the least needs. Who
-/// asks the same way for as much or more finds none either, since a pass only
-/// takes room: so a queue of thousands costs few searches, however its jobs differ.
+/// State of one placement pass, with the minimal needs of the requests that found no room.
+/// A pass never frees room, so a request with the same signature that needs at least as much
+/// finds none either. This keeps the number of searches low for a queue of thousands of jobs.
 pub(super) struct PlacementPass {
-    /// Least needs without room, by the request's signature.
+    /// Minimal needs that found no room, by request signature.
     failed: HashMap<u64, Vec<Resources>>,
-    /// Chunks of low-priority work that may get a first start to write.
+    /// Chunks of low-priority jobs that may still get their first unwritten start.
     pub(super) low_priority_chunks_left: usize,
 }
 
 impl PlacementPass {
-    /// True if a request of this signature for as little or less found no room.
+    /// True if a request of this signature that needed no more than `need` found no room.
     pub(super) fn is_known_to_fail(&self, signature: u64, need: &Resources) -> bool {
         self.failed
             .get(&signature)
             .is_some_and(|least| least.iter().any(|failed| need.covers(failed)))
     }
 
-    /// Notes that a request found no room.
+    /// Records that a request found no room.
     pub(super) fn record_failure(&mut self, signature: u64, need: Resources) {
         let least = self.failed.entry(signature).or_default();
         least.retain(|failed| !failed.covers(&need));
@@ -131,11 +131,11 @@
     }
 }
 
-/// One team's turns in a pass.
+/// The remaining turns of one team in a pass.
 struct TeamTurns {
     turns: std::vec::IntoIter<JobTurn>,
     current: Option<JobTurn>,
-    /// Units placed of the current job.
+    /// Units of the current job placed in this turn.
     starts: usize,
 }
 
@@ -157,10 +157,10 @@
 }
 
 impl Placer {
-    /// True if a placement pass may find something to do.
+    /// True if a placement pass may place something or change the demand.
     pub fn placement_is_due(&self, now: u64) -> bool {
-        // What waits may be worth more by now, or the cloud may have capacity again,
-        // though nothing happened here.
+        // Without any event, low-priority jobs may by now have waited long enough for more
+        // expensive machines, and the cloud may have capacity again.
         let interval_elapsed =
             !self.queues.is_empty() && now >= self.last_pass_at + PASS_INTERVAL_MS;
         let backoff_elapsed = self
@@ -170,8 +170,8 @@
         self.placement_due || interval_elapsed || backoff_elapsed
     }
 
-    /// Goes through the teams' queues in turn and places what fits; what does not
-    /// becomes [`Placer::unmet_demand`].
+    /// Places queued jobs of all teams as far as there is room; the others become
+    /// [`Placer::unmet_demand`].
     pub fn run_placement_pass(&mut self, now: u64) {
         self.placement_due = false;
         self.last_pass_at = now;
@@ -212,7 +212,7 @@
             .collect()
     }
 
-    /// Places one unit of each team's current job after the other.
+    /// Goes round-robin over the teams and places one unit of each one's current job.
     fn place_in_turns(&mut self, mut teams: Vec<TeamTurns>, now: u64) -> UnmetDemand {
         let mut unmet = UnmetDemand::default();
         let mut pass = PlacementPass {
@@ -223,8 +223,8 @@
         self.team_cursor = self.team_cursor.wrapping_add(1);
         let mut starts = 0;
         while teams.iter().any(|team| team.current.is_some()) {
-            // Guards against a pass that places an array of 100,000 tasks while
-            // heartbeats and others' jobs wait.
+            // Bounds the time of a pass: heartbeats and other jobs must not wait until an
+            // array of 100,000 tasks is placed.
             if starts >= MAX_STARTS {
                 self.placement_due = true;
                 break;
@@ -238,7 +238,8 @@
                     self.note_not_placed(&turn, &mut unmet, now);
                 }
                 let turn_is_over = self.turn_is_over(&turn, turns.starts);
-                // What is left of it comes in the next pass.
+                // The rest of the job is placed in the next pass. A service below half gets
+                // its second turn in this one.
                 self.placement_due |=
                     placed && turn_is_over && turn.share != TurnShare::HalfOfReplicas;
                 if !placed || turn_is_over {
@@ -259,7 +260,7 @@
         }
     }
 
-    /// True if a job had its share after so many units.
+    /// True if a job has received its share after `starts` units.
     fn turn_is_over(&self, turn: &JobTurn, starts: usize) -> bool {
         match turn.share {
             TurnShare::HalfOfReplicas | TurnShare::HalfOfTasks => self
@@ -273,12 +274,13 @@
 
     fn update_unmet_demand(&mut self, unmet: UnmetDemand, now: u64) {
         let mut demand = unmet.demand;
-        // Guards against money spent on low-priority work while other work waits.
+        // While other work waits, nothing is provisioned for low-priority work, except what
+        // must start now.
         if demand.iter().any(|d| !d.idle) {
             self.last_shortage_at = now;
             demand.retain(|d| !d.idle || d.must_start_now);
         }
-        // What boots is counted for others before it is for these.
+        // Booting instances are assigned to other demand first.
         demand.sort_by_key(|d| d.must_start_now);
         if now >= self.headroom_planned_at + HEADROOM_INTERVAL_MS {
             self.headroom_planned_at = now;
--- a/crates/coordination/src/placer/placing.rs
+++ b/crates/coordination/src/placer/placing.rs
@@ -1,4 +1,4 @@
-//! The places of a job's next unit: a task, or a whole gang.
+//! Search for machines for a job's next unit, a task or a whole gang, and its start there.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -17,7 +17,7 @@
 use crate::placement::PlacementRequest;
 use crate::placement::{Candidate, CandidateShard, CandidateWalk, ImageRequirement};
 
-/// A search for a unit's places.
+/// Inputs of the search for a unit's machines.
 struct UnitSearch<'a> {
     job: &'a JobId,
     spec: &'a JobSpec,
@@ -26,36 +26,36 @@
     job_tasks: u32,
     is_relocating: bool,
     avoid: Vec<MachineId>,
-    /// Indexes in the order in which they are searched, each with whether its owner is
-    /// reached through the store.
+    /// Shards in search order, each with whether its owner is reached only through the store.
     order: Vec<CandidateShard>,
     now: u64,
 }
 
-/// Where a unit's places are searched.
+/// Restricts a search to a zone and a set of machines; `None`: no restriction.
 #[derive(Clone, Copy)]
 struct SearchArea<'a> {
     zone: Option<&'a str>,
     machines: Option<&'a BTreeSet<MachineId>>,
 }
 
-/// Where a task goes, and who is preempted for it.
+/// A machine for a task, and which attempts may be preempted for it.
 struct FoundPlace {
     place: SlotRef,
     preemption: PreemptionScope,
 }
 
-/// A task's place, with its room reserved.
+/// A task's machine, with resources reserved on it.
 struct ReservedPlace {
     task: u32,
     place: SlotRef,
     preemption: PreemptionScope,
-    /// The machine has the image.
+    /// The machine has the image in its cache.
     is_warm: bool,
 }
 
 impl Placer {
-    /// Places the next unit of a job; false if it waits, with the reason noted.
+    /// Places the next unit of a job; false if none is placed. Sets the job's pending reason
+    /// if it has to wait.
     pub(super) fn place_next(&mut self, id: &JobId, pass: &mut PlacementPass, now: u64) -> bool {
         let Some(record) = self.jobs.get(id).and_then(|job| job.record.clone()) else {
             return false;
@@ -67,7 +67,7 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return false;
         };
-        // Jobs that ask the same, or less, found no room a moment ago.
+        // A request with the same constraints that needs no more found no room in this pass.
         let signature = request_signature(job, spec, &unit);
         if pass.is_known_to_fail(signature, &job.need) {
             job.pending_reason = unit.no_room_reason();
@@ -83,7 +83,7 @@
         true
     }
 
-    /// Reserves room for all of a unit's tasks, in the first area that has it.
+    /// Reserves room for all of a unit's tasks in the first search area that has it.
     fn reserve_places(
         &mut self,
         id: &JobId,
@@ -100,8 +100,8 @@
             need: job.need,
             job_tasks: job.tasks,
             is_relocating: job.relocating,
-            // It is the suspect's own fault that it failed everywhere: in a small fleet
-            // no other machine may be left.
+            // The failures of a suspect are attributed to the job, not to the machines. In a
+            // small fleet it may have failed on all of them.
             avoid: if unit.is_suspect {
                 Vec::new()
             } else {
@@ -115,7 +115,8 @@
         } else {
             HashMap::new()
         };
-        // Where something else ran well of late, a suspect's failure tells most.
+        // A suspect is tried on recently healthy machines first: a failure there is the best
+        // evidence that the job is at fault.
         let trusted = unit
             .is_suspect
             .then(|| self.fault_attribution.healthy_machines(now));
@@ -135,7 +136,7 @@
             .find_map(|area| self.reserve_in(&search, area, attempts_per_zone.clone()))
     }
 
-    /// The zones that a unit is tried in, one after the other; `None`: any.
+    /// Zones to try for a unit, in order; `None` in the list: any zone.
     fn zone_choices(&self, job: &Job, spec: &JobSpec, tasks: usize) -> Vec<Option<String>> {
         if !spec.same_zone || tasks + job.live.len() <= 1 {
             return vec![None];
@@ -152,7 +153,7 @@
             .collect()
     }
 
-    /// Reserves room for all of a unit's tasks in one area, or for none.
+    /// Reserves room for all of a unit's tasks in one search area, or for none of them.
     fn reserve_in(
         &mut self,
         search: &UnitSearch<'_>,
@@ -195,12 +196,12 @@
         None
     }
 
-    /// The place of a unit's next task.
+    /// Finds a machine for a unit's next task.
     ///
-    /// Fairness has no work while room exists; without room, lower priorities are
-    /// preempted, and what others run beyond their guaranteed quota is for a team
-    /// within its own. Room without the image counts as none if the fetch alone takes
-    /// too long.
+    /// Free room is used first, regardless of guaranteed quotas. Without it, lower priorities are
+    /// preempted, and, for a team within its guaranteed quota, also what other teams run
+    /// beyond theirs. If fetching the image alone would take too long, machines without it
+    /// are tried only after preemption on machines that have it.
     fn find_place(
         &self,
         search: &UnitSearch<'_>,
@@ -285,7 +286,7 @@
             })
     }
 
-    /// Notes a unit's attempts, each on its reserved place.
+    /// Adds a live attempt on the reserved machine for each task of a unit.
     fn start_unit(
         &mut self,
         id: &JobId,
@@ -308,8 +309,8 @@
         for reserved in places {
             self.start_task(id, attempt, &reserved, now);
         }
-        // A replica that was only moved is no sign of new work, nor is a try
-        // of a suspect, nor low-priority work.
+        // Rebalancing waits for a quiet period after placements of new work. Restarted
+        // replicas, retries of suspects and low-priority work don't count as such.
         let is_relocated = spec.kind == JobKind::Service && has_run;
         if !(is_relocated || unit.is_suspect || spec.priority == Priority::Low) {
             self.last_placement_at = now;
@@ -360,8 +361,8 @@
         self.add_attempt(id, task, live);
     }
 
-    /// Notes that a unit found no room. A gang that did without machines that did not
-    /// answer is tried with them in the next pass.
+    /// Records that a unit found no room. If the search excluded machines that were
+    /// unresponsive for the previous attempt of a gang, the next pass includes them.
     fn note_no_room(
         &mut self,
         id: &JobId,
--- a/crates/coordination/src/placer/queues.rs
+++ b/crates/coordination/src/placer/queues.rs
@@ -1,5 +1,5 @@
-//! The indexes over this placer's jobs: the teams' queues, the order in which a
-//! team's quota is granted, and what has to be looked at or written.
+//! Indexes of this placer's jobs: the teams' queues, the order in which a team's guaranteed
+//! quota is assigned, and the jobs with changes to process or write.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,8 +8,8 @@
 use super::Placer;
 use crate::job::{Job, QueuePosition, TaskChunk, Urgency};
 
-/// Where a job stands in its team's queue: priority, then what is missing most,
-/// then age, or size ([`Job::queue_order`]).
+/// Sort key of a job in its team's queue: priority, then urgency, then age or size
+/// ([`Job::queue_order`]).
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct QueueKey {
     pub(super) priority: Priority,
@@ -18,11 +18,11 @@
     pub(super) job: JobId,
 }
 
-/// Where a job stands for its team's guaranteed quota: priority, then age.
+/// Sort key of a job for its team's guaranteed quota: priority, then age.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct QuotaOrderKey {
     pub(super) priority: Priority,
-    /// Time of day of its submission, ms.
+    /// Time of day of the job's submission, ms.
     pub(super) submitted_at: u64,
     pub(super) job: JobId,
 }
@@ -55,7 +55,7 @@
         }
     }
 
-    /// True if a job at this position and one at `other` share their order for the quota.
+    /// True if a job's place in the quota order is the same at both positions.
     fn same_quota_order(&self, other: &Self) -> bool {
         self.team == other.team
             && self.priority == other.priority
@@ -64,13 +64,14 @@
 }
 
 impl Placer {
-    /// Brings the indexes up to date after a job changed.
+    /// Updates the indexes after a job has changed. Removes a job of which nothing is left.
     pub(super) fn update_indexes(&mut self, id: &JobId, now: u64) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        // Guards against a successor that writes each finished chunk of a large job
-        // once more, as if it were to be deleted.
+        // A new leader loads chunks before it knows whether their jobs have ended. Until that
+        // is confirmed no chunk is marked for deletion: otherwise the leader would write each
+        // finished chunk of a large job once more.
         if job.ended && !job.end_unconfirmed {
             job.delete_finished_chunks();
         }
@@ -154,7 +155,7 @@
     }
 }
 
-/// Removes a key from a team's set, and the set if it is empty then.
+/// Removes a key from a team's set, and the set once it is empty.
 fn remove_key<K: Ord>(index: &mut BTreeMap<String, BTreeSet<K>>, team: &str, key: &K) {
     if let Some(keys) = index.get_mut(team) {
         keys.remove(key);
--- a/crates/coordination/src/placer/quotas.rs
+++ b/crates/coordination/src/placer/quotas.rs
@@ -1,5 +1,5 @@
-//! Quotas of the teams: limits, guaranteed quotas, and which attempts run beyond
-//! the guaranteed one.
+//! Quotas of the teams: limits, guaranteed quotas, and which attempts run beyond the
+//! guaranteed quota.
 
 use std::collections::BTreeMap;
 
@@ -9,14 +9,15 @@
 use super::Placer;
 use crate::team_usage::{TeamUsage, usage_by_team};
 
-/// What a team without a quota limit may use.
+/// Quota limit of a team without a configured one.
 pub(super) const NO_LIMIT: Resources = Resources {
     milli_cpus: u64::MAX,
     milli_gpus: u64::MAX,
     memory_mb: u64::MAX,
 };
 
-/// True if a use is within a guaranteed quota; one that names nothing holds nothing.
+/// True if a usage is within a guaranteed quota. A quota with neither CPUs nor GPUs guarantees
+/// nothing; if only one of them is zero, that one is not restricted.
 pub(super) fn within_quota(used: &Resources, guaranteed: Option<&Resources>) -> bool {
     let Some(quota) = guaranteed.filter(|quota| quota.milli_cpus > 0 || quota.milli_gpus > 0)
     else {
@@ -27,17 +28,17 @@
 }
 
 impl Placer {
-    /// What a team may use at most.
+    /// Quota limit of a team.
     pub(super) fn quota_limit(&self, team: &str) -> Resources {
         self.quota_limits.get(team).copied().unwrap_or(NO_LIMIT)
     }
 
-    /// What a team's attempts use.
+    /// Resources used by a team's live attempts.
     pub(super) fn usage_of(&self, team: &str) -> Resources {
         self.team_usage.get(team).copied().unwrap_or_default()
     }
 
-    /// What the attempts of each team use that are not proven to have ended.
+    /// Usage of each team by attempts that are not proven to have ended.
     pub(crate) fn usage_by_team(&self) -> BTreeMap<String, TeamUsage> {
         usage_by_team(self.jobs.values().flat_map(|job| {
             let attempts = job.live.values();
@@ -45,7 +46,7 @@
         }))
     }
 
-    /// Logs what the records that this placer began with use of each limited team.
+    /// Logs the usage of each team with a quota limit, after the task records were loaded.
     pub(crate) fn log_loaded_usage(&self) {
         for (team, TeamUsage { attempts, used }) in self.usage_by_team() {
             if let Some(limit) = self.quota_limits.get(&team) {
@@ -62,10 +63,10 @@
         }
     }
 
-    /// Marks what a team runs beyond its guaranteed quota: that goes to the highest
-    /// priority first, then to the oldest job.
+    /// Updates which attempts of a team run beyond its guaranteed quota. The quota is assigned
+    /// to the highest priority first, then to the oldest job.
     pub(super) fn update_quota_marks(&mut self, team: &str) {
-        // Without a guaranteed quota all is beyond it, as each attempt begins.
+        // Without a guaranteed quota every attempt keeps its initial flag, beyond the quota.
         let Some(guaranteed) = self
             .guaranteed_quotas
             .get(team)
@@ -79,7 +80,7 @@
             let Some(job) = self.jobs.get_mut(&key.job) else {
                 continue;
             };
-            // Most jobs are within it or beyond it as a whole, as before.
+            // Fast path: most jobs remain entirely within or entirely beyond the quota.
             let used_with_job = used.plus(&job.need.times(job.live.len() as u64));
             let uniform = if within_quota(&used_with_job, guaranteed) {
                 Some(false)
--- a/crates/coordination/src/placer/requests.rs
+++ b/crates/coordination/src/placer/requests.rs
@@ -1,4 +1,4 @@
-//! What a job's tasks ask of a machine.
+//! Placement requests of tasks, and the zones they may use.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -6,7 +6,7 @@
 
 use crate::placement::{PlacementIndex, PlacementRequest};
 
-/// What a replica that runs already asks of another machine.
+/// Request for another machine for a replica that is already placed.
 pub(super) fn replica_request<'a>(
     spec: &'a JobSpec,
     zones: Option<Vec<&'a str>>,
@@ -27,7 +27,8 @@
 }
 
 /// Zones in which a job's next task may start, given its other tasks; `None`: any.
-/// `required`: the zone that its other tasks are in, if all must be in one.
+/// `required` is the only zone to use, for a job whose tasks must share one. A spread job has
+/// at most half of its tasks, rounded up, in one zone.
 pub(super) fn allowed_zones<'a>(
     spec: &'a JobSpec,
     required: Option<&'a str>,
@@ -58,7 +59,7 @@
     })
 }
 
-/// The zones of all known machines.
+/// Zones of all machines in the indexes.
 pub(super) fn all_zones(indexes: &[PlacementIndex]) -> BTreeSet<&str> {
     indexes.iter().flat_map(PlacementIndex::zones).collect()
 }
--- a/crates/coordination/src/placer/units.rs
+++ b/crates/coordination/src/placer/units.rs
@@ -1,4 +1,4 @@
-//! What of a job is placed next, a task or a whole gang, and whether its team may.
+//! Selects a job's next placement unit, a task or a whole gang, within its team's quota.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -11,38 +11,41 @@
 use super::quotas::within_quota;
 use crate::job::Job;
 
-/// How much longer than usual a fetch may well take (protocol page: the rate is
-/// given or take a third).
+/// Factor by which an image fetch may exceed its expected time: the protocol documents fetch
+/// rates with a tolerance of one third.
 pub(super) const FETCH_SPREAD: f64 = 1.33;
 
-/// Why a job waits that lacks room.
+/// Pending reason of a job that found no room.
 pub(super) const REASON_NO_ROOM: &str = "no machine has room; more are asked for";
-/// Why a suspect waits that lacks room.
+/// Pending reason of a suspect that found no room.
 const REASON_NO_TRIAL_ROOM: &str =
     "its tasks failed; no machine that runs others has room for another try";
-/// Why a job waits whose team uses all that it may.
+/// Pending reason of a job whose team would exceed its quota limit.
 pub(super) const REASON_AT_LIMIT: &str = "its team is at its limit";
-/// Why low-priority work waits that has room.
+/// Pending reason of low-priority work whose starts exceed the write budget.
 pub(super) const REASON_LOW_PRIORITY_TURN: &str =
     "idle work; its starts wait for their turn to be written to the store";
 
-/// What is placed together, and what its search depends on.
+/// Tasks that are placed together, and the properties that their search depends on.
 pub(super) struct PlacementUnit {
     pub(super) tasks: Vec<u32>,
-    /// The job is suspected of its failures: it gets one try, and preempts nobody.
+    /// The job is suspected of its failures: it has one attempt at a time, and preempts
+    /// nothing.
     pub(super) is_suspect: bool,
-    /// It is the first start of its chunk, of low-priority work.
+    /// The job has low priority, and the unit is the first unwritten start of its chunk.
     pub(super) is_first_low_priority_start: bool,
-    /// Its team stays within its guaranteed quota with it.
+    /// With this unit, the team is still within its guaranteed quota.
     pub(super) is_guaranteed: bool,
-    /// A fetch of its image takes longer than its start may.
+    /// Fetching the image would take longer than the start objective allows, or keep a
+    /// restarted replica down.
     pub(super) needs_image: bool,
-    /// It only takes room that costs little.
+    /// The unit may only use room that costs little: no idle on-demand machines.
     pub(super) is_frugal: bool,
 }
 
 impl Placer {
-    /// What of a job may be placed next; notes why if nothing may.
+    /// The next unit of a job; `None` if none may be placed now. Sets the pending reason if the
+    /// write budget or the team's quota limit is the cause.
     pub(super) fn next_unit(
         &mut self,
         id: &JobId,
@@ -56,8 +59,8 @@
             return None;
         }
         let first = job.next_waiting_task()?;
-        // Guards against low-priority work that takes up room long before it is its
-        // turn to be written, and against a pass that places 100,000 tasks.
+        // Limits placement of low-priority work to what can be written soon: it must not
+        // occupy room long before its starts are written, nor may a pass place 100,000 tasks.
         let is_first_low_priority_start = spec.priority == Priority::Low
             && job
                 .chunks
@@ -95,7 +98,8 @@
         })
     }
 
-    /// True if a fetch of a job's image takes longer than its start should.
+    /// True if fetching a job's image takes longer than its start objective allows. Always true
+    /// for a service that has run.
     fn fetch_is_too_slow(&self, job: &Job, spec: &JobSpec, is_guaranteed: bool) -> bool {
         let by_class_s = self
             .start_objectives_s
@@ -107,14 +111,14 @@
         } else {
             by_class_s
         };
-        // A replica that was up is down while it fetches.
+        // A restarted replica is down while its image is fetched.
         spec.image_gb * FETCH_SPREAD > objective_s * self.fetch_gb_per_s
             || spec.kind == JobKind::Service && job.has_run
     }
 }
 
 impl PlacementUnit {
-    /// Why its job waits if no room is found.
+    /// Pending reason of the job if no room is found.
     pub(super) fn no_room_reason(&self) -> &'static str {
         if self.is_suspect {
             REASON_NO_TRIAL_ROOM
@@ -123,7 +127,7 @@
         }
     }
 
-    /// Who may be preempted for it.
+    /// Which attempts may be preempted for this unit.
     pub(super) fn preemption_scope(&self) -> PreemptionScope {
         if self.is_guaranteed {
             PreemptionScope::LowerPriorityOrOverQuota
@@ -133,7 +137,8 @@
     }
 }
 
-/// Two units with the same signature ask the same way, for other needs perhaps.
+/// Hash of a unit's placement constraints. Units with the same signature are treated as
+/// differing only in the resources that a task needs.
 pub(super) fn request_signature(job: &Job, spec: &JobSpec, unit: &PlacementUnit) -> u64 {
     let mut hasher = DefaultHasher::new();
     (
