--- a/crates/coordination/src/placer/accounting.rs
+++ b/crates/coordination/src/placer/accounting.rs
@@ -21,7 +21,7 @@
         }
     }
 
-    fn is(&self, job: &JobId, task: u32) -> bool {
+    fn matches(&self, job: &JobId, task: u32) -> bool {
         self.job == *job && self.task == task
     }
 }
@@ -70,31 +70,31 @@
         let team = job.team.clone();
         self.quota_dirty_teams.insert(team.clone());
         self.end_launch_hold(&team);
-        if let Some(here) = self.attempts_by_machine.get_mut(&live.machine) {
-            here.remove(&TaskKey::new(id, task));
-            if here.is_empty() {
+        if let Some(attempts) = self.attempts_by_machine.get_mut(&live.machine) {
+            attempts.remove(&TaskKey::new(id, task));
+            if attempts.is_empty() {
                 self.attempts_by_machine.remove(&live.machine);
             }
         }
-        self.attempt_observed(&live.machine, live.shard, id, task);
+        self.remove_unobserved(&live.machine, live.shard, id, task);
         Some(live)
     }
 
     /// Removes an attempt from those that the machine's published usage does not include
     /// yet, and recomputes the machine's free resources.
-    fn attempt_observed(&mut self, machine: &MachineId, shard: u16, id: &JobId, task: u32) {
+    fn remove_unobserved(&mut self, machine: &MachineId, shard: u16, id: &JobId, task: u32) {
         if let Some(uncounted) = self
             .owner_channels
             .get_mut(usize::from(shard))
             .and_then(|channel| channel.uncounted.get_mut(machine))
         {
-            uncounted.retain(|key| !key.is(id, task));
+            uncounted.retain(|key| !key.matches(id, task));
         }
-        let Some(here) = self.unobserved_attempts.get_mut(machine) else {
+        let Some(unobserved) = self.unobserved_attempts.get_mut(machine) else {
             return;
         };
-        if here.remove(&TaskKey::new(id, task)) {
-            if here.is_empty() {
+        if unobserved.remove(&TaskKey::new(id, task)) {
+            if unobserved.is_empty() {
                 self.unobserved_attempts.remove(machine);
             }
             self.refresh_usage(machine, shard);
@@ -108,9 +108,9 @@
             .uncounted
             .remove(machine)
             .unwrap_or_default();
-        if let Some(here) = self.unobserved_attempts.get_mut(machine) {
-            here.retain(|attempt| !counted.contains(attempt));
-            if here.is_empty() {
+        if let Some(unobserved) = self.unobserved_attempts.get_mut(machine) {
+            unobserved.retain(|attempt| !counted.contains(attempt));
+            if unobserved.is_empty() {
                 self.unobserved_attempts.remove(machine);
             }
         }
--- a/crates/coordination/src/placer/attempt_events.rs
+++ b/crates/coordination/src/placer/attempt_events.rs
@@ -183,10 +183,10 @@
                 job.complete_task(id.task);
             }
         }
-        let touched = self
-            .fault_attribution
-            .record_success(&id.job, &live.machine, live.placed_at);
-        self.apply_suspicions(touched.jobs, now);
+        let affected =
+            self.fault_attribution
+                .record_success(&id.job, &live.machine, live.placed_at);
+        self.update_suspects(affected.jobs, now);
     }
 
     /// Backs off after an owner refused an attempt for lack of room.
@@ -232,11 +232,11 @@
 
     /// Attributes a failed attempt to its job or its machine, and backs off.
     fn apply_failure(&mut self, id: &AttemptId, live: &LiveAttempt, now: u64) {
-        self.credit_long_running(&live.machine, &id.job, now);
-        let touched = self
+        self.record_long_running_successes(&live.machine, &id.job, now);
+        let affected = self
             .fault_attribution
             .record_failure(&id.job, &live.machine, now);
-        self.apply_suspicions(touched.jobs, now);
+        self.update_suspects(affected.jobs, now);
         let Some(job) = self.jobs.get_mut(&id.job) else {
             return;
         };
@@ -258,7 +258,7 @@
 
     /// Records a success for each attempt of another job that has been running on a machine
     /// for long: such attempts are evidence that the machine is healthy.
-    fn credit_long_running(&mut self, machine: &MachineId, failed: &JobId, now: u64) {
+    fn record_long_running_successes(&mut self, machine: &MachineId, failed: &JobId, now: u64) {
         let long_running: Vec<(JobId, u64)> = self
             .attempts_by_machine
             .get(machine)
@@ -267,10 +267,10 @@
             .filter(|key| key.job != *failed)
             .filter_map(|key| {
                 let live = self.jobs.get(&key.job)?.live.get(&key.task)?;
-                let runs_well = live.state == Some(AttemptState::Running)
+                let is_long_running = live.state == Some(AttemptState::Running)
                     && live.placed_at > 0
                     && now >= live.placed_at + 2 * SUCCESS_AFTER_MS;
-                runs_well.then(|| (key.job.clone(), live.placed_at))
+                is_long_running.then(|| (key.job.clone(), live.placed_at))
             })
             .collect();
         for (job, placed_at) in long_running {
@@ -280,7 +280,7 @@
     }
 
     /// Updates which of these jobs are suspected of their failures.
-    fn apply_suspicions(&mut self, jobs: BTreeSet<JobId>, now: u64) {
+    fn update_suspects(&mut self, jobs: BTreeSet<JobId>, now: u64) {
         for id in jobs {
             let suspect = self.fault_attribution.suspect_evidence(&id);
             let Some(job) = self.jobs.get_mut(&id).filter(|job| job.suspect != suspect) else {
--- a/crates/coordination/src/placer/desired.rs
+++ b/crates/coordination/src/placer/desired.rs
@@ -86,7 +86,7 @@
     /// Updates the desired state and the published progress of changed jobs.
     pub(super) fn publish_changes(&mut self) {
         for team in std::mem::take(&mut self.quota_dirty_teams) {
-            self.update_quota_marks(&team);
+            self.update_over_quota_flags(&team);
         }
         for id in std::mem::take(&mut self.changed_jobs) {
             self.publish_desired_attempts(&id);
--- a/crates/coordination/src/placer/jobs.rs
+++ b/crates/coordination/src/placer/jobs.rs
@@ -36,14 +36,14 @@
         if same_priority && job.key_version == cached.version {
             return false;
         }
-        let has_arrived =
+        let is_new_arrival =
             job.record.is_none() && job.chunks.is_empty() && now > self.started_at + BACKLOG_MS;
         let is_guaranteed = self.guaranteed_start_objective_s < f64::MAX
             && within_quota(
                 &spec.task_resources(),
                 self.guaranteed_quotas.get(&spec.team),
             );
-        if has_arrived && (self.start_objectives_s.contains_key(&spec.class) || is_guaranteed) {
+        if is_new_arrival && (self.start_objectives_s.contains_key(&spec.class) || is_guaranteed) {
             self.recent_arrivals.push_back((now, cached.record.clone()));
         }
         job.team = spec.team.clone();
--- a/crates/coordination/src/placer/over_limit.rs
+++ b/crates/coordination/src/placer/over_limit.rs
@@ -49,7 +49,7 @@
         };
         let team = job.team.clone();
         if !self.teams_over_limit.contains(&team)
-            || self.is_within_limit(&team, &self.staying_usage(&team))
+            || self.is_within_limit(&team, &self.usage_without_stopping(&team))
         {
             return;
         }
@@ -73,10 +73,10 @@
     }
 
     /// Usage of a team without the attempts that are being stopped.
-    fn staying_usage(&self, team: &str) -> Resources {
-        let staying = |job: &Job| {
-            let staying = job.live.values().filter(|live| live.stop_grace_s.is_none());
-            job.need.times(staying.count() as u64)
+    fn usage_without_stopping(&self, team: &str) -> Resources {
+        let remaining_usage = |job: &Job| {
+            let remaining = job.live.values().filter(|live| live.stop_grace_s.is_none());
+            job.need.times(remaining.count() as u64)
         };
         self.running_by_team
             .get(team)
@@ -84,6 +84,8 @@
             .flatten()
             .filter_map(|key| self.jobs.get(&key.job))
             .filter(|job| !job.is_stopping())
-            .fold(Resources::default(), |sum, job| sum.plus(&staying(job)))
+            .fold(Resources::default(), |sum, job| {
+                sum.plus(&remaining_usage(job))
+            })
     }
 }
--- a/crates/coordination/src/placer/placement_pass.rs
+++ b/crates/coordination/src/placer/placement_pass.rs
@@ -120,14 +120,14 @@
     pub(super) fn is_known_to_fail(&self, signature: u64, need: &Resources) -> bool {
         self.failed
             .get(&signature)
-            .is_some_and(|least| least.iter().any(|failed| need.covers(failed)))
+            .is_some_and(|minimal| minimal.iter().any(|failed| need.covers(failed)))
     }
 
     /// Records that a request found no room.
     pub(super) fn record_failure(&mut self, signature: u64, need: Resources) {
-        let least = self.failed.entry(signature).or_default();
-        least.retain(|failed| !failed.covers(&need));
-        least.push(need);
+        let minimal = self.failed.entry(signature).or_default();
+        minimal.retain(|failed| !failed.covers(&need));
+        minimal.push(need);
     }
 }
 
@@ -178,7 +178,7 @@
         self.placement_passes += 1;
         self.end_elapsed_backoffs(now);
         let teams = self.start_turns();
-        let unmet = self.place_in_turns(teams, now);
+        let unmet = self.place_round_robin(teams, now);
         self.update_unmet_demand(unmet, now);
     }
 
@@ -213,7 +213,7 @@
     }
 
     /// Goes round-robin over the teams and places one unit of each one's current job.
-    fn place_in_turns(&mut self, mut teams: Vec<TeamTurns>, now: u64) -> UnmetDemand {
+    fn place_round_robin(&mut self, mut teams: Vec<TeamTurns>, now: u64) -> UnmetDemand {
         let mut unmet = UnmetDemand::default();
         let mut pass = PlacementPass {
             failed: HashMap::new(),
--- a/crates/coordination/src/placer/placing.rs
+++ b/crates/coordination/src/placer/placing.rs
@@ -50,7 +50,7 @@
     place: SlotRef,
     preemption: PreemptionScope,
     /// The machine has the image in its cache.
-    is_warm: bool,
+    is_image_cached: bool,
 }
 
 impl Placer {
@@ -117,11 +117,11 @@
         };
         // A suspect is tried on recently healthy machines first: a failure there is the best
         // evidence that the job is at fault.
-        let trusted = unit
+        let healthy_machines = unit
             .is_suspect
             .then(|| self.fault_attribution.healthy_machines(now));
         let machine_sets = if unit.is_suspect {
-            vec![trusted.as_ref(), None]
+            vec![healthy_machines.as_ref(), None]
         } else {
             vec![None]
         };
@@ -168,7 +168,7 @@
             };
             let place = found.place;
             let index = &mut self.indexes[place.shard];
-            let is_warm = index.has_image(place.slot, &spec.image);
+            let is_image_cached = index.has_image(place.slot, &spec.image);
             index.reserve(place.slot, &search.need, &spec.image);
             if spec.kind == JobKind::Service {
                 index.mark_long_running(place.slot);
@@ -182,7 +182,7 @@
                 task,
                 place,
                 preemption: found.preemption,
-                is_warm,
+                is_image_cached,
             });
         }
         if reserved.len() == search.unit.tasks.len() {
@@ -225,31 +225,31 @@
             image_mb: spec.image_mb(),
             excluded_machines: &search.avoid,
             restricted_to: area.machines,
-            avoid_idle_on_demand: unit.is_frugal,
+            avoid_idle_on_demand: unit.is_low_cost_only,
         };
         let mut scoring =
             self.scoring_inputs(search.job, None, &request, &search.order, search.now);
         scoring.risk.cached_first = unit.needs_image && !search.is_relocating;
         let classes = placement_classes(&self.trade, &scoring.risk);
-        let (warm, cold) = if unit.needs_image {
-            let warm = classes
+        let (preferred, fallback) = if unit.needs_image {
+            let cached = classes
                 .iter()
                 .take_while(|class| class.image_locality == ImageLocality::Cached)
                 .count();
-            classes.split_at(warm)
+            classes.split_at(cached)
         } else {
             classes.split_at(classes.len())
         };
         let replicas = &scoring.placed_replicas;
         let mut walk = CandidateWalk::new(&self.indexes, &search.order, &request, replicas);
-        let mut free = |classes: &[PlacementClass]| {
+        let mut find_free = |classes: &[PlacementClass]| {
             walk.find(classes)
                 .map(|Candidate { shard, slot, .. }| FoundPlace {
                     place: SlotRef { shard, slot },
                     preemption: PreemptionScope::Nobody,
                 })
         };
-        let preempting = |image| {
+        let find_preemptible = |image| {
             search
                 .order
                 .iter()
@@ -268,20 +268,20 @@
                         })
                 })
         };
-        free(warm)
+        find_free(preferred)
             .or_else(|| {
                 if unit.needs_image && !unit.is_suspect {
-                    preempting(ImageRequirement::Cached)
+                    find_preemptible(ImageRequirement::Cached)
                 } else {
                     None
                 }
             })
-            .or_else(|| free(cold))
+            .or_else(|| find_free(fallback))
             .or_else(|| {
                 if unit.is_suspect {
                     None
                 } else {
-                    preempting(ImageRequirement::Optional)
+                    find_preemptible(ImageRequirement::Optional)
                 }
             })
     }
@@ -311,8 +311,8 @@
         }
         // Rebalancing waits for a quiet period after placements of new work. Restarted
         // replicas, retries of suspects and low-priority work don't count as such.
-        let is_relocated = spec.kind == JobKind::Service && has_run;
-        if !(is_relocated || unit.is_suspect || spec.priority == Priority::Low) {
+        let is_restarted = spec.kind == JobKind::Service && has_run;
+        if !(is_restarted || unit.is_suspect || spec.priority == Priority::Low) {
             self.last_placement_at = now;
         }
     }
@@ -322,7 +322,7 @@
             task,
             place,
             preemption,
-            is_warm,
+            is_image_cached,
         } = *reserved;
         if place.shard != usize::from(self.shard) {
             self.next_remote_shard = place.shard as u16;
@@ -340,7 +340,7 @@
             attempt,
             machine = %slot.id,
             shard = place.shard,
-            has_image = is_warm,
+            has_image = is_image_cached,
             ?preemption,
             team,
             %team_usage,
--- a/crates/coordination/src/placer/queues.rs
+++ b/crates/coordination/src/placer/queues.rs
@@ -84,7 +84,7 @@
         }
         self.update_queue_position(id);
         self.update_write_queue(id, now);
-        self.remove_if_nothing_left(id);
+        self.remove_if_removable(id);
     }
 
     fn update_queue_position(&mut self, id: &JobId) {
@@ -139,7 +139,7 @@
         }
     }
 
-    fn remove_if_nothing_left(&mut self, id: &JobId) {
+    fn remove_if_removable(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id).filter(|job| job.is_removable()) else {
             return;
         };
--- a/crates/coordination/src/placer/quotas.rs
+++ b/crates/coordination/src/placer/quotas.rs
@@ -65,7 +65,7 @@
 
     /// Updates which attempts of a team run beyond its guaranteed quota. The quota is assigned
     /// to the highest priority first, then to the oldest job.
-    pub(super) fn update_quota_marks(&mut self, team: &str) {
+    pub(super) fn update_over_quota_flags(&mut self, team: &str) {
         // Without a guaranteed quota every attempt keeps its initial flag, beyond the quota.
         let Some(guaranteed) = self
             .guaranteed_quotas
--- a/crates/coordination/src/placer/requests.rs
+++ b/crates/coordination/src/placer/requests.rs
@@ -46,16 +46,16 @@
         return zones;
     }
     let max_per_zone = tasks.div_ceil(2);
-    let open: Vec<&str> = all_zones(indexes)
+    let below_max: Vec<&str> = all_zones(indexes)
         .into_iter()
         .filter(|zone| attempts_per_zone.get(*zone).copied().unwrap_or(0) < max_per_zone)
         .collect();
     Some(match zones {
         Some(zones) => zones
             .into_iter()
-            .filter(|zone| open.contains(zone))
+            .filter(|zone| below_max.contains(zone))
             .collect(),
-        None => open,
+        None => below_max,
     })
 }
 
--- a/crates/coordination/src/placer/units.rs
+++ b/crates/coordination/src/placer/units.rs
@@ -18,7 +18,7 @@
 /// Pending reason of a job that found no room.
 pub(super) const REASON_NO_ROOM: &str = "no machine has room; more are asked for";
 /// Pending reason of a suspect that found no room.
-const REASON_NO_TRIAL_ROOM: &str =
+const REASON_SUSPECT_NO_ROOM: &str =
     "its tasks failed; no machine that runs others has room for another try";
 /// Pending reason of a job whose team would exceed its quota limit.
 pub(super) const REASON_AT_LIMIT: &str = "its team is at its limit";
@@ -40,7 +40,7 @@
     /// restarted replica down.
     pub(super) needs_image: bool,
     /// The unit may only use room that costs little: no idle on-demand machines.
-    pub(super) is_frugal: bool,
+    pub(super) is_low_cost_only: bool,
 }
 
 impl Placer {
@@ -85,7 +85,7 @@
             return None;
         }
         let is_guaranteed = within_quota(&used_after, self.guaranteed_quotas.get(&job.team));
-        let is_frugal = spec.priority == Priority::Low
+        let is_low_cost_only = spec.priority == Priority::Low
             && !job.is_starved(now)
             && !self.must_begin_now(job, now);
         Some(PlacementUnit {
@@ -94,22 +94,22 @@
             is_first_low_priority_start,
             is_guaranteed,
             needs_image: self.fetch_is_too_slow(job, spec, is_guaranteed),
-            is_frugal,
+            is_low_cost_only,
         })
     }
 
     /// True if fetching a job's image takes longer than its start objective allows. Always true
     /// for a service that has run.
     fn fetch_is_too_slow(&self, job: &Job, spec: &JobSpec, is_guaranteed: bool) -> bool {
-        let by_class_s = self
+        let class_objective_s = self
             .start_objectives_s
             .get(&spec.class)
             .copied()
             .unwrap_or(f64::MAX);
         let objective_s = if is_guaranteed {
-            by_class_s.min(self.guaranteed_start_objective_s)
+            class_objective_s.min(self.guaranteed_start_objective_s)
         } else {
-            by_class_s
+            class_objective_s
         };
         // A restarted replica is down while its image is fetched.
         spec.image_gb * FETCH_SPREAD > objective_s * self.fetch_gb_per_s
@@ -121,7 +121,7 @@
     /// Pending reason of the job if no room is found.
     pub(super) fn no_room_reason(&self) -> &'static str {
         if self.is_suspect {
-            REASON_NO_TRIAL_ROOM
+            REASON_SUSPECT_NO_ROOM
         } else {
             REASON_NO_ROOM
         }
@@ -148,7 +148,7 @@
         spec.spread && job.tasks > 1,
         unit.tasks.len(),
         unit.is_suspect,
-        unit.is_frugal,
+        unit.is_low_cost_only,
     )
         .hash(&mut hasher);
     (
