--- a/crates/coordination/src/placer/jobs.rs
+++ b/crates/coordination/src/placer/jobs.rs
@@ -79,7 +79,7 @@
     /// compare-and-swap in flight: no owner has been told of them.
     pub(super) fn drop_unrecorded_attempts(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
-        info!(job_id = %id, shard = self.shard, live_attempts = job.live.len(), "job withdrawn");
+        info!(job_id = %id, shard = self.shard, live_attempts = job.live.len(), "dropping unrecorded attempts of a cancelled job");
         let is_in_flight = |task: u32| {
             self.in_flight
                 .as_ref()
