--- a/crates/coordination/src/placer/accounting.rs
+++ b/crates/coordination/src/placer/accounting.rs
@@ -1,5 +1,5 @@
-//! What each machine holds: live attempts, those that its owner's figures don't
-//! count yet, and room that is only reserved while a decision is made.
+//! Accounting of live attempts by team and machine, including attempts that the machines'
+//! published usage does not include yet and tentative reservations of a search.
 
 use lemonweir_model::{JobId, MachineId};
 
@@ -21,26 +21,26 @@
         }
     }
 
-    fn is(&self, job: &JobId, task: u32) -> bool {
+    fn matches(&self, job: &JobId, task: u32) -> bool {
         self.job == *job && self.task == task
     }
 }
 
-/// A machine by its place in the indexes.
+/// Position of a machine in the placement indexes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct SlotRef {
     pub(super) shard: usize,
     pub(super) slot: usize,
 }
 
-/// A machine on which room was reserved to see what else fits.
+/// A machine with a reservation that is reverted after a search.
 pub(super) struct TentativeUse {
     pub(super) machine: MachineId,
     shard: u16,
 }
 
 impl Placer {
-    /// Adds a live attempt wherever it counts.
+    /// Adds a live attempt to its job and to the usage of its team and machine.
     pub(super) fn add_attempt(&mut self, id: &JobId, task: u32, live: LiveAttempt) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -56,12 +56,12 @@
             .or_default()
             .insert(TaskKey::new(id, task));
         self.quota_dirty_teams.insert(job.team.clone());
-        // It begins as beyond the guaranteed quota.
+        // A new attempt counts as beyond the guaranteed quota until the flags are updated.
         job.uniform_over_quota = job.uniform_over_quota.filter(|&over| over);
         job.live.insert(task, live);
     }
 
-    /// Removes a live attempt wherever it counts.
+    /// Removes a live attempt from its job and from the usage of its team and machine.
     pub(super) fn remove_attempt(&mut self, id: &JobId, task: u32) -> Option<LiveAttempt> {
         let job = self.jobs.get_mut(id)?;
         let live = job.live.remove(&task)?;
@@ -70,53 +70,55 @@
         let team = job.team.clone();
         self.quota_dirty_teams.insert(team.clone());
         self.end_launch_hold(&team);
-        if let Some(here) = self.attempts_by_machine.get_mut(&live.machine) {
-            here.remove(&TaskKey::new(id, task));
-            if here.is_empty() {
+        if let Some(attempts) = self.attempts_by_machine.get_mut(&live.machine) {
+            attempts.remove(&TaskKey::new(id, task));
+            if attempts.is_empty() {
                 self.attempts_by_machine.remove(&live.machine);
             }
         }
-        self.attempt_observed(&live.machine, live.shard, id, task);
+        self.remove_unobserved(&live.machine, live.shard, id, task);
         Some(live)
     }
 
-    /// A view has shown an attempt: from now on the machine's own figures count it.
-    fn attempt_observed(&mut self, machine: &MachineId, shard: u16, id: &JobId, task: u32) {
+    /// Removes an attempt from those that the machine's published usage does not include
+    /// yet, and recomputes the machine's free resources.
+    fn remove_unobserved(&mut self, machine: &MachineId, shard: u16, id: &JobId, task: u32) {
         if let Some(uncounted) = self
             .owner_channels
             .get_mut(usize::from(shard))
             .and_then(|channel| channel.uncounted.get_mut(machine))
         {
-            uncounted.retain(|key| !key.is(id, task));
+            uncounted.retain(|key| !key.matches(id, task));
         }
-        let Some(here) = self.unobserved_attempts.get_mut(machine) else {
+        let Some(unobserved) = self.unobserved_attempts.get_mut(machine) else {
             return;
         };
-        if here.remove(&TaskKey::new(id, task)) {
-            if here.is_empty() {
+        if unobserved.remove(&TaskKey::new(id, task)) {
+            if unobserved.is_empty() {
                 self.unobserved_attempts.remove(machine);
             }
             self.refresh_usage(machine, shard);
         }
     }
 
-    /// The figures of a machine now count the attempts that its owner has accepted.
+    /// Handles new usage published for a machine: it includes the attempts that the owner
+    /// had accepted, so they are no longer added to it.
     pub(super) fn apply_machine_figures(&mut self, machine: &MachineId, shard: u16) {
         let counted = self.owner_channels[usize::from(shard)]
             .uncounted
             .remove(machine)
             .unwrap_or_default();
-        if let Some(here) = self.unobserved_attempts.get_mut(machine) {
-            here.retain(|attempt| !counted.contains(attempt));
-            if here.is_empty() {
+        if let Some(unobserved) = self.unobserved_attempts.get_mut(machine) {
+            unobserved.retain(|attempt| !counted.contains(attempt));
+            if unobserved.is_empty() {
                 self.unobserved_attempts.remove(machine);
             }
         }
         self.refresh_usage(machine, shard);
     }
 
-    /// Sets a machine's room to what its owner published, less what no view has
-    /// shown yet.
+    /// Recomputes a machine's free resources: those that its owner published, less the
+    /// attempts that the published usage does not include yet.
     pub(super) fn refresh_usage(&mut self, machine: &MachineId, shard: u16) {
         let Some(index) = self.indexes.get_mut(usize::from(shard)) else {
             return;
@@ -135,7 +137,7 @@
         }
     }
 
-    /// What [`Placer::release_tentative`] needs to undo a use of this machine.
+    /// Handle with which [`Placer::release_tentative`] reverts reservations on this machine.
     pub(super) fn tentative_use(&self, place: SlotRef) -> TentativeUse {
         TentativeUse {
             machine: self.indexes[place.shard].slots[place.slot].id.clone(),
@@ -143,7 +145,7 @@
         }
     }
 
-    /// Gives back room that was only reserved to decide by.
+    /// Reverts the tentative reservations on these machines.
     pub(super) fn release_tentative(&mut self, uses: impl IntoIterator<Item = TentativeUse>) {
         for TentativeUse { machine, shard } in uses {
             self.refresh_usage(&machine, shard);
