--- a/crates/coordination/src/placer/owner_channel.rs
+++ b/crates/coordination/src/placer/owner_channel.rs
@@ -1,4 +1,5 @@
-//! The exchange with one owner: what it has to be sent, and what it acknowledged.
+//! Exchange with the owner of one shard: which changes it has to be sent, and which it has
+//! acknowledged.
 
 use std::collections::HashMap;
 
@@ -12,42 +13,42 @@
 use super::accounting::TaskKey;
 use crate::change_log::ChangeLog;
 
-/// Bytes that the progress of a job takes in a message, with a usual reason.
+/// Bytes of a job's progress in a message, with a wait reason of typical length.
 const PROGRESS_BYTES: usize = 80;
-/// Bytes of stops that a message may hold beyond its other changes.
+/// Bytes of stops that a message may hold in addition to its other changes.
 const MAX_STOPS_BYTES: usize = 4 * 1024;
 
-/// What passes between this placer and one owner.
+/// State of the exchange between this placer and one owner.
 #[derive(Default)]
 pub(super) struct OwnerChannel {
     /// Fencing token of the owner that the desired state is sent to.
     pub(super) recipient_token: u64,
-    /// Number of the last message. A shard's numbers rise over all its leaders.
+    /// Sequence number of the last message; it increases across all leaders of the shard.
     pub(super) last_sent_seq: u64,
     /// Every recorded attempt on the owner's machines.
     pub(super) desired: ChangeLog<AttemptId, DesiredAttempt>,
-    /// State of `desired` that was sent, and that the owner acknowledged.
+    /// Newest change of `desired` that was sent, and that the owner acknowledged.
     pub(super) desired_sent: u64,
     pub(super) desired_acked: u64,
-    /// State of the jobs' progress that was sent, and that the owner's node has.
+    /// Newest change of the jobs' progress that was sent, and that the owner's node has.
     pub(super) progress_sent: u64,
     pub(super) progress_acked: u64,
-    /// Fencing token of the owner whose views are applied, the number of the newest
-    /// one, and the states that it brought.
+    /// Fencing token of the owner whose views are applied, the sequence number of the
+    /// newest one, and the revisions that it led to.
     pub(super) observed_token: u64,
     pub(super) last_view_seq: u64,
     pub(super) observed: ObservedState,
-    /// Attempts that the owner has accepted, by machines whose figures have not come
-    /// since.
+    /// Accepted attempts that the published usage of their machine does not include yet,
+    /// by machine.
     pub(super) uncounted: HashMap<MachineId, Vec<TaskKey>>,
-    /// It is reached through the store only.
+    /// True if the owner is reached only through messages in the store.
     pub(super) via_store: bool,
-    /// When its last view came, ms.
+    /// When the owner's last view arrived, ms.
     pub(super) last_view_at: Option<u64>,
 }
 
 impl OwnerChannel {
-    /// A channel of a placer with this fencing token.
+    /// Creates the channel of a placer with this fencing token.
     pub(super) fn new(fencing_token: u64) -> Self {
         Self {
             last_sent_seq: fencing_token << MACHINE_TOKEN_BITS,
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Begins anew with another owner.
+    /// Resets the acknowledgements if the shard has another owner than before.
     fn set_recipient(&mut self, token: u64) {
         if self.recipient_token != token {
             (
@@ -66,9 +67,9 @@
         }
     }
 
-    /// The owner acknowledged a state of `desired`, and the progress that was sent.
+    /// Applies an acknowledgement of `desired` up to a change, and of all progress sent.
     pub(super) fn acknowledge(&mut self, desired_at: u64) {
-        // An owner that has less than it once acknowledged starts from nothing.
+        // An owner that has less than it once acknowledged is sent everything again.
         self.desired_acked = if desired_at < self.desired_acked {
             0
         } else {
@@ -82,10 +83,10 @@
     }
 }
 
-/// The first of some items, as many as take so many bytes.
+/// Takes items from the front while they fit into `bytes`.
 ///
-/// Guards against a message through the store that is too large for it, and so never
-/// delivers the stops that it holds.
+/// Guards against a message that is too large for the store, so that the stops in it are
+/// never delivered.
 fn take_fitting<T>(
     items: impl Iterator<Item = T>,
     mut bytes: usize,
@@ -99,7 +100,8 @@
     items.take_while(fits).collect()
 }
 
-/// Stops in the desired state that are newer than a state of it, with their grace in s.
+/// Stops in the desired state newer than change `upto`, with their grace in s, as many as
+/// fit into `bytes`.
 fn stops_after(
     desired: &ChangeLog<AttemptId, DesiredAttempt>,
     upto: u64,
@@ -113,75 +115,76 @@
 }
 
 impl Placer {
-    /// True if an owner with this token has not been sent all of the desired state.
+    /// True if the owner with this fencing token has not been sent all of the desired state.
     pub fn has_unsent_changes(&mut self, to: u16, to_token: u64) -> bool {
         self.publish_changes();
         let channel = &self.owner_channels[usize::from(to)];
         channel.recipient_token != to_token || channel.desired.last() > channel.desired_sent
     }
 
-    /// Notes whether an owner is reached through the store only.
+    /// Records whether an owner is reached only through messages in the store.
     pub fn set_via_store(&mut self, to: u16, via_store: bool) {
         self.owner_channels[usize::from(to)].via_store = via_store;
     }
 
-    /// Notes that the last message to an owner was lost.
+    /// Marks everything that an owner has not acknowledged as unsent, after its last message
+    /// was lost.
     pub fn message_lost(&mut self, to: u16) {
         let channel = &mut self.owner_channels[usize::from(to)];
         channel.desired_sent = channel.desired_acked;
         channel.progress_sent = channel.progress_acked;
     }
 
-    /// Fencing token of the owner of a shard that was last sent the desired state.
+    /// Fencing token of the owner that was last sent the desired state of a shard.
     pub(crate) fn recipient_token(&self, shard: u16) -> Option<u64> {
         self.owner_channels
             .get(usize::from(shard))
             .map(|channel| channel.recipient_token)
     }
 
-    /// The next message to an owner, with changes of `room` bytes. Progress of jobs is
-    /// for answers at other nodes only, and goes where there is room for it.
+    /// Builds the next message to an owner, with changes of up to `budget` bytes. Progress of
+    /// jobs only serves status answers at other nodes, so it takes the bytes that are left.
     pub fn sync_request(
         &mut self,
         to: u16,
         to_token: u64,
-        mut room: usize,
+        mut budget: usize,
         with_progress: bool,
         now: u64,
     ) -> SyncRequest {
         self.publish_changes();
-        // What stands beside the changes gets a share each: together with them it is
-        // twice `room` at the most.
-        let share = room / 4;
+        // Stops, instances and reserved machines get a share each in addition to the
+        // changes: the message is at most twice `budget`.
+        let share = budget / 4;
         let channel = &mut self.owner_channels[usize::from(to)];
         channel.set_recipient(to_token);
         channel.last_sent_seq += 1;
-        let (span, changes) =
+        let (sent_range, changes) =
             channel
                 .desired
-                .changes_since(channel.desired_acked, &mut room, |_, attempt| {
+                .changes_since(channel.desired_acked, &mut budget, |_, attempt| {
                     attempt.map_or(ENCODED_ATTEMPT_BYTES, encoded_len)
                 });
-        channel.desired_sent = span.until;
-        let (mut wants, mut dropped) = (Vec::new(), Vec::new());
+        channel.desired_sent = sent_range.until;
+        let (mut changed, mut removed) = (Vec::new(), Vec::new());
         for (id, attempt) in changes {
             match attempt {
-                Some(attempt) => wants.push(attempt.clone()),
-                None => dropped.push(id.clone()),
+                Some(attempt) => changed.push(attempt.clone()),
+                None => removed.push(id.clone()),
             }
         }
-        // Guards against a stop that waits behind hundreds of starts where a message
-        // holds few.
-        let stops = if span.complete {
+        // Guards against a stop that waits behind hundreds of starts when a message holds
+        // only a few.
+        let stops = if sent_range.complete {
             Vec::new()
         } else {
             stops_after(
                 &channel.desired,
-                span.until,
-                room.max(MAX_STOPS_BYTES.min(share)),
+                sent_range.until,
+                budget.max(MAX_STOPS_BYTES.min(share)),
             )
         };
-        let (seq, have) = (
+        let (seq, observed_state) = (
             channel.last_sent_seq,
             if channel.observed_token == to_token {
                 channel.observed
@@ -189,8 +192,8 @@
                 ObservedState::default()
             },
         );
-        let notes = if with_progress {
-            self.unsent_progress(to, room)
+        let job_progress = if with_progress {
+            self.unsent_progress(to, budget)
         } else {
             Vec::new()
         };
@@ -202,25 +205,25 @@
             to_fencing_token: to_token,
             seq,
             store_age_ms: u64::MAX,
-            range: span,
-            desired: wants,
-            withdrawn: dropped,
+            range: sent_range,
+            desired: changed,
+            withdrawn: removed,
             stops,
-            observed: have,
+            observed: observed_state,
             misrouted_heartbeats: 0,
             provisioned: self.pending_instances_of(to, share, now),
             reserved_machines: self.reserved_machines_of(to, share),
-            progress: notes,
+            progress: job_progress,
         }
     }
 
-    /// Progress of jobs that an owner's node does not have yet, in `room` bytes.
-    fn unsent_progress(&mut self, to: u16, mut room: usize) -> Vec<JobProgress> {
+    /// Progress of jobs that an owner's node does not have yet, up to `budget` bytes.
+    fn unsent_progress(&mut self, to: u16, mut budget: usize) -> Vec<JobProgress> {
         let channel = &mut self.owner_channels[usize::from(to)];
-        let (span, changes) =
+        let (range, changes) =
             self.job_progress
-                .changes_since(channel.progress_acked, &mut room, |_, _| PROGRESS_BYTES);
-        channel.progress_sent = span.until;
+                .changes_since(channel.progress_acked, &mut budget, |_, _| PROGRESS_BYTES);
+        channel.progress_sent = range.until;
         changes
             .into_iter()
             .filter_map(|(job, progress)| {
@@ -234,7 +237,8 @@
             .collect()
     }
 
-    /// Instances provisioned for a shard that its owner may not know yet.
+    /// Instances provisioned for a shard that no view of its owner has shown yet, up to
+    /// `bytes`.
     fn pending_instances_of(&self, shard: u16, bytes: usize, now: u64) -> Vec<ProvisionedInstance> {
         let instances = self
             .pending_instances
@@ -247,7 +251,8 @@
         take_fitting(instances, bytes, encoded_len)
     }
 
-    /// Empty machines of a shard that its owner should keep for expected work.
+    /// Empty machines of a shard that its owner should keep for expected work, up to
+    /// `bytes`.
     fn reserved_machines_of(&self, shard: u16, bytes: usize) -> Vec<MachineId> {
         let index = &self.indexes[usize::from(shard)];
         let machines = self
--- a/crates/coordination/src/placer/partitions.rs
+++ b/crates/coordination/src/placer/partitions.rs
@@ -1,5 +1,5 @@
-//! Zones that their owner can't reach, and indexes of machines that nothing is
-//! known of yet.
+//! Partitioned zones as their owners report them, and the empty machine indexes of shards
+//! without a view yet.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,16 +9,16 @@
 use crate::job::Job;
 use crate::placement::PlacementIndex;
 
-/// A zone that its owner can't reach.
+/// A zone that is partitioned from its owner.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ZonePartition {
-    /// Since when, ms.
+    /// Since when it is partitioned, ms.
     pub(super) since: u64,
-    /// When what ran there is proven to have ended, ms.
+    /// When the attempts there are proven to have ended, ms.
     pub(super) attempts_end_at: u64,
 }
 
-/// The partitioned zone that an attempt of a job is in.
+/// The first partitioned zone found that holds a live attempt of a job.
 pub(super) fn partition_of<'a>(
     job: &Job,
     partitions: &'a [BTreeMap<String, ZonePartition>],
@@ -30,8 +30,8 @@
     })
 }
 
-/// An index of another shard's machines before its owner has published any. Each
-/// shard's searches begin elsewhere, so that placers don't meet on one machine.
+/// Index of a shard's machines before its owner has published any. Each placer's searches
+/// start at another offset, so that placers don't all choose the same machine.
 pub(super) fn empty_index(own_shard: u16, shard: u16, shards: u16) -> PlacementIndex {
     PlacementIndex::with_start_offset(
         usize::from((shard + shards - own_shard % shards.max(1)) % shards.max(1)),
@@ -40,7 +40,7 @@
 }
 
 impl Placer {
-    /// Zones that their owners can't reach.
+    /// Zones that are partitioned from their owners.
     pub fn partitioned_zones(&self) -> BTreeSet<&str> {
         self.partitions
             .iter()
@@ -48,7 +48,7 @@
             .collect()
     }
 
-    /// Applies what an owner says of its partitioned zones.
+    /// Replaces a shard's partitioned zones by those that its owner reports.
     pub(super) fn apply_partitions(&mut self, shard: u16, zones: Vec<PartitionedZone>, now: u64) {
         let Some(before) = self.partitions.get_mut(usize::from(shard)) else {
             return;
@@ -70,7 +70,8 @@
         let before = std::mem::replace(before, after);
         let after = &self.partitions[usize::from(shard)];
         let has_changed = |zone: &String| before.contains_key(zone) != after.contains_key(zone);
-        // What is published of their jobs changes, and where capacity may be asked for.
+        // The published status of the jobs there changes, and so do the zones in which
+        // capacity may be requested.
         for (id, job) in &self.jobs {
             if job
                 .live
--- a/crates/coordination/src/placer/reconciliation.rs
+++ b/crates/coordination/src/placer/reconciliation.rs
@@ -1,5 +1,5 @@
-//! Reconciliation with an owner's view of its shard: which attempts it has in
-//! which state, and what its machines hold.
+//! Reconciliation with the owners' views of their shards: the states of the attempts, and
+//! the machines with their usage.
 
 use lemonweir_model::MachineId;
 use lemonweir_model::constants::MACHINE_TOKEN_BITS;
@@ -10,7 +10,8 @@
 use super::partitions::empty_index;
 
 impl Placer {
-    /// Applies an owner's answer; true if something changed that placing should see.
+    /// Applies an owner's view of its shard; true if it holds changes that matter for
+    /// placement.
     pub fn apply_view(&mut self, mut view: ShardView, now: u64) -> bool {
         if !self.accepts_view(&view) {
             return false;
@@ -52,15 +53,15 @@
         has_news
     }
 
-    /// True if a view is newer than the last one and answers what was sent.
+    /// True if a view is newer than the last one and answers a message of this placer.
     fn accepts_view(&self, view: &ShardView) -> bool {
         let Some(channel) = self.owner_channels.get(usize::from(view.shard)) else {
             return false;
         };
         let is_old = view.fencing_token < channel.observed_token
             || view.fencing_token == channel.observed_token && view.seq <= channel.last_view_seq;
-        // Guards against an answer to an earlier leader's message that comes late
-        // through the store: it acknowledges what this one never sent.
+        // Guards against an answer to an earlier leader's message that arrives late through
+        // the store: it acknowledges changes that this placer never sent.
         let is_to_earlier_leader = view.seq <= self.fencing_token << MACHINE_TOKEN_BITS;
         if is_old || is_to_earlier_leader {
             return false;
@@ -79,7 +80,7 @@
         !is_impossible
     }
 
-    /// Notes from whom and when the newest view came.
+    /// Records the sender, the sequence number and the arrival time of the newest view.
     fn record_view(&mut self, view: &ShardView, now: u64) {
         let channel = &mut self.owner_channels[usize::from(view.shard)];
         if view.fencing_token > channel.observed_token {
@@ -90,7 +91,7 @@
         channel.last_view_at = Some(now);
     }
 
-    /// Applies what a view says of the machines.
+    /// Applies the machines of a view to the index of its shard.
     fn apply_machines(&mut self, view: ShardView, continuation: &Continuation, now: u64) {
         let shard = view.shard;
         match continuation {
@@ -107,7 +108,7 @@
             self.apply_machine(machine, shard, now);
         }
         if view.machines_range.complete {
-            // All figures are as new as the states of the attempts.
+            // The published usage of all machines is now as new as the attempt states.
             let machines: Vec<MachineId> = self.owner_channels[usize::from(shard)]
                 .uncounted
                 .keys()
@@ -124,20 +125,20 @@
     }
 
     fn apply_machine(&mut self, machine: MachineView, shard: u16, now: u64) {
-        let (id, is_leaving) = (machine.id.clone(), machine.draining);
+        let (id, is_draining) = (machine.id.clone(), machine.draining);
         let cache_mb = self
             .cache_mb_by_type
             .get(&machine.machine_type)
             .copied()
             .unwrap_or(u64::MAX);
-        let spare_mb = self
+        let headroom_mb = self
             .image_usage
             .cache_headroom_mb(&machine.cached_images, cache_mb);
         let index = &mut self.indexes[usize::from(shard)];
         index.upsert(machine);
-        index.set_cache_headroom(&id, spare_mb);
+        index.set_cache_headroom(&id, headroom_mb);
         self.apply_machine_figures(&id, shard);
-        if is_leaving {
+        if is_draining {
             self.evict_machine(&id, shard, now);
         }
     }
--- a/crates/coordination/src/placer/records.rs
+++ b/crates/coordination/src/placer/records.rs
@@ -1,5 +1,5 @@
-//! What this placer finds in the store, and what follows from the end of a
-//! compare-and-swap.
+//! Loading of task records from the store, and the outcomes of compare-and-swaps that write
+//! them.
 
 use std::collections::BTreeSet;
 
@@ -14,8 +14,8 @@
 use super::{CompareAndSwapOutcome, Placer, ShardOwnership};
 use crate::job::{Job, LiveAttempt, TaskChunk};
 
-/// ms after which a record is written again that the store rejected for its size: it
-/// may have fewer live attempts by then.
+/// ms after which a record that the store rejected for its size is written again: it may
+/// hold fewer live attempts by then.
 const REJECTED_RECORD_BACKOFF_MS: u64 = 5_000;
 
 impl Placer {
@@ -25,8 +25,8 @@
         job.team = record.team.clone();
         job.need = record.task_resources;
         job.next_attempt = job.next_attempt.max(record.next_attempt);
-        // Guards against a service that lost most of its replicas with its
-        // controller and comes behind others that are whole.
+        // Guards against a service that lost most of its replicas with its controller and is
+        // queued behind services that have all of theirs.
         job.has_run |= !record.live_attempts.is_empty();
         let (first, end) = (chunk * TASKS_PER_CHUNK, (chunk + 1) * TASKS_PER_CHUNK);
         job.chunks.insert(
@@ -64,7 +64,7 @@
         self.update_indexes(id, 0);
     }
 
-    /// A key of this shard was read again after a conflict.
+    /// Sets the version of a chunk that was read again after a conflict.
     pub fn apply_reread_version(&mut self, id: &JobId, chunk: u32, version: u64) {
         if let Some(chunk) = self
             .jobs
@@ -75,8 +75,8 @@
         }
     }
 
-    /// Applies how the compare-and-swap in flight ended. Returns the jobs whose end is
-    /// now written.
+    /// Applies the outcome of the compare-and-swap in flight. Returns the jobs whose end it
+    /// has written.
     pub fn apply_cas_outcome(
         &mut self,
         outcome: CompareAndSwapOutcome,
@@ -108,7 +108,7 @@
         (ShardOwnership::Held, Vec::new())
     }
 
-    /// Notes what a compare-and-swap has written, at this revision.
+    /// Marks the chunks of a compare-and-swap as written at this revision.
     pub(super) fn apply_written(&mut self, written: &InFlightCas, revision: u64, now: u64) {
         for write in &written.chunks {
             let Some(job) = self.jobs.get_mut(&write.job) else {
@@ -138,7 +138,7 @@
         ends.into_iter().map(|end| (end.job, end.phase)).collect()
     }
 
-    /// Notes the jobs whose keys had another version than this placer's copy.
+    /// Marks the jobs whose keys had another version than this placer's copy.
     fn mark_stale_copies(&mut self, versions: Vec<JobVersion>, conflicts: &[String], now: u64) {
         for JobVersion { job: id, version } in versions {
             if conflicts.contains(&job_key(&id)) {
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Notes the chunks that may have been created or not.
+    /// Marks the chunks of which it is not known whether they were created.
     fn mark_indeterminate(&mut self, in_flight: &InFlightCas) {
         for write in &in_flight.chunks {
             if let Some(chunk) = self
@@ -163,11 +163,11 @@
         }
     }
 
-    /// Drops starts of jobs that were withdrawn while a compare-and-swap with them was
-    /// in flight, which was not committed or may not have been: no owner has learned of
-    /// them.
+    /// Drops unrecorded starts of jobs that were cancelled while a compare-and-swap with
+    /// them was in flight that was not committed, or may not have been. No owner has learned
+    /// of these starts.
     fn drop_uncommitted_starts(&mut self, in_flight: &InFlightCas) {
-        let is_withdrawn = |id: &&JobId| {
+        let is_cancelled = |id: &&JobId| {
             self.jobs
                 .get(id)
                 .is_some_and(|job| !job.ended && job.is_stopping())
@@ -176,7 +176,7 @@
             .chunks
             .iter()
             .map(|write| &write.job)
-            .filter(is_withdrawn)
+            .filter(is_cancelled)
             .cloned()
             .collect();
         for id in ids {
@@ -185,10 +185,10 @@
         }
     }
 
-    /// The store rejected a compare-and-swap for its size.
+    /// Handles a compare-and-swap that the store rejected for its size: its records are
+    /// retried one at a time, and a record that is rejected on its own backs off.
     ///
-    /// Guards against one record that is too large and keeps all others from being
-    /// written: each is tried by itself, and what is rejected by itself backs off.
+    /// Guards against one oversized record that keeps all others from being written.
     fn back_off_rejected(&mut self, in_flight: &InFlightCas, now: u64) {
         if in_flight.record_count() > 1 {
             self.max_records_per_cas = 1;
