--- a/crates/coordination/src/placer/escalation.rs
+++ b/crates/coordination/src/placer/escalation.rs
@@ -1,13 +1,13 @@
-//! Escalation for services that don't come up within their time, without staff.
+//! Automatic escalation for services whose recovery is overdue.
 //!
-//! The usual way has already preempted, asked for machines of every type and zone
-//! that is allowed, and left out what fails. Escalation only does what that does not,
-//! and only for a service that has waited for longer than the step should take:
+//! Regular placement already preempts, requests instances of every allowed type and
+//! zone, and avoids machines on which the service failed. Escalation adds what regular
+//! placement does not do, and only once a recovery activity takes longer than expected:
 //!
-//! | late at | tried |
+//! | overdue activity | escalation |
 //! | --- | --- |
-//! | coming up | a replica leaves a machine that has not got it up for one that has its image and room |
-//! | finding room | machines that the service avoided are taken again; what the cloud had none of is noted |
+//! | starting | moves a stalled replica to a machine with its image cached and free resources |
+//! | awaiting capacity | makes avoided machines eligible again; records pools without capacity |
 
 use lemonweir_model::{JobId, JobSpec, MachineId};
 use lemonweir_protocol::peer::AttemptState;
@@ -16,7 +16,7 @@
 use super::Placer;
 use super::accounting::{SlotRef, TentativeUse};
 use super::requests::{allowed_zones, replica_request};
-use super::supervision::START_STEP_MS;
+use super::supervision::MAX_START_STEP_MS;
 use super::units::FETCH_SPREAD;
 use crate::autoscaler::CapacityShortages;
 use crate::image_locality::scoring::{ImageLocality, placement_classes};
@@ -24,11 +24,11 @@
 use crate::placement::{Candidate, CandidateWalk};
 use crate::supervision::services::{EscalationStep, RecoveryActivity, RecoveryAttempt};
 
-/// Services that one look escalates for, so that hundreds that are late at once don't
-/// hold up heartbeats: ten looks a second come to all of them soon.
-const MAX_SERVICES_PER_LOOK: usize = 16;
+/// Services that one call escalates at most, so that hundreds of overdue services don't
+/// delay heartbeats. At ten calls a second all of them are reached soon.
+const MAX_SERVICES_PER_CALL: usize = 16;
 
-/// A replica that has been on its way up for too long.
+/// A replica that has been starting for too long.
 struct StalledReplica {
     task: u32,
     machine: MachineId,
@@ -36,13 +36,13 @@
 }
 
 impl Placer {
-    /// Tries another way for services that are late.
+    /// Takes the escalation steps that apply to each service whose recovery is overdue.
     pub(crate) fn escalate(&mut self, shortage: &CapacityShortages, now: u64) {
-        for id in self.services.overdue(now, MAX_SERVICES_PER_LOOK) {
-            let Some(doing) = self.services.get(&id).map(|s| s.observation.activity) else {
+        for id in self.services.overdue(now, MAX_SERVICES_PER_CALL) {
+            let Some(activity) = self.services.get(&id).map(|s| s.observation.activity) else {
                 continue;
             };
-            let attempts = match doing {
+            let attempts = match activity {
                 RecoveryActivity::Starting => self.relocate_stalled_replicas(&id, now),
                 RecoveryActivity::AwaitingCapacity => self.widen_placement(&id, shortage, now),
                 _ => Vec::new(),
@@ -54,12 +54,12 @@
         }
     }
 
-    /// Replicas that have been on their way up for longer than their fetch can take
-    /// leave their machines for others that have the image, where such are.
+    /// Stops replicas that have been starting for longer than their fetch should take, if
+    /// another machine has the image cached. Their next attempts avoid the old machines.
     ///
-    /// Guards against a replica that is down for as long as a slow or stuck machine
-    /// likes, while another could serve at once. Where none could, what is left of
-    /// the fetch is the shortest way.
+    /// Guards against a replica that stays down on a slow or stuck machine while another
+    /// machine could start it at once. Without such a machine, waiting for the rest of the
+    /// fetch is the fastest option.
     fn relocate_stalled_replicas(&mut self, id: &JobId, now: u64) -> Vec<RecoveryAttempt> {
         let Some(record) = self.jobs.get(id).and_then(|job| job.record.clone()) else {
             return Vec::new();
@@ -69,9 +69,9 @@
             return Vec::new();
         };
         let mut attempts = Vec::new();
-        let mut taken: Vec<TentativeUse> = Vec::new();
+        let mut reservations: Vec<TentativeUse> = Vec::new();
         for replica in self.stalled_replicas(id, spec, now) {
-            let Some(place) = self.find_warm_place(id, spec, &replica, now) else {
+            let Some(place) = self.find_place_with_image(id, spec, &replica, now) else {
                 continue;
             };
             let target = self.tentative_use(place);
@@ -90,7 +90,7 @@
                     target.machine
                 ),
             });
-            taken.push(target);
+            reservations.push(target);
             if let Some(job) = self.jobs.get_mut(id) {
                 if let Some(live) = job.live.get_mut(&task) {
                     live.stop_grace_s = Some(0);
@@ -98,8 +98,9 @@
                 job.avoid_machine(&machine);
             }
         }
-        // Only counted: it is placed once its old attempt is proven to have ended.
-        self.release_tentative(taken);
+        // The reservations only serve this search: a replica is placed once its old attempt
+        // is proven to have ended.
+        self.release_tentative(reservations);
         if !attempts.is_empty() {
             self.update_indexes(id, now);
         }
@@ -111,7 +112,7 @@
             return Vec::new();
         };
         let fetch_ms = self.max_fetch_ms(spec);
-        let is_coming_up = |live: &LiveAttempt| {
+        let is_starting = |live: &LiveAttempt| {
             live.stop_grace_s.is_none()
                 && live.placed_at > 0
                 && matches!(
@@ -120,7 +121,7 @@
                 )
         };
         let is_late = |live: &LiveAttempt| {
-            // Fetches beside it take their share of the rate.
+            // Concurrent fetches on the machine share its fetch rate.
             let fetches = self
                 .indexes
                 .get(usize::from(live.shard))
@@ -130,11 +131,11 @@
                         .map(|slot| index.slots[slot].fetch_count)
                 })
                 .unwrap_or(0);
-            now >= live.placed_at + fetch_ms * u64::from(fetches.max(1)) + START_STEP_MS
+            now >= live.placed_at + fetch_ms * u64::from(fetches.max(1)) + MAX_START_STEP_MS
         };
         job.live
             .iter()
-            .filter(|(_, live)| is_coming_up(live) && is_late(live))
+            .filter(|(_, live)| is_starting(live) && is_late(live))
             .map(|(&task, live)| StalledReplica {
                 task,
                 machine: live.machine.clone(),
@@ -143,8 +144,8 @@
             .collect()
     }
 
-    /// Another machine for a replica, one that has its image.
-    fn find_warm_place(
+    /// Finds another machine that has a stalled replica's image cached.
+    fn find_place_with_image(
         &self,
         id: &JobId,
         spec: &JobSpec,
@@ -170,17 +171,19 @@
         let request = replica_request(spec, zones, &avoid);
         let order = self.shard_search_order();
         let scoring = self.scoring_inputs(id, Some(replica.task), &request, &order, now);
-        let mut warm = placement_classes(&self.trade, &scoring.risk);
-        warm.retain(|class| class.image_locality == ImageLocality::Cached);
+        let mut cached = placement_classes(&self.trade, &scoring.risk);
+        cached.retain(|class| class.image_locality == ImageLocality::Cached);
         CandidateWalk::new(&self.indexes, &order, &request, &scoring.placed_replicas)
-            .find(&warm)
+            .find(&cached)
             .map(|Candidate { shard, slot, .. }| SlotRef { shard, slot })
     }
 
-    /// A service that found no room for as long as a machine takes to come.
+    /// Makes the machines that a service avoids eligible again, after it found no free
+    /// resources for longer than a new instance takes to boot, and records which pools have
+    /// no capacity.
     ///
-    /// Guards against a service that waits beside room on machines that it left
-    /// long ago, because it failed there once or was moved away.
+    /// Guards against a service that waits although machines have free resources which it
+    /// avoids only because it failed there once or was moved away.
     fn widen_placement(
         &mut self,
         id: &JobId,
@@ -191,7 +194,7 @@
             return Vec::new();
         };
         let has_tried = |step| service.attempts.iter().any(|attempt| attempt.step == step);
-        let (has_lifted, has_asked) = (
+        let (exclusions_lifted, instances_requested) = (
             has_tried(EscalationStep::LiftExclusions),
             has_tried(EscalationStep::RequestInstances),
         );
@@ -199,7 +202,7 @@
             return Vec::new();
         };
         let mut attempts = Vec::new();
-        if !job.avoided_machines.is_empty() && !has_lifted {
+        if !job.avoided_machines.is_empty() && !exclusions_lifted {
             let machines = job.avoided_machines.len();
             job.avoided_machines.clear();
             self.placement_due = true;
@@ -209,7 +212,7 @@
                 description: format!("{machines} machines that it avoided may take it again"),
             });
         }
-        if !has_asked {
+        if !instances_requested {
             attempts.push(RecoveryAttempt {
                 step: EscalationStep::RequestInstances,
                 at_ms: now,
@@ -219,7 +222,7 @@
         attempts
     }
 
-    /// ms that a fetch of a job's image takes on a slow machine.
+    /// ms that fetching a job's image takes on a slow machine.
     pub(super) fn max_fetch_ms(&self, spec: &JobSpec) -> u64 {
         (spec.image_gb * FETCH_SPREAD * 1_000.0 / self.fetch_gb_per_s.max(f64::MIN_POSITIVE)) as u64
     }
--- a/crates/coordination/src/placer/rebalancing.rs
+++ b/crates/coordination/src/placer/rebalancing.rs
@@ -1,5 +1,5 @@
-//! Rebalancing: replicas are consolidated, so that machines can be released, and moved
-//! from places that risk much to better ones.
+//! Rebalancing of service replicas: consolidates them, so that machines can be released,
+//! and relocates those whose colocation costs more than a move.
 
 use std::collections::HashMap;
 use std::ops::Bound;
@@ -21,25 +21,25 @@
 use crate::placement::PlacementRequest;
 use crate::placement::{Candidate, CandidateShard, CandidateWalk};
 
-/// ms without any lack of room after which replicas are consolidated.
+/// ms without a shortage of resources or a placement after which replicas are rebalanced.
 const QUIET_PERIOD_MS: u64 = 20_000;
-/// ms between two machines whose replicas are moved: each is down for some
-/// tenths of a second, which must not add up in any half minute.
+/// ms between two rebalancing moves: a moved replica is down for some tenths of a second,
+/// and these must not add up in any half minute.
 const MOVE_INTERVAL_MS: u64 = 8_000;
-/// Share of a placer's replicas that may be moved at a time, where that is more
-/// than one machine's: each is down for some tenths of a second, so this costs
-/// less than a thousandth of any half minute.
+/// Fraction of a placer's replicas that may be moved at a time, if that is more than one
+/// machine's. Each is down for some tenths of a second, so that less than a thousandth of
+/// any half minute is lost.
 const MAX_MOVED_SHARE: f64 = 0.07;
-/// Machines looked at for that at a time: the look tries each replica on all
-/// others.
+/// Machines considered for consolidation at a time: each of their replicas is tried on all
+/// other machines.
 const MAX_CANDIDATES: usize = 48;
-/// ms that a replica stays where it is before it is moved again.
+/// ms that a replica must have been on its machine before it may be moved.
 const MIN_STAY_MS: u64 = 60_000;
-/// ms for which a replica is down that moves to a machine with its image: a stop
-/// and a start through their owners.
+/// ms for which a replica is down when it moves to a machine with its image: a stop and a
+/// start through the owners of the machines.
 const MOVE_DOWNTIME_MS: u64 = 700;
-/// Services looked at for a better place at a time: each look is a search or two.
-const MAX_SERVICES_PER_LOOK: usize = 16;
+/// Services considered for relocation at a time: each takes a search or two.
+const MAX_SERVICES_PER_CALL: usize = 16;
 
 /// A machine whose replicas might be moved to others.
 struct ConsolidationCandidate {
@@ -55,52 +55,54 @@
 }
 
 impl Placer {
-    /// Moves the replicas of one machine to others in use, if all of them fit
-    /// there and nothing has lacked room for a while: the machine can then be
-    /// released. A replica that moves is down for as long as a stop and a
-    /// start take, so this is done one machine at a time.
+    /// Moves all replicas of some machines to others in use, so that the emptied machines can
+    /// be released, if nothing has lacked resources for a while. A moved replica is down for
+    /// as long as a stop and a start take, so only few machines are emptied at a time. If
+    /// none can be, relocates single replicas.
     ///
-    /// Placers take turns by the time of day, so that two of them don't count
-    /// on the same room: a replica that then finds none waits for an image.
+    /// Placers take turns by the time of day, so that no two of them count on the same free
+    /// resources: a replica that then finds none waits for a fetch of its image.
     pub fn consolidate_replicas(&mut self, now: u64, time_of_day_ms: u64) {
         if !self.may_rebalance(now, time_of_day_ms) {
             return;
         }
-        // Look again soon, but not at every event: the look goes through everything.
+        // If nothing moves, the next call that searches comes soon, but not at every event:
+        // the search covers all jobs and machines.
         self.last_rebalance_at = (now + SHARD_VIEW_REFRESH_MS).saturating_sub(MOVE_INTERVAL_MS);
         if self.has_moving_replicas() {
             return;
         }
         let candidates = self.consolidation_candidates(now);
         let mut moves_left = self.max_moves();
-        let mut leaving: Vec<MachineId> = Vec::new();
-        let mut taken: Vec<TentativeUse> = Vec::new();
+        let mut emptied: Vec<MachineId> = Vec::new();
+        let mut reservations: Vec<TentativeUse> = Vec::new();
         for ConsolidationCandidate { replicas, machine } in candidates {
-            // One machine at least, however few replicas there are.
-            if !leaving.is_empty() && replicas > moves_left
-                || taken.iter().any(|used| used.machine == machine)
+            // At least one machine, however few replicas the limit allows.
+            if !emptied.is_empty() && replicas > moves_left
+                || reservations.iter().any(|used| used.machine == machine)
             {
                 continue;
             }
-            leaving.push(machine);
-            if self.reserve_elsewhere(&leaving, &mut taken, now) {
+            emptied.push(machine);
+            if self.reserve_elsewhere(&emptied, &mut reservations, now) {
                 moves_left = moves_left.saturating_sub(replicas);
             } else {
-                leaving.pop();
+                emptied.pop();
             }
         }
-        self.release_tentative(taken);
-        if leaving.is_empty() {
-            self.relocate_exposed_replicas(moves_left, now);
+        self.release_tentative(reservations);
+        if emptied.is_empty() {
+            self.relocate_replicas(moves_left, now);
         }
-        for machine in leaving {
+        for machine in emptied {
             self.last_rebalance_at = now;
             info!(machine = %machine, shard = self.shard, "consolidating replicas of a machine onto others");
             self.evict_replicas(&machine, now);
         }
     }
 
-    /// True if it is this placer's turn, and nothing has lacked room or moved of late.
+    /// True if it is this placer's turn, and nothing has lacked resources, been placed or
+    /// moved recently.
     fn may_rebalance(&self, now: u64, time_of_day_ms: u64) -> bool {
         let turn = time_of_day_ms / MOVE_INTERVAL_MS % self.owner_channels.len() as u64;
         let is_first_half = time_of_day_ms % MOVE_INTERVAL_MS < MOVE_INTERVAL_MS / 2;
@@ -120,8 +122,8 @@
             .any(|job| job.live.values().any(is_moving))
     }
 
-    /// Machines that hold nothing but replicas that have been there for long. Those with
-    /// most tasks are the least likely to fit elsewhere, and are left out.
+    /// Machines with only replicas that may be moved, fewest replicas first. Those with the
+    /// most replicas are cut off: these are the least likely to fit elsewhere.
     fn consolidation_candidates(&self, now: u64) -> Vec<ConsolidationCandidate> {
         let mut candidates: Vec<ConsolidationCandidate> = Vec::new();
         for slot in self.indexes.iter().flat_map(|index| &index.slots) {
@@ -150,7 +152,7 @@
         candidates
     }
 
-    /// Replicas that may be moved at a time.
+    /// Number of replicas that may be moved at a time.
     fn max_moves(&self) -> u32 {
         let replicas: usize = self
             .jobs
@@ -161,10 +163,10 @@
         (replicas as f64 * MAX_MOVED_SHARE) as u32
     }
 
-    /// Moves replicas to where the trade gains more than the move costs, one of a
-    /// service at a time and as many as may be moved at once.
-    fn relocate_exposed_replicas(&mut self, max_moves: u32, now: u64) {
-        let mut taken: Vec<TentativeUse> = Vec::new();
+    /// Relocates replicas whose better place saves more than the move costs: one per service
+    /// at a time, and at most `max_moves` in all, but at least one.
+    fn relocate_replicas(&mut self, max_moves: u32, now: u64) {
+        let mut reservations: Vec<TentativeUse> = Vec::new();
         let mut moves: Vec<(JobId, Relocation)> = Vec::new();
         for id in self.next_services() {
             if moves.len() as u32 >= max_moves.max(1) {
@@ -181,11 +183,11 @@
                 let place = relocation.place;
                 self.indexes[place.shard].reserve(place.slot, &need, &image);
                 self.indexes[place.shard].mark_long_running(place.slot);
-                taken.push(self.tentative_use(place));
+                reservations.push(self.tentative_use(place));
                 moves.push((id, relocation));
             }
         }
-        self.release_tentative(taken);
+        self.release_tentative(reservations);
         for (id, Relocation { task, class, .. }) in moves {
             self.last_rebalance_at = now;
             info!(job_id = %id, task, shard = self.shard, image_locality = ?class.image_locality, "relocating a replica to a better place");
@@ -199,7 +201,7 @@
         }
     }
 
-    /// The services whose turn it is to be looked at.
+    /// The next services to consider for relocation, round robin.
     fn next_services(&mut self) -> Vec<JobId> {
         let from = self
             .rebalance_cursor
@@ -209,17 +211,17 @@
             .jobs
             .range((from, Bound::Unbounded))
             .filter(|(_, job)| job.is_service())
-            .take(MAX_SERVICES_PER_LOOK)
+            .take(MAX_SERVICES_PER_CALL)
             .map(|(id, _)| id.clone())
             .collect();
-        if ids.len() == MAX_SERVICES_PER_LOOK {
+        if ids.len() == MAX_SERVICES_PER_CALL {
             self.rebalance_cursor = ids.last().cloned();
         }
         ids
     }
 
-    /// Seconds that what a replica risks where it is counts for.
-    fn exposure_s(&self, job: &Job, live: &LiveAttempt, risk: &PlacementRisk) -> f64 {
+    /// Cost in s of sharing a replica's machine and zone with others of its job.
+    fn colocation_cost_s(&self, job: &Job, live: &LiveAttempt, risk: &PlacementRisk) -> f64 {
         let on_machine = job.colocated_count(live, |l| &l.machine);
         let in_zone = job.colocated_count(live, |l| &l.zone);
         let is_below_share = if risk.single_zone {
@@ -248,8 +250,8 @@
         machine_s + zone_s
     }
 
-    /// The replica of a service that risks most where it is, with a place where it
-    /// would risk so much less that the move is worth it.
+    /// The most colocated replica of a service, with a place whose cost is lower by more than
+    /// the move costs.
     fn find_relocation(&self, id: &JobId, now: u64) -> Option<Relocation> {
         let job = self
             .jobs
@@ -270,59 +272,59 @@
         let mut avoid = job.avoided_machines.clone();
         avoid.push(live.machine.clone());
         let request = replica_request(spec, Some(zones), &avoid);
-        // A start through the store is no quiet move.
+        // A start through the store would extend the downtime of the move.
         let order: Vec<CandidateShard> = self
             .shard_search_order()
             .into_iter()
             .filter(|candidate| !candidate.via_store)
             .collect();
         let scoring = self.scoring_inputs(id, Some(task), &request, &order, now);
-        let exposure_s = self.exposure_s(job, live, &scoring.risk);
+        let colocation_cost_s = self.colocation_cost_s(job, live, &scoring.risk);
         let min_gain_s = self.trade.min_migration_gain_s + MOVE_DOWNTIME_MS as f64 / 1000.0;
         let better: Vec<PlacementClass> = placement_classes(&self.trade, &scoring.risk)
             .into_iter()
-            .take_while(|class| class.cost_s + min_gain_s < exposure_s)
+            .take_while(|class| class.cost_s + min_gain_s < colocation_cost_s)
             .collect();
         let Candidate { shard, slot, class } =
             CandidateWalk::new(&self.indexes, &order, &request, &scoring.placed_replicas)
                 .find(&better)?;
         let place = SlotRef { shard, slot };
-        // Guards against others taking that room meanwhile: the replica would wait for
-        // a fetch that it was not moved for.
-        (class.image_locality != ImageLocality::Cached || self.fits_in_addition(&request, place))
+        // Guards against another task that takes these resources in the meantime: without a
+        // second such place, the replica would wait for a fetch of its image.
+        (class.image_locality != ImageLocality::Cached || self.fits_one_more(&request, place))
             .then_some(Relocation { task, place, class })
     }
 
-    /// True if a service's replicas may be moved: another replica must serve, half of
-    /// the service at least must go on, and all of it must be reachable and long
-    /// settled: no move on top of a loss.
+    /// True if a replica of a service may be moved: it has others, so that at least half of
+    /// them keep serving, and all of them run, in reachable zones, for at least
+    /// [`MIN_STAY_MS`]. A move must not add to a loss.
     fn may_relocate(&self, job: &Job, now: u64) -> bool {
-        let is_whole =
+        let has_all_replicas =
             job.tasks > 1 && job.tasks <= MAX_SPREAD_TASKS && job.live.len() as u32 == job.tasks;
         let is_settled = |live: &LiveAttempt| {
             live.state == Some(AttemptState::Running)
                 && live.stop_grace_s.is_none()
                 && now >= live.placed_at + MIN_STAY_MS
         };
-        is_whole
+        has_all_replicas
             && job.live.values().all(is_settled)
             && partition_of(job, &self.partitions).is_none()
     }
 
-    /// True if a machine in use has room and the image for one more beside one at a
-    /// place.
-    fn fits_in_addition(&self, request: &PlacementRequest<'_>, place: SlotRef) -> bool {
+    /// True if, with one task at `place`, some machine in use still has the image and the
+    /// free resources for one more.
+    fn fits_one_more(&self, request: &PlacementRequest<'_>, place: SlotRef) -> bool {
         self.indexes.iter().enumerate().any(|(shard, index)| {
-            let taken = if shard == place.shard {
+            let placed = if shard == place.shard {
                 place.slot
             } else {
                 usize::MAX
             };
-            index.fits_one_more(request, taken)
+            index.fits_one_more(request, placed)
         })
     }
 
-    /// Stops the replicas of a machine, which then avoid it.
+    /// Stops the replicas of a machine; their next attempts avoid it.
     fn evict_replicas(&mut self, machine: &MachineId, now: u64) {
         let tasks = self
             .attempts_by_machine
@@ -340,20 +342,20 @@
         }
     }
 
-    /// True if the replicas of the last of the machines that are to leave fit
-    /// on others in use; reserves the room there.
+    /// Reserves resources on other machines in use for all replicas of the last machine of
+    /// `emptied`; false if some don't fit.
     fn reserve_elsewhere(
         &mut self,
-        leaving: &[MachineId],
-        taken: &mut Vec<TentativeUse>,
+        emptied: &[MachineId],
+        reservations: &mut Vec<TentativeUse>,
         now: u64,
     ) -> bool {
-        let tasks = leaving
+        let tasks = emptied
             .last()
             .and_then(|machine| self.attempts_by_machine.get(machine))
             .cloned()
             .unwrap_or_default();
-        let before = taken.len();
+        let before = reservations.len();
         for key in tasks {
             let Some(job) = self.jobs.get(&key.job) else {
                 return false;
@@ -362,54 +364,55 @@
                 return false;
             };
             let (need, image) = (job.need, spec.image.clone());
-            let Some(place) = self.find_consolidated_place(&key.job, key.task, leaving, now) else {
-                self.release_tentative(taken.drain(before..));
+            let Some(place) = self.find_consolidated_place(&key.job, key.task, emptied, now) else {
+                self.release_tentative(reservations.drain(before..));
                 return false;
             };
             self.indexes[place.shard].reserve(place.slot, &need, &image);
             self.indexes[place.shard].mark_long_running(place.slot);
-            taken.push(self.tentative_use(place));
+            reservations.push(self.tentative_use(place));
         }
         true
     }
 
-    /// A place for a replica on a machine in use that has its image and does not leave.
+    /// A place for a replica on a machine in use that has its image and is not in `emptied`.
     fn find_consolidated_place(
         &self,
         id: &JobId,
         task: u32,
-        leaving: &[MachineId],
+        emptied: &[MachineId],
         now: u64,
     ) -> Option<SlotRef> {
         let job = self.jobs.get(id)?;
         let spec = job.spec()?;
         let attempts_per_zone = job.attempts_per_zone(Some(task));
         let zones = allowed_zones(spec, None, &attempts_per_zone, job.tasks, &self.indexes);
-        let request = replica_request(spec, zones, leaving);
+        let request = replica_request(spec, zones, emptied);
         let order = self.shard_search_order();
         let scoring = self.scoring_inputs(id, Some(task), &request, &order, now);
-        // Guards against a machine emptied at the price of a service that lies in
-        // one place: what is saved is no more than keeping it is worth.
-        let exposure_s = job
+        // Guards against emptying a machine at the cost of a service's spread: the cost may
+        // rise by no more than keeping an empty machine costs.
+        let colocation_cost_s = job
             .live
             .get(&task)
-            .map_or(0.0, |live| self.exposure_s(job, live, &scoring.risk));
-        let mut warm = placement_classes(&self.trade, &scoring.risk);
-        warm.retain(|class| {
+            .map_or(0.0, |live| self.colocation_cost_s(job, live, &scoring.risk));
+        let mut cached = placement_classes(&self.trade, &scoring.risk);
+        cached.retain(|class| {
             class.image_locality == ImageLocality::Cached
-                && class.cost_s <= exposure_s + 2.0 * self.trade.machine_pin_cost_s
+                && class.cost_s <= colocation_cost_s + 2.0 * self.trade.machine_pin_cost_s
         });
-        // Guards against others taking that room meanwhile: another place
-        // must be left, or the replica would wait for a fetch.
+        // Guards against another task that takes these resources in the meantime: without a
+        // second such place, the replica would wait for a fetch of its image.
         CandidateWalk::new(&self.indexes, &order, &request, &scoring.placed_replicas)
-            .find(&warm)
+            .find(&cached)
             .map(|Candidate { shard, slot, .. }| SlotRef { shard, slot })
             .filter(|place| self.indexes[place.shard].slots[place.slot].task_count > 0)
-            .filter(|place| self.fits_in_addition(&request, *place))
+            .filter(|place| self.fits_one_more(&request, *place))
     }
 }
 
-/// The replica of a service that shares its machine, then its zone, with most others.
+/// The replica of a service that shares its machine with the most others; of several, the one
+/// that shares its zone with the most.
 fn most_colocated(job: &Job) -> Option<(u32, &LiveAttempt)> {
     let mut on_machine: HashMap<&MachineId, u32> = HashMap::new();
     let mut in_zone: HashMap<&str, u32> = HashMap::new();
--- a/crates/coordination/src/placer/scoring.rs
+++ b/crates/coordination/src/placer/scoring.rs
@@ -1,4 +1,4 @@
-//! What a job's next place is scored by.
+//! Inputs for scoring the places of a job's next task.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,25 +12,25 @@
 use crate::placement::PlacementRequest;
 use crate::placement::{CandidateShard, PlacedReplicas};
 
-/// Share of a whole fetch that is left of one under way for another job: a machine's
-/// owner publishes that it fetches, not since when.
-const FETCH_LEFT_SHARE: f64 = 0.5;
-/// Replicas of a job up to which the trade looks at where its others lie: of more,
-/// what one machine takes is little, and the look costs a step for each.
+/// Fraction assumed to remain of a fetch that is under way for another job: the owner
+/// publishes that a machine fetches an image, but not since when.
+const ASSUMED_REMAINING_FETCH: f64 = 0.5;
+/// Most tasks of a job for which the places of its other replicas are scored: of a larger
+/// job a machine holds only a small share, and each replica adds a step to the scoring.
 pub(super) const MAX_SPREAD_TASKS: u32 = 512;
 
-/// What a search over the placement classes needs beside its request.
+/// What a search over the placement classes needs in addition to its request.
 pub(super) struct ScoringInputs {
-    /// What makes a difference.
+    /// What the placement risks, and which properties of a place matter.
     pub(super) risk: PlacementRisk,
-    /// Where the job's replicas are, index by index; empty: it makes no difference.
+    /// Where the job's replicas are, one entry per index; empty: their places don't matter.
     pub(super) placed_replicas: Vec<PlacedReplicas>,
 }
 
 impl Placer {
-    /// The indexes in the order in which machines are searched: our own shard's, then
-    /// others in turn, and at the end those whose owner is reached through the store,
-    /// since a start there is a second or two later; these are marked.
+    /// The shards in the order in which their machines are searched: this placer's own, then
+    /// the others in rotation. Those whose owners are reached only through the store come
+    /// last, since a start there takes a second or two longer.
     pub(super) fn shard_search_order(&self) -> Vec<CandidateShard> {
         let (own, shards) = (usize::from(self.shard), self.indexes.len() as u16);
         let others = (1..=shards)
@@ -47,8 +47,8 @@
         order
     }
 
-    /// What a place for a job's next replica is scored by, or, with `replaced`, for
-    /// one that it has.
+    /// Inputs for scoring a place for a job's next replica, or for a new place of the replica
+    /// `replaced`.
     pub(super) fn scoring_inputs(
         &self,
         id: &JobId,
@@ -77,7 +77,7 @@
         let risk = &mut scoring.risk;
         risk.task_count = job.tasks;
         risk.fetch_s = spec.image_gb / self.fetch_gb_per_s.max(f64::MIN_POSITIVE);
-        risk.remaining_fetch_s = fetch_left_s(job, risk.fetch_s, now);
+        risk.remaining_fetch_s = remaining_fetch_s(job, risk.fetch_s, now);
         risk.spot_allowed = request.spot_allowed;
         risk.without_gpus = request.need.milli_gpus == 0;
         risk.via_store = order.iter().any(|candidate| candidate.via_store);
@@ -94,7 +94,7 @@
         if spec.allow_spot {
             risk.half_on_spot = 2 * self.count_on_spot(&others) >= job.tasks;
         }
-        let underused = self.underused_zones(spec, request, &others, risk);
+        let zones_below_share = self.zones_below_share(spec, request, &others, risk);
         scoring.placed_replicas = self
             .indexes
             .iter()
@@ -103,7 +103,7 @@
                     index,
                     risk,
                     others.iter().map(|live| &live.machine),
-                    underused.as_deref(),
+                    zones_below_share.as_deref(),
                 )
             })
             .collect();
@@ -124,9 +124,9 @@
         replicas.iter().filter(|live| is_on_spot(live)).count() as u32
     }
 
-    /// Zones that hold less than their fair share of a job's replicas, where that makes
-    /// a difference. Notes in the risk how the replicas lie over the zones.
-    fn underused_zones<'a>(
+    /// Zones that hold less than their fair share of a job's replicas; `None`: the zone does
+    /// not matter. Records in `risk` how the replicas are spread over the zones.
+    fn zones_below_share<'a>(
         &'a self,
         spec: &JobSpec,
         request: &PlacementRequest<'a>,
@@ -138,32 +138,33 @@
             *replicas.entry(&live.zone).or_default() += 1;
         }
         risk.single_zone = replicas.len() == 1;
-        // A job that must be in one zone can't be spread over them.
-        let open: BTreeSet<&str> = match (&request.zones, spec.same_zone || spec.zone.is_some()) {
+        // A job that must be in one zone can't be spread over several.
+        let zones: BTreeSet<&str> = match (&request.zones, spec.same_zone || spec.zone.is_some()) {
             (_, true) => BTreeSet::new(),
             (Some(zones), _) => zones.iter().copied().collect(),
             (None, _) => all_zones(&self.indexes),
         };
-        if self.trade.zone_loss.max(self.trade.single_zone) <= 0.0 || open.len() <= 1 {
+        if self.trade.zone_loss.max(self.trade.single_zone) <= 0.0 || zones.len() <= 1 {
             return None;
         }
-        risk.zone_count = open.len() as u32;
+        risk.zone_count = zones.len() as u32;
         let fair_share = if risk.single_zone {
             1
         } else {
             risk.fair_zone_share()
         };
         Some(
-            open.into_iter()
+            zones
+                .into_iter()
                 .filter(|zone| replicas.get(zone).copied().unwrap_or(0) < fair_share)
                 .collect(),
         )
     }
 }
 
-/// Seconds until the image of a job's replicas is expected where it is being fetched:
-/// where its own replicas wait for it, it is known since when they do.
-fn fetch_left_s(job: &Job, fetch_s: f64, now: u64) -> f64 {
+/// Expected s until a fetch of a job's image that is under way completes. If replicas of the
+/// job wait for it, the earliest of them tells since when it runs.
+fn remaining_fetch_s(job: &Job, fetch_s: f64, now: u64) -> f64 {
     let is_fetching = |live: &&LiveAttempt| {
         live.placed_at > 0
             && live
@@ -176,7 +177,7 @@
         .filter(is_fetching)
         .map(|live| live.placed_at)
         .min();
-    since.map_or(FETCH_LEFT_SHARE * fetch_s, |at| {
+    since.map_or(ASSUMED_REMAINING_FETCH * fetch_s, |at| {
         (fetch_s - now.saturating_sub(at) as f64 / 1000.0).max(0.0)
     })
 }
--- a/crates/coordination/src/placer/status.rs
+++ b/crates/coordination/src/placer/status.rs
@@ -1,4 +1,4 @@
-//! What users are told of a job: its counts, and why it waits.
+//! Status of a job as shown to users: its task counts, and why it waits.
 
 use std::borrow::Cow;
 use std::collections::BTreeMap;
@@ -9,12 +9,12 @@
 use super::partitions::{ZonePartition, partition_of};
 use crate::job::Job;
 
-/// Seconds for which a service must have lacked replicas for its status to say so:
-/// below that it is on its way.
+/// Seconds for which a service must have lacked replicas before its status says so: up to
+/// then they are expected to be starting.
 const SHORTFALL_SHOWN_AFTER_S: u64 = 30;
 
-/// Tasks of a job that run, and why the others wait or may not be what they
-/// seem.
+/// Running tasks of a job, and why others wait, or that some are in a partitioned zone and
+/// their states may be outdated.
 pub(super) fn progress_and_reason(
     job: &Job,
     partitions: &[BTreeMap<String, ZonePartition>],
@@ -29,8 +29,8 @@
 }
 
 impl Placer {
-    /// Tasks of one job that are done and that run, if it is this shard's, and why
-    /// it waits.
+    /// Done tasks of a job, its running tasks, and why it waits; `None`: the job is not this
+    /// shard's, or has ended.
     pub fn job_status(&self, id: &JobId, now: u64) -> Option<(u64, u64, String)> {
         let job = self.jobs.get(id).filter(|job| !job.ended)?;
         let (running, mut reason) = progress_and_reason(job, &self.partitions);
@@ -49,7 +49,8 @@
         ))
     }
 
-    /// What a service's status says first, if it has lacked replicas for a while.
+    /// Prefix of a service's status, if it has lacked replicas for at least
+    /// [`SHORTFALL_SHOWN_AFTER_S`].
     fn shortfall_status(&self, id: &JobId, now: u64) -> Option<String> {
         let service = self.services.get(id)?;
         let lacking_s = now.saturating_sub(service.under_replicated_since?) / 1_000;
--- a/crates/coordination/src/placer/supervision.rs
+++ b/crates/coordination/src/placer/supervision.rs
@@ -1,4 +1,4 @@
-//! State of this placer's services, as supervision observes it.
+//! Observation of this placer's services for their supervision.
 
 use std::collections::BTreeMap;
 
@@ -12,25 +12,25 @@
 use crate::supervision::failover::{Failover, StartedBy};
 use crate::supervision::services::{RecoveryActivity, ServiceObservation};
 
-/// ms that each step of a start takes at the most on an ordinary day: its turn, its
-/// write, its command.
-pub(super) const START_STEP_MS: u64 = 10_000;
+/// ms that each step of a start takes at most in normal operation: waiting in the queue, the
+/// write to the store, the command to the worker.
+pub(super) const MAX_START_STEP_MS: u64 = 10_000;
 
-/// What a service's replicas do.
+/// Counts and states of a service's replicas.
 #[derive(Default)]
 struct ReplicaCounts {
     running: u32,
-    /// Inherited ones whose owner has not published their state.
+    /// Some were placed by an earlier leader, and their owner has not published their state.
     has_unconfirmed: bool,
-    /// Ones whose start is not written yet.
+    /// The start of some is not written yet.
     has_unwritten: bool,
     has_stopping: bool,
-    /// When the last of those in partitioned zones is proven to have ended, ms.
+    /// When the last attempt in a partitioned zone is proven to have ended, ms.
     partitioned_until: Option<u64>,
 }
 
 impl Placer {
-    /// Observes the services that something happened to.
+    /// Passes replica events to the failover record, and observes the services that changed.
     pub(crate) fn observe_services(&mut self, failover: &mut Failover, now: u64) {
         for event in std::mem::take(&mut self.replica_events) {
             match event {
@@ -66,17 +66,17 @@
         }
     }
 
-    /// State of a service; `None`: it is none, or nothing of it shall run.
+    /// Observes a service; `None`: the job is no service, or is ending.
     fn observe_service(&self, job: &Job, now: u64) -> Option<ServiceObservation> {
         job.spec()
             .filter(|_| job.is_service() && !job.is_stopping())?;
         let replicas = self.count_replicas(job);
-        let (doing, within) = self.recovery_activity(job, &replicas, now);
+        let (recovery, within_ms) = self.recovery_activity(job, &replicas, now);
         Some(ServiceObservation {
             desired: job.tasks,
             running: replicas.running,
-            activity: doing,
-            expected_within_ms: within,
+            activity: recovery,
+            expected_within_ms: within_ms,
         })
     }
 
@@ -103,7 +103,8 @@
         counts
     }
 
-    /// What a service waits for to be whole, and within how many ms that should come.
+    /// What is being done about a service's missing replicas, and the ms that it should take
+    /// at most.
     fn recovery_activity(
         &self,
         job: &Job,
@@ -122,10 +123,10 @@
                 }
                 REASON_NO_ROOM => (
                     RecoveryActivity::AwaitingCapacity,
-                    Some(self.boot_time_ms + self.boot_time_ms / 2 + fetch_ms + START_STEP_MS),
+                    Some(self.boot_time_ms + self.boot_time_ms / 2 + fetch_ms + MAX_START_STEP_MS),
                 ),
                 REASON_AT_LIMIT => (RecoveryActivity::AtQuotaLimit, None),
-                _ => (RecoveryActivity::Queued, Some(START_STEP_MS)),
+                _ => (RecoveryActivity::Queued, Some(MAX_START_STEP_MS)),
             }
         } else if let Some(until) = replicas.partitioned_until {
             (
@@ -135,18 +136,21 @@
         } else if replicas.has_unconfirmed {
             (RecoveryActivity::AwaitingHeartbeats, None)
         } else if replicas.has_unwritten {
-            (RecoveryActivity::RecordingStart, Some(START_STEP_MS))
+            (RecoveryActivity::RecordingStart, Some(MAX_START_STEP_MS))
         } else if replicas.has_stopping {
             (
                 RecoveryActivity::StoppingOthers,
-                Some(PREEMPTION_TIMEOUT_MS + START_STEP_MS),
+                Some(PREEMPTION_TIMEOUT_MS + MAX_START_STEP_MS),
             )
         } else {
-            (RecoveryActivity::Starting, Some(fetch_ms + START_STEP_MS))
+            (
+                RecoveryActivity::Starting,
+                Some(fetch_ms + MAX_START_STEP_MS),
+            )
         }
     }
 
-    /// Replicas of a service that run, by zone.
+    /// Running replicas of a service by zone.
     pub(crate) fn running_replicas_by_zone(&self, id: &JobId) -> Vec<(String, u32)> {
         let mut zones: BTreeMap<&String, u32> = BTreeMap::new();
         let replicas = self
@@ -165,8 +169,8 @@
             .collect()
     }
 
-    /// Replicas, other tasks and machines that are up in a shard, as far as its
-    /// owner published.
+    /// Replicas, other tasks and registered machines of a shard as its owner published them;
+    /// `None`: it has published no machine.
     pub(crate) fn running_counts(&self, shard: u16) -> Option<(u32, u32, u32)> {
         let index = self.indexes.get(usize::from(shard))?;
         index.machines().next()?;
