--- a/crates/coordination/src/placer/headroom.rs
+++ b/crates/coordination/src/placer/headroom.rs
@@ -1,5 +1,5 @@
-//! Headroom for work that is expected: empty machines that are kept for it, and
-//! capacity that is asked for like that of waiting work.
+//! Headroom for expected work: reserves empty machines for it, and requests the capacity
+//! that is missing like that of waiting work.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,25 +15,26 @@
 use crate::autoscaler::CapacityDemand;
 use crate::placement::{ImageRequirement, PlacementRequest};
 
-/// ms over which arrivals are counted to tell what will come: long enough for
-/// a few of them, short enough to follow a day.
+/// ms of arrivals from which future arrivals are predicted: long enough to hold a few,
+/// short enough to follow the changes of a day.
 const ARRIVAL_WINDOW_MS: u64 = 120_000;
-/// ms after acquiring a shard in which what comes is no arrival but a backlog.
+/// ms after acquiring a shard in which new jobs count as its backlog, not as arrivals.
 pub(super) const BACKLOG_MS: u64 = 10_000;
-/// Machines for each further task that headroom is kept for.
+/// Machines per task of headroom, in fleets where that is more than
+/// [`MAX_HEADROOM_TASKS`].
 const MACHINES_PER_HEADROOM_TASK: u32 = 16;
 
-/// Tasks of one size and price that are expected while a machine boots.
+/// Tasks with the same resources and market that are expected while a machine boots.
 struct ExpectedWork {
     tasks: f64,
-    /// A job of the kind.
+    /// One of the jobs that the prediction is made from.
     example: Arc<JobRecord>,
 }
 
 impl Placer {
-    /// Counts the work that is expected to come while a machine boots, for classes with
-    /// a start objective: empty machines that it would use are reserved, and what finds
-    /// no room is demanded like waiting work.
+    /// Predicts the work with a start objective that arrives while a machine boots.
+    /// Reserves the empty machines that it would use, and returns the demand that finds
+    /// no capacity.
     pub(super) fn plan_headroom(&mut self, now: u64) -> Vec<CapacityDemand> {
         self.drop_old_arrivals(now);
         self.reserved_machines.clear();
@@ -45,18 +46,18 @@
         }
         let max_tasks = self.max_headroom_tasks();
         let mut demand = Vec::new();
-        let mut taken: Vec<TentativeUse> = Vec::new();
-        // The largest first: what is left of whole machines is of no use to them.
+        let mut reservations: Vec<TentativeUse> = Vec::new();
+        // Largest tasks first: they don't fit into what smaller ones leave of a machine.
         for expected in self.expected_work(observed_ms).into_values().rev() {
             let tasks = (expected.tasks.round() as u32).min(max_tasks);
             let spec = &expected.example.spec;
-            let placed = self.reserve_headroom(spec, tasks, &mut taken);
+            let placed = self.reserve_headroom(spec, tasks, &mut reservations);
             if tasks > placed {
                 demand.push(headroom_demand(spec, tasks - placed));
             }
         }
-        // Only counted, not used.
-        self.release_tentative(taken);
+        // The reservations only serve this plan.
+        self.release_tentative(reservations);
         demand
     }
 
@@ -70,20 +71,20 @@
         }
     }
 
-    /// Tasks of one size that headroom is kept for: as many as a fleet of this size can
-    /// be expected to need at once.
+    /// Tasks of one size that headroom is kept for at most: as many as a fleet of this size
+    /// is expected to need at once.
     fn max_headroom_tasks(&self) -> u32 {
         MAX_HEADROOM_TASKS.max(self.machines().count() as u32 / MACHINES_PER_HEADROOM_TASK)
     }
 
-    /// What the arrivals of the last `observed_ms` let expect, by the needs of a task
-    /// and whether it may run on spot instances.
+    /// Work predicted from the arrivals of the last `observed_ms`, by the resources of a
+    /// task and whether it may run on spot instances.
     fn expected_work(&self, observed_ms: u64) -> BTreeMap<(Resources, bool), ExpectedWork> {
         let mut expected: BTreeMap<(Resources, bool), ExpectedWork> = BTreeMap::new();
         for (_, record) in &self.recent_arrivals {
             let spec = &record.spec;
             let start_ms = self.boot_time_ms as f64 + spec.image_gb / self.fetch_gb_per_s * 1000.0;
-            // Room that costs less is kept for more.
+            // Cheaper capacity is kept for more tasks.
             let share = if spec.allow_spot {
                 self.headroom_share * self.spot_discount
             } else {
@@ -102,8 +103,8 @@
         expected
     }
 
-    /// Tasks of a job with a start objective: those that fit its team's guaranteed
-    /// quota, or all of them where its class has one.
+    /// Tasks of a job with a start objective: all of them if its class has one, else those
+    /// that fit its team's guaranteed quota.
     fn tasks_with_objective(&self, spec: &JobSpec) -> u64 {
         if self.start_objectives_s.contains_key(&spec.class) {
             return spec.tasks;
@@ -115,13 +116,13 @@
             .unwrap_or(0)
     }
 
-    /// Reserves room for tasks of a job's kind, with preemption where there is none
-    /// free; returns how many found some.
+    /// Reserves resources for tasks like a job's, free ones or else ones that preemption can
+    /// free; returns for how many tasks it found some.
     fn reserve_headroom(
         &mut self,
         spec: &JobSpec,
         tasks: u32,
-        taken: &mut Vec<TentativeUse>,
+        reservations: &mut Vec<TentativeUse>,
     ) -> u32 {
         let request = PlacementRequest {
             need: spec.task_resources(),
@@ -158,7 +159,7 @@
                     .push(index.slots[place.slot].id.clone());
             }
             index.reserve(place.slot, &request.need, &spec.image);
-            taken.push(self.tentative_use(place));
+            reservations.push(self.tentative_use(place));
             placed += 1;
         }
         placed
--- a/crates/coordination/src/placer/unmet_demand.rs
+++ b/crates/coordination/src/placer/unmet_demand.rs
@@ -1,4 +1,4 @@
-//! What waiting jobs lack, as the autoscaler is asked for it.
+//! Unmet demand: the capacity that waiting jobs lack, as input for the autoscaler.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -10,50 +10,49 @@
 use crate::autoscaler::{CapacityDemand, tasks_in};
 use crate::job::Job;
 
-/// Waiting tasks of one job that are counted as demand at most: more than boot
-/// at a time. What is beyond is counted once these have their machines.
+/// Waiting tasks of one job that count as demand at most: more than machines boot for at a
+/// time. Further tasks count once these have their machines.
 const MAX_DEMAND_TASKS: u64 = 512;
-/// Machines' worth of small tasks of one job that are counted as demand where that is
-/// more than [`MAX_DEMAND_TASKS`]: 100,000 tasks of a tenth of a processor would else
-/// provision a few machines a boot, and never come to half.
+/// Machines for whose capacity tasks of one job count as demand, if that is more than
+/// [`MAX_DEMAND_TASKS`]. Otherwise 100,000 tasks of a tenth of a CPU would provision only a
+/// few machines per boot time, and never have half of their tasks running.
 const MAX_DEMAND_MACHINES: u64 = 32;
-/// ms after its submission by which a job of low-priority work begins, if room can be
-/// had at any price: the operators' bound is four minutes, and a machine may be refused
-/// or come late.
+/// ms after submission by which a low-priority job starts its first task, or its gang, if
+/// capacity is available at any price. The operators' limit is four minutes; the difference
+/// covers a machine that the cloud refuses or that boots late.
 pub const LOW_PRIORITY_START_DEADLINE_MS: u64 = 200_000;
-/// ms of these that are left beside a slow boot and a slow fetch: one refusal of the
-/// cloud, and the passes, syncs and writes on the way.
+/// ms of [`LOW_PRIORITY_START_DEADLINE_MS`] kept in addition to a slow boot and a slow fetch:
+/// for one refusal of the cloud, and for the placement passes, syncs and writes of a start.
 pub const LOW_PRIORITY_START_SLACK_MS: u64 = 20_000;
-/// ms that low-priority work waits for room that costs nothing in any case, however
-/// long boots and fetches take.
+/// ms that low-priority work waits at least for low-cost capacity, however long boots and
+/// fetches take.
 const MIN_LOW_PRIORITY_WAIT_MS: u64 = 60_000;
 
-/// What found no capacity in a pass.
+/// Demand that found no capacity in a placement pass.
 #[derive(Default)]
 pub(super) struct UnmetDemand {
     pub(super) demand: Vec<CapacityDemand>,
-    /// What is demanded already, by team.
+    /// Resources already in `demand`, by team.
     by_team: HashMap<String, Resources>,
 }
 
 impl Placer {
-    /// True if a job of low-priority work has begun nothing and can't wait any longer
-    /// for room that costs little: a machine that is asked for now takes a boot and a
-    /// fetch.
+    /// True if no task of a low-priority job has started, and it can't wait any longer for
+    /// low-cost capacity: a machine that is requested now still takes a boot and a fetch.
     pub(super) fn must_begin_now(&self, job: &Job, now: u64) -> bool {
         if job.priority() != Priority::Low || job.has_begun() {
             return false;
         }
         let fetch_ms = job.spec().map_or(0, |spec| self.max_fetch_ms(spec));
-        let patience_ms = LOW_PRIORITY_START_DEADLINE_MS
+        let max_wait_ms = LOW_PRIORITY_START_DEADLINE_MS
             .saturating_sub(self.boot_time_ms * 3 / 2 + fetch_ms + LOW_PRIORITY_START_SLACK_MS);
-        job.waited_ms(now, now + self.wall_offset_ms) >= patience_ms.max(MIN_LOW_PRIORITY_WAIT_MS)
+        job.waited_ms(now, now + self.wall_offset_ms) >= max_wait_ms.max(MIN_LOW_PRIORITY_WAIT_MS)
     }
 
-    /// Records what a job lacks, within what its team may still use.
+    /// Adds the capacity that a job lacks to the unmet demand, within its team's quota limit.
     pub(super) fn record_unmet_demand(&self, id: &JobId, unmet: &mut UnmetDemand, now: u64) {
-        // A suspect provisions nothing: what it would run on would only see it fail. Nor
-        // does what only waits for its turn.
+        // Nothing is provisioned for a job that is suspected of its failures, since it would
+        // only fail there, nor for one that only waits for its turn.
         let Some(job) = self
             .jobs
             .get(id)
@@ -77,8 +76,8 @@
         }
     }
 
-    /// What a job lacks, if its team may use it and it is worth machines; `already`:
-    /// what its team's other jobs demand.
+    /// The capacity that a job lacks; `None`: its team's quota limit allows no more, or the
+    /// job only uses capacity that exists. `already` is the demand of the team's other jobs.
     fn demand_of(
         &self,
         job: &Job,
@@ -100,8 +99,8 @@
             waiting => waiting.min(self.max_demand_tasks(&job.need)),
         };
         let affordable = self.affordable_tasks(job, already);
-        // A gang needs all of its room. A service that its team's limit keeps from
-        // being whole begins all the same.
+        // A gang only demands capacity for all of its tasks. Other jobs, such as a service,
+        // start as many as the quota limit allows.
         let count = if !is_gang || waiting <= affordable {
             waiting.min(affordable)
         } else {
@@ -121,7 +120,7 @@
         })
     }
 
-    /// Tasks of one size that are counted as demand of a job at most.
+    /// Most tasks of one job that count as demand, for tasks with these resources.
     fn max_demand_tasks(&self, need: &Resources) -> u64 {
         let per_machine = self
             .machine_capacities
@@ -133,7 +132,8 @@
         MAX_DEMAND_TASKS.max(MAX_DEMAND_MACHINES * per_machine)
     }
 
-    /// Further tasks of a job that its team's quota limit allows.
+    /// How many more tasks of a job its team's quota limit allows, beyond the team's usage
+    /// and `already`.
     fn affordable_tasks(&self, job: &Job, already: &Resources) -> u64 {
         let used = self.usage_of(&job.team).plus(already);
         let left = self.quota_limit(&job.team).minus(&used);
@@ -141,8 +141,8 @@
         tasks(left.milli_cpus, job.need.milli_cpus).min(tasks(left.milli_gpus, job.need.milli_gpus))
     }
 
-    /// A spread job lacks room zone by zone: machines that boot in one zone are of no
-    /// use to the tasks that must be in another.
+    /// Splits the demand of a spread job by zone: a machine that boots in one zone is of no
+    /// use to tasks that must run in another.
     fn spread_over_zones(&self, job: &Job, demand: &CapacityDemand) -> Vec<CapacityDemand> {
         let max_per_zone = job.tasks.div_ceil(2);
         let mut left: BTreeMap<&String, u32> = self
--- a/crates/coordination/src/placer/write_queue.rs
+++ b/crates/coordination/src/placer/write_queue.rs
@@ -1,4 +1,4 @@
-//! The write queue: which records are due, in which order, and the next
+//! Write queue of the task records and job ends: which are due, in which order, and the next
 //! compare-and-swap that writes them.
 
 use lemonweir_model::constants::{CONDITIONS_PER_CHANGE, MAX_CAS_BYTES};
@@ -13,45 +13,47 @@
 use super::Placer;
 use crate::job::{Job, TaskChunk, Urgency};
 
-/// Bytes that a task record takes at most without its tasks.
+/// Bytes of a task record without its tasks, at most.
 const RECORD_BYTES: usize = 200;
-/// Bytes that a live attempt takes in a record.
+/// Bytes of a live attempt in a task record.
 const LIVE_ATTEMPT_BYTES: usize = 48;
-/// Bytes that a range of done tasks takes in a record.
+/// Bytes of a range of done tasks in a task record.
 const DONE_RANGE_BYTES: usize = 12;
-/// ms that a record of ended attempts waits for more of its chunk: with hundreds of
-/// tasks ending each minute this halves what is written. A successor takes them for
-/// live, and launches nothing of a team that is over its limit with them.
+/// ms that a write that only records ended attempts waits for more ends in its chunk: with
+/// hundreds of tasks ending each minute this halves the writes. Until it is written, a new
+/// leader counts these attempts as live, and launches nothing of a team that exceeds its
+/// quota limit with them.
 pub const ATTEMPT_END_WRITE_DELAY_MS: u64 = 3_000;
-/// s of its writes for which low-priority work is placed ahead.
+/// s of the low-priority write budget: how much low-priority work is placed ahead of its
+/// writes, and how long its writes pause at most.
 const LOW_PRIORITY_AHEAD_S: usize = 2;
 
-/// When something is written: what comes first goes first.
+/// Order of writes, the most urgent first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum WritePriority {
-    /// Steps of gangs whose members hold room already.
+    /// Admission steps of gangs whose members already hold resources.
     GangAdmission,
-    /// Ends of jobs that were withdrawn: their users wait for the answer.
-    WithdrawnJob,
-    /// Starts.
+    /// Ends of cancelled jobs: their users wait for the answer.
+    CancelledJob,
+    /// Starts of tasks.
     Start,
     /// Ends of jobs that are done.
     DoneJob,
-    /// What only records that attempts ended.
+    /// Changes that only record ended attempts.
     AttemptEnd,
     /// Starts of low-priority work.
     LowPriorityStart,
-    /// The rest of low-priority work.
-    LowPriorityRest,
+    /// Other changes of low-priority work.
+    LowPriorityOther,
 }
 
-/// A job with something due to be written, in the order of writing.
+/// A job with changes due to be written; sorts in the order of writing.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct DueJob<'a> {
     write_priority: WritePriority,
     priority: Priority,
     urgency: Urgency,
-    /// Since when, ms.
+    /// Since when its changes wait, ms.
     since: u64,
     id: &'a JobId,
 }
@@ -62,7 +64,7 @@
     pub(super) index: u32,
     /// Newest change of the chunk that it holds.
     pub(super) change: u64,
-    /// It removes the chunk.
+    /// True if it removes the chunk.
     pub(super) is_removal: bool,
 }
 
@@ -72,13 +74,13 @@
     pub(super) phase: JobPhase,
 }
 
-/// The version that a job's key must have.
+/// The version of a job's key that a compare-and-swap requires.
 pub(super) struct JobVersion {
     pub(super) job: JobId,
     pub(super) version: u64,
 }
 
-/// What the compare-and-swap in flight writes, and the jobs on whose keys it depends.
+/// What the compare-and-swap in flight writes, and the job keys that it depends on.
 #[derive(Default)]
 pub(super) struct InFlightCas {
     pub(super) chunks: Vec<ChunkWrite>,
@@ -87,7 +89,7 @@
 }
 
 impl InFlightCas {
-    /// Records that it writes.
+    /// Number of records that it writes.
     pub(super) fn record_count(&self) -> usize {
         self.chunks.len() + self.job_ends.len()
     }
@@ -100,18 +102,18 @@
     }
 }
 
-/// How adding to a compare-and-swap went.
+/// Result of adding a job's changes to a compare-and-swap.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Added {
-    /// There may be room for more.
-    Yes,
-    /// Nothing more of this job for now.
+enum AddResult {
+    /// More changes may fit.
+    Continue,
+    /// No more changes of this job fit now.
     JobDeferred,
-    /// It holds nothing more.
+    /// The compare-and-swap is full.
     Full,
 }
 
-/// A compare-and-swap that is being filled.
+/// A compare-and-swap under construction.
 struct CasBuilder<'a> {
     placer: &'a Placer,
     cas: CompareAndSwap,
@@ -121,10 +123,10 @@
 }
 
 impl Placer {
-    /// The next compare-and-swap, if none is in flight and something is due. Steps of
-    /// gangs go first, then ends of withdrawn jobs, by age, then starts, by priority,
-    /// then ends of jobs that are done; what only records that attempts ended waits for
-    /// company, so that one write of a chunk records many.
+    /// The next compare-and-swap, if none is in flight and something is due. Admission steps
+    /// of gangs go first, then ends of cancelled jobs by age, then starts by priority, then
+    /// ends of jobs that are done. Ended attempts wait for [`ATTEMPT_END_WRITE_DELAY_MS`], so
+    /// that one write of a chunk records many.
     pub fn next_cas(&mut self, now: u64) -> Option<CompareAndSwap> {
         if self.in_flight.is_some() || self.dirty_jobs.is_empty() {
             return None;
@@ -135,13 +137,13 @@
         }
         let mut builder = CasBuilder::new(self);
         for job in &due {
-            if builder.add_job(job) == Added::Full {
+            if builder.add_job(job) == AddResult::Full {
                 break;
             }
         }
         let CasBuilder { cas, in_flight, .. } = builder;
         if cas.writes.is_empty() && cas.conditions.len() == 1 {
-            // Nothing to write: what was to be removed was never there.
+            // Nothing to write: the chunks to be removed were never created.
             self.apply_written(&in_flight, 0, now);
             return None;
         }
@@ -150,7 +152,7 @@
         Some(cas)
     }
 
-    /// Jobs with something due, in the order of writing.
+    /// Jobs with changes due, in the order of writing.
     fn due_jobs(&self, now: u64) -> Vec<DueJob<'_>> {
         let mut due: Vec<DueJob<'_>> = self
             .dirty_jobs
@@ -161,8 +163,8 @@
                     .get(id)
                     .filter(|job| now >= job.write_backoff_until)?;
                 let write_priority = self.write_priority(job, since, now)?;
-                // Ends of withdrawn jobs go by age, whatever their priority.
-                let (priority, urgency) = if write_priority == WritePriority::WithdrawnJob {
+                // Ends of cancelled jobs go by age, whatever their priority.
+                let (priority, urgency) = if write_priority == WritePriority::CancelledJob {
                     (Priority::Normal, Urgency::Normal)
                 } else {
                     (job.priority(), job.urgency())
@@ -180,27 +182,27 @@
         due
     }
 
-    /// When what a job has to write since a time goes; none: not yet.
+    /// Write priority of a job whose changes wait since `since`; `None`: they are not due yet.
     fn write_priority(&self, job: &Job, since: u64, now: u64) -> Option<WritePriority> {
         if Self::admission_step_first(job) {
             return Some(WritePriority::GangAdmission);
         }
         let end = job.writable_end();
-        // Guards against users who give up on their cancellations while starts take
-        // every turn, as they do for half a minute after an outage of the store. It
-        // keeps no start waiting for long: a job ends once. The oldest goes first,
-        // whatever its priority.
+        // Guards against users who give up waiting for a cancellation while starts take all
+        // writes, as they do for half a minute after an outage of the store. Starts are not
+        // delayed for long, since a job ends only once. The oldest goes first, whatever its
+        // priority.
         if end == Some(JobPhase::Withdrawn) {
-            return Some(WritePriority::WithdrawnJob);
+            return Some(WritePriority::CancelledJob);
         }
         let has_starts = !job.is_stopping() && job.has_unwritten_starts();
-        // Guards against low-priority work that starts, is preempted and starts again by
-        // the hundreds and takes the store's writes from all others.
+        // Guards against hundreds of low-priority tasks that start, are preempted and start
+        // again, and take the store's writes from all other work.
         if job.priority() == Priority::Low && end.is_none() {
             return (now >= self.low_priority_writes_resume_at).then_some(if has_starts {
                 WritePriority::LowPriorityStart
             } else {
-                WritePriority::LowPriorityRest
+                WritePriority::LowPriorityOther
             });
         }
         if has_starts {
@@ -212,8 +214,9 @@
         }
     }
 
-    /// Low-priority work writes what its placer's own share has left: others' stay
-    /// theirs. A busy while is not held against it for long.
+    /// Charges all writes to the budget of low-priority work: it gets what other work leaves
+    /// of this placer's share, and nothing of other placers' shares. The debt is limited to
+    /// [`LOW_PRIORITY_AHEAD_S`], so that a burst of writes does not block it for long.
     fn charge_low_priority_budget(&mut self, writes: usize, now: u64) {
         let resume_at = self.low_priority_writes_resume_at.max(now)
             + (1_000 * writes / self.low_priority_writes_per_s) as u64;
@@ -221,10 +224,10 @@
             resume_at.min(now + 1_000 * LOW_PRIORITY_AHEAD_S as u64);
     }
 
-    /// Chunks of low-priority work that may get a first start to write: some seconds'
-    /// worth.
+    /// How many more chunks of low-priority work may get a first unwritten start:
+    /// [`LOW_PRIORITY_AHEAD_S`] of its write budget less those that wait already.
     pub(super) fn low_priority_chunks_left(&self) -> usize {
-        let most = LOW_PRIORITY_AHEAD_S * self.low_priority_writes_per_s;
+        let max_waiting = LOW_PRIORITY_AHEAD_S * self.low_priority_writes_per_s;
         let waiting = self
             .dirty_jobs
             .keys()
@@ -232,12 +235,12 @@
             .filter(|job| job.priority() == Priority::Low)
             .flat_map(|job| job.chunks.values())
             .filter(|chunk| chunk.has_unwritten_start())
-            .take(most)
+            .take(max_waiting)
             .count();
-        most - waiting
+        max_waiting - waiting
     }
 
-    /// True if starts wait to be written, of other than low-priority work: that may
+    /// True if starts wait to be written, other than those of low-priority work, which may
     /// wait for hours.
     pub(crate) fn has_unwritten_starts(&self) -> bool {
         self.dirty_jobs
@@ -250,7 +253,7 @@
 }
 
 impl<'a> CasBuilder<'a> {
-    /// A compare-and-swap that depends on this placer's lead of its shard.
+    /// An empty compare-and-swap that only commits while this placer leads its shard.
     fn new(placer: &'a Placer) -> Self {
         Self {
             placer,
@@ -267,21 +270,21 @@
         }
     }
 
-    /// Adds what a job has to write.
-    fn add_job(&mut self, due: &DueJob<'_>) -> Added {
+    /// Adds the changes of a job.
+    fn add_job(&mut self, due: &DueJob<'_>) -> AddResult {
         let Some(job) = self.placer.jobs.get(due.id) else {
-            return Added::JobDeferred;
+            return AddResult::JobDeferred;
         };
         if let Some(phase) = job.writable_end() {
             return self.add_end(due.id, job, phase);
         }
-        // Guards against a gang that is recorded or admitted by halves where one
+        // Guards against a gang that is recorded or admitted only in part although one
         // compare-and-swap can hold all of it.
-        if !self.cas.writes.is_empty() && self.would_split_step(job) {
-            return Added::Full;
+        if !self.cas.writes.is_empty() && self.would_split_gang_step(job) {
+            return AddResult::Full;
         }
-        // Guards against starts that wait behind ends of earlier chunks, which
-        // are written again and again.
+        // Guards against starts that wait behind ended attempts in earlier chunks, which are
+        // written again and again.
         let dirty = |with_start: bool| {
             job.chunks.iter().filter(move |(_, chunk)| {
                 chunk.is_dirty() && chunk.has_unwritten_start() == with_start
@@ -289,20 +292,20 @@
         };
         for (&index, chunk) in dirty(true).chain(dirty(false)) {
             match self.add_chunk(due, job, index, chunk) {
-                Added::Yes => {}
-                stop @ (Added::JobDeferred | Added::Full) => return stop,
+                AddResult::Continue => {}
+                stop @ (AddResult::JobDeferred | AddResult::Full) => return stop,
             }
         }
-        Added::Yes
+        AddResult::Continue
     }
 
-    /// Adds the end of a job. Its chunks go once the job has ended; no need to write
-    /// them.
-    fn add_end(&mut self, id: &JobId, job: &Job, phase: JobPhase) -> Added {
+    /// Adds the end of a job. Its chunks need no write: they are removed once the job has
+    /// ended.
+    fn add_end(&mut self, id: &JobId, job: &Job, phase: JobPhase) -> AddResult {
         if self.cas.writes.len() + 2 > self.placer.max_cas_operations
             || self.in_flight.record_count() >= self.placer.max_records_per_cas
         {
-            return Added::Full;
+            return AddResult::Full;
         }
         self.require_job_version(id, job);
         self.cas.writes.push(Write::Delete { key: job_key(id) });
@@ -313,21 +316,27 @@
             job: id.clone(),
             phase,
         });
-        Added::Yes
+        AddResult::Continue
     }
 
     /// Adds one chunk of a job.
-    fn add_chunk(&mut self, due: &DueJob<'_>, job: &Job, index: u32, chunk: &TaskChunk) -> Added {
+    fn add_chunk(
+        &mut self,
+        due: &DueJob<'_>,
+        job: &Job,
+        index: u32,
+        chunk: &TaskChunk,
+    ) -> AddResult {
         if self.is_full_for_chunk() {
-            return Added::Full;
+            return AddResult::Full;
         }
         let creates = chunk.version == 0 && !job.ended;
         if creates && job.copy_is_stale() {
-            return Added::Yes;
+            return AddResult::Continue;
         }
         if due.write_priority >= WritePriority::LowPriorityStart {
             if self.low_priority_chunks >= self.max_low_priority_chunks(due.write_priority) {
-                return Added::JobDeferred;
+                return AddResult::JobDeferred;
             }
             self.low_priority_chunks += 1;
         }
@@ -342,23 +351,23 @@
             is_removal,
         };
         if is_removal && chunk.version == 0 {
-            // Guards against a chunk that stays for ever, since the answer to its
-            // creation was lost: now that the job has ended it can't be made any more,
-            // so that a comparison tells.
+            // Guards against a chunk that is never removed because the answer to its
+            // creation was lost. Now that the job has ended the chunk can't be created any
+            // more, so that a condition on its absence is conclusive.
             if chunk.write_indeterminate {
                 self.cas.conditions.push(Condition { key, version: 0 });
             }
             self.in_flight.chunks.push(write);
-            return Added::Yes;
+            return AddResult::Continue;
         }
         self.cas.conditions.push(Condition {
             key: key.clone(),
             version: chunk.version,
         });
-        // Guards against a compare-and-swap that is made late, once the job has ended
-        // and the chunk is removed: that there is no chunk would be true again, and an
-        // attempt that nobody knows would come back. A job's key never has the same
-        // version twice.
+        // Guards against a compare-and-swap that the store applies late, after the job has
+        // ended and the chunk is removed: the chunk's absence would hold again, and an
+        // attempt unknown to everyone would be recorded. A job's key never has the same
+        // version twice, so a condition on it fails then.
         if creates && !self.requires_version_of(id) {
             self.require_job_version(id, job);
             self.bytes += RECORD_BYTES;
@@ -374,7 +383,7 @@
             });
         }
         self.in_flight.chunks.push(write);
-        Added::Yes
+        AddResult::Continue
     }
 
     fn is_full_for_chunk(&self) -> bool {
@@ -385,8 +394,9 @@
             || self.in_flight.record_count() >= self.placer.max_records_per_cas
     }
 
-    /// What thousands of jobs leave behind must not keep starts from their turn, nor
-    /// the other way round.
+    /// Low-priority chunks that a compare-and-swap may hold when a chunk of this write
+    /// priority is added. Starts get half, so that neither they nor the updates that
+    /// thousands of jobs leave behind keep the other from being written.
     fn max_low_priority_chunks(&self, write_priority: WritePriority) -> usize {
         let per_s = self.placer.low_priority_writes_per_s;
         if write_priority == WritePriority::LowPriorityStart {
@@ -414,9 +424,9 @@
         });
     }
 
-    /// True if a gang's step would not fit what is left of this compare-and-swap, but
-    /// fits a whole one.
-    fn would_split_step(&self, job: &Job) -> bool {
+    /// True if a gang's admission step does not fit what is left of this compare-and-swap,
+    /// but fits an empty one.
+    fn would_split_gang_step(&self, job: &Job) -> bool {
         let chunks = job
             .chunks
             .values()
