--- a/crates/coordination/src/placement/bit_set.rs
+++ b/crates/coordination/src/placement/bit_set.rs
@@ -1,11 +1,11 @@
-//! Rows of bits, one bit for each machine of an index.
+//! Bit sets over the machine positions of a placement index.
 
-/// A growable set of machine positions. A row that ends early is empty from there on.
+/// A growable set of machine positions. Positions beyond its length are not in the set.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) struct BitSet(Vec<u64>);
 
 impl BitSet {
-    /// An empty row with room for `len` positions.
+    /// An empty set with capacity for `len` positions.
     pub(super) fn zeros(len: usize) -> Self {
         Self(vec![0; len.div_ceil(64)])
     }
@@ -40,12 +40,13 @@
         self.0.iter().all(|word| *word == 0)
     }
 
-    /// How many words of 64 positions the row has.
+    /// Length of the set in words of 64 positions.
     pub(super) fn word_count(&self) -> usize {
         self.0.len()
     }
 
-    /// The positions from `64 * index` on, the lowest first; 0 beyond the end.
+    /// The word that holds positions `64 * index` to `64 * index + 63`, lowest bit first; 0
+    /// beyond the end.
     pub(super) fn word(&self, index: usize) -> u64 {
         self.0.get(index).copied().unwrap_or(0)
     }
@@ -57,14 +58,14 @@
         }
     }
 
-    /// Keeps only the positions that `other` has too.
+    /// Keeps only the positions that are also in `other`.
     pub(super) fn intersect(&mut self, other: &BitSet) {
         for (index, word) in self.0.iter_mut().enumerate() {
             *word &= other.word(index);
         }
     }
 
-    /// Adds the positions of `other`, as far as this row is long.
+    /// Adds the positions of `other` that lie within the length of this set.
     pub(super) fn union(&mut self, other: &BitSet) {
         for (word, added) in self.0.iter_mut().zip(&other.0) {
             *word |= added;
@@ -78,7 +79,7 @@
     }
 }
 
-/// Positions of the bits that are set in the word at `index` of a row.
+/// Positions of the bits that are set in the word at `index` of a [`BitSet`].
 pub(super) fn word_positions(index: usize, word: u64) -> impl Iterator<Item = usize> {
     let mut remaining = word;
     std::iter::from_fn(move || {
--- a/crates/coordination/src/placement/candidate_walk.rs
+++ b/crates/coordination/src/placement/candidate_walk.rs
@@ -1,4 +1,4 @@
-//! The walk of one task over the placement classes of the machines of all shards.
+//! Searches the machines of all shards for a place for one task, placement class by class.
 
 use super::bit_set::BitSet;
 use super::index::PlacementIndex;
@@ -15,28 +15,28 @@
     pub via_store: bool,
 }
 
-/// A machine that the walk has found.
+/// A machine found by a [`CandidateWalk`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Candidate {
     /// Shard of the machine.
     pub shard: usize,
     /// Position of the machine in the index of its shard.
     pub slot: usize,
-    /// The class in which it was found.
+    /// Placement class in which it was found.
     pub class: PlacementClass,
 }
 
-/// Machines of one shard that the walk has not ruled out yet.
+/// Machines of one shard that are still candidates.
 struct RemainingMachines {
     /// Machines that satisfy the constraints of the request.
     eligible: BitSet,
-    /// Of these, for each image locality, those without a negative answer; `None`: not
-    /// needed yet.
+    /// The eligible machines of each image locality that were not found to lack free
+    /// resources; `None` until first needed.
     by_locality: [Option<BitSet>; ImageLocality::COUNT],
 }
 
-/// One task's walk. Classes are disjoint, and a machine that had no free resources for the
-/// task in one class is not examined again.
+/// The candidate search of one task. Classes are disjoint, and a machine found to lack free
+/// resources for the task in its class is not examined again.
 pub struct CandidateWalk<'a> {
     indexes: &'a [PlacementIndex],
     /// Shards in the order in which they are examined.
@@ -47,8 +47,8 @@
 }
 
 impl<'a> CandidateWalk<'a> {
-    /// A walk that has not begun. `replicas`: one for each index, or none at all if the
-    /// placed replicas make no difference.
+    /// Starts a search. `replicas` has one entry for each index, or is empty if the placed
+    /// replicas don't affect the placement.
     pub fn new(
         indexes: &'a [PlacementIndex],
         shards: &'a [CandidateShard],
@@ -64,8 +64,8 @@
         }
     }
 
-    /// The best packed machine with free resources in the first of these classes that has
-    /// one. Within a class the shards are tried in their order.
+    /// Returns the best packed machine with free resources in the first of these classes
+    /// that has one. Within a class, shards are tried in order and the first match wins.
     pub fn find(&mut self, classes: &[PlacementClass]) -> Option<Candidate> {
         classes.iter().find_map(|class| {
             let shards = self.shards;
--- a/crates/coordination/src/placement/eligibility.rs
+++ b/crates/coordination/src/placement/eligibility.rs
@@ -1,4 +1,4 @@
-//! Which machines satisfy the constraints of a request, and which have its image how near.
+//! Filters machines by the constraints of a request and by image locality.
 
 use std::collections::HashMap;
 
@@ -8,7 +8,7 @@
 use crate::image_locality::scoring::ImageLocality;
 
 impl PlacementIndex {
-    /// Machines that satisfy all constraints of a request but its resources.
+    /// Machines that satisfy all constraints of a request except its resources.
     pub(super) fn eligible(&self, request: &PlacementRequest<'_>) -> BitSet {
         let mut eligible = self.schedulable.clone();
         if let Some(types) = request.machine_types {
@@ -37,12 +37,12 @@
         eligible
     }
 
-    /// Machines of these zones.
+    /// Machines in any of these zones.
     pub(super) fn zones_row(&self, zones: &[&str]) -> BitSet {
         self.union_of(&self.by_zone, zones.iter().copied())
     }
 
-    /// Machines in any of the rows of these names.
+    /// Union of the rows with these names.
     fn union_of<'a>(
         &self,
         rows: &HashMap<String, BitSet>,
@@ -55,7 +55,7 @@
         union
     }
 
-    /// Of the eligible machines those with this locality of the image.
+    /// The eligible machines that have this locality of the image.
     pub(super) fn with_image_locality(
         &self,
         eligible: &BitSet,
--- a/crates/coordination/src/placement/fit.rs
+++ b/crates/coordination/src/placement/fit.rs
@@ -1,4 +1,4 @@
-//! Which of the eligible machines is chosen: the best packed one with free resources.
+//! Chooses the best packed machine with free resources among the eligible ones.
 
 use std::cmp::Reverse;
 
@@ -8,39 +8,41 @@
 use super::request::PlacementRequest;
 use crate::image_locality::scoring::{ImageLocality, MachineUsage, PlacementClass};
 
-/// Whether the image must be fetched to the machine, as far as the packing order counts it.
+/// Whether the packing order takes the cost of an image fetch into account.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum ImageFetch {
-    /// It is cached, or its fetch is under way.
+    /// The image is cached, or its fetch is in progress.
     NotNeeded,
-    /// It may have to be fetched.
+    /// The image may have to be fetched.
     Possible,
 }
 
-/// The order of machines of one class: the least key is the best packed. Inexpensive
-/// machines first for those who may use them, then machines in use, those with most tasks
-/// first, so that others drain: whole machines stay free or can be released. Long-running
-/// tasks go to where most of their kind are: a machine that one replica holds for an hour
-/// is paid for whole.
+/// Sort key of the machines of one class: the smallest key is the best packed machine.
+///
+/// Spot instances come first for tasks that may use them, then machines in use, the busiest
+/// first, so that other machines drain and can be kept free or released. Long-running tasks
+/// go to the machines with most long-running tasks: a machine that a single replica occupies
+/// for an hour is paid for in full.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct PackingKey {
-    /// What needs no GPU goes where none is left unused beside it.
+    /// The task needs no GPU and would take resources of a machine with free GPUs.
     strands_gpus: bool,
+    /// An on-demand machine, for a task that may use spot instances.
     on_demand_for_spot: bool,
     idle: bool,
-    /// The fetch would evict from the cache an image that other jobs use.
+    /// The fetch would evict an image that unfinished jobs use from the cache.
     evicts_image: bool,
-    /// Each further fetch shares the fetch rate of the machine.
+    /// Fetches in progress, which would share the machine's fetch rate with this one.
     fetch_count: u32,
-    /// Long-running tasks, for a long-running task; all tasks.
+    /// Number of long-running tasks (0 unless the task is long-running) and of all tasks.
     load: Reverse<(u32, u32)>,
-    /// Position, counted from the start offset of the index.
+    /// Position relative to the start offset of the index.
     rotation: usize,
 }
 
 impl PlacementIndex {
-    /// The best packed machine of a class with free resources, among those of a row.
-    /// Examined machines without free resources leave the row.
+    /// Returns the best packed machine of a class with free resources among those in `row`.
+    /// Examined machines without free resources are removed from `row`.
     pub(super) fn best_in_class(
         &self,
         request: &PlacementRequest<'_>,
@@ -78,7 +80,7 @@
         best.map(|(_, slot)| slot)
     }
 
-    /// Machines of a class, whatever their image locality, in one word of the rows.
+    /// One word of the set of machines of a class, regardless of image locality.
     fn class_word(
         &self,
         word: usize,
@@ -104,8 +106,8 @@
         machines
     }
 
-    /// Machines of a usage in one word of the rows. Spot instances are a usage of their own
-    /// only for those who may use them.
+    /// One word of the set of machines with this usage. For a request that may use spot
+    /// instances, these belong to [`MachineUsage::Spot`] only.
     fn usage_word(&self, word: usize, usage: MachineUsage, request: &PlacementRequest<'_>) -> u64 {
         let spot = self.spot.word(word);
         let (long_running, busy) = (self.long_running.word(word), self.busy.word(word));
@@ -122,7 +124,8 @@
         }
     }
 
-    /// True if a machine has the free resources, and is not too expensive.
+    /// True if a machine has the free resources and is not excluded by
+    /// [`PlacementRequest::avoid_idle_on_demand`].
     fn fits(&self, request: &PlacementRequest<'_>, slot: usize) -> bool {
         let slot = &self.slots[slot];
         let idle_on_demand = !slot.spot && slot.task_count == 0;
@@ -153,8 +156,8 @@
         }
     }
 
-    /// Position of a machine, counted from where this controller starts to place
-    /// long-running tasks.
+    /// Position of a machine relative to the start offset, which applies to long-running
+    /// tasks only.
     fn rotation(&self, position: usize, request: &PlacementRequest<'_>) -> usize {
         let start = if request.long_running {
             self.slots.len() * self.start.shards_after / self.start.shard_count.max(1)
@@ -164,7 +167,7 @@
         (position + self.slots.len() - start) % self.slots.len()
     }
 
-    /// The best packed machine with free resources, wherever the image is.
+    /// Returns the best packed machine with free resources, regardless of image locality.
     pub fn first_fit(&self, request: &PlacementRequest<'_>) -> Option<usize> {
         let eligible = self.eligible(request);
         self.count_examined(eligible.word_count());
@@ -177,9 +180,10 @@
             .min_by_key(|&slot| self.packing_key(request, slot, ImageFetch::Possible))
     }
 
-    /// True if a machine in use has the image and the free resources for one more task
-    /// beside one on machine `placed`. A `placed` that is no position stands for a machine
-    /// of another shard.
+    /// True if a machine in use has free resources for one more task in addition to one on
+    /// machine `placed`. If a machine of this index caches the image or once did, only
+    /// machines that cache it count. A `placed` out of range stands for a machine of another
+    /// shard.
     pub fn fits_one_more(&self, request: &PlacementRequest<'_>, placed: usize) -> bool {
         let mut eligible = self.eligible(request);
         self.count_examined(eligible.word_count());
--- a/crates/coordination/src/placement/index.rs
+++ b/crates/coordination/src/placement/index.rs
@@ -9,30 +9,30 @@
 use super::bit_set::BitSet;
 use super::machine_slot::MachineSlot;
 
-/// Where the walk of one controller starts among machines that are alike for long-running
-/// tasks.
+/// Where a controller starts among equally good machines for long-running tasks.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct StartOffset {
-    /// Shards from the controller's own to this one.
+    /// Distance from the controller's home shard to this one, in shards.
     pub(super) shards_after: usize,
-    /// All shards.
+    /// Number of shards.
     pub(super) shard_count: usize,
 }
 
-/// The machines of one shard, ready for placement. It is kept from pass to pass: a new
-/// view of a machine replaces its bits, and what a placer reserves stays reserved until
-/// the machine's next view or until the reservations are reverted.
+/// The machines of one shard, indexed for placement. Each property has a row: the bit set of
+/// the machines that have it. The index is kept across placement passes: a new view of a
+/// machine replaces its bits, and reservations last until the machine's next view or until
+/// they are reverted.
 #[derive(Clone, Debug, Default)]
 pub struct PlacementIndex {
-    /// The machines by position. Slots of machines that are gone are never schedulable,
-    /// and are used again.
+    /// The machines by position. Slots of removed machines are not schedulable and are
+    /// reused.
     pub slots: Vec<MachineSlot>,
-    /// The newest view of each machine, as its owner published it.
+    /// The latest view of each machine, as its owner published it.
     views: Vec<Option<MachineView>>,
-    /// Cache headroom of each machine as of its newest view, MB.
+    /// Cache headroom of each machine as last set, MB; `u64::MAX` while unknown.
     published_headroom_mb: Vec<u64>,
     positions: HashMap<MachineId, usize>,
-    vacant: Vec<usize>,
+    vacant_slots: Vec<usize>,
     /// Machines that are up and accept tasks.
     pub(super) schedulable: BitSet,
     pub(super) spot: BitSet,
@@ -44,9 +44,9 @@
     pub(super) long_running: BitSet,
     /// Machines with any task.
     pub(super) busy: BitSet,
-    /// Machines that fetch at least one image.
+    /// Machines that are fetching at least one image.
     pub(super) fetching: BitSet,
-    /// Machines that fetch two images or more.
+    /// Machines that are fetching two or more images.
     pub(super) fetching_several: BitSet,
     /// Machines with free GPUs.
     pub(super) free_gpus: BitSet,
@@ -54,7 +54,7 @@
     examined: Cell<u64>,
 }
 
-/// Sets a machine's bit in the row of a name.
+/// Sets a machine's bit in the row with this name, which is created if missing.
 fn set_in_row(rows: &mut HashMap<String, BitSet>, name: &str, slot: usize) {
     match rows.get_mut(name) {
         Some(row) => row.set(slot),
@@ -67,7 +67,7 @@
 }
 
 impl PlacementIndex {
-    /// An index of these machines.
+    /// Creates an index of these machines.
     pub fn new(machines: &[MachineView]) -> Self {
         let mut index = Self::default();
         for view in machines {
@@ -76,10 +76,12 @@
         index
     }
 
-    /// An empty index of a shard that comes `shards_after` after the controller's own, of
-    /// `shard_count`. Guards against placers that spread at the same time and all take the
-    /// first machine of a zone, where their fetches then share its rate: each starts
-    /// elsewhere.
+    /// Creates an empty index of a shard that comes `shards_after` shards after the
+    /// controller's home shard, of `shard_count`.
+    ///
+    /// Each controller starts at another machine. Otherwise placers that spread replicas at
+    /// the same time would all pick the first machine of a zone, and their fetches would
+    /// share its rate.
     pub fn with_start_offset(shards_after: usize, shard_count: usize) -> Self {
         Self {
             start: StartOffset {
@@ -90,7 +92,7 @@
         }
     }
 
-    /// Applies the newest view of a machine.
+    /// Applies a new view of a machine and drops the reservations made on it.
     pub fn upsert(&mut self, view: MachineView) {
         let slot = self.slot_for(&view);
         self.clear_rows(slot);
@@ -114,12 +116,12 @@
         self.update_usage_rows(slot);
     }
 
-    /// The slot of a machine; a vacant or new one if it has none.
+    /// Returns the slot of a machine; assigns a vacant or new one if it has none.
     fn slot_for(&mut self, view: &MachineView) -> usize {
         if let Some(slot) = self.position(&view.id) {
             return slot;
         }
-        let slot = self.vacant.pop().unwrap_or(self.slots.len());
+        let slot = self.vacant_slots.pop().unwrap_or(self.slots.len());
         self.positions.insert(view.id.clone(), slot);
         if slot == self.slots.len() {
             self.slots.push(MachineSlot::from(view));
@@ -129,8 +131,8 @@
         slot
     }
 
-    /// Sets how many MB may be fetched to a machine before its cache evicts an image that
-    /// unfinished jobs use.
+    /// Sets the cache headroom of a machine: how many MB may be fetched to it before its
+    /// cache evicts an image that unfinished jobs use.
     pub fn set_cache_headroom(&mut self, id: &MachineId, headroom_mb: u64) {
         if let Some(slot) = self.position(id) {
             self.published_headroom_mb[slot] = headroom_mb;
@@ -138,7 +140,7 @@
         }
     }
 
-    /// Updates the rows that are derived from a slot.
+    /// Updates the rows that are derived from the load of a slot.
     fn update_usage_rows(&mut self, position: usize) {
         let slot = &self.slots[position];
         self.long_running
@@ -149,7 +151,7 @@
         self.free_gpus.assign(position, slot.free.milli_gpus > 0);
     }
 
-    /// Clears the rows that are set from a machine's view.
+    /// Removes a machine from the rows that are set from its view.
     fn clear_rows(&mut self, slot: usize) {
         self.schedulable.clear(slot);
         self.spot.clear(slot);
@@ -168,12 +170,12 @@
         if let Some(slot) = self.positions.remove(id) {
             self.clear_rows(slot);
             self.views[slot] = None;
-            self.vacant.push(slot);
+            self.vacant_slots.push(slot);
         }
     }
 
-    /// Reserves resources on a machine for a task with this image, beside those that must
-    /// be preempted for it.
+    /// Reserves resources on a machine for a task with this image. What the free resources
+    /// don't cover is taken from the preemptible ones.
     pub fn reserve(&mut self, position: usize, need: &Resources, image: &str) {
         let slot = &mut self.slots[position];
         let preempted = need.minus(&slot.free);
@@ -193,13 +195,13 @@
         self.update_usage_rows(position);
     }
 
-    /// Counts the last reservation on a machine as a long-running task.
+    /// Counts the latest reservation on a machine as a long-running task.
     pub fn mark_long_running(&mut self, slot: usize) {
         self.slots[slot].long_running_count += 1;
         self.update_usage_rows(slot);
     }
 
-    /// Reverts what was reserved on a machine since its newest view.
+    /// Reverts the reservations made on a machine since its latest view.
     pub fn revert_reservations(&mut self, slot: usize) {
         let Some(view) = self.views.get(slot).and_then(Option::as_ref) else {
             return;
@@ -220,12 +222,12 @@
         self.views.iter().flatten()
     }
 
-    /// The zones in which there ever was a machine.
+    /// The zones that have or had a machine in this index.
     pub fn zones(&self) -> impl Iterator<Item = &str> {
         self.by_zone.keys().map(String::as_str)
     }
 
-    /// True if a machine has an image.
+    /// True if a machine has an image in its cache.
     pub fn has_image(&self, slot: usize, image: &str) -> bool {
         let cached = self.by_cached_image.get(image);
         cached.is_some_and(|row| row.contains(slot))
@@ -241,7 +243,7 @@
         self.positions.get(id).copied()
     }
 
-    /// Row words and machines examined so far: the work of placement, counted.
+    /// Number of bit set words and machines examined so far, as a measure of placement work.
     pub fn candidates_examined(&self) -> u64 {
         self.examined.get()
     }
--- a/crates/coordination/src/placement/machine_slot.rs
+++ b/crates/coordination/src/placement/machine_slot.rs
@@ -1,10 +1,10 @@
-//! One machine as the placement index keeps it.
+//! The entry of one machine in the placement index.
 
 use lemonweir_model::{MachineId, Resources};
 use lemonweir_protocol::peer::MachineView;
 
-/// Resources and load of a machine: as its owner published them, less what was reserved
-/// since.
+/// Resources and load of a machine: as its owner published them, adjusted by the
+/// reservations made since.
 #[derive(Clone, Debug)]
 pub struct MachineSlot {
     /// The machine.
@@ -15,18 +15,18 @@
     pub spot: bool,
     /// Free resources.
     pub free: Resources,
-    /// Tasks on it.
+    /// Number of tasks.
     pub task_count: u32,
-    /// Tasks on it that run until their jobs are cancelled.
+    /// Number of tasks that run until their jobs are cancelled.
     pub long_running_count: u32,
-    /// Images that it fetches: they share its fetch rate.
+    /// Number of images being fetched, which share the machine's fetch rate.
     pub fetch_count: u32,
     /// MB that may be fetched before its cache evicts an image that unfinished jobs use;
-    /// `u64::MAX` while that is not known.
+    /// `u64::MAX` while unknown.
     pub cache_headroom_mb: u64,
     /// Resources of the attempts below each priority, by [`lemonweir_model::Priority::index`].
     pub preemptible: [Resources; 3],
-    /// The same with what teams run beyond their guaranteed quota.
+    /// The same, plus the attempts that teams run beyond their guaranteed quota.
     pub preemptible_over_quota: [Resources; 3],
 }
 
--- a/crates/coordination/src/placement/mod.rs
+++ b/crates/coordination/src/placement/mod.rs
@@ -1,17 +1,17 @@
-//! Bin packing of tasks onto machines: first fit over constraint bit-vectors.
+//! Bin packing of tasks onto machines with constraint bit vectors.
 //!
-//! The machines of each shard are indexed by one row of bits for each constraint
-//! (`bit_set`, `index`): machine type, zone, spot, schedulable, cached image, and so
-//! on. The constraints of a request (`request`) are ANDed (`eligibility`), and the
-//! best packed machine whose free resources cover the request is chosen (`fit`; paper,
-//! section IV-B). If none has free resources, `preemption` finds the machine on which
-//! least must be preempted.
+//! The machines of each shard are indexed by one bit set for each constraint (`bit_set`,
+//! `index`): machine type, zone, spot, schedulable, cached image, and so on. The
+//! constraints of a request (`request`) are ANDed (`eligibility`), and the best packed
+//! machine whose free resources cover the request is chosen (`fit`; paper, section IV-B).
+//! If none has enough free resources, `preemption` finds the machine on which the least
+//! must be preempted.
 //!
-//! Rows for images, replicas and machine usage do not constrain; they only decide the
-//! order in which candidates are examined, class by class (`candidate_walk`, with the
-//! classes of [`crate::image_locality::scoring`]): a machine with the image first, since
-//! the fetch decides when a task starts, then one that is in use already, so that whole
-//! machines stay free.
+//! Image locality, replicas and machine usage are preferences, not constraints: they only
+//! decide the order in which candidates are examined, class by class (`candidate_walk`, with
+//! the classes of [`crate::image_locality::scoring`]). Machines with the image come first,
+//! since the fetch decides when a task starts, then machines in use, so that whole machines
+//! stay free.
 
 mod bit_set;
 mod candidate_walk;
--- a/crates/coordination/src/placement/preemption.rs
+++ b/crates/coordination/src/placement/preemption.rs
@@ -1,4 +1,4 @@
-//! Where a task fits if others are preempted for it.
+//! Finds a machine for a task that fits only if other attempts are preempted.
 
 use lemonweir_model::{Priority, Resources};
 use lemonweir_protocol::peer::PreemptionScope;
@@ -7,31 +7,33 @@
 use super::replicas::PlacedReplicas;
 use super::request::PlacementRequest;
 
-/// Whether a machine must have the image already.
+/// Whether a candidate machine must have the image in its cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ImageRequirement {
-    /// It may have to be fetched.
+    /// The image may have to be fetched.
     Optional,
-    /// Only machines that have it are candidates.
+    /// Only machines that cache the image are candidates.
     Cached,
 }
 
-/// What preemption on a machine costs, in the order of its weight: the least is chosen.
+/// Cost of preemption on a machine, most significant criterion first; the lowest is chosen.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct PreemptionCost {
     image_missing: bool,
-    /// Each further fetch shares the fetch rate of the machine; 0 if the image is cached.
+    /// Fetches in progress, which would share the machine's fetch rate; 0 if the image is
+    /// cached.
     fetch_count: u32,
-    beside_replica: bool,
+    /// A replica of the same job is on the machine.
+    has_replica: bool,
     /// Resources that must be preempted.
     shortfall: Resources,
     slot: usize,
 }
 
 impl PlacementIndex {
-    /// The machine on which least must be preempted, among those where that suffices; one
-    /// that has the image goes first, then one that fetches least, then one without
-    /// replicas of the same job.
+    /// Returns the machine on which the least must be preempted, among those where
+    /// preemption frees enough. Machines with the image come first, then those with the
+    /// fewest fetches in progress, then those without replicas of the same job.
     pub fn preemptive_fit(
         &self,
         request: &PlacementRequest<'_>,
@@ -55,7 +57,7 @@
             .map(|cost| cost.slot)
     }
 
-    /// What preemption on a machine costs; `None`: it does not suffice there.
+    /// Cost of preemption on a machine; `None` if it does not free enough there.
     fn preemption_cost(
         &self,
         request: &PlacementRequest<'_>,
@@ -78,7 +80,7 @@
         Some(PreemptionCost {
             image_missing,
             fetch_count: if image_missing { slot.fetch_count } else { 0 },
-            beside_replica: replicas.is_some_and(|r| r.has_replica(position)),
+            has_replica: replicas.is_some_and(|r| r.has_replica(position)),
             shortfall: request.need.minus(&slot.free),
             slot: position,
         })
