--- a/crates/coordination/src/dependencies/batch.rs
+++ b/crates/coordination/src/dependencies/batch.rs
@@ -1,4 +1,4 @@
-//! One compare-and-swap for as many waiting jobs as it holds.
+//! Batches changes of blocked jobs into one compare-and-swap, up to the store's limits.
 
 use std::collections::{BTreeMap, HashSet};
 
@@ -10,50 +10,50 @@
     blocked_job_key, cancel_blocked_job, check_ends_unchanged, dependency_page_key, unblock_job,
 };
 
-/// What a compare-and-swap for waiting jobs is for.
+/// The changes that a compare-and-swap for blocked jobs makes once it is committed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct PendingCas {
-    /// Jobs that it lets start.
+    /// Jobs that it unblocks.
     pub(super) released: Vec<JobId>,
     /// Jobs that it records as cancelled.
     pub(super) cancelled: Vec<JobId>,
-    /// Final states that it confirms.
+    /// Jobs whose final states it verifies.
     pub(super) verified: Vec<JobId>,
 }
 
-/// A compare-and-swap that grows up to its limits.
+/// A compare-and-swap that is filled up to its limits.
 pub(super) struct CasBatch {
     pub(super) cas: CompareAndSwap,
     pub(super) pending: PendingCas,
     max_writes: usize,
     max_conditions: usize,
-    full: bool,
+    verification_only: bool,
 }
 
 impl CasBatch {
-    /// An empty one of so many changes at most.
+    /// Creates an empty batch of at most `max_writes` writes.
     pub(super) fn new(max_writes: usize) -> Self {
         Self {
             cas: CompareAndSwap::default(),
             pending: PendingCas::default(),
             max_writes,
             max_conditions: CONDITIONS_PER_CHANGE * max_writes,
-            full: false,
+            verification_only: false,
         }
     }
 
-    /// True if it only confirms final states and must go by itself.
-    pub(super) fn is_full(&self) -> bool {
-        self.full
+    /// True if the batch only verifies final states; nothing may be added to it.
+    pub(super) fn is_verification_only(&self) -> bool {
+        self.verification_only
     }
 
-    /// True if it changes something.
+    /// True if the batch writes anything.
     pub(super) fn has_writes(&self) -> bool {
         !self.cas.writes.is_empty()
     }
 
-    /// Adds the release of jobs whose dependencies are done, each with their final states,
-    /// of which the `verified` are confirmed already.
+    /// Adds the release of jobs whose dependencies are done. Each job comes with the final
+    /// states of its dependencies; those in `verified` need no further check.
     pub(super) fn add_ready(
         &mut self,
         cache: &StateCache,
@@ -61,7 +61,7 @@
         verified: &HashSet<JobId>,
     ) {
         for (id, done) in ready {
-            let Some(waiting) = cache.blocked_jobs.get(id) else {
+            let Some(blocked) = cache.blocked_jobs.get(id) else {
                 continue;
             };
             let unverified: Vec<(JobId, u64)> = done
@@ -70,40 +70,41 @@
                 .cloned()
                 .collect();
             if unverified.len() >= self.max_conditions {
-                // More than one compare-and-swap holds: first some of them by themselves.
+                // Too many conditions for one compare-and-swap: verify some of them on their
+                // own first.
                 if self.cas == CompareAndSwap::default() {
-                    self.confirm(&unverified[..self.max_conditions]);
+                    self.verify(&unverified[..self.max_conditions]);
                 }
                 return;
             }
-            let release = unblock_job(&waiting.record, waiting.version, &unverified);
-            if !self.append(release) {
+            let release = unblock_job(&blocked.record, blocked.version, &unverified);
+            if !self.try_append(release) {
                 return;
             }
             self.pending.released.push(id.clone());
         }
     }
 
-    fn confirm(&mut self, done: &[(JobId, u64)]) {
+    fn verify(&mut self, done: &[(JobId, u64)]) {
         self.cas = check_ends_unchanged(done);
         self.pending.verified = done.iter().map(|(id, _)| id.clone()).collect();
-        self.full = true;
+        self.verification_only = true;
     }
 
-    /// Adds the end of jobs that are cancelled with a dependency.
+    /// Adds the final states of jobs that are cancelled with a dependency.
     pub(super) fn add_cancelled(&mut self, cache: &StateCache, cancelled: &[JobId]) {
         for id in cancelled {
-            let Some(waiting) = cache.blocked_jobs.get(id) else {
+            let Some(blocked) = cache.blocked_jobs.get(id) else {
                 continue;
             };
-            if !self.append(cancel_blocked_job(id, waiting.version)) {
+            if !self.try_append(cancel_blocked_job(id, blocked.version)) {
                 return;
             }
             self.pending.cancelled.push(id.clone());
         }
     }
 
-    /// Adds the deletion of pages of dependencies whose jobs wait no more.
+    /// Adds the deletion of dependency pages whose jobs are no longer blocked.
     pub(super) fn add_orphaned_pages(&mut self, cache: &StateCache) {
         for (id, page) in cache.orphaned_dependency_pages() {
             let deletion = CompareAndSwap {
@@ -115,15 +116,15 @@
                     key: dependency_page_key(id, *page),
                 }],
             };
-            if cache.is_known(id) && !self.append(deletion) {
+            if cache.is_known(id) && !self.try_append(deletion) {
                 return;
             }
         }
     }
 
-    /// Adds a compare-and-swap if both together stay within the limits, or this one has no
-    /// writes yet.
-    fn append(&mut self, next: CompareAndSwap) -> bool {
+    /// Merges a compare-and-swap into this one; false if they don't fit together. Always
+    /// succeeds while this one has no writes.
+    fn try_append(&mut self, next: CompareAndSwap) -> bool {
         let fits = self.cas.writes.len() + next.writes.len() <= self.max_writes
             && self.cas.conditions.len() + next.conditions.len() <= self.max_conditions;
         if !fits && self.has_writes() {
--- a/crates/coordination/src/dependencies/graph.rs
+++ b/crates/coordination/src/dependencies/graph.rs
@@ -1,4 +1,4 @@
-//! Walks over the graph of dependencies, as the cache has it.
+//! Traversals of the dependency graph in the state cache.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -8,24 +8,24 @@
 use lemonweir_storage::StateCache;
 use lemonweir_storage::state_cache::FinalState;
 
-/// The state of a waiting job by all that it depends on, directly or through others.
+/// State of a blocked job, derived from its direct and transitive dependencies.
 pub(super) fn dependency_state(cache: &StateCache, id: &JobId) -> DependencyState {
     let (waiting, mut unread) = match direct_state(cache, id) {
         DependencyState::Waiting(waiting) => (waiting, Vec::new()),
-        // What the others depend on may still show that it is cancelled.
+        // A transitive dependency may still show that the job is cancelled.
         DependencyState::Unread(unread) => (cache.dependencies(id).unwrap_or_default(), unread),
         decided @ (DependencyState::Ready(_) | DependencyState::Cancelled(_)) => return decided,
     };
-    let before = search_before(cache, &waiting);
-    unread.extend(before.unread);
-    match before.cancelled {
+    let search = search_dependencies(cache, &waiting);
+    unread.extend(search.unread);
+    match search.cancelled {
         Some(state) => DependencyState::Cancelled(state),
         None if !unread.is_empty() => DependencyState::Unread(unread),
         None => DependencyState::Waiting(waiting),
     }
 }
 
-/// The same by the direct dependencies alone.
+/// State of a blocked job, derived from its direct dependencies only.
 pub(super) fn direct_state(cache: &StateCache, id: &JobId) -> DependencyState {
     let Some(dependencies) = cache.dependencies(id) else {
         return DependencyState::Unread(Vec::new());
@@ -52,8 +52,8 @@
     cache.jobs.contains_key(id) || cache.blocked_jobs.contains_key(id)
 }
 
-/// Waiting jobs that depend on a cancelled one, each with the final state that cancels it.
-/// Each job is looked at once for all of them together.
+/// Blocked jobs that depend on a cancelled job, directly or transitively, each with the final
+/// state that cancels it. One traversal visits each job once.
 pub(super) fn cancelled_jobs(cache: &StateCache) -> HashMap<JobId, FinalState> {
     let mut dependents: HashMap<JobId, Vec<&JobId>> = HashMap::new();
     let mut queue: Vec<(&JobId, FinalState)> = Vec::new();
@@ -76,17 +76,17 @@
     cancelled
 }
 
-/// What a search through all dependencies of some jobs found.
-pub(super) struct Search {
+/// Result of a search through the transitive dependencies of some jobs.
+pub(super) struct DependencySearch {
     /// The final state of a cancelled job among them.
     pub(super) cancelled: Option<FinalState>,
-    /// Jobs of which nothing is known.
+    /// Jobs that are not in the cache.
     pub(super) unread: Vec<JobId>,
 }
 
-/// Searches for a cancelled job somewhere before these, and for the jobs there of which
-/// nothing is known. Each job is looked at once, however many depend on it.
-pub(super) fn search_before(cache: &StateCache, jobs: &[JobId]) -> Search {
+/// Searches the transitive dependencies of `jobs` for a cancelled job, and for jobs that are
+/// not in the cache. Each job is visited once, however many depend on it.
+pub(super) fn search_dependencies(cache: &StateCache, jobs: &[JobId]) -> DependencySearch {
     let mut unread = Vec::new();
     let mut seen: BTreeSet<JobId> = jobs.iter().cloned().collect();
     let mut queue: Vec<JobId> = jobs.to_vec();
@@ -98,7 +98,7 @@
             match cache.job_end(&dependency) {
                 Some(state) if state.phase == JobPhase::Withdrawn => {
                     let cancelled = Some(state);
-                    return Search { cancelled, unread };
+                    return DependencySearch { cancelled, unread };
                 }
                 Some(_) => {}
                 None if cache.jobs.contains_key(&dependency) => {}
@@ -111,21 +111,22 @@
             }
         }
     }
-    Search {
+    DependencySearch {
         cancelled: None,
         unread,
     }
 }
 
-/// The highest priority of the jobs that depend on each job, directly or through others.
+/// For each job that others depend on, directly or transitively, the highest priority among
+/// those others.
 pub(super) fn inherited_priorities(cache: &StateCache) -> HashMap<JobId, Priority> {
     let mut inherited: HashMap<JobId, Priority> = HashMap::new();
     let mut queue: Vec<JobId> = cache.blocked_jobs.keys().cloned().collect();
     while let Some(id) = queue.pop() {
-        let Some(waiting) = cache.blocked_jobs.get(&id) else {
+        let Some(blocked) = cache.blocked_jobs.get(&id) else {
             continue;
         };
-        let own = waiting.record.spec.priority;
+        let own = blocked.record.spec.priority;
         let priority = inherited.get(&id).map_or(own, |higher| own.min(*higher));
         for dependency in cache.dependencies(&id).unwrap_or_default() {
             if inherited
--- a/crates/coordination/src/dependencies/mod.rs
+++ b/crates/coordination/src/dependencies/mod.rs
@@ -1,15 +1,16 @@
-//! Jobs that depend on others: which may start, which are cancelled with another, and the
-//! priority that the jobs before them inherit.
+//! Job dependencies: unblocking of jobs, propagation of cancellations, and inheritance of
+//! priorities. A job is blocked while it waits for its dependencies.
 //!
-//! * **Start.** A waiting job is moved to where placers find it by one compare-and-swap,
-//!   whose conditions are the final states of all its dependencies, each under the version
-//!   that says done ([`lemonweir_storage::dependencies`]).
-//! * **Cancellation.** A job that depends on a cancelled one, directly or through others,
-//!   never starts, since that final state never changes. So it counts as cancelled from the
-//!   moment when the final state that decides it is written: any controller may say so, and
-//!   the record of its own end follows when there is room for the write.
+//! * **Start.** One compare-and-swap moves a blocked job to where placers find it. Its
+//!   conditions are the final states of all dependencies, each at the version that says done
+//!   ([`lemonweir_storage::dependencies`]).
+//! * **Cancellation.** A job that depends on a cancelled one, directly or transitively, never
+//!   starts, since a final state never changes. It counts as cancelled as soon as the final
+//!   state that decides it is written: any controller may report it, and the record of its own
+//!   end follows when there is capacity for the write.
 //! * **Priority.** Users set the priority that they care about on the last job of a
-//!   pipeline. A job is placed with the highest priority of all that depend on it.
+//!   pipeline. A job is placed with the highest priority among itself and all jobs that
+//!   depend on it.
 
 mod batch;
 mod graph;
@@ -31,39 +32,40 @@
 use lemonweir_storage::records::{JobRecord, create_job, request_cancellation};
 use lemonweir_storage::state_cache::FinalState;
 
-/// Dependencies that are named to a user who asks why a job waits.
-const DEPENDENCIES_NAMED: usize = 5;
-/// Final states of dependencies that are read at a time.
-const FINAL_STATES_READ_AT_ONCE: usize = 16;
-/// ms after which a compare-and-swap for waiting jobs is tried again that was not made: a
-/// reading of the store lies between.
+/// Maximum number of dependencies listed in the wait reason of a job.
+const MAX_DEPENDENCIES_IN_REASON: usize = 5;
+/// Maximum number of final states requested from the store after one scan.
+const MAX_FINAL_STATE_READS_PER_SCAN: usize = 16;
+/// ms until a compare-and-swap for blocked jobs that was not committed, or a read of final
+/// states that found nothing, is retried: long enough for a read of the store in between.
 const CAS_RETRY_MS: u64 = 300;
-/// ms between two surveys of all waiting jobs: little beside the fetch of an image, and
-/// enough for thousands of them on a tenth of a core.
-const SURVEY_GAP_MS: u64 = 50;
+/// Minimum ms between two scans of all blocked jobs. Short compared with the fetch of an
+/// image, and long enough to scan thousands of jobs on a tenth of a core.
+const MIN_SCAN_INTERVAL_MS: u64 = 50;
 
-/// The state of a waiting job, by the final states of all that it depends on.
+/// State of a blocked job, derived from the final states of its dependencies.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DependencyState {
-    /// All dependencies are done, each by the final state with this version.
+    /// All dependencies are done, each with the version of its final state.
     Ready(Vec<(JobId, u64)>),
-    /// These dependencies are not done yet.
+    /// These dependencies are unfinished.
     Waiting(Vec<JobId>),
-    /// A job that it depends on, directly or through others, is cancelled.
+    /// A direct or transitive dependency is cancelled.
     Cancelled(FinalState),
-    /// The final states of these must be read before anything can be said.
+    /// The final states of these jobs must be read first. Empty if the job's own dependencies
+    /// are not in the cache yet.
     Unread(Vec<JobId>),
 }
 
 impl DependencyState {
-    /// Why a job waits, in plain words for its user.
+    /// Reason shown to users for why the job waits.
     pub(crate) fn wait_reason(&self) -> String {
         let Self::Waiting(ids) = self else {
             return "all jobs that it awaits are done; it is about to be placed".into();
         };
         let named: Vec<&str> = ids
             .iter()
-            .take(DEPENDENCIES_NAMED)
+            .take(MAX_DEPENDENCIES_IN_REASON)
             .map(JobId::as_str)
             .collect();
         let more = ids.len().saturating_sub(named.len());
@@ -76,77 +78,79 @@
     }
 }
 
-/// What becomes of a submission that depends on others.
+/// Result of checking the dependencies of a submitted job.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DependencyAdmission {
-    /// Nothing is known here of these ids: the store has to be asked.
+    /// These dependencies are not in the cache and must be looked up in the store.
     Unknown(Vec<JobId>),
-    /// Accepted by these compare-and-swaps, in their order; then it is acknowledged with
-    /// this phase.
+    /// The job is accepted by these compare-and-swaps, in this order, and then acknowledged
+    /// with this phase.
     Accept(Vec<CompareAndSwap>, JobPhase),
 }
 
-/// When all waiting jobs were last looked at.
+/// The last scan of all blocked jobs.
 #[derive(Clone, Copy, Debug)]
-struct Survey {
-    /// What the cache had changed by then.
+struct Scan {
+    /// Change counter of the cache at the scan.
     changes: u64,
-    /// ms.
+    /// Time of the scan, ms.
     at: u64,
 }
 
-impl Survey {
-    /// Guards against a look at thousands of waiting jobs at every event.
+impl Scan {
+    /// True if no new scan is due. Avoids a scan of thousands of blocked jobs on every event.
     fn still_valid(self, changes: u64, now: u64) -> bool {
-        now < self.at + SURVEY_GAP_MS
+        now < self.at + MIN_SCAN_INTERVAL_MS
             || self.changes == changes && now < self.at + SHARD_VIEW_REFRESH_MS
     }
 }
 
-/// A controller's state of the jobs that depend on others.
+/// Dependency tracking of one controller.
 #[derive(Debug, Default)]
 pub struct DependencyGraph {
-    /// Changes of waiting jobs that the inherited priorities follow from.
+    /// Value of the cache's change counter that `inherited` was computed from.
     applied_changes: u64,
     /// Priorities that jobs inherit from those that depend on them.
     inherited: HashMap<JobId, Priority>,
-    /// What the compare-and-swap under way was for.
+    /// Contents of the compare-and-swap in flight.
     pending: Option<PendingCas>,
-    /// Final states that are being read.
-    reading: BTreeSet<JobId>,
-    /// Final states that the store has confirmed for jobs with too many dependencies for
-    /// one compare-and-swap.
+    /// Jobs whose final states are being read.
+    reads_in_flight: BTreeSet<JobId>,
+    /// Dependencies whose final states the store has verified, for jobs with too many
+    /// dependencies for one compare-and-swap.
     verified: HashSet<JobId>,
-    /// When to try again after a compare-and-swap that was not made, ms.
-    not_before: u64,
-    last_survey: Option<Survey>,
+    /// No scan takes place before this time, ms: set after a compare-and-swap or a read that
+    /// must be retried.
+    retry_at: u64,
+    last_scan: Option<Scan>,
 }
 
 impl DependencyGraph {
-    /// The highest priority of the jobs that depend on a job.
+    /// The highest priority of the blocked jobs that depend on a job.
     pub(crate) fn inherited_priority(&self, id: &JobId) -> Option<Priority> {
         self.inherited.get(id).copied()
     }
 }
 
-/// What a survey of the waiting jobs found to do.
+/// Result of a scan of the blocked jobs.
 #[derive(Default)]
-struct DueWork {
-    /// Jobs that may start, each with its dependencies' final states.
+struct ScanResult {
+    /// Jobs that may start, each with its dependencies and the versions of their final states.
     ready: Vec<(JobId, Vec<(JobId, u64)>)>,
-    /// Jobs that are cancelled with another.
+    /// Jobs that are cancelled with a dependency.
     cancelled: Vec<JobId>,
     /// Jobs whose final states must be read.
     unread: BTreeSet<JobId>,
 }
 
 impl Core {
-    /// The state of a job that waits for its dependencies.
+    /// State of a blocked job.
     pub fn dependency_state(&self, id: &JobId) -> DependencyState {
         graph::dependency_state(&self.cache, id)
     }
 
-    /// What becomes of a submission whose job is not known here, at this time of day, ms.
+    /// Checks the dependencies of a submitted job that is not known here; `at` is the time of
+    /// day, ms.
     pub fn admit_job(&self, spec: &JobSpec, at: u64) -> DependencyAdmission {
         let unknown: Vec<JobId> = spec
             .depends_on
@@ -163,8 +167,8 @@
                 JobPhase::Withdrawn,
             );
         }
-        // Final states never change: what is done need not be waited for, but its final
-        // state is still to be confirmed by the store, unless the job depends on nothing.
+        // A job whose dependencies are all done is still created as blocked: the store must
+        // verify their final states. Only a job without dependencies is created directly.
         let record = JobRecord {
             spec: spec.clone(),
             submitted_at_ms: at,
@@ -188,13 +192,13 @@
                 None => unfinished.push(id.clone()),
             }
         }
-        graph::search_before(&self.cache, &unfinished)
+        graph::search_dependencies(&self.cache, &unfinished)
             .cancelled
             .is_some()
     }
 
-    /// The compare-and-swap by which a user cancels an unfinished job; `None`: it is being
-    /// cancelled already, or not known here.
+    /// The compare-and-swap that cancels an unfinished job for its user; `None` if its
+    /// cancellation is already requested or the job is not known here.
     pub fn cancellation_cas(&self, id: &JobId) -> Option<CompareAndSwap> {
         if let Some(job) = self.cache.jobs.get(id) {
             return (!job.record.cancel_requested)
@@ -203,29 +207,30 @@
         self.cache
             .blocked_jobs
             .get(id)
-            .map(|waiting| cancel_blocked_job(id, waiting.version))
+            .map(|blocked| cancel_blocked_job(id, blocked.version))
     }
 
-    /// The priority that a job is placed with here, if this controller places it.
+    /// The effective priority of a job, if this controller places it.
     pub fn placed_priority(&self, id: &JobId) -> Option<Priority> {
         self.shards
             .values()
             .find_map(|shard| shard.placer.priority(id))
     }
 
-    /// Follows the changes of waiting jobs: the jobs whose priority has changed.
+    /// Recomputes inherited priorities after changes of blocked jobs. Returns the unblocked
+    /// jobs whose inherited priority has changed.
     pub(crate) fn refresh_inherited_priorities(&mut self) -> Vec<JobId> {
         if self.dependencies.applied_changes == self.cache.blocked_job_changes {
             return Vec::new();
         }
         self.dependencies.applied_changes = self.cache.blocked_job_changes;
-        let newest = graph::inherited_priorities(&self.cache);
-        let before = std::mem::replace(&mut self.dependencies.inherited, newest);
-        let newest = &self.dependencies.inherited;
-        let changed: BTreeSet<&JobId> = before
+        let current = graph::inherited_priorities(&self.cache);
+        let previous = std::mem::replace(&mut self.dependencies.inherited, current);
+        let current = &self.dependencies.inherited;
+        let changed: BTreeSet<&JobId> = previous
             .keys()
-            .chain(newest.keys())
-            .filter(|id| before.get(*id) != newest.get(*id))
+            .chain(current.keys())
+            .filter(|id| previous.get(*id) != current.get(*id))
             .collect();
         changed
             .into_iter()
@@ -234,8 +239,8 @@
             .collect()
     }
 
-    /// True if this controller moves the waiting jobs of a team: it leads the team's shard,
-    /// or nobody does and it is the first that lives.
+    /// True if this controller unblocks and cancels the blocked jobs of a team: it leads the
+    /// team's shard, or the shard has no leader and it is the first live controller.
     fn manages_dependencies_of(&self, team: &str) -> bool {
         let shard = Self::team_shard(&self.cache, &self.config, team);
         match self.cache.shard_leaders.get(&shard) {
@@ -249,89 +254,89 @@
         }
     }
 
-    /// What is due for waiting jobs: final states to be read, and one compare-and-swap at a
-    /// time.
+    /// Emits the effects due for blocked jobs: reads of final states, and one compare-and-swap
+    /// at a time.
     pub(crate) fn flush_dependencies(&mut self, now: u64, effects: &mut Vec<Effect>) {
-        let nothing_waits = self.cache.blocked_jobs.is_empty()
+        let nothing_to_do = self.cache.blocked_jobs.is_empty()
             && self.cache.orphaned_dependency_pages().next().is_none();
-        if nothing_waits || now < self.dependencies.not_before {
+        if nothing_to_do || now < self.dependencies.retry_at {
             return;
         }
         let changes = self.cache.dependency_changes();
         if self.dependencies.pending.is_some()
             || self
                 .dependencies
-                .last_survey
-                .is_some_and(|survey| survey.still_valid(changes, now))
+                .last_scan
+                .is_some_and(|scan| scan.still_valid(changes, now))
         {
             return;
         }
-        self.dependencies.last_survey = Some(Survey { changes, at: now });
-        let due = self.survey_waiting_jobs();
-        self.read_final_states(&due.unread, effects);
-        if let Some(batch) = self.next_dependency_cas(&due) {
+        self.dependencies.last_scan = Some(Scan { changes, at: now });
+        let found = self.scan_blocked_jobs();
+        self.read_final_states(&found.unread, effects);
+        if let Some(batch) = self.next_dependency_cas(&found) {
             self.dependencies.pending = Some(batch.pending);
             effects.push(Effect::DependencyCompareAndSwap(batch.cas));
         }
     }
 
-    fn survey_waiting_jobs(&self) -> DueWork {
+    fn scan_blocked_jobs(&self) -> ScanResult {
         let cancelled = graph::cancelled_jobs(&self.cache);
-        let mut due = DueWork::default();
-        for (id, waiting) in &self.cache.blocked_jobs {
-            if !self.manages_dependencies_of(&waiting.record.spec.team) {
+        let mut found = ScanResult::default();
+        for (id, blocked) in &self.cache.blocked_jobs {
+            if !self.manages_dependencies_of(&blocked.record.spec.team) {
                 continue;
             }
             if cancelled.contains_key(id) {
-                due.cancelled.push(id.clone());
+                found.cancelled.push(id.clone());
                 continue;
             }
             match graph::direct_state(&self.cache, id) {
-                DependencyState::Ready(done) => due.ready.push((id.clone(), done)),
-                DependencyState::Cancelled(_) => due.cancelled.push(id.clone()),
-                DependencyState::Unread(ids) => due.unread.extend(ids),
+                DependencyState::Ready(done) => found.ready.push((id.clone(), done)),
+                DependencyState::Cancelled(_) => found.cancelled.push(id.clone()),
+                DependencyState::Unread(ids) => found.unread.extend(ids),
                 DependencyState::Waiting(_) => {}
             }
         }
-        due
+        found
     }
 
     fn read_final_states(&mut self, unread: &BTreeSet<JobId>, effects: &mut Vec<Effect>) {
-        let reading = &mut self.dependencies.reading;
+        let in_flight = &mut self.dependencies.reads_in_flight;
         let wanted: Vec<JobId> = unread
             .iter()
-            .filter(|id| !reading.contains(*id))
-            .take(FINAL_STATES_READ_AT_ONCE)
+            .filter(|id| !in_flight.contains(*id))
+            .take(MAX_FINAL_STATE_READS_PER_SCAN)
             .cloned()
             .collect();
         if !wanted.is_empty() {
-            reading.extend(wanted.iter().cloned());
+            in_flight.extend(wanted.iter().cloned());
             effects.push(Effect::ReadFinalStates(wanted));
         }
     }
 
-    /// One compare-and-swap for as many waiting jobs as it holds: those that may start go
-    /// first, then those that are cancelled, then pages of jobs that wait no more.
-    fn next_dependency_cas(&self, due: &DueWork) -> Option<CasBatch> {
+    /// Batches the changes of blocked jobs into one compare-and-swap: jobs that may start come
+    /// first, then cancelled jobs, then pages of jobs that are no longer blocked.
+    fn next_dependency_cas(&self, found: &ScanResult) -> Option<CasBatch> {
         let mut batch = CasBatch::new(self.config.cas_max_changes);
-        batch.add_ready(&self.cache, &due.ready, &self.dependencies.verified);
-        if batch.is_full() {
+        batch.add_ready(&self.cache, &found.ready, &self.dependencies.verified);
+        if batch.is_verification_only() {
             return Some(batch);
         }
-        batch.add_cancelled(&self.cache, &due.cancelled);
+        batch.add_cancelled(&self.cache, &found.cancelled);
         batch.add_orphaned_pages(&self.cache);
         batch.has_writes().then_some(batch)
     }
 
-    /// The compare-and-swap of [`Effect::DependencyCompareAndSwap`] ended.
+    /// Handles the outcome of [`Effect::DependencyCompareAndSwap`].
     pub fn dependency_cas_completed(&mut self, outcome: CompareAndSwapOutcome, now: u64) {
         let Some(pending) = self.dependencies.pending.take() else {
             return;
         };
-        self.dependencies.last_survey = None;
+        self.dependencies.last_scan = None;
         let CompareAndSwapOutcome::Committed(revision) = outcome else {
-            // What it was made of has changed: a newer reading of the store shows it.
-            self.dependencies.not_before = now + CAS_RETRY_MS;
+            // On a conflict, the next read of the store brings the changed keys into the cache.
+            self.dependencies.retry_at = now + CAS_RETRY_MS;
             return;
         };
         for id in &pending.released {
@@ -350,14 +355,14 @@
         }
     }
 
-    /// The final states of [`Effect::ReadFinalStates`] were looked for; those found are
-    /// settled in the cache.
+    /// Handles the completion of [`Effect::ReadFinalStates`]; the final states found are
+    /// already in the cache.
     pub fn final_states_read(&mut self, ids: &[JobId], now: u64) {
         for id in ids {
-            self.dependencies.reading.remove(id);
-            self.dependencies.last_survey = None;
+            self.dependencies.reads_in_flight.remove(id);
+            self.dependencies.last_scan = None;
             if !self.cache.is_known(id) {
-                self.dependencies.not_before = now + CAS_RETRY_MS;
+                self.dependencies.retry_at = now + CAS_RETRY_MS;
             }
         }
     }
