--- a/crates/coordination/src/gang_admission/mod.rs
+++ b/crates/coordination/src/gang_admission/mod.rs
@@ -1,45 +1,46 @@
-//! The gang admission ledger: at which step a gang stands, and what follows.
+//! The gang admission protocol: the persisted step of a gang, and the decision on the next one.
 //!
-//! A gang's chunks carry its step ([`GangAdmissionRecord`]), each under the shard's
-//! fencing token.
+//! Each task chunk of a gang stores its step ([`GangAdmissionRecord`]), written under the
+//! shard's fencing token.
 //!
-//! | step | written | what may happen |
+//! | step | written | effect |
 //! | --- | --- | --- |
-//! | planned | with its members' attempts, before any owner learns of them | owners are asked for room; nothing is launched |
-//! | admitted | once every owner has granted room, in one compare-and-swap | all of it is launched, and nothing else of the gang |
-//! | released | with the ends of its attempts; at once where a successor decides it | everything of it is stopped |
+//! | planned | with its members' attempts, before any owner learns of them | owners are asked to grant resources; nothing is launched |
+//! | admitted | once every owner has granted resources, in one compare-and-swap | this attempt of the gang is launched, and no other |
+//! | released | with the ends of its attempts; at once if a successor decides it | all members are stopped |
 //!
-//! A step counts only when every chunk with a live member carries it, so a gang
-//! whose chunks did not fit one compare-and-swap is not admitted by halves.
+//! A step takes effect only when every chunk with a live member stores it, so a gang whose
+//! chunks did not fit into one compare-and-swap is never admitted in part.
 
 use lemonweir_protocol::peer::AttemptState;
 use lemonweir_storage::records::{GangAdmissionRecord, GangAdmissionStep};
 
-/// ms after its record within which every owner must have granted a gang room: more
-/// than any wait for who is preempted (`PREEMPTION_TIMEOUT_MS`) and the messages about it. A
-/// placer or a successor then releases all of it and tries elsewhere.
+/// ms after the planned step was written within which every owner must grant the gang's
+/// resources. Longer than the wait for preempted attempts (`PREEMPTION_TIMEOUT_MS`) and the
+/// messages about it. On expiry the placer or its successor releases the whole gang and
+/// places it elsewhere.
 pub const GANG_GRANT_TIMEOUT_MS: u64 = 20_000;
-/// ms that a successor gives every owner at least to be heard of an admitted gang,
-/// however old its admission is: a new owner hears its machines within two heartbeat
-/// intervals, and an election goes before.
+/// Minimum ms that a successor waits for reports on an admitted gang, however old the
+/// admission is: a new owner hears from its machines within two heartbeat intervals, after
+/// an election.
 const MIN_LAUNCH_TIMEOUT_MS: u64 = 20_000;
 
-/// How far a gang has come, as its placer knows it.
+/// Admission state of a gang in its placer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GangAdmission {
-    /// The step.
+    /// The current step.
     pub step: GangAdmissionStep,
     /// Time of day of the step, ms.
     pub at: u64,
-    /// The attempt that its members share.
+    /// Attempt number that the members share.
     pub attempt: u32,
-    /// Since when its time counts, ms by this controller's clock; none: the step
-    /// is not written yet.
+    /// Start of the step's timeout, ms by this controller's clock; `None`: the step is not
+    /// written yet.
     pub since: Option<u64>,
 }
 
 impl GangAdmission {
-    /// A gang that is about to be recorded with its first step.
+    /// The first step of a gang, not written yet.
     pub fn planned(attempt: u32, at: u64) -> Self {
         Self {
             step: GangAdmissionStep::Planned,
@@ -49,12 +50,12 @@
         }
     }
 
-    /// Advances to a step that is not written yet.
+    /// Advances to `step`, which is not written yet.
     pub fn advance(&mut self, step: GangAdmissionStep, at: u64) {
         (self.step, self.at, self.since) = (step, at, None);
     }
 
-    /// What its chunks carry.
+    /// The record that the gang's task chunks store.
     pub fn record(&self) -> GangAdmissionRecord {
         GangAdmissionRecord {
             step: self.step,
@@ -64,27 +65,28 @@
     }
 }
 
-/// Where an earlier leader of the shard left a gang.
+/// Admission state that an earlier leader of the shard left for a gang.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InheritedAdmission {
-    /// The step.
+    /// The step in effect.
     pub step: GangAdmissionStep,
     /// Time of day of the step, ms.
     pub at: u64,
-    /// The attempt that its members share.
+    /// Attempt number that the members share.
     pub attempt: u32,
 }
 
-/// Where an earlier leader of the shard left a gang, read from its chunks with live
-/// members: each one's attempt number, and what it carries of the ledger. The least
-/// step of all counts. `None`: there are no live members.
+/// Determines the admission state that an earlier leader of the shard left for a gang. Each
+/// item is the attempt number of a live member and the admission record of its chunk. The
+/// gang is released if any chunk says so, and otherwise is at the earliest step of its
+/// chunks. `None`: there are no live members.
 pub fn inherited_admission<'a>(
     chunks: impl Iterator<Item = (u32, Option<&'a GangAdmissionRecord>)>,
 ) -> Option<InheritedAdmission> {
     chunks
         .map(|(attempt, record)| InheritedAdmission {
-            // One without a step was written by an earlier version: its gang may have
-            // been launched, and so may one of which a later version knows more.
+            // A chunk without a step was written by an earlier version, and one with an
+            // unknown step by a later version. In both cases the gang may have been launched.
             step: match record.map(|record| record.step) {
                 None | Some(GangAdmissionStep::Other) => GangAdmissionStep::Admitted,
                 Some(step) => step,
@@ -93,11 +95,11 @@
             attempt,
         })
         .reduce(|before, next| InheritedAdmission {
-            // Guards against members of two attempts, as a placer leaves them that
-            // ended between two compare-and-swaps of one very large gang: they never
-            // find one another.
+            // Members of two attempts are left behind by a placer that stopped between two
+            // compare-and-swaps of one very large gang. They would wait for each other
+            // forever.
             step: if before.attempt == next.attempt {
-                least_step(before.step, next.step)
+                effective_step(before.step, next.step)
             } else {
                 GangAdmissionStep::Released
             },
@@ -106,9 +108,9 @@
         })
 }
 
-/// Of two steps that chunks of one gang carry, the one that counts: a release
-/// that began is completed, and what is not admitted everywhere isn't.
-fn least_step(a: GangAdmissionStep, b: GangAdmissionStep) -> GangAdmissionStep {
+/// Combines the steps of two chunks of one gang: a release that has begun is completed, and
+/// a gang that is not admitted in all chunks is not admitted.
+fn effective_step(a: GangAdmissionStep, b: GangAdmissionStep) -> GangAdmissionStep {
     if a == GangAdmissionStep::Released || b == GangAdmissionStep::Released {
         GangAdmissionStep::Released
     } else {
@@ -116,25 +118,25 @@
     }
 }
 
-/// What a gang's members look like together.
+/// Counts of a gang's members by state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct GangMembers {
-    /// How many there must be.
+    /// Members that the gang needs.
     pub needed: u32,
     /// Attempts that have not ended.
     pub live: u32,
-    /// Those of them that are to be stopped.
+    /// Live attempts that are to be stopped.
     pub stopped: u32,
-    /// Those whose owners have granted room.
+    /// Live attempts whose owners have granted resources.
     pub granted: u32,
-    /// Those observed on their machines.
+    /// Live attempts observed on their machines.
     pub launched: u32,
-    /// Those observed to run.
+    /// Live attempts observed to run.
     pub running: u32,
 }
 
 impl GangMembers {
-    /// Adds one member: its state as last observed, and whether it is to be stopped.
+    /// Adds one member with its last observed state and whether it is to be stopped.
     pub fn add(&mut self, state: Option<AttemptState>, stopped: bool) {
         self.live += 1;
         self.stopped += u32::from(stopped);
@@ -150,27 +152,28 @@
 /// Why a gang is released.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReleaseReason {
-    /// Not every owner has granted room in time.
+    /// Not every owner granted resources in time.
     NotGranted,
-    /// Not all of it came to its machines while the first ones wait for the rest.
+    /// A member is missing, or not all members were launched before the first ones stop
+    /// waiting for the rest.
     NotWhole,
-    /// Its team is over its quota limit, and none of it is on a machine.
+    /// Its team is over its quota limit, and no member is on a machine.
     OverQuotaLimit,
 }
 
-/// What follows for a gang.
+/// The decision on the next step of a gang.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GangVerdict {
-    /// Nothing until something happens or this time has come, ms.
+    /// Wait for an event or, if given, until this time, ms.
     Wait(Option<u64>),
-    /// It is admitted.
+    /// Admit the gang.
     Admit,
-    /// All of it is released.
+    /// Release the whole gang.
     Release(ReleaseReason),
 }
 
-/// Decides for a gang whose first members wait `gang_wait_ms` for the last one.
-/// The same for the placer that planned it and for any successor.
+/// Decides on the next step of a gang whose first members wait `gang_wait_ms` for the last
+/// one. The placer that planned the gang and any successor decide alike.
 pub fn verdict(
     admission: &GangAdmission,
     members: &GangMembers,
@@ -184,8 +187,8 @@
     };
     match admission.step {
         GangAdmissionStep::Released => GangVerdict::Wait(None),
-        // The end of a member was recorded, and its placer ended before it could
-        // stop the rest: they would wait for it for ever.
+        // The end of a member was recorded, and the placer stopped before it released the
+        // rest, which would wait for that member forever.
         _ if members.live < members.needed => GangVerdict::Release(ReleaseReason::NotWhole),
         GangAdmissionStep::Planned
             if admission.since.is_some()
@@ -194,7 +197,7 @@
         {
             GangVerdict::Admit
         }
-        // A controller of an earlier version went on from here.
+        // A controller of an earlier version launched the gang without admitting it.
         _ if members.running > 0 => GangVerdict::Wait(None),
         GangAdmissionStep::Planned => {
             release_after(GANG_GRANT_TIMEOUT_MS, ReleaseReason::NotGranted)
@@ -211,10 +214,15 @@
     }
 }
 
-/// Since when a step that was inherited at `now` counts: from when it was taken,
-/// but with time enough to hear from every owner, since only heartbeats tell what
-/// became of it meanwhile.
-pub fn step_counts_from(step: GangAdmissionStep, age_ms: u64, gang_wait_ms: u64, now: u64) -> u64 {
+/// Start of the timeout of a step inherited at `now`. For an admitted gang it is the time of
+/// the admission, but at least `MIN_LAUNCH_TIMEOUT_MS` remain to hear from every owner: only
+/// heartbeats show the state of its members.
+pub fn inherited_step_start(
+    step: GangAdmissionStep,
+    age_ms: u64,
+    gang_wait_ms: u64,
+    now: u64,
+) -> u64 {
     match step {
         GangAdmissionStep::Admitted | GangAdmissionStep::Other => {
             now.saturating_sub(age_ms.min(gang_wait_ms.saturating_sub(MIN_LAUNCH_TIMEOUT_MS)))
--- a/crates/coordination/src/job.rs
+++ b/crates/coordination/src/job.rs
@@ -1,5 +1,5 @@
-//! A job as its placer keeps it: which tasks are done, which have a live
-//! attempt, which wait, and what of that is written.
+//! In-memory state of a job in its placer: which tasks are done, have a live attempt or
+//! wait, and which of these changes are written to the store.
 
 mod chunks;
 mod gang;
@@ -17,70 +17,71 @@
 use crate::gang_admission::GangAdmission;
 pub(super) use chunks::TaskChunk;
 
-/// Machines that a job avoids at most, those where it failed last.
+/// Maximum number of machines that a job avoids; the latest ones are kept.
 const MAX_AVOIDED_MACHINES: usize = 8;
-/// ms that a job backs off after its second failed attempt, doubled with each more.
+/// Base of the exponential backoff after failed attempts, ms; doubled with each failure after
+/// the first. The first failure causes a backoff only for a suspect.
 const FAILURE_BACKOFF_MS: u64 = 1_000;
-/// ms that the doubling stops at.
+/// Upper limit of the backoff, ms.
 const MAX_FAILURE_BACKOFF_MS: u64 = 30_000;
-/// ms that it stops at for a suspect: each try costs a task's room for seconds,
-/// and its user mostly withdraws it.
+/// Upper limit of the backoff of a job suspected of its failures, ms. Each try occupies the
+/// resources of a task for seconds, and users mostly withdraw such jobs.
 const MAX_SUSPECT_BACKOFF_MS: u64 = 120_000;
 /// Low bits of [`Job::queue_order`] that hold the time of submission.
 const AGE_BITS: u32 = 44;
 
-/// What comes first among jobs of one priority.
+/// Scheduling order among jobs of one priority, most urgent first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Urgency {
-    /// A service that ran and has less than half of its replicas left. Guards
-    /// against a mass loss after which some services are whole while others
-    /// serve nobody. New services come by age: taken in halves, they came to
-    /// lie on more machines, and gangs preempted twice as much for whole ones.
+    /// A service that has run and has less than half of its replicas left. After a mass loss,
+    /// this keeps some services from being fully restored while others have no replicas. New
+    /// services are ordered by age instead: placed half by half, they were spread over more
+    /// machines, and gangs preempted twice as much to place whole ones.
     ServiceBelowHalf,
-    /// Low-priority work of which nothing has begun: its first unit comes before all
-    /// later ones, the largest job first. Guards against a large array that waits
-    /// behind thousands of small jobs for its turn to be written.
+    /// A low-priority job of which nothing has begun. Its first unit comes before later units
+    /// of other jobs, and the largest job comes first. Otherwise a large array would wait for
+    /// its write behind thousands of small jobs.
     NotBegun,
-    /// Low-priority work of which less than half has begun: where room for it is
-    /// scarce, half of each is more to its users than all of some.
+    /// A low-priority job of which less than half has begun. Where capacity is scarce, half of
+    /// every job is worth more to users than all of some jobs.
     BelowHalf,
     /// Any other job.
     Normal,
 }
 
-/// An attempt not proven to have ended.
+/// An attempt that is not proven to have ended.
 #[derive(Clone, Debug)]
 pub(super) struct LiveAttempt {
-    /// Its number among the job's attempts.
+    /// Attempt number within the job.
     pub(super) attempt: u32,
     pub(super) machine: MachineId,
     pub(super) shard: u16,
     pub(super) zone: String,
-    /// Change of its chunk that first holds it.
+    /// Number of the chunk change that first records it.
     pub(super) recorded_by: u64,
-    /// Its state as the owner last observed it; none: not accepted yet.
+    /// State last observed by the owner; `None`: not accepted yet.
     pub(super) state: Option<AttemptState>,
-    /// It is to stop, with so many s for a checkpoint.
+    /// If set, the attempt is to stop and has this many s for a checkpoint.
     pub(super) stop_grace_s: Option<u32>,
     /// When this placer placed it, ms; 0: an earlier leader did.
     pub(super) placed_at: u64,
-    /// Who may be preempted for it.
+    /// Which attempts may be preempted for it.
     pub(super) preemption: PreemptionScope,
-    /// Its team runs it beyond its guaranteed quota.
+    /// True if it runs beyond the guaranteed quota of its team.
     pub(super) over_quota: bool,
 }
 
-/// An attempt that has ended, kept until that is written.
+/// An attempt that has ended, kept until its end is written.
 #[derive(Clone, Debug)]
 pub(super) struct EndingAttempt {
     pub(super) id: AttemptId,
     pub(super) machine: MachineId,
     pub(super) shard: u16,
-    /// Change of its chunk that first records the end.
+    /// Number of the chunk change that records the end.
     pub(super) recorded_by: u64,
 }
 
-/// Where a job is in the placer's queues.
+/// Position of a job in the placer's queues.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct QueuePosition {
     pub(super) team: String,
@@ -92,18 +93,18 @@
     pub(super) submitted_at: u64,
 }
 
-/// A job as its placer keeps it.
+/// State of a job in its placer.
 pub(super) struct Job {
-    /// What its user submitted; none until the followed keys show it.
+    /// The job record; `None` until the state cache has it.
     pub(super) record: Option<Arc<JobRecord>>,
-    /// Version of the job's key in `record`.
+    /// Version of the job's key that `record` was read at.
     pub(super) key_version: u64,
-    /// The job is done or withdrawn, and that is written.
+    /// The job is done or withdrawn, and its final state is written.
     pub(super) ended: bool,
-    /// The followed keys have not said yet whether it has.
+    /// The state cache has not yet shown whether the job has ended.
     pub(super) end_unconfirmed: bool,
     pub(super) team: String,
-    /// What one task needs.
+    /// Resources that one task needs.
     pub(super) need: Resources,
     pub(super) tasks: u32,
     /// Number of the next attempt.
@@ -116,51 +117,51 @@
     pub(super) ending: Vec<EndingAttempt>,
     /// The chunks of its task record, by index.
     pub(super) chunks: BTreeMap<u32, TaskChunk>,
-    /// No task from here on was ever placed by this placer.
+    /// No task from this one on was ever placed by this placer.
     placement_cursor: u32,
-    /// Tasks below it that wait again.
+    /// Tasks below `placement_cursor` that may wait again.
     requeued: BTreeSet<u32>,
-    /// Tries that failed since the last success; what was placed together is one.
+    /// Failures since the last success; attempts placed together count as one.
     pub(super) consecutive_failures: u32,
-    /// When the last one did, ms.
+    /// Time of the last counted failure, ms.
     last_failure_at: u64,
-    /// It is suspected of its failures: it failed on so many machines that run other
-    /// jobs.
+    /// Set if the job is suspected of causing its failures: the number of machines that run
+    /// other jobs and on which it failed.
     pub(super) suspect: Option<u32>,
-    /// When this placer first learned of it, ms.
+    /// When this placer first learned of the job, ms.
     first_seen_at: u64,
-    /// Some task of it has run.
+    /// A task of it has run.
     pub(super) has_run: bool,
-    /// A replica of it was stopped to go to a better place: the next one goes where
-    /// the trade says, though it waits for its image there.
+    /// A replica was stopped to move to a better machine: its replacement goes to the machine
+    /// with the lowest cost, even if the image has to be fetched there.
     pub(super) relocating: bool,
-    /// It is not placed before this time, ms; 0: it may be.
+    /// It is not placed before this time, ms; 0: no backoff.
     pub(super) backoff_until: u64,
-    /// Machines that it failed on or left.
+    /// Machines that it failed on or was moved away from.
     pub(super) avoided_machines: Vec<MachineId>,
-    /// Machines that did not answer for the last attempt of a gang: the next one
-    /// does without them if it can.
+    /// Machines that did not respond for the last attempt of a gang; the next attempt avoids
+    /// them if it can.
     pub(super) unresponsive_machines: Vec<MachineId>,
-    /// Version of the job's key with which a write of it failed: the key has
-    /// changed since, and the copy will show it.
+    /// Version of the job's key at which a write failed: the key has changed since, and the
+    /// state cache will show the change.
     pub(super) conflicting_version: Option<u64>,
     /// When it may be written again after the store rejected its record, ms.
     pub(super) write_backoff_until: u64,
-    /// Why its tasks wait, as users read it.
+    /// Why its tasks wait, as shown to users.
     pub(super) pending_reason: &'static str,
-    /// Whether all its attempts are within their team's guaranteed quota or beyond it,
-    /// if they are alike.
+    /// Whether its attempts run beyond the guaranteed quota of their team; `None` if they
+    /// differ or if this is unknown.
     pub(super) uniform_over_quota: Option<bool>,
-    /// Where it is in the placer's queues.
+    /// Position in the placer's queues.
     pub(super) queue_position: Option<QueuePosition>,
     /// Attempts in the desired state of the owners, by shard.
     pub(super) published_attempts: Vec<(u16, AttemptId)>,
-    /// Admission of a gang with live members.
+    /// Admission state of a gang with live members.
     pub(super) admission: Option<GangAdmission>,
 }
 
 impl Job {
-    /// A job of which only a task record is known: it may have ended.
+    /// A job of which only a task record is known; it may have ended.
     pub(super) fn unconfirmed() -> Self {
         Self {
             record: None,
@@ -197,7 +198,7 @@
         }
     }
 
-    /// A job that a placer first learns of now.
+    /// A job that the placer learns of now.
     pub(super) fn first_seen(now: u64) -> Self {
         Self {
             first_seen_at: now,
@@ -205,7 +206,7 @@
         }
     }
 
-    /// What its user submitted, once known.
+    /// The submitted spec, once known.
     pub(super) fn spec(&self) -> Option<&JobSpec> {
         self.record.as_ref().map(|record| &record.spec)
     }
@@ -220,8 +221,8 @@
         self.is_kind(JobKind::Service)
     }
 
-    /// Nothing of it shall run any more: it has ended, or will have once no attempt
-    /// is left.
+    /// True if none of its tasks may run any more: it has ended, or will have once no
+    /// attempt is left.
     pub(super) fn is_stopping(&self) -> bool {
         self.ended
             || self
@@ -230,9 +231,9 @@
                 .is_some_and(|record| record.cancel_requested)
     }
 
-    /// The end that may be written now. Guards against telling a user that a
-    /// job is withdrawn while a machine in a partitioned zone still runs it: every
-    /// attempt must be proven to have ended first.
+    /// The final state that may be written now, if any. A job counts as withdrawn only once
+    /// every attempt is proven to have ended; otherwise a user would be told so while a
+    /// machine in a partitioned zone still runs the job.
     pub(super) fn writable_end(&self) -> Option<JobPhase> {
         if self.ended || self.record.is_none() || self.copy_is_stale() {
             None
@@ -243,12 +244,12 @@
         }
     }
 
-    /// True if the job's key has changed since the copy that this is made of.
+    /// True if the job's key has changed since `record` was read.
     pub(super) fn copy_is_stale(&self) -> bool {
         self.conflicting_version == Some(self.key_version)
     }
 
-    /// True if nothing of it is left anywhere.
+    /// True if the job has ended and no attempts or chunks of it are left.
     pub(super) fn is_removable(&self) -> bool {
         self.ended
             && self.live.is_empty()
@@ -260,22 +261,23 @@
     }
 }
 
-/// Order among the jobs of a team.
+/// Scheduling order.
 impl Job {
-    /// Priority; a job that has ended only takes room for its stops.
+    /// The job's priority; low while its spec is unknown, as its attempts are only to be
+    /// stopped then.
     pub(super) fn priority(&self) -> Priority {
         self.spec().map_or(Priority::Low, |spec| spec.priority)
     }
 
-    /// Whether it goes before others of its priority.
+    /// Its urgency among jobs of its priority.
     pub(super) fn urgency(&self) -> Urgency {
-        let staying = || {
+        let active = || {
             self.live
                 .values()
                 .filter(|live| live.stop_grace_s.is_none())
                 .count() as u32
         };
-        if self.has_run && self.is_service() && !self.is_stopping() && 2 * staying() < self.tasks {
+        if self.has_run && self.is_service() && !self.is_stopping() && 2 * active() < self.tasks {
             Urgency::ServiceBelowHalf
         } else if self.priority() != Priority::Low || self.is_stopping() {
             Urgency::Normal
@@ -288,8 +290,8 @@
         }
     }
 
-    /// Its order among jobs of its priority and urgency: age; of those that have not
-    /// begun the number of tasks first.
+    /// Sort key among jobs of its priority and urgency: the time of submission; for jobs that
+    /// have not begun, the number of tasks first, in descending order.
     pub(super) fn queue_order(&self) -> u64 {
         match self.urgency() {
             Urgency::NotBegun => {
@@ -307,8 +309,8 @@
             .map_or(0, |record| record.submitted_at_ms)
     }
 
-    /// ms since it was submitted, by the time of day, or since this placer knows of
-    /// it: a failover does not begin its wait anew.
+    /// ms since its submission by the time of day, or since this placer learned of it,
+    /// whichever is longer. A failover does not restart the wait.
     pub(super) fn waited_ms(&self, now: u64, time_of_day_ms: u64) -> u64 {
         let since_submission = self.record.as_ref().map_or(0, |record| {
             time_of_day_ms.saturating_sub(record.submitted_at_ms)
@@ -316,25 +318,25 @@
         since_submission.max(now.saturating_sub(self.first_seen_at))
     }
 
-    /// True if it has waited for so long, with less than half of it begun, that it
-    /// may cost more than low-priority work usually does.
+    /// True if it has waited so long, with less than half of it begun, that it may use more
+    /// expensive machines than low-priority work usually does.
     pub(super) fn is_starved(&self, now: u64) -> bool {
         self.is_below_half() && now >= self.first_seen_at + IDLE_WORK_PATIENCE_MS
     }
 
     /// True if some task of it can be placed now.
     pub(super) fn is_placeable(&self) -> bool {
-        // Guards against a job with a mistake that fails with all its tasks each
-        // time: a suspect has one try at a time.
-        let one_try = self.is_kind(JobKind::Gang) || self.suspect.is_some();
-        !self.is_stopping() && self.waiting_count() > 0 && (self.live.is_empty() || !one_try)
+        // A suspect has one attempt at a time, so that a broken job does not fail with all its
+        // tasks every time.
+        let one_at_a_time = self.is_kind(JobKind::Gang) || self.suspect.is_some();
+        !self.is_stopping() && self.waiting_count() > 0 && (self.live.is_empty() || !one_at_a_time)
     }
 }
 
-/// Failures, and machines that it avoids.
+/// Failures and avoided machines.
 impl Job {
-    /// A try failed now, of what was placed at `placed_at`: how long to back off before
-    /// the next one, ms.
+    /// Records the failure of an attempt that was placed at `placed_at`. Returns how long to
+    /// back off before the next one, ms.
     pub(super) fn record_failure(&mut self, placed_at: u64, now: u64) -> u64 {
         if self.consecutive_failures == 0 || placed_at >= self.last_failure_at {
             self.consecutive_failures += 1;
@@ -342,14 +344,15 @@
         }
         let max_backoff_ms = match (self.suspect, self.consecutive_failures) {
             (Some(_), _) => MAX_SUSPECT_BACKOFF_MS,
-            // One failure is mostly the machine's fault.
+            // A single failure is mostly the machine's fault.
             (None, 1) => return 0,
             (None, _) => MAX_FAILURE_BACKOFF_MS,
         };
         (FAILURE_BACKOFF_MS << (self.consecutive_failures - 1).min(10)).min(max_backoff_ms)
     }
 
-    /// Leaves a machine out from now on; the oldest of too many may come again.
+    /// Avoids a machine from now on. Beyond [`MAX_AVOIDED_MACHINES`], the oldest one is no
+    /// longer avoided.
     pub(super) fn avoid_machine(&mut self, machine: &MachineId) {
         if !self.avoided_machines.contains(machine) {
             self.avoided_machines.push(machine.clone());
@@ -359,7 +362,7 @@
         }
     }
 
-    /// Stops all of it, with time for a checkpoint.
+    /// Stops all live attempts, with time for a checkpoint.
     pub(super) fn stop_all(&mut self) {
         let grace_s = self.spec().map_or(0, JobSpec::stop_grace_s);
         for live in self.live.values_mut() {
--- a/crates/coordination/src/job/chunks.rs
+++ b/crates/coordination/src/job/chunks.rs
@@ -1,4 +1,4 @@
-//! The chunks of a job's task record: what has changed, and what of it is written.
+//! Chunks of a job's task record: tracking of changes that are not written yet.
 
 use lemonweir_model::constants::TASKS_PER_CHUNK;
 use lemonweir_storage::records::{GangAdmissionRecord, LiveAttemptRecord, TaskChunkRecord};
@@ -6,52 +6,55 @@
 use super::{Job, LiveAttempt};
 use crate::gang_admission::GangAdmission;
 
-/// One chunk's place in the store.
+/// Write state of one chunk of a task record.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct TaskChunk {
-    /// Version in the store; 0: no key.
+    /// Version of its key in the store; 0: the key does not exist.
     pub(crate) version: u64,
-    /// Changes made, and the newest that is written.
+    /// Number of the latest change.
     pub(crate) change: u64,
+    /// Number of the latest change that is written.
     pub(crate) written: u64,
-    /// Newest change that records a start: nothing starts before it is written.
+    /// Latest change that records a start; the task starts only once it is written.
     pub(crate) newest_start: u64,
-    /// Newest change that records a step of its gang.
+    /// Latest change that records an admission step of the gang.
     pub(crate) newest_step: u64,
-    /// A write that would create it got no answer: it may be there, or come.
+    /// The outcome of a write that would create the key is unknown: the key may exist, or may
+    /// still be created.
     pub(crate) write_indeterminate: bool,
-    /// The gang's admission that it held when it was loaded.
+    /// Gang admission that the chunk held when it was loaded.
     pub(crate) loaded_admission: Option<GangAdmissionRecord>,
 }
 
 impl TaskChunk {
-    /// It holds changes that are not written yet.
+    /// True if it has changes that are not written yet.
     pub(crate) fn is_dirty(&self) -> bool {
         self.written < self.change
     }
 
-    /// It records a start that is not written yet.
+    /// True if it records a start that is not written yet.
     pub(crate) fn has_unwritten_start(&self) -> bool {
         self.written < self.newest_start
     }
 }
 
 impl Job {
-    /// Notes a change of a task's chunk, and returns its number.
+    /// Marks the chunk of a task as changed and returns the number of the change.
     pub(crate) fn mark_chunk_dirty(&mut self, task: u32) -> u64 {
         let chunk = self.chunks.entry(task / TASKS_PER_CHUNK).or_default();
         chunk.change += 1;
         chunk.change
     }
 
-    /// Notes a change of each chunk.
+    /// Marks every chunk as changed.
     pub(crate) fn mark_all_chunks_dirty(&mut self) {
         for chunk in self.chunks.values_mut() {
             chunk.change += 1;
         }
     }
 
-    /// Notes a start of a task, and of a gang its first step with it.
+    /// Marks the chunk of a task as recording a start, and for a gang also its first
+    /// admission step. Returns the number of the change.
     pub(crate) fn mark_start_unwritten(&mut self, task: u32) -> u64 {
         let change = self.mark_chunk_dirty(task);
         if let Some(chunk) = self.chunks.get_mut(&(task / TASKS_PER_CHUNK)) {
@@ -63,19 +66,19 @@
         change
     }
 
-    /// Some start of it is not written yet.
+    /// True if a start of one of its tasks is not written yet.
     pub(crate) fn has_unwritten_starts(&self) -> bool {
         self.chunks.values().any(TaskChunk::has_unwritten_start)
     }
 
-    /// True if a live attempt is written: its owner may learn of it.
+    /// True if a live attempt is written to the store, so that it may be sent to its owner.
     pub(crate) fn is_recorded(&self, task: u32, live: &LiveAttempt) -> bool {
         self.chunks
             .get(&(task / TASKS_PER_CHUNK))
             .is_some_and(|chunk| chunk.written >= live.recorded_by)
     }
 
-    /// Forgets ended attempts whose end is written.
+    /// Drops ended attempts whose end is written.
     pub(crate) fn drop_written_ends(&mut self) {
         let chunks = &self.chunks;
         self.ending.retain(|end| {
@@ -85,7 +88,8 @@
         });
     }
 
-    /// Chunks of a job that has ended are removed once nothing is live there.
+    /// Marks chunks without live attempts as changed, so that they are deleted from the store.
+    /// For jobs that have ended.
     pub(crate) fn delete_finished_chunks(&mut self) {
         let live = &self.live;
         for (&index, chunk) in self
@@ -100,7 +104,7 @@
         }
     }
 
-    /// The record of one chunk as it should be in the store.
+    /// Builds the record to write for one chunk.
     pub(crate) fn chunk_record(&self, chunk: u32) -> TaskChunkRecord {
         let (first, end) = (chunk * TASKS_PER_CHUNK, (chunk + 1) * TASKS_PER_CHUNK);
         let live: Vec<LiveAttemptRecord> = self
--- a/crates/coordination/src/job/gang.rs
+++ b/crates/coordination/src/job/gang.rs
@@ -1,4 +1,4 @@
-//! Admission of a job that is a gang.
+//! Admission of gang jobs.
 
 use std::collections::BTreeSet;
 
@@ -10,13 +10,13 @@
 use crate::gang_admission::{self, GangAdmission, GangMembers, InheritedAdmission};
 
 impl Job {
-    /// True if its tasks start together or not at all.
+    /// True if all tasks must start together (all or nothing).
     pub(crate) fn is_gang(&self) -> bool {
         self.is_kind(JobKind::Gang) && self.tasks > 1
     }
 
-    /// Resumes at `now`, at this time of day, the admission that an earlier leader of
-    /// the shard left.
+    /// Resumes the admission that an earlier leader of the shard left. `time_of_day_ms` is
+    /// the time of day at `now`.
     pub(crate) fn resume_admission(&mut self, gang_wait_ms: u64, now: u64, time_of_day_ms: u64) {
         if !self.is_gang() || self.admission.is_some() || self.live.is_empty() {
             return;
@@ -35,7 +35,7 @@
             return;
         };
         let age_ms = time_of_day_ms.saturating_sub(at);
-        let since = gang_admission::step_counts_from(step, age_ms, gang_wait_ms, now);
+        let since = gang_admission::inherited_step_start(step, age_ms, gang_wait_ms, now);
         self.admission = Some(GangAdmission {
             step,
             at,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Its members together.
+    /// Counts of its members by state.
     pub(crate) fn gang_members(&self) -> GangMembers {
         let mut members = GangMembers {
             needed: self.tasks.saturating_sub(self.done_count),
@@ -59,7 +59,7 @@
         members
     }
 
-    /// Advances its admission to a step, in all chunks with members.
+    /// Advances its admission to a step and marks all chunks with members as dirty.
     pub(crate) fn advance_admission(&mut self, step: GangAdmissionStep, time_of_day_ms: u64) {
         let Some(admission) = &mut self.admission else {
             return;
@@ -78,7 +78,7 @@
         }
     }
 
-    /// True if some chunk with members does not hold the newest step yet.
+    /// True if the newest step is not written in some chunk.
     pub(crate) fn has_unwritten_step(&self) -> bool {
         self.admission.is_some()
             && self
@@ -87,9 +87,9 @@
                 .any(|chunk| chunk.written < chunk.newest_step)
     }
 
-    /// True if it is in the store that all of it may be launched. Guards against a
-    /// launch that a successor of this placer knows nothing of, and against one of
-    /// a gang that is not admitted in all of its chunks.
+    /// True if the store says that the whole gang may be launched. Prevents a launch that a
+    /// successor of this placer would not know of, and a launch of a gang that is not admitted
+    /// in all of its chunks.
     pub(crate) fn is_admitted(&self) -> bool {
         self.admission.as_ref().is_some_and(|admission| {
             matches!(
--- a/crates/coordination/src/job/tasks.rs
+++ b/crates/coordination/src/job/tasks.rs
@@ -1,4 +1,4 @@
-//! Which of a job's tasks are done, which run, and which wait.
+//! Task states of a job: done, running or waiting.
 
 use std::collections::HashMap;
 
@@ -12,7 +12,7 @@
         self.done.get(task as usize).copied().unwrap_or(false)
     }
 
-    /// Marks a task as done; true if it was not.
+    /// Marks a task as done; true if it was not done before.
     pub(crate) fn set_task_done(&mut self, task: u32) -> bool {
         if self.done.len() <= task as usize {
             self.done.resize(task as usize + 1, false);
@@ -22,14 +22,14 @@
         is_new
     }
 
-    /// Marks a task as done, and that as a change to write.
+    /// Marks a task as done and its chunk as changed.
     pub(crate) fn complete_task(&mut self, task: u32) {
         if self.set_task_done(task) {
             self.mark_chunk_dirty(task);
         }
     }
 
-    /// Done tasks from `first` to before `end`, as ranges that include both ends.
+    /// Done tasks in `first..end`, as inclusive ranges.
     pub(super) fn done_ranges(&self, first: u32, end: u32) -> Vec<(u32, u32)> {
         let mut ranges: Vec<(u32, u32)> = Vec::new();
         for task in (first..end).filter(|&task| self.is_task_done(task)) {
@@ -41,36 +41,36 @@
         ranges
     }
 
-    /// True if all of it is done.
+    /// True if all tasks are done. Services are never complete.
     pub(super) fn is_complete(&self) -> bool {
         self.record.is_some() && self.done_count >= self.tasks && !self.is_service()
     }
 
-    /// True if some of it is placed, has run, or is done.
+    /// True if any task is placed, has run, or is done.
     pub(crate) fn has_begun(&self) -> bool {
         self.has_run || self.done_count > 0 || !self.live.is_empty()
     }
 
-    /// True if less than half of its tasks run or are done.
+    /// True if less than half of its tasks have a live attempt or are done.
     pub(super) fn is_below_half(&self) -> bool {
         2 * (self.done_count as usize + self.live.len()) < self.tasks as usize
     }
 
-    /// Tasks of a starved job that lack to half of it.
+    /// Number of tasks to place until half of the tasks have a live attempt or are done.
     pub(crate) fn missing_to_half(&self) -> u64 {
         u64::from(self.tasks.div_ceil(2))
             .saturating_sub(u64::from(self.done_count) + self.live.len() as u64)
     }
 
-    /// How many tasks neither run nor are done. The tasks of a gang that is
-    /// done may be both for a moment.
+    /// Number of tasks that have no live attempt and are not done.
     pub(crate) fn waiting_count(&self) -> u32 {
+        // Saturates: a task of a gang that is done may briefly still have a live attempt.
         self.tasks
             .saturating_sub(self.done_count)
             .saturating_sub(self.live.len() as u32)
     }
 
-    /// Notes that a task that was placed may wait again.
+    /// Queues a task that was placed before for placement again.
     pub(crate) fn requeue_task(&mut self, task: u32) {
         if task < self.placement_cursor {
             self.requeued.insert(task);
@@ -81,8 +81,8 @@
         !self.is_task_done(task) && !self.live.contains_key(&task)
     }
 
-    /// The first task that neither runs nor is done. Each task is passed once
-    /// until it waits again.
+    /// The first task that has no live attempt and is not done; requeued tasks come first.
+    /// The cursor passes each task once; later tries are found in `requeued`.
     pub(crate) fn next_waiting_task(&mut self) -> Option<u32> {
         while let Some(&task) = self.requeued.first() {
             if self.is_waiting(task) {
@@ -96,7 +96,7 @@
         (self.placement_cursor < self.tasks).then_some(self.placement_cursor)
     }
 
-    /// Tasks that run, and why the others wait, if some do.
+    /// Number of running tasks, and the reason why others wait; empty if none does.
     pub(crate) fn progress(&self) -> (u32, &'static str) {
         let running = self
             .live
@@ -120,7 +120,7 @@
         (running, reason)
     }
 
-    /// Live attempts in each zone, leaving out one task's.
+    /// Number of live attempts in each zone, without that of task `excluded`.
     pub(crate) fn attempts_per_zone(&self, excluded: Option<u32>) -> HashMap<String, u32> {
         let mut counts: HashMap<String, u32> = HashMap::new();
         for (_, live) in self
@@ -138,7 +138,7 @@
         counts
     }
 
-    /// Live attempts that are where this one is, itself included.
+    /// Number of live attempts at the same location as `live`, which is included.
     pub(crate) fn colocated_count<K: PartialEq>(
         &self,
         live: &LiveAttempt,
