--- a/crates/coordination/src/change_log.rs
+++ b/crates/coordination/src/change_log.rs
@@ -1,6 +1,6 @@
-//! A numbered, compacted log of changes, from which any follower can be sent
-//! what is new since the number it acknowledged. Each key is in it once, so a
-//! follower that starts from nothing is sent the whole state by the same walk.
+//! A numbered, compacted change log. A follower is sent the changes since the number it last
+//! acknowledged. Each key appears only once, so a follower that starts at 0 receives the
+//! whole state in the same way.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::hash::Hash;
@@ -8,21 +8,21 @@
 
 use lemonweir_protocol::peer::ChangeRange;
 
-/// The log: the newest change of each key, by number. Numbers begin at 1.
+/// A change log that keeps the latest change of each key. Change numbers start at 1.
 pub struct ChangeLog<K, V> {
-    /// Number of the newest change.
+    /// Number of the latest change.
     last: u64,
     entries: HashMap<K, Entry<V>>,
-    /// Keys by the numbers of their changes.
+    /// Keys by change number.
     order: BTreeMap<u64, K>,
-    /// Numbers of the changes that only say that a key is gone.
+    /// Numbers of the changes that remove a key.
     tombstones: BTreeSet<u64>,
 }
 
-/// The newest change of a key.
+/// The latest change of a key.
 struct Entry<V> {
     number: u64,
-    /// `None`: the key is gone.
+    /// `None` for a tombstone: the key was removed.
     value: Option<V>,
 }
 
@@ -38,24 +38,24 @@
 }
 
 impl<K: Clone + Eq + Hash, V: PartialEq> ChangeLog<K, V> {
-    /// Number of the newest change.
+    /// Number of the latest change; 0 if there is none.
     pub fn last(&self) -> u64 {
         self.last
     }
 
-    /// The newest value of a key.
+    /// Current value of a key.
     pub fn get(&self, key: &K) -> Option<&V> {
         self.entries.get(key).and_then(|entry| entry.value.as_ref())
     }
 
-    /// Sets a key's value; the same value again is no change.
+    /// Sets the value of a key. Setting the current value again is not a change.
     pub fn put(&mut self, key: &K, value: V) {
         if self.get(key) != Some(&value) {
             self.append(key, Some(value));
         }
     }
 
-    /// Records that a key is gone.
+    /// Removes a key and leaves a tombstone.
     pub fn remove(&mut self, key: &K) {
         if self.get(key).is_some() {
             self.append(key, None);
@@ -73,7 +73,7 @@
         self.order.insert(number, key.clone());
     }
 
-    /// Drops a key that its follower itself has given up: it need not be sent.
+    /// Drops a key without a tombstone, for a key that the follower has dropped itself.
     pub fn erase(&mut self, key: &K) {
         if let Some(Entry { number, .. }) = self.entries.remove(key) {
             self.order.remove(&number);
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Drops the tombstones up to a number that every follower has acknowledged.
+    /// Drops the tombstones up to the number that every follower has acknowledged.
     pub fn compact(&mut self, upto: u64) {
         while let Some(number) = self.tombstones.first().copied().filter(|&n| n <= upto) {
             self.tombstones.remove(&number);
@@ -91,18 +91,19 @@
         }
     }
 
-    /// Values that are newer than a number.
+    /// Keys and values of the changes after `upto`; tombstones are left out.
     pub fn newer_than(&self, upto: u64) -> impl Iterator<Item = (&K, &V)> {
         let newer = self.order.range((Bound::Excluded(upto), Bound::Unbounded));
         newer.filter_map(|(_, key)| self.get(key).map(|value| (key, value)))
     }
 
-    /// Changes since a number, oldest first, as far as `room` bytes by `size`
-    /// go, but at least one. Since 0, that is from nothing on, tombstones are left out.
+    /// Changes after `since`, oldest first, up to `remaining_bytes` as measured by `size`, but
+    /// at least one. `remaining_bytes` is reduced by their size. Tombstones are left out if
+    /// `since` is 0, as the follower has no keys then.
     pub fn changes_since<'a>(
         &'a self,
         since: u64,
-        room: &mut usize,
+        remaining_bytes: &mut usize,
         size: impl Fn(&K, Option<&V>) -> usize,
     ) -> (ChangeRange, Vec<(&'a K, Option<&'a V>)>) {
         let mut changes = Vec::new();
@@ -118,7 +119,7 @@
                 continue;
             }
             let bytes = size(key, value);
-            if bytes > *room && !changes.is_empty() {
+            if bytes > *remaining_bytes && !changes.is_empty() {
                 range = ChangeRange {
                     since,
                     until: upto,
@@ -126,7 +127,7 @@
                 };
                 break;
             }
-            *room = room.saturating_sub(bytes);
+            *remaining_bytes = remaining_bytes.saturating_sub(bytes);
             upto = number;
             changes.push((key, value));
         }
--- a/crates/coordination/src/config.rs
+++ b/crates/coordination/src/config.rs
@@ -1,4 +1,4 @@
-//! Facts that do not change while the process runs.
+//! Configuration derived from the settings, constant while the process runs.
 
 use std::collections::HashMap;
 
@@ -9,63 +9,64 @@
 use lemonweir_model::{MachineId, Resources};
 use lemonweir_protocol::users::quota_limit;
 
-/// ms of the time that a cancellation allows which are kept for delivery when
-/// a controller answers heartbeats without knowing the store, while some controller still
-/// publishes cancellations before the last attempt's end.
+/// ms of the cancellation deadline reserved for delivery, when a controller answers
+/// heartbeats during a store outage while another controller still publishes cancellations
+/// before the last attempt has ended.
 const STORE_OUTAGE_GRACE_MARGIN_MS: u64 = 2_000;
-/// Share of a controller's equal part of the store's changes up to which its placer
-/// writes for idle work, other work's changes counted: above its part it would take
-/// from others' starts.
-const IDLE_WRITES_SHARE: f64 = 0.7;
-/// Bytes of changes in one message through the store: less than a compare-and-swap
-/// may hold, once in base64 and with keys. The rest follows in order.
+/// Fraction of a controller's equal share of the store's write rate up to which its placer
+/// writes for low-priority work. Other writes count against it: beyond its share, a
+/// controller would take writes from the starts of others.
+const LOW_PRIORITY_WRITES_SHARE: f64 = 0.7;
+/// Maximum bytes of changes in one message through the store: less than a compare-and-swap
+/// may hold, allowing for base64 and keys. The rest follows in order.
 const STORE_MESSAGE_BYTES: usize = 24 * 1024;
-/// Bytes of a store message's value left for its other fields and its encoding.
+/// Bytes of a store message's value reserved for its other fields and its encoding.
 const STORE_MESSAGE_OVERHEAD_BYTES: usize = 512;
 
-/// Facts that do not change while the process runs.
+/// Configuration of a controller, constant while the process runs.
 pub struct Config {
     /// All controllers; the index is the number of the controller and of its home shard.
     pub members: Vec<ClusterMember>,
-    /// Index of this controller among them.
+    /// Index of this controller in `members`.
     pub own_index: u16,
-    /// Quota limits of the teams.
+    /// Quota limit of each team.
     pub quota_limits: HashMap<String, Resources>,
-    /// Guaranteed quotas of the teams; 0: none.
+    /// Guaranteed quota of each team; 0: none.
     pub guaranteed_quotas: HashMap<String, Resources>,
-    /// Objectives: seconds within which tasks of a class should start.
+    /// Objective: seconds within which tasks of each class should start.
     pub start_objectives_s: HashMap<String, f64>,
-    /// Objective: seconds within which work within a guaranteed quota should start.
+    /// Objective: seconds within which work within a guaranteed quota should start;
+    /// `f64::MAX` if there is none.
     pub guarantee_objective_s: f64,
-    /// Zones that the settings name.
+    /// Zones in the settings.
     pub zones: Vec<String>,
-    /// Team names in order.
+    /// Team names, sorted.
     pub teams: Vec<String>,
     /// ms for which a gang's task waits on its machine for the others.
     pub gang_wait_ms: u64,
     /// Lease and heartbeat times of the workers.
     pub timing: Timing,
-    /// ms after the last answer of the store for which heartbeats may be
-    /// answered without a newer one while a controller of an earlier format lives.
+    /// ms after the store's last answer during which heartbeats are still answered while a
+    /// controller of an earlier peer version is live.
     pub short_store_outage_grace_ms: u64,
-    /// Bytes that a value in the store may have, now and later.
+    /// Maximum bytes of a value in the store, under current and announced limits.
     pub value_bytes: usize,
-    /// Time of day at the steady clock's zero, ms.
+    /// Time of day at the zero of the monotonic clock, ms.
     pub wall_offset_ms: u64,
-    /// ms by which a clock's time of day may be off.
+    /// Maximum error of a clock's time of day, ms.
     pub max_clock_offset_ms: u64,
-    /// Changes a compare-and-swap may hold, now and later.
+    /// Maximum number of changes in a compare-and-swap, under current and announced limits.
     pub cas_max_changes: usize,
-    /// Changes a second that one placer may write for idle work.
+    /// Changes per second that one placer may write for low-priority work.
     pub idle_writes_per_s: usize,
-    /// Bytes of changes that a message through the store may hold.
+    /// Maximum bytes of changes in one message through the store.
     pub store_message_bytes: usize,
     /// Sockets for each kind of traffic.
     pub sockets: SocketShares,
 }
 
 impl Config {
-    /// Derives the facts from the settings.
+    /// Derives the configuration from the settings.
     pub fn new(settings: &Settings) -> Self {
         let members = settings.members();
         let own_index = members
@@ -119,21 +120,21 @@
                 lease_ms: ms(workers.lease_s),
                 heartbeat_interval_ms: ms(workers.heartbeat_interval_s),
             },
-            // A controller of an earlier format publishes a cancellation before its
-            // tasks have ended. One published right after the store's last answer to
-            // us must still be executed in time: whatever we keep alive
-            // until then ends with its lease.
+            // A controller of an earlier peer version publishes a cancellation before its
+            // tasks have ended. One published right after the store's last answer to this
+            // controller must still be carried out before its deadline: attempts kept alive
+            // during the grace period end with their leases.
             short_store_outage_grace_ms: ms(workers.cancellation_deadline_s - workers.lease_s)
                 .saturating_sub(STORE_OUTAGE_GRACE_MARGIN_MS),
             value_bytes,
             wall_offset_ms: 0,
             max_clock_offset_ms: settings.cluster.clock_offset_ms.ceil() as u64,
             cas_max_changes,
-            idle_writes_per_s: (settings.cluster.kv_store.lowest_writes_per_s() * IDLE_WRITES_SHARE
+            idle_writes_per_s: (settings.cluster.kv_store.lowest_writes_per_s()
+                * LOW_PRIORITY_WRITES_SHARE
                 / members.len().max(1) as f64)
                 .ceil() as usize,
-            // Half of what would just fit: the other fields of a message take
-            // some, and one change may be larger than another.
+            // Half of what would fit: a message has other fields, and changes vary in size.
             store_message_bytes: STORE_MESSAGE_BYTES
                 .min(store_message_piece_bytes(value_bytes) * cas_max_changes / 2),
             sockets: SocketShares::divide(settings.cluster.process_limits.max_open_files),
@@ -142,15 +143,15 @@
         }
     }
 
-    /// Pages of image locations in one compare-and-swap: no more than its changes, nor
-    /// than its bytes.
+    /// Maximum pages of image locations in one compare-and-swap, limited by its changes and
+    /// bytes.
     pub fn image_pages_per_cas(&self) -> usize {
         let bytes = MAX_CAS_BYTES / self.value_bytes.max(1);
         self.cas_max_changes.min(bytes).max(1)
     }
 
-    /// The shard that a machine belongs to: one of its zone's, by a hash of its name, so
-    /// that every controller finds the same.
+    /// The shard that a machine belongs to: one whose home controller is in the machine's zone,
+    /// or any if there is none, chosen by a hash of its id so that all controllers agree.
     pub fn shard_of(&self, zone: &str, machine: &MachineId) -> u16 {
         let local: Vec<u16> = (0..self.members.len() as u16)
             .filter(|&i| self.members[usize::from(i)].zone == zone)
@@ -167,15 +168,15 @@
         }
     }
 
-    /// The shard whose placer runs a team's jobs unless the store says otherwise.
+    /// The shard whose placer runs a team's jobs unless the store assigns another one.
     pub fn default_shard(&self, team: &str) -> u16 {
-        let at = self.teams.iter().position(|t| t == team).unwrap_or(0);
-        (at % self.members.len()) as u16
+        let index = self.teams.iter().position(|t| t == team).unwrap_or(0);
+        (index % self.members.len()) as u16
     }
 }
 
-/// Bytes of a peer's message that fit one value of the store: base64 makes four
-/// bytes of three.
+/// Bytes of a peer message that fit into one value of the store: base64 encodes three bytes
+/// as four.
 pub fn store_message_piece_bytes(value_bytes: usize) -> usize {
     value_bytes
         .saturating_sub(STORE_MESSAGE_OVERHEAD_BYTES)
--- a/crates/coordination/src/core.rs
+++ b/crates/coordination/src/core.rs
@@ -1,4 +1,4 @@
-//! The state of one controller's decisions, and how it follows the store's keys.
+//! State of a controller's decision logic, and its updates from the state cache.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -14,31 +14,31 @@
 use lemonweir_storage::StateCache;
 use lemonweir_storage::state_cache::CachedJob;
 
-/// One controller's decisions.
+/// Decision logic of one controller. Performs no I/O; see the [crate documentation](crate).
 pub struct Core {
-    /// Facts that do not change while the process runs.
+    /// Configuration, constant while the process runs.
     pub config: Config,
-    /// Copy of the store's keys that this controller follows.
+    /// Copy of the store's keys that this controller watches.
     pub cache: StateCache,
-    /// Machine types, once known.
+    /// Machine types; `None` until known.
     pub catalog: Option<Catalog>,
-    /// Who reaches what.
+    /// Reachability as observed by this controller.
     pub links: Links,
     pub(crate) policy: Policy,
     /// The shards that this controller leads, by number.
     pub(crate) shards: BTreeMap<u16, Shard>,
-    /// Progress of jobs that other controllers' placers run, as they last sent it.
+    /// Progress of jobs that are run by other controllers' placers, as last received.
     pub(crate) peer_progress: HashMap<JobId, JobProgress>,
-    /// Commands to machines that are under way.
+    /// Number of commands to machines in flight.
     pub(crate) commands_in_flight: usize,
     pub(crate) stall: ProcessStall,
     pub(crate) dependencies: DependencyGraph,
-    /// Zones of heartbeats that the settings don't name; each is logged once.
+    /// Zones seen in heartbeats but missing from the settings; each is logged once.
     pub(crate) unknown_zones: BTreeSet<String>,
 }
 
 impl Core {
-    /// A controller without shards.
+    /// Creates the state of a controller that leads no shards.
     pub fn new(config: Config, policy: Policy) -> Self {
         Self {
             links: Links::new(
@@ -68,15 +68,15 @@
         self.catalog = Some(catalog);
     }
 
-    /// The cache was brought up to date by a reading of the store that began at `began`,
-    /// ms. `changed`: that reading brought changes.
-    pub fn cache_refreshed(&mut self, began: u64, changed: bool) {
-        self.links.record_store_read(began);
+    /// Handles a refresh of the cache by a read of the store that started at
+    /// `read_started_at`, ms. `changed`: the read returned changes.
+    pub fn cache_refreshed(&mut self, read_started_at: u64, changed: bool) {
+        self.links.record_store_read(read_started_at);
         if !changed {
             return;
         }
-        self.release_lost_shards(began);
-        self.apply_job_changes(began);
+        self.release_lost_shards(read_started_at);
+        self.apply_job_changes(read_started_at);
     }
 
     /// The shard whose placer runs a team's jobs.
@@ -89,7 +89,7 @@
             .unwrap_or_else(|| config.default_shard(team))
     }
 
-    /// Hands the changed jobs to the placers that run them.
+    /// Passes changed jobs to the placers that run them.
     fn apply_job_changes(&mut self, now: u64) {
         let mut changed = self.cache.take_changed_jobs();
         changed.extend(self.refresh_inherited_priorities());
@@ -127,17 +127,17 @@
         }
     }
 
-    /// True if this controller knows enough to take requests of users. One without a way
-    /// to the store, its own or relayed, leaves them to the others; in an outage for all,
-    /// each goes on telling users when to come back.
+    /// True if this controller can serve user requests. One that is isolated from the store, on
+    /// its direct and relayed routes, leaves requests to the others; in a store outage that
+    /// affects all controllers, each keeps telling users when to retry.
     pub fn ready(&self, now: u64) -> bool {
         self.cache.revision.is_some()
             && self.catalog.is_some()
             && !self.links.isolated_from_store(now)
     }
 
-    /// True if something only waits for one of the short gaps to pass, so that the next
-    /// tick had better come early.
+    /// True if a placement pass or a direct sync is only waiting for its minimum interval, so
+    /// that the next tick should come early.
     pub fn needs_short_tick(&self, now: u64) -> bool {
         self.shards.values().any(|shard| {
             shard.placer.placement_is_due(now)
@@ -148,8 +148,8 @@
         })
     }
 
-    /// Work and judgements of the shards led, counted since each was acquired;
-    /// less after a shard was released.
+    /// Sum of the work counters of all shards led, each counted since the shard was acquired.
+    /// Decreases when a shard is released.
     pub fn work_counters(&self) -> WorkCounters {
         self.shards
             .values()
@@ -164,17 +164,17 @@
     }
 }
 
-/// What a job uses, unless it is being cancelled.
+/// The spec of a job, unless its cancellation is requested.
 pub(crate) fn active_spec(job: &CachedJob) -> Option<&JobSpec> {
     (!job.record.cancel_requested).then_some(&job.record.spec)
 }
 
-/// A job with the priority of the jobs that depend on it, if that is higher.
+/// A job with the priority inherited from the jobs that depend on it, if that is higher.
 pub(crate) fn with_inherited_priority(job: &CachedJob, inherited: Option<Priority>) -> CachedJob {
     match inherited.filter(|inherited| *inherited < job.record.spec.priority) {
-        Some(rank) => {
+        Some(priority) => {
             let mut record = (*job.record).clone();
-            record.spec.priority = rank;
+            record.spec.priority = priority;
             CachedJob {
                 record: Arc::new(record),
                 ..job.clone()
--- a/crates/coordination/src/effects.rs
+++ b/crates/coordination/src/effects.rs
@@ -1,4 +1,4 @@
-//! What the decisions ask the process to do, and the results that it reports back.
+//! Effects that the core requests from the process, and the results reported back.
 
 use lemonweir_model::JobId;
 use lemonweir_model::MachineId;
@@ -11,50 +11,50 @@
 
 use crate::owner::CommandCall;
 
-/// What the process has to do. Each names the lease under which it was asked, so that
-/// the result for a shard that is no longer led is dropped.
+/// An action for the process to execute. Effects of a shard carry the lease under which they
+/// were requested, so that results for a shard that is no longer led are dropped.
 #[derive(Debug)]
 pub enum Effect {
-    /// Make a compare-and-swap for a shard.
+    /// Execute a compare-and-swap for a shard.
     CompareAndSwap(ShardLease, CompareAndSwap),
-    /// Make a compare-and-swap for jobs that wait for their dependencies.
+    /// Execute a compare-and-swap for jobs that are blocked by dependencies.
     DependencyCompareAndSwap(CompareAndSwap),
     /// Read the final states of these jobs.
     ReadFinalStates(Vec<JobId>),
-    /// Write a hint; its result does not matter.
+    /// Write a hint; the result is ignored.
     WriteHint(CompareAndSwap),
-    /// Command a worker.
+    /// Send a command to a worker.
     Command(ShardLease, CommandCall),
     /// Sync with an owner on another controller.
     Sync(ShardLease, SyncRequest),
     /// Send a sync through the store.
     StoreSync(SyncRequest),
-    /// Answer a sync through the store, to this shard.
+    /// Answer a sync from this shard through the store.
     StoreView(u16, ShardView),
-    /// Ask the placer of another controller's shard to sync with us.
+    /// Ask the placer of this shard, led by another controller, to sync with this controller.
     WakePeer(u16),
     /// Scale out: provision instances.
     Provision(ShardLease, ProvisioningRequest),
     /// Scale in: release instances.
     ReleaseInstances(ShardLease, Vec<MachineId>),
-    /// Send our availability gossip to another controller.
+    /// Send availability gossip to another controller.
     SendGossip(u16, AvailabilityGossip),
-    /// Try a service's direct route with a request that changes nothing.
+    /// Probe the direct route to a service with a read-only request.
     ProbeService(Service),
 }
 
-/// Counted work and judgements.
+/// Counters of placement work and its results.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WorkCounters {
-    /// Words of bits and machines that candidate walks looked at.
+    /// Number of bit set words and machines examined by placement.
     pub candidates_examined: u64,
-    /// Placements refused for want of room.
+    /// Number of placements refused for lack of resources.
     pub placements_refused: u64,
-    /// Attempts preempted.
+    /// Number of attempts preempted.
     pub attempts_preempted: u64,
 }
 
-/// A shard's lease: the shard with the fencing token under which it is led.
+/// A shard and the fencing token under which it is led.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShardLease {
     /// The shard.
@@ -63,11 +63,10 @@
     pub token: u64,
 }
 
-/// Keys of task records to read again after a compare-and-swap for a shard met other
-/// versions: those among `conflicts`, or none if the shard itself is lost.
-///
-/// Guards against a deposed leader that reads its records again, one by one, while its
-/// successor loads them.
+/// Keys of task records to read again after a compare-and-swap of a shard failed because of
+/// `conflicts`: the task record keys among them, or none if the shard's own key conflicts.
+/// In that case the shard is lost, and its former leader must not read its records again,
+/// one by one, while the successor loads them.
 pub fn keys_to_reread(lease: ShardLease, conflicts: &[String]) -> Vec<&str> {
     if conflicts.contains(&shard_key(lease.shard)) {
         return Vec::new();
@@ -79,27 +78,27 @@
         .collect()
 }
 
-/// What to answer to a worker's heartbeat.
+/// The answer to a worker's heartbeat.
 #[derive(Debug)]
 pub enum HeartbeatAnswer {
     /// 200 with commands.
     Commands(HeartbeatResponse),
-    /// 421: send heartbeats to the controller of this host name.
+    /// 421: send heartbeats to the controller with this host name.
     Redirect(String),
-    /// Relay the heartbeat to the leader, the controller of this number, and answer
-    /// with its answer.
+    /// Relay the heartbeat to the leader, the controller with this index, and return its
+    /// answer.
     Relay(u16),
     /// 503.
     Unavailable,
 }
 
-/// How a provisioning request went.
+/// Result of a provisioning request.
 #[derive(Debug)]
 pub enum ProvisioningResult {
     /// These instances were provisioned.
     Provisioned(Vec<MachineId>),
-    /// None available.
+    /// No instances are available.
     NoCapacity,
-    /// Ask again, under the same booking: it may have been executed.
+    /// Retry with the same request id: the request may have been executed.
     Retry,
 }
--- a/crates/coordination/src/flush.rs
+++ b/crates/coordination/src/flush.rs
@@ -1,23 +1,23 @@
-//! What is due: the core's own motion, after every event and at every tick.
+//! Work that is due after an event or a tick, and the effects that it requests.
 
 use crate::{Core, Effect, Shard};
 use lemonweir_model::constants::PLACEMENT_INTERVAL_MS;
 use lemonweir_protocol::kv_store::{CompareAndSwap, Condition, Write};
 use lemonweir_storage::records::{ImageLocationsRecord, image_locations_key, shard_key};
 
-/// Rounds of one flush: a sync within this process may give a placer something to do at
-/// once.
-const FLUSH_ROUNDS: usize = 3;
+/// Maximum rounds of one flush: a sync between shards of this process may give a placer new
+/// work at once.
+const MAX_FLUSH_ROUNDS: usize = 3;
 
 impl Core {
-    /// Does all that is due and returns what the process has to do. Call it
-    /// after every event and at every tick.
+    /// Does all work that is due and returns the effects for the process to execute. Must be
+    /// called after every event and at every tick.
     pub fn flush(&mut self, now: u64) -> Vec<Effect> {
         self.detect_stall(now);
         let mut effects = Vec::new();
         self.flush_links(now, &mut effects);
         self.flush_dependencies(now, &mut effects);
-        for _ in 0..FLUSH_ROUNDS {
+        for _ in 0..MAX_FLUSH_ROUNDS {
             if !self.flush_shards(now, &mut effects) {
                 break;
             }
@@ -25,7 +25,7 @@
         effects
     }
 
-    /// Gossip to other controllers, and probes of services whose calls are relayed.
+    /// Emits gossip to other controllers, and probes of services whose calls are relayed.
     fn flush_links(&mut self, now: u64, effects: &mut Vec<Effect>) {
         let gossip = self.links.due_gossip(now).into_iter();
         effects.extend(gossip.map(|(host, gossip)| Effect::SendGossip(host, gossip)));
@@ -33,8 +33,7 @@
         effects.extend(probes.map(Effect::ProbeService));
     }
 
-    /// One round over all shards, the owners' sides first. True if a placer was given
-    /// something to do.
+    /// Flushes all shards once, the owners first. Returns true if a placer was given new work.
     fn flush_shards(&mut self, now: u64, effects: &mut Vec<Effect>) -> bool {
         let indices: Vec<u16> = self.shards.keys().copied().collect();
         for &index in &indices {
@@ -50,8 +49,8 @@
     fn flush_owner(&mut self, index: u16, now: u64, effects: &mut Vec<Effect>) {
         self.advance_owner(index, now);
         self.flush_image_locations(index, now, effects);
-        // Guards against a start by an owner that has been without the store for so long
-        // that its successor may infer the end of all it kept alive.
+        // After such a long store outage, a successor may infer that everything this owner kept
+        // alive has ended, so the owner must not start anything.
         if !self.store_outage_grace_exceeded(now) {
             self.flush_commands(index, now, effects);
             self.flush_instance_releases(index, effects);
@@ -59,7 +58,7 @@
         self.wake_placers(index, now);
     }
 
-    /// Lets the owner's timers run, unless what came in during a stall is still to be read.
+    /// Runs the owner's timers, unless messages received during a process stall are unread.
     fn advance_owner(&mut self, index: u16, now: u64) {
         let last_answer = self.links.last_store_answer().unwrap_or(0);
         let lease_may_have_expired = self.store_lease_may_have_expired(now);
@@ -80,7 +79,7 @@
         shard.owner.tick(now, last_answer);
     }
 
-    /// Writes which machines have which images, a hint for the next leader.
+    /// Writes image locations that have changed, as a hint for the next leader.
     fn flush_image_locations(&mut self, index: u16, now: u64, effects: &mut Vec<Effect>) {
         let (value_bytes, pages_per_cas) =
             (self.config.value_bytes, self.config.image_pages_per_cas());
@@ -93,7 +92,7 @@
         if pages.is_empty() {
             return;
         }
-        let leads = Condition {
+        let lease_held = Condition {
             key: shard_key(index),
             version: shard.lease.token,
         };
@@ -104,12 +103,12 @@
             },
         };
         effects.push(Effect::WriteHint(CompareAndSwap {
-            conditions: vec![leads],
+            conditions: vec![lease_held],
             writes: pages.into_iter().map(write).collect(),
         }));
     }
 
-    /// Commands to machines, as many as there are sockets for.
+    /// Emits commands to machines, as far as sockets are available.
     fn flush_commands(&mut self, index: u16, now: u64, effects: &mut Vec<Effect>) {
         let Some(shard) = self.shards.get_mut(&index) else {
             return;
@@ -123,7 +122,7 @@
         effects.extend(calls.into_iter().map(|call| Effect::Command(lease, call)));
     }
 
-    /// Scale-in: the release of instances that stand empty.
+    /// Emits the release of instances chosen for scale-in.
     fn flush_instance_releases(&mut self, index: u16, effects: &mut Vec<Effect>) {
         if let Some(shard) = self.shards.get_mut(&index) {
             let machines = shard.owner.next_releases();
@@ -133,8 +132,8 @@
         }
     }
 
-    /// Wakes the placers that the owner has news for: those of this process at once, the
-    /// others by a call.
+    /// Wakes the placers for which the owner's published state has changed: those in this
+    /// process at once, the others by a call.
     fn wake_placers(&mut self, index: u16, now: u64) {
         let Some(shard) = self.shards.get_mut(&index) else {
             return;
@@ -148,14 +147,14 @@
         }
     }
 
-    /// True if a sync within this process gave the placer something to do.
+    /// Flushes a placer. Returns true if a sync within this process gave the placer new work.
     fn flush_placer(&mut self, index: u16, now: u64, effects: &mut Vec<Effect>) -> bool {
         let wall_offset_ms = self.config.wall_offset_ms;
         let Some(shard) = self.shards.get_mut(&index) else {
             return false;
         };
-        let woken = std::mem::take(&mut shard.peers_to_wake);
-        effects.extend(woken.into_keys().map(Effect::WakePeer));
+        let peers = std::mem::take(&mut shard.peers_to_wake);
+        effects.extend(peers.into_keys().map(Effect::WakePeer));
         shard.place_if_due(now);
         shard.placer.advance_gang_admissions(now, wall_offset_ms);
         shard.placer.consolidate_replicas(now, now + wall_offset_ms);
@@ -167,8 +166,8 @@
         self.flush_syncs(index, now, effects)
     }
 
-    /// True if a shard that we lead had better be led by a controller that reaches its
-    /// machines.
+    /// True if this controller leads a shard but does not reach its machines, so that a
+    /// controller that reaches them should lead it.
     pub fn workers_unreachable(&self, shard: u16, now: u64) -> bool {
         self.shards
             .get(&shard)
--- a/crates/coordination/src/job_progress.rs
+++ b/crates/coordination/src/job_progress.rs
@@ -1,4 +1,4 @@
-//! Progress of unfinished jobs, as far as this controller knows.
+//! Progress of unfinished jobs, as known to this controller.
 
 use crate::Core;
 use lemonweir_model::JobId;
@@ -9,16 +9,16 @@
 pub struct JobProgressReport {
     /// [`JobPhase::Running`] if a task runs, else [`JobPhase::Queued`].
     pub phase: JobPhase,
-    /// Tasks done.
+    /// Number of tasks done.
     pub done: u64,
-    /// Tasks running.
+    /// Number of tasks running.
     pub running: u64,
-    /// Why the job waits, in plain words for its user; empty if there is nothing to say.
+    /// Why the job waits, as shown to users; empty if there is no reason to report.
     pub reason: String,
 }
 
 impl JobProgressReport {
-    /// A job none of whose tasks has begun.
+    /// Progress of a job of which no task has started.
     pub fn queued(reason: String) -> Self {
         Self {
             phase: JobPhase::Queued,
@@ -30,8 +30,8 @@
 }
 
 impl Core {
-    /// Phase and counts of an unfinished job, from our own placers or from what another
-    /// controller's placer sent last.
+    /// Progress of an unfinished job, from this controller's placers or as last sent by
+    /// another controller's placer.
     pub fn job_progress(&self, id: &JobId, now: u64) -> JobProgressReport {
         let own = self
             .shards
@@ -60,8 +60,8 @@
         }
     }
 
-    /// Why this controller can't know a job's progress: nobody places for its team, or
-    /// who does can't be reached.
+    /// Why this controller can't know the progress of a job: no controller places jobs of its
+    /// team, or the one that does is unreachable. `None` if neither is the case.
     fn unreachable_placer(&self, id: &JobId, now: u64) -> Option<String> {
         let team = &self.cache.jobs.get(id)?.record.spec.team;
         let shard = Self::team_shard(&self.cache, &self.config, team);
--- a/crates/coordination/src/job_status.rs
+++ b/crates/coordination/src/job_status.rs
@@ -1,12 +1,12 @@
-//! What users are answered about a job, from memory.
+//! Job status answers for users, served from memory.
 //!
-//! A controller answers for an unfinished job from its cache for
-//! [`CACHE_ANSWER_MAX_AGE_MS`] after the reading that brought it up to date began. None
-//! publishes a final state until [`FINAL_STATE_DELAY_MS`] after it learned of it, which is
-//! after it was written. So when the first user is answered so, every reading that began
-//! before the final state is too old to answer from, at every controller: nobody is given
-//! an older answer after a newer one. Both times run on steady clocks, whose drift the
-//! second allows for.
+//! A controller answers queries about an unfinished job from its cache for
+//! [`CACHE_ANSWER_MAX_AGE_MS`] after the start of the read that refreshed the cache. No
+//! controller publishes a final state until [`FINAL_STATE_DELAY_MS`] after it learned of it,
+//! which is after the state was written. So by the time the first user sees the final state,
+//! reads that started before it was written are too old to answer from at every controller:
+//! nobody gets an older answer after a newer one. Both times are measured with monotonic
+//! clocks; the second one is longer to allow for their drift.
 
 use crate::dependencies::DependencyState;
 use crate::{Core, JobProgressReport};
@@ -14,35 +14,35 @@
 use lemonweir_protocol::users::JobPhase;
 use lemonweir_storage::state_cache::FinalState;
 
-/// ms for which a reading of the store answers polls of unfinished jobs from
-/// the cache, from when it began: the regular ones are some 220 ms apart.
+/// ms after the start of a store read during which the cache may answer polls of unfinished
+/// jobs. Regular reads are about 220 ms apart.
 pub const CACHE_ANSWER_MAX_AGE_MS: u64 = 300;
-/// ms from when a controller learns of a job's final state until it answers a user with
-/// it: by then no other controller answers from a reading that began before that state,
-/// whatever the drift of the clocks. Users expect the end within 3 s (protocol page).
+/// ms from when a controller learns of a job's final state until it reports the state to
+/// users. By then no other controller answers from a read that started before that state was
+/// written, despite clock drift. Users expect the final state within 3 s (protocol page).
 pub const FINAL_STATE_DELAY_MS: u64 = CACHE_ANSWER_MAX_AGE_MS + 20;
 
-/// What this controller can say of a job now.
+/// What this controller can answer about a job now.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum JobStatusAnswer {
-    /// It is over.
+    /// The job has ended with this phase.
     Finished(JobPhase),
-    /// It is over, which may be published after so many ms.
+    /// The job has ended, and its final state may be published after this many ms.
     FinishedIn(u64),
-    /// It is unfinished.
+    /// The job is unfinished.
     Unfinished(JobProgressReport),
-    /// It was unfinished; only a reading that begins now shows whether it still is.
+    /// The job was unfinished when the cache was last read; a new read of the store must show
+    /// whether it still is.
     NeedsRefresh,
-    /// It depends on others, of which these may be over: their final states must be
-    /// read first.
+    /// The final states of these dependencies must be read first, since they may have ended.
     NeedsFinalStates(Vec<JobId>),
-    /// This controller knows nothing of it.
+    /// The job is not known to this controller.
     Unknown,
 }
 
 impl JobStatusAnswer {
-    /// What may be published of a job by a final state that decides it: its own, or that
-    /// of a cancelled job that it depends on.
+    /// The answer for a job that a final state decides: its own, or that of a cancelled job
+    /// that it depends on.
     fn from_final_state(state: FinalState, now: u64) -> Self {
         match (state.learned_at_ms + FINAL_STATE_DELAY_MS).saturating_sub(now) {
             0 => Self::Finished(state.phase),
@@ -52,13 +52,14 @@
 }
 
 impl Core {
-    /// What may be answered about a job, in constant time.
+    /// Answers a query about a job from memory. Takes constant time, except for a blocked job,
+    /// whose dependencies are searched.
     pub fn job_status(&self, id: &JobId, now: u64) -> JobStatusAnswer {
         if let Some(state) = self.cache.job_end(id) {
             return JobStatusAnswer::from_final_state(state, now);
         }
         if self.cache.blocked_jobs.contains_key(id) {
-            return self.dependent_job_status(id, now);
+            return self.blocked_job_status(id, now);
         }
         if !self.cache.jobs.contains_key(id) {
             return JobStatusAnswer::Unknown;
@@ -70,14 +71,14 @@
             .unwrap_or(JobStatusAnswer::Unknown)
     }
 
-    /// Guards against a process that stalled, or that the store does not
-    /// answer: its cache is old however few events it had since.
+    /// True if the cache is too old to answer from: the process stalled, or the store does not
+    /// answer. The cache ages then even if no events arrive.
     fn cache_too_old(&self, now: u64) -> bool {
         self.links.store_age(now) > CACHE_ANSWER_MAX_AGE_MS
     }
 
-    /// What may be answered about a job that waits for its dependencies.
-    fn dependent_job_status(&self, id: &JobId, now: u64) -> JobStatusAnswer {
+    /// Answers a query about a job that is blocked by its dependencies.
+    fn blocked_job_status(&self, id: &JobId, now: u64) -> JobStatusAnswer {
         match self.dependency_state(id) {
             DependencyState::Cancelled(state) => JobStatusAnswer::from_final_state(state, now),
             DependencyState::Unread(ids) if ids.is_empty() => JobStatusAnswer::NeedsRefresh,
@@ -91,8 +92,8 @@
         }
     }
 
-    /// The status of an unfinished job as the cache has it; for who has just had it
-    /// brought up to date.
+    /// Status of an unfinished job from the cache, regardless of the cache's age. For callers
+    /// that have just refreshed the cache. `None` if the job is not known to be unfinished.
     pub fn unfinished_status(&self, id: &JobId, now: u64) -> Option<JobStatusAnswer> {
         if self.cache.blocked_jobs.contains_key(id) {
             return match self.dependency_state(id) {
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -1,24 +1,24 @@
-//! Decisions. Events and the time go in, effects come out; nothing here does
-//! I/O, so the same code runs in the process and in the model tests.
+//! Decision logic of a controller, without I/O: events and the current time go in, effects
+//! come out. The same code runs in the controller process and in the model tests.
 //!
-//! # The way of an event
+//! # Event flow
 //!
-//! 1. The process hands an event with the time of its steady clock to a method of
+//! 1. The process passes an event and the time of its monotonic clock to a method of
 //!    [`Core`]: a worker's heartbeat ([`Core::handle_heartbeat`]), a peer's sync
-//!    ([`Core::handle_sync`]), the end of a compare-and-swap ([`Core::cas_completed`]),
-//!    a newer copy of the store ([`Core::cache_refreshed`]) and others.
-//! 2. The method changes state and answers at once where an answer is due.
-//! 3. [`Core::flush`] follows after each event and at each tick. It does all that is due
-//!    by now and returns [`Effect`]s, which the process executes. The result of
-//!    each comes back as an event.
+//!    ([`Core::handle_sync`]), the outcome of a compare-and-swap ([`Core::cas_completed`]),
+//!    a refreshed copy of the store ([`Core::cache_refreshed`]) and others.
+//! 2. The method updates the state, and returns the answer if the event needs one.
+//! 3. The process calls [`Core::flush`] after each event and at each tick. It does all work
+//!    that is due and returns [`Effect`]s for the process to execute. The result of each
+//!    effect comes back as an event.
 //!
 //! # State
 //!
-//! A controller leads its home shard and, while their homes are away, others'
-//! ([`election`]). Each shard has an owner's side, which commands the machines
-//! ([`owner`]), and a placer's side, which decides where the tasks of its teams run
-//! ([`placer`]). A placer uses machines of all shards: it syncs with each owner, directly
-//! or through the store. What may be reached is judged in one place ([`links`]).
+//! A controller leads its home shard and, while their home controllers are absent, other
+//! shards ([`election`]). Each shard has an owner, which commands the machines ([`owner`]),
+//! and a placer, which decides where the tasks of its teams run ([`placer`]). A placer uses
+//! machines of all shards: it syncs with each owner, directly or through the store.
+//! Reachability is determined in one place ([`links`]).
 
 pub mod autoscaler;
 mod boot_time;
--- a/crates/coordination/src/query_admission.rs
+++ b/crates/coordination/src/query_admission.rs
@@ -1,78 +1,79 @@
-//! Which users' queries go first where not all can be taken at once.
+//! Admission control for user queries: which ones go first when not all can be served.
 //!
-//! A controller refuses queries when it is overloaded, when the store is
-//! busy with what goes first, or when too many wait. Chance alone could then refuse
-//! the same job again and again while others are answered. So a controller records
-//! the jobs with a pending reply, and since when: the one that is pending longest goes
-//! first, and one that is pending for [`REPLY_PRIORITY_AFTER_MS`] is no longer refused
-//! for this controller's own load. `docs/supervision/query-admission.md` states the bounds.
+//! A controller refuses queries when it is overloaded, when the store is busy with requests
+//! of higher priority, or when too many queries wait. By chance, the same job could be refused
+//! again and again while others are answered. So a controller records the jobs with a
+//! pending reply, and since when. The one that has been pending longest goes first, and one
+//! that has been pending for [`REPLY_PRIORITY_AFTER_MS`] is no longer refused because of this
+//! controller's own load. `docs/supervision/query-admission.md` states the bounds.
 
 use std::collections::{BTreeMap, HashMap};
 
 use lemonweir_model::JobId;
 
-/// ms for which a job's queries may be refused for a controller's own load: two of
-/// a user's polls (protocol page). Each controller then answers one query about each
-/// job in this time at the most beyond what it has time for.
+/// ms for which a job's queries may be refused because of a controller's own load: two polls
+/// of a user (protocol page). A controller thus answers at most one query per job in this
+/// time beyond its capacity.
 pub const REPLY_PRIORITY_AFTER_MS: u64 = 8_000;
-/// ms after its last query for which a refused job's reply stays pending:
-/// several polls, which may go to other controllers.
+/// ms after the last query about a refused job for which its reply stays pending: several
+/// polls, since some may go to other controllers.
 pub const PENDING_REPLY_KEPT_MS: u64 = 75_000;
-/// Pending replies of a controller, at the most; some 100 bytes each.
+/// Maximum number of pending replies of a controller; each takes some 100 bytes.
 pub const PENDING_REPLIES_MAX: usize = 16_384;
 
-/// Why a request of a user was refused.
+/// Why a user request was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum QueryRefusal {
-    /// This process is behind with its work.
+    /// This process is overloaded.
     Overloaded,
-    /// No answer of the store for a while.
+    /// The store has not answered for a while.
     StoreSilent,
-    /// Too many lookups wait, or the store is busy with what goes first.
+    /// Too many lookups wait, or the store is busy with requests of higher priority.
     LookupQueueFull,
-    /// The store did not answer, or not in time.
+    /// The store did not answer in time.
     StoreFailed,
-    /// Too much waits to be written.
+    /// Too many writes wait.
     WriteQueueFull,
     /// The machine types are not known yet.
     NoCatalog,
-    /// A cancellation whose last attempts are being stopped; no query, and nothing pending.
+    /// The last attempts of a cancelled job are still being stopped. Not counted as a pending
+    /// reply.
     JobStopping,
 }
 
-/// What was asked.
+/// Kind of a user request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum QueryKind {
-    /// The status of a job.
+    /// Query of a job's status.
     Poll,
-    /// To accept a job.
+    /// Submission of a job.
     Submission,
-    /// To cancel one.
+    /// Cancellation of a job.
     Cancellation,
 }
 
-/// How often each was refused, and why.
+/// Number of refusals by kind and reason.
 pub type QueryRefusalCounts = BTreeMap<(QueryKind, QueryRefusal), u64>;
 
-/// Refusals since they were last taken.
+/// Refusals since the last summary.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RefusalSummary {
-    /// How often each was refused, and why.
+    /// Number of refusals by kind and reason.
     pub counts: QueryRefusalCounts,
-    /// For how long the same job was refused at most, ms.
+    /// Longest time for which queries about the same job were refused, ms.
     pub longest_ms: u64,
 }
 
-/// The reply that one job is to be given.
+/// A reply that is due for a job.
 #[derive(Clone, Copy, Debug)]
 struct PendingReply {
-    /// When a query was first refused since the last answer, ms.
+    /// Time of the first refusal since the last answer, ms.
     since: u64,
-    /// When one last was, ms.
+    /// Time of the last refused query, ms.
     last_query: u64,
 }
 
-/// Jobs with a pending reply, and what was refused.
+/// Tracks jobs with a pending reply, and counts refusals.
 #[derive(Debug, Default)]
 pub struct QueryAdmission {
     pending: HashMap<JobId, PendingReply>,
@@ -81,22 +82,22 @@
 }
 
 impl QueryAdmission {
-    /// Since when a job's reply is pending, ms; `now` if it is not.
+    /// Since when a job's reply is pending, ms; `now` if none is.
     pub fn pending_since(&self, id: &JobId, now: u64) -> u64 {
         self.pending.get(id).map_or(now, |reply| reply.since)
     }
 
-    /// True if a job's reply is pending for so long that it is not refused for load any
-    /// more.
+    /// True if a job's reply has been pending for so long that queries about it are no longer
+    /// refused because of load.
     pub fn has_priority(&self, id: &JobId, now: u64) -> bool {
         now >= self.pending_since(id, now) + REPLY_PRIORITY_AFTER_MS
     }
 
-    /// A query about a job was refused. Beyond [`PENDING_REPLIES_MAX`] jobs the ones
-    /// that came before keep their place.
-    pub fn record_refusal(&mut self, id: &JobId, kind: QueryKind, why: QueryRefusal, now: u64) {
-        *self.refused.counts.entry((kind, why)).or_default() += 1;
-        if why == QueryRefusal::JobStopping {
+    /// Records that a query about a job was refused. Beyond [`PENDING_REPLIES_MAX`] jobs, no
+    /// new pending replies are added.
+    pub fn record_refusal(&mut self, id: &JobId, kind: QueryKind, reason: QueryRefusal, now: u64) {
+        *self.refused.counts.entry((kind, reason)).or_default() += 1;
+        if reason == QueryRefusal::JobStopping {
             return;
         }
         self.sweep(now);
@@ -115,20 +116,20 @@
         }
     }
 
-    /// A query about a job was answered.
+    /// Records that a query about a job was answered.
     pub fn record_answer(&mut self, id: &JobId) {
         if !self.pending.is_empty() {
             self.pending.remove(id);
         }
     }
 
-    /// What was refused since the last call; `None`: nothing was.
+    /// Returns the refusals since the last call; `None` if there were none.
     pub fn take_refusals(&mut self) -> Option<RefusalSummary> {
         let refused = std::mem::take(&mut self.refused);
         (!refused.counts.is_empty()).then_some(refused)
     }
 
-    /// Guards against pending replies of users who have gone elsewhere or given up.
+    /// Drops the pending replies of users who have turned to other controllers or given up.
     fn sweep(&mut self, now: u64) {
         if now < self.last_sweep + PENDING_REPLY_KEPT_MS / 4 {
             return;
@@ -139,18 +140,18 @@
     }
 }
 
-/// A priority queue of lookups, each with who waits for it: the one whose reply is
+/// A priority queue of job lookups, each with its waiters. The job whose reply has been
 /// pending longest goes first.
 #[derive(Debug)]
 pub struct LookupQueue<W> {
-    /// By since when the reply is pending.
+    /// Waiters, ordered by the time since which the job's reply is pending.
     waiting: BTreeMap<(u64, JobId), Vec<W>>,
     since: HashMap<JobId, u64>,
     capacity: usize,
 }
 
 impl<W> LookupQueue<W> {
-    /// A queue for the lookups of so many jobs.
+    /// Creates a queue for lookups of at most `capacity` jobs.
     pub fn new(capacity: usize) -> Self {
         Self {
             waiting: BTreeMap::new(),
@@ -159,12 +160,12 @@
         }
     }
 
-    /// Lets somebody wait for the lookup of a job whose reply is pending since then. Returns
-    /// who is refused for want of room: who came, or all who wait for the job whose reply
-    /// is pending shortest.
+    /// Adds a waiter for the lookup of a job whose reply is pending since `since`. Returns the
+    /// waiters that are refused if the queue is full: the new one, or all waiters for the job
+    /// whose reply has been pending for the shortest time.
     pub fn enqueue(&mut self, id: &JobId, since: u64, waiter: W) -> Vec<W> {
         if let Some(since) = self.since.get(id) {
-            // Who asks for the same job costs no more.
+            // Another waiter for the same job causes no further lookup.
             self.waiting
                 .entry((*since, id.clone()))
                 .or_default()
@@ -187,10 +188,10 @@
         refused
     }
 
-    /// Takes the next lookups, so many at most.
-    pub fn dequeue(&mut self, most: usize) -> Vec<(JobId, Vec<W>)> {
+    /// Removes and returns the next lookups, at most `max`.
+    pub fn dequeue(&mut self, max: usize) -> Vec<(JobId, Vec<W>)> {
         let mut taken = Vec::new();
-        while taken.len() < most
+        while taken.len() < max
             && let Some(((_, id), waiters)) = self.waiting.pop_first()
         {
             self.since.remove(&id);
--- a/crates/coordination/src/team_usage.rs
+++ b/crates/coordination/src/team_usage.rs
@@ -1,19 +1,19 @@
-//! What the attempts of a team use.
+//! Resource usage by team.
 
 use std::collections::BTreeMap;
 
 use lemonweir_model::Resources;
 
-/// What some attempts of a team use together.
+/// Total usage of some attempts of a team.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct TeamUsage {
-    /// How many they are.
+    /// Number of attempts.
     pub(crate) attempts: usize,
-    /// What they take.
+    /// Resources that they use.
     pub(crate) used: Resources,
 }
 
-/// Adds up attempts: each one's team, and what it takes.
+/// Sums up attempts by team. Each item is the team of an attempt and the resources it uses.
 pub(crate) fn usage_by_team<'a>(
     attempts: impl Iterator<Item = (&'a str, Resources)>,
 ) -> BTreeMap<String, TeamUsage> {
