--- a/crates/coordination/src/owner/attempt.rs
+++ b/crates/coordination/src/owner/attempt.rs
@@ -32,7 +32,7 @@
 #[derive(Debug)]
 pub(super) struct TrackedAttempt {
     /// Shard of its placer.
-    pub(super) from: u16,
+    pub(super) placer: u16,
     /// As its placer wants it; refreshed by every sync.
     pub(super) desired: DesiredAttempt,
     /// Set when it is preempted: s that it may take to save a checkpoint.
@@ -49,9 +49,9 @@
 
 impl TrackedAttempt {
     /// Just asked for by the placer of the shard `from`.
-    pub(super) fn new(from: u16, desired: DesiredAttempt, now: u64) -> Self {
+    pub(super) fn new(placer: u16, desired: DesiredAttempt, now: u64) -> Self {
         Self {
-            from,
+            placer,
             desired,
             preemption_grace_s: None,
             stop_sent_at: None,
--- a/crates/coordination/src/owner/commands.rs
+++ b/crates/coordination/src/owner/commands.rs
@@ -63,7 +63,7 @@
 impl Owner {
     /// True once every placer has published all that it wants of this owner.
     fn all_placers_synced(&self) -> bool {
-        self.placers.values().filter(|p| p.complete).count() >= usize::from(self.shards)
+        self.placers.values().filter(|p| p.fully_synced).count() >= usize::from(self.shards)
     }
 
     /// The commands that a machine needs now; notes them as sent.
@@ -124,8 +124,8 @@
             machine = %tracked.desired.machine,
             shard = self.shard,
             fencing_token = self.token,
-            placer = tracked.from,
-            placer_fencing_token = self.placers.get(&tracked.from).map(|placer| placer.token),
+            placer = tracked.placer,
+            placer_fencing_token = self.placers.get(&tracked.placer).map(|placer| placer.token),
             repeated = tracked.stage != AttemptStage::NOT_LAUNCHED,
             ?channel,
             "attempt launched"
--- a/crates/coordination/src/owner/heartbeat.rs
+++ b/crates/coordination/src/owner/heartbeat.rs
@@ -55,14 +55,17 @@
             m.relay = relayed_by.map(|peer| Relay { peer, since });
         }
         let channel = reply_channel(m, current);
-        let orders = self.commands_for(&heartbeat.machine, now, channel);
+        let due_commands = self.commands_for(&heartbeat.machine, now, channel);
         let m = self.machines.get_mut(&heartbeat.machine)?;
-        if orders.iter().any(|o| o.kind == CommandKind::Start) {
+        if due_commands
+            .iter()
+            .any(|command| command.kind == CommandKind::Start)
+        {
             m.launches_in_response_to = Some(heartbeat.sequence);
         }
         Some(HeartbeatResponse {
             fencing_token: m.incarnation.reply_token(),
-            commands: orders,
+            commands: due_commands,
         })
     }
 
@@ -117,7 +120,7 @@
         if m.incarnation.is_reachable() != was_reachable {
             info!(machine = %id, shard = self.shard, reachable = !was_reachable, "worker reachability changed");
         }
-        update_presence(m, heartbeat, now);
+        update_liveness(m, heartbeat, now);
         resolve_calls(m, heartbeat, origin);
         replace_tasks(m, heartbeat);
         self.reevaluate(id, now);
@@ -209,7 +212,7 @@
     }
 }
 
-fn update_presence(m: &mut Machine, heartbeat: &Heartbeat, now: u64) {
+fn update_liveness(m: &mut Machine, heartbeat: &Heartbeat, now: u64) {
     m.address = heartbeat.address.parse().ok();
     m.last_heartbeat_at = Some(now);
     if std::mem::take(&mut m.silent) {
--- a/crates/coordination/src/owner/image_pages.rs
+++ b/crates/coordination/src/owner/image_pages.rs
@@ -78,37 +78,37 @@
 impl Owner {
     /// Pages of the record of which machines hold which images that changed since the
     /// last writing, if that is old enough: `max_pages` at the most, each below
-    /// `value_bytes`. `None` in place of a page: it is to be deleted.
+    /// `max_page_bytes`. `None` in place of a page: it is to be deleted.
     pub fn changed_image_pages(
         &mut self,
         now: u64,
-        value_bytes: usize,
+        max_page_bytes: usize,
         max_pages: usize,
     ) -> Vec<ImagePage> {
         if now < self.image_record.written_at + IMAGE_PAGES_INTERVAL_MS {
             return Vec::new();
         }
         self.image_record.written_at = now;
-        let pages = self.image_pages(value_bytes);
+        let pages = self.image_pages(max_page_bytes);
         self.image_record.update(&pages, max_pages)
     }
 
-    /// The whole record, in pages of `value_bytes` each at the most.
-    fn image_pages(&self, value_bytes: usize) -> Vec<ImageLocationsRecord> {
+    /// The whole record, in pages of `max_page_bytes` each at the most.
+    fn image_pages(&self, max_page_bytes: usize) -> Vec<ImageLocationsRecord> {
         let mut pages = vec![ImageLocationsRecord::default()];
         let mut bytes = 0;
         for (id, m) in self.machines.iter().filter(|(_, m)| !m.images.is_empty()) {
-            let names: usize = m
+            let image_bytes: usize = m
                 .images
                 .iter()
                 .map(|(name, _)| name.len() + IMAGE_ENTRY_OVERHEAD_BYTES)
                 .sum();
-            if bytes + names + IMAGE_PAGE_OVERHEAD_BYTES > value_bytes {
+            if bytes + image_bytes + IMAGE_PAGE_OVERHEAD_BYTES > max_page_bytes {
                 pages.push(ImageLocationsRecord::default());
                 bytes = 0;
             }
             let Some(page) = pages.last_mut() else { break };
-            let mut held = Vec::with_capacity(m.images.len());
+            let mut image_indices = Vec::with_capacity(m.images.len());
             for image in &m.images {
                 let index = page
                     .images
@@ -119,10 +119,10 @@
                         page.images.push(image.clone());
                         page.images.len() - 1
                     });
-                held.push(index as u16);
+                image_indices.push(index as u16);
             }
-            bytes += id.as_str().len() + IMAGE_REFERENCE_BYTES * (held.len() + 2);
-            page.machines.push((id.clone(), held));
+            bytes += id.as_str().len() + IMAGE_REFERENCE_BYTES * (image_indices.len() + 2);
+            page.machines.push((id.clone(), image_indices));
         }
         pages
     }
@@ -130,10 +130,10 @@
     /// Restores what an earlier owner recorded, page by page.
     pub fn restore_image_pages(&mut self, pages: Vec<ImageLocationsRecord>) {
         for page in &pages {
-            for (id, held) in &page.machines {
-                let images = held
+            for (id, image_indices) in &page.machines {
+                let images = image_indices
                     .iter()
-                    .filter_map(|&at| page.images.get(usize::from(at)).cloned())
+                    .filter_map(|&index| page.images.get(usize::from(index)).cloned())
                     .collect();
                 self.inherited_images.insert(id.clone(), images);
             }
--- a/crates/coordination/src/owner/last_copies.rs
+++ b/crates/coordination/src/owner/last_copies.rs
@@ -1,7 +1,7 @@
 //! Which machines are released last: those with the last copy of a service's image in
 //! their zone, while others can be released.
 
-use super::scale_in::not_worth_keeping;
+use super::scale_in::should_release_once_idle;
 use super::*;
 
 /// ms between two checks for last copies: one walks all images.
@@ -72,7 +72,11 @@
             .cloned()
             .collect();
         for id in kept {
-            let Some(m) = self.machines.get(&id).filter(|m| !not_worth_keeping(m)) else {
+            let Some(m) = self
+                .machines
+                .get(&id)
+                .filter(|m| !should_release_once_idle(m))
+            else {
                 continue;
             };
             let alike = |o: &Machine| {
--- a/crates/coordination/src/owner/maintenance.rs
+++ b/crates/coordination/src/owner/maintenance.rs
@@ -1,7 +1,7 @@
 //! Periodic maintenance of a shard's machines: health, expired leases, provisioning
 //! timeouts and machines to scale in.
 
-use super::scale_in::not_worth_keeping;
+use super::scale_in::should_release_once_idle;
 use super::*;
 use lemonweir_model::constants::{
     MIN_OVERDUE_REPLACEMENTS, OVERDUE_REPLACEMENT_DIVISOR, TICK_MS, UNREADY_AFTER_STORE_SILENCE_MS,
@@ -11,7 +11,7 @@
 /// long.
 const LOW_DEMAND_AFTER_MS: u64 = 40_000;
 /// Share of the usual time that idle machines are then kept.
-const LOW_DEMAND_KEEP_SHARE: f64 = 0.3;
+const LOW_DEMAND_KEEP_FACTOR: f64 = 0.3;
 
 /// A machine whose provisioning timed out.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -48,14 +48,14 @@
     /// No attempt was accepted of late.
     low_demand: bool,
     inherited_leases_expired: bool,
-    surplus: HashSet<MachineId>,
+    surplus_idle_machines: HashSet<MachineId>,
     changed_machines: &'a mut BTreeSet<MachineId>,
     scale_in_candidates: &'a mut BTreeSet<MachineId>,
     findings: MaintenanceFindings,
 }
 
 /// Estimates for one machine.
-struct MachineOutlook {
+struct MachineEstimates {
     verdict: HealthVerdict,
     /// Boot time by the catalog, ms.
     listed_boot_ms: u64,
@@ -70,21 +70,21 @@
         if m.release_in_progress || m.release_requested {
             return;
         }
-        let outlook = self.outlook(m);
-        self.start_due_trial(id, m);
-        self.update_silence(id, m, outlook.verdict);
-        self.check_provisioning(id, m, &outlook);
+        let estimates = self.estimate(m);
+        self.mark_trial_due(id, m);
+        self.update_silence(id, m, estimates.verdict);
+        self.check_provisioning(id, m, &estimates);
         self.check_leases(id, m);
-        self.check_idle(id, m, &outlook);
+        self.check_idle(id, m, &estimates);
     }
 
-    fn outlook(&self, m: &Machine) -> MachineOutlook {
+    fn estimate(&self, m: &Machine) -> MachineEstimates {
         let listed_boot_ms = self.catalog.boot_ms(&m.kind);
         let boot_ms = self
             .boot_times
             .usual_ms(&m.kind, &m.zone, m.spot, listed_boot_ms);
         let rebuild_ms = boot_ms + m.fetch_ms(self.catalog.fetch_gb_per_s(&m.kind));
-        MachineOutlook {
+        MachineEstimates {
             verdict: self.failure_detector.verdict(m, rebuild_ms, self.now),
             listed_boot_ms,
             boot_ms,
@@ -93,7 +93,7 @@
     }
 
     /// A quarantined machine may take the attempt that is its trial.
-    fn start_due_trial(&mut self, id: &MachineId, m: &mut Machine) {
+    fn mark_trial_due(&mut self, id: &MachineId, m: &mut Machine) {
         if let Some(quarantine) = m
             .quarantine
             .as_mut()
@@ -114,36 +114,43 @@
 
     /// Finds machines that did not come up in time, and requests the release of those
     /// that never will or have been silent for too long.
-    fn check_provisioning(&mut self, id: &MachineId, m: &mut Machine, outlook: &MachineOutlook) {
+    fn check_provisioning(
+        &mut self,
+        id: &MachineId,
+        m: &mut Machine,
+        estimates: &MachineEstimates,
+    ) {
         if !self.may_release {
             return;
         }
         // The longer of both: machines that boot within a second were requested among
         // others that don't.
-        let patience_ms = (outlook.boot_ms.max(outlook.listed_boot_ms) as f64
-            * self.policy.provisioning_timeout_multiple) as u64;
+        let boot_failure_timeout_ms = (estimates.boot_ms.max(estimates.listed_boot_ms) as f64
+            * self.policy.provisioning_timeout_multiple)
+            as u64;
         let provisioned_at = m
             .provisioned_at
-            .max(self.acquired_at.saturating_sub(patience_ms))
-            .max(m.known_since.saturating_sub(patience_ms));
-        let booting = outlook.verdict == HealthVerdict::Booting;
-        let timeout_ms = || {
+            .max(self.acquired_at.saturating_sub(boot_failure_timeout_ms))
+            .max(m.known_since.saturating_sub(boot_failure_timeout_ms));
+        let booting = estimates.verdict == HealthVerdict::Booting;
+        let overdue_after_ms = || {
             self.boot_times.provisioning_timeout_ms(
                 &m.kind,
                 &m.zone,
                 m.spot,
-                outlook.listed_boot_ms,
+                estimates.listed_boot_ms,
             )
         };
-        if booting && self.now > provisioned_at + timeout_ms() {
+        if booting && self.now > provisioned_at + overdue_after_ms() {
             self.findings.overdue.push(OverdueMachine {
                 provisioned_at,
                 id: id.clone(),
                 known: m.overdue,
             });
         }
-        let boot_failed = booting && self.now > provisioned_at + patience_ms + self.timing.lease_ms;
-        if boot_failed || outlook.verdict == HealthVerdict::Release {
+        let boot_failed =
+            booting && self.now > provisioned_at + boot_failure_timeout_ms + self.timing.lease_ms;
+        if boot_failed || estimates.verdict == HealthVerdict::Release {
             let reason = if boot_failed { "boot failed" } else { "silent" };
             info!(machine = %id, shard = self.shard, reason, "machine release requested");
             m.release_requested = true;
@@ -178,10 +185,10 @@
 
     /// Makes a machine that was idle for long enough a candidate for scaling in. What
     /// is partitioned is not idle, nor what has just come back.
-    fn check_idle(&mut self, id: &MachineId, m: &mut Machine, outlook: &MachineOutlook) {
+    fn check_idle(&mut self, id: &MachineId, m: &mut Machine, estimates: &MachineEstimates) {
         if !self.may_release
-            || is_silent(outlook.verdict)
-            || outlook.verdict == HealthVerdict::Unreachable
+            || is_silent(estimates.verdict)
+            || estimates.verdict == HealthVerdict::Unreachable
             || self.failure_detector.recovering(m, self.now)
         {
             return;
@@ -189,18 +196,18 @@
         let Some(idle_since) = m.idle_since else {
             return;
         };
-        let low_demand = if self.low_demand || self.surplus.contains(id) {
-            LOW_DEMAND_KEEP_SHARE
+        let demand_factor = if self.low_demand || self.surplus_idle_machines.contains(id) {
+            LOW_DEMAND_KEEP_FACTOR
         } else {
             1.0
         };
-        let factor = if m.spot {
+        let idle_multiple = if m.spot {
             self.policy.spot_idle_multiple
         } else {
             self.policy.on_demand_idle_multiple
         };
-        let keep_ms = (outlook.rebuild_ms as f64 * low_demand * factor) as u64;
-        if self.now > idle_since + keep_ms || not_worth_keeping(m) {
+        let keep_ms = (estimates.rebuild_ms as f64 * demand_factor * idle_multiple) as u64;
+        if self.now > idle_since + keep_ms || should_release_once_idle(m) {
             m.scale_in_pending = true;
             self.scale_in_candidates.insert(id.clone());
             self.changed_machines.insert(id.clone());
@@ -246,7 +253,7 @@
         self.find_last_copies(now);
         let findings = self.examine_machines(now);
         self.keep_last_copies();
-        self.discount_overdue(findings.overdue);
+        self.mark_overdue(findings.overdue);
         for id in findings.resolved_launches {
             self.reevaluate(&id, now);
         }
@@ -282,7 +289,7 @@
                 && !self.is_resuming(now),
             low_demand: now > self.last_accepted_at + LOW_DEMAND_AFTER_MS,
             inherited_leases_expired: self.inherited_leases_expired(),
-            surplus: self.surplus(),
+            surplus_idle_machines: self.surplus_idle_machines(),
             policy: &self.policy,
             catalog: &self.catalog,
             boot_times: &self.boot_times,
@@ -307,10 +314,15 @@
     /// first, so that others are requested in their place. Guards against a wave of
     /// late boots that doubles the fleet: only a share of the shard's machines is
     /// replaced at a time. One that comes up after all is used.
-    fn discount_overdue(&mut self, mut overdue: Vec<OverdueMachine>) {
+    fn mark_overdue(&mut self, mut overdue: Vec<OverdueMachine>) {
         overdue.sort_unstable();
-        let most = MIN_OVERDUE_REPLACEMENTS.max(self.machines.len() / OVERDUE_REPLACEMENT_DIVISOR);
-        for machine in overdue.into_iter().take(most).filter(|m| !m.known) {
+        let max_replacements =
+            MIN_OVERDUE_REPLACEMENTS.max(self.machines.len() / OVERDUE_REPLACEMENT_DIVISOR);
+        for machine in overdue
+            .into_iter()
+            .take(max_replacements)
+            .filter(|m| !m.known)
+        {
             info!(machine = %machine.id, shard = self.shard, "machine provisioning timed out");
             if let Some(m) = self.machines.get_mut(&machine.id) {
                 m.overdue = true;
--- a/crates/coordination/src/owner/mod.rs
+++ b/crates/coordination/src/owner/mod.rs
@@ -68,7 +68,7 @@
 /// some seconds.
 const UNREACHABLE_MIN_LEADERSHIP_MS: u64 = 10_000;
 /// ms for which a peer's count of an owner's machines is valid.
-const PEER_COUNT_VALID_MS: u64 = 5_000;
+const PEER_HEARTBEAT_COUNT_TTL_MS: u64 = 5_000;
 
 /// Why a sync was refused.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
@@ -89,7 +89,7 @@
 
 /// A peer's count of the machines of this shard whose heartbeats it gets.
 #[derive(Clone, Copy, Debug)]
-struct PeerCount {
+struct PeerHeartbeatCount {
     machines: u32,
     /// When the peer said so, ms.
     at: u64,
@@ -142,7 +142,7 @@
     unseen_machines: BTreeMap<MachineId, u64>,
     /// How many of this shard's machines send their heartbeats to the controllers of
     /// other shards, with the time when they said so.
-    peer_heartbeat_counts: BTreeMap<u16, PeerCount>,
+    peer_heartbeat_counts: BTreeMap<u16, PeerHeartbeatCount>,
     /// When the provider's inventory was last read.
     inventory_read_at: u64,
     failure_detector: MachineFailureDetector,
@@ -156,7 +156,7 @@
     /// When the shard's occupancy was last logged.
     summary_logged_at: u64,
     /// Tick that releases were last looked for in.
-    released_tick: u64,
+    last_release_tick: u64,
     last_tick: u64,
     /// When this process last resumed after a stall; 0: never.
     resumed_at: u64,
@@ -215,7 +215,7 @@
             scale_in_candidates: BTreeSet::new(),
             release_in_progress: false,
             summary_logged_at: now,
-            released_tick: now,
+            last_release_tick: now,
             last_tick: now,
             resumed_at: 0,
             store_answer_at: now,
@@ -284,7 +284,7 @@
                 self.attempts_by_machine.remove(&machine);
             }
         }
-        if let Some(placer) = self.placers.get_mut(&tracked.from) {
+        if let Some(placer) = self.placers.get_mut(&tracked.placer) {
             placer.published.erase(id);
         }
         Some(machine)
@@ -314,7 +314,7 @@
         let seen_by_peer = self
             .peer_heartbeat_counts
             .values()
-            .filter(|count| now <= count.at + PEER_COUNT_VALID_MS)
+            .filter(|count| now <= count.at + PEER_HEARTBEAT_COUNT_TTL_MS)
             .map(|count| count.machines as usize)
             .max()
             .unwrap_or(0);
--- a/crates/coordination/src/owner/orphaned_grants.rs
+++ b/crates/coordination/src/owner/orphaned_grants.rs
@@ -67,7 +67,7 @@
         let orphans: Vec<AttemptId> = self
             .attempts
             .iter()
-            .filter(|(id, a)| superseded.contains(&a.from) && unused(a) && !reported(id, a))
+            .filter(|(id, a)| superseded.contains(&a.placer) && unused(a) && !reported(id, a))
             .map(|(id, _)| id.clone())
             .collect();
         for id in orphans {
@@ -76,8 +76,8 @@
             };
             info!(attempt = %id, machine = %tracked.desired.machine, shard = self.shard, "orphaned grant released");
             tracked.stage = AttemptStage::Ended(AttemptState::Refused);
-            let (machine, from) = (tracked.desired.machine.clone(), tracked.from);
-            self.changed_placers.insert(from);
+            let (machine, placer) = (tracked.desired.machine.clone(), tracked.placer);
+            self.changed_placers.insert(placer);
             self.record_outcome(&machine, &id, AttemptState::Refused, now);
             self.reevaluate(&machine, now);
         }
--- a/crates/coordination/src/owner/preemption.rs
+++ b/crates/coordination/src/owner/preemption.rs
@@ -4,21 +4,21 @@
 
 /// ms after its start within which a task is preempted only if nothing else will do: a
 /// start that is undone within 30 s is none to its users.
-const RECENT_START_MS: u64 = 35_000;
+const RECENT_START_WINDOW_MS: u64 = 35_000;
 
 /// An attempt that may be preempted; the greatest one is preempted first.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct PreemptionCandidate {
     over_quota: bool,
     priority: Priority,
-    /// It has run for longer than [`RECENT_START_MS`].
-    past_start: bool,
+    /// It has run for longer than [`RECENT_START_WINDOW_MS`].
+    past_start_window: bool,
     tracked_since: u64,
     id: AttemptId,
-    need: Resources,
+    resources: Resources,
 }
 
-fn total_need<'a>(
+fn total_resources<'a>(
     attempts: impl Iterator<Item = (&'a AttemptId, &'a TrackedAttempt)>,
 ) -> Resources {
     attempts.fold(Resources::default(), |sum, (_, a)| {
@@ -56,14 +56,14 @@
             return None;
         }
         // Those that are stopping make room for those that wait already.
-        let reserved = total_need(
+        let reserved = total_resources(
             self.attempts_on(&desired.machine)
                 .filter(|(_, a)| matches!(a.stage, AttemptStage::AwaitingPreemption(_))),
         );
-        let staying = total_need(self.staying_on(&desired.machine));
-        let mut free = m.capacity.minus(&reserved.plus(&staying));
+        let active = total_resources(self.active_attempts_on(&desired.machine));
+        let mut free = m.capacity.minus(&reserved.plus(&active));
         let mut candidates: Vec<PreemptionCandidate> = self
-            .staying_on(&desired.machine)
+            .active_attempts_on(&desired.machine)
             .filter(|(_, a)| {
                 desired
                     .preemption
@@ -72,17 +72,17 @@
             .map(|(id, a)| PreemptionCandidate {
                 over_quota: a.desired.over_quota,
                 priority: a.desired.priority,
-                past_start: now > a.tracked_since + RECENT_START_MS,
+                past_start_window: now > a.tracked_since + RECENT_START_WINDOW_MS,
                 tracked_since: a.tracked_since,
                 id: id.clone(),
-                need: a.desired.resources,
+                resources: a.desired.resources,
             })
             .collect();
         candidates.sort_unstable();
         let mut victims = Vec::new();
         while !free.covers(&desired.resources) {
             let victim = candidates.pop()?;
-            free = free.plus(&victim.need);
+            free = free.plus(&victim.resources);
             victims.push(victim.id);
         }
         Some(victims)
@@ -103,7 +103,7 @@
     }
 
     /// Accepted attempts of a machine that are not stopping.
-    fn staying_on(
+    fn active_attempts_on(
         &self,
         machine: &MachineId,
     ) -> impl Iterator<Item = (&AttemptId, &TrackedAttempt)> {
@@ -120,7 +120,7 @@
     }
 
     /// Capacity not taken by the accepted attempts other than this one.
-    pub(super) fn free_without(&self, machine: &MachineId, id: &AttemptId) -> Resources {
+    pub(super) fn free_excluding(&self, machine: &MachineId, id: &AttemptId) -> Resources {
         let Some(m) = self
             .machines
             .get(machine)
@@ -140,23 +140,26 @@
     /// Resources of the attempts that each priority may preempt, without and with what
     /// teams run beyond their guaranteed quota.
     pub(super) fn preemptible(&self, machine: &MachineId) -> ([Resources; 3], [Resources; 3]) {
-        let (mut lower, mut over) = ([Resources::default(); 3], [Resources::default(); 3]);
-        for (_, a) in self.staying_on(machine) {
-            for rank in 0..3 {
-                let below = a.desired.priority.index() > rank;
+        let (mut over_quota_only, mut all_preemptible) =
+            ([Resources::default(); 3], [Resources::default(); 3]);
+        for (_, a) in self.active_attempts_on(machine) {
+            for priority in 0..3 {
+                let below = a.desired.priority.index() > priority;
                 if below && a.desired.over_quota {
-                    lower[rank] = lower[rank].plus(&a.desired.resources);
+                    over_quota_only[priority] =
+                        over_quota_only[priority].plus(&a.desired.resources);
                 }
                 if below
                     || a.desired.over_quota
-                        && a.desired.priority.index() == rank
+                        && a.desired.priority.index() == priority
                         && a.desired.priority != Priority::Production
                 {
-                    over[rank] = over[rank].plus(&a.desired.resources);
+                    all_preemptible[priority] =
+                        all_preemptible[priority].plus(&a.desired.resources);
                 }
             }
         }
-        (lower, over)
+        (over_quota_only, all_preemptible)
     }
 
     /// Capacity not taken by accepted or waiting attempts. Tasks that no placer has named
@@ -180,7 +183,7 @@
     }
 
     /// Attempts that have not ended, and tasks that no placer has named.
-    pub(super) fn occupant_count(&self, machine: &MachineId) -> usize {
+    pub(super) fn task_count_on(&self, machine: &MachineId) -> usize {
         let attempts = self
             .attempts_on(machine)
             .filter(|(_, a)| !matches!(a.stage, AttemptStage::Ended(_)))
--- a/crates/coordination/src/owner/proof.rs
+++ b/crates/coordination/src/owner/proof.rs
@@ -84,7 +84,7 @@
 
     fn enter_stage(&mut self, machine: &MachineId, id: &AttemptId, stage: AttemptStage, now: u64) {
         if stage == AttemptStage::NOT_LAUNCHED {
-            self.note_accepted(machine, id, now);
+            self.record_accepted(machine, id, now);
         }
         if let AttemptStage::Ended(state) = stage {
             info!(attempt = %id, machine = %machine, shard = self.shard, ?state, "attempt ended");
@@ -92,12 +92,12 @@
             self.record_outcome(machine, id, state, now);
         }
         if let Some(tracked) = self.attempts.get_mut(id) {
-            self.changed_placers.insert(tracked.from);
+            self.changed_placers.insert(tracked.placer);
             tracked.stage = stage;
         }
     }
 
-    fn note_accepted(&mut self, machine: &MachineId, id: &AttemptId, now: u64) {
+    fn record_accepted(&mut self, machine: &MachineId, id: &AttemptId, now: u64) {
         // Idle work is always there: it does not show that the shard is busy.
         if self
             .attempts
@@ -209,7 +209,7 @@
             return AttemptStage::Ended(AttemptState::Refused);
         }
         // Its own reservation is part of what is taken.
-        let free = self.free_without(&tracked.desired.machine, id);
+        let free = self.free_excluding(&tracked.desired.machine, id);
         if free.covers(&tracked.desired.resources) {
             AttemptStage::NOT_LAUNCHED
         } else {
--- a/crates/coordination/src/owner/published_state.rs
+++ b/crates/coordination/src/owner/published_state.rs
@@ -22,7 +22,7 @@
                 };
                 if let (Some(state), Some(placer)) = (
                     self.published_state(attempt, tracked),
-                    self.placers.get_mut(&tracked.from),
+                    self.placers.get_mut(&tracked.placer),
                 ) {
                     placer.published.put(attempt, state);
                 }
@@ -32,7 +32,7 @@
 
     /// What placers are told of a machine.
     fn machine_view(&self, id: &MachineId, m: &Machine) -> MachineView {
-        let (soft, soft_over) = self.preemptible(id);
+        let (over_quota_only, all_preemptible) = self.preemptible(id);
         MachineView {
             id: id.clone(),
             machine_type: m.kind.clone(),
@@ -45,12 +45,12 @@
             // A quarantined machine may go on with what runs.
             draining: m.termination_notice,
             free: self.free(id),
-            preemptible: soft,
-            preemptible_or_over_quota: soft_over,
-            task_count: self.occupant_count(id).min(usize::from(u16::MAX)) as u16,
+            preemptible: over_quota_only,
+            preemptible_or_over_quota: all_preemptible,
+            task_count: self.task_count_on(id).min(usize::from(u16::MAX)) as u16,
             service_task_count: self.service_replicas(id),
             cached_images: m.images.iter().map(|(name, _)| name.clone()).collect(),
-            pulling_images: self.images_in_transfer(id, m),
+            pulling_images: self.images_to_pull(id, m),
             provisioned_by: m.requested_by,
         }
     }
@@ -96,7 +96,7 @@
             );
         }
         let placer = self.placers.entry(sync.from_shard).or_default();
-        let (attempts_span, attempts) = placer.published.changes_since(
+        let (attempt_range, attempts) = placer.published.changes_since(
             sync.observed.attempts_revision,
             &mut max_bytes,
             |_, _| ENCODED_ATTEMPT_BYTES,
@@ -110,16 +110,16 @@
                 })
             })
             .collect();
-        let (machines_span, changes) = self.machine_views.changes_since(
+        let (machine_range, changes) = self.machine_views.changes_since(
             sync.observed.machines_revision,
             &mut max_bytes,
             |_, m| m.map_or(ENCODED_ATTEMPT_BYTES, encoded_len),
         );
-        let (mut machines, mut gone) = (Vec::new(), Vec::new());
+        let (mut machines, mut removed) = (Vec::new(), Vec::new());
         for (id, m) in changes {
             match m {
                 Some(m) => machines.push(m.clone()),
-                None => gone.push(id.clone()),
+                None => removed.push(id.clone()),
             }
         }
         ShardView {
@@ -130,26 +130,26 @@
             store_age_ms: u64::MAX,
             desired_revision: 0,
             partitioned_zones: Vec::new(),
-            machines_range: machines_span,
+            machines_range: machine_range,
             machines,
-            removed_machines: gone,
-            attempts_range: attempts_span,
+            removed_machines: removed,
+            attempts_range: attempt_range,
             attempts,
         }
     }
 
     /// Images that accepted attempts need and the machine does not hold yet.
-    fn images_in_transfer(&self, id: &MachineId, m: &Machine) -> Vec<String> {
-        let mut names: Vec<String> = Vec::new();
+    fn images_to_pull(&self, id: &MachineId, m: &Machine) -> Vec<String> {
+        let mut images: Vec<String> = Vec::new();
         for (_, a) in self.attempts_on(id).filter(|(_, a)| {
             matches!(a.stage, AttemptStage::Accepted { .. }) && a.stop_grace_s().is_none()
         }) {
-            if !names.contains(&a.desired.image)
+            if !images.contains(&a.desired.image)
                 && !m.images.iter().any(|(name, _)| *name == a.desired.image)
             {
-                names.push(a.desired.image.clone());
+                images.push(a.desired.image.clone());
             }
         }
-        names
+        images
     }
 }
--- a/crates/coordination/src/owner/reconciliation.rs
+++ b/crates/coordination/src/owner/reconciliation.rs
@@ -14,11 +14,11 @@
     /// Version of its desired state that is applied here.
     desired_version: u64,
     /// Its whole desired state has been applied.
-    pub(super) complete: bool,
+    pub(super) fully_synced: bool,
     /// Version of the machines' published state that it has.
     pub(super) acknowledged_version: u64,
     /// Attempts that a full resend has not mentioned yet.
-    unmentioned: HashSet<AttemptId>,
+    missing_from_snapshot: HashSet<AttemptId>,
     /// The states of its attempts, with the versions of their changes.
     pub(super) published: ChangeLog<AttemptId, AttemptState>,
 }
@@ -38,7 +38,7 @@
             // Guards against continuing from what an earlier placer of that shard had
             // published: only a full resend counts for this one.
             self.desired_version = 0;
-            self.complete = false;
+            self.fully_synced = false;
             self.lease_lost_at = None;
         }
         self.token = sync.from_fencing_token;
@@ -69,7 +69,7 @@
             .accept(sync)?;
         self.peer_heartbeat_counts.insert(
             sync.from_shard,
-            PeerCount {
+            PeerHeartbeatCount {
                 machines: sync.misrouted_heartbeats,
                 at: now,
             },
@@ -78,10 +78,10 @@
             self.expect_instance(instance, sync.from_shard, now);
         }
         self.restart_idle_time(&sync.reserved_machines, now);
-        let wants_at = self.reconcile_desired(sync, now);
+        let applied_revision = self.reconcile_desired(sync, now);
         self.changed_placers.remove(&sync.from_shard);
         let mut view = self.unacknowledged_view(sync, max_bytes);
-        view.desired_revision = wants_at;
+        view.desired_revision = applied_revision;
         view.partitioned_zones = self.failure_detector.partitioned_zones(now);
         Ok(view)
     }
@@ -114,7 +114,7 @@
         for desired in &sync.desired {
             if self.track(desired, sync.from_shard, now) {
                 affected.insert(desired.machine.clone());
-                self.note_placement(&desired.machine, now);
+                self.record_placement(&desired.machine, now);
             }
         }
         for machine in affected {
@@ -132,25 +132,25 @@
         match sync.range.continues_from(placer.desired_version)? {
             Continuation::Snapshot => {
                 placer.desired_version = 0;
-                placer.complete = false;
-                placer.unmentioned = attempts_of_placer(&self.attempts, sync.from_shard);
+                placer.fully_synced = false;
+                placer.missing_from_snapshot = attempts_of_placer(&self.attempts, sync.from_shard);
             }
             Continuation::Delta => {}
         }
         placer.desired_version = placer.desired_version.max(sync.range.until);
         for desired in &sync.desired {
-            placer.unmentioned.remove(&desired.id);
+            placer.missing_from_snapshot.remove(&desired.id);
         }
         let mut dropped = sync.withdrawn.clone();
         if sync.range.complete {
-            placer.complete = true;
-            dropped.extend(std::mem::take(&mut placer.unmentioned));
+            placer.fully_synced = true;
+            dropped.extend(std::mem::take(&mut placer.missing_from_snapshot));
         }
         Some(dropped)
     }
 
     fn is_tracked_for(&self, id: &AttemptId, placer: u16) -> bool {
-        self.attempts.get(id).is_some_and(|a| a.from == placer)
+        self.attempts.get(id).is_some_and(|a| a.placer == placer)
     }
 
     /// Stops an attempt of this placer that is not stopping yet; returns its machine.
@@ -158,7 +158,7 @@
         let tracked = self
             .attempts
             .get_mut(id)
-            .filter(|a| a.from == placer && a.desired.stop_grace_s.is_none())?;
+            .filter(|a| a.placer == placer && a.desired.stop_grace_s.is_none())?;
         tracked.desired.stop_grace_s = Some(grace_s);
         tracked.stop_sent_at = None;
         Some(tracked.desired.machine.clone())
@@ -181,7 +181,7 @@
             );
             return true;
         };
-        if tracked.desired.machine != desired.machine || tracked.from != placer {
+        if tracked.desired.machine != desired.machine || tracked.placer != placer {
             warn!(attempt = %desired.id, placer, "attempt moved to another machine or shard; change ignored");
             return false;
         }
@@ -190,16 +190,16 @@
         }
         // Guards against a late `go` of a placer that has lost its lease: its successor
         // decides what becomes of the gang.
-        let go = desired.may_start && (tracked.desired.may_start || !lease_lost);
+        let start_allowed = desired.may_start && (tracked.desired.may_start || !lease_lost);
         tracked.desired = DesiredAttempt {
-            may_start: go,
+            may_start: start_allowed,
             ..desired.clone()
         };
         true
     }
 
     /// An attempt is placed on the machine, maybe while an earlier owner saw it running.
-    fn note_placement(&mut self, machine: &MachineId, now: u64) {
+    fn record_placement(&mut self, machine: &MachineId, now: u64) {
         match self.machines.get_mut(machine) {
             Some(m) if m.last_heartbeat_at.is_none() => {
                 m.recorded_running_at.get_or_insert(now);
@@ -220,7 +220,7 @@
 ) -> HashSet<AttemptId> {
     attempts
         .iter()
-        .filter(|(_, a)| a.from == placer)
+        .filter(|(_, a)| a.placer == placer)
         .map(|(id, _)| id.clone())
         .collect()
 }
--- a/crates/coordination/src/owner/scale_in.rs
+++ b/crates/coordination/src/owner/scale_in.rs
@@ -11,7 +11,7 @@
 const HEADROOM_FLEET_SHARE: usize = 25;
 
 /// A machine that is not worth keeping once it is idle.
-pub(super) fn not_worth_keeping(m: &Machine) -> bool {
+pub(super) fn should_release_once_idle(m: &Machine) -> bool {
     m.termination_notice
         || m.quarantine
             .as_ref()
@@ -22,7 +22,7 @@
     /// Idle machines beyond the headroom that a fleet of this size needs, those that
     /// are idle longest: in a large fleet some are idle all the time, and few of them
     /// are used again. Machines with the last copy of a service's image are kept first.
-    pub(super) fn surplus(&self) -> HashSet<MachineId> {
+    pub(super) fn surplus_idle_machines(&self) -> HashSet<MachineId> {
         let last_copy = |id: &MachineId| self.service_images.has_last_copy(id);
         let mut idle: Vec<(bool, u64, &MachineId)> = self
             .machines
@@ -40,13 +40,13 @@
 
     /// Machines to release now, if no release is in progress: one request per tick.
     pub fn next_releases(&mut self) -> Vec<MachineId> {
-        if self.release_in_progress || self.last_tick == self.released_tick {
+        if self.release_in_progress || self.last_tick == self.last_release_tick {
             return Vec::new();
         }
-        self.released_tick = self.last_tick;
-        let mut names = Vec::new();
+        self.last_release_tick = self.last_tick;
+        let mut ids = Vec::new();
         for id in std::mem::take(&mut self.scale_in_candidates) {
-            let idle = self.occupant_count(&id) == 0;
+            let idle = self.task_count_on(&id) == 0;
             self.changed_machines.insert(id.clone());
             if let Some(m) = self.machines.get_mut(&id) {
                 if idle {
@@ -58,20 +58,20 @@
             }
         }
         for (id, m) in &mut self.machines {
-            if m.release_requested && names.len() < RELEASE_REQUEST_MAX_MACHINES {
+            if m.release_requested && ids.len() < RELEASE_REQUEST_MAX_MACHINES {
                 m.release_in_progress = true;
-                names.push(id.clone());
+                ids.push(id.clone());
             }
         }
-        self.release_in_progress = !names.is_empty();
-        names
+        self.release_in_progress = !ids.is_empty();
+        ids
     }
 
     /// A release request has ended; `done`: the provider has confirmed it, which proves
     /// that the machines and all that ran on them are gone.
-    pub fn release_finished(&mut self, names: &[MachineId], done: bool, now: u64) {
+    pub fn release_finished(&mut self, ids: &[MachineId], done: bool, now: u64) {
         self.release_in_progress = false;
-        for id in names {
+        for id in ids {
             if done {
                 // Guards against a call under way to a machine that is released: its end finds
                 // no machine, and its place among the calls to unreachable ones would be lost.
@@ -89,11 +89,11 @@
 
     /// Notes since when a machine has been idle.
     pub(super) fn update_idle(&mut self, machine: &MachineId, now: u64) {
-        let busy = self.occupant_count(machine);
+        let task_count = self.task_count_on(machine);
         if let Some(m) = self.machines.get_mut(machine)
             && m.last_heartbeat_at.is_some()
         {
-            m.idle_since = if busy > 0 {
+            m.idle_since = if task_count > 0 {
                 None
             } else {
                 m.idle_since.or(Some(now))
--- a/crates/coordination/src/owner/worker_calls.rs
+++ b/crates/coordination/src/owner/worker_calls.rs
@@ -59,24 +59,24 @@
     /// Not yet; it stays a candidate.
     Later,
     /// No; its next heartbeat or the end of its call makes it a candidate again.
-    No,
+    NotReady,
 }
 
 impl Owner {
-    /// Calls to workers that are due, `most` at the most: only machines that something
+    /// Calls to workers that are due, `max_calls` at the most: only machines that something
     /// happened to are looked at, and those that a call is still due to. What finds no
     /// room waits for the end of another call.
-    pub fn due_calls(&mut self, now: u64, most: usize) -> Vec<CommandCall> {
+    pub fn due_calls(&mut self, now: u64, max_calls: usize) -> Vec<CommandCall> {
         let mut calls = Vec::new();
         for id in std::mem::take(&mut self.call_candidates) {
-            if calls.len() >= most {
+            if calls.len() >= max_calls {
                 self.call_candidates.insert(id);
                 continue;
             }
             match self.call_readiness(&id, now) {
                 CallReadiness::Ready(address) => calls.extend(self.begin_call(&id, address, now)),
                 CallReadiness::Later => drop(self.call_candidates.insert(id)),
-                CallReadiness::No => {}
+                CallReadiness::NotReady => {}
             }
         }
         calls
@@ -84,7 +84,7 @@
 
     fn call_readiness(&self, id: &MachineId, now: u64) -> CallReadiness {
         let Some(m) = self.machines.get(id) else {
-            return CallReadiness::No;
+            return CallReadiness::NotReady;
         };
         let confirmed =
             m.last_heartbeat_at.is_some() && m.incarnation.session() > m.expired_session;
@@ -94,10 +94,10 @@
         // A silent machine would hold a call's place until it times out; what is due to
         // it goes with the reply to its next heartbeat.
         if m.silent || !known || m.release_in_progress || m.launches_in_response_to.is_some() {
-            return CallReadiness::No;
+            return CallReadiness::NotReady;
         }
         if m.call_in_progress {
-            return CallReadiness::No;
+            return CallReadiness::NotReady;
         }
         let unreachable = !m.incarnation.is_reachable();
         // A token that can't rise could not fence a call of unknown outcome.
@@ -109,22 +109,23 @@
             return if confirmed {
                 CallReadiness::Later
             } else {
-                CallReadiness::No
+                CallReadiness::NotReady
             };
         }
-        m.address.map_or(CallReadiness::No, CallReadiness::Ready)
+        m.address
+            .map_or(CallReadiness::NotReady, CallReadiness::Ready)
     }
 
     /// The call that a machine needs: commands, or a query if it has not confirmed this
     /// owner's token.
     fn begin_call(&mut self, id: &MachineId, address: SocketAddr, now: u64) -> Option<CommandCall> {
         let confirmed = self.machines.get(id)?.incarnation.is_confirmed();
-        let orders = if confirmed {
+        let due_commands = if confirmed {
             self.commands_for(id, now, CommandChannel::Call)
         } else {
             Vec::new()
         };
-        if confirmed && orders.is_empty() {
+        if confirmed && due_commands.is_empty() {
             if self.stop_pending(id) || self.launch_pending(id) {
                 self.call_candidates.insert(id.clone());
             }
@@ -140,7 +141,7 @@
             commands: CommandsRequest {
                 fencing_token: m.incarnation.begin_call(),
                 incarnation: m.incarnation.call_session(),
-                commands: orders,
+                commands: due_commands,
             },
             through: m.relay.map(|relay| relay.peer),
         })
@@ -175,7 +176,7 @@
 
     /// A call to a worker has ended.
     pub fn handle_call_result(&mut self, call: &CommandCall, result: CommandResult, now: u64) {
-        let result = checked_result(call, result);
+        let result = verify_responder(call, result);
         let failed = !matches!(result, CommandResult::Executed(_));
         if failed {
             self.reset_stop_times(call);
@@ -269,7 +270,7 @@
 }
 
 /// Guards against an address that another machine has by now.
-fn checked_result(call: &CommandCall, result: CommandResult) -> CommandResult {
+fn verify_responder(call: &CommandCall, result: CommandResult) -> CommandResult {
     match result {
         CommandResult::Executed(status) | CommandResult::Refused(status)
             if status.machine != call.machine =>
