--- a/crates/coordination/src/owner/attempt.rs
+++ b/crates/coordination/src/owner/attempt.rs
@@ -1,54 +1,54 @@
-//! An attempt that a placer wants on a machine of this shard, and how far it has come.
+//! The attempts that placers want on machines of this shard, and their stages.
 
 use super::*;
 
-/// How far an attempt has come on its machine.
+/// Stage of an attempt on its machine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum AttemptStage {
-    /// Not decided: the machine has not shown this owner's token yet.
+    /// Neither admitted nor refused: the machine has not shown this owner's token yet.
     Undecided,
-    /// Waits, since this time in ms, for the attempts that are preempted for it.
+    /// Waits, since this time in ms, for the attempts that are preempted for it to end.
     AwaitingPreemption(u64),
-    /// Has room.
+    /// Admitted: its resources on the machine are reserved.
     Accepted {
-        /// Session of the worker that a launch was sent in.
+        /// The worker's session in which a launch was sent.
         launched_in: Option<u64>,
-        /// The worker has reported it.
+        /// Whether the worker has reported it.
         reported: bool,
     },
-    /// Over.
+    /// Ended, or refused.
     Ended(AttemptState),
 }
 
 impl AttemptStage {
-    /// Accepted, and no launch was sent.
+    /// Accepted, with no launch sent that may still be executed.
     pub(super) const NOT_LAUNCHED: Self = Self::Accepted {
         launched_in: None,
         reported: false,
     };
 }
 
-/// An attempt that a placer wants here.
+/// An attempt that a placer wants on a machine of this shard.
 #[derive(Debug)]
 pub(super) struct TrackedAttempt {
     /// Shard of its placer.
     pub(super) placer: u16,
-    /// As its placer wants it; refreshed by every sync.
+    /// The desired state, as last sent by its placer.
     pub(super) desired: DesiredAttempt,
-    /// Set when it is preempted: s that it may take to save a checkpoint.
+    /// Set on preemption: seconds that it has to save a checkpoint.
     pub(super) preemption_grace_s: Option<u32>,
-    /// When a call last carried its stop, ms.
+    /// When a call last carried its stop command, ms.
     pub(super) stop_sent_at: Option<u64>,
     pub(super) tracked_since: u64,
-    /// When it was first seen running, ms.
+    /// When it was first reported as running, ms.
     pub(super) running_since: Option<u64>,
-    /// It has run for long enough to count as a success.
+    /// Whether it has been counted as a success.
     pub(super) success_recorded: bool,
     pub(super) stage: AttemptStage,
 }
 
 impl TrackedAttempt {
-    /// Just asked for by the placer of the shard `from`.
+    /// Starts tracking an attempt that the placer of the shard `placer` wants.
     pub(super) fn new(placer: u16, desired: DesiredAttempt, now: u64) -> Self {
         Self {
             placer,
@@ -62,12 +62,12 @@
         }
     }
 
-    /// Grace in s if it is to stop, for whatever reason.
+    /// Seconds of grace if it is to stop, on its placer's request or by preemption.
     pub(super) fn stop_grace_s(&self) -> Option<u32> {
         self.desired.stop_grace_s.or(self.preemption_grace_s)
     }
 
-    /// It has room and is to be launched, and its machine has not reported it yet.
+    /// Returns true if it is accepted, may start, and is not reported by its machine yet.
     pub(super) fn awaits_launch(&self, id: &AttemptId, m: &Machine) -> bool {
         let accepted = matches!(
             self.stage,
--- a/crates/coordination/src/owner/catalog.rs
+++ b/crates/coordination/src/owner/catalog.rs
@@ -1,9 +1,9 @@
-//! What the catalog of the provider says of machine types.
+//! Machine types from the provider's catalog.
 
 use super::*;
 use lemonweir_model::MachineType;
 
-/// ms that a machine of unknown type is taken to boot.
+/// Boot time that is assumed for a machine of unknown type, ms.
 const DEFAULT_BOOT_MS: u64 = 30_000;
 
 #[derive(Debug)]
@@ -21,7 +21,7 @@
 }
 
 impl MachineCatalog {
-    /// Adds a type, or replaces what is known of it.
+    /// Adds or replaces a type.
     pub(super) fn insert(&mut self, machine_type: &MachineType) {
         let profile = TypeProfile {
             capacity: machine_type.capacity,
@@ -32,12 +32,12 @@
         self.by_name.insert(machine_type.name.clone(), profile);
     }
 
-    /// True if there is a catalog and the type is not in it.
+    /// Returns true if the catalog is not empty and does not contain the type.
     pub(super) fn lacks(&self, name: &str) -> bool {
         !self.by_name.is_empty() && !self.by_name.contains_key(name)
     }
 
-    /// Capacity of a machine; none for an unknown type.
+    /// Capacity of a machine; zero for an unknown type.
     pub(super) fn capacity(&self, name: &str) -> Resources {
         self.by_name
             .get(name)
@@ -45,7 +45,7 @@
             .unwrap_or_default()
     }
 
-    /// Boot time, ms.
+    /// Boot time, ms; [`DEFAULT_BOOT_MS`] for an unknown type.
     pub(super) fn boot_ms(&self, name: &str) -> u64 {
         self.by_name
             .get(name)
@@ -59,7 +59,7 @@
             .map_or(u64::MAX, |profile| profile.image_cache_mb)
     }
 
-    /// Rate of image fetches, GB/s; `None` for an unknown type.
+    /// Image pull rate, GB/s; `None` for an unknown type.
     pub(super) fn fetch_gb_per_s(&self, name: &str) -> Option<f64> {
         self.by_name.get(name).map(|profile| profile.fetch_gb_per_s)
     }
--- a/crates/coordination/src/owner/commands.rs
+++ b/crates/coordination/src/owner/commands.rs
@@ -1,23 +1,22 @@
-//! Which commands a machine needs: launches, stops, and attempts that its worker may
-//! forget.
+//! Commands for workers: launching and stopping attempts, and forgetting exited ones.
 
 use super::*;
 
-/// ms between two calls with the same stop: the worker needs time to save a checkpoint
-/// before it reports the end.
+/// ms between two calls with the same stop command: the worker needs time to save a
+/// checkpoint before it reports the end.
 const STOP_REPEAT_MS: u64 = 1_500;
 
-/// What commands are sent with.
+/// The message that carries commands to a worker.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum CommandChannel {
-    /// A call: launches and stops.
+    /// A call to the worker: launches and stops.
     Call,
-    /// The reply to a heartbeat: stops, and what may be forgotten.
+    /// The reply to a heartbeat: stops and forgets.
     Response,
-    /// The same with launches, since a call is of unknown outcome.
+    /// The reply to a heartbeat, with launches too, since the outcome of a call is unknown.
     ResponseWithLaunches,
-    /// The reply to a heartbeat that is not the newest, or that does not show this
-    /// owner's token: only stops.
+    /// The reply to a heartbeat that is not the newest, or from a worker that has not shown
+    /// this owner's token: only stops.
     LateResponse,
 }
 
@@ -50,8 +49,8 @@
     }
 }
 
-/// Seconds of grace of a repeated stop: a task that is saving its checkpoint must not
-/// be given less, which would end it.
+/// Seconds of grace of a stop command. A stop with no grace would kill a task that is
+/// saving its checkpoint, so such a task gets at least one second.
 fn repeated_grace_s(grace_s: u32, phase: TaskPhase) -> u32 {
     if phase == TaskPhase::Checkpointing {
         grace_s.max(1)
@@ -61,12 +60,12 @@
 }
 
 impl Owner {
-    /// True once every placer has published all that it wants of this owner.
+    /// Returns true once every placer's whole desired state has been applied.
     fn all_placers_synced(&self) -> bool {
         self.placers.values().filter(|p| p.fully_synced).count() >= usize::from(self.shards)
     }
 
-    /// The commands that a machine needs now; notes them as sent.
+    /// Returns the commands that are due for a machine, and records them as sent.
     pub(super) fn commands_for(
         &mut self,
         machine: &MachineId,
@@ -102,7 +101,7 @@
                 .into_iter()
                 .map(|(id, grace_s)| (id, CommandKind::Stop, Some(grace_s))),
         );
-        // By attempt, as the machine's tasks are.
+        // Ordered by attempt, like the machine's tasks.
         commands.sort_by(|(a, ..), (b, ..)| a.cmp(b));
         commands.extend(
             launches
@@ -132,12 +131,12 @@
         );
     }
 
-    /// Tasks to stop, with their grace in s.
+    /// Tasks to stop, with their grace in seconds.
     ///
-    /// Guards against a stop that counts as sent though its call never left, as when a
-    /// process has no socket for it: the reply to a heartbeat renews the lease, so it
-    /// carries every stop that is due, whatever calls were made. Only calls are spaced.
-    /// A stop may be repeated (protocol page).
+    /// A stop may count as sent though its call never left the process, for lack of a
+    /// socket. The reply to a heartbeat renews the lease, so it carries every stop, whatever
+    /// calls were made; only calls wait for [`STOP_REPEAT_MS`]. The worker protocol allows
+    /// a stop to be repeated.
     fn due_stops(&self, m: &Machine, now: u64, channel: CommandChannel) -> Vec<(AttemptId, u32)> {
         let due = |tracked: &TrackedAttempt| {
             channel.is_response()
@@ -156,7 +155,7 @@
             .collect()
     }
 
-    /// Commands for tasks that no placer wants, once all have synced.
+    /// Stops or forgets tasks that no placer wants, once all placers have synced.
     fn commands_for_unwanted(
         &self,
         m: &Machine,
@@ -165,8 +164,7 @@
         if !self.all_placers_synced() {
             return Vec::new();
         }
-        // Guards against a launch that is repeated after its attempt was forgotten, which
-        // would run it again.
+        // A launch that arrives after its attempt was forgotten would run the attempt again.
         let may_forget = channel.may_forget() && m.calls_resolved();
         m.tasks
             .iter()
@@ -179,8 +177,8 @@
             .collect()
     }
 
-    /// Attempts to launch. None on a machine whose lease is expiring: one that no reply
-    /// reaches is not kept alive by calls.
+    /// Attempts to launch. There are none on a machine that receives no replies: its lease
+    /// is expiring, and calls don't renew it.
     fn due_launches(
         &self,
         machine: &MachineId,
--- a/crates/coordination/src/owner/heartbeat.rs
+++ b/crates/coordination/src/owner/heartbeat.rs
@@ -1,10 +1,10 @@
-//! Heartbeats of workers: what they prove of a machine, and the reply to them.
+//! Handling of worker heartbeats: what they prove about a machine, and the reply to them.
 
 use super::*;
 
 impl Owner {
-    /// True if a heartbeat shows how its machine is now: only that proves that the
-    /// workers of its zone reach this controller.
+    /// Returns true if a heartbeat shows the present state of its machine. Only such a
+    /// heartbeat proves that workers of its zone reach this controller.
     pub(crate) fn is_current(&self, heartbeat: &Heartbeat) -> bool {
         let freshness = |m: &Machine| {
             m.incarnation.classify(
@@ -20,7 +20,7 @@
     }
 
     /// Handles a heartbeat that came directly or was relayed by the controller
-    /// `relayed_by`. `None`: it must not be answered with 200.
+    /// `relayed_by`. Returns `None` if it must not be answered with status 200.
     pub fn handle_heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
@@ -31,13 +31,14 @@
             return None;
         }
         if heartbeat.fencing_token >> MACHINE_TOKEN_BITS > self.token {
-            // The worker has seen a later owner: our answer would only keep it
-            // here while its lease expires.
+            // The worker has seen a later owner. A reply would only keep it sending
+            // heartbeats here while its lease expires.
             return None;
         }
         let current = self.apply_heartbeat(heartbeat, Origin::Heartbeat(relayed_by), now);
         let m = self.machines.get_mut(&heartbeat.machine)?;
-        // One that shows none of our tokens may be the first of a new incarnation.
+        // A heartbeat of an expired session gets no reply, unless it shows none of our
+        // tokens: then it may be the first of a new incarnation.
         if heartbeat.incarnation <= m.expired_session
             && m.incarnation.is_trusted_token(heartbeat.fencing_token)
         {
@@ -69,8 +70,8 @@
         })
     }
 
-    /// Applies a worker's status, from a heartbeat or the answer to a call. True if it
-    /// shows how the machine is now.
+    /// Applies a worker's status, from a heartbeat or the response to a call. Returns true
+    /// if it shows the present state of the machine.
     pub(super) fn apply_heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
@@ -127,11 +128,11 @@
         true
     }
 
-    /// Applies what a heartbeat that proves nothing of the present still tells.
+    /// Applies a heartbeat that does not prove the present state of its machine.
     ///
-    /// Guards against copies of heartbeats, which come up to several leases late: a
-    /// machine that was released is no machine, and what a copy says was true once. It
-    /// causes a query at most, which carries no commands.
+    /// Copies of heartbeats arrive up to several leases late: the machine may have been
+    /// released since, and its reported state may be outdated. Such a heartbeat triggers at
+    /// most a query, which carries no commands.
     fn apply_unverified(&mut self, heartbeat: &Heartbeat, origin: Origin, now: u64) {
         let Some(m) = self.machines.get_mut(&heartbeat.machine) else {
             return;
@@ -159,7 +160,7 @@
         }
     }
 
-    /// Registers the machine of the first heartbeat that is believed.
+    /// Registers a machine on its first current heartbeat.
     fn register_first_heartbeat(&mut self, heartbeat: &Heartbeat, now: u64) {
         let id = &heartbeat.machine;
         let Some(m) = self
@@ -177,7 +178,8 @@
         }
         let boot_elapsed_ms = now.saturating_sub(m.provisioned_at);
         info!(machine = %id, shard = self.shard, boot_elapsed_ms, "machine registered");
-        // One that ran before was up long before its first heartbeat to this owner.
+        // A machine that ran under an earlier owner booted long before its first heartbeat
+        // to this one.
         if m.announced && m.recorded_running_at.is_none() {
             self.boot_times
                 .record_boot(&m.kind, &m.zone, m.spot, boot_elapsed_ms);
@@ -189,11 +191,11 @@
     }
 }
 
-/// What the reply to a heartbeat may carry.
+/// Returns which commands the reply to a heartbeat may carry.
 ///
-/// A late heartbeat may still be waited for, if the answer to a call came before it,
-/// and so may one of a worker that has not shown our token: both replies renew the
-/// lease, so both carry the stops.
+/// The worker may still wait for the reply to a late heartbeat, if the response to a call
+/// overtook it, or to one that does not show our token. Both replies renew the lease, so
+/// both carry the stops.
 fn reply_channel(m: &Machine, current: bool) -> CommandChannel {
     let call_unresolved = m.unresolved_call_token.is_some() && !m.call_in_progress;
     match (current && m.incarnation.is_confirmed(), call_unresolved) {
@@ -203,7 +205,7 @@
     }
 }
 
-/// Commands for an earlier session are refused by the worker.
+/// Discards unresolved calls of the earlier session, whose commands the worker refuses.
 fn begin_session(m: &mut Machine, heartbeat: &Heartbeat) {
     (m.unresolved_call_token, m.unresolved_launch_at) = (None, None);
     m.launches_in_response_to = None;
@@ -216,7 +218,7 @@
     m.address = heartbeat.address.parse().ok();
     m.last_heartbeat_at = Some(now);
     if std::mem::take(&mut m.silent) {
-        // It is in use again: it has not been idle since it was last seen.
+        // The machine is available again; the time it was silent does not count as idle.
         m.idle_since = m.idle_since.map(|_| now);
     }
     if heartbeat.reclaim_notice_s.is_some() && !m.termination_notice {
@@ -225,7 +227,7 @@
     }
 }
 
-/// Resolves calls and launches of unknown outcome that this status settles.
+/// Clears calls and launches of unknown outcome that this status proves to be over.
 fn resolve_calls(m: &mut Machine, heartbeat: &Heartbeat, origin: Origin) {
     if m.unresolved_call_token
         .is_some_and(|token| m.incarnation.shown_token() > token)
--- a/crates/coordination/src/owner/image_pages.rs
+++ b/crates/coordination/src/owner/image_pages.rs
@@ -1,31 +1,32 @@
-//! The stored record of which machines hold which images, in pages: a hint for the
-//! successor of this owner.
+//! The stored record of which machines hold which images, in pages. It is a hint for this
+//! owner's successor.
 
 use super::*;
 
-/// ms between two writings of the record: a hint, so the write budget comes first.
+/// ms between two writes of the record. It is only a hint, so it is written rarely to save
+/// the write budget.
 const IMAGE_PAGES_INTERVAL_MS: u64 = 8_000;
-/// Bytes of a page that are left for its encoding.
+/// Bytes of a page that are reserved for its encoding.
 const IMAGE_PAGE_OVERHEAD_BYTES: usize = 256;
-/// Bytes that an image takes in it beside its name.
+/// Bytes that an image takes in a page besides its name.
 const IMAGE_ENTRY_OVERHEAD_BYTES: usize = 12;
-/// Bytes that a machine's reference to an image takes.
+/// Bytes that a machine's reference to an image takes in a page.
 const IMAGE_REFERENCE_BYTES: usize = 3;
 
-/// A page by its index; `None`: it is to be deleted.
+/// A page to write, with its index; `None` deletes the page.
 pub type ImagePage = (usize, Option<ImageLocationsRecord>);
 
-/// The record as it is stored.
+/// The record as last written.
 #[derive(Debug)]
 pub(super) struct ImageRecord {
     pages: Vec<ImageLocationsRecord>,
     written_at: u64,
-    /// The page that the next writing begins at.
+    /// The page that the next write begins at.
     next_page: usize,
 }
 
 impl ImageRecord {
-    /// Nothing is recorded yet.
+    /// Creates an empty record.
     pub(super) fn new(now: u64) -> Self {
         Self {
             pages: Vec::new(),
@@ -34,7 +35,8 @@
         }
     }
 
-    /// Brings the record to these pages, `max_pages` at a time; returns what to write.
+    /// Updates the record towards `pages`, and returns the pages to write: `max_pages` at
+    /// most.
     fn update(&mut self, pages: &[ImageLocationsRecord], max_pages: usize) -> Vec<ImagePage> {
         let changed = self.select_changed(pages, max_pages);
         self.next_page = match changed.last() {
@@ -45,9 +47,10 @@
         changed
     }
 
-    /// Deletions go first, the last page before those before it: the record ends where
-    /// its last page is. Then from where the writing before stopped, so that in a large
-    /// fleet, whose first pages change all the time, the last are written.
+    /// Selects the pages to write. Deletions come first, from the last page backwards, since
+    /// the record ends at its last page. Changed pages follow, from where the previous
+    /// write stopped: in a large fleet the first pages change all the time, and the last
+    /// ones would never be written.
     fn select_changed(&self, pages: &[ImageLocationsRecord], max_pages: usize) -> Vec<ImagePage> {
         let recorded = &self.pages;
         let from = self.next_page.min(pages.len()).min(recorded.len());
@@ -61,7 +64,8 @@
             .collect()
     }
 
-    /// Applies what is written now; what did not fit still differs from what is recorded.
+    /// Applies the pages that are written now. The others still differ from the record, so
+    /// a later write selects them.
     fn apply(&mut self, changed: &[ImagePage]) {
         for (page, record) in changed {
             match record {
@@ -76,9 +80,9 @@
 }
 
 impl Owner {
-    /// Pages of the record of which machines hold which images that changed since the
-    /// last writing, if that is old enough: `max_pages` at the most, each below
-    /// `max_page_bytes`. `None` in place of a page: it is to be deleted.
+    /// Returns the pages of the image record that changed since the last write, if that
+    /// was long enough ago: `max_pages` at most, each below `max_page_bytes`. `None` in
+    /// place of a page deletes it.
     pub fn changed_image_pages(
         &mut self,
         now: u64,
@@ -93,7 +97,7 @@
         self.image_record.update(&pages, max_pages)
     }
 
-    /// The whole record, in pages of `max_page_bytes` each at the most.
+    /// Builds the whole record, in pages of at most `max_page_bytes` each.
     fn image_pages(&self, max_page_bytes: usize) -> Vec<ImageLocationsRecord> {
         let mut pages = vec![ImageLocationsRecord::default()];
         let mut bytes = 0;
@@ -127,7 +131,7 @@
         pages
     }
 
-    /// Restores what an earlier owner recorded, page by page.
+    /// Restores the pages that an earlier owner recorded.
     pub fn restore_image_pages(&mut self, pages: Vec<ImageLocationsRecord>) {
         for page in &pages {
             for (id, image_indices) in &page.machines {
--- a/crates/coordination/src/owner/inventory.rs
+++ b/crates/coordination/src/owner/inventory.rs
@@ -1,10 +1,10 @@
-//! Instances of the cloud that belong to this shard: those that a placer requested
-//! and those that the provider lists.
+//! Cloud instances that belong to this shard: those that placers requested and those in the
+//! provider's inventory.
 
 use super::*;
 
 impl Owner {
-    /// Registers an instance that a placer or the inventory names. `None`: it was
+    /// Registers an instance named by a placer or the inventory. Returns `None` if it was
     /// released.
     fn register_instance(
         &mut self,
@@ -25,7 +25,7 @@
             );
         }
         let m = self.machines.get_mut(&instance.machine)?;
-        // New, or so far known from unconfirmed heartbeats only.
+        // New, or known only from unconfirmed heartbeats so far.
         if m.last_heartbeat_at.is_none() && !m.announced {
             m.provisioned_at = now.saturating_sub(instance.age_ms);
             m.announced = true;
@@ -34,7 +34,7 @@
         Some(m)
     }
 
-    /// Adds a machine that was not known.
+    /// Adds a machine that was unknown so far.
     pub(super) fn insert_machine(
         &mut self,
         id: &MachineId,
@@ -45,7 +45,7 @@
     ) {
         let capacity = self.catalog.capacity(kind);
         let mut m = Machine::new(kind, zone, spot, capacity, self.base_token(), now);
-        // An attempt there or a record of its images: it ran before.
+        // An attempt placed there or a record of its images shows that it ran before.
         m.recorded_running_at = self
             .unseen_machines
             .get(id)
@@ -54,7 +54,7 @@
         self.machines.insert(id.clone(), m);
     }
 
-    /// A placer has requested an instance.
+    /// Registers an instance that a placer has requested.
     pub(super) fn expect_instance(
         &mut self,
         instance: &ProvisionedInstance,
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Applies a page of the provider's inventory, reduced to this shard's machines.
+    /// Applies a page of the provider's inventory, filtered to this shard's machines.
     pub fn apply_inventory(&mut self, entries: &[InstanceEntry], now: u64) {
         self.inventory_read_at = now;
         for entry in entries {
@@ -82,9 +82,10 @@
                 continue;
             };
             if entry.phase == "running" && m.last_heartbeat_at.is_none() {
-                // Guards against waiting for machines that no longer exist: the
-                // inventory lags, and a restarted owner does not know what its
-                // predecessor released. One that runs sends a heartbeat soon.
+                // The machine may no longer exist: the inventory lags, and a new owner does
+                // not know what its predecessor released. Its silence counts from now, so
+                // it is not waited for like one that boots; if it runs, it soon sends a
+                // heartbeat.
                 m.recorded_running_at.get_or_insert(now);
             }
             if entry.phase == "failed" {
@@ -95,9 +96,9 @@
         }
     }
 
-    /// Requests the release of machines that attempts are placed on and that not even
-    /// the inventory lists: only the provider's answer proves that they are gone.
-    /// Without a later inventory they may only be partitioned.
+    /// Requests the release of machines that attempts are placed on but that the inventory
+    /// does not list: only the provider's confirmation proves that they are gone. Until an
+    /// inventory was read after the placement, they may just be partitioned.
     pub(super) fn release_unlisted(&mut self, now: u64) {
         let lease_expiry_ms = self.timing.lease_expiry_ms();
         let unlisted: Vec<MachineId> = self
--- a/crates/coordination/src/owner/last_copies.rs
+++ b/crates/coordination/src/owner/last_copies.rs
@@ -1,23 +1,24 @@
-//! Which machines are released last: those with the last copy of a service's image in
-//! their zone, while others can be released.
+//! Keeps the last copy of each service image in a zone: scale-in releases machines that hold
+//! one only if no equivalent machine can be released instead.
 
 use super::scale_in::should_release_once_idle;
 use super::*;
 
-/// ms between two checks for last copies: one walks all images.
+/// ms between two searches for last copies, each of which walks the images of all machines.
 const LAST_COPIES_CHECK_MS: u64 = 1_000;
 
-/// The images that services use.
+/// The images that services use, and the machines with their last copies.
 #[derive(Debug, Default)]
 pub(super) struct ServiceImages {
     images: BTreeSet<String>,
-    /// Machines with the last copy of one in their zone, as of the last check.
+    /// Machines that hold the last copy of such an image in their zone, as of the last
+    /// search.
     last_copies: HashSet<MachineId>,
     checked_at: u64,
 }
 
 impl ServiceImages {
-    /// True if the machine holds the last copy of a service's image in its zone.
+    /// Returns true if the machine holds the last copy of a service image in its zone.
     pub(super) fn has_last_copy(&self, machine: &MachineId) -> bool {
         self.last_copies.contains(machine)
     }
@@ -30,8 +31,8 @@
         self.service_images.checked_at = 0;
     }
 
-    /// Finds, now and then, the machines that hold the last copy of such an image in
-    /// their zone.
+    /// Finds the machines that hold the last copy of a service image in their zone, at most
+    /// once per [`LAST_COPIES_CHECK_MS`].
     pub(super) fn find_last_copies(&mut self, now: u64) {
         if now < self.service_images.checked_at + LAST_COPIES_CHECK_MS {
             return;
@@ -42,7 +43,7 @@
             return;
         }
         let mut sole_holders: HashMap<(&str, &str), Option<&MachineId>> = HashMap::new();
-        // What is released anyway keeps nothing.
+        // Copies on machines that are about to go don't count.
         for (id, m) in self.machines.iter().filter(|(_, m)| {
             m.last_heartbeat_at.is_some()
                 && !(m.scale_in_pending || m.release_requested || m.termination_notice)
@@ -61,9 +62,9 @@
         self.service_images.last_copies = sole_holders.into_values().flatten().cloned().collect();
     }
 
-    /// A scale-in candidate with a last copy changes places with an idle machine of its
-    /// type, zone and price that has none: as many are released as before, and the image
-    /// stays.
+    /// Swaps each scale-in candidate that holds a last copy for an idle machine of the same
+    /// type, zone and price class that holds none. As many machines are released as before,
+    /// and the image stays in the zone.
     pub(super) fn keep_last_copies(&mut self) {
         let kept: Vec<MachineId> = self
             .scale_in_candidates
--- a/crates/coordination/src/owner/maintenance.rs
+++ b/crates/coordination/src/owner/maintenance.rs
@@ -1,5 +1,5 @@
 //! Periodic maintenance of a shard's machines: health, expired leases, provisioning
-//! timeouts and machines to scale in.
+//! timeouts and scale-in.
 
 use super::scale_in::should_release_once_idle;
 use super::*;
@@ -7,32 +7,31 @@
     MIN_OVERDUE_REPLACEMENTS, OVERDUE_REPLACEMENT_DIVISOR, TICK_MS, UNREADY_AFTER_STORE_SILENCE_MS,
 };
 
-/// ms without a newly accepted attempt after which idle machines are kept for less
-/// long.
+/// ms without a newly accepted attempt after which demand counts as low.
 const LOW_DEMAND_AFTER_MS: u64 = 40_000;
-/// Share of the usual time that idle machines are then kept.
+/// Factor on the time that idle machines are kept, while demand is low or for surplus ones.
 const LOW_DEMAND_KEEP_FACTOR: f64 = 0.3;
 
 /// A machine whose provisioning timed out.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct OverdueMachine {
-    /// When its boot is counted from, ms.
+    /// The time that its boot is measured from, ms.
     provisioned_at: u64,
     id: MachineId,
-    /// It was found overdue before.
+    /// Whether it was marked overdue before.
     known: bool,
 }
 
-/// What a pass over the machines found that is carried out after it.
+/// Findings of a pass over the machines that are acted on after it.
 #[derive(Default)]
 struct MaintenanceFindings {
     overdue: Vec<OverdueMachine>,
-    /// A launch of unknown outcome can no longer be running under a lease.
+    /// Machines on which a launch of unknown outcome can no longer be running under a lease.
     resolved_launches: Vec<MachineId>,
     expired_leases: Vec<MachineId>,
 }
 
-/// What one pass over the machines decides by.
+/// Inputs and results of one pass over the machines.
 struct MaintenancePass<'a> {
     now: u64,
     store_answer_at: u64,
@@ -43,9 +42,9 @@
     catalog: &'a MachineCatalog,
     boot_times: &'a BootTimes,
     failure_detector: &'a MachineFailureDetector,
-    /// Machines may be released and counted as overdue.
+    /// Whether machines may be released and counted as overdue.
     may_release: bool,
-    /// No attempt was accepted of late.
+    /// Whether no attempt was accepted for [`LOW_DEMAND_AFTER_MS`].
     low_demand: bool,
     inherited_leases_expired: bool,
     surplus_idle_machines: HashSet<MachineId>,
@@ -54,14 +53,14 @@
     findings: MaintenanceFindings,
 }
 
-/// Estimates for one machine.
+/// Health verdict and time estimates for one machine.
 struct MachineEstimates {
     verdict: HealthVerdict,
-    /// Boot time by the catalog, ms.
+    /// Boot time according to the catalog, ms.
     listed_boot_ms: u64,
-    /// Boot time as observed, ms.
+    /// Usual boot time as observed, or that of the catalog, ms.
     boot_ms: u64,
-    /// What replacing it takes: a boot and the fetch of an image, ms.
+    /// Time to replace it, which takes a boot and an image pull, ms.
     rebuild_ms: u64,
 }
 
@@ -92,7 +91,7 @@
         }
     }
 
-    /// A quarantined machine may take the attempt that is its trial.
+    /// Lets a quarantined machine accept its trial attempt once that is due.
     fn mark_trial_due(&mut self, id: &MachineId, m: &mut Machine) {
         if let Some(quarantine) = m
             .quarantine
@@ -112,8 +111,8 @@
         }
     }
 
-    /// Finds machines that did not come up in time, and requests the release of those
-    /// that never will or have been silent for too long.
+    /// Finds machines that did not come up in time, and requests the release of those whose
+    /// boot has failed or that have been silent for too long.
     fn check_provisioning(
         &mut self,
         id: &MachineId,
@@ -123,8 +122,8 @@
         if !self.may_release {
             return;
         }
-        // The longer of both: machines that boot within a second were requested among
-        // others that don't.
+        // Uses the longer of the two estimates: machines that boot within a second may have
+        // been requested together with slower ones.
         let boot_failure_timeout_ms = (estimates.boot_ms.max(estimates.listed_boot_ms) as f64
             * self.policy.provisioning_timeout_multiple)
             as u64;
@@ -158,8 +157,8 @@
         }
     }
 
-    /// Finds leases that have surely expired, whichever controller renewed them: none
-    /// of its answers can do so any longer.
+    /// Finds leases that must have expired, whichever controller last renewed them: no reply
+    /// of it can renew them any longer.
     fn check_leases(&mut self, id: &MachineId, m: &mut Machine) {
         let lease_expiry_ms = self.timing.lease_expiry_ms();
         if m.unresolved_launch_at
@@ -176,15 +175,15 @@
         {
             self.findings.expired_leases.push(id.clone());
         } else if m.last_heartbeat_at.is_none() && self.inherited_leases_expired {
-            // What may have been its heartbeats was answered; these answers keep
-            // nothing alive any longer either.
+            // Unverified heartbeats of it may have been answered; the leases that those
+            // replies may have renewed have expired too.
             m.incarnation.clear_lease();
             self.findings.expired_leases.push(id.clone());
         }
     }
 
-    /// Makes a machine that was idle for long enough a candidate for scaling in. What
-    /// is partitioned is not idle, nor what has just come back.
+    /// Makes a machine that was idle for long enough a scale-in candidate. Machines that are
+    /// partitioned, or were until a moment ago, don't count as idle.
     fn check_idle(&mut self, id: &MachineId, m: &mut Machine, estimates: &MachineEstimates) {
         if !self.may_release
             || is_silent(estimates.verdict)
@@ -220,8 +219,8 @@
 }
 
 impl Owner {
-    /// This process was stalled for `stalled_ms`: silence meanwhile proves nothing, and
-    /// no wait that was running has passed.
+    /// Handles a stall of this process for `stalled_ms`: silence of machines during the
+    /// stall proves nothing, and the stall does not count towards pending timeouts.
     pub(crate) fn handle_stall(&mut self, stalled_ms: u64, now: u64) {
         self.failure_detector.handle_stall(now);
         self.resumed_at = now;
@@ -239,8 +238,8 @@
         }
     }
 
-    /// Periodic maintenance; to be called about every tick. `store_answer_at`: when the
-    /// last reading of the store began that showed this owner as the shard's leader, ms.
+    /// Runs periodic maintenance; to be called about once per tick. `store_answer_at` is
+    /// the start of the last store read that showed this owner as the shard's leader, ms.
     pub fn tick(&mut self, now: u64, store_answer_at: u64) {
         self.store_answer_at = store_answer_at;
         if now < self.last_tick + TICK_MS {
@@ -283,8 +282,8 @@
             shard: self.shard,
             acquired_at: self.acquired_at,
             timing: self.timing,
-            // Guards against an owner that releases what its successor uses: it
-            // releases nothing without a recent answer of the store.
+            // Without a recent answer of the store this owner may have been superseded, and
+            // must not release machines that its successor uses.
             may_release: now <= self.store_answer_at + UNREADY_AFTER_STORE_SILENCE_MS
                 && !self.is_resuming(now),
             low_demand: now > self.last_accepted_at + LOW_DEMAND_AFTER_MS,
@@ -304,16 +303,16 @@
         pass.findings
     }
 
-    /// True while machines may not have sent a heartbeat yet since this process was
-    /// stalled.
+    /// Returns true while machines may not have sent a heartbeat yet since the last stall of
+    /// this process.
     fn is_resuming(&self, now: u64) -> bool {
         self.resumed_at > 0 && now < self.resumed_at + 2 * self.timing.heartbeat_interval_ms
     }
 
-    /// Machines whose provisioning timed out are no longer counted on, the most overdue
-    /// first, so that others are requested in their place. Guards against a wave of
-    /// late boots that doubles the fleet: only a share of the shard's machines is
-    /// replaced at a time. One that comes up after all is used.
+    /// Marks machines whose provisioning timed out as overdue, the most overdue first, so
+    /// that replacements are requested. Only a share of the shard's machines is replaced at
+    /// a time, so that a wave of late boots does not double the fleet. A machine that comes
+    /// up after all is used.
     fn mark_overdue(&mut self, mut overdue: Vec<OverdueMachine>) {
         overdue.sort_unstable();
         let max_replacements =
@@ -343,8 +342,8 @@
         }
     }
 
-    /// Once every lease that earlier owners could renew has expired, the attempts on
-    /// machines that never sent a heartbeat to this owner are over.
+    /// Ends the attempts on machines that never sent a heartbeat to this owner, once every
+    /// lease that earlier owners could renew must have expired.
     fn apply_inherited_expiry(&mut self, now: u64) {
         if self.inherited_expiry_applied || !self.inherited_leases_expired() {
             return;
--- a/crates/coordination/src/owner/mod.rs
+++ b/crates/coordination/src/owner/mod.rs
@@ -1,16 +1,17 @@
-//! The owner of a shard: the part of its leader that runs the shard's machines, tracks
-//! what is on them, and proves that an attempt is over.
+//! The owner of a shard: the part of the shard's leader that manages its machines, tracks
+//! the attempts on them, and proves that attempts have ended.
 //!
-//! An attempt counts as over only when
-//! * the worker's newest heartbeat says that it exited,
+//! An attempt that was or may have been launched counts as ended only when one of these
+//! holds:
+//! * the worker's newest heartbeat reports that it exited;
 //! * it is missing from a heartbeat that the worker sent after it had seen this owner's
-//!   token, and no launch command for it can still arrive,
-//! * the worker is in a later session than the one it was launched in,
-//! * the provider has confirmed the release of its machine,
-//! * its machine never sent a heartbeat to this owner, and every lease that earlier
-//!   owners could renew has surely expired, or
-//! * the lease has surely expired since this owner, and nobody after it, last replied
-//!   to the machine.
+//!   token, and no launch command for it can still arrive;
+//! * the worker is in a later session than the one that the attempt was launched in;
+//! * the provider has confirmed the release of its machine;
+//! * its machine never sent a heartbeat to this owner, and every lease that earlier owners
+//!   could renew must have expired;
+//! * the worker's lease must have expired since this owner last replied to it, and no later
+//!   owner can have renewed it.
 
 mod attempt;
 mod catalog;
@@ -63,48 +64,49 @@
 use reconciliation::PlacerSession;
 pub use worker_calls::{CommandCall, CommandResult, UNREACHABLE_CALLS_MAX};
 
-/// ms that an owner must have led its shard before the counts of peers that its
-/// machines reach are considered: a restart sends machines to other controllers for
-/// some seconds.
+/// ms that an owner must have led its shard before it considers how many of its machines
+/// send heartbeats to peers: after a restart, machines use other controllers for some
+/// seconds.
 const UNREACHABLE_MIN_LEADERSHIP_MS: u64 = 10_000;
-/// ms for which a peer's count of an owner's machines is valid.
+/// ms for which a [`PeerHeartbeatCount`] is valid.
 const PEER_HEARTBEAT_COUNT_TTL_MS: u64 = 5_000;
 
-/// Why a sync was refused.
+/// Why a sync request was refused.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SyncError {
-    /// Meant for another owner of this shard, or from a past leader of its own.
+    /// Addressed to another leader of this shard, or sent under an outdated token of the
+    /// sender's shard.
     #[error("token out of date")]
     Token,
-    /// From a shard that does not exist.
+    /// The sender's shard does not exist.
     #[error("no such shard")]
     UnknownShard,
-    /// Older than one already applied.
+    /// Not newer than a request that was already applied.
     #[error("stale message")]
     Stale,
-    /// From a controller that has lost its shard's lease without knowing.
+    /// The sender has lost its shard's lease without noticing.
     #[error("the sender's shard has another leader")]
     Superseded(Superseded),
 }
 
-/// A peer's count of the machines of this shard whose heartbeats it gets.
+/// Number of this shard's machines that send their heartbeats to a peer.
 #[derive(Clone, Copy, Debug)]
 struct PeerHeartbeatCount {
     machines: u32,
-    /// When the peer said so, ms.
+    /// When the peer reported it, ms.
     at: u64,
 }
 
-/// What became of placements, counted since the shard was acquired.
+/// Placement outcomes since the shard was acquired.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PlacementCounts {
-    /// Placements refused for lack of room.
+    /// Placements refused: the machine lacks free resources or is not schedulable.
     pub refused: u64,
-    /// Attempts preempted for others.
+    /// Attempts preempted in favor of others.
     pub preempted: u64,
 }
 
-/// The owner of a shard. All times are ms of the steady clock that callers pass in.
+/// The owner of a shard. All times are ms of the monotonic clock that callers pass in.
 pub struct Owner {
     shard: u16,
     /// Fencing token of the shard's lease.
@@ -117,62 +119,62 @@
     catalog: MachineCatalog,
     machines: BTreeMap<MachineId, Machine>,
     attempts: HashMap<AttemptId, TrackedAttempt>,
-    /// Tracked attempts of each machine, so that nothing walks all of them.
+    /// Index of `attempts` by machine, so that lookups don't scan all of them.
     attempts_by_machine: HashMap<MachineId, BTreeSet<AttemptId>>,
-    /// By the shard of the placer.
+    /// Placer sessions by the placer's shard.
     placers: BTreeMap<u16, PlacerSession>,
-    /// Published state of the machines.
+    /// State of the machines as published to placers.
     machine_views: ChangeLog<MachineId, MachineView>,
     /// Machines whose published state may be out of date.
     changed_machines: BTreeSet<MachineId>,
-    /// Machines that may need a call.
+    /// Machines that may be due for a call.
     call_candidates: BTreeSet<MachineId>,
-    /// Machines whose release is confirmed.
+    /// Machines whose release the provider has confirmed.
     released_machines: HashSet<MachineId>,
-    /// Images that an earlier owner recorded of each machine, MB each.
+    /// Images that an earlier owner recorded for each machine, with their sizes in MB.
     inherited_images: BTreeMap<MachineId, VecDeque<(String, u64)>>,
-    /// The stored record of the machines' images.
+    /// The stored record of the images that machines hold.
     image_record: ImageRecord,
-    /// Images that services use, and who holds them.
+    /// Images that services use, and the machines with their last copies.
     service_images: ServiceImages,
-    /// When an attempt other than idle work was last accepted.
+    /// When an attempt above low priority was last accepted.
     last_accepted_at: u64,
-    /// Machines that attempts are placed on and that are not known, with the time since
-    /// when.
+    /// Unknown machines that attempts are placed on, with the time of the first such
+    /// placement.
     unseen_machines: BTreeMap<MachineId, u64>,
-    /// How many of this shard's machines send their heartbeats to the controllers of
-    /// other shards, with the time when they said so.
+    /// How many of this shard's machines send their heartbeats to other controllers, by the
+    /// shard of the placer that reported it.
     peer_heartbeat_counts: BTreeMap<u16, PeerHeartbeatCount>,
-    /// When the provider's inventory was last read.
+    /// When a page of the provider's inventory was last applied.
     inventory_read_at: u64,
     failure_detector: MachineFailureDetector,
     fault_attribution: FaultAttribution,
     boot_times: BootTimes,
-    /// The expiry of leases that earlier owners renewed has been applied.
+    /// Whether the expiry of leases renewed by earlier owners has been applied.
     inherited_expiry_applied: bool,
-    /// Machines that were idle for long enough to be released.
+    /// Machines to release if they are still idle when the release request is made.
     scale_in_candidates: BTreeSet<MachineId>,
     release_in_progress: bool,
-    /// When the shard's occupancy was last logged.
+    /// When the shard summary was last logged.
     summary_logged_at: u64,
-    /// Tick that releases were last looked for in.
+    /// The tick in which releases were last requested.
     last_release_tick: u64,
     last_tick: u64,
-    /// When this process last resumed after a stall; 0: never.
+    /// When this process last resumed after a stall; 0 if it never stalled.
     resumed_at: u64,
-    /// When the last reading of the store began that showed this owner as the leader.
+    /// Start of the last store read that showed this owner as the shard's leader.
     store_answer_at: u64,
-    /// Shards whose placers have unpublished changes of their attempts.
+    /// Shards of the placers for whose attempts there are unpublished changes.
     changed_placers: BTreeSet<u16>,
-    /// Calls in progress to machines that replies don't reach.
+    /// Calls in progress to machines that don't receive replies to their heartbeats.
     unreachable_calls: usize,
-    /// Nothing is launched now.
+    /// Whether launches are suspended.
     launches_paused: bool,
     placement_counts: PlacementCounts,
 }
 
 impl Owner {
-    /// An owner that has just acquired its shard with this fencing token.
+    /// Creates the owner of a shard that was just acquired with this fencing token.
     pub fn new(
         shard: u16,
         token: u64,
@@ -226,17 +228,17 @@
         }
     }
 
-    /// Placements refused for lack of room, and attempts preempted, so far.
+    /// Placement outcomes since the shard was acquired.
     pub fn placement_counts(&self) -> PlacementCounts {
         self.placement_counts
     }
 
-    /// Launches nothing while `paused`.
+    /// Suspends or resumes launches.
     pub(crate) fn pause_launches(&mut self, paused: bool) {
         self.launches_paused = paused;
     }
 
-    /// Sets the catalog of machine types.
+    /// Adds machine types to the catalog, and updates the capacity of known machines.
     pub fn set_types<'a>(&mut self, types: impl Iterator<Item = &'a lemonweir_model::MachineType>) {
         for machine_type in types {
             self.catalog.insert(machine_type);
@@ -247,7 +249,7 @@
         self.changed_machines.extend(self.machines.keys().cloned());
     }
 
-    /// Tracked attempts of a machine.
+    /// Returns the tracked attempts of a machine.
     fn attempts_on(
         &self,
         machine: &MachineId,
@@ -259,17 +261,17 @@
             .filter_map(|id| self.attempts.get(id).map(|tracked| (id, tracked)))
     }
 
-    /// A machine's published state may have changed, and it may need a call.
+    /// Marks a machine whose published state may have changed and that may need a call.
     fn mark_changed(&mut self, machine: &MachineId) {
         self.changed_machines.insert(machine.clone());
         self.call_candidates.insert(machine.clone());
     }
 
-    /// Stops tracking an attempt that its placer no longer wants; returns its machine.
+    /// Stops tracking an attempt that its placer no longer wants, and returns its machine.
     fn untrack(&mut self, id: &AttemptId) -> Option<MachineId> {
         let tracked = self.attempts.remove(id)?;
         let machine = tracked.desired.machine;
-        // Guards against a quarantine trial that waits for an attempt that nobody wants.
+        // A quarantine trial must not wait for an attempt that no placer wants.
         if let Some(quarantine) = self
             .machines
             .get_mut(&machine)
@@ -290,19 +292,19 @@
         Some(machine)
     }
 
-    /// The lowest token of this owner towards its workers.
+    /// The lowest token that this owner gives to its workers.
     fn base_token(&self) -> u64 {
         self.token << MACHINE_TOKEN_BITS
     }
 
-    /// Shards whose placers have unpublished changes; empties the set.
+    /// Takes the shards of the placers for which there are unpublished changes.
     pub fn take_changed_placers(&mut self) -> BTreeSet<u16> {
         std::mem::take(&mut self.changed_placers)
     }
 
-    /// True if this controller is unreachable for its machines while a peer is not: most
-    /// of them are late, and as many send heartbeats to the peer; or most have been
-    /// relayed for so long that giving up the shard costs less.
+    /// Returns true if most machines can't reach this controller but can reach a peer: most
+    /// of them are late and more than half send their heartbeats to that peer, or more than
+    /// half have been relayed for so long that handing over the shard costs less.
     pub fn is_unreachable(&self, now: u64) -> bool {
         let relayed_long = |m: &&Machine| {
             m.relay
@@ -325,8 +327,8 @@
                 .is_some_and(|known| seen_by_peer * 2 > known)
     }
 
-    /// Renews a worker's lease with the next token that it is given: the reading of the
-    /// store that showed this owner as the leader began at `wall_ms`, in time of day.
+    /// Renews a worker's lease with the next token that it is given. `wall_ms` is the wall
+    /// clock time at which the store read that showed this owner as the leader began.
     pub(crate) fn renew_worker_lease(&mut self, machine: &MachineId, wall_ms: u64, now: u64) {
         if let Some(m) = self.machines.get_mut(machine) {
             m.incarnation.renew_lease(wall_ms, now);
--- a/crates/coordination/src/owner/orphaned_grants.rs
+++ b/crates/coordination/src/owner/orphaned_grants.rs
@@ -1,15 +1,16 @@
-//! Grants that a placer asked for and will never use, since it has lost its lease.
+//! Release of resources that were granted to a placer which has lost its shard's lease.
 
 use super::*;
 use lemonweir_model::constants::ORPHANED_GRANT_MS;
 use lemonweir_storage::state_cache::ShardLeader;
 
 impl Owner {
-    /// Observes the shards' leaders in a reading of the store at `revision`. A placer
-    /// whose token is no shard's any more is granted nothing from then on.
+    /// Observes the shards' leaders in a store read at `revision`, and records which placers
+    /// have lost their lease. Attempts that such a placer holds back for a gang are no
+    /// longer allowed to start.
     ///
-    /// Guards against taking a lease for lost that was acquired after the reading: the
-    /// reading must be at least as new as the token.
+    /// The read must be at least as new as the placer's token: a lease that was acquired
+    /// after the read is not lost.
     pub fn observe_leaders(
         &mut self,
         leaders: &BTreeMap<u16, ShardLeader>,
@@ -34,10 +35,10 @@
         }
     }
 
-    /// Releases what such placers were granted for gangs and never launched, some time
-    /// after the store has shown the loss: a successor that comes before can still finish
-    /// the gang, and one that comes later learns that the grant is gone and releases the
-    /// rest. What was launched, or may have been, ends by its machine's proof alone.
+    /// Releases grants for gangs that such placers never launched, [`ORPHANED_GRANT_MS`]
+    /// after the store showed the loss. A successor that syncs before can still admit the
+    /// gang; a later one learns that the grant is gone and releases the others. Attempts
+    /// that were or may have been launched end only by proof from their machine.
     pub(super) fn release_orphaned_grants(&mut self, now: u64) {
         let due = |p: &PlacerSession| {
             p.lease_lost_at
--- a/crates/coordination/src/owner/outcomes.rs
+++ b/crates/coordination/src/owner/outcomes.rs
@@ -1,10 +1,10 @@
-//! Outcomes of attempts, the failures attributed to machines by them, and quarantine.
+//! Outcomes of attempts, and the quarantine of machines that failures are attributed to.
 
 use super::*;
 use lemonweir_model::constants::SUCCESS_AFTER_MS;
 
 impl Owner {
-    /// Records what an attempt's end says of its job and its machine.
+    /// Records the outcome of an ended attempt for its job and its machine.
     pub(super) fn record_outcome(
         &mut self,
         machine: &MachineId,
@@ -46,7 +46,8 @@
         self.update_quarantine(affected, now);
     }
 
-    /// An attempt that has run for long counts as a success, though it may never end.
+    /// Counts an attempt as a success once it has run for [`SUCCESS_AFTER_MS`], since it may
+    /// never end.
     pub(super) fn record_running(&mut self, machine: &MachineId, id: &AttemptId, now: u64) {
         let Some(tracked) = self.attempts.get_mut(id) else {
             return;
@@ -63,7 +64,7 @@
         self.update_quarantine(affected, now);
     }
 
-    /// Quarantines machines, or lifts their quarantine, by the failures attributed to them.
+    /// Quarantines machines or lifts their quarantine, by the failures attributed to them.
     fn update_quarantine(&mut self, machines: BTreeSet<MachineId>, now: u64) {
         for id in machines {
             let verdict = self.fault_attribution.verdict(&id);
--- a/crates/coordination/src/owner/preemption.rs
+++ b/crates/coordination/src/owner/preemption.rs
@@ -1,17 +1,17 @@
-//! Capacity of a machine, and which attempts are preempted for which.
+//! Free capacity of machines, and the selection of attempts to preempt.
 
 use super::*;
 
-/// ms after its start within which a task is preempted only if nothing else will do: a
-/// start that is undone within 30 s is none to its users.
+/// ms during which a new attempt is preempted only as a last resort: users don't count a
+/// start that is undone within 30 s.
 const RECENT_START_WINDOW_MS: u64 = 35_000;
 
-/// An attempt that may be preempted; the greatest one is preempted first.
+/// An attempt that may be preempted; the greatest in this order is preempted first.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct PreemptionCandidate {
     over_quota: bool,
     priority: Priority,
-    /// It has run for longer than [`RECENT_START_WINDOW_MS`].
+    /// Whether it has been tracked for longer than [`RECENT_START_WINDOW_MS`].
     past_start_window: bool,
     tracked_since: u64,
     id: AttemptId,
@@ -27,9 +27,10 @@
 }
 
 impl Owner {
-    /// Preempts attempts for one that may, if that makes room for it: those over their
-    /// guaranteed quota first, then the lowest priority, then those past their start,
-    /// and of these the youngest, which lose least. False if nothing was preempted.
+    /// Preempts attempts in favor of one that may preempt, if that frees enough for it:
+    /// those over their team's guaranteed quota first, then by lowest priority, then those
+    /// not started recently, then the youngest, which lose the least work. Returns false if
+    /// preemption can't make it fit.
     pub(super) fn preempt_for(&mut self, id: &AttemptId, now: u64) -> bool {
         let Some(tracked) = self.attempts.get(id) else {
             return false;
@@ -46,7 +47,7 @@
         true
     }
 
-    /// The attempts to preempt for one; `None` if there is no room for it even so.
+    /// Selects the attempts to preempt for one; `None` if it would not fit even then.
     fn select_victims(&self, desired: &DesiredAttempt, now: u64) -> Option<Vec<AttemptId>> {
         let m = self
             .machines
@@ -55,7 +56,7 @@
         if self.has_unclaimed_tasks(m) {
             return None;
         }
-        // Those that are stopping make room for those that wait already.
+        // Attempts that are stopping free resources for those that already wait.
         let reserved = total_resources(
             self.attempts_on(&desired.machine)
                 .filter(|(_, a)| matches!(a.stage, AttemptStage::AwaitingPreemption(_))),
@@ -88,7 +89,7 @@
         Some(victims)
     }
 
-    /// Preempts an attempt: at once for production work, else with its grace.
+    /// Preempts an attempt: without grace for production work, else with its own grace.
     fn preempt(&mut self, victim: &AttemptId, by: &AttemptId, priority: Priority) {
         let Some(tracked) = self.attempts.get_mut(victim) else {
             return;
@@ -102,7 +103,7 @@
         tracked.stop_sent_at = None;
     }
 
-    /// Accepted attempts of a machine that are not stopping.
+    /// Returns the accepted attempts of a machine that are not stopping.
     fn active_attempts_on(
         &self,
         machine: &MachineId,
@@ -112,14 +113,16 @@
         })
     }
 
-    /// True if a task runs on the machine that no placer has named yet.
+    /// Returns true if the machine runs a task that is not a tracked attempt: no placer has
+    /// asked for it yet.
     pub(super) fn has_unclaimed_tasks(&self, m: &Machine) -> bool {
         m.tasks
             .iter()
             .any(|(id, task)| task.phase != TaskPhase::Exited && !self.attempts.contains_key(id))
     }
 
-    /// Capacity not taken by the accepted attempts other than this one.
+    /// Capacity not used by accepted attempts other than this one; none while the machine
+    /// has unclaimed tasks.
     pub(super) fn free_excluding(&self, machine: &MachineId, id: &AttemptId) -> Resources {
         let Some(m) = self
             .machines
@@ -137,8 +140,9 @@
         m.capacity.minus(&taken)
     }
 
-    /// Resources of the attempts that each priority may preempt, without and with what
-    /// teams run beyond their guaranteed quota.
+    /// Resources of the attempts that each priority may preempt: those of lower priority
+    /// that are over their team's guaranteed quota; and all of lower priority, with those of
+    /// the same priority that are over quota, except production.
     pub(super) fn preemptible(&self, machine: &MachineId) -> ([Resources; 3], [Resources; 3]) {
         let (mut over_quota_only, mut all_preemptible) =
             ([Resources::default(); 3], [Resources::default(); 3]);
@@ -162,8 +166,8 @@
         (over_quota_only, all_preemptible)
     }
 
-    /// Capacity not taken by accepted or waiting attempts. Tasks that no placer has named
-    /// yet have unknown needs, so a machine with such a task has none.
+    /// Capacity not used by accepted or waiting attempts. The resources of unclaimed tasks
+    /// are unknown, so a machine with such a task has none.
     pub(super) fn free(&self, machine: &MachineId) -> Resources {
         let Some(m) = self
             .machines
@@ -182,7 +186,7 @@
             .fold(m.capacity, |free, (_, a)| free.minus(&a.desired.resources))
     }
 
-    /// Attempts that have not ended, and tasks that no placer has named.
+    /// Counts the attempts that have not ended and the unclaimed tasks of a machine.
     pub(super) fn task_count_on(&self, machine: &MachineId) -> usize {
         let attempts = self
             .attempts_on(machine)
@@ -199,7 +203,7 @@
         attempts + unclaimed
     }
 
-    /// Replicas of services among the attempts of a machine.
+    /// Counts the service replicas among the attempts of a machine that have not ended.
     pub(super) fn service_replicas(&self, machine: &MachineId) -> u16 {
         let count = self
             .attempts_on(machine)
--- a/crates/coordination/src/owner/proof.rs
+++ b/crates/coordination/src/owner/proof.rs
@@ -1,10 +1,10 @@
-//! The proof of end: how far each attempt of a machine has come.
+//! Evaluation of attempts: their stage, and the proof that they have ended.
 
 use super::*;
 use lemonweir_model::constants::PREEMPTION_TIMEOUT_MS;
 
 impl Owner {
-    /// Evaluates all attempts of a machine again.
+    /// Reevaluates all attempts of a machine.
     pub(super) fn reevaluate(&mut self, machine: &MachineId, now: u64) {
         self.mark_changed(machine);
         let ids: Vec<AttemptId> = self
@@ -17,7 +17,7 @@
         for id in &ids {
             self.reevaluate_attempt(id, now);
         }
-        // Those that wait may have got their room from an end just found.
+        // An end found above may have freed the resources for waiting attempts.
         for id in &ids {
             if self
                 .attempts
@@ -60,8 +60,9 @@
         Some(task.phase)
     }
 
-    /// Learns from an attempt's task whether its machine holds the image. An aborted
-    /// fetch leaves nothing: only a task that got past it shows that the image is there.
+    /// Updates the record of the machine's image cache from an attempt's task. An aborted
+    /// pull leaves nothing behind: only a task that got past it shows that the image is
+    /// there.
     fn update_image_cache(&mut self, machine: &MachineId, id: &AttemptId) {
         let (Some(tracked), Some(m)) = (self.attempts.get(id), self.machines.get_mut(machine))
         else {
@@ -98,7 +99,7 @@
     }
 
     fn record_accepted(&mut self, machine: &MachineId, id: &AttemptId, now: u64) {
-        // Idle work is always there: it does not show that the shard is busy.
+        // Low-priority work is always waiting: starting it does not indicate demand.
         if self
             .attempts
             .get(id)
@@ -106,7 +107,7 @@
         {
             self.last_accepted_at = now;
         }
-        // Guards against a whole array on a machine that is on trial.
+        // A quarantined machine takes one attempt as its trial, not a whole array.
         if let Some(quarantine) = self
             .machines
             .get_mut(machine)
@@ -117,7 +118,7 @@
         }
     }
 
-    /// The stage that an attempt has come to.
+    /// Determines the present stage of an attempt.
     fn next_stage(&self, id: &AttemptId, tracked: &TrackedAttempt, now: u64) -> AttemptStage {
         if self.released_machines.contains(&tracked.desired.machine) {
             return AttemptStage::Ended(AttemptState::Gone);
@@ -138,8 +139,8 @@
                 },
             };
         }
-        // Absence proves something only once the worker has shown our token: before that,
-        // a command of an earlier owner may still arrive.
+        // Absence from the heartbeat proves nothing until the worker has shown our token:
+        // before that, a command of an earlier owner may still arrive.
         if !m.incarnation.is_confirmed() {
             return tracked.stage;
         }
@@ -163,9 +164,9 @@
         }
     }
 
-    /// On a machine that never sent a heartbeat to this owner, what ran was kept alive by
-    /// earlier owners, whose leases have all expired after a while. So have those that
-    /// our replies to what may have been its heartbeats renewed.
+    /// Stage of an attempt on a machine without a current heartbeat to this owner. It has
+    /// ended once all leases that earlier owners could renew must have expired, and so must
+    /// those that our replies to unverified heartbeats may have renewed.
     fn stage_without_heartbeat(&self, tracked: &TrackedAttempt) -> AttemptStage {
         let inherited_leases_expired = self
             .failure_detector
@@ -208,7 +209,7 @@
         {
             return AttemptStage::Ended(AttemptState::Refused);
         }
-        // Its own reservation is part of what is taken.
+        // Its own reservation must not count against it.
         let free = self.free_excluding(&tracked.desired.machine, id);
         if free.covers(&tracked.desired.resources) {
             AttemptStage::NOT_LAUNCHED
@@ -217,8 +218,8 @@
         }
     }
 
-    /// An accepted attempt that no launch was sent for ends at once if it is to stop, or
-    /// if its machine can't run it: its lease has expired, or no reply reaches it.
+    /// Stage of an accepted attempt that was not launched. It ends at once if it is to stop,
+    /// or if its machine can't run it: the lease has expired, or no reply reaches the worker.
     fn stage_before_launch(&self, tracked: &TrackedAttempt, m: &Machine) -> AttemptStage {
         if tracked.stop_grace_s().is_some()
             || m.lease_expired(self.store_answer_at, &self.timing)
@@ -231,7 +232,7 @@
     }
 }
 
-/// The stage of an attempt that was launched in `session` and is missing from the newest
+/// Stage of an attempt that was launched in `session` and is missing from the newest
 /// heartbeat.
 fn stage_of_missing_task(
     tracked: &TrackedAttempt,
@@ -243,16 +244,16 @@
         return AttemptStage::Ended(AttemptState::Gone);
     }
     if session <= m.expired_session {
-        // Guards against a launch that a new incarnation executed which has sent no
-        // heartbeat yet: its lease began after our last reply, though before the call.
+        // A new incarnation that has sent no heartbeat yet may have executed the launch: its
+        // lease began after our last reply, though before the call.
         return if reported || m.unresolved_launch_at.is_none() {
             AttemptStage::Ended(AttemptState::Gone)
         } else {
             tracked.stage
         };
     }
-    // Guards against a launch that arrives late: only a machine with no call of unknown
-    // outcome proves absence.
+    // A launch may still arrive late: absence proves nothing until the outcome of every
+    // command that could launch something is known.
     if !m.calls_resolved() {
         return tracked.stage;
     }
--- a/crates/coordination/src/owner/published_state.rs
+++ b/crates/coordination/src/owner/published_state.rs
@@ -1,14 +1,15 @@
-//! The state of this shard that is published to placers: machines and attempts.
+//! The state of machines and attempts that is published to placers.
 
 use super::*;
 use lemonweir_model::constants::{ENCODED_ATTEMPT_BYTES, PEER_VERSION};
 
 impl Owner {
-    /// Brings the published state up to date with the machines that changed.
+    /// Updates the published state of the machines that changed and of their attempts.
     pub(super) fn refresh(&mut self) {
         for id in std::mem::take(&mut self.changed_machines) {
             match self.machines.get(&id) {
-                // A machine that may be long gone is no capacity, nor does it lack any.
+                // A machine known only from unconfirmed heartbeats may no longer exist: it
+                // counts neither as capacity nor as a machine that is still to come up.
                 Some(m) if m.is_unconfirmed() => self.machine_views.remove(&id),
                 Some(m) => {
                     let view = self.machine_view(&id, m);
@@ -30,7 +31,7 @@
         }
     }
 
-    /// What placers are told of a machine.
+    /// Builds the state of a machine that is published to placers.
     fn machine_view(&self, id: &MachineId, m: &Machine) -> MachineView {
         let (over_quota_only, all_preemptible) = self.preemptible(id);
         MachineView {
@@ -42,7 +43,7 @@
                 && m.incarnation.is_confirmed()
                 && m.incarnation.session() > m.expired_session,
             schedulable: m.is_schedulable(),
-            // A quarantined machine may go on with what runs.
+            // Quarantine does not drain a machine: its running tasks may continue.
             draining: m.termination_notice,
             free: self.free(id),
             preemptible: over_quota_only,
@@ -55,13 +56,13 @@
         }
     }
 
-    /// The state of an attempt that its placer is told; `None`: nothing yet.
+    /// The state of an attempt that is published to its placer; `None` if nothing is yet.
     fn published_state(&self, id: &AttemptId, tracked: &TrackedAttempt) -> Option<AttemptState> {
         Some(match tracked.stage {
             AttemptStage::Undecided => return None,
             AttemptStage::Ended(state) => state,
-            // A gang has room only once those that are preempted for it are over:
-            // until then none of it is launched.
+            // A gang is admitted only once the attempts preempted for it have ended; until
+            // then none of its tasks is launched.
             AttemptStage::AwaitingPreemption(_) if !tracked.desired.may_start => return None,
             AttemptStage::AwaitingPreemption(_) => AttemptState::Accepted,
             AttemptStage::Accepted { .. } => match self
@@ -77,8 +78,9 @@
         })
     }
 
-    /// The changes of this shard's state that a placer has not acknowledged, in
-    /// `max_bytes`. Ends and grants go first: they are what its tasks wait for.
+    /// Returns the changes of this shard's state that a placer has not acknowledged, as far
+    /// as they fit into `max_bytes`. Changes of attempts go first, since the placer's tasks
+    /// wait for their ends and grants.
     pub(super) fn unacknowledged_view(
         &mut self,
         sync: &SyncRequest,
@@ -86,7 +88,8 @@
     ) -> ShardView {
         self.refresh();
         if self.placers.len() >= usize::from(self.shards) {
-            // A new placer is sent the whole state.
+            // All placers are known. One that starts anew is sent the whole state, which
+            // needs no tombstones.
             self.machine_views.compact(
                 self.placers
                     .values()
--- a/crates/coordination/src/owner/reconciliation.rs
+++ b/crates/coordination/src/owner/reconciliation.rs
@@ -1,42 +1,41 @@
-//! Reconciliation of the attempts that placers want with those tracked here.
+//! Reconciliation of the attempts that placers want with those tracked by the owner.
 
 use super::*;
 
-/// The exchange with the placer of one shard.
+/// State of the synchronization with the placer of one shard.
 #[derive(Default)]
 pub(super) struct PlacerSession {
-    /// Fencing token of its shard's lease.
+    /// Fencing token of the placer's shard lease.
     pub(super) token: u64,
-    /// Number of its newest message.
+    /// Sequence number of its newest sync request.
     seq: u64,
-    /// When a reading of the store showed that it has lost its lease, ms.
+    /// When a store read first showed that it has lost its lease, ms.
     pub(super) lease_lost_at: Option<u64>,
-    /// Version of its desired state that is applied here.
+    /// Version of its desired state that has been applied.
     desired_version: u64,
-    /// Its whole desired state has been applied.
+    /// Whether its whole desired state has been applied.
     pub(super) fully_synced: bool,
-    /// Version of the machines' published state that it has.
+    /// Version of the machines' published state that it has acknowledged.
     pub(super) acknowledged_version: u64,
-    /// Attempts that a full resend has not mentioned yet.
+    /// Its tracked attempts that the snapshot being received has not listed so far.
     missing_from_snapshot: HashSet<AttemptId>,
-    /// The states of its attempts, with the versions of their changes.
+    /// Published states of its attempts.
     pub(super) published: ChangeLog<AttemptId, AttemptState>,
 }
 
 impl PlacerSession {
-    /// Accepts the order of a message, or says why it is refused.
+    /// Checks token and sequence number of a sync request, and adopts them if it is accepted.
     fn accept(&mut self, sync: &SyncRequest) -> Result<(), SyncError> {
         if sync.from_fencing_token < self.token {
             return Err(SyncError::Token);
         }
-        // Guards against a delayed message that asks again for an attempt whose end was
-        // already published.
+        // A delayed request could ask again for an attempt whose end was already published.
         if sync.from_fencing_token == self.token && sync.seq <= self.seq {
             return Err(SyncError::Stale);
         }
         if sync.from_fencing_token > self.token {
-            // Guards against continuing from what an earlier placer of that shard had
-            // published: only a full resend counts for this one.
+            // A new placer of that shard can't continue from the desired state of its
+            // predecessor: it has to send a snapshot.
             self.desired_version = 0;
             self.fully_synced = false;
             self.lease_lost_at = None;
@@ -49,8 +48,8 @@
 }
 
 impl Owner {
-    /// Applies a placer's desired state; the answer is what it has not acknowledged of
-    /// this shard's state, in `max_bytes`.
+    /// Applies a placer's desired state, and returns the part of this shard's state that it
+    /// has not acknowledged, as far as it fits into `max_bytes`.
     pub fn sync(
         &mut self,
         sync: &SyncRequest,
@@ -86,7 +85,7 @@
         Ok(view)
     }
 
-    /// Machines that a placer asks to keep are idle from now on at the earliest.
+    /// Restarts the idle time of machines that a placer asks to keep.
     fn restart_idle_time(&mut self, machines: &[MachineId], now: u64) {
         for id in machines {
             if let Some(m) = self.machines.get_mut(id) {
@@ -95,15 +94,15 @@
         }
     }
 
-    /// Reconciles a placer's desired attempts with those tracked; returns the version
-    /// that is now applied, 0 if a change before this message is missing.
+    /// Reconciles a placer's desired attempts with those tracked. Returns the version that
+    /// is now applied, or 0 if changes before this request are missing.
     fn reconcile_desired(&mut self, sync: &SyncRequest, now: u64) -> u64 {
         let Some(dropped) = self.advance_desired_version(sync) else {
             return 0;
         };
         let mut affected = BTreeSet::new();
         for id in dropped {
-            // The attempts of another shard's placer are none of its business.
+            // A placer can't drop the attempts of another shard's placer.
             if self.is_tracked_for(&id, sync.from_shard) {
                 affected.extend(self.untrack(&id));
             }
@@ -125,8 +124,8 @@
             .map_or(0, |placer| placer.desired_version)
     }
 
-    /// Advances to the message's version; the attempts that the placer has dropped, or
-    /// `None` if a change before it is missing.
+    /// Advances to the request's version. Returns the attempts that the placer has dropped,
+    /// or `None` if changes before the request are missing.
     fn advance_desired_version(&mut self, sync: &SyncRequest) -> Option<Vec<AttemptId>> {
         let placer = self.placers.get_mut(&sync.from_shard)?;
         match sync.range.continues_from(placer.desired_version)? {
@@ -153,7 +152,8 @@
         self.attempts.get(id).is_some_and(|a| a.placer == placer)
     }
 
-    /// Stops an attempt of this placer that is not stopping yet; returns its machine.
+    /// Stops an attempt of this placer, unless the placer already stops it, and returns its
+    /// machine.
     fn request_stop(&mut self, id: &AttemptId, placer: u16, grace_s: u32) -> Option<MachineId> {
         let tracked = self
             .attempts
@@ -164,7 +164,8 @@
         Some(tracked.desired.machine.clone())
     }
 
-    /// Tracks a desired attempt, or applies its changes. False if it is refused.
+    /// Tracks a desired attempt, or applies its changes. Returns false if the change is
+    /// ignored.
     fn track(&mut self, desired: &DesiredAttempt, placer: u16, now: u64) -> bool {
         let lease_lost = self
             .placers
@@ -188,8 +189,8 @@
         if tracked.desired.stop_grace_s != desired.stop_grace_s {
             tracked.stop_sent_at = None;
         }
-        // Guards against a late `go` of a placer that has lost its lease: its successor
-        // decides what becomes of the gang.
+        // A placer that has lost its lease must not admit a gang: that is for its successor
+        // to decide.
         let start_allowed = desired.may_start && (tracked.desired.may_start || !lease_lost);
         tracked.desired = DesiredAttempt {
             may_start: start_allowed,
@@ -198,7 +199,8 @@
         true
     }
 
-    /// An attempt is placed on the machine, maybe while an earlier owner saw it running.
+    /// Records that an attempt is placed on a machine. If the machine has sent no heartbeat
+    /// to this owner, it probably ran under an earlier one.
     fn record_placement(&mut self, machine: &MachineId, now: u64) {
         match self.machines.get_mut(machine) {
             Some(m) if m.last_heartbeat_at.is_none() => {
@@ -213,7 +215,7 @@
     }
 }
 
-/// Attempts of one placer.
+/// Returns the attempts of one placer.
 fn attempts_of_placer(
     attempts: &HashMap<AttemptId, TrackedAttempt>,
     placer: u16,
--- a/crates/coordination/src/owner/scale_in.rs
+++ b/crates/coordination/src/owner/scale_in.rs
@@ -1,16 +1,16 @@
-//! Scaling in: which idle machines are beyond the headroom, and their release.
+//! Scale-in: selection of surplus idle machines, and the release of machines.
 
 use super::*;
 
-/// Names that a release request may hold (protocol page).
+/// Maximum number of machines in a release request, as the cloud protocol specifies.
 const RELEASE_REQUEST_MAX_MACHINES: usize = 100;
-/// Idle machines of a shard that are kept for the usual time, in a small fleet.
+/// Number of idle machines of a shard that are kept for the usual time, in a small fleet.
 const HEADROOM_MIN_MACHINES: usize = 4;
-/// In a larger one: one machine of so many. The others are kept as briefly as while
-/// demand is low.
+/// In a larger fleet, one idle machine per this many machines is kept for the usual time.
+/// The others are kept as briefly as while demand is low.
 const HEADROOM_FLEET_SHARE: usize = 25;
 
-/// A machine that is not worth keeping once it is idle.
+/// Returns true if a machine is to be released as soon as it is idle.
 pub(super) fn should_release_once_idle(m: &Machine) -> bool {
     m.termination_notice
         || m.quarantine
@@ -19,9 +19,10 @@
 }
 
 impl Owner {
-    /// Idle machines beyond the headroom that a fleet of this size needs, those that
-    /// are idle longest: in a large fleet some are idle all the time, and few of them
-    /// are used again. Machines with the last copy of a service's image are kept first.
+    /// Returns the idle machines beyond the headroom that a fleet of this size needs, those
+    /// idle for longest first: in a large fleet some machines are idle all the time, and few
+    /// of them are used again. Machines with the last copy of a service image are the last
+    /// to count as surplus.
     pub(super) fn surplus_idle_machines(&self) -> HashSet<MachineId> {
         let last_copy = |id: &MachineId| self.service_images.has_last_copy(id);
         let mut idle: Vec<(bool, u64, &MachineId)> = self
@@ -38,7 +39,8 @@
         idle.into_iter().map(|(_, _, id)| id.clone()).collect()
     }
 
-    /// Machines to release now, if no release is in progress: one request per tick.
+    /// Returns the machines to release now and marks their release as in progress. There is
+    /// one request at a time, and at most one per tick.
     pub fn next_releases(&mut self) -> Vec<MachineId> {
         if self.release_in_progress || self.last_tick == self.last_release_tick {
             return Vec::new();
@@ -67,14 +69,14 @@
         ids
     }
 
-    /// A release request has ended; `done`: the provider has confirmed it, which proves
-    /// that the machines and all that ran on them are gone.
+    /// Handles the end of a release request. `done` tells that the provider has confirmed
+    /// it, which proves that the machines and everything that ran on them are gone.
     pub fn release_finished(&mut self, ids: &[MachineId], done: bool, now: u64) {
         self.release_in_progress = false;
         for id in ids {
             if done {
-                // Guards against a call under way to a machine that is released: its end finds
-                // no machine, and its place among the calls to unreachable ones would be lost.
+                // The result of a call in progress will find no machine, so the call's slot
+                // among those to unreachable machines is freed here.
                 let call_in_progress = self.machines.remove(id).is_some_and(|m| m.unreachable_call);
                 self.unreachable_calls -= usize::from(call_in_progress);
                 self.fault_attribution.forget(id);
@@ -87,7 +89,7 @@
         }
     }
 
-    /// Notes since when a machine has been idle.
+    /// Updates the time since when a machine has been idle.
     pub(super) fn update_idle(&mut self, machine: &MachineId, now: u64) {
         let task_count = self.task_count_on(machine);
         if let Some(m) = self.machines.get_mut(machine)
--- a/crates/coordination/src/owner/summary.rs
+++ b/crates/coordination/src/owner/summary.rs
@@ -1,11 +1,11 @@
-//! The regular log line about a shard's occupancy.
+//! The periodic log line with a shard's utilization.
 
 use super::*;
 use crate::team_usage::{TeamUsage, usage_by_team};
 use lemonweir_model::constants::SUMMARY_MS;
 
 impl Owner {
-    /// What the attempts of each team use that were launched here, or seen on a machine.
+    /// Resources used per team by attempts that were launched or are reported by a machine.
     pub(crate) fn usage_by_team(&self) -> BTreeMap<String, TeamUsage> {
         let launched = self.attempts.values().filter(|tracked| {
             let stage = tracked.stage;
@@ -17,7 +17,7 @@
         }))
     }
 
-    /// Logs the occupancy of the shard, for its operators.
+    /// Logs the shard's utilization every [`SUMMARY_MS`].
     pub(super) fn log_summary(&mut self, now: u64) {
         if now < self.summary_logged_at + SUMMARY_MS {
             return;
--- a/crates/coordination/src/owner/worker_calls.rs
+++ b/crates/coordination/src/owner/worker_calls.rs
@@ -2,40 +2,40 @@
 
 use super::*;
 
-/// ms between two calls to a machine after a failed one.
+/// ms to wait after a failed call before the machine is called again.
 const CALL_RETRY_MS: u64 = 1_000;
-/// Calls in progress at a time of one owner to machines that replies don't reach: most
-/// wait for their timeout, and the launches on other machines go first.
+/// Maximum number of calls that an owner has in progress to machines that don't receive
+/// replies. Most of these calls time out, and must not delay launches on other machines.
 pub const UNREACHABLE_CALLS_MAX: usize = 8;
 
-/// A call to a worker that the process has to make.
+/// A call to a worker that the process is to make.
 #[derive(Debug, Clone)]
 pub struct CommandCall {
     /// The machine.
     pub machine: MachineId,
     /// Its address.
     pub addr: SocketAddr,
-    /// What to send.
+    /// The request to send.
     pub commands: CommandsRequest,
-    /// Number of the controller that relays it; `None`: it goes directly.
+    /// Number of the controller that relays the call; `None` if it goes directly.
     pub through: Option<u16>,
 }
 
-/// How a call to a worker ended.
+/// Outcome of a call to a worker.
 #[derive(Debug)]
 pub enum CommandResult {
-    /// Executed; the status that came back.
+    /// Executed; the status that the worker returned.
     Executed(Heartbeat),
-    /// Refused, since the token or session was not the worker's; its status.
+    /// Refused, since token or session don't match the worker's; the status it returned.
     Refused(Heartbeat),
-    /// Surely not sent.
+    /// Certainly not sent.
     NotSent,
-    /// It may have been executed, or may be later.
+    /// Unknown: it may have been executed, or may be executed later.
     Unknown,
 }
 
 impl CommandCall {
-    /// Attempts that it carries commands of this kind for.
+    /// Returns the attempts for which it carries commands of this kind.
     fn attempts(&self, kind: CommandKind) -> impl Iterator<Item = AttemptId> {
         self.commands
             .commands
@@ -52,9 +52,9 @@
     }
 }
 
-/// Whether a machine can be called.
+/// Whether a machine can be called now.
 enum CallReadiness {
-    /// At this address.
+    /// It can be called at this address.
     Ready(SocketAddr),
     /// Not yet; it stays a candidate.
     Later,
@@ -63,9 +63,9 @@
 }
 
 impl Owner {
-    /// Calls to workers that are due, `max_calls` at the most: only machines that something
-    /// happened to are looked at, and those that a call is still due to. What finds no
-    /// room waits for the end of another call.
+    /// Begins and returns the calls to workers that are due, at most `max_calls`. Only
+    /// machines that changed, or for which a call is still due, are considered. Those beyond
+    /// the limit stay candidates until other calls have ended.
     pub fn due_calls(&mut self, now: u64, max_calls: usize) -> Vec<CommandCall> {
         let mut calls = Vec::new();
         for id in std::mem::take(&mut self.call_candidates) {
@@ -88,11 +88,11 @@
         };
         let confirmed =
             m.last_heartbeat_at.is_some() && m.incarnation.session() > m.expired_session;
-        // One that is known from unconfirmed heartbeats only is asked for its status.
+        // A machine known only from unconfirmed heartbeats is queried for its status.
         let known = confirmed
             || m.last_heartbeat_at.is_none() && m.incarnation.unverified_heartbeats().is_some();
-        // A silent machine would hold a call's place until it times out; what is due to
-        // it goes with the reply to its next heartbeat.
+        // A call to a silent machine would occupy a slot until it times out. The reply to its
+        // next heartbeat carries what is due.
         if m.silent || !known || m.release_in_progress || m.launches_in_response_to.is_some() {
             return CallReadiness::NotReady;
         }
@@ -100,12 +100,12 @@
             return CallReadiness::NotReady;
         }
         let unreachable = !m.incarnation.is_reachable();
-        // A token that can't rise could not fence a call of unknown outcome.
+        // If the token can't be raised, a call of unknown outcome could not be fenced.
         if now < m.next_call_at
             || !m.incarnation.can_fence()
             || unreachable && self.unreachable_calls >= UNREACHABLE_CALLS_MAX
         {
-            // One known from unconfirmed heartbeats is asked once for each of them.
+            // One known only from unconfirmed heartbeats is queried once for each of them.
             return if confirmed {
                 CallReadiness::Later
             } else {
@@ -116,8 +116,8 @@
             .map_or(CallReadiness::NotReady, CallReadiness::Ready)
     }
 
-    /// The call that a machine needs: commands, or a query if it has not confirmed this
-    /// owner's token.
+    /// Begins the call that a machine needs, if any: with commands, or as a query if its
+    /// worker has not shown this owner's token yet.
     fn begin_call(&mut self, id: &MachineId, address: SocketAddr, now: u64) -> Option<CommandCall> {
         let confirmed = self.machines.get(id)?.incarnation.is_confirmed();
         let due_commands = if confirmed {
@@ -147,8 +147,8 @@
         })
     }
 
-    /// True if something is to be launched on the machine that only waits for an answer
-    /// of the store.
+    /// Returns true if a launch on the machine waits only for a store read that confirms
+    /// this owner's lease.
     fn launch_pending(&self, machine: &MachineId) -> bool {
         self.machines.get(machine).is_some_and(|m| {
             let waits = self.launches_paused || !m.incarnation.may_launch(self.store_answer_at);
@@ -160,8 +160,8 @@
         })
     }
 
-    /// True if a task on the machine is to stop and has not: the command is repeated
-    /// after a while.
+    /// Returns true if a task on the machine is to stop and has not exited: the command has
+    /// to be repeated after some time.
     fn stop_pending(&self, machine: &MachineId) -> bool {
         self.machines.get(machine).is_some_and(|m| {
             m.tasks.iter().any(|(id, task)| {
@@ -174,7 +174,7 @@
         })
     }
 
-    /// A call to a worker has ended.
+    /// Handles the end of a call to a worker.
     pub fn handle_call_result(&mut self, call: &CommandCall, result: CommandResult, now: u64) {
         let result = verify_responder(call, result);
         let failed = !matches!(result, CommandResult::Executed(_));
@@ -187,7 +187,7 @@
         m.call_in_progress = false;
         self.unreachable_calls -= usize::from(std::mem::take(&mut m.unreachable_call));
         if failed {
-            // One that has seen a newer token than the call's is called again at once.
+            // A worker that has seen a newer token of this owner is called again at once.
             let superseded = matches!(&result, CommandResult::Refused(status) if status.fencing_token > call.commands.fencing_token && status.fencing_token >> MACHINE_TOKEN_BITS == self.token);
             let retry_ms = if superseded {
                 0
@@ -212,8 +212,8 @@
         self.reevaluate(&call.machine, now);
     }
 
-    /// Stops of a failed call may not have been executed: they are due again as soon as
-    /// the machine may be called.
+    /// Makes the stops of a failed call due again as soon as the machine may be called, since
+    /// they may not have been executed.
     fn reset_stop_times(&mut self, call: &CommandCall) {
         for id in call.attempts(CommandKind::Stop) {
             if let Some(tracked) = self.attempts.get_mut(&id) {
@@ -222,7 +222,8 @@
         }
     }
 
-    /// Launches of a call that was surely not executed are due again.
+    /// Makes the launches of a call that was certainly not executed due again, unless an
+    /// earlier call is still of unknown outcome.
     fn reset_launches(&mut self, call: &CommandCall) {
         let unresolved = self
             .machines
@@ -248,11 +249,11 @@
 }
 
 impl Machine {
-    /// A call's outcome is unknown.
+    /// Fences a call of unknown outcome.
     ///
-    /// Guards against a command that arrives minutes late: from now on the machine is
-    /// given a higher token, and until it shows that, nothing is concluded from an
-    /// absence. A call without commands can bring none late.
+    /// Its commands may arrive minutes late. From now on the worker is given a higher token,
+    /// and until it shows that token, the absence of a task proves nothing. A call without
+    /// commands needs no fence.
     fn fence_unresolved_call(&mut self, call: &CommandCall, now: u64) {
         if call.commands.commands.is_empty() {
             return;
@@ -269,7 +270,8 @@
     }
 }
 
-/// Guards against an address that another machine has by now.
+/// Treats the outcome as unknown if another machine answered: the address may have been
+/// reassigned.
 fn verify_responder(call: &CommandCall, result: CommandResult) -> CommandResult {
     match result {
         CommandResult::Executed(status) | CommandResult::Refused(status)
