--- a/crates/coordination/src/owner/published_state.rs
+++ b/crates/coordination/src/owner/published_state.rs
@@ -1,14 +1,15 @@
-//! The state of this shard that is published to placers: machines and attempts.
+//! The state of machines and attempts that is published to placers.
 
 use super::*;
 use lemonweir_model::constants::{ENCODED_ATTEMPT_BYTES, PEER_VERSION};
 
 impl Owner {
-    /// Brings the published state up to date with the machines that changed.
+    /// Updates the published state of the machines that changed and of their attempts.
     pub(super) fn refresh(&mut self) {
         for id in std::mem::take(&mut self.changed_machines) {
             match self.machines.get(&id) {
-                // A machine that may be long gone is no capacity, nor does it lack any.
+                // A machine known only from unconfirmed heartbeats may no longer exist: it
+                // counts neither as capacity nor as a machine that is still to come up.
                 Some(m) if m.is_unconfirmed() => self.machine_views.remove(&id),
                 Some(m) => {
                     let view = self.machine_view(&id, m);
@@ -22,7 +23,7 @@
                 };
                 if let (Some(state), Some(placer)) = (
                     self.published_state(attempt, tracked),
-                    self.placers.get_mut(&tracked.from),
+                    self.placers.get_mut(&tracked.placer),
                 ) {
                     placer.published.put(attempt, state);
                 }
@@ -30,9 +31,9 @@
         }
     }
 
-    /// What placers are told of a machine.
+    /// Builds the state of a machine that is published to placers.
     fn machine_view(&self, id: &MachineId, m: &Machine) -> MachineView {
-        let (soft, soft_over) = self.preemptible(id);
+        let (over_quota_only, all_preemptible) = self.preemptible(id);
         MachineView {
             id: id.clone(),
             machine_type: m.kind.clone(),
@@ -42,26 +43,26 @@
                 && m.incarnation.is_confirmed()
                 && m.incarnation.session() > m.expired_session,
             schedulable: m.is_schedulable(),
-            // A quarantined machine may go on with what runs.
+            // Quarantine does not drain a machine: its running tasks may continue.
             draining: m.termination_notice,
             free: self.free(id),
-            preemptible: soft,
-            preemptible_or_over_quota: soft_over,
-            task_count: self.occupant_count(id).min(usize::from(u16::MAX)) as u16,
+            preemptible: over_quota_only,
+            preemptible_or_over_quota: all_preemptible,
+            task_count: self.task_count_on(id).min(usize::from(u16::MAX)) as u16,
             service_task_count: self.service_replicas(id),
             cached_images: m.images.iter().map(|(name, _)| name.clone()).collect(),
-            pulling_images: self.images_in_transfer(id, m),
+            pulling_images: self.images_to_pull(id, m),
             provisioned_by: m.requested_by,
         }
     }
 
-    /// The state of an attempt that its placer is told; `None`: nothing yet.
+    /// The state of an attempt that is published to its placer; `None` if nothing is yet.
     fn published_state(&self, id: &AttemptId, tracked: &TrackedAttempt) -> Option<AttemptState> {
         Some(match tracked.stage {
             AttemptStage::Undecided => return None,
             AttemptStage::Ended(state) => state,
-            // A gang has room only once those that are preempted for it are over:
-            // until then none of it is launched.
+            // A gang is admitted only once the attempts preempted for it have ended; until
+            // then none of its tasks is launched.
             AttemptStage::AwaitingPreemption(_) if !tracked.desired.may_start => return None,
             AttemptStage::AwaitingPreemption(_) => AttemptState::Accepted,
             AttemptStage::Accepted { .. } => match self
@@ -77,8 +78,9 @@
         })
     }
 
-    /// The changes of this shard's state that a placer has not acknowledged, in
-    /// `max_bytes`. Ends and grants go first: they are what its tasks wait for.
+    /// Returns the changes of this shard's state that a placer has not acknowledged, as far
+    /// as they fit into `max_bytes`. Changes of attempts go first, since the placer's tasks
+    /// wait for their ends and grants.
     pub(super) fn unacknowledged_view(
         &mut self,
         sync: &SyncRequest,
@@ -86,7 +88,8 @@
     ) -> ShardView {
         self.refresh();
         if self.placers.len() >= usize::from(self.shards) {
-            // A new placer is sent the whole state.
+            // All placers are known. One that starts anew is sent the whole state, which
+            // needs no tombstones.
             self.machine_views.compact(
                 self.placers
                     .values()
@@ -96,7 +99,7 @@
             );
         }
         let placer = self.placers.entry(sync.from_shard).or_default();
-        let (attempts_span, attempts) = placer.published.changes_since(
+        let (attempt_range, attempts) = placer.published.changes_since(
             sync.observed.attempts_revision,
             &mut max_bytes,
             |_, _| ENCODED_ATTEMPT_BYTES,
@@ -110,16 +113,16 @@
                 })
             })
             .collect();
-        let (machines_span, changes) = self.machine_views.changes_since(
+        let (machine_range, changes) = self.machine_views.changes_since(
             sync.observed.machines_revision,
             &mut max_bytes,
             |_, m| m.map_or(ENCODED_ATTEMPT_BYTES, encoded_len),
         );
-        let (mut machines, mut gone) = (Vec::new(), Vec::new());
+        let (mut machines, mut removed) = (Vec::new(), Vec::new());
         for (id, m) in changes {
             match m {
                 Some(m) => machines.push(m.clone()),
-                None => gone.push(id.clone()),
+                None => removed.push(id.clone()),
             }
         }
         ShardView {
@@ -130,26 +133,26 @@
             store_age_ms: u64::MAX,
             desired_revision: 0,
             partitioned_zones: Vec::new(),
-            machines_range: machines_span,
+            machines_range: machine_range,
             machines,
-            removed_machines: gone,
-            attempts_range: attempts_span,
+            removed_machines: removed,
+            attempts_range: attempt_range,
             attempts,
         }
     }
 
     /// Images that accepted attempts need and the machine does not hold yet.
-    fn images_in_transfer(&self, id: &MachineId, m: &Machine) -> Vec<String> {
-        let mut names: Vec<String> = Vec::new();
+    fn images_to_pull(&self, id: &MachineId, m: &Machine) -> Vec<String> {
+        let mut images: Vec<String> = Vec::new();
         for (_, a) in self.attempts_on(id).filter(|(_, a)| {
             matches!(a.stage, AttemptStage::Accepted { .. }) && a.stop_grace_s().is_none()
         }) {
-            if !names.contains(&a.desired.image)
+            if !images.contains(&a.desired.image)
                 && !m.images.iter().any(|(name, _)| *name == a.desired.image)
             {
-                names.push(a.desired.image.clone());
+                images.push(a.desired.image.clone());
             }
         }
-        names
+        images
     }
 }
