--- a/crates/coordination/src/election.rs
+++ b/crates/coordination/src/election.rs
@@ -1,11 +1,12 @@
 //! Leader election: which shards a controller acquires, which it returns to their home,
 //! and which it cedes to others.
 //!
-//! A shard's key lives with its leader's store lease, so a controller that is gone leaves
-//! its shard without a leader. Its home acquires it first; another controller does once
-//! the home has stayed away, the first candidate first, and returns it when the
-//! home lives again. A leader that can't reach the shard's machines while a peer can cedes
-//! it to its peers for a while, and publishes that with its presence.
+//! A shard's leader key is bound to its leader's store lease, so a shard has no leader once
+//! its leader stops renewing that lease. The shard's home acquires it first. If the home
+//! stays away, the other controllers follow in a fixed order, and the one that acquires the
+//! shard returns it when the home is alive again. A leader that can't reach the shard's
+//! machines while another controller can cedes the shard for a while, and publishes that in
+//! its controller record.
 
 use std::collections::BTreeMap;
 
@@ -13,60 +14,60 @@
 use lemonweir_protocol::kv_store::CompareAndSwap;
 use lemonweir_storage::records::advance_record_version;
 
-/// ms that a shard must have been without leader before a controller other than its
-/// home acquires it: a home that is just starting goes first.
+/// ms that a shard must have been without a leader before a controller other than its home
+/// acquires it: a home that is just starting goes first.
 pub const FAILOVER_WAIT_MS: u64 = 500;
-/// ms that lie between two candidates that might acquire a shard: an acquisition and its
-/// reading by the others.
+/// ms between the attempts of two successive candidates to acquire a shard: time for an
+/// acquisition to be written and to be read by the others.
 pub const ELECTION_STAGGER_MS: u64 = 500;
-/// ms for which a controller cedes a shard whose machines it can't reach at
-/// first; longer than partitions usually last. Doubled each time it is so again.
+/// ms for which a controller first cedes a shard whose machines it can't reach; longer than
+/// partitions usually last. Doubles each time the shard is ceded again.
 pub const CEDE_MS: u64 = 60_000;
-/// ms that the doubling stops at.
+/// ms at which the doubling of [`CEDE_MS`] stops.
 const CEDE_MAX_MS: u64 = 600_000;
 
-/// What a controller should do about a shard now.
+/// What a controller has to do about a shard now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ElectionAction {
-    /// Acquire the shard, whose key must have this version; 0: no key.
+    /// Acquire the shard, if its leader key still has this version; 0: the key must not exist.
     Acquire {
         /// The shard.
         shard: u16,
-        /// Version of its key.
+        /// Version of its leader key.
         version: u64,
     },
-    /// Return it to its home.
+    /// Return the shard to its home.
     ReturnToHome(ShardLease),
-    /// Cede it to a controller that reaches its machines.
+    /// Cede the shard to a controller that reaches its machines.
     Cede(ShardLease),
 }
 
-/// A shard that this controller ceded.
+/// A shard that this controller has ceded.
 #[derive(Clone, Copy, Debug)]
 struct CededShard {
-    /// Until when it leaves the shard to others, ms.
+    /// Until when this controller leaves the shard to others, ms.
     until: u64,
-    /// For how long it did so the last time, ms.
-    length_ms: u64,
+    /// For how long it was last ceded, ms.
+    duration_ms: u64,
 }
 
 /// What a controller remembers about shards that it does not lead.
 #[derive(Debug)]
 pub struct LeaderElection {
-    /// Since when a shard has had no leader, ms.
+    /// For each shard, since when it has been seen without a leader, ms.
     leaderless_since: Vec<Option<u64>>,
     ceded: BTreeMap<u16, CededShard>,
 }
 
-/// What the cache shows of a shard's home and of the other controllers.
+/// What the state cache shows of a shard's home and of the other controllers.
 struct Candidacy<'a> {
     /// Host of this controller.
     own_host: &'a str,
     own_home: bool,
     home_lives: bool,
-    /// The home lives and does not cede the shard.
+    /// The home is alive and does not cede the shard.
     home_serves: bool,
-    /// Another controller lives that does not cede the shard.
+    /// Another controller is alive and does not cede the shard.
     others_serve: bool,
 }
 
@@ -90,7 +91,7 @@
 }
 
 impl LeaderElection {
-    /// Knows nothing yet of this many shards.
+    /// Creates the state for this many shards, none of them observed yet.
     pub fn new(shards: usize) -> Self {
         Self {
             leaderless_since: vec![None; shards],
@@ -103,14 +104,15 @@
         self.leaderless_since.len() as u16
     }
 
-    /// Shards that this controller cedes to others now: all, while no worker reaches it
-    /// and some should.
+    /// Shards that this controller cedes to others now: all of them while no worker reaches
+    /// it, if it leads or has ceded a shard.
     ///
-    /// Guards against a shard that goes from one controller that can't reach its
-    /// machines to another that can't either, while its workers' leases expire.
+    /// Otherwise a shard could move from one controller that can't reach its machines to
+    /// another that can't either, while its workers' leases expire.
     pub fn ceded(&self, core: &Core, now: u64) -> Vec<u16> {
         let cedes_some = self.ceded.values().any(|ceded| now < ceded.until);
-        // To one that leads nothing silence says nothing: its workers went elsewhere.
+        // Silence proves nothing to a controller that leads no shard: workers have no reason
+        // to send heartbeats to it.
         if core.links.no_worker_reachable(now) && (cedes_some || !core.leases().is_empty()) {
             return (0..self.shards()).collect();
         }
@@ -121,9 +123,9 @@
             .collect()
     }
 
-    /// What this controller's presence has to say that it cedes, if it says otherwise or
-    /// is not there: an earlier incarnation's late write may have tied it to a store lease
-    /// that expired since.
+    /// The ceded shards to publish in this controller's record, if the record differs or is
+    /// missing: a late write of an earlier process on this host may have bound it to a store
+    /// lease that has expired since.
     pub fn unpublished_ceded(&self, core: &Core, now: u64) -> Option<Vec<u16>> {
         let own_host = &core.config.members[usize::from(core.config.own_index)].host;
         let ceded = self.ceded(core, now);
@@ -134,10 +136,10 @@
             .then_some(ceded)
     }
 
-    /// What to do about one shard, as far as the cache shows. Call it for
-    /// each shard in turn, since what is led already counts for the next.
+    /// What to do about one shard, judging by the state cache. Call it for each shard in
+    /// turn: the number of shards already led counts in the decision on the next.
     pub fn next_action(&mut self, core: &Core, shard: u16, now: u64) -> Option<ElectionAction> {
-        // Guards against judging by a cache from before a stall.
+        // After a stall the cache may be out of date.
         if core.lease_unconfirmed() {
             return None;
         }
@@ -151,11 +153,11 @@
                 let since = *self.leaderless_since[slot].get_or_insert(now);
                 let wait = failover_wait_ms(core, &candidacy, shard, leases.len());
                 let eligible = candidacy.own_home || !candidacy.home_serves && now >= since + wait;
-                // Where all that live cede it, somebody must lead it all the same.
+                // If all living controllers cede it, one of them must lead it all the same.
                 let ceded = candidacy.others_serve && self.ceded(core, now).contains(&shard);
                 (eligible && !ceded).then_some(ElectionAction::Acquire { shard, version: 0 })
             }
-            // Left by an earlier process of this name, which is no more.
+            // Written by an earlier process on this host, which no longer runs.
             (Some(leader), None) if leader.host == candidacy.own_host => {
                 Some(ElectionAction::Acquire {
                     shard,
@@ -166,8 +168,8 @@
                 self.leaderless_since[slot] = None;
                 Some(ElectionAction::ReturnToHome(lease))
             }
-            // Guards against a whole shard whose workers' leases expire since its leader
-            // alone is cut from the workers.
+            // Only this leader is cut off from the workers: if it kept the shard, all their
+            // leases would expire.
             (Some(_), Some(lease))
                 if candidacy.others_serve && core.workers_unreachable(shard, now) =>
             {
@@ -183,32 +185,34 @@
     }
 
     fn cede(&mut self, shard: u16, now: u64) {
-        // Guards against a longer time for each try that got no answer: what it
-        // was ceded for last counts once that is over.
-        let length_ms = match self.ceded.get(&shard) {
+        // A try that got no answer is repeated while the shard still counts as ceded; the
+        // duration doubles only after the previous one has passed.
+        let duration_ms = match self.ceded.get(&shard) {
             None => CEDE_MS,
-            Some(ceded) if now < ceded.until => ceded.length_ms,
-            Some(ceded) => (2 * ceded.length_ms).min(CEDE_MAX_MS),
+            Some(ceded) if now < ceded.until => ceded.duration_ms,
+            Some(ceded) => (2 * ceded.duration_ms).min(CEDE_MAX_MS),
         };
-        let until = now + length_ms;
-        self.ceded.insert(shard, CededShard { until, length_ms });
+        let until = now + duration_ms;
+        self.ceded.insert(shard, CededShard { until, duration_ms });
     }
 }
 
-/// ms that a shard must have been leaderless before this controller, which leads so many
+/// ms that a shard must have been leaderless before this controller, which leads `led`
 /// shards, acquires it in place of its home.
 fn failover_wait_ms(core: &Core, candidacy: &Candidacy, shard: u16, led: usize) -> u64 {
-    // Its home lives and can't serve it, nor can anybody else: no use waiting.
+    // The home is alive but can't serve the shard, nor can any other controller: waiting
+    // gains nothing.
     if candidacy.home_lives && !candidacy.others_serve {
         return 0;
     }
     FAILOVER_WAIT_MS + ELECTION_STAGGER_MS * candidates_before(core, shard, led)
 }
 
-/// Living controllers that go before this one, which leads so many shards, in acquiring a
-/// shard whose home is away: those with fewer shards, then those of its zone, then in
-/// turn from the home on. All controllers reckon it alike, so that one bids at a time, the
-/// shards of several that end go to several, and nobody waits for who is not there.
+/// Number of living controllers that precede this one, which leads `led` shards, in
+/// acquiring a shard whose home is away. Controllers that lead fewer shards come first, then
+/// those in the home's zone, then in member order from the home on. All controllers compute
+/// the same order, so that one tries at a time, the shards of several failed controllers go
+/// to several others, and none waits for a controller that is not there.
 fn candidates_before(core: &Core, shard: u16, led: usize) -> u64 {
     let members = &core.config.members;
     let own_index = usize::from(core.config.own_index);
@@ -240,11 +244,11 @@
 }
 
 impl Core {
-    /// The compare-and-swap that records that every controller reads the newest records, once
-    /// all have shown so at one time.
+    /// The compare-and-swap that raises the stored record version, once all controllers
+    /// advertise at the same time that they read the newer one.
     ///
-    /// Guards against records that a controller of an earlier version takes for broken
-    /// ones, and so starts again what they say runs.
+    /// A controller of an earlier version would take newer records for malformed and start
+    /// again what they record as running.
     pub fn records_version_cas(&self) -> Option<CompareAndSwap> {
         let (version, key_version) = self.cache.records_version;
         let reads = |host: &str| {
@@ -263,8 +267,8 @@
         (all > version).then(|| advance_record_version(all, key_version))
     }
 
-    /// Teams that no record assigns to a shard yet, with the shard that each
-    /// should have, as many as one compare-and-swap can write.
+    /// Teams that no record assigns to a shard yet, each with its default shard, at most as
+    /// many as one compare-and-swap can write.
     pub fn unassigned_teams(&self) -> Vec<(String, u16)> {
         let new = self
             .config
--- a/crates/coordination/src/heartbeats.rs
+++ b/crates/coordination/src/heartbeats.rs
@@ -1,5 +1,5 @@
 //! Workers' heartbeats and commands to workers: who answers, for how long without an
-//! answer of the store, and after a stall of this process.
+//! answer from the store, and after a stall of this process.
 
 use tracing::warn;
 
@@ -11,13 +11,13 @@
 use lemonweir_model::constants::{MACHINE_TOKEN_BITS, PEER_VERSION, STORE_LEASE_TTL_MS};
 use lemonweir_protocol::worker::{Heartbeat, HeartbeatResponse};
 
-/// Zones that no setting names which are logged, each once.
-const UNKNOWN_ZONES_LOGGED: usize = 64;
+/// Maximum number of zones missing from the settings that are logged, each once.
+const LOGGED_UNKNOWN_ZONES_MAX: usize = 64;
 
 impl Core {
     // ---- process stalls --------------------------------------------------------
 
-    /// Something happens: finds out whether this process stalled before it.
+    /// Records an event at `now` and handles the stall of this process before it, if any.
     pub(crate) fn detect_stall(&mut self, now: u64) {
         if let Some(gap) = self.stall.record_event(now) {
             self.apply_stall(gap, now);
@@ -33,19 +33,20 @@
         }
     }
 
-    /// True if this process stalled for so long that another may lead what it led,
+    /// True if this process stalled for so long that another controller may lead its shards,
     /// and the store has not confirmed its leases since.
     pub fn lease_unconfirmed(&self) -> bool {
         self.stall.lease_unconfirmed(self.links.last_store_answer())
     }
 
-    /// The time of day at the steady clock's `now`, ms: the two drift apart.
+    /// Sets the time of day, ms, that corresponds to `now` of the steady clock. The two drift
+    /// apart, so this is called regularly.
     pub fn set_wall_clock(&mut self, now: u64, wall_ms: u64) {
         let offset = wall_ms.saturating_sub(now);
         let jump =
             offset.saturating_sub(std::mem::replace(&mut self.config.wall_offset_ms, offset));
-        // Guards against a stall in which the steady clock stood: only the time of
-        // day shows it, as far as that is right.
+        // A stall in which the steady clock stood still shows only in the time of day, within
+        // the error of that clock.
         if jump > 2 * self.config.max_clock_offset_ms + STALL_MS {
             let gap = self.stall.record_stall(jump, now);
             self.apply_stall(gap, now);
@@ -72,11 +73,12 @@
         self.handle_misrouted_heartbeat(heartbeat, index, zone_known, now)
     }
 
-    /// True if the settings name the worker's zone. One that nobody knows is no link.
+    /// True if the settings name the worker's zone. Heartbeats from an unknown zone don't
+    /// count for the state of any link.
     fn check_zone(&mut self, heartbeat: &Heartbeat) -> bool {
         let known = self.config.zones.contains(&heartbeat.zone);
         if !known
-            && self.unknown_zones.len() < UNKNOWN_ZONES_LOGGED
+            && self.unknown_zones.len() < LOGGED_UNKNOWN_ZONES_MAX
             && self.unknown_zones.insert(heartbeat.zone.clone())
         {
             warn!(machine = %heartbeat.machine, zone = heartbeat.zone, "zone not in the settings");
@@ -84,7 +86,7 @@
         known
     }
 
-    /// A worker's heartbeat reached us, and another controller leads its shard, or nobody.
+    /// Handles a heartbeat of a worker whose shard this controller does not lead.
     fn handle_misrouted_heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
@@ -127,8 +129,9 @@
         }
     }
 
-    /// A worker of our home shard reached a process that has had no answer from
-    /// the store yet: the lease that its token shows is still in force, or not.
+    /// Answers a worker of this controller's home shard before the store has answered this
+    /// process: renews the worker's lease, without commands, for as long as the reading in the
+    /// worker's token allows.
     fn confirm_worker_lease(&self, heartbeat: &Heartbeat, now: u64) -> HeartbeatAnswer {
         let wall = now + self.config.wall_offset_ms;
         match worker_lease::renewable_until(
@@ -144,8 +147,8 @@
         }
     }
 
-    /// Another controller relays a worker's heartbeat. Only an owner answers
-    /// it: nothing is relayed twice.
+    /// Handles a worker's heartbeat that another controller relays. Only the shard's owner
+    /// answers it: no heartbeat is relayed twice.
     pub fn handle_relayed_heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
@@ -186,8 +189,8 @@
 
     // ---- store outages ---------------------------------------------------------
 
-    /// Too long without an answer of the store to act for a shard, or none since a
-    /// stall.
+    /// True if the store has not answered for too long to act for a shard, or has not
+    /// confirmed the leases since a stall.
     pub(crate) fn store_outage_grace_exceeded(&self, now: u64) -> bool {
         self.lease_unconfirmed()
             || self
@@ -196,17 +199,17 @@
                 .is_none_or(|at| now > at + self.store_outage_grace_ms())
     }
 
-    /// True if this controller has had no answer from the store for as long as its store
-    /// lease lives. Its workers are answered all the same, but another may lead its shard by
-    /// now, and what that has proven over must not be started here.
+    /// True if this controller has had no answer from the store for longer than its store
+    /// lease lives. Its workers are answered all the same, but another controller may lead
+    /// the shard by now, and attempts whose end that one has proven must not be started here.
     pub(crate) fn store_lease_may_have_expired(&self, now: u64) -> bool {
         self.links.store_age(now) > STORE_LEASE_TTL_MS
     }
 
-    /// ms after the last answer of the store for which heartbeats are answered.
-    /// Meanwhile cancellations may be asked for that we don't see; none is published
-    /// to its user before its last attempt is proven over (`Job::finished`), so
-    /// what runs on meanwhile breaks no guarantee.
+    /// ms after the last answer of the store for which heartbeats are answered. Cancellations
+    /// requested meanwhile may go unseen here. None is published to its user before its last
+    /// attempt is proven to have ended (`Job::finished`), so attempts that run on meanwhile
+    /// break no guarantee.
     fn store_outage_grace_ms(&self) -> u64 {
         let same_format = self
             .cache
@@ -222,7 +225,7 @@
         }
     }
 
-    /// A command to a worker ended.
+    /// Handles the result of a command call to a worker.
     pub fn command_completed(
         &mut self,
         lease: ShardLease,
--- a/crates/coordination/src/misrouted_heartbeats.rs
+++ b/crates/coordination/src/misrouted_heartbeats.rs
@@ -1,5 +1,5 @@
-//! Heartbeats of machines of other leaders' shards that reached this controller: their
-//! leader may be unreachable for them.
+//! Heartbeats that reached this controller though it does not lead their machines' shards:
+//! the machines may be unable to reach their leader.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -7,32 +7,32 @@
 use crate::machine::Timing;
 use lemonweir_model::MachineId;
 
-/// What a misrouted heartbeat shows.
+/// What the arrival of a misrouted heartbeat shows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct MisroutedArrival {
-    /// Its machine had come a moment ago, so it could not reach its leader.
+    /// Its machine sent one here a moment ago already, so it could not reach its leader.
     pub(crate) repeated: bool,
-    /// It is newer than all before.
+    /// It is newer than all before it.
     pub(crate) is_new: bool,
 }
 
-/// The machine's newest heartbeat here.
+/// The newest misrouted heartbeat of one machine.
 #[derive(Debug)]
 struct LastMisrouted {
     at: u64,
     sequence: MessageSequence,
 }
 
-/// Machines of shards that others lead which sent heartbeats to this controller.
+/// Recent misrouted heartbeats of all machines, by shard.
 #[derive(Debug)]
 pub(crate) struct MisroutedHeartbeats {
-    /// ms for which a heartbeat counts.
+    /// ms for which a heartbeat counts as recent.
     retention_ms: u64,
     by_shard: BTreeMap<u16, HashMap<MachineId, LastMisrouted>>,
 }
 
 impl MisroutedHeartbeats {
-    /// None yet; each counts for two heartbeat intervals.
+    /// Starts without any; each heartbeat counts as recent for two heartbeat intervals.
     pub(crate) fn new(timing: &Timing) -> Self {
         Self {
             retention_ms: 2 * timing.heartbeat_interval_ms,
@@ -40,8 +40,8 @@
         }
     }
 
-    /// Records a heartbeat. Guards against a machine that seems to come since copies of
-    /// its heartbeats do.
+    /// Records a heartbeat. Only one that is newer than all before it counts from `now`:
+    /// late copies must not make a machine appear to keep sending.
     pub(crate) fn record(
         &mut self,
         shard: u16,
@@ -53,23 +53,23 @@
         let previous = machines
             .get(machine)
             .filter(|last| now < last.at + self.retention_ms);
-        let seen = MisroutedArrival {
+        let arrival = MisroutedArrival {
             repeated: previous.is_some(),
             is_new: previous.is_none_or(|last| sequence > last.sequence),
         };
-        if seen.is_new {
+        if arrival.is_new {
             machines.insert(machine.clone(), LastMisrouted { at: now, sequence });
         }
-        seen
+        arrival
     }
 
-    /// This controller leads the shard: its heartbeats are not misrouted.
+    /// Forgets the machines of a shard, for instance since this controller leads it now.
     pub(crate) fn forget(&mut self, shard: u16) {
         self.by_shard.remove(&shard);
     }
 
-    /// True if a machine of the shard came of late. Asked at every flush, so it counts
-    /// none.
+    /// True if a machine of the shard sent a heartbeat here recently. Called at every flush,
+    /// so it stops at the first one instead of counting.
     pub(crate) fn any_recent(&mut self, shard: u16, now: u64) -> bool {
         let Some(machines) = self.by_shard.get(&shard) else {
             return false;
@@ -83,7 +83,7 @@
         any
     }
 
-    /// How many machines of the shard came of late.
+    /// Number of machines of the shard that sent a heartbeat here recently.
     pub(crate) fn count_recent(&mut self, shard: u16, now: u64) -> u32 {
         let Some(machines) = self.by_shard.get_mut(&shard) else {
             return 0;
--- a/crates/coordination/src/peer_sync.rs
+++ b/crates/coordination/src/peer_sync.rs
@@ -1,8 +1,8 @@
-//! Syncs between a placer and the owners of all shards: what a placer desires goes one
-//! way, the owner's view of its machines the other.
+//! Syncs between a placer and the owners of all shards: a request carries what the placer
+//! desires, and its answer the owner's view of its machines.
 //!
-//! An owner in the same process is called at once, one on another controller over the
-//! network, or, while that does not answer, by messages through the store.
+//! An owner in the same process is called directly. One on another controller is called over
+//! the network or, while it does not answer there, reached by messages through the store.
 
 use tracing::{debug, info};
 
@@ -13,21 +13,21 @@
 use lemonweir_protocol::peer::{self, ShardView, Superseded, SyncRequest};
 use lemonweir_storage::records::StoreMessageKind;
 
-/// ms between two syncs with one owner when something changed: batches the
-/// tasks of one job without being felt by a user.
+/// ms between two syncs with one owner when something changed: batches the tasks of one job
+/// without a delay that a user notices.
 const SYNC_GAP_MS: u64 = 40;
-/// ms between two syncs through the store: mostly one value each way, which
-/// must fit the write budget beside everything else.
+/// ms between two syncs through the store: each mostly writes one value each way, which must
+/// fit the write budget beside everything else.
 const STORE_SYNC_GAP_MS: u64 = 600;
-/// ms between two direct tries while messages go through the store.
+/// ms between two attempts at a direct sync while messages go through the store.
 const DIRECT_RETRY_MS: u64 = 4_000;
-/// ms between two syncs with an owner whose machines send their heartbeats to us.
+/// ms between two syncs with an owner whose machines send heartbeats to this controller.
 const MISROUTED_SYNC_GAP_MS: u64 = 500;
-/// Bytes of changes in one direct message between controllers: some hundred
-/// machines, so that one message does not hold up heartbeats for long.
+/// Maximum bytes of changes in one direct message between controllers: some hundred machines,
+/// so that one message does not delay heartbeats for long.
 const SYNC_BYTES: usize = 128 * 1024;
 
-/// How a due sync goes to its owner.
+/// How a sync reaches its owner.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum SyncRoute {
     /// The owner is in this process.
@@ -41,16 +41,18 @@
 /// A sync that is due now.
 struct DueSync {
     route: SyncRoute,
-    /// Fencing token of the owner's lease, as far as we know.
+    /// Fencing token of the owner's lease, as far as this controller knows.
     token: u64,
 }
 
 impl Core {
-    /// A placer on another controller sends what it desires of one of our shards.
+    /// Handles a sync from a placer on another controller with the owner of one of this
+    /// controller's shards.
     ///
     /// # Errors
     ///
-    /// The placer's shard has a newer leader, or its request does not fit our lease.
+    /// Returns an error if the placer's shard has a newer leader, or if the request does not
+    /// match the lease of this controller.
     pub fn handle_sync(&mut self, sync: &SyncRequest, now: u64) -> Result<ShardView, SyncError> {
         self.detect_stall(now);
         self.check_sender(sync)?;
@@ -63,8 +65,8 @@
         self.apply_sync(sync, SYNC_BYTES, now)
     }
 
-    /// Guards against a controller that the store refuses alone and that
-    /// goes on answering its workers, while its successor waits for them.
+    /// Refuses a sender that has been superseded. A controller that alone is refused by the
+    /// store would otherwise go on answering its workers, while its successor waits for them.
     fn check_sender(&self, sync: &SyncRequest) -> Result<(), SyncError> {
         match self.cache.shard_leaders.get(&sync.from_shard) {
             Some(leader) if leader.fencing_token > sync.from_fencing_token => {
@@ -82,7 +84,7 @@
     fn apply_sync(
         &mut self,
         sync: &SyncRequest,
-        room: usize,
+        max_bytes: usize,
         now: u64,
     ) -> Result<ShardView, SyncError> {
         self.links.record_peer_store_age(sync.store_age_ms, now);
@@ -91,13 +93,17 @@
             .shards
             .get_mut(&sync.to_shard)
             .ok_or(SyncError::Token)?;
-        shard.owner.sync(sync, room, now).map(|view| ShardView {
-            store_age_ms,
-            ..view
-        })
+        shard
+            .owner
+            .sync(sync, max_bytes, now)
+            .map(|view| ShardView {
+                store_age_ms,
+                ..view
+            })
     }
 
-    /// An owner on another controller answered a direct sync, or did not (`None`).
+    /// Handles the view with which an owner on another controller answered a direct sync;
+    /// `None`: there was no answer.
     pub fn sync_completed(
         &mut self,
         lease: ShardLease,
@@ -133,9 +139,9 @@
         }
     }
 
-    /// Handles peers' messages that came through the store. Guards against two
-    /// controllers that can't reach each other: without this route a stop command
-    /// for a cancelled job would wait for the end of the partition.
+    /// Handles messages of other controllers that came through the store. Without this route,
+    /// a stop command for a cancelled job would wait for the end of a partition between two
+    /// controllers.
     pub fn handle_store_messages(&mut self, now: u64) -> Vec<Effect> {
         let mut effects = Vec::new();
         for (route, bytes) in self.cache.take_messages() {
@@ -179,7 +185,8 @@
         }
     }
 
-    /// An owner on another controller has news for one of our shards.
+    /// Handles the notice of the owner of shard `from`, on another controller, that it has
+    /// changes for the placer of this controller's shard `shard`.
     pub fn handle_wake(&mut self, shard: u16, from: u16) {
         if let Some(channel) = self
             .shards
@@ -190,7 +197,7 @@
         }
     }
 
-    /// True if an owner is reached through the store only: its news come that way too.
+    /// True if an owner is reached only through the store: its messages come that way too.
     pub fn uses_store_messages(&self) -> bool {
         self.shards.values().any(|shard| {
             shard
@@ -200,8 +207,8 @@
         })
     }
 
-    /// Sends the syncs of one shard's placer that are due. True if one within this process
-    /// gave the placer something to do.
+    /// Sends the due syncs of one shard's placer. True if a sync within this process gave the
+    /// placer something to do.
     pub(crate) fn flush_syncs(&mut self, index: u16, now: u64, effects: &mut Vec<Effect>) -> bool {
         let mut placer_woken = false;
         for to in 0..self.config.members.len() as u16 {
@@ -230,7 +237,7 @@
         placer_woken
     }
 
-    /// Whether one shard's placer is to sync with an owner now, and by which route.
+    /// The sync of one shard's placer with one owner that is due now, if any, and its route.
     fn due_sync(&mut self, index: u16, to: u16, now: u64) -> Option<DueSync> {
         let misrouted = self.links.misrouted.any_recent(to, now);
         let leader = self.cache.shard_leaders.get(&to)?;
@@ -252,8 +259,7 @@
         if !due || channel.in_flight && !through_store {
             return None;
         }
-        // Through the store goes what can't go directly; now and then the direct
-        // route is tried again.
+        // The store carries what can't go directly; the direct route is retried now and then.
         let direct = !through_store
             || !channel.in_flight && now >= channel.last_direct_sync + DIRECT_RETRY_MS;
         channel.last_sync = now;
@@ -267,18 +273,18 @@
     }
 
     fn build_sync(&mut self, index: u16, to: u16, due: &DueSync, now: u64) -> Option<SyncRequest> {
-        let room = match due.route {
+        let max_bytes = match due.route {
             SyncRoute::Store => self.config.store_message_bytes,
             SyncRoute::Local | SyncRoute::Direct => SYNC_BYTES,
         };
-        // Progress is for answers of other controllers; what is sent anyway brings
-        // it, and the regular refresh.
+        // Other controllers need progress only to answer queries, so it causes no sync of its
+        // own: it goes with those sent anyway and with the regular refresh.
         let with_progress = due.route == SyncRoute::Direct;
         let store_age_ms = self.links.store_age(now);
         let shard = self.shards.get_mut(&index)?;
         let sync = shard
             .placer
-            .sync_request(to, due.token, room, with_progress, now);
+            .sync_request(to, due.token, max_bytes, with_progress, now);
         if due.route == SyncRoute::Local {
             return Some(sync);
         }
--- a/crates/coordination/src/process_stall.rs
+++ b/crates/coordination/src/process_stall.rs
@@ -1,27 +1,30 @@
-//! Process stalls: this process did not run for a while, whether its clocks ran
-//! on or stood. What it had judged from silence is void, what came in meanwhile is
-//! not read yet, and another may have taken over what it leads.
+//! Detection of process stalls, in which this process did not run for a while, whether its
+//! clocks ran on or stood still. Conclusions from silence are void after a stall, messages
+//! that arrived meanwhile are not read yet, and another controller may have acquired this
+//! one's shards.
 //!
-//! One guard for all timers: whoever would conclude something from time asks it.
+//! All code that concludes something from elapsed time consults this one detector.
 
 use lemonweir_model::constants::STORE_LEASE_TTL_MS;
 
-/// ms without an event after which this process counts as having stalled.
+/// ms without an event above which this process counts as having stalled.
 pub(crate) const STALL_MS: u64 = 1_000;
 
-/// What is known of the last stall.
+/// Detects stalls of this process and remembers the last one.
 #[derive(Debug, Default)]
 pub(crate) struct ProcessStall {
-    /// When something last happened here, ms.
+    /// When the last event was recorded, ms.
     last_event: Option<u64>,
-    /// When it last went on after a stall, ms.
+    /// When this process last resumed after a stall, ms.
     resumed_at: Option<u64>,
-    /// Only a reading of the store that began from then on confirms our leases, ms.
+    /// Only a reading of the store that began at this time or later confirms this
+    /// controller's leases, ms; 0: no stall has put them in doubt.
     confirm_from: u64,
 }
 
 impl ProcessStall {
-    /// Something happens now; for how many ms the process stalled before, if it did.
+    /// Records an event at `now`. Returns the ms for which this process stalled before it, if
+    /// it did.
     pub(crate) fn record_event(&mut self, now: u64) -> Option<u64> {
         let latest = self.last_event.map_or(now, |last| last.max(now));
         let before = self.last_event.replace(latest)?;
@@ -29,23 +32,23 @@
         (gap > STALL_MS).then(|| self.record_stall(gap, now))
     }
 
-    /// The process stalled for `gap` ms, as far as any of its clocks shows.
+    /// Records a stall of `gap` ms, by whichever clock shows it, and returns `gap`.
     pub(crate) fn record_stall(&mut self, gap: u64, now: u64) -> u64 {
         self.resumed_at = Some(now);
-        // In a shorter one no store lease can have expired.
+        // No store lease can have expired in a shorter stall.
         if gap + STALL_MS > STORE_LEASE_TTL_MS {
             self.confirm_from = now;
         }
         gap
     }
 
-    /// True until the store has confirmed again what we lead. `last_answer`: when the
-    /// last reading of it began, ms.
+    /// True from a long stall until the store has confirmed this controller's leases again.
+    /// `last_answer`: when the last reading of the store began, ms.
     pub(crate) fn lease_unconfirmed(&self, last_answer: Option<u64>) -> bool {
         self.confirm_from > 0 && last_answer.is_none_or(|at| at < self.confirm_from)
     }
 
-    /// True while what came in during a stall may not be read yet.
+    /// True while messages that arrived during a stall may not have been read yet.
     pub(crate) fn backlog_unread(&self, now: u64) -> bool {
         self.resumed_at.is_some_and(|at| now < at + STALL_MS)
     }
--- a/crates/coordination/src/process_stall/tests.rs
+++ b/crates/coordination/src/process_stall/tests.rs
@@ -1,4 +1,4 @@
-//! Stalls and what they void.
+//! Tests of stall detection: after a long stall, leases need a new confirmation by the store.
 
 use super::*;
 
--- a/crates/coordination/src/shard.rs
+++ b/crates/coordination/src/shard.rs
@@ -13,7 +13,7 @@
 use lemonweir_protocol::cloud::ProvisioningRequest;
 use lemonweir_protocol::peer::ShardView;
 
-/// Direct syncs that must fail in a row before messages go through the store.
+/// Number of direct syncs that fail in a row before messages go through the store.
 pub const STORE_ROUTE_AFTER_FAILURES: u32 = 2;
 
 /// The placer's channel to one owner.
@@ -21,11 +21,11 @@
 pub(crate) struct PeerChannel {
     /// When the last sync was sent, ms.
     pub(crate) last_sync: u64,
-    /// A direct sync is under way.
+    /// A direct sync is in progress.
     pub(crate) in_flight: bool,
     /// Something changed since the last sync.
     pub(crate) dirty: bool,
-    /// Direct syncs that failed in a row.
+    /// Number of direct syncs that failed in a row.
     pub(crate) failures: u32,
     /// When the last direct sync was sent, ms.
     pub(crate) last_direct_sync: u64,
@@ -37,7 +37,7 @@
         self.failures >= STORE_ROUTE_AFTER_FAILURES
     }
 
-    /// True if a direct sync only waits for the gap between two of them.
+    /// True if a direct sync only waits for the minimum time since the last one.
     pub(crate) fn waits_for_gap(&self) -> bool {
         self.dirty && !self.in_flight && !self.through_store()
     }
@@ -46,7 +46,7 @@
 /// A request for instances that has no final answer yet.
 pub(crate) struct PendingProvisioning {
     pub(crate) request: ProvisioningRequest,
-    /// A call is out; otherwise it is to be sent, for the first time or again.
+    /// A call is in progress; otherwise the request is to be sent, for the first time or again.
     pub(crate) in_flight: bool,
 }
 
@@ -57,25 +57,26 @@
     pub(crate) placer: Placer,
     /// The placer's channels to the owners of all shards, by shard.
     pub(crate) peer_channels: Vec<PeerChannel>,
-    /// When the placer's last pass was, ms.
+    /// When the placer's last placement pass ran, ms.
     pub(crate) last_placement: u64,
     pub(crate) provisioning: Vec<PendingProvisioning>,
-    /// The cloud is left alone until then, ms.
+    /// No call is made to the cloud before this time, ms.
     pub(crate) provisioning_not_before: u64,
-    /// Pass of the placer that the last provisioning plan was made for.
+    /// Number of the placement pass for which the last provisioning plan was made.
     pub(crate) planned_pass: u64,
-    /// Bookings named so far under this lease.
+    /// Number of bookings made so far under this lease; part of the next one's name.
     pub(crate) bookings: u64,
     pub(crate) shortages: CapacityShortages,
-    /// Placers of other controllers' shards to be asked to sync, each with the time since
-    /// when there are news for it, ms.
+    /// Shards of other controllers whose placers are to be asked to sync, each with the time
+    /// since when there have been changes for it, ms.
     pub(crate) peers_to_wake: BTreeMap<u16, u64>,
-    /// What was found since the shard was acquired.
+    /// What has been observed since the shard was acquired.
     pub(crate) failover: Failover,
 }
 
 impl Shard {
-    /// A shard just acquired, with channels to the owners of `shards` shards.
+    /// Creates the state of a shard just acquired, with channels to the owners of `shards`
+    /// shards.
     pub(crate) fn new(lease: ShardLease, owner: Owner, placer: Placer, shards: u16) -> Self {
         Self {
             lease,
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Applies the machine types of the cloud's catalog to both sides.
+    /// Applies the cloud's catalog of machine types to the owner and the placer.
     pub(crate) fn apply_catalog(&mut self, config: &Config, catalog: &Catalog) {
         self.owner.set_types(catalog.values());
         self.placer.set_start_objectives(
@@ -103,18 +104,18 @@
         );
     }
 
-    /// Hands the images that services use to the owner, if they changed.
+    /// Passes the images that services use to the owner, if they have changed.
     pub(crate) fn update_needed_images(&mut self) {
         if let Some(images) = self.placer.image_usage.take_changed_service_images() {
             self.owner.set_service_images(images);
         }
     }
 
-    /// Applies the view of an owner on another controller, by whatever route it came.
+    /// Applies the view of an owner on another controller, whichever route it took.
     ///
-    /// Guards against the view of a former owner that comes after its successor was
-    /// sent what is desired: what the one refused the other may have started, so that
-    /// it would run twice, or on after its job is published as cancelled.
+    /// The view of a former owner is ignored once its successor has been sent what is
+    /// desired: the successor may have started what the former owner refused, which would
+    /// then run twice, or run on after its job is published as cancelled.
     pub(crate) fn apply_view(&mut self, view: ShardView, now: u64) {
         if self
             .placer
--- a/crates/coordination/src/shard_lifecycle.rs
+++ b/crates/coordination/src/shard_lifecycle.rs
@@ -1,4 +1,5 @@
-//! Acquiring and releasing the leases of shards, and writing under them.
+//! Acquiring and releasing the leases of shards, and handling the results of writes under
+//! them.
 
 use tracing::info;
 
@@ -13,20 +14,20 @@
 use lemonweir_storage::state_cache::ShardLeader;
 
 impl Core {
-    /// Leases of the shards led.
+    /// Leases of the shards that this controller leads.
     pub fn leases(&self) -> Vec<ShardLease> {
         self.shards.values().map(|shard| shard.lease).collect()
     }
 
-    /// The shard, if it is still led under this lease.
+    /// The shard, if this controller still leads it under this lease.
     pub(crate) fn shard_under(&mut self, lease: ShardLease) -> Option<&mut Shard> {
         self.shards
             .get_mut(&lease.shard)
             .filter(|shard| shard.lease == lease)
     }
 
-    /// Begins to lead a shard with its task records (job, chunk, record, version) and
-    /// its image locations.
+    /// Starts to lead a shard, given its task records (job, chunk, record, version) and its
+    /// image locations.
     pub fn acquire(
         &mut self,
         lease: ShardLease,
@@ -93,7 +94,8 @@
         Placer::new(lease.shard, lease.token, shards, config, now)
     }
 
-    /// Loads all jobs of the shard's teams, and drops those of its records that are over.
+    /// Loads all jobs of the shard's teams, and drops jobs known only from the shard's task
+    /// records: they have ended.
     fn load_jobs(&self, shard: &mut Shard, now: u64) {
         let known: Vec<JobId> = shard.placer.known_jobs().cloned().collect();
         for id in &known {
@@ -125,8 +127,9 @@
         }
     }
 
-    /// A compare-and-swap for a shard ended; task records of ours that met other versions
-    /// have been read again ([`Core::chunk_reread`]). Says whether the shard is lost.
+    /// Handles the outcome of a compare-and-swap for a shard. Task records of this controller
+    /// that conflicted with other versions have been read again by then
+    /// ([`Core::chunk_reread`]). Returns whether the shard is still held.
     pub fn cas_completed(
         &mut self,
         lease: ShardLease,
@@ -151,14 +154,14 @@
         ownership
     }
 
-    /// A task record of a shard was read again and has this version.
+    /// Notes the version of a shard's task record that was read again after a conflict.
     pub fn chunk_reread(&mut self, lease: ShardLease, job: &JobId, chunk: u32, version: u64) {
         if let Some(shard) = self.shard_under(lease) {
             shard.placer.apply_reread_version(job, chunk, version);
         }
     }
 
-    /// Releases the shards whose key in the store names another lease, or none.
+    /// Releases the shards whose leader key in the store names another lease or is missing.
     pub(crate) fn release_lost_shards(&mut self, now: u64) {
         let revision = self.cache.revision.unwrap_or_default();
         let stored_token = |shard: u16| {
@@ -167,7 +170,7 @@
                 .get(&shard)
                 .map(|leader| leader.fencing_token)
         };
-        // A copy from before the acquisition says nothing of it.
+        // A cache from before the acquisition can't show the lease yet.
         let lost: Vec<u16> = self
             .shards
             .values()
@@ -182,8 +185,8 @@
         }
     }
 
-    /// Another controller says who leads a shard now. If that is ours under an older
-    /// fencing token, it is released, and its workers are redirected.
+    /// Handles another controller's answer about who leads a shard now. If this controller
+    /// leads it under an older fencing token, it releases the shard and redirects the workers.
     pub fn handle_superseded(&mut self, by: Superseded, now: u64) {
         let known = self
             .cache
