--- a/crates/coordination/src/machine_failure_detector.rs
+++ b/crates/coordination/src/machine_failure_detector.rs
@@ -1,14 +1,14 @@
 //! The failure detector of a shard's machines: how long each has been silent, which zones
-//! are partitioned, and the one health verdict that everything asks which waits for a
-//! silent machine.
+//! are partitioned, and the health verdict on which all waiting for a silent machine is
+//! based.
 //!
-//! A machine counts as known to run if it sent a heartbeat, or if something on record
-//! says that it ran before this owner acquired the shard: an attempt that a placer wants
-//! there, a record of its images, the provider's inventory. What was never seen running
-//! is booting. A machine that is silent among healthy ones is judged for itself. Where
-//! most of a zone's machines are silent at once, the zone counts as partitioned: that is
-//! mostly a network cut, its machines run on behind it, and releasing them would end what
-//! runs there and cost a boot and a fetch each.
+//! A machine counts as known to run if it sent a heartbeat, or if a record shows that it ran
+//! before this owner acquired the shard: an attempt that a placer desires on it, a record of
+//! its images, or the provider's inventory. A machine never known to run is booting. A
+//! machine that is silent among healthy ones is judged individually. If most of a zone's
+//! machines are silent at once, the zone counts as partitioned: the cause is mostly a
+//! network cut, behind which the machines run on, and releasing them would end their tasks
+//! and cost a boot and an image fetch each.
 
 use std::collections::BTreeMap;
 
@@ -18,39 +18,40 @@
 use lemonweir_model::constants::{HEARTBEAT_TIMEOUT_SLACK_MS, MAX_INDIVIDUAL_LOSSES};
 use lemonweir_protocol::peer::PartitionedZone;
 
-/// ms after a zone is reachable again in which none of its idle machines is released:
-/// hundreds of tasks are launched anew there, and are written to the store some ten a
-/// compare-and-swap, some ten of these a second.
+/// ms after a zone is reachable again during which none of its idle machines is released:
+/// hundreds of tasks are launched anew there, and are written to the store some ten per
+/// compare-and-swap, with some ten of these a second.
 pub const ZONE_RECOVERY_MS: u64 = 30_000;
 
-/// The health of a machine as far as this owner can tell.
+/// The health of a machine, as far as this owner can tell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthVerdict {
-    /// Nothing says that it ever ran.
+    /// Nothing shows that it ever ran.
     Booting,
     /// It sent a heartbeat within the usual time.
     Healthy,
-    /// Silent, while others of its zone are not.
+    /// Silent, while its zone is not partitioned.
     Silent,
-    /// Silent with most of its zone.
+    /// Silent, in a partitioned zone.
     Partitioned,
     /// It sends heartbeats, but no reply reaches it.
     Unreachable,
     /// Known only from heartbeats that may be old.
     Unconfirmed,
-    /// Silent for longer than it is worth waiting for.
+    /// Silent, unreachable or unconfirmed for longer than it is worth waiting for.
     Release,
 }
 
-/// What is known of one zone.
+/// Counts and partition state of one zone.
 #[derive(Clone, Debug, Default)]
 struct Zone {
-    /// Machines known to run, those of them that are late, and those that are late or that
-    /// no reply reaches.
+    /// Machines known to run.
     known: usize,
+    /// Those of them whose heartbeat is overdue.
     late: usize,
+    /// Those that are late or that no reply reaches.
     unreachable: usize,
-    /// When the leases of the unreachable ones have surely expired, ms.
+    /// When the leases of all unreachable machines must have expired, ms.
     leases_expired_at: u64,
     /// Silence before this moment proves nothing, ms.
     silence_floor: u64,
@@ -63,7 +64,7 @@
 }
 
 impl Zone {
-    /// ms since a machine was last known to run; `None`: it never was.
+    /// ms since the machine was last known to run; `None`: it never was.
     fn silence_ms(&self, m: &Machine, now: u64) -> Option<u64> {
         m.last_heartbeat_at
             .or(m.recorded_running_at)
@@ -90,9 +91,11 @@
         }
     }
 
-    /// Half of a zone does not fail machine by machine within seconds. One missed
-    /// heartbeat each is enough to say so, and it must be: the first of them are released
-    /// for themselves soon after.
+    /// Detects the begin and the end of a partition.
+    ///
+    /// Half of a zone does not fail machine by machine within seconds, so one missed
+    /// heartbeat each is enough evidence. Waiting for more would be too late, since the first
+    /// of these machines would be released individually soon after.
     fn update_partition(&mut self, name: &str, late_ms: u64, now: u64) {
         let partitioned =
             self.unreachable > MAX_INDIVIDUAL_LOSSES && self.unreachable * 2 > self.known;
@@ -117,8 +120,8 @@
                 self.reconnected_at = Some(now);
                 self.longest_partition_ms =
                     self.longest_partition_ms.max(now.saturating_sub(since));
-                // Guards against releasing what comes back a moment after the first half:
-                // its silence counts from now.
+                // Machines that come back a moment after the first half must not be released:
+                // their silence counts from now.
                 self.silence_floor = now;
             }
             (None, false) | (Some(_), true) => {}
@@ -126,19 +129,20 @@
     }
 }
 
-/// What an owner knows of the health of its zones.
+/// Judges the health of a shard's machines and zones for the shard's owner.
 #[derive(Debug)]
 pub struct MachineFailureDetector {
     acquired_at: u64,
     timing: Timing,
-    /// Silence from which on a machine is not healthy, ms.
+    /// Silence above which a machine is not healthy, ms.
     silent_ms: u64,
     zones: BTreeMap<String, Zone>,
 }
 
 impl MachineFailureDetector {
-    /// Of an owner that acquires its shard now. `silent_ms`: the silence that the policy
-    /// allows a machine, at least two heartbeat intervals and some slack.
+    /// Creates the detector of an owner that acquires its shard now. `silent_ms`: the silence
+    /// that the policy allows a machine, raised to two heartbeat intervals and some slack if
+    /// it is less.
     pub(crate) fn new(timing: Timing, silent_ms: u64, now: u64) -> Self {
         let silent_ms =
             silent_ms.max(2 * timing.heartbeat_interval_ms + HEARTBEAT_TIMEOUT_SLACK_MS);
@@ -150,12 +154,12 @@
         }
     }
 
-    /// This process was stalled: silence meanwhile proves nothing.
+    /// Handles a stall of this process: silence before `now` proves nothing.
     pub(crate) fn handle_stall(&mut self, now: u64) {
         self.zones.values_mut().for_each(|z| z.silence_floor = now);
     }
 
-    /// When its lease has surely expired, if no other owner acquires the shard, ms.
+    /// When the machine's lease must have expired if no other owner acquires the shard, ms.
     fn lease_expired_at(&self, m: &Machine) -> u64 {
         let renewed_at = m
             .incarnation
@@ -167,7 +171,7 @@
         )
     }
 
-    /// Observes all machines again.
+    /// Counts all machines anew and updates the partition state of each zone.
     pub(crate) fn observe<'a>(&mut self, machines: impl Iterator<Item = &'a Machine>, now: u64) {
         let late_ms = self.timing.heartbeat_interval_ms + self.timing.heartbeat_interval_ms / 2;
         for zone in self.zones.values_mut() {
@@ -187,7 +191,7 @@
         }
     }
 
-    /// The number of machines known to run, if most of them missed a heartbeat.
+    /// The number of machines known to run, if most of them have missed a heartbeat.
     pub(crate) fn mostly_silent(&self) -> Option<usize> {
         let (known, late) = self
             .zones
@@ -196,11 +200,12 @@
         (late > MAX_INDIVIDUAL_LOSSES && late * 2 > known).then_some(known)
     }
 
-    /// ms of silence after which a machine of a partitioned zone is released. Until its
-    /// lease has surely expired, what runs there may run on. From then on waiting costs
-    /// its price, and releasing costs a boot and a fetch: waiting for as long as that
-    /// costs is at most twice as dear as the best choice, whenever the partition ends;
-    /// and no less than the longest partition so far.
+    /// ms of silence after which a machine of a partitioned zone is released.
+    ///
+    /// Its tasks may run on until its lease must have expired. From then on waiting costs the
+    /// machine's price, and releasing it costs a boot and an image fetch. Waiting for as long
+    /// as that costs is at most twice as expensive as the best choice, whenever the partition
+    /// ends. The wait is no shorter than the longest partition so far.
     fn partition_patience_ms(&self, m: &Machine, zone: &Zone, rebuild_ms: u64) -> u64 {
         let expiry_ms = if m.last_heartbeat_at.is_some() {
             self.timing.lease_expiry_ms()
@@ -210,8 +215,8 @@
         expiry_ms + (2 * rebuild_ms).max(zone.longest_partition_ms)
     }
 
-    /// The health verdict of one machine. `rebuild_ms`: what booting a new one and
-    /// fetching an image takes.
+    /// The health verdict on one machine. `rebuild_ms`: how long booting a replacement and
+    /// fetching an image take.
     pub(crate) fn verdict(&self, m: &Machine, rebuild_ms: u64, now: u64) -> HealthVerdict {
         let unknown = Zone::default();
         let zone = self.zones.get(&m.zone).unwrap_or(&unknown);
@@ -231,7 +236,7 @@
         self.verdict_of_silent(m, zone, silence_ms, rebuild_ms, now)
     }
 
-    /// ms for which a silent machine is waited for outside a partition.
+    /// ms for which a silent machine is waited for if its zone is not partitioned.
     fn usual_patience_ms(&self) -> u64 {
         self.timing.lease_expiry_ms() + 2 * self.silent_ms
     }
@@ -248,9 +253,9 @@
         }
     }
 
-    /// The heartbeats of a machine that no reply reaches show that it was not reclaimed.
-    /// Work for it has ended with its lease; until then it is waited for as for one that
-    /// is silent.
+    /// The verdict on a machine that no reply reaches. Its heartbeats show that it was not
+    /// reclaimed, but its tasks end with its lease, so it is waited for as long as a silent
+    /// machine.
     fn verdict_of_unreachable(
         &self,
         m: &Machine,
@@ -276,9 +281,9 @@
         }
     }
 
-    /// A silent spot instance was mostly reclaimed without notice. An on-demand one mostly
-    /// lost its network: its tasks go on until their lease ends, and it may come back with
-    /// its images.
+    /// The verdict on a silent machine. A silent spot instance has mostly been reclaimed
+    /// without notice. A silent on-demand one has mostly lost its network: its tasks run on
+    /// until its lease ends, and it may come back with its images.
     fn verdict_of_silent(
         &self,
         m: &Machine,
@@ -306,9 +311,9 @@
         }
     }
 
-    /// True for a machine whose zone became reachable a moment ago, or that ran before
-    /// this owner acquired the shard a moment ago and may know of no partition: work that
-    /// was lost there is about to begin anew, so being idle says nothing yet.
+    /// True for a machine whose zone became reachable again a moment ago, or that ran before
+    /// this owner acquired the shard a moment ago: the owner may not know of a partition
+    /// before that. Lost work is about to start there anew, so being idle proves nothing yet.
     pub(crate) fn recovering(&self, m: &Machine, now: u64) -> bool {
         let returned = self
             .zones
@@ -318,7 +323,7 @@
         returned || m.recorded_running_at.is_some() && now < self.acquired_at + ZONE_RECOVERY_MS
     }
 
-    /// Partitioned zones, as placers are told of them.
+    /// Partitioned zones, as reported to placers.
     pub(crate) fn partitioned_zones(&self, now: u64) -> Vec<PartitionedZone> {
         let partition = |(name, z): (&String, &Zone)| {
             let since = z.partitioned_since?;
@@ -331,9 +336,9 @@
         self.zones.iter().filter_map(partition).collect()
     }
 
-    /// True once every lease that an earlier owner of the shard could renew has surely
-    /// expired (`docs/design.md`, proof of end). `store_answer_at`: when the last reading
-    /// of the store began that showed this owner as the leader, ms.
+    /// True once every lease that an earlier owner of the shard could renew must have expired
+    /// (`docs/design.md`, proof of end). `store_answer_at`: when the last reading of the store
+    /// began that showed this owner as the leader, ms.
     pub(crate) fn inherited_leases_expired(&self, store_answer_at: u64) -> bool {
         store_answer_at > self.acquired_at + self.timing.inherited_lease_expiry_ms()
     }
