--- a/crates/coordination/src/incarnation/mod.rs
+++ b/crates/coordination/src/incarnation/mod.rs
@@ -1,44 +1,44 @@
-//! One incarnation of a worker: what of its messages is current, and which replies and
+//! One incarnation of a worker: which of its messages are current, and which replies and
 //! calls have reached it.
 //!
-//! A message of a worker may be old: a heartbeat that was delayed, a copy of one that was
-//! answered long ago, or the last one of a machine that has restarted since and counts
-//! from the start. A message to a worker may not arrive. One [`WorkerIncarnation`] for
-//! each machine decides both from what the messages themselves show: session and number,
-//! which only rise in one incarnation of a worker, and the highest token that the worker
-//! has seen, which only rises too and which this owner chooses.
+//! A worker's message may be old: a heartbeat that was delayed, a copy of one that was
+//! answered long ago, or the last one of a machine that has restarted since and numbers its
+//! messages from the start. A message to a worker may get lost. One [`WorkerIncarnation`] for
+//! each machine decides both questions from what the messages themselves show: their session
+//! and number, which only rise within one incarnation of a worker, and the highest token that
+//! the worker has seen, which this owner chooses and which only rises too.
 //!
-//! * **Current.** A message shows the present if it shows a token that this owner has
-//!   given, or is the answer to a call that it made, and its sequence is higher than all
-//!   before. Anything else is unverified, which starts and ends nothing.
-//! * **A restart.** A token that was first given after a sequence was seen can't be shown
-//!   under that sequence or a lower one, unless the worker counts from the start again.
-//!   From then on only a token is trusted that is higher than all that its earlier
-//!   incarnation can have shown, so no copy from that one is.
-//! * **Delivery.** A worker has one heartbeat in flight and drops replies that come after
-//!   it gave the heartbeat up. So a later heartbeat that shows a lower token than the
-//!   reply to the one before gave proves that this reply never reached it; one that shows
-//!   a token which only replies have given proves that one did. Where nothing is proven
-//!   its timing and route tell: one that got a reply sends the next heartbeat within its
-//!   interval and by the same route.
+//! * **Currency.** A message is current if it shows a token that this owner has given, or
+//!   answers a call that this owner made, and if its sequence is higher than all before. Any
+//!   other message is stale or unverified, and starts and ends nothing.
+//! * **Restarts.** A token first given after a sequence was seen can't be shown under that
+//!   sequence or a lower one, unless the worker numbers its messages from the start again.
+//!   After a restart, only tokens higher than any that the earlier incarnation can have shown
+//!   are trusted, so no copy of a message of that incarnation is.
+//! * **Delivery.** A worker has one heartbeat in flight and drops replies that arrive after it
+//!   gave that heartbeat up. So a later heartbeat with a lower token than that of the previous
+//!   reply proves that this reply never reached the worker; one with a token that only replies
+//!   have carried proves that a reply did. Where nothing is proven, timing and route decide: a
+//!   worker that got a reply sends its next heartbeat within its interval and by the same
+//!   route.
 
 use crate::machine::Timing;
 use crate::worker_lease;
 use lemonweir_model::constants::MACHINE_TOKEN_BITS;
 use lemonweir_protocol::worker::Heartbeat;
 
-/// Session and number of a worker's message: both only rise in one incarnation of the
-/// worker, the session first.
+/// Session and number of a worker's message. Both only rise within one incarnation of the
+/// worker; messages are ordered by session first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct MessageSequence {
-    /// Counts the times that the worker's lease expired.
+    /// Rises each time the worker's lease expires.
     pub(crate) session: u64,
-    /// Counts the worker's messages.
+    /// Rises with each message of the worker.
     pub(crate) number: u64,
 }
 
 impl MessageSequence {
-    /// That of a heartbeat, or of the status in the answer to a call.
+    /// The sequence of a heartbeat, or of the status in the answer to a call.
     pub(crate) fn of(heartbeat: &Heartbeat) -> Self {
         Self {
             session: heartbeat.incarnation,
@@ -52,10 +52,10 @@
     }
 }
 
-/// How a message of a worker came here.
+/// How a message of a worker reached this owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Origin {
-    /// A heartbeat, relayed by the controller of this number if not direct.
+    /// A heartbeat; `Some`: relayed by the controller of this number.
     Heartbeat(Option<u16>),
     /// The answer to a call.
     CallResponse,
@@ -64,25 +64,25 @@
 /// How current a message of a worker is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Freshness {
-    /// It shows the present.
+    /// It shows the machine's present state.
     Current,
-    /// The same, of a worker that counts from the start again: all that its earlier
-    /// incarnation ran is gone.
+    /// It shows the present state of a worker that numbers its messages from the start again:
+    /// all that its earlier incarnation ran is gone.
     Restarted,
-    /// Older than what is known.
+    /// It is older than what is known.
     Stale,
-    /// It may be older than this owner, or of an earlier incarnation.
+    /// It may be from before this owner's time, or from an earlier incarnation.
     Unverified,
 }
 
 /// Whether replies reach a machine, as far as this owner can tell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Reachability {
-    /// It behaves as one that gets replies.
+    /// It behaves like a worker that gets replies.
     Reachable,
-    /// It behaved as one that does not; the next token tells.
+    /// It behaved like a worker that gets none; the next token that it shows decides.
     Suspected,
-    /// The last reply has not reached it.
+    /// The last reply is proven not to have reached it.
     Unreachable,
 }
 
@@ -94,64 +94,65 @@
     token: u64,
 }
 
-/// Heartbeats of a machine of which none is current.
+/// Heartbeats of a machine none of whose messages has been current so far.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct UnverifiedHeartbeats {
     /// Session of the last one.
     session: u64,
-    /// When the first came, ms.
+    /// When the first one arrived, ms.
     pub(crate) first_at: u64,
-    /// When the last came, ms.
+    /// When the last one arrived, ms.
     pub(crate) last_at: u64,
 }
 
 /// The present token of a machine.
 #[derive(Clone, Copy, Debug)]
-struct RaisedToken {
+struct IssuedToken {
     token: u64,
-    /// The newest sequence when it was chosen.
+    /// The newest sequence when the token was chosen.
     newest: MessageSequence,
-    /// When it was chosen, ms.
+    /// When the token was chosen, ms.
     at: u64,
 }
 
-/// The exchange of messages with one machine.
+/// State of the message exchange with the present incarnation of one machine's worker.
 #[derive(Debug)]
 pub(crate) struct WorkerIncarnation {
     /// Lowest token of this owner.
     base_token: u64,
     /// Lowest token that a heartbeat must show to be current.
     trusted_from: u64,
-    /// The newest message that was accepted.
+    /// Sequence of the newest message that was accepted.
     newest: MessageSequence,
-    /// The token that it showed, which is the highest.
+    /// The token that this message showed, which is the highest shown so far.
     shown_token: u64,
-    /// The newest heartbeat among these.
+    /// Sequence of the newest heartbeat among the accepted messages and late heartbeats.
     newest_heartbeat: MessageSequence,
-    /// The bits of the present token below the shard's: raised to renew the worker's lease,
-    /// to fence calls of unknown outcome, and to probe whether replies arrive.
+    /// The bits of the present token below the shard's fencing token: raised to renew the
+    /// worker's lease, to fence calls of unknown outcome, and to probe whether replies arrive.
     fence: u64,
-    /// The fence before, while the present one is a probe that only replies carry.
+    /// The fence before the probe, while the present one is a probe that only replies carry.
     fence_before_probe: Option<u64>,
-    raised: RaisedToken,
+    issued: IssuedToken,
     /// Highest token that a call has carried.
     highest_call_token: u64,
-    /// The newest sequence when the call in progress was made.
+    /// The newest sequence when the last call was made.
     newest_at_call: MessageSequence,
     /// When this incarnation was first seen, ms.
     first_seen_at: Option<u64>,
     reachability: Reachability,
     last_reply: Option<LastReply>,
-    /// When the last reply was given that may have reached it, or its session may have
-    /// begun, ms: its lease runs from then at the latest.
+    /// When the last reply was sent that may have reached the worker, or when its session may
+    /// have begun, ms: its lease runs from then at the latest.
     lease_from: Option<u64>,
-    /// When the last reply was given that reached it, by its token or behaviour, ms.
+    /// When the last reply was sent that reached the worker, judging by its token or
+    /// behaviour, ms.
     last_delivered_at: Option<u64>,
     unverified: Option<UnverifiedHeartbeats>,
 }
 
 impl WorkerIncarnation {
-    /// No message yet. `base_token`: the lowest token of this owner.
+    /// Starts without any message. `base_token`: the lowest token of this owner.
     pub(crate) fn new(base_token: u64, now: u64) -> Self {
         Self {
             base_token,
@@ -161,7 +162,7 @@
             newest_heartbeat: MessageSequence::default(),
             fence: 0,
             fence_before_probe: None,
-            raised: RaisedToken {
+            issued: IssuedToken {
                 token: base_token,
                 newest: MessageSequence::default(),
                 at: now,
@@ -179,7 +180,7 @@
 
     // ---- messages of the worker --------------------------------------------------
 
-    /// How current a message is.
+    /// Decides how current a message is.
     pub(crate) fn classify(
         &self,
         sequence: MessageSequence,
@@ -188,18 +189,18 @@
     ) -> Freshness {
         let lower = token < self.shown_token;
         match origin {
-            // Nothing of a worker that has seen a later owner is ours to judge.
+            // This owner can't judge messages of a worker that has seen a later owner.
             _ if token >> MACHINE_TOKEN_BITS > self.base_token >> MACHINE_TOKEN_BITS => {
                 Freshness::Unverified
             }
-            // It was written after the call was made, when these were known.
+            // The answer was written after the call, when `newest_at_call` was known already.
             Origin::CallResponse if sequence <= self.newest_at_call => Freshness::Restarted,
             Origin::Heartbeat(_) if token < self.trusted_from => Freshness::Unverified,
-            // In one incarnation both rise.
+            // Within one incarnation, sequence and token rise together.
             _ if sequence > self.newest && lower => Freshness::Unverified,
             _ if sequence > self.newest => Freshness::Current,
             Origin::Heartbeat(_)
-                if token >= self.raised.token && sequence <= self.raised.newest =>
+                if token >= self.issued.token && sequence <= self.issued.newest =>
             {
                 Freshness::Restarted
             }
@@ -207,7 +208,8 @@
         }
     }
 
-    /// Applies a message that [`WorkerIncarnation::classify`] found to be current.
+    /// Applies a message that [`WorkerIncarnation::classify`] found to be current. After a
+    /// restart, [`WorkerIncarnation::reset_after_restart`] has to be called first.
     pub(crate) fn apply(
         &mut self,
         sequence: MessageSequence,
@@ -224,9 +226,9 @@
             }
             Origin::CallResponse => {}
         }
-        // Guards against a machine that replies don't reach and whose new session only the
-        // answer to a call shows: its lease runs from the session's begin, which may be as
-        // late as now, whichever replies were given before.
+        // Replies may not reach a machine whose new session only the answer to a call shows.
+        // Its lease runs from the begin of the session, which may be as late as now, whatever
+        // replies were sent before.
         if sequence.session > self.newest.session {
             self.lease_from = self.lease_from.max(Some(now));
         }
@@ -236,9 +238,10 @@
         self.first_seen_at.get_or_insert(now);
     }
 
-    /// The worker counts from the start again: its sequence is another one. Guards against
-    /// copies of heartbeats of its earlier incarnation, which have higher numbers: whatever
-    /// that has shown is below the token that is given from now on.
+    /// Starts anew for a worker that numbers its messages from the start again.
+    ///
+    /// Copies of heartbeats of its earlier incarnation have higher numbers. They are not
+    /// trusted, since all tokens that they can show are below the one given from now on.
     pub(crate) fn reset_after_restart(&mut self, origin: Origin, now: u64) {
         self.newest = MessageSequence::default();
         self.newest_heartbeat = MessageSequence::default();
@@ -248,21 +251,21 @@
         self.fence_before_probe = None;
         self.last_delivered_at = None;
         self.first_seen_at = None;
-        // That a call reached it says nothing of replies.
+        // A call that reached the worker does not prove that replies do.
         self.reachability = if origin == Origin::CallResponse {
             Reachability::Suspected
         } else {
             Reachability::Reachable
         };
-        let raised = worker_lease::raised(self.fence);
-        if let Some(fence) = raised {
-            self.raise(fence, now);
+        let next_fence = worker_lease::next_fence(self.fence);
+        if let Some(fence) = next_fence {
+            self.raise_token(fence, now);
         }
-        self.trusted_from = self.base_token + self.fence + u64::from(raised.is_none());
+        self.trusted_from = self.base_token + self.fence + u64::from(next_fence.is_none());
     }
 
-    /// A late heartbeat still tells what reached the worker, if no later one has come: only
-    /// the answer to a call was newer.
+    /// Learns from a late heartbeat what reached the worker, if no later heartbeat has come
+    /// and only the answer to a call was newer.
     pub(crate) fn apply_late_heartbeat(
         &mut self,
         sequence: MessageSequence,
@@ -276,7 +279,8 @@
         }
     }
 
-    /// Records an unverified heartbeat. True if the machine is to be queried.
+    /// Records an unverified heartbeat, if no message has been accepted yet. True if the
+    /// machine is to be queried.
     pub(crate) fn record_unverified(&mut self, sequence: MessageSequence, now: u64) -> bool {
         if !self.newest.is_none() {
             return false;
@@ -290,17 +294,20 @@
         true
     }
 
-    /// A heartbeat came that is not the newest, as a copy would be, or one of a new
-    /// incarnation. If it is that, the next one shows a token that was chosen from now on;
-    /// rarely more than one a lease half is needed, since a token that was chosen after any
-    /// higher number does as well. True if nothing of the machine is current before it
-    /// shows that token, and it is to be queried.
+    /// Handles a heartbeat that is not current: it may be a copy, or the first sign of a new
+    /// incarnation. True if the machine is to be queried, since none of its heartbeats counts
+    /// as current until it shows the token chosen now.
+    ///
+    /// A worker's first heartbeats show no token, and within one incarnation sequence and
+    /// token rise together: a heartbeat that contradicts this is treated as a possible restart
+    /// at once. Otherwise a probe token is chosen, which the next heartbeat of a new
+    /// incarnation shows. One probe per half lease is mostly enough, since a token chosen
+    /// after any higher number serves as well.
     ///
-    /// Guards against a new incarnation that has not been noticed as such: what of its
-    /// sequence has passed the earlier one's is taken for that one's, a late heartbeat of
-    /// the earlier one for its newest, and a command that names the earlier one's session
-    /// is executed once it has got there. A worker's first heartbeats show no token, and in
-    /// one incarnation sequence and token rise together.
+    /// If a new incarnation went unnoticed, its messages would be taken for the earlier one's
+    /// once their sequence passes that one's, a late heartbeat of the earlier one would be
+    /// taken for the new one's newest, and a command for the earlier one's session would be
+    /// executed once the new one reaches that session.
     pub(crate) fn suspect_restart(
         &mut self,
         sequence: MessageSequence,
@@ -315,27 +322,27 @@
                     && !self.predates_restart(token))
         {
             self.first_seen_at = self.first_seen_at.map(|_| now);
-            let Some(fence) = worker_lease::raised(self.fence) else {
+            let Some(fence) = worker_lease::next_fence(self.fence) else {
                 return false;
             };
             self.fence_before_probe = None;
-            self.raise(fence, now);
+            self.raise_token(fence, now);
             self.trusted_from = self.reply_token();
             return true;
         }
-        if sequence >= self.raised.newest && now >= self.raised.at + timing.lease_ms / 2 {
-            self.raise_probe(now);
+        if sequence >= self.issued.newest && now >= self.issued.at + timing.lease_ms / 2 {
+            self.raise_probe_token(now);
         }
         false
     }
 
-    /// A token of this owner that was given before the present incarnation began only.
+    /// True for a token of this owner that it gave only before the present incarnation began.
     fn predates_restart(&self, token: u64) -> bool {
         token >= self.base_token && token < self.trusted_from
     }
 
-    /// Learns from a heartbeat that the worker sent after all before whether the last reply
-    /// reached it.
+    /// Learns from a heartbeat whether the last reply reached the worker. The worker must
+    /// have sent it after all heartbeats observed before.
     fn observe_delivery(
         &mut self,
         sequence: MessageSequence,
@@ -346,13 +353,13 @@
     ) {
         self.newest_heartbeat = sequence;
         let Some(last) = self.last_reply.take() else {
-            if self.reachability != Reachability::Reachable && !self.raise_probe(now) {
+            if self.reachability != Reachability::Reachable && !self.raise_probe_token(now) {
                 self.reachability = Reachability::Reachable;
             }
             return;
         };
-        // It goes on to another controller if it gets no reply. One that is relayed may be
-        // sent to us by its relay.
+        // A worker that gets no reply tries another controller. A relayed worker may also be
+        // redirected here by its relay, so a change to the direct route proves nothing.
         let rerouted = route != last.route && route.is_some();
         let unusual = rerouted || now > last.at + timing.unanswered_after_ms();
         if token < last.token {
@@ -364,8 +371,8 @@
             if self.reachability == Reachability::Reachable {
                 self.reachability = Reachability::Suspected;
             }
-            // Without a token to tell by, its behaviour does.
-            if !self.raise_probe(now) && !unusual {
+            // If no probe token is available, the worker's behaviour decides.
+            if !self.raise_probe_token(now) && !unusual {
                 self.reachability = Reachability::Reachable;
             }
         } else {
@@ -373,7 +380,7 @@
         }
     }
 
-    /// It shows a token that only replies have given.
+    /// Handles a token that only replies have carried: the worker is reachable.
     fn confirm_reachable(&mut self, token: u64) {
         if self.last_reply.is_none_or(|last| token >= last.token) {
             self.last_delivered_at = self
@@ -386,58 +393,60 @@
 
     // ---- messages to the worker --------------------------------------------------
 
-    /// Raises the token.
-    fn raise(&mut self, fence: u64, now: u64) {
+    /// Raises the token to the one with this fence.
+    fn raise_token(&mut self, fence: u64, now: u64) {
         self.fence = fence;
-        self.raised = RaisedToken {
+        self.issued = IssuedToken {
             token: self.base_token + fence,
             newest: self.newest,
             at: now,
         };
     }
 
-    /// Raises the token for replies alone, as a probe. False if it can't rise now.
-    fn raise_probe(&mut self, now: u64) -> bool {
-        let Some(fence) = worker_lease::raised(self.fence) else {
+    /// Raises the token for replies only, as a probe whether they arrive. False if it can't
+    /// rise now.
+    fn raise_probe_token(&mut self, now: u64) -> bool {
+        let Some(fence) = worker_lease::next_fence(self.fence) else {
             return false;
         };
         self.fence_before_probe.get_or_insert(self.fence);
-        self.raise(fence, now);
+        self.raise_token(fence, now);
         true
     }
 
-    /// Renews the worker's lease: the reading of the store that showed this owner as the
-    /// leader began at `wall_ms`, in time of day.
+    /// Renews the reading in the worker's token: the last reading of the store that showed
+    /// this owner as the leader began at `wall_ms`, in time of day.
     pub(crate) fn renew_lease(&mut self, wall_ms: u64, now: u64) {
-        if let Some(fence) = worker_lease::renewed(self.fence, wall_ms) {
-            self.raise(fence, now);
+        if let Some(fence) = worker_lease::renewed_fence(self.fence, wall_ms) {
+            self.raise_token(fence, now);
         }
     }
 
-    /// A call with this token may be executed late: from now on a higher one is given.
+    /// Fences a call with the token `sent`, which may be executed late: from now on a higher
+    /// token is given.
     pub(crate) fn fence_call(&mut self, sent: u64, now: u64) {
         self.fence_before_probe = None;
-        // No call goes out with a token that can't rise; were it so, the call would stay
+        // No call is made while the token can't rise (`can_fence`). If one were, it would stay
         // unresolved until the lease is renewed.
         if let Some(fence) =
-            worker_lease::raised(self.fence.max(sent.saturating_sub(self.base_token)))
+            worker_lease::next_fence(self.fence.max(sent.saturating_sub(self.base_token)))
         {
-            self.raise(fence, now);
+            self.raise_token(fence, now);
         }
     }
 
-    /// True if the token could rise after a call.
+    /// True if the token can rise, as is needed to fence a call of unknown outcome.
     pub(crate) fn can_fence(&self) -> bool {
-        worker_lease::raised(self.fence).is_some()
+        worker_lease::next_fence(self.fence).is_some()
     }
 
-    /// The token of a reply.
+    /// The token that replies carry.
     pub(crate) fn reply_token(&self) -> u64 {
         self.base_token + self.fence
     }
 
-    /// A call is about to be made; returns its token. While a token is a probe whether
-    /// replies arrive, calls don't carry it.
+    /// Begins a call and returns its token. Calls never carry a token that probes whether
+    /// replies arrive.
     pub(crate) fn begin_call(&mut self) -> u64 {
         let token = self
             .shown_token
@@ -447,7 +456,7 @@
         token
     }
 
-    /// A heartbeat is replied to with [`WorkerIncarnation::reply_token`].
+    /// Records that a heartbeat is replied to with [`WorkerIncarnation::reply_token`].
     pub(crate) fn record_reply(
         &mut self,
         sequence: MessageSequence,
@@ -462,12 +471,12 @@
         };
         let newest = sequence == self.newest_heartbeat && token != 0;
         if newest && self.last_reply.is_some() {
-            // A copy of one that was answered: its lease runs from when it was
-            // sent, which was before the first of them came.
+            // A copy of a heartbeat that was answered: the worker's lease runs from when it was
+            // sent, which was before the first copy arrived.
             return;
         }
-        // One that the worker has given up can't be waited for, unless by a new incarnation,
-        // which shows no token or one of the last.
+        // The worker no longer waits for replies to heartbeats that it gave up, unless the
+        // heartbeat is that of a new incarnation, which shows no token or one of the last.
         if newest
             || self.newest.is_none()
             || sequence > self.newest_heartbeat
@@ -476,60 +485,62 @@
         {
             self.lease_from = self.lease_from.max(Some(now));
         }
-        // A worker in its first exchanges has not shown the token that counts.
+        // A worker whose first messages are still being exchanged has not shown a trusted token.
         if newest || self.newest.is_none() || sequence > self.newest && token >= self.shown_token {
             self.last_reply = Some(reply);
         }
     }
 
-    /// This process was stalled: what came late meanwhile tells nothing.
+    /// Handles a stall of this process: a late heartbeat does not show that the last reply
+    /// was lost.
     pub(crate) fn handle_stall(&mut self) {
         self.last_reply = None;
     }
 
     // ---- state -------------------------------------------------------------------
 
-    /// The worker's session.
+    /// The worker's session, from its newest accepted message.
     pub(crate) fn session(&self) -> u64 {
         self.newest.session
     }
 
-    /// The session that a call names.
+    /// The session to which a call is addressed.
     pub(crate) fn call_session(&self) -> u64 {
         self.unverified.map_or(self.newest.session, |u| u.session)
     }
 
-    /// Highest token that the worker has shown.
+    /// Highest token that this incarnation has shown.
     pub(crate) fn shown_token(&self) -> u64 {
         self.shown_token
     }
 
-    /// It has shown a token that only this owner can have given, in this incarnation.
+    /// True if this incarnation has shown a token that only this owner can have given it.
     pub(crate) fn is_confirmed(&self) -> bool {
         self.is_trusted_token(self.shown_token)
     }
 
-    /// Only this owner can have given this token, in this incarnation.
+    /// True if only this owner can have given this token, and only to this incarnation.
     pub(crate) fn is_trusted_token(&self, token: u64) -> bool {
         token >= self.trusted_from
     }
 
-    /// When its lease may have been renewed at the latest, ms.
+    /// The latest time from which the worker's lease may run, ms.
     pub(crate) fn lease_from(&self) -> Option<u64> {
         self.lease_from
     }
 
-    /// Its lease has surely expired.
+    /// Records that the worker's lease must have expired.
     pub(crate) fn clear_lease(&mut self) {
         self.lease_from = None;
     }
 
-    /// Attempts may be launched there. `store_answer_at`: when the last reading of the store
-    /// began that showed this owner as the leader, ms.
+    /// True if attempts may be launched on the machine. `store_answer_at`: when the last
+    /// reading of the store began that showed this owner as the leader, ms.
     ///
-    /// Guards against an owner that has been superseded without knowing: its successor
-    /// proves ends by what the machine has seen, and a new incarnation has seen nothing. One
-    /// that was there before the reading had shown the successor's token to nobody.
+    /// This owner may have been superseded without knowing. Its successor proves that attempts
+    /// have ended by the token that the machine has seen, and a new incarnation has seen none.
+    /// An incarnation that was first seen before the reading can't have shown a successor's
+    /// token by then.
     pub(crate) fn may_launch(&self, store_answer_at: u64) -> bool {
         self.is_reachable()
             && self
@@ -537,18 +548,18 @@
                 .is_some_and(|first_seen_at| store_answer_at > first_seen_at)
     }
 
-    /// Replies reach it, as far as anybody can tell.
+    /// True if replies reach the worker, as far as this owner can tell.
     pub(crate) fn is_reachable(&self) -> bool {
         self.reachability == Reachability::Reachable
     }
 
-    /// Since when no reply has reached it, ms, if that is proven.
+    /// Since when no reply has reached the worker, ms, if that is proven.
     pub(crate) fn unreachable_since(&self) -> Option<u64> {
         (self.reachability == Reachability::Unreachable)
             .then_some(self.last_delivered_at.unwrap_or(0))
     }
 
-    /// The heartbeats so far, if none of them was current.
+    /// The heartbeats received so far, if none of them was current.
     pub(crate) fn unverified_heartbeats(&self) -> Option<UnverifiedHeartbeats> {
         self.unverified
     }
--- a/crates/coordination/src/worker_lease/tests.rs
+++ b/crates/coordination/src/worker_lease/tests.rs
@@ -5,7 +5,8 @@
 #[test]
 fn reading_time_is_recovered_and_never_extended() {
     for began in (0..40_000).step_by(700).map(|ms| DAY_MS + ms) {
-        let token = 77 << MACHINE_TOKEN_BITS | raised(reading_bits(began)).expect("room");
+        let token = 77 << MACHINE_TOKEN_BITS
+            | next_fence(reading_bits(began)).expect("the fence counter is not full");
         for later in [0, 1_000, 30_000, 59_000] {
             let until = renewable_until(token, began + later, 250).expect("a reading");
             assert!(until <= began + MAX_STORE_OUTAGE_GRACE_MS - 500, "{until}");
@@ -18,11 +19,11 @@
     assert_eq!(
         renewable_until(77 << MACHINE_TOKEN_BITS | 5, DAY_MS, 250),
         None,
-        "it tells no reading"
+        "the token holds no reading"
     );
 }
 
-/// The predecessor's clock may be ahead of ours.
+/// The clock of the predecessor may be ahead of the one that decodes its token.
 #[test]
 fn reading_of_a_fast_clock_is_not_taken_for_one_of_weeks_ago() {
     let began = DAY_MS / READING_STEP_MS * READING_STEP_MS;
@@ -32,33 +33,35 @@
 
 #[test]
 fn tokens_only_rise_and_a_full_counter_stops() {
-    let first = renewed(0, DAY_MS).expect("none yet");
+    let first = renewed_fence(0, DAY_MS).expect("no reading yet");
     assert_eq!(
-        renewed(first, DAY_MS + LEASE_RENEWAL_MS - READING_STEP_MS),
+        renewed_fence(first, DAY_MS + LEASE_RENEWAL_MS - READING_STEP_MS),
         None
     );
     let mut fence = first;
-    while let Some(next) = raised(fence) {
+    while let Some(next) = next_fence(fence) {
         assert!(next > fence);
         fence = next;
     }
     assert_eq!(
         renewable_until(fence, DAY_MS, 0),
         renewable_until(first, DAY_MS, 0),
-        "fences extend nothing"
+        "the fence counter extends no lease"
     );
-    assert!(renewed(fence, DAY_MS + LEASE_RENEWAL_MS + READING_STEP_MS).expect("later") > fence);
-    // When the bits come round, no token goes back.
+    assert!(
+        renewed_fence(fence, DAY_MS + LEASE_RENEWAL_MS + READING_STEP_MS).expect("later") > fence
+    );
+    // When the encoded time wraps, no token decreases.
     assert_eq!(
-        renewed(
+        renewed_fence(
             reading_bits(READING_STEPS * READING_STEP_MS - 1),
             READING_STEPS * READING_STEP_MS + 1
         ),
         None
     );
-    // One that tells no reading may be fenced for ever.
+    // Without a reading, the counter may exceed its bits.
     assert_eq!(
-        raised(1 << FENCE_COUNTER_BITS),
+        next_fence(1 << FENCE_COUNTER_BITS),
         Some((1 << FENCE_COUNTER_BITS) + 1)
     );
 }
