--- a/crates/coordination/src/incarnation/tests.rs
+++ b/crates/coordination/src/incarnation/tests.rs
@@ -1,8 +1,8 @@
-//! A slow reference model of one worker's incarnations: it knows the incarnation of each
-//! message, when it was written, and which replies reached the worker. In random histories
-//! of heartbeats, copies, restarts, lost replies and failovers no owner may accept what is
-//! older than what it accepted, conclude the end of what runs, or ignore a machine that is
-//! reachable.
+//! Randomized simulation of one worker and its owners. The simulation knows the true
+//! incarnation of each message, when it was written, and which replies reached the worker.
+//! It runs random sequences of heartbeats, copies, restarts, lost replies and failovers, in
+//! which no owner may accept a message older than one it accepted before, conclude that a
+//! running attempt has ended, or treat a reachable machine as unschedulable.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -19,9 +19,10 @@
     Command, CommandKind, Heartbeat, HeartbeatResponse, TaskPhase, TaskStatus,
 };
 
+/// Number of controllers.
 const HOSTS: usize = 3;
 
-/// Reproducible numbers from a seed.
+/// Reproducible pseudo-random numbers from a seed.
 struct SeededRandom(u64);
 
 impl SeededRandom {
@@ -38,17 +39,19 @@
     }
 }
 
-/// A worker by the protocol page.
+/// A worker that follows the protocol page.
 struct Worker {
     incarnation: u64,
     session: u64,
     message_number: u64,
     token: u64,
     lease_from: u64,
-    /// The heartbeat in flight: its number and when it was sent.
+    /// The heartbeat in flight: its number and when it was sent, ms.
     in_flight: Option<(u64, u64)>,
-    next: u64,
-    node: usize,
+    /// When the next heartbeat is sent, ms.
+    next_heartbeat_at: u64,
+    /// The controller to which heartbeats are sent.
+    host: usize,
     tasks: BTreeMap<AttemptId, TaskPhase>,
 }
 
@@ -61,8 +64,8 @@
             token: 0,
             lease_from: now,
             in_flight: None,
-            next: now,
-            node: 0,
+            next_heartbeat_at: now,
+            host: 0,
             tasks: BTreeMap::new(),
         }
     }
@@ -90,10 +93,10 @@
         }
     }
 
-    fn execute(&mut self, orders: &[Command]) {
-        for o in orders {
-            let id = AttemptId::parse(&o.task, o.attempt).expect("a task");
-            match o.kind {
+    fn execute(&mut self, commands: &[Command]) {
+        for command in commands {
+            let id = AttemptId::parse(&command.task, command.attempt).expect("a valid task name");
+            match command.kind {
                 CommandKind::Start => drop(self.tasks.entry(id).or_insert(TaskPhase::Running)),
                 CommandKind::Stop => {
                     if let Some(phase) = self.tasks.get_mut(&id) {
@@ -107,7 +110,7 @@
 }
 
 enum Message {
-    /// A heartbeat with its incarnation, when it was written, and whether it is a copy.
+    /// A heartbeat with its true incarnation, when it was written, and whether it is a copy.
     Heartbeat {
         heartbeat: Heartbeat,
         incarnation: u64,
@@ -126,7 +129,7 @@
         owner: usize,
         call: CommandCall,
         late: bool,
-        /// The incarnation that it was sent to: a connection ends with it.
+        /// The incarnation to which it was sent: the connection ends with the incarnation.
         to: u64,
     },
     CallDone {
@@ -143,28 +146,35 @@
     timing: Timing,
     worker: Option<Worker>,
     incarnations: u64,
-    /// Successive owners, with the host of each and until when it still replies.
+    /// Successive owners, with the host of each and until when it replies, ms.
     owners: Vec<(Owner, usize, u64)>,
     store_answer_at: Vec<u64>,
     messages: Vec<(u64, Message)>,
-    /// Attempts that are desired, and those published as ended.
+    /// Attempts that are desired.
     desired: BTreeMap<AttemptId, DesiredAttempt>,
+    /// Attempts published as ended.
     published_ended: BTreeSet<AttemptId>,
     seq: u64,
-    /// What is lost now: replies, all or those of one host only; calls.
+    /// All replies are lost now.
     replies_lost: bool,
+    /// The host whose replies are lost now.
     unreachable_host: Option<usize>,
+    /// All calls are lost now.
     calls_lost: bool,
+    /// Percentage of heartbeats that are copied.
     copy_percent: u64,
+    /// Heartbeats have been copied at some time.
     copied: bool,
-    /// True incarnation and number of the newest heartbeat that each owner accepted.
+    /// True incarnation and number of the newest message that each owner accepted.
     accepted: Vec<(u64, u64)>,
-    /// Since when nothing was lost, and heartbeats that came since a reply arrived.
+    /// Since when nothing has been lost, ms.
     stable_since: u64,
+    /// Heartbeats that the newest owner received since a reply last reached the worker.
     heartbeats_without_reply: u64,
     accepted_count: u64,
     launches: u64,
-    closed_while_unreachable: u64,
+    /// Checks that found the machine unschedulable after several heartbeats without a reply.
+    unschedulable_while_unreachable: u64,
     /// The newest owner has requested the release of the machine.
     release_requested: bool,
 }
@@ -224,18 +234,18 @@
             heartbeats_without_reply: 0,
             accepted_count: 0,
             launches: 0,
-            closed_while_unreachable: 0,
+            unschedulable_while_unreachable: 0,
             release_requested: false,
         }
     }
 
-    fn deliver_within(&mut self, most_ms: u64, message: Message) {
-        let at = self.now + 1 + self.random.below(most_ms);
+    fn deliver_within(&mut self, max_ms: u64, message: Message) {
+        let at = self.now + 1 + self.random.below(max_ms);
         self.messages.push((at, message));
     }
 
-    /// What runs is on one incarnation of the machine, so no attempt that was published as
-    /// ended may run.
+    /// Asserts that no attempt that was published as ended runs on the present incarnation of
+    /// the machine.
     fn assert_no_ended_attempt_runs(&self) {
         let Some(w) = &self.worker else { return };
         for id in w
@@ -278,12 +288,12 @@
                     return;
                 }
                 w.in_flight = None;
-                w.next = now + 2_250 + self.random.below(1_500);
+                w.next_heartbeat_at = now + 2_250 + self.random.below(1_500);
                 if reply.fencing_token < w.token || session != w.session {
                     return;
                 }
                 if reply.fencing_token > w.token {
-                    (w.token, w.next) = (reply.fencing_token, now + 500);
+                    (w.token, w.next_heartbeat_at) = (reply.fencing_token, now + 500);
                 }
                 w.lease_from = w.lease_from.max(sent);
                 w.execute(&reply.commands);
@@ -328,7 +338,7 @@
                 incarnation,
             } => {
                 let now = self.now;
-                if let Some((o, _, until)) = self.owners.get_mut(owner)
+                if let Some((recipient, _, until)) = self.owners.get_mut(owner)
                     && now < *until
                 {
                     if let CommandResult::Executed(heartbeat) | CommandResult::Refused(heartbeat) =
@@ -337,7 +347,7 @@
                         self.accepted[owner] =
                             self.accepted[owner].max((incarnation, heartbeat.sequence));
                     }
-                    o.handle_call_result(&call, result, now);
+                    recipient.handle_call_result(&call, result, now);
                 }
             }
         }
@@ -352,25 +362,26 @@
         copy: bool,
     ) {
         let now = self.now;
-        // An owner that does not know its successor yet replies at its host; else the
-        // newest one does.
-        let at = (0..self.owners.len())
+        // An owner on this host that does not know its successor yet replies; otherwise the
+        // newest owner does.
+        let index = (0..self.owners.len())
             .rev()
             .find(|i| self.owners[*i].1 == host && now < self.owners[*i].2)
             .unwrap_or(self.owners.len() - 1);
-        let newest = at + 1 == self.owners.len();
-        let (owner, home_host, _) = &mut self.owners[at];
-        let way = (*home_host != host).then_some(host as u16);
+        let newest = index + 1 == self.owners.len();
+        let (owner, owner_host, _) = &mut self.owners[index];
+        let relayed_by = (*owner_host != host).then_some(host as u16);
         if owner.is_current(heartbeat) {
-            let (order, known) = ((incarnation, heartbeat.sequence), self.accepted[at]);
+            let (received, known) = ((incarnation, heartbeat.sequence), self.accepted[index]);
             assert!(
-                order > known,
-                "{heartbeat:?} of incarnation {incarnation} was written at {written_at}, {known:?} is known"
+                received > known,
+                "{heartbeat:?} of incarnation {incarnation} was written at {written_at}, \
+                 but {known:?} was accepted before"
             );
-            self.accepted[at] = order;
+            self.accepted[index] = received;
             self.accepted_count += 1;
         }
-        let reply = owner.handle_heartbeat(heartbeat, way, now);
+        let reply = owner.handle_heartbeat(heartbeat, relayed_by, now);
         if !copy
             && newest
             && self
@@ -400,8 +411,8 @@
                     .as_mut()
                     .filter(|w| w.in_flight == Some((heartbeat.sequence, written_at)))
                 {
-                    (w.in_flight, w.next, w.node) =
-                        (None, now + WORKER_RETRY_MS, (w.node + 1) % HOSTS);
+                    (w.in_flight, w.next_heartbeat_at, w.host) =
+                        (None, now + WORKER_RETRY_MS, (w.host + 1) % HOSTS);
                 }
             }
         }
@@ -414,17 +425,18 @@
         };
         if now > w.lease_from + lease_ms {
             w.tasks.clear();
-            (w.session, w.lease_from, w.next) = (w.session + 1, now, now);
+            (w.session, w.lease_from, w.next_heartbeat_at) = (w.session + 1, now, now);
         }
         if w.in_flight
             .is_some_and(|(_, sent)| now >= sent + WORKER_RESPONSE_TIMEOUT_MS)
         {
-            (w.in_flight, w.next, w.node) = (None, now + WORKER_RETRY_MS, (w.node + 1) % HOSTS);
+            (w.in_flight, w.next_heartbeat_at, w.host) =
+                (None, now + WORKER_RETRY_MS, (w.host + 1) % HOSTS);
         }
-        if w.in_flight.is_none() && now >= w.next {
+        if w.in_flight.is_none() && now >= w.next_heartbeat_at {
             let heartbeat = w.next_heartbeat(&machine());
             w.in_flight = Some((heartbeat.sequence, now));
-            let (incarnation, host) = (w.incarnation, w.node);
+            let (incarnation, host) = (w.incarnation, w.host);
             if self.random.below(100) < self.copy_percent {
                 let at = now + 200 + self.random.below(3 * lease_ms);
                 let host = self.random.below(HOSTS as u64) as usize;
@@ -465,7 +477,8 @@
             let store_answer_at = self.store_answer_at[i];
             let owner = &mut self.owners[i].0;
             owner.tick(now, store_answer_at);
-            // The provider confirms nothing here: ends are proven by the machine or time.
+            // The provider never confirms a release here: only the machine's messages or the
+            // expiry of its lease prove that an attempt has ended.
             let names = owner.next_releases();
             self.release_requested |= last && !names.is_empty();
             owner.release_finished(&names, false, now);
@@ -478,7 +491,7 @@
                     .filter(|o| o.kind == CommandKind::Start)
                     .count() as u64;
                 if self.calls_lost || self.random.chance(3) {
-                    // It may be executed, much later, or never.
+                    // It is executed much later, or never.
                     if self.random.chance(50) {
                         self.deliver_within(
                             20_000,
@@ -516,7 +529,7 @@
     }
 
     fn place_attempts(&mut self) {
-        // One task after the other, four at a time; now and then one is stopped.
+        // Keeps four attempts desired, each of a new task; now and then one is stopped.
         while self.desired.len() < 4 {
             let task = self.seq as u32;
             self.seq += 1;
@@ -578,37 +591,39 @@
             reserved_machines: vec![machine()],
             progress: Vec::new(),
         };
-        let view = owner.sync(&message, 1 << 20, now).expect("taken");
+        let view = owner
+            .sync(&message, 1 << 20, now)
+            .expect("the owner accepts the sync");
         for a in view.attempts.iter().filter(|a| a.state.is_terminal()) {
             self.desired.remove(&a.id);
             self.published_ended.insert(a.id.clone());
         }
         self.assert_no_ended_attempt_runs();
-        let open = view.machines.iter().any(|m| m.registered && m.schedulable);
+        let schedulable = view.machines.iter().any(|m| m.registered && m.schedulable);
         let settled = now > self.stable_since + 16_000
             && self
                 .worker
                 .as_ref()
                 .is_some_and(|w| w.lease_from + 6_000 > now);
         assert!(
-            open || !settled || self.release_requested,
-            "{} ms: reachable, and ignored: {:?}",
+            schedulable || !settled || self.release_requested,
+            "{} ms: reachable, but not schedulable: {:?}",
             now,
             view.machines
         );
-        // Two are enough where nothing else goes wrong; a new incarnation, a new owner and
-        // copies of first heartbeats may each hide one.
+        // Two heartbeats are enough if nothing else goes wrong; a new incarnation, a new owner
+        // and copies of first heartbeats may each hide one.
         if self.heartbeats_without_reply >= 3 + u64::from(self.copied) {
-            self.closed_while_unreachable += 1;
+            self.unschedulable_while_unreachable += 1;
             assert!(
-                !open,
-                "{now} ms: {} heartbeats since a reply reached it",
+                !schedulable,
+                "{now} ms: schedulable after {} heartbeats since a reply reached it",
                 self.heartbeats_without_reply
             );
         }
     }
 
-    /// The conditions change.
+    /// Makes one random change: losses, copies, a failover or a restart of the worker.
     fn change_conditions(&mut self) {
         let now = self.now;
         match self.random.below(12) {
@@ -623,7 +638,7 @@
                 self.copied |= self.copy_percent > 0;
             }
             7 if self.owners.len() < 4 => {
-                // The one before may not know yet, and answers for a while.
+                // The previous owner may not know of its successor yet and reply for a while.
                 let host = self.random.below(HOSTS as u64) as usize;
                 let until = if self.random.chance(50) {
                     now
@@ -641,7 +656,7 @@
                 (self.heartbeats_without_reply, self.release_requested) = (0, false);
             }
             8 | 9 => {
-                // Back within a moment, empty.
+                // The worker restarts within a moment, without tasks.
                 self.incarnations += 1;
                 self.worker = Some(Worker::new(self.incarnations, now + 100));
                 self.heartbeats_without_reply = 0;
@@ -678,28 +693,32 @@
 
 #[test]
 fn only_current_messages_are_accepted_and_no_running_attempt_is_ended() {
-    let (mut accepted_count, mut launches, mut closed_while_unreachable, mut published_ended) =
-        (0, 0, 0, 0);
+    let (
+        mut accepted_count,
+        mut launches,
+        mut unschedulable_while_unreachable,
+        mut published_ended,
+    ) = (0, 0, 0, 0);
     for seed in 0..40 {
         let mut simulation = Simulation::new(seed, if seed % 2 == 0 { 14_000 } else { 26_500 });
         simulation.run(300_000);
         (
             accepted_count,
             launches,
-            closed_while_unreachable,
+            unschedulable_while_unreachable,
             published_ended,
         ) = (
             accepted_count + simulation.accepted_count,
             launches + simulation.launches,
-            closed_while_unreachable + simulation.closed_while_unreachable,
+            unschedulable_while_unreachable + simulation.unschedulable_while_unreachable,
             published_ended + simulation.published_ended.len(),
         );
     }
     assert!(
         accepted_count > 2_000
             && launches > 300
-            && closed_while_unreachable > 600
+            && unschedulable_while_unreachable > 600
             && published_ended > 300,
-        "{accepted_count} {launches} {closed_while_unreachable} {published_ended}"
+        "{accepted_count} {launches} {unschedulable_while_unreachable} {published_ended}"
     );
 }
