--- a/crates/coordination/src/owner/heartbeat.rs
+++ b/crates/coordination/src/owner/heartbeat.rs
@@ -174,7 +174,7 @@
             m.images = images;
         }
         if !m.announced {
-            info!(machine = %id, shard = self.shard, "unannounced machine registered");
+            info!(machine = %id, shard = self.shard, "machine not listed by a placer or the inventory");
         }
         let boot_elapsed_ms = now.saturating_sub(m.provisioned_at);
         info!(machine = %id, shard = self.shard, boot_elapsed_ms, "machine registered");
@@ -246,7 +246,7 @@
     m.tasks.clear();
     for t in &heartbeat.tasks {
         let Some(id) = AttemptId::parse(&t.task, t.attempt) else {
-            warn!(machine = %heartbeat.machine, task = t.task, "invalid task id in heartbeat");
+            warn!(machine = %heartbeat.machine, task = t.task, "invalid task ID in heartbeat; task ignored");
             continue;
         };
         let cause =
--- a/crates/coordination/src/owner/mod.rs
+++ b/crates/coordination/src/owner/mod.rs
@@ -76,16 +76,16 @@
 pub enum SyncError {
     /// Addressed to another leader of this shard, or sent under an outdated token of the
     /// sender's shard.
-    #[error("token out of date")]
+    #[error("fencing token is not current")]
     Token,
     /// The sender's shard does not exist.
-    #[error("no such shard")]
+    #[error("the sender's shard does not exist")]
     UnknownShard,
     /// Not newer than a request that was already applied.
-    #[error("stale message")]
+    #[error("request is not newer than the last one applied")]
     Stale,
     /// The sender has lost its shard's lease without noticing.
-    #[error("the sender's shard has another leader")]
+    #[error("the sender's shard has a newer leader")]
     Superseded(Superseded),
 }
 
--- a/crates/coordination/src/owner/worker_calls.rs
+++ b/crates/coordination/src/owner/worker_calls.rs
@@ -277,7 +277,7 @@
         CommandResult::Executed(status) | CommandResult::Refused(status)
             if status.machine != call.machine =>
         {
-            warn!(machine = %call.machine, found = %status.machine, "address belongs to another machine");
+            warn!(machine = %call.machine, found = %status.machine, "call answered by another machine; outcome unknown");
             CommandResult::Unknown
         }
         result => result,
