--- a/crates/coordination/src/placer/escalation.rs
+++ b/crates/coordination/src/placer/escalation.rs
@@ -171,7 +171,7 @@
         let request = replica_request(spec, zones, &avoid);
         let order = self.shard_search_order();
         let scoring = self.scoring_inputs(id, Some(replica.task), &request, &order, now);
-        let mut cached = placement_classes(&self.trade, &scoring.risk);
+        let mut cached = placement_classes(&self.placement_weights, &scoring.risk);
         cached.retain(|class| class.image_locality == ImageLocality::Cached);
         CandidateWalk::new(&self.indexes, &order, &request, &scoring.placed_replicas)
             .find(&cached)
--- a/crates/coordination/src/placer/mod.rs
+++ b/crates/coordination/src/placer/mod.rs
@@ -120,7 +120,7 @@
     /// Time of day at zero of the monotonic clock, ms.
     pub wall_offset_ms: u64,
     /// Weights of cost and risk in the placement of service replicas.
-    pub trade: ServicePlacementWeights,
+    pub placement_weights: ServicePlacementWeights,
 }
 
 /// An event of a task, for the supervision of services.
@@ -207,7 +207,7 @@
     /// Highest image fetch rate of the catalog's machine types, GB/s.
     fetch_gb_per_s: f64,
     /// Weights of cost and risk in the placement of service replicas.
-    trade: ServicePlacementWeights,
+    placement_weights: ServicePlacementWeights,
     /// Job after which the next search for better places begins.
     rebalance_cursor: Option<JobId>,
     /// Sizes and use of images.
@@ -274,7 +274,7 @@
             low_priority_writes_per_s,
             gang_wait_ms,
             wall_offset_ms,
-            trade,
+            placement_weights,
         } = config;
         Self {
             shard,
@@ -314,7 +314,7 @@
             machine_capacities: Vec::new(),
             started_at: now,
             fetch_gb_per_s: f64::MAX,
-            trade,
+            placement_weights,
             rebalance_cursor: None,
             image_usage: ImageUsage::default(),
             cache_mb_by_type: HashMap::new(),
--- a/crates/coordination/src/placer/placing.rs
+++ b/crates/coordination/src/placer/placing.rs
@@ -230,7 +230,7 @@
         let mut scoring =
             self.scoring_inputs(search.job, None, &request, &search.order, search.now);
         scoring.risk.cached_first = unit.needs_image && !search.is_relocating;
-        let classes = placement_classes(&self.trade, &scoring.risk);
+        let classes = placement_classes(&self.placement_weights, &scoring.risk);
         let (preferred, fallback) = if unit.needs_image {
             let cached = classes
                 .iter()
--- a/crates/coordination/src/placer/rebalancing.rs
+++ b/crates/coordination/src/placer/rebalancing.rs
@@ -236,14 +236,14 @@
         };
         let machine_s = if risk.has_replicas {
             risk.replica_cost_s(
-                &self.trade,
+                &self.placement_weights,
                 risk.replica_spread(on_machine.saturating_sub(1)),
             )
         } else {
             0.0
         };
         let zone_s = if risk.zone_count > 1 {
-            risk.zone_cost_s(&self.trade, zone_share)
+            risk.zone_cost_s(&self.placement_weights, zone_share)
         } else {
             0.0
         };
@@ -280,8 +280,9 @@
             .collect();
         let scoring = self.scoring_inputs(id, Some(task), &request, &order, now);
         let colocation_cost_s = self.colocation_cost_s(job, live, &scoring.risk);
-        let min_gain_s = self.trade.min_migration_gain_s + MOVE_DOWNTIME_MS as f64 / 1000.0;
-        let better: Vec<PlacementClass> = placement_classes(&self.trade, &scoring.risk)
+        let min_gain_s =
+            self.placement_weights.min_migration_gain_s + MOVE_DOWNTIME_MS as f64 / 1000.0;
+        let better: Vec<PlacementClass> = placement_classes(&self.placement_weights, &scoring.risk)
             .into_iter()
             .take_while(|class| class.cost_s + min_gain_s < colocation_cost_s)
             .collect();
@@ -396,10 +397,11 @@
             .live
             .get(&task)
             .map_or(0.0, |live| self.colocation_cost_s(job, live, &scoring.risk));
-        let mut cached = placement_classes(&self.trade, &scoring.risk);
+        let mut cached = placement_classes(&self.placement_weights, &scoring.risk);
         cached.retain(|class| {
             class.image_locality == ImageLocality::Cached
-                && class.cost_s <= colocation_cost_s + 2.0 * self.trade.machine_pin_cost_s
+                && class.cost_s
+                    <= colocation_cost_s + 2.0 * self.placement_weights.machine_pin_cost_s
         });
         // Guards against another task that takes these resources in the meantime: without a
         // second such place, the replica would wait for a fetch of its image.
--- a/crates/coordination/src/placer/scoring.rs
+++ b/crates/coordination/src/placer/scoring.rs
@@ -144,7 +144,13 @@
             (Some(zones), _) => zones.iter().copied().collect(),
             (None, _) => all_zones(&self.indexes),
         };
-        if self.trade.zone_loss.max(self.trade.single_zone) <= 0.0 || zones.len() <= 1 {
+        if self
+            .placement_weights
+            .zone_loss
+            .max(self.placement_weights.single_zone)
+            <= 0.0
+            || zones.len() <= 1
+        {
             return None;
         }
         risk.zone_count = zones.len() as u32;
--- a/crates/coordination/src/shard_lifecycle.rs
+++ b/crates/coordination/src/shard_lifecycle.rs
@@ -89,7 +89,7 @@
             low_priority_writes_per_s: self.config.idle_writes_per_s,
             gang_wait_ms: self.config.gang_wait_ms,
             wall_offset_ms: self.config.wall_offset_ms,
-            trade: self.policy.placement_weights,
+            placement_weights: self.policy.placement_weights,
         };
         Placer::new(lease.shard, lease.token, shards, config, now)
     }
--- a/crates/coordination/tests/support/mod.rs
+++ b/crates/coordination/tests/support/mod.rs
@@ -173,7 +173,7 @@
         low_priority_writes_per_s: 12,
         gang_wait_ms: 50_000,
         wall_offset_ms: 0,
-        trade: Default::default(),
+        placement_weights: Default::default(),
     }
 }
 
