--- a/crates/coordination/src/core.rs
+++ b/crates/coordination/src/core.rs
@@ -156,7 +156,8 @@
             .fold(WorkCounters::default(), |sum, shard| {
                 let counts = shard.owner.placement_counts();
                 WorkCounters {
-                    candidates_examined: sum.candidates_examined + shard.placer.inspected(),
+                    candidates_examined: sum.candidates_examined
+                        + shard.placer.candidates_examined(),
                     placements_refused: sum.placements_refused + counts.refused,
                     attempts_preempted: sum.attempts_preempted + counts.preempted,
                 }
--- a/crates/coordination/src/placer/mod.rs
+++ b/crates/coordination/src/placer/mod.rs
@@ -406,7 +406,7 @@
     }
 
     /// Number of bit set words and machines examined by this placer's searches.
-    pub fn inspected(&self) -> u64 {
+    pub fn candidates_examined(&self) -> u64 {
         self.indexes
             .iter()
             .map(PlacementIndex::candidates_examined)
