--- a/crates/coordination/src/placer/mod.rs
+++ b/crates/coordination/src/placer/mod.rs
@@ -249,7 +249,7 @@
     last_rebalance_at: u64,
     /// Other shard that a task was last placed in; the next search of other shards starts
     /// after it.
-    next_remote_shard: u16,
+    last_remote_shard: u16,
     /// Services under supervision, and their observed state.
     pub(crate) services: SupervisedServices,
     /// Events not handed to supervision yet, oldest first.
@@ -338,7 +338,7 @@
             last_shortage_at: 0,
             last_placement_at: 0,
             last_rebalance_at: 0,
-            next_remote_shard: shard,
+            last_remote_shard: shard,
             services: SupervisedServices::default(),
             replica_events: Vec::new(),
         }
--- a/crates/coordination/src/placer/placing.rs
+++ b/crates/coordination/src/placer/placing.rs
@@ -325,7 +325,7 @@
             is_image_cached,
         } = *reserved;
         if place.shard != usize::from(self.shard) {
-            self.next_remote_shard = place.shard as u16;
+            self.last_remote_shard = place.shard as u16;
         }
         let Some(job) = self.jobs.get_mut(id) else {
             return;
--- a/crates/coordination/src/placer/scoring.rs
+++ b/crates/coordination/src/placer/scoring.rs
@@ -34,7 +34,7 @@
     pub(super) fn shard_search_order(&self) -> Vec<CandidateShard> {
         let (own, shards) = (usize::from(self.shard), self.indexes.len() as u16);
         let others = (1..=shards)
-            .map(|k| usize::from((self.next_remote_shard + k) % shards))
+            .map(|k| usize::from((self.last_remote_shard + k) % shards))
             .filter(|&shard| shard != own);
         let mut order: Vec<CandidateShard> = std::iter::once(own)
             .chain(others)
