--- a/crates/coordination/src/placer/escalation.rs
+++ b/crates/coordination/src/placer/escalation.rs
@@ -17,7 +17,7 @@
 use super::accounting::{SlotRef, TentativeUse};
 use super::requests::{allowed_zones, replica_request};
 use super::supervision::MAX_START_STEP_MS;
-use super::units::FETCH_SPREAD;
+use super::units::MAX_FETCH_TIME_FACTOR;
 use crate::autoscaler::CapacityShortages;
 use crate::image_locality::scoring::{ImageLocality, placement_classes};
 use crate::job::LiveAttempt;
@@ -224,7 +224,8 @@
 
     /// ms that fetching a job's image takes on a slow machine.
     pub(super) fn max_fetch_ms(&self, spec: &JobSpec) -> u64 {
-        (spec.image_gb * FETCH_SPREAD * 1_000.0 / self.fetch_gb_per_s.max(f64::MIN_POSITIVE)) as u64
+        (spec.image_gb * MAX_FETCH_TIME_FACTOR * 1_000.0
+            / self.fetch_gb_per_s.max(f64::MIN_POSITIVE)) as u64
     }
 }
 
--- a/crates/coordination/src/placer/units.rs
+++ b/crates/coordination/src/placer/units.rs
@@ -13,7 +13,7 @@
 
 /// Factor by which an image fetch may exceed its expected time: the protocol documents fetch
 /// rates with a tolerance of one third.
-pub(super) const FETCH_SPREAD: f64 = 1.33;
+pub(super) const MAX_FETCH_TIME_FACTOR: f64 = 1.33;
 
 /// Pending reason of a job that found no room.
 pub(super) const REASON_NO_ROOM: &str = "no machine has room; more are asked for";
@@ -112,7 +112,7 @@
             class_objective_s
         };
         // A restarted replica is down while its image is fetched.
-        spec.image_gb * FETCH_SPREAD > objective_s * self.fetch_gb_per_s
+        spec.image_gb * MAX_FETCH_TIME_FACTOR > objective_s * self.fetch_gb_per_s
             || spec.kind == JobKind::Service && job.has_run
     }
 }
