--- a/crates/coordination/src/placer/accounting.rs
+++ b/crates/coordination/src/placer/accounting.rs
@@ -103,7 +103,7 @@
 
     /// Handles new usage published for a machine: it includes the attempts that the owner
     /// had accepted, so they are no longer added to it.
-    pub(super) fn apply_machine_figures(&mut self, machine: &MachineId, shard: u16) {
+    pub(super) fn apply_machine_usage(&mut self, machine: &MachineId, shard: u16) {
         let counted = self.owner_channels[usize::from(shard)]
             .uncounted
             .remove(machine)
--- a/crates/coordination/src/placer/reconciliation.rs
+++ b/crates/coordination/src/placer/reconciliation.rs
@@ -115,7 +115,7 @@
                 .cloned()
                 .collect();
             for machine in machines {
-                self.apply_machine_figures(&machine, shard);
+                self.apply_machine_usage(&machine, shard);
             }
         }
         let index = &self.indexes[usize::from(shard)];
@@ -137,7 +137,7 @@
         let index = &mut self.indexes[usize::from(shard)];
         index.upsert(machine);
         index.set_cache_headroom(&id, headroom_mb);
-        self.apply_machine_figures(&id, shard);
+        self.apply_machine_usage(&id, shard);
         if is_draining {
             self.evict_machine(&id, shard, now);
         }
