--- a/crates/coordination/src/placer/gangs.rs
+++ b/crates/coordination/src/placer/gangs.rs
@@ -90,7 +90,7 @@
 
     /// True if a gang has an unwritten step after planning. Such steps are written first,
     /// because owners hold resources for the gang that nothing can use meanwhile.
-    pub(super) fn admission_step_first(job: &Job) -> bool {
+    pub(super) fn has_urgent_admission_step(job: &Job) -> bool {
         !job.is_stopping()
             && job.has_unwritten_step()
             && job
--- a/crates/coordination/src/placer/write_queue.rs
+++ b/crates/coordination/src/placer/write_queue.rs
@@ -184,7 +184,7 @@
 
     /// Write priority of a job whose changes wait since `since`; `None`: they are not due yet.
     fn write_priority(&self, job: &Job, since: u64, now: u64) -> Option<WritePriority> {
-        if Self::admission_step_first(job) {
+        if Self::has_urgent_admission_step(job) {
             return Some(WritePriority::GangAdmission);
         }
         let end = job.writable_end();
