--- a/crates/coordination/src/placer/units.rs
+++ b/crates/coordination/src/placer/units.rs
@@ -87,7 +87,7 @@
         let is_guaranteed = within_quota(&used_after, self.guaranteed_quotas.get(&job.team));
         let is_low_cost_only = spec.priority == Priority::Low
             && !job.is_starved(now)
-            && !self.must_begin_now(job, now);
+            && !self.must_start_now(job, now);
         Some(PlacementUnit {
             tasks,
             is_suspect,
--- a/crates/coordination/src/placer/unmet_demand.rs
+++ b/crates/coordination/src/placer/unmet_demand.rs
@@ -39,7 +39,7 @@
 impl Placer {
     /// True if no task of a low-priority job has started, and it can't wait any longer for
     /// low-cost capacity: a machine that is requested now still takes a boot and a fetch.
-    pub(super) fn must_begin_now(&self, job: &Job, now: u64) -> bool {
+    pub(super) fn must_start_now(&self, job: &Job, now: u64) -> bool {
         if job.priority() != Priority::Low || job.has_begun() {
             return false;
         }
@@ -87,7 +87,7 @@
     ) -> Option<CapacityDemand> {
         let is_low_priority = spec.priority == Priority::Low;
         let is_starved = is_low_priority && job.is_starved(now);
-        let must_begin = self.must_begin_now(job, now);
+        let must_begin = self.must_start_now(job, now);
         if is_low_priority && !spec.allow_spot && !is_starved && !must_begin {
             return None;
         }
