--- a/crates/coordination/src/job.rs
+++ b/crates/coordination/src/job.rs
@@ -281,7 +281,7 @@
             Urgency::ServiceBelowHalf
         } else if self.priority() != Priority::Low || self.is_stopping() {
             Urgency::Normal
-        } else if !self.has_begun() {
+        } else if !self.has_started() {
             Urgency::NotBegun
         } else if self.is_below_half() {
             Urgency::BelowHalf
--- a/crates/coordination/src/job/tasks.rs
+++ b/crates/coordination/src/job/tasks.rs
@@ -47,7 +47,7 @@
     }
 
     /// True if any task is placed, has run, or is done.
-    pub(crate) fn has_begun(&self) -> bool {
+    pub(crate) fn has_started(&self) -> bool {
         self.has_run || self.done_count > 0 || !self.live.is_empty()
     }
 
--- a/crates/coordination/src/placer/unmet_demand.rs
+++ b/crates/coordination/src/placer/unmet_demand.rs
@@ -40,7 +40,7 @@
     /// True if no task of a low-priority job has started, and it can't wait any longer for
     /// low-cost capacity: a machine that is requested now still takes a boot and a fetch.
     pub(super) fn must_start_now(&self, job: &Job, now: u64) -> bool {
-        if job.priority() != Priority::Low || job.has_begun() {
+        if job.priority() != Priority::Low || job.has_started() {
             return false;
         }
         let fetch_ms = job.spec().map_or(0, |spec| self.max_fetch_ms(spec));
