--- a/crates/coordination/src/placer/headroom.rs
+++ b/crates/coordination/src/placer/headroom.rs
@@ -19,7 +19,7 @@
 /// short enough to follow the changes of a day.
 const ARRIVAL_WINDOW_MS: u64 = 120_000;
 /// ms after acquiring a shard in which new jobs count as its backlog, not as arrivals.
-pub(super) const BACKLOG_MS: u64 = 10_000;
+pub(super) const INITIAL_BACKLOG_MS: u64 = 10_000;
 /// Machines per task of headroom, in fleets where that is more than
 /// [`MAX_HEADROOM_TASKS`].
 const MACHINES_PER_HEADROOM_TASK: u32 = 16;
@@ -39,7 +39,7 @@
         self.drop_old_arrivals(now);
         self.reserved_machines.clear();
         let observed_ms = now
-            .saturating_sub(self.started_at + BACKLOG_MS)
+            .saturating_sub(self.started_at + INITIAL_BACKLOG_MS)
             .clamp(1, ARRIVAL_WINDOW_MS);
         if self.headroom_share <= 0.0 || observed_ms < ARRIVAL_WINDOW_MS / 3 {
             return Vec::new();
--- a/crates/coordination/src/placer/jobs.rs
+++ b/crates/coordination/src/placer/jobs.rs
@@ -6,7 +6,7 @@
 use tracing::info;
 
 use super::Placer;
-use super::headroom::BACKLOG_MS;
+use super::headroom::INITIAL_BACKLOG_MS;
 use super::quotas::within_quota;
 use crate::job::Job;
 
@@ -36,8 +36,9 @@
         if same_priority && job.key_version == cached.version {
             return false;
         }
-        let is_new_arrival =
-            job.record.is_none() && job.chunks.is_empty() && now > self.started_at + BACKLOG_MS;
+        let is_new_arrival = job.record.is_none()
+            && job.chunks.is_empty()
+            && now > self.started_at + INITIAL_BACKLOG_MS;
         let is_guaranteed = self.guaranteed_start_objective_s < f64::MAX
             && within_quota(
                 &spec.task_resources(),
