--- a/crates/coordination/src/placer/accounting.rs
+++ b/crates/coordination/src/placer/accounting.rs
@@ -83,12 +83,12 @@
     /// Removes an attempt from those that the machine's published usage does not include
     /// yet, and recomputes the machine's free resources.
     fn remove_unobserved(&mut self, machine: &MachineId, shard: u16, id: &JobId, task: u32) {
-        if let Some(uncounted) = self
+        if let Some(accepted_not_in_usage) = self
             .owner_channels
             .get_mut(usize::from(shard))
-            .and_then(|channel| channel.uncounted.get_mut(machine))
+            .and_then(|channel| channel.accepted_not_in_usage.get_mut(machine))
         {
-            uncounted.retain(|key| !key.matches(id, task));
+            accepted_not_in_usage.retain(|key| !key.matches(id, task));
         }
         let Some(unobserved) = self.unobserved_attempts.get_mut(machine) else {
             return;
@@ -105,7 +105,7 @@
     /// had accepted, so they are no longer added to it.
     pub(super) fn apply_machine_usage(&mut self, machine: &MachineId, shard: u16) {
         let counted = self.owner_channels[usize::from(shard)]
-            .uncounted
+            .accepted_not_in_usage
             .remove(machine)
             .unwrap_or_default();
         if let Some(unobserved) = self.unobserved_attempts.get_mut(machine) {
--- a/crates/coordination/src/placer/attempt_events.rs
+++ b/crates/coordination/src/placer/attempt_events.rs
@@ -69,7 +69,7 @@
             // message. Until then the attempt is still counted separately, so that its
             // resources are not allocated twice.
             self.owner_channels[usize::from(shard)]
-                .uncounted
+                .accepted_not_in_usage
                 .entry(machine)
                 .or_default()
                 .push(TaskKey::new(&id.job, id.task));
--- a/crates/coordination/src/placer/owner_channel.rs
+++ b/crates/coordination/src/placer/owner_channel.rs
@@ -40,7 +40,7 @@
     pub(super) observed: ObservedState,
     /// Accepted attempts that the published usage of their machine does not include yet,
     /// by machine.
-    pub(super) uncounted: HashMap<MachineId, Vec<TaskKey>>,
+    pub(super) accepted_not_in_usage: HashMap<MachineId, Vec<TaskKey>>,
     /// True if the owner is reached only through messages in the store.
     pub(super) via_store: bool,
     /// When the owner's last view arrived, ms.
--- a/crates/coordination/src/placer/reconciliation.rs
+++ b/crates/coordination/src/placer/reconciliation.rs
@@ -110,7 +110,7 @@
         if view.machines_range.complete {
             // The published usage of all machines is now as new as the attempt states.
             let machines: Vec<MachineId> = self.owner_channels[usize::from(shard)]
-                .uncounted
+                .accepted_not_in_usage
                 .keys()
                 .cloned()
                 .collect();
