--- a/crates/coordination/src/config.rs
+++ b/crates/coordination/src/config.rs
@@ -58,7 +58,7 @@
     /// Maximum number of changes in a compare-and-swap, under current and announced limits.
     pub cas_max_changes: usize,
     /// Changes per second that one placer may write for low-priority work.
-    pub idle_writes_per_s: usize,
+    pub low_priority_writes_per_s: usize,
     /// Maximum bytes of changes in one message through the store.
     pub store_message_bytes: usize,
     /// Sockets for each kind of traffic.
@@ -130,7 +130,7 @@
             wall_offset_ms: 0,
             max_clock_offset_ms: settings.cluster.clock_offset_ms.ceil() as u64,
             cas_max_changes,
-            idle_writes_per_s: (settings.cluster.kv_store.lowest_writes_per_s()
+            low_priority_writes_per_s: (settings.cluster.kv_store.lowest_writes_per_s()
                 * LOW_PRIORITY_WRITES_SHARE
                 / members.len().max(1) as f64)
                 .ceil() as usize,
--- a/crates/coordination/src/shard_lifecycle.rs
+++ b/crates/coordination/src/shard_lifecycle.rs
@@ -86,7 +86,7 @@
             zones: self.config.zones.clone(),
             max_cas_operations: self.config.cas_max_changes,
             headroom_share: self.policy.headroom_per_arrival,
-            low_priority_writes_per_s: self.config.idle_writes_per_s,
+            low_priority_writes_per_s: self.config.low_priority_writes_per_s,
             gang_wait_ms: self.config.gang_wait_ms,
             wall_offset_ms: self.config.wall_offset_ms,
             placement_weights: self.policy.placement_weights,
