--- a/crates/coordination/src/config.rs
+++ b/crates/coordination/src/config.rs
@@ -48,7 +48,7 @@
     pub timing: Timing,
     /// ms after the store's last answer during which heartbeats are still answered while a
     /// controller of an earlier peer version is live.
-    pub short_store_outage_grace_ms: u64,
+    pub mixed_version_store_outage_grace_ms: u64,
     /// Maximum bytes of a value in the store, under current and announced limits.
     pub value_bytes: usize,
     /// Time of day at the zero of the monotonic clock, ms.
@@ -124,8 +124,10 @@
             // tasks have ended. One published right after the store's last answer to this
             // controller must still be carried out before its deadline: attempts kept alive
             // during the grace period end with their leases.
-            short_store_outage_grace_ms: ms(workers.cancellation_deadline_s - workers.lease_s)
-                .saturating_sub(STORE_OUTAGE_GRACE_MARGIN_MS),
+            mixed_version_store_outage_grace_ms: ms(
+                workers.cancellation_deadline_s - workers.lease_s
+            )
+            .saturating_sub(STORE_OUTAGE_GRACE_MARGIN_MS),
             value_bytes,
             wall_offset_ms: 0,
             max_clock_offset_ms: settings.cluster.clock_offset_ms.ceil() as u64,
--- a/crates/coordination/src/heartbeats.rs
+++ b/crates/coordination/src/heartbeats.rs
@@ -220,7 +220,7 @@
             self.policy.store_outage_grace_ms
         } else {
             self.config
-                .short_store_outage_grace_ms
+                .mixed_version_store_outage_grace_ms
                 .min(self.policy.store_outage_grace_ms)
         }
     }
