--- a/crates/coordination/src/config.rs
+++ b/crates/coordination/src/config.rs
@@ -52,7 +52,7 @@
     /// Maximum bytes of a value in the store, under current and announced limits.
     pub value_bytes: usize,
     /// Time of day at the zero of the monotonic clock, ms.
-    pub wall_offset_ms: u64,
+    pub wall_clock_offset_ms: u64,
     /// Maximum error of a clock's time of day, ms.
     pub max_clock_offset_ms: u64,
     /// Maximum number of changes in a compare-and-swap, under current and announced limits.
@@ -129,7 +129,7 @@
             )
             .saturating_sub(STORE_OUTAGE_GRACE_MARGIN_MS),
             value_bytes,
-            wall_offset_ms: 0,
+            wall_clock_offset_ms: 0,
             max_clock_offset_ms: settings.cluster.clock_offset_ms.ceil() as u64,
             cas_max_changes,
             low_priority_writes_per_s: (settings.cluster.kv_store.lowest_writes_per_s()
--- a/crates/coordination/src/core.rs
+++ b/crates/coordination/src/core.rs
@@ -45,7 +45,7 @@
                 config.own_index,
                 config.members.iter().map(|m| m.host.clone()).collect(),
                 &config.timing,
-                config.wall_offset_ms,
+                config.wall_clock_offset_ms,
             ),
             config,
             cache: StateCache::default(),
--- a/crates/coordination/src/flush.rs
+++ b/crates/coordination/src/flush.rs
@@ -149,15 +149,19 @@
 
     /// Flushes a placer. Returns true if a sync within this process gave the placer new work.
     fn flush_placer(&mut self, index: u16, now: u64, effects: &mut Vec<Effect>) -> bool {
-        let wall_offset_ms = self.config.wall_offset_ms;
+        let wall_clock_offset_ms = self.config.wall_clock_offset_ms;
         let Some(shard) = self.shards.get_mut(&index) else {
             return false;
         };
         let peers = std::mem::take(&mut shard.peers_to_wake);
         effects.extend(peers.into_keys().map(Effect::WakePeer));
         shard.place_if_due(now);
-        shard.placer.advance_gang_admissions(now, wall_offset_ms);
-        shard.placer.consolidate_replicas(now, now + wall_offset_ms);
+        shard
+            .placer
+            .advance_gang_admissions(now, wall_clock_offset_ms);
+        shard
+            .placer
+            .consolidate_replicas(now, now + wall_clock_offset_ms);
         if let Some(cas) = shard.placer.next_cas(now) {
             effects.push(Effect::CompareAndSwap(shard.lease, cas));
         }
--- a/crates/coordination/src/heartbeats.rs
+++ b/crates/coordination/src/heartbeats.rs
@@ -43,8 +43,10 @@
     /// apart, so this is called regularly.
     pub fn set_wall_clock(&mut self, now: u64, wall_ms: u64) {
         let offset = wall_ms.saturating_sub(now);
-        let jump =
-            offset.saturating_sub(std::mem::replace(&mut self.config.wall_offset_ms, offset));
+        let jump = offset.saturating_sub(std::mem::replace(
+            &mut self.config.wall_clock_offset_ms,
+            offset,
+        ));
         // A stall in which the steady clock stood still shows only in the time of day, within
         // the error of that clock.
         if jump > 2 * self.config.max_clock_offset_ms + STALL_MS {
@@ -133,7 +135,7 @@
     /// process: renews the worker's lease, without commands, for as long as the reading in the
     /// worker's token allows.
     fn confirm_worker_lease(&self, heartbeat: &Heartbeat, now: u64) -> HeartbeatAnswer {
-        let wall = now + self.config.wall_offset_ms;
+        let wall = now + self.config.wall_clock_offset_ms;
         match worker_lease::renewable_until(
             heartbeat.fencing_token,
             wall,
@@ -176,7 +178,7 @@
         if index == self.config.own_index
             && let Some(at) = self.links.last_store_answer()
         {
-            let answered = at + self.config.wall_offset_ms;
+            let answered = at + self.config.wall_clock_offset_ms;
             shard
                 .owner
                 .renew_worker_lease(&heartbeat.machine, answered, now);
--- a/crates/coordination/src/links/history.rs
+++ b/crates/coordination/src/links/history.rs
@@ -30,7 +30,7 @@
     /// The history, oldest first.
     pub fn events(&self) -> Vec<EventRow> {
         let row = |(at, text): &(u64, String)| EventRow {
-            at_ms: at + self.wall_offset_ms,
+            at_ms: at + self.wall_clock_offset_ms,
             text: text.clone(),
         };
         self.history.events.iter().map(row).collect()
--- a/crates/coordination/src/links/mod.rs
+++ b/crates/coordination/src/links/mod.rs
@@ -40,7 +40,7 @@
     /// Host names of all controllers.
     hosts: Vec<String>,
     heartbeat_ms: u64,
-    wall_offset_ms: u64,
+    wall_clock_offset_ms: u64,
     store: UpstreamRoute,
     cloud: UpstreamRoute,
     /// Latencies of the services, on whatever route.
@@ -65,12 +65,12 @@
         own_index: u16,
         hosts: Vec<String>,
         timing: &Timing,
-        wall_offset_ms: u64,
+        wall_clock_offset_ms: u64,
     ) -> Self {
         Self {
             own_index,
             heartbeat_ms: timing.heartbeat_interval_ms,
-            wall_offset_ms,
+            wall_clock_offset_ms,
             store: UpstreamRoute::default(),
             cloud: UpstreamRoute::default(),
             latencies: BTreeMap::new(),
--- a/crates/coordination/src/placer/attempt_events.rs
+++ b/crates/coordination/src/placer/attempt_events.rs
@@ -211,7 +211,7 @@
     /// Stops the remaining tasks of a gang, which can't go on without the one that ended. The
     /// gang is placed again once all of them have ended.
     fn stop_rest_of_gang(&mut self, id: &JobId, now: u64) {
-        let time_of_day_ms = now + self.wall_offset_ms;
+        let time_of_day_ms = now + self.wall_clock_offset_ms;
         let Some(job) = self
             .jobs
             .get_mut(id)
--- a/crates/coordination/src/placer/gangs.rs
+++ b/crates/coordination/src/placer/gangs.rs
@@ -10,9 +10,9 @@
 
 impl Placer {
     /// Evaluates gangs with events since the last call or an expired deadline.
-    /// `wall_offset_ms` is the time of day at zero of the monotonic clock.
-    pub fn advance_gang_admissions(&mut self, now: u64, wall_offset_ms: u64) {
-        self.wall_offset_ms = wall_offset_ms;
+    /// `wall_clock_offset_ms` is the time of day at zero of the monotonic clock.
+    pub fn advance_gang_admissions(&mut self, now: u64, wall_clock_offset_ms: u64) {
+        self.wall_clock_offset_ms = wall_clock_offset_ms;
         while let Some((at, id)) = self
             .gang_deadlines
             .first()
@@ -49,7 +49,7 @@
         let (admission, members) = (admission.clone(), job.gang_members());
         match verdict(&admission, &members, self.gang_wait_ms, now) {
             GangVerdict::Admit => {
-                job.advance_admission(GangAdmissionStep::Admitted, now + self.wall_offset_ms);
+                job.advance_admission(GangAdmissionStep::Admitted, now + self.wall_clock_offset_ms);
                 self.update_indexes(id, now);
             }
             GangVerdict::Release(reason) => self.release_gang(id, reason, now),
@@ -62,7 +62,7 @@
     /// granted resources are freed. The gang is placed again once every member is proven to
     /// have ended.
     pub(super) fn release_gang(&mut self, id: &JobId, reason: ReleaseReason, now: u64) {
-        let time_of_day_ms = now + self.wall_offset_ms;
+        let time_of_day_ms = now + self.wall_clock_offset_ms;
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
--- a/crates/coordination/src/placer/jobs.rs
+++ b/crates/coordination/src/placer/jobs.rs
@@ -55,7 +55,7 @@
         (job.ended, job.end_unconfirmed) = (false, false);
         job.pending_reason = "not looked at yet";
         self.quota_dirty_teams.insert(spec.team.clone());
-        job.resume_admission(self.gang_wait_ms, now, now + self.wall_offset_ms);
+        job.resume_admission(self.gang_wait_ms, now, now + self.wall_clock_offset_ms);
         self.placement_due = true;
         if cached.record.cancel_requested {
             self.drop_unrecorded_attempts(id);
--- a/crates/coordination/src/placer/mod.rs
+++ b/crates/coordination/src/placer/mod.rs
@@ -118,7 +118,7 @@
     /// Time that a launched task of a gang waits on its machine for the others, ms.
     pub gang_wait_ms: u64,
     /// Time of day at zero of the monotonic clock, ms.
-    pub wall_offset_ms: u64,
+    pub wall_clock_offset_ms: u64,
     /// Weights of cost and risk in the placement of service replicas.
     pub placement_weights: ServicePlacementWeights,
 }
@@ -235,7 +235,7 @@
     low_priority_writes_resume_at: u64,
     gang_wait_ms: u64,
     /// Time of day at zero of the monotonic clock, ms.
-    wall_offset_ms: u64,
+    wall_clock_offset_ms: u64,
     /// Gangs to evaluate because of an event, and deadlines of others, ms.
     gangs_to_evaluate: BTreeSet<JobId>,
     gang_deadlines: BTreeSet<(u64, JobId)>,
@@ -273,7 +273,7 @@
             headroom_share,
             low_priority_writes_per_s,
             gang_wait_ms,
-            wall_offset_ms,
+            wall_clock_offset_ms,
             placement_weights,
         } = config;
         Self {
@@ -329,7 +329,7 @@
             low_priority_writes_per_s: low_priority_writes_per_s.max(1),
             low_priority_writes_resume_at: 0,
             gang_wait_ms,
-            wall_offset_ms,
+            wall_clock_offset_ms,
             gangs_to_evaluate: BTreeSet::new(),
             gang_deadlines: BTreeSet::new(),
             zones,
--- a/crates/coordination/src/placer/placing.rs
+++ b/crates/coordination/src/placer/placing.rs
@@ -295,7 +295,7 @@
         places: Vec<ReservedPlace>,
         now: u64,
     ) {
-        let planned_at = now + self.wall_offset_ms;
+        let planned_at = now + self.wall_clock_offset_ms;
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
--- a/crates/coordination/src/placer/unmet_demand.rs
+++ b/crates/coordination/src/placer/unmet_demand.rs
@@ -46,7 +46,8 @@
         let fetch_ms = job.spec().map_or(0, |spec| self.max_fetch_ms(spec));
         let max_wait_ms = LOW_PRIORITY_START_DEADLINE_MS
             .saturating_sub(self.boot_time_ms * 3 / 2 + fetch_ms + LOW_PRIORITY_START_SLACK_MS);
-        job.waited_ms(now, now + self.wall_offset_ms) >= max_wait_ms.max(MIN_LOW_PRIORITY_WAIT_MS)
+        job.waited_ms(now, now + self.wall_clock_offset_ms)
+            >= max_wait_ms.max(MIN_LOW_PRIORITY_WAIT_MS)
     }
 
     /// Adds the capacity that a job lacks to the unmet demand, within its team's quota limit.
--- a/crates/coordination/src/shard_lifecycle.rs
+++ b/crates/coordination/src/shard_lifecycle.rs
@@ -88,7 +88,7 @@
             headroom_share: self.policy.headroom_per_arrival,
             low_priority_writes_per_s: self.config.low_priority_writes_per_s,
             gang_wait_ms: self.config.gang_wait_ms,
-            wall_offset_ms: self.config.wall_offset_ms,
+            wall_clock_offset_ms: self.config.wall_clock_offset_ms,
             placement_weights: self.policy.placement_weights,
         };
         Placer::new(lease.shard, lease.token, shards, config, now)
--- a/crates/coordination/src/supervision/failover_log.rs
+++ b/crates/coordination/src/supervision/failover_log.rs
@@ -76,7 +76,7 @@
             previous_leader: from,
             new_leader: to,
             change,
-            at_ms: now + self.config.wall_offset_ms,
+            at_ms: now + self.config.wall_clock_offset_ms,
             up: informed.and_then(|s| s.placer.running_counts(shard)),
             completion: None,
         };
@@ -137,7 +137,9 @@
             .map(|(record, _)| record);
         let record_number = record.map(|r| r.number);
         let began_at = record.map_or(now, |r| {
-            r.at_ms.saturating_sub(self.config.wall_offset_ms).min(now)
+            r.at_ms
+                .saturating_sub(self.config.wall_clock_offset_ms)
+                .min(now)
         });
         if let Some(shard) = self.shards.get_mut(&lease.shard) {
             shard.placer.observe_services(&mut shard.failover, now);
--- a/crates/coordination/tests/ledger.rs
+++ b/crates/coordination/tests/ledger.rs
@@ -373,7 +373,7 @@
         });
         let terms = PlacerConfig {
             gang_wait_ms: GANG_WAIT_MS,
-            wall_offset_ms: 1_000_000,
+            wall_clock_offset_ms: 1_000_000,
             ..terms()
         };
         let mut placer = Placer::new(shard as u16, token, SHARDS as u16, terms, self.now);
--- a/crates/coordination/tests/support/mod.rs
+++ b/crates/coordination/tests/support/mod.rs
@@ -172,7 +172,7 @@
         headroom_share: 0.0,
         low_priority_writes_per_s: 12,
         gang_wait_ms: 50_000,
-        wall_offset_ms: 0,
+        wall_clock_offset_ms: 0,
         placement_weights: Default::default(),
     }
 }
--- a/crates/node/src/startup.rs
+++ b/crates/node/src/startup.rs
@@ -44,7 +44,7 @@
         let public = listen(settings.listen_addr).await?;
         let internal = listen(settings.internal_addr).await?;
         let mut config = Config::new(&settings);
-        config.wall_offset_ms = wall_clock_ms();
+        config.wall_clock_offset_ms = wall_clock_ms();
         let sockets = config.sockets;
         let (node, requests) = build(executor, settings, config, policy);
         let gate = Gate::new(
