--- a/crates/coordination/src/job/tasks.rs
+++ b/crates/coordination/src/job/tasks.rs
@@ -57,7 +57,7 @@
     }
 
     /// Number of tasks to place until half of the tasks have a live attempt or are done.
-    pub(crate) fn missing_to_half(&self) -> u64 {
+    pub(crate) fn tasks_missing_to_half(&self) -> u64 {
         u64::from(self.tasks.div_ceil(2))
             .saturating_sub(u64::from(self.done_count) + self.live.len() as u64)
     }
--- a/crates/coordination/src/placer/unmet_demand.rs
+++ b/crates/coordination/src/placer/unmet_demand.rs
@@ -95,7 +95,9 @@
         let is_gang = spec.kind == JobKind::Gang;
         let waiting = match u64::from(job.waiting_count()) {
             _ if must_begin && !is_gang => 1,
-            waiting if is_starved => waiting.min(job.missing_to_half()).min(MAX_DEMAND_TASKS),
+            waiting if is_starved => waiting
+                .min(job.tasks_missing_to_half())
+                .min(MAX_DEMAND_TASKS),
             waiting if is_low_priority => waiting.min(MAX_DEMAND_TASKS),
             waiting => waiting.min(self.max_demand_tasks(&job.need)),
         };
