--- a/crates/coordination/src/job.rs
+++ b/crates/coordination/src/job.rs
@@ -235,7 +235,7 @@
     /// every attempt is proven to have ended; otherwise a user would be told so while a
     /// machine in a partitioned zone still runs the job.
     pub(super) fn writable_end(&self) -> Option<JobPhase> {
-        if self.ended || self.record.is_none() || self.copy_is_stale() {
+        if self.ended || self.record.is_none() || self.record_is_stale() {
             None
         } else if self.is_complete() {
             Some(JobPhase::Done)
@@ -245,7 +245,7 @@
     }
 
     /// True if the job's key has changed since `record` was read.
-    pub(super) fn copy_is_stale(&self) -> bool {
+    pub(super) fn record_is_stale(&self) -> bool {
         self.conflicting_version == Some(self.key_version)
     }
 
--- a/crates/coordination/src/placer/write_queue.rs
+++ b/crates/coordination/src/placer/write_queue.rs
@@ -331,7 +331,7 @@
             return AddResult::Full;
         }
         let creates = chunk.version == 0 && !job.ended;
-        if creates && job.copy_is_stale() {
+        if creates && job.record_is_stale() {
             return AddResult::Continue;
         }
         if due.write_priority >= WritePriority::LowPriorityStart {
