--- a/crates/coordination/src/rate_limit.rs
+++ b/crates/coordination/src/rate_limit.rs
@@ -97,7 +97,7 @@
     /// Without this, requests would be refused again and again once the service lowers its
     /// limit without notice. If the settings state no lower limit, nothing is learned: a
     /// controller at its equal share is also refused while another one exceeds its own.
-    pub fn refused_by_lower_limit(&mut self) {
+    pub fn learn_limit_from_refusal(&mut self) {
         if self.rate <= self.share {
             let lower = (self.limit * LIMIT_DECREASE_FACTOR).max(self.min_limit);
             self.share *= lower / self.limit;
--- a/crates/coordination/tests/answers.rs
+++ b/crates/coordination/tests/answers.rs
@@ -290,7 +290,7 @@
 fn lower_limit_is_learned_only_if_the_settings_name_one() {
     let rate = |bucket: &mut TokenBucket| {
         for now_us in (0..20_000_000u64).step_by(100_000) {
-            bucket.refused_by_lower_limit();
+            bucket.learn_limit_from_refusal();
             bucket.take(1.0, now_us);
         }
         // What waits now waits for so long a change.
--- a/crates/node/src/rate_limit_share.rs
+++ b/crates/node/src/rate_limit_share.rs
@@ -42,6 +42,6 @@
 
     /// The service rejected a request for its rate (429).
     pub(crate) fn on_rejected(&self) {
-        self.bucket.borrow_mut().refused_by_lower_limit();
+        self.bucket.borrow_mut().learn_limit_from_refusal();
     }
 }
