--- a/crates/coordination/src/rate_limit.rs
+++ b/crates/coordination/src/rate_limit.rs
@@ -13,7 +13,7 @@
 const LIMIT_INCREASE_PER_S: f64 = 0.001;
 /// Fraction of a controller's equal share of the store's request rate that is reserved for
 /// reads and user queries, however many writes are waiting.
-pub const QUERY_SHARE: f64 = 0.5;
+pub const RESERVED_QUERY_SHARE: f64 = 0.5;
 
 /// A token bucket: tokens refill over time, and callers wait for the tokens they take.
 ///
@@ -139,7 +139,7 @@
     pub fn new(limit: f64, controllers: usize, now_us: u64) -> Self {
         Self {
             all: TokenBucket::new(limit, controllers, now_us),
-            queries: TokenBucket::new(limit / controllers as f64 * QUERY_SHARE, 1, now_us),
+            queries: TokenBucket::new(limit / controllers as f64 * RESERVED_QUERY_SHARE, 1, now_us),
         }
     }
 
--- a/crates/coordination/tests/answers.rs
+++ b/crates/coordination/tests/answers.rs
@@ -6,7 +6,7 @@
     LookupQueue, PENDING_REPLIES_MAX, PENDING_REPLY_KEPT_MS, QueryAdmission, QueryKind,
     QueryRefusal, REPLY_PRIORITY_AFTER_MS, RefusalSummary,
 };
-use lemonweir_coordination::rate_limit::{QUERY_SHARE, RequestBudget, TokenBucket};
+use lemonweir_coordination::rate_limit::{RESERVED_QUERY_SHARE, RequestBudget, TokenBucket};
 use lemonweir_model::JobId;
 use lemonweir_model::constants::{MAX_PENDING_LOOKUPS, SUBMISSION_TIMEOUT_MS};
 
@@ -260,7 +260,7 @@
         // The store refuses what is over the share.
         let share = limit / nodes as f64;
         let (mut worst, mut written, mut next_query_us) = (0, 0, 0);
-        let per_s = (share * QUERY_SHARE).min(25.0) as u64;
+        let per_s = (share * RESERVED_QUERY_SHARE).min(25.0) as u64;
         for now_us in (0..60_000_000u64).step_by(10_000) {
             requests.refused();
             // A flood of submissions, each taken while its turn is 0.8 s away at most.
