--- a/crates/coordination/src/gang_admission/mod.rs
+++ b/crates/coordination/src/gang_admission/mod.rs
@@ -163,7 +163,7 @@
 
 /// The decision on the next step of a gang.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum GangVerdict {
+pub enum GangDecision {
     /// Wait for an event or, if given, until this time, ms.
     Wait(Option<u64>),
     /// Admit the gang.
@@ -174,31 +174,31 @@
 
 /// Decides on the next step of a gang whose first members wait `gang_wait_ms` for the last
 /// one. The placer that planned the gang and any successor decide alike.
-pub fn verdict(
+pub fn decide(
     admission: &GangAdmission,
     members: &GangMembers,
     gang_wait_ms: u64,
     now: u64,
-) -> GangVerdict {
+) -> GangDecision {
     let release_after = |timeout_ms: u64, reason: ReleaseReason| match admission.since {
-        None => GangVerdict::Wait(None),
-        Some(at) if now >= at + timeout_ms => GangVerdict::Release(reason),
-        Some(at) => GangVerdict::Wait(Some(at + timeout_ms)),
+        None => GangDecision::Wait(None),
+        Some(at) if now >= at + timeout_ms => GangDecision::Release(reason),
+        Some(at) => GangDecision::Wait(Some(at + timeout_ms)),
     };
     match admission.step {
-        GangAdmissionStep::Released => GangVerdict::Wait(None),
+        GangAdmissionStep::Released => GangDecision::Wait(None),
         // The end of a member was recorded, and the placer stopped before it released the
         // rest, which would wait for that member forever.
-        _ if members.live < members.needed => GangVerdict::Release(ReleaseReason::NotWhole),
+        _ if members.live < members.needed => GangDecision::Release(ReleaseReason::NotWhole),
         GangAdmissionStep::Planned
             if admission.since.is_some()
                 && members.stopped == 0
                 && members.granted == members.live =>
         {
-            GangVerdict::Admit
+            GangDecision::Admit
         }
         // A controller of an earlier version launched the gang without admitting it.
-        _ if members.running > 0 => GangVerdict::Wait(None),
+        _ if members.running > 0 => GangDecision::Wait(None),
         GangAdmissionStep::Planned => {
             release_after(GANG_GRANT_TIMEOUT_MS, ReleaseReason::NotGranted)
         }
@@ -210,7 +210,7 @@
                 ReleaseReason::NotWhole,
             )
         }
-        GangAdmissionStep::Admitted | GangAdmissionStep::Other => GangVerdict::Wait(None),
+        GangAdmissionStep::Admitted | GangAdmissionStep::Other => GangDecision::Wait(None),
     }
 }
 
--- a/crates/coordination/src/placer/gangs.rs
+++ b/crates/coordination/src/placer/gangs.rs
@@ -5,7 +5,7 @@
 use tracing::info;
 
 use super::Placer;
-use crate::gang_admission::{GangVerdict, ReleaseReason, verdict};
+use crate::gang_admission::{GangDecision, ReleaseReason, decide};
 use crate::job::Job;
 
 impl Placer {
@@ -47,14 +47,14 @@
             admission.since = Some(now);
         }
         let (admission, members) = (admission.clone(), job.gang_members());
-        match verdict(&admission, &members, self.gang_wait_ms, now) {
-            GangVerdict::Admit => {
+        match decide(&admission, &members, self.gang_wait_ms, now) {
+            GangDecision::Admit => {
                 job.advance_admission(GangAdmissionStep::Admitted, now + self.wall_clock_offset_ms);
                 self.update_indexes(id, now);
             }
-            GangVerdict::Release(reason) => self.release_gang(id, reason, now),
-            GangVerdict::Wait(Some(at)) => drop(self.gang_deadlines.insert((at, id.clone()))),
-            GangVerdict::Wait(None) => {}
+            GangDecision::Release(reason) => self.release_gang(id, reason, now),
+            GangDecision::Wait(Some(at)) => drop(self.gang_deadlines.insert((at, id.clone()))),
+            GangDecision::Wait(None) => {}
         }
     }
 
--- a/crates/coordination/tests/ledger.rs
+++ b/crates/coordination/tests/ledger.rs
@@ -8,8 +8,8 @@
 use std::sync::Arc;
 
 use lemonweir_coordination::gang_admission::{
-    GANG_GRANT_TIMEOUT_MS, GangAdmission, GangMembers, GangVerdict, InheritedAdmission,
-    inherited_admission, verdict,
+    GANG_GRANT_TIMEOUT_MS, GangAdmission, GangDecision, GangMembers, InheritedAdmission, decide,
+    inherited_admission,
 };
 use lemonweir_coordination::owner::{CommandCall, CommandResult, Owner};
 use lemonweir_coordination::placer::{CompareAndSwapOutcome, Placer, PlacerConfig, ShardOwnership};
@@ -99,10 +99,10 @@
                         attempt: 1,
                         since,
                     };
-                    let got = match verdict(&admission, &m, wait, now) {
-                        GangVerdict::Wait(_) => "wait",
-                        GangVerdict::Admit => "admit",
-                        GangVerdict::Release(_) => "release",
+                    let got = match decide(&admission, &m, wait, now) {
+                        GangDecision::Wait(_) => "wait",
+                        GangDecision::Admit => "admit",
+                        GangDecision::Release(_) => "release",
                     };
                     assert_eq!(
                         got,
