--- a/crates/coordination/src/core.rs
+++ b/crates/coordination/src/core.rs
@@ -5,7 +5,7 @@
 
 use crate::dependencies::DependencyGraph;
 use crate::links::Links;
-use crate::process_stall::ProcessStall;
+use crate::process_stall::StallDetector;
 use crate::shard::Shard;
 use crate::{Config, WorkCounters};
 use lemonweir_model::policy::Policy;
@@ -31,7 +31,7 @@
     pub(crate) peer_progress: HashMap<JobId, JobProgress>,
     /// Number of commands to machines in flight.
     pub(crate) commands_in_flight: usize,
-    pub(crate) stall: ProcessStall,
+    pub(crate) stall: StallDetector,
     pub(crate) dependencies: DependencyGraph,
     /// Zones seen in heartbeats but missing from the settings; each is logged once.
     pub(crate) unknown_zones: BTreeSet<String>,
@@ -54,7 +54,7 @@
             shards: BTreeMap::new(),
             peer_progress: HashMap::new(),
             commands_in_flight: 0,
-            stall: ProcessStall::default(),
+            stall: StallDetector::default(),
             dependencies: DependencyGraph::default(),
             unknown_zones: BTreeSet::new(),
         }
--- a/crates/coordination/src/process_stall.rs
+++ b/crates/coordination/src/process_stall.rs
@@ -12,7 +12,7 @@
 
 /// Detects stalls of this process and remembers the last one.
 #[derive(Debug, Default)]
-pub(crate) struct ProcessStall {
+pub(crate) struct StallDetector {
     /// When the last event was recorded, ms.
     last_event: Option<u64>,
     /// When this process last resumed after a stall, ms.
@@ -22,7 +22,7 @@
     confirm_from: u64,
 }
 
-impl ProcessStall {
+impl StallDetector {
     /// Records an event at `now`. Returns the ms for which this process stalled before it, if
     /// it did.
     pub(crate) fn record_event(&mut self, now: u64) -> Option<u64> {
--- a/crates/coordination/src/process_stall/tests.rs
+++ b/crates/coordination/src/process_stall/tests.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn long_stall_leaves_leases_unconfirmed_until_the_store_answers() {
-    let mut stall = ProcessStall::default();
+    let mut stall = StallDetector::default();
     for now in (0..5_000).step_by(100) {
         assert_eq!(stall.record_event(now), None);
     }
