--- a/crates/coordination/src/machine.rs
+++ b/crates/coordination/src/machine.rs
@@ -169,7 +169,7 @@
     pub(super) release_in_progress: bool,
     pub(super) release_requested: bool,
     /// Shard of the placer that had the machine provisioned.
-    pub(super) requested_by: Option<u16>,
+    pub(super) provisioned_by: Option<u16>,
     pub(super) known_since: u64,
     pub(super) provisioned_at: u64,
     /// Its placer or the provider's inventory reported when it was provisioned.
@@ -215,7 +215,7 @@
             quarantine: None,
             release_in_progress: false,
             release_requested: false,
-            requested_by: None,
+            provisioned_by: None,
             known_since: now,
             provisioned_at: now,
             announced: false,
--- a/crates/coordination/src/owner/inventory.rs
+++ b/crates/coordination/src/owner/inventory.rs
@@ -62,7 +62,7 @@
         now: u64,
     ) {
         if let Some(m) = self.register_instance(instance, now) {
-            m.requested_by = Some(placer);
+            m.provisioned_by = Some(placer);
             self.changed_machines.insert(instance.machine.clone());
         }
     }
--- a/crates/coordination/src/owner/published_state.rs
+++ b/crates/coordination/src/owner/published_state.rs
@@ -52,7 +52,7 @@
             service_task_count: self.service_replicas(id),
             cached_images: m.images.iter().map(|(name, _)| name.clone()).collect(),
             pulling_images: self.images_to_pull(id, m),
-            provisioned_by: m.requested_by,
+            provisioned_by: m.provisioned_by,
         }
     }
 
