--- a/crates/coordination/src/config.rs
+++ b/crates/coordination/src/config.rs
@@ -48,17 +48,17 @@
     pub timing: Timing,
     /// ms after the store's last answer during which heartbeats are still answered while a
     /// controller of an earlier peer version is live.
-    pub short_store_outage_grace_ms: u64,
+    pub mixed_version_store_outage_grace_ms: u64,
     /// Maximum bytes of a value in the store, under current and announced limits.
     pub value_bytes: usize,
     /// Time of day at the zero of the monotonic clock, ms.
-    pub wall_offset_ms: u64,
+    pub wall_clock_offset_ms: u64,
     /// Maximum error of a clock's time of day, ms.
     pub max_clock_offset_ms: u64,
     /// Maximum number of changes in a compare-and-swap, under current and announced limits.
     pub cas_max_changes: usize,
     /// Changes per second that one placer may write for low-priority work.
-    pub idle_writes_per_s: usize,
+    pub low_priority_writes_per_s: usize,
     /// Maximum bytes of changes in one message through the store.
     pub store_message_bytes: usize,
     /// Sockets for each kind of traffic.
@@ -124,13 +124,15 @@
             // tasks have ended. One published right after the store's last answer to this
             // controller must still be carried out before its deadline: attempts kept alive
             // during the grace period end with their leases.
-            short_store_outage_grace_ms: ms(workers.cancellation_deadline_s - workers.lease_s)
-                .saturating_sub(STORE_OUTAGE_GRACE_MARGIN_MS),
+            mixed_version_store_outage_grace_ms: ms(
+                workers.cancellation_deadline_s - workers.lease_s
+            )
+            .saturating_sub(STORE_OUTAGE_GRACE_MARGIN_MS),
             value_bytes,
-            wall_offset_ms: 0,
+            wall_clock_offset_ms: 0,
             max_clock_offset_ms: settings.cluster.clock_offset_ms.ceil() as u64,
             cas_max_changes,
-            idle_writes_per_s: (settings.cluster.kv_store.lowest_writes_per_s()
+            low_priority_writes_per_s: (settings.cluster.kv_store.lowest_writes_per_s()
                 * LOW_PRIORITY_WRITES_SHARE
                 / members.len().max(1) as f64)
                 .ceil() as usize,
--- a/crates/coordination/src/job/tasks.rs
+++ b/crates/coordination/src/job/tasks.rs
@@ -47,7 +47,7 @@
     }
 
     /// True if any task is placed, has run, or is done.
-    pub(crate) fn has_begun(&self) -> bool {
+    pub(crate) fn has_started(&self) -> bool {
         self.has_run || self.done_count > 0 || !self.live.is_empty()
     }
 
@@ -57,7 +57,7 @@
     }
 
     /// Number of tasks to place until half of the tasks have a live attempt or are done.
-    pub(crate) fn missing_to_half(&self) -> u64 {
+    pub(crate) fn tasks_missing_to_half(&self) -> u64 {
         u64::from(self.tasks.div_ceil(2))
             .saturating_sub(u64::from(self.done_count) + self.live.len() as u64)
     }
--- a/crates/coordination/src/placer/attempt_events.rs
+++ b/crates/coordination/src/placer/attempt_events.rs
@@ -69,7 +69,7 @@
             // message. Until then the attempt is still counted separately, so that its
             // resources are not allocated twice.
             self.owner_channels[usize::from(shard)]
-                .uncounted
+                .accepted_not_in_usage
                 .entry(machine)
                 .or_default()
                 .push(TaskKey::new(&id.job, id.task));
@@ -211,7 +211,7 @@
     /// Stops the remaining tasks of a gang, which can't go on without the one that ended. The
     /// gang is placed again once all of them have ended.
     fn stop_rest_of_gang(&mut self, id: &JobId, now: u64) {
-        let time_of_day_ms = now + self.wall_offset_ms;
+        let time_of_day_ms = now + self.wall_clock_offset_ms;
         let Some(job) = self
             .jobs
             .get_mut(id)
--- a/crates/coordination/src/placer/gangs.rs
+++ b/crates/coordination/src/placer/gangs.rs
@@ -5,14 +5,14 @@
 use tracing::info;
 
 use super::Placer;
-use crate::gang_admission::{GangVerdict, ReleaseReason, verdict};
+use crate::gang_admission::{GangDecision, ReleaseReason, decide};
 use crate::job::Job;
 
 impl Placer {
     /// Evaluates gangs with events since the last call or an expired deadline.
-    /// `wall_offset_ms` is the time of day at zero of the monotonic clock.
-    pub fn advance_gang_admissions(&mut self, now: u64, wall_offset_ms: u64) {
-        self.wall_offset_ms = wall_offset_ms;
+    /// `wall_clock_offset_ms` is the time of day at zero of the monotonic clock.
+    pub fn advance_gang_admissions(&mut self, now: u64, wall_clock_offset_ms: u64) {
+        self.wall_clock_offset_ms = wall_clock_offset_ms;
         while let Some((at, id)) = self
             .gang_deadlines
             .first()
@@ -47,14 +47,14 @@
             admission.since = Some(now);
         }
         let (admission, members) = (admission.clone(), job.gang_members());
-        match verdict(&admission, &members, self.gang_wait_ms, now) {
-            GangVerdict::Admit => {
-                job.advance_admission(GangAdmissionStep::Admitted, now + self.wall_offset_ms);
+        match decide(&admission, &members, self.gang_wait_ms, now) {
+            GangDecision::Admit => {
+                job.advance_admission(GangAdmissionStep::Admitted, now + self.wall_clock_offset_ms);
                 self.update_indexes(id, now);
             }
-            GangVerdict::Release(reason) => self.release_gang(id, reason, now),
-            GangVerdict::Wait(Some(at)) => drop(self.gang_deadlines.insert((at, id.clone()))),
-            GangVerdict::Wait(None) => {}
+            GangDecision::Release(reason) => self.release_gang(id, reason, now),
+            GangDecision::Wait(Some(at)) => drop(self.gang_deadlines.insert((at, id.clone()))),
+            GangDecision::Wait(None) => {}
         }
     }
 
@@ -62,7 +62,7 @@
     /// granted resources are freed. The gang is placed again once every member is proven to
     /// have ended.
     pub(super) fn release_gang(&mut self, id: &JobId, reason: ReleaseReason, now: u64) {
-        let time_of_day_ms = now + self.wall_offset_ms;
+        let time_of_day_ms = now + self.wall_clock_offset_ms;
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -90,7 +90,7 @@
 
     /// True if a gang has an unwritten step after planning. Such steps are written first,
     /// because owners hold resources for the gang that nothing can use meanwhile.
-    pub(super) fn admission_step_first(job: &Job) -> bool {
+    pub(super) fn has_urgent_admission_step(job: &Job) -> bool {
         !job.is_stopping()
             && job.has_unwritten_step()
             && job
--- a/crates/coordination/src/placer/jobs.rs
+++ b/crates/coordination/src/placer/jobs.rs
@@ -6,7 +6,7 @@
 use tracing::info;
 
 use super::Placer;
-use super::headroom::BACKLOG_MS;
+use super::headroom::INITIAL_BACKLOG_MS;
 use super::quotas::within_quota;
 use crate::job::Job;
 
@@ -36,8 +36,9 @@
         if same_priority && job.key_version == cached.version {
             return false;
         }
-        let is_new_arrival =
-            job.record.is_none() && job.chunks.is_empty() && now > self.started_at + BACKLOG_MS;
+        let is_new_arrival = job.record.is_none()
+            && job.chunks.is_empty()
+            && now > self.started_at + INITIAL_BACKLOG_MS;
         let is_guaranteed = self.guaranteed_start_objective_s < f64::MAX
             && within_quota(
                 &spec.task_resources(),
@@ -54,7 +55,7 @@
         (job.ended, job.end_unconfirmed) = (false, false);
         job.pending_reason = "not looked at yet";
         self.quota_dirty_teams.insert(spec.team.clone());
-        job.resume_admission(self.gang_wait_ms, now, now + self.wall_offset_ms);
+        job.resume_admission(self.gang_wait_ms, now, now + self.wall_clock_offset_ms);
         self.placement_due = true;
         if cached.record.cancel_requested {
             self.drop_unrecorded_attempts(id);
--- a/crates/coordination/src/placer/mod.rs
+++ b/crates/coordination/src/placer/mod.rs
@@ -118,9 +118,9 @@
     /// Time that a launched task of a gang waits on its machine for the others, ms.
     pub gang_wait_ms: u64,
     /// Time of day at zero of the monotonic clock, ms.
-    pub wall_offset_ms: u64,
+    pub wall_clock_offset_ms: u64,
     /// Weights of cost and risk in the placement of service replicas.
-    pub trade: ServicePlacementWeights,
+    pub placement_weights: ServicePlacementWeights,
 }
 
 /// An event of a task, for the supervision of services.
@@ -207,7 +207,7 @@
     /// Highest image fetch rate of the catalog's machine types, GB/s.
     fetch_gb_per_s: f64,
     /// Weights of cost and risk in the placement of service replicas.
-    trade: ServicePlacementWeights,
+    placement_weights: ServicePlacementWeights,
     /// Job after which the next search for better places begins.
     rebalance_cursor: Option<JobId>,
     /// Sizes and use of images.
@@ -235,7 +235,7 @@
     low_priority_writes_resume_at: u64,
     gang_wait_ms: u64,
     /// Time of day at zero of the monotonic clock, ms.
-    wall_offset_ms: u64,
+    wall_clock_offset_ms: u64,
     /// Gangs to evaluate because of an event, and deadlines of others, ms.
     gangs_to_evaluate: BTreeSet<JobId>,
     gang_deadlines: BTreeSet<(u64, JobId)>,
@@ -249,7 +249,7 @@
     last_rebalance_at: u64,
     /// Other shard that a task was last placed in; the next search of other shards starts
     /// after it.
-    next_remote_shard: u16,
+    last_remote_shard: u16,
     /// Services under supervision, and their observed state.
     pub(crate) services: SupervisedServices,
     /// Events not handed to supervision yet, oldest first.
@@ -273,8 +273,8 @@
             headroom_share,
             low_priority_writes_per_s,
             gang_wait_ms,
-            wall_offset_ms,
-            trade,
+            wall_clock_offset_ms,
+            placement_weights,
         } = config;
         Self {
             shard,
@@ -314,7 +314,7 @@
             machine_capacities: Vec::new(),
             started_at: now,
             fetch_gb_per_s: f64::MAX,
-            trade,
+            placement_weights,
             rebalance_cursor: None,
             image_usage: ImageUsage::default(),
             cache_mb_by_type: HashMap::new(),
@@ -329,7 +329,7 @@
             low_priority_writes_per_s: low_priority_writes_per_s.max(1),
             low_priority_writes_resume_at: 0,
             gang_wait_ms,
-            wall_offset_ms,
+            wall_clock_offset_ms,
             gangs_to_evaluate: BTreeSet::new(),
             gang_deadlines: BTreeSet::new(),
             zones,
@@ -338,7 +338,7 @@
             last_shortage_at: 0,
             last_placement_at: 0,
             last_rebalance_at: 0,
-            next_remote_shard: shard,
+            last_remote_shard: shard,
             services: SupervisedServices::default(),
             replica_events: Vec::new(),
         }
@@ -406,7 +406,7 @@
     }
 
     /// Number of bit set words and machines examined by this placer's searches.
-    pub fn inspected(&self) -> u64 {
+    pub fn candidates_examined(&self) -> u64 {
         self.indexes
             .iter()
             .map(PlacementIndex::candidates_examined)
--- a/crates/coordination/src/placer/placing.rs
+++ b/crates/coordination/src/placer/placing.rs
@@ -230,7 +230,7 @@
         let mut scoring =
             self.scoring_inputs(search.job, None, &request, &search.order, search.now);
         scoring.risk.cached_first = unit.needs_image && !search.is_relocating;
-        let classes = placement_classes(&self.trade, &scoring.risk);
+        let classes = placement_classes(&self.placement_weights, &scoring.risk);
         let (preferred, fallback) = if unit.needs_image {
             let cached = classes
                 .iter()
@@ -295,7 +295,7 @@
         places: Vec<ReservedPlace>,
         now: u64,
     ) {
-        let planned_at = now + self.wall_offset_ms;
+        let planned_at = now + self.wall_clock_offset_ms;
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -325,7 +325,7 @@
             is_image_cached,
         } = *reserved;
         if place.shard != usize::from(self.shard) {
-            self.next_remote_shard = place.shard as u16;
+            self.last_remote_shard = place.shard as u16;
         }
         let Some(job) = self.jobs.get_mut(id) else {
             return;
--- a/crates/coordination/src/placer/scoring.rs
+++ b/crates/coordination/src/placer/scoring.rs
@@ -34,7 +34,7 @@
     pub(super) fn shard_search_order(&self) -> Vec<CandidateShard> {
         let (own, shards) = (usize::from(self.shard), self.indexes.len() as u16);
         let others = (1..=shards)
-            .map(|k| usize::from((self.next_remote_shard + k) % shards))
+            .map(|k| usize::from((self.last_remote_shard + k) % shards))
             .filter(|&shard| shard != own);
         let mut order: Vec<CandidateShard> = std::iter::once(own)
             .chain(others)
@@ -144,7 +144,13 @@
             (Some(zones), _) => zones.iter().copied().collect(),
             (None, _) => all_zones(&self.indexes),
         };
-        if self.trade.zone_loss.max(self.trade.single_zone) <= 0.0 || zones.len() <= 1 {
+        if self
+            .placement_weights
+            .zone_loss
+            .max(self.placement_weights.single_zone)
+            <= 0.0
+            || zones.len() <= 1
+        {
             return None;
         }
         risk.zone_count = zones.len() as u32;
--- a/crates/coordination/src/placer/unmet_demand.rs
+++ b/crates/coordination/src/placer/unmet_demand.rs
@@ -39,14 +39,15 @@
 impl Placer {
     /// True if no task of a low-priority job has started, and it can't wait any longer for
     /// low-cost capacity: a machine that is requested now still takes a boot and a fetch.
-    pub(super) fn must_begin_now(&self, job: &Job, now: u64) -> bool {
-        if job.priority() != Priority::Low || job.has_begun() {
+    pub(super) fn must_start_now(&self, job: &Job, now: u64) -> bool {
+        if job.priority() != Priority::Low || job.has_started() {
             return false;
         }
         let fetch_ms = job.spec().map_or(0, |spec| self.max_fetch_ms(spec));
         let max_wait_ms = LOW_PRIORITY_START_DEADLINE_MS
             .saturating_sub(self.boot_time_ms * 3 / 2 + fetch_ms + LOW_PRIORITY_START_SLACK_MS);
-        job.waited_ms(now, now + self.wall_offset_ms) >= max_wait_ms.max(MIN_LOW_PRIORITY_WAIT_MS)
+        job.waited_ms(now, now + self.wall_clock_offset_ms)
+            >= max_wait_ms.max(MIN_LOW_PRIORITY_WAIT_MS)
     }
 
     /// Adds the capacity that a job lacks to the unmet demand, within its team's quota limit.
@@ -87,14 +88,16 @@
     ) -> Option<CapacityDemand> {
         let is_low_priority = spec.priority == Priority::Low;
         let is_starved = is_low_priority && job.is_starved(now);
-        let must_begin = self.must_begin_now(job, now);
+        let must_begin = self.must_start_now(job, now);
         if is_low_priority && !spec.allow_spot && !is_starved && !must_begin {
             return None;
         }
         let is_gang = spec.kind == JobKind::Gang;
         let waiting = match u64::from(job.waiting_count()) {
             _ if must_begin && !is_gang => 1,
-            waiting if is_starved => waiting.min(job.missing_to_half()).min(MAX_DEMAND_TASKS),
+            waiting if is_starved => waiting
+                .min(job.tasks_missing_to_half())
+                .min(MAX_DEMAND_TASKS),
             waiting if is_low_priority => waiting.min(MAX_DEMAND_TASKS),
             waiting => waiting.min(self.max_demand_tasks(&job.need)),
         };
--- a/crates/coordination/src/rate_limit.rs
+++ b/crates/coordination/src/rate_limit.rs
@@ -13,7 +13,7 @@
 const LIMIT_INCREASE_PER_S: f64 = 0.001;
 /// Fraction of a controller's equal share of the store's request rate that is reserved for
 /// reads and user queries, however many writes are waiting.
-pub const QUERY_SHARE: f64 = 0.5;
+pub const RESERVED_QUERY_SHARE: f64 = 0.5;
 
 /// A token bucket: tokens refill over time, and callers wait for the tokens they take.
 ///
@@ -97,7 +97,7 @@
     /// Without this, requests would be refused again and again once the service lowers its
     /// limit without notice. If the settings state no lower limit, nothing is learned: a
     /// controller at its equal share is also refused while another one exceeds its own.
-    pub fn refused_by_lower_limit(&mut self) {
+    pub fn learn_limit_from_refusal(&mut self) {
         if self.rate <= self.share {
             let lower = (self.limit * LIMIT_DECREASE_FACTOR).max(self.min_limit);
             self.share *= lower / self.limit;
@@ -139,7 +139,7 @@
     pub fn new(limit: f64, controllers: usize, now_us: u64) -> Self {
         Self {
             all: TokenBucket::new(limit, controllers, now_us),
-            queries: TokenBucket::new(limit / controllers as f64 * QUERY_SHARE, 1, now_us),
+            queries: TokenBucket::new(limit / controllers as f64 * RESERVED_QUERY_SHARE, 1, now_us),
         }
     }
 
