--- a/crates/coordination/src/boot_time.rs
+++ b/crates/coordination/src/boot_time.rs
@@ -1,32 +1,32 @@
-//! Boot times: how long machines take from the request to their first heartbeat, learned
-//! by type, zone and price from the heartbeats themselves.
+//! Boot times: the time from the request of a machine to its first heartbeat, estimated per
+//! machine type, zone and market from observed boots.
 //!
-//! The catalog's boot time is what is usual; at times machines come several times as late,
-//! in a second, or never. What is learned is a quantile of the last boots, so that a few
-//! outliers don't move it, and bounded both ways by the catalog's value, which counts
-//! alone until enough was seen.
+//! The catalog lists the typical boot time, but at times machines take several times as long,
+//! boot within a second, or never come up. Estimates are quantiles of the last boots, so that a
+//! few outliers don't shift them, and are bounded on both sides by multiples of the catalog's
+//! value. Until enough boots were observed, the catalog's value is used.
 
 use std::collections::{BTreeMap, VecDeque};
 
-/// Boots remembered of a class: what was usual some minutes ago.
+/// Boots kept per class: the estimate covers the last minutes.
 const BOOT_SAMPLES_MAX: usize = 32;
-/// Boots that must have been seen before they count more than the catalog.
+/// Observed boots required before they replace the catalog's value.
 const BOOT_SAMPLES_MIN: usize = 8;
-/// Bounds of the usual boot time, in times of the catalog's: a second would make idle
-/// machines worth nothing, minutes would keep all of them.
-const USUAL_BOOT_MIN_FACTOR: f64 = 0.25;
-/// See [`USUAL_BOOT_MIN_FACTOR`].
-const USUAL_BOOT_MAX_FACTOR: f64 = 3.0;
-/// Bounds of the provisioning timeout, in times of the catalog's boot time: the protocol
-/// page has usual boots take up to 1.5 times it.
+/// Lower bound of the typical boot time, as a multiple of the catalog's. Without bounds, boots
+/// of a second would make idle machines worthless, and boots of minutes would keep all of them.
+const TYPICAL_BOOT_MIN_FACTOR: f64 = 0.25;
+/// Upper bound; see [`TYPICAL_BOOT_MIN_FACTOR`].
+const TYPICAL_BOOT_MAX_FACTOR: f64 = 3.0;
+/// Lower bound of the provisioning timeout, as a multiple of the catalog's boot time: according
+/// to the protocol documentation, usual boots take up to 1.5 times it.
 const PROVISIONING_TIMEOUT_MIN_FACTOR: f64 = 1.6;
-/// See [`PROVISIONING_TIMEOUT_MIN_FACTOR`].
+/// Upper bound; see [`PROVISIONING_TIMEOUT_MIN_FACTOR`].
 const PROVISIONING_TIMEOUT_MAX_FACTOR: f64 = 4.0;
 
-/// Machine type, zone, spot.
+/// Machine type, zone, and whether it is a spot instance.
 type MachineClass = (String, String, bool);
 
-/// The boots that one owner has seen.
+/// Boot times observed by one owner.
 #[derive(Debug, Default)]
 pub(crate) struct BootTimes {
     samples_by_class: BTreeMap<MachineClass, VecDeque<u64>>,
@@ -34,10 +34,10 @@
 
 impl BootTimes {
     /// Records that a machine's first heartbeat came `boot_ms` after its request.
-    pub(crate) fn record_boot(&mut self, kind: &str, zone: &str, spot: bool, boot_ms: u64) {
+    pub(crate) fn record_boot(&mut self, machine_type: &str, zone: &str, spot: bool, boot_ms: u64) {
         let samples = self
             .samples_by_class
-            .entry((kind.to_owned(), zone.to_owned(), spot))
+            .entry((machine_type.to_owned(), zone.to_owned(), spot))
             .or_default();
         samples.push_back(boot_ms);
         if samples.len() > BOOT_SAMPLES_MAX {
@@ -45,12 +45,12 @@
         }
     }
 
-    /// ms that `percent` of the last boots did not exceed; `None` until
-    /// enough were seen.
-    fn quantile(&self, kind: &str, zone: &str, spot: bool, percent: usize) -> Option<u64> {
+    /// Returns the time that `percent` of the last boots did not exceed, ms; `None` until enough
+    /// were observed.
+    fn quantile(&self, machine_type: &str, zone: &str, spot: bool, percent: usize) -> Option<u64> {
         let samples = self
             .samples_by_class
-            .get(&(kind.to_owned(), zone.to_owned(), spot))
+            .get(&(machine_type.to_owned(), zone.to_owned(), spot))
             .filter(|s| s.len() >= BOOT_SAMPLES_MIN)?;
         let mut sorted: Vec<u64> = samples.iter().copied().collect();
         sorted.sort_unstable();
@@ -59,29 +59,36 @@
             .copied()
     }
 
-    /// ms that a boot usually takes, where the catalog says `listed_ms`.
-    pub(crate) fn usual_ms(&self, kind: &str, zone: &str, spot: bool, listed_ms: u64) -> u64 {
-        let most = (listed_ms as f64 * USUAL_BOOT_MAX_FACTOR) as u64;
-        self.quantile(kind, zone, spot, 50).map_or(listed_ms, |ms| {
-            ms.clamp((listed_ms as f64 * USUAL_BOOT_MIN_FACTOR) as u64, most)
-        })
+    /// Returns the typical boot time, ms, given the catalog's `catalog_ms`.
+    pub(crate) fn usual_ms(
+        &self,
+        machine_type: &str,
+        zone: &str,
+        spot: bool,
+        catalog_ms: u64,
+    ) -> u64 {
+        let max_ms = (catalog_ms as f64 * TYPICAL_BOOT_MAX_FACTOR) as u64;
+        self.quantile(machine_type, zone, spot, 50)
+            .map_or(catalog_ms, |ms| {
+                ms.clamp((catalog_ms as f64 * TYPICAL_BOOT_MIN_FACTOR) as u64, max_ms)
+            })
     }
 
-    /// ms after which the provisioning of a machine has timed out: it may still come up, but
-    /// is no longer counted on.
+    /// Returns the time after which the provisioning of a machine times out, ms. The machine may
+    /// still come up, but is no longer expected.
     pub(crate) fn provisioning_timeout_ms(
         &self,
-        kind: &str,
+        machine_type: &str,
         zone: &str,
         spot: bool,
-        listed_ms: u64,
+        catalog_ms: u64,
     ) -> u64 {
-        let (least, most) = (
-            (listed_ms as f64 * PROVISIONING_TIMEOUT_MIN_FACTOR) as u64,
-            (listed_ms as f64 * PROVISIONING_TIMEOUT_MAX_FACTOR) as u64,
+        let (min_ms, max_ms) = (
+            (catalog_ms as f64 * PROVISIONING_TIMEOUT_MIN_FACTOR) as u64,
+            (catalog_ms as f64 * PROVISIONING_TIMEOUT_MAX_FACTOR) as u64,
         );
-        self.quantile(kind, zone, spot, 90)
-            .map_or(least, |ms| (ms + ms / 4).clamp(least, most))
+        self.quantile(machine_type, zone, spot, 90)
+            .map_or(min_ms, |ms| (ms + ms / 4).clamp(min_ms, max_ms))
     }
 }
 
--- a/crates/coordination/src/boot_time/tests.rs
+++ b/crates/coordination/src/boot_time/tests.rs
@@ -61,7 +61,7 @@
         boot_times(&outliers).provisioning_timeout_ms("box", "north", true, 30_000),
         48_000
     );
-    // What is usual follows within as many boots as are kept.
+    // The estimate follows a change within BOOT_SAMPLES_MAX boots.
     let mut changed = boot_times(&[1_000; 100]);
     (0..BOOT_SAMPLES_MAX).for_each(|_| changed.record_boot("box", "north", true, 31_000));
     assert_eq!(changed.usual_ms("box", "north", true, 30_000), 31_000);
--- a/crates/coordination/src/image_locality/report.rs
+++ b/crates/coordination/src/image_locality/report.rs
@@ -1,5 +1,5 @@
-//! The report on one image for operators. It is computed on demand from what this
-//! controller tracks and was sent, so it works during an outage of the store.
+//! Report on one image for operators. It is computed on demand from this controller's memory,
+//! so it is available during an outage of the store.
 
 use std::collections::BTreeMap;
 
@@ -10,30 +10,30 @@
 };
 
 impl Core {
-    /// Where an image is cached, who uses it, and how many copies the loss of each zone
-    /// would leave.
+    /// Reports where an image is cached, which jobs use it, and how many copies would remain
+    /// after the loss of each zone.
     pub fn image_locality_report(&self, image: &str, now: u64) -> ImageLocalityReport {
-        let (mb, users) = self.image_users(image);
-        // Any of our placers has the machines of all shards.
+        let (image_mb, users) = self.image_users(image);
+        // Each local placer knows the machines of all shards, so any of them serves.
         let placer = self.shards.values().next().map(|shard| &shard.placer);
         let shards = placer
             .into_iter()
             .flat_map(|p| p.view_ages_s(now))
-            .map(|(shard, told_s)| ShardImageRow {
+            .map(|(shard, view_age_s)| ShardImageRow {
                 shard,
-                age_s: told_s,
+                age_s: view_age_s,
             })
             .collect();
         ImageLocalityReport {
             image: image.to_owned(),
-            size_mb: mb,
+            size_mb: image_mb,
             users,
             zones: self.image_zones(image, placer),
             shards,
         }
     }
 
-    /// Size of the image, MB, and its unfinished jobs and their tasks by class.
+    /// Returns the size of an image, MB, and the unfinished jobs and tasks that use it, by class.
     fn image_users(&self, image: &str) -> (Option<u64>, Vec<ImageUserRow>) {
         let mut by_class: BTreeMap<&str, (u64, u64)> = BTreeMap::new();
         let mut size_mb = None;
@@ -59,7 +59,7 @@
         (size_mb, users)
     }
 
-    /// Copies of the image in each zone, as far as the placer knows.
+    /// Counts the copies of an image in each zone, as far as the placer knows.
     fn image_zones(&self, image: &str, placer: Option<&Placer>) -> Vec<ZoneImageRow> {
         let partitioned = placer.map(Placer::partitioned_zones).unwrap_or_default();
         let mut zones: BTreeMap<&str, ZoneImageRow> = BTreeMap::new();
--- a/crates/coordination/src/image_locality/scoring.rs
+++ b/crates/coordination/src/image_locality/scoring.rs
@@ -1,46 +1,46 @@
-//! Locality scoring: the places for a replica as classes, in the order of their cost.
+//! Locality scoring: groups the machines for a replica into classes ordered by cost.
 
 use lemonweir_model::policy::ServicePlacementWeights;
 
-/// How many times as long a fetch counts beside another on the same machine: less than
-/// twice, since part of the other is mostly over.
+/// Factor on the fetch time beside one other fetch on the same machine: less than 2, since the
+/// other fetch is usually partly done.
 const ONE_OTHER_FETCH_FACTOR: f64 = 1.5;
-/// The same beside two others or more.
+/// Factor on the fetch time beside two or more other fetches.
 const SEVERAL_OTHER_FETCHES_FACTOR: f64 = 3.0;
-/// Replicas that a machine with several counts as, with a further one: the few that are
-/// under half of the job.
-const SEVERAL_REPLICAS: u32 = 4;
-/// How many times the risk of a whole job counts on a machine that would hold over half of
-/// it: its service would be below what is restored first.
+/// Replicas assumed on a machine of [`ReplicaSpread::Several`], including the one to place: a
+/// small number that is below half of the job.
+const ASSUMED_SEVERAL_REPLICAS: u32 = 4;
+/// Factor on the risk of losing the whole job, for a machine that would hold over half of it:
+/// with its loss the service falls below half of its replicas, the level restored first.
 const MAJORITY_RISK_FACTOR: f64 = 4.0;
-/// Seconds for which a lost replica is down beside its fetch, as far as its place decides:
-/// its end is proven and its next start recorded wherever it was.
+/// Downtime of a lost replica besides its image fetch, as far as placement affects it, s: its
+/// end must be proven and its next start recorded wherever it ran.
 const RESTART_S: f64 = 5.0;
-/// Seconds by which a start is later if the shard's leader is reached through the store.
+/// Delay of a start if the shard's leader is reached only through the store, s.
 const VIA_STORE_START_S: f64 = 2.0;
 
-/// How near an image is to a machine.
+/// Availability of an image on a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ImageLocality {
-    /// In its cache.
+    /// The image is in the machine's cache.
     Cached,
-    /// Its fetch is under way.
+    /// The machine is fetching the image.
     Fetching,
-    /// Neither, and the machine fetches nothing else.
+    /// Neither cached nor being fetched, and the machine fetches nothing else.
     Absent,
-    /// Neither, and one other fetch would share the fetch rate.
+    /// Neither cached nor being fetched, and one other fetch would share the bandwidth.
     AbsentOneFetch,
-    /// Neither, and two other fetches or more would share the fetch rate.
+    /// Neither cached nor being fetched, and two or more other fetches would share the bandwidth.
     AbsentSeveralFetches,
-    /// Neither, whatever else the machine fetches.
+    /// Neither cached nor being fetched, whatever else the machine fetches.
     AbsentAnywhere,
 }
 
 impl ImageLocality {
-    /// How many there are.
+    /// Number of variants.
     pub(crate) const COUNT: usize = 6;
 
-    /// Position among them, below [`Self::COUNT`].
+    /// Returns the index of the variant, below [`Self::COUNT`].
     pub(crate) fn index(self) -> usize {
         match self {
             Self::Cached => 0,
@@ -53,7 +53,7 @@
     }
 }
 
-/// How many replicas of the job a machine has.
+/// Replicas of the job on a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplicaSpread {
     /// None.
@@ -62,11 +62,11 @@
     One,
     /// Two or more.
     Several,
-    /// So many that with one more it would hold over half of the job.
+    /// With one more, the machine would hold over half of the job.
     Majority,
 }
 
-/// How much of the job a zone has.
+/// Share of the job's replicas that a zone has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ZoneShare {
     /// Less than its equal share.
@@ -75,40 +75,40 @@
     Reached,
 }
 
-/// What a machine is in use for, and so paid for already.
+/// Present use of a machine, which determines the added price of a further task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MachineUsage {
     /// A spot instance, for a task that may use it.
     Spot,
-    /// It has long-running tasks.
+    /// The machine has long-running tasks.
     LongRunning,
-    /// It has only tasks that run to completion.
+    /// The machine has only tasks that run to completion.
     RunToCompletion,
-    /// It has no tasks.
+    /// The machine has no tasks.
     Idle,
 }
 
-/// Machines that the scoring does not tell apart. `None`: it makes no difference.
+/// Machines that score alike. `None` in a property: the class does not depend on it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PlacementClass {
-    /// Cost of a place there, s.
+    /// Cost of placing a replica on such a machine, s.
     pub cost_s: f64,
-    /// How near the image is.
+    /// Availability of the image.
     pub image_locality: ImageLocality,
     /// Replicas of the job on the machine.
     pub replicas: Option<ReplicaSpread>,
     /// Share of the job that its zone has.
     pub zone_share: Option<ZoneShare>,
-    /// What the machine is in use for.
+    /// Present use of the machine.
     pub usage: Option<MachineUsage>,
-    /// True if it has free GPUs that the task has no use for.
+    /// True if the task would strand free GPUs that it does not need.
     pub strands_gpus: Option<bool>,
     /// True if the shard's leader is reached only through messages in the store.
     pub via_store: Option<bool>,
 }
 
 impl PlacementClass {
-    /// All machines that have the image, at no cost.
+    /// All machines that have the image cached, at no cost.
     const ALL_CACHED: Self = Self {
         cost_s: 0.0,
         image_locality: ImageLocality::Cached,
@@ -120,49 +120,49 @@
     };
 }
 
-/// What the placement of a task risks, and what makes a difference for it.
+/// Inputs of the scoring for one task: what its placement risks and which properties matter.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PlacementRisk {
-    /// It runs until its job is cancelled: only then it risks something.
+    /// The task runs until its job is cancelled. Only such tasks carry a placement risk.
     pub long_running: bool,
-    /// Tasks of its job.
+    /// Number of tasks of its job.
     pub task_count: u32,
     /// Fetch time of its image, s.
     pub fetch_s: f64,
-    /// What is left of the fetch time where a fetch is under way, s.
+    /// Remaining fetch time on a machine that is fetching the image, s.
     pub remaining_fetch_s: f64,
-    /// It may use spot instances.
+    /// The task may use spot instances.
     pub spot_allowed: bool,
-    /// It may use spot instances, and half of its job is on some already.
+    /// The task may use spot instances, and half of its job is on spot instances already.
     pub half_on_spot: bool,
-    /// It needs no GPU.
+    /// The task needs no GPU.
     pub without_gpus: bool,
-    /// Its job has replicas placed.
+    /// Replicas of its job are placed already.
     pub has_replicas: bool,
-    /// Zones that it may go to, if its job has replicas in some: their equal shares are
-    /// computed from this. 0 or 1: zones make no difference.
+    /// Number of zones allowed for the task, if its job has replicas in any; determines the
+    /// equal share of each zone. 0 or 1: zones make no difference.
     pub zone_count: u32,
-    /// All of its job's replicas are in one zone so far.
+    /// All placed replicas of its job are in one zone.
     pub single_zone: bool,
-    /// Some shards' leaders are reached only through messages in the store.
+    /// The leaders of some shards are reached only through messages in the store.
     pub via_store: bool,
-    /// Cached images go before everything: it is a replica that was up and is down until
-    /// it serves again.
+    /// Machines that have the image cached precede all others: the task is a replica that was
+    /// up, and it is down until it serves again.
     pub cached_first: bool,
 }
 
 impl PlacementRisk {
-    /// The equal share of the job for each zone, in replicas.
+    /// Returns the equal share of the job for each zone, in replicas.
     pub fn fair_zone_share(&self) -> u32 {
         self.task_count.div_ceil(self.zone_count.max(1))
     }
 
-    /// Fraction of the job that so many replicas are, at most 1.
+    /// Returns the fraction of the job that `replicas` make up, at most 1.
     fn fraction(&self, replicas: u32) -> f64 {
         (f64::from(replicas) / f64::from(self.task_count.max(1))).min(1.0)
     }
 
-    /// How a machine with so many replicas of the job counts.
+    /// Classifies a machine by the number of replicas of the job on it.
     pub fn replica_spread(&self, replicas: u32) -> ReplicaSpread {
         match replicas {
             0 => ReplicaSpread::Zero,
@@ -172,24 +172,24 @@
         }
     }
 
-    /// How long a lost replica is down where its image must be fetched, s.
+    /// Returns the downtime of a lost replica whose image must be fetched, s.
     fn downtime_s(&self) -> f64 {
         self.fetch_s + RESTART_S
     }
 
-    /// Cost of sharing a machine with so many others of its job, s.
+    /// Returns the cost of sharing a machine with other replicas of the job, s.
     pub fn replica_cost_s(&self, policy: &ServicePlacementWeights, spread: ReplicaSpread) -> f64 {
         let lost = match spread {
             ReplicaSpread::Zero => 0.0,
             ReplicaSpread::One => self.fraction(2),
-            ReplicaSpread::Several => self.fraction(SEVERAL_REPLICAS),
+            ReplicaSpread::Several => self.fraction(ASSUMED_SEVERAL_REPLICAS),
             ReplicaSpread::Majority => MAJORITY_RISK_FACTOR,
         };
         policy.machine_loss * self.downtime_s() * lost
     }
 
-    /// Cost of going to a zone which has its share already, or where all others of its job
-    /// are, s.
+    /// Returns the cost of placing the task in a zone, s: 0 below the zone's equal share, more
+    /// if all other replicas of the job are in one zone.
     pub fn zone_cost_s(&self, policy: &ServicePlacementWeights, share: ZoneShare) -> f64 {
         let beyond_share = policy.zone_loss * self.fraction(self.fair_zone_share() + 1);
         let risk = match (share, self.single_zone) {
@@ -200,7 +200,8 @@
         risk * self.downtime_s()
     }
 
-    /// Cost of going to a spot instance when half of its job is on some, s.
+    /// Returns the cost of a further spot instance when half of the job is on spot instances
+    /// already, s.
     fn spot_cost_s(&self, policy: &ServicePlacementWeights) -> f64 {
         if self.half_on_spot {
             policy.zone_loss * self.fraction(self.task_count / 2 + 1) * self.downtime_s()
@@ -210,9 +211,9 @@
     }
 }
 
-/// The classes in the order of their costs; of those that cost the same, the one with the
-/// nearer image goes first. What makes no difference is no class of its own, so that a job
-/// without replicas, or risk weights of 0, cost few walks.
+/// Returns the classes ordered by cost; among equal costs, the class with the better image
+/// locality comes first. Properties that make no difference do not split classes, so a job
+/// without replicas, or risk weights of 0, result in few passes over the machines.
 pub fn placement_classes(
     policy: &ServicePlacementWeights,
     risk: &PlacementRisk,
@@ -247,7 +248,8 @@
     classes
 }
 
-/// Tasks that run to completion risk nothing: only the image decides.
+/// Returns the classes for tasks that run to completion. They carry no placement risk, so only
+/// image locality counts.
 fn run_to_completion_classes() -> Vec<PlacementClass> {
     [
         ImageLocality::Cached,
@@ -261,7 +263,7 @@
     .to_vec()
 }
 
-/// Splits each class by the values of one more property, each with its cost, s.
+/// Splits each class by the values of a further property; each value adds its cost, s.
 fn split<T: Copy>(
     classes: Vec<PlacementClass>,
     options: &[(T, f64)],
@@ -281,7 +283,7 @@
     split
 }
 
-/// How long the task waits for its image.
+/// Returns the wait for the image, s, by image locality.
 fn locality_options(risk: &PlacementRisk) -> [(ImageLocality, f64); 5] {
     let fetch_s = risk.fetch_s;
     [
@@ -299,7 +301,7 @@
     ]
 }
 
-/// What is paid anew for a machine.
+/// Returns the added price of a machine by its present use.
 fn usage_options(
     policy: &ServicePlacementWeights,
     risk: &PlacementRisk,
@@ -307,7 +309,7 @@
     if policy.machine_pin_cost_s <= 0.0 && !risk.spot_allowed {
         return vec![(None, 0.0)];
     }
-    // An on-demand machine for a task that may use spot instances is paid for anew.
+    // A task that could use a spot instance adds to the price of an on-demand machine.
     let on_demand_s = if risk.spot_allowed {
         policy.machine_pin_cost_s
     } else {
@@ -331,7 +333,7 @@
     options
 }
 
-/// What stranded GPUs cost: more than a machine that has no other tasks.
+/// Returns the cost of stranding GPUs: as much as that of a machine without other tasks.
 fn gpu_options(policy: &ServicePlacementWeights, risk: &PlacementRisk) -> Vec<(Option<bool>, f64)> {
     if risk.without_gpus {
         vec![
@@ -343,14 +345,14 @@
     }
 }
 
-/// Replicas of the job that a machine and its zone have.
+/// Replicas of the job on a machine and in its zone.
 #[derive(Clone, Copy)]
 struct Spread {
     replicas: Option<ReplicaSpread>,
     zone_share: Option<ZoneShare>,
 }
 
-/// What the loss of a machine or a zone would take of the job, as one sum.
+/// Returns the summed costs of losing a machine and of losing a zone.
 fn spread_options(policy: &ServicePlacementWeights, risk: &PlacementRisk) -> Vec<(Spread, f64)> {
     let mut options = Vec::new();
     for (replicas, machine_cost_s) in replica_options(policy, risk) {
@@ -394,7 +396,7 @@
         .to_vec()
 }
 
-/// By how much a start is later through the store.
+/// Returns the delay of a start through the store.
 fn via_store_options(risk: &PlacementRisk) -> Vec<(Option<bool>, f64)> {
     if risk.via_store {
         vec![(Some(false), 0.0), (Some(true), VIA_STORE_START_S)]
--- a/crates/coordination/src/image_locality/usage.rs
+++ b/crates/coordination/src/image_locality/usage.rs
@@ -1,14 +1,14 @@
-//! Images that unfinished jobs use: how large they are, and who would miss them.
+//! Sizes and users of the images that unfinished jobs use.
 
 use std::collections::{BTreeSet, HashMap};
 
 use lemonweir_model::{JobId, JobKind, JobSpec};
 
-/// Images whose size and use are remembered: more than services and arrays of a large
-/// site use in hours, some 100 bytes each.
-const IMAGES_REMEMBERED: usize = 4_096;
+/// Number of images from which on unused ones are dropped: more than the services and arrays of a
+/// large site use in hours, at some 100 bytes each.
+const MAX_IMAGES_TRACKED: usize = 4_096;
 
-/// What is known of one image.
+/// Size and use of one image.
 #[derive(Clone, Copy, Debug, Default)]
 struct ImageEntry {
     size_mb: u64,
@@ -25,18 +25,19 @@
     is_service: bool,
 }
 
-/// Size and users of images, kept from job to job: nothing walks all jobs.
+/// Sizes and users of images, updated with each job rather than by a scan of all jobs.
 #[derive(Debug, Default)]
 pub struct ImageUsage {
     images: HashMap<String, ImageEntry>,
     /// Image of each unfinished job.
     by_job: HashMap<JobId, JobImage>,
-    /// The services' images may have changed since they were last taken.
+    /// True if the set of images used by services may have changed since it was last taken.
     service_images_changed: bool,
 }
 
 impl ImageUsage {
-    /// Records the image that a job uses; `None`: the job is over or is being cancelled.
+    /// Records the image that a job uses; `None`: the job has ended or is being
+    /// cancelled.
     pub fn record_job(&mut self, id: &JobId, spec: Option<&JobSpec>) {
         let current = spec.map(|s| (s.image.as_str(), s.kind == JobKind::Service));
         let previous = self.by_job.get(id);
@@ -60,8 +61,8 @@
     }
 
     fn add_job(&mut self, id: &JobId, spec: &JobSpec) {
-        if self.images.len() >= IMAGES_REMEMBERED {
-            // Guards against a site whose every job has an image of its own.
+        if self.images.len() >= MAX_IMAGES_TRACKED {
+            // Bounds memory at a site where every job has its own image.
             self.images.retain(|_, entry| entry.job_count > 0);
         }
         let is_service = spec.kind == JobKind::Service;
@@ -75,12 +76,12 @@
             .insert(id.clone(), JobImage { image, is_service });
     }
 
-    /// Size of an image, MB; `None`: it is not known.
+    /// Returns the size of an image, MB; `None` if it is not known.
     pub fn size_mb(&self, image: &str) -> Option<u64> {
         self.images.get(image).map(|entry| entry.size_mb)
     }
 
-    /// The services' images, if they changed since the last call.
+    /// Returns the images used by services, if that set changed since the last call.
     pub fn take_changed_service_images(&mut self) -> Option<BTreeSet<String>> {
         if !std::mem::take(&mut self.service_images_changed) {
             return None;
@@ -94,10 +95,10 @@
         )
     }
 
-    /// MB that may be fetched to a machine before its cache evicts an image that an
-    /// unfinished job uses. `cached_images`: the most recently used first. The cache keeps
-    /// what was used last, so all before the last such image stay too; an image of unknown
-    /// size counts as 0.
+    /// Returns how much may be fetched to a machine before its cache evicts an image that an
+    /// unfinished job uses, MB. `cached_images` are sorted by their last use, most recent first.
+    /// Eviction is least recently used first, so every image before the last one in use stays
+    /// too. An image of unknown size counts as 0.
     pub fn cache_headroom_mb(&self, cached_images: &[String], cache_mb: u64) -> u64 {
         let used = |image: &String| self.images.get(image).is_some_and(|e| e.job_count > 0);
         let kept = cached_images
--- a/crates/coordination/src/links/failure_detector.rs
+++ b/crates/coordination/src/links/failure_detector.rs
@@ -1,35 +1,35 @@
-//! Failure detector: the state of a link, judged by what became of the messages that went
-//! over it.
+//! Failure detector of one link, driven by the outcomes of the requests sent over it.
 
 use lemonweir_protocol::links::LinkState;
 
-/// Answers that must fail to come in a row before a link counts as down: one
-/// may be lost on the way.
+/// Consecutive failed requests before a link counts as down: a single answer may be lost in
+/// transit.
 const FAILURES_UNTIL_DOWN: u32 = 2;
-/// ms since the last answer from which on a link can count as down: several
-/// requests under way fail together when one packet is late.
+/// Minimum time since the last answer before a link can count as down, ms: several requests
+/// in flight fail together when one packet is late.
 const DOWN_AFTER_MS: u64 = 1_000;
 
-/// The link in one direction with its answers.
+/// State of a link in one direction.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct FailureDetector {
-    /// When the last answer came, ms.
+    /// When the last answer arrived, ms.
     pub(crate) last_answer: Option<u64>,
-    /// Answers that failed to come in a row.
+    /// Consecutive requests without an answer.
     failures: u32,
     state: LinkState,
+    /// When the link entered `state`, ms.
     since: u64,
 }
 
 impl FailureDetector {
-    /// An answer came; true if that changes the state.
+    /// Records an answer. Returns true if the state changes.
     pub(crate) fn record_success(&mut self, now: u64) -> bool {
         self.last_answer = Some(now);
         self.failures = 0;
         self.set_state(LinkState::Up, now)
     }
 
-    /// An answer failed to come; true if that changes the state.
+    /// Records a request without an answer. Returns true if the state changes.
     pub(crate) fn record_failure(&mut self, now: u64) -> bool {
         self.failures = self.failures.saturating_add(1);
         let recent = self.last_answer.is_some_and(|at| now < at + DOWN_AFTER_MS);
@@ -55,12 +55,12 @@
         self.state
     }
 
-    /// True if nothing goes through.
+    /// Returns true if the link counts as down.
     pub(crate) fn is_down(&self) -> bool {
         self.state == LinkState::Down
     }
 
-    /// Since when the link is in this state, ms.
+    /// Returns when the link entered its current state, ms.
     pub(crate) fn since(&self) -> u64 {
         self.since
     }
--- a/crates/coordination/src/links/failure_detector/tests.rs
+++ b/crates/coordination/src/links/failure_detector/tests.rs
@@ -1,4 +1,4 @@
-//! The failure detector's states.
+//! Tests of the failure detector's state transitions.
 
 use super::*;
 
--- a/crates/coordination/src/links/history.rs
+++ b/crates/coordination/src/links/history.rs
@@ -1,4 +1,4 @@
-//! History of the events of links and shards that operators can ask for.
+//! Bounded history of link and shard events, served to operators.
 
 use std::collections::VecDeque;
 
@@ -7,17 +7,17 @@
 use super::Links;
 use lemonweir_protocol::links::EventRow;
 
-/// Events that a process keeps.
+/// Events kept by a process; older ones are dropped.
 const EVENTS_KEPT: usize = 256;
 
-/// The newest events, oldest first, with the steady clock's time, ms.
+/// The newest events, oldest first, each with its time on the monotonic clock, ms.
 #[derive(Debug, Default)]
 pub(super) struct EventHistory {
     events: VecDeque<(u64, String)>,
 }
 
 impl Links {
-    /// Adds an event to the history, and logs it.
+    /// Appends an event to the history and logs it.
     pub(crate) fn record_event(&mut self, now: u64, text: String) {
         info!("{text}");
         let events = &mut self.history.events;
@@ -27,7 +27,7 @@
         }
     }
 
-    /// The history, oldest first.
+    /// Returns the history, oldest first, with wall-clock times.
     pub fn events(&self) -> Vec<EventRow> {
         let row = |(at, text): &(u64, String)| EventRow {
             at_ms: at + self.wall_offset_ms,
--- a/crates/coordination/src/links/latency.rs
+++ b/crates/coordination/src/links/latency.rs
@@ -1,14 +1,14 @@
-//! Latency of the answers over a link, over the last one to two minutes. A
-//! link that is slow rather than dead shows here.
+//! Latency of the answers over a link during the last one to two minutes. Distinguishes a slow
+//! link from one that is down.
 
 use hdrhistogram::Histogram;
 
-/// ms of a window over which latencies are reported.
+/// Length of a latency window, ms.
 const LATENCY_WINDOW_MS: u64 = 60_000;
-/// ms that the longest answer counts as: more than any call waits.
+/// Upper bound of recorded latencies, ms: longer than the timeout of any call.
 const LATENCY_MAX_MS: u64 = 10_000;
 
-/// Latencies of one link, in two windows.
+/// Latencies of one link in the current and the previous window.
 #[derive(Debug)]
 pub(crate) struct LatencyWindow {
     current: Histogram<u64>,
@@ -19,8 +19,8 @@
 
 impl Default for LatencyWindow {
     fn default() -> Self {
-        // Two digits between 1 ms and the longest wait: some KiB. The bounds
-        // are constants that the library accepts; `unwrap_or_else` names them.
+        // Two significant digits from 1 ms to LATENCY_MAX_MS take a few KiB. The bounds are
+        // constants that the library accepts, so the constructor can't fail.
         let new = || {
             Histogram::new_with_bounds(1, LATENCY_MAX_MS, 2).unwrap_or_else(|e| unreachable!("{e}"))
         };
@@ -33,7 +33,7 @@
 }
 
 impl LatencyWindow {
-    /// An answer took so long.
+    /// Records the latency of one answer.
     pub(crate) fn record(&mut self, latency_ms: u64, now: u64) {
         self.rotate(now);
         self.current.saturating_record(latency_ms.max(1));
@@ -43,7 +43,7 @@
         if now < self.began + LATENCY_WINDOW_MS {
             return;
         }
-        // After a long silence the older window is stale as well.
+        // After two windows without an answer, the previous window is stale as well.
         let stale = now >= self.began + 2 * LATENCY_WINDOW_MS;
         std::mem::swap(&mut self.current, &mut self.previous);
         self.current.reset();
@@ -53,10 +53,10 @@
         self.began = now;
     }
 
-    /// The median and the 99th percentile, ms; `None`: no answer of late.
+    /// Returns the median and the 99th percentile, ms, or `None` without recent answers.
     pub(crate) fn median_and_p99(&self) -> Option<(u64, u64)> {
         let mut all = self.current.clone();
-        // Both have the same bounds, so that one takes the other's values.
+        // Both histograms have the same bounds, so adding one to the other can't fail.
         let _ = all.add(&self.previous);
         (!all.is_empty()).then(|| (all.value_at_quantile(0.5), all.value_at_quantile(0.99)))
     }
--- a/crates/coordination/src/links/latency/tests.rs
+++ b/crates/coordination/src/links/latency/tests.rs
@@ -1,4 +1,4 @@
-//! Latency windows.
+//! Tests of the latency windows.
 
 use super::*;
 
@@ -15,7 +15,7 @@
     assert_eq!(latencies.median_and_p99().expect("some").0, 5);
     latencies.record(20, 1_000 + 4 * LATENCY_WINDOW_MS);
     assert_eq!(latencies.median_and_p99(), Some((20, 20)));
-    // Longer than the bound counts as the bound.
+    // A latency above the bound is recorded as the bound.
     latencies.record(u64::MAX, 1_000 + 8 * LATENCY_WINDOW_MS);
     assert!(latencies.median_and_p99().expect("some").0 >= LATENCY_MAX_MS);
 }
--- a/crates/coordination/src/links/mod.rs
+++ b/crates/coordination/src/links/mod.rs
@@ -1,10 +1,9 @@
-//! Connectivity: who reaches what, judged in one place.
+//! Connectivity between controllers, services and workers.
 //!
-//! Each controller judges its own links to the state service, the cloud, the
-//! other controllers and the workers of each zone from what went over them, and
-//! receives every two seconds from each other controller gossip that says the same of its
-//! own. Whatever asks whether something can be reached asks here; `docs/links.md` has
-//! the reckoning.
+//! Each controller derives the state of its own links to the state service, the cloud, the
+//! other controllers and the workers of each zone from the traffic on them. Every two seconds
+//! it receives gossip from each other controller with the state of that controller's links.
+//! All reachability checks go through [`Links`]; `docs/links.md` describes the rules.
 
 mod failure_detector;
 mod history;
@@ -33,34 +32,37 @@
 pub use peers::GOSSIP_INTERVAL_MS;
 pub(crate) use workers::{MisroutedHeartbeat, MisroutedHeartbeatAction};
 
-/// What a controller knows of links, its own and others'.
+/// State of a controller's own links, and of other controllers' links as they gossip it.
 #[derive(Debug)]
 pub struct Links {
     own_index: u16,
     /// Host names of all controllers.
     hosts: Vec<String>,
+    /// Interval of the workers' heartbeats, ms.
     heartbeat_ms: u64,
+    /// Offset of the wall clock from the monotonic clock, ms.
     wall_offset_ms: u64,
     store: UpstreamRoute,
     cloud: UpstreamRoute,
-    /// Latencies of the services, on whatever route.
+    /// Latencies of the services, on direct and relayed routes.
     latencies: BTreeMap<Service, LatencyWindow>,
     peers: Vec<Peer>,
-    /// When a worker of each zone last reached us by itself, ms.
+    /// When a worker of each zone last sent a heartbeat directly to this controller, ms.
     zones: BTreeMap<String, u64>,
-    /// Heartbeats that workers sent us by themselves, so far.
+    /// Heartbeats received directly from workers since the start of this process.
     heartbeats: u64,
     relay: RelayState,
-    /// Machines of shards that others lead which sent their heartbeats to this controller.
+    /// Machines that sent their heartbeats to this controller although another leads their
+    /// shard.
     pub(crate) misrouted: MisroutedHeartbeats,
     store_answers: StoreAnswers,
     history: EventHistory,
-    /// Until when calls that fail do so because this process stalled, ms.
+    /// Until when failed calls are attributed to a stall of this process, ms.
     stall_grace_until: u64,
 }
 
 impl Links {
-    /// Knows nothing yet.
+    /// Creates the state of a controller that has not observed any link yet.
     pub(crate) fn new(
         own_index: u16,
         hosts: Vec<String>,
@@ -86,18 +88,18 @@
         }
     }
 
-    /// This process stalled for so long, ms: silence meanwhile says nothing of a
-    /// link, nor do calls that timed out.
-    pub(crate) fn apply_stall(&mut self, gap: u64, now: u64) {
+    /// Discounts a stall of this process: neither silence during the stall nor calls that timed
+    /// out are evidence of a failed link.
+    pub(crate) fn apply_stall(&mut self, stall_ms: u64, now: u64) {
         self.stall_grace_until = now + STALL_MS;
-        self.zones.values_mut().for_each(|at| *at += gap);
+        self.zones.values_mut().for_each(|at| *at += stall_ms);
         self.peers
             .iter_mut()
             .filter_map(|peer| peer.last_message.as_mut())
-            .for_each(|at| *at += gap);
+            .for_each(|at| *at += stall_ms);
     }
 
-    /// The other controllers, each with its number.
+    /// Iterates over the other controllers with their indexes.
     fn other_peers(&self) -> impl Iterator<Item = (u16, &Peer)> {
         let own_index = self.own_index;
         (0..)
@@ -106,7 +108,7 @@
     }
 }
 
-/// Name of a service in the history and in tables.
+/// Returns the name of a service in the event history and in operators' tables.
 fn service_name(service: Service) -> &'static str {
     match service {
         Service::Store => "state service",
--- a/crates/coordination/src/links/peers.rs
+++ b/crates/coordination/src/links/peers.rs
@@ -1,41 +1,41 @@
-//! Links to the other controllers, and the gossip that they exchange.
+//! Links to the other controllers and the availability gossip exchanged with them.
 
 use super::Links;
 use super::failure_detector::FailureDetector;
 use super::latency::LatencyWindow;
 use lemonweir_protocol::links::{AvailabilityGossip, LINKS_VERSION, LinkState};
 
-/// ms between two messages of gossip to another controller.
+/// Interval between two gossip messages to another controller, ms.
 pub const GOSSIP_INTERVAL_MS: u64 = 2_000;
-/// ms for which a message from a controller shows that it reaches us: two of
-/// its messages and a moment.
+/// Time after a controller's last message for which it counts as able to reach this one, ms:
+/// two gossip intervals and some slack.
 pub(super) const PEER_MESSAGE_FRESH_MS: u64 = 5_000;
 
-/// Gossip of another controller.
+/// Gossip received from another controller.
 #[derive(Debug)]
 pub(super) struct ReceivedGossip {
-    /// ms.
+    /// When it arrived, ms.
     pub(super) received_at: u64,
     pub(super) content: AvailabilityGossip,
 }
 
-/// Another controller.
+/// Link state of another controller.
 #[derive(Debug, Default)]
 pub(super) struct Peer {
-    /// The link from us to it.
+    /// Failure detector of the link from this controller to the peer.
     pub(super) detector: FailureDetector,
     pub(super) latency: LatencyWindow,
-    /// When a message last came from it, ms.
+    /// When the last message from the peer arrived, ms.
     pub(super) last_message: Option<u64>,
-    /// What it said last of its links.
+    /// Its newest gossip.
     pub(super) gossip: Option<ReceivedGossip>,
-    /// When it is sent gossip next, ms.
+    /// When the next gossip message to it is due, ms.
     next_gossip: u64,
     gossip_in_flight: bool,
 }
 
 impl Links {
-    /// What this controller says of its links.
+    /// Builds the gossip about this controller's own links.
     fn own_gossip(&self, now: u64) -> AvailabilityGossip {
         let age = |at: Option<u64>| at.map(|at| now.saturating_sub(at));
         let peer = |(index, peer): (u16, &Peer)| {
@@ -53,7 +53,8 @@
         }
     }
 
-    /// Controllers that are to be sent gossip now, with its content.
+    /// Returns the controllers to which gossip is due, with its content, and marks it as in
+    /// flight.
     pub(crate) fn due_gossip(&mut self, now: u64) -> Vec<(u16, AvailabilityGossip)> {
         let due: Vec<u16> = self
             .other_peers()
@@ -74,8 +75,8 @@
             .collect()
     }
 
-    /// Another controller answered our gossip, or did not. One of an
-    /// earlier format answers without its own.
+    /// Records the outcome of a gossip message to another controller. A controller of an
+    /// earlier format answers without gossip of its own.
     pub fn gossip_completed(
         &mut self,
         host: u16,
@@ -96,7 +97,7 @@
         self.record_peer_call(host, answered, now);
     }
 
-    /// Another controller sends its gossip; ours is the answer.
+    /// Stores gossip sent by another controller and returns this controller's own as the answer.
     pub fn handle_gossip(&mut self, gossip: AvailabilityGossip, now: u64) -> AvailabilityGossip {
         self.store_gossip(gossip, now);
         self.own_gossip(now)
@@ -115,7 +116,8 @@
         }
     }
 
-    /// A message to another controller was answered, or not.
+    /// Records the outcome of a call to another controller. Failures shortly after a stall of
+    /// this process are ignored.
     pub fn record_peer_call(&mut self, host: u16, answered: bool, now: u64) {
         if !answered && now < self.stall_grace_until {
             return;
@@ -144,7 +146,7 @@
         self.record_event(now, text);
     }
 
-    /// State of the link to another controller.
+    /// Returns the state of the link to another controller.
     pub(crate) fn peer_state(&self, host: u16, now: u64) -> LinkState {
         let Some(peer) = self.peers.get(usize::from(host)) else {
             return LinkState::Unknown;
@@ -158,7 +160,8 @@
         }
     }
 
-    /// Since when another controller has not answered, ms.
+    /// Returns since when the link to another controller has been down, ms; `None` if it is
+    /// not down.
     pub(crate) fn unreachable_since(&self, host: &str) -> Option<u64> {
         let index = self.hosts.iter().position(|h| h == host)?;
         let detector = &self.peers[index].detector;
--- a/crates/coordination/src/links/relay.rs
+++ b/crates/coordination/src/links/relay.rs
@@ -1,70 +1,69 @@
-//! Which workers' heartbeats are relayed to their leader, and when workers are redirected
-//! there to send them by themselves.
+//! Decides whether a worker's heartbeat is relayed to its shard's leader or the worker is
+//! redirected to send it directly.
 //!
-//! A worker stays with its leader for as long as that answers. One that shows its
-//! leader's own fencing token and comes elsewhere comes because the leader did not answer
-//! it, so its heartbeat is relayed at once: no time of its lease is lost on a
-//! second try. What shows that the link is up again is the leader's own gossip
-//! that workers of the zone reach it, and a probe worker redirected now and then makes sure
-//! that one does as soon as it can.
+//! A worker stays with its leader as long as the leader answers. A worker that presents its
+//! leader's own fencing token to another controller got no answer from the leader, so its
+//! heartbeat is relayed at once: a second attempt would cost time of its lease. The link counts
+//! as up again once the leader's gossip says that workers of the zone reach it. Probe workers,
+//! redirected at intervals, make the leader notice as soon as the link recovers.
 
 use std::collections::{BTreeMap, HashMap};
 
 use super::{MisroutedHeartbeat, MisroutedHeartbeatAction};
 use lemonweir_model::MachineId;
 
-/// ms for which a worker that could not reach its leader is relayed before it
-/// may be redirected there again: a try in vain costs it 5 s of its lease. Doubled
-/// each time it was in vain, up to [`RELAY_MAX_MS`].
+/// Time for which the heartbeats of a worker that could not reach its leader are relayed before
+/// it may be redirected there again, ms: a failed attempt costs 5 s of its lease. Doubled after
+/// each failed redirect, up to [`RELAY_MAX_MS`].
 const RELAY_MS: u64 = 10_000;
-/// ms that this doubling stops at.
+/// Upper bound of the doubled [`RELAY_MS`], ms.
 const RELAY_MAX_MS: u64 = 60_000;
-/// ms between two workers of a zone that are redirected to their leader to find out
-/// whether they reach it again.
-const PROBE_WORKER_GAP_MS: u64 = 4_000;
+/// Interval between two probe workers of a zone, which are redirected to their leader to find
+/// out whether the zone reaches it again, ms.
+const PROBE_WORKER_INTERVAL_MS: u64 = 4_000;
 
 /// A worker whose heartbeats are relayed.
 #[derive(Debug)]
 struct RelayedWorker {
-    /// It was redirected to its leader when it was last here.
+    /// True if its last heartbeat was answered with a redirect to its leader.
     redirected: bool,
-    /// When it last came because it could not reach its leader, ms.
+    /// When it was last found unable to reach its leader, ms.
     since: u64,
-    /// For how long it is relayed from then on, ms.
+    /// For how long its heartbeats are relayed from then on, ms.
     relay_ms: u64,
-    /// When it was last here, ms.
+    /// When its last heartbeat arrived here, ms.
     last_heartbeat: u64,
 }
 
-/// Whether a worker can reach its leader, as far as we know.
+/// Whether a worker can reach its leader, as far as this controller knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LeaderLink {
-    /// Nothing says that it can't.
+    /// There is no evidence that it can't.
     Untried,
-    /// It can't: it shows the leader's token, or was redirected there a moment ago.
+    /// It can't: it presents the leader's token, or has just been redirected there.
     Failed,
 }
 
-/// Whether workers of a zone reach the leader by themselves, as its gossip says.
+/// Whether workers of a zone reach the leader directly, according to the leader's gossip.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ZoneReachability {
-    /// Some did of late.
+    /// Some did recently.
     Reachable,
-    /// None did.
+    /// None did recently.
     Unreachable,
 }
 
-/// All workers that are relayed.
+/// Workers whose heartbeats are relayed.
 #[derive(Debug, Default)]
 pub(crate) struct RelayState {
     workers: HashMap<MachineId, RelayedWorker>,
-    /// When the next worker of a shard's zone is redirected to probe the link, ms.
+    /// When the next probe worker of a shard and zone may be redirected, ms.
     next_probe: BTreeMap<(u16, String), u64>,
     last_sweep: u64,
 }
 
 impl RelayState {
-    /// What to do with a worker whose leader can be reached from here.
+    /// Chooses how to answer a worker whose leader is reachable from this controller.
     pub(crate) fn choose(
         &mut self,
         heartbeat: &MisroutedHeartbeat,
@@ -104,12 +103,12 @@
         {
             return MisroutedHeartbeatAction::Relay;
         }
-        *next_probe = now + PROBE_WORKER_GAP_MS;
+        *next_probe = now + PROBE_WORKER_INTERVAL_MS;
         worker.redirected = true;
         MisroutedHeartbeatAction::Redirect
     }
 
-    /// Number of workers relayed of late.
+    /// Returns the number of workers whose heartbeats were relayed recently.
     pub(crate) fn relayed_workers(&self, now: u64) -> usize {
         self.workers
             .values()
@@ -117,6 +116,7 @@
             .count()
     }
 
+    /// Removes workers and probe times that have not been used for [`RELAY_MAX_MS`].
     fn sweep(&mut self, now: u64) {
         if now < self.last_sweep + RELAY_MS {
             return;
--- a/crates/coordination/src/links/relay/tests.rs
+++ b/crates/coordination/src/links/relay/tests.rs
@@ -1,4 +1,4 @@
-//! Which heartbeats are relayed.
+//! Tests of the choice between relay and redirect.
 
 use super::*;
 
@@ -66,7 +66,7 @@
         }
         now += 3_000;
     }
-    // 20 heartbeats of each, and one probe worker every 4 s.
+    // 20 heartbeats of each worker, and one probe worker every 4 s.
     assert!((5..=15).contains(&redirected), "{redirected}");
     now += RELAY_MAX_MS - 5_000;
     let mut back = 0;
@@ -84,11 +84,11 @@
 }
 
 #[test]
-fn worker_redirected_in_vain_is_relayed_for_longer_each_time() {
+fn each_failed_redirect_lengthens_the_relay_of_a_worker() {
     let mut relay = RelayState::default();
     let mut now = 1_000;
     let mut redirected_at = Vec::new();
-    // Its zone is reachable, only this one can't get through.
+    // The zone is reachable; only this worker can't reach the leader.
     while redirected_at.len() < 4 {
         let zone = ZoneReachability::Reachable;
         match choose(&mut relay, "n-1", LeaderLink::Failed, zone, now) {
--- a/crates/coordination/src/links/services.rs
+++ b/crates/coordination/src/links/services.rs
@@ -1,4 +1,4 @@
-//! Links to the services: direct calls, and the choice of who relays them.
+//! Links to the services: outcomes of direct and relayed calls, and the choice of a relay.
 
 use std::cmp::Reverse;
 
@@ -7,10 +7,10 @@
 use super::{Links, service_name};
 use lemonweir_protocol::links::Service;
 
-/// ms since a controller's own last answer from the state service up to which it
-/// is asked to relay: it reads several times a second, and gossips every 2 s.
+/// Maximum age of a controller's last direct answer from the state service for it to be asked to
+/// relay, ms: it reads several times a second and gossips every 2 s.
 const STORE_RELAY_FRESH_MS: u64 = 3_500;
-/// The same for the cloud, which each controller asks every few seconds.
+/// As [`STORE_RELAY_FRESH_MS`], for the cloud, which each controller calls every few seconds.
 const CLOUD_RELAY_FRESH_MS: u64 = 20_000;
 
 impl Links {
@@ -21,7 +21,7 @@
         }
     }
 
-    /// Controllers that could relay to a service, the one it answered last first.
+    /// Returns the controllers that could relay to a service, most recently answered first.
     fn relay_candidates(&self, service: Service, now: u64) -> Vec<RelayCandidate> {
         let last_answer = |peer: &Peer| {
             let gossip = peer.gossip.as_ref()?;
@@ -42,7 +42,8 @@
         candidates
     }
 
-    /// Who relays a request of so many bytes to a service; `None`: it goes directly.
+    /// Returns the controller that relays a request of `bytes` to a service; `None`: it goes
+    /// directly.
     pub fn route(&mut self, service: Service, bytes: usize, now: u64) -> Option<u16> {
         let size = RequestSize::of(bytes);
         if !self.upstream(service).is_down_for(size) {
@@ -63,7 +64,8 @@
         relay
     }
 
-    /// What became of a request of so many bytes to a service that went directly.
+    /// Records the outcome of a direct request of `bytes` to a service. Failures shortly after a
+    /// stall of this process are ignored.
     pub fn record_direct_call(&mut self, service: Service, bytes: usize, answered: bool, now: u64) {
         if !answered && now < self.stall_grace_until {
             return;
@@ -83,14 +85,14 @@
         self.record_event(now, text);
     }
 
-    /// What became of a request to a service that another controller relayed.
+    /// Records the outcome of a request to a service that another controller relayed.
     pub fn record_relayed_call(&mut self, service: Service, relay: u16, answered: bool, now: u64) {
         self.upstream(service)
             .record_relayed(relay, CallOutcome::of(answered), now);
     }
 
-    /// True if this controller may relay to a service now: only on its own direct route, so
-    /// that nothing goes on from relay to relay.
+    /// Returns true if this controller may relay to a service now. It relays only over its own
+    /// direct route, which rules out chains of relays.
     pub fn can_relay(&self, service: Service) -> bool {
         match service {
             Service::Store => !self.store.small.is_down(),
@@ -98,7 +100,7 @@
         }
     }
 
-    /// Services whose direct route should be probed now.
+    /// Returns the services whose direct route is due for a probe.
     pub(crate) fn due_probes(&mut self, now: u64) -> Vec<Service> {
         [Service::Store, Service::Cloud]
             .into_iter()
@@ -106,7 +108,7 @@
             .collect()
     }
 
-    /// An answer of a service took so long, directly or relayed.
+    /// Records the latency of a service's answer, direct or relayed.
     pub fn record_latency(&mut self, service: Service, latency_ms: u64, now: u64) {
         if service == Service::Store {
             self.store_answers.record_latency(latency_ms);
@@ -118,7 +120,7 @@
     }
 }
 
-/// ms since a service's last answer up to which who got it counts as reaching it.
+/// Maximum age of a service's last answer for its receiver to count as reaching the service, ms.
 pub(super) fn relay_fresh_ms(service: Service) -> u64 {
     match service {
         Service::Store => STORE_RELAY_FRESH_MS,
--- a/crates/coordination/src/links/store_answers.rs
+++ b/crates/coordination/src/links/store_answers.rs
@@ -1,4 +1,4 @@
-//! When the store last answered, us and others.
+//! When the store last answered this controller and the others.
 
 use super::Links;
 use lemonweir_model::constants::{
@@ -6,72 +6,71 @@
 };
 use lemonweir_protocol::links::LinkState;
 
-/// The store's answers, by whatever route they came.
+/// The store's newest answers, on direct and relayed routes.
 #[derive(Debug, Default)]
 pub(super) struct StoreAnswers {
-    /// When the last successful reading of the store began, ms.
+    /// When the last successful read of the store began, ms.
     last: Option<u64>,
-    /// How long its last answer took, ms, as far as it was waited for.
+    /// Latency of its last answer, ms, capped at the timeout.
     latency_ms: u64,
-    /// When the store surely answered another controller, as far as they say, ms.
+    /// Latest time at which the store is known to have answered another controller, ms.
     last_to_others: Option<u64>,
 }
 
 impl StoreAnswers {
-    /// An answer took so long; more than the time-out is not waited for.
+    /// Records the latency of an answer, capped at the timeout.
     pub(super) fn record_latency(&mut self, latency_ms: u64) {
         self.latency_ms = latency_ms.min(STORE_TIMEOUT_MS);
     }
 }
 
 impl Links {
-    /// A reading of the store that began then, ms, brought the cache up to date.
+    /// Records a read of the store that began at `began`, ms, and updated the state cache.
     pub(crate) fn record_store_read(&mut self, began: u64) {
         self.store_answers.last = self.store_answers.last.max(Some(began));
     }
 
-    /// When the last successful reading of the store began, ms.
+    /// Returns when the last successful read of the store began, ms.
     pub(crate) fn last_store_answer(&self) -> Option<u64> {
         self.store_answers.last
     }
 
-    /// ms since then.
+    /// Returns the time since the last successful read of the store began, ms.
     pub(crate) fn store_age(&self, now: u64) -> u64 {
         self.store_answers
             .last
             .map_or(u64::MAX, |at| now.saturating_sub(at))
     }
 
-    /// True if the store answered so lately, on whatever route, that a query to it
-    /// is worth its user's wait.
+    /// Returns true if the store answered recently enough, on any route, for a user's query to
+    /// wait for it.
     pub fn store_answers_of_late(&self, now: u64) -> bool {
         self.store_age(now) <= self.store_silence_ms()
     }
 
-    /// ms without an answer of the store that mean that it does not answer. Guards against
-    /// slow answers that count as none: one reading follows another, so the newest answer
-    /// is up to two latencies old though each came in time.
+    /// Time without an answer after which the store counts as unavailable, ms. Includes the
+    /// store's latency: reads are sequential, so the newest answer is up to two latencies old
+    /// although each arrived in time.
     fn store_silence_ms(&self) -> u64 {
         UNREADY_AFTER_STORE_SILENCE_MS + self.store_answers.latency_ms
     }
 
-    /// Another controller says how long ago the store answered it.
+    /// Records another controller's report of how long ago the store answered it, ms.
     pub(crate) fn record_peer_store_age(&mut self, age_ms: u64, now: u64) {
         let answers = &mut self.store_answers;
         answers.last_to_others = answers.last_to_others.max(now.checked_sub(age_ms));
     }
 
-    /// True if the store has not answered this controller for a while, on no route,
-    /// and it answers others, or none of them can be reached either.
+    /// Returns true if the store has not answered this controller for a while on any route, and
+    /// either it answers other controllers or none of them can be reached.
     pub(crate) fn isolated_from_store(&self, now: u64) -> bool {
         let StoreAnswers {
             last,
             last_to_others,
             ..
         } = self.store_answers;
-        // Guards against all controllers leaving users to each other when the store
-        // fails for all: its answers to others must be newer by more than the
-        // moments by which readings differ.
+        // In a store outage that affects every controller, none may send its users to the
+        // others: answers to others must be newer by more than reads differ in time.
         let answers_others = last_to_others.is_some_and(|others| {
             now <= others + UNREADY_AFTER_STORE_SILENCE_MS + SHARD_VIEW_REFRESH_MS
                 && last.is_none_or(|own| others > own + UNREADY_AFTER_STORE_SILENCE_MS)
@@ -79,7 +78,7 @@
         answers_others || !self.store_answers_of_late(now) && self.isolated_from_peers(now)
     }
 
-    /// True if there are other controllers and none is in touch with this one.
+    /// Returns true if there are other controllers and the links to all of them are down.
     pub(crate) fn isolated_from_peers(&self, now: u64) -> bool {
         let mut others = (0..self.hosts.len() as u16)
             .filter(|index| *index != self.own_index)
--- a/crates/coordination/src/links/table.rs
+++ b/crates/coordination/src/links/table.rs
@@ -1,4 +1,4 @@
-//! All links as a table for operators.
+//! Table of all links for operators.
 
 use super::latency::LatencyWindow;
 use super::peers::ReceivedGossip;
@@ -8,7 +8,7 @@
 use lemonweir_protocol::links::{LinkRow, LinkState, Service};
 
 impl Links {
-    /// All links, this controller's first and then what others say of theirs.
+    /// Returns all links: this controller's own, then those that the others gossip.
     pub fn rows(&self, now: u64) -> Vec<LinkRow> {
         let mut rows = vec![
             self.service_row(Service::Store, &self.store, now),
@@ -80,7 +80,7 @@
 
     fn add_gossip_rows(&self, gossip: &ReceivedGossip, now: u64, rows: &mut Vec<LinkRow>) {
         let content = &gossip.content;
-        let said_s = now.saturating_sub(gossip.received_at) / 1_000;
+        let gossip_age_s = now.saturating_sub(gossip.received_at) / 1_000;
         let row = |to: String, state: LinkState, for_ms: u64| LinkRow {
             from: self.host(content.controller),
             to,
@@ -88,7 +88,7 @@
             for_s: for_ms / 1_000,
             relayed_by: None,
             latency_ms: None,
-            age_s: said_s,
+            age_s: gossip_age_s,
         };
         for service in [Service::Store, Service::Cloud] {
             let age_ms = content.service_age_ms(service);
--- a/crates/coordination/src/links/upstream_route.rs
+++ b/crates/coordination/src/links/upstream_route.rs
@@ -1,46 +1,45 @@
-//! The route to one of the services: direct, or relayed by another controller
-//! that still reaches it.
+//! Route to a service: direct, or relayed by another controller that still reaches it.
 
 use std::collections::BTreeMap;
 
 use super::failure_detector::FailureDetector;
 
-/// Bytes from which on a request is judged apart: some partitions let only small
-/// messages pass.
+/// Size from which a request has its own failure detector, bytes: some partitions let only
+/// small messages pass.
 const LARGE_REQUEST_BYTES: usize = 4 * 1024;
-/// ms after which a large request tries the direct route again.
+/// Interval at which a large request is sent directly again while only large ones fail, ms.
 const LARGE_RETRY_MS: u64 = 15_000;
-/// ms by which a relay's last answer must be newer than ours: in an outage for all, the
-/// last answers differ by less.
+/// Time by which a relay's last answer must be newer than this controller's, ms: in an outage
+/// that affects every controller, the last answers differ by less.
 const RELAY_NEWER_BY_MS: u64 = 700;
-/// ms for which a relay that failed is not asked again, if there is another.
-const FAILED_RELAY_REST_MS: u64 = 5_000;
-/// ms between two probes of the direct route while something is relayed.
-const PROBE_GAP_MS: u64 = 2_000;
-/// ms for which the direct route must have answered before it is used again;
-/// doubled each time it fails again soon, so that a link that flaps every few
-/// seconds stays relayed.
+/// Time for which a relay that failed is not used again, ms.
+const FAILED_RELAY_BACKOFF_MS: u64 = 5_000;
+/// Interval between two probes of the direct route while requests are relayed, ms.
+const PROBE_INTERVAL_MS: u64 = 2_000;
+/// Time for which the direct route must answer before it is used again, ms. Doubled each time it
+/// fails again within [`FLAPPING_MS`], so that requests stay relayed while a link flaps every
+/// few seconds.
 const RECOVERY_MS: u64 = 1_000;
-/// ms that the doubling stops at.
+/// Upper bound of the doubled [`RECOVERY_MS`], ms.
 const RECOVERY_MAX_MS: u64 = 60_000;
-/// ms within which a link that fails again counts as flapping.
+/// Time within which a link that fails again counts as flapping, ms.
 const FLAPPING_MS: u64 = 120_000;
 
 /// A controller that could relay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct RelayCandidate {
-    /// Number of the controller.
+    /// Index of the controller.
     pub(crate) host: u16,
     /// When the service last answered it directly, ms.
     pub(crate) last_answer: u64,
 }
 
-/// Size of a request, as far as links treat it differently.
+/// Size class of a request; each has its own failure detector.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RequestSize {
     /// Below [`LARGE_REQUEST_BYTES`].
     Small,
-    /// From there on.
+    /// [`LARGE_REQUEST_BYTES`] or more.
     Large,
 }
 
@@ -54,7 +53,7 @@
     }
 }
 
-/// What became of a call.
+/// Outcome of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CallOutcome {
     /// It was answered.
@@ -76,42 +75,44 @@
 /// The route to one service.
 #[derive(Debug, Default)]
 pub(crate) struct UpstreamRoute {
-    /// The direct link.
+    /// Failure detector of the direct link for small requests.
     pub(crate) small: FailureDetector,
-    /// The direct link for large requests.
+    /// Failure detector of the direct link for large requests.
     pub(crate) large: FailureDetector,
-    /// Who relays now.
+    /// Index of the controller that relays now.
     relay: Option<u16>,
-    /// Relays that failed, and until when they are not asked, ms.
-    resting: BTreeMap<u16, u64>,
+    /// Relays that failed, and until when they are not used, ms.
+    backing_off: BTreeMap<u16, u64>,
+    /// When the next probe of the direct route is due, ms.
     next_probe: u64,
-    next_large_try: u64,
-    /// Since when the direct route answers again, ms.
+    /// When a large request may next be sent directly although large ones fail, ms.
+    next_large_retry: u64,
+    /// Since when the direct route has been answering again, ms.
     recovering_since: Option<u64>,
-    /// For how long it must have, ms.
+    /// For how long it must answer before it is used again, ms.
     recovery_ms: u64,
-    /// When it last went down, ms.
+    /// When the direct link last went down, ms.
     down_at: Option<u64>,
 }
 
 impl UpstreamRoute {
-    /// When the service last answered directly, ms.
+    /// Returns when the service last answered directly, ms.
     pub(crate) fn last_answer(&self) -> Option<u64> {
         self.small.last_answer.max(self.large.last_answer)
     }
 
-    /// Who relays now.
+    /// Returns the index of the controller that relays now.
     pub(crate) fn relay(&self) -> Option<u16> {
         self.relay
     }
 
-    /// True if requests of this size may need a relay.
+    /// Returns true if the direct route is down for requests of this size.
     pub(crate) fn is_down_for(&self, size: RequestSize) -> bool {
         self.small.is_down() || size == RequestSize::Large && self.large.is_down()
     }
 
-    /// Whom a request is relayed by; `None`: it goes directly. `candidates`: who could
-    /// relay, most recent answer first.
+    /// Returns the controller that relays a request; `None`: it goes directly. `candidates`
+    /// are sorted by their last answer, most recent first.
     pub(crate) fn route(
         &mut self,
         size: RequestSize,
@@ -121,34 +122,36 @@
         if !self.is_down_for(size) {
             return None;
         }
-        if !self.small.is_down() && now >= self.next_large_try {
-            self.next_large_try = now + LARGE_RETRY_MS;
+        if !self.small.is_down() && now >= self.next_large_retry {
+            self.next_large_retry = now + LARGE_RETRY_MS;
             return None;
         }
         let large_down = size == RequestSize::Large && self.large.is_down();
-        // In an outage for all nobody's answer is newer than ours, so that
-        // nothing is relayed in a circle of those who have none.
+        // In an outage that affects every controller no candidate's answer is newer, which
+        // prevents relay loops among controllers that can't reach the service.
         let newer = |at: u64| {
             large_down
                 || self
                     .last_answer()
                     .is_none_or(|own| at > own + RELAY_NEWER_BY_MS)
         };
-        let fit: Vec<u16> = candidates
+        let eligible: Vec<u16> = candidates
             .iter()
             .filter(|candidate| newer(candidate.last_answer))
             .map(|candidate| candidate.host)
             .collect();
-        let rested = |host: &u16| self.resting.get(host).is_none_or(|until| now >= *until);
-        // Who relays goes on, so that a route does not swing between two.
+        let not_backing_off =
+            |host: &u16| self.backing_off.get(host).is_none_or(|until| now >= *until);
+        // Keep the current relay, so that the route does not alternate between two.
         let same = self
             .relay
-            .filter(|relay| fit.contains(relay) && rested(relay));
-        self.relay = same.or_else(|| fit.iter().copied().find(rested));
+            .filter(|relay| eligible.contains(relay) && not_backing_off(relay));
+        self.relay = same.or_else(|| eligible.iter().copied().find(not_backing_off));
         self.relay
     }
 
-    /// The direct route was tried; true if the route changes by it.
+    /// Records the outcome of a direct request. After an answer, returns true if the link's state
+    /// changes; after a failure, only if the link goes down.
     pub(crate) fn record_direct(
         &mut self,
         size: RequestSize,
@@ -173,8 +176,8 @@
                 RECOVERY_MS
             };
             self.down_at = Some(now);
-            self.next_probe = now + PROBE_GAP_MS;
-            self.next_large_try = now + LARGE_RETRY_MS;
+            self.next_probe = now + PROBE_INTERVAL_MS;
+            self.next_large_retry = now + LARGE_RETRY_MS;
         }
         went_down
     }
@@ -183,10 +186,9 @@
         if size == RequestSize::Large || !self.small.is_down() {
             return self.detector(size).record_success(now);
         }
-        // Guards against a link that flaps: while others relay, it must have
-        // answered for a while before it is relied on.
+        // A link that flaps must answer for a while before it replaces a relay.
         let since = *self.recovering_since.get_or_insert(now);
-        // Our last answer stays as old as it is, so that the relay's counts as newer.
+        // The last answer's time is not updated, so that the relay's stays the newer one.
         if self.relay.is_some() && now < since + self.recovery_ms {
             return false;
         }
@@ -202,23 +204,24 @@
         }
     }
 
-    /// A relay was tried.
+    /// Records the outcome of a relayed request.
     pub(crate) fn record_relayed(&mut self, relay: u16, outcome: CallOutcome, now: u64) {
         match outcome {
             CallOutcome::Answered => {
-                self.resting.remove(&relay);
+                self.backing_off.remove(&relay);
             }
             CallOutcome::Failed => {
-                self.resting.insert(relay, now + FAILED_RELAY_REST_MS);
+                self.backing_off
+                    .insert(relay, now + FAILED_RELAY_BACKOFF_MS);
             }
         }
     }
 
-    /// True if the direct route should be probed now.
+    /// Returns true if a probe of the direct route is due, and schedules the next one.
     pub(crate) fn take_due_probe(&mut self, now: u64) -> bool {
         let due = self.small.is_down() && self.relay.is_some() && now >= self.next_probe;
         if due {
-            self.next_probe = now + PROBE_GAP_MS;
+            self.next_probe = now + PROBE_INTERVAL_MS;
         }
         due
     }
--- a/crates/coordination/src/links/upstream_route/tests.rs
+++ b/crates/coordination/src/links/upstream_route/tests.rs
@@ -1,4 +1,4 @@
-//! Routes to services.
+//! Tests of the routes to services.
 
 use super::CallOutcome::{Answered, Failed};
 use super::RequestSize::{Large, Small};
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn relays_by_a_peer_with_a_newer_answer_and_keeps_to_it() {
+fn relays_by_a_peer_with_a_newer_answer_and_keeps_that_peer() {
     let mut route = down_route(1_000);
     assert_eq!(route.route(Small, &[], 3_600), None);
     let first = candidates(&[(1, 3_400), (2, 3_300)]);
@@ -31,15 +31,15 @@
 }
 
 #[test]
-fn outage_for_all_is_relayed_by_nobody() {
+fn outage_for_every_controller_is_not_relayed() {
     let mut route = down_route(1_000);
-    // The others' last answers are as old as ours.
+    // The other controllers' last answers are not newer by more than the margin.
     let others = candidates(&[(1, 1_000 + RELAY_NEWER_BY_MS), (2, 900)]);
     assert_eq!(route.route(Small, &others, 3_600), None);
 }
 
 #[test]
-fn flapping_link_is_relied_on_later_each_time() {
+fn flapping_link_must_answer_longer_each_time() {
     let mut route = down_route(1_000);
     let mut now = 4_000;
     let mut waits = Vec::new();
@@ -69,11 +69,11 @@
     route.record_direct(Large, Failed, 3_000);
     route.record_direct(Large, Failed, 4_500);
     route.record_direct(Small, Answered, 4_600);
-    let able = candidates(&[(1, 4_000)]);
-    assert_eq!(route.route(Small, &able, 5_000), None);
-    assert_eq!(route.route(Large, &able, 5_000), Some(1));
-    // Now and then one tries the direct route.
-    assert_eq!(route.route(Large, &able, 4_500 + LARGE_RETRY_MS), None);
+    let peers = candidates(&[(1, 4_000)]);
+    assert_eq!(route.route(Small, &peers, 5_000), None);
+    assert_eq!(route.route(Large, &peers, 5_000), Some(1));
+    // The direct route is retried at intervals.
+    assert_eq!(route.route(Large, &peers, 4_500 + LARGE_RETRY_MS), None);
     route.record_direct(Large, Answered, 4_600 + LARGE_RETRY_MS);
-    assert_eq!(route.route(Large, &able, 5_000 + LARGE_RETRY_MS), None);
+    assert_eq!(route.route(Large, &peers, 5_000 + LARGE_RETRY_MS), None);
 }
--- a/crates/coordination/src/links/workers.rs
+++ b/crates/coordination/src/links/workers.rs
@@ -1,4 +1,4 @@
-//! Links to the workers, and what to do with heartbeats of shards that others lead.
+//! Links to the workers, and the answers to heartbeats of shards that other controllers lead.
 
 use super::Links;
 use super::peers::PEER_MESSAGE_FRESH_MS;
@@ -8,14 +8,14 @@
 use lemonweir_model::constants::{HEARTBEAT_TIMEOUT_SLACK_MS, MAX_INDIVIDUAL_LOSSES};
 use lemonweir_protocol::links::{AvailabilityGossip, LinkState};
 
-/// How a worker whose shard another controller leads is to be answered.
+/// Answer to a worker whose shard another controller leads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum MisroutedHeartbeatAction {
-    /// Its heartbeat goes to the leader through us.
+    /// This controller relays its heartbeat to the leader.
     Relay,
-    /// It shall send it to its leader.
+    /// The worker is told to send it to the leader.
     Redirect,
-    /// We can't help it; it tries whoever is next.
+    /// The leader can't be reached from here; the worker tries the next controller.
     Unavailable,
 }
 
@@ -23,15 +23,15 @@
 pub(crate) struct MisroutedHeartbeat<'a> {
     /// The shard.
     pub(crate) shard: u16,
-    /// Number of the controller that leads it.
+    /// Index of the controller that leads it.
     pub(crate) leader: u16,
     /// The worker's zone.
     pub(crate) zone: &'a str,
     /// The worker's machine.
     pub(crate) machine: &'a MachineId,
-    /// The worker was here a moment ago.
+    /// True if the worker sent a heartbeat here a moment ago.
     pub(crate) repeated: bool,
-    /// The worker shows the leader's own fencing token.
+    /// True if the worker presents the leader's own fencing token.
     pub(crate) knows_leader: bool,
 }
 
@@ -46,8 +46,8 @@
 }
 
 impl Links {
-    /// A worker of a zone reached us by itself. Guards against late copies of heartbeats
-    /// (`fresh` is false), which say nothing of the link now.
+    /// Records a heartbeat that a worker of a zone sent directly to this controller. Late copies
+    /// (`fresh` is false) are ignored: they are no evidence of the link's present state.
     pub(crate) fn record_heartbeat(&mut self, zone: &str, fresh: bool, now: u64) {
         if !fresh {
             return;
@@ -59,13 +59,13 @@
         }
     }
 
-    /// ms without a heartbeat from which on a zone counts as unreachable.
+    /// Time without a heartbeat after which a zone counts as unreachable, ms.
     pub(super) fn zone_silence_ms(&self) -> u64 {
         2 * self.heartbeat_ms + HEARTBEAT_TIMEOUT_SLACK_MS
     }
 
-    /// True if no worker reaches us any more, though some did a moment ago. After a
-    /// while that says nothing: all may have gone to other controllers.
+    /// Returns true if heartbeats from every zone have ceased, the last within [`CEDE_MS`].
+    /// After that time silence is no evidence: all workers may have moved to other controllers.
     pub(crate) fn no_worker_reachable(&self, now: u64) -> bool {
         let newest = self.zones.values().max().copied().unwrap_or(0);
         self.heartbeats > MAX_INDIVIDUAL_LOSSES as u64
@@ -73,7 +73,7 @@
             && now < newest + CEDE_MS
     }
 
-    /// How to answer a worker whose shard another controller leads.
+    /// Chooses the answer to a worker whose shard another controller leads.
     pub(crate) fn route_misrouted(
         &mut self,
         heartbeat: &MisroutedHeartbeat,
@@ -82,18 +82,18 @@
         let silence_ms = self.zone_silence_ms();
         let leader_link = heartbeat.leader_link();
         let Some(gossip) = self.reachable_leader_gossip(heartbeat.leader, now) else {
-            // One that can't reach the leader is not redirected there
-            // once more, but tries whoever is next: that may reach the leader.
+            // A worker that can't reach the leader is not redirected there again; it tries
+            // the next controller, which may reach the leader.
             return match leader_link {
                 LeaderLink::Failed => MisroutedHeartbeatAction::Unavailable,
                 LeaderLink::Untried => MisroutedHeartbeatAction::Redirect,
             };
         };
-        let reached = gossip
+        let zone_reached = gossip
             .unreachable_zones
             .iter()
             .any(|(zone, ms)| zone == heartbeat.zone && *ms <= silence_ms);
-        let zone = if reached {
+        let zone = if zone_reached {
             ZoneReachability::Reachable
         } else {
             ZoneReachability::Unreachable
@@ -101,7 +101,7 @@
         self.relay.choose(heartbeat, leader_link, zone, now)
     }
 
-    /// A leader's newest gossip, if the leader can be reached from here.
+    /// Returns a leader's newest gossip if it is recent and the leader can be reached from here.
     fn reachable_leader_gossip(&self, leader: u16, now: u64) -> Option<&AvailabilityGossip> {
         if !matches!(
             self.peer_state(leader, now),
@@ -113,7 +113,7 @@
         (now <= gossip.received_at + PEER_MESSAGE_FRESH_MS).then_some(&gossip.content)
     }
 
-    /// Number of workers whose heartbeats this controller relays.
+    /// Returns the number of workers whose heartbeats this controller relays.
     pub fn relayed_workers(&self, now: u64) -> usize {
         self.relay.relayed_workers(now)
     }
--- a/crates/coordination/src/socket_shares.rs
+++ b/crates/coordination/src/socket_shares.rs
@@ -1,34 +1,33 @@
-//! A process's sockets, divided so that no kind of traffic starves another.
+//! Division of a process's sockets, so that no kind of traffic starves another.
 //!
-//! Workers and users share one listening address, and each worker keeps its
-//! connection, so a fleet may take any share of what a process may open. What
-//! the process itself opens is kept apart from that: commands to machines, calls
-//! to store, cloud and peers, and peers' calls to it. Near the end of the public
-//! share answers close their connections, so that it bounds what is under way
-//! at a time, and no longer how many workers and users there are.
+//! Workers and users share one listening address, and each worker keeps its connection open, so
+//! a fleet may take any share of the sockets that the process may open. Sockets for commands to
+//! machines, for calls to the store, the cloud and peers, and for peers' calls are reserved
+//! apart from that. When the public share is nearly used up, answers close their connections,
+//! so that the share limits concurrent requests rather than the number of workers and users.
 
-/// Sockets kept for what a process opens itself and for its peers; the rest is
-/// for workers and users.
+/// Sockets reserved for connections that the process opens and for its peers; the rest is for
+/// workers and users.
 const SOCKET_RESERVE: usize = 300;
-/// Percent of the public sockets that users' connections may keep
-/// between requests; beyond it theirs close after each answer.
-const USERS_PERCENT: usize = 40;
-/// Percent of the public sockets from which on answers close their
-/// connections: what is left takes the requests of a second while others close.
-const CROWDED_PERCENT: usize = 80;
+/// Percentage of the public sockets that users' connections may hold between requests; beyond
+/// it, users' connections close after each answer.
+const USER_KEEP_ALIVE_PERCENT: usize = 40;
+/// Percentage of the public sockets in use above which answers close their connections: the rest
+/// takes the requests of one second while other connections close.
+const CLOSE_ABOVE_PERCENT: usize = 80;
 
-/// How many sockets each kind of traffic may have open.
+/// Limit of open sockets for each kind of traffic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SocketShares {
     /// Connections of workers and users.
     pub public: usize,
     /// Connections of other controllers.
     pub peers: usize,
-    /// Commands to machines under way at a time.
+    /// Concurrent commands to machines.
     pub commands: usize,
-    /// Idle connections that are kept for further calls.
+    /// Idle outgoing connections kept for reuse.
     pub idle: usize,
-    /// Calls to store, cloud and peers.
+    /// Concurrent calls to the store, the cloud and peers.
     pub upstream: usize,
 }
 
@@ -36,7 +35,8 @@
     /// Divides the sockets that a process may open.
     pub fn divide(limit: usize) -> Self {
         let reserve = SOCKET_RESERVE.min(limit / 2);
-        // A slow store holds most calls: its time-out times its share of requests.
+        // Upstream calls get the rest: a slow store holds the most calls, up to its timeout
+        // times its rate of requests.
         let (peers, commands, idle) = (reserve / 6, reserve / 4, reserve / 4);
         Self {
             public: limit - reserve,
@@ -47,13 +47,13 @@
         }
     }
 
-    /// Public connections that users may keep between requests.
+    /// Returns how many public connections users may keep open between requests.
     pub fn user_keep_alive(&self) -> usize {
-        self.public * USERS_PERCENT / 100
+        self.public * USER_KEEP_ALIVE_PERCENT / 100
     }
 
-    /// Open public connections from which on answers close theirs.
+    /// Returns the number of open public connections above which answers close theirs.
     pub fn close_above(&self) -> usize {
-        self.public * CROWDED_PERCENT / 100
+        self.public * CLOSE_ABOVE_PERCENT / 100
     }
 }
