--- a/crates/coordination/src/autoscaler.rs
+++ b/crates/coordination/src/autoscaler.rs
@@ -1,4 +1,4 @@
-//! Scale out: which instances to request for the tasks that found no free resources, beyond
+//! Scale-out planning: chooses the instances to request for tasks without free resources, beyond
 //! those that are booting or requested already.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -7,34 +7,34 @@
 use lemonweir_model::{Catalog, MachineType, Resources};
 use lemonweir_protocol::cloud::ProvisioningRequest;
 
-/// Instances of a pool past their provisioning timeout from which on, if they are most of
-/// what boots there, capacity is requested elsewhere first.
+/// Minimum number of instances past their provisioning timeout for a pool to count as failing.
+/// They must also be the majority of those booting there. Other pools are then asked first.
 const FAILING_POOL_MIN_OVERDUE: usize = 3;
-/// ms for which a pool that had no capacity is not asked again.
+/// Time for which a pool that had no capacity is not asked again, ms.
 const NO_CAPACITY_BACKOFF_MS: u64 = 12_000;
 
-/// How an instance is paid for.
+/// Pricing model of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Market {
-    /// At the full price, until it is released.
+    /// Full price, until the instance is released.
     OnDemand,
-    /// At a lower price; the cloud may reclaim it.
+    /// Lower price; the cloud may reclaim the instance.
     Spot,
 }
 
 impl Market {
-    /// The market that a `spot` flag of messages and settings stands for.
+    /// Converts the `spot` flag of messages and settings.
     pub fn from_spot_flag(spot: bool) -> Self {
         if spot { Self::Spot } else { Self::OnDemand }
     }
 
-    /// The `spot` flag of messages and settings.
+    /// Returns the `spot` flag for messages and settings.
     pub fn is_spot(self) -> bool {
         self == Self::Spot
     }
 }
 
-/// Instances that the cloud provisions alike.
+/// Machine type, zone and market from which the cloud provisions instances.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct InstancePool {
     /// Machine type.
@@ -46,7 +46,7 @@
 }
 
 impl InstancePool {
-    /// The pool of these names.
+    /// Creates a pool.
     pub fn new(machine_type: &str, zone: &str, market: Market) -> Self {
         Self {
             machine_type: machine_type.to_owned(),
@@ -63,12 +63,12 @@
     }
 }
 
-/// Tasks that found no free resources.
+/// Tasks for which no machine had free resources.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CapacityDemand {
     /// The team.
     pub team: String,
-    /// Resources that each takes.
+    /// Resources required by each task.
     pub need: Resources,
     /// Allowed machine types; `None`: any.
     pub machine_types: Option<Vec<String>>,
@@ -76,15 +76,16 @@
     pub zone: Option<String>,
     /// True if spot instances are allowed.
     pub spot_allowed: bool,
-    /// True if they are not worth an on-demand instance.
+    /// True if the tasks do not justify an on-demand instance.
     pub spot_only: bool,
-    /// How many tasks.
+    /// Number of tasks.
     pub count: u32,
     /// True if all must be in one zone.
     pub single_zone: bool,
-    /// Idle work: capacity is requested for it only if nothing else lacks any.
+    /// True for idle-priority work: capacity is requested only if no other work lacks any.
     pub idle: bool,
-    /// The first unit of idle work that must start now, whatever else lacks capacity.
+    /// True for the first unit of idle-priority work that must start now, even if other work
+    /// lacks capacity.
     pub must_start_now: bool,
 }
 
@@ -102,27 +103,27 @@
     }
 }
 
-/// An instance that is booting or requested, as a bin to pack tasks into.
+/// Booting or requested instance, as a bin into which tasks are packed.
 #[derive(Clone, Debug)]
 pub struct CapacityBin {
-    /// Its pool.
+    /// Pool of the instance.
     pub pool: InstancePool,
     /// Free resources.
     pub free: Resources,
 }
 
-/// Pools that had no capacity, and until when they are not asked, ms.
+/// Pools that had no capacity, and until when they are not asked again, ms.
 #[derive(Default, Debug)]
 pub struct CapacityShortages(BTreeMap<InstancePool, u64>);
 
 impl CapacityShortages {
-    /// Records that the cloud had not all of what was requested.
+    /// Records that the cloud could not provide all requested instances.
     pub fn record(&mut self, request: &ProvisioningRequest, now: u64) {
         self.0
             .insert(InstancePool::from(request), now + NO_CAPACITY_BACKOFF_MS);
     }
 
-    /// The pools without capacity, in the words that operators are shown.
+    /// Describes the pools without capacity for operators.
     pub(crate) fn describe(&self, now: u64) -> Vec<String> {
         self.0
             .iter()
@@ -139,7 +140,7 @@
     }
 }
 
-/// An instance that boots.
+/// Booting instance.
 #[derive(Clone, Copy, Debug)]
 pub struct BootingInstance<'a> {
     /// Machine type.
@@ -152,25 +153,25 @@
     pub overdue: bool,
 }
 
-/// Pools in which most of the booting instances are past their provisioning timeout.
+/// Pools in which most booting instances are past their provisioning timeout.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FailingPools(BTreeSet<InstancePool>);
 
-/// Booting instances of a pool.
+/// Numbers of booting instances of a pool.
 #[derive(Clone, Copy, Debug, Default)]
 struct BootingCounts {
     overdue: usize,
-    all: usize,
+    total: usize,
 }
 
 impl BootingCounts {
     fn is_failing(self) -> bool {
-        self.overdue >= FAILING_POOL_MIN_OVERDUE && self.overdue * 2 > self.all
+        self.overdue >= FAILING_POOL_MIN_OVERDUE && self.overdue * 2 > self.total
     }
 }
 
 impl FailingPools {
-    /// The failing pools of these booting instances.
+    /// Determines the failing pools from the booting instances.
     pub fn new<'a>(booting: impl Iterator<Item = BootingInstance<'a>>) -> Self {
         let mut counts: BTreeMap<(&str, &str, Market), BootingCounts> = BTreeMap::new();
         for instance in booting {
@@ -178,7 +179,7 @@
                 .entry((instance.machine_type, instance.zone, instance.market))
                 .or_default();
             counts.overdue += usize::from(instance.overdue);
-            counts.all += 1;
+            counts.total += 1;
         }
         Self(
             counts
@@ -196,12 +197,12 @@
     }
 }
 
-/// What is known of where instances may be provisioned.
+/// Constraints and preferences on where instances may be provisioned.
 #[derive(Clone, Copy, Debug)]
 pub struct ProvisioningOptions<'a> {
-    /// Zones that are partitioned from this controller: nothing is requested there.
+    /// Zones partitioned from this controller: no instances are requested there.
     pub partitioned_zones: &'a BTreeSet<&'a str>,
-    /// Pools whose instances do not come up: avoided while others have capacity.
+    /// Pools whose instances fail to boot: avoided while other pools have capacity.
     pub failing_pools: &'a FailingPools,
     /// Machine types.
     pub catalog: &'a Catalog,
@@ -214,22 +215,22 @@
 pub struct ScaleOut {
     /// The pool.
     pub pool: InstancePool,
-    /// How many, at most [`MAX_INSTANCES_PER_REQUEST`].
+    /// Number of instances, at most [`MAX_INSTANCES_PER_REQUEST`].
     pub count: u32,
 }
 
-/// An instance that the cloud may have for a demand.
+/// Pool from which an instance may be requested for a demand.
 struct Offer<'a> {
     failing: bool,
     price_per_task: f64,
-    /// Machines that the zone has already.
+    /// Machines that the zone already has.
     zone_machines: usize,
     pool: InstancePool,
     machine_type: &'a MachineType,
 }
 
 impl Offer<'_> {
-    /// Failing pools come last; then price decides, then how few machines the zone has.
+    /// Orders failing pools last, then by price per task, then by the zone's number of machines.
     fn preference(&self, other: &Self) -> std::cmp::Ordering {
         self.failing
             .cmp(&other.failing)
@@ -238,9 +239,9 @@
     }
 }
 
-/// The instances to request now. Nothing is requested in partitioned zones, and machines
-/// there only count for those who may run nowhere else. Failing pools are asked only if no
-/// other has capacity. `machines_by_zone`: the machines that each zone has.
+/// Plans the instances to request now. No instances are requested in partitioned zones, and
+/// machines there count only for tasks that may run nowhere else. Failing pools are asked only
+/// if no other pool has capacity. `machines_by_zone` is the number of machines in each zone.
 pub fn plan_scale_out(
     demands: &[CapacityDemand],
     booting: &[CapacityBin],
@@ -257,20 +258,20 @@
     for demand in demands {
         planner.plan_demand(demand);
     }
-    planner.requested_since(booting.len())
+    planner.into_scale_out(booting.len())
 }
 
-/// A plan under way.
+/// Scale-out plan in progress.
 struct ScaleOutPlanner<'a> {
     options: &'a ProvisioningOptions<'a>,
     now: u64,
-    /// Instances that boot, followed by those that the plan adds.
+    /// Booting instances, followed by those that the plan adds.
     bins: Vec<CapacityBin>,
     machines_by_zone: BTreeMap<String, usize>,
 }
 
 impl<'a> ScaleOutPlanner<'a> {
-    /// Packs a demand into the bins, and adds bins for what is left of it.
+    /// Packs the tasks of a demand into the bins, and adds bins for the rest.
     fn plan_demand(&mut self, demand: &CapacityDemand) {
         let zone = self.required_zone(demand);
         let mut unplaced = self.pack_into_bins(demand, zone.as_deref());
@@ -282,8 +283,8 @@
         }
     }
 
-    /// The only zone that a demand may go to. A gang that must be in one zone goes where
-    /// most of it fits already.
+    /// Returns the only zone allowed for a demand, if any. A gang that must run in one zone gets
+    /// the zone in whose bins most of its tasks fit.
     fn required_zone(&self, demand: &CapacityDemand) -> Option<String> {
         if demand.zone.is_some() || !demand.single_zone || demand.count <= 1 {
             return demand.zone.clone();
@@ -302,7 +303,7 @@
             .cloned()
     }
 
-    /// Tasks of a demand that fit into the bins of a zone.
+    /// Counts the tasks of a demand that fit into the bins of a zone.
     fn tasks_fitting_in(&self, demand: &CapacityDemand, zone: &str) -> u64 {
         self.bins
             .iter()
@@ -320,8 +321,8 @@
         self.machines_by_zone.get(zone).copied().unwrap_or(0)
     }
 
-    /// Packs as many tasks of a demand as fit into the bins, spot instances first; how many
-    /// are left.
+    /// Packs as many tasks of a demand as fit into the bins, spot instances first. Returns how
+    /// many are left.
     fn pack_into_bins(&mut self, demand: &CapacityDemand, zone: Option<&str>) -> u64 {
         let partitioned_zones = self.options.partitioned_zones;
         let mut unplaced = u64::from(demand.count);
@@ -352,7 +353,7 @@
         unplaced
     }
 
-    /// The instance to request next for a demand.
+    /// Returns the best pool from which to request an instance for a demand.
     fn best_offer(&self, demand: &CapacityDemand, zone: Option<&str>) -> Option<Offer<'a>> {
         let catalog = self.options.catalog;
         catalog
@@ -372,8 +373,8 @@
             .min_by(Offer::preference)
     }
 
-    /// The offer of one pool for a demand; `None`: the pool is not allowed for it, or had no
-    /// capacity of late.
+    /// Returns the offer of one pool for a demand; `None`: the pool is not allowed for it, or
+    /// recently had no capacity.
     fn offer(
         &self,
         demand: &CapacityDemand,
@@ -402,25 +403,25 @@
         })
     }
 
-    /// Adds an instance to the plan; how many of the unplaced tasks it takes.
+    /// Adds an instance to the plan. Returns how many of the unplaced tasks it takes.
     fn add_bin(&mut self, demand: &CapacityDemand, offer: Offer<'_>, unplaced: u64) -> u64 {
         let Offer {
             pool, machine_type, ..
         } = offer;
-        let room = machine_type.capacity;
+        let capacity = machine_type.capacity;
         *self.machines_by_zone.entry(pool.zone.clone()).or_default() += 1;
-        let packed = tasks_in(&room, &demand.need).clamp(1, unplaced);
+        let packed = tasks_in(&capacity, &demand.need).clamp(1, unplaced);
         self.bins.push(CapacityBin {
             pool,
-            free: room.minus(&demand.need.times(packed)),
+            free: capacity.minus(&demand.need.times(packed)),
         });
         packed
     }
 
-    /// The instances that the plan added to the first `known` bins, by pool.
-    fn requested_since(self, known: usize) -> Vec<ScaleOut> {
+    /// Returns the instances that the plan added after the first `booting_count` bins, by pool.
+    fn into_scale_out(self, booting_count: usize) -> Vec<ScaleOut> {
         let mut counts: BTreeMap<InstancePool, u32> = BTreeMap::new();
-        for bin in self.bins.into_iter().skip(known) {
+        for bin in self.bins.into_iter().skip(booting_count) {
             *counts.entry(bin.pool).or_default() += 1;
         }
         counts
@@ -433,7 +434,7 @@
     }
 }
 
-/// How many tasks of this need fit into free resources.
+/// Returns how many tasks that each require `need` fit into free resources.
 pub(crate) fn tasks_in(free: &Resources, need: &Resources) -> u64 {
     let ratio = |have: u64, need: u64| have.checked_div(need).unwrap_or(u64::MAX);
     ratio(free.milli_cpus, need.milli_cpus)
--- a/crates/coordination/src/fault_attribution.rs
+++ b/crates/coordination/src/fault_attribution.rs
@@ -1,90 +1,91 @@
-//! Failure attribution: whether a failure is the job's fault, which was submitted with a
-//! mistake, or the machine's, which fails whatever it runs.
+//! Fault attribution: decides whether failures are caused by the job, which was submitted with
+//! an error, or by the machine, which fails whatever it runs.
 //!
-//! A failure is kept as a pair of job and machine. A success clears its job, whose
-//! failures were then not its own, and clears its machine of what failed there before the
-//! run began. What counts against a job are failures on machines that are *vouched for*:
-//! another job succeeded there at about that time or later. What counts against a machine
-//! are failures of jobs that are not suspects themselves; with those of them that
-//! succeeded elsewhere it is surely the machine.
+//! A failure is recorded as a pair of job and machine. A success clears the job's failures, which
+//! the job then did not cause, and the machine's failures before the successful run began.
+//! Failures count against a job if the machine is *known good*: another job succeeded there at
+//! about that time or later. Failures count against a machine if the job is not a suspect; if
+//! enough of these jobs succeeded on other machines, the machine is certainly at fault.
 //!
-//! It is learned from nothing by whoever acquires a shard: a suspect then costs a few more
-//! tries, and a machine a few more failures.
+//! The state is not handed over with a shard. A new leader starts without it, which costs a few
+//! more attempts of a suspect job and a few more failures on a faulty machine.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
 use lemonweir_model::{JobId, MachineId};
 
-/// Jobs that must have failed on a machine, none of them a suspect, for it to be
-/// quarantined. Two: a gang that takes it whole is the only one there, and each that fails
-/// starts late.
+/// Number of jobs, none of them a suspect, that must have failed on a machine for it to be
+/// quarantined. No more than two: a gang that occupies the whole machine is the only job there,
+/// and each gang that fails starts late.
 pub const FAILURE_ATTRIBUTION_QUARANTINE_JOBS: usize = 2;
-/// Machines that run other jobs on which a job must have failed, with no success since, to
-/// be the suspect. Two: one may be faulty.
+/// Number of machines that run other jobs on which a job must have failed, without a success
+/// since, to be a suspect. Two, since one of them may be faulty.
 pub const FAILURE_ATTRIBUTION_SUSPECT_MACHINES: usize = 2;
-/// Machines on which it must have failed whether or not others run there. So many faulty
-/// ones in a row are less likely than a mistake.
+/// Number of machines on which a job must have failed to be a suspect whether or not other jobs
+/// run there. So many faulty machines in a row are less likely than a faulty job.
 pub const FAILURE_ATTRIBUTION_SUSPECT_ANYWHERE: usize = 5;
-/// ms before a failure within which another job's success vouches for the machine: longer
-/// than most runs, so that machines in use are vouched for.
+/// Time after the start of another job's successful run for which the machine counts as known
+/// good, ms: longer than most runs, so that machines in use are known good.
 pub const FAILURE_ATTRIBUTION_VOUCHED_MS: u64 = 300_000;
-/// Failures remembered of each job and of each machine.
-const FAILURE_ATTRIBUTION_FAILURES_MAX: usize = 8;
-/// Jobs remembered by one side of a shard; some 200 bytes each.
-const FAILURE_ATTRIBUTION_JOBS_MAX: usize = 4_096;
+/// Failures kept per job and per machine.
+const MAX_FAILURES_KEPT: usize = 8;
+/// Jobs tracked by one side of a shard (placer or owner), at some 200 bytes each.
+const MAX_JOBS_TRACKED: usize = 4_096;
 
-/// What the attributed failures say of a machine.
+/// Verdict on a machine from the failures attributed to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultVerdict {
     /// Too few failures count against it.
     Healthy,
-    /// Several jobs failed there; none of them is a suspect, but it is not known
-    /// that they run elsewhere.
+    /// Several jobs that are not suspects failed there, but too few are known to succeed
+    /// elsewhere.
     Suspect,
-    /// Several jobs failed there that run elsewhere.
+    /// Several jobs failed there that succeed elsewhere.
     Faulty,
 }
 
-/// A failure, as one side keeps it.
+/// Failure, in the record of a job or of a machine.
 #[derive(Debug)]
 struct Failure<T> {
-    /// The job or the machine on the other side.
-    with: T,
-    /// ms.
+    /// The machine, in a job's record; the job, in a machine's record.
+    counterpart: T,
+    /// When it failed, ms.
     at: u64,
 }
 
-/// Failures, oldest first, one for each other side.
+/// Failures, oldest first, at most one per counterpart.
 type Failures<T> = VecDeque<Failure<T>>;
 
-/// A success of a job on a machine.
+/// Success, in the record of a job or of a machine.
 #[derive(Debug)]
 struct Success<T> {
-    /// When its run began, ms.
+    /// When the run began, ms.
     began_at: u64,
-    /// The job or the machine on the other side.
-    with: T,
+    /// The machine, in a job's record; the job, in a machine's record.
+    counterpart: T,
 }
 
+/// Record of one job.
 #[derive(Debug, Default)]
 struct JobFailures {
-    /// The newest success: when its run began, and where.
+    /// The success whose run began last.
     last_success: Option<Success<MachineId>>,
     failed: Failures<MachineId>,
-    /// How many of these, the oldest, a success has cleared since. They still
-    /// count against their machines.
+    /// Number of the oldest failures that a success has cleared since. They still count against
+    /// their machines.
     cleared: usize,
 }
 
+/// Record of one machine.
 #[derive(Debug, Default)]
 struct MachineFailures {
-    /// The newest runs of two jobs, the newer first: one of them is by another
-    /// job than whichever is asked about.
+    /// The newest successes of two different jobs, newest first: for any given job, at least one
+    /// of them belongs to another job.
     successes: Vec<Success<JobId>>,
     failed: Failures<JobId>,
 }
 
-/// The jobs and machines whose verdicts one event may have changed.
+/// Jobs and machines whose verdicts an event may have changed.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Affected {
     /// Jobs.
@@ -93,38 +94,43 @@
     pub machines: BTreeSet<MachineId>,
 }
 
-/// The successes and failures that one side of a shard has seen.
+/// Successes and failures observed by one side of a shard (placer or owner).
 #[derive(Debug, Default)]
 pub struct FaultAttribution {
     jobs: HashMap<JobId, JobFailures>,
-    /// Jobs in the order in which they were first seen.
-    order: VecDeque<JobId>,
+    /// Jobs in the order of insertion.
+    insertion_order: VecDeque<JobId>,
     machines: BTreeMap<MachineId, MachineFailures>,
 }
 
-/// Remembers a failure; one repeated counts at its last time. Returns the index of the
-/// failure that it replaced or displaced.
-fn remember<T: PartialEq + Clone>(failed: &mut Failures<T>, with: &T, at: u64) -> Option<usize> {
+/// Inserts a failure. It replaces an earlier one with the same counterpart, or else the oldest if
+/// the list is full. Returns the index of the replaced failure.
+fn insert_failure<T: PartialEq + Clone>(
+    failed: &mut Failures<T>,
+    counterpart: &T,
+    at: u64,
+) -> Option<usize> {
     let replaced = failed
         .iter()
-        .position(|failure| failure.with == *with)
-        .or((failed.len() >= FAILURE_ATTRIBUTION_FAILURES_MAX).then_some(0));
+        .position(|failure| failure.counterpart == *counterpart)
+        .or((failed.len() >= MAX_FAILURES_KEPT).then_some(0));
     if let Some(i) = replaced {
         failed.remove(i);
     }
     failed.push_back(Failure {
-        with: with.clone(),
+        counterpart: counterpart.clone(),
         at,
     });
     replaced
 }
 
 impl FaultAttribution {
-    fn job(&mut self, job: &JobId) -> &mut JobFailures {
+    /// Returns the record of a job. A new job evicts the oldest one if too many are tracked.
+    fn job_record(&mut self, job: &JobId) -> &mut JobFailures {
         if !self.jobs.contains_key(job) {
-            self.order.push_back(job.clone());
-            if self.order.len() > FAILURE_ATTRIBUTION_JOBS_MAX
-                && let Some(oldest) = self.order.pop_front()
+            self.insertion_order.push_back(job.clone());
+            if self.insertion_order.len() > MAX_JOBS_TRACKED
+                && let Some(oldest) = self.insertion_order.pop_front()
             {
                 self.jobs.remove(&oldest);
             }
@@ -134,13 +140,13 @@
 
     /// Records that a task of a job failed on a machine at `at`, ms.
     pub fn record_failure(&mut self, job: &JobId, machine: &MachineId, at: u64) -> Affected {
-        let of_job = self.job(job);
-        if remember(&mut of_job.failed, machine, at)
-            .is_some_and(|replaced| replaced < of_job.cleared)
+        let job_failures = self.job_record(job);
+        if insert_failure(&mut job_failures.failed, machine, at)
+            .is_some_and(|replaced| replaced < job_failures.cleared)
         {
-            of_job.cleared -= 1;
+            job_failures.cleared -= 1;
         }
-        remember(
+        insert_failure(
             &mut self.machines.entry(machine.clone()).or_default().failed,
             job,
             at,
@@ -148,20 +154,20 @@
         self.affected(job, machine)
     }
 
-    /// Records that a task of a job that began to run on a machine at `since`, ms, succeeded:
-    /// it is done, or has run for long.
+    /// Records that a task that began to run on a machine at `since`, ms, succeeded: it is done,
+    /// or has run for a long time.
     pub fn record_success(&mut self, job: &JobId, machine: &MachineId, since: u64) -> Affected {
         let affected = self.affected(job, machine);
-        let of_job = self.job(job);
-        of_job.cleared = of_job.failed.len();
-        if of_job
+        let job_failures = self.job_record(job);
+        job_failures.cleared = job_failures.failed.len();
+        if job_failures
             .last_success
             .as_ref()
             .is_none_or(|success| since >= success.began_at)
         {
-            of_job.last_success = Some(Success {
+            job_failures.last_success = Some(Success {
                 began_at: since,
-                with: machine.clone(),
+                counterpart: machine.clone(),
             });
         }
         let m = self.machines.entry(machine.clone()).or_default();
@@ -169,11 +175,11 @@
         let known = m
             .successes
             .iter()
-            .position(|success| success.with == *job)
+            .position(|success| success.counterpart == *job)
             .map(|i| m.successes.remove(i).began_at);
         m.successes.push(Success {
             began_at: since.max(known.unwrap_or(0)),
-            with: job.clone(),
+            counterpart: job.clone(),
         });
         m.successes
             .sort_by_key(|success| std::cmp::Reverse(success.began_at));
@@ -181,6 +187,8 @@
         affected
     }
 
+    /// Returns the job, the machine, all jobs that failed on that machine, and all machines on
+    /// which any of these jobs failed.
     fn affected(&self, job: &JobId, machine: &MachineId) -> Affected {
         let mut affected = Affected::default();
         affected.jobs.insert(job.clone());
@@ -188,7 +196,7 @@
         if let Some(m) = self.machines.get(machine) {
             affected
                 .jobs
-                .extend(m.failed.iter().map(|failure| failure.with.clone()));
+                .extend(m.failed.iter().map(|failure| failure.counterpart.clone()));
         }
         for job in &affected.jobs {
             affected.machines.extend(
@@ -196,36 +204,37 @@
                     .get(job)
                     .into_iter()
                     .flat_map(|j| &j.failed)
-                    .map(|failure| failure.with.clone()),
+                    .map(|failure| failure.counterpart.clone()),
             );
         }
         affected
     }
 
-    /// True if another job succeeded on the machine at about that time, or later.
-    fn vouched_for(&self, job: &JobId, machine: &MachineId, at: u64) -> bool {
+    /// Returns true if another job succeeded on the machine at about that time, or later.
+    fn is_known_good(&self, job: &JobId, machine: &MachineId, at: u64) -> bool {
         let Some(m) = self.machines.get(machine) else {
             return false;
         };
         m.successes.iter().any(|success| {
-            success.with != *job && success.began_at + FAILURE_ATTRIBUTION_VOUCHED_MS >= at
+            success.counterpart != *job && success.began_at + FAILURE_ATTRIBUTION_VOUCHED_MS >= at
         })
     }
 
-    /// On how many machines that run other jobs a job failed, if that makes it a suspect.
+    /// Returns the number of known good machines on which a job failed, if the job is a suspect.
     pub fn suspect_evidence(&self, job: &JobId) -> Option<u32> {
-        let of_job = self.jobs.get(job)?;
-        let failed = || of_job.failed.iter().skip(of_job.cleared);
-        let vouched = failed()
-            .filter(|failure| self.vouched_for(job, &failure.with, failure.at))
+        let job_failures = self.jobs.get(job)?;
+        let failed = || job_failures.failed.iter().skip(job_failures.cleared);
+        let on_known_good = failed()
+            .filter(|failure| self.is_known_good(job, &failure.counterpart, failure.at))
             .count();
-        // On so many machines, with no success, it is the job whoever vouches.
-        (vouched >= FAILURE_ATTRIBUTION_SUSPECT_MACHINES
+        // With failures on so many machines and no success, the job is a suspect even if none
+        // of the machines is known good.
+        (on_known_good >= FAILURE_ATTRIBUTION_SUSPECT_MACHINES
             || failed().count() >= FAILURE_ATTRIBUTION_SUSPECT_ANYWHERE)
-            .then_some(vouched as u32)
+            .then_some(on_known_good as u32)
     }
 
-    /// The verdict on a machine.
+    /// Returns the verdict on a machine.
     pub fn verdict(&self, machine: &MachineId) -> FaultVerdict {
         let Some(m) = self.machines.get(machine) else {
             return FaultVerdict::Healthy;
@@ -233,35 +242,37 @@
         let counted: Vec<&JobId> = m
             .failed
             .iter()
-            .map(|failure| &failure.with)
+            .map(|failure| &failure.counterpart)
             .filter(|j| self.suspect_evidence(j).is_none())
             .collect();
-        let elsewhere = |j: &&&JobId| {
+        let succeeded_elsewhere = |j: &&&JobId| {
             self.jobs
                 .get(**j)
                 .and_then(|o| o.last_success.as_ref())
-                .is_some_and(|success| success.with != *machine)
+                .is_some_and(|success| success.counterpart != *machine)
         };
         if counted.len() < FAILURE_ATTRIBUTION_QUARANTINE_JOBS {
             FaultVerdict::Healthy
-        } else if counted.iter().filter(elsewhere).count() >= FAILURE_ATTRIBUTION_QUARANTINE_JOBS {
+        } else if counted.iter().filter(succeeded_elsewhere).count()
+            >= FAILURE_ATTRIBUTION_QUARANTINE_JOBS
+        {
             FaultVerdict::Faulty
         } else {
             FaultVerdict::Suspect
         }
     }
 
-    /// The jobs that failed on a machine, for its operators.
+    /// Returns the jobs that failed on a machine, for operators.
     pub fn failed_jobs_on(&self, machine: &MachineId) -> Vec<&JobId> {
         self.machines
             .get(machine)
             .into_iter()
             .flat_map(|m| &m.failed)
-            .map(|failure| &failure.with)
+            .map(|failure| &failure.counterpart)
             .collect()
     }
 
-    /// Machines on which a job succeeded of late and nothing failed since.
+    /// Returns the machines on which a job recently succeeded and none has failed since.
     pub fn healthy_machines(&self, now: u64) -> BTreeSet<MachineId> {
         let healthy = |m: &&MachineFailures| {
             m.failed.is_empty()
@@ -276,7 +287,7 @@
             .collect()
     }
 
-    /// A machine was released.
+    /// Removes the record of a released machine.
     pub fn forget(&mut self, machine: &MachineId) {
         self.machines.remove(machine);
     }
--- a/crates/coordination/src/fault_attribution/tests.rs
+++ b/crates/coordination/src/fault_attribution/tests.rs
@@ -14,7 +14,7 @@
     for n in 0..10 {
         attribution.record_success(&job(n), &machine(n), 1_000);
     }
-    // Three jobs with a mistake meet on two machines.
+    // Three faulty jobs fail on the same two machines.
     for (at, (j, m)) in (2_000..).zip([(100, 0), (101, 0), (102, 1), (100, 1), (101, 1), (102, 0)])
     {
         attribution.record_failure(&job(j), &machine(m), at);
@@ -51,7 +51,7 @@
         ),
         (None, None)
     );
-    // What began before the failures proves nothing; a trial after them does.
+    // A run that began before the failures is no evidence; one that began after them is.
     attribution.record_success(&job(3), &machine(0), 4_000);
     assert_eq!(attribution.verdict(&machine(0)), FaultVerdict::Faulty);
     attribution.record_success(&job(3), &machine(0), 9_000);
@@ -71,20 +71,20 @@
 }
 
 #[test]
-fn memory_is_bounded_by_jobs_and_failures() {
+fn memory_is_bounded_in_jobs_and_failures() {
     let mut attribution = FaultAttribution::default();
-    for n in 0..3 * FAILURE_ATTRIBUTION_JOBS_MAX {
+    for n in 0..3 * MAX_JOBS_TRACKED {
         attribution.record_failure(&job(n), &machine(n % 7), n as u64);
     }
     assert!(
-        attribution.jobs.len() <= FAILURE_ATTRIBUTION_JOBS_MAX
-            && attribution.order.len() <= FAILURE_ATTRIBUTION_JOBS_MAX
+        attribution.jobs.len() <= MAX_JOBS_TRACKED
+            && attribution.insertion_order.len() <= MAX_JOBS_TRACKED
     );
     assert!(
         attribution
             .machines
             .values()
-            .all(|m| m.failed.len() <= FAILURE_ATTRIBUTION_FAILURES_MAX)
+            .all(|m| m.failed.len() <= MAX_FAILURES_KEPT)
     );
     (0..7).for_each(|n| attribution.forget(&machine(n)));
     assert!(attribution.machines.is_empty());
--- a/crates/coordination/src/image_locality/scoring.rs
+++ b/crates/coordination/src/image_locality/scoring.rs
@@ -188,8 +188,8 @@
         policy.machine_loss * self.downtime_s() * lost
     }
 
-    /// Returns the cost of placing the task in a zone, s: 0 below the zone's equal share, more
-    /// if all other replicas of the job are in one zone.
+    /// Returns the cost of placing the task in a zone, s: 0 below the zone's equal share, and
+    /// subject to the policy's `single_zone` minimum if all placed replicas are in one zone.
     pub fn zone_cost_s(&self, policy: &ServicePlacementWeights, share: ZoneShare) -> f64 {
         let beyond_share = policy.zone_loss * self.fraction(self.fair_zone_share() + 1);
         let risk = match (share, self.single_zone) {
--- a/crates/coordination/src/provisioning.rs
+++ b/crates/coordination/src/provisioning.rs
@@ -1,4 +1,5 @@
-//! Scale-out and scale-in: requests to the cloud for instances, and their results.
+//! Provisioning requests to the cloud and their results, and results of instance releases and
+//! listings.
 
 use std::collections::BTreeMap;
 
@@ -16,12 +17,12 @@
 use lemonweir_protocol::cloud::{InstanceEntry, ProvisioningRequest};
 use lemonweir_protocol::peer::ProvisionedInstance;
 
-/// Provisioning requests of one shard under way at a time: the answers take some tenths
-/// of a second, and a fleet of hundreds rises in requests of at most 50.
+/// Concurrent provisioning requests of one shard. Answers take a few tenths of a second, and a
+/// fleet of hundreds of instances is built up in requests of at most 50.
 const PROVISIONING_IN_FLIGHT_MAX: usize = 4;
 
 impl Core {
-    /// A provisioning request ended.
+    /// Handles the result of a provisioning request.
     pub fn provisioning_completed(
         &mut self,
         lease: ShardLease,
@@ -92,7 +93,7 @@
         }
     }
 
-    /// The release of instances ended; `done`: the cloud executed it.
+    /// Handles the result of a release of instances; `done`: the cloud executed it.
     pub fn instances_released(
         &mut self,
         lease: ShardLease,
@@ -105,7 +106,7 @@
         }
     }
 
-    /// The cloud's list of instances was read.
+    /// Handles a list of instances read from the cloud, split by shard.
     pub fn instances_listed(&mut self, entries: &[InstanceEntry], now: u64) {
         let mut by_shard: BTreeMap<u16, Vec<InstanceEntry>> = BTreeMap::new();
         for entry in entries {
@@ -121,7 +122,7 @@
         }
     }
 
-    /// Requests the instances that one shard's placer lacks.
+    /// Requests the instances that one shard's placer lacks, at most one plan per placement pass.
     pub(crate) fn flush_provisioning(&mut self, index: u16, now: u64, effects: &mut Vec<Effect>) {
         if self.lease_unconfirmed() {
             return;
@@ -164,10 +165,9 @@
         }
     }
 
-    /// Adds the requests for what the placer lacks, one at a time for each kind, zone and
-    /// market.
+    /// Adds requests for the placer's unmet demand, at most one at a time per pool.
     fn plan_provisioning(&mut self, catalog: &Catalog, now: u64) {
-        for ScaleOut { pool, count } in self.plan(catalog, now) {
+        for ScaleOut { pool, count } in self.scale_out_plan(catalog, now) {
             if self.provisioning.len() >= PROVISIONING_IN_FLIGHT_MAX
                 || self
                     .provisioning
@@ -177,14 +177,14 @@
                 continue;
             }
             self.bookings += 1;
-            // The lease's fencing token never comes again, so the name is never reused.
-            let booking = format!(
+            // A fencing token is never reused, so the request ID is unique.
+            let unique_id = format!(
                 "r-{}-{}-{}",
                 self.lease.shard, self.lease.token, self.bookings
             );
             self.provisioning.push(PendingProvisioning {
                 request: ProvisioningRequest {
-                    request_id: booking,
+                    request_id: unique_id,
                     machine_type: pool.machine_type,
                     zone: pool.zone,
                     spot: pool.market.is_spot(),
@@ -195,14 +195,13 @@
         }
     }
 
-    /// What to provision for what the placer lacks, beyond what
-    /// boots already or is requested.
-    fn plan(&self, catalog: &Catalog, now: u64) -> Vec<ScaleOut> {
+    /// Plans instances for the placer's unmet demand, beyond those booting or requested.
+    fn scale_out_plan(&self, catalog: &Catalog, now: u64) -> Vec<ScaleOut> {
         if self.placer.unmet_demand.is_empty() {
             return Vec::new();
         }
-        // What boots in a partitioned zone can't be reached; what is there
-        // already is waited for by those who may run nowhere else.
+        // New instances in a partitioned zone could not be reached. Instances already there
+        // count for tasks that may run nowhere else.
         let partitioned = self.placer.partitioned_zones();
         let mut machines_by_zone: BTreeMap<String, usize> = BTreeMap::new();
         for machine in self.placer.machines() {
@@ -211,7 +210,7 @@
                 None => drop(machines_by_zone.insert(machine.zone.clone(), 1)),
             }
         }
-        // What is overdue boots, and is not open.
+        // An instance past its provisioning timeout is still booting, but not schedulable.
         let booting = self
             .placer
             .machines()
@@ -230,19 +229,22 @@
         };
         plan_scale_out(
             &self.placer.unmet_demand,
-            &self.capacity_under_way(catalog),
+            &self.pending_capacity(catalog),
             &machines_by_zone,
             &options,
             now,
         )
     }
 
-    /// Machines that boot for this shard's placer, were provisioned for it, or are requested.
-    fn capacity_under_way(&self, catalog: &Catalog) -> Vec<CapacityBin> {
+    /// Returns the instances that are booting, provisioned or requested for this shard's placer.
+    fn pending_capacity(&self, catalog: &Catalog) -> Vec<CapacityBin> {
         let partitioned = self.placer.partitioned_zones();
-        let bin = |kind: &str, zone: &str, spot: bool| CapacityBin {
-            pool: InstancePool::new(kind, zone, Market::from_spot_flag(spot)),
-            free: catalog.get(kind).map(|t| t.capacity).unwrap_or_default(),
+        let bin = |machine_type: &str, zone: &str, spot: bool| CapacityBin {
+            pool: InstancePool::new(machine_type, zone, Market::from_spot_flag(spot)),
+            free: catalog
+                .get(machine_type)
+                .map(|t| t.capacity)
+                .unwrap_or_default(),
         };
         let booting = self.placer.machines().filter(|m| {
             !m.registered
--- a/crates/coordination/src/supervision/failover.rs
+++ b/crates/coordination/src/supervision/failover.rs
@@ -1,66 +1,66 @@
-//! What the new leader of a shard observes after a failover.
+//! Observations of a shard's new leader after a failover, for the failover's record.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use lemonweir_model::JobId;
 use lemonweir_storage::failovers::FailoverCompletion;
 
-/// ms after a failover at which its record is completed though services still lack
-/// replicas: what keeps them from recovering by then has nothing to do with it.
+/// Time after a failover at which its record is completed even if services still lack replicas,
+/// ms: whatever prevents their recovery by then is unrelated to the failover.
 pub const COMPLETION_TIMEOUT_MS: u64 = 300_000;
-/// ms between two attempts to complete a record: each is a write to the store, and nothing
-/// waits for it.
+/// Interval between two attempts to complete a record, ms: each is a write to the store, and
+/// nothing waits for it.
 pub const COMPLETION_RETRY_MS: u64 = 5_000;
-/// Classes whose longest gaps a record names, the worst first: a value stays below 1 KiB.
+/// Number of classes whose longest gaps are recorded, longest first: keeps a record below 1 KiB.
 const GAPS_RECORDED: usize = 8;
 
-/// Who started a task.
+/// Leader that started a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartedBy {
-    /// The present leader of the shard.
+    /// The shard's present leader.
     ThisLeader,
-    /// A leader before it.
+    /// An earlier leader.
     PreviousLeader,
 }
 
-/// Replicas of the services that were incomplete at a failover.
+/// Replicas of the services that were under-replicated at a failover.
 #[derive(Clone, Copy, Debug, Default)]
 struct ReplicaCounts {
-    /// Found running.
+    /// Found running after the failover.
     found_running: u32,
-    /// Started anew.
+    /// Started by the new leader.
     restarted: u32,
 }
 
-/// What the new leader of a shard has observed since its failover.
+/// Observations of a shard's new leader since the failover.
 #[derive(Debug, Default)]
 pub struct Failover {
-    /// Number of its record; `None`: there is none, or it is completed.
+    /// Number of the failover's record; `None`: there is none, or it is completed.
     record_number: Option<u64>,
-    /// The leader's fencing token.
+    /// The new leader's fencing token.
     fencing_token: u64,
     /// When the shard changed leaders, ms.
     began_at: u64,
-    /// When the new leader had read records and jobs, ms.
+    /// When the new leader had loaded records and jobs, ms.
     loaded_at: u64,
-    /// When the new leader's first start ran, ms.
+    /// When the first task that the new leader started was running, ms.
     first_start_at: Option<u64>,
-    /// Services of the time of the failover that have not been fully replicated since.
+    /// Services under-replicated at the failover that have not recovered since.
     recovering: BTreeSet<JobId>,
-    /// When none was left of these, ms.
+    /// When the last of `recovering` recovered, ms.
     recovered_at: Option<u64>,
     replicas: ReplicaCounts,
-    /// When replicas were proven to be lost since, ms.
+    /// When replicas were proven lost since the failover, ms.
     lost_at: BTreeMap<(JobId, u32), u64>,
-    /// Longest gap of a replica by class, ms.
+    /// Longest downtime of a replica by class, ms.
     longest_gap_ms: BTreeMap<String, u64>,
     /// When completing the record was last attempted, ms.
     attempted_at: Option<u64>,
 }
 
 impl Failover {
-    /// A shard changed leaders at `began_at`, with these services incomplete, and its
-    /// records and jobs were read by `now`, ms.
+    /// Creates the observations of a failover at `began_at` with these services
+    /// under-replicated, whose records and jobs were loaded at `now`, ms.
     pub fn new(
         record_number: Option<u64>,
         fencing_token: u64,
@@ -84,8 +84,8 @@
         self.record_number.is_some() && self.recovering.contains(job)
     }
 
-    /// A task is observed to run for the first time. `service_class`: it is a replica of a
-    /// service of that class.
+    /// Records that a task is first observed running. `service_class`: the class of its service,
+    /// if it is a replica of one.
     pub fn task_running(
         &mut self,
         job: &JobId,
@@ -117,22 +117,23 @@
         *longest_ms = (*longest_ms).max(gap_ms);
     }
 
-    /// A replica is proven to be over.
+    /// Records that a replica is proven to have ended.
     pub fn replica_lost(&mut self, job: &JobId, task: u32, now: u64) {
         if self.tracks(job) {
             self.lost_at.entry((job.clone(), task)).or_insert(now);
         }
     }
 
-    /// A service is fully replicated, over, or suspected of failing by its own fault.
+    /// Records that a service is fully replicated, has ended, or is suspected of causing its own
+    /// failures.
     pub fn service_recovered(&mut self, job: &JobId, now: u64) {
         if self.recovering.remove(job) && self.recovering.is_empty() {
             self.recovered_at = Some(now);
         }
     }
 
-    /// The number of the record to complete now, if it is time: all that it records is
-    /// known, or will not be known soon.
+    /// Returns the number of the record if it is due for completion: everything to record is
+    /// known, or [`COMPLETION_TIMEOUT_MS`] has passed.
     pub fn completion_due(&self, now: u64) -> Option<u64> {
         let all_known = self.recovered_at.is_some() && self.first_start_at.is_some();
         let ready = all_known || now >= self.began_at + COMPLETION_TIMEOUT_MS;
@@ -142,17 +143,17 @@
         self.record_number.filter(|_| ready && retry_due)
     }
 
-    /// Completing the record is attempted now.
+    /// Records an attempt to complete the record.
     pub fn completion_attempted(&mut self, now: u64) {
         self.attempted_at = Some(now);
     }
 
-    /// Number of its record, while that is not completed.
+    /// Returns the number of the failover's record until it is completed.
     pub fn record_number(&self) -> Option<u64> {
         self.record_number
     }
 
-    /// Its record is completed, or was overwritten.
+    /// Discards the observations: the record is completed, or was overwritten.
     pub fn completed(&mut self) {
         *self = Self {
             fencing_token: self.fencing_token,
@@ -161,7 +162,7 @@
         };
     }
 
-    /// What was observed, as recorded by the controller on `host`.
+    /// Returns the observations as the controller on `host` records them.
     pub fn completion(&self, host: &str, now: u64) -> FailoverCompletion {
         let elapsed_ms = |at: u64| at.saturating_sub(self.began_at);
         FailoverCompletion {
@@ -177,7 +178,7 @@
         }
     }
 
-    /// The longest gaps by class, ms, the worst first.
+    /// Returns the longest downtimes by class, ms, longest first.
     fn worst_gaps(&self) -> Vec<(String, u64)> {
         let mut gaps: Vec<(String, u64)> = self
             .longest_gap_ms
@@ -189,7 +190,7 @@
         gaps
     }
 
-    /// What the completion can't tell, in the words that operators are shown.
+    /// Describes for operators what the completion lacks.
     fn unknown_facts(&self, elapsed_s: u64) -> Vec<String> {
         let mut unknown = Vec::new();
         if self.first_start_at.is_none() {
@@ -205,8 +206,8 @@
     }
 }
 
-/// What a later leader can still tell of a record that was never completed: nothing but how
-/// long the leadership lasted.
+/// Returns the completion that a later leader writes for an abandoned record. Only the duration
+/// of the leadership is still known.
 pub fn abandoned_completion(
     host: &str,
     fencing_token: u64,
--- a/crates/coordination/src/supervision/failover_log.rs
+++ b/crates/coordination/src/supervision/failover_log.rs
@@ -1,5 +1,5 @@
-//! The log of failovers: a record is written with each change of a shard's leader, and
-//! completed later by writes that nothing else needs.
+//! Failover log: a record is written together with each change of a shard's leader, and
+//! completed later by writes that nothing else depends on.
 
 use crate::election::ElectionAction;
 use crate::supervision::failover::{Failover, abandoned_completion};
@@ -9,12 +9,12 @@
 use lemonweir_storage::records::{acquire_shard, cede_shard, release_shard, shard_key};
 
 impl Core {
-    /// The compare-and-swap that carries out an election action, together with the failover
-    /// record of it. `store_lease`: the lease of this process's keys; `ceded_shards`: the
-    /// shards that this controller now cedes to others.
+    /// Returns the compare-and-swap that carries out an election action and writes its failover
+    /// record. `store_lease` is the lease of this process's keys; `ceded_shards` are the shards
+    /// that this controller cedes to others.
     ///
-    /// A conflict on the record's slot alone means that the state cache was older than a
-    /// change of leaders, or than a completion: the next read shows it.
+    /// A conflict on the record's slot alone means that the state cache lacked a recent change
+    /// of leaders or completion; the next read of the store brings it up to date.
     pub fn election_cas(
         &self,
         action: &ElectionAction,
@@ -22,7 +22,7 @@
         ceded_shards: Vec<u16>,
         now: u64,
     ) -> CompareAndSwap {
-        let me = &self.config.members[usize::from(self.config.own_index)];
+        let own_member = &self.config.members[usize::from(self.config.own_index)];
         match *action {
             ElectionAction::Acquire { shard, version } => {
                 let change = if version == 0 {
@@ -31,7 +31,7 @@
                     LeadershipChange::Restarted
                 };
                 let record = self.new_failover(shard, change, now);
-                acquire_shard(version, &me.host, store_lease, &record)
+                acquire_shard(version, &own_member.host, store_lease, &record)
             }
             ElectionAction::ReturnToHome(lease) => {
                 let record = self.new_failover(lease.shard, LeadershipChange::ReturnedHome, now);
@@ -44,8 +44,8 @@
                 let mut cas = cede_shard(
                     lease.token,
                     &record,
-                    &me.host,
-                    &me.zone,
+                    &own_member.host,
+                    &own_member.zone,
                     store_lease,
                     ceded_shards,
                 );
@@ -55,29 +55,30 @@
         }
     }
 
-    /// The record of a change of leaders that is made now.
+    /// Builds the record of a change of leaders made at `now`.
     fn new_failover(&self, shard: u16, change: LeadershipChange, now: u64) -> NewFailover {
-        let me = self.host();
-        let (n, slot_version) = self.cache.failovers.next_slot(shard);
+        let own_host = self.host();
+        let (next_number, slot_version) = self.cache.failovers.next_slot(shard);
         let (from, to) = match change {
-            LeadershipChange::Vacant => (self.last_leader(shard), Some(me.to_owned())),
-            LeadershipChange::Restarted => (Some(me.to_owned()), Some(me.to_owned())),
+            LeadershipChange::Vacant => (self.last_leader(shard), Some(own_host.to_owned())),
+            LeadershipChange::Restarted => (Some(own_host.to_owned()), Some(own_host.to_owned())),
             LeadershipChange::ReturnedHome | LeadershipChange::Ceded | LeadershipChange::Other => {
-                (Some(me.to_owned()), None)
+                (Some(own_host.to_owned()), None)
             }
         };
-        // The shard's own placer knows best what runs, another's from its views.
-        let informed = self
+        // The shard's own placer has the newest running counts; other placers have them from
+        // shard views.
+        let counted_by = self
             .shards
             .get(&shard)
             .or_else(|| self.shards.values().next());
         let record = FailoverRecord {
-            number: n,
+            number: next_number,
             previous_leader: from,
             new_leader: to,
             change,
             at_ms: now + self.config.wall_offset_ms,
-            up: informed.and_then(|s| s.placer.running_counts(shard)),
+            up: counted_by.and_then(|s| s.placer.running_counts(shard)),
             completion: None,
         };
         NewFailover {
@@ -87,19 +88,20 @@
         }
     }
 
-    /// Host of this controller.
+    /// Returns the host name of this controller.
     fn host(&self) -> &str {
         &self.config.members[usize::from(self.config.own_index)].host
     }
 
-    /// Host of the last known leader of a shard.
+    /// Returns the host name of a shard's last known leader.
     fn last_leader(&self, shard: u16) -> Option<String> {
         let records = self.cache.failovers.entries_of(shard);
         let (record, _) = records.last()?;
         record.last_leader().cloned()
     }
 
-    /// Completes a shard's record with what is known, as its lease is released.
+    /// Adds the completion of a shard's open record to the compare-and-swap that releases its
+    /// lease.
     fn complete_on_release(&self, lease: ShardLease, cas: &mut CompareAndSwap, now: u64) {
         let Some((failover, number)) = self
             .shards
@@ -117,7 +119,7 @@
         else {
             return;
         };
-        // Its slot may be the one that the new record takes.
+        // The new record may take the same slot of the ring buffer.
         let key = failover_key(completed.shard, completed.record.number);
         if cas.conditions.iter().any(|c| c.key == key) {
             return;
@@ -126,7 +128,7 @@
         completed.add_to(cas);
     }
 
-    /// From now on, what is observed after the failover of this shard is kept.
+    /// Begins to collect observations after the failover of a shard to this controller.
     pub(crate) fn begin_failover(&mut self, lease: ShardLease, now: u64) {
         let record = self
             .cache
@@ -146,8 +148,8 @@
         }
     }
 
-    /// Supervises the services that something happened to, and completes the shard's
-    /// failover record once it is due and the store has writes to spare.
+    /// Observes the services that changed, escalates overdue ones, and completes the shard's
+    /// failover record once it is due and no start waits to be written.
     pub(crate) fn flush_supervision(&mut self, index: u16, now: u64, effects: &mut Vec<Effect>) {
         let Some(shard) = self.shards.get_mut(&index) else {
             return;
@@ -163,10 +165,10 @@
             .rewrite(index, number)
             .filter(|f| f.record.is_open())
         else {
-            // Completed, as the state cache shows, or the ring has come round.
+            // The state cache shows the record as completed, or the ring buffer has overwritten it.
             return shard.failover.completed();
         };
-        // Guards against a record that delays a start.
+        // The record must not delay the write of a start.
         if shard.placer.has_unwritten_starts() {
             return;
         }
@@ -176,8 +178,8 @@
         }
     }
 
-    /// The compare-and-swap that completes a shard's record and those that its leaders
-    /// before left open.
+    /// Returns the compare-and-swap that completes a shard's record and those that earlier
+    /// leaders left open.
     fn completion_cas(
         &self,
         index: u16,
@@ -204,8 +206,8 @@
         Some(cas)
     }
 
-    /// Records before `number` that leaders of a shard left open, each completed with how
-    /// long its leadership lasted.
+    /// Returns the records before `number` that a shard's leaders left open, each completed with
+    /// the duration of its leadership.
     fn abandoned_records(&self, index: u16, number: u64) -> Vec<NewFailover> {
         let records = self.cache.failovers.entries_of(index);
         let mut abandoned = Vec::new();
@@ -217,12 +219,12 @@
                 .get(i + 1)
                 .filter(|(next, _)| next.number == record.number + 1)
                 .map(|(next, _)| next.at_ms.saturating_sub(record.at_ms));
-            let closed = Some(abandoned_completion(self.host(), *version, held_ms));
+            let final_completion = Some(abandoned_completion(self.host(), *version, held_ms));
             abandoned.push(NewFailover {
                 shard: index,
                 slot_version: *version,
                 record: FailoverRecord {
-                    completion: closed,
+                    completion: final_completion,
                     ..(*record).clone()
                 },
             });
--- a/crates/coordination/src/supervision/mod.rs
+++ b/crates/coordination/src/supervision/mod.rs
@@ -1,13 +1,12 @@
-//! Supervision: services kept up without staff, and failovers on record.
+//! Supervision of services without operator intervention, and records of failovers.
 //!
-//! [`services`] holds, for each service of a placer's teams, how many replicas are desired,
-//! how many run, since when there are fewer, and what is being done about it. The placer
-//! escalates (`placer/preemption.rs`) where that did not work within its time.
-//! [`failover`] holds what a new leader observes after a shard's failover, and
-//! `failover_log` writes that into the ring of `lemonweir_storage::failovers`;
-//! `report` shows both to operators.
+//! [`services`] tracks, for each service of a placer's teams, the desired and running replicas,
+//! since when replicas are missing, and the recovery activity. If that does not succeed in time,
+//! the placer escalates (`placer/escalation.rs`). [`failover`] collects what a new leader
+//! observes after a shard's failover, and `failover_log` writes it into the ring buffer of
+//! `lemonweir_storage::failovers`; `report` shows both to operators.
 //!
-//! All of it is updated by what changed: nothing here walks all jobs for an event.
+//! Updates are incremental: no event causes a scan of all jobs.
 
 pub mod failover;
 mod failover_log;
--- a/crates/coordination/src/supervision/report.rs
+++ b/crates/coordination/src/supervision/report.rs
@@ -1,5 +1,5 @@
-//! What operators are shown: under-replicated services, shards, failovers. All of it from
-//! memory, so that it is available during an outage of the store.
+//! Reports for operators: under-replicated services, shards and failovers. They are built from
+//! memory, so they are available during an outage of the store.
 
 use crate::Core;
 use crate::supervision::services::{RecoveryActivity, SupervisedService};
@@ -14,7 +14,7 @@
 use lemonweir_storage::state_cache::CachedJob;
 
 impl RecoveryActivity {
-    /// What operators are shown of it.
+    /// Returns the description shown to operators.
     fn description(self) -> &'static str {
         match self {
             Self::FullyReplicated => "nothing: all are up",
@@ -32,7 +32,7 @@
 }
 
 impl Core {
-    /// The host that answers, and the age of its state cache, ms.
+    /// Returns the host name of this controller and the age of its state cache, ms.
     fn answering_host(&self, now: u64) -> (String, Option<u64>) {
         let host = self
             .config
@@ -44,7 +44,8 @@
         (host, cache_age_ms)
     }
 
-    /// The state of shards and services. Walks all jobs: for operators' questions.
+    /// Reports the state of shards and services. Scans all jobs, so it is only for queries by
+    /// operators.
     pub fn supervision_report(&self, now: u64) -> SupervisionReport {
         let (host, age_ms) = self.answering_host(now);
         let mut report = SupervisionReport {
@@ -84,7 +85,8 @@
         report
     }
 
-    /// What the teams with a quota limit use, as both sides of each shard led here count it.
+    /// Returns the usage of teams with a quota limit, as counted by the placer and the owner of
+    /// each shard that this controller leads.
     fn team_usage_rows(&self) -> Vec<TeamUsageRow> {
         let mut rows = Vec::new();
         for (&shard, state) in &self.shards {
@@ -128,7 +130,7 @@
     }
 
     fn service_row(&self, job: &CachedJob, now: u64) -> UnderReplicatedServiceRow {
-        let mut row = self.service_row_from_notes(job);
+        let mut row = self.service_row_from_progress(job);
         let own = self.shards.get(&row.shard);
         let id = &job.record.spec.id;
         let Some((placer, service)) =
@@ -145,12 +147,12 @@
         row
     }
 
-    /// What every controller knows of a service: its job, and the note of its team's
-    /// controller.
-    fn service_row_from_notes(&self, job: &CachedJob) -> UnderReplicatedServiceRow {
+    /// Builds the row that any controller can: from the service's job and the progress reported
+    /// by the controller that places for its team.
+    fn service_row_from_progress(&self, job: &CachedJob) -> UnderReplicatedServiceRow {
         let spec = &job.record.spec;
         let desired = spec.tasks.min(u64::from(u32::MAX)) as u32;
-        let note = self.peer_progress.get(&spec.id);
+        let progress = self.peer_progress.get(&spec.id);
         UnderReplicatedServiceRow {
             job: spec.id.to_string(),
             class: spec.class.clone(),
@@ -158,18 +160,18 @@
             shard: Self::team_shard(&self.cache, &self.config, &spec.team),
             desired,
             half: desired.div_ceil(2),
-            running: note.map_or(0, |n| n.tasks_running).min(desired),
+            running: progress.map_or(0, |p| p.tasks_running).min(desired),
             zones: Vec::new(),
             under_replicated_s: None,
             below_half_s: None,
             action: "its team's controller knows".into(),
             due_in_s: None,
-            blocked_by: note.map(|n| n.wait_reason.clone()).unwrap_or_default(),
+            blocked_by: progress.map(|p| p.wait_reason.clone()).unwrap_or_default(),
             escalations: Vec::new(),
         }
     }
 
-    /// The failovers of all shards, the newest first.
+    /// Reports the failovers of all shards, newest first.
     pub fn failover_report(&self, now: u64) -> FailoverReport {
         let (host, age_ms) = self.answering_host(now);
         let log = &self.cache.failovers;
@@ -192,7 +194,7 @@
     }
 }
 
-/// Adds what the supervision of its team's controller knows of a service.
+/// Adds to a row what this controller's supervision knows of the service.
 fn add_supervision(row: &mut UnderReplicatedServiceRow, service: &SupervisedService, now: u64) {
     let elapsed_s = |since: u64| now.saturating_sub(since) / 1_000;
     row.running = service.observation.running.min(row.desired);
@@ -214,7 +216,7 @@
 }
 
 fn failover_row(shard: u16, record: &FailoverRecord, version: u64) -> FailoverRow {
-    let how = match record.change {
+    let change = match record.change {
         LeadershipChange::Vacant if record.previous_leader.is_none() => "taken: no holder known",
         LeadershipChange::Vacant => "taken: its holder had given it up, or its hold had run out",
         LeadershipChange::Restarted => "taken by a later life of its holder",
@@ -233,7 +235,7 @@
         at_ms: record.at_ms,
         previous_leader: record.previous_leader.clone(),
         new_leader: record.new_leader.clone(),
-        change: how.into(),
+        change: change.into(),
         fencing_token: token,
         up: record.up,
         completion: completion.map(completion_row),
@@ -242,22 +244,22 @@
 
 fn completion_row(completion: FailoverCompletion) -> FailoverCompletionRow {
     let FailoverCompletion {
-        reported_by: by,
-        state_loaded_ms: read_ms,
+        reported_by: reporter,
+        state_loaded_ms: loaded_ms,
         first_start_ms,
-        services_restored_ms: whole_ms,
+        services_restored_ms: restored_ms,
         found,
         gaps,
         unknown,
         fencing_token: _,
-        leadership_ms: held_ms,
+        leadership_ms: duration_ms,
     } = completion;
     FailoverCompletionRow {
-        reported_by: by,
-        state_loaded_ms: read_ms,
+        reported_by: reporter,
+        state_loaded_ms: loaded_ms,
         first_start_ms,
-        services_restored_ms: whole_ms,
-        leadership_ms: held_ms,
+        services_restored_ms: restored_ms,
+        leadership_ms: duration_ms,
         found,
         gaps,
         unknown,
--- a/crates/coordination/src/supervision/services.rs
+++ b/crates/coordination/src/supervision/services.rs
@@ -1,22 +1,22 @@
-//! For each service: how many replicas are desired, how many run, since when there are
-//! fewer, and what is being done about it.
+//! State of each supervised service: desired and running replicas, since when replicas are
+//! missing, and the recovery activity.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use lemonweir_model::JobId;
 
-/// ms between two escalations for a service that is overdue: free resources come and go, as
+/// Interval between two escalations for an overdue service, ms: free resources change whenever
 /// the views of the shards are refreshed.
 const ESCALATION_INTERVAL_MS: u64 = 2_000;
-/// Attempts that are remembered of an under-replicated service.
+/// Recovery attempts kept per under-replicated service.
 pub const RECOVERY_ATTEMPTS_KEPT: usize = 8;
 
-/// What is being done about missing replicas.
+/// Recovery activity for missing replicas.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RecoveryActivity {
-    /// None is missing.
+    /// No replica is missing.
     FullyReplicated,
-    /// They are queued for placement.
+    /// The missing replicas are queued for placement.
     Queued,
     /// No machine has free resources for them; instances are requested, and lower
     /// priorities are preempted.
@@ -25,9 +25,9 @@
     AtQuotaLimit,
     /// Their starts are not recorded in the store yet.
     RecordingStart,
-    /// They are starting: commanded, or fetching their image.
+    /// They are starting: commanded to launch, or fetching their image.
     Starting,
-    /// What is preempted for them, or moved, is being stopped.
+    /// Attempts that are preempted for them, or moved, are being stopped.
     StoppingOthers,
     /// They ran before the failover; their machines have sent the new leader no heartbeat
     /// yet.
@@ -38,38 +38,38 @@
     BackingOff,
 }
 
-/// What is tried beyond the usual recovery of an under-replicated service, each step once.
+/// Measure beyond the usual recovery of an under-replicated service; each is taken once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EscalationStep {
     /// A replica that did not start in time is moved to another machine.
     MoveReplica,
-    /// Machines that the service avoided become eligible again.
+    /// Machines excluded for the service become eligible again.
     LiftExclusions,
-    /// Which instances were requested, and which had no capacity, is noted.
+    /// The instances requested and the pools without capacity are recorded.
     RequestInstances,
 }
 
 /// An escalation step that was taken.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecoveryAttempt {
-    /// Which step.
+    /// The step.
     pub step: EscalationStep,
-    /// When, ms.
+    /// When it was taken, ms.
     pub at_ms: u64,
-    /// What was done and why, as operators are shown it.
+    /// What was done and why, as shown to operators.
     pub description: String,
 }
 
-/// The state of a service at a moment.
+/// State of a service at one point in time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServiceObservation {
     /// Desired replicas.
     pub desired: u32,
     /// Running replicas.
     pub running: u32,
-    /// What is being done about the others.
+    /// Recovery activity for the missing replicas.
     pub activity: RecoveryActivity,
-    /// ms that this may take before the service is overdue; `None`: not known.
+    /// Time that the activity may take before the service is overdue, ms; `None`: not known.
     pub expected_within_ms: Option<u64>,
 }
 
@@ -86,25 +86,26 @@
 /// A service under supervision.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SupervisedService {
-    /// Its newest state.
+    /// The newest observation.
     pub observation: ServiceObservation,
     /// Since when replicas are missing, ms.
     pub under_replicated_since: Option<u64>,
     /// Since when more than half are missing, ms.
     pub below_half_since: Option<u64>,
-    /// Since when the activity goes on without a loss, ms.
+    /// Since when the activity has continued without progress, ms. A change of activity or another
+    /// running replica restarts it.
     pub activity_since: u64,
-    /// When the activity should have worked, ms; `None`: not known.
+    /// Deadline of the activity, ms; `None`: not known.
     pub due_at: Option<u64>,
     /// When the next escalation is due, ms.
     escalation_at: Option<u64>,
-    /// Escalation steps that were taken since replicas are missing, the oldest first.
+    /// Escalation steps taken since replicas have been missing, oldest first.
     pub attempts: Vec<RecoveryAttempt>,
 }
 
 impl SupervisedService {
-    /// The service with its new observation. What its state before knew is kept as long as
-    /// it still holds.
+    /// Returns the service with a new observation. Times and attempts of its previous state are
+    /// kept as long as they still apply.
     fn updated(
         previous: Option<SupervisedService>,
         observation: ServiceObservation,
@@ -134,8 +135,8 @@
         let Some(previous) = previous.filter(|_| !fully_replicated) else {
             return service;
         };
-        // One more replica running shows that the activity works: the others get as long
-        // again.
+        // Another running replica is progress, which restarts the time allowed for the others.
+        // Otherwise the same activity keeps its deadline.
         if previous.observation.activity == service.observation.activity
             && previous.observation.running >= service.observation.running
         {
@@ -148,34 +149,34 @@
     }
 }
 
-/// All services of one placer's teams.
+/// Supervised services of one placer's teams.
 #[derive(Debug, Default)]
 pub struct SupervisedServices {
     services: BTreeMap<JobId, SupervisedService>,
     /// Under-replicated services by when their next escalation is due.
     escalations: BTreeSet<(u64, JobId)>,
     under_replicated: BTreeSet<JobId>,
-    /// Services that something happened to.
+    /// Jobs to observe again because they changed.
     changed: BTreeSet<JobId>,
 }
 
 impl SupervisedServices {
-    /// Something happened to a job: it is to be observed again.
+    /// Marks a changed job, which is to be observed again.
     pub fn mark_changed(&mut self, id: &JobId) {
         self.changed.insert(id.clone());
     }
 
-    /// The jobs that something happened to since the last call.
+    /// Returns the jobs marked as changed since the last call.
     pub fn take_changed(&mut self) -> BTreeSet<JobId> {
         std::mem::take(&mut self.changed)
     }
 
-    /// True for a service under supervision.
+    /// Returns true if the job is a service under supervision.
     pub fn contains(&self, id: &JobId) -> bool {
         self.services.contains_key(id)
     }
 
-    /// Applies the newest state of a service; `None`: it is over, or being cancelled.
+    /// Applies a new observation of a service; `None`: it has ended or is being cancelled.
     pub fn observe(&mut self, id: &JobId, observation: Option<ServiceObservation>, now: u64) {
         let previous = self.remove(id);
         let Some(observation) = observation else {
@@ -200,7 +201,7 @@
         Some(service)
     }
 
-    /// Records the steps of an escalation, which may be none; the next comes after
+    /// Records the steps of an escalation, possibly none, and schedules the next one after
     /// `ESCALATION_INTERVAL_MS`.
     pub fn record_escalation(&mut self, id: &JobId, attempts: Vec<RecoveryAttempt>, now: u64) {
         let Some(service) = self.services.get_mut(id) else {
@@ -219,8 +220,7 @@
         service.attempts.drain(..excess);
     }
 
-    /// At most `limit` services whose activity did not work in time, and whose escalation
-    /// is due.
+    /// Returns at most `limit` services that are overdue and whose escalation is due.
     pub fn overdue(&self, now: u64, limit: usize) -> Vec<JobId> {
         self.escalations
             .iter()
@@ -230,12 +230,12 @@
             .collect()
     }
 
-    /// A service, if it is under supervision.
+    /// Returns a service if it is under supervision.
     pub fn get(&self, id: &JobId) -> Option<&SupervisedService> {
         self.services.get(id)
     }
 
-    /// Services with missing replicas.
+    /// Returns the services with missing replicas.
     pub fn under_replicated(&self) -> &BTreeSet<JobId> {
         &self.under_replicated
     }
