--- a/crates/coordination/src/boot_time/tests.rs
+++ b/crates/coordination/src/boot_time/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of the boot time estimates and their bounds.
+
 use super::*;
 
 fn boot_times(times: &[u64]) -> BootTimes {
--- a/crates/coordination/src/fault_attribution/tests.rs
+++ b/crates/coordination/src/fault_attribution/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of the verdicts on jobs and machines, and of the bounds of what is kept.
+
 use super::*;
 
 fn job(n: usize) -> JobId {
--- a/crates/coordination/src/links/failure_detector.rs
+++ b/crates/coordination/src/links/failure_detector.rs
@@ -50,7 +50,7 @@
         changed
     }
 
-    /// The state of the link.
+    /// Returns the state of the link.
     pub(crate) fn state(&self) -> LinkState {
         self.state
     }
--- a/crates/coordination/src/links/failure_detector/tests.rs
+++ b/crates/coordination/src/links/failure_detector/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn one_lost_answer_is_late_two_are_down_and_one_answer_recovers() {
+fn one_lost_answer_is_suspect_two_are_down_and_one_answer_recovers() {
     let mut detector = FailureDetector::default();
     assert_eq!(detector.state(), LinkState::Unknown);
     assert!(detector.record_success(1_000));
