--- a/crates/coordination/src/links/peers.rs
+++ b/crates/coordination/src/links/peers.rs
@@ -79,22 +79,22 @@
     /// earlier format answers without gossip of its own.
     pub fn gossip_completed(
         &mut self,
-        host: u16,
+        index: u16,
         answered: bool,
         gossip: Option<AvailabilityGossip>,
         now: u64,
     ) {
-        if let Some(peer) = self.peers.get_mut(usize::from(host)) {
+        if let Some(peer) = self.peers.get_mut(usize::from(index)) {
             peer.gossip_in_flight = false;
             if answered {
                 let sent_at = peer.next_gossip.saturating_sub(GOSSIP_INTERVAL_MS);
                 peer.latency.record(now.saturating_sub(sent_at), now);
             }
         }
-        if let Some(gossip) = gossip.filter(|gossip| gossip.controller == host) {
+        if let Some(gossip) = gossip.filter(|gossip| gossip.controller == index) {
             self.store_gossip(gossip, now);
         }
-        self.record_peer_call(host, answered, now);
+        self.record_peer_call(index, answered, now);
     }
 
     /// Stores gossip sent by another controller and returns this controller's own as the answer.
@@ -118,11 +118,11 @@
 
     /// Records the outcome of a call to another controller. Failures shortly after a stall of
     /// this process are ignored.
-    pub fn record_peer_call(&mut self, host: u16, answered: bool, now: u64) {
+    pub fn record_peer_call(&mut self, index: u16, answered: bool, now: u64) {
         if !answered && now < self.stall_grace_until {
             return;
         }
-        let Some(peer) = self.peers.get_mut(usize::from(host)) else {
+        let Some(peer) = self.peers.get_mut(usize::from(index)) else {
             return;
         };
         let (since, was_down) = (peer.detector.since(), peer.detector.is_down());
@@ -134,7 +134,7 @@
         if !changed {
             return;
         }
-        let name = &self.hosts[usize::from(host)];
+        let name = &self.hosts[usize::from(index)];
         let text = match (answered, peer.detector.is_down()) {
             (false, true) => format!("{name} does not answer"),
             (true, _) if was_down => format!(
@@ -147,8 +147,8 @@
     }
 
     /// Returns the state of the link to another controller.
-    pub(crate) fn peer_state(&self, host: u16, now: u64) -> LinkState {
-        let Some(peer) = self.peers.get(usize::from(host)) else {
+    pub(crate) fn peer_state(&self, index: u16, now: u64) -> LinkState {
+        let Some(peer) = self.peers.get(usize::from(index)) else {
             return LinkState::Unknown;
         };
         let reaches_us = peer
--- a/crates/coordination/src/links/services.rs
+++ b/crates/coordination/src/links/services.rs
@@ -32,13 +32,13 @@
         let mut candidates: Vec<RelayCandidate> = self
             .other_peers()
             .filter(|(_, peer)| !peer.detector.is_down())
-            .filter_map(|(host, peer)| {
+            .filter_map(|(index, peer)| {
                 let last_answer =
                     last_answer(peer).filter(|at| now <= at + relay_fresh_ms(service))?;
-                Some(RelayCandidate { host, last_answer })
+                Some(RelayCandidate { index, last_answer })
             })
             .collect();
-        candidates.sort_unstable_by_key(|c| (Reverse(c.last_answer), c.host));
+        candidates.sort_unstable_by_key(|c| (Reverse(c.last_answer), c.index));
         candidates
     }
 
@@ -53,11 +53,11 @@
         let upstream = self.upstream(service);
         let before = upstream.relay();
         let relay = upstream.route(size, &candidates, now);
-        if let Some(host) = relay.filter(|_| relay != before) {
+        if let Some(index) = relay.filter(|_| relay != before) {
             let text = format!(
                 "what goes to the {} is carried by {}",
                 service_name(service),
-                self.hosts[usize::from(host)]
+                self.hosts[usize::from(index)]
             );
             self.record_event(now, text);
         }
--- a/crates/coordination/src/links/upstream_route.rs
+++ b/crates/coordination/src/links/upstream_route.rs
@@ -29,7 +29,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct RelayCandidate {
     /// Index of the controller.
-    pub(crate) host: u16,
+    pub(crate) index: u16,
     /// When the service last answered it directly, ms.
     pub(crate) last_answer: u64,
 }
@@ -138,10 +138,10 @@
         let eligible: Vec<u16> = candidates
             .iter()
             .filter(|candidate| newer(candidate.last_answer))
-            .map(|candidate| candidate.host)
+            .map(|candidate| candidate.index)
             .collect();
         let not_backing_off =
-            |host: &u16| self.backing_off.get(host).is_none_or(|until| now >= *until);
+            |peer: &u16| self.backing_off.get(peer).is_none_or(|until| now >= *until);
         // Keep the current relay, so that the route does not alternate between two.
         let same = self
             .relay
--- a/crates/coordination/src/links/upstream_route/tests.rs
+++ b/crates/coordination/src/links/upstream_route/tests.rs
@@ -14,7 +14,7 @@
 
 fn candidates(list: &[(u16, u64)]) -> Vec<RelayCandidate> {
     list.iter()
-        .map(|&(host, last_answer)| RelayCandidate { host, last_answer })
+        .map(|&(index, last_answer)| RelayCandidate { index, last_answer })
         .collect()
 }
 
