--- a/crates/node/src/effect_executor.rs
+++ b/crates/node/src/effect_executor.rs
@@ -154,7 +154,7 @@
 async fn read_job_ends(node: &Node, ids: &[JobId]) {
     for id in ids {
         if let Err(fault) = read_job_end(node, id).await {
-            debug!(job_id = %id, %fault, "job end not read");
+            debug!(job_id = %id, %fault, "failed to read job end record");
         }
     }
     node.with_core(|core, now| core.final_states_read(ids, now));
@@ -163,7 +163,7 @@
 /// Writes a hint; its end does not matter.
 async fn write_hint(node: &Node, cas: &CompareAndSwap) {
     if let Err(fault) = node.kv_store.cas(cas).await {
-        debug!(%fault, "hint not written");
+        debug!(%fault, "failed to write hint");
     }
 }
 
@@ -247,7 +247,7 @@
     match peer::decode::<ShardView>(&response.body) {
         Ok(view) => Some(view),
         Err(fault) => {
-            info!(%address, %fault, "response of peer malformed");
+            info!(%address, %fault, "peer response malformed");
             None
         }
     }
@@ -316,7 +316,7 @@
         return;
     }
     if let Err(fault) = node.kv_store.cas(&cas).await {
-        debug!(from_shard = route.from_shard, to_shard = route.to_shard, %fault, "peer message not stored");
+        debug!(from_shard = route.from_shard, to_shard = route.to_shard, %fault, "failed to store peer message");
     }
 }
 
--- a/crates/node/src/heartbeat_relay.rs
+++ b/crates/node/src/heartbeat_relay.rs
@@ -153,7 +153,7 @@
         _ => debug!(
             controller = leader,
             status = response.status,
-            "relayed heartbeats refused"
+            "relayed heartbeats refused by leader"
         ),
     }
 }
--- a/crates/node/src/job_lookup.rs
+++ b/crates/node/src/job_lookup.rs
@@ -51,10 +51,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum LookupError {
     /// Other requests to the store, or jobs that are owed an answer for longer, go first.
-    #[error("lookup refused; others go first")]
+    #[error("job lookup refused: queue full or key-value store busy")]
     Refused,
     /// The store did not answer, or not in time.
-    #[error("key-value store did not answer a lookup")]
+    #[error("key-value store did not answer a job lookup")]
     StoreUnavailable,
 }
 
--- a/crates/node/src/peer_api.rs
+++ b/crates/node/src/peer_api.rs
@@ -128,7 +128,7 @@
 
 /// Refuses a message that can't be read.
 fn malformed(fault: impl Display) -> Reply {
-    info!(%fault, "message of peer malformed");
+    info!(%fault, "peer message malformed");
     Reply::empty(400)
 }
 
--- a/crates/node/src/shard_loading.rs
+++ b/crates/node/src/shard_loading.rs
@@ -58,7 +58,7 @@
             Ok(records) => return Some(records),
             // Guards against a shard that is acquired anew, with another token, for each
             // page that the store does not answer.
-            Err(fault) => info!(shard = lease.shard, %fault, "shard records not read; retrying"),
+            Err(fault) => info!(shard = lease.shard, %fault, "shard read failed; retrying"),
         }
         sleep_ms(2 * TICK_MS).await;
         let lost = node.with_core(|core, _| {
