--- a/crates/node/src/effect_executor.rs
+++ b/crates/node/src/effect_executor.rs
@@ -68,7 +68,7 @@
 /// Commits task records of a shard, and reports the outcome to the core.
 async fn commit_task_records(node: &Node, lease: ShardLease, cas: &CompareAndSwap) {
     let outcome = match node.kv_store.cas(cas).await {
-        Ok(CompareAndSwapResult::Done(revision)) => CompareAndSwapOutcome::Committed(revision),
+        Ok(CompareAndSwapResult::Committed(revision)) => CompareAndSwapOutcome::Committed(revision),
         Ok(CompareAndSwapResult::Conflict(keys)) => {
             // Guards against placing on versions of keys that a lost answer has changed:
             // they are read before the compare-and-swap counts as ended.
@@ -133,7 +133,7 @@
 /// cache is refreshed, so that what may start is placed at once.
 async fn commit_dependent_jobs(node: &Node, cas: &CompareAndSwap) {
     let outcome = match node.kv_store.cas(cas).await {
-        Ok(CompareAndSwapResult::Done(revision)) => {
+        Ok(CompareAndSwapResult::Committed(revision)) => {
             let _ = node.refresh_cache().await;
             CompareAndSwapOutcome::Committed(revision)
         }
--- a/crates/node/src/elections.rs
+++ b/crates/node/src/elections.rs
@@ -79,7 +79,7 @@
                 CompareAndSwapResult::Conflict(_) => {
                     let _ = node.refresh_cache().await;
                 }
-                CompareAndSwapResult::Done(revision) => {
+                CompareAndSwapResult::Committed(revision) => {
                     on_election_committed(node, action, revision).await;
                 }
             }
@@ -141,7 +141,7 @@
 async fn raise_record_version(node: &Node) -> Result<(), KvError> {
     let cas = node.with_core(|core, _| core.records_version_cas());
     if let Some(cas) = cas
-        && let CompareAndSwapResult::Done(_) = node.kv_store.cas(&cas).await?
+        && let CompareAndSwapResult::Committed(_) = node.kv_store.cas(&cas).await?
     {
         info!("record version raised; every controller reads the newest records");
         let _ = node.refresh_cache().await;
--- a/crates/node/src/job_lookup.rs
+++ b/crates/node/src/job_lookup.rs
@@ -144,7 +144,7 @@
 async fn look_up_batch(node: &Node, batch: Vec<(JobId, Vec<Sender<LookupResult>>)>) {
     let ids: Vec<JobId> = batch.iter().map(|(id, _)| id.clone()).collect();
     let existing_keys = match node.kv_store.cas(&absent(&ids)).await {
-        Ok(CompareAndSwapResult::Done(_)) => Ok(Vec::new()),
+        Ok(CompareAndSwapResult::Committed(_)) => Ok(Vec::new()),
         Ok(CompareAndSwapResult::Conflict(keys)) => Ok(keys),
         Err(error) => Err(error),
     };
--- a/crates/node/src/kv_client.rs
+++ b/crates/node/src/kv_client.rs
@@ -50,7 +50,7 @@
 #[derive(Debug, PartialEq, Eq, Clone)]
 pub enum CompareAndSwapResult {
     /// Committed, at this revision.
-    Done(u64),
+    Committed(u64),
     /// Not committed: these keys had another version than the conditions demand.
     Conflict(Vec<String>),
 }
@@ -237,7 +237,7 @@
         let body =
             || decode::<CompareAndSwapResponse>(&response.body).map_err(|_| KvError::Unknown);
         match response.status {
-            200 => Ok(CompareAndSwapResult::Done(body()?.revision)),
+            200 => Ok(CompareAndSwapResult::Committed(body()?.revision)),
             409 => Ok(CompareAndSwapResult::Conflict(body()?.failed)),
             400 if String::from_utf8_lossy(&response.body).contains("no such lease") => {
                 Err(KvError::LeaseExpired)
--- a/crates/node/src/public_api/cancel.rs
+++ b/crates/node/src/public_api/cancel.rs
@@ -72,7 +72,7 @@
                     return refused(QueryRefusal::WriteQueueFull);
                 }
                 match node.kv_store.cas(&cas).await {
-                    Ok(CompareAndSwapResult::Done(_)) => {
+                    Ok(CompareAndSwapResult::Committed(_)) => {
                         info!(job_id = %id, "job cancellation requested");
                         notify_leader(node, &team);
                         wait_until_ms = Some(node.now_ms() + CANCELLED_WAIT_MS);
--- a/crates/node/src/public_api/submit.rs
+++ b/crates/node/src/public_api/submit.rs
@@ -228,7 +228,7 @@
     for cas in cas_list {
         loop {
             match node.kv_store.cas(cas).await {
-                Ok(CompareAndSwapResult::Done(_)) => break,
+                Ok(CompareAndSwapResult::Committed(_)) => break,
                 Ok(CompareAndSwapResult::Conflict(_)) => return Commit::AlreadyAccepted,
                 // May have been committed: the same compare-and-swap shows it, since its
                 // conditions then fail.
