--- a/crates/node/src/cache_refresh.rs
+++ b/crates/node/src/cache_refresh.rs
@@ -1,4 +1,4 @@
-//! The loop that keeps the state cache, the copy of the store's keys, up to date.
+//! The loop that keeps the state cache, a copy of the store's keys, up to date.
 
 use std::rc::Rc;
 
@@ -11,17 +11,17 @@
 use lemonweir_storage::records::FOLLOWED;
 use lemonweir_transport::within;
 
-/// What a refresh found.
+/// Outcome of a successful refresh.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Refresh {
+enum RefreshOutcome {
     /// No key has changed.
     Unchanged,
     /// Some keys may have changed.
     Changed,
 }
 
-/// Refreshes the cache, for ever. Users' queries that wait share one refresh that began
-/// after all of them had arrived.
+/// Refreshes the cache periodically and on request. Never returns. Waiting queries share one
+/// refresh, which begins after all of them have arrived.
 pub(crate) async fn run(node: Rc<Node>, requests: Receiver<RefreshWaiter>) {
     let mut waiting: Vec<RefreshWaiter> = Vec::new();
     loop {
@@ -34,7 +34,7 @@
             on_refreshed(&node, began_ms, refresh);
         }
         for waiter in waiting.drain(..) {
-            // The waiter may have given up.
+            // The waiter may have timed out.
             let _ = waiter.try_send(outcome.map(|_| ()).map_err(|_| RefreshError));
         }
         sleep_ms(CACHE_REFRESH_BUSY_MS).await;
@@ -51,10 +51,10 @@
     }
 }
 
-/// Hands the core a refresh that began then, and executes the peers' messages that came
-/// with it.
-fn on_refreshed(node: &Rc<Node>, began_ms: u64, refresh: Refresh) {
-    let changed = refresh == Refresh::Changed;
+/// Notifies the core of a refresh that began at `began_ms`, and handles the peer messages
+/// that it brought.
+fn on_refreshed(node: &Rc<Node>, began_ms: u64, refresh: RefreshOutcome) {
+    let changed = refresh == RefreshOutcome::Changed;
     let effects = node.with_core(|core, now| {
         core.cache_refreshed(began_ms, changed);
         core.handle_store_messages(now)
@@ -67,8 +67,9 @@
     }
 }
 
-/// Reads what changed since the last refresh; all keys if that is no longer known.
-async fn refresh(node: &Node) -> Result<Refresh, KvError> {
+/// Reads the changes since the last refresh, or all keys if there was none or the store has
+/// compacted the changes.
+async fn refresh(node: &Node) -> Result<RefreshOutcome, KvError> {
     let revision = node.with_core(|core, _| core.cache.revision);
     if let Some(revision) = revision {
         match node.kv_store.changes_since(FOLLOWED, revision).await {
@@ -78,9 +79,9 @@
                         .apply_changes(&changes.events, changes.revision, now);
                 });
                 return Ok(if changes.events.is_empty() {
-                    Refresh::Unchanged
+                    RefreshOutcome::Unchanged
                 } else {
-                    Refresh::Changed
+                    RefreshOutcome::Changed
                 });
             }
             Err(KvError::RevisionCompacted) => {
@@ -95,8 +96,8 @@
         revision = listing.revision,
         "state cache loaded"
     );
-    // The pages may be of different moments: the changes since the first bring the copy
-    // to one state.
+    // The pages may show different revisions. Applying the changes since the first page
+    // makes the copy consistent.
     node.with_core(|core, _| core.cache.load_snapshot(&listing.entries, listing.revision));
-    Ok(Refresh::Changed)
+    Ok(RefreshOutcome::Changed)
 }
--- a/crates/node/src/cloud.rs
+++ b/crates/node/src/cloud.rs
@@ -1,4 +1,4 @@
-//! Client of the cloud, and the loops that read its catalog and its list of instances.
+//! Client of the cloud API, and the loops that refresh the catalog and the instance list.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,37 +17,37 @@
 use lemonweir_protocol::links::Service;
 use lemonweir_protocol::{decode, encode};
 
-/// Instances in a page of the list (protocol page).
+/// Instances per page of the instance list (see the protocol documentation).
 const LIST_PAGE_INSTANCES: u32 = 500;
 
-/// Share of this controller's part of the cloud's rate limit that readings of the list
-/// may use: a fleet of hundreds takes several pages, and provisioning goes first.
+/// Fraction of this controller's share of the cloud's rate limit that listing instances may
+/// use: a fleet of hundreds takes several pages, and provisioning has priority.
 const LIST_RATE_SHARE: f64 = 0.25;
 
-/// ms between two readings of the catalog: spot prices move slowly.
+/// ms between two refreshes of the catalog: spot prices change slowly.
 const CATALOG_REFRESH_MS: u64 = 60_000;
 
-/// ms after a failed reading of the catalog while there is none: nothing can be placed or
-/// provisioned without it.
+/// ms between attempts to read the catalog before the first success: nothing can be placed
+/// or provisioned without it.
 const FIRST_CATALOG_RETRY_MS: u64 = 1_000;
 
-/// The cloud's answer to a call.
+/// The cloud's response to a call.
 struct CloudReply {
     status: u16,
     body: Vec<u8>,
 }
 
-/// The client; keeps this controller's share of the cloud's rate limit.
+/// Client of the cloud API that stays within this controller's share of the rate limit.
 pub(crate) struct CloudClient {
     router: Rc<Router>,
     rate_limit: RateLimitShare,
-    /// Time between two readings of the list, for each of its pages.
+    /// Minimum time between two listings of all instances, per page of the list.
     list_interval_per_page: Duration,
 }
 
 impl CloudClient {
-    /// A client that shares a limit of so many requests a second with the other
-    /// controllers.
+    /// Creates a client that shares a limit of `limit_per_s` requests per second with the
+    /// other controllers.
     pub(crate) fn new(router: Rc<Router>, limit_per_s: f64, controllers: usize) -> Self {
         let page_interval_s =
             controllers as f64 / limit_per_s.max(f64::MIN_POSITIVE) / LIST_RATE_SHARE;
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Makes a call in its turn. `None`: no answer came.
+    /// Makes a call when the rate limit admits it. Returns `None` if no response arrives.
     async fn call(&self, method: &str, path: &str, body: &[u8]) -> Option<CloudReply> {
         let wait = self.rate_limit.reserve(1.0);
         if !wait.is_zero() {
@@ -98,7 +98,7 @@
                 }
             },
             503 if decode::<CloudErrorBody>(&reply.body)
-                .is_ok_and(|fault| fault.error == "no capacity") =>
+                .is_ok_and(|body| body.error == "no capacity") =>
             {
                 ProvisioningResult::NoCapacity
             }
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Releases instances; true once they are surely gone.
+    /// Releases instances. Returns true if the cloud confirmed the release.
     pub(crate) async fn release(&self, machines: &[MachineId]) -> bool {
         let names = MachineNames {
             machines: machines.to_vec(),
@@ -135,7 +135,7 @@
         Some(catalog)
     }
 
-    /// All instances, page by page.
+    /// Lists all instances, page by page.
     async fn instances(&self) -> Option<Vec<InstanceEntry>> {
         let mut instances: Vec<InstanceEntry> = Vec::new();
         loop {
@@ -163,7 +163,7 @@
     }
 }
 
-/// Reads the catalog until it is known, then now and then, for ever.
+/// Reads the catalog until it is known, then refreshes it periodically. Never returns.
 pub(crate) async fn refresh_catalog(node: Rc<Node>) {
     loop {
         let catalog = node.cloud.catalog().await;
@@ -182,7 +182,7 @@
     }
 }
 
-/// Reads the list of instances, for ever.
+/// Refreshes the list of instances periodically. Never returns.
 pub(crate) async fn refresh_instances(node: Rc<Node>) {
     loop {
         let mut pages = 1;
--- a/crates/node/src/effect_executor.rs
+++ b/crates/node/src/effect_executor.rs
@@ -1,5 +1,5 @@
-//! Executes the effects that the core asks for, one function each. The end of an effect
-//! is an event of the core.
+//! Executes the effects that the core requests, one function per effect, and reports their
+//! results back to the core.
 
 use std::rc::Rc;
 
@@ -30,10 +30,10 @@
 };
 use lemonweir_transport::CallError;
 
-/// ms after which a request to the store is repeated that got no answer.
+/// ms after which a failed store request is repeated.
 const STORE_RETRY_MS: u64 = 2 * TICK_MS;
 
-/// Starts to execute an effect.
+/// Spawns a task that executes an effect and then requests a flush of the core.
 pub(crate) fn execute(node: &Rc<Node>, effect: Effect) {
     let task_node = node.clone();
     node.executor
@@ -44,7 +44,7 @@
         .detach();
 }
 
-/// Executes an effect to its end.
+/// Executes an effect to completion.
 async fn run(node: &Node, effect: Effect) {
     match effect {
         Effect::CompareAndSwap(lease, cas) => commit_task_records(node, lease, &cas).await,
@@ -60,7 +60,7 @@
         Effect::ReleaseInstances(lease, machines) => {
             release_instances(node, lease, &machines).await;
         }
-        Effect::SendGossip(host, gossip) => send_gossip(node, host, &gossip).await,
+        Effect::SendGossip(peer_index, gossip) => send_gossip(node, peer_index, &gossip).await,
         Effect::ProbeService(service) => probe_direct_route(node, service).await,
     }
 }
@@ -70,8 +70,9 @@
     let outcome = match node.kv_store.cas(cas).await {
         Ok(CompareAndSwapResult::Committed(revision)) => CompareAndSwapOutcome::Committed(revision),
         Ok(CompareAndSwapResult::Conflict(keys)) => {
-            // Guards against placing on versions of keys that a lost answer has changed:
-            // they are read before the compare-and-swap counts as ended.
+            // An earlier compare-and-swap whose response was lost may have changed these
+            // keys. Their versions are reread before this one counts as completed, so that
+            // no placement is based on stale versions.
             let versions = reread_versions(node, lease, &keys).await;
             info!(
                 shard = lease.shard,
@@ -97,8 +98,8 @@
             CompareAndSwapOutcome::Rejected
         }
         Err(_) => {
-            // Whether it was committed or not, the same change is tried again under the
-            // same conditions; a conflict then shows it.
+            // Unknown whether it was committed: the same change is retried under the same
+            // conditions, and a conflict then shows that it was.
             sleep_ms(STORE_RETRY_MS).await;
             CompareAndSwapOutcome::Indeterminate
         }
@@ -109,8 +110,8 @@
     }
 }
 
-/// The present versions of the task records among these keys; 0: no such key. Reads each
-/// as often as it takes.
+/// Reads the current versions of the task records among these keys, 0 for a missing key.
+/// Retries each read until it succeeds.
 async fn reread_versions(
     node: &Node,
     lease: ShardLease,
@@ -129,8 +130,8 @@
     versions
 }
 
-/// Commits a change of jobs that depend on others. After one that moved something the
-/// cache is refreshed, so that what may start is placed at once.
+/// Commits a change of jobs that depend on others. After a commit or a conflict the cache is
+/// refreshed, so that jobs that may now start are placed at once.
 async fn commit_dependent_jobs(node: &Node, cas: &CompareAndSwap) {
     let outcome = match node.kv_store.cas(cas).await {
         Ok(CompareAndSwapResult::Committed(revision)) => {
@@ -150,7 +151,7 @@
     node.with_core(|core, now| core.dependency_cas_completed(outcome, now));
 }
 
-/// Reads the ends of jobs that others depend on.
+/// Reads the final states of jobs that others depend on.
 async fn read_job_ends(node: &Node, ids: &[JobId]) {
     for id in ids {
         if let Err(fault) = read_job_end(node, id).await {
@@ -160,14 +161,15 @@
     node.with_core(|core, now| core.final_states_read(ids, now));
 }
 
-/// Writes a hint; its end does not matter.
+/// Writes a hint. A failure is only logged.
 async fn write_hint(node: &Node, cas: &CompareAndSwap) {
     if let Err(fault) = node.kv_store.cas(cas).await {
         debug!(%fault, "failed to write hint");
     }
 }
 
-/// Sends commands to a worker, and reports the result to the core.
+/// Sends commands to a worker, directly or through a relay peer, and reports the result to
+/// the core.
 async fn send_command(node: &Node, lease: ShardLease, call: &CommandCall) {
     debug!(machine = %call.machine, relay_peer = ?call.through, commands = ?call.commands.commands, "sending commands");
     let body = encode(&call.commands);
@@ -208,13 +210,14 @@
     node.with_core(|core, now| core.command_completed(lease, call, result, now));
 }
 
-/// Reconciles with the leader of a shard on another controller, directly.
+/// Syncs with the leader of a shard on another controller by a direct call.
 async fn sync_with_peer(node: &Node, lease: ShardLease, sync: &SyncRequest) {
     let view = send_sync_request(node, sync).await;
     node.with_core(|core, now| core.sync_completed(lease, sync.to_shard, view, now));
 }
 
-/// Sends a sync request to the leader of its shard. `None`: no view came.
+/// Sends a sync request to the leader of its target shard. Returns `None` if no valid view
+/// is received.
 async fn send_sync_request(node: &Node, sync: &SyncRequest) -> Option<ShardView> {
     let host = leader_host(node, sync.to_shard)?;
     let address = node.peer_address(&host)?;
@@ -253,7 +256,7 @@
     }
 }
 
-/// Host of the controller that leads a shard, by the cache.
+/// Host of the controller that leads a shard according to the cache.
 fn leader_host(node: &Node, shard: u16) -> Option<String> {
     node.with_core(|core, _| {
         core.cache
@@ -263,7 +266,7 @@
     })
 }
 
-/// Sends a sync request by way of the store.
+/// Sends a sync request through the store.
 async fn store_sync_request(node: &Node, sync: &SyncRequest) {
     let route = StoreMessageRoute {
         kind: StoreMessageKind::Sync,
@@ -279,12 +282,12 @@
     .await;
 }
 
-/// Answers a sync request by way of the store.
-async fn store_shard_view(node: &Node, to: u16, view: &ShardView) {
+/// Answers a sync request through the store.
+async fn store_shard_view(node: &Node, target_shard: u16, view: &ShardView) {
     let route = StoreMessageRoute {
         kind: StoreMessageKind::View,
         from_shard: view.shard,
-        to_shard: to,
+        to_shard: target_shard,
     };
     store_message(
         node,
@@ -295,9 +298,15 @@
     .await;
 }
 
-/// Writes a peer message to the store, in as many values as it takes. It is not repeated:
-/// the next message of the route says all again.
-async fn store_message(node: &Node, route: StoreMessageRoute, id: (u64, u64), bytes: &[u8]) {
+/// Writes a peer message to the store, split into as many values as needed. A failed write
+/// is not retried: the next message of the route repeats the full content. `message_id` is
+/// the sender's fencing token and the sequence number.
+async fn store_message(
+    node: &Node,
+    route: StoreMessageRoute,
+    message_id: (u64, u64),
+    bytes: &[u8],
+) {
     let Some(lease) = node.store_lease.get() else {
         return;
     };
@@ -307,7 +316,7 @@
             core.config.cas_max_changes,
         )
     });
-    let cas = post(route, id, bytes, piece_bytes, lease.get());
+    let cas = post(route, message_id, bytes, piece_bytes, lease.get());
     if cas.writes.len() > max_writes {
         error!(
             message_bytes = bytes.len(),
@@ -320,7 +329,8 @@
     }
 }
 
-/// Asks the leader of a shard on another controller to sync with all shards led here.
+/// Asks the leader of a shard on another controller to sync with all shards that this
+/// controller leads.
 async fn wake_peer(node: &Node, shard: u16) {
     let Some(host) = leader_host(node, shard) else {
         return;
@@ -331,7 +341,7 @@
     };
     for lease in leases {
         let path = peer_api::wake_path(shard, lease.shard);
-        // Only a hint: the regular sync comes anyway.
+        // Only a hint: the regular sync follows anyway.
         let _ = node
             .http
             .call(address, "POST", &path, &[], SYNC_TIMEOUT_MS)
@@ -354,10 +364,10 @@
     node.with_core(|core, now| core.instances_released(lease, machines, released, now));
 }
 
-/// Sends another controller what is reachable from here. Its response has the same of its
-/// own, unless it is malformed.
-async fn send_gossip(node: &Node, host: u16, gossip: &AvailabilityGossip) {
-    let response = match node.router.peers.get(&host) {
+/// Sends another controller what this one can reach. The response, unless malformed, carries
+/// what the other one can reach.
+async fn send_gossip(node: &Node, peer_index: u16, gossip: &AvailabilityGossip) {
+    let response = match node.router.peers.get(&peer_index) {
         Some(address) => node
             .http
             .call(
@@ -377,12 +387,12 @@
         .and_then(|response| links::decode::<AvailabilityGossip>(&response.body).ok());
     node.with_core(|core, now| {
         core.links
-            .gossip_completed(host, answered, peer_gossip, now);
+            .gossip_completed(peer_index, answered, peer_gossip, now);
     });
 }
 
-/// Tries the direct route to a service with a request that changes nothing. Only whether
-/// it is answered counts, which the router records.
+/// Probes the direct route to a service with a read-only request. The result is discarded:
+/// the router records whether the call was served.
 async fn probe_direct_route(node: &Node, service: Service) {
     let (path, timeout_ms) = match service {
         Service::Store => (format!("/store/{}", shard_key(0)), STORE_TIMEOUT_MS),
--- a/crates/node/src/elections.rs
+++ b/crates/node/src/elections.rs
@@ -1,4 +1,4 @@
-//! This controller's presence in the store, and its elections as leader of shards.
+//! Publishes this controller's presence in the store and campaigns for shard leadership.
 
 use std::rc::Rc;
 
@@ -12,12 +12,12 @@
 use lemonweir_model::constants::TICK_MS;
 use lemonweir_storage::records::{assign_teams, register_controller};
 
-/// Publishes this controller's presence, and acquires and releases shards, for ever.
+/// Publishes this controller's presence, and acquires and releases shards. Never returns.
 pub(crate) async fn run_elections(node: Rc<Node>) {
     let shards = node.with_core(|core, _| core.config.members.len());
     let mut elections = Elections {
         election: LeaderElection::new(shards),
-        published_with: None,
+        presence_lease: None,
     };
     loop {
         if let Some(lease) = node.store_lease.get()
@@ -30,35 +30,36 @@
     }
 }
 
-/// What is remembered from one election to the next.
+/// State kept from one election round to the next.
 struct Elections {
     election: LeaderElection,
-    /// The store lease that the presence was last published with.
-    published_with: Option<StoreLeaseId>,
+    /// The store lease with which the presence was last published.
+    presence_lease: Option<StoreLeaseId>,
 }
 
 impl Elections {
-    /// Does all that is due with this store lease.
+    /// Runs one election round with this store lease.
     async fn run_once(&mut self, node: &Rc<Node>, lease: StoreLeaseId) -> Result<(), KvError> {
-        if self.published_with != Some(lease) {
-            let left = node.with_core(|core, now| self.election.ceded(core, now));
-            publish_presence(node, lease, left).await?;
-            self.published_with = Some(lease);
+        if self.presence_lease != Some(lease) {
+            let ceded = node.with_core(|core, now| self.election.ceded(core, now));
+            publish_presence(node, lease, ceded).await?;
+            self.presence_lease = Some(lease);
         }
         assign_new_teams(node).await;
         let now_ms = node.now_ms();
         self.campaign(node, lease, now_ms).await?;
         raise_record_version(node).await?;
         let unpublished = node.with_core(|core, _| self.election.unpublished_ceded(core, now_ms));
-        if let Some(left) = unpublished {
-            publish_presence(node, lease, left).await?;
+        if let Some(ceded) = unpublished {
+            publish_presence(node, lease, ceded).await?;
             let _ = node.refresh_cache().await;
         }
         Ok(())
     }
 
-    /// Acquires shards that are this controller's own or without a leader, and releases
-    /// those whose home controller is alive again.
+    /// Acquires shards without a leader, or still held by an earlier incarnation of this
+    /// controller. Releases those whose home controller serves again, and cedes those whose
+    /// workers can't reach this controller.
     async fn campaign(
         &mut self,
         node: &Rc<Node>,
@@ -66,16 +67,16 @@
         now_ms: u64,
     ) -> Result<(), KvError> {
         for shard in 0..self.election.shards() {
-            let step = node.with_core(|core, _| {
+            let next = node.with_core(|core, _| {
                 let action = self.election.next_action(core, shard, now_ms)?;
-                let left = self.election.ceded(core, now_ms);
-                let cas = core.election_cas(&action, lease.get(), left, now_ms);
+                let ceded = self.election.ceded(core, now_ms);
+                let cas = core.election_cas(&action, lease.get(), ceded, now_ms);
                 Some((action, cas))
             });
-            let Some((action, cas)) = step else { continue };
+            let Some((action, cas)) = next else { continue };
             match node.kv_store.cas(&cas).await? {
-                // The key of the shard, or the slot for the record of its failover, has
-                // changed meanwhile.
+                // The shard's key, or the slot for its failover record, changed
+                // concurrently.
                 CompareAndSwapResult::Conflict(_) => {
                     let _ = node.refresh_cache().await;
                 }
@@ -88,10 +89,10 @@
     }
 }
 
-/// Applies here what the store has committed at this revision.
+/// Applies an election action that the store committed at `revision`.
 async fn on_election_committed(node: &Rc<Node>, action: ElectionAction, revision: u64) {
     match action {
-        // The revision of the acquisition is the fencing token.
+        // The revision of the acquisition serves as the fencing token.
         ElectionAction::Acquire { shard, .. } => {
             let token = revision;
             load_shard(node, ShardLease { shard, token }).await;
@@ -115,13 +116,17 @@
     }
 }
 
-/// Publishes this controller, and the shards that it has left to others.
-async fn publish_presence(node: &Node, lease: StoreLeaseId, left: Vec<u16>) -> Result<(), KvError> {
+/// Publishes this controller's presence and the shards that it cedes to others.
+async fn publish_presence(
+    node: &Node,
+    lease: StoreLeaseId,
+    ceded: Vec<u16>,
+) -> Result<(), KvError> {
     let presence = register_controller(
         &node.settings.host_name,
         &node.settings.zone,
         lease.get(),
-        left,
+        ceded,
     );
     node.kv_store.cas(&presence).await.map(drop)
 }
@@ -132,12 +137,12 @@
     if unassigned.is_empty() {
         return;
     }
-    // Another controller may have been first; the cache will show.
+    // If another controller assigned them first, the refreshed cache shows it.
     let _ = node.kv_store.cas(&assign_teams(&unassigned)).await;
     let _ = node.refresh_cache().await;
 }
 
-/// Raises the version that records are written in, once every controller reads it.
+/// Raises the version in which records are written, once every controller can read it.
 async fn raise_record_version(node: &Node) -> Result<(), KvError> {
     let cas = node.with_core(|core, _| core.records_version_cas());
     if let Some(cas) = cas
@@ -149,7 +154,7 @@
     Ok(())
 }
 
-/// Releases a shard here that was released in the store.
+/// Releases a shard in the core after its release was committed in the store.
 async fn release_shard(node: &Node, lease: ShardLease) {
     node.with_core(|core, now| core.release(lease.shard, now));
     let _ = node.refresh_cache().await;
--- a/crates/node/src/flush_loop.rs
+++ b/crates/node/src/flush_loop.rs
@@ -1,4 +1,4 @@
-//! The loop that runs the core: at every tick, and as soon as something happened.
+//! The loop that flushes the core at every tick, and earlier on request.
 
 use std::rc::Rc;
 
@@ -8,14 +8,15 @@
 use lemonweir_model::constants::{SHORT_TICK_MS, TICK_MS};
 use lemonweir_transport::within;
 
-/// ms by which a tick must be late for the process to count as overloaded: polls are
-/// then refused, since heartbeats and submissions wait behind them.
+/// ms by which a tick must be late for the process to count as overloaded. Status polls
+/// are then refused, since they delay heartbeats and submissions.
 const OVERLOAD_TICK_DELAY_MS: u64 = 400;
 
-/// ms for which it then counts so.
+/// ms for which the process counts as overloaded after a late tick.
 const OVERLOAD_DURATION_MS: u64 = 500;
 
-/// Flushes the core at every tick and whenever asked, for ever.
+/// Flushes the core at every tick and on request, and executes the resulting effects.
+/// Never returns.
 pub(crate) async fn run(node: Rc<Node>, flush_requests: Receiver<()>) {
     loop {
         let now_ms = node.now_ms();
--- a/crates/node/src/heartbeat_relay.rs
+++ b/crates/node/src/heartbeat_relay.rs
@@ -1,5 +1,5 @@
-//! Workers' heartbeats that reached a controller other than the leader of their shard:
-//! they are relayed to the leader in batches, and its answers are passed back.
+//! Relays workers' heartbeats that reached a controller other than the leader of their
+//! shard: they go to the leader in batches, and its responses go back to the workers.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -18,52 +18,52 @@
 use lemonweir_protocol::{decode, encode};
 use lemonweir_transport::{CallError, Reply, within};
 
-/// Heartbeats that wait to be relayed to one leader at most; beyond it workers are turned
-/// away at once. After a stall of the process all machines of a fleet of 4,000 may send
-/// one within one batching interval.
+/// Maximum number of heartbeats queued for one leader; further ones are refused at once.
+/// After a stall of the process, all machines of a fleet of 4,000 may send a heartbeat
+/// within one batching interval.
 pub const MAX_QUEUED_HEARTBEATS_PER_LEADER: usize = 4_096;
 
-/// Heartbeats in one message at most: some tenths of a MiB. 4,000 that wait are then fewer
-/// messages than a peer takes connections from others.
+/// Maximum number of heartbeats in one message, which is then some tenths of a MiB. 4,000
+/// queued heartbeats need fewer messages than the connections a peer accepts from others.
 pub const MAX_HEARTBEATS_PER_BATCH: usize = 128;
 
-/// HTTP status and body that a worker is answered with.
+/// HTTP status and body of the response to a worker.
 type WorkerReply = (u16, Vec<u8>);
 
-/// A heartbeat that waits to be relayed, with who waits for the leader's answer.
+/// A heartbeat queued for relaying, with the channel for the leader's response.
 struct QueuedHeartbeat {
     body: Vec<u8>,
     reply_to: Sender<WorkerReply>,
 }
 
-/// Heartbeats that wait to be relayed, by the number of the leading controller.
+/// Heartbeats queued for relaying, by the member index of the leading controller.
 #[derive(Default)]
 pub(crate) struct HeartbeatQueues {
     by_leader: RefCell<HashMap<u16, Vec<QueuedHeartbeat>>>,
 }
 
-/// What a heartbeat met in the queue.
+/// Result of adding a heartbeat to a queue.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Enqueued {
-    /// It is the first of a batch, which has to be sent.
+enum EnqueueOutcome {
+    /// It is the first of a batch, whose sending must be started.
     First,
-    /// A batch that it goes with is under way.
+    /// It joined a batch whose sending is already scheduled.
     Joined,
-    /// Too many wait for this leader.
+    /// Not added: the leader's queue is full.
     Full,
 }
 
 impl HeartbeatQueues {
-    fn enqueue(&self, leader: u16, heartbeat: QueuedHeartbeat) -> Enqueued {
+    fn enqueue(&self, leader: u16, heartbeat: QueuedHeartbeat) -> EnqueueOutcome {
         let mut queues = self.by_leader.borrow_mut();
         let queue = queues.entry(leader).or_default();
         if queue.len() >= MAX_QUEUED_HEARTBEATS_PER_LEADER {
-            return Enqueued::Full;
+            return EnqueueOutcome::Full;
         }
         queue.push(heartbeat);
         match queue.len() {
-            1 => Enqueued::First,
-            _ => Enqueued::Joined,
+            1 => EnqueueOutcome::First,
+            _ => EnqueueOutcome::Joined,
         }
     }
 
@@ -75,7 +75,8 @@
     }
 }
 
-/// Has a worker's heartbeat answered by the leader of its shard.
+/// Relays a worker's heartbeat to the leader of its shard and returns the leader's response,
+/// or 503 if the queue is full or no response arrives in time.
 pub(crate) async fn relay_heartbeat(node: &Rc<Node>, leader: u16, body: &[u8]) -> Reply {
     let (reply_to, reply) = bounded(1);
     let heartbeat = QueuedHeartbeat {
@@ -83,14 +84,14 @@
         reply_to,
     };
     match node.heartbeat_queues.enqueue(leader, heartbeat) {
-        Enqueued::Full => return Reply::empty(503),
-        Enqueued::First => {
+        EnqueueOutcome::Full => return Reply::empty(503),
+        EnqueueOutcome::First => {
             let task_node = node.clone();
             node.executor
                 .spawn(async move { send_batches(&task_node, leader).await })
                 .detach();
         }
-        Enqueued::Joined => {}
+        EnqueueOutcome::Joined => {}
     }
     match within(
         RELAYED_HEARTBEAT_TIMEOUT_MS + HEARTBEAT_BATCH_MS,
@@ -103,7 +104,7 @@
     }
 }
 
-/// Sends what came within the batching interval, in messages of a bounded size.
+/// Sends the heartbeats queued within one batching interval, in messages of bounded size.
 async fn send_batches(node: &Rc<Node>, leader: u16) {
     sleep_ms(HEARTBEAT_BATCH_MS).await;
     let mut waiting = node.heartbeat_queues.take_all(leader);
@@ -118,14 +119,14 @@
 }
 
 async fn send_batch(node: &Node, leader: u16, batch: Vec<QueuedHeartbeat>) {
-    let (reports, reply_channels): (Vec<Vec<u8>>, Vec<_>) = batch
+    let (bodies, reply_channels): (Vec<Vec<u8>>, Vec<_>) = batch
         .into_iter()
         .map(|heartbeat| (heartbeat.body, heartbeat.reply_to))
         .unzip();
     let message = links::encode(&RelayedHeartbeats {
         version: LINKS_VERSION,
         relayed_by: node.with_core(|core, _| core.config.own_index),
-        heartbeats: reports,
+        heartbeats: bodies,
     });
     let response = match node.router.peers.get(&leader) {
         Some(address) => {
@@ -146,7 +147,7 @@
     match links::decode::<RelayedResponses>(&response.body) {
         Ok(RelayedResponses { answers, .. }) if response.status == 200 => {
             for (reply_to, answer) in reply_channels.iter().zip(answers) {
-                // Who waits may have given up.
+                // The waiter may have timed out.
                 let _ = reply_to.try_send(answer);
             }
         }
@@ -158,7 +159,7 @@
     }
 }
 
-/// Answers heartbeats that another controller relays here.
+/// Handles heartbeats relayed by another controller.
 pub(crate) fn handle_relayed_heartbeats(node: &Node, relayed: &RelayedHeartbeats) -> Reply {
     let answers = node.with_core(|core, now| {
         let mut answers = Vec::with_capacity(relayed.heartbeats.len());
@@ -182,7 +183,7 @@
     )
 }
 
-/// What a worker is answered where its heartbeat is not relayed.
+/// The response to a worker whose heartbeat is not relayed further.
 pub(crate) fn worker_reply(answer: HeartbeatAnswer) -> WorkerReply {
     match answer {
         HeartbeatAnswer::Commands(commands) => (200, encode(&commands)),
--- a/crates/node/src/job_lookup.rs
+++ b/crates/node/src/job_lookup.rs
@@ -1,7 +1,7 @@
-//! Lookups in the store of job ids that this controller does not know. Many ids are
-//! looked up by one compare-and-swap that only checks: its answer is newer than the
-//! query, which makes a 404 true, and a flood of unknown ids costs a bounded share of
-//! what the store answers. Who is owed an answer for longest goes first.
+//! Looks up job ids in the store that the state cache does not contain. One compare-and-swap
+//! without writes checks many ids: its result is more recent than the queries, so that a 404
+//! is correct, and a flood of unknown ids uses a bounded share of the store's request rate.
+//! The job whose reply has been pending longest goes first.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -24,33 +24,33 @@
 };
 use lemonweir_transport::within;
 
-/// Time between two batches of lookups: a tenth of a small controller's share of the
-/// store's requests.
+/// ms between two lookup batches, which then use a tenth of a small controller's share of
+/// the store's request rate.
 const BATCH_INTERVAL_MS: u64 = 100;
 
-/// Wait of a query for its turn at the store from which on unknown ids are refused:
-/// lease renewals, starts and submissions go first.
+/// Lookups of unknown ids are refused while a query would wait longer than this for the
+/// store's rate limit: lease renewals, task starts and submissions have precedence.
 const MAX_QUERY_WAIT: Duration = Duration::from_millis(150);
 
-/// Ends of jobs that are read together with the one that is asked for: ids are handed
-/// out in order, so whoever missed one end mostly missed its neighbours'. Some 12 KiB.
+/// Job end records read in one request with the requested one. Ids are assigned in order, so
+/// a controller that missed one end mostly missed those of adjacent ids too. Some 12 KiB.
 const ENDS_PAGE_ENTRIES: u32 = 256;
 
-/// What the store knows of a job, at a moment after it was asked for.
+/// State of a job in the store, at a moment after the lookup was requested.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StoredJob {
-    /// No such job.
+    /// There is no such job.
     NotFound,
     /// The job is unfinished.
     Unfinished,
-    /// The job has ended, in this phase.
+    /// The job ended in this phase.
     Ended(JobPhase),
 }
 
-/// Why a lookup gave no result.
+/// Why a job lookup failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum LookupError {
-    /// Other requests to the store, or jobs that are owed an answer for longer, go first.
+    /// Other store requests, or jobs whose replies have been pending longer, have precedence.
     #[error("job lookup refused: queue full or key-value store busy")]
     Refused,
     /// The store did not answer, or not in time.
@@ -60,10 +60,10 @@
 
 type LookupResult = Result<StoredJob, LookupError>;
 
-/// Ids that wait to be looked up, with who waits for each.
+/// Job ids queued for lookup, each with the channels of its waiters.
 pub(crate) struct JobLookupQueue {
     queue: LookupQueue<Sender<LookupResult>>,
-    /// True while a task takes batches from the queue.
+    /// True while a task dequeues batches.
     running: bool,
 }
 
@@ -76,12 +76,13 @@
     }
 }
 
-/// Looks an id up, together with others.
+/// Looks up a job id, in a batch with others.
 ///
 /// # Errors
 ///
-/// Refused at once where too many ids wait that are owed an answer for longer, or where
-/// the store is busy with what goes first.
+/// Returns [`LookupError::Refused`] if the queue is full of ids whose replies have been
+/// pending longer, or if the store is busy with requests that have precedence, and
+/// [`LookupError::StoreUnavailable`] if the store does not answer in time.
 pub(crate) async fn look_up_job(node: &Rc<Node>, id: &JobId) -> LookupResult {
     let now_ms = node.now_ms();
     let (pending_since_ms, has_priority) = {
@@ -107,17 +108,18 @@
         .unwrap_or(Err(LookupError::StoreUnavailable))
 }
 
-/// Lets somebody wait for an id; true if batches have to be started.
+/// Adds a waiter for an id to the queue. Returns true if the caller must start the task that
+/// runs the batches.
 fn enqueue(node: &Node, id: &JobId, pending_since_ms: u64, reply_to: Sender<LookupResult>) -> bool {
     let mut lookups = node.job_lookups.borrow_mut();
     for displaced in lookups.queue.enqueue(id, pending_since_ms, reply_to) {
-        // Who waits may have given up.
+        // The waiter may have timed out.
         let _ = displaced.try_send(Err(LookupError::Refused));
     }
     !std::mem::replace(&mut lookups.running, true)
 }
 
-/// Looks up what waits, batch by batch, until nothing does.
+/// Looks up the queued ids, batch by batch, until the queue is empty.
 async fn run_batches(node: &Rc<Node>) {
     sleep_ms(HEARTBEAT_BATCH_MS).await;
     let max_cas_writes = node.with_core(|core, _| core.config.cas_max_changes);
@@ -140,7 +142,8 @@
     }
 }
 
-/// Looks up all these ids by one compare-and-swap that demands that none exists.
+/// Looks up all these ids with one compare-and-swap whose conditions require that none
+/// exists.
 async fn look_up_batch(node: &Node, batch: Vec<(JobId, Vec<Sender<LookupResult>>)>) {
     let ids: Vec<JobId> = batch.iter().map(|(id, _)| id.clone()).collect();
     let existing_keys = match node.kv_store.cas(&absent(&ids)).await {
@@ -161,25 +164,25 @@
             Ok(_) => Ok(StoredJob::NotFound),
         };
         for reply_to in waiting {
-            // Who waits may have given up.
+            // The waiter may have timed out.
             let _ = reply_to.try_send(result);
         }
     }
 }
 
-/// Reads the phase in which a job ended, once: it never changes. Its neighbours' ends
-/// come with it, so that a process that has just started, whom users ask for all that has
-/// ended, does not read them one by one.
+/// Returns the phase in which a job ended. It never changes, so it is read once and cached.
+/// The end records of adjacent ids are read with it: otherwise a process that has just
+/// started, and is queried for many ended jobs, would read them one by one.
 pub(crate) async fn read_job_end(node: &Node, id: &JobId) -> Result<JobPhase, KvError> {
     if let Some(phase) = cached_job_end(node, id) {
         return Ok(phase);
     }
     let key = end_key(id);
-    // The key without its last digit comes before all that begin with it.
-    let before = &key[..key.len() - 1];
+    // The key without its last digit sorts before all keys that it is a prefix of.
+    let start_after = &key[..key.len() - 1];
     let mut page = node
         .kv_store
-        .read_page(END_PREFIX, before, ENDS_PAGE_ENTRIES)
+        .read_page(END_PREFIX, start_after, ENDS_PAGE_ENTRIES)
         .await?;
     if !page.iter().any(|entry| entry.key == key) {
         page.extend(node.kv_store.get(&key).await?);
--- a/crates/node/src/kv_client.rs
+++ b/crates/node/src/kv_client.rs
@@ -1,5 +1,5 @@
-//! Client of the consensus-backed key-value store. It keeps this controller's share of
-//! the store's request limits, so that no controller starves another.
+//! Client of the consensus-backed key-value store. It stays within this controller's share
+//! of the store's rate limits, so that no controller starves another.
 
 use std::cell::RefCell;
 use std::num::NonZeroU64;
@@ -19,80 +19,80 @@
 use lemonweir_protocol::{decode, encode};
 use lemonweir_transport::{CallError, Response};
 
-/// Entries in a page of a store listing: the 512 KiB of a page hold at least this many
-/// of our largest records.
+/// Entries per page of a store listing. A page of 512 KiB holds at least this many of the
+/// largest records.
 const LIST_PAGE_ENTRIES: u32 = 400;
 
-/// Path of a compare-and-swap; its rejections also bound the rate of writes.
+/// Path of a compare-and-swap. Its 429 responses also lower the write rate.
 const COMPARE_AND_SWAP_PATH: &str = "/txn";
 
-/// Why the store gave no result.
+/// Why a store request gave no result.
 #[derive(Debug, thiserror::Error, PartialEq, Eq, Clone, Copy)]
 pub enum KvError {
-    /// Not executed: no connection, 429 or 503.
+    /// Not executed: the connection failed, or the store responded with 429 or 503.
     #[error("key-value store unavailable")]
     Unavailable,
-    /// May have been executed, or may still be.
+    /// No usable response: the request may have been executed, or may still be.
     #[error("no response from the key-value store")]
     Unknown,
     /// The store lease has expired.
     #[error("store lease expired")]
     LeaseExpired,
-    /// The changes since the given revision are no longer kept (compacted).
+    /// The store has compacted the changes since the requested revision.
     #[error("revision compacted")]
     RevisionCompacted,
-    /// Refused as malformed.
+    /// Refused as malformed, or answered with unexpected content.
     #[error("refused by the key-value store as malformed")]
     Refused,
 }
 
-/// Outcome of a compare-and-swap that the store answered.
+/// Result of a compare-and-swap that the store answered.
 #[derive(Debug, PartialEq, Eq, Clone)]
 pub enum CompareAndSwapResult {
-    /// Committed, at this revision.
+    /// Committed at this revision.
     Committed(u64),
-    /// Not committed: these keys had another version than the conditions demand.
+    /// Not committed: the versions of these keys differ from those the conditions require.
     Conflict(Vec<String>),
 }
 
-/// Id of a lease in the store. Keys written with it are deleted by the store when the
-/// lease expires.
+/// Id of a lease in the store. The store deletes the keys attached to a lease when it
+/// expires.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StoreLeaseId(NonZeroU64);
 
 impl StoreLeaseId {
-    /// The id as it is sent.
+    /// The id as it appears in requests.
     pub fn get(self) -> u64 {
         self.0.get()
     }
 }
 
-/// The entries under a prefix, with the revision that they are at least as new as.
+/// The entries under a prefix, with a revision that they are at least as recent as.
 pub struct Listing {
-    /// All entries, in the order of their keys.
+    /// All entries, in key order.
     pub entries: Vec<KeyValue>,
-    /// Revision of the first page: following the changes from there misses nothing.
+    /// Revision of the first page. Watching from it on misses no change.
     pub revision: u64,
 }
 
-/// The client; cheap to clone.
+/// Client of the key-value store; cheap to clone.
 #[derive(Clone)]
 pub struct KvClient {
     router: Rc<Router>,
-    requests: Rc<RefCell<RequestBudget>>,
-    writes: Rc<RateLimitShare>,
+    request_budget: Rc<RefCell<RequestBudget>>,
+    write_limit: Rc<RateLimitShare>,
     started: Instant,
 }
 
 impl KvClient {
-    /// A client that shares the store's limits with the other controllers.
+    /// Creates a client that shares the store's limits with the other controllers.
     pub(crate) fn new(router: Rc<Router>, limits: &KvStoreLimits, controllers: usize) -> Self {
         let usable = |rate: f64| rate * STORE_BUDGET_PERCENT as f64 / 100.0;
-        let requests = RequestBudget::new(usable(limits.requests_per_s), controllers, 0);
+        let request_budget = RequestBudget::new(usable(limits.requests_per_s), controllers, 0);
         Self {
             router,
-            requests: Rc::new(RefCell::new(requests)),
-            writes: Rc::new(RateLimitShare::with_minimum(
+            request_budget: Rc::new(RefCell::new(request_budget)),
+            write_limit: Rc::new(RateLimitShare::with_minimum(
                 usable(limits.writes_per_s),
                 usable(limits.lowest_writes_per_s()),
                 controllers,
@@ -105,31 +105,32 @@
         self.started.elapsed().as_micros() as u64
     }
 
-    /// How long a write would have to wait for its turn.
+    /// How long a write sent now would wait for the rate limit.
     pub fn write_wait(&self) -> Duration {
-        let request_wait = Duration::from_micros(self.requests.borrow().wait(self.now_us()));
-        self.writes.current_wait().max(request_wait)
+        let request_wait = Duration::from_micros(self.request_budget.borrow().wait(self.now_us()));
+        self.write_limit.current_wait().max(request_wait)
     }
 
-    /// How long a user's query would have to wait for its turn.
+    /// How long a user's query sent now would wait for the rate limit.
     pub(crate) fn query_wait(&self) -> Duration {
-        Duration::from_micros(self.requests.borrow().query_wait(self.now_us()))
+        Duration::from_micros(self.request_budget.borrow().query_wait(self.now_us()))
     }
 
-    /// Waits for the turn of a request that answers a user.
-    async fn wait_for_query_turn(&self) {
-        let wait_us = self.requests.borrow_mut().take_query(self.now_us());
+    /// Waits until the rate limit admits a request that serves a user's query.
+    async fn throttle_query(&self) {
+        let wait_us = self.request_budget.borrow_mut().take_query(self.now_us());
         if wait_us > 0 {
             smol::Timer::after(Duration::from_micros(wait_us)).await;
         }
     }
 
-    /// Waits for the turn of a request with so many writes. Store leases are renewed
-    /// without waiting: losing a shard costs far more than a request over the share.
-    async fn wait_for_turn(&self, writes: usize) {
-        let mut wait = Duration::from_micros(self.requests.borrow_mut().take(self.now_us()));
+    /// Waits until the rate limits admit a request with this number of writes. Lease
+    /// requests don't wait: losing a shard costs far more than exceeding the share by one
+    /// request.
+    async fn throttle(&self, writes: usize) {
+        let mut wait = Duration::from_micros(self.request_budget.borrow_mut().take(self.now_us()));
         if writes > 0 {
-            wait = wait.max(self.writes.reserve(writes as f64));
+            wait = wait.max(self.write_limit.reserve(writes as f64));
         }
         if !wait.is_zero() {
             smol::Timer::after(wait).await;
@@ -153,9 +154,9 @@
             })?;
         match response.status {
             429 => {
-                self.requests.borrow_mut().refused();
+                self.request_budget.borrow_mut().refused();
                 if path == COMPARE_AND_SWAP_PATH {
-                    self.writes.on_rejected();
+                    self.write_limit.on_rejected();
                 }
                 Err(KvError::Unavailable)
             }
@@ -164,15 +165,15 @@
         }
     }
 
-    /// Reads up to `limit` entries with a prefix that come after a key, in the order of
-    /// their keys, for a user's query.
+    /// Reads up to `limit` entries under a prefix that follow the key `after`, in key order,
+    /// for a user's query.
     pub(crate) async fn read_page(
         &self,
         prefix: &str,
         after: &str,
         limit: u32,
     ) -> Result<Vec<KeyValue>, KvError> {
-        self.wait_for_query_turn().await;
+        self.throttle_query().await;
         let path = format!("/store?under={prefix}&after={after}&limit={limit}");
         let response = self.call("GET", &path, &[]).await?;
         match response.status {
@@ -183,9 +184,9 @@
         }
     }
 
-    /// Reads a key. `None`: it does not exist.
+    /// Reads a key. Returns `None` if it does not exist.
     pub async fn get(&self, key: &str) -> Result<Option<KeyValue>, KvError> {
-        self.wait_for_turn(0).await;
+        self.throttle(0).await;
         let response = self.call("GET", &format!("/store/{key}"), &[]).await?;
         match response.status {
             200 => decode(&response.body)
@@ -196,12 +197,12 @@
         }
     }
 
-    /// Reads all entries with a prefix, page by page.
+    /// Reads all entries under a prefix, page by page.
     pub async fn list(&self, prefix: &str) -> Result<Listing, KvError> {
         let mut entries: Vec<KeyValue> = Vec::new();
         let mut first_revision = None;
         loop {
-            self.wait_for_turn(0).await;
+            self.throttle(0).await;
             let after = entries
                 .last()
                 .map(|entry| format!("&after={}", entry.key))
@@ -224,12 +225,12 @@
         }
     }
 
-    /// Commits a compare-and-swap, or tells which keys conflict. One without writes only
-    /// checks its conditions, and waits as a user's query does.
+    /// Commits a compare-and-swap, or returns the conflicting keys. One without writes only
+    /// checks its conditions, and is rate limited as a user's query.
     pub async fn cas(&self, cas: &CompareAndSwap) -> Result<CompareAndSwapResult, KvError> {
         match cas.writes.len() {
-            0 => self.wait_for_query_turn().await,
-            writes => self.wait_for_turn(writes).await,
+            0 => self.throttle_query().await,
+            writes => self.throttle(writes).await,
         }
         let response = self
             .call("POST", COMPARE_AND_SWAP_PATH, &encode(cas))
@@ -246,7 +247,7 @@
         }
     }
 
-    /// Creates a store lease that lives for `ttl_ms` without renewal.
+    /// Creates a store lease that expires `ttl_ms` after its last renewal.
     pub async fn grant_lease(&self, ttl_ms: u64) -> Result<StoreLeaseId, KvError> {
         let response = self
             .call("POST", "/holds", &encode(&LeaseRequest { ttl_ms }))
@@ -260,7 +261,7 @@
             .ok_or(KvError::Refused)
     }
 
-    /// Renews a store lease for its whole time to live.
+    /// Renews a store lease for its full TTL.
     pub async fn renew_lease(&self, lease: StoreLeaseId) -> Result<(), KvError> {
         let path = format!("/holds/{}/renew", lease.get());
         let response = self.call("POST", &path, &[]).await?;
@@ -271,13 +272,13 @@
         }
     }
 
-    /// Reads the changes under a prefix since a revision, without waiting for one.
+    /// Reads the changes under a prefix since a revision. Returns at once if there are none.
     pub async fn changes_since(
         &self,
         prefix: &str,
         revision: u64,
     ) -> Result<WatchResponse, KvError> {
-        self.wait_for_query_turn().await;
+        self.throttle_query().await;
         let path = format!("/watch?under={prefix}&after={revision}&waitMs=0");
         let response = self.call("GET", &path, &[]).await?;
         match response.status {
--- a/crates/node/src/lease_keeper.rs
+++ b/crates/node/src/lease_keeper.rs
@@ -1,4 +1,4 @@
-//! This controller's store lease, which all its keys in the store live with.
+//! Obtains and renews this controller's store lease, which its keys are attached to.
 
 use std::rc::Rc;
 
@@ -9,10 +9,11 @@
 use crate::{Node, sleep_ms};
 use lemonweir_model::constants::{STORE_LEASE_RENEWAL_MS, STORE_LEASE_TTL_MS, TICK_MS};
 
-/// Obtains a store lease and keeps it alive, for ever. Nothing else is waited for here.
+/// Obtains a store lease and renews it. Never returns.
 ///
-/// Guards against a lease that expires, with all that lives with it, while the records of
-/// one more shard are read from a store that answers slowly.
+/// Runs as a task of its own and waits for nothing else. Otherwise the lease, and every
+/// key attached to it, could expire while the records of another shard are read from a
+/// slow store.
 pub(crate) async fn renew_store_lease(node: Rc<Node>) {
     let mut renewed_ms = 0;
     loop {
@@ -20,7 +21,8 @@
             sleep_ms(TICK_MS).await;
             continue;
         }
-        // A lease lives from when its renewal was executed, which is after this.
+        // The store counts the TTL from when it executes the renewal, which is after this
+        // moment.
         let now_ms = node.now_ms();
         node.with_core(|core, _| core.set_wall_clock(now_ms, wall_clock_ms()));
         match node.store_lease.get() {
@@ -43,7 +45,7 @@
                         node.store_lease.set(None);
                         continue;
                     }
-                    // Tried again at the next turn, as long as the lease lives.
+                    // Retried in the next iteration, until the lease expires.
                     Err(_) => {}
                 }
             }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,15 +1,15 @@
-//! One controller process: ties transport, protocol, coordination and storage together.
-//! Everything runs on one thread. The tasks of the process share a `Node`; its core is
-//! behind a lock that is never held across an await (`shared_core`).
+//! The controller process: connects transport, protocol, coordination and storage.
+//! All tasks run on one thread and share a `Node`, whose core is behind a lock that is
+//! never held across an await (`shared_core`).
 //!
 //! - `startup` builds the process and starts its tasks;
-//! - `flush_loop` runs the decisions at every tick, `effect_executor` what they ask for;
-//! - `cache_refresh` keeps the copy of the store's keys up to date;
-//! - `lease_keeper` keeps the store lease, `elections` campaigns for shards with it, and
-//!   `shard_loading` reads what belongs to a shard that was won;
-//! - `public_api` answers users, workers and operators, `peer_api` other controllers;
+//! - `flush_loop` flushes the core at every tick, `effect_executor` executes the effects;
+//! - `cache_refresh` keeps the state cache, a copy of the store's keys, up to date;
+//! - `lease_keeper` renews the store lease, `elections` campaigns for shards with it, and
+//!   `shard_loading` reads the records of an acquired shard;
+//! - `public_api` serves users, workers and operators, `peer_api` other controllers;
 //! - `kv_client`, `cloud` and `router` call the services, `heartbeat_relay` and
-//!   `job_lookup` batch what would otherwise be a call each.
+//!   `job_lookup` batch requests that would otherwise take one call each.
 
 mod cache_refresh;
 mod cloud;
@@ -51,70 +51,70 @@
 pub use crate::heartbeat_relay::{MAX_HEARTBEATS_PER_BATCH, MAX_QUEUED_HEARTBEATS_PER_LEADER};
 pub use crate::startup::run;
 
-/// What all tasks of the process share.
+/// State shared by all tasks of the process.
 pub(crate) struct Node {
     settings: Settings,
-    /// The decisions of this controller.
+    /// The coordination core, which makes this controller's decisions.
     core: SharedCore,
-    /// Chooses the route to the services.
+    /// Calls the services by the route that the core chooses.
     router: Rc<Router>,
-    /// Heartbeats that wait to be relayed to the leaders of their shards.
+    /// Heartbeats queued for relaying to the leaders of their shards.
     heartbeat_queues: HeartbeatQueues,
-    /// Ids that users ask for and that this controller does not know.
+    /// Pending lookups of job ids that the state cache does not contain.
     job_lookups: RefCell<JobLookupQueue>,
-    /// Which users' queries go first.
+    /// Decides which users' queries have priority.
     query_admission: RefCell<QueryAdmission>,
-    /// Until when this process counts as overloaded, ms of the steady clock.
+    /// Time until which this process counts as overloaded, ms of the monotonic clock.
     overloaded_until_ms: Cell<u64>,
     kv_store: KvClient,
     cloud: CloudClient,
     http: Rc<Client>,
     executor: &'static LocalExecutor<'static>,
-    /// The lease in the store that this controller's keys live with, while it has one.
+    /// The store lease that this controller's keys are attached to, while it holds one.
     store_lease: Cell<Option<StoreLeaseId>>,
-    /// Takes who waits for a refresh of the state cache.
+    /// Queues waiters for the next refresh of the state cache.
     refresh_requests: Sender<RefreshWaiter>,
-    /// Takes requests to flush the core before the next tick.
+    /// Requests a flush of the core before the next tick.
     flush_requests: Sender<()>,
 }
 
-/// The store could not be read, or not in the time that a user waits.
+/// The store could not be read, or not within the time that a user waits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("state cache could not be refreshed from the key-value store")]
 pub(crate) struct RefreshError;
 
-/// Is sent the result of a refresh that began after it was queued.
+/// Receives the result of a refresh that began after the waiter was queued.
 type RefreshWaiter = Sender<Result<(), RefreshError>>;
 
 impl Node {
-    /// Runs a step of the core, with the present time of the steady clock in ms.
-    fn with_core<R>(&self, step: impl FnOnce(&mut Core, u64) -> R) -> R {
-        self.core.with(step)
+    /// Runs a closure on the core, with the current time of the monotonic clock in ms.
+    fn with_core<R>(&self, f: impl FnOnce(&mut Core, u64) -> R) -> R {
+        self.core.with(f)
     }
 
-    /// ms since the process started, by the steady clock.
+    /// ms since the process started, by the monotonic clock.
     fn now_ms(&self) -> u64 {
         self.core.now_ms()
     }
 
-    /// Asks for a flush of the core before the next tick.
+    /// Requests a flush of the core before the next tick.
     fn wake(&self) {
-        // A full channel means that one is due anyway.
+        // If the channel is full, a flush is already pending.
         let _ = self.flush_requests.try_send(());
     }
 
-    /// True while what comes in has to wait for long: heartbeats and submissions would
-    /// wait behind polls, which can be repeated.
+    /// True while incoming requests are delayed. Status polls are then refused, since they
+    /// can be repeated and would delay heartbeats and submissions.
     fn overloaded(&self) -> bool {
         self.now_ms() < self.overloaded_until_ms.get()
     }
 
-    /// True if the store answered recently: what needs it can be asked for.
+    /// True if the store answered recently, so that a request that needs it may succeed.
     fn store_reachable(&self) -> bool {
         self.with_core(|core, now| core.links.store_answers_of_late(now))
     }
 
-    /// Waits for a refresh of the state cache that begins after this call.
+    /// Requests a refresh of the state cache that begins after this call, and waits for it.
     async fn refresh_cache(&self) -> Result<(), RefreshError> {
         let (waiter, result) = bounded(1);
         if self.refresh_requests.try_send(waiter).is_err() {
@@ -126,7 +126,7 @@
             .unwrap_or(Err(RefreshError))
     }
 
-    /// Address on which another controller takes its peers' messages.
+    /// Address on which another controller accepts messages from its peers.
     fn peer_address(&self, host: &str) -> Option<SocketAddr> {
         self.settings
             .seed_controllers
@@ -136,7 +136,7 @@
     }
 }
 
-/// Suspends the task for so many ms.
+/// Suspends the current task for `ms` milliseconds.
 async fn sleep_ms(ms: u64) {
     smol::Timer::after(Duration::from_millis(ms)).await;
 }
--- a/crates/node/src/peer_api.rs
+++ b/crates/node/src/peer_api.rs
@@ -1,4 +1,4 @@
-//! What other controllers may ask this one.
+//! HTTP API for other controllers: its routes and their handlers.
 
 use std::fmt::Display;
 use std::rc::Rc;
@@ -17,12 +17,12 @@
 
 /// Path of a sync request.
 pub(crate) const SYNC_PATH: &str = "/peer/sync";
-/// Path of the notice that a job was accepted.
+/// Path of the notification that a job was accepted.
 pub(crate) const JOB_ACCEPTED_PATH: &str = "/peer/jobs";
-/// Prefix of the path of a wake-up; two numbers of shards follow.
+/// Path prefix of a wake-up; two shard numbers follow.
 const WAKE_PREFIX: &str = "/peer/nudge/";
 
-/// Path that asks the leader of `shard` to sync with the shard `from`.
+/// Path of the request that asks the placer of `shard` to sync with shard `from`.
 pub(crate) fn wake_path(shard: u16, from: u16) -> String {
     format!("{WAKE_PREFIX}{shard}/{from}")
 }
@@ -30,29 +30,29 @@
 /// The routes of this API.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum PeerRoute {
-    /// Sync request of a shard's placer to the leader of another.
+    /// Sync request from a shard's placer to the leader of another shard.
     Sync,
-    /// What another controller can reach.
+    /// Availability gossip: what another controller can reach.
     Gossip,
-    /// Workers' heartbeats that reached another controller than the leader.
+    /// Workers' heartbeats relayed by a controller that does not lead their shard.
     RelayHeartbeats,
-    /// A call to be made on another controller's behalf.
+    /// A call to make on another controller's behalf.
     Relay,
-    /// Asks `shard` to sync with `from` soon.
+    /// Asks the placer of `shard` to sync with `from` soon.
     Wake {
-        /// The shard to wake, which is led here.
+        /// The shard to wake, led by this controller.
         shard: u16,
-        /// The shard that has something for it.
+        /// The shard that has an update for it.
         from: u16,
     },
-    /// A wake-up that does not name two shards.
+    /// A wake-up whose path does not name two shards.
     MalformedWake,
-    /// A job was accepted by another controller.
+    /// Another controller accepted a job.
     JobAccepted,
 }
 
 impl PeerRoute {
-    /// The route of a request; `None`: there is no such route.
+    /// Returns the route of a request, or `None` if there is no such route.
     pub(crate) fn parse(method: &str, path: &str) -> Option<Self> {
         if method != "POST" {
             return None;
@@ -83,7 +83,7 @@
     }
 }
 
-/// Answers the requests of other controllers.
+/// Handles the requests of other controllers.
 pub(crate) struct PeerApi(pub(crate) Rc<Node>);
 
 impl Handler for PeerApi {
@@ -95,22 +95,22 @@
         match route {
             PeerRoute::Sync => match peer::decode::<SyncRequest>(&request.body) {
                 Ok(sync) => handle_sync(node, &sync),
-                Err(fault) => malformed(fault),
+                Err(fault) => reject_malformed(fault),
             },
             PeerRoute::Gossip => match links::decode::<AvailabilityGossip>(&request.body) {
                 Ok(gossip) => {
                     let own = node.with_core(|core, now| core.links.handle_gossip(gossip, now));
                     Reply::new(200, links::encode(&own))
                 }
-                Err(fault) => malformed(fault),
+                Err(fault) => reject_malformed(fault),
             },
             PeerRoute::RelayHeartbeats => match links::decode::<RelayedHeartbeats>(&request.body) {
                 Ok(relayed) => handle_relayed_heartbeats(node, &relayed),
-                Err(fault) => malformed(fault),
+                Err(fault) => reject_malformed(fault),
             },
             PeerRoute::Relay => match links::decode::<RelayRequest>(&request.body) {
                 Ok(relay_request) => node.router.relay(&relay_request).await,
-                Err(fault) => malformed(fault),
+                Err(fault) => reject_malformed(fault),
             },
             PeerRoute::Wake { shard, from } => {
                 node.with_core(|core, _| core.handle_wake(shard, from));
@@ -126,13 +126,13 @@
     }
 }
 
-/// Refuses a message that can't be read.
-fn malformed(fault: impl Display) -> Reply {
+/// Rejects a message that can't be decoded.
+fn reject_malformed(fault: impl Display) -> Reply {
     info!(%fault, "peer message malformed");
     Reply::empty(400)
 }
 
-/// Answers the sync request of another shard's placer with the view of the shard.
+/// Answers a sync request of another shard's placer with a view of the requested shard.
 fn handle_sync(node: &Node, sync: &SyncRequest) -> Reply {
     let answer = node.with_core(|core, now| core.handle_sync(sync, now));
     node.wake();
@@ -148,7 +148,8 @@
     }
 }
 
-/// Reads a job that was accepted elsewhere now rather than at the next regular refresh.
+/// Refreshes the cache to read a job that another controller accepted, without waiting for
+/// the next regular refresh.
 fn handle_job_accepted(node: &Rc<Node>) {
     let task_node = node.clone();
     node.executor
--- a/crates/node/src/router.rs
+++ b/crates/node/src/router.rs
@@ -1,5 +1,5 @@
-//! Calls to the services, directly or relayed by another controller, and the calls that
-//! this controller relays for others.
+//! Calls the services, directly or through another controller, and relays calls for other
+//! controllers.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -13,33 +13,33 @@
 };
 use lemonweir_transport::{CallError, Client, Reply, Response};
 
-/// Path of a worker's command endpoint: the only one that is relayed to workers.
+/// Path of a worker's command endpoint, the only worker path that is relayed.
 pub(crate) const WORKER_COMMANDS_PATH: &str = "/commands";
 
-/// ms that a relay peer is given on top of the call itself: for the second message.
+/// ms added to the timeout of a relayed call, for the extra hop through the relay peer.
 const RELAY_OVERHEAD_MS: u64 = TICK_MS;
 
 /// A call to one of the services.
 pub(crate) struct ServiceCall<'a> {
-    /// The service.
+    /// The service to call.
     pub(crate) service: Service,
     /// HTTP method.
     pub(crate) method: &'a str,
-    /// Path with query.
+    /// Path, including the query string.
     pub(crate) path: &'a str,
-    /// Body; empty for none.
+    /// Body; empty if there is none.
     pub(crate) body: &'a [u8],
-    /// ms after which an unanswered call is given up.
+    /// ms after which an unanswered call is abandoned.
     pub(crate) timeout_ms: u64,
 }
 
-/// Makes calls to the services by the route that the core chooses.
+/// Calls the services by the route that the core chooses.
 pub(crate) struct Router {
     /// The HTTP client of the process.
     pub(crate) http: Rc<Client>,
-    /// Chooses the route, and records the result of each call.
+    /// The core, which chooses the route and records the result of each call.
     pub(crate) core: SharedCore,
-    /// Other controllers' addresses, by their numbers.
+    /// Addresses of the other controllers, by member index.
     pub(crate) peers: HashMap<u16, SocketAddr>,
     /// Address of the key-value store.
     pub(crate) store: SocketAddr,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Calls a service, directly or by a relay peer.
+    /// Calls a service, directly or through a relay peer.
     pub(crate) async fn call(&self, call: &ServiceCall<'_>) -> Result<Response, CallError> {
         let relay_peer = self
             .core
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Calls a service directly, and records how it went.
+    /// Calls a service directly and records the result.
     pub(crate) async fn call_direct(&self, call: &ServiceCall<'_>) -> Result<Response, CallError> {
         let began_ms = self.core.now_ms();
         let result = self
@@ -88,7 +88,7 @@
         result
     }
 
-    /// Calls a service by a relay peer, and records how it went.
+    /// Calls a service through a relay peer and records the result.
     async fn call_relayed(
         &self,
         relay_peer: u16,
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Has another controller make a call on our behalf.
+    /// Asks a relay peer to make a call on this controller's behalf.
     pub(crate) async fn send_relay_request(
         &self,
         relay_peer: u16,
@@ -149,7 +149,7 @@
             )
             .await?;
         if response.status != 200 {
-            // Not relayed: the peer is not in a state to do so, or doesn't know how.
+            // The peer can't relay at the moment, or doesn't support the request.
             return Err(CallError::NotSent);
         }
         match links::decode::<RelayResponse>(&response.body).map(|response| response.outcome) {
@@ -159,13 +159,13 @@
         }
     }
 
-    /// Makes a call on another controller's behalf.
+    /// Makes a call on another controller's behalf and returns its outcome.
     pub(crate) async fn relay(&self, request: &RelayRequest) -> Reply {
         let timeout_ms = request.timeout_ms.min(CLOUD_TIMEOUT_MS);
         let result = match &request.target {
             RelayTarget::Service(service) => {
-                // Guards against calls that go in a circle: what is relayed here is
-                // never relayed on.
+                // Prevents routing loops: a call relayed to this controller is only made
+                // directly, never relayed further.
                 if !self.core.with(|core, _| core.links.can_relay(*service)) {
                     return Reply::empty(503);
                 }
@@ -193,7 +193,7 @@
                 _ => return Reply::empty(400),
             },
         };
-        let fate = match result {
+        let relay_outcome = match result {
             Ok(response) => RelayOutcome::Answered {
                 status: response.status,
                 body: response.body,
@@ -203,15 +203,14 @@
         };
         let response = RelayResponse {
             version: LINKS_VERSION,
-            outcome: fate,
+            outcome: relay_outcome,
         };
         Reply::new(200, links::encode(&response))
     }
 }
 
-/// True if a call was answered, and the answer shows that the service serves us. One of
-/// the store that it is in trouble (503) counts as none for the route: other controllers
-/// may still be served.
+/// True if the response shows that the service is available on the route used. A 503 from
+/// the store counts as a failed call, since the store may still serve other controllers.
 fn was_served(service: Service, result: &Result<Response, CallError>) -> bool {
     result
         .as_ref()
--- a/crates/node/src/shard_loading.rs
+++ b/crates/node/src/shard_loading.rs
@@ -1,4 +1,4 @@
-//! Loads the records of a shard that this controller was elected for.
+//! Loads the records of a shard that this controller has acquired.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -17,23 +17,23 @@
     parse_task_chunk_key, task_chunks_prefix,
 };
 
-/// A chunk of task records: its job, its number, the record and the version of its key.
+/// A chunk of task records: job, chunk index, record and version of its key.
 type VersionedChunk = (JobId, u32, TaskChunkRecord, u64);
 
-/// What the store keeps of a shard.
+/// The records of a shard in the store.
 struct ShardRecords {
     chunks: Vec<VersionedChunk>,
     images: Vec<ImageLocationsRecord>,
 }
 
-/// Loads a shard that was acquired with this fencing token, unless it is lost meanwhile.
+/// Loads a shard acquired under `lease` into the core, unless it is lost in the meantime.
 pub(crate) async fn load_shard(node: &Rc<Node>, lease: ShardLease) {
-    // From here on no earlier leader can write this shard's records: all its
-    // compare-and-swaps demand its own token.
+    // From here on no earlier leader can write this shard's records: each of its
+    // compare-and-swaps requires its own fencing token.
     let Some(records) = read_records_while_leading(node, lease).await else {
         return;
     };
-    // The jobs must be at least as new as the records.
+    // The cached jobs must be at least as recent as the task records.
     while node.refresh_cache().await.is_err() {
         sleep_ms(TICK_MS).await;
     }
@@ -50,14 +50,14 @@
     node.wake();
 }
 
-/// Reads a shard's records, as often as it takes. `None`: the shard has got another
-/// leader, or this one under another token.
+/// Reads a shard's records, with retries until it succeeds. Returns `None` if the shard
+/// has another leader by then, or is led under another fencing token.
 async fn read_records_while_leading(node: &Node, lease: ShardLease) -> Option<ShardRecords> {
     loop {
         match read_records(node, lease.shard).await {
             Ok(records) => return Some(records),
-            // Guards against a shard that is acquired anew, with another token, for each
-            // page that the store does not answer.
+            // Retried here, so that an unanswered page doesn't make this controller acquire
+            // the shard again under another token.
             Err(fault) => info!(shard = lease.shard, %fault, "shard read failed; retrying"),
         }
         sleep_ms(2 * TICK_MS).await;
@@ -75,7 +75,7 @@
     }
 }
 
-/// Reads a shard's task records, and what it recorded of images.
+/// Reads a shard's task records and image locations.
 async fn read_records(node: &Node, shard: u16) -> Result<ShardRecords, KvError> {
     Ok(ShardRecords {
         chunks: read_task_records(node, shard).await?,
@@ -120,7 +120,7 @@
             (Some(page), Some(record)) => {
                 pages.insert(page, record);
             }
-            // Only a hint: a page that is malformed is written anew.
+            // Only a hint: a malformed page is rewritten later.
             _ => info!(key = entry.key, "image locations record malformed"),
         }
     }
--- a/crates/node/src/shared_core.rs
+++ b/crates/node/src/shared_core.rs
@@ -1,4 +1,4 @@
-//! The decisions of this controller behind a lock that is never held across an await.
+//! Shared access to the coordination core behind a lock that is never held across an await.
 
 use std::rc::Rc;
 use std::sync::Mutex;
@@ -6,8 +6,8 @@
 
 use lemonweir_coordination::Core;
 
-/// The core, shared by all tasks of the process. Its lock is held for one closure at a
-/// time: since a closure can't await, no task can wait for another while it holds it.
+/// The core, shared by all tasks of the process. The lock is held only while a closure
+/// runs: a closure can't await, so no task waits for another while it holds the lock.
 #[derive(Clone)]
 pub(crate) struct SharedCore {
     core: Rc<Mutex<Core>>,
@@ -15,7 +15,7 @@
 }
 
 impl SharedCore {
-    /// Shares a core whose steady clock starts now.
+    /// Wraps a core and starts its monotonic clock.
     pub(crate) fn new(core: Core) -> Self {
         Self {
             core: Rc::new(Mutex::new(core)),
@@ -23,24 +23,24 @@
         }
     }
 
-    /// ms since the process started, by the steady clock.
+    /// ms since the process started, by the monotonic clock.
     pub(crate) fn now_ms(&self) -> u64 {
         self.started.elapsed().as_millis() as u64
     }
 
-    /// Runs a step of the core, with the present time of the steady clock in ms. Must not
-    /// be called within another step.
-    pub(crate) fn with<R>(&self, step: impl FnOnce(&mut Core, u64) -> R) -> R {
+    /// Runs a closure on the core, with the current time of the monotonic clock in ms. Must
+    /// not be called from within another closure: the lock is not reentrant.
+    pub(crate) fn with<R>(&self, f: impl FnOnce(&mut Core, u64) -> R) -> R {
         let now_ms = self.now_ms();
         let mut core = self
             .core
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner);
-        step(&mut core, now_ms)
+        f(&mut core, now_ms)
     }
 }
 
-/// The time of day, ms since 1970.
+/// Wall-clock time, ms since the Unix epoch.
 pub(crate) fn wall_clock_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/crates/node/src/startup.rs
+++ b/crates/node/src/startup.rs
@@ -1,4 +1,4 @@
-//! Builds the process from its settings and starts its tasks.
+//! Builds the controller process from its settings and starts its tasks.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -26,8 +26,8 @@
 use lemonweir_transport::server::{listen, serve};
 use lemonweir_transport::{Client, Gate};
 
-/// The ends of the node's channels that its loops read.
-struct Requests {
+/// Receiving ends of the node's request channels, read by its loops.
+struct RequestReceivers {
     refresh: Receiver<RefreshWaiter>,
     flush: Receiver<()>,
 }
@@ -36,9 +36,9 @@
 ///
 /// # Errors
 ///
-/// If one of the two addresses of the settings can't be listened on.
+/// Returns an error if the process can't listen on one of its two configured addresses.
 pub fn run(settings: Settings, policy: Policy) -> std::io::Result<()> {
-    // The executor lives as long as the process; tasks need it for ever.
+    // Tasks borrow the executor for `'static`; it lives as long as the process.
     let executor: &'static LocalExecutor<'static> = Box::leak(Box::new(LocalExecutor::new()));
     smol::block_on(executor.run(async move {
         let public = listen(settings.listen_addr).await?;
@@ -46,7 +46,7 @@
         let mut config = Config::new(&settings);
         config.wall_offset_ms = wall_clock_ms();
         let sockets = config.sockets;
-        let (node, requests) = build(executor, settings, config, policy);
+        let (node, receivers) = build(executor, settings, config, policy);
         let gate = Gate::new(
             sockets.public,
             sockets.close_above(),
@@ -61,19 +61,19 @@
         executor
             .spawn(serve(executor, internal, gate, MAX_RESPONSE_BYTES, api))
             .detach();
-        start_background_tasks(&node, requests.refresh);
-        flush_loop::run(node, requests.flush).await;
+        start_background_tasks(&node, receivers.refresh);
+        flush_loop::run(node, receivers.flush).await;
         Ok(())
     }))
 }
 
-/// Builds what the tasks share.
+/// Builds the state shared by the tasks.
 fn build(
     executor: &'static LocalExecutor<'static>,
     settings: Settings,
     config: Config,
     policy: Policy,
-) -> (Rc<Node>, Requests) {
+) -> (Rc<Node>, RequestReceivers) {
     let sockets = config.sockets;
     let controllers = config.members.len();
     let http = Rc::new(Client::new(sockets.idle));
@@ -116,12 +116,12 @@
         refresh_requests,
         flush_requests,
     };
-    (Rc::new(node), Requests { refresh, flush })
+    (Rc::new(node), RequestReceivers { refresh, flush })
 }
 
-/// Addresses of the other controllers, by their numbers among the members.
+/// Addresses of the other controllers, by their index among the members.
 fn peer_addresses(settings: &Settings, config: &Config) -> HashMap<u16, SocketAddr> {
-    let number = |host: &str| {
+    let member_index = |host: &str| {
         config
             .members
             .iter()
@@ -131,11 +131,11 @@
     settings
         .seed_controllers
         .iter()
-        .filter_map(|seed| Some((number(&seed.host_name)?, seed.address)))
+        .filter_map(|seed| Some((member_index(&seed.host_name)?, seed.address)))
         .collect()
 }
 
-/// Starts the loops of the process, other than that of the core.
+/// Starts the background loops of the process, all but the flush loop.
 fn start_background_tasks(node: &Rc<Node>, refresh_requests: Receiver<RefreshWaiter>) {
     let executor = node.executor;
     executor
