--- a/crates/node/src/public_api/cancel.rs
+++ b/crates/node/src/public_api/cancel.rs
@@ -1,4 +1,4 @@
-//! Users' cancellations of jobs.
+//! Handles users' cancellations of jobs.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,28 +17,28 @@
 use lemonweir_protocol::users::JobPhase;
 use lemonweir_transport::Reply;
 
-/// ms that a request which has written the cancellation waits for the end of the last
-/// attempt, as long as a stop usually takes: later requests are answered at once.
+/// ms that the request which wrote the cancellation waits for the job's last attempt to end:
+/// as long as a stop usually takes. Later requests are answered at once.
 const CANCELLED_WAIT_MS: u64 = 500;
 
-/// What is left to do for the cancellation of an unfinished job.
+/// State of the cancellation of an unfinished job.
 enum PendingCancellation {
-    /// The cache does not know the job yet.
+    /// The job is not in the cache yet.
     NotCached,
-    /// It is written; the last attempts are being stopped.
+    /// The cancellation is written; the last attempts are being stopped.
     Requested,
-    /// It has to be written.
+    /// The cancellation has yet to be written.
     ToWrite {
         /// The job's team.
         team: String,
-        /// What writes it.
+        /// The compare-and-swap that writes it.
         cas: CompareAndSwap,
     },
 }
 
-/// Requests a job's cancellation, and answers once its end is written: its placer does
-/// that when every attempt is proven to have ended. That takes a moment where the
-/// machines are reachable; until then the user is told when to ask again.
+/// Requests a job's cancellation and responds once the job's end is written. The job's
+/// placer writes it when every attempt is proven to have ended, which is quick if the
+/// machines are reachable. Until then the response tells the user when to retry.
 pub(super) async fn cancel(node: &Rc<Node>, id: &str) -> Reply {
     let Some(id) = JobId::parse(id) else {
         return Reply::empty(404);
@@ -56,7 +56,7 @@
             Err(refusal) => return refused(refusal),
         }
         match pending_cancellation(node, &id) {
-            // Guards against repeating for ever for a record that this process can't read.
+            // The deadline ends the loop if this process can't read the job's record.
             PendingCancellation::NotCached if node.now_ms() < deadline_ms => {}
             PendingCancellation::NotCached => return refused(QueryRefusal::StoreFailed),
             PendingCancellation::Requested => {
@@ -66,8 +66,7 @@
                 sleep_ms(TICK_MS).await;
             }
             PendingCancellation::ToWrite { team, cas } => {
-                // Guards against a user who is held back for as long as others' writes
-                // take.
+                // Refuses rather than making the user wait behind a long queue of writes.
                 if node.kv_store.write_wait() > Duration::from_millis(SUBMISSION_TIMEOUT_MS) {
                     return refused(QueryRefusal::WriteQueueFull);
                 }
@@ -76,7 +75,7 @@
                         info!(job_id = %id, "job cancellation requested");
                         notify_leader(node, &team);
                         wait_until_ms = Some(node.now_ms() + CANCELLED_WAIT_MS);
-                        // Guards against the same write again until the cache shows it.
+                        // Otherwise the next iteration would write the cancellation again.
                         let _ = node.refresh_cache().await;
                     }
                     Ok(CompareAndSwapResult::Conflict(_)) | Err(KvError::Unknown)
--- a/crates/node/src/public_api/heartbeat.rs
+++ b/crates/node/src/public_api/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Workers' heartbeats.
+//! Handles workers' heartbeats.
 
 use std::rc::Rc;
 
@@ -11,8 +11,8 @@
 use lemonweir_protocol::worker::Heartbeat;
 use lemonweir_transport::Reply;
 
-/// Answers a worker's heartbeat: with commands, with the leader to go to, or with the
-/// answer of the leader, which it is relayed to.
+/// Handles a worker's heartbeat. The response carries commands, redirects the worker to the
+/// leader of its shard, or is that of the leader, to which the heartbeat is relayed.
 pub(super) async fn handle_heartbeat(node: &Rc<Node>, body: &[u8]) -> Reply {
     let heartbeat: Heartbeat = match decode(body) {
         Ok(heartbeat) => heartbeat,
--- a/crates/node/src/public_api/job_status.rs
+++ b/crates/node/src/public_api/job_status.rs
@@ -1,4 +1,4 @@
-//! Users' queries of a job's status.
+//! Handles users' queries of a job's status.
 
 use std::rc::Rc;
 
@@ -17,8 +17,8 @@
     let Some(id) = JobId::parse(id) else {
         return Reply::empty(404);
     };
-    // Guards against a flood of polls that heartbeats and submissions wait behind; but no
-    // job is refused for that again and again.
+    // A flood of polls must not delay heartbeats and submissions. Jobs with priority are
+    // exempt, so that no job is refused repeatedly for overload.
     if node.overloaded()
         && !node
             .query_admission
@@ -34,8 +34,8 @@
     }
 }
 
-/// The status of a job, in the time that a user waits for an answer. `Ok(None)`: there is
-/// no such job. `Err`: it can't be determined now.
+/// Returns the status of a job within the time that a user waits for a response. `Ok(None)`
+/// means that there is no such job, `Err` that the status can't be determined now.
 pub(super) async fn find_status(
     node: &Rc<Node>,
     id: &JobId,
@@ -45,8 +45,8 @@
         .unwrap_or(Err(QueryRefusal::StoreFailed))
 }
 
-/// The same without bound of time. From memory where that is new enough; else by a
-/// query to the store that begins after the request came.
+/// [`find_status`] without the time limit. Answers from the cache if that is recent enough,
+/// otherwise from a store request that begins after the query arrived.
 async fn find_status_unbounded(
     node: &Rc<Node>,
     id: &JobId,
@@ -60,10 +60,11 @@
             )
         });
         match cached {
-            // A moment in which others may still answer from before its end.
+            // Until this delay is over, other controllers may still report the job as
+            // unfinished.
             JobStatusAnswer::FinishedIn(ms) => sleep_ms(ms).await,
-            // Guards against users who are held back for a store that answers nobody
-            // here: they had better come again, or go elsewhere.
+            // Doesn't make users wait for a store that does not answer this controller:
+            // they can retry later, or at another controller.
             JobStatusAnswer::NeedsRefresh | JobStatusAnswer::Unknown if !store_reachable => {
                 return Err(QueryRefusal::StoreSilent);
             }
@@ -78,8 +79,9 @@
                 match look_up_job(node, id).await.map_err(lookup_refusal)? {
                     StoredJob::NotFound => return Ok(None),
                     StoredJob::Ended(_) => {}
-                    // Guards against a record that this process can't read, which is asked
-                    // for again and again: the job is there, and unfinished.
+                    // The job exists and is unfinished, but is not in the cache after a
+                    // refresh: this process can't read its record, so another refresh
+                    // would not help.
                     StoredJob::Unfinished if unreadable => {
                         return Ok(Some(JobStatus::without_counts(
                             id.clone(),
@@ -99,22 +101,24 @@
     }
 }
 
-/// Reads the ends of jobs that others depend on; those that are still unfinished are in
-/// the cache then.
+/// Reads the final states of jobs that others depend on. Refreshes the cache if some are
+/// still unfinished, so that it contains them.
 async fn read_dependencies(node: &Rc<Node>, ids: &[JobId]) -> Result<(), QueryRefusal> {
     let mut any_unfinished = false;
     for id in ids {
         let stored = look_up_job(node, id).await.map_err(lookup_refusal)?;
         any_unfinished |= stored == StoredJob::Unfinished;
     }
-    // Guards against repeating without a pause for what the cache does not show yet.
+    // Without the refresh, the caller would loop without a pause until the cache shows the
+    // unfinished jobs.
     if any_unfinished {
         node.refresh_cache().await.map_err(refresh_refusal)?;
     }
     Ok(())
 }
 
-/// The status, as users see it, of a job that the cache knows.
+/// Converts a cached status into the form shown to users. Returns `None` if the cache could
+/// not determine it.
 fn status_of(id: &JobId, cached: JobStatusAnswer) -> Option<JobStatus> {
     match cached {
         JobStatusAnswer::Finished(phase) => Some(JobStatus::without_counts(id.clone(), phase)),
@@ -132,7 +136,7 @@
     }
 }
 
-/// The refusal that a failed lookup leads to.
+/// The refusal for a query whose lookup failed.
 pub(super) fn lookup_refusal(error: LookupError) -> QueryRefusal {
     match error {
         LookupError::Refused => QueryRefusal::LookupQueueFull,
--- a/crates/node/src/public_api/mod.rs
+++ b/crates/node/src/public_api/mod.rs
@@ -1,4 +1,4 @@
-//! What users, the load balancer, workers and operators may ask.
+//! HTTP API for users, the load balancer, workers and operators: its routes and handlers.
 
 mod cancel;
 mod heartbeat;
@@ -14,31 +14,31 @@
 
 pub(crate) use replies::log_refused_queries;
 
-/// Prefix of the paths of users and operators; workers and the load balancer have others.
+/// Path prefix for users and operators. Workers and the load balancer use other paths.
 const USERS_PREFIX: &str = "/v1/";
-/// Path of the jobs; the path of one begins with it.
+/// Path of the job collection; the path of each job begins with it.
 const JOBS_PATH: &str = "/v1/jobs";
-/// Prefix of the path of an image's page.
+/// Path prefix of an image's locality report.
 const IMAGE_LOCALITY_PREFIX: &str = "/v1/weights/";
-/// Suffix of a job's path by which it is cancelled.
+/// Path suffix of a job's cancellation.
 const CANCEL_SUFFIX: &str = "/withdraw";
 
-/// The routes of this API. Ids and names are as they came.
+/// The routes of this API. Ids and names are taken from the path unvalidated.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum PublicRoute<'a> {
     /// A worker's heartbeat.
     Heartbeat,
-    /// The load balancer's question whether this controller serves users.
+    /// The load balancer's readiness check.
     Readiness,
-    /// Operators' page of links and of what is relayed.
+    /// Report for operators on links and relayed heartbeats.
     Links,
-    /// Operators' page of services that lack replicas, and of the leaders of shards.
+    /// Report for operators on under-replicated services and the leaders of shards.
     Supervision,
-    /// Operators' page of failovers.
+    /// Report for operators on failovers.
     Failovers,
-    /// Operators' page of events since the process started.
+    /// Report for operators on events since the process started.
     Events,
-    /// Operators' page of where this image is cached.
+    /// Report for operators on where this image is cached.
     ImageLocality(&'a str),
     /// A user's submission of a job.
     SubmitJob,
@@ -49,7 +49,7 @@
 }
 
 impl<'a> PublicRoute<'a> {
-    /// The route of a request, by its path without query; `None`: there is no such route.
+    /// Returns the route for a method and a path without query, or `None` if there is none.
     pub(crate) fn parse(method: &str, path: &'a str) -> Option<Self> {
         match (method, path) {
             ("POST", "/hello") => Some(Self::Heartbeat),
@@ -74,7 +74,7 @@
     }
 }
 
-/// Answers the requests of users, the load balancer, workers and operators.
+/// Handles the requests of users, the load balancer, workers and operators.
 pub(crate) struct PublicApi(pub(crate) Rc<Node>);
 
 impl Handler for PublicApi {
--- a/crates/node/src/public_api/operator_pages.rs
+++ b/crates/node/src/public_api/operator_pages.rs
@@ -1,4 +1,4 @@
-//! The load balancer's question, and the operators' pages.
+//! The load balancer's readiness check, and the reports for operators.
 
 use super::replies::RETRY_AFTER_S;
 use crate::Node;
@@ -6,7 +6,8 @@
 use lemonweir_protocol::links::LinksReport;
 use lemonweir_transport::Reply;
 
-/// Whether this controller serves users: 200, or 503 while others do better.
+/// Responds 200 if this controller can serve users, or 503 while other controllers should
+/// serve them instead.
 pub(super) fn readiness(node: &Node) -> Reply {
     if node.with_core(|core, now| core.ready(now)) {
         Reply::empty(200)
@@ -15,8 +16,8 @@
     }
 }
 
-/// Links as this controller and its peers see them, and how many workers' heartbeats are
-/// relayed here.
+/// Reports the links as this controller and its peers see them, and the number of workers
+/// whose heartbeats are relayed to this controller.
 pub(super) fn links(node: &Node) -> Reply {
     let report = node.with_core(|core, now| LinksReport {
         links: core.links.rows(now),
@@ -25,24 +26,25 @@
     Reply::new(200, encode(&report))
 }
 
-/// Services that lack replicas, and the leaders of shards.
+/// Reports under-replicated services and the leaders of shards.
 pub(super) fn supervision(node: &Node) -> Reply {
     let report = node.with_core(|core, now| core.supervision_report(now));
     Reply::new(200, encode(&report))
 }
 
-/// Failovers on record.
+/// Reports the recorded failovers.
 pub(super) fn failovers(node: &Node) -> Reply {
     let report = node.with_core(|core, now| core.failover_report(now));
     Reply::new(200, encode(&report))
 }
 
-/// Events of links and shards since the process started.
+/// Reports the events of links and shards since the process started.
 pub(super) fn events(node: &Node) -> Reply {
     node.with_core(|core, _| Reply::new(200, encode(&core.links.events())))
 }
 
-/// Where an image is cached, who uses it, and what the loss of each zone would leave.
+/// Reports where an image is cached, what uses it, and what would remain after the loss of
+/// each zone.
 pub(super) fn image_locality(node: &Node, image: &str) -> Reply {
     let report = node.with_core(|core, now| core.image_locality_report(image, now));
     Reply::new(200, encode(&report))
--- a/crates/node/src/public_api/replies.rs
+++ b/crates/node/src/public_api/replies.rs
@@ -1,4 +1,4 @@
-//! What users are answered, and the account of what they are owed.
+//! Replies to users, and the record of jobs whose replies are pending.
 
 use std::rc::Rc;
 
@@ -14,7 +14,7 @@
 
 pub(super) use lemonweir_model::constants::RETRY_AFTER_S;
 
-/// Answers a user's query of a job.
+/// Answers a user's query with the status of a job.
 pub(super) fn answer(node: &Node, http_status: u16, status: &JobStatus) -> Reply {
     node.query_admission.borrow_mut().record_answer(&status.id);
     Reply::new(http_status, encode(status))
@@ -26,18 +26,18 @@
     Reply::empty(404)
 }
 
-/// Refuses a job that can't be accepted, with the reason.
+/// Rejects a job that can't be accepted, with the reason (422).
 pub(super) fn unprocessable(node: &Node, id: &JobId, reason: &str) -> Reply {
     node.query_admission.borrow_mut().record_answer(id);
     Reply::new(422, encode(&reason))
 }
 
-/// Refuses a query for now, and notes that the job is owed an answer.
+/// Refuses a query for now, and records that the job's reply is pending.
 pub(super) fn refuse(node: &Node, id: &JobId, query: QueryKind, refusal: QueryRefusal) -> Reply {
     refuse_for(node, id, query, refusal, RETRY_AFTER_S)
 }
 
-/// Refuses a query for so many seconds, and notes that the job is owed an answer.
+/// Like [`refuse`], with `Retry-After` set to `retry_after_s`.
 pub(super) fn refuse_for(
     node: &Node,
     id: &JobId,
@@ -49,8 +49,8 @@
     let mut admission = node.query_admission.borrow_mut();
     debug!(job_id = %id, ?query, ?refusal, "query refused");
     admission.record_refusal(id, query, refusal, now_ms);
-    // Guards against users who stay with a controller that can tell them nothing while
-    // others can: the load balancer does not move open connections.
+    // Closes the connection if this controller is not ready, or keeps refusing the job, so
+    // that the user reaches another one: the load balancer does not move open connections.
     let leave = !node.with_core(|core, _| core.ready(now_ms)) || admission.has_priority(id, now_ms);
     Reply {
         leave,
@@ -58,7 +58,7 @@
     }
 }
 
-/// Logs which users' queries were refused, and why, for ever.
+/// Periodically logs which users' queries were refused, and why. Never returns.
 pub(crate) async fn log_refused_queries(node: Rc<Node>) {
     loop {
         sleep_ms(SUMMARY_MS).await;
--- a/crates/node/src/public_api/submit.rs
+++ b/crates/node/src/public_api/submit.rs
@@ -1,4 +1,5 @@
-//! Users' submissions of jobs. A repeated one is answered as the first was.
+//! Handles users' submissions of jobs. Submissions are idempotent: a repeated one is answered
+//! with the status of the accepted job.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -20,7 +21,7 @@
 use lemonweir_protocol::users::{JobPhase, JobStatus, decode_submission, unschedulable_reason};
 use lemonweir_transport::Reply;
 
-/// Seconds that a refused user is asked to wait at most (protocol page).
+/// Maximum `Retry-After` of a refusal, in seconds (see the protocol documentation).
 const MAX_RETRY_AFTER_S: u64 = 30;
 
 /// Whether a job can run on any machine type of the catalog.
@@ -33,25 +34,25 @@
     CatalogUnknown,
 }
 
-/// What accepts a job.
+/// A job that passed admission, with the writes that accept it.
 struct AdmittedJob {
     /// The compare-and-swaps to commit, in this order.
     cas_list: Vec<CompareAndSwap>,
-    /// The phase that its user is answered with then.
+    /// The phase reported to the user once they are committed.
     phase: JobPhase,
 }
 
-/// How the commit of an admitted job ended.
+/// Outcome of committing an admitted job.
 enum Commit {
-    /// The job is accepted now.
+    /// The job is accepted.
     Accepted,
-    /// The keys exist: the job was accepted before.
+    /// The keys already exist: the job was accepted before.
     AlreadyAccepted,
     /// The store did not answer, or not in time.
     StoreUnavailable,
 }
 
-/// Answers a submission.
+/// Handles a submission: validates the job, commits it, and notifies its shard's leader.
 pub(super) async fn submit(node: &Rc<Node>, body: &[u8]) -> Reply {
     let spec = match decode_submission(body) {
         Ok(spec) => spec,
@@ -66,14 +67,14 @@
     }
     match check_runnable(node, &spec) {
         Runnable::Yes => {}
-        Runnable::Never(reason) => return reject_never_runnable(node, &id, &reason).await,
+        Runnable::Never(reason) => return reject_unschedulable(node, &id, &reason).await,
         Runnable::CatalogUnknown => return refuse_submission(node, &id, QueryRefusal::NoCatalog),
     }
     if !node.store_reachable() {
         return refuse_submission(node, &id, QueryRefusal::StoreSilent);
     }
-    // Guards against taking in more than can be written before its user gives up: the
-    // answer then would come after the user asked again.
+    // Refuses a job that can't be written before its user times out: the response would
+    // arrive after the user has already retried.
     let write_wait = node.kv_store.write_wait();
     if write_wait > Duration::from_millis(SUBMISSION_TIMEOUT_MS) {
         return refuse_for_write_queue(node, &id, write_wait).await;
@@ -104,7 +105,7 @@
     refuse(node, id, QueryKind::Submission, refusal)
 }
 
-/// Answers the repeated submission of a job that was accepted.
+/// Answers the repeated submission of an accepted job.
 async fn answer_known_job(node: &Rc<Node>, id: &JobId) -> Reply {
     match find_status(node, id).await {
         Ok(Some(status)) => answer(node, 200, &status),
@@ -126,11 +127,10 @@
     })
 }
 
-/// Rejects a job that can never run.
-///
-/// Guards against one that was accepted when there were other machine types, and has
-/// ended: a repeated submission must not be rejected.
-async fn reject_never_runnable(node: &Rc<Node>, id: &JobId, reason: &str) -> Reply {
+/// Rejects a job that can never run, unless it was accepted before: it may have been
+/// accepted, and have ended, when the catalog had other machine types. A repeated submission
+/// of such a job must not be rejected.
+async fn reject_unschedulable(node: &Rc<Node>, id: &JobId, reason: &str) -> Reply {
     match find_status(node, id).await {
         Ok(Some(status)) => answer(node, 200, &status),
         Ok(None) => {
@@ -141,10 +141,10 @@
     }
 }
 
-/// Refuses a submission that would wait for so long to be written.
+/// Refuses a submission that would wait for `write_wait` to be written.
 async fn refuse_for_write_queue(node: &Rc<Node>, id: &JobId, write_wait: Duration) -> Reply {
-    // Guards against a job that was accepted long ago, of which its user asks so: that
-    // needs no writing.
+    // A user whose submissions are refused repeatedly may be resubmitting a job that was
+    // accepted long ago: answering that needs no write.
     let has_priority = node
         .query_admission
         .borrow()
@@ -164,8 +164,8 @@
     )
 }
 
-/// What accepts a job. `Err`: the answer to a submission that can't be accepted, or not
-/// now.
+/// Prepares the writes that accept a job. `Err` is the reply to a submission that can't be
+/// accepted, or not now.
 async fn admit(node: &Rc<Node>, spec: &JobSpec) -> Result<AdmittedJob, Reply> {
     let mut refreshed = false;
     loop {
@@ -184,10 +184,11 @@
     }
 }
 
-/// Looks up the dependencies of a job that the cache does not know. `Err`: the answer to
-/// a submission with one that does not exist, or can't be looked up.
+/// Looks up dependencies that are not in the cache. `Err` is the reply to a submission with a
+/// dependency that does not exist or can't be looked up.
 ///
-/// Guards against rejecting what only this controller's cache does not know.
+/// A dependency that is missing only from this controller's cache must not lead to a
+/// rejection.
 async fn check_dependencies_exist(
     node: &Rc<Node>,
     id: &JobId,
@@ -205,8 +206,8 @@
     Ok(())
 }
 
-/// Rejects a job that depends on one that was never accepted, unless it is itself
-/// accepted already.
+/// Rejects a job that depends on one that was never accepted, unless the job itself has
+/// already been accepted.
 async fn reject_unknown_dependency(node: &Rc<Node>, id: &JobId, dependency: &JobId) -> Reply {
     match find_status(node, id).await {
         Ok(Some(status)) => answer(node, 200, &status),
@@ -222,7 +223,7 @@
     }
 }
 
-/// Commits what accepts a job, in the time that its user waits.
+/// Commits the writes that accept a job, within the time that its user waits.
 async fn commit(node: &Node, cas_list: &[CompareAndSwap]) -> Commit {
     let deadline_ms = node.now_ms() + USER_TIMEOUT_MS;
     for cas in cas_list {
@@ -230,8 +231,8 @@
             match node.kv_store.cas(cas).await {
                 Ok(CompareAndSwapResult::Committed(_)) => break,
                 Ok(CompareAndSwapResult::Conflict(_)) => return Commit::AlreadyAccepted,
-                // May have been committed: the same compare-and-swap shows it, since its
-                // conditions then fail.
+                // It may have been committed: the same compare-and-swap then fails its
+                // conditions, which shows it.
                 Err(KvError::Unknown) if node.now_ms() < deadline_ms => {}
                 Err(_) => return Commit::StoreUnavailable,
             }
@@ -240,7 +241,7 @@
     Commit::Accepted
 }
 
-/// Notifies the leader of a team's shard that a job of the team has changed.
+/// Notifies the leader of a team's shard that a job of the team was accepted or cancelled.
 pub(super) fn notify_leader(node: &Rc<Node>, team: &str) {
     let leader = node.with_core(|core, _| {
         let shard = core
@@ -259,7 +260,7 @@
         .spawn(async move {
             match leader.and_then(|host| task_node.peer_address(&host)) {
                 Some(address) => {
-                    // Only a hint: the leader reads the job at its next refresh anyway.
+                    // Only a hint: the leader sees the job at its next cache refresh anyway.
                     let _ = task_node
                         .http
                         .call(
