--- a/crates/node/tests/peer_api.rs
+++ b/crates/node/tests/peer_api.rs
@@ -1,4 +1,4 @@
-//! The routes that other controllers use, on a controller process without services.
+//! Tests of the routes for other controllers, on a controller process without services.
 
 use std::net::{SocketAddr, TcpListener};
 use std::time::{Duration, Instant};
@@ -10,9 +10,9 @@
 
 fn unused_address() -> SocketAddr {
     TcpListener::bind(("127.0.0.1", 0))
-        .expect("a port")
+        .expect("bind to an unused port")
         .local_addr()
-        .expect("an address")
+        .expect("local address")
 }
 
 fn settings(internal_addr: SocketAddr) -> Settings {
@@ -29,28 +29,31 @@
             "clock_off_ms": 250.0
         }
     }))
-    .expect("settings")
+    .expect("valid settings")
 }
 
-/// Starts a controller that runs until the test's process ends; waits until it listens.
+/// Starts a controller that runs until the test process ends, and waits until it listens.
 fn start() -> SocketAddr {
     let address = unused_address();
     std::thread::spawn(move || {
         lemonweir_node::run(
             settings(address),
-            lemonweir_policy::embedded().expect("policy"),
+            lemonweir_policy::embedded().expect("embedded policy"),
         )
     });
     let began = Instant::now();
     while std::net::TcpStream::connect(address).is_err() {
-        assert!(began.elapsed() < Duration::from_secs(60), "no connection");
+        assert!(
+            began.elapsed() < Duration::from_secs(60),
+            "controller does not listen"
+        );
         std::thread::sleep(Duration::from_millis(20));
     }
     address
 }
 
-/// A message of one route is not taken for that of another: wake-ups and notices of
-/// accepted jobs carry no body, and a relayed call without one is malformed.
+/// Guards against handling a message on the wrong route: wake-ups and notifications of
+/// accepted jobs have no body, while on the other routes an empty body is malformed.
 #[test]
 fn each_peer_route_answers_its_own_messages() {
     let address = start();
--- a/crates/node/tests/store_lease.rs
+++ b/crates/node/tests/store_lease.rs
@@ -1,5 +1,5 @@
-//! A controller process against a store that answers slowly: its store lease, and the
-//! shard that it acquires.
+//! Tests of a controller process with a slow store: renewal of its store lease, and loading
+//! of the shard that it acquires.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write as _};
@@ -15,10 +15,11 @@
 use lemonweir_protocol::{decode, encode};
 use lemonweir_storage::records::{TaskChunkRecord, shard_key, task_chunks_prefix};
 
-/// Pages of the shard's task records, and how long each answer takes.
+/// Number of pages of the shard's task records.
 const PAGES: usize = 9;
+/// Time that the store takes to answer each page.
 const PAGE_LATENCY: Duration = Duration::from_millis(1_000);
-/// The page that is refused when it is first asked for.
+/// The page that is refused the first time it is requested.
 const REFUSED_PAGE: usize = 3;
 
 #[derive(Clone, Debug, PartialEq)]
@@ -93,7 +94,12 @@
     }
 }
 
-fn answer(store: &Mutex<FakeStore>, method: &str, path: &str, body: &[u8]) -> (u16, Vec<u8>) {
+fn handle_request(
+    store: &Mutex<FakeStore>,
+    method: &str,
+    path: &str,
+    body: &[u8],
+) -> (u16, Vec<u8>) {
     let page = |entries: Vec<KeyValue>, more: bool, revision: u64| {
         (
             200,
@@ -111,7 +117,7 @@
             .nth(1)
             .and_then(|rest| rest.split('&').next()?.parse::<usize>().ok());
         let page_number = last_page.map_or(0, |last| last + 1);
-        let mut store = store.lock().expect("unbroken");
+        let mut store = store.lock().expect("store lock is not poisoned");
         if page_number == REFUSED_PAGE && !std::mem::replace(&mut store.refused, true) {
             return (503, Vec::new());
         }
@@ -125,7 +131,7 @@
         };
         return page(vec![entry], page_number + 1 < PAGES, store.revision);
     }
-    let mut store = store.lock().expect("unbroken");
+    let mut store = store.lock().expect("store lock is not poisoned");
     match (method, path) {
         ("POST", "/holds") => (200, encode(&LeaseResponse { lease: 7 })),
         ("POST", "/holds/7/renew") => {
@@ -133,7 +139,7 @@
             (200, encode(&LeaseResponse { lease: 7 }))
         }
         ("POST", "/txn") => {
-            let cas = decode::<CompareAndSwap>(body).expect("a compare-and-swap");
+            let cas = decode::<CompareAndSwap>(body).expect("valid compare-and-swap");
             store.cas(&cas)
         }
         ("GET", path) if path.starts_with("/watch") => {
@@ -141,7 +147,7 @@
                 .split("after=")
                 .nth(1)
                 .and_then(|rest| rest.split('&').next()?.parse().ok())
-                .expect("a revision");
+                .expect("revision in the query");
             let events = store
                 .log
                 .iter()
@@ -173,16 +179,16 @@
     loop {
         let mut line = String::new();
         reader.read_line(&mut line).ok().filter(|n| *n > 0)?;
-        let mut words = line.split(' ').map(str::to_owned);
-        let (method, path) = (words.next()?, words.next()?);
+        let mut request_line = line.split(' ').map(str::to_owned);
+        let (method, path) = (request_line.next()?, request_line.next()?);
         let mut length = 0;
         loop {
-            let mut head = String::new();
-            reader.read_line(&mut head).ok()?;
-            if head.trim().is_empty() {
+            let mut header = String::new();
+            reader.read_line(&mut header).ok()?;
+            if header.trim().is_empty() {
                 break;
             }
-            if let Some((name, value)) = head.split_once(':')
+            if let Some((name, value)) = header.split_once(':')
                 && name.eq_ignore_ascii_case("content-length")
             {
                 length = value.trim().parse().ok()?;
@@ -190,7 +196,7 @@
         }
         let mut body = vec![0; length];
         reader.read_exact(&mut body).ok()?;
-        let (status, body) = answer(store, &method, &path, &body);
+        let (status, body) = handle_request(store, &method, &path, &body);
         let head = format!(
             "HTTP/1.1 {status} x\r\ncontent-length: {}\r\n\r\n",
             body.len()
@@ -213,15 +219,16 @@
             "clock_off_ms": 250.0
         }
     }))
-    .expect("settings")
+    .expect("valid settings")
 }
 
-/// Reading the records of a shard takes longer than a store lease lives, and one page is
-/// refused: the lease is renewed all the same, and the shard is acquired once.
+/// Reading a shard's records takes longer than the TTL of the store lease, and one page is
+/// refused. Guards against the lease expiring meanwhile, and against acquiring the shard
+/// again for the refused page.
 #[test]
 fn store_lease_is_renewed_while_shard_records_load_slowly() {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let port = listener.local_addr().expect("an address").port();
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bind to an unused port");
+    let port = listener.local_addr().expect("local address").port();
     let store = Arc::new(Mutex::new(FakeStore {
         revision: 1,
         ..FakeStore::default()
@@ -233,17 +240,21 @@
             std::thread::spawn(move || serve(stream, &store));
         }
     });
-    // It runs until the test's process ends.
+    // The controller runs until the test process ends.
     std::thread::spawn(move || {
         lemonweir_node::run(
             settings(port),
-            lemonweir_policy::embedded().expect("policy"),
+            lemonweir_policy::embedded().expect("embedded policy"),
         )
     });
     let began = Instant::now();
     let observed = loop {
         std::thread::sleep(Duration::from_millis(100));
-        let observed = store.lock().expect("unbroken").observed.clone();
+        let observed = store
+            .lock()
+            .expect("store lock is not poisoned")
+            .observed
+            .clone();
         if observed.contains(&ObservedRequest::ImageLocations) {
             break observed;
         }
@@ -257,7 +268,7 @@
         1,
         "{observed:?}"
     );
-    // In pages, each of which takes a seventh of what a lease lives.
+    // Counted in pages, each of which takes a seventh of the lease TTL.
     let most_pages_between_renewals = observed
         .split(|request| *request == ObservedRequest::LeaseRenewal)
         .map(|requests| {
