--- a/crates/storage/src/dependencies.rs
+++ b/crates/storage/src/dependencies.rs
@@ -1,13 +1,13 @@
-//! Records of jobs that wait for others.
+//! Records of jobs that wait for their dependencies.
 //!
-//! | key | value | life |
+//! | key | value | lifetime |
 //! | --- | --- | --- |
-//! | `w/chain/<id>` | [`JobRecord`], its `awaits` cut to the first page | until the last awaited job is done, or the job is cancelled |
-//! | `w/chain/<id>/<n>` | [`DependencyPage`] | as above; removed later |
+//! | `w/chain/<id>` | [`JobRecord`], its `awaits` cut to the first page | until all dependencies are done, or the job is cancelled |
+//! | `w/chain/<id>/<n>` | [`DependencyPage`] | as above; deleted later |
 //!
-//! A job that waits is not under `w/job/`, so nobody places it, and a process that does
-//! not know chains neither starts, ends nor rewrites it. Once every awaited job's end
-//! says done, one transaction moves it to `w/job/`, from when on it is a job like any other.
+//! A blocked job has no key under `w/job/`, so no placer places it, and a version without
+//! support for dependencies neither starts, ends nor rewrites it. Once the end record of
+//! every dependency says done, one transaction moves the job to `w/job/`.
 
 use serde::{Deserialize, Serialize};
 
@@ -17,25 +17,26 @@
 use lemonweir_protocol::kv_store::{CompareAndSwap, Condition, Write};
 use lemonweir_protocol::users::JobPhase;
 
-/// More dependencies than the first page holds.
+/// A further page of a job's dependencies.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Eq)]
 pub struct DependencyPage {
-    /// Their ids.
+    /// Ids of the jobs on this page.
     #[serde(rename = "awaits")]
     pub depends_on: Vec<JobId>,
 }
 
-/// Key of a job that waits for others.
+/// Key of a job that waits for its dependencies.
 pub fn blocked_job_key(id: &JobId) -> String {
     format!("w/chain/{id}")
 }
 
-/// Key of a further page of the jobs that it depends on, from 1 on.
+/// Key of a further page of a job's dependencies, numbered from 1.
 pub fn dependency_page_key(id: &JobId, page: usize) -> String {
     format!("w/chain/{id}/{page}")
 }
 
-/// Reads the job and the page, 0 for the job itself, from a key below `w/chain/`.
+/// Parses the part of a key after `w/chain/` into the job and the page; page 0 is the job
+/// itself.
 pub fn parse_blocked_job_key(rest: &str) -> Option<(JobId, usize)> {
     match rest.split_once('/') {
         None => Some((JobId::parse(rest)?, 0)),
@@ -46,30 +47,30 @@
     }
 }
 
-fn absent(key: String) -> Condition {
+fn must_not_exist(key: String) -> Condition {
     Condition { key, version: 0 }
 }
 
-/// Neither the job nor its end may be known, whether or not it waits for others.
+/// Conditions that no record of the job exists: neither unfinished, blocked nor ended.
 pub fn job_absent_conditions(id: &JobId) -> Vec<Condition> {
     [job_key(id), blocked_job_key(id), end_key(id)]
-        .map(absent)
+        .map(must_not_exist)
         .to_vec()
 }
 
-/// The transactions that accept a job which waits for others, in their order: further
-/// pages first, which mean nothing by themselves, then the job, which counts.
+/// Transactions that create a blocked job, to be executed in this order. The further pages
+/// come first, since they have no effect without the job record, which is written last.
 pub fn create_blocked_job(record: &JobRecord, txn_ops: usize) -> Vec<CompareAndSwap> {
     let id = &record.spec.id;
     let mut pages = record.spec.depends_on.chunks(DEPENDENCIES_PER_PAGE);
     let first = pages.next().unwrap_or_default().to_vec();
     let rest: Vec<Write> = pages
         .zip(1..)
-        .map(|(awaits, page)| {
+        .map(|(page_ids, page)| {
             Write::put(
                 dependency_page_key(id, page),
                 &DependencyPage {
-                    depends_on: awaits.to_vec(),
+                    depends_on: page_ids.to_vec(),
                 },
             )
         })
@@ -81,17 +82,17 @@
             writes: writes.to_vec(),
         })
         .collect();
-    let mut head = record.clone();
-    head.dependency_count = record.spec.depends_on.len();
-    head.spec.depends_on = first;
+    let mut first_record = record.clone();
+    first_record.dependency_count = record.spec.depends_on.len();
+    first_record.spec.depends_on = first;
     cas_list.push(CompareAndSwap {
         conditions: job_absent_conditions(id),
-        writes: vec![Write::put(blocked_job_key(id), &head)],
+        writes: vec![Write::put(blocked_job_key(id), &first_record)],
     });
     cas_list
 }
 
-/// Accepts a job that needs a cancelled one: it is cancelled from the start.
+/// Creates a job that depends on a cancelled job: only its end is written, as cancelled.
 pub fn create_cancelled_job(id: &JobId) -> CompareAndSwap {
     CompareAndSwap {
         conditions: job_absent_conditions(id),
@@ -104,7 +105,8 @@
     }
 }
 
-/// Cancels a job that waits, whose key has this version: no task of it was ever started.
+/// Cancels a blocked job whose key has this version. Its end is written at once, since no
+/// task of it was ever started.
 pub fn cancel_blocked_job(id: &JobId, version: u64) -> CompareAndSwap {
     CompareAndSwap {
         conditions: vec![Condition {
@@ -125,19 +127,18 @@
     }
 }
 
-/// Lets a job start that has waited, whose key has this version: from now on it is a job
-/// like any other.
+/// Moves a blocked job whose key has this version to `w/job/`, so that it can be placed.
 ///
-/// Guards against a start before all dependencies are done: the ends in `done`, each with
-/// the version under which it says so, are conditions.
+/// The versions of the end records in `done` are conditions, so that the job can't start
+/// before all of its dependencies are done.
 pub fn unblock_job(record: &JobRecord, version: u64, done: &[(JobId, u64)]) -> CompareAndSwap {
     let id = &record.spec.id;
     let mut conditions = vec![Condition {
         key: blocked_job_key(id),
         version,
     }];
-    conditions.extend(done.iter().map(|(awaited, version)| Condition {
-        key: end_key(awaited),
+    conditions.extend(done.iter().map(|(dependency, version)| Condition {
+        key: end_key(dependency),
         version: *version,
     }));
     let mut job = record.clone();
@@ -154,12 +155,13 @@
     }
 }
 
-/// Asks whether these ends have these versions, without a write: an end never changes.
+/// Verifies without a write that these end records have these versions. An end record never
+/// changes.
 pub fn check_ends_unchanged(done: &[(JobId, u64)]) -> CompareAndSwap {
     let conditions = done
         .iter()
-        .map(|(awaited, version)| Condition {
-            key: end_key(awaited),
+        .map(|(dependency, version)| Condition {
+            key: end_key(dependency),
             version: *version,
         })
         .collect();
--- a/crates/storage/src/failovers.rs
+++ b/crates/storage/src/failovers.rs
@@ -1,17 +1,16 @@
-//! What the controllers record of every failover of a shard: a ring of
-//! entries under each shard, written by the transaction that changes it.
+//! Failover history of each shard: a ring buffer of records in the store.
 //!
-//! | key | value | life |
+//! | key | value | lifetime |
 //! | --- | --- | --- |
-//! | `w/hand/<part>/<slot>` | [`FailoverRecord`] | until the ring comes round |
+//! | `w/hand/<shard>/<slot>` | [`FailoverRecord`] | until its slot is overwritten |
 //!
-//! An entry's version is the revision of its failover: of one that takes a
-//! shard, the shard's fencing token. Closing it, in spare writes, gives it a later one and
-//! writes the fencing token down.
+//! The version of a record's key is the revision of its failover; if the failover acquired
+//! the shard, that is the shard's fencing token. Completing the record, which is done when
+//! there are writes to spare, changes the version and stores the fencing token in the record.
 //!
-//! The transaction that changes a shard's key writes the entry, and each of them
-//! demands the version that its slot had: so there is one entry for each change,
-//! none without, and no number comes twice, however late or often it is sent.
+//! The transaction that changes a shard's key also writes the record, on the condition that
+//! the slot still has the version that was read. So each change has exactly one record, and
+//! no number is used twice, however late or often a transaction is sent.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -20,123 +19,124 @@
 use lemonweir_model::constants::FAILOVER_RECORDS_KEPT;
 use lemonweir_protocol::kv_store::{CompareAndSwap, Condition, Write, from_value};
 
-/// Entries that can't be read which are named in the log, each once.
-const LOGGED_UNREADABLE_RECORDS: usize = 64;
+/// Keys of unreadable records that are logged at most, each once.
+const MAX_LOGGED_UNREADABLE_RECORDS: usize = 64;
 
-/// Key of the entry with this number, which counts a shard's failovers from 1.
+/// Key of the record with this number; a shard's failovers are numbered from 1.
 pub fn failover_key(shard: u16, number: u64) -> String {
     format!("w/hand/{shard}/{}", number % FAILOVER_RECORDS_KEPT)
 }
 
-/// Reads part and slot from the key below `w/hand/`.
+/// Parses the part of a key after `w/hand/` into shard and slot.
 pub fn parse_failover_key(rest: &str) -> Option<(u16, u64)> {
     let (shard, slot) = rest.split_once('/')?;
     Some((shard.parse().ok()?, slot.parse().ok()?))
 }
 
-/// How a shard changed hands.
+/// Why the leader of a shard changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LeadershipChange {
-    /// Taken without a leader: the last one's store lease has expired, or none ever was.
+    /// Acquired without a leader: the last one's store lease expired, or there never was one.
     Vacant,
-    /// Taken by a later life of the process that held it.
+    /// Acquired by a restarted process of the controller that led it.
     #[serde(rename = "reborn")]
     Restarted,
-    /// Given to its home, which lives again.
+    /// Released for its preferred leader, which is up again.
     #[serde(rename = "handed_back")]
     ReturnedHome,
-    /// Left by a leader that can't hear its machines.
+    /// Released by a leader that its machines can't reach.
     #[serde(rename = "left")]
     Ceded,
-    /// What a later version knows.
+    /// A change that a later version introduced.
     #[serde(other)]
     Other,
 }
 
-/// One failover.
+/// One failover of a shard.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FailoverRecord {
-    /// Its number among the shard's, from 1.
+    /// Number among the shard's failovers, from 1.
     #[serde(rename = "n")]
     pub number: u64,
-    /// Who held the shard before; none: nobody known.
+    /// Leader before the failover, if known.
     #[serde(rename = "from", default)]
     pub previous_leader: Option<String>,
-    /// Who takes it; none: it is given up.
+    /// Leader that acquires the shard; `None` if it is released.
     #[serde(rename = "to", default)]
     pub new_leader: Option<String>,
-    /// How.
+    /// Why the leader changed.
     #[serde(rename = "how")]
     pub change: LeadershipChange,
-    /// Time of day, ms.
+    /// Wall-clock time, ms.
     #[serde(rename = "at")]
     pub at_ms: u64,
-    /// Replicas, other tasks and machines that the writer knew to be up in the shard.
+    /// Replicas, other tasks and machines of the shard that the writer knew to be up.
     #[serde(default)]
     pub up: Option<(u32, u32, u32)>,
-    /// What was found afterwards; none: not written yet, or nobody lived to.
+    /// Outcome; `None` if it is not written yet, or if no controller lived to write it.
     #[serde(rename = "closed", default)]
     pub completion: Option<FailoverCompletion>,
 }
 
-/// What was found after a failover.
+/// Outcome of a failover.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FailoverCompletion {
-    /// Who wrote it: the taker, or a successor that can only tell what it found.
+    /// Controller that wrote it: the new leader, or a successor, which can only report what
+    /// it found.
     #[serde(rename = "by")]
     pub reported_by: String,
-    /// ms from the change until records and machines were read.
+    /// ms from the failover until the records and machines were loaded.
     #[serde(rename = "read_ms", default)]
     pub state_loaded_ms: Option<u64>,
-    /// ms until the first start by the new leader.
+    /// ms from the failover until the new leader first started an attempt.
     #[serde(default)]
     pub first_start_ms: Option<u64>,
-    /// ms until all replicas were up again.
+    /// ms from the failover until all replicas were up again.
     #[serde(rename = "whole_ms", default)]
     pub services_restored_ms: Option<u64>,
-    /// Replicas that were found up, and that had to be started anew.
+    /// Replicas that were found up, and replicas that had to be restarted.
     #[serde(default)]
     pub found: Option<(u32, u32)>,
-    /// Longest gap of a replica by class, ms, the worst first.
+    /// Longest downtime of a replica by class, ms, the longest first.
     #[serde(default)]
     pub gaps: Vec<(String, u64)>,
-    /// What can't be known any more.
+    /// Facts that can no longer be determined.
     #[serde(default)]
     pub unknown: Vec<String>,
-    /// The shard's token, if this took it.
+    /// The shard's fencing token, if the failover acquired the shard.
     #[serde(rename = "token", default)]
     pub fencing_token: Option<u64>,
-    /// ms until the next failover, where a later leader closes it.
+    /// ms until the next failover, if a later leader completes the record.
     #[serde(rename = "held_ms", default)]
     pub leadership_ms: Option<u64>,
 }
 
 impl FailoverRecord {
-    /// Somebody took the shard, and what was found is not written yet.
+    /// True if the failover acquired the shard and its outcome is not written yet.
     pub fn is_open(&self) -> bool {
         self.new_leader.is_some() && self.completion.is_none()
     }
 
-    /// Who held the shard last, as far as this tells.
+    /// The last known leader of the shard as of this failover.
     pub fn last_leader(&self) -> Option<&String> {
         self.new_leader.as_ref().or(self.previous_leader.as_ref())
     }
 }
 
-/// An entry to be written, with the version that its slot must have.
+/// A record to be written, with the version that its slot must have.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NewFailover {
     /// The shard.
     pub shard: u16,
-    /// Version of the slot's key; 0: no key.
+    /// Version of the slot's key; 0: it must not exist.
     pub slot_version: u64,
-    /// The entry.
+    /// The record.
     pub record: FailoverRecord,
 }
 
 impl NewFailover {
-    /// Adds it to the transaction that it tells of, or that closes it.
+    /// Adds the record to the transaction that makes the failover or completes the record.
     pub fn add_to(&self, cas: &mut CompareAndSwap) {
         let key = failover_key(self.shard, self.record.number);
         cas.conditions.push(Condition {
@@ -147,32 +147,31 @@
     }
 }
 
-/// A node's copy of all rings.
+/// A controller's copy of the failover records of all shards.
 #[derive(Debug, Default)]
 pub struct FailoverHistory {
-    /// Entries by part and slot, with the versions of their keys.
+    /// Records by shard and slot, with the versions of their keys.
     entries: BTreeMap<(u16, u64), (FailoverRecord, u64)>,
-    /// Versions of those that can't be read.
+    /// Key versions of unreadable records, by shard and slot.
     unreadable: BTreeMap<(u16, u64), u64>,
-    /// Keys that were named in the log.
+    /// Keys of unreadable records that were logged.
     logged_keys: BTreeSet<String>,
 }
 
 impl FailoverHistory {
-    /// Forgets all; a full reading follows.
+    /// Removes all records before a snapshot is loaded.
     pub(crate) fn clear(&mut self) {
         self.entries.clear();
         self.unreadable.clear();
     }
 
-    /// Takes the value of the key below `w/hand/`.
+    /// Applies a new value of the key `w/hand/<rest>`.
     pub(crate) fn set(&mut self, rest: &str, value: &rmpv::Value, version: u64) {
         let slot = parse_failover_key(rest).filter(|(_, slot)| *slot < FAILOVER_RECORDS_KEPT);
         let record = from_value::<FailoverRecord>(value);
-        // Guards against a number that no count of changes reaches: all later ones
-        // would follow it.
+        // An impossibly large number is rejected: all later numbers would continue from it.
         let record = record.filter(|r| {
-            (1..=HANDOVERS_MOST).contains(&r.number)
+            (1..=MAX_FAILOVERS).contains(&r.number)
                 && slot.is_some_and(|(_, s)| r.number % FAILOVER_RECORDS_KEPT == s)
         });
         match (slot, record) {
@@ -185,7 +184,7 @@
                     self.entries.remove(&slot);
                     self.unreadable.insert(slot, version);
                 }
-                if self.logged_keys.len() < LOGGED_UNREADABLE_RECORDS
+                if self.logged_keys.len() < MAX_LOGGED_UNREADABLE_RECORDS
                     && self.logged_keys.insert(rest.to_owned())
                 {
                     tracing::error!(key = rest, "entry of a handover not understood; skipped");
@@ -194,7 +193,7 @@
         }
     }
 
-    /// A key below `w/hand/` is gone.
+    /// Applies the deletion of the key `w/hand/<rest>`.
     pub(crate) fn remove(&mut self, rest: &str) {
         if let Some(slot) = parse_failover_key(rest) {
             self.entries.remove(&slot);
@@ -202,7 +201,7 @@
         }
     }
 
-    /// A shard's entries in their order, each with its version.
+    /// A shard's records by number, each with the version of its key.
     pub fn entries_of(&self, shard: u16) -> Vec<(&FailoverRecord, u64)> {
         let mut all: Vec<_> = self
             .entries
@@ -213,12 +212,12 @@
         all
     }
 
-    /// The shards that have entries.
+    /// The shards that have records.
     pub fn shards(&self) -> BTreeSet<u16> {
         self.entries.keys().map(|(shard, _)| *shard).collect()
     }
 
-    /// The entry with this number, as one to be written anew.
+    /// The record with this number, to be changed and written again.
     pub fn rewrite(&self, shard: u16, number: u64) -> Option<NewFailover> {
         let (record, version) = self
             .entries
@@ -231,16 +230,17 @@
         })
     }
 
-    /// The number of a shard's next entry, and the version that its slot has. What
-    /// can't be read is left to who can, unless there is nothing else.
+    /// The number of a shard's next record, and the current version of its slot. Slots with
+    /// unreadable records are skipped, since another version may read them, unless all are
+    /// unreadable.
     pub fn next_slot(&self, shard: u16) -> (u64, u64) {
         let newest = self.entries_of(shard).last().map_or(0, |(r, _)| r.number);
-        let odd = |n: u64| {
+        let is_unreadable = |n: u64| {
             self.unreadable
                 .contains_key(&(shard, n % FAILOVER_RECORDS_KEPT))
         };
         let number = (newest + 1..=newest + FAILOVER_RECORDS_KEPT)
-            .find(|n| !odd(*n))
+            .find(|n| !is_unreadable(*n))
             .unwrap_or(newest + 1);
         let slot = (shard, number % FAILOVER_RECORDS_KEPT);
         (
@@ -254,5 +254,5 @@
     }
 }
 
-/// Failovers that a shard can have: one a second for a million years.
-const HANDOVERS_MOST: u64 = 1 << 45;
+/// Largest valid number of a failover: one a second for a million years.
+const MAX_FAILOVERS: u64 = 1 << 45;
--- a/crates/storage/src/followed_key.rs
+++ b/crates/storage/src/followed_key.rs
@@ -1,15 +1,15 @@
-//! The kinds of keys that every controller follows, by their names below `w/`.
+//! Parses the keys under `w/`, which every controller watches, into their kinds.
 
 use crate::records::{FOLLOWED, VERSION_KEY};
 
-/// A followed key; what is left of its name is not checked yet.
+/// A watched key, split by its kind. The remaining segments are not validated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FollowedKey<'a> {
     /// `w/job/<id>`.
     Job(&'a str),
     /// `w/chain/<id>` or `w/chain/<id>/<page>`.
     BlockedJob(&'a str),
-    /// `w/part/<index>`.
+    /// `w/part/<shard>`.
     Shard(&'a str),
     /// `w/node/<host>`.
     Controller(&'a str),
@@ -19,12 +19,12 @@
     Team(&'a str),
     /// `w/hand/<shard>/<slot>`.
     Failover(&'a str),
-    /// `w/mail/<kind>/<from>/<to>/<piece>`.
+    /// `w/mail/<kind>/<from>/<to>/<chunk>`.
     StoreMessage(&'a str),
 }
 
 impl<'a> FollowedKey<'a> {
-    /// Tells the kind of a key; `None`: one that this version doesn't know.
+    /// Parses a key; `None` if this version doesn't know its kind.
     pub(crate) fn parse(key: &'a str) -> Option<Self> {
         if key == VERSION_KEY {
             return Some(Self::Version);
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -1,5 +1,5 @@
-//! The records kept in the store, and the copy of the keys that every
-//! node follows. No I/O: the store's client is the node's.
+//! Keys and records in the store, and the cache of the keys that every controller watches.
+//! This crate does no I/O; the store client is part of the node crate.
 
 pub mod dependencies;
 pub mod failovers;
--- a/crates/storage/src/packed_chunk.rs
+++ b/crates/storage/src/packed_chunk.rs
@@ -1,8 +1,8 @@
-//! Task records in little room: a full chunk of live attempts stays below 2 KiB.
+//! Packed encoding of task records: a full chunk of live attempts stays below 2 KiB.
 //!
-//! Versions before [`PACKED_RECORD_VERSION`] read only [`TaskChunkRecord`] as it is written by itself,
-//! so the packed form is written once the store says that every controller knows it
-//! ([`crate::records::VersionRecord`]). Both forms are read at any time.
+//! Versions before [`PACKED_RECORD_VERSION`] read only the plain encoding of
+//! [`TaskChunkRecord`]. The packed encoding is written only once [`crate::records::VersionRecord`]
+//! in the store shows that every controller reads it. Both encodings are always read.
 
 use serde::{Deserialize, Serialize};
 
@@ -11,7 +11,7 @@
 use lemonweir_model::{MachineId, Resources};
 use lemonweir_protocol::kv_store::{from_value, to_value};
 
-/// A chunk whose live attempts are one text each.
+/// A task chunk with each live attempt encoded as one string.
 #[derive(Debug, Serialize, Deserialize)]
 struct PackedChunk {
     team: String,
@@ -23,9 +23,10 @@
     done_ranges: Vec<(u32, u32)>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     gang: Option<GangAdmissionRecord>,
-    /// Zones of the attempts' machines.
+    /// Distinct zones of the attempts' machines.
     zones: Vec<String>,
-    /// Task within the chunk, attempt, shard, position in `zones`, machine.
+    /// Task within the chunk, attempt, shard, index into `zones` and machine, separated by
+    /// dots; the machine comes last, since its name may contain dots.
     #[serde(rename = "packed")]
     live_attempts: Vec<String>,
 }
@@ -60,7 +61,7 @@
     })
 }
 
-/// The value of a chunk for a store that all controllers of this version read.
+/// Encodes a chunk for a store whose records have this version.
 pub fn chunk_value(record: &TaskChunkRecord, version: u32) -> rmpv::Value {
     if version < PACKED_RECORD_VERSION {
         return to_value(record);
@@ -90,7 +91,7 @@
     })
 }
 
-/// Reads chunk number `chunk` of a job, in either form.
+/// Decodes chunk number `chunk` of a job from either encoding.
 pub fn read_chunk(value: &rmpv::Value, chunk: u32) -> Option<TaskChunkRecord> {
     let Some(PackedChunk {
         team,
@@ -104,7 +105,7 @@
     else {
         return from_value(value);
     };
-    // Guards against a record of which some attempts are lost: all of it is read, or none.
+    // One unreadable attempt makes the whole record unreadable, so that no attempt is lost.
     let live: Option<Vec<LiveAttemptRecord>> = packed
         .iter()
         .map(|text| unpack(text, chunk, &zones))
--- a/crates/storage/src/records.rs
+++ b/crates/storage/src/records.rs
@@ -1,21 +1,21 @@
-//! Keys and values in the store.
+//! Keys and records in the store.
 //!
-//! | key | value | life |
+//! | key | value | lifetime |
 //! | --- | --- | --- |
-//! | `w/job/<id>` | [`JobRecord`] | while the job is neither done nor withdrawn |
-//! | `w/part/<i>` | [`ShardRecord`] | with its owner's hold |
-//! | `w/node/<host>` | [`ControllerRecord`] | with the node's hold |
-//! | `w/version` | [`VersionRecord`] | for ever |
-//! | `w/team/<name>` | [`TeamAssignmentRecord`] | for ever |
-//! | `w/chain/<id>` | [`JobRecord`] | while the job waits for others ([`crate::dependencies`]) |
-//! | `end/<id>` | [`JobEndRecord`] | for ever |
-//! | `run/<part>/<id>/<chunk>` | [`TaskChunkRecord`] | while the job runs or an attempt may |
-//! | `img/<part>/<page>` | [`ImageLocationsRecord`] | for ever; a hint only |
-//! | `w/mail/<kind>/<from>/<to>/<k>` | [`StoreMessageRecord`] | with the sender's hold |
-//! | `w/hand/<part>/<slot>` | [`crate::failovers::FailoverRecord`] | until the ring comes round |
+//! | `w/job/<id>` | [`JobRecord`] | until the job is done or cancelled |
+//! | `w/part/<shard>` | [`ShardRecord`] | the leader's store lease |
+//! | `w/node/<host>` | [`ControllerRecord`] | the controller's store lease |
+//! | `w/version` | [`VersionRecord`] | permanent |
+//! | `w/team/<name>` | [`TeamAssignmentRecord`] | permanent |
+//! | `w/chain/<id>` | [`JobRecord`] | while the job waits for its dependencies ([`crate::dependencies`]) |
+//! | `end/<id>` | [`JobEndRecord`] | permanent |
+//! | `run/<shard>/<id>/<chunk>` | [`TaskChunkRecord`] | while the job is unfinished or an attempt may run |
+//! | `img/<shard>/<page>` | [`ImageLocationsRecord`] | permanent; a hint only |
+//! | `w/mail/<kind>/<from>/<to>/<chunk>` | [`StoreMessageRecord`] | the sender's store lease |
+//! | `w/hand/<shard>/<slot>` | [`crate::failovers::FailoverRecord`] | until its slot is overwritten |
 //!
-//! Every node follows `w/`. A job leaves it in the same transaction that
-//! writes its end, so start-up reads stay small as finished jobs pile up.
+//! Every controller watches `w/`. A job's key there is deleted in the transaction that writes
+//! its end record, so the snapshot read at start-up stays small as finished jobs accumulate.
 
 use base64::prelude::{BASE64_STANDARD, Engine};
 use serde::{Deserialize, Serialize};
@@ -27,33 +27,33 @@
 use lemonweir_protocol::kv_store::{CompareAndSwap, Condition, Write, to_value};
 use lemonweir_protocol::users::JobPhase;
 
-/// Prefix of the keys that every node follows.
+/// Prefix of the keys that every controller watches.
 pub const FOLLOWED: &str = "w/";
 
-/// Key of a job that is not over.
+/// Key of an unfinished job.
 pub fn job_key(id: &JobId) -> String {
     format!("w/job/{id}")
 }
 
-/// Where the ends of jobs are.
+/// Prefix of the end records of jobs.
 pub const END_PREFIX: &str = "end/";
 
-/// Key of a job's end.
+/// Key of a job's end record.
 pub fn end_key(id: &JobId) -> String {
     format!("{END_PREFIX}{id}")
 }
 
-/// Key of a shard's ownership.
+/// Key that names a shard's leader.
 pub fn shard_key(shard: u16) -> String {
     format!("w/part/{shard}")
 }
 
-/// Key of a node's presence.
+/// Key under which a controller registers itself.
 pub fn controller_key(host: &str) -> String {
     format!("w/node/{host}")
 }
 
-/// Key of a team's part.
+/// Key that names a team's shard.
 pub fn team_key(team: &str) -> String {
     format!("w/team/{team}")
 }
@@ -68,28 +68,28 @@
     format!("run/{shard}/{job}/{chunk}")
 }
 
-/// Reads the job and the chunk from a key of a task record.
+/// Parses the job and the chunk from the key of a task record.
 pub fn parse_task_chunk_key(key: &str) -> Option<(JobId, u32)> {
     let mut segments = key.strip_prefix("run/")?.split('/');
-    let _part = segments.next()?;
+    let _shard = segments.next()?;
     let job = JobId::parse(segments.next()?)?;
     Some((job, segments.next()?.parse().ok()?))
 }
 
-/// A job that is not over.
+/// An unfinished job.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct JobRecord {
-    /// What the user asked for.
+    /// The job as its user submitted it.
     pub spec: JobSpec,
-    /// Time of day of the submission, ms.
+    /// Wall-clock time of the submission, ms.
     #[serde(rename = "at")]
     pub submitted_at_ms: u64,
-    /// Its user asked to cancel it: nothing of it starts any more, and once
-    /// no attempt is left its end is written.
+    /// The user asked to cancel the job: no more attempts start, and its end is written once
+    /// no attempt is left.
     #[serde(rename = "withdrawn", default)]
     pub cancel_requested: bool,
-    /// Jobs that it depends on, of which its `spec` may name only the first page; 0 once it
-    /// may start.
+    /// Number of jobs that it depends on, of which `spec` may hold only the first page; 0
+    /// once the job may start.
     #[serde(rename = "awaited", default, skip_serializing_if = "is_zero")]
     pub dependency_count: usize,
 }
@@ -98,48 +98,47 @@
     *count == 0
 }
 
-/// A shard's owner.
+/// The leader of a shard.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Eq)]
 pub struct ShardRecord {
-    /// Host name.
+    /// Host name of the leader.
     pub host: String,
 }
 
-/// A node that lives.
+/// A live controller.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControllerRecord {
-    /// Zone.
+    /// Zone of the controller.
     pub zone: String,
-    /// Format of the messages between controllers that it speaks; 0: an earlier
-    /// one than the first that is told here.
+    /// Version of the peer messages that it speaks; 0: a version from before this field.
     #[serde(rename = "format", default)]
     pub peer_version: u8,
-    /// Shards whose machines it can't hear, which it leaves to others.
+    /// Shards that it leaves to other controllers, since their machines can't reach it.
     #[serde(rename = "deaf", default)]
     pub ceded_shards: Vec<u16>,
-    /// Newest form of the records that it reads; 0: one before the first that is told.
+    /// Newest version of the records that it reads; 0: a version from before this field.
     #[serde(rename = "reads", default)]
     pub record_version: u32,
 }
 
-/// Key of the version that all controllers know.
+/// Key of the record version that every controller reads.
 pub const VERSION_KEY: &str = "w/version";
 
-/// The newest form of the records that every controller reads. It only rises: a
-/// controller of an earlier version may not come back once it has.
+/// The newest version of the records that every controller reads. It only rises; once it
+/// has, a controller that reads only an earlier version must not be started again.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionRecord {
-    /// The version.
+    /// The record version.
     pub version: u32,
 }
 
-/// Records that every controller reads this version, instead of the earlier one whose
-/// record has that version of its key.
-pub fn advance_record_version(version: u32, earlier: u64) -> CompareAndSwap {
+/// Raises the record version that every controller reads to `version`, if the key still
+/// has the version `key_version`.
+pub fn advance_record_version(version: u32, key_version: u64) -> CompareAndSwap {
     CompareAndSwap {
         conditions: vec![Condition {
             key: VERSION_KEY.to_owned(),
-            version: earlier,
+            version: key_version,
         }],
         writes: vec![Write::put(
             VERSION_KEY.to_owned(),
@@ -148,38 +147,38 @@
     }
 }
 
-/// Prefix of what an owner knows of its machines' images.
+/// Prefix of the image locations that a shard's owner stores.
 pub fn image_locations_prefix(shard: u16) -> String {
     format!("img/{shard}/")
 }
 
-/// Key of one page of it.
+/// Key of one page of a shard's image locations.
 pub fn image_locations_key(shard: u16, page: usize) -> String {
     format!("img/{shard}/{page}")
 }
 
-/// Reads the page from a key of it.
+/// Parses the page from the key of image locations.
 pub fn parse_image_locations_key(key: &str) -> Option<usize> {
     key.strip_prefix("img/")?.split_once('/')?.1.parse().ok()
 }
 
-/// Which images some of an owner's machines have. Only a hint, so that a
-/// restarted owner places by images at once. Names are written once a page, so
-/// that hundreds of machines fit one.
+/// The images that some of a shard's machines have cached. It is only a hint, which lets
+/// placement after a restart use image locality at once. Each page holds an image name only
+/// once, so that hundreds of machines fit into one page.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq, Eq)]
 pub struct ImageLocationsRecord {
     /// Images with their sizes in thousandths of a GB.
     #[serde(rename = "n")]
     pub images: Vec<(String, u64)>,
-    /// Machines with their images, as positions in `n`, most recently used first.
+    /// Machines with their images, as indexes into `images`, most recently used first.
     #[serde(rename = "m")]
     pub machines: Vec<(MachineId, Vec<u16>)>,
 }
 
-/// Which shard serves a team.
+/// The shard that serves a team.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct TeamAssignmentRecord {
-    /// The shard.
+    /// Number of the shard.
     #[serde(rename = "part")]
     pub shard: u16,
 }
@@ -191,38 +190,39 @@
     pub phase: JobPhase,
 }
 
-/// Some tasks of a job: which are done, which have a live attempt.
+/// The state of up to `TASKS_PER_CHUNK` tasks of a job: which are done, and which have a
+/// live attempt.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq)]
 pub struct TaskChunkRecord {
-    /// The team, so that its use is counted when the job itself is over.
+    /// The team, so that its usage can be counted after the job has ended.
     pub team: String,
-    /// What a task takes.
+    /// Resources that a task takes.
     #[serde(rename = "need")]
     pub task_resources: Resources,
     /// The next attempt number of the job.
     #[serde(rename = "next")]
     pub next_attempt: u32,
-    /// Ranges of done tasks, first and last.
+    /// Ranges of done tasks, first and last inclusive.
     #[serde(rename = "done")]
     pub done_ranges: Vec<(u32, u32)>,
-    /// Attempts not proven to be over.
+    /// Attempts not proven to have ended.
     #[serde(rename = "live")]
     pub live_attempts: Vec<LiveAttemptRecord>,
-    /// Of a gang: how far its admission has come. None of a gang that an earlier
-    /// version admitted: it may have been started.
+    /// Admission state of a gang. `None` for a gang that an earlier version admitted: it may
+    /// have been started.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub gang: Option<GangAdmissionRecord>,
 }
 
-/// A gang's entry in the admission ledger, in each of its chunks.
+/// Admission state of a gang, repeated in each of its task records.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GangAdmissionRecord {
-    /// How far it has come.
+    /// The step that was reached.
     pub step: GangAdmissionStep,
-    /// Time of day of that step, ms.
+    /// Wall-clock time of that step, ms.
     #[serde(rename = "at")]
     pub at_ms: u64,
-    /// The attempt that its members share.
+    /// The attempt number that all tasks of the gang share.
     #[serde(rename = "a")]
     pub attempt: u32,
 }
@@ -231,27 +231,27 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum GangAdmissionStep {
-    /// Every member has a machine; owners are asked for room. Nothing is launched.
+    /// Every task has a machine, and the owners are asked for resources. Nothing is started.
     Planned,
-    /// Every owner has granted room: it may be launched from now on.
+    /// Every owner has granted the resources: the gang may be started from now on.
     Admitted,
-    /// All of it is being released.
+    /// All resources of the gang are being released.
     Released,
-    /// What a later version knows.
+    /// A step that a later version introduced.
     #[serde(other)]
     Other,
 }
 
-/// An attempt not proven to be over.
+/// An attempt not proven to have ended.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub struct LiveAttemptRecord {
-    /// Task.
+    /// Number of the task in its job.
     #[serde(rename = "t")]
     pub task: u32,
-    /// Attempt.
+    /// Number of the attempt.
     #[serde(rename = "a")]
     pub attempt: u32,
-    /// Machine.
+    /// Machine that the attempt was placed on.
     #[serde(rename = "m")]
     pub machine: MachineId,
     /// Shard of the machine.
@@ -262,7 +262,7 @@
     pub zone: String,
 }
 
-/// Accepts a job: neither it nor its end may be known.
+/// Creates a job, on the condition that no record of it exists.
 pub fn create_job(record: &JobRecord) -> CompareAndSwap {
     let id = &record.spec.id;
     CompareAndSwap {
@@ -274,8 +274,8 @@
 /// Conditions of [`absent`] for one job.
 pub const CONDITIONS_PER_ABSENT_JOB: usize = 3;
 
-/// Asks whether no such jobs are: neither unfinished, waiting for others nor over. It
-/// writes nothing; what it fails on is there.
+/// Verifies without a write that no records of these jobs exist: neither unfinished, blocked
+/// nor ended. The keys that it fails on exist.
 pub fn absent(jobs: &[JobId]) -> CompareAndSwap {
     CompareAndSwap {
         conditions: jobs.iter().flat_map(job_absent_conditions).collect(),
@@ -283,12 +283,11 @@
     }
 }
 
-/// Asks for the end of a job whose key has this version: if it has ended
-/// meanwhile, the key has another. Its placer writes the end once every attempt
-/// is proven to be over.
+/// Requests the cancellation of a job whose key has this version; it fails if the job has
+/// ended since. The job's placer writes the end once every attempt is proven to have ended.
 pub fn request_cancellation(record: &JobRecord, version: u64) -> CompareAndSwap {
     let key = job_key(&record.spec.id);
-    let asked = JobRecord {
+    let requested = JobRecord {
         cancel_requested: true,
         ..record.clone()
     };
@@ -297,12 +296,13 @@
             key: key.clone(),
             version,
         }],
-        writes: vec![Write::put(key, &asked)],
+        writes: vec![Write::put(key, &requested)],
     }
 }
 
-/// Takes a shard whose key has this version (0: no key), to live with a store lease.
-pub fn acquire_shard(version: u64, host: &str, hold: u64, entry: &NewFailover) -> CompareAndSwap {
+/// Acquires a shard whose key has this version (0: no key); the key is bound to the store
+/// lease.
+pub fn acquire_shard(version: u64, host: &str, lease: u64, entry: &NewFailover) -> CompareAndSwap {
     let (key, record) = (
         shard_key(entry.shard),
         ShardRecord {
@@ -317,14 +317,14 @@
         writes: vec![Write::Put {
             key,
             value: to_value(&record),
-            lease: Some(hold),
+            lease: Some(lease),
         }],
     };
     entry.add_to(&mut cas);
     cas
 }
 
-/// Gives up a shard that is held with this token.
+/// Releases a shard that is led with this fencing token.
 pub fn release_shard(token: u64, entry: &NewFailover) -> CompareAndSwap {
     let key = shard_key(entry.shard);
     let mut cas = CompareAndSwap {
@@ -338,28 +338,28 @@
     cas
 }
 
-/// Gives up a shard that is held with this token, and shows with the node's
-/// presence that it leaves it to others.
+/// Releases a shard that is led with this fencing token, and lists it among the controller's
+/// ceded shards so that other controllers acquire it.
 pub fn cede_shard(
     token: u64,
     entry: &NewFailover,
     host: &str,
     zone: &str,
-    hold: u64,
-    deaf: Vec<u16>,
+    lease: u64,
+    ceded: Vec<u16>,
 ) -> CompareAndSwap {
     let mut cas = release_shard(token, entry);
     cas.writes
-        .extend(register_controller(host, zone, hold, deaf).writes);
+        .extend(register_controller(host, zone, lease, ceded).writes);
     cas
 }
 
-/// Shows a node's presence, to live with its store lease.
-pub fn register_controller(host: &str, zone: &str, hold: u64, deaf: Vec<u16>) -> CompareAndSwap {
+/// Registers a controller; the key is bound to its store lease.
+pub fn register_controller(host: &str, zone: &str, lease: u64, ceded: Vec<u16>) -> CompareAndSwap {
     let record = ControllerRecord {
         zone: zone.to_owned(),
         peer_version: PEER_VERSION,
-        ceded_shards: deaf,
+        ceded_shards: ceded,
         record_version: PACKED_RECORD_VERSION,
     };
     CompareAndSwap {
@@ -367,12 +367,12 @@
         writes: vec![Write::Put {
             key: controller_key(host),
             value: to_value(&record),
-            lease: Some(hold),
+            lease: Some(lease),
         }],
     }
 }
 
-/// Records the shards of teams that have none.
+/// Assigns shards to teams that have none.
 pub fn assign_teams(teams: &[(String, u16)]) -> CompareAndSwap {
     CompareAndSwap {
         conditions: teams
@@ -389,28 +389,28 @@
     }
 }
 
-/// Key of one piece of a peer message that travels through the store.
-pub fn store_message_key(kind: StoreMessageKind, from: u16, to: u16, piece: usize) -> String {
+/// Key of one chunk of a peer message that is sent through the store.
+pub fn store_message_key(kind: StoreMessageKind, from: u16, to: u16, chunk: usize) -> String {
     let kind = match kind {
         StoreMessageKind::Sync => "sync",
         StoreMessageKind::View => "view",
     };
-    format!("w/mail/{kind}/{from}/{to}/{piece}")
+    format!("w/mail/{kind}/{from}/{to}/{chunk}")
 }
 
-/// Which message a piece belongs to.
+/// Kind of a peer message in the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StoreMessageKind {
-    /// A placer's wants.
+    /// A placer's [`lemonweir_protocol::peer::SyncRequest`].
     Sync,
-    /// An owner's state.
+    /// An owner's [`lemonweir_protocol::peer::ShardView`].
     View,
 }
 
 /// Sender, receiver and kind of a peer message in the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct StoreMessageRoute {
-    /// What it carries.
+    /// Kind of the message.
     pub kind: StoreMessageKind,
     /// Shard of the sender.
     pub from_shard: u16,
@@ -418,7 +418,7 @@
     pub to_shard: u16,
 }
 
-/// Reads line and piece from the key below `w/mail/`.
+/// Parses the part of a key after `w/mail/` into the message's route and the chunk.
 pub fn parse_store_message_key(rest: &str) -> Option<(StoreMessageRoute, usize)> {
     let mut segments = rest.split('/');
     let kind = match segments.next()? {
@@ -426,53 +426,53 @@
         "view" => StoreMessageKind::View,
         _ => return None,
     };
-    let line = StoreMessageRoute {
+    let route = StoreMessageRoute {
         kind,
         from_shard: segments.next()?.parse().ok()?,
         to_shard: segments.next()?.parse().ok()?,
     };
-    Some((line, segments.next()?.parse().ok()?))
+    Some((route, segments.next()?.parse().ok()?))
 }
 
-/// One piece of a peer message. Values hold nothing binary, so the bytes are
-/// written as base64.
+/// One chunk of a peer message. Values can't hold binary data, so the bytes are encoded as
+/// base64.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Eq)]
 pub struct StoreMessageRecord {
-    /// Pieces of the message.
+    /// Number of chunks of the message.
     #[serde(rename = "n")]
     pub chunk_count: usize,
-    /// Token and number of the message: pieces of one message agree.
+    /// Fencing token and sequence number of the message, equal in all of its chunks.
     #[serde(rename = "id")]
     pub message_id: (u64, u64),
-    /// The bytes.
+    /// Bytes of this chunk.
     #[serde(rename = "b")]
     pub payload_base64: String,
 }
 
-/// Writes a peer message in as many values of `piece_bytes` as it takes, to
-/// live with the sender's store lease.
+/// Writes a peer message, split into values of at most `chunk_bytes` before encoding; the
+/// keys are bound to the sender's store lease.
 pub fn post(
-    line: StoreMessageRoute,
+    route: StoreMessageRoute,
     id: (u64, u64),
     bytes: &[u8],
-    piece_bytes: usize,
-    hold: u64,
+    chunk_bytes: usize,
+    lease: u64,
 ) -> CompareAndSwap {
-    let pieces: Vec<&[u8]> = bytes.chunks(piece_bytes.max(1)).collect();
-    let value = |piece: &[u8]| {
+    let chunks: Vec<&[u8]> = bytes.chunks(chunk_bytes.max(1)).collect();
+    let value = |chunk: &[u8]| {
         to_value(&StoreMessageRecord {
-            chunk_count: pieces.len(),
+            chunk_count: chunks.len(),
             message_id: id,
-            payload_base64: BASE64_STANDARD.encode(piece),
+            payload_base64: BASE64_STANDARD.encode(chunk),
         })
     };
-    let put = |(k, piece): (usize, &&[u8])| Write::Put {
-        key: store_message_key(line.kind, line.from_shard, line.to_shard, k),
-        value: value(piece),
-        lease: Some(hold),
+    let put = |(k, chunk): (usize, &&[u8])| Write::Put {
+        key: store_message_key(route.kind, route.from_shard, route.to_shard, k),
+        value: value(chunk),
+        lease: Some(lease),
     };
     CompareAndSwap {
         conditions: Vec::new(),
-        writes: pieces.iter().enumerate().map(put).collect(),
+        writes: chunks.iter().enumerate().map(put).collect(),
     }
 }
--- a/crates/storage/src/state_cache.rs
+++ b/crates/storage/src/state_cache.rs
@@ -1,6 +1,6 @@
-//! This node's copy of the keys that every node follows, with the settled ends
-//! it has read. Brought up to date by reading changes; a copy brought up to
-//! date by a read that began after a poll arrived may answer that poll.
+//! A controller's cache of the keys under `w/`, which every controller watches, and of the
+//! ends of jobs that it has read. It is updated by applying changes. A poll may be answered
+//! from the cache once it is updated by a read that began after the poll arrived.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::sync::Arc;
@@ -18,11 +18,11 @@
 use lemonweir_protocol::kv_store::{KeyValue, WatchEvent, from_value};
 use lemonweir_protocol::users::JobPhase;
 
-/// Settled ends of jobs remembered by a node, so that repeated polls need no
-/// read; about 60 bytes each.
+/// Ends of jobs that are cached at most, so that repeated polls need no read of the store;
+/// about 60 bytes each.
 const MAX_CACHED_JOB_ENDS: usize = 20_000;
 
-/// An unfinished job with the version of its key.
+/// An unfinished job that isn't blocked.
 #[derive(Clone, Debug)]
 pub struct CachedJob {
     /// The record.
@@ -31,71 +31,74 @@
     pub version: u64,
 }
 
-/// A job that waits for others.
+/// A job that waits for its dependencies.
 #[derive(Clone, Debug)]
 pub struct BlockedJob {
-    /// The record; its `spec` names the first page of the jobs that it depends on.
+    /// The record; its `spec` holds only the first page of its dependencies.
     pub record: Arc<JobRecord>,
     /// Version of the key.
     pub version: u64,
 }
 
-/// A job's end, which never changes.
+/// The end of a job, which never changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FinalState {
     /// Done or cancelled.
     pub phase: JobPhase,
-    /// When this node learned of it, ms.
+    /// Time at which this controller learned of it, ms.
     pub learned_at_ms: u64,
-    /// Version of its key.
+    /// Version of the end record's key.
     pub version: u64,
 }
 
-/// A shard's owner with the shard's fencing token.
+/// The leader of a shard.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ShardLeader {
     /// Host name.
     pub host: String,
-    /// The shard's token: the version of its key.
+    /// The shard's fencing token: the version of its key.
     pub fencing_token: u64,
 }
 
-/// The copy.
+/// Cache of the watched keys and of the ends of jobs.
 #[derive(Default)]
 pub struct StateCache {
-    /// Revision that the copy is at; `None` before the first full reading.
+    /// Revision of the store that the cache reflects; `None` before the first snapshot.
     pub revision: Option<u64>,
-    /// Unfinished jobs.
+    /// Unfinished jobs that aren't blocked.
     pub jobs: BTreeMap<JobId, CachedJob>,
-    /// Jobs that wait for others.
+    /// Jobs that wait for their dependencies.
     pub blocked_jobs: BTreeMap<JobId, BlockedJob>,
-    /// Further pages of what they await.
+    /// Further pages of the dependencies of blocked jobs.
     dependency_pages: BTreeMap<(JobId, usize), Vec<JobId>>,
-    /// Counts changes of jobs that wait.
+    /// Number of changes of blocked jobs and their dependency pages.
     pub blocked_job_changes: u64,
-    /// Counts jobs that ended or went.
-    ended_changes: u64,
-    /// Owners of shards.
+    /// Number of ends learned and of jobs deleted.
+    ended_job_changes: u64,
+    /// Leaders of the shards.
     pub shard_leaders: BTreeMap<u16, ShardLeader>,
-    /// Living nodes.
+    /// Live controllers by host name.
     pub controllers: BTreeMap<String, ControllerRecord>,
-    /// Newest form of the records that every controller reads, and the version of its key.
+    /// Newest version of the records that every controller reads, and the version of its key.
     pub records_version: (u32, u64),
-    /// Shards of teams.
+    /// Shards that serve the teams, by team.
     pub team_shards: BTreeMap<String, u16>,
-    /// The shards' failovers.
+    /// Failovers of the shards.
     pub failovers: FailoverHistory,
-    /// Jobs that came, changed or went since they were last looked at.
+    /// Jobs that were added, changed or removed since [`StateCache::take_changed_jobs`].
     changed_jobs: BTreeSet<JobId>,
+    /// Chunks of peer messages, by route and position.
     messages: BTreeMap<(StoreMessageRoute, usize), StoreMessageRecord>,
+    /// Routes with chunks that came since [`StateCache::take_messages`].
     unread_messages: BTreeSet<StoreMessageRoute>,
-    /// Settled ends.
+    /// Ends of jobs.
     ends: HashMap<JobId, FinalState>,
+    /// Jobs in `ends` in the order of insertion, for eviction.
     ends_order: VecDeque<JobId>,
 }
 
 impl StateCache {
-    /// Takes a full reading.
+    /// Replaces the watched keys by a full listing. Listed pages may be newer than `revision`.
     pub fn load_snapshot(&mut self, entries: &[KeyValue], revision: u64) {
         self.changed_jobs
             .extend(std::mem::take(&mut self.jobs).into_keys());
@@ -113,13 +116,13 @@
         self.revision = Some(revision);
     }
 
-    /// Takes changes in their order, as they are learned at `now`, ms.
+    /// Applies changes in their order, learned at `now`, ms.
     pub fn apply_changes(&mut self, changes: &[WatchEvent], revision: u64, now: u64) {
         for change in changes {
             match (&change.set, &change.drop, &change.value) {
                 (Some(key), _, Some(value)) => self.set(key, value, change.version),
                 (_, Some(key), _) => self.remove(key, change.version, now),
-                _ => tracing::error!("change without key"),
+                _ => tracing::error!("watch event without a key"),
             }
         }
         self.revision = self.revision.max(Some(revision));
@@ -140,7 +143,7 @@
             FollowedKey::StoreMessage(rest) => self.set_message(rest, value),
         });
         if applied.is_none() {
-            tracing::error!(key, "record not understood");
+            tracing::error!(key, "malformed record or unknown key ignored");
         }
     }
 
@@ -170,8 +173,8 @@
     fn set_shard_leader(&mut self, index: &str, value: &rmpv::Value, version: u64) -> Option<()> {
         let index = index.parse().ok()?;
         let ShardRecord { host } = from_value(value)?;
-        // Guards against going back to a leader from before one that a peer has told
-        // of already: the cache learns what lies between later.
+        // A peer may have reported a newer leader than the cache has read. Changes from before
+        // that leader arrive later and must not replace it.
         if self.leads_since_before(index, version).unwrap_or(true) {
             let fencing_token = version;
             self.shard_leaders.insert(
@@ -185,8 +188,8 @@
         Some(())
     }
 
-    /// True if the known leader of a shard was there before a revision; `None`: none is
-    /// known.
+    /// True if the known leader of a shard acquired it before a revision; `None` if no leader
+    /// is known.
     fn leads_since_before(&self, shard: u16, revision: u64) -> Option<bool> {
         let leader = self.shard_leaders.get(&shard)?;
         Some(leader.fencing_token < revision)
@@ -211,9 +214,9 @@
     }
 
     fn set_message(&mut self, rest: &str, value: &rmpv::Value) -> Option<()> {
-        let (route, piece) = parse_store_message_key(rest)?;
+        let (route, chunk) = parse_store_message_key(rest)?;
         let record = from_value::<StoreMessageRecord>(value)?;
-        self.messages.insert((route, piece), record);
+        self.messages.insert((route, chunk), record);
         self.unread_messages.insert(route);
         Some(())
     }
@@ -235,16 +238,16 @@
                     self.messages.remove(&key);
                 }
             }
-            // The version is never deleted; what a later version follows is its own.
+            // The version is never deleted; unknown keys belong to a later version.
             Some(FollowedKey::Version) | None => {}
         }
     }
 
     fn remove_job(&mut self, id: JobId, version: u64, now: u64) {
-        self.ended_changes += 1;
+        self.ended_job_changes += 1;
         let removed = self.jobs.remove(&id);
-        // A job that nobody asked to cancel leaves when it is done: its end needs no
-        // reading. It was written in the same transaction, at this revision.
+        // The key of a job that nobody asked to cancel is deleted only when the job is done,
+        // so its end needs no read. It was written in the same transaction, at this revision.
         if removed.is_some_and(|job| !job.record.cancel_requested) {
             self.record_end(&id, JobPhase::Done, version, now);
         }
@@ -262,96 +265,96 @@
 
     fn remove_shard_leader(&mut self, index: &str, version: u64) {
         let Ok(index) = index.parse() else { return };
-        // Guards against dropping a leader that came after this.
+        // A leader that acquired the shard after this deletion stays.
         if self.leads_since_before(index, version).unwrap_or(false) {
             self.shard_leaders.remove(&index);
         }
     }
 
-    /// The dependencies of a job, if all pages of them are here.
+    /// The dependencies of a blocked job, if all of their pages are cached.
     pub fn dependencies(&self, id: &JobId) -> Option<Vec<JobId>> {
         let record = &self.blocked_jobs.get(id)?.record;
-        let mut awaits = record.spec.depends_on.clone();
+        let mut dependencies = record.spec.depends_on.clone();
         for page in 1.. {
-            if awaits.len() >= record.dependency_count {
+            if dependencies.len() >= record.dependency_count {
                 break;
             }
-            awaits.extend(
+            dependencies.extend(
                 self.dependency_pages
                     .get(&(id.clone(), page))?
                     .iter()
                     .cloned(),
             );
         }
-        Some(awaits)
+        Some(dependencies)
     }
 
-    /// Further pages of jobs that wait no more.
+    /// Dependency pages of jobs that are no longer blocked.
     pub fn orphaned_dependency_pages(&self) -> impl Iterator<Item = &(JobId, usize)> {
         self.dependency_pages
             .keys()
             .filter(|(id, _)| !self.blocked_jobs.contains_key(id))
     }
 
-    /// Changes with any of which waiting jobs may stand otherwise.
+    /// Number of changes that may affect which blocked jobs can start.
     pub fn dependency_changes(&self) -> u64 {
-        self.blocked_job_changes + self.ended_changes
+        self.blocked_job_changes + self.ended_job_changes
     }
 
-    /// True if the job is accepted, as far as this copy tells.
+    /// True if the cache has the job: unfinished, blocked or ended.
     pub fn is_known(&self, id: &JobId) -> bool {
         self.jobs.contains_key(id)
             || self.blocked_jobs.contains_key(id)
             || self.ends.contains_key(id)
     }
 
-    /// What the user of an unfinished job asked for.
+    /// The specification of an unfinished job, blocked or not.
     pub fn job_spec(&self, id: &JobId) -> Option<&JobSpec> {
-        let waiting = || {
+        let blocked = || {
             self.blocked_jobs
                 .get(id)
-                .map(|waiting| &waiting.record.spec)
+                .map(|blocked| &blocked.record.spec)
         };
         self.jobs
             .get(id)
             .map(|job| &job.record.spec)
-            .or_else(waiting)
+            .or_else(blocked)
     }
 
-    /// Jobs that came, changed or went since the last call.
+    /// Jobs that were added, changed or removed since the last call.
     pub fn take_changed_jobs(&mut self) -> BTreeSet<JobId> {
         std::mem::take(&mut self.changed_jobs)
     }
 
-    /// Messages that came since the last call, whole ones only.
+    /// Messages that came since the last call, complete ones only.
     pub fn take_messages(&mut self) -> Vec<(StoreMessageRoute, Vec<u8>)> {
-        let lines = std::mem::take(&mut self.unread_messages);
-        lines
+        let routes = std::mem::take(&mut self.unread_messages);
+        routes
             .into_iter()
-            .filter_map(|line| self.assemble_message(line).map(|bytes| (line, bytes)))
+            .filter_map(|route| self.assemble_message(route).map(|bytes| (route, bytes)))
             .collect()
     }
 
-    /// Puts the pieces of a message together, if they agree.
-    fn assemble_message(&self, line: StoreMessageRoute) -> Option<Vec<u8>> {
-        let first = self.messages.get(&(line, 0))?;
+    /// Assembles the chunks of a message; `None` if one is missing or is of another message.
+    fn assemble_message(&self, route: StoreMessageRoute) -> Option<Vec<u8>> {
+        let first = self.messages.get(&(route, 0))?;
         let mut bytes = Vec::new();
-        for piece in 0..first.chunk_count {
+        for chunk in 0..first.chunk_count {
             let record = self
                 .messages
-                .get(&(line, piece))
+                .get(&(route, chunk))
                 .filter(|r| r.message_id == first.message_id)?;
             bytes.extend(BASE64_STANDARD.decode(&record.payload_base64).ok()?);
         }
         Some(bytes)
     }
 
-    /// Remembers a settled end, learned now; it never changes.
+    /// Caches the end of a job, learned at `now`; a known end is kept, since it never changes.
     pub fn record_end(&mut self, job: &JobId, phase: JobPhase, version: u64, now: u64) {
         if self.ends.contains_key(job) {
             return;
         }
-        self.ended_changes += 1;
+        self.ended_job_changes += 1;
         self.ends.insert(
             job.clone(),
             FinalState {
@@ -368,7 +371,7 @@
         }
     }
 
-    /// A settled end, if remembered.
+    /// The end of a job, if cached.
     pub fn job_end(&self, job: &JobId) -> Option<FinalState> {
         self.ends.get(job).copied()
     }
