--- a/crates/storage/tests/golden_records.rs
+++ b/crates/storage/tests/golden_records.rs
@@ -1,10 +1,8 @@
-//! Golden samples of every stored record, every key and every transaction: each is
-//! written byte for byte as its sample, and its sample, read and written again, is the
-//! same.
+//! Golden samples of every stored record, key and transaction: each must encode to the bytes
+//! of its sample, and the sample must round-trip.
 //!
-//! A sample holds the bytes of MessagePack as hex, and their reading as JSON. The samples
-//! were written once; a record that differs from its sample can't be read by the
-//! controllers that are there.
+//! A sample holds MessagePack bytes as hex and their decoded value as JSON. The samples were
+//! written once; a record that differs from its sample can't be read by deployed controllers.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -34,28 +32,28 @@
     reads: serde_json::Value,
 }
 
-/// The samples of one file, and which of them were compared.
+/// The samples of one file, and the names of those that were compared.
 struct Golden {
     samples: BTreeMap<String, Sample>,
     compared: BTreeSet<String>,
 }
 
 impl Golden {
-    fn of(file: &str) -> Self {
+    fn parse(file: &str) -> Self {
         Self {
             samples: serde_json::from_str(file).expect("samples"),
             compared: BTreeSet::new(),
         }
     }
 
-    /// The sample's bytes, once what is written now is found to be the same.
-    fn same(&mut self, name: &str, written: &[u8]) -> Vec<u8> {
+    /// Asserts that the encoded bytes equal the sample, and returns them.
+    fn assert_encoded(&mut self, name: &str, written: &[u8]) -> Vec<u8> {
         let hex: String = written.iter().map(|b| format!("{b:02x}")).collect();
         let sample = self
             .samples
             .get(name)
             .unwrap_or_else(|| panic!("no sample {name}"));
-        assert_eq!(hex, sample.bytes, "{name} is written as its sample");
+        assert_eq!(hex, sample.bytes, "{name} encodes to its sample");
         assert!(
             self.compared.insert(name.to_owned()),
             "{name} is compared once"
@@ -63,47 +61,47 @@
         written.to_vec()
     }
 
-    /// A stored value, which is returned as it is read from its sample.
+    /// Compares a stored value with its sample, and returns the decoded sample.
     fn value(&mut self, name: &str, value: &Value) -> Value {
-        let bytes = self.same(name, &encode(value));
+        let bytes = self.assert_encoded(name, &encode(value));
         let read: Value = decode(&bytes).expect("MessagePack");
         assert_eq!(
             serde_json::to_value(&read).expect("JSON"),
             self.samples[name].reads,
-            "{name} reads as its sample"
+            "{name} decodes to its sample"
         );
-        assert_eq!(encode(&read), bytes, "{name} as plain values");
+        assert_eq!(encode(&read), bytes, "{name} round-trips as a value");
         read
     }
 
-    /// A record.
+    /// Compares a record with its sample, and returns the decoded record.
     fn record<T: Serialize + DeserializeOwned>(&mut self, name: &str, record: &T) -> T {
         let stored = self.value(name, &to_value(record));
         assert_eq!(
             encode(record),
             encode(&stored),
-            "{name} by itself and as a value"
+            "{name} encodes the same directly and as a value"
         );
-        let read: T = from_value(&stored).unwrap_or_else(|| panic!("{name} is not read"));
-        assert_eq!(to_value(&read), stored, "{name} is written as it was read");
+        let read: T = from_value(&stored).unwrap_or_else(|| panic!("{name} is not decoded"));
+        assert_eq!(to_value(&read), stored, "{name} round-trips");
         read
     }
 
-    /// A transaction.
+    /// Compares a transaction with its sample.
     fn cas(&mut self, name: &str, cas: &CompareAndSwap) {
         let stored = self.value(name, &to_value(cas));
         assert_eq!(
             encode(cas),
             encode(&stored),
-            "{name} by itself and as a value"
+            "{name} encodes the same directly and as a value"
         );
         let read: CompareAndSwap =
-            from_value(&stored).unwrap_or_else(|| panic!("{name} is not read"));
-        assert_eq!(&read, cas, "{name} is read");
+            from_value(&stored).unwrap_or_else(|| panic!("{name} is not decoded"));
+        assert_eq!(&read, cas, "{name} round-trips");
     }
 
-    /// Every sample was compared.
-    fn all(&self) {
+    /// Asserts that every sample was compared.
+    fn assert_all_compared(&self) {
         let names: BTreeSet<String> = self.samples.keys().cloned().collect();
         assert_eq!(self.compared, names, "every sample is compared");
     }
@@ -117,7 +115,7 @@
     JobId::from(format!("req-{n:06}").as_str())
 }
 
-fn job(awaits: usize, withdrawn: bool) -> JobRecord {
+fn job(dependencies: usize, cancelled: bool) -> JobRecord {
     JobRecord {
         spec: JobSpec {
             id: id(412),
@@ -140,11 +138,11 @@
             checkpoint_interval_s: 30.0,
             checkpoint_duration_s: 4.0,
             deadline_s: Some(900.0),
-            depends_on: (1..=awaits).map(id).collect(),
+            depends_on: (1..=dependencies).map(id).collect(),
         },
         submitted_at_ms: NOW,
-        cancel_requested: withdrawn,
-        dependency_count: awaits,
+        cancel_requested: cancelled,
+        dependency_count: dependencies,
     }
 }
 
@@ -179,31 +177,31 @@
     }
 }
 
-fn failover(how: LeadershipChange, from: Option<&str>, to: Option<&str>) -> FailoverRecord {
+fn failover(reason: LeadershipChange, from: Option<&str>, to: Option<&str>) -> FailoverRecord {
     FailoverRecord {
         number: 35,
         previous_leader: from.map(str::to_owned),
         new_leader: to.map(str::to_owned),
-        change: how,
+        change: reason,
         at_ms: NOW,
         up: Some((30, 20, 10)),
         completion: None,
     }
 }
 
-fn entry(how: LeadershipChange, from: Option<&str>, to: Option<&str>) -> NewFailover {
+fn entry(reason: LeadershipChange, from: Option<&str>, to: Option<&str>) -> NewFailover {
     NewFailover {
         shard: 2,
         slot_version: 33,
-        record: failover(how, from, to),
+        record: failover(reason, from, to),
     }
 }
 
 // ---- records ---------------------------------------------------------------
 
 #[test]
-fn records_are_their_samples() {
-    let mut golden = Golden::of(include_str!("samples/golden/records.json"));
+fn records_match_their_samples() {
+    let mut golden = Golden::parse(include_str!("samples/golden/records.json"));
     for (name, record) in [
         ("job", job(0, false)),
         ("job, cancellation asked for", job(0, true)),
@@ -229,13 +227,13 @@
         host: "hutte-0".into(),
     };
     assert_eq!(golden.record("part", &shard), shard);
-    let node = ControllerRecord {
+    let controller = ControllerRecord {
         zone: "eemsmond".into(),
         peer_version: 3,
         ceded_shards: vec![2, 4],
         record_version: 1,
     };
-    assert_eq!(golden.record("node", &node), node);
+    assert_eq!(golden.record("node", &controller), controller);
     let version = VersionRecord { version: 1 };
     assert_eq!(golden.record("version", &version), version);
     assert_eq!(
@@ -262,20 +260,20 @@
         ],
     };
     assert_eq!(golden.record("images", &images), images);
-    let mail = StoreMessageRecord {
+    let message = StoreMessageRecord {
         chunk_count: 2,
         message_id: (42, 7),
         payload_base64: "AAEC".into(),
     };
-    assert_eq!(golden.record("piece of mail", &mail), mail);
-    golden.all();
+    assert_eq!(golden.record("piece of mail", &message), message);
+    golden.assert_all_compared();
 }
 
 #[test]
-fn task_records_are_their_samples_in_each_form() {
-    let mut golden = Golden::of(include_str!("samples/golden/chunks.json"));
+fn task_records_match_their_samples_in_both_encodings() {
+    let mut golden = Golden::parse(include_str!("samples/golden/chunks.json"));
     for (form, version) in [("plain", 0), ("packed", PACKED_RECORD_VERSION)] {
-        for (of, index, record) in [
+        for (case, index, record) in [
             ("no gang", 0, chunk(0, None)),
             ("no gang, third", 2, chunk(2, None)),
             (
@@ -300,19 +298,19 @@
             ),
             ("empty", 0, TaskChunkRecord::default()),
         ] {
-            let name = format!("{form}, {of}");
+            let name = format!("{form}, {case}");
             let stored = golden.value(&name, &chunk_value(&record, version));
             let read = read_chunk(&stored, index).expect("a task record");
             assert_eq!(read, record, "{name}");
             assert_eq!(chunk_value(&read, version), stored, "{name}");
         }
     }
-    golden.all();
+    golden.assert_all_compared();
 }
 
 #[test]
-fn handovers_are_their_samples_in_each_variant() {
-    let mut golden = Golden::of(include_str!("samples/golden/handovers.json"));
+fn failover_records_match_their_samples() {
+    let mut golden = Golden::parse(include_str!("samples/golden/handovers.json"));
     let (a, b) = (Some("hutte-0"), Some("hutte-2"));
     for (name, record) in [
         ("vacant", failover(LeadershipChange::Vacant, None, a)),
@@ -351,13 +349,13 @@
     ] {
         assert_eq!(golden.record(name, &record), record, "{name}");
     }
-    golden.all();
+    golden.assert_all_compared();
 }
 
 // ---- keys ------------------------------------------------------------------
 
 #[test]
-fn keys_are_spelled_as_ever() {
+fn keys_keep_their_spelling() {
     assert_eq!(FOLLOWED, "w/");
     assert_eq!(END_PREFIX, "end/");
     assert_eq!(VERSION_KEY, "w/version");
@@ -392,7 +390,7 @@
 }
 
 #[test]
-fn keys_are_read_as_they_are_spelled() {
+fn keys_are_parsed() {
     assert_eq!(
         parse_task_chunk_key("run/2/req-000412/5"),
         Some((id(412), 5))
@@ -405,20 +403,20 @@
         ("sync/1/2/3", StoreMessageKind::Sync),
         ("view/1/2/3", StoreMessageKind::View),
     ] {
-        let line = StoreMessageRoute {
+        let route = StoreMessageRoute {
             kind,
             from_shard: 1,
             to_shard: 2,
         };
-        assert_eq!(parse_store_message_key(rest), Some((line, 3)));
+        assert_eq!(parse_store_message_key(rest), Some((route, 3)));
     }
 }
 
 // ---- transactions ----------------------------------------------------------
 
 #[test]
-fn transactions_of_records_are_their_samples() {
-    let mut golden = Golden::of(include_str!("samples/golden/transactions.json"));
+fn transactions_match_their_samples() {
+    let mut golden = Golden::parse(include_str!("samples/golden/transactions.json"));
     golden.cas("accept a job", &create_job(&job(0, false)));
     golden.cas("ask whether jobs are absent", &absent(&[id(1), id(2)]));
     golden.cas("cancel a job", &request_cancellation(&job(0, false), 50));
@@ -444,19 +442,19 @@
         ("post a sync", StoreMessageKind::Sync),
         ("post a view", StoreMessageKind::View),
     ] {
-        let line = StoreMessageRoute {
+        let route = StoreMessageRoute {
             kind,
             from_shard: 1,
             to_shard: 2,
         };
-        golden.cas(name, &post(line, (42, 7), &[0, 1, 2, 253, 254], 3, 9));
+        golden.cas(name, &post(route, (42, 7), &[0, 1, 2, 253, 254], 3, 9));
     }
-    golden.all();
+    golden.assert_all_compared();
 }
 
 #[test]
-fn transactions_of_chains_are_their_samples() {
-    let mut golden = Golden::of(include_str!("samples/golden/chain_transactions.json"));
+fn dependency_transactions_match_their_samples() {
+    let mut golden = Golden::parse(include_str!("samples/golden/chain_transactions.json"));
     let accepted = create_blocked_job(&job(2 * DEPENDENCIES_PER_PAGE + 1, false), 1);
     assert_eq!(accepted.len(), 3);
     for (i, cas) in accepted.iter().enumerate() {
@@ -470,5 +468,5 @@
         &unblock_job(&job(2, false), 52, &done),
     );
     golden.cas("ask whether ends stand", &check_ends_unchanged(&done));
-    golden.all();
+    golden.assert_all_compared();
 }
--- a/crates/storage/tests/late.rs
+++ b/crates/storage/tests/late.rs
@@ -1,5 +1,5 @@
-//! Transactions that are made late, and readings that don't agree, against a plain
-//! store: each order given by hand.
+//! Transactions that the store executes late, and reads of different revisions, against a
+//! minimal store. Each test spells out one order of events.
 
 use std::collections::BTreeMap;
 
@@ -27,7 +27,7 @@
         self.versions.get(key).copied().unwrap_or(0)
     }
 
-    /// The revision at which it was made.
+    /// Executes a transaction; returns its revision, or `None` if a condition failed.
     fn cas(&mut self, cas: &CompareAndSwap) -> Option<u64> {
         if cas
             .conditions
@@ -46,14 +46,14 @@
         Some(self.revision)
     }
 
-    /// A hold ends, with the key of the part that it held.
-    fn end_hold(&mut self, shard: u16) {
+    /// The store lease of a shard's leader expires, which deletes the shard's key.
+    fn expire_lease(&mut self, shard: u16) {
         self.revision += 1;
         self.versions.remove(&shard_key(shard));
     }
 }
 
-/// The next entry of part 0, as counted from a copy that is up to date.
+/// The failover record of shard 0 with this number, as written by an up-to-date controller.
 fn entry(store: &Store, n: u64, to: Option<&str>) -> NewFailover {
     let record = FailoverRecord {
         number: n,
@@ -72,45 +72,45 @@
     }
 }
 
-/// A taking without an answer is made again under another hold, and the part is given
-/// up, or its hold ends. There is no key as there was none when the first was sent:
-/// made now, it would give the part to who did not decide to have it.
+/// An acquisition without a response is retried under another lease, and then the shard is
+/// released, or the lease expires. The shard again has no key, as when the first transaction
+/// was sent. Executed now, that one would make a controller leader that doesn't expect it.
 #[test]
-fn a_part_is_not_taken_by_a_late_transaction_once_its_key_is_gone_again() {
-    for given_up in [true, false] {
+fn late_acquisition_fails_after_the_shard_is_released() {
+    for released in [true, false] {
         let mut store = Store::default();
         let late = acquire_shard(0, "h1", 7, &entry(&store, 1, Some("h1")));
         let token = store
             .cas(&acquire_shard(0, "h1", 8, &entry(&store, 1, Some("h1"))))
             .expect("there is no key");
-        if given_up {
+        if released {
             store
                 .cas(&release_shard(token, &entry(&store, 2, None)))
-                .expect("it is held");
+                .expect("the shard has a leader");
         } else {
-            store.end_hold(0);
+            store.expire_lease(0);
         }
         assert_eq!(store.version(&shard_key(0)), 0);
-        assert_eq!(store.cas(&late), None, "given up: {given_up}");
+        assert_eq!(store.cas(&late), None, "released: {released}");
     }
 }
 
-/// The same where the first one is made after all: the second fails, and its sender
-/// reads that the part's key names its own host.
+/// An acquisition without a response was executed: its retry fails, and the sender reads its
+/// own host name from the shard's key.
 #[test]
-fn of_two_takings_only_one_is_made() {
+fn retried_acquisition_and_late_release_fail() {
     let mut store = Store::default();
     let first = acquire_shard(0, "h1", 7, &entry(&store, 1, Some("h1")));
     let again = acquire_shard(0, "h1", 8, &entry(&store, 1, Some("h1")));
     assert!(store.cas(&first).is_some());
     assert_eq!(store.cas(&again), None);
-    // A giving up without an answer, tried again, and then taken back: the late one
-    // names a token that is no more.
+    // A release without a response is retried, and the shard is acquired again: the late
+    // release is conditional on a fencing token that is no longer valid.
     let token = store.version(&shard_key(0));
     let late = release_shard(token, &entry(&store, 2, None));
     store
         .cas(&release_shard(token, &entry(&store, 2, None)))
-        .expect("it is held");
+        .expect("the shard has a leader");
     store
         .cas(&acquire_shard(0, "h1", 8, &entry(&store, 3, Some("h1"))))
         .expect("there is no key");
@@ -149,7 +149,7 @@
     }
 }
 
-fn over(version: u64, phase: JobPhase) -> CompareAndSwap {
+fn end_job(version: u64, phase: JobPhase) -> CompareAndSwap {
     let id = job().spec.id;
     CompareAndSwap {
         conditions: vec![lemonweir_protocol::kv_store::Condition {
@@ -163,10 +163,10 @@
     }
 }
 
-/// A submission without an answer, tried again at another node, done, and then made:
-/// the job that is over must not come back.
+/// A submission without a response is retried at another controller, and the job ends. If
+/// the first transaction is executed then, it must not create the job again.
 #[test]
-fn a_job_that_is_over_is_not_accepted_by_a_late_transaction() {
+fn late_transactions_fail_for_an_ended_job() {
     let mut store = Store::default();
     let late = create_job(&job());
     let version = store
@@ -174,26 +174,26 @@
             submitted_at_ms: 5,
             ..job()
         }))
-        .expect("nobody knows it");
-    assert_eq!(store.cas(&late), None, "it is known");
-    // A withdrawal and an end that were sent before others changed the job.
-    let late_withdrawal = request_cancellation(&job(), version);
-    let late_end = over(version, JobPhase::Done);
-    let withdrawn = store
+        .expect("the job doesn't exist");
+    assert_eq!(store.cas(&late), None, "the job exists");
+    // A cancellation and an end that were sent before the job's record changed.
+    let late_cancellation = request_cancellation(&job(), version);
+    let late_end = end_job(version, JobPhase::Done);
+    let cancelled = store
         .cas(&request_cancellation(&job(), version))
-        .expect("it is not over");
-    assert_eq!(store.cas(&late_end), None, "it was withdrawn since");
+        .expect("the job is unfinished");
+    assert_eq!(store.cas(&late_end), None, "it was cancelled since");
     store
-        .cas(&over(withdrawn, JobPhase::Withdrawn))
-        .expect("nothing of it is left");
-    for cas in [late, late_withdrawal, late_end] {
-        assert_eq!(store.cas(&cas), None, "it is over");
+        .cas(&end_job(cancelled, JobPhase::Withdrawn))
+        .expect("no attempt is left");
+    for cas in [late, late_cancellation, late_end] {
+        assert_eq!(store.cas(&cas), None, "the job has ended");
     }
 }
 
-// ---- the copy --------------------------------------------------------------------
+// ---- the cache -------------------------------------------------------------------
 
-fn held_by(shard: u16, host: &str, version: u64) -> Changed {
+fn leader_set(shard: u16, host: &str, version: u64) -> Changed {
     let value = to_value(&ShardRecord { host: host.into() });
     Changed {
         set: Some(shard_key(shard)),
@@ -203,7 +203,7 @@
     }
 }
 
-fn gone(shard: u16, version: u64) -> Changed {
+fn leader_deleted(shard: u16, version: u64) -> Changed {
     Changed {
         set: None,
         drop: Some(shard_key(shard)),
@@ -212,45 +212,45 @@
     }
 }
 
-fn holder(host: &str, token: u64) -> ShardLeader {
+fn leader(host: &str, token: u64) -> ShardLeader {
     ShardLeader {
         host: host.into(),
         fencing_token: token,
     }
 }
 
-/// A peer tells of a holder that the copy does not know yet, and the copy then learns
-/// what happened before: the part must not seem to be an earlier holder's, or nobody's.
+/// A peer reports a leader that the cache has not read yet, and the cache then reads older
+/// changes. The shard must not appear to have an earlier leader, or none.
 #[test]
-fn the_copy_never_goes_back_to_an_earlier_holder() {
+fn older_changes_do_not_replace_a_reported_leader() {
     let mut cache = StateCache::default();
-    cache.apply_changes(&[held_by(0, "h0", 10)], 30, 0);
+    cache.apply_changes(&[leader_set(0, "h0", 10)], 30, 0);
     // As `Core::superseded` does.
-    cache.shard_leaders.insert(0, holder("h2", 50));
-    cache.apply_changes(&[gone(0, 35), held_by(0, "h1", 40)], 41, 0);
-    assert_eq!(cache.shard_leaders.get(&0), Some(&holder("h2", 50)));
-    cache.apply_changes(&[gone(0, 45)], 46, 0);
-    assert_eq!(cache.shard_leaders.get(&0), Some(&holder("h2", 50)));
-    // What comes after it counts.
-    cache.apply_changes(&[held_by(0, "h2", 50), gone(0, 60)], 61, 0);
+    cache.shard_leaders.insert(0, leader("h2", 50));
+    cache.apply_changes(&[leader_deleted(0, 35), leader_set(0, "h1", 40)], 41, 0);
+    assert_eq!(cache.shard_leaders.get(&0), Some(&leader("h2", 50)));
+    cache.apply_changes(&[leader_deleted(0, 45)], 46, 0);
+    assert_eq!(cache.shard_leaders.get(&0), Some(&leader("h2", 50)));
+    // Later changes are applied.
+    cache.apply_changes(&[leader_set(0, "h2", 50), leader_deleted(0, 60)], 61, 0);
     assert_eq!(cache.shard_leaders.get(&0), None);
-    cache.apply_changes(&[held_by(0, "h1", 70)], 70, 0);
-    assert_eq!(cache.shard_leaders.get(&0), Some(&holder("h1", 70)));
+    cache.apply_changes(&[leader_set(0, "h1", 70)], 70, 0);
+    assert_eq!(cache.shard_leaders.get(&0), Some(&leader("h1", 70)));
 }
 
-/// Pages of a full reading are of different moments; the changes since the first bring
-/// the copy to one state, and between them nothing older is shown than was read.
+/// The pages of a listing are of different revisions. The changes since the first page make
+/// the cache consistent, and meanwhile it never shows a state older than was read.
 #[test]
-fn pages_of_different_moments_come_to_one_state() {
+fn listing_pages_of_different_revisions_converge() {
     let entry = |key: String, value, version| KeyValue {
         key,
         value,
         version,
     };
     let mut cache = StateCache::default();
-    cache.apply_changes(&[held_by(0, "h0", 5), held_by(1, "h1", 6)], 6, 0);
-    // The first page is of revision 100, that with the parts of 120: meanwhile part 0
-    // changed hands twice, and part 1 was given up.
+    cache.apply_changes(&[leader_set(0, "h0", 5), leader_set(1, "h1", 6)], 6, 0);
+    // The first page is of revision 100, the one with the shards of 120: in between, shard 0
+    // changed its leader twice, and shard 1 was released.
     let shards = [entry(
         shard_key(0),
         to_value(&ShardRecord { host: "h2".into() }),
@@ -259,17 +259,25 @@
     cache.load_snapshot(&shards, 100);
     assert_eq!(
         (cache.revision, cache.shard_leaders.get(&0)),
-        (Some(100), Some(&holder("h2", 115)))
+        (Some(100), Some(&leader("h2", 115)))
+    );
+    // The changes come in two reads, the first of which ends between the two failovers.
+    cache.apply_changes(&[leader_deleted(0, 102), leader_set(0, "h1", 105)], 108, 0);
+    assert_eq!(cache.shard_leaders.get(&0), Some(&leader("h2", 115)));
+    cache.apply_changes(
+        &[
+            leader_deleted(0, 110),
+            leader_deleted(1, 112),
+            leader_set(0, "h2", 115),
+        ],
+        121,
+        0,
     );
-    // Learned in two readings, the first of which ends between the two changes.
-    cache.apply_changes(&[gone(0, 102), held_by(0, "h1", 105)], 108, 0);
-    assert_eq!(cache.shard_leaders.get(&0), Some(&holder("h2", 115)));
-    cache.apply_changes(&[gone(0, 110), gone(1, 112), held_by(0, "h2", 115)], 121, 0);
     assert_eq!(
         cache.shard_leaders,
-        BTreeMap::from([(0, holder("h2", 115))])
+        BTreeMap::from([(0, leader("h2", 115))])
     );
-    // A reading that was asked for earlier than the last one takes nothing back.
+    // A read that was sent before the last one doesn't lower the revision.
     cache.apply_changes(&[], 90, 0);
     assert_eq!(cache.revision, Some(121));
 }
--- a/crates/storage/tests/packed.rs
+++ b/crates/storage/tests/packed.rs
@@ -1,5 +1,5 @@
-//! Task records in both forms: what is read is what was written, and a full chunk fits
-//! the smallest value.
+//! Plain and packed encoding of task records: both decode to what was encoded, and a full
+//! packed chunk fits the smallest value limit.
 
 use lemonweir_model::constants::{PACKED_RECORD_VERSION, TASKS_PER_CHUNK};
 use lemonweir_model::{MachineId, Resources};
@@ -8,10 +8,10 @@
     GangAdmissionRecord, GangAdmissionStep, LiveAttemptRecord, TaskChunkRecord,
 };
 
-/// Bytes of the smallest value that a state service takes.
-const SMALLEST_VALUE: usize = 2_048;
+/// Smallest value limit that a store may have, bytes.
+const SMALLEST_VALUE_LIMIT: usize = 2_048;
 
-fn full(chunk: u32) -> TaskChunkRecord {
+fn full_chunk(chunk: u32) -> TaskChunkRecord {
     let zones = ["eemsmond", "rijnmond", "utrechtbaan"];
     let live = |n: u32| LiveAttemptRecord {
         task: chunk * TASKS_PER_CHUNK + n,
@@ -34,11 +34,11 @@
     }
 }
 
-/// What every version so far reads is written until all controllers read more.
+/// The plain encoding is written until all controllers read the packed one.
 #[test]
-fn each_form_is_read_as_it_was_written() {
+fn both_encodings_round_trip() {
     for chunk in [0, 1, 1_562] {
-        let mut record = full(chunk);
+        let mut record = full_chunk(chunk);
         for _ in 0..TASKS_PER_CHUNK {
             for version in [0, PACKED_RECORD_VERSION] {
                 assert_eq!(
@@ -46,37 +46,37 @@
                     Some(record.clone())
                 );
             }
-            let over = record.live_attempts.remove(0);
-            record.done_ranges.push((over.task, over.task));
+            let done = record.live_attempts.remove(0);
+            record.done_ranges.push((done.task, done.task));
         }
     }
 }
 
 #[test]
-fn a_full_chunk_fits_the_smallest_value() {
+fn packed_full_chunk_fits_the_smallest_value_limit() {
     let bytes = |version| {
-        serde_json::to_vec(&chunk_value(&full(1_562), version))
+        serde_json::to_vec(&chunk_value(&full_chunk(1_562), version))
             .expect("JSON")
             .len()
     };
     assert!(
-        bytes(0) > SMALLEST_VALUE,
-        "the form of earlier versions does not: {}",
+        bytes(0) > SMALLEST_VALUE_LIMIT,
+        "the plain encoding exceeds the limit: {}",
         bytes(0)
     );
     assert!(
-        bytes(PACKED_RECORD_VERSION) < SMALLEST_VALUE * 9 / 10,
+        bytes(PACKED_RECORD_VERSION) < SMALLEST_VALUE_LIMIT * 9 / 10,
         "{}",
         bytes(PACKED_RECORD_VERSION)
     );
 }
 
-/// A record of which one attempt can't be read counts for nothing, and not for fewer
-/// attempts.
+/// A record with one malformed attempt is rejected as a whole, rather than decoded without
+/// that attempt.
 #[test]
-fn a_broken_attempt_is_no_missing_one() {
-    let broken = |text: &str| {
-        let value = chunk_value(&full(0), PACKED_RECORD_VERSION);
+fn malformed_attempt_rejects_the_whole_record() {
+    let with_first_attempt = |text: &str| {
+        let value = chunk_value(&full_chunk(0), PACKED_RECORD_VERSION);
         let text = serde_json::to_string(&value).expect("JSON").replacen(
             "\"0.10.0.0.n-990000\"",
             &format!("\"{text}\""),
@@ -84,7 +84,7 @@
         );
         serde_json::from_str::<rmpv::Value>(&text).expect("a value")
     };
-    assert!(read_chunk(&broken("0.10.0.0.n-990000"), 0).is_some());
+    assert!(read_chunk(&with_first_attempt("0.10.0.0.n-990000"), 0).is_some());
     for text in [
         "",
         "0.10.0.0",
@@ -92,6 +92,6 @@
         "0.10.70000.0.n-990000",
         "x.10.0.0.n-990000",
     ] {
-        assert_eq!(read_chunk(&broken(text), 0), None, "{text}");
+        assert_eq!(read_chunk(&with_first_attempt(text), 0), None, "{text}");
     }
 }
--- a/crates/storage/tests/versions.rs
+++ b/crates/storage/tests/versions.rs
@@ -1,6 +1,7 @@
-//! Records and messages of the version before, and what it reads of ours.
+//! Compatibility with the previous version: its records and messages are read, and it reads
+//! the records that are written now.
 //!
-//! `samples/78c76cd.json` was written once by that commit: a test of its storage package
+//! `samples/78c76cd.json` was written once by that commit: a test of its storage crate
 //! printed one value of each record, and the bytes of each message as base64.
 
 use base64::prelude::{BASE64_STANDARD, Engine};
@@ -30,7 +31,7 @@
 }
 
 #[test]
-fn records_of_the_version_before_are_read() {
+fn records_of_the_previous_version_are_read() {
     let job: JobRecord = from_value(&sample("job")).expect("a job");
     assert!(job.cancel_requested && job.dependency_count == 0 && job.spec.depends_on.is_empty());
     assert_eq!(
@@ -58,7 +59,7 @@
     assert_eq!(
         chunk_value(&chunk, 0),
         to_value(&chunk),
-        "and written back in the same form until all read the next"
+        "written in the plain encoding until all controllers read the packed one"
     );
     assert!(
         from_value::<ShardRecord>(&sample("part")).is_some()
@@ -75,9 +76,9 @@
     );
 }
 
-/// Messages between controllers keep their format: byte for byte what they were.
+/// Peer messages keep their format byte for byte.
 #[test]
-fn messages_are_those_of_the_version_before() {
+fn peer_messages_match_the_previous_version() {
     let sync: SyncRequest = peer::decode(&message("sync")).expect("a sync");
     assert_eq!(
         (sync.desired.len(), sync.progress.len(), peer::encode(&sync)),
@@ -90,18 +91,18 @@
     );
 }
 
-// ---- what the version before reads of ours: its definitions, as they were --------------
+// ---- definitions of the previous version ----------------------------------------------
 
 #[derive(Deserialize)]
-struct EarlierJob {
-    spec: EarlierSpec,
+struct PreviousJobRecord {
+    spec: PreviousJobSpec,
     at: u64,
     #[serde(default)]
     withdrawn: bool,
 }
 
 #[derive(Deserialize)]
-struct EarlierSpec {
+struct PreviousJobSpec {
     #[serde(rename = "nameId")]
     id: JobId,
     #[serde(rename = "pieces")]
@@ -110,16 +111,16 @@
 }
 
 #[derive(Deserialize)]
-struct EarlierNode {
+struct PreviousControllerRecord {
     #[serde(default)]
     format: u8,
 }
 
-/// The key prefixes below `w/` that it takes for something.
-const EARLIER_FOLLOWED: [&str; 6] = ["job", "part", "node", "team", "hand", "mail"];
+/// The kinds of keys under `w/` that the previous version reads.
+const PREVIOUS_KEY_KINDS: [&str; 6] = ["job", "part", "node", "team", "hand", "mail"];
 
 #[test]
-fn the_version_before_reads_what_may_start_and_nothing_that_waits() {
+fn previous_version_reads_unblocked_jobs_and_ignores_blocked_ones() {
     let mut spec: JobSpec = from_value::<JobRecord>(&sample("job")).expect("a job").spec;
     spec.depends_on = vec![JobId::from("req-000001")];
     let record = JobRecord {
@@ -131,7 +132,7 @@
     for cas in create_blocked_job(&record, 4) {
         for write in &cas.writes {
             let Write::Put { key, .. } = write else {
-                panic!("nothing is removed")
+                panic!("no key is deleted")
             };
             let kind = key
                 .strip_prefix(FOLLOWED)
@@ -139,40 +140,45 @@
                 .expect("followed")
                 .0;
             assert!(
-                !EARLIER_FOLLOWED.contains(&kind),
-                "{key} would be taken for work"
+                !PREVIOUS_KEY_KINDS.contains(&kind),
+                "the previous version would read {key}"
             );
         }
     }
-    let released = unblock_job(&record, 3, &[(JobId::from("req-000001"), 2)]);
-    let [Write::Put { key, value, .. }, Write::Delete { key: gone }] = released.writes.as_slice()
+    let unblocked = unblock_job(&record, 3, &[(JobId::from("req-000001"), 2)]);
+    let [
+        Write::Put { key, value, .. },
+        Write::Delete { key: deleted_key },
+    ] = unblocked.writes.as_slice()
     else {
-        panic!("two changes")
+        panic!("two writes")
     };
     assert_eq!(
-        (key.as_str(), gone),
+        (key.as_str(), deleted_key),
         ("w/job/req-000412", &blocked_job_key(&record.spec.id))
     );
-    let earlier: EarlierJob = from_value(value).expect("read");
+    let previous: PreviousJobRecord = from_value(value).expect("read");
     assert_eq!(
         (
-            earlier.spec.id.as_str(),
-            earlier.spec.tasks,
-            earlier.spec.rank
+            previous.spec.id.as_str(),
+            previous.spec.tasks,
+            previous.spec.rank
         ),
         ("req-000412", 16, Priority::High)
     );
-    assert_eq!((earlier.at, earlier.withdrawn), (7, false));
+    assert_eq!((previous.at, previous.withdrawn), (7, false));
     assert!(
         from_value::<JobRecord>(value).is_some_and(|job| job.spec.depends_on.is_empty()),
-        "nothing is lost if it writes it back"
+        "the record is readable after the previous version rewrites it"
     );
-    let shown = register_controller("hutte-0", "eemsmond", 1, Vec::new());
-    let [Write::Put { value, .. }] = shown.writes.as_slice() else {
-        panic!("one change")
+    let registered = register_controller("hutte-0", "eemsmond", 1, Vec::new());
+    let [Write::Put { value, .. }] = registered.writes.as_slice() else {
+        panic!("one write")
     };
     assert_eq!(
-        from_value::<EarlierNode>(value).expect("read").format,
+        from_value::<PreviousControllerRecord>(value)
+            .expect("read")
+            .format,
         PEER_VERSION
     );
 }
