--- a/crates/protocol/src/cloud.rs
+++ b/crates/protocol/src/cloud.rs
@@ -1,31 +1,34 @@
-//! The cloud.
+//! Messages of the cloud API: machine catalog, provisioning and instance lists.
 
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
 use lemonweir_model::{Catalog, MachineId, MachineType, Resources};
 
-/// Reads entries one by one, so that a malformed one changes nothing else: those
-/// that are understood, and a line for each other one that names its fault.
-fn each<T: DeserializeOwned>(items: Vec<rmpv::Value>, what: &str) -> (Vec<T>, Vec<String>) {
-    let (mut good, mut faults) = (Vec::with_capacity(items.len()), Vec::new());
-    for (i, item) in items.into_iter().enumerate() {
+/// Decodes entries one by one, so that a malformed one doesn't affect the others. Returns the
+/// valid entries, and an error text for each malformed one.
+fn decode_entries<T: DeserializeOwned>(
+    entries: Vec<rmpv::Value>,
+    what: &str,
+) -> (Vec<T>, Vec<String>) {
+    let (mut valid, mut errors) = (Vec::with_capacity(entries.len()), Vec::new());
+    for (i, item) in entries.into_iter().enumerate() {
         match rmpv::ext::from_value(item) {
-            Ok(entry) => good.push(entry),
-            Err(error) => faults.push(format!("{what} {i}: {error}")),
+            Ok(entry) => valid.push(entry),
+            Err(error) => errors.push(format!("{what} {i}: {error}")),
         }
     }
-    (good, faults)
+    (valid, errors)
 }
 
-/// The catalog as it comes.
+/// The catalog of machine types as sent by the cloud.
 #[derive(Debug, Deserialize, Serialize)]
 pub struct CatalogResponse {
     /// The machine types, each a [`MachineTypeEntry`].
     pub hardware: Vec<rmpv::Value>,
 }
 
-/// A machine type as it comes.
+/// A machine type of the catalog as sent by the cloud.
 #[derive(Debug, Deserialize, Serialize)]
 #[serde(rename_all = "camelCase")]
 #[allow(missing_docs)]
@@ -48,9 +51,9 @@
 }
 
 impl CatalogResponse {
-    /// The types by name, and a line for each that is malformed.
+    /// The machine types by name, and an error text for each malformed entry.
     pub fn into_catalog(self) -> (Catalog, Vec<String>) {
-        let (types, faults) = each::<MachineTypeEntry>(self.hardware, "hardware");
+        let (types, errors) = decode_entries::<MachineTypeEntry>(self.hardware, "hardware");
         let catalog = types
             .into_iter()
             .map(|t| {
@@ -67,14 +70,14 @@
                 (t.name, machine_type)
             })
             .collect();
-        (catalog, faults)
+        (catalog, errors)
     }
 }
 
-/// A request for machines.
+/// A request to provision machines.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub struct ProvisioningRequest {
-    /// Name of the request, never used twice.
+    /// Unique id of the request.
     #[serde(rename = "booking")]
     pub request_id: String,
     /// Machine type.
@@ -83,15 +86,15 @@
     /// Zone.
     #[serde(rename = "hall")]
     pub zone: String,
-    /// Spot or ordinary.
+    /// True for spot machines, false for on-demand ones.
     #[serde(rename = "standby")]
     pub spot: bool,
-    /// How many.
+    /// Number of machines.
     #[serde(rename = "howMany")]
     pub count: u32,
 }
 
-/// Names of machines, in requests and answers.
+/// Names of machines: those provisioned in a response, or those to release in a request.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MachineNames {
     /// The names.
@@ -99,25 +102,25 @@
     pub machines: Vec<MachineId>,
 }
 
-/// A page of the list of rentals.
+/// A page of the list of provisioned machines.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct InstanceList {
-    /// The machines, each a [`InstanceEntry`].
+    /// The machines, each an [`InstanceEntry`].
     #[serde(rename = "boxes")]
     pub machines: Vec<rmpv::Value>,
-    /// True if more follow.
+    /// True if more pages follow.
     #[serde(rename = "truncated", default)]
     pub truncated: bool,
 }
 
 impl InstanceList {
-    /// The machines, and a line for each entry that is malformed.
+    /// The machines, and an error text for each malformed entry.
     pub fn into_entries(self) -> (Vec<InstanceEntry>, Vec<String>) {
-        each(self.machines, "boxes")
+        decode_entries(self.machines, "boxes")
     }
 }
 
-/// A machine of the list.
+/// A machine in the list of provisioned machines.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct InstanceEntry {
     /// Its name.
@@ -129,17 +132,17 @@
     /// Its zone.
     #[serde(rename = "hall")]
     pub zone: String,
-    /// Spot or ordinary.
+    /// True for a spot machine, false for an on-demand one.
     #[serde(rename = "standby")]
     pub spot: bool,
     /// `starting`, `running` or `failed`.
     pub phase: String,
-    /// Age since the request, s, as of the list.
+    /// Time since the provisioning request, s, as of the list.
     #[serde(rename = "heldS")]
     pub age_s: f64,
 }
 
-/// The body of a refusal.
+/// The body of an error response.
 #[derive(Debug, Deserialize, Serialize)]
 pub struct CloudErrorBody {
     /// `no capacity` or `trouble`.
--- a/crates/protocol/src/image_locality.rs
+++ b/crates/protocol/src/image_locality.rs
@@ -1,64 +1,65 @@
-//! Where a model's weights lie, as `GET /v1/weights` shows it.
+//! Response of `GET /v1/weights/{image}`: which machines have an image cached.
 
 use serde::{Deserialize, Serialize};
 
-/// An image with its users and its copies, as the asked controller knows them.
+/// The jobs that use an image and the machines that have it, as known to the controller that
+/// responds.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ImageLocalityReport {
     /// The image.
     pub image: String,
-    /// Its size in thousandths of a GB, if an unfinished job tells it.
+    /// Size in MB (thousandths of a GB), if an unfinished job specifies it.
     #[serde(rename = "mb", skip_serializing_if = "Option::is_none", default)]
     pub size_mb: Option<u64>,
     /// Unfinished jobs that use it, by class.
     pub users: Vec<ImageUserRow>,
-    /// Zones in which it lies or could lie.
+    /// Copies of the image by zone, including zones without any.
     pub zones: Vec<ZoneImageRow>,
-    /// How old the word of each shard's owner is.
+    /// Age of the information from each shard's owner.
     #[serde(rename = "parts")]
     pub shards: Vec<ShardImageRow>,
 }
 
-/// Jobs of one class.
+/// Unfinished jobs of one class that use the image.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ImageUserRow {
-    /// The class.
+    /// Class of the jobs.
     pub class: String,
-    /// Jobs, and their tasks that are not done.
+    /// Number of jobs.
     pub jobs: u64,
-    /// See `jobs`.
+    /// Number of their tasks that are not done.
     pub tasks: u64,
 }
 
-/// One zone.
+/// Copies of the image in one zone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneImageRow {
-    /// Its name.
+    /// Name of the zone.
     pub zone: String,
-    /// Machines that have the image, and that fetch it.
+    /// Machines that have the image.
     #[serde(rename = "here")]
     pub cached: u64,
-    /// See `here`.
+    /// Machines that are pulling the image.
     #[serde(rename = "coming")]
     pub pulling: u64,
-    /// Of those that have it, those that take new tasks.
+    /// Machines that have the image and accept new tasks.
     #[serde(rename = "open")]
     pub schedulable: u64,
-    /// Machines elsewhere that have it, which the loss of this zone would leave.
+    /// Machines of other zones that have the image, which remain if this zone is lost.
     #[serde(rename = "left")]
     pub cached_elsewhere: u64,
-    /// True if an owner can't see this zone.
+    /// True if the zone is partitioned from an owner.
     #[serde(rename = "hidden")]
     pub partitioned: bool,
 }
 
-/// A shard's word.
+/// Age of the information about one shard's machines.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardImageRow {
     /// The shard.
     #[serde(rename = "part")]
     pub shard: u16,
-    /// Seconds since its owner last told of its machines; none: never.
+    /// Seconds since the owner last reported its machines; `None` if it never did.
     #[serde(rename = "told_s")]
     pub age_s: Option<u64>,
 }
--- a/crates/protocol/src/kv_store.rs
+++ b/crates/protocol/src/kv_store.rs
@@ -1,9 +1,9 @@
-//! The store.
+//! Messages of the store API: listings, transactions, leases and watches.
 
 use rmpv::Value;
 use serde::{Deserialize, Serialize};
 
-/// An entry of the store.
+/// A key of the store with its value.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct KeyValue {
     /// Key.
@@ -12,20 +12,20 @@
     /// Value.
     #[serde(rename = "data")]
     pub value: Value,
-    /// Revision of its last change.
+    /// Revision of the key's last change.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
 
-/// A page of entries.
+/// A page of a listing.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct ListResponse {
-    /// The entries.
+    /// Keys and values on this page.
     pub entries: Vec<KeyValue>,
-    /// True if more follow.
+    /// True if more pages follow.
     #[serde(rename = "truncated", default)]
     pub truncated: bool,
-    /// Revision of the store.
+    /// Revision of the store at which the page was read.
     #[serde(rename = "ledger")]
     pub revision: u64,
 }
@@ -36,12 +36,12 @@
     /// Key.
     #[serde(rename = "path")]
     pub key: String,
-    /// The version that it must have; 0: it must not exist.
+    /// Version that the key must have; 0: it must not exist.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
 
-/// A change of a transaction.
+/// A write of a transaction.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(untagged)]
 pub enum Write {
@@ -53,11 +53,11 @@
         /// Value.
         #[serde(rename = "data")]
         value: Value,
-        /// The store lease that the key lives with.
+        /// Store lease that the key is bound to; it is deleted when the lease expires.
         #[serde(rename = "permit", skip_serializing_if = "Option::is_none", default)]
         lease: Option<u64>,
     },
-    /// Removes a key.
+    /// Deletes a key.
     Delete {
         /// Key.
         #[serde(rename = "drop")]
@@ -66,7 +66,7 @@
 }
 
 impl Write {
-    /// Sets a key that lives until it is removed.
+    /// Sets a key that isn't bound to a lease.
     pub fn put<T: Serialize>(key: String, value: &T) -> Self {
         Write::Put {
             key,
@@ -76,17 +76,17 @@
     }
 }
 
-/// A transaction.
+/// A transaction: all of its writes are made if all of its conditions hold, else none.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Default)]
 pub struct CompareAndSwap {
-    /// All must hold.
+    /// Conditions that must all hold.
     #[serde(rename = "when")]
     pub conditions: Vec<Condition>,
-    /// All are made, or none.
+    /// Writes that are made atomically.
     pub writes: Vec<Write>,
 }
 
-/// The answer to a transaction.
+/// The response to a transaction.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct CompareAndSwapResponse {
     /// Keys whose conditions failed.
@@ -97,7 +97,7 @@
     pub revision: u64,
 }
 
-/// Asks for a store lease.
+/// Requests a store lease.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct LeaseRequest {
     /// Time to live, ms.
@@ -105,32 +105,32 @@
     pub ttl_ms: u64,
 }
 
-/// A store lease.
+/// The response to a lease request.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct LeaseResponse {
-    /// Its id.
+    /// Id of the store lease.
     #[serde(rename = "permit")]
     pub lease: u64,
 }
 
-/// Changes since a revision.
+/// The changes since a revision.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct WatchResponse {
-    /// Revision of the store.
+    /// Revision of the store that the changes lead to.
     #[serde(rename = "ledger")]
     pub revision: u64,
-    /// The changes in order.
+    /// Changes in the order of their revisions.
     #[serde(default)]
     pub events: Vec<WatchEvent>,
 }
 
-/// One change.
+/// A change of one key.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct WatchEvent {
     /// Key that was set.
     #[serde(default)]
     pub set: Option<String>,
-    /// Key that was removed.
+    /// Key that was deleted.
     #[serde(default)]
     pub drop: Option<String>,
     /// Value, with `set`.
@@ -141,14 +141,14 @@
     pub version: u64,
 }
 
-/// Turns a record into a stored value.
+/// Converts a record into a stored value.
 pub fn to_value<T: Serialize>(record: &T) -> Value {
-    // Records are written as maps with names, as the bodies are.
+    // Records are encoded as maps with field names, like the bodies of requests.
     let bytes = rmp_serde::to_vec_named(record).unwrap_or_default();
     rmpv::decode::read_value(&mut bytes.as_slice()).unwrap_or(Value::Nil)
 }
 
-/// Reads a record from a stored value.
+/// Converts a stored value into a record; `None` if it is malformed.
 pub fn from_value<T: serde::de::DeserializeOwned>(value: &Value) -> Option<T> {
     let mut bytes = Vec::new();
     rmpv::encode::write_value(&mut bytes, value).ok()?;
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,5 +1,6 @@
-//! What the counterparts say and hear, one module each. Wire names appear here
-//! and in [`lemonweir_model::JobSpec`] only.
+//! Messages exchanged with users, workers, the cloud, the store and other controllers.
+//!
+//! Only this crate and [`lemonweir_model::JobSpec`] contain names used on the wire.
 
 pub mod cloud;
 pub mod image_locality;
@@ -14,19 +15,18 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Why a message was not understood.
+/// A message that can't be decoded or is invalid, with the reason.
 #[derive(Debug, thiserror::Error)]
 #[error("not understood: {0}")]
 pub struct Malformed(pub String);
 
-/// Writes a message as MessagePack with text keys.
+/// Encodes a message as MessagePack maps with field names as keys.
 pub fn encode<T: Serialize>(message: &T) -> Vec<u8> {
-    // Writing our own types into memory can't fail; an empty body would be
-    // refused by any receiver.
+    // Encoding our own types into memory can't fail; receivers reject an empty body.
     rmp_serde::to_vec_named(message).unwrap_or_default()
 }
 
-/// Reads a MessagePack message that must fill the whole body.
+/// Decodes a MessagePack message that must fill the whole body.
 pub fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, Malformed> {
     let mut rest = body;
     let message = T::deserialize(&mut rmp_serde::Deserializer::new(&mut rest))
@@ -37,21 +37,21 @@
     Ok(message)
 }
 
-/// Why a message between controllers was not understood.
+/// Why a message between controllers can't be decoded.
 #[derive(Debug, thiserror::Error)]
 pub enum DecodeError {
-    /// It holds nothing.
-    #[error("empty")]
+    /// The message is empty.
+    #[error("empty message")]
     Empty,
-    /// Its first byte names a format that this version doesn't read.
-    #[error("format {0}")]
+    /// The first byte names a format version that this version doesn't read.
+    #[error("unknown message format {0}")]
     UnknownFormat(u8),
-    /// What follows is no message of that format.
+    /// The rest isn't a message of that format.
     #[error("{0}")]
     Malformed(#[from] std::io::Error),
 }
 
-/// Reads a message between controllers, whose first byte names its format.
+/// Decodes a message between controllers, whose first byte is its format version.
 fn decode_format<T: BorshDeserialize>(bytes: &[u8], format: u8) -> Result<T, DecodeError> {
     match bytes.first() {
         Some(&found) if found == format => Ok(borsh::from_slice(bytes)?),
--- a/crates/protocol/src/links.rs
+++ b/crates/protocol/src/links.rs
@@ -1,24 +1,23 @@
-//! What controllers tell each other of their links, and what they relay for one
-//! another.
+//! Gossip between controllers about the state of their links, and relayed calls and
+//! heartbeats.
 //!
-//! The messages name their format themselves, and travel on paths of their own:
-//! a controller that doesn't know them answers 404, and is asked to carry
-//! nothing.
+//! These messages have a format version and paths of their own: a controller of a version
+//! that doesn't know them responds with 404 and is not used as a relay.
 
 use crate::{DecodeError, decode_format};
 use borsh::{BorshDeserialize, BorshSerialize};
 use serde::{Deserialize, Serialize};
 
-/// Path on which controllers tell each other of their links.
+/// Path for gossip about links.
 pub const GOSSIP_PATH: &str = "/peer/links";
-/// Path on which a controller asks for a call to be made in its place.
+/// Path for calls to be relayed by the receiver.
 pub const RELAY_PATH: &str = "/peer/carry";
-/// Path on which workers' heartbeats are relayed to the owner.
+/// Path for workers' heartbeats that are relayed to the owner.
 pub const RELAY_HEARTBEATS_PATH: &str = "/peer/reports";
-/// Version of these messages.
+/// Format version of these messages.
 pub const LINKS_VERSION: u8 = 1;
 
-/// How a link stands.
+/// State of a link.
 #[derive(
     Clone,
     Copy,
@@ -35,41 +34,40 @@
 )]
 #[serde(rename_all = "snake_case")]
 pub enum LinkState {
-    /// Nothing went over it yet, or nothing was due.
+    /// Nothing was sent over the link yet, or no response was due.
     #[default]
     Unknown,
-    /// Answers come.
+    /// Responses arrive.
     Up,
-    /// The last answer failed to come; the next one tells.
+    /// The last response is missing; the next call decides whether the link is down.
     #[serde(rename = "late")]
     Suspect,
-    /// What we send is not answered, though messages come from there.
+    /// Our calls get no response, though messages from the other side arrive.
     #[serde(rename = "one_way")]
     InboundOnly,
-    /// Nothing goes through.
+    /// No messages arrive in either direction.
     Down,
 }
 
-/// What a controller says of its own links. Ages are ms as of its sending.
+/// The state of a controller's own links. Ages are in ms as of the time of sending.
 #[derive(Clone, Debug, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct AvailabilityGossip {
-    /// Format.
+    /// Format version.
     pub version: u8,
-    /// Who says so: its number among the controllers.
+    /// Index of the sender among the controllers.
     pub controller: u16,
-    /// Since the store last answered it, not through others; `None`:
-    /// never.
+    /// Time since the store last responded to it directly; `None` if it never did.
     pub store_age_ms: Option<u64>,
-    /// The same of the cloud.
+    /// Time since the cloud last responded to it directly; `None` if it never did.
     pub cloud_age_ms: Option<u64>,
-    /// Its links to the other controllers, and for how long they stand so.
+    /// Links to the other controllers by index: state, and time in that state.
     pub peers: Vec<(u16, LinkState, u64)>,
-    /// Zones, and since when no worker of them came to it by itself.
+    /// Zones, and time since a worker of the zone last reached it directly.
     pub unreachable_zones: Vec<(String, u64)>,
 }
 
 impl AvailabilityGossip {
-    /// ms since a service last answered it by itself.
+    /// ms since a service last responded to the sender directly.
     pub fn service_age_ms(&self, service: Service) -> Option<u64> {
         match service {
             Service::Store => self.store_age_ms,
@@ -78,7 +76,7 @@
     }
 }
 
-/// What a call is meant for.
+/// A service that controllers call.
 #[derive(
     Clone,
     Copy,
@@ -100,131 +98,132 @@
     Cloud,
 }
 
-/// Whom a relayed call shall reach.
+/// Destination of a relayed call.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum RelayTarget {
-    /// One of the services, at the address that the relay peer knows.
+    /// A service, at the address in the relay peer's settings.
     Service(Service),
-    /// A worker's `/commands`, at this address.
+    /// The `/commands` endpoint of the worker at this address.
     Worker(String),
 }
 
-/// A call to be made in the sender's place, at once and not by a third.
+/// A call that the receiver makes on behalf of the sender, at once and without relaying it
+/// further.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct RelayRequest {
-    /// Format.
+    /// Format version.
     pub version: u8,
-    /// Whom it shall reach.
+    /// Destination of the call.
     pub target: RelayTarget,
-    /// Method.
+    /// HTTP method.
     pub method: String,
-    /// Path.
+    /// HTTP path.
     pub path: String,
-    /// Body, as it is.
+    /// Body, passed on unchanged.
     pub body: Vec<u8>,
-    /// ms that the relay peer waits for the answer.
+    /// ms that the relay peer waits for the response.
     pub timeout_ms: u64,
 }
 
-/// The relay peer's answer.
+/// The relay peer's response to a [`RelayRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct RelayResponse {
-    /// Format.
+    /// Format version.
     pub version: u8,
-    /// What became of the call.
+    /// Outcome of the call.
     pub outcome: RelayOutcome,
 }
 
-/// What became of a relayed call.
+/// Outcome of a relayed call.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum RelayOutcome {
-    /// Answered.
+    /// The destination responded.
     Answered {
-        /// Status.
+        /// HTTP status.
         status: u16,
-        /// Body, as it is.
+        /// Body, passed on unchanged.
         body: Vec<u8>,
     },
-    /// Surely not executed.
+    /// The call was certainly not executed.
     NotSent,
-    /// It may have been executed, or may be later.
+    /// The call may have been executed, or may be executed later.
     Unknown,
 }
 
 /// Heartbeats of workers that can't reach their machine's owner.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct RelayedHeartbeats {
-    /// Format.
+    /// Format version.
     pub version: u8,
-    /// Number of the controller that relays them.
+    /// Index of the controller that relays them.
     pub relayed_by: u16,
-    /// The heartbeats, as they came.
+    /// Encoded heartbeats, passed on unchanged.
     pub heartbeats: Vec<Vec<u8>>,
 }
 
-/// The owner's own answers, in the order of the reports: status and body.
+/// The owner's responses to relayed heartbeats.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct RelayedResponses {
-    /// Format.
+    /// Format version.
     pub version: u8,
-    /// One for each heartbeat.
+    /// HTTP status and body for each heartbeat, in the order of the heartbeats.
     pub answers: Vec<(u16, Vec<u8>)>,
 }
 
-/// Reads a message of this format.
+/// Decodes a message of this format version.
 pub fn decode<T: BorshDeserialize>(bytes: &[u8]) -> Result<T, DecodeError> {
     decode_format(bytes, LINKS_VERSION)
 }
 
-/// Writes a message.
+/// Encodes a message.
 pub fn encode<T: BorshSerialize>(message: &T) -> Vec<u8> {
-    // Writing into memory can't fail; an empty message is refused by `decode`.
+    // Encoding into memory can't fail; `decode` rejects an empty message.
     borsh::to_vec(message).unwrap_or_default()
 }
 
-/// The picture that `GET /v1/links` shows.
+/// Response of `GET /v1/links`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LinksReport {
-    /// Links, the asked controller's own first.
+    /// All known links, those of the responding controller first.
     pub links: Vec<LinkRow>,
-    /// Workers whose heartbeats it relays to their owners.
+    /// Workers whose heartbeats the controller relays to their owners.
     #[serde(rename = "carried_workers")]
     pub relayed_workers: usize,
 }
 
-/// One line of it.
+/// One link, as seen from one side.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LinkRow {
-    /// Who sees it so.
+    /// Controller that observes the link.
     pub from: String,
-    /// `store`, `cloud`, a controller, or `workers of` a zone.
+    /// `state service`, `cloud`, a controller, or `workers of` a zone.
     pub to: String,
-    /// How it stands.
+    /// State of the link.
     #[serde(rename = "standing")]
     pub state: LinkState,
-    /// Seconds for which it has stood so, as far as is known.
+    /// Seconds in this state, as far as known.
     pub for_s: u64,
-    /// Controller that relays what goes over it.
+    /// Controller that relays the calls for this link.
     #[serde(
         rename = "carried_by",
         skip_serializing_if = "Option::is_none",
         default
     )]
     pub relayed_by: Option<String>,
-    /// Median and 99th of a hundred of its answers of late, ms.
+    /// Median and 99th percentile of recent response latencies, ms.
     #[serde(rename = "took_ms", skip_serializing_if = "Option::is_none", default)]
     pub latency_ms: Option<(u64, u64)>,
-    /// Seconds since this was said; 0: this controller's own.
+    /// Age of this information, s; 0 for the responding controller's own links.
     #[serde(rename = "said_s")]
     pub age_s: u64,
 }
 
-/// One line of `GET /v1/events`.
+/// One event of `GET /v1/events`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EventRow {
-    /// Time of day, ms.
+    /// Wall-clock time, ms.
     #[serde(rename = "at")]
     pub at_ms: u64,
-    /// What happened.
+    /// Description of the event.
     pub text: String,
 }
--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -1,13 +1,12 @@
-//! Controllers among themselves.
+//! Messages between controllers that reconcile placers and owners.
 //!
-//! There is one exchange. A shard's placer says what it wants of another shard
-//! ([`SyncRequest`]); that shard's owner answers with what it has ([`ShardView`]). Both say
-//! what changed since the state that the other side acknowledged, as a
-//! [`ChangeRange`] of numbers; one that begins at 0 starts from nothing, which is how
-//! a whole state is told. A change carries the newest value, so a repeated one
-//! changes nothing, and a late message is recognised by its number. The same
-//! bytes travel over HTTP or, when two controllers can't reach each other,
-//! through the store.
+//! There is one exchange. A shard's placer sends its desired state of another shard
+//! ([`SyncRequest`]); that shard's owner responds with the observed state ([`ShardView`]).
+//! Both send what changed since the state that the other side acknowledged, as a
+//! [`ChangeRange`] of numbers; a range that begins at 0 is a snapshot. A change carries the
+//! newest value, so it is idempotent, and a late message is recognised by its sequence number.
+//! The same bytes are sent over HTTP or, when two controllers can't reach each other, through
+//! the store.
 
 use crate::{DecodeError, decode_format};
 use borsh::{BorshDeserialize, BorshSerialize};
@@ -15,21 +14,21 @@
 use lemonweir_model::constants::PEER_VERSION;
 use lemonweir_model::{AttemptId, JobId, MachineId, Priority, Resources};
 
-/// Which of a sender's numbered changes a message holds: those after `since`,
-/// up to `upto`.
+/// The sender's numbered changes in a message: those after `since`, up to and including
+/// `until`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct ChangeRange {
-    /// The state that the changes build on; 0: nothing.
+    /// Number of the state that the changes build on; 0: none, the message is a snapshot.
     pub since: u64,
-    /// The state that they lead to.
+    /// Number of the state that the changes lead to.
     pub until: u64,
-    /// True if there was nothing newer.
+    /// True if the sender had no newer changes.
     pub complete: bool,
 }
 
 impl ChangeRange {
-    /// What a receiver at state `at` can do with it: `None` if something is
-    /// missing between, or if the numbers make no sense.
+    /// How a receiver at state `at` applies the changes; `None` if changes are missing in
+    /// between or the numbers are inconsistent.
     pub fn continues_from(&self, at: u64) -> Option<Continuation> {
         match self.since {
             0 => Some(Continuation::Snapshot),
@@ -39,272 +38,276 @@
     }
 }
 
-/// How a span goes on from what its receiver has.
+/// How a receiver applies a [`ChangeRange`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Continuation {
-    /// From nothing: what it and its successors don't name is no more.
+    /// Replaces the receiver's state: entries missing in this message and those that continue
+    /// it no longer exist.
     Snapshot,
-    /// From what there is.
+    /// Builds on the receiver's state.
     Delta,
 }
 
-/// What a placer wants of an owner.
+/// A placer's desired state of another shard.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct SyncRequest {
-    /// Format.
+    /// Format version.
     pub version: u8,
     /// Shard of the placer.
     pub from_shard: u16,
-    /// Token of that shard.
+    /// Fencing token of the placer's shard.
     pub from_fencing_token: u64,
     /// Shard of the owner.
     pub to_shard: u16,
-    /// Token of that shard, as the placer knows it.
+    /// Fencing token of the owner's shard, as known to the placer.
     pub to_fencing_token: u64,
-    /// Grows with every message of this pair of tokens.
+    /// Sequence number, which grows with every message of this pair of fencing tokens.
     pub seq: u64,
-    /// ms since the sender's node last heard from the store.
+    /// ms since the sender last had a response from the store.
     pub store_age_ms: u64,
-    /// Which changes of the recorded attempts on the owner's machines follow.
+    /// Changes of the recorded attempts on the owner's machines that this message holds.
     pub range: ChangeRange,
-    /// Attempts that are new or wanted differently.
+    /// Attempts that are new or whose desired state changed.
     pub desired: Vec<DesiredAttempt>,
-    /// Attempts that are no longer wanted, since their end is written.
+    /// Attempts that are no longer desired, since their end is recorded.
     pub withdrawn: Vec<AttemptId>,
-    /// Stops that stand behind the changes that had room here, with their grace:
-    /// they don't wait for their turn.
+    /// Attempts to stop, with their grace period in s, whose changes don't fit into this
+    /// message: stops don't wait for their place in the order of changes.
     pub stops: Vec<(AttemptId, u32)>,
-    /// States of the owner's machines and of its attempts that the placer has.
+    /// States of the owner's machines and attempts that the placer has received.
     pub observed: ObservedState,
-    /// Machines of the owner that reported to the placer's node of late: they
-    /// can't reach the owner.
+    /// Number of the owner's machines that recently sent heartbeats to the placer's
+    /// controller, since they can't reach the owner.
     pub misrouted_heartbeats: u32,
     /// Machines provisioned by the placer that belong to the owner.
     pub provisioned: Vec<ProvisionedInstance>,
-    /// Empty machines that the placer counts on for work to come.
+    /// Empty machines that the placer reserves for expected work.
     pub reserved_machines: Vec<MachineId>,
-    /// Counts of the placer's jobs that changed, for answers at any node.
+    /// Changed progress of the placer's jobs, so that any controller can respond to polls.
     pub progress: Vec<JobProgress>,
 }
 
-/// Why a sync was not answered: its sender's part has been taken by another
-/// controller since.
+/// Response to a sync whose sender no longer leads its shard: another controller has acquired
+/// it since.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Superseded {
-    /// Format.
+    /// Format version.
     pub version: u8,
-    /// The sender's part.
+    /// Shard of the sender.
     pub shard: u16,
-    /// Its token now.
+    /// Current fencing token of the shard.
     pub fencing_token: u64,
-    /// Who holds it.
+    /// Host name of its current leader.
     pub leader_host: String,
 }
 
-/// How much of an owner's state a placer has.
+/// The states of an owner that a placer has received.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct ObservedState {
-    /// Number of its machines' state.
+    /// Number of the state of the owner's machines.
     pub machines_revision: u64,
-    /// Number of the attempts' state.
+    /// Number of the state of the placer's attempts there.
     pub attempts_revision: u64,
 }
 
-/// One attempt that shall run, or shall end.
+/// An attempt that should run, or should be stopped.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct DesiredAttempt {
     /// The attempt.
     pub id: AttemptId,
-    /// Where.
+    /// Machine that it is placed on.
     pub machine: MachineId,
-    /// What it takes.
+    /// Resources that it takes.
     pub resources: Resources,
-    /// Its image.
+    /// Image that it runs.
     pub image: String,
-    /// Size of the image, thousandths of a GB.
+    /// Size of the image, MB (thousandths of a GB).
     pub image_mb: u64,
-    /// False while a gang's other tasks have no room yet: hold the room, but
-    /// don't start.
+    /// False while other tasks of its gang have no resources yet: the owner reserves its
+    /// resources but doesn't start it.
     pub may_start: bool,
-    /// Set when it shall end: seconds of grace.
+    /// Grace period in s if the attempt should be stopped.
     pub stop_grace_s: Option<u32>,
-    /// Its team.
+    /// Team of its job.
     pub team: String,
     /// Priority of its job.
     pub priority: Priority,
     /// True if its team runs it beyond its guarantee.
     pub over_quota: bool,
-    /// Seconds of grace that it gets when it is preempted for other work.
+    /// Grace period in s if it is preempted.
     pub preemption_grace_s: u32,
     /// True if it runs until its job is cancelled.
     pub runs_until_cancelled: bool,
-    /// Whom it may preempt if there is no room.
+    /// Attempts that it may preempt if the free resources don't suffice.
     pub preemption: PreemptionScope,
 }
 
-/// Whom an attempt may preempt.
+/// The attempts that an attempt may preempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum PreemptionScope {
-    /// Nobody.
+    /// No attempts.
     Nobody,
-    /// Work of lower priority.
+    /// Attempts of lower priority beyond their team's guarantee.
     LowerPriority,
-    /// That, and what other teams run beyond their guarantee.
+    /// Attempts of lower priority, and attempts of other teams beyond their guarantee.
     LowerPriorityOrOverQuota,
 }
 
 impl PreemptionScope {
-    /// True if an attempt of this team and priority may preempt another.
-    /// Work within its team's guarantee is preempted only by a higher
-    /// priority that is within its own: otherwise it would come back at once
-    /// and preempt whoever took its place, for ever. Nor do
-    /// shares preempt production or a higher priority: a replica that is
-    /// down costs its users more than a batch task that waits.
-    pub fn allows(self, team: &str, rank: Priority, victim: &DesiredAttempt) -> bool {
+    /// True if an attempt of this team and priority may preempt `victim`.
+    ///
+    /// A victim within its team's guarantee is preempted only by a higher priority that is
+    /// within its own guarantee: otherwise it would return at once and preempt its successor,
+    /// forever. A guarantee alone doesn't preempt production or a higher priority: a replica
+    /// that is down costs its users more than a batch task that waits.
+    pub fn allows(self, team: &str, priority: Priority, victim: &DesiredAttempt) -> bool {
         match self {
             PreemptionScope::Nobody => false,
-            PreemptionScope::LowerPriority => victim.over_quota && victim.priority > rank,
+            PreemptionScope::LowerPriority => victim.over_quota && victim.priority > priority,
             PreemptionScope::LowerPriorityOrOverQuota => {
-                let others = victim.team != team
-                    && victim.priority >= rank
+                let other_team = victim.team != team
+                    && victim.priority >= priority
                     && victim.priority != Priority::Production;
-                victim.priority > rank || victim.over_quota && others
+                victim.priority > priority || victim.over_quota && other_team
             }
         }
     }
 }
 
-/// A machine that was provisioned and has not shown up yet.
+/// A machine that was provisioned and has not registered yet.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct ProvisionedInstance {
-    /// Its name.
+    /// Name of the machine.
     pub machine: MachineId,
-    /// Its type.
+    /// Machine type.
     pub machine_type: String,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: String,
-    /// Spot or ordinary.
+    /// True for a spot machine, false for an on-demand one.
     pub spot: bool,
-    /// ms since the request.
+    /// ms since the provisioning request.
     pub age_ms: u64,
 }
 
-/// Counts of a job, for display.
+/// Progress of a job, for display.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct JobProgress {
     /// The job.
     pub job: JobId,
-    /// Tasks done.
+    /// Number of tasks that are done.
     pub tasks_done: u32,
-    /// Tasks that run.
+    /// Number of tasks that run.
     pub tasks_running: u32,
-    /// Why it waits, if it does.
+    /// Why the job waits; empty if it doesn't.
     pub wait_reason: String,
 }
 
-/// What an owner has.
+/// The observed state of a shard, as its owner reports it to a placer.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct ShardView {
-    /// Format.
+    /// Format version.
     pub version: u8,
     /// Shard of the owner.
     pub shard: u16,
-    /// Token of that shard.
+    /// Fencing token of that shard.
     pub fencing_token: u64,
-    /// Number of the message that this answers.
+    /// Sequence number of the sync that this responds to.
     pub seq: u64,
-    /// ms since the sender's node last heard from the store.
+    /// ms since the sender last had a response from the store.
     pub store_age_ms: u64,
-    /// State of the asker's wants that the owner has; 0: it needs all.
+    /// Number of the placer's desired state that the owner has; 0 requests a snapshot.
     pub desired_revision: u64,
     /// Zones of the shard that are partitioned from its owner.
     pub partitioned_zones: Vec<PartitionedZone>,
-    /// Which changes of machines follow.
+    /// Changes of machines that this message holds.
     pub machines_range: ChangeRange,
     /// Machines that are new or changed.
     pub machines: Vec<MachineView>,
-    /// Machines that are no more.
+    /// Machines that no longer exist.
     pub removed_machines: Vec<MachineId>,
-    /// Which changes of attempts follow.
+    /// Changes of attempts that this message holds.
     pub attempts_range: ChangeRange,
-    /// The asker's attempts that moved on.
+    /// The placer's attempts whose state changed.
     pub attempts: Vec<AttemptStatus>,
 }
 
-/// A zone whose machines are mostly silent to their owner.
+/// A zone most of whose machines don't reach their owner.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct PartitionedZone {
-    /// The zone.
+    /// Name of the zone.
     pub zone: String,
-    /// ms since when.
+    /// ms since the partition began.
     pub partitioned_for_ms: u64,
-    /// ms until what ran there is proven over, if none of it is heard again.
+    /// ms until the attempts there are proven to have ended, unless their machines send
+    /// heartbeats again.
     pub presumed_lost_in_ms: u64,
 }
 
-/// A machine as its owner sees it.
+/// A machine as observed by its owner.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct MachineView {
-    /// Its name.
+    /// Name of the machine.
     pub id: MachineId,
-    /// Its type.
+    /// Machine type.
     pub machine_type: String,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: String,
-    /// Spot or ordinary.
+    /// True for a spot machine, false for an on-demand one.
     pub spot: bool,
-    /// False while it boots.
+    /// False while the machine boots.
     pub registered: bool,
-    /// True if it takes new tasks once up.
+    /// True if the machine accepts new tasks once it is registered.
     pub schedulable: bool,
-    /// True if the tasks on it should move: the cloud takes it.
+    /// True if its tasks should be moved, since the cloud reclaims the machine.
     pub draining: bool,
-    /// Free room.
+    /// Free resources.
     pub free: Resources,
-    /// Room of attempts below each priority, highest first.
+    /// Resources of the attempts that [`PreemptionScope::LowerPriority`] may preempt, for the
+    /// three highest priorities, highest first.
     pub preemptible: [Resources; 3],
-    /// The same with all that teams run beyond their guarantees.
+    /// The same for [`PreemptionScope::LowerPriorityOrOverQuota`], regardless of the teams.
     pub preemptible_or_over_quota: [Resources; 3],
-    /// Tasks on it.
+    /// Number of tasks on the machine.
     pub task_count: u16,
-    /// Tasks on it that run until their jobs are cancelled.
+    /// Number of tasks on the machine that run until their jobs are cancelled.
     pub service_task_count: u16,
-    /// Images that it has.
+    /// Images that the machine has cached.
     pub cached_images: Vec<String>,
-    /// Images that it fetches.
+    /// Images that the machine is pulling.
     pub pulling_images: Vec<String>,
     /// Shard that provisioned it, if known.
     pub provisioned_by: Option<u16>,
 }
 
-/// An attempt as its owner sees it.
+/// The state of an attempt as observed by its owner.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct AttemptStatus {
     /// The attempt.
     pub id: AttemptId,
-    /// How it stands.
+    /// State of the attempt.
     pub state: AttemptState,
 }
 
-/// How an attempt stands.
+/// State of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum AttemptState {
-    /// Accepted; not seen on the machine yet.
+    /// Accepted by the owner, but not seen on the machine yet.
     Accepted,
-    /// On the machine, fetching its image or waiting for its gang.
+    /// On the machine, pulling its image or waiting for its gang.
     Preparing,
-    /// Runs (or saves).
+    /// Running or checkpointing.
     Running,
     /// Exited with this cause.
     Exited(ExitCause),
-    /// Proven to be on no machine and never to start.
+    /// Proven to be on no machine and to never start.
     Gone,
-    /// Never started, and never will be: no room, or the machine is closed.
+    /// Never started and never will be: the resources didn't suffice, or the machine accepts
+    /// no new tasks.
     Refused,
 }
 
 impl AttemptState {
-    /// True if the attempt is proven to be over.
+    /// True if the attempt is proven to have ended.
     pub fn is_terminal(self) -> bool {
         matches!(
             self,
@@ -316,26 +319,26 @@
 /// Why an attempt exited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum ExitCause {
-    /// Completed.
+    /// The task completed.
     Done,
-    /// Stopped by command.
+    /// Stopped by a command.
     Stopped,
-    /// Another task of the gang is gone.
+    /// Another task of the gang was lost.
     PeerLost,
     /// The gang was not complete in time.
     GangIncomplete,
-    /// Failed.
+    /// The task failed.
     Failed,
-    /// Start refused: no room.
+    /// The worker refused to start it: insufficient resources.
     InsufficientResources,
-    /// Start refused: another attempt is on the machine.
+    /// The worker refused to start it: another attempt of the task is on the machine.
     TaskConflict,
-    /// Start refused: no such job.
+    /// The worker refused to start it: unknown job.
     UnknownJob,
 }
 
 impl ExitCause {
-    /// Reads a cause from a heartbeat; what we don't know counts as a failure.
+    /// Parses the cause in a heartbeat; an unknown or missing one counts as a failure.
     pub fn from_wire(text: Option<&str>) -> Self {
         match text {
             Some("done") => ExitCause::Done,
@@ -350,18 +353,18 @@
     }
 }
 
-/// Reads a message of this format.
+/// Decodes a message of this format version.
 pub fn decode<T: BorshDeserialize>(bytes: &[u8]) -> Result<T, DecodeError> {
     decode_format(bytes, PEER_VERSION)
 }
 
-/// Bytes that something takes in a message.
+/// Number of bytes that an item takes in a message.
 pub fn encoded_len<T: BorshSerialize>(item: &T) -> usize {
     borsh::object_length(item).unwrap_or(usize::MAX)
 }
 
-/// Writes a message.
+/// Encodes a message.
 pub fn encode<T: BorshSerialize>(message: &T) -> Vec<u8> {
-    // Writing into memory can't fail; an empty message is refused by `decode`.
+    // Encoding into memory can't fail; `decode` rejects an empty message.
     borsh::to_vec(message).unwrap_or_default()
 }
--- a/crates/protocol/src/supervision.rs
+++ b/crates/protocol/src/supervision.rs
@@ -1,27 +1,27 @@
-//! What `GET /v1/watch` and `GET /v1/watch/handovers` show.
+//! Responses of `GET /v1/watch` and `GET /v1/watch/handovers`.
 
 use serde::{Deserialize, Serialize};
 
-/// The state of shards and services as one controller knows it.
+/// The state of all shards and services as known to one controller.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SupervisionReport {
-    /// The controller.
+    /// Host name of the controller.
     pub host: String,
-    /// ms since its last reading of the store began; none: it has not read it yet.
+    /// ms since its last read of the store began; `None` if it has not read it yet.
     #[serde(rename = "age_ms")]
     pub store_age_ms: Option<u64>,
     /// The shards.
     #[serde(rename = "parts")]
     pub shards: Vec<ShardRow>,
-    /// Services, and replicas promised and up, of all shards.
+    /// Number of services of all shards.
     pub services: usize,
-    /// Replicas promised.
+    /// Desired replicas of all services.
     #[serde(rename = "promised")]
     pub desired: u64,
-    /// Replicas up; of services of other controllers' shards as these told last.
+    /// Running replicas of all services; those of other controllers' shards as last reported.
     #[serde(rename = "up")]
     pub running: u64,
-    /// Services that lack replicas, the largest share first.
+    /// Services that lack replicas, those that lack the largest share first.
     #[serde(rename = "short")]
     pub under_replicated: Vec<UnderReplicatedServiceRow>,
     /// Teams with a quota limit, as the shards that this controller leads count them.
@@ -29,7 +29,7 @@
     pub team_usage: Vec<TeamUsageRow>,
 }
 
-/// Who counts what a team uses.
+/// The component that counts a team's usage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum UsageSide {
@@ -39,7 +39,7 @@
     Owner,
 }
 
-/// What a team uses against its quota limit, in thousandths; no limit is absent.
+/// A team's usage and quota limit; an absent limit means unlimited.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TeamUsageRow {
     /// The team.
@@ -47,44 +47,44 @@
     /// The shard whose leader counts.
     #[serde(rename = "part")]
     pub shard: u16,
-    /// Which side of it.
+    /// The component of the leader that counts.
     pub side: UsageSide,
-    /// Attempts counted.
+    /// Number of attempts counted.
     pub attempts: usize,
-    /// Processors that they take.
+    /// CPUs that the attempts take, in thousandths.
     pub milli_cpus: u64,
-    /// Accelerators that they take.
+    /// GPUs that the attempts take, in thousandths.
     pub milli_gpus: u64,
-    /// Processors that the team may use.
+    /// CPUs that the team may use, in thousandths.
     pub milli_cpus_limit: Option<u64>,
-    /// Accelerators that the team may use.
+    /// GPUs that the team may use, in thousandths.
     pub milli_gpus_limit: Option<u64>,
 }
 
 impl TeamUsageRow {
-    /// True if it is more than the team may use.
+    /// True if the usage exceeds a limit.
     pub fn is_over_limit(&self) -> bool {
         let over = |used: u64, limit: Option<u64>| limit.is_some_and(|limit| used > limit);
         over(self.milli_cpus, self.milli_cpus_limit) || over(self.milli_gpus, self.milli_gpus_limit)
     }
 }
 
-/// A shard.
+/// A shard and its leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardRow {
-    /// Its number.
+    /// Number of the shard.
     #[serde(rename = "part")]
     pub shard: u16,
-    /// Whose it is by right.
+    /// Controller that leads the shard whenever it is up.
     #[serde(rename = "home")]
     pub preferred_leader: String,
-    /// Who holds it.
+    /// Current leader.
     #[serde(rename = "holder")]
     pub leader: Option<String>,
-    /// Its token.
+    /// Fencing token of the current leader.
     #[serde(rename = "token")]
     pub fencing_token: Option<u64>,
-    /// Time of day of its last failover, ms.
+    /// Wall-clock time of the last failover, ms.
     #[serde(rename = "since")]
     pub leader_since_ms: Option<u64>,
 }
@@ -94,107 +94,107 @@
 pub struct UnderReplicatedServiceRow {
     /// The job.
     pub job: String,
-    /// Its class.
+    /// Class of the job.
     pub class: String,
-    /// Its team.
+    /// Team of the job.
     pub team: String,
     /// The shard that serves the team.
     #[serde(rename = "part")]
     pub shard: u16,
-    /// Replicas promised.
+    /// Desired replicas.
     #[serde(rename = "promised")]
     pub desired: u32,
-    /// The half of them that comes first after a loss.
+    /// Half of the desired replicas, rounded up, which is restored first after a loss.
     pub half: u32,
-    /// Replicas up.
+    /// Running replicas.
     #[serde(rename = "up")]
     pub running: u32,
-    /// Replicas up by zone, where this controller places them.
+    /// Running replicas by zone, if this controller places them.
     pub zones: Vec<(String, u32)>,
-    /// s for which replicas have been missing; none: another controller knows.
+    /// s for which replicas have been missing; `None` if only another controller knows.
     #[serde(rename = "short_s")]
     pub under_replicated_s: Option<u64>,
-    /// s for which more than half have been missing.
+    /// s for which more than half of the replicas have been missing.
     pub below_half_s: Option<u64>,
-    /// What is being done about it.
+    /// Action taken to restore the replicas.
     #[serde(rename = "doing")]
     pub action: String,
-    /// s in which that should have worked; below zero: it is late.
+    /// s until the action should have succeeded; negative if it is overdue.
     #[serde(rename = "due_s")]
     pub due_in_s: Option<i64>,
-    /// What keeps it from being whole.
+    /// Why replicas are still missing.
     #[serde(rename = "lacks")]
     pub blocked_by: String,
-    /// What was tried beyond the usual way, the first first.
+    /// Escalations beyond regular placement, in the order in which they were tried.
     #[serde(rename = "tried")]
     pub escalations: Vec<String>,
 }
 
-/// The shards' failovers.
+/// The failovers of all shards as known to one controller.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FailoverReport {
-    /// The controller that tells.
+    /// Host name of the controller.
     pub host: String,
-    /// ms since its last reading of the store began; none: it has not read it yet.
+    /// ms since its last read of the store began; `None` if it has not read it yet.
     #[serde(rename = "age_ms")]
     pub store_age_ms: Option<u64>,
-    /// The changes, the newest first.
+    /// The failovers, the newest first.
     #[serde(rename = "changes")]
     pub failovers: Vec<FailoverRow>,
 }
 
-/// A failover.
+/// A failover of one shard.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FailoverRow {
     /// The shard.
     #[serde(rename = "part")]
     pub shard: u16,
-    /// Its number among the shard's.
+    /// Number among the shard's failovers, from 1.
     #[serde(rename = "n")]
     pub number: u64,
-    /// Time of day, ms.
+    /// Wall-clock time, ms.
     #[serde(rename = "at")]
     pub at_ms: u64,
-    /// Who held it.
+    /// Leader before the failover, if known.
     #[serde(rename = "from")]
     pub previous_leader: Option<String>,
-    /// Who took it; none: it was given up.
+    /// Leader that acquired the shard; `None` if it was released.
     #[serde(rename = "to")]
     pub new_leader: Option<String>,
-    /// How, and by which proof.
+    /// Why the leader changed, and what proved that it could.
     #[serde(rename = "how")]
     pub change: String,
-    /// The shard's token, if this took it.
+    /// The shard's fencing token, if the failover acquired the shard.
     #[serde(rename = "token")]
     pub fencing_token: Option<u64>,
-    /// Replicas, other tasks and machines known to be up.
+    /// Replicas, other tasks and machines of the shard that were known to be up.
     pub up: Option<(u32, u32, u32)>,
-    /// What was found; none: that is not written yet.
+    /// Outcome; `None` if it is not written yet.
     #[serde(rename = "closed")]
     pub completion: Option<FailoverCompletionRow>,
 }
 
-/// What was found after it.
+/// Outcome of a failover.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FailoverCompletionRow {
-    /// Who told.
+    /// Controller that wrote it.
     #[serde(rename = "by")]
     pub reported_by: String,
-    /// ms until records and jobs were read, the first start, all services whole.
+    /// ms from the failover until the records and machines were loaded.
     #[serde(rename = "read_ms")]
     pub state_loaded_ms: Option<u64>,
-    /// See [`Self::state_loaded_ms`].
+    /// ms from the failover until the new leader first started an attempt.
     pub first_start_ms: Option<u64>,
-    /// See [`Self::state_loaded_ms`].
+    /// ms from the failover until all replicas were up again.
     #[serde(rename = "whole_ms")]
     pub services_restored_ms: Option<u64>,
-    /// ms until the next failover, of an entry that was left open.
+    /// ms until the next failover, if a later leader completed the record.
     #[serde(rename = "held_ms")]
     pub leadership_ms: Option<u64>,
-    /// Replicas found up, and started anew.
+    /// Replicas that were found up, and replicas that had to be restarted.
     pub found: Option<(u32, u32)>,
-    /// Longest gap by class, ms, the worst first.
+    /// Longest downtime of a replica by class, ms, the longest first.
     pub gaps: Vec<(String, u64)>,
-    /// What can't be known.
+    /// Facts that can no longer be determined.
     pub unknown: Vec<String>,
 }
--- a/crates/protocol/src/users.rs
+++ b/crates/protocol/src/users.rs
@@ -1,4 +1,4 @@
-//! Users and the load balancer.
+//! Messages of the user API, and validation of submissions.
 
 use std::collections::BTreeSet;
 
@@ -9,16 +9,16 @@
 use lemonweir_model::settings::Team;
 use lemonweir_model::{Catalog, JobId, JobKind, JobSpec, Resources};
 
-/// Jobs that one may await: what a submission's 64 KiB can name.
+/// Dependencies that a job may have: as many as fit into a submission's 64 KiB.
 const MAX_DEPENDENCIES: usize = 2_000;
 
-/// What a user is told of a job.
+/// Phase of a job as reported to its user.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, serde::Deserialize)]
 pub enum JobPhase {
-    /// No task runs.
+    /// No task is running.
     #[serde(rename = "queued")]
     Queued,
-    /// Some task runs.
+    /// At least one task is running.
     #[serde(rename = "running")]
     Running,
     /// All tasks are done.
@@ -29,27 +29,27 @@
     Withdrawn,
 }
 
-/// The answer to a submission, a poll or a cancellation.
+/// The response to a submission, a poll or a cancellation.
 #[derive(Clone, Debug, Serialize)]
 pub struct JobStatus {
     /// The job.
     #[serde(rename = "nameId")]
     pub id: JobId,
-    /// Its phase.
+    /// Phase of the job.
     pub phase: JobPhase,
-    /// Tasks done, for display.
+    /// Number of tasks that are done, for display.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub done: Option<u64>,
-    /// Tasks that run, for display.
+    /// Number of tasks that are running, for display.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub running: Option<u64>,
-    /// Why it waits, in plain words; our addition.
+    /// Why the job waits, for display; an extension of the protocol.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub reason: Option<String>,
 }
 
 impl JobStatus {
-    /// A state without counts.
+    /// A status without counts and reason.
     pub fn without_counts(id: JobId, phase: JobPhase) -> Self {
         Self {
             id,
@@ -61,15 +61,15 @@
     }
 }
 
-/// Reads a submission; anything missing or out of range is a fault (400).
+/// Decodes and validates a submission; a missing or invalid field is an error (400).
 pub fn decode_submission(body: &[u8]) -> Result<JobSpec, Malformed> {
     let mut spec: JobSpec = decode(body)?;
-    let fault = |text: &str| Err(Malformed(text.to_owned()));
+    let invalid = |text: &str| Err(Malformed(text.to_owned()));
     if JobId::parse(spec.id.as_str()).is_none() {
-        return fault("nameId is not a job id");
+        return invalid("nameId is not a job id");
     }
     if spec.tasks == 0 || spec.tasks > MAX_TASKS {
-        return fault("pieces out of range");
+        return invalid("pieces out of range");
     }
     let amounts = [
         ("cores", spec.cpus),
@@ -83,37 +83,37 @@
     ];
     for (name, value) in amounts {
         if !value.is_finite() || !(0.0..=1e12).contains(&value) {
-            return fault(&format!("{name} out of range"));
+            return invalid(&format!("{name} out of range"));
         }
     }
     if spec.class.is_empty() || spec.team.is_empty() || spec.image.is_empty() {
-        return fault("empty name");
+        return invalid("empty name");
     }
-    let long = [&spec.class, &spec.team, &spec.image]
+    let has_long_name = [&spec.class, &spec.team, &spec.image]
         .into_iter()
         .chain(spec.machine_types.iter().flatten())
         .chain(spec.zone.iter())
         .any(|s| s.len() > 200);
-    if long || spec.machine_types.as_ref().is_some_and(|t| t.len() > 100) {
-        return fault("name or list too long");
+    if has_long_name || spec.machine_types.as_ref().is_some_and(|t| t.len() > 100) {
+        return invalid("name or list too long");
     }
     if spec.depends_on.len() > MAX_DEPENDENCIES {
-        return fault("awaits names too many jobs");
+        return invalid("awaits names too many jobs");
     }
     if spec
         .depends_on
         .iter()
         .any(|id| JobId::parse(id.as_str()).is_none())
     {
-        return fault("awaits holds something that is not a job id");
+        return invalid("awaits holds something that is not a job id");
     }
-    // A job that is named twice is awaited once.
-    let mut named = BTreeSet::new();
-    spec.depends_on.retain(|id| named.insert(id.clone()));
+    // Duplicate dependencies are removed.
+    let mut seen = BTreeSet::new();
+    spec.depends_on.retain(|id| seen.insert(id.clone()));
     Ok(spec)
 }
 
-/// Says why a well-formed job can never run (422), if it can't.
+/// The reason why a valid job can never run (422), or `None` if it can.
 pub fn unschedulable_reason(
     spec: &JobSpec,
     teams: &[Team],
@@ -137,27 +137,27 @@
     if !fits {
         return Some("a task fits no allowed machine type".into());
     }
-    let all = match spec.kind {
+    let concurrent = match spec.kind {
         JobKind::Array => need,
         JobKind::Gang | JobKind::Service => need.times(spec.tasks),
     };
     let limit = quota_limit(team);
     if !limit.covers(&Resources {
         memory_mb: 0,
-        ..all
+        ..concurrent
     }) {
         return Some("needs more than the team's limit".into());
     }
     None
 }
 
-/// A team's limit; no limit is as large as can be.
+/// A team's quota limit; a resource without a limit gets `u64::MAX`.
 pub fn quota_limit(team: &Team) -> Resources {
-    let offer = Resources::capacity(team.max_cpus, team.max_gpus, 0.0);
-    let or_none = |x: u64| if x == 0 { u64::MAX } else { x };
+    let configured = Resources::capacity(team.max_cpus, team.max_gpus, 0.0);
+    let or_unlimited = |x: u64| if x == 0 { u64::MAX } else { x };
     Resources {
-        milli_cpus: or_none(offer.milli_cpus),
-        milli_gpus: or_none(offer.milli_gpus),
+        milli_cpus: or_unlimited(configured.milli_cpus),
+        milli_gpus: or_unlimited(configured.milli_gpus),
         memory_mb: u64::MAX,
     }
 }
--- a/crates/protocol/src/worker.rs
+++ b/crates/protocol/src/worker.rs
@@ -1,4 +1,4 @@
-//! Workers: heartbeats, commands, and the `/commands` call.
+//! Messages of the worker API: heartbeats, commands, and the worker's `/commands` endpoint.
 
 use serde::{Deserialize, Serialize};
 
@@ -10,27 +10,27 @@
     /// The machine.
     #[serde(rename = "box")]
     pub machine: MachineId,
-    /// Where it takes commands.
+    /// Address of the worker's `/commands` endpoint.
     pub address: String,
-    /// Its type.
+    /// Machine type.
     #[serde(rename = "build")]
     pub machine_type: String,
-    /// Its zone.
+    /// Zone of the machine.
     #[serde(rename = "hall")]
     pub zone: String,
     /// True for a spot machine.
     #[serde(rename = "standby")]
     pub spot: bool,
-    /// Session; a lease that ran out ends one.
+    /// Session of the worker; a new one begins after its lease has expired.
     #[serde(rename = "shift")]
     pub incarnation: u64,
-    /// Grows with every message of the worker.
+    /// Sequence number, which grows with every message of the worker.
     #[serde(rename = "tally")]
     pub sequence: u64,
-    /// Highest token that the worker has seen.
+    /// Highest machine token that the worker has seen.
     #[serde(rename = "mandate", default)]
     pub fencing_token: u64,
-    /// Seconds until the cloud takes the machine, if it gave notice.
+    /// Seconds until the cloud reclaims the machine, if it gave notice.
     #[serde(rename = "warningS", default)]
     pub reclaim_notice_s: Option<f64>,
     /// Tasks on the machine.
@@ -38,18 +38,18 @@
     pub tasks: Vec<TaskStatus>,
 }
 
-/// One task of a heartbeat.
+/// The state of a task in a heartbeat.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct TaskStatus {
-    /// The task.
+    /// Name of the task, `<job>/<number>`.
     #[serde(rename = "piece")]
     pub task: String,
-    /// The attempt.
+    /// Number of the attempt.
     #[serde(rename = "try")]
     pub attempt: u32,
-    /// Its phase.
+    /// Phase of the attempt.
     pub phase: TaskPhase,
-    /// Why it exited.
+    /// Why the attempt exited.
     #[serde(rename = "cause", default)]
     pub exit_cause: Option<String>,
     /// True if a stopped task's progress was saved.
@@ -57,38 +57,38 @@
     pub checkpointed: Option<bool>,
 }
 
-/// A task's phase on its machine.
+/// Phase of an attempt on its machine.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum TaskPhase {
-    /// Waits for its image.
+    /// The machine pulls the image.
     #[serde(rename = "fetching")]
     PullingImage,
     /// Waits for the other tasks of its gang.
     #[serde(rename = "gathering")]
     AwaitingGang,
-    /// Runs.
+    /// Running.
     Running,
-    /// Was told to stop and saves.
+    /// Saves its progress after a stop command.
     #[serde(rename = "saving")]
     Checkpointing,
-    /// Ended.
+    /// Ended; [`TaskStatus::exit_cause`] says why.
     Exited,
 }
 
-/// An order to a worker.
+/// A command to a worker.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub struct Command {
-    /// What to do.
+    /// Kind of the command.
     #[serde(rename = "verb")]
     pub kind: CommandKind,
-    /// The task.
+    /// Name of the task, `<job>/<number>`.
     #[serde(rename = "piece")]
     pub task: String,
-    /// The attempt.
+    /// Number of the attempt.
     #[serde(rename = "try")]
     pub attempt: u32,
-    /// Grace to save, with a kill.
+    /// Grace period for checkpointing, s; only with [`CommandKind::Stop`].
     #[serde(rename = "courtesyS", skip_serializing_if = "Option::is_none", default)]
     pub grace_s: Option<u32>,
 }
@@ -107,13 +107,13 @@
     Forget,
 }
 
-/// The answer to a heartbeat.
+/// The response to a heartbeat.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct HeartbeatResponse {
-    /// Our token.
+    /// Current machine token; its upper bits are the shard's fencing token.
     #[serde(rename = "mandate")]
     pub fencing_token: u64,
-    /// Commands, executed in turn.
+    /// Commands, executed in order.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
@@ -121,21 +121,21 @@
 /// The body of `/commands`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct CommandsRequest {
-    /// Our token.
+    /// Current machine token; its upper bits are the shard's fencing token.
     #[serde(rename = "mandate")]
     pub fencing_token: u64,
-    /// The session that the commands are meant for.
+    /// Worker session that the commands are for.
     #[serde(rename = "shift")]
     pub incarnation: u64,
-    /// Commands, executed in turn.
+    /// Commands, executed in order.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
 
-/// The body of a 421: where to report instead.
+/// The body of a 421 response, which redirects a worker to another controller.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Redirect {
-    /// The controller to report to.
+    /// Host name of the controller to send heartbeats to, if known.
     #[serde(rename = "foreman", skip_serializing_if = "Option::is_none", default)]
     pub host: Option<String>,
 }
