--- a/crates/protocol/tests/golden_messages.rs
+++ b/crates/protocol/tests/golden_messages.rs
@@ -1,9 +1,9 @@
-//! Golden samples of every message: each one is written byte for byte as its sample,
-//! and its sample, read and written again, is the same.
+//! Golden samples of every message: each must encode to the bytes of its sample, and the
+//! sample must round-trip.
 //!
-//! A sample holds the bytes as hex and, of a MessagePack message, its reading as JSON.
-//! The samples were written once; a message that differs from its sample is a change
-//! of the wire.
+//! A sample holds the bytes as hex and, for a MessagePack message, its decoded value as JSON.
+//! The samples were written once; a message that differs from its sample changes the wire
+//! format.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -43,87 +43,79 @@
     reads: serde_json::Value,
 }
 
-/// The samples of one file, and which of them were compared.
+/// The samples of one file, and the names of those that were compared.
 struct Golden {
     samples: BTreeMap<String, Sample>,
     compared: BTreeSet<String>,
 }
 
 impl Golden {
-    fn of(file: &str) -> Self {
+    fn parse(file: &str) -> Self {
         Self {
             samples: serde_json::from_str(file).expect("samples"),
             compared: BTreeSet::new(),
         }
     }
 
-    /// The sample's bytes, once what is written now is found to be the same.
-    fn same(&mut self, name: &str, written: &[u8]) -> Vec<u8> {
-        let hex: String = written.iter().map(|b| format!("{b:02x}")).collect();
+    /// Asserts that the encoded bytes equal the sample, and returns them.
+    fn assert_encoded(&mut self, name: &str, encoded: &[u8]) -> Vec<u8> {
+        let hex: String = encoded.iter().map(|b| format!("{b:02x}")).collect();
         let sample = self
             .samples
             .get(name)
             .unwrap_or_else(|| panic!("no sample {name}"));
-        assert_eq!(hex, sample.bytes, "{name} is written as its sample");
+        assert_eq!(hex, sample.bytes, "{name} encodes to its sample");
         assert!(
             self.compared.insert(name.to_owned()),
             "{name} is compared once"
         );
-        written.to_vec()
+        encoded.to_vec()
     }
 
-    /// A MessagePack message that is only written.
-    fn written<T: Serialize>(&mut self, name: &str, message: &T) -> Vec<u8> {
-        let bytes = self.same(name, &encode(message));
+    /// Compares a MessagePack message that is only sent with its sample.
+    fn assert_sent<T: Serialize>(&mut self, name: &str, message: &T) -> Vec<u8> {
+        let bytes = self.assert_encoded(name, &encode(message));
         let value: Value = decode(&bytes).expect("MessagePack");
         assert_eq!(
             serde_json::to_value(&value).expect("JSON"),
             self.samples[name].reads,
-            "{name} reads as its sample"
+            "{name} decodes to its sample"
         );
-        assert_eq!(encode(&value), bytes, "{name} as plain values");
+        assert_eq!(encode(&value), bytes, "{name} round-trips as a value");
         bytes
     }
 
-    /// A MessagePack message that is written and read.
-    fn both_ways<T: Serialize + DeserializeOwned>(&mut self, name: &str, message: &T) {
-        let bytes = self.written(name, message);
+    /// Compares a MessagePack message that is sent and received with its sample.
+    fn assert_round_trip<T: Serialize + DeserializeOwned>(&mut self, name: &str, message: &T) {
+        let bytes = self.assert_sent(name, message);
         let read: T = decode(&bytes).unwrap_or_else(|e| panic!("{name}: {e}"));
-        assert_eq!(encode(&read), bytes, "{name} is written as it was read");
+        assert_eq!(encode(&read), bytes, "{name} round-trips");
     }
 
-    /// A message between controllers about their parts.
-    fn of_peers<T>(&mut self, name: &str, message: &T)
+    /// Compares a message of the `peer` module with its sample.
+    fn assert_peer_message<T>(&mut self, name: &str, message: &T)
     where
         T: BorshSerialize + BorshDeserialize + PartialEq + std::fmt::Debug,
     {
-        let bytes = self.same(name, &peer::encode(message));
+        let bytes = self.assert_encoded(name, &peer::encode(message));
         let read: T = peer::decode(&bytes).unwrap_or_else(|e| panic!("{name}: {e}"));
-        assert_eq!(&read, message, "{name} is read");
-        assert_eq!(
-            peer::encode(&read),
-            bytes,
-            "{name} is written as it was read"
-        );
+        assert_eq!(&read, message, "{name} is decoded");
+        assert_eq!(peer::encode(&read), bytes, "{name} round-trips");
     }
 
-    /// A message between controllers about their links.
-    fn of_links<T>(&mut self, name: &str, message: &T)
+    /// Compares a message of the `links` module with its sample.
+    fn assert_links_message<T>(&mut self, name: &str, message: &T)
     where
         T: BorshSerialize + BorshDeserialize + PartialEq + std::fmt::Debug,
     {
-        let bytes = self.same(name, &links::encode(message));
+        let bytes = self.assert_encoded(name, &links::encode(message));
         let read: T = links::decode(&bytes).unwrap_or_else(|e| panic!("{name}: {e}"));
-        assert_eq!(&read, message, "{name} is read");
-        assert_eq!(
-            links::encode(&read),
-            bytes,
-            "{name} is written as it was read"
-        );
+        assert_eq!(&read, message, "{name} is decoded");
+        assert_eq!(links::encode(&read), bytes, "{name} round-trips");
     }
 
-    /// Every sample was compared.
-    fn all(&self) {
+    /// Asserts that every sample was compared.
+    fn assert_all_compared(&self) {
         let names: BTreeSet<String> = self.samples.keys().cloned().collect();
         assert_eq!(self.compared, names, "every sample is compared");
     }
@@ -133,20 +125,24 @@
     words.iter().map(|w| (*w).to_owned()).collect()
 }
 
-/// The message as its sender writes it who leaves these fields out.
-fn without<T: Serialize + DeserializeOwned>(message: &T, names: &[&str]) -> T {
+/// Decodes the message after these fields were removed from its encoding.
+fn decode_without<T: Serialize + DeserializeOwned>(message: &T, names: &[&str]) -> T {
     let mut value = to_value(message);
     let Value::Map(fields) = &mut value else {
         panic!("a map");
     };
-    let all = fields.len();
+    let field_count = fields.len();
     fields.retain(|(name, _)| !names.iter().any(|n| name.as_str() == Some(n)));
-    assert_eq!(fields.len() + names.len(), all, "{names:?} are fields");
+    assert_eq!(
+        fields.len() + names.len(),
+        field_count,
+        "{names:?} are fields"
+    );
     decode(&encode(&value)).unwrap_or_else(|e| panic!("without {names:?}: {e}"))
 }
 
-/// Checks that a message is refused which leaves out any one other than these fields.
-fn needs_all_but<T: Serialize + DeserializeOwned>(message: &T, names: &[&str]) {
+/// Asserts that these fields are optional and that all others are required.
+fn assert_only_optional<T: Serialize + DeserializeOwned>(message: &T, names: &[&str]) {
     let Value::Map(fields) = to_value(message) else {
         panic!("a map");
     };
@@ -186,10 +182,10 @@
     }
 }
 
-fn least_job(shape: JobKind, rank: Priority) -> JobSpec {
+fn minimal_job(job_kind: JobKind, job_priority: Priority) -> JobSpec {
     JobSpec {
-        kind: shape,
-        priority: rank,
+        kind: job_kind,
+        priority: job_priority,
         machine_types: None,
         zone: None,
         same_zone: false,
@@ -202,24 +198,24 @@
 }
 
 #[test]
-fn messages_of_users_are_their_samples() {
-    let mut golden = Golden::of(include_str!("samples/golden/users.json"));
+fn user_messages_match_their_samples() {
+    let mut golden = Golden::parse(include_str!("samples/golden/users.json"));
     for (name, job) in [
         ("submission, every field", full_job()),
         (
             "submission, array and production",
-            least_job(JobKind::Array, Priority::Production),
+            minimal_job(JobKind::Array, Priority::Production),
         ),
         (
             "submission, service and normal",
-            least_job(JobKind::Service, Priority::Normal),
+            minimal_job(JobKind::Service, Priority::Normal),
         ),
         (
             "submission, gang and low",
-            least_job(JobKind::Gang, Priority::Low),
+            minimal_job(JobKind::Gang, Priority::Low),
         ),
     ] {
-        golden.both_ways(name, &job);
+        golden.assert_round_trip(name, &job);
         let read = decode_submission(&encode(&job)).expect("a submission");
         assert_eq!(read, job, "{name}");
     }
@@ -230,7 +226,7 @@
         ("state, done", JobPhase::Done),
         ("state, withdrawn", JobPhase::Withdrawn),
     ] {
-        golden.written(name, &JobStatus::without_counts(id(), phase));
+        golden.assert_sent(name, &JobStatus::without_counts(id(), phase));
     }
     let state = JobStatus {
         id: id(),
@@ -239,25 +235,25 @@
         running: Some(5),
         reason: Some("waits for room".into()),
     };
-    golden.written("state, every field", &state);
-    golden.both_ways(
+    golden.assert_sent("state, every field", &state);
+    golden.assert_round_trip(
         "refusal",
         &Malformed("pieces out of range".into()).to_string(),
     );
-    golden.all();
+    golden.assert_all_compared();
 }
 
-/// What makes a submission one to be refused.
-type Fault<'a> = &'a dyn Fn(&mut JobSpec);
+/// A change that makes a submission invalid.
+type InvalidChange<'a> = &'a dyn Fn(&mut JobSpec);
 
 #[test]
-fn refusals_of_submissions_name_fields_as_on_the_wire() {
+fn submission_errors_use_wire_names() {
     let fault = |change: &dyn Fn(&mut JobSpec)| {
         let mut job = full_job();
         change(&mut job);
         decode_submission(&encode(&job)).expect_err("refused").0
     };
-    let named: [(Fault, &str); 14] = [
+    let named: [(InvalidChange, &str); 14] = [
         (&|j| j.id = JobId::from("x"), "nameId is not a job id"),
         (&|j| j.tasks = 0, "pieces out of range"),
         (&|j| j.cpus = -1.0, "cores out of range"),
@@ -289,9 +285,9 @@
 
 // ---- workers ---------------------------------------------------------------
 
-fn order(verb: CommandKind, grace_s: Option<u32>) -> Command {
+fn command(command_kind: CommandKind, grace_s: Option<u32>) -> Command {
     Command {
-        kind: verb,
+        kind: command_kind,
         task: "req-000412/3".into(),
         attempt: 2,
         grace_s,
@@ -299,8 +295,8 @@
 }
 
 #[test]
-fn messages_of_workers_are_their_samples() {
-    let mut golden = Golden::of(include_str!("samples/golden/workers.json"));
+fn worker_messages_match_their_samples() {
+    let mut golden = Golden::parse(include_str!("samples/golden/workers.json"));
     let task = |phase, cause: Option<&str>, saved| TaskStatus {
         task: "req-000412/3".into(),
         attempt: 2,
@@ -326,47 +322,47 @@
             task(TaskPhase::Exited, Some("stopped"), Some(true)),
         ],
     };
-    golden.both_ways("report, every phase", &report);
+    golden.assert_round_trip("report, every phase", &report);
     let empty = Heartbeat {
         reclaim_notice_s: None,
         tasks: Vec::new(),
         ..report
     };
-    golden.both_ways("report, no tasks", &empty);
-    for (name, order) in [
-        ("order, launch", order(CommandKind::Start, None)),
-        ("order, kill", order(CommandKind::Stop, Some(5))),
-        ("order, forget", order(CommandKind::Forget, None)),
+    golden.assert_round_trip("report, no tasks", &empty);
+    for (name, command) in [
+        ("order, launch", command(CommandKind::Start, None)),
+        ("order, kill", command(CommandKind::Stop, Some(5))),
+        ("order, forget", command(CommandKind::Forget, None)),
     ] {
-        golden.both_ways(name, &order);
+        golden.assert_round_trip(name, &command);
     }
     let orders = vec![
-        order(CommandKind::Start, None),
-        order(CommandKind::Stop, Some(0)),
-        order(CommandKind::Forget, None),
+        command(CommandKind::Start, None),
+        command(CommandKind::Stop, Some(0)),
+        command(CommandKind::Forget, None),
     ];
     let reply = HeartbeatResponse {
         fencing_token: 43,
         commands: orders.clone(),
     };
-    golden.both_ways("report reply", &reply);
+    golden.assert_round_trip("report reply", &reply);
     let commands = CommandsRequest {
         fencing_token: 44,
         incarnation: 4,
         commands: orders,
     };
-    golden.both_ways("commands", &commands);
+    golden.assert_round_trip("commands", &commands);
     for (name, host) in [
         ("elsewhere, known", Some("hutte-1".to_owned())),
         ("elsewhere, unknown", None),
     ] {
-        golden.both_ways(name, &Redirect { host });
+        golden.assert_round_trip(name, &Redirect { host });
     }
-    golden.all();
+    golden.assert_all_compared();
 }
 
 #[test]
-fn causes_of_exits_have_their_names() {
+fn exit_causes_are_parsed_from_wire_names() {
     for (name, cause) in [
         ("done", ExitCause::Done),
         ("stopped", ExitCause::Stopped),
@@ -384,8 +380,8 @@
 // ---- the cloud -------------------------------------------------------------
 
 #[test]
-fn messages_of_the_cloud_are_their_samples() {
-    let mut golden = Golden::of(include_str!("samples/golden/cloud.json"));
+fn cloud_messages_match_their_samples() {
+    let mut golden = Golden::parse(include_str!("samples/golden/cloud.json"));
     let machine_type = MachineTypeEntry {
         name: "g8".into(),
         cores: 96.0,
@@ -398,11 +394,11 @@
         boot_s: 90.0,
         halls: text(&["eemsmond", "rijnmond"]),
     };
-    golden.both_ways("machine type", &machine_type);
+    golden.assert_round_trip("machine type", &machine_type);
     let catalog = || CatalogResponse {
         hardware: vec![to_value(&machine_type)],
     };
-    golden.both_ways("catalog", &catalog());
+    golden.assert_round_trip("catalog", &catalog());
     let (types, faults) = catalog().into_catalog();
     assert!(faults.is_empty(), "{faults:?}");
     let read = &types["g8"];
@@ -427,11 +423,11 @@
         spot: true,
         count: 3,
     };
-    golden.both_ways("rental request", &rental);
+    golden.assert_round_trip("rental request", &rental);
     let machines = MachineNames {
         machines: vec![MachineId::from("n-000231"), MachineId::from("n-000232")],
     };
-    golden.both_ways("machines, of a reply and of a release", &machines);
+    golden.assert_round_trip("machines, of a reply and of a release", &machines);
     let entry = InstanceEntry {
         id: MachineId::from("n-000231"),
         machine_type: "g8".into(),
@@ -440,48 +436,48 @@
         phase: "running".into(),
         age_s: 12.5,
     };
-    golden.both_ways("entry of the list", &entry);
+    golden.assert_round_trip("entry of the list", &entry);
     let list = InstanceList {
         machines: vec![to_value(&entry)],
         truncated: true,
     };
-    golden.both_ways("page of the list", &list);
+    golden.assert_round_trip("page of the list", &list);
     let (entries, faults) = list.into_entries();
     assert!(entries.len() == 1 && faults.is_empty(), "{faults:?}");
     assert_eq!(encode(&entries[0]), encode(&entry));
     let fault = CloudErrorBody {
         error: "no capacity".into(),
     };
-    golden.both_ways("refusal", &fault);
-    golden.all();
+    golden.assert_round_trip("refusal", &fault);
+    golden.assert_all_compared();
 }
 
 // ---- the state service -----------------------------------------------------
 
 #[test]
-fn messages_of_the_state_service_are_their_samples() {
-    let mut golden = Golden::of(include_str!("samples/golden/state.json"));
+fn store_messages_match_their_samples() {
+    let mut golden = Golden::parse(include_str!("samples/golden/state.json"));
     let value = || Value::Map(vec![(Value::from("host"), Value::from("hutte-0"))]);
     let entry = KeyValue {
         key: "w/part/1".into(),
         value: value(),
         version: 42,
     };
-    golden.both_ways("entry", &entry);
+    golden.assert_round_trip("entry", &entry);
     for (name, more) in [("page, more follow", true), ("page, the last", false)] {
         let page = ListResponse {
             entries: vec![entry.clone()],
             truncated: more,
             revision: 77,
         };
-        golden.both_ways(name, &page);
+        golden.assert_round_trip(name, &page);
     }
     let condition = |key: &str, version| Condition {
         key: key.into(),
         version,
     };
-    golden.both_ways("condition, absent", &condition("w/part/2", 0));
-    golden.both_ways("condition, at a version", &condition("w/part/1", 42));
+    golden.assert_round_trip("condition, absent", &condition("w/part/2", 0));
+    golden.assert_round_trip("condition, at a version", &condition("w/part/1", 42));
     let put = |hold| Write::Put {
         key: "w/part/1".into(),
         value: value(),
@@ -495,7 +491,7 @@
         ("write, put with a hold", put(Some(9))),
         ("write, delete", delete()),
     ] {
-        golden.both_ways(name, &write);
+        golden.assert_round_trip(name, &write);
         let read: Write = decode(&encode(&write)).expect("a write");
         assert_eq!(read, write, "{name}");
     }
@@ -503,8 +499,8 @@
         conditions: vec![condition("w/part/2", 0), condition("w/part/1", 42)],
         writes: vec![put(Some(9)), put(None), delete()],
     };
-    golden.both_ways("transaction", &cas);
-    golden.both_ways("transaction, empty", &CompareAndSwap::default());
+    golden.assert_round_trip("transaction", &cas);
+    golden.assert_round_trip("transaction, empty", &CompareAndSwap::default());
     for (name, failed) in [
         ("transaction reply, made", Vec::new()),
         ("transaction reply, failed", text(&["w/part/2"])),
@@ -513,10 +509,10 @@
             failed,
             revision: 78,
         };
-        golden.both_ways(name, &reply);
+        golden.assert_round_trip(name, &reply);
     }
-    golden.both_ways("hold request", &LeaseRequest { ttl_ms: 9_000 });
-    golden.both_ways("hold reply", &LeaseResponse { lease: 9 });
+    golden.assert_round_trip("hold request", &LeaseRequest { ttl_ms: 9_000 });
+    golden.assert_round_trip("hold reply", &LeaseResponse { lease: 9 });
     let change = |set: Option<&str>, drop: Option<&str>, version| WatchEvent {
         set: set.map(str::to_owned),
         drop: drop.map(str::to_owned),
@@ -530,8 +526,8 @@
             change(None, Some("w/part/3"), 79),
         ],
     };
-    golden.both_ways("changes", &changes);
-    golden.all();
+    golden.assert_round_trip("changes", &changes);
+    golden.assert_all_compared();
 }
 
 // ---- between controllers ---------------------------------------------------
@@ -544,7 +540,7 @@
     }
 }
 
-fn room(n: u64) -> Resources {
+fn resources(n: u64) -> Resources {
     Resources {
         milli_cpus: n,
         milli_gpus: n + 1,
@@ -552,27 +548,32 @@
     }
 }
 
-fn want(task: u32, rank: Priority, evict: PreemptionScope, kill: Option<u32>) -> DesiredAttempt {
+fn desired_attempt(
+    task: u32,
+    job_priority: Priority,
+    scope: PreemptionScope,
+    grace_s: Option<u32>,
+) -> DesiredAttempt {
     DesiredAttempt {
         id: attempt(task),
         machine: MachineId::from("n-000231"),
-        resources: room(8_000),
+        resources: resources(8_000),
         image: "img-07".into(),
         image_mb: 6_200,
         may_start: true,
-        stop_grace_s: kill,
+        stop_grace_s: grace_s,
         team: "vision".into(),
-        priority: rank,
+        priority: job_priority,
         over_quota: false,
         preemption_grace_s: 5,
         runs_until_cancelled: true,
-        preemption: evict,
+        preemption: scope,
     }
 }
 
 #[test]
-fn messages_between_placers_and_owners_are_their_samples() {
-    let mut golden = Golden::of(include_str!("samples/golden/peers.json"));
+fn peer_messages_match_their_samples() {
+    let mut golden = Golden::parse(include_str!("samples/golden/peers.json"));
     let sync = SyncRequest {
         version: PEER_VERSION,
         from_shard: 1,
@@ -587,9 +588,9 @@
             complete: true,
         },
         desired: vec![
-            want(0, Priority::Production, PreemptionScope::Nobody, None),
-            want(1, Priority::High, PreemptionScope::LowerPriority, Some(4)),
-            want(
+            desired_attempt(0, Priority::Production, PreemptionScope::Nobody, None),
+            desired_attempt(1, Priority::High, PreemptionScope::LowerPriority, Some(4)),
+            desired_attempt(
                 2,
                 Priority::Normal,
                 PreemptionScope::LowerPriorityOrOverQuota,
@@ -599,7 +600,7 @@
                 may_start: false,
                 over_quota: true,
                 runs_until_cancelled: false,
-                ..want(3, Priority::Low, PreemptionScope::Nobody, None)
+                ..desired_attempt(3, Priority::Low, PreemptionScope::Nobody, None)
             },
         ],
         withdrawn: vec![attempt(4)],
@@ -624,15 +625,15 @@
             wait_reason: "waits for room".into(),
         }],
     };
-    golden.of_peers("sync, every field", &sync);
+    golden.assert_peer_message("sync, every field", &sync);
     let superseded = Superseded {
         version: PEER_VERSION,
         shard: 1,
         fencing_token: 44,
         leader_host: "hutte-2".into(),
     };
-    golden.of_peers("superseded", &superseded);
-    let standings = [
+    golden.assert_peer_message("superseded", &superseded);
+    let states = [
         AttemptState::Accepted,
         AttemptState::Preparing,
         AttemptState::Running,
@@ -647,17 +648,17 @@
         AttemptState::Gone,
         AttemptState::Refused,
     ];
-    let machine = |provisioner, spot, up, open, leaving| MachineView {
+    let machine = |provisioner, spot, up, accepts_tasks, is_draining| MachineView {
         id: MachineId::from("n-000231"),
         machine_type: "g8".into(),
         zone: "eemsmond".into(),
         spot,
         registered: up,
-        schedulable: open,
-        draining: leaving,
-        free: room(100),
-        preemptible: [room(200), room(300), room(400)],
-        preemptible_or_over_quota: [room(500), room(600), room(700)],
+        schedulable: accepts_tasks,
+        draining: is_draining,
+        free: resources(100),
+        preemptible: [resources(200), resources(300), resources(400)],
+        preemptible_or_over_quota: [resources(500), resources(600), resources(700)],
         task_count: 3,
         service_task_count: 2,
         cached_images: text(&["img-07"]),
@@ -694,25 +695,25 @@
             complete: true,
         },
         attempts: (0..)
-            .zip(standings)
-            .map(|(task, standing)| AttemptStatus {
+            .zip(states)
+            .map(|(task, attempt_state)| AttemptStatus {
                 id: attempt(task),
-                state: standing,
+                state: attempt_state,
             })
             .collect(),
     };
-    golden.of_peers("view, every field", &view);
-    golden.all();
+    golden.assert_peer_message("view, every field", &view);
+    golden.assert_all_compared();
 }
 
 #[test]
-fn messages_about_links_are_their_samples() {
+fn links_messages_match_their_samples() {
     assert_eq!(
         [GOSSIP_PATH, RELAY_PATH, RELAY_HEARTBEATS_PATH],
         ["/peer/links", "/peer/carry", "/peer/reports"]
     );
-    let mut golden = Golden::of(include_str!("samples/golden/links.json"));
-    let word = AvailabilityGossip {
+    let mut golden = Golden::parse(include_str!("samples/golden/links.json"));
+    let gossip = AvailabilityGossip {
         version: LINKS_VERSION,
         controller: 1,
         store_age_ms: Some(120),
@@ -726,15 +727,15 @@
         ],
         unreachable_zones: vec![("rijnmond".into(), 60)],
     };
-    golden.of_links("word", &word);
+    golden.assert_links_message("word", &gossip);
     assert_eq!(
         (
-            word.service_age_ms(Service::Store),
-            word.service_age_ms(Service::Cloud)
+            gossip.service_age_ms(Service::Store),
+            gossip.service_age_ms(Service::Cloud)
         ),
         (Some(120), None)
     );
-    for (name, goal) in [
+    for (name, destination) in [
         (
             "carry, to the state service",
             RelayTarget::Service(Service::Store),
@@ -745,17 +746,17 @@
             RelayTarget::Worker("10.0.3.7:9100".into()),
         ),
     ] {
-        let carry = RelayRequest {
+        let relay_request = RelayRequest {
             version: LINKS_VERSION,
-            target: goal,
+            target: destination,
             method: "POST".into(),
             path: "/commands".into(),
             body: vec![1, 2, 3],
             timeout_ms: 900,
         };
-        golden.of_links(name, &carry);
+        golden.assert_links_message(name, &relay_request);
     }
-    for (name, fate) in [
+    for (name, result) in [
         (
             "carried, answered",
             RelayOutcome::Answered {
@@ -766,48 +767,48 @@
         ("carried, not sent", RelayOutcome::NotSent),
         ("carried, unknown", RelayOutcome::Unknown),
     ] {
-        let carried = RelayResponse {
+        let relay_response = RelayResponse {
             version: LINKS_VERSION,
-            outcome: fate,
+            outcome: result,
         };
-        golden.of_links(name, &carried);
+        golden.assert_links_message(name, &relay_response);
     }
     let reports = RelayedHeartbeats {
         version: LINKS_VERSION,
         relayed_by: 3,
         heartbeats: vec![vec![6], vec![7, 8]],
     };
-    golden.of_links("reports", &reports);
+    golden.assert_links_message("reports", &reports);
     let answers = RelayedResponses {
         version: LINKS_VERSION,
         answers: vec![(200, vec![9]), (421, Vec::new())],
     };
-    golden.of_links("answers", &answers);
-    golden.all();
+    golden.assert_links_message("answers", &answers);
+    golden.assert_all_compared();
 }
 
 // ---- operators -------------------------------------------------------------
 
 fn link(
-    standing: links::LinkState,
-    carried_by: Option<&str>,
-    took_ms: Option<(u64, u64)>,
+    link_state: links::LinkState,
+    relayed_by: Option<&str>,
+    latency: Option<(u64, u64)>,
 ) -> LinkRow {
     LinkRow {
         from: "hutte-0".into(),
         to: "state service".into(),
-        state: standing,
+        state: link_state,
         for_s: 17,
-        relayed_by: carried_by.map(str::to_owned),
-        latency_ms: took_ms,
+        relayed_by: relayed_by.map(str::to_owned),
+        latency_ms: latency,
         age_s: 2,
     }
 }
 
 #[test]
-fn what_operators_read_is_its_samples() {
-    let mut golden = Golden::of(include_str!("samples/golden/operators.json"));
-    let picture = LinksReport {
+fn operator_responses_match_their_samples() {
+    let mut golden = Golden::parse(include_str!("samples/golden/operators.json"));
+    let report = LinksReport {
         links: vec![
             link(links::LinkState::Unknown, None, None),
             link(links::LinkState::Up, None, Some((3, 40))),
@@ -817,18 +818,18 @@
         ],
         relayed_workers: 12,
     };
-    golden.both_ways("links", &picture);
+    golden.assert_round_trip("links", &report);
     for (name, service) in [
         ("service, state", Service::Store),
         ("service, cloud", Service::Cloud),
     ] {
-        golden.both_ways(name, &service);
+        golden.assert_round_trip(name, &service);
     }
     let events = vec![EventRow {
         at_ms: 1_790_000_000_000,
         text: "took part 2".into(),
     }];
-    golden.both_ways("events", &events);
+    golden.assert_round_trip("events", &events);
     let shard = |holder: Option<&str>, token, since| supervision::ShardRow {
         shard: 1,
         preferred_leader: "hutte-1".into(),
@@ -836,7 +837,7 @@
         fencing_token: token,
         leader_since_ms: since,
     };
-    let short = |zones, short_s, below_half_s, due_s, tried| UnderReplicatedServiceRow {
+    let under_replicated = |zones, short_s, below_half_s, due_s, tried| UnderReplicatedServiceRow {
         job: "req-000412".into(),
         class: "serve".into(),
         team: "vision".into(),
@@ -863,18 +864,18 @@
         desired: 48,
         running: 43,
         under_replicated: vec![
-            short(
+            under_replicated(
                 vec![("eemsmond".into(), 2), ("rijnmond".into(), 1)],
                 Some(20),
                 Some(10),
                 Some(-3),
                 text(&["rented", "moved"]),
             ),
-            short(Vec::new(), None, None, None, Vec::new()),
+            under_replicated(Vec::new(), None, None, None, Vec::new()),
         ],
         team_usage: Vec::new(),
     };
-    golden.both_ways("watch", &watch);
+    golden.assert_round_trip("watch", &watch);
     let usage = |side, milli_gpus_limit| TeamUsageRow {
         team: "loketteam-05".into(),
         shard: 2,
@@ -892,7 +893,7 @@
         ],
         ..watch
     };
-    golden.both_ways("watch_with_usage", &watch_with_usage);
+    golden.assert_round_trip("watch_with_usage", &watch_with_usage);
     let closed = FailoverCompletionRow {
         reported_by: "hutte-0".into(),
         state_loaded_ms: Some(310),
@@ -928,7 +929,7 @@
             failover(None, None, None, None, None),
         ],
     };
-    golden.both_ways("handovers", &failovers);
+    golden.assert_round_trip("handovers", &failovers);
     let weights = ImageLocalityReport {
         image: "img-07".into(),
         size_mb: Some(6_200),
@@ -956,20 +957,20 @@
             },
         ],
     };
-    golden.both_ways("weights", &weights);
-    golden.both_ways("weights, of no image", &ImageLocalityReport::default());
-    golden.all();
+    golden.assert_round_trip("weights", &weights);
+    golden.assert_round_trip("weights, of no image", &ImageLocalityReport::default());
+    golden.assert_all_compared();
 }
 
-// ---- fields that senders may leave out ---------------------------------------
+// ---- optional fields ---------------------------------------------------------
 
 #[test]
-fn fields_that_may_be_absent_have_their_defaults_and_no_others_may() {
+fn only_optional_fields_have_defaults() {
     let names = ["hardware", "hall", "dueS", "awaits"];
-    let job = without(&full_job(), &names);
+    let job = decode_without(&full_job(), &names);
     assert!(job.machine_types.is_none() && job.zone.is_none());
     assert!(job.deadline_s.is_none() && job.depends_on.is_empty());
-    needs_all_but(&full_job(), &names);
+    assert_only_optional(&full_job(), &names);
 
     let task = TaskStatus {
         task: "req-000412/3".into(),
@@ -979,9 +980,9 @@
         checkpointed: Some(true),
     };
     let names = ["cause", "saved"];
-    let read = without(&task, &names);
+    let read = decode_without(&task, &names);
     assert!(read.exit_cause.is_none() && read.checkpointed.is_none());
-    needs_all_but(&task, &names);
+    assert_only_optional(&task, &names);
     let report = Heartbeat {
         machine: MachineId::from("n-000231"),
         address: "10.0.3.7:9100".into(),
@@ -995,12 +996,12 @@
         tasks: vec![task],
     };
     let names = ["mandate", "warningS", "pieces"];
-    let read = without(&report, &names);
+    let read = decode_without(&report, &names);
     assert!(read.fencing_token == 0 && read.reclaim_notice_s.is_none() && read.tasks.is_empty());
-    needs_all_but(&report, &names);
-    let kill = order(CommandKind::Stop, Some(5));
-    assert_eq!(without(&kill, &["courtesyS"]).grace_s, None);
-    needs_all_but(&kill, &["courtesyS"]);
+    assert_only_optional(&report, &names);
+    let stop = command(CommandKind::Stop, Some(5));
+    assert_eq!(decode_without(&stop, &["courtesyS"]).grace_s, None);
+    assert_only_optional(&stop, &["courtesyS"]);
 
     let machine_type = MachineTypeEntry {
         name: "g8".into(),
@@ -1015,7 +1016,7 @@
         halls: Vec::new(),
     };
     let names = ["cacheGb", "pullGbPerS", "hourly", "spotPrice", "bootS"];
-    let read = without(&machine_type, &names);
+    let read = decode_without(&machine_type, &names);
     let amounts = [
         read.cache_gb,
         read.pull_gb_per_s,
@@ -1024,26 +1025,26 @@
         read.boot_s,
     ];
     assert_eq!(amounts, [0.0; 5]);
-    needs_all_but(&machine_type, &names);
+    assert_only_optional(&machine_type, &names);
     let list = InstanceList {
         machines: Vec::new(),
         truncated: true,
     };
-    assert!(!without(&list, &["truncated"]).truncated);
-    needs_all_but(&list, &["truncated"]);
+    assert!(!decode_without(&list, &["truncated"]).truncated);
+    assert_only_optional(&list, &["truncated"]);
 
     let page = ListResponse {
         entries: Vec::new(),
         truncated: true,
         revision: 77,
     };
-    assert!(!without(&page, &["truncated"]).truncated);
-    needs_all_but(&page, &["truncated"]);
+    assert!(!decode_without(&page, &["truncated"]).truncated);
+    assert_only_optional(&page, &["truncated"]);
     let reply = CompareAndSwapResponse {
         failed: text(&["w/part/2"]),
         revision: 78,
     };
-    let read = without(&reply, &["failed", "ledger"]);
+    let read = decode_without(&reply, &["failed", "ledger"]);
     assert!(read.failed.is_empty() && read.revision == 0);
     let change = WatchEvent {
         set: Some("w/part/1".into()),
@@ -1051,13 +1052,13 @@
         value: Some(Value::from(1)),
         version: 79,
     };
-    let read = without(&change, &["set", "drop", "data", "stamp"]);
+    let read = decode_without(&change, &["set", "drop", "data", "stamp"]);
     assert!(read.set.is_none() && read.drop.is_none());
     assert!(read.value.is_none() && read.version == 0);
     let changes = WatchResponse {
         revision: 79,
         events: vec![change],
     };
-    assert!(without(&changes, &["events"]).events.is_empty());
-    needs_all_but(&changes, &["events"]);
+    assert!(decode_without(&changes, &["events"]).events.is_empty());
+    assert_only_optional(&changes, &["events"]);
 }
--- a/crates/storage/tests/late.rs
+++ b/crates/storage/tests/late.rs
@@ -225,7 +225,7 @@
 fn older_changes_do_not_replace_a_reported_leader() {
     let mut cache = StateCache::default();
     cache.apply_changes(&[leader_set(0, "h0", 10)], 30, 0);
-    // As `Core::superseded` does.
+    // As `Core::handle_superseded` does.
     cache.shard_leaders.insert(0, leader("h2", 50));
     cache.apply_changes(&[leader_deleted(0, 35), leader_set(0, "h1", 40)], 41, 0);
     assert_eq!(cache.shard_leaders.get(&0), Some(&leader("h2", 50)));
