--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,5 +1,5 @@
-//! The field's terms: jobs, tasks, attempts, machines and what they take; the
-//! settings that a process is given, and every constant.
+//! Domain model: jobs, tasks, attempts, machines and resources; the settings and the policy
+//! of a controller, and shared constants.
 
 pub mod constants;
 pub mod policy;
@@ -50,34 +50,35 @@
 );
 
 impl JobId {
-    /// Checks the one form that job ids have: `req-` and digits.
+    /// Parses a job id: `req-` and 1 to 20 digits.
     pub fn parse(text: &str) -> Option<Self> {
         let digits = text.strip_prefix("req-")?;
-        let fits = (1..=20).contains(&digits.len()) && digits.bytes().all(|b| b.is_ascii_digit());
-        fits.then(|| Self::from(text))
+        let is_valid =
+            (1..=20).contains(&digits.len()) && digits.bytes().all(|b| b.is_ascii_digit());
+        is_valid.then(|| Self::from(text))
     }
 }
 
-/// One start of one task. The order is that of jobs, tasks, attempts.
+/// Id of an attempt: one start of one task. Ids are ordered by job, task and attempt.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize)]
 pub struct AttemptId {
     /// The job.
     pub job: JobId,
-    /// The task's number within its job.
+    /// Number of the task within the job.
     pub task: u32,
-    /// The number of the start.
+    /// Number of the attempt.
     pub attempt: u32,
 }
 
 impl AttemptId {
-    /// The task's name on the wire.
+    /// Name of the task on the wire, `<job>/<task>`.
     pub fn task_name(&self) -> String {
         format!("{}/{}", self.job, self.task)
     }
 
-    /// Reads a task's name from the wire.
-    pub fn parse(piece: &str, attempt: u32) -> Option<Self> {
-        let (job, task) = piece.split_once('/')?;
+    /// Parses the name of a task on the wire; the attempt is sent separately.
+    pub fn parse(task_name: &str, attempt: u32) -> Option<Self> {
+        let (job, task) = task_name.split_once('/')?;
         Some(Self {
             job: JobId::parse(job)?,
             task: task.parse().ok()?,
@@ -92,8 +93,7 @@
     }
 }
 
-/// Room on a machine, in thousandths: processors, accelerators, gigabytes.
-/// Integers, so that sums and limits are exact.
+/// Amounts of CPUs, GPUs and memory in thousandths. Integers keep sums and limits exact.
 #[derive(
     Clone,
     Copy,
@@ -110,13 +110,13 @@
     BorshDeserialize,
 )]
 pub struct Resources {
-    /// Thousandths of a processor.
+    /// CPUs, in thousandths.
     #[serde(rename = "cpus")]
     pub milli_cpus: u64,
-    /// Thousandths of an accelerator.
+    /// GPUs, in thousandths.
     #[serde(rename = "gpus")]
     pub milli_gpus: u64,
-    /// Thousandths of a gigabyte.
+    /// Memory in MB (thousandths of a GB).
     #[serde(rename = "memory")]
     pub memory_mb: u64,
 }
@@ -133,27 +133,27 @@
 }
 
 impl Resources {
-    /// What a task needs: rounded up, so that it is never counted too small.
+    /// Resources that a task needs, rounded up so that they are never underestimated.
     pub fn request(cpus: f64, gpus: f64, memory_gb: f64) -> Self {
-        let up = |x: f64| (x * 1000.0 - 1e-6).ceil().max(0.0) as u64;
+        let round_up = |x: f64| (x * 1000.0 - 1e-6).ceil().max(0.0) as u64;
         Self {
-            milli_cpus: up(cpus),
-            milli_gpus: up(gpus),
-            memory_mb: up(memory_gb),
+            milli_cpus: round_up(cpus),
+            milli_gpus: round_up(gpus),
+            memory_mb: round_up(memory_gb),
         }
     }
 
-    /// What a machine or a limit offers: rounded down.
+    /// Resources that a machine or a limit offers, rounded down.
     pub fn capacity(cpus: f64, gpus: f64, memory_gb: f64) -> Self {
-        let down = |x: f64| (x * 1000.0 + 1e-6).floor().max(0.0) as u64;
+        let round_down = |x: f64| (x * 1000.0 + 1e-6).floor().max(0.0) as u64;
         Self {
-            milli_cpus: down(cpus),
-            milli_gpus: down(gpus),
-            memory_mb: down(memory_gb),
+            milli_cpus: round_down(cpus),
+            milli_gpus: round_down(gpus),
+            memory_mb: round_down(memory_gb),
         }
     }
 
-    /// True if `need` fits into this room in every resource.
+    /// True if these resources suffice for `need` in every dimension.
     pub fn covers(&self, need: &Resources) -> bool {
         self.milli_cpus >= need.milli_cpus
             && self.milli_gpus >= need.milli_gpus
@@ -169,7 +169,7 @@
         }
     }
 
-    /// What is left, never below zero.
+    /// The difference, never below zero.
     pub fn minus(&self, other: &Resources) -> Resources {
         Resources {
             milli_cpus: self.milli_cpus.saturating_sub(other.milli_cpus),
@@ -178,7 +178,7 @@
         }
     }
 
-    /// `n` times this room.
+    /// `n` times these resources; saturates instead of overflowing.
     pub fn times(&self, n: u64) -> Resources {
         Resources {
             milli_cpus: self.milli_cpus.saturating_mul(n),
@@ -188,13 +188,13 @@
     }
 }
 
-/// How a job's tasks belong together.
+/// How the tasks of a job are scheduled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobKind {
-    /// Independent tasks, each runs to completion.
+    /// Independent tasks, each of which runs to completion.
     #[serde(rename = "array")]
     Array,
-    /// All tasks at the same time or none.
+    /// Tasks that all run at the same time or not at all.
     #[serde(rename = "ensemble")]
     Gang,
     /// Replicas that run until the job is cancelled.
@@ -232,60 +232,61 @@
 }
 
 impl Priority {
-    /// Position, highest first.
+    /// Index of the priority; 0 is the highest.
     pub fn index(self) -> usize {
         self as usize
     }
 }
 
-/// What a user asked for; wire names, since it is stored as it came.
+/// A job as submitted by its user. It has the names of the wire, since it is stored as
+/// received.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// The id.
+    /// Id of the job.
     #[serde(rename = "nameId")]
     pub id: JobId,
-    /// The job class.
+    /// Class of the job.
     #[serde(rename = "jobklasse")]
     pub class: String,
-    /// The team.
+    /// Team that the job belongs to.
     #[serde(rename = "owner")]
     pub team: String,
     /// Array, gang or service.
     #[serde(rename = "shape")]
     pub kind: JobKind,
-    /// Priority.
+    /// Priority of the job.
     #[serde(rename = "rank")]
     pub priority: Priority,
     /// Number of tasks.
     #[serde(rename = "pieces")]
     pub tasks: u64,
-    /// Processors a task takes.
+    /// CPUs that a task takes.
     #[serde(rename = "cores")]
     pub cpus: f64,
-    /// Accelerators a task takes.
+    /// GPUs that a task takes.
     pub gpus: f64,
-    /// Memory a task takes.
+    /// Memory that a task takes, GB.
     #[serde(rename = "ramGb")]
     pub memory_gb: f64,
-    /// Allowed machine types.
+    /// Machine types that the tasks may run on; `None` allows all.
     #[serde(rename = "hardware", default)]
     pub machine_types: Option<Vec<String>>,
-    /// The only allowed zone.
+    /// Zone that the tasks must run in; `None` allows all.
     #[serde(rename = "hall", default)]
     pub zone: Option<String>,
-    /// All tasks in one zone.
+    /// All tasks must run in one zone.
     #[serde(rename = "samePlace")]
     pub same_zone: bool,
-    /// At most half of the tasks in a zone.
+    /// At most half of the tasks may run in one zone.
     #[serde(rename = "scatter")]
     pub spread: bool,
-    /// May use spot machines.
+    /// The tasks may run on spot machines.
     #[serde(rename = "standby")]
     pub allow_spot: bool,
-    /// Image.
+    /// Image that the tasks run.
     #[serde(rename = "bundle")]
     pub image: String,
-    /// Size of the image.
+    /// Size of the image, GB.
     #[serde(rename = "sizeGb")]
     pub image_gb: f64,
     /// Estimated run time, s.
@@ -294,7 +295,7 @@
     /// Checkpoint interval, s; 0: none.
     #[serde(rename = "savepointS")]
     pub checkpoint_interval_s: f64,
-    /// Time to save when stopped, s.
+    /// Time that a checkpoint takes when a task is stopped, s.
     #[serde(rename = "flushS")]
     pub checkpoint_duration_s: f64,
     /// Deadline from submission, s.
@@ -310,23 +311,23 @@
     pub depends_on: Vec<JobId>,
 }
 
-/// A field that may be null may also be absent (protocol page).
+/// Reads a list that may be null or absent (protocol specification).
 fn list_or_null<'de, D: serde::Deserializer<'de>>(from: D) -> Result<Vec<JobId>, D::Error> {
     <Option<Vec<JobId>> as Deserialize>::deserialize(from).map(Option::unwrap_or_default)
 }
 
 impl JobSpec {
-    /// What one task takes.
+    /// Resources that one task takes.
     pub fn task_resources(&self) -> Resources {
         Resources::request(self.cpus, self.gpus, self.memory_gb)
     }
 
-    /// Size of its image in thousandths of a GB.
+    /// Size of the image in MB (thousandths of a GB).
     pub fn image_mb(&self) -> u64 {
         (self.image_gb * 1000.0).ceil() as u64
     }
 
-    /// Seconds of grace that let a task save, or 0 if it never saves.
+    /// Grace period in s for checkpointing a stopped task; 0 if the job has no checkpoints.
     pub fn stop_grace_s(&self) -> u32 {
         if self.checkpoint_interval_s > 0.0 {
             self.checkpoint_duration_s.ceil() as u32 + 1
@@ -337,10 +338,9 @@
 }
 
 impl JobSpec {
-    /// Seconds of grace when it is preempted for other work: enough to save, but
-    /// none if saving takes longer than what is lost without it. A task that
-    /// is stopped at once loses half a checkpoint interval on average, and
-    /// whoever it is preempted for starts at once.
+    /// Grace period in s for a preempted task: enough for a checkpoint, but 0 if that takes
+    /// longer than the work lost without it. A task that is stopped at once loses half a
+    /// checkpoint interval on average, and the preempting attempt starts at once.
     pub fn preemption_grace_s(&self) -> u32 {
         if self.checkpoint_duration_s >= self.checkpoint_interval_s / 2.0 {
             0
@@ -353,21 +353,21 @@
 /// A machine type, from the cloud's catalog.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MachineType {
-    /// Its name.
+    /// Name of the type.
     pub name: String,
-    /// What a machine offers.
+    /// Resources of a machine.
     pub capacity: Resources,
-    /// Image cache, GB.
+    /// Size of the image cache, GB.
     pub image_cache_gb: f64,
-    /// Image fetch, GB/s.
+    /// Rate at which images are pulled, GB/s.
     pub image_pull_gb_per_s: f64,
-    /// Price of an ordinary machine an hour.
+    /// Price of an on-demand machine per hour.
     pub on_demand_price: f64,
-    /// Price of a spot machine an hour.
+    /// Price of a spot machine per hour.
     pub spot_price: f64,
     /// Usual boot time, s.
     pub boot_s: f64,
-    /// Zones that have it.
+    /// Zones that offer the type.
     pub zones: Vec<String>,
 }
 
--- a/crates/model/src/policy.rs
+++ b/crates/model/src/policy.rs
@@ -1,46 +1,46 @@
-//! The operators' own settings as checked values. They are written in Lua, which
-//! the package `lemonweir-policy` evaluates.
+//! The operators' policy as validated values. It is written in Lua, which the crate
+//! `lemonweir-policy` evaluates.
 
-/// Checked values.
+/// Validated policy.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Policy {
-    /// How long an empty ordinary machine is kept, as a multiple of the time
-    /// that a new one takes to boot and to fetch an image.
+    /// Time for which an empty on-demand machine is kept, as a multiple of the time that a new
+    /// one takes to boot and to pull an image.
     pub on_demand_idle_multiple: f64,
     /// The same for a spot machine.
     pub spot_idle_multiple: f64,
-    /// ms of silence after which a spot machine is released; an ordinary one
-    /// gets its lease and twice this.
+    /// ms of silence after which a spot machine is released; an on-demand machine is released
+    /// after its lease plus twice this time.
     pub spot_silence_timeout_ms: u64,
-    /// A machine that boots this many times as long as usual is released.
+    /// A machine is released if its boot takes this many times as long as usual.
     pub provisioning_timeout_multiple: f64,
-    /// ms after the last answer of the store for which workers' heartbeats are
-    /// answered, so that their tasks go on.
+    /// ms after the last response of the store for which workers' heartbeats are accepted, so
+    /// that their tasks keep running.
     pub store_outage_grace_ms: u64,
-    /// Spare room kept per expected arrival while a machine boots.
+    /// Headroom kept for each arrival that is expected while a machine boots.
     pub headroom_per_arrival: f64,
-    /// Where replicas go.
+    /// Weights for the placement of service replicas.
     pub placement_weights: ServicePlacementWeights,
 }
 
-/// What a place may cost a replica against what it risks. A risk counts in times of
-/// what a lost replica is down for where its weights must be fetched, all else in
-/// seconds until it serves.
+/// Weights of the costs and risks of placing a service replica. Risks are multiples of the
+/// downtime of a lost replica whose image must be pulled; costs are seconds of delay until
+/// the replica serves.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServicePlacementWeights {
-    /// Where one machine would hold all of a job's replicas; for a share of them, that
-    /// share of it.
+    /// Risk of all of a job's replicas being on one machine, scaled by the share of them that
+    /// is.
     pub machine_loss: f64,
-    /// The same of one zone, for more than its equal share, and of spot machines, for
-    /// more than half.
+    /// The same for one zone that holds more than its equal share, and for spot machines that
+    /// hold more than half.
     pub zone_loss: f64,
-    /// Where all of a job's replicas would be in one zone.
+    /// Risk of all of a job's replicas being in one zone.
     pub single_zone: f64,
-    /// Later by so many s rather than keep one machine more for as long as the replica
-    /// lasts: one without replicas so far; twice this for an empty one.
+    /// Delay in s that is accepted rather than keep one more machine, which has no replicas
+    /// yet, for as long as the replica lives; twice this for an empty machine.
     pub machine_pin_cost_s: f64,
-    /// A replica that serves is moved only where so many s are gained beyond those for
-    /// which it is down.
+    /// Minimum gain in s, beyond the downtime of the move itself, for which a serving replica
+    /// is moved.
     pub min_migration_gain_s: f64,
 }
 
--- a/crates/model/src/settings.rs
+++ b/crates/model/src/settings.rs
@@ -1,6 +1,6 @@
-//! The settings file that the platform hands over (JSON).
+//! The JSON settings file that the platform provides to a controller.
 //!
-//! Unknown fields are ignored; every fault is named on a line of its own.
+//! Unknown fields are ignored; every error is reported on a line of its own.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -9,18 +9,18 @@
 use serde_json::{Value, json};
 use serde_path_to_error::Segment;
 
-/// Another controller.
+/// Another controller of the cluster.
 #[derive(Clone, Debug, Deserialize)]
 pub struct SeedController {
-    /// Its host name.
+    /// Host name of the controller.
     pub host_name: String,
-    /// Its zone.
+    /// Zone of the controller.
     pub zone: String,
-    /// Its internal address.
+    /// Internal address of the controller.
     pub address: SocketAddr,
 }
 
-/// Where the outside systems are.
+/// Addresses of the external services.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Services {
     /// The cloud.
@@ -30,39 +30,39 @@
     pub kv_store: SocketAddr,
 }
 
-/// A team's guarantee and limit; 0 means none.
+/// Guarantees and limits of a team; 0 means none.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Team {
-    /// Its name.
+    /// Name of the team.
     pub name: String,
-    /// Guaranteed processors.
+    /// Guaranteed CPUs.
     #[serde(rename = "cpus", default)]
     pub guaranteed_cpus: f64,
-    /// Most processors.
+    /// Maximum CPUs.
     #[serde(rename = "cpus_max", default)]
     pub max_cpus: f64,
-    /// Guaranteed accelerators.
+    /// Guaranteed GPUs.
     #[serde(rename = "gpus", default)]
     pub guaranteed_gpus: f64,
-    /// Most accelerators.
+    /// Maximum GPUs.
     #[serde(rename = "gpus_max", default)]
     pub max_gpus: f64,
 }
 
-/// What is expected of a class of jobs.
+/// A service level objective for a class of jobs.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Objective {
     /// `wait`, `finished`, `deadline`, `guarantee`, …
     pub kind: String,
-    /// The class, where one is meant.
+    /// Class that the objective applies to, if it is limited to one.
     #[serde(default)]
     pub class: Option<String>,
-    /// Seconds.
+    /// Time limit of the objective, s.
     #[serde(default)]
     pub within_s: Option<f64>,
 }
 
-/// The workers' times, in seconds.
+/// Intervals and timeouts of the workers, in seconds.
 #[derive(Clone, Debug, Deserialize)]
 #[allow(missing_docs)]
 #[serde(rename = "Workers")]
@@ -78,7 +78,7 @@
     pub cancellation_deadline_s: f64,
 }
 
-/// The store's limits.
+/// Limits of the store.
 #[derive(Clone, Debug, Deserialize)]
 #[allow(missing_docs)]
 #[serde(rename = "StateLimits")]
@@ -95,7 +95,7 @@
     pub upcoming: Option<UpcomingKvStoreLimits>,
 }
 
-/// Limits that the store will have from some moment on, which it does not tell.
+/// Limits that the store will switch to at some time, without notice.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[allow(missing_docs)]
 #[serde(rename = "NextStateLimits")]
@@ -115,32 +115,32 @@
         self.upcoming.clone().unwrap_or_default()
     }
 
-    /// KiB that a value may have now and later.
+    /// Maximum size of a value in KiB that is valid under current and upcoming limits.
     pub fn lowest_max_value_kib(&self) -> f64 {
         self.max_value_kib
             .min(self.next().max_value_kib.unwrap_or(f64::MAX))
     }
 
-    /// Changes that a transaction may hold now and later.
+    /// Maximum writes in a transaction that are valid under current and upcoming limits.
     pub fn lowest_max_cas_ops(&self) -> usize {
         self.max_cas_ops
             .min(self.next().max_cas_ops.unwrap_or(usize::MAX))
     }
 
-    /// Changes a second that are taken now and later.
+    /// Maximum writes per second that are valid under current and upcoming limits.
     pub fn lowest_writes_per_s(&self) -> f64 {
         self.writes_per_s
             .min(self.next().writes_per_s.unwrap_or(f64::MAX))
     }
 
-    /// Requests a second that are taken now and later.
+    /// Maximum requests per second that are valid under current and upcoming limits.
     pub fn lowest_requests_per_s(&self) -> f64 {
         self.requests_per_s
             .min(self.next().requests_per_s.unwrap_or(f64::MAX))
     }
 }
 
-/// The cloud's limits.
+/// Limits of the cloud.
 #[derive(Clone, Debug, Deserialize)]
 #[allow(missing_docs)]
 pub struct CloudLimits {
@@ -150,7 +150,7 @@
     pub list_staleness_s: f64,
 }
 
-/// This process's limits.
+/// Resource limits of the controller process.
 #[derive(Clone, Debug, Deserialize)]
 #[allow(missing_docs)]
 pub struct Limits {
@@ -161,7 +161,7 @@
     pub max_open_files: usize,
 }
 
-/// What all controllers share.
+/// Settings that are the same for all controllers.
 #[derive(Clone, Debug, Deserialize)]
 #[allow(missing_docs)]
 pub struct Cluster {
@@ -180,7 +180,7 @@
     pub clock_offset_ms: f64,
 }
 
-/// The whole file.
+/// The settings file.
 #[derive(Clone, Debug, Deserialize)]
 #[allow(missing_docs)]
 pub struct Settings {
@@ -195,43 +195,44 @@
     pub cluster: Cluster,
 }
 
-/// A controller as every node sees it. Its index is its shard's.
+/// A controller of the cluster, including this one. Its index in [`Settings::members`] is the
+/// number of its shard.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClusterMember {
-    /// Host name.
+    /// Host name of the controller.
     pub host: String,
-    /// Zone.
+    /// Zone of the controller.
     pub zone: String,
-    /// Internal address.
+    /// Internal address of the controller.
     pub address: SocketAddr,
 }
 
 impl Settings {
-    /// Reads and checks a file; every fault found is one entry of the error.
+    /// Reads and validates a file; the error lists every problem found.
     pub fn load(path: &Path) -> Result<Self, Vec<String>> {
         let text =
             std::fs::read_to_string(path).map_err(|e| vec![format!("{}: {e}", path.display())])?;
         Self::parse(&text)
     }
 
-    /// Reads and checks the text of a file.
+    /// Parses and validates the text of a file; the error lists every problem found.
     pub fn parse(text: &str) -> Result<Self, Vec<String>> {
         let value: Value =
             serde_json::from_str(text).map_err(|e| vec![format!("settings: not JSON: {e}")])?;
-        let settings = read(value)?;
-        let faults = settings.faults();
-        if faults.is_empty() {
+        let settings = deserialize_settings(value)?;
+        let errors = settings.validation_errors();
+        if errors.is_empty() {
             Ok(settings)
         } else {
-            Err(faults)
+            Err(errors)
         }
     }
 
-    fn faults(&self) -> Vec<String> {
-        let mut faults = Vec::new();
-        let mut check = |good: bool, text: String| {
-            if !good {
-                faults.push(text);
+    fn validation_errors(&self) -> Vec<String> {
+        let mut errors = Vec::new();
+        let mut check = |valid: bool, text: String| {
+            if !valid {
+                errors.push(text);
             }
         };
         let c = &self.cluster;
@@ -336,11 +337,11 @@
             c.process_limits.max_open_files >= 64,
             "cluster.limits.fd_limit must be 64 or more".into(),
         );
-        faults
+        errors
     }
 
-    /// All controllers in the order of their host names; every node computes
-    /// the same list, so an index into it names a shard.
+    /// All controllers sorted by host name. Every controller computes the same list, so an
+    /// index into it identifies a shard.
     pub fn members(&self) -> Vec<ClusterMember> {
         let mut members: Vec<ClusterMember> = self
             .seed_controllers
@@ -361,11 +362,11 @@
     }
 }
 
-/// Fields of the wrong form that are named at most.
-const FAULTS_MOST: usize = 100;
+/// Maximum number of malformed or missing fields that are reported.
+const MAX_FIELD_ERRORS: usize = 100;
 
-/// A file that has every field, in its form.
-fn pattern() -> Value {
+/// A file with a well-formed value for every field.
+fn template() -> Value {
     let address = "0.0.0.0:0";
     json!({
         "host_name": "", "zone": "", "listen": address, "internal_addr": address,
@@ -384,14 +385,15 @@
     })
 }
 
-/// Reads the form of all fields. The parser stops at the first fault, so each
-/// one is noted by its path, mended from the pattern, and all is read again.
-fn read(mut value: Value) -> Result<Settings, Vec<String>> {
-    let pattern = pattern();
-    let mut faults = Vec::new();
-    while faults.len() < FAULTS_MOST {
+/// Deserializes the settings and reports all malformed or missing fields. The deserializer
+/// stops at the first error, so each one is recorded with its path, the field is replaced by
+/// its value in the template, and deserialization is repeated.
+fn deserialize_settings(mut value: Value) -> Result<Settings, Vec<String>> {
+    let template = template();
+    let mut errors = Vec::new();
+    while errors.len() < MAX_FIELD_ERRORS {
         let error = match serde_path_to_error::deserialize::<_, Settings>(&value) {
-            Ok(settings) if faults.is_empty() => return Ok(settings),
+            Ok(settings) if errors.is_empty() => return Ok(settings),
             Ok(_) => break,
             Err(error) => error,
         };
@@ -409,7 +411,7 @@
             .join(".")
             .replace(".[", "[");
         let name = if name.is_empty() { "settings" } else { &name };
-        faults.push(format!(
+        errors.push(format!(
             "{name}: {}",
             if missing.is_some() {
                 "is missing"
@@ -417,34 +419,34 @@
                 &what
             }
         ));
-        if !mend(&mut value, &pattern, &path) {
+        if !replace_with_template(&mut value, &template, &path) {
             break;
         }
     }
-    Err(faults)
+    Err(errors)
 }
 
-/// Puts the pattern's value where the path leads; false if it leads nowhere.
-fn mend(value: &mut Value, pattern: &Value, path: &[Segment]) -> bool {
+/// Replaces the value at the path by the template's; false if the path doesn't exist.
+fn replace_with_template(value: &mut Value, template: &Value, path: &[Segment]) -> bool {
     let Some((first, rest)) = path.split_first() else {
-        *value = pattern.clone();
+        *value = template.clone();
         return true;
     };
-    match (first, value, pattern) {
-        (Segment::Map { key }, Value::Object(map), Value::Object(good)) => {
-            let Some(good) = good.get(key) else {
+    match (first, value, template) {
+        (Segment::Map { key }, Value::Object(map), Value::Object(template)) => {
+            let Some(template) = template.get(key) else {
                 return false;
             };
             if rest.is_empty() {
-                map.insert(key.clone(), good.clone());
+                map.insert(key.clone(), template.clone());
                 return true;
             }
             map.get_mut(key)
-                .is_some_and(|inner| mend(inner, good, rest))
+                .is_some_and(|inner| replace_with_template(inner, template, rest))
         }
-        (Segment::Seq { index }, Value::Array(list), Value::Array(good)) => {
-            match (list.get_mut(*index), good.first()) {
-                (Some(inner), Some(good)) => mend(inner, good, rest),
+        (Segment::Seq { index }, Value::Array(list), Value::Array(template)) => {
+            match (list.get_mut(*index), template.first()) {
+                (Some(inner), Some(template)) => replace_with_template(inner, template, rest),
                 _ => false,
             }
         }
