--- a/crates/model/tests/golden_settings.rs
+++ b/crates/model/tests/golden_settings.rs
@@ -1,18 +1,18 @@
-//! A settings file with every field, and what each is read as: names in the file are
-//! the platform's and stay as they are.
+//! Compares every field of a sample settings file with its decoded value: the names in the
+//! file are defined by the platform and must not change.
 
 use lemonweir_model::settings::{ClusterMember, Settings};
 
 const EVERY_FIELD: &str = include_str!("samples/golden/settings.json");
-const NEEDED_FIELDS: &str = include_str!("samples/golden/settings_needed.json");
+const REQUIRED_FIELDS: &str = include_str!("samples/golden/settings_needed.json");
 
-fn read(text: &str) -> Settings {
+fn parse_settings(text: &str) -> Settings {
     Settings::parse(text).expect("a settings file without faults")
 }
 
 #[test]
 fn every_field_of_a_controller_is_read() {
-    let settings = read(EVERY_FIELD);
+    let settings = parse_settings(EVERY_FIELD);
     assert_eq!(settings.host_name, "hutte-1");
     assert_eq!(settings.zone, "rijnmond");
     assert_eq!(settings.listen_addr.to_string(), "0.0.0.0:8080");
@@ -33,16 +33,16 @@
     );
 }
 
-/// A controller's position is its shard's number, so it is as fixed as a record.
+/// The index of a controller is the number of its shard, so the order must not change.
 #[test]
-fn controllers_are_numbered_in_the_order_of_their_names() {
+fn members_are_sorted_by_host_name() {
     let member = |host: &str, zone: &str, address: &str| ClusterMember {
         host: host.into(),
         zone: zone.into(),
         address: address.parse().expect("an address"),
     };
     assert_eq!(
-        read(EVERY_FIELD).members(),
+        parse_settings(EVERY_FIELD).members(),
         [
             member("hutte-0", "eemsmond", "10.0.1.1:8081"),
             member("hutte-1", "rijnmond", "10.0.2.1:8081"),
@@ -53,7 +53,7 @@
 
 #[test]
 fn every_field_of_the_cluster_is_read() {
-    let c = read(EVERY_FIELD).cluster;
+    let c = parse_settings(EVERY_FIELD).cluster;
     assert_eq!(c.zones, ["eemsmond", "rijnmond"]);
     let teams: Vec<_> = c
         .teams
@@ -132,8 +132,8 @@
 }
 
 #[test]
-fn fields_that_may_be_absent_have_their_defaults() {
-    let c = read(NEEDED_FIELDS).cluster;
+fn optional_fields_have_defaults() {
+    let c = parse_settings(REQUIRED_FIELDS).cluster;
     let team = &c.teams[0];
     assert_eq!(
         [
@@ -149,15 +149,15 @@
     assert_eq!(c.kv_store.lowest_max_cas_ops(), c.kv_store.max_cas_ops);
 }
 
-/// The lines that `lemonweir check` prints: a field is called by its name in the file.
+/// `lemonweir check` prints these errors: a field is reported by its name in the file.
 #[test]
-fn a_missing_field_is_named_by_its_path() {
+fn missing_field_is_reported_by_its_path() {
     let object = |text: &str| serde_json::from_str::<serde_json::Value>(text).expect("JSON");
     let mut paths = Vec::new();
-    needed(&object(NEEDED_FIELDS), String::new(), &mut paths);
+    collect_field_paths(&object(REQUIRED_FIELDS), String::new(), &mut paths);
     assert_eq!(paths.len(), 33, "{paths:?}");
     for path in paths {
-        let mut file = object(NEEDED_FIELDS);
+        let mut file = object(REQUIRED_FIELDS);
         let (parent, name) = path.rsplit_once('/').expect("a path");
         file.pointer_mut(parent)
             .and_then(serde_json::Value::as_object_mut)
@@ -172,9 +172,9 @@
     }
 }
 
-/// The paths of all fields below a value.
-fn needed(value: &serde_json::Value, at: String, paths: &mut Vec<String>) {
-    let below: Vec<(String, &serde_json::Value)> = match value {
+/// Collects the JSON pointers of all fields of a value.
+fn collect_field_paths(value: &serde_json::Value, at: String, paths: &mut Vec<String>) {
+    let children: Vec<(String, &serde_json::Value)> = match value {
         serde_json::Value::Object(fields) => fields
             .iter()
             .map(|(name, field)| (format!("{at}/{name}"), field))
@@ -187,10 +187,10 @@
             .collect(),
         _ => return,
     };
-    for (path, field) in below {
+    for (path, field) in children {
         if value.is_object() {
             paths.push(path.clone());
         }
-        needed(field, path, paths);
+        collect_field_paths(field, path, paths);
     }
 }
