--- a/crates/storage/src/dependencies.rs
+++ b/crates/storage/src/dependencies.rs
@@ -2,7 +2,7 @@
 //!
 //! | key | value | lifetime |
 //! | --- | --- | --- |
-//! | `w/chain/<id>` | [`JobRecord`], its `awaits` cut to the first page | until all dependencies are done, or the job is cancelled |
+//! | `w/chain/<id>` | [`JobRecord`], first page of `awaits` | until unblocked or cancelled |
 //! | `w/chain/<id>/<n>` | [`DependencyPage`] | as above; deleted later |
 //!
 //! A blocked job has no key under `w/job/`, so no placer places it, and a version without
@@ -60,7 +60,7 @@
 
 /// Transactions that create a blocked job, to be executed in this order. The further pages
 /// come first, since they have no effect without the job record, which is written last.
-pub fn create_blocked_job(record: &JobRecord, txn_ops: usize) -> Vec<CompareAndSwap> {
+pub fn create_blocked_job(record: &JobRecord, max_cas_ops: usize) -> Vec<CompareAndSwap> {
     let id = &record.spec.id;
     let mut pages = record.spec.depends_on.chunks(DEPENDENCIES_PER_PAGE);
     let first = pages.next().unwrap_or_default().to_vec();
@@ -76,7 +76,7 @@
         })
         .collect();
     let mut cas_list: Vec<CompareAndSwap> = rest
-        .chunks(txn_ops.max(1))
+        .chunks(max_cas_ops.max(1))
         .map(|writes| CompareAndSwap {
             conditions: job_absent_conditions(id),
             writes: writes.to_vec(),
--- a/crates/storage/src/records.rs
+++ b/crates/storage/src/records.rs
@@ -7,12 +7,12 @@
 //! | `w/node/<host>` | [`ControllerRecord`] | the controller's store lease |
 //! | `w/version` | [`VersionRecord`] | permanent |
 //! | `w/team/<name>` | [`TeamAssignmentRecord`] | permanent |
-//! | `w/chain/<id>` | [`JobRecord`] | while the job waits for its dependencies ([`crate::dependencies`]) |
+//! | `w/chain/<id>` | [`JobRecord`] | while blocked ([`crate::dependencies`]) |
 //! | `end/<id>` | [`JobEndRecord`] | permanent |
-//! | `run/<shard>/<id>/<chunk>` | [`TaskChunkRecord`] | while the job is unfinished or an attempt may run |
+//! | `run/<shard>/<id>/<chunk>` | [`TaskChunkRecord`] | until job and attempts have ended |
 //! | `img/<shard>/<page>` | [`ImageLocationsRecord`] | permanent; a hint only |
 //! | `w/mail/<kind>/<from>/<to>/<chunk>` | [`StoreMessageRecord`] | the sender's store lease |
-//! | `w/hand/<shard>/<slot>` | [`crate::failovers::FailoverRecord`] | until its slot is overwritten |
+//! | `w/hand/<shard>/<slot>` | [`crate::failovers::FailoverRecord`] | until overwritten |
 //!
 //! Every controller watches `w/`. A job's key there is deleted in the transaction that writes
 //! its end record, so the snapshot read at start-up stays small as finished jobs accumulate.
