--- a/crates/protocol/tests/golden_messages.rs
+++ b/crates/protocol/tests/golden_messages.rs
@@ -416,14 +416,14 @@
     );
     assert_eq!(read.zones, text(&["eemsmond", "rijnmond"]));
 
-    let rental = ProvisioningRequest {
+    let provisioning = ProvisioningRequest {
         request_id: "hutte-0-42-7".into(),
         machine_type: "g8".into(),
         zone: "eemsmond".into(),
         spot: true,
         count: 3,
     };
-    golden.assert_round_trip("rental request", &rental);
+    golden.assert_round_trip("rental request", &provisioning);
     let machines = MachineNames {
         machines: vec![MachineId::from("n-000231"), MachineId::from("n-000232")],
     };
@@ -478,10 +478,10 @@
     };
     golden.assert_round_trip("condition, absent", &condition("w/part/2", 0));
     golden.assert_round_trip("condition, at a version", &condition("w/part/1", 42));
-    let put = |hold| Write::Put {
+    let put = |lease_id| Write::Put {
         key: "w/part/1".into(),
         value: value(),
-        lease: hold,
+        lease: lease_id,
     };
     let delete = || Write::Delete {
         key: "w/part/3".into(),
@@ -830,10 +830,10 @@
         text: "took part 2".into(),
     }];
     golden.assert_round_trip("events", &events);
-    let shard = |holder: Option<&str>, token, since| supervision::ShardRow {
+    let shard = |leader: Option<&str>, token, since| supervision::ShardRow {
         shard: 1,
         preferred_leader: "hutte-1".into(),
-        leader: holder.map(str::to_owned),
+        leader: leader.map(str::to_owned),
         fencing_token: token,
         leader_since_ms: since,
     };
--- a/crates/storage/tests/versions.rs
+++ b/crates/storage/tests/versions.rs
@@ -38,9 +38,13 @@
         (job.spec.id.as_str(), job.spec.priority, job.spec.kind),
         ("req-000412", Priority::High, JobKind::Gang)
     );
-    let node: ControllerRecord = from_value(&sample("node")).expect("a node");
+    let controller: ControllerRecord = from_value(&sample("node")).expect("a controller");
     assert_eq!(
-        (node.record_version, node.peer_version, node.ceded_shards),
+        (
+            controller.record_version,
+            controller.peer_version,
+            controller.ceded_shards
+        ),
         (0, PEER_VERSION, vec![2])
     );
     let chunk = read_chunk(&sample("chunk"), 0).expect("a chunk");
@@ -137,7 +141,7 @@
             let kind = key
                 .strip_prefix(FOLLOWED)
                 .and_then(|rest| rest.split_once('/'))
-                .expect("followed")
+                .expect("a watched key")
                 .0;
             assert!(
                 !PREVIOUS_KEY_KINDS.contains(&kind),
