--- a/src/args.rs
+++ b/src/args.rs
@@ -1,5 +1,5 @@
-//! The command line. Commands and flags have the field's names; the names that they had
-//! before are understood as well, and not shown in the help.
+//! Command-line arguments. Former names of commands and flags are accepted as hidden
+//! aliases, which the help does not show.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -16,12 +16,12 @@
     /// Operators' scheduling policy (Lua); the embedded default otherwise.
     #[arg(long, value_name = "FILE", global = true)]
     pub(crate) policy: Option<PathBuf>,
-    /// The command, unless a controller is run.
+    /// The command to run instead of a controller.
     #[command(subcommand)]
     pub(crate) command: Option<Command>,
 }
 
-/// What is done instead of running a controller.
+/// Commands of operators and users.
 #[derive(Subcommand)]
 pub(crate) enum Command {
     /// Validate a settings file and the policy; report every fault.
@@ -31,7 +31,7 @@
     },
     /// Submit a job, read as JSON from a file.
     Submit {
-        /// The controller to ask.
+        /// The controller to call.
         #[command(flatten)]
         controller: ControllerArgs,
         /// The job, as JSON.
@@ -39,7 +39,7 @@
     },
     /// Show the status of a job, with the reason why it is pending.
     Status {
-        /// The controller to ask.
+        /// The controller to call.
         #[command(flatten)]
         controller: ControllerArgs,
         /// The job's id.
@@ -48,20 +48,20 @@
     /// Show the links that a controller and its peers see up or down, and which relay
     /// peer is used.
     Links {
-        /// The controller to ask.
+        /// The controller to call.
         #[command(flatten)]
         controller: ControllerArgs,
-        /// How it is printed.
+        /// The output format.
         #[command(flatten)]
         output: OutputArgs,
     },
     /// Show the events of links and shards that a controller has recorded since it
     /// started.
     Events {
-        /// The controller to ask.
+        /// The controller to call.
         #[command(flatten)]
         controller: ControllerArgs,
-        /// How it is printed.
+        /// The output format.
         #[command(flatten)]
         output: OutputArgs,
     },
@@ -69,7 +69,7 @@
     /// leader of each shard; or the failovers of shards; or the locality of an image.
     #[command(alias = "watch")]
     Supervision {
-        /// The controller to ask.
+        /// The controller to call.
         #[command(flatten)]
         controller: ControllerArgs,
         /// Show the failovers of shards.
@@ -84,14 +84,14 @@
             conflicts_with = "failovers"
         )]
         image_locality: Option<String>,
-        /// How it is printed.
+        /// The output format.
         #[command(flatten)]
         output: OutputArgs,
     },
     /// Cancel a job.
     #[command(alias = "withdraw")]
     Cancel {
-        /// The controller to ask.
+        /// The controller to call.
         #[command(flatten)]
         controller: ControllerArgs,
         /// The job's id.
@@ -99,7 +99,7 @@
     },
 }
 
-/// Which controller a command asks.
+/// The controller that a command calls.
 #[derive(Args)]
 pub(crate) struct ControllerArgs {
     /// Address of a controller.
@@ -107,7 +107,7 @@
     pub(crate) address: SocketAddr,
 }
 
-/// How a command prints its result.
+/// Options for the output of a command.
 #[derive(Args)]
 pub(crate) struct OutputArgs {
     /// Print JSON.
@@ -115,17 +115,17 @@
     json: bool,
 }
 
-/// The form of a result.
+/// Output format of a command.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum OutputFormat {
-    /// Tables for people.
+    /// Human-readable tables.
     Table,
-    /// JSON as the controller answers it.
+    /// The JSON form of the controller's response.
     Json,
 }
 
 impl OutputArgs {
-    /// The form that was asked for.
+    /// The selected format.
     pub(crate) fn format(&self) -> OutputFormat {
         if self.json {
             OutputFormat::Json
--- a/src/commands/image_locality.rs
+++ b/src/commands/image_locality.rs
@@ -1,4 +1,4 @@
-//! `supervision --image-locality`.
+//! The command `supervision --image-locality`.
 
 use std::net::SocketAddr;
 
--- a/src/commands/jobs.rs
+++ b/src/commands/jobs.rs
@@ -1,4 +1,4 @@
-//! `submit`, `status` and `cancel`.
+//! The commands `submit`, `status` and `cancel`.
 
 use std::net::SocketAddr;
 use std::path::Path;
--- a/src/commands/links.rs
+++ b/src/commands/links.rs
@@ -1,4 +1,4 @@
-//! `links` and `events`.
+//! The commands `links` and `events`.
 
 use std::net::SocketAddr;
 
@@ -7,7 +7,7 @@
 use crate::args::OutputFormat;
 use crate::controller_client::{fetch, print_response};
 use crate::error::CommandError;
-use crate::output::{or_empty, table, time_of_day};
+use crate::output::{or_empty, table, utc_timestamp};
 
 /// Shows the links of a controller and its peers.
 pub(crate) fn links(controller: SocketAddr, format: OutputFormat) -> Result<(), CommandError> {
@@ -68,7 +68,7 @@
     let events: Vec<EventRow> = fetch(controller, path)?;
     let mut table = table(["time of day (UTC)", "event"]);
     for event in events {
-        table.add_row([time_of_day(event.at_ms), event.text]);
+        table.add_row([utc_timestamp(event.at_ms), event.text]);
     }
     println!("{table}");
     Ok(())
--- a/src/commands/mod.rs
+++ b/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' commands against a running controller.
+//! Commands that call a running controller.
 
 pub(crate) mod image_locality;
 pub(crate) mod jobs;
--- a/src/commands/supervision.rs
+++ b/src/commands/supervision.rs
@@ -1,4 +1,4 @@
-//! `supervision`, and its `--failovers`.
+//! The commands `supervision` and `supervision --failovers`.
 
 use std::net::SocketAddr;
 
@@ -11,9 +11,9 @@
 use crate::args::OutputFormat;
 use crate::controller_client::{fetch, print_response};
 use crate::error::CommandError;
-use crate::output::{or_empty, state_age, table, time_of_day};
+use crate::output::{or_empty, state_age, table, utc_timestamp};
 
-/// Shows which services are under-replicated, and who leads which shard.
+/// Shows shard leaders, under-replicated services and teams over their quota limits.
 pub(crate) fn supervision(
     controller: SocketAddr,
     format: OutputFormat,
@@ -50,7 +50,7 @@
             row.shard.to_string(),
             row.preferred_leader,
             row.leader.unwrap_or_else(|| "nobody".into()),
-            or_empty(row.leader_since_ms.map(time_of_day)),
+            or_empty(row.leader_since_ms.map(utc_timestamp)),
         ]);
     }
     shards
@@ -157,8 +157,8 @@
         format!("{replicas} replicas, {others} others, {machines} machines")
     });
     let completion = match (row.completion, &row.new_leader) {
-        (Some(completion), _) => CompletionCells::of(completion),
-        // Only what somebody acquired has something to be found.
+        (Some(completion), _) => CompletionCells::new(completion),
+        // A completion is recorded only if a new leader acquired the shard.
         (None, Some(_)) => CompletionCells {
             findings: "not written yet".to_owned(),
             ..CompletionCells::default()
@@ -166,7 +166,7 @@
         (None, None) => CompletionCells::default(),
     };
     [
-        time_of_day(row.at_ms),
+        utc_timestamp(row.at_ms),
         row.shard.to_string(),
         row.number.to_string(),
         row.previous_leader.unwrap_or_default(),
@@ -181,7 +181,7 @@
     ]
 }
 
-/// What the table shows of a failover's completion.
+/// Table cells for the completion of a failover.
 #[derive(Default)]
 struct CompletionCells {
     first_start: String,
@@ -191,7 +191,7 @@
 }
 
 impl CompletionCells {
-    fn of(row: FailoverCompletionRow) -> Self {
+    fn new(row: FailoverCompletionRow) -> Self {
         let ms = |ms: Option<u64>| or_empty(ms.map(|ms| format!("{ms} ms")));
         let replicas = row
             .found
--- a/src/controller_client.rs
+++ b/src/controller_client.rs
@@ -1,4 +1,4 @@
-//! The operators' calls to a running controller.
+//! HTTP calls of the operators' commands to a running controller.
 
 use std::net::SocketAddr;
 
@@ -8,7 +8,7 @@
 
 use crate::error::CommandError;
 
-/// ms that an operator's command waits for its answer, as users do.
+/// Timeout of an operator's call in ms; users' clients wait as long.
 const RESPONSE_TIMEOUT_MS: u64 = 5_000;
 
 fn call(
@@ -22,7 +22,7 @@
         .map_err(|source| CommandError::Call { controller, source })
 }
 
-/// Reads a page of a controller.
+/// Fetches and decodes a report of a controller.
 pub(crate) fn fetch<T: DeserializeOwned>(
     controller: SocketAddr,
     path: &str,
@@ -35,7 +35,7 @@
     }
 }
 
-/// Makes a call and prints what is answered, also with an error, as JSON.
+/// Makes a call and prints the response body as JSON, even if the status is an error.
 pub(crate) fn print_response(
     controller: SocketAddr,
     method: &str,
@@ -43,8 +43,8 @@
     body: &[u8],
 ) -> Result<(), CommandError> {
     let response = call(controller, method, path, body)?;
-    if let Ok(answer) = decode::<serde_json::Value>(&response.body) {
-        println!("{answer:#}");
+    if let Ok(json) = decode::<serde_json::Value>(&response.body) {
+        println!("{json:#}");
     }
     match response.status {
         200..300 => Ok(()),
--- a/src/error.rs
+++ b/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a command failed.
+//! Errors of commands.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -6,13 +6,13 @@
 use lemonweir_protocol::Malformed;
 use lemonweir_transport::CallError;
 
-/// Why a command failed, as its user is told.
+/// Why a command failed; the message is shown to its user.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum CommandError {
-    /// Neither a controller nor a command was asked for, or both.
+    /// Neither a settings file nor a command was given, or both were.
     #[error("give either --config FILE or one command; see --help")]
     Usage,
-    /// Faults of the settings and the policy, each named.
+    /// Errors in the settings and the policy, one message each.
     #[error("{}", .0.join("; "))]
     Configuration(Vec<String>),
     /// The controller can't listen on its addresses.
@@ -23,48 +23,48 @@
     ReadFile {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// A job's file is not JSON.
+    /// A job file is not valid JSON.
     #[error("{}: {source}", path.display())]
     ParseJob {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The parse error.
         source: serde_json::Error,
     },
-    /// A controller did not answer.
+    /// A call to a controller got no response.
     #[error("{controller}: {source}")]
     Call {
-        /// Its address.
+        /// The controller's address.
         controller: SocketAddr,
-        /// Why.
+        /// The transport error.
         source: CallError,
     },
-    /// A controller answered with another status than success.
-    #[error("{controller} answered {status}")]
+    /// A controller returned an error status.
+    #[error("{controller} returned HTTP status {status}")]
     Status {
-        /// Its address.
+        /// The controller's address.
         controller: SocketAddr,
-        /// The HTTP status.
+        /// The HTTP status code.
         status: u16,
     },
-    /// A controller's answer can't be read.
+    /// A controller's response can't be decoded.
     #[error("{controller}: {source}")]
     MalformedResponse {
-        /// Its address.
+        /// The controller's address.
         controller: SocketAddr,
-        /// Why.
+        /// The decoding error.
         source: Malformed,
     },
 }
 
 impl CommandError {
-    /// The faults to print, one a line.
-    pub(crate) fn faults(&self) -> Vec<String> {
+    /// The messages to print, one per line.
+    pub(crate) fn messages(&self) -> Vec<String> {
         match self {
-            Self::Configuration(faults) => faults.clone(),
+            Self::Configuration(errors) => errors.clone(),
             error => vec![error.to_string()],
         }
     }
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The program: runs a controller, or one of the operators' commands.
+//! The `lemonweir` binary: runs a controller, or a command against a running one.
 
 mod args;
 mod commands;
@@ -18,20 +18,20 @@
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    start_logging();
+    init_logging();
     match run(cli) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            for fault in error.faults() {
-                eprintln!("lemonweir: {fault}");
+            for message in error.messages() {
+                eprintln!("lemonweir: {message}");
             }
             ExitCode::FAILURE
         }
     }
 }
 
-/// Logs to standard error, from the level that `LOG_LEVEL` names; errors only otherwise.
-fn start_logging() {
+/// Starts logging to standard error at the level in `LOG_LEVEL`; the default is errors only.
+fn init_logging() {
     let level = match std::env::var("LOG_LEVEL").as_deref() {
         Ok("debug") => tracing::Level::DEBUG,
         Ok("info") => tracing::Level::INFO,
@@ -58,14 +58,14 @@
 
 /// Runs a controller until the process is killed.
 fn run_controller(file: &Path, policy: Option<PathBuf>) -> Result<(), CommandError> {
-    let (settings, policy) = load(file, policy)?;
+    let (settings, policy) = load_configuration(file, policy)?;
     lemonweir_node::run(settings, policy).map_err(CommandError::Listen)
 }
 
 fn run_command(command: Command, policy: Option<PathBuf>) -> Result<(), CommandError> {
     match command {
         Command::Check { file } => {
-            load(&file, policy)?;
+            load_configuration(&file, policy)?;
             println!("settings and policy are fine");
             Ok(())
         }
@@ -94,8 +94,11 @@
     }
 }
 
-/// Loads settings and policy; the faults of both are reported together.
-fn load(file: &Path, policy: Option<PathBuf>) -> Result<(Settings, Policy), CommandError> {
+/// Loads the settings and the policy; the errors of both are reported together.
+fn load_configuration(
+    file: &Path,
+    policy: Option<PathBuf>,
+) -> Result<(Settings, Policy), CommandError> {
     let settings = Settings::load(file);
     let policy = match policy {
         None => lemonweir_policy::embedded(),
--- a/src/output.rs
+++ b/src/output.rs
@@ -1,8 +1,8 @@
-//! How results are printed for people.
+//! Formatting of command results as text.
 
 use comfy_table::Table;
 
-/// A table with this header and no lines.
+/// Creates a table with this header, without rows or borders.
 pub(crate) fn table<const N: usize>(header: [&str; N]) -> Table {
     let mut table = Table::new();
     table
@@ -11,20 +11,20 @@
     table
 }
 
-/// A time of day, ms since 1970, as text.
-pub(crate) fn time_of_day(unix_ms: u64) -> String {
+/// Formats a Unix time in ms as a UTC timestamp; as the plain number if it is out of range.
+pub(crate) fn utc_timestamp(unix_ms: u64) -> String {
     i64::try_from(unix_ms)
         .ok()
         .and_then(|unix_ms| jiff::Timestamp::from_millisecond(unix_ms).ok())
         .map_or_else(|| unix_ms.to_string(), |time| time.to_string())
 }
 
-/// A value, or nothing if there is none.
+/// Formats a value; empty if there is none.
 pub(crate) fn or_empty(value: Option<impl ToString>) -> String {
     value.map(|value| value.to_string()).unwrap_or_default()
 }
 
-/// Which controller's state is shown, and how old it is.
+/// Says which controller's view of the store is shown, and how old it is.
 pub(crate) fn state_age(host: &str, age_ms: Option<u64>) -> String {
     match age_ms {
         Some(ms) => format!("as {host} read it {ms} ms ago"),
