--- a/tests/malformed_input.rs
+++ b/tests/malformed_input.rs
@@ -302,7 +302,7 @@
 }
 
 /// Guards against a fault in which machines booting in one zone counted as capacity for
-/// replicas that had to be in another, found in the scenario afspraakloket.
+/// replicas that had to be in another (found on afspraakloket).
 #[test]
 fn single_zone_gang_gets_machines_of_one_zone() {
     let mut gang = demand(9, true);
