--- a/crates/coordination/tests/late_orders.rs
+++ b/crates/coordination/tests/late_orders.rs
@@ -1,7 +1,7 @@
-//! Commands, replies and heartbeats that come late, at successive owners, against a slow
-//! reference model of one worker and of a store that only knows who leads the shard.
-//! Whatever is delayed, lost, copied or reordered, no attempt runs on the machine that an
-//! owner has published as ended.
+//! Late commands, replies and heartbeats at successive owners of a shard, checked against a model
+//! of one worker and of a store that records only who leads the shard. However messages are
+//! delayed, lost, duplicated or reordered, no attempt that an owner has published as ended runs on
+//! the machine.
 
 mod support;
 
@@ -29,10 +29,10 @@
 
 const HOSTS: usize = 3;
 const LEASE_MS: u64 = 14_000;
-/// Time of day at the start, ms.
-const DAY_MS: u64 = 1_790_000_000_000;
+/// Wall-clock time at the start, ms.
+const WALL_CLOCK_START_MS: u64 = 1_790_000_000_000;
 
-fn core(me: usize) -> Core {
+fn new_core(me: usize) -> Core {
     static POLICY: LazyLock<Policy> =
         LazyLock::new(|| lemonweir_policy::embedded().expect("policy"));
     let zone = |n: usize| if n == 0 { "north" } else { "south" };
@@ -59,7 +59,7 @@
     core
 }
 
-/// Numbers from a seed.
+/// Deterministic linear congruential generator.
 struct SeededRandom(u64);
 
 impl SeededRandom {
@@ -78,21 +78,24 @@
 
 // ---- the worker ----------------------------------------------------------------
 
-/// A worker by the protocol page.
+/// A worker that follows the protocol page.
 struct Worker {
+    /// Number of its process; rises when the machine restarts.
     incarnation: u64,
+    /// Rises each time its lease expires.
     session: u64,
     seq: u64,
     token: u64,
-    lease_from: u64,
+    lease_renewed_at: u64,
     /// The heartbeat in flight: its number and when it was sent.
     in_flight: Option<(u64, u64)>,
-    next: u64,
-    node: usize,
+    next_heartbeat_at: u64,
+    /// The controller that it sends its heartbeats to.
+    host: usize,
     tasks: BTreeMap<AttemptId, TaskPhase>,
     hung_until: u64,
-    /// What waits in its sockets while it hangs.
-    held: Vec<Message>,
+    /// Messages that wait in its sockets while it hangs.
+    held_messages: Vec<Message>,
 }
 
 impl Worker {
@@ -102,13 +105,13 @@
             session: 1,
             seq: 0,
             token: 0,
-            lease_from: now,
+            lease_renewed_at: now,
             in_flight: None,
-            next: now,
-            node: 0,
+            next_heartbeat_at: now,
+            host: 0,
             tasks: BTreeMap::new(),
             hung_until: 0,
-            held: Vec::new(),
+            held_messages: Vec::new(),
         }
     }
 
@@ -130,10 +133,10 @@
         }
     }
 
-    fn execute(&mut self, orders: &[Command]) {
-        for o in orders {
-            let id = AttemptId::parse(&o.task, o.attempt).expect("a task");
-            match o.kind {
+    fn execute(&mut self, commands: &[Command]) {
+        for command in commands {
+            let id = AttemptId::parse(&command.task, command.attempt).expect("a task name");
+            match command.kind {
                 CommandKind::Start => drop(self.tasks.entry(id).or_insert(TaskPhase::Running)),
                 CommandKind::Stop => {
                     if let Some(phase) = self.tasks.get_mut(&id) {
@@ -145,10 +148,10 @@
         }
     }
 
-    /// It tries the next controller 1 s later.
+    /// Turns to the next controller, 1 s later.
     fn try_next_controller(&mut self, now: u64) {
-        (self.in_flight, self.next, self.node) =
-            (None, now + WORKER_RETRY_MS, (self.node + 1) % HOSTS);
+        (self.in_flight, self.next_heartbeat_at, self.host) =
+            (None, now + WORKER_RETRY_MS, (self.host + 1) % HOSTS);
     }
 }
 
@@ -156,34 +159,36 @@
 
 #[derive(Clone)]
 enum Message {
-    /// A heartbeat to a controller, relayed by another; `copy`: not the original.
-    Report {
+    /// A heartbeat to a controller; `by`: the controller that relays it; `duplicate`: a second
+    /// copy, whose reply reaches nobody.
+    Heartbeat {
         report: Heartbeat,
         incarnation: u64,
         sent: u64,
         host: usize,
         by: Option<u16>,
-        copy: bool,
+        duplicate: bool,
     },
-    /// The reply to a worker; `Err`: none, or the controller that it should turn to.
-    Answer {
+    /// The answer to a worker; `Err`: no reply, but possibly a redirect to another controller.
+    Reply {
         incarnation: u64,
         session: u64,
         seq: u64,
         sent: u64,
         answer: Result<HeartbeatResponse, Option<usize>>,
     },
-    /// A call; `to` is the incarnation of the worker that it was sent to: a connection ends
-    /// with that. `heard`: its sender had a heartbeat of that incarnation.
-    Orders {
+    /// A call to a worker. It reaches only the incarnation it was sent to, since the connection
+    /// ends with that incarnation. `incarnation_seen`: its sender had received a heartbeat of that
+    /// incarnation.
+    Call {
         number: u64,
         call: CommandCall,
-        to: u64,
-        heard: bool,
+        to_incarnation: u64,
+        incarnation_seen: bool,
         answered: bool,
     },
-    /// A call's answer, or the end of the wait for it.
-    Done {
+    /// The result of a call, or its timeout.
+    CallResult {
         number: u64,
         result: Option<Heartbeat>,
         executed: bool,
@@ -191,38 +196,39 @@
     },
 }
 
-/// A call that a process has made.
-struct Pending {
+/// A call whose result the calling process awaits.
+struct PendingCall {
     host: usize,
     process: u64,
     lease: ShardLease,
     call: CommandCall,
 }
 
-/// One controller.
+/// A controller host and the state of its process.
 struct Host {
     core: Option<Core>,
-    /// Number of its process.
+    /// Number of the process that runs there.
     process: u64,
     restarts_at: u64,
-    /// It is stalled until then, ms; what came meanwhile.
+    /// The process is stalled until then, ms.
     stalled_until: u64,
-    held: Vec<Message>,
-    /// The store does not answer it until then, ms.
+    /// Messages that arrive while it is stalled.
+    held_messages: Vec<Message>,
+    /// It gets no answer from the store until then, ms.
     store_partition_until: u64,
-    /// Workers and it don't reach each other until then, ms.
+    /// It and the worker don't reach each other until then, ms.
     unreachable_until: u64,
-    /// A reading under way: when it began, when it ends, and what it will show.
-    reading: Option<(u64, u64, Option<ShardLeader>)>,
-    read_at: u64,
-    /// The last incarnation of the machine that it got a heartbeat of as its owner.
-    heard: u64,
-    /// A shard that it has acquired and not loaded yet.
+    /// A store read in progress: when it began, when it ends, and the leader that it will show.
+    pending_read: Option<(u64, u64, Option<ShardLeader>)>,
+    next_read_at: u64,
+    /// The latest incarnation of the machine whose heartbeat it received as the machine's owner.
+    latest_incarnation: u64,
+    /// Fencing token of the shard lease that it has acquired, and when the shard is loaded.
     acquired: Option<(u64, u64)>,
 }
 
 impl Host {
-    /// Its process, unless it is stalled.
+    /// Its core, unless the process is down or stalled.
     fn running_core(&mut self, now: u64) -> Option<&mut Core> {
         self.core.as_mut().filter(|_| now >= self.stalled_until)
     }
@@ -230,18 +236,18 @@
 
 #[derive(Clone, Debug)]
 enum Fault {
-    /// The machine hangs.
+    /// The worker hangs.
     Hang,
-    /// Calls are delayed and delivered then, or within three times that.
+    /// Calls are delayed, and delivered some time after the fault.
     CallsDelayed,
     CallsLost,
-    /// Heartbeats are delayed and delivered then.
+    /// Heartbeats are delayed, and delivered when the fault ends.
     HeartbeatsDelayed,
     RepliesLost,
     RepliesSlow,
-    /// Of this share of heartbeats a copy comes again.
+    /// This percentage of heartbeats is delivered a second time later.
     Copies(u64),
-    /// Nobody reaches the machine.
+    /// No controller reaches the machine.
     Unreachable,
     /// The machine and one controller don't reach each other.
     PartitionedFrom(usize),
@@ -250,12 +256,14 @@
     SlowStore,
     /// A controller acquires the shard.
     Acquire(usize),
-    /// Its process ends, and is back then.
+    /// A controller's process ends, and restarts after an eighth of the fault's time.
     Crash(usize),
+    /// A controller's process is stalled.
     Stall(usize),
-    /// The machine is back within a moment, empty.
+    /// The machine restarts at once, without tasks.
     Restart,
-    Quiet,
+    /// Ends all network and store faults.
+    ClearFaults,
 }
 
 struct Simulation {
@@ -267,25 +275,26 @@
     leader: Option<ShardLeader>,
     revision: u64,
     messages: Vec<(u64, u64, Message)>,
-    sequence_in_queue: u64,
-    calls: BTreeMap<u64, Pending>,
-    called: u64,
-    // Until when each fault lasts.
+    queue_sequence: u64,
+    pending_calls: BTreeMap<u64, PendingCall>,
+    call_count: u64,
+    // End of each fault, ms.
     calls_delayed_until: u64,
     calls_lost_until: u64,
     heartbeats_delayed_until: u64,
     replies_lost_until: u64,
     replies_slow_until: u64,
     slow_store_until: u64,
-    unreachable: u64,
+    unreachable_until: u64,
     copy_percent: u64,
     // The placer.
-    to: u64,
-    sync: u64,
+    /// Fencing token of the leader that it syncs with.
+    leader_token: u64,
+    sync_sequence: u64,
     tasks: u32,
     desired: BTreeMap<AttemptId, DesiredAttempt>,
     published_ended: BTreeSet<AttemptId>,
-    open: bool,
+    machine_schedulable: bool,
     release_requested: bool,
     starts: u64,
 }
@@ -293,16 +302,16 @@
 impl Simulation {
     fn new(seed: u64) -> Self {
         let host = |n: usize| Host {
-            core: Some(core(n)),
+            core: Some(new_core(n)),
             process: n as u64,
             restarts_at: 0,
             stalled_until: 0,
-            held: Vec::new(),
+            held_messages: Vec::new(),
             store_partition_until: 0,
             unreachable_until: 0,
-            reading: None,
-            read_at: 0,
-            heard: 1,
+            pending_read: None,
+            next_read_at: 0,
+            latest_incarnation: 1,
             acquired: None,
         };
         let mut simulation = Self {
@@ -314,23 +323,23 @@
             leader: None,
             revision: TOKEN - 1,
             messages: Vec::new(),
-            sequence_in_queue: 0,
-            calls: BTreeMap::new(),
-            called: 0,
+            queue_sequence: 0,
+            pending_calls: BTreeMap::new(),
+            call_count: 0,
             calls_delayed_until: 0,
             calls_lost_until: 0,
             heartbeats_delayed_until: 0,
             replies_lost_until: 0,
             replies_slow_until: 0,
             slow_store_until: 0,
-            unreachable: 0,
+            unreachable_until: 0,
             copy_percent: 0,
-            to: 0,
-            sync: 0,
+            leader_token: 0,
+            sync_sequence: 0,
             tasks: 0,
             desired: BTreeMap::new(),
             published_ended: BTreeSet::new(),
-            open: false,
+            machine_schedulable: false,
             release_requested: false,
             starts: 0,
         };
@@ -338,25 +347,25 @@
         simulation
     }
 
-    fn note(&self, text: impl FnOnce() -> String) {
+    fn log(&self, text: impl FnOnce() -> String) {
         tracing::debug!("{:>7} {}", self.now, text());
     }
 
     fn post_at(&mut self, at: u64, message: Message) {
-        self.sequence_in_queue += 1;
+        self.queue_sequence += 1;
         self.messages
-            .push((at.max(self.now + 1), self.sequence_in_queue, message));
+            .push((at.max(self.now + 1), self.queue_sequence, message));
     }
 
-    fn post(&mut self, most_ms: u64, message: Message) {
-        let at = self.now + 1 + self.random.below(most_ms);
+    fn post(&mut self, max_delay_ms: u64, message: Message) {
+        let at = self.now + 1 + self.random.below(max_delay_ms);
         self.post_at(at, message);
     }
 
-    /// What was published as ended does not run, nor will it.
+    /// No attempt that was published as ended is running.
     fn assert_no_ended_attempt_runs(&self) {
-        // A worker that hangs past its lease resumes without tasks.
-        if self.now > self.worker.lease_from + LEASE_MS {
+        // A worker that hung past the end of its lease resumes without tasks.
+        if self.now > self.worker.lease_renewed_at + LEASE_MS {
             return;
         }
         for id in self
@@ -368,7 +377,7 @@
         {
             assert!(
                 !self.published_ended.contains(id),
-                "{id} runs at {} ms and was published as ended",
+                "{id} runs at {} ms after it was published as ended",
                 self.now
             );
         }
@@ -394,10 +403,10 @@
         let wait = 20 + self.random.below(600);
         self.hosts[n].acquired = Some((self.revision, now + wait));
         let token = self.revision;
-        self.note(|| format!("h{n} takes the part with {token}"));
+        self.log(|| format!("h{n} acquires the shard with token {token}"));
     }
 
-    fn show(core: &mut Core, leader: Option<ShardLeader>, began: u64) {
+    fn apply_store_read(core: &mut Core, leader: Option<ShardLeader>, began: u64) {
         let revision = leader.as_ref().map_or(1, |h| h.fencing_token);
         match leader {
             Some(leader) => drop(core.cache.shard_leaders.insert(0, leader)),
@@ -423,36 +432,37 @@
             if now < host.stalled_until {
                 continue;
             }
-            if let Some((began, _, shown)) = host.reading.take_if(|(_, ends, _)| now >= *ends) {
-                Self::show(core, shown, began);
-                host.read_at = now + CACHE_REFRESH_IDLE_MS;
+            if let Some((began, _, leader)) = host.pending_read.take_if(|(_, ends, _)| now >= *ends)
+            {
+                Self::apply_store_read(core, leader, began);
+                host.next_read_at = now + CACHE_REFRESH_IDLE_MS;
             }
             if now < host.store_partition_until {
                 continue;
             }
-            if host.reading.is_none() && now >= host.read_at {
-                host.reading = Some((now, now + wait, leader.clone()));
+            if host.pending_read.is_none() && now >= host.next_read_at {
+                host.pending_read = Some((now, now + wait, leader.clone()));
             }
             if let Some((token, _)) = host.acquired.take_if(|(_, at)| now >= *at) {
-                // The reading before it loads the shard.
-                Self::show(core, leader.clone(), now - 1);
+                // A read that began before it shows the leader; then the shard is loaded.
+                Self::apply_store_read(core, leader.clone(), now - 1);
                 if leader.is_some_and(|h| h.fencing_token == token) {
                     core.acquire(ShardLease { shard: 0, token }, &[], Vec::new(), now);
                 }
             }
         }
-        // A process that finds itself the leader without knowing acquires the shard anew.
+        // A process that the store shows as leader but that has no lease acquires the shard anew.
         for n in 0..HOSTS {
             let host = &self.hosts[n];
             let Some(core) = host.core.as_ref() else {
                 continue;
             };
-            let ours = core
+            let is_leader = core
                 .cache
                 .shard_leaders
                 .get(&0)
                 .is_some_and(|h| h.host == format!("h{n}"));
-            if ours
+            if is_leader
                 && core.leases().is_empty()
                 && host.acquired.is_none()
                 && self.leader.as_ref() == core.cache.shard_leaders.get(&0)
@@ -467,8 +477,8 @@
     fn deliver(&mut self, message: Message) {
         let now = self.now;
         let held_by = match &message {
-            Message::Report { host, .. } => Some(*host),
-            Message::Done { number, .. } => match self.calls.get(number) {
+            Message::Heartbeat { host, .. } => Some(*host),
+            Message::CallResult { number, .. } => match self.pending_calls.get(number) {
                 Some(p) => Some(p.host),
                 None => return,
             },
@@ -476,28 +486,28 @@
         };
         match held_by {
             Some(n) if now < self.hosts[n].stalled_until => {
-                return self.hosts[n].held.push(message);
+                return self.hosts[n].held_messages.push(message);
             }
-            None if now < self.worker.hung_until => return self.worker.held.push(message),
+            None if now < self.worker.hung_until => return self.worker.held_messages.push(message),
             _ => {}
         }
         match message {
-            Message::Report {
+            Message::Heartbeat {
                 report,
                 incarnation,
                 sent,
                 host,
                 by,
-                copy,
-            } => self.report_arrives(report, incarnation, sent, host, by, copy),
-            Message::Answer {
+                duplicate,
+            } => self.deliver_heartbeat(report, incarnation, sent, host, by, duplicate),
+            Message::Reply {
                 incarnation,
                 session,
                 seq,
                 sent,
                 answer,
             } => {
-                let pick = self.random.below(1_500);
+                let jitter_ms = self.random.below(1_500);
                 let w = &mut self.worker;
                 if w.incarnation != incarnation || w.in_flight != Some((seq, sent)) {
                     return;
@@ -507,35 +517,36 @@
                 }
                 let reply = match answer {
                     Ok(reply) => reply,
-                    Err(Some(node)) if node != w.node => {
-                        (w.in_flight, w.node, w.next) = (None, node, now + pick / 3);
+                    Err(Some(host)) if host != w.host => {
+                        (w.in_flight, w.host, w.next_heartbeat_at) =
+                            (None, host, now + jitter_ms / 3);
                         return;
                     }
                     Err(_) => return w.try_next_controller(now),
                 };
-                (w.in_flight, w.next) = (None, now + 2_250 + pick);
+                (w.in_flight, w.next_heartbeat_at) = (None, now + 2_250 + jitter_ms);
                 if reply.fencing_token < w.token || session != w.session {
                     return;
                 }
                 if reply.fencing_token > w.token {
-                    (w.token, w.next) = (reply.fencing_token, now + 500);
+                    (w.token, w.next_heartbeat_at) = (reply.fencing_token, now + 500);
                 }
-                w.lease_from = w.lease_from.max(sent);
+                w.lease_renewed_at = w.lease_renewed_at.max(sent);
                 w.execute(&reply.commands);
-                self.note(|| format!("answer to {session}/{seq}: {reply:?}"));
+                self.log(|| format!("reply to heartbeat {session}/{seq}: {reply:?}"));
             }
-            Message::Orders {
+            Message::Call {
                 number,
                 call,
-                to,
-                heard,
+                to_incarnation,
+                incarnation_seen,
                 answered,
             } => {
                 let w = &mut self.worker;
-                // Assumed (`docs/design.md`, statement 12): what was sent to an incarnation that
-                // its sender had no heartbeat of yet is not delayed until that incarnation is in a
-                // later session.
-                if w.incarnation != to || !heard && w.session > 1 {
+                // Assumption (`docs/design.md`, statement 12): a call to an incarnation of which
+                // its sender had received no heartbeat yet is not delayed until that incarnation
+                // is in a later session.
+                if w.incarnation != to_incarnation || !incarnation_seen && w.session > 1 {
                     return;
                 }
                 let executed = call.commands.fencing_token >= w.token
@@ -545,17 +556,17 @@
                     w.execute(&call.commands.commands);
                 }
                 let report = w.report();
-                self.note(|| {
+                self.log(|| {
                     format!(
                         "call {number} executed: {executed}, {:?}; {report:?}",
                         call.commands
                     )
                 });
                 if answered {
-                    let most = if self.random.chance(15) { 3_000 } else { 30 };
+                    let max_delay_ms = if self.random.chance(15) { 3_000 } else { 30 };
                     self.post(
-                        most,
-                        Message::Done {
+                        max_delay_ms,
+                        Message::CallResult {
                             number,
                             result: Some(report),
                             executed,
@@ -564,13 +575,13 @@
                     );
                 }
             }
-            Message::Done {
+            Message::CallResult {
                 number,
                 result,
                 executed,
                 sent,
             } => {
-                let Some(p) = self.calls.remove(&number) else {
+                let Some(p) = self.pending_calls.remove(&number) else {
                     return;
                 };
                 let host = &mut self.hosts[p.host];
@@ -590,14 +601,14 @@
         self.assert_no_ended_attempt_runs();
     }
 
-    fn report_arrives(
+    fn deliver_heartbeat(
         &mut self,
         report: Heartbeat,
         incarnation: u64,
         sent: u64,
         host: usize,
         by: Option<u16>,
-        copy: bool,
+        duplicate: bool,
     ) {
         let now = self.now;
         let answer = match self.hosts[host].core.as_mut() {
@@ -612,20 +623,25 @@
             .as_ref()
             .is_some_and(|c| !c.leases().is_empty())
         {
-            self.hosts[host].heard = self.hosts[host].heard.max(incarnation);
+            self.hosts[host].latest_incarnation =
+                self.hosts[host].latest_incarnation.max(incarnation);
         }
-        self.note(|| format!("h{host} receives {report:?} by {by:?}, copy {copy}: {answer:?}"));
+        self.log(|| {
+            format!(
+                "h{host} receives {report:?}, relayed by {by:?}, duplicate {duplicate}: {answer:?}"
+            )
+        });
         self.flush(host);
         let answer = match answer {
             HeartbeatAnswer::Commands(reply) => Ok(reply),
             HeartbeatAnswer::Relay(to) => {
-                let report = Message::Report {
+                let report = Message::Heartbeat {
                     report,
                     incarnation,
                     sent,
                     host: usize::from(to),
                     by: Some(host as u16),
-                    copy,
+                    duplicate,
                 };
                 return self.post(40, report);
             }
@@ -633,19 +649,19 @@
             HeartbeatAnswer::Unavailable => Err(None),
         };
         let lost = now < self.replies_lost_until
-            || now < self.unreachable
+            || now < self.unreachable_until
             || now < self.hosts[host].unreachable_until && by.is_none();
-        if copy || lost {
+        if duplicate || lost {
             return;
         }
-        let most = if now < self.replies_slow_until {
+        let max_delay_ms = if now < self.replies_slow_until {
             6_000
         } else {
             40
         };
         self.post(
-            most,
-            Message::Answer {
+            max_delay_ms,
+            Message::Reply {
                 incarnation,
                 session: report.incarnation,
                 seq: report.sequence,
@@ -664,8 +680,8 @@
             match effect {
                 Effect::Command(lease, call) => self.call(n, lease, call),
                 Effect::ReleaseInstances(lease, names) => {
-                    // The provider confirms nothing here: ends are proven by the machine
-                    // or time.
+                    // The provider confirms no release here, so ends are proven by the machine or
+                    // by time.
                     self.release_requested = true;
                     if let Some(core) = self.hosts[n].core.as_mut() {
                         core.instances_released(lease, &names, false, now);
@@ -690,36 +706,36 @@
 
     fn call(&mut self, host: usize, lease: ShardLease, call: CommandCall) {
         let now = self.now;
-        self.called += 1;
-        let number = self.called;
+        self.call_count += 1;
+        let number = self.call_count;
         self.starts += call
             .commands
             .commands
             .iter()
-            .filter(|o| o.kind == CommandKind::Start)
+            .filter(|command| command.kind == CommandKind::Start)
             .count() as u64;
-        let (to, process) = (self.worker.incarnation, self.hosts[host].process);
-        self.note(|| {
+        let (to_incarnation, process) = (self.worker.incarnation, self.hosts[host].process);
+        self.log(|| {
             format!(
                 "h{host} calls ({number}): {:?} through {:?}",
                 call.commands, call.through
             )
         });
-        self.calls.insert(
+        self.pending_calls.insert(
             number,
-            Pending {
+            PendingCall {
                 host,
                 process,
                 lease,
                 call: call.clone(),
             },
         );
-        let apart = now < self.unreachable
+        let partitioned = now < self.unreachable_until
             || now < self.hosts[host].unreachable_until && call.through.is_none();
-        if apart && self.random.chance(50) || self.random.chance(3) {
+        if partitioned && self.random.chance(50) || self.random.chance(3) {
             return self.post_at(
                 now + CONNECT_MS,
-                Message::Done {
+                Message::CallResult {
                     number,
                     result: None,
                     executed: false,
@@ -729,37 +745,37 @@
         }
         self.post_at(
             now + COMMAND_TIMEOUT_MS,
-            Message::Done {
+            Message::CallResult {
                 number,
                 result: None,
                 executed: false,
                 sent: true,
             },
         );
-        let held = now < self.calls_delayed_until || apart;
-        let heard = self.hosts[host].heard >= to;
-        let message = |answered| Message::Orders {
+        let delayed = now < self.calls_delayed_until || partitioned;
+        let incarnation_seen = self.hosts[host].latest_incarnation >= to_incarnation;
+        let message = |answered| Message::Call {
             number,
             call: call.clone(),
-            to,
-            heard,
+            to_incarnation,
+            incarnation_seen,
             answered,
         };
-        if held || self.random.chance(5) {
+        if delayed || self.random.chance(5) {
             if now < self.calls_lost_until || self.random.chance(20) {
                 return;
             }
-            // Delivered after the fault, or long after it.
+            // Delivered up to 5 s after the fault, or up to 90 s after it.
             let after = self
                 .calls_delayed_until
-                .max(self.unreachable)
+                .max(self.unreachable_until)
                 .max(now + 100);
-            let most = if self.random.chance(30) {
+            let max_delay_ms = if self.random.chance(30) {
                 90_000
             } else {
                 5_000
             };
-            let at = after + self.random.below(most);
+            let at = after + self.random.below(max_delay_ms);
             return self.post_at(at, message(at < now + COMMAND_TIMEOUT_MS));
         }
         if now >= self.calls_lost_until {
@@ -769,19 +785,19 @@
 
     // ---- the worker's own steps -----------------------------------------------
 
-    fn work(&mut self) {
+    fn step_worker(&mut self) {
         let now = self.now;
         let w = &mut self.worker;
         if now < w.hung_until {
             return;
         }
-        if now > w.lease_from + LEASE_MS {
+        if now > w.lease_renewed_at + LEASE_MS {
             w.tasks.clear();
-            (w.session, w.lease_from, w.next) = (w.session + 1, now, now);
+            (w.session, w.lease_renewed_at, w.next_heartbeat_at) = (w.session + 1, now, now);
             let session = w.session;
-            self.note(|| format!("session {session}"));
+            self.log(|| format!("session {session}"));
         }
-        for message in std::mem::take(&mut self.worker.held) {
+        for message in std::mem::take(&mut self.worker.held_messages) {
             self.deliver(message);
         }
         let w = &mut self.worker;
@@ -790,10 +806,10 @@
         {
             w.try_next_controller(now);
         }
-        if w.in_flight.is_some() || now < w.next {
+        if w.in_flight.is_some() || now < w.next_heartbeat_at {
             return;
         }
-        // Tasks end by themselves now and then.
+        // Some tasks exit on their own.
         if self.random.chance(15)
             && let Some(phase) = w.tasks.values_mut().find(|p| **p == TaskPhase::Running)
         {
@@ -801,26 +817,26 @@
         }
         let report = w.report();
         w.in_flight = Some((report.sequence, now));
-        let (incarnation, host) = (w.incarnation, w.node);
-        let message = |host, copy| Message::Report {
+        let (incarnation, host) = (w.incarnation, w.host);
+        let message = |host, duplicate| Message::Heartbeat {
             report: report.clone(),
             incarnation,
             sent: now,
             host,
             by: None,
-            copy,
+            duplicate,
         };
         if self.random.chance(self.copy_percent) {
             let at = now + 200 + self.random.below(4 * LEASE_MS);
             let host = self.random.below(HOSTS as u64) as usize;
             self.post_at(at, message(host, true));
         }
-        if now < self.unreachable
+        if now < self.unreachable_until
             || now < self.hosts[host].unreachable_until
             || self.hosts[host].core.is_none()
         {
             return match self.random.chance(50) {
-                // Refused at once, or delayed until long after.
+                // Refused at once, or delayed by up to 40 s.
                 true => self.worker.try_next_controller(now),
                 false => {
                     let at = now + self.random.below(40_000);
@@ -837,7 +853,7 @@
 
     // ---- the placer --------------------------------------------------------------
 
-    fn place(&mut self) {
+    fn run_placer(&mut self) {
         while self.desired.len() < 4 {
             self.tasks += 1;
             let want = want(self.tasks, 0);
@@ -848,41 +864,41 @@
         {
             want.stop_grace_s = Some(0);
         }
-        // It learns of failovers some time after.
+        // The placer learns of a failover some time later.
         let newest = self.leader.as_ref().map_or(0, |h| h.fencing_token);
-        if newest > self.to && (self.to == 0 || self.random.chance(5)) {
-            self.to = newest;
+        if newest > self.leader_token && (self.leader_token == 0 || self.random.chance(5)) {
+            self.leader_token = newest;
         }
-        let (now, to) = (self.now, self.to);
-        let at = |h: &Host| {
+        let (now, leader_token) = (self.now, self.leader_token);
+        let leads_shard = |h: &Host| {
             h.core.as_ref().is_some_and(|c| {
                 c.leases().contains(&ShardLease {
                     shard: 0,
-                    token: to,
+                    token: leader_token,
                 })
             }) && now >= h.stalled_until
         };
-        let Some(n) = self.hosts.iter().position(at) else {
+        let Some(n) = self.hosts.iter().position(leads_shard) else {
             return;
         };
         for from in [2, 1] {
-            self.sync += 1;
-            let wants = if from == 1 {
+            self.sync_sequence += 1;
+            let desired = if from == 1 {
                 self.desired.values().cloned().collect()
             } else {
                 Vec::new()
             };
-            let span = ChangeRange {
+            let range = ChangeRange {
                 since: 0,
-                until: self.sync,
+                until: self.sync_sequence,
                 complete: true,
             };
             let message = SyncRequest {
                 from_shard: from,
                 from_fencing_token: 39,
-                to_fencing_token: to,
+                to_fencing_token: leader_token,
                 reserved_machines: vec![machine(0)],
-                ..sync(self.sync, span, wants, ObservedState::default())
+                ..sync(self.sync_sequence, range, desired, ObservedState::default())
             };
             let Some(core) = self.hosts[n].core.as_mut() else {
                 return;
@@ -890,14 +906,14 @@
             let Ok(view) = core.handle_sync(&message, now) else {
                 return;
             };
-            // A reply may be lost.
+            // The view may be lost.
             if from != 1 || self.random.chance(10) {
                 continue;
             }
-            self.open = view.machines.iter().any(|m| m.registered && m.schedulable);
+            self.machine_schedulable = view.machines.iter().any(|m| m.registered && m.schedulable);
             for a in view.attempts.iter().filter(|a| a.state.is_terminal()) {
                 if self.desired.remove(&a.id).is_some() {
-                    self.note(|| format!("h{n} publishes that {} ended: {:?}", a.id, a.state));
+                    self.log(|| format!("h{n} publishes that {} ended: {:?}", a.id, a.state));
                 }
                 self.published_ended.insert(a.id.clone());
             }
@@ -910,7 +926,7 @@
 
     fn inject(&mut self, fault: &Fault, for_ms: u64) {
         let until = self.now + for_ms;
-        self.note(|| format!("{fault:?} for {for_ms} ms"));
+        self.log(|| format!("{fault:?} for {for_ms} ms"));
         match fault {
             Fault::Hang => self.worker.hung_until = until,
             Fault::CallsDelayed => self.calls_delayed_until = until,
@@ -919,20 +935,24 @@
             Fault::RepliesLost => self.replies_lost_until = until,
             Fault::RepliesSlow => self.replies_slow_until = until,
             Fault::Copies(percent) => self.copy_percent = *percent,
-            Fault::Unreachable => self.unreachable = until,
+            Fault::Unreachable => self.unreachable_until = until,
             Fault::PartitionedFrom(n) => self.hosts[*n].unreachable_until = until,
             Fault::PartitionedFromStore(n) => {
                 self.hosts[*n].store_partition_until = until;
-                self.hosts[*n].reading = None;
+                self.hosts[*n].pending_read = None;
             }
             Fault::SlowStore => self.slow_store_until = until,
             Fault::Acquire(n) => self.acquire(*n),
             Fault::Crash(n) => {
                 let host = &mut self.hosts[*n];
-                (host.core, host.reading, host.acquired, host.restarts_at) =
-                    (None, None, None, self.now + for_ms / 8);
-                host.held.clear();
-                self.calls.retain(|_, p| p.host != *n);
+                (
+                    host.core,
+                    host.pending_read,
+                    host.acquired,
+                    host.restarts_at,
+                ) = (None, None, None, self.now + for_ms / 8);
+                host.held_messages.clear();
+                self.pending_calls.retain(|_, p| p.host != *n);
             }
             Fault::Stall(n) => {
                 let host = &mut self.hosts[*n];
@@ -942,7 +962,7 @@
                 let incarnation = self.worker.incarnation + 1;
                 self.worker = Worker::new(incarnation, self.now + 100);
             }
-            Fault::Quiet => {
+            Fault::ClearFaults => {
                 (
                     self.calls_delayed_until,
                     self.calls_lost_until,
@@ -952,7 +972,7 @@
                 (
                     self.replies_slow_until,
                     self.slow_store_until,
-                    self.unreachable,
+                    self.unreachable_until,
                     self.copy_percent,
                 ) = (0, 0, 0, 0);
                 for host in &mut self.hosts {
@@ -962,7 +982,7 @@
         }
     }
 
-    fn pass(&mut self, ms: u64) {
+    fn run_for(&mut self, ms: u64) {
         let until = self.now + ms;
         while self.now < until {
             self.now += 20;
@@ -971,13 +991,14 @@
                 let host = &mut self.hosts[n];
                 if host.core.is_none() && now >= host.restarts_at {
                     self.processes += 1;
-                    (host.core, host.process, host.read_at) = (Some(core(n)), self.processes, now);
+                    (host.core, host.process, host.next_read_at) =
+                        (Some(new_core(n)), self.processes, now);
                     if let Some(core) = host.core.as_mut() {
-                        core.set_wall_clock(now, DAY_MS + now);
+                        core.set_wall_clock(now, WALL_CLOCK_START_MS + now);
                     }
                 }
-                if now >= host.stalled_until && !host.held.is_empty() {
-                    for message in std::mem::take(&mut host.held) {
+                if now >= host.stalled_until && !host.held_messages.is_empty() {
+                    for message in std::mem::take(&mut host.held_messages) {
                         self.deliver(message);
                     }
                 }
@@ -988,18 +1009,18 @@
                 .collect();
             due.sort_by_key(|(at, n, _)| (*at, *n));
             due.into_iter().for_each(|(_, _, m)| self.deliver(m));
-            self.work();
+            self.step_worker();
             self.read_store();
             if now.is_multiple_of(100) {
                 for n in 0..HOSTS {
                     if let Some(core) = self.hosts[n].running_core(now) {
-                        core.set_wall_clock(now, DAY_MS + now);
+                        core.set_wall_clock(now, WALL_CLOCK_START_MS + now);
                     }
                     self.flush(n);
                 }
             }
             if now.is_multiple_of(500) {
-                self.place();
+                self.run_placer();
             }
             self.assert_no_ended_attempt_runs();
         }
@@ -1008,10 +1029,10 @@
 
 // ---- random histories --------------------------------------------------------------
 
-/// A fault, for how long, and how long until the next.
+/// A fault, how long it lasts, and the time until the next fault, ms.
 type Step = (Fault, u64, u64);
 
-fn fault(incarnations: bool) -> impl Strategy<Value = Fault> {
+fn fault(allow_restarts: bool) -> impl Strategy<Value = Fault> {
     let host = 0..HOSTS;
     prop_oneof![
         3 => Just(Fault::Hang),
@@ -1028,27 +1049,27 @@
         4 => host.clone().prop_map(Fault::Acquire),
         2 => host.clone().prop_map(Fault::Crash),
         2 => host.prop_map(Fault::Stall),
-        1 => Just(if incarnations { Fault::Restart } else { Fault::Quiet }),
-        3 => Just(Fault::Quiet),
+        1 => Just(if allow_restarts { Fault::Restart } else { Fault::ClearFaults }),
+        3 => Just(Fault::ClearFaults),
     ]
 }
 
-fn steps(incarnations: bool) -> impl Strategy<Value = (u64, Vec<Step>)> {
+fn steps(allow_restarts: bool) -> impl Strategy<Value = (u64, Vec<Step>)> {
     let long = prop_oneof![3 => 500u64..8_000, 2 => 8_000u64..30_000, 1 => 30_000u64..120_000];
     (
         any::<u64>(),
-        prop::collection::vec((fault(incarnations), long, 20..9_000u64), 1..30),
+        prop::collection::vec((fault(allow_restarts), long, 20..9_000u64), 1..30),
     )
 }
 
-fn play(seed: u64, steps: &[Step]) -> Simulation {
+fn run_history(seed: u64, steps: &[Step]) -> Simulation {
     let mut simulation = Simulation::new(seed);
-    simulation.pass(5_000);
+    simulation.run_for(5_000);
     for (fault, for_ms, then_ms) in steps {
         simulation.inject(fault, *for_ms);
-        simulation.pass(*then_ms);
+        simulation.run_for(*then_ms);
     }
-    simulation.inject(&Fault::Quiet, 0);
+    simulation.inject(&Fault::ClearFaults, 0);
     simulation
 }
 
@@ -1061,24 +1082,23 @@
         ..ProptestConfig::default()
     })]
 
-    /// In any order of calls, answers and heartbeats that are delayed, lost, copied or
-    /// late, of a machine that hangs and goes on, and of owners that change, are
-    /// partitioned, stalled and come back.
+    /// Calls, replies and heartbeats are delayed, lost or duplicated, the worker hangs and resumes,
+    /// and owners change, are partitioned, stall and restart.
     #[test]
     fn no_attempt_runs_after_its_end_was_published((seed, steps) in steps(false)) {
-        play(seed, &steps).pass(100_000);
+        run_history(seed, &steps).run_for(100_000);
     }
 
-    /// The same of a machine that may also come back within a moment, empty, and counts
-    /// from the start.
+    /// The same with a machine that may also restart at once, without tasks, and number its
+    /// messages from the start.
     #[test]
     fn no_attempt_runs_after_its_end_on_a_restarted_machine((seed, steps) in steps(true)) {
-        play(seed, &steps).pass(100_000);
+        run_history(seed, &steps).run_for(100_000);
     }
 }
 
-/// The histories are worth something: in them tasks start, end and are published as ended,
-/// and once all faults are over the machine is used.
+/// Guards the histories against passing without doing anything: tasks start and are published as
+/// ended, and once all faults are over a machine that was not released is schedulable.
 #[test]
 fn histories_run_and_end_tasks_and_keep_the_machine_schedulable() {
     use proptest::strategy::ValueTree;
@@ -1088,18 +1108,21 @@
     );
     let mut runner =
         proptest::test_runner::TestRunner::new_with_rng(ProptestConfig::default(), rng);
-    let (mut starts, mut published_ended, mut used, mut kept) = (0, 0, 0, 0);
+    let (mut starts, mut published_ended, mut schedulable, mut not_released) = (0, 0, 0, 0);
     for _ in 0..40 {
-        let (seed, steps) = steps(true).new_tree(&mut runner).expect("drawn").current();
-        let mut simulation = play(seed, &steps);
-        simulation.pass(140_000);
+        let (seed, steps) = steps(true)
+            .new_tree(&mut runner)
+            .expect("a generated value")
+            .current();
+        let mut simulation = run_history(seed, &steps);
+        simulation.run_for(140_000);
         (starts, published_ended) = (
             starts + simulation.starts,
             published_ended + simulation.published_ended.len(),
         );
         if !simulation.release_requested {
-            kept += 1;
-            used += usize::from(simulation.open);
+            not_released += 1;
+            schedulable += usize::from(simulation.machine_schedulable);
         }
     }
     assert!(
@@ -1107,8 +1130,8 @@
         "{starts} starts, {published_ended} published as ended"
     );
     assert!(
-        kept > 20 && used == kept,
-        "{used} of {kept} machines in use"
+        not_released > 20 && schedulable == not_released,
+        "{schedulable} of {not_released} machines are schedulable"
     );
 }
 
@@ -1119,43 +1142,43 @@
 fn sync_placer(
     owner: &mut Owner,
     seq: u64,
-    wants: Vec<DesiredAttempt>,
+    desired: Vec<DesiredAttempt>,
     now: u64,
 ) -> Vec<(AttemptId, AttemptState)> {
-    let span = ChangeRange {
+    let range = ChangeRange {
         since: 0,
         until: seq,
         complete: true,
     };
     let message = SyncRequest {
         reserved_machines: vec![machine(0)],
-        ..sync(seq, span, wants, ObservedState::default())
+        ..sync(seq, range, desired, ObservedState::default())
     };
-    let view = owner.sync(&message, ROOM, now).expect("taken");
+    let view = owner.sync(&message, ROOM, now).expect("accepted");
     view.attempts.into_iter().map(|a| (a.id, a.state)).collect()
 }
 
-/// Drawn by an earlier form of the histories above: a machine came back under an owner that had just taken the
-/// shard. Its second heartbeat showed the token that the earlier incarnation had shown too, so it
-/// was taken for a late one; the owner went on with the earlier incarnation's session, and a
-/// start that named it was executed when the new incarnation had come to that session, long
-/// after its attempt was published as ended.
+/// Found by an earlier form of the random histories: a machine restarted under an owner that had
+/// just acquired the shard. Its second heartbeat showed a token that the earlier incarnation had
+/// shown too, so the owner treated it as late and kept the session of the earlier incarnation. A
+/// start for that session was executed once the new incarnation reached it, long after its attempt
+/// was published as ended.
 #[test]
 fn first_heartbeat_of_a_new_incarnation_gets_an_unseen_token() {
     let mut owner = fleet(1);
-    let before = |seq, tasks| Heartbeat {
+    let earlier_heartbeat = |seq, tasks| Heartbeat {
         incarnation: 3,
         tasks,
         ..report(0, seq)
     };
     assert!(
         owner
-            .handle_heartbeat(&before(54, Vec::new()), None, 3_000)
+            .handle_heartbeat(&earlier_heartbeat(54, Vec::new()), None, 3_000)
             .is_some()
     );
     owner.tick(3_100, 3_100);
     sync_placer(&mut owner, 1, vec![want(0, 0)], 3_200);
-    // It is back, and counts from the start.
+    // The machine has restarted, and numbers its messages from the start.
     let first = owner
         .handle_heartbeat(
             &Heartbeat {
@@ -1168,30 +1191,30 @@
         .expect("answered");
     assert!(
         first.fencing_token > BASE,
-        "only the new incarnation will show this one"
+        "only the new incarnation can show this token"
     );
-    let query = owner.due_calls(3_310, 4).pop().expect("it is asked");
+    let query = owner.due_calls(3_310, 4).pop().expect("a query");
     assert!(
         query.commands.commands.is_empty(),
-        "nothing is started on what may be another"
+        "nothing is started on what may be another incarnation"
     );
     owner.handle_call_result(&query, CommandResult::NotSent, 3_320);
-    // What the earlier incarnation said last comes now.
-    let late = before(60, vec![running_task(0)]);
+    // The last heartbeat of the earlier incarnation arrives late.
+    let late = earlier_heartbeat(60, vec![running_task(0)]);
     assert!(owner.handle_heartbeat(&late, None, 3_400).is_some());
     let published = sync_placer(&mut owner, 2, vec![want(0, 0)], 3_450);
     assert!(
         published.iter().all(|(_, s)| *s == AttemptState::Accepted),
-        "that proves nothing: {published:?}"
+        "a late heartbeat proves nothing: {published:?}"
     );
     let mut token = first.fencing_token;
     for seq in 2..5 {
-        let said = Heartbeat {
+        let heartbeat = Heartbeat {
             fencing_token: token,
             ..report(0, seq)
         };
         token = owner
-            .handle_heartbeat(&said, None, 3_400 + 500 * seq)
+            .handle_heartbeat(&heartbeat, None, 3_400 + 500 * seq)
             .expect("answered")
             .fencing_token;
     }
@@ -1204,18 +1227,18 @@
     );
 }
 
-/// A copy of a worker's first heartbeat costs a query, and what runs goes on.
+/// A duplicate of a worker's first heartbeat causes one query; running tasks are not affected.
 #[test]
 fn copy_of_a_first_heartbeat_costs_one_query() {
     let mut owner = fleet(1);
     sync_placer(&mut owner, 1, vec![want(0, 0)], 20);
     let start = owner.due_calls(20, 4).pop().expect("a start");
-    let seen = |seq, token| Heartbeat {
+    let heartbeat = |seq, token| Heartbeat {
         fencing_token: token,
         tasks: vec![running_task(0)],
         ..report(0, seq)
     };
-    owner.handle_call_result(&start, CommandResult::Executed(seen(3, BASE)), 40);
+    owner.handle_call_result(&start, CommandResult::Executed(heartbeat(3, BASE)), 40);
     assert!(owner.due_calls(4_900, 4).is_empty(), "nothing is due");
     assert!(
         owner
@@ -1228,12 +1251,12 @@
                 5_000
             )
             .is_some(),
-        "a copy"
+        "the duplicate is answered"
     );
-    let query = owner.due_calls(5_000, 4).pop().expect("a question");
+    let query = owner.due_calls(5_000, 4).pop().expect("a query");
     owner.handle_call_result(
         &query,
-        CommandResult::Executed(seen(4, query.commands.fencing_token)),
+        CommandResult::Executed(heartbeat(4, query.commands.fencing_token)),
         5_020,
     );
     assert!(owner.due_calls(5_100, 4).is_empty());
@@ -1241,8 +1264,9 @@
     assert_eq!(published, [(want(0, 0).id, AttemptState::Running)]);
 }
 
-/// Drawn by an earlier form of the histories above: a machine came back unheard, its new incarnation took a start whose
-/// answer was lost, and the lease of the earlier incarnation proved it over.
+/// Found by an earlier form of the random histories: a machine restarted without a heartbeat
+/// reaching its owner, its new incarnation executed a start whose answer was lost, and the expired
+/// lease of the earlier incarnation was taken as proof that the attempt was over.
 #[test]
 fn launch_of_unknown_outcome_ends_a_lease_after_its_call_at_the_earliest() {
     let mut owner = fleet(1);
@@ -1250,23 +1274,24 @@
     owner.tick(3_100, 3_100);
     sync_placer(&mut owner, 1, vec![want(0, 0)], 6_000);
     let start = owner.due_calls(6_000, 4).pop().expect("a start");
-    // The new incarnation took it; its lease ends at 20 s.
+    // The new incarnation executed it; its lease ends at 20 s.
     owner.handle_call_result(&start, CommandResult::Unknown, 8_500);
-    let mut over_at = None;
+    let mut ended_at = None;
     for step in 2u64..400 {
         let now = 8_500 + step * 100;
         owner.tick(now, now);
         let ended = sync_placer(&mut owner, step, vec![want(0, 0)], now)
             .iter()
             .any(|(_, s)| s.is_terminal());
-        over_at = over_at.or(ended.then_some(now));
+        ended_at = ended_at.or(ended.then_some(now));
     }
-    let over_at = over_at.expect("in the end it is over");
-    assert!((20_000..24_000).contains(&over_at), "{over_at} ms");
+    let ended_at = ended_at.expect("the attempt ends eventually");
+    assert!((20_000..24_000).contains(&ended_at), "{ended_at} ms");
 }
 
-/// An owner whose start of task 0 is of unknown outcome since 2.6 s, and that call's token.
-fn with_a_lost_start() -> (Owner, u64) {
+/// An owner whose start of task 0 has had an unknown outcome since 2.6 s, and the token of that
+/// call.
+fn owner_with_indeterminate_start() -> (Owner, u64) {
     let mut owner = fleet(1);
     sync_placer(&mut owner, 1, vec![want(0, 0)], 20);
     let start = owner.due_calls(20, 4).pop().expect("a start");
@@ -1274,89 +1299,98 @@
     (owner, start.commands.fencing_token)
 }
 
-fn stopped(n: u32) -> DesiredAttempt {
+/// Task `n`, desired to stop at once.
+fn stop_requested(n: u32) -> DesiredAttempt {
     DesiredAttempt {
         stop_grace_s: Some(0),
         ..want(n, 0)
     }
 }
 
-fn ended(published: &[(AttemptId, AttemptState)], n: u32) -> bool {
+fn has_ended(published: &[(AttemptId, AttemptState)], n: u32) -> bool {
     published
         .iter()
         .any(|(id, s)| *id == want(n, 0).id && s.is_terminal())
 }
 
-/// A start that was delayed arrives after a second one of the same attempt ran, ended
-/// and would be forgotten: it is refused, or nothing is forgotten before it would be.
+/// A delayed start arrives after its attempt ran and exited through another start of the same
+/// attempt. The worker must not forget the exited attempt until it refuses the delayed start, which
+/// would otherwise run the attempt again.
 #[test]
 fn exited_attempt_is_kept_while_a_late_launch_may_arrive() {
-    let (mut owner, first) = with_a_lost_start();
-    let again = owner
-        .due_calls(4_000, 4)
-        .pop()
-        .expect("it is started again");
+    let (mut owner, first) = owner_with_indeterminate_start();
+    let again = owner.due_calls(4_000, 4).pop().expect("a second start");
     assert!(
         again.commands.fencing_token > first,
-        "who takes the second refuses the first"
+        "a worker that executes the second refuses the first"
     );
     owner.handle_call_result(&again, CommandResult::Unknown, 6_500);
-    // The first was executed; the second is still on its way.
+    // The first was executed; the second is still in flight.
     let exited = TaskStatus {
         phase: TaskPhase::Exited,
         exit_cause: Some("done".into()),
         ..running_task(0)
     };
-    let said = |seq, token| Heartbeat {
+    let heartbeat = |seq, token| Heartbeat {
         fencing_token: token,
         tasks: vec![exited.clone()],
         ..report(0, seq)
     };
     assert!(
         owner
-            .handle_heartbeat(&said(3, first), None, 6_600)
+            .handle_heartbeat(&heartbeat(3, first), None, 6_600)
             .is_some()
     );
-    assert!(ended(
+    assert!(has_ended(
         &sync_placer(&mut owner, 2, vec![want(0, 0)], 6_700),
         0
     ));
     sync_placer(&mut owner, 3, Vec::new(), 6_800);
-    // The only placer wants nothing more; the lost start alone keeps it.
+    // The placer no longer desires the attempt; only the indeterminate start keeps it.
     let reply = owner
-        .handle_heartbeat(&said(4, first), None, 9_600)
+        .handle_heartbeat(&heartbeat(4, first), None, 9_600)
         .expect("answered");
-    assert_eq!(reply.commands, [], "the second would start it anew");
+    assert_eq!(
+        reply.commands,
+        [],
+        "after a Forget the second start would run it again"
+    );
     assert!(reply.fencing_token > again.commands.fencing_token);
     let reply = owner
-        .handle_heartbeat(&said(5, reply.fencing_token), None, 10_100)
+        .handle_heartbeat(&heartbeat(5, reply.fencing_token), None, 10_100)
         .expect("answered");
     assert!(
-        reply.commands.iter().any(|o| o.kind == CommandKind::Forget),
-        "from now on it is refused: {reply:?}"
+        reply
+            .commands
+            .iter()
+            .any(|command| command.kind == CommandKind::Forget),
+        "the worker now refuses the second start: {reply:?}"
     );
 }
 
-/// A second call that surely never left tells nothing of the first.
+/// A second call that certainly was not sent proves nothing about the first.
 #[test]
 fn unsent_call_does_not_undo_one_of_unknown_outcome() {
-    let (mut owner, _) = with_a_lost_start();
-    let again = owner
-        .due_calls(4_000, 4)
-        .pop()
-        .expect("it is started again");
+    let (mut owner, _) = owner_with_indeterminate_start();
+    let again = owner.due_calls(4_000, 4).pop().expect("a second start");
     owner.handle_call_result(&again, CommandResult::NotSent, 4_100);
     assert!(
-        !ended(&sync_placer(&mut owner, 2, vec![stopped(0)], 4_200), 0),
-        "the first may arrive"
+        !has_ended(
+            &sync_placer(&mut owner, 2, vec![stop_requested(0)], 4_200),
+            0
+        ),
+        "the first start may still arrive"
     );
     let token = owner
         .handle_heartbeat(&report(0, 3), None, 4_300)
         .expect("answered")
         .fencing_token;
     assert!(
-        !ended(&sync_placer(&mut owner, 3, vec![stopped(0)], 4_400), 0),
-        "and still"
+        !has_ended(
+            &sync_placer(&mut owner, 3, vec![stop_requested(0)], 4_400),
+            0
+        ),
+        "the worker has not shown the new token yet"
     );
     assert!(
         owner
@@ -1371,33 +1405,39 @@
             .is_some()
     );
     assert!(
-        ended(&sync_placer(&mut owner, 4, vec![stopped(0)], 5_000), 0),
-        "now it is refused"
+        has_ended(
+            &sync_placer(&mut owner, 4, vec![stop_requested(0)], 5_000),
+            0
+        ),
+        "the worker now refuses the first start"
     );
 }
 
-/// A start went out in an answer that is delayed for up to 4 s: until the worker's next
-/// heartbeat, which it sends after it has it or has given it up, no call may show that the
-/// task is not there.
+/// A start is sent in a heartbeat reply, which may be delayed by up to 4 s. The worker sends its
+/// next heartbeat only after it has received the reply or given it up, so until then no call may
+/// prove the task absent.
 #[test]
 fn launch_in_a_reply_is_unresolved_until_the_next_heartbeat() {
-    let (mut owner, _) = with_a_lost_start();
+    let (mut owner, _) = owner_with_indeterminate_start();
     let reply = owner
         .handle_heartbeat(&report(0, 3), None, 2_700)
         .expect("answered");
     assert!(
-        reply.commands.iter().any(|o| o.kind == CommandKind::Start),
+        reply
+            .commands
+            .iter()
+            .any(|command| command.kind == CommandKind::Start),
         "{reply:?}"
     );
-    sync_placer(&mut owner, 2, vec![stopped(0), want(1, 0)], 3_000);
+    sync_placer(&mut owner, 2, vec![stop_requested(0), want(1, 0)], 3_000);
     for now in (3_000..6_700).step_by(100) {
         assert!(
             owner.due_calls(now, 4).is_empty(),
-            "its reply would show task 0 absent"
+            "its answer would show task 0 as absent"
         );
     }
-    assert!(!ended(
-        &sync_placer(&mut owner, 3, vec![stopped(0), want(1, 0)], 6_700),
+    assert!(!has_ended(
+        &sync_placer(&mut owner, 3, vec![stop_requested(0), want(1, 0)], 6_700),
         0
     ));
     owner
@@ -1410,13 +1450,14 @@
             6_800,
         )
         .expect("answered");
-    assert!(ended(
-        &sync_placer(&mut owner, 4, vec![stopped(0), want(1, 0)], 6_900),
+    assert!(has_ended(
+        &sync_placer(&mut owner, 4, vec![stop_requested(0), want(1, 0)], 6_900),
         0
     ));
 }
 
-/// What may be another incarnation proves no absence, though nothing was started there by us.
+/// A heartbeat that may come from another incarnation proves no absence, even though this owner
+/// started nothing on the machine.
 #[test]
 fn suspected_restart_proves_no_absence() {
     let mut owner = fleet(1);
@@ -1432,7 +1473,10 @@
         .expect("answered")
         .fencing_token;
     assert!(
-        !ended(&sync_placer(&mut owner, 1, vec![stopped(0)], 3_100), 0),
+        !has_ended(
+            &sync_placer(&mut owner, 1, vec![stop_requested(0)], 3_100),
+            0
+        ),
         "an earlier owner may have started it"
     );
     owner
@@ -1445,15 +1489,15 @@
             3_500,
         )
         .expect("answered");
-    assert!(ended(
-        &sync_placer(&mut owner, 2, vec![stopped(0)], 3_600),
+    assert!(has_ended(
+        &sync_placer(&mut owner, 2, vec![stop_requested(0)], 3_600),
         0
     ));
 }
 
-/// A machine sends heartbeats and never shows this owner's token: what earlier owners kept
-/// alive has ended a while after the failover, what this one may have kept alive a lease
-/// after its last reply.
+/// A machine sends heartbeats but never shows this owner's token. Leases granted by earlier owners
+/// expire some time after the failover; this owner's replies may still have renewed the lease, so
+/// its attempts end only one lease after the last reply.
 #[test]
 fn unconfirmed_worker_may_live_by_our_replies() {
     let mut owner = Owner::new(
@@ -1466,26 +1510,27 @@
     );
     owner.set_types([kind()].iter());
     sync_placer(&mut owner, 1, vec![want(0, 0)], 10);
-    let said = Heartbeat {
+    let heartbeat = Heartbeat {
         fencing_token: (TOKEN - 1) << MACHINE_TOKEN_BITS,
         tasks: vec![running_task(0)],
         ..report(0, 70)
     };
-    assert!(owner.handle_heartbeat(&said, None, 70_000).is_some());
+    assert!(owner.handle_heartbeat(&heartbeat, None, 70_000).is_some());
     owner.tick(80_000, 80_000);
     assert!(TIMING.inherited_lease_expiry_ms() < 80_000);
     assert!(
-        !ended(&sync_placer(&mut owner, 2, vec![want(0, 0)], 80_000), 0),
-        "its lease may run until 84 s"
+        !has_ended(&sync_placer(&mut owner, 2, vec![want(0, 0)], 80_000), 0),
+        "its lease may last until 84 s"
     );
     owner.tick(85_000, 85_000);
-    assert!(ended(
+    assert!(has_ended(
         &sync_placer(&mut owner, 3, vec![want(0, 0)], 85_000),
         0
     ));
 }
 
-/// A worker that has seen a later owner would drop the reply, and be kept here by it.
+/// A worker that has seen a later owner would drop the reply, and a reply would keep it with this
+/// owner.
 #[test]
 fn worker_of_a_later_owner_gets_no_reply() {
     let mut owner = fleet(1);
@@ -1498,6 +1543,6 @@
         owner
             .handle_heartbeat(&report(0, 10), None, 3_100)
             .is_some(),
-        "and the heartbeat proved nothing"
+        "the heartbeat of the later owner's worker has no effect"
     );
 }
--- a/crates/coordination/tests/support/controllers.rs
+++ b/crates/coordination/tests/support/controllers.rs
@@ -51,12 +51,13 @@
     }
 }
 
-/// A machine that follows the protocol page: fencing tokens, incarnations and a lease.
+/// A machine that follows the protocol page: fencing tokens, sessions and a lease.
 pub struct SimulatedMachine {
     /// The controller that it sends its heartbeats to.
     pub controller: usize,
     pub next_heartbeat_at: u64,
-    pub incarnation: u64,
+    /// Rises each time its lease expires.
+    pub session: u64,
     pub seq: u64,
     pub token: u64,
     pub last_answer_at: u64,
@@ -184,7 +185,7 @@
         let new_machine = |n| SimulatedMachine {
             controller: n % CONTROLLERS,
             next_heartbeat_at: 1_000 + n as u64 * 331,
-            incarnation: 1,
+            session: 1,
             seq: 0,
             token: 0,
             last_answer_at: 100,
@@ -761,7 +762,7 @@
             checkpointed: None,
         });
         Heartbeat {
-            incarnation: m.incarnation,
+            incarnation: m.session,
             fencing_token: m.token,
             tasks: tasks.collect(),
             ..report(n, m.seq)
@@ -807,7 +808,7 @@
         if m.released {
             return CommandResult::Unknown;
         }
-        if call.commands.fencing_token < m.token || call.commands.incarnation != m.incarnation {
+        if call.commands.fencing_token < m.token || call.commands.incarnation != m.session {
             return CommandResult::Refused(self.heartbeat_of(n));
         }
         m.token = call.commands.fencing_token;
@@ -864,7 +865,7 @@
                 self.completed_tasks.insert((id.job.clone(), id.task));
             }
             if self.now > m.last_answer_at + TIMING.lease_ms {
-                (m.incarnation, m.last_answer_at) = (m.incarnation + 1, self.now);
+                (m.session, m.last_answer_at) = (m.session + 1, self.now);
                 m.tasks.clear();
             }
             if self.now >= m.next_heartbeat_at {
