--- a/crates/coordination/tests/ends.rs
+++ b/crates/coordination/tests/ends.rs
@@ -1,6 +1,6 @@
-//! Ends of jobs of a few tasks that end far apart, across failovers: real
-//! placers and owners over a plain store and plain machines, with compare-and-swaps that
-//! are slow, lost, made without an answer, or made late.
+//! Ends of small jobs whose tasks complete far apart, across failovers: real placers and owners
+//! with a model of the store and of machines, and compare-and-swaps that are slow, lost, committed
+//! without an answer, or committed late.
 
 mod support;
 
@@ -34,40 +34,40 @@
 const WORKERS: usize = 6;
 const STEP_MS: u64 = 100;
 
-/// What becomes of a compare-and-swap.
+/// How a compare-and-swap is carried out and answered.
 #[derive(Clone, Copy, Debug)]
 enum WriteFault {
-    /// Made at once, answered after so many steps.
+    /// Committed at once, answered after this many steps.
     Slow(u64),
-    /// Made and answered after so many steps.
+    /// Committed and answered after this many steps.
     Held(u64),
-    /// Not made.
+    /// Never carried out, without an answer.
     Lost,
-    /// Made, without an answer.
-    Silent,
-    /// Without an answer, and made after so many steps.
+    /// Committed at once, without an answer.
+    NoAnswer,
+    /// Carried out after this many steps, without an answer.
     Late(u64),
 }
 
-/// A compare-and-swap whose answer is to come.
+/// A compare-and-swap whose answer is pending.
 struct InFlightWrite {
     cas: CompareAndSwap,
     at: u64,
     outcome: Option<CompareAndSwapOutcome>,
 }
 
-/// One leader of a shard.
+/// A leader of a shard: its placer and its owner.
 struct Leader {
     token: u64,
     placer: Placer,
     owner: Owner,
     in_flight: Option<InFlightWrite>,
-    /// Not before then is anything written, as after a compare-and-swap without answer.
+    /// It writes nothing before then: it backs off after a compare-and-swap without an answer.
     write_backoff_until: u64,
-    last_pass_at: u64,
-    /// When its last reading of the store began, and the owner of the other shard that
-    /// this showed.
+    last_placement_pass_at: u64,
+    /// When its last read of the store began.
     last_store_read_at: u64,
+    /// Fencing token of the other shard's owner, as that read showed it.
     other_owner_token: u64,
 }
 
@@ -77,7 +77,7 @@
     since: u64,
 }
 
-/// A machine as the protocol page has it.
+/// A machine that follows the protocol page.
 struct Worker {
     name: usize,
     shard: usize,
@@ -87,10 +87,10 @@
     last_answer_at: u64,
     last_heartbeat_at: u64,
     changed: bool,
-    /// It hangs, or nothing reaches it, until then.
-    silent_until: u64,
+    /// Until then it hangs, or nothing reaches it.
+    unresponsive_until: u64,
     tasks: BTreeMap<AttemptId, Task>,
-    /// Calls held back meanwhile.
+    /// Calls that arrived meanwhile.
     held_calls: Vec<CommandCall>,
 }
 
@@ -105,7 +105,7 @@
             last_answer_at: now,
             last_heartbeat_at: 0,
             changed: true,
-            silent_until: 0,
+            unresponsive_until: 0,
             tasks: BTreeMap::new(),
             held_calls: Vec::new(),
         }
@@ -118,20 +118,22 @@
     store: BTreeMap<String, KeyValue>,
     shard_leaders: BTreeMap<u16, ShardLeader>,
     leaders: Vec<Option<Leader>>,
+    /// When each shard without a leader gets the next one.
     returns_at: Vec<u64>,
-    /// Holders that know nothing of their successors, and when they find out.
+    /// Former leaders that have not learned of their successors, with their shard and when they
+    /// learn of them.
     stale_leaders: Vec<(usize, Leader, u64)>,
     workers: Vec<Worker>,
-    /// Machines that there ever were.
+    /// Number of machines ever created.
     workers_created: usize,
     jobs: Vec<(usize, Arc<JobSpec>)>,
     write_faults: VecDeque<WriteFault>,
     delayed: Vec<(u64, CompareAndSwap)>,
-    /// Tasks that have completed, and how often.
+    /// How often each task has completed.
     completed: BTreeMap<(JobId, u32), u32>,
-    /// Attempts started.
+    /// Number of attempts started.
     launches: u32,
-    /// ms after which a running task completes by itself; 0: never.
+    /// Run time after which a task completes on its own, ms; 0: never.
     runs_ms: u64,
 }
 
@@ -188,35 +190,33 @@
         self.publish_jobs();
     }
 
-    fn withdraw(&mut self, id: &JobId) {
+    fn cancel(&mut self, id: &JobId) {
         let Some(entry) = self.store.get(&job_key(id)) else {
             return;
         };
         let record = JobRecord {
             cancel_requested: true,
-            ..from_value(&entry.value).expect("a job")
+            ..from_value(&entry.value).expect("a job record")
         };
         self.revision += 1;
         self.put(job_key(id), to_value(&record));
         self.publish_jobs();
     }
 
-    /// What the followed keys say reaches every leader.
+    /// Shows every leader the current job records.
     fn publish_jobs(&mut self) {
         for (shard, spec) in &self.jobs {
-            let mirrored = self.store.get(&job_key(&spec.id)).map(|e| CachedJob {
-                record: Arc::new(from_value(&e.value).expect("a job")),
+            let cached = self.store.get(&job_key(&spec.id)).map(|e| CachedJob {
+                record: Arc::new(from_value(&e.value).expect("a job record")),
                 version: e.version,
             });
             if let Some(leader) = self.leaders[*shard].as_mut() {
-                leader
-                    .placer
-                    .apply_job(&spec.id, mirrored.as_ref(), self.now);
+                leader.placer.apply_job(&spec.id, cached.as_ref(), self.now);
             }
         }
     }
 
-    /// A controller takes a shard and loads its records.
+    /// A new leader acquires a shard and loads its records.
     fn start_leader(&mut self, shard: usize) {
         self.revision += 1;
         let token = self.revision;
@@ -246,11 +246,11 @@
             .range(format!("run/{shard}/")..)
             .take_while(|(k, _)| k.starts_with(&format!("run/{shard}/")))
         {
-            let (id, chunk) = parse_task_chunk_key(key).expect("a key");
+            let (id, chunk) = parse_task_chunk_key(key).expect("a task chunk key");
             placer.load_chunk(
                 &id,
                 chunk,
-                &from_value::<TaskChunkRecord>(&e.value).expect("a chunk"),
+                &from_value::<TaskChunkRecord>(&e.value).expect("a task chunk record"),
                 e.version,
             );
         }
@@ -267,29 +267,30 @@
             owner,
             in_flight: None,
             write_backoff_until: 0,
-            last_pass_at: 0,
+            last_placement_pass_at: 0,
             last_store_read_at: self.now,
             other_owner_token: 0,
         });
         self.publish_jobs();
     }
 
-    /// The leader of a shard ends, or is superseded without knowing for so long.
-    fn stop_leader(&mut self, shard: usize, away: u64, knows_nothing: u64) {
+    /// Stops the leader of a shard; the next one starts after `down_ms`. With `stale_ms` the former
+    /// one goes on, and learns of its successor only that long after it started.
+    fn stop_leader(&mut self, shard: usize, down_ms: u64, stale_ms: u64) {
         let Some(mut leader) = self.leaders[shard].take() else {
             return;
         };
-        self.returns_at[shard] = self.now + away;
+        self.returns_at[shard] = self.now + down_ms;
         if let Some(in_flight) = leader.in_flight.take().filter(|f| f.outcome.is_none()) {
             self.delayed.push((in_flight.at, in_flight.cas));
         }
-        if knows_nothing > 0 {
+        if stale_ms > 0 {
             self.stale_leaders
-                .push((shard, leader, self.now + away + knows_nothing));
+                .push((shard, leader, self.now + down_ms + stale_ms));
         }
     }
 
-    /// True if it stands in the store that a task is done.
+    /// Whether the store records that a task is done, or that its job has ended.
     fn is_completion_written(&self, id: &JobId, task: u32) -> bool {
         let chunk = |shard: usize| {
             self.store
@@ -297,7 +298,7 @@
         };
         let done = |e: &KeyValue| {
             from_value::<TaskChunkRecord>(&e.value)
-                .expect("a chunk")
+                .expect("a task chunk record")
                 .done_ranges
                 .iter()
                 .any(|r| (r.0..=r.1).contains(&task))
@@ -321,16 +322,16 @@
                 Write::Put { key, value, .. } => {
                     if let Some(id) = key.strip_prefix("end/") {
                         let id = JobId::from(id);
-                        let record: JobEndRecord = from_value(value).expect("an end");
+                        let record: JobEndRecord = from_value(value).expect("a job end record");
                         if record.phase == JobPhase::Withdrawn {
-                            let live = |b: &Worker| {
-                                b.tasks
+                            let runs_task = |w: &Worker| {
+                                w.tasks
                                     .iter()
                                     .any(|(i, t)| i.job == id && t.phase != TaskPhase::Exited)
                             };
                             assert!(
-                                !self.workers.iter().any(live),
-                                "{id} is told withdrawn and runs"
+                                !self.workers.iter().any(runs_task),
+                                "{id} is recorded as withdrawn while it runs"
                             );
                             self.put(key.clone(), value.clone());
                             continue;
@@ -341,7 +342,11 @@
                             .find(|(_, s)| s.id == id)
                             .map_or(0, |(_, s)| s.tasks as u32);
                         let all = (0..tasks).all(|t| self.completed.contains_key(&(id.clone(), t)));
-                        assert!(all, "{id} is told done and is not: {:?}", self.completed);
+                        assert!(
+                            all,
+                            "{id} is recorded as done before all its tasks completed: {:?}",
+                            self.completed
+                        );
                     }
                     self.put(key.clone(), value.clone());
                 }
@@ -352,7 +357,7 @@
         CompareAndSwapOutcome::Committed(self.revision)
     }
 
-    /// A placer's turn: its answer comes, and it writes.
+    /// Steps a placer: delivers the answer that is due, or places tasks and writes.
     fn run_placer(&mut self, shard: usize) {
         let now = self.now;
         let Some(mut leader) = self.leaders[shard].take() else {
@@ -360,9 +365,9 @@
         };
         if leader.in_flight.as_ref().is_some_and(|f| now >= f.at) {
             let Some(in_flight) = leader.in_flight.take() else {
-                unreachable!("looked at")
+                unreachable!("checked above")
             };
-            // A reading may show the end before its answer comes.
+            // A read may show the end before the answer arrives.
             self.leaders[shard] = Some(leader);
             let outcome = in_flight
                 .outcome
@@ -371,9 +376,10 @@
             return;
         }
         leader.placer.advance_gang_admissions(now, 0);
-        if leader.placer.placement_is_due(now) && now >= leader.last_pass_at + PLACEMENT_INTERVAL_MS
+        if leader.placer.placement_is_due(now)
+            && now >= leader.last_placement_pass_at + PLACEMENT_INTERVAL_MS
         {
-            leader.last_pass_at = now;
+            leader.last_placement_pass_at = now;
             leader.placer.run_placement_pass(now);
         }
         let cas = if leader.in_flight.is_none() && now >= leader.write_backoff_until {
@@ -385,15 +391,15 @@
         let Some(cas) = cas else { return };
         let write_fault = self.write_faults.pop_front().unwrap_or(WriteFault::Slow(0));
         let (at, outcome) = match write_fault {
-            WriteFault::Slow(beats) => (now + beats * STEP_MS, Some(self.apply(&cas))),
-            WriteFault::Held(beats) => (now + beats.max(1) * STEP_MS, None),
+            WriteFault::Slow(steps) => (now + steps * STEP_MS, Some(self.apply(&cas))),
+            WriteFault::Held(steps) => (now + steps.max(1) * STEP_MS, None),
             WriteFault::Lost => (now, Some(CompareAndSwapOutcome::Indeterminate)),
-            WriteFault::Silent => {
+            WriteFault::NoAnswer => {
                 self.apply(&cas);
                 (now, Some(CompareAndSwapOutcome::Indeterminate))
             }
-            WriteFault::Late(beats) => {
-                self.delayed.push((now + beats * STEP_MS, cas.clone()));
+            WriteFault::Late(steps) => {
+                self.delayed.push((now + steps * STEP_MS, cas.clone()));
                 (now, Some(CompareAndSwapOutcome::Indeterminate))
             }
         };
@@ -426,9 +432,9 @@
         for (id, chunk, version) in reread {
             leader.placer.apply_reread_version(&id, chunk, version);
         }
-        let (verdict, _) = leader.placer.apply_cas_outcome(outcome, now);
+        let (ownership, _) = leader.placer.apply_cas_outcome(outcome, now);
         assert_eq!(
-            verdict,
+            ownership,
             ShardOwnership::Held,
             "only a superseded leader loses its shard"
         );
@@ -443,7 +449,10 @@
             let sync = leader
                 .placer
                 .sync_request(to as u16, leader.token, ROOM, false, now);
-            let view = leader.owner.sync(&sync, ROOM, now).expect("its own");
+            let view = leader
+                .owner
+                .sync(&sync, ROOM, now)
+                .expect("accepted by its own owner");
             leader.placer.apply_view(view, now);
         } else if let Some(other) = self.leaders[to].as_mut() {
             let sync = leader
@@ -457,8 +466,8 @@
         self.leaders[from] = Some(leader);
     }
 
-    /// Those who know nothing of their successors act on: they sync with themselves
-    /// and with whoever still takes their word, and answer and call their machines.
+    /// Steps the former leaders that have not learned of their successors: they sync with
+    /// themselves and with any owner that accepts their syncs, and call their machines.
     fn run_stale_leaders(&mut self) {
         let now = self.now;
         let mut all = std::mem::take(&mut self.stale_leaders);
@@ -473,7 +482,7 @@
             }
             let to = 1 - *shard;
             if let Some(other) = self.leaders[to].as_mut() {
-                // It names the owner that its last reading showed.
+                // It addresses the owner that its last store read showed.
                 let sync = leader.placer.sync_request(
                     to as u16,
                     leader.other_owner_token,
@@ -486,7 +495,7 @@
                     Err(_) => leader.placer.message_lost(to as u16),
                 }
             }
-            // What it writes is made, late or at once, where the conditions hold.
+            // Its compare-and-swaps arrive late, and commit if their conditions hold.
             if let Some(cas) = leader.placer.next_cas(now) {
                 self.delayed.push((now + 3 * STEP_MS, cas));
                 leader
@@ -503,9 +512,9 @@
     }
 
     fn heartbeat_of(&mut self, n: usize) -> Heartbeat {
-        let b = &mut self.workers[n];
-        b.seq += 1;
-        let tasks = b.tasks.iter().map(|(id, t)| TaskStatus {
+        let w = &mut self.workers[n];
+        w.seq += 1;
+        let tasks = w.tasks.iter().map(|(id, t)| TaskStatus {
             task: id.task_name(),
             attempt: id.attempt,
             phase: t.phase,
@@ -513,29 +522,32 @@
             checkpointed: None,
         });
         Heartbeat {
-            incarnation: b.session,
-            fencing_token: b.token,
+            incarnation: w.session,
+            fencing_token: w.token,
             tasks: tasks.collect(),
-            spot: (b.name / 2).is_multiple_of(2),
-            ..report(b.name, b.seq)
+            spot: (w.name / 2).is_multiple_of(2),
+            ..report(w.name, w.seq)
         }
     }
 
-    fn execute(&mut self, n: usize, orders: &[Command]) {
-        for o in orders {
-            let id = AttemptId::parse(&o.task, o.attempt).expect("a task");
-            match o.kind {
+    fn execute(&mut self, n: usize, commands: &[Command]) {
+        for command in commands {
+            let id = AttemptId::parse(&command.task, command.attempt).expect("a task name");
+            match command.kind {
                 CommandKind::Start if self.workers[n].tasks.contains_key(&id) => {}
                 CommandKind::Start => {
-                    let twice = |b: &Worker| {
-                        b.tasks.iter().any(|(i, t)| {
+                    let runs_same_task = |w: &Worker| {
+                        w.tasks.iter().any(|(i, t)| {
                             (&i.job, i.task) == (&id.job, id.task) && t.phase != TaskPhase::Exited
                         })
                     };
-                    assert!(!self.workers.iter().any(twice), "{id} is on two machines");
+                    assert!(
+                        !self.workers.iter().any(runs_same_task),
+                        "{id} is started while its task runs on a machine"
+                    );
                     assert!(
                         !self.is_completion_written(&id.job, id.task),
-                        "{id} starts though its end is written"
+                        "{id} is started after its end was written"
                     );
                     self.launches += 1;
                     self.workers[n].tasks.insert(
@@ -577,18 +589,19 @@
         }
     }
 
-    /// A machine sends its heartbeat to whoever it last reached: a stale leader, if any.
+    /// Sends a heartbeat to the leader of the shard, or to a stale leader if there is one and
+    /// `stale_leaders` is set.
     fn send_heartbeat(&mut self, n: usize, stale_leaders: bool) {
         let (shard, now) = (self.workers[n].shard, self.now);
         let report = self.heartbeat_of(n);
         self.workers[n].last_heartbeat_at = now;
         self.workers[n].changed = false;
-        let old = self
+        let stale = self
             .stale_leaders
             .iter_mut()
             .find(|(p, _, _)| *p == shard && stale_leaders)
             .map(|(_, l, _)| l);
-        let Some(leader) = old.or(self.leaders[shard].as_mut()) else {
+        let Some(leader) = stale.or(self.leaders[shard].as_mut()) else {
             return;
         };
         let Some(reply) = leader.owner.handle_heartbeat(&report, None, now) else {
@@ -605,7 +618,7 @@
         let Some(leader) = self.leaders[shard].as_mut() else {
             return;
         };
-        // What is released is replaced.
+        // Released machines are replaced by new ones.
         let workers_created = leader.owner.next_releases();
         if !workers_created.is_empty() {
             leader
@@ -633,20 +646,21 @@
         let Some(n) = (0..WORKERS).find(|n| machine(self.workers[*n].name) == call.machine) else {
             return CommandResult::NotSent;
         };
-        let b = &mut self.workers[n];
-        if self.now < b.silent_until {
-            b.held_calls.push(call.clone());
+        let w = &mut self.workers[n];
+        if self.now < w.unresponsive_until {
+            w.held_calls.push(call.clone());
             return CommandResult::Unknown;
         }
-        if call.commands.fencing_token < b.token || call.commands.incarnation != b.session {
+        if call.commands.fencing_token < w.token || call.commands.incarnation != w.session {
             return CommandResult::Refused(self.heartbeat_of(n));
         }
-        b.token = call.commands.fencing_token;
+        w.token = call.commands.fencing_token;
         self.execute(n, &call.commands.commands);
         CommandResult::Executed(self.heartbeat_of(n))
     }
 
-    fn is_gang(&self, id: &JobId) -> Option<u64> {
+    /// Number of tasks of a gang job; `None` for other jobs.
+    fn gang_size(&self, id: &JobId) -> Option<u64> {
         self.jobs
             .iter()
             .find(|(_, s)| s.id == *id && s.kind == JobKind::Gang)
@@ -658,9 +672,9 @@
             .workers
             .iter()
             .enumerate()
-            .filter(|(_, b)| self.now >= b.silent_until);
-        all.flat_map(|(n, b)| {
-            b.tasks
+            .filter(|(_, w)| self.now >= w.unresponsive_until);
+        all.flat_map(|(n, w)| {
+            w.tasks
                 .iter()
                 .filter(|(_, t)| t.phase == TaskPhase::Running)
                 .map(move |(id, _)| (n, id.clone()))
@@ -668,17 +682,17 @@
         .collect()
     }
 
-    /// A task completes; of a gang, all do.
+    /// Completes a task; of a gang, all members.
     fn complete(&mut self, n: usize, id: &AttemptId) {
-        if self.is_gang(&id.job).is_none() {
+        if self.gang_size(&id.job).is_none() {
             return self.exit(n, id, "done");
         }
-        // Also those that nothing reaches now.
+        // Includes members on unresponsive machines.
         let all = self
             .workers
             .iter()
             .enumerate()
-            .flat_map(|(n, b)| b.tasks.keys().map(move |i| (n, i.clone())));
+            .flat_map(|(n, w)| w.tasks.keys().map(move |i| (n, i.clone())));
         let members: Vec<(usize, AttemptId)> = all
             .filter(|(_, i)| (&i.job, i.attempt) == (&id.job, id.attempt))
             .collect();
@@ -687,25 +701,27 @@
             .for_each(|(n, id)| self.exit(n, &id, "done"));
     }
 
-    /// What machines do by themselves: fetch, gather, lose their lease.
+    /// Steps the machines: they pull images, wait for their gangs, and lose their leases.
     fn run_workers(&mut self) {
         let now = self.now;
         for n in 0..WORKERS {
-            if now >= self.workers[n].silent_until {
+            if now >= self.workers[n].unresponsive_until {
                 for call in std::mem::take(&mut self.workers[n].held_calls) {
                     self.deliver_command(&call);
                 }
             }
-            let b = &mut self.workers[n];
-            if now > b.last_answer_at + TIMING.lease_ms {
-                (b.session, b.last_answer_at, b.changed) = (b.session + 1, now, true);
-                b.tasks.clear();
+            let w = &mut self.workers[n];
+            if now > w.last_answer_at + TIMING.lease_ms {
+                (w.session, w.last_answer_at, w.changed) = (w.session + 1, now, true);
+                w.tasks.clear();
             }
         }
-        let mut there: HashMap<(JobId, u32), u64> = HashMap::new();
-        for (id, t) in self.workers.iter().flat_map(|b| &b.tasks) {
+        let mut present_tasks: HashMap<(JobId, u32), u64> = HashMap::new();
+        for (id, t) in self.workers.iter().flat_map(|w| &w.tasks) {
             if matches!(t.phase, TaskPhase::AwaitingGang | TaskPhase::Running) {
-                *there.entry((id.job.clone(), id.attempt)).or_default() += 1;
+                *present_tasks
+                    .entry((id.job.clone(), id.attempt))
+                    .or_default() += 1;
             }
         }
         let gangs: BTreeMap<JobId, u64> = self
@@ -714,11 +730,11 @@
             .filter(|(_, s)| s.kind == JobKind::Gang)
             .map(|(_, s)| (s.id.clone(), s.tasks))
             .collect();
-        for b in &mut self.workers {
-            for (id, t) in &mut b.tasks {
+        for w in &mut self.workers {
+            for (id, t) in &mut w.tasks {
                 let whole = gangs
                     .get(&id.job)
-                    .is_none_or(|n| there.get(&(id.job.clone(), id.attempt)) == Some(n));
+                    .is_none_or(|n| present_tasks.get(&(id.job.clone(), id.attempt)) == Some(n));
                 let next = match t.phase {
                     TaskPhase::PullingImage if now >= t.since + 300 => {
                         (TaskPhase::AwaitingGang, None)
@@ -731,7 +747,7 @@
                     _ => continue,
                 };
                 (t.phase, t.cause, t.since) = (next.0, next.1, now);
-                b.changed = true;
+                w.changed = true;
             }
         }
         if self.runs_ms > 0 {
@@ -747,7 +763,7 @@
         }
     }
 
-    /// 100 ms in which everything has its turn.
+    /// Advances the time by 100 ms and steps every part of the cluster.
     fn step(&mut self) {
         self.now += STEP_MS;
         let now = self.now;
@@ -777,10 +793,10 @@
             self.send_commands(shard);
         }
         for n in 0..WORKERS {
-            let b = &self.workers[n];
+            let w = &self.workers[n];
             let due =
-                now >= b.last_heartbeat_at + 2_500 || b.changed && now >= b.last_heartbeat_at + 500;
-            if due && now >= b.silent_until {
+                now >= w.last_heartbeat_at + 2_500 || w.changed && now >= w.last_heartbeat_at + 500;
+            if due && now >= w.unresponsive_until {
                 self.send_heartbeat(n, (now / 1_000 + n as u64).is_multiple_of(2));
             }
         }
@@ -804,14 +820,16 @@
             .collect()
     }
 
-    /// All troubles are over: everything becomes done, and nothing is left.
+    /// Ends all faults and checks that every job ends and that nothing of it is left in the store,
+    /// on machines or in placers.
     fn run_to_completion(&mut self) {
         self.write_faults.clear();
         self.runs_ms = 1_000;
-        for b in &mut self.workers {
-            b.silent_until = b.silent_until.min(self.now + 1_000);
+        for w in &mut self.workers {
+            w.unresponsive_until = w.unresponsive_until.min(self.now + 1_000);
         }
-        // Longer than any proof by time, any late compare-and-swap, and low-priority work waits.
+        // Longer than any proof by time and any late compare-and-swap takes, and than low-priority
+        // work waits to start.
         let end = self.now
             + MAX_STORE_OUTAGE_GRACE_MS
             + 2 * TIMING.lease_ms
@@ -825,34 +843,34 @@
         while self.now < end && !settled(self) {
             self.step();
         }
-        let left: Vec<&JobId> = self
+        let unfinished: Vec<&JobId> = self
             .jobs
             .iter()
             .map(|(_, s)| &s.id)
             .filter(|id| !self.has_ended(id))
             .collect();
-        let told = |id: &JobId| {
+        let status = |id: &JobId| {
             self.leaders
                 .iter()
                 .flatten()
                 .find_map(|l| l.placer.job_status(id, self.now))
         };
-        let told: Vec<_> = left
+        let statuses: Vec<_> = unfinished
             .iter()
-            .map(|id| (id, told(id), self.store.get(&task_chunk_key(0, id, 0))))
+            .map(|id| (id, status(id), self.store.get(&task_chunk_key(0, id, 0))))
             .collect();
-        let there: Vec<_> = self
+        let present_tasks: Vec<_> = self
             .workers
             .iter()
-            .flat_map(|b| {
-                b.tasks
+            .flat_map(|w| {
+                w.tasks
                     .iter()
                     .map(|(id, t)| (id, t.phase, t.cause, t.since))
             })
             .collect();
         assert!(
-            left.is_empty(),
-            "not over: {told:?}, on machines: {there:?}, at {}",
+            unfinished.is_empty(),
+            "not ended: {statuses:?}, on machines: {present_tasks:?}, at {}",
             self.now
         );
         assert!(
@@ -860,17 +878,17 @@
             "left over: {:?}",
             self.chunk_keys()
         );
-        // A leader that is away comes back, and hears its machines.
+        // A shard without a leader gets one, which receives its machines' heartbeats.
         (0..200).for_each(|_| self.step());
         assert!(
-            self.workers.iter().all(|b| b.tasks.is_empty()),
-            "all is forgotten"
+            self.workers.iter().all(|w| w.tasks.is_empty()),
+            "machines still know of tasks"
         );
         for leader in self.leaders.iter().flatten() {
             assert_eq!(
                 leader.placer.known_jobs().count(),
                 0,
-                "shard {:?} knows of none",
+                "the leader with token {:?} still knows jobs",
                 leader.token
             );
         }
@@ -893,20 +911,21 @@
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// So many steps pass.
-    Pass(u64),
+    /// The cluster runs for this many steps.
+    Run(u64),
     /// One of the running tasks completes.
     Complete(usize),
-    /// What becomes of a later compare-and-swap.
-    Next(WriteFault),
-    /// A leader ends, and the next one comes after so long; it may go on for a while
-    /// without knowing.
-    End(usize, u64, u64),
-    /// A machine hangs for so long.
-    Mute(usize, u64),
+    /// Sets the fault of a coming compare-and-swap.
+    AddWriteFault(WriteFault),
+    /// A leader stops, and the next one starts after the first time, ms; for the second time after
+    /// that the former one goes on without learning of it.
+    StopLeader(usize, u64, u64),
+    /// A machine hangs for this long, ms.
+    Hang(usize, u64),
+    /// A job of this many tasks is submitted; 0: a gang, 1: low priority, else an array.
     Submit(usize, u64, u8),
-    /// The user of one of the jobs asks to cancel it.
-    Withdraw(usize),
+    /// A user cancels one of the jobs.
+    Cancel(usize),
 }
 
 fn write_fault() -> impl Strategy<Value = WriteFault> {
@@ -914,20 +933,20 @@
         (0..30u64).prop_map(WriteFault::Slow),
         (0..30u64).prop_map(WriteFault::Held),
         Just(WriteFault::Lost),
-        Just(WriteFault::Silent),
+        Just(WriteFault::NoAnswer),
         (1..100u64).prop_map(WriteFault::Late),
     ]
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        6 => (1..25u64).prop_map(Step::Pass),
+        6 => (1..25u64).prop_map(Step::Run),
         6 => (0..8usize).prop_map(Step::Complete),
-        6 => write_fault().prop_map(Step::Next),
+        6 => write_fault().prop_map(Step::AddWriteFault),
         3 => (0..SHARDS, prop::sample::select(vec![100u64, 800, 4_000, 8_000]), prop::sample::select(vec![0u64, 0, 1_500, 6_000]))
-            .prop_map(|(shard, away, knows)| Step::End(shard, away, knows)),
-        2 => (0..WORKERS, prop::sample::select(vec![2_000u64, 9_000, 20_000, 120_000])).prop_map(|(n, ms)| Step::Mute(n, ms)),
-        1 => (0..8usize).prop_map(Step::Withdraw),
+            .prop_map(|(shard, down_ms, stale_ms)| Step::StopLeader(shard, down_ms, stale_ms)),
+        2 => (0..WORKERS, prop::sample::select(vec![2_000u64, 9_000, 20_000, 120_000])).prop_map(|(n, ms)| Step::Hang(n, ms)),
+        1 => (0..8usize).prop_map(Step::Cancel),
         2 => (0..SHARDS, 1..4u64, 0..4u8).prop_map(|(shard, tasks, kind)| Step::Submit(shard, tasks, kind)),
     ]
 }
@@ -935,12 +954,12 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, rng_seed: proptest::test_runner::RngSeed::Fixed(35), max_shrink_iters: 400, ..ProptestConfig::default() })]
 
-    /// Jobs of one to three tasks that end far apart, while leaders of both shards end
-    /// or are superseded, machines hang, and compare-and-swaps are slow, lost, silent or
-    /// late. In every order: no task starts while an attempt of it lives, or once its
-    /// end is written; nothing is forgotten before its end is written; a job is told
-    /// done only when all of its tasks have completed; in the end all are, nothing is
-    /// left in the store, and nobody waits for anything.
+    /// Jobs of one to three tasks that complete far apart, while leaders of both shards stop or
+    /// are superseded, machines hang, and compare-and-swaps are slow, lost, unanswered or late.
+    /// Checked in every order: no task starts while an attempt of it runs or once its end is
+    /// written; no worker forgets an attempt before its end is written; a job is recorded as done
+    /// only when all of its tasks have completed; finally every job ends, and no records, tasks or
+    /// known jobs are left.
     #[test]
     fn every_job_ends_exactly_once_and_leaves_no_records(steps in prop::collection::vec(step(), 1..60)) {
         let mut cluster = Cluster::new();
@@ -952,7 +971,7 @@
         cluster.submit(1, job(5, 2));
         for (n, step) in (10..).zip(steps) {
             match step {
-                Step::Pass(beats) => (0..beats).for_each(|_| cluster.step()),
+                Step::Run(steps) => (0..steps).for_each(|_| cluster.step()),
                 Step::Complete(n) => {
                     let running = cluster.running();
                     if !running.is_empty() {
@@ -960,12 +979,13 @@
                         cluster.complete(n, &id);
                     }
                 }
-                Step::Next(write_fault) => cluster.write_faults.push_back(write_fault),
-                Step::End(shard, away, knows) => cluster.stop_leader(shard, away, knows),
-                Step::Mute(n, ms) => cluster.workers[n].silent_until = cluster.now + ms,
-                Step::Withdraw(n) => {
+                Step::AddWriteFault(write_fault) => cluster.write_faults.push_back(write_fault),
+                Step::StopLeader(shard, down_ms, stale_ms) =>
+                    cluster.stop_leader(shard, down_ms, stale_ms),
+                Step::Hang(n, ms) => cluster.workers[n].unresponsive_until = cluster.now + ms,
+                Step::Cancel(n) => {
                     let id = cluster.jobs[n % cluster.jobs.len()].1.id.clone();
-                    cluster.withdraw(&id);
+                    cluster.cancel(&id);
                 }
                 Step::Submit(shard, tasks, 0) => cluster.submit(shard, gang(n, tasks)),
                 Step::Submit(shard, tasks, 1) => cluster.submit(shard, JobSpec { priority: Priority::Low, ..job(n, tasks) }),
@@ -976,24 +996,24 @@
     }
 }
 
-// ---- single orders -------------------------------------------------------------------
+// ---- scripted orders -------------------------------------------------------------------
 
 fn id(n: u32) -> JobId {
     job(n, 1).id
 }
 
-/// A site whose machines are known.
+/// A cluster whose owners have registered their machines.
 fn cluster_with_known_machines() -> Cluster {
     let mut cluster = Cluster::new();
     (0..20).for_each(|_| cluster.step());
     cluster
 }
 
-/// Beats until something is so.
-fn until(cluster: &mut Cluster, what: &str, so: impl Fn(&Cluster) -> bool) {
+/// Steps until the condition holds, for 30 s at most.
+fn run_until(cluster: &mut Cluster, expectation: &str, condition: impl Fn(&Cluster) -> bool) {
     let end = cluster.now + 30_000;
-    while !so(cluster) {
-        assert!(cluster.now < end, "{what}");
+    while !condition(cluster) {
+        assert!(cluster.now < end, "{expectation}");
         cluster.step();
     }
 }
@@ -1003,17 +1023,18 @@
         .running()
         .into_iter()
         .find(|(_, i)| i.job == id(n) && i.task == task)
-        .expect("it runs");
+        .expect("a running task");
     cluster.complete(at, &attempt);
 }
 
-/// A job of three tasks: one was done and forgotten long ago, one completes while its
-/// placer changes, one goes on. The successor loads what was written, hears the end
-/// from the machine, which kept it, and starts nothing again; also if it is superseded
-/// in turn, before or after it heard of it, and if the end was told and not written.
+/// Of three tasks, the end of the first is written and forgotten, the second completes while its
+/// leader changes, and the third goes on. The new leader loads what was written, learns of the
+/// second end from the machine that keeps it, and starts nothing again. The same holds if it is
+/// superseded in turn, before or after it learned of that end, or with the end acknowledged but not
+/// written.
 #[test]
 fn unwritten_task_end_is_reported_again_to_each_new_leader() {
-    for (beats, successors, knows) in [
+    for (steps, successors, stale_ms) in [
         (0, 1, 0),
         (3, 1, 0),
         (25, 1, 0),
@@ -1024,55 +1045,55 @@
     ] {
         let mut cluster = cluster_with_known_machines();
         cluster.submit(0, job(1, 3));
-        until(&mut cluster, "all run", |s| s.running().len() == 3);
+        run_until(&mut cluster, "all tasks run", |s| s.running().len() == 3);
         complete(&mut cluster, 1, 0);
-        until(&mut cluster, "the first end is written", |s| {
+        run_until(&mut cluster, "the first end is written", |s| {
             s.is_completion_written(&id(1), 0)
         });
-        let kept = |s: &Cluster| {
+        let on_machine = |s: &Cluster| {
             s.workers
                 .iter()
-                .any(|b| b.tasks.keys().any(|i| i.task == 0))
+                .any(|w| w.tasks.keys().any(|i| i.task == 0))
         };
-        until(&mut cluster, "it is forgotten", |s| !kept(s));
+        run_until(&mut cluster, "the attempt is forgotten", |s| !on_machine(s));
         complete(&mut cluster, 1, 1);
         for _ in 0..successors {
-            (0..beats).for_each(|_| cluster.step());
-            cluster.stop_leader(0, 800, knows);
+            (0..steps).for_each(|_| cluster.step());
+            cluster.stop_leader(0, 800, stale_ms);
         }
         assert!(
             !cluster.is_completion_written(&id(1), 1),
-            "its end waits for company"
+            "its end waits to be written together with others"
         );
-        until(&mut cluster, "the second end is written", |s| {
+        run_until(&mut cluster, "the second end is written", |s| {
             s.is_completion_written(&id(1), 1)
         });
         assert!(!cluster.has_ended(&id(1)));
         complete(&mut cluster, 1, 2);
-        until(&mut cluster, "it is over", |s| s.has_ended(&id(1)));
+        run_until(&mut cluster, "the job ends", |s| s.has_ended(&id(1)));
         assert_eq!(
             cluster.launches, 3,
-            "{beats} {successors} {knows}: nothing starts again"
+            "{steps} {successors} {stale_ms}: a task was started again"
         );
         cluster.run_to_completion();
     }
 }
 
-/// The same, and the machine that kept the end is gone before the successor heard it:
-/// the task runs again, which costs its time, and the job is done only then.
+/// The machine that keeps an unwritten end is lost before the new leader learns of that end: the
+/// task runs again, and only then is the job done.
 #[test]
 fn task_end_lost_with_its_machine_costs_one_rerun() {
     let mut cluster = cluster_with_known_machines();
     cluster.submit(0, job(1, 2));
-    until(&mut cluster, "both run", |s| s.running().len() == 2);
+    run_until(&mut cluster, "both run", |s| s.running().len() == 2);
     complete(&mut cluster, 1, 0);
     let kept = cluster
         .workers
         .iter()
-        .position(|b| b.tasks.keys().any(|i| i.task == 0))
-        .expect("there");
+        .position(|w| w.tasks.keys().any(|i| i.task == 0))
+        .expect("a machine with the task");
     cluster.stop_leader(0, 800, 0);
-    cluster.workers[kept].silent_until = u64::MAX;
+    cluster.workers[kept].unresponsive_until = u64::MAX;
     cluster.workers[kept].tasks.clear();
     if cluster.running().len() == 1 {
         complete(&mut cluster, 1, 1);
@@ -1083,43 +1104,43 @@
     assert!(cluster.completed[&(id(1), 0)] == 2);
 }
 
-/// A start whose compare-and-swap got no answer was tried again, its task completed, its job
-/// ended, and its record was removed. Then the first compare-and-swap is carried out: the
-/// chunk's key is as absent as it was. It must not come back, under the same leader
-/// and under a successor.
+/// A start's compare-and-swap got no answer and was retried; the task completed, its job ended, and
+/// its record was deleted. When the first compare-and-swap then arrives, the chunk's key is as
+/// absent as its condition demands. It must fail all the same, under the same leader and under a
+/// successor, or it would restore the record.
 #[test]
 fn late_commit_of_a_start_is_not_revived_after_its_job_ended() {
     let mut cluster = cluster_with_known_machines();
     cluster.write_faults.push_back(WriteFault::Late(1_000));
     cluster.submit(0, job(1, 2));
     cluster.runs_ms = 500;
-    until(&mut cluster, "it is over", |s| {
+    run_until(&mut cluster, "the job ends", |s| {
         s.has_ended(&id(1)) && s.chunk_keys().is_empty()
     });
-    let (_, late) = cluster.delayed.pop().expect("still to come");
+    let (_, late) = cluster.delayed.pop().expect("a delayed compare-and-swap");
     assert!(
         matches!(cluster.apply(&late), CompareAndSwapOutcome::Conflict(keys) if keys == [job_key(&id(1))])
     );
     cluster.run_to_completion();
 }
 
-/// A start was written and nobody learned of it; its user cancels the job, whose placer
-/// takes back what it takes for unwritten. The record goes all the same.
+/// A start was committed without an answer, and its user cancels the job. The placer withdraws the
+/// start as unwritten, but must still delete the record.
 #[test]
 fn start_with_indeterminate_write_is_removed_with_its_job() {
     for successor in [false, true] {
         let mut cluster = cluster_with_known_machines();
-        cluster.write_faults.push_back(WriteFault::Silent);
+        cluster.write_faults.push_back(WriteFault::NoAnswer);
         cluster.submit(0, job(1, 2));
         while cluster.chunk_keys().is_empty() {
             cluster.step();
         }
-        cluster.withdraw(&id(1));
+        cluster.cancel(&id(1));
         if successor {
             cluster.stop_leader(0, 100, 0);
         }
-        until(&mut cluster, "it is over", |s| s.has_ended(&id(1)));
-        until(&mut cluster, "nothing is left", |s| {
+        run_until(&mut cluster, "the job ends", |s| s.has_ended(&id(1)));
+        run_until(&mut cluster, "its records are deleted", |s| {
             s.chunk_keys().is_empty()
         });
         assert_eq!(cluster.launches, 0);
@@ -1127,9 +1148,9 @@
     }
 }
 
-/// A job is cancelled while its first start is on its way, and the copy of its key is
-/// old for a while: the start is refused once and not tried again and again, and what
-/// else is to be written goes on.
+/// A job is cancelled while its first start is in flight, and the cached copy of its key stays
+/// stale for a while: the start conflicts once and is not retried until the copy is fresh, and
+/// other writes go on.
 #[test]
 fn start_conflicting_with_its_job_key_waits_for_a_fresh_copy() {
     let mut placer = Placer::new(0, TOKEN, 1, terms(), 0);
@@ -1150,13 +1171,16 @@
             .any(|c| c.key == job_key(&id(1)) && c.version == 1)
     );
     placer.apply_cas_outcome(CompareAndSwapOutcome::Conflict(vec![job_key(&id(1))]), 0);
-    assert!(placer.next_cas(10).is_none(), "nothing new is known");
+    assert!(
+        placer.next_cas(10).is_none(),
+        "no newer copy of the key has arrived"
+    );
     submit(&mut placer, job(2, 1), 0, 20);
     placer.run_placement_pass(20);
     let other = placer.next_cas(20).expect("another job's start");
     assert!(other.conditions.iter().all(|c| c.key != job_key(&id(1))));
     placer.apply_cas_outcome(CompareAndSwapOutcome::Committed(50), 20);
-    let asked = JobRecord {
+    let cancelled_record = JobRecord {
         spec: job(1, 1),
         submitted_at_ms: 0,
         cancel_requested: true,
@@ -1165,7 +1189,7 @@
     placer.apply_job(
         &id(1),
         Some(&CachedJob {
-            record: Arc::new(asked),
+            record: Arc::new(cancelled_record),
             version: 2,
         }),
         30,
@@ -1178,8 +1202,8 @@
     );
 }
 
-/// What a successor loads is not written again: of an array with two finished chunks
-/// and one that waits for room nothing is, and a job that ended meanwhile goes.
+/// A new leader does not write loaded records again: nothing of an array with two finished chunks
+/// and one that waits for room is written, and the record of a job that ended meanwhile is deleted.
 #[test]
 fn new_leader_does_not_rewrite_finished_chunks() {
     let mut placer = Placer::new(0, TOKEN, 1, terms(), 0);
@@ -1203,7 +1227,7 @@
     placer.apply_job(&id(2), None, 0);
     let cas = placer
         .next_cas(2 * ATTEMPT_END_WRITE_DELAY_MS)
-        .expect("one goes");
+        .expect("one deletion");
     assert!(
         matches!(&cas.writes[..], [Write::Delete { key }] if *key == task_chunk_key(0, &id(2), 0)),
         "{:?}",
@@ -1217,15 +1241,15 @@
     assert_eq!(placer.job_status(&id(1), 0).map(|n| n.0), Some(128));
 }
 
-/// A job is cancelled while its first start is under way, which is then refused or gets
-/// no answer: no owner has heard of it, so its end is the next that is written.
+/// A job is cancelled while its first start is in flight, which then conflicts or gets no answer.
+/// No owner was told of it, so the end of the job is the next write.
 #[test]
 fn start_in_flight_does_not_delay_a_cancellation() {
     for outcome in [
         CompareAndSwapOutcome::Conflict(vec![job_key(&id(1))]),
         CompareAndSwapOutcome::Indeterminate,
     ] {
-        let unknown = matches!(outcome, CompareAndSwapOutcome::Indeterminate);
+        let indeterminate = matches!(outcome, CompareAndSwapOutcome::Indeterminate);
         let mut placer = Placer::new(0, TOKEN, 1, terms(), 0);
         submit(&mut placer, job(1, 2), 0, 0);
         let seq = placer.sync_request(0, TOKEN, ROOM, false, 0).seq;
@@ -1237,7 +1261,7 @@
         placer.apply_view(view(seq, whole, vec![shown(0, 4)], Vec::new()), 0);
         placer.run_placement_pass(0);
         placer.next_cas(0).expect("its starts");
-        let asked = JobRecord {
+        let cancelled_record = JobRecord {
             spec: job(1, 2),
             submitted_at_ms: 0,
             cancel_requested: true,
@@ -1246,7 +1270,7 @@
         placer.apply_job(
             &id(1),
             Some(&CachedJob {
-                record: Arc::new(asked),
+                record: Arc::new(cancelled_record),
                 version: 2,
             }),
             30,
@@ -1264,18 +1288,19 @@
             version: 2
         }));
         placer.apply_cas_outcome(CompareAndSwapOutcome::Committed(50), 50);
-        // What may have been made is asked for; a refusal tells that it was.
-        assert_eq!(placer.known_jobs().count(), usize::from(unknown));
+        // The placer checks whether an indeterminate start was committed; a conflict shows that it
+        // was.
+        assert_eq!(placer.known_jobs().count(), usize::from(indeterminate));
         assert!(
             placer
                 .sync_request(0, TOKEN, ROOM, false, 60)
                 .desired
                 .is_empty()
         );
-        if unknown {
+        if indeterminate {
             let absent = placer
                 .next_cas(60 + ATTEMPT_END_WRITE_DELAY_MS)
-                .expect("a question");
+                .expect("a check for the record");
             assert!(
                 absent.writes.is_empty()
                     && absent.conditions.contains(&Condition {
@@ -1306,9 +1331,9 @@
     }
 }
 
-/// A store whose answers all come too late makes what it is asked to and tells nobody:
-/// each try meets what the one before wrote. Nothing starts twice or is lost by it, and
-/// once it answers in time the versions are read again and all goes on.
+/// A store whose answers all come too late commits each write without the placer learning of it,
+/// so each retry conflicts with the one before. No task starts twice or is lost, and once answers
+/// come in time the versions are read again and all jobs complete.
 #[test]
 fn slow_store_delays_but_loses_nothing() {
     for late in 1..30 {
@@ -1317,7 +1342,7 @@
         cluster.submit(0, gang(2, 2));
         cluster
             .write_faults
-            .extend((0..late).map(|_| WriteFault::Silent));
+            .extend((0..late).map(|_| WriteFault::NoAnswer));
         (0..100).for_each(|_| cluster.step());
         cluster.run_to_completion();
         assert_eq!(cluster.launches, 5, "after {late}");
--- a/crates/coordination/tests/late_orders.rs
+++ b/crates/coordination/tests/late_orders.rs
@@ -1499,7 +1499,7 @@
 /// expire some time after the failover; this owner's replies may still have renewed the lease, so
 /// its attempts end only one lease after the last reply.
 #[test]
-fn unconfirmed_worker_may_live_by_our_replies() {
+fn lease_of_an_unconfirmed_worker_may_be_renewed_by_replies() {
     let mut owner = Owner::new(
         0,
         TOKEN,
--- a/crates/coordination/tests/late_transactions.rs
+++ b/crates/coordination/tests/late_transactions.rs
@@ -1,6 +1,6 @@
-//! Transactions of a placer without an answer, made late or never, with the end of
-//! the job, withdrawals and other writings between: each order given by hand against a
-//! plain store, and many drawn ones.
+//! Compare-and-swaps of a placer that get no answer and commit late or never, while the job ends,
+//! is withdrawn or is written otherwise in between: scripted orders and random histories against a
+//! model of the store.
 
 mod support;
 
@@ -23,7 +23,7 @@
 use rmpv::Value;
 use support::{ROOM, TOKEN, array, shown, terms, view};
 
-// ---- the plain store -----------------------------------------------------------
+// ---- the store -----------------------------------------------------------
 
 struct Store {
     revision: u64,
@@ -31,7 +31,7 @@
 }
 
 impl Store {
-    /// Part 0 is held under [`TOKEN`].
+    /// A store in which shard 0 is led under [`TOKEN`].
     fn new() -> Self {
         let mut store = Store {
             revision: TOKEN - 1,
@@ -55,7 +55,7 @@
         self.keys.get(key).map(|k| &k.0)
     }
 
-    fn ended(&self, id: &JobId) -> Option<JobPhase> {
+    fn recorded_end(&self, id: &JobId) -> Option<JobPhase> {
         self.value(&end_key(id))
             .and_then(from_value::<JobEndRecord>)
             .map(|e| e.phase)
@@ -89,12 +89,13 @@
         CompareAndSwapOutcome::Committed(self.revision)
     }
 
-    fn makes(&mut self, cas: &CompareAndSwap) -> bool {
+    /// Carries out a compare-and-swap; true if it committed.
+    fn commits(&mut self, cas: &CompareAndSwap) -> bool {
         matches!(self.cas(cas), CompareAndSwapOutcome::Committed(_))
     }
 
-    /// Jobs of the records of tasks.
-    fn recorded(&self) -> BTreeSet<JobId> {
+    /// Jobs that have task chunk records.
+    fn jobs_with_records(&self) -> BTreeSet<JobId> {
         self.keys
             .keys()
             .filter(|k| k.starts_with(&task_chunks_prefix(0)))
@@ -103,7 +104,8 @@
             .collect()
     }
 
-    fn live(&self, id: &AttemptId) -> bool {
+    /// Whether the store records the attempt as live.
+    fn is_recorded_live(&self, id: &AttemptId) -> bool {
         let record = self
             .value(&task_chunk_key(0, &id.job, id.task / TASKS_PER_CHUNK))
             .and_then(from_value::<TaskChunkRecord>);
@@ -121,10 +123,10 @@
     store: Store,
     placer: Placer,
     now: u64,
-    /// What the owner was told last and is not to be stopped.
-    wanted: BTreeSet<AttemptId>,
-    /// All that the owner was told last.
-    told: BTreeSet<AttemptId>,
+    /// Attempts of the last sync that are to run on.
+    desired: BTreeSet<AttemptId>,
+    /// All attempts of the last sync.
+    sent: BTreeSet<AttemptId>,
 }
 
 impl Cluster {
@@ -134,8 +136,8 @@
             store: Store::new(),
             placer,
             now: 100,
-            wanted: BTreeSet::new(),
-            told: BTreeSet::new(),
+            desired: BTreeSet::new(),
+            sent: BTreeSet::new(),
         };
         cluster.sync(&[]);
         cluster
@@ -151,11 +153,11 @@
                 dependency_count: 0,
             }),
         );
-        self.copy(&spec.id);
+        self.refresh_job(&spec.id);
     }
 
-    /// The copy of the followed keys shows how a job stands.
-    fn copy(&mut self, id: &JobId) {
+    /// Shows the placer the current record of a job, as its copy of the store does.
+    fn refresh_job(&mut self, id: &JobId) {
         let job = self
             .store
             .value(&job_key(id))
@@ -167,7 +169,7 @@
         self.placer.apply_job(id, job.as_ref(), self.now);
     }
 
-    fn withdraw(&mut self, id: &JobId) {
+    fn cancel(&mut self, id: &JobId) {
         let Some(record) = self
             .store
             .value(&job_key(id))
@@ -177,18 +179,18 @@
             return;
         };
         let version = self.store.version(&job_key(id));
-        assert!(self.store.makes(&request_cancellation(&record, version)));
+        assert!(self.store.commits(&request_cancellation(&record, version)));
     }
 
-    /// The owner of four machines is told what is wanted, and tells this.
+    /// Sends a sync to the owner of four machines, which answers with these attempt states.
     fn sync(&mut self, attempts: &[(AttemptId, AttemptState)]) {
         let sync = self.placer.sync_request(0, TOKEN, ROOM, false, self.now);
         assert!(
             sync.range.since == 0 && sync.range.complete,
-            "all is told anew each time"
+            "each sync is complete"
         );
-        self.told = sync.desired.iter().map(|w| w.id.clone()).collect();
-        self.wanted = sync
+        self.sent = sync.desired.iter().map(|w| w.id.clone()).collect();
+        self.desired = sync
             .desired
             .iter()
             .filter(|w| w.stop_grace_s.is_none())
@@ -196,9 +198,9 @@
             .collect();
         let attempts: Vec<AttemptStatus> = attempts
             .iter()
-            .map(|(id, standing)| AttemptStatus {
+            .map(|(id, state)| AttemptStatus {
                 id: id.clone(),
-                state: *standing,
+                state: *state,
             })
             .collect();
         let machines: Vec<_> = (0..4).map(|n| shown(n, 4)).collect();
@@ -217,19 +219,20 @@
         );
     }
 
-    fn place(&mut self) {
+    fn run_placement(&mut self) {
         self.now += 100;
         self.placer.run_placement_pass(self.now);
     }
 
     /// The next compare-and-swap, after so many ms.
-    fn next(&mut self, after_ms: u64) -> Option<CompareAndSwap> {
+    fn next_cas(&mut self, after_ms: u64) -> Option<CompareAndSwap> {
         self.now += after_ms;
         self.placer.next_cas(self.now)
     }
 
-    /// A compare-and-swap ends as the process is told; keys that met other versions are read.
-    fn end(&mut self, outcome: CompareAndSwapOutcome) -> Vec<(JobId, JobPhase)> {
+    /// Gives the placer the outcome of a compare-and-swap, after rereading the versions of keys in
+    /// conflict.
+    fn complete_cas(&mut self, outcome: CompareAndSwapOutcome) -> Vec<(JobId, JobPhase)> {
         if let CompareAndSwapOutcome::Conflict(keys) = &outcome {
             for key in keys {
                 if let Some((job, chunk)) = parse_task_chunk_key(key) {
@@ -238,16 +241,16 @@
                 }
             }
         }
-        let (verdict, ends) = self.placer.apply_cas_outcome(outcome, self.now);
-        assert_eq!(verdict, ShardOwnership::Held);
+        let (ownership, ends) = self.placer.apply_cas_outcome(outcome, self.now);
+        assert_eq!(ownership, ShardOwnership::Held);
         ends
     }
 
-    /// Writes all that is due.
-    fn write(&mut self) {
-        while let Some(cas) = self.next(ATTEMPT_END_WRITE_DELAY_MS + 1) {
+    /// Writes everything that is due.
+    fn write_all(&mut self) {
+        while let Some(cas) = self.next_cas(ATTEMPT_END_WRITE_DELAY_MS + 1) {
             let outcome = self.store.cas(&cas);
-            self.end(outcome);
+            self.complete_cas(outcome);
         }
     }
 }
@@ -260,103 +263,108 @@
     }
 }
 
-/// A start without an answer, never made so far; its job is withdrawn and ends; then
-/// the start is made. The shard is the same leader's and there is no record, as when it
-/// was sent: it would bring back an attempt of a job that is over, which a successor
-/// would count until its machine has proven that it is not there.
+/// A start gets no answer and is delayed; its job is withdrawn and ends before the start reaches
+/// the store. The shard has the same leader and the record is absent, as when the start was sent.
+/// If it committed, it would record an attempt of an ended job, which a later leader would count
+/// as live until the machine proves it absent.
 #[test]
 fn late_start_of_a_withdrawn_job_is_not_recorded() {
     let mut cluster = Cluster::new();
     let spec = array(2);
     cluster.submit(&spec);
-    cluster.place();
-    let late = cluster.next(1).expect("two starts");
-    cluster.end(CompareAndSwapOutcome::Indeterminate);
-    cluster.withdraw(&spec.id);
-    cluster.copy(&spec.id);
-    let cas = cluster.next(1).expect("its end");
+    cluster.run_placement();
+    let late = cluster.next_cas(1).expect("two starts");
+    cluster.complete_cas(CompareAndSwapOutcome::Indeterminate);
+    cluster.cancel(&spec.id);
+    cluster.refresh_job(&spec.id);
+    let cas = cluster.next_cas(1).expect("its end");
     let outcome = cluster.store.cas(&cas);
     assert_eq!(
-        cluster.end(outcome),
+        cluster.complete_cas(outcome),
         vec![(spec.id.clone(), JobPhase::Withdrawn)]
     );
-    cluster.write();
+    cluster.write_all();
     assert_eq!(cluster.placer.known_jobs().count(), 0);
-    assert!(!cluster.store.makes(&late));
-    assert!(cluster.store.recorded().is_empty());
+    assert!(!cluster.store.commits(&late));
+    assert!(cluster.store.jobs_with_records().is_empty());
 }
 
-/// The same start, tried again and made; the job runs, is done, and its record is
-/// removed; then the first one is made.
+/// A start gets no answer and its retry commits; the job runs, is done, and its record is deleted.
+/// Then the first start reaches the store, and must not commit.
 #[test]
 fn late_start_of_a_completed_job_is_not_recorded() {
     let mut cluster = Cluster::new();
     let spec = array(1);
     cluster.submit(&spec);
-    cluster.place();
-    let late = cluster.next(1).expect("a start");
-    cluster.end(CompareAndSwapOutcome::Indeterminate);
-    let again = cluster.next(1).expect("the start again");
+    cluster.run_placement();
+    let late = cluster.next_cas(1).expect("a start");
+    cluster.complete_cas(CompareAndSwapOutcome::Indeterminate);
+    let again = cluster.next_cas(1).expect("the start again");
     assert_eq!(late, again);
     let outcome = cluster.store.cas(&again);
-    cluster.end(outcome);
+    cluster.complete_cas(outcome);
     cluster.sync(&[]);
-    assert_eq!(cluster.wanted, BTreeSet::from([attempt(&spec.id, 0, 1)]));
+    assert_eq!(cluster.desired, BTreeSet::from([attempt(&spec.id, 0, 1)]));
     cluster.sync(&[(
         attempt(&spec.id, 0, 1),
         AttemptState::Exited(ExitCause::Done),
     )]);
-    cluster.write();
-    cluster.copy(&spec.id);
-    cluster.write();
-    assert_eq!(cluster.store.ended(&spec.id), Some(JobPhase::Done));
-    assert!(cluster.store.recorded().is_empty() && cluster.placer.known_jobs().count() == 0);
-    assert!(!cluster.store.makes(&late));
-    assert!(cluster.store.recorded().is_empty());
+    cluster.write_all();
+    cluster.refresh_job(&spec.id);
+    cluster.write_all();
+    assert_eq!(cluster.store.recorded_end(&spec.id), Some(JobPhase::Done));
+    assert!(
+        cluster.store.jobs_with_records().is_empty() && cluster.placer.known_jobs().count() == 0
+    );
+    assert!(!cluster.store.commits(&late));
+    assert!(cluster.store.jobs_with_records().is_empty());
 }
 
-/// The start is made, but its answer is lost; its job is withdrawn and ends before it
-/// is tried again. The placer remembers no record, and there is one: it asks before it
-/// forgets the job. What can't be asked yet is asked again.
+/// A start commits but its answer is lost; its job is withdrawn and ends before the retry. The
+/// placer knows of no record although there is one, so it checks for a record before it forgets the
+/// job, and repeats a check that got no answer.
 #[test]
 fn start_with_lost_answer_leaves_no_record() {
-    for made_late in [false, true] {
+    for arrives_late in [false, true] {
         let mut cluster = Cluster::new();
         let spec = array(2);
         cluster.submit(&spec);
-        cluster.place();
-        let start = cluster.next(1).expect("two starts");
-        if !made_late {
-            assert!(cluster.store.makes(&start));
+        cluster.run_placement();
+        let start = cluster.next_cas(1).expect("two starts");
+        if !arrives_late {
+            assert!(cluster.store.commits(&start));
         }
-        cluster.end(CompareAndSwapOutcome::Indeterminate);
-        cluster.withdraw(&spec.id);
-        cluster.copy(&spec.id);
-        if made_late {
-            assert!(!cluster.store.makes(&start), "its job was withdrawn since");
+        cluster.complete_cas(CompareAndSwapOutcome::Indeterminate);
+        cluster.cancel(&spec.id);
+        cluster.refresh_job(&spec.id);
+        if arrives_late {
+            assert!(
+                !cluster.store.commits(&start),
+                "its job was withdrawn since"
+            );
         }
-        let cas = cluster.next(1).expect("its end");
+        let cas = cluster.next_cas(1).expect("its end");
         let outcome = cluster.store.cas(&cas);
-        cluster.end(outcome);
-        cluster.copy(&spec.id);
-        let asked = cluster
-            .next(ATTEMPT_END_WRITE_DELAY_MS + 1)
-            .expect("whether there is a record");
-        assert!(asked.writes.is_empty());
-        cluster.end(CompareAndSwapOutcome::Indeterminate);
+        cluster.complete_cas(outcome);
+        cluster.refresh_job(&spec.id);
+        let check = cluster
+            .next_cas(ATTEMPT_END_WRITE_DELAY_MS + 1)
+            .expect("a check for the record");
+        assert!(check.writes.is_empty());
+        cluster.complete_cas(CompareAndSwapOutcome::Indeterminate);
         assert_eq!(
             cluster.placer.known_jobs().count(),
             1,
-            "no answer tells nothing"
+            "a check without an answer proves nothing"
         );
-        cluster.write();
-        assert!(cluster.store.recorded().is_empty());
+        cluster.write_all();
+        assert!(cluster.store.jobs_with_records().is_empty());
         assert_eq!(cluster.placer.known_jobs().count(), 0);
     }
 }
 
-/// A start of a job whose withdrawal the copy does not show yet is refused, once: other
-/// starts go on, and the job ends when the copy shows it.
+/// A start conflicts with a withdrawal that the placer's copy of the store does not show yet. It is
+/// tried once; other starts go on, and the job ends when the copy shows the withdrawal.
 #[test]
 fn start_conflicting_with_a_withdrawal_does_not_block_others() {
     let mut cluster = Cluster::new();
@@ -367,93 +375,106 @@
     };
     cluster.submit(&first);
     cluster.submit(&second);
-    cluster.place();
-    cluster.withdraw(&first.id);
-    let cas = cluster.next(1).expect("two starts");
+    cluster.run_placement();
+    cluster.cancel(&first.id);
+    let cas = cluster.next_cas(1).expect("two starts");
     assert_eq!(cas.writes.len(), 2);
     let outcome = cluster.store.cas(&cas);
     assert!(
         matches!(&outcome, CompareAndSwapOutcome::Conflict(keys) if *keys == vec![job_key(&first.id)]),
         "{outcome:?}"
     );
-    cluster.end(outcome);
-    let cas = cluster.next(1).expect("the other's start");
+    cluster.complete_cas(outcome);
+    let cas = cluster.next_cas(1).expect("the start of the other job");
     assert_eq!(cas.writes.len(), 1);
     let outcome = cluster.store.cas(&cas);
-    cluster.end(outcome);
+    cluster.complete_cas(outcome);
     assert!(
-        cluster.next(ATTEMPT_END_WRITE_DELAY_MS + 1).is_none(),
-        "what would be refused again"
+        cluster.next_cas(ATTEMPT_END_WRITE_DELAY_MS + 1).is_none(),
+        "the conflicting start is not retried"
     );
     cluster.sync(&[]);
-    assert_eq!(cluster.wanted, BTreeSet::from([attempt(&second.id, 0, 1)]));
-    cluster.copy(&first.id);
-    cluster.write();
-    assert_eq!(cluster.store.ended(&first.id), Some(JobPhase::Withdrawn));
-    assert_eq!(cluster.store.recorded(), BTreeSet::from([second.id]));
+    assert_eq!(cluster.desired, BTreeSet::from([attempt(&second.id, 0, 1)]));
+    cluster.refresh_job(&first.id);
+    cluster.write_all();
+    assert_eq!(
+        cluster.store.recorded_end(&first.id),
+        Some(JobPhase::Withdrawn)
+    );
+    assert_eq!(
+        cluster.store.jobs_with_records(),
+        BTreeSet::from([second.id])
+    );
 }
 
-/// The end of a task without an answer, made between the reading of one key and the
-/// next, or after both: what is remembered of the versions is never more than a
-/// condition, which then fails.
+/// The write of a task's end gets no answer, and commits between the reads of two keys or arrives
+/// after both. The placer uses a version that it read only as a condition, which then fails, so no
+/// end is lost.
 #[test]
 fn write_committed_between_two_reads_is_overwritten() {
-    for between in [true, false] {
+    for during_read in [true, false] {
         let mut cluster = Cluster::new();
         let spec = array(2 * u64::from(TASKS_PER_CHUNK));
         cluster.submit(&spec);
-        cluster.place();
-        cluster.write();
+        cluster.run_placement();
+        cluster.write_all();
         cluster.sync(&[]);
-        let all: Vec<AttemptId> = cluster.wanted.iter().cloned().collect();
+        let all: Vec<AttemptId> = cluster.desired.iter().cloned().collect();
         assert!(all.len() > 2);
         cluster.sync(&[(all[0].clone(), AttemptState::Exited(ExitCause::Done))]);
         let late = cluster
-            .next(ATTEMPT_END_WRITE_DELAY_MS + 1)
+            .next_cas(ATTEMPT_END_WRITE_DELAY_MS + 1)
             .expect("an end");
-        cluster.end(CompareAndSwapOutcome::Indeterminate);
+        cluster.complete_cas(CompareAndSwapOutcome::Indeterminate);
         cluster.sync(&[
             (all[0].clone(), AttemptState::Exited(ExitCause::Done)),
             (all[1].clone(), AttemptState::Exited(ExitCause::Done)),
         ]);
         let cas = cluster
-            .next(ATTEMPT_END_WRITE_DELAY_MS + 1)
+            .next_cas(ATTEMPT_END_WRITE_DELAY_MS + 1)
             .expect("two ends");
         let key = task_chunk_key(0, &spec.id, 0);
         let read = cluster.store.version(&key);
-        // Another key's conflict made the process read this one too; the late one
-        // comes before or after.
-        if between {
-            assert!(cluster.store.makes(&late));
+        // A conflict on another key made the process reread this one too; the late write arrives
+        // before or after the retry.
+        if during_read {
+            assert!(cluster.store.commits(&late));
             let outcome = cluster.store.cas(&cas);
             assert!(matches!(outcome, CompareAndSwapOutcome::Conflict(_)));
             cluster.placer.apply_reread_version(&spec.id, 0, read);
             cluster.placer.apply_cas_outcome(outcome, cluster.now);
         } else {
             let outcome = cluster.store.cas(&cas);
-            cluster.end(outcome);
-            assert!(!cluster.store.makes(&late), "its version is no more");
+            cluster.complete_cas(outcome);
+            assert!(
+                !cluster.store.commits(&late),
+                "the version it is conditional on is outdated"
+            );
         }
-        cluster.write();
+        cluster.write_all();
         let record = cluster
             .store
             .value(&key)
             .and_then(from_value::<TaskChunkRecord>)
             .expect("a record");
-        assert_eq!(record.done_ranges, vec![(0, 1)], "between: {between}");
+        assert_eq!(
+            record.done_ranges,
+            vec![(0, 1)],
+            "during the read: {during_read}"
+        );
     }
 }
 
-/// An owner's answer to an earlier leader of the placer's shard comes late, through the
-/// store, between the present leader's messages and their answers: it tells of states
-/// that this one was never told of, and acknowledges what it never said.
+/// An owner's view for an earlier leader of the placer's shard arrives late, through the store,
+/// between the current leader's syncs and their answers. It carries changes that were never sent to
+/// the current leader and acknowledges messages that it never sent, so it is rejected.
 #[test]
 fn late_view_for_an_earlier_leader_is_rejected() {
     let mut earlier = Placer::new(0, TOKEN, 1, terms(), 0);
     let seq = (0..3)
         .map(|_| earlier.sync_request(0, TOKEN, ROOM, false, 0).seq)
         .last()
-        .expect("some");
+        .expect("three syncs");
     let late = view(
         seq,
         ChangeRange {
@@ -487,14 +508,18 @@
         vec![shown(0, 4)],
         Vec::new(),
     );
-    assert!(placer.apply_view(answer, 200), "its own is");
+    assert!(
+        placer.apply_view(answer, 200),
+        "the answer to its own sync is applied"
+    );
 }
 
-// ---- drawn nights ------------------------------------------------------------------
+// ---- random histories ------------------------------------------------------------------
 
-struct Draw(u64);
+/// Deterministic xorshift generator.
+struct Random(u64);
 
-impl Draw {
+impl Random {
     fn below(&mut self, n: u64) -> u64 {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
@@ -503,14 +528,14 @@
     }
 }
 
-/// Many orders: whatever is answered, lost, refused or made late, no owner is told of
-/// an attempt that the store does not hold, an end that was written stays, and of a
-/// job that is over nothing is left or comes back.
+/// However compare-and-swaps are answered, lost, refused or late: no attempt is sent to an owner
+/// before the store records it, an end that was written stays, and no record of an ended job
+/// remains or comes back.
 #[test]
 fn in_memory_state_never_runs_ahead_of_the_store() {
-    let (mut late_made, mut over) = (0, 0);
+    let (mut late_commits, mut ended_jobs) = (0, 0);
     for seed in 1..=120 {
-        let mut random = Draw(0x9E37_79B9_7F4A_7C15 ^ seed << 20);
+        let mut random = Random(0x9E37_79B9_7F4A_7C15 ^ seed << 20);
         let mut cluster = Cluster::new();
         let mut late: Vec<CompareAndSwap> = Vec::new();
         let mut ends: BTreeMap<JobId, JobPhase> = BTreeMap::new();
@@ -523,18 +548,19 @@
         for spec in &specs {
             cluster.submit(spec);
         }
-        // Ends of attempts, so that none is told twice in different ways.
-        let mut standing: BTreeMap<AttemptId, AttemptState> = BTreeMap::new();
+        // States reported so far, so that no attempt is reported with two different ends.
+        let mut attempt_states: BTreeMap<AttemptId, AttemptState> = BTreeMap::new();
         for step in 0..800 {
-            let calm = step >= 500;
+            let faults_over = step >= 500;
             cluster.now += random.below(400);
             match random.below(9) {
                 0 => cluster.placer.run_placement_pass(cluster.now),
                 1..=3 => {
-                    let Some(cas) = cluster.next(random.below(ATTEMPT_END_WRITE_DELAY_MS)) else {
+                    let Some(cas) = cluster.next_cas(random.below(ATTEMPT_END_WRITE_DELAY_MS))
+                    else {
                         continue;
                     };
-                    let outcome = match random.below(if calm { 1 } else { 5 }) {
+                    let outcome = match random.below(if faults_over { 1 } else { 5 }) {
                         0 | 1 => cluster.store.cas(&cas),
                         2 => {
                             cluster.store.cas(&cas);
@@ -546,15 +572,15 @@
                         }
                         _ => CompareAndSwapOutcome::Indeterminate,
                     };
-                    // A late one may be made while the keys are read.
+                    // A late one may commit while the keys are reread.
                     if matches!(outcome, CompareAndSwapOutcome::Conflict(_))
                         && !late.is_empty()
                         && random.below(2) == 0
                     {
                         let cas = late.remove(random.below(late.len() as u64) as usize);
-                        late_made += usize::from(cluster.store.makes(&cas));
+                        late_commits += usize::from(cluster.store.commits(&cas));
                     }
-                    for (id, phase) in cluster.end(outcome) {
+                    for (id, phase) in cluster.complete_cas(outcome) {
                         assert_eq!(
                             ends.insert(id.clone(), phase),
                             None,
@@ -564,25 +590,27 @@
                 }
                 4 if !late.is_empty() => {
                     let cas = late.remove(random.below(late.len() as u64) as usize);
-                    late_made += usize::from(cluster.store.makes(&cas));
+                    late_commits += usize::from(cluster.store.commits(&cas));
                 }
-                5 => specs.iter().for_each(|spec| cluster.copy(&spec.id)),
+                5 => specs.iter().for_each(|spec| cluster.refresh_job(&spec.id)),
                 6 if random.below(20) == 0 || step == 520 => {
-                    cluster.withdraw(&specs[random.below(4) as usize].id.clone());
+                    cluster.cancel(&specs[random.below(4) as usize].id.clone());
                 }
                 _ => {
-                    let now: Vec<(AttemptId, AttemptState)> =
-                        standing.iter().map(|(id, s)| (id.clone(), *s)).collect();
+                    let now: Vec<(AttemptId, AttemptState)> = attempt_states
+                        .iter()
+                        .map(|(id, s)| (id.clone(), *s))
+                        .collect();
                     cluster.sync(&now);
-                    for id in &cluster.wanted {
+                    for id in &cluster.desired {
                         assert!(
-                            cluster.store.live(id)
-                                || standing.get(id).is_some_and(|s| s.is_terminal()),
+                            cluster.store.is_recorded_live(id)
+                                || attempt_states.get(id).is_some_and(|s| s.is_terminal()),
                             "seed {seed}: {id} is not recorded"
                         );
                     }
-                    for id in cluster.told.clone() {
-                        let end = if cluster.wanted.contains(&id) {
+                    for id in cluster.sent.clone() {
+                        let end = if cluster.desired.contains(&id) {
                             AttemptState::Exited(ExitCause::Done)
                         } else {
                             AttemptState::Gone
@@ -592,27 +620,27 @@
                         } else {
                             AttemptState::Running
                         };
-                        let before = standing.get(&id).copied();
+                        let before = attempt_states.get(&id).copied();
                         if before.is_none_or(|s| !s.is_terminal()) {
-                            standing.insert(id, next);
+                            attempt_states.insert(id, next);
                         }
                     }
-                    standing.retain(|id, _| cluster.told.contains(id));
+                    attempt_states.retain(|id, _| cluster.sent.contains(id));
                 }
             }
         }
         for spec in &specs {
-            cluster.withdraw(&spec.id);
+            cluster.cancel(&spec.id);
         }
         for _ in 0..20 {
-            specs.iter().for_each(|spec| cluster.copy(&spec.id));
+            specs.iter().for_each(|spec| cluster.refresh_job(&spec.id));
             let gone: Vec<(AttemptId, AttemptState)> = cluster
-                .told
+                .sent
                 .iter()
                 .map(|id| {
                     (
                         id.clone(),
-                        standing
+                        attempt_states
                             .get(id)
                             .copied()
                             .filter(|s| s.is_terminal())
@@ -621,30 +649,33 @@
                 })
                 .collect();
             cluster.sync(&gone);
-            cluster.write();
+            cluster.write_all();
         }
         for cas in late {
-            late_made += usize::from(cluster.store.makes(&cas));
+            late_commits += usize::from(cluster.store.commits(&cas));
         }
-        over += specs
+        ended_jobs += specs
             .iter()
             .filter(|spec| cluster.store.version(&end_key(&spec.id)) > 0)
             .count();
         for spec in &specs {
             assert!(
                 cluster.store.version(&end_key(&spec.id)) > 0,
-                "seed {seed}: {} is over",
+                "seed {seed}: {} has not ended",
                 spec.id
             );
         }
         assert!(
-            cluster.store.recorded().is_empty(),
+            cluster.store.jobs_with_records().is_empty(),
             "seed {seed}: {:?} came back",
-            cluster.store.recorded()
+            cluster.store.jobs_with_records()
         );
         for (id, phase) in &ends {
-            assert_eq!(cluster.store.ended(id), Some(*phase), "seed {seed}");
+            assert_eq!(cluster.store.recorded_end(id), Some(*phase), "seed {seed}");
         }
     }
-    assert!(late_made > 20 && over == 480, "{late_made} {over}");
+    assert!(
+        late_commits > 20 && ended_jobs == 480,
+        "{late_commits} {ended_jobs}"
+    );
 }
--- a/crates/coordination/tests/ledger.rs
+++ b/crates/coordination/tests/ledger.rs
@@ -1,6 +1,6 @@
-//! The gang admission ledger beside slow reference models: the rule itself against
-//! one that lists all cases, and real placers and owners under random histories
-//! of grants, refusals, deaths and late messages, judged by what the machines run.
+//! Gang admission against slow reference models: the verdict against one that covers every case,
+//! and real placers and owners under random histories of grants, refusals, restarts and late
+//! messages, checked by what the machines run.
 
 mod support;
 
@@ -26,10 +26,10 @@
 use lemonweir_storage::state_cache::{CachedJob, ShardLeader};
 use support::*;
 
-// ---- the rule -----------------------------------------------------------------
+// ---- the verdict -----------------------------------------------------------------
 
-/// What must follow, said the long way round: of each step, when it was written,
-/// how many members stand where.
+/// The expected verdict, spelled out by admission step, the time since it was written, and the
+/// number of members in each state.
 fn reference_verdict(
     step: GangAdmissionStep,
     since: Option<u64>,
@@ -37,7 +37,7 @@
     wait: u64,
     now: u64,
 ) -> &'static str {
-    let over = |most: u64| since.is_some_and(|s| now >= s + most);
+    let elapsed = |limit_ms: u64| since.is_some_and(|s| now >= s + limit_ms);
     if step == GangAdmissionStep::Released {
         return "wait";
     }
@@ -50,11 +50,11 @@
         return match () {
             () if since.is_some() && all_granted && none_stopped => "admit",
             () if m.running > 0 => "wait",
-            () if over(GANG_GRANT_TIMEOUT_MS) => "release",
+            () if elapsed(GANG_GRANT_TIMEOUT_MS) => "release",
             () => "wait",
         };
     }
-    if m.running > 0 || m.launched >= m.needed || !over(wait) {
+    if m.running > 0 || m.launched >= m.needed || !elapsed(wait) {
         "wait"
     } else {
         "release"
@@ -70,7 +70,7 @@
         GangAdmissionStep::Other,
     ];
     let wait = 50_000;
-    let (mut seen, mut cases) = (BTreeSet::new(), 0);
+    let (mut seen_verdicts, mut cases) = (BTreeSet::new(), 0);
     for step in steps {
         for since in [None, Some(1_000)] {
             for now in [
@@ -80,8 +80,8 @@
                 1_000 + wait - 1,
                 1_000 + wait,
             ] {
-                // Every distribution of 3 members over: none, stopped, granted,
-                // launched, running, over.
+                // Every distribution of 3 members over these states: live without a grant,
+                // stopped, granted, launched, running, ended.
                 for kinds in (0..6u32.pow(3)).map(|n| [n % 6, n / 6 % 6, n / 36]) {
                     let count =
                         |from: u32| kinds.iter().filter(|k| **k >= from && **k < 5).count() as u32;
@@ -109,17 +109,17 @@
                         reference_verdict(step, since, &m, wait, now),
                         "{step:?} {since:?} {now} {m:?}"
                     );
-                    seen.insert(got);
+                    seen_verdicts.insert(got);
                     cases += 1;
                 }
             }
         }
     }
-    assert_eq!((seen.len(), cases), (3, 4 * 2 * 5 * 216));
+    assert_eq!((seen_verdicts.len(), cases), (3, 4 * 2 * 5 * 216));
 }
 
-/// What a successor reads is the least of what the chunks carry, whatever their
-/// order, and a release that began is gone on with.
+/// A new leader inherits the lowest admission step of all chunks, in whatever order they are read,
+/// and continues a release that has begun.
 #[test]
 fn new_leader_inherits_the_least_step_of_all_chunks() {
     let kinds = [
@@ -129,8 +129,8 @@
         Some(GangAdmissionStep::Released),
         Some(GangAdmissionStep::Other),
     ];
-    for picks in (0..625usize).map(|n| [n % 5, n / 5 % 5, n / 25 % 5, n / 125]) {
-        let records: Vec<Option<GangAdmissionRecord>> = picks
+    for combination in (0..625usize).map(|n| [n % 5, n / 5 % 5, n / 25 % 5, n / 125]) {
+        let records: Vec<Option<GangAdmissionRecord>> = combination
             .iter()
             .enumerate()
             .map(|(i, k)| {
@@ -142,27 +142,27 @@
             })
             .collect();
         let InheritedAdmission { step, attempt, .. } =
-            inherited_admission(records.iter().map(|r| (4, r.as_ref()))).expect("chunks");
+            inherited_admission(records.iter().map(|r| (4, r.as_ref()))).expect("an admission");
         let has = |kind: GangAdmissionStep| records.iter().flatten().any(|r| r.step == kind);
-        let plain = match () {
+        let expected = match () {
             () if has(GangAdmissionStep::Released) => GangAdmissionStep::Released,
             () if has(GangAdmissionStep::Planned) => GangAdmissionStep::Planned,
             () => GangAdmissionStep::Admitted,
         };
-        assert_eq!((step, attempt), (plain, 4), "{picks:?}");
+        assert_eq!((step, attempt), (expected, 4), "{combination:?}");
     }
     let InheritedAdmission { step, .. } =
-        inherited_admission([(1, None), (2, None)].into_iter()).expect("chunks");
+        inherited_admission([(1, None), (2, None)].into_iter()).expect("an admission");
     assert_eq!(
         step,
         GangAdmissionStep::Released,
-        "members of two attempts never find one another"
+        "members of two attempts can never gather"
     );
 }
 
 // ---- real placers and owners under random histories ------------------------------
 
-/// Draws that need nothing from outside.
+/// Deterministic xorshift generator.
 struct Random(u64);
 
 impl Random {
@@ -184,7 +184,7 @@
     since: u64,
 }
 
-/// A machine as the protocol page has it: tokens, sessions, a lease.
+/// A machine that follows the protocol page: fencing tokens, sessions and a lease.
 struct Worker {
     shard: usize,
     session: u64,
@@ -194,13 +194,13 @@
     tasks: BTreeMap<AttemptId, Task>,
 }
 
-/// A shard: who places and who owns, each with the token of its life.
+/// The placer and the owner of a shard, each with its fencing token.
 struct ShardControllers {
     placer: Option<(Placer, u64)>,
     owner: Option<(Owner, u64)>,
-    placer_back_at: u64,
-    owner_back_at: u64,
-    last_pass_at: u64,
+    placer_restarts_at: u64,
+    owner_restarts_at: u64,
+    last_placement_pass_at: u64,
 }
 
 const SHARDS: usize = 3;
@@ -210,7 +210,7 @@
 struct Cluster {
     now: u64,
     random: Random,
-    /// One in so many messages is lost, late or unknown; 0: none.
+    /// One in this many messages is lost, late or of unknown outcome; 0: none.
     fault_odds: u64,
     revision: u64,
     store: BTreeMap<String, KeyValue>,
@@ -218,12 +218,12 @@
     workers: Vec<Worker>,
     shard_leaders: BTreeMap<u16, ShardLeader>,
     jobs: Vec<(usize, Arc<JobSpec>)>,
-    /// Held-back messages: syncs of earlier lives too, views, compare-and-swaps, calls.
+    /// Delayed messages, also of earlier placers and owners.
     delayed: VecDeque<DelayedMessage>,
-    /// Attempts of gangs whose admission was ever in all of their chunks.
+    /// Gang attempts whose admission was written to all of their chunks at some time.
     admitted: BTreeSet<(JobId, u32)>,
     launches: usize,
-    /// Changes written for each gang, by step.
+    /// Number of chunk writes of each job.
     chunk_writes: BTreeMap<JobId, usize>,
 }
 
@@ -246,9 +246,9 @@
                 .map(|_| ShardControllers {
                     placer: None,
                     owner: None,
-                    placer_back_at: 0,
-                    owner_back_at: 0,
-                    last_pass_at: 0,
+                    placer_restarts_at: 0,
+                    owner_restarts_at: 0,
+                    last_placement_pass_at: 0,
                 })
                 .collect(),
             workers: (0..WORKERS)
@@ -306,12 +306,12 @@
         self.publish_jobs();
     }
 
-    fn withdraw(&mut self, id: &JobId) {
+    fn cancel(&mut self, id: &JobId) {
         let key = job_key(id);
         if let Some(entry) = self.store.get(&key) {
             let record = JobRecord {
                 cancel_requested: true,
-                ..from_value(&entry.value).expect("a job")
+                ..from_value(&entry.value).expect("a job record")
             };
             self.revision += 1;
             self.put(KeyValue {
@@ -323,22 +323,22 @@
         }
     }
 
-    /// What the followed keys say reaches every placer.
+    /// Shows every placer the current job records.
     fn publish_jobs(&mut self) {
         for (shard, spec) in &self.jobs {
-            let mirrored = self.store.get(&job_key(&spec.id)).map(|e| CachedJob {
-                record: Arc::new(from_value(&e.value).expect("a job")),
+            let cached = self.store.get(&job_key(&spec.id)).map(|e| CachedJob {
+                record: Arc::new(from_value(&e.value).expect("a job record")),
                 version: e.version,
             });
             if let Some((placer, _)) = self.shards[*shard].placer.as_mut() {
-                placer.apply_job(&spec.id, mirrored.as_ref(), self.now);
+                placer.apply_job(&spec.id, cached.as_ref(), self.now);
             }
         }
     }
 
     fn start_owner(&mut self, shard: usize) {
         self.revision += 1;
-        // Nothing is released: the fleet is fixed.
+        // Prevents scale-in: the set of machines is fixed.
         let policy = Policy {
             on_demand_idle_multiple: 1e6,
             spot_idle_multiple: 1e6,
@@ -387,22 +387,22 @@
             .range(format!("run/{shard}/")..)
             .take_while(|(k, _)| k.starts_with(&format!("run/{shard}/")))
         {
-            let (id, chunk) = parse_task_chunk_key(key).expect("a key");
+            let (id, chunk) = parse_task_chunk_key(key).expect("a task chunk key");
             placer.load_chunk(
                 &id,
                 chunk,
-                &from_value::<TaskChunkRecord>(&e.value).expect("a chunk"),
+                &from_value::<TaskChunkRecord>(&e.value).expect("a task chunk record"),
                 e.version,
             );
         }
         self.shards[shard].placer = Some((placer, token));
-        let over: Vec<JobId> = self
+        let shard_jobs: Vec<JobId> = self
             .jobs
             .iter()
             .filter(|(p, _)| *p == shard)
             .map(|(_, s)| s.id.clone())
             .collect();
-        for id in over
+        for id in shard_jobs
             .iter()
             .filter(|id| !self.store.contains_key(&job_key(id)))
         {
@@ -413,19 +413,19 @@
         self.publish_jobs();
     }
 
-    /// A placer ends; its shard is vacant for a while.
+    /// Stops a placer; its shard is vacant for `ms`.
     fn stop_placer(&mut self, shard: usize, ms: u64) {
         if self.shards[shard].placer.take().is_some() {
             self.revision += 1;
             self.shard_leaders.remove(&(shard as u16));
             self.store.remove(&shard_key(shard as u16));
-            self.shards[shard].placer_back_at = self.now + ms;
+            self.shards[shard].placer_restarts_at = self.now + ms;
         }
     }
 
     fn stop_owner(&mut self, shard: usize, ms: u64) {
         if self.shards[shard].owner.take().is_some() {
-            self.shards[shard].owner_back_at = self.now + ms;
+            self.shards[shard].owner_restarts_at = self.now + ms;
         }
     }
 
@@ -454,15 +454,15 @@
                 *self.chunk_writes.entry(id).or_default() += 1;
             }
         }
-        // Which gangs are admitted now: every chunk with members says so.
+        // A gang is admitted once every chunk with members records it.
         let mut steps: BTreeMap<JobId, Vec<(u32, Option<GangAdmissionStep>)>> = BTreeMap::new();
         for (key, e) in self
             .store
             .range("run/".to_owned()..)
             .take_while(|(k, _)| k.starts_with("run/"))
         {
-            let (id, _) = parse_task_chunk_key(key).expect("a key");
-            let record: TaskChunkRecord = from_value(&e.value).expect("a chunk");
+            let (id, _) = parse_task_chunk_key(key).expect("a task chunk key");
+            let record: TaskChunkRecord = from_value(&e.value).expect("a task chunk record");
             let step = record.gang.as_ref().map(|g| g.step);
             steps
                 .entry(id)
@@ -487,7 +487,7 @@
         let now = self.now;
         let ShardControllers {
             placer: Some((placer, token)),
-            last_pass_at,
+            last_placement_pass_at,
             ..
         } = &mut self.shards[shard]
         else {
@@ -495,17 +495,17 @@
         };
         let token = *token;
         placer.advance_gang_admissions(now, 1_000_000);
-        if placer.placement_is_due(now) && now >= *last_pass_at + PLACEMENT_INTERVAL_MS {
-            *last_pass_at = now;
+        if placer.placement_is_due(now) && now >= *last_placement_pass_at + PLACEMENT_INTERVAL_MS {
+            *last_placement_pass_at = now;
             placer.run_placement_pass(now);
         }
         let Some(cas) = placer.next_cas(now) else {
             return;
         };
-        let fault_odds = self.fault_odds > 0 && self.random.one_in(self.fault_odds);
-        let outcome = match (fault_odds, self.random.below(3)) {
+        let faulty = self.fault_odds > 0 && self.random.one_in(self.fault_odds);
+        let outcome = match (faulty, self.random.below(3)) {
             (false, _) => self.apply(&cas),
-            // Not made; made, but nobody hears of it; made late.
+            // Lost; committed without an answer; delayed.
             (true, 0) => CompareAndSwapOutcome::Indeterminate,
             (true, 1) => {
                 self.apply(&cas);
@@ -554,19 +554,19 @@
             self.random.below(3),
         ) {
             (false, _) => self.deliver(to, &sync, true),
-            (true, 0) => self.lose_message(from, to),
+            (true, 0) => self.report_message_loss(from, to),
             (true, 1) => {
-                self.lose_message(from, to);
+                self.report_message_loss(from, to);
                 self.delayed.push_back(DelayedMessage::Sync(to, sync));
             }
             (true, _) => {
                 self.deliver(to, &sync, false);
-                self.lose_message(from, to);
+                self.report_message_loss(from, to);
             }
         }
     }
 
-    fn lose_message(&mut self, from: usize, to: usize) {
+    fn report_message_loss(&mut self, from: usize, to: usize) {
         if let Some((placer, _)) = self.shards[from].placer.as_mut() {
             placer.message_lost(to as u16);
         }
@@ -588,9 +588,9 @@
     }
 
     fn heartbeat_of(&mut self, n: usize) -> Heartbeat {
-        let b = &mut self.workers[n];
-        b.seq += 1;
-        let tasks = b.tasks.iter().map(|(id, t)| TaskStatus {
+        let w = &mut self.workers[n];
+        w.seq += 1;
+        let tasks = w.tasks.iter().map(|(id, t)| TaskStatus {
             task: id.task_name(),
             attempt: id.attempt,
             phase: t.phase,
@@ -598,17 +598,17 @@
             checkpointed: None,
         });
         Heartbeat {
-            incarnation: b.session,
-            fencing_token: b.token,
+            incarnation: w.session,
+            fencing_token: w.token,
             tasks: tasks.collect(),
-            ..report(n, b.seq)
+            ..report(n, w.seq)
         }
     }
 
-    fn execute(&mut self, n: usize, orders: &[Command]) {
-        for o in orders {
-            let id = AttemptId::parse(&o.task, o.attempt).expect("a task");
-            match o.kind {
+    fn execute(&mut self, n: usize, commands: &[Command]) {
+        for command in commands {
+            let id = AttemptId::parse(&command.task, command.attempt).expect("a task name");
+            match command.kind {
                 CommandKind::Start if self.workers[n].tasks.contains_key(&id) => {}
                 CommandKind::Start => {
                     self.launches += 1;
@@ -618,14 +618,17 @@
                         .any(|(_, s)| s.id == id.job && s.kind == JobKind::Gang && s.tasks > 1);
                     assert!(
                         !gang || self.admitted.contains(&(id.job.clone(), id.attempt)),
-                        "{id} is launched and not admitted"
+                        "{id} is launched before its gang is admitted"
                     );
-                    let twice = |b: &Worker| {
-                        b.tasks.iter().any(|(i, t)| {
+                    let runs_same_task = |w: &Worker| {
+                        w.tasks.iter().any(|(i, t)| {
                             (&i.job, i.task) == (&id.job, id.task) && t.phase != TaskPhase::Exited
                         })
                     };
-                    assert!(!self.workers.iter().any(twice), "{id} is on two machines");
+                    assert!(
+                        !self.workers.iter().any(runs_same_task),
+                        "{id} is started while its task runs on a machine"
+                    );
                     self.workers[n].tasks.insert(
                         id,
                         Task {
@@ -635,8 +638,8 @@
                         },
                     );
                 }
-                // It saves for a while.
-                CommandKind::Stop if o.grace_s.is_some_and(|s| s > 0) => {
+                // It writes a checkpoint first.
+                CommandKind::Stop if command.grace_s.is_some_and(|s| s > 0) => {
                     if let Some(t) = self.workers[n]
                         .tasks
                         .get_mut(&id)
@@ -662,10 +665,10 @@
         }
     }
 
-    /// At every instant: what is on machines of a gang is of one admitted attempt.
+    /// Checks after every batch of commands that the live members of a gang belong to one attempt.
     fn check_members(&self) {
         let mut attempts: BTreeMap<&JobId, u32> = BTreeMap::new();
-        for (id, t) in self.workers.iter().flat_map(|b| &b.tasks) {
+        for (id, t) in self.workers.iter().flat_map(|w| &w.tasks) {
             let gang = self
                 .jobs
                 .iter()
@@ -700,8 +703,8 @@
             return;
         };
         for call in owner.due_calls(self.now, 64) {
-            let fault_odds = self.fault_odds > 0 && self.random.one_in(self.fault_odds);
-            let result = match (fault_odds, self.random.below(3)) {
+            let faulty = self.fault_odds > 0 && self.random.one_in(self.fault_odds);
+            let result = match (faulty, self.random.below(3)) {
                 (true, 0) => CommandResult::NotSent,
                 (true, 1) => {
                     self.delayed.push_back(DelayedMessage::Call(call.clone()));
@@ -722,22 +725,23 @@
     fn deliver_command(&mut self, call: &CommandCall) -> CommandResult {
         let n = (0..WORKERS)
             .find(|n| machine(*n) == call.machine)
-            .expect("a machine");
-        let b = &mut self.workers[n];
-        if call.commands.fencing_token < b.token || call.commands.incarnation != b.session {
+            .expect("a known machine");
+        let w = &mut self.workers[n];
+        if call.commands.fencing_token < w.token || call.commands.incarnation != w.session {
             return CommandResult::Refused(self.heartbeat_of(n));
         }
-        b.token = call.commands.fencing_token;
+        w.token = call.commands.fencing_token;
         self.execute(n, &call.commands.commands);
         CommandResult::Executed(self.heartbeat_of(n))
     }
 
-    /// What machines do by themselves: fetch, gather, run, end, lose their lease.
+    /// Steps the machines: they pull images, wait for gangs, run and end tasks, and lose their
+    /// leases.
     fn run_workers(&mut self) {
         let now = self.now;
-        let mut there: HashMap<(JobId, u32), (usize, bool)> = HashMap::new();
-        for (id, t) in self.workers.iter().flat_map(|b| &b.tasks) {
-            let group = there
+        let mut members: HashMap<(JobId, u32), (usize, bool)> = HashMap::new();
+        for (id, t) in self.workers.iter().flat_map(|w| &w.tasks) {
+            let group = members
                 .entry((id.job.clone(), id.attempt))
                 .or_insert((0, true));
             group.0 += usize::from(matches!(
@@ -755,20 +759,20 @@
                     |(_, s)| if s.kind == JobKind::Gang { s.tasks } else { 1 },
                 )
         };
-        let needed: HashMap<JobId, u64> = there
+        let needed: HashMap<JobId, u64> = members
             .keys()
             .map(|(id, _)| (id.clone(), tasks_of(id)))
             .collect();
-        for b in &mut self.workers {
-            for (id, t) in &mut b.tasks {
-                let (count, sound) = there[&(id.job.clone(), id.attempt)];
-                let whole = count as u64 >= needed[&id.job];
+        for w in &mut self.workers {
+            for (id, t) in &mut w.tasks {
+                let (count, intact) = members[&(id.job.clone(), id.attempt)];
+                let complete = count as u64 >= needed[&id.job];
                 let gang = needed[&id.job] > 1;
                 match t.phase {
                     TaskPhase::PullingImage if now >= t.since + 600 => {
                         (t.phase, t.since) = (TaskPhase::AwaitingGang, now);
                     }
-                    TaskPhase::AwaitingGang if whole || !gang => {
+                    TaskPhase::AwaitingGang if complete || !gang => {
                         (t.phase, t.since) = (TaskPhase::Running, now);
                     }
                     TaskPhase::AwaitingGang if now >= t.since + GANG_WAIT_MS => {
@@ -777,24 +781,24 @@
                     TaskPhase::Checkpointing if now >= t.since + 2_000 => {
                         (t.phase, t.cause) = (TaskPhase::Exited, Some("stopped"));
                     }
-                    TaskPhase::Running if gang && !(whole && sound) => {
+                    TaskPhase::Running if gang && !(complete && intact) => {
                         (t.phase, t.cause) = (TaskPhase::Exited, Some("peers"));
                     }
                     _ => {}
                 }
             }
         }
-        let ripe: Vec<AttemptId> = self
+        let finished_tasks: Vec<AttemptId> = self
             .workers
             .iter()
-            .flat_map(|b| &b.tasks)
+            .flat_map(|w| &w.tasks)
             .filter(|(_, t)| t.phase == TaskPhase::Running && now >= t.since + 6_000)
             .map(|(id, _)| id.clone())
             .collect();
-        for id in ripe {
+        for id in finished_tasks {
             let all = needed[&id.job] > 1;
-            for b in &mut self.workers {
-                for (_, t) in b.tasks.iter_mut().filter(|(i, t)| {
+            for w in &mut self.workers {
+                for (_, t) in w.tasks.iter_mut().filter(|(i, t)| {
                     t.phase == TaskPhase::Running
                         && if all {
                             (&i.job, i.attempt) == (&id.job, id.attempt)
@@ -806,13 +810,13 @@
                 }
             }
         }
-        for b in self
+        for w in self
             .workers
             .iter_mut()
-            .filter(|b| now > b.last_answer_at + TIMING.lease_ms)
+            .filter(|w| now > w.last_answer_at + TIMING.lease_ms)
         {
-            (b.session, b.last_answer_at) = (b.session + 1, now);
-            b.tasks.clear();
+            (w.session, w.last_answer_at) = (w.session + 1, now);
+            w.tasks.clear();
         }
     }
 
@@ -831,12 +835,13 @@
         }
     }
 
-    /// 100 ms in which everything has its turn.
+    /// Advances the time by 100 ms and steps every part of the cluster.
     fn step(&mut self) {
         self.now += 100;
         self.run_workers();
         for shard in 0..SHARDS {
-            if self.shards[shard].placer.is_none() && self.now >= self.shards[shard].placer_back_at
+            if self.shards[shard].placer.is_none()
+                && self.now >= self.shards[shard].placer_restarts_at
             {
                 if self.shard_leaders.remove(&(shard as u16)).is_some() {
                     self.revision += 1;
@@ -844,7 +849,9 @@
                 }
                 self.start_placer(shard);
             }
-            if self.shards[shard].owner.is_none() && self.now >= self.shards[shard].owner_back_at {
+            if self.shards[shard].owner.is_none()
+                && self.now >= self.shards[shard].owner_restarts_at
+            {
                 self.start_owner(shard);
             }
             if let Some((owner, _)) = self.shards[shard].owner.as_mut() {
@@ -884,11 +891,10 @@
     }
 }
 
-/// Two gangs that each need nearly every machine, small work between, and placers
-/// and owners that end at any time while messages, compare-and-swaps and orders are
-/// lost or late: nothing of a gang that isn't admitted is ever launched, members of
-/// two attempts never meet, and once all troubles are over everything is done or
-/// withdrawn and all room is free.
+/// Two gangs that each need nearly every machine compete with small jobs, while placers and owners
+/// stop at any time and messages, compare-and-swaps and commands are lost or late. No member of a
+/// gang that is not admitted is launched, members of two attempts never run together, and once all
+/// faults are over every job has ended and every task has exited.
 #[test]
 fn gang_is_never_partially_launched_under_faults() {
     let (mut launches, mut admitted) = (0, 0);
@@ -909,7 +915,7 @@
                 );
             }
             if step == 300 && seed % 3 == 0 {
-                cluster.withdraw(&JobId::from("req-000001"));
+                cluster.cancel(&JobId::from("req-000001"));
             }
             let shard = cluster.random.below(SHARDS as u64) as usize;
             let ms = [300, 1_500, 12_000][cluster.random.below(3) as usize];
@@ -925,18 +931,21 @@
         for _ in 0..2_000 {
             cluster.step();
         }
-        let left: Vec<&JobId> = cluster
+        let unfinished: Vec<&JobId> = cluster
             .jobs
             .iter()
             .map(|(_, s)| &s.id)
             .filter(|id| !cluster.has_ended(id))
             .collect();
-        assert!(left.is_empty(), "seed {seed}: {left:?} are not over");
+        assert!(
+            unfinished.is_empty(),
+            "seed {seed}: {unfinished:?} have not ended"
+        );
         assert!(
             cluster
                 .workers
                 .iter()
-                .all(|b| b.tasks.values().all(|t| t.phase == TaskPhase::Exited))
+                .all(|w| w.tasks.values().all(|t| t.phase == TaskPhase::Exited))
         );
         launches += cluster.launches;
         admitted += cluster.admitted.len();
@@ -947,19 +956,19 @@
     );
 }
 
-// ---- single steps -------------------------------------------------------------------
+// ---- scripted tests -------------------------------------------------------------------
 
-const ONE: &str = "req-000001";
+const GANG_ID: &str = "req-000001";
 
-/// What the store says of the gang: its step, and how many members it names.
+/// The admission step of the gang in the store, and the number of its live members.
 fn step_of(cluster: &Cluster) -> Option<(GangAdmissionStep, usize)> {
     let chunk: TaskChunkRecord =
-        from_value(&cluster.store.get("run/0/req-000001/0")?.value).expect("a chunk");
+        from_value(&cluster.store.get("run/0/req-000001/0")?.value).expect("a task chunk record");
     chunk.gang.map(|g| (g.step, chunk.live_attempts.len()))
 }
 
-/// A gang of 8 whole machines on three shards, brought to where its first step is
-/// written and granted, and the second is not.
+/// A cluster with a gang of 8 whole machines on three shards, whose plan is written but not yet
+/// sent to any owner.
 fn cluster_with_planned_gang() -> Cluster {
     let mut cluster = Cluster::new(3, 0);
     (0..30).for_each(|_| cluster.step());
@@ -976,41 +985,41 @@
     cluster
         .workers
         .iter()
-        .flat_map(|b| b.tasks.values())
+        .flat_map(|w| w.tasks.values())
         .filter(|t| t.phase == TaskPhase::Running)
         .count()
 }
 
-/// A gang takes one change more than an array with as many tasks in its chunk, and
-/// that one is written before anything else of its placer.
+/// A gang takes one write more than an array with as many tasks in one chunk: its admission, which
+/// its placer writes before anything else.
 #[test]
 fn gang_admission_costs_one_extra_write() {
-    let written = |spec: JobSpec| {
+    let count_writes = |spec: JobSpec| {
         let mut cluster = Cluster::new(3, 0);
         (0..30).for_each(|_| cluster.step());
         let id = spec.id.clone();
         cluster.submit(0, spec);
-        // All tasks of the array fit one compare-and-swap too.
+        // All tasks of the array fit into one compare-and-swap, too.
         while !cluster.has_ended(&id) {
             cluster.step();
         }
         cluster.chunk_writes[&id]
     };
-    let array = written(JobSpec {
+    let array = count_writes(JobSpec {
         gpus: 4.0,
         cpus: 16.0,
         ..array(8)
     });
-    assert_eq!(written(gang(1, 8, 4.0)), array + 1);
+    assert_eq!(count_writes(gang(1, 8, 4.0)), array + 1);
     assert_eq!(
-        written(gang(1, 1, 4.0)),
+        count_writes(gang(1, 1, 4.0)),
         array,
         "one task needs no admission"
     );
 }
 
-/// 700 members are recorded and admitted in one compare-and-swap each, however much else
-/// is to be written.
+/// 700 members are planned in one compare-and-swap and admitted in another, whatever other writes
+/// are due.
 #[test]
 fn gang_of_seven_hundred_is_admitted_in_one_compare_and_swap() {
     let mut placer = Placer::new(
@@ -1040,7 +1049,7 @@
     for round in 0..30u64 {
         let now = 100 + round * 60;
         let sync = placer.sync_request(0, TOKEN, ROOM, false, now);
-        let view = owner.sync(&sync, ROOM, now).expect("taken");
+        let view = owner.sync(&sync, ROOM, now).expect("accepted");
         placer.apply_view(view, now);
         placer.advance_gang_admissions(now, 0);
         placer.run_placement_pass(now);
@@ -1071,9 +1080,8 @@
     );
 }
 
-/// The placer ends after its gang was planned, before anybody heard of it, after all
-/// owners granted, and after it was admitted: the successor starts the same attempt
-/// whole.
+/// A placer stops after its gang was planned but not sent, after all owners granted it, or after it
+/// was admitted: the new leader starts all members of the same attempt.
 #[test]
 fn new_leader_completes_an_admission_that_can_be_whole() {
     for (granted, admitted) in [(false, false), (true, false), (true, true)] {
@@ -1085,7 +1093,7 @@
             cluster.run_placer(0);
         }
         assert_eq!(cluster.launches, 0);
-        let written = cluster.chunk_writes[&JobId::from(ONE)];
+        let writes_before = cluster.chunk_writes[&JobId::from(GANG_ID)];
         cluster.stop_placer(0, 3_000);
         (0..60).for_each(|_| cluster.step());
         assert_eq!(
@@ -1094,19 +1102,19 @@
             "{granted} {admitted}"
         );
         assert_eq!(
-            cluster.chunk_writes[&JobId::from(ONE)],
-            written + usize::from(!admitted),
-            "its one decision"
+            cluster.chunk_writes[&JobId::from(GANG_ID)],
+            writes_before + usize::from(!admitted),
+            "one write admits the gang unless it was admitted"
         );
-        assert!(cluster.admitted.contains(&(JobId::from(ONE), 1)));
+        assert!(cluster.admitted.contains(&(JobId::from(GANG_ID), 1)));
         (0..100).for_each(|_| cluster.step());
-        assert!(cluster.has_ended(&JobId::from(ONE)));
+        assert!(cluster.has_ended(&JobId::from(GANG_ID)));
     }
 }
 
-/// Placer and an owner end, and the owner does not come back for a while: nothing is
-/// launched, the successor's decision to release is in the store, room elsewhere is
-/// free at once, and the gang starts as another attempt once the owner is back.
+/// A placer and one owner stop, and the owner stays down: nothing is launched, the new leader
+/// writes the release, capacity on the other shards is free at once, and the gang starts as another
+/// attempt once the owner is back.
 #[test]
 fn new_leader_releases_a_gang_that_cannot_be_whole() {
     let mut cluster = cluster_with_planned_gang();
@@ -1124,32 +1132,32 @@
     );
     for shard in 0..2 {
         let (placer, _) = cluster.shards[1].placer.as_ref().expect("there");
-        let there = |m: &&lemonweir_protocol::peer::MachineView| {
+        let is_on_shard = |m: &&lemonweir_protocol::peer::MachineView| {
             cluster
                 .workers
                 .iter()
                 .enumerate()
-                .any(|(n, b)| b.shard == shard && machine(n) == m.id)
+                .any(|(n, w)| w.shard == shard && machine(n) == m.id)
         };
         assert!(
             placer
                 .machines()
-                .filter(there)
+                .filter(is_on_shard)
                 .all(|m| m.free.milli_gpus == 4_000),
             "shard {shard}"
         );
     }
     (0..400).for_each(|_| cluster.step());
-    assert!(cluster.has_ended(&JobId::from(ONE)));
-    assert!(!cluster.admitted.contains(&(JobId::from(ONE), 1)) && !cluster.admitted.is_empty());
+    assert!(cluster.has_ended(&JobId::from(GANG_ID)));
+    assert!(!cluster.admitted.contains(&(JobId::from(GANG_ID), 1)) && !cluster.admitted.is_empty());
 }
 
-/// A gang pushes others out: none of it is launched before all of them are gone.
+/// A gang preempts other tasks: no member is launched before all of those have ended.
 #[test]
 fn gang_launches_only_after_preempted_tasks_have_ended() {
     let mut cluster = Cluster::new(4, 0);
     (0..30).for_each(|_| cluster.step());
-    let low = JobSpec {
+    let low_priority_job = JobSpec {
         id: JobId::from("req-000007"),
         checkpoint_interval_s: 60.0,
         checkpoint_duration_s: 2.0,
@@ -1157,14 +1165,14 @@
         cpus: 16.0,
         ..array(5)
     };
-    cluster.submit(1, low);
-    let full = |cluster: &Cluster| running(cluster) == 5;
+    cluster.submit(1, low_priority_job);
+    let all_running = |cluster: &Cluster| running(cluster) == 5;
     let limit = cluster.now + 6_000;
-    while !full(&cluster) && cluster.now < limit {
+    while !all_running(&cluster) && cluster.now < limit {
         cluster.step();
     }
     assert!(
-        full(&cluster),
+        all_running(&cluster),
         "{} of {}",
         running(&cluster),
         cluster.launches
@@ -1178,37 +1186,37 @@
         },
     );
     let before = cluster.launches;
-    let mut most_leaving = 0;
+    let mut max_checkpointing = 0;
     let limit = cluster.now + PREEMPTION_TIMEOUT_MS;
     while cluster.launches == before && cluster.now < limit {
-        let leaving = cluster
+        let checkpointing = cluster
             .workers
             .iter()
-            .flat_map(|b| b.tasks.values())
+            .flat_map(|w| w.tasks.values())
             .filter(|t| t.phase == TaskPhase::Checkpointing)
             .count();
-        most_leaving = most_leaving.max(leaving);
+        max_checkpointing = max_checkpointing.max(checkpointing);
         cluster.step();
     }
-    assert_eq!(most_leaving, 4);
-    let saving = |b: &Worker| {
-        b.tasks
+    assert_eq!(max_checkpointing, 4);
+    let is_checkpointing = |w: &Worker| {
+        w.tasks
             .values()
             .any(|t| t.phase == TaskPhase::Checkpointing)
     };
-    assert!(!cluster.workers.iter().any(saving));
+    assert!(!cluster.workers.iter().any(is_checkpointing));
     (0..200).for_each(|_| cluster.step());
-    assert!(cluster.has_ended(&JobId::from(ONE)));
+    assert!(cluster.has_ended(&JobId::from(GANG_ID)));
 }
 
-/// A placer is gone for good. Its owners keep the room it was granted for
-/// [`ORPHANED_GRANT_MS`] after the store has shown it, and not longer; a go of it that
-/// comes late launches nothing, and neither does a late grant of theirs.
+/// A placer is gone for good. Owners keep its grants for [`ORPHANED_GRANT_MS`] after the store has
+/// shown that, and not longer. A launch permission of the placer that arrives late, before or after
+/// the grants are released, launches nothing, and neither does a late grant of the owners.
 #[test]
 fn grants_of_a_dead_placer_are_released_in_time() {
     let mut cluster = cluster_with_planned_gang();
     (0..SHARDS).for_each(|to| cluster.sync(0, to));
-    // It admits the gang, and its go to the owner of shard 1 is on its way for long.
+    // It admits the gang; its launch permission to the owner of shard 1 is delayed.
     while step_of(&cluster) != Some((GangAdmissionStep::Admitted, 8)) {
         cluster.run_placer(0);
     }
@@ -1222,7 +1230,7 @@
     assert!(late.desired.iter().all(|w| w.may_start) && !late.desired.is_empty());
     cluster.stop_placer(0, 600_000);
     let ended = cluster.now;
-    let free = |cluster: &Cluster| {
+    let free_machines = |cluster: &Cluster| {
         let (placer, _) = cluster.shards[2].placer.as_ref().expect("there");
         placer
             .machines()
@@ -1235,33 +1243,40 @@
         if cluster.now > ended + 1_000 && cluster.now <= ended + 1_100 {
             cluster.deliver(1, &late, false);
         }
-        assert!(cluster.now <= ended + ORPHANED_GRANT_MS + 300, "still held");
-        at = (free(&cluster) == WORKERS).then_some(cluster.now);
+        assert!(
+            cluster.now <= ended + ORPHANED_GRANT_MS + 300,
+            "grants are still held"
+        );
+        at = (free_machines(&cluster) == WORKERS).then_some(cluster.now);
     }
     assert!(at >= Some(ended + ORPHANED_GRANT_MS));
-    assert_eq!(cluster.launches, 0, "a late go launches nothing");
+    assert_eq!(
+        cluster.launches, 0,
+        "a late launch permission launches nothing"
+    );
     (0..50).for_each(|_| cluster.step());
     cluster.deliver(1, &late, false);
     (0..50).for_each(|_| cluster.step());
-    assert_eq!((cluster.launches, free(&cluster)), (0, WORKERS));
-    // What comes after it finds a member refused, and starts all of it anew.
-    cluster.shards[0].placer_back_at = cluster.now;
+    assert_eq!((cluster.launches, free_machines(&cluster)), (0, WORKERS));
+    // The next leader finds a member refused, and starts all members again.
+    cluster.shards[0].placer_restarts_at = cluster.now;
     (0..400).for_each(|_| cluster.step());
-    assert!(cluster.has_ended(&JobId::from(ONE)) && cluster.launches >= 8);
+    assert!(cluster.has_ended(&JobId::from(GANG_ID)) && cluster.launches >= 8);
 }
 
-/// Withdrawn at each step: nothing more of it is launched, and all room is free.
+/// A gang is cancelled at each step of its admission: no further member is launched, and all
+/// capacity is free.
 #[test]
 fn gang_can_be_withdrawn_at_each_step() {
     for steps in [0, 1, 2, 3, 8, 20] {
         let mut cluster = cluster_with_planned_gang();
         (0..steps).for_each(|_| cluster.step());
-        cluster.withdraw(&JobId::from(ONE));
-        // What its owners had been told before.
+        cluster.cancel(&JobId::from(GANG_ID));
+        // Owners may still launch what they were told before.
         cluster.step();
         let launched = cluster.launches;
         (0..100).for_each(|_| cluster.step());
-        assert!(cluster.has_ended(&JobId::from(ONE)), "{steps}");
+        assert!(cluster.has_ended(&JobId::from(GANG_ID)), "{steps}");
         assert_eq!(
             (cluster.launches, running(&cluster)),
             (launched, 0),
