--- a/crates/coordination/tests/cancellations.rs
+++ b/crates/coordination/tests/cancellations.rs
@@ -580,8 +580,8 @@
             }
         }
     }
-    // 1,306 of 1,512 were answered in time at first; the others wait for the store, or until the
-    // time of the former leader without the store is over.
+    // 1,306 of 1,512 when this test was written; the others wait for the store, or until the time
+    // of the former leader without the store is over.
     assert!(
         20 * answered >= 17 * cancelled,
         "{answered} of {cancelled} were answered in time"
