--- a/crates/coordination/tests/answers.rs
+++ b/crates/coordination/tests/answers.rs
@@ -1,4 +1,4 @@
-//! Queries of users: no job goes unanswered for long while others are answered.
+//! Admission of user queries: no job goes unanswered for long while others are answered.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,7 +10,7 @@
 use lemonweir_model::JobId;
 use lemonweir_model::constants::{MAX_PENDING_LOOKUPS, SUBMISSION_TIMEOUT_MS};
 
-/// Numbers from a seed.
+/// Deterministic random numbers from a seed.
 struct Draw(u64);
 
 impl Draw {
@@ -27,9 +27,9 @@
     JobId::from(format!("req-{n:06}").as_str())
 }
 
-// ---- the queue beside a sorted list ------------------------------------------------
+// ---- lookup queue against a sorted list ----------------------------------------------
 
-/// A list that is sorted anew each time.
+/// Reference model of the queue: a list that is sorted anew for each use.
 #[derive(Default)]
 struct SortedList(Vec<(u64, JobId, Vec<u32>)>);
 
@@ -43,8 +43,8 @@
         if self.0.len() <= most {
             return Vec::new();
         }
-        // Out goes whose reply is pending shortest; of these who came last,
-        // then the higher id.
+        // Evicts the job whose reply has been pending for the shortest time: the new one if none
+        // is newer, otherwise the one with the highest id.
         let newest = self.0.iter().map(|(since, _, _)| *since).max().unwrap_or(0);
         if newest == since {
             return self
@@ -93,21 +93,21 @@
     }
 }
 
-// ---- who is answered by when -------------------------------------------------------
+// ---- time without an answer --------------------------------------------------------
 
-/// One controller's lookups, as many at a time as the store's limits allow.
+/// One controller's query admission and its queue of lookups.
 struct Node {
     admission: QueryAdmission,
     queue: LookupQueue<u64>,
     overloaded: bool,
 }
 
-/// Different ids of no job that are asked for.
+/// Number of distinct queried ids that belong to no job.
 const UNKNOWN_IDS: u64 = 6_000;
 
-/// Longest time without an answer of any of so many jobs, ms, that are asked for
-/// every 5 s at some controller, beside so many ids of no job each 100 ms. `fair`: pending
-/// replies have priority.
+/// Longest time for which any job goes unanswered, ms. Each of `jobs` jobs is queried every 5 s at
+/// a random controller, beside `unknown_ids` queries for ids of no job every 100 ms. With `fair`,
+/// pending replies have priority.
 fn longest_silence_ms(
     seed: u64,
     nodes: usize,
@@ -129,7 +129,7 @@
     let mut polls: Vec<(u64, usize)> = (0..jobs).map(|n| (draw.below(5_000), n as usize)).collect();
     let mut longest_silence_ms = 0;
     for now in (0..150_000).step_by(100) {
-        // Ids of no job come each time, below those of the jobs.
+        // Unknown ids are queried every time; they sort before those of the jobs.
         let mut asked: Vec<(JobId, Option<usize>)> = (0..unknown_ids)
             .map(|_| (id(draw.below(UNKNOWN_IDS)), None))
             .collect();
@@ -181,11 +181,11 @@
     longest_silence_ms
 }
 
-/// 1,500 jobs that no controller remembers, twice as many queries for ids of no job as can
-/// be asked, and a controller that is always overloaded: each job is answered within the bound.
+/// 1,500 jobs that no controller has cached, twice as many queries for unknown ids as can be looked
+/// up, and controllers that are always overloaded: each job is answered within the bound.
 #[test]
 fn no_job_is_refused_for_long_while_others_are_answered() {
-    // As long as all ids together take at one controller, once a job was at each.
+    // The time to look up all ids at one controller, after a job was queried at each of them.
     let bound = |nodes: usize| 1_000 * (1_500 + UNKNOWN_IDS) / 240 + 5_000 * nodes as u64;
     for (seed, nodes, overloaded) in [(1, 3, 1), (2, 7, 2), (3, 3, 3)] {
         let fair = longest_silence_ms(seed, nodes, 1_500, 48 * nodes as u64, overloaded, true);
@@ -194,12 +194,12 @@
             "{nodes} controllers, {overloaded} overloaded: {fair} ms"
         );
     }
-    // In the order of their ids, whoever has a high one waits for ever.
+    // Without priority, lookups go by id and jobs with high ids starve.
     assert!(longest_silence_ms(1, 3, 1_500, 48 * 3, 0, false) > 100_000);
 }
 
-/// A reply is pending until an answer, or until nobody asks any more; there are not more
-/// than are kept.
+/// A reply is pending until it is given or nobody has asked for some time, and the number of
+/// pending replies is bounded.
 #[test]
 fn pending_replies_expire_and_are_bounded() {
     let mut admission = QueryAdmission::default();
@@ -227,7 +227,7 @@
     assert_eq!(admission.take_refusals(), None);
     admission.record_answer(&id(1));
     assert_eq!(admission.pending_since(&id(1), 20_000), 20_000);
-    // A cancellation that is under way is no refused query.
+    // A refusal since the job is being cancelled leaves no pending reply.
     admission.record_refusal(&id(2), QueryKind::Poll, QueryRefusal::JobStopping, 20_000);
     assert!(!admission.has_priority(&id(2), 60_000));
     for n in 0..2 * PENDING_REPLIES_MAX as u64 {
@@ -249,21 +249,21 @@
     assert_eq!(pending, BTreeSet::from([7]), "the others have given up");
 }
 
-// ---- the store's requests -----------------------------------------------------------
+// ---- request budget of the store -----------------------------------------------------
 
-/// However much waits to be written, a query waits for its turn for less than
-/// a user does, and what writes keeps half of the controller's share.
+/// However many writes are queued, a query is sent before its user would give up, and writes keep
+/// half of the controller's share of requests.
 #[test]
 fn queries_are_not_starved_by_writes() {
     for (limit, nodes) in [(180.0, 3), (360.0, 3), (180.0, 9)] {
         let mut requests = RequestBudget::new(limit, nodes, 0);
-        // The store refuses what is over the share.
+        // The store refuses requests beyond the share.
         let share = limit / nodes as f64;
         let (mut worst, mut written, mut next_query_us) = (0, 0, 0);
         let per_s = (share * QUERY_SHARE).min(25.0) as u64;
         for now_us in (0..60_000_000u64).step_by(10_000) {
             requests.refused();
-            // A flood of submissions, each taken while its turn is 0.8 s away at most.
+            // A flood of submissions, each accepted if it has to wait for 0.8 s at most.
             while requests.wait(now_us) <= SUBMISSION_TIMEOUT_MS * 1_000 {
                 requests.take(now_us);
                 written += 1;
@@ -284,8 +284,8 @@
     }
 }
 
-/// A limit that fell is learned where the settings name it, and only there: a controller at its
-/// equal share is also refused while another one takes more.
+/// A lowered limit is learned only if the settings name a minimum: a controller that keeps to its
+/// equal share is also refused while another one takes more than its own.
 #[test]
 fn lower_limit_is_learned_only_if_the_settings_name_one() {
     let rate = |bucket: &mut TokenBucket| {
@@ -293,7 +293,7 @@
             bucket.refused_by_lower_limit();
             bucket.take(1.0, now_us);
         }
-        // What waits now waits for so long a change.
+        // The rate follows from how much longer one more change has to wait.
         bucket.take(200.0, 20_000_000);
         let (before, after) = (bucket.wait(20_000_000), bucket.take(1.0, 20_000_000));
         1e6 / (after - before) as f64
--- a/crates/coordination/tests/chains.rs
+++ b/crates/coordination/tests/chains.rs
@@ -38,7 +38,7 @@
     }
 }
 
-/// Controller 0 with its own shard, and the store's keys that it follows.
+/// Controller 0 as leader of its home shard, with a cache of the store's keys that it watches.
 struct Leader {
     core: Core,
     revision: u64,
@@ -67,7 +67,7 @@
         }
     }
 
-    /// The store makes a compare-and-swap, and the controller reads what changed; the revision.
+    /// Applies a compare-and-swap to the store and the changes to the cache; returns the revision.
     fn commit(&mut self, cas: &CompareAndSwap) -> u64 {
         self.revision += 1;
         let version = self.revision;
@@ -117,7 +117,7 @@
             .expect("a compare-and-swap")
     }
 
-    /// A job ends, as far as the followed keys show.
+    /// Ends a job, as far as the watched keys show.
     fn finish(&mut self, n: usize) -> u64 {
         self.commit(&CompareAndSwap {
             conditions: Vec::new(),
@@ -127,7 +127,7 @@
         })
     }
 
-    /// A job's user asks to cancel it, and its final state says so.
+    /// Cancels a job for its user, and records that final state.
     fn cancel(&mut self, n: usize) {
         let record = JobRecord {
             spec: spec(n, &[]),
@@ -145,7 +145,7 @@
             .record_end(&id(n), JobPhase::Withdrawn, revision, self.now);
     }
 
-    /// The next compare-and-swap for waiting jobs, and the final states that are to be read.
+    /// The next compare-and-swap for blocked jobs, and the jobs whose final states must be read.
     fn next_work(&mut self) -> (Option<CompareAndSwap>, Vec<JobId>) {
         self.now += 1_000;
         self.core.cache_refreshed(self.now, false);
@@ -174,8 +174,8 @@
     }
 }
 
-/// What makes a job start requires each dependency's final state, under the version that says done, and
-/// the version of the job's own key.
+/// The compare-and-swap that lets a job start requires each dependency's final state, at the
+/// version that says done, and the version of the job's own key.
 #[test]
 fn job_starts_on_condition_of_the_final_states_of_all_dependencies() {
     let mut leader = Leader::new();
@@ -205,7 +205,7 @@
         sets(&cas, &job_key(&id(3))) && !leader.core.cache.jobs.contains_key(&id(3)),
         "no placer has it before"
     );
-    // Its answer is lost: nothing but the same is tried again, once the store was read.
+    // The answer is lost: the same compare-and-swap is retried once the store was read.
     leader
         .core
         .dependency_cas_completed(CompareAndSwapOutcome::Indeterminate, leader.now);
@@ -218,7 +218,7 @@
     assert_eq!(leader.next_work(), (None, Vec::new()));
 }
 
-/// A final state that nobody here has read is read before anything is said or done.
+/// A final state that is not cached is read before a status is answered or the job starts.
 #[test]
 fn unknown_final_states_are_read_first() {
     let mut leader = Leader::new();
@@ -246,8 +246,8 @@
     );
 }
 
-/// Whatever depends on a cancelled job counts as cancelled once a controller may publish that
-/// final state, at every length and width, before any of their own is written.
+/// All dependents of a cancelled job, in long chains and in large numbers, count as cancelled once
+/// a controller may publish its final state, before any of their own is written.
 #[test]
 fn dependents_of_a_cancelled_job_are_cancelled_at_once() {
     const LONG: usize = 300;
@@ -285,7 +285,7 @@
             "{n}"
         );
     }
-    // Their own final states are written as fast as compare-and-swaps hold them, each under its key.
+    // Each compare-and-swap writes as many of their final states as fit, each under its own key.
     let (cas, _) = leader.next_work();
     let cas = cas.expect("some are written");
     assert!(
@@ -347,7 +347,7 @@
         .map(|(n, version)| end_at(n, *version))
         .collect();
     assert_eq!(confirmed, wanted, "each final state was confirmed once");
-    // The pages mean nothing any more, and go.
+    // The pages of dependencies are obsolete and are deleted.
     let gone = leader.next_work().0.expect("pages are removed");
     assert!(gone.writes.contains(&Write::Delete { key: missing }));
 }
@@ -379,7 +379,7 @@
         order(&mut leader),
         [Some(Priority::High), Some(Priority::Production)]
     );
-    // Who depended on it is cancelled.
+    // The dependent job is cancelled.
     leader.commit(&CompareAndSwap {
         conditions: Vec::new(),
         writes: vec![Write::Delete {
@@ -392,7 +392,7 @@
     );
 }
 
-/// What a submission gets, by what is known of the jobs that it names.
+/// How a submission is answered, by what is known of the jobs that it depends on.
 #[test]
 fn submission_is_admitted_by_the_state_of_its_dependencies() {
     let mut leader = Leader::new();
@@ -411,13 +411,13 @@
         sets(cas_list.last().expect("one"), &blocked_job_key(&id(9)))
             && cas_list.iter().all(|cas| !sets(cas, &job_key(&id(9))))
     );
-    // Done or not is for the store to say: it waits all the same.
+    // Only the store shows whether the dependency is done, so the job waits nevertheless.
     leader.finish(1);
     let DependencyAdmission::Accept(cas_list, JobPhase::Queued) = admit(&leader, &[1]) else {
         panic!("accepted")
     };
     assert!(sets(&cas_list[0], &blocked_job_key(&id(9))));
-    // With a cancelled job before it, at whatever distance, it is cancelled from the start.
+    // A job that depends on a cancelled one, directly or not, is cancelled from the start.
     let mut leader = Leader::new();
     leader.accept(&spec(1, &[]));
     leader.accept(&spec(2, &[1]));
--- a/crates/coordination/tests/changes.rs
+++ b/crates/coordination/tests/changes.rs
@@ -1,5 +1,5 @@
-//! Change messages compared with a slow reference model that knows whole states,
-//! and what they cost as the fleet grows.
+//! Sync messages with changes, compared with a slow reference model that keeps whole states, and
+//! their cost as the fleet grows.
 
 mod support;
 
@@ -19,7 +19,7 @@
 use proptest::prelude::*;
 use support::*;
 
-// ---- the log -----------------------------------------------------------------
+// ---- change log --------------------------------------------------------------
 
 #[derive(Clone, Debug)]
 enum Step {
@@ -51,7 +51,7 @@
 
 type Message = (u64, ChangeRange, Vec<(u8, Option<u32>)>);
 
-/// A receiver in the manner of the real ones.
+/// A receiver that applies messages as owners and placers do.
 #[derive(Default)]
 struct Receiver {
     token: u64,
@@ -108,9 +108,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
-    /// Whatever is lost, late or repeated: a receiver that has heard all holds
-    /// what the sender holds, and one that is complete never holds what was
-    /// never there.
+    /// Whatever messages are lost, late or repeated: a receiver that has received everything
+    /// holds what the sender holds, and a complete one holds nothing that never existed.
     #[test]
     fn follower_converges_to_the_reference_model(steps in prop::collection::vec(step(), 1..160)) {
         let mut log: ChangeLog<u8, u32> = ChangeLog::default();
@@ -171,10 +170,10 @@
     }
 }
 
-// ---- an owner and what it tells ------------------------------------------------
+// ---- views of an owner ---------------------------------------------------------
 
-/// The work for one start is the same whatever the fleet's size: one machine
-/// is told anew, and one is called.
+/// The work for one start does not depend on the fleet's size: one machine is published again, and
+/// one is called.
 #[test]
 fn start_cost_is_independent_of_fleet_size() {
     for machines in [10, 1_000] {
@@ -212,7 +211,7 @@
         );
         assert_eq!(view.desired_revision, 1);
         assert_eq!(owner.due_calls(30, ROOM).len(), 1);
-        // A report that says nothing new is no news.
+        // A heartbeat without changes causes no publication.
         assert!(owner.handle_heartbeat(&report(7, 2), None, 40).is_some());
         let quiet = owner
             .sync(
@@ -234,7 +233,7 @@
     }
 }
 
-/// A stop does not wait behind starts where a message holds few of them.
+/// A stop does not wait behind starts that do not fit in a message.
 #[test]
 fn stops_overtake_starts_that_do_not_fit() {
     let mut owner = fleet(3);
@@ -280,7 +279,7 @@
         vec![want(2, 2)],
         ObservedState::default(),
     );
-    // One of ours, and one that this placer does not have.
+    // A stop of this placer's attempt, and one of an attempt that it does not have.
     piece.stops = vec![
         (want(1, 1).id, 0),
         (
@@ -319,7 +318,7 @@
     assert!(reply.commands.is_empty());
 }
 
-/// A state that does not fit one message comes in several, and all of it comes.
+/// A state that does not fit in one message is delivered completely in several.
 #[test]
 fn full_state_is_delivered_in_pieces() {
     let mut owner = fleet(300);
@@ -358,9 +357,8 @@
     assert!(pieces > 3);
 }
 
-/// Found on zeltplatz-rechen-grown: what machines had which images fell off the
-/// note beyond some thirty machines, and after a restart tasks were placed as
-/// if the others had none.
+/// The record of cached images was cut off after some thirty machines, and after a restart tasks
+/// were placed as if the other machines had no images.
 #[test]
 fn images_of_a_large_fleet_survive_a_restart() {
     const MACHINES: usize = 400;
@@ -460,18 +458,17 @@
     }
 }
 
-// ---- a placer that is told in pieces --------------------------------------------
+// ---- partial views at the placer -------------------------------------------------
 
-/// Found in an incident on zeltplatz-rechen-grown: behind a cut the owner's
-/// answers came in pieces, attempts before machines, and the placer took room
-/// again that its own attempts had just been given: 1,900 refusals.
+/// After a partition the owner's views came in parts, attempts before machines, and the placer used
+/// resources again that its own attempts had just been given: 1,900 attempts were refused.
 #[test]
 fn capacity_is_not_double_booked_while_machine_figures_are_in_flight() {
     let mut placer = Placer::new(0, TOKEN, 1, terms(), 0);
     submit(&mut placer, array(9), 0, 0);
     let machine = |gpus: u64| shown(0, gpus);
     let mut revision = 1;
-    // Tells a view, lets the placer place and write, and counts its attempts.
+    // Applies a view, lets the placer place and write, and returns its attempts.
     let mut tell = |machines: Vec<MachineView>, span: ChangeRange, attempts: Vec<AttemptStatus>| {
         let seq = placer.sync_request(0, TOKEN, ROOM, false, 0).seq;
         placer.apply_view(view(seq, span, machines, attempts), 0);
@@ -499,7 +496,7 @@
             state: AttemptState::Accepted,
         })
         .collect();
-    // The attempts have room; what is left on their machine is not told yet.
+    // The attempts are accepted; the free resources of their machine are not published yet.
     assert_eq!(
         tell(
             Vec::new(),
@@ -526,7 +523,7 @@
         .len(),
         4
     );
-    // One of another's has ended.
+    // An attempt of another placer has ended.
     assert_eq!(
         tell(
             vec![machine(1)],
@@ -542,9 +539,8 @@
     );
 }
 
-/// Found on rough of zeltplatz-rechen-grown: after a crash the list still named
-/// machines that had been released, and 30 of them counted as booting for a
-/// minute and a half.
+/// After a crash the inventory still listed machines that had been released, and 30 of them counted
+/// as booting for a minute and a half.
 #[test]
 fn listed_machine_without_heartbeats_offers_no_capacity() {
     let mut owner = fleet(1);
@@ -614,7 +610,7 @@
         )
         .expect("taken");
     assert!(owner.due_calls(20, ROOM).len() == 1);
-    // Late, of another token, of a shard that there is not.
+    // A late message, one with another token, and one from an unknown shard.
     assert_eq!(
         owner
             .sync(
@@ -634,8 +630,8 @@
         owner.sync(&other, ROOM, 21).err(),
         Some(SyncError::UnknownShard)
     );
-    // A gap, and a span that ends before it begins: all is asked for again, and
-    // the attempt is still held.
+    // A gap, and a range that ends before it begins: a full state is requested, and the attempt
+    // is kept.
     for (seq, span) in [
         (
             6,
@@ -688,7 +684,7 @@
     };
     assert_eq!(free(2), Some(Resources::capacity(16.0, 4.0, 64.0)));
     assert_eq!(free(1), Some(Resources::capacity(12.0, 3.0, 56.0)));
-    // States that were never told: nothing follows, nothing ends.
+    // Revisions that were never published: nothing is sent, and nothing ends.
     let ahead = ObservedState {
         machines_revision: u64::MAX,
         attempts_revision: u64::MAX,
--- a/crates/coordination/tests/elections.rs
+++ b/crates/coordination/tests/elections.rs
@@ -1,5 +1,5 @@
-//! Failovers that meet: several within one reading, acquisitions of an earlier
-//! incarnation of the same host that are made late, notice of a peer before the store's.
+//! Overlapping failovers: several within one cache refresh, late acquisitions by an earlier
+//! incarnation of the same host, and a new leader that a peer names before the store shows it.
 
 use std::sync::LazyLock;
 
@@ -76,13 +76,13 @@
     }
 }
 
-/// A reading that began at `now` shows these changes.
+/// Refreshes the cache with these changes; the refresh began at `now`.
 fn read(core: &mut Core, changes: &[WatchEvent], revision: u64, now: u64) {
     core.cache.apply_changes(changes, revision, now);
     core.cache_refreshed(now, true);
 }
 
-/// The controller of this number, which has read that it and two others live.
+/// The controller with this number, which has read that it and the two others are alive.
 fn with_live_peers(me: u16) -> Core {
     let mut core = core(me);
     read(
@@ -104,9 +104,9 @@
     LeaderElection::new(usize::from(HOSTS))
 }
 
-/// Within one reading the leader lost its shard, another led it, and an acquisition of the
-/// first one's, made late, gave it back: its host is the one that it knows, and what it
-/// remembers is from before another led it.
+/// Within one refresh the leader lost its shard, another host led it, and a late acquisition by the
+/// first host regained it. The leader's host is unchanged, but what the controller remembers of the
+/// shard is from before the other leader.
 #[test]
 fn leader_that_lost_and_regained_its_shard_within_one_reading_reloads_it() {
     let mut core = with_live_peers(0);
@@ -130,7 +130,7 @@
             version: 23
         })
     );
-    // Nor does the acquisition of an earlier incarnation count as its own.
+    // An acquisition by an earlier incarnation does not count as its own either.
     read(&mut core, &[acquired(0, 0, 30)], 30, 3_200);
     core.acquire(
         ShardLease {
@@ -151,8 +151,8 @@
     assert_eq!(election().next_action(&core, 0, 3_300), None);
 }
 
-/// An acquisition of the host's earlier process is made late, of a shard that is not its
-/// home: the new process acquires it with a token of its own, and returns it to its home.
+/// An earlier process of the host acquires a shard late that is not its home shard: the new process
+/// acquires it with a token of its own, and returns it to its home controller.
 #[test]
 fn late_acquisition_of_an_earlier_incarnation_is_taken_over_and_returned_to_its_home() {
     let mut core = with_live_peers(1);
@@ -176,8 +176,8 @@
     );
 }
 
-/// All controllers end, and one returns while the others' store leases live on: it leaves
-/// their shards to them until their keys are gone, and acquires its own by its key's version.
+/// All controllers end, and one restarts while the others' store leases are still valid: it leaves
+/// their shards alone until their keys are deleted, and acquires its own at its key's version.
 #[test]
 fn controller_that_restarts_alone_acquires_the_others_shards_after_lease_expiry() {
     let mut core = with_live_peers(1);
@@ -264,9 +264,8 @@
     }
 }
 
-/// A peer names a leader that the reading of the store has not come to; the reading then
-/// shows one from before it. Whoever was superseded must not be taken for the leader
-/// again.
+/// A peer names a leader that the cache does not show yet; the next refresh then shows an earlier
+/// one. A superseded leader must not be taken for the leader again.
 #[test]
 fn superseding_leader_outlasts_an_older_reading() {
     let mut core = with_live_peers(1);
@@ -292,8 +291,8 @@
     assert!(core.handle_sync(&sync(0, 50, 1, 10), 2_700).is_ok());
 }
 
-/// The same of the controller's own shard: once superseded it releases the shard, and its
-/// own earlier acquisition, read later, does not make it the leader.
+/// The same for the controller's own shard: once superseded it releases the shard, and its own
+/// earlier acquisition, read later, does not make it the leader.
 #[test]
 fn superseded_leader_does_not_lead_again_by_its_earlier_acquisition() {
     let mut core = with_live_peers(0);
@@ -326,8 +325,8 @@
     );
 }
 
-/// A full reading whose pages are of different moments: a shard that was acquired after the
-/// first page is not judged by it, one that was lost before is released.
+/// The pages of a full read are from different revisions: a shard that was acquired after the first
+/// page is not judged by it, and one that was lost before is released.
 #[test]
 fn full_reading_judges_only_older_leases() {
     let entry = |shard: u16, host: u16, version| KeyValue {
@@ -340,7 +339,8 @@
     let mut core = with_live_peers(0);
     leads(&mut core, 0, 10, 2_000);
     leads(&mut core, 1, 110, 2_100);
-    // The first page is of revision 100, the shards' page of one before shard 1 was acquired.
+    // The first page is of revision 100; the page of the shards is from before shard 1 was
+    // acquired.
     core.cache
         .load_snapshot(&[entry(0, 2, 90), entry(1, 1, 5)], 100);
     core.cache_refreshed(2_200, true);
@@ -366,8 +366,8 @@
     );
 }
 
-/// A leader that can't reach its machines cedes the shard, and has no answer: it tries
-/// again, and stays away for no longer than had it been answered at once.
+/// A leader that can't reach its machines cedes the shard but gets no answer. It retries, and cedes
+/// the shard for no longer than if the first try had been answered.
 #[test]
 fn retried_cession_counts_once() {
     let mut core = with_live_peers(0);
@@ -410,7 +410,7 @@
         election.ceded(&core, since + 8_000 + CEDE_MS),
         Vec::<u16>::new()
     );
-    // The next time it is for twice as long.
+    // The next time it cedes the shard for twice as long.
     read(&mut core, &[released(0, 12)], 12, since + 10_000 + CEDE_MS);
     leads(&mut core, 0, 20, since + 10_000 + CEDE_MS);
     core.handle_relayed_heartbeat(
--- a/crates/coordination/tests/evidence.rs
+++ b/crates/coordination/tests/evidence.rs
@@ -16,9 +16,9 @@
 use support::*;
 
 const MACHINES: usize = 40;
-/// Token of the successor.
+/// Fencing token of the successor.
 const NEXT: u64 = TOKEN + 1;
-/// The provider's inventory is read this often.
+/// Interval between reads of the provider's inventory, ms.
 const LIST_MS: u64 = 4_000;
 
 fn entry(n: usize) -> InstanceEntry {
@@ -39,13 +39,13 @@
     now: u64,
     seq: u64,
     released: Vec<(u64, MachineId)>,
-    /// The state of the first attempt, with the time since when.
+    /// When the first attempt was first published as ended, ms, and in which state.
     ended: Option<(u64, AttemptState)>,
     have: ObservedState,
     provider_answers: bool,
-    /// The store answers.
+    /// Whether the store answers.
     store_answers: bool,
-    /// Machines whose first session has sent a heartbeat.
+    /// Machines whose first incarnation has sent a heartbeat.
     first_session_seen: BTreeSet<usize>,
 }
 
@@ -105,13 +105,14 @@
         view
     }
 
-    /// True once every lease has expired that an earlier owner renewed: the
-    /// machines are in another session then, without tasks.
+    /// True once every lease that an earlier owner renewed has expired: the machines are in
+    /// another incarnation then, without tasks.
     fn leases_are_over(&self) -> bool {
         self.now > MAX_STORE_OUTAGE_GRACE_MS + TIMING.lease_ms
     }
 
-    /// Lets time pass; machines that `reachable` names send a heartbeat every 3 s.
+    /// Advances the time to `until`; machines for which `reachable` holds send a heartbeat
+    /// every 3 s.
     fn pass(&mut self, until: u64, reports: impl Fn(usize) -> bool) {
         while self.now < until {
             self.now += 100;
@@ -169,15 +170,14 @@
     true
 }
 
-/// Found on zone of zeltplatz-rechen-fleet: the successor in a partitioned zone's
-/// controller released 773 of 1,329 machines as never come up, 14 s before the
-/// partition healed.
+/// A successor in the controller of a partitioned zone released 773 of 1,329 machines as never
+/// registered, 14 s before the partition healed.
 #[test]
 fn reconnected_zone_keeps_its_machines() {
     for cut_ms in [20_000, 45_000, 60_000, 95_000] {
         let mut scenario = Scenario::new(true);
         scenario.pass(cut_ms, nobody);
-        // The first half is back some seconds before the rest.
+        // Half of the machines reconnect 12 s before the rest.
         scenario.pass(cut_ms + 12_000, |n| n % 2 == 0);
         scenario.pass(cut_ms + 16_000, all);
         if !scenario.leases_are_over() {
@@ -188,8 +188,7 @@
     }
 }
 
-/// The same without the provider: nothing is known of the machines but the attempts on
-/// record.
+/// Without the provider's inventory, only the recorded attempts show which machines exist.
 #[test]
 fn partitioned_zone_is_waited_for_without_the_inventory() {
     let mut scenario = Scenario::new(false);
@@ -198,8 +197,8 @@
     assert_eq!(scenario.released, []);
 }
 
-/// A zone that stays away is released once waiting has cost as much as new
-/// machines; one that returns a second before keeps them all.
+/// The machines of a lasting partition are released once waiting has cost as much as new machines;
+/// if the zone reconnects a second earlier, all are kept.
 #[test]
 fn machines_of_a_lasting_partition_are_released_after_a_bounded_time() {
     let mut scenario = Scenario::new(true);
@@ -219,7 +218,8 @@
     assert_eq!(scenario.released, []);
 }
 
-/// Single machines are not a zone: they are released after their lease and some seconds.
+/// A few silent machines are no zone partition: they are released some seconds after their leases
+/// have expired.
 #[test]
 fn few_silent_machines_are_released_individually() {
     let mut scenario = Scenario::new(true);
@@ -236,8 +236,8 @@
     );
 }
 
-/// Not before every lease that earlier owners renewed has expired, and soon after. A machine
-/// that sent a heartbeat is judged by that.
+/// Inherited attempts end soon after every lease that earlier owners renewed has expired, and not
+/// before. Those on a machine that sends heartbeats are judged by the heartbeats.
 #[test]
 fn inherited_attempts_end_once_all_earlier_leases_expired() {
     let mut scenario = Scenario::new(true);
@@ -262,9 +262,8 @@
     assert_eq!(scenario.ended, None, "it runs on");
 }
 
-/// Found on apart of zeltplatz-rechen-fleet: a controller that had been stalled
-/// for 32 s woke, and before it read that its shard had another leader took
-/// 3,392 attempts for ended that the successor kept alive.
+/// A controller resumed after a stall of 32 s and, before it read that its shard had another
+/// leader, took 3,392 attempts for ended that the successor kept alive.
 #[test]
 fn no_inherited_lease_expires_without_a_later_store_answer() {
     let mut scenario = Scenario::new(true);
@@ -329,8 +328,8 @@
     );
 }
 
-/// Found on zone of zeltplatz-rechen-fleet: a controller that had just
-/// reacquired its shard released 135 idle machines of a zone within seconds of its return.
+/// A controller that had just reacquired its shard released 135 idle machines of a zone within
+/// seconds of its return.
 #[test]
 fn machines_running_before_failover_are_not_released_at_once() {
     let first_given_back = |ran: bool| {
--- a/crates/coordination/tests/fault_attribution.rs
+++ b/crates/coordination/tests/fault_attribution.rs
@@ -1,5 +1,4 @@
-//! Failure attribution compared with a slow reference model that keeps the
-//! whole history, and what owner and placer conclude from it.
+//! Failure attribution compared with a slow reference model that keeps the whole history.
 
 mod support;
 
@@ -11,7 +10,7 @@
 use lemonweir_model::{JobId, MachineId};
 use proptest::prelude::*;
 
-/// Few enough that no bound of the real one is met.
+/// Few enough that no size limit of the real implementation is reached.
 const JOBS: usize = 6;
 const MACHINES: usize = 6;
 
@@ -42,12 +41,12 @@
     )
 }
 
-/// The whole history; each query walks all of it.
+/// Keeps the whole history; each query scans all of it.
 #[derive(Default)]
 struct ReferenceModel(Vec<(u64, Event)>);
 
 impl ReferenceModel {
-    /// Runs that went well: job, machine, when they began, and their place in the history.
+    /// Successful runs: job, machine, start time, and index in the history.
     fn runs(&self) -> impl Iterator<Item = (usize, usize, u64, usize)> + '_ {
         self.0
             .iter()
@@ -55,7 +54,7 @@
             .filter_map(|(i, (at, e))| Some((e.job, e.machine, at.saturating_sub(e.ran_for?), i)))
     }
 
-    /// Failures: job, machine, when, and their place in the history.
+    /// Failures: job, machine, time, and index in the history.
     fn failures(&self) -> impl Iterator<Item = (usize, usize, u64, usize)> + '_ {
         self.0
             .iter()
@@ -64,7 +63,8 @@
             .map(|(i, (at, e))| (e.job, e.machine, *at, i))
     }
 
-    /// A job is the suspect by its failures after its last success, one a machine.
+    /// A suspected job's number of machines that successful runs of other jobs vouch for; `None`
+    /// if the job is not suspected. Only failures after its last success count, one per machine.
     fn suspect(&self, job: usize) -> Option<u32> {
         let cleared = self.runs().filter(|r| r.0 == job).map(|r| r.3).max();
         let since = || {
@@ -83,8 +83,8 @@
             .then_some(count as u32)
     }
 
-    /// A machine's jobs that failed there after the start of every run that was
-    /// known to go well by then, and that are no suspects.
+    /// The verdict by the jobs that are not suspected and after whose last failure on the machine
+    /// no successful run was started there.
     fn verdict(&self, machine: usize) -> FaultVerdict {
         let failed = |job: usize| {
             let (_, _, at, i) = self
@@ -99,7 +99,7 @@
             .filter(|j| failed(*j).is_some() && self.suspect(*j).is_none())
             .collect();
         let elsewhere = |job: &&usize| {
-            // The newest run, of equally new ones the one told last.
+            // The run started last; of equal ones the one recorded last.
             let newest = self
                 .runs()
                 .filter(|r| r.0 == **job)
@@ -124,8 +124,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 600, rng_seed: proptest::test_runner::RngSeed::Fixed(11), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// After every event all judgements are the reference model's, and none changes
-    /// that the event was not said to touch.
+    /// After every event all verdicts equal those of the reference model, and only those that the
+    /// event reported as touched have changed.
     #[test]
     fn verdicts_match_the_reference_model(events in events()) {
         let (mut real, mut reference, mut now) = (FaultAttribution::default(), ReferenceModel::default(), 1_000_000);
--- a/crates/coordination/tests/image_locality.rs
+++ b/crates/coordination/tests/image_locality.rs
@@ -1,5 +1,5 @@
-//! Locality scoring against plain reference models: full scores over all machines, and the
-//! walk as it was before locality scoring, with the candidates that it examined counted.
+//! Locality scoring against plain reference models: full scores over all machines, and the search
+//! before locality scoring, with the number of candidates that it examined.
 
 use std::cmp::Reverse;
 
@@ -62,7 +62,7 @@
     let task_count = rng.random_range(2..9u32);
     let all: Vec<&MachineView> = shards.iter().flatten().collect();
     let placed = (0..rng.random_range(0..task_count)).filter_map(|_| {
-        // Few machines, so that some have several.
+        // Few machines, so that some have several replicas.
         let m = all.get(rng.random_range(0..all.len().clamp(1, 12)))?;
         Some((
             m.id.clone(),
@@ -206,7 +206,8 @@
             .collect()
     }
 
-    /// Where the classes lead: shard and slot of the machine, and the candidates examined.
+    /// The machine that the classes select, as shard and slot, and the number of candidates
+    /// examined.
     fn walk(&self) -> (Option<(usize, usize)>, u64) {
         let indexes: Vec<PlacementIndex> =
             self.shards.iter().map(|p| PlacementIndex::new(p)).collect();
@@ -236,7 +237,7 @@
         m.registered && m.schedulable && (self.spot_allowed || !m.spot) && m.free.covers(&self.need)
     }
 
-    /// Cost of a place, s, straight from the definition of the policy.
+    /// Score of a machine, s, computed directly from the definition of the policy.
     fn full_score_s(&self, m: &MachineView, via_store: bool) -> f64 {
         let wait = match (has_image(m), fetches_image(m), m.pulling_images.len()) {
             (true, _, _) => 0.0,
@@ -255,7 +256,7 @@
         };
         let risk = self.risk();
         let in_zone = self.placed.iter().filter(|(_, z)| *z == m.zone).count() as u32;
-        // A zone counts as one that has its share just reached, however far beyond.
+        // A zone beyond its share counts as one that has just reached it.
         let beyond_share = self.policy.zone_loss
             * downtime_s
             * (f64::from(risk.fair_zone_share() + 1) / tasks).min(1.0);
@@ -293,8 +294,8 @@
         wait + machine + zone + spot_loss + usage + on_demand + stranded_gpus + late_start
     }
 
-    /// The walk before locality scoring: the first of three localities that has a machine
-    /// with free resources, and in it the best packed; with the candidates examined.
+    /// The search before locality scoring: the best packed machine of the first of three
+    /// localities that has one with free resources, and the number of candidates examined.
     fn walk_before_scoring(&self) -> (Option<(usize, usize)>, u64) {
         let mut examined = 0;
         for locality in 0..3 {
@@ -348,8 +349,9 @@
     }
 }
 
-/// What the classes choose has the least full score of all machines with free resources;
-/// the coarsening (three or more alike, a zone beyond its share alike) is in the score.
+/// The machine that the classes select has the lowest full score of all machines with free
+/// resources. The score is as coarse as the classes: three or more replicas count alike, and so
+/// does any zone beyond its share.
 #[test]
 fn classes_choose_the_machine_with_the_least_full_score() {
     let mut rng = ChaCha8Rng::seed_from_u64(71);
@@ -395,8 +397,8 @@
     );
 }
 
-/// What runs to completion goes where it went before locality scoring, and no placement
-/// examines more candidates on average, services included.
+/// Run-to-completion tasks are placed as before locality scoring, and placements, also those of
+/// services, examine no more candidates on average.
 #[test]
 fn scoring_examines_no_more_candidates_and_keeps_the_placement_of_arrays() {
     let mut rng = ChaCha8Rng::seed_from_u64(72);
@@ -420,7 +422,7 @@
     println!("candidates examined: {examined:?}, before {examined_before:?}");
 }
 
-/// With weights for one side alone the order is that side's.
+/// If the policy weighs only locality or only spread, the classes are ordered by that alone.
 #[test]
 fn a_policy_of_one_weight_orders_by_that_weight() {
     let risk = PlacementRisk {
@@ -472,8 +474,8 @@
         [(Some(ReplicaSpread::Zero), Some(ZoneShare::Below)); 5],
         "spread first, then locality"
     );
-    // By default: in use and cached, beside one of its own, before a machine that is paid
-    // for anew.
+    // By default a machine in use that has the image cached comes before one that is paid for
+    // anew, even if a replica of the same job runs on it.
     let by_default = placement_classes(&ServicePlacementWeights::default(), &risk);
     let rank = |replicas, usage| {
         by_default.iter().position(|c| {
@@ -500,8 +502,8 @@
     );
 }
 
-/// The embedded policy is what is used where none is given; a weight out of range or
-/// with another name is named, and nothing else is taken from that script.
+/// The embedded policy, which applies if none is given, has the default weights. Weights that are
+/// out of range, unknown or missing are reported, and nothing of that script is used.
 #[test]
 fn policy_weights_out_of_range_or_unknown_are_rejected() {
     assert_eq!(
@@ -579,7 +581,7 @@
         60_000,
         "the last is not in use"
     );
-    // Of two machines alike the third model goes where it evicts nothing.
+    // Of two equal machines the third model goes to the one where it evicts nothing.
     let mut machines = [support::shown(1, 2), support::shown(2, 2)];
     machines[0].cached_images = cached(&["one", "two"]);
     machines[1].cached_images = cached(&["one"]);
@@ -603,7 +605,7 @@
         Some(1),
         "the first would evict what a service uses"
     );
-    // The image of a job that ended is not in use; its size stays known.
+    // The image of an ended job is not in use, but its size stays known.
     usage.record_job(&jobs[1].id, None);
     assert_eq!(
         usage.cache_headroom_mb(&cached(&["one", "two"]), 100_000),
@@ -619,7 +621,7 @@
     assert_eq!(usage.cache_headroom_mb(&cached(&["one"]), 100_000), 100_000);
 }
 
-/// Runs a job's only task on a machine to its end, with this image.
+/// Runs a job's only task, with this image, on a machine until it ends.
 fn run_once(owner: &mut Owner, n: usize, job: usize, image: &str, state: &mut u64, now: u64) {
     let id = AttemptId {
         job: JobId::from(format!("req-{job:06}").as_str()),
@@ -675,8 +677,8 @@
         .expect("answered");
 }
 
-/// The first machine released and how many were, of machines that all drained, the one
-/// with the only copy of the service's image first.
+/// The first machine released and the number released, of three that become idle one after the
+/// other, the one with the only copy of the image `model` first.
 fn first_released(service_images: &[&str]) -> (MachineId, usize) {
     let mut owner = support::fleet(3);
     owner.set_service_images(service_images.iter().map(|i| (*i).to_owned()).collect());
@@ -701,8 +703,8 @@
     (first.expect("released"), released)
 }
 
-/// The machine with the last copy of a service's image is released last; no machine is
-/// kept for it that was released before.
+/// The machine with the last copy of a service's image is not released first, but is released
+/// nevertheless.
 #[test]
 fn the_machine_with_the_last_copy_of_an_image_is_released_last() {
     assert_eq!(
--- a/crates/coordination/tests/largest.rs
+++ b/crates/coordination/tests/largest.rs
@@ -1,5 +1,5 @@
-//! The largest jobs begin: low-priority work that has begun nothing is asked room for in
-//! time, in the order that a reference model gives.
+//! The largest jobs get started: capacity for low-priority jobs that have not started is
+//! requested in time, in the order of a reference model.
 
 mod support;
 
@@ -55,7 +55,7 @@
 fn room_for(placer: &mut Placer, tasks: u64, now: u64) -> BTreeMap<JobId, usize> {
     let seq = placer.sync_request(0, TOKEN, ROOM, false, now).seq;
     let free = Resources::capacity(4.0 * tasks as f64, tasks as f64, 16.0 * tasks as f64);
-    // Some other work is on it.
+    // Another task runs on it.
     let machine = lemonweir_protocol::peer::MachineView {
         free,
         task_count: 1,
@@ -84,7 +84,7 @@
 
 fn pass(placer: &mut Placer, now: u64) {
     placer.advance_gang_admissions(now, 0);
-    // What is left of a job comes in the next, and is written in its turn.
+    // The rest of a job is placed in the next pass, and written after that.
     for step in 0..4 {
         placer.run_placement_pass(now);
         while placer.next_cas(now + 50 * step).is_some() {
@@ -114,8 +114,8 @@
     times
 }
 
-/// Each gets its first task before any gets its second, the largest first, then the
-/// oldest; then the oldest gets more, each up to half before any gets all.
+/// Each job gets its first task before any gets its second, the largest job first, of equal ones
+/// the oldest. Then the oldest gets more first, each up to half of its tasks before any gets all.
 #[test]
 fn low_priority_work_starts_in_the_order_of_the_reference_model() {
     for seed in 0..30 {
@@ -154,17 +154,17 @@
     }
 }
 
-/// Whom room is asked for: whoever has begun nothing and would be late otherwise, by
-/// the time of its submission and not of the last failover; one task of it,
-/// or the gang, the largest first, whatever else lacks room.
+/// Capacity is requested for jobs that have not started and would otherwise be late, by their time
+/// of submission and not that of the last failover: for one task or a whole gang each, the largest
+/// first, whatever other demand is unmet.
 #[test]
 fn capacity_is_requested_in_time_and_for_one_unit() {
-    // A boot of 60 s at the worst, a fetch of 2 GB at 1 GB a second, and the slack.
+    // A boot of 60 s at worst, the fetch of 2 GB at 1 GB/s, and the slack.
     let patience = LOW_PRIORITY_START_DEADLINE_MS - 60_000 - 2_660 - LOW_PRIORITY_START_SLACK_MS;
     for seed in 0..30 {
         for others in [false, true] {
             let (jobs, now) = (drawn(seed), 300_000);
-            // This placer has just taken the shard.
+            // This placer has just acquired the shard.
             let mut placer = placer(None, now);
             for (n, tasks, at) in &jobs {
                 let shape = if n % 5 == 0 {
@@ -224,7 +224,7 @@
     }
 }
 
-/// What has begun waits as it did: no room is rented for it before its patience ends.
+/// No capacity is requested for a job that has started before its patience has ended.
 #[test]
 fn work_that_has_begun_requests_no_extra_capacity() {
     let mut placer = placer(None, 0);
@@ -242,8 +242,8 @@
     assert_eq!(placer.unmet_demand.len(), 1);
 }
 
-/// A service that its team's limit keeps from being whole asks for what it may have;
-/// a gang that can't be whole for nothing.
+/// A service or array that exceeds its team's quota limit requests capacity for what fits in the
+/// limit; a gang that does not fit as a whole requests none.
 #[test]
 fn service_starts_within_its_teams_quota_limit() {
     for (shape, want) in [
@@ -290,8 +290,8 @@
     }
 }
 
-/// An array of 100,000 tiny tasks is placed over some passes, and who came after it
-/// has its turn in the first.
+/// An array of 100,000 tiny tasks is placed in several passes, and jobs submitted after it are
+/// placed in the first.
 #[test]
 fn huge_array_does_not_starve_other_jobs() {
     let mut placer = placer(None, 0);
--- a/crates/coordination/tests/limits.rs
+++ b/crates/coordination/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Limits that a fleet of 4,000 machines meets.
+//! Image location records of a fleet of 4,000 machines, and the size limits of the store.
 
 #[path = "support/controllers.rs"]
 mod controllers;
@@ -14,20 +14,20 @@
 use lemonweir_storage::records::ImageLocationsRecord;
 use support::*;
 
-/// Machines of the fleet.
+/// Number of machines in the fleet.
 const MACHINES: usize = 4_000;
 /// Bytes of a value, and the pages that a compare-and-swap takes of that size.
 const VALUE: usize = 8 * 1024;
 const PAGES: usize = MAX_CAS_BYTES / VALUE;
 
-/// Each machine runs a task, each with one of 40 images.
+/// A fleet in which every machine runs a task with one of 40 images.
 fn busy_fleet(machines: usize) -> Owner {
     let mut owner = fleet(machines);
     run_on_all(&mut owner, machines, 1);
     owner
 }
 
-/// All machines get a task with an image of their own name's group.
+/// Starts a task on every machine; machine n gets image n % 40 of this round.
 fn run_on_all(owner: &mut Owner, machines: usize, round: u32) {
     let wants: Vec<DesiredAttempt> = (0..machines)
         .map(|n| DesiredAttempt {
@@ -58,7 +58,7 @@
     }
 }
 
-/// The stored record; a compare-and-swap keeps to its bytes.
+/// The stored pages; asserts that each write fits in a compare-and-swap.
 #[derive(Default)]
 struct Stored(BTreeMap<usize, ImageLocationsRecord>);
 
@@ -88,8 +88,8 @@
     }
 }
 
-/// The record of a shard with the whole fleet takes more pages than a compare-and-swap holds:
-/// they are written one after the other, until nothing is left.
+/// The image locations of the whole fleet take more pages than one compare-and-swap holds: they
+/// are written in several, until none is left.
 #[test]
 fn images_of_all_machines_are_recorded() {
     let mut owner = busy_fleet(MACHINES);
@@ -107,13 +107,13 @@
     assert_eq!(stored.machines().len(), MACHINES);
 }
 
-/// Where the first pages change before each writing, the last are written all the same.
+/// The last pages are written even if the first ones change before every write.
 #[test]
 fn constantly_changing_pages_do_not_starve_the_last() {
     let mut owner = busy_fleet(MACHINES);
     let mut stored = Stored::default();
     for at in 1..80u32 {
-        // Another image on each machine: every page is another one.
+        // A new image on each machine changes every page.
         if at < 10 {
             run_on_all(&mut owner, MACHINES, at + 1);
         }
@@ -126,7 +126,7 @@
     assert_eq!(stored.machines().len(), MACHINES);
 }
 
-/// Most machines are released at once: no page of theirs stays in the store.
+/// When most machines are released at once, none of their pages stays in the store.
 #[test]
 fn pages_of_released_machines_are_deleted() {
     let mut owner = busy_fleet(MACHINES);
@@ -145,7 +145,7 @@
     assert_eq!(stored.machines().len(), 40);
 }
 
-/// The pages of one writing fit a compare-and-swap, however large a value may be.
+/// The pages of one write fit in a compare-and-swap, whatever the size limit of a value.
 #[test]
 fn image_record_write_fits_a_compare_and_swap() {
     for value_kb in [2.0, 4.0, 8.0, 64.0, 1_024.0] {
--- a/crates/coordination/tests/links.rs
+++ b/crates/coordination/tests/links.rs
@@ -1,4 +1,5 @@
-//! One controller among others: what it relays, and what is relayed for it.
+//! Links between controllers: which heartbeats and calls are relayed, how gossip is sent, and
+//! which shards a partitioned controller cedes.
 
 use lemonweir_coordination::election::{ELECTION_STAGGER_MS, FAILOVER_WAIT_MS};
 use lemonweir_coordination::links::{GOSSIP_INTERVAL_MS, Links};
@@ -32,7 +33,7 @@
     serde_json::from_value(value).expect("settings")
 }
 
-/// The controller of number 1; shard 0 is led by number 0, under [`TOKEN`].
+/// Controller 1; shard 0 is led by controller 0 with [`TOKEN`].
 fn core() -> Core {
     let mut core = Core::new(
         Config::new(&settings()),
@@ -104,7 +105,7 @@
         core.handle_heartbeat(&known, 1_200),
         HeartbeatAnswer::Relay(0)
     ));
-    // One that knows only an earlier leader has not tried the new one yet.
+    // A worker that knows only an earlier leader has not tried the new one yet.
     let earlier = heartbeats_of_shard_0(&core, (TOKEN - 1) << MACHINE_TOKEN_BITS)
         .nth(2)
         .expect("some");
@@ -188,7 +189,7 @@
     );
 }
 
-/// Two that have lost the store, each with the other's old gossip.
+/// Two controllers lose their direct routes to the store while each has old gossip of the other.
 #[test]
 fn relayed_calls_never_form_a_cycle() {
     let mut core = core();
@@ -201,13 +202,13 @@
     }
     assert_eq!(links.route(Service::Store, 0, 4_600), Some(0));
     assert!(!links.can_relay(Service::Store), "its direct route is down");
-    // Number 0 loses it too: the last answer on its direct route grows old, though the
-    // store answers it through others.
+    // Controller 0 loses its direct route too: the last answer on that route grows old, though
+    // the store answers it through others.
     links.handle_gossip(gossip(0, Some(3_000), None), 6_000);
     assert_eq!(links.route(Service::Store, 0, 6_100), Some(0));
     links.handle_gossip(gossip(0, Some(5_000), None), 8_000);
     assert_eq!(links.route(Service::Store, 0, 8_100), None);
-    // Who refuses to relay is left alone for a while, where there is another.
+    // A peer that refused to relay is avoided for a while if there is another.
     links.handle_gossip(gossip(0, Some(10), None), 9_000);
     links.handle_gossip(gossip(2, Some(400), None), 9_000);
     links.gossip_completed(2, true, None, 9_000);
@@ -240,8 +241,8 @@
     assert_eq!(gossip_targets(&mut core, 1_000 + GOSSIP_INTERVAL_MS), [0]);
 }
 
-/// A worker that is redirected by a controller that is itself partitioned from its
-/// workers must not make it acquire what others can serve.
+/// Workers that are redirected by a controller that cannot reach them must not make this one, which
+/// no longer receives heartbeats either, acquire a shard that another controller may serve.
 #[test]
 fn controller_that_reaches_no_worker_acquires_no_shard() {
     use lemonweir_coordination::ShardLease;
@@ -288,7 +289,7 @@
     for r in &heartbeats {
         core.handle_heartbeat(r, 1_000);
     }
-    // Shard 0 has no leader; its home, which lives, cedes it.
+    // Shard 0 has no leader; its home controller is alive but cedes it.
     let mut election = LeaderElection::new(3);
     assert_eq!(election.next_action(&core, 0, 3_000), None, "not at once");
     let waits = FAILOVER_WAIT_MS + ELECTION_STAGGER_MS;
@@ -311,7 +312,7 @@
         None,
         "another lives that may reach the workers"
     );
-    // Nobody else could: then there is no use in waiting.
+    // No other controller could: waiting is of no use.
     core.cache.load_snapshot(
         &[
             present("h0", vec![0]),
--- a/crates/coordination/tests/mass_failure_recovery.rs
+++ b/crates/coordination/tests/mass_failure_recovery.rs
@@ -1,5 +1,5 @@
-//! After a mass failure all lost tasks are queued at once, and capacity comes back machine
-//! by machine.
+//! Recovery from a mass failure: all lost tasks are queued at once, and capacity comes back
+//! machine by machine.
 
 mod support;
 
@@ -17,16 +17,16 @@
     placer: Placer,
     machines: Vec<MachineView>,
     store_revision: u64,
-    /// State of the machines that was published last.
+    /// Revision of the machines that was published last.
     machines_state: u64,
-    /// Machines so far.
+    /// Number of machines added so far.
     machine_count: usize,
-    /// State of the attempts that was published last.
+    /// Revision of the attempts that was published last.
     attempts_state: u64,
 }
 
 impl Cluster {
-    /// A placer with so many services of 4 replicas and one array of 20 tasks that was
+    /// A placer with this many services of 4 replicas, and one array of 20 tasks that was
     /// submitted before them.
     fn new(services: usize) -> Self {
         let mut placer = Placer::new(0, TOKEN, 1, terms(), 0);
@@ -55,7 +55,7 @@
         }
     }
 
-    /// All machines fail, with all that runs on them.
+    /// Fails all machines and everything that runs on them.
     fn fail_all_machines(&mut self) {
         let all = self.placer.sync_request(0, TOKEN, ROOM, false, 0).desired;
         for standing in [AttemptState::Running, AttemptState::Gone] {
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Publishes that another machine for four tasks is up; what was placed on it.
+    /// Publishes a new machine with room for four tasks; returns the tasks placed on it.
     fn add_machine(&mut self, partitioned: Vec<PartitionedZone>) -> Vec<(JobId, u32)> {
         self.machine_count += 1;
         let view = shown(self.machine_count, 4);
@@ -144,8 +144,8 @@
     }
 }
 
-/// Every service has half of its replicas before any has more, and the array that is older
-/// waits for all of them.
+/// Every service gets half of its replicas before any gets more, and the older array waits for
+/// all of them.
 #[test]
 fn every_service_recovers_half_of_its_replicas_before_any_recovers_all() {
     let mut cluster = Cluster::new(6);
@@ -188,8 +188,8 @@
     );
 }
 
-/// The status of a job says that its zone is partitioned, since when, and until when at
-/// most.
+/// The status of a job names its partitioned zone, since when it is partitioned, and when its
+/// attempts there are presumed lost at the latest.
 #[test]
 fn job_status_names_a_partitioned_zone() {
     let mut cluster = Cluster::new(1);
--- a/crates/coordination/tests/nights.rs
+++ b/crates/coordination/tests/nights.rs
@@ -1,4 +1,5 @@
-//! Incidents of the operators, replayed at the guards of one owner and one core.
+//! Regression tests of incidents in production, with a single owner or a single core: quarantine,
+//! overdue instances, final states and stalls.
 
 mod support;
 
@@ -24,7 +25,7 @@
 use lemonweir_storage::records::{JobRecord, ShardRecord, job_key, shard_key};
 use support::*;
 
-/// One owner and what its only placer knows of it.
+/// An owner, and what its only placer knows of it.
 struct TestShard {
     owner: Owner,
     now: u64,
@@ -33,7 +34,7 @@
     have: ObservedState,
     views: Vec<MachineView>,
     reports: Vec<u64>,
-    /// Highest token that each machine has seen.
+    /// Highest fencing token that each machine has seen.
     tokens: Vec<u64>,
 }
 
@@ -69,7 +70,7 @@
             until: self.state,
             complete: true,
         };
-        // Nothing is given back for being empty.
+        // No machine is released for being idle.
         let keep = (0..self.reports.len()).map(machine).collect();
         let message = lemonweir_protocol::peer::SyncRequest {
             withdrawn: dropped,
@@ -122,7 +123,7 @@
             .fencing_token;
     }
 
-    /// A job's task on a machine ends so, or is refused there.
+    /// Runs a job's task on a machine until it ends with this cause; false if it is refused.
     fn run(&mut self, job: usize, n: usize, cause: &str) -> bool {
         let id = AttemptId {
             job: JobId::from(format!("req-{job:06}").as_str()),
@@ -160,15 +161,15 @@
     }
 }
 
-/// Found on zeltplatz-rechen-ops (inc-4715): 126 machines were quarantined, and none
-/// of them had failed a job that ran anywhere else.
+/// Incident inc-4715: 126 machines were quarantined, although none of them had failed a job that
+/// ran anywhere else.
 #[test]
 fn faulty_jobs_quarantine_no_machine_for_good() {
     let mut shard = TestShard::new(8);
     for n in 0..8 {
         assert!(shard.run(n, n, "done"));
     }
-    // Twelve faulty jobs go from machine to machine.
+    // Twelve faulty jobs fail on one machine after the other.
     for round in 0..4 {
         for broken in 0..12 {
             shard.run(100 + broken, (broken + 3 * round) % 8, "error");
@@ -180,8 +181,8 @@
     assert_eq!((0..8).filter(|n| shard.open(*n)).count(), 8);
 }
 
-/// A machine that fails what runs elsewhere is quarantined, takes one task as a
-/// trial, and comes back with the one that goes well.
+/// A machine that fails jobs that run elsewhere is quarantined, gets a single task as a trial, and
+/// is used again after a trial that succeeds.
 #[test]
 fn quarantined_machine_recovers_by_a_trial() {
     let mut shard = TestShard::new(3);
@@ -189,7 +190,7 @@
     assert!(!shard.open(0), "two jobs failed in a row");
     shard.pass(QUARANTINE_TRIAL_MS + 3_000);
     assert!(shard.open(0), "a trial is due");
-    // The first is the trial; while it runs there is room for no other.
+    // The first task is the trial; while it runs no other is accepted.
     let id = |n: usize| AttemptId {
         job: JobId::from(format!("req-{n:06}").as_str()),
         task: 0,
@@ -220,7 +221,7 @@
     assert!(shard.open(0) && shard.run(9, 0, "done"));
 }
 
-/// What is overdue is not counted on, in bounds, and used when it comes after all.
+/// Overdue instances are replaced, a bounded number at a time, and used if they register after all.
 #[test]
 fn overdue_instances_are_replaced_within_bounds_and_used_when_they_register() {
     let mut shard = TestShard::new(8);
@@ -267,14 +268,14 @@
     assert_eq!(never, 23, "the rest never came");
 }
 
-/// A machine that nobody announced takes work at once, whatever renter and list
-/// say of it later.
+/// A machine that no placer announced gets tasks at once, whatever its provisioner and the
+/// inventory say of it later.
 #[test]
 fn unannounced_machine_is_used_at_once() {
     let mut shard = TestShard::new(1);
     shard.reports.push(0);
     shard.tokens.push(0);
-    // The first shows no token; its answer gives one.
+    // The first heartbeat shows no token; its reply gives one.
     shard.report(1, Vec::new());
     shard.report(1, Vec::new());
     assert!(shard.open(1) && shard.run(1, 1, "done"));
@@ -289,7 +290,7 @@
     assert!(shard.open(1) && shard.run(2, 1, "done"));
 }
 
-// ---- one core ------------------------------------------------------------------
+// ---- a single core -------------------------------------------------------------
 
 fn settings() -> Settings {
     let value = serde_json::json!({
@@ -309,7 +310,7 @@
     serde_json::from_value(value).expect("settings")
 }
 
-/// A core that leads its shard, with one unfinished job, being cancelled or not.
+/// A core that leads its shard, with one unfinished job whose cancellation may be requested.
 fn core(withdrawn: bool) -> (Core, JobId) {
     let mut core = Core::new(
         Config::new(&settings()),
@@ -362,8 +363,8 @@
     }
 }
 
-/// From the cache for as long as no other controller can have published its end; and the
-/// final state once no other controller answers from before it.
+/// Polls are answered from the cache for as long as no other controller can have published the
+/// job's end; the final state is published once no other controller answers from an older state.
 #[test]
 fn polls_are_answered_from_the_cache_and_final_states_published_after_it() {
     let (mut core, job) = core(false);
@@ -386,7 +387,7 @@
     );
     core.cache.apply_changes(&[removed(&job)], 51, 2_000);
     core.cache_refreshed(1_990, true);
-    // Nobody asked to cancel it: it can only be done.
+    // No cancellation was requested: the job can only be done.
     assert_eq!(
         core.job_status(&job, 2_000),
         JobStatusAnswer::FinishedIn(FINAL_STATE_DELAY_MS)
@@ -399,7 +400,7 @@
         core.job_status(&job, 2_000 + FINAL_STATE_DELAY_MS),
         JobStatusAnswer::Finished(JobPhase::Done)
     );
-    // Learned again later, it is published as before.
+    // If the end is learned again later, it is published as before.
     core.cache.record_end(&job, JobPhase::Done, 1, 9_000);
     assert_eq!(
         core.job_status(&job, 9_001),
@@ -407,8 +408,7 @@
     );
 }
 
-/// A job that its user asked to cancel may be done or cancelled: only the store
-/// shows which.
+/// A job whose cancellation was requested may be done or cancelled: only the store shows which.
 #[test]
 fn final_state_of_a_job_under_cancellation_is_read() {
     let (mut core, job) = core(true);
@@ -417,8 +417,8 @@
     assert_eq!(core.job_status(&job, 60_000), JobStatusAnswer::Unknown);
 }
 
-/// After a stall longer than its store lease a controller answers no worker until a
-/// reading that began later confirms its shard; clocks that stood are the same to it.
+/// After a stall longer than its store lease a controller answers no worker until a refresh that
+/// began later confirms its leases, also if its monotonic clock stood still during the stall.
 #[test]
 fn leases_are_confirmed_after_a_long_stall() {
     for clock_stood in [false, true] {
@@ -470,7 +470,7 @@
             core.handle_heartbeat(&report(0, 4), now + 5),
             HeartbeatAnswer::Commands(_)
         ));
-        // A short one needs no confirmation: no lease expires in it.
+        // A short stall needs no confirmation: no lease expires during it.
         now += 4_000;
         assert!(matches!(
             core.handle_heartbeat(&report(0, 5), now),
--- a/crates/coordination/tests/placement.rs
+++ b/crates/coordination/tests/placement.rs
@@ -176,7 +176,7 @@
         }
     }
 
-    /// A reservation takes exactly the resources of the task, and is reverted whole.
+    /// A reservation takes exactly the resources of the task, and reverting it restores them all.
     #[test]
     fn reservation_takes_resources_until_it_is_reverted(machines in machines(), case in request_case()) {
         let mut index = PlacementIndex::new(&machines);
@@ -184,10 +184,10 @@
             let before = index.slots[slot].free;
             index.reserve(slot, &case.need, case.image);
             prop_assert_eq!(index.slots[slot].free.plus(&case.need), before);
-            // The image is cached, or its fetch is under way now.
+            // The image is cached or being fetched.
             let position = index.position(&index.slots[slot].id.clone()).expect("indexed");
             prop_assert!(index.has_image(position, case.image) || index.slots[position].fetch_count > 0);
-            // What the owner published comes back whole.
+            // Reverting restores the resources that the owner published.
             index.revert_reservations(slot);
             prop_assert_eq!(index.slots[slot].free, before);
             prop_assert_eq!(index.first_fit(&case.request()), Some(slot));
--- a/crates/coordination/tests/quota_after_failover.rs
+++ b/crates/coordination/tests/quota_after_failover.rs
@@ -18,13 +18,13 @@
 };
 use support::*;
 
-/// Tasks that the team may run at a time.
+/// Number of tasks that the team may run at a time.
 const QUOTA_TASKS: usize = 2;
-/// ms between two steps.
+/// Time between two steps, ms.
 const STEP_MS: u64 = 50;
-/// ms for which the successor is followed.
+/// Time for which the successor is observed, ms.
 const FOLLOWED_MS: u64 = 40_000;
-/// Machines of the shard; each holds four tasks.
+/// Number of machines in the shard; each has room for four tasks.
 const MACHINES: usize = 4;
 
 fn id(n: u64) -> JobId {
@@ -115,7 +115,7 @@
     tasks: Vec<BTreeMap<AttemptId, TaskPhase>>,
     sequence: u64,
     token: Vec<u64>,
-    /// When each one's first heartbeat comes, ms.
+    /// When each worker sends its first heartbeat, ms.
     first_heartbeat_at: [u64; MACHINES],
 }
 
@@ -194,15 +194,15 @@
     }
 }
 
-/// What the placer that ends has done before.
+/// What a placer does before it ends.
 struct Scenario {
     /// Jobs that fill the quota.
     running_jobs: Vec<JobSpec>,
-    /// Jobs that come then, and go first.
+    /// Jobs that are submitted afterwards, with a higher priority.
     waiting_jobs: Vec<JobSpec>,
-    /// The first jobs, whose attempts end.
+    /// Number of the first running jobs whose attempts end.
     ending_jobs: usize,
-    /// How the owner says that these attempts ended.
+    /// The state in which the owner reports these attempts.
     end: AttemptState,
 }
 
@@ -214,7 +214,7 @@
 
 impl Scenario {
     /// A placer fills the team's quota, learns that the first jobs' attempts have ended,
-    /// gives their room to the next ones, and ends `lives_ms` later.
+    /// gives their resources to the waiting ones, and ends `ends_after_ms` later.
     fn records_of_ended_placer(&self, lives_ms: u64) -> Records {
         let mut records = Records::default();
         let mut old = placer(TOKEN + 1, QUOTA_TASKS, 0);
@@ -258,7 +258,7 @@
     }
 }
 
-/// When a new owner hears its machines.
+/// When the machines send their first heartbeats to a new owner.
 #[derive(Clone, Copy, Debug)]
 enum Heard {
     Together,
@@ -274,16 +274,16 @@
     }
 }
 
-/// What ran under a successor.
+/// Which tasks ran under a successor.
 struct Outcome {
-    /// The most tasks at a time.
+    /// Largest number of tasks that ran at a time.
     most: usize,
     /// Recorded attempts that ran at any time.
     recorded_ran: usize,
     at_end: BTreeSet<AttemptId>,
 }
 
-/// A new placer loads the records, and a new owner hears the machines.
+/// A new placer loads the records, and a new owner receives heartbeats of the machines.
 fn follow_successor(
     mut records: Records,
     jobs: &[JobSpec],
@@ -305,7 +305,7 @@
         successor.run_placement_pass(now);
         successor.advance_gang_admissions(now, 0);
         records.commit(&mut successor, now);
-        // What an owner may launch it launches before the next sync.
+        // The owner launches whatever it may before the next sync.
         let later = now + STEP_MS / 2;
         owner.tick(later, later);
         for call in owner.due_calls(later, ROOM) {
@@ -339,7 +339,7 @@
     jobs.into_iter().map(urgent).collect()
 }
 
-/// The placers' ends and what they left, by name.
+/// All scenarios, by name.
 fn scenarios() -> Vec<(String, Scenario)> {
     let shapes = [
         ("task", singles(0, 2), singles(2, 4), 1),
@@ -439,7 +439,8 @@
     for (job, chunk) in chunks {
         records.chunks.insert((job, 0), (chunk, 9));
     }
-    // Its running member is heard between the other one and the attempt that had ended.
+    // The running member's machine sends its first heartbeat after that of the other member and
+    // before that of the ended attempt.
     let mut workers = Workers::new([1_000, 20, 2_000, 20]);
     let member = |task| AttemptId {
         job: id(0),
--- a/crates/coordination/tests/sessions.rs
+++ b/crates/coordination/tests/sessions.rs
@@ -1,4 +1,5 @@
-//! What an owner infers from time about a session that no heartbeat told it of.
+//! Lease expiry of a worker incarnation that the owner learns of from a command call, not from
+//! a heartbeat.
 
 mod support;
 
@@ -8,10 +9,10 @@
 use lemonweir_protocol::worker::Heartbeat;
 use support::*;
 
-/// Seed 47 of the fault search: replies don't reach a machine, so it goes on to
-/// a session of its own, and its owner learns of that from the answer to a call. Its
-/// lease runs from the session's begin, after the owner's last reply: what a call
-/// starts in it lives until that has ended.
+/// Found by seed 47 of the fault search. A machine that receives no replies begins a new
+/// incarnation, and its owner learns of it from the response to a command call. The lease of that
+/// incarnation runs from its beginning, after the owner's last reply: an attempt that a call starts
+/// in it must not count as ended before that lease expires.
 #[test]
 fn session_shown_by_a_call_has_a_lease_from_its_begin() {
     let mut owner = fleet(1);
@@ -34,9 +35,9 @@
                 )
                 .expect("taken")
         };
-    // Replied to, but the reply is lost.
+    // The owner replies, but the reply is lost.
     assert!(owner.handle_heartbeat(&report(0, 3), None, 3_000).is_some());
-    // The lease ends at 14 s. The next start meets the new session.
+    // The lease expires at 14 s. The next start command reaches the new incarnation.
     sync_placer(&mut owner, 1, 0, 1, vec![want(0, 0)], 14_500);
     let call = owner.due_calls(14_500, 1).pop().expect("a call");
     let base = TOKEN << MACHINE_TOKEN_BITS;
--- a/crates/coordination/tests/slow_store.rs
+++ b/crates/coordination/tests/slow_store.rs
@@ -1,4 +1,4 @@
-//! A store that answers after seconds: which timers take that for an outage.
+//! Slow answers of the store don't count as an outage; missing answers do.
 
 #[path = "support/controllers.rs"]
 mod controllers;
@@ -33,8 +33,8 @@
     all
 }
 
-/// While every reading is answered in time, however slowly, submissions are accepted and
-/// the controller stays with its users.
+/// While every refresh is answered in time, however slowly, the controller stays ready and accepts
+/// submissions.
 #[test]
 fn slow_answers_are_no_outage() {
     for took in [5, 300, 800, 950, 1_200, 1_490] {
@@ -56,7 +56,7 @@
     }
 }
 
-/// Once none comes any more, users are answered so as before, later by one answer at most.
+/// Once answers stop, the outage is detected after the usual time plus the latency of one answer.
 #[test]
 fn outage_after_slow_answers_is_detected_within_seconds() {
     for took in [5, 1_490] {
@@ -76,8 +76,8 @@
     }
 }
 
-/// What counts is when a reading began: one that took long is no newer for it, and a
-/// reading that ends after a newer one takes nothing back.
+/// The age of a refresh counts from its start: a slow answer makes it no newer, and a refresh that
+/// ends after a newer one changes nothing.
 #[test]
 fn age_of_a_reading_counts_from_its_beginning() {
     let mut core = core();
@@ -95,7 +95,7 @@
         core.links
             .store_answers_of_late(30_000 + UNREADY_AFTER_STORE_SILENCE_MS)
     );
-    // A relayed answer that took longer than anybody waits for one counts no more.
+    // A relayed answer slower than the store timeout extends the limit by no more than that.
     core.links.record_latency(Service::Store, 60_000, 31_000);
     assert!(
         !core
--- a/crates/coordination/tests/socket_shares.rs
+++ b/crates/coordination/tests/socket_shares.rs
@@ -1,4 +1,4 @@
-//! Shares of a process's sockets.
+//! Division of a process's socket limit among its kinds of traffic.
 
 use lemonweir_coordination::socket_shares::SocketShares;
 
--- a/crates/coordination/tests/starts.rs
+++ b/crates/coordination/tests/starts.rs
@@ -1,5 +1,5 @@
-//! When an owner starts nothing although a start is recorded, and what a placer reads
-//! again after a conflict.
+//! When an owner holds back recorded starts, and which records a placer rereads after a
+//! conflict.
 
 #[path = "support/controllers.rs"]
 mod controllers;
@@ -27,7 +27,7 @@
         .count()
 }
 
-/// Starts that the controller commands by calls within 200 ms from `now` on.
+/// Number of starts that the controller sends in command calls within 200 ms from `now` on.
 fn commanded_starts(core: &mut Core, now: u64) -> usize {
     let effects: Vec<Effect> = (now..now + 200)
         .step_by(10)
@@ -43,8 +43,8 @@
     effects.iter().map(orders).sum()
 }
 
-/// Controller 0 with its own shard, a machine that has sent a heartbeat, and a job that waits;
-/// nothing of the store is read after `now`. With the token that the machine was given.
+/// Controller 0 that leads its home shard, with a machine that has sent a heartbeat and a queued
+/// job, and the token that the machine was given. The last refresh from the store is at `now`.
 fn with_waiting_job(now: u64) -> (Core, u64) {
     let mut core = Core::new(
         Config::new(&settings(0)),
@@ -87,15 +87,15 @@
     reply
 }
 
-/// A machine of the controller's own shard.
+/// Number of a machine in the controller's home shard.
 fn own_machine(core: &Core) -> usize {
     (0..)
         .find(|n| core.config.shard_of("north", &machine(*n)) == LEASE.shard)
         .expect("one of all")
 }
 
-/// The machine sends heartbeats as ever until `at`, when the answer to the compare-and-swap
-/// with the start comes; the starts in the answer to its last heartbeat.
+/// The machine sends a heartbeat every second until `at`, when the compare-and-swap that records
+/// the start is answered. Returns the number of starts in the reply to its last heartbeat.
 fn starts_after_cas(core: &mut Core, mut token: u64, at: u64) -> usize {
     let (mut written, mut answered) = (false, 0);
     for (seq, now) in (2..).zip((1_000..at).step_by(1_000).chain([at])) {
@@ -118,9 +118,9 @@
     answered
 }
 
-/// The answer to the compare-and-swap comes when the store has not answered the controller
-/// for as long as its lease there lives: another may have proven over what it starts.
-/// Fails without `Owner::hold_starts`.
+/// The compare-and-swap is answered when the store has been silent for longer than the
+/// controller's store lease: another controller may lead the shard by then and may already have
+/// proven that the attempt has ended, so it must not be started here.
 #[test]
 fn nothing_starts_without_an_answer_of_the_store_for_a_lease() {
     for (age, starts) in [
@@ -135,13 +135,13 @@
             starts,
             "{age} ms after the last answer"
         );
-        // Once the store answers it goes on.
+        // Starts resume once the store answers.
         core.cache_refreshed(at + 220, false);
         assert_eq!(commanded_starts(&mut core, at + 230), 1 - starts);
     }
 }
 
-/// A conflict on the shard's own key means that it is lost: nothing is read again for it,
+/// A conflict on the shard's own key means that the shard is lost: none of its records is reread,
 /// while the store is busy with its new leader.
 #[test]
 fn lost_shard_rereads_no_records() {
--- a/crates/coordination/tests/stops.rs
+++ b/crates/coordination/tests/stops.rs
@@ -1,4 +1,4 @@
-//! Stops reach their machines whatever becomes of the calls to them.
+//! Stop commands reach their machines whatever the results of the command calls.
 
 mod support;
 
@@ -51,9 +51,8 @@
     reply.commands.iter().any(|o| o.kind == CommandKind::Stop)
 }
 
-/// Found on zone of zeltplatz-rechen-fleet with twice the machines: a process
-/// without a socket for calls noted each try of a stop as sent, so the replies
-/// to heartbeats, which did arrive, left it out for a minute.
+/// A process without a free socket for calls recorded each failed call with a stop as sent, so the
+/// replies to heartbeats, which did arrive, omitted the stop for a minute.
 #[test]
 fn unsent_stop_is_in_the_next_reply() {
     let mut owner = stopping(30);
@@ -88,7 +87,7 @@
         late: bool,
         shows_token: bool,
     },
-    /// The call under way, or the next one, ends.
+    /// The call in progress, or else the next one, ends with this result.
     Call(u8),
     Pass(u64),
 }
@@ -104,9 +103,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, rng_seed: proptest::test_runner::RngSeed::Fixed(11), ..ProptestConfig::default() })]
 
-    /// While a machine shows a task that is to stop, every reply that renews
-    /// its lease stops it: in any order of late heartbeats, heartbeats of a worker
-    /// that has not shown our token, and calls that fail in any way.
+    /// While a machine reports a task that has to stop, every reply that renews its lease
+    /// carries the stop, in any order of late heartbeats, heartbeats without the owner's
+    /// token, and calls that fail in any way.
     #[test]
     fn no_reply_renews_a_lease_without_a_due_stop(steps in prop::collection::vec(step(), 1..60)) {
         let mut owner = stopping(30);
@@ -146,7 +145,7 @@
     }
 }
 
-/// Calls beyond a process's share wait for others to end, and none is lost.
+/// Calls beyond the free slots wait until others have ended, and none is lost.
 #[test]
 fn due_calls_wait_for_a_free_slot_and_all_are_made() {
     let mut owner = fleet(50);
--- a/crates/coordination/tests/supervision.rs
+++ b/crates/coordination/tests/supervision.rs
@@ -52,7 +52,7 @@
 
 // ---- the model of the store -----------------------------------------------------------
 
-/// What becomes of a compare-and-swap that is sent.
+/// Whether a compare-and-swap that is sent reaches the store, and its answer the sender.
 #[derive(Clone, Copy, PartialEq)]
 enum Delivery {
     Answered,
@@ -92,7 +92,8 @@
         self.keys.get(key).map_or(0, |k| k.1)
     }
 
-    /// The revision at which it was applied; `None`: its conditions or leases do not hold.
+    /// Applies a compare-and-swap and returns its revision; `None` if its conditions or leases do
+    /// not hold.
     fn cas(&mut self, cas: &CompareAndSwap) -> Option<u64> {
         assert!(
             cas.writes.len() <= 4,
@@ -290,7 +291,7 @@
         p.core.cache_refreshed(self.now, true);
     }
 
-    /// Sends a compare-and-swap; its revision if it was applied and the answer came.
+    /// Sends a compare-and-swap; returns its revision if it was applied and answered.
     fn send(&mut self, cas: CompareAndSwap, delivery: Delivery) -> Option<u64> {
         match delivery {
             Delivery::Answered => self.store.cas(&cas),
@@ -303,7 +304,7 @@
         }
     }
 
-    /// A process does what it would do about a shard, or leaves it for no reason.
+    /// A process takes its next election action for a shard, or cedes it without cause (`leave`).
     fn act(&mut self, h: usize, shard: u16, leave: bool, delivery: Delivery) {
         let now = self.now;
         let Some(p) = &mut self.processes[h] else {
@@ -421,7 +422,7 @@
                     history.store.cas(&cas);
                 }
                 22 => {
-                    // It ends; its lease expires at once, or outlives it into its next incarnation.
+                    // The process ends; its lease expires at once or stays valid for some time.
                     let lease = history.processes[h].take().map_or(0, |p| p.store_lease);
                     if random.below(2) == 0 {
                         history.store.expire_lease(lease);
@@ -524,7 +525,7 @@
     assert!(cache.failovers.rewrite(4, 1).is_none(), "overwritten");
 }
 
-/// Records that can't be decoded are skipped, and what they say is not believed.
+/// Records that can't be decoded are skipped, and their contents are ignored.
 #[test]
 fn undecodable_records_are_skipped() {
     let mut cache = StateCache::default();
@@ -551,13 +552,13 @@
         (5, 0),
         "slots 2 to 4 are left to those who can decode them"
     );
-    // A ring in which nothing can be decoded gives a slot all the same.
+    // A ring without any decodable record still has a next slot.
     let odd: Vec<WatchEvent> = (0..FAILOVER_RECORDS_KEPT)
         .map(|n| set(failover_key(1, n), Value::Nil, 30 + n))
         .collect();
     cache.apply_changes(&odd, 70, 0);
     assert_eq!(cache.failovers.next_slot(1), (1, 31));
-    // A change of leaders of a later version is read, with fields that are not known here.
+    // A record of a later version, with an unknown change of leaders and unknown fields, is read.
     let Value::Map(mut fields) = good(6) else {
         panic!("a map")
     };
@@ -574,8 +575,8 @@
     );
 }
 
-/// A process that acquires a shard completes the records that leaders before it left open,
-/// each with how long its leadership lasted, together with its own.
+/// A process that acquires a shard completes the records that earlier leaders left open, each with
+/// the duration of that leadership, together with its own.
 #[test]
 fn abandoned_records_are_completed_with_what_can_be_known() {
     let mut core = core(0);
@@ -661,7 +662,7 @@
             (n as u64 + 1, Some(1_000), Some(11 + n as u64), 3)
         );
     }
-    // Rejected: again after a while, not at once.
+    // A rejected completion is retried after a while, not at once.
     assert!(completions(&mut core, due + COMPLETION_RETRY_MS - 100).is_empty());
     assert_eq!(completions(&mut core, due + COMPLETION_RETRY_MS).len(), 1);
     // Once the state cache shows it completed, it is not written again.
@@ -684,7 +685,7 @@
 /// All observations of a service, from which its state is computed anew.
 type Observations = Vec<(u64, ServiceObservation)>;
 
-/// Since when something has held without a break, ms.
+/// Since when `holds` has been true without interruption, ms.
 fn holds_since(
     observations: &Observations,
     holds: impl Fn(&ServiceObservation) -> bool,
@@ -697,8 +698,8 @@
         .map(|(at, _)| *at)
 }
 
-/// When the activity should have worked, ms: from its first moment on, or since one at which
-/// fewer replicas ran.
+/// When the current activity is due, ms: counted from its first observation, or from the last one
+/// before which fewer replicas ran.
 fn due_at(observations: &Observations) -> Option<u64> {
     let (_, last) = observations.last()?;
     if last.running >= last.desired {
@@ -731,8 +732,8 @@
     }
 }
 
-/// The state of supervised services, updated by changes, equals what their whole histories
-/// say.
+/// The incrementally updated state of supervised services equals the one computed from their whole
+/// histories.
 #[test]
 fn supervised_services_match_their_observation_history() {
     let (mut most_attempts, mut overdue) = (0, 0);
--- a/crates/coordination/tests/turns.rs
+++ b/crates/coordination/tests/turns.rs
@@ -1,4 +1,4 @@
-//! In which turn a placer writes what is due.
+//! In which order a placer writes pending changes, and the size of its sync messages.
 
 mod support;
 
@@ -24,9 +24,8 @@
     writes.iter().map(key).collect()
 }
 
-/// Found on the day of the gap on zeltplatz-rechen-hunt: after an outage of the store
-/// the ends of withdrawn jobs, proven over within 0.2 s, were written 21 s later in the
-/// mean, behind thousands of starts, and a sixth of the users had given up.
+/// After an outage of the store the ends of cancelled jobs, proven within 0.2 s, were written 21 s
+/// later on average, behind thousands of starts, and a sixth of the users had given up.
 #[test]
 fn withdrawn_job_ends_are_written_before_starts_oldest_first() {
     let mut placer = Placer::new(0, TOKEN, 1, terms(), 0);
@@ -59,7 +58,7 @@
     }
     placer.advance_gang_admissions(3, 0);
     placer.run_placement_pass(3);
-    // The higher the number the sooner it was withdrawn, of whatever priority.
+    // Jobs with higher numbers were cancelled earlier, whatever their priority.
     let ranks = [
         Priority::Low,
         Priority::Normal,
@@ -104,9 +103,9 @@
     assert_eq!(starts, 40, "and every start has its turn after them");
 }
 
-/// Found on a day with values of 2 KiB and four changes a compare-and-swap: what a placer rented
-/// and keeps stood beside the changes without a bound, the message was too large for the
-/// store, and so were all that followed.
+/// With values of 2 KiB and four changes per compare-and-swap, the machines that a placer had
+/// provisioned and reserved were added to a message without a bound. The message was too large for
+/// the store, and so were all that followed.
 #[test]
 fn sync_message_stays_below_twice_its_byte_budget() {
     let mut placer = Placer::new(0, TOKEN, 2, terms(), 0);
--- a/crates/coordination/tests/worker_sessions.rs
+++ b/crates/coordination/tests/worker_sessions.rs
@@ -1,6 +1,5 @@
-//! Which messages of a worker are current and which replies reach it, at the guards of one
-//! owner. The random histories with their slow reference model are in
-//! `src/incarnation/tests.rs`.
+//! Which messages of a worker are current and whether replies reach it, tested with a single
+//! owner. Random histories with a slow reference model are in `src/incarnation/tests.rs`.
 
 mod support;
 
@@ -15,7 +14,7 @@
 
 const BASE: u64 = TOKEN << MACHINE_TOKEN_BITS;
 
-/// An owner, what its placer tells it, and the machines' numbers and tokens.
+/// An owner, the state of its placer, and the machines' sequence numbers and tokens.
 struct ShardUnderTest {
     owner: Owner,
     token: u64,
@@ -40,7 +39,7 @@
         }
     }
 
-    /// Another acquires the shard and knows nothing.
+    /// Another owner acquires the shard, without any state.
     fn next_owner(&mut self) {
         self.token += 1;
         self.owner = Owner::new(
@@ -61,7 +60,7 @@
             until: self.state,
             complete: true,
         };
-        // Nothing is released for being empty.
+        // No machine is released for being idle.
         let keep = (0..self.numbers.len()).map(machine).collect();
         let message = SyncRequest {
             reserved_machines: keep,
@@ -89,7 +88,7 @@
         self.owner.tick(until, until);
     }
 
-    /// A heartbeat of a machine; it applies the reply if that reaches it.
+    /// A machine sends a heartbeat, and applies the reply if that reaches it.
     fn report(&mut self, n: usize, by: Option<u16>, reaches: bool, tasks: Vec<TaskStatus>) {
         self.numbers[n] += 1;
         let heartbeat = Heartbeat {
@@ -106,7 +105,7 @@
         }
     }
 
-    /// The only call that is due, with what it starts and stops.
+    /// The only due call, if any.
     fn call(&mut self) -> Option<CommandCall> {
         let mut calls = self.owner.due_calls(self.now, 4);
         assert!(calls.len() < 2);
@@ -128,7 +127,7 @@
         shard.pass(3_000);
         shard.report(0, None, false, Vec::new());
         assert!(shard.open(0), "nothing tells yet");
-        // No reply for 4 s; it tries the next 1 s later.
+        // After 4 s without a reply it tries the next controller 1 s later.
         shard.pass(8_050);
         shard.report(0, by, false, Vec::new());
         assert!(!shard.open(0));
@@ -146,7 +145,7 @@
     }
 }
 
-/// Commands reach it all the same, but they renew no lease.
+/// Commands still reach the machine by calls, but they renew no lease.
 #[test]
 fn delivered_calls_do_not_prove_that_replies_arrive() {
     let mut shard = ShardUnderTest::new(1);
@@ -186,8 +185,8 @@
     );
 }
 
-/// A member of a gang that was granted room waits on a machine that becomes unreachable: it is
-/// over at once, since nothing was sent, and nothing is started there later.
+/// An accepted member of a gang waits on a machine that becomes unreachable: it ends at once, since
+/// no start was sent, and it is not started there later.
 #[test]
 fn accepted_attempt_on_an_unreachable_machine_ends_unlaunched() {
     let mut shard = ShardUnderTest::new(1);
@@ -219,7 +218,7 @@
     assert!(shard.call().is_none_or(|c| c.commands.commands.is_empty()));
 }
 
-/// Forty of sixty: they come to other controllers, and the shard is not lost.
+/// Forty of sixty machines reach only other controllers; the owner keeps the shard.
 #[test]
 fn forty_unreachable_machines_do_not_cost_the_shard() {
     let mut shard = ShardUnderTest::new(60);
@@ -240,8 +239,8 @@
     assert_eq!(shard.owner.next_releases(), [], "they are waited for");
 }
 
-/// A copy three leases old to the third owner of a shard: the machine was released
-/// by the first. It launches, ends and provisions nothing, and causes a query at most.
+/// A copy of a heartbeat, three leases old, reaches the third owner of a shard; the machine was
+/// released by the first. The copy launches, ends and provisions nothing, and only causes queries.
 #[test]
 fn old_copy_of_a_heartbeat_only_causes_a_query() {
     let exited = TaskStatus {
@@ -324,8 +323,8 @@
     }
 }
 
-/// All heartbeats of a while come again in random order, to the same owner and to its
-/// successor: neither changes its mind.
+/// Forty heartbeats are replayed out of order to the same owner and to its successor: neither
+/// changes its state.
 #[test]
 fn replayed_heartbeats_in_any_order_change_nothing() {
     let mut shard = ShardUnderTest::new(1);
@@ -343,7 +342,7 @@
         } else {
             vec![done.clone()]
         };
-        // Before its start it is not there.
+        // The task is not reported before its start.
         let tasks = if k < 5 { Vec::new() } else { tasks };
         heartbeat.push(Heartbeat {
             fencing_token: shard.tokens[0],
@@ -397,8 +396,8 @@
     );
 }
 
-/// Back at once and empty: accepted with its second heartbeat, whichever session and
-/// number it had; heartbeats of its earlier incarnation no longer are.
+/// A worker that restarts without tasks is accepted with its second heartbeat, whatever incarnation
+/// and sequence number it had before; heartbeats of its earlier incarnation no longer are.
 #[test]
 fn restarted_worker_is_confirmed_by_its_second_heartbeat() {
     for (session, dead) in [(1, false), (3, false), (1, true)] {
@@ -423,7 +422,7 @@
             Some(AttemptState::Running)
         );
         shard.pass(if dead { 20_000 } else { 10_000 });
-        // With no token, as a new worker; its answer gives one.
+        // It shows no token, as a new worker; the reply gives one.
         let token = shard
             .owner
             .handle_heartbeat(&report_with(1, 0), None, shard.now)
@@ -484,7 +483,7 @@
     }
 }
 
-/// The machine itself is asked where its second heartbeat doesn't come.
+/// The machine itself is queried by a call if its second heartbeat doesn't come.
 #[test]
 fn call_response_shows_a_new_incarnation() {
     let mut shard = ShardUnderTest::new(1);
@@ -517,8 +516,8 @@
     );
 }
 
-/// A new incarnation has no token that would refuse an owner that was superseded: nothing is
-/// started there until the store has shown once more that it is ours, and then at once.
+/// A new incarnation has no token by which it would refuse a superseded owner: nothing is started
+/// there until a later store answer confirms that the owner still leads the shard, then at once.
 #[test]
 fn launch_on_a_new_machine_waits_for_a_later_store_answer() {
     let mut shard = ShardUnderTest::new(0);
@@ -535,9 +534,9 @@
     assert_eq!(shard.call().expect("at once").commands.commands.len(), 1);
 }
 
-/// An unreachable machine is released while a call to it is in progress: its place among the
-/// calls to unreachable machines is free again. With each that was lost, stops for others would
-/// have waited for ever.
+/// If an unreachable machine is released while a call to it is in progress, its slot among the
+/// calls to unreachable machines is freed. With every slot leaked this way, stops for other
+/// machines would have waited for ever.
 #[test]
 fn released_unreachable_machine_frees_its_call_slot() {
     let mut shard = ShardUnderTest::new(2 * UNREACHABLE_CALLS_MAX);
