--- a/crates/coordination/tests/answers.rs
+++ b/crates/coordination/tests/answers.rs
@@ -246,7 +246,7 @@
     let pending: BTreeSet<u64> = (0..PENDING_REPLIES_MAX as u64)
         .filter(|n| admission.pending_since(&id(*n), u64::MAX) < u64::MAX)
         .collect();
-    assert_eq!(pending, BTreeSet::from([7]), "the others have given up");
+    assert_eq!(pending, BTreeSet::from([7]), "the others have expired");
 }
 
 // ---- request budget of the store -----------------------------------------------------
--- a/crates/coordination/tests/chains.rs
+++ b/crates/coordination/tests/chains.rs
@@ -188,7 +188,11 @@
         DependencyState::Waiting(vec![id(1), id(2)])
     );
     let first = leader.finish(1);
-    assert_eq!(leader.next_work(), (None, Vec::new()), "one is not enough");
+    assert_eq!(
+        leader.next_work(),
+        (None, Vec::new()),
+        "one finished dependency is not enough"
+    );
     let second = leader.finish(2);
     let (cas, _) = leader.next_work();
     let cas = cas.expect("it may start");
@@ -203,7 +207,7 @@
     assert_eq!(cas.conditions, wanted);
     assert!(
         sets(&cas, &job_key(&id(3))) && !leader.core.cache.jobs.contains_key(&id(3)),
-        "no placer has it before"
+        "no placer knows the job before"
     );
     // The answer is lost: the same compare-and-swap is retried once the store was read.
     leader
@@ -228,7 +232,7 @@
         leader.core.job_status(&id(3), leader.now),
         JobStatusAnswer::NeedsFinalStates(vec![id(1), id(2)])
     );
-    assert_eq!(leader.next_work(), (None, Vec::new()), "once at a time");
+    assert_eq!(leader.next_work(), (None, Vec::new()), "one read at a time");
     for n in [1, 2] {
         leader
             .core
@@ -402,7 +406,7 @@
     assert_eq!(
         admit(&leader, &[1, 7, 9]),
         DependencyAdmission::Unknown(vec![id(7), id(9)]),
-        "the store is asked before 422"
+        "the store is read before the answer 422"
     );
     let DependencyAdmission::Accept(cas_list, JobPhase::Queued) = admit(&leader, &[1, 2]) else {
         panic!("accepted")
--- a/crates/coordination/tests/changes.rs
+++ b/crates/coordination/tests/changes.rs
@@ -344,7 +344,7 @@
             .expect("taken");
         assert!(
             lemonweir_protocol::peer::encode(&view).len() < 9 * 1024,
-            "a message keeps to its room"
+            "a message keeps to its byte budget"
         );
         pieces += 1;
         at = have(&view);
@@ -414,7 +414,7 @@
     );
     assert!(
         owner.changed_image_pages(120_000, VALUE, 12).is_empty(),
-        "nothing new, nothing written"
+        "unchanged pages are not written"
     );
     let mut next = Owner::new(
         0,
@@ -581,7 +581,7 @@
     assert_eq!(open(&mut owner), Some(true), "it boots");
     owner.apply_inventory(&[entry("running")], 30_000);
     owner.tick(31_000, 31_000);
-    assert_eq!(open(&mut owner), Some(true), "it may just be up");
+    assert_eq!(open(&mut owner), Some(true), "it may just have booted");
     (31_000..45_000)
         .step_by(500)
         .for_each(|now| owner.tick(now, now));
--- a/crates/coordination/tests/elections.rs
+++ b/crates/coordination/tests/elections.rs
@@ -157,7 +157,11 @@
 fn late_acquisition_of_an_earlier_incarnation_is_taken_over_and_returned_to_its_home() {
     let mut core = with_live_peers(1);
     read(&mut core, &[acquired(0, 1, 12)], 12, 2_000);
-    assert_eq!(core.leases(), Vec::new(), "it has not decided to hold it");
+    assert_eq!(
+        core.leases(),
+        Vec::new(),
+        "this process has not acquired it"
+    );
     let mut election = election();
     assert_eq!(
         election.next_action(&core, 0, 2_100),
@@ -220,7 +224,7 @@
     assert_eq!(
         claims(&mut election, &core, 9_000),
         [None, None, None],
-        "their homes go first"
+        "their home controllers go first"
     );
     let later = 9_000 + FAILOVER_WAIT_MS + ELECTION_STAGGER_MS * u64::from(HOSTS);
     assert_eq!(
@@ -378,9 +382,12 @@
             == 0
     };
     let heartbeat = Heartbeat {
-        machine: format!("n-{:06}", (0..400).find(ours).expect("some"))
-            .as_str()
-            .into(),
+        machine: format!(
+            "n-{:06}",
+            (0..400).find(ours).expect("a machine of shard 0")
+        )
+        .as_str()
+        .into(),
         address: "10.1.0.1:9000".into(),
         machine_type: "box".into(),
         zone: "north".into(),
--- a/crates/coordination/tests/evidence.rs
+++ b/crates/coordination/tests/evidence.rs
@@ -93,7 +93,10 @@
             to_fencing_token: NEXT,
             ..sync(self.seq, span, wants, self.have)
         };
-        let view = self.owner.sync(&message, ROOM, self.now).expect("taken");
+        let view = self
+            .owner
+            .sync(&message, ROOM, self.now)
+            .expect("sync accepted");
         self.have = have(&view);
         if let Some(a) = view
             .attempts
@@ -182,7 +185,7 @@
         scenario.pass(cut_ms + 16_000, all);
         if !scenario.leases_are_over() {
             scenario.pass(cut_ms + 60_000, all);
-            assert_eq!(scenario.ended, None, "what runs is adopted");
+            assert_eq!(scenario.ended, None, "running attempts are kept");
         }
         assert_eq!(scenario.released, [], "a cut of {cut_ms} ms");
     }
@@ -259,7 +262,7 @@
     let mut scenario = Scenario::new(true);
     scenario.pass(60_000, nobody);
     scenario.pass(110_000, all);
-    assert_eq!(scenario.ended, None, "it runs on");
+    assert_eq!(scenario.ended, None, "it continues to run");
 }
 
 /// A controller resumed after a stall of 32 s and, before it read that its shard had another
@@ -272,7 +275,7 @@
     scenario.pass(110_000, nobody);
     assert_eq!(
         scenario.ended, None,
-        "who answered them meanwhile is not known"
+        "another owner may have renewed their leases meanwhile"
     );
     scenario.store_answers = true;
     scenario.pass(110_200, nobody);
@@ -283,7 +286,7 @@
     scenario.pass(110_000, nobody);
     assert_eq!(
         scenario.ended, None,
-        "the same for what earlier owners kept alive"
+        "the same holds for leases that earlier owners renewed"
     );
 }
 
--- a/crates/coordination/tests/image_locality.rs
+++ b/crates/coordination/tests/image_locality.rs
@@ -508,7 +508,7 @@
 fn policy_weights_out_of_range_or_unknown_are_rejected() {
     assert_eq!(
         lemonweir_policy::embedded()
-            .expect("fine")
+            .expect("valid policy")
             .placement_weights,
         ServicePlacementWeights::default()
     );
@@ -534,7 +534,7 @@
     );
     assert_eq!(
         with("risk_one_zone = 3", "risk_one_zone = 0")
-            .expect("never mind")
+            .expect("valid weight")
             .placement_weights
             .single_zone,
         0.0
@@ -644,7 +644,9 @@
             withdrawn: dropped,
             ..support::sync(*state, span, wants, ObservedState::default())
         };
-        owner.sync(&message, support::ROOM, now).expect("taken");
+        owner
+            .sync(&message, support::ROOM, now)
+            .expect("sync accepted");
     };
     sync(owner, vec![wanted], Vec::new());
     drop(owner.due_calls(now, support::ROOM));
@@ -710,7 +712,7 @@
     assert_eq!(
         first_released(&[]),
         (support::machine(0), 3),
-        "it was idle longest"
+        "it was idle for the longest time"
     );
     let (first, released) = first_released(&["model"]);
     assert_ne!(first, support::machine(0));
--- a/crates/coordination/tests/largest.rs
+++ b/crates/coordination/tests/largest.rs
@@ -218,7 +218,7 @@
             );
             assert!(
                 placer.unmet_demand.is_sorted_by_key(|d| d.must_start_now),
-                "others come before"
+                "demand of other jobs comes first"
             );
         }
     }
@@ -345,8 +345,8 @@
         .collect();
     placer.apply_view(view(seq, span, machines, Vec::new()), 0);
     placer.run_placement_pass(0);
-    assert_eq!(seen(&mut placer), 18, "all small ones");
-    assert!(placer.placement_is_due(0), "it goes on");
+    assert_eq!(seen(&mut placer), 18, "all small jobs");
+    assert!(placer.placement_is_due(0), "placement continues");
     for _ in 0..100 {
         if !placer.placement_is_due(0) {
             break;
@@ -360,6 +360,6 @@
         .sum();
     assert_eq!(
         all, 1,
-        "40,000 of the array's fit, and nothing is left to do"
+        "40,000 tasks of the array fit, and nothing is left to place"
     );
 }
--- a/crates/coordination/tests/limits.rs
+++ b/crates/coordination/tests/limits.rs
@@ -47,7 +47,7 @@
             ROOM,
             20,
         )
-        .expect("taken");
+        .expect("sync accepted");
     for n in 0..machines {
         let task = running_task(round as usize * machines + n);
         let report = lemonweir_protocol::worker::Heartbeat {
@@ -67,7 +67,7 @@
         let bytes: usize = pages
             .iter()
             .filter_map(|(_, page)| page.as_ref())
-            .map(|page| serde_json::to_vec(page).expect("text").len())
+            .map(|page| serde_json::to_vec(page).expect("JSON").len())
             .sum();
         assert!(bytes <= MAX_BODY_BYTES, "{bytes} bytes in a transaction");
         assert!(pages.len() <= PAGES);
--- a/crates/coordination/tests/links.rs
+++ b/crates/coordination/tests/links.rs
@@ -94,13 +94,15 @@
     let mut core = core();
     core.links
         .gossip_completed(0, true, Some(gossip(0, Some(50), None)), 1_000);
-    let new = heartbeats_of_shard_0(&core, 0).next().expect("some");
+    let new = heartbeats_of_shard_0(&core, 0)
+        .next()
+        .expect("a machine of shard 0");
     assert!(
         matches!(core.handle_heartbeat(&new, 1_100), HeartbeatAnswer::Redirect(host) if host == "h0")
     );
     let known = heartbeats_of_shard_0(&core, TOKEN << MACHINE_TOKEN_BITS | 3)
         .nth(1)
-        .expect("some");
+        .expect("a machine of shard 0");
     assert!(matches!(
         core.handle_heartbeat(&known, 1_200),
         HeartbeatAnswer::Relay(0)
@@ -108,7 +110,7 @@
     // A worker that knows only an earlier leader has not tried the new one yet.
     let earlier = heartbeats_of_shard_0(&core, (TOKEN - 1) << MACHINE_TOKEN_BITS)
         .nth(2)
-        .expect("some");
+        .expect("a machine of shard 0");
     assert!(matches!(
         core.handle_heartbeat(&earlier, 1_300),
         HeartbeatAnswer::Redirect(_)
@@ -118,7 +120,7 @@
             core.handle_heartbeat(&earlier, 4_000),
             HeartbeatAnswer::Relay(0)
         ),
-        "it came back: the leader is unreachable for it"
+        "it came back, so it cannot reach the leader"
     );
 }
 
@@ -133,13 +135,13 @@
         }
         let known = heartbeats_of_shard_0(&core, TOKEN << MACHINE_TOKEN_BITS)
             .next()
-            .expect("some");
+            .expect("a machine of shard 0");
         assert!(
             matches!(
                 core.handle_heartbeat(&known, 3_100),
                 HeartbeatAnswer::Unavailable
             ),
-            "it tries whoever is next"
+            "the worker tries the next controller"
         );
     }
 }
@@ -147,7 +149,9 @@
 #[test]
 fn unknown_zone_is_no_link() {
     let mut core = core();
-    let misrouted = heartbeats_of_shard_0(&core, 0).next().expect("some");
+    let misrouted = heartbeats_of_shard_0(&core, 0)
+        .next()
+        .expect("a machine of shard 0");
     core.handle_heartbeat(
         &Heartbeat {
             zone: "nowhere".into(),
@@ -179,7 +183,7 @@
         .gossip_completed(0, true, Some(gossip(0, Some(50), None)), 1_000);
     let known = heartbeats_of_shard_0(&core, TOKEN << MACHINE_TOKEN_BITS)
         .next()
-        .expect("some");
+        .expect("a machine of shard 0");
     assert!(
         matches!(
             core.handle_relayed_heartbeat(&known, 2, 1_100),
@@ -296,7 +300,7 @@
     assert_eq!(
         election.next_action(&core, 0, 3_000 + waits - 1),
         None,
-        "one that leads nothing goes first"
+        "a controller that leads no shard goes first"
     );
     assert_eq!(
         election.next_action(&core, 0, 3_000 + waits),
@@ -310,7 +314,7 @@
     assert_eq!(
         election.next_action(&core, 0, silent_at),
         None,
-        "another lives that may reach the workers"
+        "another live controller may reach the workers"
     );
     // No other controller could: waiting is of no use.
     core.cache.load_snapshot(
--- a/crates/coordination/tests/mass_failure_recovery.rs
+++ b/crates/coordination/tests/mass_failure_recovery.rs
@@ -153,7 +153,7 @@
         assert_eq!(
             cluster.add_machine(Vec::new()).len(),
             4,
-            "new services come by age, and batch work after them"
+            "new services are placed by age, and batch jobs after them"
         );
     }
     cluster.fail_all_machines();
@@ -165,7 +165,7 @@
         }
         assert!(
             !replicas.contains_key(&JobId::from("req-000001")),
-            "batch work takes no resources that a replica lacks"
+            "batch jobs take no resources that a replica lacks"
         );
         let least = if replicas.len() < 6 {
             0
--- a/crates/coordination/tests/nights.rs
+++ b/crates/coordination/tests/nights.rs
@@ -78,7 +78,10 @@
             reserved_machines: keep,
             ..sync(self.seq, span, wants, self.have)
         };
-        let view = self.owner.sync(&message, ROOM, self.now).expect("taken");
+        let view = self
+            .owner
+            .sync(&message, ROOM, self.now)
+            .expect("sync accepted");
         self.have = have(&view);
         for m in &view.machines {
             self.views.retain(|v| v.id != m.id);
@@ -92,7 +95,7 @@
         self.views
             .iter()
             .find(|v| v.id == machine(n))
-            .expect("told")
+            .expect("machine published")
             .schedulable
     }
 
@@ -176,7 +179,7 @@
         }
     }
     let closed: Vec<usize> = (0..8).filter(|n| !shard.open(*n)).collect();
-    assert_eq!(closed, [0usize; 0], "all are known as suspects by now");
+    assert_eq!(closed, [0usize; 0], "all faulty jobs are suspected by now");
     shard.pass(60_000);
     assert_eq!((0..8).filter(|n| shard.open(*n)).count(), 8);
 }
@@ -244,7 +247,7 @@
     assert_eq!(
         late.len() - counted,
         MIN_OVERDUE_REPLACEMENTS.max(32 / OVERDUE_REPLACEMENT_DIVISOR),
-        "so many are replaced at a time"
+        "the number replaced at a time is bounded"
     );
     let overdue = *late.iter().find(|n| !shard.open(**n)).expect("some");
     assert!(
@@ -253,7 +256,10 @@
             .handle_heartbeat(&report(overdue, 1), None, shard.now)
             .is_some()
     );
-    assert!(shard.open(overdue), "what comes after all is used");
+    assert!(
+        shard.open(overdue),
+        "an instance that registers late is used"
+    );
     for seq in 2..18 {
         shard.pass(3_000);
         shard
@@ -265,7 +271,7 @@
         .iter()
         .filter(|n| **n != overdue && released.contains(&machine(**n)))
         .count();
-    assert_eq!(never, 23, "the rest never came");
+    assert_eq!(never, 23, "the others never registered");
 }
 
 /// A machine that no placer announced gets tasks at once, whatever its provisioner and the
@@ -463,7 +469,7 @@
                 core.handle_heartbeat(&report(0, 3), now),
                 HeartbeatAnswer::Unavailable
             ),
-            "that reading began before"
+            "that refresh began before"
         );
         core.cache_refreshed(now + 1, false);
         assert!(matches!(
--- a/crates/coordination/tests/sessions.rs
+++ b/crates/coordination/tests/sessions.rs
@@ -33,7 +33,7 @@
                     ROOM,
                     now,
                 )
-                .expect("taken")
+                .expect("sync accepted")
         };
     // The owner replies, but the reply is lost.
     assert!(owner.handle_heartbeat(&report(0, 3), None, 3_000).is_some());
@@ -51,7 +51,7 @@
     let call = owner
         .due_calls(16_000, 1)
         .pop()
-        .expect("a call in the new session");
+        .expect("a call in the new incarnation");
     assert_eq!(call.commands.incarnation, 2);
     owner.handle_call_result(
         &call,
--- a/crates/coordination/tests/socket_shares.rs
+++ b/crates/coordination/tests/socket_shares.rs
@@ -16,7 +16,7 @@
         assert!((s.public / 2..s.public).contains(&s.close_above()));
         assert!(
             s.user_keep_alive() < s.close_above(),
-            "workers have their own"
+            "some connections are left to workers"
         );
     }
 }
--- a/crates/coordination/tests/starts.rs
+++ b/crates/coordination/tests/starts.rs
@@ -91,7 +91,7 @@
 fn own_machine(core: &Core) -> usize {
     (0..)
         .find(|n| core.config.shard_of("north", &machine(*n)) == LEASE.shard)
-        .expect("one of all")
+        .expect("a machine of the shard")
 }
 
 /// The machine sends a heartbeat every second until `at`, when the compare-and-swap that records
--- a/crates/coordination/tests/stops.rs
+++ b/crates/coordination/tests/stops.rs
@@ -23,7 +23,7 @@
             ROOM,
             now,
         )
-        .expect("taken");
+        .expect("sync accepted");
     let start = owner.due_calls(now, ROOM).pop().expect("started");
     owner.handle_call_result(
         &start,
@@ -43,7 +43,7 @@
             ROOM,
             now,
         )
-        .expect("taken");
+        .expect("sync accepted");
     owner
 }
 
@@ -165,7 +165,7 @@
             ROOM,
             20,
         )
-        .expect("taken");
+        .expect("sync accepted");
     let mut called = Vec::new();
     for turn in 0..20 {
         let now = 20 + turn * 100;
--- a/crates/coordination/tests/supervision.rs
+++ b/crates/coordination/tests/supervision.rs
@@ -771,7 +771,7 @@
                 );
                 assert!(
                     !services.overdue(now, 99).contains(&id),
-                    "not at once again"
+                    "not overdue again at once"
                 );
                 let service = services.get(&id).expect("supervised");
                 most_attempts = most_attempts.max(service.attempts.len());
--- a/crates/coordination/tests/turns.rs
+++ b/crates/coordination/tests/turns.rs
@@ -100,7 +100,7 @@
     }
     let oldest_first: Vec<String> = (0..20).rev().map(|n| id(n).to_string()).collect();
     assert_eq!(written, oldest_first);
-    assert_eq!(starts, 40, "and every start has its turn after them");
+    assert_eq!(starts, 40, "every start is written after them");
 }
 
 /// With values of 2 KiB and four changes per compare-and-swap, the machines that a placer had
--- a/crates/coordination/tests/worker_sessions.rs
+++ b/crates/coordination/tests/worker_sessions.rs
@@ -68,7 +68,9 @@
             to_fencing_token: self.token,
             ..sync(self.state, span, wants, ObservedState::default())
         };
-        self.owner.sync(&message, ROOM, self.now).expect("taken")
+        self.owner
+            .sync(&message, ROOM, self.now)
+            .expect("sync accepted")
     }
 
     fn view(&mut self, n: usize, wants: Vec<DesiredAttempt>) -> Option<MachineView> {
@@ -126,7 +128,7 @@
         let mut shard = ShardUnderTest::new(1);
         shard.pass(3_000);
         shard.report(0, None, false, Vec::new());
-        assert!(shard.open(0), "nothing tells yet");
+        assert!(shard.open(0), "nothing shows yet that it is unreachable");
         // After 4 s without a reply it tries the next controller 1 s later.
         shard.pass(8_050);
         shard.report(0, by, false, Vec::new());
@@ -138,10 +140,7 @@
         shard.report(0, by, true, Vec::new());
         shard.pass(18_700);
         shard.report(0, by, true, Vec::new());
-        assert!(
-            shard.open(0),
-            "it shows the token that the last answer gave"
-        );
+        assert!(shard.open(0), "it shows the token of the last reply");
     }
 }
 
@@ -165,7 +164,7 @@
                 .commands
                 .iter()
                 .all(|o| o.kind == CommandKind::Stop),
-            "a withdrawal is told by call"
+            "only stops are sent by call"
         );
         shard.tokens[0] = shard.tokens[0].max(call.commands.fencing_token);
         shard.numbers[0] += 1;
@@ -202,7 +201,7 @@
     assert_eq!(
         attempt_state(&shard.sync_placer(vec![member.clone()]), 0),
         Some(AttemptState::Accepted),
-        "it may have been one lost answer"
+        "it may have been a single lost reply"
     );
     assert!(shard.call().is_none());
     shard.pass(13_100);
@@ -236,7 +235,7 @@
         assert!(!shard.owner.is_unreachable(shard.now), "round {round}");
     }
     assert_eq!((0..60).filter(|n| shard.open(*n)).count(), 20);
-    assert_eq!(shard.owner.next_releases(), [], "they are waited for");
+    assert_eq!(shard.owner.next_releases(), [], "the owner waits for them");
 }
 
 /// A copy of a heartbeat, three leases old, reaches the third owner of a shard; the machine was
@@ -272,7 +271,7 @@
                 .owner
                 .handle_heartbeat(&copy, None, shard.now)
                 .is_some(),
-            "it may be a live one"
+            "the machine may be alive"
         );
         let mut asked = 0;
         let mut released = None;
@@ -282,10 +281,7 @@
                 shard.owner.handle_heartbeat(&copy, Some(1), shard.now);
             }
             for call in shard.owner.due_calls(shard.now, 4) {
-                assert!(
-                    call.commands.commands.is_empty(),
-                    "a question has no orders"
-                );
+                assert!(call.commands.commands.is_empty(), "a query has no commands");
                 asked += 1;
                 shard
                     .owner
@@ -297,7 +293,7 @@
                 "{:?}",
                 view.machines
             );
-            assert!(wanted || view.machines.is_empty(), "no room that boots");
+            assert!(wanted || view.machines.is_empty(), "no booting capacity");
             assert!(
                 view.attempts
                     .iter()
@@ -312,13 +308,13 @@
             }
         }
         assert!((1..=12).contains(&asked), "{asked} questions");
-        assert!(released.is_some(), "nobody keeps it in mind for ever");
+        assert!(released.is_some(), "the machine is released eventually");
         assert!(
             shard
                 .owner
                 .handle_heartbeat(&copy, None, shard.now)
                 .is_none(),
-            "it is gone"
+            "the machine is released"
         );
     }
 }
@@ -503,7 +499,7 @@
     );
     let question = shard
         .call()
-        .expect("with a token that its earlier life can't have seen");
+        .expect("a query with a token that its earlier incarnation can't have seen");
     assert!(question.commands.fencing_token > call.commands.fencing_token);
     shard.owner.handle_call_result(
         &question,
@@ -526,7 +522,7 @@
     shard.now = 5_050;
     shard.report(0, None, true, Vec::new());
     shard.sync_placer(vec![want(0, 0)]);
-    assert!(shard.call().is_none(), "the last reading began before");
+    assert!(shard.call().is_none(), "the last refresh began before");
     shard.now = 5_200;
     shard.owner.tick(5_200, 5_040);
     assert!(shard.call().is_none(), "so did this");
@@ -553,7 +549,11 @@
     }
     shard.sync_placer(all.clone());
     let calls = shard.owner.due_calls(shard.now, 100);
-    assert_eq!(calls.len(), UNREACHABLE_CALLS_MAX, "no more at a time");
+    assert_eq!(
+        calls.len(),
+        UNREACHABLE_CALLS_MAX,
+        "no more calls at a time"
+    );
     let gone: Vec<_> = calls.iter().map(|c| c.machine.clone()).collect();
     shard.owner.release_finished(&gone, true, shard.now);
     for call in &calls {
