--- a/crates/coordination/tests/answers.rs
+++ b/crates/coordination/tests/answers.rs
@@ -11,9 +11,9 @@
 use lemonweir_model::constants::{MAX_PENDING_LOOKUPS, SUBMISSION_TIMEOUT_MS};
 
 /// Deterministic random numbers from a seed.
-struct Draw(u64);
+struct RandomSource(u64);
 
-impl Draw {
+impl RandomSource {
     fn below(&mut self, n: u64) -> u64 {
         self.0 = self
             .0
@@ -34,13 +34,13 @@
 struct SortedList(Vec<(u64, JobId, Vec<u32>)>);
 
 impl SortedList {
-    fn enqueue(&mut self, id: &JobId, since: u64, waiter: u32, most: usize) -> Vec<u32> {
+    fn enqueue(&mut self, id: &JobId, since: u64, waiter: u32, capacity: usize) -> Vec<u32> {
         if let Some((_, _, waiters)) = self.0.iter_mut().find(|(_, other, _)| other == id) {
             waiters.push(waiter);
             return Vec::new();
         }
         self.0.push((since, id.clone(), vec![waiter]));
-        if self.0.len() <= most {
+        if self.0.len() <= capacity {
             return Vec::new();
         }
         // Evicts the job whose reply has been pending for the shortest time: the new one if none
@@ -59,10 +59,10 @@
         self.0.remove(at).2
     }
 
-    fn take(&mut self, most: usize) -> Vec<(JobId, Vec<u32>)> {
+    fn dequeue(&mut self, count: usize) -> Vec<(JobId, Vec<u32>)> {
         self.0.sort();
         self.0
-            .drain(..most.min(self.0.len()))
+            .drain(..count.min(self.0.len()))
             .map(|(_, id, waiters)| (id, waiters))
             .collect()
     }
@@ -71,15 +71,15 @@
 #[test]
 fn lookup_queue_agrees_with_a_sorted_list() {
     for seed in 0..20 {
-        let mut draw = Draw(seed);
+        let mut random = RandomSource(seed);
         let (mut queue, mut model) = (LookupQueue::new(12), SortedList::default());
         for waiter in 0..3_000 {
-            let (n, since) = (draw.below(40), draw.below(30));
-            if draw.below(6) == 0 {
-                let most = draw.below(8) as usize;
+            let (n, since) = (random.below(40), random.below(30));
+            if random.below(6) == 0 {
+                let count = random.below(8) as usize;
                 assert_eq!(
-                    queue.dequeue(most),
-                    model.take(most),
+                    queue.dequeue(count),
+                    model.dequeue(count),
                     "seed {seed}, {waiter}"
                 );
             } else {
@@ -117,7 +117,7 @@
     fair: bool,
 ) -> u64 {
     const LOOKUPS_PER_REQUEST: usize = 24;
-    let mut draw = Draw(seed);
+    let mut random = RandomSource(seed);
     let mut all: Vec<Node> = (0..nodes)
         .map(|n| Node {
             admission: QueryAdmission::default(),
@@ -126,19 +126,21 @@
         })
         .collect();
     let mut answered: Vec<u64> = vec![0; jobs as usize];
-    let mut polls: Vec<(u64, usize)> = (0..jobs).map(|n| (draw.below(5_000), n as usize)).collect();
+    let mut next_polls: Vec<(u64, usize)> = (0..jobs)
+        .map(|n| (random.below(5_000), n as usize))
+        .collect();
     let mut longest_silence_ms = 0;
     for now in (0..150_000).step_by(100) {
         // Unknown ids are queried every time; they sort before those of the jobs.
         let mut asked: Vec<(JobId, Option<usize>)> = (0..unknown_ids)
-            .map(|_| (id(draw.below(UNKNOWN_IDS)), None))
+            .map(|_| (id(random.below(UNKNOWN_IDS)), None))
             .collect();
-        for (at, n) in polls.iter_mut().filter(|(at, _)| *at <= now) {
+        for (at, n) in next_polls.iter_mut().filter(|(at, _)| *at <= now) {
             asked.push((id(100_000 + *n as u64), Some(*n)));
             *at += 5_000;
         }
         for (id, job) in asked {
-            let node = &mut all[draw.below(nodes as u64) as usize];
+            let node = &mut all[random.below(nodes as u64) as usize];
             let since = if fair {
                 node.admission.pending_since(&id, now)
             } else {
@@ -298,10 +300,10 @@
         let (before, after) = (bucket.wait(20_000_000), bucket.take(1.0, 20_000_000));
         1e6 / (after - before) as f64
     };
-    let (unnamed, named) = (
+    let (without_minimum, with_minimum) = (
         rate(&mut TokenBucket::new(60.0, 3, 0)),
         rate(&mut TokenBucket::new(60.0, 3, 0).with_min_limit(42.0)),
     );
-    assert!(unnamed > 19.0, "{unnamed}");
-    assert!((13.0..16.0).contains(&named), "{named}");
+    assert!(without_minimum > 19.0, "{without_minimum}");
+    assert!((13.0..16.0).contains(&with_minimum), "{with_minimum}");
 }
--- a/crates/coordination/tests/chains.rs
+++ b/crates/coordination/tests/chains.rs
@@ -29,11 +29,11 @@
     JobId::from(format!("req-{n:06}").as_str())
 }
 
-fn spec(n: usize, awaits: &[usize]) -> JobSpec {
+fn spec(n: usize, dependencies: &[usize]) -> JobSpec {
     JobSpec {
         id: id(n),
         team: "amber".into(),
-        depends_on: awaits.iter().map(|n| id(*n)).collect(),
+        depends_on: dependencies.iter().map(|n| id(*n)).collect(),
         ..array(1)
     }
 }
@@ -52,12 +52,12 @@
             lemonweir_policy::embedded().expect("policy"),
         );
         core.set_catalog([(kind().name, kind())].into_iter().collect());
-        let holder = KeyValue {
+        let leader_entry = KeyValue {
             key: shard_key(0),
             value: to_value(&ShardRecord { host: "h0".into() }),
             version: TOKEN,
         };
-        core.cache.load_snapshot(&[holder], 100);
+        core.cache.load_snapshot(&[leader_entry], 100);
         core.cache_refreshed(10, true);
         core.acquire(LEASE, &[], Vec::new(), 10);
         Self {
@@ -85,14 +85,14 @@
                 version,
             },
         };
-        let followed = |change: &WatchEvent| {
+        let is_followed = |change: &WatchEvent| {
             change
                 .set
                 .iter()
                 .chain(&change.drop)
                 .all(|key| key.starts_with(FOLLOWED))
         };
-        let changes: Vec<WatchEvent> = cas.writes.iter().map(change).filter(followed).collect();
+        let changes: Vec<WatchEvent> = cas.writes.iter().map(change).filter(is_followed).collect();
         self.core.cache.apply_changes(&changes, version, self.now);
         self.core.cache_refreshed(self.now, true);
         version
@@ -161,13 +161,13 @@
     }
 }
 
-fn sets(cas: &CompareAndSwap, key: &str) -> bool {
+fn puts_key(cas: &CompareAndSwap, key: &str) -> bool {
     cas.writes
         .iter()
         .any(|write| matches!(write, Write::Put { key: set, .. } if set == key))
 }
 
-fn end_at(n: usize, version: u64) -> Condition {
+fn final_state_condition(n: usize, version: u64) -> Condition {
     Condition {
         key: end_key(&id(n)),
         version,
@@ -201,12 +201,12 @@
             key: blocked_job_key(&id(3)),
             version: own_version,
         },
-        end_at(1, first),
-        end_at(2, second),
+        final_state_condition(1, first),
+        final_state_condition(2, second),
     ];
     assert_eq!(cas.conditions, wanted);
     assert!(
-        sets(&cas, &job_key(&id(3))) && !leader.core.cache.jobs.contains_key(&id(3)),
+        puts_key(&cas, &job_key(&id(3))) && !leader.core.cache.jobs.contains_key(&id(3)),
         "no placer knows the job before"
     );
     // The answer is lost: the same compare-and-swap is retried once the store was read.
@@ -246,7 +246,7 @@
             .0
             .expect("it may start")
             .conditions
-            .contains(&end_at(2, 42))
+            .contains(&final_state_condition(2, 42))
     );
 }
 
@@ -311,14 +311,14 @@
     for n in 0..MANY {
         leader.accept(&spec(n, &[]));
     }
-    let awaits: Vec<usize> = (0..MANY).collect();
-    leader.accept(&spec(MANY, &awaits));
+    let dependencies: Vec<usize> = (0..MANY).collect();
+    leader.accept(&spec(MANY, &dependencies));
     assert_eq!(
         leader
             .core
             .cache
             .dependencies(&id(MANY))
-            .map(|awaits| awaits.len()),
+            .map(|dependencies| dependencies.len()),
         Some(MANY)
     );
     let missing = dependency_page_key(&id(MANY), 3);
@@ -341,46 +341,46 @@
         leader
             .core
             .dependency_cas_completed(CompareAndSwapOutcome::Committed(revision), leader.now);
-        if sets(&cas, &job_key(&id(MANY))) {
+        if puts_key(&cas, &job_key(&id(MANY))) {
             break;
         }
     }
     let wanted: Vec<Condition> = versions
         .iter()
         .enumerate()
-        .map(|(n, version)| end_at(n, *version))
+        .map(|(n, version)| final_state_condition(n, *version))
         .collect();
     assert_eq!(confirmed, wanted, "each final state was confirmed once");
     // The pages of dependencies are obsolete and are deleted.
-    let gone = leader.next_work().0.expect("pages are removed");
-    assert!(gone.writes.contains(&Write::Delete { key: missing }));
+    let cleanup = leader.next_work().0.expect("pages are removed");
+    assert!(cleanup.writes.contains(&Write::Delete { key: missing }));
 }
 
 /// A job is placed with the highest priority of those that depend on it, directly or through
 /// others, for as long as they wait for it, and never with a lower one than its own.
 #[test]
 fn dependencies_inherit_the_priority_of_urgent_dependents() {
-    let rank = |n, awaits: &[usize], rank| JobSpec {
-        priority: rank,
-        ..spec(n, awaits)
+    let spec_with = |n, dependencies: &[usize], wanted_priority| JobSpec {
+        priority: wanted_priority,
+        ..spec(n, dependencies)
     };
     let mut leader = Leader::new();
-    leader.accept(&rank(1, &[], Priority::Low));
-    leader.accept(&rank(2, &[], Priority::Production));
-    leader.accept(&rank(3, &[1], Priority::Low));
-    let order = |leader: &mut Leader| {
+    leader.accept(&spec_with(1, &[], Priority::Low));
+    leader.accept(&spec_with(2, &[], Priority::Production));
+    leader.accept(&spec_with(3, &[1], Priority::Low));
+    let placed_priorities = |leader: &mut Leader| {
         leader.now += 1_000;
         leader.core.cache_refreshed(leader.now, false);
         leader.core.flush(leader.now);
         [1, 2].map(|n| leader.core.placed_priority(&id(n)))
     };
     assert_eq!(
-        order(&mut leader),
+        placed_priorities(&mut leader),
         [Some(Priority::Low), Some(Priority::Production)]
     );
-    leader.accept(&rank(4, &[3, 2], Priority::High));
+    leader.accept(&spec_with(4, &[3, 2], Priority::High));
     assert_eq!(
-        order(&mut leader),
+        placed_priorities(&mut leader),
         [Some(Priority::High), Some(Priority::Production)]
     );
     // The dependent job is cancelled.
@@ -391,7 +391,7 @@
         }],
     });
     assert_eq!(
-        order(&mut leader),
+        placed_priorities(&mut leader),
         [Some(Priority::Low), Some(Priority::Production)]
     );
 }
@@ -402,7 +402,7 @@
     let mut leader = Leader::new();
     leader.accept(&spec(1, &[]));
     leader.accept(&spec(2, &[1]));
-    let admit = |leader: &Leader, awaits: &[usize]| leader.core.admit_job(&spec(9, awaits), 1);
+    let admit = |leader: &Leader, numbers: &[usize]| leader.core.admit_job(&spec(9, numbers), 1);
     assert_eq!(
         admit(&leader, &[1, 7, 9]),
         DependencyAdmission::Unknown(vec![id(7), id(9)]),
@@ -412,25 +412,26 @@
         panic!("accepted")
     };
     assert!(
-        sets(cas_list.last().expect("one"), &blocked_job_key(&id(9)))
-            && cas_list.iter().all(|cas| !sets(cas, &job_key(&id(9))))
+        puts_key(cas_list.last().expect("one"), &blocked_job_key(&id(9)))
+            && cas_list.iter().all(|cas| !puts_key(cas, &job_key(&id(9))))
     );
     // Only the store shows whether the dependency is done, so the job waits nevertheless.
     leader.finish(1);
     let DependencyAdmission::Accept(cas_list, JobPhase::Queued) = admit(&leader, &[1]) else {
         panic!("accepted")
     };
-    assert!(sets(&cas_list[0], &blocked_job_key(&id(9))));
+    assert!(puts_key(&cas_list[0], &blocked_job_key(&id(9))));
     // A job that depends on a cancelled one, directly or not, is cancelled from the start.
     let mut leader = Leader::new();
     leader.accept(&spec(1, &[]));
     leader.accept(&spec(2, &[1]));
     leader.cancel(1);
-    for awaits in [[1], [2]] {
-        let DependencyAdmission::Accept(cas_list, JobPhase::Withdrawn) = admit(&leader, &awaits)
+    for dependencies in [[1], [2]] {
+        let DependencyAdmission::Accept(cas_list, JobPhase::Withdrawn) =
+            admit(&leader, &dependencies)
         else {
             panic!("cancelled")
         };
-        assert!(sets(&cas_list[0], &end_key(&id(9))));
+        assert!(puts_key(&cas_list[0], &end_key(&id(9))));
     }
 }
--- a/crates/coordination/tests/changes.rs
+++ b/crates/coordination/tests/changes.rs
@@ -25,15 +25,15 @@
 enum Step {
     Put(u8, u32),
     Remove(u8),
-    /// Send; the fate of the message: arrives now, is lost, or comes later.
-    Send(usize, Fate),
-    /// The receiver starts anew, as after a change of token.
+    /// Sends a message with at most this many changes; it arrives now, is lost, or arrives late.
+    Send(usize, Delivery),
+    /// The receiver restarts, as after a change of the fencing token.
     Restart,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Fate {
-    Arrives,
+enum Delivery {
+    Answered,
     AnswerLost,
     Lost,
     Late,
@@ -43,8 +43,8 @@
     prop_oneof![
         6 => (any::<u8>().prop_map(|k| k % 24), any::<u32>()).prop_map(|(k, v)| Step::Put(k, v % 5)),
         3 => any::<u8>().prop_map(|k| Step::Remove(k % 24)),
-        4 => (1..12usize, prop::sample::select(vec![Fate::Arrives, Fate::AnswerLost, Fate::Lost, Fate::Late]))
-            .prop_map(|(room, fate)| Step::Send(room, fate)),
+        4 => (1..12usize, prop::sample::select(vec![Delivery::Answered, Delivery::AnswerLost, Delivery::Lost, Delivery::Late]))
+            .prop_map(|(room, delivery)| Step::Send(room, delivery)),
         1 => Just(Step::Restart),
     ]
 }
@@ -56,51 +56,51 @@
 struct Receiver {
     token: u64,
     seq: u64,
-    at: u64,
+    revision: u64,
     state: BTreeMap<u8, u32>,
-    unnamed: Vec<u8>,
+    unconfirmed: Vec<u8>,
     complete: bool,
 }
 
 impl Receiver {
-    /// The state that it acknowledges; `None`: not taken.
-    fn take(&mut self, token: u64, (seq, span, changes): &Message) -> Option<u64> {
+    /// Applies a message and returns the revision to acknowledge; `None` if it is rejected.
+    fn apply(&mut self, token: u64, (seq, range, changes): &Message) -> Option<u64> {
         if token != self.token || *seq <= self.seq {
             return None;
         }
         self.seq = *seq;
-        match span.continues_from(self.at) {
+        match range.continues_from(self.revision) {
             None => return Some(0),
             Some(Continuation::Snapshot) => {
-                self.at = 0;
+                self.revision = 0;
                 self.complete = false;
-                self.unnamed = self.state.keys().copied().collect();
+                self.unconfirmed = self.state.keys().copied().collect();
             }
             Some(Continuation::Delta) => {}
         }
-        self.at = self.at.max(span.until);
+        self.revision = self.revision.max(range.until);
         for (key, value) in changes {
-            self.unnamed.retain(|k| k != key);
+            self.unconfirmed.retain(|k| k != key);
             match value {
                 Some(v) => drop(self.state.insert(*key, *v)),
                 None => drop(self.state.remove(key)),
             }
         }
-        if span.complete {
+        if range.complete {
             self.complete = true;
-            for key in std::mem::take(&mut self.unnamed) {
+            for key in std::mem::take(&mut self.unconfirmed) {
                 self.state.remove(&key);
             }
         }
-        Some(self.at)
+        Some(self.revision)
     }
 }
 
 fn message(log: &ChangeLog<u8, u32>, acked: u64, seq: u64, mut room: usize) -> Message {
-    let (span, changes) = log.changes_since(acked, &mut room, |_, _| 1);
+    let (range, changes) = log.changes_since(acked, &mut room, |_, _| 1);
     (
         seq,
-        span,
+        range,
         changes.into_iter().map(|(k, v)| (*k, v.copied())).collect(),
     )
 }
@@ -111,7 +111,7 @@
     /// Whatever messages are lost, late or repeated: a receiver that has received everything
     /// holds what the sender holds, and a complete one holds nothing that never existed.
     #[test]
-    fn follower_converges_to_the_reference_model(steps in prop::collection::vec(step(), 1..160)) {
+    fn receiver_converges_to_the_reference_model(steps in prop::collection::vec(step(), 1..160)) {
         let mut log: ChangeLog<u8, u32> = ChangeLog::default();
         let mut model: BTreeMap<u8, u32> = BTreeMap::new();
         let (mut acked, mut seq, mut token) = (0, 0, 1);
@@ -136,20 +136,20 @@
                     receiver = Receiver { token, state: std::mem::take(&mut receiver.state), ..Receiver::default() };
                     acked = 0;
                 }
-                Step::Send(room, fate) => {
+                Step::Send(room, delivery) => {
                     seq += 1;
                     let m = message(&log, acked, seq, room);
                     prop_assert!(m.2.len() <= room);
-                    match fate {
-                        Fate::Lost => {}
-                        Fate::Late => late.push((token, m)),
-                        Fate::Arrives | Fate::AnswerLost => {
-                            let at = receiver.take(token, &m);
-                            if let (Some(at), Fate::Arrives) = (at, fate) {
+                    match delivery {
+                        Delivery::Lost => {}
+                        Delivery::Late => late.push((token, m)),
+                        Delivery::Answered | Delivery::AnswerLost => {
+                            let at = receiver.apply(token, &m);
+                            if let (Some(at), Delivery::Answered) = (at, delivery) {
                                 answer(&mut acked, &mut log, at);
                             }
                             if let Some((t, old)) = late.pop() {
-                                prop_assert_eq!(receiver.take(t, &old), None, "a late message is dropped");
+                                prop_assert_eq!(receiver.apply(t, &old), None, "a late message is dropped");
                             }
                         }
                     }
@@ -160,7 +160,7 @@
             seq += 1;
             let m = message(&log, acked, seq, 5);
             let last = m.1.complete;
-            let at = receiver.take(token, &m).expect("taken");
+            let at = receiver.apply(token, &m).expect("message accepted");
             answer(&mut acked, &mut log, at);
             if last && receiver.complete && at == log.last() {
                 break;
@@ -193,17 +193,17 @@
                 ROOM,
                 20,
             )
-            .expect("taken");
+            .expect("sync accepted");
         assert_eq!(first.machines.len(), machines);
         assert!(owner.due_calls(20, ROOM).is_empty());
-        let span = ChangeRange {
+        let range = ChangeRange {
             since: 0,
             until: 1,
             complete: true,
         };
         let view = owner
-            .sync(&sync(2, span, vec![want(0, 3)], have(&first)), ROOM, 30)
-            .expect("taken");
+            .sync(&sync(2, range, vec![want(0, 3)], have(&first)), ROOM, 30)
+            .expect("sync accepted");
         assert_eq!(
             (view.machines.len(), view.attempts.len()),
             (1, 1),
@@ -228,7 +228,7 @@
                 ROOM,
                 50,
             )
-            .expect("taken");
+            .expect("sync accepted");
         assert_eq!((quiet.machines.len(), quiet.attempts.len()), (0, 0));
     }
 }
@@ -253,7 +253,7 @@
             ROOM,
             20,
         )
-        .expect("taken");
+        .expect("sync accepted");
     assert_eq!(owner.due_calls(20, ROOM).len(), 2);
     for n in 0..2 {
         assert!(
@@ -269,7 +269,7 @@
                 .is_some()
         );
     }
-    let mut piece = sync(
+    let mut partial_message = sync(
         2,
         ChangeRange {
             since: 2,
@@ -280,7 +280,7 @@
         ObservedState::default(),
     );
     // A stop of this placer's attempt, and one of an attempt that it does not have.
-    piece.stops = vec![
+    partial_message.stops = vec![
         (want(1, 1).id, 0),
         (
             AttemptId {
@@ -290,7 +290,9 @@
             0,
         ),
     ];
-    owner.sync(&piece, ROOM, 40).expect("taken");
+    owner
+        .sync(&partial_message, ROOM, 40)
+        .expect("sync accepted");
     let reply = owner
         .handle_heartbeat(
             &Heartbeat {
@@ -324,7 +326,7 @@
     let mut owner = fleet(300);
     let mut at = ObservedState::default();
     let mut seen = BTreeMap::new();
-    let mut pieces = 0;
+    let mut parts = 0;
     for seq in 1..100 {
         let view = owner
             .sync(
@@ -341,12 +343,12 @@
                 8 * 1024,
                 20,
             )
-            .expect("taken");
+            .expect("sync accepted");
         assert!(
             lemonweir_protocol::peer::encode(&view).len() < 9 * 1024,
             "a message keeps to its byte budget"
         );
-        pieces += 1;
+        parts += 1;
         at = have(&view);
         seen.extend(view.machines.iter().map(|m| (m.id.clone(), m.free)));
         if view.machines_range.complete {
@@ -354,7 +356,7 @@
         }
     }
     assert_eq!(seen.len(), 300);
-    assert!(pieces > 3);
+    assert!(parts > 3);
 }
 
 /// The record of cached images was cut off after some thirty machines, and after a restart tasks
@@ -386,7 +388,7 @@
             ROOM,
             20,
         )
-        .expect("taken");
+        .expect("sync accepted");
     for n in 0..MACHINES {
         assert!(
             owner
@@ -450,7 +452,7 @@
         ObservedState::default(),
     );
     first.to_fencing_token = TOKEN + 1;
-    let view = next.sync(&first, ROOM, 50).expect("taken");
+    let view = next.sync(&first, ROOM, 50).expect("sync accepted");
     assert_eq!(view.machines.len(), MACHINES);
     for m in &view.machines {
         let n: usize = m.id.as_str()[2..].parse().expect("number");
@@ -469,17 +471,18 @@
     let machine = |gpus: u64| shown(0, gpus);
     let mut revision = 1;
     // Applies a view, lets the placer place and write, and returns its attempts.
-    let mut tell = |machines: Vec<MachineView>, span: ChangeRange, attempts: Vec<AttemptStatus>| {
-        let seq = placer.sync_request(0, TOKEN, ROOM, false, 0).seq;
-        placer.apply_view(view(seq, span, machines, attempts), 0);
-        placer.run_placement_pass(0);
-        while placer.next_cas(0).is_some() {
-            revision += 1;
-            placer.apply_cas_outcome(CompareAndSwapOutcome::Committed(revision), 0);
-        }
-        placer.sync_request(0, TOKEN, ROOM, false, 0).desired
-    };
-    let first = tell(
+    let mut apply_view_and_place =
+        |machines: Vec<MachineView>, range: ChangeRange, attempts: Vec<AttemptStatus>| {
+            let seq = placer.sync_request(0, TOKEN, ROOM, false, 0).seq;
+            placer.apply_view(view(seq, range, machines, attempts), 0);
+            placer.run_placement_pass(0);
+            while placer.next_cas(0).is_some() {
+                revision += 1;
+                placer.apply_cas_outcome(CompareAndSwapOutcome::Committed(revision), 0);
+            }
+            placer.sync_request(0, TOKEN, ROOM, false, 0).desired
+        };
+    let first = apply_view_and_place(
         vec![machine(4)],
         ChangeRange {
             since: 0,
@@ -498,7 +501,7 @@
         .collect();
     // The attempts are accepted; the free resources of their machine are not published yet.
     assert_eq!(
-        tell(
+        apply_view_and_place(
             Vec::new(),
             ChangeRange {
                 since: 1,
@@ -511,7 +514,7 @@
         4
     );
     assert_eq!(
-        tell(
+        apply_view_and_place(
             vec![machine(0)],
             ChangeRange {
                 since: 1,
@@ -525,7 +528,7 @@
     );
     // An attempt of another placer has ended.
     assert_eq!(
-        tell(
+        apply_view_and_place(
             vec![machine(1)],
             ChangeRange {
                 since: 2,
@@ -553,7 +556,7 @@
         age_s: 90.0,
     };
     let mut seq = 0;
-    let mut open = |owner: &mut Owner| {
+    let mut is_schedulable = |owner: &mut Owner| {
         seq += 1;
         let view = owner
             .sync(
@@ -570,7 +573,7 @@
                 ROOM,
                 20,
             )
-            .expect("taken");
+            .expect("sync accepted");
         view.machines
             .iter()
             .find(|m| m.id == machine(5))
@@ -578,20 +581,24 @@
     };
     owner.apply_inventory(&[entry("starting")], 1_000);
     owner.tick(30_000, 30_000);
-    assert_eq!(open(&mut owner), Some(true), "it boots");
+    assert_eq!(is_schedulable(&mut owner), Some(true), "it boots");
     owner.apply_inventory(&[entry("running")], 30_000);
     owner.tick(31_000, 31_000);
-    assert_eq!(open(&mut owner), Some(true), "it may just have booted");
+    assert_eq!(
+        is_schedulable(&mut owner),
+        Some(true),
+        "it may just have booted"
+    );
     (31_000..45_000)
         .step_by(500)
         .for_each(|now| owner.tick(now, now));
-    assert_eq!(open(&mut owner), Some(false));
+    assert_eq!(is_schedulable(&mut owner), Some(false));
     assert!(
         owner
             .handle_heartbeat(&report(5, 1), None, 46_000)
             .is_some()
     );
-    assert_eq!(open(&mut owner), Some(true), "it was only late");
+    assert_eq!(is_schedulable(&mut owner), Some(true), "it was only late");
 }
 
 #[test]
@@ -608,7 +615,7 @@
             ROOM,
             20,
         )
-        .expect("taken");
+        .expect("sync accepted");
     assert!(owner.due_calls(20, ROOM).len() == 1);
     // A late message, one with another token, and one from an unknown shard.
     assert_eq!(
@@ -632,7 +639,7 @@
     );
     // A gap, and a range that ends before it begins: a full state is requested, and the attempt
     // is kept.
-    for (seq, span) in [
+    for (seq, range) in [
         (
             6,
             ChangeRange {
@@ -652,7 +659,7 @@
     ] {
         let view = owner
             .sync(
-                &sync(seq, span, vec![want(1, 2)], ObservedState::default()),
+                &sync(seq, range, vec![want(1, 2)], ObservedState::default()),
                 ROOM,
                 22,
             )
--- a/crates/coordination/tests/elections.rs
+++ b/crates/coordination/tests/elections.rs
@@ -77,7 +77,7 @@
 }
 
 /// Refreshes the cache with these changes; the refresh began at `now`.
-fn read(core: &mut Core, changes: &[WatchEvent], revision: u64, now: u64) {
+fn refresh(core: &mut Core, changes: &[WatchEvent], revision: u64, now: u64) {
     core.cache.apply_changes(changes, revision, now);
     core.cache_refreshed(now, true);
 }
@@ -85,7 +85,7 @@
 /// The controller with this number, which has read that it and the two others are alive.
 fn with_live_peers(me: u16) -> Core {
     let mut core = core(me);
-    read(
+    refresh(
         &mut core,
         &[alive(0, 1), alive(1, 2), alive(2, 3)],
         3,
@@ -94,9 +94,9 @@
     core
 }
 
-fn leads(core: &mut Core, shard: u16, token: u64, now: u64) {
+fn make_leader(core: &mut Core, shard: u16, token: u64, now: u64) {
     let me = core.config.own_index;
-    read(core, &[acquired(shard, me, token)], token, now);
+    refresh(core, &[acquired(shard, me, token)], token, now);
     core.acquire(ShardLease { shard, token }, &[], Vec::new(), now);
 }
 
@@ -108,10 +108,10 @@
 /// first host regained it. The leader's host is unchanged, but what the controller remembers of the
 /// shard is from before the other leader.
 #[test]
-fn leader_that_lost_and_regained_its_shard_within_one_reading_reloads_it() {
+fn leader_that_lost_and_regained_its_shard_within_one_refresh_reloads_it() {
     let mut core = with_live_peers(0);
-    leads(&mut core, 0, 10, 2_000);
-    read(
+    make_leader(&mut core, 0, 10, 2_000);
+    refresh(
         &mut core,
         &[
             released(0, 20),
@@ -131,7 +131,7 @@
         })
     );
     // An acquisition by an earlier incarnation does not count as its own either.
-    read(&mut core, &[acquired(0, 0, 30)], 30, 3_200);
+    refresh(&mut core, &[acquired(0, 0, 30)], 30, 3_200);
     core.acquire(
         ShardLease {
             shard: 0,
@@ -154,9 +154,9 @@
 /// An earlier process of the host acquires a shard late that is not its home shard: the new process
 /// acquires it with a token of its own, and returns it to its home controller.
 #[test]
-fn late_acquisition_of_an_earlier_incarnation_is_taken_over_and_returned_to_its_home() {
+fn late_acquisition_by_an_earlier_incarnation_is_replaced_and_returned_to_its_home() {
     let mut core = with_live_peers(1);
-    read(&mut core, &[acquired(0, 1, 12)], 12, 2_000);
+    refresh(&mut core, &[acquired(0, 1, 12)], 12, 2_000);
     assert_eq!(
         core.leases(),
         Vec::new(),
@@ -170,7 +170,7 @@
             version: 12
         })
     );
-    leads(&mut core, 0, 13, 2_200);
+    make_leader(&mut core, 0, 13, 2_200);
     assert_eq!(
         election.next_action(&core, 0, 2_300),
         Some(ElectionAction::ReturnToHome(ShardLease {
@@ -185,20 +185,20 @@
 #[test]
 fn controller_that_restarts_alone_acquires_the_others_shards_after_lease_expiry() {
     let mut core = with_live_peers(1);
-    read(
+    refresh(
         &mut core,
         &[acquired(0, 0, 10), acquired(1, 1, 11), acquired(2, 2, 12)],
         12,
         2_000,
     );
     let mut election = election();
-    let claims = |election: &mut LeaderElection, core: &Core, now| {
+    let next_actions = |election: &mut LeaderElection, core: &Core, now| {
         (0..HOSTS)
             .map(|p| election.next_action(core, p, now))
             .collect::<Vec<_>>()
     };
     assert_eq!(
-        claims(&mut election, &core, 2_000),
+        next_actions(&mut election, &core, 2_000),
         [
             None,
             Some(ElectionAction::Acquire {
@@ -208,27 +208,27 @@
             None
         ]
     );
-    leads(&mut core, 1, 13, 2_100);
+    make_leader(&mut core, 1, 13, 2_100);
     let ended = |host: u16, version| WatchEvent {
         set: None,
         drop: Some(controller_key(&format!("h{host}"))),
         value: None,
         version,
     };
-    read(
+    refresh(
         &mut core,
         &[released(0, 14), ended(0, 14), released(2, 15), ended(2, 15)],
         15,
         9_000,
     );
     assert_eq!(
-        claims(&mut election, &core, 9_000),
+        next_actions(&mut election, &core, 9_000),
         [None, None, None],
         "their home controllers go first"
     );
     let later = 9_000 + FAILOVER_WAIT_MS + ELECTION_STAGGER_MS * u64::from(HOSTS);
     assert_eq!(
-        claims(&mut election, &core, later),
+        next_actions(&mut election, &core, later),
         [
             Some(ElectionAction::Acquire {
                 shard: 0,
@@ -271,10 +271,10 @@
 /// A peer names a leader that the cache does not show yet; the next refresh then shows an earlier
 /// one. A superseded leader must not be taken for the leader again.
 #[test]
-fn superseding_leader_outlasts_an_older_reading() {
+fn superseding_leader_outlasts_an_older_refresh() {
     let mut core = with_live_peers(1);
-    leads(&mut core, 1, 10, 2_000);
-    read(&mut core, &[acquired(0, 0, 11)], 11, 2_100);
+    make_leader(&mut core, 1, 10, 2_000);
+    refresh(&mut core, &[acquired(0, 0, 11)], 11, 2_100);
     core.handle_superseded(
         Superseded {
             version: PEER_VERSION,
@@ -284,11 +284,11 @@
         },
         2_200,
     );
-    read(&mut core, &[released(0, 20), acquired(0, 0, 30)], 31, 2_300);
+    refresh(&mut core, &[released(0, 20), acquired(0, 0, 30)], 31, 2_300);
     assert!(
         matches!(core.handle_sync(&sync(0, 30, 1, 10), 2_400), Err(SyncError::Superseded(by)) if by.fencing_token == 50)
     );
-    read(&mut core, &[released(0, 40)], 41, 2_500);
+    refresh(&mut core, &[released(0, 40)], 41, 2_500);
     assert!(
         matches!(core.handle_sync(&sync(0, 30, 1, 10), 2_600), Err(SyncError::Superseded(by)) if by.fencing_token == 50)
     );
@@ -300,7 +300,7 @@
 #[test]
 fn superseded_leader_does_not_lead_again_by_its_earlier_acquisition() {
     let mut core = with_live_peers(0);
-    leads(&mut core, 0, 10, 2_000);
+    make_leader(&mut core, 0, 10, 2_000);
     core.handle_superseded(
         Superseded {
             version: PEER_VERSION,
@@ -311,7 +311,7 @@
         2_100,
     );
     assert_eq!(core.leases(), Vec::new());
-    read(&mut core, &[released(0, 20), acquired(0, 0, 30)], 31, 2_200);
+    refresh(&mut core, &[released(0, 20), acquired(0, 0, 30)], 31, 2_200);
     assert_eq!(election().next_action(&core, 0, 2_300), None);
     // A late notice of an earlier leader changes nothing.
     core.handle_superseded(
@@ -332,7 +332,7 @@
 /// The pages of a full read are from different revisions: a shard that was acquired after the first
 /// page is not judged by it, and one that was lost before is released.
 #[test]
-fn full_reading_judges_only_older_leases() {
+fn full_read_releases_only_leases_older_than_its_first_page() {
     let entry = |shard: u16, host: u16, version| KeyValue {
         key: shard_key(shard),
         value: to_value(&ShardRecord {
@@ -341,8 +341,8 @@
         version,
     };
     let mut core = with_live_peers(0);
-    leads(&mut core, 0, 10, 2_000);
-    leads(&mut core, 1, 110, 2_100);
+    make_leader(&mut core, 0, 10, 2_000);
+    make_leader(&mut core, 1, 110, 2_100);
     // The first page is of revision 100; the page of the shards is from before shard 1 was
     // acquired.
     core.cache
@@ -355,7 +355,7 @@
             token: 110
         }]
     );
-    read(
+    refresh(
         &mut core,
         &[released(1, 105), acquired(1, 0, 110)],
         111,
@@ -375,8 +375,8 @@
 #[test]
 fn retried_cession_counts_once() {
     let mut core = with_live_peers(0);
-    leads(&mut core, 0, 10, 2_000);
-    let ours = |n: &u32| {
+    make_leader(&mut core, 0, 10, 2_000);
+    let is_in_shard_0 = |n: &u32| {
         core.config
             .shard_of("north", &format!("n-{n:06}").as_str().into())
             == 0
@@ -384,7 +384,7 @@
     let heartbeat = Heartbeat {
         machine: format!(
             "n-{:06}",
-            (0..400).find(ours).expect("a machine of shard 0")
+            (0..400).find(is_in_shard_0).expect("a machine of shard 0")
         )
         .as_str()
         .into(),
@@ -400,44 +400,56 @@
     };
     core.handle_relayed_heartbeat(&heartbeat, 1, 2_100);
     let mut election = election();
-    let since = 2_100 + RELAYED_SHARD_TIMEOUT_MS + 1;
-    read(&mut core, &[alive(0, 11)], 11, since);
-    for again in 0..5 {
+    let ceded_at = 2_100 + RELAYED_SHARD_TIMEOUT_MS + 1;
+    refresh(&mut core, &[alive(0, 11)], 11, ceded_at);
+    for retry in 0..5 {
         assert_eq!(
-            election.next_action(&core, 0, since + 1_700 * again),
+            election.next_action(&core, 0, ceded_at + 1_700 * retry),
             Some(ElectionAction::Cede(ShardLease {
                 shard: 0,
                 token: 10
             }))
         );
     }
-    core.release(0, since + 8_000);
-    assert!(election.ceded(&core, since + 8_000).contains(&0));
+    core.release(0, ceded_at + 8_000);
+    assert!(election.ceded(&core, ceded_at + 8_000).contains(&0));
     assert_eq!(
-        election.ceded(&core, since + 8_000 + CEDE_MS),
+        election.ceded(&core, ceded_at + 8_000 + CEDE_MS),
         Vec::<u16>::new()
     );
     // The next time it cedes the shard for twice as long.
-    read(&mut core, &[released(0, 12)], 12, since + 10_000 + CEDE_MS);
-    leads(&mut core, 0, 20, since + 10_000 + CEDE_MS);
+    refresh(
+        &mut core,
+        &[released(0, 12)],
+        12,
+        ceded_at + 10_000 + CEDE_MS,
+    );
+    make_leader(&mut core, 0, 20, ceded_at + 10_000 + CEDE_MS);
     core.handle_relayed_heartbeat(
         &Heartbeat {
             sequence: 2,
             ..heartbeat
         },
         1,
-        since + 10_000 + CEDE_MS,
+        ceded_at + 10_000 + CEDE_MS,
     );
-    let anew = since + 10_000 + CEDE_MS + RELAYED_SHARD_TIMEOUT_MS + 1;
-    read(&mut core, &[alive(0, 21)], 21, anew);
+    let ceded_again_at = ceded_at + 10_000 + CEDE_MS + RELAYED_SHARD_TIMEOUT_MS + 1;
+    refresh(&mut core, &[alive(0, 21)], 21, ceded_again_at);
     assert_eq!(
-        election.next_action(&core, 0, anew),
+        election.next_action(&core, 0, ceded_again_at),
         Some(ElectionAction::Cede(ShardLease {
             shard: 0,
             token: 20
         }))
     );
-    core.release(0, anew);
-    assert!(election.ceded(&core, anew + 2 * CEDE_MS - 1).contains(&0));
-    assert_eq!(election.ceded(&core, anew + 2 * CEDE_MS), Vec::<u16>::new());
+    core.release(0, ceded_again_at);
+    assert!(
+        election
+            .ceded(&core, ceded_again_at + 2 * CEDE_MS - 1)
+            .contains(&0)
+    );
+    assert_eq!(
+        election.ceded(&core, ceded_again_at + 2 * CEDE_MS),
+        Vec::<u16>::new()
+    );
 }
--- a/crates/coordination/tests/evidence.rs
+++ b/crates/coordination/tests/evidence.rs
@@ -17,11 +17,11 @@
 
 const MACHINES: usize = 40;
 /// Fencing token of the successor.
-const NEXT: u64 = TOKEN + 1;
+const SUCCESSOR_TOKEN: u64 = TOKEN + 1;
 /// Interval between reads of the provider's inventory, ms.
-const LIST_MS: u64 = 4_000;
+const INVENTORY_INTERVAL_MS: u64 = 4_000;
 
-fn entry(n: usize) -> InstanceEntry {
+fn inventory_entry(n: usize) -> InstanceEntry {
     InstanceEntry {
         id: machine(n),
         machine_type: "box".into(),
@@ -46,14 +46,14 @@
     /// Whether the store answers.
     store_answers: bool,
     /// Machines whose first incarnation has sent a heartbeat.
-    first_session_seen: BTreeSet<usize>,
+    first_incarnation_seen: BTreeSet<usize>,
 }
 
 impl Scenario {
     fn new(provider_answers: bool) -> Self {
         let mut owner = Owner::new(
             0,
-            NEXT,
+            SUCCESSOR_TOKEN,
             1,
             TIMING,
             lemonweir_policy::embedded().expect("policy"),
@@ -69,7 +69,7 @@
             have: ObservedState::default(),
             provider_answers,
             store_answers: true,
-            first_session_seen: BTreeSet::new(),
+            first_incarnation_seen: BTreeSet::new(),
         };
         let wants = (0..MACHINES).map(|n| want(n as u32, n)).collect();
         scenario.sync_placer(
@@ -85,13 +85,13 @@
 
     fn sync_placer(
         &mut self,
-        span: ChangeRange,
+        range: ChangeRange,
         wants: Vec<lemonweir_protocol::peer::DesiredAttempt>,
     ) -> ShardView {
         self.seq += 1;
         let message = lemonweir_protocol::peer::SyncRequest {
-            to_fencing_token: NEXT,
-            ..sync(self.seq, span, wants, self.have)
+            to_fencing_token: SUCCESSOR_TOKEN,
+            ..sync(self.seq, range, wants, self.have)
         };
         let view = self
             .owner
@@ -110,39 +110,40 @@
 
     /// True once every lease that an earlier owner renewed has expired: the machines are in
     /// another incarnation then, without tasks.
-    fn leases_are_over(&self) -> bool {
+    fn earlier_leases_expired(&self) -> bool {
         self.now > MAX_STORE_OUTAGE_GRACE_MS + TIMING.lease_ms
     }
 
     /// Advances the time to `until`; machines for which `reachable` holds send a heartbeat
     /// every 3 s.
-    fn pass(&mut self, until: u64, reports: impl Fn(usize) -> bool) {
+    fn advance_to(&mut self, until: u64, reachable: impl Fn(usize) -> bool) {
         while self.now < until {
             self.now += 100;
-            if self.provider_answers && self.now.is_multiple_of(LIST_MS) {
-                let all: Vec<InstanceEntry> = (0..MACHINES).map(entry).collect();
+            if self.provider_answers && self.now.is_multiple_of(INVENTORY_INTERVAL_MS) {
+                let all: Vec<InstanceEntry> = (0..MACHINES).map(inventory_entry).collect();
                 self.owner.apply_inventory(&all, self.now);
             }
             if self.now.is_multiple_of(TIMING.heartbeat_interval_ms) {
-                for n in (0..MACHINES).filter(|&n| reports(n)) {
-                    let kept = self.first_session_seen.contains(&n) || !self.leases_are_over();
-                    if kept {
-                        self.first_session_seen.insert(n);
+                for n in (0..MACHINES).filter(|&n| reachable(n)) {
+                    let in_first_incarnation =
+                        self.first_incarnation_seen.contains(&n) || !self.earlier_leases_expired();
+                    if in_first_incarnation {
+                        self.first_incarnation_seen.insert(n);
                     }
-                    let tasks = if kept {
+                    let tasks = if in_first_incarnation {
                         vec![running_task(n)]
                     } else {
                         Vec::new()
                     };
-                    let session = if kept { 1 } else { 2 };
-                    let said = Heartbeat {
+                    let machine_incarnation = if in_first_incarnation { 1 } else { 2 };
+                    let heartbeat = Heartbeat {
                         sequence: self.now,
-                        fencing_token: NEXT << MACHINE_TOKEN_BITS,
-                        incarnation: session,
+                        fencing_token: SUCCESSOR_TOKEN << MACHINE_TOKEN_BITS,
+                        incarnation: machine_incarnation,
                         tasks,
                         ..report(n, 0)
                     };
-                    self.owner.handle_heartbeat(&said, None, self.now);
+                    self.owner.handle_heartbeat(&heartbeat, None, self.now);
                 }
             }
             let store_answer_at = if self.store_answers { self.now } else { 0 };
@@ -177,17 +178,17 @@
 /// registered, 14 s before the partition healed.
 #[test]
 fn reconnected_zone_keeps_its_machines() {
-    for cut_ms in [20_000, 45_000, 60_000, 95_000] {
+    for partition_ms in [20_000, 45_000, 60_000, 95_000] {
         let mut scenario = Scenario::new(true);
-        scenario.pass(cut_ms, nobody);
+        scenario.advance_to(partition_ms, nobody);
         // Half of the machines reconnect 12 s before the rest.
-        scenario.pass(cut_ms + 12_000, |n| n % 2 == 0);
-        scenario.pass(cut_ms + 16_000, all);
-        if !scenario.leases_are_over() {
-            scenario.pass(cut_ms + 60_000, all);
+        scenario.advance_to(partition_ms + 12_000, |n| n % 2 == 0);
+        scenario.advance_to(partition_ms + 16_000, all);
+        if !scenario.earlier_leases_expired() {
+            scenario.advance_to(partition_ms + 60_000, all);
             assert_eq!(scenario.ended, None, "running attempts are kept");
         }
-        assert_eq!(scenario.released, [], "a cut of {cut_ms} ms");
+        assert_eq!(scenario.released, [], "a partition of {partition_ms} ms");
     }
 }
 
@@ -195,8 +196,8 @@
 #[test]
 fn partitioned_zone_is_waited_for_without_the_inventory() {
     let mut scenario = Scenario::new(false);
-    scenario.pass(45_000, nobody);
-    scenario.pass(100_000, all);
+    scenario.advance_to(45_000, nobody);
+    scenario.advance_to(100_000, all);
     assert_eq!(scenario.released, []);
 }
 
@@ -205,19 +206,19 @@
 #[test]
 fn machines_of_a_lasting_partition_are_released_after_a_bounded_time() {
     let mut scenario = Scenario::new(true);
-    scenario.pass(400_000, nobody);
+    scenario.advance_to(400_000, nobody);
     assert_eq!(scenario.released.len(), MACHINES);
     let (first, last) = (scenario.released[0].0, scenario.released[MACHINES - 1].0);
-    let over = MAX_STORE_OUTAGE_GRACE_MS + TIMING.lease_ms;
+    let leases_expired_at = MAX_STORE_OUTAGE_GRACE_MS + TIMING.lease_ms;
     assert!(
-        first > over + 2 * 20_000,
-        "it may run on behind the cut, and costs a boot each: {first} ms"
+        first > leases_expired_at + 2 * 20_000,
+        "tasks may run on behind the partition, and each machine costs a boot: {first} ms"
     );
-    assert!(last < over + 3 * 20_000, "{last} ms");
+    assert!(last < leases_expired_at + 3 * 20_000, "{last} ms");
 
     let mut scenario = Scenario::new(true);
-    scenario.pass(first - 1_000, nobody);
-    scenario.pass(first + 10_000, all);
+    scenario.advance_to(first - 1_000, nobody);
+    scenario.advance_to(first + 10_000, all);
     assert_eq!(scenario.released, []);
 }
 
@@ -226,7 +227,7 @@
 #[test]
 fn few_silent_machines_are_released_individually() {
     let mut scenario = Scenario::new(true);
-    scenario.pass(100_000, |n| n > 1);
+    scenario.advance_to(100_000, |n| n > 1);
     let names: Vec<&MachineId> = scenario.released.iter().map(|(_, id)| id).collect();
     assert_eq!(names, [&machine(0), &machine(1)]);
     assert!(
@@ -244,11 +245,11 @@
 #[test]
 fn inherited_attempts_end_once_all_earlier_leases_expired() {
     let mut scenario = Scenario::new(true);
-    scenario.pass(110_000, nobody);
+    scenario.advance_to(110_000, nobody);
     let drifted = |ms: u64| ms + ms * CLOCK_DRIFT_PER_MILLE / 1_000;
     let least = drifted(MAX_STORE_OUTAGE_GRACE_MS) + drifted(TIMING.lease_ms) + LEASE_MARGIN_MS;
-    let (at, standing) = scenario.ended.expect("ended");
-    assert_eq!(standing, AttemptState::Gone);
+    let (at, state) = scenario.ended.expect("ended");
+    assert_eq!(state, AttemptState::Gone);
     assert!(
         (least..least + 300).contains(&at),
         "at {at} ms, least {least} ms"
@@ -260,8 +261,8 @@
     );
 
     let mut scenario = Scenario::new(true);
-    scenario.pass(60_000, nobody);
-    scenario.pass(110_000, all);
+    scenario.advance_to(60_000, nobody);
+    scenario.advance_to(110_000, all);
     assert_eq!(scenario.ended, None, "it continues to run");
 }
 
@@ -270,20 +271,20 @@
 #[test]
 fn no_inherited_lease_expires_without_a_later_store_answer() {
     let mut scenario = Scenario::new(true);
-    scenario.pass(12_000, all);
+    scenario.advance_to(12_000, all);
     scenario.store_answers = false;
-    scenario.pass(110_000, nobody);
+    scenario.advance_to(110_000, nobody);
     assert_eq!(
         scenario.ended, None,
         "another owner may have renewed their leases meanwhile"
     );
     scenario.store_answers = true;
-    scenario.pass(110_200, nobody);
+    scenario.advance_to(110_200, nobody);
     assert_eq!(scenario.ended, Some((110_100, AttemptState::Gone)));
 
     let mut scenario = Scenario::new(true);
     scenario.store_answers = false;
-    scenario.pass(110_000, nobody);
+    scenario.advance_to(110_000, nobody);
     assert_eq!(
         scenario.ended, None,
         "the same holds for leases that earlier owners renewed"
@@ -294,7 +295,7 @@
 #[test]
 fn partitioned_zones_are_published() {
     let mut scenario = Scenario::new(true);
-    scenario.pass(30_000, nobody);
+    scenario.advance_to(30_000, nobody);
     let view = scenario.sync_placer(
         ChangeRange {
             since: 40,
@@ -315,7 +316,7 @@
         (40_000..60_000).contains(&zone.presumed_lost_in_ms),
         "{zone:?}"
     );
-    scenario.pass(40_000, all);
+    scenario.advance_to(40_000, all);
     assert_eq!(
         scenario
             .sync_placer(
@@ -335,10 +336,10 @@
 /// seconds of its return.
 #[test]
 fn machines_running_before_failover_are_not_released_at_once() {
-    let first_given_back = |ran: bool| {
+    let first_release_at = |ran: bool| {
         let mut owner = Owner::new(
             0,
-            NEXT,
+            SUCCESSOR_TOKEN,
             1,
             TIMING,
             lemonweir_policy::embedded().expect("policy"),
@@ -347,26 +348,26 @@
         owner.set_types([kind()].iter());
         if ran {
             // The provider's inventory shows that they ran before this owner came.
-            owner.apply_inventory(&(0..MACHINES).map(entry).collect::<Vec<_>>(), 50);
+            owner.apply_inventory(&(0..MACHINES).map(inventory_entry).collect::<Vec<_>>(), 50);
         }
         (1..700u64).map(|n| n * 100).find(|&now| {
             if now % 3_000 == 200 {
                 for n in 0..MACHINES {
-                    let said = Heartbeat {
-                        fencing_token: NEXT << MACHINE_TOKEN_BITS,
+                    let heartbeat = Heartbeat {
+                        fencing_token: SUCCESSOR_TOKEN << MACHINE_TOKEN_BITS,
                         ..report(n, now)
                     };
-                    assert!(owner.handle_heartbeat(&said, None, now).is_some());
+                    assert!(owner.handle_heartbeat(&heartbeat, None, now).is_some());
                 }
             }
             owner.tick(now, now);
             !owner.next_releases().is_empty()
         })
     };
-    let (late, soon) = (first_given_back(true), first_given_back(false));
+    let (late, soon) = (first_release_at(true), first_release_at(false));
     assert!(late.is_some_and(|at| at >= ZONE_RECOVERY_MS), "{late:?}");
     assert!(
         soon.is_some_and(|at| at < ZONE_RECOVERY_MS),
-        "machines that are new are kept as briefly as before: {soon:?}"
+        "new machines are kept no longer than usual: {soon:?}"
     );
 }
--- a/crates/coordination/tests/fault_attribution.rs
+++ b/crates/coordination/tests/fault_attribution.rs
@@ -18,8 +18,9 @@
 struct Event {
     job: usize,
     machine: usize,
-    /// A run that began so long before went well; `None`: it failed.
+    /// Duration of a successful run, ms; `None` if it failed.
     ran_for: Option<u64>,
+    /// Time since the previous event, ms.
     gap: u64,
 }
 
@@ -66,10 +67,10 @@
     /// A suspected job's number of machines that successful runs of other jobs vouch for; `None`
     /// if the job is not suspected. Only failures after its last success count, one per machine.
     fn suspect(&self, job: usize) -> Option<u32> {
-        let cleared = self.runs().filter(|r| r.0 == job).map(|r| r.3).max();
+        let last_success = self.runs().filter(|r| r.0 == job).map(|r| r.3).max();
         let since = || {
             self.failures()
-                .filter(|f| f.0 == job && cleared.is_none_or(|c| f.3 > c))
+                .filter(|f| f.0 == job && last_success.is_none_or(|c| f.3 > c))
         };
         let last = |machine: usize| since().filter(|f| f.1 == machine).map(|f| f.2).max();
         let failed: Vec<(usize, u64)> = (0..MACHINES).filter_map(|m| Some((m, last(m)?))).collect();
@@ -144,8 +145,8 @@
             for (n, (before, after)) in before.into_iter().zip(all(&real)).enumerate() {
                 prop_assert_eq!(after.0, reference.suspect(n), "job {}", n);
                 prop_assert_eq!(after.1, reference.verdict(n), "machine {}", n);
-                prop_assert!(before.0 == after.0 || touched.jobs.contains(&job(n)), "job {} was not told", n);
-                prop_assert!(before.1 == after.1 || touched.machines.contains(&support::machine(n)), "machine {} was not told", n);
+                prop_assert!(before.0 == after.0 || touched.jobs.contains(&job(n)), "job {} changed but was not reported", n);
+                prop_assert!(before.1 == after.1 || touched.machines.contains(&support::machine(n)), "machine {} changed but was not reported", n);
             }
         }
     }
--- a/crates/coordination/tests/image_locality.rs
+++ b/crates/coordination/tests/image_locality.rs
@@ -353,25 +353,25 @@
 /// resources. The score is as coarse as the classes: three or more replicas count alike, and so
 /// does any zone beyond its share.
 #[test]
-fn classes_choose_the_machine_with_the_least_full_score() {
+fn classes_select_the_machine_with_the_lowest_full_score() {
     let mut rng = ChaCha8Rng::seed_from_u64(71);
     let (mut found, mut beside_replicas) = (0, 0);
     for _ in 0..3_000 {
         let mut case = scenario(&mut rng, 60);
         case.long_running = true;
         let (place, _) = case.walk();
-        let mut least: Option<(bool, f64)> = None;
+        let mut lowest: Option<(bool, f64)> = None;
         for &CandidateShard { shard, via_store } in &case.shard_order {
             for m in case.shards[shard].iter().filter(|m| case.fits(m)) {
                 let score = (
                     case.cached_first && !has_image(m),
                     case.full_score_s(m, via_store),
                 );
-                least = Some(least.filter(|l| *l <= score).unwrap_or(score));
+                lowest = Some(lowest.filter(|l| *l <= score).unwrap_or(score));
             }
         }
-        match (place, least) {
-            (Some((shard, slot)), Some((deferred, least_s))) => {
+        match (place, lowest) {
+            (Some((shard, slot)), Some((deferred, lowest_s))) => {
                 let m = &case.shards[shard][slot];
                 let via_store = case
                     .shard_order
@@ -380,20 +380,20 @@
                 assert!(case.fits(m));
                 let score_s = case.full_score_s(m, via_store);
                 assert!(
-                    (score_s - least_s).abs() < 1e-9,
-                    "score {score_s} of {least_s}"
+                    (score_s - lowest_s).abs() < 1e-9,
+                    "score {score_s} of {lowest_s}"
                 );
                 assert!(!case.cached_first || has_image(m) != deferred);
                 found += 1;
                 beside_replicas += usize::from(case.placed.iter().any(|(id, _)| *id == m.id));
             }
             (None, None) => {}
-            (place, least) => panic!("{place:?} and {least:?}"),
+            (place, lowest) => panic!("{place:?} and {lowest:?}"),
         }
     }
     assert!(
         found > 1_000 && beside_replicas > 20,
-        "{found} places, {beside_replicas} beside others of the job"
+        "{found} placements, {beside_replicas} beside replicas of the same job"
     );
 }
 
@@ -633,16 +633,16 @@
         image: image.into(),
         ..support::want(0, n)
     };
-    let mut sync = |owner: &mut Owner, wants, dropped| {
+    let mut sync = |owner: &mut Owner, wants, withdrawn_attempts| {
         *state += 1;
-        let span = ChangeRange {
+        let range = ChangeRange {
             since: *state - 1,
             until: *state,
             complete: true,
         };
         let message = SyncRequest {
-            withdrawn: dropped,
-            ..support::sync(*state, span, wants, ObservedState::default())
+            withdrawn: withdrawn_attempts,
+            ..support::sync(*state, range, wants, ObservedState::default())
         };
         owner
             .sync(&message, support::ROOM, now)
--- a/crates/coordination/tests/largest.rs
+++ b/crates/coordination/tests/largest.rs
@@ -41,7 +41,7 @@
     placer
 }
 
-fn idle(n: u64, tasks: u64) -> JobSpec {
+fn low_priority_job(n: u64, tasks: u64) -> JobSpec {
     JobSpec {
         id: id(n),
         priority: Priority::Low,
@@ -50,9 +50,9 @@
     }
 }
 
-/// A machine for so many tasks is there; the jobs of which it then holds something,
-/// with their tasks.
-fn room_for(placer: &mut Placer, tasks: u64, now: u64) -> BTreeMap<JobId, usize> {
+/// Publishes a machine with room for this many tasks; returns how many tasks of each job are
+/// placed on it.
+fn place_on_one_machine(placer: &mut Placer, tasks: u64, now: u64) -> BTreeMap<JobId, usize> {
     let seq = placer.sync_request(0, TOKEN, ROOM, false, now).seq;
     let free = Resources::capacity(4.0 * tasks as f64, tasks as f64, 16.0 * tasks as f64);
     // Another task runs on it.
@@ -74,7 +74,7 @@
         ),
         now,
     );
-    pass(placer, now);
+    run_passes(placer, now);
     let mut on = BTreeMap::new();
     for want in placer.sync_request(0, TOKEN, ROOM, false, now).desired {
         *on.entry(want.id.job).or_default() += 1;
@@ -82,7 +82,7 @@
     on
 }
 
-fn pass(placer: &mut Placer, now: u64) {
+fn run_passes(placer: &mut Placer, now: u64) {
     placer.advance_gang_admissions(now, 0);
     // The rest of a job is placed in the next pass, and written after that.
     for step in 0..4 {
@@ -93,37 +93,37 @@
     }
 }
 
-/// Sizes and times of submission of some jobs of each seed.
-fn drawn(seed: u64) -> Vec<(u64, u64, u64)> {
+/// Number, task count and time of submission of 12 random jobs.
+fn random_jobs(seed: u64) -> Vec<(u64, u64, u64)> {
     let mut x = seed;
-    let mut draw = |n: u64| {
+    let mut random_below = |n: u64| {
         x = x
             .wrapping_mul(6_364_136_223_846_793_005)
             .wrapping_add(1_442_695_040_888_963_407);
         (x >> 33) % n
     };
-    let times: Vec<(u64, u64, u64)> = (0..12)
+    let jobs: Vec<(u64, u64, u64)> = (0..12)
         .map(|n| {
             (
                 n,
-                1 + draw(2) * draw(if seed.is_multiple_of(2) { 9 } else { 40_000 }),
-                draw(300_000),
+                1 + random_below(2) * random_below(if seed.is_multiple_of(2) { 9 } else { 40_000 }),
+                random_below(300_000),
             )
         })
         .collect();
-    times
+    jobs
 }
 
 /// Each job gets its first task before any gets its second, the largest job first, of equal ones
 /// the oldest. Then the oldest gets more first, each up to half of its tasks before any gets all.
 #[test]
-fn low_priority_work_starts_in_the_order_of_the_reference_model() {
+fn low_priority_jobs_start_in_the_order_of_the_reference_model() {
     for seed in 0..30 {
-        let jobs = drawn(seed);
+        let jobs = random_jobs(seed);
         for room in [1, 3, 7, 12, 15, 40] {
             let mut placer = placer(None, 300_000);
             for (n, tasks, at) in &jobs {
-                submit(&mut placer, idle(*n, *tasks), *at, 300_000);
+                submit(&mut placer, low_priority_job(*n, *tasks), *at, 300_000);
             }
             let mut model: BTreeMap<JobId, usize> = BTreeMap::new();
             let mut order: Vec<&(u64, u64, u64)> = jobs.iter().collect();
@@ -134,9 +134,9 @@
                 left -= 1;
             }
             order.sort_by_key(|(n, _, at)| (*at, id(*n)));
-            for whole in [false, true] {
+            for all_tasks in [false, true] {
                 for (n, tasks, _) in &order {
-                    let wanted = if whole { *tasks } else { tasks.div_ceil(2) };
+                    let wanted = if all_tasks { *tasks } else { tasks.div_ceil(2) };
                     let more = left
                         .min(wanted.saturating_sub(model.get(&id(*n)).map_or(0, |n| *n as u64)));
                     left -= more;
@@ -146,7 +146,7 @@
                 }
             }
             assert_eq!(
-                room_for(&mut placer, room, 300_000),
+                place_on_one_machine(&mut placer, room, 300_000),
                 model,
                 "seed {seed}, room for {room}: {jobs:?}"
             );
@@ -163,7 +163,7 @@
     let patience = LOW_PRIORITY_START_DEADLINE_MS - 60_000 - 2_660 - LOW_PRIORITY_START_SLACK_MS;
     for seed in 0..30 {
         for others in [false, true] {
-            let (jobs, now) = (drawn(seed), 300_000);
+            let (jobs, now) = (random_jobs(seed), 300_000);
             // This placer has just acquired the shard.
             let mut placer = placer(None, now);
             for (n, tasks, at) in &jobs {
@@ -176,7 +176,7 @@
                     &mut placer,
                     JobSpec {
                         kind: shape,
-                        ..idle(*n, (*tasks).min(300))
+                        ..low_priority_job(*n, (*tasks).min(300))
                     },
                     *at,
                     now,
@@ -193,7 +193,7 @@
                     now,
                 );
             }
-            pass(&mut placer, now);
+            run_passes(&mut placer, now);
             let mut late: Vec<(u64, u64, u64)> = jobs
                 .iter()
                 .filter(|(_, _, at)| now >= at + patience)
@@ -226,19 +226,19 @@
 
 /// No capacity is requested for a job that has started before its patience has ended.
 #[test]
-fn work_that_has_begun_requests_no_extra_capacity() {
+fn started_job_requests_no_extra_capacity() {
     let mut placer = placer(None, 0);
-    submit(&mut placer, idle(1, 500), 0, 0);
-    assert_eq!(room_for(&mut placer, 1, 1_000).len(), 1);
+    submit(&mut placer, low_priority_job(1, 500), 0, 0);
+    assert_eq!(place_on_one_machine(&mut placer, 1, 1_000).len(), 1);
     for now in [150_000, 300_000, IDLE_WORK_PATIENCE_MS - 1] {
-        pass(&mut placer, now);
+        run_passes(&mut placer, now);
         assert!(
             placer.unmet_demand.is_empty(),
             "{now}: {:?}",
             placer.unmet_demand
         );
     }
-    pass(&mut placer, IDLE_WORK_PATIENCE_MS);
+    run_passes(&mut placer, IDLE_WORK_PATIENCE_MS);
     assert_eq!(placer.unmet_demand.len(), 1);
 }
 
@@ -269,7 +269,7 @@
             0,
             0,
         );
-        assert_eq!(room_for(&mut placer, 4, 0).len(), 1);
+        assert_eq!(place_on_one_machine(&mut placer, 4, 0).len(), 1);
         submit(
             &mut placer,
             JobSpec {
@@ -281,7 +281,7 @@
             1,
             0,
         );
-        pass(&mut placer, 0);
+        run_passes(&mut placer, 0);
         assert_eq!(
             placer.unmet_demand.iter().map(|d| d.count).next(),
             want,
@@ -321,7 +321,7 @@
             0,
         );
     }
-    let seen = |placer: &mut Placer| {
+    let jobs_being_written = |placer: &mut Placer| {
         placer
             .known_jobs()
             .filter(|j| {
@@ -345,7 +345,7 @@
         .collect();
     placer.apply_view(view(seq, span, machines, Vec::new()), 0);
     placer.run_placement_pass(0);
-    assert_eq!(seen(&mut placer), 18, "all small jobs");
+    assert_eq!(jobs_being_written(&mut placer), 18, "all small jobs");
     assert!(placer.placement_is_due(0), "placement continues");
     for _ in 0..100 {
         if !placer.placement_is_due(0) {
--- a/crates/coordination/tests/limits.rs
+++ b/crates/coordination/tests/limits.rs
@@ -16,9 +16,10 @@
 
 /// Number of machines in the fleet.
 const MACHINES: usize = 4_000;
-/// Bytes of a value, and the pages that a compare-and-swap takes of that size.
-const VALUE: usize = 8 * 1024;
-const PAGES: usize = MAX_CAS_BYTES / VALUE;
+/// Size limit of a stored value, bytes.
+const VALUE_BYTES: usize = 8 * 1024;
+/// Pages of that size that fit in one compare-and-swap.
+const PAGES_PER_CAS: usize = MAX_CAS_BYTES / VALUE_BYTES;
 
 /// A fleet in which every machine runs a task with one of 40 images.
 fn busy_fleet(machines: usize) -> Owner {
@@ -35,15 +36,15 @@
             ..want(round * machines as u32 + n as u32, n)
         })
         .collect();
-    let upto = u64::from(round) * machines as u64;
-    let span = ChangeRange {
-        since: upto - machines as u64,
-        until: upto,
+    let last_revision = u64::from(round) * machines as u64;
+    let range = ChangeRange {
+        since: last_revision - machines as u64,
+        until: last_revision,
         complete: true,
     };
     owner
         .sync(
-            &sync(u64::from(round), span, wants, ObservedState::default()),
+            &sync(u64::from(round), range, wants, ObservedState::default()),
             ROOM,
             20,
         )
@@ -60,17 +61,20 @@
 
 /// The stored pages; asserts that each write fits in a compare-and-swap.
 #[derive(Default)]
-struct Stored(BTreeMap<usize, ImageLocationsRecord>);
+struct StoredPages(BTreeMap<usize, ImageLocationsRecord>);
 
-impl Stored {
+impl StoredPages {
     fn write(&mut self, pages: Vec<(usize, Option<ImageLocationsRecord>)>) {
         let bytes: usize = pages
             .iter()
             .filter_map(|(_, page)| page.as_ref())
             .map(|page| serde_json::to_vec(page).expect("JSON").len())
             .sum();
-        assert!(bytes <= MAX_BODY_BYTES, "{bytes} bytes in a transaction");
-        assert!(pages.len() <= PAGES);
+        assert!(
+            bytes <= MAX_BODY_BYTES,
+            "{bytes} bytes in a compare-and-swap"
+        );
+        assert!(pages.len() <= PAGES_PER_CAS);
         for (at, page) in pages {
             match page {
                 Some(page) => drop(self.0.insert(at, page)),
@@ -79,7 +83,7 @@
         }
     }
 
-    fn machines(&self) -> BTreeMap<MachineId, usize> {
+    fn image_counts(&self) -> BTreeMap<MachineId, usize> {
         let mut all = BTreeMap::new();
         for (machine, images) in self.0.values().flat_map(|page| &page.machines) {
             *all.entry(machine.clone()).or_default() += images.len();
@@ -93,56 +97,56 @@
 #[test]
 fn images_of_all_machines_are_recorded() {
     let mut owner = busy_fleet(MACHINES);
-    let mut stored = Stored::default();
-    let mut times = 0;
+    let mut stored = StoredPages::default();
+    let mut writes = 0;
     for at in 1..100 {
-        let pages = owner.changed_image_pages(at * 60_000, VALUE, PAGES);
+        let pages = owner.changed_image_pages(at * 60_000, VALUE_BYTES, PAGES_PER_CAS);
         if pages.is_empty() {
             break;
         }
-        times += 1;
+        writes += 1;
         stored.write(pages);
     }
-    assert!(times > 1 && times < 99, "{times} transactions");
-    assert_eq!(stored.machines().len(), MACHINES);
+    assert!(writes > 1 && writes < 99, "{writes} compare-and-swaps");
+    assert_eq!(stored.image_counts().len(), MACHINES);
 }
 
 /// The last pages are written even if the first ones change before every write.
 #[test]
 fn constantly_changing_pages_do_not_starve_the_last() {
     let mut owner = busy_fleet(MACHINES);
-    let mut stored = Stored::default();
+    let mut stored = StoredPages::default();
     for at in 1..80u32 {
         // A new image on each machine changes every page.
         if at < 10 {
             run_on_all(&mut owner, MACHINES, at + 1);
         }
-        stored.write(owner.changed_image_pages(u64::from(at) * 60_000, VALUE, PAGES));
+        stored.write(owner.changed_image_pages(u64::from(at) * 60_000, VALUE_BYTES, PAGES_PER_CAS));
         if at == 9 {
             let pages = stored.0.len();
-            assert!(pages >= 9 * PAGES / 2, "{pages} pages are written");
+            assert!(pages >= 9 * PAGES_PER_CAS / 2, "{pages} pages are written");
         }
     }
-    assert_eq!(stored.machines().len(), MACHINES);
+    assert_eq!(stored.image_counts().len(), MACHINES);
 }
 
 /// When most machines are released at once, none of their pages stays in the store.
 #[test]
 fn pages_of_released_machines_are_deleted() {
     let mut owner = busy_fleet(MACHINES);
-    let mut stored = Stored::default();
+    let mut stored = StoredPages::default();
     for at in 1..40 {
-        stored.write(owner.changed_image_pages(at * 60_000, VALUE, PAGES));
+        stored.write(owner.changed_image_pages(at * 60_000, VALUE_BYTES, PAGES_PER_CAS));
     }
     let before = stored.0.len();
-    assert!(before > 2 * PAGES, "{before} pages");
-    let gone: Vec<MachineId> = (40..MACHINES).map(machine).collect();
-    owner.release_finished(&gone, true, 50);
+    assert!(before > 2 * PAGES_PER_CAS, "{before} pages");
+    let released: Vec<MachineId> = (40..MACHINES).map(machine).collect();
+    owner.release_finished(&released, true, 50);
     for at in 40..80 {
-        stored.write(owner.changed_image_pages(at * 60_000, VALUE, PAGES));
+        stored.write(owner.changed_image_pages(at * 60_000, VALUE_BYTES, PAGES_PER_CAS));
     }
     assert_eq!(stored.0.len(), 1);
-    assert_eq!(stored.machines().len(), 40);
+    assert_eq!(stored.image_counts().len(), 40);
 }
 
 /// The pages of one write fit in a compare-and-swap, whatever the size limit of a value.
--- a/crates/coordination/tests/links.rs
+++ b/crates/coordination/tests/links.rs
@@ -69,12 +69,12 @@
 
 /// Heartbeats of machines that belong to shard 0.
 fn heartbeats_of_shard_0(core: &Core, token: u64) -> impl Iterator<Item = Heartbeat> + use<> {
-    let ours = |n: &u32| {
+    let is_in_shard_0 = |n: &u32| {
         core.config
             .shard_of("north", &format!("n-{n:06}").as_str().into())
             == 0
     };
-    let numbers: Vec<u32> = (0..400).filter(ours).collect();
+    let numbers: Vec<u32> = (0..400).filter(is_in_shard_0).collect();
     numbers.into_iter().map(move |n| Heartbeat {
         machine: format!("n-{n:06}").as_str().into(),
         address: "10.1.0.1:9000".into(),
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn unknown_zone_is_no_link() {
+fn unknown_zone_creates_no_link() {
     let mut core = core();
     let misrouted = heartbeats_of_shard_0(&core, 0)
         .next()
@@ -253,12 +253,12 @@
     use lemonweir_coordination::election::{ElectionAction, LeaderElection};
     use lemonweir_storage::records::{ControllerRecord, controller_key};
     let mut core = core();
-    let present = |host: &str, deaf: Vec<u16>| KeyValue {
+    let live_controller = |host: &str, ceded: Vec<u16>| KeyValue {
         key: controller_key(host),
         value: to_value(&ControllerRecord {
             zone: "north".into(),
             peer_version: PEER_VERSION,
-            ceded_shards: deaf,
+            ceded_shards: ceded,
             record_version: 0,
         }),
         version: 60,
@@ -271,9 +271,9 @@
     };
     core.cache.load_snapshot(
         &[
-            present("h0", vec![0]),
-            present("h1", Vec::new()),
-            present("h2", Vec::new()),
+            live_controller("h0", vec![0]),
+            live_controller("h1", Vec::new()),
+            live_controller("h2", Vec::new()),
             shard(55),
         ],
         70,
@@ -296,14 +296,14 @@
     // Shard 0 has no leader; its home controller is alive but cedes it.
     let mut election = LeaderElection::new(3);
     assert_eq!(election.next_action(&core, 0, 3_000), None, "not at once");
-    let waits = FAILOVER_WAIT_MS + ELECTION_STAGGER_MS;
+    let wait_ms = FAILOVER_WAIT_MS + ELECTION_STAGGER_MS;
     assert_eq!(
-        election.next_action(&core, 0, 3_000 + waits - 1),
+        election.next_action(&core, 0, 3_000 + wait_ms - 1),
         None,
         "a controller that leads no shard goes first"
     );
     assert_eq!(
-        election.next_action(&core, 0, 3_000 + waits),
+        election.next_action(&core, 0, 3_000 + wait_ms),
         Some(ElectionAction::Acquire {
             shard: 0,
             version: 0
@@ -319,9 +319,9 @@
     // No other controller could: waiting is of no use.
     core.cache.load_snapshot(
         &[
-            present("h0", vec![0]),
-            present("h1", Vec::new()),
-            present("h2", vec![0]),
+            live_controller("h0", vec![0]),
+            live_controller("h1", Vec::new()),
+            live_controller("h2", vec![0]),
             shard(55),
         ],
         80,
--- a/crates/coordination/tests/mass_failure_recovery.rs
+++ b/crates/coordination/tests/mass_failure_recovery.rs
@@ -18,11 +18,11 @@
     machines: Vec<MachineView>,
     store_revision: u64,
     /// Revision of the machines that was published last.
-    machines_state: u64,
+    machines_revision: u64,
     /// Number of machines added so far.
     machine_count: usize,
     /// Revision of the attempts that was published last.
-    attempts_state: u64,
+    attempts_revision: u64,
 }
 
 impl Cluster {
@@ -49,29 +49,29 @@
             placer,
             machines: Vec::new(),
             store_revision: 1,
-            machines_state: 0,
+            machines_revision: 0,
             machine_count: 0,
-            attempts_state: 0,
+            attempts_revision: 0,
         }
     }
 
     /// Fails all machines and everything that runs on them.
     fn fail_all_machines(&mut self) {
         let all = self.placer.sync_request(0, TOKEN, ROOM, false, 0).desired;
-        for standing in [AttemptState::Running, AttemptState::Gone] {
+        for reported_state in [AttemptState::Running, AttemptState::Gone] {
             let attempts = all
                 .iter()
                 .map(|w| AttemptStatus {
                     id: w.id.clone(),
-                    state: standing,
+                    state: reported_state,
                 })
                 .collect();
-            let gone = if standing == AttemptState::Gone {
+            let removed = if reported_state == AttemptState::Gone {
                 std::mem::take(&mut self.machines)
             } else {
                 Vec::new()
             };
-            self.attempts_state += all.len() as u64;
+            self.attempts_revision += all.len() as u64;
             let full = |m: &MachineView| MachineView {
                 free: Resources::default(),
                 task_count: 4,
@@ -80,7 +80,7 @@
             let machines = self.machines.iter().map(full).collect();
             self.publish(
                 machines,
-                gone.into_iter().map(|m| m.id).collect(),
+                removed.into_iter().map(|m| m.id).collect(),
                 attempts,
                 Vec::new(),
             );
@@ -105,13 +105,13 @@
     fn publish(
         &mut self,
         machines: Vec<MachineView>,
-        gone: Vec<MachineId>,
+        removed: Vec<MachineId>,
         attempts: Vec<AttemptStatus>,
         partitioned: Vec<PartitionedZone>,
     ) {
         let seq = self.placer.sync_request(0, TOKEN, ROOM, false, 0).seq;
-        let since = self.machines_state;
-        self.machines_state += 1;
+        let since = self.machines_revision;
+        self.machines_revision += 1;
         let view = ShardView {
             version: lemonweir_model::constants::PEER_VERSION,
             shard: 0,
@@ -122,14 +122,14 @@
             partitioned_zones: partitioned,
             machines_range: ChangeRange {
                 since,
-                until: self.machines_state,
+                until: self.machines_revision,
                 complete: true,
             },
             machines,
-            removed_machines: gone,
+            removed_machines: removed,
             attempts_range: ChangeRange {
                 since: 0,
-                until: self.attempts_state,
+                until: self.attempts_revision,
                 complete: true,
             },
             attempts,
@@ -184,7 +184,7 @@
             .filter(|(job, _)| *job == JobId::from("req-000001"))
             .count(),
         4,
-        "then the array: {next:?}"
+        "the array is placed next: {next:?}"
     );
 }
 
--- a/crates/coordination/tests/nights.rs
+++ b/crates/coordination/tests/nights.rs
@@ -30,17 +30,17 @@
     owner: Owner,
     now: u64,
     seq: u64,
-    state: u64,
+    revision: u64,
     have: ObservedState,
     views: Vec<MachineView>,
-    reports: Vec<u64>,
+    sequences: Vec<u64>,
     /// Highest fencing token that each machine has seen.
     tokens: Vec<u64>,
 }
 
 impl TestShard {
     fn new(machines: usize) -> Self {
-        let (reports, tokens) = (
+        let (sequences, tokens) = (
             vec![1; machines],
             vec![TOKEN << MACHINE_TOKEN_BITS; machines],
         );
@@ -48,10 +48,10 @@
             owner: fleet(machines),
             now: 20,
             seq: 0,
-            state: 0,
+            revision: 0,
             have: ObservedState::default(),
             views: Vec::new(),
-            reports,
+            sequences,
             tokens,
         }
     }
@@ -59,24 +59,24 @@
     fn sync(
         &mut self,
         wants: Vec<DesiredAttempt>,
-        dropped: Vec<AttemptId>,
-        rented: Vec<ProvisionedInstance>,
+        withdrawn_attempts: Vec<AttemptId>,
+        provisioned_instances: Vec<ProvisionedInstance>,
     ) -> ShardView {
         self.seq += 1;
-        let since = self.state;
-        self.state += 1;
-        let span = ChangeRange {
+        let since = self.revision;
+        self.revision += 1;
+        let range = ChangeRange {
             since,
-            until: self.state,
+            until: self.revision,
             complete: true,
         };
         // No machine is released for being idle.
-        let keep = (0..self.reports.len()).map(machine).collect();
+        let keep = (0..self.sequences.len()).map(machine).collect();
         let message = lemonweir_protocol::peer::SyncRequest {
-            withdrawn: dropped,
-            provisioned: rented,
+            withdrawn: withdrawn_attempts,
+            provisioned: provisioned_instances,
             reserved_machines: keep,
-            ..sync(self.seq, span, wants, self.have)
+            ..sync(self.seq, range, wants, self.have)
         };
         let view = self
             .owner
@@ -90,7 +90,7 @@
         view
     }
 
-    fn open(&mut self, n: usize) -> bool {
+    fn is_schedulable(&mut self, n: usize) -> bool {
         self.sync(Vec::new(), Vec::new(), Vec::new());
         self.views
             .iter()
@@ -99,12 +99,12 @@
             .schedulable
     }
 
-    fn pass(&mut self, ms: u64) {
+    fn advance(&mut self, ms: u64) {
         for step in 0..ms / 100 {
             self.now += 100;
             self.owner.tick(self.now, self.now);
             if step % 30 == 0 {
-                for n in 0..self.reports.len() {
+                for n in 0..self.sequences.len() {
                     self.report(n, Vec::new());
                 }
                 self.sync(Vec::new(), Vec::new(), Vec::new());
@@ -113,15 +113,15 @@
     }
 
     fn report(&mut self, n: usize, tasks: Vec<TaskStatus>) {
-        self.reports[n] += 1;
-        let said = Heartbeat {
+        self.sequences[n] += 1;
+        let heartbeat = Heartbeat {
             tasks,
             fencing_token: self.tokens[n],
-            ..report(n, self.reports[n])
+            ..report(n, self.sequences[n])
         };
         self.tokens[n] = self
             .owner
-            .handle_heartbeat(&said, None, self.now)
+            .handle_heartbeat(&heartbeat, None, self.now)
             .expect("answered")
             .fencing_token;
     }
@@ -131,7 +131,7 @@
         let id = AttemptId {
             job: JobId::from(format!("req-{job:06}").as_str()),
             task: 0,
-            attempt: self.state as u32 + 1,
+            attempt: self.revision as u32 + 1,
         };
         let view = self.sync(
             vec![DesiredAttempt {
@@ -167,21 +167,21 @@
 /// Incident inc-4715: 126 machines were quarantined, although none of them had failed a job that
 /// ran anywhere else.
 #[test]
-fn faulty_jobs_quarantine_no_machine_for_good() {
+fn faulty_jobs_quarantine_no_machine_permanently() {
     let mut shard = TestShard::new(8);
     for n in 0..8 {
         assert!(shard.run(n, n, "done"));
     }
     // Twelve faulty jobs fail on one machine after the other.
     for round in 0..4 {
-        for broken in 0..12 {
-            shard.run(100 + broken, (broken + 3 * round) % 8, "error");
+        for faulty_job in 0..12 {
+            shard.run(100 + faulty_job, (faulty_job + 3 * round) % 8, "error");
         }
     }
-    let closed: Vec<usize> = (0..8).filter(|n| !shard.open(*n)).collect();
+    let closed: Vec<usize> = (0..8).filter(|n| !shard.is_schedulable(*n)).collect();
     assert_eq!(closed, [0usize; 0], "all faulty jobs are suspected by now");
-    shard.pass(60_000);
-    assert_eq!((0..8).filter(|n| shard.open(*n)).count(), 8);
+    shard.advance(60_000);
+    assert_eq!((0..8).filter(|n| shard.is_schedulable(*n)).count(), 8);
 }
 
 /// A machine that fails jobs that run elsewhere is quarantined, gets a single task as a trial, and
@@ -190,9 +190,9 @@
 fn quarantined_machine_recovers_by_a_trial() {
     let mut shard = TestShard::new(3);
     assert!(shard.run(1, 0, "error") && shard.run(2, 0, "error"));
-    assert!(!shard.open(0), "two jobs failed in a row");
-    shard.pass(QUARANTINE_TRIAL_MS + 3_000);
-    assert!(shard.open(0), "a trial is due");
+    assert!(!shard.is_schedulable(0), "two jobs failed in a row");
+    shard.advance(QUARANTINE_TRIAL_MS + 3_000);
+    assert!(shard.is_schedulable(0), "a trial is due");
     // The first task is the trial; while it runs no other is accepted.
     let id = |n: usize| AttemptId {
         job: JobId::from(format!("req-{n:06}").as_str()),
@@ -218,38 +218,48 @@
     shard.sync(Vec::new(), (3..6).map(id).collect(), Vec::new());
     shard.report(0, Vec::new());
     assert!(shard.run(7, 0, "error"), "another trial");
-    assert!(!shard.open(0));
-    shard.pass(2 * QUARANTINE_TRIAL_MS + 3_000);
+    assert!(!shard.is_schedulable(0));
+    shard.advance(2 * QUARANTINE_TRIAL_MS + 3_000);
     assert!(shard.run(8, 0, "done"));
-    assert!(shard.open(0) && shard.run(9, 0, "done"));
+    assert!(shard.is_schedulable(0) && shard.run(9, 0, "done"));
 }
 
 /// Overdue instances are replaced, a bounded number at a time, and used if they register after all.
 #[test]
 fn overdue_instances_are_replaced_within_bounds_and_used_when_they_register() {
     let mut shard = TestShard::new(8);
-    let late: Vec<usize> = (100..124).collect();
-    let rented = |n: &usize| ProvisionedInstance {
+    let late_machines: Vec<usize> = (100..124).collect();
+    let instance = |n: &usize| ProvisionedInstance {
         machine: machine(*n),
         machine_type: "box".into(),
         zone: "north".into(),
         spot: false,
         age_ms: 0,
     };
-    shard.sync(Vec::new(), Vec::new(), late.iter().map(rented).collect());
-    shard.pass(25_000);
+    shard.sync(
+        Vec::new(),
+        Vec::new(),
+        late_machines.iter().map(instance).collect(),
+    );
+    shard.advance(25_000);
     assert!(
-        late.iter().all(|n| shard.open(*n)),
+        late_machines.iter().all(|n| shard.is_schedulable(*n)),
         "they may take 1.5 times as long as listed"
     );
-    shard.pass(10_000);
-    let counted = late.iter().filter(|n| shard.open(**n)).count();
+    shard.advance(10_000);
+    let counted = late_machines
+        .iter()
+        .filter(|n| shard.is_schedulable(**n))
+        .count();
     assert_eq!(
-        late.len() - counted,
+        late_machines.len() - counted,
         MIN_OVERDUE_REPLACEMENTS.max(32 / OVERDUE_REPLACEMENT_DIVISOR),
         "the number replaced at a time is bounded"
     );
-    let overdue = *late.iter().find(|n| !shard.open(**n)).expect("some");
+    let overdue = *late_machines
+        .iter()
+        .find(|n| !shard.is_schedulable(**n))
+        .expect("some");
     assert!(
         shard
             .owner
@@ -257,21 +267,21 @@
             .is_some()
     );
     assert!(
-        shard.open(overdue),
+        shard.is_schedulable(overdue),
         "an instance that registers late is used"
     );
     for seq in 2..18 {
-        shard.pass(3_000);
+        shard.advance(3_000);
         shard
             .owner
             .handle_heartbeat(&report(overdue, seq), None, shard.now);
     }
     let released: BTreeSet<_> = shard.owner.next_releases().into_iter().collect();
-    let never = late
+    let never_registered = late_machines
         .iter()
         .filter(|n| **n != overdue && released.contains(&machine(**n)))
         .count();
-    assert_eq!(never, 23, "the others never registered");
+    assert_eq!(never_registered, 23, "the others never registered");
 }
 
 /// A machine that no placer announced gets tasks at once, whatever its provisioner and the
@@ -279,12 +289,12 @@
 #[test]
 fn unannounced_machine_is_used_at_once() {
     let mut shard = TestShard::new(1);
-    shard.reports.push(0);
+    shard.sequences.push(0);
     shard.tokens.push(0);
     // The first heartbeat shows no token; its reply gives one.
     shard.report(1, Vec::new());
     shard.report(1, Vec::new());
-    assert!(shard.open(1) && shard.run(1, 1, "done"));
+    assert!(shard.is_schedulable(1) && shard.run(1, 1, "done"));
     let announced = ProvisionedInstance {
         machine: machine(1),
         machine_type: "box".into(),
@@ -293,7 +303,7 @@
         age_ms: 1_500,
     };
     shard.sync(Vec::new(), Vec::new(), vec![announced]);
-    assert!(shard.open(1) && shard.run(2, 1, "done"));
+    assert!(shard.is_schedulable(1) && shard.run(2, 1, "done"));
 }
 
 // ---- a single core -------------------------------------------------------------
@@ -317,7 +327,7 @@
 }
 
 /// A core that leads its shard, with one unfinished job whose cancellation may be requested.
-fn core(withdrawn: bool) -> (Core, JobId) {
+fn core(cancelling: bool) -> (Core, JobId) {
     let mut core = Core::new(
         Config::new(&settings()),
         lemonweir_policy::embedded().expect("policy"),
@@ -327,7 +337,7 @@
     let record = JobRecord {
         spec,
         submitted_at_ms: 1,
-        cancel_requested: withdrawn,
+        cancel_requested: cancelling,
         dependency_count: 0,
     };
     let shard = ShardRecord { host: "h0".into() };
@@ -360,7 +370,7 @@
     (core, job)
 }
 
-fn removed(job: &JobId) -> WatchEvent {
+fn job_deleted(job: &JobId) -> WatchEvent {
     WatchEvent {
         set: None,
         drop: Some(job_key(job)),
@@ -391,7 +401,7 @@
         core.job_status(&JobId::from("req-999999"), 1_100),
         JobStatusAnswer::Unknown
     );
-    core.cache.apply_changes(&[removed(&job)], 51, 2_000);
+    core.cache.apply_changes(&[job_deleted(&job)], 51, 2_000);
     core.cache_refreshed(1_990, true);
     // No cancellation was requested: the job can only be done.
     assert_eq!(
@@ -418,7 +428,7 @@
 #[test]
 fn final_state_of_a_job_under_cancellation_is_read() {
     let (mut core, job) = core(true);
-    core.cache.apply_changes(&[removed(&job)], 51, 2_000);
+    core.cache.apply_changes(&[job_deleted(&job)], 51, 2_000);
     core.cache_refreshed(1_990, true);
     assert_eq!(core.job_status(&job, 60_000), JobStatusAnswer::Unknown);
 }
@@ -427,7 +437,7 @@
 /// began later confirms its leases, also if its monotonic clock stood still during the stall.
 #[test]
 fn leases_are_confirmed_after_a_long_stall() {
-    for clock_stood in [false, true] {
+    for clock_stopped in [false, true] {
         let (mut core, _) = core(false);
         core.set_wall_clock(1_000, 5_000_000);
         let mut now = 1_000;
@@ -441,7 +451,7 @@
             HeartbeatAnswer::Commands(_)
         ));
         let stall_ms = STORE_LEASE_TTL_MS + 5_000;
-        if clock_stood {
+        if clock_stopped {
             now += 100;
             core.set_wall_clock(now, 5_000_000 + now - 1_000 + stall_ms);
         } else {
@@ -452,7 +462,7 @@
                 core.handle_heartbeat(&report(0, 2), now),
                 HeartbeatAnswer::Unavailable
             ),
-            "stood: {clock_stood}"
+            "monotonic clock stopped: {clock_stopped}"
         );
         assert!(core.lease_unconfirmed());
         let effects = core.flush(now);
--- a/crates/coordination/tests/quota_after_failover.rs
+++ b/crates/coordination/tests/quota_after_failover.rs
@@ -23,7 +23,7 @@
 /// Time between two steps, ms.
 const STEP_MS: u64 = 50;
 /// Time for which the successor is observed, ms.
-const FOLLOWED_MS: u64 = 40_000;
+const OBSERVED_MS: u64 = 40_000;
 /// Number of machines in the shard; each has room for four tasks.
 const MACHINES: usize = 4;
 
@@ -215,7 +215,7 @@
 impl Scenario {
     /// A placer fills the team's quota, learns that the first jobs' attempts have ended,
     /// gives their resources to the waiting ones, and ends `ends_after_ms` later.
-    fn records_of_ended_placer(&self, lives_ms: u64) -> Records {
+    fn records_of_ended_placer(&self, ends_after_ms: u64) -> Records {
         let mut records = Records::default();
         let mut old = placer(TOKEN + 1, QUOTA_TASKS, 0);
         let seq = old.sync_request(0, TOKEN, ROOM, false, 0).seq;
@@ -246,26 +246,36 @@
         let full = (0..self.ending_jobs).map(|n| shown(n, 0)).collect();
         old.apply_view(view(seq, span(9, 19), full, ended), 5);
         old.run_placement_pass(6);
-        for now in (6..=6 + lives_ms).step_by(10) {
+        for now in (6..=6 + ends_after_ms).step_by(10) {
             records.commit(&mut old, now);
         }
         records
     }
 
-    fn follow_successor(&self, records: Records, quota_tasks: usize, heard: Heard) -> Outcome {
+    fn run_successor(
+        &self,
+        records: Records,
+        quota_tasks: usize,
+        first_heartbeats: FirstHeartbeats,
+    ) -> Outcome {
         let jobs = [self.running_jobs.as_slice(), &self.waiting_jobs].concat();
-        follow_successor(records, &jobs, quota_tasks, Workers::new(heard.first_at()))
+        run_successor(
+            records,
+            &jobs,
+            quota_tasks,
+            Workers::new(first_heartbeats.first_at()),
+        )
     }
 }
 
 /// When the machines send their first heartbeats to a new owner.
 #[derive(Clone, Copy, Debug)]
-enum Heard {
+enum FirstHeartbeats {
     Together,
     OneByOne,
 }
 
-impl Heard {
+impl FirstHeartbeats {
     fn first_at(self) -> [u64; MACHINES] {
         match self {
             Self::Together => [20; MACHINES],
@@ -277,14 +287,14 @@
 /// Which tasks ran under a successor.
 struct Outcome {
     /// Largest number of tasks that ran at a time.
-    most: usize,
+    max_running: usize,
     /// Recorded attempts that ran at any time.
     recorded_ran: usize,
     at_end: BTreeSet<AttemptId>,
 }
 
 /// A new placer loads the records, and a new owner receives heartbeats of the machines.
-fn follow_successor(
+fn run_successor(
     mut records: Records,
     jobs: &[JobSpec],
     quota_tasks: usize,
@@ -295,8 +305,8 @@
     let recorded = records.recorded_attempts();
     records.load(&mut successor);
     submit_all(jobs, &mut successor, 20);
-    let (mut most, mut ran) = (0, BTreeSet::new());
-    for now in (20..FOLLOWED_MS).step_by(STEP_MS as usize) {
+    let (mut max_running, mut ran) = (0, BTreeSet::new());
+    for now in (20..OBSERVED_MS).step_by(STEP_MS as usize) {
         owner.tick(now, now);
         workers.send_heartbeats(&mut owner, now);
         let request = successor.sync_request(0, TOKEN, ROOM, false, now);
@@ -313,17 +323,17 @@
             owner.handle_call_result(&call, result, later);
         }
         let running = workers.running();
-        most = most.max(running.len());
+        max_running = max_running.max(running.len());
         ran.extend(running);
     }
     Outcome {
-        most,
+        max_running,
         recorded_ran: ran.intersection(&recorded).count(),
         at_end: workers.running(),
     }
 }
 
-fn singles(from: u64, to: u64) -> Vec<JobSpec> {
+fn single_task_jobs(from: u64, to: u64) -> Vec<JobSpec> {
     (from..to).map(|n| job(n, JobKind::Array, 1)).collect()
 }
 
@@ -342,10 +352,15 @@
 /// All scenarios, by name.
 fn scenarios() -> Vec<(String, Scenario)> {
     let shapes = [
-        ("task", singles(0, 2), singles(2, 4), 1),
-        ("two tasks", singles(0, 2), singles(2, 4), 2),
-        ("gang", gang(0), singles(2, 4), 1),
-        ("two tasks for a gang", singles(0, 2), gang(2), 2),
+        ("task", single_task_jobs(0, 2), single_task_jobs(2, 4), 1),
+        (
+            "two tasks",
+            single_task_jobs(0, 2),
+            single_task_jobs(2, 4),
+            2,
+        ),
+        ("gang", gang(0), single_task_jobs(2, 4), 1),
+        ("two tasks for a gang", single_task_jobs(0, 2), gang(2), 2),
     ];
     let ends = [AttemptState::Refused, AttemptState::Gone];
     let mut scenarios = Vec::new();
@@ -365,42 +380,60 @@
 
 #[test]
 fn successor_does_not_launch_ended_attempts_over_the_quota_limit() {
-    let (mut over, mut below) = (Vec::new(), Vec::new());
+    let (mut above_limit, mut below_limit) = (Vec::new(), Vec::new());
     for (name, scenario) in scenarios() {
-        for heard in [Heard::Together, Heard::OneByOne] {
-            for lives_ms in (0..4_000).step_by(200) {
-                let records = scenario.records_of_ended_placer(lives_ms);
-                let outcome = scenario.follow_successor(records, QUOTA_TASKS, heard);
-                if outcome.most > QUOTA_TASKS {
-                    over.push((name.clone(), heard, lives_ms, outcome.most));
+        for first_heartbeats in [FirstHeartbeats::Together, FirstHeartbeats::OneByOne] {
+            for ends_after_ms in (0..4_000).step_by(200) {
+                let records = scenario.records_of_ended_placer(ends_after_ms);
+                let outcome = scenario.run_successor(records, QUOTA_TASKS, first_heartbeats);
+                if outcome.max_running > QUOTA_TASKS {
+                    above_limit.push((
+                        name.clone(),
+                        first_heartbeats,
+                        ends_after_ms,
+                        outcome.max_running,
+                    ));
                 }
                 if outcome.at_end.len() < QUOTA_TASKS || outcome.recorded_ran < QUOTA_TASKS {
-                    below.push((name.clone(), heard, lives_ms, outcome.recorded_ran));
+                    below_limit.push((
+                        name.clone(),
+                        first_heartbeats,
+                        ends_after_ms,
+                        outcome.recorded_ran,
+                    ));
                 }
             }
         }
     }
-    assert!(over.is_empty(), "{} over the limit: {over:?}", over.len());
     assert!(
-        below.is_empty(),
-        "{} below the limit: {below:?}",
-        below.len()
+        above_limit.is_empty(),
+        "{} over the limit: {above_limit:?}",
+        above_limit.len()
+    );
+    assert!(
+        below_limit.is_empty(),
+        "{} below the limit: {below_limit:?}",
+        below_limit.len()
     );
 }
 
 #[test]
 fn successor_with_a_lowered_quota_limit_launches_no_more_than_that() {
-    let mut over = Vec::new();
+    let mut above_limit = Vec::new();
     for (name, scenario) in scenarios() {
-        for heard in [Heard::Together, Heard::OneByOne] {
+        for first_heartbeats in [FirstHeartbeats::Together, FirstHeartbeats::OneByOne] {
             let records = scenario.records_of_ended_placer(4_000);
-            let outcome = scenario.follow_successor(records, QUOTA_TASKS - 1, heard);
-            if outcome.most >= QUOTA_TASKS {
-                over.push((name.clone(), heard, outcome.most));
+            let outcome = scenario.run_successor(records, QUOTA_TASKS - 1, first_heartbeats);
+            if outcome.max_running >= QUOTA_TASKS {
+                above_limit.push((name.clone(), first_heartbeats, outcome.max_running));
             }
         }
     }
-    assert!(over.is_empty(), "{} over the limit: {over:?}", over.len());
+    assert!(
+        above_limit.is_empty(),
+        "{} over the limit: {above_limit:?}",
+        above_limit.len()
+    );
 }
 
 #[test]
@@ -448,8 +481,8 @@
         attempt: 1,
     };
     workers.tasks[0].insert(member(0), TaskPhase::Running);
-    let jobs = [gang(0), singles(1, 2)].concat();
-    let outcome = follow_successor(records, &jobs, QUOTA_TASKS, workers);
-    assert_eq!(outcome.most, QUOTA_TASKS);
+    let jobs = [gang(0), single_task_jobs(1, 2)].concat();
+    let outcome = run_successor(records, &jobs, QUOTA_TASKS, workers);
+    assert_eq!(outcome.max_running, QUOTA_TASKS);
     assert_eq!(outcome.at_end, BTreeSet::from([member(0), member(1)]));
 }
--- a/crates/coordination/tests/sessions.rs
+++ b/crates/coordination/tests/sessions.rs
@@ -14,7 +14,7 @@
 /// incarnation runs from its beginning, after the owner's last reply: an attempt that a call starts
 /// in it must not count as ended before that lease expires.
 #[test]
-fn session_shown_by_a_call_has_a_lease_from_its_begin() {
+fn incarnation_learned_from_a_call_has_a_lease_from_its_beginning() {
     let mut owner = fleet(1);
     let sync_placer =
         |owner: &mut lemonweir_coordination::owner::Owner, seq, since, upto, wants, now| {
@@ -40,14 +40,18 @@
     // The lease expires at 14 s. The next start command reaches the new incarnation.
     sync_placer(&mut owner, 1, 0, 1, vec![want(0, 0)], 14_500);
     let call = owner.due_calls(14_500, 1).pop().expect("a call");
-    let base = TOKEN << MACHINE_TOKEN_BITS;
-    let second = |seq, tasks| Heartbeat {
+    let machine_token = TOKEN << MACHINE_TOKEN_BITS;
+    let second_incarnation_heartbeat = |seq, tasks| Heartbeat {
         incarnation: 2,
-        fencing_token: base,
+        fencing_token: machine_token,
         tasks,
         ..report(0, seq)
     };
-    owner.handle_call_result(&call, CommandResult::Refused(second(5, Vec::new())), 14_510);
+    owner.handle_call_result(
+        &call,
+        CommandResult::Refused(second_incarnation_heartbeat(5, Vec::new())),
+        14_510,
+    );
     let call = owner
         .due_calls(16_000, 1)
         .pop()
@@ -55,7 +59,7 @@
     assert_eq!(call.commands.incarnation, 2);
     owner.handle_call_result(
         &call,
-        CommandResult::Executed(second(6, vec![running_task(0)])),
+        CommandResult::Executed(second_incarnation_heartbeat(6, vec![running_task(0)])),
         16_010,
     );
     for now in (16_100..28_000).step_by(100) {
@@ -73,7 +77,7 @@
     let view = sync_placer(&mut owner, 40_000, 1, 1, Vec::new(), 32_000);
     assert!(
         view.attempts.iter().any(|a| a.state.is_terminal()),
-        "and no longer: {:?}",
+        "not ended once its lease has expired: {:?}",
         view.attempts
     );
 }
--- a/crates/coordination/tests/slow_store.rs
+++ b/crates/coordination/tests/slow_store.rs
@@ -21,9 +21,9 @@
     core
 }
 
-/// Readings one after another, each answered after `took` ms, with the usual rest
-/// between: when each began and ended.
-fn readings(took: u64, until: u64) -> Vec<(u64, u64)> {
+/// Start and end times of consecutive cache refreshes, each answered after `took` ms, with the
+/// usual pause in between.
+fn refreshes(took: u64, until: u64) -> Vec<(u64, u64)> {
     let mut all = Vec::new();
     let mut began = 10_000;
     while began + took < until {
@@ -39,7 +39,7 @@
 fn slow_answers_are_no_outage() {
     for took in [5, 300, 800, 950, 1_200, 1_490] {
         let mut core = core();
-        let mut next = readings(took, 60_000).into_iter().peekable();
+        let mut next = refreshes(took, 60_000).into_iter().peekable();
         let (mut answered, mut checked) = (0, 0);
         for now in (10_000..59_000).step_by(10) {
             while let Some((began, ended)) = next.next_if(|(_, ended)| *ended <= now) {
@@ -79,7 +79,7 @@
 /// The age of a refresh counts from its start: a slow answer makes it no newer, and a refresh that
 /// ends after a newer one changes nothing.
 #[test]
-fn age_of_a_reading_counts_from_its_beginning() {
+fn refresh_age_counts_from_its_start() {
     let mut core = core();
     core.cache_refreshed(20_000, false);
     core.links
--- a/crates/coordination/tests/starts.rs
+++ b/crates/coordination/tests/starts.rs
@@ -20,8 +20,8 @@
     token: TOKEN,
 };
 
-fn launches(orders: &[Command]) -> usize {
-    orders
+fn count_starts(commands: &[Command]) -> usize {
+    commands
         .iter()
         .filter(|order| order.kind == CommandKind::Start)
         .count()
@@ -33,14 +33,14 @@
         .step_by(10)
         .flat_map(|now| core.flush(now))
         .collect();
-    let orders = |effect: &Effect| {
+    let starts_in = |effect: &Effect| {
         if let Effect::Command(_, call) = effect {
-            launches(&call.commands.commands)
+            count_starts(&call.commands.commands)
         } else {
             0
         }
     };
-    effects.iter().map(orders).sum()
+    effects.iter().map(starts_in).sum()
 }
 
 /// Controller 0 that leads its home shard, with a machine that has sent a heartbeat and a queued
@@ -61,7 +61,7 @@
         cancel_requested: false,
         dependency_count: 0,
     };
-    let holder = KeyValue {
+    let leader = KeyValue {
         key: shard_key(0),
         value: to_value(&ShardRecord { host: "h0".into() }),
         version: TOKEN,
@@ -71,7 +71,7 @@
         value: to_value(&record),
         version: 46,
     };
-    core.cache.load_snapshot(&[job, holder], 100);
+    core.cache.load_snapshot(&[job, leader], 100);
     core.cache_refreshed(10, true);
     core.acquire(LEASE, &[], Vec::new(), 10);
     let first = report(own_machine(&core), 1);
@@ -112,7 +112,7 @@
             ..report(own_machine(core), seq)
         };
         let reply = heartbeat_response(core, &next, now);
-        (token, answered) = (reply.fencing_token, launches(&reply.commands));
+        (token, answered) = (reply.fencing_token, count_starts(&reply.commands));
     }
     assert!(written, "a start is written");
     answered
@@ -122,7 +122,7 @@
 /// controller's store lease: another controller may lead the shard by then and may already have
 /// proven that the attempt has ended, so it must not be started here.
 #[test]
-fn nothing_starts_without_an_answer_of_the_store_for_a_lease() {
+fn nothing_starts_after_a_store_silence_longer_than_the_lease() {
     for (age, starts) in [
         (STORE_LEASE_TTL_MS - 1_000, 1),
         (STORE_LEASE_TTL_MS + 1_000, 0),
--- a/crates/coordination/tests/stops.rs
+++ b/crates/coordination/tests/stops.rs
@@ -9,8 +9,8 @@
 use proptest::prelude::*;
 use support::*;
 
-/// An owner with one task on its machine 0 that is to stop.
-fn stopping(now: u64) -> Owner {
+/// An owner whose only task, on machine 0, has to stop.
+fn owner_with_due_stop(now: u64) -> Owner {
     let mut owner = fleet(1);
     let on = |since, upto| ChangeRange {
         since,
@@ -47,7 +47,7 @@
     owner
 }
 
-fn stops(reply: &HeartbeatResponse) -> bool {
+fn contains_stop(reply: &HeartbeatResponse) -> bool {
     reply.commands.iter().any(|o| o.kind == CommandKind::Stop)
 }
 
@@ -55,7 +55,7 @@
 /// replies to heartbeats, which did arrive, omitted the stop for a minute.
 #[test]
 fn unsent_stop_is_in_the_next_reply() {
-    let mut owner = stopping(30);
+    let mut owner = owner_with_due_stop(30);
     let (mut seq, mut tries) = (2, 0);
     for now in (40..60_000).step_by(20) {
         for call in owner.due_calls(now, ROOM) {
@@ -74,29 +74,29 @@
                     now,
                 )
                 .expect("answered");
-            assert!(stops(&reply), "at {now} ms, after {tries} tries");
+            assert!(contains_stop(&reply), "at {now} ms, after {tries} tries");
         }
     }
-    assert!(tries > 30, "it is tried all the same, {tries} times");
+    assert!(tries > 30, "calls are tried nevertheless, {tries} times");
 }
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// A heartbeat; it may be older than what a call has brought.
-    Report {
+    /// A heartbeat; a late one is older than the newest one received.
+    Heartbeat {
         late: bool,
         shows_token: bool,
     },
     /// The call in progress, or else the next one, ends with this result.
     Call(u8),
-    Pass(u64),
+    Wait(u64),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        4 => (any::<bool>(), any::<bool>()).prop_map(|(late, shows_token)| Step::Report { late, shows_token }),
+        4 => (any::<bool>(), any::<bool>()).prop_map(|(late, shows_token)| Step::Heartbeat { late, shows_token }),
         4 => (0..3u8).prop_map(Step::Call),
-        2 => (1..4_000u64).prop_map(Step::Pass),
+        2 => (1..4_000u64).prop_map(Step::Wait),
     ]
 }
 
@@ -108,15 +108,15 @@
     /// token, and calls that fail in any way.
     #[test]
     fn no_reply_renews_a_lease_without_a_due_stop(steps in prop::collection::vec(step(), 1..60)) {
-        let mut owner = stopping(30);
+        let mut owner = owner_with_due_stop(30);
         let (mut now, mut seq, mut call, mut answers) = (40, 10, None, 0);
         for step in steps {
             match step {
-                Step::Pass(ms) => now += ms,
-                Step::Call(fate) => {
+                Step::Wait(ms) => now += ms,
+                Step::Call(result_kind) => {
                     call = call.or_else(|| owner.due_calls(now, ROOM).into_iter().next());
                     let Some(call) = call.take() else { continue };
-                    let result = match fate {
+                    let result = match result_kind {
                         0 => CommandResult::NotSent,
                         1 => CommandResult::Unknown,
                         _ => {
@@ -126,22 +126,22 @@
                     };
                     owner.handle_call_result(&call, result, now);
                 }
-                Step::Report { late, shows_token } => {
+                Step::Heartbeat { late, shows_token } => {
                     if !late {
                         seq += 2;
                     }
                     let token = if shows_token { TOKEN << MACHINE_TOKEN_BITS } else { 0 };
-                    let said = Heartbeat { tasks: vec![running_task(0)], fencing_token: token, ..report(0, if late { seq - 1 } else { seq }) };
-                    if let Some(reply) = owner.handle_heartbeat(&said, None, now) {
+                    let heartbeat = Heartbeat { tasks: vec![running_task(0)], fencing_token: token, ..report(0, if late { seq - 1 } else { seq }) };
+                    if let Some(reply) = owner.handle_heartbeat(&heartbeat, None, now) {
                         answers += 1;
-                        prop_assert!(stops(&reply), "{said:?}");
+                        prop_assert!(contains_stop(&reply), "{heartbeat:?}");
                     }
                 }
             }
         }
         seq += 2;
         let reply = owner.handle_heartbeat(&Heartbeat { tasks: vec![running_task(0)], ..report(0, seq) }, None, now);
-        prop_assert!(reply.is_some_and(|r| stops(&r)), "after {answers} answers");
+        prop_assert!(reply.is_some_and(|r| contains_stop(&r)), "after {answers} answers");
     }
 }
 
@@ -167,8 +167,8 @@
         )
         .expect("sync accepted");
     let mut called = Vec::new();
-    for turn in 0..20 {
-        let now = 20 + turn * 100;
+    for round in 0..20 {
+        let now = 20 + round * 100;
         let calls = owner.due_calls(now, 7);
         assert!(calls.len() <= 7);
         for call in calls {
--- a/crates/coordination/tests/supervision.rs
+++ b/crates/coordination/tests/supervision.rs
@@ -100,8 +100,11 @@
             "more writes than a compare-and-swap may hold"
         );
         let lease = |w: &Write| {
-            if let Write::Put { lease: hold, .. } = w {
-                *hold
+            if let Write::Put {
+                lease: store_lease, ..
+            } = w
+            {
+                *store_lease
             } else {
                 None
             }
@@ -128,12 +131,12 @@
                 Write::Put {
                     key,
                     value,
-                    lease: hold,
+                    lease: store_lease,
                 } => {
                     self.log
                         .push(set(key.clone(), value.clone(), self.revision));
                     self.keys
-                        .insert(key.clone(), (value.clone(), self.revision, *hold));
+                        .insert(key.clone(), (value.clone(), self.revision, *store_lease));
                 }
                 Write::Delete { key } => self.remove(key),
             }
@@ -218,6 +221,7 @@
     store_lease: u64,
 }
 
+/// Deterministic random numbers (xorshift).
 struct RandomSource(u64);
 
 impl RandomSource {
@@ -457,7 +461,7 @@
     );
     assert!(
         highest > FAILOVER_RECORDS_KEPT,
-        "a ring came round: {highest}"
+        "a ring wrapped around: {highest}"
     );
 }
 
@@ -606,14 +610,14 @@
         5_000,
     );
     let completions = |core: &mut Core, now| {
-        let notes = core.flush(now).into_iter().filter_map(|e| {
+        let hints = core.flush(now).into_iter().filter_map(|e| {
             if let Effect::WriteHint(cas) = e {
                 Some(cas)
             } else {
                 None
             }
         });
-        notes
+        hints
             .filter(|t| {
                 t.writes
                     .iter()
@@ -635,7 +639,7 @@
             if let Write::Put { value, .. } = w {
                 from_value(value).expect("a failover record")
             } else {
-                panic!("a delete")
+                panic!("unexpected delete")
             }
         })
         .collect();
--- a/crates/coordination/tests/turns.rs
+++ b/crates/coordination/tests/turns.rs
@@ -17,7 +17,7 @@
 }
 
 /// Keys that a compare-and-swap writes.
-fn keys(writes: &[Write]) -> Vec<String> {
+fn written_keys(writes: &[Write]) -> Vec<String> {
     let key = |w: &Write| match w {
         Write::Put { key, .. } | Write::Delete { key } => key.clone(),
     };
@@ -27,7 +27,7 @@
 /// After an outage of the store the ends of cancelled jobs, proven within 0.2 s, were written 21 s
 /// later on average, behind thousands of starts, and a sixth of the users had given up.
 #[test]
-fn withdrawn_job_ends_are_written_before_starts_oldest_first() {
+fn cancelled_job_ends_are_written_before_starts_oldest_first() {
     let mut placer = Placer::new(0, TOKEN, 1, terms(), 0);
     let seq = placer.sync_request(0, TOKEN, ROOM, false, 0).seq;
     let machines: Vec<_> = (0..200).map(|n| shown(n, 4)).collect();
@@ -59,7 +59,7 @@
     placer.advance_gang_admissions(3, 0);
     placer.run_placement_pass(3);
     // Jobs with higher numbers were cancelled earlier, whatever their priority.
-    let ranks = [
+    let priorities = [
         Priority::Low,
         Priority::Normal,
         Priority::High,
@@ -68,7 +68,7 @@
     for (n, at) in (0..20).rev().zip(10..) {
         let spec = JobSpec {
             id: id(n),
-            priority: ranks[n as usize % 4],
+            priority: priorities[n as usize % 4],
             ..array(2)
         };
         let job = CachedJob {
@@ -87,7 +87,7 @@
         let Some(cas) = placer.next_cas(100) else {
             break;
         };
-        for key in keys(&cas.writes) {
+        for key in written_keys(&cas.writes) {
             match key.strip_prefix("end/") {
                 Some(job) => {
                     assert_eq!(starts, 0, "{job} waited behind {starts} starts");
@@ -110,7 +110,7 @@
 fn sync_message_stays_below_twice_its_byte_budget() {
     let mut placer = Placer::new(0, TOKEN, 2, terms(), 0);
     for n in 0..500 {
-        let rented = ProvisionedInstance {
+        let provisioned_instance = ProvisionedInstance {
             machine: machine(n),
             machine_type: "box".into(),
             zone: "north".into(),
@@ -118,18 +118,18 @@
             age_ms: 0,
         };
         placer.pending_instances.push(PendingInstance {
-            instance: rented,
+            instance: provisioned_instance,
             shard: 1,
             provisioned_at: 1,
         });
     }
-    for room in [700, 2_700, 24_000] {
-        let sync = placer.sync_request(1, TOKEN, room, false, 10);
+    for max_bytes in [700, 2_700, 24_000] {
+        let sync = placer.sync_request(1, TOKEN, max_bytes, false, 10);
         assert!(
-            peer::encode(&sync).len() <= 2 * room,
-            "{room}: {}",
+            peer::encode(&sync).len() <= 2 * max_bytes,
+            "{max_bytes}: {}",
             peer::encode(&sync).len()
         );
-        assert!(!sync.provisioned.is_empty(), "{room}");
+        assert!(!sync.provisioned.is_empty(), "{max_bytes}");
     }
 }
--- a/crates/coordination/tests/worker_sessions.rs
+++ b/crates/coordination/tests/worker_sessions.rs
@@ -12,29 +12,29 @@
 use lemonweir_protocol::worker::{CommandKind, Heartbeat, TaskPhase, TaskStatus};
 use support::*;
 
-const BASE: u64 = TOKEN << MACHINE_TOKEN_BITS;
+const FIRST_TOKEN: u64 = TOKEN << MACHINE_TOKEN_BITS;
 
 /// An owner, the state of its placer, and the machines' sequence numbers and tokens.
 struct ShardUnderTest {
     owner: Owner,
     token: u64,
     now: u64,
-    state: u64,
+    revision: u64,
     misrouted: u32,
-    numbers: Vec<u64>,
+    sequences: Vec<u64>,
     tokens: Vec<u64>,
 }
 
 impl ShardUnderTest {
     fn new(machines: usize) -> Self {
-        let (numbers, tokens) = (vec![1; machines], vec![BASE; machines]);
+        let (sequences, tokens) = (vec![1; machines], vec![FIRST_TOKEN; machines]);
         Self {
             owner: fleet(machines),
             token: TOKEN,
             now: 20,
-            state: 0,
+            revision: 0,
             misrouted: 0,
-            numbers,
+            sequences,
             tokens,
         }
     }
@@ -54,19 +54,19 @@
     }
 
     fn sync_placer(&mut self, wants: Vec<DesiredAttempt>) -> ShardView {
-        self.state += 1;
-        let span = ChangeRange {
+        self.revision += 1;
+        let range = ChangeRange {
             since: 0,
-            until: self.state,
+            until: self.revision,
             complete: true,
         };
         // No machine is released for being idle.
-        let keep = (0..self.numbers.len()).map(machine).collect();
+        let keep = (0..self.sequences.len()).map(machine).collect();
         let message = SyncRequest {
             reserved_machines: keep,
             misrouted_heartbeats: self.misrouted,
             to_fencing_token: self.token,
-            ..sync(self.state, span, wants, ObservedState::default())
+            ..sync(self.revision, range, wants, ObservedState::default())
         };
         self.owner
             .sync(&message, ROOM, self.now)
@@ -80,23 +80,23 @@
             .find(|m| m.id == machine(n))
     }
 
-    fn open(&mut self, n: usize) -> bool {
+    fn is_schedulable(&mut self, n: usize) -> bool {
         self.view(n, Vec::new())
             .is_some_and(|m| m.registered && m.schedulable)
     }
 
-    fn pass(&mut self, until: u64) {
+    fn advance_to(&mut self, until: u64) {
         self.now = until;
         self.owner.tick(until, until);
     }
 
     /// A machine sends a heartbeat, and applies the reply if that reaches it.
     fn report(&mut self, n: usize, by: Option<u16>, reaches: bool, tasks: Vec<TaskStatus>) {
-        self.numbers[n] += 1;
+        self.sequences[n] += 1;
         let heartbeat = Heartbeat {
             fencing_token: self.tokens[n],
             tasks,
-            ..report(n, self.numbers[n])
+            ..report(n, self.sequences[n])
         };
         let reply = self
             .owner
@@ -108,7 +108,7 @@
     }
 
     /// The only due call, if any.
-    fn call(&mut self) -> Option<CommandCall> {
+    fn due_call(&mut self) -> Option<CommandCall> {
         let mut calls = self.owner.due_calls(self.now, 4);
         assert!(calls.len() < 2);
         calls.pop()
@@ -126,21 +126,27 @@
 fn unreachable_worker_is_closed_after_two_heartbeats_and_reopens_with_our_token() {
     for by in [Some(1), None] {
         let mut shard = ShardUnderTest::new(1);
-        shard.pass(3_000);
+        shard.advance_to(3_000);
         shard.report(0, None, false, Vec::new());
-        assert!(shard.open(0), "nothing shows yet that it is unreachable");
+        assert!(
+            shard.is_schedulable(0),
+            "nothing shows yet that it is unreachable"
+        );
         // After 4 s without a reply it tries the next controller 1 s later.
-        shard.pass(8_050);
+        shard.advance_to(8_050);
         shard.report(0, by, false, Vec::new());
-        assert!(!shard.open(0));
-        shard.pass(13_100);
+        assert!(!shard.is_schedulable(0));
+        shard.advance_to(13_100);
         shard.report(0, by, false, Vec::new());
-        assert!(!shard.open(0));
-        shard.pass(18_150);
+        assert!(!shard.is_schedulable(0));
+        shard.advance_to(18_150);
         shard.report(0, by, true, Vec::new());
-        shard.pass(18_700);
+        shard.advance_to(18_700);
         shard.report(0, by, true, Vec::new());
-        assert!(shard.open(0), "it shows the token of the last reply");
+        assert!(
+            shard.is_schedulable(0),
+            "it shows the token of the last reply"
+        );
     }
 }
 
@@ -148,9 +154,9 @@
 #[test]
 fn delivered_calls_do_not_prove_that_replies_arrive() {
     let mut shard = ShardUnderTest::new(1);
-    shard.pass(3_000);
+    shard.advance_to(3_000);
     shard.report(0, None, false, Vec::new());
-    shard.pass(8_050);
+    shard.advance_to(8_050);
     shard.report(0, Some(1), false, vec![running_task(0)]);
     let stopped = DesiredAttempt {
         stop_grace_s: Some(0),
@@ -158,7 +164,7 @@
     };
     shard.sync_placer(vec![stopped.clone()]);
     for _ in 0..3 {
-        let Some(call) = shard.call() else { break };
+        let Some(call) = shard.due_call() else { break };
         assert!(
             call.commands
                 .commands
@@ -167,16 +173,16 @@
             "only stops are sent by call"
         );
         shard.tokens[0] = shard.tokens[0].max(call.commands.fencing_token);
-        shard.numbers[0] += 1;
+        shard.sequences[0] += 1;
         let heartbeat = Heartbeat {
             fencing_token: shard.tokens[0],
-            ..report(0, shard.numbers[0])
+            ..report(0, shard.sequences[0])
         };
         shard.now += 20;
         shard
             .owner
             .handle_call_result(&call, CommandResult::Executed(heartbeat), shard.now);
-        assert!(!shard.open(0));
+        assert!(!shard.is_schedulable(0));
     }
     assert_eq!(
         attempt_state(&shard.sync_placer(vec![stopped]), 0),
@@ -194,17 +200,17 @@
         ..want(0, 0)
     };
     shard.sync_placer(vec![member.clone()]);
-    shard.pass(3_000);
+    shard.advance_to(3_000);
     shard.report(0, None, false, Vec::new());
-    shard.pass(8_050);
+    shard.advance_to(8_050);
     shard.report(0, Some(1), false, Vec::new());
     assert_eq!(
         attempt_state(&shard.sync_placer(vec![member.clone()]), 0),
         Some(AttemptState::Accepted),
         "it may have been a single lost reply"
     );
-    assert!(shard.call().is_none());
-    shard.pass(13_100);
+    assert!(shard.due_call().is_none());
+    shard.advance_to(13_100);
     shard.report(0, Some(2), false, Vec::new());
     assert_eq!(
         attempt_state(&shard.sync_placer(vec![member.clone()]), 0),
@@ -214,7 +220,11 @@
         may_start: true,
         ..member
     }]);
-    assert!(shard.call().is_none_or(|c| c.commands.commands.is_empty()));
+    assert!(
+        shard
+            .due_call()
+            .is_none_or(|c| c.commands.commands.is_empty())
+    );
 }
 
 /// Forty of sixty machines reach only other controllers; the owner keeps the shard.
@@ -222,19 +232,24 @@
 fn forty_unreachable_machines_do_not_cost_the_shard() {
     let mut shard = ShardUnderTest::new(60);
     for round in 0..12u64 {
-        shard.pass(3_000 + round * 1_000);
+        shard.advance_to(3_000 + round * 1_000);
         for n in 0..60 {
-            let deaf = n < 40;
-            let every = if deaf { 5 } else { 3 };
-            if round % every == n as u64 % every {
-                shard.report(n, deaf.then_some(1 + (round % 2) as u16), !deaf, Vec::new());
+            let is_unreachable = n < 40;
+            let interval = if is_unreachable { 5 } else { 3 };
+            if round % interval == n as u64 % interval {
+                shard.report(
+                    n,
+                    is_unreachable.then_some(1 + (round % 2) as u16),
+                    !is_unreachable,
+                    Vec::new(),
+                );
             }
         }
         shard.misrouted = 60;
         shard.sync_placer(Vec::new());
         assert!(!shard.owner.is_unreachable(shard.now), "round {round}");
     }
-    assert_eq!((0..60).filter(|n| shard.open(*n)).count(), 20);
+    assert_eq!((0..60).filter(|n| shard.is_schedulable(*n)).count(), 20);
     assert_eq!(shard.owner.next_releases(), [], "the owner waits for them");
 }
 
@@ -248,7 +263,7 @@
         ..running_task(1)
     };
     let copy = Heartbeat {
-        fencing_token: BASE | 5,
+        fencing_token: FIRST_TOKEN | 5,
         reclaim_notice_s: Some(20.0),
         tasks: vec![running_task(0), exited],
         ..report(0, 70)
@@ -264,7 +279,7 @@
                 Vec::new()
             }
         };
-        shard.pass(3 * TIMING.lease_ms);
+        shard.advance_to(3 * TIMING.lease_ms);
         shard.sync_placer(wants());
         assert!(
             shard
@@ -273,16 +288,16 @@
                 .is_some(),
             "the machine may be alive"
         );
-        let mut asked = 0;
+        let mut queries = 0;
         let mut released = None;
         for step in 0..500 {
-            shard.pass(shard.now + 100);
+            shard.advance_to(shard.now + 100);
             if step % 40 == 0 {
                 shard.owner.handle_heartbeat(&copy, Some(1), shard.now);
             }
             for call in shard.owner.due_calls(shard.now, 4) {
                 assert!(call.commands.commands.is_empty(), "a query has no commands");
-                asked += 1;
+                queries += 1;
                 shard
                     .owner
                     .handle_call_result(&call, CommandResult::NotSent, shard.now);
@@ -307,7 +322,7 @@
                 shard.owner.release_finished(&names, true, shard.now);
             }
         }
-        assert!((1..=12).contains(&asked), "{asked} questions");
+        assert!((1..=12).contains(&queries), "{queries} queries");
         assert!(released.is_some(), "the machine is released eventually");
         assert!(
             shard
@@ -332,7 +347,7 @@
         ..running_task(0)
     };
     for k in 0..40u64 {
-        shard.pass(3_000 * (k + 1));
+        shard.advance_to(3_000 * (k + 1));
         let tasks = if (5..30).contains(&k) {
             vec![running_task(0)]
         } else {
@@ -343,7 +358,7 @@
         heartbeat.push(Heartbeat {
             fencing_token: shard.tokens[0],
             tasks: tasks.clone(),
-            ..report(0, shard.numbers[0] + 1)
+            ..report(0, shard.sequences[0] + 1)
         });
         shard.report(0, None, true, tasks);
         shard.sync_placer(vec![want(0, 0)]);
@@ -379,7 +394,7 @@
         let view = shard.sync_placer(vec![want(0, 0)]);
         assert!(
             view.attempts.is_empty(),
-            "not judged from copies: {:?}",
+            "no attempt is judged from copies: {:?}",
             view.attempts
         );
     }
@@ -396,28 +411,28 @@
 /// and sequence number it had before; heartbeats of its earlier incarnation no longer are.
 #[test]
 fn restarted_worker_is_confirmed_by_its_second_heartbeat() {
-    for (session, dead) in [(1, false), (3, false), (1, true)] {
+    for (earlier_incarnation, lease_expired) in [(1, false), (3, false), (1, true)] {
         let mut shard = ShardUnderTest::new(1);
         shard.sync_placer(vec![want(0, 0)]);
-        shard.numbers[0] = 80;
-        shard.pass(3_000);
-        let before = |seq| Heartbeat {
-            incarnation: session,
-            fencing_token: BASE,
+        shard.sequences[0] = 80;
+        shard.advance_to(3_000);
+        let earlier_heartbeat = |seq| Heartbeat {
+            incarnation: earlier_incarnation,
+            fencing_token: FIRST_TOKEN,
             tasks: vec![running_task(0)],
             ..report(0, seq)
         };
         assert!(
             shard
                 .owner
-                .handle_heartbeat(&before(81), None, shard.now)
+                .handle_heartbeat(&earlier_heartbeat(81), None, shard.now)
                 .is_some()
         );
         assert_eq!(
             attempt_state(&shard.sync_placer(vec![want(0, 0)]), 0),
             Some(AttemptState::Running)
         );
-        shard.pass(if dead { 20_000 } else { 10_000 });
+        shard.advance_to(if lease_expired { 20_000 } else { 10_000 });
         // It shows no token, as a new worker; the reply gives one.
         let token = shard
             .owner
@@ -435,11 +450,11 @@
             .owner
             .handle_heartbeat(&report_with(3, token), None, shard.now)
             .expect("answered");
-        shard.pass(shard.now + 100);
+        shard.advance_to(shard.now + 100);
         assert_eq!(
             attempt_state(&shard.sync_placer(vec![want(0, 0)]), 0),
             Some(AttemptState::Gone),
-            "session {session}, dead {dead}"
+            "incarnation {earlier_incarnation}, lease expired {lease_expired}"
         );
         assert!(
             shard
@@ -447,7 +462,9 @@
                 .is_some_and(|m| m.registered && m.schedulable)
         );
         // Its earlier incarnation sends another heartbeat.
-        shard.owner.handle_heartbeat(&before(90), None, shard.now);
+        shard
+            .owner
+            .handle_heartbeat(&earlier_heartbeat(90), None, shard.now);
         assert!(
             shard
                 .sync_placer(vec![want(0, 0)])
@@ -463,7 +480,7 @@
             ..want(0, 0)
         };
         shard.sync_placer(vec![next]);
-        let call = shard.call().expect("a start");
+        let call = shard.due_call().expect("a start");
         assert_eq!(
             (call.commands.incarnation, call.commands.commands.len()),
             (1, 1)
@@ -484,26 +501,26 @@
 fn call_response_shows_a_new_incarnation() {
     let mut shard = ShardUnderTest::new(1);
     shard.sync_placer(vec![want(0, 0)]);
-    shard.pass(3_000);
-    shard.numbers[0] = 50;
+    shard.advance_to(3_000);
+    shard.sequences[0] = 50;
     shard.report(0, None, true, vec![running_task(0)]);
     shard.sync_placer(vec![DesiredAttempt {
         stop_grace_s: Some(0),
         ..want(0, 0)
     }]);
-    let call = shard.call().expect("a stop");
+    let call = shard.due_call().expect("a stop");
     shard.owner.handle_call_result(
         &call,
         CommandResult::Executed(report_with(1, call.commands.fencing_token)),
         shard.now,
     );
-    let question = shard
-        .call()
+    let query = shard
+        .due_call()
         .expect("a query with a token that its earlier incarnation can't have seen");
-    assert!(question.commands.fencing_token > call.commands.fencing_token);
+    assert!(query.commands.fencing_token > call.commands.fencing_token);
     shard.owner.handle_call_result(
-        &question,
-        CommandResult::Executed(report_with(2, question.commands.fencing_token)),
+        &query,
+        CommandResult::Executed(report_with(2, query.commands.fencing_token)),
         shard.now,
     );
     assert_eq!(
@@ -517,17 +534,20 @@
 #[test]
 fn launch_on_a_new_machine_waits_for_a_later_store_answer() {
     let mut shard = ShardUnderTest::new(0);
-    (shard.numbers, shard.tokens) = (vec![0], vec![BASE]);
-    shard.pass(5_000);
+    (shard.sequences, shard.tokens) = (vec![0], vec![FIRST_TOKEN]);
+    shard.advance_to(5_000);
     shard.now = 5_050;
     shard.report(0, None, true, Vec::new());
     shard.sync_placer(vec![want(0, 0)]);
-    assert!(shard.call().is_none(), "the last refresh began before");
+    assert!(shard.due_call().is_none(), "the last refresh began before");
     shard.now = 5_200;
     shard.owner.tick(5_200, 5_040);
-    assert!(shard.call().is_none(), "so did this");
+    assert!(shard.due_call().is_none(), "so did this");
     shard.owner.tick(5_200, 5_100);
-    assert_eq!(shard.call().expect("at once").commands.commands.len(), 1);
+    assert_eq!(
+        shard.due_call().expect("at once").commands.commands.len(),
+        1
+    );
 }
 
 /// If an unreachable machine is released while a call to it is in progress, its slot among the
@@ -542,7 +562,7 @@
     };
     let all: Vec<DesiredAttempt> = (0..2 * UNREACHABLE_CALLS_MAX).map(stopped).collect();
     for at in [3_000, 8_050, 13_100] {
-        shard.pass(at);
+        shard.advance_to(at);
         for n in 0..2 * UNREACHABLE_CALLS_MAX {
             shard.report(n, None, false, vec![running_task(n)]);
         }
