--- a/crates/coordination/tests/chains.rs
+++ b/crates/coordination/tests/chains.rs
@@ -329,7 +329,7 @@
     }
     let mut confirmed = Vec::new();
     for _ in 0..MANY {
-        let cas = leader.next_work().0.expect("it goes on");
+        let cas = leader.next_work().0.expect("confirmation continues");
         assert!(cas.conditions.len() <= CONDITIONS_PER_CHANGE * leader.core.config.cas_max_changes);
         confirmed.extend(
             cas.conditions
--- a/crates/coordination/tests/changes.rs
+++ b/crates/coordination/tests/changes.rs
@@ -322,7 +322,7 @@
 
 /// A state that does not fit in one message is delivered completely in several.
 #[test]
-fn full_state_is_delivered_in_pieces() {
+fn full_state_is_delivered_in_parts() {
     let mut owner = fleet(300);
     let mut at = ObservedState::default();
     let mut seen = BTreeMap::new();
@@ -364,7 +364,7 @@
 #[test]
 fn images_of_a_large_fleet_survive_a_restart() {
     const MACHINES: usize = 400;
-    const VALUE: usize = 4 * 1024;
+    const VALUE_BYTES: usize = 4 * 1024;
     let mut owner = fleet(MACHINES);
     let image = |n: usize| format!("img-{:02}", n % 20);
     let wants: Vec<DesiredAttempt> = (0..MACHINES)
@@ -403,7 +403,7 @@
                 .is_some()
         );
     }
-    let pages = owner.changed_image_pages(60_000, VALUE, 12);
+    let pages = owner.changed_image_pages(60_000, VALUE_BYTES, 12);
     assert!(pages.len() > 1, "this fleet needs several pages");
     let pages: Vec<ImageLocationsRecord> = pages
         .into_iter()
@@ -412,10 +412,12 @@
     assert!(
         pages
             .iter()
-            .all(|p| lemonweir_protocol::encode(p).len() <= VALUE)
+            .all(|p| lemonweir_protocol::encode(p).len() <= VALUE_BYTES)
     );
     assert!(
-        owner.changed_image_pages(120_000, VALUE, 12).is_empty(),
+        owner
+            .changed_image_pages(120_000, VALUE_BYTES, 12)
+            .is_empty(),
         "unchanged pages are not written"
     );
     let mut next = Owner::new(
--- a/crates/coordination/tests/image_locality.rs
+++ b/crates/coordination/tests/image_locality.rs
@@ -622,7 +622,7 @@
 }
 
 /// Runs a job's only task, with this image, on a machine until it ends.
-fn run_once(owner: &mut Owner, n: usize, job: usize, image: &str, state: &mut u64, now: u64) {
+fn run_once(owner: &mut Owner, n: usize, job: usize, image: &str, revision: &mut u64, now: u64) {
     let id = AttemptId {
         job: JobId::from(format!("req-{job:06}").as_str()),
         task: 0,
@@ -634,15 +634,15 @@
         ..support::want(0, n)
     };
     let mut sync = |owner: &mut Owner, wants, withdrawn_attempts| {
-        *state += 1;
+        *revision += 1;
         let range = ChangeRange {
-            since: *state - 1,
-            until: *state,
+            since: *revision - 1,
+            until: *revision,
             complete: true,
         };
         let message = SyncRequest {
             withdrawn: withdrawn_attempts,
-            ..support::sync(*state, range, wants, ObservedState::default())
+            ..support::sync(*revision, range, wants, ObservedState::default())
         };
         owner
             .sync(&message, support::ROOM, now)
@@ -684,9 +684,9 @@
 fn first_released(service_images: &[&str]) -> (MachineId, usize) {
     let mut owner = support::fleet(3);
     owner.set_service_images(service_images.iter().map(|i| (*i).to_owned()).collect());
-    let (mut state, mut now) = (0, 1_000);
+    let (mut revision, mut now) = (0, 1_000);
     for (n, image) in ["model", "batch", "batch"].into_iter().enumerate() {
-        run_once(&mut owner, n, n, image, &mut state, now);
+        run_once(&mut owner, n, n, image, &mut revision, now);
         now += 500;
     }
     let mut first = None;
@@ -708,7 +708,7 @@
 /// The machine with the last copy of a service's image is not released first, but is released
 /// nevertheless.
 #[test]
-fn the_machine_with_the_last_copy_of_an_image_is_released_last() {
+fn machine_with_the_last_copy_of_an_image_is_not_released_first() {
     assert_eq!(
         first_released(&[]),
         (support::machine(0), 3),
--- a/crates/coordination/tests/nights.rs
+++ b/crates/coordination/tests/nights.rs
@@ -105,14 +105,14 @@
             self.owner.tick(self.now, self.now);
             if step % 30 == 0 {
                 for n in 0..self.sequences.len() {
-                    self.report(n, Vec::new());
+                    self.send_heartbeat(n, Vec::new());
                 }
                 self.sync(Vec::new(), Vec::new(), Vec::new());
             }
         }
     }
 
-    fn report(&mut self, n: usize, tasks: Vec<TaskStatus>) {
+    fn send_heartbeat(&mut self, n: usize, tasks: Vec<TaskStatus>) {
         self.sequences[n] += 1;
         let heartbeat = Heartbeat {
             tasks,
@@ -154,12 +154,12 @@
                 checkpointed: None,
             };
             drop(self.owner.due_calls(self.now, ROOM));
-            self.report(n, vec![seen(TaskPhase::Running, None)]);
+            self.send_heartbeat(n, vec![seen(TaskPhase::Running, None)]);
             self.now += 2_000;
-            self.report(n, vec![seen(TaskPhase::Exited, Some(cause))]);
+            self.send_heartbeat(n, vec![seen(TaskPhase::Exited, Some(cause))]);
         }
         self.sync(Vec::new(), vec![id], Vec::new());
-        self.report(n, Vec::new());
+        self.send_heartbeat(n, Vec::new());
         accepted
     }
 }
@@ -216,7 +216,7 @@
         .count();
     assert_eq!((view.attempts.len(), taken), (3, 1));
     shard.sync(Vec::new(), (3..6).map(id).collect(), Vec::new());
-    shard.report(0, Vec::new());
+    shard.send_heartbeat(0, Vec::new());
     assert!(shard.run(7, 0, "error"), "another trial");
     assert!(!shard.is_schedulable(0));
     shard.advance(2 * QUARANTINE_TRIAL_MS + 3_000);
@@ -292,8 +292,8 @@
     shard.sequences.push(0);
     shard.tokens.push(0);
     // The first heartbeat shows no token; its reply gives one.
-    shard.report(1, Vec::new());
-    shard.report(1, Vec::new());
+    shard.send_heartbeat(1, Vec::new());
+    shard.send_heartbeat(1, Vec::new());
     assert!(shard.is_schedulable(1) && shard.run(1, 1, "done"));
     let announced = ProvisionedInstance {
         machine: machine(1),
--- a/crates/coordination/tests/quota_after_failover.rs
+++ b/crates/coordination/tests/quota_after_failover.rs
@@ -177,7 +177,7 @@
         CommandResult::Executed(self.heartbeat(n))
     }
 
-    /// Machines whose turn it is send a heartbeat and execute what the answer carries.
+    /// Machines whose heartbeat is due send it and execute the commands of the reply.
     fn send_heartbeats(&mut self, owner: &mut Owner, now: u64) {
         let is_due = |first_at: u64| now >= first_at && (now - first_at) % 3_000 < STEP_MS;
         for n in (0..MACHINES)
--- a/crates/coordination/tests/starts.rs
+++ b/crates/coordination/tests/starts.rs
@@ -45,7 +45,7 @@
 
 /// Controller 0 that leads its home shard, with a machine that has sent a heartbeat and a queued
 /// job, and the token that the machine was given. The last refresh from the store is at `now`.
-fn with_waiting_job(now: u64) -> (Core, u64) {
+fn with_queued_job(now: u64) -> (Core, u64) {
     let mut core = Core::new(
         Config::new(&settings(0)),
         lemonweir_policy::embedded().expect("policy"),
@@ -127,7 +127,7 @@
         (STORE_LEASE_TTL_MS - 1_000, 1),
         (STORE_LEASE_TTL_MS + 1_000, 0),
     ] {
-        let (mut core, token) = with_waiting_job(100);
+        let (mut core, token) = with_queued_job(100);
         let at = 100 + age;
         let answered = starts_after_cas(&mut core, token, at);
         assert_eq!(
--- a/crates/coordination/tests/supervision.rs
+++ b/crates/coordination/tests/supervision.rs
@@ -213,7 +213,7 @@
     }
 }
 
-// ---- the processes ---------------------------------------------------------------
+// ---- controller processes --------------------------------------------------------
 
 struct Process {
     core: Core,
@@ -309,7 +309,7 @@
     }
 
     /// A process takes its next election action for a shard, or cedes it without cause (`leave`).
-    fn act(&mut self, h: usize, shard: u16, leave: bool, delivery: Delivery) {
+    fn take_election_action(&mut self, h: usize, shard: u16, leave: bool, delivery: Delivery) {
         let now = self.now;
         let Some(p) = &mut self.processes[h] else {
             return;
@@ -407,7 +407,7 @@
                 0..=7 => history.read(h),
                 8..=16 => {
                     let delivery = random.delivery();
-                    history.act(
+                    history.take_election_action(
                         h,
                         random.below(u64::from(HOSTS)) as u16,
                         random.below(12) == 0,
@@ -465,7 +465,7 @@
     );
 }
 
-// ---- the ring ----------------------------------------------------------------------
+// ---- ring of failover records ------------------------------------------------------
 
 fn record(n: u64, to: Option<&str>, closed: Option<FailoverCompletion>) -> FailoverRecord {
     FailoverRecord {
--- a/crates/coordination/tests/worker_sessions.rs
+++ b/crates/coordination/tests/worker_sessions.rs
@@ -91,7 +91,7 @@
     }
 
     /// A machine sends a heartbeat, and applies the reply if that reaches it.
-    fn report(&mut self, n: usize, by: Option<u16>, reaches: bool, tasks: Vec<TaskStatus>) {
+    fn send_heartbeat(&mut self, n: usize, by: Option<u16>, reaches: bool, tasks: Vec<TaskStatus>) {
         self.sequences[n] += 1;
         let heartbeat = Heartbeat {
             fencing_token: self.tokens[n],
@@ -123,26 +123,26 @@
 }
 
 #[test]
-fn unreachable_worker_is_closed_after_two_heartbeats_and_reopens_with_our_token() {
+fn unreachable_worker_is_unschedulable_after_two_heartbeats_until_it_shows_our_token() {
     for by in [Some(1), None] {
         let mut shard = ShardUnderTest::new(1);
         shard.advance_to(3_000);
-        shard.report(0, None, false, Vec::new());
+        shard.send_heartbeat(0, None, false, Vec::new());
         assert!(
             shard.is_schedulable(0),
             "nothing shows yet that it is unreachable"
         );
         // After 4 s without a reply it tries the next controller 1 s later.
         shard.advance_to(8_050);
-        shard.report(0, by, false, Vec::new());
+        shard.send_heartbeat(0, by, false, Vec::new());
         assert!(!shard.is_schedulable(0));
         shard.advance_to(13_100);
-        shard.report(0, by, false, Vec::new());
+        shard.send_heartbeat(0, by, false, Vec::new());
         assert!(!shard.is_schedulable(0));
         shard.advance_to(18_150);
-        shard.report(0, by, true, Vec::new());
+        shard.send_heartbeat(0, by, true, Vec::new());
         shard.advance_to(18_700);
-        shard.report(0, by, true, Vec::new());
+        shard.send_heartbeat(0, by, true, Vec::new());
         assert!(
             shard.is_schedulable(0),
             "it shows the token of the last reply"
@@ -155,9 +155,9 @@
 fn delivered_calls_do_not_prove_that_replies_arrive() {
     let mut shard = ShardUnderTest::new(1);
     shard.advance_to(3_000);
-    shard.report(0, None, false, Vec::new());
+    shard.send_heartbeat(0, None, false, Vec::new());
     shard.advance_to(8_050);
-    shard.report(0, Some(1), false, vec![running_task(0)]);
+    shard.send_heartbeat(0, Some(1), false, vec![running_task(0)]);
     let stopped = DesiredAttempt {
         stop_grace_s: Some(0),
         ..want(0, 0)
@@ -201,9 +201,9 @@
     };
     shard.sync_placer(vec![member.clone()]);
     shard.advance_to(3_000);
-    shard.report(0, None, false, Vec::new());
+    shard.send_heartbeat(0, None, false, Vec::new());
     shard.advance_to(8_050);
-    shard.report(0, Some(1), false, Vec::new());
+    shard.send_heartbeat(0, Some(1), false, Vec::new());
     assert_eq!(
         attempt_state(&shard.sync_placer(vec![member.clone()]), 0),
         Some(AttemptState::Accepted),
@@ -211,7 +211,7 @@
     );
     assert!(shard.due_call().is_none());
     shard.advance_to(13_100);
-    shard.report(0, Some(2), false, Vec::new());
+    shard.send_heartbeat(0, Some(2), false, Vec::new());
     assert_eq!(
         attempt_state(&shard.sync_placer(vec![member.clone()]), 0),
         Some(AttemptState::Gone)
@@ -229,7 +229,7 @@
 
 /// Forty of sixty machines reach only other controllers; the owner keeps the shard.
 #[test]
-fn forty_unreachable_machines_do_not_cost_the_shard() {
+fn owner_with_forty_unreachable_machines_keeps_its_shard() {
     let mut shard = ShardUnderTest::new(60);
     for round in 0..12u64 {
         shard.advance_to(3_000 + round * 1_000);
@@ -237,7 +237,7 @@
             let is_unreachable = n < 40;
             let interval = if is_unreachable { 5 } else { 3 };
             if round % interval == n as u64 % interval {
-                shard.report(
+                shard.send_heartbeat(
                     n,
                     is_unreachable.then_some(1 + (round % 2) as u16),
                     !is_unreachable,
@@ -360,7 +360,7 @@
             tasks: tasks.clone(),
             ..report(0, shard.sequences[0] + 1)
         });
-        shard.report(0, None, true, tasks);
+        shard.send_heartbeat(0, None, true, tasks);
         shard.sync_placer(vec![want(0, 0)]);
     }
     assert_eq!(
@@ -399,8 +399,8 @@
         );
     }
     // The machine's own next heartbeat is the first that shows the new token.
-    shard.report(0, None, true, vec![done.clone()]);
-    shard.report(0, None, true, vec![done]);
+    shard.send_heartbeat(0, None, true, vec![done.clone()]);
+    shard.send_heartbeat(0, None, true, vec![done]);
     assert_eq!(
         attempt_state(&shard.sync_placer(vec![want(0, 0)]), 0),
         Some(AttemptState::Exited(ExitCause::Done))
@@ -503,7 +503,7 @@
     shard.sync_placer(vec![want(0, 0)]);
     shard.advance_to(3_000);
     shard.sequences[0] = 50;
-    shard.report(0, None, true, vec![running_task(0)]);
+    shard.send_heartbeat(0, None, true, vec![running_task(0)]);
     shard.sync_placer(vec![DesiredAttempt {
         stop_grace_s: Some(0),
         ..want(0, 0)
@@ -537,12 +537,12 @@
     (shard.sequences, shard.tokens) = (vec![0], vec![FIRST_TOKEN]);
     shard.advance_to(5_000);
     shard.now = 5_050;
-    shard.report(0, None, true, Vec::new());
+    shard.send_heartbeat(0, None, true, Vec::new());
     shard.sync_placer(vec![want(0, 0)]);
     assert!(shard.due_call().is_none(), "the last refresh began before");
     shard.now = 5_200;
     shard.owner.tick(5_200, 5_040);
-    assert!(shard.due_call().is_none(), "so did this");
+    assert!(shard.due_call().is_none(), "so did this refresh");
     shard.owner.tick(5_200, 5_100);
     assert_eq!(
         shard.due_call().expect("at once").commands.commands.len(),
@@ -564,7 +564,7 @@
     for at in [3_000, 8_050, 13_100] {
         shard.advance_to(at);
         for n in 0..2 * UNREACHABLE_CALLS_MAX {
-            shard.report(n, None, false, vec![running_task(n)]);
+            shard.send_heartbeat(n, None, false, vec![running_task(n)]);
         }
     }
     shard.sync_placer(all.clone());
@@ -586,6 +586,6 @@
     assert_eq!(
         rest.len(),
         UNREACHABLE_CALLS_MAX,
-        "the others are told to stop"
+        "the other machines get their stops"
     );
 }
