--- a/crates/coordination/tests/chains.rs
+++ b/crates/coordination/tests/chains.rs
@@ -29,16 +29,16 @@
     JobId::from(format!("req-{n:06}").as_str())
 }
 
-fn spec(n: usize, awaits: &[usize]) -> JobSpec {
+fn spec(n: usize, dependencies: &[usize]) -> JobSpec {
     JobSpec {
         id: id(n),
         team: "amber".into(),
-        depends_on: awaits.iter().map(|n| id(*n)).collect(),
+        depends_on: dependencies.iter().map(|n| id(*n)).collect(),
         ..array(1)
     }
 }
 
-/// Controller 0 with its own shard, and the store's keys that it follows.
+/// Controller 0 as leader of its home shard, with a cache of the store's keys that it watches.
 struct Leader {
     core: Core,
     revision: u64,
@@ -52,12 +52,12 @@
             lemonweir_policy::embedded().expect("policy"),
         );
         core.set_catalog([(kind().name, kind())].into_iter().collect());
-        let holder = KeyValue {
+        let leader_entry = KeyValue {
             key: shard_key(0),
             value: to_value(&ShardRecord { host: "h0".into() }),
             version: TOKEN,
         };
-        core.cache.load_snapshot(&[holder], 100);
+        core.cache.load_snapshot(&[leader_entry], 100);
         core.cache_refreshed(10, true);
         core.acquire(LEASE, &[], Vec::new(), 10);
         Self {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// The store makes a compare-and-swap, and the controller reads what changed; the revision.
+    /// Applies a compare-and-swap to the store and the changes to the cache; returns the revision.
     fn commit(&mut self, cas: &CompareAndSwap) -> u64 {
         self.revision += 1;
         let version = self.revision;
@@ -85,14 +85,14 @@
                 version,
             },
         };
-        let followed = |change: &WatchEvent| {
+        let is_followed = |change: &WatchEvent| {
             change
                 .set
                 .iter()
                 .chain(&change.drop)
                 .all(|key| key.starts_with(FOLLOWED))
         };
-        let changes: Vec<WatchEvent> = cas.writes.iter().map(change).filter(followed).collect();
+        let changes: Vec<WatchEvent> = cas.writes.iter().map(change).filter(is_followed).collect();
         self.core.cache.apply_changes(&changes, version, self.now);
         self.core.cache_refreshed(self.now, true);
         version
@@ -117,7 +117,7 @@
             .expect("a compare-and-swap")
     }
 
-    /// A job ends, as far as the followed keys show.
+    /// Ends a job, as far as the watched keys show.
     fn finish(&mut self, n: usize) -> u64 {
         self.commit(&CompareAndSwap {
             conditions: Vec::new(),
@@ -127,7 +127,7 @@
         })
     }
 
-    /// A job's user asks to cancel it, and its final state says so.
+    /// Cancels a job for its user, and records that final state.
     fn cancel(&mut self, n: usize) {
         let record = JobRecord {
             spec: spec(n, &[]),
@@ -145,7 +145,7 @@
             .record_end(&id(n), JobPhase::Withdrawn, revision, self.now);
     }
 
-    /// The next compare-and-swap for waiting jobs, and the final states that are to be read.
+    /// The next compare-and-swap for blocked jobs, and the jobs whose final states must be read.
     fn next_work(&mut self) -> (Option<CompareAndSwap>, Vec<JobId>) {
         self.now += 1_000;
         self.core.cache_refreshed(self.now, false);
@@ -161,21 +161,21 @@
     }
 }
 
-fn sets(cas: &CompareAndSwap, key: &str) -> bool {
+fn puts_key(cas: &CompareAndSwap, key: &str) -> bool {
     cas.writes
         .iter()
         .any(|write| matches!(write, Write::Put { key: set, .. } if set == key))
 }
 
-fn end_at(n: usize, version: u64) -> Condition {
+fn final_state_condition(n: usize, version: u64) -> Condition {
     Condition {
         key: end_key(&id(n)),
         version,
     }
 }
 
-/// What makes a job start requires each dependency's final state, under the version that says done, and
-/// the version of the job's own key.
+/// The compare-and-swap that lets a job start requires each dependency's final state, at the
+/// version that says done, and the version of the job's own key.
 #[test]
 fn job_starts_on_condition_of_the_final_states_of_all_dependencies() {
     let mut leader = Leader::new();
@@ -188,7 +188,11 @@
         DependencyState::Waiting(vec![id(1), id(2)])
     );
     let first = leader.finish(1);
-    assert_eq!(leader.next_work(), (None, Vec::new()), "one is not enough");
+    assert_eq!(
+        leader.next_work(),
+        (None, Vec::new()),
+        "one finished dependency is not enough"
+    );
     let second = leader.finish(2);
     let (cas, _) = leader.next_work();
     let cas = cas.expect("it may start");
@@ -197,15 +201,15 @@
             key: blocked_job_key(&id(3)),
             version: own_version,
         },
-        end_at(1, first),
-        end_at(2, second),
+        final_state_condition(1, first),
+        final_state_condition(2, second),
     ];
     assert_eq!(cas.conditions, wanted);
     assert!(
-        sets(&cas, &job_key(&id(3))) && !leader.core.cache.jobs.contains_key(&id(3)),
-        "no placer has it before"
+        puts_key(&cas, &job_key(&id(3))) && !leader.core.cache.jobs.contains_key(&id(3)),
+        "no placer knows the job before"
     );
-    // Its answer is lost: nothing but the same is tried again, once the store was read.
+    // The answer is lost: the same compare-and-swap is retried once the store was read.
     leader
         .core
         .dependency_cas_completed(CompareAndSwapOutcome::Indeterminate, leader.now);
@@ -218,7 +222,7 @@
     assert_eq!(leader.next_work(), (None, Vec::new()));
 }
 
-/// A final state that nobody here has read is read before anything is said or done.
+/// A final state that is not cached is read before a status is answered or the job starts.
 #[test]
 fn unknown_final_states_are_read_first() {
     let mut leader = Leader::new();
@@ -228,7 +232,7 @@
         leader.core.job_status(&id(3), leader.now),
         JobStatusAnswer::NeedsFinalStates(vec![id(1), id(2)])
     );
-    assert_eq!(leader.next_work(), (None, Vec::new()), "once at a time");
+    assert_eq!(leader.next_work(), (None, Vec::new()), "one read at a time");
     for n in [1, 2] {
         leader
             .core
@@ -242,12 +246,12 @@
             .0
             .expect("it may start")
             .conditions
-            .contains(&end_at(2, 42))
+            .contains(&final_state_condition(2, 42))
     );
 }
 
-/// Whatever depends on a cancelled job counts as cancelled once a controller may publish that
-/// final state, at every length and width, before any of their own is written.
+/// All dependents of a cancelled job, in long chains and in large numbers, count as cancelled once
+/// a controller may publish its final state, before any of their own is written.
 #[test]
 fn dependents_of_a_cancelled_job_are_cancelled_at_once() {
     const LONG: usize = 300;
@@ -285,7 +289,7 @@
             "{n}"
         );
     }
-    // Their own final states are written as fast as compare-and-swaps hold them, each under its key.
+    // Each compare-and-swap writes as many of their final states as fit, each under its own key.
     let (cas, _) = leader.next_work();
     let cas = cas.expect("some are written");
     assert!(
@@ -307,14 +311,14 @@
     for n in 0..MANY {
         leader.accept(&spec(n, &[]));
     }
-    let awaits: Vec<usize> = (0..MANY).collect();
-    leader.accept(&spec(MANY, &awaits));
+    let dependencies: Vec<usize> = (0..MANY).collect();
+    leader.accept(&spec(MANY, &dependencies));
     assert_eq!(
         leader
             .core
             .cache
             .dependencies(&id(MANY))
-            .map(|awaits| awaits.len()),
+            .map(|dependencies| dependencies.len()),
         Some(MANY)
     );
     let missing = dependency_page_key(&id(MANY), 3);
@@ -325,7 +329,7 @@
     }
     let mut confirmed = Vec::new();
     for _ in 0..MANY {
-        let cas = leader.next_work().0.expect("it goes on");
+        let cas = leader.next_work().0.expect("confirmation continues");
         assert!(cas.conditions.len() <= CONDITIONS_PER_CHANGE * leader.core.config.cas_max_changes);
         confirmed.extend(
             cas.conditions
@@ -337,49 +341,49 @@
         leader
             .core
             .dependency_cas_completed(CompareAndSwapOutcome::Committed(revision), leader.now);
-        if sets(&cas, &job_key(&id(MANY))) {
+        if puts_key(&cas, &job_key(&id(MANY))) {
             break;
         }
     }
     let wanted: Vec<Condition> = versions
         .iter()
         .enumerate()
-        .map(|(n, version)| end_at(n, *version))
+        .map(|(n, version)| final_state_condition(n, *version))
         .collect();
     assert_eq!(confirmed, wanted, "each final state was confirmed once");
-    // The pages mean nothing any more, and go.
-    let gone = leader.next_work().0.expect("pages are removed");
-    assert!(gone.writes.contains(&Write::Delete { key: missing }));
+    // The pages of dependencies are obsolete and are deleted.
+    let cleanup = leader.next_work().0.expect("pages are removed");
+    assert!(cleanup.writes.contains(&Write::Delete { key: missing }));
 }
 
 /// A job is placed with the highest priority of those that depend on it, directly or through
 /// others, for as long as they wait for it, and never with a lower one than its own.
 #[test]
 fn dependencies_inherit_the_priority_of_urgent_dependents() {
-    let rank = |n, awaits: &[usize], rank| JobSpec {
-        priority: rank,
-        ..spec(n, awaits)
+    let spec_with = |n, dependencies: &[usize], wanted_priority| JobSpec {
+        priority: wanted_priority,
+        ..spec(n, dependencies)
     };
     let mut leader = Leader::new();
-    leader.accept(&rank(1, &[], Priority::Low));
-    leader.accept(&rank(2, &[], Priority::Production));
-    leader.accept(&rank(3, &[1], Priority::Low));
-    let order = |leader: &mut Leader| {
+    leader.accept(&spec_with(1, &[], Priority::Low));
+    leader.accept(&spec_with(2, &[], Priority::Production));
+    leader.accept(&spec_with(3, &[1], Priority::Low));
+    let placed_priorities = |leader: &mut Leader| {
         leader.now += 1_000;
         leader.core.cache_refreshed(leader.now, false);
         leader.core.flush(leader.now);
         [1, 2].map(|n| leader.core.placed_priority(&id(n)))
     };
     assert_eq!(
-        order(&mut leader),
+        placed_priorities(&mut leader),
         [Some(Priority::Low), Some(Priority::Production)]
     );
-    leader.accept(&rank(4, &[3, 2], Priority::High));
+    leader.accept(&spec_with(4, &[3, 2], Priority::High));
     assert_eq!(
-        order(&mut leader),
+        placed_priorities(&mut leader),
         [Some(Priority::High), Some(Priority::Production)]
     );
-    // Who depended on it is cancelled.
+    // The dependent job is cancelled.
     leader.commit(&CompareAndSwap {
         conditions: Vec::new(),
         writes: vec![Write::Delete {
@@ -387,46 +391,47 @@
         }],
     });
     assert_eq!(
-        order(&mut leader),
+        placed_priorities(&mut leader),
         [Some(Priority::Low), Some(Priority::Production)]
     );
 }
 
-/// What a submission gets, by what is known of the jobs that it names.
+/// How a submission is answered, by what is known of the jobs that it depends on.
 #[test]
 fn submission_is_admitted_by_the_state_of_its_dependencies() {
     let mut leader = Leader::new();
     leader.accept(&spec(1, &[]));
     leader.accept(&spec(2, &[1]));
-    let admit = |leader: &Leader, awaits: &[usize]| leader.core.admit_job(&spec(9, awaits), 1);
+    let admit = |leader: &Leader, numbers: &[usize]| leader.core.admit_job(&spec(9, numbers), 1);
     assert_eq!(
         admit(&leader, &[1, 7, 9]),
         DependencyAdmission::Unknown(vec![id(7), id(9)]),
-        "the store is asked before 422"
+        "the store is read before the answer 422"
     );
     let DependencyAdmission::Accept(cas_list, JobPhase::Queued) = admit(&leader, &[1, 2]) else {
         panic!("accepted")
     };
     assert!(
-        sets(cas_list.last().expect("one"), &blocked_job_key(&id(9)))
-            && cas_list.iter().all(|cas| !sets(cas, &job_key(&id(9))))
+        puts_key(cas_list.last().expect("one"), &blocked_job_key(&id(9)))
+            && cas_list.iter().all(|cas| !puts_key(cas, &job_key(&id(9))))
     );
-    // Done or not is for the store to say: it waits all the same.
+    // Only the store shows whether the dependency is done, so the job waits nevertheless.
     leader.finish(1);
     let DependencyAdmission::Accept(cas_list, JobPhase::Queued) = admit(&leader, &[1]) else {
         panic!("accepted")
     };
-    assert!(sets(&cas_list[0], &blocked_job_key(&id(9))));
-    // With a cancelled job before it, at whatever distance, it is cancelled from the start.
+    assert!(puts_key(&cas_list[0], &blocked_job_key(&id(9))));
+    // A job that depends on a cancelled one, directly or not, is cancelled from the start.
     let mut leader = Leader::new();
     leader.accept(&spec(1, &[]));
     leader.accept(&spec(2, &[1]));
     leader.cancel(1);
-    for awaits in [[1], [2]] {
-        let DependencyAdmission::Accept(cas_list, JobPhase::Withdrawn) = admit(&leader, &awaits)
+    for dependencies in [[1], [2]] {
+        let DependencyAdmission::Accept(cas_list, JobPhase::Withdrawn) =
+            admit(&leader, &dependencies)
         else {
             panic!("cancelled")
         };
-        assert!(sets(&cas_list[0], &end_key(&id(9))));
+        assert!(puts_key(&cas_list[0], &end_key(&id(9))));
     }
 }
--- a/crates/coordination/tests/changes.rs
+++ b/crates/coordination/tests/changes.rs
@@ -1,5 +1,5 @@
-//! Change messages compared with a slow reference model that knows whole states,
-//! and what they cost as the fleet grows.
+//! Sync messages with changes, compared with a slow reference model that keeps whole states, and
+//! their cost as the fleet grows.
 
 mod support;
 
@@ -19,21 +19,21 @@
 use proptest::prelude::*;
 use support::*;
 
-// ---- the log -----------------------------------------------------------------
+// ---- change log --------------------------------------------------------------
 
 #[derive(Clone, Debug)]
 enum Step {
     Put(u8, u32),
     Remove(u8),
-    /// Send; the fate of the message: arrives now, is lost, or comes later.
-    Send(usize, Fate),
-    /// The receiver starts anew, as after a change of token.
+    /// Sends a message with at most this many changes; it arrives now, is lost, or arrives late.
+    Send(usize, Delivery),
+    /// The receiver restarts, as after a change of the fencing token.
     Restart,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Fate {
-    Arrives,
+enum Delivery {
+    Answered,
     AnswerLost,
     Lost,
     Late,
@@ -43,64 +43,64 @@
     prop_oneof![
         6 => (any::<u8>().prop_map(|k| k % 24), any::<u32>()).prop_map(|(k, v)| Step::Put(k, v % 5)),
         3 => any::<u8>().prop_map(|k| Step::Remove(k % 24)),
-        4 => (1..12usize, prop::sample::select(vec![Fate::Arrives, Fate::AnswerLost, Fate::Lost, Fate::Late]))
-            .prop_map(|(room, fate)| Step::Send(room, fate)),
+        4 => (1..12usize, prop::sample::select(vec![Delivery::Answered, Delivery::AnswerLost, Delivery::Lost, Delivery::Late]))
+            .prop_map(|(room, delivery)| Step::Send(room, delivery)),
         1 => Just(Step::Restart),
     ]
 }
 
 type Message = (u64, ChangeRange, Vec<(u8, Option<u32>)>);
 
-/// A receiver in the manner of the real ones.
+/// A receiver that applies messages as owners and placers do.
 #[derive(Default)]
 struct Receiver {
     token: u64,
     seq: u64,
-    at: u64,
+    revision: u64,
     state: BTreeMap<u8, u32>,
-    unnamed: Vec<u8>,
+    unconfirmed: Vec<u8>,
     complete: bool,
 }
 
 impl Receiver {
-    /// The state that it acknowledges; `None`: not taken.
-    fn take(&mut self, token: u64, (seq, span, changes): &Message) -> Option<u64> {
+    /// Applies a message and returns the revision to acknowledge; `None` if it is rejected.
+    fn apply(&mut self, token: u64, (seq, range, changes): &Message) -> Option<u64> {
         if token != self.token || *seq <= self.seq {
             return None;
         }
         self.seq = *seq;
-        match span.continues_from(self.at) {
+        match range.continues_from(self.revision) {
             None => return Some(0),
             Some(Continuation::Snapshot) => {
-                self.at = 0;
+                self.revision = 0;
                 self.complete = false;
-                self.unnamed = self.state.keys().copied().collect();
+                self.unconfirmed = self.state.keys().copied().collect();
             }
             Some(Continuation::Delta) => {}
         }
-        self.at = self.at.max(span.until);
+        self.revision = self.revision.max(range.until);
         for (key, value) in changes {
-            self.unnamed.retain(|k| k != key);
+            self.unconfirmed.retain(|k| k != key);
             match value {
                 Some(v) => drop(self.state.insert(*key, *v)),
                 None => drop(self.state.remove(key)),
             }
         }
-        if span.complete {
+        if range.complete {
             self.complete = true;
-            for key in std::mem::take(&mut self.unnamed) {
+            for key in std::mem::take(&mut self.unconfirmed) {
                 self.state.remove(&key);
             }
         }
-        Some(self.at)
+        Some(self.revision)
     }
 }
 
 fn message(log: &ChangeLog<u8, u32>, acked: u64, seq: u64, mut room: usize) -> Message {
-    let (span, changes) = log.changes_since(acked, &mut room, |_, _| 1);
+    let (range, changes) = log.changes_since(acked, &mut room, |_, _| 1);
     (
         seq,
-        span,
+        range,
         changes.into_iter().map(|(k, v)| (*k, v.copied())).collect(),
     )
 }
@@ -108,11 +108,10 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
-    /// Whatever is lost, late or repeated: a receiver that has heard all holds
-    /// what the sender holds, and one that is complete never holds what was
-    /// never there.
+    /// Whatever messages are lost, late or repeated: a receiver that has received everything
+    /// holds what the sender holds, and a complete one holds nothing that never existed.
     #[test]
-    fn follower_converges_to_the_reference_model(steps in prop::collection::vec(step(), 1..160)) {
+    fn receiver_converges_to_the_reference_model(steps in prop::collection::vec(step(), 1..160)) {
         let mut log: ChangeLog<u8, u32> = ChangeLog::default();
         let mut model: BTreeMap<u8, u32> = BTreeMap::new();
         let (mut acked, mut seq, mut token) = (0, 0, 1);
@@ -137,20 +136,20 @@
                     receiver = Receiver { token, state: std::mem::take(&mut receiver.state), ..Receiver::default() };
                     acked = 0;
                 }
-                Step::Send(room, fate) => {
+                Step::Send(room, delivery) => {
                     seq += 1;
                     let m = message(&log, acked, seq, room);
                     prop_assert!(m.2.len() <= room);
-                    match fate {
-                        Fate::Lost => {}
-                        Fate::Late => late.push((token, m)),
-                        Fate::Arrives | Fate::AnswerLost => {
-                            let at = receiver.take(token, &m);
-                            if let (Some(at), Fate::Arrives) = (at, fate) {
+                    match delivery {
+                        Delivery::Lost => {}
+                        Delivery::Late => late.push((token, m)),
+                        Delivery::Answered | Delivery::AnswerLost => {
+                            let at = receiver.apply(token, &m);
+                            if let (Some(at), Delivery::Answered) = (at, delivery) {
                                 answer(&mut acked, &mut log, at);
                             }
                             if let Some((t, old)) = late.pop() {
-                                prop_assert_eq!(receiver.take(t, &old), None, "a late message is dropped");
+                                prop_assert_eq!(receiver.apply(t, &old), None, "a late message is dropped");
                             }
                         }
                     }
@@ -161,7 +160,7 @@
             seq += 1;
             let m = message(&log, acked, seq, 5);
             let last = m.1.complete;
-            let at = receiver.take(token, &m).expect("taken");
+            let at = receiver.apply(token, &m).expect("message accepted");
             answer(&mut acked, &mut log, at);
             if last && receiver.complete && at == log.last() {
                 break;
@@ -171,10 +170,10 @@
     }
 }
 
-// ---- an owner and what it tells ------------------------------------------------
+// ---- views of an owner ---------------------------------------------------------
 
-/// The work for one start is the same whatever the fleet's size: one machine
-/// is told anew, and one is called.
+/// The work for one start does not depend on the fleet's size: one machine is published again, and
+/// one is called.
 #[test]
 fn start_cost_is_independent_of_fleet_size() {
     for machines in [10, 1_000] {
@@ -194,17 +193,17 @@
                 ROOM,
                 20,
             )
-            .expect("taken");
+            .expect("sync accepted");
         assert_eq!(first.machines.len(), machines);
         assert!(owner.due_calls(20, ROOM).is_empty());
-        let span = ChangeRange {
+        let range = ChangeRange {
             since: 0,
             until: 1,
             complete: true,
         };
         let view = owner
-            .sync(&sync(2, span, vec![want(0, 3)], have(&first)), ROOM, 30)
-            .expect("taken");
+            .sync(&sync(2, range, vec![want(0, 3)], have(&first)), ROOM, 30)
+            .expect("sync accepted");
         assert_eq!(
             (view.machines.len(), view.attempts.len()),
             (1, 1),
@@ -212,7 +211,7 @@
         );
         assert_eq!(view.desired_revision, 1);
         assert_eq!(owner.due_calls(30, ROOM).len(), 1);
-        // A report that says nothing new is no news.
+        // A heartbeat without changes causes no publication.
         assert!(owner.handle_heartbeat(&report(7, 2), None, 40).is_some());
         let quiet = owner
             .sync(
@@ -229,12 +228,12 @@
                 ROOM,
                 50,
             )
-            .expect("taken");
+            .expect("sync accepted");
         assert_eq!((quiet.machines.len(), quiet.attempts.len()), (0, 0));
     }
 }
 
-/// A stop does not wait behind starts where a message holds few of them.
+/// A stop does not wait behind starts that do not fit in a message.
 #[test]
 fn stops_overtake_starts_that_do_not_fit() {
     let mut owner = fleet(3);
@@ -254,7 +253,7 @@
             ROOM,
             20,
         )
-        .expect("taken");
+        .expect("sync accepted");
     assert_eq!(owner.due_calls(20, ROOM).len(), 2);
     for n in 0..2 {
         assert!(
@@ -270,7 +269,7 @@
                 .is_some()
         );
     }
-    let mut piece = sync(
+    let mut partial_message = sync(
         2,
         ChangeRange {
             since: 2,
@@ -280,8 +279,8 @@
         vec![want(2, 2)],
         ObservedState::default(),
     );
-    // One of ours, and one that this placer does not have.
-    piece.stops = vec![
+    // A stop of this placer's attempt, and one of an attempt that it does not have.
+    partial_message.stops = vec![
         (want(1, 1).id, 0),
         (
             AttemptId {
@@ -291,7 +290,9 @@
             0,
         ),
     ];
-    owner.sync(&piece, ROOM, 40).expect("taken");
+    owner
+        .sync(&partial_message, ROOM, 40)
+        .expect("sync accepted");
     let reply = owner
         .handle_heartbeat(
             &Heartbeat {
@@ -319,13 +320,13 @@
     assert!(reply.commands.is_empty());
 }
 
-/// A state that does not fit one message comes in several, and all of it comes.
+/// A state that does not fit in one message is delivered completely in several.
 #[test]
-fn full_state_is_delivered_in_pieces() {
+fn full_state_is_delivered_in_parts() {
     let mut owner = fleet(300);
     let mut at = ObservedState::default();
     let mut seen = BTreeMap::new();
-    let mut pieces = 0;
+    let mut parts = 0;
     for seq in 1..100 {
         let view = owner
             .sync(
@@ -342,12 +343,12 @@
                 8 * 1024,
                 20,
             )
-            .expect("taken");
+            .expect("sync accepted");
         assert!(
             lemonweir_protocol::peer::encode(&view).len() < 9 * 1024,
-            "a message keeps to its room"
+            "a message keeps to its byte budget"
         );
-        pieces += 1;
+        parts += 1;
         at = have(&view);
         seen.extend(view.machines.iter().map(|m| (m.id.clone(), m.free)));
         if view.machines_range.complete {
@@ -355,16 +356,15 @@
         }
     }
     assert_eq!(seen.len(), 300);
-    assert!(pieces > 3);
+    assert!(parts > 3);
 }
 
-/// Found on zeltplatz-rechen-grown: what machines had which images fell off the
-/// note beyond some thirty machines, and after a restart tasks were placed as
-/// if the others had none.
+/// The record of cached images was cut off after some thirty machines, and after a restart tasks
+/// were placed as if the other machines had no images.
 #[test]
 fn images_of_a_large_fleet_survive_a_restart() {
     const MACHINES: usize = 400;
-    const VALUE: usize = 4 * 1024;
+    const VALUE_BYTES: usize = 4 * 1024;
     let mut owner = fleet(MACHINES);
     let image = |n: usize| format!("img-{:02}", n % 20);
     let wants: Vec<DesiredAttempt> = (0..MACHINES)
@@ -388,7 +388,7 @@
             ROOM,
             20,
         )
-        .expect("taken");
+        .expect("sync accepted");
     for n in 0..MACHINES {
         assert!(
             owner
@@ -403,7 +403,7 @@
                 .is_some()
         );
     }
-    let pages = owner.changed_image_pages(60_000, VALUE, 12);
+    let pages = owner.changed_image_pages(60_000, VALUE_BYTES, 12);
     assert!(pages.len() > 1, "this fleet needs several pages");
     let pages: Vec<ImageLocationsRecord> = pages
         .into_iter()
@@ -412,11 +412,13 @@
     assert!(
         pages
             .iter()
-            .all(|p| lemonweir_protocol::encode(p).len() <= VALUE)
+            .all(|p| lemonweir_protocol::encode(p).len() <= VALUE_BYTES)
     );
     assert!(
-        owner.changed_image_pages(120_000, VALUE, 12).is_empty(),
-        "nothing new, nothing written"
+        owner
+            .changed_image_pages(120_000, VALUE_BYTES, 12)
+            .is_empty(),
+        "unchanged pages are not written"
     );
     let mut next = Owner::new(
         0,
@@ -452,7 +454,7 @@
         ObservedState::default(),
     );
     first.to_fencing_token = TOKEN + 1;
-    let view = next.sync(&first, ROOM, 50).expect("taken");
+    let view = next.sync(&first, ROOM, 50).expect("sync accepted");
     assert_eq!(view.machines.len(), MACHINES);
     for m in &view.machines {
         let n: usize = m.id.as_str()[2..].parse().expect("number");
@@ -460,29 +462,29 @@
     }
 }
 
-// ---- a placer that is told in pieces --------------------------------------------
+// ---- partial views at the placer -------------------------------------------------
 
-/// Found in an incident on zeltplatz-rechen-grown: behind a cut the owner's
-/// answers came in pieces, attempts before machines, and the placer took room
-/// again that its own attempts had just been given: 1,900 refusals.
+/// After a partition the owner's views came in parts, attempts before machines, and the placer used
+/// resources again that its own attempts had just been given: 1,900 attempts were refused.
 #[test]
 fn capacity_is_not_double_booked_while_machine_figures_are_in_flight() {
     let mut placer = Placer::new(0, TOKEN, 1, terms(), 0);
     submit(&mut placer, array(9), 0, 0);
     let machine = |gpus: u64| shown(0, gpus);
     let mut revision = 1;
-    // Tells a view, lets the placer place and write, and counts its attempts.
-    let mut tell = |machines: Vec<MachineView>, span: ChangeRange, attempts: Vec<AttemptStatus>| {
-        let seq = placer.sync_request(0, TOKEN, ROOM, false, 0).seq;
-        placer.apply_view(view(seq, span, machines, attempts), 0);
-        placer.run_placement_pass(0);
-        while placer.next_cas(0).is_some() {
-            revision += 1;
-            placer.apply_cas_outcome(CompareAndSwapOutcome::Committed(revision), 0);
-        }
-        placer.sync_request(0, TOKEN, ROOM, false, 0).desired
-    };
-    let first = tell(
+    // Applies a view, lets the placer place and write, and returns its attempts.
+    let mut apply_view_and_place =
+        |machines: Vec<MachineView>, range: ChangeRange, attempts: Vec<AttemptStatus>| {
+            let seq = placer.sync_request(0, TOKEN, ROOM, false, 0).seq;
+            placer.apply_view(view(seq, range, machines, attempts), 0);
+            placer.run_placement_pass(0);
+            while placer.next_cas(0).is_some() {
+                revision += 1;
+                placer.apply_cas_outcome(CompareAndSwapOutcome::Committed(revision), 0);
+            }
+            placer.sync_request(0, TOKEN, ROOM, false, 0).desired
+        };
+    let first = apply_view_and_place(
         vec![machine(4)],
         ChangeRange {
             since: 0,
@@ -499,9 +501,9 @@
             state: AttemptState::Accepted,
         })
         .collect();
-    // The attempts have room; what is left on their machine is not told yet.
+    // The attempts are accepted; the free resources of their machine are not published yet.
     assert_eq!(
-        tell(
+        apply_view_and_place(
             Vec::new(),
             ChangeRange {
                 since: 1,
@@ -514,7 +516,7 @@
         4
     );
     assert_eq!(
-        tell(
+        apply_view_and_place(
             vec![machine(0)],
             ChangeRange {
                 since: 1,
@@ -526,9 +528,9 @@
         .len(),
         4
     );
-    // One of another's has ended.
+    // An attempt of another placer has ended.
     assert_eq!(
-        tell(
+        apply_view_and_place(
             vec![machine(1)],
             ChangeRange {
                 since: 2,
@@ -542,9 +544,8 @@
     );
 }
 
-/// Found on rough of zeltplatz-rechen-grown: after a crash the list still named
-/// machines that had been released, and 30 of them counted as booting for a
-/// minute and a half.
+/// After a crash the inventory still listed machines that had been released, and 30 of them counted
+/// as booting for a minute and a half.
 #[test]
 fn listed_machine_without_heartbeats_offers_no_capacity() {
     let mut owner = fleet(1);
@@ -557,7 +558,7 @@
         age_s: 90.0,
     };
     let mut seq = 0;
-    let mut open = |owner: &mut Owner| {
+    let mut is_schedulable = |owner: &mut Owner| {
         seq += 1;
         let view = owner
             .sync(
@@ -574,7 +575,7 @@
                 ROOM,
                 20,
             )
-            .expect("taken");
+            .expect("sync accepted");
         view.machines
             .iter()
             .find(|m| m.id == machine(5))
@@ -582,20 +583,24 @@
     };
     owner.apply_inventory(&[entry("starting")], 1_000);
     owner.tick(30_000, 30_000);
-    assert_eq!(open(&mut owner), Some(true), "it boots");
+    assert_eq!(is_schedulable(&mut owner), Some(true), "it boots");
     owner.apply_inventory(&[entry("running")], 30_000);
     owner.tick(31_000, 31_000);
-    assert_eq!(open(&mut owner), Some(true), "it may just be up");
+    assert_eq!(
+        is_schedulable(&mut owner),
+        Some(true),
+        "it may just have booted"
+    );
     (31_000..45_000)
         .step_by(500)
         .for_each(|now| owner.tick(now, now));
-    assert_eq!(open(&mut owner), Some(false));
+    assert_eq!(is_schedulable(&mut owner), Some(false));
     assert!(
         owner
             .handle_heartbeat(&report(5, 1), None, 46_000)
             .is_some()
     );
-    assert_eq!(open(&mut owner), Some(true), "it was only late");
+    assert_eq!(is_schedulable(&mut owner), Some(true), "it was only late");
 }
 
 #[test]
@@ -612,9 +617,9 @@
             ROOM,
             20,
         )
-        .expect("taken");
+        .expect("sync accepted");
     assert!(owner.due_calls(20, ROOM).len() == 1);
-    // Late, of another token, of a shard that there is not.
+    // A late message, one with another token, and one from an unknown shard.
     assert_eq!(
         owner
             .sync(
@@ -634,9 +639,9 @@
         owner.sync(&other, ROOM, 21).err(),
         Some(SyncError::UnknownShard)
     );
-    // A gap, and a span that ends before it begins: all is asked for again, and
-    // the attempt is still held.
-    for (seq, span) in [
+    // A gap, and a range that ends before it begins: a full state is requested, and the attempt
+    // is kept.
+    for (seq, range) in [
         (
             6,
             ChangeRange {
@@ -656,7 +661,7 @@
     ] {
         let view = owner
             .sync(
-                &sync(seq, span, vec![want(1, 2)], ObservedState::default()),
+                &sync(seq, range, vec![want(1, 2)], ObservedState::default()),
                 ROOM,
                 22,
             )
@@ -688,7 +693,7 @@
     };
     assert_eq!(free(2), Some(Resources::capacity(16.0, 4.0, 64.0)));
     assert_eq!(free(1), Some(Resources::capacity(12.0, 3.0, 56.0)));
-    // States that were never told: nothing follows, nothing ends.
+    // Revisions that were never published: nothing is sent, and nothing ends.
     let ahead = ObservedState {
         machines_revision: u64::MAX,
         attempts_revision: u64::MAX,
--- a/crates/coordination/tests/limits.rs
+++ b/crates/coordination/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Limits that a fleet of 4,000 machines meets.
+//! Image location records of a fleet of 4,000 machines, and the size limits of the store.
 
 #[path = "support/controllers.rs"]
 mod controllers;
@@ -14,20 +14,21 @@
 use lemonweir_storage::records::ImageLocationsRecord;
 use support::*;
 
-/// Machines of the fleet.
+/// Number of machines in the fleet.
 const MACHINES: usize = 4_000;
-/// Bytes of a value, and the pages that a compare-and-swap takes of that size.
-const VALUE: usize = 8 * 1024;
-const PAGES: usize = MAX_CAS_BYTES / VALUE;
+/// Size limit of a stored value, bytes.
+const VALUE_BYTES: usize = 8 * 1024;
+/// Pages of that size that fit in one compare-and-swap.
+const PAGES_PER_CAS: usize = MAX_CAS_BYTES / VALUE_BYTES;
 
-/// Each machine runs a task, each with one of 40 images.
+/// A fleet in which every machine runs a task with one of 40 images.
 fn busy_fleet(machines: usize) -> Owner {
     let mut owner = fleet(machines);
     run_on_all(&mut owner, machines, 1);
     owner
 }
 
-/// All machines get a task with an image of their own name's group.
+/// Starts a task on every machine; machine n gets image n % 40 of this round.
 fn run_on_all(owner: &mut Owner, machines: usize, round: u32) {
     let wants: Vec<DesiredAttempt> = (0..machines)
         .map(|n| DesiredAttempt {
@@ -35,19 +36,19 @@
             ..want(round * machines as u32 + n as u32, n)
         })
         .collect();
-    let upto = u64::from(round) * machines as u64;
-    let span = ChangeRange {
-        since: upto - machines as u64,
-        until: upto,
+    let last_revision = u64::from(round) * machines as u64;
+    let range = ChangeRange {
+        since: last_revision - machines as u64,
+        until: last_revision,
         complete: true,
     };
     owner
         .sync(
-            &sync(u64::from(round), span, wants, ObservedState::default()),
+            &sync(u64::from(round), range, wants, ObservedState::default()),
             ROOM,
             20,
         )
-        .expect("taken");
+        .expect("sync accepted");
     for n in 0..machines {
         let task = running_task(round as usize * machines + n);
         let report = lemonweir_protocol::worker::Heartbeat {
@@ -58,19 +59,22 @@
     }
 }
 
-/// The stored record; a compare-and-swap keeps to its bytes.
+/// The stored pages; asserts that each write fits in a compare-and-swap.
 #[derive(Default)]
-struct Stored(BTreeMap<usize, ImageLocationsRecord>);
+struct StoredPages(BTreeMap<usize, ImageLocationsRecord>);
 
-impl Stored {
+impl StoredPages {
     fn write(&mut self, pages: Vec<(usize, Option<ImageLocationsRecord>)>) {
         let bytes: usize = pages
             .iter()
             .filter_map(|(_, page)| page.as_ref())
-            .map(|page| serde_json::to_vec(page).expect("text").len())
+            .map(|page| serde_json::to_vec(page).expect("JSON").len())
             .sum();
-        assert!(bytes <= MAX_BODY_BYTES, "{bytes} bytes in a transaction");
-        assert!(pages.len() <= PAGES);
+        assert!(
+            bytes <= MAX_BODY_BYTES,
+            "{bytes} bytes in a compare-and-swap"
+        );
+        assert!(pages.len() <= PAGES_PER_CAS);
         for (at, page) in pages {
             match page {
                 Some(page) => drop(self.0.insert(at, page)),
@@ -79,7 +83,7 @@
         }
     }
 
-    fn machines(&self) -> BTreeMap<MachineId, usize> {
+    fn image_counts(&self) -> BTreeMap<MachineId, usize> {
         let mut all = BTreeMap::new();
         for (machine, images) in self.0.values().flat_map(|page| &page.machines) {
             *all.entry(machine.clone()).or_default() += images.len();
@@ -88,64 +92,64 @@
     }
 }
 
-/// The record of a shard with the whole fleet takes more pages than a compare-and-swap holds:
-/// they are written one after the other, until nothing is left.
+/// The image locations of the whole fleet take more pages than one compare-and-swap holds: they
+/// are written in several, until none is left.
 #[test]
 fn images_of_all_machines_are_recorded() {
     let mut owner = busy_fleet(MACHINES);
-    let mut stored = Stored::default();
-    let mut times = 0;
+    let mut stored = StoredPages::default();
+    let mut writes = 0;
     for at in 1..100 {
-        let pages = owner.changed_image_pages(at * 60_000, VALUE, PAGES);
+        let pages = owner.changed_image_pages(at * 60_000, VALUE_BYTES, PAGES_PER_CAS);
         if pages.is_empty() {
             break;
         }
-        times += 1;
+        writes += 1;
         stored.write(pages);
     }
-    assert!(times > 1 && times < 99, "{times} transactions");
-    assert_eq!(stored.machines().len(), MACHINES);
+    assert!(writes > 1 && writes < 99, "{writes} compare-and-swaps");
+    assert_eq!(stored.image_counts().len(), MACHINES);
 }
 
-/// Where the first pages change before each writing, the last are written all the same.
+/// The last pages are written even if the first ones change before every write.
 #[test]
 fn constantly_changing_pages_do_not_starve_the_last() {
     let mut owner = busy_fleet(MACHINES);
-    let mut stored = Stored::default();
+    let mut stored = StoredPages::default();
     for at in 1..80u32 {
-        // Another image on each machine: every page is another one.
+        // A new image on each machine changes every page.
         if at < 10 {
             run_on_all(&mut owner, MACHINES, at + 1);
         }
-        stored.write(owner.changed_image_pages(u64::from(at) * 60_000, VALUE, PAGES));
+        stored.write(owner.changed_image_pages(u64::from(at) * 60_000, VALUE_BYTES, PAGES_PER_CAS));
         if at == 9 {
             let pages = stored.0.len();
-            assert!(pages >= 9 * PAGES / 2, "{pages} pages are written");
+            assert!(pages >= 9 * PAGES_PER_CAS / 2, "{pages} pages are written");
         }
     }
-    assert_eq!(stored.machines().len(), MACHINES);
+    assert_eq!(stored.image_counts().len(), MACHINES);
 }
 
-/// Most machines are released at once: no page of theirs stays in the store.
+/// When most machines are released at once, none of their pages stays in the store.
 #[test]
 fn pages_of_released_machines_are_deleted() {
     let mut owner = busy_fleet(MACHINES);
-    let mut stored = Stored::default();
+    let mut stored = StoredPages::default();
     for at in 1..40 {
-        stored.write(owner.changed_image_pages(at * 60_000, VALUE, PAGES));
+        stored.write(owner.changed_image_pages(at * 60_000, VALUE_BYTES, PAGES_PER_CAS));
     }
     let before = stored.0.len();
-    assert!(before > 2 * PAGES, "{before} pages");
-    let gone: Vec<MachineId> = (40..MACHINES).map(machine).collect();
-    owner.release_finished(&gone, true, 50);
+    assert!(before > 2 * PAGES_PER_CAS, "{before} pages");
+    let released: Vec<MachineId> = (40..MACHINES).map(machine).collect();
+    owner.release_finished(&released, true, 50);
     for at in 40..80 {
-        stored.write(owner.changed_image_pages(at * 60_000, VALUE, PAGES));
+        stored.write(owner.changed_image_pages(at * 60_000, VALUE_BYTES, PAGES_PER_CAS));
     }
     assert_eq!(stored.0.len(), 1);
-    assert_eq!(stored.machines().len(), 40);
+    assert_eq!(stored.image_counts().len(), 40);
 }
 
-/// The pages of one writing fit a compare-and-swap, however large a value may be.
+/// The pages of one write fit in a compare-and-swap, whatever the size limit of a value.
 #[test]
 fn image_record_write_fits_a_compare_and_swap() {
     for value_kb in [2.0, 4.0, 8.0, 64.0, 1_024.0] {
--- a/crates/coordination/tests/links.rs
+++ b/crates/coordination/tests/links.rs
@@ -1,4 +1,5 @@
-//! One controller among others: what it relays, and what is relayed for it.
+//! Links between controllers: which heartbeats and calls are relayed, how gossip is sent, and
+//! which shards a partitioned controller cedes.
 
 use lemonweir_coordination::election::{ELECTION_STAGGER_MS, FAILOVER_WAIT_MS};
 use lemonweir_coordination::links::{GOSSIP_INTERVAL_MS, Links};
@@ -32,7 +33,7 @@
     serde_json::from_value(value).expect("settings")
 }
 
-/// The controller of number 1; shard 0 is led by number 0, under [`TOKEN`].
+/// Controller 1; shard 0 is led by controller 0 with [`TOKEN`].
 fn core() -> Core {
     let mut core = Core::new(
         Config::new(&settings()),
@@ -68,12 +69,12 @@
 
 /// Heartbeats of machines that belong to shard 0.
 fn heartbeats_of_shard_0(core: &Core, token: u64) -> impl Iterator<Item = Heartbeat> + use<> {
-    let ours = |n: &u32| {
+    let is_in_shard_0 = |n: &u32| {
         core.config
             .shard_of("north", &format!("n-{n:06}").as_str().into())
             == 0
     };
-    let numbers: Vec<u32> = (0..400).filter(ours).collect();
+    let numbers: Vec<u32> = (0..400).filter(is_in_shard_0).collect();
     numbers.into_iter().map(move |n| Heartbeat {
         machine: format!("n-{n:06}").as_str().into(),
         address: "10.1.0.1:9000".into(),
@@ -93,21 +94,23 @@
     let mut core = core();
     core.links
         .gossip_completed(0, true, Some(gossip(0, Some(50), None)), 1_000);
-    let new = heartbeats_of_shard_0(&core, 0).next().expect("some");
+    let new = heartbeats_of_shard_0(&core, 0)
+        .next()
+        .expect("a machine of shard 0");
     assert!(
         matches!(core.handle_heartbeat(&new, 1_100), HeartbeatAnswer::Redirect(host) if host == "h0")
     );
     let known = heartbeats_of_shard_0(&core, TOKEN << MACHINE_TOKEN_BITS | 3)
         .nth(1)
-        .expect("some");
+        .expect("a machine of shard 0");
     assert!(matches!(
         core.handle_heartbeat(&known, 1_200),
         HeartbeatAnswer::Relay(0)
     ));
-    // One that knows only an earlier leader has not tried the new one yet.
+    // A worker that knows only an earlier leader has not tried the new one yet.
     let earlier = heartbeats_of_shard_0(&core, (TOKEN - 1) << MACHINE_TOKEN_BITS)
         .nth(2)
-        .expect("some");
+        .expect("a machine of shard 0");
     assert!(matches!(
         core.handle_heartbeat(&earlier, 1_300),
         HeartbeatAnswer::Redirect(_)
@@ -117,7 +120,7 @@
             core.handle_heartbeat(&earlier, 4_000),
             HeartbeatAnswer::Relay(0)
         ),
-        "it came back: the leader is unreachable for it"
+        "it came back, so it cannot reach the leader"
     );
 }
 
@@ -132,21 +135,23 @@
         }
         let known = heartbeats_of_shard_0(&core, TOKEN << MACHINE_TOKEN_BITS)
             .next()
-            .expect("some");
+            .expect("a machine of shard 0");
         assert!(
             matches!(
                 core.handle_heartbeat(&known, 3_100),
                 HeartbeatAnswer::Unavailable
             ),
-            "it tries whoever is next"
+            "the worker tries the next controller"
         );
     }
 }
 
 #[test]
-fn unknown_zone_is_no_link() {
+fn unknown_zone_creates_no_link() {
     let mut core = core();
-    let misrouted = heartbeats_of_shard_0(&core, 0).next().expect("some");
+    let misrouted = heartbeats_of_shard_0(&core, 0)
+        .next()
+        .expect("a machine of shard 0");
     core.handle_heartbeat(
         &Heartbeat {
             zone: "nowhere".into(),
@@ -178,7 +183,7 @@
         .gossip_completed(0, true, Some(gossip(0, Some(50), None)), 1_000);
     let known = heartbeats_of_shard_0(&core, TOKEN << MACHINE_TOKEN_BITS)
         .next()
-        .expect("some");
+        .expect("a machine of shard 0");
     assert!(
         matches!(
             core.handle_relayed_heartbeat(&known, 2, 1_100),
@@ -188,7 +193,7 @@
     );
 }
 
-/// Two that have lost the store, each with the other's old gossip.
+/// Two controllers lose their direct routes to the store while each has old gossip of the other.
 #[test]
 fn relayed_calls_never_form_a_cycle() {
     let mut core = core();
@@ -201,13 +206,13 @@
     }
     assert_eq!(links.route(Service::Store, 0, 4_600), Some(0));
     assert!(!links.can_relay(Service::Store), "its direct route is down");
-    // Number 0 loses it too: the last answer on its direct route grows old, though the
-    // store answers it through others.
+    // Controller 0 loses its direct route too: the last answer on that route grows old, though
+    // the store answers it through others.
     links.handle_gossip(gossip(0, Some(3_000), None), 6_000);
     assert_eq!(links.route(Service::Store, 0, 6_100), Some(0));
     links.handle_gossip(gossip(0, Some(5_000), None), 8_000);
     assert_eq!(links.route(Service::Store, 0, 8_100), None);
-    // Who refuses to relay is left alone for a while, where there is another.
+    // A peer that refused to relay is avoided for a while if there is another.
     links.handle_gossip(gossip(0, Some(10), None), 9_000);
     links.handle_gossip(gossip(2, Some(400), None), 9_000);
     links.gossip_completed(2, true, None, 9_000);
@@ -240,20 +245,20 @@
     assert_eq!(gossip_targets(&mut core, 1_000 + GOSSIP_INTERVAL_MS), [0]);
 }
 
-/// A worker that is redirected by a controller that is itself partitioned from its
-/// workers must not make it acquire what others can serve.
+/// Workers that are redirected by a controller that cannot reach them must not make this one, which
+/// no longer receives heartbeats either, acquire a shard that another controller may serve.
 #[test]
 fn controller_that_reaches_no_worker_acquires_no_shard() {
     use lemonweir_coordination::ShardLease;
     use lemonweir_coordination::election::{ElectionAction, LeaderElection};
     use lemonweir_storage::records::{ControllerRecord, controller_key};
     let mut core = core();
-    let present = |host: &str, deaf: Vec<u16>| KeyValue {
+    let live_controller = |host: &str, ceded: Vec<u16>| KeyValue {
         key: controller_key(host),
         value: to_value(&ControllerRecord {
             zone: "north".into(),
             peer_version: PEER_VERSION,
-            ceded_shards: deaf,
+            ceded_shards: ceded,
             record_version: 0,
         }),
         version: 60,
@@ -266,9 +271,9 @@
     };
     core.cache.load_snapshot(
         &[
-            present("h0", vec![0]),
-            present("h1", Vec::new()),
-            present("h2", Vec::new()),
+            live_controller("h0", vec![0]),
+            live_controller("h1", Vec::new()),
+            live_controller("h2", Vec::new()),
             shard(55),
         ],
         70,
@@ -288,17 +293,17 @@
     for r in &heartbeats {
         core.handle_heartbeat(r, 1_000);
     }
-    // Shard 0 has no leader; its home, which lives, cedes it.
+    // Shard 0 has no leader; its home controller is alive but cedes it.
     let mut election = LeaderElection::new(3);
     assert_eq!(election.next_action(&core, 0, 3_000), None, "not at once");
-    let waits = FAILOVER_WAIT_MS + ELECTION_STAGGER_MS;
+    let wait_ms = FAILOVER_WAIT_MS + ELECTION_STAGGER_MS;
     assert_eq!(
-        election.next_action(&core, 0, 3_000 + waits - 1),
+        election.next_action(&core, 0, 3_000 + wait_ms - 1),
         None,
-        "one that leads nothing goes first"
+        "a controller that leads no shard goes first"
     );
     assert_eq!(
-        election.next_action(&core, 0, 3_000 + waits),
+        election.next_action(&core, 0, 3_000 + wait_ms),
         Some(ElectionAction::Acquire {
             shard: 0,
             version: 0
@@ -309,14 +314,14 @@
     assert_eq!(
         election.next_action(&core, 0, silent_at),
         None,
-        "another lives that may reach the workers"
+        "another live controller may reach the workers"
     );
-    // Nobody else could: then there is no use in waiting.
+    // No other controller could: waiting is of no use.
     core.cache.load_snapshot(
         &[
-            present("h0", vec![0]),
-            present("h1", Vec::new()),
-            present("h2", vec![0]),
+            live_controller("h0", vec![0]),
+            live_controller("h1", Vec::new()),
+            live_controller("h2", vec![0]),
             shard(55),
         ],
         80,
--- a/crates/coordination/tests/mass_failure_recovery.rs
+++ b/crates/coordination/tests/mass_failure_recovery.rs
@@ -1,5 +1,5 @@
-//! After a mass failure all lost tasks are queued at once, and capacity comes back machine
-//! by machine.
+//! Recovery from a mass failure: all lost tasks are queued at once, and capacity comes back
+//! machine by machine.
 
 mod support;
 
@@ -17,16 +17,16 @@
     placer: Placer,
     machines: Vec<MachineView>,
     store_revision: u64,
-    /// State of the machines that was published last.
-    machines_state: u64,
-    /// Machines so far.
+    /// Revision of the machines that was published last.
+    machines_revision: u64,
+    /// Number of machines added so far.
     machine_count: usize,
-    /// State of the attempts that was published last.
-    attempts_state: u64,
+    /// Revision of the attempts that was published last.
+    attempts_revision: u64,
 }
 
 impl Cluster {
-    /// A placer with so many services of 4 replicas and one array of 20 tasks that was
+    /// A placer with this many services of 4 replicas, and one array of 20 tasks that was
     /// submitted before them.
     fn new(services: usize) -> Self {
         let mut placer = Placer::new(0, TOKEN, 1, terms(), 0);
@@ -49,29 +49,29 @@
             placer,
             machines: Vec::new(),
             store_revision: 1,
-            machines_state: 0,
+            machines_revision: 0,
             machine_count: 0,
-            attempts_state: 0,
+            attempts_revision: 0,
         }
     }
 
-    /// All machines fail, with all that runs on them.
+    /// Fails all machines and everything that runs on them.
     fn fail_all_machines(&mut self) {
         let all = self.placer.sync_request(0, TOKEN, ROOM, false, 0).desired;
-        for standing in [AttemptState::Running, AttemptState::Gone] {
+        for reported_state in [AttemptState::Running, AttemptState::Gone] {
             let attempts = all
                 .iter()
                 .map(|w| AttemptStatus {
                     id: w.id.clone(),
-                    state: standing,
+                    state: reported_state,
                 })
                 .collect();
-            let gone = if standing == AttemptState::Gone {
+            let removed = if reported_state == AttemptState::Gone {
                 std::mem::take(&mut self.machines)
             } else {
                 Vec::new()
             };
-            self.attempts_state += all.len() as u64;
+            self.attempts_revision += all.len() as u64;
             let full = |m: &MachineView| MachineView {
                 free: Resources::default(),
                 task_count: 4,
@@ -80,14 +80,14 @@
             let machines = self.machines.iter().map(full).collect();
             self.publish(
                 machines,
-                gone.into_iter().map(|m| m.id).collect(),
+                removed.into_iter().map(|m| m.id).collect(),
                 attempts,
                 Vec::new(),
             );
         }
     }
 
-    /// Publishes that another machine for four tasks is up; what was placed on it.
+    /// Publishes a new machine with room for four tasks; returns the tasks placed on it.
     fn add_machine(&mut self, partitioned: Vec<PartitionedZone>) -> Vec<(JobId, u32)> {
         self.machine_count += 1;
         let view = shown(self.machine_count, 4);
@@ -105,13 +105,13 @@
     fn publish(
         &mut self,
         machines: Vec<MachineView>,
-        gone: Vec<MachineId>,
+        removed: Vec<MachineId>,
         attempts: Vec<AttemptStatus>,
         partitioned: Vec<PartitionedZone>,
     ) {
         let seq = self.placer.sync_request(0, TOKEN, ROOM, false, 0).seq;
-        let since = self.machines_state;
-        self.machines_state += 1;
+        let since = self.machines_revision;
+        self.machines_revision += 1;
         let view = ShardView {
             version: lemonweir_model::constants::PEER_VERSION,
             shard: 0,
@@ -122,14 +122,14 @@
             partitioned_zones: partitioned,
             machines_range: ChangeRange {
                 since,
-                until: self.machines_state,
+                until: self.machines_revision,
                 complete: true,
             },
             machines,
-            removed_machines: gone,
+            removed_machines: removed,
             attempts_range: ChangeRange {
                 since: 0,
-                until: self.attempts_state,
+                until: self.attempts_revision,
                 complete: true,
             },
             attempts,
@@ -144,8 +144,8 @@
     }
 }
 
-/// Every service has half of its replicas before any has more, and the array that is older
-/// waits for all of them.
+/// Every service gets half of its replicas before any gets more, and the older array waits for
+/// all of them.
 #[test]
 fn every_service_recovers_half_of_its_replicas_before_any_recovers_all() {
     let mut cluster = Cluster::new(6);
@@ -153,7 +153,7 @@
         assert_eq!(
             cluster.add_machine(Vec::new()).len(),
             4,
-            "new services come by age, and batch work after them"
+            "new services are placed by age, and batch jobs after them"
         );
     }
     cluster.fail_all_machines();
@@ -165,7 +165,7 @@
         }
         assert!(
             !replicas.contains_key(&JobId::from("req-000001")),
-            "batch work takes no resources that a replica lacks"
+            "batch jobs take no resources that a replica lacks"
         );
         let least = if replicas.len() < 6 {
             0
@@ -184,12 +184,12 @@
             .filter(|(job, _)| *job == JobId::from("req-000001"))
             .count(),
         4,
-        "then the array: {next:?}"
+        "the array is placed next: {next:?}"
     );
 }
 
-/// The status of a job says that its zone is partitioned, since when, and until when at
-/// most.
+/// The status of a job names its partitioned zone, since when it is partitioned, and when its
+/// attempts there are presumed lost at the latest.
 #[test]
 fn job_status_names_a_partitioned_zone() {
     let mut cluster = Cluster::new(1);
--- a/crates/coordination/tests/quota_after_failover.rs
+++ b/crates/coordination/tests/quota_after_failover.rs
@@ -18,13 +18,13 @@
 };
 use support::*;
 
-/// Tasks that the team may run at a time.
+/// Number of tasks that the team may run at a time.
 const QUOTA_TASKS: usize = 2;
-/// ms between two steps.
+/// Time between two steps, ms.
 const STEP_MS: u64 = 50;
-/// ms for which the successor is followed.
-const FOLLOWED_MS: u64 = 40_000;
-/// Machines of the shard; each holds four tasks.
+/// Time for which the successor is observed, ms.
+const OBSERVED_MS: u64 = 40_000;
+/// Number of machines in the shard; each has room for four tasks.
 const MACHINES: usize = 4;
 
 fn id(n: u64) -> JobId {
@@ -115,7 +115,7 @@
     tasks: Vec<BTreeMap<AttemptId, TaskPhase>>,
     sequence: u64,
     token: Vec<u64>,
-    /// When each one's first heartbeat comes, ms.
+    /// When each worker sends its first heartbeat, ms.
     first_heartbeat_at: [u64; MACHINES],
 }
 
@@ -177,7 +177,7 @@
         CommandResult::Executed(self.heartbeat(n))
     }
 
-    /// Machines whose turn it is send a heartbeat and execute what the answer carries.
+    /// Machines whose heartbeat is due send it and execute the commands of the reply.
     fn send_heartbeats(&mut self, owner: &mut Owner, now: u64) {
         let is_due = |first_at: u64| now >= first_at && (now - first_at) % 3_000 < STEP_MS;
         for n in (0..MACHINES)
@@ -194,15 +194,15 @@
     }
 }
 
-/// What the placer that ends has done before.
+/// What a placer does before it ends.
 struct Scenario {
     /// Jobs that fill the quota.
     running_jobs: Vec<JobSpec>,
-    /// Jobs that come then, and go first.
+    /// Jobs that are submitted afterwards, with a higher priority.
     waiting_jobs: Vec<JobSpec>,
-    /// The first jobs, whose attempts end.
+    /// Number of the first running jobs whose attempts end.
     ending_jobs: usize,
-    /// How the owner says that these attempts ended.
+    /// The state in which the owner reports these attempts.
     end: AttemptState,
 }
 
@@ -214,8 +214,8 @@
 
 impl Scenario {
     /// A placer fills the team's quota, learns that the first jobs' attempts have ended,
-    /// gives their room to the next ones, and ends `lives_ms` later.
-    fn records_of_ended_placer(&self, lives_ms: u64) -> Records {
+    /// gives their resources to the waiting ones, and ends `ends_after_ms` later.
+    fn records_of_ended_placer(&self, ends_after_ms: u64) -> Records {
         let mut records = Records::default();
         let mut old = placer(TOKEN + 1, QUOTA_TASKS, 0);
         let seq = old.sync_request(0, TOKEN, ROOM, false, 0).seq;
@@ -246,26 +246,36 @@
         let full = (0..self.ending_jobs).map(|n| shown(n, 0)).collect();
         old.apply_view(view(seq, span(9, 19), full, ended), 5);
         old.run_placement_pass(6);
-        for now in (6..=6 + lives_ms).step_by(10) {
+        for now in (6..=6 + ends_after_ms).step_by(10) {
             records.commit(&mut old, now);
         }
         records
     }
 
-    fn follow_successor(&self, records: Records, quota_tasks: usize, heard: Heard) -> Outcome {
+    fn run_successor(
+        &self,
+        records: Records,
+        quota_tasks: usize,
+        first_heartbeats: FirstHeartbeats,
+    ) -> Outcome {
         let jobs = [self.running_jobs.as_slice(), &self.waiting_jobs].concat();
-        follow_successor(records, &jobs, quota_tasks, Workers::new(heard.first_at()))
+        run_successor(
+            records,
+            &jobs,
+            quota_tasks,
+            Workers::new(first_heartbeats.first_at()),
+        )
     }
 }
 
-/// When a new owner hears its machines.
+/// When the machines send their first heartbeats to a new owner.
 #[derive(Clone, Copy, Debug)]
-enum Heard {
+enum FirstHeartbeats {
     Together,
     OneByOne,
 }
 
-impl Heard {
+impl FirstHeartbeats {
     fn first_at(self) -> [u64; MACHINES] {
         match self {
             Self::Together => [20; MACHINES],
@@ -274,17 +284,17 @@
     }
 }
 
-/// What ran under a successor.
+/// Which tasks ran under a successor.
 struct Outcome {
-    /// The most tasks at a time.
-    most: usize,
+    /// Largest number of tasks that ran at a time.
+    max_running: usize,
     /// Recorded attempts that ran at any time.
     recorded_ran: usize,
     at_end: BTreeSet<AttemptId>,
 }
 
-/// A new placer loads the records, and a new owner hears the machines.
-fn follow_successor(
+/// A new placer loads the records, and a new owner receives heartbeats of the machines.
+fn run_successor(
     mut records: Records,
     jobs: &[JobSpec],
     quota_tasks: usize,
@@ -295,8 +305,8 @@
     let recorded = records.recorded_attempts();
     records.load(&mut successor);
     submit_all(jobs, &mut successor, 20);
-    let (mut most, mut ran) = (0, BTreeSet::new());
-    for now in (20..FOLLOWED_MS).step_by(STEP_MS as usize) {
+    let (mut max_running, mut ran) = (0, BTreeSet::new());
+    for now in (20..OBSERVED_MS).step_by(STEP_MS as usize) {
         owner.tick(now, now);
         workers.send_heartbeats(&mut owner, now);
         let request = successor.sync_request(0, TOKEN, ROOM, false, now);
@@ -305,7 +315,7 @@
         successor.run_placement_pass(now);
         successor.advance_gang_admissions(now, 0);
         records.commit(&mut successor, now);
-        // What an owner may launch it launches before the next sync.
+        // The owner launches whatever it may before the next sync.
         let later = now + STEP_MS / 2;
         owner.tick(later, later);
         for call in owner.due_calls(later, ROOM) {
@@ -313,17 +323,17 @@
             owner.handle_call_result(&call, result, later);
         }
         let running = workers.running();
-        most = most.max(running.len());
+        max_running = max_running.max(running.len());
         ran.extend(running);
     }
     Outcome {
-        most,
+        max_running,
         recorded_ran: ran.intersection(&recorded).count(),
         at_end: workers.running(),
     }
 }
 
-fn singles(from: u64, to: u64) -> Vec<JobSpec> {
+fn single_task_jobs(from: u64, to: u64) -> Vec<JobSpec> {
     (from..to).map(|n| job(n, JobKind::Array, 1)).collect()
 }
 
@@ -339,13 +349,18 @@
     jobs.into_iter().map(urgent).collect()
 }
 
-/// The placers' ends and what they left, by name.
+/// All scenarios, by name.
 fn scenarios() -> Vec<(String, Scenario)> {
     let shapes = [
-        ("task", singles(0, 2), singles(2, 4), 1),
-        ("two tasks", singles(0, 2), singles(2, 4), 2),
-        ("gang", gang(0), singles(2, 4), 1),
-        ("two tasks for a gang", singles(0, 2), gang(2), 2),
+        ("task", single_task_jobs(0, 2), single_task_jobs(2, 4), 1),
+        (
+            "two tasks",
+            single_task_jobs(0, 2),
+            single_task_jobs(2, 4),
+            2,
+        ),
+        ("gang", gang(0), single_task_jobs(2, 4), 1),
+        ("two tasks for a gang", single_task_jobs(0, 2), gang(2), 2),
     ];
     let ends = [AttemptState::Refused, AttemptState::Gone];
     let mut scenarios = Vec::new();
@@ -365,42 +380,60 @@
 
 #[test]
 fn successor_does_not_launch_ended_attempts_over_the_quota_limit() {
-    let (mut over, mut below) = (Vec::new(), Vec::new());
+    let (mut above_limit, mut below_limit) = (Vec::new(), Vec::new());
     for (name, scenario) in scenarios() {
-        for heard in [Heard::Together, Heard::OneByOne] {
-            for lives_ms in (0..4_000).step_by(200) {
-                let records = scenario.records_of_ended_placer(lives_ms);
-                let outcome = scenario.follow_successor(records, QUOTA_TASKS, heard);
-                if outcome.most > QUOTA_TASKS {
-                    over.push((name.clone(), heard, lives_ms, outcome.most));
+        for first_heartbeats in [FirstHeartbeats::Together, FirstHeartbeats::OneByOne] {
+            for ends_after_ms in (0..4_000).step_by(200) {
+                let records = scenario.records_of_ended_placer(ends_after_ms);
+                let outcome = scenario.run_successor(records, QUOTA_TASKS, first_heartbeats);
+                if outcome.max_running > QUOTA_TASKS {
+                    above_limit.push((
+                        name.clone(),
+                        first_heartbeats,
+                        ends_after_ms,
+                        outcome.max_running,
+                    ));
                 }
                 if outcome.at_end.len() < QUOTA_TASKS || outcome.recorded_ran < QUOTA_TASKS {
-                    below.push((name.clone(), heard, lives_ms, outcome.recorded_ran));
+                    below_limit.push((
+                        name.clone(),
+                        first_heartbeats,
+                        ends_after_ms,
+                        outcome.recorded_ran,
+                    ));
                 }
             }
         }
     }
-    assert!(over.is_empty(), "{} over the limit: {over:?}", over.len());
     assert!(
-        below.is_empty(),
-        "{} below the limit: {below:?}",
-        below.len()
+        above_limit.is_empty(),
+        "{} over the limit: {above_limit:?}",
+        above_limit.len()
+    );
+    assert!(
+        below_limit.is_empty(),
+        "{} below the limit: {below_limit:?}",
+        below_limit.len()
     );
 }
 
 #[test]
 fn successor_with_a_lowered_quota_limit_launches_no_more_than_that() {
-    let mut over = Vec::new();
+    let mut above_limit = Vec::new();
     for (name, scenario) in scenarios() {
-        for heard in [Heard::Together, Heard::OneByOne] {
+        for first_heartbeats in [FirstHeartbeats::Together, FirstHeartbeats::OneByOne] {
             let records = scenario.records_of_ended_placer(4_000);
-            let outcome = scenario.follow_successor(records, QUOTA_TASKS - 1, heard);
-            if outcome.most >= QUOTA_TASKS {
-                over.push((name.clone(), heard, outcome.most));
+            let outcome = scenario.run_successor(records, QUOTA_TASKS - 1, first_heartbeats);
+            if outcome.max_running >= QUOTA_TASKS {
+                above_limit.push((name.clone(), first_heartbeats, outcome.max_running));
             }
         }
     }
-    assert!(over.is_empty(), "{} over the limit: {over:?}", over.len());
+    assert!(
+        above_limit.is_empty(),
+        "{} over the limit: {above_limit:?}",
+        above_limit.len()
+    );
 }
 
 #[test]
@@ -439,7 +472,8 @@
     for (job, chunk) in chunks {
         records.chunks.insert((job, 0), (chunk, 9));
     }
-    // Its running member is heard between the other one and the attempt that had ended.
+    // The running member's machine sends its first heartbeat after that of the other member and
+    // before that of the ended attempt.
     let mut workers = Workers::new([1_000, 20, 2_000, 20]);
     let member = |task| AttemptId {
         job: id(0),
@@ -447,8 +481,8 @@
         attempt: 1,
     };
     workers.tasks[0].insert(member(0), TaskPhase::Running);
-    let jobs = [gang(0), singles(1, 2)].concat();
-    let outcome = follow_successor(records, &jobs, QUOTA_TASKS, workers);
-    assert_eq!(outcome.most, QUOTA_TASKS);
+    let jobs = [gang(0), single_task_jobs(1, 2)].concat();
+    let outcome = run_successor(records, &jobs, QUOTA_TASKS, workers);
+    assert_eq!(outcome.max_running, QUOTA_TASKS);
     assert_eq!(outcome.at_end, BTreeSet::from([member(0), member(1)]));
 }
--- a/crates/coordination/tests/sessions.rs
+++ b/crates/coordination/tests/sessions.rs
@@ -1,4 +1,5 @@
-//! What an owner infers from time about a session that no heartbeat told it of.
+//! Lease expiry of a worker incarnation that the owner learns of from a command call, not from
+//! a heartbeat.
 
 mod support;
 
@@ -8,12 +9,12 @@
 use lemonweir_protocol::worker::Heartbeat;
 use support::*;
 
-/// Seed 47 of the fault search: replies don't reach a machine, so it goes on to
-/// a session of its own, and its owner learns of that from the answer to a call. Its
-/// lease runs from the session's begin, after the owner's last reply: what a call
-/// starts in it lives until that has ended.
+/// Found by seed 47 of the fault search. A machine that receives no replies begins a new
+/// incarnation, and its owner learns of it from the response to a command call. The lease of that
+/// incarnation runs from its beginning, after the owner's last reply: an attempt that a call starts
+/// in it must not count as ended before that lease expires.
 #[test]
-fn session_shown_by_a_call_has_a_lease_from_its_begin() {
+fn incarnation_learned_from_a_call_has_a_lease_from_its_beginning() {
     let mut owner = fleet(1);
     let sync_placer =
         |owner: &mut lemonweir_coordination::owner::Owner, seq, since, upto, wants, now| {
@@ -32,29 +33,33 @@
                     ROOM,
                     now,
                 )
-                .expect("taken")
+                .expect("sync accepted")
         };
-    // Replied to, but the reply is lost.
+    // The owner replies, but the reply is lost.
     assert!(owner.handle_heartbeat(&report(0, 3), None, 3_000).is_some());
-    // The lease ends at 14 s. The next start meets the new session.
+    // The lease expires at 14 s. The next start command reaches the new incarnation.
     sync_placer(&mut owner, 1, 0, 1, vec![want(0, 0)], 14_500);
     let call = owner.due_calls(14_500, 1).pop().expect("a call");
-    let base = TOKEN << MACHINE_TOKEN_BITS;
-    let second = |seq, tasks| Heartbeat {
+    let machine_token = TOKEN << MACHINE_TOKEN_BITS;
+    let second_incarnation_heartbeat = |seq, tasks| Heartbeat {
         incarnation: 2,
-        fencing_token: base,
+        fencing_token: machine_token,
         tasks,
         ..report(0, seq)
     };
-    owner.handle_call_result(&call, CommandResult::Refused(second(5, Vec::new())), 14_510);
+    owner.handle_call_result(
+        &call,
+        CommandResult::Refused(second_incarnation_heartbeat(5, Vec::new())),
+        14_510,
+    );
     let call = owner
         .due_calls(16_000, 1)
         .pop()
-        .expect("a call in the new session");
+        .expect("a call in the new incarnation");
     assert_eq!(call.commands.incarnation, 2);
     owner.handle_call_result(
         &call,
-        CommandResult::Executed(second(6, vec![running_task(0)])),
+        CommandResult::Executed(second_incarnation_heartbeat(6, vec![running_task(0)])),
         16_010,
     );
     for now in (16_100..28_000).step_by(100) {
@@ -72,7 +77,7 @@
     let view = sync_placer(&mut owner, 40_000, 1, 1, Vec::new(), 32_000);
     assert!(
         view.attempts.iter().any(|a| a.state.is_terminal()),
-        "and no longer: {:?}",
+        "not ended once its lease has expired: {:?}",
         view.attempts
     );
 }
--- a/crates/coordination/tests/starts.rs
+++ b/crates/coordination/tests/starts.rs
@@ -1,5 +1,5 @@
-//! When an owner starts nothing although a start is recorded, and what a placer reads
-//! again after a conflict.
+//! When an owner holds back recorded starts, and which records a placer rereads after a
+//! conflict.
 
 #[path = "support/controllers.rs"]
 mod controllers;
@@ -20,32 +20,32 @@
     token: TOKEN,
 };
 
-fn launches(orders: &[Command]) -> usize {
-    orders
+fn count_starts(commands: &[Command]) -> usize {
+    commands
         .iter()
         .filter(|order| order.kind == CommandKind::Start)
         .count()
 }
 
-/// Starts that the controller commands by calls within 200 ms from `now` on.
+/// Number of starts that the controller sends in command calls within 200 ms from `now` on.
 fn commanded_starts(core: &mut Core, now: u64) -> usize {
     let effects: Vec<Effect> = (now..now + 200)
         .step_by(10)
         .flat_map(|now| core.flush(now))
         .collect();
-    let orders = |effect: &Effect| {
+    let starts_in = |effect: &Effect| {
         if let Effect::Command(_, call) = effect {
-            launches(&call.commands.commands)
+            count_starts(&call.commands.commands)
         } else {
             0
         }
     };
-    effects.iter().map(orders).sum()
+    effects.iter().map(starts_in).sum()
 }
 
-/// Controller 0 with its own shard, a machine that has sent a heartbeat, and a job that waits;
-/// nothing of the store is read after `now`. With the token that the machine was given.
-fn with_waiting_job(now: u64) -> (Core, u64) {
+/// Controller 0 that leads its home shard, with a machine that has sent a heartbeat and a queued
+/// job, and the token that the machine was given. The last refresh from the store is at `now`.
+fn with_queued_job(now: u64) -> (Core, u64) {
     let mut core = Core::new(
         Config::new(&settings(0)),
         lemonweir_policy::embedded().expect("policy"),
@@ -61,7 +61,7 @@
         cancel_requested: false,
         dependency_count: 0,
     };
-    let holder = KeyValue {
+    let leader = KeyValue {
         key: shard_key(0),
         value: to_value(&ShardRecord { host: "h0".into() }),
         version: TOKEN,
@@ -71,7 +71,7 @@
         value: to_value(&record),
         version: 46,
     };
-    core.cache.load_snapshot(&[job, holder], 100);
+    core.cache.load_snapshot(&[job, leader], 100);
     core.cache_refreshed(10, true);
     core.acquire(LEASE, &[], Vec::new(), 10);
     let first = report(own_machine(&core), 1);
@@ -87,15 +87,15 @@
     reply
 }
 
-/// A machine of the controller's own shard.
+/// Number of a machine in the controller's home shard.
 fn own_machine(core: &Core) -> usize {
     (0..)
         .find(|n| core.config.shard_of("north", &machine(*n)) == LEASE.shard)
-        .expect("one of all")
+        .expect("a machine of the shard")
 }
 
-/// The machine sends heartbeats as ever until `at`, when the answer to the compare-and-swap
-/// with the start comes; the starts in the answer to its last heartbeat.
+/// The machine sends a heartbeat every second until `at`, when the compare-and-swap that records
+/// the start is answered. Returns the number of starts in the reply to its last heartbeat.
 fn starts_after_cas(core: &mut Core, mut token: u64, at: u64) -> usize {
     let (mut written, mut answered) = (false, 0);
     for (seq, now) in (2..).zip((1_000..at).step_by(1_000).chain([at])) {
@@ -112,22 +112,22 @@
             ..report(own_machine(core), seq)
         };
         let reply = heartbeat_response(core, &next, now);
-        (token, answered) = (reply.fencing_token, launches(&reply.commands));
+        (token, answered) = (reply.fencing_token, count_starts(&reply.commands));
     }
     assert!(written, "a start is written");
     answered
 }
 
-/// The answer to the compare-and-swap comes when the store has not answered the controller
-/// for as long as its lease there lives: another may have proven over what it starts.
-/// Fails without `Owner::hold_starts`.
+/// The compare-and-swap is answered when the store has been silent for longer than the
+/// controller's store lease: another controller may lead the shard by then and may already have
+/// proven that the attempt has ended, so it must not be started here.
 #[test]
-fn nothing_starts_without_an_answer_of_the_store_for_a_lease() {
+fn nothing_starts_after_a_store_silence_longer_than_the_lease() {
     for (age, starts) in [
         (STORE_LEASE_TTL_MS - 1_000, 1),
         (STORE_LEASE_TTL_MS + 1_000, 0),
     ] {
-        let (mut core, token) = with_waiting_job(100);
+        let (mut core, token) = with_queued_job(100);
         let at = 100 + age;
         let answered = starts_after_cas(&mut core, token, at);
         assert_eq!(
@@ -135,13 +135,13 @@
             starts,
             "{age} ms after the last answer"
         );
-        // Once the store answers it goes on.
+        // Starts resume once the store answers.
         core.cache_refreshed(at + 220, false);
         assert_eq!(commanded_starts(&mut core, at + 230), 1 - starts);
     }
 }
 
-/// A conflict on the shard's own key means that it is lost: nothing is read again for it,
+/// A conflict on the shard's own key means that the shard is lost: none of its records is reread,
 /// while the store is busy with its new leader.
 #[test]
 fn lost_shard_rereads_no_records() {
