--- a/crates/simulator/src/simulation.rs
+++ b/crates/simulator/src/simulation.rs
@@ -1,9 +1,9 @@
-//! The simulation: controllers with the real scheduling core, the state service, the cloud,
-//! workers and users, and the network between them, as one queue of events.
+//! A discrete-event simulation of a cluster: controllers with the real scheduling core, the
+//! state service, the cloud, workers and users, and the network between them.
 //!
-//! Everything happens on one thread, in the order of time and, at the same time, in the order
-//! of scheduling, and every draw comes from one seeded generator: the same scenario, load and
-//! seed give the same history.
+//! Events are processed on one thread, by time and, at the same time, in the order of
+//! scheduling. All random numbers come from one seeded generator, so that the same scenario,
+//! load and seed give the same history.
 
 mod adversarial_users;
 mod cloud_service;
@@ -54,24 +54,24 @@
 
 /// µs between the first starts of two controllers.
 const BOOT_STAGGER_US: u64 = 37 * US_PER_MS;
-/// µs within which the machines of the start are up.
+/// µs within which the initial machines are up.
 const FIRST_MACHINES_UP_US: u64 = 3_000 * US_PER_MS;
-/// Speed of the slowest machine, and by how much the fastest one exceeds it.
+/// Speed of the slowest machine, and by how much the fastest machine exceeds it.
 const LEAST_SPEED: f64 = 0.95;
 const SPEED_RANGE: f64 = 0.1;
 
-/// How boot times of machines that are provisioned now are disturbed.
+/// How the boots of machines that are provisioned now are disturbed.
 #[derive(Clone, Debug)]
 pub struct BootDisturbance {
-    /// They take so many times as long.
+    /// Factor by which boot times are multiplied.
     pub factor: f64,
-    /// Chance that a machine never boots.
+    /// Probability that a machine never boots.
     pub failure_chance: f64,
-    /// The only zone where it is so; none: all.
+    /// The only zone affected; `None`: all zones.
     pub zone: Option<String>,
 }
 
-/// The simulation. All times are µs since its start.
+/// A simulated cluster. All times are µs since the start of the simulation.
 pub struct Simulation {
     /// Current time, µs.
     pub now: u64,
@@ -81,11 +81,11 @@
     pub scenario: Arc<Scenario>,
     /// The state service.
     pub store: Store,
-    /// Machines, by number; `None` before they are provisioned and once they are gone.
+    /// Machines, by number; `None` for number 0 and for machines that are gone.
     pub workers: Vec<Option<Worker>>,
     /// The cloud.
     pub cloud: Cloud,
-    /// What the workers share.
+    /// State that the workers share: jobs, gangs, the invariant checker and the history.
     pub workload: WorkloadState,
     /// Controllers, by number.
     pub controllers: Vec<Controller>,
@@ -93,30 +93,31 @@
     pub links_down: BTreeSet<Link>,
     /// Zones that are partitioned from everything outside them.
     pub partitioned_zones: BTreeSet<String>,
-    /// Metrics.
+    /// Metrics for the run's report.
     pub metrics: MetricsCollector,
-    /// Bytes of the largest message that went through the store.
+    /// Bytes of the largest message between shards that was sent through the store.
     pub largest_store_message_bytes: usize,
-    /// How boots are disturbed now; none: they are not.
+    /// How boots are disturbed now; `None`: not at all.
     pub boot_disturbance: Option<BootDisturbance>,
-    /// Users poll so many times as often; over 1, a third of the polls are for jobs that do
-    /// not exist.
+    /// Factor by which users poll more often. Above 1, each poll comes, with a probability of
+    /// one third, with another one for a job that does not exist.
     pub poll_factor: f64,
-    /// Heartbeats that were delivered a second time.
+    /// Copies of heartbeats that were delivered.
     pub duplicates_delivered: u64,
-    /// Writes that the store executed without an answer.
+    /// Writes that a fault left without an answer; the store executes them, possibly late.
     pub late_writes: u64,
-    /// Calls to machines, and answers to their heartbeats, that were delayed.
+    /// Calls to machines and answers to their heartbeats that were delayed, or whose answer
+    /// was lost.
     pub delayed_calls: u64,
-    /// Machines that each fault under way affects, by the fault's number.
+    /// Machines that an active fault affects, by the fault's index in the scenario.
     affected: BTreeMap<usize, BTreeSet<usize>>,
-    /// When a fault was last active.
+    /// Time of the last inspection that found a fault active.
     last_fault_at: u64,
     rng: ChaCha8Rng,
     queue: BinaryHeap<Reverse<ScheduledEvent>>,
     sequence: u64,
     users: HashMap<JobId, UserJob>,
-    /// Copies of heartbeats that are retained for the next leader.
+    /// Copies of heartbeats that are retained until a shard has a new leader.
     retained_heartbeats: Vec<Heartbeat>,
     /// Jobs that fit no machine.
     unschedulable: BTreeSet<JobId>,
@@ -125,8 +126,8 @@
 }
 
 impl Simulation {
-    /// A simulation at time 0, with its load to come. Controllers, machines, submissions and
-    /// faults of the scenario are scheduled.
+    /// Creates a simulation at time 0, and schedules the start of the controllers and machines,
+    /// the submissions of `load`, and the scenario's faults.
     pub fn new(
         scenario: Arc<Scenario>,
         load: Vec<PlannedSubmission>,
@@ -191,7 +192,7 @@
         }
     }
 
-    /// Submits a job at its time, or now if that is past.
+    /// Schedules the submission of a job at its planned time, or now if that is past.
     pub fn submit(&mut self, planned: PlannedSubmission) {
         let id = planned.job.spec.id.clone();
         let at = planned.at_us.max(self.now);
@@ -202,12 +203,12 @@
         self.planned.insert(id, planned);
     }
 
-    /// A job's user withdraws it now, and repeats that until its end is confirmed.
+    /// Withdraws a job now on behalf of its user, and again until its end is confirmed.
     pub fn withdraw(&mut self, id: &JobId) {
         self.schedule_at(self.now, Event::Withdraw(id.clone()));
     }
 
-    /// Lets `ms` pass.
+    /// Advances the simulation by `ms`.
     pub fn run(&mut self, ms: u64) {
         let end = self.now + ms * US_PER_MS;
         while let Some(Reverse(next)) = self.queue.peek() {
@@ -224,12 +225,12 @@
         self.now = end;
     }
 
-    /// When a job's user withdraws it, µs; none: never.
+    /// When a job's user plans to withdraw it, µs; `None`: never.
     pub fn withdrawal(&self, id: &JobId) -> Option<u64> {
         self.planned.get(id).and_then(|planned| planned.withdraw_us)
     }
 
-    /// The end of a job as the store holds it.
+    /// The final phase of a job according to the store; `None` if it has not ended.
     pub fn phase(&self, id: &JobId) -> Option<JobPhase> {
         self.store
             .get(&end_key(id))
@@ -237,7 +238,7 @@
             .map(|record| record.phase)
     }
 
-    /// Tasks that have not exited, by job.
+    /// Number of tasks that have not exited, by job.
     pub fn live_tasks(&self) -> BTreeMap<JobId, usize> {
         let mut live = BTreeMap::new();
         for job in self
@@ -251,7 +252,7 @@
         live
     }
 
-    /// Current time, ms, as the controllers' clocks show it.
+    /// Current time, ms: the resolution of the controllers' clocks.
     fn now_ms(&self) -> u64 {
         self.now / US_PER_MS
     }
@@ -311,7 +312,7 @@
         self.workers.get(number)?.as_ref()
     }
 
-    // ---- the queue and the draws -----------------------------------------------
+    // ---- event queue and random numbers ----------------------------------------
 
     fn schedule_at(&mut self, at: u64, event: Event) {
         self.sequence += 1;
@@ -345,7 +346,7 @@
 
     // ---- processes -------------------------------------------------------------
 
-    /// The present incarnation of a controller.
+    /// The current incarnation of a controller.
     fn process(&self, controller: usize) -> ProcessId {
         ProcessId {
             controller,
@@ -353,7 +354,7 @@
         }
     }
 
-    /// True if a process still runs in that incarnation.
+    /// True if the process runs, and has not been restarted since.
     fn is_current(&self, process: ProcessId) -> bool {
         self.controllers
             .get(process.controller)
@@ -363,7 +364,7 @@
     }
 }
 
-/// The number of a machine from its name; 0 if it has none.
+/// The number in a machine's name; 0 if the name has none.
 fn machine_number(id: &MachineId) -> usize {
     id.as_str()
         .get(2..)
--- a/crates/simulator/src/simulation/adversarial_users.rs
+++ b/crates/simulator/src/simulation/adversarial_users.rs
@@ -1,5 +1,5 @@
-//! Adversarial requests of users: bursts of questions at all controllers, repeated
-//! submissions, cancellations at a chosen moment, jobs that can't run.
+//! Adversarial user requests: bursts of polls to all controllers, repeated submissions,
+//! cancellations at critical moments, and jobs that fit no machine.
 
 use std::sync::Arc;
 
@@ -15,7 +15,7 @@
 use crate::scenario::{FaultKind, Link};
 use crate::worker::Worker;
 
-/// µs after an event at which users ask every controller about it.
+/// Delays after an event with which users poll every controller, µs.
 const QUERY_BURST_US: [u64; 6] = [
     0,
     US_PER_MS,
@@ -24,19 +24,19 @@
     40 * US_PER_MS,
     200 * US_PER_MS,
 ];
-/// Share of the accepted jobs that are cancelled at once during query bursts, in thousandths.
+/// Share of the accepted jobs that are cancelled at once during query bursts, per mille.
 const CANCELLED_AT_ONCE_PER_MILLE: u32 = 100;
-/// µs within which a cancel burst cancels its jobs.
+/// µs within which a cancel burst cancels its jobs, and a query burst submits its job again.
 const CANCEL_WITHIN_US: u64 = 200 * US_PER_MS;
-/// Machines of the cancelled jobs that a cancel burst hangs at most.
+/// Maximum number of machines of cancelled jobs that a cancel burst hangs.
 const MOST_HUNG_MACHINES: usize = 8;
 /// µs between two invalid requests of a kind.
 const INVALID_REQUEST_INTERVAL_US: u64 = 500 * US_PER_MS;
-/// An unschedulable job takes so many times the processors of the largest machine.
+/// An unschedulable job requests so many times the processors of the largest machine.
 const UNSCHEDULABLE_SIZE: f64 = 10.0;
 
 impl Simulation {
-    /// The share of the first active fault of a kind; none: no such fault is active.
+    /// The share of the first active fault of a kind; `None`: no such fault is active.
     fn active_fault_share(&self, wanted: impl Fn(&FaultKind) -> bool) -> Option<f64> {
         self.affected
             .keys()
@@ -50,7 +50,7 @@
             .is_some()
     }
 
-    /// A job's user cancels it now, whatever it had planned.
+    /// Cancels a job now on behalf of its user, even if a withdrawal is planned for later.
     pub(super) fn cancel(&mut self, id: &JobId) {
         let now = self.now;
         if let Some(planned) = self.planned.get_mut(id) {
@@ -73,8 +73,8 @@
         self.deliver_at(at, self.process(controller), input);
     }
 
-    /// During query bursts all controllers are asked about a job at once, again and again,
-    /// and get its submission once more.
+    /// During query bursts, polls all controllers for a job repeatedly, and submits it to each
+    /// of them once more.
     pub(super) fn query_burst(&mut self, id: &JobId) {
         if !self.query_bursts_active() {
             return;
@@ -88,7 +88,8 @@
         }
     }
 
-    /// A job was accepted: during query bursts users ask, and some cancel it at once.
+    /// Handles the acceptance of a job: during query bursts it is polled, and a share of the
+    /// jobs is cancelled at once.
     pub(super) fn job_accepted(&mut self, id: &JobId) {
         self.query_burst(id);
         if self.query_bursts_active() && self.happens(CANCELLED_AT_ONCE_PER_MILLE) {
@@ -96,7 +97,7 @@
         }
     }
 
-    /// The last task of these jobs completed just now.
+    /// Handles jobs whose last task has just completed: a fault may cancel a share of them.
     pub(super) fn jobs_completed(&mut self, ids: Vec<JobId>) {
         let share = self.active_fault_share(|kind| *kind == FaultKind::CancelAtCompletion);
         for id in ids {
@@ -106,7 +107,7 @@
         }
     }
 
-    /// At a job's end it is cancelled, asked about and submitted again.
+    /// Polls, resubmits and cancels a job at the moment of its completion.
     fn requests_at_completion(&mut self, id: &JobId) {
         for controller in self.controllers_for_users() {
             self.send_request(controller, 0, Input::Poll(id.clone()));
@@ -115,7 +116,8 @@
         self.cancel(id);
     }
 
-    /// Users cancel running jobs within a fifth of a second; some of their machines hang.
+    /// Cancels up to `count` running jobs within [`CANCEL_WITHIN_US`]. If `hang_us` is not 0,
+    /// some of their machines hang for that long.
     pub(super) fn cancel_burst(&mut self, count: usize, hang_us: u64) {
         let (now, mut running) = (self.now, self.live_tasks().into_keys().collect::<Vec<_>>());
         running.retain(|id| {
@@ -149,7 +151,8 @@
         }
     }
 
-    /// One invalid request of each kind; the next ones follow while the fault lasts.
+    /// Sends one invalid request of each kind, and schedules the next ones while the fault
+    /// lasts.
     pub(super) fn invalid_requests(&mut self, fault: usize) {
         if !self.affected.contains_key(&fault) {
             return;
@@ -174,7 +177,7 @@
         self.submit_unschedulable(&unfinished);
     }
 
-    /// Submits a job that is like another one, but fits no machine.
+    /// Submits a copy of one of these jobs with a CPU request that fits no machine.
     fn submit_unschedulable(&mut self, like: &[JobId]) {
         let Some(spec) = like
             .choose(&mut self.rng)
--- a/crates/simulator/src/simulation/cloud_service.rs
+++ b/crates/simulator/src/simulation/cloud_service.rs
@@ -1,4 +1,5 @@
-//! What reaches the cloud, and what it answers: provisioning, release, the list of instances.
+//! The cloud's answers to requests: provisioning, release and the list of instances; and
+//! probes of the links to services.
 
 use lemonweir_coordination::{ProvisioningResult, ShardLease};
 use lemonweir_model::MachineId;
@@ -15,12 +16,13 @@
 use crate::clock::{US_PER_MS, micros};
 use crate::controller::{Input, ProcessId};
 
-/// µs that a machine which never boots takes: longer than any run.
+/// Boot time of a machine that never boots, µs: longer than any run.
 const NEVER_UP_US: u64 = 1 << 50;
-/// Least boot time as a share of the type's, and by how much the longest exceeds it.
+/// Shortest boot time as a share of the machine type's, and by how much the longest exceeds
+/// it.
 const LEAST_BOOT_SHARE: f64 = 0.6;
 const BOOT_SHARE_RANGE: f64 = 0.9;
-/// ms between two lists for each page that a list has, at least.
+/// Minimum interval between two lists, ms per page of a list.
 const LIST_PAGE_MS: u64 = 4;
 
 impl Simulation {
@@ -42,7 +44,7 @@
         self.deliver_at(at, process, Input::Provisioned(lease, request, result));
     }
 
-    /// Provisions machines for a request that the cloud sees for the first time.
+    /// Provisions machines for a request ID that the cloud has not seen before.
     fn provision_new(&mut self, request: &ProvisioningRequest) -> ProvisioningResult {
         let kind = self
             .scenario
@@ -74,7 +76,7 @@
         ProvisioningResult::Provisioned(names)
     }
 
-    /// When a machine that is provisioned now will be up, µs.
+    /// Draws when a machine that is provisioned now is up, µs.
     fn draw_up_at(&mut self, kind: usize, zone: &str) -> u64 {
         let boot_s = self.scenario.machine_kinds[kind].machine.boot_s
             * (LEAST_BOOT_SHARE + BOOT_SHARE_RANGE * self.rng.random::<f64>());
--- a/crates/simulator/src/simulation/controllers.rs
+++ b/crates/simulator/src/simulation/controllers.rs
@@ -1,4 +1,4 @@
-//! Controller processes: start and end, the inbox, and what work costs.
+//! Controller processes: their start and end, their inbox, and the simulated cost of work.
 
 use lemonweir_model::constants::{INSTANCE_LIST_INTERVAL_MS, SHORT_TICK_MS, TICK_MS};
 use rand::RngExt;
@@ -8,13 +8,13 @@
 use crate::clock::US_PER_MS;
 use crate::controller::{Input, ProcessId};
 
-/// Messages processed at most before effects are flushed.
+/// Maximum number of messages processed before effects are flushed.
 const FLUSH_EVERY: usize = 32;
 /// µs from the start of a process to the first step of its lease keeping.
 const FIRST_LEASE_STEP_US: u64 = 100 * US_PER_MS;
 
 impl Simulation {
-    /// A process ends, and is started again after a while.
+    /// Ends a controller process, and starts it again after `restart_us`.
     pub fn crash(&mut self, controller: usize, restart_us: u64) {
         for input in std::mem::take(&mut self.controllers[controller].inbox) {
             self.fail_unanswered(controller, input);
@@ -26,7 +26,7 @@
         self.schedule_in(restart_us, Event::Boot(controller));
     }
 
-    /// True if a controller would take users' requests.
+    /// True if a controller accepts user requests.
     pub fn is_ready(&self, controller: usize) -> bool {
         self.controllers[controller]
             .core
@@ -67,7 +67,7 @@
         self.schedule_in(interval_ms * US_PER_MS, Event::Tick(process));
     }
 
-    /// Puts a message into the inbox of a controller that runs.
+    /// Puts a message into a controller's inbox; it is dropped if the controller is down.
     pub(super) fn enqueue(&mut self, number: usize, input: Input) {
         let controller = &mut self.controllers[number];
         if controller.core.is_none() {
@@ -85,7 +85,8 @@
         self.schedule_at(at, Event::ProcessInbox(process));
     }
 
-    /// Processes messages until the controller is busy, and flushes what the core wants done.
+    /// Processes messages until the controller is busy or [`FLUSH_EVERY`] are done, and flushes
+    /// the core's effects.
     pub(super) fn process_inbox(&mut self, number: usize) {
         let mut processed = 0;
         while processed < FLUSH_EVERY {
@@ -111,7 +112,7 @@
         }
     }
 
-    /// Executes the effects that the core has gathered.
+    /// Executes the effects that the core has accumulated.
     fn flush(&mut self, number: usize) {
         let now_ms = self.now_ms();
         self.controllers[number].flush_due = false;
@@ -125,7 +126,8 @@
         }
     }
 
-    /// Charges a controller for messages and for the candidates that its core examined.
+    /// Charges a controller with the processing time of messages and of the placement
+    /// candidates that its core examined since the last charge.
     fn charge(&mut self, number: usize, messages: u64) {
         let costs = self.scenario.costs;
         let now = self.now;
@@ -135,7 +137,7 @@
             .as_ref()
             .map(lemonweir_coordination::Core::work_counters)
             .unwrap_or_default();
-        // Less than before: a shard was released, and its counters with it.
+        // A counter is lower than before if a shard was released, and its counters with it.
         let grown = |now: u64, before: u64| now.checked_sub(before).unwrap_or(now);
         let before = controller.counted;
         let examined = grown(counted.candidates_examined, before.candidates_examined);
@@ -151,7 +153,7 @@
         controller.busy_until = controller.busy_until.max(now) + cost_ns / 1_000;
     }
 
-    /// The time at which something that a controller sends now leaves it, µs.
+    /// When a message that a controller sends now leaves it, µs.
     pub(super) fn departure_time(&self, controller: usize) -> u64 {
         self.controllers[controller].busy_until.max(self.now)
     }
--- a/crates/simulator/src/simulation/dispatch.rs
+++ b/crates/simulator/src/simulation/dispatch.rs
@@ -1,4 +1,4 @@
-//! Hands each event to what it concerns.
+//! Dispatches events to their handlers.
 
 use super::events::Event;
 use super::{Simulation, machine_number};
@@ -86,7 +86,7 @@
     }
 }
 
-/// True if an event is a delayed command for this machine.
+/// True if an event is the late delivery of commands to this machine.
 pub(super) fn is_delayed_command_for(event: &Event, number: usize) -> bool {
     matches!(event, Event::Commands(_, delivery)
         if delivery.late && machine_number(&delivery.call.machine) == number)
--- a/crates/simulator/src/simulation/duplicates.rs
+++ b/crates/simulator/src/simulation/duplicates.rs
@@ -1,4 +1,4 @@
-//! Heartbeats that arrive a second time, much later, or under the next leader.
+//! Duplicated heartbeats: copies that arrive much later, or under a shard's next leader.
 
 use lemonweir_protocol::worker::Heartbeat;
 use rand::RngExt;
@@ -8,18 +8,19 @@
 use crate::controller::{Input, SentHeartbeat};
 use crate::scenario::FaultKind;
 
-/// Share of the heartbeats of which a copy is retained for the next leader, in thousandths.
+/// Share of the heartbeats of which a copy is retained for the next leader, per mille.
 const RETAINED_PER_MILLE: u32 = 250;
-/// Copies of one machine's heartbeats that are retained at most.
+/// Maximum number of retained copies of one machine's heartbeats.
 const RETAINED_PER_MACHINE: usize = 3;
-/// Share of the late copies that reach the controller that their worker reports to by then,
-/// in thousandths.
+/// Share of the late copies that reach the controller that their worker then reports to,
+/// instead of the one that they were sent to, per mille.
 const REROUTED_PER_MILLE: u32 = 500;
-/// The machine of a copy: nobody's, so that what is answered to it goes nowhere.
+/// Machine number of a copied heartbeat. No machine has it, so that answers are discarded.
 const NO_MACHINE: usize = 0;
 
 impl Simulation {
-    /// A copy of a heartbeat is retained for the next leader: an old one stays.
+    /// Retains copies of a share of the heartbeats for the next leader. At the maximum, the
+    /// oldest copies stay and new ones are dropped.
     fn retain_heartbeat(&mut self, heartbeat: &Heartbeat) {
         let retained = self
             .retained_heartbeats
@@ -31,7 +32,8 @@
         }
     }
 
-    /// A shard has a new leader: retained copies of heartbeats reach every controller.
+    /// Delivers the retained copies of heartbeats to every controller. Called when a shard has a
+    /// new leader.
     pub(super) fn leader_elected(&mut self) {
         let delay_for_next = |kind: &FaultKind| match kind {
             FaultKind::DelayedDuplicates {
@@ -58,7 +60,7 @@
         }
     }
 
-    /// A heartbeat may arrive again, much later, by then as nobody's.
+    /// Schedules or retains copies of a heartbeat, as the active faults of its machine say.
     pub(super) fn duplicate_heartbeat(
         &mut self,
         machine: usize,
@@ -95,8 +97,8 @@
         }
     }
 
-    /// A copy reaches the controller that the heartbeat was sent to, in whatever
-    /// incarnation, or the one that its worker reports to by now.
+    /// Delivers a copy of a heartbeat to the controller that it was sent to, in any
+    /// incarnation, or to the one that its worker reports to now.
     pub(super) fn duplicate_arrives(
         &mut self,
         machine: usize,
--- a/crates/simulator/src/simulation/effects.rs
+++ b/crates/simulator/src/simulation/effects.rs
@@ -1,4 +1,5 @@
-//! Executes the effects of a controller's core: what it sends, and to whom.
+//! Executes the effects that a controller's core returns: the messages and requests that it
+//! sends.
 
 use lemonweir_coordination::{Effect, ShardLease, store_message_piece_bytes};
 use lemonweir_model::MachineId;
@@ -12,7 +13,7 @@
 use crate::clock::US_PER_MS;
 use crate::controller::{CasOrigin, Input};
 
-/// µs that a request to the cloud takes at least.
+/// Minimum duration of a request to the cloud, µs.
 const CLOUD_REQUEST_US: u64 = 100 * US_PER_MS;
 
 impl Simulation {
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Tells the leader of a shard that the sender's shards have news for it.
+    /// Asks the leader of a shard to sync with each of the sender's shards.
     fn wake_shard(&mut self, controller: usize, shard: u16, at: u64) {
         let leases = self.controllers[controller]
             .core
@@ -115,7 +116,8 @@
         );
     }
 
-    /// A message between shards goes through the store, under the store lease.
+    /// Sends a message between shards through the store, bound to the sender's store lease. It
+    /// is dropped without a store lease, or if it exceeds the store's lowest write limit.
     fn send_store_message(
         &mut self,
         controller: usize,
--- a/crates/simulator/src/simulation/events.rs
+++ b/crates/simulator/src/simulation/events.rs
@@ -17,30 +17,30 @@
 use crate::scenario::Link;
 use crate::workload_state::GangSignal;
 
-/// Something that happens at a time.
+/// What happens at a scheduled time.
 pub(super) enum Event {
     /// A message reaches a controller process.
     Deliver(ProcessId, Box<Input>),
-    /// A controller goes on with its inbox.
+    /// A controller processes messages of its inbox.
     ProcessInbox(ProcessId),
     /// A controller's periodic work is due.
     Tick(ProcessId),
-    /// A controller reads the state.
+    /// A controller's read of the watched keys is due.
     ReadState(ProcessId),
-    /// A controller keeps its store lease and bids for shards.
+    /// A controller renews its store lease and bids for shards, as far as that is due.
     KeepLeases(ProcessId),
-    /// A controller asks for the list of instances, now and periodically.
+    /// A controller requests the list of instances, and schedules its next request.
     ScheduleInstanceList(ProcessId),
     /// A request reaches the store.
     StoreRequest(ProcessId, StoreRequest, ServiceRoute),
-    /// The store executes a request; its answer takes so many µs, `None`: none comes.
+    /// The store executes a request, and answers it after so many µs; `None`: never.
     StoreExecutes(ProcessId, StoreRequest, Option<u64>),
     /// Commands reach a machine.
     Commands(ProcessId, CommandDelivery),
-    /// A worker has something to do.
+    /// A worker's next local event or heartbeat is due.
     WorkerWakes(usize),
-    /// A heartbeat reaches a controller, or the one that its worker reports to by now, a
-    /// second time.
+    /// A copy of a heartbeat reaches the controller that it was sent to, or the one that its
+    /// worker reports to now.
     DuplicateHeartbeat {
         machine: usize,
         controller: usize,
@@ -79,13 +79,13 @@
     LinkDown(Link),
     /// A link comes up.
     LinkUp(Link),
-    /// A fault ends, for these machines or controllers.
+    /// A fault ends for these machines; a rolling restart restarts these controllers.
     FaultOver(usize, Vec<usize>),
-    /// A machine is gone.
+    /// A reclaimed machine is removed.
     RemoveMachine(usize),
     /// Users send invalid requests while this fault lasts.
     InvalidRequests(usize),
-    /// The periodic check of everything that must be so in time.
+    /// The periodic inspection is due.
     Inspect,
 }
 
@@ -93,11 +93,11 @@
 pub(super) struct CommandDelivery {
     pub(super) lease: ShardLease,
     pub(super) call: CommandCall,
-    /// The controller has given up waiting for the answer.
+    /// The result is not returned: the controller gets an unknown one at its timeout.
     pub(super) late: bool,
 }
 
-/// Which attempt of a user to submit a job.
+/// Whether a user submits a job for the first time or repeats the submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Attempt {
     First,
@@ -110,21 +110,21 @@
     pub(super) phase: Option<JobPhase>,
     /// HTTP status.
     pub(super) status: u16,
-    /// When the question reached the controller, µs.
+    /// When the request reached the controller, µs.
     pub(super) asked: u64,
 }
 
 /// What a controller asks of the store.
 pub(super) enum StoreRequest {
     CompareAndSwap(CasOrigin, Box<CompareAndSwap>),
-    /// The changes of the watched keys.
+    /// Reads the watched keys.
     StateRead {
-        /// Since this revision; none: all keys.
+        /// Only changes since this revision; `None`: all keys.
         after: Option<u64>,
         /// When the read began, µs.
         began: u64,
     },
-    /// A store lease is renewed, or a new one granted.
+    /// Renews this store lease, or grants a new one for `None`.
     StoreLease(Option<u64>),
 }
 
@@ -139,7 +139,7 @@
     }
 }
 
-/// An event with its time and its place among those of the same time.
+/// An event with its time, µs, and its sequence number among all scheduled events.
 pub(super) struct ScheduledEvent {
     pub(super) at: u64,
     pub(super) sequence: u64,
--- a/crates/simulator/src/simulation/faults.rs
+++ b/crates/simulator/src/simulation/faults.rs
@@ -1,5 +1,5 @@
-//! Faults of the scenario: what happens when one begins and when it ends, and what an active
-//! fault does to messages.
+//! Fault injection: how the scenario's faults begin and end, and how active faults affect
+//! messages.
 
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
@@ -12,12 +12,13 @@
 use crate::clock::micros;
 use crate::scenario::{Fault, FaultKind, Link};
 
-/// In a rolling restart each controller is down for one in so many parts of the time until the
-/// next one is restarted.
+/// In a rolling restart, a controller is down for one in so many parts of the interval between
+/// two restarts.
 const ROLLING_DOWN_ONE_IN: f64 = 3.0;
-/// Share of the delayed calls that arrive at once while their answer is lost, in thousandths.
+/// Share of the delayed calls that arrive at once while their answer is lost, per mille.
 const ANSWER_LOST_PER_MILLE: u32 = 500;
-/// A spot instance goes after its notice times at least this, and at most 1 more.
+/// A spot instance is reclaimed after its notice times a random factor: at least this, and at
+/// most 1 more.
 const LEAST_NOTICE_SHARE: f64 = 0.5;
 
 impl Simulation {
@@ -80,7 +81,8 @@
                 self.partitioned_zones.insert(zone.clone());
             }
             FaultKind::ProcessStall { controller } => self.stall(*controller, for_us),
-            // Also machines that are provisioned in the zone meanwhile.
+            // No machines are listed: losses in a zone also affect machines that are provisioned
+            // there meanwhile, and the other faults are not tied to machines.
             FaultKind::InboundLoss { .. }
             | FaultKind::OutboundLoss { .. }
             | FaultKind::LateWrites { .. }
@@ -126,7 +128,7 @@
         controller.busy_until = controller.busy_until.max(until);
     }
 
-    /// Begins a fault on its share of the machines, and names those.
+    /// Begins a fault on its share of the machines, and returns those.
     fn affect_machines(&mut self, i: usize, fault: &Fault) -> Vec<usize> {
         let spot_only = matches!(fault.kind, FaultKind::SpotReclaim { .. });
         let up: Vec<usize> = self
@@ -162,8 +164,8 @@
             }
             FaultKind::MachineLoss => self.remove_machine(number),
             FaultKind::MachineRestart => {
-                // Connections to the earlier incarnation end with it: what they held back
-                // never comes (statement 12 of `docs/design.md`).
+                // Connections to the earlier incarnation end with it, so their delayed
+                // commands never arrive (statement 12 of `docs/design.md`).
                 self.queue
                     .retain(|Reverse(scheduled)| !is_delayed_command_for(&scheduled.event, number));
                 self.with_worker(number, |worker, workload| worker.restart(now, workload));
@@ -247,7 +249,7 @@
         others.chain([Link::Store(controller)]).collect()
     }
 
-    // ---- what active faults do to messages -------------------------------------
+    // ---- effects of active faults on messages ----------------------------------
 
     /// The kinds of the active faults that affect a machine.
     pub(super) fn faults_on(&self, number: usize) -> impl Iterator<Item = &FaultKind> {
@@ -268,8 +270,8 @@
             .map(|(kind, _)| kind)
     }
 
-    /// For how long a call to a machine or an answer to its heartbeat is delayed, µs; 0: it
-    /// arrives at once, and what the machine says to it is lost.
+    /// Draws the delay of a call to a machine or of an answer to its heartbeat, µs; 0: it
+    /// arrives at once, and the machine's answer to a call is lost. `None`: no fault affects it.
     pub(super) fn draw_call_delay(&mut self) -> Option<u64> {
         let scenario = self.scenario.clone();
         for i in self.affected.keys().copied().collect::<Vec<_>>() {
@@ -288,7 +290,7 @@
         None
     }
 
-    /// True if what a controller answers to a machine's heartbeat is lost.
+    /// True if a controller's answer to a machine's heartbeat is lost.
     pub(super) fn answer_dropped(&self, sender: usize, number: usize) -> bool {
         self.faults_on(number).any(|kind| {
             matches!(kind, FaultKind::InboundLoss { controller, answers: true, .. }
@@ -296,7 +298,7 @@
         })
     }
 
-    /// True if what a controller commands a machine is lost.
+    /// True if a controller's commands to a machine are lost.
     pub(super) fn command_dropped(&self, sender: usize, number: usize) -> bool {
         self.faults_on(number).any(|kind| {
             matches!(kind, FaultKind::InboundLoss { controller, commands: true, .. }
@@ -304,7 +306,7 @@
         })
     }
 
-    /// True if a machine reaches no controller by itself.
+    /// True if the messages that a machine sends on its own reach no controller.
     pub(super) fn outbound_lost(&self, number: usize) -> bool {
         self.faults_on(number)
             .any(|kind| matches!(kind, FaultKind::OutboundLoss { .. }))
--- a/crates/simulator/src/simulation/inputs.rs
+++ b/crates/simulator/src/simulation/inputs.rs
@@ -1,4 +1,4 @@
-//! What a controller does with each message of its inbox.
+//! How a controller handles each message in its inbox.
 
 use lemonweir_coordination::election::ElectionAction;
 use lemonweir_coordination::job_status::JobStatusAnswer;
@@ -94,7 +94,7 @@
                 images,
             } => self.acquire_shard(number, lease, chunks, images),
             Input::StoreLease(answer) => self.handle_store_lease(number, answer),
-            // Asked for again at the loop's next step.
+            // The lease keeper asks again at its next step.
             Input::StoreLeaseUnknown => self.controllers[number].pending_lease_replies -= 1,
             Input::JobEndsRead(ids) => {
                 self.learn_job_ends(number, &ids);
@@ -194,7 +194,7 @@
         );
     }
 
-    /// A shard's lease was acquired: its records go into the core.
+    /// Loads the records of an acquired shard into the core.
     fn acquire_shard(
         &mut self,
         number: usize,
@@ -202,8 +202,8 @@
         chunks: Vec<KeyValue>,
         images: Vec<KeyValue>,
     ) {
-        // The jobs must be at least as new as the records: a read of them follows, here at
-        // the same moment.
+        // The cached jobs must be at least as new as the shard's records, so the watched keys
+        // are read now, or at a later tick if the store can't be reached.
         if !self.service_reachable(number, Service::Store) {
             let again = Input::ShardAcquired {
                 lease,
@@ -240,7 +240,7 @@
         }
     }
 
-    /// A compare-and-swap ended; `None`: no answer came.
+    /// Handles the result of a compare-and-swap; an `outcome` of `None`: no answer came.
     fn cas_finished(
         &mut self,
         number: usize,
@@ -282,7 +282,7 @@
             }
             CasOrigin::LeaseKeeper(action) => {
                 controller.pending_lease_replies -= 1;
-                // Released here once it is released in the store.
+                // The core releases a shard only once the store has committed its release.
                 if let (
                     Some(ElectionAction::ReturnToHome(lease) | ElectionAction::Cede(lease)),
                     Some(CompareAndSwapOutcome::Committed(_)),
--- a/crates/simulator/src/simulation/inspection.rs
+++ b/crates/simulator/src/simulation/inspection.rs
@@ -1,4 +1,5 @@
-//! The periodic inspection: leases that expire in the store, and what must be so in time.
+//! The periodic inspection: expires store leases, checks the invariants that have deadlines,
+//! and samples the fleet's metrics.
 
 use super::Simulation;
 use super::events::Event;
@@ -22,7 +23,7 @@
         self.schedule_in(INSPECTION_INTERVAL_US, Event::Inspect);
     }
 
-    /// True while a fault is active, or more may come of one.
+    /// True while a fault is active or its consequences may continue.
     fn fault_active(&self) -> bool {
         let now = self.now;
         now < micros(self.scenario.faults_over_s())
--- a/crates/simulator/src/simulation/lease_keeping.rs
+++ b/crates/simulator/src/simulation/lease_keeping.rs
@@ -1,5 +1,5 @@
-//! The loop of a controller that keeps its store lease and bids for shards, one step after
-//! the other.
+//! The lease keeper: a controller's loop that renews its store lease and bids for shards, one
+//! step at a time.
 
 use lemonweir_coordination::election::ElectionAction;
 use lemonweir_model::constants::{STORE_LEASE_RENEWAL_MS, TICK_MS};
@@ -16,12 +16,12 @@
 /// µs between two steps of the loop.
 const STEP_US: u64 = 2 * TICK_MS * US_PER_MS;
 
-/// What a step of the loop asks of the store.
+/// What the store is asked for in one step of the loop.
 struct LeaseStep {
     assigned_teams: Option<CompareAndSwap>,
     raised_version: Option<CompareAndSwap>,
     bid: Option<(ElectionAction, CompareAndSwap)>,
-    /// Shards that this controller left and its membership entry does not show yet.
+    /// Ceded shards to publish, if the controller's membership entry differs or is missing.
     unpublished: Option<Vec<u16>>,
 }
 
@@ -30,7 +30,7 @@
         let (now, number) = (self.now, process.controller);
         let until = self.controllers[number].stalled_until;
         if until > now {
-            // What a stalled process would have begun.
+            // A stalled process takes the step once the stall is over.
             return self.schedule_at(until, Event::KeepLeases(process));
         }
         if !self.is_current(process) {
@@ -79,7 +79,7 @@
             .filter_map(|shard| controller.election.next_action(core, shard, now_ms))
             .collect();
         let left = controller.election.ceded(core, now_ms);
-        // One bid at a time: what it brings counts for the next.
+        // One bid at a time, since its result decides what to bid for next.
         let bid = bids
             .first()
             .map(|bid| (*bid, core.election_cas(bid, store_lease, left, now_ms)));
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Sends a compare-and-swap that the loop waits for.
+    /// Sends a compare-and-swap whose result the loop waits for.
     fn send_lease_cas(
         &mut self,
         controller: usize,
@@ -117,7 +117,7 @@
         self.send_cas(controller, CasOrigin::LeaseKeeper(bid), cas);
     }
 
-    /// Writes the controller's membership entry.
+    /// The compare-and-swap that writes the controller's membership entry.
     fn presence_cas(&self, controller: usize, store_lease: u64, left: Vec<u16>) -> CompareAndSwap {
         register_controller(
             &host_name(controller),
@@ -127,8 +127,8 @@
         )
     }
 
-    /// The answer to a renewal, or a new store lease: that begins with the controller's
-    /// membership entry.
+    /// Handles the store's answer: a renewed or expired store lease, or a new one, which takes
+    /// effect once the controller's membership entry is written under it.
     pub(super) fn handle_store_lease(&mut self, number: usize, answer: Option<u64>) {
         let (now, now_ms) = (self.now, self.now_ms());
         let controller = &mut self.controllers[number];
--- a/crates/simulator/src/simulation/network.rs
+++ b/crates/simulator/src/simulation/network.rs
@@ -1,5 +1,5 @@
-//! What controllers send to one another, to the store and to machines, and what of it gets
-//! through.
+//! Messages from controllers to each other, to the store and to machines, and their loss and
+//! delay.
 
 use std::ops::Range;
 
@@ -19,13 +19,13 @@
 use crate::clock::US_PER_MS;
 use crate::controller::{CasOrigin, HeartbeatRef, Input, ProcessId, SentHeartbeat};
 
-/// How much later a delayed message between controllers arrives, ms.
+/// Delay of a late message between controllers, ms.
 const LATE_PEER_MESSAGE_MS: Range<u64> = 2_000..60_000;
-/// How much later a delayed command arrives, ms.
+/// Delay of a late command, ms.
 const LATE_COMMAND_MS: Range<u64> = 3_000..90_000;
-/// Share of the lost commands that arrive late all the same, in thousandths.
+/// Share of the commands counted as lost that still arrive, but late, per mille.
 const LATE_OF_LOST_COMMANDS: u32 = 500;
-/// µs after which a sync request without a known, running leader fails.
+/// µs after which a sync request fails whose target shard has no known, running leader.
 const NO_LEADER_US: u64 = 2 * US_PER_MS;
 
 impl Simulation {
@@ -68,7 +68,7 @@
             return self.schedule_at(at, Event::Commands(process, delivery));
         }
         if late || self.happens(LATE_OF_LOST_COMMANDS) {
-            // Held back in the network: it may arrive much later.
+            // Delayed in the network: the commands may arrive much later.
             let delay_us =
                 delay_us.unwrap_or_else(|| self.rng.random_range(LATE_COMMAND_MS) * US_PER_MS);
             let delivery = CommandDelivery {
@@ -122,7 +122,7 @@
             return self.deliver_at(at, leader, delivery);
         }
         if self.happens(faults.late_sync) {
-            // Nobody waits for the answer any more when it arrives.
+            // The sender does not wait for the answer to a late request.
             if let Input::SyncRequest { reply_to, .. } = &mut delivery {
                 *reply_to = None;
             }
@@ -132,7 +132,7 @@
         self.deliver_at(at + SYNC_TIMEOUT_MS * US_PER_MS, process, failed);
     }
 
-    /// A heartbeat goes on to the leader.
+    /// Relays a heartbeat to the leader.
     pub(super) fn relay_heartbeat(
         &mut self,
         controller: usize,
@@ -145,7 +145,7 @@
         let faults = self.scenario.message_faults;
         let lost = !self.peer_reachable(controller, leader) || self.happens(faults.lost_sync);
         if lost && self.happens(faults.late_sync) {
-            // Held back: its worker has long moved on when the answer comes.
+            // Delayed: the answer may come long after its worker has tried another controller.
             let delay_us = self.rng.random_range(LATE_PEER_MESSAGE_MS) * US_PER_MS;
             let leader = self.process(leader);
             let delayed = Input::RelayedHeartbeat { heartbeat, relay };
@@ -168,7 +168,7 @@
         }
     }
 
-    /// The leader's answer to a relayed heartbeat goes back.
+    /// Returns the leader's answer to a relayed heartbeat to the relay.
     pub(super) fn return_relayed_answer(
         &mut self,
         leader: usize,
@@ -185,7 +185,7 @@
         self.deliver_at(at, relay, relayed);
     }
 
-    /// A controller tells another of the availability of its links.
+    /// Sends gossip about the availability of a controller's links to another controller.
     pub(super) fn send_gossip(
         &mut self,
         controller: usize,
@@ -207,7 +207,8 @@
         }
     }
 
-    /// What was sent to a process that is down gets no answer: its sender learns that.
+    /// Reports to the sender of a message to a process that is down that no answer came, after
+    /// the timeout of a sync request.
     pub(super) fn fail_unanswered(&mut self, controller: usize, input: Input) {
         let (sender, failed) = match input {
             Input::SyncRequest {
--- a/crates/simulator/src/simulation/routes.rs
+++ b/crates/simulator/src/simulation/routes.rs
@@ -1,5 +1,5 @@
-//! Routes: which service a controller reaches, directly or relayed by a peer, and which peer
-//! and machine it reaches.
+//! Routes: which services a controller reaches, directly or through a relay, and which peers
+//! and machines it reaches.
 
 use lemonweir_protocol::kv_store::CompareAndSwap;
 use lemonweir_protocol::links::Service;
@@ -8,7 +8,7 @@
 use crate::controller::{Input, ProcessId, RouteResult};
 use crate::scenario::Link;
 
-/// Bytes that a write of a compare-and-swap is taken to have: about a full chunk's.
+/// Estimated bytes of one write of a compare-and-swap: about those of a full chunk.
 const WRITE_BYTES: usize = 512;
 
 /// The route of a request to a service.
@@ -17,7 +17,7 @@
     service: Service,
     /// Bytes of the request.
     bytes: usize,
-    /// The controller that relays it; none: it goes directly.
+    /// The controller that relays it; `None`: it is sent directly.
     relay: Option<u16>,
 }
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// Bytes of a compare-and-swap, about.
+/// Estimated bytes of a compare-and-swap.
 pub(super) fn estimated_bytes(cas: &CompareAndSwap) -> usize {
     cas.writes.len() * WRITE_BYTES
 }
@@ -39,7 +39,7 @@
 impl Simulation {
     // ---- services --------------------------------------------------------------
 
-    /// The route that a controller's core names for a request.
+    /// The route that a controller's core chooses for a request.
     pub(super) fn route(
         &mut self,
         controller: usize,
@@ -66,7 +66,7 @@
         !down && !self.links_down.contains(&link) && !self.controller_partitioned(controller)
     }
 
-    /// True if a controller runs, and can relay something for another now.
+    /// True if `relay` runs, is not stalled, and exchanges messages with `controller`.
     fn can_relay(&self, relay: usize, controller: usize) -> bool {
         let runs = self
             .controllers
@@ -91,14 +91,14 @@
         self.can_relay(relay, controller) && willing && self.reaches_service(relay, route.service)
     }
 
-    /// True if a request that arrives now is served; its controller learns that.
+    /// True if a request that arrives now is served. The result is reported to its controller.
     pub(super) fn try_route(&mut self, process: ProcessId, route: ServiceRoute) -> bool {
         let served = self.route_works(process.controller, route);
         self.report_route_result(process, route, served, 0);
         served
     }
 
-    /// A controller learns after so many µs what became of a request.
+    /// Reports to a controller, after so many µs, whether a request was served.
     pub(super) fn report_route_result(
         &mut self,
         process: ProcessId,
@@ -130,24 +130,24 @@
 
     // ---- peers and machines ----------------------------------------------------
 
-    /// True if a controller receives what another sends to it now, and can answer.
+    /// True if `to` receives a message that `from` sends now, and can answer it.
     pub(super) fn peer_reachable(&self, from: usize, to: usize) -> bool {
         self.can_relay(to, from)
     }
 
-    /// True if what `a` sends to `b` does not get through, or its answer does not.
+    /// True if a message from `a` to `b` is lost, or the answer to it.
     pub(super) fn controllers_partitioned(&self, a: usize, b: usize) -> bool {
         self.links_down.contains(&Link::OneWay(a, b))
             || self.links_down.contains(&Link::between(a, b))
             || self.zones_partitioned(self.scenario.zone_of(a), self.scenario.zone_of(b))
     }
 
-    /// True if a partition is between two zones.
+    /// True if a partition separates two zones.
     fn zones_partitioned(&self, a: &str, b: &str) -> bool {
         a != b && (self.partitioned_zones.contains(a) || self.partitioned_zones.contains(b))
     }
 
-    /// True if a controller can't reach what is outside the zones.
+    /// True if a controller's zone is partitioned: it reaches neither services nor users.
     pub(super) fn controller_partitioned(&self, controller: usize) -> bool {
         self.partitioned_zones
             .contains(self.scenario.zone_of(controller))
@@ -165,7 +165,7 @@
             })
     }
 
-    /// True if a call to a machine, relayed or not, does not get through.
+    /// True if a call to a machine, direct or through a relay, can't reach it.
     pub(super) fn call_blocked(
         &self,
         controller: usize,
@@ -180,7 +180,7 @@
         }
     }
 
-    /// The controller that another one's cache names as a shard's leader.
+    /// The leader of a shard according to a controller's cache.
     pub(super) fn known_leader(&self, controller: usize, shard: u16) -> Option<usize> {
         let core = self.controllers[controller].core.as_ref()?;
         let name = &core.cache.shard_leaders.get(&shard)?.host;
--- a/crates/simulator/src/simulation/starvation.rs
+++ b/crates/simulator/src/simulation/starvation.rs
@@ -1,5 +1,5 @@
-//! The term on waiting jobs: once all faults are over, no job is left waiting beside a
-//! machine that has free resources for it while its team is under its quota limit.
+//! The invariant against starvation: once all faults are over, no job keeps waiting while
+//! machines have free resources for it and its team is under its quota limit.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,30 +10,31 @@
 use crate::clock::US_PER_MS;
 use crate::worker::Worker;
 
-/// µs for which a job may wait beside free resources that fit.
+/// µs for which a job may wait although machines have free resources for it.
 const STARVATION_US: u64 = 90_000 * US_PER_MS;
 /// µs between two checks of waiting jobs.
 const CHECK_INTERVAL_US: u64 = 5_000 * US_PER_MS;
 
-/// A job that waits beside free resources that fit.
+/// A job that waits although machines have free resources for it.
 struct WaitingBesideCapacity {
     /// Since when, µs.
     since: u64,
-    /// The machines that have had room for it all the while.
+    /// The machines that have had free resources for it ever since.
     machines: BTreeSet<usize>,
 }
 
-/// Jobs that wait beside free resources that fit.
+/// Tracks the jobs that wait although machines have free resources for them.
 #[derive(Default)]
 pub(super) struct StarvationMonitor {
     checked_at: u64,
     waiting: BTreeMap<JobId, WaitingBesideCapacity>,
-    /// Jobs that were named as starved already.
+    /// Jobs that were reported as starved already.
     reported: BTreeSet<JobId>,
 }
 
 impl Simulation {
-    /// Names the jobs that have waited too long beside free resources that fit.
+    /// Reports a violation for each job that has waited too long although machines have free
+    /// resources for it.
     pub(super) fn check_starvation(&mut self) {
         let now = self.now;
         if now < self.starvation.checked_at + CHECK_INTERVAL_US {
@@ -49,7 +50,8 @@
             let Some(spec) = self.workload.jobs.get(&id).map(|job| job.spec.clone()) else {
                 continue;
             };
-            // A job whose tasks start one after the other is served.
+            // Each start of a task begins a new wait: a job whose tasks start one after the other
+            // is not starved.
             let last_start = self.workload.checker.last_start(&id);
             let (since, among) = match before.get(&id).filter(|w| w.since >= last_start) {
                 Some(waiting) => (waiting.since, &waiting.machines),
@@ -82,7 +84,7 @@
             .collect()
     }
 
-    /// Jobs that may start, and have a task that is on no machine.
+    /// Unfinished jobs that may start and have a task that is neither on a machine nor done.
     fn startable_jobs(&self) -> Vec<JobId> {
         let live = self.live_tasks();
         let mut waiting = Vec::new();
@@ -109,8 +111,9 @@
         waiting
     }
 
-    /// Those of some machines that have room for what must start together; `None`: there is
-    /// not enough, or the team's quota limit does not allow it.
+    /// The machines of `among` that have room for a task of a job; `None`: together they lack
+    /// room for the tasks that must start together, or the team's quota limit does not allow
+    /// those.
     fn machines_with_capacity(
         &self,
         spec: &JobSpec,
@@ -157,7 +160,7 @@
     }
 }
 
-/// How many tasks of a need fit into free resources.
+/// How many tasks that need `need` each fit into free resources.
 fn tasks_that_fit(free: Resources, need: Resources) -> u64 {
     let by = |free: u64, need: u64| free.checked_div(need).unwrap_or(u64::MAX);
     by(free.milli_cpus, need.milli_cpus)
--- a/crates/simulator/src/simulation/state_reads.rs
+++ b/crates/simulator/src/simulation/state_reads.rs
@@ -1,4 +1,5 @@
-//! A controller's reads of the watched keys into its state cache.
+//! A controller's reads of the watched keys into its state cache, and the user queries that
+//! wait for them.
 
 use lemonweir_model::JobId;
 use lemonweir_model::constants::{CACHE_REFRESH_BUSY_MS, CACHE_REFRESH_IDLE_MS};
@@ -12,12 +13,13 @@
 use crate::store::Store;
 
 impl Simulation {
-    /// A read is due; one that was moved to another time is not begun.
+    /// Begins the state read that is due now, unless one is in flight or this one was
+    /// rescheduled.
     pub(super) fn begin_state_read(&mut self, process: ProcessId) {
         let (now, number) = (self.now, process.controller);
         let controller = &mut self.controllers[number];
         if controller.stalled_until > now {
-            // What a stalled process would have begun.
+            // A stalled process begins the read once the stall is over.
             let until = controller.stalled_until;
             controller.read_due = until;
             return self.schedule_at(until, Event::ReadState(process));
@@ -41,7 +43,7 @@
         self.schedule_at(at, Event::StoreRequest(process, request, route));
     }
 
-    /// A read is wanted as soon as the last one is old enough.
+    /// Requests a state read, as soon as the minimum interval since the last one has passed.
     pub(super) fn request_state_read(&mut self, number: usize) {
         let (now, process) = (self.now, self.process(number));
         let controller = &mut self.controllers[number];
@@ -58,7 +60,7 @@
         }
     }
 
-    /// A user's question is answered from a read that begins from now on.
+    /// Queues a user's request until a state read that begins no earlier than now has ended.
     pub(super) fn queue_query(&mut self, controller: usize, job: JobId, request: UserRequest) {
         self.controllers[controller]
             .pending_queries
@@ -70,7 +72,8 @@
         self.request_state_read(controller);
     }
 
-    /// A read ended: it goes into the cache, and answers the questions that are older.
+    /// Applies a state read to the cache, schedules the next one, and answers the queries that
+    /// were asked no later than it began.
     pub(super) fn apply_state_read(&mut self, number: usize, began: u64, read: StateRead) {
         let (now, now_ms) = (self.now, self.now_ms());
         let controller = &mut self.controllers[number];
--- a/crates/simulator/src/simulation/store_service.rs
+++ b/crates/simulator/src/simulation/store_service.rs
@@ -1,4 +1,4 @@
-//! What reaches the state service, when it is executed, and what is answered.
+//! Requests to the state service: when they are executed, and how they are answered.
 
 use std::ops::Range;
 
@@ -20,24 +20,25 @@
 use crate::scenario::{FaultKind, LATE_WRITES};
 use crate::store::CasAnswer;
 
-/// µs for which a controller waits for an answer.
+/// µs for which a controller waits for an answer of the store.
 const REQUEST_TIMEOUT_US: u64 = STORE_TIMEOUT_MS * US_PER_MS;
-/// µs after which the core's refused compare-and-swap is tried again.
+/// µs by which the answer to a refused compare-and-swap of the core is held back, so that the
+/// core waits before it tries again.
 const REFUSED_CAS_WAIT_US: u64 = 2 * TICK_MS * US_PER_MS;
-/// How much later a single late compare-and-swap is executed, ms.
+/// Delay of the execution of a compare-and-swap that a message fault makes late, ms.
 const LATE_CAS_MS: Range<u64> = 3_000..30_000;
 
-/// How long the store takes for a request.
+/// Delays of the store for one request.
 #[derive(Clone, Copy)]
 struct StoreDelays {
     /// µs until it executes the request.
     execution_us: u64,
-    /// µs from then until it answers; none: the answer is lost.
+    /// µs from its execution until the answer; `None`: the answer is lost.
     answer_us: Option<u64>,
 }
 
 impl StoreRequest {
-    /// What its controller is left with when no answer comes.
+    /// The input that its controller gets when no answer comes.
     fn unanswered(&self) -> Input {
         match self {
             StoreRequest::CompareAndSwap(origin, cas) => Input::CasResult {
@@ -63,8 +64,8 @@
 }
 
 impl Simulation {
-    /// A request reaches the store. Its controller gives up after a while; what it asked for
-    /// is executed all the same, also once the controller is down.
+    /// Handles a request that reaches the store. Its controller stops waiting after a timeout;
+    /// the request is executed all the same, even if the controller is down by then.
     pub(super) fn handle_store_request(
         &mut self,
         process: ProcessId,
@@ -107,7 +108,8 @@
         }
     }
 
-    /// A request is refused: the process waits before it tries again.
+    /// Refuses a request. For a compare-and-swap of the core, the answer comes late enough that
+    /// the core waits before it tries again.
     fn refuse_store_request(&mut self, process: ProcessId, request: StoreRequest) {
         let wait_us = if request.is_from_scheduler() {
             REFUSED_CAS_WAIT_US
@@ -127,7 +129,7 @@
         self.deliver_at(at, process, input);
     }
 
-    /// How long the store takes for a request, with message faults and active faults.
+    /// Draws the store's delays for a request under message faults and active faults.
     fn store_delays(&mut self, request: &StoreRequest) -> StoreDelays {
         let mut delays = self.delays_by_message_faults(request);
         let scenario = self.scenario.clone();
@@ -235,7 +237,7 @@
         }
     }
 
-    /// The versions of the keys that the core wants to read again after a conflict.
+    /// The current versions of the keys that the core reads again after a conflict.
     fn reread_versions(&self, lease: ShardLease, keys: &[String]) -> Vec<(String, u64)> {
         let version = |key: &str| self.store.get(key).map_or(0, |(_, version)| version);
         keys_to_reread(lease, keys)
@@ -244,7 +246,7 @@
             .collect()
     }
 
-    /// A shard has a new leader, which gets the shard's records.
+    /// Handles the acquisition of a shard: the answer to its new leader holds its records.
     fn shard_acquired(&mut self, lease: ShardLease) -> Input {
         self.leader_elected();
         Input::ShardAcquired {
--- a/crates/simulator/src/simulation/user_answers.rs
+++ b/crates/simulator/src/simulation/user_answers.rs
@@ -1,4 +1,4 @@
-//! How controllers answer users: submissions, polls and withdrawals.
+//! How controllers answer user requests: submissions, polls and withdrawals.
 
 use lemonweir_coordination::dependencies::DependencyAdmission;
 use lemonweir_coordination::job_status::JobStatusAnswer;
@@ -57,12 +57,12 @@
         }
     }
 
-    /// Sends the compare-and-swaps of a submission: the last one accepts the job, and further
-    /// pages of its dependencies mean nothing by themselves.
+    /// Sends the compare-and-swaps of a submission. The last one accepts the job; the others
+    /// write further pages of its dependencies, which have no effect on their own.
     fn send_submission(&mut self, number: usize, id: JobId, cas_list: &[CompareAndSwap]) {
         let (last, pages) = cas_list
             .split_last()
-            .expect("a job is accepted by a compare-and-swap");
+            .expect("a submission has at least one compare-and-swap");
         for page in pages {
             self.send_cas(number, CasOrigin::Unattended, page.clone());
         }
@@ -70,7 +70,8 @@
         self.send_cas(number, origin, last.clone());
     }
 
-    /// A submission depends on jobs that its controller does not know: the store tells.
+    /// Looks up the dependencies that the controller of a submission does not know in the
+    /// store.
     fn resolve_dependencies(&mut self, number: usize, id: JobId, ids: &[JobId]) {
         if !self.service_reachable(number, Service::Store) {
             return self.reply(number, id, None, 503);
@@ -92,7 +93,8 @@
         );
     }
 
-    /// A controller learns the ends of jobs from the store, if it reaches that.
+    /// Reads the ends of jobs from the store into a controller's cache, if the store can be
+    /// reached.
     pub(super) fn learn_job_ends(&mut self, number: usize, ids: &[JobId]) {
         if !self.service_reachable(number, Service::Store) {
             return;
@@ -111,7 +113,8 @@
         }
     }
 
-    /// Answers what the cache alone does not, or not yet.
+    /// Answers a request at once if the job is known to have ended. Otherwise the request is
+    /// queued until a state read, or handled again once the end may be published.
     pub(super) fn answer_after_read(
         &mut self,
         number: usize,
@@ -136,7 +139,7 @@
         }
     }
 
-    /// Answers a poll or a withdrawal from a state read that began after it.
+    /// Answers a queued request after a state read that began no earlier than it was asked.
     pub(super) fn answer_query(&mut self, number: usize, query: PendingQuery, read_worked: bool) {
         let PendingQuery {
             asked,
@@ -171,7 +174,8 @@
         self.reply_to(number, id, None, 404, asked);
     }
 
-    /// The compare-and-swap of a submission or a withdrawal ended; `None`: without an answer.
+    /// Handles the result of a submission's or a withdrawal's compare-and-swap; an `outcome` of
+    /// `None`: no answer came.
     pub(super) fn user_cas_finished(
         &mut self,
         number: usize,
@@ -184,13 +188,13 @@
         let in_time = self.now < asked + USER_TIMEOUT_MS * US_PER_MS;
         match (outcome, request) {
             (Some(CompareAndSwapOutcome::Committed(_)), UserRequest::Withdrawal) => {
-                // Its end is told to a later question.
+                // The end of the job is the answer to a later request.
                 self.announce(number, &id);
                 self.reply(number, id, None, 503);
             }
             (Some(CompareAndSwapOutcome::Committed(_)), UserRequest::Query) => {
                 self.announce(number, &id);
-                // With a cancelled dependency it is cancelled from the start.
+                // A job with a cancelled dependency is cancelled at its submission.
                 let ended = cas
                     .writes
                     .iter()
@@ -202,7 +206,8 @@
                 };
                 self.reply(number, id, Some(phase), 201);
             }
-            // Committed before, or changed meanwhile: what the store says now is the answer.
+            // Committed by an earlier request, or changed meanwhile: the answer is what the store
+            // holds now.
             (Some(CompareAndSwapOutcome::Conflict(_)), _) => self.queue_query(number, id, request),
             (None, UserRequest::Withdrawal) if in_time => self.queue_query(number, id, request),
             (None, UserRequest::Query) if in_time => {
@@ -223,7 +228,7 @@
         self.reply_to(controller, id, phase, status, self.now);
     }
 
-    /// Answers a question that came at `asked`.
+    /// Answers a request that reached the controller at `asked`.
     fn reply_to(
         &mut self,
         controller: usize,
@@ -242,7 +247,7 @@
         self.schedule_at(at, Event::Reply(reply));
     }
 
-    /// Tells the leader of a job's shard that the job has changed.
+    /// Notifies the leader of a job's shard that the job has changed.
     fn announce(&mut self, controller: usize, id: &JobId) {
         let Some(team) = self.planned.get(id).map(|p| p.job.spec.team.clone()) else {
             return;
--- a/crates/simulator/src/simulation/users.rs
+++ b/crates/simulator/src/simulation/users.rs
@@ -14,41 +14,42 @@
 use crate::job::SimulatedJob;
 use crate::scenario::Link;
 
-/// µs after which a user looks again whether the dependencies of its job are accepted.
+/// µs after which a user checks again whether the dependencies of its job are accepted.
 const DEPENDENCY_RETRY_US: u64 = 100 * US_PER_MS;
-/// µs for which a user repeats a submission (protocol page).
+/// µs for which a user repeats a submission (protocol specification).
 const SUBMISSION_TIMEOUT_US: u64 = 60_000 * US_PER_MS;
 /// µs for which a user waits for the answer to a submission.
 const SUBMISSION_ANSWER_US: u64 = 5_000 * US_PER_MS;
-/// µs for which a user waits for the answer to a poll (protocol page).
+/// µs for which a user waits for the answer to a poll (protocol specification).
 const POLL_ANSWER_US: u64 = 2_000 * US_PER_MS;
-/// µs between two withdrawals of a job.
+/// µs between two withdrawal requests for a job.
 const WITHDRAWAL_INTERVAL_US: u64 = 2_000 * US_PER_MS;
-/// µs after which a user who reached no controller tries again.
+/// µs after which a user tries again if no controller accepts requests.
 const NO_CONTROLLER_RETRY_US: u64 = 1_000 * US_PER_MS;
-/// µs after which a 503 asks users to try again.
+/// µs after which users try again after a 503: its `Retry-After`.
 const RETRY_AFTER_US: u64 = RETRY_AFTER_S * 1_000 * US_PER_MS;
-/// Under a poll load one in so many polls is for a job that does not exist.
+/// Under a poll load, one in so many polls comes with another one for a job that does not
+/// exist.
 const UNKNOWN_JOB_ONE_IN: u32 = 3;
 
-/// What a user knows of a job. Times are µs.
+/// A user's view of its job. Times are µs.
 #[derive(Default)]
 pub(super) struct UserJob {
     first_submitted: u64,
     pub(super) accepted_at: Option<u64>,
-    /// It ended, was refused, or its user gave up.
+    /// The user knows that it ended or was refused, or has given up.
     pub(super) finished: bool,
     last_poll: u64,
     next_poll: u64,
     next_submission: u64,
-    /// When the user first asked for the job's end.
+    /// When the user first requested its withdrawal.
     pub(super) withdrawal_requested: Option<u64>,
 }
 
 impl Simulation {
     // ---- the load balancer -----------------------------------------------------
 
-    /// Some controller that takes requests.
+    /// Picks a random controller that is ready and that users can reach.
     fn pick_controller(&mut self) -> Option<usize> {
         let ready: Vec<usize> = (0..self.controllers.len())
             .filter(|&number| {
@@ -65,7 +66,7 @@
         }
     }
 
-    /// Sends a user's request to some controller; false: none takes requests.
+    /// Sends a user's request to a random ready controller; false if there is none.
     pub(super) fn send_to_any(&mut self, input: Input) -> bool {
         let Some(controller) = self.pick_controller() else {
             return false;
@@ -129,8 +130,8 @@
         }
     }
 
-    /// Users submit a job once its dependencies are accepted, and not at all where one was
-    /// refused.
+    /// True if all dependencies of a job are accepted. Otherwise its first submission is
+    /// scheduled again, unless a dependency was refused: then the job is never submitted.
     fn dependencies_accepted(&mut self, id: &JobId) -> bool {
         let Some(planned) = self.planned.get(id) else {
             return true;
@@ -155,7 +156,7 @@
         false
     }
 
-    /// A user submits again after so long, whatever was planned.
+    /// Schedules a repeated submission, which replaces one that is scheduled already.
     fn schedule_submission(&mut self, id: JobId, after_us: u64) {
         let at = self.now + after_us;
         if let Some(user) = self.users.get_mut(&id) {
@@ -170,7 +171,7 @@
         (self.scenario.poll_s * 1e6 / self.poll_factor) as u64
     }
 
-    /// A user polls after so long, or before that as was planned.
+    /// Schedules a poll, unless an earlier one is scheduled already.
     fn schedule_poll(&mut self, id: JobId, after_us: u64) {
         let at = self.now + after_us;
         if let Some(user) = self
@@ -211,7 +212,7 @@
         let Some(user) = self.users.get_mut(&id).filter(|user| !user.finished) else {
             return;
         };
-        // Nobody withdraws what was not accepted yet.
+        // A user withdraws a job only once it is accepted.
         if user.accepted_at.is_some() {
             user.withdrawal_requested.get_or_insert(now);
             self.send_to_any(Input::Withdraw(id.clone()));
@@ -296,7 +297,7 @@
         self.query_burst(&id);
     }
 
-    /// A user of an accepted job was told its phase; `None`: 404.
+    /// Handles the phase that the user of an accepted job receives; `None`: 404.
     fn user_told_phase(&mut self, id: JobId, phase: Option<JobPhase>, poll_us: u64) {
         let now = self.now;
         let Some(user) = self.users.get_mut(&id) else {
--- a/crates/simulator/src/simulation/workers.rs
+++ b/crates/simulator/src/simulation/workers.rs
@@ -1,4 +1,4 @@
-//! Workers: their heartbeats, the answers, and the commands that reach them.
+//! Workers: their heartbeats, the answers to them, and the commands sent to workers.
 
 use lemonweir_coordination::HeartbeatAnswer;
 use lemonweir_coordination::owner::CommandResult;
@@ -14,18 +14,19 @@
 use crate::worker::{ReceivedAnswer, Worker};
 use crate::workload_state::WorkloadState;
 
-/// µs after which a worker whose controller is down or unable tries the next one.
+/// µs after which a worker tries the next controller if its own is down or unavailable.
 const NEXT_AFTER_REFUSAL_US: u64 = 1_000 * US_PER_MS;
-/// No response within 4 s, then the next controller 1 s later, µs.
+/// µs after which a worker tries the next controller if its own does not respond: a timeout
+/// of 4 s, and 1 s until the next heartbeat.
 const NEXT_AFTER_TIMEOUT_US: u64 = 5_000 * US_PER_MS;
 /// µs after which a worker follows a redirect.
 const REDIRECT_US: u64 = 100 * US_PER_MS;
-/// Least interval of heartbeats as a share of the usual one, and by how much the longest
+/// Shortest heartbeat interval as a share of the configured one, and by how much the longest
 /// exceeds it.
 const LEAST_INTERVAL_SHARE: f64 = 0.75;
 const INTERVAL_SHARE_RANGE: f64 = 0.5;
 
-/// A heartbeat that a worker sends now.
+/// A heartbeat that a worker is about to send.
 struct OutgoingHeartbeat {
     heartbeat: Heartbeat,
     controller: usize,
@@ -46,7 +47,8 @@
         }
     }
 
-    /// What happened on one machine reaches the others of its gang, and users.
+    /// Schedules the pending signals to other machines of gangs, and handles the jobs that have
+    /// just completed.
     pub(super) fn dispatch_gang_signals(&mut self) {
         for signal in std::mem::take(&mut self.workload.signals) {
             self.schedule_in(0, Event::GangSignal(signal));
@@ -55,7 +57,8 @@
         self.jobs_completed(completed);
     }
 
-    /// Lets something happen on a machine, and what follows from it.
+    /// Runs `work` on a worker, then reschedules the worker and dispatches the gang signals that
+    /// result. `None` if the machine is gone.
     pub(super) fn with_worker<T>(
         &mut self,
         number: usize,
@@ -122,7 +125,7 @@
         });
     }
 
-    /// An answer goes to a machine, if that receives what the controller answers.
+    /// Sends the answer to a heartbeat to its machine, unless a fault drops it.
     pub(super) fn send_heartbeat_answer(
         &mut self,
         at: u64,
@@ -187,7 +190,7 @@
             .map(|worker| worker.hung_until)
             .filter(|until| *until > now);
         if let Some(until) = hung_until {
-            // A machine that goes on executes what came meanwhile.
+            // A machine executes the commands that it got while it hung once it resumes.
             if !late {
                 let unknown = Input::CommandResult(lease, call.clone(), CommandResult::Unknown);
                 self.deliver_in(COMMAND_TIMEOUT_MS * US_PER_MS, process, unknown);
@@ -213,7 +216,7 @@
         }
     }
 
-    /// A machine is gone with all that is on it.
+    /// Removes a machine with all tasks on it.
     pub(super) fn remove_machine(&mut self, number: usize) {
         let now = self.now;
         if let Some(mut worker) = self.workers.get_mut(number).and_then(Option::take) {
