--- a/crates/simulator/src/simulation.rs
+++ b/crates/simulator/src/simulation.rs
@@ -48,7 +48,7 @@
 use crate::store::Store;
 use crate::worker::{MachineSpec, Worker};
 use crate::workload_state::WorkloadState;
-use events::{Attempt, Event, ScheduledEvent};
+use events::{Event, ScheduledEvent, SubmissionAttempt};
 use inspection::INSPECTION_INTERVAL_US;
 use users::UserJob;
 
@@ -57,7 +57,7 @@
 /// µs within which the initial machines are up.
 const FIRST_MACHINES_UP_US: u64 = 3_000 * US_PER_MS;
 /// Speed of the slowest machine, and by how much the fastest machine exceeds it.
-const LEAST_SPEED: f64 = 0.95;
+const MIN_SPEED: f64 = 0.95;
 const SPEED_RANGE: f64 = 0.1;
 
 /// How the boots of machines that are provisioned now are disturbed.
@@ -109,8 +109,9 @@
     /// Calls to machines and answers to their heartbeats that were delayed, or whose answer
     /// was lost.
     pub delayed_calls: u64,
-    /// Machines that an active fault affects, by the fault's index in the scenario.
-    affected: BTreeMap<usize, BTreeSet<usize>>,
+    /// Active faults that no other state represents, by their index in the scenario, with the
+    /// machines that they affect.
+    active_faults: BTreeMap<usize, BTreeSet<usize>>,
     /// Time of the last inspection that found a fault active.
     last_fault_at: u64,
     rng: ChaCha8Rng,
@@ -178,7 +179,7 @@
             duplicates_delivered: 0,
             late_writes: 0,
             delayed_calls: 0,
-            affected: BTreeMap::new(),
+            active_faults: BTreeMap::new(),
             last_fault_at: 0,
             rng: ChaCha8Rng::seed_from_u64(seed),
             queue: BinaryHeap::new(),
@@ -196,7 +197,7 @@
     pub fn submit(&mut self, planned: PlannedSubmission) {
         let id = planned.job.spec.id.clone();
         let at = planned.at_us.max(self.now);
-        self.schedule_at(at, Event::Submit(id.clone(), Attempt::First));
+        self.schedule_at(at, Event::Submit(id.clone(), SubmissionAttempt::First));
         if let Some(at) = planned.withdraw_us {
             self.schedule_at(at, Event::Withdraw(id.clone()));
         }
@@ -280,7 +281,7 @@
         up_at: u64,
     ) -> MachineId {
         let number = self.workers.len();
-        let speed = LEAST_SPEED + SPEED_RANGE * self.rng.random::<f64>();
+        let speed = MIN_SPEED + SPEED_RANGE * self.rng.random::<f64>();
         let spec = MachineSpec {
             number,
             kind: &self.scenario.machine_kinds[kind].machine,
@@ -340,14 +341,15 @@
         self.rng.random_range(latency.low_us..=latency.high_us)
     }
 
-    fn happens(&mut self, per_mille: u32) -> bool {
+    /// True with a probability of `per_mille` thousandths. Draws nothing for 0.
+    fn draw_per_mille(&mut self, per_mille: u32) -> bool {
         per_mille > 0 && self.rng.random_range(0..1_000) < per_mille
     }
 
     // ---- processes -------------------------------------------------------------
 
     /// The current incarnation of a controller.
-    fn process(&self, controller: usize) -> ProcessId {
+    fn current_process(&self, controller: usize) -> ProcessId {
         ProcessId {
             controller,
             incarnation: self.controllers[controller].incarnation,
--- a/crates/simulator/src/simulation/adversarial_users.rs
+++ b/crates/simulator/src/simulation/adversarial_users.rs
@@ -16,7 +16,7 @@
 use crate::worker::Worker;
 
 /// Delays after an event with which users poll every controller, µs.
-const QUERY_BURST_US: [u64; 6] = [
+const QUERY_BURST_DELAYS_US: [u64; 6] = [
     0,
     US_PER_MS,
     3 * US_PER_MS,
@@ -29,16 +29,16 @@
 /// µs within which a cancel burst cancels its jobs, and a query burst submits its job again.
 const CANCEL_WITHIN_US: u64 = 200 * US_PER_MS;
 /// Maximum number of machines of cancelled jobs that a cancel burst hangs.
-const MOST_HUNG_MACHINES: usize = 8;
+const MAX_HUNG_MACHINES: usize = 8;
 /// µs between two invalid requests of a kind.
 const INVALID_REQUEST_INTERVAL_US: u64 = 500 * US_PER_MS;
 /// An unschedulable job requests so many times the processors of the largest machine.
-const UNSCHEDULABLE_SIZE: f64 = 10.0;
+const UNSCHEDULABLE_CPU_FACTOR: f64 = 10.0;
 
 impl Simulation {
     /// The share of the first active fault of a kind; `None`: no such fault is active.
     fn active_fault_share(&self, wanted: impl Fn(&FaultKind) -> bool) -> Option<f64> {
-        self.affected
+        self.active_faults
             .keys()
             .map(|i| &self.scenario.faults[*i])
             .find(|fault| wanted(&fault.kind))
@@ -59,18 +59,18 @@
         self.schedule_at(now, Event::Withdraw(id.clone()));
     }
 
-    fn controllers_for_users(&self) -> Vec<usize> {
-        let reached = |controller: &usize| {
+    fn controllers_reached_by_users(&self) -> Vec<usize> {
+        let is_reached = |controller: &usize| {
             self.controllers[*controller].core.is_some()
                 && !self.controller_partitioned(*controller)
                 && !self.links_down.contains(&Link::Users(*controller))
         };
-        (0..self.controllers.len()).filter(reached).collect()
+        (0..self.controllers.len()).filter(is_reached).collect()
     }
 
-    fn send_request(&mut self, controller: usize, after_us: u64, input: Input) {
+    fn send_to_controller(&mut self, controller: usize, after_us: u64, input: Input) {
         let at = self.now + after_us + self.network_delay();
-        self.deliver_at(at, self.process(controller), input);
+        self.deliver_at(at, self.current_process(controller), input);
     }
 
     /// During query bursts, polls all controllers for a job repeatedly, and submits it to each
@@ -79,12 +79,12 @@
         if !self.query_bursts_active() {
             return;
         }
-        for controller in self.controllers_for_users() {
-            for after_us in QUERY_BURST_US {
-                self.send_request(controller, after_us, Input::Poll(id.clone()));
+        for controller in self.controllers_reached_by_users() {
+            for after_us in QUERY_BURST_DELAYS_US {
+                self.send_to_controller(controller, after_us, Input::Poll(id.clone()));
             }
             let after_us = self.rng.random_range(0..CANCEL_WITHIN_US);
-            self.send_request(controller, after_us, Input::Submit(id.clone()));
+            self.send_to_controller(controller, after_us, Input::Submit(id.clone()));
         }
     }
 
@@ -92,7 +92,7 @@
     /// jobs is cancelled at once.
     pub(super) fn job_accepted(&mut self, id: &JobId) {
         self.query_burst(id);
-        if self.query_bursts_active() && self.happens(CANCELLED_AT_ONCE_PER_MILLE) {
+        if self.query_bursts_active() && self.draw_per_mille(CANCELLED_AT_ONCE_PER_MILLE) {
             self.cancel(id);
         }
     }
@@ -109,9 +109,9 @@
 
     /// Polls, resubmits and cancels a job at the moment of its completion.
     fn requests_at_completion(&mut self, id: &JobId) {
-        for controller in self.controllers_for_users() {
-            self.send_request(controller, 0, Input::Poll(id.clone()));
-            self.send_request(controller, 0, Input::Submit(id.clone()));
+        for controller in self.controllers_reached_by_users() {
+            self.send_to_controller(controller, 0, Input::Poll(id.clone()));
+            self.send_to_controller(controller, 0, Input::Submit(id.clone()));
         }
         self.cancel(id);
     }
@@ -137,15 +137,16 @@
             self.schedule_at(at, Event::Withdraw(id.clone()));
         }
         if hang_us > 0 {
-            let has_one = |worker: &&Worker| worker.live_jobs().any(|id| cancelled.contains(id));
+            let runs_cancelled_job =
+                |worker: &&Worker| worker.live_jobs().any(|id| cancelled.contains(id));
             let machines: Vec<usize> = self
                 .workers
                 .iter()
                 .flatten()
-                .filter(has_one)
+                .filter(runs_cancelled_job)
                 .map(|worker| worker.number)
                 .collect();
-            for number in machines.into_iter().take(MOST_HUNG_MACHINES) {
+            for number in machines.into_iter().take(MAX_HUNG_MACHINES) {
                 self.affect_machine(number, &FaultKind::MachineHang, hang_us);
             }
         }
@@ -154,7 +155,7 @@
     /// Sends one invalid request of each kind, and schedules the next ones while the fault
     /// lasts.
     pub(super) fn invalid_requests(&mut self, fault: usize) {
-        if !self.affected.contains_key(&fault) {
+        if !self.active_faults.contains_key(&fault) {
             return;
         }
         self.schedule_in(INVALID_REQUEST_INTERVAL_US, Event::InvalidRequests(fault));
@@ -169,17 +170,17 @@
             ids.into_iter().cloned().collect::<Vec<_>>()
         };
         let (unfinished, finished) = (accepted_jobs(false), accepted_jobs(true));
-        let again = unfinished.choose(&mut self.rng).cloned().map(Input::Submit);
-        let too_late = finished.choose(&mut self.rng).cloned().map(Input::Withdraw);
-        for input in [again, too_late].into_iter().flatten() {
-            self.send_to_any(input);
+        let resubmission = unfinished.choose(&mut self.rng).cloned().map(Input::Submit);
+        let late_withdrawal = finished.choose(&mut self.rng).cloned().map(Input::Withdraw);
+        for input in [resubmission, late_withdrawal].into_iter().flatten() {
+            self.send_to_ready_controller(input);
         }
         self.submit_unschedulable(&unfinished);
     }
 
     /// Submits a copy of one of these jobs with a CPU request that fits no machine.
-    fn submit_unschedulable(&mut self, like: &[JobId]) {
-        let Some(spec) = like
+    fn submit_unschedulable(&mut self, templates: &[JobId]) {
+        let Some(spec) = templates
             .choose(&mut self.rng)
             .and_then(|id| self.workload.jobs.get(id))
             .map(|job| job.spec.clone())
@@ -188,14 +189,14 @@
         };
         let id =
             JobId::from(format!("req-{:09}", 900_000_000 + self.sequence % 100_000_000).as_str());
-        let most = self
+        let max_milli_cpus = self
             .scenario
             .machine_kinds
             .iter()
             .map(|kind| kind.machine.capacity.milli_cpus)
             .max()
             .unwrap_or(0);
-        let cores = most as f64 / 1e3 * UNSCHEDULABLE_SIZE;
+        let cores = max_milli_cpus as f64 / 1e3 * UNSCHEDULABLE_CPU_FACTOR;
         let spec = Arc::new(JobSpec {
             id: id.clone(),
             cpus: cores,
--- a/crates/simulator/src/simulation/cloud_service.rs
+++ b/crates/simulator/src/simulation/cloud_service.rs
@@ -20,10 +20,10 @@
 const NEVER_UP_US: u64 = 1 << 50;
 /// Shortest boot time as a share of the machine type's, and by how much the longest exceeds
 /// it.
-const LEAST_BOOT_SHARE: f64 = 0.6;
+const MIN_BOOT_SHARE: f64 = 0.6;
 const BOOT_SHARE_RANGE: f64 = 0.9;
 /// Minimum interval between two lists, ms per page of a list.
-const LIST_PAGE_MS: u64 = 4;
+const MIN_LIST_INTERVAL_PER_PAGE_MS: u64 = 4;
 
 impl Simulation {
     pub(super) fn provision(
@@ -35,8 +35,8 @@
     ) {
         let result = if !self.try_route(process, route) {
             ProvisioningResult::Retry
-        } else if let Some(before) = self.cloud.bookings.get(&request.request_id) {
-            ProvisioningResult::Provisioned(before.clone())
+        } else if let Some(booked) = self.cloud.bookings.get(&request.request_id) {
+            ProvisioningResult::Provisioned(booked.clone())
         } else {
             self.provision_new(&request)
         };
@@ -79,7 +79,7 @@
     /// Draws when a machine that is provisioned now is up, µs.
     fn draw_up_at(&mut self, kind: usize, zone: &str) -> u64 {
         let boot_s = self.scenario.machine_kinds[kind].machine.boot_s
-            * (LEAST_BOOT_SHARE + BOOT_SHARE_RANGE * self.rng.random::<f64>());
+            * (MIN_BOOT_SHARE + BOOT_SHARE_RANGE * self.rng.random::<f64>());
         let disturbance = self
             .boot_disturbance
             .as_ref()
@@ -124,8 +124,8 @@
             .take(1.0, self.now);
         let route = self.route(process.controller, Service::Cloud, 0);
         self.schedule_in(wait_us, Event::ListInstances(process, route));
-        let interval_ms =
-            INSTANCE_LIST_INTERVAL_MS.max(self.cloud.list_pages() as u64 * LIST_PAGE_MS);
+        let interval_ms = INSTANCE_LIST_INTERVAL_MS
+            .max(self.cloud.list_pages() as u64 * MIN_LIST_INTERVAL_PER_PAGE_MS);
         self.schedule_in(
             interval_ms * US_PER_MS,
             Event::ScheduleInstanceList(process),
--- a/crates/simulator/src/simulation/controllers.rs
+++ b/crates/simulator/src/simulation/controllers.rs
@@ -9,7 +9,7 @@
 use crate::controller::{Input, ProcessId};
 
 /// Maximum number of messages processed before effects are flushed.
-const FLUSH_EVERY: usize = 32;
+const MAX_MESSAGES_PER_FLUSH: usize = 32;
 /// µs from the start of a process to the first step of its lease keeping.
 const FIRST_LEASE_STEP_US: u64 = 100 * US_PER_MS;
 
@@ -43,7 +43,7 @@
         self.workload
             .history
             .note(now, "controller starts", &number, &"");
-        let process = self.process(number);
+        let process = self.current_process(number);
         self.controllers[number].read_due = now;
         self.schedule_in(0, Event::ReadState(process));
         self.schedule_in(US_PER_MS, Event::Tick(process));
@@ -81,15 +81,15 @@
     }
 
     fn schedule_inbox(&mut self, number: usize) {
-        let (at, process) = (self.departure_time(number), self.process(number));
+        let (at, process) = (self.departure_time(number), self.current_process(number));
         self.schedule_at(at, Event::ProcessInbox(process));
     }
 
-    /// Processes messages until the controller is busy or [`FLUSH_EVERY`] are done, and flushes
-    /// the core's effects.
+    /// Processes messages until the controller is busy or [`MAX_MESSAGES_PER_FLUSH`] are done,
+    /// and flushes the core's effects if they are due.
     pub(super) fn process_inbox(&mut self, number: usize) {
         let mut processed = 0;
-        while processed < FLUSH_EVERY {
+        while processed < MAX_MESSAGES_PER_FLUSH {
             let Some(input) = self.controllers[number].inbox.pop_front() else {
                 break;
             };
@@ -102,7 +102,9 @@
             }
         }
         let controller = &self.controllers[number];
-        if controller.flush_due && (controller.inbox.is_empty() || processed >= FLUSH_EVERY) {
+        if controller.flush_due
+            && (controller.inbox.is_empty() || processed >= MAX_MESSAGES_PER_FLUSH)
+        {
             self.flush(number);
         }
         let controller = &mut self.controllers[number];
@@ -138,12 +140,12 @@
             .map(lemonweir_coordination::Core::work_counters)
             .unwrap_or_default();
         // A counter is lower than before if a shard was released, and its counters with it.
-        let grown = |now: u64, before: u64| now.checked_sub(before).unwrap_or(now);
+        let increase = |now: u64, before: u64| now.checked_sub(before).unwrap_or(now);
         let before = controller.counted;
-        let examined = grown(counted.candidates_examined, before.candidates_examined);
+        let examined = increase(counted.candidates_examined, before.candidates_examined);
         let load = &mut controller.load;
-        load.refused_placements += grown(counted.placements_refused, before.placements_refused);
-        load.preemptions += grown(counted.attempts_preempted, before.attempts_preempted);
+        load.refused_placements += increase(counted.placements_refused, before.placements_refused);
+        load.preemptions += increase(counted.attempts_preempted, before.attempts_preempted);
         let cost_ns = load.rest_ns + messages * costs.message_ns + examined * costs.candidate_ns;
         load.rest_ns = cost_ns % 1_000;
         load.busy_us += cost_ns / 1_000;
--- a/crates/simulator/src/simulation/dispatch.rs
+++ b/crates/simulator/src/simulation/dispatch.rs
@@ -26,13 +26,13 @@
             Event::StoreExecutes(process, request, answer_us) => {
                 self.execute_store_request(process, request, answer_us);
             }
-            Event::Commands(process, delivery) => self.commands_arrive(process, delivery),
+            Event::Commands(process, delivery) => self.deliver_commands(process, delivery),
             Event::WorkerWakes(number) => self.run_worker(number),
             Event::DuplicateHeartbeat {
                 machine,
                 controller,
                 heartbeat,
-            } => self.duplicate_arrives(machine, controller, *heartbeat),
+            } => self.deliver_duplicate(machine, controller, *heartbeat),
             Event::HeartbeatAnswer(heartbeat, answer) => {
                 self.handle_heartbeat_answer(heartbeat, *answer);
             }
--- a/crates/simulator/src/simulation/duplicates.rs
+++ b/crates/simulator/src/simulation/duplicates.rs
@@ -27,14 +27,14 @@
             .iter()
             .filter(|retained| retained.machine == heartbeat.machine)
             .count();
-        if retained < RETAINED_PER_MACHINE && self.happens(RETAINED_PER_MILLE) {
+        if retained < RETAINED_PER_MACHINE && self.draw_per_mille(RETAINED_PER_MILLE) {
             self.retained_heartbeats.push(heartbeat.clone());
         }
     }
 
     /// Delivers the retained copies of heartbeats to every controller. Called when a shard has a
     /// new leader.
-    pub(super) fn leader_elected(&mut self) {
+    pub(super) fn deliver_retained_heartbeats(&mut self) {
         let delay_for_next = |kind: &FaultKind| match kind {
             FaultKind::DelayedDuplicates {
                 seconds,
@@ -55,7 +55,7 @@
                     heartbeat: heartbeat.clone(),
                     sent: at,
                 };
-                self.deliver_at(at, self.process(controller), Input::Heartbeat(copy));
+                self.deliver_at(at, self.current_process(controller), Input::Heartbeat(copy));
             }
         }
     }
@@ -99,18 +99,18 @@
 
     /// Delivers a copy of a heartbeat to the controller that it was sent to, in any
     /// incarnation, or to the one that its worker reports to now.
-    pub(super) fn duplicate_arrives(
+    pub(super) fn deliver_duplicate(
         &mut self,
         machine: usize,
         controller: usize,
         heartbeat: Heartbeat,
     ) {
-        let present = self
+        let current = self
             .worker(machine)
             .map_or(controller, |worker| worker.controller);
         let down = self.controllers[controller].core.is_none();
-        let to = if down || self.happens(REROUTED_PER_MILLE) {
-            present
+        let to = if down || self.draw_per_mille(REROUTED_PER_MILLE) {
+            current
         } else {
             controller
         };
--- a/crates/simulator/src/simulation/effects.rs
+++ b/crates/simulator/src/simulation/effects.rs
@@ -18,7 +18,7 @@
 
 impl Simulation {
     pub(super) fn execute(&mut self, controller: usize, effect: Effect) {
-        let process = self.process(controller);
+        let process = self.current_process(controller);
         let at = self.departure_time(controller) + self.network_delay();
         match effect {
             Effect::CompareAndSwap(lease, cas) => {
@@ -77,7 +77,7 @@
         else {
             return;
         };
-        let process = self.process(leader);
+        let process = self.current_process(leader);
         for lease in leases {
             let from = lease.shard;
             self.deliver_at(at, process, Input::WakeShard { shard, from });
@@ -91,7 +91,7 @@
         request: ProvisioningRequest,
         at: u64,
     ) {
-        let process = self.process(controller);
+        let process = self.current_process(controller);
         let wait_us = self.controllers[controller].cloud.take(1.0, self.now);
         let route = self.route(controller, Service::Cloud, 0);
         self.schedule_at(
@@ -107,7 +107,7 @@
         names: Vec<MachineId>,
         at: u64,
     ) {
-        let process = self.process(controller);
+        let process = self.current_process(controller);
         let wait_us = self.controllers[controller].cloud.take(1.0, self.now);
         let route = self.route(controller, Service::Cloud, 0);
         self.schedule_at(
--- a/crates/simulator/src/simulation/events.rs
+++ b/crates/simulator/src/simulation/events.rs
@@ -64,7 +64,7 @@
     /// The direct route to a service is probed.
     Probe(ProcessId, Service),
     /// A user submits a job.
-    Submit(JobId, Attempt),
+    Submit(JobId, SubmissionAttempt),
     /// An answer reaches a user.
     Reply(UserReply),
     /// A user polls a job.
@@ -99,7 +99,7 @@
 
 /// Whether a user submits a job for the first time or repeats the submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Attempt {
+pub(super) enum SubmissionAttempt {
     First,
     Repeated,
 }
--- a/crates/simulator/src/simulation/faults.rs
+++ b/crates/simulator/src/simulation/faults.rs
@@ -19,7 +19,7 @@
 const ANSWER_LOST_PER_MILLE: u32 = 500;
 /// A spot instance is reclaimed after its notice times a random factor: at least this, and at
 /// most 1 more.
-const LEAST_NOTICE_SHARE: f64 = 0.5;
+const MIN_NOTICE_SHARE: f64 = 0.5;
 
 impl Simulation {
     // ---- begin -----------------------------------------------------------------
@@ -90,10 +90,10 @@
             | FaultKind::DelayedCommands { .. }
             | FaultKind::QueryBursts
             | FaultKind::CancelAtCompletion => {
-                self.affected.insert(i, BTreeSet::new());
+                self.active_faults.insert(i, BTreeSet::new());
             }
             FaultKind::InvalidRequests => {
-                self.affected.insert(i, BTreeSet::new());
+                self.active_faults.insert(i, BTreeSet::new());
                 self.invalid_requests(i);
             }
             FaultKind::CancelBurst { count, hang_s } => self.cancel_burst(*count, micros(*hang_s)),
@@ -148,7 +148,8 @@
                 | FaultKind::InboundLoss { .. }
                 | FaultKind::OutboundLoss { .. }
         ) {
-            self.affected.insert(i, affected.iter().copied().collect());
+            self.active_faults
+                .insert(i, affected.iter().copied().collect());
         }
         for &number in &affected {
             self.affect_machine(number, &fault.kind, micros(fault.for_s));
@@ -179,7 +180,7 @@
                 });
             }
             FaultKind::SpotReclaim { notice_s } => {
-                let share = LEAST_NOTICE_SHARE + self.rng.random::<f64>();
+                let share = MIN_NOTICE_SHARE + self.rng.random::<f64>();
                 let at = now + (notice_s * 1e6 * share) as u64;
                 self.with_worker(number, |worker, _| {
                     worker.reclaim_at = (*notice_s > 0.0).then_some(at);
@@ -219,7 +220,7 @@
             | FaultKind::LateWrites { .. }
             | FaultKind::StoreSlow { .. }
             | FaultKind::DelayedCommands { .. } => {
-                self.affected.remove(&i);
+                self.active_faults.remove(&i);
             }
             FaultKind::CloudDown => self.cloud.down = false,
             FaultKind::BootTime { .. } => self.boot_disturbance = None,
@@ -262,7 +263,7 @@
             _ => false,
         };
         let faults = self
-            .affected
+            .active_faults
             .iter()
             .map(|(i, machines)| (&self.scenario.faults[*i].kind, machines));
         faults
@@ -274,13 +275,13 @@
     /// arrives at once, and the machine's answer to a call is lost. `None`: no fault affects it.
     pub(super) fn draw_call_delay(&mut self) -> Option<u64> {
         let scenario = self.scenario.clone();
-        for i in self.affected.keys().copied().collect::<Vec<_>>() {
+        for i in self.active_faults.keys().copied().collect::<Vec<_>>() {
             let fault = &scenario.faults[i];
             if let FaultKind::DelayedCommands { seconds } = fault.kind
                 && self.rng.random::<f64>() < fault.share
             {
                 self.delayed_calls += 1;
-                return Some(if self.happens(ANSWER_LOST_PER_MILLE) {
+                return Some(if self.draw_per_mille(ANSWER_LOST_PER_MILLE) {
                     0
                 } else {
                     self.rng.random_range(seconds.micros())
--- a/crates/simulator/src/simulation/inputs.rs
+++ b/crates/simulator/src/simulation/inputs.rs
@@ -97,7 +97,7 @@
             // The lease keeper asks again at its next step.
             Input::StoreLeaseUnknown => self.controllers[number].pending_lease_replies -= 1,
             Input::JobEndsRead(ids) => {
-                self.learn_job_ends(number, &ids);
+                self.load_job_ends(number, &ids);
                 if let Some(core) = self.controllers[number].core.as_mut() {
                     core.final_states_read(&ids, now_ms);
                 }
@@ -205,12 +205,12 @@
         // The cached jobs must be at least as new as the shard's records, so the watched keys
         // are read now, or at a later tick if the store can't be reached.
         if !self.service_reachable(number, Service::Store) {
-            let again = Input::ShardAcquired {
+            let retry = Input::ShardAcquired {
                 lease,
                 chunks,
                 images,
             };
-            return self.deliver_in(TICK_MS * US_PER_MS, self.process(number), again);
+            return self.deliver_in(TICK_MS * US_PER_MS, self.current_process(number), retry);
         }
         let chunks: Vec<(JobId, u32, TaskChunkRecord, u64)> = chunks
             .iter()
--- a/crates/simulator/src/simulation/lease_keeping.rs
+++ b/crates/simulator/src/simulation/lease_keeping.rs
@@ -22,7 +22,7 @@
     raised_version: Option<CompareAndSwap>,
     bid: Option<(ElectionAction, CompareAndSwap)>,
     /// Ceded shards to publish, if the controller's membership entry differs or is missing.
-    unpublished: Option<Vec<u16>>,
+    unpublished_ceded: Option<Vec<u16>>,
 }
 
 impl Simulation {
@@ -74,20 +74,20 @@
         let core = controller.core.as_ref()?;
         let teams = core.unassigned_teams();
         let raised_version = core.records_version_cas();
-        let unpublished = controller.election.unpublished_ceded(core, now_ms);
+        let unpublished_ceded = controller.election.unpublished_ceded(core, now_ms);
         let bids: Vec<ElectionAction> = (0..controller.election.shards())
             .filter_map(|shard| controller.election.next_action(core, shard, now_ms))
             .collect();
-        let left = controller.election.ceded(core, now_ms);
+        let ceded = controller.election.ceded(core, now_ms);
         // One bid at a time, since its result decides what to bid for next.
         let bid = bids
             .first()
-            .map(|bid| (*bid, core.election_cas(bid, store_lease, left, now_ms)));
+            .map(|bid| (*bid, core.election_cas(bid, store_lease, ceded, now_ms)));
         Some(LeaseStep {
             assigned_teams: (!teams.is_empty()).then(|| assign_teams(&teams)),
             raised_version,
             bid,
-            unpublished,
+            unpublished_ceded,
         })
     }
 
@@ -100,8 +100,8 @@
         }
         if let Some((bid, cas)) = step.bid {
             self.send_lease_cas(number, Some(bid), cas);
-        } else if let Some(left) = step.unpublished {
-            let cas = self.presence_cas(number, store_lease, left);
+        } else if let Some(ceded) = step.unpublished_ceded {
+            let cas = self.membership_cas(number, store_lease, ceded);
             self.send_lease_cas(number, None, cas);
         }
     }
@@ -118,12 +118,17 @@
     }
 
     /// The compare-and-swap that writes the controller's membership entry.
-    fn presence_cas(&self, controller: usize, store_lease: u64, left: Vec<u16>) -> CompareAndSwap {
+    fn membership_cas(
+        &self,
+        controller: usize,
+        store_lease: u64,
+        ceded: Vec<u16>,
+    ) -> CompareAndSwap {
         register_controller(
             &host_name(controller),
             self.scenario.zone_of(controller),
             store_lease,
-            left,
+            ceded,
         )
     }
 
@@ -136,9 +141,9 @@
         controller.lease_renewed_at = now;
         match (controller.store_lease, answer, controller.core.as_ref()) {
             (None, Some(lease), Some(core)) => {
-                let left = controller.election.ceded(core, now_ms);
+                let ceded = controller.election.ceded(core, now_ms);
                 controller.pending_lease_replies += 1;
-                let cas = self.presence_cas(number, lease, left);
+                let cas = self.membership_cas(number, lease, ceded);
                 self.send_cas(number, CasOrigin::Presence(lease), cas);
             }
             _ => controller.store_lease = answer,
--- a/crates/simulator/src/simulation/network.rs
+++ b/crates/simulator/src/simulation/network.rs
@@ -24,13 +24,13 @@
 /// Delay of a late command, ms.
 const LATE_COMMAND_MS: Range<u64> = 3_000..90_000;
 /// Share of the commands counted as lost that still arrive, but late, per mille.
-const LATE_OF_LOST_COMMANDS: u32 = 500;
+const LATE_LOST_COMMANDS_PER_MILLE: u32 = 500;
 /// µs after which a sync request fails whose target shard has no known, running leader.
-const NO_LEADER_US: u64 = 2 * US_PER_MS;
+const NO_LEADER_TIMEOUT_US: u64 = 2 * US_PER_MS;
 
 impl Simulation {
     pub(super) fn send_cas(&mut self, number: usize, origin: CasOrigin, cas: CompareAndSwap) {
-        let (now, process) = (self.now, self.process(number));
+        let (now, process) = (self.now, self.current_process(number));
         let controller = &mut self.controllers[number];
         let wait_us = controller
             .requests
@@ -53,12 +53,13 @@
         call: CommandCall,
         at: u64,
     ) {
-        let process = self.process(controller);
+        let process = self.current_process(controller);
         let number = machine_number(&call.machine);
         let lost = self.command_lost(controller, &call, number);
         let delay_us = if lost { None } else { self.draw_call_delay() };
         let late = !lost
-            && (delay_us.is_some() || self.happens(self.scenario.message_faults.late_command));
+            && (delay_us.is_some()
+                || self.draw_per_mille(self.scenario.message_faults.late_command));
         if !lost && !late {
             let delivery = CommandDelivery {
                 lease,
@@ -67,7 +68,7 @@
             };
             return self.schedule_at(at, Event::Commands(process, delivery));
         }
-        if late || self.happens(LATE_OF_LOST_COMMANDS) {
+        if late || self.draw_per_mille(LATE_LOST_COMMANDS_PER_MILLE) {
             // Delayed in the network: the commands may arrive much later.
             let delay_us =
                 delay_us.unwrap_or_else(|| self.rng.random_range(LATE_COMMAND_MS) * US_PER_MS);
@@ -90,7 +91,7 @@
         unresponsive
             || self.command_dropped(sender, number)
             || self.call_blocked(controller, call.through, number)
-            || self.happens(self.scenario.message_faults.lost_command)
+            || self.draw_per_mille(self.scenario.message_faults.lost_command)
     }
 
     pub(super) fn send_sync(
@@ -100,28 +101,28 @@
         request: SyncRequest,
         at: u64,
     ) {
-        let process = self.process(controller);
+        let process = self.current_process(controller);
         let failed = Input::SyncResponse(lease, request.to_shard, None);
         self.controllers[controller].load.peer_bytes += peer::encoded_len(&request) as u64;
         let Some(leader) = self
             .known_leader(controller, request.to_shard)
             .filter(|leader| self.controllers[*leader].core.is_some())
         else {
-            return self.deliver_at(at + NO_LEADER_US, process, failed);
+            return self.deliver_at(at + NO_LEADER_TIMEOUT_US, process, failed);
         };
         let faults = self.scenario.message_faults;
-        let lost =
-            self.controllers_partitioned(controller, leader) || self.happens(faults.lost_sync);
+        let lost = self.controllers_partitioned(controller, leader)
+            || self.draw_per_mille(faults.lost_sync);
         let mut delivery = Input::SyncRequest {
             reply_to: Some(process),
             lease,
             request: Box::new(request),
         };
-        let leader = self.process(leader);
+        let leader = self.current_process(leader);
         if !lost {
             return self.deliver_at(at, leader, delivery);
         }
-        if self.happens(faults.late_sync) {
+        if self.draw_per_mille(faults.late_sync) {
             // The sender does not wait for the answer to a late request.
             if let Input::SyncRequest { reply_to, .. } = &mut delivery {
                 *reply_to = None;
@@ -139,15 +140,16 @@
         leader: usize,
         heartbeat: SentHeartbeat,
     ) {
-        let relay = self.process(controller);
+        let relay = self.current_process(controller);
         let at =
             self.departure_time(controller) + HEARTBEAT_BATCH_MS * US_PER_MS + self.network_delay();
         let faults = self.scenario.message_faults;
-        let lost = !self.peer_reachable(controller, leader) || self.happens(faults.lost_sync);
-        if lost && self.happens(faults.late_sync) {
+        let lost =
+            !self.peer_reachable(controller, leader) || self.draw_per_mille(faults.lost_sync);
+        if lost && self.draw_per_mille(faults.late_sync) {
             // Delayed: the answer may come long after its worker has tried another controller.
             let delay_us = self.rng.random_range(LATE_PEER_MESSAGE_MS) * US_PER_MS;
-            let leader = self.process(leader);
+            let leader = self.current_process(leader);
             let delayed = Input::RelayedHeartbeat { heartbeat, relay };
             return self.deliver_at(at + delay_us, leader, delayed);
         }
@@ -163,7 +165,7 @@
                 unanswered,
             );
         } else {
-            let leader = self.process(leader);
+            let leader = self.current_process(leader);
             self.deliver_at(at, leader, Input::RelayedHeartbeat { heartbeat, relay });
         }
     }
@@ -193,14 +195,14 @@
         gossip: AvailabilityGossip,
         at: u64,
     ) {
-        let process = self.process(controller);
+        let process = self.current_process(controller);
         let peer = usize::from(to);
         if self.peer_reachable(controller, peer) {
             let input = Input::Gossip {
                 reply_to: process,
                 gossip: Box::new(gossip),
             };
-            self.deliver_at(at, self.process(peer), input);
+            self.deliver_at(at, self.current_process(peer), input);
         } else {
             let unanswered = Input::GossipAnswer(to, None);
             self.deliver_at(at + SYNC_TIMEOUT_MS * US_PER_MS, process, unanswered);
--- a/crates/simulator/src/simulation/routes.rs
+++ b/crates/simulator/src/simulation/routes.rs
@@ -84,11 +84,13 @@
         let Some(relay) = route.relay.map(usize::from) else {
             return self.reaches_service(controller, route.service);
         };
-        let willing = self.controllers[relay]
+        let relays_service = self.controllers[relay]
             .core
             .as_ref()
             .is_some_and(|core| core.links.can_relay(route.service));
-        self.can_relay(relay, controller) && willing && self.reaches_service(relay, route.service)
+        self.can_relay(relay, controller)
+            && relays_service
+            && self.reaches_service(relay, route.service)
     }
 
     /// True if a request that arrives now is served. The result is reported to its controller.
--- a/crates/simulator/src/simulation/starvation.rs
+++ b/crates/simulator/src/simulation/starvation.rs
@@ -16,7 +16,7 @@
 const CHECK_INTERVAL_US: u64 = 5_000 * US_PER_MS;
 
 /// A job that waits although machines have free resources for it.
-struct WaitingBesideCapacity {
+struct WaitingJob {
     /// Since when, µs.
     since: u64,
     /// The machines that have had free resources for it ever since.
@@ -27,7 +27,7 @@
 #[derive(Default)]
 pub(super) struct StarvationMonitor {
     checked_at: u64,
-    waiting: BTreeMap<JobId, WaitingBesideCapacity>,
+    waiting: BTreeMap<JobId, WaitingJob>,
     /// Jobs that were reported as starved already.
     reported: BTreeSet<JobId>,
 }
@@ -68,7 +68,7 @@
             }
             self.starvation
                 .waiting
-                .insert(id, WaitingBesideCapacity { since, machines });
+                .insert(id, WaitingJob { since, machines });
         }
     }
 
@@ -162,8 +162,8 @@
 
 /// How many tasks that need `need` each fit into free resources.
 fn tasks_that_fit(free: Resources, need: Resources) -> u64 {
-    let by = |free: u64, need: u64| free.checked_div(need).unwrap_or(u64::MAX);
-    by(free.milli_cpus, need.milli_cpus)
-        .min(by(free.milli_gpus, need.milli_gpus))
-        .min(by(free.memory_mb, need.memory_mb))
+    let fitting = |free: u64, need: u64| free.checked_div(need).unwrap_or(u64::MAX);
+    fitting(free.milli_cpus, need.milli_cpus)
+        .min(fitting(free.milli_gpus, need.milli_gpus))
+        .min(fitting(free.memory_mb, need.memory_mb))
 }
--- a/crates/simulator/src/simulation/state_reads.rs
+++ b/crates/simulator/src/simulation/state_reads.rs
@@ -45,7 +45,7 @@
 
     /// Requests a state read, as soon as the minimum interval since the last one has passed.
     pub(super) fn request_state_read(&mut self, number: usize) {
-        let (now, process) = (self.now, self.process(number));
+        let (now, process) = (self.now, self.current_process(number));
         let controller = &mut self.controllers[number];
         if controller.read_requested {
             return;
@@ -106,7 +106,7 @@
         };
         let due = now + interval_ms * US_PER_MS;
         controller.read_due = due;
-        let process = self.process(number);
+        let process = self.current_process(number);
         self.schedule_at(due, Event::ReadState(process));
         for query in answerable {
             self.answer_query(number, query, changed.is_some());
--- a/crates/simulator/src/simulation/store_service.rs
+++ b/crates/simulator/src/simulation/store_service.rs
@@ -72,8 +72,8 @@
         request: StoreRequest,
         route: ServiceRoute,
     ) {
-        let passes = self.route_works(process.controller, route);
-        let delays = if passes {
+        let reachable = self.route_works(process.controller, route);
+        let delays = if reachable {
             self.store_delays(&request)
         } else {
             StoreDelays {
@@ -87,12 +87,12 @@
         self.report_route_result(
             process,
             route,
-            passes && answer_us.is_some(),
+            reachable && answer_us.is_some(),
             answer_us.map_or(REQUEST_TIMEOUT_US, |answer_us| {
                 delays.execution_us + answer_us
             }),
         );
-        if !passes || !self.store.admit(request.writes(), self.now) {
+        if !reachable || !self.store.admit(request.writes(), self.now) {
             return self.refuse_store_request(process, request);
         }
         if answer_us.is_none() {
@@ -133,14 +133,14 @@
     fn store_delays(&mut self, request: &StoreRequest) -> StoreDelays {
         let mut delays = self.delays_by_message_faults(request);
         let scenario = self.scenario.clone();
-        for i in self.affected.keys().copied().collect::<Vec<_>>() {
+        for i in self.active_faults.keys().copied().collect::<Vec<_>>() {
             let fault = &scenario.faults[i];
             match fault.kind {
                 FaultKind::StoreSlow { seconds } => {
-                    let whole_us = self.rng.random_range(seconds.micros());
-                    let before_us = self.rng.random_range(0..=whole_us);
-                    delays.execution_us += before_us;
-                    delays.answer_us = delays.answer_us.map(|us| us + whole_us - before_us);
+                    let total_us = self.rng.random_range(seconds.micros());
+                    let execution_us = self.rng.random_range(0..=total_us);
+                    delays.execution_us += execution_us;
+                    delays.answer_us = delays.answer_us.map(|us| us + total_us - execution_us);
                 }
                 FaultKind::LateWrites { at_once }
                     if request.writes() > 0 && self.rng.random::<f64>() < fault.share =>
@@ -160,13 +160,13 @@
     fn delays_by_message_faults(&mut self, request: &StoreRequest) -> StoreDelays {
         let faults = self.scenario.message_faults;
         let from_scheduler = request.is_from_scheduler();
-        if from_scheduler && self.happens(faults.late_cas) {
+        if from_scheduler && self.draw_per_mille(faults.late_cas) {
             return StoreDelays {
                 execution_us: self.rng.random_range(LATE_CAS_MS) * US_PER_MS,
                 answer_us: None,
             };
         }
-        let lost = from_scheduler && self.happens(faults.lost_cas_reply);
+        let lost = from_scheduler && self.draw_per_mille(faults.lost_cas_reply);
         StoreDelays {
             execution_us: 0,
             answer_us: (!lost).then_some(0),
@@ -248,7 +248,7 @@
 
     /// Handles the acquisition of a shard: the answer to its new leader holds its records.
     fn shard_acquired(&mut self, lease: ShardLease) -> Input {
-        self.leader_elected();
+        self.deliver_retained_heartbeats();
         Input::ShardAcquired {
             lease,
             chunks: self.store.list(&task_chunks_prefix(lease.shard)),
--- a/crates/simulator/src/simulation/user_answers.rs
+++ b/crates/simulator/src/simulation/user_answers.rs
@@ -35,7 +35,7 @@
                 answer => self.answer_after_read(number, id, UserRequest::Query, answer),
             };
         }
-        let never = |catalog| {
+        let is_unschedulable = |catalog| {
             unschedulable_reason(&spec, &self.scenario.teams, &self.scenario.zones, catalog)
                 .is_some()
         };
@@ -43,7 +43,7 @@
             .writes
             .wait(now)
             .max(controller.requests.wait(now));
-        if core.catalog.as_ref().is_some_and(never) {
+        if core.catalog.as_ref().is_some_and(is_unschedulable) {
             self.reply(number, id, None, 422);
         } else if wait_us > SUBMISSION_TIMEOUT_MS * US_PER_MS || !core.ready(now_ms) {
             self.reply(number, id, None, 503);
@@ -84,27 +84,27 @@
         if !ids.iter().all(accepted) {
             return self.reply(number, id, None, 422);
         }
-        self.learn_job_ends(number, ids);
+        self.load_job_ends(number, ids);
         self.request_state_read(number);
         self.deliver_in(
             CACHE_REFRESH_IDLE_MS * US_PER_MS,
-            self.process(number),
+            self.current_process(number),
             Input::Submit(id),
         );
     }
 
     /// Reads the ends of jobs from the store into a controller's cache, if the store can be
     /// reached.
-    pub(super) fn learn_job_ends(&mut self, number: usize, ids: &[JobId]) {
+    pub(super) fn load_job_ends(&mut self, number: usize, ids: &[JobId]) {
         if !self.service_reachable(number, Service::Store) {
             return;
         }
-        let end = |id: &JobId| {
+        let read_end = |id: &JobId| {
             let (value, version) = self.store.get(&end_key(id))?;
             let record = from_value::<JobEndRecord>(value)?;
             Some((id.clone(), record.phase, version))
         };
-        let ends: Vec<(JobId, JobPhase, u64)> = ids.iter().filter_map(end).collect();
+        let ends: Vec<(JobId, JobPhase, u64)> = ids.iter().filter_map(read_end).collect();
         let now_ms = self.now_ms();
         if let Some(core) = self.controllers[number].core.as_mut() {
             for (id, phase, version) in &ends {
@@ -125,15 +125,15 @@
         match answer {
             JobStatusAnswer::Finished(phase) => self.reply(number, id, Some(phase), 200),
             JobStatusAnswer::NeedsFinalStates(ids) => {
-                self.learn_job_ends(number, &ids);
+                self.load_job_ends(number, &ids);
                 self.queue_query(number, id, request);
             }
             JobStatusAnswer::FinishedIn(ms) => {
-                let again = match request {
+                let retry = match request {
                     UserRequest::Withdrawal => Input::Withdraw(id),
                     UserRequest::Query => Input::Poll(id),
                 };
-                self.deliver_in(ms * US_PER_MS, self.process(number), again);
+                self.deliver_in(ms * US_PER_MS, self.current_process(number), retry);
             }
             _ => self.queue_query(number, id, request),
         }
@@ -162,7 +162,7 @@
                 },
             };
         }
-        self.learn_job_ends(number, std::slice::from_ref(&id));
+        self.load_job_ends(number, std::slice::from_ref(&id));
         if let Some(core) = self.controllers[number]
             .core
             .as_ref()
@@ -267,7 +267,7 @@
         {
             Some(leader) if !self.controllers_partitioned(controller, leader) => {
                 let at = self.departure_time(controller) + self.network_delay();
-                self.deliver_at(at, self.process(leader), Input::JobAnnounced);
+                self.deliver_at(at, self.current_process(leader), Input::JobAnnounced);
             }
             Some(_) => {}
             None => self.request_state_read(controller),
--- a/crates/simulator/src/simulation/users.rs
+++ b/crates/simulator/src/simulation/users.rs
@@ -7,7 +7,7 @@
 use rand::RngExt;
 
 use super::Simulation;
-use super::events::{Attempt, Event, UserReply};
+use super::events::{Event, SubmissionAttempt, UserReply};
 use crate::clock::US_PER_MS;
 use crate::controller::Input;
 use crate::invariants::UserAnswer;
@@ -67,24 +67,24 @@
     }
 
     /// Sends a user's request to a random ready controller; false if there is none.
-    pub(super) fn send_to_any(&mut self, input: Input) -> bool {
+    pub(super) fn send_to_ready_controller(&mut self, input: Input) -> bool {
         let Some(controller) = self.pick_controller() else {
             return false;
         };
         let at = self.now + self.network_delay();
-        self.deliver_at(at, self.process(controller), input);
+        self.deliver_at(at, self.current_process(controller), input);
         true
     }
 
     // ---- submissions -----------------------------------------------------------
 
-    pub(super) fn user_submits(&mut self, id: JobId, attempt: Attempt) {
+    pub(super) fn user_submits(&mut self, id: JobId, attempt: SubmissionAttempt) {
         let now = self.now;
-        if attempt == Attempt::First && !self.dependencies_accepted(&id) {
+        if attempt == SubmissionAttempt::First && !self.dependencies_accepted(&id) {
             return;
         }
         let user = self.users.entry(id.clone()).or_default();
-        let repeated = attempt == Attempt::Repeated;
+        let repeated = attempt == SubmissionAttempt::Repeated;
         if user.accepted_at.is_some() || user.finished || repeated && user.next_submission != now {
             return;
         }
@@ -96,13 +96,13 @@
             self.metrics.job_refused();
             return;
         }
-        let sent = self.send_to_any(Input::Submit(id.clone()));
+        let sent = self.send_to_ready_controller(Input::Submit(id.clone()));
         let again_us = if sent {
             SUBMISSION_ANSWER_US
         } else {
             NO_CONTROLLER_RETRY_US
         };
-        self.schedule_submission(id, again_us);
+        self.schedule_resubmission(id, again_us);
     }
 
     fn record_first_submission(&mut self, id: &JobId) {
@@ -150,18 +150,18 @@
         if !dependencies.iter().any(refused) {
             self.schedule_in(
                 DEPENDENCY_RETRY_US,
-                Event::Submit(id.clone(), Attempt::First),
+                Event::Submit(id.clone(), SubmissionAttempt::First),
             );
         }
         false
     }
 
     /// Schedules a repeated submission, which replaces one that is scheduled already.
-    fn schedule_submission(&mut self, id: JobId, after_us: u64) {
+    fn schedule_resubmission(&mut self, id: JobId, after_us: u64) {
         let at = self.now + after_us;
         if let Some(user) = self.users.get_mut(&id) {
             user.next_submission = at;
-            self.schedule_at(at, Event::Submit(id, Attempt::Repeated));
+            self.schedule_at(at, Event::Submit(id, SubmissionAttempt::Repeated));
         }
     }
 
@@ -187,7 +187,7 @@
     pub(super) fn user_polls(&mut self, id: JobId) {
         if self.poll_factor > 1.0 && self.rng.random_range(0..UNKNOWN_JOB_ONE_IN) == 0 {
             let unknown = format!("req-{:09}", self.rng.random_range(0..100_000_000));
-            self.send_to_any(Input::Poll(JobId::from(unknown.as_str())));
+            self.send_to_ready_controller(Input::Poll(JobId::from(unknown.as_str())));
         }
         let now = self.now;
         let Some(user) = self
@@ -198,7 +198,7 @@
             return;
         };
         user.last_poll = now;
-        let sent = self.send_to_any(Input::Poll(id.clone()));
+        let sent = self.send_to_ready_controller(Input::Poll(id.clone()));
         let again_us = if sent {
             POLL_ANSWER_US + self.poll_interval_us()
         } else {
@@ -215,7 +215,7 @@
         // A user withdraws a job only once it is accepted.
         if user.accepted_at.is_some() {
             user.withdrawal_requested.get_or_insert(now);
-            self.send_to_any(Input::Withdraw(id.clone()));
+            self.send_to_ready_controller(Input::Withdraw(id.clone()));
         }
         self.schedule_in(WITHDRAWAL_INTERVAL_US, Event::Withdraw(id));
     }
@@ -254,7 +254,7 @@
             200 | 201 if !is_accepted => self.user_accepted(id, poll_us),
             422 if is_finished => {}
             422 => self.user_refused(id),
-            503 if !is_accepted => self.schedule_submission(id, RETRY_AFTER_US),
+            503 if !is_accepted => self.schedule_resubmission(id, RETRY_AFTER_US),
             200 | 201 | 404 => {
                 let answer = UserAnswer {
                     phase,
@@ -262,7 +262,7 @@
                     asked,
                 };
                 self.workload.checker.told(&id, answer, now);
-                self.user_told_phase(id, phase, poll_us);
+                self.user_receives_phase(id, phase, poll_us);
             }
             _ if poll_us > 0 && !is_finished => self.schedule_poll(id, poll_us),
             _ => {}
@@ -298,7 +298,7 @@
     }
 
     /// Handles the phase that the user of an accepted job receives; `None`: 404.
-    fn user_told_phase(&mut self, id: JobId, phase: Option<JobPhase>, poll_us: u64) {
+    fn user_receives_phase(&mut self, id: JobId, phase: Option<JobPhase>, poll_us: u64) {
         let now = self.now;
         let Some(user) = self.users.get_mut(&id) else {
             return;
--- a/crates/simulator/src/simulation/workers.rs
+++ b/crates/simulator/src/simulation/workers.rs
@@ -15,15 +15,15 @@
 use crate::workload_state::WorkloadState;
 
 /// µs after which a worker tries the next controller if its own is down or unavailable.
-const NEXT_AFTER_REFUSAL_US: u64 = 1_000 * US_PER_MS;
+const NEXT_CONTROLLER_AFTER_REFUSAL_US: u64 = 1_000 * US_PER_MS;
 /// µs after which a worker tries the next controller if its own does not respond: a timeout
 /// of 4 s, and 1 s until the next heartbeat.
-const NEXT_AFTER_TIMEOUT_US: u64 = 5_000 * US_PER_MS;
+const NEXT_CONTROLLER_AFTER_TIMEOUT_US: u64 = 5_000 * US_PER_MS;
 /// µs after which a worker follows a redirect.
-const REDIRECT_US: u64 = 100 * US_PER_MS;
+const REDIRECT_DELAY_US: u64 = 100 * US_PER_MS;
 /// Shortest heartbeat interval as a share of the configured one, and by how much the longest
 /// exceeds it.
-const LEAST_INTERVAL_SHARE: f64 = 0.75;
+const MIN_INTERVAL_SHARE: f64 = 0.75;
 const INTERVAL_SHARE_RANGE: f64 = 0.5;
 
 /// A heartbeat that a worker is about to send.
@@ -105,17 +105,17 @@
         let (now, at) = (self.now, self.now + self.network_delay());
         let next = (controller + 1) % self.controllers.len();
         if self.controllers[controller].core.is_none() || self.outbound_lost(number) {
-            return self.redirect_worker(number, next, NEXT_AFTER_REFUSAL_US);
+            return self.redirect_worker(number, next, NEXT_CONTROLLER_AFTER_REFUSAL_US);
         }
         if self.machine_partitioned(controller, number) {
-            return self.redirect_worker(number, next, NEXT_AFTER_TIMEOUT_US);
+            return self.redirect_worker(number, next, NEXT_CONTROLLER_AFTER_TIMEOUT_US);
         }
         let sent = SentHeartbeat {
             machine: number,
             heartbeat,
             sent: now,
         };
-        self.deliver_at(at, self.process(controller), Input::Heartbeat(sent));
+        self.deliver_at(at, self.current_process(controller), Input::Heartbeat(sent));
     }
 
     fn redirect_worker(&mut self, number: usize, controller: usize, after_us: u64) {
@@ -145,7 +145,7 @@
         answer: HeartbeatAnswer,
     ) {
         let (now, number, controllers) = (self.now, heartbeat.machine, self.controllers.len());
-        let share = LEAST_INTERVAL_SHARE + INTERVAL_SHARE_RANGE * self.rng.random::<f64>();
+        let share = MIN_INTERVAL_SHARE + INTERVAL_SHARE_RANGE * self.rng.random::<f64>();
         let next_us = (self.scenario.workers.heartbeat_interval_s * 1e6 * share) as u64;
         let Some(controller) = self
             .worker(number)
@@ -170,15 +170,15 @@
             }
             HeartbeatAnswer::Redirect(name) => {
                 let named = (0..controllers).find(|number| host_name(*number) == name);
-                self.redirect_worker(number, named.unwrap_or(next), REDIRECT_US);
+                self.redirect_worker(number, named.unwrap_or(next), REDIRECT_DELAY_US);
             }
             HeartbeatAnswer::Unavailable | HeartbeatAnswer::Relay(_) => {
-                self.redirect_worker(number, next, NEXT_AFTER_REFUSAL_US);
+                self.redirect_worker(number, next, NEXT_CONTROLLER_AFTER_REFUSAL_US);
             }
         }
     }
 
-    pub(super) fn commands_arrive(&mut self, process: ProcessId, delivery: CommandDelivery) {
+    pub(super) fn deliver_commands(&mut self, process: ProcessId, delivery: CommandDelivery) {
         let CommandDelivery { lease, call, late } = delivery;
         let (now, number) = (self.now, machine_number(&call.machine));
         let sender = call.through.map_or(process.controller, usize::from);
