--- a/crates/simulator/src/simulation/cloud_service.rs
+++ b/crates/simulator/src/simulation/cloud_service.rs
@@ -1,4 +1,5 @@
-//! What reaches the cloud, and what it answers: provisioning, release, the list of instances.
+//! The cloud's answers to requests: provisioning, release and the list of instances; and
+//! probes of the links to services.
 
 use lemonweir_coordination::{ProvisioningResult, ShardLease};
 use lemonweir_model::MachineId;
@@ -15,13 +16,14 @@
 use crate::clock::{US_PER_MS, micros};
 use crate::controller::{Input, ProcessId};
 
-/// µs that a machine which never boots takes: longer than any run.
+/// Boot time of a machine that never boots, µs: longer than any run.
 const NEVER_UP_US: u64 = 1 << 50;
-/// Least boot time as a share of the type's, and by how much the longest exceeds it.
-const LEAST_BOOT_SHARE: f64 = 0.6;
+/// Shortest boot time as a share of the machine type's, and by how much the longest exceeds
+/// it.
+const MIN_BOOT_SHARE: f64 = 0.6;
 const BOOT_SHARE_RANGE: f64 = 0.9;
-/// ms between two lists for each page that a list has, at least.
-const LIST_PAGE_MS: u64 = 4;
+/// Minimum interval between two lists, ms per page of a list.
+const MIN_LIST_INTERVAL_PER_PAGE_MS: u64 = 4;
 
 impl Simulation {
     pub(super) fn provision(
@@ -33,8 +35,8 @@
     ) {
         let result = if !self.try_route(process, route) {
             ProvisioningResult::Retry
-        } else if let Some(before) = self.cloud.bookings.get(&request.request_id) {
-            ProvisioningResult::Provisioned(before.clone())
+        } else if let Some(booked) = self.cloud.bookings.get(&request.request_id) {
+            ProvisioningResult::Provisioned(booked.clone())
         } else {
             self.provision_new(&request)
         };
@@ -42,7 +44,7 @@
         self.deliver_at(at, process, Input::Provisioned(lease, request, result));
     }
 
-    /// Provisions machines for a request that the cloud sees for the first time.
+    /// Provisions machines for a request ID that the cloud has not seen before.
     fn provision_new(&mut self, request: &ProvisioningRequest) -> ProvisioningResult {
         let kind = self
             .scenario
@@ -74,10 +76,10 @@
         ProvisioningResult::Provisioned(names)
     }
 
-    /// When a machine that is provisioned now will be up, µs.
+    /// Draws when a machine that is provisioned now is up, µs.
     fn draw_up_at(&mut self, kind: usize, zone: &str) -> u64 {
         let boot_s = self.scenario.machine_kinds[kind].machine.boot_s
-            * (LEAST_BOOT_SHARE + BOOT_SHARE_RANGE * self.rng.random::<f64>());
+            * (MIN_BOOT_SHARE + BOOT_SHARE_RANGE * self.rng.random::<f64>());
         let disturbance = self
             .boot_disturbance
             .as_ref()
@@ -122,8 +124,8 @@
             .take(1.0, self.now);
         let route = self.route(process.controller, Service::Cloud, 0);
         self.schedule_in(wait_us, Event::ListInstances(process, route));
-        let interval_ms =
-            INSTANCE_LIST_INTERVAL_MS.max(self.cloud.list_pages() as u64 * LIST_PAGE_MS);
+        let interval_ms = INSTANCE_LIST_INTERVAL_MS
+            .max(self.cloud.list_pages() as u64 * MIN_LIST_INTERVAL_PER_PAGE_MS);
         self.schedule_in(
             interval_ms * US_PER_MS,
             Event::ScheduleInstanceList(process),
--- a/crates/simulator/src/simulation/dispatch.rs
+++ b/crates/simulator/src/simulation/dispatch.rs
@@ -1,4 +1,4 @@
-//! Hands each event to what it concerns.
+//! Dispatches events to their handlers.
 
 use super::events::Event;
 use super::{Simulation, machine_number};
@@ -26,13 +26,13 @@
             Event::StoreExecutes(process, request, answer_us) => {
                 self.execute_store_request(process, request, answer_us);
             }
-            Event::Commands(process, delivery) => self.commands_arrive(process, delivery),
+            Event::Commands(process, delivery) => self.deliver_commands(process, delivery),
             Event::WorkerWakes(number) => self.run_worker(number),
             Event::DuplicateHeartbeat {
                 machine,
                 controller,
                 heartbeat,
-            } => self.duplicate_arrives(machine, controller, *heartbeat),
+            } => self.deliver_duplicate(machine, controller, *heartbeat),
             Event::HeartbeatAnswer(heartbeat, answer) => {
                 self.handle_heartbeat_answer(heartbeat, *answer);
             }
@@ -86,7 +86,7 @@
     }
 }
 
-/// True if an event is a delayed command for this machine.
+/// True if an event is the late delivery of commands to this machine.
 pub(super) fn is_delayed_command_for(event: &Event, number: usize) -> bool {
     matches!(event, Event::Commands(_, delivery)
         if delivery.late && machine_number(&delivery.call.machine) == number)
--- a/crates/simulator/src/simulation/lease_keeping.rs
+++ b/crates/simulator/src/simulation/lease_keeping.rs
@@ -1,5 +1,5 @@
-//! The loop of a controller that keeps its store lease and bids for shards, one step after
-//! the other.
+//! The lease keeper: a controller's loop that renews its store lease and bids for shards, one
+//! step at a time.
 
 use lemonweir_coordination::election::ElectionAction;
 use lemonweir_model::constants::{STORE_LEASE_RENEWAL_MS, TICK_MS};
@@ -16,13 +16,13 @@
 /// µs between two steps of the loop.
 const STEP_US: u64 = 2 * TICK_MS * US_PER_MS;
 
-/// What a step of the loop asks of the store.
+/// What the store is asked for in one step of the loop.
 struct LeaseStep {
     assigned_teams: Option<CompareAndSwap>,
     raised_version: Option<CompareAndSwap>,
     bid: Option<(ElectionAction, CompareAndSwap)>,
-    /// Shards that this controller left and its membership entry does not show yet.
-    unpublished: Option<Vec<u16>>,
+    /// Ceded shards to publish, if the controller's membership entry differs or is missing.
+    unpublished_ceded: Option<Vec<u16>>,
 }
 
 impl Simulation {
@@ -30,7 +30,7 @@
         let (now, number) = (self.now, process.controller);
         let until = self.controllers[number].stalled_until;
         if until > now {
-            // What a stalled process would have begun.
+            // A stalled process takes the step once the stall is over.
             return self.schedule_at(until, Event::KeepLeases(process));
         }
         if !self.is_current(process) {
@@ -74,20 +74,20 @@
         let core = controller.core.as_ref()?;
         let teams = core.unassigned_teams();
         let raised_version = core.records_version_cas();
-        let unpublished = controller.election.unpublished_ceded(core, now_ms);
+        let unpublished_ceded = controller.election.unpublished_ceded(core, now_ms);
         let bids: Vec<ElectionAction> = (0..controller.election.shards())
             .filter_map(|shard| controller.election.next_action(core, shard, now_ms))
             .collect();
-        let left = controller.election.ceded(core, now_ms);
-        // One bid at a time: what it brings counts for the next.
+        let ceded = controller.election.ceded(core, now_ms);
+        // One bid at a time, since its result decides what to bid for next.
         let bid = bids
             .first()
-            .map(|bid| (*bid, core.election_cas(bid, store_lease, left, now_ms)));
+            .map(|bid| (*bid, core.election_cas(bid, store_lease, ceded, now_ms)));
         Some(LeaseStep {
             assigned_teams: (!teams.is_empty()).then(|| assign_teams(&teams)),
             raised_version,
             bid,
-            unpublished,
+            unpublished_ceded,
         })
     }
 
@@ -100,13 +100,13 @@
         }
         if let Some((bid, cas)) = step.bid {
             self.send_lease_cas(number, Some(bid), cas);
-        } else if let Some(left) = step.unpublished {
-            let cas = self.presence_cas(number, store_lease, left);
+        } else if let Some(ceded) = step.unpublished_ceded {
+            let cas = self.membership_cas(number, store_lease, ceded);
             self.send_lease_cas(number, None, cas);
         }
     }
 
-    /// Sends a compare-and-swap that the loop waits for.
+    /// Sends a compare-and-swap whose result the loop waits for.
     fn send_lease_cas(
         &mut self,
         controller: usize,
@@ -117,18 +117,23 @@
         self.send_cas(controller, CasOrigin::LeaseKeeper(bid), cas);
     }
 
-    /// Writes the controller's membership entry.
-    fn presence_cas(&self, controller: usize, store_lease: u64, left: Vec<u16>) -> CompareAndSwap {
+    /// The compare-and-swap that writes the controller's membership entry.
+    fn membership_cas(
+        &self,
+        controller: usize,
+        store_lease: u64,
+        ceded: Vec<u16>,
+    ) -> CompareAndSwap {
         register_controller(
             &host_name(controller),
             self.scenario.zone_of(controller),
             store_lease,
-            left,
+            ceded,
         )
     }
 
-    /// The answer to a renewal, or a new store lease: that begins with the controller's
-    /// membership entry.
+    /// Handles the store's answer: a renewed or expired store lease, or a new one, which takes
+    /// effect once the controller's membership entry is written under it.
     pub(super) fn handle_store_lease(&mut self, number: usize, answer: Option<u64>) {
         let (now, now_ms) = (self.now, self.now_ms());
         let controller = &mut self.controllers[number];
@@ -136,9 +141,9 @@
         controller.lease_renewed_at = now;
         match (controller.store_lease, answer, controller.core.as_ref()) {
             (None, Some(lease), Some(core)) => {
-                let left = controller.election.ceded(core, now_ms);
+                let ceded = controller.election.ceded(core, now_ms);
                 controller.pending_lease_replies += 1;
-                let cas = self.presence_cas(number, lease, left);
+                let cas = self.membership_cas(number, lease, ceded);
                 self.send_cas(number, CasOrigin::Presence(lease), cas);
             }
             _ => controller.store_lease = answer,
--- a/crates/simulator/src/simulation/users.rs
+++ b/crates/simulator/src/simulation/users.rs
@@ -7,48 +7,49 @@
 use rand::RngExt;
 
 use super::Simulation;
-use super::events::{Attempt, Event, UserReply};
+use super::events::{Event, SubmissionAttempt, UserReply};
 use crate::clock::US_PER_MS;
 use crate::controller::Input;
 use crate::invariants::UserAnswer;
 use crate::job::SimulatedJob;
 use crate::scenario::Link;
 
-/// µs after which a user looks again whether the dependencies of its job are accepted.
+/// µs after which a user checks again whether the dependencies of its job are accepted.
 const DEPENDENCY_RETRY_US: u64 = 100 * US_PER_MS;
-/// µs for which a user repeats a submission (protocol page).
+/// µs for which a user repeats a submission (protocol specification).
 const SUBMISSION_TIMEOUT_US: u64 = 60_000 * US_PER_MS;
 /// µs for which a user waits for the answer to a submission.
 const SUBMISSION_ANSWER_US: u64 = 5_000 * US_PER_MS;
-/// µs for which a user waits for the answer to a poll (protocol page).
+/// µs for which a user waits for the answer to a poll (protocol specification).
 const POLL_ANSWER_US: u64 = 2_000 * US_PER_MS;
-/// µs between two withdrawals of a job.
+/// µs between two withdrawal requests for a job.
 const WITHDRAWAL_INTERVAL_US: u64 = 2_000 * US_PER_MS;
-/// µs after which a user who reached no controller tries again.
+/// µs after which a user tries again if no controller accepts requests.
 const NO_CONTROLLER_RETRY_US: u64 = 1_000 * US_PER_MS;
-/// µs after which a 503 asks users to try again.
+/// µs after which users try again after a 503: its `Retry-After`.
 const RETRY_AFTER_US: u64 = RETRY_AFTER_S * 1_000 * US_PER_MS;
-/// Under a poll load one in so many polls is for a job that does not exist.
+/// Under a poll load, one in so many polls comes with another one for a job that does not
+/// exist.
 const UNKNOWN_JOB_ONE_IN: u32 = 3;
 
-/// What a user knows of a job. Times are µs.
+/// A user's view of its job. Times are µs.
 #[derive(Default)]
 pub(super) struct UserJob {
     first_submitted: u64,
     pub(super) accepted_at: Option<u64>,
-    /// It ended, was refused, or its user gave up.
+    /// The user knows that it ended or was refused, or has given up.
     pub(super) finished: bool,
     last_poll: u64,
     next_poll: u64,
     next_submission: u64,
-    /// When the user first asked for the job's end.
+    /// When the user first requested its withdrawal.
     pub(super) withdrawal_requested: Option<u64>,
 }
 
 impl Simulation {
     // ---- the load balancer -----------------------------------------------------
 
-    /// Some controller that takes requests.
+    /// Picks a random controller that is ready and that users can reach.
     fn pick_controller(&mut self) -> Option<usize> {
         let ready: Vec<usize> = (0..self.controllers.len())
             .filter(|&number| {
@@ -65,25 +66,25 @@
         }
     }
 
-    /// Sends a user's request to some controller; false: none takes requests.
-    pub(super) fn send_to_any(&mut self, input: Input) -> bool {
+    /// Sends a user's request to a random ready controller; false if there is none.
+    pub(super) fn send_to_ready_controller(&mut self, input: Input) -> bool {
         let Some(controller) = self.pick_controller() else {
             return false;
         };
         let at = self.now + self.network_delay();
-        self.deliver_at(at, self.process(controller), input);
+        self.deliver_at(at, self.current_process(controller), input);
         true
     }
 
     // ---- submissions -----------------------------------------------------------
 
-    pub(super) fn user_submits(&mut self, id: JobId, attempt: Attempt) {
+    pub(super) fn user_submits(&mut self, id: JobId, attempt: SubmissionAttempt) {
         let now = self.now;
-        if attempt == Attempt::First && !self.dependencies_accepted(&id) {
+        if attempt == SubmissionAttempt::First && !self.dependencies_accepted(&id) {
             return;
         }
         let user = self.users.entry(id.clone()).or_default();
-        let repeated = attempt == Attempt::Repeated;
+        let repeated = attempt == SubmissionAttempt::Repeated;
         if user.accepted_at.is_some() || user.finished || repeated && user.next_submission != now {
             return;
         }
@@ -95,13 +96,13 @@
             self.metrics.job_refused();
             return;
         }
-        let sent = self.send_to_any(Input::Submit(id.clone()));
+        let sent = self.send_to_ready_controller(Input::Submit(id.clone()));
         let again_us = if sent {
             SUBMISSION_ANSWER_US
         } else {
             NO_CONTROLLER_RETRY_US
         };
-        self.schedule_submission(id, again_us);
+        self.schedule_resubmission(id, again_us);
     }
 
     fn record_first_submission(&mut self, id: &JobId) {
@@ -129,8 +130,8 @@
         }
     }
 
-    /// Users submit a job once its dependencies are accepted, and not at all where one was
-    /// refused.
+    /// True if all dependencies of a job are accepted. Otherwise its first submission is
+    /// scheduled again, unless a dependency was refused: then the job is never submitted.
     fn dependencies_accepted(&mut self, id: &JobId) -> bool {
         let Some(planned) = self.planned.get(id) else {
             return true;
@@ -149,18 +150,18 @@
         if !dependencies.iter().any(refused) {
             self.schedule_in(
                 DEPENDENCY_RETRY_US,
-                Event::Submit(id.clone(), Attempt::First),
+                Event::Submit(id.clone(), SubmissionAttempt::First),
             );
         }
         false
     }
 
-    /// A user submits again after so long, whatever was planned.
-    fn schedule_submission(&mut self, id: JobId, after_us: u64) {
+    /// Schedules a repeated submission, which replaces one that is scheduled already.
+    fn schedule_resubmission(&mut self, id: JobId, after_us: u64) {
         let at = self.now + after_us;
         if let Some(user) = self.users.get_mut(&id) {
             user.next_submission = at;
-            self.schedule_at(at, Event::Submit(id, Attempt::Repeated));
+            self.schedule_at(at, Event::Submit(id, SubmissionAttempt::Repeated));
         }
     }
 
@@ -170,7 +171,7 @@
         (self.scenario.poll_s * 1e6 / self.poll_factor) as u64
     }
 
-    /// A user polls after so long, or before that as was planned.
+    /// Schedules a poll, unless an earlier one is scheduled already.
     fn schedule_poll(&mut self, id: JobId, after_us: u64) {
         let at = self.now + after_us;
         if let Some(user) = self
@@ -186,7 +187,7 @@
     pub(super) fn user_polls(&mut self, id: JobId) {
         if self.poll_factor > 1.0 && self.rng.random_range(0..UNKNOWN_JOB_ONE_IN) == 0 {
             let unknown = format!("req-{:09}", self.rng.random_range(0..100_000_000));
-            self.send_to_any(Input::Poll(JobId::from(unknown.as_str())));
+            self.send_to_ready_controller(Input::Poll(JobId::from(unknown.as_str())));
         }
         let now = self.now;
         let Some(user) = self
@@ -197,7 +198,7 @@
             return;
         };
         user.last_poll = now;
-        let sent = self.send_to_any(Input::Poll(id.clone()));
+        let sent = self.send_to_ready_controller(Input::Poll(id.clone()));
         let again_us = if sent {
             POLL_ANSWER_US + self.poll_interval_us()
         } else {
@@ -211,10 +212,10 @@
         let Some(user) = self.users.get_mut(&id).filter(|user| !user.finished) else {
             return;
         };
-        // Nobody withdraws what was not accepted yet.
+        // A user withdraws a job only once it is accepted.
         if user.accepted_at.is_some() {
             user.withdrawal_requested.get_or_insert(now);
-            self.send_to_any(Input::Withdraw(id.clone()));
+            self.send_to_ready_controller(Input::Withdraw(id.clone()));
         }
         self.schedule_in(WITHDRAWAL_INTERVAL_US, Event::Withdraw(id));
     }
@@ -253,7 +254,7 @@
             200 | 201 if !is_accepted => self.user_accepted(id, poll_us),
             422 if is_finished => {}
             422 => self.user_refused(id),
-            503 if !is_accepted => self.schedule_submission(id, RETRY_AFTER_US),
+            503 if !is_accepted => self.schedule_resubmission(id, RETRY_AFTER_US),
             200 | 201 | 404 => {
                 let answer = UserAnswer {
                     phase,
@@ -261,7 +262,7 @@
                     asked,
                 };
                 self.workload.checker.told(&id, answer, now);
-                self.user_told_phase(id, phase, poll_us);
+                self.user_receives_phase(id, phase, poll_us);
             }
             _ if poll_us > 0 && !is_finished => self.schedule_poll(id, poll_us),
             _ => {}
@@ -296,8 +297,8 @@
         self.query_burst(&id);
     }
 
-    /// A user of an accepted job was told its phase; `None`: 404.
-    fn user_told_phase(&mut self, id: JobId, phase: Option<JobPhase>, poll_us: u64) {
+    /// Handles the phase that the user of an accepted job receives; `None`: 404.
+    fn user_receives_phase(&mut self, id: JobId, phase: Option<JobPhase>, poll_us: u64) {
         let now = self.now;
         let Some(user) = self.users.get_mut(&id) else {
             return;
--- a/crates/simulator/src/simulation/workers.rs
+++ b/crates/simulator/src/simulation/workers.rs
@@ -1,4 +1,4 @@
-//! Workers: their heartbeats, the answers, and the commands that reach them.
+//! Workers: their heartbeats, the answers to them, and the commands sent to workers.
 
 use lemonweir_coordination::HeartbeatAnswer;
 use lemonweir_coordination::owner::CommandResult;
@@ -14,18 +14,19 @@
 use crate::worker::{ReceivedAnswer, Worker};
 use crate::workload_state::WorkloadState;
 
-/// µs after which a worker whose controller is down or unable tries the next one.
-const NEXT_AFTER_REFUSAL_US: u64 = 1_000 * US_PER_MS;
-/// No response within 4 s, then the next controller 1 s later, µs.
-const NEXT_AFTER_TIMEOUT_US: u64 = 5_000 * US_PER_MS;
+/// µs after which a worker tries the next controller if its own is down or unavailable.
+const NEXT_CONTROLLER_AFTER_REFUSAL_US: u64 = 1_000 * US_PER_MS;
+/// µs after which a worker tries the next controller if its own does not respond: a timeout
+/// of 4 s, and 1 s until the next heartbeat.
+const NEXT_CONTROLLER_AFTER_TIMEOUT_US: u64 = 5_000 * US_PER_MS;
 /// µs after which a worker follows a redirect.
-const REDIRECT_US: u64 = 100 * US_PER_MS;
-/// Least interval of heartbeats as a share of the usual one, and by how much the longest
+const REDIRECT_DELAY_US: u64 = 100 * US_PER_MS;
+/// Shortest heartbeat interval as a share of the configured one, and by how much the longest
 /// exceeds it.
-const LEAST_INTERVAL_SHARE: f64 = 0.75;
+const MIN_INTERVAL_SHARE: f64 = 0.75;
 const INTERVAL_SHARE_RANGE: f64 = 0.5;
 
-/// A heartbeat that a worker sends now.
+/// A heartbeat that a worker is about to send.
 struct OutgoingHeartbeat {
     heartbeat: Heartbeat,
     controller: usize,
@@ -46,7 +47,8 @@
         }
     }
 
-    /// What happened on one machine reaches the others of its gang, and users.
+    /// Schedules the pending signals to other machines of gangs, and handles the jobs that have
+    /// just completed.
     pub(super) fn dispatch_gang_signals(&mut self) {
         for signal in std::mem::take(&mut self.workload.signals) {
             self.schedule_in(0, Event::GangSignal(signal));
@@ -55,7 +57,8 @@
         self.jobs_completed(completed);
     }
 
-    /// Lets something happen on a machine, and what follows from it.
+    /// Runs `work` on a worker, then reschedules the worker and dispatches the gang signals that
+    /// result. `None` if the machine is gone.
     pub(super) fn with_worker<T>(
         &mut self,
         number: usize,
@@ -102,17 +105,17 @@
         let (now, at) = (self.now, self.now + self.network_delay());
         let next = (controller + 1) % self.controllers.len();
         if self.controllers[controller].core.is_none() || self.outbound_lost(number) {
-            return self.redirect_worker(number, next, NEXT_AFTER_REFUSAL_US);
+            return self.redirect_worker(number, next, NEXT_CONTROLLER_AFTER_REFUSAL_US);
         }
         if self.machine_partitioned(controller, number) {
-            return self.redirect_worker(number, next, NEXT_AFTER_TIMEOUT_US);
+            return self.redirect_worker(number, next, NEXT_CONTROLLER_AFTER_TIMEOUT_US);
         }
         let sent = SentHeartbeat {
             machine: number,
             heartbeat,
             sent: now,
         };
-        self.deliver_at(at, self.process(controller), Input::Heartbeat(sent));
+        self.deliver_at(at, self.current_process(controller), Input::Heartbeat(sent));
     }
 
     fn redirect_worker(&mut self, number: usize, controller: usize, after_us: u64) {
@@ -122,7 +125,7 @@
         });
     }
 
-    /// An answer goes to a machine, if that receives what the controller answers.
+    /// Sends the answer to a heartbeat to its machine, unless a fault drops it.
     pub(super) fn send_heartbeat_answer(
         &mut self,
         at: u64,
@@ -142,7 +145,7 @@
         answer: HeartbeatAnswer,
     ) {
         let (now, number, controllers) = (self.now, heartbeat.machine, self.controllers.len());
-        let share = LEAST_INTERVAL_SHARE + INTERVAL_SHARE_RANGE * self.rng.random::<f64>();
+        let share = MIN_INTERVAL_SHARE + INTERVAL_SHARE_RANGE * self.rng.random::<f64>();
         let next_us = (self.scenario.workers.heartbeat_interval_s * 1e6 * share) as u64;
         let Some(controller) = self
             .worker(number)
@@ -167,15 +170,15 @@
             }
             HeartbeatAnswer::Redirect(name) => {
                 let named = (0..controllers).find(|number| host_name(*number) == name);
-                self.redirect_worker(number, named.unwrap_or(next), REDIRECT_US);
+                self.redirect_worker(number, named.unwrap_or(next), REDIRECT_DELAY_US);
             }
             HeartbeatAnswer::Unavailable | HeartbeatAnswer::Relay(_) => {
-                self.redirect_worker(number, next, NEXT_AFTER_REFUSAL_US);
+                self.redirect_worker(number, next, NEXT_CONTROLLER_AFTER_REFUSAL_US);
             }
         }
     }
 
-    pub(super) fn commands_arrive(&mut self, process: ProcessId, delivery: CommandDelivery) {
+    pub(super) fn deliver_commands(&mut self, process: ProcessId, delivery: CommandDelivery) {
         let CommandDelivery { lease, call, late } = delivery;
         let (now, number) = (self.now, machine_number(&call.machine));
         let sender = call.through.map_or(process.controller, usize::from);
@@ -187,7 +190,7 @@
             .map(|worker| worker.hung_until)
             .filter(|until| *until > now);
         if let Some(until) = hung_until {
-            // A machine that goes on executes what came meanwhile.
+            // A machine executes the commands that it got while it hung once it resumes.
             if !late {
                 let unknown = Input::CommandResult(lease, call.clone(), CommandResult::Unknown);
                 self.deliver_in(COMMAND_TIMEOUT_MS * US_PER_MS, process, unknown);
@@ -213,7 +216,7 @@
         }
     }
 
-    /// A machine is gone with all that is on it.
+    /// Removes a machine with all tasks on it.
     pub(super) fn remove_machine(&mut self, number: usize) {
         let now = self.now;
         if let Some(mut worker) = self.workers.get_mut(number).and_then(Option::take) {
