--- a/crates/simulator/src/worker.rs
+++ b/crates/simulator/src/worker.rs
@@ -1,5 +1,5 @@
-//! A simulated worker, written from the protocol page: sessions, the worker's lease, fencing
-//! tokens, images that share a download rate, gangs, checkpoints, faulty and slow machines.
+//! Simulated worker, written from the protocol page: sessions, the worker's lease, fencing
+//! tokens, images that share a download rate, gangs, checkpoints, and faulty and slow machines.
 
 mod images;
 mod messages;
@@ -20,68 +20,71 @@
 
 /// A machine with its worker process.
 pub struct Worker {
-    /// The machine's name.
+    /// Name of the machine.
     pub id: MachineId,
-    /// Its number.
+    /// Number of the machine.
     pub number: usize,
-    /// Its type.
+    /// Type of the machine.
     pub kind: MachineType,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: String,
-    /// Spot instance or on-demand machine.
+    /// True for a spot instance, false for an on-demand machine.
     pub spot: bool,
-    /// When it is up, µs; [`NEVER_US`] if it never boots.
+    /// Time at which it has booted, µs; later than the end of any run if it never boots.
     pub up_at: u64,
-    /// Fails every task that it starts.
+    /// True if every task that it starts fails.
     pub faulty: bool,
-    /// Has lost the network.
+    /// True if it has lost its network connection.
     pub silent: bool,
-    /// Hangs until then, µs.
+    /// Time until which it hangs, µs.
     pub hung_until: u64,
-    /// Controller that it sends heartbeats to.
+    /// Number of the controller that it sends heartbeats to.
     pub controller: usize,
-    /// When the cloud reclaims it, if it gave notice, µs.
+    /// Time at which the cloud reclaims it, if notice was given, µs.
     pub reclaim_at: Option<u64>,
-    /// When it is next scheduled, µs.
+    /// Time of its earliest scheduled event, µs; [`NEVER_US`] if none is scheduled.
     pub wake_at: u64,
     speed: f64,
     session: u64,
     sequence: u64,
+    /// Highest fencing token received.
     fencing_token: u64,
     lease_us: u64,
+    /// Start of the current lease, µs: when the last heartbeat that renewed it was sent.
     lease_from: u64,
-    /// When the heartbeat was sent whose answer it waits for.
+    /// Time at which the heartbeat that awaits an answer was sent, µs.
     in_flight: Option<u64>,
     next_heartbeat: u64,
     last_heartbeat: u64,
-    /// Since when it runs; answers to what was sent before are ignored.
+    /// Time of the last start, µs. Answers to heartbeats sent before it are ignored.
     started_at: u64,
-    /// Something happened that its leader should hear soon.
+    /// True if there are changes to report before the next regular heartbeat.
     changed: bool,
+    /// Time at which the fencing token last increased, µs.
     token_reported_at: u64,
     tasks: BTreeMap<AttemptId, Task>,
     free: Resources,
     images: ImageStore,
 }
 
-/// What a new machine is.
+/// Properties of a new machine.
 pub struct MachineSpec<'a> {
-    /// Its number.
+    /// Number of the machine.
     pub number: usize,
-    /// Its type.
+    /// Type of the machine.
     pub kind: &'a MachineType,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: &'a str,
-    /// Spot instance or on-demand machine.
+    /// True for a spot instance, false for an on-demand machine.
     pub spot: bool,
-    /// When it is up, µs.
+    /// Time at which it has booted, µs.
     pub up_at: u64,
-    /// Speed of its processors; 1: as the jobs' run times say.
+    /// Relative speed of its processors; at 1, tasks take the run time of their job.
     pub speed: f64,
 }
 
 impl Worker {
-    /// A machine that will be up at its time.
+    /// Creates a worker whose machine is up from `spec.up_at` on.
     pub fn new(spec: MachineSpec<'_>, times: &WorkerTiming) -> Self {
         let up_at = spec.up_at;
         Self {
@@ -131,7 +134,8 @@
         self.live_tasks().map(|(id, _)| &id.job)
     }
 
-    /// µs of run time of the service replicas that run now, in thousandths of a processor.
+    /// Processor time used so far by the service replicas that run now, in µs of a thousandth of a
+    /// processor.
     pub fn serving(&self, now: u64, workload: &WorkloadState) -> u128 {
         let is_service = |id: &AttemptId| {
             workload
@@ -146,22 +150,22 @@
             .sum()
     }
 
-    /// Free resources.
+    /// Resources that no task uses.
     pub fn free(&self) -> Resources {
         self.free
     }
 
-    /// The session that its next message will name.
+    /// Current session. The worker starts a new one when its lease expires.
     pub fn session(&self) -> u64 {
         self.session
     }
 
-    /// First moment at which its lease has expired.
+    /// First time at which the lease has expired, µs.
     fn lease_expiry(&self) -> u64 {
         self.lease_from + self.lease_us + 1
     }
 
-    /// When a task, an image or the lease next changes.
+    /// Time at which a task ends, a download completes or the lease expires next, µs.
     fn next_local_event(&self) -> u64 {
         let tasks = self
             .tasks
@@ -174,9 +178,9 @@
             .min(self.lease_expiry())
     }
 
-    /// When something happens here next, a heartbeat included.
+    /// Time of the next event on this worker, including heartbeats, µs.
     pub fn next_event(&self) -> u64 {
-        // A machine that hangs does nothing, but its lease expires all the same.
+        // A hung machine does nothing, but its lease still expires.
         let hung = self.hung_until.min(self.lease_expiry());
         self.next_local_event()
             .min(self.next_heartbeat_event())
@@ -184,7 +188,7 @@
             .max(self.up_at)
     }
 
-    /// Lets time pass up to `now`.
+    /// Processes all local events up to `now`.
     pub fn advance(&mut self, now: u64, workload: &mut WorkloadState) {
         if now < self.up_at {
             return;
@@ -206,7 +210,8 @@
         self.images.fetch_until(&self.kind, now);
     }
 
-    /// Does what is due at `at`: lease expiry, or fetched images and ends of tasks.
+    /// Processes the events due at `at`: expiry of the lease, or else completed downloads and ends
+    /// of tasks.
     fn step(&mut self, at: u64, workload: &mut WorkloadState) {
         if at >= self.lease_expiry() {
             return self.expire_lease(at, workload);
@@ -229,6 +234,7 @@
         }
     }
 
+    /// Kills all tasks and starts a new session.
     fn expire_lease(&mut self, at: u64, workload: &mut WorkloadState) {
         workload.history.note(at, "lease over", &self.id, &"");
         workload.killed_by_lease += self.live() as u64;
@@ -238,8 +244,8 @@
         self.changed = true;
     }
 
-    /// The machine restarts at once under the same name, empty, and counts sessions and
-    /// messages from the start.
+    /// Restarts the machine immediately under the same name. Its tasks, images and fencing token
+    /// are lost, and it counts sessions and messages from the beginning.
     pub fn restart(&mut self, now: u64, workload: &mut WorkloadState) {
         self.advance(now, workload);
         self.kill_all(now, workload);
@@ -252,7 +258,8 @@
         self.images.reset(now);
     }
 
-    /// The machine hangs until then: what it does comes later by as much.
+    /// Makes the machine hang until `until`, µs. Ends of tasks are delayed by the time that it
+    /// hangs.
     pub fn hang(&mut self, now: u64, until: u64, workload: &mut WorkloadState) {
         self.advance(now, workload);
         self.hung_until = until;
@@ -267,13 +274,13 @@
         self.images.stall_until(until);
     }
 
-    /// Its image cache becomes empty without notice.
+    /// Empties the image cache without reporting it.
     pub fn drop_images(&mut self) {
         self.images.drop_cached();
     }
 }
 
-/// Name of a machine.
+/// Name of the machine with a number.
 pub fn machine_id(number: usize) -> MachineId {
     MachineId::from(format!("n-{number:06}").as_str())
 }
--- a/crates/simulator/src/worker/images.rs
+++ b/crates/simulator/src/worker/images.rs
@@ -1,10 +1,10 @@
-//! Images on a machine: a cache of limited size, and downloads that share one rate.
+//! Images on a machine: a cache of limited size, and downloads that share the machine's rate.
 
 use lemonweir_model::MachineType;
 
 use crate::clock::NEVER_US;
 
-/// What is left of a download may be off by so many GB from rounding.
+/// Tolerance for rounding errors in the remaining size of a download, GB.
 const ROUNDING_GB: f64 = 1e-9;
 
 struct CachedImage {
@@ -17,13 +17,13 @@
     left_gb: f64,
 }
 
-/// Cached images and downloads of a machine. Cache size and rate are those of the machine's
-/// type at the moment: tests change them in the middle of a run.
+/// Cached images and downloads of a machine. Cache size and rate are passed with each call
+/// because tests change the machine's type during a run.
 pub(super) struct ImageStore {
     /// Most recently used first.
     cached: Vec<CachedImage>,
     fetches: Vec<ImageFetch>,
-    /// Up to when the downloads are accounted for, µs.
+    /// Time up to which the progress of downloads is accounted for, µs.
     fetched_until: u64,
 }
 
@@ -36,17 +36,17 @@
         }
     }
 
-    /// Up to when the downloads are accounted for, µs.
+    /// Time up to which the progress of downloads is accounted for, µs.
     pub(super) fn fetched_until(&self) -> u64 {
         self.fetched_until
     }
 
-    /// Rate of one download, GB/µs: all of them share the machine's.
+    /// Rate of one download, GB/µs: an equal share of the machine's rate.
     fn rate(&self, kind: &MachineType) -> f64 {
         kind.image_pull_gb_per_s / self.fetches.len().max(1) as f64 / 1e6
     }
 
-    /// When the next download is complete, µs.
+    /// Time at which the next download completes, µs.
     pub(super) fn next_fetched_at(&self, kind: &MachineType) -> u64 {
         if self.fetches.is_empty() {
             return NEVER_US;
@@ -59,7 +59,7 @@
         self.fetched_until + (least_gb.max(0.0) / self.rate(kind)).ceil() as u64
     }
 
-    /// Lets the downloads go on until `now`.
+    /// Advances all downloads to `now`.
     pub(super) fn fetch_until(&mut self, kind: &MachineType, now: u64) {
         let fetched_gb = now.saturating_sub(self.fetched_until) as f64 * self.rate(kind);
         self.fetches
@@ -68,7 +68,7 @@
         self.fetched_until = self.fetched_until.max(now);
     }
 
-    /// Ends the complete downloads and names their images.
+    /// Removes the completed downloads and returns their images.
     pub(super) fn take_fetched(&mut self) -> Vec<String> {
         let fetched: Vec<String> = self
             .fetches
@@ -80,7 +80,7 @@
         fetched
     }
 
-    /// Begins a download, unless it is under way.
+    /// Starts a download, unless the image is already being downloaded.
     pub(super) fn fetch(&mut self, kind: &MachineType, image: &str, size_gb: f64, now: u64) {
         if self.fetches.iter().any(|fetch| fetch.image == image) {
             return;
@@ -92,12 +92,12 @@
         });
     }
 
-    /// Gives up a download.
+    /// Aborts the download of an image.
     pub(super) fn abort_fetch(&mut self, image: &str) {
         self.fetches.retain(|fetch| fetch.image != image);
     }
 
-    /// Gives up all downloads.
+    /// Aborts all downloads.
     pub(super) fn abort_all_fetches(&mut self) {
         self.fetches.clear();
     }
@@ -106,7 +106,8 @@
         self.cached.iter().any(|cached| cached.name == image)
     }
 
-    /// Puts an image first in the cache; those used longest ago make room for it.
+    /// Caches an image as the most recently used one and evicts the least recently used images
+    /// that exceed the cache size.
     pub(super) fn cache(&mut self, kind: &MachineType, image: &str, size_gb: f64) {
         self.cached.retain(|cached| cached.name != image);
         self.cached.insert(
@@ -124,17 +125,17 @@
         });
     }
 
-    /// Empties the cache; downloads go on.
+    /// Empties the cache; downloads continue.
     pub(super) fn drop_cached(&mut self) {
         self.cached.clear();
     }
 
-    /// The machine hangs: downloads go on from `until`.
+    /// Suspends the downloads of a hung machine until `until`.
     pub(super) fn stall_until(&mut self, until: u64) {
         self.fetched_until = until;
     }
 
-    /// The machine begins anew with an empty cache.
+    /// Empties the cache of a machine that restarts at `now`.
     pub(super) fn reset(&mut self, now: u64) {
         self.drop_cached();
         self.fetched_until = now;
--- a/crates/simulator/src/worker/messages.rs
+++ b/crates/simulator/src/worker/messages.rs
@@ -1,4 +1,4 @@
-//! What a worker sends and receives: heartbeats and their answers, commands, fencing tokens.
+//! Messages of a worker: heartbeats and their answers, commands, and their fencing tokens.
 
 use lemonweir_model::AttemptId;
 use lemonweir_protocol::worker::{
@@ -8,35 +8,35 @@
 use super::Worker;
 use crate::workload_state::WorkloadState;
 
-/// µs between two heartbeats at least (protocol page).
+/// Minimum time between two heartbeats, µs (protocol page).
 const HEARTBEAT_GAP_US: u64 = 500_000;
-/// µs that a worker waits for an answer (protocol page).
+/// Time that a worker waits for an answer, µs (protocol page).
 const ANSWER_TIMEOUT_US: u64 = 4_000_000;
-/// µs after which it tries the next controller (protocol page).
+/// Delay after a missing answer before it tries the next controller, µs (protocol page).
 const NEXT_CONTROLLER_US: u64 = 1_000_000;
 
 /// The answer to a `/commands` call.
 pub struct CommandsReply {
-    /// False: token or session were outdated, and nothing was executed.
+    /// False if nothing was executed because the fencing token or session was outdated.
     pub executed: bool,
     /// The worker's state after the call.
     pub heartbeat: Heartbeat,
 }
 
-/// The answer to a heartbeat, as it reaches the worker.
+/// The answer to a heartbeat, as the worker receives it.
 pub struct ReceivedAnswer<'a> {
-    /// Session that the heartbeat named.
+    /// Session in the heartbeat.
     pub session: u64,
-    /// When the heartbeat was sent, µs.
+    /// Time at which the heartbeat was sent, µs.
     pub sent: u64,
     /// The answer.
     pub response: &'a HeartbeatResponse,
-    /// µs from that heartbeat to the next one.
+    /// Time from that heartbeat to the next one, µs.
     pub next_us: u64,
 }
 
 impl Worker {
-    /// Its heartbeat as of now.
+    /// Builds a heartbeat with the next sequence number and the state at `now`.
     pub fn heartbeat(&mut self, now: u64) -> Heartbeat {
         self.sequence += 1;
         let n = self.number;
@@ -66,7 +66,7 @@
         }
     }
 
-    /// When the next heartbeat or the end of the wait for an answer is due.
+    /// Time at which the next heartbeat is due or the wait for an answer ends, µs.
     pub(super) fn next_heartbeat_event(&self) -> u64 {
         match self.in_flight {
             Some(sent) => sent + ANSWER_TIMEOUT_US,
@@ -77,7 +77,8 @@
         }
     }
 
-    /// True if it should send a heartbeat now; it then waits for the answer.
+    /// Returns true if the worker must send a heartbeat now; it then waits for the answer. If the
+    /// answer to the previous heartbeat is overdue, it turns to the next controller instead.
     pub fn begin_heartbeat(&mut self, now: u64, controllers: usize) -> bool {
         if let Some(sent) = self.in_flight {
             if now >= sent + ANSWER_TIMEOUT_US {
@@ -93,7 +94,7 @@
         true
     }
 
-    /// Its controller does not take its heartbeat: the next one goes to another.
+    /// Sends the next heartbeat to another controller, after `after_us`.
     pub fn redirect(&mut self, now: u64, controller: usize, after_us: u64) {
         self.in_flight = None;
         self.controller = controller;
@@ -101,8 +102,8 @@
         self.next_heartbeat = now + after_us;
     }
 
-    /// Takes the answer to a heartbeat: it renews the lease, and its commands are executed,
-    /// unless it is outdated.
+    /// Handles the answer to a heartbeat: renews the lease and executes the commands, unless the
+    /// answer is outdated.
     pub fn handle_answer(
         &mut self,
         answer: &ReceivedAnswer<'_>,
@@ -126,7 +127,7 @@
         self.execute(&answer.response.commands, now, workload);
     }
 
-    /// Takes a `/commands` call.
+    /// Handles a `/commands` call.
     pub fn handle_commands(
         &mut self,
         request: &CommandsRequest,
@@ -151,7 +152,8 @@
             return;
         }
         self.fencing_token = token;
-        // A higher token counts as a change at most once in half a lease.
+        // A higher token triggers an early heartbeat only if half a lease has passed since the
+        // last increase.
         let now = self.images.fetched_until();
         self.changed |= self.token_reported_at + self.lease_us / 2 <= now;
         self.token_reported_at = now;
--- a/crates/simulator/src/worker/tasks.rs
+++ b/crates/simulator/src/worker/tasks.rs
@@ -1,4 +1,4 @@
-//! Tasks on a worker: launch, start, checkpoint, end.
+//! Life cycle of tasks on a worker: launch, start, checkpoint and exit.
 
 use std::sync::Arc;
 
@@ -11,24 +11,24 @@
 use crate::job::is_real_gang;
 use crate::workload_state::{GangSignal, WorkloadState};
 
-/// µs that a task runs on a faulty machine before it fails.
+/// Time after which a task of a broken job, or on a faulty machine, fails, µs.
 const FAILS_AFTER_US: u64 = 2_000_000;
 
-/// How a task ends.
+/// How a task exits.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum TaskEnd {
     Completed,
     Failed,
-    /// It was told to stop; the flag tells whether its progress is saved.
+    /// It received a stop command; the flag is true if its progress is saved.
     Stopped(bool),
-    /// Its gang did not gather in time.
+    /// Its gang was not complete in time.
     GangTimeout,
-    /// A peer of its gang was lost.
+    /// Another task of its gang was lost.
     PeerLost,
 }
 
 impl TaskEnd {
-    /// Its name in heartbeats and in the history.
+    /// Name of the cause in heartbeats and in the history.
     fn cause(self) -> &'static str {
         match self {
             TaskEnd::Completed => "done",
@@ -40,7 +40,7 @@
     }
 }
 
-/// An end that is due at a time.
+/// A scheduled exit of a task.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct DueEnd {
     pub(super) at: u64,
@@ -52,27 +52,30 @@
     pub(super) phase: TaskPhase,
     pub(super) cause: Option<&'static str>,
     pub(super) saved: bool,
-    /// How it ends, and when, as far as is known.
+    /// Its next scheduled exit, if any.
     pub(super) next: Option<DueEnd>,
-    /// When it began to run.
+    /// Time at which it began to run, µs.
     running_since: u64,
-    /// Progress that it started with, µs of run time.
+    /// Progress at its start, from a checkpoint, µs of run time.
     base_us: u64,
     need: Resources,
 }
 
 impl Task {
-    /// µs for which it has run, in thousandths of a processor.
+    /// Processor time used so far, in µs of a thousandth of a processor.
     pub(super) fn processor_time(&self, now: u64) -> u128 {
         u128::from(now.saturating_sub(self.running_since)) * u128::from(self.need.milli_cpus)
     }
 
+    /// Schedules its exit, replacing an earlier one.
     fn ends(&mut self, at: u64, end: TaskEnd) {
         self.next = Some(DueEnd { at, end });
     }
 }
 
 impl Worker {
+    /// Executes a launch command: the task gets its resources and starts, or waits for its image.
+    /// A refused task is reported as exited.
     pub(super) fn launch(&mut self, id: AttemptId, now: u64, workload: &mut WorkloadState) {
         workload
             .launched
@@ -120,7 +123,7 @@
         }
     }
 
-    /// Why a launch is refused, as heartbeats name it; none: it is not.
+    /// The exit cause with which a launch is refused; `None` if it is accepted.
     fn launch_refusal(
         &self,
         id: &AttemptId,
@@ -142,7 +145,7 @@
         }
     }
 
-    /// An image was fetched: the tasks that wait for it start.
+    /// Caches a downloaded image and starts the tasks that wait for it.
     pub(super) fn image_fetched(&mut self, image: &str, now: u64, workload: &mut WorkloadState) {
         let waiting = self.tasks_fetching(image, workload);
         if let Some(job) = waiting.first().and_then(|id| workload.jobs.get(&id.job)) {
@@ -167,7 +170,7 @@
             .collect()
     }
 
-    /// A task has its image: it runs, or waits for the others of its gang.
+    /// Starts a task that has its image: it runs, or waits for the other tasks of its gang.
     fn start(&mut self, id: &AttemptId, now: u64, workload: &mut WorkloadState) {
         let Some(job) = workload.jobs.get(&id.job) else {
             return;
@@ -216,7 +219,7 @@
         }
     }
 
-    /// Takes a signal that something on another machine sent to a gang's task here.
+    /// Handles a signal to a gang's task on this machine.
     pub fn handle_signal(&mut self, signal: GangSignal, now: u64, workload: &mut WorkloadState) {
         match signal {
             GangSignal::Start(_, id, until) => {
@@ -260,7 +263,8 @@
         self.tasks.get_mut(id).filter(|task| task.phase == phase)
     }
 
-    /// Stops a task; one that may save a checkpoint first gets `grace_s` for it.
+    /// Stops a task. A running task saves a checkpoint first if its job makes checkpoints and
+    /// saving one takes no longer than `grace_s`; service replicas never save one.
     pub(super) fn kill(
         &mut self,
         id: &AttemptId,
@@ -285,6 +289,7 @@
         }
     }
 
+    /// Saves a checkpoint of a running task, then stops it.
     fn save_and_stop(
         &mut self,
         id: &AttemptId,
@@ -299,7 +304,7 @@
         task.phase = TaskPhase::Checkpointing;
         self.changed = true;
         if is_real_gang(spec) {
-            // One that has lost a task exits with `peers` all the same.
+            // A gang that has lost a task is not saved: its tasks exit with cause `peers`.
             if workload.gang(id).is_some_and(|gang| !gang.over) {
                 task.next = None;
                 workload.stop_gang_task(id, micros(spec.checkpoint_duration_s), now);
@@ -317,7 +322,7 @@
         }
     }
 
-    /// Forgets a task that has exited.
+    /// Removes a task that has exited.
     pub(super) fn forget(&mut self, id: &AttemptId) {
         let exited = |task: &Task| task.phase == TaskPhase::Exited;
         if self.tasks.get(id).is_some_and(exited) {
@@ -326,6 +331,7 @@
         }
     }
 
+    /// Ends a live task: frees its resources and informs its gang.
     pub(super) fn exit(
         &mut self,
         id: &AttemptId,
@@ -357,7 +363,7 @@
         if was == TaskPhase::PullingImage
             && let Some(image) = workload.jobs.get(&id.job).map(|job| job.spec.image.clone())
         {
-            // A download that no task waits for any more is given up.
+            // Abort the download if no task waits for the image any more.
             if self.tasks_fetching(&image, workload).is_empty() {
                 self.images.abort_fetch(&image);
             }
@@ -378,7 +384,8 @@
         workload.history.note(now, end.cause(), id, &self.id);
     }
 
-    /// What a task that ends without saving keeps: the last checkpoint of its own.
+    /// Records what remains of a task that ends without saving: the progress up to its last
+    /// periodic checkpoint or, for a service replica, its processor time.
     fn keep_checkpoint(&self, id: &AttemptId, now: u64, workload: &mut WorkloadState) {
         let (Some(task), Some(job)) = (self.tasks.get(id), workload.jobs.get(&id.job)) else {
             return;
@@ -398,7 +405,7 @@
         }
     }
 
-    /// Everything on the machine is gone.
+    /// Removes all tasks and downloads, as when the machine or its lease is lost.
     pub fn kill_all(&mut self, now: u64, workload: &mut WorkloadState) {
         let live: Vec<AttemptId> = self.live_tasks().map(|(id, _)| id.clone()).collect();
         for id in live {
--- a/crates/simulator/src/workload_state.rs
+++ b/crates/simulator/src/workload_state.rs
@@ -1,5 +1,5 @@
-//! What all simulated workers share: the jobs, their gangs, checkpoints and completed tasks,
-//! and the signals from one machine of a gang to the others.
+//! State shared by all simulated workers: jobs, gangs, checkpoints and completed tasks, and the
+//! signals that the machines of a gang send to one another.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -11,44 +11,46 @@
 use crate::invariants::InvariantChecker;
 use crate::job::{SimulatedJob, is_real_gang};
 
-/// The checkpoint of a gang is one for all of its tasks: it stands under this number.
+/// Task number under which the checkpoint of a gang is stored; all tasks of a gang share one.
 const WHOLE_GANG: u32 = u32::MAX;
-/// Members of a gang notice a lost peer at so many different times within the bound.
+/// Number of different times, within `gang_peer_timeout_s`, at which the tasks of a gang notice a
+/// lost peer.
 const NOTICE_STEPS: u32 = 7;
 
-/// How a gang's attempt runs.
+/// Progress of a gang's attempt.
 #[derive(Clone, Copy)]
 struct GangRun {
-    /// When it started, µs; [`NEVER_US`] while its tasks still gather.
+    /// Start of the run, µs; [`NEVER_US`] until all tasks are present.
     started_at: u64,
-    /// Progress that it started with, µs of run time.
+    /// Progress at the start of the run, from a checkpoint, µs of run time.
     base_us: u64,
-    /// Speed of its slowest machine.
+    /// Speed of the slowest machine of the gang, which determines its progress.
     speed: f64,
 }
 
 impl GangRun {
-    /// Progress at a time, µs of run time.
+    /// Progress at time `at`, µs of run time.
     fn progress(&self, at: u64) -> u64 {
         self.base_us + (at.saturating_sub(self.started_at) as f64 * self.speed) as u64
     }
 }
 
-/// A gang's attempt: its tasks find one another by its number.
+/// An attempt of a gang.
 #[derive(Default)]
 pub(crate) struct Gang {
-    /// Tasks that are on a machine with their image, and that machine.
+    /// Tasks that are on a machine with their image, and the number of that machine.
     pub(crate) present: BTreeMap<u32, usize>,
     run: Option<GangRun>,
-    /// When a task of it was first told to stop.
+    /// Time of the first stop command to one of its running tasks, µs.
     stopping_since: Option<u64>,
-    /// Tasks that were told to stop.
+    /// Running tasks that have received a stop command.
     told_to_stop: HashSet<u32>,
+    /// True once the attempt has completed, was stopped or has lost a task.
     pub(crate) over: bool,
 }
 
 impl Gang {
-    /// Its tasks that are there, with their machines.
+    /// The tasks that are present, with their machines.
     fn members(&self) -> Vec<(u32, usize)> {
         self.present
             .iter()
@@ -57,53 +59,58 @@
     }
 }
 
-/// What something that happened on one worker means for a gang's tasks on others.
+/// Effect of an event on one worker on the gang's tasks on others. The fields are the number of
+/// the machine that the signal is for, the id of the attempt of its task, and a time in µs.
 pub enum GangSignal {
-    /// The task on that machine runs until then.
+    /// The gang is complete: the task runs, and completes at the given time.
     Start(usize, AttemptId, u64),
-    /// It exits with `peers` then.
+    /// The gang has lost a task: this one exits with cause `peers` at the given time.
     PeerLost(usize, AttemptId, u64),
-    /// It exits as stopped then; the flag tells whether its progress is saved.
+    /// The task exits as stopped at the given time; the flag is true if its progress is saved.
     Stopped(usize, AttemptId, u64, bool),
-    /// It makes no more progress.
+    /// The gang is stopping: the task makes no further progress.
     ProgressHalted(usize, AttemptId),
-    /// By then all tasks of a stopping gang must have been told.
+    /// Deadline by which all tasks of a stopping gang must have received a stop command. It is
+    /// for no particular machine.
     StopDeadline(AttemptId, u64),
 }
 
-/// What all workers share.
+/// State shared by all workers.
 pub struct WorkloadState {
-    /// Jobs that were submitted.
+    /// Submitted jobs.
     pub jobs: HashMap<JobId, SimulatedJob>,
     /// Checks the invariants.
     pub checker: InvariantChecker,
-    /// What happened.
+    /// History of the run.
     pub history: History,
-    /// Signals that were not delivered yet.
+    /// Signals that are not delivered yet.
     pub signals: Vec<GangSignal>,
-    /// Jobs whose last task has just completed.
+    /// Jobs whose last task has completed, until the simulation has processed them.
     pub completed: Vec<JobId>,
-    /// First time at which each task was on its machine with its image, µs.
+    /// Time at which each task was first on its machine with its image, µs.
     pub task_started: HashMap<(JobId, u32), u64>,
-    /// When a job began: its gang ran whole, or its first task was started, µs.
+    /// Time at which each job began, µs: its gang first ran as a whole, or its first task
+    /// started.
     pub begun: HashMap<JobId, u64>,
     /// First arrival of a launch command for each task, µs.
     pub launched: HashMap<(JobId, u32), u64>,
-    /// µs of run time that counted, in thousandths of a processor.
+    /// Processor time of useful work, in µs of a thousandth of a processor. Excludes service
+    /// replicas that still run.
     pub useful: u128,
-    /// Tasks that ended with their worker's lease.
+    /// Number of tasks killed because their worker's lease expired.
     pub killed_by_lease: u64,
     pub(crate) times: WorkerTiming,
     gangs: HashMap<(JobId, u32), Gang>,
     /// Saved progress of each task, µs of run time.
     pub(crate) checkpoints: HashMap<(JobId, u32), u64>,
-    /// Tasks that completed.
+    /// Completed tasks.
     pub(crate) completed_tasks: HashSet<(JobId, u32)>,
+    /// Number of completed tasks of each job.
     completed_counts: HashMap<JobId, u64>,
 }
 
 impl WorkloadState {
-    /// The state before anything has happened.
+    /// Creates the state at the start of a run.
     pub fn new(times: WorkerTiming, checker: InvariantChecker, history: History) -> Self {
         Self {
             jobs: HashMap::new(),
@@ -124,7 +131,8 @@
         }
     }
 
-    /// Progress since a start, down to the last checkpoint that a task makes by itself.
+    /// The part of `progress_us` that the periodic checkpoints of a task of the job cover; 0 if
+    /// the job makes none.
     pub(crate) fn checkpointed(spec: &JobSpec, progress_us: u64) -> u64 {
         let interval_us = micros(spec.checkpoint_interval_s);
         progress_us
@@ -140,7 +148,7 @@
             .unwrap_or(0)
     }
 
-    /// The gang of an attempt; none if its job is no gang of several tasks.
+    /// The gang that an attempt belongs to; `None` if its job is not a gang of several tasks.
     pub(crate) fn gang(&mut self, id: &AttemptId) -> Option<&mut Gang> {
         let job = self.jobs.get(&id.job)?;
         if is_real_gang(&job.spec) {
@@ -150,7 +158,8 @@
         }
     }
 
-    /// A task ran to its end; a gang's task completes all tasks of its gang.
+    /// Records that a task completed after `worked_us` of run time. A task of a gang completes all
+    /// tasks of the gang.
     pub(crate) fn task_completed(&mut self, id: &AttemptId, worked_us: u64) {
         let Some(job) = self.jobs.get(&id.job) else {
             return;
@@ -178,12 +187,13 @@
         }
     }
 
-    /// Tasks of a job that have completed.
+    /// Number of completed tasks of a job.
     pub fn completed_tasks(&self, job: &JobId) -> u64 {
         self.completed_counts.get(job).copied().unwrap_or(0)
     }
 
-    /// A gang's task is on its machine with its image; the last one starts all.
+    /// Records that a gang's task is on its machine with its image. Once all tasks are present,
+    /// the gang starts.
     pub(crate) fn gang_task_present(
         &mut self,
         id: &AttemptId,
@@ -198,7 +208,7 @@
         let base_us = self.checkpoint(&id.job, WHOLE_GANG);
         let Some(gang) = self.gang(id) else { return };
         gang.present.insert(id.task, machine);
-        // The slowest machine's speed: it is kept with the gang as tasks gather.
+        // The gang runs at the speed of its slowest machine, updated as tasks become present.
         let slowest = gang.run.map_or(speed, |run| run.speed.min(speed));
         let mut run = GangRun {
             started_at: NEVER_US,
@@ -222,8 +232,9 @@
         );
     }
 
-    /// A gang's task is no more on its machine, or was stopped without a checkpoint: the
-    /// attempt is over, and its other tasks notice within the bound.
+    /// Records that a gang's task is no longer on its machine or was stopped without a checkpoint.
+    /// If the gang was running, its attempt ends, and the other tasks notice this within
+    /// `gang_peer_timeout_s`.
     pub(crate) fn gang_task_lost(&mut self, id: &AttemptId, now: u64) {
         let peer_us = micros(self.times.gang_peer_timeout_s);
         let spec = self.jobs.get(&id.job).map(|job| job.spec.clone());
@@ -242,7 +253,7 @@
             let saved = Self::checkpointed(&spec, run.progress(end)).max(run.base_us);
             self.checkpoints.insert((id.job.clone(), WHOLE_GANG), saved);
         }
-        // They notice at some time within the bound, spread over their numbers.
+        // The times at which tasks notice the loss are spread over the bound by task number.
         let notice = |task: u32| {
             now + peer_us * u64::from(task % NOTICE_STEPS + 1) / u64::from(NOTICE_STEPS)
         };
@@ -253,8 +264,9 @@
         );
     }
 
-    /// A running gang's task was told to stop with enough time to save a checkpoint. The
-    /// checkpoint is saved once all tasks were told in time.
+    /// Records that a running task of a gang was told to stop, with enough time to save a
+    /// checkpoint. The checkpoint is saved once all tasks have been told, if this happens within
+    /// `gang_peer_timeout_s` of the first one.
     pub(crate) fn stop_gang_task(&mut self, id: &AttemptId, save_us: u64, now: u64) {
         let peer_us = micros(self.times.gang_peer_timeout_s);
         let Some(gang) = self.gang(id) else { return };
@@ -285,7 +297,8 @@
         }
     }
 
-    /// The time within which all tasks of a stopping gang had to be told is over.
+    /// Ends a stopping gang whose tasks were not all told to stop in time: those that were told
+    /// exit as stopped without a checkpoint, and the others because of a lost peer.
     pub fn stop_deadline_passed(&mut self, id: &AttemptId, now: u64) {
         let Some(gang) = self.gang(id) else { return };
         if gang.over {
@@ -305,7 +318,7 @@
     }
 }
 
-/// Another task of the same attempt.
+/// Id of another task of the same attempt.
 fn sibling(id: &AttemptId, task: u32) -> AttemptId {
     AttemptId { task, ..id.clone() }
 }
