--- a/crates/simulator/src/invariants.rs
+++ b/crates/simulator/src/invariants.rs
@@ -1,5 +1,5 @@
-//! Checks the rules of the protocol page over everything that happens in a run. The name in
-//! front of a violation is the rule's name on that page.
+//! Checks the rules of the protocol page throughout a run. A violation begins with the name
+//! that its rule has on that page.
 
 mod answers;
 mod gangs;
@@ -19,44 +19,44 @@
 use answers::TerminalAnswer;
 use placement::OccupiedMachine;
 
-/// Checks the invariants. All times are µs.
+/// Checks the invariants of a run. All times are µs.
 #[derive(Default)]
 pub struct InvariantChecker {
-    /// Each violation, with its time.
+    /// Violations so far, each with its time.
     pub violations: Vec<String>,
-    /// Starts of tasks.
+    /// Number of task starts.
     pub starts: u64,
     specs: BTreeMap<JobId, Arc<JobSpec>>,
-    /// Machines that a task is on.
+    /// Machines that each task is on.
     machines_of: HashMap<(JobId, u32), Vec<OccupiedMachine>>,
-    /// Tasks of a job in each zone.
+    /// Number of tasks on machines by job and zone.
     tasks_in_zones: HashMap<JobId, BTreeMap<String, u32>>,
-    /// Resources that a team's tasks take.
+    /// Resources in use by the tasks of each team.
     usage: BTreeMap<String, Resources>,
     quota_limits: BTreeMap<String, Resources>,
-    /// Completed tasks of jobs whose end is not committed.
+    /// Completed tasks of jobs whose end is not committed yet.
     completed: HashMap<JobId, BTreeSet<u32>>,
-    /// When a task of a job last started.
+    /// Time of the last start of a task of each job.
     last_start: HashMap<JobId, u64>,
-    /// When a cancellation was committed or confirmed.
+    /// Time at which each cancellation was first committed or confirmed to a user.
     withdrawn: BTreeMap<JobId, u64>,
-    /// Ends that were committed or confirmed.
+    /// Final phases that were committed or confirmed to a user.
     ended: BTreeMap<JobId, JobPhase>,
-    /// Ends that a user was told.
+    /// Final phases that users were told.
     told: BTreeMap<JobId, TerminalAnswer>,
-    /// Withdrawn jobs with a task on some machine.
+    /// Withdrawn jobs that still have tasks on machines.
     lingering: BTreeSet<JobId>,
-    /// How long tasks of a withdrawn job may still run.
+    /// Time within which the tasks of a withdrawn job must be gone.
     cancel_us: u64,
-    /// Live tasks of each gang by attempt, from the launch command to the exit.
+    /// Number of live tasks of each gang by attempt, from the launch command to the exit.
     live_gang_tasks: HashMap<JobId, BTreeMap<u32, u32>>,
-    /// Jobs that a user waits for, with the time of the last answer about each.
+    /// Jobs that a user waits for, with the time of the last answer about them.
     awaiting_answer: HashMap<JobId, u64>,
 }
 
 impl InvariantChecker {
-    /// A checker with the quota limits of the teams and the time within which a cancelled
-    /// job's tasks must be gone, µs.
+    /// Creates a checker with the quota limits of the teams and the time within which the tasks
+    /// of a cancelled job must be gone, µs.
     pub fn new(quota_limits: BTreeMap<String, Resources>, cancel_us: u64) -> Self {
         Self {
             quota_limits,
@@ -69,12 +69,12 @@
         self.violations.push(format!("{} ms: {text}", now / 1_000));
     }
 
-    /// A job was submitted.
+    /// Records that a job was submitted.
     pub fn submitted(&mut self, spec: &Arc<JobSpec>) {
         self.specs.insert(spec.id.clone(), spec.clone());
     }
 
-    /// A job was refused: it must stay unknown.
+    /// Records that a job was refused: it must stay unknown.
     pub fn refused(&mut self, job: &JobId) {
         self.specs.remove(job);
     }
@@ -84,7 +84,8 @@
         self.withdrawn.contains_key(job)
     }
 
-    /// The cancellation of a job was committed, or confirmed to a user.
+    /// Records that the cancellation of a job was committed or confirmed to a user. A job that is
+    /// done must not be withdrawn.
     pub fn withdrawn(&mut self, job: &JobId, now: u64) {
         if self.ended.insert(job.clone(), JobPhase::Withdrawn) == Some(JobPhase::Done) {
             self.violation(now, format!("went_back: {job} was done and is withdrawn"));
@@ -95,14 +96,14 @@
         }
     }
 
-    /// A task completed.
+    /// Records that a task completed.
     pub fn task_completed(&mut self, job: &JobId, task: u32) {
         if !self.ended.contains_key(job) {
             self.completed.entry(job.clone()).or_default().insert(task);
         }
     }
 
-    /// The store committed a compare-and-swap: the ends of jobs in it must be true.
+    /// Checks the job ends that a committed compare-and-swap writes.
     pub fn cas_committed(&mut self, cas: &CompareAndSwap, now: u64) {
         for write in &cas.writes {
             let Write::Put { key, value, .. } = write else {
@@ -119,8 +120,8 @@
         }
     }
 
-    /// Any controller may tell a cancellation from now on. Stricter than the page: nothing
-    /// of the job may be on a machine even now.
+    /// From now on any controller may report the job as withdrawn. Stricter than the protocol
+    /// page: no task of the job may be on a machine at this moment.
     fn cancellation_committed(&mut self, id: &JobId, now: u64) {
         let tasks = self.tasks_on_machines(id);
         if tasks > 0 {
@@ -132,6 +133,8 @@
         self.withdrawn(id, now);
     }
 
+    /// A job may be committed as done only once all its tasks have completed, and not after a
+    /// cancellation.
     fn completion_committed(&mut self, id: JobId, now: u64) {
         let tasks = self.specs.get(&id).map_or(0, |spec| spec.tasks);
         let completed = self
@@ -149,7 +152,7 @@
         }
     }
 
-    /// Tasks of withdrawn jobs must be gone in time.
+    /// Checks that the tasks of withdrawn jobs are gone within the deadline.
     pub fn check_cancellations(&mut self, now: u64) {
         let late = |job: &&JobId| {
             self.withdrawn
--- a/crates/simulator/src/invariants/answers.rs
+++ b/crates/simulator/src/invariants/answers.rs
@@ -1,4 +1,5 @@
-//! What users are told of their jobs: true, never taken back, and in time.
+//! Checks the answers that users get about their jobs: they must be true, consistent with
+//! earlier answers, and in time.
 
 use std::collections::BTreeSet;
 
@@ -7,28 +8,29 @@
 
 use super::InvariantChecker;
 
-/// µs without an answer after which a job counts as forgotten.
+/// Time without an answer after which a job counts as forgotten, µs.
 const FORGOTTEN_US: u64 = 75_000_000;
 
-/// The end of a job as a user was told it.
+/// The final phase of a job that a user was told, and when.
 pub(super) struct TerminalAnswer {
     phase: JobPhase,
     at: u64,
 }
 
-/// What a user was told of a job.
+/// An answer to a user's request about a job.
 #[derive(Clone, Copy, Debug)]
 pub struct UserAnswer {
-    /// The job's phase; none: 404, the job is unknown.
+    /// Phase of the job; `None`: 404, the job is unknown.
     pub phase: Option<JobPhase>,
-    /// True if the user knew of the job's acceptance when it asked.
+    /// True if the acceptance of the job was confirmed to the user before the request.
     pub accepted: bool,
-    /// When the user asked, µs.
+    /// Time of the request, µs.
     pub asked: u64,
 }
 
 impl InvariantChecker {
-    /// A user was told something of a job at `now`.
+    /// Checks an answer that a user received at `now`. It is compared only with final phases
+    /// that were told before the request was made.
     pub fn told(&mut self, job: &JobId, answer: UserAnswer, now: u64) {
         let before = self
             .told
@@ -72,8 +74,8 @@
         }
     }
 
-    /// True if a dependency of a job, direct or indirect, was called cancelled for longer
-    /// than its dependents may take to follow.
+    /// True if a direct or indirect dependency of a job had been cancelled for longer than the
+    /// cancellation deadline when the user asked: the job should have been cancelled with it.
     fn is_orphaned(&self, job: &JobId, asked: u64) -> bool {
         let (mut queue, mut seen) = (vec![job], BTreeSet::new());
         while let Some(job) = queue.pop() {
@@ -97,17 +99,18 @@
         false
     }
 
-    /// A user waits for a job: a question about it was answered at `now`.
+    /// Records that a request about a job that a user waits for was answered at `now`.
     pub fn answered(&mut self, job: &JobId, now: u64) {
         self.awaiting_answer.insert(job.clone(), now);
     }
 
-    /// A user waits for a job no more.
+    /// Records that no user waits for a job any more.
     pub fn no_longer_awaited(&mut self, job: &JobId) {
         self.awaiting_answer.remove(job);
     }
 
-    /// With all faults over since `quiet_since`, no job goes without an answer.
+    /// Checks that every job that a user waits for gets answers. Time before `quiet_since`, when
+    /// the last fault ended, does not count.
     pub fn check_answers(&mut self, quiet_since: u64, now: u64) {
         let late = |at: &u64| (*at).max(quiet_since) + FORGOTTEN_US < now;
         let mut forgotten: Vec<JobId> = self
--- a/crates/simulator/src/invariants/gangs.rs
+++ b/crates/simulator/src/invariants/gangs.rs
@@ -1,4 +1,4 @@
-//! Of a gang's attempts only one may be live at a time.
+//! Checks that at most one attempt of a gang is live at a time.
 
 use lemonweir_model::AttemptId;
 
@@ -6,7 +6,8 @@
 use crate::job::is_real_gang;
 
 impl InvariantChecker {
-    /// A task's launch command was accepted: no other attempt of its gang may be live.
+    /// Records that a task's launch command was accepted, and checks that no other attempt of its
+    /// gang is live.
     pub fn launched(&mut self, id: &AttemptId, now: u64) {
         if !self
             .specs
@@ -26,7 +27,7 @@
         }
     }
 
-    /// A task exited, or is gone with its machine.
+    /// Records that a gang's task exited or was lost with its machine.
     pub fn gang_task_over(&mut self, id: &AttemptId) {
         let Some(attempts) = self.live_gang_tasks.get_mut(&id.job) else {
             return;
--- a/crates/simulator/src/invariants/placement.rs
+++ b/crates/simulator/src/invariants/placement.rs
@@ -1,4 +1,5 @@
-//! Where tasks may be: once, on a machine that the job allows, within the team's quota.
+//! Checks task placement: a task runs only once, on a machine that its job allows, and within
+//! its team's quota.
 
 use std::fmt;
 
@@ -7,16 +8,16 @@
 
 use super::InvariantChecker;
 
-/// Where a task is started: what the rules ask of a machine.
+/// The machine that a task starts on, as far as placement rules depend on it.
 #[derive(Clone, Copy, Debug)]
 pub struct TaskPlacement<'a> {
     /// Number of the machine.
     pub machine: usize,
-    /// Its type.
+    /// Name of the machine type.
     pub kind: &'a str,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: &'a str,
-    /// Spot instance or on-demand machine.
+    /// True for a spot instance, false for an on-demand machine.
     pub spot: bool,
 }
 
@@ -26,26 +27,26 @@
     zone: String,
 }
 
-/// As it stands in a violation: `(7, "north")`.
+/// Formats the machine as violations show it: `(7, "north")`.
 impl fmt::Debug for OccupiedMachine {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         (self.machine, &self.zone).fmt(f)
     }
 }
 
-/// How the tasks of a job lie in zones at the start of another one, that one included.
+/// Distribution of a job's tasks over zones, including the task that is starting.
 struct ZoneLoad {
     in_this_zone: u32,
     in_other_zones: bool,
 }
 
 impl InvariantChecker {
-    /// When a task of a job last started, µs; 0: never.
+    /// Time of the last start of a task of a job, µs; 0: none has started.
     pub fn last_start(&self, job: &JobId) -> u64 {
         self.last_start.get(job).copied().unwrap_or(0)
     }
 
-    /// True if so many more tasks of a job stay within its team's quota limit.
+    /// True if the team's usage stays within its quota limit with `tasks` more tasks of a job.
     pub fn within_limit(&self, spec: &JobSpec, tasks: u64) -> bool {
         let usage = self
             .usage
@@ -58,7 +59,7 @@
         })
     }
 
-    /// True if no more tasks of a job may be in a zone.
+    /// True if the job's placement constraints allow no further task in a zone.
     pub fn zone_is_full(&self, spec: &JobSpec, zone: &str) -> bool {
         let Some(zones) = self.tasks_in_zones.get(&spec.id) else {
             return false;
@@ -70,19 +71,21 @@
         spec.spread && here >= spec.tasks.div_ceil(2) || spec.same_zone && elsewhere
     }
 
+    /// Number of tasks of a job that are on machines.
     pub(super) fn tasks_on_machines(&self, job: &JobId) -> u32 {
         self.tasks_in_zones
             .get(job)
             .map_or(0, |zones| zones.values().sum())
     }
 
-    /// A task has its image: from now on it is on its machine.
+    /// Records that a task has its image, and from now on counts as on its machine; checks the
+    /// placement.
     pub fn started(&mut self, job: &JobId, task: u32, placement: TaskPlacement<'_>, now: u64) {
         self.starts += 1;
         self.last_start.insert(job.clone(), now);
         let key = (job.clone(), task);
         self.check_runs_once(&key, placement, now);
-        // Stricter than the page, which allows it for `cancel_s`.
+        // Stricter than the protocol page, which allows starts within `cancel_s`.
         if self.withdrawn.contains_key(job) {
             self.violation(
                 now,
@@ -139,6 +142,7 @@
         }
     }
 
+    /// Counts a task in its zone and returns the resulting distribution.
     fn add_to_zone(&mut self, job: &JobId, zone: &str) -> ZoneLoad {
         let zones = self.tasks_in_zones.entry(job.clone()).or_default();
         let in_other_zones = zones
@@ -152,6 +156,7 @@
         }
     }
 
+    /// Adds a task to its team's usage and checks the quota limit.
     fn charge_quota(&mut self, spec: &JobSpec, now: u64) {
         let usage = self.usage.entry(spec.team.clone()).or_default();
         *usage = usage.plus(&spec.task_resources());
@@ -163,7 +168,7 @@
         }
     }
 
-    /// A task left its machine.
+    /// Records that a task is no longer on a machine.
     pub fn left(&mut self, job: &JobId, task: u32, machine: usize) {
         let key = (job.clone(), task);
         let Some(machines) = self.machines_of.get_mut(&key) else {
@@ -195,7 +200,7 @@
     }
 }
 
-/// What is wrong with a machine for a job, if anything.
+/// The property of a machine that violates a job's placement constraints, if any.
 fn placement_violation(
     spec: &JobSpec,
     placement: TaskPlacement<'_>,
