--- a/crates/simulator/src/baseline.rs
+++ b/crates/simulator/src/baseline.rs
@@ -1,12 +1,13 @@
-//! Baselines of the project's own, for side-by-side runs on the same load: plain, short
-//! placers on the machines that are there from the start. They know no failures, no
-//! autoscaling, no quotas and no preemption.
+//! Simple placers, run on the same load as the scheduler as baselines to compare it with.
+//! They place on the machines that exist from the start, and model no failures, autoscaling,
+//! quotas or preemption.
 //!
-//! * [`BaselineKind::Central`]: one placer that sees everything at once; the bound.
-//! * [`BaselineKind::Sampler`]: for each task some machines drawn at random are asked
-//!   how long their queue is, and the task waits at the one with the shortest
-//!   (the paper's comparison, without a copy). It can't hold a gang together:
-//!   its tasks start one by one.
+//! * [`BaselineKind::Central`]: one placer with a complete and immediate view of the cluster;
+//!   the bound for the others.
+//! * [`BaselineKind::Sampler`]: asks some randomly drawn machines per task for the length of
+//!   their queue, and queues the task at the one with the shortest queue (the paper's
+//!   comparison, without a copy). It cannot start a gang as a whole: its tasks start one by
+//!   one.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
@@ -23,12 +24,12 @@
 use crate::report::{ControllerWork, JobCounts, LatencySummary, RunOutcome, RunReport};
 use crate::scenario::Scenario;
 
-/// Which baseline.
+/// A baseline placer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BaselineKind {
-    /// One placer that sees everything.
+    /// One placer with a complete view of the cluster.
     Central,
-    /// So many machines are asked for each task.
+    /// Asks this many randomly drawn machines for each task.
     Sampler(u32),
 }
 
@@ -44,12 +45,14 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     JobArrives(usize),
-    /// The central placer is free again.
+    /// The central placer is idle and starts a placement pass.
     PlaceWaiting,
     /// A task reaches the machine that it was sent to: job, task, machine.
     TaskArrives(usize, u32, usize),
-    /// A task ends on a machine; the placer hears of it a message later.
+    /// A task ends on a machine: job, task, machine. The central placer is informed by a
+    /// [`Event::ResourcesFreed`] message.
     TaskEnds(usize, u32, usize),
+    /// The central placer learns that a task of a job has freed its resources on a machine.
     ResourcesFreed(usize, usize),
     JobWithdrawn(usize),
 }
@@ -70,13 +73,20 @@
     machines: Vec<Machine>,
     /// Free resources as the central placer knows them.
     known_free: Vec<Resources>,
-    /// Jobs that wait, by priority and age, and their next task.
+    /// Waiting jobs by priority and order of submission, with the next task to place.
     waiting: BTreeMap<(Priority, usize), u32>,
+    /// Time until which the central placer is busy, µs.
     busy_until: u64,
+    /// True if a placement pass is scheduled.
     placing: bool,
+    /// Number of tasks of each job that have not ended.
     left: Vec<u32>,
+    /// Start time of each task, µs.
     launched: BTreeMap<(usize, u32), u64>,
+    /// Machine of each running task.
     running: BTreeMap<(usize, u32), usize>,
+    /// Time at which each task was sent to its machine, and how long the placement before it
+    /// took, µs.
     sent: BTreeMap<(usize, u32), (u64, u64)>,
     finished: BTreeMap<usize, u64>,
     withdrawn: Vec<bool>,
@@ -86,7 +96,7 @@
     history: History,
 }
 
-/// Runs a baseline on a scenario's fixed machines.
+/// Runs a baseline on the machines that a scenario has at the start.
 pub fn run(
     kind: BaselineKind,
     scenario: &Scenario,
@@ -158,21 +168,26 @@
 }
 
 impl BaselineRun<'_> {
+    /// Schedules an event. Events at the same time run in the order in which they were
+    /// scheduled.
     fn schedule_at(&mut self, at: u64, event: Event) {
         self.sequence += 1;
         self.queue.push(Reverse((at, self.sequence, event)));
     }
 
+    /// Counts a message and draws its network delay, µs.
     fn network_delay(&mut self) -> u64 {
         let latency = self.scenario.latency;
         self.work.messages += 1;
         self.rng.random_range(latency.low_us..=latency.high_us)
     }
 
+    /// Resources that one task of a job needs.
     fn need(&self, job: usize) -> Resources {
         self.load[job].job.spec.task_resources()
     }
 
+    /// Charges the central placer for messages and examined candidates.
     fn charge(&mut self, messages: u64, candidates: u64) {
         let us = (messages * self.scenario.costs.message_ns
             + candidates * self.scenario.costs.candidate_ns)
@@ -229,6 +244,7 @@
         }
     }
 
+    /// Schedules a placement pass at `at`, or once the placer is idle, unless one is scheduled.
     fn wake_placer(&mut self, at: u64) {
         if !self.placing {
             self.placing = true;
@@ -238,12 +254,12 @@
 
     // ---- central ---------------------------------------------------------------
 
-    /// Places the waiting jobs, in the order of priority and age.
+    /// Places the waiting jobs in order of priority and submission.
     fn place_waiting(&mut self) {
         let mut failed: Vec<Resources> = Vec::new();
         for (rank, job) in self.waiting.keys().copied().collect::<Vec<_>>() {
             let need = self.need(job);
-            // No task that needs as much or more finds resources in the same pass.
+            // Tasks that need at least as much as one that did not fit are skipped in this pass.
             if failed.iter().any(|other| need.covers(other)) {
                 continue;
             }
@@ -265,8 +281,8 @@
         }
     }
 
-    /// Takes the first machine that fits for each task, until none fits: tasks with their
-    /// machines.
+    /// Reserves the first machine that fits for each task, up to the first task that fits
+    /// nowhere. Returns the placed tasks with their machines.
     fn choose_machines(&mut self, need: &Resources, tasks: Range<u32>) -> Vec<(u32, usize)> {
         let mut chosen = Vec::new();
         for task in tasks {
@@ -298,6 +314,8 @@
 
     // ---- sampler ---------------------------------------------------------------
 
+    /// Samples `d` machines and sends the task to the one with the shortest queue. A task that
+    /// fits on no machine of the cluster is dropped.
     fn send_to_sampled(&mut self, job: usize, task: u32, d: u32) {
         let need = self.need(job);
         let mut best: Option<(usize, usize)> = None;
@@ -320,7 +338,7 @@
                 let at = back + self.network_delay();
                 self.schedule_at(at, Event::TaskArrives(job, task, machine));
             }
-            // None of those asked could ever hold it: others are asked.
+            // No sampled machine is large enough for the task: sample again.
             None if self
                 .machines
                 .iter()
@@ -332,6 +350,8 @@
         }
     }
 
+    /// Starts the queued tasks of a machine in order while the next one fits; tasks of withdrawn
+    /// jobs are removed.
     fn serve_queue(&mut self, machine: usize) {
         while let Some(&(job, task)) = self.machines[machine].queue.front() {
             let need = self.need(job);
@@ -347,6 +367,7 @@
 
     // ---- machines --------------------------------------------------------------
 
+    /// Starts a task on a machine, unless its job was withdrawn.
     fn start_task(&mut self, job: usize, task: u32, machine: usize) {
         let need = self.need(job);
         if self.withdrawn[job] {
@@ -376,6 +397,7 @@
         }
     }
 
+    /// Ends a running task and frees its resources.
     fn end_task(&mut self, kind: BaselineKind, job: usize, task: u32, machine: usize) {
         if self.running.remove(&(job, task)).is_none() {
             return;
--- a/crates/simulator/src/clock.rs
+++ b/crates/simulator/src/clock.rs
@@ -1,11 +1,11 @@
 //! Units of simulated time: whole µs since the start of a run.
 
-/// A time that never comes.
+/// Time of an event that never happens.
 pub const NEVER_US: u64 = u64::MAX;
-/// µs of a ms.
+/// Number of µs in a ms.
 pub const US_PER_MS: u64 = 1_000;
 
-/// Whole µs of a duration in s; what is below a µs is cut off.
+/// Converts a duration in s to whole µs, rounding down.
 pub fn micros(seconds: f64) -> u64 {
     (seconds * 1e6) as u64
 }
--- a/crates/simulator/src/cloud.rs
+++ b/crates/simulator/src/cloud.rs
@@ -1,5 +1,5 @@
-//! A simulated cloud: which machines are provisioned since when, what that costs, what is
-//! available, and the list of instances that lags.
+//! Simulated cloud provider: provisioned machines and their cost, remaining capacity, and the
+//! list of instances as of an earlier time.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -8,11 +8,12 @@
 
 use crate::scenario::Scenario;
 
-/// s that a machine that is gone costs at least (protocol page).
+/// Minimum time billed for a machine once it is gone, s (protocol page).
 const LEAST_BILLED_S: f64 = 60.0;
-/// Machines on a page of the list of instances.
+/// Number of machines on a page of the instance list.
 const LIST_PAGE: usize = 500;
-/// µs for which a machine that is gone can still be on a list.
+/// How long the cloud keeps a machine that is gone, µs: a list as of an earlier time may still
+/// contain it.
 const LISTED_AFTER_END_US: u64 = 60_000_000;
 
 struct CloudMachine {
@@ -25,38 +26,40 @@
     gone_at: Option<u64>,
 }
 
-/// What a machine that is provisioned now is. Times are µs.
+/// A machine that is being provisioned. Times are µs.
 pub struct NewMachine<'a> {
-    /// Its name.
+    /// Name of the machine.
     pub id: MachineId,
-    /// Number of its type in the scenario.
+    /// Index of its type in the scenario.
     pub kind: usize,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: &'a str,
-    /// Spot instance or on-demand machine.
+    /// True for a spot instance, false for an on-demand machine.
     pub spot: bool,
-    /// Since when it costs.
+    /// Start of billing.
     pub provisioned_at: u64,
-    /// When it is up.
+    /// Time at which it has booted.
     pub up_at: u64,
 }
 
-/// The cloud.
+/// The simulated cloud provider.
 pub struct Cloud {
-    /// True while its interface is down.
+    /// True while its API is unavailable.
     pub down: bool,
-    /// Machines of each provisioning request, by its booking.
+    /// Machines of each provisioning request, by request id. A repeated request gets the same
+    /// machines.
     pub bookings: HashMap<String, Vec<MachineId>>,
     machines: BTreeMap<usize, CloudMachine>,
+    /// On-demand and spot price of each machine kind, per hour.
     prices: Vec<(f64, f64)>,
-    /// Cost of machines that are gone.
+    /// Total cost of machines that are gone.
     spent: f64,
-    /// Machines by kind, zone and whether they are spot instances.
+    /// Number of provisioned machines by kind, zone and whether they are spot instances.
     provisioned: BTreeMap<(usize, String, bool), u32>,
 }
 
 impl Cloud {
-    /// A cloud with the scenario's types.
+    /// Creates a cloud that offers the scenario's machine types.
     pub fn new(scenario: &Scenario) -> Self {
         let prices = scenario
             .machine_kinds
@@ -73,7 +76,7 @@
         }
     }
 
-    /// Machines of a kind that can still be provisioned in a zone.
+    /// Number of machines of a kind that can still be provisioned in a zone.
     pub fn available(&self, kind: usize, zone: &str, spot: bool, scenario: &Scenario) -> u32 {
         let capacity = scenario.machine_kinds[kind].capacity;
         let most = if spot {
@@ -89,7 +92,7 @@
         )
     }
 
-    /// A machine was provisioned.
+    /// Adds a provisioned machine.
     pub fn add(&mut self, number: usize, machine: NewMachine<'_>) {
         let NewMachine {
             id,
@@ -117,7 +120,7 @@
         );
     }
 
-    /// A machine is gone.
+    /// Ends the billing of a machine, and forgets those that no list can contain any more.
     pub fn remove(&mut self, number: usize, now: u64) {
         self.machines
             .retain(|_, m| m.gone_at.is_none_or(|at| now < at + LISTED_AFTER_END_US));
@@ -132,7 +135,7 @@
         }
     }
 
-    /// Cost of all machines until now.
+    /// Cost of all machines up to `now`.
     pub fn spent(&self, now: u64) -> f64 {
         self.spent
             + self
@@ -143,12 +146,12 @@
                 .sum::<f64>()
     }
 
-    /// Pages that a list of instances has, besides the first.
+    /// Number of pages of the instance list besides the first.
     pub fn list_pages(&self) -> usize {
         self.machines.len() / LIST_PAGE
     }
 
-    /// The list as of `at` µs.
+    /// The instances that existed at `at` µs, in their phase at that time.
     pub fn list(&self, at: u64, scenario: &Scenario) -> Vec<InstanceEntry> {
         let there = |m: &&CloudMachine| {
             m.provisioned_at <= at && m.gone_at.is_none_or(|gone_at| gone_at > at)
@@ -165,6 +168,7 @@
     }
 }
 
+/// Cost of a machine up to `now`; [`LEAST_BILLED_S`] applies once it is gone.
 fn cost(prices: &[(f64, f64)], m: &CloudMachine, now: u64) -> f64 {
     let (price, spot_price) = prices[m.kind];
     let billed_s =
--- a/crates/simulator/src/controller.rs
+++ b/crates/simulator/src/controller.rs
@@ -1,5 +1,5 @@
-//! A simulated controller process: the real scheduling core, with an inbox that it processes
-//! one message after the other, and the state of the loops that the process runs.
+//! A simulated controller process: the real scheduling core, an inbox whose messages are
+//! processed one at a time, and the state of the loops that the process runs.
 
 use std::collections::VecDeque;
 
@@ -21,55 +21,55 @@
 
 use crate::scenario::Scenario;
 
-/// What a user asks of a job.
+/// A user's request concerning a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UserRequest {
-    /// A submission, or a question about it.
+    /// Submits the job or polls its status.
     Query,
-    /// A withdrawal.
+    /// Withdraws the job.
     Withdrawal,
 }
 
-/// A user's question that waits for a state read.
+/// A user's request that is answered after the next state read.
 pub struct PendingQuery {
-    /// When the user asked, µs.
+    /// Time at which the request arrived, µs.
     pub asked: u64,
-    /// The job.
+    /// Job that the request concerns.
     pub job: JobId,
-    /// What is asked.
+    /// Type of the request.
     pub request: UserRequest,
 }
 
-/// Who a compare-and-swap is for.
+/// Part of a controller that issued a compare-and-swap and handles its result.
 #[derive(Clone, Debug)]
 pub enum CasOrigin {
     /// The scheduling core, under a shard's lease.
     Scheduler(ShardLease),
-    /// Nobody waits for it.
+    /// The result is ignored.
     Unattended,
-    /// The loop that keeps the store lease and the shard leases.
+    /// The loop that renews the store lease and the shard leases.
     LeaseKeeper(Option<ElectionAction>),
-    /// The same, for the membership entry that a new store lease begins with.
+    /// The same loop, writing the membership entry under this new store lease.
     Presence(u64),
-    /// A user's request for a job, asked at that time, µs.
+    /// A user's request concerning a job, with its time of arrival, µs.
     User(JobId, UserRequest, u64),
     /// Jobs that wait for their dependencies.
     Dependencies,
 }
 
-/// What a read of the watched keys brought.
+/// Result of reading the watched keys.
 pub enum StateRead {
-    /// Changes since the cache's revision, and the revision that they lead to.
+    /// The changes since the cache's revision, and the revision after them.
     Changes(Vec<WatchEvent>, u64),
-    /// All keys.
+    /// All keys, and the revision at which they were read.
     Snapshot(Vec<KeyValue>, u64),
-    /// The store could not be reached.
+    /// The store was unreachable.
     Unavailable,
 }
 
 impl StateRead {
-    /// Brings a cache up to date; tells whether it changed, `None` if the store could not be
-    /// reached.
+    /// Applies the result to a cache. Returns whether the cache may have changed, or `None` if
+    /// the store was unreachable.
     pub fn apply(self, cache: &mut StateCache, now_ms: u64) -> Option<bool> {
         match self {
             StateRead::Changes(changes, revision) => {
@@ -85,38 +85,38 @@
     }
 }
 
-/// One incarnation of a controller's process: what was meant for an earlier one is lost.
+/// An incarnation of a controller process. Messages to an earlier incarnation are lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProcessId {
     /// Number of the controller.
     pub controller: usize,
-    /// Its incarnation.
+    /// Incarnation of its process.
     pub incarnation: u64,
 }
 
-/// A worker's heartbeat on its way.
+/// A worker's heartbeat in transit.
 pub struct SentHeartbeat {
-    /// Number of the machine; 0: nobody's, the answer goes nowhere.
+    /// Number of the machine; 0: no machine sent it, and its answer is dropped.
     pub machine: usize,
     /// The heartbeat.
     pub heartbeat: Heartbeat,
-    /// When it was sent, µs.
+    /// Time at which it was sent, µs.
     pub sent: u64,
 }
 
-/// The heartbeat that an answer is for.
+/// Identifies the heartbeat that an answer belongs to.
 #[derive(Clone, Copy, Debug)]
 pub struct HeartbeatRef {
     /// Number of the machine.
     pub machine: usize,
-    /// Session that the heartbeat named.
+    /// Worker session in the heartbeat.
     pub session: u64,
-    /// When it was sent, µs.
+    /// Time at which the heartbeat was sent, µs.
     pub sent: u64,
 }
 
 impl SentHeartbeat {
-    /// What its answer refers to.
+    /// The reference that its answer carries.
     pub fn reference(&self) -> HeartbeatRef {
         HeartbeatRef {
             machine: self.machine,
@@ -126,16 +126,16 @@
     }
 }
 
-/// What became of a request to a service.
+/// Result of sending a request to a service on a route.
 #[derive(Clone, Copy, Debug)]
 pub struct RouteResult {
     /// The service.
     pub service: Service,
-    /// The controller that relayed the request; none: it went directly.
+    /// Controller that relayed the request; `None`: it was sent directly.
     pub relay: Option<u16>,
-    /// Bytes of the request.
+    /// Size of the request in bytes.
     pub bytes: usize,
-    /// True if it was served.
+    /// True if the request reached the service.
     pub served: bool,
 }
 
@@ -143,90 +143,90 @@
 pub enum Input {
     /// A worker's heartbeat.
     Heartbeat(SentHeartbeat),
-    /// The same, relayed by another controller.
+    /// A worker's heartbeat that another controller relayed.
     RelayedHeartbeat {
         /// The heartbeat.
         heartbeat: SentHeartbeat,
-        /// Who relayed it.
+        /// Controller process that relayed it.
         relay: ProcessId,
     },
     /// The leader's answer to a heartbeat that this controller relayed.
     RelayedAnswer {
         /// The heartbeat.
         heartbeat: HeartbeatRef,
-        /// The leader.
+        /// Number of the leader.
         from: usize,
-        /// Its answer; none: there is none.
+        /// Its answer; `None`: no answer came.
         answer: Option<Box<HeartbeatAnswer>>,
     },
-    /// A request to a service was served, or was not.
+    /// The result of a request to a service.
     RouteResult(RouteResult),
-    /// Another controller gossips the availability of its links.
+    /// Another controller's gossip about the availability of its links.
     Gossip {
-        /// Who gets the answer.
+        /// Controller process that expects the answer.
         reply_to: ProcessId,
-        /// What it says.
+        /// The gossip.
         gossip: Box<AvailabilityGossip>,
     },
-    /// A controller's answer to our gossip; none: there is none.
+    /// A controller's answer to this controller's gossip; `None`: no answer came.
     GossipAnswer(u16, Option<Box<AvailabilityGossip>>),
-    /// A compare-and-swap ended.
+    /// The result of a compare-and-swap.
     CasResult {
-        /// Who it is for.
+        /// Part of this controller that issued it.
         origin: CasOrigin,
         /// The compare-and-swap.
         cas: CompareAndSwap,
-        /// How it ended; none: no answer came.
+        /// Its outcome; `None`: no answer came.
         outcome: Option<CompareAndSwapOutcome>,
-        /// Versions of keys that were read again after a conflict.
+        /// Keys that were read again after a conflict, with their versions.
         versions: Vec<(String, u64)>,
     },
-    /// A call to a worker ended.
+    /// The result of a call to a worker.
     CommandResult(ShardLease, CommandCall, CommandResult),
     /// Another controller's sync request.
     SyncRequest {
-        /// Who gets the answer; none: nobody waits for it any more.
+        /// Controller process that expects the answer; `None`: none does any more.
         reply_to: Option<ProcessId>,
-        /// The lease that it was sent under.
+        /// Shard lease of the sender.
         lease: ShardLease,
         /// The request.
         request: Box<SyncRequest>,
     },
-    /// The answer of a shard's leader to a sync request of ours; none: there is none.
+    /// A shard leader's answer to this controller's sync request; `None`: no answer came.
     SyncResponse(ShardLease, u16, Option<Box<ShardView>>),
-    /// A provisioning request ended.
+    /// The result of a provisioning request.
     Provisioned(ShardLease, ProvisioningRequest, ProvisioningResult),
-    /// A release of machines ended.
+    /// The cloud released machines.
     Released(ShardLease, Vec<MachineId>),
-    /// The list of instances.
+    /// The cloud's list of instances.
     InstancesListed(Vec<InstanceEntry>),
-    /// A sync request was refused because our shard has another leader.
+    /// A sync request was refused because the sending shard has another leader.
     Superseded(Superseded),
-    /// Something is new for a shard, from another shard.
+    /// Another shard has news for a shard of this controller.
     WakeShard {
-        /// The shard that is woken.
+        /// The shard to wake.
         shard: u16,
-        /// The shard that has news for it.
+        /// The shard that the news comes from.
         from: u16,
     },
-    /// A job was accepted elsewhere.
+    /// Another controller accepted a job.
     JobAnnounced,
-    /// A state read ended.
+    /// The result of a state read.
     StateRead {
-        /// When it began, µs.
+        /// Time at which the read began, µs.
         began: u64,
-        /// What it brought.
+        /// Its result.
         read: StateRead,
     },
-    /// The ends of these jobs were read.
+    /// The end records of these jobs were read.
     JobEndsRead(Vec<JobId>),
-    /// A user submits.
+    /// A user submits a job.
     Submit(JobId),
-    /// A user polls.
+    /// A user polls the status of a job.
     Poll(JobId),
-    /// A user withdraws.
+    /// A user withdraws a job.
     Withdraw(JobId),
-    /// A shard's lease was acquired.
+    /// This controller acquired a shard's lease.
     ShardAcquired {
         /// The lease.
         lease: ShardLease,
@@ -235,11 +235,12 @@
         /// The shard's image locations.
         images: Vec<KeyValue>,
     },
-    /// The store lease as the store answered; none: it has expired.
+    /// The store's answer to granting or renewing the store lease; `None`: the lease has
+    /// expired.
     StoreLease(Option<u64>),
-    /// The store did not answer about the store lease.
+    /// The store did not answer a request to grant or renew the store lease.
     StoreLeaseUnknown,
-    /// Time for periodic work.
+    /// Timer for periodic work.
     Tick,
 }
 
@@ -247,69 +248,70 @@
 pub struct Controller {
     /// The scheduling core; `None` while the process is down.
     pub core: Option<Core>,
-    /// Counts its starts and ends: what an earlier incarnation asked for is not answered.
+    /// Incremented at each start and stop; answers to requests of an earlier incarnation are
+    /// dropped.
     pub incarnation: u64,
-    /// Which shards to bid for.
+    /// Decides which shards to bid for.
     pub election: LeaderElection,
-    /// Its lease at the store.
+    /// Id of its store lease.
     pub store_lease: Option<u64>,
-    /// When the store lease was last renewed, µs.
+    /// Time at which the store lease was last renewed, µs.
     pub lease_renewed_at: u64,
-    /// Answers that the lease keeper waits for.
+    /// Number of answers that the lease keeper waits for.
     pub pending_lease_replies: u32,
     /// Messages that wait to be processed.
     pub inbox: VecDeque<Input>,
-    /// Until when the process stalls, µs.
+    /// Time until which the process is stalled, µs.
     pub stalled_until: u64,
-    /// Until when it is busy with what it processes, µs.
+    /// Time until which it is busy processing messages, µs.
     pub busy_until: u64,
-    /// An event is scheduled that goes on with the inbox.
+    /// True if an event is scheduled that continues with the inbox.
     pub wake_scheduled: bool,
-    /// The core has effects to flush once the inbox is empty.
+    /// True if the core has handled messages whose effects are not flushed yet.
     pub flush_due: bool,
-    /// A state read is wanted soon.
+    /// True if a state read should happen before the regular interval has passed.
     pub read_requested: bool,
-    /// A state read is in flight.
+    /// True if a state read is in flight.
     pub read_in_flight: bool,
-    /// When the last state read ended, µs.
+    /// Time at which the last state read ended, µs.
     pub read_at: u64,
-    /// When the next state read is due, µs.
+    /// Time at which the next state read is due, µs.
     pub read_due: u64,
-    /// Users' questions that wait for a state read which began after them.
+    /// Users' requests that must be answered from a state read begun after their arrival.
     pub pending_queries: Vec<PendingQuery>,
-    /// Its share of the store's requests a second.
+    /// Its share of the store's request rate.
     pub requests: TokenBucket,
-    /// Its share of the store's writes a second.
+    /// Its share of the store's write rate.
     pub writes: TokenBucket,
-    /// Its share of the cloud's requests a second.
+    /// Its share of the cloud's request rate.
     pub cloud: TokenBucket,
-    /// Counted work of all its incarnations.
+    /// Work of all its incarnations.
     pub load: ControllerLoad,
-    /// The counters of the core when it was last charged.
+    /// Counters of the core at the last charge.
     pub counted: WorkCounters,
 }
 
-/// Counted work of a controller process.
+/// Work of a controller process.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ControllerLoad {
-    /// µs charged as busy.
+    /// Processing time charged, µs.
     pub busy_us: u64,
-    /// ns of it that are less than a µs.
+    /// Charged time below 1 µs that is carried over to the next charge, ns.
     pub rest_ns: u64,
-    /// Messages received and sent.
+    /// Number of messages received and sent.
     pub messages: u64,
     /// Bytes of messages between controllers.
     pub peer_bytes: u64,
-    /// Words of bits and machines that candidate walks examined.
+    /// Number of bit set words and machines examined by placement.
     pub candidates_examined: u64,
-    /// Placements refused.
+    /// Number of placements refused.
     pub refused_placements: u64,
-    /// Attempts preempted.
+    /// Number of attempts preempted.
     pub preemptions: u64,
 }
 
 impl Controller {
-    /// A process that was not started yet.
+    /// Creates a process that is not started yet.
     pub fn new(scenario: &Scenario) -> Self {
         let controllers = usize::from(scenario.controllers);
         let share = |per_s: f64| TokenBucket::new(per_s, controllers, 0);
@@ -339,7 +341,7 @@
         }
     }
 
-    /// Its process starts.
+    /// Starts the process with a new core; only the counted work is kept.
     pub fn start(&mut self, scenario: &Scenario, number: usize, now: u64) {
         let mut core = Core::new(
             Config::new(&scenario.settings(number)),
@@ -356,14 +358,14 @@
         };
     }
 
-    /// Its process ends.
+    /// Ends the process; its core and pending queries are lost.
     pub fn stop(&mut self) {
         self.core = None;
         self.incarnation += 1;
         self.pending_queries.clear();
     }
 
-    /// True if its core leads a shard.
+    /// True if its core holds the lease of a shard.
     pub fn leads(&self, shard: u16) -> bool {
         self.core
             .as_ref()
--- a/crates/simulator/src/fixtures.rs
+++ b/crates/simulator/src/fixtures.rs
@@ -1,10 +1,11 @@
-//! A small site and a plain job, for tests.
+//! A small scenario and a plain job for tests.
 
 use lemonweir_model::{JobId, JobKind, JobSpec, Priority};
 
 use crate::scenario::{MessageFaults, Scenario};
 
-/// Two zones, boxes of 16 processors and 4 accelerators, two teams.
+/// A scenario with two zones, one type of machine (16 processors, 4 accelerators) and two teams;
+/// `capacity` is the number of on-demand machines, and of spot instances, in each zone.
 pub fn site(controllers: u16, capacity: u32, message_faults: MessageFaults) -> Scenario {
     let text = format!(
         "name = 'rules'\nduration_s = 1e6\ncontrollers = {controllers}\nzones = ['north', 'south']\n\
@@ -19,12 +20,13 @@
     }
 }
 
-/// Id of the n-th job.
+/// Id of job number `n`.
 pub fn id(n: u32) -> JobId {
     JobId::from(format!("req-{n:06}").as_str())
 }
 
-/// An array, gang or service of plain tasks.
+/// A job of 20 s with small tasks that may run on any machine; `shape` makes it an array, gang or
+/// service.
 pub fn job(n: u32, team: &str, shape: JobKind, tasks: u64) -> JobSpec {
     JobSpec {
         id: id(n),
--- a/crates/simulator/src/histograms.rs
+++ b/crates/simulator/src/histograms.rs
@@ -9,9 +9,10 @@
 /// Significant digits of the histograms.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// Records µs in a histogram that grows as it must.
+/// Records durations in a histogram that resizes itself.
 pub trait RecordMicros {
-    /// Records one value; one that the histogram does not take is logged and left out.
+    /// Records a duration, at least 1 µs. A value that the histogram rejects is logged and
+    /// left out.
     fn record_us(&mut self, us: u64);
 }
 
@@ -23,18 +24,18 @@
     }
 }
 
-/// An empty histogram of µs.
+/// Creates an empty histogram of µs.
 pub fn histogram() -> Histogram<u64> {
-    // Three digits are among those that the library takes.
+    // The library accepts 0 to 5 significant digits.
     Histogram::new(SIGNIFICANT_DIGITS).unwrap_or_else(|_| unreachable!("three digits are allowed"))
 }
 
-/// Histograms by name.
+/// Histograms of µs by name.
 #[derive(Default)]
 pub struct NamedHistograms(BTreeMap<String, Histogram<u64>>);
 
 impl NamedHistograms {
-    /// Records µs under a name.
+    /// Records a duration in the histogram with this name, which is created if needed.
     pub fn record(&mut self, name: &str, us: u64) {
         if !self.0.contains_key(name) {
             self.0.insert(name.to_owned(), histogram());
@@ -44,7 +45,7 @@
         }
     }
 
-    /// The summary of each histogram, by its name.
+    /// The summary of each histogram by name.
     pub fn summaries(&self) -> BTreeMap<String, LatencySummary> {
         self.0
             .iter()
--- a/crates/simulator/src/history.rs
+++ b/crates/simulator/src/history.rs
@@ -1,9 +1,9 @@
-//! What happened, in order: a digest of all of it, and a file if wanted.
+//! The ordered log of a run's events, with a digest and an optional output file.
 
 use std::fmt::Display;
 use std::io::Write;
 
-/// The history of a run. Two runs with the same digest had the same history.
+/// The history of a run. Runs with the same digest have the same history.
 pub struct History {
     hasher: blake3::Hasher,
     lines: u64,
@@ -11,7 +11,7 @@
 }
 
 impl History {
-    /// An empty history, written to `sink` as it grows, if there is one.
+    /// Creates an empty history. Its lines are also written to `sink`, if given.
     pub fn new(sink: Option<Box<dyn Write + Send>>) -> Self {
         Self {
             hasher: blake3::Hasher::new(),
@@ -20,7 +20,8 @@
         }
     }
 
-    /// Notes that something happened at `at` µs.
+    /// Appends a line: time in µs, event, what it happened to, and details. The digest covers
+    /// the whole line.
     pub fn note(&mut self, at: u64, what: &str, whom: &dyn Display, more: &dyn Display) {
         let line = format!("{at} {what} {whom} {more}\n");
         self.lines += 1;
@@ -33,7 +34,7 @@
         }
     }
 
-    /// Lines so far, and their digest (blake3, hex).
+    /// Number of lines so far, and their digest (BLAKE3, hex).
     pub fn digest(&self) -> (u64, String) {
         (self.lines, self.hasher.finalize().to_hex().to_string())
     }
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -1,7 +1,7 @@
-//! Deterministic discrete-event simulator: the real scheduling core of lemonweir runs
-//! against simulated machines, users, network, key-value store and cloud, written from
-//! the protocol page. `docs/simulator.md` says what is modelled, what is left out, and
-//! what its figures are worth.
+//! Deterministic discrete-event simulator. It runs the real scheduling core of lemonweir
+//! against simulated machines, users, network, key-value store and cloud, which are written
+//! from the protocol page. `docs/simulator.md` describes what is modelled, what is left out
+//! and how far the figures can be trusted.
 
 pub mod baseline;
 pub mod clock;
--- a/crates/simulator/src/load_generator.rs
+++ b/crates/simulator/src/load_generator.rs
@@ -1,4 +1,4 @@
-//! Synthetic load: the jobs of a scenario's classes, drawn from distributions.
+//! Generates synthetic load: jobs of a scenario's classes, drawn from distributions.
 
 use std::sync::Arc;
 
@@ -11,21 +11,22 @@
 use crate::job::{PlannedSubmission, SimulatedJob};
 use crate::scenario::{JobClass, Scenario, ValueDistribution};
 
-/// s from the submission to the withdrawal of a job with a mistake.
+/// Time from the submission of a job with a mistake to its withdrawal, s.
 const BROKEN_WITHDRAWN_S: std::ops::Range<f64> = 20.0..200.0;
-/// When a cancelled job is withdrawn, as a share of its mean run time.
+/// Time from the submission of a cancelled job to its withdrawal, as a share of its mean run
+/// time.
 const CANCELLED_AT_SHARE: std::ops::Range<f64> = 0.1..1.1;
 
-/// A job of a class before the jobs of all classes are numbered.
+/// A job of a class, before the jobs of all classes are numbered together.
 struct DrawnJob {
     class: usize,
     planned: PlannedSubmission,
 }
 
-/// Draws the jobs of a scenario's classes in the order of their submission. Each class draws
-/// from a generator of its own, so that a change of one does not change the others.
+/// Draws the jobs of a scenario's classes and returns them in order of submission. Each class
+/// has its own random stream, so that a change to one class does not affect the others.
 pub fn synthetic(scenario: &Scenario, seed: u64) -> Vec<PlannedSubmission> {
-    // Jobs class by class, and the submission times of each class.
+    // Jobs grouped by class, and the submission times of each class.
     let mut jobs: Vec<DrawnJob> = Vec::new();
     let mut times_of_class: Vec<Vec<u64>> = Vec::new();
     for (number, class) in scenario.classes.iter().enumerate() {
@@ -49,7 +50,8 @@
     number_by_submission(scenario, jobs, &times_of_class)
 }
 
-/// When the jobs of a class are submitted, µs.
+/// Draws the submission times of the jobs of a class, µs: those at the start, then arrivals at
+/// exponentially distributed intervals.
 fn draw_submission_times(class: &JobClass, duration_s: f64, rng: &mut ChaCha8Rng) -> Vec<u64> {
     let mut times = vec![0; class.at_start as usize];
     let mean_gap_s = if class.per_min > 0.0 {
@@ -68,8 +70,8 @@
     }
 }
 
-/// When the jobs of a class with dependencies are submitted: each after those that it
-/// depends on, µs.
+/// Draws the submission times of the jobs of a class with dependencies, µs: each job is
+/// submitted after those that it depends on.
 fn draw_dependent_times(
     class: &JobClass,
     dependencies: &[&Vec<u64>],
@@ -86,7 +88,8 @@
         .collect()
 }
 
-/// Numbers the jobs by their submission, and enters their dependencies.
+/// Sorts the jobs by submission, assigns their ids and fills in their dependencies. The n-th job
+/// of a class depends on the n-th job of each class in its dependencies.
 fn number_by_submission(
     scenario: &Scenario,
     jobs: Vec<DrawnJob>,
@@ -98,7 +101,7 @@
     for (n, &i) in order.iter().enumerate() {
         ids[i] = job_id(n);
     }
-    // Jobs stand class by class: where each class begins.
+    // Index of the first job of each class in `jobs`.
     let class_begins: Vec<usize> = times_of_class
         .iter()
         .scan(0, |sum, times| {
@@ -125,7 +128,7 @@
     planned
 }
 
-/// The numbers of the classes that a class's jobs depend on.
+/// Indices of the classes that the jobs of a class depend on.
 fn dependency_classes<'a>(
     scenario: &'a Scenario,
     class: &'a JobClass,
@@ -138,12 +141,12 @@
     })
 }
 
-/// Id of the n-th job.
+/// Id of job number `n`.
 pub fn job_id(n: usize) -> JobId {
     JobId::from(format!("req-{n:06}").as_str())
 }
 
-/// Draws the n-th job of a class, without its number and dependencies.
+/// Draws the n-th job of a class, without its final id and dependencies.
 fn draw_job(class: &JobClass, n: usize, at_us: u64, rng: &mut ChaCha8Rng) -> PlannedSubmission {
     let tasks = (class.tasks.draw(rng).round() as u64).clamp(1, MAX_TASKS);
     let service = class.shape == JobKind::Service;
@@ -176,7 +179,8 @@
         deadline_s: None,
         depends_on: Vec::new(),
     };
-    // Drawn only where there are some, so that others draw what they drew before.
+    // Draws only if the class has broken jobs: the random sequence of other classes must not
+    // depend on this feature.
     let broken = class.broken > 0.0 && rng.random::<f64>() < class.broken;
     let withdraw_us = draw_withdrawal(class, at_us, mean_run_s, broken, rng);
     PlannedSubmission {
@@ -190,7 +194,7 @@
     }
 }
 
-/// The user's estimate of the run time, s: too long or too short.
+/// Draws the user's estimate of the run time, s: too long or too short with equal probability.
 fn draw_estimate(class: &JobClass, mean_run_s: f64, rng: &mut ChaCha8Rng) -> f64 {
     let error = 1.0 + class.estimate_error * rng.random::<f64>();
     if rng.random::<bool>() {
@@ -200,8 +204,9 @@
     }
 }
 
-/// When a job's user withdraws it, µs: a broken job after a while, a cancelled one while it
-/// waits or runs, a service at the end of its run time.
+/// Draws the time at which a job's user withdraws it, µs: a broken job within
+/// [`BROKEN_WITHDRAWN_S`], a cancelled job while it waits or runs, a service at the end of its
+/// run time.
 fn draw_withdrawal(
     class: &JobClass,
     at_us: u64,
--- a/crates/simulator/src/metrics.rs
+++ b/crates/simulator/src/metrics.rs
@@ -1,5 +1,5 @@
-//! Collects the metrics of a run while it goes on: the stages of each task's first
-//! attempt, submissions and their ends, and samples of the fleet.
+//! Collects metrics during a run: the stages of each task's first attempt, submitted jobs and
+//! their ends, and samples of the fleet.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -15,21 +15,21 @@
 use crate::report::FleetSample;
 use crate::worker::Worker;
 
-/// µs between two samples of the fleet.
+/// Interval between samples of the fleet, µs.
 const SAMPLE_INTERVAL_US: u64 = 5_000_000;
 
-/// How far a task's first attempt got, and when, µs.
+/// Times of the stages of a task's first attempt, µs.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct TaskTimeline {
-    /// When its record left the controller.
+    /// Time at which its record left the controller.
     pub(crate) record_sent: u64,
-    /// How long the scheduling pass took before that.
+    /// Duration of the scheduling pass before that.
     pub(crate) pass_us: u64,
-    /// When the store committed the record.
+    /// Time at which the store committed the record; 0: not yet.
     pub(crate) record_committed: u64,
 }
 
-/// A job's way from its first submission to its end, µs.
+/// Times of an accepted job from its first submission to its end, µs.
 pub(crate) struct JobTimeline {
     pub(crate) first_submitted: u64,
     pub(crate) accepted: u64,
@@ -38,15 +38,15 @@
     pub(crate) ended: Option<u64>,
 }
 
-/// How many jobs were submitted, and how many of them were accepted.
+/// Numbers of submitted and accepted jobs.
 pub struct SubmissionCounts {
-    /// Submitted for the first time.
+    /// Number of jobs submitted; repeated submissions of a job do not count.
     pub submitted: u64,
-    /// Accepted, as their users know.
+    /// Number of jobs whose acceptance was confirmed to their users.
     pub accepted: u64,
 }
 
-/// Collects the metrics of a run.
+/// Collects metrics during a run.
 #[derive(Default)]
 pub struct MetricsCollector {
     pub(crate) tasks: HashMap<(JobId, u32), TaskTimeline>,
@@ -59,12 +59,12 @@
 }
 
 impl MetricsCollector {
-    /// A job was submitted for the first time.
+    /// Counts a job that is submitted for the first time.
     pub fn job_submitted(&mut self) {
         self.submitted += 1;
     }
 
-    /// Jobs submitted, and those accepted.
+    /// Numbers of jobs submitted and accepted so far.
     pub fn submission_counts(&self) -> SubmissionCounts {
         SubmissionCounts {
             submitted: self.submitted,
@@ -72,17 +72,18 @@
         }
     }
 
-    /// A job was refused, or its user gave up.
+    /// Counts a job that was refused, or whose user gave up submitting it.
     pub fn job_refused(&mut self) {
         self.refused += 1;
     }
 
-    /// A user heard of a job's end so many µs after first asking for it.
+    /// Records the time from a user's first request to withdraw a job until its end was
+    /// confirmed to the user, µs.
     pub fn withdrawal_confirmed(&mut self, us: u64) {
         self.withdrawals.get_or_insert_with(histogram).record_us(us);
     }
 
-    /// A user heard that a job is accepted.
+    /// Records that a job's acceptance was confirmed to its user.
     pub fn job_accepted(
         &mut self,
         id: &JobId,
@@ -102,13 +103,14 @@
         self.jobs.entry(id.clone()).or_insert(timeline);
     }
 
-    /// The store committed a job's end.
+    /// Records that the store committed a job's end; only the first time counts.
     pub fn job_ended(&mut self, id: &JobId, now: u64) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.ended.get_or_insert(now);
         }
     }
 
+    /// Calls `visit` for each live attempt in the task chunks that a compare-and-swap writes.
     fn for_each_live_task(cas: &CompareAndSwap, mut visit: impl FnMut((JobId, u32))) {
         for write in &cas.writes {
             if let Write::Put { key, value, .. } = write
@@ -123,8 +125,8 @@
         }
     }
 
-    /// A scheduling pass that began at `now` made a compare-and-swap that leaves its
-    /// controller at `sent_at`.
+    /// Records a compare-and-swap that results from a scheduling pass begun at `now` and leaves
+    /// its controller at `sent_at`, µs.
     pub fn cas_sent(&mut self, cas: &CompareAndSwap, now: u64, sent_at: u64) {
         Self::for_each_live_task(cas, |key| {
             self.tasks.entry(key).or_insert(TaskTimeline {
@@ -135,7 +137,7 @@
         });
     }
 
-    /// The store committed a compare-and-swap.
+    /// Records that the store committed a compare-and-swap.
     pub fn cas_committed(&mut self, cas: &CompareAndSwap, now: u64) {
         Self::for_each_live_task(cas, |key| {
             let timeline = self.tasks.entry(key).or_default();
@@ -145,7 +147,7 @@
         });
     }
 
-    /// Samples the fleet, if the last sample is old enough.
+    /// Samples the fleet, unless the last sample is less than 5 s old.
     pub fn sample_fleet(
         &mut self,
         now: u64,
--- a/crates/simulator/src/report.rs
+++ b/crates/simulator/src/report.rs
@@ -1,5 +1,5 @@
-//! The report of a run: plain data, written as `report.json`. Its field names are written
-//! names, read by the plots and by other tools; they stay as they are.
+//! The report of a run, written as `report.json`. The plots and other tools read its serialized
+//! field names, which therefore must not change.
 
 use std::collections::BTreeMap;
 
@@ -8,142 +8,144 @@
 
 /// The result of one run.
 pub struct RunOutcome {
-    /// Its report; the same for the same scenario, load and seed.
+    /// The report of the run.
     pub report: RunReport,
-    /// Allocation times, µs.
+    /// Histogram of allocation times, µs.
     pub allocation: Histogram<u64>,
-    /// Events processed.
+    /// Number of simulation events processed.
     pub events: u64,
-    /// Wall time, s: a property of this machine, and no part of the report.
+    /// Wall-clock time of the run, s. It depends on the machine and is not part of the report.
     pub wall_s: f64,
 }
 
-/// The report of a run. It follows from scenario, load and seed alone.
+/// The report of a run. It depends only on scenario, load and seed.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RunReport {
-    /// Scenario.
+    /// Name of the scenario.
     pub scenario: String,
-    /// What placed the tasks: the controllers, or a baseline of the project's own.
+    /// What placed the tasks: the scheduler's controllers or a baseline.
     pub placer: String,
-    /// Seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// Simulated s.
+    /// Simulated time, s.
     pub simulated_s: f64,
-    /// Controllers.
+    /// Number of controllers.
     pub controllers: u16,
-    /// Jobs submitted, accepted, refused, over.
+    /// Numbers of jobs submitted, accepted, refused and ended.
     pub jobs: JobCounts,
-    /// Starts of tasks.
+    /// Number of task starts.
     #[serde(rename = "starts")]
     pub task_starts: u64,
-    /// From the first submission until a launch command has reached the machine, ms;
-    /// the first attempt of each task, of arrays, gangs and services alike.
+    /// Time from the first submission until a launch command has reached the machine, ms. Covers
+    /// the first attempt of each task of arrays, gangs and services.
     pub allocation: LatencySummary,
-    /// Its stages, in order: `accepting`, `queueing`, `processing`,
-    /// `recording`, `ordering`.
+    /// Stages of the allocation, ms. Their names begin with a number that gives the order:
+    /// `accepting`, `queueing`, `processing`, `recording`, `ordering`.
     #[serde(rename = "pieces")]
     pub allocation_stages: BTreeMap<String, LatencySummary>,
-    /// From the first submission until the task runs on its machine with its image, by
+    /// Time from the first submission until the task is on its machine with its image, by
     /// class, ms.
     #[serde(rename = "waiting")]
     pub time_to_start: BTreeMap<String, LatencySummary>,
-    /// From the first submission until the end is committed, by class, ms.
+    /// Time from the first submission until the end is committed, by class, ms; without
+    /// services.
     #[serde(rename = "finished")]
     pub time_to_finish: BTreeMap<String, LatencySummary>,
-    /// Tasks started and tasks submitted (up to a minute before the end), by class, by team
-    /// and for the largest jobs of each class. A run with less than half of any group
-    /// started has failed.
+    /// Tasks started and tasks submitted (up to a minute before the end of the run), by class, by
+    /// team and for the largest jobs of each class. A run has failed if fewer than half of the
+    /// tasks of any group were started.
     #[serde(rename = "served", default)]
     pub started_by_group: BTreeMap<String, (u64, u64)>,
-    /// From a user's first request to withdraw a job until its end is confirmed, ms; of
-    /// those confirmed.
+    /// Time from a user's first request to withdraw a job until its end is confirmed, ms; only
+    /// confirmed withdrawals count.
     #[serde(rename = "withdrawals", default)]
     pub withdrawal_latency: LatencySummary,
-    /// Tasks killed by the expiry of their worker's lease.
+    /// Number of tasks killed because their worker's lease expired.
     #[serde(default)]
     pub killed_by_lease: u64,
-    /// Cost of the machines, in the units of the scenario's prices.
+    /// Cost of the machines, in the currency of the scenario's prices.
     #[serde(rename = "money")]
     pub cost: f64,
-    /// Share of the processor time paid for that went into work that counted.
+    /// Share of the paid processor time that was spent on useful work: completed tasks and
+    /// service replicas.
     #[serde(rename = "useful")]
     pub useful_share: f64,
-    /// Work of all controllers together.
+    /// Total work of the controllers.
     pub work: ControllerWork,
-    /// The fleet over time.
+    /// Samples of the fleet over time.
     #[serde(rename = "series")]
     pub fleet: Vec<FleetSample>,
-    /// Invariants violated; a run with one counts for nothing.
+    /// Violated invariants. The results of a run with any violation are invalid.
     #[serde(rename = "broken")]
     pub violations: Vec<String>,
-    /// Lines of the history.
+    /// Number of lines of the history.
     #[serde(rename = "lines")]
     pub history_lines: u64,
-    /// Digest of the history (blake3, hex).
+    /// Digest of the history (BLAKE3, hex).
     #[serde(rename = "digest")]
     pub history_digest: String,
 }
 
-/// Counts of jobs.
+/// Numbers of jobs.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize, PartialEq)]
 pub struct JobCounts {
-    /// Submitted.
+    /// Jobs submitted.
     pub submitted: u64,
-    /// Accepted.
+    /// Jobs accepted.
     pub accepted: u64,
-    /// Refused, or given up after a minute.
+    /// Jobs refused, or given up by their users after a minute.
     pub refused: u64,
-    /// Ended: completed or withdrawn.
+    /// Jobs completed or withdrawn.
     #[serde(rename = "over")]
     pub ended: u64,
 }
 
-/// Counted work of the controllers.
+/// Work of the controllers.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize, PartialEq)]
 pub struct ControllerWork {
-    /// Messages received and sent.
+    /// Number of messages received and sent.
     pub messages: u64,
-    /// Bytes between controllers.
+    /// Bytes of messages between controllers.
     pub peer_bytes: u64,
-    /// Words of bits and machines that candidate walks examined.
+    /// Number of bit set words and machines examined by placement.
     #[serde(rename = "looks")]
     pub candidates_examined: u64,
-    /// Placements that owners refused for want of free resources.
+    /// Number of placements that owners refused for lack of free resources.
     #[serde(rename = "refusals")]
     pub refused_placements: u64,
-    /// Attempts preempted for others.
+    /// Number of attempts preempted.
     pub preemptions: u64,
-    /// Share of the time that the busiest controller was busy, as charged.
+    /// Share of the time for which the busiest controller was busy, by charged processing time.
     #[serde(rename = "busiest")]
     pub busiest_share: f64,
-    /// Requests that the store served.
+    /// Number of requests that the store admitted.
     pub store_requests: u64,
-    /// Writes that it committed.
+    /// Number of writes in these requests.
     pub store_writes: u64,
 }
 
-/// The fleet at one moment.
+/// A sample of the fleet.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub struct FleetSample {
-    /// s since the start.
+    /// Time since the start of the run, s.
     pub at_s: f64,
-    /// Machines provisioned.
+    /// Number of provisioned machines.
     pub machines: usize,
-    /// Of these, up.
+    /// Number of provisioned machines that are up.
     pub up: usize,
-    /// Processors taken by tasks.
+    /// Processors in use by tasks.
     pub used_cpus: f64,
     /// Processors of all machines that are up.
     pub cpus: f64,
-    /// Cost so far.
+    /// Total cost so far.
     #[serde(rename = "money")]
     pub cost: f64,
-    /// Messages that the controllers received and sent so far: the busiest alone, and all
-    /// together.
+    /// Number of messages received and sent so far: by the controller with the most, and by all
+    /// controllers.
     pub messages: (u64, u64),
 }
 
-/// Summary of a latency distribution, ms.
+/// Summary of a distribution of latencies, in ms.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq)]
 pub struct LatencySummary {
     /// Number of values.
@@ -163,7 +165,7 @@
 }
 
 impl LatencySummary {
-    /// The summary of a histogram of µs.
+    /// Summarizes a histogram of µs.
     pub fn of(h: &Histogram<u64>) -> Self {
         let ms = |x: u64| x as f64 / 1e3;
         let q = |q: f64| ms(h.value_at_quantile(q));
--- a/crates/simulator/src/run.rs
+++ b/crates/simulator/src/run.rs
@@ -1,4 +1,4 @@
-//! One run of a scenario, from its load to its report.
+//! Runs a scenario once, from its load to its report.
 
 use std::path::Path;
 use std::str::FromStr;
@@ -17,27 +17,27 @@
 use crate::simulation::Simulation;
 use crate::workload_replay::{self, WorkloadReplay};
 
-/// Where the load of a run comes from.
+/// Source of the load of a run.
 pub enum LoadSource {
-    /// The scenario's classes.
+    /// Jobs drawn from the scenario's classes.
     Synthetic,
-    /// A workload file.
+    /// Jobs of a recorded workload.
     Workload(WorkloadReplay),
 }
 
-/// What places the tasks.
+/// What places the tasks of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Placer {
     /// The scenario's controllers.
     Lemonweir,
-    /// A baseline.
+    /// A baseline placer.
     Baseline(baseline::BaselineKind),
 }
 
-/// A text that names no placer.
+/// Error from parsing a [`Placer`]; each variant carries the rejected text.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ParsePlacerError {
-    /// The number of machines to sample is out of range.
+    /// The number of machines to sample is not an integer from 1 to 64.
     #[error("{0}: from 1 to 64 machines can be asked")]
     Samples(String),
     /// No placer has this name.
@@ -61,15 +61,15 @@
     }
 }
 
-/// Why a run could not be made.
+/// Error that prevents a run.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// The history could not be created.
+    /// The history file could not be created.
     #[error("{path}: {error}")]
     History {
-        /// Its file.
+        /// Path of the file.
         path: String,
-        /// Why.
+        /// Cause of the failure.
         error: std::io::Error,
     },
     /// The workload could not be read.
@@ -77,10 +77,11 @@
     Workload(#[from] WorkloadError),
 }
 
-/// Runs a scenario; the history goes to `out/history.txt` if there is a directory.
+/// Runs a scenario. If `out` is given, the history of the simulation is written to
+/// `history.txt` in that directory, which is created if needed.
 ///
 /// # Errors
-/// If the history can't be created or the workload can't be read.
+/// Fails if the history file can't be created or the workload can't be read.
 pub fn run_once(
     scenario: Arc<Scenario>,
     source: LoadSource,
--- a/crates/simulator/src/run_report.rs
+++ b/crates/simulator/src/run_report.rs
@@ -1,5 +1,5 @@
-//! Builds the report of a simulation as it stands, and checks the terms on service: what
-//! must have been accepted, started and begun in time.
+//! Builds the report of a simulation at its current time, and checks the service terms: how
+//! many jobs must be accepted, how many tasks started, and how soon large jobs must begin.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,24 +12,26 @@
 use crate::report::{ControllerWork, JobCounts, LatencySummary, RunReport};
 use crate::simulation::Simulation;
 
-/// µs for which a job may still wait without counting as not started.
+/// Time after its first submission during which a job is left out of the counts of started
+/// tasks, µs.
 const FRESH_JOB_US: u64 = 60_000_000;
-/// µs within which the largest jobs must begin.
+/// Time within which the largest jobs must begin, µs.
 const LARGE_JOB_START_LIMIT_US: u64 = 240_000_000;
-/// One in so many jobs of a class counts as one of its largest.
+/// One in this many jobs of a class counts as one of its largest.
 const LARGEST_ONE_IN: usize = 10;
 
-/// The latencies of a run's first attempts.
+/// Latencies of the first attempt of each task.
 struct AttemptLatencies {
-    /// From submission to the launch command on the machine.
+    /// Time from submission to the arrival of the launch command at the machine.
     allocation: Histogram<u64>,
-    /// The same by stage.
+    /// Stages of the allocation.
     stages: NamedHistograms,
-    /// From submission to the start, by class.
+    /// Time from submission to the start, by class.
     time_to_start: NamedHistograms,
 }
 
-/// The report of a simulation as it stands, with the histogram of allocation times.
+/// Builds the report of a simulation at its current time, and the histogram of allocation
+/// times.
 pub fn run_report(simulation: &Simulation, seed: u64) -> (RunReport, Histogram<u64>) {
     let metrics = &simulation.metrics;
     let workload = &simulation.workload;
@@ -89,7 +91,8 @@
     finished
 }
 
-/// Share of the processor time paid for that went into work that counted.
+/// Share of the paid processor time that was spent on useful work. Running service replicas
+/// count up to now; other tasks only once they have completed.
 fn useful_share(simulation: &Simulation) -> f64 {
     let paid_s: f64 = simulation
         .metrics
@@ -143,7 +146,7 @@
         let mut stage = |name: &str, from: u64, to: u64| {
             latencies.stages.record(name, to.saturating_sub(from));
         };
-        // The names are written into the report; the number in front gives their order.
+        // The names are part of the report format; their number gives the order of the stages.
         stage("1 accepting", job.first_submitted, job.accepted);
         stage(
             "2 queueing",
@@ -169,9 +172,9 @@
     latencies
 }
 
-/// The largest jobs of each class: a tenth of them, and all of the largest size. Jobs with
-/// a mistake and jobs with dependencies do not count: how long a job waits for others is
-/// not its controllers' doing.
+/// The largest tenth of the jobs of each class, and all jobs of the largest size. Jobs with a
+/// mistake and jobs with dependencies are left out; controllers do not determine how long a job
+/// waits for its dependencies.
 fn largest_jobs(simulation: &Simulation) -> BTreeSet<&JobId> {
     let mut by_class: BTreeMap<&str, Vec<(u64, &JobId)>> = BTreeMap::new();
     for (id, job) in simulation
@@ -199,7 +202,8 @@
     largest
 }
 
-/// One line for each of the largest jobs of a class that had not begun within 240 s.
+/// Describes each of the largest jobs that had not begun within 240 s of its first submission,
+/// except those withdrawn by then.
 pub fn late_large_jobs(simulation: &Simulation) -> Vec<String> {
     let late = |id: &&JobId| {
         let Some(job) = simulation.metrics.jobs.get(*id) else {
@@ -227,8 +231,8 @@
         .collect()
 }
 
-/// Tasks started and tasks submitted, by class, by team, and of the largest jobs of each
-/// class. Jobs with a mistake, jobs that their users cancel, and jobs submitted within the
+/// Numbers of tasks started and submitted by class, by team, and for the largest jobs of each
+/// class. Jobs with a mistake, jobs cancelled by their users, and jobs submitted within the
 /// last minute, which may still wait, do not count.
 pub fn tasks_started_by_group(simulation: &Simulation) -> BTreeMap<String, (u64, u64)> {
     let workload = &simulation.workload;
@@ -259,20 +263,22 @@
     groups
 }
 
-/// True if a job's user cancels it; every service ends by a withdrawal, which is no
-/// cancellation.
+/// True if a job's user cancels it. The withdrawal of a service does not count: it is how
+/// every service ends.
 fn is_cancelled(simulation: &Simulation, id: &JobId, job: &SimulatedJob) -> bool {
     job.spec.kind != JobKind::Service
         && (simulation.withdrawal(id).is_some() || simulation.workload.checker.is_cancelled(id))
 }
 
+/// True if a job was submitted so recently that it may still wait.
 fn is_fresh(simulation: &Simulation, id: &JobId) -> bool {
     let fresh = |job: &JobTimeline| job.first_submitted + FRESH_JOB_US > simulation.now;
     simulation.metrics.jobs.get(id).is_some_and(fresh)
 }
 
-/// What a run violated: invariants, and the terms on what must be accepted, started and
-/// begun in time.
+/// Violations of a run: of the invariants, and of the service terms. At least half of the
+/// submissions must be accepted, at least half of the tasks of each group started, and the
+/// largest jobs begun in time.
 pub fn violated_terms(simulation: &Simulation) -> Vec<String> {
     let mut violations = simulation.workload.checker.violations.clone();
     let counts = simulation.metrics.submission_counts();
--- a/crates/simulator/src/store.rs
+++ b/crates/simulator/src/store.rs
@@ -1,5 +1,5 @@
-//! A simulated state service, from the protocol page: versions, compare-and-swap on
-//! conditions, watches, leases, limits.
+//! Simulated key-value store, written from the protocol page: versions, compare-and-swap on
+//! conditions, watches, leases and limits.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -8,10 +8,10 @@
 use lemonweir_protocol::kv_store::{CompareAndSwap, KeyValue, WatchEvent, Write};
 use rmpv::Value;
 
-/// Watch events that it keeps (protocol page).
+/// Number of watch events that the store retains (protocol page).
 const KEPT_EVENTS: usize = 10_000;
 
-/// A stored value.
+/// A stored value with its version and the lease that it is attached to.
 #[derive(Clone)]
 struct StoredValue {
     value: Value,
@@ -25,19 +25,19 @@
     keys: BTreeSet<String>,
 }
 
-/// How a compare-and-swap ended.
+/// Result of a compare-and-swap.
 pub enum CasAnswer {
-    /// Committed at this revision.
+    /// Committed; the revision of the store afterwards.
     Committed(u64),
-    /// Not committed: these keys had another version.
+    /// Not committed: these keys did not have the expected version.
     Conflict(Vec<String>),
-    /// It names a lease that has expired.
+    /// Not committed: a write is attached to a lease that has expired.
     LeaseExpired,
-    /// It has more writes, or a larger value, than the store takes.
+    /// Not committed: it exceeds the limits on writes, conditions or the size of a value.
     TooLarge,
 }
 
-/// A limit that allows a burst of one second's worth.
+/// Token bucket that holds the tokens of one second.
 struct RateLimit {
     per_s: f64,
     tokens: f64,
@@ -57,22 +57,22 @@
     }
 }
 
-/// Requests that the store admitted.
+/// Numbers of requests and writes that the store admitted.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServedCounts {
-    /// Requests.
+    /// Number of requests.
     pub requests: u64,
-    /// Writes in them.
+    /// Number of writes in these requests.
     pub writes: u64,
 }
 
-/// The store.
+/// The simulated key-value store.
 pub struct Store {
-    /// Revision of the newest change.
+    /// Revision of the latest change.
     pub revision: u64,
-    /// True in an outage.
+    /// True during an outage.
     pub down: bool,
-    /// What it served.
+    /// Requests and writes admitted so far.
     pub served: ServedCounts,
     keys: BTreeMap<String, StoredValue>,
     events: VecDeque<WatchEvent>,
@@ -80,14 +80,14 @@
     next_lease: u64,
     requests: RateLimit,
     writes: RateLimit,
-    /// Bytes of a value as JSON at most.
+    /// Maximum size of a value as JSON, bytes.
     value_bytes: usize,
-    /// Writes of a compare-and-swap at most.
+    /// Maximum number of writes in a compare-and-swap.
     cas_writes: usize,
 }
 
 impl Store {
-    /// An empty store with these limits.
+    /// Creates an empty store with these limits.
     pub fn new(limits: &KvStoreLimits) -> Self {
         let rate = |per_s: f64| RateLimit {
             per_s,
@@ -109,7 +109,8 @@
         }
     }
 
-    /// From now on its next limits hold. What is stored stays.
+    /// Applies the lower of the current and the next limits from now on. Stored values that
+    /// exceed them are kept.
     pub fn lower_limits(&mut self, limits: &KvStoreLimits) {
         self.requests.per_s = limits.lowest_requests_per_s();
         self.writes.per_s = limits.lowest_writes_per_s();
@@ -118,7 +119,7 @@
     }
 
     fn within_limits(&self, cas: &CompareAndSwap) -> bool {
-        // A value that can't be written as JSON has no size that counts.
+        // A value that can't be serialized as JSON counts as empty.
         let bytes = |value: &Value| serde_json::to_vec(value).map_or(0, |text| text.len());
         let fits = |write: &Write| {
             if let Write::Put { value, .. } = write {
@@ -132,7 +133,8 @@
             && cas.writes.iter().all(fits)
     }
 
-    /// Counts a request against the limits; false: 429, it is over them.
+    /// Charges a request with this many writes to the rate limits. Returns false if it exceeds
+    /// them and must be answered with 429.
     pub fn admit(&mut self, writes: usize, now: u64) -> bool {
         let good =
             self.requests.take(1.0, now) && (writes == 0 || self.writes.take(writes as f64, now));
@@ -143,12 +145,12 @@
         good
     }
 
-    /// A key's value and version.
+    /// Returns the value and version of a key.
     pub fn get(&self, key: &str) -> Option<(&Value, u64)> {
         self.keys.get(key).map(|h| (&h.value, h.version))
     }
 
-    /// All keys with a prefix.
+    /// Returns all entries whose keys have a prefix.
     pub fn list(&self, prefix: &str) -> Vec<KeyValue> {
         let from = self
             .keys
@@ -162,7 +164,8 @@
         .collect()
     }
 
-    /// The watch events under a prefix since a revision; `None`: it is too old.
+    /// Returns the watch events after a revision for keys with a prefix, or `None` if events
+    /// after it are no longer retained.
     pub fn changes(&self, prefix: &str, after: u64) -> Option<Vec<WatchEvent>> {
         if self.events.front().is_some_and(|c| c.version > after + 1)
             && self.events.len() >= KEPT_EVENTS
@@ -186,6 +189,7 @@
         }
     }
 
+    /// Detaches a key from its lease.
     fn detach(&mut self, key: &str) {
         if let Some(lease) = self.keys.get(key).and_then(|stored| stored.lease)
             && let Some(lease) = self.leases.get_mut(&lease)
@@ -227,7 +231,7 @@
         }
     }
 
-    /// Executes a compare-and-swap.
+    /// Executes a compare-and-swap atomically.
     pub fn compare_and_swap(&mut self, cas: &CompareAndSwap) -> CasAnswer {
         if !self.within_limits(cas) {
             return CasAnswer::TooLarge;
@@ -290,7 +294,7 @@
         self.next_lease
     }
 
-    /// Renews a lease; false: it has expired.
+    /// Renews a lease. Returns false if it has expired.
     pub fn renew_lease(&mut self, lease: u64, now: u64) -> bool {
         self.leases
             .get_mut(&lease)
@@ -298,7 +302,8 @@
             .is_some()
     }
 
-    /// Expires the leases whose time is over, with their keys.
+    /// Removes the leases that have expired together with their keys. None expires during an
+    /// outage.
     pub fn expire_leases(&mut self, now: u64) {
         if self.down {
             return;
@@ -324,7 +329,7 @@
         }
     }
 
-    /// An outage is over: all leases get their full time back.
+    /// Ends an outage and renews all leases for their full TTL.
     pub fn recover(&mut self, now: u64) {
         self.down = false;
         self.leases
--- a/crates/simulator/src/workload_replay.rs
+++ b/crates/simulator/src/workload_replay.rs
@@ -1,4 +1,4 @@
-//! Load from a recorded workload: the jobs of a trace, submitted to a scenario's teams.
+//! Replays a recorded workload: the jobs of a trace, submitted for the teams of a scenario.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -10,39 +10,39 @@
 use crate::load_generator::job_id;
 use crate::scenario::Scenario;
 
-/// Copies of a job are submitted one after the other within so many µs.
+/// Period over which the submissions of the copies of a job are spread, µs.
 const COPIES_WITHIN_US: u64 = 1_000_000;
 
-/// A workload to be replayed.
+/// A workload file and how to replay it.
 #[derive(Clone, Debug)]
 pub struct WorkloadReplay {
-    /// The file.
+    /// Path of the workload file.
     pub file: PathBuf,
-    /// How many times as close together its submissions come.
+    /// Factor by which the intervals between submissions are shortened.
     pub speed: f64,
-    /// How many times each job is submitted.
+    /// Number of times that each job is submitted; 0 counts as 1.
     pub copies: u32,
 }
 
-/// The load of a replay.
+/// The load that results from a replay.
 pub struct ReplayedLoad {
-    /// The jobs in the order of the workload.
+    /// Jobs in the order of the workload.
     pub jobs: Vec<PlannedSubmission>,
-    /// Constraints that were ignored.
+    /// Number of constraints that were ignored.
     pub ignored_constraints: u64,
 }
 
-/// The jobs of a workload file. A team that the scenario does not know is replaced by one of
-/// its teams, the same one every time; constraints on attributes that its machines don't have
-/// are ignored and counted.
+/// Reads the jobs of a workload file. A team that the scenario does not have is replaced by one
+/// of its teams, always the same one; constraints concern attributes that its machines don't
+/// have, and are ignored and counted.
 ///
 /// # Errors
-/// If the file can't be read or is no workload.
+/// Fails if the file can't be read or is not a valid workload.
 pub fn replay(replay: &WorkloadReplay, scenario: &Scenario) -> Result<ReplayedLoad, WorkloadError> {
     let (mut jobs, mut ignored_constraints, mut first_ms) = (Vec::new(), 0, None);
     let copies = u64::from(replay.copies.max(1));
     workload::read(&replay.file, |entry| {
-        // The first job comes at the start, wherever the trace's zero is.
+        // Times in a trace have an arbitrary origin: the first job is submitted at time 0.
         let zero_ms = *first_ms.get_or_insert(entry.at_ms);
         ignored_constraints += entry.constraints.len() as u64;
         for copy in 0..copies {
@@ -87,7 +87,7 @@
         same_zone: false,
         spread: false,
         allow_spot: true,
-        // Traces tell of no images: one that is nowhere and takes no time.
+        // Traces contain no images: an image of size 0 needs no download.
         image: "none".into(),
         image_gb: 0.0,
         estimated_runtime_s: if service { 0.0 } else { mean_us as f64 / 1e6 },
@@ -107,7 +107,7 @@
     }
 }
 
-/// The scenario's team of that name, or one that follows from the name.
+/// The scenario's team with this name, or one chosen by a hash of the name.
 fn team_for(name: &str, scenario: &Scenario) -> String {
     let hash = blake3::hash(name.as_bytes());
     let pick = usize::from(u16::from_le_bytes([hash.as_bytes()[0], hash.as_bytes()[1]]))
