--- a/crates/simulator/src/baseline.rs
+++ b/crates/simulator/src/baseline.rs
@@ -78,9 +78,9 @@
     /// Time until which the central placer is busy, µs.
     busy_until: u64,
     /// True if a placement pass is scheduled.
-    placing: bool,
+    placement_scheduled: bool,
     /// Number of tasks of each job that have not ended.
-    left: Vec<u32>,
+    unfinished_tasks: Vec<u32>,
     /// Start time of each task, µs.
     launched: BTreeMap<(usize, u32), u64>,
     /// Machine of each running task.
@@ -103,7 +103,7 @@
     load: &[PlannedSubmission],
     seed: u64,
 ) -> RunOutcome {
-    let began = std::time::Instant::now();
+    let started = std::time::Instant::now();
     let machines: Vec<Machine> = scenario
         .machine_kinds
         .iter()
@@ -113,15 +113,15 @@
                 kind.at_start as usize * scenario.zones.len(),
             )
         })
-        .map(|room| Machine {
-            capacity: room,
-            free: room,
+        .map(|resources| Machine {
+            capacity: resources,
+            free: resources,
             queue: VecDeque::new(),
         })
         .collect();
     let mut run = BaselineRun {
         known_free: machines.iter().map(|machine| machine.capacity).collect(),
-        left: load.iter().map(|p| p.job.spec.tasks as u32).collect(),
+        unfinished_tasks: load.iter().map(|p| p.job.spec.tasks as u32).collect(),
         withdrawn: vec![false; load.len()],
         scenario,
         load,
@@ -132,7 +132,7 @@
         machines,
         waiting: BTreeMap::new(),
         busy_until: 0,
-        placing: false,
+        placement_scheduled: false,
         launched: BTreeMap::new(),
         running: BTreeMap::new(),
         sent: BTreeMap::new(),
@@ -163,7 +163,7 @@
         report,
         allocation,
         events,
-        wall_s: began.elapsed().as_secs_f64(),
+        wall_s: started.elapsed().as_secs_f64(),
     }
 }
 
@@ -204,15 +204,15 @@
                 self.history.note(self.now, "submit", &spec.id, &"");
                 self.waiting.insert((spec.priority, job), 0);
                 let at = self.now + self.network_delay();
-                self.wake_placer(at);
+                self.schedule_placement(at);
             }
             (Event::JobArrives(job), BaselineKind::Sampler(d)) => {
                 self.history
                     .note(self.now, "submit", &self.load[job].job.spec.id, &"");
-                (0..self.left[job]).for_each(|task| self.send_to_sampled(job, task, d));
+                (0..self.unfinished_tasks[job]).for_each(|task| self.send_to_sampled(job, task, d));
             }
             (Event::PlaceWaiting, _) => {
-                self.placing = false;
+                self.placement_scheduled = false;
                 self.place_waiting();
             }
             (Event::TaskArrives(job, task, machine), BaselineKind::Central) => {
@@ -220,13 +220,13 @@
             }
             (Event::TaskArrives(job, task, machine), BaselineKind::Sampler(_)) => {
                 self.machines[machine].queue.push_back((job, task));
-                self.serve_queue(machine);
+                self.start_queued_tasks(machine);
             }
             (Event::TaskEnds(job, task, machine), _) => self.end_task(kind, job, task, machine),
             (Event::ResourcesFreed(job, machine), _) => {
                 self.known_free[machine] = self.known_free[machine].plus(&self.need(job));
                 self.charge(1, 0);
-                self.wake_placer(self.now);
+                self.schedule_placement(self.now);
             }
             (Event::JobWithdrawn(job), _) => {
                 self.withdrawn[job] = true;
@@ -245,9 +245,9 @@
     }
 
     /// Schedules a placement pass at `at`, or once the placer is idle, unless one is scheduled.
-    fn wake_placer(&mut self, at: u64) {
-        if !self.placing {
-            self.placing = true;
+    fn schedule_placement(&mut self, at: u64) {
+        if !self.placement_scheduled {
+            self.placement_scheduled = true;
             self.schedule_at(at.max(self.busy_until), Event::PlaceWaiting);
         }
     }
@@ -257,25 +257,25 @@
     /// Places the waiting jobs in order of priority and submission.
     fn place_waiting(&mut self) {
         let mut failed: Vec<Resources> = Vec::new();
-        for (rank, job) in self.waiting.keys().copied().collect::<Vec<_>>() {
+        for (priority, job) in self.waiting.keys().copied().collect::<Vec<_>>() {
             let need = self.need(job);
             // Tasks that need at least as much as one that did not fit are skipped in this pass.
             if failed.iter().any(|other| need.covers(other)) {
                 continue;
             }
             let tasks = self.load[job].job.spec.tasks as u32;
-            let mut next = self.waiting.get(&(rank, job)).copied().unwrap_or(tasks);
+            let mut next = self.waiting.get(&(priority, job)).copied().unwrap_or(tasks);
             let chosen = self.choose_machines(&need, next..tasks);
             next += chosen.len() as u32;
             if next < tasks {
                 failed.push(need);
                 if self.load[job].job.spec.kind == JobKind::Gang {
-                    self.give_back(&need, &chosen);
+                    self.release_resources(&need, &chosen);
                     continue;
                 }
-                self.waiting.insert((rank, job), next);
+                self.waiting.insert((priority, job), next);
             } else {
-                self.waiting.remove(&(rank, job));
+                self.waiting.remove(&(priority, job));
             }
             self.send_tasks(job, chosen);
         }
@@ -297,7 +297,7 @@
         chosen
     }
 
-    fn give_back(&mut self, need: &Resources, chosen: &[(u32, usize)]) {
+    fn release_resources(&mut self, need: &Resources, chosen: &[(u32, usize)]) {
         for (_, machine) in chosen {
             self.known_free[*machine] = self.known_free[*machine].plus(need);
         }
@@ -319,23 +319,23 @@
     fn send_to_sampled(&mut self, job: usize, task: u32, d: u32) {
         let need = self.need(job);
         let mut best: Option<(usize, usize)> = None;
-        let mut back = self.now;
+        let mut sampled_at = self.now;
         for _ in 0..d {
             let machine = self.rng.random_range(0..self.machines.len());
-            let there = self.network_delay();
-            back = back.max(self.now + there + self.network_delay());
+            let request_delay = self.network_delay();
+            sampled_at = sampled_at.max(self.now + request_delay + self.network_delay());
             if self.machines[machine].capacity.covers(&need) {
-                let length = self.machines[machine].queue.len()
+                let queue_length = self.machines[machine].queue.len()
                     + usize::from(!self.machines[machine].free.covers(&need));
                 best = best
-                    .min(Some((length, machine)))
-                    .or(Some((length, machine)));
+                    .min(Some((queue_length, machine)))
+                    .or(Some((queue_length, machine)));
             }
         }
         match best {
             Some((_, machine)) => {
-                self.sent.insert((job, task), (back, 0));
-                let at = back + self.network_delay();
+                self.sent.insert((job, task), (sampled_at, 0));
+                let at = sampled_at + self.network_delay();
                 self.schedule_at(at, Event::TaskArrives(job, task, machine));
             }
             // No sampled machine is large enough for the task: sample again.
@@ -352,7 +352,7 @@
 
     /// Starts the queued tasks of a machine in order while the next one fits; tasks of withdrawn
     /// jobs are removed.
-    fn serve_queue(&mut self, machine: usize) {
+    fn start_queued_tasks(&mut self, machine: usize) {
         while let Some(&(job, task)) = self.machines[machine].queue.front() {
             let need = self.need(job);
             if !self.withdrawn[job] && !self.machines[machine].free.covers(&need) {
@@ -403,8 +403,8 @@
             return;
         }
         self.machines[machine].free = self.machines[machine].free.plus(&self.need(job));
-        self.left[job] -= 1;
-        if self.left[job] == 0 {
+        self.unfinished_tasks[job] -= 1;
+        if self.unfinished_tasks[job] == 0 {
             self.history
                 .note(self.now, "ended", &self.load[job].job.spec.id, &"");
             self.finished.insert(job, self.now);
@@ -414,7 +414,7 @@
                 let at = self.now + self.network_delay();
                 self.schedule_at(at, Event::ResourcesFreed(job, machine));
             }
-            BaselineKind::Sampler(_) => self.serve_queue(machine),
+            BaselineKind::Sampler(_) => self.start_queued_tasks(machine),
         }
     }
 
@@ -460,7 +460,7 @@
                 ended: self.finished.len() as u64,
             },
             task_starts: self.launched.len() as u64,
-            allocation: LatencySummary::of(&allocation),
+            allocation: LatencySummary::from_histogram(&allocation),
             allocation_stages: stages.summaries(),
             time_to_start: time_to_start.summaries(),
             time_to_finish: time_to_finish.summaries(),
--- a/crates/simulator/src/histograms.rs
+++ b/crates/simulator/src/histograms.rs
@@ -49,7 +49,7 @@
     pub fn summaries(&self) -> BTreeMap<String, LatencySummary> {
         self.0
             .iter()
-            .map(|(name, histogram)| (name.clone(), LatencySummary::of(histogram)))
+            .map(|(name, histogram)| (name.clone(), LatencySummary::from_histogram(histogram)))
             .collect()
     }
 }
--- a/crates/simulator/src/invariants.rs
+++ b/crates/simulator/src/invariants.rs
@@ -28,14 +28,14 @@
     pub starts: u64,
     specs: BTreeMap<JobId, Arc<JobSpec>>,
     /// Machines that each task is on.
-    machines_of: HashMap<(JobId, u32), Vec<OccupiedMachine>>,
+    machines_by_task: HashMap<(JobId, u32), Vec<OccupiedMachine>>,
     /// Number of tasks on machines by job and zone.
     tasks_in_zones: HashMap<JobId, BTreeMap<String, u32>>,
     /// Resources in use by the tasks of each team.
     usage: BTreeMap<String, Resources>,
     quota_limits: BTreeMap<String, Resources>,
     /// Completed tasks of jobs whose end is not committed yet.
-    completed: HashMap<JobId, BTreeSet<u32>>,
+    completed_tasks: HashMap<JobId, BTreeSet<u32>>,
     /// Time of the last start of a task of each job.
     last_start: HashMap<JobId, u64>,
     /// Time at which each cancellation was first committed or confirmed to a user.
@@ -43,11 +43,11 @@
     /// Final phases that were committed or confirmed to a user.
     ended: BTreeMap<JobId, JobPhase>,
     /// Final phases that users were told.
-    told: BTreeMap<JobId, TerminalAnswer>,
+    terminal_answers: BTreeMap<JobId, TerminalAnswer>,
     /// Withdrawn jobs that still have tasks on machines.
-    lingering: BTreeSet<JobId>,
+    withdrawn_on_machines: BTreeSet<JobId>,
     /// Time within which the tasks of a withdrawn job must be gone.
-    cancel_us: u64,
+    cancellation_deadline_us: u64,
     /// Number of live tasks of each gang by attempt, from the launch command to the exit.
     live_gang_tasks: HashMap<JobId, BTreeMap<u32, u32>>,
     /// Jobs that a user waits for, with the time of the last answer about them.
@@ -57,10 +57,10 @@
 impl InvariantChecker {
     /// Creates a checker with the quota limits of the teams and the time within which the tasks
     /// of a cancelled job must be gone, µs.
-    pub fn new(quota_limits: BTreeMap<String, Resources>, cancel_us: u64) -> Self {
+    pub fn new(quota_limits: BTreeMap<String, Resources>, cancellation_deadline_us: u64) -> Self {
         Self {
             quota_limits,
-            cancel_us,
+            cancellation_deadline_us,
             ..Self::default()
         }
     }
@@ -92,14 +92,17 @@
         }
         self.withdrawn.entry(job.clone()).or_insert(now);
         if self.tasks_on_machines(job) > 0 {
-            self.lingering.insert(job.clone());
+            self.withdrawn_on_machines.insert(job.clone());
         }
     }
 
     /// Records that a task completed.
     pub fn task_completed(&mut self, job: &JobId, task: u32) {
         if !self.ended.contains_key(job) {
-            self.completed.entry(job.clone()).or_default().insert(task);
+            self.completed_tasks
+                .entry(job.clone())
+                .or_default()
+                .insert(task);
         }
     }
 
@@ -138,7 +141,7 @@
     fn completion_committed(&mut self, id: JobId, now: u64) {
         let tasks = self.specs.get(&id).map_or(0, |spec| spec.tasks);
         let completed = self
-            .completed
+            .completed_tasks
             .remove(&id)
             .map_or(0, |tasks| tasks.len() as u64);
         if completed < tasks {
@@ -157,12 +160,17 @@
         let late = |job: &&JobId| {
             self.withdrawn
                 .get(*job)
-                .is_some_and(|&at| now > at + self.cancel_us)
+                .is_some_and(|&at| now > at + self.cancellation_deadline_us)
         };
-        let late: Vec<JobId> = self.lingering.iter().filter(late).cloned().collect();
+        let late: Vec<JobId> = self
+            .withdrawn_on_machines
+            .iter()
+            .filter(late)
+            .cloned()
+            .collect();
         for job in late {
             self.violation(now, format!("ran_cancelled: {job} still runs"));
-            self.lingering.remove(&job);
+            self.withdrawn_on_machines.remove(&job);
         }
     }
 }
--- a/crates/simulator/src/invariants/answers.rs
+++ b/crates/simulator/src/invariants/answers.rs
@@ -9,7 +9,7 @@
 use super::InvariantChecker;
 
 /// Time without an answer after which a job counts as forgotten, µs.
-const FORGOTTEN_US: u64 = 75_000_000;
+const MAX_UNANSWERED_US: u64 = 75_000_000;
 
 /// The final phase of a job that a user was told, and when.
 pub(super) struct TerminalAnswer {
@@ -33,7 +33,7 @@
     /// that were told before the request was made.
     pub fn told(&mut self, job: &JobId, answer: UserAnswer, now: u64) {
         let before = self
-            .told
+            .terminal_answers
             .get(job)
             .filter(|told| told.at <= answer.asked)
             .map(|told| told.phase);
@@ -66,7 +66,7 @@
                 );
             }
             Some(phase @ (JobPhase::Done | JobPhase::Withdrawn)) => {
-                self.told
+                self.terminal_answers
                     .entry(job.clone())
                     .or_insert(TerminalAnswer { phase, at: now });
             }
@@ -89,7 +89,7 @@
                 if self
                     .withdrawn
                     .get(dependency)
-                    .is_some_and(|at| asked > at + self.cancel_us)
+                    .is_some_and(|at| asked > at + self.cancellation_deadline_us)
                 {
                     return true;
                 }
@@ -112,7 +112,7 @@
     /// Checks that every job that a user waits for gets answers. Time before `quiet_since`, when
     /// the last fault ended, does not count.
     pub fn check_answers(&mut self, quiet_since: u64, now: u64) {
-        let late = |at: &u64| (*at).max(quiet_since) + FORGOTTEN_US < now;
+        let late = |at: &u64| (*at).max(quiet_since) + MAX_UNANSWERED_US < now;
         let mut forgotten: Vec<JobId> = self
             .awaiting_answer
             .iter()
--- a/crates/simulator/src/invariants/gangs.rs
+++ b/crates/simulator/src/invariants/gangs.rs
@@ -3,7 +3,7 @@
 use lemonweir_model::AttemptId;
 
 use super::InvariantChecker;
-use crate::job::is_real_gang;
+use crate::job::is_multi_task_gang;
 
 impl InvariantChecker {
     /// Records that a task's launch command was accepted, and checks that no other attempt of its
@@ -12,7 +12,7 @@
         if !self
             .specs
             .get(&id.job)
-            .is_some_and(|spec| is_real_gang(spec))
+            .is_some_and(|spec| is_multi_task_gang(spec))
         {
             return;
         }
--- a/crates/simulator/src/invariants/placement.rs
+++ b/crates/simulator/src/invariants/placement.rs
@@ -103,7 +103,7 @@
                 format!("wrong_place: {job}/{task} starts on a wrong {what}"),
             );
         }
-        self.machines_of
+        self.machines_by_task
             .entry(key)
             .or_default()
             .push(OccupiedMachine {
@@ -111,13 +111,13 @@
                 zone: placement.zone.to_owned(),
             });
         if self.withdrawn.contains_key(job) {
-            self.lingering.insert(job.clone());
+            self.withdrawn_on_machines.insert(job.clone());
         }
         self.charge_quota(&spec, now);
     }
 
     fn check_runs_once(&mut self, key: &(JobId, u32), placement: TaskPlacement<'_>, now: u64) {
-        let Some(machines) = self.machines_of.get(key).filter(|on| !on.is_empty()) else {
+        let Some(machines) = self.machines_by_task.get(key).filter(|on| !on.is_empty()) else {
             return;
         };
         let (job, task) = key;
@@ -171,7 +171,7 @@
     /// Records that a task is no longer on a machine.
     pub fn left(&mut self, job: &JobId, task: u32, machine: usize) {
         let key = (job.clone(), task);
-        let Some(machines) = self.machines_of.get_mut(&key) else {
+        let Some(machines) = self.machines_by_task.get_mut(&key) else {
             return;
         };
         let Some(i) = machines.iter().position(|on| on.machine == machine) else {
@@ -179,7 +179,7 @@
         };
         let zone = machines.swap_remove(i).zone;
         if machines.is_empty() {
-            self.machines_of.remove(&key);
+            self.machines_by_task.remove(&key);
         }
         if let Some(tasks) = self
             .tasks_in_zones
@@ -194,7 +194,7 @@
             *usage = usage.minus(&spec.task_resources());
         }
         if self.tasks_on_machines(job) == 0 {
-            self.lingering.remove(job);
+            self.withdrawn_on_machines.remove(job);
             self.tasks_in_zones.remove(job);
         }
     }
--- a/crates/simulator/src/job.rs
+++ b/crates/simulator/src/job.rs
@@ -37,6 +37,6 @@
 
 /// True if a job is a gang of several tasks, which start and end together. A gang of one task
 /// runs like an array.
-pub(crate) fn is_real_gang(spec: &JobSpec) -> bool {
+pub(crate) fn is_multi_task_gang(spec: &JobSpec) -> bool {
     spec.kind == JobKind::Gang && spec.tasks > 1
 }
--- a/crates/simulator/src/report.rs
+++ b/crates/simulator/src/report.rs
@@ -166,17 +166,17 @@
 
 impl LatencySummary {
     /// Summarizes a histogram of µs.
-    pub fn of(h: &Histogram<u64>) -> Self {
+    pub fn from_histogram(histogram: &Histogram<u64>) -> Self {
         let ms = |x: u64| x as f64 / 1e3;
-        let q = |q: f64| ms(h.value_at_quantile(q));
+        let q = |q: f64| ms(histogram.value_at_quantile(q));
         Self {
-            count: h.len(),
-            mean: h.mean() / 1e3,
+            count: histogram.len(),
+            mean: histogram.mean() / 1e3,
             p50: q(0.5),
             p90: q(0.9),
             p99: q(0.99),
             p999: q(0.999),
-            max: ms(h.max()),
+            max: ms(histogram.max()),
         }
     }
 }
--- a/crates/simulator/src/run_report.rs
+++ b/crates/simulator/src/run_report.rs
@@ -14,11 +14,11 @@
 
 /// Time after its first submission during which a job is left out of the counts of started
 /// tasks, µs.
-const FRESH_JOB_US: u64 = 60_000_000;
+const START_GRACE_US: u64 = 60_000_000;
 /// Time within which the largest jobs must begin, µs.
 const LARGE_JOB_START_LIMIT_US: u64 = 240_000_000;
 /// One in this many jobs of a class counts as one of its largest.
-const LARGEST_ONE_IN: usize = 10;
+const LARGEST_JOBS_DIVISOR: usize = 10;
 
 /// Latencies of the first attempt of each task.
 struct AttemptLatencies {
@@ -45,7 +45,7 @@
         controllers: simulation.scenario.controllers,
         jobs: job_counts(simulation),
         task_starts: workload.checker.starts,
-        allocation: LatencySummary::of(&latencies.allocation),
+        allocation: LatencySummary::from_histogram(&latencies.allocation),
         allocation_stages: latencies.stages.summaries(),
         time_to_start: latencies.time_to_start.summaries(),
         time_to_finish: time_to_finish(simulation).summaries(),
@@ -53,7 +53,7 @@
         withdrawal_latency: metrics
             .withdrawals
             .as_ref()
-            .map(LatencySummary::of)
+            .map(LatencySummary::from_histogram)
             .unwrap_or_default(),
         killed_by_lease: workload.killed_by_lease,
         cost: simulation.cloud.spent(simulation.now),
@@ -100,13 +100,13 @@
         .windows(2)
         .map(|pair| pair[0].cpus * (pair[1].at_s - pair[0].at_s))
         .sum();
-    let serving: u128 = simulation
+    let running_services: u128 = simulation
         .workers
         .iter()
         .flatten()
-        .map(|worker| worker.serving(simulation.now, &simulation.workload))
+        .map(|worker| worker.service_processor_time(simulation.now, &simulation.workload))
         .sum();
-    let useful_s = (simulation.workload.useful + serving) as f64 / 1e9;
+    let useful_s = (simulation.workload.useful_milli_cpu_us + running_services) as f64 / 1e9;
     if paid_s > 0.0 { useful_s / paid_s } else { 0.0 }
 }
 
@@ -191,7 +191,7 @@
     let mut largest = BTreeSet::new();
     for mut jobs in by_class.into_values() {
         jobs.sort_unstable_by(|a, b| b.cmp(a));
-        let (most_tasks, share) = (jobs[0].0, jobs.len().div_ceil(LARGEST_ONE_IN));
+        let (most_tasks, share) = (jobs[0].0, jobs.len().div_ceil(LARGEST_JOBS_DIVISOR));
         largest.extend(
             jobs.iter()
                 .enumerate()
@@ -239,7 +239,7 @@
     let mut groups: BTreeMap<String, (u64, u64)> = BTreeMap::new();
     let largest = largest_jobs(simulation);
     for (id, job) in workload.jobs.iter().filter(|(_, job)| !job.broken) {
-        if is_cancelled(simulation, id, job) || is_fresh(simulation, id) {
+        if is_cancelled(simulation, id, job) || is_in_start_grace(simulation, id) {
             continue;
         }
         let started = (0..job.spec.tasks as u32)
@@ -271,9 +271,9 @@
 }
 
 /// True if a job was submitted so recently that it may still wait.
-fn is_fresh(simulation: &Simulation, id: &JobId) -> bool {
-    let fresh = |job: &JobTimeline| job.first_submitted + FRESH_JOB_US > simulation.now;
-    simulation.metrics.jobs.get(id).is_some_and(fresh)
+fn is_in_start_grace(simulation: &Simulation, id: &JobId) -> bool {
+    let in_grace = |job: &JobTimeline| job.first_submitted + START_GRACE_US > simulation.now;
+    simulation.metrics.jobs.get(id).is_some_and(in_grace)
 }
 
 /// Violations of a run: of the invariants, and of the service terms. At least half of the
--- a/crates/simulator/src/worker.rs
+++ b/crates/simulator/src/worker.rs
@@ -51,7 +51,7 @@
     fencing_token: u64,
     lease_us: u64,
     /// Start of the current lease, µs: when the last heartbeat that renewed it was sent.
-    lease_from: u64,
+    lease_start: u64,
     /// Time at which the heartbeat that awaits an answer was sent, µs.
     in_flight: Option<u64>,
     next_heartbeat: u64,
@@ -61,7 +61,7 @@
     /// True if there are changes to report before the next regular heartbeat.
     changed: bool,
     /// Time at which the fencing token last increased, µs.
-    token_reported_at: u64,
+    token_raised_at: u64,
     tasks: BTreeMap<AttemptId, Task>,
     free: Resources,
     images: ImageStore,
@@ -105,13 +105,13 @@
             sequence: 0,
             fencing_token: 0,
             lease_us: micros(times.lease_s),
-            lease_from: up_at,
+            lease_start: up_at,
             in_flight: None,
             next_heartbeat: up_at,
             last_heartbeat: 0,
             started_at: up_at,
             changed: false,
-            token_reported_at: 0,
+            token_raised_at: 0,
             tasks: BTreeMap::new(),
             free: spec.kind.capacity,
             images: ImageStore::new(up_at),
@@ -136,7 +136,7 @@
 
     /// Processor time used so far by the service replicas that run now, in µs of a thousandth of a
     /// processor.
-    pub fn serving(&self, now: u64, workload: &WorkloadState) -> u128 {
+    pub fn service_processor_time(&self, now: u64, workload: &WorkloadState) -> u128 {
         let is_service = |id: &AttemptId| {
             workload
                 .jobs
@@ -162,7 +162,7 @@
 
     /// First time at which the lease has expired, µs.
     fn lease_expiry(&self) -> u64 {
-        self.lease_from + self.lease_us + 1
+        self.lease_start + self.lease_us + 1
     }
 
     /// Time at which a task ends, a download completes or the lease expires next, µs.
@@ -196,7 +196,7 @@
         if now < self.hung_until {
             let expiry = self.lease_expiry();
             if expiry <= now {
-                self.step(expiry, workload);
+                self.process_due(expiry, workload);
             }
             return;
         }
@@ -205,14 +205,14 @@
             if at > now {
                 break;
             }
-            self.step(at, workload);
+            self.process_due(at, workload);
         }
         self.images.fetch_until(&self.kind, now);
     }
 
     /// Processes the events due at `at`: expiry of the lease, or else completed downloads and ends
     /// of tasks.
-    fn step(&mut self, at: u64, workload: &mut WorkloadState) {
+    fn process_due(&mut self, at: u64, workload: &mut WorkloadState) {
         if at >= self.lease_expiry() {
             return self.expire_lease(at, workload);
         }
@@ -240,7 +240,7 @@
         workload.killed_by_lease += self.live() as u64;
         self.kill_all(at, workload);
         self.session += 1;
-        self.lease_from = at;
+        self.lease_start = at;
         self.changed = true;
     }
 
@@ -251,8 +251,8 @@
         self.kill_all(now, workload);
         workload.history.note(now, "reborn", &self.id, &"");
         (self.session, self.sequence) = (1, 0);
-        (self.fencing_token, self.token_reported_at) = (0, 0);
-        (self.lease_from, self.next_heartbeat, self.started_at) = (now, now, now);
+        (self.fencing_token, self.token_raised_at) = (0, 0);
+        (self.lease_start, self.next_heartbeat, self.started_at) = (now, now, now);
         self.hung_until = 0;
         (self.in_flight, self.changed) = (None, false);
         self.images.reset(now);
--- a/crates/simulator/src/worker/images.rs
+++ b/crates/simulator/src/worker/images.rs
@@ -51,12 +51,12 @@
         if self.fetches.is_empty() {
             return NEVER_US;
         }
-        let least_gb = self
+        let min_left_gb = self
             .fetches
             .iter()
             .map(|fetch| fetch.left_gb)
             .fold(f64::MAX, f64::min);
-        self.fetched_until + (least_gb.max(0.0) / self.rate(kind)).ceil() as u64
+        self.fetched_until + (min_left_gb.max(0.0) / self.rate(kind)).ceil() as u64
     }
 
     /// Advances all downloads to `now`.
@@ -117,11 +117,11 @@
                 size_gb,
             },
         );
-        let mut sum_gb = 0.0;
+        let mut total_gb = 0.0;
         let capacity_gb = kind.image_cache_gb;
         self.cached.retain(|cached| {
-            sum_gb += cached.size_gb;
-            sum_gb <= capacity_gb
+            total_gb += cached.size_gb;
+            total_gb <= capacity_gb
         });
     }
 
--- a/crates/simulator/src/worker/messages.rs
+++ b/crates/simulator/src/worker/messages.rs
@@ -9,11 +9,11 @@
 use crate::workload_state::WorkloadState;
 
 /// Minimum time between two heartbeats, µs (protocol page).
-const HEARTBEAT_GAP_US: u64 = 500_000;
+const MIN_HEARTBEAT_INTERVAL_US: u64 = 500_000;
 /// Time that a worker waits for an answer, µs (protocol page).
 const ANSWER_TIMEOUT_US: u64 = 4_000_000;
 /// Delay after a missing answer before it tries the next controller, µs (protocol page).
-const NEXT_CONTROLLER_US: u64 = 1_000_000;
+const NEXT_CONTROLLER_DELAY_US: u64 = 1_000_000;
 
 /// The answer to a `/commands` call.
 pub struct CommandsReply {
@@ -72,7 +72,7 @@
             Some(sent) => sent + ANSWER_TIMEOUT_US,
             None if self.changed => self
                 .next_heartbeat
-                .min(self.last_heartbeat + HEARTBEAT_GAP_US),
+                .min(self.last_heartbeat + MIN_HEARTBEAT_INTERVAL_US),
             None => self.next_heartbeat,
         }
     }
@@ -82,11 +82,15 @@
     pub fn begin_heartbeat(&mut self, now: u64, controllers: usize) -> bool {
         if let Some(sent) = self.in_flight {
             if now >= sent + ANSWER_TIMEOUT_US {
-                self.redirect(now, (self.controller + 1) % controllers, NEXT_CONTROLLER_US);
+                self.redirect(
+                    now,
+                    (self.controller + 1) % controllers,
+                    NEXT_CONTROLLER_DELAY_US,
+                );
             }
             return false;
         }
-        let change_due = self.changed && now >= self.last_heartbeat + HEARTBEAT_GAP_US;
+        let change_due = self.changed && now >= self.last_heartbeat + MIN_HEARTBEAT_INTERVAL_US;
         if now < self.next_heartbeat && !change_due {
             return false;
         }
@@ -123,7 +127,7 @@
             return;
         }
         self.observe_token(answer.response.fencing_token);
-        self.lease_from = self.lease_from.max(answer.sent);
+        self.lease_start = self.lease_start.max(answer.sent);
         self.execute(&answer.response.commands, now, workload);
     }
 
@@ -155,8 +159,8 @@
         // A higher token triggers an early heartbeat only if half a lease has passed since the
         // last increase.
         let now = self.images.fetched_until();
-        self.changed |= self.token_reported_at + self.lease_us / 2 <= now;
-        self.token_reported_at = now;
+        self.changed |= self.token_raised_at + self.lease_us / 2 <= now;
+        self.token_raised_at = now;
     }
 
     fn execute(&mut self, commands: &[Command], now: u64, workload: &mut WorkloadState) {
--- a/crates/simulator/src/worker/tasks.rs
+++ b/crates/simulator/src/worker/tasks.rs
@@ -8,11 +8,11 @@
 use super::Worker;
 use crate::clock::micros;
 use crate::invariants::TaskPlacement;
-use crate::job::is_real_gang;
+use crate::job::is_multi_task_gang;
 use crate::workload_state::{GangSignal, WorkloadState};
 
 /// Time after which a task of a broken job, or on a faulty machine, fails, µs.
-const FAILS_AFTER_US: u64 = 2_000_000;
+const FAILURE_DELAY_US: u64 = 2_000_000;
 
 /// How a task exits.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -68,7 +68,7 @@
     }
 
     /// Schedules its exit, replacing an earlier one.
-    fn ends(&mut self, at: u64, end: TaskEnd) {
+    fn schedule_end(&mut self, at: u64, end: TaskEnd) {
         self.next = Some(DueEnd { at, end });
     }
 }
@@ -188,7 +188,7 @@
         workload.task_started.entry(key.clone()).or_insert(now);
         self.changed = true;
         let completed = workload.completed_tasks.contains(&key);
-        let gang = is_real_gang(&spec);
+        let gang = is_multi_task_gang(&spec);
         let base_us = workload.checkpoint(&id.job, id.task);
         if !gang {
             workload.begun.entry(id.job.clone()).or_insert(now);
@@ -198,10 +198,10 @@
         };
         if completed {
             task.phase = TaskPhase::Running;
-            task.ends(now, TaskEnd::Completed);
+            task.schedule_end(now, TaskEnd::Completed);
         } else if gang {
             task.phase = TaskPhase::AwaitingGang;
-            task.ends(
+            task.schedule_end(
                 now + micros(workload.times.gang_start_timeout_s),
                 TaskEnd::GangTimeout,
             );
@@ -210,11 +210,11 @@
             (task.phase, task.running_since, task.base_us) = (TaskPhase::Running, now, base_us);
             let until = now + (work_us.saturating_sub(base_us) as f64 / self.speed) as u64;
             if self.faulty || broken {
-                task.ends(now + FAILS_AFTER_US, TaskEnd::Failed);
+                task.schedule_end(now + FAILURE_DELAY_US, TaskEnd::Failed);
             } else if spec.kind == JobKind::Service {
                 task.next = None;
             } else {
-                task.ends(until, TaskEnd::Completed);
+                task.schedule_end(until, TaskEnd::Completed);
             }
         }
     }
@@ -227,21 +227,21 @@
                 if let Some(task) = self.task_in(&id, TaskPhase::AwaitingGang) {
                     task.phase = TaskPhase::Running;
                     if fails {
-                        task.ends(until.min(now + FAILS_AFTER_US), TaskEnd::Failed);
+                        task.schedule_end(until.min(now + FAILURE_DELAY_US), TaskEnd::Failed);
                     } else {
-                        task.ends(until, TaskEnd::Completed);
+                        task.schedule_end(until, TaskEnd::Completed);
                     }
                     self.changed = true;
                 }
             }
             GangSignal::PeerLost(_, id, at) => {
                 if let Some(task) = self.live_task(&id) {
-                    task.ends(at, TaskEnd::PeerLost);
+                    task.schedule_end(at, TaskEnd::PeerLost);
                 }
             }
             GangSignal::Stopped(_, id, at, saved) => {
                 if let Some(task) = self.live_task(&id) {
-                    task.ends(at, TaskEnd::Stopped(saved));
+                    task.schedule_end(at, TaskEnd::Stopped(saved));
                 }
             }
             GangSignal::ProgressHalted(_, id) => {
@@ -303,16 +303,16 @@
         };
         task.phase = TaskPhase::Checkpointing;
         self.changed = true;
-        if is_real_gang(spec) {
+        if is_multi_task_gang(spec) {
             // A gang that has lost a task is not saved: its tasks exit with cause `peers`.
-            if workload.gang(id).is_some_and(|gang| !gang.over) {
+            if workload.gang(id).is_some_and(|gang| !gang.ended) {
                 task.next = None;
                 workload.stop_gang_task(id, micros(spec.checkpoint_duration_s), now);
             }
         } else {
             let progress =
                 task.base_us + (now.saturating_sub(task.running_since) as f64 * speed) as u64;
-            task.ends(
+            task.schedule_end(
                 now + micros(spec.checkpoint_duration_s),
                 TaskEnd::Stopped(true),
             );
@@ -352,7 +352,7 @@
         let Some(task) = self.live_task(id) else {
             return;
         };
-        let (was, need) = (task.phase, task.need);
+        let (phase_before, need) = (task.phase, task.need);
         task.phase = TaskPhase::Exited;
         task.cause = Some(end.cause());
         task.saved = end == TaskEnd::Stopped(true);
@@ -360,7 +360,7 @@
         workload.checker.gang_task_over(id);
         self.free = self.free.plus(&need);
         self.changed = true;
-        if was == TaskPhase::PullingImage
+        if phase_before == TaskPhase::PullingImage
             && let Some(image) = workload.jobs.get(&id.job).map(|job| job.spec.image.clone())
         {
             // Abort the download if no task waits for the image any more.
@@ -390,11 +390,11 @@
         let (Some(task), Some(job)) = (self.tasks.get(id), workload.jobs.get(&id.job)) else {
             return;
         };
-        if task.phase != TaskPhase::Running || is_real_gang(&job.spec) {
+        if task.phase != TaskPhase::Running || is_multi_task_gang(&job.spec) {
             return;
         }
         if job.spec.kind == JobKind::Service {
-            workload.useful += task.processor_time(now);
+            workload.useful_milli_cpu_us += task.processor_time(now);
         } else {
             let ran_us = (now.saturating_sub(task.running_since) as f64 * self.speed) as u64;
             let saved =
--- a/crates/simulator/src/workload_state.rs
+++ b/crates/simulator/src/workload_state.rs
@@ -9,13 +9,13 @@
 use crate::clock::{NEVER_US, micros};
 use crate::history::History;
 use crate::invariants::InvariantChecker;
-use crate::job::{SimulatedJob, is_real_gang};
+use crate::job::{SimulatedJob, is_multi_task_gang};
 
 /// Task number under which the checkpoint of a gang is stored; all tasks of a gang share one.
-const WHOLE_GANG: u32 = u32::MAX;
+const GANG_CHECKPOINT_TASK: u32 = u32::MAX;
 /// Number of different times, within `gang_peer_timeout_s`, at which the tasks of a gang notice a
 /// lost peer.
-const NOTICE_STEPS: u32 = 7;
+const PEER_LOSS_NOTICE_STEPS: u32 = 7;
 
 /// Progress of a gang's attempt.
 #[derive(Clone, Copy)]
@@ -46,7 +46,7 @@
     /// Running tasks that have received a stop command.
     told_to_stop: HashSet<u32>,
     /// True once the attempt has completed, was stopped or has lost a task.
-    pub(crate) over: bool,
+    pub(crate) ended: bool,
 }
 
 impl Gang {
@@ -96,7 +96,7 @@
     pub launched: HashMap<(JobId, u32), u64>,
     /// Processor time of useful work, in µs of a thousandth of a processor. Excludes service
     /// replicas that still run.
-    pub useful: u128,
+    pub useful_milli_cpu_us: u128,
     /// Number of tasks killed because their worker's lease expired.
     pub killed_by_lease: u64,
     pub(crate) times: WorkerTiming,
@@ -121,7 +121,7 @@
             task_started: HashMap::new(),
             begun: HashMap::new(),
             launched: HashMap::new(),
-            useful: 0,
+            useful_milli_cpu_us: 0,
             killed_by_lease: 0,
             times,
             gangs: HashMap::new(),
@@ -151,7 +151,7 @@
     /// The gang that an attempt belongs to; `None` if its job is not a gang of several tasks.
     pub(crate) fn gang(&mut self, id: &AttemptId) -> Option<&mut Gang> {
         let job = self.jobs.get(&id.job)?;
-        if is_real_gang(&job.spec) {
+        if is_multi_task_gang(&job.spec) {
             Some(self.gangs.entry((id.job.clone(), id.attempt)).or_default())
         } else {
             None
@@ -165,11 +165,11 @@
             return;
         };
         let (need, tasks) = (job.spec.task_resources(), job.spec.tasks as u32);
-        self.useful += u128::from(worked_us) * u128::from(need.milli_cpus);
-        if is_real_gang(&job.spec) {
+        self.useful_milli_cpu_us += u128::from(worked_us) * u128::from(need.milli_cpus);
+        if is_multi_task_gang(&job.spec) {
             (0..tasks).for_each(|task| self.record_completed(&id.job, task, tasks));
             if let Some(gang) = self.gangs.get_mut(&(id.job.clone(), id.attempt)) {
-                gang.over = true;
+                gang.ended = true;
             }
         } else {
             self.record_completed(&id.job, id.task, tasks);
@@ -205,7 +205,7 @@
             return;
         };
         let (tasks, work_us) = (job.spec.tasks as usize, job.run_us(0));
-        let base_us = self.checkpoint(&id.job, WHOLE_GANG);
+        let base_us = self.checkpoint(&id.job, GANG_CHECKPOINT_TASK);
         let Some(gang) = self.gang(id) else { return };
         gang.present.insert(id.task, machine);
         // The gang runs at the speed of its slowest machine, updated as tasks become present.
@@ -215,7 +215,7 @@
             base_us,
             speed: slowest,
         };
-        if gang.present.len() >= tasks && !gang.over {
+        if gang.present.len() >= tasks && !gang.ended {
             run.started_at = now;
         }
         gang.run = Some(run);
@@ -242,20 +242,22 @@
         let was_present = gang.present.remove(&id.task).is_some();
         let Some(run) = gang
             .run
-            .filter(|run| run.started_at != NEVER_US && was_present && !gang.over)
+            .filter(|run| run.started_at != NEVER_US && was_present && !gang.ended)
         else {
             return;
         };
-        gang.over = true;
+        gang.ended = true;
         let end = gang.stopping_since.unwrap_or(now);
         let members = gang.members();
         if let Some(spec) = spec {
             let saved = Self::checkpointed(&spec, run.progress(end)).max(run.base_us);
-            self.checkpoints.insert((id.job.clone(), WHOLE_GANG), saved);
+            self.checkpoints
+                .insert((id.job.clone(), GANG_CHECKPOINT_TASK), saved);
         }
         // The times at which tasks notice the loss are spread over the bound by task number.
         let notice = |task: u32| {
-            now + peer_us * u64::from(task % NOTICE_STEPS + 1) / u64::from(NOTICE_STEPS)
+            now + peer_us * u64::from(task % PEER_LOSS_NOTICE_STEPS + 1)
+                / u64::from(PEER_LOSS_NOTICE_STEPS)
         };
         self.signals.extend(
             members.into_iter().map(|(task, machine)| {
@@ -276,11 +278,11 @@
         let all_told = members
             .iter()
             .all(|(task, _)| gang.told_to_stop.contains(task));
-        if all_told && now <= first_told + peer_us && !gang.over {
-            gang.over = true;
+        if all_told && now <= first_told + peer_us && !gang.ended {
+            gang.ended = true;
             let progress = gang.run.map_or(0, |run| run.progress(first_told));
             self.checkpoints
-                .insert((id.job.clone(), WHOLE_GANG), progress);
+                .insert((id.job.clone(), GANG_CHECKPOINT_TASK), progress);
             self.signals
                 .extend(members.into_iter().map(|(task, machine)| {
                     GangSignal::Stopped(machine, sibling(id, task), now + save_us, true)
@@ -301,7 +303,7 @@
     /// exit as stopped without a checkpoint, and the others because of a lost peer.
     pub fn stop_deadline_passed(&mut self, id: &AttemptId, now: u64) {
         let Some(gang) = self.gang(id) else { return };
-        if gang.over {
+        if gang.ended {
             return;
         }
         let told = gang.told_to_stop.clone();
