--- a/crates/simulator/src/cloud.rs
+++ b/crates/simulator/src/cloud.rs
@@ -9,12 +9,12 @@
 use crate::scenario::Scenario;
 
 /// Minimum time billed for a machine once it is gone, s (protocol page).
-const LEAST_BILLED_S: f64 = 60.0;
+const MIN_BILLED_S: f64 = 60.0;
 /// Number of machines on a page of the instance list.
-const LIST_PAGE: usize = 500;
+const INSTANCES_PER_PAGE: usize = 500;
 /// How long the cloud keeps a machine that is gone, µs: a list as of an earlier time may still
 /// contain it.
-const LISTED_AFTER_END_US: u64 = 60_000_000;
+const GONE_MACHINE_RETENTION_US: u64 = 60_000_000;
 
 struct CloudMachine {
     id: MachineId,
@@ -53,7 +53,7 @@
     /// On-demand and spot price of each machine kind, per hour.
     prices: Vec<(f64, f64)>,
     /// Total cost of machines that are gone.
-    spent: f64,
+    cost_of_gone: f64,
     /// Number of provisioned machines by kind, zone and whether they are spot instances.
     provisioned: BTreeMap<(usize, String, bool), u32>,
 }
@@ -71,7 +71,7 @@
             bookings: HashMap::new(),
             machines: BTreeMap::new(),
             prices,
-            spent: 0.0,
+            cost_of_gone: 0.0,
             provisioned: BTreeMap::new(),
         }
     }
@@ -79,12 +79,12 @@
     /// Number of machines of a kind that can still be provisioned in a zone.
     pub fn available(&self, kind: usize, zone: &str, spot: bool, scenario: &Scenario) -> u32 {
         let capacity = scenario.machine_kinds[kind].capacity;
-        let most = if spot {
+        let limit = if spot {
             capacity.spot
         } else {
             capacity.on_demand
         };
-        most.saturating_sub(
+        limit.saturating_sub(
             self.provisioned
                 .get(&(kind, zone.to_owned(), spot))
                 .copied()
@@ -122,13 +122,15 @@
 
     /// Ends the billing of a machine, and forgets those that no list can contain any more.
     pub fn remove(&mut self, number: usize, now: u64) {
-        self.machines
-            .retain(|_, m| m.gone_at.is_none_or(|at| now < at + LISTED_AFTER_END_US));
+        self.machines.retain(|_, m| {
+            m.gone_at
+                .is_none_or(|at| now < at + GONE_MACHINE_RETENTION_US)
+        });
         if let Some(m) = self.machines.get_mut(&number)
             && m.gone_at.is_none()
         {
             m.gone_at = Some(now);
-            self.spent += cost(&self.prices, m, now);
+            self.cost_of_gone += cost(&self.prices, m, now);
             if let Some(n) = self.provisioned.get_mut(&(m.kind, m.zone.clone(), m.spot)) {
                 *n -= 1;
             }
@@ -137,7 +139,7 @@
 
     /// Cost of all machines up to `now`.
     pub fn spent(&self, now: u64) -> f64 {
-        self.spent
+        self.cost_of_gone
             + self
                 .machines
                 .values()
@@ -148,12 +150,12 @@
 
     /// Number of pages of the instance list besides the first.
     pub fn list_pages(&self) -> usize {
-        self.machines.len() / LIST_PAGE
+        self.machines.len() / INSTANCES_PER_PAGE
     }
 
     /// The instances that existed at `at` µs, in their phase at that time.
     pub fn list(&self, at: u64, scenario: &Scenario) -> Vec<InstanceEntry> {
-        let there = |m: &&CloudMachine| {
+        let exists = |m: &&CloudMachine| {
             m.provisioned_at <= at && m.gone_at.is_none_or(|gone_at| gone_at > at)
         };
         let entry = |m: &CloudMachine| InstanceEntry {
@@ -164,16 +166,16 @@
             phase: if m.up_at > at { "starting" } else { "running" }.into(),
             age_s: (at - m.provisioned_at) as f64 / 1e6,
         };
-        self.machines.values().filter(there).map(entry).collect()
+        self.machines.values().filter(exists).map(entry).collect()
     }
 }
 
-/// Cost of a machine up to `now`; [`LEAST_BILLED_S`] applies once it is gone.
+/// Cost of a machine up to `now`; [`MIN_BILLED_S`] applies once it is gone.
 fn cost(prices: &[(f64, f64)], m: &CloudMachine, now: u64) -> f64 {
     let (price, spot_price) = prices[m.kind];
     let billed_s =
         (now.saturating_sub(m.provisioned_at) as f64 / 1e6).max(if m.gone_at.is_some() {
-            LEAST_BILLED_S
+            MIN_BILLED_S
         } else {
             0.0
         });
--- a/crates/simulator/src/load_generator.rs
+++ b/crates/simulator/src/load_generator.rs
@@ -12,10 +12,10 @@
 use crate::scenario::{JobClass, Scenario, ValueDistribution};
 
 /// Time from the submission of a job with a mistake to its withdrawal, s.
-const BROKEN_WITHDRAWN_S: std::ops::Range<f64> = 20.0..200.0;
+const BROKEN_JOB_WITHDRAWAL_S: std::ops::Range<f64> = 20.0..200.0;
 /// Time from the submission of a cancelled job to its withdrawal, as a share of its mean run
 /// time.
-const CANCELLED_AT_SHARE: std::ops::Range<f64> = 0.1..1.1;
+const CANCELLATION_TIME_SHARE: std::ops::Range<f64> = 0.1..1.1;
 
 /// A job of a class, before the jobs of all classes are numbered together.
 struct DrawnJob {
@@ -102,7 +102,7 @@
         ids[i] = job_id(n);
     }
     // Index of the first job of each class in `jobs`.
-    let class_begins: Vec<usize> = times_of_class
+    let class_offsets: Vec<usize> = times_of_class
         .iter()
         .scan(0, |sum, times| {
             Some(std::mem::replace(sum, *sum + times.len()))
@@ -114,9 +114,9 @@
         let Some(mut job) = jobs[i].take() else {
             continue;
         };
-        let number_in_class = i - class_begins[job.class];
+        let number_in_class = i - class_offsets[job.class];
         let dependencies = dependency_classes(scenario, &scenario.classes[job.class])
-            .map(|dependency| ids[class_begins[dependency] + number_in_class].clone())
+            .map(|dependency| ids[class_offsets[dependency] + number_in_class].clone())
             .collect();
         job.planned.job.spec = Arc::new(JobSpec {
             id: ids[i].clone(),
@@ -205,8 +205,8 @@
 }
 
 /// Draws the time at which a job's user withdraws it, µs: a broken job within
-/// [`BROKEN_WITHDRAWN_S`], a cancelled job while it waits or runs, a service at the end of its
-/// run time.
+/// [`BROKEN_JOB_WITHDRAWAL_S`], a cancelled job while it waits or runs, a service at the end of
+/// its run time.
 fn draw_withdrawal(
     class: &JobClass,
     at_us: u64,
@@ -214,11 +214,12 @@
     broken: bool,
     rng: &mut ChaCha8Rng,
 ) -> Option<u64> {
-    let given_up = broken.then(|| at_us + micros(rng.random_range(BROKEN_WITHDRAWN_S)));
+    let withdraw_us = broken.then(|| at_us + micros(rng.random_range(BROKEN_JOB_WITHDRAWAL_S)));
     let cancelled = class.cancelled > 0.0 && rng.random::<f64>() < class.cancelled;
-    let given_up = given_up.or_else(|| {
-        cancelled.then(|| at_us + (mean_run_s * 1e6 * rng.random_range(CANCELLED_AT_SHARE)) as u64)
+    let withdraw_us = withdraw_us.or_else(|| {
+        cancelled
+            .then(|| at_us + (mean_run_s * 1e6 * rng.random_range(CANCELLATION_TIME_SHARE)) as u64)
     });
     let service = class.shape == JobKind::Service;
-    given_up.or(service.then(|| at_us + micros(mean_run_s)))
+    withdraw_us.or(service.then(|| at_us + micros(mean_run_s)))
 }
--- a/crates/simulator/src/run.rs
+++ b/crates/simulator/src/run.rs
@@ -94,7 +94,7 @@
     if let Placer::Baseline(kind) = placer {
         return Ok(baseline::run(kind, &scenario, &load, seed));
     }
-    let began = Instant::now();
+    let started = Instant::now();
     let duration_ms = (scenario.duration_s * 1e3) as u64;
     let mut simulation = Simulation::new(scenario, load, seed, history);
     simulation.run(duration_ms);
@@ -103,7 +103,7 @@
         report,
         allocation,
         events: simulation.events,
-        wall_s: began.elapsed().as_secs_f64(),
+        wall_s: started.elapsed().as_secs_f64(),
     })
 }
 
--- a/crates/simulator/src/store.rs
+++ b/crates/simulator/src/store.rs
@@ -9,7 +9,7 @@
 use rmpv::Value;
 
 /// Number of watch events that the store retains (protocol page).
-const KEPT_EVENTS: usize = 10_000;
+const MAX_WATCH_EVENTS: usize = 10_000;
 
 /// A stored value with its version and the lease that it is attached to.
 #[derive(Clone)]
@@ -45,15 +45,15 @@
 }
 
 impl RateLimit {
-    fn take(&mut self, n: f64, now: u64) -> bool {
+    fn try_take(&mut self, n: f64, now: u64) -> bool {
         self.tokens = (self.tokens + now.saturating_sub(self.at_us) as f64 / 1e6 * self.per_s)
             .min(self.per_s);
         self.at_us = now;
-        let good = self.tokens >= n;
-        if good {
+        let admitted = self.tokens >= n;
+        if admitted {
             self.tokens -= n;
         }
-        good
+        admitted
     }
 }
 
@@ -81,9 +81,9 @@
     requests: RateLimit,
     writes: RateLimit,
     /// Maximum size of a value as JSON, bytes.
-    value_bytes: usize,
+    max_value_bytes: usize,
     /// Maximum number of writes in a compare-and-swap.
-    cas_writes: usize,
+    max_cas_writes: usize,
 }
 
 impl Store {
@@ -104,8 +104,8 @@
             next_lease: 0,
             requests: rate(limits.requests_per_s),
             writes: rate(limits.writes_per_s),
-            value_bytes: (limits.max_value_kib * 1024.0) as usize,
-            cas_writes: limits.max_cas_ops,
+            max_value_bytes: (limits.max_value_kib * 1024.0) as usize,
+            max_cas_writes: limits.max_cas_ops,
         }
     }
 
@@ -114,8 +114,8 @@
     pub fn lower_limits(&mut self, limits: &KvStoreLimits) {
         self.requests.per_s = limits.lowest_requests_per_s();
         self.writes.per_s = limits.lowest_writes_per_s();
-        self.value_bytes = (limits.lowest_max_value_kib() * 1024.0) as usize;
-        self.cas_writes = limits.lowest_max_cas_ops();
+        self.max_value_bytes = (limits.lowest_max_value_kib() * 1024.0) as usize;
+        self.max_cas_writes = limits.lowest_max_cas_ops();
     }
 
     fn within_limits(&self, cas: &CompareAndSwap) -> bool {
@@ -123,26 +123,26 @@
         let bytes = |value: &Value| serde_json::to_vec(value).map_or(0, |text| text.len());
         let fits = |write: &Write| {
             if let Write::Put { value, .. } = write {
-                bytes(value) <= self.value_bytes
+                bytes(value) <= self.max_value_bytes
             } else {
                 true
             }
         };
-        cas.writes.len() <= self.cas_writes
-            && cas.conditions.len() <= CONDITIONS_PER_CHANGE * self.cas_writes
+        cas.writes.len() <= self.max_cas_writes
+            && cas.conditions.len() <= CONDITIONS_PER_CHANGE * self.max_cas_writes
             && cas.writes.iter().all(fits)
     }
 
     /// Charges a request with this many writes to the rate limits. Returns false if it exceeds
     /// them and must be answered with 429.
     pub fn admit(&mut self, writes: usize, now: u64) -> bool {
-        let good =
-            self.requests.take(1.0, now) && (writes == 0 || self.writes.take(writes as f64, now));
-        if good {
+        let admitted = self.requests.try_take(1.0, now)
+            && (writes == 0 || self.writes.try_take(writes as f64, now));
+        if admitted {
             self.served.requests += 1;
             self.served.writes += writes as u64;
         }
-        good
+        admitted
     }
 
     /// Returns the value and version of a key.
@@ -168,29 +168,35 @@
     /// after it are no longer retained.
     pub fn changes(&self, prefix: &str, after: u64) -> Option<Vec<WatchEvent>> {
         if self.events.front().is_some_and(|c| c.version > after + 1)
-            && self.events.len() >= KEPT_EVENTS
+            && self.events.len() >= MAX_WATCH_EVENTS
         {
             return None;
         }
         let from = self.events.partition_point(|c| c.version <= after);
-        let under = |c: &&WatchEvent| {
+        let has_prefix = |c: &&WatchEvent| {
             c.set
                 .as_ref()
                 .or(c.drop.as_ref())
                 .is_some_and(|k| k.starts_with(prefix))
         };
-        Some(self.events.range(from..).filter(under).cloned().collect())
+        Some(
+            self.events
+                .range(from..)
+                .filter(has_prefix)
+                .cloned()
+                .collect(),
+        )
     }
 
     fn record(&mut self, event: WatchEvent) {
         self.events.push_back(event);
-        if self.events.len() > KEPT_EVENTS {
+        if self.events.len() > MAX_WATCH_EVENTS {
             self.events.pop_front();
         }
     }
 
     /// Detaches a key from its lease.
-    fn detach(&mut self, key: &str) {
+    fn detach_from_lease(&mut self, key: &str) {
         if let Some(lease) = self.keys.get(key).and_then(|stored| stored.lease)
             && let Some(lease) = self.leases.get_mut(&lease)
         {
@@ -199,7 +205,7 @@
     }
 
     fn set(&mut self, key: &str, value: Value, lease: Option<u64>) {
-        self.detach(key);
+        self.detach_from_lease(key);
         if let Some(lease) = lease.and_then(|id| self.leases.get_mut(&id)) {
             lease.keys.insert(key.to_owned());
         }
@@ -220,7 +226,7 @@
     }
 
     fn remove(&mut self, key: &str) {
-        self.detach(key);
+        self.detach_from_lease(key);
         if self.keys.remove(key).is_some() {
             self.record(WatchEvent {
                 set: None,
@@ -237,8 +243,11 @@
             return CasAnswer::TooLarge;
         }
         let lease_of = |write: &Write| {
-            if let Write::Put { lease: hold, .. } = write {
-                *hold
+            if let Write::Put {
+                lease: lease_id, ..
+            } = write
+            {
+                *lease_id
             } else {
                 None
             }
@@ -271,8 +280,8 @@
                 Write::Put {
                     key,
                     value,
-                    lease: hold,
-                } => self.set(key, value.clone(), *hold),
+                    lease: lease_id,
+                } => self.set(key, value.clone(), *lease_id),
                 Write::Delete { key } => self.remove(key),
             }
         }
@@ -308,13 +317,13 @@
         if self.down {
             return;
         }
-        let over: Vec<u64> = self
+        let expired: Vec<u64> = self
             .leases
             .iter()
             .filter(|(_, lease)| now > lease.expires_us)
             .map(|(id, _)| *id)
             .collect();
-        for id in over {
+        for id in expired {
             let keys = self
                 .leases
                 .remove(&id)
--- a/crates/simulator/src/workload_replay.rs
+++ b/crates/simulator/src/workload_replay.rs
@@ -11,7 +11,7 @@
 use crate::scenario::Scenario;
 
 /// Period over which the submissions of the copies of a job are spread, µs.
-const COPIES_WITHIN_US: u64 = 1_000_000;
+const COPY_SPREAD_US: u64 = 1_000_000;
 
 /// A workload file and how to replay it.
 #[derive(Clone, Debug)]
@@ -43,14 +43,14 @@
     let copies = u64::from(replay.copies.max(1));
     workload::read(&replay.file, |entry| {
         // Times in a trace have an arbitrary origin: the first job is submitted at time 0.
-        let zero_ms = *first_ms.get_or_insert(entry.at_ms);
+        let origin_ms = *first_ms.get_or_insert(entry.at_ms);
         ignored_constraints += entry.constraints.len() as u64;
         for copy in 0..copies {
             let mut job =
-                planned_submission(jobs.len(), entry.clone(), zero_ms, scenario, replay.speed);
-            let later_us = copy * COPIES_WITHIN_US / copies;
-            job.at_us += later_us;
-            job.withdraw_us = job.withdraw_us.map(|at| at + later_us);
+                planned_submission(jobs.len(), entry.clone(), origin_ms, scenario, replay.speed);
+            let delay_us = copy * COPY_SPREAD_US / copies;
+            job.at_us += delay_us;
+            job.withdraw_us = job.withdraw_us.map(|at| at + delay_us);
             jobs.push(job);
         }
     })?;
@@ -63,15 +63,15 @@
 fn planned_submission(
     n: usize,
     entry: Entry,
-    zero_ms: u64,
+    origin_ms: u64,
     scenario: &Scenario,
     speed: f64,
 ) -> PlannedSubmission {
-    let at_us = ((entry.at_ms - zero_ms) as f64 * 1e3 / speed) as u64;
+    let at_us = ((entry.at_ms - origin_ms) as f64 * 1e3 / speed) as u64;
     let run_us: Vec<u64> = entry.run_ms.iter().map(|ms| ms * 1_000).collect();
     let mean_us = run_us.iter().sum::<u64>() / run_us.len().max(1) as u64;
     let service = entry.shape == JobKind::Service;
-    let amount = |milli: u64| milli as f64 / 1e3;
+    let from_milli = |milli: u64| milli as f64 / 1e3;
     let spec = JobSpec {
         id: job_id(n),
         team: team_for(entry.team.as_deref().unwrap_or_default(), scenario),
@@ -79,9 +79,9 @@
         kind: entry.shape,
         priority: entry.rank,
         tasks: u64::from(entry.tasks),
-        cpus: amount(entry.need.milli_cpus),
-        gpus: amount(entry.need.milli_gpus),
-        memory_gb: amount(entry.need.memory_mb),
+        cpus: from_milli(entry.need.milli_cpus),
+        gpus: from_milli(entry.need.milli_gpus),
+        memory_gb: from_milli(entry.need.memory_mb),
         machine_types: None,
         zone: None,
         same_zone: false,
@@ -110,13 +110,13 @@
 /// The scenario's team with this name, or one chosen by a hash of the name.
 fn team_for(name: &str, scenario: &Scenario) -> String {
     let hash = blake3::hash(name.as_bytes());
-    let pick = usize::from(u16::from_le_bytes([hash.as_bytes()[0], hash.as_bytes()[1]]))
+    let fallback = usize::from(u16::from_le_bytes([hash.as_bytes()[0], hash.as_bytes()[1]]))
         % scenario.teams.len().max(1);
     scenario
         .teams
         .iter()
         .find(|team| team.name == name)
-        .or(scenario.teams.get(pick))
+        .or(scenario.teams.get(fallback))
         .map(|team| team.name.clone())
         .unwrap_or_default()
 }
