--- a/crates/simulator/src/histograms.rs
+++ b/crates/simulator/src/histograms.rs
@@ -19,7 +19,7 @@
 impl RecordMicros for Histogram<u64> {
     fn record_us(&mut self, us: u64) {
         if let Err(error) = self.record(us.max(1)) {
-            tracing::error!(%error, us, "value not recorded");
+            tracing::error!(%error, us, "failed to record a duration in a histogram");
         }
     }
 }
@@ -27,7 +27,8 @@
 /// Creates an empty histogram of µs.
 pub fn histogram() -> Histogram<u64> {
     // The library accepts 0 to 5 significant digits.
-    Histogram::new(SIGNIFICANT_DIGITS).unwrap_or_else(|_| unreachable!("three digits are allowed"))
+    Histogram::new(SIGNIFICANT_DIGITS)
+        .unwrap_or_else(|_| unreachable!("the number of digits is valid"))
 }
 
 /// Histograms of µs by name.
--- a/crates/simulator/src/history.rs
+++ b/crates/simulator/src/history.rs
@@ -29,7 +29,7 @@
         if let Some(sink) = &mut self.sink
             && let Err(error) = sink.write_all(line.as_bytes())
         {
-            tracing::error!(%error, "history not written; going on without it");
+            tracing::error!(%error, "failed to write history; the file stays incomplete");
             self.sink = None;
         }
     }
--- a/crates/simulator/src/run.rs
+++ b/crates/simulator/src/run.rs
@@ -134,7 +134,7 @@
     if load.ignored_constraints > 0 {
         tracing::warn!(
             ignored_constraints = load.ignored_constraints,
-            "constraints on attributes that the scenario's machines don't have are ignored"
+            "workload constraints ignored: the scenario's machines lack their attributes"
         );
     }
     Ok(load.jobs)
