--- a/crates/simulator/src/baseline.rs
+++ b/crates/simulator/src/baseline.rs
@@ -2,8 +2,8 @@
 //! They place on the machines that exist from the start, and model no failures, autoscaling,
 //! quotas or preemption.
 //!
-//! * [`BaselineKind::Central`]: one placer with a complete and immediate view of the cluster;
-//!   the bound for the others.
+//! * [`BaselineKind::Central`]: one placer with a view of the whole cluster; the bound for the
+//!   others.
 //! * [`BaselineKind::Sampler`]: asks some randomly drawn machines per task for the length of
 //!   their queue, and queues the task at the one with the shortest queue (the paper's
 //!   comparison, without a copy). It cannot start a gang as a whole: its tasks start one by
@@ -297,6 +297,7 @@
         chosen
     }
 
+    /// Returns the resources of tasks that were placed but are not sent.
     fn release_resources(&mut self, need: &Resources, chosen: &[(u32, usize)]) {
         for (_, machine) in chosen {
             self.known_free[*machine] = self.known_free[*machine].plus(need);
