--- a/crates/simulator/src/baseline.rs
+++ b/crates/simulator/src/baseline.rs
@@ -1,12 +1,13 @@
-//! Baselines of the project's own, for side-by-side runs on the same load: plain, short
-//! placers on the machines that are there from the start. They know no failures, no
-//! autoscaling, no quotas and no preemption.
+//! Simple placers, run on the same load as the scheduler as baselines to compare it with.
+//! They place on the machines that exist from the start, and model no failures, autoscaling,
+//! quotas or preemption.
 //!
-//! * [`BaselineKind::Central`]: one placer that sees everything at once; the bound.
-//! * [`BaselineKind::Sampler`]: for each task some machines drawn at random are asked
-//!   how long their queue is, and the task waits at the one with the shortest
-//!   (the paper's comparison, without a copy). It can't hold a gang together:
-//!   its tasks start one by one.
+//! * [`BaselineKind::Central`]: one placer with a view of the whole cluster; the bound for the
+//!   others.
+//! * [`BaselineKind::Sampler`]: asks some randomly drawn machines per task for the length of
+//!   their queue, and queues the task at the one with the shortest queue (the paper's
+//!   comparison, without a copy). It cannot start a gang as a whole: its tasks start one by
+//!   one.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
@@ -23,12 +24,12 @@
 use crate::report::{ControllerWork, JobCounts, LatencySummary, RunOutcome, RunReport};
 use crate::scenario::Scenario;
 
-/// Which baseline.
+/// A baseline placer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BaselineKind {
-    /// One placer that sees everything.
+    /// One placer with a complete view of the cluster.
     Central,
-    /// So many machines are asked for each task.
+    /// Asks this many randomly drawn machines for each task.
     Sampler(u32),
 }
 
@@ -44,12 +45,14 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     JobArrives(usize),
-    /// The central placer is free again.
+    /// The central placer is idle and starts a placement pass.
     PlaceWaiting,
     /// A task reaches the machine that it was sent to: job, task, machine.
     TaskArrives(usize, u32, usize),
-    /// A task ends on a machine; the placer hears of it a message later.
+    /// A task ends on a machine: job, task, machine. The central placer is informed by a
+    /// [`Event::ResourcesFreed`] message.
     TaskEnds(usize, u32, usize),
+    /// The central placer learns that a task of a job has freed its resources on a machine.
     ResourcesFreed(usize, usize),
     JobWithdrawn(usize),
 }
@@ -70,13 +73,20 @@
     machines: Vec<Machine>,
     /// Free resources as the central placer knows them.
     known_free: Vec<Resources>,
-    /// Jobs that wait, by priority and age, and their next task.
+    /// Waiting jobs by priority and order of submission, with the next task to place.
     waiting: BTreeMap<(Priority, usize), u32>,
+    /// Time until which the central placer is busy, µs.
     busy_until: u64,
-    placing: bool,
-    left: Vec<u32>,
+    /// True if a placement pass is scheduled.
+    placement_scheduled: bool,
+    /// Number of tasks of each job that have not ended.
+    unfinished_tasks: Vec<u32>,
+    /// Start time of each task, µs.
     launched: BTreeMap<(usize, u32), u64>,
+    /// Machine of each running task.
     running: BTreeMap<(usize, u32), usize>,
+    /// Time at which each task was sent to its machine, and how long the placement before it
+    /// took, µs.
     sent: BTreeMap<(usize, u32), (u64, u64)>,
     finished: BTreeMap<usize, u64>,
     withdrawn: Vec<bool>,
@@ -86,14 +96,14 @@
     history: History,
 }
 
-/// Runs a baseline on a scenario's fixed machines.
+/// Runs a baseline on the machines that a scenario has at the start.
 pub fn run(
     kind: BaselineKind,
     scenario: &Scenario,
     load: &[PlannedSubmission],
     seed: u64,
 ) -> RunOutcome {
-    let began = std::time::Instant::now();
+    let started = std::time::Instant::now();
     let machines: Vec<Machine> = scenario
         .machine_kinds
         .iter()
@@ -103,15 +113,15 @@
                 kind.at_start as usize * scenario.zones.len(),
             )
         })
-        .map(|room| Machine {
-            capacity: room,
-            free: room,
+        .map(|resources| Machine {
+            capacity: resources,
+            free: resources,
             queue: VecDeque::new(),
         })
         .collect();
     let mut run = BaselineRun {
         known_free: machines.iter().map(|machine| machine.capacity).collect(),
-        left: load.iter().map(|p| p.job.spec.tasks as u32).collect(),
+        unfinished_tasks: load.iter().map(|p| p.job.spec.tasks as u32).collect(),
         withdrawn: vec![false; load.len()],
         scenario,
         load,
@@ -122,7 +132,7 @@
         machines,
         waiting: BTreeMap::new(),
         busy_until: 0,
-        placing: false,
+        placement_scheduled: false,
         launched: BTreeMap::new(),
         running: BTreeMap::new(),
         sent: BTreeMap::new(),
@@ -153,26 +163,31 @@
         report,
         allocation,
         events,
-        wall_s: began.elapsed().as_secs_f64(),
+        wall_s: started.elapsed().as_secs_f64(),
     }
 }
 
 impl BaselineRun<'_> {
+    /// Schedules an event. Events at the same time run in the order in which they were
+    /// scheduled.
     fn schedule_at(&mut self, at: u64, event: Event) {
         self.sequence += 1;
         self.queue.push(Reverse((at, self.sequence, event)));
     }
 
+    /// Counts a message and draws its network delay, µs.
     fn network_delay(&mut self) -> u64 {
         let latency = self.scenario.latency;
         self.work.messages += 1;
         self.rng.random_range(latency.low_us..=latency.high_us)
     }
 
+    /// Resources that one task of a job needs.
     fn need(&self, job: usize) -> Resources {
         self.load[job].job.spec.task_resources()
     }
 
+    /// Charges the central placer for messages and examined candidates.
     fn charge(&mut self, messages: u64, candidates: u64) {
         let us = (messages * self.scenario.costs.message_ns
             + candidates * self.scenario.costs.candidate_ns)
@@ -189,15 +204,15 @@
                 self.history.note(self.now, "submit", &spec.id, &"");
                 self.waiting.insert((spec.priority, job), 0);
                 let at = self.now + self.network_delay();
-                self.wake_placer(at);
+                self.schedule_placement(at);
             }
             (Event::JobArrives(job), BaselineKind::Sampler(d)) => {
                 self.history
                     .note(self.now, "submit", &self.load[job].job.spec.id, &"");
-                (0..self.left[job]).for_each(|task| self.send_to_sampled(job, task, d));
+                (0..self.unfinished_tasks[job]).for_each(|task| self.send_to_sampled(job, task, d));
             }
             (Event::PlaceWaiting, _) => {
-                self.placing = false;
+                self.placement_scheduled = false;
                 self.place_waiting();
             }
             (Event::TaskArrives(job, task, machine), BaselineKind::Central) => {
@@ -205,13 +220,13 @@
             }
             (Event::TaskArrives(job, task, machine), BaselineKind::Sampler(_)) => {
                 self.machines[machine].queue.push_back((job, task));
-                self.serve_queue(machine);
+                self.start_queued_tasks(machine);
             }
             (Event::TaskEnds(job, task, machine), _) => self.end_task(kind, job, task, machine),
             (Event::ResourcesFreed(job, machine), _) => {
                 self.known_free[machine] = self.known_free[machine].plus(&self.need(job));
                 self.charge(1, 0);
-                self.wake_placer(self.now);
+                self.schedule_placement(self.now);
             }
             (Event::JobWithdrawn(job), _) => {
                 self.withdrawn[job] = true;
@@ -229,44 +244,45 @@
         }
     }
 
-    fn wake_placer(&mut self, at: u64) {
-        if !self.placing {
-            self.placing = true;
+    /// Schedules a placement pass at `at`, or once the placer is idle, unless one is scheduled.
+    fn schedule_placement(&mut self, at: u64) {
+        if !self.placement_scheduled {
+            self.placement_scheduled = true;
             self.schedule_at(at.max(self.busy_until), Event::PlaceWaiting);
         }
     }
 
     // ---- central ---------------------------------------------------------------
 
-    /// Places the waiting jobs, in the order of priority and age.
+    /// Places the waiting jobs in order of priority and submission.
     fn place_waiting(&mut self) {
         let mut failed: Vec<Resources> = Vec::new();
-        for (rank, job) in self.waiting.keys().copied().collect::<Vec<_>>() {
+        for (priority, job) in self.waiting.keys().copied().collect::<Vec<_>>() {
             let need = self.need(job);
-            // No task that needs as much or more finds resources in the same pass.
+            // Tasks that need at least as much as one that did not fit are skipped in this pass.
             if failed.iter().any(|other| need.covers(other)) {
                 continue;
             }
             let tasks = self.load[job].job.spec.tasks as u32;
-            let mut next = self.waiting.get(&(rank, job)).copied().unwrap_or(tasks);
+            let mut next = self.waiting.get(&(priority, job)).copied().unwrap_or(tasks);
             let chosen = self.choose_machines(&need, next..tasks);
             next += chosen.len() as u32;
             if next < tasks {
                 failed.push(need);
                 if self.load[job].job.spec.kind == JobKind::Gang {
-                    self.give_back(&need, &chosen);
+                    self.release_resources(&need, &chosen);
                     continue;
                 }
-                self.waiting.insert((rank, job), next);
+                self.waiting.insert((priority, job), next);
             } else {
-                self.waiting.remove(&(rank, job));
+                self.waiting.remove(&(priority, job));
             }
             self.send_tasks(job, chosen);
         }
     }
 
-    /// Takes the first machine that fits for each task, until none fits: tasks with their
-    /// machines.
+    /// Reserves the first machine that fits for each task, up to the first task that fits
+    /// nowhere. Returns the placed tasks with their machines.
     fn choose_machines(&mut self, need: &Resources, tasks: Range<u32>) -> Vec<(u32, usize)> {
         let mut chosen = Vec::new();
         for task in tasks {
@@ -281,7 +297,8 @@
         chosen
     }
 
-    fn give_back(&mut self, need: &Resources, chosen: &[(u32, usize)]) {
+    /// Returns the resources of tasks that were placed but are not sent.
+    fn release_resources(&mut self, need: &Resources, chosen: &[(u32, usize)]) {
         for (_, machine) in chosen {
             self.known_free[*machine] = self.known_free[*machine].plus(need);
         }
@@ -298,29 +315,31 @@
 
     // ---- sampler ---------------------------------------------------------------
 
+    /// Samples `d` machines and sends the task to the one with the shortest queue. A task that
+    /// fits on no machine of the cluster is dropped.
     fn send_to_sampled(&mut self, job: usize, task: u32, d: u32) {
         let need = self.need(job);
         let mut best: Option<(usize, usize)> = None;
-        let mut back = self.now;
+        let mut sampled_at = self.now;
         for _ in 0..d {
             let machine = self.rng.random_range(0..self.machines.len());
-            let there = self.network_delay();
-            back = back.max(self.now + there + self.network_delay());
+            let request_delay = self.network_delay();
+            sampled_at = sampled_at.max(self.now + request_delay + self.network_delay());
             if self.machines[machine].capacity.covers(&need) {
-                let length = self.machines[machine].queue.len()
+                let queue_length = self.machines[machine].queue.len()
                     + usize::from(!self.machines[machine].free.covers(&need));
                 best = best
-                    .min(Some((length, machine)))
-                    .or(Some((length, machine)));
+                    .min(Some((queue_length, machine)))
+                    .or(Some((queue_length, machine)));
             }
         }
         match best {
             Some((_, machine)) => {
-                self.sent.insert((job, task), (back, 0));
-                let at = back + self.network_delay();
+                self.sent.insert((job, task), (sampled_at, 0));
+                let at = sampled_at + self.network_delay();
                 self.schedule_at(at, Event::TaskArrives(job, task, machine));
             }
-            // None of those asked could ever hold it: others are asked.
+            // No sampled machine is large enough for the task: sample again.
             None if self
                 .machines
                 .iter()
@@ -332,7 +351,9 @@
         }
     }
 
-    fn serve_queue(&mut self, machine: usize) {
+    /// Starts the queued tasks of a machine in order while the next one fits; tasks of withdrawn
+    /// jobs are removed.
+    fn start_queued_tasks(&mut self, machine: usize) {
         while let Some(&(job, task)) = self.machines[machine].queue.front() {
             let need = self.need(job);
             if !self.withdrawn[job] && !self.machines[machine].free.covers(&need) {
@@ -347,6 +368,7 @@
 
     // ---- machines --------------------------------------------------------------
 
+    /// Starts a task on a machine, unless its job was withdrawn.
     fn start_task(&mut self, job: usize, task: u32, machine: usize) {
         let need = self.need(job);
         if self.withdrawn[job] {
@@ -376,13 +398,14 @@
         }
     }
 
+    /// Ends a running task and frees its resources.
     fn end_task(&mut self, kind: BaselineKind, job: usize, task: u32, machine: usize) {
         if self.running.remove(&(job, task)).is_none() {
             return;
         }
         self.machines[machine].free = self.machines[machine].free.plus(&self.need(job));
-        self.left[job] -= 1;
-        if self.left[job] == 0 {
+        self.unfinished_tasks[job] -= 1;
+        if self.unfinished_tasks[job] == 0 {
             self.history
                 .note(self.now, "ended", &self.load[job].job.spec.id, &"");
             self.finished.insert(job, self.now);
@@ -392,7 +415,7 @@
                 let at = self.now + self.network_delay();
                 self.schedule_at(at, Event::ResourcesFreed(job, machine));
             }
-            BaselineKind::Sampler(_) => self.serve_queue(machine),
+            BaselineKind::Sampler(_) => self.start_queued_tasks(machine),
         }
     }
 
@@ -438,7 +461,7 @@
                 ended: self.finished.len() as u64,
             },
             task_starts: self.launched.len() as u64,
-            allocation: LatencySummary::of(&allocation),
+            allocation: LatencySummary::from_histogram(&allocation),
             allocation_stages: stages.summaries(),
             time_to_start: time_to_start.summaries(),
             time_to_finish: time_to_finish.summaries(),
--- a/crates/simulator/src/store.rs
+++ b/crates/simulator/src/store.rs
@@ -1,5 +1,5 @@
-//! A simulated state service, from the protocol page: versions, compare-and-swap on
-//! conditions, watches, leases, limits.
+//! Simulated key-value store, written from the protocol page: versions, compare-and-swap on
+//! conditions, watches, leases and limits.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -8,10 +8,10 @@
 use lemonweir_protocol::kv_store::{CompareAndSwap, KeyValue, WatchEvent, Write};
 use rmpv::Value;
 
-/// Watch events that it keeps (protocol page).
-const KEPT_EVENTS: usize = 10_000;
+/// Number of watch events that the store retains (protocol page).
+const MAX_WATCH_EVENTS: usize = 10_000;
 
-/// A stored value.
+/// A stored value with its version and the lease that it is attached to.
 #[derive(Clone)]
 struct StoredValue {
     value: Value,
@@ -25,19 +25,19 @@
     keys: BTreeSet<String>,
 }
 
-/// How a compare-and-swap ended.
+/// Result of a compare-and-swap.
 pub enum CasAnswer {
-    /// Committed at this revision.
+    /// Committed; the revision of the store afterwards.
     Committed(u64),
-    /// Not committed: these keys had another version.
+    /// Not committed: these keys did not have the expected version.
     Conflict(Vec<String>),
-    /// It names a lease that has expired.
+    /// Not committed: a write is attached to a lease that has expired.
     LeaseExpired,
-    /// It has more writes, or a larger value, than the store takes.
+    /// Not committed: it exceeds the limits on writes, conditions or the size of a value.
     TooLarge,
 }
 
-/// A limit that allows a burst of one second's worth.
+/// Token bucket that holds the tokens of one second.
 struct RateLimit {
     per_s: f64,
     tokens: f64,
@@ -45,34 +45,34 @@
 }
 
 impl RateLimit {
-    fn take(&mut self, n: f64, now: u64) -> bool {
+    fn try_take(&mut self, n: f64, now: u64) -> bool {
         self.tokens = (self.tokens + now.saturating_sub(self.at_us) as f64 / 1e6 * self.per_s)
             .min(self.per_s);
         self.at_us = now;
-        let good = self.tokens >= n;
-        if good {
+        let admitted = self.tokens >= n;
+        if admitted {
             self.tokens -= n;
         }
-        good
+        admitted
     }
 }
 
-/// Requests that the store admitted.
+/// Numbers of requests and writes that the store admitted.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServedCounts {
-    /// Requests.
+    /// Number of requests.
     pub requests: u64,
-    /// Writes in them.
+    /// Number of writes in these requests.
     pub writes: u64,
 }
 
-/// The store.
+/// The simulated key-value store.
 pub struct Store {
-    /// Revision of the newest change.
+    /// Revision of the latest change.
     pub revision: u64,
-    /// True in an outage.
+    /// True during an outage.
     pub down: bool,
-    /// What it served.
+    /// Requests and writes admitted so far.
     pub served: ServedCounts,
     keys: BTreeMap<String, StoredValue>,
     events: VecDeque<WatchEvent>,
@@ -80,14 +80,14 @@
     next_lease: u64,
     requests: RateLimit,
     writes: RateLimit,
-    /// Bytes of a value as JSON at most.
-    value_bytes: usize,
-    /// Writes of a compare-and-swap at most.
-    cas_writes: usize,
+    /// Maximum size of a value as JSON, bytes.
+    max_value_bytes: usize,
+    /// Maximum number of writes in a compare-and-swap.
+    max_cas_writes: usize,
 }
 
 impl Store {
-    /// An empty store with these limits.
+    /// Creates an empty store with these limits.
     pub fn new(limits: &KvStoreLimits) -> Self {
         let rate = |per_s: f64| RateLimit {
             per_s,
@@ -104,51 +104,53 @@
             next_lease: 0,
             requests: rate(limits.requests_per_s),
             writes: rate(limits.writes_per_s),
-            value_bytes: (limits.max_value_kib * 1024.0) as usize,
-            cas_writes: limits.max_cas_ops,
+            max_value_bytes: (limits.max_value_kib * 1024.0) as usize,
+            max_cas_writes: limits.max_cas_ops,
         }
     }
 
-    /// From now on its next limits hold. What is stored stays.
+    /// Applies the lower of the current and the next limits from now on. Stored values that
+    /// exceed them are kept.
     pub fn lower_limits(&mut self, limits: &KvStoreLimits) {
         self.requests.per_s = limits.lowest_requests_per_s();
         self.writes.per_s = limits.lowest_writes_per_s();
-        self.value_bytes = (limits.lowest_max_value_kib() * 1024.0) as usize;
-        self.cas_writes = limits.lowest_max_cas_ops();
+        self.max_value_bytes = (limits.lowest_max_value_kib() * 1024.0) as usize;
+        self.max_cas_writes = limits.lowest_max_cas_ops();
     }
 
     fn within_limits(&self, cas: &CompareAndSwap) -> bool {
-        // A value that can't be written as JSON has no size that counts.
+        // A value that can't be serialized as JSON counts as empty.
         let bytes = |value: &Value| serde_json::to_vec(value).map_or(0, |text| text.len());
         let fits = |write: &Write| {
             if let Write::Put { value, .. } = write {
-                bytes(value) <= self.value_bytes
+                bytes(value) <= self.max_value_bytes
             } else {
                 true
             }
         };
-        cas.writes.len() <= self.cas_writes
-            && cas.conditions.len() <= CONDITIONS_PER_CHANGE * self.cas_writes
+        cas.writes.len() <= self.max_cas_writes
+            && cas.conditions.len() <= CONDITIONS_PER_CHANGE * self.max_cas_writes
             && cas.writes.iter().all(fits)
     }
 
-    /// Counts a request against the limits; false: 429, it is over them.
+    /// Charges a request with this many writes to the rate limits. Returns false if it exceeds
+    /// them and must be answered with 429.
     pub fn admit(&mut self, writes: usize, now: u64) -> bool {
-        let good =
-            self.requests.take(1.0, now) && (writes == 0 || self.writes.take(writes as f64, now));
-        if good {
+        let admitted = self.requests.try_take(1.0, now)
+            && (writes == 0 || self.writes.try_take(writes as f64, now));
+        if admitted {
             self.served.requests += 1;
             self.served.writes += writes as u64;
         }
-        good
+        admitted
     }
 
-    /// A key's value and version.
+    /// Returns the value and version of a key.
     pub fn get(&self, key: &str) -> Option<(&Value, u64)> {
         self.keys.get(key).map(|h| (&h.value, h.version))
     }
 
-    /// All keys with a prefix.
+    /// Returns all entries whose keys have a prefix.
     pub fn list(&self, prefix: &str) -> Vec<KeyValue> {
         let from = self
             .keys
@@ -162,31 +164,39 @@
         .collect()
     }
 
-    /// The watch events under a prefix since a revision; `None`: it is too old.
+    /// Returns the watch events after a revision for keys with a prefix, or `None` if events
+    /// after it are no longer retained.
     pub fn changes(&self, prefix: &str, after: u64) -> Option<Vec<WatchEvent>> {
         if self.events.front().is_some_and(|c| c.version > after + 1)
-            && self.events.len() >= KEPT_EVENTS
+            && self.events.len() >= MAX_WATCH_EVENTS
         {
             return None;
         }
         let from = self.events.partition_point(|c| c.version <= after);
-        let under = |c: &&WatchEvent| {
+        let has_prefix = |c: &&WatchEvent| {
             c.set
                 .as_ref()
                 .or(c.drop.as_ref())
                 .is_some_and(|k| k.starts_with(prefix))
         };
-        Some(self.events.range(from..).filter(under).cloned().collect())
+        Some(
+            self.events
+                .range(from..)
+                .filter(has_prefix)
+                .cloned()
+                .collect(),
+        )
     }
 
     fn record(&mut self, event: WatchEvent) {
         self.events.push_back(event);
-        if self.events.len() > KEPT_EVENTS {
+        if self.events.len() > MAX_WATCH_EVENTS {
             self.events.pop_front();
         }
     }
 
-    fn detach(&mut self, key: &str) {
+    /// Detaches a key from its lease.
+    fn detach_from_lease(&mut self, key: &str) {
         if let Some(lease) = self.keys.get(key).and_then(|stored| stored.lease)
             && let Some(lease) = self.leases.get_mut(&lease)
         {
@@ -195,7 +205,7 @@
     }
 
     fn set(&mut self, key: &str, value: Value, lease: Option<u64>) {
-        self.detach(key);
+        self.detach_from_lease(key);
         if let Some(lease) = lease.and_then(|id| self.leases.get_mut(&id)) {
             lease.keys.insert(key.to_owned());
         }
@@ -216,7 +226,7 @@
     }
 
     fn remove(&mut self, key: &str) {
-        self.detach(key);
+        self.detach_from_lease(key);
         if self.keys.remove(key).is_some() {
             self.record(WatchEvent {
                 set: None,
@@ -227,14 +237,17 @@
         }
     }
 
-    /// Executes a compare-and-swap.
+    /// Executes a compare-and-swap atomically.
     pub fn compare_and_swap(&mut self, cas: &CompareAndSwap) -> CasAnswer {
         if !self.within_limits(cas) {
             return CasAnswer::TooLarge;
         }
         let lease_of = |write: &Write| {
-            if let Write::Put { lease: hold, .. } = write {
-                *hold
+            if let Write::Put {
+                lease: lease_id, ..
+            } = write
+            {
+                *lease_id
             } else {
                 None
             }
@@ -267,8 +280,8 @@
                 Write::Put {
                     key,
                     value,
-                    lease: hold,
-                } => self.set(key, value.clone(), *hold),
+                    lease: lease_id,
+                } => self.set(key, value.clone(), *lease_id),
                 Write::Delete { key } => self.remove(key),
             }
         }
@@ -290,7 +303,7 @@
         self.next_lease
     }
 
-    /// Renews a lease; false: it has expired.
+    /// Renews a lease. Returns false if it has expired.
     pub fn renew_lease(&mut self, lease: u64, now: u64) -> bool {
         self.leases
             .get_mut(&lease)
@@ -298,18 +311,19 @@
             .is_some()
     }
 
-    /// Expires the leases whose time is over, with their keys.
+    /// Removes the leases that have expired together with their keys. None expires during an
+    /// outage.
     pub fn expire_leases(&mut self, now: u64) {
         if self.down {
             return;
         }
-        let over: Vec<u64> = self
+        let expired: Vec<u64> = self
             .leases
             .iter()
             .filter(|(_, lease)| now > lease.expires_us)
             .map(|(id, _)| *id)
             .collect();
-        for id in over {
+        for id in expired {
             let keys = self
                 .leases
                 .remove(&id)
@@ -324,7 +338,7 @@
         }
     }
 
-    /// An outage is over: all leases get their full time back.
+    /// Ends an outage and renews all leases for their full TTL.
     pub fn recover(&mut self, now: u64) {
         self.down = false;
         self.leases
