--- a/crates/simulator/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -1,5 +1,5 @@
-//! A scenario: a site, its load and its faults, as TOML. The names of its keys are written
-//! names (`docs/simulator.md`); the fields here carry the field's terms.
+//! Scenarios: a site, its load and its faults, read from TOML. `docs/simulator.md` describes
+//! the keys of the file, which are stable and differ from the names of some fields here.
 
 mod distribution;
 mod fault;
@@ -20,7 +20,7 @@
 
 use crate::toml_section::{ParseErrors, TomlSection};
 
-/// Machines of a type that the cloud has in each zone.
+/// How many machines of a type the cloud can provide in each zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MachineCapacity {
     /// On-demand machines.
@@ -29,18 +29,18 @@
     pub spot: u32,
 }
 
-/// A machine type of the site.
+/// A machine type of the site, with the number of its machines.
 #[derive(Clone, Debug)]
 pub struct MachineKind {
     /// The type as the catalog publishes it.
     pub machine: MachineType,
-    /// Machines of it that the cloud has in each zone.
+    /// How many of its machines the cloud can provide in each zone.
     pub capacity: MachineCapacity,
-    /// Machines up at the start, in each zone.
+    /// Machines that are up in each zone when the run starts.
     pub at_start: u32,
 }
 
-/// What one task takes.
+/// Resource request of one task.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TaskNeed {
     /// Processors.
@@ -56,36 +56,36 @@
 pub struct JobClass {
     /// Its name.
     pub name: String,
-    /// Teams that submit it, in turn.
+    /// Teams that submit its jobs, in round-robin order.
     pub teams: Vec<String>,
     /// Array, gang or service.
     pub shape: JobKind,
     /// Priority.
     pub priority: Priority,
-    /// Tasks of a job.
+    /// Number of tasks of a job.
     pub tasks: ValueDistribution,
-    /// What a task takes.
+    /// Resource request of a task.
     pub need: TaskNeed,
-    /// Run time, s; of a service: how long until it is withdrawn.
+    /// Run time of a task, s; for a service, the time until it is withdrawn.
     pub run_s: ValueDistribution,
-    /// How far the user's estimate is off: it is drawn between 1/(1+x) and 1+x
-    /// times the run time.
+    /// Error `x` of the user's estimate, which is drawn between 1/(1+x) and 1+x times the
+    /// run time.
     pub estimate_error: f64,
     /// Number of different images.
     pub images: u32,
     /// Size of an image, GB.
     pub image_gb: f64,
-    /// Jobs a minute.
+    /// Jobs submitted per minute.
     pub per_min: f64,
-    /// Jobs at the start.
+    /// Jobs submitted at the start.
     pub at_start: u32,
-    /// The only zone where its tasks may be; none: any.
+    /// The only zone in which its tasks may run; `None`: any zone.
     pub zone: Option<String>,
-    /// All tasks in one zone.
+    /// Whether all tasks of a job run in one zone.
     pub one_zone: bool,
-    /// At most half of the tasks in a zone.
+    /// Whether at most half of a job's tasks run in any one zone.
     pub spread: bool,
-    /// May use spot instances.
+    /// Whether its tasks may run on spot instances.
     pub spot: bool,
     /// Checkpoint interval, s; 0: no checkpoints.
     pub checkpoint_s: f64,
@@ -93,22 +93,22 @@
     pub save_s: f64,
     /// Seconds within which its tasks should start; 0: no objective.
     pub start_within_s: f64,
-    /// Share of its jobs that fail on every machine until they are withdrawn.
+    /// Share of its jobs whose tasks fail on every machine until the job is withdrawn.
     pub broken: f64,
-    /// Classes whose jobs of the same number its jobs depend on.
+    /// Classes that it depends on: job `n` depends on job `n` of each of them.
     pub dependencies: Vec<String>,
-    /// s from the submission of the last dependency to that of the job.
+    /// Delay from the submission of a job's last dependency to its own, s.
     pub dependency_delay_s: ValueDistribution,
-    /// Share of its jobs that their users withdraw while they wait or run.
+    /// Share of its jobs that are withdrawn while they wait or run.
     pub cancelled: f64,
 }
 
-/// How likely faults of single messages are, in thousandths.
+/// Probabilities of faults of single messages, in thousandths.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct MessageFaults {
-    /// The answer to a compare-and-swap is lost.
+    /// The reply to a compare-and-swap is lost.
     pub lost_cas_reply: u32,
-    /// A compare-and-swap is executed late.
+    /// A compare-and-swap is executed late, and its reply is lost.
     pub late_cas: u32,
     /// A command is lost.
     pub lost_command: u32,
@@ -116,58 +116,58 @@
     pub late_command: u32,
     /// A message between controllers is lost.
     pub lost_sync: u32,
-    /// Of those, one that arrives late all the same.
+    /// A lost message between controllers arrives late instead of never.
     pub late_sync: u32,
 }
 
-/// What work costs a controller, ns. With all of them 0 nothing takes time.
+/// Simulated processing time of a controller, ns. With all values 0, processing is instant.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ProcessingCosts {
     /// Receiving or sending one message.
     pub message_ns: u64,
-    /// Examining one candidate: a word of bits or a machine's free resources.
+    /// Examining one placement candidate: a word of a bit set, or a machine's free resources.
     pub candidate_ns: u64,
 }
 
-/// Network delay of a message, µs; drawn uniformly.
+/// Range of the network delay of a message, µs, which is drawn uniformly.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NetworkLatency {
-    /// At least.
+    /// Smallest delay.
     pub low_us: u64,
-    /// At most.
+    /// Largest delay.
     pub high_us: u64,
 }
 
-/// A whole scenario.
+/// A site, its load and its faults.
 #[derive(Clone, Debug)]
 pub struct Scenario {
     /// Its name.
     pub name: String,
-    /// How long it lasts, s.
+    /// Simulated duration of a run, s.
     pub duration_s: f64,
     /// Number of controllers.
     pub controllers: u16,
-    /// Zones; controllers and machines are spread over them.
+    /// Zones. Controllers are assigned to them in turn; machine counts apply to each zone.
     pub zones: Vec<String>,
-    /// The workers' times.
+    /// Heartbeat interval, lease and timeouts of the workers.
     pub workers: WorkerTiming,
     /// Limits of the state service.
     pub state: KvStoreLimits,
-    /// Limits of the cloud.
+    /// Limits of the cloud's API.
     pub cloud: CloudLimits,
-    /// The operators' own settings.
+    /// Policy set by the operators.
     pub policy: Policy,
     /// Machine types.
     pub machine_kinds: Vec<MachineKind>,
     /// Teams with their quotas.
     pub teams: Vec<Team>,
-    /// Synthetic load.
+    /// Job classes of the synthetic load.
     pub classes: Vec<JobClass>,
     /// Faults to inject.
     pub faults: Vec<Fault>,
-    /// Faults of single messages.
+    /// Probabilities of faults of single messages.
     pub message_faults: MessageFaults,
-    /// What work costs a controller.
+    /// Simulated processing time of a controller.
     pub costs: ProcessingCosts,
     /// Network delay.
     pub latency: NetworkLatency,
@@ -176,16 +176,16 @@
 }
 
 impl Scenario {
-    /// Reads a scenario.
+    /// Parses the text of a scenario file; `file` is its name in errors.
     ///
     /// # Errors
-    /// One line for each error in the file, which names file, line and field.
+    /// Returns one line for each error in the file, with file name, line and field.
     pub fn parse(file: &str, text: &str) -> Result<Self, Vec<String>> {
         let errors = ParseErrors::new(file, text);
         let doc = match DeTable::parse(text) {
             Ok(doc) => doc,
             Err(e) => {
-                errors.note(e.span().map_or(0, |s| s.start), "file", e.message());
+                errors.add(e.span().map_or(0, |s| s.start), "file", e.message());
                 return Err(errors.into_lines());
             }
         };
@@ -198,9 +198,8 @@
         }
     }
 
-    /// The same scenario with `factor` times the machines, the teams' quotas and the
-    /// synthetic load, with the load once more `load` times, and with another number of
-    /// controllers if one is given.
+    /// Multiplies machines, team quotas and synthetic load by `factor`, and the load by
+    /// `load` as well. `controllers` replaces the number of controllers if it is given.
     pub fn scaled(mut self, factor: f64, load: f64, controllers: Option<u16>) -> Self {
         let scale = |n: u32| (f64::from(n) * factor).round() as u32;
         for kind in &mut self.machine_kinds {
@@ -228,15 +227,15 @@
         self
     }
 
-    /// When all faults are over and nothing more comes of them, s.
+    /// Time at which the last effect of any fault is over, s.
     pub fn faults_over_s(&self) -> f64 {
         self.faults
             .iter()
-            .map(|fault| fault.over_s(self.controllers))
+            .map(|fault| fault.effects_end_s(self.controllers))
             .fold(0.0, f64::max)
     }
 
-    /// The catalog that the cloud publishes.
+    /// The catalog of machine types that the cloud publishes.
     pub fn catalog(&self) -> Catalog {
         self.machine_kinds
             .iter()
@@ -249,7 +248,7 @@
         &self.zones[controller % self.zones.len()]
     }
 
-    /// The settings of one controller, as the platform would hand them over.
+    /// The settings with which the platform would start a controller.
     pub fn settings(&self, controller: usize) -> Settings {
         let address = |i: usize, port: u16| {
             std::net::SocketAddr::from(([10, 0, (i / 250) as u8, (i % 250 + 1) as u8], port))
@@ -299,7 +298,7 @@
     }
 }
 
-/// Name of a controller; the order of names is that of numbers.
+/// Host name of a controller. Names sort in the order of the controllers' numbers.
 pub fn host_name(controller: usize) -> String {
     format!("h{controller:02}")
 }
--- a/crates/simulator/src/scenario/distribution.rs
+++ b/crates/simulator/src/scenario/distribution.rs
@@ -1,4 +1,4 @@
-//! Numbers that are drawn from a distribution, as a scenario describes them.
+//! Distributions from which a scenario draws values such as run times.
 
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
@@ -7,17 +7,17 @@
 
 use crate::toml_section::{TomlSection, as_number};
 
-/// Largest parameter of a distribution.
-const LARGEST_PARAMETER: f64 = 1e9;
+/// Upper bound of fixed values and distribution parameters.
+const MAX_PARAMETER: f64 = 1e9;
 
-/// How a number is drawn.
+/// A distribution from which values are drawn.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ValueDistribution {
     /// Always this value.
     Fixed(f64),
     /// Uniform between two bounds.
     Uniform {
-        /// Least value.
+        /// Smallest value.
         low: f64,
         /// Largest value.
         high: f64,
@@ -36,18 +36,18 @@
     },
     /// Pareto.
     Pareto {
-        /// Least value.
+        /// Smallest value.
         least: f64,
-        /// Shape.
+        /// Shape parameter.
         shape: f64,
     },
 }
 
 impl ValueDistribution {
-    /// Draws a value; never below zero.
+    /// Draws a value; negative values become 0.
     pub fn draw(&self, rng: &mut ChaCha8Rng) -> f64 {
-        // The parameters were checked when the file was read; a distribution
-        // that can't be made draws its first parameter.
+        // Parameters are validated when the file is read. A distribution that still can't
+        // be constructed yields its first parameter.
         let value = match *self {
             Self::Fixed(value) => value,
             Self::Uniform { low, high } => low + (high - low) * rng.random::<f64>(),
@@ -62,39 +62,39 @@
         value.max(0.0)
     }
 
-    /// Reads a field: a number, or a table that names a distribution. `default` counts if
-    /// the field is absent; without one an absent field is an error.
+    /// Reads a field: a number, or a table that names a distribution. An absent field takes
+    /// the value `default`, and is an error if there is none.
     pub(super) fn read(section: &TomlSection<'_>, name: &str, default: Option<f64>) -> Self {
-        match section.raw(name) {
+        match section.value(name) {
             Some(DeValue::Table(_)) => Self::read_table(&section.table(name)),
             Some(value) if as_number(value).is_some() => {
-                Self::Fixed(section.number(name, 0.0, LARGEST_PARAMETER, None))
+                Self::Fixed(section.number(name, 0.0, MAX_PARAMETER, None))
             }
-            _ => Self::Fixed(section.number(name, 0.0, LARGEST_PARAMETER, default)),
+            _ => Self::Fixed(section.number(name, 0.0, MAX_PARAMETER, default)),
         }
     }
 
     fn read_table(table: &TomlSection<'_>) -> Self {
-        let parameter = |name: &str, least: f64, most: f64| table.number(name, least, most, None);
+        let parameter = |name: &str, min: f64, max: f64| table.number(name, min, max, None);
         let kinds = ["uniform", "exponential", "lognormal", "pareto"].map(|kind| (kind, kind));
-        match table.word("dist", &kinds, None) {
+        match table.one_of("dist", &kinds, None) {
             Some("uniform") => {
-                let low = parameter("low", 0.0, LARGEST_PARAMETER);
-                let high = parameter("high", 0.0, LARGEST_PARAMETER);
+                let low = parameter("low", 0.0, MAX_PARAMETER);
+                let high = parameter("high", 0.0, MAX_PARAMETER);
                 if high < low {
                     table.error("high", "is below low");
                 }
                 Self::Uniform { low, high }
             }
             Some("exponential") => Self::Exponential {
-                mean: parameter("mean", 1e-9, LARGEST_PARAMETER),
+                mean: parameter("mean", 1e-9, MAX_PARAMETER),
             },
             Some("lognormal") => Self::LogNormal {
-                median: parameter("median", 1e-9, LARGEST_PARAMETER),
+                median: parameter("median", 1e-9, MAX_PARAMETER),
                 sigma: parameter("sigma", 0.0, 10.0),
             },
             Some("pareto") => Self::Pareto {
-                least: parameter("least", 1e-9, LARGEST_PARAMETER),
+                least: parameter("least", 1e-9, MAX_PARAMETER),
                 shape: parameter("shape", 0.01, 100.0),
             },
             _ => Self::Fixed(0.0),
--- a/crates/simulator/src/scenario/fault.rs
+++ b/crates/simulator/src/scenario/fault.rs
@@ -1,135 +1,139 @@
-//! Faults of a scenario: what goes wrong, when and for how long.
+//! Faults that a scenario injects: their kind, time and duration.
 
 use std::ops::RangeInclusive;
 
-/// How much later a write is executed that got no answer.
+/// Delay with which the store executes a write that it does not answer.
 pub const LATE_WRITES: SecondsRange = SecondsRange {
     low: 2.0,
     high: 12.0,
 };
-/// A spot machine goes at most so many times its notice after the fault.
-const LATEST_RECLAIM: f64 = 1.5;
+/// A spot instance is removed at the latest this multiple of its notice after the fault.
+const MAX_RECLAIM_NOTICE_FACTOR: f64 = 1.5;
 
-/// What goes wrong.
+/// The kind of a fault, with its parameters.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FaultKind {
     /// A controller process ends and is restarted.
     Crash {
-        /// Which one; none: all of them.
+        /// The controller; `None`: all of them.
         controller: Option<usize>,
     },
     /// All controllers are restarted, one after the other.
     RollingRestart,
     /// The state service is down.
     StoreDown,
-    /// A link fails while others are up.
+    /// A single link fails.
     LinkDown(Link),
-    /// The cloud's interface is down.
+    /// The cloud's API is down.
     CloudDown,
-    /// A zone is partitioned from everything outside it; inside it traffic goes on.
+    /// A zone is partitioned from everything outside it; traffic inside it continues.
     ZonePartition {
-        /// Its name.
+        /// The zone.
         zone: String,
     },
-    /// A controller process stalls while its clocks run on.
+    /// A controller process stalls while its clocks keep running.
     ProcessStall {
-        /// Which one.
+        /// The controller.
         controller: usize,
     },
-    /// Machines are lost with all that is on them.
+    /// Machines are lost together with their tasks and data.
     MachineLoss,
     /// Machines lose the network.
     NetworkLoss,
     /// Machines hang.
     MachineHang,
-    /// Machines fail every task that they start.
+    /// Machines on which every task fails that starts there.
     FaultyMachines,
-    /// Machines provisioned meanwhile take so many times as long to boot; the share of
-    /// the fault never boots.
+    /// Changes the boot time of machines provisioned during the fault; the fault's share of
+    /// them never boots.
     BootTime {
-        /// How many times as long.
+        /// Factor on the boot time.
         factor: f64,
-        /// The only zone where it is so.
+        /// The only affected zone; `None`: all zones.
         zone: Option<String>,
     },
-    /// Users poll so many times as often, a third of them for jobs that do not exist.
+    /// Users poll more often, and also for jobs that do not exist: one such poll for every
+    /// three polls of real jobs on average.
     PollLoad {
-        /// How many times as often.
+        /// Factor on the polling rate.
         factor: f64,
     },
-    /// Heartbeats of machines arrive, but answers or commands do not reach them.
+    /// Heartbeats of machines arrive, but answers or commands to the machines are lost.
     InboundLoss {
-        /// All machines of this zone; none: the share of the fault.
+        /// Affects all machines of this zone; `None`: the fault's share of all machines.
         zone: Option<String>,
-        /// Only this controller's are lost.
+        /// Only messages from this controller are lost; `None`: from any controller.
         controller: Option<usize>,
-        /// Answers are lost.
+        /// Whether answers to heartbeats are lost.
         answers: bool,
-        /// Commands are lost.
+        /// Whether commands are lost.
         commands: bool,
     },
-    /// Each heartbeat of some machines arrives a second time, so many s later.
+    /// Heartbeats of the fault's share of the machines arrive a second time.
     DelayedDuplicates {
-        /// How much later.
+        /// Delay of the copy.
         seconds: SecondsRange,
-        /// Some copies are kept until a shard has a new leader, and reach every
-        /// controller so much after that.
+        /// Only some copies arrive: they are retained until a shard has a new leader, and
+        /// reach every controller with this delay after that.
         for_next: bool,
     },
-    /// The share of all writes gets no answer.
+    /// The fault's share of all writes to the state service gets no answer.
     LateWrites {
-        /// They are executed at once; otherwise later, after newer ones.
+        /// Whether these writes are executed at once; otherwise they are executed after a
+        /// delay, possibly after newer ones.
         at_once: bool,
     },
-    /// Machines reach no controller, while direct commands reach them.
+    /// Messages from machines reach no controller, while direct commands reach the machines.
     OutboundLoss {
-        /// All machines of this zone; none: the share of the fault.
+        /// Affects all machines of this zone; `None`: the fault's share of all machines.
         zone: Option<String>,
     },
-    /// Users ask all controllers, and submit again, within milliseconds after a job
-    /// was accepted, ended or confirmed as cancelled; a share cancels at once.
+    /// Users poll all controllers about a job and resubmit it within milliseconds after it
+    /// was accepted, ended or confirmed as cancelled; some cancel it once it is accepted.
     QueryBursts,
-    /// The share of the jobs that end is cancelled at that moment.
+    /// The fault's share of the jobs that end is cancelled at that moment.
     CancelAtCompletion,
-    /// Users cancel that many running jobs within a fifth of a second.
+    /// Users cancel running jobs within 200 ms.
     CancelBurst {
-        /// How many.
+        /// Number of jobs.
         count: usize,
-        /// s for which up to eight of their machines hang; 0: none does.
+        /// Time for which up to eight machines of these jobs hang, s; 0: none hangs.
         hang_s: f64,
     },
-    /// Users submit unfinished jobs again, cancel jobs that are done, and submit jobs
-    /// that fit no machine.
+    /// Users resubmit unfinished jobs, cancel finished ones, and submit jobs that fit no
+    /// machine.
     InvalidRequests,
-    /// The state service executes requests and answers them so much later.
+    /// The state service executes and answers requests with a delay.
     StoreSlow {
-        /// How much later.
+        /// Delay of execution and answer together.
         seconds: SecondsRange,
     },
-    /// The share of calls to machines and of answers to their reports arrives so much
-    /// later, or what the machine says to a call is lost.
+    /// The fault's share of the calls to machines and of the answers to heartbeats is
+    /// delayed, or arrives in time while the machine's response to it is lost.
     DelayedCommands {
-        /// How much later.
+        /// Delay of a delayed message.
         seconds: SecondsRange,
     },
-    /// The state service has its next limits from now on.
+    /// The state service switches to its upcoming limits for the rest of the run.
     ReducedStoreLimits,
-    /// A controller loses the state service and all other controllers, not its workers.
+    /// A controller loses its links to the state service and to all other controllers, but
+    /// not to its workers.
     ControllerIsolated {
-        /// Which one.
+        /// The controller.
         controller: usize,
     },
-    /// Machines restart at once, empty, and count sessions from the start.
+    /// Machines restart at once under the same names: without tasks and images, and with
+    /// their session and message numbers reset.
     MachineRestart,
-    /// The cloud reclaims spot instances, with this notice.
+    /// The cloud reclaims the fault's share of the spot instances.
     SpotReclaim {
-        /// SecondsRange of notice; 0: none.
+        /// Nominal notice, s; 0: reclaimed at once, without notice.
         notice_s: f64,
     },
 }
 
 impl FaultKind {
-    /// True if it affects a share of the machines that are up, drawn when it begins.
+    /// True if the fault affects a share of the machines that are up, drawn when it begins.
     pub fn affects_machines(&self) -> bool {
         match self {
             Self::NetworkLoss
@@ -168,58 +172,60 @@
 /// A range of delays, s; a delay is drawn uniformly.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SecondsRange {
-    /// At least.
+    /// Smallest delay.
     pub low: f64,
-    /// At most.
+    /// Largest delay.
     pub high: f64,
 }
 
 impl SecondsRange {
-    /// The same in µs.
+    /// The range in µs.
     pub fn micros(&self) -> RangeInclusive<u64> {
         (self.low * 1e6) as u64..=(self.high * 1e6) as u64
     }
 }
 
-/// A fault with its time.
+/// A fault with its time and extent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fault {
-    /// What goes wrong.
+    /// Its kind.
     pub kind: FaultKind,
-    /// When, s.
+    /// Time at which it begins, s.
     pub at_s: f64,
-    /// For how long, s.
+    /// Duration, s; for a rolling restart, the time from one restart to the next.
     pub for_s: f64,
-    /// Share of the machines, writes, calls or jobs that it affects.
+    /// Share of the machines, writes, calls or jobs that it affects; for a boot time fault,
+    /// the share of new machines that never boot.
     pub share: f64,
-    /// The link goes down and up at this interval, s; 0: it stays down.
+    /// Interval at which a link goes down and up again, s; 0: the link stays down.
     pub flap_s: f64,
 }
 
 impl Fault {
-    /// When nothing more comes of it, s: late copies have arrived, a rolling restart is
-    /// through.
-    pub(super) fn over_s(&self, controllers: u16) -> f64 {
-        let more = match self.kind {
+    /// Time at which its last effect is over, s: late copies and writes have arrived, a
+    /// rolling restart is complete, reclaimed instances are gone.
+    pub(super) fn effects_end_s(&self, controllers: u16) -> f64 {
+        let aftereffect_s = match self.kind {
             FaultKind::RollingRestart => self.for_s * f64::from(controllers),
             FaultKind::DelayedDuplicates { seconds, .. }
             | FaultKind::StoreSlow { seconds }
             | FaultKind::DelayedCommands { seconds } => seconds.high,
             FaultKind::LateWrites { at_once: false } => LATE_WRITES.high,
             FaultKind::CancelBurst { hang_s, .. } => hang_s,
-            FaultKind::SpotReclaim { notice_s } => LATEST_RECLAIM * notice_s,
+            FaultKind::SpotReclaim { notice_s } => MAX_RECLAIM_NOTICE_FACTOR * notice_s,
             _ => 0.0,
         };
-        self.at_s + self.for_s + more
+        self.at_s + self.for_s + aftereffect_s
     }
 }
 
-/// A link that can fail by itself; controllers by their numbers.
+/// A link that can fail on its own. Controllers are identified by their numbers.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Link {
-    /// A controller and the state service, which refuses it.
+    /// A controller and the state service; requests relayed by other controllers pass.
     Store(usize),
-    /// The same; it also refuses what others relay for that controller.
+    /// A controller and the state service, which also refuses requests that others relay for
+    /// this controller.
     StoreDenied(usize),
     /// A controller and the cloud.
     Cloud(usize),
@@ -229,14 +235,14 @@
     WorkersInZone(usize, String),
     /// Two controllers.
     Controllers(usize, usize),
-    /// A controller can't reach another, which can reach it.
+    /// The first controller can't reach the second, which still can reach the first.
     OneWay(usize, usize),
     /// A controller and the users.
     Users(usize),
 }
 
 impl Link {
-    /// The link between two controllers, whichever is named first.
+    /// The link between two controllers, in either order.
     pub fn between(a: usize, b: usize) -> Self {
         Self::Controllers(a.min(b), a.max(b))
     }
--- a/crates/simulator/src/scenario/fault_history.rs
+++ b/crates/simulator/src/scenario/fault_history.rs
@@ -1,5 +1,5 @@
-//! How faults stand in the history of a run. The digest of a history covers this text: the
-//! names in it are written names, and stay when variants and fields are renamed.
+//! Text form of faults in the history of a run. The digest of a history covers this text, so
+//! its names stay the same when variants and fields are renamed.
 
 use std::fmt;
 
@@ -13,7 +13,7 @@
             }
             Self::RollingRestart => f.write_str("Roll"),
             Self::StoreDown => f.write_str("StoreDown"),
-            Self::LinkDown(link) => f.debug_tuple("Cut").field(&Written(link)).finish(),
+            Self::LinkDown(link) => f.debug_tuple("Cut").field(&HistoryFormat(link)).finish(),
             Self::CloudDown => f.write_str("CloudDown"),
             Self::ZonePartition { zone } => f.debug_struct("CutZone").field("zone", zone).finish(),
             Self::ProcessStall { controller } => {
@@ -43,7 +43,7 @@
                 .finish(),
             Self::DelayedDuplicates { seconds, for_next } => f
                 .debug_struct("LateCopies")
-                .field("seconds", &Written(seconds))
+                .field("seconds", &HistoryFormat(seconds))
                 .field("for_next", for_next)
                 .finish(),
             Self::LateWrites { at_once } => f
@@ -61,11 +61,11 @@
             Self::InvalidRequests => f.write_str("OddRequests"),
             Self::StoreSlow { seconds } => f
                 .debug_struct("StoreSlow")
-                .field("seconds", &Written(seconds))
+                .field("seconds", &HistoryFormat(seconds))
                 .finish(),
             Self::DelayedCommands { seconds } => f
                 .debug_struct("HeldOrders")
-                .field("seconds", &Written(seconds))
+                .field("seconds", &HistoryFormat(seconds))
                 .finish(),
             Self::ReducedStoreLimits => f.write_str("StateLimits"),
             Self::ControllerIsolated { controller } => {
@@ -80,10 +80,10 @@
     }
 }
 
-/// A part of a fault under its written name.
-struct Written<'a, T>(&'a T);
+/// Formats a part of a fault under its name in the history.
+struct HistoryFormat<'a, T>(&'a T);
 
-impl fmt::Debug for Written<'_, Link> {
+impl fmt::Debug for HistoryFormat<'_, Link> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.0 {
             Link::Store(controller) => f.debug_tuple("Store").field(controller).finish(),
@@ -100,7 +100,7 @@
     }
 }
 
-impl fmt::Debug for Written<'_, SecondsRange> {
+impl fmt::Debug for HistoryFormat<'_, SecondsRange> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Seconds")
             .field("low", &self.0.low)
--- a/crates/simulator/src/scenario/fault_reader.rs
+++ b/crates/simulator/src/scenario/fault_reader.rs
@@ -1,22 +1,21 @@
-//! Reads the faults of a scenario file. The names of kinds and fields are written names.
+//! Reads the faults of a scenario file. The names of kinds and keys are part of the file format.
 
 use super::reader::read_known_zone;
 use super::{Fault, FaultKind, Link, Scenario, SecondsRange};
 use crate::toml_section::TomlSection;
 
-/// When retained copies of heartbeats arrive after a shard has a new leader, if the scenario
-/// does not say.
-const RETAINED_COPY_DELAY: SecondsRange = SecondsRange {
+/// Default delay of retained copies of heartbeats after a shard has a new leader.
+const DEFAULT_RETAINED_COPY_DELAY: SecondsRange = SecondsRange {
     low: 0.0,
     high: 1.0,
 };
-/// How long a fault lasts if the scenario does not say, s.
-const USUAL_DURATION_S: f64 = 5.0;
-/// Share of the machines that a fault affects if the scenario does not say.
-const USUAL_SHARE: f64 = 0.1;
+/// Default duration of a fault, s.
+const DEFAULT_DURATION_S: f64 = 5.0;
+/// Default share of the machines, writes, calls or jobs that a fault affects.
+const DEFAULT_SHARE: f64 = 0.1;
 
 /// Names of the kinds of faults in a scenario file.
-const KINDS: [&str; 32] = [
+const KIND_NAMES: [&str; 32] = [
     "crash",
     "roll",
     "store_down",
@@ -58,26 +57,26 @@
     Commands,
 }
 
-/// Reads one fault; none if its kind is unknown, which is an error of the file.
+/// Reads one fault. An unknown kind is recorded as an error and yields `None`.
 pub(super) fn read_fault(table: &TomlSection<'_>, scenario: &Scenario) -> Option<Fault> {
     let at_s = table.number("at_s", 0.0, scenario.duration_s, None);
     let for_s = table.number(
         "for_s",
         0.0,
         scenario.duration_s - at_s,
-        Some(USUAL_DURATION_S),
+        Some(DEFAULT_DURATION_S),
     );
     let kind = read_kind(table, scenario)?;
-    let usual_share = if matches!(kind, FaultKind::BootTime { .. }) {
+    let default_share = if matches!(kind, FaultKind::BootTime { .. }) {
         0.0
     } else {
-        USUAL_SHARE
+        DEFAULT_SHARE
     };
     Some(Fault {
         kind,
         at_s,
         for_s,
-        share: table.number("share", 0.0, 1.0, Some(usual_share)),
+        share: table.number("share", 0.0, 1.0, Some(default_share)),
         flap_s: table.number("flap_s", 0.0, 1e6, Some(0.0)),
     })
 }
@@ -86,7 +85,7 @@
     let controller = || read_controller(table, "controller", scenario);
     let zone = || table.has("zone").then(|| read_known_zone(table, scenario));
     Some(
-        match table.word("kind", &KINDS.map(|kind| (kind, kind)), None)? {
+        match table.one_of("kind", &KIND_NAMES.map(|kind| (kind, kind)), None)? {
             "crash" => FaultKind::Crash {
                 controller: table.has("controller").then(controller),
             },
@@ -114,9 +113,9 @@
             },
             "deaf" => read_inbound_loss(table, scenario),
             "late_copies" => {
-                let for_next = table.flag("for_next", false);
+                let for_next = table.boolean("for_next", false);
                 FaultKind::DelayedDuplicates {
-                    seconds: read_seconds(table, for_next.then_some(RETAINED_COPY_DELAY)),
+                    seconds: read_seconds(table, for_next.then_some(DEFAULT_RETAINED_COPY_DELAY)),
                     for_next,
                 }
             }
@@ -125,13 +124,13 @@
             },
             "reborn" => FaultKind::MachineRestart,
             "late_writes" => FaultKind::LateWrites {
-                at_once: table.flag("at_once", false),
+                at_once: table.boolean("at_once", false),
             },
             "mute" => FaultKind::OutboundLoss { zone: zone() },
             "close_looks" => FaultKind::QueryBursts,
             "cancel_at_end" => FaultKind::CancelAtCompletion,
             "cancel_now" => FaultKind::CancelBurst {
-                count: table.whole("count", 1, 100_000, Some(10)) as usize,
+                count: table.integer("count", 1, 100_000, Some(10)) as usize,
                 hang_s: table.number("hang_s", 0.0, 3_600.0, Some(0.0)),
             },
             "odd_requests" => FaultKind::InvalidRequests,
@@ -151,15 +150,15 @@
 }
 
 fn read_controller(table: &TomlSection<'_>, name: &str, scenario: &Scenario) -> usize {
-    table.whole(name, 0, u64::from(scenario.controllers) - 1, None) as usize
+    table.integer(name, 0, u64::from(scenario.controllers) - 1, None) as usize
 }
 
-/// The link of a fault that takes one down.
+/// Reads the link of a `LinkDown` fault.
 fn read_link(table: &TomlSection<'_>, scenario: &Scenario) -> Option<Link> {
     let controller = || read_controller(table, "controller", scenario);
     let other = || read_controller(table, "other", scenario);
-    Some(match table.text("kind", None).as_str() {
-        "refused" if table.flag("carried", false) => Link::StoreDenied(controller()),
+    Some(match table.string("kind", None).as_str() {
+        "refused" if table.boolean("carried", false) => Link::StoreDenied(controller()),
         "refused" => Link::Store(controller()),
         "cut_controllers" => Link::between(controller(), other()),
         "cut_workers" if table.has("zone") => {
@@ -180,7 +179,7 @@
     ];
     let only = table
         .has("only")
-        .then(|| table.word("only", &words, None))
+        .then(|| table.one_of("only", &words, None))
         .flatten();
     FaultKind::InboundLoss {
         zone: table.has("zone").then(|| read_known_zone(table, scenario)),
@@ -192,10 +191,10 @@
     }
 }
 
-fn read_seconds(table: &TomlSection<'_>, usual: Option<SecondsRange>) -> SecondsRange {
-    let low = table.number("low_s", 0.0, 3_600.0, usual.map(|range| range.low));
+fn read_seconds(table: &TomlSection<'_>, default: Option<SecondsRange>) -> SecondsRange {
+    let low = table.number("low_s", 0.0, 3_600.0, default.map(|range| range.low));
     SecondsRange {
         low,
-        high: table.number("high_s", low, 3_600.0, usual.map(|range| range.high)),
+        high: table.number("high_s", low, 3_600.0, default.map(|range| range.high)),
     }
 }
--- a/crates/simulator/src/scenario/reader.rs
+++ b/crates/simulator/src/scenario/reader.rs
@@ -1,5 +1,6 @@
-//! Reads a scenario from its TOML tables, one section a function. Every error is noted at
-//! its field; what is read beside an error is a value within bounds that nobody uses.
+//! Reads a scenario from its TOML tables, with one function per section. Each error is
+//! recorded with its field, and reading continues with a placeholder within the field's
+//! bounds; a scenario with errors is discarded.
 
 use lemonweir_model::constants::MAX_STORE_OUTAGE_GRACE_MS;
 use lemonweir_model::policy::{Policy, ServicePlacementWeights};
@@ -15,18 +16,18 @@
 };
 use crate::toml_section::TomlSection;
 
-/// Reads the whole file.
+/// Reads the root table of a scenario file.
 pub(super) fn read_scenario(file: &TomlSection<'_>) -> Scenario {
-    let zones = file.texts("zones");
+    let zones = file.strings("zones");
     if zones.is_empty() {
         file.error("zones", "must name one zone at least");
     }
     let workers = file.table("workers");
     let latency = file.table("latency");
     let mut scenario = Scenario {
-        name: file.text("name", None),
+        name: file.string("name", None),
         duration_s: file.number("duration_s", 1.0, 1e8, None),
-        controllers: file.whole("controllers", 1, 64, Some(3)) as u16,
+        controllers: file.integer("controllers", 1, 64, Some(3)) as u16,
         poll_s: file.number("poll_s", 0.0, 3_600.0, Some(5.0)),
         workers: read_workers(&workers),
         state: read_state_limits(&file.table("state")),
@@ -55,7 +56,7 @@
     scenario
 }
 
-/// Checks fields against one another, and what must not be empty.
+/// Checks constraints between fields, and that at least one machine type and team exist.
 fn check_ranges(
     scenario: &Scenario,
     file: &TomlSection<'_>,
@@ -94,7 +95,7 @@
         requests_per_s: table.number("rps", 1.0, 1e9, Some(200.0)),
         writes_per_s: table.number("write_rps", 1.0, 1e9, Some(80.0)),
         max_value_kib: table.number("value_kb", 4.0, 1_024.0, Some(8.0)),
-        max_cas_ops: table.whole("txn_ops", 4, 100_000, Some(32)) as usize,
+        max_cas_ops: table.integer("txn_ops", 4, 100_000, Some(32)) as usize,
         upcoming: table
             .has("next")
             .then(|| read_next_state_limits(&table.table("next"))),
@@ -109,7 +110,7 @@
         max_value_kib: number("value_kb"),
         max_cas_ops: table
             .has("txn_ops")
-            .then(|| table.whole("txn_ops", 4, 100_000, None) as usize),
+            .then(|| table.integer("txn_ops", 4, 100_000, None) as usize),
     }
 }
 
@@ -121,21 +122,26 @@
 }
 
 fn read_policy(table: &TomlSection<'_>) -> Policy {
-    let whole_ms = |seconds: f64| (seconds * 1_000.0) as u64;
-    let most_blind_s = MAX_STORE_OUTAGE_GRACE_MS as f64 / 1_000.0;
+    let milliseconds = |seconds: f64| (seconds * 1_000.0) as u64;
+    let max_store_outage_grace_s = MAX_STORE_OUTAGE_GRACE_MS as f64 / 1_000.0;
     Policy {
         on_demand_idle_multiple: table.number("idle", 0.0, 1e6, Some(0.75)),
         spot_idle_multiple: table.number("idle_spot", 0.0, 1e6, Some(1.5)),
-        spot_silence_timeout_ms: whole_ms(table.number("silent_s", 1.0, 3_600.0, Some(9.0))),
+        spot_silence_timeout_ms: milliseconds(table.number("silent_s", 1.0, 3_600.0, Some(9.0))),
         provisioning_timeout_multiple: table.number("boot_patience", 1.5, 100.0, Some(3.0)),
-        store_outage_grace_ms: whole_ms(table.number("blind_s", 0.0, most_blind_s, Some(60.0))),
+        store_outage_grace_ms: milliseconds(table.number(
+            "blind_s",
+            0.0,
+            max_store_outage_grace_s,
+            Some(60.0),
+        )),
         headroom_per_arrival: table.number("spare", 0.0, 10.0, Some(0.5)),
         placement_weights: ServicePlacementWeights::default(),
     }
 }
 
 fn read_message_faults(table: &TomlSection<'_>) -> MessageFaults {
-    let per_mille = |name: &str| table.whole(name, 0, 1_000, Some(0)) as u32;
+    let per_mille = |name: &str| table.integer(name, 0, 1_000, Some(0)) as u32;
     MessageFaults {
         lost_cas_reply: per_mille("lost_txn_reply"),
         late_cas: per_mille("late_txn"),
@@ -148,24 +154,25 @@
 
 fn read_costs(table: &TomlSection<'_>) -> ProcessingCosts {
     ProcessingCosts {
-        message_ns: table.whole("message_ns", 0, 1_000_000_000, Some(0)),
-        candidate_ns: table.whole("look_ns", 0, 1_000_000, Some(0)),
+        message_ns: table.integer("message_ns", 0, 1_000_000_000, Some(0)),
+        candidate_ns: table.integer("look_ns", 0, 1_000_000, Some(0)),
     }
 }
 
 fn read_latency(table: &TomlSection<'_>) -> NetworkLatency {
     NetworkLatency {
-        low_us: table.whole("low_us", 1, 10_000_000, Some(500)),
-        high_us: table.whole("high_us", 1, 10_000_000, Some(3_000)),
+        low_us: table.integer("low_us", 1, 10_000_000, Some(500)),
+        high_us: table.integer("high_us", 1, 10_000_000, Some(3_000)),
     }
 }
 
 fn read_machine_kind(table: &TomlSection<'_>, zones: &[String]) -> MachineKind {
-    // The order of reading is the order in which errors of one line are named.
+    // Errors on one line are reported in the order in which the fields are read, so the price
+    // is read first.
     let price = table.number("price", 0.0, 1e6, Some(1.0));
     MachineKind {
         machine: MachineType {
-            name: table.text("name", None),
+            name: table.string("name", None),
             capacity: Resources::capacity(
                 table.number("cpus", 0.001, 1e6, None),
                 table.number("gpus", 0.0, 1e4, Some(0.0)),
@@ -179,17 +186,17 @@
             zones: zones.to_vec(),
         },
         capacity: MachineCapacity {
-            on_demand: table.whole("ordinary", 0, 1_000_000, Some(10_000)) as u32,
-            spot: table.whole("spot", 0, 1_000_000, Some(0)) as u32,
+            on_demand: table.integer("ordinary", 0, 1_000_000, Some(10_000)) as u32,
+            spot: table.integer("spot", 0, 1_000_000, Some(0)) as u32,
         },
-        at_start: table.whole("at_start", 0, 1_000_000, Some(0)) as u32,
+        at_start: table.integer("at_start", 0, 1_000_000, Some(0)) as u32,
     }
 }
 
 fn read_team(table: &TomlSection<'_>) -> Team {
     let amount = |name: &str| table.number(name, 0.0, 1e9, Some(0.0));
     Team {
-        name: table.text("name", None),
+        name: table.string("name", None),
         guaranteed_cpus: amount("cpus"),
         max_cpus: amount("cpus_max"),
         guaranteed_gpus: amount("gpus"),
@@ -201,11 +208,11 @@
     let mut classes: Vec<JobClass> = Vec::new();
     for table in file.tables("class") {
         let class = read_class(&table, scenario);
-        // Only classes before it, so that the dependencies have no cycle.
+        // Only earlier classes are allowed, so that dependencies have no cycle.
         for dependency in class
             .dependencies
             .iter()
-            .filter(|name| !classes.iter().any(|before| before.name == **name))
+            .filter(|name| !classes.iter().any(|earlier| earlier.name == **name))
         {
             table.error(
                 "awaits",
@@ -232,39 +239,39 @@
     let teams = read_class_teams(table, scenario);
     let need = read_task_need(table, scenario);
     JobClass {
-        name: table.text("name", None),
+        name: table.string("name", None),
         teams,
         shape: table
-            .word("shape", &shapes, Some(JobKind::Array))
+            .one_of("shape", &shapes, Some(JobKind::Array))
             .unwrap_or(JobKind::Array),
         priority: table
-            .word("priority", &priorities, Some(Priority::Normal))
+            .one_of("priority", &priorities, Some(Priority::Normal))
             .unwrap_or(Priority::Normal),
         tasks: ValueDistribution::read(table, "tasks", Some(1.0)),
         need,
         run_s: ValueDistribution::read(table, "run_s", None),
         estimate_error: table.number("estimate_off", 0.0, 10.0, Some(0.5)),
-        images: table.whole("images", 1, 100_000, Some(1)) as u32,
+        images: table.integer("images", 1, 100_000, Some(1)) as u32,
         image_gb: table.number("image_gb", 0.0, 10_000.0, Some(0.0)),
         per_min: table.number("per_min", 0.0, 1e6, Some(0.0)),
-        at_start: table.whole("at_start", 0, 1_000_000, Some(0)) as u32,
+        at_start: table.integer("at_start", 0, 1_000_000, Some(0)) as u32,
         zone: table.has("zone").then(|| read_known_zone(table, scenario)),
-        one_zone: table.flag("one_zone", false),
-        spread: table.flag("spread", false),
-        spot: table.flag("spot", false),
+        one_zone: table.boolean("one_zone", false),
+        spread: table.boolean("spread", false),
+        spot: table.boolean("spot", false),
         checkpoint_s: table.number("checkpoint_s", 0.0, 1e6, Some(0.0)),
         save_s: table.number("save_s", 0.0, 1e6, Some(0.0)),
         start_within_s: table.number("start_within_s", 0.0, 1e6, Some(0.0)),
         broken: table.number("broken", 0.0, 1.0, Some(0.0)),
-        dependencies: table.texts("awaits"),
+        dependencies: table.strings("awaits"),
         dependency_delay_s: ValueDistribution::read(table, "later_s", Some(0.0)),
         cancelled: table.number("cancelled", 0.0, 1.0, Some(0.0)),
     }
 }
 
-/// The teams that submit a class; all teams if it names none.
+/// The teams that submit jobs of a class; all teams if it lists none.
 fn read_class_teams(table: &TomlSection<'_>, scenario: &Scenario) -> Vec<String> {
-    let teams = table.texts("teams");
+    let teams = table.strings("teams");
     for name in teams
         .iter()
         .filter(|name| !scenario.teams.iter().any(|team| team.name == **name))
@@ -299,9 +306,9 @@
     need
 }
 
-/// The `zone` field, which must name a zone of the scenario.
+/// Reads the `zone` field, which must name a zone of the scenario.
 pub(super) fn read_known_zone(table: &TomlSection<'_>, scenario: &Scenario) -> String {
-    let zone = table.text("zone", None);
+    let zone = table.string("zone", None);
     if !scenario.zones.contains(&zone) {
         table.error(
             "zone",
--- a/crates/simulator/src/toml_section.rs
+++ b/crates/simulator/src/toml_section.rs
@@ -1,12 +1,12 @@
-//! Reads a TOML table field by field and names every error with its line, instead of the
-//! first alone.
+//! Reads TOML tables field by field and collects every error with its line, where a
+//! deserializer would stop at the first.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
 
 use toml::de::{DeTable, DeValue};
 
-/// Errors of one file, each with its line and field.
+/// Collects the errors of one file, each with its line and field.
 pub struct ParseErrors<'a> {
     file: &'a str,
     text: &'a str,
@@ -14,7 +14,7 @@
 }
 
 impl<'a> ParseErrors<'a> {
-    /// Of a file of this name and text.
+    /// Starts without errors for the file with this name and text.
     pub fn new(file: &'a str, text: &'a str) -> Self {
         Self {
             file,
@@ -23,15 +23,15 @@
         }
     }
 
-    /// Notes an error at a byte of the file.
-    pub fn note(&self, at: usize, field: &str, what: &str) {
+    /// Records an error at a byte offset of the file.
+    pub fn add(&self, at: usize, field: &str, what: &str) {
         let line = self.text[..at.min(self.text.len())].matches('\n').count() + 1;
         self.list
             .borrow_mut()
             .push((line, format!("{}:{line}: {field}: {what}", self.file)));
     }
 
-    /// All of them in the order of their lines.
+    /// The messages, ordered by line.
     pub fn into_lines(self) -> Vec<String> {
         let mut list = self.list.into_inner();
         list.sort_by_key(|(line, _)| *line);
@@ -39,7 +39,8 @@
     }
 }
 
-/// One table being read. Fields that nobody read are errors.
+/// A table being read. When it is dropped, each field that was not read is recorded as an
+/// unknown field.
 pub struct TomlSection<'a> {
     errors: &'a ParseErrors<'a>,
     path: String,
@@ -49,7 +50,7 @@
 }
 
 impl<'a> TomlSection<'a> {
-    /// The file's own table.
+    /// The root table of the file.
     pub fn root(errors: &'a ParseErrors<'a>, table: &'a DeTable<'a>) -> Self {
         Self {
             errors,
@@ -60,7 +61,7 @@
         }
     }
 
-    fn full(&self, name: &str) -> String {
+    fn field_path(&self, name: &str) -> String {
         if self.path.is_empty() {
             name.to_owned()
         } else {
@@ -77,29 +78,31 @@
         Some((value.span().start, value.get_ref()))
     }
 
-    /// Notes an error of a field, at the field or else at the table.
+    /// Records an error of a field: at the field, or at the table if the field is absent.
     pub fn error(&self, name: &str, what: &str) {
         let at = self.find(name).map_or(self.at, |(at, _)| at);
-        self.errors.note(at, &self.full(name), what);
+        self.errors.add(at, &self.field_path(name), what);
     }
 
     fn reject<T>(&self, at: usize, name: &str, want: &str) -> Option<T> {
-        self.errors.note(at, &self.full(name), want);
+        self.errors.add(at, &self.field_path(name), want);
         None
     }
 
-    /// True if the field is there.
+    /// True if the field is present.
     pub fn has(&self, name: &str) -> bool {
         self.find(name).is_some()
     }
 
-    /// A number within bounds; `or` if it is absent, and an error if that is none.
-    pub fn number(&self, name: &str, low: f64, high: f64, or: Option<f64>) -> f64 {
+    /// A number within bounds; `default` if it is absent. An absent field without a default is
+    /// an error.
+    pub fn number(&self, name: &str, low: f64, high: f64, default: Option<f64>) -> f64 {
         let Some((at, value)) = self.find(name) else {
-            if or.is_none() {
-                self.errors.note(self.at, &self.full(name), "is missing");
+            if default.is_none() {
+                self.errors
+                    .add(self.at, &self.field_path(name), "is missing");
             }
-            return or.unwrap_or(low);
+            return default.unwrap_or(low);
         };
         match as_number(value).filter(|x| (low..=high).contains(x)) {
             Some(x) => x,
@@ -109,54 +112,63 @@
         }
     }
 
-    /// A whole number within bounds.
-    pub fn whole(&self, name: &str, low: u64, high: u64, or: Option<u64>) -> u64 {
-        let x = self.number(name, low as f64, high as f64, or.map(|x| x as f64));
+    /// An integer within bounds; `default` if it is absent.
+    pub fn integer(&self, name: &str, low: u64, high: u64, default: Option<u64>) -> u64 {
+        let x = self.number(name, low as f64, high as f64, default.map(|x| x as f64));
         if x.fract() != 0.0 {
             self.error(name, "must be a whole number");
         }
         x as u64
     }
 
-    /// A text; `or` if it is absent.
-    pub fn text(&self, name: &str, or: Option<&str>) -> String {
+    /// A string; `default` if it is absent.
+    pub fn string(&self, name: &str, default: Option<&str>) -> String {
         match self.find(name) {
             Some((_, DeValue::String(s))) => s.to_string(),
             Some((at, _)) => self.reject(at, name, "must be a text").unwrap_or_default(),
             None => {
-                if or.is_none() {
-                    self.errors.note(self.at, &self.full(name), "is missing");
+                if default.is_none() {
+                    self.errors
+                        .add(self.at, &self.field_path(name), "is missing");
                 }
-                or.unwrap_or_default().to_owned()
+                default.unwrap_or_default().to_owned()
             }
         }
     }
 
-    /// One of some words.
-    pub fn word<T: Copy>(&self, name: &str, words: &[(&str, T)], or: Option<T>) -> Option<T> {
-        if !self.has(name) && or.is_some() {
-            return or;
+    /// The value that belongs to a string; `default` if the field is absent. A string that is
+    /// not among `choices` is an error.
+    pub fn one_of<T: Copy>(
+        &self,
+        name: &str,
+        choices: &[(&str, T)],
+        default: Option<T>,
+    ) -> Option<T> {
+        if !self.has(name) && default.is_some() {
+            return default;
         }
-        let text = self.text(name, None);
-        let found = words.iter().find(|(w, _)| *w == text).map(|(_, t)| *t);
+        let text = self.string(name, None);
+        let found = choices.iter().find(|(w, _)| *w == text).map(|(_, t)| *t);
         if found.is_none() && self.has(name) {
-            let list: Vec<&str> = words.iter().map(|(w, _)| *w).collect();
+            let list: Vec<&str> = choices.iter().map(|(w, _)| *w).collect();
             self.error(name, &format!("must be one of {}", list.join(", ")));
         }
         found
     }
 
-    /// True or false; `or` if it is absent.
-    pub fn flag(&self, name: &str, or: bool) -> bool {
+    /// A boolean; `default` if it is absent.
+    pub fn boolean(&self, name: &str, default: bool) -> bool {
         match self.find(name) {
             Some((_, DeValue::Boolean(b))) => *b,
-            Some((at, _)) => self.reject(at, name, "must be true or false").unwrap_or(or),
-            None => or,
+            Some((at, _)) => self
+                .reject(at, name, "must be true or false")
+                .unwrap_or(default),
+            None => default,
         }
     }
 
-    /// A list of texts.
-    pub fn texts(&self, name: &str) -> Vec<String> {
+    /// An array of strings; empty if it is absent.
+    pub fn strings(&self, name: &str) -> Vec<String> {
         let Some((at, value)) = self.find(name) else {
             return Vec::new();
         };
@@ -179,7 +191,7 @@
             .collect()
     }
 
-    /// A table; an empty one if it is absent.
+    /// A table; empty if it is absent.
     pub fn table(&self, name: &str) -> TomlSection<'a> {
         let (at, table) = match self.find(name) {
             Some((at, DeValue::Table(t))) => (at, Some(t)),
@@ -188,14 +200,14 @@
         };
         TomlSection {
             errors: self.errors,
-            path: self.full(name),
+            path: self.field_path(name),
             at,
             table,
             read_fields: RefCell::default(),
         }
     }
 
-    /// A list of tables.
+    /// An array of tables; empty if it is absent.
     pub fn tables(&self, name: &str) -> Vec<TomlSection<'a>> {
         let Some((at, value)) = self.find(name) else {
             return Vec::new();
@@ -207,7 +219,7 @@
         };
         let section = |(i, v): (usize, &'a toml::Spanned<DeValue<'a>>)| match v.get_ref() {
             DeValue::Table(t) => {
-                let path = format!("{}[{i}]", self.full(name));
+                let path = format!("{}[{i}]", self.field_path(name));
                 Some(TomlSection {
                     errors: self.errors,
                     path,
@@ -221,8 +233,8 @@
         list.iter().enumerate().filter_map(section).collect()
     }
 
-    /// The value itself, for fields of several forms.
-    pub fn raw(&self, name: &str) -> Option<&'a DeValue<'a>> {
+    /// The parsed value, for fields that accept several types.
+    pub fn value(&self, name: &str) -> Option<&'a DeValue<'a>> {
         self.find(name).map(|(_, value)| value)
     }
 }
@@ -236,13 +248,16 @@
             .flat_map(|t| t.iter())
             .filter(|(k, _)| !read_fields.contains(k.get_ref().as_ref()))
         {
-            self.errors
-                .note(key.span().start, &self.full(key.get_ref()), "unknown field");
+            self.errors.add(
+                key.span().start,
+                &self.field_path(key.get_ref()),
+                "unknown field",
+            );
         }
     }
 }
 
-/// A number of either kind.
+/// The value of an integer or of a finite float; `None` for other types.
 pub fn as_number(value: &DeValue<'_>) -> Option<f64> {
     match value {
         DeValue::Integer(i) => i64::from_str_radix(i.as_str(), i.radix())
