--- a/crates/simulator/src/fault_search.rs
+++ b/crates/simulator/src/fault_search.rs
@@ -1,5 +1,5 @@
-//! Fault search: sites, loads and faults drawn by seed, to find violated invariants and
-//! services that do not come back; a run that fails is made as small as it still fails.
+//! Fault search: runs sites, loads and faults drawn by seed, and checks for violated invariants
+//! and for services that do not recover. Faults that a failure does not need are removed.
 
 mod draw_faults;
 mod draw_site;
@@ -20,62 +20,62 @@
 use draw_faults::draw_faults;
 use draw_site::draw_site;
 
-/// s before the first fault may begin: the fleet boots.
-const CALM_S: f64 = 90.0;
-/// s within which all faults begin.
-const FAULTS_S: f64 = 110.0;
-/// s after the last fault's end for all to be well again: a zone's lost work is proven over,
-/// machines boot, images are fetched.
+/// Time before the first fault may begin, s: the fleet boots.
+const WARM_UP_S: f64 = 90.0;
+/// Length of the window in which faults begin, s.
+const FAULT_WINDOW_S: f64 = 110.0;
+/// Time for recovery after the last fault, s: it covers proving that the attempts of a lost
+/// zone have ended, booting machines and pulling images.
 const RECOVERY_S: f64 = 200.0;
-/// s that a fault lasts at the most.
-const LONGEST_FAULT_S: f64 = 70.0;
-/// s of a run.
-const DURATION_S: f64 = CALM_S + FAULTS_S + LONGEST_FAULT_S + RECOVERY_S;
+/// Longest drawn duration of a fault, s.
+const MAX_FAULT_DURATION_S: f64 = 70.0;
+/// Simulated duration of a run, s.
+const DURATION_S: f64 = WARM_UP_S + FAULT_WINDOW_S + MAX_FAULT_DURATION_S + RECOVERY_S;
 /// Share of the replicas that must be up at the end.
-const REPLICAS_UP_SHARE: f64 = 0.9;
-/// ms before the end within which an accepted service may still start.
-const FRESH_SERVICE_MS: u64 = 60_000;
+const MIN_REPLICAS_UP_SHARE: f64 = 0.9;
+/// Time that a submitted service is given to start before its replicas must be up, ms.
+const SERVICE_START_GRACE_MS: u64 = 60_000;
 
-/// A drawn run and its result.
+/// A drawn run, reduced to the faults that its failure needs, and its result.
 pub struct SearchResult {
-    /// Its seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// The scenario's text without its faults.
+    /// Scenario text without the faults.
     pub site: String,
-    /// The faults, each a table of the scenario's form.
+    /// The faults, each as `[[fault]]` tables of a scenario.
     pub faults: Vec<String>,
-    /// What failed; empty: nothing.
+    /// Violated invariants and services that did not recover; empty if the run passed.
     pub violations: Vec<String>,
-    /// Starts of tasks.
+    /// Task starts of the run with all drawn faults.
     pub task_starts: u64,
 }
 
-/// What a run with drawn faults gave.
-struct PlayedRun {
+/// Result of one run with a given set of faults.
+struct FaultRunResult {
     violations: Vec<String>,
     task_starts: u64,
 }
 
-/// Plays the run of a seed with `most_machines` machines at the most; one that fails is played
-/// again with fewer faults for as long as it still fails.
-pub fn search_seed(seed: u64, most_machines: u32) -> SearchResult {
+/// Runs the site and faults of a seed, with at most about `max_machines` machines. If the run
+/// fails, removes each fault in turn without which it still fails.
+pub fn search_seed(seed: u64, max_machines: u32) -> SearchResult {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let site = draw_site(&mut rng, most_machines);
+    let site = draw_site(&mut rng, max_machines);
     let mut faults = draw_faults(&mut rng, &site);
     let site = site.text;
-    let PlayedRun {
+    let FaultRunResult {
         mut violations,
         task_starts,
-    } = play(&site, &faults, seed);
-    let mut at = 0;
-    while !violations.is_empty() && at < faults.len() {
-        let mut fewer = faults.clone();
-        fewer.remove(at);
-        let still = play(&site, &fewer, seed).violations;
-        if still.is_empty() {
-            at += 1;
+    } = run_with_faults(&site, &faults, seed);
+    let mut index = 0;
+    while !violations.is_empty() && index < faults.len() {
+        let mut reduced = faults.clone();
+        reduced.remove(index);
+        let remaining = run_with_faults(&site, &reduced, seed).violations;
+        if remaining.is_empty() {
+            index += 1;
         } else {
-            (faults, violations) = (fewer, still);
+            (faults, violations) = (reduced, remaining);
         }
     }
     SearchResult {
@@ -87,12 +87,12 @@
     }
 }
 
-/// Plays a site with faults.
-fn play(site: &str, faults: &[String], seed: u64) -> PlayedRun {
+/// Runs a site with faults and checks the result.
+fn run_with_faults(site: &str, faults: &[String], seed: u64) -> FaultRunResult {
     let scenario = match Scenario::parse("hunt", &format!("{site}{}", faults.concat())) {
         Ok(scenario) => Arc::new(scenario),
         Err(violations) => {
-            return PlayedRun {
+            return FaultRunResult {
                 violations,
                 task_starts: 0,
             };
@@ -104,29 +104,31 @@
     simulation.run(duration_ms);
     let mut violations = violated_terms(&simulation);
     let replicas = replicas_at_end(&simulation, duration_ms);
-    if (replicas.up as f64) < REPLICAS_UP_SHARE * replicas.wanted as f64 {
+    if (replicas.up as f64) < MIN_REPLICAS_UP_SHARE * replicas.desired as f64 {
         violations.push(format!(
             "{} of {} replicas are up at the end",
-            replicas.up, replicas.wanted
+            replicas.up, replicas.desired
         ));
     }
-    PlayedRun {
+    FaultRunResult {
         violations,
         task_starts: simulation.workload.checker.starts,
     }
 }
 
-/// Replicas of the services that should be up.
+/// Replicas up and replicas desired, over all services that should be up.
 #[derive(Default)]
 struct ReplicaCounts {
     up: usize,
-    wanted: usize,
+    desired: usize,
 }
 
+/// Counts replicas at the end of a run. Services that were cancelled, or submitted shortly
+/// before the end, are left out.
 fn replicas_at_end(simulation: &Simulation, end_ms: u64) -> ReplicaCounts {
     let live = simulation.live_tasks();
     let mut replicas = ReplicaCounts::default();
-    // A service with a mistake is up nowhere, whatever the controllers do.
+    // A broken service fails on every machine, whatever the controllers do.
     for (id, job) in simulation
         .workload
         .jobs
@@ -138,12 +140,12 @@
             .get(&job_key(id))
             .and_then(|(value, _)| from_value(value));
         let should_be_up = |record: JobRecord| {
-            !record.cancel_requested && record.submitted_at_ms + FRESH_SERVICE_MS < end_ms
+            !record.cancel_requested && record.submitted_at_ms + SERVICE_START_GRACE_MS < end_ms
         };
         if record.is_some_and(should_be_up) {
-            let wanted = job.spec.tasks as usize;
-            replicas.wanted += wanted;
-            replicas.up += live.get(id).copied().unwrap_or(0).min(wanted);
+            let desired = job.spec.tasks as usize;
+            replicas.desired += desired;
+            replicas.up += live.get(id).copied().unwrap_or(0).min(desired);
         }
     }
     replicas
--- a/crates/simulator/src/fault_search/draw_faults.rs
+++ b/crates/simulator/src/fault_search/draw_faults.rs
@@ -1,5 +1,5 @@
-//! Draws the faults of a run as tables of a scenario. The order of the draws is part of what a
-//! seed means: a seed gives the same run in every version.
+//! Draws the faults of a run as tables of a scenario. The order of the draws must not change,
+//! so that a seed gives the same run in every version.
 
 use std::fmt::Write;
 
@@ -8,57 +8,59 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::draw_site::DrawnSite;
-use super::{CALM_S, FAULTS_S, LONGEST_FAULT_S};
+use super::{FAULT_WINDOW_S, MAX_FAULT_DURATION_S, WARM_UP_S};
 
-/// s that a fault lasts at the least.
-const SHORTEST_FAULT_S: f64 = 3.0;
+/// Shortest drawn duration of a fault, s.
+const MIN_FAULT_DURATION_S: f64 = 3.0;
 
-/// Pairs of faults of which the second begins while the first lasts, and in some runs one
-/// more.
+/// Draws one or two pairs of faults, of which the second begins while the first lasts, and in
+/// half of the runs another single fault.
 pub(super) fn draw_faults(rng: &mut ChaCha8Rng, site: &DrawnSite) -> Vec<String> {
     let mut faults = Vec::new();
     for _ in 0..rng.random_range(1..=2) {
-        let at = CALM_S + rng.random::<f64>() * FAULTS_S;
-        let length = draw_length(rng);
+        let at = WARM_UP_S + rng.random::<f64>() * FAULT_WINDOW_S;
+        let length = draw_duration(rng);
         faults.push(draw_fault(rng, site, at, length));
-        let second = (at + rng.random::<f64>() * length).min(CALM_S + FAULTS_S);
-        let length = draw_length(rng);
+        let second = (at + rng.random::<f64>() * length).min(WARM_UP_S + FAULT_WINDOW_S);
+        let length = draw_duration(rng);
         faults.push(draw_fault(rng, site, second, length));
     }
     if rng.random_range(0..2) == 0 {
-        let at = CALM_S + rng.random::<f64>() * FAULTS_S;
-        let length = draw_length(rng);
+        let at = WARM_UP_S + rng.random::<f64>() * FAULT_WINDOW_S;
+        let length = draw_duration(rng);
         faults.push(draw_fault(rng, site, at, length));
     }
     faults
 }
 
-fn draw_length(rng: &mut ChaCha8Rng) -> f64 {
-    rng.random_range(SHORTEST_FAULT_S..LONGEST_FAULT_S)
+fn draw_duration(rng: &mut ChaCha8Rng) -> f64 {
+    rng.random_range(MIN_FAULT_DURATION_S..MAX_FAULT_DURATION_S)
 }
 
-/// What the kinds of one fault are made of.
+/// Drawn parameters of one fault; each kind uses some of them.
 struct FaultParameters {
-    /// When it begins, s.
+    /// Time at which it begins, s.
     at: f64,
-    /// How long it lasts, s.
+    /// Duration, s.
     length: f64,
     controller: usize,
+    /// Second controller of a link between two, or the sender of an inbound loss.
     other: usize,
     zone: usize,
     share: f64,
-    /// The line that makes a link flap, or nothing.
+    /// The line that makes a link flap, or empty.
     flap: String,
-    /// The lines that narrow an inbound loss, or nothing.
+    /// The lines that restrict an inbound loss, or empty.
     only: String,
-    /// A short time, s.
+    /// A short duration, s.
     short: f64,
-    /// A range of delays, s.
+    /// Smallest delay, s.
     low: f64,
+    /// Largest delay, s.
     high: f64,
 }
 
-/// Draws one fault as a table of the scenario's form.
+/// Draws one fault as `[[fault]]` tables of a scenario.
 fn draw_fault(rng: &mut ChaCha8Rng, site: &DrawnSite, at: f64, length: f64) -> String {
     let parameters = draw_parameters(rng, site, at, length);
     let kinds = candidate_kinds(rng, site, &parameters);
@@ -85,7 +87,7 @@
         .choose(rng)
         .map_or(String::new(), |line| (*line).to_owned());
     if rng.random_range(0..3) == 0 {
-        // Writing into a string can't fail.
+        // Writing to a `String` can't fail.
         let _ = write!(only, "\ncontroller = {other}");
     }
     let short = rng.random_range(0.1..1.0f64);
@@ -106,7 +108,7 @@
     }
 }
 
-/// Each kind of fault with these parameters. Kinds that stand twice are drawn twice as often.
+/// Every kind of fault with these parameters. A kind listed twice is drawn twice as often.
 fn candidate_kinds(
     rng: &mut ChaCha8Rng,
     site: &DrawnSite,
@@ -209,7 +211,7 @@
         format!("kind = 'refused'\ncontroller = {a}\ncarried = true\nfor_s = {length:.1}"),
         format!("kind = 'crash'\ncontroller = {a}\nfor_s = {short:.1}"),
         format!("kind = 'crash'\nfor_s = {short:.1}"),
-        // The second is back while the first one's part is being taken.
+        // The second controller restarts while the first one's shard is being acquired.
         format!(
             "kind = 'crash'\ncontroller = {a}\nfor_s = {:.1}\n[[fault]]\nat_s = {:.1}\nkind = 'crash'\ncontroller = {}\nfor_s = {short:.1}",
             length.max(20.0),
--- a/crates/simulator/src/fault_search/draw_site.rs
+++ b/crates/simulator/src/fault_search/draw_site.rs
@@ -1,5 +1,5 @@
-//! Draws a site and its load as the text of a scenario. The order of the draws is part of what
-//! a seed means: a seed gives the same run in every version.
+//! Draws a site and its load as the text of a scenario. The order of the draws must not change,
+//! so that a seed gives the same run in every version.
 
 use std::fmt::Write;
 
@@ -8,12 +8,12 @@
 
 use super::DURATION_S;
 
-/// Machines of a site at the least.
-const LEAST_MACHINES: f64 = 40.0;
+/// Smallest number of machines of a site.
+const MIN_MACHINES: f64 = 40.0;
 
-/// A drawn site with what its faults depend on.
+/// A drawn site, with the parameters from which its faults are drawn.
 pub(super) struct DrawnSite {
-    /// The text of its scenario.
+    /// Scenario text without faults.
     pub(super) text: String,
     pub(super) machines: u32,
     pub(super) zones: usize,
@@ -21,10 +21,11 @@
     pub(super) lease_s: f64,
 }
 
-/// Draws a site with its load, with `most` machines at the most.
-pub(super) fn draw_site(rng: &mut ChaCha8Rng, most: u32) -> DrawnSite {
-    let range = f64::from(most.max(41)) / LEAST_MACHINES;
-    let machines = (LEAST_MACHINES * range.powf(rng.random::<f64>())) as u32;
+/// Draws a site with its load. Small sites are drawn more often than large ones: the logarithm
+/// of the number of machines is uniform up to that of `max_machines`.
+pub(super) fn draw_site(rng: &mut ChaCha8Rng, max_machines: u32) -> DrawnSite {
+    let range = f64::from(max_machines.max(41)) / MIN_MACHINES;
+    let machines = (MIN_MACHINES * range.powf(rng.random::<f64>())) as u32;
     let zones = rng.random_range(1..=8usize).min(1 + machines as usize / 10);
     let controllers = rng.random_range(1..=12usize).min(1 + machines as usize / 8);
     let lease_s = rng.random_range(8.0..27.0);
@@ -40,7 +41,7 @@
     site
 }
 
-/// Controllers, workers, services, machine types and teams.
+/// Writes controllers, workers, services, message faults, machine types and teams.
 fn write_infrastructure(site: &mut DrawnSite, rng: &mut ChaCha8Rng) {
     let DrawnSite {
         text,
@@ -54,7 +55,7 @@
     let cancel = lease * rng.random_range(1.6..3.0);
     let per_zone = machines.div_ceil(*zones as u32);
     let names: Vec<String> = (0..*zones).map(|zone| format!("'z{zone}'")).collect();
-    // Writing into a string can't fail.
+    // Writing to a `String` can't fail.
     let _ = write!(
         text,
         "name = 'hunt'\nduration_s = {DURATION_S}\ncontrollers = {controllers}\nzones = [{}]\npoll_s = 10\n\
@@ -84,7 +85,7 @@
     );
 }
 
-/// The classes of jobs.
+/// Writes the job classes.
 fn write_load(site: &mut DrawnSite, rng: &mut ChaCha8Rng) {
     let machines = site.machines;
     let (spread, one_zone) = (rng.random::<bool>() && site.zones > 1, rng.random::<bool>());
@@ -107,7 +108,7 @@
             f64::from(machines) / 30.0
         ),
     ];
-    // Some sites have a guest, and jobs with a mistake.
+    // Some sites have a team without a guaranteed quota, and jobs that always fail.
     let guest = (rng.random_range(0..3) == 0).then(|| guest_class(rng, machines));
     let broken = if rng.random_range(0..2) == 0 {
         0.04
@@ -128,7 +129,7 @@
     }
 }
 
-/// Three classes across teams, of which the last is urgent and depends on both others.
+/// Three classes across teams, of which the last has high priority and depends on both others.
 fn dependent_classes(machines: u32) -> String {
     let per_min = 1.0 + f64::from(machines) / 60.0;
     format!(
@@ -141,8 +142,8 @@
     )
 }
 
-/// One of the ways in which a guest without a guaranteed quota takes up resources: a huge
-/// array, many tiny jobs, or long idle work.
+/// A class with which a team without a guaranteed quota takes up resources: a huge array, many
+/// tiny jobs, or long low-priority work.
 fn guest_class(rng: &mut ChaCha8Rng, machines: u32) -> String {
     match rng.random_range(0..3) {
         0 => format!(
