--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -1,4 +1,4 @@
-//! The simulator's command line.
+//! Command line of the simulator.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -11,38 +11,38 @@
 use lemonweir_simulator::workload_replay::WorkloadReplay;
 use lemonweir_simulator::{fault_search, output, run, sweep, trace_commands};
 
-/// Violations that are printed of a run.
-const SHOWN_VIOLATIONS: usize = 3;
+/// Violations of one run that the fault search prints at most.
+const MAX_PRINTED_VIOLATIONS: usize = 3;
 
-/// Runs lemonweir's real decisions against a simulated site.
+/// Runs lemonweir's scheduling code against a simulated site.
 #[derive(Parser)]
 #[command(version, about)]
 struct Args {
-    /// Form of the log on standard error; `LOG_LEVEL` says how much.
+    /// Format of the log on standard error; `LOG_LEVEL` sets its level.
     #[arg(long, global = true, value_enum, default_value = "text")]
     log_format: LogFormat,
     #[command(subcommand)]
     command: Command,
 }
 
-/// Many runs.
+/// Options of commands that run many seeds.
 #[derive(clap::Args)]
 struct SweepArgs {
-    /// The seeds: FIRST..LAST.
+    /// Seeds to run: FIRST..LAST, both included.
     #[arg(long, default_value = "1..10")]
     seeds: sweep::Seeds,
-    /// Runs at a time.
+    /// Number of runs at a time.
     #[arg(long, default_value_t = 4)]
     jobs: usize,
-    /// A workload to replay in place of the scenario's classes.
+    /// Workload file to replay instead of the scenario's job classes.
     #[arg(long)]
     workload: Option<PathBuf>,
-    /// How many times as close together its submissions come.
+    /// Factor by which the workload's submissions come faster.
     #[arg(long, default_value_t = 1.0)]
     speed: f64,
     #[command(flatten)]
     size: ScenarioSize,
-    /// Directory for all reports and a plot.
+    /// Directory for all reports and a plot of allocation times.
     #[arg(long)]
     out: Option<PathBuf>,
 }
@@ -55,62 +55,62 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Check scenarios; name every fault with file, line and field.
+    /// Check scenarios, and print every error with file, line and field.
     Check {
-        /// The scenarios.
+        /// Scenario files.
         #[arg(required = true)]
         files: Vec<PathBuf>,
     },
     /// Run a scenario once.
     Run {
-        /// The scenario.
+        /// Scenario file.
         file: PathBuf,
-        /// Seed of all draws.
+        /// Seed of the random number generators.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Who places: lemonweir, central, or sampler:N.
+        /// Scheduler that places the tasks: lemonweir, central, or sampler:N.
         #[arg(long, default_value = "lemonweir")]
         placer: run::Placer,
         #[command(flatten)]
         size: ScenarioSize,
-        /// Directory for report, plots and history.
+        /// Directory for the report, plots and history.
         #[arg(long)]
         out: Option<PathBuf>,
     },
     /// Run a scenario with many seeds.
     Sweep {
-        /// The scenario.
+        /// Scenario file.
         file: PathBuf,
         #[command(flatten)]
         many: SweepArgs,
-        /// Who places: lemonweir, central, or sampler:N.
+        /// Scheduler that places the tasks: lemonweir, central, or sampler:N.
         #[arg(long, default_value = "lemonweir")]
         placer: run::Placer,
     },
     /// Run two scenarios, or one with two placers, with the same seeds.
     Compare {
-        /// The first: FILE or FILE@PLACER.
+        /// First side: FILE or FILE@PLACER.
         a: String,
-        /// The second.
+        /// Second side: FILE or FILE@PLACER.
         b: String,
         #[command(flatten)]
         many: SweepArgs,
     },
-    /// Draw sites and faults by seed and look for violated invariants and services that do
-    /// not come back.
+    /// Draw sites and faults by seed, and search for violated invariants and services that do
+    /// not recover.
     #[command(name = "fault-search", alias = "hunt")]
     FaultSearch {
-        /// The seeds: FIRST..LAST.
+        /// Seeds to run: FIRST..LAST, both included.
         #[arg(long, default_value = "1..12")]
         seeds: sweep::Seeds,
-        /// Machines of a site at the most; 40 at the least.
+        /// Largest number of machines of a site; the smallest is 40.
         #[arg(long, default_value_t = 5_000, value_parser = clap::value_parser!(u32).range(41..=100_000))]
         machines: u32,
-        /// Runs at a time.
+        /// Number of runs at a time.
         #[arg(long, default_value_t = 4)]
         jobs: usize,
     },
-    /// Published traces: check, import, show, replay.
+    /// Check, import, show and replay published traces.
     Trace {
         #[command(subcommand)]
         command: TraceCommand,
@@ -119,17 +119,17 @@
 
 fn main() -> ExitCode {
     let args = Args::parse();
-    log(args.log_format);
+    init_logging(args.log_format);
     match execute(args.command) {
         Ok(code) => code,
-        Err(faults) => {
-            faults.iter().for_each(|f| eprintln!("{f}"));
+        Err(errors) => {
+            errors.iter().for_each(|f| eprintln!("{f}"));
             ExitCode::FAILURE
         }
     }
 }
 
-fn log(format: LogFormat) {
+fn init_logging(format: LogFormat) {
     let level = std::env::var("LOG_LEVEL")
         .ok()
         .and_then(|l| l.parse().ok())
@@ -145,8 +145,8 @@
     }
 }
 
-/// A scenario, made larger if wanted.
-fn sized(file: &Path, size: ScenarioSize) -> Result<Arc<Scenario>, Vec<String>> {
+/// Loads a scenario and scales it.
+fn load_scaled_scenario(file: &Path, size: ScenarioSize) -> Result<Arc<Scenario>, Vec<String>> {
     if !(size.scale > 0.0 && size.scale <= 1e5) {
         return Err(vec![format!(
             "--scale: {} must be over 0 and at most 100,000",
@@ -159,15 +159,19 @@
             size.load
         )]);
     }
-    Ok(Arc::new(load(file)?.scaled(
+    Ok(Arc::new(load_scenario(file)?.scaled(
         size.scale,
         size.load,
         size.controllers,
     )))
 }
 
-/// A workload, if one is given.
-fn replayed(file: PathBuf, speed: f64, size: ScenarioSize) -> Result<WorkloadReplay, Vec<String>> {
+/// The replay of a workload file; the scale becomes a whole number of copies of each job.
+fn workload_replay(
+    file: PathBuf,
+    speed: f64,
+    size: ScenarioSize,
+) -> Result<WorkloadReplay, Vec<String>> {
     if !(speed.is_finite() && speed > 0.0) {
         return Err(vec![format!("--speed: {speed} must be over 0")]);
     }
@@ -178,7 +182,7 @@
     })
 }
 
-fn load(file: &Path) -> Result<Scenario, Vec<String>> {
+fn load_scenario(file: &Path) -> Result<Scenario, Vec<String>> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|e| vec![format!("{name}: {e}")])?;
     Scenario::parse(&name, &text)
@@ -187,16 +191,16 @@
 fn execute(command: Command) -> Result<ExitCode, Vec<String>> {
     match command {
         Command::Check { files } => {
-            let faults: Vec<String> = files
+            let errors: Vec<String> = files
                 .iter()
-                .filter_map(|f| load(f).err())
+                .filter_map(|f| load_scenario(f).err())
                 .flatten()
                 .collect();
-            if faults.is_empty() {
+            if errors.is_empty() {
                 println!("{} scenarios are fine", files.len());
                 return Ok(ExitCode::SUCCESS);
             }
-            Err(faults)
+            Err(errors)
         }
         Command::Run {
             file,
@@ -206,27 +210,27 @@
             out,
         } => {
             let result = run::run_once(
-                sized(&file, size)?,
+                load_scaled_scenario(&file, size)?,
                 run::LoadSource::Synthetic,
                 placer,
                 seed,
                 out.as_deref(),
             )
             .map_err(|error| vec![error.to_string()])?;
-            finish(&result, out.as_deref())
+            report_run(&result, out.as_deref())
         }
         Command::Sweep { file, many, placer } => {
-            let outcomes = sweep(&sized(&file, many.size)?, placer, &many)?;
+            let outcomes = sweep(&load_scaled_scenario(&file, many.size)?, placer, &many)?;
             println!("{} runs of {}", outcomes.len(), file.display());
             print!("{}", sweep::summary(&outcomes));
             let name = file.display().to_string();
-            close(&[(&name, &outcomes)], many.out.as_deref())
+            report_runs(&[(&name, &outcomes)], many.out.as_deref())
         }
         Command::Compare { a, b, many } => {
-            let (left, right) = (side(&a, &many)?, side(&b, &many)?);
+            let (left, right) = (run_side(&a, &many)?, run_side(&b, &many)?);
             println!("A: {a}\nB: {b}\n{} seeds", left.len());
-            print!("{}", sweep::side_by_side(&left, &right));
-            close(&[(&a, &left), (&b, &right)], many.out.as_deref())
+            print!("{}", sweep::comparison(&left, &right));
+            report_runs(&[(&a, &left), (&b, &right)], many.out.as_deref())
         }
         Command::FaultSearch {
             seeds,
@@ -259,23 +263,23 @@
                     out,
                 },
         } => {
-            let source = run::LoadSource::Workload(replayed(file, speed, size)?);
+            let source = run::LoadSource::Workload(workload_replay(file, speed, size)?);
             let result = run::run_once(
-                sized(&scenario, size)?,
+                load_scaled_scenario(&scenario, size)?,
                 source,
                 placer,
                 seed,
                 out.as_deref(),
             )
             .map_err(|error| vec![error.to_string()])?;
-            finish(&result, out.as_deref())
+            report_run(&result, out.as_deref())
         }
     }
 }
 
-/// Searches faults with many seeds and prints those that failed.
+/// Runs the fault search with many seeds and prints the failed runs.
 fn search_faults(seeds: &sweep::Seeds, machines: u32, jobs: usize) -> ExitCode {
-    let results = sweep::each(seeds, jobs, |seed| {
+    let results = sweep::map_seeds(seeds, jobs, |seed| {
         fault_search::search_seed(seed, machines)
     });
     let task_starts: u64 = results.iter().map(|result| result.task_starts).sum();
@@ -292,7 +296,7 @@
         let violations: Vec<&str> = result
             .violations
             .iter()
-            .take(SHOWN_VIOLATIONS)
+            .take(MAX_PRINTED_VIOLATIONS)
             .map(String::as_str)
             .collect();
         println!(
@@ -318,31 +322,35 @@
     let workload = many
         .workload
         .clone()
-        .map(|file| replayed(file, many.speed, many.size))
+        .map(|file| workload_replay(file, many.speed, many.size))
         .transpose()?;
     sweep::sweep(scenario, placer, workload.as_ref(), &many.seeds, many.jobs)
         .map_err(|error| vec![error.to_string()])
 }
 
-/// Runs one side of a comparison.
-fn side(spec: &str, many: &SweepArgs) -> Result<Vec<RunOutcome>, Vec<String>> {
+/// Runs one side of a comparison, given as FILE or FILE@PLACER.
+fn run_side(spec: &str, many: &SweepArgs) -> Result<Vec<RunOutcome>, Vec<String>> {
     let (file, placer) = spec.split_once('@').unwrap_or((spec, "lemonweir"));
     let placer = placer
         .parse()
         .map_err(|error: run::ParsePlacerError| vec![error.to_string()])?;
-    sweep(&sized(Path::new(file), many.size)?, placer, many)
+    sweep(
+        &load_scaled_scenario(Path::new(file), many.size)?,
+        placer,
+        many,
+    )
 }
 
-/// Writes what many runs gave; a broken rule in any of them is a failure.
-fn close(
+/// Writes the reports of many runs. A violated invariant in any of them is an error.
+fn report_runs(
     sides: &[(&String, &Vec<RunOutcome>)],
     out: Option<&Path>,
 ) -> Result<ExitCode, Vec<String>> {
     if let Some(dir) = out {
-        output::write_all(sides, dir).map_err(|e| vec![format!("{}: {e}", dir.display())])?;
+        output::write_reports(sides, dir).map_err(|e| vec![format!("{}: {e}", dir.display())])?;
         println!("reports and plots are in {}", dir.display());
     }
-    let broken: Vec<String> = sides
+    let violations: Vec<String> = sides
         .iter()
         .flat_map(|(_, outcomes)| outcomes.iter())
         .flat_map(|o| {
@@ -352,19 +360,19 @@
                 .map(|b| format!("seed {}: rule broken: {b}", o.report.seed))
         })
         .collect();
-    if broken.is_empty() {
+    if violations.is_empty() {
         Ok(ExitCode::SUCCESS)
     } else {
-        Err(broken)
+        Err(violations)
     }
 }
 
-/// Prints a run's figures; a broken rule is a failure.
-fn finish(result: &RunOutcome, out: Option<&Path>) -> Result<ExitCode, Vec<String>> {
-    print!("{}", output::table(&result.report));
-    println!("{}", output::pace(result));
+/// Prints the report of a run and writes its files. A violated invariant is an error.
+fn report_run(result: &RunOutcome, out: Option<&Path>) -> Result<ExitCode, Vec<String>> {
+    print!("{}", output::report_table(&result.report));
+    println!("{}", output::run_speed(result));
     if let Some(dir) = out {
-        output::write(result, dir).map_err(|e| vec![format!("{}: {e}", dir.display())])?;
+        output::write_report(result, dir).map_err(|e| vec![format!("{}: {e}", dir.display())])?;
         println!("report, plots and history are in {}", dir.display());
     }
     if result.report.violations.is_empty() {
--- a/crates/simulator/src/output.rs
+++ b/crates/simulator/src/output.rs
@@ -1,4 +1,4 @@
-//! Reports as a table, as JSON and as plots.
+//! Output of reports as a table, as JSON and as plots.
 
 use std::fmt::Write;
 use std::path::Path;
@@ -7,8 +7,8 @@
 use crate::report::{LatencySummary, RunOutcome, RunReport};
 use crate::sweep;
 
-/// A duration in ms, as people read it.
-fn time(ms: f64) -> String {
+/// Formats a duration in ms with a suitable unit.
+fn format_duration(ms: f64) -> String {
     match ms {
         x if x < 1_000.0 => format!("{x:.1} ms"),
         x if x < 100_000.0 => format!("{:.2} s", x / 1e3),
@@ -16,8 +16,8 @@
     }
 }
 
-fn row(out: &mut String, name: &str, s: &LatencySummary) {
-    let cells = [s.p50, s.p90, s.p99, s.p999, s.max].map(time);
+fn write_row(out: &mut String, name: &str, s: &LatencySummary) {
+    let cells = [s.p50, s.p90, s.p99, s.p999, s.max].map(format_duration);
     let _ = writeln!(
         out,
         "  {name:<24} {:>8} {}",
@@ -26,8 +26,8 @@
     );
 }
 
-/// A report as a table.
-pub fn table(r: &RunReport) -> String {
+/// Formats a report as a table.
+pub fn report_table(r: &RunReport) -> String {
     let mut out = String::new();
     let head = format!(
         "{:>8} {}",
@@ -36,7 +36,7 @@
             .map(|c| format!("{c:>10}"))
             .join(" ")
     );
-    // Writing into a text can't fail.
+    // Writing to a `String` can't fail.
     let _ = writeln!(
         out,
         "{} by {}, seed {}, {} controllers, {:.0} simulated s",
@@ -49,18 +49,18 @@
         j.submitted, j.accepted, j.refused, j.ended, r.task_starts, r.killed_by_lease
     );
     let _ = writeln!(out, "  {:<24} {head}", "from submission");
-    row(&mut out, "to a start order", &r.allocation);
+    write_row(&mut out, "to a start order", &r.allocation);
     for (name, s) in &r.allocation_stages {
-        row(&mut out, &format!("  {}", name.get(2..).unwrap_or(name)), s);
+        write_row(&mut out, &format!("  {}", name.get(2..).unwrap_or(name)), s);
     }
     for (name, s) in &r.time_to_start {
-        row(&mut out, &format!("to its start: {name}"), s);
+        write_row(&mut out, &format!("to its start: {name}"), s);
     }
     for (name, s) in &r.time_to_finish {
-        row(&mut out, &format!("to its end: {name}"), s);
+        write_row(&mut out, &format!("to its end: {name}"), s);
     }
     if r.withdrawal_latency.count > 0 {
-        row(
+        write_row(
             &mut out,
             "from a withdrawal to its end",
             &r.withdrawal_latency,
@@ -103,8 +103,8 @@
     out
 }
 
-/// How fast a run was on this machine.
-pub fn pace(o: &RunOutcome) -> String {
+/// Formats the wall time and event rate of a run on this machine.
+pub fn run_speed(o: &RunOutcome) -> String {
     let per_hour = o.wall_s * 3_600.0 / o.report.simulated_s.max(1e-9);
     format!(
         "{:.2} s of wall time, {:.0} events a second, {per_hour:.1} s a simulated hour on this machine",
@@ -113,27 +113,27 @@
     )
 }
 
-/// Writes `report.json`, `report.txt` and the plots.
-pub fn write(o: &RunOutcome, dir: &Path) -> std::io::Result<()> {
+/// Writes `report.json`, `report.txt` and the plots of a run.
+pub fn write_report(o: &RunOutcome, dir: &Path) -> std::io::Result<()> {
     std::fs::write(
         dir.join("report.json"),
         serde_json::to_string_pretty(&o.report)?,
     )?;
-    std::fs::write(dir.join("report.txt"), table(&o.report))?;
-    let other = |e: Box<dyn std::error::Error>| std::io::Error::other(e.to_string());
-    let line = [("allocation", plots::distribution(&o.allocation))];
+    std::fs::write(dir.join("report.txt"), report_table(&o.report))?;
+    let io_error = |e: Box<dyn std::error::Error>| std::io::Error::other(e.to_string());
+    let line = [("allocation", plots::cumulative_distribution(&o.allocation))];
     for kind in ["svg", "png"] {
         let file = |name: &str| dir.join(format!("{name}.{kind}"));
-        plots::allocation(&line, &file("allocation")).map_err(other)?;
-        plots::fleet(&o.report, &file("fleet")).map_err(other)?;
-        plots::messages(&o.report, &file("messages")).map_err(other)?;
-        plots::time_to_start(&o.report, &file("waiting")).map_err(other)?;
+        plots::allocation(&line, &file("allocation")).map_err(io_error)?;
+        plots::fleet(&o.report, &file("fleet")).map_err(io_error)?;
+        plots::messages(&o.report, &file("messages")).map_err(io_error)?;
+        plots::time_to_start(&o.report, &file("waiting")).map_err(io_error)?;
     }
     Ok(())
 }
 
-/// Writes the reports of many runs, and a plot of each side's allocation times.
-pub fn write_all(sides: &[(&String, &Vec<RunOutcome>)], dir: &Path) -> std::io::Result<()> {
+/// Writes the reports of many runs, and a plot with the allocation times of each side.
+pub fn write_reports(sides: &[(&String, &Vec<RunOutcome>)], dir: &Path) -> std::io::Result<()> {
     std::fs::create_dir_all(dir)?;
     let reports: Vec<&RunReport> = sides
         .iter()
@@ -145,7 +145,12 @@
     )?;
     let lines: Vec<(&str, Vec<(f64, f64)>)> = sides
         .iter()
-        .map(|(name, outcomes)| (name.as_str(), plots::distribution(&sweep::merged(outcomes))))
+        .map(|(name, outcomes)| {
+            (
+                name.as_str(),
+                plots::cumulative_distribution(&sweep::merged_allocation_times(outcomes)),
+            )
+        })
         .collect();
     for kind in ["svg", "png"] {
         let file = dir.join(format!("allocation.{kind}"));
--- a/crates/simulator/src/plots.rs
+++ b/crates/simulator/src/plots.rs
@@ -1,4 +1,4 @@
-//! Plots of a run, as SVG or PNG.
+//! Plots of runs and workloads, as SVG or PNG.
 
 use std::path::Path;
 
@@ -21,8 +21,8 @@
     RGBColor(120, 120, 120),
 ];
 
-/// A font that is part of the program, so that plots are the same anywhere.
-fn font() -> Result<(), PlotError> {
+/// Registers a font that is part of the program, so that plots are the same on every machine.
+fn register_plot_font() -> Result<(), PlotError> {
     register_font(
         "sans-serif",
         FontStyle::Normal,
@@ -31,53 +31,57 @@
     .map_err(|_| "the built-in font can't be read".into())
 }
 
-/// What a plot shows beside its lines.
-struct Frame<'a> {
+/// Title and axes of a plot.
+struct PlotLayout<'a> {
     title: &'a str,
     x: &'a str,
     y: &'a str,
     log_x: bool,
 }
 
-/// Draws lines over a common axis: as PNG if the name says so, else as SVG.
-fn lines(path: &Path, frame: &Frame<'_>, all: &[Line<'_>]) -> Result<(), PlotError> {
-    font()?;
+/// Plots lines over common axes: as PNG if the path has that extension, otherwise as SVG.
+fn plot_lines(path: &Path, layout: &PlotLayout<'_>, all: &[Line<'_>]) -> Result<(), PlotError> {
+    register_plot_font()?;
     if path.extension().is_some_and(|e| e == "png") {
         draw(
             &BitMapBackend::new(path, SIZE).into_drawing_area(),
-            frame,
+            layout,
             all,
         )
     } else {
-        draw(&SVGBackend::new(path, SIZE).into_drawing_area(), frame, all)
+        draw(
+            &SVGBackend::new(path, SIZE).into_drawing_area(),
+            layout,
+            all,
+        )
     }
 }
 
 fn draw<B: DrawingBackend>(
     root: &DrawingArea<B, Shift>,
-    frame: &Frame<'_>,
+    layout: &PlotLayout<'_>,
     all: &[Line<'_>],
 ) -> Result<(), PlotError>
 where
     B::ErrorType: 'static,
 {
     let points = || all.iter().flat_map(|(_, line)| line);
-    let most = |f: fn(&(f64, f64)) -> f64| points().map(f).fold(0.0, f64::max);
-    let (x_most, y_most) = (most(|p| p.0).max(1e-3), most(|p| p.1).max(1e-3) * 1.05);
+    let max_of = |f: fn(&(f64, f64)) -> f64| points().map(f).fold(0.0, f64::max);
+    let (x_max, y_max) = (max_of(|p| p.0).max(1e-3), max_of(|p| p.1).max(1e-3) * 1.05);
     root.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(root);
     chart
-        .caption(frame.title, ("sans-serif", 18))
+        .caption(layout.title, ("sans-serif", 18))
         .margin(12)
         .x_label_area_size(42)
         .y_label_area_size(64);
-    macro_rules! finish {
+    macro_rules! draw_series {
         ($chart:expr) => {{
             let mut chart = $chart;
             chart
                 .configure_mesh()
-                .x_desc(frame.x)
-                .y_desc(frame.y)
+                .x_desc(layout.x)
+                .y_desc(layout.y)
                 .light_line_style(WHITE)
                 .draw()?;
             for (i, (name, line)) in all.iter().enumerate() {
@@ -95,21 +99,21 @@
             }
         }};
     }
-    if frame.log_x {
-        let least = points()
+    if layout.log_x {
+        let x_min = points()
             .map(|p| p.0)
             .filter(|x| *x > 0.0)
-            .fold(x_most, f64::min);
-        finish!(chart.build_cartesian_2d((least..x_most).log_scale(), 0.0..y_most)?);
+            .fold(x_max, f64::min);
+        draw_series!(chart.build_cartesian_2d((x_min..x_max).log_scale(), 0.0..y_max)?);
     } else {
-        finish!(chart.build_cartesian_2d(0.0..x_most, 0.0..y_most)?);
+        draw_series!(chart.build_cartesian_2d(0.0..x_max, 0.0..y_max)?);
     }
     root.present()?;
     Ok(())
 }
 
-/// Share of starts whose allocation took at most so long: ms, percent.
-pub fn distribution(h: &Histogram<u64>) -> Vec<(f64, f64)> {
+/// Cumulative distribution of a histogram of µs, as points of ms and percent.
+pub fn cumulative_distribution(h: &Histogram<u64>) -> Vec<(f64, f64)> {
     let total = h.len().max(1) as f64;
     let mut sum = 0;
     let point = |v: hdrhistogram::iterators::IterationValue<u64>| {
@@ -122,18 +126,18 @@
     h.iter_recorded().map(point).collect()
 }
 
-/// The distribution of allocation times, of one run or several.
+/// Plots cumulative distributions of allocation times, one line per side.
 pub fn allocation(all: &[Line<'_>], path: &Path) -> Result<(), PlotError> {
-    let frame = Frame {
+    let layout = PlotLayout {
         title: "From submission to the start order",
         x: "ms",
         y: "% of starts",
         log_x: true,
     };
-    lines(path, &frame, all)
+    plot_lines(path, &layout, all)
 }
 
-/// Fleet, its use and its cost over time.
+/// Plots the fleet's size, use and cost over time.
 pub fn fleet(report: &RunReport, path: &Path) -> Result<(), PlotError> {
     let line = |f: &dyn Fn(&FleetSample) -> f64| {
         report
@@ -157,9 +161,9 @@
         ),
         ("money", line(&|s| s.cost)),
     ];
-    lines(
+    plot_lines(
         path,
-        &Frame {
+        &PlotLayout {
             title: "Fleet and money",
             x: "s",
             y: "machines, money",
@@ -169,7 +173,7 @@
     )
 }
 
-/// Messages a second of all controllers together, and of the busiest.
+/// Plots the message rate of all controllers together, and of the busiest one.
 pub fn messages(report: &RunReport, path: &Path) -> Result<(), PlotError> {
     let rate = |f: &dyn Fn(&FleetSample) -> u64| {
         let between = |w: &[FleetSample]| {
@@ -184,9 +188,9 @@
         ("all controllers", rate(&|s| s.messages.1)),
         ("the busiest", rate(&|s| s.messages.0)),
     ];
-    lines(
+    plot_lines(
         path,
-        &Frame {
+        &PlotLayout {
             title: "Controllers' messages",
             x: "s",
             y: "messages a second",
@@ -196,7 +200,7 @@
     )
 }
 
-/// Time to start of each class.
+/// Plots the time to start of each class from its percentiles.
 pub fn time_to_start(report: &RunReport, path: &Path) -> Result<(), PlotError> {
     let steps = |s: &crate::report::LatencySummary| {
         vec![
@@ -211,9 +215,9 @@
         .iter()
         .map(|(class, s)| (class.as_str(), steps(s)))
         .collect();
-    lines(
+    plot_lines(
         path,
-        &Frame {
+        &PlotLayout {
             title: "From submission to the start, by class",
             x: "ms",
             y: "% of starts",
@@ -223,13 +227,13 @@
     )
 }
 
-/// What a workload's tasks would take if none of them waited.
+/// Plots the resources that a workload's tasks would use over time if none of them waited.
 pub fn load(line: &[(f64, f64)], path: &Path) -> Result<(), PlotError> {
-    let frame = Frame {
+    let layout = PlotLayout {
         title: "Load if nothing waited",
         x: "s",
         y: "processors (accelerators where more)",
         log_x: false,
     };
-    lines(path, &frame, &[("load", line.to_vec())])
+    plot_lines(path, &layout, &[("load", line.to_vec())])
 }
--- a/crates/simulator/src/sweep.rs
+++ b/crates/simulator/src/sweep.rs
@@ -1,4 +1,4 @@
-//! Many seeds of one scenario, and two scenarios side by side.
+//! Sweeps: runs of a scenario with many seeds, their statistics, and comparisons of two sweeps.
 
 use std::fmt::Write;
 use std::str::FromStr;
@@ -15,13 +15,13 @@
 use crate::scenario::Scenario;
 use crate::workload_replay::WorkloadReplay;
 
-/// Seeds of a sweep at most.
-const MOST_SEEDS: u64 = 100_000;
+/// Largest number of seeds of a sweep.
+const MAX_SEEDS: u64 = 100_000;
 
-/// A text that names no seeds.
+/// Why a text can't be parsed as seeds.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ParseSeedsError {
-    /// It is no number.
+    /// A bound is not a number.
     #[error("{0:?} is no seed")]
     NotANumber(String),
     /// The range is empty or too long.
@@ -29,7 +29,7 @@
     Range(String),
 }
 
-/// Seeds: one, or `FIRST..LAST`, both included.
+/// Seeds, parsed from a single number or from `FIRST..LAST` with both included.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Seeds(pub Vec<u64>);
 
@@ -45,16 +45,16 @@
             Some((first, last)) => (number(first)?, number(last)?),
             None => (number(text)?, number(text)?),
         };
-        if last < first || last - first >= MOST_SEEDS {
+        if last < first || last - first >= MAX_SEEDS {
             return Err(ParseSeedsError::Range(text.to_owned()));
         }
         Ok(Self((first..=last).collect()))
     }
 }
 
-/// Runs `work` for every seed on so many threads; the results are in the order of the seeds,
-/// whatever the threads.
-pub fn each<T: Send>(seeds: &Seeds, jobs: usize, work: impl Fn(u64) -> T + Sync) -> Vec<T> {
+/// Runs `work` for every seed on `jobs` threads. The results are in the order of the seeds,
+/// whatever order the threads finish in.
+pub fn map_seeds<T: Send>(seeds: &Seeds, jobs: usize, work: impl Fn(u64) -> T + Sync) -> Vec<T> {
     let bar = ProgressBar::new(seeds.0.len() as u64);
     bar.set_style(
         ProgressStyle::with_template("{bar:30} {pos}/{len} runs, {eta} left")
@@ -85,7 +85,7 @@
     done.into_iter().map(|(_, result)| result).collect()
 }
 
-/// Runs a scenario with every seed.
+/// Runs a scenario with every seed, with synthetic load or with a replayed workload.
 pub fn sweep(
     scenario: &Arc<Scenario>,
     placer: Placer,
@@ -94,15 +94,15 @@
     jobs: usize,
 ) -> Result<Vec<RunOutcome>, RunError> {
     let source = || workload.map_or(LoadSource::Synthetic, |w| LoadSource::Workload(w.clone()));
-    each(seeds, jobs, |seed| {
+    map_seeds(seeds, jobs, |seed| {
         run_once(scenario.clone(), source(), placer, seed, None)
     })
     .into_iter()
     .collect()
 }
 
-/// The figures that runs are compared by.
-fn figures(r: &RunReport) -> Vec<(String, f64)> {
+/// The metrics by which runs are compared, with their names.
+fn metrics(r: &RunReport) -> Vec<(String, f64)> {
     let mut all = vec![
         ("allocation 50 %, ms".to_owned(), r.allocation.p50),
         ("allocation 90 %, ms".to_owned(), r.allocation.p90),
@@ -126,7 +126,8 @@
     all
 }
 
-/// Mean, and half the width of its 95 % confidence interval.
+/// The mean, and half the width of its 95 % confidence interval; infinite for fewer than two
+/// values.
 pub fn confidence(values: &[f64]) -> (f64, f64) {
     let n = values.len() as f64;
     let mean = values.iter().sum::<f64>() / n.max(1.0);
@@ -138,10 +139,10 @@
     (mean, t * (variance / n).sqrt())
 }
 
-/// All figures of a sweep, with their confidence.
+/// Formats the mean of every metric of a sweep, with its 95 % confidence interval.
 pub fn summary(outcomes: &[RunOutcome]) -> String {
     let mut out = String::new();
-    let rows: Vec<Vec<(String, f64)>> = outcomes.iter().map(|o| figures(&o.report)).collect();
+    let rows: Vec<Vec<(String, f64)>> = outcomes.iter().map(|o| metrics(&o.report)).collect();
     let names: Vec<&String> = rows
         .first()
         .into_iter()
@@ -161,10 +162,11 @@
         .collect()
 }
 
-/// Two sweeps of the same seeds side by side, with the difference seed by seed.
-pub fn side_by_side(a: &[RunOutcome], b: &[RunOutcome]) -> String {
+/// Formats two sweeps of the same seeds side by side. The confidence interval is that of the
+/// paired differences by seed.
+pub fn comparison(a: &[RunOutcome], b: &[RunOutcome]) -> String {
     let mut out = String::new();
-    let rows = |list: &[RunOutcome]| list.iter().map(|o| figures(&o.report)).collect::<Vec<_>>();
+    let rows = |list: &[RunOutcome]| list.iter().map(|o| metrics(&o.report)).collect::<Vec<_>>();
     let (left, right) = (rows(a), rows(b));
     let names: Vec<&String> = left
         .first()
@@ -182,9 +184,9 @@
         if x.len() != y.len() {
             continue;
         }
-        let by_seed: Vec<f64> = x.iter().zip(&y).map(|(x, y)| y - x).collect();
+        let differences: Vec<f64> = x.iter().zip(&y).map(|(x, y)| y - x).collect();
         let ((ma, _), (mb, _), (diff, half)) =
-            (confidence(&x), confidence(&y), confidence(&by_seed));
+            (confidence(&x), confidence(&y), confidence(&differences));
         let sure = if diff.abs() >= half {
             ""
         } else {
@@ -198,12 +200,12 @@
     out
 }
 
-/// The allocation times of all seeds together.
-pub fn merged(outcomes: &[RunOutcome]) -> Histogram<u64> {
+/// The allocation times of all runs in one histogram. A run that can't be added is left out.
+pub fn merged_allocation_times(outcomes: &[RunOutcome]) -> Histogram<u64> {
     let mut all = histogram();
     for outcome in outcomes {
         if let Err(error) = all.add(&outcome.allocation) {
-            tracing::error!(%error, "allocation times of one seed left out");
+            tracing::error!(%error, "failed to merge the allocation times of a run");
         }
     }
     all
--- a/crates/simulator/src/trace_commands.rs
+++ b/crates/simulator/src/trace_commands.rs
@@ -1,4 +1,5 @@
-//! `lemonweir-simulator trace`: published traces checked, imported, shown, replayed.
+//! `lemonweir-simulator trace`: arguments of its commands, and the commands that check, import
+//! and show traces.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -11,119 +12,119 @@
 use crate::plots;
 use crate::run::Placer;
 
-/// Exit code of a check that found a fault.
-const FAULTY: u8 = 1;
-/// Exit code where a file can't be read or written.
-const UNREADABLE: u8 = 2;
+/// Exit code if faulty rows were found.
+const EXIT_FAULTS_FOUND: u8 = 1;
+/// Exit code if a file can't be read or written.
+const EXIT_FILE_ERROR: u8 = 2;
 
-/// The commands but `replay`, which is a run.
+/// The `trace` commands.
 #[derive(Subcommand)]
 pub enum TraceCommand {
-    /// Check files of a published format; every fault is a line.
+    /// Check trace files, and print one line for every fault.
     Check {
-        /// Format and files.
+        /// Trace files and their format.
         #[command(flatten)]
-        files: Files,
+        files: TraceFiles,
     },
-    /// Import files into a workload.
+    /// Import trace files into a workload file.
     Import {
-        /// Format and files.
+        /// Trace files and their format.
         #[command(flatten)]
-        files: Files,
-        /// What becomes of the rows when some are faulty.
+        files: TraceFiles,
+        /// How to handle faulty rows.
         #[arg(long, value_enum, default_value = "stop")]
         on_fault: FaultyRows,
-        /// The workload to write.
+        /// Workload file to write.
         #[arg(short, value_name = "OUT")]
         out: PathBuf,
     },
-    /// Show what a workload holds.
+    /// Show the size of a workload and the ranges of its values.
     Show {
-        /// The workload.
+        /// Workload file.
         file: PathBuf,
-        /// Where to write a plot of its load: `.svg` or `.png`.
+        /// File for a plot of its load: `.svg` or `.png`.
         #[arg(long)]
         plot: Option<PathBuf>,
     },
-    /// Run a workload through controllers in a scenario.
+    /// Run a workload on the site of a scenario.
     Replay {
-        /// The workload.
+        /// Workload file.
         file: PathBuf,
-        /// The scenario; its own classes are left out.
+        /// Scenario file; its job classes are ignored.
         #[arg(long)]
         scenario: PathBuf,
-        /// Seed of all draws.
+        /// Seed of the random number generators.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// How many times as close together the submissions come.
+        /// Factor by which the submissions come faster.
         #[arg(long, default_value_t = 1.0)]
         speed: f64,
-        /// Who places: lemonweir, central, or sampler:N.
+        /// Scheduler that places the tasks: lemonweir, central, or sampler:N.
         #[arg(long, default_value = "lemonweir")]
         placer: Placer,
-        /// How large.
+        /// Scaling of the scenario.
         #[command(flatten)]
         size: ScenarioSize,
-        /// Directory for report, plots and history.
+        /// Directory for the report, plots and history.
         #[arg(long)]
         out: Option<PathBuf>,
     },
 }
 
-/// A scenario made larger.
+/// Scaling of a scenario.
 #[derive(Clone, Copy, clap::Args)]
 pub struct ScenarioSize {
-    /// Times the machines and the load; of a workload, whole copies.
+    /// Factor on machines, quotas and load; for a workload, rounded to whole copies of its jobs.
     #[arg(long, default_value_t = 1.0)]
     pub scale: f64,
-    /// Times the synthetic load alone.
+    /// Factor on the synthetic load alone.
     #[arg(long, default_value_t = 1.0)]
     pub load: f64,
-    /// Controllers in place of the scenario's.
+    /// Number of controllers, instead of the scenario's.
     #[arg(long, value_parser = clap::value_parser!(u16).range(1..=64))]
     pub controllers: Option<u16>,
 }
 
-/// Files of a format.
+/// Trace files of one format.
 #[derive(clap::Args)]
-pub struct Files {
-    /// Their format.
+pub struct TraceFiles {
+    /// Format of the files.
     #[arg(long, value_parser = parse_format)]
     format: Format,
-    /// Size of the trace's machine, for units that are shares of it:
+    /// Size of the trace's reference machine, for traces that give resources as shares of it:
     /// `cpus=64,memory_gb=256,gpus=8`.
     #[arg(long, value_parser = parse_machine)]
     machine: Option<Resources>,
-    /// The files.
+    /// Trace files.
     #[arg(required = true)]
     files: Vec<PathBuf>,
 }
 
-/// What becomes of the rows.
+/// How an import handles faulty rows.
 #[derive(Clone, Copy, ValueEnum)]
 pub enum FaultyRows {
-    /// Nothing is written.
+    /// Write nothing if any row is faulty.
     Stop,
-    /// Faulty rows are left out.
+    /// Leave out faulty rows.
     Drop,
 }
 
-/// A text that names no trace format.
+/// A name that is not the name of a trace format.
 #[derive(Debug, thiserror::Error)]
 #[error("must be one of {}", Format::ALL.map(|(name, _)| name).join(", "))]
 struct UnknownFormat;
 
-/// A text that gives no machine's size.
+/// Why a text can't be parsed as a machine size.
 #[derive(Debug, thiserror::Error)]
 enum ParseMachineError {
     #[error("{0}: must be name=number")]
-    NoAssignment(String),
+    MissingAssignment(String),
     #[error("{0} is no amount")]
-    NoAmount(String),
+    InvalidAmount(String),
     #[error("{0}: must be cpus, gpus or memory_gb")]
     UnknownResource(String),
     #[error("cpus and memory_gb must be over 0")]
-    Empty,
+    ZeroCapacity,
 }
 
 fn parse_format(text: &str) -> Result<Format, UnknownFormat> {
@@ -139,12 +140,12 @@
     for assignment in text.split(',') {
         let (name, value) = assignment
             .split_once('=')
-            .ok_or_else(|| ParseMachineError::NoAssignment(assignment.to_owned()))?;
+            .ok_or_else(|| ParseMachineError::MissingAssignment(assignment.to_owned()))?;
         let amount: f64 = value
             .parse()
             .ok()
             .filter(|amount: &f64| amount.is_finite() && *amount >= 0.0)
-            .ok_or_else(|| ParseMachineError::NoAmount(value.to_owned()))?;
+            .ok_or_else(|| ParseMachineError::InvalidAmount(value.to_owned()))?;
         match name {
             "cpus" => cpus = amount,
             "gpus" => gpus = amount,
@@ -153,21 +154,21 @@
         }
     }
     if cpus <= 0.0 || memory <= 0.0 {
-        return Err(ParseMachineError::Empty);
+        return Err(ParseMachineError::ZeroCapacity);
     }
     Ok(Resources::capacity(cpus, gpus, memory))
 }
 
-/// Checks; exit code 1 on any fault, 2 on a file that can't be read.
-pub fn check(files: &Files) -> ExitCode {
-    report(
+/// Checks trace files. The exit code is 1 on any fault, and 2 if a file can't be read.
+pub fn check(files: &TraceFiles) -> ExitCode {
+    report_outcome(
         lemonweir_trace::check(files.format, &files.files, files.machine, &mut print_fault),
         "no fault",
     )
 }
 
-/// Imports; with `stop` and a fault nothing is written.
-pub fn import(files: &Files, on_fault: FaultyRows, out: &Path) -> ExitCode {
+/// Imports trace files into a workload. With `FaultyRows::Stop`, a fault leaves nothing written.
+pub fn import(files: &TraceFiles, on_fault: FaultyRows, out: &Path) -> ExitCode {
     let on_fault = match on_fault {
         FaultyRows::Stop => OnFault::Stop,
         FaultyRows::Drop => OnFault::Drop,
@@ -190,7 +191,7 @@
             );
             ExitCode::SUCCESS
         }
-        _ => report(result, &format!("written to {}", out.display())),
+        _ => report_outcome(result, &format!("written to {}", out.display())),
     }
 }
 
@@ -198,7 +199,8 @@
     println!("{fault}");
 }
 
-fn report<E: std::fmt::Display>(
+/// Prints the outcome of a check or import, and returns its exit code.
+fn report_outcome<E: std::fmt::Display>(
     result: Result<lemonweir_trace::Imported, E>,
     well: &str,
 ) -> ExitCode {
@@ -209,23 +211,23 @@
         }
         Ok(r) => {
             println!("{} faults", r.faults);
-            ExitCode::from(FAULTY)
+            ExitCode::from(EXIT_FAULTS_FOUND)
         }
         Err(e) => {
             eprintln!("{e}");
-            ExitCode::from(UNREADABLE)
+            ExitCode::from(EXIT_FILE_ERROR)
         }
     }
 }
 
-/// Shows counts, ranges and the load over time.
+/// Prints counts and ranges of a workload, and plots its load over time.
 pub fn show(file: &Path, plot: Option<&Path>) -> ExitCode {
     let mut summary = WorkloadSummary::default();
     let header = match workload::read(file, |e| summary.record(&e)) {
         Ok(header) => header,
         Err(e) => {
             eprintln!("{e}");
-            return ExitCode::from(UNREADABLE);
+            return ExitCode::from(EXIT_FILE_ERROR);
         }
     };
     println!(
@@ -247,11 +249,11 @@
         );
     };
     for (name, range, unit) in [
-        ("submitted at", summary.at, "s"),
-        ("run time", summary.run, "s"),
-        ("processors", summary.cpus, "a task"),
-        ("accelerators", summary.gpus, "a task"),
-        ("memory", summary.memory, "GB a task"),
+        ("submitted at", summary.submitted_ms, "s"),
+        ("run time", summary.run_ms, "s"),
+        ("processors", summary.milli_cpus, "a task"),
+        ("accelerators", summary.milli_gpus, "a task"),
+        ("memory", summary.memory_mb, "GB a task"),
     ] {
         line(name, range.unwrap_or_default(), unit);
     }
@@ -259,14 +261,15 @@
         && let Err(e) = plots::load(&summary.load(), path)
     {
         eprintln!("{}: {e}", path.display());
-        return ExitCode::from(UNREADABLE);
+        return ExitCode::from(EXIT_FILE_ERROR);
     }
     ExitCode::SUCCESS
 }
 
+/// Smallest and largest value; `None` before the first one.
 type Range = Option<(u64, u64)>;
 
-fn widen(range: &mut Range, x: u64) {
+fn extend_range(range: &mut Range, x: u64) {
     *range = Some(range.map_or((x, x), |(low, high)| (low.min(x), high.max(x))));
 }
 
@@ -275,13 +278,13 @@
     jobs: u64,
     tasks: u64,
     shapes: [u64; 3],
-    at: Range,
-    run: Range,
-    cpus: Range,
-    gpus: Range,
-    memory: Range,
-    /// Time, and thousandths of a processor that are wanted more from then on.
-    steps: std::collections::BTreeMap<u64, i64>,
+    submitted_ms: Range,
+    run_ms: Range,
+    milli_cpus: Range,
+    milli_gpus: Range,
+    memory_mb: Range,
+    /// Change of the load at a time in s, in thousandths of a processor.
+    load_changes: std::collections::BTreeMap<u64, i64>,
 }
 
 impl WorkloadSummary {
@@ -289,30 +292,35 @@
         self.jobs += 1;
         self.tasks += u64::from(e.tasks);
         self.shapes[e.shape as usize] += 1;
-        widen(&mut self.at, e.at_ms);
-        widen(&mut self.cpus, e.need.milli_cpus);
-        widen(&mut self.gpus, e.need.milli_gpus);
-        widen(&mut self.memory, e.need.memory_mb);
+        extend_range(&mut self.submitted_ms, e.at_ms);
+        extend_range(&mut self.milli_cpus, e.need.milli_cpus);
+        extend_range(&mut self.milli_gpus, e.need.milli_gpus);
+        extend_range(&mut self.memory_mb, e.need.memory_mb);
         for &run in &e.run_ms {
-            widen(&mut self.run, run);
+            extend_range(&mut self.run_ms, run);
         }
-        let each = e.run_ms.len().max(1) as u64;
-        let cpus = (e.need.milli_cpus.max(e.need.milli_gpus) * u64::from(e.tasks) / each) as i64;
-        for n in 0..each as usize {
-            *self.steps.entry(e.at_ms / 1_000).or_default() += cpus;
+        let run_times = e.run_ms.len().max(1) as u64;
+        let cpus =
+            (e.need.milli_cpus.max(e.need.milli_gpus) * u64::from(e.tasks) / run_times) as i64;
+        for n in 0..run_times as usize {
+            *self.load_changes.entry(e.at_ms / 1_000).or_default() += cpus;
             if let Some(run) = e.run_ms.get(n) {
-                *self.steps.entry((e.at_ms + run) / 1_000 + 1).or_default() -= cpus;
+                *self
+                    .load_changes
+                    .entry((e.at_ms + run) / 1_000 + 1)
+                    .or_default() -= cpus;
             }
         }
     }
 
-    /// What the tasks would take if none of them waited: s, processors.
+    /// Load over time if no task waited, as points of s and processors; accelerators count in
+    /// place of processors for jobs that request more of them.
     fn load(&self) -> Vec<(f64, f64)> {
         let mut sum = 0;
         let step = |(at, by): (&u64, &i64)| {
             sum += by;
             (*at as f64, sum as f64 / 1e3)
         };
-        self.steps.iter().map(step).collect()
+        self.load_changes.iter().map(step).collect()
     }
 }
