--- a/crates/simulator/tests/concurrent_faults.rs
+++ b/crates/simulator/tests/concurrent_faults.rs
@@ -1,6 +1,6 @@
-//! Concurrent faults: each scenario of `examples/scenarios/meetings/`, with its later faults
-//! moved against the first over the times for which shard leases, store leases and worker
-//! leases last, by both lengths of a lease, with several seeds.
+//! Concurrent faults: runs each scenario of `examples/scenarios/meetings/` and `chains/` with
+//! several seeds and both worker timings, and shifts the later faults against the first so that
+//! they fall just before and just after each of the protocol's timeouts.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -14,18 +14,19 @@
 use lemonweir_simulator::scenario::{FaultKind, Scenario};
 use lemonweir_simulator::simulation::Simulation;
 
-/// s after the last fault: the 75 s of the term on forgotten jobs, and some more.
+/// s that a run lasts after the last fault. A job counts as forgotten after 75 s without an
+/// answer, so a run must be longer than that.
 const TAIL_S: f64 = 100.0;
-/// Report interval, lease and time to cancel, s.
+/// Heartbeat interval, worker lease and cancellation deadline, s.
 const TIMES: [(f64, f64, f64); 2] = [(3.0, 14.0, 34.0), (5.0, 26.5, 60.0)];
-/// Threads of one test.
+/// Threads that each test runs scenarios on.
 const THREADS: usize = 3;
 
 fn directory() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/scenarios/meetings")
 }
 
-/// s of the second fault after the first.
+/// Offsets from the first fault to the second, s: at once, and around each timeout.
 fn offsets(scenario: &Scenario) -> Vec<f64> {
     let WorkerTiming {
         heartbeat_interval_s: report_s,
@@ -45,8 +46,9 @@
     all
 }
 
-/// A scenario with these times, its later faults moved by the second's offset.
-/// The first one lasts into them, but for a process that is back by then.
+/// The scenario with the given worker timing and its later faults shifted so that the second
+/// starts `offset` s after the first. The first fault is prolonged to overlap them, unless it is a
+/// crash: a crashed process has restarted by then.
 fn moved(
     scenario: &Scenario,
     (report_s, lease_s, cancel_s): (f64, f64, f64),
@@ -88,7 +90,8 @@
     violated_terms(&simulation)
 }
 
-/// Plays one file over the whole table, `seeds` of each; what was broken.
+/// Runs the scenario `name` with each worker timing and offset, `seeds` times each, and asserts
+/// that no run violates an invariant.
 fn play_with_offsets(name: &str, seeds: u64) {
     let scenario = scenario(name);
     let mut days = Vec::new();
@@ -131,10 +134,11 @@
     );
 }
 
-/// What the gap is: the shard has another leader, ends that users asked for are committed,
-/// and then nobody can write. The peers tell the old leader, which redirects its workers;
-/// where it is partitioned from them too, it takes itself for the leader still and receives
-/// its workers' heartbeats.
+/// Checks that the `gap` scenarios reach the state they are written for: the shard fails over,
+/// the new leader commits ends that users asked for, and then the store is down for everyone.
+/// Peers tell the old leader of the failover, and it redirects its workers. Where it is
+/// partitioned from its peers too, it still considers itself the leader and receives its
+/// workers' heartbeats.
 #[test]
 fn a_shard_has_two_leaders_in_a_store_gap_unless_peers_tell_of_the_failover() {
     for (name, untold) in [("gap", false), ("gap-alone", true)] {
@@ -175,7 +179,7 @@
             play_with_offsets($file, $seeds);
         })*
 
-        /// No scenario of the directory is left out.
+        /// Every scenario of both directories has a test.
         #[test]
         fn every_concurrent_fault_scenario_is_played() {
             let mut names = Vec::new();
--- a/crates/simulator/tests/fault_history.rs
+++ b/crates/simulator/tests/fault_history.rs
@@ -1,5 +1,5 @@
-//! The text of faults in a history is covered by its digest: it stays, whatever the code calls
-//! them. The samples below are what the first version wrote.
+//! The history's digest covers the text of faults, so that text must not change when the code
+//! renames them. The samples below are what the first version wrote.
 
 use lemonweir_simulator::scenario::{Fault, Scenario};
 
--- a/crates/simulator/tests/fleet_limits.rs
+++ b/crates/simulator/tests/fleet_limits.rs
@@ -1,5 +1,5 @@
-//! 4,000 machines in service at once, as in `examples/scenarios/four-thousand.toml`,
-//! for a shorter time and with fewer messages.
+//! A fleet of 4,000 machines that are all in service at once:
+//! `examples/scenarios/four-thousand.toml`, shortened.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -7,7 +7,7 @@
 use lemonweir_simulator::run::{self, LoadSource, Placer};
 use lemonweir_simulator::scenario::Scenario;
 
-/// Machines of the fleet.
+/// Number of machines in the fleet.
 const MACHINES: usize = 4_000;
 
 fn text() -> String {
@@ -16,8 +16,8 @@
     std::fs::read_to_string(path).expect("scenario")
 }
 
-/// The cut between the zones and the end of a controller come earlier here, and the
-/// machines report less often.
+/// The duration is 95 s instead of 420 s, so the partition between the zones and the controller
+/// crash come earlier.
 #[test]
 fn a_fleet_of_four_thousand_is_used_whole_and_violates_no_invariant() {
     let text = text()
@@ -48,7 +48,7 @@
     eprintln!("{:.1} s of wall time", outcome.wall_s);
 }
 
-/// A scenario that does not say how many machines there are has enough.
+/// The default capacity of a machine type is at least 4,000 on-demand machines.
 #[test]
 fn a_scenario_without_a_number_of_machines_has_four_thousand_in_each_zone() {
     let text = text().replace("ordinary = 2_000\n", "");
--- a/crates/simulator/tests/gang_admission.rs
+++ b/crates/simulator/tests/gang_admission.rs
@@ -1,5 +1,5 @@
-//! Gang admission with several controllers that fail, in the simulator with the real
-//! decisions.
+//! Gang admission across several shards while controllers crash and stall, in the simulator with
+//! the production decision code.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -15,8 +15,8 @@
 use lemonweir_storage::packed_chunk::read_chunk;
 use lemonweir_storage::records::{GangAdmissionStep, parse_task_chunk_key};
 
-/// Three controllers, each with its zone's machines: so many in each, of 16
-/// processors and 4 accelerators, and none to rent.
+/// Three controllers with a zone each. Each zone has `machines` machines of 16 CPUs and 4 GPUs;
+/// no more can be provisioned.
 fn simulation(seed: u64, machines: u32) -> Simulation {
     let text = format!(
         "name = 'ledger'\nduration_s = 1e6\ncontrollers = 3\nzones = ['a', 'b', 'c']\n[state]\ntxn_ops = 12\n[policy]\nidle = 1e5\n\
@@ -27,7 +27,7 @@
     Simulation::new(Arc::new(site), Vec::new(), seed, History::new(None))
 }
 
-/// A gang of whole machines.
+/// A gang whose tasks take a whole machine each.
 fn gang(n: u32, team: &str, tasks: u64) -> JobSpec {
     JobSpec {
         cpus: 16.0,
@@ -58,7 +58,8 @@
     );
 }
 
-/// What the store says of a gang: its least step, its attempt, members named.
+/// The gang's state in the store: its earliest admission step, its attempt and the number of its
+/// tasks on record. `None` if no task is on record or a task chunk has no gang state.
 fn step_of(simulation: &Simulation, id: &JobId) -> Option<(GangAdmissionStep, u32, usize)> {
     let entries = (0..3).flat_map(|shard| simulation.store.list(&format!("run/{shard}/{id}/")));
     let read = |e: KeyValue| read_chunk(&e.value, parse_task_chunk_key(&e.key)?.1);
@@ -78,13 +79,14 @@
     ))
 }
 
-/// Goes on ms by ms; whatever of the gang is launched must be admitted.
+/// Advances the simulation 1 ms at a time and asserts that no task of a gang is launched before
+/// the gang is admitted.
 struct Watch {
     id: JobId,
     tasks: u32,
     admitted: BTreeSet<u32>,
     steps: Vec<GangAdmissionStep>,
-    /// Revision of the store that was last looked at.
+    /// Store revision at the last check.
     seen: u64,
 }
 
@@ -118,7 +120,7 @@
     ) -> bool {
         let end = simulation.now + ms * 1_000;
         while simulation.now < end {
-            // Once all is launched nothing is to be seen between two messages.
+            // Once all tasks are launched, there is nothing left to check between two messages.
             simulation.run(if self.launched(simulation) == self.tasks as usize {
                 100
             } else {
@@ -149,12 +151,16 @@
     }
 }
 
+/// A step of gang admission at which a test injects its fault.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum At {
+    /// The plan is in the store.
     PlannedSubmission,
-    /// Some owner has been asked, and its answer is on its way.
+    /// Some shard leader has been asked, and its answer is in flight.
     QueryKind,
+    /// The admission is in the store.
     Admitted,
+    /// Some task has been launched.
     Launched,
 }
 
@@ -165,8 +171,8 @@
     At::Launched,
 ];
 
-/// Brings a gang of 8 whole machines, which needs machines of all three parts, to a
-/// step; also the controllers that place and that own.
+/// Runs a simulation until a gang of 8 whole machines reaches the step `at`. The gang needs
+/// machines of all three shards.
 fn brought_to(at: At, seed: u64) -> (Simulation, Watch) {
     let mut simulation = simulation(seed, 3);
     simulation.run(12_000);
@@ -187,7 +193,8 @@
     (simulation, watch)
 }
 
-/// Who ends: the placer's controller, an owner's, or both.
+/// The controllers that fail: for `who` 0 the one that places the gang, for 1 the leader of
+/// another shard, for 2 both.
 fn struck(simulation: &Simulation, who: usize) -> Vec<usize> {
     let placer = (0..3)
         .find(|h| simulation.controllers[*h].leads(0))
@@ -196,10 +203,9 @@
     [vec![placer], vec![owner], vec![placer, owner]][who].clone()
 }
 
-/// At each step of a gang of 8 over three parts the placer, an owner, or both end and
-/// come back, or both are gone for good: nothing of it is launched before it is
-/// admitted, members of two attempts never meet, it is done in the end, and no room
-/// stays held.
+/// The placer, the leader of another shard, or both crash at each step of a gang over three
+/// shards, and restart after 3 s or stay away. No task is launched before the gang is admitted,
+/// no tasks of two attempts run together, the gang completes, and no task is left behind.
 #[test]
 fn gang_admission_survives_crashes_of_placer_or_owner_at_each_step() {
     for (at, who, back_ms) in STEPS.into_iter().flat_map(|at| {
@@ -225,8 +231,8 @@
     }
 }
 
-/// The same with controllers that stand still for 30 s: they go on with what they
-/// were about to do, and find that others decided.
+/// The same with controllers that stall for 30 s. They resume what they were about to do after
+/// other controllers have decided.
 #[test]
 fn gang_admission_survives_stalls_of_placer_or_owner_at_each_step() {
     for at in STEPS {
@@ -249,7 +255,7 @@
     }
 }
 
-/// Withdrawn at each step: it is told, and nothing of it is left.
+/// A gang withdrawn at any step is confirmed as withdrawn, and no task of it is left.
 #[test]
 fn gangs_may_be_withdrawn_at_each_admission_step() {
     for at in STEPS {
--- a/crates/simulator/tests/image_locality.rs
+++ b/crates/simulator/tests/image_locality.rs
@@ -1,4 +1,5 @@
-//! Image locality of replicas, with the real decisions of several controllers that fail.
+//! Image locality of service replicas while controllers fail, in the simulator with the
+//! production decision code.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -12,8 +13,8 @@
 use lemonweir_simulator::scenario::Scenario;
 use lemonweir_simulator::simulation::Simulation;
 
-/// Zones with a controller each and machines that are there from the start, boxes of
-/// 4 accelerators that fetch 0.3 GB a second into caches of 130 GB.
+/// One controller and `a_zone` initial machines in each zone. A machine has 4 GPUs, pulls images
+/// at 0.3 GB/s and caches 130 GB of them.
 fn site(zones: &[&str], a_zone: u32, trade: ServicePlacementWeights) -> Scenario {
     let text = format!(
         "name = 'weights'\nduration_s = 1e6\ncontrollers = {}\nzones = {zones:?}\npoll_s = 0\n[policy]\nidle = 1000\n\
@@ -40,17 +41,18 @@
     }
 }
 
-/// What a test sees of the replicas: it looks twice a second.
+/// State of the service replicas, sampled twice a second.
 #[derive(Default)]
 struct WorkloadSummary {
-    /// Attempts of services: seconds for which each was seen to fetch.
+    /// Time that each attempt of a service spent pulling its image, s.
     fetched: HashMap<AttemptId, f64>,
-    /// Fetches under way, and GB of all that began.
+    /// Image pulls in progress, by machine and service.
     under_way: BTreeSet<(usize, u32)>,
+    /// Total size of all image pulls that started, GB.
     fetched_gb: f64,
-    /// Machines rented, s.
+    /// Provisioned machine time, s.
     machine_s: f64,
-    /// Replicas that run, by job, machine and zone.
+    /// Machine and zone of each running replica, by service.
     running: BTreeMap<u32, Vec<(usize, String)>>,
 }
 
@@ -88,6 +90,7 @@
         });
     }
 
+    /// Takes a sample of all workers.
     fn look(&mut self) {
         self.seen.running.clear();
         let mut under_way = BTreeSet::new();
@@ -153,7 +156,7 @@
         }
     }
 
-    /// Replicas of a service that run outside of these zones.
+    /// Number of a service's replicas that run outside the `lost` zones.
     fn up(&self, n: u32, lost: &[&str]) -> usize {
         self.seen
             .running
@@ -164,7 +167,8 @@
             .count()
     }
 
-    /// Lets time pass until all services are whole outside of these zones; s.
+    /// Runs until all services have all their replicas outside the `lost` zones, and returns the
+    /// time that took, s; `None` if it takes longer than `most_s`.
     fn until_whole(&mut self, lost: &[&str], most_s: u64) -> Option<f64> {
         let since = self.simulation.now;
         let wants: Vec<(u32, usize)> = self
@@ -182,12 +186,12 @@
         None
     }
 
-    /// The machine of a replica of a service.
+    /// The machine of a service's first running replica.
     fn machine_of(&self, n: u32) -> usize {
         self.seen.running[&n][0].0
     }
 
-    /// A hall is gone with its controller.
+    /// Partitions a zone and crashes its controller.
     fn lose(&mut self, zone: &str) {
         let controller = self
             .simulation
@@ -200,7 +204,7 @@
         self.simulation.crash(controller, 3_600_000_000);
     }
 
-    /// Starts of services seen, and of these the ones that fetched.
+    /// Number of replica starts, and how many of them pulled their image.
     fn starts(&self) -> (usize, usize) {
         (
             self.seen.fetched.len(),
@@ -208,8 +212,8 @@
         )
     }
 
-    /// The share of a service that one machine has at most, and one zone: the mean of
-    /// all services.
+    /// The largest share of a service's replicas on one machine and in one zone, each averaged
+    /// over all services.
     fn at_most(&self) -> (f64, f64) {
         let (mut machine, mut zone) = (0.0, 0.0);
         for s in &self.services {
@@ -241,6 +245,7 @@
         .expect("a number")
 }
 
+/// Weights by which only image locality counts.
 const LOCALITY: ServicePlacementWeights = ServicePlacementWeights {
     machine_loss: 0.0,
     zone_loss: 0.0,
@@ -249,8 +254,8 @@
     min_migration_gain_s: 3_600.0,
 };
 
-/// 60 GB take 200 s: a replica whose machine is lost starts again where the weights lie,
-/// on another controller's machine if need be, while its part's controller ends too.
+/// Pulling 60 GB takes 200 s. A replica whose machine is lost restarts on a machine that caches
+/// the image, in another shard if necessary, even if the leader of its shard crashes too.
 #[test]
 fn a_large_model_on_2_20_and_200_machines() {
     for (machines, replicas) in [(2, 2), (20, 10), (200, 20)] {
@@ -296,8 +301,8 @@
             left as u64 * 2 >= replicas,
             "{what}: {left} of {replicas} are left"
         );
-        // The proof that what ran there is over, after its owner ended too, and a start;
-        // no fetch.
+        // Enough to prove that the lost replica has ended, after its shard's leader crashed
+        // too, and for a start; not enough for a pull.
         cluster.run(98);
         let up = cluster.seen.running[&1]
             .iter()
@@ -313,8 +318,9 @@
     }
 }
 
-/// All that hold a model in one hall, and the hall lost with its controller: by locality
-/// alone it is fetched for minutes; by default it lies in two halls beforehand.
+/// A zone and its controller are lost. With locality as the only weight, all copies of an image
+/// may be in that zone, and the replacements pull it for minutes; the default weights place it in
+/// two zones beforehand.
 #[test]
 fn a_zone_is_lost_with_its_controller() {
     let mut took = Vec::new();
@@ -333,7 +339,7 @@
             .collect();
         let two = zones.iter().filter(|z| z.len() == 2).count();
         let hall = zones[0].first().expect("runs").clone();
-        // The operators' picture says the same, from any controller.
+        // Every controller's image locality report agrees.
         for controller in &cluster.simulation.controllers {
             let picture = controller
                 .core
@@ -371,12 +377,12 @@
         panic!("two runs")
     };
     assert_eq!(two, 2, "every service's weights lie in two halls");
-    // The proof that the hall's replicas are over takes a minute and a lease.
+    // Proving that the zone's replicas have ended takes a minute and a lease.
     assert!(warm + 60.0 < cold, "{warm} s, by locality alone {cold} s");
 }
 
-/// Every second entry of the picture is wrong when another controller takes the part:
-/// each wrong one costs one start its fetch, and is dropped.
+/// Half of the known image locations are wrong when another controller takes the shard. Each
+/// wrong location costs one start a pull and is then dropped.
 #[test]
 fn every_second_image_location_is_wrong() {
     let mut cluster = TestCluster::new(
@@ -390,11 +396,11 @@
         ),
         9,
     );
-    // The model lies on all machines: on each it ran.
+    // Every machine has run the image, so every machine caches it.
     cluster.submit(service(0, 32, "m", 10.0), 0);
     cluster.until_whole(&[], 200).expect("whole");
     cluster.run(20);
-    // Four of eight machines lose their caches; nobody is told.
+    // Four of the eight machines lose their caches, and no controller is told.
     let wrong: BTreeSet<usize> = cluster
         .simulation
         .workers
@@ -414,7 +420,7 @@
     cluster.run(20);
     cluster.services.clear();
     cluster.seen = WorkloadSummary::default();
-    // One replica at a time, so that each start can learn from the one before.
+    // One service at a time, so that each start can learn from the one before.
     for n in 1..=12 {
         cluster.submit(service(n, 2, "m", 10.0), 0);
         cluster.run(6);
@@ -430,8 +436,8 @@
     cluster.assert_no_violation("a wrong picture");
 }
 
-/// A model in demand doubles in a minute while a controller ends: its new replicas go
-/// where the weights lie as long as there is room, and all serve.
+/// The replicas of one image double within a minute while a controller crashes. The new replicas
+/// go to machines that cache the image as long as those have room, and all of them run.
 #[test]
 fn a_hot_model_doubles_in_a_minute() {
     let mut cluster = TestCluster::new(
@@ -464,24 +470,31 @@
     cluster.assert_no_violation("a hot model");
 }
 
-/// One site of the figures: zones, machines a zone, boxes, services and their images.
+/// A site for which the trade-off is measured.
 struct Figures {
     name: &'static str,
     zones: &'static [&'static str],
+    /// Machines in each zone.
     a_zone: u32,
-    /// Accelerators of a box, its cache, GB, and its fetch rate, GB/s.
+    /// GPUs of a machine.
     gpus: u32,
+    /// Image cache of a machine, GB.
     cache_gb: u32,
+    /// Image pull rate of a machine, GB/s.
     rate: f64,
-    /// Services, their sizes, images and their size, GB.
+    /// Number of services.
     services: u32,
+    /// Replicas of the services, in rotation.
     sizes: &'static [u64],
+    /// Number of distinct images.
     images: u32,
+    /// Size of an image, GB.
     gb: f64,
 }
 
-/// Replicas without `scatter`, beside batch work that comes and goes; machines are lost,
-/// services come and go, and at the end a hall is lost with its controller.
+/// Measures one site with one set of weights and prints the results. Services that need not
+/// spread run beside batch jobs; machines are lost, services are added, and at the end a zone is
+/// lost with its controller.
 fn figures(f: &Figures, name: &str, trade: ServicePlacementWeights, seed: u64) {
     let text = format!(
         "name = 'figures'\nduration_s = 1e6\ncontrollers = {}\nzones = {:?}\npoll_s = 0\n\
@@ -525,7 +538,7 @@
     for k in 0..24u32 {
         batch(&mut cluster, k);
         if k % 4 == 1 {
-            // The machine of some replica stops for good.
+            // The machine of some replica is lost for good.
             let n = (k * 7 + seed as u32) % f.services;
             let machine = cluster
                 .seen
@@ -569,7 +582,7 @@
     cluster.assert_no_violation(name);
 }
 
-/// The figures of docs/supervision/image-locality.md.
+/// Prints the figures of docs/supervision/image-locality.md.
 #[test]
 #[ignore = "takes minutes; its figures are on the page"]
 fn trade_off_figures() {
--- a/crates/simulator/tests/injected_faults.rs
+++ b/crates/simulator/tests/injected_faults.rs
@@ -1,5 +1,4 @@
-//! The simulator's faults do what their names say, and its invariant checker detects what it
-//! is there for.
+//! Each injected fault has its documented effect, and the invariant checker detects violations.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,7 +13,8 @@
 use lemonweir_simulator::simulation::Simulation;
 use lemonweir_storage::records::{JobRecord, job_key};
 
-/// A fleet of 8 with 6 services of two, and one fault from 60 s to 100 s.
+/// A simulation of 8 machines that run 6 services of two replicas, with one fault from 60 s to
+/// 100 s.
 fn run_with_fault(fault: &str) -> Simulation {
     let text = format!(
         "name = 'troubles'\nduration_s = 300\nzones = ['a', 'b']\npoll_s = 5\n[workers]\ncancel_s = 40\n\
@@ -41,7 +41,7 @@
         "{}",
         simulation.workload.killed_by_lease
     );
-    // Only one controller's answers: the others' reach them.
+    // Only one controller's answers are lost; those of the others arrive.
     let mut simulation =
         run_with_fault("kind = 'deaf'\nzone = 'a'\ncontroller = 0\nonly = 'answers'");
     simulation.run(59_900);
@@ -51,7 +51,7 @@
         "{}",
         simulation.workload.killed_by_lease
     );
-    // Commands only: leases live on.
+    // Only commands are lost: leases are still renewed.
     let mut simulation = run_with_fault("kind = 'deaf'\nshare = 1.0\nonly = 'commands'");
     simulation.run(100_000);
     assert_eq!(
@@ -107,9 +107,9 @@
     );
 }
 
-/// Seed 514 of the hunt: a cut begins while a controller that stands still owes
-/// another an answer. Who waits for it must hear that it does not come: it once
-/// waited for ever, and a fifth of the replicas with it.
+/// Fault-search seed 514: a partition starts while a stalled controller owes a peer an answer.
+/// The peer's request must fail. It used to stay pending forever, and a fifth of the replicas
+/// stayed down with it.
 #[test]
 fn an_answer_lost_to_a_partition_fails_its_request() {
     for frozen in 0..2 {
@@ -130,8 +130,7 @@
     }
 }
 
-/// A user whose questions nobody answers counts once the faults are over, and not
-/// before.
+/// A user whose queries are not answered counts as a violation only after the faults are over.
 #[test]
 fn a_job_without_an_answer_counts_as_forgotten_after_the_faults() {
     let mut checker = InvariantChecker::new(BTreeMap::new(), 1);
@@ -169,8 +168,8 @@
     assert!(checker.violations[0].contains("two_attempts"));
 }
 
-/// Lets a user of the first service withdraw it at 61 s, with a fault from 60 s on;
-/// s until the store shows that, and until it shows the end.
+/// Withdraws the first service at 61 s, with a fault from 60 s on. Returns the simulation, and the
+/// ms until the store shows the cancellation request and until it shows the end of the job.
 fn withdrawal(fault: &str) -> (Simulation, u64, u64) {
     let mut simulation = run_with_fault(fault);
     simulation.run(61_000);
@@ -215,7 +214,7 @@
     assert!(marked <= 300 && ended <= 1_500, "{marked} ms, {ended} ms");
 }
 
-/// True if the store's last word to a controller is new.
+/// Whether the controller has had an answer from the store recently.
 fn told(simulation: &Simulation, controller: usize) -> bool {
     simulation.controllers[controller]
         .core
@@ -230,7 +229,7 @@
         marked >= 600 && ended >= marked + 600,
         "{marked} ms, {ended} ms"
     );
-    // Counted from its answer, the word of a reading would never be old.
+    // If a read counted from its answer instead of its request, it would never be old.
     for (seconds, old) in [(0.6, false), (1.4, true)] {
         let mut simulation = run_with_fault(&format!(
             "kind = 'store_slow'\nlow_s = {seconds}\nhigh_s = {seconds}"
@@ -242,7 +241,7 @@
         });
         assert_eq!(untold.count() > 0, old, "{seconds} s");
     }
-    // Slower than anybody waits: its answers are none, and what was asked for is done.
+    // Slower than every timeout: no answer arrives in time, but the writes are executed.
     let mut simulation = run_with_fault("kind = 'store_slow'\nlow_s = 2\nhigh_s = 4");
     simulation.run(90_000);
     assert!(
@@ -259,7 +258,7 @@
     );
 }
 
-/// What another carries keeps the hold alive, unless the store refuses that too.
+/// Requests relayed by a peer keep the store lease alive, unless the store refuses those too.
 #[test]
 fn a_controller_denied_by_the_store_loses_its_store_lease() {
     for (carried, leaders) in [(false, [true, false, false]), (true, [false, true, false])] {
@@ -295,7 +294,7 @@
     assert!(ended < 40_000, "{ended} ms");
 }
 
-/// Each wrong field is refused with its line, its name and what it may be.
+/// Each invalid field is reported with its line, its name and its valid values.
 #[test]
 fn a_scenario_says_which_field_is_out_of_which_range() {
     let head = "name = 'x'\nduration_s = 300\ncontrollers = 3\nzones = ['a', 'b']\n[[machine_type]]\nname = 'box'\ncpus = 16\n\
--- a/crates/simulator/tests/invariants.rs
+++ b/crates/simulator/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! The invariants under seeded faults, in simulated time.
+//! Checks the protocol's invariants under seeded faults, in simulated time.
 
 use std::sync::Arc;
 
@@ -39,7 +39,7 @@
     )
 }
 
-/// Submits a job that runs for so many s, withdrawn after a while if wanted.
+/// Submits a job whose tasks run for `run_s`, and withdraws it after `withdraw_after_s` if given.
 fn submit(simulation: &mut Simulation, spec: JobSpec, run_s: u64, withdraw_after_s: Option<u64>) {
     let job = SimulatedJob {
         spec: Arc::new(spec),
@@ -62,6 +62,7 @@
     );
 }
 
+/// Number of live tasks on all machines.
 fn live(simulation: &Simulation) -> usize {
     simulation
         .workers
@@ -71,7 +72,7 @@
         .sum()
 }
 
-/// A mix of jobs of both teams; returns those that must be done.
+/// Submits a mix of jobs of both teams and returns those that must complete.
 fn mix(simulation: &mut Simulation) -> Vec<JobId> {
     for n in 0..6 {
         let withdrawn = (n == 3).then_some(75);
@@ -104,6 +105,8 @@
     [0, 1, 2, 4, 5, 11, 12].map(id).to_vec()
 }
 
+/// Runs until the jobs `must` are done, for at most `most_ms`, and asserts that they are and that
+/// no invariant was violated.
 fn settle(simulation: &mut Simulation, must: &[JobId], most_ms: u64) {
     let mut left = most_ms;
     while left > 0
@@ -124,6 +127,7 @@
     assert!(simulation.workload.checker.starts > 20);
 }
 
+/// Disconnects the first `machines` machines from the network, or reconnects them.
 fn silence(simulation: &mut Simulation, machines: usize, silent: bool) {
     simulation
         .workers
@@ -157,7 +161,7 @@
         simulation.run(45_000);
         simulation.crash(0, 5_000_000);
         simulation.run(13_000);
-        // Away for longer than its hold: another node takes the part.
+        // Away for longer than its store lease: another controller takes the shard.
         simulation.crash(1, 25_000_000);
         simulation.run(20_000);
         assert!(
@@ -209,8 +213,9 @@
     settle(&mut simulation, &must, 600_000);
 }
 
-/// Found on a hunt: the placer's node and the owner's node were cut apart, and
-/// the stop order for a withdrawn job waited for the end of the cut.
+/// A partition separates the controller that places a job from the leader of the shard that runs
+/// it. The stop command for a withdrawn job used to wait for the end of the partition; found by
+/// the fault search.
 #[test]
 fn a_withdrawal_crosses_a_partition_between_controllers() {
     let mut simulation = simulation(70, 2, 12, NO_FAULTS);
@@ -229,8 +234,8 @@
     assert_eq!(live(&simulation), 0);
 }
 
-/// The same where neither side's state fits one message: what is told goes in
-/// pieces, and none is larger than a transaction of the store may be.
+/// The same where neither side's state fits one message: messages through the store are split
+/// into pieces, and none is larger than a store transaction may be.
 #[test]
 fn a_withdrawal_crosses_a_partition_in_a_large_fleet() {
     let mut simulation = simulation(71, 2, 150, NO_FAULTS);
@@ -242,8 +247,8 @@
     simulation.run(120_000);
     assert!(live(&simulation) >= 480, "{} tasks run", live(&simulation));
     simulation.links_down.insert(Link::Controllers(0, 1));
-    // The owner behind the cut comes back with a new token: it is told all
-    // that is wanted of it from nothing, through the store.
+    // The leader behind the partition restarts with a new fencing token and receives its full
+    // desired state through the store.
     simulation.crash(1, 4_000_000);
     simulation.run(78_000);
     assert_no_violation(&simulation);
@@ -260,9 +265,9 @@
     );
 }
 
-/// Found on apart of both grown deployments: a node that the store refused
-/// alone took users' requests all the while and refused each. Now it takes them
-/// for as long as others carry them, and leaves users to others where none can.
+/// A controller that is cut off from the store is ready for users as long as a peer can relay its
+/// requests, and otherwise not. It used to accept user requests all the while and refuse each;
+/// found in both enlarged deployments.
 #[test]
 fn a_controller_without_a_route_to_the_store_is_not_ready_for_users() {
     let mut simulation = simulation(72, 3, 12, NO_FAULTS);
@@ -283,7 +288,7 @@
     assert!(simulation.is_ready(1));
     simulation.links_down.clear();
     simulation.run(6_000);
-    // In an outage for all nobody else could do better.
+    // In an outage for all controllers no other could serve users better.
     simulation.store.down = true;
     for _ in 0..20 {
         simulation.run(500);
@@ -291,9 +296,9 @@
     }
 }
 
-/// Found on apart of zeltplatz-rechen-fleet: a controller that was cut from the
-/// workers alone kept its shard, and 552 machines killed 2,600 tasks with their
-/// leases though both other controllers heard them.
+/// A controller that is cut off from the workers must give up its shard when no peer can relay.
+/// It used to keep the shard, and 552 machines killed 2,600 tasks as their leases expired, though
+/// both other controllers could reach them; found in the deployment zeltplatz-rechen-fleet.
 #[test]
 fn a_shard_fails_over_to_the_controller_that_reaches_its_machines_when_no_peer_can_relay() {
     let mut simulation = simulation(75, 3, 12, NO_FAULTS);
@@ -322,9 +327,9 @@
         .extend([Link::Controllers(0, 1), Link::Controllers(1, 2)]);
     for _ in 0..40 {
         simulation.run(1_000);
-        // A worker that comes round to the cut controller just before the part moves
-        // waits 5 s for it, which a lease of 14 s may not outlast: one machine's, at
-        // any time, and not for long.
+        // A worker that tries the cut controller just before the shard moves waits 5 s for
+        // it, which may exceed its lease of 14 s. That affects one machine at a time, and
+        // only briefly.
         assert!(live(&simulation) >= 36);
     }
     assert_eq!(live(&simulation), 40);
@@ -491,8 +496,8 @@
 
 // ---- preemption --------------------------------------------------------------
 
-/// Where no room is left, a higher priority pushes out a lower one, and what
-/// was pushed out is done in the end.
+/// A job of higher priority preempts one of lower priority when there is no room, and the
+/// preempted tasks complete in the end.
 #[test]
 fn a_higher_priority_preempts_a_lower() {
     let mut simulation = one_box(80);
@@ -522,7 +527,7 @@
     assert_no_violation(&simulation);
 }
 
-/// A site of a single machine.
+/// A simulation of a site with a single machine.
 fn one_box(seed: u64) -> Simulation {
     let mut scenario = site(2, 1, NO_FAULTS);
     scenario.machine_kinds[0].capacity = MachineCapacity {
@@ -533,12 +538,12 @@
     Simulation::new(Arc::new(scenario), Vec::new(), seed, History::new(None))
 }
 
-/// Found on afspraakloket: two jobs preempted each other for ever, one by its priority and
-/// the other by its guaranteed quota.
+/// Two jobs must not preempt each other in turn, one by its priority and the other by its
+/// guaranteed quota. They used to do so forever; found in the deployment afspraakloket.
 #[test]
 fn jobs_do_not_preempt_each_other_forever() {
     let mut simulation = one_box(81);
-    // Blue has no guarantee but the higher priority; red is within its own.
+    // Team blue has no guaranteed quota but the higher priority; red is within its guarantee.
     submit(
         &mut simulation,
         JobSpec {
@@ -563,8 +568,8 @@
 
 // ---- withdrawals and store outages ---------------------------------------------------
 
-/// Works a site until a service of 4 replicas is up on both sides, then cuts
-/// controller 1 from the store and from the other one.
+/// Runs a service of 4 replicas spread over both shards, then cuts controller 1 off from the store
+/// and from its peer.
 fn cut_off(seed: u64) -> Simulation {
     let mut simulation = simulation(seed, 2, 12, NO_FAULTS);
     let service = JobSpec {
@@ -580,8 +585,8 @@
     simulation
 }
 
-/// An owner that is cut off keeps its tasks; a withdrawal is told only once the
-/// last of them is proven over, and not before.
+/// A shard leader that is cut off keeps its tasks running. A withdrawal is confirmed only once
+/// the last of them is proven to have ended.
 #[test]
 fn a_withdrawal_is_not_confirmed_while_an_unreachable_owner_may_run_the_job() {
     let mut simulation = cut_off(73);
@@ -600,8 +605,8 @@
     assert_no_violation(&simulation);
 }
 
-/// A store that is away for longer than a lease costs no task: what is kept
-/// alive by workers' reports needs no word from it for that long.
+/// A store outage longer than a worker lease costs no task: heartbeats renew the leases without
+/// the store for that long.
 #[test]
 fn a_store_outage_longer_than_a_lease_costs_no_task() {
     let mut simulation = simulation(74, 3, 12, NO_FAULTS);
@@ -628,7 +633,7 @@
     assert_no_violation(&simulation);
 }
 
-/// A dozen drawn sites with drawn faults; `lemonweir-simulator fault-search` plays more.
+/// Twelve random sites with random faults; `lemonweir-simulator fault-search` runs more.
 #[test]
 fn drawn_faults_violate_no_invariant_and_services_recover() {
     for seed in 1..=12 {
--- a/crates/simulator/tests/large_jobs.rs
+++ b/crates/simulator/tests/large_jobs.rs
@@ -1,5 +1,5 @@
-//! The largest jobs begin in time, with the real decisions in the simulator,
-//! on several controllers that fail.
+//! The largest jobs start in time while controllers crash, in the simulator with the production
+//! decision code.
 
 use std::sync::Arc;
 
@@ -20,7 +20,7 @@
     late_sync: 0,
 };
 
-/// s within which the largest begin.
+/// Time within which the largest jobs must start, s.
 const BEGUN_S: u64 = 200;
 
 /// A fleet without spot instances.
@@ -47,7 +47,7 @@
     });
 }
 
-/// s from a submission to the job's first start, if there was one.
+/// Time from `since_us` to the first start of a task of the job, s; `None` if none has started.
 fn begun(simulation: &Simulation, n: u32, since_us: u64) -> Option<u64> {
     let starts = simulation
         .workload
@@ -68,9 +68,9 @@
     );
 }
 
-/// An idle array as large as the fleet, beside a burst that lacks room all the time
-/// and the end of each controller in turn, one of them the one that places it just
-/// before its patience ends: it begins in time, and costs one machine more.
+/// A low-priority array as large as the fleet starts in time beside a burst that lacks room all
+/// the time, while each controller crashes in turn. One of them places the array and crashes just
+/// before the patience of low-priority work ends. The array costs one additional machine.
 #[test]
 fn a_low_priority_array_as_large_as_the_fleet_begins_beside_a_burst_and_a_crash() {
     for (seed, controllers) in [(1, 3), (2, 7)] {
@@ -114,8 +114,8 @@
     }
 }
 
-/// Hundreds of small idle jobs that came first do not keep the largest of another
-/// class from its turn, and no more is rented than first tasks need.
+/// Hundreds of small low-priority jobs that were submitted first do not keep the largest jobs of
+/// other classes from starting, and no more machines are provisioned than the first tasks need.
 #[test]
 fn the_largest_low_priority_job_begins_beside_hundreds_of_small_jobs() {
     let mut simulation = built(3, without_spot_instances(3, 80));
@@ -161,16 +161,16 @@
             "{n} began after {began:?} s"
         );
     }
-    // Four tasks on a machine, and a few where the gang lies apart.
+    // Four tasks on a machine, and a few more machines where the gang is placed apart.
     let machines = simulation.workers.iter().flatten().count();
     assert!(machines <= (400 + 1 + 8) / 4 + 10, "{machines} machines");
     assert_no_violation(&simulation, "small idle jobs");
 }
 
-/// Arrays of tasks of a tenth of a processor, one of 100,000 on a fleet that is far
-/// too small for it and one that fits, and a service of as many replicas as its team
-/// may have, while controllers end: all begin, what fits comes to half, and small jobs
-/// that come later don't wait for it.
+/// An array of tasks of 0.1 CPU and a service of as many replicas as its team's quota allows,
+/// while controllers crash. One array has 100,000 tasks, far too many for its fleet; the other
+/// fits. Both the array and the service start. Of the array that fits, half the tasks start, and
+/// small jobs that are submitted later do not wait for it.
 #[test]
 fn huge_arrays_begin_without_starving_others() {
     for (seed, tasks, capacity) in [(4, MAX_TASKS, 10), (5, 8_000, 60)] {
--- a/crates/simulator/tests/partitions.rs
+++ b/crates/simulator/tests/partitions.rs
@@ -1,5 +1,5 @@
-//! Partial partitions, over all subsets of one controller's links, held against what the links
-//! that are up would have allowed.
+//! Partial partitions: fails all subsets of one controller's links and compares the outcome with
+//! what the remaining links allow.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -21,11 +21,11 @@
     lost_sync: 0,
     late_sync: 0,
 };
-/// Lease of the sample site's workers, s.
+/// Worker lease of the fixture site, s.
 const LEASE_S: u64 = 14;
-/// Replicas of the two services.
+/// Replicas of both services together.
 const REPLICAS: usize = 20;
-/// The same where halls are cut.
+/// Replicas of both services together in the tests that partition zones.
 const HALLS: usize = 60;
 
 fn simulation(seed: u64, chances: MessageFaults) -> Simulation {
@@ -55,8 +55,8 @@
     simulation
 }
 
-/// Halls large enough that a cut shows as one, and leases long enough for a
-/// worker to go round three controllers, two of them out of reach (15 s).
+/// A simulation with zones large enough for a partition to be recognized as one, and worker leases
+/// long enough for a worker to try three controllers, two of which are unreachable (15 s).
 fn two_zones(seed: u64, chances: MessageFaults) -> Simulation {
     let mut site = site(3, 16, chances);
     site.workers.lease_s = 24.0;
@@ -77,6 +77,7 @@
     });
 }
 
+/// Number of live tasks on all machines.
 fn live(simulation: &Simulation) -> usize {
     simulation
         .workers
@@ -86,7 +87,7 @@
         .sum()
 }
 
-/// The links of controller 0 that are cut.
+/// A partial partition: the links of controller 0 that are down, and for how long.
 #[derive(Clone, Copy, Debug)]
 struct Cut {
     store: bool,
@@ -95,7 +96,7 @@
     south: bool,
     peers: [bool; 2],
     users: bool,
-    /// Peers are cut one way: they still reach it.
+    /// Peers are cut off in one direction only: they still reach the controller.
     one_way: bool,
     length_s: u64,
 }
@@ -140,8 +141,8 @@
         );
     }
 
-    /// From the true links: a report of its workers reaches it with one hop, and
-    /// its requests reach the store with one.
+    /// Whether the links that are up let the controller continue: heartbeats of its workers reach
+    /// it, and its requests reach the store, directly or through one peer.
     fn could_go_on(&self) -> bool {
         let reports = !self.north || self.one_way || !self.peers[0] || !self.peers[1];
         let store = !self.store || !self.peers[0] || !self.peers[1];
@@ -149,10 +150,11 @@
     }
 }
 
-/// Plays one cut; what was lost without need, or broke a rule.
+/// Runs one partition and returns what was lost without need and which invariants were violated,
+/// if any.
 fn play(cut: Cut) -> Option<String> {
     let mut simulation = simulation(900, NO_FAULTS);
-    // As many as fit beside the services: no machine has to boot for them.
+    // As many tasks as fit beside the services, so that no machine has to boot for them.
     let array = job(2, "blue", JobKind::Array, 4);
     cut.strike(&mut simulation);
     simulation.run(3_000);
@@ -164,8 +166,8 @@
         simulation.controllers[0].leads(0),
     );
     simulation.links_down.clear();
-    // What a controller lost that could neither hear its machines nor rent others has
-    // to boot first.
+    // A controller that could neither reach its machines nor provision others has to boot
+    // replacements first.
     simulation.run(if cut.could_go_on() || !cut.cloud {
         30_000
     } else {
@@ -175,7 +177,7 @@
     if cut.could_go_on() && killed > 0 {
         faults.push(format!("{killed} killed by their lease"));
     }
-    // The controller whose links are cut places for the array's team.
+    // The controller whose links are down places the array's team.
     if cut.could_go_on() && !kept {
         faults.push("its part changed hands".into());
     }
@@ -191,8 +193,9 @@
     (!faults.is_empty()).then(|| format!("{cut:?}: {faults:?}"))
 }
 
-/// Every subset of one controller's links, both ways and one, short, for a
-/// lease, and for longer than a controller answers without the store's word.
+/// Fails every subset of one controller's links in both directions, and with its peers in one
+/// direction only: briefly, for about a lease, and for longer than a controller answers without
+/// the store.
 #[test]
 fn any_links_of_one_controller_may_fail_together() {
     let mut cuts = Vec::new();
@@ -214,6 +217,8 @@
     );
 }
 
+/// State of the link from a controller to `to` as the controller itself reports it, and the peer
+/// that relays for the link.
 fn standing(simulation: &Simulation, controller: usize, to: &str) -> (LinkState, Option<String>) {
     let rows = simulation.controllers[controller]
         .core
@@ -276,7 +281,7 @@
     }
 }
 
-/// Plays `cuts` on all threads; what failed.
+/// Runs all cases on 8 threads and returns the failures.
 fn each<T: Sync>(days: &[T], play: impl Fn(&T) -> Option<String> + Sync) -> Vec<String> {
     let next = AtomicUsize::new(0);
     std::thread::scope(|s| {
@@ -295,7 +300,7 @@
     })
 }
 
-/// What else happens to the controllers that could carry.
+/// What happens to the controllers that could relay.
 #[derive(Clone, Copy, Debug)]
 enum Carriers {
     Crash,
@@ -306,9 +311,9 @@
     AllEnd,
 }
 
-/// Two cuts over one another, messages lost and held back, carriers that fail
-/// while they carry, a withdrawal in the midst of it: no rule may break, and all
-/// must be well soon after.
+/// Overlapping partitions, with lost and delayed messages, relay peers that fail while they relay,
+/// and a withdrawal meanwhile. No invariant is violated, and all jobs and services recover soon
+/// after.
 #[test]
 fn overlapping_partitions_with_failing_relay_peers_violate_no_invariant() {
     use Carriers::*;
@@ -387,9 +392,8 @@
     );
 }
 
-/// Links that flap every few seconds: what they carry goes another way until
-/// they have held for a while, and no part changes hands more than twice a
-/// minute.
+/// Links flap every few seconds. Their messages take another route until the links have been up
+/// for a while, and no shard fails over more than twice a minute.
 #[test]
 fn flapping_links_cause_no_failover() {
     let mut simulation = simulation(902, NO_FAULTS);
@@ -428,8 +432,9 @@
     }
 }
 
-/// A hall is cut off from everything, and its one controller ends inside the cut:
-/// what comes back there has no word from the store, no peer, and no memory.
+/// A zone is cut off from everything and its only controller crashes meanwhile. The restarted
+/// controller reaches neither the store nor a peer and has lost its state, but must keep the
+/// zone's tasks running.
 #[test]
 fn a_partitioned_zone_whose_controller_ends_keeps_its_tasks() {
     for seed in 0..6 {
@@ -459,8 +464,8 @@
     }
 }
 
-/// The same for longer than what was promised: a successor starts the tasks anew
-/// once it has its proof, and none of them may still run behind the cut.
+/// The same for longer than the controller's promise lasts. A successor restarts the tasks once it
+/// has proof that they have ended, and none of them may still run inside the partition.
 #[test]
 fn worker_leases_expire_before_a_successor_restarts_tasks() {
     let days: Vec<(u64, u64, u64)> = (0..24)
@@ -490,7 +495,7 @@
         simulation.run(length_ms - crash_ms);
         simulation.partitioned_zones.clear();
         simulation.run(60_000);
-        // A replica that is moved to a better place at this very moment is no lost one.
+        // A replica that is being migrated at this moment is not lost.
         for _ in 0..10 {
             if live(&simulation) < HALLS + 6 {
                 simulation.run(1_000);
--- a/crates/simulator/tests/quota_limits.rs
+++ b/crates/simulator/tests/quota_limits.rs
@@ -1,4 +1,4 @@
-//! Soak of the teams' quota limits: `examples/scenarios/quota.toml` over many seeds.
+//! Soak test of the teams' quota limits: runs `examples/scenarios/quota.toml` with many seeds.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -7,9 +7,9 @@
 use lemonweir_simulator::run::{self, LoadSource, Placer};
 use lemonweir_simulator::scenario::Scenario;
 
-/// Seeds of one run of the test.
+/// Number of seeds.
 const SEEDS: u64 = 80;
-/// Threads of the test.
+/// Threads that the test runs seeds on.
 const THREADS: usize = 3;
 
 fn scenario() -> Arc<Scenario> {
@@ -20,7 +20,7 @@
     Arc::new(scenario)
 }
 
-/// The violations of a seed.
+/// The violations in the run with this seed.
 fn violations(scenario: &Arc<Scenario>, seed: u64) -> Vec<String> {
     run::run_once(
         scenario.clone(),
--- a/crates/simulator/tests/replay.rs
+++ b/crates/simulator/tests/replay.rs
@@ -1,5 +1,5 @@
-//! Replays are the same everywhere: the digest of each sample's history is
-//! written down here. A change of decisions changes it, and this file with it.
+//! Runs are reproducible on every machine: the history of each sample trace has the digest
+//! recorded here. A change of scheduling decisions changes the digests and has to update them.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -61,7 +61,7 @@
         "every job is accepted and done"
     );
     assert_eq!(r.history_digest, digest, "{sample}");
-    // At the same time on other threads: nothing is shared.
+    // Concurrent runs share no state.
     let (again, other) = std::thread::scope(|s| {
         let again = s.spawn(|| replay(format, sample, 1));
         let other = s.spawn(|| replay(format, sample, 2));
@@ -128,7 +128,7 @@
     );
 }
 
-/// What a sweep gives does not depend on how many runs go at a time.
+/// The result of a sweep does not depend on how many runs execute concurrently.
 #[test]
 fn a_sweep_is_the_same_on_any_number_of_threads() {
     let seeds: Seeds = "1..3".parse().expect("seeds");
@@ -156,8 +156,8 @@
     }
 }
 
-/// The interval of a mean, against figures worked out by hand: 1 to 5 have the
-/// standard deviation 1.5811, and t at 4 degrees of freedom is 2.7764.
+/// Checks the confidence interval of a mean against a calculation by hand: 1 to 5 have the standard
+/// deviation 1.5811, and t at 4 degrees of freedom is 2.7764.
 #[test]
 fn confidence_is_students() {
     let (mean, half) = sweep::confidence(&[1.0, 2.0, 3.0, 4.0, 5.0]);
@@ -171,8 +171,8 @@
     );
 }
 
-/// The baselines on a full fleet: the placer that sees everything wastes no
-/// room and no time, the sampler's tasks wait beside free machines.
+/// On a full fleet the central placer, which sees everything, wastes neither room nor time, and
+/// tasks of the sampling placer wait beside free machines. The production placer lies between.
 #[test]
 fn baselines_bound_the_allocation_time() {
     let scenario = Arc::new(
@@ -200,7 +200,7 @@
     assert!("sampler:0".parse::<Placer>().is_err() && "best".parse::<Placer>().is_err());
 }
 
-/// The synthetic morning with its troubles keeps every rule.
+/// The scenario `morning.toml` with its faults violates no invariant.
 #[test]
 fn the_sample_scenario_violates_no_invariant() {
     for seed in 1..4 {
@@ -221,7 +221,7 @@
     }
 }
 
-/// Every fault of a scenario is named with its line and field.
+/// Parsing a scenario reports all its errors at once, each with its line and field.
 #[test]
 fn errors_of_a_scenario_are_named_all_at_once() {
     let text = "name = 7\nduration_s = -1\nzones = []\ncolour = 'red'\n\n[workers]\nlease_s = 1\n\n[[machine_type]]\nname = 'a'\ncpus = 0\n\
--- a/crates/simulator/tests/resilience.rs
+++ b/crates/simulator/tests/resilience.rs
@@ -1,4 +1,5 @@
-//! The operators' failure scenarios, with the real decisions in the simulator.
+//! Failure scenarios from operations: slow boots, broken jobs, overload, query floods and stalled
+//! processes, in the simulator with the production decision code.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -32,11 +33,13 @@
     Simulation::new(Arc::new(site), Vec::new(), seed, History::new(None))
 }
 
-/// Submits a job whose tasks run for so many s.
+/// Submits a job whose tasks run for `run_s`.
 fn submit(simulation: &mut Simulation, spec: JobSpec, run_s: u64) {
     plan(simulation, spec, run_s, false, None);
 }
 
+/// Submits a job whose tasks run for `run_s`, or always fail if `broken`, and withdraws it after
+/// `withdraw_after_s` if given.
 fn plan(
     simulation: &mut Simulation,
     spec: JobSpec,
@@ -65,18 +68,20 @@
     );
 }
 
+/// Those of the jobs that are not done.
 fn done(simulation: &Simulation, jobs: impl IntoIterator<Item = u32>) -> Vec<u32> {
     jobs.into_iter()
         .filter(|n| simulation.phase(&id(*n)) != Some(JobPhase::Done))
         .collect()
 }
 
-/// Machines rented and not given back.
+/// Number of machines that are provisioned and not released.
 fn rented(simulation: &Simulation) -> usize {
     simulation.workers.iter().flatten().count()
 }
 
-/// s until the first start of each task of a job, the latest.
+/// Time from `since_us` until all `tasks` tasks of the job have started once, s; `None` if some
+/// task has not started.
 fn waited(simulation: &Simulation, n: u32, tasks: u32, since_us: u64) -> Option<u64> {
     let at = |t: u32| {
         simulation
@@ -94,8 +99,9 @@
 
 // ---- boots -------------------------------------------------------------------
 
-/// In a second, late, or never, for one zone or all, with lists 20 s late: all is
-/// done, and the fleet stays within what was asked for and an eighth.
+/// Machines boot within a second, late or never, in one zone or all, while instance lists are
+/// 20 s stale. All jobs complete, and the fleet stays within the demand, the headroom and the
+/// replacements of overdue machines, which are limited to an eighth of the fleet.
 #[test]
 fn fast_slow_and_failed_boots_are_handled() {
     for (k, (factor, fail, zone)) in [
@@ -127,7 +133,7 @@
             simulation.run(10_000);
             most = most.max(rented(&simulation));
         }
-        // 48 tasks, four on a machine, and what is expected to come.
+        // 48 tasks, four on a machine, plus headroom and replacements for overdue machines.
         assert!(
             most <= 12 + MAX_HEADROOM_TASKS as usize + 2 * MIN_OVERDUE_REPLACEMENTS * 3,
             "{what}: {most} machines"
@@ -144,8 +150,8 @@
     }
 }
 
-/// The controller that rented ends before it hears the answer: its machines are
-/// used or given back all the same.
+/// The controller that provisions machines crashes before it receives the answer. Its machines
+/// are still used or released.
 #[test]
 fn machines_provisioned_before_a_crash_are_used() {
     for seed in 0..4 {
@@ -157,7 +163,7 @@
             zone: None,
         });
         submit(&mut simulation, job(0, "blue", JobKind::Array, 16), 30);
-        // Step by step, until a request is out.
+        // 1 ms at a time, until machines are provisioned.
         while rented(&simulation) == 0 {
             simulation.run(1);
         }
@@ -172,10 +178,10 @@
     }
 }
 
-// ---- jobs with a mistake -------------------------------------------------------
+// ---- broken jobs -----------------------------------------------------------------
 
-/// One job in some with a mistake, of every shape, beside faulty machines: every
-/// sound job is done, and what the others cost is bounded.
+/// One job in 12 is broken, among jobs of several kinds and beside a faulty machine. Every other
+/// job completes, and the broken ones are withdrawn.
 #[test]
 fn broken_jobs_do_not_delay_others() {
     for seed in 0..3 {
@@ -230,8 +236,8 @@
     }
 }
 
-/// A huge array with a mistake: after its first tries one task runs at a time, and
-/// nothing is rented for it.
+/// A huge broken array: after its first attempts one task runs at a time, and no machine is
+/// provisioned for it.
 #[test]
 fn a_broken_array_of_100_000_tasks_is_tried_one_task_at_a_time() {
     let mut simulation = simulation(1, 30);
@@ -262,8 +268,8 @@
     assert_no_violation(&simulation, "a broken array");
 }
 
-/// A gang with a mistake holds no room between its tries, and its withdrawal
-/// between two of them is told.
+/// A broken gang holds no resources between its attempts, and its withdrawal between two of them
+/// is confirmed.
 #[test]
 fn a_broken_gang_releases_its_resources() {
     let mut simulation = simulation(2, 2);
@@ -285,9 +291,10 @@
     assert_no_violation(&simulation, "a broken gang");
 }
 
-// ---- guests ----------------------------------------------------------------------
+// ---- teams without quota -----------------------------------------------------------
 
-/// s that a burst of replicas waited, with or without guests beside it.
+/// Time that a burst of replicas waited to start, s, with or without low-priority work of a team
+/// without quota beside it and with or without a controller crash; and the simulation.
 fn burst(seed: u64, guests: bool, crash: bool) -> (u64, Simulation) {
     let mut simulation = simulation(seed, 40);
     for n in 0..4 {
@@ -346,14 +353,15 @@
     (waits.into_iter().max().unwrap_or(0), simulation)
 }
 
-/// A guest's idle array of 100,000 and 2,000 tiny jobs: a burst of the other team
-/// starts within a boot and a fetch, as without them, also when a controller ends.
+/// A team without quota runs a low-priority array of 100,000 tasks and 2,000 tiny jobs. A burst of
+/// the other team starts within a boot and an image pull, as without them, even if a controller
+/// crashes.
 #[test]
 fn teams_without_quota_do_not_delay_others() {
     for (seed, crash) in [(0, false), (1, true)] {
         let (alone, _) = burst(seed, false, crash);
         let (beside, simulation) = burst(seed, true, crash);
-        // The longest boot, a fetch, and what a controller is away.
+        // The longest boot, an image pull, and the absence of the crashed controller.
         let bound = 30 + 2 + 3 * u64::from(crash) + 1;
         assert!(
             alone <= bound && beside <= bound,
@@ -372,7 +380,7 @@
             array > 0 && tiny > 50,
             "the guests' work starts: {array} tasks and {tiny} tiny jobs"
         );
-        // Idle work is not what ordinary machines are rented for.
+        // On-demand machines are not provisioned for low-priority work.
         let ordinary = simulation
             .workers
             .iter()
@@ -384,7 +392,7 @@
     }
 }
 
-/// Idle work that no cheap machine is left for starts in the end.
+/// Low-priority work starts after its patience ends even if no spot machine is available.
 #[test]
 fn low_priority_work_starts_in_the_end() {
     let mut scenario = site(3, 4, NO_FAULTS);
@@ -404,10 +412,10 @@
     assert_eq!(done(&simulation, 0..1), [0; 0]);
 }
 
-// ---- floods of questions -----------------------------------------------------------
+// ---- query floods --------------------------------------------------------------------
 
-/// 8 and 50 times as many polls, a third for jobs of nobody, during a cut from the
-/// store: answers never go back, and the day's work is done.
+/// Users poll 8 and 50 times as often, a third of the time for unknown jobs, while a controller is
+/// cut off from the store. Answers never regress, and all jobs complete.
 #[test]
 fn poll_floods_violate_no_invariant() {
     for (seed, factor) in [(1, 8.0), (2, 50.0)] {
@@ -432,13 +440,13 @@
     }
 }
 
-// ---- standing still ------------------------------------------------------------------
+// ---- process stalls ------------------------------------------------------------------
 
-/// Pauses of 0.5 to 60 s of each controller at each step of a job, alone and
-/// inside a cut: no rule is broken and all is done.
+/// Two of the three controllers stall for 0.5 to 60 s at each step of a job, with and without a
+/// partition. No invariant is violated, and all jobs end.
 #[test]
 fn process_stalls_at_every_step_violate_no_invariant() {
-    // ms after the submission: record, rental, launch, run, end, withdrawal.
+    // ms after the submission: record, provisioning, launch, run, end, withdrawal.
     for (k, at_ms) in [20, 300, 22_000, 30_000, 45_000, 61_000]
         .into_iter()
         .enumerate()
@@ -515,7 +523,7 @@
                     .any(|w| w.controller == *h)
         })
         .expect("one with workers");
-    // Only its store is lost when it goes on.
+    // When the process resumes, it reaches neither the store nor a peer.
     let until = simulation.now + (STORE_LEASE_TTL_MS + 2_000) * 1_000;
     (
         simulation.controllers[held].stalled_until,
--- a/crates/simulator/tests/supervision.rs
+++ b/crates/simulator/tests/supervision.rs
@@ -1,5 +1,5 @@
-//! Failovers in the simulator: successors that crash at every step, and what the failover
-//! history records of it.
+//! Failovers in the simulator: successors crash at every step, and the failover history records
+//! each change of leader. Also covers the supervision of under-replicated services.
 
 use lemonweir_coordination::supervision::failover::COMPLETION_TIMEOUT_MS;
 use std::sync::Arc;
@@ -33,14 +33,14 @@
     lost_sync: 40,
     late_sync: 300,
 };
-/// Replicas of the two services.
+/// Replicas of both services together.
 const REPLICAS: usize = 14;
 
 fn built(seed: u64, site: Scenario) -> Simulation {
     Simulation::new(Arc::new(site), Vec::new(), seed, History::new(None))
 }
 
-/// Two services that are up.
+/// A simulation in which all replicas of two services run.
 fn served(seed: u64, chances: MessageFaults) -> Simulation {
     let mut simulation = built(seed, site(3, 16, chances));
     for (n, team, tasks) in [(0, "red", 4), (1, "blue", 10)] {
@@ -72,6 +72,7 @@
     });
 }
 
+/// Number of live tasks on all machines.
 fn live(simulation: &Simulation) -> usize {
     simulation
         .workers
@@ -81,6 +82,7 @@
         .sum()
 }
 
+/// The leader of a shard according to the store, and its fencing token.
 fn leader(simulation: &Simulation, shard: u16) -> Option<(String, u64)> {
     let (value, token) = simulation.store.get(&shard_key(shard))?;
     Some((
@@ -89,6 +91,7 @@
     ))
 }
 
+/// A shard's failover records in the store with their versions, oldest first.
 fn ring(simulation: &Simulation, shard: u16) -> Vec<(FailoverRecord, u64)> {
     let entries = simulation.store.list(&format!("w/hand/{shard}/"));
     let mut all: Vec<_> = entries
@@ -104,7 +107,8 @@
     all
 }
 
-/// One entry a change, none missing, the newest of the one who holds it.
+/// Asserts that every shard's failover history has one record for each change of leader, with no
+/// gap, and that the newest names the current leader; and that no invariant was violated.
 fn assert_entered(simulation: &Simulation, what: &str) {
     for shard in 0..3 {
         let ring = ring(simulation, shard);
@@ -143,7 +147,7 @@
     );
 }
 
-/// Runs until another than its home holds the part.
+/// Runs until a controller that is not in `not` leads the shard, and returns it.
 fn until_taken(simulation: &mut Simulation, shard: u16, not: &[usize]) -> usize {
     for _ in 0..600 {
         simulation.run(50);
@@ -156,15 +160,16 @@
     panic!("nobody takes part {shard}");
 }
 
-/// The successor ends at each step of the handover, and its successor too: between
-/// the take and the reading, before and after the first start, before the closing.
+/// The successor crashes at each step of the failover, and so does the next one: between acquiring
+/// the shard and reading its state, before and after the first start, and before the failover
+/// record is completed.
 #[test]
 fn failover_records_are_completed_when_successors_crash_at_each_step() {
     for (k, after_ms) in [0, 2, 60, 400, 1_500, 6_000].into_iter().enumerate() {
         let what = format!("{after_ms} ms after the take");
         let mut simulation = served(k as u64, if k % 2 == 0 { NO_FAULTS } else { SOME_FAULTS });
         simulation.crash(0, 60_000_000);
-        // Something to start for the first who can.
+        // A job that the first successor that is able to can start.
         submit(
             &mut simulation,
             JobSpec {
@@ -200,7 +205,7 @@
             })
             .count();
         assert!(left >= 1 || after_ms == 6_000, "{what}: {entries:#?}");
-        // No replica that ran is lost by it: none was started anew.
+        // No running replica is lost: none was restarted.
         let anew: u32 = entries
             .iter()
             .filter_map(|(r, _)| r.completion.as_ref()?.found)
@@ -210,7 +215,7 @@
     }
 }
 
-/// All controllers end 0.3 s apart, for a moment and for longer than a hold.
+/// All controllers crash 0.3 s apart, and restart at once or after more than a store lease.
 #[test]
 fn all_controllers_crash_shortly_after_one_another() {
     for (k, back_ms) in [100, 300, 5_000, 20_000].into_iter().enumerate() {
@@ -236,7 +241,8 @@
     }
 }
 
-/// The store can't be had when the entry should be closed: it is closed once it can.
+/// The store is down when the failover record should be completed. It is completed after the store
+/// has recovered.
 #[test]
 fn a_failover_record_that_cannot_be_completed_for_a_minute_is_completed_later() {
     let mut simulation = served(30, NO_FAULTS);
@@ -268,8 +274,8 @@
     assert_entered(&simulation, "closed late");
 }
 
-/// A failover history that is full, with an open record as its oldest and one that nobody can
-/// read.
+/// A full failover history that contains open records and a malformed one still records new
+/// failovers.
 #[test]
 fn a_full_failover_history_keeps_recording() {
     let mut simulation = served(31, NO_FAULTS);
@@ -290,7 +296,7 @@
         value: "what".into(),
         lease: None,
     });
-    // The store takes so many at a time.
+    // One write at a time: a store transaction is limited in size.
     for write in fill.writes {
         simulation.store.compare_and_swap(&CompareAndSwap {
             writes: vec![write],
@@ -321,7 +327,8 @@
     );
 }
 
-/// The home is back 0.2 s before, while and after the two others bid for its part.
+/// The home controller restarts at times from 0.2 s before to after the election in which the two
+/// others compete for its shard.
 #[test]
 fn the_home_controller_returns_during_the_election() {
     for k in 0..14u64 {
@@ -330,7 +337,7 @@
         let mut simulation = served(40 + k, if k % 2 == 0 { NO_FAULTS } else { SOME_FAULTS });
         simulation.crash(0, back_ms * 1_000);
         simulation.run(back_ms + 200);
-        // And once more, in the middle of what it does then.
+        // Crashes again in the middle of its recovery.
         if k % 3 == 0 {
             simulation.crash(0, 200_000);
         }
@@ -345,8 +352,9 @@
     }
 }
 
-/// 500 services on one part: a change of hands costs two changes of the store for
-/// the entry, and the watch looks at nothing that nothing happened to.
+/// 500 services on one shard: a failover costs two writes for its record and none for each
+/// service, and supervision examines only services that something happened to. Any controller
+/// can report the state of all services.
 #[test]
 fn five_hundred_services_on_one_shard() {
     let mut site = site(3, 300, NO_FAULTS);
@@ -384,7 +392,8 @@
     simulation.crash(0, 100_000_000);
     let second = until_taken(&mut simulation, 0, &[0]);
     simulation.run(40_000);
-    // Its part, presence and hold, the entry and its closing: nothing a service.
+    // The shard record, presence, the store lease, the failover record and its completion; no
+    // write for each service.
     assert!(
         simulation.store.served.writes - before < 40,
         "{} changes",
@@ -431,10 +440,10 @@
     assert!(simulation.workload.checker.violations.is_empty());
 }
 
-// ---- how long it takes ---------------------------------------------------------
+// ---- failover duration ---------------------------------------------------------
 
-/// A fleet of so many machines, most of them full of replicas, on so many
-/// controllers that pay for what they do.
+/// A site with `machines` machines and `controllers` controllers whose processing time is
+/// simulated.
 fn fleet(machines: u32, controllers: u16) -> Scenario {
     let each = machines / 2;
     let text = format!(
@@ -447,9 +456,10 @@
     Scenario::parse("fleet", &text).unwrap_or_else(|faults| unreachable!("{faults:?}"))
 }
 
-/// One controller's end: ms until its part's key is gone, the part is taken, the
-/// first start of a job that came meanwhile, and all replicas are known to be up; and
-/// tasks lost by it.
+/// Crashes one controller of a fleet whose machines are mostly full of replicas, and measures, in
+/// ms: until its shard's key expires, until the shard is acquired, until the first start of a job
+/// submitted at the crash, and until all replicas are known to run. The last value is the number
+/// of tasks lost.
 fn end_one(seed: u64, machines: u32, controllers: u16) -> [u64; 5] {
     let mut simulation = built(seed, fleet(machines, controllers));
     let services = machines / 8;
@@ -465,7 +475,7 @@
             1,
         );
     }
-    // Room for what comes: machines that are partly free.
+    // Withdrawn below, to leave room for the job that is submitted at the crash.
     submit(
         &mut simulation,
         JobSpec {
@@ -545,8 +555,8 @@
     [gone, taken, started, whole, Some(lost)].map(|ms| ms.expect("within 40 s"))
 }
 
-/// Prints what docs/supervision/failovers.md tells:
-/// `cargo test --release -p lemonweir-simulator --test watch -- --ignored --nocapture`.
+/// Prints the figures of docs/supervision/failovers.md:
+/// `cargo test --release -p lemonweir-simulator --test supervision -- --ignored --nocapture`.
 #[test]
 #[ignore = "measures for minutes"]
 fn failover_duration() {
@@ -573,9 +583,10 @@
     }
 }
 
-// ---- another way --------------------------------------------------------------
+// ---- escalation ---------------------------------------------------------------
 
-/// The row of a service in the picture of the controller that serves its team.
+/// The row of an under-replicated service in the supervision reports of the controllers, the one
+/// that is under-replicated for longest; `None` if no controller reports it.
 fn row(
     simulation: &Simulation,
     n: u32,
@@ -592,7 +603,7 @@
         .max_by_key(|r| r.under_replicated_s)
 }
 
-/// A replica on a machine that fetches for ever goes to one that has its image, as
+/// A replica on a machine whose image pull never ends moves to a machine that caches its image as
 /// soon as one has room.
 #[test]
 fn a_replica_leaves_a_machine_that_does_not_start_it() {
@@ -642,7 +653,7 @@
         before.escalations.is_empty() && before.under_replicated_s.is_some_and(|s| s >= 50),
         "nothing better is known: {before:?}"
     );
-    // The machine with the image becomes free.
+    // Frees the machine that caches the image.
     simulation.withdraw(&lemonweir_simulator::fixtures::id(0));
     simulation.run(25_000);
     assert_eq!(live(&simulation), 2, "{:?}", row(&simulation, 1));
@@ -650,8 +661,8 @@
     assert!(simulation.workload.checker.violations.is_empty());
 }
 
-/// A service that avoids the only machine that can take it, since it failed there
-/// once, takes it again when nothing else has come in time.
+/// A service avoids the only machine that fits it because it failed there once. It uses that
+/// machine again when no other becomes available in time.
 #[test]
 fn a_service_uses_avoided_machines_when_nothing_else_is_left() {
     let mut simulation = built(61, site(3, 1, NO_FAULTS));
--- a/crates/simulator/tests/worker_leases.rs
+++ b/crates/simulator/tests/worker_leases.rs
@@ -1,6 +1,7 @@
-//! Unreachable machines, delayed duplicates of heartbeats, machines and controllers that
-//! restart at once, and a controller with its workers and nothing else: alone, in pairs and
-//! inside a partition, for 3 and 7 controllers and leases of 14 and 26.5 s.
+//! Worker leases under faults: unreachable machines, delayed duplicates of heartbeats, machines
+//! and controllers that restart at once, and a controller that reaches only its workers. The
+//! faults occur singly, in pairs and during a partition, with 3 and 7 controllers and leases of 14
+//! to 26.5 s.
 
 use std::sync::Arc;
 
@@ -22,7 +23,8 @@
 const AWAY: &str = "at_s = 60\nfor_s = 30\nkind = 'crash'\ncontroller = 0";
 const CUT: &str = "at_s = 50\nfor_s = 40\nkind = 'cut_zone'\nzone = 'a'";
 
-/// A day: services, arrays and gangs on some dozen machines of two zones.
+/// A simulation of 240 s of services, arrays and gangs on machines of two zones, with the given
+/// faults.
 fn run_with_faults(controllers: u16, lease_s: f64, seed: u64, faults: &[&str]) -> Simulation {
     let faults: String = faults.iter().map(|f| format!("[[fault]]\n{f}\n")).collect();
     let text = format!(
@@ -44,7 +46,7 @@
     Simulation::new(scenario, load, seed, History::new(None))
 }
 
-/// Replicas up, of the 16 that are wanted.
+/// Number of live replicas; 16 are desired.
 fn serving(simulation: &Simulation) -> usize {
     let services = simulation
         .workload
@@ -57,7 +59,8 @@
         .sum()
 }
 
-/// Runs a day to its end; tells how many tasks their lease killed.
+/// Runs a simulation to its end, asserts that all services are up and no invariant was violated,
+/// and returns how many tasks were killed because their worker's lease expired.
 fn kept(controllers: u16, lease_s: f64, seed: u64, faults: &[&str]) -> u64 {
     let what = format!("{controllers} controllers, {lease_s} s, seed {seed}, {faults:?}");
     let mut simulation = run_with_faults(controllers, lease_s, seed, faults);
@@ -77,7 +80,8 @@
     workload.killed_by_lease
 }
 
-/// A few controllers with a short lease and many with a long one.
+/// Runs the faults with 3 controllers and a short lease and with 7 and a long one, and returns the
+/// number of tasks killed in both.
 fn all(faults: &[&str]) -> u64 {
     kept(3, 14.0, 1, faults) + kept(7, 26.5, 4, faults)
 }
@@ -107,15 +111,16 @@
     all(&[REBORN]);
 }
 
-/// Its hold runs out, others take its part, and its workers come to it until it
-/// stops; then they reach the successor with their leases alive.
+/// The isolated controller's store lease expires and another controller takes its shard. Its
+/// workers keep reporting to it until it stops, and then reach the successor before their own
+/// leases expire.
 #[test]
 fn workers_of_an_isolated_controller_reach_its_successor() {
     for lease_s in [14.0, 20.0, 26.5] {
         assert_eq!(kept(3, lease_s, 2, &[ALONE]), 0, "a lease of {lease_s} s");
     }
     assert_eq!(kept(7, 14.0, 3, &[ALONE]), 0);
-    // The two others elect, and one of them is back after 0.2 s; workers have copies.
+    // One of the two electing controllers restarts within 0.2 s, and heartbeats are duplicated.
     kept(
         3,
         14.0,
