--- a/crates/simulator/tests/fleet_limits.rs
+++ b/crates/simulator/tests/fleet_limits.rs
@@ -10,7 +10,7 @@
 /// Number of machines in the fleet.
 const MACHINES: usize = 4_000;
 
-fn text() -> String {
+fn scenario_text() -> String {
     let path =
         Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/scenarios/four-thousand.toml");
     std::fs::read_to_string(path).expect("scenario")
@@ -19,8 +19,8 @@
 /// The duration is 95 s instead of 420 s, so the partition between the zones and the controller
 /// crash come earlier.
 #[test]
-fn a_fleet_of_four_thousand_is_used_whole_and_violates_no_invariant() {
-    let text = text()
+fn a_fleet_of_four_thousand_is_fully_used_and_violates_no_invariant() {
+    let text = scenario_text()
         .replace("duration_s = 420", "duration_s = 95")
         .replace("at_s = 120\nfor_s = 30", "at_s = 45\nfor_s = 15")
         .replace("at_s = 220\nfor_s = 10", "at_s = 70\nfor_s = 5");
@@ -37,8 +37,12 @@
     .expect("run");
     let r = &outcome.report;
     assert!(r.violations.is_empty(), "{:?}", r.violations);
-    let most = r.fleet.iter().map(|s| s.up).max();
-    assert_eq!(most, Some(MACHINES), "machines in service at the same time");
+    let max_up = r.fleet.iter().map(|s| s.up).max();
+    assert_eq!(
+        max_up,
+        Some(MACHINES),
+        "machines in service at the same time"
+    );
     assert!(
         r.fleet
             .iter()
@@ -51,7 +55,7 @@
 /// The default capacity of a machine type is at least 4,000 on-demand machines.
 #[test]
 fn a_scenario_without_a_number_of_machines_has_four_thousand_in_each_zone() {
-    let text = text().replace("ordinary = 2_000\n", "");
+    let text = scenario_text().replace("ordinary = 2_000\n", "");
     let scenario = Scenario::parse("four-thousand.toml", &text).expect("no fault");
     assert!(scenario.machine_kinds[0].capacity.on_demand as usize >= MACHINES);
 }
--- a/crates/simulator/tests/gang_admission.rs
+++ b/crates/simulator/tests/gang_admission.rs
@@ -60,7 +60,10 @@
 
 /// The gang's state in the store: its earliest admission step, its attempt and the number of its
 /// tasks on record. `None` if no task is on record or a task chunk has no gang state.
-fn step_of(simulation: &Simulation, id: &JobId) -> Option<(GangAdmissionStep, u32, usize)> {
+fn stored_gang_state(
+    simulation: &Simulation,
+    id: &JobId,
+) -> Option<(GangAdmissionStep, u32, usize)> {
     let entries = (0..3).flat_map(|shard| simulation.store.list(&format!("run/{shard}/{id}/")));
     let read = |e: KeyValue| read_chunk(&e.value, parse_task_chunk_key(&e.key)?.1);
     let chunks: Vec<_> = entries
@@ -71,9 +74,9 @@
         .iter()
         .map(|c| c.gang.as_ref())
         .collect::<Option<Vec<_>>>()?;
-    let least = gang.iter().map(|g| g.step).min()?;
+    let earliest_step = gang.iter().map(|g| g.step).min()?;
     Some((
-        least,
+        earliest_step,
         gang[0].attempt,
         chunks.iter().map(|c| c.live_attempts.len()).sum(),
     ))
@@ -81,23 +84,23 @@
 
 /// Advances the simulation 1 ms at a time and asserts that no task of a gang is launched before
 /// the gang is admitted.
-struct Watch {
+struct GangObserver {
     id: JobId,
     tasks: u32,
     admitted: BTreeSet<u32>,
     steps: Vec<GangAdmissionStep>,
     /// Store revision at the last check.
-    seen: u64,
+    last_revision: u64,
 }
 
-impl Watch {
+impl GangObserver {
     fn new(n: u32, tasks: u32) -> Self {
         Self {
             id: id(n),
             tasks,
             admitted: BTreeSet::new(),
             steps: Vec::new(),
-            seen: 0,
+            last_revision: 0,
         }
     }
 
@@ -126,9 +129,12 @@
             } else {
                 1
             });
-            let news = std::mem::replace(&mut self.seen, simulation.store.revision)
-                != simulation.store.revision;
-            if let Some((step, attempt, _)) = news.then(|| step_of(simulation, &self.id)).flatten()
+            let store_changed =
+                std::mem::replace(&mut self.last_revision, simulation.store.revision)
+                    != simulation.store.revision;
+            if let Some((step, attempt, _)) = store_changed
+                .then(|| stored_gang_state(simulation, &self.id))
+                .flatten()
             {
                 if self.steps.last() != Some(&step) {
                     self.steps.push(step);
@@ -153,7 +159,7 @@
 
 /// A step of gang admission at which a test injects its fault.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum At {
+enum FaultStep {
     /// The plan is in the store.
     PlannedSubmission,
     /// Some shard leader has been asked, and its answer is in flight.
@@ -164,30 +170,32 @@
     Launched,
 }
 
-const STEPS: [At; 4] = [
-    At::PlannedSubmission,
-    At::QueryKind,
-    At::Admitted,
-    At::Launched,
+const STEPS: [FaultStep; 4] = [
+    FaultStep::PlannedSubmission,
+    FaultStep::QueryKind,
+    FaultStep::Admitted,
+    FaultStep::Launched,
 ];
 
 /// Runs a simulation until a gang of 8 whole machines reaches the step `at`. The gang needs
 /// machines of all three shards.
-fn brought_to(at: At, seed: u64) -> (Simulation, Watch) {
+fn simulation_at_step(at: FaultStep, seed: u64) -> (Simulation, GangObserver) {
     let mut simulation = simulation(seed, 3);
     simulation.run(12_000);
     submit(&mut simulation, gang(1, "blue", 8), 20);
-    let mut watch = Watch::new(1, 8);
-    let there = watch.run(&mut simulation, 8_000, |simulation, watch| {
-        let step = step_of(simulation, &watch.id).map(|s| s.0);
+    let mut watch = GangObserver::new(1, 8);
+    let reached = watch.run(&mut simulation, 8_000, |simulation, watch| {
+        let step = stored_gang_state(simulation, &watch.id).map(|s| s.0);
         match at {
-            At::PlannedSubmission | At::QueryKind => step == Some(GangAdmissionStep::Planned),
-            At::Admitted => step == Some(GangAdmissionStep::Admitted),
-            At::Launched => watch.launched(simulation) > 0,
+            FaultStep::PlannedSubmission | FaultStep::QueryKind => {
+                step == Some(GangAdmissionStep::Planned)
+            }
+            FaultStep::Admitted => step == Some(GangAdmissionStep::Admitted),
+            FaultStep::Launched => watch.launched(simulation) > 0,
         }
     });
-    assert!(there, "{at:?} was not reached: {:?}", watch.steps);
-    if at == At::QueryKind {
+    assert!(reached, "{at:?} was not reached: {:?}", watch.steps);
+    if at == FaultStep::QueryKind {
         watch.run(&mut simulation, 4, |_, _| false);
     }
     (simulation, watch)
@@ -195,7 +203,7 @@
 
 /// The controllers that fail: for `who` 0 the one that places the gang, for 1 the leader of
 /// another shard, for 2 both.
-fn struck(simulation: &Simulation, who: usize) -> Vec<usize> {
+fn failing_controllers(simulation: &Simulation, who: usize) -> Vec<usize> {
     let placer = (0..3)
         .find(|h| simulation.controllers[*h].leads(0))
         .expect("shard 0 has a leader");
@@ -216,9 +224,9 @@
             (at, 2, 600_000),
         ]
     }) {
-        let (mut simulation, mut watch) = brought_to(at, 1 + who as u64);
+        let (mut simulation, mut watch) = simulation_at_step(at, 1 + who as u64);
         let what = format!("{at:?}, {who}, restart after {back_ms} ms");
-        for controller in struck(&simulation, who) {
+        for controller in failing_controllers(&simulation, who) {
             simulation.crash(controller, back_ms * 1_000);
         }
         let done = watch.run(&mut simulation, 130_000, |simulation, watch| {
@@ -237,9 +245,9 @@
 fn gang_admission_survives_stalls_of_placer_or_owner_at_each_step() {
     for at in STEPS {
         for who in 0..3 {
-            let (mut simulation, mut watch) = brought_to(at, 11 + who as u64);
+            let (mut simulation, mut watch) = simulation_at_step(at, 11 + who as u64);
             let what = format!("{at:?}, {who}");
-            for controller in struck(&simulation, who) {
+            for controller in failing_controllers(&simulation, who) {
                 let until = simulation.now + 30_000_000;
                 (
                     simulation.controllers[controller].stalled_until,
@@ -259,7 +267,7 @@
 #[test]
 fn gangs_may_be_withdrawn_at_each_admission_step() {
     for at in STEPS {
-        let (mut simulation, mut watch) = brought_to(at, 31);
+        let (mut simulation, mut watch) = simulation_at_step(at, 31);
         simulation.withdraw(&watch.id);
         let gone = watch.run(&mut simulation, 40_000, |simulation, watch| {
             simulation.phase(&watch.id) == Some(JobPhase::Withdrawn)
--- a/crates/simulator/tests/image_locality.rs
+++ b/crates/simulator/tests/image_locality.rs
@@ -13,18 +13,18 @@
 use lemonweir_simulator::scenario::Scenario;
 use lemonweir_simulator::simulation::Simulation;
 
-/// One controller and `a_zone` initial machines in each zone. A machine has 4 GPUs, pulls images
-/// at 0.3 GB/s and caches 130 GB of them.
-fn site(zones: &[&str], a_zone: u32, trade: ServicePlacementWeights) -> Scenario {
+/// One controller and `machines_per_zone` initial machines in each zone. A machine has 4 GPUs,
+/// pulls images at 0.3 GB/s and caches 130 GB of them.
+fn site(zones: &[&str], machines_per_zone: u32, weights: ServicePlacementWeights) -> Scenario {
     let text = format!(
         "name = 'weights'\nduration_s = 1e6\ncontrollers = {}\nzones = {zones:?}\npoll_s = 0\n[policy]\nidle = 1000\n\
          [[machine_type]]\nname = 'box'\ncpus = 16\ngpus = 4\nmemory_gb = 64\ncache_gb = 130\nfetch_gb_per_s = 0.3\nprice = 4\nspot_price = 1\n\
-         boot_s = 20\nordinary = {a_zone}\nat_start = {a_zone}\n[[team]]\nname = 'red'\n[[team]]\nname = 'blue'\n",
+         boot_s = 20\nordinary = {machines_per_zone}\nat_start = {machines_per_zone}\n[[team]]\nname = 'red'\n[[team]]\nname = 'blue'\n",
         zones.len()
     );
     let mut scenario =
         Scenario::parse("weights", &text).unwrap_or_else(|faults| panic!("{faults:?}"));
-    scenario.policy.placement_weights = trade;
+    scenario.policy.placement_weights = weights;
     scenario
 }
 
@@ -43,13 +43,13 @@
 
 /// State of the service replicas, sampled twice a second.
 #[derive(Default)]
-struct WorkloadSummary {
+struct ReplicaObservations {
     /// Time that each attempt of a service spent pulling its image, s.
-    fetched: HashMap<AttemptId, f64>,
+    pull_s: HashMap<AttemptId, f64>,
     /// Image pulls in progress, by machine and service.
-    under_way: BTreeSet<(usize, u32)>,
+    pulls_in_progress: BTreeSet<(usize, u32)>,
     /// Total size of all image pulls that started, GB.
-    fetched_gb: f64,
+    pulled_gb: f64,
     /// Provisioned machine time, s.
     machine_s: f64,
     /// Machine and zone of each running replica, by service.
@@ -58,7 +58,7 @@
 
 struct TestCluster {
     simulation: Simulation,
-    seen: WorkloadSummary,
+    observed: ReplicaObservations,
     services: Vec<JobSpec>,
 }
 
@@ -69,7 +69,7 @@
         simulation.run(6_000);
         Self {
             simulation,
-            seen: WorkloadSummary::default(),
+            observed: ReplicaObservations::default(),
             services: Vec::new(),
         }
     }
@@ -91,15 +91,15 @@
     }
 
     /// Takes a sample of all workers.
-    fn look(&mut self) {
-        self.seen.running.clear();
-        let mut under_way = BTreeSet::new();
-        self.seen.machine_s += 0.5 * self.simulation.workers.iter().flatten().count() as f64;
+    fn observe(&mut self) {
+        self.observed.running.clear();
+        let mut pulls_in_progress = BTreeSet::new();
+        self.observed.machine_s += 0.5 * self.simulation.workers.iter().flatten().count() as f64;
         let now = self.simulation.now;
         let names: BTreeMap<_, u32> = self
             .services
             .iter()
-            .map(|s| (s.id.clone(), number(&s.id)))
+            .map(|s| (s.id.clone(), job_number(&s.id)))
             .collect();
         for w in self
             .simulation
@@ -118,12 +118,12 @@
                 };
                 match t.phase {
                     TaskPhase::PullingImage => {
-                        under_way.insert((machine, n));
-                        *self.seen.fetched.entry(attempt).or_default() += 0.5;
+                        pulls_in_progress.insert((machine, n));
+                        *self.observed.pull_s.entry(attempt).or_default() += 0.5;
                     }
                     TaskPhase::Running => {
-                        self.seen.fetched.entry(attempt).or_default();
-                        self.seen
+                        self.observed.pull_s.entry(attempt).or_default();
+                        self.observed
                             .running
                             .entry(n)
                             .or_default()
@@ -133,32 +133,32 @@
                 }
             }
         }
-        self.note_fetches(under_way);
+        self.record_pulls(pulls_in_progress);
     }
 
-    fn note_fetches(&mut self, under_way: BTreeSet<(usize, u32)>) {
+    fn record_pulls(&mut self, pulls_in_progress: BTreeSet<(usize, u32)>) {
         let gb: BTreeMap<u32, f64> = self
             .services
             .iter()
-            .map(|s| (number(&s.id), s.image_gb))
+            .map(|s| (job_number(&s.id), s.image_gb))
             .collect();
-        self.seen.fetched_gb += under_way
-            .difference(&self.seen.under_way)
+        self.observed.pulled_gb += pulls_in_progress
+            .difference(&self.observed.pulls_in_progress)
             .map(|(_, n)| gb.get(n).copied().unwrap_or(0.0))
             .sum::<f64>();
-        self.seen.under_way = under_way;
+        self.observed.pulls_in_progress = pulls_in_progress;
     }
 
     fn run(&mut self, s: u64) {
         for _ in 0..2 * s {
             self.simulation.run(500);
-            self.look();
+            self.observe();
         }
     }
 
     /// Number of a service's replicas that run outside the `lost` zones.
-    fn up(&self, n: u32, lost: &[&str]) -> usize {
-        self.seen
+    fn running_outside(&self, n: u32, lost: &[&str]) -> usize {
+        self.observed
             .running
             .get(&n)
             .into_iter()
@@ -169,17 +169,20 @@
 
     /// Runs until all services have all their replicas outside the `lost` zones, and returns the
     /// time that took, s; `None` if it takes longer than `most_s`.
-    fn until_whole(&mut self, lost: &[&str], most_s: u64) -> Option<f64> {
+    fn run_until_replicated(&mut self, lost: &[&str], most_s: u64) -> Option<f64> {
         let since = self.simulation.now;
         let wants: Vec<(u32, usize)> = self
             .services
             .iter()
-            .map(|s| (number(&s.id), s.tasks as usize))
+            .map(|s| (job_number(&s.id), s.tasks as usize))
             .collect();
         while self.simulation.now < since + most_s * 1_000_000 {
             self.simulation.run(500);
-            self.look();
-            if wants.iter().all(|(n, tasks)| self.up(*n, lost) >= *tasks) {
+            self.observe();
+            if wants
+                .iter()
+                .all(|(n, tasks)| self.running_outside(*n, lost) >= *tasks)
+            {
                 return Some((self.simulation.now - since) as f64 / 1e6);
             }
         }
@@ -188,11 +191,11 @@
 
     /// The machine of a service's first running replica.
     fn machine_of(&self, n: u32) -> usize {
-        self.seen.running[&n][0].0
+        self.observed.running[&n][0].0
     }
 
     /// Partitions a zone and crashes its controller.
-    fn lose(&mut self, zone: &str) {
+    fn lose_zone_with_controller(&mut self, zone: &str) {
         let controller = self
             .simulation
             .scenario
@@ -207,19 +210,25 @@
     /// Number of replica starts, and how many of them pulled their image.
     fn starts(&self) -> (usize, usize) {
         (
-            self.seen.fetched.len(),
-            self.seen.fetched.values().filter(|s| **s > 0.0).count(),
+            self.observed.pull_s.len(),
+            self.observed.pull_s.values().filter(|s| **s > 0.0).count(),
         )
     }
 
     /// The largest share of a service's replicas on one machine and in one zone, each averaged
     /// over all services.
-    fn at_most(&self) -> (f64, f64) {
+    fn max_replica_shares(&self) -> (f64, f64) {
         let (mut machine, mut zone) = (0.0, 0.0);
         for s in &self.services {
             let (mut machines, mut zones): (BTreeMap<usize, f64>, BTreeMap<&str, f64>) =
                 Default::default();
-            for (m, z) in self.seen.running.get(&number(&s.id)).into_iter().flatten() {
+            for (m, z) in self
+                .observed
+                .running
+                .get(&job_number(&s.id))
+                .into_iter()
+                .flatten()
+            {
                 *machines.entry(*m).or_default() += 1.0 / s.tasks as f64;
                 *zones.entry(z).or_default() += 1.0 / s.tasks as f64;
             }
@@ -238,7 +247,7 @@
     }
 }
 
-fn number(id: &lemonweir_model::JobId) -> u32 {
+fn job_number(id: &lemonweir_model::JobId) -> u32 {
     id.as_str()
         .trim_start_matches("req-")
         .parse()
@@ -270,10 +279,10 @@
         );
         cluster.submit(service(1, replicas, "large", 60.0), 0);
         let first = cluster
-            .until_whole(&[], 400)
+            .run_until_replicated(&[], 400)
             .unwrap_or_else(|| panic!("{what}: replicas are missing"));
         assert!(first > 190.0, "{what}: {first} s");
-        let (_, fetched) = cluster.starts();
+        let (_, starts_with_pull) = cluster.starts();
         let lost = cluster.machine_of(1);
         let zone = cluster.simulation.workers[lost]
             .as_ref()
@@ -293,7 +302,7 @@
             .expect("a zone of the scenario");
         cluster.simulation.crash(controller, 3_000_000);
         cluster.run(2);
-        let left = cluster.seen.running[&1]
+        let left = cluster.observed.running[&1]
             .iter()
             .filter(|(m, _)| *m != lost)
             .count();
@@ -304,14 +313,14 @@
         // Enough to prove that the lost replica has ended, after its shard's leader crashed
         // too, and for a start; not enough for a pull.
         cluster.run(98);
-        let up = cluster.seen.running[&1]
+        let up = cluster.observed.running[&1]
             .iter()
             .filter(|(m, _)| *m != lost)
             .count();
         assert_eq!(up as u64, replicas, "{what}");
         assert_eq!(
             cluster.starts().1,
-            fetched,
+            starts_with_pull,
             "{what}: no image was pulled again"
         );
         cluster.assert_no_violation(&what);
@@ -323,57 +332,59 @@
 /// two zones beforehand.
 #[test]
 fn a_zone_is_lost_with_its_controller() {
-    let mut took = Vec::new();
-    for trade in [LOCALITY, ServicePlacementWeights::default()] {
-        let mut cluster = TestCluster::new(site(&["north", "south"], 6, trade), 5);
+    let mut recoveries = Vec::new();
+    for weights in [LOCALITY, ServicePlacementWeights::default()] {
+        let mut cluster = TestCluster::new(site(&["north", "south"], 6, weights), 5);
         for n in 0..2 {
             cluster.submit(service(n, 2, &format!("m-{n}"), 40.0), 0);
         }
-        cluster.until_whole(&[], 300).expect("all replicas run");
+        cluster
+            .run_until_replicated(&[], 300)
+            .expect("all replicas run");
         cluster.run(60);
         let zones: Vec<BTreeSet<String>> = cluster
-            .seen
+            .observed
             .running
             .values()
             .map(|r| r.iter().map(|(_, z)| z.clone()).collect())
             .collect();
         let two = zones.iter().filter(|z| z.len() == 2).count();
-        let hall = zones[0].first().expect("running").clone();
+        let lost_zone = zones[0].first().expect("running").clone();
         // Every controller's image locality report agrees.
         for controller in &cluster.simulation.controllers {
-            let picture = controller
+            let report = controller
                 .core
                 .as_ref()
                 .expect("running")
                 .image_locality_report("m-0", cluster.simulation.now / 1_000);
             assert_eq!(
-                (picture.size_mb, picture.users.len(), picture.users[0].tasks),
+                (report.size_mb, report.users.len(), report.users[0].tasks),
                 (Some(40_000), 1, 2)
             );
             assert_eq!(
-                picture.zones.iter().filter(|z| z.cached > 0).count(),
+                report.zones.iter().filter(|z| z.cached > 0).count(),
                 zones[0].len()
             );
             assert!(
-                picture.zones.iter().all(
+                report.zones.iter().all(
                     |z| (z.cached_elsewhere > 0) == zones[0].iter().any(|zone| *zone != z.zone)
                 )
             );
             assert!(
-                picture
+                report
                     .shards
                     .iter()
                     .all(|p| p.age_s.is_some_and(|s| s < 10))
             );
         }
-        cluster.lose(&hall);
+        cluster.lose_zone_with_controller(&lost_zone);
         let whole = cluster
-            .until_whole(&[hall.as_str()], 600)
+            .run_until_replicated(&[lost_zone.as_str()], 600)
             .expect("all replicas run again");
-        took.push((two, whole));
+        recoveries.push((two, whole));
         cluster.assert_no_violation("a lost zone");
     }
-    let [(_, cold), (two, warm)] = took[..] else {
+    let [(_, cold), (two, warm)] = recoveries[..] else {
         panic!("two runs")
     };
     assert_eq!(two, 2, "every service's image is cached in two zones");
@@ -398,7 +409,9 @@
     );
     // Every machine has run the image, so every machine caches it.
     cluster.submit(service(0, 32, "m", 10.0), 0);
-    cluster.until_whole(&[], 200).expect("all replicas run");
+    cluster
+        .run_until_replicated(&[], 200)
+        .expect("all replicas run");
     cluster.run(20);
     // Four of the eight machines lose their caches, and no controller is told.
     let wrong: BTreeSet<usize> = cluster
@@ -419,13 +432,15 @@
     cluster.simulation.crash(0, 3_000_000);
     cluster.run(20);
     cluster.services.clear();
-    cluster.seen = WorkloadSummary::default();
+    cluster.observed = ReplicaObservations::default();
     // One service at a time, so that each start can learn from the one before.
     for n in 1..=12 {
         cluster.submit(service(n, 2, "m", 10.0), 0);
         cluster.run(6);
     }
-    cluster.until_whole(&[], 100).expect("all replicas run");
+    cluster
+        .run_until_replicated(&[], 100)
+        .expect("all replicas run");
     let (starts, cold) = cluster.starts();
     assert!(starts >= 24, "{starts}");
     assert!(
@@ -452,7 +467,9 @@
     for n in 1..4 {
         cluster.submit(service(n, 2, &format!("m-{n}"), 20.0), 0);
     }
-    cluster.until_whole(&[], 300).expect("all replicas run");
+    cluster
+        .run_until_replicated(&[], 300)
+        .expect("all replicas run");
     cluster.run(60);
     let before = cluster.starts();
     cluster.simulation.crash(1, 4_000_000);
@@ -460,7 +477,9 @@
         cluster.submit(service(n, 2, "hot", 20.0), 0);
         cluster.run(15);
     }
-    cluster.until_whole(&[], 200).expect("all replicas run");
+    cluster
+        .run_until_replicated(&[], 200)
+        .expect("all replicas run");
     let (starts, cold) = cluster.starts();
     let (starts, cold) = (starts - before.0, cold - before.1);
     assert!(
@@ -471,11 +490,11 @@
 }
 
 /// A site for which the trade-off is measured.
-struct Figures {
+struct MeasuredSite {
     name: &'static str,
     zones: &'static [&'static str],
     /// Machines in each zone.
-    a_zone: u32,
+    machines_per_zone: u32,
     /// GPUs of a machine.
     gpus: u32,
     /// Image cache of a machine, GB.
@@ -495,7 +514,7 @@
 /// Measures one site with one set of weights and prints the results. Services that need not
 /// spread run beside batch jobs; machines are lost, services are added, and at the end a zone is
 /// lost with its controller.
-fn figures(f: &Figures, name: &str, trade: ServicePlacementWeights, seed: u64) {
+fn measure_trade_off(f: &MeasuredSite, name: &str, weights: ServicePlacementWeights, seed: u64) {
     let text = format!(
         "name = 'figures'\nduration_s = 1e6\ncontrollers = {}\nzones = {:?}\npoll_s = 0\n\
          [[machine_type]]\nname = 'box'\ncpus = {}\ngpus = {}\nmemory_gb = {}\ncache_gb = {}\nfetch_gb_per_s = {}\nprice = 4\nspot_price = 1\n\
@@ -507,12 +526,12 @@
         16 * f.gpus,
         f.cache_gb,
         f.rate,
-        2 * f.a_zone,
-        f.a_zone
+        2 * f.machines_per_zone,
+        f.machines_per_zone
     );
     let mut scenario =
         Scenario::parse("figures", &text).unwrap_or_else(|faults| panic!("{faults:?}"));
-    scenario.policy.placement_weights = trade;
+    scenario.policy.placement_weights = weights;
     let mut cluster = TestCluster::new(scenario, seed);
     let image = |n: u32| format!("m-{}", n * n % f.images);
     for n in 0..f.services {
@@ -521,7 +540,7 @@
             0,
         );
     }
-    let fetch = (f.gb / f.rate) as u64;
+    let pull_s = (f.gb / f.rate) as u64;
     let mut next = f.services;
     let batch = |cluster: &mut TestCluster, k: u32| {
         let spec = JobSpec {
@@ -533,7 +552,7 @@
         cluster.submit(spec, 60);
     };
     let first = cluster
-        .until_whole(&[], 3 * fetch + 200)
+        .run_until_replicated(&[], 3 * pull_s + 200)
         .unwrap_or(f64::NAN);
     for k in 0..24u32 {
         batch(&mut cluster, k);
@@ -541,7 +560,7 @@
             // The machine of some replica is lost for good.
             let n = (k * 7 + seed as u32) % f.services;
             let machine = cluster
-                .seen
+                .observed
                 .running
                 .get(&n)
                 .and_then(|r| r.first())
@@ -564,14 +583,19 @@
         }
         cluster.run(15);
     }
-    cluster.run(120 + fetch);
-    let (machine, zone) = cluster.at_most();
+    cluster.run(120 + pull_s);
+    let (machine, zone) = cluster.max_replica_shares();
     let (starts, cold) = cluster.starts();
-    let seconds: f64 = cluster.seen.fetched.values().sum();
-    let (gb, hours) = (cluster.seen.fetched_gb, cluster.seen.machine_s / 3_600.0);
-    let hall = f.zones[0];
-    cluster.lose(hall);
-    let whole = cluster.until_whole(&[hall], 900).unwrap_or(f64::NAN);
+    let seconds: f64 = cluster.observed.pull_s.values().sum();
+    let (gb, hours) = (
+        cluster.observed.pulled_gb,
+        cluster.observed.machine_s / 3_600.0,
+    );
+    let lost_zone = f.zones[0];
+    cluster.lose_zone_with_controller(lost_zone);
+    let whole = cluster
+        .run_until_replicated(&[lost_zone], 900)
+        .unwrap_or(f64::NAN);
     println!(
         "{:8} {name:9} seed {seed}: whole after {first:5.1} s; {starts} starts, {:.2} warm, {:.1} s and {:.2} GB a start; lost with a machine {machine:.3}, with a zone {zone:.3}; whole after a hall {whole:5.1} s; {hours:.1} machine hours",
         f.name,
@@ -587,10 +611,10 @@
 #[ignore = "takes minutes; its figures are on the page"]
 fn trade_off_figures() {
     let sites = [
-        Figures {
+        MeasuredSite {
             name: "small",
             zones: &["a", "b", "c"],
-            a_zone: 30,
+            machines_per_zone: 30,
             gpus: 2,
             cache_gb: 60,
             rate: 0.3,
@@ -599,10 +623,10 @@
             images: 16,
             gb: 4.0,
         },
-        Figures {
+        MeasuredSite {
             name: "wide",
             zones: &["a", "b"],
-            a_zone: 12,
+            machines_per_zone: 12,
             gpus: 8,
             cache_gb: 120,
             rate: 0.8,
@@ -611,10 +635,10 @@
             images: 10,
             gb: 7.0,
         },
-        Figures {
+        MeasuredSite {
             name: "large",
             zones: &["a", "b", "c"],
-            a_zone: 14,
+            machines_per_zone: 14,
             gpus: 4,
             cache_gb: 130,
             rate: 0.3,
@@ -636,7 +660,7 @@
         zone_loss: 0.5,
         ..ServicePlacementWeights::default()
     };
-    let trades = [
+    let weight_sets = [
         ("locality", LOCALITY),
         ("spread", spread),
         ("trade", ServicePlacementWeights::default()),
@@ -644,13 +668,13 @@
     ];
     std::thread::scope(|scope| {
         for half in 0..2 {
-            let (sites, trades) = (&sites, &trades);
+            let (sites, weight_sets) = (&sites, &weight_sets);
             scope.spawn(move || {
                 for f in sites {
-                    for (name, trade) in trades {
+                    for (name, weights) in weight_sets {
                         (1..=3)
                             .filter(|seed| seed % 2 == half)
-                            .for_each(|seed| figures(f, name, *trade, seed));
+                            .for_each(|seed| measure_trade_off(f, name, *weights, seed));
                     }
                 }
             });
--- a/crates/simulator/tests/injected_faults.rs
+++ b/crates/simulator/tests/injected_faults.rs
@@ -170,7 +170,7 @@
 
 /// Withdraws the first service at 61 s, with a fault from 60 s on. Returns the simulation, and the
 /// ms until the store shows the cancellation request and until it shows the end of the job.
-fn withdrawal(fault: &str) -> (Simulation, u64, u64) {
+fn time_withdrawal(fault: &str) -> (Simulation, u64, u64) {
     let mut simulation = run_with_fault(fault);
     simulation.run(61_000);
     let job = simulation
@@ -186,12 +186,12 @@
             .and_then(|(value, _)| from_value::<JobRecord>(value));
         record.is_none_or(|r| r.cancel_requested)
     };
-    let mut seen = (None, None);
+    let mut first_seen = (None, None);
     while simulation.now < 140_000_000 {
         simulation.run(100);
         let ms = simulation.now / 1_000 - 61_000;
-        seen.0 = seen.0.or(marked(&simulation).then_some(ms));
-        seen.1 = seen.1.or(simulation.phase(&job).map(|_| ms));
+        first_seen.0 = first_seen.0.or(marked(&simulation).then_some(ms));
+        first_seen.1 = first_seen.1.or(simulation.phase(&job).map(|_| ms));
     }
     assert!(
         simulation.workload.checker.violations.is_empty(),
@@ -199,23 +199,27 @@
         simulation.workload.checker.violations
     );
     assert!(!simulation.live_tasks().contains_key(&job));
-    (simulation, seen.0.expect("marked"), seen.1.expect("ended"))
+    (
+        simulation,
+        first_seen.0.expect("marked"),
+        first_seen.1.expect("ended"),
+    )
 }
 
 #[test]
 fn late_writes_get_no_answer_and_are_executed_later() {
-    let (simulation, marked, ended) = withdrawal("kind = 'late_writes'\nshare = 1.0");
+    let (simulation, marked, ended) = time_withdrawal("kind = 'late_writes'\nshare = 1.0");
     assert!(
         (2_000..=12_200).contains(&marked) && ended >= marked + 2_000,
         "{marked} ms, {ended} ms"
     );
     assert!(simulation.late_writes > 2, "{}", simulation.late_writes);
-    let (_, marked, ended) = withdrawal("kind = 'late_writes'\nshare = 0.0");
+    let (_, marked, ended) = time_withdrawal("kind = 'late_writes'\nshare = 0.0");
     assert!(marked <= 300 && ended <= 1_500, "{marked} ms, {ended} ms");
 }
 
 /// Whether the controller has had an answer from the store recently.
-fn told(simulation: &Simulation, controller: usize) -> bool {
+fn store_answered_recently(simulation: &Simulation, controller: usize) -> bool {
     simulation.controllers[controller]
         .core
         .as_ref()
@@ -224,7 +228,7 @@
 
 #[test]
 fn a_slow_store_answers_later_and_state_reads_count_from_their_request() {
-    let (_, marked, ended) = withdrawal("kind = 'store_slow'\nlow_s = 1.2\nhigh_s = 1.4");
+    let (_, marked, ended) = time_withdrawal("kind = 'store_slow'\nlow_s = 1.2\nhigh_s = 1.4");
     assert!(
         marked >= 600 && ended >= marked + 600,
         "{marked} ms, {ended} ms"
@@ -235,22 +239,24 @@
             "kind = 'store_slow'\nlow_s = {seconds}\nhigh_s = {seconds}"
         ));
         simulation.run(60_000);
-        let untold = (0..300).filter(|_| {
+        let ticks_without_answer = (0..300).filter(|_| {
             simulation.run(100);
-            (0..3).any(|controller| !told(&simulation, controller))
+            (0..3).any(|controller| !store_answered_recently(&simulation, controller))
         });
-        assert_eq!(untold.count() > 0, old, "{seconds} s");
+        assert_eq!(ticks_without_answer.count() > 0, old, "{seconds} s");
     }
     // Slower than every timeout: no answer arrives in time, but the writes are executed.
     let mut simulation = run_with_fault("kind = 'store_slow'\nlow_s = 2\nhigh_s = 4");
     simulation.run(90_000);
     assert!(
-        (0..3).all(|controller| !told(&simulation, controller)
-            && simulation.controllers[controller].leads(controller as u16)),
+        (0..3).all(
+            |controller| !store_answered_recently(&simulation, controller)
+                && simulation.controllers[controller].leads(controller as u16)
+        ),
         "no controller loses its store lease"
     );
     simulation.run(60_000);
-    assert!((0..3).all(|controller| told(&simulation, controller)));
+    assert!((0..3).all(|controller| store_answered_recently(&simulation, controller)));
     assert!(
         simulation.workload.checker.violations.is_empty(),
         "{:?}",
@@ -288,7 +294,7 @@
 #[test]
 fn delayed_commands_reach_their_machine_later() {
     let (simulation, marked, ended) =
-        withdrawal("kind = 'held_orders'\nshare = 1.0\nlow_s = 5\nhigh_s = 5");
+        time_withdrawal("kind = 'held_orders'\nshare = 1.0\nlow_s = 5\nhigh_s = 5");
     assert!(
         simulation.delayed_calls > 10 && ended > marked + 2_000,
         "{} delayed, {marked} ms, {ended} ms",
--- a/crates/simulator/tests/invariants.rs
+++ b/crates/simulator/tests/invariants.rs
@@ -73,7 +73,7 @@
 }
 
 /// Submits a mix of jobs of both teams and returns those that must complete.
-fn mix(simulation: &mut Simulation) -> Vec<JobId> {
+fn submit_job_mix(simulation: &mut Simulation) -> Vec<JobId> {
     for n in 0..6 {
         let withdrawn = (n == 3).then_some(75);
         submit(
@@ -107,7 +107,7 @@
 
 /// Runs until the jobs `must` are done, for at most `most_ms`, and asserts that they are and that
 /// no invariant was violated.
-fn settle(simulation: &mut Simulation, must: &[JobId], most_ms: u64) {
+fn assert_jobs_complete(simulation: &mut Simulation, must: &[JobId], most_ms: u64) {
     let mut left = most_ms;
     while left > 0
         && must
@@ -128,7 +128,7 @@
 }
 
 /// Disconnects the first `machines` machines from the network, or reconnects them.
-fn silence(simulation: &mut Simulation, machines: usize, silent: bool) {
+fn set_silent(simulation: &mut Simulation, machines: usize, silent: bool) {
     simulation
         .workers
         .iter_mut()
@@ -140,16 +140,16 @@
 #[test]
 fn a_run_without_faults_completes_every_job() {
     let mut simulation = simulation(1, 3, 12, NO_FAULTS);
-    let must = mix(&mut simulation);
-    settle(&mut simulation, &must, 400_000);
+    let must = submit_job_mix(&mut simulation);
+    assert_jobs_complete(&mut simulation, &must, 400_000);
 }
 
 #[test]
 fn lost_and_late_messages_violate_no_invariant() {
     for seed in 0..12 {
         let mut simulation = simulation(seed, 3, 12, MANY_FAULTS);
-        let must = mix(&mut simulation);
-        settle(&mut simulation, &must, 900_000);
+        let must = submit_job_mix(&mut simulation);
+        assert_jobs_complete(&mut simulation, &must, 900_000);
     }
 }
 
@@ -157,7 +157,7 @@
 fn crashes_and_failovers_violate_no_invariant() {
     for seed in 20..28 {
         let mut simulation = simulation(seed, 3, 12, MANY_FAULTS);
-        let must = mix(&mut simulation);
+        let must = submit_job_mix(&mut simulation);
         simulation.run(45_000);
         simulation.crash(0, 5_000_000);
         simulation.run(13_000);
@@ -175,7 +175,7 @@
         );
         simulation.crash(2, 4_000_000);
         simulation.crash(0, 4_000_000);
-        settle(&mut simulation, &must, 900_000);
+        assert_jobs_complete(&mut simulation, &must, 900_000);
     }
 }
 
@@ -192,25 +192,25 @@
                 ..NO_FAULTS
             },
         );
-        let must = mix(&mut simulation);
+        let must = submit_job_mix(&mut simulation);
         simulation.run(50_000);
-        silence(&mut simulation, 2, true);
+        set_silent(&mut simulation, 2, true);
         simulation.run(22_000);
-        silence(&mut simulation, 2, false);
-        settle(&mut simulation, &must, 900_000);
+        set_silent(&mut simulation, 2, false);
+        assert_jobs_complete(&mut simulation, &must, 900_000);
     }
 }
 
 #[test]
 fn a_store_outage_violates_no_invariant() {
     let mut simulation = simulation(60, 3, 12, NO_FAULTS);
-    let must = mix(&mut simulation);
+    let must = submit_job_mix(&mut simulation);
     simulation.run(40_000);
     simulation.store.down = true;
     simulation.run(25_000);
     let now = simulation.now;
     simulation.store.recover(now);
-    settle(&mut simulation, &must, 600_000);
+    assert_jobs_complete(&mut simulation, &must, 600_000);
 }
 
 /// A partition separates the controller that places a job from the leader of the shard that runs
@@ -381,7 +381,7 @@
     c
 }
 
-fn on<'a>(machine: usize, zone: &'a str) -> TaskPlacement<'a> {
+fn placement_on<'a>(machine: usize, zone: &'a str) -> TaskPlacement<'a> {
     TaskPlacement {
         machine,
         kind: "box",
@@ -405,21 +405,21 @@
 #[test]
 fn the_checker_detects_each_violation() {
     let mut c = checker();
-    c.started(&id(2), 0, on(1, "north"), 1);
+    c.started(&id(2), 0, placement_on(1, "north"), 1);
     c.left(&id(2), 0, 1);
-    c.started(&id(2), 0, on(2, "north"), 3);
+    c.started(&id(2), 0, placement_on(2, "north"), 3);
     assert!(c.violations.is_empty());
-    c.started(&id(2), 0, on(1, "north"), 4);
+    c.started(&id(2), 0, placement_on(1, "north"), 4);
     assert!(first_violation(&c).contains("ran_twice"));
 
     let mut c = checker();
-    c.started(&id(1), 0, on(1, "north"), 1);
-    c.started(&id(1), 1, on(2, "north"), 2);
+    c.started(&id(1), 0, placement_on(1, "north"), 1);
+    c.started(&id(1), 1, placement_on(2, "north"), 2);
     assert!(first_violation(&c).contains("wrong_place"));
     let mut c = checker();
-    c.started(&id(4), 0, on(1, "north"), 1);
+    c.started(&id(4), 0, placement_on(1, "north"), 1);
     assert!(c.violations.is_empty());
-    c.started(&id(4), 1, on(2, "south"), 1);
+    c.started(&id(4), 1, placement_on(2, "south"), 1);
     assert!(first_violation(&c).contains("wrong_place"));
     let mut c = checker();
     c.started(
@@ -427,21 +427,21 @@
         0,
         TaskPlacement {
             spot: true,
-            ..on(1, "north")
+            ..placement_on(1, "north")
         },
         1,
     );
     assert!(first_violation(&c).contains("wrong_place"));
 
     let mut c = checker();
-    c.started(&id(1), 0, on(1, "north"), 1);
-    c.started(&id(3), 0, on(1, "north"), 1);
+    c.started(&id(1), 0, placement_on(1, "north"), 1);
+    c.started(&id(3), 0, placement_on(1, "north"), 1);
     assert!(c.violations.is_empty());
-    c.started(&id(3), 1, on(1, "north"), 1);
+    c.started(&id(3), 1, placement_on(1, "north"), 1);
     assert!(first_violation(&c).contains("quota"));
 
     let mut c = checker();
-    c.started(&id(2), 0, on(1, "north"), 1);
+    c.started(&id(2), 0, placement_on(1, "north"), 1);
     c.withdrawn(&id(2), 10);
     c.check_cancellations(34_000_010);
     assert!(c.violations.is_empty());
@@ -503,7 +503,7 @@
 /// preempted tasks complete in the end.
 #[test]
 fn a_higher_priority_preempts_a_lower() {
-    let mut simulation = one_box(80);
+    let mut simulation = one_machine_simulation(80);
     submit(
         &mut simulation,
         job(1, "blue", JobKind::Array, 4),
@@ -531,7 +531,7 @@
 }
 
 /// A simulation of a site with a single machine.
-fn one_box(seed: u64) -> Simulation {
+fn one_machine_simulation(seed: u64) -> Simulation {
     let mut scenario = site(2, 1, NO_FAULTS);
     scenario.machine_kinds[0].capacity = MachineCapacity {
         on_demand: 0,
@@ -545,7 +545,7 @@
 /// guaranteed quota. They used to do so forever; found in the deployment afspraakloket.
 #[test]
 fn jobs_do_not_preempt_each_other_forever() {
-    let mut simulation = one_box(81);
+    let mut simulation = one_machine_simulation(81);
     // Team blue has no guaranteed quota but the higher priority; red is within its guarantee.
     submit(
         &mut simulation,
@@ -573,7 +573,7 @@
 
 /// Runs a service of 4 replicas spread over both shards, then cuts controller 1 off from the store
 /// and from its peer.
-fn cut_off(seed: u64) -> Simulation {
+fn simulation_with_isolated_controller(seed: u64) -> Simulation {
     let mut simulation = simulation(seed, 2, 12, NO_FAULTS);
     let service = JobSpec {
         spread: true,
@@ -592,7 +592,7 @@
 /// the last of them is proven to have ended.
 #[test]
 fn a_withdrawal_is_not_confirmed_while_an_unreachable_owner_may_run_the_job() {
-    let mut simulation = cut_off(73);
+    let mut simulation = simulation_with_isolated_controller(73);
     simulation.run(5_000);
     simulation.withdraw(&id(1));
     simulation.run(20_000);
@@ -642,7 +642,7 @@
 
 /// Twelve random sites with random faults; `lemonweir-simulator fault-search` runs more.
 #[test]
-fn drawn_faults_violate_no_invariant_and_services_recover() {
+fn random_faults_violate_no_invariant_and_services_recover() {
     for seed in 1..=12 {
         let result = lemonweir_simulator::fault_search::search_seed(seed, 90);
         assert!(
--- a/crates/simulator/tests/large_jobs.rs
+++ b/crates/simulator/tests/large_jobs.rs
@@ -21,7 +21,7 @@
 };
 
 /// Time within which the largest jobs must start, s.
-const BEGUN_S: u64 = 200;
+const MAX_START_DELAY_S: u64 = 200;
 
 /// A fleet without spot instances.
 fn without_spot_instances(controllers: u16, capacity: u32) -> Scenario {
@@ -30,7 +30,7 @@
     scenario
 }
 
-fn built(seed: u64, scenario: Scenario) -> Simulation {
+fn new_simulation(seed: u64, scenario: Scenario) -> Simulation {
     Simulation::new(Arc::new(scenario), Vec::new(), seed, History::new(None))
 }
 
@@ -48,7 +48,7 @@
 }
 
 /// Time from `since_us` to the first start of a task of the job, s; `None` if none has started.
-fn begun(simulation: &Simulation, n: u32, since_us: u64) -> Option<u64> {
+fn start_delay_s(simulation: &Simulation, n: u32, since_us: u64) -> Option<u64> {
     let starts = simulation
         .workload
         .task_started
@@ -74,7 +74,7 @@
 #[test]
 fn a_low_priority_array_as_large_as_the_fleet_begins_beside_a_burst_and_a_crash() {
     for (seed, controllers) in [(1, 3), (2, 7)] {
-        let mut simulation = built(seed, without_spot_instances(controllers, 80));
+        let mut simulation = new_simulation(seed, without_spot_instances(controllers, 80));
         simulation.run(10_000);
         let at = simulation.now;
         submit(
@@ -105,10 +105,10 @@
                 }
             }
         }
-        let began = begun(&simulation, 900, at);
+        let delay_s = start_delay_s(&simulation, 900, at);
         assert!(
-            began.is_some_and(|s| s <= BEGUN_S),
-            "{controllers} controllers: it started after {began:?} s"
+            delay_s.is_some_and(|s| s <= MAX_START_DELAY_S),
+            "{controllers} controllers: it started after {delay_s:?} s"
         );
         assert_no_violation(&simulation, "a low-priority array beside a burst");
     }
@@ -118,7 +118,7 @@
 /// other classes from starting, and no more machines are provisioned than the first tasks need.
 #[test]
 fn the_largest_low_priority_job_begins_beside_hundreds_of_small_jobs() {
-    let mut simulation = built(3, without_spot_instances(3, 80));
+    let mut simulation = new_simulation(3, without_spot_instances(3, 80));
     simulation.run(10_000);
     for n in 0..400 {
         submit(
@@ -158,10 +158,10 @@
     );
     simulation.run(100_000);
     for n in [900, 901] {
-        let began = begun(&simulation, n, at);
+        let delay_s = start_delay_s(&simulation, n, at);
         assert!(
-            began.is_some_and(|s| s <= BEGUN_S),
-            "{n} started after {began:?} s"
+            delay_s.is_some_and(|s| s <= MAX_START_DELAY_S),
+            "{n} started after {delay_s:?} s"
         );
     }
     // Four tasks on a machine, and a few more machines where the gang is placed apart.
@@ -177,7 +177,7 @@
 #[test]
 fn huge_arrays_begin_without_starving_others() {
     for (seed, tasks, capacity) in [(4, MAX_TASKS, 10), (5, 8_000, 60)] {
-        let mut simulation = built(seed, without_spot_instances(3, capacity));
+        let mut simulation = new_simulation(seed, without_spot_instances(3, capacity));
         simulation.run(10_000);
         let at = simulation.now;
         submit(
@@ -206,10 +206,10 @@
         simulation.crash(0, 300_000);
         simulation.run(60_000);
         for n in [900, 901] {
-            let began = begun(&simulation, n, at);
+            let delay_s = start_delay_s(&simulation, n, at);
             assert!(
-                began.is_some_and(|s| s <= 60),
-                "{n} started after {began:?} s"
+                delay_s.is_some_and(|s| s <= 60),
+                "{n} started after {delay_s:?} s"
             );
         }
         if tasks < MAX_TASKS {
@@ -221,10 +221,10 @@
                 .count();
             assert!(started as u64 * 2 >= tasks, "{started} of {tasks}");
             for n in 0..10 {
-                let began = begun(&simulation, n, later);
+                let delay_s = start_delay_s(&simulation, n, later);
                 assert!(
-                    began.is_some_and(|s| s <= 40),
-                    "{n} started after {began:?} s"
+                    delay_s.is_some_and(|s| s <= 40),
+                    "{n} started after {delay_s:?} s"
                 );
             }
         }
--- a/crates/simulator/tests/partitions.rs
+++ b/crates/simulator/tests/partitions.rs
@@ -26,13 +26,13 @@
 /// Replicas of both services together.
 const REPLICAS: usize = 20;
 /// Replicas of both services together in the tests that partition zones.
-const HALLS: usize = 60;
+const ZONE_TEST_REPLICAS: usize = 60;
 
 fn simulation(seed: u64, chances: MessageFaults) -> Simulation {
-    built(seed, site(3, 16, chances), REPLICAS)
+    simulation_with_services(seed, site(3, 16, chances), REPLICAS)
 }
 
-fn built(seed: u64, site: Scenario, replicas: usize) -> Simulation {
+fn simulation_with_services(seed: u64, site: Scenario, replicas: usize) -> Simulation {
     let mut simulation = Simulation::new(Arc::new(site), Vec::new(), seed, History::new(None));
     for (n, team) in [(0, "red"), (1, "blue")] {
         let tasks = if team == "red" {
@@ -57,11 +57,11 @@
 
 /// A simulation with zones large enough for a partition to be recognized as one, and worker leases
 /// long enough for a worker to try three controllers, two of which are unreachable (15 s).
-fn two_zones(seed: u64, chances: MessageFaults) -> Simulation {
+fn simulation_with_large_zones(seed: u64, chances: MessageFaults) -> Simulation {
     let mut site = site(3, 16, chances);
     site.workers.lease_s = 24.0;
     site.workers.cancellation_deadline_s = 60.0;
-    built(seed, site, HALLS)
+    simulation_with_services(seed, site, ZONE_TEST_REPLICAS)
 }
 
 fn submit(simulation: &mut Simulation, spec: JobSpec, run_s: u64) {
@@ -116,7 +116,7 @@
         }
     }
 
-    fn strike(&self, simulation: &mut Simulation) {
+    fn apply(&self, simulation: &mut Simulation) {
         let peer = |p: usize| {
             if self.one_way {
                 Link::OneWay(0, p)
@@ -143,7 +143,7 @@
 
     /// Whether the links that are up let the controller continue: heartbeats of its workers reach
     /// it, and its requests reach the store, directly or through one peer.
-    fn could_go_on(&self) -> bool {
+    fn can_continue(&self) -> bool {
         let reports = !self.north || self.one_way || !self.peers[0] || !self.peers[1];
         let store = !self.store || !self.peers[0] || !self.peers[1];
         reports && store
@@ -152,36 +152,36 @@
 
 /// Runs one partition and returns what was lost without need and which invariants were violated,
 /// if any.
-fn play(cut: Cut) -> Option<String> {
+fn failures_in_partition(cut: Cut) -> Option<String> {
     let mut simulation = simulation(900, NO_FAULTS);
     // As many tasks as fit beside the services, so that no machine has to boot for them.
     let array = job(2, "blue", JobKind::Array, 4);
-    cut.strike(&mut simulation);
+    cut.apply(&mut simulation);
     simulation.run(3_000);
     submit(&mut simulation, array, 10);
     simulation.run(cut.length_s * 1_000 - 3_000);
     let killed = simulation.workload.killed_by_lease;
-    let (went_on, kept) = (
+    let (array_done, still_leads) = (
         simulation.phase(&id(2)) == Some(JobPhase::Done),
         simulation.controllers[0].leads(0),
     );
     simulation.links_down.clear();
     // A controller that could neither reach its machines nor provision others has to boot
     // replacements first.
-    simulation.run(if cut.could_go_on() || !cut.cloud {
+    simulation.run(if cut.can_continue() || !cut.cloud {
         30_000
     } else {
         60_000
     });
     let mut faults = simulation.workload.checker.violations.clone();
-    if cut.could_go_on() && killed > 0 {
+    if cut.can_continue() && killed > 0 {
         faults.push(format!("{killed} tasks killed by expired leases"));
     }
     // The controller whose links are down places the array's team.
-    if cut.could_go_on() && !kept {
+    if cut.can_continue() && !still_leads {
         faults.push("its shard failed over".into());
     }
-    if cut.could_go_on() && cut.length_s > 4 * LEASE_S && !went_on {
+    if cut.can_continue() && cut.length_s > 4 * LEASE_S && !array_done {
         faults.push("nothing was placed during the partition".into());
     }
     if live(&simulation) < REPLICAS {
@@ -210,19 +210,23 @@
             }
         }
     }
-    let lines = each(&cuts, |cut| play(*cut));
+    let failures = run_in_parallel(&cuts, |cut| failures_in_partition(*cut));
     assert!(
-        lines.is_empty(),
+        failures.is_empty(),
         "{} of {}:\n{}",
-        lines.len(),
+        failures.len(),
         cuts.len(),
-        lines.join("\n")
+        failures.join("\n")
     );
 }
 
 /// State of the link from a controller to `to` as the controller itself reports it, and the peer
 /// that relays for the link.
-fn standing(simulation: &Simulation, controller: usize, to: &str) -> (LinkState, Option<String>) {
+fn reported_link_state(
+    simulation: &Simulation,
+    controller: usize,
+    to: &str,
+) -> (LinkState, Option<String>) {
     let rows = simulation.controllers[controller]
         .core
         .as_ref()
@@ -240,29 +244,35 @@
 fn the_links_report_names_links_down_and_relay_peers() {
     let mut simulation = simulation(901, NO_FAULTS);
     assert_eq!(
-        standing(&simulation, 0, "state service"),
+        reported_link_state(&simulation, 0, "state service"),
         (LinkState::Up, None)
     );
     simulation.links_down.insert(Link::Store(0));
     simulation.links_down.insert(Link::Controllers(0, 1));
     simulation.links_down.insert(Link::OneWay(0, 2));
     simulation.run(8_000);
-    assert_eq!(standing(&simulation, 0, "h01").0, LinkState::Down);
-    assert_eq!(standing(&simulation, 0, "h02").0, LinkState::InboundOnly);
     assert_eq!(
-        standing(&simulation, 0, "state service"),
+        reported_link_state(&simulation, 0, "h01").0,
+        LinkState::Down
+    );
+    assert_eq!(
+        reported_link_state(&simulation, 0, "h02").0,
+        LinkState::InboundOnly
+    );
+    assert_eq!(
+        reported_link_state(&simulation, 0, "state service"),
         (LinkState::Down, None)
     );
     simulation.links_down.remove(&Link::OneWay(0, 2));
     simulation.run(6_000);
     assert_eq!(
-        standing(&simulation, 0, "state service"),
+        reported_link_state(&simulation, 0, "state service"),
         (LinkState::Down, Some("h02".into()))
     );
     simulation.links_down.clear();
     simulation.run(10_000);
     assert_eq!(
-        standing(&simulation, 0, "state service"),
+        reported_link_state(&simulation, 0, "state service"),
         (LinkState::Up, None)
     );
     let events = simulation.controllers[0]
@@ -285,15 +295,18 @@
 }
 
 /// Runs all cases on 8 threads and returns the failures.
-fn each<T: Sync>(days: &[T], play: impl Fn(&T) -> Option<String> + Sync) -> Vec<String> {
+fn run_in_parallel<T: Sync>(
+    cases: &[T],
+    run_case: impl Fn(&T) -> Option<String> + Sync,
+) -> Vec<String> {
     let next = AtomicUsize::new(0);
     std::thread::scope(|s| {
         let work = || {
-            let mut lines = Vec::new();
-            while let Some(day) = days.get(next.fetch_add(1, Ordering::Relaxed)) {
-                lines.extend(play(day));
+            let mut failures = Vec::new();
+            while let Some(case) = cases.get(next.fetch_add(1, Ordering::Relaxed)) {
+                failures.extend(run_case(case));
             }
-            lines
+            failures
         };
         let threads: Vec<_> = (0..8).map(|_| s.spawn(work)).collect();
         threads
@@ -305,7 +318,7 @@
 
 /// What happens to the controllers that could relay.
 #[derive(Clone, Copy, Debug)]
-enum Carriers {
+enum RelayPeerFault {
     Crash,
     StandStill,
     LoseStore,
@@ -319,7 +332,7 @@
 /// after.
 #[test]
 fn overlapping_partitions_with_failing_relay_peers_violate_no_invariant() {
-    use Carriers::*;
+    use RelayPeerFault::*;
     const FAULTS: MessageFaults = MessageFaults {
         lost_cas_reply: 40,
         late_cas: 40,
@@ -329,13 +342,13 @@
         late_sync: 500,
     };
     let first = [0b000_0001, 0b000_0100, 0b000_0101, 0b001_1100, 0b111_1111];
-    let mut days = Vec::new();
+    let mut cases = Vec::new();
     for (n, bits) in (0..).zip(first) {
         for (m, what) in (0..).zip([Crash, StandStill, LoseStore, LoseWorkers, Apart, AllEnd]) {
-            days.push((1_000 + 10 * n + m, Cut::of(bits, m % 2 == 1, 40), what));
+            cases.push((1_000 + 10 * n + m, Cut::of(bits, m % 2 == 1, 40), what));
         }
     }
-    let lines = each(&days, |(seed, cut, what)| {
+    let failures = run_in_parallel(&cases, |(seed, cut, what)| {
         let mut simulation = simulation(*seed, FAULTS);
         for n in 10..14 {
             submit(
@@ -355,7 +368,7 @@
         };
         submit(&mut simulation, gang, 20);
         simulation.run(4_000);
-        cut.strike(&mut simulation);
+        cut.apply(&mut simulation);
         simulation.run(9_000);
         match what {
             Crash => simulation.crash(1, 6_000_000),
@@ -387,11 +400,11 @@
         (!faults.is_empty()).then(|| format!("{seed} {cut:?} {what:?}: {faults:?}"))
     });
     assert!(
-        lines.is_empty(),
+        failures.is_empty(),
         "{} of {}:\n{}",
-        lines.len(),
-        days.len(),
-        lines.join("\n")
+        failures.len(),
+        cases.len(),
+        failures.join("\n")
     );
 }
 
@@ -427,11 +440,11 @@
             .filter(|e| e.at_ms > 55_000 && e.text.ends_with("taken"))
             .count();
         assert!(taken <= 4, "failovers in two minutes: {events:?}");
-        let swings = events
+        let recoveries = events
             .iter()
             .filter(|e| e.text.contains("the state service answers"))
             .count();
-        assert!(swings <= 6, "route changes are damped: {events:?}");
+        assert!(recoveries <= 6, "route changes are damped: {events:?}");
     }
 }
 
@@ -441,21 +454,21 @@
 #[test]
 fn a_partitioned_zone_whose_controller_ends_keeps_its_tasks() {
     for seed in 0..6 {
-        let mut simulation = two_zones(920 + seed, NO_FAULTS);
+        let mut simulation = simulation_with_large_zones(920 + seed, NO_FAULTS);
         simulation.partitioned_zones.insert("south".into());
         simulation.run(12_000);
         simulation.crash(1, 3_000_000);
         simulation.run(37_000);
         assert_eq!(
             (simulation.workload.killed_by_lease, live(&simulation)),
-            (0, HALLS),
+            (0, ZONE_TEST_REPLICAS),
             "seed {seed}"
         );
         simulation.partitioned_zones.clear();
         simulation.run(30_000);
         assert_eq!(
             (simulation.workload.killed_by_lease, live(&simulation)),
-            (0, HALLS),
+            (0, ZONE_TEST_REPLICAS),
             "seed {seed}"
         );
         assert!(simulation.controllers[1].leads(1));
@@ -471,7 +484,7 @@
 /// has proof that they have ended, and none of them may still run inside the partition.
 #[test]
 fn worker_leases_expire_before_a_successor_restarts_tasks() {
-    let days: Vec<(u64, u64, u64)> = (0..24)
+    let cases: Vec<(u64, u64, u64)> = (0..24)
         .map(|n| {
             (
                 940 + n,
@@ -480,8 +493,8 @@
             )
         })
         .collect();
-    let lines = each(&days, |(seed, crash_ms, length_ms)| {
-        let mut simulation = two_zones(
+    let failures = run_in_parallel(&cases, |(seed, crash_ms, length_ms)| {
+        let mut simulation = simulation_with_large_zones(
             *seed,
             MessageFaults {
                 late_command: 60,
@@ -500,12 +513,12 @@
         simulation.run(60_000);
         // A replica that is being migrated at this moment is not lost.
         for _ in 0..10 {
-            if live(&simulation) < HALLS + 6 {
+            if live(&simulation) < ZONE_TEST_REPLICAS + 6 {
                 simulation.run(1_000);
             }
         }
         let mut faults = simulation.workload.checker.violations.clone();
-        if live(&simulation) < HALLS + 6 {
+        if live(&simulation) < ZONE_TEST_REPLICAS + 6 {
             faults.push(format!("{} replicas run", live(&simulation)));
         }
         (!faults.is_empty()).then(|| {
@@ -513,10 +526,10 @@
         })
     });
     assert!(
-        lines.is_empty(),
+        failures.is_empty(),
         "{} of {}:\n{}",
-        lines.len(),
-        days.len(),
-        lines.join("\n")
+        failures.len(),
+        cases.len(),
+        failures.join("\n")
     );
 }
--- a/crates/simulator/tests/quota_limits.rs
+++ b/crates/simulator/tests/quota_limits.rs
@@ -39,19 +39,19 @@
     let scenario = scenario();
     let next = AtomicU64::new(1);
     let work = || {
-        let mut broken = Vec::new();
+        let mut failures = Vec::new();
         loop {
             let seed = next.fetch_add(1, Ordering::Relaxed);
             if seed > SEEDS {
-                return broken;
+                return failures;
             }
             let found = violations(&scenario, seed);
             if !found.is_empty() {
-                broken.push(format!("seed {seed}: {found:?}"));
+                failures.push(format!("seed {seed}: {found:?}"));
             }
         }
     };
-    let broken: Vec<String> = std::thread::scope(|s| {
+    let failures: Vec<String> = std::thread::scope(|s| {
         let threads: Vec<_> = (0..THREADS).map(|_| s.spawn(work)).collect();
         threads
             .into_iter()
@@ -59,9 +59,9 @@
             .collect()
     });
     assert!(
-        broken.is_empty(),
+        failures.is_empty(),
         "{} seeds with violations:\n{}",
-        broken.len(),
-        broken.join("\n")
+        failures.len(),
+        failures.join("\n")
     );
 }
--- a/crates/simulator/tests/replay.rs
+++ b/crates/simulator/tests/replay.rs
@@ -159,11 +159,11 @@
 /// Checks the confidence interval of a mean against a calculation by hand: 1 to 5 have the standard
 /// deviation 1.5811, and t at 4 degrees of freedom is 2.7764.
 #[test]
-fn confidence_is_students() {
-    let (mean, half) = sweep::confidence(&[1.0, 2.0, 3.0, 4.0, 5.0]);
+fn confidence_interval_uses_students_t() {
+    let (mean, half_width) = sweep::confidence(&[1.0, 2.0, 3.0, 4.0, 5.0]);
     assert!(
-        (mean - 3.0).abs() < 1e-12 && (half - 1.9632).abs() < 1e-3,
-        "{mean} {half}"
+        (mean - 3.0).abs() < 1e-12 && (half_width - 1.9632).abs() < 1e-3,
+        "{mean} {half_width}"
     );
     assert!(
         sweep::confidence(&[7.0]).1.is_infinite(),
--- a/crates/simulator/tests/resilience.rs
+++ b/crates/simulator/tests/resilience.rs
@@ -26,21 +26,21 @@
 };
 
 fn simulation(seed: u64, capacity: u32) -> Simulation {
-    built(seed, site(3, capacity, NO_FAULTS))
+    new_simulation(seed, site(3, capacity, NO_FAULTS))
 }
 
-fn built(seed: u64, site: Scenario) -> Simulation {
+fn new_simulation(seed: u64, site: Scenario) -> Simulation {
     Simulation::new(Arc::new(site), Vec::new(), seed, History::new(None))
 }
 
 /// Submits a job whose tasks run for `run_s`.
 fn submit(simulation: &mut Simulation, spec: JobSpec, run_s: u64) {
-    plan(simulation, spec, run_s, false, None);
+    submit_planned(simulation, spec, run_s, false, None);
 }
 
 /// Submits a job whose tasks run for `run_s`, or always fail if `broken`, and withdraws it after
 /// `withdraw_after_s` if given.
-fn plan(
+fn submit_planned(
     simulation: &mut Simulation,
     spec: JobSpec,
     run_s: u64,
@@ -69,20 +69,20 @@
 }
 
 /// Those of the jobs that are not done.
-fn done(simulation: &Simulation, jobs: impl IntoIterator<Item = u32>) -> Vec<u32> {
+fn unfinished(simulation: &Simulation, jobs: impl IntoIterator<Item = u32>) -> Vec<u32> {
     jobs.into_iter()
         .filter(|n| simulation.phase(&id(*n)) != Some(JobPhase::Done))
         .collect()
 }
 
 /// Number of machines that are provisioned and not released.
-fn rented(simulation: &Simulation) -> usize {
+fn provisioned_machines(simulation: &Simulation) -> usize {
     simulation.workers.iter().flatten().count()
 }
 
 /// Time from `since_us` until all `tasks` tasks of the job have started once, s; `None` if some
 /// task has not started.
-fn waited(simulation: &Simulation, n: u32, tasks: u32, since_us: u64) -> Option<u64> {
+fn start_delay_s(simulation: &Simulation, n: u32, tasks: u32, since_us: u64) -> Option<u64> {
     let at = |t: u32| {
         simulation
             .workload
@@ -117,7 +117,7 @@
         let what = format!("boots take {factor} times as long, {fail} fail, {zone:?}");
         let mut scenario = site(3, 40, NO_FAULTS);
         scenario.cloud.list_staleness_s = 20.0;
-        let mut simulation = built(k as u64, scenario);
+        let mut simulation = new_simulation(k as u64, scenario);
         simulation.run(5_000);
         simulation.boot_disturbance = Some(BootDisturbance {
             factor,
@@ -131,7 +131,7 @@
         let mut most = 0;
         for _ in 0..40 {
             simulation.run(10_000);
-            most = most.max(rented(&simulation));
+            most = most.max(provisioned_machines(&simulation));
         }
         // 48 tasks, four on a machine, plus headroom and replacements for overdue machines.
         assert!(
@@ -140,11 +140,11 @@
         );
         simulation.boot_disturbance = None;
         simulation.run(300_000);
-        assert_eq!(done(&simulation, 0..12), [0; 0], "{what}");
+        assert_eq!(unfinished(&simulation, 0..12), [0; 0], "{what}");
         assert!(
-            rented(&simulation) <= 1,
+            provisioned_machines(&simulation) <= 1,
             "{what}: {} machines are not released",
-            rented(&simulation)
+            provisioned_machines(&simulation)
         );
         assert_no_violation(&simulation, &what);
     }
@@ -164,16 +164,16 @@
         });
         submit(&mut simulation, job(0, "blue", JobKind::Array, 16), 30);
         // 1 ms at a time, until machines are provisioned.
-        while rented(&simulation) == 0 {
+        while provisioned_machines(&simulation) == 0 {
             simulation.run(1);
         }
         for controller in 0..3 {
             simulation.crash(controller, 3_000_000);
         }
         simulation.run(120_000);
-        assert_eq!(done(&simulation, 0..1), [0; 0]);
+        assert_eq!(unfinished(&simulation, 0..1), [0; 0]);
         simulation.run(60_000);
-        assert_eq!(rented(&simulation), 0, "released once idle");
+        assert_eq!(provisioned_machines(&simulation), 0, "released once idle");
         assert_no_violation(&simulation, "crash between provisioning and answer");
     }
 }
@@ -193,38 +193,35 @@
                 let n = round * 10 + k;
                 let (shape, tasks) =
                     [(JobKind::Array, 6), (JobKind::Gang, 3), (JobKind::Array, 1)][n as usize % 3];
-                let bad = n % 12 == 5;
-                if bad {
+                let is_broken = n % 12 == 5;
+                if is_broken {
                     broken.insert(n);
                 }
-                plan(
+                submit_planned(
                     &mut simulation,
                     job(n, ["red", "blue"][n as usize % 2], shape, tasks),
                     15,
-                    bad,
-                    bad.then_some(200),
+                    is_broken,
+                    is_broken.then_some(200),
                 );
             }
             if round == 3 {
-                let struck: Vec<usize> = simulation
+                let faulty: Vec<usize> = simulation
                     .workers
                     .iter()
                     .flatten()
                     .map(|w| w.number)
                     .take(1)
                     .collect();
-                struck.iter().for_each(|n| {
-                    simulation.workers[*n]
-                        .as_mut()
-                        .expect("the machine exists")
-                        .faulty = true
-                });
+                faulty
+                    .iter()
+                    .for_each(|n| simulation.workers[*n].as_mut().expect("machine").faulty = true);
             }
             simulation.run(12_000);
         }
         simulation.run(400_000);
         assert_eq!(
-            done(&simulation, (0..100).filter(|n| !broken.contains(n))),
+            unfinished(&simulation, (0..100).filter(|n| !broken.contains(n))),
             [0; 0],
             "seed {seed}"
         );
@@ -249,7 +246,7 @@
         submit(&mut simulation, job(n, "blue", JobKind::Array, 3), 400);
     }
     simulation.run(60_000);
-    plan(
+    submit_planned(
         &mut simulation,
         job(50, "red", JobKind::Array, MAX_TASKS),
         15,
@@ -257,14 +254,17 @@
         Some(300),
     );
     simulation.run(60_000);
-    let (before, machines) = (simulation.workload.checker.starts, rented(&simulation));
+    let (before, machines) = (
+        simulation.workload.checker.starts,
+        provisioned_machines(&simulation),
+    );
     simulation.run(200_000);
     let tries = simulation.workload.checker.starts - before;
     assert!((1..=12).contains(&tries), "{tries} attempts in 200 s");
     assert!(
-        rented(&simulation) <= machines,
+        provisioned_machines(&simulation) <= machines,
         "{} machines after {machines}",
-        rented(&simulation)
+        provisioned_machines(&simulation)
     );
     simulation.run(120_000);
     assert_eq!(simulation.phase(&id(50)), Some(JobPhase::Withdrawn));
@@ -277,7 +277,7 @@
 fn a_broken_gang_releases_its_resources() {
     let mut simulation = simulation(2, 2);
     simulation.run(5_000);
-    plan(
+    submit_planned(
         &mut simulation,
         job(0, "blue", JobKind::Gang, 8),
         20,
@@ -289,7 +289,7 @@
         simulation.run(10_000);
     }
     simulation.run(200_000);
-    assert_eq!(done(&simulation, 1..20), [0; 0]);
+    assert_eq!(unfinished(&simulation, 1..20), [0; 0]);
     assert_eq!(simulation.phase(&id(0)), Some(JobPhase::Withdrawn));
     assert_no_violation(&simulation, "a broken gang");
 }
@@ -298,7 +298,7 @@
 
 /// Time that a burst of replicas waited to start, s, with or without low-priority work of a team
 /// without quota beside it and with or without a controller crash; and the simulation.
-fn burst(seed: u64, guests: bool, crash: bool) -> (u64, Simulation) {
+fn measure_burst_delay(seed: u64, with_low_priority_work: bool, crash: bool) -> (u64, Simulation) {
     let mut simulation = simulation(seed, 40);
     for n in 0..4 {
         submit(
@@ -311,7 +311,7 @@
         );
     }
     simulation.run(60_000);
-    if guests {
+    if with_low_priority_work {
         let idle = JobSpec {
             priority: Priority::Low,
             gpus: 0.0,
@@ -351,7 +351,7 @@
     }
     simulation.run(60_000);
     let waits: Vec<u64> = (10..14)
-        .map(|n| waited(&simulation, n, 2, at).unwrap_or(u64::MAX))
+        .map(|n| start_delay_s(&simulation, n, 2, at).unwrap_or(u64::MAX))
         .collect();
     (waits.into_iter().max().unwrap_or(0), simulation)
 }
@@ -362,13 +362,13 @@
 #[test]
 fn teams_without_quota_do_not_delay_others() {
     for (seed, crash) in [(0, false), (1, true)] {
-        let (alone, _) = burst(seed, false, crash);
-        let (beside, simulation) = burst(seed, true, crash);
+        let (delay_alone, _) = measure_burst_delay(seed, false, crash);
+        let (delay_beside, simulation) = measure_burst_delay(seed, true, crash);
         // The longest boot, an image pull, and the absence of the crashed controller.
         let bound = 30 + 2 + 3 * u64::from(crash) + 1;
         assert!(
-            alone <= bound && beside <= bound,
-            "crash {crash}: {beside} s beside the team without quota, {alone} s without it"
+            delay_alone <= bound && delay_beside <= bound,
+            "crash {crash}: {delay_beside} s beside the team without quota, {delay_alone} s without it"
         );
         let array = simulation
             .workload
@@ -384,13 +384,13 @@
             "work of the team without quota must start: {array} tasks and {tiny} tiny jobs"
         );
         // On-demand machines are not provisioned for low-priority work.
-        let ordinary = simulation
+        let on_demand = simulation
             .workers
             .iter()
             .flatten()
             .filter(|w| !w.spot)
             .count();
-        assert!(ordinary <= 8, "{ordinary} on-demand machines");
+        assert!(on_demand <= 8, "{on_demand} on-demand machines");
         assert_no_violation(&simulation, "a team without quota");
     }
 }
@@ -400,7 +400,7 @@
 fn low_priority_work_starts_in_the_end() {
     let mut scenario = site(3, 4, NO_FAULTS);
     scenario.machine_kinds[0].capacity.spot = 0;
-    let mut simulation = built(3, scenario);
+    let mut simulation = new_simulation(3, scenario);
     submit(
         &mut simulation,
         JobSpec {
@@ -410,9 +410,9 @@
         20,
     );
     simulation.run(IDLE_WORK_PATIENCE_MS - 10_000);
-    assert_eq!(rented(&simulation), 0);
+    assert_eq!(provisioned_machines(&simulation), 0);
     simulation.run(120_000);
-    assert_eq!(done(&simulation, 0..1), [0; 0]);
+    assert_eq!(unfinished(&simulation, 0..1), [0; 0]);
 }
 
 // ---- query floods --------------------------------------------------------------------
@@ -438,7 +438,7 @@
         simulation.run(30_000);
         simulation.poll_factor = 1.0;
         simulation.run(200_000);
-        assert_eq!(done(&simulation, 0..30), [0; 0], "{factor}");
+        assert_eq!(unfinished(&simulation, 0..30), [0; 0], "{factor}");
         assert_no_violation(&simulation, "query floods");
     }
 }
@@ -477,7 +477,7 @@
                     20,
                 );
             }
-            plan(
+            submit_planned(
                 &mut simulation,
                 job(9, "blue", JobKind::Service, 3),
                 1,
@@ -498,7 +498,7 @@
             simulation.run(pause_ms + 20_000);
             simulation.links_down.retain(|l| Some(l) != cut.as_ref());
             simulation.run(250_000);
-            assert_eq!(done(&simulation, 0..6), [0; 0], "{what}");
+            assert_eq!(unfinished(&simulation, 0..6), [0; 0], "{what}");
             assert_eq!(
                 simulation.phase(&id(9)),
                 Some(JobPhase::Withdrawn),
@@ -516,7 +516,7 @@
     let mut simulation = simulation(5, 12);
     submit(&mut simulation, job(0, "red", JobKind::Service, 4), 1);
     simulation.run(40_000);
-    let held = (0..3)
+    let stalled = (0..3)
         .find(|h| {
             simulation.controllers[*h].leads(*h as u16)
                 && simulation
@@ -529,17 +529,20 @@
     // When the process resumes, it reaches neither the store nor a peer.
     let until = simulation.now + (STORE_LEASE_TTL_MS + 2_000) * 1_000;
     (
-        simulation.controllers[held].stalled_until,
-        simulation.controllers[held].busy_until,
+        simulation.controllers[stalled].stalled_until,
+        simulation.controllers[stalled].busy_until,
     ) = (until, until);
-    simulation.links_down.insert(Link::Store(held));
-    for other in (0..3).filter(|h| *h != held) {
+    simulation.links_down.insert(Link::Store(stalled));
+    for other in (0..3).filter(|h| *h != stalled) {
         simulation
             .links_down
-            .insert(Link::Controllers(held.min(other), held.max(other)));
+            .insert(Link::Controllers(stalled.min(other), stalled.max(other)));
     }
     simulation.run(STORE_LEASE_TTL_MS + 3_000);
-    let core = simulation.controllers[held].core.as_ref().expect("running");
+    let core = simulation.controllers[stalled]
+        .core
+        .as_ref()
+        .expect("running");
     assert!(
         core.lease_unconfirmed(),
         "nothing has confirmed its store lease"
@@ -547,7 +550,7 @@
     simulation.links_down.clear();
     simulation.run(60_000);
     assert!(
-        !simulation.controllers[held]
+        !simulation.controllers[stalled]
             .core
             .as_ref()
             .expect("running")
--- a/crates/simulator/tests/supervision.rs
+++ b/crates/simulator/tests/supervision.rs
@@ -36,13 +36,13 @@
 /// Replicas of both services together.
 const REPLICAS: usize = 14;
 
-fn built(seed: u64, site: Scenario) -> Simulation {
+fn new_simulation(seed: u64, site: Scenario) -> Simulation {
     Simulation::new(Arc::new(site), Vec::new(), seed, History::new(None))
 }
 
 /// A simulation in which all replicas of two services run.
-fn served(seed: u64, chances: MessageFaults) -> Simulation {
-    let mut simulation = built(seed, site(3, 16, chances));
+fn simulation_with_services(seed: u64, chances: MessageFaults) -> Simulation {
+    let mut simulation = new_simulation(seed, site(3, 16, chances));
     for (n, team, tasks) in [(0, "red", 4), (1, "blue", 10)] {
         submit(
             &mut simulation,
@@ -94,9 +94,9 @@
 }
 
 /// A shard's failover records in the store with their versions, oldest first.
-fn ring(simulation: &Simulation, shard: u16) -> Vec<(FailoverRecord, u64)> {
-    let entries = simulation.store.list(&format!("w/hand/{shard}/"));
-    let mut all: Vec<_> = entries
+fn failover_records(simulation: &Simulation, shard: u16) -> Vec<(FailoverRecord, u64)> {
+    let records = simulation.store.list(&format!("w/hand/{shard}/"));
+    let mut all: Vec<_> = records
         .iter()
         .map(|e| {
             (
@@ -111,10 +111,10 @@
 
 /// Asserts that every shard's failover history has one record for each change of leader, with no
 /// gap, and that the newest names the current leader; and that no invariant was violated.
-fn assert_entered(simulation: &Simulation, what: &str) {
+fn assert_failovers_recorded(simulation: &Simulation, what: &str) {
     for shard in 0..3 {
-        let ring = ring(simulation, shard);
-        for pair in ring.windows(2) {
+        let failover_records = failover_records(simulation, shard);
+        for pair in failover_records.windows(2) {
             assert_eq!(
                 pair[0].0.number + 1,
                 pair[1].0.number,
@@ -126,7 +126,7 @@
                 "{what}: shard {shard}"
             );
         }
-        let (newest, version) = ring.last().expect("a failover record");
+        let (newest, version) = failover_records.last().expect("a failover record");
         let (controller, token) = leader(simulation, shard).expect("a leader");
         assert_eq!(
             newest.new_leader.as_ref(),
@@ -150,7 +150,7 @@
 }
 
 /// Runs until a controller that is not in `not` leads the shard, and returns it.
-fn until_taken(simulation: &mut Simulation, shard: u16, not: &[usize]) -> usize {
+fn run_until_failover(simulation: &mut Simulation, shard: u16, not: &[usize]) -> usize {
     for _ in 0..600 {
         simulation.run(50);
         let other = leader(simulation, shard)
@@ -169,7 +169,8 @@
 fn failover_records_are_completed_when_successors_crash_at_each_step() {
     for (k, after_ms) in [0, 2, 60, 400, 1_500, 6_000].into_iter().enumerate() {
         let what = format!("{after_ms} ms after the failover");
-        let mut simulation = served(k as u64, if k % 2 == 0 { NO_FAULTS } else { SOME_FAULTS });
+        let mut simulation =
+            simulation_with_services(k as u64, if k % 2 == 0 { NO_FAULTS } else { SOME_FAULTS });
         simulation.crash(0, 60_000_000);
         // A job that the first successor that is able to can start.
         submit(
@@ -180,25 +181,25 @@
             },
             30,
         );
-        let second = until_taken(&mut simulation, 0, &[0]);
+        let second = run_until_failover(&mut simulation, 0, &[0]);
         simulation.run(after_ms);
         simulation.crash(second, 60_000_000);
-        let third = until_taken(&mut simulation, 0, &[0, second]);
+        let third = run_until_failover(&mut simulation, 0, &[0, second]);
         simulation.run(after_ms);
         simulation.crash(third, 4_000_000);
         simulation.run(COMPLETION_TIMEOUT_MS + 100_000);
         assert_eq!(live(&simulation), REPLICAS, "{what}");
-        assert_entered(&simulation, &what);
-        let entries = ring(&simulation, 0);
+        assert_failovers_recorded(&simulation, &what);
+        let records = failover_records(&simulation, 0);
         assert!(
-            entries.len() >= 5,
-            "{what}: first leader, two successors, home again: {entries:#?}"
+            records.len() >= 5,
+            "{what}: first leader, two successors, home again: {records:#?}"
         );
         assert!(
-            entries.iter().all(|(r, _)| !r.is_open()),
-            "{what}: all are completed: {entries:#?}"
+            records.iter().all(|(r, _)| !r.is_open()),
+            "{what}: all are completed: {records:#?}"
         );
-        let left = entries
+        let left = records
             .iter()
             .filter(|(r, _)| {
                 r.completion
@@ -206,14 +207,14 @@
                     .is_some_and(|c| c.leadership_ms.is_some())
             })
             .count();
-        assert!(left >= 1 || after_ms == 6_000, "{what}: {entries:#?}");
+        assert!(left >= 1 || after_ms == 6_000, "{what}: {records:#?}");
         // No running replica is lost: none was restarted.
-        let anew: u32 = entries
+        let restarts: u32 = records
             .iter()
             .filter_map(|(r, _)| r.completion.as_ref()?.found)
-            .map(|(_, anew)| anew)
+            .map(|(_, restarts)| restarts)
             .sum();
-        assert_eq!(anew, 0, "{what}: {entries:#?}");
+        assert_eq!(restarts, 0, "{what}: {records:#?}");
     }
 }
 
@@ -222,20 +223,20 @@
 fn all_controllers_crash_shortly_after_one_another() {
     for (k, back_ms) in [100, 300, 5_000, 20_000].into_iter().enumerate() {
         let what = format!("restart after {back_ms} ms");
-        let mut simulation = served(20 + k as u64, SOME_FAULTS);
+        let mut simulation = simulation_with_services(20 + k as u64, SOME_FAULTS);
         for h in [2, 0, 1] {
             simulation.crash(h, back_ms * 1_000);
             simulation.run(300);
         }
         simulation.run(200_000);
         assert_eq!(live(&simulation), REPLICAS, "{what}");
-        assert_entered(&simulation, &what);
+        assert_failovers_recorded(&simulation, &what);
         for shard in 0..3 {
-            let reborn = ring(&simulation, shard)
+            let restarted = failover_records(&simulation, shard)
                 .iter()
                 .any(|(r, _)| r.change == LeadershipChange::Restarted);
             assert_eq!(
-                reborn,
+                restarted,
                 back_ms < STORE_LEASE_TTL_MS - STORE_LEASE_RENEWAL_MS,
                 "{what}: a store lease outlives a short absence"
             );
@@ -247,15 +248,15 @@
 /// has recovered.
 #[test]
 fn a_failover_record_that_cannot_be_completed_for_a_minute_is_completed_later() {
-    let mut simulation = served(30, NO_FAULTS);
+    let mut simulation = simulation_with_services(30, NO_FAULTS);
     simulation.crash(0, 300_000_000);
     submit(&mut simulation, job(9, "blue", JobKind::Array, 3), 30);
-    let second = until_taken(&mut simulation, 0, &[0]);
+    let second = run_until_failover(&mut simulation, 0, &[0]);
     simulation.run(20);
     simulation.store.down = true;
     simulation.run(60_000);
     assert!(
-        ring(&simulation, 0)
+        failover_records(&simulation, 0)
             .last()
             .expect("a failover record")
             .0
@@ -266,7 +267,9 @@
     let now = simulation.now;
     simulation.store.recover(now);
     simulation.run(30_000);
-    let (record, _) = ring(&simulation, 0).pop().expect("a failover record");
+    let (record, _) = failover_records(&simulation, 0)
+        .pop()
+        .expect("a failover record");
     let closed = record.completion.expect("completed");
     assert_eq!(
         (closed.reported_by, closed.found),
@@ -279,15 +282,18 @@
         "{:?}",
         closed.unknown
     );
-    assert_entered(&simulation, "completed late");
+    assert_failovers_recorded(&simulation, "completed late");
 }
 
 /// A full failover history that contains open records and a malformed one still records new
 /// failovers.
 #[test]
 fn a_full_failover_history_keeps_recording() {
-    let mut simulation = served(31, NO_FAULTS);
-    let first = ring(&simulation, 0).pop().expect("a failover record").0;
+    let mut simulation = simulation_with_services(31, NO_FAULTS);
+    let first = failover_records(&simulation, 0)
+        .pop()
+        .expect("a failover record")
+        .0;
     let mut fill = CompareAndSwap::default();
     for n in 2..=FAILOVER_RECORDS_KEPT {
         let record = FailoverRecord {
@@ -346,7 +352,8 @@
     for k in 0..14u64 {
         let back_ms = STORE_LEASE_TTL_MS - STORE_LEASE_RENEWAL_MS + 200 + 300 * k;
         let what = format!("restart after {back_ms} ms");
-        let mut simulation = served(40 + k, if k % 2 == 0 { NO_FAULTS } else { SOME_FAULTS });
+        let mut simulation =
+            simulation_with_services(40 + k, if k % 2 == 0 { NO_FAULTS } else { SOME_FAULTS });
         simulation.crash(0, back_ms * 1_000);
         simulation.run(back_ms + 200);
         // Crashes again in the middle of its recovery.
@@ -360,7 +367,7 @@
             "{what}"
         );
         assert_eq!(live(&simulation), REPLICAS, "{what}");
-        assert_entered(&simulation, &what);
+        assert_failovers_recorded(&simulation, &what);
     }
 }
 
@@ -372,7 +379,7 @@
     let mut site = site(3, 300, NO_FAULTS);
     site.state.writes_per_s = 400.0;
     site.state.max_cas_ops = 32;
-    let mut simulation = built(50, site);
+    let mut simulation = new_simulation(50, site);
     for n in 0..500 {
         submit(
             &mut simulation,
@@ -402,7 +409,7 @@
     );
     let before = simulation.store.served.writes;
     simulation.crash(0, 100_000_000);
-    let second = until_taken(&mut simulation, 0, &[0]);
+    let second = run_until_failover(&mut simulation, 0, &[0]);
     simulation.run(40_000);
     // The shard record, presence, the store lease, the failover record and its completion; no
     // write for each service.
@@ -411,7 +418,9 @@
         "{} writes",
         simulation.store.served.writes - before
     );
-    let (record, _) = ring(&simulation, 0).pop().expect("a failover record");
+    let (record, _) = failover_records(&simulation, 0)
+        .pop()
+        .expect("a failover record");
     assert_eq!(record.previous_leader, Some(host_name(0)));
     assert!(
         record
@@ -472,8 +481,8 @@
 /// ms: until its shard's key expires, until the shard is acquired, until the first start of a job
 /// submitted at the crash, and until all replicas are known to run. The last value is the number
 /// of tasks lost.
-fn end_one(seed: u64, machines: u32, controllers: u16) -> [u64; 5] {
-    let mut simulation = built(seed, fleet(machines, controllers));
+fn measure_failover(seed: u64, machines: u32, controllers: u16) -> [u64; 5] {
+    let mut simulation = new_simulation(seed, fleet(machines, controllers));
     let services = machines / 8;
     for n in 0..services {
         let team = ["red", "blue", "green"][n as usize % 3];
@@ -515,7 +524,7 @@
     );
     let at = simulation.now;
     simulation.crash(0, 400_000_000);
-    let (mut gone, mut taken, mut started) = (None, None, None);
+    let (mut expired, mut acquired, mut started) = (None, None, None);
     submit(
         &mut simulation,
         JobSpec {
@@ -524,16 +533,16 @@
         },
         60,
     );
-    let mut whole = None;
+    let mut all_running = None;
     for _ in 0..4_000 {
         simulation.run(10);
         let ms = (simulation.now - at) / 1_000;
         let leader = leader(&simulation, 0).map(|(controller, _)| controller);
         if leader.is_none() {
-            gone.get_or_insert(ms);
+            expired.get_or_insert(ms);
         }
         if leader.is_some_and(|h| h != host_name(0)) {
-            taken.get_or_insert(ms);
+            acquired.get_or_insert(ms);
         }
         if simulation
             .workload
@@ -549,14 +558,14 @@
                     .len()
             })
         };
-        if whole.is_none()
-            && taken.is_some()
+        if all_running.is_none()
+            && acquired.is_some()
             && (ms % 100 < 10)
             && simulation.controllers.iter().find_map(known) == Some(0)
         {
-            whole = Some(ms);
+            all_running = Some(ms);
         }
-        if whole.is_some() && started.is_some() {
+        if all_running.is_some() && started.is_some() {
             break;
         }
     }
@@ -564,7 +573,7 @@
     let lost = before
         .saturating_sub(replicas(&simulation))
         .max(simulation.workload.killed_by_lease as usize) as u64;
-    [gone, taken, started, whole, Some(lost)].map(|ms| ms.expect("within 40 s"))
+    [expired, acquired, started, all_running, Some(lost)].map(|ms| ms.expect("within 40 s"))
 }
 
 /// Prints the figures of docs/supervision/failovers.md:
@@ -574,7 +583,7 @@
 fn failover_duration() {
     for (machines, controllers, seeds) in [(100, 3, 24), (1_337, 3, 12), (5_000, 5, 4)] {
         let mut all: Vec<[u64; 5]> = (0..seeds)
-            .map(|seed| end_one(seed, machines, controllers))
+            .map(|seed| measure_failover(seed, machines, controllers))
             .collect();
         println!(
             "{machines} machines: {} tasks lost in {seeds} runs",
@@ -599,7 +608,7 @@
 
 /// The row of an under-replicated service in the supervision reports of the controllers, the one
 /// that is under-replicated for longest; `None` if no controller reports it.
-fn row(
+fn under_replicated_row(
     simulation: &Simulation,
     n: u32,
 ) -> Option<lemonweir_protocol::supervision::UnderReplicatedServiceRow> {
@@ -619,7 +628,7 @@
 /// soon as one has room.
 #[test]
 fn a_replica_leaves_a_machine_that_does_not_start_it() {
-    let mut simulation = built(60, site(3, 16, NO_FAULTS));
+    let mut simulation = new_simulation(60, site(3, 16, NO_FAULTS));
     simulation.run(5_000);
     submit(
         &mut simulation,
@@ -659,7 +668,7 @@
             .for_each(|w| w.kind.image_pull_gb_per_s = 0.000_1);
         simulation.run(100);
     }
-    let before = row(&simulation, 1).expect("under-replicated");
+    let before = under_replicated_row(&simulation, 1).expect("under-replicated");
     assert_eq!(before.running, 0);
     assert!(
         before.escalations.is_empty() && before.under_replicated_s.is_some_and(|s| s >= 50),
@@ -668,8 +677,13 @@
     // Frees the machine that caches the image.
     simulation.withdraw(&lemonweir_simulator::fixtures::id(0));
     simulation.run(25_000);
-    assert_eq!(live(&simulation), 2, "{:?}", row(&simulation, 1));
-    assert_eq!(row(&simulation, 1), None);
+    assert_eq!(
+        live(&simulation),
+        2,
+        "{:?}",
+        under_replicated_row(&simulation, 1)
+    );
+    assert_eq!(under_replicated_row(&simulation, 1), None);
     assert!(simulation.workload.checker.violations.is_empty());
 }
 
@@ -677,7 +691,7 @@
 /// machine again when no other becomes available in time.
 #[test]
 fn a_service_uses_avoided_machines_when_nothing_else_is_left() {
-    let mut simulation = built(61, site(3, 1, NO_FAULTS));
+    let mut simulation = new_simulation(61, site(3, 1, NO_FAULTS));
     let north = |n| JobSpec {
         allow_spot: false,
         zone: Some("north".into()),
@@ -701,12 +715,19 @@
     simulation.run(20_000);
     assert_eq!(live(&simulation), 1, "it avoids the only machine");
     simulation.run(15_000);
-    let told = row(&simulation, 1).expect("under-replicated");
+    let under_replicated = under_replicated_row(&simulation, 1).expect("under-replicated");
     assert!(
-        told.blocked_by.contains("0 of 1 replicas up for"),
-        "{told:?}"
+        under_replicated
+            .blocked_by
+            .contains("0 of 1 replicas up for"),
+        "{under_replicated:?}"
     );
     simulation.run(25_000);
-    assert_eq!(live(&simulation), 2, "{:?}", row(&simulation, 1));
+    assert_eq!(
+        live(&simulation),
+        2,
+        "{:?}",
+        under_replicated_row(&simulation, 1)
+    );
     assert!(simulation.workload.checker.violations.is_empty());
 }
--- a/crates/simulator/tests/worker_leases.rs
+++ b/crates/simulator/tests/worker_leases.rs
@@ -10,18 +10,19 @@
 use lemonweir_simulator::scenario::Scenario;
 use lemonweir_simulator::simulation::Simulation;
 
-const DEAF: &str = "at_s = 55\nfor_s = 45\nkind = 'deaf'\nshare = 0.3";
-const DEAF_ANSWERS: &str = "at_s = 55\nfor_s = 45\nkind = 'deaf'\nshare = 0.3\nonly = 'answers'";
-const DEAF_COMMANDS: &str = "at_s = 55\nfor_s = 45\nkind = 'deaf'\nshare = 0.5\nonly = 'commands'";
-const DEAF_ZONE: &str = "at_s = 55\nfor_s = 45\nkind = 'deaf'\nzone = 'a'";
-const DEAF_WAY: &str = "at_s = 55\nfor_s = 45\nkind = 'deaf'\nshare = 1.0\ncontroller = 0";
-const COPIES: &str =
+const UNREACHABLE: &str = "at_s = 55\nfor_s = 45\nkind = 'deaf'\nshare = 0.3";
+const ANSWERS_LOST: &str = "at_s = 55\nfor_s = 45\nkind = 'deaf'\nshare = 0.3\nonly = 'answers'";
+const COMMANDS_LOST: &str = "at_s = 55\nfor_s = 45\nkind = 'deaf'\nshare = 0.5\nonly = 'commands'";
+const ZONE_UNREACHABLE: &str = "at_s = 55\nfor_s = 45\nkind = 'deaf'\nzone = 'a'";
+const UNREACHABLE_FROM_CONTROLLER: &str =
+    "at_s = 55\nfor_s = 45\nkind = 'deaf'\nshare = 1.0\ncontroller = 0";
+const DUPLICATES: &str =
     "at_s = 25\nfor_s = 110\nkind = 'late_copies'\nshare = 1.0\nlow_s = 1\nhigh_s = 80";
-const ALONE: &str = "at_s = 65\nfor_s = 70\nkind = 'alone'\ncontroller = 1";
-const REBORN: &str = "at_s = 70\nfor_s = 1\nkind = 'reborn'\nshare = 0.3";
+const ISOLATED: &str = "at_s = 65\nfor_s = 70\nkind = 'alone'\ncontroller = 1";
+const MACHINE_RESTARTS: &str = "at_s = 70\nfor_s = 1\nkind = 'reborn'\nshare = 0.3";
 const CRASH: &str = "at_s = 73\nfor_s = 0.2\nkind = 'crash'\ncontroller = 0";
-const AWAY: &str = "at_s = 60\nfor_s = 30\nkind = 'crash'\ncontroller = 0";
-const CUT: &str = "at_s = 50\nfor_s = 40\nkind = 'cut_zone'\nzone = 'a'";
+const LONG_CRASH: &str = "at_s = 60\nfor_s = 30\nkind = 'crash'\ncontroller = 0";
+const PARTITION: &str = "at_s = 50\nfor_s = 40\nkind = 'cut_zone'\nzone = 'a'";
 
 /// A simulation of 240 s of services, arrays and gangs on machines of two zones, with the given
 /// faults.
@@ -47,7 +48,7 @@
 }
 
 /// Number of live replicas; 16 are desired.
-fn serving(simulation: &Simulation) -> usize {
+fn live_replicas(simulation: &Simulation) -> usize {
     let services = simulation
         .workload
         .jobs
@@ -61,11 +62,11 @@
 
 /// Runs a simulation to its end, asserts that all services are up and no invariant was violated,
 /// and returns how many tasks were killed because their worker's lease expired.
-fn kept(controllers: u16, lease_s: f64, seed: u64, faults: &[&str]) -> u64 {
+fn tasks_killed_by_lease(controllers: u16, lease_s: f64, seed: u64, faults: &[&str]) -> u64 {
     let what = format!("{controllers} controllers, {lease_s} s, seed {seed}, {faults:?}");
     let mut simulation = run_with_faults(controllers, lease_s, seed, faults);
     simulation.run(240_000);
-    let (up, workload) = (serving(&simulation), &simulation.workload);
+    let (up, workload) = (live_replicas(&simulation), &simulation.workload);
     assert!(
         workload.checker.violations.is_empty(),
         "{what}: {:#?}",
@@ -82,30 +83,33 @@
 
 /// Runs the faults with 3 controllers and a short lease and with 7 and a long one, and returns the
 /// number of tasks killed in both.
-fn all(faults: &[&str]) -> u64 {
-    kept(3, 14.0, 1, faults) + kept(7, 26.5, 4, faults)
+fn tasks_killed_in_both_sites(faults: &[&str]) -> u64 {
+    tasks_killed_by_lease(3, 14.0, 1, faults) + tasks_killed_by_lease(7, 26.5, 4, faults)
 }
 
 #[test]
 fn unreachable_machines_lose_their_lease_and_violate_no_invariant() {
-    for fault in [DEAF, DEAF_ANSWERS, DEAF_ZONE] {
-        assert!(all(&[fault]) > 0, "{fault}: some lease must expire");
+    for fault in [UNREACHABLE, ANSWERS_LOST, ZONE_UNREACHABLE] {
+        assert!(
+            tasks_killed_in_both_sites(&[fault]) > 0,
+            "{fault}: some lease must expire"
+        );
     }
 }
 
 #[test]
 fn one_lost_direction_alone_expires_no_lease() {
-    for fault in [DEAF_COMMANDS, DEAF_WAY] {
-        assert_eq!(all(&[fault]), 0, "{fault}");
+    for fault in [COMMANDS_LOST, UNREACHABLE_FROM_CONTROLLER] {
+        assert_eq!(tasks_killed_in_both_sites(&[fault]), 0, "{fault}");
     }
 }
 
 #[test]
 fn duplicates_and_short_restarts_expire_no_lease() {
-    for fault in [COPIES, CRASH] {
-        assert_eq!(all(&[fault]), 0, "{fault}");
+    for fault in [DUPLICATES, CRASH] {
+        assert_eq!(tasks_killed_in_both_sites(&[fault]), 0, "{fault}");
     }
-    all(&[REBORN]);
+    tasks_killed_in_both_sites(&[MACHINE_RESTARTS]);
 }
 
 /// The isolated controller's store lease expires and another controller takes its shard. Its
@@ -114,18 +118,22 @@
 #[test]
 fn workers_of_an_isolated_controller_reach_its_successor() {
     for lease_s in [14.0, 20.0, 26.5] {
-        assert_eq!(kept(3, lease_s, 2, &[ALONE]), 0, "a lease of {lease_s} s");
+        assert_eq!(
+            tasks_killed_by_lease(3, lease_s, 2, &[ISOLATED]),
+            0,
+            "a lease of {lease_s} s"
+        );
     }
-    assert_eq!(kept(7, 14.0, 3, &[ALONE]), 0);
+    assert_eq!(tasks_killed_by_lease(7, 14.0, 3, &[ISOLATED]), 0);
     // One of the two electing controllers restarts within 0.2 s, and heartbeats are duplicated.
-    kept(
+    tasks_killed_by_lease(
         3,
         14.0,
         5,
         &[
-            ALONE,
+            ISOLATED,
             "at_s = 76.3\nfor_s = 0.2\nkind = 'crash'\ncontroller = 2",
-            COPIES,
+            DUPLICATES,
         ],
     );
 }
@@ -133,27 +141,30 @@
 #[test]
 fn pairs_of_faults_violate_no_invariant() {
     let pairs = [
-        [DEAF, COPIES],
-        [DEAF, AWAY],
-        [DEAF_ANSWERS, REBORN],
-        [DEAF_ZONE, ALONE],
-        [DEAF_WAY, REBORN],
-        [COPIES, AWAY],
-        [COPIES, REBORN],
-        [ALONE, REBORN],
-        [ALONE, CRASH],
-        [REBORN, CRASH],
+        [UNREACHABLE, DUPLICATES],
+        [UNREACHABLE, LONG_CRASH],
+        [ANSWERS_LOST, MACHINE_RESTARTS],
+        [ZONE_UNREACHABLE, ISOLATED],
+        [UNREACHABLE_FROM_CONTROLLER, MACHINE_RESTARTS],
+        [DUPLICATES, LONG_CRASH],
+        [DUPLICATES, MACHINE_RESTARTS],
+        [ISOLATED, MACHINE_RESTARTS],
+        [ISOLATED, CRASH],
+        [MACHINE_RESTARTS, CRASH],
     ];
     for (k, pair) in pairs.iter().enumerate() {
         let (controllers, lease_s) = [(3, 14.0), (7, 26.5), (3, 26.5), (7, 14.0)][k % 4];
-        kept(controllers, lease_s, 10 + k as u64, pair);
+        tasks_killed_by_lease(controllers, lease_s, 10 + k as u64, pair);
     }
 }
 
 #[test]
 fn each_fault_inside_a_partition_violates_no_invariant() {
-    for (k, fault) in [DEAF, COPIES, ALONE, REBORN, CRASH].into_iter().enumerate() {
+    for (k, fault) in [UNREACHABLE, DUPLICATES, ISOLATED, MACHINE_RESTARTS, CRASH]
+        .into_iter()
+        .enumerate()
+    {
         let (controllers, lease_s) = [(7, 14.0), (3, 26.5), (3, 14.0)][k % 3];
-        kept(controllers, lease_s, 30 + k as u64, &[fault, CUT]);
+        tasks_killed_by_lease(controllers, lease_s, 30 + k as u64, &[fault, PARTITION]);
     }
 }
