--- a/crates/simulator/tests/fleet_limits.rs
+++ b/crates/simulator/tests/fleet_limits.rs
@@ -1,5 +1,5 @@
-//! 4,000 machines in service at once, as in `examples/scenarios/four-thousand.toml`,
-//! for a shorter time and with fewer messages.
+//! A fleet of 4,000 machines that are all in service at once:
+//! `examples/scenarios/four-thousand.toml`, shortened.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -7,25 +7,25 @@
 use lemonweir_simulator::run::{self, LoadSource, Placer};
 use lemonweir_simulator::scenario::Scenario;
 
-/// Machines of the fleet.
+/// Number of machines in the fleet.
 const MACHINES: usize = 4_000;
 
-fn text() -> String {
+fn scenario_text() -> String {
     let path =
         Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/scenarios/four-thousand.toml");
     std::fs::read_to_string(path).expect("scenario")
 }
 
-/// The cut between the zones and the end of a controller come earlier here, and the
-/// machines report less often.
+/// The duration is 95 s instead of 420 s, so the partition between the zones and the controller
+/// crash come earlier.
 #[test]
-fn a_fleet_of_four_thousand_is_used_whole_and_violates_no_invariant() {
-    let text = text()
+fn a_fleet_of_four_thousand_is_fully_used_and_violates_no_invariant() {
+    let text = scenario_text()
         .replace("duration_s = 420", "duration_s = 95")
         .replace("at_s = 120\nfor_s = 30", "at_s = 45\nfor_s = 15")
         .replace("at_s = 220\nfor_s = 10", "at_s = 70\nfor_s = 5");
     let scenario = Scenario::parse("four-thousand.toml", &text).expect("no fault");
-    assert!(scenario.faults_over_s() < 95.0, "all troubles come");
+    assert!(scenario.faults_over_s() < 95.0, "all faults occur");
     assert_eq!(scenario.faults.len(), 6);
     let outcome = run::run_once(
         Arc::new(scenario),
@@ -37,21 +37,25 @@
     .expect("run");
     let r = &outcome.report;
     assert!(r.violations.is_empty(), "{:?}", r.violations);
-    let most = r.fleet.iter().map(|s| s.up).max();
-    assert_eq!(most, Some(MACHINES), "machines in service at once");
+    let max_up = r.fleet.iter().map(|s| s.up).max();
+    assert_eq!(
+        max_up,
+        Some(MACHINES),
+        "machines in service at the same time"
+    );
     assert!(
         r.fleet
             .iter()
             .any(|s| s.used_cpus == 16.0 * MACHINES as f64),
-        "every machine is used at once"
+        "all machines are fully used at the same time"
     );
     eprintln!("{:.1} s of wall time", outcome.wall_s);
 }
 
-/// A scenario that does not say how many machines there are has enough.
+/// The default capacity of a machine type is at least 4,000 on-demand machines.
 #[test]
 fn a_scenario_without_a_number_of_machines_has_four_thousand_in_each_zone() {
-    let text = text().replace("ordinary = 2_000\n", "");
+    let text = scenario_text().replace("ordinary = 2_000\n", "");
     let scenario = Scenario::parse("four-thousand.toml", &text).expect("no fault");
     assert!(scenario.machine_kinds[0].capacity.on_demand as usize >= MACHINES);
 }
--- a/crates/simulator/tests/gang_admission.rs
+++ b/crates/simulator/tests/gang_admission.rs
@@ -1,5 +1,5 @@
-//! Gang admission with several controllers that fail, in the simulator with the real
-//! decisions.
+//! Gang admission across several shards while controllers crash and stall, in the simulator with
+//! the production decision code.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -15,8 +15,8 @@
 use lemonweir_storage::packed_chunk::read_chunk;
 use lemonweir_storage::records::{GangAdmissionStep, parse_task_chunk_key};
 
-/// Three controllers, each with its zone's machines: so many in each, of 16
-/// processors and 4 accelerators, and none to rent.
+/// Three controllers with a zone each. Each zone has `machines` machines of 16 CPUs and 4 GPUs;
+/// no more can be provisioned.
 fn simulation(seed: u64, machines: u32) -> Simulation {
     let text = format!(
         "name = 'ledger'\nduration_s = 1e6\ncontrollers = 3\nzones = ['a', 'b', 'c']\n[state]\ntxn_ops = 12\n[policy]\nidle = 1e5\n\
@@ -27,7 +27,7 @@
     Simulation::new(Arc::new(site), Vec::new(), seed, History::new(None))
 }
 
-/// A gang of whole machines.
+/// A gang whose tasks take a whole machine each.
 fn gang(n: u32, team: &str, tasks: u64) -> JobSpec {
     JobSpec {
         cpus: 16.0,
@@ -53,13 +53,17 @@
 fn assert_no_violation(simulation: &Simulation, what: &str) {
     assert!(
         simulation.workload.checker.violations.is_empty(),
-        "{what}: rules broken: {:#?}",
+        "{what}: invariants violated: {:#?}",
         simulation.workload.checker.violations
     );
 }
 
-/// What the store says of a gang: its least step, its attempt, members named.
-fn step_of(simulation: &Simulation, id: &JobId) -> Option<(GangAdmissionStep, u32, usize)> {
+/// The gang's state in the store: its earliest admission step, its attempt and the number of its
+/// tasks on record. `None` if no task is on record or a task chunk has no gang state.
+fn stored_gang_state(
+    simulation: &Simulation,
+    id: &JobId,
+) -> Option<(GangAdmissionStep, u32, usize)> {
     let entries = (0..3).flat_map(|shard| simulation.store.list(&format!("run/{shard}/{id}/")));
     let read = |e: KeyValue| read_chunk(&e.value, parse_task_chunk_key(&e.key)?.1);
     let chunks: Vec<_> = entries
@@ -70,32 +74,33 @@
         .iter()
         .map(|c| c.gang.as_ref())
         .collect::<Option<Vec<_>>>()?;
-    let least = gang.iter().map(|g| g.step).min()?;
+    let earliest_step = gang.iter().map(|g| g.step).min()?;
     Some((
-        least,
+        earliest_step,
         gang[0].attempt,
         chunks.iter().map(|c| c.live_attempts.len()).sum(),
     ))
 }
 
-/// Goes on ms by ms; whatever of the gang is launched must be admitted.
-struct Watch {
+/// Advances the simulation 1 ms at a time and asserts that no task of a gang is launched before
+/// the gang is admitted.
+struct GangObserver {
     id: JobId,
     tasks: u32,
     admitted: BTreeSet<u32>,
     steps: Vec<GangAdmissionStep>,
-    /// Revision of the store that was last looked at.
-    seen: u64,
+    /// Store revision at the last check.
+    last_revision: u64,
 }
 
-impl Watch {
+impl GangObserver {
     fn new(n: u32, tasks: u32) -> Self {
         Self {
             id: id(n),
             tasks,
             admitted: BTreeSet::new(),
             steps: Vec::new(),
-            seen: 0,
+            last_revision: 0,
         }
     }
 
@@ -118,15 +123,18 @@
     ) -> bool {
         let end = simulation.now + ms * 1_000;
         while simulation.now < end {
-            // Once all is launched nothing is to be seen between two messages.
+            // Once all tasks are launched, there is nothing left to check between two messages.
             simulation.run(if self.launched(simulation) == self.tasks as usize {
                 100
             } else {
                 1
             });
-            let news = std::mem::replace(&mut self.seen, simulation.store.revision)
-                != simulation.store.revision;
-            if let Some((step, attempt, _)) = news.then(|| step_of(simulation, &self.id)).flatten()
+            let store_changed =
+                std::mem::replace(&mut self.last_revision, simulation.store.revision)
+                    != simulation.store.revision;
+            if let Some((step, attempt, _)) = store_changed
+                .then(|| stored_gang_state(simulation, &self.id))
+                .flatten()
             {
                 if self.steps.last() != Some(&step) {
                     self.steps.push(step);
@@ -138,7 +146,7 @@
             let launched = self.launched(simulation);
             assert!(
                 launched == 0 || !self.admitted.is_empty(),
-                "{launched} tasks are launched, {:?}",
+                "{launched} tasks are launched before admission, {:?}",
                 self.steps
             );
             if until(simulation, self) {
@@ -149,57 +157,63 @@
     }
 }
 
+/// A step of gang admission at which a test injects its fault.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum At {
+enum FaultStep {
+    /// The plan is in the store.
     PlannedSubmission,
-    /// Some owner has been asked, and its answer is on its way.
+    /// Some shard leader has been asked, and its answer is in flight.
     QueryKind,
+    /// The admission is in the store.
     Admitted,
+    /// Some task has been launched.
     Launched,
 }
 
-const STEPS: [At; 4] = [
-    At::PlannedSubmission,
-    At::QueryKind,
-    At::Admitted,
-    At::Launched,
+const STEPS: [FaultStep; 4] = [
+    FaultStep::PlannedSubmission,
+    FaultStep::QueryKind,
+    FaultStep::Admitted,
+    FaultStep::Launched,
 ];
 
-/// Brings a gang of 8 whole machines, which needs machines of all three parts, to a
-/// step; also the controllers that place and that own.
-fn brought_to(at: At, seed: u64) -> (Simulation, Watch) {
+/// Runs a simulation until a gang of 8 whole machines reaches the step `at`. The gang needs
+/// machines of all three shards.
+fn simulation_at_step(at: FaultStep, seed: u64) -> (Simulation, GangObserver) {
     let mut simulation = simulation(seed, 3);
     simulation.run(12_000);
     submit(&mut simulation, gang(1, "blue", 8), 20);
-    let mut watch = Watch::new(1, 8);
-    let there = watch.run(&mut simulation, 8_000, |simulation, watch| {
-        let step = step_of(simulation, &watch.id).map(|s| s.0);
+    let mut watch = GangObserver::new(1, 8);
+    let reached = watch.run(&mut simulation, 8_000, |simulation, watch| {
+        let step = stored_gang_state(simulation, &watch.id).map(|s| s.0);
         match at {
-            At::PlannedSubmission | At::QueryKind => step == Some(GangAdmissionStep::Planned),
-            At::Admitted => step == Some(GangAdmissionStep::Admitted),
-            At::Launched => watch.launched(simulation) > 0,
+            FaultStep::PlannedSubmission | FaultStep::QueryKind => {
+                step == Some(GangAdmissionStep::Planned)
+            }
+            FaultStep::Admitted => step == Some(GangAdmissionStep::Admitted),
+            FaultStep::Launched => watch.launched(simulation) > 0,
         }
     });
-    assert!(there, "{at:?} was not reached: {:?}", watch.steps);
-    if at == At::QueryKind {
+    assert!(reached, "{at:?} was not reached: {:?}", watch.steps);
+    if at == FaultStep::QueryKind {
         watch.run(&mut simulation, 4, |_, _| false);
     }
     (simulation, watch)
 }
 
-/// Who ends: the placer's controller, an owner's, or both.
-fn struck(simulation: &Simulation, who: usize) -> Vec<usize> {
+/// The controllers that fail: for `who` 0 the one that places the gang, for 1 the leader of
+/// another shard, for 2 both.
+fn failing_controllers(simulation: &Simulation, who: usize) -> Vec<usize> {
     let placer = (0..3)
         .find(|h| simulation.controllers[*h].leads(0))
-        .expect("a holder");
-    let owner = (0..3).find(|h| *h != placer).expect("another");
+        .expect("shard 0 has a leader");
+    let owner = (0..3).find(|h| *h != placer).expect("another controller");
     [vec![placer], vec![owner], vec![placer, owner]][who].clone()
 }
 
-/// At each step of a gang of 8 over three parts the placer, an owner, or both end and
-/// come back, or both are gone for good: nothing of it is launched before it is
-/// admitted, members of two attempts never meet, it is done in the end, and no room
-/// stays held.
+/// The placer, the leader of another shard, or both crash at each step of a gang over three
+/// shards, and restart after 3 s or stay away. No task is launched before the gang is admitted,
+/// no tasks of two attempts run together, the gang completes, and no task is left behind.
 #[test]
 fn gang_admission_survives_crashes_of_placer_or_owner_at_each_step() {
     for (at, who, back_ms) in STEPS.into_iter().flat_map(|at| {
@@ -210,9 +224,9 @@
             (at, 2, 600_000),
         ]
     }) {
-        let (mut simulation, mut watch) = brought_to(at, 1 + who as u64);
-        let what = format!("{at:?}, {who}, back after {back_ms} ms");
-        for controller in struck(&simulation, who) {
+        let (mut simulation, mut watch) = simulation_at_step(at, 1 + who as u64);
+        let what = format!("{at:?}, {who}, restart after {back_ms} ms");
+        for controller in failing_controllers(&simulation, who) {
             simulation.crash(controller, back_ms * 1_000);
         }
         let done = watch.run(&mut simulation, 130_000, |simulation, watch| {
@@ -225,15 +239,15 @@
     }
 }
 
-/// The same with controllers that stand still for 30 s: they go on with what they
-/// were about to do, and find that others decided.
+/// The same with controllers that stall for 30 s. They resume what they were about to do after
+/// other controllers have decided.
 #[test]
 fn gang_admission_survives_stalls_of_placer_or_owner_at_each_step() {
     for at in STEPS {
         for who in 0..3 {
-            let (mut simulation, mut watch) = brought_to(at, 11 + who as u64);
+            let (mut simulation, mut watch) = simulation_at_step(at, 11 + who as u64);
             let what = format!("{at:?}, {who}");
-            for controller in struck(&simulation, who) {
+            for controller in failing_controllers(&simulation, who) {
                 let until = simulation.now + 30_000_000;
                 (
                     simulation.controllers[controller].stalled_until,
@@ -249,11 +263,11 @@
     }
 }
 
-/// Withdrawn at each step: it is told, and nothing of it is left.
+/// A gang withdrawn at any step is confirmed as withdrawn, and no task of it is left.
 #[test]
 fn gangs_may_be_withdrawn_at_each_admission_step() {
     for at in STEPS {
-        let (mut simulation, mut watch) = brought_to(at, 31);
+        let (mut simulation, mut watch) = simulation_at_step(at, 31);
         simulation.withdraw(&watch.id);
         let gone = watch.run(&mut simulation, 40_000, |simulation, watch| {
             simulation.phase(&watch.id) == Some(JobPhase::Withdrawn)
--- a/crates/simulator/tests/invariants.rs
+++ b/crates/simulator/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! The invariants under seeded faults, in simulated time.
+//! Checks the protocol's invariants under seeded faults, in simulated time.
 
 use std::sync::Arc;
 
@@ -39,7 +39,7 @@
     )
 }
 
-/// Submits a job that runs for so many s, withdrawn after a while if wanted.
+/// Submits a job whose tasks run for `run_s`, and withdraws it after `withdraw_after_s` if given.
 fn submit(simulation: &mut Simulation, spec: JobSpec, run_s: u64, withdraw_after_s: Option<u64>) {
     let job = SimulatedJob {
         spec: Arc::new(spec),
@@ -57,11 +57,12 @@
 fn assert_no_violation(simulation: &Simulation) {
     assert!(
         simulation.workload.checker.violations.is_empty(),
-        "rules broken: {:#?}",
+        "invariants violated: {:#?}",
         simulation.workload.checker.violations
     );
 }
 
+/// Number of live tasks on all machines.
 fn live(simulation: &Simulation) -> usize {
     simulation
         .workers
@@ -71,8 +72,8 @@
         .sum()
 }
 
-/// A mix of jobs of both teams; returns those that must be done.
-fn mix(simulation: &mut Simulation) -> Vec<JobId> {
+/// Submits a mix of jobs of both teams and returns those that must complete.
+fn submit_job_mix(simulation: &mut Simulation) -> Vec<JobId> {
     for n in 0..6 {
         let withdrawn = (n == 3).then_some(75);
         submit(
@@ -104,7 +105,9 @@
     [0, 1, 2, 4, 5, 11, 12].map(id).to_vec()
 }
 
-fn settle(simulation: &mut Simulation, must: &[JobId], most_ms: u64) {
+/// Runs until the jobs `must` are done, for at most `most_ms`, and asserts that they are and that
+/// no invariant was violated.
+fn assert_jobs_complete(simulation: &mut Simulation, must: &[JobId], most_ms: u64) {
     let mut left = most_ms;
     while left > 0
         && must
@@ -124,7 +127,8 @@
     assert!(simulation.workload.checker.starts > 20);
 }
 
-fn silence(simulation: &mut Simulation, machines: usize, silent: bool) {
+/// Disconnects the first `machines` machines from the network, or reconnects them.
+fn set_silent(simulation: &mut Simulation, machines: usize, silent: bool) {
     simulation
         .workers
         .iter_mut()
@@ -136,16 +140,16 @@
 #[test]
 fn a_run_without_faults_completes_every_job() {
     let mut simulation = simulation(1, 3, 12, NO_FAULTS);
-    let must = mix(&mut simulation);
-    settle(&mut simulation, &must, 400_000);
+    let must = submit_job_mix(&mut simulation);
+    assert_jobs_complete(&mut simulation, &must, 400_000);
 }
 
 #[test]
 fn lost_and_late_messages_violate_no_invariant() {
     for seed in 0..12 {
         let mut simulation = simulation(seed, 3, 12, MANY_FAULTS);
-        let must = mix(&mut simulation);
-        settle(&mut simulation, &must, 900_000);
+        let must = submit_job_mix(&mut simulation);
+        assert_jobs_complete(&mut simulation, &must, 900_000);
     }
 }
 
@@ -153,25 +157,25 @@
 fn crashes_and_failovers_violate_no_invariant() {
     for seed in 20..28 {
         let mut simulation = simulation(seed, 3, 12, MANY_FAULTS);
-        let must = mix(&mut simulation);
+        let must = submit_job_mix(&mut simulation);
         simulation.run(45_000);
         simulation.crash(0, 5_000_000);
         simulation.run(13_000);
-        // Away for longer than its hold: another node takes the part.
+        // Away for longer than its store lease: another controller takes the shard.
         simulation.crash(1, 25_000_000);
         simulation.run(20_000);
         assert!(
             (0..3).any(|h| h != 1 && simulation.controllers[h].leads(1)),
-            "the part is taken over"
+            "the shard fails over"
         );
         simulation.run(20_000);
         assert!(
             simulation.controllers[1].leads(1),
-            "the part is handed back"
+            "the shard is handed back"
         );
         simulation.crash(2, 4_000_000);
         simulation.crash(0, 4_000_000);
-        settle(&mut simulation, &must, 900_000);
+        assert_jobs_complete(&mut simulation, &must, 900_000);
     }
 }
 
@@ -188,29 +192,30 @@
                 ..NO_FAULTS
             },
         );
-        let must = mix(&mut simulation);
+        let must = submit_job_mix(&mut simulation);
         simulation.run(50_000);
-        silence(&mut simulation, 2, true);
+        set_silent(&mut simulation, 2, true);
         simulation.run(22_000);
-        silence(&mut simulation, 2, false);
-        settle(&mut simulation, &must, 900_000);
+        set_silent(&mut simulation, 2, false);
+        assert_jobs_complete(&mut simulation, &must, 900_000);
     }
 }
 
 #[test]
 fn a_store_outage_violates_no_invariant() {
     let mut simulation = simulation(60, 3, 12, NO_FAULTS);
-    let must = mix(&mut simulation);
+    let must = submit_job_mix(&mut simulation);
     simulation.run(40_000);
     simulation.store.down = true;
     simulation.run(25_000);
     let now = simulation.now;
     simulation.store.recover(now);
-    settle(&mut simulation, &must, 600_000);
+    assert_jobs_complete(&mut simulation, &must, 600_000);
 }
 
-/// Found on a hunt: the placer's node and the owner's node were cut apart, and
-/// the stop order for a withdrawn job waited for the end of the cut.
+/// A partition separates the controller that places a job from the leader of the shard that runs
+/// it. The stop command for a withdrawn job used to wait for the end of the partition; found by
+/// the fault search.
 #[test]
 fn a_withdrawal_crosses_a_partition_between_controllers() {
     let mut simulation = simulation(70, 2, 12, NO_FAULTS);
@@ -221,7 +226,7 @@
     assert_eq!(
         live(&simulation),
         4,
-        "the service must be up on both sides of the cut"
+        "the service must run on both sides of the partition"
     );
     simulation.links_down.insert(Link::Controllers(0, 1));
     simulation.run(75_000);
@@ -229,8 +234,8 @@
     assert_eq!(live(&simulation), 0);
 }
 
-/// The same where neither side's state fits one message: what is told goes in
-/// pieces, and none is larger than a transaction of the store may be.
+/// The same where neither side's state fits one message: messages through the store are split
+/// into pieces, and none is larger than a store transaction may be.
 #[test]
 fn a_withdrawal_crosses_a_partition_in_a_large_fleet() {
     let mut simulation = simulation(71, 2, 150, NO_FAULTS);
@@ -242,8 +247,8 @@
     simulation.run(120_000);
     assert!(live(&simulation) >= 480, "{} tasks run", live(&simulation));
     simulation.links_down.insert(Link::Controllers(0, 1));
-    // The owner behind the cut comes back with a new token: it is told all
-    // that is wanted of it from nothing, through the store.
+    // The leader behind the partition restarts with a new fencing token and receives its full
+    // desired state through the store.
     simulation.crash(1, 4_000_000);
     simulation.run(78_000);
     assert_no_violation(&simulation);
@@ -260,9 +265,9 @@
     );
 }
 
-/// Found on apart of both grown deployments: a node that the store refused
-/// alone took users' requests all the while and refused each. Now it takes them
-/// for as long as others carry them, and leaves users to others where none can.
+/// A controller that is cut off from the store is ready for users as long as a peer can relay its
+/// requests, and otherwise not. It used to accept user requests all the while and refuse each;
+/// found in both enlarged deployments.
 #[test]
 fn a_controller_without_a_route_to_the_store_is_not_ready_for_users() {
     let mut simulation = simulation(72, 3, 12, NO_FAULTS);
@@ -283,7 +288,7 @@
     assert!(simulation.is_ready(1));
     simulation.links_down.clear();
     simulation.run(6_000);
-    // In an outage for all nobody else could do better.
+    // In an outage for all controllers no other could serve users better.
     simulation.store.down = true;
     for _ in 0..20 {
         simulation.run(500);
@@ -291,9 +296,9 @@
     }
 }
 
-/// Found on apart of zeltplatz-rechen-fleet: a controller that was cut from the
-/// workers alone kept its shard, and 552 machines killed 2,600 tasks with their
-/// leases though both other controllers heard them.
+/// A controller that is cut off from the workers must give up its shard when no peer can relay.
+/// It used to keep the shard, and 552 machines killed 2,600 tasks as their leases expired, though
+/// both other controllers could reach them; found in the deployment zeltplatz-rechen-fleet.
 #[test]
 fn a_shard_fails_over_to_the_controller_that_reaches_its_machines_when_no_peer_can_relay() {
     let mut simulation = simulation(75, 3, 12, NO_FAULTS);
@@ -311,7 +316,7 @@
         assert_eq!(live(&simulation), 40);
         assert!(
             simulation.controllers[1].leads(1),
-            "what is carried needs no other holder"
+            "no failover while a peer relays"
         );
     }
     simulation.links_down.clear();
@@ -322,21 +327,21 @@
         .extend([Link::Controllers(0, 1), Link::Controllers(1, 2)]);
     for _ in 0..40 {
         simulation.run(1_000);
-        // A worker that comes round to the cut controller just before the part moves
-        // waits 5 s for it, which a lease of 14 s may not outlast: one machine's, at
-        // any time, and not for long.
+        // A worker that tries the cut controller just before the shard moves waits 5 s for
+        // it, which may exceed its lease of 14 s. That affects one machine at a time, and
+        // only briefly.
         assert!(live(&simulation) >= 36);
     }
     assert_eq!(live(&simulation), 40);
     assert!(
         simulation.controllers[0].leads(1) || simulation.controllers[2].leads(1),
-        "another holds the part"
+        "another controller leads the shard"
     );
     simulation.links_down.clear();
     simulation.run(40_000);
     assert!(
         simulation.controllers[1].leads(1),
-        "it is handed back after a while"
+        "the shard is handed back after a while"
     );
     assert_eq!(live(&simulation), 40);
     assert_no_violation(&simulation);
@@ -376,7 +381,7 @@
     c
 }
 
-fn on<'a>(machine: usize, zone: &'a str) -> TaskPlacement<'a> {
+fn placement_on<'a>(machine: usize, zone: &'a str) -> TaskPlacement<'a> {
     TaskPlacement {
         machine,
         kind: "box",
@@ -400,21 +405,21 @@
 #[test]
 fn the_checker_detects_each_violation() {
     let mut c = checker();
-    c.started(&id(2), 0, on(1, "north"), 1);
+    c.started(&id(2), 0, placement_on(1, "north"), 1);
     c.left(&id(2), 0, 1);
-    c.started(&id(2), 0, on(2, "north"), 3);
+    c.started(&id(2), 0, placement_on(2, "north"), 3);
     assert!(c.violations.is_empty());
-    c.started(&id(2), 0, on(1, "north"), 4);
+    c.started(&id(2), 0, placement_on(1, "north"), 4);
     assert!(first_violation(&c).contains("ran_twice"));
 
     let mut c = checker();
-    c.started(&id(1), 0, on(1, "north"), 1);
-    c.started(&id(1), 1, on(2, "north"), 2);
+    c.started(&id(1), 0, placement_on(1, "north"), 1);
+    c.started(&id(1), 1, placement_on(2, "north"), 2);
     assert!(first_violation(&c).contains("wrong_place"));
     let mut c = checker();
-    c.started(&id(4), 0, on(1, "north"), 1);
+    c.started(&id(4), 0, placement_on(1, "north"), 1);
     assert!(c.violations.is_empty());
-    c.started(&id(4), 1, on(2, "south"), 1);
+    c.started(&id(4), 1, placement_on(2, "south"), 1);
     assert!(first_violation(&c).contains("wrong_place"));
     let mut c = checker();
     c.started(
@@ -422,21 +427,21 @@
         0,
         TaskPlacement {
             spot: true,
-            ..on(1, "north")
+            ..placement_on(1, "north")
         },
         1,
     );
     assert!(first_violation(&c).contains("wrong_place"));
 
     let mut c = checker();
-    c.started(&id(1), 0, on(1, "north"), 1);
-    c.started(&id(3), 0, on(1, "north"), 1);
+    c.started(&id(1), 0, placement_on(1, "north"), 1);
+    c.started(&id(3), 0, placement_on(1, "north"), 1);
     assert!(c.violations.is_empty());
-    c.started(&id(3), 1, on(1, "north"), 1);
+    c.started(&id(3), 1, placement_on(1, "north"), 1);
     assert!(first_violation(&c).contains("quota"));
 
     let mut c = checker();
-    c.started(&id(2), 0, on(1, "north"), 1);
+    c.started(&id(2), 0, placement_on(1, "north"), 1);
     c.withdrawn(&id(2), 10);
     c.check_cancellations(34_000_010);
     assert!(c.violations.is_empty());
@@ -474,7 +479,10 @@
     c.told(&id(2), answer(Some(JobPhase::Running), true, 1), 6);
     c.told(&id(2), answer(Some(JobPhase::Done), true, 6), 7);
     c.told(&id(2), answer(Some(JobPhase::Running), true, 6), 8);
-    assert!(c.violations.is_empty(), "asked before the end was told");
+    assert!(
+        c.violations.is_empty(),
+        "asked before the end was confirmed"
+    );
     c.told(&id(2), answer(Some(JobPhase::Running), true, 7), 9);
     assert!(first_violation(&c).contains("went_back"));
 
@@ -491,11 +499,11 @@
 
 // ---- preemption --------------------------------------------------------------
 
-/// Where no room is left, a higher priority pushes out a lower one, and what
-/// was pushed out is done in the end.
+/// A job of higher priority preempts one of lower priority when there is no room, and the
+/// preempted tasks complete in the end.
 #[test]
 fn a_higher_priority_preempts_a_lower() {
-    let mut simulation = one_box(80);
+    let mut simulation = one_machine_simulation(80);
     submit(
         &mut simulation,
         job(1, "blue", JobKind::Array, 4),
@@ -515,15 +523,15 @@
     simulation.run(7_000);
     assert!(
         simulation.live_tasks().contains_key(&id(2)),
-        "the replica has pushed a batch task out"
+        "the replica has preempted a batch task"
     );
     simulation.run(400_000);
     assert_eq!(simulation.phase(&id(1)), Some(JobPhase::Done));
     assert_no_violation(&simulation);
 }
 
-/// A site of a single machine.
-fn one_box(seed: u64) -> Simulation {
+/// A simulation of a site with a single machine.
+fn one_machine_simulation(seed: u64) -> Simulation {
     let mut scenario = site(2, 1, NO_FAULTS);
     scenario.machine_kinds[0].capacity = MachineCapacity {
         on_demand: 0,
@@ -533,12 +541,12 @@
     Simulation::new(Arc::new(scenario), Vec::new(), seed, History::new(None))
 }
 
-/// Found on afspraakloket: two jobs preempted each other for ever, one by its priority and
-/// the other by its guaranteed quota.
+/// Two jobs must not preempt each other in turn, one by its priority and the other by its
+/// guaranteed quota. They used to do so forever; found in the deployment afspraakloket.
 #[test]
 fn jobs_do_not_preempt_each_other_forever() {
-    let mut simulation = one_box(81);
-    // Blue has no guarantee but the higher priority; red is within its own.
+    let mut simulation = one_machine_simulation(81);
+    // Team blue has no guaranteed quota but the higher priority; red is within its guarantee.
     submit(
         &mut simulation,
         JobSpec {
@@ -563,9 +571,9 @@
 
 // ---- withdrawals and store outages ---------------------------------------------------
 
-/// Works a site until a service of 4 replicas is up on both sides, then cuts
-/// controller 1 from the store and from the other one.
-fn cut_off(seed: u64) -> Simulation {
+/// Runs a service of 4 replicas spread over both shards, then cuts controller 1 off from the store
+/// and from its peer.
+fn simulation_with_isolated_controller(seed: u64) -> Simulation {
     let mut simulation = simulation(seed, 2, 12, NO_FAULTS);
     let service = JobSpec {
         spread: true,
@@ -574,25 +582,29 @@
     };
     submit(&mut simulation, service, 1, None);
     simulation.run(60_000);
-    assert_eq!(live(&simulation), 4, "the service must be up on both sides");
+    assert_eq!(live(&simulation), 4, "the service must run on both sides");
     simulation.links_down.insert(Link::Store(1));
     simulation.links_down.insert(Link::Controllers(0, 1));
     simulation
 }
 
-/// An owner that is cut off keeps its tasks; a withdrawal is told only once the
-/// last of them is proven over, and not before.
+/// A shard leader that is cut off keeps its tasks running. A withdrawal is confirmed only once
+/// the last of them is proven to have ended.
 #[test]
 fn a_withdrawal_is_not_confirmed_while_an_unreachable_owner_may_run_the_job() {
-    let mut simulation = cut_off(73);
+    let mut simulation = simulation_with_isolated_controller(73);
     simulation.run(5_000);
     simulation.withdraw(&id(1));
     simulation.run(20_000);
     assert!(
         live(&simulation) > 0,
-        "behind the cut they go on: the owner there knows of nothing"
+        "they keep running: the leader behind the partition does not know of the withdrawal"
+    );
+    assert_eq!(
+        simulation.phase(&id(1)),
+        None,
+        "the withdrawal is not confirmed yet"
     );
-    assert_eq!(simulation.phase(&id(1)), None, "so it is told to nobody");
     simulation.links_down.clear();
     simulation.run(20_000);
     assert_eq!(live(&simulation), 0);
@@ -600,8 +612,8 @@
     assert_no_violation(&simulation);
 }
 
-/// A store that is away for longer than a lease costs no task: what is kept
-/// alive by workers' reports needs no word from it for that long.
+/// A store outage longer than a worker lease costs no task: heartbeats renew the leases without
+/// the store for that long.
 #[test]
 fn a_store_outage_longer_than_a_lease_costs_no_task() {
     let mut simulation = simulation(74, 3, 12, NO_FAULTS);
@@ -628,9 +640,9 @@
     assert_no_violation(&simulation);
 }
 
-/// A dozen drawn sites with drawn faults; `lemonweir-simulator fault-search` plays more.
+/// Twelve random sites with random faults; `lemonweir-simulator fault-search` runs more.
 #[test]
-fn drawn_faults_violate_no_invariant_and_services_recover() {
+fn random_faults_violate_no_invariant_and_services_recover() {
     for seed in 1..=12 {
         let result = lemonweir_simulator::fault_search::search_seed(seed, 90);
         assert!(
--- a/crates/simulator/tests/partitions.rs
+++ b/crates/simulator/tests/partitions.rs
@@ -1,5 +1,5 @@
-//! Partial partitions, over all subsets of one controller's links, held against what the links
-//! that are up would have allowed.
+//! Partial partitions: fails all subsets of one controller's links and compares the outcome with
+//! what the remaining links allow.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -21,18 +21,18 @@
     lost_sync: 0,
     late_sync: 0,
 };
-/// Lease of the sample site's workers, s.
+/// Worker lease of the fixture site, s.
 const LEASE_S: u64 = 14;
-/// Replicas of the two services.
+/// Replicas of both services together.
 const REPLICAS: usize = 20;
-/// The same where halls are cut.
-const HALLS: usize = 60;
+/// Replicas of both services together in the tests that partition zones.
+const ZONE_TEST_REPLICAS: usize = 60;
 
 fn simulation(seed: u64, chances: MessageFaults) -> Simulation {
-    built(seed, site(3, 16, chances), REPLICAS)
+    simulation_with_services(seed, site(3, 16, chances), REPLICAS)
 }
 
-fn built(seed: u64, site: Scenario, replicas: usize) -> Simulation {
+fn simulation_with_services(seed: u64, site: Scenario, replicas: usize) -> Simulation {
     let mut simulation = Simulation::new(Arc::new(site), Vec::new(), seed, History::new(None));
     for (n, team) in [(0, "red"), (1, "blue")] {
         let tasks = if team == "red" {
@@ -55,13 +55,13 @@
     simulation
 }
 
-/// Halls large enough that a cut shows as one, and leases long enough for a
-/// worker to go round three controllers, two of them out of reach (15 s).
-fn two_zones(seed: u64, chances: MessageFaults) -> Simulation {
+/// A simulation with zones large enough for a partition to be recognized as one, and worker leases
+/// long enough for a worker to try three controllers, two of which are unreachable (15 s).
+fn simulation_with_large_zones(seed: u64, chances: MessageFaults) -> Simulation {
     let mut site = site(3, 16, chances);
     site.workers.lease_s = 24.0;
     site.workers.cancellation_deadline_s = 60.0;
-    built(seed, site, HALLS)
+    simulation_with_services(seed, site, ZONE_TEST_REPLICAS)
 }
 
 fn submit(simulation: &mut Simulation, spec: JobSpec, run_s: u64) {
@@ -77,6 +77,7 @@
     });
 }
 
+/// Number of live tasks on all machines.
 fn live(simulation: &Simulation) -> usize {
     simulation
         .workers
@@ -86,7 +87,7 @@
         .sum()
 }
 
-/// The links of controller 0 that are cut.
+/// A partial partition: the links of controller 0 that are down, and for how long.
 #[derive(Clone, Copy, Debug)]
 struct Cut {
     store: bool,
@@ -95,7 +96,7 @@
     south: bool,
     peers: [bool; 2],
     users: bool,
-    /// Peers are cut one way: they still reach it.
+    /// Peers are cut off in one direction only: they still reach the controller.
     one_way: bool,
     length_s: u64,
 }
@@ -115,7 +116,7 @@
         }
     }
 
-    fn strike(&self, simulation: &mut Simulation) {
+    fn apply(&self, simulation: &mut Simulation) {
         let peer = |p: usize| {
             if self.one_way {
                 Link::OneWay(0, p)
@@ -140,59 +141,64 @@
         );
     }
 
-    /// From the true links: a report of its workers reaches it with one hop, and
-    /// its requests reach the store with one.
-    fn could_go_on(&self) -> bool {
+    /// Whether the links that are up let the controller continue: heartbeats of its workers reach
+    /// it, and its requests reach the store, directly or through one peer.
+    fn can_continue(&self) -> bool {
         let reports = !self.north || self.one_way || !self.peers[0] || !self.peers[1];
         let store = !self.store || !self.peers[0] || !self.peers[1];
         reports && store
     }
 }
 
-/// Plays one cut; what was lost without need, or broke a rule.
-fn play(cut: Cut) -> Option<String> {
+/// Runs one partition and returns what was lost without need and which invariants were violated,
+/// if any.
+fn failures_in_partition(cut: Cut) -> Option<String> {
     let mut simulation = simulation(900, NO_FAULTS);
-    // As many as fit beside the services: no machine has to boot for them.
+    // As many tasks as fit beside the services, so that no machine has to boot for them.
     let array = job(2, "blue", JobKind::Array, 4);
-    cut.strike(&mut simulation);
+    cut.apply(&mut simulation);
     simulation.run(3_000);
     submit(&mut simulation, array, 10);
     simulation.run(cut.length_s * 1_000 - 3_000);
     let killed = simulation.workload.killed_by_lease;
-    let (went_on, kept) = (
+    let (array_done, still_leads) = (
         simulation.phase(&id(2)) == Some(JobPhase::Done),
         simulation.controllers[0].leads(0),
     );
     simulation.links_down.clear();
-    // What a controller lost that could neither hear its machines nor rent others has
-    // to boot first.
-    simulation.run(if cut.could_go_on() || !cut.cloud {
+    // A controller that could neither reach its machines nor provision others has to boot
+    // replacements first.
+    simulation.run(if cut.can_continue() || !cut.cloud {
         30_000
     } else {
         60_000
     });
     let mut faults = simulation.workload.checker.violations.clone();
-    if cut.could_go_on() && killed > 0 {
-        faults.push(format!("{killed} killed by their lease"));
+    if cut.can_continue() && killed > 0 {
+        faults.push(format!("{killed} tasks killed by expired leases"));
     }
-    // The controller whose links are cut places for the array's team.
-    if cut.could_go_on() && !kept {
-        faults.push("its part changed hands".into());
+    // The controller whose links are down places the array's team.
+    if cut.can_continue() && !still_leads {
+        faults.push("its shard failed over".into());
     }
-    if cut.could_go_on() && cut.length_s > 4 * LEASE_S && !went_on {
-        faults.push("nothing was placed during the cut".into());
+    if cut.can_continue() && cut.length_s > 4 * LEASE_S && !array_done {
+        faults.push("nothing was placed during the partition".into());
     }
     if live(&simulation) < REPLICAS {
-        faults.push(format!("{} replicas up after the end", live(&simulation)));
+        faults.push(format!(
+            "{} replicas run after the partition",
+            live(&simulation)
+        ));
     }
     if simulation.phase(&id(2)) != Some(JobPhase::Done) {
-        faults.push("the array waits after the end".into());
+        faults.push("the array is not done after the partition".into());
     }
     (!faults.is_empty()).then(|| format!("{cut:?}: {faults:?}"))
 }
 
-/// Every subset of one controller's links, both ways and one, short, for a
-/// lease, and for longer than a controller answers without the store's word.
+/// Fails every subset of one controller's links in both directions, and with its peers in one
+/// direction only: briefly, for about a lease, and for longer than a controller answers without
+/// the store.
 #[test]
 fn any_links_of_one_controller_may_fail_together() {
     let mut cuts = Vec::new();
@@ -204,27 +210,33 @@
             }
         }
     }
-    let lines = each(&cuts, |cut| play(*cut));
+    let failures = run_in_parallel(&cuts, |cut| failures_in_partition(*cut));
     assert!(
-        lines.is_empty(),
+        failures.is_empty(),
         "{} of {}:\n{}",
-        lines.len(),
+        failures.len(),
         cuts.len(),
-        lines.join("\n")
+        failures.join("\n")
     );
 }
 
-fn standing(simulation: &Simulation, controller: usize, to: &str) -> (LinkState, Option<String>) {
+/// State of the link from a controller to `to` as the controller itself reports it, and the peer
+/// that relays for the link.
+fn reported_link_state(
+    simulation: &Simulation,
+    controller: usize,
+    to: &str,
+) -> (LinkState, Option<String>) {
     let rows = simulation.controllers[controller]
         .core
         .as_ref()
-        .expect("alive")
+        .expect("running")
         .links
         .rows(simulation.now / 1_000);
     let row = rows
         .into_iter()
         .find(|r| r.age_s == 0 && r.to == to && r.from == host_name(controller))
-        .expect("a row");
+        .expect("a row of the link");
     (row.state, row.relayed_by)
 }
 
@@ -232,35 +244,41 @@
 fn the_links_report_names_links_down_and_relay_peers() {
     let mut simulation = simulation(901, NO_FAULTS);
     assert_eq!(
-        standing(&simulation, 0, "state service"),
+        reported_link_state(&simulation, 0, "state service"),
         (LinkState::Up, None)
     );
     simulation.links_down.insert(Link::Store(0));
     simulation.links_down.insert(Link::Controllers(0, 1));
     simulation.links_down.insert(Link::OneWay(0, 2));
     simulation.run(8_000);
-    assert_eq!(standing(&simulation, 0, "h01").0, LinkState::Down);
-    assert_eq!(standing(&simulation, 0, "h02").0, LinkState::InboundOnly);
     assert_eq!(
-        standing(&simulation, 0, "state service"),
+        reported_link_state(&simulation, 0, "h01").0,
+        LinkState::Down
+    );
+    assert_eq!(
+        reported_link_state(&simulation, 0, "h02").0,
+        LinkState::InboundOnly
+    );
+    assert_eq!(
+        reported_link_state(&simulation, 0, "state service"),
         (LinkState::Down, None)
     );
     simulation.links_down.remove(&Link::OneWay(0, 2));
     simulation.run(6_000);
     assert_eq!(
-        standing(&simulation, 0, "state service"),
+        reported_link_state(&simulation, 0, "state service"),
         (LinkState::Down, Some("h02".into()))
     );
     simulation.links_down.clear();
     simulation.run(10_000);
     assert_eq!(
-        standing(&simulation, 0, "state service"),
+        reported_link_state(&simulation, 0, "state service"),
         (LinkState::Up, None)
     );
     let events = simulation.controllers[0]
         .core
         .as_ref()
-        .expect("alive")
+        .expect("running")
         .links
         .events();
     for text in [
@@ -276,28 +294,31 @@
     }
 }
 
-/// Plays `cuts` on all threads; what failed.
-fn each<T: Sync>(days: &[T], play: impl Fn(&T) -> Option<String> + Sync) -> Vec<String> {
+/// Runs all cases on 8 threads and returns the failures.
+fn run_in_parallel<T: Sync>(
+    cases: &[T],
+    run_case: impl Fn(&T) -> Option<String> + Sync,
+) -> Vec<String> {
     let next = AtomicUsize::new(0);
     std::thread::scope(|s| {
         let work = || {
-            let mut lines = Vec::new();
-            while let Some(day) = days.get(next.fetch_add(1, Ordering::Relaxed)) {
-                lines.extend(play(day));
+            let mut failures = Vec::new();
+            while let Some(case) = cases.get(next.fetch_add(1, Ordering::Relaxed)) {
+                failures.extend(run_case(case));
             }
-            lines
+            failures
         };
         let threads: Vec<_> = (0..8).map(|_| s.spawn(work)).collect();
         threads
             .into_iter()
-            .flat_map(|t| t.join().expect("played"))
+            .flat_map(|t| t.join().expect("no panic"))
             .collect()
     })
 }
 
-/// What else happens to the controllers that could carry.
+/// What happens to the controllers that could relay.
 #[derive(Clone, Copy, Debug)]
-enum Carriers {
+enum RelayPeerFault {
     Crash,
     StandStill,
     LoseStore,
@@ -306,12 +327,12 @@
     AllEnd,
 }
 
-/// Two cuts over one another, messages lost and held back, carriers that fail
-/// while they carry, a withdrawal in the midst of it: no rule may break, and all
-/// must be well soon after.
+/// Overlapping partitions, with lost and delayed messages, relay peers that fail while they relay,
+/// and a withdrawal meanwhile. No invariant is violated, and all jobs and services recover soon
+/// after.
 #[test]
 fn overlapping_partitions_with_failing_relay_peers_violate_no_invariant() {
-    use Carriers::*;
+    use RelayPeerFault::*;
     const FAULTS: MessageFaults = MessageFaults {
         lost_cas_reply: 40,
         late_cas: 40,
@@ -321,13 +342,13 @@
         late_sync: 500,
     };
     let first = [0b000_0001, 0b000_0100, 0b000_0101, 0b001_1100, 0b111_1111];
-    let mut days = Vec::new();
+    let mut cases = Vec::new();
     for (n, bits) in (0..).zip(first) {
         for (m, what) in (0..).zip([Crash, StandStill, LoseStore, LoseWorkers, Apart, AllEnd]) {
-            days.push((1_000 + 10 * n + m, Cut::of(bits, m % 2 == 1, 40), what));
+            cases.push((1_000 + 10 * n + m, Cut::of(bits, m % 2 == 1, 40), what));
         }
     }
-    let lines = each(&days, |(seed, cut, what)| {
+    let failures = run_in_parallel(&cases, |(seed, cut, what)| {
         let mut simulation = simulation(*seed, FAULTS);
         for n in 10..14 {
             submit(
@@ -347,7 +368,7 @@
         };
         submit(&mut simulation, gang, 20);
         simulation.run(4_000);
-        cut.strike(&mut simulation);
+        cut.apply(&mut simulation);
         simulation.run(9_000);
         match what {
             Crash => simulation.crash(1, 6_000_000),
@@ -369,27 +390,26 @@
             .collect();
         if !open.is_empty() || simulation.phase(&id(10)).is_none() {
             faults.push(format!(
-                "not over: {open:?}, withdrawn one {:?}",
+                "not done: {open:?}, phase of the withdrawn job {:?}",
                 simulation.phase(&id(10))
             ));
         }
         if live(&simulation) < REPLICAS {
-            faults.push(format!("{} replicas up", live(&simulation)));
+            faults.push(format!("{} replicas run", live(&simulation)));
         }
         (!faults.is_empty()).then(|| format!("{seed} {cut:?} {what:?}: {faults:?}"))
     });
     assert!(
-        lines.is_empty(),
+        failures.is_empty(),
         "{} of {}:\n{}",
-        lines.len(),
-        days.len(),
-        lines.join("\n")
+        failures.len(),
+        cases.len(),
+        failures.join("\n")
     );
 }
 
-/// Links that flap every few seconds: what they carry goes another way until
-/// they have held for a while, and no part changes hands more than twice a
-/// minute.
+/// Links flap every few seconds. Their messages take another route until the links have been up
+/// for a while, and no shard fails over more than twice a minute.
 #[test]
 fn flapping_links_cause_no_failover() {
     let mut simulation = simulation(902, NO_FAULTS);
@@ -412,42 +432,43 @@
         let events = simulation.controllers[controller]
             .core
             .as_ref()
-            .expect("alive")
+            .expect("running")
             .links
             .events();
         let taken = events
             .iter()
             .filter(|e| e.at_ms > 55_000 && e.text.ends_with("taken"))
             .count();
-        assert!(taken <= 4, "in two minutes: {events:?}");
-        let swings = events
+        assert!(taken <= 4, "failovers in two minutes: {events:?}");
+        let recoveries = events
             .iter()
             .filter(|e| e.text.contains("the state service answers"))
             .count();
-        assert!(swings <= 6, "its way is damped: {events:?}");
+        assert!(recoveries <= 6, "route changes are damped: {events:?}");
     }
 }
 
-/// A hall is cut off from everything, and its one controller ends inside the cut:
-/// what comes back there has no word from the store, no peer, and no memory.
+/// A zone is cut off from everything and its only controller crashes meanwhile. The restarted
+/// controller reaches neither the store nor a peer and has lost its state, but must keep the
+/// zone's tasks running.
 #[test]
 fn a_partitioned_zone_whose_controller_ends_keeps_its_tasks() {
     for seed in 0..6 {
-        let mut simulation = two_zones(920 + seed, NO_FAULTS);
+        let mut simulation = simulation_with_large_zones(920 + seed, NO_FAULTS);
         simulation.partitioned_zones.insert("south".into());
         simulation.run(12_000);
         simulation.crash(1, 3_000_000);
         simulation.run(37_000);
         assert_eq!(
             (simulation.workload.killed_by_lease, live(&simulation)),
-            (0, HALLS),
+            (0, ZONE_TEST_REPLICAS),
             "seed {seed}"
         );
         simulation.partitioned_zones.clear();
         simulation.run(30_000);
         assert_eq!(
             (simulation.workload.killed_by_lease, live(&simulation)),
-            (0, HALLS),
+            (0, ZONE_TEST_REPLICAS),
             "seed {seed}"
         );
         assert!(simulation.controllers[1].leads(1));
@@ -459,11 +480,11 @@
     }
 }
 
-/// The same for longer than what was promised: a successor starts the tasks anew
-/// once it has its proof, and none of them may still run behind the cut.
+/// The same for longer than the controller's promise lasts. A successor restarts the tasks once it
+/// has proof that they have ended, and none of them may still run inside the partition.
 #[test]
 fn worker_leases_expire_before_a_successor_restarts_tasks() {
-    let days: Vec<(u64, u64, u64)> = (0..24)
+    let cases: Vec<(u64, u64, u64)> = (0..24)
         .map(|n| {
             (
                 940 + n,
@@ -472,8 +493,8 @@
             )
         })
         .collect();
-    let lines = each(&days, |(seed, crash_ms, length_ms)| {
-        let mut simulation = two_zones(
+    let failures = run_in_parallel(&cases, |(seed, crash_ms, length_ms)| {
+        let mut simulation = simulation_with_large_zones(
             *seed,
             MessageFaults {
                 late_command: 60,
@@ -490,24 +511,25 @@
         simulation.run(length_ms - crash_ms);
         simulation.partitioned_zones.clear();
         simulation.run(60_000);
-        // A replica that is moved to a better place at this very moment is no lost one.
+        // A replica that is being migrated at this moment is not lost.
         for _ in 0..10 {
-            if live(&simulation) < HALLS + 6 {
+            if live(&simulation) < ZONE_TEST_REPLICAS + 6 {
                 simulation.run(1_000);
             }
         }
         let mut faults = simulation.workload.checker.violations.clone();
-        if live(&simulation) < HALLS + 6 {
-            faults.push(format!("{} up", live(&simulation)));
+        if live(&simulation) < ZONE_TEST_REPLICAS + 6 {
+            faults.push(format!("{} replicas run", live(&simulation)));
         }
-        (!faults.is_empty())
-            .then(|| format!("{seed} crash at {crash_ms}, cut for {length_ms}: {faults:?}"))
+        (!faults.is_empty()).then(|| {
+            format!("{seed} crash after {crash_ms} ms, partition of {length_ms} ms: {faults:?}")
+        })
     });
     assert!(
-        lines.is_empty(),
+        failures.is_empty(),
         "{} of {}:\n{}",
-        lines.len(),
-        days.len(),
-        lines.join("\n")
+        failures.len(),
+        cases.len(),
+        failures.join("\n")
     );
 }
--- a/crates/simulator/tests/quota_limits.rs
+++ b/crates/simulator/tests/quota_limits.rs
@@ -1,4 +1,4 @@
-//! Soak of the teams' quota limits: `examples/scenarios/quota.toml` over many seeds.
+//! Soak test of the teams' quota limits: runs `examples/scenarios/quota.toml` with many seeds.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -7,9 +7,9 @@
 use lemonweir_simulator::run::{self, LoadSource, Placer};
 use lemonweir_simulator::scenario::Scenario;
 
-/// Seeds of one run of the test.
+/// Number of seeds.
 const SEEDS: u64 = 80;
-/// Threads of the test.
+/// Threads that the test runs seeds on.
 const THREADS: usize = 3;
 
 fn scenario() -> Arc<Scenario> {
@@ -20,7 +20,7 @@
     Arc::new(scenario)
 }
 
-/// The violations of a seed.
+/// The violations in the run with this seed.
 fn violations(scenario: &Arc<Scenario>, seed: u64) -> Vec<String> {
     run::run_once(
         scenario.clone(),
@@ -39,29 +39,29 @@
     let scenario = scenario();
     let next = AtomicU64::new(1);
     let work = || {
-        let mut broken = Vec::new();
+        let mut failures = Vec::new();
         loop {
             let seed = next.fetch_add(1, Ordering::Relaxed);
             if seed > SEEDS {
-                return broken;
+                return failures;
             }
             let found = violations(&scenario, seed);
             if !found.is_empty() {
-                broken.push(format!("seed {seed}: {found:?}"));
+                failures.push(format!("seed {seed}: {found:?}"));
             }
         }
     };
-    let broken: Vec<String> = std::thread::scope(|s| {
+    let failures: Vec<String> = std::thread::scope(|s| {
         let threads: Vec<_> = (0..THREADS).map(|_| s.spawn(work)).collect();
         threads
             .into_iter()
-            .flat_map(|thread| thread.join().expect("played"))
+            .flat_map(|thread| thread.join().expect("no panic"))
             .collect()
     });
     assert!(
-        broken.is_empty(),
-        "{}:\n{}",
-        broken.len(),
-        broken.join("\n")
+        failures.is_empty(),
+        "{} seeds with violations:\n{}",
+        failures.len(),
+        failures.join("\n")
     );
 }
--- a/crates/simulator/tests/resilience.rs
+++ b/crates/simulator/tests/resilience.rs
@@ -1,4 +1,5 @@
-//! The operators' failure scenarios, with the real decisions in the simulator.
+//! Failure scenarios from operations: slow boots, broken jobs, overload, query floods and stalled
+//! processes, in the simulator with the production decision code.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -25,19 +26,21 @@
 };
 
 fn simulation(seed: u64, capacity: u32) -> Simulation {
-    built(seed, site(3, capacity, NO_FAULTS))
+    new_simulation(seed, site(3, capacity, NO_FAULTS))
 }
 
-fn built(seed: u64, site: Scenario) -> Simulation {
+fn new_simulation(seed: u64, site: Scenario) -> Simulation {
     Simulation::new(Arc::new(site), Vec::new(), seed, History::new(None))
 }
 
-/// Submits a job whose tasks run for so many s.
+/// Submits a job whose tasks run for `run_s`.
 fn submit(simulation: &mut Simulation, spec: JobSpec, run_s: u64) {
-    plan(simulation, spec, run_s, false, None);
+    submit_planned(simulation, spec, run_s, false, None);
 }
 
-fn plan(
+/// Submits a job whose tasks run for `run_s`, or always fail if `broken`, and withdraws it after
+/// `withdraw_after_s` if given.
+fn submit_planned(
     simulation: &mut Simulation,
     spec: JobSpec,
     run_s: u64,
@@ -60,24 +63,26 @@
 fn assert_no_violation(simulation: &Simulation, what: &str) {
     assert!(
         simulation.workload.checker.violations.is_empty(),
-        "{what}: rules broken: {:#?}",
+        "{what}: invariants violated: {:#?}",
         simulation.workload.checker.violations
     );
 }
 
-fn done(simulation: &Simulation, jobs: impl IntoIterator<Item = u32>) -> Vec<u32> {
+/// Those of the jobs that are not done.
+fn unfinished(simulation: &Simulation, jobs: impl IntoIterator<Item = u32>) -> Vec<u32> {
     jobs.into_iter()
         .filter(|n| simulation.phase(&id(*n)) != Some(JobPhase::Done))
         .collect()
 }
 
-/// Machines rented and not given back.
-fn rented(simulation: &Simulation) -> usize {
+/// Number of machines that are provisioned and not released.
+fn provisioned_machines(simulation: &Simulation) -> usize {
     simulation.workers.iter().flatten().count()
 }
 
-/// s until the first start of each task of a job, the latest.
-fn waited(simulation: &Simulation, n: u32, tasks: u32, since_us: u64) -> Option<u64> {
+/// Time from `since_us` until all `tasks` tasks of the job have started once, s; `None` if some
+/// task has not started.
+fn start_delay_s(simulation: &Simulation, n: u32, tasks: u32, since_us: u64) -> Option<u64> {
     let at = |t: u32| {
         simulation
             .workload
@@ -94,8 +99,9 @@
 
 // ---- boots -------------------------------------------------------------------
 
-/// In a second, late, or never, for one zone or all, with lists 20 s late: all is
-/// done, and the fleet stays within what was asked for and an eighth.
+/// Machines boot within a second, late or never, in one zone or all, while instance lists are
+/// 20 s stale. All jobs complete, and the fleet stays within the demand, the headroom and the
+/// replacements of overdue machines, which are limited to an eighth of the fleet.
 #[test]
 fn fast_slow_and_failed_boots_are_handled() {
     for (k, (factor, fail, zone)) in [
@@ -108,10 +114,10 @@
     .into_iter()
     .enumerate()
     {
-        let what = format!("{factor} times, {fail} never, {zone:?}");
+        let what = format!("boots take {factor} times as long, {fail} fail, {zone:?}");
         let mut scenario = site(3, 40, NO_FAULTS);
         scenario.cloud.list_staleness_s = 20.0;
-        let mut simulation = built(k as u64, scenario);
+        let mut simulation = new_simulation(k as u64, scenario);
         simulation.run(5_000);
         simulation.boot_disturbance = Some(BootDisturbance {
             factor,
@@ -125,27 +131,27 @@
         let mut most = 0;
         for _ in 0..40 {
             simulation.run(10_000);
-            most = most.max(rented(&simulation));
+            most = most.max(provisioned_machines(&simulation));
         }
-        // 48 tasks, four on a machine, and what is expected to come.
+        // 48 tasks, four on a machine, plus headroom and replacements for overdue machines.
         assert!(
             most <= 12 + MAX_HEADROOM_TASKS as usize + 2 * MIN_OVERDUE_REPLACEMENTS * 3,
             "{what}: {most} machines"
         );
         simulation.boot_disturbance = None;
         simulation.run(300_000);
-        assert_eq!(done(&simulation, 0..12), [0; 0], "{what}");
+        assert_eq!(unfinished(&simulation, 0..12), [0; 0], "{what}");
         assert!(
-            rented(&simulation) <= 1,
-            "{what}: {} machines are left",
-            rented(&simulation)
+            provisioned_machines(&simulation) <= 1,
+            "{what}: {} machines are not released",
+            provisioned_machines(&simulation)
         );
         assert_no_violation(&simulation, &what);
     }
 }
 
-/// The controller that rented ends before it hears the answer: its machines are
-/// used or given back all the same.
+/// The controller that provisions machines crashes before it receives the answer. Its machines
+/// are still used or released.
 #[test]
 fn machines_provisioned_before_a_crash_are_used() {
     for seed in 0..4 {
@@ -157,25 +163,25 @@
             zone: None,
         });
         submit(&mut simulation, job(0, "blue", JobKind::Array, 16), 30);
-        // Step by step, until a request is out.
-        while rented(&simulation) == 0 {
+        // 1 ms at a time, until machines are provisioned.
+        while provisioned_machines(&simulation) == 0 {
             simulation.run(1);
         }
         for controller in 0..3 {
             simulation.crash(controller, 3_000_000);
         }
         simulation.run(120_000);
-        assert_eq!(done(&simulation, 0..1), [0; 0]);
+        assert_eq!(unfinished(&simulation, 0..1), [0; 0]);
         simulation.run(60_000);
-        assert_eq!(rented(&simulation), 0, "given back once idle");
-        assert_no_violation(&simulation, "crash between booking and answer");
+        assert_eq!(provisioned_machines(&simulation), 0, "released once idle");
+        assert_no_violation(&simulation, "crash between provisioning and answer");
     }
 }
 
-// ---- jobs with a mistake -------------------------------------------------------
+// ---- broken jobs -----------------------------------------------------------------
 
-/// One job in some with a mistake, of every shape, beside faulty machines: every
-/// sound job is done, and what the others cost is bounded.
+/// One job in 12 is broken, among jobs of several kinds and beside a faulty machine. Every other
+/// job completes, and the broken ones are withdrawn.
 #[test]
 fn broken_jobs_do_not_delay_others() {
     for seed in 0..3 {
@@ -187,35 +193,35 @@
                 let n = round * 10 + k;
                 let (shape, tasks) =
                     [(JobKind::Array, 6), (JobKind::Gang, 3), (JobKind::Array, 1)][n as usize % 3];
-                let bad = n % 12 == 5;
-                if bad {
+                let is_broken = n % 12 == 5;
+                if is_broken {
                     broken.insert(n);
                 }
-                plan(
+                submit_planned(
                     &mut simulation,
                     job(n, ["red", "blue"][n as usize % 2], shape, tasks),
                     15,
-                    bad,
-                    bad.then_some(200),
+                    is_broken,
+                    is_broken.then_some(200),
                 );
             }
             if round == 3 {
-                let struck: Vec<usize> = simulation
+                let faulty: Vec<usize> = simulation
                     .workers
                     .iter()
                     .flatten()
                     .map(|w| w.number)
                     .take(1)
                     .collect();
-                struck
+                faulty
                     .iter()
-                    .for_each(|n| simulation.workers[*n].as_mut().expect("there").faulty = true);
+                    .for_each(|n| simulation.workers[*n].as_mut().expect("machine").faulty = true);
             }
             simulation.run(12_000);
         }
         simulation.run(400_000);
         assert_eq!(
-            done(&simulation, (0..100).filter(|n| !broken.contains(n))),
+            unfinished(&simulation, (0..100).filter(|n| !broken.contains(n))),
             [0; 0],
             "seed {seed}"
         );
@@ -226,12 +232,12 @@
                 "job {n}"
             );
         }
-        assert_no_violation(&simulation, "mistakes");
+        assert_no_violation(&simulation, "broken jobs");
     }
 }
 
-/// A huge array with a mistake: after its first tries one task runs at a time, and
-/// nothing is rented for it.
+/// A huge broken array: after its first attempts one task runs at a time, and no machine is
+/// provisioned for it.
 #[test]
 fn a_broken_array_of_100_000_tasks_is_tried_one_task_at_a_time() {
     let mut simulation = simulation(1, 30);
@@ -240,7 +246,7 @@
         submit(&mut simulation, job(n, "blue", JobKind::Array, 3), 400);
     }
     simulation.run(60_000);
-    plan(
+    submit_planned(
         &mut simulation,
         job(50, "red", JobKind::Array, MAX_TASKS),
         15,
@@ -248,27 +254,30 @@
         Some(300),
     );
     simulation.run(60_000);
-    let (before, machines) = (simulation.workload.checker.starts, rented(&simulation));
+    let (before, machines) = (
+        simulation.workload.checker.starts,
+        provisioned_machines(&simulation),
+    );
     simulation.run(200_000);
     let tries = simulation.workload.checker.starts - before;
-    assert!((1..=12).contains(&tries), "{tries} tries in 200 s");
+    assert!((1..=12).contains(&tries), "{tries} attempts in 200 s");
     assert!(
-        rented(&simulation) <= machines,
+        provisioned_machines(&simulation) <= machines,
         "{} machines after {machines}",
-        rented(&simulation)
+        provisioned_machines(&simulation)
     );
     simulation.run(120_000);
     assert_eq!(simulation.phase(&id(50)), Some(JobPhase::Withdrawn));
     assert_no_violation(&simulation, "a broken array");
 }
 
-/// A gang with a mistake holds no room between its tries, and its withdrawal
-/// between two of them is told.
+/// A broken gang holds no resources between its attempts, and its withdrawal between two of them
+/// is confirmed.
 #[test]
 fn a_broken_gang_releases_its_resources() {
     let mut simulation = simulation(2, 2);
     simulation.run(5_000);
-    plan(
+    submit_planned(
         &mut simulation,
         job(0, "blue", JobKind::Gang, 8),
         20,
@@ -280,15 +289,16 @@
         simulation.run(10_000);
     }
     simulation.run(200_000);
-    assert_eq!(done(&simulation, 1..20), [0; 0]);
+    assert_eq!(unfinished(&simulation, 1..20), [0; 0]);
     assert_eq!(simulation.phase(&id(0)), Some(JobPhase::Withdrawn));
     assert_no_violation(&simulation, "a broken gang");
 }
 
-// ---- guests ----------------------------------------------------------------------
+// ---- teams without quota -----------------------------------------------------------
 
-/// s that a burst of replicas waited, with or without guests beside it.
-fn burst(seed: u64, guests: bool, crash: bool) -> (u64, Simulation) {
+/// Time that a burst of replicas waited to start, s, with or without low-priority work of a team
+/// without quota beside it and with or without a controller crash; and the simulation.
+fn measure_burst_delay(seed: u64, with_low_priority_work: bool, crash: bool) -> (u64, Simulation) {
     let mut simulation = simulation(seed, 40);
     for n in 0..4 {
         submit(
@@ -301,7 +311,7 @@
         );
     }
     simulation.run(60_000);
-    if guests {
+    if with_low_priority_work {
         let idle = JobSpec {
             priority: Priority::Low,
             gpus: 0.0,
@@ -341,23 +351,24 @@
     }
     simulation.run(60_000);
     let waits: Vec<u64> = (10..14)
-        .map(|n| waited(&simulation, n, 2, at).unwrap_or(u64::MAX))
+        .map(|n| start_delay_s(&simulation, n, 2, at).unwrap_or(u64::MAX))
         .collect();
     (waits.into_iter().max().unwrap_or(0), simulation)
 }
 
-/// A guest's idle array of 100,000 and 2,000 tiny jobs: a burst of the other team
-/// starts within a boot and a fetch, as without them, also when a controller ends.
+/// A team without quota runs a low-priority array of 100,000 tasks and 2,000 tiny jobs. A burst of
+/// the other team starts within a boot and an image pull, as without them, even if a controller
+/// crashes.
 #[test]
 fn teams_without_quota_do_not_delay_others() {
     for (seed, crash) in [(0, false), (1, true)] {
-        let (alone, _) = burst(seed, false, crash);
-        let (beside, simulation) = burst(seed, true, crash);
-        // The longest boot, a fetch, and what a controller is away.
+        let (delay_alone, _) = measure_burst_delay(seed, false, crash);
+        let (delay_beside, simulation) = measure_burst_delay(seed, true, crash);
+        // The longest boot, an image pull, and the absence of the crashed controller.
         let bound = 30 + 2 + 3 * u64::from(crash) + 1;
         assert!(
-            alone <= bound && beside <= bound,
-            "crash {crash}: {beside} s beside guests, {alone} s without"
+            delay_alone <= bound && delay_beside <= bound,
+            "crash {crash}: {delay_beside} s beside the team without quota, {delay_alone} s without it"
         );
         let array = simulation
             .workload
@@ -370,26 +381,26 @@
             .count();
         assert!(
             array > 0 && tiny > 50,
-            "the guests' work starts: {array} tasks and {tiny} tiny jobs"
+            "work of the team without quota must start: {array} tasks and {tiny} tiny jobs"
         );
-        // Idle work is not what ordinary machines are rented for.
-        let ordinary = simulation
+        // On-demand machines are not provisioned for low-priority work.
+        let on_demand = simulation
             .workers
             .iter()
             .flatten()
             .filter(|w| !w.spot)
             .count();
-        assert!(ordinary <= 8, "{ordinary} ordinary machines");
-        assert_no_violation(&simulation, "guests");
+        assert!(on_demand <= 8, "{on_demand} on-demand machines");
+        assert_no_violation(&simulation, "a team without quota");
     }
 }
 
-/// Idle work that no cheap machine is left for starts in the end.
+/// Low-priority work starts after its patience ends even if no spot machine is available.
 #[test]
 fn low_priority_work_starts_in_the_end() {
     let mut scenario = site(3, 4, NO_FAULTS);
     scenario.machine_kinds[0].capacity.spot = 0;
-    let mut simulation = built(3, scenario);
+    let mut simulation = new_simulation(3, scenario);
     submit(
         &mut simulation,
         JobSpec {
@@ -399,15 +410,15 @@
         20,
     );
     simulation.run(IDLE_WORK_PATIENCE_MS - 10_000);
-    assert_eq!(rented(&simulation), 0);
+    assert_eq!(provisioned_machines(&simulation), 0);
     simulation.run(120_000);
-    assert_eq!(done(&simulation, 0..1), [0; 0]);
+    assert_eq!(unfinished(&simulation, 0..1), [0; 0]);
 }
 
-// ---- floods of questions -----------------------------------------------------------
+// ---- query floods --------------------------------------------------------------------
 
-/// 8 and 50 times as many polls, a third for jobs of nobody, during a cut from the
-/// store: answers never go back, and the day's work is done.
+/// Users poll 8 and 50 times as often, a third of the time for unknown jobs, while a controller is
+/// cut off from the store. Answers never regress, and all jobs complete.
 #[test]
 fn poll_floods_violate_no_invariant() {
     for (seed, factor) in [(1, 8.0), (2, 50.0)] {
@@ -427,18 +438,18 @@
         simulation.run(30_000);
         simulation.poll_factor = 1.0;
         simulation.run(200_000);
-        assert_eq!(done(&simulation, 0..30), [0; 0], "{factor}");
-        assert_no_violation(&simulation, "polls");
+        assert_eq!(unfinished(&simulation, 0..30), [0; 0], "{factor}");
+        assert_no_violation(&simulation, "query floods");
     }
 }
 
-// ---- standing still ------------------------------------------------------------------
+// ---- process stalls ------------------------------------------------------------------
 
-/// Pauses of 0.5 to 60 s of each controller at each step of a job, alone and
-/// inside a cut: no rule is broken and all is done.
+/// Two of the three controllers stall for 0.5 to 60 s at each step of a job, with and without a
+/// partition. No invariant is violated, and all jobs end.
 #[test]
 fn process_stalls_at_every_step_violate_no_invariant() {
-    // ms after the submission: record, rental, launch, run, end, withdrawal.
+    // ms after the submission: record, provisioning, launch, run, end, withdrawal.
     for (k, at_ms) in [20, 300, 22_000, 30_000, 45_000, 61_000]
         .into_iter()
         .enumerate()
@@ -451,7 +462,7 @@
                 Some(Link::Workers(1)),
             ][(k + i) % 4]
                 .clone();
-            let what = format!("{pause_ms} ms at {at_ms} ms, {cut:?}");
+            let what = format!("stall of {pause_ms} ms at {at_ms} ms, {cut:?}");
             let mut simulation = simulation((10 * k + i) as u64, 12);
             simulation.run(5_000);
             for n in 0..6 {
@@ -466,7 +477,7 @@
                     20,
                 );
             }
-            plan(
+            submit_planned(
                 &mut simulation,
                 job(9, "blue", JobKind::Service, 3),
                 1,
@@ -487,7 +498,7 @@
             simulation.run(pause_ms + 20_000);
             simulation.links_down.retain(|l| Some(l) != cut.as_ref());
             simulation.run(250_000);
-            assert_eq!(done(&simulation, 0..6), [0; 0], "{what}");
+            assert_eq!(unfinished(&simulation, 0..6), [0; 0], "{what}");
             assert_eq!(
                 simulation.phase(&id(9)),
                 Some(JobPhase::Withdrawn),
@@ -505,7 +516,7 @@
     let mut simulation = simulation(5, 12);
     submit(&mut simulation, job(0, "red", JobKind::Service, 4), 1);
     simulation.run(40_000);
-    let held = (0..3)
+    let stalled = (0..3)
         .find(|h| {
             simulation.controllers[*h].leads(*h as u16)
                 && simulation
@@ -514,30 +525,36 @@
                     .flatten()
                     .any(|w| w.controller == *h)
         })
-        .expect("one with workers");
-    // Only its store is lost when it goes on.
+        .expect("a leader with workers");
+    // When the process resumes, it reaches neither the store nor a peer.
     let until = simulation.now + (STORE_LEASE_TTL_MS + 2_000) * 1_000;
     (
-        simulation.controllers[held].stalled_until,
-        simulation.controllers[held].busy_until,
+        simulation.controllers[stalled].stalled_until,
+        simulation.controllers[stalled].busy_until,
     ) = (until, until);
-    simulation.links_down.insert(Link::Store(held));
-    for other in (0..3).filter(|h| *h != held) {
+    simulation.links_down.insert(Link::Store(stalled));
+    for other in (0..3).filter(|h| *h != stalled) {
         simulation
             .links_down
-            .insert(Link::Controllers(held.min(other), held.max(other)));
+            .insert(Link::Controllers(stalled.min(other), stalled.max(other)));
     }
     simulation.run(STORE_LEASE_TTL_MS + 3_000);
-    let core = simulation.controllers[held].core.as_ref().expect("it runs");
-    assert!(core.lease_unconfirmed(), "nothing has shown what it holds");
+    let core = simulation.controllers[stalled]
+        .core
+        .as_ref()
+        .expect("running");
+    assert!(
+        core.lease_unconfirmed(),
+        "nothing has confirmed its store lease"
+    );
     simulation.links_down.clear();
     simulation.run(60_000);
     assert!(
-        !simulation.controllers[held]
+        !simulation.controllers[stalled]
             .core
             .as_ref()
-            .expect("it runs")
+            .expect("running")
             .lease_unconfirmed()
     );
-    assert_no_violation(&simulation, "a long pause");
+    assert_no_violation(&simulation, "a long stall");
 }
--- a/crates/simulator/tests/supervision.rs
+++ b/crates/simulator/tests/supervision.rs
@@ -1,5 +1,5 @@
-//! Failovers in the simulator: successors that crash at every step, and what the failover
-//! history records of it.
+//! Failovers in the simulator: successors crash at every step, and the failover history records
+//! each change of leader. Also covers the supervision of under-replicated services.
 
 use lemonweir_coordination::supervision::failover::COMPLETION_TIMEOUT_MS;
 use std::sync::Arc;
@@ -33,16 +33,16 @@
     lost_sync: 40,
     late_sync: 300,
 };
-/// Replicas of the two services.
+/// Replicas of both services together.
 const REPLICAS: usize = 14;
 
-fn built(seed: u64, site: Scenario) -> Simulation {
+fn new_simulation(seed: u64, site: Scenario) -> Simulation {
     Simulation::new(Arc::new(site), Vec::new(), seed, History::new(None))
 }
 
-/// Two services that are up.
-fn served(seed: u64, chances: MessageFaults) -> Simulation {
-    let mut simulation = built(seed, site(3, 16, chances));
+/// A simulation in which all replicas of two services run.
+fn simulation_with_services(seed: u64, chances: MessageFaults) -> Simulation {
+    let mut simulation = new_simulation(seed, site(3, 16, chances));
     for (n, team, tasks) in [(0, "red", 4), (1, "blue", 10)] {
         submit(
             &mut simulation,
@@ -72,6 +72,7 @@
     });
 }
 
+/// Number of live tasks on all machines.
 fn live(simulation: &Simulation) -> usize {
     simulation
         .workers
@@ -81,21 +82,25 @@
         .sum()
 }
 
+/// The leader of a shard according to the store, and its fencing token.
 fn leader(simulation: &Simulation, shard: u16) -> Option<(String, u64)> {
     let (value, token) = simulation.store.get(&shard_key(shard))?;
     Some((
-        from_value::<ShardRecord>(value).expect("a holder").host,
+        from_value::<ShardRecord>(value)
+            .expect("a shard record")
+            .host,
         token,
     ))
 }
 
-fn ring(simulation: &Simulation, shard: u16) -> Vec<(FailoverRecord, u64)> {
-    let entries = simulation.store.list(&format!("w/hand/{shard}/"));
-    let mut all: Vec<_> = entries
+/// A shard's failover records in the store with their versions, oldest first.
+fn failover_records(simulation: &Simulation, shard: u16) -> Vec<(FailoverRecord, u64)> {
+    let records = simulation.store.list(&format!("w/hand/{shard}/"));
+    let mut all: Vec<_> = records
         .iter()
         .map(|e| {
             (
-                from_value::<FailoverRecord>(&e.value).expect("an entry"),
+                from_value::<FailoverRecord>(&e.value).expect("a failover record"),
                 e.version,
             )
         })
@@ -104,28 +109,29 @@
     all
 }
 
-/// One entry a change, none missing, the newest of the one who holds it.
-fn assert_entered(simulation: &Simulation, what: &str) {
+/// Asserts that every shard's failover history has one record for each change of leader, with no
+/// gap, and that the newest names the current leader; and that no invariant was violated.
+fn assert_failovers_recorded(simulation: &Simulation, what: &str) {
     for shard in 0..3 {
-        let ring = ring(simulation, shard);
-        for pair in ring.windows(2) {
+        let failover_records = failover_records(simulation, shard);
+        for pair in failover_records.windows(2) {
             assert_eq!(
                 pair[0].0.number + 1,
                 pair[1].0.number,
-                "{what}: part {shard}"
+                "{what}: shard {shard}"
             );
             assert_eq!(
                 pair[0].0.last_leader(),
                 pair[1].0.previous_leader.as_ref(),
-                "{what}: part {shard}"
+                "{what}: shard {shard}"
             );
         }
-        let (newest, version) = ring.last().expect("it was taken");
-        let (controller, token) = leader(simulation, shard).expect("a holder");
+        let (newest, version) = failover_records.last().expect("a failover record");
+        let (controller, token) = leader(simulation, shard).expect("a leader");
         assert_eq!(
             newest.new_leader.as_ref(),
             Some(&controller),
-            "{what}: part {shard}"
+            "{what}: shard {shard}"
         );
         assert_eq!(
             newest
@@ -133,7 +139,7 @@
                 .as_ref()
                 .map_or(Some(*version), |c| c.fencing_token),
             Some(token),
-            "{what}: part {shard}"
+            "{what}: shard {shard}"
         );
     }
     assert!(
@@ -143,8 +149,8 @@
     );
 }
 
-/// Runs until another than its home holds the part.
-fn until_taken(simulation: &mut Simulation, shard: u16, not: &[usize]) -> usize {
+/// Runs until a controller that is not in `not` leads the shard, and returns it.
+fn run_until_failover(simulation: &mut Simulation, shard: u16, not: &[usize]) -> usize {
     for _ in 0..600 {
         simulation.run(50);
         let other = leader(simulation, shard)
@@ -153,18 +159,20 @@
             return h;
         }
     }
-    panic!("nobody takes part {shard}");
+    panic!("no controller acquires shard {shard}");
 }
 
-/// The successor ends at each step of the handover, and its successor too: between
-/// the take and the reading, before and after the first start, before the closing.
+/// The successor crashes at each step of the failover, and so does the next one: between acquiring
+/// the shard and reading its state, before and after the first start, and before the failover
+/// record is completed.
 #[test]
 fn failover_records_are_completed_when_successors_crash_at_each_step() {
     for (k, after_ms) in [0, 2, 60, 400, 1_500, 6_000].into_iter().enumerate() {
-        let what = format!("{after_ms} ms after the take");
-        let mut simulation = served(k as u64, if k % 2 == 0 { NO_FAULTS } else { SOME_FAULTS });
+        let what = format!("{after_ms} ms after the failover");
+        let mut simulation =
+            simulation_with_services(k as u64, if k % 2 == 0 { NO_FAULTS } else { SOME_FAULTS });
         simulation.crash(0, 60_000_000);
-        // Something to start for the first who can.
+        // A job that the first successor that is able to can start.
         submit(
             &mut simulation,
             JobSpec {
@@ -173,25 +181,25 @@
             },
             30,
         );
-        let second = until_taken(&mut simulation, 0, &[0]);
+        let second = run_until_failover(&mut simulation, 0, &[0]);
         simulation.run(after_ms);
         simulation.crash(second, 60_000_000);
-        let third = until_taken(&mut simulation, 0, &[0, second]);
+        let third = run_until_failover(&mut simulation, 0, &[0, second]);
         simulation.run(after_ms);
         simulation.crash(third, 4_000_000);
         simulation.run(COMPLETION_TIMEOUT_MS + 100_000);
         assert_eq!(live(&simulation), REPLICAS, "{what}");
-        assert_entered(&simulation, &what);
-        let entries = ring(&simulation, 0);
+        assert_failovers_recorded(&simulation, &what);
+        let records = failover_records(&simulation, 0);
         assert!(
-            entries.len() >= 5,
-            "{what}: first, two successors, back again: {entries:#?}"
+            records.len() >= 5,
+            "{what}: first leader, two successors, home again: {records:#?}"
         );
         assert!(
-            entries.iter().all(|(r, _)| !r.is_open()),
-            "{what}: all are closed: {entries:#?}"
+            records.iter().all(|(r, _)| !r.is_open()),
+            "{what}: all are completed: {records:#?}"
         );
-        let left = entries
+        let left = records
             .iter()
             .filter(|(r, _)| {
                 r.completion
@@ -199,65 +207,74 @@
                     .is_some_and(|c| c.leadership_ms.is_some())
             })
             .count();
-        assert!(left >= 1 || after_ms == 6_000, "{what}: {entries:#?}");
-        // No replica that ran is lost by it: none was started anew.
-        let anew: u32 = entries
+        assert!(left >= 1 || after_ms == 6_000, "{what}: {records:#?}");
+        // No running replica is lost: none was restarted.
+        let restarts: u32 = records
             .iter()
             .filter_map(|(r, _)| r.completion.as_ref()?.found)
-            .map(|(_, anew)| anew)
+            .map(|(_, restarts)| restarts)
             .sum();
-        assert_eq!(anew, 0, "{what}: {entries:#?}");
+        assert_eq!(restarts, 0, "{what}: {records:#?}");
     }
 }
 
-/// All controllers end 0.3 s apart, for a moment and for longer than a hold.
+/// All controllers crash 0.3 s apart, and restart at once or after more than a store lease.
 #[test]
 fn all_controllers_crash_shortly_after_one_another() {
     for (k, back_ms) in [100, 300, 5_000, 20_000].into_iter().enumerate() {
-        let what = format!("back after {back_ms} ms");
-        let mut simulation = served(20 + k as u64, SOME_FAULTS);
+        let what = format!("restart after {back_ms} ms");
+        let mut simulation = simulation_with_services(20 + k as u64, SOME_FAULTS);
         for h in [2, 0, 1] {
             simulation.crash(h, back_ms * 1_000);
             simulation.run(300);
         }
         simulation.run(200_000);
         assert_eq!(live(&simulation), REPLICAS, "{what}");
-        assert_entered(&simulation, &what);
+        assert_failovers_recorded(&simulation, &what);
         for shard in 0..3 {
-            let reborn = ring(&simulation, shard)
+            let restarted = failover_records(&simulation, shard)
                 .iter()
                 .any(|(r, _)| r.change == LeadershipChange::Restarted);
             assert_eq!(
-                reborn,
+                restarted,
                 back_ms < STORE_LEASE_TTL_MS - STORE_LEASE_RENEWAL_MS,
-                "{what}: a hold outlives a short absence"
+                "{what}: a store lease outlives a short absence"
             );
         }
     }
 }
 
-/// The store can't be had when the entry should be closed: it is closed once it can.
+/// The store is down when the failover record should be completed. It is completed after the store
+/// has recovered.
 #[test]
 fn a_failover_record_that_cannot_be_completed_for_a_minute_is_completed_later() {
-    let mut simulation = served(30, NO_FAULTS);
+    let mut simulation = simulation_with_services(30, NO_FAULTS);
     simulation.crash(0, 300_000_000);
     submit(&mut simulation, job(9, "blue", JobKind::Array, 3), 30);
-    let second = until_taken(&mut simulation, 0, &[0]);
+    let second = run_until_failover(&mut simulation, 0, &[0]);
     simulation.run(20);
     simulation.store.down = true;
     simulation.run(60_000);
-    assert!(ring(&simulation, 0).last().expect("an entry").0.is_open());
-    let (controller, _) = leader(&simulation, 0).expect("a holder");
+    assert!(
+        failover_records(&simulation, 0)
+            .last()
+            .expect("a failover record")
+            .0
+            .is_open()
+    );
+    let (controller, _) = leader(&simulation, 0).expect("a leader");
     assert_eq!(controller, host_name(second));
     let now = simulation.now;
     simulation.store.recover(now);
     simulation.run(30_000);
-    let (record, _) = ring(&simulation, 0).pop().expect("an entry");
-    let closed = record.completion.expect("closed");
+    let (record, _) = failover_records(&simulation, 0)
+        .pop()
+        .expect("a failover record");
+    let closed = record.completion.expect("completed");
     assert_eq!(
         (closed.reported_by, closed.found),
         (controller, Some((10, 0))),
-        "the ten replicas of the part's service were found up"
+        "the ten replicas of the shard's service were found running"
     );
     assert!(
         closed.services_restored_ms.is_some_and(|ms| ms < 10_000)
@@ -265,15 +282,18 @@
         "{:?}",
         closed.unknown
     );
-    assert_entered(&simulation, "closed late");
+    assert_failovers_recorded(&simulation, "completed late");
 }
 
-/// A failover history that is full, with an open record as its oldest and one that nobody can
-/// read.
+/// A full failover history that contains open records and a malformed one still records new
+/// failovers.
 #[test]
 fn a_full_failover_history_keeps_recording() {
-    let mut simulation = served(31, NO_FAULTS);
-    let first = ring(&simulation, 0).pop().expect("an entry").0;
+    let mut simulation = simulation_with_services(31, NO_FAULTS);
+    let first = failover_records(&simulation, 0)
+        .pop()
+        .expect("a failover record")
+        .0;
     let mut fill = CompareAndSwap::default();
     for n in 2..=FAILOVER_RECORDS_KEPT {
         let record = FailoverRecord {
@@ -290,7 +310,7 @@
         value: "what".into(),
         lease: None,
     });
-    // The store takes so many at a time.
+    // One write at a time: a store transaction is limited in size.
     for write in fill.writes {
         simulation.store.compare_and_swap(&CompareAndSwap {
             writes: vec![write],
@@ -301,36 +321,42 @@
     for n in 0..3 {
         simulation.crash(0, 3_000_000);
         simulation.run(40_000);
-        let (controller, _) = leader(&simulation, 0).expect("a holder");
+        let (controller, _) = leader(&simulation, 0).expect("a leader");
         let newest = simulation
             .store
             .get(&failover_key(0, FAILOVER_RECORDS_KEPT + 1 + n))
             .and_then(|(v, _)| from_value::<FailoverRecord>(v));
         assert_eq!(
-            newest.expect("overwritten").number,
+            newest.expect("the record replaces the oldest").number,
             FAILOVER_RECORDS_KEPT + 1 + n
         );
-        assert_eq!(controller, host_name(0), "the part is held all the same");
+        assert_eq!(
+            controller,
+            host_name(0),
+            "the home controller leads the shard"
+        );
     }
     assert!(
         simulation
             .store
             .get(&failover_key(0, 5))
             .is_some_and(|(v, _)| v.as_str() == Some("what")),
-        "left alone"
+        "the malformed record stays"
     );
 }
 
-/// The home is back 0.2 s before, while and after the two others bid for its part.
+/// The home controller restarts at times from 0.2 s before to after the election in which the two
+/// others compete for its shard.
 #[test]
 fn the_home_controller_returns_during_the_election() {
     for k in 0..14u64 {
         let back_ms = STORE_LEASE_TTL_MS - STORE_LEASE_RENEWAL_MS + 200 + 300 * k;
-        let what = format!("back after {back_ms} ms");
-        let mut simulation = served(40 + k, if k % 2 == 0 { NO_FAULTS } else { SOME_FAULTS });
+        let what = format!("restart after {back_ms} ms");
+        let mut simulation =
+            simulation_with_services(40 + k, if k % 2 == 0 { NO_FAULTS } else { SOME_FAULTS });
         simulation.crash(0, back_ms * 1_000);
         simulation.run(back_ms + 200);
-        // And once more, in the middle of what it does then.
+        // Crashes again in the middle of its recovery.
         if k % 3 == 0 {
             simulation.crash(0, 200_000);
         }
@@ -341,18 +367,19 @@
             "{what}"
         );
         assert_eq!(live(&simulation), REPLICAS, "{what}");
-        assert_entered(&simulation, &what);
+        assert_failovers_recorded(&simulation, &what);
     }
 }
 
-/// 500 services on one part: a change of hands costs two changes of the store for
-/// the entry, and the watch looks at nothing that nothing happened to.
+/// 500 services on one shard: a failover costs two writes for its record and none for each
+/// service, and supervision examines only services that something happened to. Any controller
+/// can report the state of all services.
 #[test]
 fn five_hundred_services_on_one_shard() {
     let mut site = site(3, 300, NO_FAULTS);
     site.state.writes_per_s = 400.0;
     site.state.max_cas_ops = 32;
-    let mut simulation = built(50, site);
+    let mut simulation = new_simulation(50, site);
     for n in 0..500 {
         submit(
             &mut simulation,
@@ -368,7 +395,7 @@
     }
     simulation.run(150_000);
     assert_eq!(live(&simulation), 1_000);
-    let core = simulation.controllers[0].core.as_ref().expect("it runs");
+    let core = simulation.controllers[0].core.as_ref().expect("running");
     let now = simulation.now / 1_000;
     let watch = core.supervision_report(now);
     assert_eq!(
@@ -382,15 +409,18 @@
     );
     let before = simulation.store.served.writes;
     simulation.crash(0, 100_000_000);
-    let second = until_taken(&mut simulation, 0, &[0]);
+    let second = run_until_failover(&mut simulation, 0, &[0]);
     simulation.run(40_000);
-    // Its part, presence and hold, the entry and its closing: nothing a service.
+    // The shard record, presence, the store lease, the failover record and its completion; no
+    // write for each service.
     assert!(
         simulation.store.served.writes - before < 40,
-        "{} changes",
+        "{} writes",
         simulation.store.served.writes - before
     );
-    let (record, _) = ring(&simulation, 0).pop().expect("an entry");
+    let (record, _) = failover_records(&simulation, 0)
+        .pop()
+        .expect("a failover record");
     assert_eq!(record.previous_leader, Some(host_name(0)));
     assert!(
         record
@@ -404,7 +434,7 @@
     let watch = simulation.controllers[second]
         .core
         .as_ref()
-        .expect("it runs")
+        .expect("running")
         .supervision_report(simulation.now / 1_000);
     assert_eq!((watch.running, watch.under_replicated.len()), (1_000, 0));
     assert_eq!(
@@ -414,11 +444,11 @@
     let third = simulation.controllers[3 - second]
         .core
         .as_ref()
-        .expect("it runs");
+        .expect("running");
     assert_eq!(
         third.supervision_report(simulation.now / 1_000).running,
         1_000,
-        "any node shows it"
+        "any controller reports it"
     );
     assert_eq!(
         third
@@ -431,10 +461,10 @@
     assert!(simulation.workload.checker.violations.is_empty());
 }
 
-// ---- how long it takes ---------------------------------------------------------
+// ---- failover duration ---------------------------------------------------------
 
-/// A fleet of so many machines, most of them full of replicas, on so many
-/// controllers that pay for what they do.
+/// A site with `machines` machines and `controllers` controllers whose processing time is
+/// simulated.
 fn fleet(machines: u32, controllers: u16) -> Scenario {
     let each = machines / 2;
     let text = format!(
@@ -447,11 +477,12 @@
     Scenario::parse("fleet", &text).unwrap_or_else(|faults| unreachable!("{faults:?}"))
 }
 
-/// One controller's end: ms until its part's key is gone, the part is taken, the
-/// first start of a job that came meanwhile, and all replicas are known to be up; and
-/// tasks lost by it.
-fn end_one(seed: u64, machines: u32, controllers: u16) -> [u64; 5] {
-    let mut simulation = built(seed, fleet(machines, controllers));
+/// Crashes one controller of a fleet whose machines are mostly full of replicas, and measures, in
+/// ms: until its shard's key expires, until the shard is acquired, until the first start of a job
+/// submitted at the crash, and until all replicas are known to run. The last value is the number
+/// of tasks lost.
+fn measure_failover(seed: u64, machines: u32, controllers: u16) -> [u64; 5] {
+    let mut simulation = new_simulation(seed, fleet(machines, controllers));
     let services = machines / 8;
     for n in 0..services {
         let team = ["red", "blue", "green"][n as usize % 3];
@@ -465,7 +496,7 @@
             1,
         );
     }
-    // Room for what comes: machines that are partly free.
+    // Withdrawn below, to leave room for the job that is submitted at the crash.
     submit(
         &mut simulation,
         JobSpec {
@@ -488,12 +519,12 @@
     let before = replicas(&simulation);
     assert!(
         before >= services as usize * 16 * 9 / 10,
-        "{before} replicas of {}",
+        "{before} of {} replicas run",
         services * 16
     );
     let at = simulation.now;
     simulation.crash(0, 400_000_000);
-    let (mut gone, mut taken, mut started) = (None, None, None);
+    let (mut expired, mut acquired, mut started) = (None, None, None);
     submit(
         &mut simulation,
         JobSpec {
@@ -502,16 +533,16 @@
         },
         60,
     );
-    let mut whole = None;
+    let mut all_running = None;
     for _ in 0..4_000 {
         simulation.run(10);
         let ms = (simulation.now - at) / 1_000;
         let leader = leader(&simulation, 0).map(|(controller, _)| controller);
         if leader.is_none() {
-            gone.get_or_insert(ms);
+            expired.get_or_insert(ms);
         }
         if leader.is_some_and(|h| h != host_name(0)) {
-            taken.get_or_insert(ms);
+            acquired.get_or_insert(ms);
         }
         if simulation
             .workload
@@ -527,14 +558,14 @@
                     .len()
             })
         };
-        if whole.is_none()
-            && taken.is_some()
+        if all_running.is_none()
+            && acquired.is_some()
             && (ms % 100 < 10)
             && simulation.controllers.iter().find_map(known) == Some(0)
         {
-            whole = Some(ms);
+            all_running = Some(ms);
         }
-        if whole.is_some() && started.is_some() {
+        if all_running.is_some() && started.is_some() {
             break;
         }
     }
@@ -542,17 +573,17 @@
     let lost = before
         .saturating_sub(replicas(&simulation))
         .max(simulation.workload.killed_by_lease as usize) as u64;
-    [gone, taken, started, whole, Some(lost)].map(|ms| ms.expect("within 40 s"))
+    [expired, acquired, started, all_running, Some(lost)].map(|ms| ms.expect("within 40 s"))
 }
 
-/// Prints what docs/supervision/failovers.md tells:
-/// `cargo test --release -p lemonweir-simulator --test watch -- --ignored --nocapture`.
+/// Prints the figures of docs/supervision/failovers.md:
+/// `cargo test --release -p lemonweir-simulator --test supervision -- --ignored --nocapture`.
 #[test]
 #[ignore = "measures for minutes"]
 fn failover_duration() {
     for (machines, controllers, seeds) in [(100, 3, 24), (1_337, 3, 12), (5_000, 5, 4)] {
         let mut all: Vec<[u64; 5]> = (0..seeds)
-            .map(|seed| end_one(seed, machines, controllers))
+            .map(|seed| measure_failover(seed, machines, controllers))
             .collect();
         println!(
             "{machines} machines: {} tasks lost in {seeds} runs",
@@ -573,10 +604,11 @@
     }
 }
 
-// ---- another way --------------------------------------------------------------
+// ---- escalation ---------------------------------------------------------------
 
-/// The row of a service in the picture of the controller that serves its team.
-fn row(
+/// The row of an under-replicated service in the supervision reports of the controllers, the one
+/// that is under-replicated for longest; `None` if no controller reports it.
+fn under_replicated_row(
     simulation: &Simulation,
     n: u32,
 ) -> Option<lemonweir_protocol::supervision::UnderReplicatedServiceRow> {
@@ -592,11 +624,11 @@
         .max_by_key(|r| r.under_replicated_s)
 }
 
-/// A replica on a machine that fetches for ever goes to one that has its image, as
+/// A replica on a machine whose image pull never ends moves to a machine that caches its image as
 /// soon as one has room.
 #[test]
 fn a_replica_leaves_a_machine_that_does_not_start_it() {
-    let mut simulation = built(60, site(3, 16, NO_FAULTS));
+    let mut simulation = new_simulation(60, site(3, 16, NO_FAULTS));
     simulation.run(5_000);
     submit(
         &mut simulation,
@@ -610,7 +642,7 @@
     assert_eq!(
         live(&simulation),
         4,
-        "its machine is full and has the image"
+        "its machine is full and caches the image"
     );
     submit(
         &mut simulation,
@@ -636,25 +668,30 @@
             .for_each(|w| w.kind.image_pull_gb_per_s = 0.000_1);
         simulation.run(100);
     }
-    let before = row(&simulation, 1).expect("it is short");
+    let before = under_replicated_row(&simulation, 1).expect("under-replicated");
     assert_eq!(before.running, 0);
     assert!(
         before.escalations.is_empty() && before.under_replicated_s.is_some_and(|s| s >= 50),
-        "nothing better is known: {before:?}"
+        "no better machine is known: {before:?}"
     );
-    // The machine with the image becomes free.
+    // Frees the machine that caches the image.
     simulation.withdraw(&lemonweir_simulator::fixtures::id(0));
     simulation.run(25_000);
-    assert_eq!(live(&simulation), 2, "{:?}", row(&simulation, 1));
-    assert_eq!(row(&simulation, 1), None);
+    assert_eq!(
+        live(&simulation),
+        2,
+        "{:?}",
+        under_replicated_row(&simulation, 1)
+    );
+    assert_eq!(under_replicated_row(&simulation, 1), None);
     assert!(simulation.workload.checker.violations.is_empty());
 }
 
-/// A service that avoids the only machine that can take it, since it failed there
-/// once, takes it again when nothing else has come in time.
+/// A service avoids the only machine that fits it because it failed there once. It uses that
+/// machine again when no other becomes available in time.
 #[test]
 fn a_service_uses_avoided_machines_when_nothing_else_is_left() {
-    let mut simulation = built(61, site(3, 1, NO_FAULTS));
+    let mut simulation = new_simulation(61, site(3, 1, NO_FAULTS));
     let north = |n| JobSpec {
         allow_spot: false,
         zone: Some("north".into()),
@@ -678,12 +715,19 @@
     simulation.run(20_000);
     assert_eq!(live(&simulation), 1, "it avoids the only machine");
     simulation.run(15_000);
-    let told = row(&simulation, 1).expect("it is short");
+    let under_replicated = under_replicated_row(&simulation, 1).expect("under-replicated");
     assert!(
-        told.blocked_by.contains("0 of 1 replicas up for"),
-        "{told:?}"
+        under_replicated
+            .blocked_by
+            .contains("0 of 1 replicas up for"),
+        "{under_replicated:?}"
     );
     simulation.run(25_000);
-    assert_eq!(live(&simulation), 2, "{:?}", row(&simulation, 1));
+    assert_eq!(
+        live(&simulation),
+        2,
+        "{:?}",
+        under_replicated_row(&simulation, 1)
+    );
     assert!(simulation.workload.checker.violations.is_empty());
 }
--- a/crates/simulator/tests/worker_leases.rs
+++ b/crates/simulator/tests/worker_leases.rs
@@ -1,6 +1,7 @@
-//! Unreachable machines, delayed duplicates of heartbeats, machines and controllers that
-//! restart at once, and a controller with its workers and nothing else: alone, in pairs and
-//! inside a partition, for 3 and 7 controllers and leases of 14 and 26.5 s.
+//! Worker leases under faults: unreachable machines, delayed duplicates of heartbeats, machines
+//! and controllers that restart at once, and a controller that reaches only its workers. The
+//! faults occur singly, in pairs and during a partition, with 3 and 7 controllers and leases of 14
+//! to 26.5 s.
 
 use std::sync::Arc;
 
@@ -9,20 +10,22 @@
 use lemonweir_simulator::scenario::Scenario;
 use lemonweir_simulator::simulation::Simulation;
 
-const DEAF: &str = "at_s = 55\nfor_s = 45\nkind = 'deaf'\nshare = 0.3";
-const DEAF_ANSWERS: &str = "at_s = 55\nfor_s = 45\nkind = 'deaf'\nshare = 0.3\nonly = 'answers'";
-const DEAF_COMMANDS: &str = "at_s = 55\nfor_s = 45\nkind = 'deaf'\nshare = 0.5\nonly = 'commands'";
-const DEAF_ZONE: &str = "at_s = 55\nfor_s = 45\nkind = 'deaf'\nzone = 'a'";
-const DEAF_WAY: &str = "at_s = 55\nfor_s = 45\nkind = 'deaf'\nshare = 1.0\ncontroller = 0";
-const COPIES: &str =
+const UNREACHABLE: &str = "at_s = 55\nfor_s = 45\nkind = 'deaf'\nshare = 0.3";
+const ANSWERS_LOST: &str = "at_s = 55\nfor_s = 45\nkind = 'deaf'\nshare = 0.3\nonly = 'answers'";
+const COMMANDS_LOST: &str = "at_s = 55\nfor_s = 45\nkind = 'deaf'\nshare = 0.5\nonly = 'commands'";
+const ZONE_UNREACHABLE: &str = "at_s = 55\nfor_s = 45\nkind = 'deaf'\nzone = 'a'";
+const UNREACHABLE_FROM_CONTROLLER: &str =
+    "at_s = 55\nfor_s = 45\nkind = 'deaf'\nshare = 1.0\ncontroller = 0";
+const DUPLICATES: &str =
     "at_s = 25\nfor_s = 110\nkind = 'late_copies'\nshare = 1.0\nlow_s = 1\nhigh_s = 80";
-const ALONE: &str = "at_s = 65\nfor_s = 70\nkind = 'alone'\ncontroller = 1";
-const REBORN: &str = "at_s = 70\nfor_s = 1\nkind = 'reborn'\nshare = 0.3";
+const ISOLATED: &str = "at_s = 65\nfor_s = 70\nkind = 'alone'\ncontroller = 1";
+const MACHINE_RESTARTS: &str = "at_s = 70\nfor_s = 1\nkind = 'reborn'\nshare = 0.3";
 const CRASH: &str = "at_s = 73\nfor_s = 0.2\nkind = 'crash'\ncontroller = 0";
-const AWAY: &str = "at_s = 60\nfor_s = 30\nkind = 'crash'\ncontroller = 0";
-const CUT: &str = "at_s = 50\nfor_s = 40\nkind = 'cut_zone'\nzone = 'a'";
+const LONG_CRASH: &str = "at_s = 60\nfor_s = 30\nkind = 'crash'\ncontroller = 0";
+const PARTITION: &str = "at_s = 50\nfor_s = 40\nkind = 'cut_zone'\nzone = 'a'";
 
-/// A day: services, arrays and gangs on some dozen machines of two zones.
+/// A simulation of 240 s of services, arrays and gangs on machines of two zones, with the given
+/// faults.
 fn run_with_faults(controllers: u16, lease_s: f64, seed: u64, faults: &[&str]) -> Simulation {
     let faults: String = faults.iter().map(|f| format!("[[fault]]\n{f}\n")).collect();
     let text = format!(
@@ -44,8 +47,8 @@
     Simulation::new(scenario, load, seed, History::new(None))
 }
 
-/// Replicas up, of the 16 that are wanted.
-fn serving(simulation: &Simulation) -> usize {
+/// Number of live replicas; 16 are desired.
+fn live_replicas(simulation: &Simulation) -> usize {
     let services = simulation
         .workload
         .jobs
@@ -57,18 +60,19 @@
         .sum()
 }
 
-/// Runs a day to its end; tells how many tasks their lease killed.
-fn kept(controllers: u16, lease_s: f64, seed: u64, faults: &[&str]) -> u64 {
+/// Runs a simulation to its end, asserts that all services are up and no invariant was violated,
+/// and returns how many tasks were killed because their worker's lease expired.
+fn tasks_killed_by_lease(controllers: u16, lease_s: f64, seed: u64, faults: &[&str]) -> u64 {
     let what = format!("{controllers} controllers, {lease_s} s, seed {seed}, {faults:?}");
     let mut simulation = run_with_faults(controllers, lease_s, seed, faults);
     simulation.run(240_000);
-    let (up, workload) = (serving(&simulation), &simulation.workload);
+    let (up, workload) = (live_replicas(&simulation), &simulation.workload);
     assert!(
         workload.checker.violations.is_empty(),
         "{what}: {:#?}",
         workload.checker.violations
     );
-    assert_eq!(up, 16, "{what}: replicas up at the end");
+    assert_eq!(up, 16, "{what}: replicas that run at the end");
     assert!(
         workload.checker.starts > 60,
         "{what}: {} starts",
@@ -77,53 +81,59 @@
     workload.killed_by_lease
 }
 
-/// A few controllers with a short lease and many with a long one.
-fn all(faults: &[&str]) -> u64 {
-    kept(3, 14.0, 1, faults) + kept(7, 26.5, 4, faults)
+/// Runs the faults with 3 controllers and a short lease and with 7 and a long one, and returns the
+/// number of tasks killed in both.
+fn tasks_killed_in_both_sites(faults: &[&str]) -> u64 {
+    tasks_killed_by_lease(3, 14.0, 1, faults) + tasks_killed_by_lease(7, 26.5, 4, faults)
 }
 
 #[test]
 fn unreachable_machines_lose_their_lease_and_violate_no_invariant() {
-    for fault in [DEAF, DEAF_ANSWERS, DEAF_ZONE] {
+    for fault in [UNREACHABLE, ANSWERS_LOST, ZONE_UNREACHABLE] {
         assert!(
-            all(&[fault]) > 0,
-            "{fault}: leases run out, or it was no trouble"
+            tasks_killed_in_both_sites(&[fault]) > 0,
+            "{fault}: some lease must expire"
         );
     }
 }
 
 #[test]
 fn one_lost_direction_alone_expires_no_lease() {
-    for fault in [DEAF_COMMANDS, DEAF_WAY] {
-        assert_eq!(all(&[fault]), 0, "{fault}");
+    for fault in [COMMANDS_LOST, UNREACHABLE_FROM_CONTROLLER] {
+        assert_eq!(tasks_killed_in_both_sites(&[fault]), 0, "{fault}");
     }
 }
 
 #[test]
 fn duplicates_and_short_restarts_expire_no_lease() {
-    for fault in [COPIES, CRASH] {
-        assert_eq!(all(&[fault]), 0, "{fault}");
+    for fault in [DUPLICATES, CRASH] {
+        assert_eq!(tasks_killed_in_both_sites(&[fault]), 0, "{fault}");
     }
-    all(&[REBORN]);
+    tasks_killed_in_both_sites(&[MACHINE_RESTARTS]);
 }
 
-/// Its hold runs out, others take its part, and its workers come to it until it
-/// stops; then they reach the successor with their leases alive.
+/// The isolated controller's store lease expires and another controller takes its shard. Its
+/// workers keep reporting to it until it stops, and then reach the successor before their own
+/// leases expire.
 #[test]
 fn workers_of_an_isolated_controller_reach_its_successor() {
     for lease_s in [14.0, 20.0, 26.5] {
-        assert_eq!(kept(3, lease_s, 2, &[ALONE]), 0, "a lease of {lease_s} s");
+        assert_eq!(
+            tasks_killed_by_lease(3, lease_s, 2, &[ISOLATED]),
+            0,
+            "a lease of {lease_s} s"
+        );
     }
-    assert_eq!(kept(7, 14.0, 3, &[ALONE]), 0);
-    // The two others elect, and one of them is back after 0.2 s; workers have copies.
-    kept(
+    assert_eq!(tasks_killed_by_lease(7, 14.0, 3, &[ISOLATED]), 0);
+    // One of the two electing controllers restarts within 0.2 s, and heartbeats are duplicated.
+    tasks_killed_by_lease(
         3,
         14.0,
         5,
         &[
-            ALONE,
+            ISOLATED,
             "at_s = 76.3\nfor_s = 0.2\nkind = 'crash'\ncontroller = 2",
-            COPIES,
+            DUPLICATES,
         ],
     );
 }
@@ -131,27 +141,30 @@
 #[test]
 fn pairs_of_faults_violate_no_invariant() {
     let pairs = [
-        [DEAF, COPIES],
-        [DEAF, AWAY],
-        [DEAF_ANSWERS, REBORN],
-        [DEAF_ZONE, ALONE],
-        [DEAF_WAY, REBORN],
-        [COPIES, AWAY],
-        [COPIES, REBORN],
-        [ALONE, REBORN],
-        [ALONE, CRASH],
-        [REBORN, CRASH],
+        [UNREACHABLE, DUPLICATES],
+        [UNREACHABLE, LONG_CRASH],
+        [ANSWERS_LOST, MACHINE_RESTARTS],
+        [ZONE_UNREACHABLE, ISOLATED],
+        [UNREACHABLE_FROM_CONTROLLER, MACHINE_RESTARTS],
+        [DUPLICATES, LONG_CRASH],
+        [DUPLICATES, MACHINE_RESTARTS],
+        [ISOLATED, MACHINE_RESTARTS],
+        [ISOLATED, CRASH],
+        [MACHINE_RESTARTS, CRASH],
     ];
     for (k, pair) in pairs.iter().enumerate() {
         let (controllers, lease_s) = [(3, 14.0), (7, 26.5), (3, 26.5), (7, 14.0)][k % 4];
-        kept(controllers, lease_s, 10 + k as u64, pair);
+        tasks_killed_by_lease(controllers, lease_s, 10 + k as u64, pair);
     }
 }
 
 #[test]
 fn each_fault_inside_a_partition_violates_no_invariant() {
-    for (k, fault) in [DEAF, COPIES, ALONE, REBORN, CRASH].into_iter().enumerate() {
+    for (k, fault) in [UNREACHABLE, DUPLICATES, ISOLATED, MACHINE_RESTARTS, CRASH]
+        .into_iter()
+        .enumerate()
+    {
         let (controllers, lease_s) = [(7, 14.0), (3, 26.5), (3, 14.0)][k % 3];
-        kept(controllers, lease_s, 30 + k as u64, &[fault, CUT]);
+        tasks_killed_by_lease(controllers, lease_s, 30 + k as u64, &[fault, PARTITION]);
     }
 }
