--- a/crates/trace/src/csv_rows.rs
+++ b/crates/trace/src/csv_rows.rs
@@ -1,12 +1,12 @@
-//! Rows of a CSV file without a header, checked for their number of fields
-//! and for being text.
+//! Reader of CSV files without a header. It checks that each row has the expected
+//! number of fields and is valid UTF-8.
 
 use std::io::BufRead;
 
 use crate::fault::{Faults, Row};
 
-/// Calls `each` with every row whose fields are as many as `names` and are
-/// text; what is not is a fault. The last argument is the row's fields.
+/// Calls `each` with every row, and its fields, that has one field per name in
+/// `names` and is valid UTF-8. Any other row is a fault.
 pub fn rows<'f>(
     file: &str,
     input: impl BufRead,
--- a/crates/trace/src/fault.rs
+++ b/crates/trace/src/fault.rs
@@ -1,19 +1,19 @@
-//! What is wrong with a row.
+//! Faults of trace files, and parsing of row fields that reports them.
 
 use std::fmt;
 
 use lemonweir_model::constants::MAX_TASKS;
 
-/// One fault: `FILE:LINE: field: what is wrong`.
+/// A fault in a trace file, displayed as `FILE:LINE: field: message`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// The file as it was named.
+    /// Path of the file as given by the caller.
     pub file: String,
-    /// The line, from 1; 0: the file as a whole.
+    /// Line number, starting at 1; 0 for the file as a whole.
     pub line: u64,
-    /// The field.
+    /// Name of the faulty field.
     pub field: String,
-    /// What is wrong with it.
+    /// Description of the fault.
     pub what: String,
 }
 
@@ -27,20 +27,20 @@
     }
 }
 
-/// Takes faults as they are found.
+/// Counts faults and passes each on as it is found.
 pub struct Faults<'a> {
     on_each: &'a mut dyn FnMut(&Fault),
-    /// How many there were.
+    /// Number of faults so far.
     pub count: u64,
 }
 
 impl<'a> Faults<'a> {
-    /// Faults that go to `on_each`.
+    /// Creates a collector that passes each fault to `on_each`.
     pub fn new(on_each: &'a mut dyn FnMut(&Fault)) -> Self {
         Self { on_each, count: 0 }
     }
 
-    /// Notes a fault.
+    /// Reports a fault.
     pub fn note(&mut self, file: &str, line: u64, field: &str, what: impl Into<String>) {
         self.count += 1;
         (self.on_each)(&Fault {
@@ -52,24 +52,24 @@
     }
 }
 
-/// One row being read: takes its fields and notes what is wrong with them.
+/// A row being read: parses its fields and reports their faults.
 pub struct Row<'r, 'f> {
-    /// File and line.
+    /// Path of the file.
     pub file: &'r str,
-    /// The line, from 1.
+    /// Line number, starting at 1.
     pub line: u64,
-    /// Where faults go.
+    /// Receives the faults of the row.
     pub faults: &'r mut Faults<'f>,
-    /// False once a field was faulty.
+    /// False once a fault has been reported for the row.
     pub good: bool,
 }
 
-/// The largest amount or time that makes sense in any unit of the formats; up
-/// to it every whole number is exact.
+/// Limit of amounts and times, above any sensible value in any unit of the formats.
+/// It is 2^53: up to it, `f64` represents every integer exactly.
 const LARGEST_AMOUNT: f64 = 9_007_199_254_740_992.0;
 
 impl<'r, 'f> Row<'r, 'f> {
-    /// A row that is good so far.
+    /// Creates a row without faults.
     pub fn new(file: &'r str, line: u64, faults: &'r mut Faults<'f>) -> Self {
         Self {
             file,
@@ -79,13 +79,13 @@
         }
     }
 
-    /// Notes a fault of a field.
+    /// Reports a fault of a field.
     pub fn fault(&mut self, field: &str, what: impl Into<String>) {
         self.good = false;
         self.faults.note(self.file, self.line, field, what);
     }
 
-    /// A number of 0 or more.
+    /// Parses a number of 0 or more; reports a fault and returns 0 for anything else.
     pub fn number(&mut self, field: &str, text: &str) -> f64 {
         match text.trim().parse::<f64>() {
             Err(_) => self.fault(field, format!("{:?} is not a number", shorten(text))),
@@ -101,7 +101,7 @@
         0.0
     }
 
-    /// A whole number of 0 or more, below 2^64.
+    /// Parses an integer below 2^64; reports a fault and returns 0 for anything else.
     pub fn whole(&mut self, field: &str, text: &str) -> u64 {
         let text = text.trim();
         match text.parse::<u64>() {
@@ -117,7 +117,7 @@
         0
     }
 
-    /// A count of tasks that a job may have.
+    /// Checks a job's number of tasks; reports a fault and returns 0 if it is out of range.
     pub fn tasks(&mut self, field: &str, count: u64) -> u32 {
         match count {
             0 => self.fault(field, "no task at all"),
@@ -130,10 +130,10 @@
     }
 }
 
-/// Characters of a text that a message shows.
+/// Maximum number of characters of an input text that a message shows.
 const SHOWN_CHARACTERS: usize = 40;
 
-/// As much of a text as belongs into a message.
+/// Shortens an input text for use in a message.
 pub fn shorten(text: &str) -> String {
     let mut short: String = text.chars().take(SHOWN_CHARACTERS).collect();
     if short.len() < text.len() {
@@ -142,7 +142,8 @@
     short
 }
 
-/// What a JSON reader found wrong with one line; its own line is always 1.
+/// Describes a JSON error in one record, without its line: each record is parsed on its own, so
+/// the line is not the one in the file.
 pub fn json_fault(e: &serde_json::Error) -> String {
     let text = e.to_string();
     let what = text.split(" at line ").next().unwrap_or(&text);
--- a/crates/trace/src/format.rs
+++ b/crates/trace/src/format.rs
@@ -1,6 +1,6 @@
-//! The published trace formats that are read.
+//! The supported trace formats and their names.
 
-/// The formats that are read.
+/// A published trace format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Format {
     /// Standard Workload Format.
@@ -11,14 +11,14 @@
     Google2019,
     /// Alibaba cluster trace 2018.
     Alibaba2018,
-    /// Alibaba PAI 2020, with shares of accelerators.
+    /// Alibaba PAI 2020, with fractional GPUs.
     Pai2020,
-    /// Microsoft Philly.
+    /// Microsoft Philly traces.
     Philly,
 }
 
 impl Format {
-    /// All of them, with the names that the command line uses.
+    /// All formats with their names on the command line.
     pub const ALL: [(&'static str, Format); 6] = [
         ("swf", Format::Swf),
         ("google-2011", Format::Google2011),
@@ -28,7 +28,7 @@
         ("philly", Format::Philly),
     ];
 
-    /// Its name on the command line.
+    /// Name of the format on the command line.
     pub fn name(self) -> &'static str {
         Self::ALL
             .iter()
@@ -36,7 +36,8 @@
             .map_or("", |(name, _)| name)
     }
 
-    /// Why its units mean nothing without the size of the trace's machine; none: they do.
+    /// Describes the units that are relative to a machine's capacity; `None` if all units are
+    /// absolute.
     pub(crate) fn relative_units(self) -> Option<&'static str> {
         match self {
             Format::Google2011 | Format::Google2019 => {
--- a/crates/trace/src/formats/alibaba.rs
+++ b/crates/trace/src/formats/alibaba.rs
@@ -1,6 +1,6 @@
-//! Alibaba cluster trace 2018, and PAI 2020 with shares of accelerators. A
-//! trace of batch tasks tells when a task began, not when it was submitted:
-//! its begin is taken for both.
+//! Alibaba cluster trace 2018, and PAI 2020 with fractional GPUs. The batch tables
+//! record when a task started but not when it was submitted, so the start time is
+//! used for both.
 
 use std::collections::HashSet;
 use std::hash::{BuildHasher, RandomState};
@@ -80,8 +80,8 @@
     "end_time",
 ];
 
-/// Names seen, as 64-bit hashes: 16 bytes a name, however long it is. Two
-/// names share one by chance in fewer than one of 10^5 files of 10 million.
+/// Set of names as 64-bit hashes, which takes 16 bytes per name of any length. In
+/// files of 10 million names, fewer than one in 10^5 has a hash collision.
 struct Names(HashSet<u64>, RandomState);
 
 impl Names {
@@ -94,7 +94,7 @@
     }
 }
 
-/// Begin and end, ms; notes what is wrong with them.
+/// Parses start and end times in seconds and returns them in ms.
 fn times(row: &mut Row<'_, '_>, start: &str, end: &str) -> (u64, u64) {
     let mut time = |field: &str, text: &str| {
         if text.trim().is_empty() {
@@ -112,7 +112,7 @@
     ((from * 1e3) as u64, (to * 1e3) as u64)
 }
 
-/// An amount that must be stated.
+/// Parses an amount that must not be empty.
 fn amount(row: &mut Row<'_, '_>, field: &str, text: &str) -> f64 {
     if text.trim().is_empty() {
         row.fault(field, "is missing: what it takes is unknown");
@@ -133,7 +133,7 @@
     }
 }
 
-/// Reads one table of 2018.
+/// Reads one table of the 2018 trace. The published file name tells which one.
 pub fn read_2018(
     file: &str,
     input: impl BufRead,
@@ -177,7 +177,7 @@
             let at = row.number("time_stamp", f[2]);
             let cpus = amount(row, "cpu_request", f[5]) / 100.0;
             let memory = percent(row, "mem_size", f[7], machine);
-            // A container has a row for each look at it; the first is its begin.
+            // A container has one row per status sample; the first one gives its start.
             if row.good && names.first(f[0]) {
                 let need = Resources {
                     memory_mb: memory,
@@ -214,7 +214,7 @@
     }
 }
 
-/// Thousandths of a GB of a percentage of the machine's memory.
+/// Converts a percentage of the machine's memory to MB.
 fn percent(row: &mut Row<'_, '_>, field: &str, text: &str, machine: Resources) -> u64 {
     let x = amount(row, field, text);
     if x > 100.0 {
@@ -249,9 +249,9 @@
     }
 }
 
-/// Reads one table of PAI 2020. A task of several instances trains together:
-/// it is a gang. 100 of `plan_cpu` or `plan_gpu` are one processor or one
-/// accelerator; `plan_mem` is in GB.
+/// Reads one table of PAI 2020. The instances of a task train together, so a task
+/// with several instances is a gang. `plan_cpu` and `plan_gpu` are in hundredths
+/// of a CPU or GPU; `plan_mem` is in GB.
 pub fn read_pai(
     file: &str,
     input: impl BufRead,
@@ -265,7 +265,7 @@
             let (from, to) = times(row, f[4], f[5]);
             let cpus = amount(row, "plan_cpu", f[6]) / 100.0;
             let memory = amount(row, "plan_mem", f[7]);
-            // A task without accelerators leaves the field empty.
+            // The field is empty for tasks without GPUs.
             let gpus = if f[8].trim().is_empty() {
                 0.0
             } else {
--- a/crates/trace/src/formats/google.rs
+++ b/crates/trace/src/formats/google.rs
@@ -46,7 +46,7 @@
     "attribute value",
 ];
 
-/// Reads one table of 2011. Which one shows in the file's name, as published.
+/// Reads one table of the 2011 trace. The published file name tells which one.
 pub fn read_2011(
     file: &str,
     input: impl BufRead,
@@ -92,7 +92,7 @@
     x
 }
 
-/// A share of a machine, which can't be more than all of it.
+/// Parses a fraction of the largest machine, 0 to 1.
 fn part(row: &mut Row<'_, '_>, field: &str, text: &str) -> f64 {
     if text.trim().is_empty() {
         row.fault(field, "is missing");
@@ -147,7 +147,7 @@
         };
         let request = TaskRequest {
             need: share(machine, cpus, memory),
-            // 9 and up are production and monitoring, 0 and 1 gratis.
+            // 9 and above are production and monitoring; 0 and 1 are the free tier.
             rank: priority_class(priority, 9, 4, 2),
             class: format!("class-{class}"),
             team: if f[6].is_empty() {
@@ -169,10 +169,8 @@
     Ok(())
 }
 
-// ---- 2019 ----------------------------------------------------------------------
-
-/// The fields that are used of both tables. Numbers may come as texts, as the
-/// published export writes them.
+/// The fields used of both tables of the 2019 trace. Numbers may be JSON strings,
+/// as in the published export.
 #[derive(Deserialize)]
 struct EventLine {
     time: Option<Value>,
@@ -189,6 +187,7 @@
     constraint: Vec<BTreeMap<String, Value>>,
 }
 
+/// Event types of the 2019 trace, indexed by their numeric codes.
 const TYPES: [(&str, TaskEvent); 11] = [
     ("SUBMIT", TaskEvent::Submit),
     ("QUEUE", TaskEvent::Update),
@@ -221,7 +220,7 @@
     }
 }
 
-/// Reads one table of 2019.
+/// Reads one table of the 2019 trace. The published file name tells which one.
 pub fn read_2019(
     file: &str,
     input: impl BufRead,
@@ -299,7 +298,7 @@
     };
     let request = TaskRequest {
         need: share(machine, cpus, memory),
-        // 360 and up are monitoring, 120 and up production, below 100 free.
+        // 360 and above are monitoring, 120 and above production, below 100 the free tier.
         rank: priority_class(priority, 120, 116, 100),
         class: format!("class-{class}"),
         team: e.user.as_deref().map_or_else(|| "unknown".into(), shorten),
--- a/crates/trace/src/formats/mod.rs
+++ b/crates/trace/src/formats/mod.rs
@@ -1,5 +1,5 @@
-//! One module a format. Each is written from the format's published
-//! description; `docs/traces.md` names it.
+//! Readers of the supported formats. Each follows the format's published
+//! description, which `docs/traces.md` names.
 
 mod alibaba;
 mod google;
@@ -14,7 +14,7 @@
 use crate::format::Format;
 use crate::workload::Entry;
 
-/// Reads one file of a format.
+/// Reads one file of `format` and passes its jobs to `out`.
 pub fn read(
     format: Format,
     file: &str,
@@ -33,13 +33,13 @@
     }
 }
 
-/// The published name of the table that a file holds, from the file's name.
+/// Returns the table that a file holds: the first of `tables` that occurs in the file's name.
 fn table<'a>(file: &str, tables: &[&'a str]) -> Option<&'a str> {
     let name = file.rsplit(['/', '\\']).next().unwrap_or(file);
     tables.iter().find(|t| name.contains(**t)).copied()
 }
 
-/// A share of a machine, in its thousandths.
+/// Converts fractions of a machine to absolute resources, rounded up.
 fn share(machine: Resources, cpus: f64, memory: f64) -> Resources {
     let of = |whole: u64, fraction: f64| (whole as f64 * fraction).ceil() as u64;
     Resources {
@@ -49,7 +49,7 @@
     }
 }
 
-/// A priority on a scale of the source: at least `production`, `high`, `normal`.
+/// Maps a source's priority by the lowest values of the production, high and normal classes.
 fn priority_class(priority: u64, production: u64, high: u64, normal: u64) -> Priority {
     match priority {
         p if p >= production => Priority::Production,
--- a/crates/trace/src/formats/philly.rs
+++ b/crates/trace/src/formats/philly.rs
@@ -1,6 +1,6 @@
-//! Microsoft Philly: `cluster_job_log`, a JSON array of jobs with their
-//! attempts and the accelerators of each machine. It tells nothing of
-//! processors or memory: a task takes none.
+//! Microsoft Philly: `cluster_job_log`, a JSON array of jobs with their attempts
+//! and the GPUs of each machine. The trace has no CPU or memory figures, so tasks
+//! request neither.
 
 use std::collections::HashSet;
 use std::io::{self, BufRead};
@@ -37,7 +37,7 @@
     gpus: Vec<String>,
 }
 
-/// ms since 1970 of a time of day without a zone, as the trace writes it.
+/// Parses a date and time without a time zone, taken as UTC, to ms since the Unix epoch.
 fn time(row: &mut Row<'_, '_>, field: &str, text: Option<&str>) -> Option<i64> {
     let Some(text) = text.filter(|t| !t.is_empty() && *t != "None") else {
         row.fault(field, "is missing");
@@ -52,7 +52,7 @@
     parsed.map(|t| t.timestamp().as_millisecond())
 }
 
-/// Reads a file.
+/// Reads a job log. Times are relative to the submission of the first valid job.
 pub fn read(
     file: &str,
     input: impl BufRead,
@@ -109,8 +109,8 @@
         }
         before = to;
     }
-    // Machines of the last attempt, each with as many accelerators as the
-    // largest share: what is taken at least where they differ.
+    // One task per machine of the last attempt. The tasks of a job have equal
+    // requests, so where machines differ all tasks get the largest number of GPUs.
     let gpus = last.detail.iter().map(|m| m.gpus.len()).max().unwrap_or(0);
     let tasks = row.tasks("attempts.detail", last.detail.len() as u64);
     let Some(at) = submitted.filter(|_| row.good) else {
--- a/crates/trace/src/formats/swf.rs
+++ b/crates/trace/src/formats/swf.rs
@@ -1,5 +1,5 @@
-//! Standard Workload Format: 18 fields a line, `;` comments, -1 for unknown.
-//! A job runs all its processors at once, so it is a gang.
+//! Standard Workload Format: 18 fields per line, `;` comments, -1 for unknown values.
+//! A job uses all its processors at once, so a job with several of them is a gang.
 
 use std::io::{self, BufRead};
 
@@ -31,7 +31,7 @@
     "think time",
 ];
 
-/// Reads a file.
+/// Reads an SWF file. Each processor of a job becomes one task.
 pub fn read(
     file: &str,
     input: impl BufRead,
@@ -48,7 +48,7 @@
     })
 }
 
-/// A field that may be unknown.
+/// Parses field `i`; `None` if its value is unknown.
 fn known(row: &mut Row<'_, '_>, fields: &[&str], i: usize) -> Option<f64> {
     if fields[i] == "-1" {
         None
@@ -99,11 +99,11 @@
         }
         Some(n) => row.tasks(FIELDS[7], n as u64),
     };
-    // KB a processor.
+    // In KB per processor.
     let memory_kb = known(row, &fields, 9)
         .or_else(|| known(row, &fields, 6))
         .unwrap_or(0.0);
-    // The others are not used, but must be numbers.
+    // The remaining fields are unused, but must be valid numbers.
     for i in [2, 5, 8, 10, 11, 12, 13, 14, 15, 16, 17] {
         known(row, &fields, i);
     }
--- a/crates/trace/src/import.rs
+++ b/crates/trace/src/import.rs
@@ -1,4 +1,4 @@
-//! Checking and importing files of a published format.
+//! Checks trace files of a published format and imports them into a workload.
 
 use std::io::{self, BufWriter, Write};
 use std::path::{Path, PathBuf};
@@ -11,28 +11,28 @@
 use crate::sort::Sorter;
 use crate::workload::{Entry, FORMAT, Header, VERSION, write_line};
 
-/// The stated size of a trace's machine, for units that are shares of it.
+/// Capacity of the machine that relative units of a trace refer to.
 pub type Machine = Resources;
 
-/// What becomes of the rows when some are faulty.
+/// What an import does when rows are faulty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OnFault {
-    /// Nothing is written.
+    /// Write nothing.
     Stop,
-    /// The faulty rows are left out.
+    /// Leave out the faulty rows.
     Drop,
 }
 
-/// What was read.
+/// Counts of a check or an import.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Imported {
-    /// Jobs.
+    /// Number of jobs read.
     pub jobs: u64,
-    /// Faults.
+    /// Number of faults found.
     pub faults: u64,
 }
 
-/// Why a file could not be read or written.
+/// A file that could not be read or written.
 #[derive(Debug, thiserror::Error)]
 #[error("{0}: {1}")]
 pub struct ImportError(String, io::Error);
@@ -58,7 +58,7 @@
                 "unit",
                 format!("{why}: state the machine's size with --machine"),
             );
-            // The rest is checked all the same.
+            // Any capacity will do to check the remaining fields.
             Resources::capacity(1.0, 1.0, 1.0)
         }
     };
@@ -71,10 +71,10 @@
     Ok(())
 }
 
-/// Checks files; every fault goes to `on_each_fault`. Returns what an import would give.
+/// Checks files and passes every fault to `on_each_fault`. Returns the counts of an import.
 ///
 /// # Errors
-/// If a file can't be read.
+/// Returns an error if a file can't be read.
 pub fn check(
     format: Format,
     files: &[PathBuf],
@@ -90,11 +90,11 @@
     })
 }
 
-/// Imports files into a workload at `to`, which appears only once it is whole.
-/// With [`OnFault::Stop`] and a fault, nothing is written.
+/// Imports files into a workload at `to`, which is created only once it is complete.
+/// With [`OnFault::Stop`], nothing is written if there is any fault.
 ///
 /// # Errors
-/// If a file can't be read, or the workload can't be written.
+/// Returns an error if a file can't be read or the workload can't be written.
 pub fn import(
     format: Format,
     files: &[PathBuf],
@@ -132,7 +132,7 @@
     Ok(result)
 }
 
-/// Writes a workload beside its place, and moves it there once it is whole.
+/// Writes a workload to a temporary file in the same directory and renames it to `to`.
 fn write_workload(to: &Path, header: &Header, sorter: Sorter) -> io::Result<()> {
     let dir = to
         .parent()
--- a/crates/trace/src/input.rs
+++ b/crates/trace/src/input.rs
@@ -1,4 +1,4 @@
-//! Files as they are, or packed with gzip or zstd, read as a stream.
+//! Streaming input: plain, gzip or zstd files, split into lines or JSON objects.
 
 use std::fs::File;
 use std::io::{self, BufRead, BufReader, Read};
@@ -6,10 +6,10 @@
 
 use crate::fault::{Faults, Row};
 
-/// Bytes of one line or one object at most: longer than any row of the formats.
+/// Maximum size of a line or a JSON object in bytes; no row of the formats is longer.
 pub const MAX_LINE: usize = 4 * 1024 * 1024;
 
-/// Opens a file; what it is packed with shows in its first bytes.
+/// Opens a file and decompresses it if its first bytes are those of gzip or zstd.
 pub fn open(path: &Path) -> io::Result<Box<dyn BufRead>> {
     let mut file = BufReader::new(File::open(path)?);
     let start = file.fill_buf()?;
@@ -21,15 +21,15 @@
     Ok(Box::new(BufReader::new(reader)))
 }
 
-/// One line without its end.
+/// A line without its line ending.
 pub enum Line<'a> {
-    /// Its bytes.
+    /// The bytes of the line.
     Bytes(&'a [u8]),
-    /// It was longer than [`MAX_LINE`], and was passed over.
+    /// The line was longer than [`MAX_LINE`] and was skipped.
     TooLong,
 }
 
-/// Calls `each` with every line and its number, from 1.
+/// Calls `each` with every line and its number, starting at 1.
 pub fn lines(mut input: impl BufRead, mut each: impl FnMut(u64, Line<'_>)) -> io::Result<()> {
     let mut line = Vec::new();
     for number in 1.. {
@@ -52,7 +52,7 @@
     Ok(())
 }
 
-/// Calls `each` with every line that is text, as a row; what is not is a fault.
+/// Calls `each` with every line that is valid UTF-8; any other line is a fault.
 pub fn rows<'f>(
     file: &str,
     input: impl BufRead,
@@ -86,9 +86,10 @@
     }
 }
 
-/// Calls `each` with every object of a JSON array and the line where it
-/// begins, without holding the array. The flag is false for one that the file
-/// cuts short, and the last call's bytes are empty if the array itself is.
+/// Calls `each` with every object of a JSON array and the line where it begins,
+/// without holding the array. The flag is false if the file ends within the
+/// object, or if the single byte passed can't occur between two objects;
+/// reading stops there. An object longer than [`MAX_LINE`] is cut to that length.
 pub fn objects(input: impl BufRead, mut each: impl FnMut(u64, &[u8], bool)) -> io::Result<()> {
     let (mut line, mut began, mut depth, mut text, mut escaped) = (1u64, 1u64, 0u32, false, false);
     let mut object = Vec::new();
--- a/crates/trace/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -1,9 +1,10 @@
 //! Readers of published cluster trace formats, and the workload format that
-//! all of them become.
+//! they are converted to.
 //!
-//! Every reader streams: it holds the tasks in progress, never a whole file. What
-//! is wrong with a row is one [`Fault`] with file, line and field, and nothing
-//! is left out without one. `docs/traces.md` says how each format is read.
+//! Readers stream: they hold the tasks of unfinished jobs and the IDs already seen,
+//! never a whole file. Each problem in a row is reported as a [`Fault`] with file,
+//! line and field; no row is dropped without one. `docs/traces.md` describes how
+//! each format is read.
 
 pub mod csv_rows;
 pub mod fault;
--- a/crates/trace/src/sort.rs
+++ b/crates/trace/src/sort.rs
@@ -1,5 +1,5 @@
-//! Entries put into the order of submission in bounded memory: sorted runs in
-//! temporary files, merged.
+//! External merge sort of entries by submission time: sorted runs are written to
+//! temporary files and merged, so memory use is bounded.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -7,15 +7,15 @@
 
 use crate::workload::{Entry, entries, write_line};
 
-/// Entries of one run: some tens of MB.
+/// Entries per sorted run; a run takes some tens of MB of memory.
 const RUN_ENTRIES: usize = 100_000;
 
-/// Collects entries in any order.
+/// Collects entries in any order and writes them in order of submission.
 #[derive(Default)]
 pub struct Sorter {
     buffered: Vec<Entry>,
     runs: Vec<std::fs::File>,
-    /// Entries taken.
+    /// Number of entries pushed.
     pub count: u64,
 }
 
@@ -24,7 +24,7 @@
 }
 
 impl Sorter {
-    /// Takes an entry.
+    /// Adds an entry; spills a sorted run to a temporary file when the buffer is full.
     pub fn push(&mut self, entry: Entry) -> io::Result<()> {
         self.count += 1;
         self.buffered.push(entry);
@@ -41,7 +41,7 @@
         Ok(())
     }
 
-    /// Writes all of them in order.
+    /// Merges all runs and writes the entries in order of submission.
     pub fn write(mut self, out: &mut impl Write) -> io::Result<()> {
         self.buffered.sort_by_cached_key(sort_key);
         let buffered: Box<dyn Iterator<Item = io::Result<Entry>>> =
--- a/crates/trace/src/task_lifecycle.rs
+++ b/crates/trace/src/task_lifecycle.rs
@@ -1,6 +1,6 @@
-//! The lifecycle of tasks in traces of events: submitted, started, ended. A job's tasks are
-//! kept until none of them is in progress, then become entries, one for each set of tasks
-//! that were submitted together and need the same.
+//! Tracks the lifecycle of tasks in event traces: submitted, started, ended. Once all submitted
+//! tasks of a job have ended, they become entries: one for each group of tasks that were
+//! submitted at the same time with the same request.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -10,33 +10,33 @@
 use crate::fault::{Faults, Row};
 use crate::workload::{Constraint, Entry};
 
-/// What happens to a task.
+/// A lifecycle event of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TaskEvent {
-    /// It waits from now on.
+    /// The task is submitted and pending.
     Submit,
-    /// It runs from now on.
+    /// The task starts to run.
     Start,
-    /// It goes back to waiting: it must be submitted again.
+    /// The task is evicted and no longer runs; it may be submitted again.
     Evict,
-    /// It is over, however it ended.
+    /// The task ended, successfully or not.
     End,
-    /// Its needs change; those of its submission are kept.
+    /// The request of the task changes; the values of its submission are kept.
     Update,
 }
 
-/// What a submission says.
+/// The request of a task, as stated at its submission.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TaskRequest {
-    /// What it takes.
+    /// Requested resources.
     pub need: Resources,
-    /// Priority.
+    /// Priority of the task.
     pub rank: Priority,
-    /// What kind of work.
+    /// Class of the work.
     pub class: String,
-    /// Who.
+    /// User that submitted the task.
     pub team: String,
-    /// Constraints.
+    /// Placement constraints.
     pub constraints: Vec<Constraint>,
 }
 
@@ -55,7 +55,7 @@
     ended: RoaringTreemap,
 }
 
-/// Follows all tasks of a trace. Times are µs.
+/// Tracks all tasks of a trace. Times are in µs.
 #[derive(Default)]
 pub struct TaskTracker {
     jobs: BTreeMap<u64, Job>,
@@ -63,7 +63,8 @@
 }
 
 impl TaskTracker {
-    /// Records an event of a task; a job that is over is handed to `out`.
+    /// Records an event of a task. When the job's last active task ends, the job's entries
+    /// are passed to `out`.
     #[allow(clippy::too_many_arguments)]
     pub fn record(
         &mut self,
@@ -134,7 +135,7 @@
         }
     }
 
-    /// The trace ends: what is under way has no end.
+    /// Ends the trace: reports tasks that have not ended, and emits the tasks that have.
     pub fn finish(self, file: &str, faults: &mut Faults<'_>, out: &mut dyn FnMut(Entry)) {
         for (job_id, job) in self.jobs {
             let mut open: Vec<(u64, u64)> =
@@ -148,6 +149,7 @@
     }
 }
 
+/// Passes the finished tasks of a job to `out`, grouped by submission time and request.
 fn emit(job_id: u64, finished: Vec<(Task, u64)>, file: &str, out: &mut dyn FnMut(Entry)) {
     let mut sets: BTreeMap<(u64, TaskRequest), (u64, Vec<u64>)> = BTreeMap::new();
     for (task, end) in finished {
--- a/crates/trace/src/workload.rs
+++ b/crates/trace/src/workload.rs
@@ -1,5 +1,5 @@
-//! lemonweir's own workload format, version 1: JSON lines, the first a
-//! [`Header`], then one [`Entry`] a job in the order of submission.
+//! lemonweir's own workload format, version 1: JSON lines. The first line is a
+//! [`Header`]; each further line is one [`Entry`], in order of submission.
 
 use std::io::{self, BufRead, Write};
 use std::path::Path;
@@ -11,78 +11,78 @@
 
 /// Name of the format.
 pub const FORMAT: &str = "lemonweir-workload";
-/// Its version; a file of another is refused.
+/// Version of the format; files of any other version are rejected.
 pub const VERSION: u32 = 1;
 
-/// The first line.
+/// The first line of a workload file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Header {
-    /// [`FORMAT`].
+    /// Always [`FORMAT`].
     pub format: String,
-    /// [`VERSION`].
+    /// Always [`VERSION`].
     pub version: u32,
-    /// The format that it was read from.
+    /// Name of the trace format that the workload was imported from.
     pub source: String,
-    /// The stated size of the source's machine, if its units need one.
+    /// Capacity of the machine that relative units of the source refer to, if given.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub machine: Option<Resources>,
 }
 
-/// A job.
+/// A job of the workload.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Time of its submission, ms from the trace's own zero.
+    /// Submission time in ms since the start of the trace.
     pub at_ms: u64,
-    /// Its id in the source.
+    /// ID of the job in the source.
     pub id: String,
-    /// What kind of work it is, if the source says.
+    /// Class of the work, if the source has one.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub class: Option<String>,
-    /// Who submitted it, if the source says.
+    /// User or group that submitted the job, if the source has one.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub team: Option<String>,
-    /// Priority.
+    /// Priority of the job.
     pub rank: Priority,
-    /// Array, gang or service.
+    /// Kind of the job: array, gang or service.
     pub shape: JobKind,
-    /// Tasks.
+    /// Number of tasks.
     pub tasks: u32,
-    /// What a task takes, in thousandths of a processor, an accelerator, a GB.
+    /// Resources of one task, in thousandths of a CPU, a GPU and a GB.
     pub need: Resources,
-    /// Run time of its tasks, ms: one for all, or one for each. Of a service:
-    /// how long until it is withdrawn; empty: to the end.
+    /// Run times of the tasks in ms: one value for all, or one per task. For a
+    /// service, the time until it is cancelled, or empty if it runs to the end.
     pub run_ms: Vec<u64>,
-    /// What its machine must be like, as the source says it.
+    /// Constraints on the machine, as the source states them.
     #[serde(skip_serializing_if = "Vec::is_empty", default)]
     pub constraints: Vec<Constraint>,
-    /// Where it came from: `file:line`.
+    /// Location in the source, as `file:line`.
     pub from: String,
 }
 
-/// A constraint on an attribute of the machine.
+/// A placement constraint on an attribute of the machine.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Constraint {
-    /// The attribute.
+    /// Name of the attribute.
     pub attribute: String,
-    /// `=`, `!=`, `<`, `>`, or `different machine`.
+    /// Operator as the source writes it (such as `=` or `<`), or `different machine`.
     pub op: String,
-    /// What it is compared with.
+    /// Value that the attribute is compared with; may be empty.
     #[serde(skip_serializing_if = "String::is_empty", default)]
     pub value: String,
 }
 
-/// Why a workload could not be read.
+/// An error while reading a workload.
 #[derive(Debug, thiserror::Error)]
 pub enum WorkloadError {
-    /// The file can't be read.
+    /// Reading the file failed.
     #[error("{0}: {1}")]
     Io(String, io::Error),
-    /// It is no workload of this version, or a line is not as it must be.
+    /// The file is not a workload of this version, or a line is invalid.
     #[error("{0}:{1}: {2}")]
     Line(String, u64, String),
 }
 
-/// Reads a workload, calling `each` with every entry.
+/// Reads a workload and calls `each` with every entry.
 pub fn read(path: &Path, mut each: impl FnMut(Entry)) -> Result<Header, WorkloadError> {
     let name = path.display().to_string();
     let io = |e| WorkloadError::Io(name.clone(), e);
@@ -139,13 +139,13 @@
     }
 }
 
-/// Writes a line.
+/// Writes `line` as one line of JSON.
 pub fn write_line<T: Serialize>(out: &mut impl Write, line: &T) -> io::Result<()> {
     serde_json::to_writer(&mut *out, line)?;
     out.write_all(b"\n")
 }
 
-/// Reads entries from lines that this crate wrote itself.
+/// Reads entries that [`write_line`] wrote, without a header and without validation.
 pub(crate) fn entries(input: impl BufRead) -> impl Iterator<Item = io::Result<Entry>> {
     input
         .lines()
--- a/crates/trace/tests/readers.rs
+++ b/crates/trace/tests/readers.rs
@@ -1,5 +1,5 @@
-//! Every format's sample is read whole, and every fault of its faulty sample
-//! is named, in any packing.
+//! Every row of each format's valid samples is imported, and every fault of its faulty
+//! sample is reported. Compressed files read the same as plain ones.
 
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -19,7 +19,7 @@
     Some(Resources::capacity(16.0, 4.0, 64.0))
 }
 
-/// Faults as `line: field`.
+/// Returns the faults of a file as `line: field`.
 fn faults(format: Format, file: &Path) -> Vec<String> {
     let mut lines = Vec::new();
     let mut tell = |f: &Fault| {
@@ -219,7 +219,7 @@
     }
 }
 
-/// Shares of a machine mean nothing without its size.
+/// Units relative to a machine's capacity are a fault unless the capacity is given.
 #[test]
 fn normalized_units_need_a_stated_machine() {
     for (format, name, needs) in [
@@ -282,13 +282,13 @@
     let want = strip(&plain);
     assert_eq!(strip(&gz), want);
     assert_eq!(strip(&zst), want);
-    // A packed file that is cut short can't be read, and says so.
+    // A truncated compressed file is an error.
     std::fs::write(&gz, &std::fs::read(&gz).expect("packed")[..200]).expect("cut");
     assert!(check(Format::Swf, &[gz], None, &mut |_| {}).is_err());
     assert!(check(Format::Swf, &[dir.path().join("none")], None, &mut |_| {}).is_err());
 }
 
-/// What the rows say arrives in our units.
+/// Amounts are converted from the units of each format to thousandths.
 #[test]
 fn units_are_converted() {
     let one = |format, name: &str, id: &str| {
@@ -297,7 +297,7 @@
             .find(|e| e.id == id)
             .unwrap_or_else(|| panic!("{id} of {name}"))
     };
-    // 1,000,000 KB a processor, one processor a task.
+    // 1,000,000 KB per processor, one processor per task.
     let e = one(Format::Swf, "small.swf", "1");
     assert_eq!(
         e.need,
@@ -307,7 +307,7 @@
             memory_mb: 1_000
         }
     );
-    // Shares of 16 processors and 64 GB; 400 is four processors.
+    // Fractions of 16 CPUs and 64 GB; in the Alibaba trace, 400 is four CPUs.
     let e = one(
         Format::Google2011,
         "google-2011/task_events-small.csv",
@@ -387,7 +387,7 @@
     }
 }
 
-/// More entries than are sorted at a time: the runs are merged.
+/// More entries than one sorted run holds: the runs are merged in order.
 #[test]
 fn entries_beyond_one_run_are_put_in_order() {
     const ROWS: u64 = 210_000;
@@ -395,7 +395,7 @@
     let file = dir.path().join("pai_task_table.csv");
     let mut text = String::new();
     for n in 0..ROWS {
-        // Every time once, in no order.
+        // Each time occurs once, out of order.
         let at = n * 7_919 % ROWS;
         text.push_str(&format!(
             "j{n},w,1,Terminated,{at}.0,{}.0,100.0,1.0,,\n",
@@ -423,7 +423,7 @@
     assert_eq!(next, ROWS);
 }
 
-/// The workload that the README replays is what its trace is imported to.
+/// The workload that the README replays is the import of its trace.
 #[test]
 fn the_sample_workload_is_the_sample_traces() {
     let mut kept = Vec::new();
--- a/fuzz/tests/malformed_input.rs
+++ b/fuzz/tests/malformed_input.rs
@@ -1,6 +1,6 @@
-//! Whatever bytes come: a parser answers with a value or a fault, and never ends the
-//! process. Inputs are valid messages and files with bytes changed, inserted and cut off,
-//! since random bytes seldom get past the first check.
+//! Parsers of untrusted input return a value or an error for any bytes and never panic.
+//! Inputs are valid messages and files with bytes changed, inserted and cut off, since
+//! random bytes seldom get past the first check.
 
 use std::path::{Path, PathBuf};
 
@@ -21,7 +21,7 @@
 use lemonweir_simulator::scenario::Scenario;
 use lemonweir_trace::{Fault, Format};
 
-/// Bytes that are changed, bytes that are inserted, and where the input is cut off.
+/// Bytes to change, bytes to insert, and where to cut off the input.
 type Edits = (Vec<(u16, u8)>, Vec<(u16, Vec<u8>)>, Option<u16>);
 
 fn mutated(valid: &[u8], (changes, inserts, cut): &Edits) -> Vec<u8> {
@@ -48,8 +48,8 @@
         .join(name)
 }
 
-/// Checks a mutated sample: every fault has a field and a text, and checking the same
-/// bytes again gives the same.
+/// Checks mutated samples: every fault has a field and a message, and checking the same
+/// bytes again gives the same result.
 fn check_trace(format: Format, sample: &str) {
     let valid = std::fs::read(example("traces").join(sample)).expect("sample");
     let dir = tempfile::tempdir().expect("directory");
@@ -161,7 +161,7 @@
                         && spec.task_resources().milli_cpus < u64::MAX
                 );
             }
-            // What is decoded can be encoded again, and is decoded the same.
+            // A decoded message survives an encoding round trip.
             if let Ok(heartbeat) = decode::<Heartbeat>(&bytes) {
                 let again = decode::<Heartbeat>(&encode(&heartbeat)).expect("what we wrote");
                 assert_eq!(
@@ -283,8 +283,8 @@
     });
 }
 
-/// Gossip and relay requests of other controllers: one message has one encoding, and a
-/// core that takes any gossip goes on judging its own links.
+/// Gossip and relay messages of other controllers have exactly one encoding, and a core
+/// that has handled any gossip still tracks its own links and picks valid relays.
 #[test]
 fn link_messages() {
     let gossip = AvailabilityGossip {
