--- a/crates/trace/src/csv_rows.rs
+++ b/crates/trace/src/csv_rows.rs
@@ -26,7 +26,7 @@
             Err(e) => match e.into_kind() {
                 csv::ErrorKind::Io(e) => return Err(e),
                 other => {
-                    faults.note(
+                    faults.report(
                         file,
                         reader.position().line(),
                         "row",
@@ -52,7 +52,7 @@
                 Err(_) => row.fault(name, "not UTF-8 text"),
             }
         }
-        if row.good {
+        if row.valid {
             each(&mut row, &fields);
         }
     }
--- a/crates/trace/src/fault.rs
+++ b/crates/trace/src/fault.rs
@@ -14,7 +14,7 @@
     /// Name of the faulty field.
     pub field: String,
     /// Description of the fault.
-    pub what: String,
+    pub message: String,
 }
 
 impl fmt::Display for Fault {
@@ -22,7 +22,7 @@
         write!(
             f,
             "{}:{}: {}: {}",
-            self.file, self.line, self.field, self.what
+            self.file, self.line, self.field, self.message
         )
     }
 }
@@ -41,13 +41,13 @@
     }
 
     /// Reports a fault.
-    pub fn note(&mut self, file: &str, line: u64, field: &str, what: impl Into<String>) {
+    pub fn report(&mut self, file: &str, line: u64, field: &str, message: impl Into<String>) {
         self.count += 1;
         (self.on_each)(&Fault {
             file: file.to_owned(),
             line,
             field: field.to_owned(),
-            what: what.into(),
+            message: message.into(),
         });
     }
 }
@@ -61,12 +61,12 @@
     /// Receives the faults of the row.
     pub faults: &'r mut Faults<'f>,
     /// False once a fault has been reported for the row.
-    pub good: bool,
+    pub valid: bool,
 }
 
 /// Limit of amounts and times, above any sensible value in any unit of the formats.
 /// It is 2^53: up to it, `f64` represents every integer exactly.
-const LARGEST_AMOUNT: f64 = 9_007_199_254_740_992.0;
+const MAX_AMOUNT: f64 = 9_007_199_254_740_992.0;
 
 impl<'r, 'f> Row<'r, 'f> {
     /// Creates a row without faults.
@@ -75,14 +75,14 @@
             file,
             line,
             faults,
-            good: true,
+            valid: true,
         }
     }
 
     /// Reports a fault of a field.
-    pub fn fault(&mut self, field: &str, what: impl Into<String>) {
-        self.good = false;
-        self.faults.note(self.file, self.line, field, what);
+    pub fn fault(&mut self, field: &str, message: impl Into<String>) {
+        self.valid = false;
+        self.faults.report(self.file, self.line, field, message);
     }
 
     /// Parses a number of 0 or more; reports a fault and returns 0 for anything else.
@@ -93,7 +93,7 @@
                 self.fault(field, format!("{} is no finite number", shorten(text)));
             }
             Ok(x) if x < 0.0 => self.fault(field, format!("{} is negative", shorten(text))),
-            Ok(x) if x > LARGEST_AMOUNT => {
+            Ok(x) if x > MAX_AMOUNT => {
                 self.fault(field, format!("{} is out of range", shorten(text)));
             }
             Ok(x) => return x,
@@ -102,7 +102,7 @@
     }
 
     /// Parses an integer below 2^64; reports a fault and returns 0 for anything else.
-    pub fn whole(&mut self, field: &str, text: &str) -> u64 {
+    pub fn integer(&mut self, field: &str, text: &str) -> u64 {
         let text = text.trim();
         match text.parse::<u64>() {
             Ok(x) => return x,
@@ -118,7 +118,7 @@
     }
 
     /// Checks a job's number of tasks; reports a fault and returns 0 if it is out of range.
-    pub fn tasks(&mut self, field: &str, count: u64) -> u32 {
+    pub fn task_count(&mut self, field: &str, count: u64) -> u32 {
         match count {
             0 => self.fault(field, "no task at all"),
             n if n > MAX_TASKS => {
@@ -131,11 +131,11 @@
 }
 
 /// Maximum number of characters of an input text that a message shows.
-const SHOWN_CHARACTERS: usize = 40;
+const MAX_SHOWN_CHARACTERS: usize = 40;
 
 /// Shortens an input text for use in a message.
 pub fn shorten(text: &str) -> String {
-    let mut short: String = text.chars().take(SHOWN_CHARACTERS).collect();
+    let mut short: String = text.chars().take(MAX_SHOWN_CHARACTERS).collect();
     if short.len() < text.len() {
         short.push('…');
     }
@@ -144,8 +144,8 @@
 
 /// Describes a JSON error in one record, without its line: each record is parsed on its own, so
 /// the line is not the one in the file.
-pub fn json_fault(e: &serde_json::Error) -> String {
+pub fn describe_json_error(e: &serde_json::Error) -> String {
     let text = e.to_string();
-    let what = text.split(" at line ").next().unwrap_or(&text);
-    format!("not as it must be: {what}, column {}", e.column())
+    let message = text.split(" at line ").next().unwrap_or(&text);
+    format!("not as it must be: {message}, column {}", e.column())
 }
--- a/crates/trace/src/formats/alibaba.rs
+++ b/crates/trace/src/formats/alibaba.rs
@@ -82,38 +82,39 @@
 
 /// Set of names as 64-bit hashes, which takes 16 bytes per name of any length. In
 /// files of 10 million names, fewer than one in 10^5 has a hash collision.
-struct Names(HashSet<u64>, RandomState);
+struct SeenNames(HashSet<u64>, RandomState);
 
-impl Names {
+impl SeenNames {
     fn new() -> Self {
         Self(HashSet::new(), RandomState::new())
     }
 
-    fn first(&mut self, name: &str) -> bool {
+    /// Adds a name; true if it was not in the set.
+    fn insert(&mut self, name: &str) -> bool {
         self.0.insert(self.1.hash_one(name))
     }
 }
 
 /// Parses start and end times in seconds and returns them in ms.
-fn times(row: &mut Row<'_, '_>, start: &str, end: &str) -> (u64, u64) {
-    let mut time = |field: &str, text: &str| {
+fn run_interval(row: &mut Row<'_, '_>, start: &str, end: &str) -> (u64, u64) {
+    let mut seconds = |field: &str, text: &str| {
         if text.trim().is_empty() {
             row.fault(field, "is missing");
             return 0.0;
         }
         row.number(field, text)
     };
-    let (from, to) = (time("start_time", start), time("end_time", end));
-    if row.good && to == 0.0 && from > 0.0 {
+    let (from, to) = (seconds("start_time", start), seconds("end_time", end));
+    if row.valid && to == 0.0 && from > 0.0 {
         row.fault("end_time", "0: it has no end");
-    } else if row.good && to < from {
+    } else if row.valid && to < from {
         row.fault("end_time", format!("{to} is before its start {from}"));
     }
     ((from * 1e3) as u64, (to * 1e3) as u64)
 }
 
 /// Parses an amount that must not be empty.
-fn amount(row: &mut Row<'_, '_>, field: &str, text: &str) -> f64 {
+fn required_amount(row: &mut Row<'_, '_>, field: &str, text: &str) -> f64 {
     if text.trim().is_empty() {
         row.fault(field, "is missing: what it takes is unknown");
         return 0.0;
@@ -121,13 +122,13 @@
     row.number(field, text)
 }
 
-fn count(row: &mut Row<'_, '_>, field: &str, text: &str) -> u32 {
+fn task_count(row: &mut Row<'_, '_>, field: &str, text: &str) -> u32 {
     let n = row.number(field, text);
     if n.fract() != 0.0 {
         row.fault(field, format!("{n} is not a whole number"));
     }
-    if row.good {
-        row.tasks(field, n as u64)
+    if row.valid {
+        row.task_count(field, n as u64)
     } else {
         0
     }
@@ -141,7 +142,7 @@
     faults: &mut Faults<'_>,
     out: &mut dyn FnMut(Entry),
 ) -> io::Result<()> {
-    let mut names = Names::new();
+    let mut seen = SeenNames::new();
     match table(
         file,
         &[
@@ -152,38 +153,47 @@
         ],
     ) {
         Some("batch_task") => rows(file, input, &BATCH_TASK, faults, |row, f| {
-            let tasks = count(row, "instance_num", f[1]);
-            let (from, to) = times(row, f[5], f[6]);
-            let cpus = amount(row, "plan_cpu", f[7]) / 100.0;
-            let memory = percent(row, "plan_mem", f[8], machine);
+            let tasks = task_count(row, "instance_num", f[1]);
+            let (start_ms, end_ms) = run_interval(row, f[5], f[6]);
+            let cpus = required_amount(row, "plan_cpu", f[7]) / 100.0;
+            let memory = memory_percentage(row, "plan_mem", f[8], machine);
             let id = format!("{}/{}", f[2], f[0]);
-            if !names.first(&id) {
+            if !seen.insert(&id) {
                 row.fault("task_name", format!("{id} is there twice"));
             }
-            if row.good {
+            if row.valid {
                 let need = Resources {
                     memory_mb: memory,
                     ..Resources::request(cpus, 0.0, 0.0)
                 };
-                out(batch(row, id, f[3], from, to, tasks, need, JobKind::Array));
+                out(new_entry(
+                    row,
+                    id,
+                    f[3],
+                    start_ms,
+                    end_ms,
+                    tasks,
+                    need,
+                    JobKind::Array,
+                ));
             }
         }),
         Some("batch_instance") => rows(file, input, &BATCH_INSTANCE, faults, |row, f| {
-            times(row, f[5], f[6]);
-            row.whole("seq_no", f[8]);
-            row.whole("total_seq_no", f[9]);
+            run_interval(row, f[5], f[6]);
+            row.integer("seq_no", f[8]);
+            row.integer("total_seq_no", f[9]);
         }),
         Some("container_meta") => rows(file, input, &CONTAINER_META, faults, |row, f| {
             let at = row.number("time_stamp", f[2]);
-            let cpus = amount(row, "cpu_request", f[5]) / 100.0;
-            let memory = percent(row, "mem_size", f[7], machine);
+            let cpus = required_amount(row, "cpu_request", f[5]) / 100.0;
+            let memory = memory_percentage(row, "mem_size", f[7], machine);
             // A container has one row per status sample; the first one gives its start.
-            if row.good && names.first(f[0]) {
+            if row.valid && seen.insert(f[0]) {
                 let need = Resources {
                     memory_mb: memory,
                     ..Resources::request(cpus, 0.0, 0.0)
                 };
-                let entry = batch(
+                let entry = new_entry(
                     row,
                     f[0].to_owned(),
                     "container",
@@ -203,20 +213,20 @@
         }),
         Some(_) => rows(file, input, &MACHINE_META, faults, |row, f| {
             row.number("time_stamp", f[1]);
-            amount(row, "cpu_num", f[4]);
-            amount(row, "mem_size", f[5]);
+            required_amount(row, "cpu_num", f[4]);
+            required_amount(row, "mem_size", f[5]);
         }),
         None => {
-            let what = "its name must hold batch_task, batch_instance, container_meta or machine_meta, as published";
-            faults.note(file, 0, "file", what);
+            let message = "its name must hold batch_task, batch_instance, container_meta or machine_meta, as published";
+            faults.report(file, 0, "file", message);
             Ok(())
         }
     }
 }
 
 /// Converts a percentage of the machine's memory to MB.
-fn percent(row: &mut Row<'_, '_>, field: &str, text: &str, machine: Resources) -> u64 {
-    let x = amount(row, field, text);
+fn memory_percentage(row: &mut Row<'_, '_>, field: &str, text: &str, machine: Resources) -> u64 {
+    let x = required_amount(row, field, text);
     if x > 100.0 {
         row.fault(field, format!("{x} is over 100 %"));
     }
@@ -224,18 +234,18 @@
 }
 
 #[allow(clippy::too_many_arguments)]
-fn batch(
+fn new_entry(
     row: &Row<'_, '_>,
     id: String,
     class: &str,
-    from: u64,
-    to: u64,
+    start_ms: u64,
+    end_ms: u64,
     tasks: u32,
     need: Resources,
     shape: JobKind,
 ) -> Entry {
     Entry {
-        at_ms: from,
+        at_ms: start_ms,
         id,
         class: Some(format!("type-{class}")),
         team: None,
@@ -243,7 +253,7 @@
         shape,
         tasks,
         need,
-        run_ms: vec![to.saturating_sub(from)],
+        run_ms: vec![end_ms.saturating_sub(start_ms)],
         constraints: Vec::new(),
         from: format!("{}:{}", row.file, row.line),
     }
@@ -258,13 +268,13 @@
     faults: &mut Faults<'_>,
     out: &mut dyn FnMut(Entry),
 ) -> io::Result<()> {
-    let mut names = Names::new();
+    let mut seen = SeenNames::new();
     match table(file, &["pai_task_table", "pai_job_table"]) {
         Some("pai_task_table") => rows(file, input, &PAI_TASK, faults, |row, f| {
-            let tasks = count(row, "inst_num", f[2]);
-            let (from, to) = times(row, f[4], f[5]);
-            let cpus = amount(row, "plan_cpu", f[6]) / 100.0;
-            let memory = amount(row, "plan_mem", f[7]);
+            let tasks = task_count(row, "inst_num", f[2]);
+            let (start_ms, end_ms) = run_interval(row, f[4], f[5]);
+            let cpus = required_amount(row, "plan_cpu", f[6]) / 100.0;
+            let memory = required_amount(row, "plan_mem", f[7]);
             // The field is empty for tasks without GPUs.
             let gpus = if f[8].trim().is_empty() {
                 0.0
@@ -275,21 +285,21 @@
                 row.fault("gpu_type", "is missing, but accelerators are asked for");
             }
             let id = format!("{}/{}", f[0], f[1]);
-            if !names.first(&id) {
+            if !seen.insert(&id) {
                 row.fault("task_name", format!("{id} is there twice"));
             }
-            if row.good {
+            if row.valid {
                 let shape = if tasks > 1 {
                     JobKind::Gang
                 } else {
                     JobKind::Array
                 };
-                out(batch(
+                out(new_entry(
                     row,
                     id,
                     f[1],
-                    from,
-                    to,
+                    start_ms,
+                    end_ms,
                     tasks,
                     Resources::request(cpus, gpus, memory),
                     shape,
@@ -297,13 +307,13 @@
             }
         }),
         Some(_) => rows(file, input, &PAI_JOB, faults, |row, f| {
-            times(row, f[4], f[5]);
-            if !names.first(f[0]) {
+            run_interval(row, f[4], f[5]);
+            if !seen.insert(f[0]) {
                 row.fault("job_name", format!("{} is there twice", f[0]));
             }
         }),
         None => {
-            faults.note(
+            faults.report(
                 file,
                 0,
                 "file",
--- a/crates/trace/src/formats/google.rs
+++ b/crates/trace/src/formats/google.rs
@@ -7,9 +7,9 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-use super::{priority_class, share, table};
+use super::{fraction_of, priority_class, table};
 use crate::csv_rows::rows;
-use crate::fault::{Faults, Row, json_fault, shorten};
+use crate::fault::{Faults, Row, describe_json_error, shorten};
 use crate::input;
 use crate::task_lifecycle::{TaskEvent, TaskRequest, TaskTracker};
 use crate::workload::{Constraint, Entry};
@@ -57,23 +57,23 @@
     match table(file, &["task_events", "machine_events", "task_constraints"]) {
         Some("task_events") => task_events(file, input, machine, faults, out),
         Some("machine_events") => rows(file, input, &MACHINE_EVENTS, faults, |row, f| {
-            row.whole("time", f[0]);
-            row.whole("machine id", f[1]);
-            one_of(row, "event type", f[2], 2);
+            row.integer("time", f[0]);
+            row.integer("machine id", f[1]);
+            integer_up_to(row, "event type", f[2], 2);
             for (name, text) in [("cpus", f[4]), ("memory", f[5])] {
                 if !text.is_empty() {
-                    part(row, name, text);
+                    machine_fraction(row, name, text);
                 }
             }
         }),
         Some(_) => rows(file, input, &TASK_CONSTRAINTS, faults, |row, f| {
-            row.whole("time", f[0]);
-            row.whole("job id", f[1]);
-            row.whole("task index", f[2]);
-            one_of(row, "comparison operator", f[3], 3);
+            row.integer("time", f[0]);
+            row.integer("job id", f[1]);
+            row.integer("task index", f[2]);
+            integer_up_to(row, "comparison operator", f[3], 3);
         }),
         None => {
-            faults.note(
+            faults.report(
                 file,
                 0,
                 "file",
@@ -84,16 +84,16 @@
     }
 }
 
-fn one_of(row: &mut Row<'_, '_>, field: &str, text: &str, most: u64) -> u64 {
-    let x = row.whole(field, text);
-    if x > most {
-        row.fault(field, format!("{x} is none of 0 to {most}"));
+fn integer_up_to(row: &mut Row<'_, '_>, field: &str, text: &str, max: u64) -> u64 {
+    let x = row.integer(field, text);
+    if x > max {
+        row.fault(field, format!("{x} is none of 0 to {max}"));
     }
     x
 }
 
 /// Parses a fraction of the largest machine, 0 to 1.
-fn part(row: &mut Row<'_, '_>, field: &str, text: &str) -> f64 {
+fn machine_fraction(row: &mut Row<'_, '_>, field: &str, text: &str) -> f64 {
     if text.trim().is_empty() {
         row.fault(field, "is missing");
         return 0.0;
@@ -120,35 +120,35 @@
 ) -> io::Result<()> {
     let mut tracker = TaskTracker::default();
     rows(file, input, &TASK_EVENTS, faults, |row, f| {
-        let at = row.whole("time", f[0]);
-        let task = (row.whole("job id", f[2]), row.whole("task index", f[3]));
-        let event = match one_of(row, "event type", f[5], 8) {
+        let at = row.integer("time", f[0]);
+        let task = (row.integer("job id", f[2]), row.integer("task index", f[3]));
+        let event = match integer_up_to(row, "event type", f[5], 8) {
             0 => TaskEvent::Submit,
             1 => TaskEvent::Start,
             2 => TaskEvent::Evict,
             3..=6 => TaskEvent::End,
             _ => TaskEvent::Update,
         };
-        let class = one_of(row, "scheduling class", f[7], 3);
-        let priority = one_of(row, "priority", f[8], 11);
-        let asks = event == TaskEvent::Submit;
-        let (cpus, memory) = if asks {
+        let class = integer_up_to(row, "scheduling class", f[7], 3);
+        let priority = integer_up_to(row, "priority", f[8], 11);
+        let is_submission = event == TaskEvent::Submit;
+        let (cpus, memory) = if is_submission {
             (
-                part(row, "cpu request", f[9]),
-                part(row, "memory request", f[10]),
+                machine_fraction(row, "cpu request", f[9]),
+                machine_fraction(row, "memory request", f[10]),
             )
         } else {
             (0.0, 0.0)
         };
-        let different = Constraint {
+        let different_machine = Constraint {
             attribute: "machine".into(),
             op: "different machine".into(),
             value: String::new(),
         };
         let request = TaskRequest {
-            need: share(machine, cpus, memory),
+            resources: fraction_of(machine, cpus, memory),
             // 9 and above are production and monitoring; 0 and 1 are the free tier.
-            rank: priority_class(priority, 9, 4, 2),
+            priority: priority_class(priority, 9, 4, 2),
             class: format!("class-{class}"),
             team: if f[6].is_empty() {
                 "unknown".into()
@@ -156,12 +156,12 @@
                 shorten(f[6])
             },
             constraints: if f[12].trim() == "1" {
-                vec![different]
+                vec![different_machine]
             } else {
                 Vec::new()
             },
         };
-        if row.good {
+        if row.valid {
             tracker.record(row, task, at, event, request, file, out);
         }
     })?;
@@ -188,7 +188,7 @@
 }
 
 /// Event types of the 2019 trace, indexed by their numeric codes.
-const TYPES: [(&str, TaskEvent); 11] = [
+const EVENT_TYPES: [(&str, TaskEvent); 11] = [
     ("SUBMIT", TaskEvent::Submit),
     ("QUEUE", TaskEvent::Update),
     ("ENABLE", TaskEvent::Update),
@@ -202,7 +202,7 @@
     ("UPDATE_RUNNING", TaskEvent::Update),
 ];
 
-fn text(value: Option<&Value>) -> Option<String> {
+fn scalar_text(value: Option<&Value>) -> Option<String> {
     match value? {
         Value::String(s) => Some(s.clone()),
         Value::Number(n) => Some(n.to_string()),
@@ -210,9 +210,9 @@
     }
 }
 
-fn whole(row: &mut Row<'_, '_>, field: &str, value: Option<&Value>) -> u64 {
-    match text(value) {
-        Some(text) => row.whole(field, &text),
+fn json_integer(row: &mut Row<'_, '_>, field: &str, value: Option<&Value>) -> u64 {
+    match scalar_text(value) {
+        Some(text) => row.integer(field, &text),
         None => {
             row.fault(field, "is missing or no number");
             0
@@ -228,10 +228,10 @@
     faults: &mut Faults<'_>,
     out: &mut dyn FnMut(Entry),
 ) -> io::Result<()> {
-    let instances = match table(file, &["instance_events", "collection_events"]) {
+    let is_instance_table = match table(file, &["instance_events", "collection_events"]) {
         Some(name) => name == "instance_events",
         None => {
-            faults.note(
+            faults.report(
                 file,
                 0,
                 "file",
@@ -247,64 +247,75 @@
         faults,
         |row, text| match serde_json::from_str::<EventLine>(text) {
             _ if text.bytes().all(|b| b.is_ascii_whitespace()) => {}
-            Ok(event) => event_2019(row, &event, instances, machine, &mut tracker, file, out),
-            Err(e) => row.fault("row", json_fault(&e)),
+            Ok(event) => record_event_2019(
+                row,
+                &event,
+                is_instance_table,
+                machine,
+                &mut tracker,
+                file,
+                out,
+            ),
+            Err(e) => row.fault("row", describe_json_error(&e)),
         },
     )?;
     tracker.finish(file, faults, out);
     Ok(())
 }
 
-fn event_2019(
+fn record_event_2019(
     row: &mut Row<'_, '_>,
     e: &EventLine,
-    instances: bool,
+    is_instance_table: bool,
     machine: Resources,
     tracker: &mut TaskTracker,
     file: &str,
     out: &mut dyn FnMut(Entry),
 ) {
-    let at = whole(row, "time", e.time.as_ref());
-    let id = whole(row, "collection_id", e.collection_id.as_ref());
-    let kind = text(e.kind.as_ref()).unwrap_or_default();
-    let by_number = kind.parse::<usize>().ok().and_then(|n| TYPES.get(n));
-    let Some((_, event)) = by_number.or_else(|| TYPES.iter().find(|(name, _)| *name == kind))
+    let at = json_integer(row, "time", e.time.as_ref());
+    let id = json_integer(row, "collection_id", e.collection_id.as_ref());
+    let kind = scalar_text(e.kind.as_ref()).unwrap_or_default();
+    let by_number = kind.parse::<usize>().ok().and_then(|n| EVENT_TYPES.get(n));
+    let Some((_, event)) = by_number.or_else(|| EVENT_TYPES.iter().find(|(name, _)| *name == kind))
     else {
         return row.fault("type", format!("{:?} is no type of event", shorten(&kind)));
     };
-    if !instances {
+    if !is_instance_table {
         return;
     }
-    let index = whole(row, "instance_index", e.instance_index.as_ref());
-    let class = whole(row, "scheduling_class", e.scheduling_class.as_ref());
-    let priority = whole(row, "priority", e.priority.as_ref());
-    let mut request = |name: &str| {
-        let value = e.resource_request.as_ref().and_then(|r| text(r.get(name)));
-        part(
+    let index = json_integer(row, "instance_index", e.instance_index.as_ref());
+    let class = json_integer(row, "scheduling_class", e.scheduling_class.as_ref());
+    let priority = json_integer(row, "priority", e.priority.as_ref());
+    let mut requested = |name: &str| {
+        let value = e
+            .resource_request
+            .as_ref()
+            .and_then(|r| scalar_text(r.get(name)));
+        machine_fraction(
             row,
             &format!("resource_request.{name}"),
             &value.unwrap_or_default(),
         )
     };
     let (cpus, memory) = if *event == TaskEvent::Submit {
-        (request("cpus"), request("memory"))
+        (requested("cpus"), requested("memory"))
     } else {
         (0.0, 0.0)
     };
-    let constraint = |c: &BTreeMap<String, Value>| Constraint {
-        attribute: text(c.get("name")).unwrap_or_default(),
-        op: text(c.get("relation")).unwrap_or_default(),
-        value: text(c.get("value")).unwrap_or_default(),
+    let parse_constraint = |c: &BTreeMap<String, Value>| Constraint {
+        attribute: scalar_text(c.get("name")).unwrap_or_default(),
+        op: scalar_text(c.get("relation")).unwrap_or_default(),
+        value: scalar_text(c.get("value")).unwrap_or_default(),
     };
     let request = TaskRequest {
-        need: share(machine, cpus, memory),
+        resources: fraction_of(machine, cpus, memory),
         // 360 and above are monitoring, 120 and above production, below 100 the free tier.
-        rank: priority_class(priority, 120, 116, 100),
+        priority: priority_class(priority, 120, 116, 100),
         class: format!("class-{class}"),
         team: e.user.as_deref().map_or_else(|| "unknown".into(), shorten),
-        constraints: e.constraint.iter().map(constraint).collect(),
+        constraints: e.constraint.iter().map(parse_constraint).collect(),
     };
-    if row.good {
+    if row.valid {
         tracker.record(row, (id, index), at, *event, request, file, out);
     }
 }
--- a/crates/trace/src/formats/mod.rs
+++ b/crates/trace/src/formats/mod.rs
@@ -40,12 +40,12 @@
 }
 
 /// Converts fractions of a machine to absolute resources, rounded up.
-fn share(machine: Resources, cpus: f64, memory: f64) -> Resources {
-    let of = |whole: u64, fraction: f64| (whole as f64 * fraction).ceil() as u64;
+fn fraction_of(machine: Resources, cpus: f64, memory: f64) -> Resources {
+    let scale = |total: u64, fraction: f64| (total as f64 * fraction).ceil() as u64;
     Resources {
-        milli_cpus: of(machine.milli_cpus, cpus),
+        milli_cpus: scale(machine.milli_cpus, cpus),
         milli_gpus: 0,
-        memory_mb: of(machine.memory_mb, memory),
+        memory_mb: scale(machine.memory_mb, memory),
     }
 }
 
--- a/crates/trace/src/formats/philly.rs
+++ b/crates/trace/src/formats/philly.rs
@@ -10,7 +10,7 @@
 use lemonweir_model::{JobKind, Priority, Resources};
 use serde::Deserialize;
 
-use crate::fault::{Faults, Row, json_fault, shorten};
+use crate::fault::{Faults, Row, describe_json_error, shorten};
 use crate::input;
 use crate::workload::Entry;
 
@@ -38,7 +38,7 @@
 }
 
 /// Parses a date and time without a time zone, taken as UTC, to ms since the Unix epoch.
-fn time(row: &mut Row<'_, '_>, field: &str, text: Option<&str>) -> Option<i64> {
+fn parse_time(row: &mut Row<'_, '_>, field: &str, text: Option<&str>) -> Option<i64> {
     let Some(text) = text.filter(|t| !t.is_empty() && *t != "None") else {
         row.fault(field, "is missing");
         return None;
@@ -59,72 +59,72 @@
     faults: &mut Faults<'_>,
     out: &mut dyn FnMut(Entry),
 ) -> io::Result<()> {
-    let mut seen = HashSet::new();
-    let mut first: Option<i64> = None;
-    input::objects(input, |line, bytes, whole| {
+    let mut seen_ids = HashSet::new();
+    let mut origin_ms: Option<i64> = None;
+    input::objects(input, |line, bytes, complete| {
         let mut row = Row::new(file, line, faults);
-        if !whole {
+        if !complete {
             return row.fault("row", "cut short, or not a list of jobs");
         }
         if std::str::from_utf8(bytes).is_err() {
             return row.fault("row", "not UTF-8 text");
         }
         match serde_json::from_slice::<Job>(bytes) {
-            Ok(job) => take(&mut row, job, &mut seen, &mut first, out),
-            Err(e) => row.fault("row", json_fault(&e)),
+            Ok(job) => read_job(&mut row, job, &mut seen_ids, &mut origin_ms, out),
+            Err(e) => row.fault("row", describe_json_error(&e)),
         }
     })
 }
 
-fn take(
+fn read_job(
     row: &mut Row<'_, '_>,
     job: Job,
-    seen: &mut HashSet<String>,
-    first: &mut Option<i64>,
+    seen_ids: &mut HashSet<String>,
+    origin_ms: &mut Option<i64>,
     out: &mut dyn FnMut(Entry),
 ) {
-    if !seen.insert(job.jobid.clone()) {
+    if !seen_ids.insert(job.jobid.clone()) {
         row.fault("jobid", format!("{} is there twice", shorten(&job.jobid)));
     }
-    let submitted = time(row, "submitted_time", job.submitted_time.as_deref());
+    let submitted = parse_time(row, "submitted_time", job.submitted_time.as_deref());
     let Some(last) = job.attempts.last() else {
         return row.fault("attempts", "there is none: the job never ran");
     };
-    let (mut run_ms, mut before) = (0, submitted);
+    let (mut run_ms, mut previous_end) = (0, submitted);
     for attempt in &job.attempts {
-        let from = time(row, "attempts.start_time", attempt.start_time.as_deref());
-        let to = time(row, "attempts.end_time", attempt.end_time.as_deref());
-        if from.is_some_and(|f| before.is_some_and(|b| f < b)) {
+        let start = parse_time(row, "attempts.start_time", attempt.start_time.as_deref());
+        let end = parse_time(row, "attempts.end_time", attempt.end_time.as_deref());
+        if start.is_some_and(|s| previous_end.is_some_and(|p| s < p)) {
             row.fault(
                 "attempts.start_time",
                 "it starts before what went before it: time goes back",
             );
         }
-        match (from, to) {
-            (Some(from), Some(to)) if to < from => {
+        match (start, end) {
+            (Some(start), Some(end)) if end < start => {
                 row.fault("attempts.end_time", "it ends before its start");
             }
-            (Some(from), Some(to)) => run_ms = (to - from) as u64,
+            (Some(start), Some(end)) => run_ms = (end - start) as u64,
             _ => {}
         }
-        before = to;
+        previous_end = end;
     }
     // One task per machine of the last attempt. The tasks of a job have equal
     // requests, so where machines differ all tasks get the largest number of GPUs.
     let gpus = last.detail.iter().map(|m| m.gpus.len()).max().unwrap_or(0);
-    let tasks = row.tasks("attempts.detail", last.detail.len() as u64);
-    let Some(at) = submitted.filter(|_| row.good) else {
+    let tasks = row.task_count("attempts.detail", last.detail.len() as u64);
+    let Some(at) = submitted.filter(|_| row.valid) else {
         return;
     };
-    let zero = *first.get_or_insert(at);
-    if at < zero {
+    let origin = *origin_ms.get_or_insert(at);
+    if at < origin {
         return row.fault(
             "submitted_time",
             "it is before the first job's: time goes back",
         );
     }
     out(Entry {
-        at_ms: (at - zero) as u64,
+        at_ms: (at - origin) as u64,
         id: job.jobid,
         class: Some("train".into()),
         team: job.vc,
--- a/crates/trace/src/formats/swf.rs
+++ b/crates/trace/src/formats/swf.rs
@@ -38,18 +38,18 @@
     faults: &mut Faults<'_>,
     out: &mut dyn FnMut(Entry),
 ) -> io::Result<()> {
-    let mut seen = RoaringTreemap::new();
-    let mut last = 0;
+    let mut seen_ids = RoaringTreemap::new();
+    let mut last_ms = 0;
     input::rows(file, input, faults, |row, text| {
         let text = text.trim();
         if !text.is_empty() && !text.starts_with(';') {
-            job(row, text, &mut seen, &mut last, out);
+            read_job(row, text, &mut seen_ids, &mut last_ms, out);
         }
     })
 }
 
 /// Parses field `i`; `None` if its value is unknown.
-fn known(row: &mut Row<'_, '_>, fields: &[&str], i: usize) -> Option<f64> {
+fn optional_number(row: &mut Row<'_, '_>, fields: &[&str], i: usize) -> Option<f64> {
     if fields[i] == "-1" {
         None
     } else {
@@ -57,11 +57,11 @@
     }
 }
 
-fn job(
+fn read_job(
     row: &mut Row<'_, '_>,
     text: &str,
-    seen: &mut RoaringTreemap,
-    last: &mut u64,
+    seen_ids: &mut RoaringTreemap,
+    last_ms: &mut u64,
     out: &mut dyn FnMut(Entry),
 ) {
     let fields: Vec<&str> = text.split_ascii_whitespace().collect();
@@ -71,23 +71,27 @@
             format!("{} fields, must be {}", fields.len(), FIELDS.len()),
         );
     }
-    let id = row.whole(FIELDS[0], fields[0]);
-    if row.good && !seen.insert(id) {
+    let id = row.integer(FIELDS[0], fields[0]);
+    if row.valid && !seen_ids.insert(id) {
         row.fault(FIELDS[0], format!("{id} is there twice"));
     }
     let at_ms = (row.number(FIELDS[1], fields[1]) * 1e3) as u64;
-    if at_ms < *last {
+    if at_ms < *last_ms {
         row.fault(
             FIELDS[1],
-            format!("{} after {}: time goes back", at_ms / 1_000, *last / 1_000),
+            format!(
+                "{} after {}: time goes back",
+                at_ms / 1_000,
+                *last_ms / 1_000
+            ),
         );
     }
-    *last = (*last).max(at_ms);
-    let run = known(row, &fields, 3);
-    if run.is_none() {
+    *last_ms = (*last_ms).max(at_ms);
+    let run_s = optional_number(row, &fields, 3);
+    if run_s.is_none() {
         row.fault(FIELDS[3], "unknown: the job has no end");
     }
-    let requested = known(row, &fields, 7).or_else(|| known(row, &fields, 4));
+    let requested = optional_number(row, &fields, 7).or_else(|| optional_number(row, &fields, 4));
     let tasks = match requested {
         None => {
             row.fault(FIELDS[7], "unknown, as is how many were allocated");
@@ -97,25 +101,26 @@
             row.fault(FIELDS[7], format!("{n} is not a whole number"));
             0
         }
-        Some(n) => row.tasks(FIELDS[7], n as u64),
+        Some(n) => row.task_count(FIELDS[7], n as u64),
     };
     // In KB per processor.
-    let memory_kb = known(row, &fields, 9)
-        .or_else(|| known(row, &fields, 6))
+    let memory_kb = optional_number(row, &fields, 9)
+        .or_else(|| optional_number(row, &fields, 6))
         .unwrap_or(0.0);
     // The remaining fields are unused, but must be valid numbers.
     for i in [2, 5, 8, 10, 11, 12, 13, 14, 15, 16, 17] {
-        known(row, &fields, i);
+        optional_number(row, &fields, i);
     }
-    if !row.good {
+    if !row.valid {
         return;
     }
-    let name = |what: &str, i: usize| (fields[i] != "-1").then(|| format!("{what}-{}", fields[i]));
+    let label =
+        |prefix: &str, i: usize| (fields[i] != "-1").then(|| format!("{prefix}-{}", fields[i]));
     out(Entry {
         at_ms,
         id: id.to_string(),
-        class: name("queue", 14),
-        team: name("group", 12).or(name("user", 11)),
+        class: label("queue", 14),
+        team: label("group", 12).or(label("user", 11)),
         rank: Priority::Normal,
         shape: if tasks > 1 {
             JobKind::Gang
@@ -124,7 +129,7 @@
         },
         tasks,
         need: Resources::request(1.0, 0.0, memory_kb / 1e6),
-        run_ms: vec![(run.unwrap_or(0.0) * 1e3) as u64],
+        run_ms: vec![(run_s.unwrap_or(0.0) * 1e3) as u64],
         constraints: Vec::new(),
         from: format!("{}:{}", row.file, row.line),
     });
--- a/crates/trace/src/import.rs
+++ b/crates/trace/src/import.rs
@@ -12,7 +12,7 @@
 use crate::workload::{Entry, FORMAT, Header, VERSION, write_line};
 
 /// Capacity of the machine that relative units of a trace refer to.
-pub type Machine = Resources;
+pub type MachineCapacity = Resources;
 
 /// What an import does when rows are faulty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -40,7 +40,7 @@
 fn read_files(
     format: Format,
     files: &[PathBuf],
-    machine: Option<Machine>,
+    machine: Option<MachineCapacity>,
     faults: &mut Faults<'_>,
     out: &mut dyn FnMut(Entry),
 ) -> Result<(), ImportError> {
@@ -48,15 +48,15 @@
         .first()
         .map(|f| f.display().to_string())
         .unwrap_or_default();
-    let size = match (machine, format.relative_units()) {
-        (Some(size), _) => size,
+    let capacity = match (machine, format.relative_units()) {
+        (Some(capacity), _) => capacity,
         (None, None) => Resources::default(),
-        (None, Some(why)) => {
-            faults.note(
+        (None, Some(units)) => {
+            faults.report(
                 &first,
                 0,
                 "unit",
-                format!("{why}: state the machine's size with --machine"),
+                format!("{units}: state the machine's size with --machine"),
             );
             // Any capacity will do to check the remaining fields.
             Resources::capacity(1.0, 1.0, 1.0)
@@ -65,7 +65,7 @@
     for path in files {
         let name = path.display().to_string();
         let read = crate::input::open(path)
-            .and_then(|input| formats::read(format, &name, input, size, faults, out));
+            .and_then(|input| formats::read(format, &name, input, capacity, faults, out));
         read.map_err(|e| ImportError(name, e))?;
     }
     Ok(())
@@ -78,7 +78,7 @@
 pub fn check(
     format: Format,
     files: &[PathBuf],
-    machine: Option<Machine>,
+    machine: Option<MachineCapacity>,
     on_each_fault: &mut dyn FnMut(&Fault),
 ) -> Result<Imported, ImportError> {
     let mut faults = Faults::new(on_each_fault);
@@ -98,17 +98,17 @@
 pub fn import(
     format: Format,
     files: &[PathBuf],
-    machine: Option<Machine>,
+    machine: Option<MachineCapacity>,
     on_fault: OnFault,
     to: &Path,
     on_each_fault: &mut dyn FnMut(&Fault),
 ) -> Result<Imported, ImportError> {
     let mut faults = Faults::new(on_each_fault);
     let mut sorter = Sorter::default();
-    let mut failed: Option<io::Error> = None;
+    let mut sort_error: Option<io::Error> = None;
     read_files(format, files, machine, &mut faults, &mut |entry| {
-        if failed.is_none() {
-            failed = sorter.push(entry).err();
+        if sort_error.is_none() {
+            sort_error = sorter.push(entry).err();
         }
     })?;
     let result = Imported {
@@ -124,7 +124,7 @@
         source: format.name().into(),
         machine,
     };
-    let written = match failed {
+    let written = match sort_error {
         Some(error) => Err(error),
         None => write_workload(to, &header, sorter),
     };
--- a/crates/trace/src/input.rs
+++ b/crates/trace/src/input.rs
@@ -91,13 +91,14 @@
 /// object, or if the single byte passed can't occur between two objects;
 /// reading stops there. An object longer than [`MAX_LINE`] is cut to that length.
 pub fn objects(input: impl BufRead, mut each: impl FnMut(u64, &[u8], bool)) -> io::Result<()> {
-    let (mut line, mut began, mut depth, mut text, mut escaped) = (1u64, 1u64, 0u32, false, false);
+    let (mut line, mut start_line, mut depth, mut in_string, mut escaped) =
+        (1u64, 1u64, 0u32, false, false);
     let mut object = Vec::new();
     for byte in input.bytes() {
         let byte = byte?;
         line += u64::from(byte == b'\n');
         if depth == 0 && byte == b'{' {
-            began = line;
+            start_line = line;
             object.clear();
         }
         if depth > 0 || byte == b'{' {
@@ -106,13 +107,13 @@
             }
             match byte {
                 _ if escaped => escaped = false,
-                b'\\' if text => escaped = true,
-                b'"' => text = !text,
-                b'{' if !text => depth += 1,
-                b'}' if !text => {
+                b'\\' if in_string => escaped = true,
+                b'"' => in_string = !in_string,
+                b'{' if !in_string => depth += 1,
+                b'}' if !in_string => {
                     depth -= 1;
                     if depth == 0 {
-                        each(began, &object, true);
+                        each(start_line, &object, true);
                     }
                 }
                 _ => {}
@@ -123,7 +124,7 @@
         }
     }
     if depth > 0 {
-        each(began, &object, false);
+        each(start_line, &object, false);
     }
     Ok(())
 }
--- a/crates/trace/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -18,4 +18,4 @@
 
 pub use fault::{Fault, Faults};
 pub use format::Format;
-pub use import::{Imported, Machine, OnFault, check, import};
+pub use import::{Imported, MachineCapacity, OnFault, check, import};
--- a/crates/trace/src/task_lifecycle.rs
+++ b/crates/trace/src/task_lifecycle.rs
@@ -29,9 +29,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TaskRequest {
     /// Requested resources.
-    pub need: Resources,
+    pub resources: Resources,
     /// Priority of the task.
-    pub rank: Priority,
+    pub priority: Priority,
     /// Class of the work.
     pub class: String,
     /// User that submitted the task.
@@ -42,9 +42,9 @@
 
 struct Task {
     request: TaskRequest,
-    submitted: u64,
+    submitted_us: u64,
     line: u64,
-    started: Option<u64>,
+    started_us: Option<u64>,
     evicted: bool,
 }
 
@@ -59,7 +59,7 @@
 #[derive(Default)]
 pub struct TaskTracker {
     jobs: BTreeMap<u64, Job>,
-    last: u64,
+    last_us: u64,
 }
 
 impl TaskTracker {
@@ -76,14 +76,17 @@
         file: &str,
         out: &mut dyn FnMut(Entry),
     ) {
-        if at < self.last {
-            return row.fault("time", format!("{at} after {}: time goes back", self.last));
+        if at < self.last_us {
+            return row.fault(
+                "time",
+                format!("{at} after {}: time goes back", self.last_us),
+            );
         }
-        self.last = at;
+        self.last_us = at;
         let job = self.jobs.entry(job_id).or_default();
         let known_task = job.live.get_mut(&index);
         match (event, known_task) {
-            (TaskEvent::Submit, Some(t)) if t.evicted => (t.evicted, t.started) = (false, None),
+            (TaskEvent::Submit, Some(t)) if t.evicted => (t.evicted, t.started_us) = (false, None),
             (TaskEvent::Submit, Some(t)) => {
                 row.fault(
                     "task",
@@ -102,22 +105,22 @@
             (TaskEvent::Submit, None) => {
                 let task = Task {
                     request,
-                    submitted: at,
+                    submitted_us: at,
                     line: row.line,
-                    started: None,
+                    started_us: None,
                     evicted: false,
                 };
                 job.live.insert(index, task);
             }
             (TaskEvent::Update, Some(_)) => {}
             (_, None) => row.fault("task", format!("{job_id}/{index} was never submitted")),
-            (TaskEvent::Start, Some(t)) if t.started.is_some() => {
+            (TaskEvent::Start, Some(t)) if t.started_us.is_some() => {
                 row.fault("event", format!("{job_id}/{index} runs already"));
             }
-            (TaskEvent::Start, Some(t)) => t.started = Some(at),
-            (TaskEvent::Evict, Some(t)) => (t.evicted, t.started) = (true, None),
+            (TaskEvent::Start, Some(t)) => t.started_us = Some(at),
+            (TaskEvent::Evict, Some(t)) => (t.evicted, t.started_us) = (true, None),
             (TaskEvent::End, Some(t)) => {
-                if t.started.is_none() {
+                if t.started_us.is_none() {
                     row.fault(
                         "event",
                         format!("{job_id}/{index} ends and was never started"),
@@ -125,42 +128,43 @@
                 }
                 if let Some(t) = job.live.remove(&index) {
                     job.ended.insert(index);
-                    job.finished.extend(t.started.is_some().then_some((t, at)));
+                    job.finished
+                        .extend(t.started_us.is_some().then_some((t, at)));
                 }
             }
         }
         if event == TaskEvent::End && job.live.is_empty() {
             let finished = std::mem::take(&mut job.finished);
-            emit(job_id, finished, file, out);
+            emit_entries(job_id, finished, file, out);
         }
     }
 
     /// Ends the trace: reports tasks that have not ended, and emits the tasks that have.
     pub fn finish(self, file: &str, faults: &mut Faults<'_>, out: &mut dyn FnMut(Entry)) {
         for (job_id, job) in self.jobs {
-            let mut open: Vec<(u64, u64)> =
+            let mut unfinished: Vec<(u64, u64)> =
                 job.live.iter().map(|(index, t)| (t.line, *index)).collect();
-            open.sort_unstable();
-            for (line, index) in open {
-                faults.note(file, line, "end", format!("{job_id}/{index} has no end"));
+            unfinished.sort_unstable();
+            for (line, index) in unfinished {
+                faults.report(file, line, "end", format!("{job_id}/{index} has no end"));
             }
-            emit(job_id, job.finished, file, out);
+            emit_entries(job_id, job.finished, file, out);
         }
     }
 }
 
 /// Passes the finished tasks of a job to `out`, grouped by submission time and request.
-fn emit(job_id: u64, finished: Vec<(Task, u64)>, file: &str, out: &mut dyn FnMut(Entry)) {
-    let mut sets: BTreeMap<(u64, TaskRequest), (u64, Vec<u64>)> = BTreeMap::new();
+fn emit_entries(job_id: u64, finished: Vec<(Task, u64)>, file: &str, out: &mut dyn FnMut(Entry)) {
+    let mut groups: BTreeMap<(u64, TaskRequest), (u64, Vec<u64>)> = BTreeMap::new();
     for (task, end) in finished {
-        let run = end.saturating_sub(task.started.unwrap_or(end)) / 1_000;
-        let set = sets
-            .entry((task.submitted, task.request))
+        let run_ms = end.saturating_sub(task.started_us.unwrap_or(end)) / 1_000;
+        let group = groups
+            .entry((task.submitted_us, task.request))
             .or_insert((task.line, Vec::new()));
-        set.0 = set.0.min(task.line);
-        set.1.push(run);
+        group.0 = group.0.min(task.line);
+        group.1.push(run_ms);
     }
-    for (n, ((at, request), (line, mut run_ms))) in sets.into_iter().enumerate() {
+    for (n, ((at, request), (line, mut run_ms))) in groups.into_iter().enumerate() {
         let tasks = run_ms.len() as u32;
         run_ms.sort_unstable();
         if run_ms.first() == run_ms.last() {
@@ -175,10 +179,10 @@
             },
             class: Some(request.class),
             team: Some(request.team),
-            rank: request.rank,
+            rank: request.priority,
             shape: JobKind::Array,
             tasks,
-            need: request.need,
+            need: request.resources,
             run_ms,
             constraints: request.constraints,
             from: format!("{file}:{line}"),
--- a/crates/trace/src/workload.rs
+++ b/crates/trace/src/workload.rs
@@ -87,31 +87,34 @@
     let name = path.display().to_string();
     let io = |e| WorkloadError::Io(name.clone(), e);
     let mut header: Option<Header> = None;
-    let mut fault: Option<(u64, String)> = None;
-    let mut last = 0;
+    let mut error: Option<(u64, String)> = None;
+    let mut last_ms = 0;
     let input = input::open(path).map_err(io)?;
     input::lines(input, |number, line| {
-        if fault.is_some() {
+        if error.is_some() {
             return;
         }
-        let taken = match line {
+        let parsed = match line {
             Line::TooLong => Err("line too long".to_owned()),
             Line::Bytes(bytes) if number == 1 => serde_json::from_slice::<Header>(bytes)
                 .map_err(|e| format!("header: {e}"))
                 .and_then(|h| {
-                    let good = h.format == FORMAT && h.version == VERSION;
-                    let what = format!(
+                    let supported = h.format == FORMAT && h.version == VERSION;
+                    let message = format!(
                         "{} version {}, must be {FORMAT} version {VERSION}",
                         h.format, h.version
                     );
                     header = Some(h);
-                    if good { Ok(()) } else { Err(what) }
+                    if supported { Ok(()) } else { Err(message) }
                 }),
             Line::Bytes(bytes) => serde_json::from_slice::<Entry>(bytes)
                 .map_err(|e| e.to_string())
                 .and_then(|e| {
-                    if e.at_ms < last {
-                        return Err(format!("at_ms: {} after {last}: time goes back", e.at_ms));
+                    if e.at_ms < last_ms {
+                        return Err(format!(
+                            "at_ms: {} after {last_ms}: time goes back",
+                            e.at_ms
+                        ));
                     }
                     if e.tasks == 0 || !(e.run_ms.len() <= 1 || e.run_ms.len() == e.tasks as usize)
                     {
@@ -120,16 +123,16 @@
                     if e.run_ms.is_empty() && e.shape != JobKind::Service {
                         return Err("run_ms: is empty".into());
                     }
-                    last = e.at_ms;
+                    last_ms = e.at_ms;
                     each(e);
                     Ok(())
                 }),
         };
-        fault = taken.err().map(|what| (number, what));
+        error = parsed.err().map(|message| (number, message));
     })
     .map_err(io)?;
-    match (fault, header) {
-        (Some((line, what)), _) => Err(WorkloadError::Line(name, line, what)),
+    match (error, header) {
+        (Some((line, message)), _) => Err(WorkloadError::Line(name, line, message)),
         (None, Some(header)) => Ok(header),
         (None, None) => Err(WorkloadError::Line(
             name,
--- a/crates/trace/tests/readers.rs
+++ b/crates/trace/tests/readers.rs
@@ -22,16 +22,16 @@
 /// Returns the faults of a file as `line: field`.
 fn faults(format: Format, file: &Path) -> Vec<String> {
     let mut lines = Vec::new();
-    let mut tell = |f: &Fault| {
+    let mut record = |f: &Fault| {
         assert_eq!(f.file, file.display().to_string());
         assert!(
-            !f.what.is_empty()
+            !f.message.is_empty()
                 && f.to_string()
                     .starts_with(&format!("{}:{}: {}: ", f.file, f.line, f.field))
         );
         lines.push(format!("{}: {}", f.line, f.field));
     };
-    let result = check(format, &[file.to_owned()], machine(), &mut tell).expect("readable");
+    let result = check(format, &[file.to_owned()], machine(), &mut record).expect("readable");
     assert_eq!(result.faults, lines.len() as u64);
     lines
 }
@@ -52,7 +52,7 @@
     Some(all)
 }
 
-const GOOD: [(Format, &str, usize); 12] = [
+const VALID_SAMPLES: [(Format, &str, usize); 12] = [
     (Format::Swf, "small.swf", 80),
     (Format::Google2011, "google-2011/task_events-small.csv", 30),
     (
@@ -97,7 +97,7 @@
 
 #[test]
 fn samples_are_read_whole() {
-    for (format, name, jobs) in GOOD {
+    for (format, name, jobs) in VALID_SAMPLES {
         assert_eq!(
             faults(format, &sample(name)),
             Vec::<String>::new(),
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn every_fault_of_the_faulty_samples_is_named() {
+fn every_fault_of_the_faulty_samples_is_reported() {
     let cases: [(Format, &str, &[&str]); 6] = [
         (
             Format::Swf,
@@ -255,22 +255,22 @@
 }
 
 #[test]
-fn packed_files_read_the_same() {
+fn compressed_files_read_the_same() {
     let plain = sample("small.swf");
     let bytes = std::fs::read(&plain).expect("sample");
     let dir = tempfile::tempdir().expect("directory");
     let gz = dir.path().join("a.swf.gz");
-    let mut packer = flate2::write::GzEncoder::new(
+    let mut encoder = flate2::write::GzEncoder::new(
         std::fs::File::create(&gz).expect("file"),
         flate2::Compression::fast(),
     );
-    packer
+    encoder
         .write_all(&bytes)
-        .and_then(|()| packer.finish())
+        .and_then(|()| encoder.finish())
         .expect("packed");
     let zst = dir.path().join("a.swf.zst");
     std::fs::write(&zst, zstd::encode_all(bytes.as_slice(), 1).expect("packed")).expect("written");
-    let strip = |file: &Path| {
+    let without_source = |file: &Path| {
         let all = entries(Format::Swf, &[file.to_owned()], OnFault::Stop).expect("written");
         all.into_iter()
             .map(|e| Entry {
@@ -279,9 +279,9 @@
             })
             .collect::<Vec<_>>()
     };
-    let want = strip(&plain);
-    assert_eq!(strip(&gz), want);
-    assert_eq!(strip(&zst), want);
+    let want = without_source(&plain);
+    assert_eq!(without_source(&gz), want);
+    assert_eq!(without_source(&zst), want);
     // A truncated compressed file is an error.
     std::fs::write(&gz, &std::fs::read(&gz).expect("packed")[..200]).expect("cut");
     assert!(check(Format::Swf, &[gz], None, &mut |_| {}).is_err());
@@ -291,14 +291,14 @@
 /// Amounts are converted from the units of each format to thousandths.
 #[test]
 fn units_are_converted() {
-    let one = |format, name: &str, id: &str| {
+    let entry_of = |format, name: &str, id: &str| {
         let all = entries(format, &[sample(name)], OnFault::Stop).expect("written");
         all.into_iter()
             .find(|e| e.id == id)
             .unwrap_or_else(|| panic!("{id} of {name}"))
     };
     // 1,000,000 KB per processor, one processor per task.
-    let e = one(Format::Swf, "small.swf", "1");
+    let e = entry_of(Format::Swf, "small.swf", "1");
     assert_eq!(
         e.need,
         Resources {
@@ -308,13 +308,13 @@
         }
     );
     // Fractions of 16 CPUs and 64 GB; in the Alibaba trace, 400 is four CPUs.
-    let e = one(
+    let e = entry_of(
         Format::Google2011,
         "google-2011/task_events-small.csv",
         "6030",
     );
     assert_eq!(e.need.milli_cpus, 500);
-    let e = one(
+    let e = entry_of(
         Format::Alibaba2018,
         "alibaba-2018/container_meta-small.csv",
         "c_1",
@@ -352,7 +352,7 @@
 }
 
 #[test]
-fn a_workload_that_is_not_one_is_refused() {
+fn invalid_workloads_are_rejected() {
     let dir = tempfile::tempdir().expect("directory");
     let file = dir.path().join("w.jsonl");
     let header = r#"{"format":"lemonweir-workload","version":1,"source":"x"}"#;
@@ -380,10 +380,10 @@
     ];
     for (text, want) in cases {
         std::fs::write(&file, &text).expect("written");
-        let said = workload::read(&file, |_| {})
+        let error = workload::read(&file, |_| {})
             .expect_err("refused")
             .to_string();
-        assert!(said.contains(want), "{said}");
+        assert!(error.contains(want), "{error}");
     }
 }
 
@@ -425,19 +425,19 @@
 
 /// The workload that the README replays is the import of its trace.
 #[test]
-fn the_sample_workload_is_the_sample_traces() {
-    let mut kept = Vec::new();
+fn sample_workload_matches_its_trace() {
+    let mut committed = Vec::new();
     workload::read(&sample("../workloads/small.jsonl"), |e| {
-        kept.push(Entry {
+        committed.push(Entry {
             from: String::new(),
             ..e
         });
     })
     .expect("a workload");
-    let fresh = entries(Format::Swf, &[sample("small.swf")], OnFault::Stop).expect("written");
+    let imported = entries(Format::Swf, &[sample("small.swf")], OnFault::Stop).expect("written");
     assert_eq!(
-        kept,
-        fresh
+        committed,
+        imported
             .into_iter()
             .map(|e| Entry {
                 from: String::new(),
--- a/fuzz/tests/malformed_input.rs
+++ b/fuzz/tests/malformed_input.rs
@@ -74,7 +74,7 @@
         assert!(
             faults
                 .iter()
-                .all(|f| !f.field.is_empty() && !f.what.is_empty())
+                .all(|f| !f.field.is_empty() && !f.message.is_empty())
         );
         assert_eq!(run(), (result, faults));
     });
@@ -330,7 +330,7 @@
     check!()
         .with_type::<(u8, Edits)>()
         .for_each(|(which, edits)| {
-            fn read_exactly<T: borsh::BorshDeserialize + borsh::BorshSerialize>(
+            fn decode_canonical<T: borsh::BorshDeserialize + borsh::BorshSerialize>(
                 bytes: &[u8],
             ) -> Option<T> {
                 let message = links::decode::<T>(bytes).ok()?;
@@ -338,11 +338,11 @@
                 Some(message)
             }
             let bytes = mutated(&valid[usize::from(*which) % valid.len()], edits);
-            read_exactly::<RelayRequest>(&bytes);
-            read_exactly::<RelayResponse>(&bytes);
-            read_exactly::<RelayedHeartbeats>(&bytes);
-            read_exactly::<RelayedResponses>(&bytes);
-            if let Some(gossip) = read_exactly::<AvailabilityGossip>(&bytes) {
+            decode_canonical::<RelayRequest>(&bytes);
+            decode_canonical::<RelayResponse>(&bytes);
+            decode_canonical::<RelayedHeartbeats>(&bytes);
+            decode_canonical::<RelayedResponses>(&bytes);
+            if let Some(gossip) = decode_canonical::<AvailabilityGossip>(&bytes) {
                 let mut core =
                     Core::new(Config::new(&scenario.settings(0)), scenario.policy.clone());
                 let own = core.links.handle_gossip(gossip.clone(), 1_000);
