--- a/crates/trace/src/csv_rows.rs
+++ b/crates/trace/src/csv_rows.rs
@@ -30,7 +30,7 @@
                         file,
                         reader.position().line(),
                         "row",
-                        format!("not CSV: {other:?}"),
+                        format!("invalid CSV: {other:?}"),
                     );
                     return Ok(());
                 }
@@ -41,7 +41,7 @@
         if record.len() != names.len() {
             row.fault(
                 "row",
-                format!("{} fields, must be {}", record.len(), names.len()),
+                format!("{} fields, expected {}", record.len(), names.len()),
             );
             continue;
         }
@@ -49,7 +49,7 @@
         for (bytes, name) in record.iter().zip(names) {
             match std::str::from_utf8(bytes) {
                 Ok(text) => fields.push(text),
-                Err(_) => row.fault(name, "not UTF-8 text"),
+                Err(_) => row.fault(name, "invalid UTF-8"),
             }
         }
         if row.valid {
--- a/crates/trace/src/fault.rs
+++ b/crates/trace/src/fault.rs
@@ -90,7 +90,7 @@
         match text.trim().parse::<f64>() {
             Err(_) => self.fault(field, format!("{:?} is not a number", shorten(text))),
             Ok(x) if !x.is_finite() => {
-                self.fault(field, format!("{} is no finite number", shorten(text)));
+                self.fault(field, format!("{} is not a finite number", shorten(text)));
             }
             Ok(x) if x < 0.0 => self.fault(field, format!("{} is negative", shorten(text))),
             Ok(x) if x > MAX_AMOUNT => {
@@ -111,7 +111,7 @@
             }
             Err(_) => self.fault(
                 field,
-                format!("{:?} is not a whole number below 2^64", shorten(text)),
+                format!("{:?} is not an integer in 0 to 2^64 - 1", shorten(text)),
             ),
         }
         0
@@ -120,9 +120,12 @@
     /// Checks a job's number of tasks; reports a fault and returns 0 if it is out of range.
     pub fn task_count(&mut self, field: &str, count: u64) -> u32 {
         match count {
-            0 => self.fault(field, "no task at all"),
+            0 => self.fault(field, "at least one task is required"),
             n if n > MAX_TASKS => {
-                self.fault(field, format!("{n} tasks; a job may have {MAX_TASKS}"));
+                self.fault(
+                    field,
+                    format!("{n} tasks exceed the limit of {MAX_TASKS} per job"),
+                );
             }
             n => return n as u32,
         }
@@ -147,5 +150,5 @@
 pub fn describe_json_error(e: &serde_json::Error) -> String {
     let text = e.to_string();
     let message = text.split(" at line ").next().unwrap_or(&text);
-    format!("not as it must be: {message}, column {}", e.column())
+    format!("invalid record: {message}, column {}", e.column())
 }
--- a/crates/trace/src/format.rs
+++ b/crates/trace/src/format.rs
@@ -41,9 +41,9 @@
     pub(crate) fn relative_units(self) -> Option<&'static str> {
         match self {
             Format::Google2011 | Format::Google2019 => {
-                Some("processors and memory are shares of the largest machine")
+                Some("CPUs and memory are fractions of the largest machine's capacity")
             }
-            Format::Alibaba2018 => Some("memory is a percentage of a machine's"),
+            Format::Alibaba2018 => Some("memory is a percentage of a machine's memory"),
             Format::Swf | Format::Pai2020 | Format::Philly => None,
         }
     }
--- a/crates/trace/src/formats/alibaba.rs
+++ b/crates/trace/src/formats/alibaba.rs
@@ -106,9 +106,9 @@
     };
     let (from, to) = (seconds("start_time", start), seconds("end_time", end));
     if row.valid && to == 0.0 && from > 0.0 {
-        row.fault("end_time", "0: it has no end");
+        row.fault("end_time", "0: there is no end time");
     } else if row.valid && to < from {
-        row.fault("end_time", format!("{to} is before its start {from}"));
+        row.fault("end_time", format!("{to} is before start_time {from}"));
     }
     ((from * 1e3) as u64, (to * 1e3) as u64)
 }
@@ -116,7 +116,7 @@
 /// Parses an amount that must not be empty.
 fn required_amount(row: &mut Row<'_, '_>, field: &str, text: &str) -> f64 {
     if text.trim().is_empty() {
-        row.fault(field, "is missing: what it takes is unknown");
+        row.fault(field, "is missing: the amount is unknown");
         return 0.0;
     }
     row.number(field, text)
@@ -125,7 +125,7 @@
 fn task_count(row: &mut Row<'_, '_>, field: &str, text: &str) -> u32 {
     let n = row.number(field, text);
     if n.fract() != 0.0 {
-        row.fault(field, format!("{n} is not a whole number"));
+        row.fault(field, format!("{n} is not an integer"));
     }
     if row.valid {
         row.task_count(field, n as u64)
@@ -159,7 +159,7 @@
             let memory = memory_percentage(row, "plan_mem", f[8], machine);
             let id = format!("{}/{}", f[2], f[0]);
             if !seen.insert(&id) {
-                row.fault("task_name", format!("{id} is there twice"));
+                row.fault("task_name", format!("duplicate {id}"));
             }
             if row.valid {
                 let need = Resources {
@@ -217,7 +217,8 @@
             required_amount(row, "mem_size", f[5]);
         }),
         None => {
-            let message = "its name must hold batch_task, batch_instance, container_meta or machine_meta, as published";
+            let message =
+                "the name must contain batch_task, batch_instance, container_meta or machine_meta";
             faults.report(file, 0, "file", message);
             Ok(())
         }
@@ -228,7 +229,7 @@
 fn memory_percentage(row: &mut Row<'_, '_>, field: &str, text: &str, machine: Resources) -> u64 {
     let x = required_amount(row, field, text);
     if x > 100.0 {
-        row.fault(field, format!("{x} is over 100 %"));
+        row.fault(field, format!("{x} exceeds 100 %"));
     }
     (machine.memory_mb as f64 * x / 100.0).ceil() as u64
 }
@@ -282,11 +283,11 @@
                 row.number("plan_gpu", f[8]) / 100.0
             };
             if gpus > 0.0 && f[9].trim().is_empty() {
-                row.fault("gpu_type", "is missing, but accelerators are asked for");
+                row.fault("gpu_type", "is missing, but GPUs are requested");
             }
             let id = format!("{}/{}", f[0], f[1]);
             if !seen.insert(&id) {
-                row.fault("task_name", format!("{id} is there twice"));
+                row.fault("task_name", format!("duplicate {id}"));
             }
             if row.valid {
                 let shape = if tasks > 1 {
@@ -309,7 +310,7 @@
         Some(_) => rows(file, input, &PAI_JOB, faults, |row, f| {
             run_interval(row, f[4], f[5]);
             if !seen.insert(f[0]) {
-                row.fault("job_name", format!("{} is there twice", f[0]));
+                row.fault("job_name", format!("duplicate {}", f[0]));
             }
         }),
         None => {
@@ -317,7 +318,7 @@
                 file,
                 0,
                 "file",
-                "its name must hold pai_task_table or pai_job_table, as published",
+                "the name must contain pai_task_table or pai_job_table",
             );
             Ok(())
         }
--- a/crates/trace/src/formats/google.rs
+++ b/crates/trace/src/formats/google.rs
@@ -77,7 +77,7 @@
                 file,
                 0,
                 "file",
-                "its name must hold task_events, machine_events or task_constraints, as published",
+                "the name must contain task_events, machine_events or task_constraints",
             );
             Ok(())
         }
@@ -87,7 +87,7 @@
 fn integer_up_to(row: &mut Row<'_, '_>, field: &str, text: &str, max: u64) -> u64 {
     let x = row.integer(field, text);
     if x > max {
-        row.fault(field, format!("{x} is none of 0 to {max}"));
+        row.fault(field, format!("{x} is not in 0 to {max}"));
     }
     x
 }
@@ -103,7 +103,7 @@
         row.fault(
             field,
             format!(
-                "{}: a share of the largest machine can't be over 1",
+                "{}: a fraction of the largest machine can't exceed 1",
                 shorten(text)
             ),
         );
@@ -214,7 +214,7 @@
     match scalar_text(value) {
         Some(text) => row.integer(field, &text),
         None => {
-            row.fault(field, "is missing or no number");
+            row.fault(field, "is missing or not a number");
             0
         }
     }
@@ -235,7 +235,7 @@
                 file,
                 0,
                 "file",
-                "its name must hold instance_events or collection_events, as published",
+                "the name must contain instance_events or collection_events",
             );
             return Ok(());
         }
@@ -278,7 +278,7 @@
     let by_number = kind.parse::<usize>().ok().and_then(|n| EVENT_TYPES.get(n));
     let Some((_, event)) = by_number.or_else(|| EVENT_TYPES.iter().find(|(name, _)| *name == kind))
     else {
-        return row.fault("type", format!("{:?} is no type of event", shorten(&kind)));
+        return row.fault("type", format!("{:?} is not an event type", shorten(&kind)));
     };
     if !is_instance_table {
         return;
--- a/crates/trace/src/formats/philly.rs
+++ b/crates/trace/src/formats/philly.rs
@@ -47,7 +47,7 @@
         .ok()
         .and_then(|t| t.to_zoned(TimeZone::UTC).ok());
     if parsed.is_none() {
-        row.fault(field, format!("{:?} is no time", shorten(text)));
+        row.fault(field, format!("{:?} is not a valid time", shorten(text)));
     }
     parsed.map(|t| t.timestamp().as_millisecond())
 }
@@ -64,10 +64,10 @@
     input::objects(input, |line, bytes, complete| {
         let mut row = Row::new(file, line, faults);
         if !complete {
-            return row.fault("row", "cut short, or not a list of jobs");
+            return row.fault("row", "truncated, or not a JSON array of jobs");
         }
         if std::str::from_utf8(bytes).is_err() {
-            return row.fault("row", "not UTF-8 text");
+            return row.fault("row", "invalid UTF-8");
         }
         match serde_json::from_slice::<Job>(bytes) {
             Ok(job) => read_job(&mut row, job, &mut seen_ids, &mut origin_ms, out),
@@ -84,11 +84,11 @@
     out: &mut dyn FnMut(Entry),
 ) {
     if !seen_ids.insert(job.jobid.clone()) {
-        row.fault("jobid", format!("{} is there twice", shorten(&job.jobid)));
+        row.fault("jobid", format!("duplicate {}", shorten(&job.jobid)));
     }
     let submitted = parse_time(row, "submitted_time", job.submitted_time.as_deref());
     let Some(last) = job.attempts.last() else {
-        return row.fault("attempts", "there is none: the job never ran");
+        return row.fault("attempts", "empty: the job never ran");
     };
     let (mut run_ms, mut previous_end) = (0, submitted);
     for attempt in &job.attempts {
@@ -97,12 +97,12 @@
         if start.is_some_and(|s| previous_end.is_some_and(|p| s < p)) {
             row.fault(
                 "attempts.start_time",
-                "it starts before what went before it: time goes back",
+                "is before the submission or the end of the previous attempt",
             );
         }
         match (start, end) {
             (Some(start), Some(end)) if end < start => {
-                row.fault("attempts.end_time", "it ends before its start");
+                row.fault("attempts.end_time", "is before the attempt's start_time");
             }
             (Some(start), Some(end)) => run_ms = (end - start) as u64,
             _ => {}
@@ -118,10 +118,7 @@
     };
     let origin = *origin_ms.get_or_insert(at);
     if at < origin {
-        return row.fault(
-            "submitted_time",
-            "it is before the first job's: time goes back",
-        );
+        return row.fault("submitted_time", "is before that of the first job");
     }
     out(Entry {
         at_ms: (at - origin) as u64,
--- a/crates/trace/src/formats/swf.rs
+++ b/crates/trace/src/formats/swf.rs
@@ -68,19 +68,19 @@
     if fields.len() != FIELDS.len() {
         return row.fault(
             "row",
-            format!("{} fields, must be {}", fields.len(), FIELDS.len()),
+            format!("{} fields, expected {}", fields.len(), FIELDS.len()),
         );
     }
     let id = row.integer(FIELDS[0], fields[0]);
     if row.valid && !seen_ids.insert(id) {
-        row.fault(FIELDS[0], format!("{id} is there twice"));
+        row.fault(FIELDS[0], format!("duplicate {id}"));
     }
     let at_ms = (row.number(FIELDS[1], fields[1]) * 1e3) as u64;
     if at_ms < *last_ms {
         row.fault(
             FIELDS[1],
             format!(
-                "{} after {}: time goes back",
+                "{} after {}: times must not decrease",
                 at_ms / 1_000,
                 *last_ms / 1_000
             ),
@@ -89,16 +89,16 @@
     *last_ms = (*last_ms).max(at_ms);
     let run_s = optional_number(row, &fields, 3);
     if run_s.is_none() {
-        row.fault(FIELDS[3], "unknown: the job has no end");
+        row.fault(FIELDS[3], "unknown: the end of the job is not known");
     }
     let requested = optional_number(row, &fields, 7).or_else(|| optional_number(row, &fields, 4));
     let tasks = match requested {
         None => {
-            row.fault(FIELDS[7], "unknown, as is how many were allocated");
+            row.fault(FIELDS[7], "unknown, and so are the allocated processors");
             0
         }
         Some(n) if n.fract() != 0.0 => {
-            row.fault(FIELDS[7], format!("{n} is not a whole number"));
+            row.fault(FIELDS[7], format!("{n} is not an integer"));
             0
         }
         Some(n) => row.task_count(FIELDS[7], n as u64),
--- a/crates/trace/src/import.rs
+++ b/crates/trace/src/import.rs
@@ -56,7 +56,7 @@
                 &first,
                 0,
                 "unit",
-                format!("{units}: state the machine's size with --machine"),
+                format!("{units}: pass the machine's capacity with --machine"),
             );
             // Any capacity will do to check the remaining fields.
             Resources::capacity(1.0, 1.0, 1.0)
--- a/crates/trace/src/input.rs
+++ b/crates/trace/src/input.rs
@@ -65,7 +65,7 @@
             Line::TooLong => row.fault("row", "line too long"),
             Line::Bytes(bytes) => match std::str::from_utf8(bytes) {
                 Ok(text) => each(&mut row, text),
-                Err(_) => row.fault("row", "not UTF-8 text"),
+                Err(_) => row.fault("row", "invalid UTF-8"),
             },
         }
     })
--- a/crates/trace/src/task_lifecycle.rs
+++ b/crates/trace/src/task_lifecycle.rs
@@ -79,7 +79,7 @@
         if at < self.last_us {
             return row.fault(
                 "time",
-                format!("{at} after {}: time goes back", self.last_us),
+                format!("{at} after {}: times must not decrease", self.last_us),
             );
         }
         self.last_us = at;
@@ -91,7 +91,7 @@
                 row.fault(
                     "task",
                     format!(
-                        "{job_id}/{index} is submitted again while it is under way since line {}",
+                        "{job_id}/{index} is submitted again before its end; submitted in line {}",
                         t.line
                     ),
                 );
@@ -115,16 +115,13 @@
             (TaskEvent::Update, Some(_)) => {}
             (_, None) => row.fault("task", format!("{job_id}/{index} was never submitted")),
             (TaskEvent::Start, Some(t)) if t.started_us.is_some() => {
-                row.fault("event", format!("{job_id}/{index} runs already"));
+                row.fault("event", format!("{job_id}/{index} is already running"));
             }
             (TaskEvent::Start, Some(t)) => t.started_us = Some(at),
             (TaskEvent::Evict, Some(t)) => (t.evicted, t.started_us) = (true, None),
             (TaskEvent::End, Some(t)) => {
                 if t.started_us.is_none() {
-                    row.fault(
-                        "event",
-                        format!("{job_id}/{index} ends and was never started"),
-                    );
+                    row.fault("event", format!("{job_id}/{index} ends without a start"));
                 }
                 if let Some(t) = job.live.remove(&index) {
                     job.ended.insert(index);
@@ -146,7 +143,12 @@
                 job.live.iter().map(|(index, t)| (t.line, *index)).collect();
             unfinished.sort_unstable();
             for (line, index) in unfinished {
-                faults.report(file, line, "end", format!("{job_id}/{index} has no end"));
+                faults.report(
+                    file,
+                    line,
+                    "end",
+                    format!("{job_id}/{index} has no end event"),
+                );
             }
             emit_entries(job_id, job.finished, file, out);
         }
--- a/crates/trace/src/workload.rs
+++ b/crates/trace/src/workload.rs
@@ -112,13 +112,13 @@
                 .and_then(|e| {
                     if e.at_ms < last_ms {
                         return Err(format!(
-                            "at_ms: {} after {last_ms}: time goes back",
+                            "at_ms: {} after {last_ms}: times must not decrease",
                             e.at_ms
                         ));
                     }
                     if e.tasks == 0 || !(e.run_ms.len() <= 1 || e.run_ms.len() == e.tasks as usize)
                     {
-                        return Err("run_ms: must be one time, or one for each task".into());
+                        return Err("run_ms: must have one value, or one per task".into());
                     }
                     if e.run_ms.is_empty() && e.shape != JobKind::Service {
                         return Err("run_ms: is empty".into());
--- a/crates/trace/tests/readers.rs
+++ b/crates/trace/tests/readers.rs
@@ -214,7 +214,7 @@
         let kept = entries(format, &[sample(name)], OnFault::Drop).expect("written");
         assert!(
             !kept.is_empty() || format == Format::Google2019,
-            "{name}: what is good is kept"
+            "{name}: valid rows are kept"
         );
     }
 }
--- a/fuzz/tests/malformed_input.rs
+++ b/fuzz/tests/malformed_input.rs
@@ -163,7 +163,7 @@
             }
             // A decoded message survives an encoding round trip.
             if let Ok(heartbeat) = decode::<Heartbeat>(&bytes) {
-                let again = decode::<Heartbeat>(&encode(&heartbeat)).expect("what we wrote");
+                let again = decode::<Heartbeat>(&encode(&heartbeat)).expect("an encoded message");
                 assert_eq!(
                     (again.machine, again.sequence, again.fencing_token),
                     (
@@ -355,7 +355,7 @@
                 let relay_peer = core.links.route(Service::Store, 0, 4_100);
                 assert!(
                     relay_peer.is_none_or(|peer| peer == gossip.controller && peer != 0),
-                    "only a peer that offered it relays"
+                    "only a peer that sent gossip is chosen as relay"
                 );
                 assert!(core.links.rows(5_000).iter().all(|r| !r.to.is_empty()));
             }
