--- a/crates/trace/src/csv_rows.rs
+++ b/crates/trace/src/csv_rows.rs
@@ -1,12 +1,12 @@
-//! Rows of a CSV file without a header, checked for their number of fields
-//! and for being text.
+//! Reader of CSV files without a header. It checks that each row has the expected
+//! number of fields and is valid UTF-8.
 
 use std::io::BufRead;
 
 use crate::fault::{Faults, Row};
 
-/// Calls `each` with every row whose fields are as many as `names` and are
-/// text; what is not is a fault. The last argument is the row's fields.
+/// Calls `each` with every row, and its fields, that has one field per name in
+/// `names` and is valid UTF-8. Any other row is a fault.
 pub fn rows<'f>(
     file: &str,
     input: impl BufRead,
@@ -26,11 +26,11 @@
             Err(e) => match e.into_kind() {
                 csv::ErrorKind::Io(e) => return Err(e),
                 other => {
-                    faults.note(
+                    faults.report(
                         file,
                         reader.position().line(),
                         "row",
-                        format!("not CSV: {other:?}"),
+                        format!("invalid CSV: {other:?}"),
                     );
                     return Ok(());
                 }
@@ -41,7 +41,7 @@
         if record.len() != names.len() {
             row.fault(
                 "row",
-                format!("{} fields, must be {}", record.len(), names.len()),
+                format!("{} fields, expected {}", record.len(), names.len()),
             );
             continue;
         }
@@ -49,10 +49,10 @@
         for (bytes, name) in record.iter().zip(names) {
             match std::str::from_utf8(bytes) {
                 Ok(text) => fields.push(text),
-                Err(_) => row.fault(name, "not UTF-8 text"),
+                Err(_) => row.fault(name, "invalid UTF-8"),
             }
         }
-        if row.good {
+        if row.valid {
             each(&mut row, &fields);
         }
     }
--- a/crates/trace/src/fault.rs
+++ b/crates/trace/src/fault.rs
@@ -1,20 +1,20 @@
-//! What is wrong with a row.
+//! Faults of trace files, and parsing of row fields that reports them.
 
 use std::fmt;
 
 use lemonweir_model::constants::MAX_TASKS;
 
-/// One fault: `FILE:LINE: field: what is wrong`.
+/// A fault in a trace file, displayed as `FILE:LINE: field: message`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// The file as it was named.
+    /// Path of the file as given by the caller.
     pub file: String,
-    /// The line, from 1; 0: the file as a whole.
+    /// Line number, starting at 1; 0 for the file as a whole.
     pub line: u64,
-    /// The field.
+    /// Name of the faulty field.
     pub field: String,
-    /// What is wrong with it.
-    pub what: String,
+    /// Description of the fault.
+    pub message: String,
 }
 
 impl fmt::Display for Fault {
@@ -22,78 +22,78 @@
         write!(
             f,
             "{}:{}: {}: {}",
-            self.file, self.line, self.field, self.what
+            self.file, self.line, self.field, self.message
         )
     }
 }
 
-/// Takes faults as they are found.
+/// Counts faults and passes each on as it is found.
 pub struct Faults<'a> {
     on_each: &'a mut dyn FnMut(&Fault),
-    /// How many there were.
+    /// Number of faults so far.
     pub count: u64,
 }
 
 impl<'a> Faults<'a> {
-    /// Faults that go to `on_each`.
+    /// Creates a collector that passes each fault to `on_each`.
     pub fn new(on_each: &'a mut dyn FnMut(&Fault)) -> Self {
         Self { on_each, count: 0 }
     }
 
-    /// Notes a fault.
-    pub fn note(&mut self, file: &str, line: u64, field: &str, what: impl Into<String>) {
+    /// Reports a fault.
+    pub fn report(&mut self, file: &str, line: u64, field: &str, message: impl Into<String>) {
         self.count += 1;
         (self.on_each)(&Fault {
             file: file.to_owned(),
             line,
             field: field.to_owned(),
-            what: what.into(),
+            message: message.into(),
         });
     }
 }
 
-/// One row being read: takes its fields and notes what is wrong with them.
+/// A row being read: parses its fields and reports their faults.
 pub struct Row<'r, 'f> {
-    /// File and line.
+    /// Path of the file.
     pub file: &'r str,
-    /// The line, from 1.
+    /// Line number, starting at 1.
     pub line: u64,
-    /// Where faults go.
+    /// Receives the faults of the row.
     pub faults: &'r mut Faults<'f>,
-    /// False once a field was faulty.
-    pub good: bool,
+    /// False once a fault has been reported for the row.
+    pub valid: bool,
 }
 
-/// The largest amount or time that makes sense in any unit of the formats; up
-/// to it every whole number is exact.
-const LARGEST_AMOUNT: f64 = 9_007_199_254_740_992.0;
+/// Limit of amounts and times, above any sensible value in any unit of the formats.
+/// It is 2^53: up to it, `f64` represents every integer exactly.
+const MAX_AMOUNT: f64 = 9_007_199_254_740_992.0;
 
 impl<'r, 'f> Row<'r, 'f> {
-    /// A row that is good so far.
+    /// Creates a row without faults.
     pub fn new(file: &'r str, line: u64, faults: &'r mut Faults<'f>) -> Self {
         Self {
             file,
             line,
             faults,
-            good: true,
+            valid: true,
         }
     }
 
-    /// Notes a fault of a field.
-    pub fn fault(&mut self, field: &str, what: impl Into<String>) {
-        self.good = false;
-        self.faults.note(self.file, self.line, field, what);
+    /// Reports a fault of a field.
+    pub fn fault(&mut self, field: &str, message: impl Into<String>) {
+        self.valid = false;
+        self.faults.report(self.file, self.line, field, message);
     }
 
-    /// A number of 0 or more.
+    /// Parses a number of 0 or more; reports a fault and returns 0 for anything else.
     pub fn number(&mut self, field: &str, text: &str) -> f64 {
         match text.trim().parse::<f64>() {
             Err(_) => self.fault(field, format!("{:?} is not a number", shorten(text))),
             Ok(x) if !x.is_finite() => {
-                self.fault(field, format!("{} is no finite number", shorten(text)));
+                self.fault(field, format!("{} is not a finite number", shorten(text)));
             }
             Ok(x) if x < 0.0 => self.fault(field, format!("{} is negative", shorten(text))),
-            Ok(x) if x > LARGEST_AMOUNT => {
+            Ok(x) if x > MAX_AMOUNT => {
                 self.fault(field, format!("{} is out of range", shorten(text)));
             }
             Ok(x) => return x,
@@ -101,8 +101,8 @@
         0.0
     }
 
-    /// A whole number of 0 or more, below 2^64.
-    pub fn whole(&mut self, field: &str, text: &str) -> u64 {
+    /// Parses an integer below 2^64; reports a fault and returns 0 for anything else.
+    pub fn integer(&mut self, field: &str, text: &str) -> u64 {
         let text = text.trim();
         match text.parse::<u64>() {
             Ok(x) => return x,
@@ -111,18 +111,21 @@
             }
             Err(_) => self.fault(
                 field,
-                format!("{:?} is not a whole number below 2^64", shorten(text)),
+                format!("{:?} is not an integer in 0 to 2^64 - 1", shorten(text)),
             ),
         }
         0
     }
 
-    /// A count of tasks that a job may have.
-    pub fn tasks(&mut self, field: &str, count: u64) -> u32 {
+    /// Checks a job's number of tasks; reports a fault and returns 0 if it is out of range.
+    pub fn task_count(&mut self, field: &str, count: u64) -> u32 {
         match count {
-            0 => self.fault(field, "no task at all"),
+            0 => self.fault(field, "at least one task is required"),
             n if n > MAX_TASKS => {
-                self.fault(field, format!("{n} tasks; a job may have {MAX_TASKS}"));
+                self.fault(
+                    field,
+                    format!("{n} tasks exceed the limit of {MAX_TASKS} per job"),
+                );
             }
             n => return n as u32,
         }
@@ -130,21 +133,22 @@
     }
 }
 
-/// Characters of a text that a message shows.
-const SHOWN_CHARACTERS: usize = 40;
+/// Maximum number of characters of an input text that a message shows.
+const MAX_SHOWN_CHARACTERS: usize = 40;
 
-/// As much of a text as belongs into a message.
+/// Shortens an input text for use in a message.
 pub fn shorten(text: &str) -> String {
-    let mut short: String = text.chars().take(SHOWN_CHARACTERS).collect();
+    let mut short: String = text.chars().take(MAX_SHOWN_CHARACTERS).collect();
     if short.len() < text.len() {
         short.push('…');
     }
     short
 }
 
-/// What a JSON reader found wrong with one line; its own line is always 1.
-pub fn json_fault(e: &serde_json::Error) -> String {
+/// Describes a JSON error in one record, without its line: each record is parsed on its own, so
+/// the line is not the one in the file.
+pub fn describe_json_error(e: &serde_json::Error) -> String {
     let text = e.to_string();
-    let what = text.split(" at line ").next().unwrap_or(&text);
-    format!("not as it must be: {what}, column {}", e.column())
+    let message = text.split(" at line ").next().unwrap_or(&text);
+    format!("invalid record: {message}, column {}", e.column())
 }
--- a/crates/trace/src/formats/philly.rs
+++ b/crates/trace/src/formats/philly.rs
@@ -1,6 +1,6 @@
-//! Microsoft Philly: `cluster_job_log`, a JSON array of jobs with their
-//! attempts and the accelerators of each machine. It tells nothing of
-//! processors or memory: a task takes none.
+//! Microsoft Philly: `cluster_job_log`, a JSON array of jobs with their attempts
+//! and the GPUs of each machine. The trace has no CPU or memory figures, so tasks
+//! request neither.
 
 use std::collections::HashSet;
 use std::io::{self, BufRead};
@@ -10,7 +10,7 @@
 use lemonweir_model::{JobKind, Priority, Resources};
 use serde::Deserialize;
 
-use crate::fault::{Faults, Row, json_fault, shorten};
+use crate::fault::{Faults, Row, describe_json_error, shorten};
 use crate::input;
 use crate::workload::Entry;
 
@@ -37,8 +37,8 @@
     gpus: Vec<String>,
 }
 
-/// ms since 1970 of a time of day without a zone, as the trace writes it.
-fn time(row: &mut Row<'_, '_>, field: &str, text: Option<&str>) -> Option<i64> {
+/// Parses a date and time without a time zone, taken as UTC, to ms since the Unix epoch.
+fn parse_time(row: &mut Row<'_, '_>, field: &str, text: Option<&str>) -> Option<i64> {
     let Some(text) = text.filter(|t| !t.is_empty() && *t != "None") else {
         row.fault(field, "is missing");
         return None;
@@ -47,84 +47,81 @@
         .ok()
         .and_then(|t| t.to_zoned(TimeZone::UTC).ok());
     if parsed.is_none() {
-        row.fault(field, format!("{:?} is no time", shorten(text)));
+        row.fault(field, format!("{:?} is not a valid time", shorten(text)));
     }
     parsed.map(|t| t.timestamp().as_millisecond())
 }
 
-/// Reads a file.
+/// Reads a job log. Times are relative to the submission of the first valid job.
 pub fn read(
     file: &str,
     input: impl BufRead,
     faults: &mut Faults<'_>,
     out: &mut dyn FnMut(Entry),
 ) -> io::Result<()> {
-    let mut seen = HashSet::new();
-    let mut first: Option<i64> = None;
-    input::objects(input, |line, bytes, whole| {
+    let mut seen_ids = HashSet::new();
+    let mut origin_ms: Option<i64> = None;
+    input::objects(input, |line, bytes, complete| {
         let mut row = Row::new(file, line, faults);
-        if !whole {
-            return row.fault("row", "cut short, or not a list of jobs");
+        if !complete {
+            return row.fault("row", "truncated, or not a JSON array of jobs");
         }
         if std::str::from_utf8(bytes).is_err() {
-            return row.fault("row", "not UTF-8 text");
+            return row.fault("row", "invalid UTF-8");
         }
         match serde_json::from_slice::<Job>(bytes) {
-            Ok(job) => take(&mut row, job, &mut seen, &mut first, out),
-            Err(e) => row.fault("row", json_fault(&e)),
+            Ok(job) => read_job(&mut row, job, &mut seen_ids, &mut origin_ms, out),
+            Err(e) => row.fault("row", describe_json_error(&e)),
         }
     })
 }
 
-fn take(
+fn read_job(
     row: &mut Row<'_, '_>,
     job: Job,
-    seen: &mut HashSet<String>,
-    first: &mut Option<i64>,
+    seen_ids: &mut HashSet<String>,
+    origin_ms: &mut Option<i64>,
     out: &mut dyn FnMut(Entry),
 ) {
-    if !seen.insert(job.jobid.clone()) {
-        row.fault("jobid", format!("{} is there twice", shorten(&job.jobid)));
+    if !seen_ids.insert(job.jobid.clone()) {
+        row.fault("jobid", format!("duplicate {}", shorten(&job.jobid)));
     }
-    let submitted = time(row, "submitted_time", job.submitted_time.as_deref());
+    let submitted = parse_time(row, "submitted_time", job.submitted_time.as_deref());
     let Some(last) = job.attempts.last() else {
-        return row.fault("attempts", "there is none: the job never ran");
+        return row.fault("attempts", "empty: the job never ran");
     };
-    let (mut run_ms, mut before) = (0, submitted);
+    let (mut run_ms, mut previous_end) = (0, submitted);
     for attempt in &job.attempts {
-        let from = time(row, "attempts.start_time", attempt.start_time.as_deref());
-        let to = time(row, "attempts.end_time", attempt.end_time.as_deref());
-        if from.is_some_and(|f| before.is_some_and(|b| f < b)) {
+        let start = parse_time(row, "attempts.start_time", attempt.start_time.as_deref());
+        let end = parse_time(row, "attempts.end_time", attempt.end_time.as_deref());
+        if start.is_some_and(|s| previous_end.is_some_and(|p| s < p)) {
             row.fault(
                 "attempts.start_time",
-                "it starts before what went before it: time goes back",
+                "is before the submission or the end of the previous attempt",
             );
         }
-        match (from, to) {
-            (Some(from), Some(to)) if to < from => {
-                row.fault("attempts.end_time", "it ends before its start");
+        match (start, end) {
+            (Some(start), Some(end)) if end < start => {
+                row.fault("attempts.end_time", "is before the attempt's start_time");
             }
-            (Some(from), Some(to)) => run_ms = (to - from) as u64,
+            (Some(start), Some(end)) => run_ms = (end - start) as u64,
             _ => {}
         }
-        before = to;
+        previous_end = end;
     }
-    // Machines of the last attempt, each with as many accelerators as the
-    // largest share: what is taken at least where they differ.
+    // One task per machine of the last attempt. The tasks of a job have equal
+    // requests, so where machines differ all tasks get the largest number of GPUs.
     let gpus = last.detail.iter().map(|m| m.gpus.len()).max().unwrap_or(0);
-    let tasks = row.tasks("attempts.detail", last.detail.len() as u64);
-    let Some(at) = submitted.filter(|_| row.good) else {
+    let tasks = row.task_count("attempts.detail", last.detail.len() as u64);
+    let Some(at) = submitted.filter(|_| row.valid) else {
         return;
     };
-    let zero = *first.get_or_insert(at);
-    if at < zero {
-        return row.fault(
-            "submitted_time",
-            "it is before the first job's: time goes back",
-        );
+    let origin = *origin_ms.get_or_insert(at);
+    if at < origin {
+        return row.fault("submitted_time", "is before that of the first job");
     }
     out(Entry {
-        at_ms: (at - zero) as u64,
+        at_ms: (at - origin) as u64,
         id: job.jobid,
         class: Some("train".into()),
         team: job.vc,
--- a/crates/trace/src/import.rs
+++ b/crates/trace/src/import.rs
@@ -1,4 +1,4 @@
-//! Checking and importing files of a published format.
+//! Checks trace files of a published format and imports them into a workload.
 
 use std::io::{self, BufWriter, Write};
 use std::path::{Path, PathBuf};
@@ -11,28 +11,28 @@
 use crate::sort::Sorter;
 use crate::workload::{Entry, FORMAT, Header, VERSION, write_line};
 
-/// The stated size of a trace's machine, for units that are shares of it.
-pub type Machine = Resources;
+/// Capacity of the machine that relative units of a trace refer to.
+pub type MachineCapacity = Resources;
 
-/// What becomes of the rows when some are faulty.
+/// What an import does when rows are faulty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OnFault {
-    /// Nothing is written.
+    /// Write nothing.
     Stop,
-    /// The faulty rows are left out.
+    /// Leave out the faulty rows.
     Drop,
 }
 
-/// What was read.
+/// Counts of a check or an import.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Imported {
-    /// Jobs.
+    /// Number of jobs read.
     pub jobs: u64,
-    /// Faults.
+    /// Number of faults found.
     pub faults: u64,
 }
 
-/// Why a file could not be read or written.
+/// A file that could not be read or written.
 #[derive(Debug, thiserror::Error)]
 #[error("{0}: {1}")]
 pub struct ImportError(String, io::Error);
@@ -40,7 +40,7 @@
 fn read_files(
     format: Format,
     files: &[PathBuf],
-    machine: Option<Machine>,
+    machine: Option<MachineCapacity>,
     faults: &mut Faults<'_>,
     out: &mut dyn FnMut(Entry),
 ) -> Result<(), ImportError> {
@@ -48,37 +48,37 @@
         .first()
         .map(|f| f.display().to_string())
         .unwrap_or_default();
-    let size = match (machine, format.relative_units()) {
-        (Some(size), _) => size,
+    let capacity = match (machine, format.relative_units()) {
+        (Some(capacity), _) => capacity,
         (None, None) => Resources::default(),
-        (None, Some(why)) => {
-            faults.note(
+        (None, Some(units)) => {
+            faults.report(
                 &first,
                 0,
                 "unit",
-                format!("{why}: state the machine's size with --machine"),
+                format!("{units}: pass the machine's capacity with --machine"),
             );
-            // The rest is checked all the same.
+            // Any capacity will do to check the remaining fields.
             Resources::capacity(1.0, 1.0, 1.0)
         }
     };
     for path in files {
         let name = path.display().to_string();
         let read = crate::input::open(path)
-            .and_then(|input| formats::read(format, &name, input, size, faults, out));
+            .and_then(|input| formats::read(format, &name, input, capacity, faults, out));
         read.map_err(|e| ImportError(name, e))?;
     }
     Ok(())
 }
 
-/// Checks files; every fault goes to `on_each_fault`. Returns what an import would give.
+/// Checks files and passes every fault to `on_each_fault`. Returns the counts of an import.
 ///
 /// # Errors
-/// If a file can't be read.
+/// Returns an error if a file can't be read.
 pub fn check(
     format: Format,
     files: &[PathBuf],
-    machine: Option<Machine>,
+    machine: Option<MachineCapacity>,
     on_each_fault: &mut dyn FnMut(&Fault),
 ) -> Result<Imported, ImportError> {
     let mut faults = Faults::new(on_each_fault);
@@ -90,25 +90,25 @@
     })
 }
 
-/// Imports files into a workload at `to`, which appears only once it is whole.
-/// With [`OnFault::Stop`] and a fault, nothing is written.
+/// Imports files into a workload at `to`, which is created only once it is complete.
+/// With [`OnFault::Stop`], nothing is written if there is any fault.
 ///
 /// # Errors
-/// If a file can't be read, or the workload can't be written.
+/// Returns an error if a file can't be read or the workload can't be written.
 pub fn import(
     format: Format,
     files: &[PathBuf],
-    machine: Option<Machine>,
+    machine: Option<MachineCapacity>,
     on_fault: OnFault,
     to: &Path,
     on_each_fault: &mut dyn FnMut(&Fault),
 ) -> Result<Imported, ImportError> {
     let mut faults = Faults::new(on_each_fault);
     let mut sorter = Sorter::default();
-    let mut failed: Option<io::Error> = None;
+    let mut sort_error: Option<io::Error> = None;
     read_files(format, files, machine, &mut faults, &mut |entry| {
-        if failed.is_none() {
-            failed = sorter.push(entry).err();
+        if sort_error.is_none() {
+            sort_error = sorter.push(entry).err();
         }
     })?;
     let result = Imported {
@@ -124,7 +124,7 @@
         source: format.name().into(),
         machine,
     };
-    let written = match failed {
+    let written = match sort_error {
         Some(error) => Err(error),
         None => write_workload(to, &header, sorter),
     };
@@ -132,7 +132,7 @@
     Ok(result)
 }
 
-/// Writes a workload beside its place, and moves it there once it is whole.
+/// Writes a workload to a temporary file in the same directory and renames it to `to`.
 fn write_workload(to: &Path, header: &Header, sorter: Sorter) -> io::Result<()> {
     let dir = to
         .parent()
--- a/crates/trace/src/task_lifecycle.rs
+++ b/crates/trace/src/task_lifecycle.rs
@@ -1,6 +1,6 @@
-//! The lifecycle of tasks in traces of events: submitted, started, ended. A job's tasks are
-//! kept until none of them is in progress, then become entries, one for each set of tasks
-//! that were submitted together and need the same.
+//! Tracks the lifecycle of tasks in event traces: submitted, started, ended. Once all submitted
+//! tasks of a job have ended, they become entries: one for each group of tasks that were
+//! submitted at the same time with the same request.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -10,41 +10,41 @@
 use crate::fault::{Faults, Row};
 use crate::workload::{Constraint, Entry};
 
-/// What happens to a task.
+/// A lifecycle event of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TaskEvent {
-    /// It waits from now on.
+    /// The task is submitted and pending.
     Submit,
-    /// It runs from now on.
+    /// The task starts to run.
     Start,
-    /// It goes back to waiting: it must be submitted again.
+    /// The task is evicted and no longer runs; it may be submitted again.
     Evict,
-    /// It is over, however it ended.
+    /// The task ended, successfully or not.
     End,
-    /// Its needs change; those of its submission are kept.
+    /// The request of the task changes; the values of its submission are kept.
     Update,
 }
 
-/// What a submission says.
+/// The request of a task, as stated at its submission.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TaskRequest {
-    /// What it takes.
-    pub need: Resources,
-    /// Priority.
-    pub rank: Priority,
-    /// What kind of work.
+    /// Requested resources.
+    pub resources: Resources,
+    /// Priority of the task.
+    pub priority: Priority,
+    /// Class of the work.
     pub class: String,
-    /// Who.
+    /// User that submitted the task.
     pub team: String,
-    /// Constraints.
+    /// Placement constraints.
     pub constraints: Vec<Constraint>,
 }
 
 struct Task {
     request: TaskRequest,
-    submitted: u64,
+    submitted_us: u64,
     line: u64,
-    started: Option<u64>,
+    started_us: Option<u64>,
     evicted: bool,
 }
 
@@ -55,15 +55,16 @@
     ended: RoaringTreemap,
 }
 
-/// Follows all tasks of a trace. Times are µs.
+/// Tracks all tasks of a trace. Times are in µs.
 #[derive(Default)]
 pub struct TaskTracker {
     jobs: BTreeMap<u64, Job>,
-    last: u64,
+    last_us: u64,
 }
 
 impl TaskTracker {
-    /// Records an event of a task; a job that is over is handed to `out`.
+    /// Records an event of a task. When the job's last active task ends, the job's entries
+    /// are passed to `out`.
     #[allow(clippy::too_many_arguments)]
     pub fn record(
         &mut self,
@@ -75,19 +76,22 @@
         file: &str,
         out: &mut dyn FnMut(Entry),
     ) {
-        if at < self.last {
-            return row.fault("time", format!("{at} after {}: time goes back", self.last));
+        if at < self.last_us {
+            return row.fault(
+                "time",
+                format!("{at} after {}: times must not decrease", self.last_us),
+            );
         }
-        self.last = at;
+        self.last_us = at;
         let job = self.jobs.entry(job_id).or_default();
         let known_task = job.live.get_mut(&index);
         match (event, known_task) {
-            (TaskEvent::Submit, Some(t)) if t.evicted => (t.evicted, t.started) = (false, None),
+            (TaskEvent::Submit, Some(t)) if t.evicted => (t.evicted, t.started_us) = (false, None),
             (TaskEvent::Submit, Some(t)) => {
                 row.fault(
                     "task",
                     format!(
-                        "{job_id}/{index} is submitted again while it is under way since line {}",
+                        "{job_id}/{index} is submitted again before its end; submitted in line {}",
                         t.line
                     ),
                 );
@@ -101,64 +105,68 @@
             (TaskEvent::Submit, None) => {
                 let task = Task {
                     request,
-                    submitted: at,
+                    submitted_us: at,
                     line: row.line,
-                    started: None,
+                    started_us: None,
                     evicted: false,
                 };
                 job.live.insert(index, task);
             }
             (TaskEvent::Update, Some(_)) => {}
             (_, None) => row.fault("task", format!("{job_id}/{index} was never submitted")),
-            (TaskEvent::Start, Some(t)) if t.started.is_some() => {
-                row.fault("event", format!("{job_id}/{index} runs already"));
+            (TaskEvent::Start, Some(t)) if t.started_us.is_some() => {
+                row.fault("event", format!("{job_id}/{index} is already running"));
             }
-            (TaskEvent::Start, Some(t)) => t.started = Some(at),
-            (TaskEvent::Evict, Some(t)) => (t.evicted, t.started) = (true, None),
+            (TaskEvent::Start, Some(t)) => t.started_us = Some(at),
+            (TaskEvent::Evict, Some(t)) => (t.evicted, t.started_us) = (true, None),
             (TaskEvent::End, Some(t)) => {
-                if t.started.is_none() {
-                    row.fault(
-                        "event",
-                        format!("{job_id}/{index} ends and was never started"),
-                    );
+                if t.started_us.is_none() {
+                    row.fault("event", format!("{job_id}/{index} ends without a start"));
                 }
                 if let Some(t) = job.live.remove(&index) {
                     job.ended.insert(index);
-                    job.finished.extend(t.started.is_some().then_some((t, at)));
+                    job.finished
+                        .extend(t.started_us.is_some().then_some((t, at)));
                 }
             }
         }
         if event == TaskEvent::End && job.live.is_empty() {
             let finished = std::mem::take(&mut job.finished);
-            emit(job_id, finished, file, out);
+            emit_entries(job_id, finished, file, out);
         }
     }
 
-    /// The trace ends: what is under way has no end.
+    /// Ends the trace: reports tasks that have not ended, and emits the tasks that have.
     pub fn finish(self, file: &str, faults: &mut Faults<'_>, out: &mut dyn FnMut(Entry)) {
         for (job_id, job) in self.jobs {
-            let mut open: Vec<(u64, u64)> =
+            let mut unfinished: Vec<(u64, u64)> =
                 job.live.iter().map(|(index, t)| (t.line, *index)).collect();
-            open.sort_unstable();
-            for (line, index) in open {
-                faults.note(file, line, "end", format!("{job_id}/{index} has no end"));
+            unfinished.sort_unstable();
+            for (line, index) in unfinished {
+                faults.report(
+                    file,
+                    line,
+                    "end",
+                    format!("{job_id}/{index} has no end event"),
+                );
             }
-            emit(job_id, job.finished, file, out);
+            emit_entries(job_id, job.finished, file, out);
         }
     }
 }
 
-fn emit(job_id: u64, finished: Vec<(Task, u64)>, file: &str, out: &mut dyn FnMut(Entry)) {
-    let mut sets: BTreeMap<(u64, TaskRequest), (u64, Vec<u64>)> = BTreeMap::new();
+/// Passes the finished tasks of a job to `out`, grouped by submission time and request.
+fn emit_entries(job_id: u64, finished: Vec<(Task, u64)>, file: &str, out: &mut dyn FnMut(Entry)) {
+    let mut groups: BTreeMap<(u64, TaskRequest), (u64, Vec<u64>)> = BTreeMap::new();
     for (task, end) in finished {
-        let run = end.saturating_sub(task.started.unwrap_or(end)) / 1_000;
-        let set = sets
-            .entry((task.submitted, task.request))
+        let run_ms = end.saturating_sub(task.started_us.unwrap_or(end)) / 1_000;
+        let group = groups
+            .entry((task.submitted_us, task.request))
             .or_insert((task.line, Vec::new()));
-        set.0 = set.0.min(task.line);
-        set.1.push(run);
+        group.0 = group.0.min(task.line);
+        group.1.push(run_ms);
     }
-    for (n, ((at, request), (line, mut run_ms))) in sets.into_iter().enumerate() {
+    for (n, ((at, request), (line, mut run_ms))) in groups.into_iter().enumerate() {
         let tasks = run_ms.len() as u32;
         run_ms.sort_unstable();
         if run_ms.first() == run_ms.last() {
@@ -173,10 +181,10 @@
             },
             class: Some(request.class),
             team: Some(request.team),
-            rank: request.rank,
+            rank: request.priority,
             shape: JobKind::Array,
             tasks,
-            need: request.need,
+            need: request.resources,
             run_ms,
             constraints: request.constraints,
             from: format!("{file}:{line}"),
--- a/fuzz/tests/malformed_input.rs
+++ b/fuzz/tests/malformed_input.rs
@@ -1,6 +1,6 @@
-//! Whatever bytes come: a parser answers with a value or a fault, and never ends the
-//! process. Inputs are valid messages and files with bytes changed, inserted and cut off,
-//! since random bytes seldom get past the first check.
+//! Parsers of untrusted input return a value or an error for any bytes and never panic.
+//! Inputs are valid messages and files with bytes changed, inserted and cut off, since
+//! random bytes seldom get past the first check.
 
 use std::path::{Path, PathBuf};
 
@@ -21,7 +21,7 @@
 use lemonweir_simulator::scenario::Scenario;
 use lemonweir_trace::{Fault, Format};
 
-/// Bytes that are changed, bytes that are inserted, and where the input is cut off.
+/// Bytes to change, bytes to insert, and where to cut off the input.
 type Edits = (Vec<(u16, u8)>, Vec<(u16, Vec<u8>)>, Option<u16>);
 
 fn mutated(valid: &[u8], (changes, inserts, cut): &Edits) -> Vec<u8> {
@@ -48,8 +48,8 @@
         .join(name)
 }
 
-/// Checks a mutated sample: every fault has a field and a text, and checking the same
-/// bytes again gives the same.
+/// Checks mutated samples: every fault has a field and a message, and checking the same
+/// bytes again gives the same result.
 fn check_trace(format: Format, sample: &str) {
     let valid = std::fs::read(example("traces").join(sample)).expect("sample");
     let dir = tempfile::tempdir().expect("directory");
@@ -74,7 +74,7 @@
         assert!(
             faults
                 .iter()
-                .all(|f| !f.field.is_empty() && !f.what.is_empty())
+                .all(|f| !f.field.is_empty() && !f.message.is_empty())
         );
         assert_eq!(run(), (result, faults));
     });
@@ -161,9 +161,9 @@
                         && spec.task_resources().milli_cpus < u64::MAX
                 );
             }
-            // What is decoded can be encoded again, and is decoded the same.
+            // A decoded message survives an encoding round trip.
             if let Ok(heartbeat) = decode::<Heartbeat>(&bytes) {
-                let again = decode::<Heartbeat>(&encode(&heartbeat)).expect("what we wrote");
+                let again = decode::<Heartbeat>(&encode(&heartbeat)).expect("an encoded message");
                 assert_eq!(
                     (again.machine, again.sequence, again.fencing_token),
                     (
@@ -283,8 +283,8 @@
     });
 }
 
-/// Gossip and relay requests of other controllers: one message has one encoding, and a
-/// core that takes any gossip goes on judging its own links.
+/// Gossip and relay messages of other controllers have exactly one encoding, and a core
+/// that has handled any gossip still tracks its own links and picks valid relays.
 #[test]
 fn link_messages() {
     let gossip = AvailabilityGossip {
@@ -330,7 +330,7 @@
     check!()
         .with_type::<(u8, Edits)>()
         .for_each(|(which, edits)| {
-            fn read_exactly<T: borsh::BorshDeserialize + borsh::BorshSerialize>(
+            fn decode_canonical<T: borsh::BorshDeserialize + borsh::BorshSerialize>(
                 bytes: &[u8],
             ) -> Option<T> {
                 let message = links::decode::<T>(bytes).ok()?;
@@ -338,11 +338,11 @@
                 Some(message)
             }
             let bytes = mutated(&valid[usize::from(*which) % valid.len()], edits);
-            read_exactly::<RelayRequest>(&bytes);
-            read_exactly::<RelayResponse>(&bytes);
-            read_exactly::<RelayedHeartbeats>(&bytes);
-            read_exactly::<RelayedResponses>(&bytes);
-            if let Some(gossip) = read_exactly::<AvailabilityGossip>(&bytes) {
+            decode_canonical::<RelayRequest>(&bytes);
+            decode_canonical::<RelayResponse>(&bytes);
+            decode_canonical::<RelayedHeartbeats>(&bytes);
+            decode_canonical::<RelayedResponses>(&bytes);
+            if let Some(gossip) = decode_canonical::<AvailabilityGossip>(&bytes) {
                 let mut core =
                     Core::new(Config::new(&scenario.settings(0)), scenario.policy.clone());
                 let own = core.links.handle_gossip(gossip.clone(), 1_000);
@@ -355,7 +355,7 @@
                 let relay_peer = core.links.route(Service::Store, 0, 4_100);
                 assert!(
                     relay_peer.is_none_or(|peer| peer == gossip.controller && peer != 0),
-                    "only a peer that offered it relays"
+                    "only a peer that sent gossip is chosen as relay"
                 );
                 assert!(core.links.rows(5_000).iter().all(|r| !r.to.is_empty()));
             }
