--- a/crates/coordination/src/dependencies/batch.rs
+++ b/crates/coordination/src/dependencies/batch.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashSet};
 
 use lemonweir_model::JobId;
-use lemonweir_model::constants::CONDITIONS_PER_CHANGE;
+use lemonweir_model::constants::CONDITIONS_PER_WRITE;
 use lemonweir_protocol::kv_store::{CompareAndSwap, Condition, Write};
 use lemonweir_storage::StateCache;
 use lemonweir_storage::dependencies::{
@@ -37,7 +37,7 @@
             cas: CompareAndSwap::default(),
             pending: PendingCas::default(),
             max_writes,
-            max_conditions: CONDITIONS_PER_CHANGE * max_writes,
+            max_conditions: CONDITIONS_PER_WRITE * max_writes,
             verification_only: false,
         }
     }
--- a/crates/coordination/src/placer/write_queue.rs
+++ b/crates/coordination/src/placer/write_queue.rs
@@ -1,7 +1,7 @@
 //! Write queue of the task records and job ends: which are due, in which order, and the next
 //! compare-and-swap that writes them.
 
-use lemonweir_model::constants::{CONDITIONS_PER_CHANGE, MAX_CAS_BYTES};
+use lemonweir_model::constants::{CONDITIONS_PER_WRITE, MAX_CAS_BYTES};
 use lemonweir_model::{JobId, Priority};
 use lemonweir_protocol::kv_store::{CompareAndSwap, Condition, Write};
 use lemonweir_protocol::users::JobPhase;
@@ -389,7 +389,7 @@
     fn is_full_for_chunk(&self) -> bool {
         let max_operations = self.placer.max_cas_operations;
         self.cas.writes.len() + 1 > max_operations
-            || self.cas.conditions.len() + 2 > CONDITIONS_PER_CHANGE * max_operations
+            || self.cas.conditions.len() + 2 > CONDITIONS_PER_WRITE * max_operations
             || self.bytes > MAX_CAS_BYTES
             || self.in_flight.record_count() >= self.placer.max_records_per_cas
     }
--- a/crates/coordination/tests/chains.rs
+++ b/crates/coordination/tests/chains.rs
@@ -10,7 +10,7 @@
 use lemonweir_coordination::job_status::{FINAL_STATE_DELAY_MS, JobStatusAnswer};
 use lemonweir_coordination::placer::CompareAndSwapOutcome;
 use lemonweir_coordination::{Config, Core, Effect, JobProgressReport, ShardLease};
-use lemonweir_model::constants::CONDITIONS_PER_CHANGE;
+use lemonweir_model::constants::CONDITIONS_PER_WRITE;
 use lemonweir_model::{JobId, JobSpec, Priority};
 use lemonweir_protocol::kv_store::{
     CompareAndSwap, Condition, KeyValue, WatchEvent, Write, to_value,
@@ -330,7 +330,7 @@
     let mut confirmed = Vec::new();
     for _ in 0..MANY {
         let cas = leader.next_work().0.expect("confirmation continues");
-        assert!(cas.conditions.len() <= CONDITIONS_PER_CHANGE * leader.core.config.cas_max_changes);
+        assert!(cas.conditions.len() <= CONDITIONS_PER_WRITE * leader.core.config.cas_max_changes);
         confirmed.extend(
             cas.conditions
                 .iter()
--- a/crates/model/src/constants.rs
+++ b/crates/model/src/constants.rs
@@ -101,7 +101,7 @@
 pub const PACKED_RECORD_VERSION: u32 = 1;
 /// Maximum number of conditions of a transaction for each of its writes (protocol
 /// specification).
-pub const CONDITIONS_PER_CHANGE: usize = 4;
+pub const CONDITIONS_PER_WRITE: usize = 4;
 /// Maximum number of job ids missing in the cache that wait for a batched lookup in the store.
 /// Further requests for such ids are rejected at once.
 pub const MAX_PENDING_LOOKUPS: usize = 256;
--- a/crates/node/src/job_lookup.rs
+++ b/crates/node/src/job_lookup.rs
@@ -14,7 +14,7 @@
 use lemonweir_coordination::query_admission::LookupQueue;
 use lemonweir_model::JobId;
 use lemonweir_model::constants::{
-    CONDITIONS_PER_CHANGE, HEARTBEAT_BATCH_MS, MAX_PENDING_LOOKUPS, USER_TIMEOUT_MS,
+    CONDITIONS_PER_WRITE, HEARTBEAT_BATCH_MS, MAX_PENDING_LOOKUPS, USER_TIMEOUT_MS,
 };
 use lemonweir_protocol::kv_store::from_value;
 use lemonweir_protocol::users::JobPhase;
@@ -123,7 +123,7 @@
 async fn run_batches(node: &Rc<Node>) {
     sleep_ms(HEARTBEAT_BATCH_MS).await;
     let max_cas_writes = node.with_core(|core, _| core.config.cas_max_changes);
-    let max_batch = (CONDITIONS_PER_CHANGE * max_cas_writes / CONDITIONS_PER_ABSENT_JOB).max(1);
+    let max_batch = (CONDITIONS_PER_WRITE * max_cas_writes / CONDITIONS_PER_ABSENT_JOB).max(1);
     loop {
         let batch = {
             let mut lookups = node.job_lookups.borrow_mut();
--- a/crates/simulator/src/store.rs
+++ b/crates/simulator/src/store.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use lemonweir_model::constants::CONDITIONS_PER_CHANGE;
+use lemonweir_model::constants::CONDITIONS_PER_WRITE;
 use lemonweir_model::settings::KvStoreLimits;
 use lemonweir_protocol::kv_store::{CompareAndSwap, KeyValue, WatchEvent, Write};
 use rmpv::Value;
@@ -128,7 +128,7 @@
             }
         };
         cas.writes.len() <= self.cas_writes
-            && cas.conditions.len() <= CONDITIONS_PER_CHANGE * self.cas_writes
+            && cas.conditions.len() <= CONDITIONS_PER_WRITE * self.cas_writes
             && cas.writes.iter().all(fits)
     }
 
