--- a/crates/coordination/src/owner/summary.rs
+++ b/crates/coordination/src/owner/summary.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::team_usage::{TeamUsage, usage_by_team};
-use lemonweir_model::constants::SUMMARY_MS;
+use lemonweir_model::constants::SUMMARY_INTERVAL_MS;
 
 impl Owner {
     /// Resources used per team by attempts that were launched or are reported by a machine.
@@ -17,9 +17,9 @@
         }))
     }
 
-    /// Logs the shard's utilization every [`SUMMARY_MS`].
+    /// Logs the shard's utilization every [`SUMMARY_INTERVAL_MS`].
     pub(super) fn log_summary(&mut self, now: u64) {
-        if now < self.summary_logged_at + SUMMARY_MS {
+        if now < self.summary_logged_at + SUMMARY_INTERVAL_MS {
             return;
         }
         self.summary_logged_at = now;
--- a/crates/model/src/constants.rs
+++ b/crates/model/src/constants.rs
@@ -148,7 +148,7 @@
 /// with the number of machines in a larger one.
 pub const MAX_HEADROOM_TASKS: u32 = 4;
 /// ms between two log lines that summarise the utilisation of a shard.
-pub const SUMMARY_MS: u64 = 20_000;
+pub const SUMMARY_INTERVAL_MS: u64 = 20_000;
 /// ms beyond two heartbeat intervals after which a machine counts as silent.
 pub const HEARTBEAT_TIMEOUT_SLACK_MS: u64 = 500;
 /// Maximum number of silent machines that are treated as individual losses. If more are
--- a/crates/node/src/public_api/replies.rs
+++ b/crates/node/src/public_api/replies.rs
@@ -7,7 +7,7 @@
 use crate::{Node, sleep_ms};
 use lemonweir_coordination::query_admission::{QueryKind, QueryRefusal, RefusalSummary};
 use lemonweir_model::JobId;
-use lemonweir_model::constants::SUMMARY_MS;
+use lemonweir_model::constants::SUMMARY_INTERVAL_MS;
 use lemonweir_protocol::encode;
 use lemonweir_protocol::users::JobStatus;
 use lemonweir_transport::Reply;
@@ -61,7 +61,7 @@
 /// Periodically logs which users' queries were refused, and why. Never returns.
 pub(crate) async fn log_refused_queries(node: Rc<Node>) {
     loop {
-        sleep_ms(SUMMARY_MS).await;
+        sleep_ms(SUMMARY_INTERVAL_MS).await;
         let summary = node.query_admission.borrow_mut().take_refusals();
         if let Some(RefusalSummary { counts, longest_ms }) = summary {
             info!(
