--- a/crates/coordination/src/links/peers.rs
+++ b/crates/coordination/src/links/peers.rs
@@ -49,7 +49,7 @@
             store_age_ms: age(self.store.last_answer()),
             cloud_age_ms: age(self.cloud.last_answer()),
             peers: self.other_peers().map(peer).collect(),
-            unreachable_zones: self.zones.iter().map(zone).collect(),
+            zone_heartbeat_ages: self.zones.iter().map(zone).collect(),
         }
     }
 
--- a/crates/coordination/src/links/table.rs
+++ b/crates/coordination/src/links/table.rs
@@ -106,7 +106,7 @@
         for (index, state, in_state_ms) in &content.peers {
             rows.push(row(self.host(*index), *state, *in_state_ms));
         }
-        for (zone, silent_ms) in &content.unreachable_zones {
+        for (zone, silent_ms) in &content.zone_heartbeat_ages {
             let state = self.zone_state(*silent_ms);
             rows.push(row(zone_name(zone), state, *silent_ms));
         }
--- a/crates/coordination/src/links/workers.rs
+++ b/crates/coordination/src/links/workers.rs
@@ -90,7 +90,7 @@
             };
         };
         let zone_reached = gossip
-            .unreachable_zones
+            .zone_heartbeat_ages
             .iter()
             .any(|(zone, ms)| zone == heartbeat.zone && *ms <= silence_ms);
         let zone = if zone_reached {
--- a/crates/coordination/tests/links.rs
+++ b/crates/coordination/tests/links.rs
@@ -63,7 +63,7 @@
         store_age_ms: store_ms,
         cloud_age_ms: store_ms,
         peers: Vec::new(),
-        unreachable_zones: zones,
+        zone_heartbeat_ages: zones,
     }
 }
 
--- a/crates/protocol/src/links.rs
+++ b/crates/protocol/src/links.rs
@@ -63,7 +63,7 @@
     /// Links to the other controllers by index: state, and time in that state.
     pub peers: Vec<(u16, LinkState, u64)>,
     /// Zones, and time since a worker of the zone last reached it directly.
-    pub unreachable_zones: Vec<(String, u64)>,
+    pub zone_heartbeat_ages: Vec<(String, u64)>,
 }
 
 impl AvailabilityGossip {
--- a/crates/protocol/tests/golden_messages.rs
+++ b/crates/protocol/tests/golden_messages.rs
@@ -725,7 +725,7 @@
             (5, links::LinkState::InboundOnly, 40),
             (6, links::LinkState::Down, 50),
         ],
-        unreachable_zones: vec![("rijnmond".into(), 60)],
+        zone_heartbeat_ages: vec![("rijnmond".into(), 60)],
     };
     golden.assert_links_message("word", &gossip);
     assert_eq!(
--- a/fuzz/tests/malformed_input.rs
+++ b/fuzz/tests/malformed_input.rs
@@ -293,7 +293,7 @@
         store_age_ms: Some(40),
         cloud_age_ms: None,
         peers: vec![(0, LinkState::InboundOnly, 900), (2, LinkState::Up, 3)],
-        unreachable_zones: vec![("north".into(), 12), ("south".into(), 90_000)],
+        zone_heartbeat_ages: vec![("north".into(), 12), ("south".into(), 90_000)],
     };
     let request = RelayRequest {
         version: LINKS_VERSION,
