--- a/crates/node/src/job_lookup.rs
+++ b/crates/node/src/job_lookup.rs
@@ -20,7 +20,7 @@
 use lemonweir_protocol::users::JobPhase;
 use lemonweir_storage::dependencies::blocked_job_key;
 use lemonweir_storage::records::{
-    CONDITIONS_PER_ABSENT_JOB, END_PREFIX, JobEndRecord, absent, end_key, job_key,
+    CONDITIONS_PER_ABSENT_JOB, END_PREFIX, JobEndRecord, check_jobs_absent, end_key, job_key,
 };
 use lemonweir_transport::within;
 
@@ -146,7 +146,7 @@
 /// exists.
 async fn look_up_batch(node: &Node, batch: Vec<(JobId, Vec<Sender<LookupResult>>)>) {
     let ids: Vec<JobId> = batch.iter().map(|(id, _)| id.clone()).collect();
-    let existing_keys = match node.kv_store.cas(&absent(&ids)).await {
+    let existing_keys = match node.kv_store.cas(&check_jobs_absent(&ids)).await {
         Ok(CompareAndSwapResult::Committed(_)) => Ok(Vec::new()),
         Ok(CompareAndSwapResult::Conflict(keys)) => Ok(keys),
         Err(error) => Err(error),
--- a/crates/storage/src/records.rs
+++ b/crates/storage/src/records.rs
@@ -271,12 +271,12 @@
     }
 }
 
-/// Conditions of [`absent`] for one job.
+/// Conditions of [`check_jobs_absent`] for one job.
 pub const CONDITIONS_PER_ABSENT_JOB: usize = 3;
 
 /// Verifies without a write that no records of these jobs exist: neither unfinished, blocked
 /// nor ended. The keys that it fails on exist.
-pub fn absent(jobs: &[JobId]) -> CompareAndSwap {
+pub fn check_jobs_absent(jobs: &[JobId]) -> CompareAndSwap {
     CompareAndSwap {
         conditions: jobs.iter().flat_map(job_absent_conditions).collect(),
         writes: Vec::new(),
--- a/crates/storage/tests/golden_records.rs
+++ b/crates/storage/tests/golden_records.rs
@@ -418,7 +418,10 @@
 fn transactions_match_their_samples() {
     let mut golden = Golden::parse(include_str!("samples/golden/transactions.json"));
     golden.cas("accept a job", &create_job(&job(0, false)));
-    golden.cas("ask whether jobs are absent", &absent(&[id(1), id(2)]));
+    golden.cas(
+        "ask whether jobs are absent",
+        &check_jobs_absent(&[id(1), id(2)]),
+    );
     golden.cas("cancel a job", &request_cancellation(&job(0, false), 50));
     let taken = entry(LeadershipChange::Vacant, Some("hutte-2"), Some("hutte-0"));
     golden.cas("take a shard", &acquire_shard(49, "hutte-0", 9, &taken));
