--- a/crates/coordination/tests/cancellations.rs
+++ b/crates/coordination/tests/cancellations.rs
@@ -321,7 +321,7 @@
                     from_shard: 0,
                     to_shard: 1,
                 };
-                for write in post(
+                for write in write_store_message(
                     route,
                     (TOKEN, late_view.seq),
                     &peer::encode(&late_view),
--- a/crates/coordination/tests/support/controllers.rs
+++ b/crates/coordination/tests/support/controllers.rs
@@ -664,7 +664,7 @@
         let Some(store_lease) = self.nodes[node].store_lease else {
             return;
         };
-        let cas = post(route, id, bytes, 6_000, store_lease);
+        let cas = write_store_message(route, id, bytes, 6_000, store_lease);
         self.send_cas(node, &cas);
     }
 
--- a/crates/node/src/effect_executor.rs
+++ b/crates/node/src/effect_executor.rs
@@ -26,7 +26,7 @@
 use lemonweir_protocol::worker::Heartbeat;
 use lemonweir_protocol::{decode, encode};
 use lemonweir_storage::records::{
-    StoreMessageKind, StoreMessageRoute, parse_task_chunk_key, post, shard_key,
+    StoreMessageKind, StoreMessageRoute, parse_task_chunk_key, shard_key, write_store_message,
 };
 use lemonweir_transport::CallError;
 
@@ -316,7 +316,7 @@
             core.config.cas_max_changes,
         )
     });
-    let cas = post(route, message_id, bytes, piece_bytes, lease.get());
+    let cas = write_store_message(route, message_id, bytes, piece_bytes, lease.get());
     if cas.writes.len() > max_writes {
         error!(
             message_bytes = bytes.len(),
--- a/crates/simulator/src/simulation/effects.rs
+++ b/crates/simulator/src/simulation/effects.rs
@@ -6,7 +6,7 @@
 use lemonweir_protocol::cloud::ProvisioningRequest;
 use lemonweir_protocol::links::Service;
 use lemonweir_protocol::peer;
-use lemonweir_storage::records::{StoreMessageKind, StoreMessageRoute, post};
+use lemonweir_storage::records::{StoreMessageKind, StoreMessageRoute, write_store_message};
 
 use super::Simulation;
 use super::events::Event;
@@ -132,7 +132,7 @@
         let limits = &self.scenario.state;
         let piece_bytes =
             store_message_piece_bytes((limits.lowest_max_value_kib() * 1024.0) as usize);
-        let cas = post(route, id, bytes, piece_bytes, store_lease);
+        let cas = write_store_message(route, id, bytes, piece_bytes, store_lease);
         if cas.writes.len() <= limits.lowest_max_cas_ops() {
             self.send_cas(controller, CasOrigin::Unattended, cas);
         }
--- a/crates/storage/src/records.rs
+++ b/crates/storage/src/records.rs
@@ -451,7 +451,7 @@
 
 /// Writes a peer message, split into values of at most `chunk_bytes` before encoding; the
 /// keys are bound to the sender's store lease.
-pub fn post(
+pub fn write_store_message(
     route: StoreMessageRoute,
     id: (u64, u64),
     bytes: &[u8],
--- a/crates/storage/tests/golden_records.rs
+++ b/crates/storage/tests/golden_records.rs
@@ -450,7 +450,10 @@
             from_shard: 1,
             to_shard: 2,
         };
-        golden.cas(name, &post(route, (42, 7), &[0, 1, 2, 253, 254], 3, 9));
+        golden.cas(
+            name,
+            &write_store_message(route, (42, 7), &[0, 1, 2, 253, 254], 3, 9),
+        );
     }
     golden.assert_all_compared();
 }
