--- a/crates/coordination/tests/chains.rs
+++ b/crates/coordination/tests/chains.rs
@@ -85,14 +85,14 @@
                 version,
             },
         };
-        let is_followed = |change: &WatchEvent| {
+        let is_watched = |change: &WatchEvent| {
             change
                 .set
                 .iter()
                 .chain(&change.drop)
-                .all(|key| key.starts_with(FOLLOWED))
+                .all(|key| key.starts_with(WATCHED_PREFIX))
         };
-        let changes: Vec<WatchEvent> = cas.writes.iter().map(change).filter(is_followed).collect();
+        let changes: Vec<WatchEvent> = cas.writes.iter().map(change).filter(is_watched).collect();
         self.core.cache.apply_changes(&changes, version, self.now);
         self.core.cache_refreshed(self.now, true);
         version
--- a/crates/node/src/cache_refresh.rs
+++ b/crates/node/src/cache_refresh.rs
@@ -8,7 +8,7 @@
 use crate::kv_client::KvError;
 use crate::{Node, RefreshError, RefreshWaiter, effect_executor, sleep_ms};
 use lemonweir_model::constants::{CACHE_REFRESH_BUSY_MS, CACHE_REFRESH_IDLE_MS};
-use lemonweir_storage::records::FOLLOWED;
+use lemonweir_storage::records::WATCHED_PREFIX;
 use lemonweir_transport::within;
 
 /// Outcome of a successful refresh.
@@ -72,7 +72,7 @@
 async fn refresh(node: &Node) -> Result<RefreshOutcome, KvError> {
     let revision = node.with_core(|core, _| core.cache.revision);
     if let Some(revision) = revision {
-        match node.kv_store.changes_since(FOLLOWED, revision).await {
+        match node.kv_store.changes_since(WATCHED_PREFIX, revision).await {
             Ok(changes) => {
                 node.with_core(|core, now| {
                     core.cache
@@ -90,7 +90,7 @@
             Err(error) => return Err(error),
         }
     }
-    let listing = node.kv_store.list(FOLLOWED).await?;
+    let listing = node.kv_store.list(WATCHED_PREFIX).await?;
     info!(
         keys = listing.entries.len(),
         revision = listing.revision,
--- a/crates/simulator/src/simulation/state_reads.rs
+++ b/crates/simulator/src/simulation/state_reads.rs
@@ -4,7 +4,7 @@
 use lemonweir_model::JobId;
 use lemonweir_model::constants::{CACHE_REFRESH_BUSY_MS, CACHE_REFRESH_IDLE_MS};
 use lemonweir_protocol::links::Service;
-use lemonweir_storage::records::FOLLOWED;
+use lemonweir_storage::records::WATCHED_PREFIX;
 
 use super::Simulation;
 use super::events::{Event, StoreRequest};
@@ -116,8 +116,8 @@
 
 /// What the store says of the watched keys since a revision, or of all.
 pub(super) fn read_watched_keys(store: &Store, after: Option<u64>) -> StateRead {
-    match after.and_then(|after| store.changes(FOLLOWED, after)) {
+    match after.and_then(|after| store.changes(WATCHED_PREFIX, after)) {
         Some(changes) => StateRead::Changes(changes, store.revision),
-        None => StateRead::Snapshot(store.list(FOLLOWED), store.revision),
+        None => StateRead::Snapshot(store.list(WATCHED_PREFIX), store.revision),
     }
 }
--- a/crates/storage/src/followed_key.rs
+++ b/crates/storage/src/followed_key.rs
@@ -1,6 +1,6 @@
 //! Parses the keys under `w/`, which every controller watches, into their kinds.
 
-use crate::records::{FOLLOWED, VERSION_KEY};
+use crate::records::{VERSION_KEY, WATCHED_PREFIX};
 
 /// A watched key, split by its kind. The remaining segments are not validated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -29,7 +29,7 @@
         if key == VERSION_KEY {
             return Some(Self::Version);
         }
-        let (kind, rest) = key.strip_prefix(FOLLOWED)?.split_once('/')?;
+        let (kind, rest) = key.strip_prefix(WATCHED_PREFIX)?.split_once('/')?;
         match kind {
             "job" => Some(Self::Job(rest)),
             "chain" => Some(Self::BlockedJob(rest)),
--- a/crates/storage/src/records.rs
+++ b/crates/storage/src/records.rs
@@ -28,7 +28,7 @@
 use lemonweir_protocol::users::JobPhase;
 
 /// Prefix of the keys that every controller watches.
-pub const FOLLOWED: &str = "w/";
+pub const WATCHED_PREFIX: &str = "w/";
 
 /// Key of an unfinished job.
 pub fn job_key(id: &JobId) -> String {
--- a/crates/storage/tests/golden_records.rs
+++ b/crates/storage/tests/golden_records.rs
@@ -356,7 +356,7 @@
 
 #[test]
 fn keys_keep_their_spelling() {
-    assert_eq!(FOLLOWED, "w/");
+    assert_eq!(WATCHED_PREFIX, "w/");
     assert_eq!(END_PREFIX, "end/");
     assert_eq!(VERSION_KEY, "w/version");
     assert_eq!(job_key(&id(412)), "w/job/req-000412");
--- a/crates/storage/tests/versions.rs
+++ b/crates/storage/tests/versions.rs
@@ -139,7 +139,7 @@
                 panic!("no key is deleted")
             };
             let kind = key
-                .strip_prefix(FOLLOWED)
+                .strip_prefix(WATCHED_PREFIX)
                 .and_then(|rest| rest.split_once('/'))
                 .expect("a watched key")
                 .0;
