--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -3,9 +3,9 @@
 
 pub mod dependencies;
 pub mod failovers;
-mod followed_key;
 pub mod packed_chunk;
 pub mod records;
 pub mod state_cache;
+mod watched_key;
 
 pub use state_cache::StateCache;
--- a/crates/storage/src/state_cache.rs
+++ b/crates/storage/src/state_cache.rs
@@ -9,11 +9,11 @@
 
 use crate::dependencies::{DependencyPage, parse_blocked_job_key};
 use crate::failovers::FailoverHistory;
-use crate::followed_key::FollowedKey;
 use crate::records::{
     ControllerRecord, JobRecord, ShardRecord, StoreMessageRecord, StoreMessageRoute,
     TeamAssignmentRecord, VersionRecord, parse_store_message_key,
 };
+use crate::watched_key::WatchedKey;
 use lemonweir_model::{JobId, JobSpec};
 use lemonweir_protocol::kv_store::{KeyValue, WatchEvent, from_value};
 use lemonweir_protocol::users::JobPhase;
@@ -129,18 +129,18 @@
     }
 
     fn set(&mut self, key: &str, value: &rmpv::Value, version: u64) {
-        let applied = FollowedKey::parse(key).and_then(|kind| match kind {
-            FollowedKey::Job(id) => self.set_job(id, value, version),
-            FollowedKey::BlockedJob(rest) => self.set_blocked_job(rest, value, version),
-            FollowedKey::Shard(index) => self.set_shard_leader(index, value, version),
-            FollowedKey::Controller(host) => self.set_controller(host, value),
-            FollowedKey::Version => self.set_records_version(value, version),
-            FollowedKey::Team(team) => self.set_team_shard(team, value),
-            FollowedKey::Failover(rest) => {
+        let applied = WatchedKey::parse(key).and_then(|kind| match kind {
+            WatchedKey::Job(id) => self.set_job(id, value, version),
+            WatchedKey::BlockedJob(rest) => self.set_blocked_job(rest, value, version),
+            WatchedKey::Shard(index) => self.set_shard_leader(index, value, version),
+            WatchedKey::Controller(host) => self.set_controller(host, value),
+            WatchedKey::Version => self.set_records_version(value, version),
+            WatchedKey::Team(team) => self.set_team_shard(team, value),
+            WatchedKey::Failover(rest) => {
                 self.failovers.set(rest, value, version);
                 Some(())
             }
-            FollowedKey::StoreMessage(rest) => self.set_message(rest, value),
+            WatchedKey::StoreMessage(rest) => self.set_message(rest, value),
         });
         if applied.is_none() {
             tracing::error!(key, "malformed record or unknown key ignored");
@@ -222,24 +222,24 @@
     }
 
     fn remove(&mut self, key: &str, version: u64, now: u64) {
-        match FollowedKey::parse(key) {
-            Some(FollowedKey::Job(id)) => self.remove_job(JobId::from(id), version, now),
-            Some(FollowedKey::BlockedJob(rest)) => self.remove_blocked_job(rest),
-            Some(FollowedKey::Shard(index)) => self.remove_shard_leader(index, version),
-            Some(FollowedKey::Controller(host)) => {
+        match WatchedKey::parse(key) {
+            Some(WatchedKey::Job(id)) => self.remove_job(JobId::from(id), version, now),
+            Some(WatchedKey::BlockedJob(rest)) => self.remove_blocked_job(rest),
+            Some(WatchedKey::Shard(index)) => self.remove_shard_leader(index, version),
+            Some(WatchedKey::Controller(host)) => {
                 self.controllers.remove(host);
             }
-            Some(FollowedKey::Team(team)) => {
+            Some(WatchedKey::Team(team)) => {
                 self.team_shards.remove(team);
             }
-            Some(FollowedKey::Failover(rest)) => self.failovers.remove(rest),
-            Some(FollowedKey::StoreMessage(rest)) => {
+            Some(WatchedKey::Failover(rest)) => self.failovers.remove(rest),
+            Some(WatchedKey::StoreMessage(rest)) => {
                 if let Some(key) = parse_store_message_key(rest) {
                     self.messages.remove(&key);
                 }
             }
             // The version is never deleted; unknown keys belong to a later version.
-            Some(FollowedKey::Version) | None => {}
+            Some(WatchedKey::Version) | None => {}
         }
     }
 
--- a/crates/storage/src/followed_key.rs
+++ b/crates/storage/src/watched_key.rs
@@ -4,7 +4,7 @@
 
 /// A watched key, split by its kind. The remaining segments are not validated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum FollowedKey<'a> {
+pub(crate) enum WatchedKey<'a> {
     /// `w/job/<id>`.
     Job(&'a str),
     /// `w/chain/<id>` or `w/chain/<id>/<page>`.
@@ -23,7 +23,7 @@
     StoreMessage(&'a str),
 }
 
-impl<'a> FollowedKey<'a> {
+impl<'a> WatchedKey<'a> {
     /// Parses a key; `None` if this version doesn't know its kind.
     pub(crate) fn parse(key: &'a str) -> Option<Self> {
         if key == VERSION_KEY {
