--- a/crates/coordination/src/dependencies/graph.rs
+++ b/crates/coordination/src/dependencies/graph.rs
@@ -6,7 +6,7 @@
 use lemonweir_model::{JobId, Priority};
 use lemonweir_protocol::users::JobPhase;
 use lemonweir_storage::StateCache;
-use lemonweir_storage::state_cache::FinalState;
+use lemonweir_storage::state_cache::CachedJobEnd;
 
 /// State of a blocked job, derived from its direct and transitive dependencies.
 pub(super) fn dependency_state(cache: &StateCache, id: &JobId) -> DependencyState {
@@ -54,9 +54,9 @@
 
 /// Blocked jobs that depend on a cancelled job, directly or transitively, each with the final
 /// state that cancels it. One traversal visits each job once.
-pub(super) fn cancelled_jobs(cache: &StateCache) -> HashMap<JobId, FinalState> {
+pub(super) fn cancelled_jobs(cache: &StateCache) -> HashMap<JobId, CachedJobEnd> {
     let mut dependents: HashMap<JobId, Vec<&JobId>> = HashMap::new();
-    let mut queue: Vec<(&JobId, FinalState)> = Vec::new();
+    let mut queue: Vec<(&JobId, CachedJobEnd)> = Vec::new();
     for id in cache.blocked_jobs.keys() {
         for dependency in cache.dependencies(id).unwrap_or_default() {
             match cache.job_end(&dependency) {
@@ -66,7 +66,7 @@
             }
         }
     }
-    let mut cancelled: HashMap<JobId, FinalState> = HashMap::new();
+    let mut cancelled: HashMap<JobId, CachedJobEnd> = HashMap::new();
     while let Some((id, state)) = queue.pop() {
         if cancelled.insert(id.clone(), state).is_none() {
             let next = dependents.get(id).into_iter().flatten();
@@ -79,7 +79,7 @@
 /// Result of a search through the transitive dependencies of some jobs.
 pub(super) struct DependencySearch {
     /// The final state of a cancelled job among them.
-    pub(super) cancelled: Option<FinalState>,
+    pub(super) cancelled: Option<CachedJobEnd>,
     /// Jobs that are not in the cache.
     pub(super) unread: Vec<JobId>,
 }
--- a/crates/coordination/src/dependencies/mod.rs
+++ b/crates/coordination/src/dependencies/mod.rs
@@ -30,7 +30,7 @@
     cancel_blocked_job, create_blocked_job, create_cancelled_job,
 };
 use lemonweir_storage::records::{JobRecord, create_job, request_cancellation};
-use lemonweir_storage::state_cache::FinalState;
+use lemonweir_storage::state_cache::CachedJobEnd;
 
 /// Maximum number of dependencies listed in the wait reason of a job.
 const MAX_DEPENDENCIES_IN_REASON: usize = 5;
@@ -51,7 +51,7 @@
     /// These dependencies are unfinished.
     Waiting(Vec<JobId>),
     /// A direct or transitive dependency is cancelled.
-    Cancelled(FinalState),
+    Cancelled(CachedJobEnd),
     /// The final states of these jobs must be read first. Empty if the job's own dependencies
     /// are not in the cache yet.
     Unread(Vec<JobId>),
--- a/crates/coordination/src/job_status.rs
+++ b/crates/coordination/src/job_status.rs
@@ -12,7 +12,7 @@
 use crate::{Core, JobProgressReport};
 use lemonweir_model::JobId;
 use lemonweir_protocol::users::JobPhase;
-use lemonweir_storage::state_cache::FinalState;
+use lemonweir_storage::state_cache::CachedJobEnd;
 
 /// ms after the start of a store read during which the cache may answer polls of unfinished
 /// jobs. Regular reads are about 220 ms apart.
@@ -43,7 +43,7 @@
 impl JobStatusAnswer {
     /// The answer for a job that a final state decides: its own, or that of a cancelled job
     /// that it depends on.
-    fn from_final_state(state: FinalState, now: u64) -> Self {
+    fn from_final_state(state: CachedJobEnd, now: u64) -> Self {
         match (state.learned_at_ms + FINAL_STATE_DELAY_MS).saturating_sub(now) {
             0 => Self::Finished(state.phase),
             ms => Self::FinishedIn(ms),
--- a/crates/storage/src/state_cache.rs
+++ b/crates/storage/src/state_cache.rs
@@ -42,7 +42,7 @@
 
 /// The end of a job, which never changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct FinalState {
+pub struct CachedJobEnd {
     /// Done or cancelled.
     pub phase: JobPhase,
     /// Time at which this controller learned of it, ms.
@@ -92,7 +92,7 @@
     /// Routes with chunks that came since [`StateCache::take_messages`].
     unread_messages: BTreeSet<StoreMessageRoute>,
     /// Ends of jobs.
-    ends: HashMap<JobId, FinalState>,
+    ends: HashMap<JobId, CachedJobEnd>,
     /// Jobs in `ends` in the order of insertion, for eviction.
     ends_order: VecDeque<JobId>,
 }
@@ -357,7 +357,7 @@
         self.ended_job_changes += 1;
         self.ends.insert(
             job.clone(),
-            FinalState {
+            CachedJobEnd {
                 phase,
                 learned_at_ms: now,
                 version,
@@ -372,7 +372,7 @@
     }
 
     /// The end of a job, if cached.
-    pub fn job_end(&self, job: &JobId) -> Option<FinalState> {
+    pub fn job_end(&self, job: &JobId) -> Option<CachedJobEnd> {
         self.ends.get(job).copied()
     }
 }
