--- a/crates/node/src/startup.rs
+++ b/crates/node/src/startup.rs
@@ -24,7 +24,7 @@
 use lemonweir_model::policy::Policy;
 use lemonweir_model::settings::Settings;
 use lemonweir_transport::server::{listen, serve};
-use lemonweir_transport::{Client, Gate};
+use lemonweir_transport::{Client, ConnectionLimits};
 
 /// Receiving ends of the node's request channels, read by its loops.
 struct RequestReceivers {
@@ -47,19 +47,19 @@
         config.wall_clock_offset_ms = wall_clock_ms();
         let sockets = config.sockets;
         let (node, receivers) = build(executor, settings, config, policy);
-        let gate = Gate::new(
+        let limits = ConnectionLimits::new(
             sockets.public,
             sockets.close_above(),
             sockets.user_keep_alive(),
         );
         let api = Rc::new(PublicApi(node.clone()));
         executor
-            .spawn(serve(executor, public, gate, MAX_BODY_BYTES, api))
+            .spawn(serve(executor, public, limits, MAX_BODY_BYTES, api))
             .detach();
-        let gate = Gate::new(sockets.peers, sockets.peers / 2, 0);
+        let limits = ConnectionLimits::new(sockets.peers, sockets.peers / 2, 0);
         let api = Rc::new(PeerApi(node.clone()));
         executor
-            .spawn(serve(executor, internal, gate, MAX_RESPONSE_BYTES, api))
+            .spawn(serve(executor, internal, limits, MAX_RESPONSE_BYTES, api))
             .detach();
         start_background_tasks(&node, receivers.refresh);
         flush_loop::run(node, receivers.flush).await;
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -4,7 +4,7 @@
 pub mod server;
 
 pub use client::{CallError, Client, Response};
-pub use server::{Gate, Handler, Reply, Request, serve};
+pub use server::{ConnectionLimits, Handler, Reply, Request, serve};
 
 use std::time::Duration;
 
--- a/crates/transport/src/server.rs
+++ b/crates/transport/src/server.rs
@@ -77,7 +77,7 @@
 
 /// Limits the connections of one listening address.
 #[derive(Debug)]
-pub struct Gate {
+pub struct ConnectionLimits {
     open: Cell<usize>,
     max_open: usize,
     close_threshold: usize,
@@ -87,7 +87,7 @@
     max_low_priority: usize,
 }
 
-impl Gate {
+impl ConnectionLimits {
     /// Creates the limits. While `max_open` connections are open, new ones are closed at
     /// once. While `close_threshold` or more are open, each is closed after its next reply.
     /// Low-priority connections ([`Handler::guest`]) are closed after their next reply
@@ -119,16 +119,16 @@
     }
 }
 
-/// Accepts connections until the process ends. Those above the limit of `gate` are
+/// Accepts connections until the process ends. Those beyond `limits` are
 /// closed at once, which the load balancer treats as a refusal.
 pub async fn serve<H: Handler>(
     executor: &'static smol::LocalExecutor<'static>,
     listener: TcpListener,
-    gate: Gate,
+    limits: ConnectionLimits,
     max_body: usize,
     handler: Rc<H>,
 ) {
-    let gate = Rc::new(gate);
+    let limits = Rc::new(limits);
     loop {
         let (stream, peer) = match listener.accept().await {
             Ok(pair) => pair,
@@ -140,23 +140,24 @@
                 continue;
             }
         };
-        if gate.open.get() >= gate.max_open {
+        if limits.open.get() >= limits.max_open {
             drop(stream);
             continue;
         }
-        gate.open.set(gate.open.get() + 1);
-        let (handler, gate) = (handler.clone(), gate.clone());
+        limits.open.set(limits.open.get() + 1);
+        let (handler, limits) = (handler.clone(), limits.clone());
         executor
             .spawn(async move {
                 let mut low_priority = false;
                 if let Err(fault) =
-                    serve_connection(stream, max_body, &*handler, &gate, &mut low_priority).await
+                    serve_connection(stream, max_body, &*handler, &limits, &mut low_priority).await
                 {
                     debug!(%peer, fault, "connection closed");
                 }
-                gate.open.set(gate.open.get() - 1);
-                gate.low_priority
-                    .set(gate.low_priority.get() - usize::from(low_priority));
+                limits.open.set(limits.open.get() - 1);
+                limits
+                    .low_priority
+                    .set(limits.low_priority.get() - usize::from(low_priority));
             })
             .detach();
     }
@@ -168,7 +169,7 @@
     mut stream: TcpStream,
     max_body: usize,
     handler: &H,
-    gate: &Gate,
+    limits: &ConnectionLimits,
     low_priority: &mut bool,
 ) -> Result<(), &'static str> {
     stream
@@ -187,7 +188,7 @@
         let (request, close) = request;
         if !*low_priority && handler.guest(&request) {
             *low_priority = true;
-            gate.low_priority.set(gate.low_priority.get() + 1);
+            limits.low_priority.set(limits.low_priority.get() + 1);
         }
         let reply = handler.handle(request).await;
         // Prevents workers from keeping all sockets of the process: there may be more workers
@@ -195,8 +196,8 @@
         // leaving none for workers.
         let close = close
             || reply.leave
-            || gate.above_close_threshold()
-            || *low_priority && gate.low_priority.get() > gate.max_low_priority;
+            || limits.above_close_threshold()
+            || *low_priority && limits.low_priority.get() > limits.max_low_priority;
         write_reply(&mut stream, &reply, close).await?;
         if close {
             return Ok(());
--- a/crates/transport/tests/gate.rs
+++ b/crates/transport/tests/connection_limits.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use lemonweir_transport::server::listen;
-use lemonweir_transport::{Client, Gate, Handler, Reply, Request, serve};
+use lemonweir_transport::{Client, ConnectionLimits, Handler, Reply, Request, serve};
 
 struct Echo;
 
@@ -20,14 +20,14 @@
 
 /// Counts the answers to 5 requests of each client. Clients take turns, so that all of
 /// them would keep a connection at the same time.
-fn count_answers(clients: usize, method: &'static str, gate: Gate) -> usize {
+fn count_answers(clients: usize, method: &'static str, limits: ConnectionLimits) -> usize {
     let executor: &'static smol::LocalExecutor<'static> =
         Box::leak(Box::new(smol::LocalExecutor::new()));
     smol::block_on(executor.run(async move {
         let listener = listen(([127, 0, 0, 1], 0).into()).await.expect("bound");
         let addr = listener.local_addr().expect("bound");
         executor
-            .spawn(serve(executor, listener, gate, 1_024, Rc::new(Echo)))
+            .spawn(serve(executor, listener, limits, 1_024, Rc::new(Echo)))
             .detach();
         let clients: Vec<Client> = (0..clients).map(|_| Client::new(2)).collect();
         let mut answers = 0;
@@ -43,16 +43,25 @@
 
 #[test]
 fn server_answers_more_clients_than_it_has_connections() {
-    assert_eq!(count_answers(60, "POST", Gate::new(20, 16, 0)), 300);
+    assert_eq!(
+        count_answers(60, "POST", ConnectionLimits::new(20, 16, 0)),
+        300
+    );
     // Without the threshold, the first clients keep all connections.
-    assert_eq!(count_answers(60, "POST", Gate::new(20, usize::MAX, 0)), 100);
+    assert_eq!(
+        count_answers(60, "POST", ConnectionLimits::new(20, usize::MAX, 0)),
+        100
+    );
 }
 
 #[test]
 fn low_priority_connections_are_limited() {
-    assert_eq!(count_answers(60, "GET", Gate::new(20, usize::MAX, 8)), 300);
     assert_eq!(
-        count_answers(60, "GET", Gate::new(20, usize::MAX, 20)),
+        count_answers(60, "GET", ConnectionLimits::new(20, usize::MAX, 8)),
+        300
+    );
+    assert_eq!(
+        count_answers(60, "GET", ConnectionLimits::new(20, usize::MAX, 20)),
         100,
         "without a limit, the first clients keep all connections"
     );
--- a/tests/user_queries.rs
+++ b/tests/user_queries.rs
@@ -21,7 +21,7 @@
 use lemonweir_simulator::store::{CasAnswer, Store};
 use lemonweir_storage::records::{JobEndRecord, end_key};
 use lemonweir_transport::server::listen;
-use lemonweir_transport::{Gate, Handler, Reply, Request, serve};
+use lemonweir_transport::{ConnectionLimits, Handler, Reply, Request, serve};
 
 /// Fakes of the key-value store and the cloud.
 #[derive(Default)]
@@ -203,7 +203,7 @@
             serve(
                 executor,
                 listener,
-                Gate::new(500, 500, 0),
+                ConnectionLimits::new(500, 500, 0),
                 1 << 20,
                 Rc::new(FakeServicesApi(services)),
             )
