--- a/crates/node/src/public_api/mod.rs
+++ b/crates/node/src/public_api/mod.rs
@@ -98,7 +98,7 @@
         }
     }
 
-    fn guest(&self, request: &Request) -> bool {
+    fn is_low_priority(&self, request: &Request) -> bool {
         request.path.starts_with(USERS_PREFIX)
     }
 }
--- a/crates/transport/src/server.rs
+++ b/crates/transport/src/server.rs
@@ -81,7 +81,7 @@
     open: Cell<usize>,
     max_open: usize,
     close_threshold: usize,
-    /// Open connections with at least one low-priority request ([`Handler::guest`]).
+    /// Open connections with at least one low-priority request ([`Handler::is_low_priority`]).
     low_priority: Cell<usize>,
     /// Low-priority connections that may stay open between requests.
     max_low_priority: usize,
@@ -90,7 +90,7 @@
 impl ConnectionLimits {
     /// Creates the limits. While `max_open` connections are open, new ones are closed at
     /// once. While `close_threshold` or more are open, each is closed after its next reply.
-    /// Low-priority connections ([`Handler::guest`]) are closed after their next reply
+    /// Low-priority connections ([`Handler::is_low_priority`]) are closed after their next reply
     /// while there are more than `max_low_priority` of them.
     pub fn new(max_open: usize, close_threshold: usize, max_low_priority: usize) -> Self {
         Self {
@@ -114,7 +114,7 @@
 
     /// True for a low-priority request: its connection counts against the limit on
     /// low-priority connections, which keeps room for the others.
-    fn guest(&self, _request: &Request) -> bool {
+    fn is_low_priority(&self, _request: &Request) -> bool {
         false
     }
 }
@@ -186,7 +186,7 @@
             }
         };
         let (request, close) = request;
-        if !*low_priority && handler.guest(&request) {
+        if !*low_priority && handler.is_low_priority(&request) {
             *low_priority = true;
             limits.low_priority.set(limits.low_priority.get() + 1);
         }
--- a/crates/transport/tests/connection_limits.rs
+++ b/crates/transport/tests/connection_limits.rs
@@ -13,7 +13,7 @@
         Reply::new(200, request.body)
     }
 
-    fn guest(&self, request: &Request) -> bool {
+    fn is_low_priority(&self, request: &Request) -> bool {
         request.method == "GET"
     }
 }
