--- a/crates/node/src/public_api/replies.rs
+++ b/crates/node/src/public_api/replies.rs
@@ -51,9 +51,10 @@
     admission.record_refusal(id, query, refusal, now_ms);
     // Closes the connection if this controller is not ready, or keeps refusing the job, so
     // that the user reaches another one: the load balancer does not move open connections.
-    let leave = !node.with_core(|core, _| core.ready(now_ms)) || admission.has_priority(id, now_ms);
+    let close_connection =
+        !node.with_core(|core, _| core.ready(now_ms)) || admission.has_priority(id, now_ms);
     Reply {
-        leave,
+        close_connection,
         ..Reply::busy(retry_after_s)
     }
 }
--- a/crates/transport/src/server.rs
+++ b/crates/transport/src/server.rs
@@ -47,7 +47,7 @@
     /// Value of the `Retry-After` header, in s.
     pub retry_after_s: Option<u64>,
     /// Closes the connection after this reply, so that the client tries another server.
-    pub leave: bool,
+    pub close_connection: bool,
 }
 
 impl Reply {
@@ -57,7 +57,7 @@
             status,
             body,
             retry_after_s: None,
-            leave: false,
+            close_connection: false,
         }
     }
 
@@ -195,7 +195,7 @@
         // than sockets that it may open. Also prevents users with frequent requests from
         // leaving none for workers.
         let close = close
-            || reply.leave
+            || reply.close_connection
             || limits.above_close_threshold()
             || *low_priority && limits.low_priority.get() > limits.max_low_priority;
         write_reply(&mut stream, &reply, close).await?;
