--- a/crates/node/src/public_api/operator_pages.rs
+++ b/crates/node/src/public_api/operator_pages.rs
@@ -12,7 +12,7 @@
     if node.with_core(|core, now| core.ready(now)) {
         Reply::empty(200)
     } else {
-        Reply::busy(RETRY_AFTER_S)
+        Reply::unavailable(RETRY_AFTER_S)
     }
 }
 
--- a/crates/node/src/public_api/replies.rs
+++ b/crates/node/src/public_api/replies.rs
@@ -55,7 +55,7 @@
         !node.with_core(|core, _| core.ready(now_ms)) || admission.has_priority(id, now_ms);
     Reply {
         close_connection,
-        ..Reply::busy(retry_after_s)
+        ..Reply::unavailable(retry_after_s)
     }
 }
 
--- a/crates/transport/src/server.rs
+++ b/crates/transport/src/server.rs
@@ -67,7 +67,7 @@
     }
 
     /// Creates a 503 reply that asks the client to retry after `after_s` seconds.
-    pub fn busy(after_s: u64) -> Self {
+    pub fn unavailable(after_s: u64) -> Self {
         Self {
             retry_after_s: Some(after_s),
             ..Self::empty(503)
