--- a/crates/node/src/cache_refresh.rs
+++ b/crates/node/src/cache_refresh.rs
@@ -9,7 +9,7 @@
 use crate::{Node, RefreshError, RefreshWaiter, effect_executor, sleep_ms};
 use lemonweir_model::constants::{CACHE_REFRESH_BUSY_MS, CACHE_REFRESH_IDLE_MS};
 use lemonweir_storage::records::WATCHED_PREFIX;
-use lemonweir_transport::within;
+use lemonweir_transport::with_timeout;
 
 /// Outcome of a successful refresh.
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -40,7 +40,7 @@
         sleep_ms(CACHE_REFRESH_BUSY_MS).await;
         if requests.is_empty()
             && !node.with_core(|core, _| core.uses_store_messages())
-            && let Some(Ok(waiter)) = within(
+            && let Some(Ok(waiter)) = with_timeout(
                 CACHE_REFRESH_IDLE_MS - CACHE_REFRESH_BUSY_MS,
                 requests.recv(),
             )
--- a/crates/node/src/flush_loop.rs
+++ b/crates/node/src/flush_loop.rs
@@ -6,7 +6,7 @@
 
 use crate::{Node, effect_executor};
 use lemonweir_model::constants::{SHORT_TICK_MS, TICK_MS};
-use lemonweir_transport::within;
+use lemonweir_transport::with_timeout;
 
 /// ms by which a tick must be late for the process to count as overloaded. Status polls
 /// are then refused, since they delay heartbeats and submissions.
@@ -30,7 +30,7 @@
             TICK_MS
         };
         let waiting_since_ms = node.now_ms();
-        within(wait_ms, flush_requests.recv()).await;
+        with_timeout(wait_ms, flush_requests.recv()).await;
         let woken_ms = node.now_ms();
         if woken_ms > waiting_since_ms + wait_ms + OVERLOAD_TICK_DELAY_MS {
             node.overloaded_until_ms
--- a/crates/node/src/heartbeat_relay.rs
+++ b/crates/node/src/heartbeat_relay.rs
@@ -16,7 +16,7 @@
 };
 use lemonweir_protocol::worker::{Heartbeat, Redirect};
 use lemonweir_protocol::{decode, encode};
-use lemonweir_transport::{CallError, Reply, within};
+use lemonweir_transport::{CallError, Reply, with_timeout};
 
 /// Maximum number of heartbeats queued for one leader; further ones are refused at once.
 /// After a stall of the process, all machines of a fleet of 4,000 may send a heartbeat
@@ -93,7 +93,7 @@
         }
         EnqueueOutcome::Joined => {}
     }
-    match within(
+    match with_timeout(
         RELAYED_HEARTBEAT_TIMEOUT_MS + HEARTBEAT_BATCH_MS,
         reply.recv(),
     )
--- a/crates/node/src/job_lookup.rs
+++ b/crates/node/src/job_lookup.rs
@@ -22,7 +22,7 @@
 use lemonweir_storage::records::{
     CONDITIONS_PER_ABSENT_JOB, END_PREFIX, JobEndRecord, check_jobs_absent, end_key, job_key,
 };
-use lemonweir_transport::within;
+use lemonweir_transport::with_timeout;
 
 /// ms between two lookup batches, which then use a tenth of a small controller's share of
 /// the store's request rate.
@@ -102,7 +102,7 @@
             .spawn(async move { run_batches(&task_node).await })
             .detach();
     }
-    within(USER_TIMEOUT_MS, reply.recv())
+    with_timeout(USER_TIMEOUT_MS, reply.recv())
         .await
         .and_then(Result::ok)
         .unwrap_or(Err(LookupError::StoreUnavailable))
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -46,7 +46,7 @@
 use lemonweir_coordination::query_admission::QueryAdmission;
 use lemonweir_model::constants::USER_TIMEOUT_MS;
 use lemonweir_model::settings::Settings;
-use lemonweir_transport::{Client, within};
+use lemonweir_transport::{Client, with_timeout};
 
 pub use crate::heartbeat_relay::{MAX_HEARTBEATS_PER_BATCH, MAX_QUEUED_HEARTBEATS_PER_LEADER};
 pub use crate::startup::run;
@@ -120,7 +120,7 @@
         if self.refresh_requests.try_send(waiter).is_err() {
             return Err(RefreshError);
         }
-        within(USER_TIMEOUT_MS, result.recv())
+        with_timeout(USER_TIMEOUT_MS, result.recv())
             .await
             .and_then(Result::ok)
             .unwrap_or(Err(RefreshError))
--- a/crates/node/src/public_api/job_status.rs
+++ b/crates/node/src/public_api/job_status.rs
@@ -10,7 +10,7 @@
 use lemonweir_model::JobId;
 use lemonweir_model::constants::USER_TIMEOUT_MS;
 use lemonweir_protocol::users::{JobPhase, JobStatus};
-use lemonweir_transport::{Reply, within};
+use lemonweir_transport::{Reply, with_timeout};
 
 /// Answers a user's query of a job's status.
 pub(super) async fn job_status(node: &Rc<Node>, id: &str) -> Reply {
@@ -40,7 +40,7 @@
     node: &Rc<Node>,
     id: &JobId,
 ) -> Result<Option<JobStatus>, QueryRefusal> {
-    within(USER_TIMEOUT_MS, find_status_unbounded(node, id))
+    with_timeout(USER_TIMEOUT_MS, find_status_unbounded(node, id))
         .await
         .unwrap_or(Err(QueryRefusal::StoreFailed))
 }
--- a/crates/transport/src/client.rs
+++ b/crates/transport/src/client.rs
@@ -9,7 +9,7 @@
 use smol::io::{AsyncReadExt, AsyncWriteExt};
 use smol::net::TcpStream;
 
-use super::within;
+use super::with_timeout;
 use lemonweir_model::constants::{CONNECT_MS, MAX_HEADERS, MAX_RESPONSE_BYTES};
 
 /// ms for which an idle connection is kept: longer than the interval between regular
@@ -130,7 +130,7 @@
                 .map_err(|_| CallError::Unknown)?;
             read_response(&mut stream).await.ok_or(CallError::Unknown)
         };
-        let (response, keep_alive) = within(timeout_ms, exchange)
+        let (response, keep_alive) = with_timeout(timeout_ms, exchange)
             .await
             .ok_or(CallError::Unknown)??;
         if keep_alive {
@@ -152,7 +152,7 @@
 }
 
 async fn connect(addr: SocketAddr) -> Result<TcpStream, CallError> {
-    let stream = within(CONNECT_MS, TcpStream::connect(addr))
+    let stream = with_timeout(CONNECT_MS, TcpStream::connect(addr))
         .await
         .ok_or(CallError::NotSent)?
         .map_err(|_| CallError::NotSent)?;
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -11,7 +11,7 @@
 use smol::future::FutureExt;
 
 /// Runs a future for at most `ms` milliseconds; returns `None` on timeout.
-pub async fn within<T>(ms: u64, work: impl Future<Output = T>) -> Option<T> {
+pub async fn with_timeout<T>(ms: u64, work: impl Future<Output = T>) -> Option<T> {
     async { Some(work.await) }
         .or(async {
             smol::Timer::after(Duration::from_millis(ms)).await;
--- a/crates/transport/src/server.rs
+++ b/crates/transport/src/server.rs
@@ -9,7 +9,7 @@
 use smol::net::{TcpListener, TcpStream};
 use tracing::{debug, info};
 
-use super::within;
+use super::with_timeout;
 use lemonweir_model::constants::MAX_HEADERS;
 
 /// Timeout in ms of each read while a request is incomplete, and of writing a reply.
@@ -231,7 +231,7 @@
     }
     out.extend_from_slice(b"\r\n");
     out.extend_from_slice(&reply.body);
-    within(IO_TIMEOUT_MS, stream.write_all(&out))
+    with_timeout(IO_TIMEOUT_MS, stream.write_all(&out))
         .await
         .ok_or("write timeout")?
         .map_err(|_| "write failed")
@@ -276,7 +276,7 @@
         } else {
             IO_TIMEOUT_MS
         };
-        match within(timeout_ms, stream.read(&mut chunk)).await {
+        match with_timeout(timeout_ms, stream.read(&mut chunk)).await {
             None if buffer.is_empty() => return Ok(None),
             None => return Err((408, "request timed out")),
             Some(Ok(0) | Err(_)) => return Ok(None),
