--- a/crates/model/src/constants.rs
+++ b/crates/model/src/constants.rs
@@ -101,7 +101,7 @@
 pub const PACKED_RECORD_VERSION: u32 = 1;
 /// Maximum number of conditions of a transaction for each of its writes (protocol
 /// specification).
-pub const CONDITIONS_PER_CHANGE: usize = 4;
+pub const CONDITIONS_PER_WRITE: usize = 4;
 /// Maximum number of job ids missing in the cache that wait for a batched lookup in the store.
 /// Further requests for such ids are rejected at once.
 pub const MAX_PENDING_LOOKUPS: usize = 256;
@@ -148,7 +148,7 @@
 /// with the number of machines in a larger one.
 pub const MAX_HEADROOM_TASKS: u32 = 4;
 /// ms between two log lines that summarise the utilisation of a shard.
-pub const SUMMARY_MS: u64 = 20_000;
+pub const SUMMARY_INTERVAL_MS: u64 = 20_000;
 /// ms beyond two heartbeat intervals after which a machine counts as silent.
 pub const HEARTBEAT_TIMEOUT_SLACK_MS: u64 = 500;
 /// Maximum number of silent machines that are treated as individual losses. If more are
--- a/crates/node/src/job_lookup.rs
+++ b/crates/node/src/job_lookup.rs
@@ -14,15 +14,15 @@
 use lemonweir_coordination::query_admission::LookupQueue;
 use lemonweir_model::JobId;
 use lemonweir_model::constants::{
-    CONDITIONS_PER_CHANGE, HEARTBEAT_BATCH_MS, MAX_PENDING_LOOKUPS, USER_TIMEOUT_MS,
+    CONDITIONS_PER_WRITE, HEARTBEAT_BATCH_MS, MAX_PENDING_LOOKUPS, USER_TIMEOUT_MS,
 };
 use lemonweir_protocol::kv_store::from_value;
 use lemonweir_protocol::users::JobPhase;
 use lemonweir_storage::dependencies::blocked_job_key;
 use lemonweir_storage::records::{
-    CONDITIONS_PER_ABSENT_JOB, END_PREFIX, JobEndRecord, absent, end_key, job_key,
+    CONDITIONS_PER_ABSENT_JOB, END_PREFIX, JobEndRecord, check_jobs_absent, end_key, job_key,
 };
-use lemonweir_transport::within;
+use lemonweir_transport::with_timeout;
 
 /// ms between two lookup batches, which then use a tenth of a small controller's share of
 /// the store's request rate.
@@ -102,7 +102,7 @@
             .spawn(async move { run_batches(&task_node).await })
             .detach();
     }
-    within(USER_TIMEOUT_MS, reply.recv())
+    with_timeout(USER_TIMEOUT_MS, reply.recv())
         .await
         .and_then(Result::ok)
         .unwrap_or(Err(LookupError::StoreUnavailable))
@@ -123,7 +123,7 @@
 async fn run_batches(node: &Rc<Node>) {
     sleep_ms(HEARTBEAT_BATCH_MS).await;
     let max_cas_writes = node.with_core(|core, _| core.config.cas_max_changes);
-    let max_batch = (CONDITIONS_PER_CHANGE * max_cas_writes / CONDITIONS_PER_ABSENT_JOB).max(1);
+    let max_batch = (CONDITIONS_PER_WRITE * max_cas_writes / CONDITIONS_PER_ABSENT_JOB).max(1);
     loop {
         let batch = {
             let mut lookups = node.job_lookups.borrow_mut();
@@ -146,7 +146,7 @@
 /// exists.
 async fn look_up_batch(node: &Node, batch: Vec<(JobId, Vec<Sender<LookupResult>>)>) {
     let ids: Vec<JobId> = batch.iter().map(|(id, _)| id.clone()).collect();
-    let existing_keys = match node.kv_store.cas(&absent(&ids)).await {
+    let existing_keys = match node.kv_store.cas(&check_jobs_absent(&ids)).await {
         Ok(CompareAndSwapResult::Committed(_)) => Ok(Vec::new()),
         Ok(CompareAndSwapResult::Conflict(keys)) => Ok(keys),
         Err(error) => Err(error),
--- a/crates/node/src/public_api/replies.rs
+++ b/crates/node/src/public_api/replies.rs
@@ -7,7 +7,7 @@
 use crate::{Node, sleep_ms};
 use lemonweir_coordination::query_admission::{QueryKind, QueryRefusal, RefusalSummary};
 use lemonweir_model::JobId;
-use lemonweir_model::constants::SUMMARY_MS;
+use lemonweir_model::constants::SUMMARY_INTERVAL_MS;
 use lemonweir_protocol::encode;
 use lemonweir_protocol::users::JobStatus;
 use lemonweir_transport::Reply;
@@ -51,17 +51,18 @@
     admission.record_refusal(id, query, refusal, now_ms);
     // Closes the connection if this controller is not ready, or keeps refusing the job, so
     // that the user reaches another one: the load balancer does not move open connections.
-    let leave = !node.with_core(|core, _| core.ready(now_ms)) || admission.has_priority(id, now_ms);
+    let close_connection =
+        !node.with_core(|core, _| core.ready(now_ms)) || admission.has_priority(id, now_ms);
     Reply {
-        leave,
-        ..Reply::busy(retry_after_s)
+        close_connection,
+        ..Reply::unavailable(retry_after_s)
     }
 }
 
 /// Periodically logs which users' queries were refused, and why. Never returns.
 pub(crate) async fn log_refused_queries(node: Rc<Node>) {
     loop {
-        sleep_ms(SUMMARY_MS).await;
+        sleep_ms(SUMMARY_INTERVAL_MS).await;
         let summary = node.query_admission.borrow_mut().take_refusals();
         if let Some(RefusalSummary { counts, longest_ms }) = summary {
             info!(
--- a/crates/storage/src/records.rs
+++ b/crates/storage/src/records.rs
@@ -28,7 +28,7 @@
 use lemonweir_protocol::users::JobPhase;
 
 /// Prefix of the keys that every controller watches.
-pub const FOLLOWED: &str = "w/";
+pub const WATCHED_PREFIX: &str = "w/";
 
 /// Key of an unfinished job.
 pub fn job_key(id: &JobId) -> String {
@@ -271,12 +271,12 @@
     }
 }
 
-/// Conditions of [`absent`] for one job.
+/// Conditions of [`check_jobs_absent`] for one job.
 pub const CONDITIONS_PER_ABSENT_JOB: usize = 3;
 
 /// Verifies without a write that no records of these jobs exist: neither unfinished, blocked
 /// nor ended. The keys that it fails on exist.
-pub fn absent(jobs: &[JobId]) -> CompareAndSwap {
+pub fn check_jobs_absent(jobs: &[JobId]) -> CompareAndSwap {
     CompareAndSwap {
         conditions: jobs.iter().flat_map(job_absent_conditions).collect(),
         writes: Vec::new(),
@@ -451,7 +451,7 @@
 
 /// Writes a peer message, split into values of at most `chunk_bytes` before encoding; the
 /// keys are bound to the sender's store lease.
-pub fn post(
+pub fn write_store_message(
     route: StoreMessageRoute,
     id: (u64, u64),
     bytes: &[u8],
--- a/crates/storage/src/followed_key.rs
+++ b/crates/storage/src/watched_key.rs
@@ -1,10 +1,10 @@
 //! Parses the keys under `w/`, which every controller watches, into their kinds.
 
-use crate::records::{FOLLOWED, VERSION_KEY};
+use crate::records::{VERSION_KEY, WATCHED_PREFIX};
 
 /// A watched key, split by its kind. The remaining segments are not validated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum FollowedKey<'a> {
+pub(crate) enum WatchedKey<'a> {
     /// `w/job/<id>`.
     Job(&'a str),
     /// `w/chain/<id>` or `w/chain/<id>/<page>`.
@@ -23,13 +23,13 @@
     StoreMessage(&'a str),
 }
 
-impl<'a> FollowedKey<'a> {
+impl<'a> WatchedKey<'a> {
     /// Parses a key; `None` if this version doesn't know its kind.
     pub(crate) fn parse(key: &'a str) -> Option<Self> {
         if key == VERSION_KEY {
             return Some(Self::Version);
         }
-        let (kind, rest) = key.strip_prefix(FOLLOWED)?.split_once('/')?;
+        let (kind, rest) = key.strip_prefix(WATCHED_PREFIX)?.split_once('/')?;
         match kind {
             "job" => Some(Self::Job(rest)),
             "chain" => Some(Self::BlockedJob(rest)),
--- a/crates/storage/tests/golden_records.rs
+++ b/crates/storage/tests/golden_records.rs
@@ -356,7 +356,7 @@
 
 #[test]
 fn keys_keep_their_spelling() {
-    assert_eq!(FOLLOWED, "w/");
+    assert_eq!(WATCHED_PREFIX, "w/");
     assert_eq!(END_PREFIX, "end/");
     assert_eq!(VERSION_KEY, "w/version");
     assert_eq!(job_key(&id(412)), "w/job/req-000412");
@@ -418,7 +418,10 @@
 fn transactions_match_their_samples() {
     let mut golden = Golden::parse(include_str!("samples/golden/transactions.json"));
     golden.cas("accept a job", &create_job(&job(0, false)));
-    golden.cas("ask whether jobs are absent", &absent(&[id(1), id(2)]));
+    golden.cas(
+        "ask whether jobs are absent",
+        &check_jobs_absent(&[id(1), id(2)]),
+    );
     golden.cas("cancel a job", &request_cancellation(&job(0, false), 50));
     let taken = entry(LeadershipChange::Vacant, Some("hutte-2"), Some("hutte-0"));
     golden.cas("take a shard", &acquire_shard(49, "hutte-0", 9, &taken));
@@ -447,7 +450,10 @@
             from_shard: 1,
             to_shard: 2,
         };
-        golden.cas(name, &post(route, (42, 7), &[0, 1, 2, 253, 254], 3, 9));
+        golden.cas(
+            name,
+            &write_store_message(route, (42, 7), &[0, 1, 2, 253, 254], 3, 9),
+        );
     }
     golden.assert_all_compared();
 }
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -4,14 +4,14 @@
 pub mod server;
 
 pub use client::{CallError, Client, Response};
-pub use server::{Gate, Handler, Reply, Request, serve};
+pub use server::{ConnectionLimits, Handler, Reply, Request, serve};
 
 use std::time::Duration;
 
 use smol::future::FutureExt;
 
 /// Runs a future for at most `ms` milliseconds; returns `None` on timeout.
-pub async fn within<T>(ms: u64, work: impl Future<Output = T>) -> Option<T> {
+pub async fn with_timeout<T>(ms: u64, work: impl Future<Output = T>) -> Option<T> {
     async { Some(work.await) }
         .or(async {
             smol::Timer::after(Duration::from_millis(ms)).await;
--- a/crates/transport/src/server.rs
+++ b/crates/transport/src/server.rs
@@ -9,7 +9,7 @@
 use smol::net::{TcpListener, TcpStream};
 use tracing::{debug, info};
 
-use super::within;
+use super::with_timeout;
 use lemonweir_model::constants::MAX_HEADERS;
 
 /// Timeout in ms of each read while a request is incomplete, and of writing a reply.
@@ -47,7 +47,7 @@
     /// Value of the `Retry-After` header, in s.
     pub retry_after_s: Option<u64>,
     /// Closes the connection after this reply, so that the client tries another server.
-    pub leave: bool,
+    pub close_connection: bool,
 }
 
 impl Reply {
@@ -57,7 +57,7 @@
             status,
             body,
             retry_after_s: None,
-            leave: false,
+            close_connection: false,
         }
     }
 
@@ -67,7 +67,7 @@
     }
 
     /// Creates a 503 reply that asks the client to retry after `after_s` seconds.
-    pub fn busy(after_s: u64) -> Self {
+    pub fn unavailable(after_s: u64) -> Self {
         Self {
             retry_after_s: Some(after_s),
             ..Self::empty(503)
@@ -77,20 +77,20 @@
 
 /// Limits the connections of one listening address.
 #[derive(Debug)]
-pub struct Gate {
+pub struct ConnectionLimits {
     open: Cell<usize>,
     max_open: usize,
     close_threshold: usize,
-    /// Open connections with at least one low-priority request ([`Handler::guest`]).
+    /// Open connections with at least one low-priority request ([`Handler::is_low_priority`]).
     low_priority: Cell<usize>,
     /// Low-priority connections that may stay open between requests.
     max_low_priority: usize,
 }
 
-impl Gate {
+impl ConnectionLimits {
     /// Creates the limits. While `max_open` connections are open, new ones are closed at
     /// once. While `close_threshold` or more are open, each is closed after its next reply.
-    /// Low-priority connections ([`Handler::guest`]) are closed after their next reply
+    /// Low-priority connections ([`Handler::is_low_priority`]) are closed after their next reply
     /// while there are more than `max_low_priority` of them.
     pub fn new(max_open: usize, close_threshold: usize, max_low_priority: usize) -> Self {
         Self {
@@ -114,21 +114,21 @@
 
     /// True for a low-priority request: its connection counts against the limit on
     /// low-priority connections, which keeps room for the others.
-    fn guest(&self, _request: &Request) -> bool {
+    fn is_low_priority(&self, _request: &Request) -> bool {
         false
     }
 }
 
-/// Accepts connections until the process ends. Those above the limit of `gate` are
+/// Accepts connections until the process ends. Those beyond `limits` are
 /// closed at once, which the load balancer treats as a refusal.
 pub async fn serve<H: Handler>(
     executor: &'static smol::LocalExecutor<'static>,
     listener: TcpListener,
-    gate: Gate,
+    limits: ConnectionLimits,
     max_body: usize,
     handler: Rc<H>,
 ) {
-    let gate = Rc::new(gate);
+    let limits = Rc::new(limits);
     loop {
         let (stream, peer) = match listener.accept().await {
             Ok(pair) => pair,
@@ -140,23 +140,24 @@
                 continue;
             }
         };
-        if gate.open.get() >= gate.max_open {
+        if limits.open.get() >= limits.max_open {
             drop(stream);
             continue;
         }
-        gate.open.set(gate.open.get() + 1);
-        let (handler, gate) = (handler.clone(), gate.clone());
+        limits.open.set(limits.open.get() + 1);
+        let (handler, limits) = (handler.clone(), limits.clone());
         executor
             .spawn(async move {
                 let mut low_priority = false;
                 if let Err(fault) =
-                    serve_connection(stream, max_body, &*handler, &gate, &mut low_priority).await
+                    serve_connection(stream, max_body, &*handler, &limits, &mut low_priority).await
                 {
                     debug!(%peer, fault, "connection closed");
                 }
-                gate.open.set(gate.open.get() - 1);
-                gate.low_priority
-                    .set(gate.low_priority.get() - usize::from(low_priority));
+                limits.open.set(limits.open.get() - 1);
+                limits
+                    .low_priority
+                    .set(limits.low_priority.get() - usize::from(low_priority));
             })
             .detach();
     }
@@ -168,7 +169,7 @@
     mut stream: TcpStream,
     max_body: usize,
     handler: &H,
-    gate: &Gate,
+    limits: &ConnectionLimits,
     low_priority: &mut bool,
 ) -> Result<(), &'static str> {
     stream
@@ -185,18 +186,18 @@
             }
         };
         let (request, close) = request;
-        if !*low_priority && handler.guest(&request) {
+        if !*low_priority && handler.is_low_priority(&request) {
             *low_priority = true;
-            gate.low_priority.set(gate.low_priority.get() + 1);
+            limits.low_priority.set(limits.low_priority.get() + 1);
         }
         let reply = handler.handle(request).await;
         // Prevents workers from keeping all sockets of the process: there may be more workers
         // than sockets that it may open. Also prevents users with frequent requests from
         // leaving none for workers.
         let close = close
-            || reply.leave
-            || gate.above_close_threshold()
-            || *low_priority && gate.low_priority.get() > gate.max_low_priority;
+            || reply.close_connection
+            || limits.above_close_threshold()
+            || *low_priority && limits.low_priority.get() > limits.max_low_priority;
         write_reply(&mut stream, &reply, close).await?;
         if close {
             return Ok(());
@@ -230,7 +231,7 @@
     }
     out.extend_from_slice(b"\r\n");
     out.extend_from_slice(&reply.body);
-    within(IO_TIMEOUT_MS, stream.write_all(&out))
+    with_timeout(IO_TIMEOUT_MS, stream.write_all(&out))
         .await
         .ok_or("write timeout")?
         .map_err(|_| "write failed")
@@ -275,7 +276,7 @@
         } else {
             IO_TIMEOUT_MS
         };
-        match within(timeout_ms, stream.read(&mut chunk)).await {
+        match with_timeout(timeout_ms, stream.read(&mut chunk)).await {
             None if buffer.is_empty() => return Ok(None),
             None => return Err((408, "request timed out")),
             Some(Ok(0) | Err(_)) => return Ok(None),
