--- a/crates/coordination/src/incarnation/tests.rs
+++ b/crates/coordination/src/incarnation/tests.rs
@@ -202,7 +202,7 @@
         lemonweir_policy::embedded().expect("policy"),
         now,
     );
-    owner.set_types([kind].iter());
+    owner.set_machine_types([kind].iter());
     owner
 }
 
--- a/crates/coordination/src/owner/mod.rs
+++ b/crates/coordination/src/owner/mod.rs
@@ -239,7 +239,10 @@
     }
 
     /// Adds machine types to the catalog, and updates the capacity of known machines.
-    pub fn set_types<'a>(&mut self, types: impl Iterator<Item = &'a lemonweir_model::MachineType>) {
+    pub fn set_machine_types<'a>(
+        &mut self,
+        types: impl Iterator<Item = &'a lemonweir_model::MachineType>,
+    ) {
         for machine_type in types {
             self.catalog.insert(machine_type);
         }
--- a/crates/coordination/src/shard.rs
+++ b/crates/coordination/src/shard.rs
@@ -96,7 +96,7 @@
 
     /// Applies the cloud's catalog of machine types to the owner and the placer.
     pub(crate) fn apply_catalog(&mut self, config: &Config, catalog: &Catalog) {
-        self.owner.set_types(catalog.values());
+        self.owner.set_machine_types(catalog.values());
         self.placer.set_start_objectives(
             &config.start_objectives_s,
             config.guarantee_objective_s,
--- a/crates/coordination/tests/cancellations.rs
+++ b/crates/coordination/tests/cancellations.rs
@@ -265,7 +265,7 @@
         lemonweir_policy::embedded().expect("policy"),
         0,
     );
-    successor.set_types([kind()].iter());
+    successor.set_machine_types([kind()].iter());
     successor
         .handle_heartbeat(&heartbeat_of_machine_1(1, false), None, now)
         .expect("answered");
--- a/crates/coordination/tests/ends.rs
+++ b/crates/coordination/tests/ends.rs
@@ -234,7 +234,7 @@
             ..lemonweir_policy::embedded().expect("policy")
         };
         let mut owner = Owner::new(shard as u16, token, SHARDS as u16, TIMING, policy, self.now);
-        owner.set_types([kind()].iter());
+        owner.set_machine_types([kind()].iter());
         let mut placer = Placer::new(shard as u16, token, SHARDS as u16, terms(), self.now);
         placer.set_start_objectives(
             &HashMap::new(),
--- a/crates/coordination/tests/evidence.rs
+++ b/crates/coordination/tests/evidence.rs
@@ -59,7 +59,7 @@
             lemonweir_policy::embedded().expect("policy"),
             0,
         );
-        owner.set_types([kind()].iter());
+        owner.set_machine_types([kind()].iter());
         let mut scenario = Self {
             owner,
             now: 0,
@@ -345,7 +345,7 @@
             lemonweir_policy::embedded().expect("policy"),
             0,
         );
-        owner.set_types([kind()].iter());
+        owner.set_machine_types([kind()].iter());
         if ran {
             // The provider's inventory shows that they ran before this owner came.
             owner.apply_inventory(&(0..MACHINES).map(inventory_entry).collect::<Vec<_>>(), 50);
--- a/crates/coordination/tests/late_orders.rs
+++ b/crates/coordination/tests/late_orders.rs
@@ -1508,7 +1508,7 @@
         lemonweir_policy::embedded().expect("policy"),
         0,
     );
-    owner.set_types([kind()].iter());
+    owner.set_machine_types([kind()].iter());
     sync_placer(&mut owner, 1, vec![want(0, 0)], 10);
     let heartbeat = Heartbeat {
         fencing_token: (TOKEN - 1) << MACHINE_TOKEN_BITS,
--- a/crates/coordination/tests/ledger.rs
+++ b/crates/coordination/tests/ledger.rs
@@ -352,7 +352,7 @@
             policy,
             self.now,
         );
-        owner.set_types([kind()].iter());
+        owner.set_machine_types([kind()].iter());
         self.shards[shard].owner = Some((owner, self.revision));
     }
 
--- a/crates/coordination/tests/support/mod.rs
+++ b/crates/coordination/tests/support/mod.rs
@@ -68,7 +68,7 @@
         lemonweir_policy::embedded().expect("policy"),
         0,
     );
-    owner.set_types([kind()].iter());
+    owner.set_machine_types([kind()].iter());
     for n in 0..machines {
         assert!(owner.handle_heartbeat(&report(n, 1), None, 10).is_some());
     }
--- a/crates/coordination/tests/worker_sessions.rs
+++ b/crates/coordination/tests/worker_sessions.rs
@@ -50,7 +50,7 @@
             lemonweir_policy::embedded().expect("policy"),
             self.now,
         );
-        self.owner.set_types([kind()].iter());
+        self.owner.set_machine_types([kind()].iter());
     }
 
     fn sync_placer(&mut self, wants: Vec<DesiredAttempt>) -> ShardView {
