--- a/crates/coordination/src/owner/mod.rs
+++ b/crates/coordination/src/owner/mod.rs
@@ -77,7 +77,7 @@
     /// Addressed to another leader of this shard, or sent under an outdated token of the
     /// sender's shard.
     #[error("fencing token is not current")]
-    Token,
+    TokenMismatch,
     /// The sender's shard does not exist.
     #[error("the sender's shard does not exist")]
     UnknownShard,
--- a/crates/coordination/src/owner/reconciliation.rs
+++ b/crates/coordination/src/owner/reconciliation.rs
@@ -27,7 +27,7 @@
     /// Checks token and sequence number of a sync request, and adopts them if it is accepted.
     fn accept(&mut self, sync: &SyncRequest) -> Result<(), SyncError> {
         if sync.from_fencing_token < self.token {
-            return Err(SyncError::Token);
+            return Err(SyncError::TokenMismatch);
         }
         // A delayed request could ask again for an attempt whose end was already published.
         if sync.from_fencing_token == self.token && sync.seq <= self.seq {
@@ -57,7 +57,7 @@
         now: u64,
     ) -> Result<ShardView, SyncError> {
         if sync.to_fencing_token != self.token {
-            return Err(SyncError::Token);
+            return Err(SyncError::TokenMismatch);
         }
         if sync.from_shard >= self.shards {
             return Err(SyncError::UnknownShard);
--- a/crates/coordination/src/peer_sync.rs
+++ b/crates/coordination/src/peer_sync.rs
@@ -92,7 +92,7 @@
         let shard = self
             .shards
             .get_mut(&sync.to_shard)
-            .ok_or(SyncError::Token)?;
+            .ok_or(SyncError::TokenMismatch)?;
         shard
             .owner
             .sync(sync, max_bytes, now)
--- a/crates/coordination/tests/changes.rs
+++ b/crates/coordination/tests/changes.rs
@@ -632,7 +632,10 @@
     );
     let mut other = sync(6, whole, Vec::new(), ObservedState::default());
     other.to_fencing_token = TOKEN + 1;
-    assert_eq!(owner.sync(&other, ROOM, 21).err(), Some(SyncError::Token));
+    assert_eq!(
+        owner.sync(&other, ROOM, 21).err(),
+        Some(SyncError::TokenMismatch)
+    );
     let mut other = sync(6, whole, Vec::new(), ObservedState::default());
     other.from_shard = 9;
     assert_eq!(
