--- a/crates/coordination/src/owner/worker_calls.rs
+++ b/crates/coordination/src/owner/worker_calls.rs
@@ -18,7 +18,7 @@
     /// The request to send.
     pub commands: CommandsRequest,
     /// Number of the controller that relays the call; `None` if it goes directly.
-    pub through: Option<u16>,
+    pub relayed_by: Option<u16>,
 }
 
 /// Outcome of a call to a worker.
@@ -143,7 +143,7 @@
                 incarnation: m.incarnation.call_session(),
                 commands: due_commands,
             },
-            through: m.relay.map(|relay| relay.peer),
+            relayed_by: m.relay.map(|relay| relay.peer),
         })
     }
 
--- a/crates/coordination/tests/late_orders.rs
+++ b/crates/coordination/tests/late_orders.rs
@@ -718,7 +718,7 @@
         self.log(|| {
             format!(
                 "h{host} calls ({number}): {:?} through {:?}",
-                call.commands, call.through
+                call.commands, call.relayed_by
             )
         });
         self.pending_calls.insert(
@@ -731,7 +731,7 @@
             },
         );
         let partitioned = now < self.unreachable_until
-            || now < self.hosts[host].unreachable_until && call.through.is_none();
+            || now < self.hosts[host].unreachable_until && call.relayed_by.is_none();
         if partitioned && self.random.chance(50) || self.random.chance(3) {
             return self.post_at(
                 now + CONNECT_MS,
--- a/crates/coordination/tests/support/controllers.rs
+++ b/crates/coordination/tests/support/controllers.rs
@@ -700,7 +700,7 @@
 
     pub fn command(&mut self, node: usize, call: &CommandCall) -> CommandResult {
         if call
-            .through
+            .relayed_by
             .is_some_and(|relay| self.partitioned(node, usize::from(relay)))
         {
             return CommandResult::NotSent;
--- a/crates/node/src/effect_executor.rs
+++ b/crates/node/src/effect_executor.rs
@@ -171,9 +171,9 @@
 /// Sends commands to a worker, directly or through a relay peer, and reports the result to
 /// the core.
 async fn send_command(node: &Node, lease: ShardLease, call: &CommandCall) {
-    debug!(machine = %call.machine, relay_peer = ?call.through, commands = ?call.commands.commands, "sending commands");
+    debug!(machine = %call.machine, relay_peer = ?call.relayed_by, commands = ?call.commands.commands, "sending commands");
     let body = encode(&call.commands);
-    let response = match call.through {
+    let response = match call.relayed_by {
         None => {
             node.http
                 .call(
--- a/crates/simulator/src/simulation/network.rs
+++ b/crates/simulator/src/simulation/network.rs
@@ -87,10 +87,10 @@
         let unresponsive = self
             .worker(number)
             .is_some_and(|worker| worker.silent || worker.hung_until > self.now);
-        let sender = call.through.map_or(controller, usize::from);
+        let sender = call.relayed_by.map_or(controller, usize::from);
         unresponsive
             || self.command_dropped(sender, number)
-            || self.call_blocked(controller, call.through, number)
+            || self.call_blocked(controller, call.relayed_by, number)
             || self.draw_per_mille(self.scenario.message_faults.lost_command)
     }
 
--- a/crates/simulator/src/simulation/workers.rs
+++ b/crates/simulator/src/simulation/workers.rs
@@ -181,7 +181,7 @@
     pub(super) fn deliver_commands(&mut self, process: ProcessId, delivery: CommandDelivery) {
         let CommandDelivery { lease, call, late } = delivery;
         let (now, number) = (self.now, machine_number(&call.machine));
-        let sender = call.through.map_or(process.controller, usize::from);
+        let sender = call.relayed_by.map_or(process.controller, usize::from);
         if late && self.command_dropped(sender, number) {
             return;
         }
