--- a/crates/coordination/src/flush.rs
+++ b/crates/coordination/src/flush.rs
@@ -125,7 +125,7 @@
     /// Emits the release of instances chosen for scale-in.
     fn flush_instance_releases(&mut self, index: u16, effects: &mut Vec<Effect>) {
         if let Some(shard) = self.shards.get_mut(&index) {
-            let machines = shard.owner.next_releases();
+            let machines = shard.owner.begin_releases();
             if !machines.is_empty() {
                 effects.push(Effect::ReleaseInstances(shard.lease, machines));
             }
--- a/crates/coordination/src/incarnation/tests.rs
+++ b/crates/coordination/src/incarnation/tests.rs
@@ -479,9 +479,9 @@
             owner.tick(now, store_answer_at);
             // The provider never confirms a release here: only the machine's messages or the
             // expiry of its lease prove that an attempt has ended.
-            let names = owner.next_releases();
+            let names = owner.begin_releases();
             self.release_requested |= last && !names.is_empty();
-            owner.release_finished(&names, false, now);
+            owner.handle_release_result(&names, false, now);
             let to = self.worker.as_ref().map_or(0, |w| w.incarnation);
             for call in owner.due_calls(now, 8) {
                 self.launches += call
--- a/crates/coordination/src/owner/scale_in.rs
+++ b/crates/coordination/src/owner/scale_in.rs
@@ -41,7 +41,7 @@
 
     /// Returns the machines to release now and marks their release as in progress. There is
     /// one request at a time, and at most one per tick.
-    pub fn next_releases(&mut self) -> Vec<MachineId> {
+    pub fn begin_releases(&mut self) -> Vec<MachineId> {
         if self.release_in_progress || self.last_tick == self.last_release_tick {
             return Vec::new();
         }
@@ -71,7 +71,7 @@
 
     /// Handles the end of a release request. `done` tells that the provider has confirmed
     /// it, which proves that the machines and everything that ran on them are gone.
-    pub fn release_finished(&mut self, ids: &[MachineId], done: bool, now: u64) {
+    pub fn handle_release_result(&mut self, ids: &[MachineId], done: bool, now: u64) {
         self.release_in_progress = false;
         for id in ids {
             if done {
--- a/crates/coordination/src/provisioning.rs
+++ b/crates/coordination/src/provisioning.rs
@@ -102,7 +102,7 @@
         now: u64,
     ) {
         if let Some(shard) = self.shard_under(lease) {
-            shard.owner.release_finished(machines, done, now);
+            shard.owner.handle_release_result(machines, done, now);
         }
     }
 
--- a/crates/coordination/tests/ends.rs
+++ b/crates/coordination/tests/ends.rs
@@ -619,11 +619,11 @@
             return;
         };
         // Released machines are replaced by new ones.
-        let workers_created = leader.owner.next_releases();
+        let workers_created = leader.owner.begin_releases();
         if !workers_created.is_empty() {
             leader
                 .owner
-                .release_finished(&workers_created, true, self.now);
+                .handle_release_result(&workers_created, true, self.now);
         }
         for n in 0..WORKERS {
             if workers_created.contains(&machine(self.workers[n].name)) {
--- a/crates/coordination/tests/evidence.rs
+++ b/crates/coordination/tests/evidence.rs
@@ -148,11 +148,11 @@
             }
             let store_answer_at = if self.store_answers { self.now } else { 0 };
             self.owner.tick(self.now, store_answer_at);
-            let names = self.owner.next_releases();
+            let names = self.owner.begin_releases();
             if !names.is_empty() {
                 self.released
                     .extend(names.iter().map(|id| (self.now, id.clone())));
-                self.owner.release_finished(&names, true, self.now);
+                self.owner.handle_release_result(&names, true, self.now);
             }
             self.sync_placer(
                 ChangeRange {
@@ -361,7 +361,7 @@
                 }
             }
             owner.tick(now, now);
-            !owner.next_releases().is_empty()
+            !owner.begin_releases().is_empty()
         })
     };
     let (late, soon) = (first_release_at(true), first_release_at(false));
--- a/crates/coordination/tests/image_locality.rs
+++ b/crates/coordination/tests/image_locality.rs
@@ -697,8 +697,8 @@
             owner.handle_heartbeat(&support::report(n, now), None, now);
         }
         owner.tick(now, now);
-        let names = owner.next_releases();
-        owner.release_finished(&names, true, now);
+        let names = owner.begin_releases();
+        owner.handle_release_result(&names, true, now);
         released += names.len();
         first = first.or(names.into_iter().next());
     }
--- a/crates/coordination/tests/limits.rs
+++ b/crates/coordination/tests/limits.rs
@@ -141,7 +141,7 @@
     let before = stored.0.len();
     assert!(before > 2 * PAGES_PER_CAS, "{before} pages");
     let released: Vec<MachineId> = (40..MACHINES).map(machine).collect();
-    owner.release_finished(&released, true, 50);
+    owner.handle_release_result(&released, true, 50);
     for at in 40..80 {
         stored.write(owner.changed_image_pages(at * 60_000, VALUE_BYTES, PAGES_PER_CAS));
     }
--- a/crates/coordination/tests/nights.rs
+++ b/crates/coordination/tests/nights.rs
@@ -276,7 +276,7 @@
             .owner
             .handle_heartbeat(&report(overdue, seq), None, shard.now);
     }
-    let released: BTreeSet<_> = shard.owner.next_releases().into_iter().collect();
+    let released: BTreeSet<_> = shard.owner.begin_releases().into_iter().collect();
     let never_registered = late_machines
         .iter()
         .filter(|n| **n != overdue && released.contains(&machine(**n)))
--- a/crates/coordination/tests/worker_sessions.rs
+++ b/crates/coordination/tests/worker_sessions.rs
@@ -250,7 +250,7 @@
         assert!(!shard.owner.is_unreachable(shard.now), "round {round}");
     }
     assert_eq!((0..60).filter(|n| shard.is_schedulable(*n)).count(), 20);
-    assert_eq!(shard.owner.next_releases(), [], "the owner waits for them");
+    assert_eq!(shard.owner.begin_releases(), [], "the owner waits for them");
 }
 
 /// A copy of a heartbeat, three leases old, reaches the third owner of a shard; the machine was
@@ -316,10 +316,10 @@
                 "{:?}",
                 view.attempts
             );
-            let names = shard.owner.next_releases();
+            let names = shard.owner.begin_releases();
             if !names.is_empty() {
                 released = Some(shard.now);
-                shard.owner.release_finished(&names, true, shard.now);
+                shard.owner.handle_release_result(&names, true, shard.now);
             }
         }
         assert!((1..=12).contains(&queries), "{queries} queries");
@@ -575,7 +575,7 @@
         "no more calls at a time"
     );
     let gone: Vec<_> = calls.iter().map(|c| c.machine.clone()).collect();
-    shard.owner.release_finished(&gone, true, shard.now);
+    shard.owner.handle_release_result(&gone, true, shard.now);
     for call in &calls {
         shard
             .owner
