--- a/crates/coordination/src/links/store_answers.rs
+++ b/crates/coordination/src/links/store_answers.rs
@@ -44,7 +44,7 @@
 
     /// Returns true if the store answered recently enough, on any route, for a user's query to
     /// wait for it.
-    pub fn store_answers_of_late(&self, now: u64) -> bool {
+    pub fn store_answered_recently(&self, now: u64) -> bool {
         self.store_age(now) <= self.store_silence_ms()
     }
 
@@ -75,7 +75,7 @@
             now <= others + UNREADY_AFTER_STORE_SILENCE_MS + SHARD_VIEW_REFRESH_MS
                 && last.is_none_or(|own| others > own + UNREADY_AFTER_STORE_SILENCE_MS)
         });
-        answers_others || !self.store_answers_of_late(now) && self.isolated_from_peers(now)
+        answers_others || !self.store_answered_recently(now) && self.isolated_from_peers(now)
     }
 
     /// Returns true if there are other controllers and the links to all of them are down.
--- a/crates/coordination/tests/slow_store.rs
+++ b/crates/coordination/tests/slow_store.rs
@@ -49,7 +49,7 @@
             }
             if now > 14_000 {
                 checked += 1;
-                answered += usize::from(core.links.store_answers_of_late(now) && core.ready(now));
+                answered += usize::from(core.links.store_answered_recently(now) && core.ready(now));
             }
         }
         assert_eq!(answered, checked, "answers after {took} ms");
@@ -66,12 +66,12 @@
         let last_answer = 20_000 - took;
         assert!(
             core.links
-                .store_answers_of_late(last_answer + UNREADY_AFTER_STORE_SILENCE_MS)
+                .store_answered_recently(last_answer + UNREADY_AFTER_STORE_SILENCE_MS)
         );
         assert!(
             !core
                 .links
-                .store_answers_of_late(last_answer + UNREADY_AFTER_STORE_SILENCE_MS + took + 1)
+                .store_answered_recently(last_answer + UNREADY_AFTER_STORE_SILENCE_MS + took + 1)
         );
     }
 }
@@ -85,21 +85,21 @@
     core.links
         .record_latency(Service::Store, STORE_TIMEOUT_MS, 24_000);
     assert!(
-        !core
-            .links
-            .store_answers_of_late(20_000 + UNREADY_AFTER_STORE_SILENCE_MS + STORE_TIMEOUT_MS + 1)
+        !core.links.store_answered_recently(
+            20_000 + UNREADY_AFTER_STORE_SILENCE_MS + STORE_TIMEOUT_MS + 1
+        )
     );
     core.cache_refreshed(30_000, false);
     core.cache_refreshed(26_000, false);
     assert!(
         core.links
-            .store_answers_of_late(30_000 + UNREADY_AFTER_STORE_SILENCE_MS)
+            .store_answered_recently(30_000 + UNREADY_AFTER_STORE_SILENCE_MS)
     );
     // A relayed answer slower than the store timeout extends the limit by no more than that.
     core.links.record_latency(Service::Store, 60_000, 31_000);
     assert!(
-        !core
-            .links
-            .store_answers_of_late(30_000 + UNREADY_AFTER_STORE_SILENCE_MS + STORE_TIMEOUT_MS + 1)
+        !core.links.store_answered_recently(
+            30_000 + UNREADY_AFTER_STORE_SILENCE_MS + STORE_TIMEOUT_MS + 1
+        )
     );
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -111,7 +111,7 @@
 
     /// True if the store answered recently, so that a request that needs it may succeed.
     fn store_reachable(&self) -> bool {
-        self.with_core(|core, now| core.links.store_answers_of_late(now))
+        self.with_core(|core, now| core.links.store_answered_recently(now))
     }
 
     /// Requests a refresh of the state cache that begins after this call, and waits for it.
--- a/crates/node/src/public_api/job_status.rs
+++ b/crates/node/src/public_api/job_status.rs
@@ -56,7 +56,7 @@
         let (cached, store_reachable) = node.with_core(|core, now| {
             (
                 core.job_status(id, now),
-                core.links.store_answers_of_late(now),
+                core.links.store_answered_recently(now),
             )
         });
         match cached {
--- a/crates/simulator/tests/injected_faults.rs
+++ b/crates/simulator/tests/injected_faults.rs
@@ -220,7 +220,7 @@
     simulation.controllers[controller]
         .core
         .as_ref()
-        .is_some_and(|c| c.links.store_answers_of_late(simulation.now / 1_000))
+        .is_some_and(|c| c.links.store_answered_recently(simulation.now / 1_000))
 }
 
 #[test]
