--- a/crates/coordination/src/boot_time.rs
+++ b/crates/coordination/src/boot_time.rs
@@ -60,7 +60,7 @@
     }
 
     /// Returns the typical boot time, ms, given the catalog's `catalog_ms`.
-    pub(crate) fn usual_ms(
+    pub(crate) fn typical_ms(
         &self,
         machine_type: &str,
         zone: &str,
--- a/crates/coordination/src/owner/maintenance.rs
+++ b/crates/coordination/src/owner/maintenance.rs
@@ -81,7 +81,7 @@
         let listed_boot_ms = self.catalog.boot_ms(&m.kind);
         let boot_ms = self
             .boot_times
-            .usual_ms(&m.kind, &m.zone, m.spot, listed_boot_ms);
+            .typical_ms(&m.kind, &m.zone, m.spot, listed_boot_ms);
         let rebuild_ms = boot_ms + m.fetch_ms(self.catalog.fetch_gb_per_s(&m.kind));
         MachineEstimates {
             verdict: self.failure_detector.verdict(m, rebuild_ms, self.now),
