--- a/crates/coordination/src/fault_attribution.rs
+++ b/crates/coordination/src/fault_attribution.rs
@@ -26,7 +26,7 @@
 pub const FAILURE_ATTRIBUTION_SUSPECT_ANYWHERE: usize = 5;
 /// Time after the start of another job's successful run for which the machine counts as known
 /// good, ms: longer than most runs, so that machines in use are known good.
-pub const FAILURE_ATTRIBUTION_VOUCHED_MS: u64 = 300_000;
+pub const FAILURE_ATTRIBUTION_KNOWN_GOOD_MS: u64 = 300_000;
 /// Failures kept per job and per machine.
 const MAX_FAILURES_KEPT: usize = 8;
 /// Jobs tracked by one side of a shard (placer or owner), at some 200 bytes each.
@@ -216,7 +216,8 @@
             return false;
         };
         m.successes.iter().any(|success| {
-            success.counterpart != *job && success.began_at + FAILURE_ATTRIBUTION_VOUCHED_MS >= at
+            success.counterpart != *job
+                && success.began_at + FAILURE_ATTRIBUTION_KNOWN_GOOD_MS >= at
         })
     }
 
@@ -276,9 +277,9 @@
     pub fn healthy_machines(&self, now: u64) -> BTreeSet<MachineId> {
         let healthy = |m: &&MachineFailures| {
             m.failed.is_empty()
-                && m.successes
-                    .first()
-                    .is_some_and(|success| now <= success.began_at + FAILURE_ATTRIBUTION_VOUCHED_MS)
+                && m.successes.first().is_some_and(|success| {
+                    now <= success.began_at + FAILURE_ATTRIBUTION_KNOWN_GOOD_MS
+                })
         };
         self.machines
             .iter()
@@ -288,7 +289,7 @@
     }
 
     /// Removes the record of a released machine.
-    pub fn forget(&mut self, machine: &MachineId) {
+    pub fn remove_machine(&mut self, machine: &MachineId) {
         self.machines.remove(machine);
     }
 }
--- a/crates/coordination/src/fault_attribution/tests.rs
+++ b/crates/coordination/src/fault_attribution/tests.rs
@@ -88,6 +88,6 @@
             .values()
             .all(|m| m.failed.len() <= MAX_FAILURES_KEPT)
     );
-    (0..7).for_each(|n| attribution.forget(&machine(n)));
+    (0..7).for_each(|n| attribution.remove_machine(&machine(n)));
     assert!(attribution.machines.is_empty());
 }
--- a/crates/coordination/src/owner/scale_in.rs
+++ b/crates/coordination/src/owner/scale_in.rs
@@ -79,7 +79,7 @@
                 // among those to unreachable machines is freed here.
                 let call_in_progress = self.machines.remove(id).is_some_and(|m| m.unreachable_call);
                 self.unreachable_calls -= usize::from(call_in_progress);
-                self.fault_attribution.forget(id);
+                self.fault_attribution.remove_machine(id);
                 self.released_machines.insert(id.clone());
                 info!(machine = %id, shard = self.shard, "machine released");
                 self.reevaluate(id, now);
--- a/crates/coordination/tests/fault_attribution.rs
+++ b/crates/coordination/tests/fault_attribution.rs
@@ -3,8 +3,8 @@
 mod support;
 
 use lemonweir_coordination::fault_attribution::{
-    FAILURE_ATTRIBUTION_QUARANTINE_JOBS, FAILURE_ATTRIBUTION_SUSPECT_ANYWHERE,
-    FAILURE_ATTRIBUTION_SUSPECT_MACHINES, FAILURE_ATTRIBUTION_VOUCHED_MS, FaultAttribution,
+    FAILURE_ATTRIBUTION_KNOWN_GOOD_MS, FAILURE_ATTRIBUTION_QUARANTINE_JOBS,
+    FAILURE_ATTRIBUTION_SUSPECT_ANYWHERE, FAILURE_ATTRIBUTION_SUSPECT_MACHINES, FaultAttribution,
     FaultVerdict,
 };
 use lemonweir_model::{JobId, MachineId};
@@ -76,7 +76,7 @@
         let failed: Vec<(usize, u64)> = (0..MACHINES).filter_map(|m| Some((m, last(m)?))).collect();
         let vouched = |m: usize, at: u64| {
             self.runs()
-                .any(|r| r.1 == m && r.0 != job && r.2 + FAILURE_ATTRIBUTION_VOUCHED_MS >= at)
+                .any(|r| r.1 == m && r.0 != job && r.2 + FAILURE_ATTRIBUTION_KNOWN_GOOD_MS >= at)
         };
         let count = failed.iter().filter(|(m, at)| vouched(*m, *at)).count();
         (count >= FAILURE_ATTRIBUTION_SUSPECT_MACHINES
