--- a/crates/coordination/src/provisioning.rs
+++ b/crates/coordination/src/provisioning.rs
@@ -176,11 +176,11 @@
             {
                 continue;
             }
-            self.bookings += 1;
+            self.provisioning_requests_issued += 1;
             // A fencing token is never reused, so the request ID is unique.
             let unique_id = format!(
                 "r-{}-{}-{}",
-                self.lease.shard, self.lease.token, self.bookings
+                self.lease.shard, self.lease.token, self.provisioning_requests_issued
             );
             self.provisioning.push(PendingProvisioning {
                 request: ProvisioningRequest {
--- a/crates/coordination/src/shard.rs
+++ b/crates/coordination/src/shard.rs
@@ -64,8 +64,8 @@
     pub(crate) provisioning_not_before: u64,
     /// Number of the placement pass for which the last provisioning plan was made.
     pub(crate) planned_pass: u64,
-    /// Number of bookings made so far under this lease; part of the next one's name.
-    pub(crate) bookings: u64,
+    /// Number of provisioning requests issued so far under this lease; part of the next one's name.
+    pub(crate) provisioning_requests_issued: u64,
     pub(crate) shortages: CapacityShortages,
     /// Shards of other controllers whose placers are to be asked to sync, each with the time
     /// since when there have been changes for it, ms.
@@ -87,7 +87,7 @@
             provisioning: Vec::new(),
             provisioning_not_before: 0,
             planned_pass: 0,
-            bookings: 0,
+            provisioning_requests_issued: 0,
             shortages: CapacityShortages::default(),
             peers_to_wake: BTreeMap::new(),
             failover: Failover::default(),
