--- a/crates/coordination/src/autoscaler.rs
+++ b/crates/coordination/src/autoscaler.rs
@@ -82,9 +82,9 @@
     pub count: u32,
     /// True if all must be in one zone.
     pub single_zone: bool,
-    /// True for idle-priority work: capacity is requested only if no other work lacks any.
-    pub idle: bool,
-    /// True for the first unit of idle-priority work that must start now, even if other work
+    /// True for low-priority work: capacity is requested only if no other work lacks any.
+    pub low_priority: bool,
+    /// True for the first unit of low-priority work that must start now, even if other work
     /// lacks capacity.
     pub must_start_now: bool,
 }
--- a/crates/coordination/src/job.rs
+++ b/crates/coordination/src/job.rs
@@ -41,7 +41,7 @@
     /// A low-priority job of which nothing has begun. Its first unit comes before later units
     /// of other jobs, and the largest job comes first. Otherwise a large array would wait for
     /// its write behind thousands of small jobs.
-    NotBegun,
+    NotStarted,
     /// A low-priority job of which less than half has begun. Where capacity is scarce, half of
     /// every job is worth more to users than all of some jobs.
     BelowHalf,
@@ -282,7 +282,7 @@
         } else if self.priority() != Priority::Low || self.is_stopping() {
             Urgency::Normal
         } else if !self.has_started() {
-            Urgency::NotBegun
+            Urgency::NotStarted
         } else if self.is_below_half() {
             Urgency::BelowHalf
         } else {
@@ -294,7 +294,7 @@
     /// have not begun, the number of tasks first, in descending order.
     pub(super) fn queue_order(&self) -> u64 {
         match self.urgency() {
-            Urgency::NotBegun => {
+            Urgency::NotStarted => {
                 MAX_TASKS.saturating_sub(u64::from(self.tasks)) << AGE_BITS
                     | self.submitted_at() & ((1 << AGE_BITS) - 1)
             }
--- a/crates/coordination/src/placer/headroom.rs
+++ b/crates/coordination/src/placer/headroom.rs
@@ -176,7 +176,7 @@
         count,
         single_zone: false,
         spot_only: spec.allow_spot,
-        idle: false,
+        low_priority: false,
         must_start_now: false,
     }
 }
--- a/crates/coordination/src/placer/placement_pass.rs
+++ b/crates/coordination/src/placer/placement_pass.rs
@@ -64,7 +64,7 @@
                 second_turns.push(key.job.clone());
                 TurnShare::HalfOfReplicas
             }
-            Urgency::NotBegun => TurnShare::FirstUnit,
+            Urgency::NotStarted => TurnShare::FirstUnit,
             Urgency::BelowHalf => TurnShare::HalfOfTasks,
             Urgency::Normal => TurnShare::All,
         };
@@ -276,9 +276,9 @@
         let mut demand = unmet.demand;
         // While other work waits, nothing is provisioned for low-priority work, except what
         // must start now.
-        if demand.iter().any(|d| !d.idle) {
+        if demand.iter().any(|d| !d.low_priority) {
             self.last_shortage_at = now;
-            demand.retain(|d| !d.idle || d.must_start_now);
+            demand.retain(|d| !d.low_priority || d.must_start_now);
         }
         // Booting instances are assigned to other demand first.
         demand.sort_by_key(|d| d.must_start_now);
--- a/crates/coordination/src/placer/unmet_demand.rs
+++ b/crates/coordination/src/placer/unmet_demand.rs
@@ -88,13 +88,13 @@
     ) -> Option<CapacityDemand> {
         let is_low_priority = spec.priority == Priority::Low;
         let is_starved = is_low_priority && job.is_starved(now);
-        let must_begin = self.must_start_now(job, now);
-        if is_low_priority && !spec.allow_spot && !is_starved && !must_begin {
+        let must_start = self.must_start_now(job, now);
+        if is_low_priority && !spec.allow_spot && !is_starved && !must_start {
             return None;
         }
         let is_gang = spec.kind == JobKind::Gang;
         let waiting = match u64::from(job.waiting_count()) {
-            _ if must_begin && !is_gang => 1,
+            _ if must_start && !is_gang => 1,
             waiting if is_starved => waiting
                 .min(job.tasks_missing_to_half())
                 .min(MAX_DEMAND_TASKS),
@@ -117,9 +117,9 @@
             spot_allowed: spec.allow_spot,
             count: count as u32,
             single_zone: spec.same_zone,
-            spot_only: is_low_priority && !is_starved && !must_begin,
-            idle: is_low_priority,
-            must_start_now: must_begin,
+            spot_only: is_low_priority && !is_starved && !must_start,
+            low_priority: is_low_priority,
+            must_start_now: must_start,
         })
     }
 
--- a/crates/coordination/tests/largest.rs
+++ b/crates/coordination/tests/largest.rs
@@ -213,7 +213,11 @@
             assert_eq!(first, units, "seed {seed}: {jobs:?}");
             assert!(placer.unmet_demand.iter().all(|d| !d.spot_only));
             assert_eq!(
-                placer.unmet_demand.iter().filter(|d| !d.idle).count(),
+                placer
+                    .unmet_demand
+                    .iter()
+                    .filter(|d| !d.low_priority)
+                    .count(),
                 usize::from(others)
             );
             assert!(
--- a/tests/malformed_input.rs
+++ b/tests/malformed_input.rs
@@ -242,7 +242,7 @@
         spot_only: false,
         count,
         single_zone: false,
-        idle: false,
+        low_priority: false,
         must_start_now: false,
     }
 }
