--- a/crates/coordination/src/machine.rs
+++ b/crates/coordination/src/machine.rs
@@ -130,7 +130,7 @@
 #[derive(Debug)]
 pub(super) struct Machine {
     pub(super) address: Option<SocketAddr>,
-    pub(super) kind: String,
+    pub(super) machine_type: String,
     pub(super) zone: String,
     pub(super) spot: bool,
     pub(super) capacity: Resources,
@@ -183,7 +183,7 @@
     /// Creates a machine that has sent nothing yet. `base_token`: the lowest token of its
     /// owner.
     pub(super) fn new(
-        kind: &str,
+        machine_type: &str,
         zone: &str,
         spot: bool,
         capacity: Resources,
@@ -192,7 +192,7 @@
     ) -> Self {
         Self {
             address: None,
-            kind: kind.to_owned(),
+            machine_type: machine_type.to_owned(),
             zone: zone.to_owned(),
             spot,
             capacity,
--- a/crates/coordination/src/owner/heartbeat.rs
+++ b/crates/coordination/src/owner/heartbeat.rs
@@ -182,7 +182,7 @@
         // to this one.
         if m.announced && m.recorded_running_at.is_none() {
             self.boot_times
-                .record_boot(&m.kind, &m.zone, m.spot, boot_elapsed_ms);
+                .record_boot(&m.machine_type, &m.zone, m.spot, boot_elapsed_ms);
         }
         m.overdue = false;
         if self.catalog.lacks(&heartbeat.machine_type) {
--- a/crates/coordination/src/owner/last_copies.rs
+++ b/crates/coordination/src/owner/last_copies.rs
@@ -81,7 +81,8 @@
                 continue;
             };
             let alike = |o: &Machine| {
-                (&o.kind, &o.zone, o.spot) == (&m.kind, &m.zone, m.spot) && o.is_schedulable()
+                (&o.machine_type, &o.zone, o.spot) == (&m.machine_type, &m.zone, m.spot)
+                    && o.is_schedulable()
             };
             let others = self.machines.iter().filter(|(other, o)| {
                 o.idle_since.is_some() && alike(o) && !self.service_images.has_last_copy(other)
--- a/crates/coordination/src/owner/maintenance.rs
+++ b/crates/coordination/src/owner/maintenance.rs
@@ -78,11 +78,11 @@
     }
 
     fn estimate(&self, m: &Machine) -> MachineEstimates {
-        let listed_boot_ms = self.catalog.boot_ms(&m.kind);
+        let listed_boot_ms = self.catalog.boot_ms(&m.machine_type);
         let boot_ms = self
             .boot_times
-            .typical_ms(&m.kind, &m.zone, m.spot, listed_boot_ms);
-        let rebuild_ms = boot_ms + m.fetch_ms(self.catalog.fetch_gb_per_s(&m.kind));
+            .typical_ms(&m.machine_type, &m.zone, m.spot, listed_boot_ms);
+        let rebuild_ms = boot_ms + m.fetch_ms(self.catalog.fetch_gb_per_s(&m.machine_type));
         MachineEstimates {
             verdict: self.failure_detector.verdict(m, rebuild_ms, self.now),
             listed_boot_ms,
@@ -134,7 +134,7 @@
         let booting = estimates.verdict == HealthVerdict::Booting;
         let overdue_after_ms = || {
             self.boot_times.provisioning_timeout_ms(
-                &m.kind,
+                &m.machine_type,
                 &m.zone,
                 m.spot,
                 estimates.listed_boot_ms,
--- a/crates/coordination/src/owner/mod.rs
+++ b/crates/coordination/src/owner/mod.rs
@@ -247,7 +247,7 @@
             self.catalog.insert(machine_type);
         }
         for m in self.machines.values_mut() {
-            m.capacity = self.catalog.capacity(&m.kind);
+            m.capacity = self.catalog.capacity(&m.machine_type);
         }
         self.changed_machines.extend(self.machines.keys().cloned());
     }
--- a/crates/coordination/src/owner/proof.rs
+++ b/crates/coordination/src/owner/proof.rs
@@ -75,7 +75,7 @@
         let past_fetch = task.cause == Some(ExitCause::Done)
             || !matches!(task.phase, TaskPhase::PullingImage | TaskPhase::Exited);
         if past_fetch {
-            let cache_mb = self.catalog.image_cache_mb(&m.kind);
+            let cache_mb = self.catalog.image_cache_mb(&m.machine_type);
             m.remember_image(image, tracked.desired.image_mb, cache_mb);
         } else if task.phase == TaskPhase::PullingImage && m.forget_image(image) {
             info!(machine = %machine, shard = self.shard, image, "image missing from the machine's cache");
--- a/crates/coordination/src/owner/published_state.rs
+++ b/crates/coordination/src/owner/published_state.rs
@@ -36,7 +36,7 @@
         let (over_quota_only, all_preemptible) = self.preemptible(id);
         MachineView {
             id: id.clone(),
-            machine_type: m.kind.clone(),
+            machine_type: m.machine_type.clone(),
             zone: m.zone.clone(),
             spot: m.spot,
             registered: m.last_heartbeat_at.is_some()
