--- a/crates/coordination/src/image_locality/scoring.rs
+++ b/crates/coordination/src/image_locality/scoring.rs
@@ -38,9 +38,9 @@
 
 impl ImageLocality {
     /// Number of variants.
-    pub(crate) const COUNT: usize = 6;
+    pub(crate) const VARIANT_COUNT: usize = 6;
 
-    /// Returns the index of the variant, below [`Self::COUNT`].
+    /// Returns the index of the variant, below [`Self::VARIANT_COUNT`].
     pub(crate) fn index(self) -> usize {
         match self {
             Self::Cached => 0,
--- a/crates/coordination/src/placement/candidate_walk.rs
+++ b/crates/coordination/src/placement/candidate_walk.rs
@@ -32,7 +32,7 @@
     eligible: BitSet,
     /// The eligible machines of each image locality that were not found to lack free
     /// resources; `None` until first needed.
-    by_locality: [Option<BitSet>; ImageLocality::COUNT],
+    by_locality: [Option<BitSet>; ImageLocality::VARIANT_COUNT],
 }
 
 /// The candidate search of one task. Classes are disjoint, and a machine found to lack free
