--- a/crates/coordination/src/election.rs
+++ b/crates/coordination/src/election.rs
@@ -72,7 +72,7 @@
 }
 
 impl<'a> Candidacy<'a> {
-    fn of(core: &'a Core, shard: u16) -> Option<Self> {
+    fn for_shard(core: &'a Core, shard: u16) -> Option<Self> {
         let members = &core.config.members;
         let home = &members.get(usize::from(shard))?.host;
         let own_host = members[usize::from(core.config.own_index)].host.as_str();
@@ -143,7 +143,7 @@
         if core.lease_unconfirmed() {
             return None;
         }
-        let candidacy = Candidacy::of(core, shard)?;
+        let candidacy = Candidacy::for_shard(core, shard)?;
         let leases = core.leases();
         let lease = leases.iter().find(|lease| lease.shard == shard).copied();
         let slot = usize::from(shard);
--- a/crates/coordination/src/heartbeats.rs
+++ b/crates/coordination/src/heartbeats.rs
@@ -102,7 +102,7 @@
         } = self.links.misrouted.record(
             shard,
             &heartbeat.machine,
-            incarnation::MessageSequence::of(heartbeat),
+            incarnation::MessageSequence::from_heartbeat(heartbeat),
             now,
         );
         self.links
--- a/crates/coordination/src/incarnation/mod.rs
+++ b/crates/coordination/src/incarnation/mod.rs
@@ -39,7 +39,7 @@
 
 impl MessageSequence {
     /// The sequence of a heartbeat, or of the status in the answer to a call.
-    pub(crate) fn of(heartbeat: &Heartbeat) -> Self {
+    pub(crate) fn from_heartbeat(heartbeat: &Heartbeat) -> Self {
         Self {
             session: heartbeat.incarnation,
             number: heartbeat.sequence,
--- a/crates/coordination/src/links/services.rs
+++ b/crates/coordination/src/links/services.rs
@@ -45,7 +45,7 @@
     /// Returns the controller that relays a request of `bytes` to a service; `None`: it goes
     /// directly.
     pub fn route(&mut self, service: Service, bytes: usize, now: u64) -> Option<u16> {
-        let size = RequestSize::of(bytes);
+        let size = RequestSize::from_byte_count(bytes);
         if !self.upstream(service).is_down_for(size) {
             return None;
         }
@@ -70,7 +70,10 @@
         if !answered && now < self.stall_grace_until {
             return;
         }
-        let (size, outcome) = (RequestSize::of(bytes), CallOutcome::of(answered));
+        let (size, outcome) = (
+            RequestSize::from_byte_count(bytes),
+            CallOutcome::from_answered(answered),
+        );
         if !self.upstream(service).record_direct(size, outcome, now) {
             return;
         }
@@ -88,7 +91,7 @@
     /// Records the outcome of a request to a service that another controller relayed.
     pub fn record_relayed_call(&mut self, service: Service, relay: u16, answered: bool, now: u64) {
         self.upstream(service)
-            .record_relayed(relay, CallOutcome::of(answered), now);
+            .record_relayed(relay, CallOutcome::from_answered(answered), now);
     }
 
     /// Returns true if this controller may relay to a service now. It relays only over its own
--- a/crates/coordination/src/links/upstream_route.rs
+++ b/crates/coordination/src/links/upstream_route.rs
@@ -44,7 +44,7 @@
 }
 
 impl RequestSize {
-    pub(crate) fn of(bytes: usize) -> Self {
+    pub(crate) fn from_byte_count(bytes: usize) -> Self {
         if bytes >= LARGE_REQUEST_BYTES {
             Self::Large
         } else {
@@ -63,7 +63,7 @@
 }
 
 impl CallOutcome {
-    pub(crate) fn of(answered: bool) -> Self {
+    pub(crate) fn from_answered(answered: bool) -> Self {
         if answered {
             Self::Answered
         } else {
--- a/crates/coordination/src/owner/heartbeat.rs
+++ b/crates/coordination/src/owner/heartbeat.rs
@@ -8,7 +8,7 @@
     pub(crate) fn is_current(&self, heartbeat: &Heartbeat) -> bool {
         let freshness = |m: &Machine| {
             m.incarnation.classify(
-                MessageSequence::of(heartbeat),
+                MessageSequence::from_heartbeat(heartbeat),
                 heartbeat.fencing_token,
                 Origin::Heartbeat(None),
             )
@@ -45,7 +45,7 @@
             return None;
         }
         m.incarnation.record_reply(
-            MessageSequence::of(heartbeat),
+            MessageSequence::from_heartbeat(heartbeat),
             heartbeat.fencing_token,
             relayed_by,
             now,
@@ -92,7 +92,7 @@
         let Some(m) = self.machines.get_mut(id) else {
             return false;
         };
-        let sequence = MessageSequence::of(heartbeat);
+        let sequence = MessageSequence::from_heartbeat(heartbeat);
         let freshness = m
             .incarnation
             .classify(sequence, heartbeat.fencing_token, origin);
@@ -137,7 +137,7 @@
         let Some(m) = self.machines.get_mut(&heartbeat.machine) else {
             return;
         };
-        let sequence = MessageSequence::of(heartbeat);
+        let sequence = MessageSequence::from_heartbeat(heartbeat);
         let mut query = false;
         if let Origin::Heartbeat(route) = origin {
             m.incarnation.apply_late_heartbeat(
--- a/crates/coordination/src/placer/queues.rs
+++ b/crates/coordination/src/placer/queues.rs
@@ -28,7 +28,7 @@
 }
 
 impl QueuePosition {
-    fn of(job: &Job) -> Self {
+    fn for_job(job: &Job) -> Self {
         Self {
             team: job.team.clone(),
             priority: job.priority(),
@@ -91,7 +91,7 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        let position = QueuePosition::of(job);
+        let position = QueuePosition::for_job(job);
         if let Some(before) = job.queue_position.replace(position.clone())
             && before != position
         {
