--- a/crates/coordination/src/rate_limit.rs
+++ b/crates/coordination/src/rate_limit.rs
@@ -64,7 +64,7 @@
 
     /// Takes `n` tokens, going into debt if necessary. Returns how long to wait before using
     /// them, µs.
-    pub fn take(&mut self, n: f64, now_us: u64) -> u64 {
+    pub fn reserve(&mut self, n: f64, now_us: u64) -> u64 {
         let elapsed_s = now_us.saturating_sub(self.refilled_at) as f64 / 1e6;
         self.recover_limit(elapsed_s);
         if self.tokens < 0.0 {
@@ -144,15 +144,15 @@
     }
 
     /// Takes a token for a request; returns how long to wait before sending it, µs.
-    pub fn take(&mut self, now_us: u64) -> u64 {
-        self.all.take(1.0, now_us)
+    pub fn reserve_request(&mut self, now_us: u64) -> u64 {
+        self.all.reserve(1.0, now_us)
     }
 
     /// Takes a token for a query; returns how long to wait before sending it, µs.
-    pub fn take_query(&mut self, now_us: u64) -> u64 {
-        match self.all.take(1.0, now_us) {
+    pub fn reserve_query(&mut self, now_us: u64) -> u64 {
+        match self.all.reserve(1.0, now_us) {
             0 => 0,
-            wait => wait.min(self.queries.take(1.0, now_us)),
+            wait => wait.min(self.queries.reserve(1.0, now_us)),
         }
     }
 
--- a/crates/coordination/tests/answers.rs
+++ b/crates/coordination/tests/answers.rs
@@ -267,12 +267,12 @@
             requests.refused();
             // A flood of submissions, each accepted if it has to wait for 0.8 s at most.
             while requests.wait(now_us) <= SUBMISSION_TIMEOUT_MS * 1_000 {
-                requests.take(now_us);
+                requests.reserve_request(now_us);
                 written += 1;
             }
             if now_us >= next_query_us {
                 next_query_us += 1_000_000 / per_s;
-                worst = worst.max(requests.take_query(now_us));
+                worst = worst.max(requests.reserve_query(now_us));
             }
         }
         assert!(
@@ -293,11 +293,11 @@
     let rate = |bucket: &mut TokenBucket| {
         for now_us in (0..20_000_000u64).step_by(100_000) {
             bucket.learn_limit_from_refusal();
-            bucket.take(1.0, now_us);
+            bucket.reserve(1.0, now_us);
         }
         // The rate follows from how much longer one more change has to wait.
-        bucket.take(200.0, 20_000_000);
-        let (before, after) = (bucket.wait(20_000_000), bucket.take(1.0, 20_000_000));
+        bucket.reserve(200.0, 20_000_000);
+        let (before, after) = (bucket.wait(20_000_000), bucket.reserve(1.0, 20_000_000));
         1e6 / (after - before) as f64
     };
     let (without_minimum, with_minimum) = (
--- a/crates/node/src/kv_client.rs
+++ b/crates/node/src/kv_client.rs
@@ -118,7 +118,10 @@
 
     /// Waits until the rate limit admits a request that serves a user's query.
     async fn throttle_query(&self) {
-        let wait_us = self.request_budget.borrow_mut().take_query(self.now_us());
+        let wait_us = self
+            .request_budget
+            .borrow_mut()
+            .reserve_query(self.now_us());
         if wait_us > 0 {
             smol::Timer::after(Duration::from_micros(wait_us)).await;
         }
@@ -128,7 +131,11 @@
     /// requests don't wait: losing a shard costs far more than exceeding the share by one
     /// request.
     async fn throttle(&self, writes: usize) {
-        let mut wait = Duration::from_micros(self.request_budget.borrow_mut().take(self.now_us()));
+        let mut wait = Duration::from_micros(
+            self.request_budget
+                .borrow_mut()
+                .reserve_request(self.now_us()),
+        );
         if writes > 0 {
             wait = wait.max(self.write_limit.reserve(writes as f64));
         }
--- a/crates/node/src/rate_limit_share.rs
+++ b/crates/node/src/rate_limit_share.rs
@@ -32,7 +32,7 @@
 
     /// Takes `count` tokens and returns how long to wait before using them.
     pub(crate) fn reserve(&self, count: f64) -> Duration {
-        Duration::from_micros(self.bucket.borrow_mut().take(count, self.now_us()))
+        Duration::from_micros(self.bucket.borrow_mut().reserve(count, self.now_us()))
     }
 
     /// How long a token taken now would have to wait. Takes no token.
--- a/crates/simulator/src/simulation/cloud_service.rs
+++ b/crates/simulator/src/simulation/cloud_service.rs
@@ -121,7 +121,7 @@
         }
         let wait_us = self.controllers[process.controller]
             .cloud
-            .take(1.0, self.now);
+            .reserve(1.0, self.now);
         let route = self.route(process.controller, Service::Cloud, 0);
         self.schedule_in(wait_us, Event::ListInstances(process, route));
         let interval_ms = INSTANCE_LIST_INTERVAL_MS
--- a/crates/simulator/src/simulation/effects.rs
+++ b/crates/simulator/src/simulation/effects.rs
@@ -92,7 +92,7 @@
         at: u64,
     ) {
         let process = self.current_process(controller);
-        let wait_us = self.controllers[controller].cloud.take(1.0, self.now);
+        let wait_us = self.controllers[controller].cloud.reserve(1.0, self.now);
         let route = self.route(controller, Service::Cloud, 0);
         self.schedule_at(
             at + wait_us + CLOUD_REQUEST_US,
@@ -108,7 +108,7 @@
         at: u64,
     ) {
         let process = self.current_process(controller);
-        let wait_us = self.controllers[controller].cloud.take(1.0, self.now);
+        let wait_us = self.controllers[controller].cloud.reserve(1.0, self.now);
         let route = self.route(controller, Service::Cloud, 0);
         self.schedule_at(
             at + wait_us + CLOUD_REQUEST_US,
--- a/crates/simulator/src/simulation/network.rs
+++ b/crates/simulator/src/simulation/network.rs
@@ -34,8 +34,8 @@
         let controller = &mut self.controllers[number];
         let wait_us = controller
             .requests
-            .take(1.0, now)
-            .max(controller.writes.take(cas.writes.len() as f64, now));
+            .reserve(1.0, now)
+            .max(controller.writes.reserve(cas.writes.len() as f64, now));
         if matches!(origin, CasOrigin::Scheduler(_)) {
             self.metrics
                 .cas_sent(&cas, now, self.departure_time(number));
--- a/crates/simulator/src/simulation/state_reads.rs
+++ b/crates/simulator/src/simulation/state_reads.rs
@@ -32,7 +32,7 @@
             return;
         }
         (controller.read_in_flight, controller.read_requested) = (true, false);
-        let wait_us = controller.requests.take(1.0, now);
+        let wait_us = controller.requests.reserve(1.0, now);
         let after = controller
             .core
             .as_ref()
