--- a/crates/coordination/tests/cancellations.rs
+++ b/crates/coordination/tests/cancellations.rs
@@ -50,10 +50,14 @@
             Config::new(&settings(1)),
             lemonweir_policy::embedded().expect("policy"),
         );
-        core.set_catalog([(kind().name, kind())].into_iter().collect());
+        core.set_catalog(
+            [(machine_type().name, machine_type())]
+                .into_iter()
+                .collect(),
+        );
         let spec = JobSpec {
             team: "blue".into(),
-            ..array(1)
+            ..array_job(1)
         };
         let (job, lease) = (
             spec.id.clone(),
@@ -100,14 +104,14 @@
             end_written: false,
         };
         let first_sync = placer.next_direct_sync();
-        let first_view = view(
+        let first_view = shard_view(
             first_sync.seq,
             ChangeRange {
                 since: 0,
                 until: 1,
                 complete: true,
             },
-            vec![shown(1, 4)],
+            vec![machine_view(1, 4)],
             Vec::new(),
         );
         placer
@@ -244,7 +248,7 @@
         until: 1,
         complete: true,
     };
-    view(
+    shard_view(
         sync.seq,
         range,
         Vec::new(),
@@ -265,16 +269,16 @@
         lemonweir_policy::embedded().expect("policy"),
         0,
     );
-    successor.set_machine_types([kind()].iter());
+    successor.set_machine_types([machine_type()].iter());
     successor
         .handle_heartbeat(&heartbeat_of_machine_1(1, false), None, now)
         .expect("answered");
     successor.tick(now + 10, now + 10);
     successor
-        .sync(store_sync, ROOM, now + 20)
+        .sync(store_sync, MAX_MESSAGE_BYTES, now + 20)
         .expect("accepted");
     let call = successor
-        .due_calls(now + 30, ROOM)
+        .due_calls(now + 30, MAX_MESSAGE_BYTES)
         .pop()
         .expect("a call that starts the attempt");
     assert!(
@@ -296,7 +300,7 @@
     Heartbeat {
         fencing_token: SUCCESSOR_TOKEN << MACHINE_TOKEN_BITS,
         tasks: runs.then(|| running_task(0)).into_iter().collect(),
-        ..report(1, seq)
+        ..heartbeat(1, seq)
     }
 }
 
@@ -353,13 +357,15 @@
                 });
                 let sync = sync.expect("a sync");
                 let now = placer.now;
-                let answer = successor.sync(&sync, ROOM, now).expect("accepted");
+                let answer = successor
+                    .sync(&sync, MAX_MESSAGE_BYTES, now)
+                    .expect("accepted");
                 placer
                     .core
                     .sync_completed(placer.lease, 0, Some(answer), now);
                 if runs {
                     let call = successor
-                        .due_calls(now, ROOM)
+                        .due_calls(now, MAX_MESSAGE_BYTES)
                         .pop()
                         .expect("a call that stops the attempt");
                     assert!(
--- a/crates/coordination/tests/chains.rs
+++ b/crates/coordination/tests/chains.rs
@@ -34,7 +34,7 @@
         id: id(n),
         team: "amber".into(),
         depends_on: dependencies.iter().map(|n| id(*n)).collect(),
-        ..array(1)
+        ..array_job(1)
     }
 }
 
@@ -51,7 +51,11 @@
             Config::new(&settings(0)),
             lemonweir_policy::embedded().expect("policy"),
         );
-        core.set_catalog([(kind().name, kind())].into_iter().collect());
+        core.set_catalog(
+            [(machine_type().name, machine_type())]
+                .into_iter()
+                .collect(),
+        );
         let leader_entry = KeyValue {
             key: shard_key(0),
             value: to_value(&ShardRecord { host: "h0".into() }),
--- a/crates/coordination/tests/changes.rs
+++ b/crates/coordination/tests/changes.rs
@@ -177,10 +177,10 @@
 #[test]
 fn start_cost_is_independent_of_fleet_size() {
     for machines in [10, 1_000] {
-        let mut owner = fleet(machines);
+        let mut owner = owner_with_machines(machines);
         let first = owner
             .sync(
-                &sync(
+                &sync_request(
                     1,
                     ChangeRange {
                         since: 0,
@@ -190,19 +190,28 @@
                     Vec::new(),
                     ObservedState::default(),
                 ),
-                ROOM,
+                MAX_MESSAGE_BYTES,
                 20,
             )
             .expect("sync accepted");
         assert_eq!(first.machines.len(), machines);
-        assert!(owner.due_calls(20, ROOM).is_empty());
+        assert!(owner.due_calls(20, MAX_MESSAGE_BYTES).is_empty());
         let range = ChangeRange {
             since: 0,
             until: 1,
             complete: true,
         };
         let view = owner
-            .sync(&sync(2, range, vec![want(0, 3)], have(&first)), ROOM, 30)
+            .sync(
+                &sync_request(
+                    2,
+                    range,
+                    vec![desired_attempt(0, 3)],
+                    observed_state(&first),
+                ),
+                MAX_MESSAGE_BYTES,
+                30,
+            )
             .expect("sync accepted");
         assert_eq!(
             (view.machines.len(), view.attempts.len()),
@@ -210,12 +219,12 @@
             "{machines} machines"
         );
         assert_eq!(view.desired_revision, 1);
-        assert_eq!(owner.due_calls(30, ROOM).len(), 1);
+        assert_eq!(owner.due_calls(30, MAX_MESSAGE_BYTES).len(), 1);
         // A heartbeat without changes causes no publication.
-        assert!(owner.handle_heartbeat(&report(7, 2), None, 40).is_some());
+        assert!(owner.handle_heartbeat(&heartbeat(7, 2), None, 40).is_some());
         let quiet = owner
             .sync(
-                &sync(
+                &sync_request(
                     3,
                     ChangeRange {
                         since: 1,
@@ -223,9 +232,9 @@
                         complete: true,
                     },
                     Vec::new(),
-                    have(&view),
+                    observed_state(&view),
                 ),
-                ROOM,
+                MAX_MESSAGE_BYTES,
                 50,
             )
             .expect("sync accepted");
@@ -236,7 +245,7 @@
 /// A stop does not wait behind starts that do not fit in a message.
 #[test]
 fn stops_overtake_starts_that_do_not_fit() {
-    let mut owner = fleet(3);
+    let mut owner = owner_with_machines(3);
     let two = ChangeRange {
         since: 0,
         until: 2,
@@ -244,24 +253,24 @@
     };
     owner
         .sync(
-            &sync(
+            &sync_request(
                 1,
                 two,
-                vec![want(0, 0), want(1, 1)],
+                vec![desired_attempt(0, 0), desired_attempt(1, 1)],
                 ObservedState::default(),
             ),
-            ROOM,
+            MAX_MESSAGE_BYTES,
             20,
         )
         .expect("sync accepted");
-    assert_eq!(owner.due_calls(20, ROOM).len(), 2);
+    assert_eq!(owner.due_calls(20, MAX_MESSAGE_BYTES).len(), 2);
     for n in 0..2 {
         assert!(
             owner
                 .handle_heartbeat(
                     &Heartbeat {
                         tasks: vec![running_task(n)],
-                        ..report(n, 2)
+                        ..heartbeat(n, 2)
                     },
                     None,
                     30
@@ -269,35 +278,35 @@
                 .is_some()
         );
     }
-    let mut partial_message = sync(
+    let mut partial_message = sync_request(
         2,
         ChangeRange {
             since: 2,
             until: 3,
             complete: false,
         },
-        vec![want(2, 2)],
+        vec![desired_attempt(2, 2)],
         ObservedState::default(),
     );
     // A stop of this placer's attempt, and one of an attempt that it does not have.
     partial_message.stops = vec![
-        (want(1, 1).id, 0),
+        (desired_attempt(1, 1).id, 0),
         (
             AttemptId {
                 attempt: 9,
-                ..want(1, 1).id
+                ..desired_attempt(1, 1).id
             },
             0,
         ),
     ];
     owner
-        .sync(&partial_message, ROOM, 40)
+        .sync(&partial_message, MAX_MESSAGE_BYTES, 40)
         .expect("sync accepted");
     let reply = owner
         .handle_heartbeat(
             &Heartbeat {
                 tasks: vec![running_task(1)],
-                ..report(1, 3)
+                ..heartbeat(1, 3)
             },
             None,
             50,
@@ -311,7 +320,7 @@
         .handle_heartbeat(
             &Heartbeat {
                 tasks: vec![running_task(0)],
-                ..report(0, 3)
+                ..heartbeat(0, 3)
             },
             None,
             50,
@@ -323,14 +332,14 @@
 /// A state that does not fit in one message is delivered completely in several.
 #[test]
 fn full_state_is_delivered_in_parts() {
-    let mut owner = fleet(300);
+    let mut owner = owner_with_machines(300);
     let mut at = ObservedState::default();
     let mut seen = BTreeMap::new();
     let mut parts = 0;
     for seq in 1..100 {
         let view = owner
             .sync(
-                &sync(
+                &sync_request(
                     seq,
                     ChangeRange {
                         since: 0,
@@ -349,7 +358,7 @@
             "a message keeps to its byte budget"
         );
         parts += 1;
-        at = have(&view);
+        at = observed_state(&view);
         seen.extend(view.machines.iter().map(|m| (m.id.clone(), m.free)));
         if view.machines_range.complete {
             break;
@@ -365,17 +374,17 @@
 fn images_of_a_large_fleet_survive_a_restart() {
     const MACHINES: usize = 400;
     const VALUE_BYTES: usize = 4 * 1024;
-    let mut owner = fleet(MACHINES);
+    let mut owner = owner_with_machines(MACHINES);
     let image = |n: usize| format!("img-{:02}", n % 20);
     let wants: Vec<DesiredAttempt> = (0..MACHINES)
         .map(|n| DesiredAttempt {
             image: image(n),
-            ..want(n as u32, n)
+            ..desired_attempt(n as u32, n)
         })
         .collect();
     owner
         .sync(
-            &sync(
+            &sync_request(
                 1,
                 ChangeRange {
                     since: 0,
@@ -385,7 +394,7 @@
                 wants,
                 ObservedState::default(),
             ),
-            ROOM,
+            MAX_MESSAGE_BYTES,
             20,
         )
         .expect("sync accepted");
@@ -395,7 +404,7 @@
                 .handle_heartbeat(
                     &Heartbeat {
                         tasks: vec![running_task(n)],
-                        ..report(n, 2)
+                        ..heartbeat(n, 2)
                     },
                     None,
                     30
@@ -435,7 +444,7 @@
             next.handle_heartbeat(
                 &Heartbeat {
                     fencing_token: token,
-                    ..report(n, 3)
+                    ..heartbeat(n, 3)
                 },
                 None,
                 40
@@ -443,7 +452,7 @@
             .is_some()
         );
     }
-    let mut first = sync(
+    let mut first = sync_request(
         2,
         ChangeRange {
             since: 0,
@@ -454,7 +463,9 @@
         ObservedState::default(),
     );
     first.to_fencing_token = TOKEN + 1;
-    let view = next.sync(&first, ROOM, 50).expect("sync accepted");
+    let view = next
+        .sync(&first, MAX_MESSAGE_BYTES, 50)
+        .expect("sync accepted");
     assert_eq!(view.machines.len(), MACHINES);
     for m in &view.machines {
         let n: usize = m.id.as_str()[2..].parse().expect("number");
@@ -468,21 +479,25 @@
 /// resources again that its own attempts had just been given: 1,900 attempts were refused.
 #[test]
 fn capacity_is_not_double_booked_while_machine_figures_are_in_flight() {
-    let mut placer = Placer::new(0, TOKEN, 1, terms(), 0);
-    submit(&mut placer, array(9), 0, 0);
-    let machine = |gpus: u64| shown(0, gpus);
+    let mut placer = Placer::new(0, TOKEN, 1, placer_config(), 0);
+    submit(&mut placer, array_job(9), 0, 0);
+    let machine = |gpus: u64| machine_view(0, gpus);
     let mut revision = 1;
     // Applies a view, lets the placer place and write, and returns its attempts.
     let mut apply_view_and_place =
         |machines: Vec<MachineView>, range: ChangeRange, attempts: Vec<AttemptStatus>| {
-            let seq = placer.sync_request(0, TOKEN, ROOM, false, 0).seq;
-            placer.apply_view(view(seq, range, machines, attempts), 0);
+            let seq = placer
+                .sync_request(0, TOKEN, MAX_MESSAGE_BYTES, false, 0)
+                .seq;
+            placer.apply_view(shard_view(seq, range, machines, attempts), 0);
             placer.run_placement_pass(0);
             while placer.next_cas(0).is_some() {
                 revision += 1;
                 placer.apply_cas_outcome(CompareAndSwapOutcome::Committed(revision), 0);
             }
-            placer.sync_request(0, TOKEN, ROOM, false, 0).desired
+            placer
+                .sync_request(0, TOKEN, MAX_MESSAGE_BYTES, false, 0)
+                .desired
         };
     let first = apply_view_and_place(
         vec![machine(4)],
@@ -548,9 +563,9 @@
 /// as booting for a minute and a half.
 #[test]
 fn listed_machine_without_heartbeats_offers_no_capacity() {
-    let mut owner = fleet(1);
+    let mut owner = owner_with_machines(1);
     let entry = |phase: &str| InstanceEntry {
-        id: machine(5),
+        id: machine_id(5),
         machine_type: "box".into(),
         zone: "north".into(),
         spot: false,
@@ -562,7 +577,7 @@
         seq += 1;
         let view = owner
             .sync(
-                &sync(
+                &sync_request(
                     seq,
                     ChangeRange {
                         since: 0,
@@ -572,13 +587,13 @@
                     Vec::new(),
                     ObservedState::default(),
                 ),
-                ROOM,
+                MAX_MESSAGE_BYTES,
                 20,
             )
             .expect("sync accepted");
         view.machines
             .iter()
-            .find(|m| m.id == machine(5))
+            .find(|m| m.id == machine_id(5))
             .map(|m| m.schedulable)
     };
     owner.apply_inventory(&[entry("starting")], 1_000);
@@ -597,7 +612,7 @@
     assert_eq!(is_schedulable(&mut owner), Some(false));
     assert!(
         owner
-            .handle_heartbeat(&report(5, 1), None, 46_000)
+            .handle_heartbeat(&heartbeat(5, 1), None, 46_000)
             .is_some()
     );
     assert_eq!(is_schedulable(&mut owner), Some(true), "it was only late");
@@ -605,7 +620,7 @@
 
 #[test]
 fn impossible_sequence_numbers_change_nothing() {
-    let mut owner = fleet(3);
+    let mut owner = owner_with_machines(3);
     let whole = ChangeRange {
         since: 0,
         until: 5,
@@ -613,33 +628,38 @@
     };
     owner
         .sync(
-            &sync(5, whole, vec![want(0, 1)], ObservedState::default()),
-            ROOM,
+            &sync_request(
+                5,
+                whole,
+                vec![desired_attempt(0, 1)],
+                ObservedState::default(),
+            ),
+            MAX_MESSAGE_BYTES,
             20,
         )
         .expect("sync accepted");
-    assert!(owner.due_calls(20, ROOM).len() == 1);
+    assert!(owner.due_calls(20, MAX_MESSAGE_BYTES).len() == 1);
     // A late message, one with another token, and one from an unknown shard.
     assert_eq!(
         owner
             .sync(
-                &sync(5, whole, Vec::new(), ObservedState::default()),
-                ROOM,
+                &sync_request(5, whole, Vec::new(), ObservedState::default()),
+                MAX_MESSAGE_BYTES,
                 21
             )
             .err(),
         Some(SyncError::Stale)
     );
-    let mut other = sync(6, whole, Vec::new(), ObservedState::default());
+    let mut other = sync_request(6, whole, Vec::new(), ObservedState::default());
     other.to_fencing_token = TOKEN + 1;
     assert_eq!(
-        owner.sync(&other, ROOM, 21).err(),
+        owner.sync(&other, MAX_MESSAGE_BYTES, 21).err(),
         Some(SyncError::TokenMismatch)
     );
-    let mut other = sync(6, whole, Vec::new(), ObservedState::default());
+    let mut other = sync_request(6, whole, Vec::new(), ObservedState::default());
     other.from_shard = 9;
     assert_eq!(
-        owner.sync(&other, ROOM, 21).err(),
+        owner.sync(&other, MAX_MESSAGE_BYTES, 21).err(),
         Some(SyncError::UnknownShard)
     );
     // A gap, and a range that ends before it begins: a full state is requested, and the attempt
@@ -664,8 +684,13 @@
     ] {
         let view = owner
             .sync(
-                &sync(seq, range, vec![want(1, 2)], ObservedState::default()),
-                ROOM,
+                &sync_request(
+                    seq,
+                    range,
+                    vec![desired_attempt(1, 2)],
+                    ObservedState::default(),
+                ),
+                MAX_MESSAGE_BYTES,
                 22,
             )
             .expect("answered");
@@ -674,7 +699,7 @@
         assert_eq!(view.attempts[0].state, AttemptState::Accepted);
     }
     // An attempt can't move to another machine under the same name.
-    let mut moved = want(0, 2);
+    let mut moved = desired_attempt(0, 2);
     moved.resources = Resources::capacity(16.0, 4.0, 64.0);
     let on = ChangeRange {
         since: 5,
@@ -683,15 +708,15 @@
     };
     let view = owner
         .sync(
-            &sync(8, on, vec![moved], ObservedState::default()),
-            ROOM,
+            &sync_request(8, on, vec![moved], ObservedState::default()),
+            MAX_MESSAGE_BYTES,
             23,
         )
         .expect("answered");
     let free = |n: usize| {
         view.machines
             .iter()
-            .find(|m| m.id == machine(n))
+            .find(|m| m.id == machine_id(n))
             .map(|m| m.free)
     };
     assert_eq!(free(2), Some(Resources::capacity(16.0, 4.0, 64.0)));
@@ -702,7 +727,7 @@
         attempts_revision: u64::MAX,
     };
     let view = owner.sync(
-        &sync(
+        &sync_request(
             9,
             ChangeRange {
                 since: 6,
@@ -712,7 +737,7 @@
             Vec::new(),
             ahead,
         ),
-        ROOM,
+        MAX_MESSAGE_BYTES,
         24,
     );
     assert!(view.is_ok_and(|v| v.machines.is_empty() && v.attempts.is_empty()));
--- a/crates/coordination/tests/ends.rs
+++ b/crates/coordination/tests/ends.rs
@@ -234,12 +234,20 @@
             ..lemonweir_policy::embedded().expect("policy")
         };
         let mut owner = Owner::new(shard as u16, token, SHARDS as u16, TIMING, policy, self.now);
-        owner.set_machine_types([kind()].iter());
-        let mut placer = Placer::new(shard as u16, token, SHARDS as u16, terms(), self.now);
+        owner.set_machine_types([machine_type()].iter());
+        let mut placer = Placer::new(
+            shard as u16,
+            token,
+            SHARDS as u16,
+            placer_config(),
+            self.now,
+        );
         placer.set_start_objectives(
             &HashMap::new(),
             f64::MAX,
-            &[(kind().name, kind())].into_iter().collect(),
+            &[(machine_type().name, machine_type())]
+                .into_iter()
+                .collect(),
         );
         for (key, e) in self
             .store
@@ -446,19 +454,21 @@
             return;
         };
         if from == to {
-            let sync = leader
-                .placer
-                .sync_request(to as u16, leader.token, ROOM, false, now);
+            let sync =
+                leader
+                    .placer
+                    .sync_request(to as u16, leader.token, MAX_MESSAGE_BYTES, false, now);
             let view = leader
                 .owner
-                .sync(&sync, ROOM, now)
+                .sync(&sync, MAX_MESSAGE_BYTES, now)
                 .expect("accepted by its own owner");
             leader.placer.apply_view(view, now);
         } else if let Some(other) = self.leaders[to].as_mut() {
-            let sync = leader
-                .placer
-                .sync_request(to as u16, other.token, ROOM, false, now);
-            match other.owner.sync(&sync, ROOM, now) {
+            let sync =
+                leader
+                    .placer
+                    .sync_request(to as u16, other.token, MAX_MESSAGE_BYTES, false, now);
+            match other.owner.sync(&sync, MAX_MESSAGE_BYTES, now) {
                 Ok(view) => drop(leader.placer.apply_view(view, now)),
                 Err(_) => leader.placer.message_lost(to as u16),
             }
@@ -474,10 +484,14 @@
         all.retain(|(_, _, until)| now < *until);
         for (shard, leader, _) in &mut all {
             leader.owner.tick(now, leader.last_store_read_at);
-            let sync = leader
-                .placer
-                .sync_request(*shard as u16, leader.token, ROOM, false, now);
-            if let Ok(view) = leader.owner.sync(&sync, ROOM, now) {
+            let sync = leader.placer.sync_request(
+                *shard as u16,
+                leader.token,
+                MAX_MESSAGE_BYTES,
+                false,
+                now,
+            );
+            if let Ok(view) = leader.owner.sync(&sync, MAX_MESSAGE_BYTES, now) {
                 leader.placer.apply_view(view, now);
             }
             let to = 1 - *shard;
@@ -486,11 +500,11 @@
                 let sync = leader.placer.sync_request(
                     to as u16,
                     leader.other_owner_token,
-                    ROOM,
+                    MAX_MESSAGE_BYTES,
                     false,
                     now,
                 );
-                match other.owner.sync(&sync, ROOM, now) {
+                match other.owner.sync(&sync, MAX_MESSAGE_BYTES, now) {
                     Ok(view) => drop(leader.placer.apply_view(view, now)),
                     Err(_) => leader.placer.message_lost(to as u16),
                 }
@@ -526,7 +540,7 @@
             fencing_token: w.token,
             tasks: tasks.collect(),
             spot: (w.name / 2).is_multiple_of(2),
-            ..report(w.name, w.seq)
+            ..heartbeat(w.name, w.seq)
         }
     }
 
@@ -626,7 +640,7 @@
                 .handle_release_result(&workers_created, true, self.now);
         }
         for n in 0..WORKERS {
-            if workers_created.contains(&machine(self.workers[n].name)) {
+            if workers_created.contains(&machine_id(self.workers[n].name)) {
                 self.workers[n] = Worker::new(self.workers_created, shard, self.now);
                 self.workers_created += 1;
             }
@@ -643,7 +657,8 @@
     }
 
     fn deliver_command(&mut self, call: &CommandCall) -> CommandResult {
-        let Some(n) = (0..WORKERS).find(|n| machine(self.workers[*n].name) == call.machine) else {
+        let Some(n) = (0..WORKERS).find(|n| machine_id(self.workers[*n].name) == call.machine)
+        else {
             return CommandResult::NotSent;
         };
         let w = &mut self.workers[n];
@@ -898,7 +913,7 @@
 fn job(n: u32, tasks: u64) -> JobSpec {
     JobSpec {
         id: JobId::from(format!("req-{n:06}").as_str()),
-        ..array(tasks)
+        ..array_job(tasks)
     }
 }
 
@@ -1153,15 +1168,20 @@
 /// other writes go on.
 #[test]
 fn start_conflicting_with_its_job_key_waits_for_a_fresh_copy() {
-    let mut placer = Placer::new(0, TOKEN, 1, terms(), 0);
+    let mut placer = Placer::new(0, TOKEN, 1, placer_config(), 0);
     submit(&mut placer, job(1, 1), 0, 0);
-    let seq = placer.sync_request(0, TOKEN, ROOM, false, 0).seq;
+    let seq = placer
+        .sync_request(0, TOKEN, MAX_MESSAGE_BYTES, false, 0)
+        .seq;
     let whole = lemonweir_protocol::peer::ChangeRange {
         since: 0,
         until: 1,
         complete: true,
     };
-    placer.apply_view(view(seq, whole, vec![shown(0, 4)], Vec::new()), 0);
+    placer.apply_view(
+        shard_view(seq, whole, vec![machine_view(0, 4)], Vec::new()),
+        0,
+    );
     placer.run_placement_pass(0);
     let first = placer.next_cas(0).expect("its start");
     assert!(
@@ -1206,7 +1226,7 @@
 /// and one that waits for room is written, and the record of a job that ended meanwhile is deleted.
 #[test]
 fn new_leader_does_not_rewrite_finished_chunks() {
-    let mut placer = Placer::new(0, TOKEN, 1, terms(), 0);
+    let mut placer = Placer::new(0, TOKEN, 1, placer_config(), 0);
     for (n, chunk) in [(1, 0), (1, 1), (2, 0)] {
         let done = vec![(
             chunk * TASKS_PER_CHUNK,
@@ -1250,15 +1270,20 @@
         CompareAndSwapOutcome::Indeterminate,
     ] {
         let indeterminate = matches!(outcome, CompareAndSwapOutcome::Indeterminate);
-        let mut placer = Placer::new(0, TOKEN, 1, terms(), 0);
+        let mut placer = Placer::new(0, TOKEN, 1, placer_config(), 0);
         submit(&mut placer, job(1, 2), 0, 0);
-        let seq = placer.sync_request(0, TOKEN, ROOM, false, 0).seq;
+        let seq = placer
+            .sync_request(0, TOKEN, MAX_MESSAGE_BYTES, false, 0)
+            .seq;
         let whole = lemonweir_protocol::peer::ChangeRange {
             since: 0,
             until: 1,
             complete: true,
         };
-        placer.apply_view(view(seq, whole, vec![shown(0, 4)], Vec::new()), 0);
+        placer.apply_view(
+            shard_view(seq, whole, vec![machine_view(0, 4)], Vec::new()),
+            0,
+        );
         placer.run_placement_pass(0);
         placer.next_cas(0).expect("its starts");
         let cancelled_record = JobRecord {
@@ -1293,7 +1318,7 @@
         assert_eq!(placer.known_jobs().count(), usize::from(indeterminate));
         assert!(
             placer
-                .sync_request(0, TOKEN, ROOM, false, 60)
+                .sync_request(0, TOKEN, MAX_MESSAGE_BYTES, false, 60)
                 .desired
                 .is_empty()
         );
--- a/crates/coordination/tests/evidence.rs
+++ b/crates/coordination/tests/evidence.rs
@@ -23,7 +23,7 @@
 
 fn inventory_entry(n: usize) -> InstanceEntry {
     InstanceEntry {
-        id: machine(n),
+        id: machine_id(n),
         machine_type: "box".into(),
         zone: "north".into(),
         spot: false,
@@ -59,7 +59,7 @@
             lemonweir_policy::embedded().expect("policy"),
             0,
         );
-        owner.set_machine_types([kind()].iter());
+        owner.set_machine_types([machine_type()].iter());
         let mut scenario = Self {
             owner,
             now: 0,
@@ -71,7 +71,9 @@
             store_answers: true,
             first_incarnation_seen: BTreeSet::new(),
         };
-        let wants = (0..MACHINES).map(|n| want(n as u32, n)).collect();
+        let wants = (0..MACHINES)
+            .map(|n| desired_attempt(n as u32, n))
+            .collect();
         scenario.sync_placer(
             ChangeRange {
                 since: 0,
@@ -91,17 +93,17 @@
         self.seq += 1;
         let message = lemonweir_protocol::peer::SyncRequest {
             to_fencing_token: SUCCESSOR_TOKEN,
-            ..sync(self.seq, range, wants, self.have)
+            ..sync_request(self.seq, range, wants, self.have)
         };
         let view = self
             .owner
-            .sync(&message, ROOM, self.now)
+            .sync(&message, MAX_MESSAGE_BYTES, self.now)
             .expect("sync accepted");
-        self.have = have(&view);
+        self.have = observed_state(&view);
         if let Some(a) = view
             .attempts
             .iter()
-            .find(|a| a.id == want(0, 0).id && a.state.is_terminal())
+            .find(|a| a.id == desired_attempt(0, 0).id && a.state.is_terminal())
         {
             self.ended.get_or_insert((self.now, a.state));
         }
@@ -141,7 +143,7 @@
                         fencing_token: SUCCESSOR_TOKEN << MACHINE_TOKEN_BITS,
                         incarnation: machine_incarnation,
                         tasks,
-                        ..report(n, 0)
+                        ..heartbeat(n, 0)
                     };
                     self.owner.handle_heartbeat(&heartbeat, None, self.now);
                 }
@@ -229,7 +231,7 @@
     let mut scenario = Scenario::new(true);
     scenario.advance_to(100_000, |n| n > 1);
     let names: Vec<&MachineId> = scenario.released.iter().map(|(_, id)| id).collect();
-    assert_eq!(names, [&machine(0), &machine(1)]);
+    assert_eq!(names, [&machine_id(0), &machine_id(1)]);
     assert!(
         scenario
             .released
@@ -345,7 +347,7 @@
             lemonweir_policy::embedded().expect("policy"),
             0,
         );
-        owner.set_machine_types([kind()].iter());
+        owner.set_machine_types([machine_type()].iter());
         if ran {
             // The provider's inventory shows that they ran before this owner came.
             owner.apply_inventory(&(0..MACHINES).map(inventory_entry).collect::<Vec<_>>(), 50);
@@ -355,7 +357,7 @@
                 for n in 0..MACHINES {
                     let heartbeat = Heartbeat {
                         fencing_token: SUCCESSOR_TOKEN << MACHINE_TOKEN_BITS,
-                        ..report(n, now)
+                        ..heartbeat(n, now)
                     };
                     assert!(owner.handle_heartbeat(&heartbeat, None, now).is_some());
                 }
--- a/crates/coordination/tests/fault_attribution.rs
+++ b/crates/coordination/tests/fault_attribution.rs
@@ -133,10 +133,10 @@
         for e in events {
             now += e.gap;
             let all = |real: &FaultAttribution| -> Vec<(Option<u32>, FaultVerdict)> {
-                (0..JOBS.max(MACHINES)).map(|n| (real.suspect_evidence(&job(n)), real.verdict(&support::machine(n)))).collect()
+                (0..JOBS.max(MACHINES)).map(|n| (real.suspect_evidence(&job(n)), real.verdict(&support::machine_id(n)))).collect()
             };
             let before = all(&real);
-            let (j, m): (JobId, MachineId) = (job(e.job), support::machine(e.machine));
+            let (j, m): (JobId, MachineId) = (job(e.job), support::machine_id(e.machine));
             let touched = match e.ran_for {
                 Some(ms) => real.record_success(&j, &m, now.saturating_sub(ms)),
                 None => real.record_failure(&j, &m, now),
@@ -146,7 +146,7 @@
                 prop_assert_eq!(after.0, reference.suspect(n), "job {}", n);
                 prop_assert_eq!(after.1, reference.verdict(n), "machine {}", n);
                 prop_assert!(before.0 == after.0 || touched.jobs.contains(&job(n)), "job {} changed but was not reported", n);
-                prop_assert!(before.1 == after.1 || touched.machines.contains(&support::machine(n)), "machine {} changed but was not reported", n);
+                prop_assert!(before.1 == after.1 || touched.machines.contains(&support::machine_id(n)), "machine {} changed but was not reported", n);
             }
         }
     }
--- a/crates/coordination/tests/image_locality.rs
+++ b/crates/coordination/tests/image_locality.rs
@@ -118,7 +118,7 @@
     } else {
         4 - free_gpus as u16
     };
-    let mut m = support::shown(number, free_gpus);
+    let mut m = support::machine_view(number, free_gpus);
     m.zone = ZONES[if rng.random::<f64>() < 0.8 {
         shard
     } else {
@@ -547,7 +547,7 @@
         image: image.into(),
         image_gb: gb,
         kind: shape,
-        ..support::array(1)
+        ..support::array_job(1)
     }
 }
 
@@ -582,7 +582,7 @@
         "the last is not in use"
     );
     // Of two equal machines the third model goes to the one where it evicts nothing.
-    let mut machines = [support::shown(1, 2), support::shown(2, 2)];
+    let mut machines = [support::machine_view(1, 2), support::machine_view(2, 2)];
     machines[0].cached_images = cached(&["one", "two"]);
     machines[1].cached_images = cached(&["one"]);
     let mut index = PlacementIndex::new(&machines);
@@ -631,7 +631,7 @@
     let wanted = DesiredAttempt {
         id: id.clone(),
         image: image.into(),
-        ..support::want(0, n)
+        ..support::desired_attempt(0, n)
     };
     let mut sync = |owner: &mut Owner, wants, withdrawn_attempts| {
         *revision += 1;
@@ -642,14 +642,14 @@
         };
         let message = SyncRequest {
             withdrawn: withdrawn_attempts,
-            ..support::sync(*revision, range, wants, ObservedState::default())
+            ..support::sync_request(*revision, range, wants, ObservedState::default())
         };
         owner
-            .sync(&message, support::ROOM, now)
+            .sync(&message, support::MAX_MESSAGE_BYTES, now)
             .expect("sync accepted");
     };
     sync(owner, vec![wanted], Vec::new());
-    drop(owner.due_calls(now, support::ROOM));
+    drop(owner.due_calls(now, support::MAX_MESSAGE_BYTES));
     for (k, phase) in [TaskPhase::Running, TaskPhase::Exited]
         .into_iter()
         .enumerate()
@@ -666,7 +666,7 @@
             .handle_heartbeat(
                 &Heartbeat {
                     tasks: vec![task],
-                    ..support::report(n, now + k as u64)
+                    ..support::heartbeat(n, now + k as u64)
                 },
                 None,
                 now,
@@ -675,14 +675,14 @@
     }
     sync(owner, Vec::new(), vec![id]);
     owner
-        .handle_heartbeat(&support::report(n, now + 2), None, now)
+        .handle_heartbeat(&support::heartbeat(n, now + 2), None, now)
         .expect("answered");
 }
 
 /// The first machine released and the number released, of three that become idle one after the
 /// other, the one with the only copy of the image `model` first.
 fn first_released(service_images: &[&str]) -> (MachineId, usize) {
-    let mut owner = support::fleet(3);
+    let mut owner = support::owner_with_machines(3);
     owner.set_service_images(service_images.iter().map(|i| (*i).to_owned()).collect());
     let (mut revision, mut now) = (0, 1_000);
     for (n, image) in ["model", "batch", "batch"].into_iter().enumerate() {
@@ -694,7 +694,7 @@
     while now < 90_000 {
         now += 100;
         for n in (0..3).filter(|_| now % 3_000 == 0) {
-            owner.handle_heartbeat(&support::report(n, now), None, now);
+            owner.handle_heartbeat(&support::heartbeat(n, now), None, now);
         }
         owner.tick(now, now);
         let names = owner.begin_releases();
@@ -711,10 +711,10 @@
 fn machine_with_the_last_copy_of_an_image_is_not_released_first() {
     assert_eq!(
         first_released(&[]),
-        (support::machine(0), 3),
+        (support::machine_id(0), 3),
         "it was idle for the longest time"
     );
     let (first, released) = first_released(&["model"]);
-    assert_ne!(first, support::machine(0));
+    assert_ne!(first, support::machine_id(0));
     assert_eq!(released, 3, "no machine is kept for it");
 }
--- a/crates/coordination/tests/largest.rs
+++ b/crates/coordination/tests/largest.rs
@@ -26,14 +26,14 @@
     let terms = PlacerConfig {
         quota_limits: limits,
         low_priority_writes_per_s: 1_000,
-        ..terms()
+        ..placer_config()
     };
     let mut placer = Placer::new(0, TOKEN, 1, terms, now);
     let catalog: Catalog = [(
-        kind().name.clone(),
+        machine_type().name.clone(),
         MachineType {
             boot_s: 40.0,
-            ..kind()
+            ..machine_type()
         },
     )]
     .into();
@@ -46,23 +46,25 @@
         id: id(n),
         priority: Priority::Low,
         allow_spot: false,
-        ..array(tasks)
+        ..array_job(tasks)
     }
 }
 
 /// Publishes a machine with room for this many tasks; returns how many tasks of each job are
 /// placed on it.
 fn place_on_one_machine(placer: &mut Placer, tasks: u64, now: u64) -> BTreeMap<JobId, usize> {
-    let seq = placer.sync_request(0, TOKEN, ROOM, false, now).seq;
+    let seq = placer
+        .sync_request(0, TOKEN, MAX_MESSAGE_BYTES, false, now)
+        .seq;
     let free = Resources::capacity(4.0 * tasks as f64, tasks as f64, 16.0 * tasks as f64);
     // Another task runs on it.
     let machine = lemonweir_protocol::peer::MachineView {
         free,
         task_count: 1,
-        ..shown(1, 4)
+        ..machine_view(1, 4)
     };
     placer.apply_view(
-        view(
+        shard_view(
             seq,
             ChangeRange {
                 since: 0,
@@ -76,7 +78,10 @@
     );
     run_passes(placer, now);
     let mut on = BTreeMap::new();
-    for want in placer.sync_request(0, TOKEN, ROOM, false, now).desired {
+    for want in placer
+        .sync_request(0, TOKEN, MAX_MESSAGE_BYTES, false, now)
+        .desired
+    {
         *on.entry(want.id.job).or_default() += 1;
     }
     on
@@ -187,7 +192,7 @@
                     &mut placer,
                     JobSpec {
                         id: id(99),
-                        ..array(9)
+                        ..array_job(9)
                     },
                     0,
                     now,
@@ -268,7 +273,7 @@
             JobSpec {
                 priority: Priority::Production,
                 kind: JobKind::Service,
-                ..array(4)
+                ..array_job(4)
             },
             0,
             0,
@@ -280,7 +285,7 @@
                 id: id(2),
                 priority: Priority::Production,
                 kind: shape,
-                ..array(12)
+                ..array_job(12)
             },
             1,
             0,
@@ -306,7 +311,7 @@
             cpus: 0.1,
             gpus: 0.0,
             memory_gb: 0.1,
-            ..array(MAX_TASKS)
+            ..array_job(MAX_TASKS)
         },
         0,
         0,
@@ -319,7 +324,7 @@
                 cpus: 0.1,
                 gpus: 0.0,
                 memory_gb: 0.1,
-                ..array(1)
+                ..array_job(1)
             },
             n,
             0,
@@ -335,7 +340,9 @@
             })
             .count()
     };
-    let seq = placer.sync_request(0, TOKEN, ROOM, false, 0).seq;
+    let seq = placer
+        .sync_request(0, TOKEN, MAX_MESSAGE_BYTES, false, 0)
+        .seq;
     let span = ChangeRange {
         since: 0,
         until: 1,
@@ -344,10 +351,10 @@
     let machines = (0..40)
         .map(|n| lemonweir_protocol::peer::MachineView {
             free: Resources::capacity(100.0, 0.0, 400.0),
-            ..shown(n, 4)
+            ..machine_view(n, 4)
         })
         .collect();
-    placer.apply_view(view(seq, span, machines, Vec::new()), 0);
+    placer.apply_view(shard_view(seq, span, machines, Vec::new()), 0);
     placer.run_placement_pass(0);
     assert_eq!(jobs_being_written(&mut placer), 18, "all small jobs");
     assert!(placer.placement_is_due(0), "placement continues");
--- a/crates/coordination/tests/late_orders.rs
+++ b/crates/coordination/tests/late_orders.rs
@@ -55,7 +55,7 @@
         Config::new(&serde_json::from_value(value).expect("settings")),
         POLICY.clone(),
     );
-    core.set_catalog(BTreeMap::from([("box".to_owned(), kind())]));
+    core.set_catalog(BTreeMap::from([("box".to_owned(), machine_type())]));
     core
 }
 
@@ -129,7 +129,7 @@
             sequence: self.seq,
             fencing_token: self.token,
             tasks: self.tasks.iter().map(task).collect(),
-            ..report(0, 0)
+            ..heartbeat(0, 0)
         }
     }
 
@@ -856,7 +856,7 @@
     fn run_placer(&mut self) {
         while self.desired.len() < 4 {
             self.tasks += 1;
-            let want = want(self.tasks, 0);
+            let want = desired_attempt(self.tasks, 0);
             self.desired.insert(want.id.clone(), want);
         }
         if self.random.chance(5)
@@ -897,8 +897,8 @@
                 from_shard: from,
                 from_fencing_token: 39,
                 to_fencing_token: leader_token,
-                reserved_machines: vec![machine(0)],
-                ..sync(self.sync_sequence, range, desired, ObservedState::default())
+                reserved_machines: vec![machine_id(0)],
+                ..sync_request(self.sync_sequence, range, desired, ObservedState::default())
             };
             let Some(core) = self.hosts[n].core.as_mut() else {
                 return;
@@ -1151,10 +1151,12 @@
         complete: true,
     };
     let message = SyncRequest {
-        reserved_machines: vec![machine(0)],
-        ..sync(seq, range, desired, ObservedState::default())
+        reserved_machines: vec![machine_id(0)],
+        ..sync_request(seq, range, desired, ObservedState::default())
     };
-    let view = owner.sync(&message, ROOM, now).expect("accepted");
+    let view = owner
+        .sync(&message, MAX_MESSAGE_BYTES, now)
+        .expect("accepted");
     view.attempts.into_iter().map(|a| (a.id, a.state)).collect()
 }
 
@@ -1165,11 +1167,11 @@
 /// was published as ended.
 #[test]
 fn first_heartbeat_of_a_new_incarnation_gets_an_unseen_token() {
-    let mut owner = fleet(1);
+    let mut owner = owner_with_machines(1);
     let earlier_heartbeat = |seq, tasks| Heartbeat {
         incarnation: 3,
         tasks,
-        ..report(0, seq)
+        ..heartbeat(0, seq)
     };
     assert!(
         owner
@@ -1177,13 +1179,13 @@
             .is_some()
     );
     owner.tick(3_100, 3_100);
-    sync_placer(&mut owner, 1, vec![want(0, 0)], 3_200);
+    sync_placer(&mut owner, 1, vec![desired_attempt(0, 0)], 3_200);
     // The machine has restarted, and numbers its messages from the start.
     let first = owner
         .handle_heartbeat(
             &Heartbeat {
                 fencing_token: 0,
-                ..report(0, 1)
+                ..heartbeat(0, 1)
             },
             None,
             3_300,
@@ -1202,7 +1204,7 @@
     // The last heartbeat of the earlier incarnation arrives late.
     let late = earlier_heartbeat(60, vec![running_task(0)]);
     assert!(owner.handle_heartbeat(&late, None, 3_400).is_some());
-    let published = sync_placer(&mut owner, 2, vec![want(0, 0)], 3_450);
+    let published = sync_placer(&mut owner, 2, vec![desired_attempt(0, 0)], 3_450);
     assert!(
         published.iter().all(|(_, s)| *s == AttemptState::Accepted),
         "a late heartbeat proves nothing: {published:?}"
@@ -1211,7 +1213,7 @@
     for seq in 2..5 {
         let heartbeat = Heartbeat {
             fencing_token: token,
-            ..report(0, seq)
+            ..heartbeat(0, seq)
         };
         token = owner
             .handle_heartbeat(&heartbeat, None, 3_400 + 500 * seq)
@@ -1219,7 +1221,7 @@
             .fencing_token;
     }
     owner.tick(6_000, 6_000);
-    sync_placer(&mut owner, 3, vec![want(0, 0)], 6_000);
+    sync_placer(&mut owner, 3, vec![desired_attempt(0, 0)], 6_000);
     let start = owner.due_calls(6_000, 4).pop().expect("a start");
     assert_eq!(
         (start.commands.incarnation, start.commands.commands.len()),
@@ -1230,22 +1232,26 @@
 /// A duplicate of a worker's first heartbeat causes one query; running tasks are not affected.
 #[test]
 fn copy_of_a_first_heartbeat_costs_one_query() {
-    let mut owner = fleet(1);
-    sync_placer(&mut owner, 1, vec![want(0, 0)], 20);
+    let mut owner = owner_with_machines(1);
+    sync_placer(&mut owner, 1, vec![desired_attempt(0, 0)], 20);
     let start = owner.due_calls(20, 4).pop().expect("a start");
-    let heartbeat = |seq, token| Heartbeat {
+    let heartbeat_with_token = |seq, token| Heartbeat {
         fencing_token: token,
         tasks: vec![running_task(0)],
-        ..report(0, seq)
+        ..heartbeat(0, seq)
     };
-    owner.handle_call_result(&start, CommandResult::Executed(heartbeat(3, BASE)), 40);
+    owner.handle_call_result(
+        &start,
+        CommandResult::Executed(heartbeat_with_token(3, BASE)),
+        40,
+    );
     assert!(owner.due_calls(4_900, 4).is_empty(), "nothing is due");
     assert!(
         owner
             .handle_heartbeat(
                 &Heartbeat {
                     fencing_token: 0,
-                    ..report(0, 1)
+                    ..heartbeat(0, 1)
                 },
                 None,
                 5_000
@@ -1256,12 +1262,15 @@
     let query = owner.due_calls(5_000, 4).pop().expect("a query");
     owner.handle_call_result(
         &query,
-        CommandResult::Executed(heartbeat(4, query.commands.fencing_token)),
+        CommandResult::Executed(heartbeat_with_token(4, query.commands.fencing_token)),
         5_020,
     );
     assert!(owner.due_calls(5_100, 4).is_empty());
-    let published = sync_placer(&mut owner, 2, vec![want(0, 0)], 5_100);
-    assert_eq!(published, [(want(0, 0).id, AttemptState::Running)]);
+    let published = sync_placer(&mut owner, 2, vec![desired_attempt(0, 0)], 5_100);
+    assert_eq!(
+        published,
+        [(desired_attempt(0, 0).id, AttemptState::Running)]
+    );
 }
 
 /// Found by an earlier form of the random histories: a machine restarted without a heartbeat
@@ -1269,10 +1278,14 @@
 /// lease of the earlier incarnation was taken as proof that the attempt was over.
 #[test]
 fn launch_of_unknown_outcome_ends_a_lease_after_its_call_at_the_earliest() {
-    let mut owner = fleet(1);
-    assert!(owner.handle_heartbeat(&report(0, 2), None, 3_000).is_some());
+    let mut owner = owner_with_machines(1);
+    assert!(
+        owner
+            .handle_heartbeat(&heartbeat(0, 2), None, 3_000)
+            .is_some()
+    );
     owner.tick(3_100, 3_100);
-    sync_placer(&mut owner, 1, vec![want(0, 0)], 6_000);
+    sync_placer(&mut owner, 1, vec![desired_attempt(0, 0)], 6_000);
     let start = owner.due_calls(6_000, 4).pop().expect("a start");
     // The new incarnation executed it; its lease ends at 20 s.
     owner.handle_call_result(&start, CommandResult::Unknown, 8_500);
@@ -1280,7 +1293,7 @@
     for step in 2u64..400 {
         let now = 8_500 + step * 100;
         owner.tick(now, now);
-        let ended = sync_placer(&mut owner, step, vec![want(0, 0)], now)
+        let ended = sync_placer(&mut owner, step, vec![desired_attempt(0, 0)], now)
             .iter()
             .any(|(_, s)| s.is_terminal());
         ended_at = ended_at.or(ended.then_some(now));
@@ -1292,8 +1305,8 @@
 /// An owner whose start of task 0 has had an unknown outcome since 2.6 s, and the token of that
 /// call.
 fn owner_with_indeterminate_start() -> (Owner, u64) {
-    let mut owner = fleet(1);
-    sync_placer(&mut owner, 1, vec![want(0, 0)], 20);
+    let mut owner = owner_with_machines(1);
+    sync_placer(&mut owner, 1, vec![desired_attempt(0, 0)], 20);
     let start = owner.due_calls(20, 4).pop().expect("a start");
     owner.handle_call_result(&start, CommandResult::Unknown, 2_600);
     (owner, start.commands.fencing_token)
@@ -1303,14 +1316,14 @@
 fn stop_requested(n: u32) -> DesiredAttempt {
     DesiredAttempt {
         stop_grace_s: Some(0),
-        ..want(n, 0)
+        ..desired_attempt(n, 0)
     }
 }
 
 fn has_ended(published: &[(AttemptId, AttemptState)], n: u32) -> bool {
     published
         .iter()
-        .any(|(id, s)| *id == want(n, 0).id && s.is_terminal())
+        .any(|(id, s)| *id == desired_attempt(n, 0).id && s.is_terminal())
 }
 
 /// A delayed start arrives after its attempt ran and exited through another start of the same
@@ -1331,24 +1344,24 @@
         exit_cause: Some("done".into()),
         ..running_task(0)
     };
-    let heartbeat = |seq, token| Heartbeat {
+    let heartbeat_with_token = |seq, token| Heartbeat {
         fencing_token: token,
         tasks: vec![exited.clone()],
-        ..report(0, seq)
+        ..heartbeat(0, seq)
     };
     assert!(
         owner
-            .handle_heartbeat(&heartbeat(3, first), None, 6_600)
+            .handle_heartbeat(&heartbeat_with_token(3, first), None, 6_600)
             .is_some()
     );
     assert!(has_ended(
-        &sync_placer(&mut owner, 2, vec![want(0, 0)], 6_700),
+        &sync_placer(&mut owner, 2, vec![desired_attempt(0, 0)], 6_700),
         0
     ));
     sync_placer(&mut owner, 3, Vec::new(), 6_800);
     // The placer no longer desires the attempt; only the indeterminate start keeps it.
     let reply = owner
-        .handle_heartbeat(&heartbeat(4, first), None, 9_600)
+        .handle_heartbeat(&heartbeat_with_token(4, first), None, 9_600)
         .expect("answered");
     assert_eq!(
         reply.commands,
@@ -1357,7 +1370,7 @@
     );
     assert!(reply.fencing_token > again.commands.fencing_token);
     let reply = owner
-        .handle_heartbeat(&heartbeat(5, reply.fencing_token), None, 10_100)
+        .handle_heartbeat(&heartbeat_with_token(5, reply.fencing_token), None, 10_100)
         .expect("answered");
     assert!(
         reply
@@ -1382,7 +1395,7 @@
         "the first start may still arrive"
     );
     let token = owner
-        .handle_heartbeat(&report(0, 3), None, 4_300)
+        .handle_heartbeat(&heartbeat(0, 3), None, 4_300)
         .expect("answered")
         .fencing_token;
     assert!(
@@ -1397,7 +1410,7 @@
             .handle_heartbeat(
                 &Heartbeat {
                     fencing_token: token,
-                    ..report(0, 4)
+                    ..heartbeat(0, 4)
                 },
                 None,
                 4_900
@@ -1420,7 +1433,7 @@
 fn launch_in_a_reply_is_unresolved_until_the_next_heartbeat() {
     let (mut owner, _) = owner_with_indeterminate_start();
     let reply = owner
-        .handle_heartbeat(&report(0, 3), None, 2_700)
+        .handle_heartbeat(&heartbeat(0, 3), None, 2_700)
         .expect("answered");
     assert!(
         reply
@@ -1429,7 +1442,12 @@
             .any(|command| command.kind == CommandKind::Start),
         "{reply:?}"
     );
-    sync_placer(&mut owner, 2, vec![stop_requested(0), want(1, 0)], 3_000);
+    sync_placer(
+        &mut owner,
+        2,
+        vec![stop_requested(0), desired_attempt(1, 0)],
+        3_000,
+    );
     for now in (3_000..6_700).step_by(100) {
         assert!(
             owner.due_calls(now, 4).is_empty(),
@@ -1437,21 +1455,31 @@
         );
     }
     assert!(!has_ended(
-        &sync_placer(&mut owner, 3, vec![stop_requested(0), want(1, 0)], 6_700),
+        &sync_placer(
+            &mut owner,
+            3,
+            vec![stop_requested(0), desired_attempt(1, 0)],
+            6_700
+        ),
         0
     ));
     owner
         .handle_heartbeat(
             &Heartbeat {
                 fencing_token: reply.fencing_token,
-                ..report(0, 4)
+                ..heartbeat(0, 4)
             },
             None,
             6_800,
         )
         .expect("answered");
     assert!(has_ended(
-        &sync_placer(&mut owner, 4, vec![stop_requested(0), want(1, 0)], 6_900),
+        &sync_placer(
+            &mut owner,
+            4,
+            vec![stop_requested(0), desired_attempt(1, 0)],
+            6_900
+        ),
         0
     ));
 }
@@ -1460,12 +1488,12 @@
 /// started nothing on the machine.
 #[test]
 fn suspected_restart_proves_no_absence() {
-    let mut owner = fleet(1);
+    let mut owner = owner_with_machines(1);
     let token = owner
         .handle_heartbeat(
             &Heartbeat {
                 fencing_token: 0,
-                ..report(0, 1)
+                ..heartbeat(0, 1)
             },
             None,
             3_000,
@@ -1483,7 +1511,7 @@
         .handle_heartbeat(
             &Heartbeat {
                 fencing_token: token,
-                ..report(0, 2)
+                ..heartbeat(0, 2)
             },
             None,
             3_500,
@@ -1508,23 +1536,26 @@
         lemonweir_policy::embedded().expect("policy"),
         0,
     );
-    owner.set_machine_types([kind()].iter());
-    sync_placer(&mut owner, 1, vec![want(0, 0)], 10);
+    owner.set_machine_types([machine_type()].iter());
+    sync_placer(&mut owner, 1, vec![desired_attempt(0, 0)], 10);
     let heartbeat = Heartbeat {
         fencing_token: (TOKEN - 1) << MACHINE_TOKEN_BITS,
         tasks: vec![running_task(0)],
-        ..report(0, 70)
+        ..heartbeat(0, 70)
     };
     assert!(owner.handle_heartbeat(&heartbeat, None, 70_000).is_some());
     owner.tick(80_000, 80_000);
     assert!(TIMING.inherited_lease_expiry_ms() < 80_000);
     assert!(
-        !has_ended(&sync_placer(&mut owner, 2, vec![want(0, 0)], 80_000), 0),
+        !has_ended(
+            &sync_placer(&mut owner, 2, vec![desired_attempt(0, 0)], 80_000),
+            0
+        ),
         "its lease may last until 84 s"
     );
     owner.tick(85_000, 85_000);
     assert!(has_ended(
-        &sync_placer(&mut owner, 3, vec![want(0, 0)], 85_000),
+        &sync_placer(&mut owner, 3, vec![desired_attempt(0, 0)], 85_000),
         0
     ));
 }
@@ -1533,15 +1564,15 @@
 /// owner.
 #[test]
 fn worker_of_a_later_owner_gets_no_reply() {
-    let mut owner = fleet(1);
+    let mut owner = owner_with_machines(1);
     let later = Heartbeat {
         fencing_token: (TOKEN + 1) << MACHINE_TOKEN_BITS,
-        ..report(0, 9)
+        ..heartbeat(0, 9)
     };
     assert!(owner.handle_heartbeat(&later, None, 3_000).is_none());
     assert!(
         owner
-            .handle_heartbeat(&report(0, 10), None, 3_100)
+            .handle_heartbeat(&heartbeat(0, 10), None, 3_100)
             .is_some(),
         "the heartbeat of the later owner's worker has no effect"
     );
--- a/crates/coordination/tests/late_transactions.rs
+++ b/crates/coordination/tests/late_transactions.rs
@@ -21,7 +21,7 @@
 };
 use lemonweir_storage::state_cache::CachedJob;
 use rmpv::Value;
-use support::{ROOM, TOKEN, array, shown, terms, view};
+use support::{MAX_MESSAGE_BYTES, TOKEN, array_job, machine_view, placer_config, shard_view};
 
 // ---- the store -----------------------------------------------------------
 
@@ -63,8 +63,8 @@
 
     fn cas(&mut self, cas: &CompareAndSwap) -> CompareAndSwapOutcome {
         assert!(
-            cas.writes.len() <= terms().max_cas_operations
-                && cas.conditions.len() <= 4 * terms().max_cas_operations,
+            cas.writes.len() <= placer_config().max_cas_operations
+                && cas.conditions.len() <= 4 * placer_config().max_cas_operations,
             "more than a compare-and-swap may hold"
         );
         let failed: Vec<String> = cas
@@ -131,7 +131,7 @@
 
 impl Cluster {
     fn new() -> Self {
-        let placer = Placer::new(0, TOKEN, 1, terms(), 0);
+        let placer = Placer::new(0, TOKEN, 1, placer_config(), 0);
         let mut cluster = Cluster {
             store: Store::new(),
             placer,
@@ -184,7 +184,9 @@
 
     /// Sends a sync to the owner of four machines, which answers with these attempt states.
     fn sync(&mut self, attempts: &[(AttemptId, AttemptState)]) {
-        let sync = self.placer.sync_request(0, TOKEN, ROOM, false, self.now);
+        let sync = self
+            .placer
+            .sync_request(0, TOKEN, MAX_MESSAGE_BYTES, false, self.now);
         assert!(
             sync.range.since == 0 && sync.range.complete,
             "each sync is complete"
@@ -203,9 +205,9 @@
                 state: *state,
             })
             .collect();
-        let machines: Vec<_> = (0..4).map(|n| shown(n, 4)).collect();
+        let machines: Vec<_> = (0..4).map(|n| machine_view(n, 4)).collect();
         self.placer.apply_view(
-            view(
+            shard_view(
                 sync.seq,
                 ChangeRange {
                     since: 0,
@@ -270,7 +272,7 @@
 #[test]
 fn late_start_of_a_withdrawn_job_is_not_recorded() {
     let mut cluster = Cluster::new();
-    let spec = array(2);
+    let spec = array_job(2);
     cluster.submit(&spec);
     cluster.run_placement();
     let late = cluster.next_cas(1).expect("two starts");
@@ -294,7 +296,7 @@
 #[test]
 fn late_start_of_a_completed_job_is_not_recorded() {
     let mut cluster = Cluster::new();
-    let spec = array(1);
+    let spec = array_job(1);
     cluster.submit(&spec);
     cluster.run_placement();
     let late = cluster.next_cas(1).expect("a start");
@@ -327,7 +329,7 @@
 fn start_with_lost_answer_leaves_no_record() {
     for arrives_late in [false, true] {
         let mut cluster = Cluster::new();
-        let spec = array(2);
+        let spec = array_job(2);
         cluster.submit(&spec);
         cluster.run_placement();
         let start = cluster.next_cas(1).expect("two starts");
@@ -368,10 +370,10 @@
 #[test]
 fn start_conflicting_with_a_withdrawal_does_not_block_others() {
     let mut cluster = Cluster::new();
-    let first = array(1);
+    let first = array_job(1);
     let second = JobSpec {
         id: JobId::from("req-000002"),
-        ..array(1)
+        ..array_job(1)
     };
     cluster.submit(&first);
     cluster.submit(&second);
@@ -414,7 +416,7 @@
 fn write_committed_between_two_reads_is_overwritten() {
     for during_read in [true, false] {
         let mut cluster = Cluster::new();
-        let spec = array(2 * u64::from(TASKS_PER_CHUNK));
+        let spec = array_job(2 * u64::from(TASKS_PER_CHUNK));
         cluster.submit(&spec);
         cluster.run_placement();
         cluster.write_all();
@@ -470,42 +472,48 @@
 /// the current leader and acknowledges messages that it never sent, so it is rejected.
 #[test]
 fn late_view_for_an_earlier_leader_is_rejected() {
-    let mut earlier = Placer::new(0, TOKEN, 1, terms(), 0);
+    let mut earlier = Placer::new(0, TOKEN, 1, placer_config(), 0);
     let seq = (0..3)
-        .map(|_| earlier.sync_request(0, TOKEN, ROOM, false, 0).seq)
+        .map(|_| {
+            earlier
+                .sync_request(0, TOKEN, MAX_MESSAGE_BYTES, false, 0)
+                .seq
+        })
         .last()
         .expect("three syncs");
-    let late = view(
+    let late = shard_view(
         seq,
         ChangeRange {
             since: 0,
             until: 4,
             complete: true,
         },
-        vec![shown(0, 4)],
+        vec![machine_view(0, 4)],
         Vec::new(),
     );
-    let mut placer = Placer::new(0, TOKEN + 1, 1, terms(), 0);
-    let first = placer.sync_request(0, TOKEN, ROOM, false, 0).seq;
+    let mut placer = Placer::new(0, TOKEN + 1, 1, placer_config(), 0);
+    let first = placer
+        .sync_request(0, TOKEN, MAX_MESSAGE_BYTES, false, 0)
+        .seq;
     for _ in 0..5 {
-        placer.sync_request(0, TOKEN, ROOM, false, 0);
+        placer.sync_request(0, TOKEN, MAX_MESSAGE_BYTES, false, 0);
     }
     assert!(!placer.apply_view(late, 100));
     assert_eq!(
         placer
-            .sync_request(0, TOKEN, ROOM, false, 0)
+            .sync_request(0, TOKEN, MAX_MESSAGE_BYTES, false, 0)
             .observed
             .machines_revision,
         0
     );
-    let answer = view(
+    let answer = shard_view(
         first,
         ChangeRange {
             since: 0,
             until: 1,
             complete: true,
         },
-        vec![shown(0, 4)],
+        vec![machine_view(0, 4)],
         Vec::new(),
     );
     assert!(
@@ -542,7 +550,7 @@
         let specs: Vec<JobSpec> = (1..=4)
             .map(|n| JobSpec {
                 id: JobId::from(format!("req-{n:06}").as_str()),
-                ..array(1 + random.below(70))
+                ..array_job(1 + random.below(70))
             })
             .collect();
         for spec in &specs {
--- a/crates/coordination/tests/ledger.rs
+++ b/crates/coordination/tests/ledger.rs
@@ -352,7 +352,7 @@
             policy,
             self.now,
         );
-        owner.set_machine_types([kind()].iter());
+        owner.set_machine_types([machine_type()].iter());
         self.shards[shard].owner = Some((owner, self.revision));
     }
 
@@ -374,13 +374,15 @@
         let terms = PlacerConfig {
             gang_wait_ms: GANG_WAIT_MS,
             wall_clock_offset_ms: 1_000_000,
-            ..terms()
+            ..placer_config()
         };
         let mut placer = Placer::new(shard as u16, token, SHARDS as u16, terms, self.now);
         placer.set_start_objectives(
             &HashMap::new(),
             f64::MAX,
-            &[(kind().name, kind())].into_iter().collect(),
+            &[(machine_type().name, machine_type())]
+                .into_iter()
+                .collect(),
         );
         for (key, e) in self
             .store
@@ -548,7 +550,7 @@
         let Some((placer, _)) = self.shards[from].placer.as_mut() else {
             return;
         };
-        let sync = placer.sync_request(to as u16, to_token, ROOM, false, self.now);
+        let sync = placer.sync_request(to as u16, to_token, MAX_MESSAGE_BYTES, false, self.now);
         match (
             self.fault_odds > 0 && self.random.one_in(self.fault_odds),
             self.random.below(3),
@@ -577,7 +579,7 @@
         let Some((owner, _)) = self.shards[to].owner.as_mut() else {
             return;
         };
-        let Ok(view) = owner.sync(sync, ROOM, self.now) else {
+        let Ok(view) = owner.sync(sync, MAX_MESSAGE_BYTES, self.now) else {
             return;
         };
         if !answered || self.fault_odds > 0 && self.random.one_in(self.fault_odds) {
@@ -601,7 +603,7 @@
             incarnation: w.session,
             fencing_token: w.token,
             tasks: tasks.collect(),
-            ..report(n, w.seq)
+            ..heartbeat(n, w.seq)
         }
     }
 
@@ -724,7 +726,7 @@
 
     fn deliver_command(&mut self, call: &CommandCall) -> CommandResult {
         let n = (0..WORKERS)
-            .find(|n| machine(*n) == call.machine)
+            .find(|n| machine_id(*n) == call.machine)
             .expect("a known machine");
         let w = &mut self.workers[n];
         if call.commands.fencing_token < w.token || call.commands.incarnation != w.session {
@@ -887,7 +889,7 @@
         kind: JobKind::Gang,
         gpus,
         cpus: gpus * 4.0,
-        ..array(tasks)
+        ..array_job(tasks)
     }
 }
 
@@ -910,7 +912,7 @@
                     2,
                     JobSpec {
                         id: JobId::from(format!("req-{:06}", 100 + step).as_str()),
-                        ..array(3)
+                        ..array_job(3)
                     },
                 );
             }
@@ -1008,7 +1010,7 @@
     let array = count_writes(JobSpec {
         gpus: 4.0,
         cpus: 16.0,
-        ..array(8)
+        ..array_job(8)
     });
     assert_eq!(count_writes(gang(1, 8, 4.0)), array + 1);
     assert_eq!(
@@ -1028,7 +1030,7 @@
         1,
         PlacerConfig {
             gang_wait_ms: GANG_WAIT_MS,
-            ..terms()
+            ..placer_config()
         },
         0,
     );
@@ -1037,19 +1039,19 @@
             &mut placer,
             JobSpec {
                 id: JobId::from(format!("req-{:06}", 50 + n).as_str()),
-                ..array(1)
+                ..array_job(1)
             },
             n,
             0,
         );
     }
     submit(&mut placer, gang(90, 700, 1.0), 100, 0);
-    let mut owner = fleet(190);
+    let mut owner = owner_with_machines(190);
     let (mut revision, mut steps) = (TOKEN, Vec::new());
     for round in 0..30u64 {
         let now = 100 + round * 60;
-        let sync = placer.sync_request(0, TOKEN, ROOM, false, now);
-        let view = owner.sync(&sync, ROOM, now).expect("accepted");
+        let sync = placer.sync_request(0, TOKEN, MAX_MESSAGE_BYTES, false, now);
+        let view = owner.sync(&sync, MAX_MESSAGE_BYTES, now).expect("accepted");
         placer.apply_view(view, now);
         placer.advance_gang_admissions(now, 0);
         placer.run_placement_pass(now);
@@ -1137,7 +1139,7 @@
                 .workers
                 .iter()
                 .enumerate()
-                .any(|(n, w)| w.shard == shard && machine(n) == m.id)
+                .any(|(n, w)| w.shard == shard && machine_id(n) == m.id)
         };
         assert!(
             placer
@@ -1163,7 +1165,7 @@
         checkpoint_duration_s: 2.0,
         gpus: 4.0,
         cpus: 16.0,
-        ..array(5)
+        ..array_job(5)
     };
     cluster.submit(1, low_priority_job);
     let all_running = |cluster: &Cluster| running(cluster) == 5;
@@ -1226,7 +1228,7 @@
         .as_mut()
         .expect("there")
         .0
-        .sync_request(1, token, ROOM, false, cluster.now);
+        .sync_request(1, token, MAX_MESSAGE_BYTES, false, cluster.now);
     assert!(late.desired.iter().all(|w| w.may_start) && !late.desired.is_empty());
     cluster.stop_placer(0, 600_000);
     let ended = cluster.now;
--- a/crates/coordination/tests/limits.rs
+++ b/crates/coordination/tests/limits.rs
@@ -23,7 +23,7 @@
 
 /// A fleet in which every machine runs a task with one of 40 images.
 fn busy_fleet(machines: usize) -> Owner {
-    let mut owner = fleet(machines);
+    let mut owner = owner_with_machines(machines);
     run_on_all(&mut owner, machines, 1);
     owner
 }
@@ -33,7 +33,7 @@
     let wants: Vec<DesiredAttempt> = (0..machines)
         .map(|n| DesiredAttempt {
             image: format!("img-{round}-{:02}", n % 40),
-            ..want(round * machines as u32 + n as u32, n)
+            ..desired_attempt(round * machines as u32 + n as u32, n)
         })
         .collect();
     let last_revision = u64::from(round) * machines as u64;
@@ -44,8 +44,8 @@
     };
     owner
         .sync(
-            &sync(u64::from(round), range, wants, ObservedState::default()),
-            ROOM,
+            &sync_request(u64::from(round), range, wants, ObservedState::default()),
+            MAX_MESSAGE_BYTES,
             20,
         )
         .expect("sync accepted");
@@ -53,7 +53,7 @@
         let task = running_task(round as usize * machines + n);
         let report = lemonweir_protocol::worker::Heartbeat {
             tasks: vec![task],
-            ..report(n, u64::from(round) + 1)
+            ..heartbeat(n, u64::from(round) + 1)
         };
         assert!(owner.handle_heartbeat(&report, None, 30).is_some());
     }
@@ -140,7 +140,7 @@
     }
     let before = stored.0.len();
     assert!(before > 2 * PAGES_PER_CAS, "{before} pages");
-    let released: Vec<MachineId> = (40..MACHINES).map(machine).collect();
+    let released: Vec<MachineId> = (40..MACHINES).map(machine_id).collect();
     owner.handle_release_result(&released, true, 50);
     for at in 40..80 {
         stored.write(owner.changed_image_pages(at * 60_000, VALUE_BYTES, PAGES_PER_CAS));
--- a/crates/coordination/tests/mass_failure_recovery.rs
+++ b/crates/coordination/tests/mass_failure_recovery.rs
@@ -29,8 +29,8 @@
     /// A placer with this many services of 4 replicas, and one array of 20 tasks that was
     /// submitted before them.
     fn new(services: usize) -> Self {
-        let mut placer = Placer::new(0, TOKEN, 1, terms(), 0);
-        submit(&mut placer, array(20), 1, 0);
+        let mut placer = Placer::new(0, TOKEN, 1, placer_config(), 0);
+        submit(&mut placer, array_job(20), 1, 0);
         for n in 0..services {
             let id = JobId::from(format!("req-0001{n:02}").as_str());
             submit(
@@ -39,7 +39,7 @@
                     id,
                     kind: JobKind::Service,
                     priority: Priority::Production,
-                    ..array(4)
+                    ..array_job(4)
                 },
                 10 + n as u64,
                 0,
@@ -57,7 +57,10 @@
 
     /// Fails all machines and everything that runs on them.
     fn fail_all_machines(&mut self) {
-        let all = self.placer.sync_request(0, TOKEN, ROOM, false, 0).desired;
+        let all = self
+            .placer
+            .sync_request(0, TOKEN, MAX_MESSAGE_BYTES, false, 0)
+            .desired;
         for reported_state in [AttemptState::Running, AttemptState::Gone] {
             let attempts = all
                 .iter()
@@ -90,10 +93,13 @@
     /// Publishes a new machine with room for four tasks; returns the tasks placed on it.
     fn add_machine(&mut self, partitioned: Vec<PartitionedZone>) -> Vec<(JobId, u32)> {
         self.machine_count += 1;
-        let view = shown(self.machine_count, 4);
+        let view = machine_view(self.machine_count, 4);
         self.machines.push(view.clone());
         self.publish(vec![view], Vec::new(), Vec::new(), partitioned);
-        let wants = self.placer.sync_request(0, TOKEN, ROOM, false, 0).desired;
+        let wants = self
+            .placer
+            .sync_request(0, TOKEN, MAX_MESSAGE_BYTES, false, 0)
+            .desired;
         let last = &self.machines[self.machines.len() - 1].id;
         wants
             .into_iter()
@@ -109,7 +115,10 @@
         attempts: Vec<AttemptStatus>,
         partitioned: Vec<PartitionedZone>,
     ) {
-        let seq = self.placer.sync_request(0, TOKEN, ROOM, false, 0).seq;
+        let seq = self
+            .placer
+            .sync_request(0, TOKEN, MAX_MESSAGE_BYTES, false, 0)
+            .seq;
         let since = self.machines_revision;
         self.machines_revision += 1;
         let view = ShardView {
--- a/crates/coordination/tests/nights.rs
+++ b/crates/coordination/tests/nights.rs
@@ -45,7 +45,7 @@
             vec![TOKEN << MACHINE_TOKEN_BITS; machines],
         );
         Self {
-            owner: fleet(machines),
+            owner: owner_with_machines(machines),
             now: 20,
             seq: 0,
             revision: 0,
@@ -71,18 +71,18 @@
             complete: true,
         };
         // No machine is released for being idle.
-        let keep = (0..self.sequences.len()).map(machine).collect();
+        let keep = (0..self.sequences.len()).map(machine_id).collect();
         let message = lemonweir_protocol::peer::SyncRequest {
             withdrawn: withdrawn_attempts,
             provisioned: provisioned_instances,
             reserved_machines: keep,
-            ..sync(self.seq, range, wants, self.have)
+            ..sync_request(self.seq, range, wants, self.have)
         };
         let view = self
             .owner
-            .sync(&message, ROOM, self.now)
+            .sync(&message, MAX_MESSAGE_BYTES, self.now)
             .expect("sync accepted");
-        self.have = have(&view);
+        self.have = observed_state(&view);
         for m in &view.machines {
             self.views.retain(|v| v.id != m.id);
             self.views.push(m.clone());
@@ -94,7 +94,7 @@
         self.sync(Vec::new(), Vec::new(), Vec::new());
         self.views
             .iter()
-            .find(|v| v.id == machine(n))
+            .find(|v| v.id == machine_id(n))
             .expect("machine published")
             .schedulable
     }
@@ -117,7 +117,7 @@
         let heartbeat = Heartbeat {
             tasks,
             fencing_token: self.tokens[n],
-            ..report(n, self.sequences[n])
+            ..heartbeat(n, self.sequences[n])
         };
         self.tokens[n] = self
             .owner
@@ -136,7 +136,7 @@
         let view = self.sync(
             vec![DesiredAttempt {
                 id: id.clone(),
-                ..want(0, n)
+                ..desired_attempt(0, n)
             }],
             Vec::new(),
             Vec::new(),
@@ -153,7 +153,7 @@
                 exit_cause: cause.map(str::to_owned),
                 checkpointed: None,
             };
-            drop(self.owner.due_calls(self.now, ROOM));
+            drop(self.owner.due_calls(self.now, MAX_MESSAGE_BYTES));
             self.send_heartbeat(n, vec![seen(TaskPhase::Running, None)]);
             self.now += 2_000;
             self.send_heartbeat(n, vec![seen(TaskPhase::Exited, Some(cause))]);
@@ -203,7 +203,7 @@
         (3..6)
             .map(|n| DesiredAttempt {
                 id: id(n),
-                ..want(0, 0)
+                ..desired_attempt(0, 0)
             })
             .collect(),
         Vec::new(),
@@ -230,7 +230,7 @@
     let mut shard = TestShard::new(8);
     let late_machines: Vec<usize> = (100..124).collect();
     let instance = |n: &usize| ProvisionedInstance {
-        machine: machine(*n),
+        machine: machine_id(*n),
         machine_type: "box".into(),
         zone: "north".into(),
         spot: false,
@@ -263,7 +263,7 @@
     assert!(
         shard
             .owner
-            .handle_heartbeat(&report(overdue, 1), None, shard.now)
+            .handle_heartbeat(&heartbeat(overdue, 1), None, shard.now)
             .is_some()
     );
     assert!(
@@ -274,12 +274,12 @@
         shard.advance(3_000);
         shard
             .owner
-            .handle_heartbeat(&report(overdue, seq), None, shard.now);
+            .handle_heartbeat(&heartbeat(overdue, seq), None, shard.now);
     }
     let released: BTreeSet<_> = shard.owner.begin_releases().into_iter().collect();
     let never_registered = late_machines
         .iter()
-        .filter(|n| **n != overdue && released.contains(&machine(**n)))
+        .filter(|n| **n != overdue && released.contains(&machine_id(**n)))
         .count();
     assert_eq!(never_registered, 23, "the others never registered");
 }
@@ -296,7 +296,7 @@
     shard.send_heartbeat(1, Vec::new());
     assert!(shard.is_schedulable(1) && shard.run(1, 1, "done"));
     let announced = ProvisionedInstance {
-        machine: machine(1),
+        machine: machine_id(1),
         machine_type: "box".into(),
         zone: "north".into(),
         spot: false,
@@ -332,7 +332,7 @@
         Config::new(&settings()),
         lemonweir_policy::embedded().expect("policy"),
     );
-    let spec = array(3);
+    let spec = array_job(3);
     let job = spec.id.clone();
     let record = JobRecord {
         spec,
@@ -447,7 +447,7 @@
         }
         core.cache_refreshed(now, false);
         assert!(matches!(
-            core.handle_heartbeat(&report(0, 1), now),
+            core.handle_heartbeat(&heartbeat(0, 1), now),
             HeartbeatAnswer::Commands(_)
         ));
         let stall_ms = STORE_LEASE_TTL_MS + 5_000;
@@ -459,7 +459,7 @@
         }
         assert!(
             matches!(
-                core.handle_heartbeat(&report(0, 2), now),
+                core.handle_heartbeat(&heartbeat(0, 2), now),
                 HeartbeatAnswer::Unavailable
             ),
             "monotonic clock stopped: {clock_stopped}"
@@ -476,20 +476,20 @@
         core.cache_refreshed(now - 1, false);
         assert!(
             matches!(
-                core.handle_heartbeat(&report(0, 3), now),
+                core.handle_heartbeat(&heartbeat(0, 3), now),
                 HeartbeatAnswer::Unavailable
             ),
             "that refresh began before"
         );
         core.cache_refreshed(now + 1, false);
         assert!(matches!(
-            core.handle_heartbeat(&report(0, 4), now + 5),
+            core.handle_heartbeat(&heartbeat(0, 4), now + 5),
             HeartbeatAnswer::Commands(_)
         ));
         // A short stall needs no confirmation: no lease expires during it.
         now += 4_000;
         assert!(matches!(
-            core.handle_heartbeat(&report(0, 5), now),
+            core.handle_heartbeat(&heartbeat(0, 5), now),
             HeartbeatAnswer::Commands(_)
         ));
     }
--- a/crates/coordination/tests/quota_after_failover.rs
+++ b/crates/coordination/tests/quota_after_failover.rs
@@ -35,7 +35,7 @@
     JobSpec {
         id: id(n),
         kind,
-        ..array(tasks)
+        ..array_job(tasks)
     }
 }
 
@@ -51,7 +51,7 @@
             },
         )]
         .into(),
-        ..terms()
+        ..placer_config()
     };
     Placer::new(0, token, 1, config, now)
 }
@@ -164,13 +164,13 @@
         Heartbeat {
             fencing_token: self.token[n],
             tasks: self.tasks[n].iter().map(status).collect(),
-            ..report(n, self.sequence)
+            ..heartbeat(n, self.sequence)
         }
     }
 
     fn execute(&mut self, call: &CommandCall) -> CommandResult {
         let n = (0..MACHINES)
-            .find(|n| machine(*n) == call.machine)
+            .find(|n| machine_id(*n) == call.machine)
             .expect("a machine");
         self.token[n] = self.token[n].max(call.commands.fencing_token);
         self.run(n, &call.commands.commands);
@@ -218,14 +218,14 @@
     fn records_of_ended_placer(&self, ends_after_ms: u64) -> Records {
         let mut records = Records::default();
         let mut old = placer(TOKEN + 1, QUOTA_TASKS, 0);
-        let seq = old.sync_request(0, TOKEN, ROOM, false, 0).seq;
-        let machines = (0..MACHINES).map(|n| shown(n, 1)).collect();
+        let seq = old.sync_request(0, TOKEN, MAX_MESSAGE_BYTES, false, 0).seq;
+        let machines = (0..MACHINES).map(|n| machine_view(n, 1)).collect();
         let span = |since, until| ChangeRange {
             since,
             until,
             complete: true,
         };
-        old.apply_view(view(seq, span(0, 9), machines, Vec::new()), 1);
+        old.apply_view(shard_view(seq, span(0, 9), machines, Vec::new()), 1);
         submit_all(&self.running_jobs, &mut old, 2);
         old.run_placement_pass(3);
         records.commit(&mut old, 4);
@@ -242,9 +242,9 @@
             })
             .collect();
         submit_all(&self.waiting_jobs, &mut old, 5);
-        let seq = old.sync_request(0, TOKEN, ROOM, false, 5).seq;
-        let full = (0..self.ending_jobs).map(|n| shown(n, 0)).collect();
-        old.apply_view(view(seq, span(9, 19), full, ended), 5);
+        let seq = old.sync_request(0, TOKEN, MAX_MESSAGE_BYTES, false, 5).seq;
+        let full = (0..self.ending_jobs).map(|n| machine_view(n, 0)).collect();
+        old.apply_view(shard_view(seq, span(9, 19), full, ended), 5);
         old.run_placement_pass(6);
         for now in (6..=6 + ends_after_ms).step_by(10) {
             records.commit(&mut old, now);
@@ -300,7 +300,7 @@
     quota_tasks: usize,
     mut workers: Workers,
 ) -> Outcome {
-    let mut owner = fleet(0);
+    let mut owner = owner_with_machines(0);
     let mut successor = placer(TOKEN + 2, quota_tasks, 20);
     let recorded = records.recorded_attempts();
     records.load(&mut successor);
@@ -309,8 +309,10 @@
     for now in (20..OBSERVED_MS).step_by(STEP_MS as usize) {
         owner.tick(now, now);
         workers.send_heartbeats(&mut owner, now);
-        let request = successor.sync_request(0, TOKEN, ROOM, false, now);
-        let view = owner.sync(&request, ROOM, now).expect("a view");
+        let request = successor.sync_request(0, TOKEN, MAX_MESSAGE_BYTES, false, now);
+        let view = owner
+            .sync(&request, MAX_MESSAGE_BYTES, now)
+            .expect("a view");
         successor.apply_view(view, now);
         successor.run_placement_pass(now);
         successor.advance_gang_admissions(now, 0);
@@ -318,7 +320,7 @@
         // The owner launches whatever it may before the next sync.
         let later = now + STEP_MS / 2;
         owner.tick(later, later);
-        for call in owner.due_calls(later, ROOM) {
+        for call in owner.due_calls(later, MAX_MESSAGE_BYTES) {
             let result = workers.execute(&call);
             owner.handle_call_result(&call, result, later);
         }
@@ -442,7 +444,7 @@
         let live = |(task, n): (usize, &usize)| LiveAttemptRecord {
             task: task as u32,
             attempt: 1,
-            machine: machine(*n),
+            machine: machine_id(*n),
             shard: 0,
             zone: "north".into(),
         };
@@ -450,7 +452,7 @@
     };
     let record = |on: &[usize], gang| TaskChunkRecord {
         team: "red".into(),
-        task_resources: array(1).task_resources(),
+        task_resources: array_job(1).task_resources(),
         next_attempt: 2,
         live_attempts: attempts(on),
         gang,
--- a/crates/coordination/tests/sessions.rs
+++ b/crates/coordination/tests/sessions.rs
@@ -15,12 +15,12 @@
 /// in it must not count as ended before that lease expires.
 #[test]
 fn incarnation_learned_from_a_call_has_a_lease_from_its_beginning() {
-    let mut owner = fleet(1);
+    let mut owner = owner_with_machines(1);
     let sync_placer =
         |owner: &mut lemonweir_coordination::owner::Owner, seq, since, upto, wants, now| {
             owner
                 .sync(
-                    &sync(
+                    &sync_request(
                         seq,
                         ChangeRange {
                             since,
@@ -30,22 +30,26 @@
                         wants,
                         ObservedState::default(),
                     ),
-                    ROOM,
+                    MAX_MESSAGE_BYTES,
                     now,
                 )
                 .expect("sync accepted")
         };
     // The owner replies, but the reply is lost.
-    assert!(owner.handle_heartbeat(&report(0, 3), None, 3_000).is_some());
+    assert!(
+        owner
+            .handle_heartbeat(&heartbeat(0, 3), None, 3_000)
+            .is_some()
+    );
     // The lease expires at 14 s. The next start command reaches the new incarnation.
-    sync_placer(&mut owner, 1, 0, 1, vec![want(0, 0)], 14_500);
+    sync_placer(&mut owner, 1, 0, 1, vec![desired_attempt(0, 0)], 14_500);
     let call = owner.due_calls(14_500, 1).pop().expect("a call");
     let machine_token = TOKEN << MACHINE_TOKEN_BITS;
     let second_incarnation_heartbeat = |seq, tasks| Heartbeat {
         incarnation: 2,
         fencing_token: machine_token,
         tasks,
-        ..report(0, seq)
+        ..heartbeat(0, seq)
     };
     owner.handle_call_result(
         &call,
--- a/crates/coordination/tests/starts.rs
+++ b/crates/coordination/tests/starts.rs
@@ -50,10 +50,14 @@
         Config::new(&settings(0)),
         lemonweir_policy::embedded().expect("policy"),
     );
-    core.set_catalog([(kind().name, kind())].into_iter().collect());
+    core.set_catalog(
+        [(machine_type().name, machine_type())]
+            .into_iter()
+            .collect(),
+    );
     let spec = JobSpec {
         team: "amber".into(),
-        ..array(1)
+        ..array_job(1)
     };
     let record = JobRecord {
         spec: spec.clone(),
@@ -74,7 +78,7 @@
     core.cache.load_snapshot(&[job, leader], 100);
     core.cache_refreshed(10, true);
     core.acquire(LEASE, &[], Vec::new(), 10);
-    let first = report(own_machine(&core), 1);
+    let first = heartbeat(own_machine(&core), 1);
     let token = heartbeat_response(&mut core, &first, 20).fencing_token;
     core.cache_refreshed(now, false);
     (core, token)
@@ -90,7 +94,7 @@
 /// Number of a machine in the controller's home shard.
 fn own_machine(core: &Core) -> usize {
     (0..)
-        .find(|n| core.config.shard_of("north", &machine(*n)) == LEASE.shard)
+        .find(|n| core.config.shard_of("north", &machine_id(*n)) == LEASE.shard)
         .expect("a machine of the shard")
 }
 
@@ -109,7 +113,7 @@
         }
         let next = Heartbeat {
             fencing_token: token,
-            ..report(own_machine(core), seq)
+            ..heartbeat(own_machine(core), seq)
         };
         let reply = heartbeat_response(core, &next, now);
         (token, answered) = (reply.fencing_token, count_starts(&reply.commands));
@@ -145,8 +149,8 @@
 /// while the store is busy with its new leader.
 #[test]
 fn lost_shard_rereads_no_records() {
-    let chunk = task_chunk_key(0, &array(1).id, 0);
-    let job = job_key(&array(1).id);
+    let chunk = task_chunk_key(0, &array_job(1).id, 0);
+    let job = job_key(&array_job(1).id);
     assert_eq!(
         keys_to_reread(LEASE, &[chunk.clone(), job.clone()]),
         [chunk.as_str()]
--- a/crates/coordination/tests/stops.rs
+++ b/crates/coordination/tests/stops.rs
@@ -11,7 +11,7 @@
 
 /// An owner whose only task, on machine 0, has to stop.
 fn owner_with_due_stop(now: u64) -> Owner {
-    let mut owner = fleet(1);
+    let mut owner = owner_with_machines(1);
     let on = |since, upto| ChangeRange {
         since,
         until: upto,
@@ -19,28 +19,36 @@
     };
     owner
         .sync(
-            &sync(1, on(0, 1), vec![want(0, 0)], ObservedState::default()),
-            ROOM,
+            &sync_request(
+                1,
+                on(0, 1),
+                vec![desired_attempt(0, 0)],
+                ObservedState::default(),
+            ),
+            MAX_MESSAGE_BYTES,
             now,
         )
         .expect("sync accepted");
-    let start = owner.due_calls(now, ROOM).pop().expect("started");
+    let start = owner
+        .due_calls(now, MAX_MESSAGE_BYTES)
+        .pop()
+        .expect("started");
     owner.handle_call_result(
         &start,
         CommandResult::Executed(Heartbeat {
             tasks: vec![running_task(0)],
-            ..report(0, 2)
+            ..heartbeat(0, 2)
         }),
         now,
     );
     let stop = DesiredAttempt {
         stop_grace_s: Some(0),
-        ..want(0, 0)
+        ..desired_attempt(0, 0)
     };
     owner
         .sync(
-            &sync(2, on(1, 2), vec![stop], ObservedState::default()),
-            ROOM,
+            &sync_request(2, on(1, 2), vec![stop], ObservedState::default()),
+            MAX_MESSAGE_BYTES,
             now,
         )
         .expect("sync accepted");
@@ -58,7 +66,7 @@
     let mut owner = owner_with_due_stop(30);
     let (mut seq, mut tries) = (2, 0);
     for now in (40..60_000).step_by(20) {
-        for call in owner.due_calls(now, ROOM) {
+        for call in owner.due_calls(now, MAX_MESSAGE_BYTES) {
             tries += 1;
             owner.handle_call_result(&call, CommandResult::NotSent, now + 10);
         }
@@ -68,7 +76,7 @@
                 .handle_heartbeat(
                     &Heartbeat {
                         tasks: vec![running_task(0)],
-                        ..report(0, seq)
+                        ..heartbeat(0, seq)
                     },
                     None,
                     now,
@@ -114,14 +122,14 @@
             match step {
                 Step::Wait(ms) => now += ms,
                 Step::Call(result_kind) => {
-                    call = call.or_else(|| owner.due_calls(now, ROOM).into_iter().next());
+                    call = call.or_else(|| owner.due_calls(now, MAX_MESSAGE_BYTES).into_iter().next());
                     let Some(call) = call.take() else { continue };
                     let result = match result_kind {
                         0 => CommandResult::NotSent,
                         1 => CommandResult::Unknown,
                         _ => {
                             seq += 2;
-                            CommandResult::Refused(Heartbeat { tasks: vec![running_task(0)], ..report(0, seq) })
+                            CommandResult::Refused(Heartbeat { tasks: vec![running_task(0)], ..heartbeat(0, seq) })
                         }
                     };
                     owner.handle_call_result(&call, result, now);
@@ -131,7 +139,7 @@
                         seq += 2;
                     }
                     let token = if shows_token { TOKEN << MACHINE_TOKEN_BITS } else { 0 };
-                    let heartbeat = Heartbeat { tasks: vec![running_task(0)], fencing_token: token, ..report(0, if late { seq - 1 } else { seq }) };
+                    let heartbeat = Heartbeat { tasks: vec![running_task(0)], fencing_token: token, ..heartbeat(0, if late { seq - 1 } else { seq }) };
                     if let Some(reply) = owner.handle_heartbeat(&heartbeat, None, now) {
                         answers += 1;
                         prop_assert!(contains_stop(&reply), "{heartbeat:?}");
@@ -140,7 +148,7 @@
             }
         }
         seq += 2;
-        let reply = owner.handle_heartbeat(&Heartbeat { tasks: vec![running_task(0)], ..report(0, seq) }, None, now);
+        let reply = owner.handle_heartbeat(&Heartbeat { tasks: vec![running_task(0)], ..heartbeat(0, seq) }, None, now);
         prop_assert!(reply.is_some_and(|r| contains_stop(&r)), "after {answers} answers");
     }
 }
@@ -148,11 +156,11 @@
 /// Calls beyond the free slots wait until others have ended, and none is lost.
 #[test]
 fn due_calls_wait_for_a_free_slot_and_all_are_made() {
-    let mut owner = fleet(50);
-    let wants = (0..50).map(|n| want(n, n as usize)).collect();
+    let mut owner = owner_with_machines(50);
+    let wants = (0..50).map(|n| desired_attempt(n, n as usize)).collect();
     owner
         .sync(
-            &sync(
+            &sync_request(
                 1,
                 ChangeRange {
                     since: 0,
@@ -162,7 +170,7 @@
                 wants,
                 ObservedState::default(),
             ),
-            ROOM,
+            MAX_MESSAGE_BYTES,
             20,
         )
         .expect("sync accepted");
@@ -177,7 +185,7 @@
                 &call,
                 CommandResult::Executed(Heartbeat {
                     tasks: vec![running_task(n)],
-                    ..report(n, 2)
+                    ..heartbeat(n, 2)
                 }),
                 now,
             );
--- a/crates/coordination/tests/support/controllers.rs
+++ b/crates/coordination/tests/support/controllers.rs
@@ -170,7 +170,11 @@
         ..lemonweir_policy::embedded().expect("policy")
     };
     let mut core = Core::new(Config::new(&settings(me)), policy);
-    core.set_catalog([(kind().name, kind())].into_iter().collect());
+    core.set_catalog(
+        [(machine_type().name, machine_type())]
+            .into_iter()
+            .collect(),
+    );
     core.set_wall_clock(now, 1_000_000 + now);
     SimulatedController {
         core,
@@ -630,7 +634,7 @@
             Effect::ReleaseInstances(lease, machines) => {
                 for id in &machines {
                     let n = (0..MACHINES)
-                        .find(|n| machine(*n) == *id)
+                        .find(|n| machine_id(*n) == *id)
                         .expect("a known machine");
                     self.machines[n].released = true;
                     self.machines[n].tasks.clear();
@@ -765,7 +769,7 @@
             incarnation: m.session,
             fencing_token: m.token,
             tasks: tasks.collect(),
-            ..report(n, m.seq)
+            ..heartbeat(n, m.seq)
         }
     }
 
@@ -802,7 +806,7 @@
 
     pub fn execute_call(&mut self, call: &CommandCall) -> CommandResult {
         let n = (0..MACHINES)
-            .find(|n| machine(*n) == call.machine)
+            .find(|n| machine_id(*n) == call.machine)
             .expect("a known machine");
         let m = &mut self.machines[n];
         if m.released {
@@ -881,7 +885,7 @@
         let spec = JobSpec {
             id: JobId::from(format!("req-{n:06}").as_str()),
             team: team.into(),
-            ..array(TASKS)
+            ..array_job(TASKS)
         };
         let id = spec.id.clone();
         self.apply(&create_job(&JobRecord {
@@ -972,7 +976,7 @@
         self.step_machines();
         if now.is_multiple_of(4_000) {
             let entry = |n| InstanceEntry {
-                id: machine(n),
+                id: machine_id(n),
                 machine_type: "box".into(),
                 zone: "north".into(),
                 spot: false,
--- a/crates/coordination/tests/support/mod.rs
+++ b/crates/coordination/tests/support/mod.rs
@@ -24,14 +24,14 @@
 /// Fencing token of the leader of shard 0.
 pub const TOKEN: u64 = 40;
 
-pub fn machine(n: usize) -> MachineId {
+pub fn machine_id(n: usize) -> MachineId {
     MachineId::from(format!("n-{n:06}").as_str())
 }
 
 /// A heartbeat of machine `n`, which runs no task.
-pub fn report(n: usize, seq: u64) -> Heartbeat {
+pub fn heartbeat(n: usize, seq: u64) -> Heartbeat {
     Heartbeat {
-        machine: machine(n),
+        machine: machine_id(n),
         address: "10.1.0.1:9000".into(),
         machine_type: "box".into(),
         zone: "north".into(),
@@ -45,7 +45,7 @@
 }
 
 /// The only machine type.
-pub fn kind() -> MachineType {
+pub fn machine_type() -> MachineType {
     MachineType {
         name: "box".into(),
         capacity: Resources::capacity(16.0, 4.0, 64.0),
@@ -59,7 +59,7 @@
 }
 
 /// An owner of shard 0 that has registered this many machines.
-pub fn fleet(machines: usize) -> Owner {
+pub fn owner_with_machines(machines: usize) -> Owner {
     let mut owner = Owner::new(
         0,
         TOKEN,
@@ -68,9 +68,9 @@
         lemonweir_policy::embedded().expect("policy"),
         0,
     );
-    owner.set_machine_types([kind()].iter());
+    owner.set_machine_types([machine_type()].iter());
     for n in 0..machines {
-        assert!(owner.handle_heartbeat(&report(n, 1), None, 10).is_some());
+        assert!(owner.handle_heartbeat(&heartbeat(n, 1), None, 10).is_some());
     }
     // A newer reading of the store confirms the lease, which completes the registrations.
     owner.tick(11, 11);
@@ -78,14 +78,14 @@
 }
 
 /// The first attempt of task `n`, desired on machine `on`.
-pub fn want(n: u32, on: usize) -> DesiredAttempt {
+pub fn desired_attempt(n: u32, on: usize) -> DesiredAttempt {
     DesiredAttempt {
         id: AttemptId {
             job: JobId::from("req-000001"),
             task: n,
             attempt: 1,
         },
-        machine: machine(on),
+        machine: machine_id(on),
         resources: Resources::capacity(4.0, 1.0, 8.0),
         image: "img".into(),
         image_mb: 2_000,
@@ -101,7 +101,7 @@
 }
 
 /// A sync request of shard 0's placer to the owner of its own shard.
-pub fn sync(
+pub fn sync_request(
     seq: u64,
     change_range: ChangeRange,
     desired_attempts: Vec<DesiredAttempt>,
@@ -128,7 +128,7 @@
 }
 
 /// How much of the owner's state a placer has once it has applied this view.
-pub fn have(view: &ShardView) -> ObservedState {
+pub fn observed_state(view: &ShardView) -> ObservedState {
     ObservedState {
         machines_revision: view.machines_range.until,
         attempts_revision: view.attempts_range.until,
@@ -136,7 +136,7 @@
 }
 
 /// A generous size limit of a message, bytes.
-pub const ROOM: usize = 1 << 20;
+pub const MAX_MESSAGE_BYTES: usize = 1 << 20;
 
 /// Status of the first attempt of task `n`, which runs.
 pub fn running_task(n: usize) -> TaskStatus {
@@ -151,9 +151,9 @@
 
 /// The view of a schedulable machine with this many GPUs free, and 4 CPUs and 16 GB of memory
 /// free for each of them.
-pub fn shown(n: usize, gpus: u64) -> MachineView {
+pub fn machine_view(n: usize, gpus: u64) -> MachineView {
     MachineView {
-        id: machine(n),
+        id: machine_id(n),
         machine_type: "box".into(),
         zone: "north".into(),
         spot: false,
@@ -172,7 +172,7 @@
 }
 
 /// The configuration of a placer without quota limits and with a gang wait of 50 s.
-pub fn terms() -> PlacerConfig {
+pub fn placer_config() -> PlacerConfig {
     PlacerConfig {
         quota_limits: Default::default(),
         guaranteed_quotas: Default::default(),
@@ -202,7 +202,7 @@
 
 /// A view published by the owner of shard 0: changes of its machines, and the state of every
 /// attempt of the placer.
-pub fn view(
+pub fn shard_view(
     seq: u64,
     machines_span: ChangeRange,
     machines: Vec<MachineView>,
@@ -229,7 +229,7 @@
 }
 
 /// An array job with this many tasks.
-pub fn array(tasks: u64) -> JobSpec {
+pub fn array_job(tasks: u64) -> JobSpec {
     JobSpec {
         id: JobId::from("req-000001"),
         class: "work".into(),
--- a/crates/coordination/tests/turns.rs
+++ b/crates/coordination/tests/turns.rs
@@ -28,11 +28,13 @@
 /// later on average, behind thousands of starts, and a sixth of the users had given up.
 #[test]
 fn cancelled_job_ends_are_written_before_starts_oldest_first() {
-    let mut placer = Placer::new(0, TOKEN, 1, terms(), 0);
-    let seq = placer.sync_request(0, TOKEN, ROOM, false, 0).seq;
-    let machines: Vec<_> = (0..200).map(|n| shown(n, 4)).collect();
+    let mut placer = Placer::new(0, TOKEN, 1, placer_config(), 0);
+    let seq = placer
+        .sync_request(0, TOKEN, MAX_MESSAGE_BYTES, false, 0)
+        .seq;
+    let machines: Vec<_> = (0..200).map(|n| machine_view(n, 4)).collect();
     placer.apply_view(
-        view(
+        shard_view(
             seq,
             ChangeRange {
                 since: 0,
@@ -50,7 +52,7 @@
             JobSpec {
                 id: id(n),
                 priority: Priority::Production,
-                ..array(20)
+                ..array_job(20)
             },
             0,
             2,
@@ -69,7 +71,7 @@
         let spec = JobSpec {
             id: id(n),
             priority: priorities[n as usize % 4],
-            ..array(2)
+            ..array_job(2)
         };
         let job = CachedJob {
             record: Arc::new(JobRecord {
@@ -108,10 +110,10 @@
 /// the store, and so were all that followed.
 #[test]
 fn sync_message_stays_below_twice_its_byte_budget() {
-    let mut placer = Placer::new(0, TOKEN, 2, terms(), 0);
+    let mut placer = Placer::new(0, TOKEN, 2, placer_config(), 0);
     for n in 0..500 {
         let provisioned_instance = ProvisionedInstance {
-            machine: machine(n),
+            machine: machine_id(n),
             machine_type: "box".into(),
             zone: "north".into(),
             spot: false,
--- a/crates/coordination/tests/worker_sessions.rs
+++ b/crates/coordination/tests/worker_sessions.rs
@@ -29,7 +29,7 @@
     fn new(machines: usize) -> Self {
         let (sequences, tokens) = (vec![1; machines], vec![FIRST_TOKEN; machines]);
         Self {
-            owner: fleet(machines),
+            owner: owner_with_machines(machines),
             token: TOKEN,
             now: 20,
             revision: 0,
@@ -50,7 +50,7 @@
             lemonweir_policy::embedded().expect("policy"),
             self.now,
         );
-        self.owner.set_machine_types([kind()].iter());
+        self.owner.set_machine_types([machine_type()].iter());
     }
 
     fn sync_placer(&mut self, wants: Vec<DesiredAttempt>) -> ShardView {
@@ -61,15 +61,15 @@
             complete: true,
         };
         // No machine is released for being idle.
-        let keep = (0..self.sequences.len()).map(machine).collect();
+        let keep = (0..self.sequences.len()).map(machine_id).collect();
         let message = SyncRequest {
             reserved_machines: keep,
             misrouted_heartbeats: self.misrouted,
             to_fencing_token: self.token,
-            ..sync(self.revision, range, wants, ObservedState::default())
+            ..sync_request(self.revision, range, wants, ObservedState::default())
         };
         self.owner
-            .sync(&message, ROOM, self.now)
+            .sync(&message, MAX_MESSAGE_BYTES, self.now)
             .expect("sync accepted")
     }
 
@@ -77,7 +77,7 @@
         self.sync_placer(wants)
             .machines
             .into_iter()
-            .find(|m| m.id == machine(n))
+            .find(|m| m.id == machine_id(n))
     }
 
     fn is_schedulable(&mut self, n: usize) -> bool {
@@ -96,7 +96,7 @@
         let heartbeat = Heartbeat {
             fencing_token: self.tokens[n],
             tasks,
-            ..report(n, self.sequences[n])
+            ..heartbeat(n, self.sequences[n])
         };
         let reply = self
             .owner
@@ -118,7 +118,7 @@
 fn attempt_state(view: &ShardView, n: u32) -> Option<AttemptState> {
     view.attempts
         .iter()
-        .find(|a| a.id == want(n, 0).id)
+        .find(|a| a.id == desired_attempt(n, 0).id)
         .map(|a| a.state)
 }
 
@@ -160,7 +160,7 @@
     shard.send_heartbeat(0, Some(1), false, vec![running_task(0)]);
     let stopped = DesiredAttempt {
         stop_grace_s: Some(0),
-        ..want(0, 0)
+        ..desired_attempt(0, 0)
     };
     shard.sync_placer(vec![stopped.clone()]);
     for _ in 0..3 {
@@ -176,7 +176,7 @@
         shard.sequences[0] += 1;
         let heartbeat = Heartbeat {
             fencing_token: shard.tokens[0],
-            ..report(0, shard.sequences[0])
+            ..heartbeat(0, shard.sequences[0])
         };
         shard.now += 20;
         shard
@@ -197,7 +197,7 @@
     let mut shard = ShardUnderTest::new(1);
     let member = DesiredAttempt {
         may_start: false,
-        ..want(0, 0)
+        ..desired_attempt(0, 0)
     };
     shard.sync_placer(vec![member.clone()]);
     shard.advance_to(3_000);
@@ -266,7 +266,7 @@
         fencing_token: FIRST_TOKEN | 5,
         reclaim_notice_s: Some(20.0),
         tasks: vec![running_task(0), exited],
-        ..report(0, 70)
+        ..heartbeat(0, 70)
     };
     for wanted in [false, true] {
         let mut shard = ShardUnderTest::new(0);
@@ -274,7 +274,7 @@
         shard.next_owner();
         let wants = || {
             if wanted {
-                vec![want(0, 0), want(1, 0)]
+                vec![desired_attempt(0, 0), desired_attempt(1, 0)]
             } else {
                 Vec::new()
             }
@@ -339,8 +339,8 @@
 #[test]
 fn replayed_heartbeats_in_any_order_change_nothing() {
     let mut shard = ShardUnderTest::new(1);
-    shard.sync_placer(vec![want(0, 0)]);
-    let mut heartbeat = Vec::new();
+    shard.sync_placer(vec![desired_attempt(0, 0)]);
+    let mut heartbeats = Vec::new();
     let done = TaskStatus {
         phase: TaskPhase::Exited,
         exit_cause: Some("done".into()),
@@ -355,30 +355,32 @@
         };
         // The task is not reported before its start.
         let tasks = if k < 5 { Vec::new() } else { tasks };
-        heartbeat.push(Heartbeat {
+        heartbeats.push(Heartbeat {
             fencing_token: shard.tokens[0],
             tasks: tasks.clone(),
-            ..report(0, shard.sequences[0] + 1)
+            ..heartbeat(0, shard.sequences[0] + 1)
         });
         shard.send_heartbeat(0, None, true, tasks);
-        shard.sync_placer(vec![want(0, 0)]);
+        shard.sync_placer(vec![desired_attempt(0, 0)]);
     }
     assert_eq!(
-        attempt_state(&shard.sync_placer(vec![want(0, 0)]), 0),
+        attempt_state(&shard.sync_placer(vec![desired_attempt(0, 0)]), 0),
         Some(AttemptState::Exited(ExitCause::Done))
     );
     let mut order: Vec<usize> = (0..40).collect();
     order.sort_by_key(|k| k * 7_919 % 41);
     for &k in &order {
         shard.now += 10;
-        shard.owner.handle_heartbeat(&heartbeat[k], None, shard.now);
+        shard
+            .owner
+            .handle_heartbeat(&heartbeats[k], None, shard.now);
         assert!(
             shard
-                .view(0, vec![want(0, 0)])
+                .view(0, vec![desired_attempt(0, 0)])
                 .is_some_and(|m| m.schedulable)
         );
         assert_eq!(
-            attempt_state(&shard.sync_placer(vec![want(0, 0)]), 0),
+            attempt_state(&shard.sync_placer(vec![desired_attempt(0, 0)]), 0),
             Some(AttemptState::Exited(ExitCause::Done))
         );
     }
@@ -388,10 +390,10 @@
         assert!(
             shard
                 .owner
-                .handle_heartbeat(&heartbeat[k], None, shard.now)
+                .handle_heartbeat(&heartbeats[k], None, shard.now)
                 .is_some()
         );
-        let view = shard.sync_placer(vec![want(0, 0)]);
+        let view = shard.sync_placer(vec![desired_attempt(0, 0)]);
         assert!(
             view.attempts.is_empty(),
             "no attempt is judged from copies: {:?}",
@@ -402,7 +404,7 @@
     shard.send_heartbeat(0, None, true, vec![done.clone()]);
     shard.send_heartbeat(0, None, true, vec![done]);
     assert_eq!(
-        attempt_state(&shard.sync_placer(vec![want(0, 0)]), 0),
+        attempt_state(&shard.sync_placer(vec![desired_attempt(0, 0)]), 0),
         Some(AttemptState::Exited(ExitCause::Done))
     );
 }
@@ -413,14 +415,14 @@
 fn restarted_worker_is_confirmed_by_its_second_heartbeat() {
     for (earlier_incarnation, lease_expired) in [(1, false), (3, false), (1, true)] {
         let mut shard = ShardUnderTest::new(1);
-        shard.sync_placer(vec![want(0, 0)]);
+        shard.sync_placer(vec![desired_attempt(0, 0)]);
         shard.sequences[0] = 80;
         shard.advance_to(3_000);
         let earlier_heartbeat = |seq| Heartbeat {
             incarnation: earlier_incarnation,
             fencing_token: FIRST_TOKEN,
             tasks: vec![running_task(0)],
-            ..report(0, seq)
+            ..heartbeat(0, seq)
         };
         assert!(
             shard
@@ -429,7 +431,7 @@
                 .is_some()
         );
         assert_eq!(
-            attempt_state(&shard.sync_placer(vec![want(0, 0)]), 0),
+            attempt_state(&shard.sync_placer(vec![desired_attempt(0, 0)]), 0),
             Some(AttemptState::Running)
         );
         shard.advance_to(if lease_expired { 20_000 } else { 10_000 });
@@ -452,13 +454,13 @@
             .expect("answered");
         shard.advance_to(shard.now + 100);
         assert_eq!(
-            attempt_state(&shard.sync_placer(vec![want(0, 0)]), 0),
+            attempt_state(&shard.sync_placer(vec![desired_attempt(0, 0)]), 0),
             Some(AttemptState::Gone),
             "incarnation {earlier_incarnation}, lease expired {lease_expired}"
         );
         assert!(
             shard
-                .view(0, vec![want(0, 0)])
+                .view(0, vec![desired_attempt(0, 0)])
                 .is_some_and(|m| m.registered && m.schedulable)
         );
         // Its earlier incarnation sends another heartbeat.
@@ -467,7 +469,7 @@
             .handle_heartbeat(&earlier_heartbeat(90), None, shard.now);
         assert!(
             shard
-                .sync_placer(vec![want(0, 0)])
+                .sync_placer(vec![desired_attempt(0, 0)])
                 .attempts
                 .iter()
                 .all(|a| a.state == AttemptState::Gone)
@@ -475,9 +477,9 @@
         let next = DesiredAttempt {
             id: lemonweir_model::AttemptId {
                 attempt: 2,
-                ..want(0, 0).id
+                ..desired_attempt(0, 0).id
             },
-            ..want(0, 0)
+            ..desired_attempt(0, 0)
         };
         shard.sync_placer(vec![next]);
         let call = shard.due_call().expect("a start");
@@ -492,7 +494,7 @@
 fn report_with(seq: u64, token: u64) -> Heartbeat {
     Heartbeat {
         fencing_token: token,
-        ..report(0, seq)
+        ..heartbeat(0, seq)
     }
 }
 
@@ -500,13 +502,13 @@
 #[test]
 fn call_response_shows_a_new_incarnation() {
     let mut shard = ShardUnderTest::new(1);
-    shard.sync_placer(vec![want(0, 0)]);
+    shard.sync_placer(vec![desired_attempt(0, 0)]);
     shard.advance_to(3_000);
     shard.sequences[0] = 50;
     shard.send_heartbeat(0, None, true, vec![running_task(0)]);
     shard.sync_placer(vec![DesiredAttempt {
         stop_grace_s: Some(0),
-        ..want(0, 0)
+        ..desired_attempt(0, 0)
     }]);
     let call = shard.due_call().expect("a stop");
     shard.owner.handle_call_result(
@@ -524,7 +526,7 @@
         shard.now,
     );
     assert_eq!(
-        attempt_state(&shard.sync_placer(vec![want(0, 0)]), 0),
+        attempt_state(&shard.sync_placer(vec![desired_attempt(0, 0)]), 0),
         Some(AttemptState::Gone)
     );
 }
@@ -538,7 +540,7 @@
     shard.advance_to(5_000);
     shard.now = 5_050;
     shard.send_heartbeat(0, None, true, Vec::new());
-    shard.sync_placer(vec![want(0, 0)]);
+    shard.sync_placer(vec![desired_attempt(0, 0)]);
     assert!(shard.due_call().is_none(), "the last refresh began before");
     shard.now = 5_200;
     shard.owner.tick(5_200, 5_040);
@@ -558,7 +560,7 @@
     let mut shard = ShardUnderTest::new(2 * UNREACHABLE_CALLS_MAX);
     let stopped = |n: usize| DesiredAttempt {
         stop_grace_s: Some(0),
-        ..want(n as u32, n)
+        ..desired_attempt(n as u32, n)
     };
     let all: Vec<DesiredAttempt> = (0..2 * UNREACHABLE_CALLS_MAX).map(stopped).collect();
     for at in [3_000, 8_050, 13_100] {
