--- a/crates/coordination/src/owner/mod.rs
+++ b/crates/coordination/src/owner/mod.rs
@@ -77,7 +77,7 @@
     /// Addressed to another leader of this shard, or sent under an outdated token of the
     /// sender's shard.
     #[error("fencing token is not current")]
-    Token,
+    TokenMismatch,
     /// The sender's shard does not exist.
     #[error("the sender's shard does not exist")]
     UnknownShard,
@@ -239,12 +239,15 @@
     }
 
     /// Adds machine types to the catalog, and updates the capacity of known machines.
-    pub fn set_types<'a>(&mut self, types: impl Iterator<Item = &'a lemonweir_model::MachineType>) {
+    pub fn set_machine_types<'a>(
+        &mut self,
+        types: impl Iterator<Item = &'a lemonweir_model::MachineType>,
+    ) {
         for machine_type in types {
             self.catalog.insert(machine_type);
         }
         for m in self.machines.values_mut() {
-            m.capacity = self.catalog.capacity(&m.kind);
+            m.capacity = self.catalog.capacity(&m.machine_type);
         }
         self.changed_machines.extend(self.machines.keys().cloned());
     }
--- a/crates/coordination/src/owner/scale_in.rs
+++ b/crates/coordination/src/owner/scale_in.rs
@@ -41,7 +41,7 @@
 
     /// Returns the machines to release now and marks their release as in progress. There is
     /// one request at a time, and at most one per tick.
-    pub fn next_releases(&mut self) -> Vec<MachineId> {
+    pub fn begin_releases(&mut self) -> Vec<MachineId> {
         if self.release_in_progress || self.last_tick == self.last_release_tick {
             return Vec::new();
         }
@@ -71,7 +71,7 @@
 
     /// Handles the end of a release request. `done` tells that the provider has confirmed
     /// it, which proves that the machines and everything that ran on them are gone.
-    pub fn release_finished(&mut self, ids: &[MachineId], done: bool, now: u64) {
+    pub fn handle_release_result(&mut self, ids: &[MachineId], done: bool, now: u64) {
         self.release_in_progress = false;
         for id in ids {
             if done {
@@ -79,7 +79,7 @@
                 // among those to unreachable machines is freed here.
                 let call_in_progress = self.machines.remove(id).is_some_and(|m| m.unreachable_call);
                 self.unreachable_calls -= usize::from(call_in_progress);
-                self.fault_attribution.forget(id);
+                self.fault_attribution.remove_machine(id);
                 self.released_machines.insert(id.clone());
                 info!(machine = %id, shard = self.shard, "machine released");
                 self.reevaluate(id, now);
--- a/crates/coordination/src/provisioning.rs
+++ b/crates/coordination/src/provisioning.rs
@@ -102,7 +102,7 @@
         now: u64,
     ) {
         if let Some(shard) = self.shard_under(lease) {
-            shard.owner.release_finished(machines, done, now);
+            shard.owner.handle_release_result(machines, done, now);
         }
     }
 
@@ -176,11 +176,11 @@
             {
                 continue;
             }
-            self.bookings += 1;
+            self.provisioning_requests_issued += 1;
             // A fencing token is never reused, so the request ID is unique.
             let unique_id = format!(
                 "r-{}-{}-{}",
-                self.lease.shard, self.lease.token, self.bookings
+                self.lease.shard, self.lease.token, self.provisioning_requests_issued
             );
             self.provisioning.push(PendingProvisioning {
                 request: ProvisioningRequest {
