--- a/crates/simulator/src/invariants/answers.rs
+++ b/crates/simulator/src/invariants/answers.rs
@@ -31,7 +31,7 @@
 impl InvariantChecker {
     /// Checks an answer that a user received at `now`. It is compared only with final phases
     /// that were told before the request was made.
-    pub fn told(&mut self, job: &JobId, answer: UserAnswer, now: u64) {
+    pub fn check_user_answer(&mut self, job: &JobId, answer: UserAnswer, now: u64) {
         let before = self
             .terminal_answers
             .get(job)
@@ -100,7 +100,7 @@
     }
 
     /// Records that a request about a job that a user waits for was answered at `now`.
-    pub fn answered(&mut self, job: &JobId, now: u64) {
+    pub fn query_answered(&mut self, job: &JobId, now: u64) {
         self.awaiting_answer.insert(job.clone(), now);
     }
 
--- a/crates/simulator/src/simulation/users.rs
+++ b/crates/simulator/src/simulation/users.rs
@@ -236,7 +236,7 @@
                 accepted: false,
                 asked,
             };
-            return self.workload.checker.told(&id, answer, now);
+            return self.workload.checker.check_user_answer(&id, answer, now);
         };
         if status < 300 && self.unschedulable.contains(&id) {
             return self.workload.checker.violations.push(format!(
@@ -248,7 +248,7 @@
         let (is_accepted, is_finished) = (user.accepted_at.is_some(), user.finished);
         let answers_poll = matches!(status, 200 | 404) && now <= user.last_poll + POLL_ANSWER_US;
         if poll_us > 0 && !is_finished && (!is_accepted && status < 300 || answers_poll) {
-            self.workload.checker.answered(&id, now);
+            self.workload.checker.query_answered(&id, now);
         }
         match status {
             200 | 201 if !is_accepted => self.user_accepted(id, poll_us),
@@ -261,7 +261,7 @@
                     accepted: accepted_when_asked,
                     asked,
                 };
-                self.workload.checker.told(&id, answer, now);
+                self.workload.checker.check_user_answer(&id, answer, now);
                 self.user_receives_phase(id, phase, poll_us);
             }
             _ if poll_us > 0 && !is_finished => self.schedule_poll(id, poll_us),
--- a/crates/simulator/tests/injected_faults.rs
+++ b/crates/simulator/tests/injected_faults.rs
@@ -134,11 +134,11 @@
 #[test]
 fn a_job_without_an_answer_counts_as_forgotten_after_the_faults() {
     let mut checker = InvariantChecker::new(BTreeMap::new(), 1);
-    checker.answered(&id(1), 10_000_000);
-    checker.answered(&id(2), 10_000_000);
+    checker.query_answered(&id(1), 10_000_000);
+    checker.query_answered(&id(2), 10_000_000);
     checker.check_answers(200_000_000, 270_000_000);
     assert!(checker.violations.is_empty(), "{:?}", checker.violations);
-    checker.answered(&id(2), 260_000_000);
+    checker.query_answered(&id(2), 260_000_000);
     checker.check_answers(200_000_000, 276_000_000);
     checker.check_answers(200_000_000, 277_000_000);
     assert_eq!(
--- a/crates/simulator/tests/invariants.rs
+++ b/crates/simulator/tests/invariants.rs
@@ -476,24 +476,24 @@
     c.task_completed(&id(2), 0);
     c.task_completed(&id(2), 1);
     c.cas_committed(&done(2), 5);
-    c.told(&id(2), answer(Some(JobPhase::Running), true, 1), 6);
-    c.told(&id(2), answer(Some(JobPhase::Done), true, 6), 7);
-    c.told(&id(2), answer(Some(JobPhase::Running), true, 6), 8);
+    c.check_user_answer(&id(2), answer(Some(JobPhase::Running), true, 1), 6);
+    c.check_user_answer(&id(2), answer(Some(JobPhase::Done), true, 6), 7);
+    c.check_user_answer(&id(2), answer(Some(JobPhase::Running), true, 6), 8);
     assert!(
         c.violations.is_empty(),
         "asked before the end was confirmed"
     );
-    c.told(&id(2), answer(Some(JobPhase::Running), true, 7), 9);
+    c.check_user_answer(&id(2), answer(Some(JobPhase::Running), true, 7), 9);
     assert!(first_violation(&c).contains("went_back"));
 
     let mut c = checker();
-    c.told(&id(2), answer(Some(JobPhase::Done), true, 1), 2);
+    c.check_user_answer(&id(2), answer(Some(JobPhase::Done), true, 1), 2);
     assert!(first_violation(&c).contains("not_done"));
     let mut c = checker();
-    c.told(&id(2), answer(None, true, 1), 2);
+    c.check_user_answer(&id(2), answer(None, true, 1), 2);
     assert!(first_violation(&c).contains("forgotten"));
     let mut c = checker();
-    c.told(&id(9), answer(Some(JobPhase::Queued), false, 1), 2);
+    c.check_user_answer(&id(9), answer(Some(JobPhase::Queued), false, 1), 2);
     assert!(first_violation(&c).contains("invented"));
 }
 
