--- a/crates/simulator/src/invariants/placement.rs
+++ b/crates/simulator/src/invariants/placement.rs
@@ -169,7 +169,7 @@
     }
 
     /// Records that a task is no longer on a machine.
-    pub fn left(&mut self, job: &JobId, task: u32, machine: usize) {
+    pub fn task_left(&mut self, job: &JobId, task: u32, machine: usize) {
         let key = (job.clone(), task);
         let Some(machines) = self.machines_by_task.get_mut(&key) else {
             return;
--- a/crates/simulator/src/worker/tasks.rs
+++ b/crates/simulator/src/worker/tasks.rs
@@ -368,7 +368,7 @@
                 self.images.abort_fetch(&image);
             }
         } else {
-            workload.checker.left(&id.job, id.task, self.number);
+            workload.checker.task_left(&id.job, id.task, self.number);
         }
         match end {
             TaskEnd::Completed => workload.task_completed(id, work_us),
@@ -410,7 +410,7 @@
         let live: Vec<AttemptId> = self.live_tasks().map(|(id, _)| id.clone()).collect();
         for id in live {
             self.keep_checkpoint(&id, now, workload);
-            workload.checker.left(&id.job, id.task, self.number);
+            workload.checker.task_left(&id.job, id.task, self.number);
             workload.checker.gang_task_over(&id);
             workload.gang_task_lost(&id, now);
         }
--- a/crates/simulator/tests/invariants.rs
+++ b/crates/simulator/tests/invariants.rs
@@ -406,7 +406,7 @@
 fn the_checker_detects_each_violation() {
     let mut c = checker();
     c.started(&id(2), 0, placement_on(1, "north"), 1);
-    c.left(&id(2), 0, 1);
+    c.task_left(&id(2), 0, 1);
     c.started(&id(2), 0, placement_on(2, "north"), 3);
     assert!(c.violations.is_empty());
     c.started(&id(2), 0, placement_on(1, "north"), 4);
