--- a/crates/simulator/src/worker.rs
+++ b/crates/simulator/src/worker.rs
@@ -125,7 +125,7 @@
     }
 
     /// Number of tasks that have not exited.
-    pub fn live(&self) -> usize {
+    pub fn live_task_count(&self) -> usize {
         self.live_tasks().count()
     }
 
@@ -237,7 +237,7 @@
     /// Kills all tasks and starts a new session.
     fn expire_lease(&mut self, at: u64, workload: &mut WorkloadState) {
         workload.history.note(at, "lease over", &self.id, &"");
-        workload.killed_by_lease += self.live() as u64;
+        workload.killed_by_lease += self.live_task_count() as u64;
         self.kill_all(at, workload);
         self.session += 1;
         self.lease_start = at;
--- a/crates/simulator/tests/invariants.rs
+++ b/crates/simulator/tests/invariants.rs
@@ -68,7 +68,7 @@
         .workers
         .iter()
         .flatten()
-        .map(lemonweir_simulator::worker::Worker::live)
+        .map(lemonweir_simulator::worker::Worker::live_task_count)
         .sum()
 }
 
--- a/crates/simulator/tests/supervision.rs
+++ b/crates/simulator/tests/supervision.rs
@@ -78,7 +78,7 @@
         .workers
         .iter()
         .flatten()
-        .map(lemonweir_simulator::worker::Worker::live)
+        .map(lemonweir_simulator::worker::Worker::live_task_count)
         .sum()
 }
 
@@ -656,7 +656,7 @@
         .workers
         .iter()
         .flatten()
-        .filter(|w| w.live() > 0)
+        .filter(|w| w.live_task_count() > 0)
         .map(|w| w.number)
         .collect();
     for _ in 0..600 {
