--- a/crates/simulator/src/fault_search.rs
+++ b/crates/simulator/src/fault_search.rs
@@ -14,7 +14,7 @@
 
 use crate::history::History;
 use crate::load_generator;
-use crate::run_report::violated_terms;
+use crate::run_report::run_violations;
 use crate::scenario::Scenario;
 use crate::simulation::Simulation;
 use draw_faults::draw_faults;
@@ -102,7 +102,7 @@
     let load = load_generator::synthetic(&scenario, seed);
     let mut simulation = Simulation::new(scenario, load, seed, History::new(None));
     simulation.run(duration_ms);
-    let mut violations = violated_terms(&simulation);
+    let mut violations = run_violations(&simulation);
     let replicas = replicas_at_end(&simulation, duration_ms);
     if (replicas.up as f64) < MIN_REPLICAS_UP_SHARE * replicas.desired as f64 {
         violations.push(format!(
--- a/crates/simulator/src/run_report.rs
+++ b/crates/simulator/src/run_report.rs
@@ -279,7 +279,7 @@
 /// Violations of a run: of the invariants, and of the service terms. At least half of the
 /// submissions must be accepted, at least half of the tasks of each group started, and the
 /// largest jobs begun in time.
-pub fn violated_terms(simulation: &Simulation) -> Vec<String> {
+pub fn run_violations(simulation: &Simulation) -> Vec<String> {
     let mut violations = simulation.workload.checker.violations.clone();
     let counts = simulation.metrics.submission_counts();
     if counts.accepted * 2 < counts.submitted {
--- a/crates/simulator/tests/concurrent_faults.rs
+++ b/crates/simulator/tests/concurrent_faults.rs
@@ -10,7 +10,7 @@
 use lemonweir_model::settings::WorkerTiming;
 use lemonweir_simulator::history::History;
 use lemonweir_simulator::load_generator::synthetic;
-use lemonweir_simulator::run_report::violated_terms;
+use lemonweir_simulator::run_report::run_violations;
 use lemonweir_simulator::scenario::{FaultKind, Scenario};
 use lemonweir_simulator::simulation::Simulation;
 
@@ -87,7 +87,7 @@
     let ms = (scenario.duration_s * 1e3) as u64;
     let mut simulation = new_simulation(scenario, seed);
     simulation.run(ms);
-    violated_terms(&simulation)
+    run_violations(&simulation)
 }
 
 /// Runs the scenario `name` with each worker timing and offset, `seeds` times each, and asserts
