--- a/crates/simulator/src/controller.rs
+++ b/crates/simulator/src/controller.rs
@@ -33,7 +33,7 @@
 /// A user's request that is answered after the next state read.
 pub struct PendingQuery {
     /// Time at which the request arrived, µs.
-    pub asked: u64,
+    pub asked_at: u64,
     /// Job that the request concerns.
     pub job: JobId,
     /// Type of the request.
@@ -50,7 +50,7 @@
     /// The loop that renews the store lease and the shard leases.
     LeaseKeeper(Option<ElectionAction>),
     /// The same loop, writing the membership entry under this new store lease.
-    Presence(u64),
+    Membership(u64),
     /// A user's request concerning a job, with its time of arrival, µs.
     User(JobId, UserRequest, u64),
     /// Jobs that wait for their dependencies.
@@ -214,7 +214,7 @@
     /// The result of a state read.
     StateRead {
         /// Time at which the read began, µs.
-        began: u64,
+        began_at: u64,
         /// Its result.
         read: StateRead,
     },
@@ -288,7 +288,7 @@
     /// Work of all its incarnations.
     pub load: ControllerLoad,
     /// Counters of the core at the last charge.
-    pub counted: WorkCounters,
+    pub charged_counters: WorkCounters,
 }
 
 /// Work of a controller process.
@@ -297,7 +297,7 @@
     /// Processing time charged, µs.
     pub busy_us: u64,
     /// Charged time below 1 µs that is carried over to the next charge, ns.
-    pub rest_ns: u64,
+    pub remainder_ns: u64,
     /// Number of messages received and sent.
     pub messages: u64,
     /// Bytes of messages between controllers.
@@ -337,7 +337,7 @@
             writes: share(scenario.state.writes_per_s * usable),
             cloud: share(scenario.cloud.requests_per_s),
             load: ControllerLoad::default(),
-            counted: WorkCounters::default(),
+            charged_counters: WorkCounters::default(),
         }
     }
 
--- a/crates/simulator/src/invariants/answers.rs
+++ b/crates/simulator/src/invariants/answers.rs
@@ -25,7 +25,7 @@
     /// True if the acceptance of the job was confirmed to the user before the request.
     pub accepted: bool,
     /// Time of the request, µs.
-    pub asked: u64,
+    pub asked_at: u64,
 }
 
 impl InvariantChecker {
@@ -35,11 +35,11 @@
         let before = self
             .terminal_answers
             .get(job)
-            .filter(|told| told.at <= answer.asked)
+            .filter(|told| told.at <= answer.asked_at)
             .map(|told| told.phase);
         match answer.phase {
             Some(phase @ (JobPhase::Queued | JobPhase::Running))
-                if self.is_orphaned(job, answer.asked) =>
+                if self.is_orphaned(job, answer.asked_at) =>
             {
                 let phase = Some(phase);
                 self.violation(
@@ -76,7 +76,7 @@
 
     /// True if a direct or indirect dependency of a job had been cancelled for longer than the
     /// cancellation deadline when the user asked: the job should have been cancelled with it.
-    fn is_orphaned(&self, job: &JobId, asked: u64) -> bool {
+    fn is_orphaned(&self, job: &JobId, asked_at: u64) -> bool {
         let (mut queue, mut seen) = (vec![job], BTreeSet::new());
         while let Some(job) = queue.pop() {
             for dependency in self
@@ -89,7 +89,7 @@
                 if self
                     .withdrawn
                     .get(dependency)
-                    .is_some_and(|at| asked > at + self.cancellation_deadline_us)
+                    .is_some_and(|at| asked_at > at + self.cancellation_deadline_us)
                 {
                     return true;
                 }
--- a/crates/simulator/src/simulation/controllers.rs
+++ b/crates/simulator/src/simulation/controllers.rs
@@ -141,17 +141,18 @@
             .unwrap_or_default();
         // A counter is lower than before if a shard was released, and its counters with it.
         let increase = |now: u64, before: u64| now.checked_sub(before).unwrap_or(now);
-        let before = controller.counted;
+        let before = controller.charged_counters;
         let examined = increase(counted.candidates_examined, before.candidates_examined);
         let load = &mut controller.load;
         load.refused_placements += increase(counted.placements_refused, before.placements_refused);
         load.preemptions += increase(counted.attempts_preempted, before.attempts_preempted);
-        let cost_ns = load.rest_ns + messages * costs.message_ns + examined * costs.candidate_ns;
-        load.rest_ns = cost_ns % 1_000;
+        let cost_ns =
+            load.remainder_ns + messages * costs.message_ns + examined * costs.candidate_ns;
+        load.remainder_ns = cost_ns % 1_000;
         load.busy_us += cost_ns / 1_000;
         load.messages += messages;
         load.candidates_examined += examined;
-        controller.counted = counted;
+        controller.charged_counters = counted;
         controller.busy_until = controller.busy_until.max(now) + cost_ns / 1_000;
     }
 
--- a/crates/simulator/src/simulation/events.rs
+++ b/crates/simulator/src/simulation/events.rs
@@ -111,7 +111,7 @@
     /// HTTP status.
     pub(super) status: u16,
     /// When the request reached the controller, µs.
-    pub(super) asked: u64,
+    pub(super) asked_at: u64,
 }
 
 /// What a controller asks of the store.
@@ -122,7 +122,7 @@
         /// Only changes since this revision; `None`: all keys.
         after: Option<u64>,
         /// When the read began, µs.
-        began: u64,
+        began_at: u64,
     },
     /// Renews this store lease, or grants a new one for `None`.
     StoreLease(Option<u64>),
--- a/crates/simulator/src/simulation/inputs.rs
+++ b/crates/simulator/src/simulation/inputs.rs
@@ -87,7 +87,7 @@
                 lease,
                 request,
             } => self.handle_sync(number, reply_to, lease, &request),
-            Input::StateRead { began, read } => self.apply_state_read(number, began, read),
+            Input::StateRead { began_at, read } => self.apply_state_read(number, began_at, read),
             Input::ShardAcquired {
                 lease,
                 chunks,
@@ -275,7 +275,7 @@
                 );
                 self.request_state_read(number);
             }
-            CasOrigin::Presence(lease) => {
+            CasOrigin::Membership(lease) => {
                 controller.pending_lease_replies -= 1;
                 controller.store_lease =
                     matches!(outcome, Some(CompareAndSwapOutcome::Committed(_))).then_some(lease);
@@ -292,8 +292,8 @@
                 }
                 self.request_state_read(number);
             }
-            CasOrigin::User(id, request, asked) => {
-                self.user_cas_finished(number, id, request, asked, cas, outcome);
+            CasOrigin::User(id, request, asked_at) => {
+                self.user_cas_finished(number, id, request, asked_at, cas, outcome);
             }
         }
     }
--- a/crates/simulator/src/simulation/lease_keeping.rs
+++ b/crates/simulator/src/simulation/lease_keeping.rs
@@ -144,7 +144,7 @@
                 let ceded = controller.election.ceded(core, now_ms);
                 controller.pending_lease_replies += 1;
                 let cas = self.membership_cas(number, lease, ceded);
-                self.send_cas(number, CasOrigin::Presence(lease), cas);
+                self.send_cas(number, CasOrigin::Membership(lease), cas);
             }
             _ => controller.store_lease = answer,
         }
--- a/crates/simulator/src/simulation/state_reads.rs
+++ b/crates/simulator/src/simulation/state_reads.rs
@@ -39,7 +39,10 @@
             .and_then(|core| core.cache.revision);
         let at = now + wait_us + self.network_delay();
         let route = self.route(number, Service::Store, 0);
-        let request = StoreRequest::StateRead { after, began: now };
+        let request = StoreRequest::StateRead {
+            after,
+            began_at: now,
+        };
         self.schedule_at(at, Event::StoreRequest(process, request, route));
     }
 
@@ -65,7 +68,7 @@
         self.controllers[controller]
             .pending_queries
             .push(PendingQuery {
-                asked: self.now,
+                asked_at: self.now,
                 job,
                 request,
             });
@@ -74,7 +77,7 @@
 
     /// Applies a state read to the cache, schedules the next one, and answers the queries that
     /// were asked no later than it began.
-    pub(super) fn apply_state_read(&mut self, number: usize, began: u64, read: StateRead) {
+    pub(super) fn apply_state_read(&mut self, number: usize, began_at: u64, read: StateRead) {
         let (now, now_ms) = (self.now, self.now_ms());
         let controller = &mut self.controllers[number];
         let Some(core) = controller.core.as_mut() else {
@@ -85,7 +88,7 @@
         let mut effects = Vec::new();
         let changed = read.apply(&mut core.cache, now_ms);
         if let Some(changed) = changed {
-            core.cache_refreshed(began / US_PER_MS, changed);
+            core.cache_refreshed(began_at / US_PER_MS, changed);
             effects = core.handle_store_messages(now_ms);
         }
         let expects_messages = core.uses_store_messages();
@@ -95,7 +98,7 @@
         let controller = &mut self.controllers[number];
         let (answerable, later): (Vec<_>, Vec<_>) = std::mem::take(&mut controller.pending_queries)
             .into_iter()
-            .partition(|query| query.asked <= began);
+            .partition(|query| query.asked_at <= began_at);
         controller.pending_queries = later;
         let busy =
             controller.read_requested || expects_messages || !controller.pending_queries.is_empty();
--- a/crates/simulator/src/simulation/store_service.rs
+++ b/crates/simulator/src/simulation/store_service.rs
@@ -47,8 +47,8 @@
                 outcome: None,
                 versions: Vec::new(),
             },
-            StoreRequest::StateRead { began, .. } => Input::StateRead {
-                began: *began,
+            StoreRequest::StateRead { began_at, .. } => Input::StateRead {
+                began_at: *began_at,
                 read: StateRead::Unavailable,
             },
             StoreRequest::StoreLease(_) => Input::StoreLeaseUnknown,
@@ -182,8 +182,8 @@
     ) {
         let now = self.now;
         let answer = match request {
-            StoreRequest::StateRead { after, began } => Input::StateRead {
-                began,
+            StoreRequest::StateRead { after, began_at } => Input::StateRead {
+                began_at,
                 read: read_watched_keys(&self.store, after),
             },
             StoreRequest::StoreLease(Some(lease)) => {
--- a/crates/simulator/src/simulation/user_answers.rs
+++ b/crates/simulator/src/simulation/user_answers.rs
@@ -142,23 +142,23 @@
     /// Answers a queued request after a state read that began no earlier than it was asked.
     pub(super) fn answer_query(&mut self, number: usize, query: PendingQuery, read_worked: bool) {
         let PendingQuery {
-            asked,
+            asked_at,
             job: id,
             request,
         } = query;
         if !read_worked || !self.service_reachable(number, Service::Store) {
-            return self.reply_to(number, id, None, 503, asked);
+            return self.reply_to(number, id, None, 503, asked_at);
         }
         let now_ms = self.now_ms();
         let Some(core) = self.controllers[number].core.as_ref() else {
             return;
         };
-        if let Some(JobStatusAnswer::Unfinished(progress)) = core.unfinished_status(&id, now_ms) {
+        if let Some(JobStatusAnswer::Unfinished(report)) = core.unfinished_status(&id, now_ms) {
             return match request {
-                UserRequest::Query => self.reply_to(number, id, Some(progress.phase), 200, asked),
+                UserRequest::Query => self.reply_to(number, id, Some(report.phase), 200, asked_at),
                 UserRequest::Withdrawal => match core.cancellation_cas(&id) {
-                    Some(cas) => self.send_cas(number, CasOrigin::User(id, request, asked), cas),
-                    None => self.reply_to(number, id, None, 503, asked),
+                    Some(cas) => self.send_cas(number, CasOrigin::User(id, request, asked_at), cas),
+                    None => self.reply_to(number, id, None, 503, asked_at),
                 },
             };
         }
@@ -171,7 +171,7 @@
             let answer = core.job_status(&id, now_ms);
             return self.answer_after_read(number, id, request, answer);
         }
-        self.reply_to(number, id, None, 404, asked);
+        self.reply_to(number, id, None, 404, asked_at);
     }
 
     /// Handles the result of a submission's or a withdrawal's compare-and-swap; an `outcome` of
@@ -181,11 +181,11 @@
         number: usize,
         id: JobId,
         request: UserRequest,
-        asked: u64,
+        asked_at: u64,
         cas: &CompareAndSwap,
         outcome: Option<CompareAndSwapOutcome>,
     ) {
-        let in_time = self.now < asked + USER_TIMEOUT_MS * US_PER_MS;
+        let in_time = self.now < asked_at + USER_TIMEOUT_MS * US_PER_MS;
         match (outcome, request) {
             (Some(CompareAndSwapOutcome::Committed(_)), UserRequest::Withdrawal) => {
                 // The end of the job is the answer to a later request.
@@ -211,7 +211,7 @@
             (Some(CompareAndSwapOutcome::Conflict(_)), _) => self.queue_query(number, id, request),
             (None, UserRequest::Withdrawal) if in_time => self.queue_query(number, id, request),
             (None, UserRequest::Query) if in_time => {
-                let origin = CasOrigin::User(id, request, asked);
+                let origin = CasOrigin::User(id, request, asked_at);
                 self.send_cas(number, origin, cas.clone());
             }
             _ => self.reply(number, id, None, 503),
@@ -228,21 +228,21 @@
         self.reply_to(controller, id, phase, status, self.now);
     }
 
-    /// Answers a request that reached the controller at `asked`.
+    /// Answers a request that reached the controller at `asked_at`.
     fn reply_to(
         &mut self,
         controller: usize,
         job: JobId,
         phase: Option<JobPhase>,
         status: u16,
-        asked: u64,
+        asked_at: u64,
     ) {
         let at = self.departure_time(controller) + self.network_delay();
         let reply = UserReply {
             job,
             phase,
             status,
-            asked,
+            asked_at,
         };
         self.schedule_at(at, Event::Reply(reply));
     }
--- a/crates/simulator/src/simulation/users.rs
+++ b/crates/simulator/src/simulation/users.rs
@@ -228,13 +228,13 @@
             job: id,
             phase,
             status,
-            asked,
+            asked_at,
         } = reply;
         let Some(user) = self.users.get(&id) else {
             let answer = UserAnswer {
                 phase,
                 accepted: false,
-                asked,
+                asked_at,
             };
             return self.workload.checker.check_user_answer(&id, answer, now);
         };
@@ -244,7 +244,7 @@
                 now / US_PER_MS
             ));
         }
-        let accepted_when_asked = user.accepted_at.is_some_and(|at| at <= asked);
+        let accepted_when_asked = user.accepted_at.is_some_and(|at| at <= asked_at);
         let (is_accepted, is_finished) = (user.accepted_at.is_some(), user.finished);
         let answers_poll = matches!(status, 200 | 404) && now <= user.last_poll + POLL_ANSWER_US;
         if poll_us > 0 && !is_finished && (!is_accepted && status < 300 || answers_poll) {
@@ -259,7 +259,7 @@
                 let answer = UserAnswer {
                     phase,
                     accepted: accepted_when_asked,
-                    asked,
+                    asked_at,
                 };
                 self.workload.checker.check_user_answer(&id, answer, now);
                 self.user_receives_phase(id, phase, poll_us);
--- a/crates/simulator/tests/invariants.rs
+++ b/crates/simulator/tests/invariants.rs
@@ -390,11 +390,11 @@
     }
 }
 
-fn answer(phase: Option<JobPhase>, accepted: bool, asked: u64) -> UserAnswer {
+fn answer(phase: Option<JobPhase>, accepted: bool, asked_at: u64) -> UserAnswer {
     UserAnswer {
         phase,
         accepted,
-        asked,
+        asked_at,
     }
 }
 
