--- a/crates/simulator/src/baseline.rs
+++ b/crates/simulator/src/baseline.rs
@@ -201,14 +201,14 @@
         match (event, kind) {
             (Event::JobArrives(job), BaselineKind::Central) => {
                 let spec = &self.load[job].job.spec;
-                self.history.note(self.now, "submit", &spec.id, &"");
+                self.history.record(self.now, "submit", &spec.id, &"");
                 self.waiting.insert((spec.priority, job), 0);
                 let at = self.now + self.network_delay();
                 self.schedule_placement(at);
             }
             (Event::JobArrives(job), BaselineKind::Sampler(d)) => {
                 self.history
-                    .note(self.now, "submit", &self.load[job].job.spec.id, &"");
+                    .record(self.now, "submit", &self.load[job].job.spec.id, &"");
                 (0..self.unfinished_tasks[job]).for_each(|task| self.send_to_sampled(job, task, d));
             }
             (Event::PlaceWaiting, _) => {
@@ -384,7 +384,7 @@
         self.launched.insert((job, task), self.now);
         self.running.insert((job, task), machine);
         let load = &self.load[job].job;
-        self.history.note(
+        self.history.record(
             self.now,
             "up",
             &format!("{}/{task}", load.spec.id),
@@ -407,7 +407,7 @@
         self.unfinished_tasks[job] -= 1;
         if self.unfinished_tasks[job] == 0 {
             self.history
-                .note(self.now, "ended", &self.load[job].job.spec.id, &"");
+                .record(self.now, "ended", &self.load[job].job.spec.id, &"");
             self.finished.insert(job, self.now);
         }
         match kind {
--- a/crates/simulator/src/history.rs
+++ b/crates/simulator/src/history.rs
@@ -22,7 +22,7 @@
 
     /// Appends a line: time in µs, event, what it happened to, and details. The digest covers
     /// the whole line.
-    pub fn note(&mut self, at_us: u64, event: &str, subject: &dyn Display, detail: &dyn Display) {
+    pub fn record(&mut self, at_us: u64, event: &str, subject: &dyn Display, detail: &dyn Display) {
         let line = format!("{at_us} {event} {subject} {detail}\n");
         self.lines += 1;
         self.hasher.update(line.as_bytes());
--- a/crates/simulator/src/simulation/cloud_service.rs
+++ b/crates/simulator/src/simulation/cloud_service.rs
@@ -69,7 +69,7 @@
         }
         self.workload
             .history
-            .note(self.now, "rented", &request.request_id, &names.len());
+            .record(self.now, "rented", &request.request_id, &names.len());
         self.cloud
             .bookings
             .insert(request.request_id.clone(), names.clone());
--- a/crates/simulator/src/simulation/controllers.rs
+++ b/crates/simulator/src/simulation/controllers.rs
@@ -22,7 +22,7 @@
         self.controllers[controller].stop();
         self.workload
             .history
-            .note(self.now, "controller ends", &controller, &"");
+            .record(self.now, "controller ends", &controller, &"");
         self.schedule_in(restart_us, Event::Boot(controller));
     }
 
@@ -42,7 +42,7 @@
         self.controllers[number].start(&scenario, number, now);
         self.workload
             .history
-            .note(now, "controller starts", &number, &"");
+            .record(now, "controller starts", &number, &"");
         let process = self.current_process(number);
         self.controllers[number].read_due = now;
         self.schedule_in(0, Event::ReadState(process));
--- a/crates/simulator/src/simulation/duplicates.rs
+++ b/crates/simulator/src/simulation/duplicates.rs
@@ -117,7 +117,7 @@
         self.duplicates_delivered += 1;
         self.workload
             .history
-            .note(self.now, "late copy", &heartbeat.machine, &to);
+            .record(self.now, "late copy", &heartbeat.machine, &to);
         let copy = SentHeartbeat {
             machine: NO_MACHINE,
             heartbeat,
--- a/crates/simulator/src/simulation/faults.rs
+++ b/crates/simulator/src/simulation/faults.rs
@@ -29,7 +29,7 @@
         let fault = &scenario.faults[i];
         self.workload
             .history
-            .note(self.now, "trouble", &fault.kind, &"");
+            .record(self.now, "trouble", &fault.kind, &"");
         if fault.kind == FaultKind::RollingRestart {
             return self.begin_rolling_restart(i, micros(fault.for_s));
         }
--- a/crates/simulator/src/simulation/store_service.rs
+++ b/crates/simulator/src/simulation/store_service.rs
@@ -263,7 +263,7 @@
             {
                 self.workload
                     .history
-                    .note(self.now, "ended", &id, &revision);
+                    .record(self.now, "ended", &id, &revision);
                 self.metrics.job_ended(&id, self.now);
             }
         }
--- a/crates/simulator/src/simulation/users.rs
+++ b/crates/simulator/src/simulation/users.rs
@@ -124,7 +124,7 @@
             .collect();
         self.workload
             .history
-            .note(self.now, "submit", id, &dependencies.join(" "));
+            .record(self.now, "submit", id, &dependencies.join(" "));
         if !self.unschedulable.contains(id) {
             self.metrics.job_submitted();
         }
@@ -276,7 +276,7 @@
         };
         user.accepted_at = Some(now);
         let first_submitted = user.first_submitted;
-        self.workload.history.note(now, "accepted", &id, &"");
+        self.workload.history.record(now, "accepted", &id, &"");
         let spec = self.workload.jobs.get(&id).map(|job| job.spec.clone());
         self.metrics
             .job_accepted(&id, first_submitted, now, spec.as_deref());
@@ -312,7 +312,7 @@
             self.workload.checker.no_longer_awaited(&id);
             self.workload
                 .history
-                .note(now, "told over", &id, &format!("{phase:?}"));
+                .record(now, "told over", &id, &format!("{phase:?}"));
             if phase == Some(JobPhase::Withdrawn) {
                 self.workload.checker.withdrawn(&id, now);
             }
--- a/crates/simulator/src/simulation/workers.rs
+++ b/crates/simulator/src/simulation/workers.rs
@@ -223,7 +223,7 @@
             worker.kill_all(now, &mut self.workload);
             self.workload
                 .history
-                .note(now, "machine gone", &worker.id, &"");
+                .record(now, "machine gone", &worker.id, &"");
             self.cloud.remove(number, now);
             self.dispatch_gang_signals();
         }
--- a/crates/simulator/src/worker.rs
+++ b/crates/simulator/src/worker.rs
@@ -236,7 +236,7 @@
 
     /// Kills all tasks and starts a new session.
     fn expire_lease(&mut self, at: u64, workload: &mut WorkloadState) {
-        workload.history.note(at, "lease over", &self.id, &"");
+        workload.history.record(at, "lease over", &self.id, &"");
         workload.killed_by_lease += self.live_task_count() as u64;
         self.kill_all(at, workload);
         self.session += 1;
@@ -249,7 +249,7 @@
     pub fn restart(&mut self, now: u64, workload: &mut WorkloadState) {
         self.advance(now, workload);
         self.kill_all(now, workload);
-        workload.history.note(now, "reborn", &self.id, &"");
+        workload.history.record(now, "reborn", &self.id, &"");
         (self.session, self.sequence) = (1, 0);
         (self.fencing_token, self.token_raised_at) = (0, 0);
         (self.lease_start, self.next_heartbeat, self.started_at) = (now, now, now);
--- a/crates/simulator/src/worker/tasks.rs
+++ b/crates/simulator/src/worker/tasks.rs
@@ -106,7 +106,7 @@
             need,
         };
         if let Some(refusal) = refusal {
-            workload.history.note(now, refusal, &id, &self.id);
+            workload.history.record(now, refusal, &id, &self.id);
             self.tasks.insert(id, task);
             return;
         }
@@ -184,7 +184,7 @@
             spot: self.spot,
         };
         workload.checker.started(&id.job, id.task, placement, now);
-        workload.history.note(now, "up", id, &self.id);
+        workload.history.record(now, "up", id, &self.id);
         workload.task_started.entry(key.clone()).or_insert(now);
         self.changed = true;
         let completed = workload.completed_tasks.contains(&key);
@@ -381,7 +381,7 @@
                 }
             }
         }
-        workload.history.note(now, end.cause(), id, &self.id);
+        workload.history.record(now, end.cause(), id, &self.id);
     }
 
     /// Records what remains of a task that ends without saving: the progress up to its last
