--- a/crates/simulator/src/run_report.rs
+++ b/crates/simulator/src/run_report.rs
@@ -215,7 +215,11 @@
             .begun
             .get(*id)
             .is_some_and(|at| *at <= limit);
-        !begun && limit <= simulation.now && simulation.withdrawal(id).is_none_or(|at| at > limit)
+        !begun
+            && limit <= simulation.now
+            && simulation
+                .planned_withdrawal(id)
+                .is_none_or(|at| at > limit)
     };
     let describe = |id: &JobId| {
         let spec = &simulation.workload.jobs[id].spec;
@@ -267,7 +271,8 @@
 /// every service ends.
 fn is_cancelled(simulation: &Simulation, id: &JobId, job: &SimulatedJob) -> bool {
     job.spec.kind != JobKind::Service
-        && (simulation.withdrawal(id).is_some() || simulation.workload.checker.is_cancelled(id))
+        && (simulation.planned_withdrawal(id).is_some()
+            || simulation.workload.checker.is_cancelled(id))
 }
 
 /// True if a job was submitted so recently that it may still wait.
--- a/crates/simulator/src/simulation.rs
+++ b/crates/simulator/src/simulation.rs
@@ -227,12 +227,12 @@
     }
 
     /// When a job's user plans to withdraw it, µs; `None`: never.
-    pub fn withdrawal(&self, id: &JobId) -> Option<u64> {
+    pub fn planned_withdrawal(&self, id: &JobId) -> Option<u64> {
         self.planned.get(id).and_then(|planned| planned.withdraw_us)
     }
 
     /// The final phase of a job according to the store; `None` if it has not ended.
-    pub fn phase(&self, id: &JobId) -> Option<JobPhase> {
+    pub fn final_phase(&self, id: &JobId) -> Option<JobPhase> {
         self.store
             .get(&end_key(id))
             .and_then(|(value, _)| from_value::<JobEndRecord>(value))
--- a/crates/simulator/src/simulation/starvation.rs
+++ b/crates/simulator/src/simulation/starvation.rs
@@ -96,12 +96,12 @@
                 .spec
                 .depends_on
                 .iter()
-                .all(|dependency| self.phase(dependency) == Some(JobPhase::Done));
+                .all(|dependency| self.final_phase(dependency) == Some(JobPhase::Done));
             let unfinished = dependencies_done
                 && user.accepted_at.is_some()
                 && user.withdrawal_requested.is_none()
                 && !user.finished
-                && self.phase(id).is_none();
+                && self.final_phase(id).is_none();
             let on_machines = live.get(id).copied().unwrap_or(0) as u64;
             if unfinished && on_machines + self.workload.completed_tasks(id) < job.spec.tasks {
                 waiting.push(id.clone());
--- a/crates/simulator/tests/gang_admission.rs
+++ b/crates/simulator/tests/gang_admission.rs
@@ -230,7 +230,7 @@
             simulation.crash(controller, back_ms * 1_000);
         }
         let done = watch.run(&mut simulation, 130_000, |simulation, watch| {
-            simulation.phase(&watch.id) == Some(JobPhase::Done)
+            simulation.final_phase(&watch.id) == Some(JobPhase::Done)
         });
         assert!(done, "{what}: {:?}", watch.steps);
         assert_no_violation(&simulation, &what);
@@ -255,7 +255,7 @@
                 ) = (until, until);
             }
             let done = watch.run(&mut simulation, 200_000, |simulation, watch| {
-                simulation.phase(&watch.id) == Some(JobPhase::Done)
+                simulation.final_phase(&watch.id) == Some(JobPhase::Done)
             });
             assert!(done, "{what}: {:?}", watch.steps);
             assert_no_violation(&simulation, &what);
@@ -270,7 +270,7 @@
         let (mut simulation, mut watch) = simulation_at_step(at, 31);
         simulation.withdraw(&watch.id);
         let gone = watch.run(&mut simulation, 40_000, |simulation, watch| {
-            simulation.phase(&watch.id) == Some(JobPhase::Withdrawn)
+            simulation.final_phase(&watch.id) == Some(JobPhase::Withdrawn)
         });
         assert!(gone, "{at:?}");
         assert_no_violation(&simulation, &format!("{at:?}"));
--- a/crates/simulator/tests/injected_faults.rs
+++ b/crates/simulator/tests/injected_faults.rs
@@ -191,7 +191,7 @@
         simulation.run(100);
         let ms = simulation.now / 1_000 - 61_000;
         first_seen.0 = first_seen.0.or(marked(&simulation).then_some(ms));
-        first_seen.1 = first_seen.1.or(simulation.phase(&job).map(|_| ms));
+        first_seen.1 = first_seen.1.or(simulation.final_phase(&job).map(|_| ms));
     }
     assert!(
         simulation.workload.checker.violations.is_empty(),
--- a/crates/simulator/tests/invariants.rs
+++ b/crates/simulator/tests/invariants.rs
@@ -112,7 +112,7 @@
     while left > 0
         && must
             .iter()
-            .any(|j| simulation.phase(j) != Some(JobPhase::Done))
+            .any(|j| simulation.final_phase(j) != Some(JobPhase::Done))
     {
         simulation.run(5_000);
         left = left.saturating_sub(5_000);
@@ -121,7 +121,7 @@
     assert_no_violation(simulation);
     let open: Vec<&JobId> = must
         .iter()
-        .filter(|j| simulation.phase(j) != Some(JobPhase::Done))
+        .filter(|j| simulation.final_phase(j) != Some(JobPhase::Done))
         .collect();
     assert!(open.is_empty(), "not done: {open:?}");
     assert!(simulation.workload.checker.starts > 20);
@@ -526,7 +526,7 @@
         "the replica has preempted a batch task"
     );
     simulation.run(400_000);
-    assert_eq!(simulation.phase(&id(1)), Some(JobPhase::Done));
+    assert_eq!(simulation.final_phase(&id(1)), Some(JobPhase::Done));
     assert_no_violation(&simulation);
 }
 
@@ -565,8 +565,8 @@
         "{} starts for 8 tasks",
         simulation.workload.checker.starts
     );
-    assert_eq!(simulation.phase(&id(1)), Some(JobPhase::Done));
-    assert_eq!(simulation.phase(&id(2)), Some(JobPhase::Done));
+    assert_eq!(simulation.final_phase(&id(1)), Some(JobPhase::Done));
+    assert_eq!(simulation.final_phase(&id(2)), Some(JobPhase::Done));
 }
 
 // ---- withdrawals and store outages ---------------------------------------------------
@@ -601,14 +601,14 @@
         "they keep running: the leader behind the partition does not know of the withdrawal"
     );
     assert_eq!(
-        simulation.phase(&id(1)),
+        simulation.final_phase(&id(1)),
         None,
         "the withdrawal is not confirmed yet"
     );
     simulation.links_down.clear();
     simulation.run(20_000);
     assert_eq!(live(&simulation), 0);
-    assert_eq!(simulation.phase(&id(1)), Some(JobPhase::Withdrawn));
+    assert_eq!(simulation.final_phase(&id(1)), Some(JobPhase::Withdrawn));
     assert_no_violation(&simulation);
 }
 
--- a/crates/simulator/tests/partitions.rs
+++ b/crates/simulator/tests/partitions.rs
@@ -162,7 +162,7 @@
     simulation.run(cut.length_s * 1_000 - 3_000);
     let killed = simulation.workload.killed_by_lease;
     let (array_done, still_leads) = (
-        simulation.phase(&id(2)) == Some(JobPhase::Done),
+        simulation.final_phase(&id(2)) == Some(JobPhase::Done),
         simulation.controllers[0].leads(0),
     );
     simulation.links_down.clear();
@@ -190,7 +190,7 @@
             live(&simulation)
         ));
     }
-    if simulation.phase(&id(2)) != Some(JobPhase::Done) {
+    if simulation.final_phase(&id(2)) != Some(JobPhase::Done) {
         faults.push("the array is not done after the partition".into());
     }
     (!faults.is_empty()).then(|| format!("{cut:?}: {faults:?}"))
@@ -386,12 +386,12 @@
         simulation.run(150_000);
         let mut faults = simulation.workload.checker.violations.clone();
         let open: Vec<u32> = (11..15)
-            .filter(|n| simulation.phase(&id(*n)) != Some(JobPhase::Done))
+            .filter(|n| simulation.final_phase(&id(*n)) != Some(JobPhase::Done))
             .collect();
-        if !open.is_empty() || simulation.phase(&id(10)).is_none() {
+        if !open.is_empty() || simulation.final_phase(&id(10)).is_none() {
             faults.push(format!(
                 "not done: {open:?}, phase of the withdrawn job {:?}",
-                simulation.phase(&id(10))
+                simulation.final_phase(&id(10))
             ));
         }
         if live(&simulation) < REPLICAS {
--- a/crates/simulator/tests/resilience.rs
+++ b/crates/simulator/tests/resilience.rs
@@ -71,7 +71,7 @@
 /// Those of the jobs that are not done.
 fn unfinished(simulation: &Simulation, jobs: impl IntoIterator<Item = u32>) -> Vec<u32> {
     jobs.into_iter()
-        .filter(|n| simulation.phase(&id(*n)) != Some(JobPhase::Done))
+        .filter(|n| simulation.final_phase(&id(*n)) != Some(JobPhase::Done))
         .collect()
 }
 
@@ -227,7 +227,7 @@
         );
         for n in &broken {
             assert_eq!(
-                simulation.phase(&id(*n)),
+                simulation.final_phase(&id(*n)),
                 Some(JobPhase::Withdrawn),
                 "job {n}"
             );
@@ -267,7 +267,7 @@
         provisioned_machines(&simulation)
     );
     simulation.run(120_000);
-    assert_eq!(simulation.phase(&id(50)), Some(JobPhase::Withdrawn));
+    assert_eq!(simulation.final_phase(&id(50)), Some(JobPhase::Withdrawn));
     assert_no_violation(&simulation, "a broken array");
 }
 
@@ -290,7 +290,7 @@
     }
     simulation.run(200_000);
     assert_eq!(unfinished(&simulation, 1..20), [0; 0]);
-    assert_eq!(simulation.phase(&id(0)), Some(JobPhase::Withdrawn));
+    assert_eq!(simulation.final_phase(&id(0)), Some(JobPhase::Withdrawn));
     assert_no_violation(&simulation, "a broken gang");
 }
 
@@ -500,7 +500,7 @@
             simulation.run(250_000);
             assert_eq!(unfinished(&simulation, 0..6), [0; 0], "{what}");
             assert_eq!(
-                simulation.phase(&id(9)),
+                simulation.final_phase(&id(9)),
                 Some(JobPhase::Withdrawn),
                 "{what}"
             );
