--- a/crates/simulator/src/load_generator.rs
+++ b/crates/simulator/src/load_generator.rs
@@ -163,9 +163,9 @@
         kind: class.shape,
         priority: class.priority,
         tasks,
-        cpus: class.need.cpus,
-        gpus: class.need.gpus,
-        memory_gb: class.need.memory_gb,
+        cpus: class.task_resources.cpus,
+        gpus: class.task_resources.gpus,
+        memory_gb: class.task_resources.memory_gb,
         machine_types: None,
         zone: class.zone.clone(),
         same_zone: class.one_zone,
@@ -181,7 +181,7 @@
     };
     // Draws only if the class has broken jobs: the random sequence of other classes must not
     // depend on this feature.
-    let broken = class.broken > 0.0 && rng.random::<f64>() < class.broken;
+    let broken = class.failing_share > 0.0 && rng.random::<f64>() < class.failing_share;
     let withdraw_us = draw_withdrawal(class, at_us, mean_run_s, broken, rng);
     PlannedSubmission {
         at_us,
@@ -215,7 +215,7 @@
     rng: &mut ChaCha8Rng,
 ) -> Option<u64> {
     let withdraw_us = broken.then(|| at_us + micros(rng.random_range(BROKEN_JOB_WITHDRAWAL_S)));
-    let cancelled = class.cancelled > 0.0 && rng.random::<f64>() < class.cancelled;
+    let cancelled = class.cancelled_share > 0.0 && rng.random::<f64>() < class.cancelled_share;
     let withdraw_us = withdraw_us.or_else(|| {
         cancelled
             .then(|| at_us + (mean_run_s * 1e6 * rng.random_range(CANCELLATION_TIME_SHARE)) as u64)
--- a/crates/simulator/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -42,7 +42,7 @@
 
 /// Resource request of one task.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct TaskNeed {
+pub struct TaskResources {
     /// Processors.
     pub cpus: f64,
     /// Accelerators.
@@ -65,7 +65,7 @@
     /// Number of tasks of a job.
     pub tasks: ValueDistribution,
     /// Resource request of a task.
-    pub need: TaskNeed,
+    pub task_resources: TaskResources,
     /// Run time of a task, s; for a service, the time until it is withdrawn.
     pub run_s: ValueDistribution,
     /// Error `x` of the user's estimate, which is drawn between 1/(1+x) and 1+x times the
@@ -94,13 +94,13 @@
     /// Seconds within which its tasks should start; 0: no objective.
     pub start_within_s: f64,
     /// Share of its jobs whose tasks fail on every machine until the job is withdrawn.
-    pub broken: f64,
+    pub failing_share: f64,
     /// Classes that it depends on: job `n` depends on job `n` of each of them.
     pub dependencies: Vec<String>,
     /// Delay from the submission of a job's last dependency to its own, s.
     pub dependency_delay_s: ValueDistribution,
     /// Share of its jobs that are withdrawn while they wait or run.
-    pub cancelled: f64,
+    pub cancelled_share: f64,
 }
 
 /// Probabilities of faults of single messages, in thousandths.
@@ -228,7 +228,7 @@
     }
 
     /// Time at which the last effect of any fault is over, s.
-    pub fn faults_over_s(&self) -> f64 {
+    pub fn fault_effects_end_s(&self) -> f64 {
         self.faults
             .iter()
             .map(|fault| fault.effects_end_s(self.controllers))
@@ -244,7 +244,7 @@
     }
 
     /// Zone of a controller.
-    pub fn zone_of(&self, controller: usize) -> &str {
+    pub fn controller_zone(&self, controller: usize) -> &str {
         &self.zones[controller % self.zones.len()]
     }
 
@@ -255,7 +255,7 @@
         };
         let seed = |i: usize| SeedController {
             host_name: host_name(i),
-            zone: self.zone_of(i).to_owned(),
+            zone: self.controller_zone(i).to_owned(),
             address: address(i, 81),
         };
         let with_objective = self
@@ -269,7 +269,7 @@
         };
         Settings {
             host_name: host_name(controller),
-            zone: self.zone_of(controller).to_owned(),
+            zone: self.controller_zone(controller).to_owned(),
             listen_addr: address(controller, 80),
             internal_addr: address(controller, 81),
             seed_controllers: (0..usize::from(self.controllers))
--- a/crates/simulator/src/scenario/reader.rs
+++ b/crates/simulator/src/scenario/reader.rs
@@ -12,7 +12,7 @@
 use super::fault_reader::read_fault;
 use super::{
     JobClass, MachineCapacity, MachineKind, MessageFaults, NetworkLatency, ProcessingCosts,
-    Scenario, TaskNeed, ValueDistribution,
+    Scenario, TaskResources, ValueDistribution,
 };
 use crate::toml_section::TomlSection;
 
@@ -237,7 +237,7 @@
         ("low", Priority::Low),
     ];
     let teams = read_class_teams(table, scenario);
-    let need = read_task_need(table, scenario);
+    let task_resources = read_task_resources(table, scenario);
     JobClass {
         name: table.string("name", None),
         teams,
@@ -248,7 +248,7 @@
             .one_of("priority", &priorities, Some(Priority::Normal))
             .unwrap_or(Priority::Normal),
         tasks: ValueDistribution::read(table, "tasks", Some(1.0)),
-        need,
+        task_resources,
         run_s: ValueDistribution::read(table, "run_s", None),
         estimate_error: table.number("estimate_off", 0.0, 10.0, Some(0.5)),
         images: table.integer("images", 1, 100_000, Some(1)) as u32,
@@ -262,10 +262,10 @@
         checkpoint_s: table.number("checkpoint_s", 0.0, 1e6, Some(0.0)),
         save_s: table.number("save_s", 0.0, 1e6, Some(0.0)),
         start_within_s: table.number("start_within_s", 0.0, 1e6, Some(0.0)),
-        broken: table.number("broken", 0.0, 1.0, Some(0.0)),
+        failing_share: table.number("broken", 0.0, 1.0, Some(0.0)),
         dependencies: table.strings("awaits"),
         dependency_delay_s: ValueDistribution::read(table, "later_s", Some(0.0)),
-        cancelled: table.number("cancelled", 0.0, 1.0, Some(0.0)),
+        cancelled_share: table.number("cancelled", 0.0, 1.0, Some(0.0)),
     }
 }
 
@@ -289,8 +289,8 @@
     }
 }
 
-fn read_task_need(table: &TomlSection<'_>, scenario: &Scenario) -> TaskNeed {
-    let need = TaskNeed {
+fn read_task_resources(table: &TomlSection<'_>, scenario: &Scenario) -> TaskResources {
+    let need = TaskResources {
         cpus: table.number("cpus", 0.0, 1e6, None),
         gpus: table.number("gpus", 0.0, 1e4, Some(0.0)),
         memory_gb: table.number("memory_gb", 0.0, 1e7, Some(0.0)),
--- a/crates/simulator/src/simulation/inspection.rs
+++ b/crates/simulator/src/simulation/inspection.rs
@@ -26,7 +26,7 @@
     /// True while a fault is active or its consequences may continue.
     fn fault_active(&self) -> bool {
         let now = self.now;
-        now < micros(self.scenario.faults_over_s())
+        now < micros(self.scenario.fault_effects_end_s())
             || self.store.down
             || self.cloud.down
             || !self.links_down.is_empty()
--- a/crates/simulator/src/simulation/lease_keeping.rs
+++ b/crates/simulator/src/simulation/lease_keeping.rs
@@ -126,7 +126,7 @@
     ) -> CompareAndSwap {
         register_controller(
             &host_name(controller),
-            self.scenario.zone_of(controller),
+            self.scenario.controller_zone(controller),
             store_lease,
             ceded,
         )
--- a/crates/simulator/src/simulation/routes.rs
+++ b/crates/simulator/src/simulation/routes.rs
@@ -141,7 +141,10 @@
     pub(super) fn controllers_partitioned(&self, a: usize, b: usize) -> bool {
         self.links_down.contains(&Link::OneWay(a, b))
             || self.links_down.contains(&Link::between(a, b))
-            || self.zones_partitioned(self.scenario.zone_of(a), self.scenario.zone_of(b))
+            || self.zones_partitioned(
+                self.scenario.controller_zone(a),
+                self.scenario.controller_zone(b),
+            )
     }
 
     /// True if a partition separates two zones.
@@ -152,7 +155,7 @@
     /// True if a controller's zone is partitioned: it reaches neither services nor users.
     pub(super) fn controller_partitioned(&self, controller: usize) -> bool {
         self.partitioned_zones
-            .contains(self.scenario.zone_of(controller))
+            .contains(self.scenario.controller_zone(controller))
     }
 
     /// True if a controller and a machine can't reach each other.
@@ -160,7 +163,7 @@
         let zone = self.worker(number).map(|worker| worker.zone.as_str());
         self.links_down.contains(&Link::Workers(controller))
             || zone.is_some_and(|zone| {
-                self.zones_partitioned(self.scenario.zone_of(controller), zone)
+                self.zones_partitioned(self.scenario.controller_zone(controller), zone)
                     || self
                         .links_down
                         .contains(&Link::WorkersInZone(controller, zone.to_owned()))
--- a/crates/simulator/tests/concurrent_faults.rs
+++ b/crates/simulator/tests/concurrent_faults.rs
@@ -67,7 +67,7 @@
     if !matches!(first.kind, FaultKind::Crash { .. }) {
         first.for_s += offset;
     }
-    shifted.duration_s = shifted.faults_over_s() + TAIL_S;
+    shifted.duration_s = shifted.fault_effects_end_s() + TAIL_S;
     shifted
 }
 
--- a/crates/simulator/tests/fleet_limits.rs
+++ b/crates/simulator/tests/fleet_limits.rs
@@ -25,7 +25,7 @@
         .replace("at_s = 120\nfor_s = 30", "at_s = 45\nfor_s = 15")
         .replace("at_s = 220\nfor_s = 10", "at_s = 70\nfor_s = 5");
     let scenario = Scenario::parse("four-thousand.toml", &text).expect("no fault");
-    assert!(scenario.faults_over_s() < 95.0, "all faults occur");
+    assert!(scenario.fault_effects_end_s() < 95.0, "all faults occur");
     assert_eq!(scenario.faults.len(), 6);
     let outcome = run::run_once(
         Arc::new(scenario),
--- a/crates/simulator/tests/quota_limits.rs
+++ b/crates/simulator/tests/quota_limits.rs
@@ -16,7 +16,7 @@
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/scenarios/quota.toml");
     let text = std::fs::read_to_string(path).expect("readable");
     let scenario = Scenario::parse("quota.toml", &text).expect("no fault");
-    assert!(scenario.faults_over_s() < scenario.duration_s);
+    assert!(scenario.fault_effects_end_s() < scenario.duration_s);
     Arc::new(scenario)
 }
 
