--- a/crates/simulator/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -16,7 +16,7 @@
 use toml::de::DeTable;
 
 pub use distribution::ValueDistribution;
-pub use fault::{Fault, FaultKind, LATE_WRITES, Link, SecondsRange};
+pub use fault::{Fault, FaultKind, LATE_WRITE_DELAY, Link, SecondsRange};
 
 use crate::toml_section::{ParseErrors, TomlSection};
 
--- a/crates/simulator/src/scenario/fault.rs
+++ b/crates/simulator/src/scenario/fault.rs
@@ -3,7 +3,7 @@
 use std::ops::RangeInclusive;
 
 /// Delay with which the store executes a write that it does not answer.
-pub const LATE_WRITES: SecondsRange = SecondsRange {
+pub const LATE_WRITE_DELAY: SecondsRange = SecondsRange {
     low: 2.0,
     high: 12.0,
 };
@@ -75,13 +75,13 @@
         seconds: SecondsRange,
         /// Only some copies arrive: they are retained until a shard has a new leader, and
         /// reach every controller with this delay after that.
-        for_next: bool,
+        retained: bool,
     },
     /// The fault's share of all writes to the state service gets no answer.
     LateWrites {
         /// Whether these writes are executed at once; otherwise they are executed after a
         /// delay, possibly after newer ones.
-        at_once: bool,
+        execute_immediately: bool,
     },
     /// Messages from machines reach no controller, while direct commands reach the machines.
     OutboundLoss {
@@ -198,7 +198,7 @@
     /// the share of new machines that never boot.
     pub share: f64,
     /// Interval at which a link goes down and up again, s; 0: the link stays down.
-    pub flap_s: f64,
+    pub flap_interval_s: f64,
 }
 
 impl Fault {
@@ -210,7 +210,9 @@
             FaultKind::DelayedDuplicates { seconds, .. }
             | FaultKind::StoreSlow { seconds }
             | FaultKind::DelayedCommands { seconds } => seconds.high,
-            FaultKind::LateWrites { at_once: false } => LATE_WRITES.high,
+            FaultKind::LateWrites {
+                execute_immediately: false,
+            } => LATE_WRITE_DELAY.high,
             FaultKind::CancelBurst { hang_s, .. } => hang_s,
             FaultKind::SpotReclaim { notice_s } => MAX_RECLAIM_NOTICE_FACTOR * notice_s,
             _ => 0.0,
--- a/crates/simulator/src/scenario/fault_history.rs
+++ b/crates/simulator/src/scenario/fault_history.rs
@@ -41,14 +41,16 @@
                 .field("answers", answers)
                 .field("commands", commands)
                 .finish(),
-            Self::DelayedDuplicates { seconds, for_next } => f
+            Self::DelayedDuplicates { seconds, retained } => f
                 .debug_struct("LateCopies")
                 .field("seconds", &HistoryFormat(seconds))
-                .field("for_next", for_next)
+                .field("for_next", retained)
                 .finish(),
-            Self::LateWrites { at_once } => f
+            Self::LateWrites {
+                execute_immediately,
+            } => f
                 .debug_struct("LateWrites")
-                .field("at_once", at_once)
+                .field("at_once", execute_immediately)
                 .finish(),
             Self::OutboundLoss { zone } => f.debug_struct("Mute").field("zone", zone).finish(),
             Self::QueryBursts => f.write_str("CloseLooks"),
--- a/crates/simulator/src/scenario/fault_reader.rs
+++ b/crates/simulator/src/scenario/fault_reader.rs
@@ -77,7 +77,7 @@
         at_s,
         for_s,
         share: table.number("share", 0.0, 1.0, Some(default_share)),
-        flap_s: table.number("flap_s", 0.0, 1e6, Some(0.0)),
+        flap_interval_s: table.number("flap_s", 0.0, 1e6, Some(0.0)),
     })
 }
 
@@ -113,10 +113,10 @@
             },
             "deaf" => read_inbound_loss(table, scenario),
             "late_copies" => {
-                let for_next = table.boolean("for_next", false);
+                let retained = table.boolean("for_next", false);
                 FaultKind::DelayedDuplicates {
-                    seconds: read_seconds(table, for_next.then_some(DEFAULT_RETAINED_COPY_DELAY)),
-                    for_next,
+                    seconds: read_seconds(table, retained.then_some(DEFAULT_RETAINED_COPY_DELAY)),
+                    retained,
                 }
             }
             "alone" => FaultKind::ControllerIsolated {
@@ -124,7 +124,7 @@
             },
             "reborn" => FaultKind::MachineRestart,
             "late_writes" => FaultKind::LateWrites {
-                at_once: table.boolean("at_once", false),
+                execute_immediately: table.boolean("at_once", false),
             },
             "mute" => FaultKind::OutboundLoss { zone: zone() },
             "close_looks" => FaultKind::QueryBursts,
--- a/crates/simulator/src/simulation/duplicates.rs
+++ b/crates/simulator/src/simulation/duplicates.rs
@@ -35,15 +35,15 @@
     /// Delivers the retained copies of heartbeats to every controller. Called when a shard has a
     /// new leader.
     pub(super) fn deliver_retained_heartbeats(&mut self) {
-        let delay_for_next = |kind: &FaultKind| match kind {
+        let retained_copy_delay = |kind: &FaultKind| match kind {
             FaultKind::DelayedDuplicates {
                 seconds,
-                for_next: true,
+                retained: true,
             } => Some(seconds.micros()),
             _ => None,
         };
         let mut kinds = self.scenario.faults.iter().map(|fault| &fault.kind);
-        let Some(delays) = kinds.find_map(delay_for_next) else {
+        let Some(delays) = kinds.find_map(retained_copy_delay) else {
             return;
         };
         for heartbeat in std::mem::take(&mut self.retained_heartbeats) {
@@ -69,14 +69,14 @@
     ) {
         if self
             .faults_on(machine)
-            .any(|kind| matches!(kind, FaultKind::DelayedDuplicates { for_next: true, .. }))
+            .any(|kind| matches!(kind, FaultKind::DelayedDuplicates { retained: true, .. }))
         {
             self.retain_heartbeat(heartbeat);
         }
         let delay = |kind: &FaultKind| match kind {
             FaultKind::DelayedDuplicates {
                 seconds,
-                for_next: false,
+                retained: false,
             } => Some(seconds.micros()),
             _ => None,
         };
--- a/crates/simulator/src/simulation/faults.rs
+++ b/crates/simulator/src/simulation/faults.rs
@@ -110,7 +110,7 @@
 
     fn take_link_down(&mut self, link: &Link, fault: &Fault) {
         self.links_down.insert(link.clone());
-        let (for_us, flap_us) = (micros(fault.for_s), micros(fault.flap_s));
+        let (for_us, flap_us) = (micros(fault.for_s), micros(fault.flap_interval_s));
         for n in (1..).take_while(|n| flap_us > 0 && n * flap_us < for_us) {
             let change = if n % 2 == 0 {
                 Event::LinkDown(link.clone())
--- a/crates/simulator/src/simulation/store_service.rs
+++ b/crates/simulator/src/simulation/store_service.rs
@@ -17,7 +17,7 @@
 use super::state_reads::read_watched_keys;
 use crate::clock::US_PER_MS;
 use crate::controller::{CasOrigin, Input, ProcessId, StateRead};
-use crate::scenario::{FaultKind, LATE_WRITES};
+use crate::scenario::{FaultKind, LATE_WRITE_DELAY};
 use crate::store::CasAnswer;
 
 /// µs for which a controller waits for an answer of the store.
@@ -142,11 +142,11 @@
                     delays.execution_us += execution_us;
                     delays.answer_us = delays.answer_us.map(|us| us + total_us - execution_us);
                 }
-                FaultKind::LateWrites { at_once }
-                    if request.writes() > 0 && self.rng.random::<f64>() < fault.share =>
-                {
-                    if !at_once {
-                        delays.execution_us += self.rng.random_range(LATE_WRITES.micros());
+                FaultKind::LateWrites {
+                    execute_immediately,
+                } if request.writes() > 0 && self.rng.random::<f64>() < fault.share => {
+                    if !execute_immediately {
+                        delays.execution_us += self.rng.random_range(LATE_WRITE_DELAY.micros());
                     }
                     delays.answer_us = None;
                     self.late_writes += 1;
