--- a/crates/simulator/src/sweep.rs
+++ b/crates/simulator/src/sweep.rs
@@ -128,7 +128,7 @@
 
 /// The mean, and half the width of its 95 % confidence interval; infinite for fewer than two
 /// values.
-pub fn confidence(values: &[f64]) -> (f64, f64) {
+pub fn mean_and_margin(values: &[f64]) -> (f64, f64) {
     let n = values.len() as f64;
     let mean = values.iter().sum::<f64>() / n.max(1.0);
     if values.len() < 2 {
@@ -150,7 +150,7 @@
         .map(|(name, _)| name)
         .collect();
     for name in names {
-        let (mean, half) = confidence(&column(&rows, name));
+        let (mean, half) = mean_and_margin(&column(&rows, name));
         let _ = writeln!(out, "  {name:<32} {mean:>14.3} ± {half:.3}");
     }
     out
@@ -185,8 +185,11 @@
             continue;
         }
         let differences: Vec<f64> = x.iter().zip(&y).map(|(x, y)| y - x).collect();
-        let ((ma, _), (mb, _), (diff, half)) =
-            (confidence(&x), confidence(&y), confidence(&differences));
+        let ((ma, _), (mb, _), (diff, half)) = (
+            mean_and_margin(&x),
+            mean_and_margin(&y),
+            mean_and_margin(&differences),
+        );
         let sure = if diff.abs() >= half {
             ""
         } else {
--- a/crates/simulator/tests/replay.rs
+++ b/crates/simulator/tests/replay.rs
@@ -160,13 +160,13 @@
 /// deviation 1.5811, and t at 4 degrees of freedom is 2.7764.
 #[test]
 fn confidence_interval_uses_students_t() {
-    let (mean, half_width) = sweep::confidence(&[1.0, 2.0, 3.0, 4.0, 5.0]);
+    let (mean, half_width) = sweep::mean_and_margin(&[1.0, 2.0, 3.0, 4.0, 5.0]);
     assert!(
         (mean - 3.0).abs() < 1e-12 && (half_width - 1.9632).abs() < 1e-3,
         "{mean} {half_width}"
     );
     assert!(
-        sweep::confidence(&[7.0]).1.is_infinite(),
+        sweep::mean_and_margin(&[7.0]).1.is_infinite(),
         "one run gives no estimate of the variance"
     );
 }
