--- a/crates/coordination/src/owner/last_copies.rs
+++ b/crates/coordination/src/owner/last_copies.rs
@@ -92,7 +92,7 @@
             else {
                 continue;
             };
-            info!(machine = %id, released_instead = %other, shard = self.shard, "kept machine with the last copy of an image");
+            info!(machine = %id, released_instead = %other, shard = self.shard, "machine kept for the last copy of an image");
             self.scale_in_candidates.remove(&id);
             self.scale_in_candidates.insert(other.clone());
             for (id, scale_in_pending, idle_since) in [(id, false, since), (other, true, since)] {
--- a/crates/storage/src/state_cache.rs
+++ b/crates/storage/src/state_cache.rs
@@ -143,7 +143,7 @@
             FollowedKey::StoreMessage(rest) => self.set_message(rest, value),
         });
         if applied.is_none() {
-            tracing::error!(key, "malformed record or unknown key ignored");
+            tracing::error!(key, "record not understood");
         }
     }
 
