--- a/crates/simulator/src/scenario/fault.rs
+++ b/crates/simulator/src/scenario/fault.rs
@@ -52,8 +52,8 @@
         /// The only affected zone; `None`: all zones.
         zone: Option<String>,
     },
-    /// Users poll more often, and also for jobs that do not exist: one such poll for every
-    /// three polls of real jobs on average.
+    /// Users poll more often. With a probability of 1/3, a poll of a real job comes with one
+    /// more poll for a job that does not exist.
     PollLoad {
         /// Factor on the polling rate.
         factor: f64,
