--- a/crates/simulator/src/invariants/answers.rs
+++ b/crates/simulator/src/invariants/answers.rs
@@ -25,21 +25,21 @@
     /// True if the acceptance of the job was confirmed to the user before the request.
     pub accepted: bool,
     /// Time of the request, µs.
-    pub asked: u64,
+    pub asked_at: u64,
 }
 
 impl InvariantChecker {
     /// Checks an answer that a user received at `now`. It is compared only with final phases
     /// that were told before the request was made.
-    pub fn told(&mut self, job: &JobId, answer: UserAnswer, now: u64) {
+    pub fn check_user_answer(&mut self, job: &JobId, answer: UserAnswer, now: u64) {
         let before = self
             .terminal_answers
             .get(job)
-            .filter(|told| told.at <= answer.asked)
+            .filter(|told| told.at <= answer.asked_at)
             .map(|told| told.phase);
         match answer.phase {
             Some(phase @ (JobPhase::Queued | JobPhase::Running))
-                if self.is_orphaned(job, answer.asked) =>
+                if self.is_orphaned(job, answer.asked_at) =>
             {
                 let phase = Some(phase);
                 self.violation(
@@ -76,7 +76,7 @@
 
     /// True if a direct or indirect dependency of a job had been cancelled for longer than the
     /// cancellation deadline when the user asked: the job should have been cancelled with it.
-    fn is_orphaned(&self, job: &JobId, asked: u64) -> bool {
+    fn is_orphaned(&self, job: &JobId, asked_at: u64) -> bool {
         let (mut queue, mut seen) = (vec![job], BTreeSet::new());
         while let Some(job) = queue.pop() {
             for dependency in self
@@ -89,7 +89,7 @@
                 if self
                     .withdrawn
                     .get(dependency)
-                    .is_some_and(|at| asked > at + self.cancellation_deadline_us)
+                    .is_some_and(|at| asked_at > at + self.cancellation_deadline_us)
                 {
                     return true;
                 }
@@ -100,7 +100,7 @@
     }
 
     /// Records that a request about a job that a user waits for was answered at `now`.
-    pub fn answered(&mut self, job: &JobId, now: u64) {
+    pub fn query_answered(&mut self, job: &JobId, now: u64) {
         self.awaiting_answer.insert(job.clone(), now);
     }
 
--- a/crates/simulator/src/run_report.rs
+++ b/crates/simulator/src/run_report.rs
@@ -215,7 +215,11 @@
             .begun
             .get(*id)
             .is_some_and(|at| *at <= limit);
-        !begun && limit <= simulation.now && simulation.withdrawal(id).is_none_or(|at| at > limit)
+        !begun
+            && limit <= simulation.now
+            && simulation
+                .planned_withdrawal(id)
+                .is_none_or(|at| at > limit)
     };
     let describe = |id: &JobId| {
         let spec = &simulation.workload.jobs[id].spec;
@@ -267,7 +271,8 @@
 /// every service ends.
 fn is_cancelled(simulation: &Simulation, id: &JobId, job: &SimulatedJob) -> bool {
     job.spec.kind != JobKind::Service
-        && (simulation.withdrawal(id).is_some() || simulation.workload.checker.is_cancelled(id))
+        && (simulation.planned_withdrawal(id).is_some()
+            || simulation.workload.checker.is_cancelled(id))
 }
 
 /// True if a job was submitted so recently that it may still wait.
@@ -279,7 +284,7 @@
 /// Violations of a run: of the invariants, and of the service terms. At least half of the
 /// submissions must be accepted, at least half of the tasks of each group started, and the
 /// largest jobs begun in time.
-pub fn violated_terms(simulation: &Simulation) -> Vec<String> {
+pub fn run_violations(simulation: &Simulation) -> Vec<String> {
     let mut violations = simulation.workload.checker.violations.clone();
     let counts = simulation.metrics.submission_counts();
     if counts.accepted * 2 < counts.submitted {
--- a/crates/simulator/src/simulation/store_service.rs
+++ b/crates/simulator/src/simulation/store_service.rs
@@ -17,7 +17,7 @@
 use super::state_reads::read_watched_keys;
 use crate::clock::US_PER_MS;
 use crate::controller::{CasOrigin, Input, ProcessId, StateRead};
-use crate::scenario::{FaultKind, LATE_WRITES};
+use crate::scenario::{FaultKind, LATE_WRITE_DELAY};
 use crate::store::CasAnswer;
 
 /// µs for which a controller waits for an answer of the store.
@@ -47,8 +47,8 @@
                 outcome: None,
                 versions: Vec::new(),
             },
-            StoreRequest::StateRead { began, .. } => Input::StateRead {
-                began: *began,
+            StoreRequest::StateRead { began_at, .. } => Input::StateRead {
+                began_at: *began_at,
                 read: StateRead::Unavailable,
             },
             StoreRequest::StoreLease(_) => Input::StoreLeaseUnknown,
@@ -142,11 +142,11 @@
                     delays.execution_us += execution_us;
                     delays.answer_us = delays.answer_us.map(|us| us + total_us - execution_us);
                 }
-                FaultKind::LateWrites { at_once }
-                    if request.writes() > 0 && self.rng.random::<f64>() < fault.share =>
-                {
-                    if !at_once {
-                        delays.execution_us += self.rng.random_range(LATE_WRITES.micros());
+                FaultKind::LateWrites {
+                    execute_immediately,
+                } if request.writes() > 0 && self.rng.random::<f64>() < fault.share => {
+                    if !execute_immediately {
+                        delays.execution_us += self.rng.random_range(LATE_WRITE_DELAY.micros());
                     }
                     delays.answer_us = None;
                     self.late_writes += 1;
@@ -182,8 +182,8 @@
     ) {
         let now = self.now;
         let answer = match request {
-            StoreRequest::StateRead { after, began } => Input::StateRead {
-                began,
+            StoreRequest::StateRead { after, began_at } => Input::StateRead {
+                began_at,
                 read: read_watched_keys(&self.store, after),
             },
             StoreRequest::StoreLease(Some(lease)) => {
@@ -263,7 +263,7 @@
             {
                 self.workload
                     .history
-                    .note(self.now, "ended", &id, &revision);
+                    .record(self.now, "ended", &id, &revision);
                 self.metrics.job_ended(&id, self.now);
             }
         }
--- a/crates/simulator/src/simulation/users.rs
+++ b/crates/simulator/src/simulation/users.rs
@@ -124,7 +124,7 @@
             .collect();
         self.workload
             .history
-            .note(self.now, "submit", id, &dependencies.join(" "));
+            .record(self.now, "submit", id, &dependencies.join(" "));
         if !self.unschedulable.contains(id) {
             self.metrics.job_submitted();
         }
@@ -228,15 +228,15 @@
             job: id,
             phase,
             status,
-            asked,
+            asked_at,
         } = reply;
         let Some(user) = self.users.get(&id) else {
             let answer = UserAnswer {
                 phase,
                 accepted: false,
-                asked,
+                asked_at,
             };
-            return self.workload.checker.told(&id, answer, now);
+            return self.workload.checker.check_user_answer(&id, answer, now);
         };
         if status < 300 && self.unschedulable.contains(&id) {
             return self.workload.checker.violations.push(format!(
@@ -244,11 +244,11 @@
                 now / US_PER_MS
             ));
         }
-        let accepted_when_asked = user.accepted_at.is_some_and(|at| at <= asked);
+        let accepted_when_asked = user.accepted_at.is_some_and(|at| at <= asked_at);
         let (is_accepted, is_finished) = (user.accepted_at.is_some(), user.finished);
         let answers_poll = matches!(status, 200 | 404) && now <= user.last_poll + POLL_ANSWER_US;
         if poll_us > 0 && !is_finished && (!is_accepted && status < 300 || answers_poll) {
-            self.workload.checker.answered(&id, now);
+            self.workload.checker.query_answered(&id, now);
         }
         match status {
             200 | 201 if !is_accepted => self.user_accepted(id, poll_us),
@@ -259,9 +259,9 @@
                 let answer = UserAnswer {
                     phase,
                     accepted: accepted_when_asked,
-                    asked,
+                    asked_at,
                 };
-                self.workload.checker.told(&id, answer, now);
+                self.workload.checker.check_user_answer(&id, answer, now);
                 self.user_receives_phase(id, phase, poll_us);
             }
             _ if poll_us > 0 && !is_finished => self.schedule_poll(id, poll_us),
@@ -276,7 +276,7 @@
         };
         user.accepted_at = Some(now);
         let first_submitted = user.first_submitted;
-        self.workload.history.note(now, "accepted", &id, &"");
+        self.workload.history.record(now, "accepted", &id, &"");
         let spec = self.workload.jobs.get(&id).map(|job| job.spec.clone());
         self.metrics
             .job_accepted(&id, first_submitted, now, spec.as_deref());
@@ -312,7 +312,7 @@
             self.workload.checker.no_longer_awaited(&id);
             self.workload
                 .history
-                .note(now, "told over", &id, &format!("{phase:?}"));
+                .record(now, "told over", &id, &format!("{phase:?}"));
             if phase == Some(JobPhase::Withdrawn) {
                 self.workload.checker.withdrawn(&id, now);
             }
--- a/crates/simulator/src/worker/tasks.rs
+++ b/crates/simulator/src/worker/tasks.rs
@@ -106,7 +106,7 @@
             need,
         };
         if let Some(refusal) = refusal {
-            workload.history.note(now, refusal, &id, &self.id);
+            workload.history.record(now, refusal, &id, &self.id);
             self.tasks.insert(id, task);
             return;
         }
@@ -184,7 +184,7 @@
             spot: self.spot,
         };
         workload.checker.started(&id.job, id.task, placement, now);
-        workload.history.note(now, "up", id, &self.id);
+        workload.history.record(now, "up", id, &self.id);
         workload.task_started.entry(key.clone()).or_insert(now);
         self.changed = true;
         let completed = workload.completed_tasks.contains(&key);
@@ -368,7 +368,7 @@
                 self.images.abort_fetch(&image);
             }
         } else {
-            workload.checker.left(&id.job, id.task, self.number);
+            workload.checker.task_left(&id.job, id.task, self.number);
         }
         match end {
             TaskEnd::Completed => workload.task_completed(id, work_us),
@@ -381,7 +381,7 @@
                 }
             }
         }
-        workload.history.note(now, end.cause(), id, &self.id);
+        workload.history.record(now, end.cause(), id, &self.id);
     }
 
     /// Records what remains of a task that ends without saving: the progress up to its last
@@ -410,7 +410,7 @@
         let live: Vec<AttemptId> = self.live_tasks().map(|(id, _)| id.clone()).collect();
         for id in live {
             self.keep_checkpoint(&id, now, workload);
-            workload.checker.left(&id.job, id.task, self.number);
+            workload.checker.task_left(&id.job, id.task, self.number);
             workload.checker.gang_task_over(&id);
             workload.gang_task_lost(&id, now);
         }
--- a/crates/simulator/tests/invariants.rs
+++ b/crates/simulator/tests/invariants.rs
@@ -68,7 +68,7 @@
         .workers
         .iter()
         .flatten()
-        .map(lemonweir_simulator::worker::Worker::live)
+        .map(lemonweir_simulator::worker::Worker::live_task_count)
         .sum()
 }
 
@@ -112,7 +112,7 @@
     while left > 0
         && must
             .iter()
-            .any(|j| simulation.phase(j) != Some(JobPhase::Done))
+            .any(|j| simulation.final_phase(j) != Some(JobPhase::Done))
     {
         simulation.run(5_000);
         left = left.saturating_sub(5_000);
@@ -121,7 +121,7 @@
     assert_no_violation(simulation);
     let open: Vec<&JobId> = must
         .iter()
-        .filter(|j| simulation.phase(j) != Some(JobPhase::Done))
+        .filter(|j| simulation.final_phase(j) != Some(JobPhase::Done))
         .collect();
     assert!(open.is_empty(), "not done: {open:?}");
     assert!(simulation.workload.checker.starts > 20);
@@ -390,11 +390,11 @@
     }
 }
 
-fn answer(phase: Option<JobPhase>, accepted: bool, asked: u64) -> UserAnswer {
+fn answer(phase: Option<JobPhase>, accepted: bool, asked_at: u64) -> UserAnswer {
     UserAnswer {
         phase,
         accepted,
-        asked,
+        asked_at,
     }
 }
 
@@ -406,7 +406,7 @@
 fn the_checker_detects_each_violation() {
     let mut c = checker();
     c.started(&id(2), 0, placement_on(1, "north"), 1);
-    c.left(&id(2), 0, 1);
+    c.task_left(&id(2), 0, 1);
     c.started(&id(2), 0, placement_on(2, "north"), 3);
     assert!(c.violations.is_empty());
     c.started(&id(2), 0, placement_on(1, "north"), 4);
@@ -476,24 +476,24 @@
     c.task_completed(&id(2), 0);
     c.task_completed(&id(2), 1);
     c.cas_committed(&done(2), 5);
-    c.told(&id(2), answer(Some(JobPhase::Running), true, 1), 6);
-    c.told(&id(2), answer(Some(JobPhase::Done), true, 6), 7);
-    c.told(&id(2), answer(Some(JobPhase::Running), true, 6), 8);
+    c.check_user_answer(&id(2), answer(Some(JobPhase::Running), true, 1), 6);
+    c.check_user_answer(&id(2), answer(Some(JobPhase::Done), true, 6), 7);
+    c.check_user_answer(&id(2), answer(Some(JobPhase::Running), true, 6), 8);
     assert!(
         c.violations.is_empty(),
         "asked before the end was confirmed"
     );
-    c.told(&id(2), answer(Some(JobPhase::Running), true, 7), 9);
+    c.check_user_answer(&id(2), answer(Some(JobPhase::Running), true, 7), 9);
     assert!(first_violation(&c).contains("went_back"));
 
     let mut c = checker();
-    c.told(&id(2), answer(Some(JobPhase::Done), true, 1), 2);
+    c.check_user_answer(&id(2), answer(Some(JobPhase::Done), true, 1), 2);
     assert!(first_violation(&c).contains("not_done"));
     let mut c = checker();
-    c.told(&id(2), answer(None, true, 1), 2);
+    c.check_user_answer(&id(2), answer(None, true, 1), 2);
     assert!(first_violation(&c).contains("forgotten"));
     let mut c = checker();
-    c.told(&id(9), answer(Some(JobPhase::Queued), false, 1), 2);
+    c.check_user_answer(&id(9), answer(Some(JobPhase::Queued), false, 1), 2);
     assert!(first_violation(&c).contains("invented"));
 }
 
@@ -526,7 +526,7 @@
         "the replica has preempted a batch task"
     );
     simulation.run(400_000);
-    assert_eq!(simulation.phase(&id(1)), Some(JobPhase::Done));
+    assert_eq!(simulation.final_phase(&id(1)), Some(JobPhase::Done));
     assert_no_violation(&simulation);
 }
 
@@ -565,8 +565,8 @@
         "{} starts for 8 tasks",
         simulation.workload.checker.starts
     );
-    assert_eq!(simulation.phase(&id(1)), Some(JobPhase::Done));
-    assert_eq!(simulation.phase(&id(2)), Some(JobPhase::Done));
+    assert_eq!(simulation.final_phase(&id(1)), Some(JobPhase::Done));
+    assert_eq!(simulation.final_phase(&id(2)), Some(JobPhase::Done));
 }
 
 // ---- withdrawals and store outages ---------------------------------------------------
@@ -601,14 +601,14 @@
         "they keep running: the leader behind the partition does not know of the withdrawal"
     );
     assert_eq!(
-        simulation.phase(&id(1)),
+        simulation.final_phase(&id(1)),
         None,
         "the withdrawal is not confirmed yet"
     );
     simulation.links_down.clear();
     simulation.run(20_000);
     assert_eq!(live(&simulation), 0);
-    assert_eq!(simulation.phase(&id(1)), Some(JobPhase::Withdrawn));
+    assert_eq!(simulation.final_phase(&id(1)), Some(JobPhase::Withdrawn));
     assert_no_violation(&simulation);
 }
 
