--- a/crates/coordination/src/placer/attempt_events.rs
+++ b/crates/coordination/src/placer/attempt_events.rs
@@ -189,7 +189,7 @@
         self.update_suspects(affected.jobs, now);
     }
 
-    /// Backs off after an owner refused an attempt for lack of room.
+    /// Backs off after an owner refused an attempt.
     ///
     /// The backoff is longer for an owner reached through the store: its state lags behind
     /// the placements of others, and early retries would be refused again and again.
@@ -256,8 +256,9 @@
         }
     }
 
-    /// Records a success for each attempt of another job that has been running on a machine
-    /// for long: such attempts are evidence that the machine is healthy.
+    /// Records a success for each attempt of another job that runs on a machine and was placed
+    /// there by this placer at least twice [`SUCCESS_AFTER_MS`] ago: such attempts are evidence
+    /// that the machine is healthy.
     fn record_long_running_successes(&mut self, machine: &MachineId, failed: &JobId, now: u64) {
         let long_running: Vec<(JobId, u64)> = self
             .attempts_by_machine
--- a/crates/coordination/src/placer/desired.rs
+++ b/crates/coordination/src/placer/desired.rs
@@ -73,7 +73,7 @@
 }
 
 /// True if a job's attempts may be launched. Those of a gang may be once the gang is admitted
-/// and the owners have reported a state for each of them.
+/// and each unfinished task has an attempt whose state its owner has reported.
 fn may_launch(job: &Job) -> bool {
     let all_accepted = || {
         job.live.len() as u32 == job.tasks - job.done_count.min(job.tasks)
--- a/crates/coordination/src/placer/escalation.rs
+++ b/crates/coordination/src/placer/escalation.rs
@@ -222,7 +222,8 @@
         attempts
     }
 
-    /// ms that fetching a job's image takes on a slow machine.
+    /// ms that fetching a job's image takes at most on the machine type with the highest fetch
+    /// rate.
     pub(super) fn max_fetch_ms(&self, spec: &JobSpec) -> u64 {
         (spec.image_gb * MAX_FETCH_TIME_FACTOR * 1_000.0
             / self.fetch_gb_per_s.max(f64::MIN_POSITIVE)) as u64
--- a/crates/coordination/src/placer/headroom.rs
+++ b/crates/coordination/src/placer/headroom.rs
@@ -20,11 +20,12 @@
 const ARRIVAL_WINDOW_MS: u64 = 120_000;
 /// ms after acquiring a shard in which new jobs count as its backlog, not as arrivals.
 pub(super) const INITIAL_BACKLOG_MS: u64 = 10_000;
-/// Machines per task of headroom, in fleets where that is more than
-/// [`MAX_HEADROOM_TASKS`].
+/// Machines of the fleet for each task of headroom, in fleets so large that this allows more
+/// than [`MAX_HEADROOM_TASKS`].
 const MACHINES_PER_HEADROOM_TASK: u32 = 16;
 
-/// Tasks with the same resources and market that are expected while a machine boots.
+/// Tasks expected while a machine boots that need the same resources and are alike in whether
+/// they may run on spot instances.
 struct ExpectedWork {
     tasks: f64,
     /// One of the jobs that the prediction is made from.
@@ -104,7 +105,7 @@
     }
 
     /// Tasks of a job with a start objective: all of them if its class has one, else those
-    /// that fit its team's guaranteed quota.
+    /// that fit its team's guaranteed quota, at most [`TASKS_PER_CHUNK`].
     fn tasks_with_objective(&self, spec: &JobSpec) -> u64 {
         if self.start_objectives_s.contains_key(&spec.class) {
             return spec.tasks;
--- a/crates/coordination/src/placer/mod.rs
+++ b/crates/coordination/src/placer/mod.rs
@@ -93,7 +93,7 @@
 /// An instance provisioned by this placer that no shard view has included yet.
 #[derive(Clone, Debug)]
 pub struct PendingInstance {
-    /// The instance.
+    /// Instance as announced to the owner of its shard, which is also sent its current age.
     pub instance: ProvisionedInstance,
     /// Shard that the instance belongs to.
     pub shard: u16,
@@ -125,14 +125,14 @@
 
 /// An event of a task, for the supervision of services.
 enum ReplicaEvent {
-    /// The task runs.
+    /// A task was observed running.
     Running {
         job: JobId,
         task: u32,
         /// True if this placer placed it, false if an earlier leader of the shard did.
         placed_here: bool,
     },
-    /// The replica ended.
+    /// An attempt of a service replica has ended.
     Lost { job: JobId, task: u32 },
 }
 
@@ -184,7 +184,7 @@
     guaranteed_quotas: HashMap<String, Resources>,
     /// Start objectives by job class, seconds.
     start_objectives_s: HashMap<String, f64>,
-    /// Start objective of work within a guaranteed quota, seconds.
+    /// Start objective of work within a guaranteed quota, seconds; `f64::MAX`: none.
     guaranteed_start_objective_s: f64,
     /// Recently arrived jobs with a start objective, by time of arrival, ms.
     recent_arrivals: VecDeque<(u64, Arc<JobRecord>)>,
@@ -224,8 +224,8 @@
     /// Number of passes so far. Provisioning is planned at most once per pass.
     pub placement_passes: u64,
     max_cas_operations: usize,
-    /// Maximum number of records in one compare-and-swap. Reduced to 1 when the store
-    /// rejects one for its size, and doubled with each one that is committed.
+    /// Maximum number of records in one compare-and-swap. Reduced to 1 when the store rejects
+    /// several records for their size, and doubled with each committed compare-and-swap.
     max_records_per_cas: usize,
     /// Newest record format that every controller can read.
     pub(crate) record_format_version: u32,
@@ -392,7 +392,7 @@
         self.indexes.iter().flat_map(PlacementIndex::machines)
     }
 
-    /// Seconds since the last view of each shard's owner; `None`: none has arrived.
+    /// Seconds since the last view of each shard's owner arrived; `None`: no view has arrived.
     pub fn view_ages_s(&self, now: u64) -> impl Iterator<Item = (u16, Option<u64>)> {
         let age = move |channel: &OwnerChannel| {
             channel
--- a/crates/coordination/src/placer/partitions.rs
+++ b/crates/coordination/src/placer/partitions.rs
@@ -1,5 +1,5 @@
-//! Partitioned zones as their owners report them, and the empty machine indexes of shards
-//! without a view yet.
+//! Partitioned zones as the shards' owners report them, and the empty machine indexes of
+//! shards without a view yet.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,7 +9,7 @@
 use crate::job::Job;
 use crate::placement::PlacementIndex;
 
-/// A zone that is partitioned from its owner.
+/// A zone that a shard's owner can't reach.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ZonePartition {
     /// Since when it is partitioned, ms.
@@ -40,7 +40,7 @@
 }
 
 impl Placer {
-    /// Zones that are partitioned from their owners.
+    /// Zones that the owner of some shard can't reach.
     pub fn partitioned_zones(&self) -> BTreeSet<&str> {
         self.partitions
             .iter()
--- a/crates/coordination/src/placer/rebalancing.rs
+++ b/crates/coordination/src/placer/rebalancing.rs
@@ -296,9 +296,10 @@
             .then_some(Relocation { task, place, class })
     }
 
-    /// True if a replica of a service may be moved: it has others, so that at least half of
-    /// them keep serving, and all of them run, in reachable zones, for at least
-    /// [`MIN_STAY_MS`]. A move must not add to a loss.
+    /// True if a replica of a service may be moved: the service has several, at most
+    /// [`MAX_SPREAD_TASKS`], so that at least half of them keep serving, and all of them run in
+    /// reachable zones and were placed at least [`MIN_STAY_MS`] ago. A move must not add to a
+    /// loss.
     fn may_relocate(&self, job: &Job, now: u64) -> bool {
         let has_all_replicas =
             job.tasks > 1 && job.tasks <= MAX_SPREAD_TASKS && job.live.len() as u32 == job.tasks;
--- a/crates/coordination/src/placer/records.rs
+++ b/crates/coordination/src/placer/records.rs
@@ -75,8 +75,8 @@
         }
     }
 
-    /// Applies the outcome of the compare-and-swap in flight. Returns the jobs whose end it
-    /// has written.
+    /// Applies the outcome of the compare-and-swap in flight. Returns whether this controller
+    /// still leads the shard, and the jobs whose end was written, each with its final state.
     pub fn apply_cas_outcome(
         &mut self,
         outcome: CompareAndSwapOutcome,
@@ -163,9 +163,9 @@
         }
     }
 
-    /// Drops unrecorded starts of jobs that were cancelled while a compare-and-swap with
-    /// them was in flight that was not committed, or may not have been. No owner has learned
-    /// of these starts.
+    /// Drops the unrecorded starts of cancelled jobs after a compare-and-swap that would have
+    /// written them was not committed, or its outcome is unknown. No owner has learned of these
+    /// starts.
     fn drop_uncommitted_starts(&mut self, in_flight: &InFlightCas) {
         let is_cancelled = |id: &&JobId| {
             self.jobs
--- a/crates/coordination/src/placer/scoring.rs
+++ b/crates/coordination/src/placer/scoring.rs
@@ -169,7 +169,7 @@
 }
 
 /// Expected s until a fetch of a job's image that is under way completes. If replicas of the
-/// job wait for it, the earliest of them tells since when it runs.
+/// job wait for it, the fetch is assumed to have begun when the earliest of them was placed.
 fn remaining_fetch_s(job: &Job, fetch_s: f64, now: u64) -> f64 {
     let is_fetching = |live: &&LiveAttempt| {
         live.placed_at > 0
--- a/crates/coordination/src/placer/supervision.rs
+++ b/crates/coordination/src/placer/supervision.rs
@@ -104,7 +104,7 @@
     }
 
     /// What is being done about a service's missing replicas, and the ms that it should take
-    /// at most.
+    /// at most; `None`: no limit is known.
     fn recovery_activity(
         &self,
         job: &Job,
--- a/crates/coordination/src/placer/unmet_demand.rs
+++ b/crates/coordination/src/placer/unmet_demand.rs
@@ -10,12 +10,13 @@
 use crate::autoscaler::{CapacityDemand, tasks_in};
 use crate::job::Job;
 
-/// Waiting tasks of one job that count as demand at most: more than machines boot for at a
-/// time. Further tasks count once these have their machines.
+/// Maximum number of waiting tasks of one job that count as demand: more than the machines
+/// that boot at a time can run. Further tasks count once these have their machines.
 const MAX_DEMAND_TASKS: u64 = 512;
-/// Machines for whose capacity tasks of one job count as demand, if that is more than
-/// [`MAX_DEMAND_TASKS`]. Otherwise 100,000 tasks of a tenth of a CPU would provision only a
-/// few machines per boot time, and never have half of their tasks running.
+/// Number of machines that the demand of one job may fill if its tasks are so small that
+/// [`MAX_DEMAND_TASKS`] fill fewer; not for low-priority jobs. Otherwise 100,000 tasks of a
+/// tenth of a CPU would provision only a few machines per boot time, and never have half of
+/// their tasks running.
 const MAX_DEMAND_MACHINES: u64 = 32;
 /// ms after submission by which a low-priority job starts its first task, or its gang, if
 /// capacity is available at any price. The operators' limit is four minutes; the difference
--- a/crates/coordination/src/placer/write_queue.rs
+++ b/crates/coordination/src/placer/write_queue.rs
@@ -216,7 +216,8 @@
 
     /// Charges all writes to the budget of low-priority work: it gets what other work leaves
     /// of this placer's share, and nothing of other placers' shares. The debt is limited to
-    /// [`LOW_PRIORITY_AHEAD_S`], so that a burst of writes does not block it for long.
+    /// [`LOW_PRIORITY_AHEAD_S`], so that a burst of writes does not block low-priority work for
+    /// long.
     fn charge_low_priority_budget(&mut self, writes: usize, now: u64) {
         let resume_at = self.low_priority_writes_resume_at.max(now)
             + (1_000 * writes / self.low_priority_writes_per_s) as u64;
