--- a/crates/coordination/src/dependencies/batch.rs
+++ b/crates/coordination/src/dependencies/batch.rs
@@ -52,8 +52,9 @@
         !self.cas.writes.is_empty()
     }
 
-    /// Adds the release of jobs whose dependencies are done. Each job comes with the final
-    /// states of its dependencies; those in `verified` need no further check.
+    /// Adds the release of jobs whose dependencies are done. Each job comes with its
+    /// dependencies and the versions of their final states; dependencies in `verified` need no
+    /// further check.
     pub(super) fn add_ready(
         &mut self,
         cache: &StateCache,
--- a/crates/coordination/src/dependencies/graph.rs
+++ b/crates/coordination/src/dependencies/graph.rs
@@ -117,8 +117,8 @@
     }
 }
 
-/// For each job that others depend on, directly or transitively, the highest priority among
-/// those others.
+/// For each job that blocked jobs depend on, directly or transitively, the highest priority
+/// among these blocked jobs.
 pub(super) fn inherited_priorities(cache: &StateCache) -> HashMap<JobId, Priority> {
     let mut inherited: HashMap<JobId, Priority> = HashMap::new();
     let mut queue: Vec<JobId> = cache.blocked_jobs.keys().cloned().collect();
--- a/crates/coordination/src/dependencies/mod.rs
+++ b/crates/coordination/src/dependencies/mod.rs
@@ -3,7 +3,8 @@
 //!
 //! * **Start.** One compare-and-swap moves a blocked job to where placers find it. Its
 //!   conditions are the final states of all dependencies, each at the version that says done
-//!   ([`lemonweir_storage::dependencies`]).
+//!   ([`lemonweir_storage::dependencies`]). If these are too many for one compare-and-swap,
+//!   earlier ones verify some of them.
 //! * **Cancellation.** A job that depends on a cancelled one, directly or transitively, never
 //!   starts, since a final state never changes. It counts as cancelled as soon as the final
 //!   state that decides it is written: any controller may report it, and the record of its own
@@ -240,7 +241,8 @@
     }
 
     /// True if this controller unblocks and cancels the blocked jobs of a team: it leads the
-    /// team's shard, or the shard has no leader and it is the first live controller.
+    /// team's shard, or the shard has no leader and this controller is the first live one by
+    /// host name.
     fn manages_dependencies_of(&self, team: &str) -> bool {
         let shard = Self::team_shard(&self.cache, &self.config, team);
         match self.cache.shard_leaders.get(&shard) {
--- a/crates/coordination/src/gang_admission/mod.rs
+++ b/crates/coordination/src/gang_admission/mod.rs
@@ -7,10 +7,11 @@
 //! | --- | --- | --- |
 //! | planned | with its members' attempts, before any owner learns of them | owners are asked to grant resources; nothing is launched |
 //! | admitted | once every owner has granted resources, in one compare-and-swap | this attempt of the gang is launched, and no other |
-//! | released | with the ends of its attempts; at once if a successor decides it | all members are stopped |
+//! | released | with the ends of its attempts if one has ended, else at once | all members are stopped |
 //!
-//! A step takes effect only when every chunk with a live member stores it, so a gang whose
-//! chunks did not fit into one compare-and-swap is never admitted in part.
+//! A gang is admitted only when every chunk with a live member stores that step, so a gang
+//! whose chunks did not fit into one compare-and-swap is never admitted in part. A successor
+//! releases a gang if any chunk stores the release.
 
 use lemonweir_protocol::peer::AttemptState;
 use lemonweir_storage::records::{GangAdmissionRecord, GangAdmissionStep};
@@ -20,15 +21,15 @@
 /// messages about it. On expiry the placer or its successor releases the whole gang and
 /// places it elsewhere.
 pub const GANG_GRANT_TIMEOUT_MS: u64 = 20_000;
-/// Minimum ms that a successor waits for reports on an admitted gang, however old the
-/// admission is: a new owner hears from its machines within two heartbeat intervals, after
-/// an election.
+/// Minimum ms that a placer waits for the launch of all members of an admitted gang. A
+/// successor waits as long, however old the admission is: a new owner receives heartbeats
+/// from its machines within two heartbeat intervals after its election.
 const MIN_LAUNCH_TIMEOUT_MS: u64 = 20_000;
 
 /// Admission state of a gang in its placer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GangAdmission {
-    /// The current step.
+    /// The latest step, whether written or not.
     pub step: GangAdmissionStep,
     /// Time of day of the step, ms.
     pub at: u64,
@@ -72,14 +73,14 @@
     pub step: GangAdmissionStep,
     /// Time of day of the step, ms.
     pub at: u64,
-    /// Attempt number that the members share.
+    /// Attempt number that the members share; the highest one if they differ.
     pub attempt: u32,
 }
 
 /// Determines the admission state that an earlier leader of the shard left for a gang. Each
 /// item is the attempt number of a live member and the admission record of its chunk. The
-/// gang is released if any chunk says so, and otherwise is at the earliest step of its
-/// chunks. `None`: there are no live members.
+/// gang is released if any chunk says so or its members differ in their attempt number, and
+/// otherwise is at the earliest step of its chunks. `None`: there are no live members.
 pub fn inherited_admission<'a>(
     chunks: impl Iterator<Item = (u32, Option<&'a GangAdmissionRecord>)>,
 ) -> Option<InheritedAdmission> {
@@ -166,7 +167,7 @@
 pub enum GangDecision {
     /// Wait for an event or, if given, until this time, ms.
     Wait(Option<u64>),
-    /// Admit the gang.
+    /// Advance to the admitted step: every owner has granted resources.
     Admit,
     /// Release the whole gang.
     Release(ReleaseReason),
@@ -197,7 +198,8 @@
         {
             GangDecision::Admit
         }
-        // A controller of an earlier version launched the gang without admitting it.
+        // No timeout applies once a member runs. If the gang is only planned, a controller of
+        // an earlier version launched it without admitting it.
         _ if members.running > 0 => GangDecision::Wait(None),
         GangAdmissionStep::Planned => {
             release_after(GANG_GRANT_TIMEOUT_MS, ReleaseReason::NotGranted)
@@ -215,8 +217,8 @@
 }
 
 /// Start of the timeout of a step inherited at `now`. For an admitted gang it is the time of
-/// the admission, but at least `MIN_LAUNCH_TIMEOUT_MS` remain to hear from every owner: only
-/// heartbeats show the state of its members.
+/// the admission, but at least `MIN_LAUNCH_TIMEOUT_MS` remain for reports from every owner:
+/// only heartbeats show the state of its members.
 pub fn inherited_step_start(
     step: GangAdmissionStep,
     age_ms: u64,
--- a/crates/coordination/src/job.rs
+++ b/crates/coordination/src/job.rs
@@ -25,7 +25,7 @@
 /// Upper limit of the backoff, ms.
 const MAX_FAILURE_BACKOFF_MS: u64 = 30_000;
 /// Upper limit of the backoff of a job suspected of its failures, ms. Each try occupies the
-/// resources of a task for seconds, and users mostly withdraw such jobs.
+/// resources of a task for seconds, and users mostly cancel such jobs.
 const MAX_SUSPECT_BACKOFF_MS: u64 = 120_000;
 /// Low bits of [`Job::queue_order`] that hold the time of submission.
 const AGE_BITS: u32 = 44;
@@ -99,13 +99,15 @@
     pub(super) record: Option<Arc<JobRecord>>,
     /// Version of the job's key that `record` was read at.
     pub(super) key_version: u64,
-    /// The job is done or withdrawn, and its final state is written.
+    /// The job is done or withdrawn, and its final state is written. Assumed while
+    /// `end_unconfirmed`.
     pub(super) ended: bool,
     /// The state cache has not yet shown whether the job has ended.
     pub(super) end_unconfirmed: bool,
     pub(super) team: String,
     /// Resources that one task needs.
     pub(super) need: Resources,
+    /// Number of tasks; 0 while the record is unknown.
     pub(super) tasks: u32,
     /// Number of the next attempt.
     pub(super) next_attempt: u32,
@@ -117,20 +119,21 @@
     pub(super) ending: Vec<EndingAttempt>,
     /// The chunks of its task record, by index.
     pub(super) chunks: BTreeMap<u32, TaskChunk>,
-    /// No task from this one on was ever placed by this placer.
+    /// Every task below this one was done or had a live attempt when the cursor passed it.
     placement_cursor: u32,
     /// Tasks below `placement_cursor` that may wait again.
     requeued: BTreeSet<u32>,
-    /// Failures since the last success; attempts placed together count as one.
+    /// Failures since a task was last done. The failure of an attempt that was placed before
+    /// the last counted failure is not counted, so attempts placed together count as one.
     pub(super) consecutive_failures: u32,
     /// Time of the last counted failure, ms.
     last_failure_at: u64,
-    /// Set if the job is suspected of causing its failures: the number of machines that run
-    /// other jobs and on which it failed.
+    /// Set if the job is suspected of causing its failures: the number of machines on which
+    /// it failed although other jobs had succeeded there; may be 0.
     pub(super) suspect: Option<u32>,
-    /// When this placer first learned of the job, ms.
+    /// When this placer first learned of the job, ms; 0 if its task record was loaded first.
     first_seen_at: u64,
-    /// A task of it has run.
+    /// A task of it has run, or had a live attempt in a loaded task record.
     pub(super) has_run: bool,
     /// A replica was stopped to move to a better machine: its replacement goes to the machine
     /// with the lowest cost, even if the image has to be fetched there.
@@ -261,7 +264,7 @@
     }
 }
 
-/// Scheduling order.
+/// Scheduling order and waiting time.
 impl Job {
     /// The job's priority; low while its spec is unknown, as its attempts are only to be
     /// stopped then.
@@ -290,8 +293,8 @@
         }
     }
 
-    /// Sort key among jobs of its priority and urgency: the time of submission; for jobs that
-    /// have not begun, the number of tasks first, in descending order.
+    /// Sort key among jobs of its priority and urgency: the time of submission; for
+    /// [`Urgency::NotStarted`], the number of tasks first, in descending order.
     pub(super) fn queue_order(&self) -> u64 {
         match self.urgency() {
             Urgency::NotStarted => {
@@ -302,7 +305,7 @@
         }
     }
 
-    /// Time of day of its submission, ms.
+    /// Time of day of its submission, ms; 0 while its record is unknown.
     pub(super) fn submitted_at(&self) -> u64 {
         self.record
             .as_ref()
--- a/crates/coordination/src/job/gang.rs
+++ b/crates/coordination/src/job/gang.rs
@@ -87,9 +87,9 @@
                 .any(|chunk| chunk.written < chunk.newest_step)
     }
 
-    /// True if the store says that the whole gang may be launched. Prevents a launch that a
-    /// successor of this placer would not know of, and a launch of a gang that is not admitted
-    /// in all of its chunks.
+    /// True if the admission of the whole gang is written, so that it may be launched. Prevents
+    /// a launch that a successor of this placer would not know of, and a launch of a gang that
+    /// is not admitted in all of its chunks.
     pub(crate) fn is_admitted(&self) -> bool {
         self.admission.as_ref().is_some_and(|admission| {
             matches!(
--- a/crates/coordination/src/placement/index.rs
+++ b/crates/coordination/src/placement/index.rs
@@ -14,7 +14,7 @@
 pub(super) struct StartOffset {
     /// Distance from the controller's home shard to this one, in shards.
     pub(super) shards_after: usize,
-    /// Number of shards.
+    /// Number of shards; 0 in an index without a start offset.
     pub(super) shard_count: usize,
 }
 
@@ -27,7 +27,8 @@
     /// The machines by position. Slots of removed machines are not schedulable and are
     /// reused.
     pub slots: Vec<MachineSlot>,
-    /// The latest view of each machine, as its owner published it.
+    /// The latest view of each machine, by position, as its owner published it; `None` in
+    /// vacant slots.
     views: Vec<Option<MachineView>>,
     /// Cache headroom of each machine as last set, MB; `u64::MAX` while unknown.
     published_headroom_mb: Vec<u64>,
@@ -81,7 +82,7 @@
     ///
     /// Each controller starts at another machine. Otherwise placers that spread replicas at
     /// the same time would all pick the first machine of a zone, and their fetches would
-    /// share its rate.
+    /// share its fetch rate.
     pub fn with_start_offset(shards_after: usize, shard_count: usize) -> Self {
         Self {
             start: StartOffset {
@@ -165,7 +166,7 @@
         }
     }
 
-    /// Removes a machine.
+    /// Removes a machine and makes its slot vacant. Does nothing if it is not in the index.
     pub fn remove(&mut self, id: &MachineId) {
         if let Some(slot) = self.positions.remove(id) {
             self.clear_rows(slot);
--- a/crates/coordination/src/placement/machine_slot.rs
+++ b/crates/coordination/src/placement/machine_slot.rs
@@ -7,15 +7,15 @@
 /// reservations made since.
 #[derive(Clone, Debug)]
 pub struct MachineSlot {
-    /// The machine.
+    /// ID of the machine.
     pub id: MachineId,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: String,
     /// True for a spot instance, false for an on-demand one.
     pub spot: bool,
-    /// Free resources.
+    /// Resources taken by neither tasks nor reservations.
     pub free: Resources,
-    /// Number of tasks.
+    /// Number of tasks, including reservations.
     pub task_count: u32,
     /// Number of tasks that run until their jobs are cancelled.
     pub long_running_count: u32,
--- a/crates/coordination/src/placement/replicas.rs
+++ b/crates/coordination/src/placement/replicas.rs
@@ -23,9 +23,9 @@
 }
 
 impl PlacedReplicas {
-    /// `machines`: the machine of each replica, repeated if it has several.
-    /// `zones_below_share`: the zones with less than their share of the job; `None` if the
-    /// zone does not matter.
+    /// Collects the replicas of a job on the machines of `index`. `machines`: the machine of
+    /// each replica, repeated if it has several. `zones_below_share`: the zones with less than
+    /// their share of the job; `None` if the zone does not matter.
     pub fn new<'a>(
         index: &PlacementIndex,
         risk: &PlacementRisk,
