--- a/crates/coordination/src/config.rs
+++ b/crates/coordination/src/config.rs
@@ -9,16 +9,15 @@
 use lemonweir_model::{MachineId, Resources};
 use lemonweir_protocol::users::quota_limit;
 
-/// ms of the cancellation deadline reserved for delivery, when a controller answers
-/// heartbeats during a store outage while another controller still publishes cancellations
-/// before the last attempt has ended.
+/// ms of the cancellation deadline reserved for delivering a cancellation during a store
+/// outage; see [`Config::mixed_version_store_outage_grace_ms`].
 const STORE_OUTAGE_GRACE_MARGIN_MS: u64 = 2_000;
 /// Fraction of a controller's equal share of the store's write rate up to which its placer
-/// writes for low-priority work. Other writes count against it: beyond its share, a
-/// controller would take writes from the starts of others.
+/// writes for low-priority work. The placer's other writes count against it as well: a
+/// controller that exceeds its share delays the starts of other controllers' tasks.
 const LOW_PRIORITY_WRITES_SHARE: f64 = 0.7;
 /// Maximum bytes of changes in one message through the store: less than a compare-and-swap
-/// may hold, allowing for base64 and keys. The rest follows in order.
+/// may hold, allowing for base64 and keys. Further changes follow in later messages, in order.
 const STORE_MESSAGE_BYTES: usize = 24 * 1024;
 /// Bytes of a store message's value reserved for its other fields and its encoding.
 const STORE_MESSAGE_OVERHEAD_BYTES: usize = 512;
@@ -40,7 +39,8 @@
     pub guarantee_objective_s: f64,
     /// Zones in the settings.
     pub zones: Vec<String>,
-    /// Team names, sorted.
+    /// Names of the teams in the settings, sorted. A team's position determines its default
+    /// shard.
     pub teams: Vec<String>,
     /// ms for which a gang's task waits on its machine for the others.
     pub gang_wait_ms: u64,
--- a/crates/coordination/src/core.rs
+++ b/crates/coordination/src/core.rs
@@ -22,14 +22,15 @@
     pub cache: StateCache,
     /// Machine types; `None` until known.
     pub catalog: Option<Catalog>,
-    /// Reachability as observed by this controller.
+    /// Reachability of the services, the other controllers and the workers of each zone, as
+    /// observed by this controller.
     pub links: Links,
     pub(crate) policy: Policy,
     /// The shards that this controller leads, by number.
     pub(crate) shards: BTreeMap<u16, Shard>,
     /// Progress of jobs that are run by other controllers' placers, as last received.
     pub(crate) peer_progress: HashMap<JobId, JobProgress>,
-    /// Number of commands to machines in flight.
+    /// Number of commands to workers that have no result yet.
     pub(crate) commands_in_flight: usize,
     pub(crate) stall: StallDetector,
     pub(crate) dependencies: DependencyGraph,
--- a/crates/coordination/src/effects.rs
+++ b/crates/coordination/src/effects.rs
@@ -11,8 +11,9 @@
 
 use crate::owner::CommandCall;
 
-/// An action for the process to execute. Effects of a shard carry the lease under which they
-/// were requested, so that results for a shard that is no longer led are dropped.
+/// An action for the process to execute. Effects of a shard whose results the core handles
+/// carry the lease under which they were requested, so that results for a shard that is no
+/// longer led are dropped.
 #[derive(Debug)]
 pub enum Effect {
     /// Execute a compare-and-swap for a shard.
@@ -21,7 +22,8 @@
     DependencyCompareAndSwap(CompareAndSwap),
     /// Read the final states of these jobs.
     ReadFinalStates(Vec<JobId>),
-    /// Write a hint; the result is ignored.
+    /// Write a record whose loss does no harm, such as image locations for the next leader;
+    /// the result is ignored.
     WriteHint(CompareAndSwap),
     /// Send a command to a worker.
     Command(ShardLease, CommandCall),
@@ -48,7 +50,7 @@
 pub struct WorkCounters {
     /// Number of bit set words and machines examined by placement.
     pub candidates_examined: u64,
-    /// Number of placements refused for lack of resources.
+    /// Number of placements refused: the machine lacked free resources or accepted no tasks.
     pub placements_refused: u64,
     /// Number of attempts preempted.
     pub attempts_preempted: u64,
@@ -57,7 +59,7 @@
 /// A shard and the fencing token under which it is led.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShardLease {
-    /// The shard.
+    /// Number of the shard.
     pub shard: u16,
     /// Fencing token: the revision at which the lease was acquired.
     pub token: u64,
@@ -81,14 +83,14 @@
 /// The answer to a worker's heartbeat.
 #[derive(Debug)]
 pub enum HeartbeatAnswer {
-    /// 200 with commands.
+    /// 200 with these commands for the worker.
     Commands(HeartbeatResponse),
     /// 421: send heartbeats to the controller with this host name.
     Redirect(String),
     /// Relay the heartbeat to the leader, the controller with this index, and return its
     /// answer.
     Relay(u16),
-    /// 503.
+    /// 503: this controller can't answer, redirect or relay the heartbeat.
     Unavailable,
 }
 
--- a/crates/coordination/src/flush.rs
+++ b/crates/coordination/src/flush.rs
@@ -49,8 +49,9 @@
     fn flush_owner(&mut self, index: u16, now: u64, effects: &mut Vec<Effect>) {
         self.advance_owner(index, now);
         self.flush_image_locations(index, now, effects);
-        // After such a long store outage, a successor may infer that everything this owner kept
-        // alive has ended, so the owner must not start anything.
+        // Once the grace period of a store outage is over, a successor may infer that every
+        // attempt this owner kept alive has ended. The owner must not start anything then, so it
+        // neither sends commands nor releases instances.
         if !self.store_outage_grace_exceeded(now) {
             self.flush_commands(index, now, effects);
             self.flush_instance_releases(index, effects);
@@ -58,7 +59,8 @@
         self.wake_placers(index, now);
     }
 
-    /// Runs the owner's timers, unless messages received during a process stall are unread.
+    /// Pauses or resumes the owner's launches, and runs its timers unless messages received
+    /// during a process stall are unread.
     fn advance_owner(&mut self, index: u16, now: u64) {
         let last_answer = self.links.last_store_answer().unwrap_or(0);
         let lease_may_have_expired = self.store_lease_may_have_expired(now);
@@ -170,8 +172,8 @@
         self.flush_syncs(index, now, effects)
     }
 
-    /// True if this controller leads a shard but does not reach its machines, so that a
-    /// controller that reaches them should lead it.
+    /// True if this controller leads a shard but most of its machines reach another controller
+    /// and not this one directly, so that the other controller should lead it.
     pub fn workers_unreachable(&self, shard: u16, now: u64) -> bool {
         self.shards
             .get(&shard)
--- a/crates/coordination/src/job_progress.rs
+++ b/crates/coordination/src/job_progress.rs
@@ -61,7 +61,8 @@
     }
 
     /// Why this controller can't know the progress of a job: no controller places jobs of its
-    /// team, or the one that does is unreachable. `None` if neither is the case.
+    /// team, or the one that does is unreachable. `None` if neither is the case, or if the job
+    /// is not in the cache.
     fn unreachable_placer(&self, id: &JobId, now: u64) -> Option<String> {
         let team = &self.cache.jobs.get(id)?.record.spec.team;
         let shard = Self::team_shard(&self.cache, &self.config, team);
--- a/crates/coordination/src/query_admission.rs
+++ b/crates/coordination/src/query_admission.rs
@@ -3,8 +3,9 @@
 //! A controller refuses queries when it is overloaded, when the store is busy with requests
 //! of higher priority, or when too many queries wait. By chance, the same job could be refused
 //! again and again while others are answered. So a controller records the jobs with a
-//! pending reply, and since when. The one that has been pending longest goes first, and one
-//! that has been pending for [`REPLY_PRIORITY_AFTER_MS`] is no longer refused because of this
+//! pending reply: those of which a query was refused since the last answer. The job whose
+//! reply has been pending longest goes first. Once it has been pending for
+//! [`REPLY_PRIORITY_AFTER_MS`], queries about the job are no longer refused because of this
 //! controller's own load. `docs/supervision/query-admission.md` states the bounds.
 
 use std::collections::{BTreeMap, HashMap};
@@ -15,7 +16,7 @@
 /// of a user (protocol page). A controller thus answers at most one query per job in this
 /// time beyond its capacity.
 pub const REPLY_PRIORITY_AFTER_MS: u64 = 8_000;
-/// ms after the last query about a refused job for which its reply stays pending: several
+/// ms after the last refused query about a job for which its reply stays pending: several
 /// polls, since some may go to other controllers.
 pub const PENDING_REPLY_KEPT_MS: u64 = 75_000;
 /// Maximum number of pending replies of a controller; each takes some 100 bytes.
@@ -64,7 +65,7 @@
     pub longest_ms: u64,
 }
 
-/// A reply that is due for a job.
+/// Refused queries about one job since the last answer.
 #[derive(Clone, Copy, Debug)]
 struct PendingReply {
     /// Time of the first refusal since the last answer, ms.
@@ -146,6 +147,8 @@
 pub struct LookupQueue<W> {
     /// Waiters, ordered by the time since which the job's reply is pending.
     waiting: BTreeMap<(u64, JobId), Vec<W>>,
+    /// Time since which the reply of each queued job is pending, ms: part of its key in
+    /// `waiting`.
     since: HashMap<JobId, u64>,
     capacity: usize,
 }
--- a/crates/coordination/src/rate_limit.rs
+++ b/crates/coordination/src/rate_limit.rs
@@ -19,8 +19,8 @@
 ///
 /// All controllers share the limit. Each may always use its equal share. One that waits for
 /// tokens raises its rate up to the whole limit, and lowers it when the service refuses a
-/// request: one placer may do nearly all the writing while the others only read. Times are
-/// in µs of any monotonic clock.
+/// request. Fixed equal shares would not do, since one placer may do nearly all the writing
+/// while the others only read. Times are in µs of any monotonic clock.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
     /// This controller's equal share of the limit, per second.
@@ -106,8 +106,8 @@
         self.refused();
     }
 
-    /// Handles a refusal by the service: lowers the rate towards the equal share, since other
-    /// controllers need theirs.
+    /// Handles a refusal by the service: drops the available tokens and lowers the rate towards
+    /// the equal share, since other controllers need theirs.
     pub fn refused(&mut self) {
         self.rate = (self.rate * RATE_DECREASE_FACTOR).max(self.share);
         self.tokens = self.tokens.min(0.0);
