--- a/crates/trace/src/csv_rows.rs
+++ b/crates/trace/src/csv_rows.rs
@@ -5,8 +5,9 @@
 
 use crate::fault::{Faults, Row};
 
-/// Calls `each` with every row, and its fields, that has one field per name in
-/// `names` and is valid UTF-8. Any other row is a fault.
+/// Calls `each` with every row that has one field per name in `names` and is valid UTF-8, and
+/// with the row's fields. Any other row is a fault. Reading stops at the first row that is not
+/// valid CSV.
 pub fn rows<'f>(
     file: &str,
     input: impl BufRead,
--- a/crates/trace/src/fault.rs
+++ b/crates/trace/src/fault.rs
@@ -35,12 +35,12 @@
 }
 
 impl<'a> Faults<'a> {
-    /// Creates a collector that passes each fault to `on_each`.
+    /// Starts with a count of 0, and passes each fault to `on_each`.
     pub fn new(on_each: &'a mut dyn FnMut(&Fault)) -> Self {
         Self { on_each, count: 0 }
     }
 
-    /// Reports a fault.
+    /// Counts a fault and passes it on.
     pub fn report(&mut self, file: &str, line: u64, field: &str, message: impl Into<String>) {
         self.count += 1;
         (self.on_each)(&Fault {
@@ -79,13 +79,13 @@
         }
     }
 
-    /// Reports a fault of a field.
+    /// Reports a fault of a field and marks the row as invalid.
     pub fn fault(&mut self, field: &str, message: impl Into<String>) {
         self.valid = false;
         self.faults.report(self.file, self.line, field, message);
     }
 
-    /// Parses a number of 0 or more; reports a fault and returns 0 for anything else.
+    /// Parses a number from 0 to 2^53; reports a fault and returns 0 for anything else.
     pub fn number(&mut self, field: &str, text: &str) -> f64 {
         match text.trim().parse::<f64>() {
             Err(_) => self.fault(field, format!("{:?} is not a number", shorten(text))),
@@ -136,7 +136,7 @@
 /// Maximum number of characters of an input text that a message shows.
 const MAX_SHOWN_CHARACTERS: usize = 40;
 
-/// Shortens an input text for use in a message.
+/// Shortens an input text for use in a message: what exceeds 40 characters becomes `…`.
 pub fn shorten(text: &str) -> String {
     let mut short: String = text.chars().take(MAX_SHOWN_CHARACTERS).collect();
     if short.len() < text.len() {
--- a/crates/trace/src/formats/alibaba.rs
+++ b/crates/trace/src/formats/alibaba.rs
@@ -225,7 +225,7 @@
     }
 }
 
-/// Converts a percentage of the machine's memory to MB.
+/// Converts a percentage of the machine's memory to MB, rounded up.
 fn memory_percentage(row: &mut Row<'_, '_>, field: &str, text: &str, machine: Resources) -> u64 {
     let x = required_amount(row, field, text);
     if x > 100.0 {
--- a/crates/trace/src/formats/swf.rs
+++ b/crates/trace/src/formats/swf.rs
@@ -103,7 +103,7 @@
         }
         Some(n) => row.task_count(FIELDS[7], n as u64),
     };
-    // In KB per processor.
+    // KB per processor: the requested memory or, if unknown, the used memory.
     let memory_kb = optional_number(row, &fields, 9)
         .or_else(|| optional_number(row, &fields, 6))
         .unwrap_or(0.0);
--- a/crates/trace/src/import.rs
+++ b/crates/trace/src/import.rs
@@ -26,13 +26,13 @@
 /// Counts of a check or an import.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Imported {
-    /// Number of jobs read.
+    /// Number of valid jobs read.
     pub jobs: u64,
     /// Number of faults found.
     pub faults: u64,
 }
 
-/// A file that could not be read or written.
+/// A file that could not be read or written: its path, and the cause.
 #[derive(Debug, thiserror::Error)]
 #[error("{0}: {1}")]
 pub struct ImportError(String, io::Error);
@@ -71,7 +71,8 @@
     Ok(())
 }
 
-/// Checks files and passes every fault to `on_each_fault`. Returns the counts of an import.
+/// Checks files and passes every fault to `on_each_fault`. Returns the number of valid jobs and
+/// of faults.
 ///
 /// # Errors
 /// Returns an error if a file can't be read.
--- a/crates/trace/src/input.rs
+++ b/crates/trace/src/input.rs
@@ -86,10 +86,11 @@
     }
 }
 
-/// Calls `each` with every object of a JSON array and the line where it begins,
-/// without holding the array. The flag is false if the file ends within the
-/// object, or if the single byte passed can't occur between two objects;
-/// reading stops there. An object longer than [`MAX_LINE`] is cut to that length.
+/// Calls `each` with the line where an object of a JSON array begins, the bytes of
+/// the object, and `true`, without holding the array in memory. An object longer
+/// than [`MAX_LINE`] is cut to that length. The flag is `false` in the last call if
+/// the file ends within the object, or if the bytes are a single one that can't
+/// occur between two objects; reading stops there.
 pub fn objects(input: impl BufRead, mut each: impl FnMut(u64, &[u8], bool)) -> io::Result<()> {
     let (mut line, mut start_line, mut depth, mut in_string, mut escaped) =
         (1u64, 1u64, 0u32, false, false);
--- a/crates/trace/src/task_lifecycle.rs
+++ b/crates/trace/src/task_lifecycle.rs
@@ -32,9 +32,9 @@
     pub resources: Resources,
     /// Priority of the task.
     pub priority: Priority,
-    /// Class of the work.
+    /// Scheduling class of the task, as `class-N`.
     pub class: String,
-    /// User that submitted the task.
+    /// User that submitted the task; `unknown` if the trace does not name one.
     pub team: String,
     /// Placement constraints.
     pub constraints: Vec<Constraint>,
--- a/crates/trace/src/workload.rs
+++ b/crates/trace/src/workload.rs
@@ -74,15 +74,16 @@
 /// An error while reading a workload.
 #[derive(Debug, thiserror::Error)]
 pub enum WorkloadError {
-    /// Reading the file failed.
+    /// Reading the file failed: its path, and the cause.
     #[error("{0}: {1}")]
     Io(String, io::Error),
-    /// The file is not a workload of this version, or a line is invalid.
+    /// The file is not a workload of this version, or a line is invalid: path, line number and
+    /// message.
     #[error("{0}:{1}: {2}")]
     Line(String, u64, String),
 }
 
-/// Reads a workload and calls `each` with every entry.
+/// Reads a workload and calls `each` with every entry, up to the first invalid line.
 pub fn read(path: &Path, mut each: impl FnMut(Entry)) -> Result<Header, WorkloadError> {
     let name = path.display().to_string();
     let io = |e| WorkloadError::Io(name.clone(), e);
