--- a/crates/simulator/src/simulation/faults.rs
+++ b/crates/simulator/src/simulation/faults.rs
@@ -65,7 +65,7 @@
             FaultKind::ReducedStoreLimits => self.store.lower_limits(&self.scenario.state),
             FaultKind::LinkDown(link) => self.take_link_down(link, fault),
             FaultKind::ControllerIsolated { controller } => {
-                let links = self.links_except_workers(*controller);
+                let links = self.store_and_peer_links(*controller);
                 self.links_down.extend(links);
             }
             FaultKind::CloudDown => self.cloud.down = true,
@@ -208,7 +208,7 @@
                 self.links_down.remove(link);
             }
             FaultKind::ControllerIsolated { controller } => {
-                let links = self.links_except_workers(*controller);
+                let links = self.store_and_peer_links(*controller);
                 self.links_down.retain(|link| !links.contains(link));
             }
             FaultKind::InboundLoss { .. }
@@ -243,7 +243,7 @@
         }
     }
 
-    fn links_except_workers(&self, controller: usize) -> Vec<Link> {
+    fn store_and_peer_links(&self, controller: usize) -> Vec<Link> {
         let others = (0..self.controllers.len())
             .filter(|&other| other != controller)
             .map(|other| Link::between(other, controller));
@@ -307,7 +307,7 @@
         })
     }
 
-    /// True if the messages that a machine sends on its own reach no controller.
+    /// True if a machine's heartbeats reach no controller; its answers to commands still do.
     pub(super) fn outbound_lost(&self, number: usize) -> bool {
         self.faults_on(number)
             .any(|kind| matches!(kind, FaultKind::OutboundLoss { .. }))
