--- a/crates/simulator/src/baseline.rs
+++ b/crates/simulator/src/baseline.rs
@@ -24,7 +24,7 @@
 use crate::report::{ControllerWork, JobCounts, LatencySummary, RunOutcome, RunReport};
 use crate::scenario::Scenario;
 
-/// A baseline placer.
+/// How a baseline chooses the machine of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BaselineKind {
     /// One placer with a complete view of the cluster.
@@ -315,8 +315,8 @@
 
     // ---- sampler ---------------------------------------------------------------
 
-    /// Samples `d` machines and sends the task to the one with the shortest queue. A task that
-    /// fits on no machine of the cluster is dropped.
+    /// Samples `d` machines and sends the task to the one with the shortest queue among those that
+    /// are large enough. A task that fits on no machine of the cluster is dropped.
     fn send_to_sampled(&mut self, job: usize, task: u32, d: u32) {
         let need = self.need(job);
         let mut best: Option<(usize, usize)> = None;
--- a/crates/simulator/src/cloud.rs
+++ b/crates/simulator/src/cloud.rs
@@ -36,7 +36,7 @@
     pub zone: &'a str,
     /// True for a spot instance, false for an on-demand machine.
     pub spot: bool,
-    /// Start of billing.
+    /// Time from which the machine is billed.
     pub provisioned_at: u64,
     /// Time at which it has booted.
     pub up_at: u64,
--- a/crates/simulator/src/controller.rs
+++ b/crates/simulator/src/controller.rs
@@ -45,9 +45,11 @@
 pub enum CasOrigin {
     /// The scheduling core, under a shard's lease.
     Scheduler(ShardLease),
-    /// The result is ignored.
+    /// Hints, messages sent through the store, and further pages of a submission. The result
+    /// is ignored.
     Unattended,
-    /// The loop that renews the store lease and the shard leases.
+    /// The loop that renews the store lease and bids for shards: one of its election actions, or
+    /// `None` for a write of team assignments, the records version or the membership entry.
     LeaseKeeper(Option<ElectionAction>),
     /// The same loop, writing the membership entry under this new store lease.
     Membership(u64),
@@ -96,9 +98,9 @@
 
 /// A worker's heartbeat in transit.
 pub struct SentHeartbeat {
-    /// Number of the machine; 0: no machine sent it, and its answer is dropped.
+    /// Number of the machine; 0: a copy of a heartbeat, whose answer is dropped.
     pub machine: usize,
-    /// The heartbeat.
+    /// The heartbeat as the worker built it.
     pub heartbeat: Heartbeat,
     /// Time at which it was sent, µs.
     pub sent: u64,
@@ -129,11 +131,11 @@
 /// Result of sending a request to a service on a route.
 #[derive(Clone, Copy, Debug)]
 pub struct RouteResult {
-    /// The service.
+    /// Service that the request is for.
     pub service: Service,
     /// Controller that relayed the request; `None`: it was sent directly.
     pub relay: Option<u16>,
-    /// Size of the request in bytes.
+    /// Estimated size of a compare-and-swap in bytes; 0 for other requests.
     pub bytes: usize,
     /// True if the request reached the service.
     pub served: bool,
@@ -145,14 +147,14 @@
     Heartbeat(SentHeartbeat),
     /// A worker's heartbeat that another controller relayed.
     RelayedHeartbeat {
-        /// The heartbeat.
+        /// Heartbeat that is relayed.
         heartbeat: SentHeartbeat,
         /// Controller process that relayed it.
         relay: ProcessId,
     },
     /// The leader's answer to a heartbeat that this controller relayed.
     RelayedAnswer {
-        /// The heartbeat.
+        /// Heartbeat that the answer belongs to.
         heartbeat: HeartbeatRef,
         /// Number of the leader.
         from: usize,
@@ -165,7 +167,7 @@
     Gossip {
         /// Controller process that expects the answer.
         reply_to: ProcessId,
-        /// The gossip.
+        /// Availability of links as the sender knows it.
         gossip: Box<AvailabilityGossip>,
     },
     /// A controller's answer to this controller's gossip; `None`: no answer came.
@@ -174,11 +176,11 @@
     CasResult {
         /// Part of this controller that issued it.
         origin: CasOrigin,
-        /// The compare-and-swap.
+        /// The compare-and-swap that was sent.
         cas: CompareAndSwap,
         /// Its outcome; `None`: no answer came.
         outcome: Option<CompareAndSwapOutcome>,
-        /// Keys that were read again after a conflict, with their versions.
+        /// Keys that were read again after a conflict, with their versions; 0: the key is absent.
         versions: Vec<(String, u64)>,
     },
     /// The result of a call to a worker.
@@ -189,7 +191,7 @@
         reply_to: Option<ProcessId>,
         /// Shard lease of the sender.
         lease: ShardLease,
-        /// The request.
+        /// Request, which names the shard that it is for.
         request: Box<SyncRequest>,
     },
     /// A shard leader's answer to this controller's sync request; `None`: no answer came.
@@ -202,11 +204,11 @@
     InstancesListed(Vec<InstanceEntry>),
     /// A sync request was refused because the sending shard has another leader.
     Superseded(Superseded),
-    /// Another shard has news for a shard of this controller.
+    /// A shard of another controller has changes for a shard of this controller.
     WakeShard {
         /// The shard to wake.
         shard: u16,
-        /// The shard that the news comes from.
+        /// The shard that the changes come from.
         from: u16,
     },
     /// Another controller accepted a job.
@@ -215,7 +217,7 @@
     StateRead {
         /// Time at which the read began, µs.
         began_at: u64,
-        /// Its result.
+        /// What the read returned.
         read: StateRead,
     },
     /// The end records of these jobs were read.
@@ -228,7 +230,7 @@
     Withdraw(JobId),
     /// This controller acquired a shard's lease.
     ShardAcquired {
-        /// The lease.
+        /// Lease of the shard, with its new fencing token.
         lease: ShardLease,
         /// The shard's task chunks.
         chunks: Vec<KeyValue>,
@@ -244,7 +246,7 @@
     Tick,
 }
 
-/// A controller process.
+/// A controller: its current process, if any, and what is kept when it restarts.
 pub struct Controller {
     /// The scheduling core; `None` while the process is down.
     pub core: Option<Core>,
@@ -253,9 +255,9 @@
     pub incarnation: u64,
     /// Decides which shards to bid for.
     pub election: LeaderElection,
-    /// Id of its store lease.
+    /// Id of its store lease; `None`: it holds none.
     pub store_lease: Option<u64>,
-    /// Time at which the store lease was last renewed, µs.
+    /// Time at which the store last answered a request to grant or renew the store lease, µs.
     pub lease_renewed_at: u64,
     /// Number of answers that the lease keeper waits for.
     pub pending_lease_replies: u32,
@@ -291,7 +293,7 @@
     pub charged_counters: WorkCounters,
 }
 
-/// Work of a controller process.
+/// Work of a controller, summed over all its incarnations.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ControllerLoad {
     /// Processing time charged, µs.
@@ -300,11 +302,11 @@
     pub remainder_ns: u64,
     /// Number of messages received and sent.
     pub messages: u64,
-    /// Bytes of messages between controllers.
+    /// Bytes of the sync requests and answers to them that it sent to other controllers.
     pub peer_bytes: u64,
     /// Number of bit set words and machines examined by placement.
     pub candidates_examined: u64,
-    /// Number of placements refused.
+    /// Number of placements refused for lack of resources.
     pub refused_placements: u64,
     /// Number of attempts preempted.
     pub preemptions: u64,
--- a/crates/simulator/src/fault_search/draw_faults.rs
+++ b/crates/simulator/src/fault_search/draw_faults.rs
@@ -52,7 +52,7 @@
     flap: String,
     /// The lines that restrict an inbound loss, or empty.
     only: String,
-    /// A short duration, s.
+    /// Duration below 1 s: of a short restart, and the scale of a slow store's delays.
     short: f64,
     /// Smallest delay, s.
     low: f64,
--- a/crates/simulator/src/job.rs
+++ b/crates/simulator/src/job.rs
@@ -29,7 +29,7 @@
 pub struct PlannedSubmission {
     /// Time of the submission, µs.
     pub at_us: u64,
-    /// The job.
+    /// Job that is submitted.
     pub job: SimulatedJob,
     /// Time at which its user withdraws it, µs; `None`: never.
     pub withdraw_us: Option<u64>,
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -11,7 +11,7 @@
 use lemonweir_simulator::workload_replay::WorkloadReplay;
 use lemonweir_simulator::{fault_search, output, run, sweep, trace_commands};
 
-/// Violations of one run that the fault search prints at most.
+/// Largest number of violations of one run that the fault search prints.
 const MAX_PRINTED_VIOLATIONS: usize = 3;
 
 /// Runs lemonweir's scheduling code against a simulated site.
--- a/crates/simulator/src/report.rs
+++ b/crates/simulator/src/report.rs
@@ -86,16 +86,16 @@
     pub history_digest: String,
 }
 
-/// Numbers of jobs.
+/// Numbers of jobs by what happened to them; a job counts in each field that applies.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize, PartialEq)]
 pub struct JobCounts {
-    /// Jobs submitted.
+    /// Jobs submitted; repeated submissions of a job do not count.
     pub submitted: u64,
-    /// Jobs accepted.
+    /// Jobs whose acceptance was confirmed to their users.
     pub accepted: u64,
     /// Jobs refused, or given up by their users after a minute.
     pub refused: u64,
-    /// Jobs completed or withdrawn.
+    /// Accepted jobs whose end, done or withdrawn, is committed.
     #[serde(rename = "over")]
     pub ended: u64,
 }
@@ -105,7 +105,7 @@
 pub struct ControllerWork {
     /// Number of messages received and sent.
     pub messages: u64,
-    /// Bytes of messages between controllers.
+    /// Bytes of sync requests and their answers between controllers.
     pub peer_bytes: u64,
     /// Number of bit set words and machines examined by placement.
     #[serde(rename = "looks")]
--- a/crates/simulator/src/run.rs
+++ b/crates/simulator/src/run.rs
@@ -30,7 +30,7 @@
 pub enum Placer {
     /// The scenario's controllers.
     Lemonweir,
-    /// A baseline placer.
+    /// A baseline placer in place of the controllers.
     Baseline(baseline::BaselineKind),
 }
 
@@ -78,7 +78,8 @@
 }
 
 /// Runs a scenario. If `out` is given, the history of the simulation is written to
-/// `history.txt` in that directory, which is created if needed.
+/// `history.txt` in that directory, which is created if needed. The file stays empty for a
+/// baseline.
 ///
 /// # Errors
 /// Fails if the history file can't be created or the workload can't be read.
--- a/crates/simulator/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -54,13 +54,13 @@
 /// A class of synthetic jobs.
 #[derive(Clone, Debug)]
 pub struct JobClass {
-    /// Its name.
+    /// Name of the class, which is also part of its image names.
     pub name: String,
     /// Teams that submit its jobs, in round-robin order.
     pub teams: Vec<String>,
     /// Array, gang or service.
     pub shape: JobKind,
-    /// Priority.
+    /// Priority of its jobs.
     pub priority: Priority,
     /// Number of tasks of a job.
     pub tasks: ValueDistribution,
@@ -106,17 +106,17 @@
 /// Probabilities of faults of single messages, in thousandths.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct MessageFaults {
-    /// The reply to a compare-and-swap is lost.
+    /// The reply to a compare-and-swap of the scheduling core is lost.
     pub lost_cas_reply: u32,
-    /// A compare-and-swap is executed late, and its reply is lost.
+    /// A compare-and-swap of the scheduling core is executed late, and its reply is lost.
     pub late_cas: u32,
-    /// A command is lost.
+    /// A call with commands to a machine is lost; half of the lost calls still arrive, but late.
     pub lost_command: u32,
-    /// A command arrives late.
+    /// A call with commands to a machine arrives late, and its result is lost.
     pub late_command: u32,
-    /// A message between controllers is lost.
+    /// A sync request or a relayed heartbeat between controllers is lost.
     pub lost_sync: u32,
-    /// A lost message between controllers arrives late instead of never.
+    /// A lost sync request or relayed heartbeat arrives late instead of never.
     pub late_sync: u32,
 }
 
@@ -132,16 +132,16 @@
 /// Range of the network delay of a message, µs, which is drawn uniformly.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NetworkLatency {
-    /// Smallest delay.
+    /// Smallest delay, µs.
     pub low_us: u64,
-    /// Largest delay.
+    /// Largest delay, µs; may equal the smallest.
     pub high_us: u64,
 }
 
 /// A site, its load and its faults.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// Its name.
+    /// Name of the scenario, as reports show it.
     pub name: String,
     /// Simulated duration of a run, s.
     pub duration_s: f64,
@@ -157,7 +157,7 @@
     pub cloud: CloudLimits,
     /// Policy set by the operators.
     pub policy: Policy,
-    /// Machine types.
+    /// Machine types of the site; at least one.
     pub machine_kinds: Vec<MachineKind>,
     /// Teams with their quotas.
     pub teams: Vec<Team>,
@@ -169,7 +169,7 @@
     pub message_faults: MessageFaults,
     /// Simulated processing time of a controller.
     pub costs: ProcessingCosts,
-    /// Network delay.
+    /// Network delay of a message.
     pub latency: NetworkLatency,
     /// Seconds between two polls of a job by its user; 0: users do not poll.
     pub poll_s: f64,
--- a/crates/simulator/src/scenario/distribution.rs
+++ b/crates/simulator/src/scenario/distribution.rs
@@ -22,23 +22,23 @@
         /// Largest value.
         high: f64,
     },
-    /// Exponential.
+    /// Exponential distribution.
     Exponential {
-        /// Its mean.
+        /// Mean of the values.
         mean: f64,
     },
-    /// Log-normal.
+    /// Log-normal distribution.
     LogNormal {
-        /// Its median.
+        /// Median of the values.
         median: f64,
-        /// Standard deviation of the logarithm.
+        /// Standard deviation of the natural logarithm of the values.
         sigma: f64,
     },
-    /// Pareto.
+    /// Pareto distribution.
     Pareto {
         /// Smallest value.
         least: f64,
-        /// Shape parameter.
+        /// Shape parameter; the smaller it is, the more large values occur.
         shape: f64,
     },
 }
--- a/crates/simulator/src/scenario/fault.rs
+++ b/crates/simulator/src/scenario/fault.rs
@@ -2,7 +2,8 @@
 
 use std::ops::RangeInclusive;
 
-/// Delay with which the store executes a write that it does not answer.
+/// Delay with which the store executes a write under a [`FaultKind::LateWrites`] fault, unless it
+/// executes the write at once.
 pub const LATE_WRITE_DELAY: SecondsRange = SecondsRange {
     low: 2.0,
     high: 12.0,
@@ -13,9 +14,9 @@
 /// The kind of a fault, with its parameters.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FaultKind {
-    /// A controller process ends and is restarted.
+    /// A controller process ends, and is started again after the fault's duration.
     Crash {
-        /// The controller; `None`: all of them.
+        /// Number of the controller; `None`: all of them.
         controller: Option<usize>,
     },
     /// All controllers are restarted, one after the other.
@@ -28,21 +29,22 @@
     CloudDown,
     /// A zone is partitioned from everything outside it; traffic inside it continues.
     ZonePartition {
-        /// The zone.
+        /// Name of the partitioned zone.
         zone: String,
     },
     /// A controller process stalls while its clocks keep running.
     ProcessStall {
-        /// The controller.
+        /// Number of the stalled controller.
         controller: usize,
     },
     /// Machines are lost together with their tasks and data.
     MachineLoss,
-    /// Machines lose the network.
+    /// Machines lose their network connection.
     NetworkLoss,
-    /// Machines hang.
+    /// Machines hang while the fault lasts: their tasks make no progress, and they send no
+    /// heartbeats and execute no calls. Their leases still expire.
     MachineHang,
-    /// Machines on which every task fails that starts there.
+    /// Machines on which, for the rest of the run, every task fails that starts there.
     FaultyMachines,
     /// Changes the boot time of machines provisioned during the fault; the fault's share of
     /// them never boots.
@@ -71,10 +73,11 @@
     },
     /// Heartbeats of the fault's share of the machines arrive a second time.
     DelayedDuplicates {
-        /// Delay of the copy.
+        /// Delay of a copy.
         seconds: SecondsRange,
-        /// Only some copies arrive: they are retained until a shard has a new leader, and
-        /// reach every controller with this delay after that.
+        /// False: each copy reaches one controller, `seconds` after the heartbeat was sent.
+        /// True: some copies are retained until a shard has a new leader, and reach every
+        /// controller `seconds` after that.
         retained: bool,
     },
     /// The fault's share of all writes to the state service gets no answer.
@@ -83,19 +86,22 @@
         /// delay, possibly after newer ones.
         execute_immediately: bool,
     },
-    /// Messages from machines reach no controller, while direct commands reach the machines.
+    /// Heartbeats of machines reach no controller, while commands reach the machines and are
+    /// answered.
     OutboundLoss {
         /// Affects all machines of this zone; `None`: the fault's share of all machines.
         zone: Option<String>,
     },
-    /// Users poll all controllers about a job and resubmit it within milliseconds after it
-    /// was accepted, ended or confirmed as cancelled; some cancel it once it is accepted.
+    /// Users poll all controllers about a job and resubmit it within 200 ms after they learn
+    /// that it was accepted, refused, done or cancelled; 10 % of the accepted jobs are
+    /// cancelled at once.
     QueryBursts,
-    /// The fault's share of the jobs that end is cancelled at that moment.
+    /// The fault's share of the jobs is polled, resubmitted and cancelled at the moment at which
+    /// the job's last task completes.
     CancelAtCompletion,
     /// Users cancel running jobs within 200 ms.
     CancelBurst {
-        /// Number of jobs.
+        /// Largest number of jobs that are cancelled.
         count: usize,
         /// Time for which up to eight machines of these jobs hang, s; 0: none hangs.
         hang_s: f64,
@@ -109,7 +115,8 @@
         seconds: SecondsRange,
     },
     /// The fault's share of the calls to machines and of the answers to heartbeats is
-    /// delayed, or arrives in time while the machine's response to it is lost.
+    /// affected: half of it is delayed; the other half arrives in time, but a machine's
+    /// response to a call is lost.
     DelayedCommands {
         /// Delay of a delayed message.
         seconds: SecondsRange,
@@ -117,9 +124,9 @@
     /// The state service switches to its upcoming limits for the rest of the run.
     ReducedStoreLimits,
     /// A controller loses its links to the state service and to all other controllers, but
-    /// not to its workers.
+    /// not to workers, users and the cloud.
     ControllerIsolated {
-        /// The controller.
+        /// Number of the isolated controller.
         controller: usize,
     },
     /// Machines restart at once under the same names: without tasks and images, and with
@@ -172,9 +179,9 @@
 /// A range of delays, s; a delay is drawn uniformly.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SecondsRange {
-    /// Smallest delay.
+    /// Smallest delay, s.
     pub low: f64,
-    /// Largest delay.
+    /// Largest delay, s.
     pub high: f64,
 }
 
@@ -188,7 +195,7 @@
 /// A fault with its time and extent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fault {
-    /// Its kind.
+    /// What fails, with the parameters of that kind.
     pub kind: FaultKind,
     /// Time at which it begins, s.
     pub at_s: f64,
@@ -197,7 +204,8 @@
     /// Share of the machines, writes, calls or jobs that it affects; for a boot time fault,
     /// the share of new machines that never boot.
     pub share: f64,
-    /// Interval at which a link goes down and up again, s; 0: the link stays down.
+    /// Time after which a failed link changes between down and up, s; 0: it stays down until
+    /// the fault ends. Other kinds of faults ignore it.
     pub flap_interval_s: f64,
 }
 
@@ -235,7 +243,7 @@
     Workers(usize),
     /// A controller and the workers of a zone.
     WorkersInZone(usize, String),
-    /// Two controllers.
+    /// Two controllers, in both directions; [`Link::between`] puts the smaller number first.
     Controllers(usize, usize),
     /// The first controller can't reach the second, which still can reach the first.
     OneWay(usize, usize),
--- a/crates/simulator/src/scenario/fault_reader.rs
+++ b/crates/simulator/src/scenario/fault_reader.rs
@@ -11,7 +11,8 @@
 };
 /// Default duration of a fault, s.
 const DEFAULT_DURATION_S: f64 = 5.0;
-/// Default share of the machines, writes, calls or jobs that a fault affects.
+/// Default share of the machines, writes, calls or jobs that a fault affects. A boot time fault
+/// has a default of 0 instead.
 const DEFAULT_SHARE: f64 = 0.1;
 
 /// Names of the kinds of faults in a scenario file.
--- a/crates/simulator/src/simulation.rs
+++ b/crates/simulator/src/simulation.rs
@@ -75,15 +75,15 @@
 pub struct Simulation {
     /// Current time, µs.
     pub now: u64,
-    /// Events processed.
+    /// Number of events processed so far.
     pub events: u64,
-    /// The scenario.
+    /// The scenario that is simulated.
     pub scenario: Arc<Scenario>,
-    /// The state service.
+    /// The state service's key-value store.
     pub store: Store,
     /// Machines, by number; `None` for number 0 and for machines that are gone.
     pub workers: Vec<Option<Worker>>,
-    /// The cloud.
+    /// The cloud provider of the machines.
     pub cloud: Cloud,
     /// State that the workers share: jobs, gangs, the invariant checker and the history.
     pub workload: WorkloadState,
@@ -102,15 +102,16 @@
     /// Factor by which users poll more often. Above 1, each poll comes, with a probability of
     /// one third, with another one for a job that does not exist.
     pub poll_factor: f64,
-    /// Copies of heartbeats that were delivered.
+    /// Number of copies of heartbeats that were delivered.
     pub duplicates_delivered: u64,
-    /// Writes that a fault left without an answer; the store executes them, possibly late.
+    /// Number of compare-and-swaps with writes that a fault left without an answer; the store
+    /// executes them, possibly late.
     pub late_writes: u64,
-    /// Calls to machines and answers to their heartbeats that were delayed, or whose answer
-    /// was lost.
+    /// Number of calls to machines and answers to their heartbeats that a fault delayed, or let
+    /// arrive in time while the response to a call was lost.
     pub delayed_calls: u64,
     /// Active faults that no other state represents, by their index in the scenario, with the
-    /// machines that they affect.
+    /// machines drawn for them; without machines if the fault affects a zone or no machines.
     active_faults: BTreeMap<usize, BTreeSet<usize>>,
     /// Time of the last inspection that found a fault active.
     last_fault_at: u64,
@@ -193,7 +194,8 @@
         }
     }
 
-    /// Schedules the submission of a job at its planned time, or now if that is past.
+    /// Schedules the submission of a job at its planned time, or now if that is past, and its
+    /// withdrawal if one is planned.
     pub fn submit(&mut self, planned: PlannedSubmission) {
         let id = planned.job.spec.id.clone();
         let at = planned.at_us.max(self.now);
--- a/crates/simulator/src/simulation/duplicates.rs
+++ b/crates/simulator/src/simulation/duplicates.rs
@@ -19,8 +19,9 @@
 const NO_MACHINE: usize = 0;
 
 impl Simulation {
-    /// Retains copies of a share of the heartbeats for the next leader. At the maximum, the
-    /// oldest copies stay and new ones are dropped.
+    /// Retains a copy of a heartbeat for the next leader, with a probability of
+    /// [`RETAINED_PER_MILLE`]. Once a machine has [`RETAINED_PER_MACHINE`] copies, these stay and
+    /// new ones are dropped.
     fn retain_heartbeat(&mut self, heartbeat: &Heartbeat) {
         let retained = self
             .retained_heartbeats
--- a/crates/simulator/src/simulation/effects.rs
+++ b/crates/simulator/src/simulation/effects.rs
@@ -13,7 +13,7 @@
 use crate::clock::US_PER_MS;
 use crate::controller::{CasOrigin, Input};
 
-/// Minimum duration of a request to the cloud, µs.
+/// Time that a provisioning or release request takes in addition to the network delay, µs.
 const CLOUD_REQUEST_US: u64 = 100 * US_PER_MS;
 
 impl Simulation {
@@ -117,7 +117,8 @@
     }
 
     /// Sends a message between shards through the store, bound to the sender's store lease. It
-    /// is dropped without a store lease, or if it exceeds the store's lowest write limit.
+    /// is dropped without a store lease, or if it needs more writes than the store's lowest limit
+    /// allows in a compare-and-swap.
     fn send_store_message(
         &mut self,
         controller: usize,
--- a/crates/simulator/src/simulation/events.rs
+++ b/crates/simulator/src/simulation/events.rs
@@ -33,7 +33,7 @@
     ScheduleInstanceList(ProcessId),
     /// A request reaches the store.
     StoreRequest(ProcessId, StoreRequest, ServiceRoute),
-    /// The store executes a request, and answers it after so many µs; `None`: never.
+    /// The store executes a request, and answers it this many µs later; `None`: never.
     StoreExecutes(ProcessId, StoreRequest, Option<u64>),
     /// Commands reach a machine.
     Commands(ProcessId, CommandDelivery),
@@ -93,7 +93,8 @@
 pub(super) struct CommandDelivery {
     pub(super) lease: ShardLease,
     pub(super) call: CommandCall,
-    /// The result is not returned: the controller gets an unknown one at its timeout.
+    /// True if the result is not returned: the controller gets `CommandResult::Unknown` after
+    /// its timeout instead.
     pub(super) late: bool,
 }
 
@@ -108,7 +109,7 @@
 pub(super) struct UserReply {
     pub(super) job: JobId,
     pub(super) phase: Option<JobPhase>,
-    /// HTTP status.
+    /// HTTP status of the answer.
     pub(super) status: u16,
     /// When the request reached the controller, µs.
     pub(super) asked_at: u64,
@@ -129,7 +130,7 @@
 }
 
 impl StoreRequest {
-    /// Writes that count against the store's limits.
+    /// Number of writes that count against the store's limits.
     pub(super) fn writes(&self) -> usize {
         if let StoreRequest::CompareAndSwap(_, cas) = self {
             cas.writes.len()
--- a/crates/simulator/src/simulation/inputs.rs
+++ b/crates/simulator/src/simulation/inputs.rs
@@ -19,7 +19,7 @@
 use crate::controller::{CasOrigin, Input, ProcessId, RouteResult, SentHeartbeat, UserRequest};
 
 impl Simulation {
-    /// Processes one message.
+    /// Handles one message from a controller's inbox; it is dropped if the controller is down.
     pub(super) fn handle_input(&mut self, number: usize, input: Input) {
         let now_ms = self.now_ms();
         let controller = &mut self.controllers[number];
--- a/crates/simulator/src/simulation/network.rs
+++ b/crates/simulator/src/simulation/network.rs
@@ -209,8 +209,8 @@
         }
     }
 
-    /// Reports to the sender of a message to a process that is down that no answer came, after
-    /// the timeout of a sync request.
+    /// Handles a message to a process that has ended: after the timeout of a sync request, its
+    /// sender learns that no answer came. Messages that nobody waits for are dropped.
     pub(super) fn fail_unanswered(&mut self, controller: usize, input: Input) {
         let (sender, failed) = match input {
             Input::SyncRequest {
--- a/crates/simulator/src/simulation/routes.rs
+++ b/crates/simulator/src/simulation/routes.rs
@@ -8,14 +8,14 @@
 use crate::controller::{Input, ProcessId, RouteResult};
 use crate::scenario::Link;
 
-/// Estimated bytes of one write of a compare-and-swap: about those of a full chunk.
+/// Estimated bytes of one write of a compare-and-swap: about the size of a full task chunk.
 const WRITE_BYTES: usize = 512;
 
 /// The route of a request to a service.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ServiceRoute {
     service: Service,
-    /// Bytes of the request.
+    /// Estimated bytes of a compare-and-swap; 0 for other requests.
     bytes: usize,
     /// The controller that relays it; `None`: it is sent directly.
     relay: Option<u16>,
@@ -137,7 +137,8 @@
         self.can_relay(to, from)
     }
 
-    /// True if a message from `a` to `b` is lost, or the answer to it.
+    /// True if a request from `a` to `b` is lost now, or the answer of `b` to an earlier one. A
+    /// one-way failure from `b` to `a` affects neither.
     pub(super) fn controllers_partitioned(&self, a: usize, b: usize) -> bool {
         self.links_down.contains(&Link::OneWay(a, b))
             || self.links_down.contains(&Link::between(a, b))
--- a/crates/simulator/src/simulation/starvation.rs
+++ b/crates/simulator/src/simulation/starvation.rs
@@ -17,7 +17,8 @@
 
 /// A job that waits although machines have free resources for it.
 struct WaitingJob {
-    /// Since when, µs.
+    /// Time of the check that first found it waiting after the last start of one of its tasks,
+    /// µs.
     since: u64,
     /// The machines that have had free resources for it ever since.
     machines: BTreeSet<usize>,
--- a/crates/simulator/src/simulation/state_reads.rs
+++ b/crates/simulator/src/simulation/state_reads.rs
@@ -117,7 +117,8 @@
     }
 }
 
-/// What the store says of the watched keys since a revision, or of all.
+/// Reads the changes to the watched keys after a revision. Reads all watched keys if there is no
+/// revision, or if the store no longer retains the changes after it.
 pub(super) fn read_watched_keys(store: &Store, after: Option<u64>) -> StateRead {
     match after.and_then(|after| store.changes(WATCHED_PREFIX, after)) {
         Some(changes) => StateRead::Changes(changes, store.revision),
--- a/crates/simulator/src/simulation/store_service.rs
+++ b/crates/simulator/src/simulation/store_service.rs
@@ -173,7 +173,8 @@
         }
     }
 
-    /// The store executes a request.
+    /// Executes a request on the store, and sends the answer after `answer_us`; `None`: the answer
+    /// is lost.
     pub(super) fn execute_store_request(
         &mut self,
         process: ProcessId,
--- a/crates/simulator/src/simulation/user_answers.rs
+++ b/crates/simulator/src/simulation/user_answers.rs
@@ -70,8 +70,9 @@
         self.send_cas(number, origin, last.clone());
     }
 
-    /// Looks up the dependencies that the controller of a submission does not know in the
-    /// store.
+    /// Looks up in the store the dependencies of a submission that its controller does not know.
+    /// The submission is refused if one was never accepted, and otherwise handled again after
+    /// [`CACHE_REFRESH_IDLE_MS`].
     fn resolve_dependencies(&mut self, number: usize, id: JobId, ids: &[JobId]) {
         if !self.service_reachable(number, Service::Store) {
             return self.reply(number, id, None, 503);
@@ -247,7 +248,8 @@
         self.schedule_at(at, Event::Reply(reply));
     }
 
-    /// Notifies the leader of a job's shard that the job has changed.
+    /// Notifies the leader of a job's shard that the job has changed. If the leader is this
+    /// controller, or unknown, this controller reads the state instead.
     fn announce(&mut self, controller: usize, id: &JobId) {
         let Some(team) = self.planned.get(id).map(|p| p.job.spec.team.clone()) else {
             return;
--- a/crates/simulator/src/simulation/workers.rs
+++ b/crates/simulator/src/simulation/workers.rs
@@ -14,7 +14,8 @@
 use crate::worker::{ReceivedAnswer, Worker};
 use crate::workload_state::WorkloadState;
 
-/// µs after which a worker tries the next controller if its own is down or unavailable.
+/// µs after which a worker tries the next controller if its own is down or unavailable, or if a
+/// fault drops its heartbeat.
 const NEXT_CONTROLLER_AFTER_REFUSAL_US: u64 = 1_000 * US_PER_MS;
 /// µs after which a worker tries the next controller if its own does not respond: a timeout
 /// of 4 s, and 1 s until the next heartbeat.
@@ -30,7 +31,7 @@
 struct OutgoingHeartbeat {
     heartbeat: Heartbeat,
     controller: usize,
-    /// The machine has lost the network.
+    /// True if the machine has lost its network connection: the heartbeat is not sent.
     silent: bool,
 }
 
@@ -190,7 +191,7 @@
             .map(|worker| worker.hung_until)
             .filter(|until| *until > now);
         if let Some(until) = hung_until {
-            // A machine executes the commands that it got while it hung once it resumes.
+            // A hung machine executes the commands that it receives once it resumes.
             if !late {
                 let unknown = Input::CommandResult(lease, call.clone(), CommandResult::Unknown);
                 self.deliver_in(COMMAND_TIMEOUT_MS * US_PER_MS, process, unknown);
--- a/crates/simulator/src/store.rs
+++ b/crates/simulator/src/store.rs
@@ -37,7 +37,7 @@
     TooLarge,
 }
 
-/// Token bucket that holds the tokens of one second.
+/// Token bucket whose capacity is the tokens of one second.
 struct RateLimit {
     per_s: f64,
     tokens: f64,
@@ -60,7 +60,7 @@
 /// Numbers of requests and writes that the store admitted.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServedCounts {
-    /// Number of requests.
+    /// Number of requests admitted.
     pub requests: u64,
     /// Number of writes in these requests.
     pub writes: u64,
--- a/crates/simulator/src/toml_section.rs
+++ b/crates/simulator/src/toml_section.rs
@@ -95,7 +95,7 @@
     }
 
     /// A number within bounds; `default` if it is absent. An absent field without a default is
-    /// an error.
+    /// an error. After an error, `low` is returned.
     pub fn number(&self, name: &str, low: f64, high: f64, default: Option<f64>) -> f64 {
         let Some((at, value)) = self.find(name) else {
             if default.is_none() {
@@ -112,7 +112,8 @@
         }
     }
 
-    /// An integer within bounds; `default` if it is absent.
+    /// An integer within bounds; absent fields and errors are handled as in [`Self::number`]. A
+    /// fractional number is an error, and is rounded down.
     pub fn integer(&self, name: &str, low: u64, high: u64, default: Option<u64>) -> u64 {
         let x = self.number(name, low as f64, high as f64, default.map(|x| x as f64));
         if x.fract() != 0.0 {
@@ -121,7 +122,8 @@
         x as u64
     }
 
-    /// A string; `default` if it is absent.
+    /// A string; `default` if it is absent. An absent field without a default is an error. After
+    /// an error, the string is empty.
     pub fn string(&self, name: &str, default: Option<&str>) -> String {
         match self.find(name) {
             Some((_, DeValue::String(s))) => s.to_string(),
@@ -136,8 +138,9 @@
         }
     }
 
-    /// The value that belongs to a string; `default` if the field is absent. A string that is
-    /// not among `choices` is an error.
+    /// The value that `choices` assigns to a string; `default` if the field is absent. A string
+    /// that is not among `choices`, and an absent field without a default, are errors and yield
+    /// `None`.
     pub fn one_of<T: Copy>(
         &self,
         name: &str,
--- a/crates/simulator/src/worker/messages.rs
+++ b/crates/simulator/src/worker/messages.rs
@@ -8,7 +8,7 @@
 use super::Worker;
 use crate::workload_state::WorkloadState;
 
-/// Minimum time between two heartbeats, µs (protocol page).
+/// Minimum time from a heartbeat to an early one that reports a change, µs (protocol page).
 const MIN_HEARTBEAT_INTERVAL_US: u64 = 500_000;
 /// Time that a worker waits for an answer, µs (protocol page).
 const ANSWER_TIMEOUT_US: u64 = 4_000_000;
@@ -29,7 +29,7 @@
     pub session: u64,
     /// Time at which the heartbeat was sent, µs.
     pub sent: u64,
-    /// The answer.
+    /// Content of the answer: the machine's fencing token and the commands.
     pub response: &'a HeartbeatResponse,
     /// Time from that heartbeat to the next one, µs.
     pub next_us: u64,
--- a/crates/simulator/src/worker/tasks.rs
+++ b/crates/simulator/src/worker/tasks.rs
@@ -264,7 +264,8 @@
     }
 
     /// Stops a task. A running task saves a checkpoint first if its job makes checkpoints and
-    /// saving one takes no longer than `grace_s`; service replicas never save one.
+    /// saving one takes no longer than `grace_s`; service replicas never save one. A task that is
+    /// saving one already continues, unless `grace_s` is 0.
     pub(super) fn kill(
         &mut self,
         id: &AttemptId,
--- a/crates/simulator/src/workload_state.rs
+++ b/crates/simulator/src/workload_state.rs
@@ -77,9 +77,9 @@
 
 /// State shared by all workers.
 pub struct WorkloadState {
-    /// Submitted jobs.
+    /// Jobs that users have submitted at least once, including refused ones.
     pub jobs: HashMap<JobId, SimulatedJob>,
-    /// Checks the invariants.
+    /// Checker of the invariants; workers report starts and exits of tasks to it.
     pub checker: InvariantChecker,
     /// History of the run.
     pub history: History,
@@ -103,7 +103,7 @@
     gangs: HashMap<(JobId, u32), Gang>,
     /// Saved progress of each task, µs of run time.
     pub(crate) checkpoints: HashMap<(JobId, u32), u64>,
-    /// Completed tasks.
+    /// Tasks that have completed in any attempt.
     pub(crate) completed_tasks: HashSet<(JobId, u32)>,
     /// Number of completed tasks of each job.
     completed_counts: HashMap<JobId, u64>,
