--- a/crates/simulator/src/cloud.rs
+++ b/crates/simulator/src/cloud.rs
@@ -13,7 +13,7 @@
 /// Number of machines on a page of the instance list.
 const INSTANCES_PER_PAGE: usize = 500;
 /// How long the cloud keeps a machine that is gone, µs: a list as of an earlier time may still
-/// contain it.
+/// contain it. A list with a longer lag may lack it.
 const GONE_MACHINE_RETENTION_US: u64 = 60_000_000;
 
 struct CloudMachine {
@@ -120,7 +120,8 @@
         );
     }
 
-    /// Ends the billing of a machine, and forgets those that no list can contain any more.
+    /// Ends the billing of a machine, and removes the machines that have been gone for a minute
+    /// from the lists.
     pub fn remove(&mut self, number: usize, now: u64) {
         self.machines.retain(|_, m| {
             m.gone_at
--- a/crates/simulator/src/simulation/adversarial_users.rs
+++ b/crates/simulator/src/simulation/adversarial_users.rs
@@ -32,7 +32,7 @@
 const MAX_HUNG_MACHINES: usize = 8;
 /// µs between two invalid requests of a kind.
 const INVALID_REQUEST_INTERVAL_US: u64 = 500 * US_PER_MS;
-/// An unschedulable job requests so many times the processors of the largest machine.
+/// An unschedulable job requests this many times the processors of the largest machine.
 const UNSCHEDULABLE_CPU_FACTOR: f64 = 10.0;
 
 impl Simulation {
--- a/crates/simulator/src/simulation/faults.rs
+++ b/crates/simulator/src/simulation/faults.rs
@@ -12,10 +12,11 @@
 use crate::clock::micros;
 use crate::scenario::{Fault, FaultKind, Link};
 
-/// In a rolling restart, a controller is down for one in so many parts of the interval between
-/// two restarts.
+/// In a rolling restart, each controller is down for the interval between two restarts divided by
+/// this.
 const ROLLING_DOWN_ONE_IN: f64 = 3.0;
-/// Share of the delayed calls that arrive at once while their answer is lost, per mille.
+/// Share of the calls affected by [`FaultKind::DelayedCommands`] that arrive in time while their
+/// answer is lost, per mille.
 const ANSWER_LOST_PER_MILLE: u32 = 500;
 /// A spot instance is reclaimed after its notice times a random factor: at least this, and at
 /// most 1 more.
--- a/crates/simulator/src/simulation/users.rs
+++ b/crates/simulator/src/simulation/users.rs
@@ -28,8 +28,8 @@
 const NO_CONTROLLER_RETRY_US: u64 = 1_000 * US_PER_MS;
 /// µs after which users try again after a 503: its `Retry-After`.
 const RETRY_AFTER_US: u64 = RETRY_AFTER_S * 1_000 * US_PER_MS;
-/// Under a poll load, one in so many polls comes with another one for a job that does not
-/// exist.
+/// Under a poll load, on average one in this many polls comes with another one for a job that
+/// does not exist.
 const UNKNOWN_JOB_ONE_IN: u32 = 3;
 
 /// A user's view of its job. Times are µs.
@@ -37,7 +37,7 @@
 pub(super) struct UserJob {
     first_submitted: u64,
     pub(super) accepted_at: Option<u64>,
-    /// The user knows that it ended or was refused, or has given up.
+    /// True once the user knows that the job ended or was refused, or has given up submitting it.
     pub(super) finished: bool,
     last_poll: u64,
     next_poll: u64,
--- a/crates/simulator/src/worker/images.rs
+++ b/crates/simulator/src/worker/images.rs
@@ -46,7 +46,7 @@
         kind.image_pull_gb_per_s / self.fetches.len().max(1) as f64 / 1e6
     }
 
-    /// Time at which the next download completes, µs.
+    /// Time at which the next download completes, µs; [`NEVER_US`] without downloads.
     pub(super) fn next_fetched_at(&self, kind: &MachineType) -> u64 {
         if self.fetches.is_empty() {
             return NEVER_US;
--- a/crates/simulator/src/workload_state.rs
+++ b/crates/simulator/src/workload_state.rs
@@ -45,7 +45,7 @@
     stopping_since: Option<u64>,
     /// Running tasks that have received a stop command.
     told_to_stop: HashSet<u32>,
-    /// True once the attempt has completed, was stopped or has lost a task.
+    /// True once the attempt has completed, was stopped, or has lost a task while it ran.
     pub(crate) ended: bool,
 }
 
@@ -140,7 +140,7 @@
             .map_or(0, |checkpoints| checkpoints * interval_us)
     }
 
-    /// Saved progress of a task, µs of run time.
+    /// Saved progress of a task, µs of run time; 0 if none is saved.
     pub(crate) fn checkpoint(&self, job: &JobId, task: u32) -> u64 {
         self.checkpoints
             .get(&(job.clone(), task))
