--- a/crates/simulator/src/workload_state.rs
+++ b/crates/simulator/src/workload_state.rs
@@ -45,7 +45,7 @@
     stopping_since: Option<u64>,
     /// Running tasks that have received a stop command.
     told_to_stop: HashSet<u32>,
-    /// True once the attempt has completed, was stopped or has lost a task.
+    /// True once the attempt has completed, was stopped, or has lost a task while it ran.
     pub(crate) ended: bool,
 }
 
@@ -77,9 +77,9 @@
 
 /// State shared by all workers.
 pub struct WorkloadState {
-    /// Submitted jobs.
+    /// Jobs that users have submitted at least once, including refused ones.
     pub jobs: HashMap<JobId, SimulatedJob>,
-    /// Checks the invariants.
+    /// Checker of the invariants; workers report starts and exits of tasks to it.
     pub checker: InvariantChecker,
     /// History of the run.
     pub history: History,
@@ -103,7 +103,7 @@
     gangs: HashMap<(JobId, u32), Gang>,
     /// Saved progress of each task, µs of run time.
     pub(crate) checkpoints: HashMap<(JobId, u32), u64>,
-    /// Completed tasks.
+    /// Tasks that have completed in any attempt.
     pub(crate) completed_tasks: HashSet<(JobId, u32)>,
     /// Number of completed tasks of each job.
     completed_counts: HashMap<JobId, u64>,
@@ -140,7 +140,7 @@
             .map_or(0, |checkpoints| checkpoints * interval_us)
     }
 
-    /// Saved progress of a task, µs of run time.
+    /// Saved progress of a task, µs of run time; 0 if none is saved.
     pub(crate) fn checkpoint(&self, job: &JobId, task: u32) -> u64 {
         self.checkpoints
             .get(&(job.clone(), task))
