--- a/crates/coordination/src/owner/inventory.rs
+++ b/crates/coordination/src/owner/inventory.rs
@@ -38,13 +38,13 @@
     pub(super) fn insert_machine(
         &mut self,
         id: &MachineId,
-        kind: &str,
+        machine_type: &str,
         zone: &str,
         spot: bool,
         now: u64,
     ) {
-        let capacity = self.catalog.capacity(kind);
-        let mut m = Machine::new(kind, zone, spot, capacity, self.base_token(), now);
+        let capacity = self.catalog.capacity(machine_type);
+        let mut m = Machine::new(machine_type, zone, spot, capacity, self.base_token(), now);
         // An attempt placed there or a record of its images shows that it ran before.
         m.recorded_running_at = self
             .unseen_machines
--- a/crates/coordination/src/owner/orphaned_grants.rs
+++ b/crates/coordination/src/owner/orphaned_grants.rs
@@ -21,7 +21,7 @@
             let lost = revision >= placer.token
                 && leaders
                     .get(shard)
-                    .is_none_or(|h| h.fencing_token != placer.token);
+                    .is_none_or(|leader| leader.fencing_token != placer.token);
             if !lost {
                 placer.lease_lost_at = None;
             } else if placer.lease_lost_at.is_none() {
--- a/crates/coordination/src/owner/scale_in.rs
+++ b/crates/coordination/src/owner/scale_in.rs
@@ -77,8 +77,8 @@
             if done {
                 // The result of a call in progress will find no machine, so the call's slot
                 // among those to unreachable machines is freed here.
-                let call_in_progress = self.machines.remove(id).is_some_and(|m| m.unreachable_call);
-                self.unreachable_calls -= usize::from(call_in_progress);
+                let unreachable_call = self.machines.remove(id).is_some_and(|m| m.unreachable_call);
+                self.unreachable_calls -= usize::from(unreachable_call);
                 self.fault_attribution.remove_machine(id);
                 self.released_machines.insert(id.clone());
                 info!(machine = %id, shard = self.shard, "machine released");
