--- a/crates/coordination/src/owner/attempt.rs
+++ b/crates/coordination/src/owner/attempt.rs
@@ -11,12 +11,13 @@
     AwaitingPreemption(u64),
     /// Admitted: its resources on the machine are reserved.
     Accepted {
-        /// The worker's session in which a launch was sent.
+        /// The worker's session in which a launch was sent or the task was last reported;
+        /// `None`: no launch that may still be executed was sent.
         launched_in: Option<u64>,
         /// Whether the worker has reported it.
         reported: bool,
     },
-    /// Ended, or refused.
+    /// Ended or refused, which is final; the state is published to its placer.
     Ended(AttemptState),
 }
 
@@ -35,10 +36,11 @@
     pub(super) placer: u16,
     /// The desired state, as last sent by its placer.
     pub(super) desired: DesiredAttempt,
-    /// Set on preemption: seconds that it has to save a checkpoint.
+    /// Seconds that it has to save a checkpoint; `None` unless it is preempted.
     pub(super) preemption_grace_s: Option<u32>,
     /// When a call last carried its stop command, ms.
     pub(super) stop_sent_at: Option<u64>,
+    /// When this owner first learned of it, ms.
     pub(super) tracked_since: u64,
     /// When it was first reported as running, ms.
     pub(super) running_since: Option<u64>,
@@ -62,12 +64,14 @@
         }
     }
 
-    /// Seconds of grace if it is to stop, on its placer's request or by preemption.
+    /// Seconds of grace if it is to stop, on its placer's request or by preemption; `None`
+    /// otherwise.
     pub(super) fn stop_grace_s(&self) -> Option<u32> {
         self.desired.stop_grace_s.or(self.preemption_grace_s)
     }
 
-    /// Returns true if it is accepted, may start, and is not reported by its machine yet.
+    /// Returns true if it is accepted, may start, is not to stop, and is not reported by its
+    /// machine yet.
     pub(super) fn awaits_launch(&self, id: &AttemptId, m: &Machine) -> bool {
         let accepted = matches!(
             self.stage,
--- a/crates/coordination/src/owner/commands.rs
+++ b/crates/coordination/src/owner/commands.rs
@@ -65,7 +65,8 @@
         self.placers.values().filter(|p| p.fully_synced).count() >= usize::from(self.shards)
     }
 
-    /// Returns the commands that are due for a machine, and records them as sent.
+    /// Returns the commands that are due for a machine, and records launches and the stops of a
+    /// call as sent.
     pub(super) fn commands_for(
         &mut self,
         machine: &MachineId,
@@ -131,7 +132,7 @@
         );
     }
 
-    /// Tasks to stop, with their grace in seconds.
+    /// Returns the tasks to stop, with their grace in seconds.
     ///
     /// A stop may count as sent though its call never left the process, for lack of a
     /// socket. The reply to a heartbeat renews the lease, so it carries every stop, whatever
@@ -155,7 +156,8 @@
             .collect()
     }
 
-    /// Stops or forgets tasks that no placer wants, once all placers have synced.
+    /// Returns commands to stop or forget the tasks that no placer wants; none until all placers
+    /// have synced.
     fn commands_for_unwanted(
         &self,
         m: &Machine,
@@ -177,8 +179,8 @@
             .collect()
     }
 
-    /// Attempts to launch. There are none on a machine that receives no replies: its lease
-    /// is expiring, and calls don't renew it.
+    /// Returns the attempts to launch. There are none on a machine that receives no replies: its
+    /// lease is expiring, and calls don't renew it.
     fn due_launches(
         &self,
         machine: &MachineId,
--- a/crates/coordination/src/owner/heartbeat.rs
+++ b/crates/coordination/src/owner/heartbeat.rs
@@ -37,8 +37,8 @@
         }
         let current = self.apply_heartbeat(heartbeat, Origin::Heartbeat(relayed_by), now);
         let m = self.machines.get_mut(&heartbeat.machine)?;
-        // A heartbeat of an expired session gets no reply, unless it shows none of our
-        // tokens: then it may be the first of a new incarnation.
+        // A heartbeat of an expired session gets no reply, unless its token is not trusted: it
+        // may then be the first heartbeat of a new incarnation.
         if heartbeat.incarnation <= m.expired_session
             && m.incarnation.is_trusted_token(heartbeat.fencing_token)
         {
@@ -130,9 +130,9 @@
 
     /// Applies a heartbeat that does not prove the present state of its machine.
     ///
-    /// Copies of heartbeats arrive up to several leases late: the machine may have been
+    /// Copies of heartbeats arrive up to several lease durations late: the machine may have been
     /// released since, and its reported state may be outdated. Such a heartbeat triggers at
-    /// most a query, which carries no commands.
+    /// most a query, which is a call without commands.
     fn apply_unverified(&mut self, heartbeat: &Heartbeat, origin: Origin, now: u64) {
         let Some(m) = self.machines.get_mut(&heartbeat.machine) else {
             return;
@@ -193,9 +193,9 @@
 
 /// Returns which commands the reply to a heartbeat may carry.
 ///
-/// The worker may still wait for the reply to a late heartbeat, if the response to a call
-/// overtook it, or to one that does not show our token. Both replies renew the lease, so
-/// both carry the stops.
+/// The worker may still wait for the reply to a heartbeat that the response to a call
+/// overtook, or that does not show this owner's token. Both replies renew the lease, so both
+/// carry the stops.
 fn reply_channel(m: &Machine, current: bool) -> CommandChannel {
     let call_unresolved = m.unresolved_call_token.is_some() && !m.call_in_progress;
     match (current && m.incarnation.is_confirmed(), call_unresolved) {
--- a/crates/coordination/src/owner/image_pages.rs
+++ b/crates/coordination/src/owner/image_pages.rs
@@ -20,6 +20,7 @@
 #[derive(Debug)]
 pub(super) struct ImageRecord {
     pages: Vec<ImageLocationsRecord>,
+    /// When changed pages were last selected for a write, ms.
     written_at: u64,
     /// The page that the next write begins at.
     next_page: usize,
@@ -35,8 +36,8 @@
         }
     }
 
-    /// Updates the record towards `pages`, and returns the pages to write: `max_pages` at
-    /// most.
+    /// Updates the record with the changes to reach `pages`, `max_pages` of them at most, and
+    /// returns the pages to write.
     fn update(&mut self, pages: &[ImageLocationsRecord], max_pages: usize) -> Vec<ImagePage> {
         let changed = self.select_changed(pages, max_pages);
         self.next_page = match changed.last() {
--- a/crates/coordination/src/owner/inventory.rs
+++ b/crates/coordination/src/owner/inventory.rs
@@ -4,7 +4,7 @@
 use super::*;
 
 impl Owner {
-    /// Registers an instance named by a placer or the inventory. Returns `None` if it was
+    /// Registers an instance reported by a placer or the inventory. Returns `None` if it was
     /// released.
     fn register_instance(
         &mut self,
@@ -34,7 +34,7 @@
         Some(m)
     }
 
-    /// Adds a machine that was unknown so far.
+    /// Adds a machine that this owner did not know so far.
     pub(super) fn insert_machine(
         &mut self,
         id: &MachineId,
@@ -84,8 +84,8 @@
             if entry.phase == "running" && m.last_heartbeat_at.is_none() {
                 // The machine may no longer exist: the inventory lags, and a new owner does
                 // not know what its predecessor released. Its silence counts from now, so
-                // it is not waited for like one that boots; if it runs, it soon sends a
-                // heartbeat.
+                // that it is not waited for as long as a booting machine; if it runs, it soon
+                // sends a heartbeat.
                 m.recorded_running_at.get_or_insert(now);
             }
             if entry.phase == "failed" {
--- a/crates/coordination/src/owner/last_copies.rs
+++ b/crates/coordination/src/owner/last_copies.rs
@@ -11,9 +11,10 @@
 #[derive(Debug, Default)]
 pub(super) struct ServiceImages {
     images: BTreeSet<String>,
-    /// Machines that hold the last copy of such an image in their zone, as of the last
+    /// Machines that hold the last copy of a service image in their zone, as of the last
     /// search.
     last_copies: HashSet<MachineId>,
+    /// When last copies were last searched for, ms; 0 after `images` changed.
     checked_at: u64,
 }
 
@@ -63,7 +64,7 @@
     }
 
     /// Swaps each scale-in candidate that holds a last copy for an idle machine of the same
-    /// type, zone and price class that holds none. As many machines are released as before,
+    /// type, zone and market that holds none. As many machines are released as before,
     /// and the image stays in the zone.
     pub(super) fn keep_last_copies(&mut self) {
         let kept: Vec<MachineId> = self
--- a/crates/coordination/src/owner/maintenance.rs
+++ b/crates/coordination/src/owner/maintenance.rs
@@ -18,7 +18,7 @@
     /// The time that its boot is measured from, ms.
     provisioned_at: u64,
     id: MachineId,
-    /// Whether it was marked overdue before.
+    /// Whether the machine was marked overdue before.
     known: bool,
 }
 
@@ -111,8 +111,8 @@
         }
     }
 
-    /// Finds machines that did not come up in time, and requests the release of those whose
-    /// boot has failed or that have been silent for too long.
+    /// Finds machines that did not come up in time, and marks for release those whose boot has
+    /// failed or that have been silent, unreachable or unconfirmed for too long.
     fn check_provisioning(
         &mut self,
         id: &MachineId,
@@ -157,8 +157,9 @@
         }
     }
 
-    /// Finds leases that must have expired, whichever controller last renewed them: no reply
-    /// of it can renew them any longer.
+    /// Finds leases that must have expired, whichever controller renewed them last (no reply of
+    /// that controller can renew them any longer), and launches of unknown outcome that can no
+    /// longer run under a lease.
     fn check_leases(&mut self, id: &MachineId, m: &mut Machine) {
         let lease_expiry_ms = self.timing.lease_expiry_ms();
         if m.unresolved_launch_at
@@ -175,7 +176,7 @@
         {
             self.findings.expired_leases.push(id.clone());
         } else if m.last_heartbeat_at.is_none() && self.inherited_leases_expired {
-            // Unverified heartbeats of it may have been answered; the leases that those
+            // Unverified heartbeats of this machine may have been answered; the leases that those
             // replies may have renewed have expired too.
             m.incarnation.clear_lease();
             self.findings.expired_leases.push(id.clone());
@@ -183,7 +184,7 @@
     }
 
     /// Makes a machine that was idle for long enough a scale-in candidate. Machines that are
-    /// partitioned, or were until a moment ago, don't count as idle.
+    /// silent or unreachable, or whose zone recovers from a partition, don't count as idle.
     fn check_idle(&mut self, id: &MachineId, m: &mut Machine, estimates: &MachineEstimates) {
         if !self.may_release
             || is_silent(estimates.verdict)
--- a/crates/coordination/src/owner/mod.rs
+++ b/crates/coordination/src/owner/mod.rs
@@ -74,8 +74,8 @@
 /// Why a sync request was refused.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SyncError {
-    /// Addressed to another leader of this shard, or sent under an outdated token of the
-    /// sender's shard.
+    /// Addressed to a shard that this controller does not lead under the given token, or sent
+    /// under an outdated token of the sender's shard.
     #[error("fencing token is not current")]
     TokenMismatch,
     /// The sender's shard does not exist.
@@ -111,6 +111,7 @@
     shard: u16,
     /// Fencing token of the shard's lease.
     token: u64,
+    /// When this owner acquired the shard.
     acquired_at: u64,
     timing: Timing,
     policy: Policy,
@@ -119,7 +120,7 @@
     catalog: MachineCatalog,
     machines: BTreeMap<MachineId, Machine>,
     attempts: HashMap<AttemptId, TrackedAttempt>,
-    /// Index of `attempts` by machine, so that lookups don't scan all of them.
+    /// Index of `attempts` by machine, so that lookups don't scan all attempts.
     attempts_by_machine: HashMap<MachineId, BTreeSet<AttemptId>>,
     /// Placer sessions by the placer's shard.
     placers: BTreeMap<u16, PlacerSession>,
@@ -150,15 +151,18 @@
     failure_detector: MachineFailureDetector,
     fault_attribution: FaultAttribution,
     boot_times: BootTimes,
-    /// Whether the expiry of leases renewed by earlier owners has been applied.
+    /// Whether attempts have been reevaluated after the expiry of the leases that earlier owners
+    /// renewed.
     inherited_expiry_applied: bool,
     /// Machines to release if they are still idle when the release request is made.
     scale_in_candidates: BTreeSet<MachineId>,
+    /// Whether a release request has been sent and not answered.
     release_in_progress: bool,
     /// When the shard summary was last logged.
     summary_logged_at: u64,
-    /// The tick in which releases were last requested.
+    /// Value of `last_tick` when releases were last considered.
     last_release_tick: u64,
+    /// When [`Owner::tick`] last ran its maintenance.
     last_tick: u64,
     /// When this process last resumed after a stall; 0 if it never stalled.
     resumed_at: u64,
@@ -228,7 +232,8 @@
         }
     }
 
-    /// Placement outcomes since the shard was acquired.
+    /// Returns how many placements were refused and attempts preempted since the shard was
+    /// acquired.
     pub fn placement_counts(&self) -> PlacementCounts {
         self.placement_counts
     }
@@ -306,8 +311,9 @@
     }
 
     /// Returns true if most machines can't reach this controller but can reach a peer: most
-    /// of them are late and more than half send their heartbeats to that peer, or more than
-    /// half have been relayed for so long that handing over the shard costs less.
+    /// of them are late and more than half send their heartbeats to that peer, or the
+    /// heartbeats of more than half have been relayed for so long that handing over the shard
+    /// costs less.
     pub fn is_unreachable(&self, now: u64) -> bool {
         let relayed_long = |m: &&Machine| {
             m.relay
@@ -330,8 +336,9 @@
                 .is_some_and(|known| seen_by_peer * 2 > known)
     }
 
-    /// Renews a worker's lease with the next token that it is given. `wall_ms` is the wall
-    /// clock time at which the store read that showed this owner as the leader began.
+    /// Encodes a newer store read in the worker's token, unless the one that it holds is recent
+    /// enough; the worker gets that token with the next reply. `wall_ms` is the wall clock time
+    /// at which the store read that showed this owner as the leader began.
     pub(crate) fn renew_worker_lease(&mut self, machine: &MachineId, wall_ms: u64, now: u64) {
         if let Some(m) = self.machines.get_mut(machine) {
             m.incarnation.renew_lease(wall_ms, now);
--- a/crates/coordination/src/owner/orphaned_grants.rs
+++ b/crates/coordination/src/owner/orphaned_grants.rs
@@ -35,9 +35,10 @@
         }
     }
 
-    /// Releases grants for gangs that such placers never launched, [`ORPHANED_GRANT_MS`]
-    /// after the store showed the loss. A successor that syncs before can still admit the
-    /// gang; a later one learns that the grant is gone and releases the others. Attempts
+    /// Releases the grants for gangs that placers without their lease never launched,
+    /// [`ORPHANED_GRANT_MS`] after the store showed the loss. A successor that syncs before
+    /// then can still admit the gang; a later one learns that the grant is gone and releases
+    /// the gang's other grants. Attempts
     /// that were or may have been launched end only by proof from their machine.
     pub(super) fn release_orphaned_grants(&mut self, now: u64) {
         let due = |p: &PlacerSession| {
--- a/crates/coordination/src/owner/preemption.rs
+++ b/crates/coordination/src/owner/preemption.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-/// ms during which a new attempt is preempted only as a last resort: users don't count a
-/// start that is undone within 30 s.
+/// ms during which a new attempt is preempted only after older ones of the same priority and
+/// quota status: users don't count a start that is undone within 30 s.
 const RECENT_START_WINDOW_MS: u64 = 35_000;
 
 /// An attempt that may be preempted; the greatest in this order is preempted first.
@@ -89,7 +89,8 @@
         Some(victims)
     }
 
-    /// Preempts an attempt: without grace for production work, else with its own grace.
+    /// Preempts an attempt in favor of `by`, which has this priority: without grace if that is
+    /// production, else with the attempt's own grace.
     fn preempt(&mut self, victim: &AttemptId, by: &AttemptId, priority: Priority) {
         let Some(tracked) = self.attempts.get_mut(victim) else {
             return;
@@ -121,8 +122,8 @@
             .any(|(id, task)| task.phase != TaskPhase::Exited && !self.attempts.contains_key(id))
     }
 
-    /// Capacity not used by accepted attempts other than this one; none while the machine
-    /// has unclaimed tasks.
+    /// Capacity of a machine not used by accepted attempts other than `id`; none while the
+    /// machine has unclaimed tasks.
     pub(super) fn free_excluding(&self, machine: &MachineId, id: &AttemptId) -> Resources {
         let Some(m) = self
             .machines
@@ -140,9 +141,10 @@
         m.capacity.minus(&taken)
     }
 
-    /// Resources of the attempts that each priority may preempt: those of lower priority
-    /// that are over their team's guaranteed quota; and all of lower priority, with those of
-    /// the same priority that are over quota, except production.
+    /// Resources of the attempts that each priority may preempt, by priority. The first array
+    /// has the attempts of lower priority that are over their team's guaranteed quota. The
+    /// second has all attempts of lower priority, and those of the same priority that are over
+    /// quota, except production.
     pub(super) fn preemptible(&self, machine: &MachineId) -> ([Resources; 3], [Resources; 3]) {
         let (mut over_quota_only, mut all_preemptible) =
             ([Resources::default(); 3], [Resources::default(); 3]);
@@ -166,8 +168,8 @@
         (over_quota_only, all_preemptible)
     }
 
-    /// Capacity not used by accepted or waiting attempts. The resources of unclaimed tasks
-    /// are unknown, so a machine with such a task has none.
+    /// Capacity of a machine not used by accepted attempts or those that wait for a preemption.
+    /// The resources of unclaimed tasks are unknown, so a machine with such a task has none.
     pub(super) fn free(&self, machine: &MachineId) -> Resources {
         let Some(m) = self
             .machines
--- a/crates/coordination/src/owner/proof.rs
+++ b/crates/coordination/src/owner/proof.rs
@@ -17,7 +17,7 @@
         for id in &ids {
             self.reevaluate_attempt(id, now);
         }
-        // An end found above may have freed the resources for waiting attempts.
+        // An attempt found to have ended may have freed the resources for waiting attempts.
         for id in &ids {
             if self
                 .attempts
@@ -61,8 +61,8 @@
     }
 
     /// Updates the record of the machine's image cache from an attempt's task. An aborted
-    /// pull leaves nothing behind: only a task that got past it shows that the image is
-    /// there.
+    /// pull leaves no image behind: only a task that got past its pull shows that the image is
+    /// in the cache.
     fn update_image_cache(&mut self, machine: &MachineId, id: &AttemptId) {
         let (Some(tracked), Some(m)) = (self.attempts.get(id), self.machines.get_mut(machine))
         else {
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Determines the present stage of an attempt.
+    /// Determines the present stage of an attempt from the newest status of its machine.
     fn next_stage(&self, id: &AttemptId, tracked: &TrackedAttempt, now: u64) -> AttemptStage {
         if self.released_machines.contains(&tracked.desired.machine) {
             return AttemptStage::Ended(AttemptState::Gone);
--- a/crates/coordination/src/owner/reconciliation.rs
+++ b/crates/coordination/src/owner/reconciliation.rs
@@ -9,7 +9,8 @@
     pub(super) token: u64,
     /// Sequence number of its newest sync request.
     seq: u64,
-    /// When a store read first showed that it has lost its lease, ms.
+    /// When a store read first showed that the placer has lost its lease, ms; `None`: it has
+    /// not.
     pub(super) lease_lost_at: Option<u64>,
     /// Version of its desired state that has been applied.
     desired_version: u64,
@@ -24,7 +25,8 @@
 }
 
 impl PlacerSession {
-    /// Checks token and sequence number of a sync request, and adopts them if it is accepted.
+    /// Checks the token and sequence number of a sync request, and records them if they are
+    /// current.
     fn accept(&mut self, sync: &SyncRequest) -> Result<(), SyncError> {
         if sync.from_fencing_token < self.token {
             return Err(SyncError::TokenMismatch);
@@ -164,8 +166,8 @@
         Some(tracked.desired.machine.clone())
     }
 
-    /// Tracks a desired attempt, or applies its changes. Returns false if the change is
-    /// ignored.
+    /// Tracks a desired attempt, or applies changes to one that is tracked. Returns false if the
+    /// change is ignored, since it names another machine or comes from another placer.
     fn track(&mut self, desired: &DesiredAttempt, placer: u16, now: u64) -> bool {
         let lease_lost = self
             .placers
--- a/crates/coordination/src/owner/scale_in.rs
+++ b/crates/coordination/src/owner/scale_in.rs
@@ -69,8 +69,8 @@
         ids
     }
 
-    /// Handles the end of a release request. `done` tells that the provider has confirmed
-    /// it, which proves that the machines and everything that ran on them are gone.
+    /// Handles the end of a release request. `done`: the provider has confirmed it, which
+    /// proves that the machines and everything that ran on them are gone.
     pub fn handle_release_result(&mut self, ids: &[MachineId], done: bool, now: u64) {
         self.release_in_progress = false;
         for id in ids {
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Updates the time since when a machine has been idle.
+    /// Updates since when a machine has been idle, once it has sent a heartbeat.
     pub(super) fn update_idle(&mut self, machine: &MachineId, now: u64) {
         let task_count = self.task_count_on(machine);
         if let Some(m) = self.machines.get_mut(machine)
--- a/crates/coordination/src/owner/worker_calls.rs
+++ b/crates/coordination/src/owner/worker_calls.rs
@@ -5,15 +5,16 @@
 /// ms to wait after a failed call before the machine is called again.
 const CALL_RETRY_MS: u64 = 1_000;
 /// Maximum number of calls that an owner has in progress to machines that don't receive
-/// replies. Most of these calls time out, and must not delay launches on other machines.
+/// replies to their heartbeats. Most of these calls time out, and must not delay launches on
+/// other machines.
 pub const UNREACHABLE_CALLS_MAX: usize = 8;
 
 /// A call to a worker that the process is to make.
 #[derive(Debug, Clone)]
 pub struct CommandCall {
-    /// The machine.
+    /// Machine whose worker is called.
     pub machine: MachineId,
-    /// Its address.
+    /// Address at which the worker accepts calls.
     pub addr: SocketAddr,
     /// The request to send.
     pub commands: CommandsRequest,
@@ -24,11 +25,12 @@
 /// Outcome of a call to a worker.
 #[derive(Debug)]
 pub enum CommandResult {
-    /// Executed; the status that the worker returned.
+    /// The worker executed the commands, and returned this status.
     Executed(Heartbeat),
-    /// Refused, since token or session don't match the worker's; the status it returned.
+    /// The worker refused the call, since its token is outdated or its session is not the
+    /// worker's, and returned this status.
     Refused(Heartbeat),
-    /// Certainly not sent.
+    /// The call was certainly not sent, so it can't be executed later.
     NotSent,
     /// Unknown: it may have been executed, or may be executed later.
     Unknown,
@@ -105,7 +107,8 @@
             || !m.incarnation.can_fence()
             || unreachable && self.unreachable_calls >= UNREACHABLE_CALLS_MAX
         {
-            // One known only from unconfirmed heartbeats is queried once for each of them.
+            // A machine known only from unconfirmed heartbeats becomes a candidate again with
+            // each of them.
             return if confirmed {
                 CallReadiness::Later
             } else {
