--- a/crates/coordination/src/heartbeats.rs
+++ b/crates/coordination/src/heartbeats.rs
@@ -1,5 +1,6 @@
-//! Workers' heartbeats and commands to workers: who answers, for how long without an
-//! answer from the store, and after a stall of this process.
+//! Workers' heartbeats and the results of calls to workers: which controller answers a
+//! heartbeat, and for how long it does so without an answer from the store or after a stall
+//! of this process.
 
 use tracing::warn;
 
@@ -201,17 +202,20 @@
                 .is_none_or(|at| now > at + self.store_outage_grace_ms())
     }
 
-    /// True if this controller has had no answer from the store for longer than its store
-    /// lease lives. Its workers are answered all the same, but another controller may lead
-    /// the shard by now, and attempts whose end that one has proven must not be started here.
+    /// True if this controller has had no answer from the store for longer than the time to
+    /// live of its store lease. Its workers are still answered, but another controller may lead
+    /// the shard by now, and attempts that the new leader has proven to have ended must not be
+    /// started here.
     pub(crate) fn store_lease_may_have_expired(&self, now: u64) -> bool {
         self.links.store_age(now) > STORE_LEASE_TTL_MS
     }
 
-    /// ms after the last answer of the store for which heartbeats are answered. Cancellations
-    /// requested meanwhile may go unseen here. None is published to its user before its last
-    /// attempt is proven to have ended (`Job::finished`), so attempts that run on meanwhile
-    /// break no guarantee.
+    /// ms after the last answer of the store for which heartbeats are answered; at most the
+    /// mixed-version setting while a controller of an earlier peer version is live.
+    ///
+    /// Cancellations requested meanwhile may go unseen here. No job is reported to its user as
+    /// cancelled before its last attempt is proven to have ended (`Job::writable_end`), so
+    /// attempts that run on meanwhile break no guarantee.
     fn store_outage_grace_ms(&self) -> u64 {
         let same_format = self
             .cache
--- a/crates/coordination/src/incarnation/mod.rs
+++ b/crates/coordination/src/incarnation/mod.rs
@@ -89,8 +89,11 @@
 /// The reply to the newest heartbeat.
 #[derive(Clone, Copy, Debug)]
 struct LastReply {
+    /// When it was sent, ms.
     at: u64,
+    /// Controller that relayed the heartbeat; `None`: it came directly.
     route: Option<u16>,
+    /// Token that the reply carried.
     token: u64,
 }
 
@@ -115,7 +118,8 @@
     at: u64,
 }
 
-/// State of the message exchange with the present incarnation of one machine's worker.
+/// State of the message exchange with the present incarnation of one machine's worker. All
+/// times are ms of the monotonic clock.
 #[derive(Debug)]
 pub(crate) struct WorkerIncarnation {
     /// Lowest token of this owner.
@@ -124,7 +128,7 @@
     trusted_from: u64,
     /// Sequence of the newest message that was accepted.
     newest: MessageSequence,
-    /// The token that this message showed, which is the highest shown so far.
+    /// The token that the newest accepted message showed, which is the highest shown so far.
     shown_token: u64,
     /// Sequence of the newest heartbeat among the accepted messages and late heartbeats.
     newest_heartbeat: MessageSequence,
@@ -141,6 +145,8 @@
     /// When this incarnation was first seen, ms.
     first_seen_at: Option<u64>,
     reachability: Reachability,
+    /// The reply to the newest heartbeat; `None` once a later heartbeat was evaluated against
+    /// it, or after a stall or a restart.
     last_reply: Option<LastReply>,
     /// When the last reply was sent that may have reached the worker, or when its session may
     /// have begun, ms: its lease runs from then at the latest.
@@ -152,7 +158,8 @@
 }
 
 impl WorkerIncarnation {
-    /// Starts without any message. `base_token`: the lowest token of this owner.
+    /// Creates the state of a worker that has sent no message yet. `base_token`: the lowest token
+    /// of this owner.
     pub(crate) fn new(base_token: u64, now: u64) -> Self {
         Self {
             base_token,
@@ -238,7 +245,7 @@
         self.first_seen_at.get_or_insert(now);
     }
 
-    /// Starts anew for a worker that numbers its messages from the start again.
+    /// Resets the state for a worker that numbers its messages from the start again.
     ///
     /// Copies of heartbeats of its earlier incarnation have higher numbers. They are not
     /// trusted, since all tokens that they can show are below the one given from now on.
@@ -264,8 +271,8 @@
         self.trusted_from = self.base_token + self.fence + u64::from(next_fence.is_none());
     }
 
-    /// Learns from a late heartbeat what reached the worker, if no later heartbeat has come
-    /// and only the answer to a call was newer.
+    /// Determines from a late heartbeat whether the last reply reached the worker, if only the
+    /// answer to a call was newer and no later heartbeat has arrived.
     pub(crate) fn apply_late_heartbeat(
         &mut self,
         sequence: MessageSequence,
@@ -341,8 +348,8 @@
         token >= self.base_token && token < self.trusted_from
     }
 
-    /// Learns from a heartbeat whether the last reply reached the worker. The worker must
-    /// have sent it after all heartbeats observed before.
+    /// Determines from a heartbeat whether the last reply reached the worker. The worker must
+    /// have sent this heartbeat after all that were observed before.
     fn observe_delivery(
         &mut self,
         sequence: MessageSequence,
@@ -380,7 +387,8 @@
         }
     }
 
-    /// Handles a token that only replies have carried: the worker is reachable.
+    /// Handles a token that only replies have carried: the worker is reachable, unless a later
+    /// reply carried a higher token.
     fn confirm_reachable(&mut self, token: u64) {
         if self.last_reply.is_none_or(|last| token >= last.token) {
             self.last_delivered_at = self
@@ -414,16 +422,17 @@
         true
     }
 
-    /// Renews the reading in the worker's token: the last reading of the store that showed
-    /// this owner as the leader began at `wall_ms`, in time of day.
+    /// Renews the reading in the worker's token, unless that is recent enough. `wall_ms`: when
+    /// the last reading of the store began that showed this owner as the leader, in time of
+    /// day.
     pub(crate) fn renew_lease(&mut self, wall_ms: u64, now: u64) {
         if let Some(fence) = worker_lease::renewed_fence(self.fence, wall_ms) {
             self.raise_token(fence, now);
         }
     }
 
-    /// Fences a call with the token `sent`, which may be executed late: from now on a higher
-    /// token is given.
+    /// Fences a call that was made with the token `sent` and may be executed late: from now on
+    /// the worker is given a higher token.
     pub(crate) fn fence_call(&mut self, sent: u64, now: u64) {
         self.fence_before_probe = None;
         // No call is made while the token can't rise (`can_fence`). If one were, it would stay
@@ -475,8 +484,9 @@
             // sent, which was before the first copy arrived.
             return;
         }
-        // The worker no longer waits for replies to heartbeats that it gave up, unless the
-        // heartbeat is that of a new incarnation, which shows no token or one of the last.
+        // The worker drops replies to heartbeats that it gave up, so they don't renew its lease.
+        // A new incarnation may still wait for the reply to its heartbeat, which shows no token
+        // or one no lower than `shown_token`.
         if newest
             || self.newest.is_none()
             || sequence > self.newest_heartbeat
--- a/crates/coordination/src/links/mod.rs
+++ b/crates/coordination/src/links/mod.rs
@@ -35,8 +35,9 @@
 /// State of a controller's own links, and of other controllers' links as they gossip it.
 #[derive(Debug)]
 pub struct Links {
+    /// Index of this controller.
     own_index: u16,
-    /// Host names of all controllers.
+    /// Host names of all controllers, by index.
     hosts: Vec<String>,
     /// Interval of the workers' heartbeats, ms.
     heartbeat_ms: u64,
@@ -46,10 +47,12 @@
     cloud: UpstreamRoute,
     /// Latencies of the services, on direct and relayed routes.
     latencies: BTreeMap<Service, LatencyWindow>,
+    /// Links to all controllers, by index; the entry of this controller is not used.
     peers: Vec<Peer>,
     /// When a worker of each zone last sent a heartbeat directly to this controller, ms.
     zones: BTreeMap<String, u64>,
-    /// Heartbeats received directly from workers since the start of this process.
+    /// Heartbeats received directly from workers since the start of this process, without late
+    /// copies.
     heartbeats: u64,
     relay: RelayState,
     /// Machines that sent their heartbeats to this controller although another leads their
--- a/crates/coordination/src/links/peers.rs
+++ b/crates/coordination/src/links/peers.rs
@@ -27,10 +27,11 @@
     pub(super) latency: LatencyWindow,
     /// When the last message from the peer arrived, ms.
     pub(super) last_message: Option<u64>,
-    /// Its newest gossip.
+    /// The newest gossip received from the peer.
     pub(super) gossip: Option<ReceivedGossip>,
     /// When the next gossip message to it is due, ms.
     next_gossip: u64,
+    /// True while a gossip message to it awaits its answer.
     gossip_in_flight: bool,
 }
 
--- a/crates/coordination/src/links/relay.rs
+++ b/crates/coordination/src/links/relay.rs
@@ -47,9 +47,9 @@
 /// Whether workers of a zone reach the leader directly, according to the leader's gossip.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ZoneReachability {
-    /// Some did recently.
+    /// The leader recently received a heartbeat directly from the zone.
     Reachable,
-    /// None did recently.
+    /// The leader has not recently received a heartbeat directly from the zone.
     Unreachable,
 }
 
@@ -59,6 +59,7 @@
     workers: HashMap<MachineId, RelayedWorker>,
     /// When the next probe worker of a shard and zone may be redirected, ms.
     next_probe: BTreeMap<(u16, String), u64>,
+    /// When unused entries were last removed, ms.
     last_sweep: u64,
 }
 
--- a/crates/coordination/src/links/store_answers.rs
+++ b/crates/coordination/src/links/store_answers.rs
@@ -11,7 +11,7 @@
 pub(super) struct StoreAnswers {
     /// When the last successful read of the store began, ms.
     last: Option<u64>,
-    /// Latency of its last answer, ms, capped at the timeout.
+    /// Latency of the store's last answer, ms, capped at the timeout.
     latency_ms: u64,
     /// Latest time at which the store is known to have answered another controller, ms.
     last_to_others: Option<u64>,
--- a/crates/coordination/src/links/upstream_route.rs
+++ b/crates/coordination/src/links/upstream_route.rs
@@ -25,7 +25,7 @@
 /// Time within which a link that fails again counts as flapping, ms.
 const FLAPPING_MS: u64 = 120_000;
 
-/// A controller that could relay.
+/// A controller that could relay to the service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct RelayCandidate {
     /// Index of the controller.
@@ -53,10 +53,10 @@
     }
 }
 
-/// Outcome of a call.
+/// Outcome of a call to the service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CallOutcome {
-    /// It was answered.
+    /// The service answered.
     Answered,
     /// No answer came.
     Failed,
@@ -79,7 +79,8 @@
     pub(crate) small: FailureDetector,
     /// Failure detector of the direct link for large requests.
     pub(crate) large: FailureDetector,
-    /// Index of the controller that relays now.
+    /// Index of the controller chosen when a request last had to be relayed; `None`: none could
+    /// relay it, or small requests go directly again.
     relay: Option<u16>,
     /// Relays that failed, and until when they are not used, ms.
     backing_off: BTreeMap<u16, u64>,
@@ -89,7 +90,7 @@
     next_large_retry: u64,
     /// Since when the direct route has been answering again, ms.
     recovering_since: Option<u64>,
-    /// For how long it must answer before it is used again, ms.
+    /// For how long the direct route must answer before it is used again, ms.
     recovery_ms: u64,
     /// When the direct link last went down, ms.
     down_at: Option<u64>,
@@ -101,7 +102,7 @@
         self.small.last_answer.max(self.large.last_answer)
     }
 
-    /// Returns the index of the controller that relays now.
+    /// Returns the index of the controller chosen when a request last had to be relayed.
     pub(crate) fn relay(&self) -> Option<u16> {
         self.relay
     }
--- a/crates/coordination/src/links/workers.rs
+++ b/crates/coordination/src/links/workers.rs
@@ -21,7 +21,7 @@
 
 /// A worker's heartbeat for a shard that another controller leads.
 pub(crate) struct MisroutedHeartbeat<'a> {
-    /// The shard.
+    /// Shard of the worker's machine.
     pub(crate) shard: u16,
     /// Index of the controller that leads it.
     pub(crate) leader: u16,
@@ -66,6 +66,7 @@
 
     /// Returns true if heartbeats from every zone have ceased, the last within [`CEDE_MS`].
     /// After that time silence is no evidence: all workers may have moved to other controllers.
+    /// Nor is it before more than [`MAX_INDIVIDUAL_LOSSES`] heartbeats were received.
     pub(crate) fn no_worker_reachable(&self, now: u64) -> bool {
         let newest = self.zones.values().max().copied().unwrap_or(0);
         self.heartbeats > MAX_INDIVIDUAL_LOSSES as u64
--- a/crates/coordination/src/machine.rs
+++ b/crates/coordination/src/machine.rs
@@ -13,8 +13,8 @@
 use lemonweir_protocol::peer::ExitCause;
 use lemonweir_protocol::worker::TaskPhase;
 
-/// Parts per thousand by which two steady clocks may differ: twice the 0.05 % of the
-/// protocol page, since both sides may be off, rounded up.
+/// Parts per thousand by which two steady clocks may differ: the 0.05 % of the protocol page,
+/// rounded up to 1, for each of the two, since both may be off.
 pub const CLOCK_DRIFT_PER_MILLE: u64 = 2;
 /// ms added to a lease before it counts as expired: timers fire a few ms late, and the reply
 /// that renewed the lease took time to be written.
@@ -35,8 +35,8 @@
 }
 
 impl Timing {
-    /// ms after the owner's last reply from which on a lease must have expired, whatever the
-    /// drift of the clocks.
+    /// ms after the owner's last reply after which a lease must have expired, even if the two
+    /// clocks drift apart by [`CLOCK_DRIFT_PER_MILLE`].
     pub fn lease_expiry_ms(&self) -> u64 {
         self.lease_ms + self.lease_ms * CLOCK_DRIFT_PER_MILLE / 1000 + LEASE_MARGIN_MS
     }
@@ -51,7 +51,7 @@
             .max(regular + HEARTBEAT_TIMEOUT_SLACK_MS)
     }
 
-    /// ms after acquiring a shard from which on every lease that an earlier owner could renew
+    /// ms after acquiring a shard after which every lease that an earlier owner could renew
     /// must have expired: the last reading of the store that showed the earlier owner as the
     /// leader began before the shard was acquired, that owner replied for at most
     /// [`MAX_STORE_OUTAGE_GRACE_MS`] after that reading, and a lease runs from a heartbeat
@@ -66,9 +66,9 @@
 /// How a machine's heartbeats are relayed.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Relay {
-    /// Number of the controller that relayed the newest one.
+    /// Number of the controller that relayed the newest heartbeat.
     pub(super) peer: u16,
-    /// Since when all of them have been relayed, ms.
+    /// Since when all heartbeats have been relayed, ms.
     pub(super) since: u64,
 }
 
@@ -76,6 +76,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct ReportedTask {
     pub(super) phase: TaskPhase,
+    /// Why it exited; `None` unless `phase` is [`TaskPhase::Exited`].
     pub(super) cause: Option<ExitCause>,
 }
 
@@ -129,12 +130,13 @@
 /// A machine of the owner's shard. All times are ms of the steady clock.
 #[derive(Debug)]
 pub(super) struct Machine {
+    /// Where the worker accepts calls; `None`: it has reported no valid address.
     pub(super) address: Option<SocketAddr>,
     pub(super) machine_type: String,
     pub(super) zone: String,
     pub(super) spot: bool,
     pub(super) capacity: Resources,
-    /// Which of its messages are current, and which replies and calls have reached it.
+    /// Which of the worker's messages are current, and which replies and calls have reached it.
     pub(super) incarnation: WorkerIncarnation,
     /// Token of the newest call whose outcome is unknown.
     pub(super) unresolved_call_token: Option<u64>,
@@ -146,6 +148,7 @@
     pub(super) launches_in_response_to: Option<u64>,
     /// A `/commands` call is in progress.
     pub(super) call_in_progress: bool,
+    /// No call is made before this time.
     pub(super) next_call_at: u64,
     /// The call in progress was made while replies did not reach the machine.
     pub(super) unreachable_call: bool,
@@ -155,27 +158,34 @@
     pub(super) relay: Option<Relay>,
     /// Sessions up to this one have ended, since their lease must have expired.
     pub(super) expired_session: u64,
+    /// Tasks in the newest status; none after its lease has expired.
     pub(super) tasks: BTreeMap<AttemptId, ReportedTask>,
     /// Images that it holds with their sizes in MB, most recently used first.
     pub(super) images: VecDeque<(String, u64)>,
     pub(super) termination_notice: bool,
-    /// Since when a record shows that it runs though it has sent no heartbeat to this owner:
-    /// an attempt on it, a record of its images, or the provider's inventory.
+    /// Since when this owner has known from a record that the machine ran before it sent this
+    /// owner a heartbeat: an attempt on it, a record of its images, or the provider's inventory.
     pub(super) recorded_running_at: Option<u64>,
     /// No heartbeat for longer than usual: nothing is placed on it.
     pub(super) silent: bool,
+    /// It is a scale-in candidate: nothing is placed on it, and it is released if still idle.
     pub(super) scale_in_pending: bool,
     pub(super) quarantine: Option<Quarantine>,
+    /// A release request that names it has been sent and not answered.
     pub(super) release_in_progress: bool,
+    /// It is to be released; kept until the provider confirms that.
     pub(super) release_requested: bool,
     /// Shard of the placer that had the machine provisioned.
     pub(super) provisioned_by: Option<u16>,
+    /// When this owner first learned of it.
     pub(super) known_since: u64,
+    /// When it was provisioned, if `announced`; otherwise as `known_since`.
     pub(super) provisioned_at: u64,
     /// Its placer or the provider's inventory reported when it was provisioned.
     pub(super) announced: bool,
     /// Its provisioning timed out: another is requested in its place.
     pub(super) overdue: bool,
+    /// Since when it has counted as idle; `None`: it has tasks, or has sent no heartbeat yet.
     pub(super) idle_since: Option<u64>,
 }
 
@@ -246,7 +256,7 @@
             && self.incarnation.unverified_heartbeats().is_some()
     }
 
-    /// Discards what was known of the worker's earlier incarnation: the worker numbers its
+    /// Discards the state of the worker's earlier incarnation, since the worker numbers its
     /// messages from the start again.
     pub(super) fn reset_after_restart(&mut self, origin: Origin, now: u64) {
         self.incarnation.reset_after_restart(origin, now);
@@ -256,15 +266,16 @@
         self.termination_notice = false;
     }
 
-    /// True if no call or reply is outstanding or of unknown outcome that could still launch
-    /// something.
+    /// True if no call or reply that could still launch something is in progress or of unknown
+    /// outcome.
     pub(super) fn calls_resolved(&self) -> bool {
         self.unresolved_call_token.is_none()
             && self.launches_in_response_to.is_none()
             && !self.call_in_progress
     }
 
-    /// ms that fetching an image of average size takes on this machine.
+    /// ms to fetch an image of the average size of those that the machine holds, at a rate in
+    /// GB/s; 0 if it holds none or the rate is unknown.
     pub(super) fn fetch_ms(&self, gb_per_s: Option<f64>) -> u64 {
         let sum: u64 = self.images.iter().map(|(_, mb)| mb).sum();
         let usual = sum as f64 / self.images.len().max(1) as f64;
@@ -287,9 +298,9 @@
         self.images.truncate(IMAGES_PER_MACHINE_MAX);
     }
 
-    /// Removes an image that a task waiting for its fetch shows to be missing. True if it was
-    /// listed. A wrong entry would draw one launch after the other to a machine where each
-    /// waits for a fetch.
+    /// Removes an image that the machine does not hold after all, since a task there waits for
+    /// its fetch. True if it was listed. A wrong entry would attract one launch after the other
+    /// to a machine where each waits for a fetch.
     pub(super) fn forget_image(&mut self, image: &str) -> bool {
         let before = self.images.len();
         self.images.retain(|(name, _)| name != image);
--- a/crates/coordination/src/machine_failure_detector.rs
+++ b/crates/coordination/src/machine_failure_detector.rs
@@ -26,9 +26,9 @@
 /// The health of a machine, as far as this owner can tell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthVerdict {
-    /// Nothing shows that it ever ran.
+    /// It was never known to run.
     Booting,
-    /// It sent a heartbeat within the usual time.
+    /// It was known to run within the usual time, and replies are not proven to be lost.
     Healthy,
     /// Silent, while its zone is not partitioned.
     Silent,
@@ -38,7 +38,7 @@
     Unreachable,
     /// Known only from heartbeats that may be old.
     Unconfirmed,
-    /// Silent, unreachable or unconfirmed for longer than it is worth waiting for.
+    /// Silent, unreachable or unconfirmed for longer than it is waited for.
     Release,
 }
 
@@ -47,15 +47,15 @@
 struct Zone {
     /// Machines known to run.
     known: usize,
-    /// Those of them whose heartbeat is overdue.
+    /// Known machines whose heartbeat is overdue.
     late: usize,
-    /// Those that are late or that no reply reaches.
+    /// Known machines that are late or that no reply reaches.
     unreachable: usize,
     /// When the leases of all unreachable machines must have expired, ms.
     leases_expired_at: u64,
     /// Silence before this moment proves nothing, ms.
     silence_floor: u64,
-    /// Since when it has been partitioned, ms.
+    /// Since when it has been partitioned, ms; `None`: it is not.
     partitioned_since: Option<u64>,
     /// When its last partition healed, ms.
     reconnected_at: Option<u64>,
@@ -64,7 +64,8 @@
 }
 
 impl Zone {
-    /// ms since the machine was last known to run; `None`: it never was.
+    /// ms for which the machine has been silent: since it was last known to run, but not before
+    /// the silence floor. `None`: it was never known to run.
     fn silence_ms(&self, m: &Machine, now: u64) -> Option<u64> {
         m.last_heartbeat_at
             .or(m.recorded_running_at)
@@ -93,8 +94,8 @@
 
     /// Detects the begin and the end of a partition.
     ///
-    /// Half of a zone does not fail machine by machine within seconds, so one missed
-    /// heartbeat each is enough evidence. Waiting for more would be too late, since the first
+    /// Half of a zone's machines do not fail independently within seconds, so one missed
+    /// heartbeat of each is enough evidence. Waiting for more would be too late, since the first
     /// of these machines would be released individually soon after.
     fn update_partition(&mut self, name: &str, late_ms: u64, now: u64) {
         let partitioned =
@@ -191,7 +192,8 @@
         }
     }
 
-    /// The number of machines known to run, if most of them have missed a heartbeat.
+    /// The number of machines known to run, if most of them, and more than
+    /// [`MAX_INDIVIDUAL_LOSSES`], have missed a heartbeat.
     pub(crate) fn mostly_silent(&self) -> Option<usize> {
         let (known, late) = self
             .zones
@@ -203,9 +205,10 @@
     /// ms of silence after which a machine of a partitioned zone is released.
     ///
     /// Its tasks may run on until its lease must have expired. From then on waiting costs the
-    /// machine's price, and releasing it costs a boot and an image fetch. Waiting for as long
-    /// as that costs is at most twice as expensive as the best choice, whenever the partition
-    /// ends. The wait is no shorter than the longest partition so far.
+    /// machine's price, and releasing it costs a boot and an image fetch. Waiting until both
+    /// cost the same is at most twice as expensive as the best choice, whenever the partition
+    /// ends; that wait is taken as twice `rebuild_ms`. It is no shorter than the zone's longest
+    /// partition so far.
     fn partition_patience_ms(&self, m: &Machine, zone: &Zone, rebuild_ms: u64) -> u64 {
         let expiry_ms = if m.last_heartbeat_at.is_some() {
             self.timing.lease_expiry_ms()
@@ -311,9 +314,10 @@
         }
     }
 
-    /// True for a machine whose zone became reachable again a moment ago, or that ran before
-    /// this owner acquired the shard a moment ago: the owner may not know of a partition
-    /// before that. Lost work is about to start there anew, so being idle proves nothing yet.
+    /// True for a machine whose zone became reachable again less than [`ZONE_RECOVERY_MS`] ago.
+    /// For the same time after the owner acquired the shard, also true for a machine that ran
+    /// before, since the owner may not know of an earlier partition. Lost work is about to
+    /// start there anew, so being idle proves nothing yet.
     pub(crate) fn recovering(&self, m: &Machine, now: u64) -> bool {
         let returned = self
             .zones
--- a/crates/coordination/src/misrouted_heartbeats.rs
+++ b/crates/coordination/src/misrouted_heartbeats.rs
@@ -10,15 +10,16 @@
 /// What the arrival of a misrouted heartbeat shows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct MisroutedArrival {
-    /// Its machine sent one here a moment ago already, so it could not reach its leader.
+    /// The machine's previous one came here recently too, so the machine can't reach its leader.
     pub(crate) repeated: bool,
-    /// It is newer than all before it.
+    /// It is newer than all recent ones of its machine.
     pub(crate) is_new: bool,
 }
 
 /// The newest misrouted heartbeat of one machine.
 #[derive(Debug)]
 struct LastMisrouted {
+    /// When it arrived, ms.
     at: u64,
     sequence: MessageSequence,
 }
@@ -32,7 +33,7 @@
 }
 
 impl MisroutedHeartbeats {
-    /// Starts without any; each heartbeat counts as recent for two heartbeat intervals.
+    /// Creates an empty record; each heartbeat counts as recent for two heartbeat intervals.
     pub(crate) fn new(timing: &Timing) -> Self {
         Self {
             retention_ms: 2 * timing.heartbeat_interval_ms,
@@ -40,8 +41,8 @@
         }
     }
 
-    /// Records a heartbeat. Only one that is newer than all before it counts from `now`:
-    /// late copies must not make a machine appear to keep sending.
+    /// Records a heartbeat. Only one that is newer than all recent ones of its machine counts
+    /// as sent at `now`: late copies must not make a machine appear to keep sending.
     pub(crate) fn record(
         &mut self,
         shard: u16,
--- a/crates/coordination/src/worker_lease.rs
+++ b/crates/coordination/src/worker_lease.rs
@@ -2,12 +2,12 @@
 //! partition, without an answer from the store, may renew its workers' leases for as long as
 //! its predecessor could.
 //!
-//! An owner at its shard's home encodes in the low bits of each worker's token when the
-//! reading of the store began that last showed it as the leader. The worker shows that token
-//! to every controller that it sends heartbeats to. A later process on the same host knows
-//! that this owner no longer runs, so that nothing is inferred any longer from that owner's
-//! own replies, and any controller that acquires the shard does so after that reading. What
-//! a successor infers from elapsed time allows for replies up to
+//! An owner at its shard's home encodes a time in the low bits of each worker's token: when
+//! the last reading of the store began that showed the owner as the leader. The worker shows
+//! that token to every controller that it sends heartbeats to. A later process on the same
+//! host knows that this owner no longer runs, so nothing is inferred any longer from the
+//! owner's own replies, and any controller that acquires the shard does so after that
+//! reading. What a successor infers from elapsed time allows for replies up to
 //! [`MAX_STORE_OUTAGE_GRACE_MS`] after the reading, whichever process gives them
 //! (`docs/design.md`, proof of end). Until then the new process replies with the worker's
 //! own token and no commands.
