--- a/crates/coordination/src/autoscaler.rs
+++ b/crates/coordination/src/autoscaler.rs
@@ -46,7 +46,7 @@
 }
 
 impl InstancePool {
-    /// Creates a pool.
+    /// Creates the pool of a machine type in a zone and market.
     pub fn new(machine_type: &str, zone: &str, market: Market) -> Self {
         Self {
             machine_type: machine_type.to_owned(),
@@ -66,7 +66,7 @@
 /// Tasks for which no machine had free resources.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CapacityDemand {
-    /// The team.
+    /// Team of the tasks' job.
     pub team: String,
     /// Resources required by each task.
     pub need: Resources,
@@ -80,9 +80,10 @@
     pub spot_only: bool,
     /// Number of tasks.
     pub count: u32,
-    /// True if all must be in one zone.
+    /// True if all tasks must run in one zone.
     pub single_zone: bool,
-    /// True for low-priority work: capacity is requested only if no other work lacks any.
+    /// True for low-priority work: capacity is requested only if no other work lacks any, or if
+    /// `must_start_now` is set.
     pub low_priority: bool,
     /// True for the first unit of low-priority work that must start now, even if other work
     /// lacks capacity.
@@ -108,7 +109,7 @@
 pub struct CapacityBin {
     /// Pool of the instance.
     pub pool: InstancePool,
-    /// Free resources.
+    /// Resources not yet taken by tasks packed into the bin.
     pub free: Resources,
 }
 
@@ -140,7 +141,7 @@
     }
 }
 
-/// Booting instance.
+/// An instance that is not registered yet.
 #[derive(Clone, Copy, Debug)]
 pub struct BootingInstance<'a> {
     /// Machine type.
@@ -149,7 +150,7 @@
     pub zone: &'a str,
     /// Market.
     pub market: Market,
-    /// True if it is past its provisioning timeout.
+    /// True if the instance is past its provisioning timeout.
     pub overdue: bool,
 }
 
@@ -160,6 +161,7 @@
 /// Numbers of booting instances of a pool.
 #[derive(Clone, Copy, Debug, Default)]
 struct BootingCounts {
+    /// Those past their provisioning timeout.
     overdue: usize,
     total: usize,
 }
@@ -204,7 +206,7 @@
     pub partitioned_zones: &'a BTreeSet<&'a str>,
     /// Pools whose instances fail to boot: avoided while other pools have capacity.
     pub failing_pools: &'a FailingPools,
-    /// Machine types.
+    /// Machine types with their capacity, prices and zones.
     pub catalog: &'a Catalog,
     /// Pools that had no capacity.
     pub shortages: &'a CapacityShortages,
@@ -213,7 +215,7 @@
 /// Instances to request from one pool.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ScaleOut {
-    /// The pool.
+    /// Pool to request the instances from.
     pub pool: InstancePool,
     /// Number of instances, at most [`MAX_INSTANCES_PER_REQUEST`].
     pub count: u32,
@@ -223,7 +225,7 @@
 struct Offer<'a> {
     failing: bool,
     price_per_task: f64,
-    /// Machines that the zone already has.
+    /// Number of machines that the zone has, including those that the plan adds.
     zone_machines: usize,
     pool: InstancePool,
     machine_type: &'a MachineType,
@@ -240,8 +242,9 @@
 }
 
 /// Plans the instances to request now. No instances are requested in partitioned zones, and
-/// machines there count only for tasks that may run nowhere else. Failing pools are asked only
-/// if no other pool has capacity. `machines_by_zone` is the number of machines in each zone.
+/// booting instances there count only for tasks that may run nowhere else. Failing pools are
+/// asked only if no other pool has capacity. `machines_by_zone` is the number of machines in
+/// each zone.
 pub fn plan_scale_out(
     demands: &[CapacityDemand],
     booting: &[CapacityBin],
--- a/crates/coordination/src/boot_time.rs
+++ b/crates/coordination/src/boot_time.rs
@@ -12,8 +12,9 @@
 const BOOT_SAMPLES_MAX: usize = 32;
 /// Observed boots required before they replace the catalog's value.
 const BOOT_SAMPLES_MIN: usize = 8;
-/// Lower bound of the typical boot time, as a multiple of the catalog's. Without bounds, boots
-/// of a second would make idle machines worthless, and boots of minutes would keep all of them.
+/// Lower bound of the typical boot time, as a multiple of the catalog's. Without bounds,
+/// observed boots of a second would have idle machines released at once, and boots of minutes
+/// would have all of them kept.
 const TYPICAL_BOOT_MIN_FACTOR: f64 = 0.25;
 /// Upper bound; see [`TYPICAL_BOOT_MIN_FACTOR`].
 const TYPICAL_BOOT_MAX_FACTOR: f64 = 3.0;
--- a/crates/coordination/src/election.rs
+++ b/crates/coordination/src/election.rs
@@ -31,7 +31,7 @@
 pub enum ElectionAction {
     /// Acquire the shard, if its leader key still has this version; 0: the key must not exist.
     Acquire {
-        /// The shard.
+        /// Number of the shard.
         shard: u16,
         /// Version of its leader key.
         version: u64,
@@ -56,6 +56,7 @@
 pub struct LeaderElection {
     /// For each shard, since when it has been seen without a leader, ms.
     leaderless_since: Vec<Option<u64>>,
+    /// Shards that this controller has ceded, also those whose time has passed.
     ceded: BTreeMap<u16, CededShard>,
 }
 
@@ -63,7 +64,9 @@
 struct Candidacy<'a> {
     /// Host of this controller.
     own_host: &'a str,
+    /// This controller is the shard's home.
     own_home: bool,
+    /// The home has a controller record, so it is alive.
     home_lives: bool,
     /// The home is alive and does not cede the shard.
     home_serves: bool,
@@ -99,7 +102,7 @@
         }
     }
 
-    /// Number of shards.
+    /// Number of shards in the cluster.
     pub fn shards(&self) -> u16 {
         self.leaderless_since.len() as u16
     }
@@ -185,8 +188,8 @@
     }
 
     fn cede(&mut self, shard: u16, now: u64) {
-        // A try that got no answer is repeated while the shard still counts as ceded; the
-        // duration doubles only after the previous one has passed.
+        // A cession whose write got no answer is repeated while the shard still counts as ceded;
+        // the duration doubles only after the previous one has passed.
         let duration_ms = match self.ceded.get(&shard) {
             None => CEDE_MS,
             Some(ceded) if now < ceded.until => ceded.duration_ms,
--- a/crates/coordination/src/fault_attribution.rs
+++ b/crates/coordination/src/fault_attribution.rs
@@ -18,11 +18,12 @@
 /// quarantined. No more than two: a gang that occupies the whole machine is the only job there,
 /// and each gang that fails starts late.
 pub const FAILURE_ATTRIBUTION_QUARANTINE_JOBS: usize = 2;
-/// Number of machines that run other jobs on which a job must have failed, without a success
-/// since, to be a suspect. Two, since one of them may be faulty.
+/// Number of known good machines on which a job must have failed, without a success since, to
+/// be a suspect. Two, since one of them may be faulty.
 pub const FAILURE_ATTRIBUTION_SUSPECT_MACHINES: usize = 2;
-/// Number of machines on which a job must have failed to be a suspect whether or not other jobs
-/// run there. So many faulty machines in a row are less likely than a faulty job.
+/// Number of machines on which a job must have failed, without a success since, to be a suspect
+/// whether or not the machines are known good. So many faulty machines in a row are less likely
+/// than a faulty job.
 pub const FAILURE_ATTRIBUTION_SUSPECT_ANYWHERE: usize = 5;
 /// Time after the start of another job's successful run for which the machine counts as known
 /// good, ms: longer than most runs, so that machines in use are known good.
@@ -49,7 +50,7 @@
 struct Failure<T> {
     /// The machine, in a job's record; the job, in a machine's record.
     counterpart: T,
-    /// When it failed, ms.
+    /// When the task failed, ms.
     at: u64,
 }
 
@@ -88,9 +89,9 @@
 /// Jobs and machines whose verdicts an event may have changed.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Affected {
-    /// Jobs.
+    /// Jobs that may have become suspects or ceased to be.
     pub jobs: BTreeSet<JobId>,
-    /// Machines.
+    /// Machines whose [`FaultVerdict`] may have changed.
     pub machines: BTreeSet<MachineId>,
 }
 
@@ -98,7 +99,7 @@
 #[derive(Debug, Default)]
 pub struct FaultAttribution {
     jobs: HashMap<JobId, JobFailures>,
-    /// Jobs in the order of insertion.
+    /// Tracked jobs, the first recorded first.
     insertion_order: VecDeque<JobId>,
     machines: BTreeMap<MachineId, MachineFailures>,
 }
@@ -273,7 +274,8 @@
             .collect()
     }
 
-    /// Returns the machines on which a job recently succeeded and none has failed since.
+    /// Returns the machines on which a job recently succeeded, without a failure since the start
+    /// of that run.
     pub fn healthy_machines(&self, now: u64) -> BTreeSet<MachineId> {
         let healthy = |m: &&MachineFailures| {
             m.failed.is_empty()
--- a/crates/coordination/src/image_locality/scoring.rs
+++ b/crates/coordination/src/image_locality/scoring.rs
@@ -37,7 +37,7 @@
 }
 
 impl ImageLocality {
-    /// Number of variants.
+    /// Number of variants, for arrays indexed by [`Self::index`].
     pub(crate) const VARIANT_COUNT: usize = 6;
 
     /// Returns the index of the variant, below [`Self::VARIANT_COUNT`].
@@ -53,16 +53,16 @@
     }
 }
 
-/// Replicas of the job on a machine.
+/// Replicas of the job that a machine has before one more is placed there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplicaSpread {
-    /// None.
+    /// No replica.
     Zero,
-    /// One.
+    /// One replica; with one more, at most half of the job.
     One,
-    /// Two or more.
+    /// Two or more replicas; with one more, at most half of the job.
     Several,
-    /// With one more, the machine would hold over half of the job.
+    /// With one more replica, the machine would hold over half of the job.
     Majority,
 }
 
--- a/crates/coordination/src/peer_sync.rs
+++ b/crates/coordination/src/peer_sync.rs
@@ -32,7 +32,7 @@
 enum SyncRoute {
     /// The owner is in this process.
     Local,
-    /// Over the network.
+    /// By a call over the network.
     Direct,
     /// By a message through the store.
     Store,
@@ -197,7 +197,8 @@
         }
     }
 
-    /// True if an owner is reached only through the store: its messages come that way too.
+    /// True if some owner is reached only through the store: its messages to this controller
+    /// come that way too.
     pub fn uses_store_messages(&self) -> bool {
         self.shards.values().any(|shard| {
             shard
@@ -259,7 +260,7 @@
         if !due || channel.in_flight && !through_store {
             return None;
         }
-        // The store carries what can't go directly; the direct route is retried now and then.
+        // While direct syncs fail, the store carries them and the direct route is retried.
         let direct = !through_store
             || !channel.in_flight && now >= channel.last_direct_sync + DIRECT_RETRY_MS;
         channel.last_sync = now;
--- a/crates/coordination/src/provisioning.rs
+++ b/crates/coordination/src/provisioning.rs
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Handles the result of a release of instances; `done`: the cloud executed it.
+    /// Handles the result of a request to release instances; `done`: the cloud has executed it.
     pub fn instances_released(
         &mut self,
         lease: ShardLease,
@@ -149,6 +149,7 @@
 }
 
 impl Shard {
+    /// Removes a request that has its final answer, or marks it to be sent again.
     fn end_request(&mut self, request: &ProvisioningRequest, result: &ProvisioningResult) {
         let Some(at) = self
             .provisioning
--- a/crates/coordination/src/shard.rs
+++ b/crates/coordination/src/shard.rs
@@ -59,13 +59,15 @@
     pub(crate) peer_channels: Vec<PeerChannel>,
     /// When the placer's last placement pass ran, ms.
     pub(crate) last_placement: u64,
+    /// Requests for instances without a final answer.
     pub(crate) provisioning: Vec<PendingProvisioning>,
-    /// No call is made to the cloud before this time, ms.
+    /// No instances are requested from the cloud before this time, ms.
     pub(crate) provisioning_not_before: u64,
     /// Number of the placement pass for which the last provisioning plan was made.
     pub(crate) planned_pass: u64,
-    /// Number of provisioning requests issued so far under this lease; part of the next one's name.
+    /// Number of provisioning requests issued so far under this lease; part of each request's ID.
     pub(crate) provisioning_requests_issued: u64,
+    /// Pools that recently had no capacity.
     pub(crate) shortages: CapacityShortages,
     /// Shards of other controllers whose placers are to be asked to sync, each with the time
     /// since when there have been changes for it, ms.
--- a/crates/coordination/src/shard_lifecycle.rs
+++ b/crates/coordination/src/shard_lifecycle.rs
@@ -129,7 +129,8 @@
 
     /// Handles the outcome of a compare-and-swap for a shard. Task records of this controller
     /// that conflicted with other versions have been read again by then
-    /// ([`Core::chunk_reread`]). Returns whether the shard is still held.
+    /// ([`Core::chunk_reread`]). If the outcome shows that the lease is lost, releases the shard
+    /// and returns [`ShardOwnership::Lost`]. The outcome for an earlier lease is ignored.
     pub fn cas_completed(
         &mut self,
         lease: ShardLease,
@@ -154,7 +155,7 @@
         ownership
     }
 
-    /// Notes the version of a shard's task record that was read again after a conflict.
+    /// Records the version of a shard's task record that was read again after a conflict.
     pub fn chunk_reread(&mut self, lease: ShardLease, job: &JobId, chunk: u32, version: u64) {
         if let Some(shard) = self.shard_under(lease) {
             shard.placer.apply_reread_version(job, chunk, version);
--- a/crates/coordination/src/supervision/failover.rs
+++ b/crates/coordination/src/supervision/failover.rs
@@ -19,7 +19,7 @@
 pub enum StartedBy {
     /// The shard's present leader.
     ThisLeader,
-    /// An earlier leader.
+    /// An earlier leader of the shard.
     PreviousLeader,
 }
 
@@ -35,7 +35,7 @@
 /// Observations of a shard's new leader since the failover.
 #[derive(Debug, Default)]
 pub struct Failover {
-    /// Number of the failover's record; `None`: there is none, or it is completed.
+    /// Number of the failover's record; `None`: there is no record, or it is completed.
     record_number: Option<u64>,
     /// The new leader's fencing token.
     fencing_token: u64,
@@ -50,7 +50,7 @@
     /// When the last of `recovering` recovered, ms.
     recovered_at: Option<u64>,
     replicas: ReplicaCounts,
-    /// When replicas were proven lost since the failover, ms.
+    /// When replicas (job and task) were proven lost since the failover, ms.
     lost_at: BTreeMap<(JobId, u32), u64>,
     /// Longest downtime of a replica by class, ms.
     longest_gap_ms: BTreeMap<String, u64>,
@@ -206,8 +206,8 @@
     }
 }
 
-/// Returns the completion that a later leader writes for an abandoned record. Only the duration
-/// of the leadership is still known.
+/// Returns the completion that a later leader writes for an abandoned record. Only the fencing
+/// token and the duration of the leadership, if its end is recorded, are still known.
 pub fn abandoned_completion(
     host: &str,
     fencing_token: u64,
--- a/crates/coordination/src/supervision/mod.rs
+++ b/crates/coordination/src/supervision/mod.rs
@@ -1,8 +1,8 @@
 //! Supervision of services without operator intervention, and records of failovers.
 //!
 //! [`services`] tracks, for each service of a placer's teams, the desired and running replicas,
-//! since when replicas are missing, and the recovery activity. If that does not succeed in time,
-//! the placer escalates (`placer/escalation.rs`). [`failover`] collects what a new leader
+//! since when replicas are missing, and the recovery activity. If the recovery takes too long, the
+//! placer escalates (`placer/escalation.rs`). [`failover`] collects what a new leader
 //! observes after a shard's failover, and `failover_log` writes it into the ring buffer of
 //! `lemonweir_storage::failovers`; `report` shows both to operators.
 //!
--- a/crates/coordination/src/supervision/services.rs
+++ b/crates/coordination/src/supervision/services.rs
@@ -38,21 +38,22 @@
     BackingOff,
 }
 
-/// Measure beyond the usual recovery of an under-replicated service; each is taken once.
+/// Measure beyond the usual recovery of an under-replicated service. [`Self::MoveReplica`] may
+/// be repeated; the others are not taken again while [`SupervisedService::attempts`] lists them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EscalationStep {
     /// A replica that did not start in time is moved to another machine.
     MoveReplica,
     /// Machines excluded for the service become eligible again.
     LiftExclusions,
-    /// The instances requested and the pools without capacity are recorded.
+    /// The pools without capacity are recorded; usual recovery already requests instances.
     RequestInstances,
 }
 
 /// An escalation step that was taken.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecoveryAttempt {
-    /// The step.
+    /// Kind of measure taken.
     pub step: EscalationStep,
     /// When it was taken, ms.
     pub at_ms: u64,
@@ -88,18 +89,19 @@
 pub struct SupervisedService {
     /// The newest observation.
     pub observation: ServiceObservation,
-    /// Since when replicas are missing, ms.
+    /// Since when replicas are missing, ms; `None`: none is.
     pub under_replicated_since: Option<u64>,
-    /// Since when more than half are missing, ms.
+    /// Since when more than half of the replicas are missing, ms; `None`: at most half are.
     pub below_half_since: Option<u64>,
     /// Since when the activity has continued without progress, ms. A change of activity or another
     /// running replica restarts it.
     pub activity_since: u64,
     /// Deadline of the activity, ms; `None`: not known.
     pub due_at: Option<u64>,
-    /// When the next escalation is due, ms.
+    /// When the next escalation is due, ms; `None` as long as no deadline is known.
     escalation_at: Option<u64>,
-    /// Escalation steps taken since replicas have been missing, oldest first.
+    /// Escalation steps taken since replicas have been missing, oldest first; the last
+    /// [`RECOVERY_ATTEMPTS_KEPT`].
     pub attempts: Vec<RecoveryAttempt>,
 }
 
