--- a/crates/coordination/src/owner/scale_in.rs
+++ b/crates/coordination/src/owner/scale_in.rs
@@ -69,16 +69,16 @@
         ids
     }
 
-    /// Handles the end of a release request. `done` tells that the provider has confirmed
-    /// it, which proves that the machines and everything that ran on them are gone.
+    /// Handles the end of a release request. `done`: the provider has confirmed it, which
+    /// proves that the machines and everything that ran on them are gone.
     pub fn handle_release_result(&mut self, ids: &[MachineId], done: bool, now: u64) {
         self.release_in_progress = false;
         for id in ids {
             if done {
                 // The result of a call in progress will find no machine, so the call's slot
                 // among those to unreachable machines is freed here.
-                let call_in_progress = self.machines.remove(id).is_some_and(|m| m.unreachable_call);
-                self.unreachable_calls -= usize::from(call_in_progress);
+                let unreachable_call = self.machines.remove(id).is_some_and(|m| m.unreachable_call);
+                self.unreachable_calls -= usize::from(unreachable_call);
                 self.fault_attribution.remove_machine(id);
                 self.released_machines.insert(id.clone());
                 info!(machine = %id, shard = self.shard, "machine released");
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Updates the time since when a machine has been idle.
+    /// Updates since when a machine has been idle, once it has sent a heartbeat.
     pub(super) fn update_idle(&mut self, machine: &MachineId, now: u64) {
         let task_count = self.task_count_on(machine);
         if let Some(m) = self.machines.get_mut(machine)
