--- a/crates/model/src/constants.rs
+++ b/crates/model/src/constants.rs
@@ -7,8 +7,8 @@
 
 /// Maximum size of a request body, bytes (protocol specification).
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
-/// Maximum size of a response that is read, bytes. Watches have no size limit of their own,
-/// so this only guards against a runaway peer.
+/// Maximum size of a response that is read, and of a request body between controllers, bytes.
+/// Watches have no size limit of their own, so this only guards against a runaway peer.
 pub const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 /// Maximum number of headers of a request or response; enough for any ordinary client.
 pub const MAX_HEADERS: usize = 48;
@@ -47,16 +47,18 @@
 
 /// ms between two refreshes of the view of another shard (design document).
 pub const SHARD_VIEW_REFRESH_MS: u64 = 2_000;
-/// Timeout of a direct sync, ms.
+/// Timeout of a direct sync, of gossip and of hints to another controller, ms.
 pub const SYNC_TIMEOUT_MS: u64 = 1_500;
 /// Format version of the messages between controllers.
 pub const PEER_VERSION: u8 = 3;
-/// Estimated size of the id of an attempt or a machine in a message, bytes.
+/// Estimated size in a message, bytes, of an attempt's id with its state or grace period, or
+/// of a machine's id.
 pub const ENCODED_ATTEMPT_BYTES: usize = 40;
 
 // ---- links -----------------------------------------------------------------
 
-/// ms for which relayed heartbeats to one owner are batched into one message.
+/// ms for which heartbeats relayed to one owner are batched, and for which the first lookup of
+/// an unknown job id waits for others.
 pub const HEARTBEAT_BATCH_MS: u64 = 20;
 /// Timeout of a relayed heartbeat, ms: less than the 4 s that the worker waits for the
 /// response (protocol specification).
@@ -81,12 +83,14 @@
 /// Timeout of a store request, ms.
 pub const STORE_TIMEOUT_MS: u64 = 1_500;
 /// ms without a response from the store after which a controller leaves users to controllers
-/// that reach the store: longer than one store timeout, and shorter than users wait.
+/// that reach the store: longer than one store timeout, and shorter than users wait. An owner
+/// releases no machines after such a silence, since it may have been superseded.
 pub const UNREADY_AFTER_STORE_SILENCE_MS: u64 = 2_000;
-/// ms between two refreshes of the state cache while polls wait for one.
+/// ms from one refresh of the state cache to the next while a request waits for one, or while
+/// an owner is reached only through the store.
 pub const CACHE_REFRESH_BUSY_MS: u64 = 60;
-/// ms between two refreshes of the state cache when no poll waits. It bounds the delay until a
-/// new job or a cancellation is seen by the shard that has to act on it.
+/// ms from one refresh of the state cache to the next when nothing waits for one. It bounds the
+/// delay until a new job or a cancellation is seen by the shard that has to act on it.
 pub const CACHE_REFRESH_IDLE_MS: u64 = 200;
 /// Share of its request budget at the store that a controller uses, percent. The rest is left
 /// to bursts of other controllers.
@@ -147,9 +151,10 @@
 /// Maximum number of tasks of one size that headroom is kept for in a small fleet; it grows
 /// with the number of machines in a larger one.
 pub const MAX_HEADROOM_TASKS: u32 = 4;
-/// ms between two log lines that summarise the utilisation of a shard.
+/// ms between two log lines that summarise the utilisation of a shard, or the refused queries.
 pub const SUMMARY_INTERVAL_MS: u64 = 20_000;
-/// ms beyond two heartbeat intervals after which a machine counts as silent.
+/// ms beyond two heartbeat intervals after which a machine counts as silent. Also the least
+/// time by which a heartbeat must be late for the one before it to count as unanswered.
 pub const HEARTBEAT_TIMEOUT_SLACK_MS: u64 = 500;
 /// Maximum number of silent machines that are treated as individual losses. If more are
 /// silent and they are the majority of a zone, the zone counts as partitioned.
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -62,11 +62,11 @@
 /// Id of an attempt: one start of one task. Ids are ordered by job, task and attempt.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize)]
 pub struct AttemptId {
-    /// The job.
+    /// Job that the task belongs to.
     pub job: JobId,
-    /// Number of the task within the job.
+    /// Number of the task within the job, from 0.
     pub task: u32,
-    /// Number of the attempt.
+    /// Number of the attempt. A later attempt of a task has a higher number.
     pub attempt: u32,
 }
 
@@ -160,7 +160,7 @@
             && self.memory_mb >= need.memory_mb
     }
 
-    /// The sum.
+    /// The sum in each dimension.
     pub fn plus(&self, other: &Resources) -> Resources {
         Resources {
             milli_cpus: self.milli_cpus + other.milli_cpus,
@@ -169,7 +169,7 @@
         }
     }
 
-    /// The difference, never below zero.
+    /// The difference in each dimension, never below zero.
     pub fn minus(&self, other: &Resources) -> Resources {
         Resources {
             milli_cpus: self.milli_cpus.saturating_sub(other.milli_cpus),
@@ -202,7 +202,8 @@
     Service,
 }
 
-/// Priority, highest first.
+/// Priority of a job. The variants are ordered from the highest to the lowest, so the smaller
+/// of two values is the higher priority.
 #[derive(
     Clone,
     Copy,
@@ -217,16 +218,16 @@
     BorshDeserialize,
 )]
 pub enum Priority {
-    /// Production.
+    /// Production work, which a team's guarantee alone doesn't preempt.
     #[serde(rename = "prod")]
     Production,
-    /// High.
+    /// Work that precedes normal work.
     #[serde(rename = "high")]
     High,
-    /// Normal.
+    /// Ordinary work.
     #[serde(rename = "normal")]
     Normal,
-    /// Low.
+    /// Work that waits for resources that cost little or nothing, and preempts nothing.
     #[serde(rename = "idle")]
     Low,
 }
@@ -257,7 +258,7 @@
     /// Priority of the job.
     #[serde(rename = "rank")]
     pub priority: Priority,
-    /// Number of tasks.
+    /// Number of tasks, from 1 to [`constants::MAX_TASKS`].
     #[serde(rename = "pieces")]
     pub tasks: u64,
     /// CPUs that a task takes.
@@ -298,7 +299,7 @@
     /// Time that a checkpoint takes when a task is stopped, s.
     #[serde(rename = "flushS")]
     pub checkpoint_duration_s: f64,
-    /// Deadline from submission, s.
+    /// Deadline, in s from the submission; `None` if there is none.
     #[serde(rename = "dueS", default)]
     pub deadline_s: Option<f64>,
     /// Jobs that must be done before any task of this one starts.
@@ -327,7 +328,8 @@
         (self.image_gb * 1000.0).ceil() as u64
     }
 
-    /// Grace period in s for checkpointing a stopped task; 0 if the job has no checkpoints.
+    /// Grace period in s for checkpointing a stopped task, one second more than a checkpoint
+    /// takes; 0 if the job has no checkpoints.
     pub fn stop_grace_s(&self) -> u32 {
         if self.checkpoint_interval_s > 0.0 {
             self.checkpoint_duration_s.ceil() as u32 + 1
--- a/crates/model/src/policy.rs
+++ b/crates/model/src/policy.rs
@@ -1,7 +1,7 @@
 //! The operators' policy as validated values. It is written in Lua, which the crate
 //! `lemonweir-policy` evaluates.
 
-/// Validated policy.
+/// The operators' policy, with every value in its valid range.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Policy {
     /// Time for which an empty on-demand machine is kept, as a multiple of the time that a new
@@ -28,11 +28,11 @@
 /// the replica serves.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServicePlacementWeights {
-    /// Risk of all of a job's replicas being on one machine, scaled by the share of them that
-    /// is.
+    /// Risk of several of a job's replicas being on one machine, scaled by the share of them
+    /// that is, and fourfold for more than half of them.
     pub machine_loss: f64,
-    /// The same for one zone that holds more than its equal share, and for spot machines that
-    /// hold more than half.
+    /// Risk of one zone holding more than its equal share of a job's replicas, or of spot
+    /// machines holding more than half, scaled by that share.
     pub zone_loss: f64,
     /// Risk of all of a job's replicas being in one zone.
     pub single_zone: f64,
--- a/crates/model/src/settings.rs
+++ b/crates/model/src/settings.rs
@@ -23,28 +23,28 @@
 /// Addresses of the external services.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Services {
-    /// The cloud.
+    /// Address of the cloud API.
     pub cloud: SocketAddr,
-    /// The store.
+    /// Address of the key-value store.
     #[serde(rename = "state")]
     pub kv_store: SocketAddr,
 }
 
-/// Guarantees and limits of a team; 0 means none.
+/// Guaranteed quota and quota limit of a team.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Team {
     /// Name of the team.
     pub name: String,
-    /// Guaranteed CPUs.
+    /// CPUs guaranteed to the team; 0: none.
     #[serde(rename = "cpus", default)]
     pub guaranteed_cpus: f64,
-    /// Maximum CPUs.
+    /// CPUs that the team may use at most; 0: no limit.
     #[serde(rename = "cpus_max", default)]
     pub max_cpus: f64,
-    /// Guaranteed GPUs.
+    /// GPUs guaranteed to the team; 0: none.
     #[serde(rename = "gpus", default)]
     pub guaranteed_gpus: f64,
-    /// Maximum GPUs.
+    /// GPUs that the team may use at most; 0: no limit.
     #[serde(rename = "gpus_max", default)]
     pub max_gpus: f64,
 }
@@ -52,7 +52,8 @@
 /// A service level objective for a class of jobs.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Objective {
-    /// `wait`, `finished`, `deadline`, `guarantee`, …
+    /// `wait`, `finished`, `deadline`, `guarantee`, … The controller acts only on `wait` (start
+    /// times of a class) and `guarantee` (start times of work within a guaranteed quota).
     pub kind: String,
     /// Class that the objective applies to, if it is limited to one.
     #[serde(default)]
@@ -69,16 +70,21 @@
 pub struct WorkerTiming {
     #[serde(rename = "report_s")]
     pub heartbeat_interval_s: f64,
+    /// Time without a reply to a heartbeat after which a worker's lease expires and it stops its
+    /// tasks.
     pub lease_s: f64,
+    /// Time for which a gang's task waits on its machine for the others.
     #[serde(rename = "gang_wait_s")]
     pub gang_start_timeout_s: f64,
+    /// Time within which the tasks of a gang notice that one of them is lost.
     #[serde(rename = "gang_peer_s")]
     pub gang_peer_timeout_s: f64,
+    /// Time from the publication of a cancellation within which the job's tasks must have ended.
     #[serde(rename = "cancel_s")]
     pub cancellation_deadline_s: f64,
 }
 
-/// Limits of the store.
+/// Limits of the store. Rates are those of all controllers together.
 #[derive(Clone, Debug, Deserialize)]
 #[allow(missing_docs)]
 #[serde(rename = "StateLimits")]
@@ -89,13 +95,15 @@
     pub writes_per_s: f64,
     #[serde(rename = "value_kb")]
     pub max_value_kib: f64,
+    /// Maximum number of writes in a transaction.
     #[serde(rename = "txn_ops")]
     pub max_cas_ops: usize,
+    /// Limits to come, if any are announced.
     #[serde(rename = "next", default)]
     pub upcoming: Option<UpcomingKvStoreLimits>,
 }
 
-/// Limits that the store will switch to at some time, without notice.
+/// Limits that the store will switch to at some time, without notice; `None` if unchanged.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[allow(missing_docs)]
 #[serde(rename = "NextStateLimits")]
@@ -140,12 +148,13 @@
     }
 }
 
-/// Limits of the cloud.
+/// Limits of the cloud. The rate is that of all controllers together.
 #[derive(Clone, Debug, Deserialize)]
 #[allow(missing_docs)]
 pub struct CloudLimits {
     #[serde(rename = "rps")]
     pub requests_per_s: f64,
+    /// Time by which the instance list may be out of date, s.
     #[serde(rename = "list_lag_s")]
     pub list_staleness_s: f64,
 }
@@ -176,19 +185,23 @@
     pub cloud: CloudLimits,
     #[serde(rename = "limits")]
     pub process_limits: Limits,
+    /// Maximum error of a wall clock, ms.
     #[serde(rename = "clock_off_ms", default)]
     pub clock_offset_ms: f64,
 }
 
-/// The settings file.
+/// The settings of a controller, as its file states them.
 #[derive(Clone, Debug, Deserialize)]
 #[allow(missing_docs)]
 pub struct Settings {
     pub host_name: String,
     pub zone: String,
+    /// Address that users, workers and operators call.
     #[serde(rename = "listen")]
     pub listen_addr: SocketAddr,
+    /// Address that the other controllers call.
     pub internal_addr: SocketAddr,
+    /// The other controllers of the cluster.
     #[serde(rename = "seeds")]
     pub seed_controllers: Vec<SeedController>,
     pub services: Services,
@@ -365,7 +378,8 @@
 /// Maximum number of malformed or missing fields that are reported.
 const MAX_FIELD_ERRORS: usize = 100;
 
-/// A file with a well-formed value for every field.
+/// Settings with a well-formed value for every field, which [`deserialize_settings`] puts in
+/// place of malformed ones.
 fn template() -> Value {
     let address = "0.0.0.0:0";
     json!({
--- a/crates/protocol/src/cloud.rs
+++ b/crates/protocol/src/cloud.rs
@@ -28,7 +28,7 @@
     pub hardware: Vec<rmpv::Value>,
 }
 
-/// A machine type of the catalog as sent by the cloud.
+/// A machine type of the catalog as sent by the cloud; [`MachineType`] describes the fields.
 #[derive(Debug, Deserialize, Serialize)]
 #[serde(rename_all = "camelCase")]
 #[allow(missing_docs)]
@@ -77,19 +77,19 @@
 /// A request to provision machines.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub struct ProvisioningRequest {
-    /// Unique id of the request.
+    /// Unique id of the request; a repetition of the request has the same id.
     #[serde(rename = "booking")]
     pub request_id: String,
-    /// Machine type.
+    /// Name of the machine type.
     #[serde(rename = "build")]
     pub machine_type: String,
-    /// Zone.
+    /// Name of the zone to provision them in.
     #[serde(rename = "hall")]
     pub zone: String,
     /// True for spot machines, false for on-demand ones.
     #[serde(rename = "standby")]
     pub spot: bool,
-    /// Number of machines.
+    /// Number of machines, up to `MAX_INSTANCES_PER_REQUEST`.
     #[serde(rename = "howMany")]
     pub count: u32,
 }
@@ -97,7 +97,7 @@
 /// Names of machines: those provisioned in a response, or those to release in a request.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MachineNames {
-    /// The names.
+    /// Names of the machines.
     #[serde(rename = "boxes")]
     pub machines: Vec<MachineId>,
 }
@@ -123,13 +123,13 @@
 /// A machine in the list of provisioned machines.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct InstanceEntry {
-    /// Its name.
+    /// Name of the machine.
     #[serde(rename = "nameId")]
     pub id: MachineId,
-    /// Its type.
+    /// Name of the machine type.
     #[serde(rename = "build")]
     pub machine_type: String,
-    /// Its zone.
+    /// Zone of the machine.
     #[serde(rename = "hall")]
     pub zone: String,
     /// True for a spot machine, false for an on-demand one.
@@ -145,7 +145,7 @@
 /// The body of an error response.
 #[derive(Debug, Deserialize, Serialize)]
 pub struct CloudErrorBody {
-    /// `no capacity` or `trouble`.
+    /// `no capacity` or `trouble`; empty if absent.
     #[serde(default)]
     pub error: String,
 }
--- a/crates/protocol/src/image_locality.rs
+++ b/crates/protocol/src/image_locality.rs
@@ -6,7 +6,7 @@
 /// responds.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ImageLocalityReport {
-    /// The image.
+    /// Name of the image.
     pub image: String,
     /// Size in MB (thousandths of a GB), if an unfinished job specifies it.
     #[serde(rename = "mb", skip_serializing_if = "Option::is_none", default)]
@@ -25,9 +25,9 @@
 pub struct ImageUserRow {
     /// Class of the jobs.
     pub class: String,
-    /// Number of jobs.
+    /// Number of unfinished jobs of the class that use the image.
     pub jobs: u64,
-    /// Number of their tasks that are not done.
+    /// Number of those jobs' tasks that are not done.
     pub tasks: u64,
 }
 
@@ -56,7 +56,7 @@
 /// Age of the information about one shard's machines.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardImageRow {
-    /// The shard.
+    /// Number of the shard.
     #[serde(rename = "part")]
     pub shard: u16,
     /// Seconds since the owner last reported its machines; `None` if it never did.
--- a/crates/protocol/src/kv_store.rs
+++ b/crates/protocol/src/kv_store.rs
@@ -6,10 +6,10 @@
 /// A key of the store with its value.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct KeyValue {
-    /// Key.
+    /// Full key, including the prefix that was listed.
     #[serde(rename = "path")]
     pub key: String,
-    /// Value.
+    /// Stored value; [`from_value`] converts it into a record.
     #[serde(rename = "data")]
     pub value: Value,
     /// Revision of the key's last change.
@@ -33,7 +33,7 @@
 /// A condition of a transaction.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub struct Condition {
-    /// Key.
+    /// Key whose version is compared.
     #[serde(rename = "path")]
     pub key: String,
     /// Version that the key must have; 0: it must not exist.
@@ -47,10 +47,10 @@
 pub enum Write {
     /// Sets a key.
     Put {
-        /// Key.
+        /// Key to create or overwrite.
         #[serde(rename = "set")]
         key: String,
-        /// Value.
+        /// New value; [`to_value`] converts a record into it.
         #[serde(rename = "data")]
         value: Value,
         /// Store lease that the key is bound to; it is deleted when the lease expires.
@@ -59,14 +59,14 @@
     },
     /// Deletes a key.
     Delete {
-        /// Key.
+        /// Key to delete.
         #[serde(rename = "drop")]
         key: String,
     },
 }
 
 impl Write {
-    /// Sets a key that isn't bound to a lease.
+    /// Creates a write that sets a key without binding it to a lease.
     pub fn put<T: Serialize>(key: String, value: &T) -> Self {
         Write::Put {
             key,
@@ -89,10 +89,10 @@
 /// The response to a transaction.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct CompareAndSwapResponse {
-    /// Keys whose conditions failed.
+    /// Keys whose conditions failed; empty if the writes were made.
     #[serde(default)]
     pub failed: Vec<String>,
-    /// Revision of the store.
+    /// Revision of the store after the transaction; 0 if absent.
     #[serde(rename = "ledger", default)]
     pub revision: u64,
 }
@@ -124,7 +124,7 @@
     pub events: Vec<WatchEvent>,
 }
 
-/// A change of one key.
+/// A change of one key, which either `set` or `drop` names.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct WatchEvent {
     /// Key that was set.
@@ -133,7 +133,7 @@
     /// Key that was deleted.
     #[serde(default)]
     pub drop: Option<String>,
-    /// Value, with `set`.
+    /// New value of the key in `set`; `None` for a deletion.
     #[serde(rename = "data", default)]
     pub value: Option<Value>,
     /// Revision of the change.
--- a/crates/protocol/src/links.rs
+++ b/crates/protocol/src/links.rs
@@ -34,15 +34,16 @@
 )]
 #[serde(rename_all = "snake_case")]
 pub enum LinkState {
-    /// Nothing was sent over the link yet, or no response was due.
+    /// Nothing was sent over the link yet, no response was due, or the workers of a zone have
+    /// sent no heartbeat recently.
     #[default]
     Unknown,
-    /// Responses arrive.
+    /// Calls over the link get responses.
     Up,
     /// The last response is missing; the next call decides whether the link is down.
     #[serde(rename = "late")]
     Suspect,
-    /// Our calls get no response, though messages from the other side arrive.
+    /// Calls get no response, though messages from the other side arrive.
     #[serde(rename = "one_way")]
     InboundOnly,
     /// No messages arrive in either direction.
@@ -52,7 +53,7 @@
 /// The state of a controller's own links. Ages are in ms as of the time of sending.
 #[derive(Clone, Debug, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct AvailabilityGossip {
-    /// Format version.
+    /// Format version: [`LINKS_VERSION`].
     pub version: u8,
     /// Index of the sender among the controllers.
     pub controller: u16,
@@ -92,9 +93,9 @@
 )]
 #[serde(rename_all = "snake_case")]
 pub enum Service {
-    /// The store.
+    /// The key-value store, `state service` in reports.
     Store,
-    /// The cloud.
+    /// The cloud API, which provisions machines.
     Cloud,
 }
 
@@ -111,13 +112,13 @@
 /// further.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct RelayRequest {
-    /// Format version.
+    /// Format version: [`LINKS_VERSION`].
     pub version: u8,
     /// Destination of the call.
     pub target: RelayTarget,
-    /// HTTP method.
+    /// HTTP method of the call.
     pub method: String,
-    /// HTTP path.
+    /// HTTP path of the call, including the query string.
     pub path: String,
     /// Body, passed on unchanged.
     pub body: Vec<u8>,
@@ -128,7 +129,7 @@
 /// The relay peer's response to a [`RelayRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct RelayResponse {
-    /// Format version.
+    /// Format version: [`LINKS_VERSION`].
     pub version: u8,
     /// Outcome of the call.
     pub outcome: RelayOutcome,
@@ -139,7 +140,7 @@
 pub enum RelayOutcome {
     /// The destination responded.
     Answered {
-        /// HTTP status.
+        /// HTTP status of its response.
         status: u16,
         /// Body, passed on unchanged.
         body: Vec<u8>,
@@ -153,7 +154,7 @@
 /// Heartbeats of workers that can't reach their machine's owner.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct RelayedHeartbeats {
-    /// Format version.
+    /// Format version: [`LINKS_VERSION`].
     pub version: u8,
     /// Index of the controller that relays them.
     pub relayed_by: u16,
@@ -164,18 +165,18 @@
 /// The owner's responses to relayed heartbeats.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct RelayedResponses {
-    /// Format version.
+    /// Format version: [`LINKS_VERSION`].
     pub version: u8,
     /// HTTP status and body for each heartbeat, in the order of the heartbeats.
     pub answers: Vec<(u16, Vec<u8>)>,
 }
 
-/// Decodes a message of this format version.
+/// Decodes a message whose format version is [`LINKS_VERSION`].
 pub fn decode<T: BorshDeserialize>(bytes: &[u8]) -> Result<T, DecodeError> {
     decode_format(bytes, LINKS_VERSION)
 }
 
-/// Encodes a message.
+/// Encodes a message, the counterpart of [`decode`].
 pub fn encode<T: BorshSerialize>(message: &T) -> Vec<u8> {
     // Encoding into memory can't fail; `decode` rejects an empty message.
     borsh::to_vec(message).unwrap_or_default()
@@ -186,7 +187,7 @@
 pub struct LinksReport {
     /// All known links, those of the responding controller first.
     pub links: Vec<LinkRow>,
-    /// Workers whose heartbeats the controller relays to their owners.
+    /// Number of workers whose heartbeats the controller recently relayed to their owners.
     #[serde(rename = "carried_workers")]
     pub relayed_workers: usize,
 }
@@ -194,16 +195,17 @@
 /// One link, as seen from one side.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LinkRow {
-    /// Controller that observes the link.
+    /// Host name of the controller that observes the link.
     pub from: String,
-    /// `state service`, `cloud`, a controller, or `workers of` a zone.
+    /// `state service`, `cloud`, the host name of a controller, or `workers of` a zone.
     pub to: String,
     /// State of the link.
     #[serde(rename = "standing")]
     pub state: LinkState,
-    /// Seconds in this state, as far as known.
+    /// Seconds in this state. For workers, and for the services of other controllers: seconds
+    /// since the last direct heartbeat or response, 0 if none is known.
     pub for_s: u64,
-    /// Controller that relays the calls for this link.
+    /// Controller that relays the calls for this link; `None` if they go directly.
     #[serde(
         rename = "carried_by",
         skip_serializing_if = "Option::is_none",
@@ -221,7 +223,7 @@
 /// One event of `GET /v1/events`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EventRow {
-    /// Wall-clock time, ms.
+    /// Wall-clock time of the event, ms since the Unix epoch.
     #[serde(rename = "at")]
     pub at_ms: u64,
     /// Description of the event.
--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -41,8 +41,8 @@
 /// How a receiver applies a [`ChangeRange`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Continuation {
-    /// Replaces the receiver's state: entries missing in this message and those that continue
-    /// it no longer exist.
+    /// Replaces the receiver's state. An entry that is neither in this message nor in the ones
+    /// that continue the snapshot no longer exists.
     Snapshot,
     /// Builds on the receiver's state.
     Delta,
@@ -51,7 +51,7 @@
 /// A placer's desired state of another shard.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct SyncRequest {
-    /// Format version.
+    /// Format version: [`PEER_VERSION`].
     pub version: u8,
     /// Shard of the placer.
     pub from_shard: u16,
@@ -63,7 +63,8 @@
     pub to_fencing_token: u64,
     /// Sequence number, which grows with every message of this pair of fencing tokens.
     pub seq: u64,
-    /// ms since the sender last had a response from the store.
+    /// ms since the sender's last successful read of the store began; `u64::MAX` if it has not
+    /// read it yet.
     pub store_age_ms: u64,
     /// Changes of the recorded attempts on the owner's machines that this message holds.
     pub range: ChangeRange,
@@ -77,7 +78,7 @@
     /// States of the owner's machines and attempts that the placer has received.
     pub observed: ObservedState,
     /// Number of the owner's machines that recently sent heartbeats to the placer's
-    /// controller, since they can't reach the owner.
+    /// controller, probably because they can't reach the owner.
     pub misrouted_heartbeats: u32,
     /// Machines provisioned by the placer that belong to the owner.
     pub provisioned: Vec<ProvisionedInstance>,
@@ -91,7 +92,7 @@
 /// it since.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Superseded {
-    /// Format version.
+    /// Format version: [`PEER_VERSION`].
     pub version: u8,
     /// Shard of the sender.
     pub shard: u16,
@@ -113,7 +114,7 @@
 /// An attempt that should run, or should be stopped.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct DesiredAttempt {
-    /// The attempt.
+    /// Job, task and number of the attempt.
     pub id: AttemptId,
     /// Machine that it is placed on.
     pub machine: MachineId,
@@ -126,13 +127,13 @@
     /// False while other tasks of its gang have no resources yet: the owner reserves its
     /// resources but doesn't start it.
     pub may_start: bool,
-    /// Grace period in s if the attempt should be stopped.
+    /// Grace period in s if the attempt should be stopped; `None` while it should run.
     pub stop_grace_s: Option<u32>,
     /// Team of its job.
     pub team: String,
     /// Priority of its job.
     pub priority: Priority,
-    /// True if its team runs it beyond its guarantee.
+    /// True if it exceeds the guaranteed quota of its team.
     pub over_quota: bool,
     /// Grace period in s if it is preempted.
     pub preemption_grace_s: u32,
@@ -145,21 +146,23 @@
 /// The attempts that an attempt may preempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum PreemptionScope {
-    /// No attempts.
+    /// It may preempt no attempts.
     Nobody,
-    /// Attempts of lower priority beyond their team's guarantee.
+    /// Attempts of lower priority that exceed their team's guarantee.
     LowerPriority,
-    /// Attempts of lower priority, and attempts of other teams beyond their guarantee.
+    /// Attempts of lower priority, and attempts of the same priority that exceed the guarantee
+    /// of another team, except production.
     LowerPriorityOrOverQuota,
 }
 
 impl PreemptionScope {
     /// True if an attempt of this team and priority may preempt `victim`.
     ///
-    /// A victim within its team's guarantee is preempted only by a higher priority that is
-    /// within its own guarantee: otherwise it would return at once and preempt its successor,
-    /// forever. A guarantee alone doesn't preempt production or a higher priority: a replica
-    /// that is down costs its users more than a batch task that waits.
+    /// A victim within its team's guarantee is preempted only by an attempt of higher priority
+    /// that is within its own team's guarantee: otherwise the victim would return at once and
+    /// preempt its successor, forever. A guarantee alone doesn't preempt production
+    /// or a higher priority: a replica that is down costs its users more than a batch task that
+    /// waits.
     pub fn allows(self, team: &str, priority: Priority, victim: &DesiredAttempt) -> bool {
         match self {
             PreemptionScope::Nobody => false,
@@ -179,7 +182,7 @@
 pub struct ProvisionedInstance {
     /// Name of the machine.
     pub machine: MachineId,
-    /// Machine type.
+    /// Name of the machine type.
     pub machine_type: String,
     /// Zone of the machine.
     pub zone: String,
@@ -192,7 +195,7 @@
 /// Progress of a job, for display.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct JobProgress {
-    /// The job.
+    /// Id of the job.
     pub job: JobId,
     /// Number of tasks that are done.
     pub tasks_done: u32,
@@ -205,7 +208,7 @@
 /// The observed state of a shard, as its owner reports it to a placer.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct ShardView {
-    /// Format version.
+    /// Format version: [`PEER_VERSION`].
     pub version: u8,
     /// Shard of the owner.
     pub shard: u16,
@@ -213,7 +216,8 @@
     pub fencing_token: u64,
     /// Sequence number of the sync that this responds to.
     pub seq: u64,
-    /// ms since the sender last had a response from the store.
+    /// ms since the sender's last successful read of the store began; `u64::MAX` if it has not
+    /// read it yet.
     pub store_age_ms: u64,
     /// Number of the placer's desired state that the owner has; 0 requests a snapshot.
     pub desired_revision: u64,
@@ -248,22 +252,24 @@
 pub struct MachineView {
     /// Name of the machine.
     pub id: MachineId,
-    /// Machine type.
+    /// Name of the machine type.
     pub machine_type: String,
     /// Zone of the machine.
     pub zone: String,
     /// True for a spot machine, false for an on-demand one.
     pub spot: bool,
-    /// False while the machine boots.
+    /// True once the machine's worker has shown a token of this owner: false while the machine
+    /// boots, and after its lease has expired until the worker begins a new session.
     pub registered: bool,
     /// True if the machine accepts new tasks once it is registered.
     pub schedulable: bool,
     /// True if its tasks should be moved, since the cloud reclaims the machine.
     pub draining: bool,
-    /// Free resources.
+    /// Resources that no attempt takes or reserves; zero while the machine runs a task that no
+    /// placer has asked this owner for yet.
     pub free: Resources,
     /// Resources of the attempts that [`PreemptionScope::LowerPriority`] may preempt, for the
-    /// three highest priorities, highest first.
+    /// three highest priorities, highest first. The lowest priority preempts nothing.
     pub preemptible: [Resources; 3],
     /// The same for [`PreemptionScope::LowerPriorityOrOverQuota`], regardless of the teams.
     pub preemptible_or_over_quota: [Resources; 3],
@@ -282,9 +288,9 @@
 /// The state of an attempt as observed by its owner.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct AttemptStatus {
-    /// The attempt.
+    /// Job, task and number of the attempt.
     pub id: AttemptId,
-    /// State of the attempt.
+    /// Its newest state.
     pub state: AttemptState,
 }
 
@@ -301,8 +307,8 @@
     Exited(ExitCause),
     /// Proven to be on no machine and to never start.
     Gone,
-    /// Never started and never will be: the resources didn't suffice, or the machine accepts
-    /// no new tasks.
+    /// Never started and never will be: the resources didn't suffice or were not freed in time,
+    /// the machine accepts no new tasks, or the owner released an unused grant.
     Refused,
 }
 
@@ -353,7 +359,7 @@
     }
 }
 
-/// Decodes a message of this format version.
+/// Decodes a message whose format version is [`PEER_VERSION`].
 pub fn decode<T: BorshDeserialize>(bytes: &[u8]) -> Result<T, DecodeError> {
     decode_format(bytes, PEER_VERSION)
 }
@@ -363,7 +369,7 @@
     borsh::object_length(item).unwrap_or(usize::MAX)
 }
 
-/// Encodes a message.
+/// Encodes a message, the counterpart of [`decode`].
 pub fn encode<T: BorshSerialize>(message: &T) -> Vec<u8> {
     // Encoding into memory can't fail; `decode` rejects an empty message.
     borsh::to_vec(message).unwrap_or_default()
--- a/crates/protocol/src/supervision.rs
+++ b/crates/protocol/src/supervision.rs
@@ -10,10 +10,10 @@
     /// ms since its last read of the store began; `None` if it has not read it yet.
     #[serde(rename = "age_ms")]
     pub store_age_ms: Option<u64>,
-    /// The shards.
+    /// All shards, in the order of their numbers.
     #[serde(rename = "parts")]
     pub shards: Vec<ShardRow>,
-    /// Number of services of all shards.
+    /// Number of services of all shards, without those whose cancellation is requested.
     pub services: usize,
     /// Desired replicas of all services.
     #[serde(rename = "promised")]
@@ -42,9 +42,9 @@
 /// A team's usage and quota limit; an absent limit means unlimited.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TeamUsageRow {
-    /// The team.
+    /// Name of the team.
     pub team: String,
-    /// The shard whose leader counts.
+    /// Number of the shard whose leader counts.
     #[serde(rename = "part")]
     pub shard: u16,
     /// The component of the leader that counts.
@@ -78,13 +78,14 @@
     /// Controller that leads the shard whenever it is up.
     #[serde(rename = "home")]
     pub preferred_leader: String,
-    /// Current leader.
+    /// Host name of the current leader; `None` if there is none.
     #[serde(rename = "holder")]
     pub leader: Option<String>,
     /// Fencing token of the current leader.
     #[serde(rename = "token")]
     pub fencing_token: Option<u64>,
-    /// Wall-clock time of the last failover, ms.
+    /// Wall-clock time of the shard's last failover, ms since the Unix epoch; `None` if no
+    /// failover is recorded.
     #[serde(rename = "since")]
     pub leader_since_ms: Option<u64>,
 }
@@ -92,37 +93,39 @@
 /// A service that lacks replicas.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UnderReplicatedServiceRow {
-    /// The job.
+    /// Id of the job.
     pub job: String,
     /// Class of the job.
     pub class: String,
     /// Team of the job.
     pub team: String,
-    /// The shard that serves the team.
+    /// Number of the shard that serves the team.
     #[serde(rename = "part")]
     pub shard: u16,
-    /// Desired replicas.
+    /// Number of replicas that the service should have: the job's tasks.
     #[serde(rename = "promised")]
     pub desired: u32,
     /// Half of the desired replicas, rounded up, which is restored first after a loss.
     pub half: u32,
-    /// Running replicas.
+    /// Number of replicas that run; as last reported if another controller places them, 0 if it
+    /// has not reported them.
     #[serde(rename = "up")]
     pub running: u32,
-    /// Running replicas by zone, if this controller places them.
+    /// Running replicas by zone; empty if another controller places them.
     pub zones: Vec<(String, u32)>,
-    /// s for which replicas have been missing; `None` if only another controller knows.
+    /// s for which replicas have been missing; `None` if another controller places them.
     #[serde(rename = "short_s")]
     pub under_replicated_s: Option<u64>,
-    /// s for which more than half of the replicas have been missing.
+    /// s for which more than half of the replicas have been missing; `None` if that is not so,
+    /// or another controller places them.
     pub below_half_s: Option<u64>,
     /// Action taken to restore the replicas.
     #[serde(rename = "doing")]
     pub action: String,
-    /// s until the action should have succeeded; negative if it is overdue.
+    /// s until the action should have succeeded; negative if it is overdue, `None` if unknown.
     #[serde(rename = "due_s")]
     pub due_in_s: Option<i64>,
-    /// Why replicas are still missing.
+    /// Why replicas are still missing; empty if unknown.
     #[serde(rename = "lacks")]
     pub blocked_by: String,
     /// Escalations beyond regular placement, in the order in which they were tried.
@@ -146,13 +149,13 @@
 /// A failover of one shard.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FailoverRow {
-    /// The shard.
+    /// Number of the shard.
     #[serde(rename = "part")]
     pub shard: u16,
     /// Number among the shard's failovers, from 1.
     #[serde(rename = "n")]
     pub number: u64,
-    /// Wall-clock time, ms.
+    /// Wall-clock time of the failover, ms since the Unix epoch.
     #[serde(rename = "at")]
     pub at_ms: u64,
     /// Leader before the failover, if known.
@@ -193,7 +196,8 @@
     pub leadership_ms: Option<u64>,
     /// Replicas that were found up, and replicas that had to be restarted.
     pub found: Option<(u32, u32)>,
-    /// Longest downtime of a replica by class, ms, the longest first.
+    /// Longest downtime of a replica by class, ms, for the classes with the longest ones, the
+    /// longest first.
     pub gaps: Vec<(String, u64)>,
     /// Facts that can no longer be determined.
     pub unknown: Vec<String>,
--- a/crates/protocol/src/users.rs
+++ b/crates/protocol/src/users.rs
@@ -32,7 +32,7 @@
 /// The response to a submission, a poll or a cancellation.
 #[derive(Clone, Debug, Serialize)]
 pub struct JobStatus {
-    /// The job.
+    /// Id of the job.
     #[serde(rename = "nameId")]
     pub id: JobId,
     /// Phase of the job.
--- a/crates/protocol/src/worker.rs
+++ b/crates/protocol/src/worker.rs
@@ -7,18 +7,18 @@
 /// A worker's heartbeat, from `/hello`, `/commands` or `/inspect`.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Heartbeat {
-    /// The machine.
+    /// Name of the worker's machine.
     #[serde(rename = "box")]
     pub machine: MachineId,
     /// Address of the worker's `/commands` endpoint.
     pub address: String,
-    /// Machine type.
+    /// Name of the machine type.
     #[serde(rename = "build")]
     pub machine_type: String,
     /// Zone of the machine.
     #[serde(rename = "hall")]
     pub zone: String,
-    /// True for a spot machine.
+    /// True for a spot machine, false for an on-demand one.
     #[serde(rename = "standby")]
     pub spot: bool,
     /// Session of the worker; a new one begins after its lease has expired.
@@ -27,7 +27,7 @@
     /// Sequence number, which grows with every message of the worker.
     #[serde(rename = "tally")]
     pub sequence: u64,
-    /// Highest machine token that the worker has seen.
+    /// Highest machine token that the worker has seen; 0 if none.
     #[serde(rename = "mandate", default)]
     pub fencing_token: u64,
     /// Seconds until the cloud reclaims the machine, if it gave notice.
@@ -49,7 +49,7 @@
     pub attempt: u32,
     /// Phase of the attempt.
     pub phase: TaskPhase,
-    /// Why the attempt exited.
+    /// Why the attempt exited, as [`crate::peer::ExitCause::from_wire`] parses it; `None` before.
     #[serde(rename = "cause", default)]
     pub exit_cause: Option<String>,
     /// True if a stopped task's progress was saved.
@@ -67,7 +67,7 @@
     /// Waits for the other tasks of its gang.
     #[serde(rename = "gathering")]
     AwaitingGang,
-    /// Running.
+    /// The task's process runs.
     Running,
     /// Saves its progress after a stop command.
     #[serde(rename = "saving")]
@@ -97,13 +97,13 @@
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum CommandKind {
-    /// Start an attempt.
+    /// Start the attempt.
     #[serde(rename = "launch")]
     Start,
-    /// Stop an attempt.
+    /// Stop the attempt, after a checkpoint if [`Command::grace_s`] allows one.
     #[serde(rename = "kill")]
     Stop,
-    /// Drop an exited attempt from the heartbeats.
+    /// Drop the exited attempt from the heartbeats.
     Forget,
 }
 
