--- a/crates/storage/src/failovers.rs
+++ b/crates/storage/src/failovers.rs
@@ -68,7 +68,7 @@
     /// Why the leader changed.
     #[serde(rename = "how")]
     pub change: LeadershipChange,
-    /// Wall-clock time, ms.
+    /// Wall-clock time of the failover by its writer's clock, ms since the Unix epoch.
     #[serde(rename = "at")]
     pub at_ms: u64,
     /// Replicas, other tasks and machines of the shard that the writer knew to be up.
@@ -98,7 +98,8 @@
     /// Replicas that were found up, and replicas that had to be restarted.
     #[serde(default)]
     pub found: Option<(u32, u32)>,
-    /// Longest downtime of a replica by class, ms, the longest first.
+    /// Longest downtime of a replica by class, ms, for the classes with the longest ones, the
+    /// longest first.
     #[serde(default)]
     pub gaps: Vec<(String, u64)>,
     /// Facts that can no longer be determined.
@@ -127,11 +128,11 @@
 /// A record to be written, with the version that its slot must have.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NewFailover {
-    /// The shard.
+    /// Number of the shard that the failover changed.
     pub shard: u16,
     /// Version of the slot's key; 0: it must not exist.
     pub slot_version: u64,
-    /// The record.
+    /// Record to write to the slot that its number selects.
     pub record: FailoverRecord,
 }
 
@@ -169,7 +170,7 @@
     pub(crate) fn set(&mut self, rest: &str, value: &rmpv::Value, version: u64) {
         let slot = parse_failover_key(rest).filter(|(_, slot)| *slot < FAILOVER_RECORDS_KEPT);
         let record = from_value::<FailoverRecord>(value);
-        // An impossibly large number is rejected: all later numbers would continue from it.
+        // A number above the valid range is rejected: all later numbers would continue from it.
         let record = record.filter(|r| {
             (1..=MAX_FAILOVERS).contains(&r.number)
                 && slot.is_some_and(|(_, s)| r.number % FAILOVER_RECORDS_KEPT == s)
@@ -217,7 +218,8 @@
         self.entries.keys().map(|(shard, _)| *shard).collect()
     }
 
-    /// The record with this number, to be changed and written again.
+    /// The record with this number, to be changed and written again; `None` if its slot holds
+    /// another one.
     pub fn rewrite(&self, shard: u16, number: u64) -> Option<NewFailover> {
         let (record, version) = self
             .entries
--- a/crates/storage/src/records.rs
+++ b/crates/storage/src/records.rs
@@ -76,12 +76,12 @@
     Some((job, segments.next()?.parse().ok()?))
 }
 
-/// An unfinished job.
+/// A job that is neither done nor cancelled.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct JobRecord {
     /// The job as its user submitted it.
     pub spec: JobSpec,
-    /// Wall-clock time of the submission, ms.
+    /// Wall-clock time of the submission, ms since the Unix epoch.
     #[serde(rename = "at")]
     pub submitted_at_ms: u64,
     /// The user asked to cancel the job: no more attempts start, and its end is written once
@@ -105,12 +105,12 @@
     pub host: String,
 }
 
-/// A live controller.
+/// A live controller, as it registered itself.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControllerRecord {
     /// Zone of the controller.
     pub zone: String,
-    /// Version of the peer messages that it speaks; 0: a version from before this field.
+    /// Version of the peer messages that it uses; 0: a version from before this field.
     #[serde(rename = "format", default)]
     pub peer_version: u8,
     /// Shards that it leaves to other controllers, since their machines can't reach it.
@@ -128,7 +128,7 @@
 /// has, a controller that reads only an earlier version must not be started again.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionRecord {
-    /// The record version.
+    /// Record version, as in [`ControllerRecord::record_version`].
     pub version: u32,
 }
 
@@ -186,7 +186,7 @@
 /// How a job ended.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct JobEndRecord {
-    /// Done or cancelled.
+    /// [`JobPhase::Done`] or [`JobPhase::Withdrawn`].
     pub phase: JobPhase,
 }
 
@@ -219,7 +219,7 @@
 pub struct GangAdmissionRecord {
     /// The step that was reached.
     pub step: GangAdmissionStep,
-    /// Wall-clock time of that step, ms.
+    /// Wall-clock time of that step, ms since the Unix epoch.
     #[serde(rename = "at")]
     pub at_ms: u64,
     /// The attempt number that all tasks of the gang share.
@@ -444,7 +444,7 @@
     /// Fencing token and sequence number of the message, equal in all of its chunks.
     #[serde(rename = "id")]
     pub message_id: (u64, u64),
-    /// Bytes of this chunk.
+    /// Bytes of this chunk, in base64.
     #[serde(rename = "b")]
     pub payload_base64: String,
 }
--- a/crates/storage/src/state_cache.rs
+++ b/crates/storage/src/state_cache.rs
@@ -25,27 +25,27 @@
 /// An unfinished job that isn't blocked.
 #[derive(Clone, Debug)]
 pub struct CachedJob {
-    /// The record.
+    /// The job's record.
     pub record: Arc<JobRecord>,
-    /// Version of the key.
+    /// Version of the record's key, which a change of the job must require.
     pub version: u64,
 }
 
 /// A job that waits for its dependencies.
 #[derive(Clone, Debug)]
 pub struct BlockedJob {
-    /// The record; its `spec` holds only the first page of its dependencies.
+    /// The job's record; its `spec` holds only the first page of its dependencies.
     pub record: Arc<JobRecord>,
-    /// Version of the key.
+    /// Version of the record's key, which a change of the job must require.
     pub version: u64,
 }
 
 /// The end of a job, which never changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CachedJobEnd {
-    /// Done or cancelled.
+    /// [`JobPhase::Done`] or [`JobPhase::Withdrawn`].
     pub phase: JobPhase,
-    /// Time at which this controller learned of it, ms.
+    /// Monotonic time at which this controller learned of it, ms.
     pub learned_at_ms: u64,
     /// Version of the end record's key.
     pub version: u64,
@@ -54,7 +54,7 @@
 /// The leader of a shard.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ShardLeader {
-    /// Host name.
+    /// Host name of the leader.
     pub host: String,
     /// The shard's fencing token: the version of its key.
     pub fencing_token: u64,
@@ -91,7 +91,7 @@
     messages: BTreeMap<(StoreMessageRoute, usize), StoreMessageRecord>,
     /// Routes with chunks that came since [`StateCache::take_messages`].
     unread_messages: BTreeSet<StoreMessageRoute>,
-    /// Ends of jobs.
+    /// Cached ends of jobs, at most [`MAX_CACHED_JOB_ENDS`].
     ends: HashMap<JobId, CachedJobEnd>,
     /// Jobs in `ends` in the order of insertion, for eviction.
     ends_order: VecDeque<JobId>,
@@ -326,7 +326,7 @@
         std::mem::take(&mut self.changed_jobs)
     }
 
-    /// Messages that came since the last call, complete ones only.
+    /// Peer messages of which a chunk came since the last call and all chunks are present.
     pub fn take_messages(&mut self) -> Vec<(StoreMessageRoute, Vec<u8>)> {
         let routes = std::mem::take(&mut self.unread_messages);
         routes
--- a/crates/storage/src/watched_key.rs
+++ b/crates/storage/src/watched_key.rs
@@ -5,21 +5,21 @@
 /// A watched key, split by its kind. The remaining segments are not validated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum WatchedKey<'a> {
-    /// `w/job/<id>`.
+    /// `w/job/<id>`: an unfinished job that isn't blocked.
     Job(&'a str),
-    /// `w/chain/<id>` or `w/chain/<id>/<page>`.
+    /// `w/chain/<id>` or `w/chain/<id>/<page>`: a blocked job, or more of its dependencies.
     BlockedJob(&'a str),
-    /// `w/part/<shard>`.
+    /// `w/part/<shard>`: the leader of a shard.
     Shard(&'a str),
-    /// `w/node/<host>`.
+    /// `w/node/<host>`: a live controller.
     Controller(&'a str),
-    /// `w/version`.
+    /// `w/version`: the record version that every controller reads.
     Version,
-    /// `w/team/<name>`.
+    /// `w/team/<name>`: the shard that serves a team.
     Team(&'a str),
-    /// `w/hand/<shard>/<slot>`.
+    /// `w/hand/<shard>/<slot>`: a failover of a shard.
     Failover(&'a str),
-    /// `w/mail/<kind>/<from>/<to>/<chunk>`.
+    /// `w/mail/<kind>/<from>/<to>/<chunk>`: a chunk of a peer message.
     StoreMessage(&'a str),
 }
 
