--- a/crates/node/src/cache_refresh.rs
+++ b/crates/node/src/cache_refresh.rs
@@ -1,4 +1,4 @@
-//! The loop that keeps the state cache, a copy of the store's keys, up to date.
+//! The loop that keeps the state cache, a copy of the store's watched keys, up to date.
 
 use std::rc::Rc;
 
@@ -67,8 +67,8 @@
     }
 }
 
-/// Reads the changes since the last refresh, or all keys if there was none or the store has
-/// compacted the changes.
+/// Reads the changes since the last refresh, or all watched keys if there was none or the store
+/// has compacted the changes.
 async fn refresh(node: &Node) -> Result<RefreshOutcome, KvError> {
     let revision = node.with_core(|core, _| core.cache.revision);
     if let Some(revision) = revision {
@@ -96,8 +96,8 @@
         revision = listing.revision,
         "state cache loaded"
     );
-    // The pages may show different revisions. Applying the changes since the first page
-    // makes the copy consistent.
+    // The pages may show different revisions. The next refresh applies the changes since the
+    // first page, which makes the copy consistent.
     node.with_core(|core, _| core.cache.load_snapshot(&listing.entries, listing.revision));
     Ok(RefreshOutcome::Changed)
 }
--- a/crates/node/src/cloud.rs
+++ b/crates/node/src/cloud.rs
@@ -84,7 +84,8 @@
         })
     }
 
-    /// Provisions instances.
+    /// Requests instances from the cloud. After [`ProvisioningResult::Retry`] the request may have
+    /// been executed, so a repetition must have the same id.
     pub(crate) async fn provision(&self, request: &ProvisioningRequest) -> ProvisioningResult {
         let Some(reply) = self.call("POST", "/rentals", &encode(request)).await else {
             return ProvisioningResult::Retry;
--- a/crates/node/src/effect_executor.rs
+++ b/crates/node/src/effect_executor.rs
@@ -161,7 +161,8 @@
     node.with_core(|core, now| core.final_states_read(ids, now));
 }
 
-/// Writes a hint. A failure is only logged.
+/// Writes records that are useful but not required, such as image locations. A failure is only
+/// logged.
 async fn write_hint(node: &Node, cas: &CompareAndSwap) {
     if let Err(fault) = node.kv_store.cas(cas).await {
         debug!(%fault, "failed to write hint");
@@ -299,8 +300,8 @@
 }
 
 /// Writes a peer message to the store, split into as many values as needed. A failed write
-/// is not retried: the next message of the route repeats the full content. `message_id` is
-/// the sender's fencing token and the sequence number.
+/// is not retried: the next message of the route repeats all changes that its receiver has not
+/// acknowledged. `message_id` is the sender's fencing token and the sequence number.
 async fn store_message(
     node: &Node,
     route: StoreMessageRoute,
--- a/crates/node/src/kv_client.rs
+++ b/crates/node/src/kv_client.rs
@@ -61,7 +61,7 @@
 pub struct StoreLeaseId(NonZeroU64);
 
 impl StoreLeaseId {
-    /// The id as it appears in requests.
+    /// The number that identifies the lease in requests, never 0.
     pub fn get(self) -> u64 {
         self.0.get()
     }
@@ -116,7 +116,7 @@
         Duration::from_micros(self.request_budget.borrow().query_wait(self.now_us()))
     }
 
-    /// Waits until the rate limit admits a request that serves a user's query.
+    /// Waits until the rate limit admits a user's query or a read that such queries wait for.
     async fn throttle_query(&self) {
         let wait_us = self
             .request_budget
--- a/crates/node/src/lease_keeper.rs
+++ b/crates/node/src/lease_keeper.rs
@@ -9,10 +9,10 @@
 use crate::{Node, sleep_ms};
 use lemonweir_model::constants::{STORE_LEASE_RENEWAL_MS, STORE_LEASE_TTL_MS, TICK_MS};
 
-/// Obtains a store lease and renews it. Never returns.
+/// Obtains a store lease once the state cache is loaded, and renews it. Never returns.
 ///
-/// Runs as a task of its own and waits for nothing else. Otherwise the lease, and every
-/// key attached to it, could expire while the records of another shard are read from a
+/// Runs as a task of its own and waits for nothing else after that. Otherwise the lease, and
+/// every key attached to it, could expire while the records of another shard are read from a
 /// slow store.
 pub(crate) async fn renew_store_lease(node: Rc<Node>) {
     let mut renewed_ms = 0;
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -4,7 +4,7 @@
 //!
 //! - `startup` builds the process and starts its tasks;
 //! - `flush_loop` flushes the core at every tick, `effect_executor` executes the effects;
-//! - `cache_refresh` keeps the state cache, a copy of the store's keys, up to date;
+//! - `cache_refresh` keeps the state cache, a copy of the store's watched keys, up to date;
 //! - `lease_keeper` renews the store lease, `elections` campaigns for shards with it, and
 //!   `shard_loading` reads the records of an acquired shard;
 //! - `public_api` serves users, workers and operators, `peer_api` other controllers;
--- a/crates/node/src/peer_api.rs
+++ b/crates/node/src/peer_api.rs
@@ -17,7 +17,7 @@
 
 /// Path of a sync request.
 pub(crate) const SYNC_PATH: &str = "/peer/sync";
-/// Path of the notification that a job was accepted.
+/// Path of the notification that a job, or the cancellation of one, was accepted.
 pub(crate) const JOB_ACCEPTED_PATH: &str = "/peer/jobs";
 /// Path prefix of a wake-up; two shard numbers follow.
 const WAKE_PREFIX: &str = "/peer/nudge/";
@@ -47,7 +47,7 @@
     },
     /// A wake-up whose path does not name two shards.
     MalformedWake,
-    /// Another controller accepted a job.
+    /// Another controller accepted a job, or the cancellation of one.
     JobAccepted,
 }
 
@@ -148,8 +148,8 @@
     }
 }
 
-/// Refreshes the cache to read a job that another controller accepted, without waiting for
-/// the next regular refresh.
+/// Refreshes the cache to read a job or a cancellation that another controller accepted,
+/// without waiting for the next regular refresh.
 fn handle_job_accepted(node: &Rc<Node>) {
     let task_node = node.clone();
     node.executor
--- a/crates/node/src/public_api/cancel.rs
+++ b/crates/node/src/public_api/cancel.rs
@@ -29,9 +29,9 @@
     Requested,
     /// The cancellation has yet to be written.
     ToWrite {
-        /// The job's team.
+        /// Team of the job, whose shard's leader is notified of the cancellation.
         team: String,
-        /// The compare-and-swap that writes it.
+        /// The compare-and-swap that writes the cancellation.
         cas: CompareAndSwap,
     },
 }
--- a/crates/node/src/public_api/heartbeat.rs
+++ b/crates/node/src/public_api/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Handles workers' heartbeats.
+//! Answers workers' heartbeats, or relays them to the leaders of their shards.
 
 use std::rc::Rc;
 
--- a/crates/node/src/public_api/mod.rs
+++ b/crates/node/src/public_api/mod.rs
@@ -26,11 +26,11 @@
 /// The routes of this API. Ids and names are taken from the path unvalidated.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum PublicRoute<'a> {
-    /// A worker's heartbeat.
+    /// A worker's heartbeat (`/hello`).
     Heartbeat,
-    /// The load balancer's readiness check.
+    /// The load balancer's readiness check (`/up`).
     Readiness,
-    /// Report for operators on links and relayed heartbeats.
+    /// Report for operators on links, and on the heartbeats that this controller relays.
     Links,
     /// Report for operators on under-replicated services and the leaders of shards.
     Supervision,
--- a/crates/node/src/public_api/operator_pages.rs
+++ b/crates/node/src/public_api/operator_pages.rs
@@ -17,7 +17,7 @@
 }
 
 /// Reports the links as this controller and its peers see them, and the number of workers
-/// whose heartbeats are relayed to this controller.
+/// whose heartbeats this controller relays to their leaders.
 pub(super) fn links(node: &Node) -> Reply {
     let report = node.with_core(|core, now| LinksReport {
         links: core.links.rows(now),
--- a/crates/node/src/public_api/submit.rs
+++ b/crates/node/src/public_api/submit.rs
@@ -24,11 +24,11 @@
 /// Maximum `Retry-After` of a refusal, in seconds (see the protocol documentation).
 const MAX_RETRY_AFTER_S: u64 = 30;
 
-/// Whether a job can run on any machine type of the catalog.
+/// Whether a job can ever run on the machine types of the catalog within its team's limit.
 enum Runnable {
-    /// It can.
+    /// Some machine type and the team's limit allow it.
     Yes,
-    /// It never can, for this reason.
+    /// The job can never run, for this reason.
     Never(String),
     /// The machine types are not known yet.
     CatalogUnknown,
@@ -48,7 +48,7 @@
     Accepted,
     /// The keys already exist: the job was accepted before.
     AlreadyAccepted,
-    /// The store did not answer, or not in time.
+    /// The store refused a write or confirmed it too late; the job may have been accepted.
     StoreUnavailable,
 }
 
--- a/crates/node/src/router.rs
+++ b/crates/node/src/router.rs
@@ -23,7 +23,7 @@
 pub(crate) struct ServiceCall<'a> {
     /// The service to call.
     pub(crate) service: Service,
-    /// HTTP method.
+    /// HTTP method, such as `GET`.
     pub(crate) method: &'a str,
     /// Path, including the query string.
     pub(crate) path: &'a str,
