--- a/crates/transport/src/client.rs
+++ b/crates/transport/src/client.rs
@@ -20,12 +20,12 @@
 /// do more calls to one address overlap.
 const MAX_IDLE_PER_ADDRESS: usize = 4;
 
-/// A response.
+/// A response that was received in full.
 #[derive(Debug)]
 pub struct Response {
     /// HTTP status code.
     pub status: u16,
-    /// Body.
+    /// Body; empty if the response has none.
     pub body: Vec<u8>,
 }
 
--- a/crates/transport/src/server.rs
+++ b/crates/transport/src/server.rs
@@ -26,14 +26,14 @@
 /// below 1 KiB.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
 
-/// A received request.
+/// A request that was received in full.
 #[derive(Debug)]
 pub struct Request {
-    /// Method.
+    /// HTTP method, such as `GET`.
     pub method: String,
-    /// Path and query.
+    /// Path and query string.
     pub path: String,
-    /// Body.
+    /// Body; empty if the request has none.
     pub body: Vec<u8>,
 }
 
@@ -42,9 +42,9 @@
 pub struct Reply {
     /// HTTP status code.
     pub status: u16,
-    /// Body.
+    /// Body, sent with `Content-Type: application/msgpack`; empty for none.
     pub body: Vec<u8>,
-    /// Value of the `Retry-After` header, in s.
+    /// Value of the `Retry-After` header, in s; `None` leaves the header out.
     pub retry_after_s: Option<u64>,
     /// Closes the connection after this reply, so that the client tries another server.
     pub close_connection: bool,
@@ -109,7 +109,7 @@
 
 /// Handles the requests of a server.
 pub trait Handler: 'static {
-    /// Handles one request.
+    /// Handles one request and returns the reply to write.
     fn handle(&self, request: Request) -> impl Future<Output = Reply>;
 
     /// True for a low-priority request: its connection counts against the limit on
--- a/src/commands/jobs.rs
+++ b/src/commands/jobs.rs
@@ -8,7 +8,7 @@
 use crate::controller_client::print_response;
 use crate::error::CommandError;
 
-/// Submits the job in a JSON file.
+/// Submits the job in a JSON file and prints its status as JSON.
 pub(crate) fn submit(controller: SocketAddr, file: &Path) -> Result<(), CommandError> {
     let text = std::fs::read_to_string(file).map_err(|source| CommandError::ReadFile {
         path: file.to_owned(),
@@ -22,12 +22,12 @@
     print_response(controller, "POST", "/v1/jobs", &encode(&job))
 }
 
-/// Shows the status of a job.
+/// Prints the status of a job as JSON.
 pub(crate) fn status(controller: SocketAddr, job: &str) -> Result<(), CommandError> {
     print_response(controller, "GET", &format!("/v1/jobs/{job}"), &[])
 }
 
-/// Cancels a job.
+/// Requests the cancellation of a job and prints its status as JSON.
 pub(crate) fn cancel(controller: SocketAddr, job: &str) -> Result<(), CommandError> {
     print_response(controller, "POST", &format!("/v1/jobs/{job}/withdraw"), &[])
 }
--- a/src/error.rs
+++ b/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of commands.
+//! The error type of the `lemonweir` binary's commands.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -18,20 +18,20 @@
     /// The controller can't listen on its addresses.
     #[error(transparent)]
     Listen(std::io::Error),
-    /// A file can't be read.
+    /// A job file can't be read.
     #[error("{}: {source}", path.display())]
     ReadFile {
-        /// The file.
+        /// Path of the job file.
         path: PathBuf,
-        /// The I/O error.
+        /// Why it can't be read.
         source: std::io::Error,
     },
     /// A job file is not valid JSON.
     #[error("{}: {source}", path.display())]
     ParseJob {
-        /// The file.
+        /// Path of the job file.
         path: PathBuf,
-        /// The parse error.
+        /// Where and why it is not valid JSON.
         source: serde_json::Error,
     },
     /// A call to a controller got no response.
@@ -39,7 +39,7 @@
     Call {
         /// The controller's address.
         controller: SocketAddr,
-        /// The transport error.
+        /// Whether the request may have been executed.
         source: CallError,
     },
     /// A controller returned an error status.
@@ -55,7 +55,7 @@
     MalformedResponse {
         /// The controller's address.
         controller: SocketAddr,
-        /// The decoding error.
+        /// Why the response can't be decoded.
         source: Malformed,
     },
 }
