--- a/crates/storage/src/state_cache.rs
+++ b/crates/storage/src/state_cache.rs
@@ -122,7 +122,7 @@
             match (&change.set, &change.drop, &change.value) {
                 (Some(key), _, Some(value)) => self.set(key, value, change.version),
                 (_, Some(key), _) => self.remove(key, change.version, now),
-                _ => tracing::error!("watch event without a key"),
+                _ => tracing::error!("watch event sets no key to a value and deletes none"),
             }
         }
         self.revision = self.revision.max(Some(revision));
